--- /dev/null
+++ b/coord/replica/golden_test.go
@@ -0,0 +1,34 @@
+package replica
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+
+	"sprucelane.example/sprucelane/coord/chain"
+	"sprucelane.example/sprucelane/internal/golden"
+)
+
+// TestGoldenDisk holds the records and the checkpoint on a member's disk to the form that earlier versions wrote.
+func TestGoldenDisk(t *testing.T) {
+	golden.Gob[viewRecord](t, "disk-view")
+	golden.Gob[ballotsRecord](t, "disk-ballots")
+	golden.Gob[installRecord](t, "disk-install")
+	golden.Gob[checkpoint](t, "disk-checkpoint")
+
+	var entries []chain.Entry
+	golden.Fill(&entries)
+	recorded := golden.Bytes(t, "disk-entries", encodeEntries(entries))
+	decoded, err := decodeEntries(recorded[1:])
+	if err != nil || !reflect.DeepEqual(decoded, entries) {
+		t.Errorf("the recorded entries decode to %+v, %v; want %+v", decoded, err, entries)
+	}
+	golden.Bytes(t, "disk-kinds", []byte{recordView, recordBallots, recordEntries, recordInstall, recordProbe})
+}
+
+// TestGoldenMessages holds the messages between members to the form that earlier versions send.
+func TestGoldenMessages(t *testing.T) {
+	for number, message := range bodies() {
+		golden.Message(t, fmt.Sprintf("message-%02d", number), message)
+	}
+}
--- /dev/null
+++ b/coord/slots/golden_test.go
@@ -0,0 +1,59 @@
+package slots_test
+
+import (
+	"testing"
+
+	"sprucelane.example/sprucelane/coord/slots"
+	"sprucelane.example/sprucelane/internal/golden"
+	"sprucelane.example/sprucelane/internal/simulation"
+)
+
+// TestGolden holds the files of a store to the form that earlier versions wrote, and reads the recorded files.
+func TestGolden(t *testing.T) {
+	disk := simulation.NewDisk(simulation.NewRand(1))
+	store, _ := mustOpen(t, disk)
+	for _, step := range []func() error{
+		func() error { return store.Append(texts("one", "two")...) },
+		func() error { return store.Compact([]byte("one two")) },
+		func() error { return store.Append(texts("three", "")...) },
+		func() error { return store.Append(texts("four")...) },
+		store.Close,
+	} {
+		if err := step(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	names, err := disk.List()
+	if err != nil || len(names) != 4 {
+		t.Fatalf("files %v, %v; want four", names, err)
+	}
+	copied := simulation.NewDisk(simulation.NewRand(2))
+	for _, name := range names {
+		data, err := disk.ReadAll(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		writeFile(t, copied, name, golden.Bytes(t, "file-"+name, data))
+	}
+	_, recovered := mustOpen(t, copied)
+	if got, want := contentsOf(recovered), "one two|three,,four"; got != want || len(recovered.Damaged) > 0 {
+		t.Errorf("the recorded files hold %q, damaged %v; want %q", got, recovered.Damaged, want)
+	}
+}
+
+// writeFile makes a durable file.
+func writeFile(t *testing.T, fs slots.FS, name string, data []byte) {
+	t.Helper()
+	file, err := fs.Create(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := file.Write(data); err != nil {
+		t.Fatal(err)
+	}
+	for _, step := range []func() error{file.Sync, file.Close, fs.SyncDir} {
+		if err := step(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/batch/replica/golden_test.go
@@ -0,0 +1,35 @@
+package replica
+
+import (
+	"fmt"
+	"testing"
+
+	"sprucelane.example/sprucelane/internal/golden"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// TestGoldenMessages holds the messages between stores to the form that earlier versions send.
+func TestGoldenMessages(t *testing.T) {
+	for number, message := range Messages() {
+		golden.Message(t, fmt.Sprintf("message-%02d", number), message)
+	}
+}
+
+// TestGoldenRecords holds the records of a store's log to the form that earlier versions wrote.
+func TestGoldenRecords(t *testing.T) {
+	var replicas []protocol.Process
+	golden.Fill(&replicas)
+	var results []Result
+	golden.Fill(&results)
+	content := []byte("content")
+	golden.Bytes(t, "record-copy", encodeCopy("job-1", 7, replicas, true, content, results))
+	golden.Bytes(t, "record-result", encodeResult("job-1", 3, &results[0]))
+	golden.Bytes(t, "record-ended", encodeEnded("job-1"))
+	golden.Bytes(t, "record-replicas", encodeReplicas("job-1", 9, replicas))
+	golden.Bytes(t, "record-dropped", encodeDropped("job-1"))
+	view := departed{epoch: 11, memberSince: 5}
+	golden.Bytes(t, "record-view", view.encode())
+	golden.Bytes(t, "record-kinds", []byte{
+		recordCopy, recordResult, recordEnded, recordReplicas, recordDropped, recordView, recordProgress,
+	})
+}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,222 @@
+// Package golden compares what a test encodes with bytes that were recorded by an earlier version, so that data on disk and
+// messages of running processes stay readable when the code changes.
+//
+// encoding/gob matches fields by name and passes over those that it doesn't know: a renamed field is lost without an error, and
+// a moved type can no longer be decoded from an interface. A test that encodes and decodes with the same code sees neither.
+// Each function here therefore keeps a file below testdata/golden of the calling package. Run the tests of a package with
+// -update-golden to record anew, which is right only where the format was meant to change.
+package golden
+
+import (
+	"bytes"
+	"encoding/gob"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update-golden", false, "record the golden files of internal/golden anew")
+
+// folder is where the files are, below the folder of the package under test.
+const folder = "testdata/golden"
+
+// Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of a value whose fields
+// are all set decode to that value. T is a struct that is encoded by itself, not as the value of an interface.
+func Gob[T any](t testing.TB, name string) {
+	t.Helper()
+	var want T
+	Fill(&want)
+	var out bytes.Buffer
+	if err := gob.NewEncoder(&out).Encode(&want); err != nil {
+		t.Fatalf("%s: encode: %v", name, err)
+	}
+	recorded := compare(t, name, Form(reflect.TypeFor[T]()), out.Bytes())
+	var got T
+	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(&got); err != nil {
+		t.Errorf("%s: the recorded bytes can't be decoded: %v", name, err)
+		return
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, got, want)
+	}
+}
+
+// Message checks a type that is sent as the value of an interface: as Gob does, and that its registered name is the recorded one.
+// The type of sample must be registered; its fields are filled here.
+func Message(t testing.TB, name string, sample any) {
+	t.Helper()
+	kind := reflect.TypeOf(sample)
+	filled := reflect.New(kind)
+	Fill(filled.Interface())
+	want := filled.Elem().Interface()
+	var out bytes.Buffer
+	if err := gob.NewEncoder(&out).Encode(&want); err != nil {
+		t.Fatalf("%s: encode: %v", name, err)
+	}
+	recorded := compare(t, name, Form(kind), out.Bytes())
+	var got any
+	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(&got); err != nil {
+		t.Errorf("%s: the recorded bytes can't be decoded: %v", name, err)
+		return
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, got, want)
+	}
+}
+
+// Bytes checks that an encoding without gob gives exactly the recorded bytes. It returns those, for the test to decode.
+func Bytes(t testing.TB, name string, encoded []byte) []byte {
+	t.Helper()
+	recorded := compare(t, name, "bytes", encoded)
+	if !bytes.Equal(recorded, encoded) {
+		t.Errorf("%s: encoded\n%swant\n%s", name, hex.Dump(encoded), hex.Dump(recorded))
+	}
+	return recorded
+}
+
+// compare checks the form of a type, and returns the recorded bytes. With -update-golden it records both.
+func compare(t testing.TB, name, form string, encoded []byte) []byte {
+	t.Helper()
+	path := filepath.Join(folder, name+".txt")
+	if *update {
+		record(t, path, form, encoded)
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatalf("%s: %v (recorded by -update-golden)", name, err)
+	}
+	recordedForm, digits, found := strings.Cut(string(data), "\n")
+	if !found {
+		t.Fatalf("%s: %s has one line", name, path)
+	}
+	if recordedForm != form {
+		t.Errorf("%s: the form is\n%s\nwant\n%s", name, form, recordedForm)
+	}
+	recorded, err := hex.DecodeString(strings.Join(strings.Fields(digits), ""))
+	if err != nil {
+		t.Fatalf("%s: %s: %v", name, path, err)
+	}
+	return recorded
+}
+
+// digitsInLine is the length of a line of hexadecimal digits in a file.
+const digitsInLine = 120
+
+func record(t testing.TB, path, form string, encoded []byte) {
+	t.Helper()
+	var text strings.Builder
+	text.WriteString(form + "\n")
+	for digits := hex.EncodeToString(encoded); digits != ""; {
+		line := digits[:min(len(digits), digitsInLine)]
+		digits = digits[len(line):]
+		text.WriteString(line + "\n")
+	}
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, []byte(text.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Form describes how gob sees a type: the names of fields in their order, with the kinds of their values. Names of types are
+// left out, as gob passes over them.
+func Form(kind reflect.Type) string {
+	switch kind.Kind() {
+	case reflect.Pointer:
+		return "*" + Form(kind.Elem())
+	case reflect.Slice:
+		return "[]" + Form(kind.Elem())
+	case reflect.Array:
+		return fmt.Sprintf("[%d]%s", kind.Len(), Form(kind.Elem()))
+	case reflect.Map:
+		return "map[" + Form(kind.Key()) + "]" + Form(kind.Elem())
+	case reflect.Struct:
+		return "{" + strings.Join(fieldForms(kind), " ") + "}"
+	default:
+		return kind.Kind().String()
+	}
+}
+
+func fieldForms(kind reflect.Type) []string {
+	var forms []string
+	for i := range kind.NumField() {
+		if field := kind.Field(i); field.IsExported() {
+			forms = append(forms, field.Name+":"+Form(field.Type))
+		}
+	}
+	return forms
+}
+
+// Fill sets every exported field that the value points to, and every element of it, to a value of its own that isn't zero, the same
+// at each call. Slices get two elements and maps one. Fields of interface type stay nil.
+func Fill(pointer any) {
+	f := filler{}
+	f.fill(reflect.ValueOf(pointer).Elem())
+}
+
+// filler counts the values that were set.
+type filler struct{ count int }
+
+func (f *filler) fill(value reflect.Value) {
+	switch value.Kind() {
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				f.fill(value.Field(i))
+			}
+		}
+	case reflect.Pointer:
+		value.Set(reflect.New(value.Type().Elem()))
+		f.fill(value.Elem())
+	case reflect.Slice:
+		value.Set(reflect.MakeSlice(value.Type(), 2, 2))
+		f.fillElements(value)
+	case reflect.Array:
+		f.fillElements(value)
+	case reflect.Map:
+		f.fillMap(value)
+	default:
+		f.fillScalar(value)
+	}
+}
+
+func (f *filler) fillElements(value reflect.Value) {
+	for i := range value.Len() {
+		f.fill(value.Index(i))
+	}
+}
+
+func (f *filler) fillMap(value reflect.Value) {
+	value.Set(reflect.MakeMap(value.Type()))
+	key := reflect.New(value.Type().Key()).Elem()
+	element := reflect.New(value.Type().Elem()).Elem()
+	f.fill(key)
+	f.fill(element)
+	value.SetMapIndex(key, element)
+}
+
+// largestInSmall keeps the numbers within every integer kind.
+const largestInSmall = 120
+
+func (f *filler) fillScalar(value reflect.Value) {
+	f.count++
+	number := 1 + f.count%largestInSmall
+	switch {
+	case value.CanInt():
+		value.SetInt(int64(number))
+	case value.CanUint():
+		value.SetUint(uint64(number))
+	case value.CanFloat():
+		value.SetFloat(float64(number) + 0.5)
+	case value.Kind() == reflect.Bool:
+		value.SetBool(true)
+	case value.Kind() == reflect.String:
+		value.SetString(fmt.Sprintf("text-%d", f.count))
+	}
+}
--- /dev/null
+++ b/internal/golden/golden_test.go
@@ -0,0 +1,54 @@
+package golden
+
+import (
+	"reflect"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// inner and outer have each kind of field.
+type inner struct {
+	Number int8
+	Flags  []bool
+}
+
+type outer struct {
+	Inner   *inner
+	Names   map[string]uint16
+	Digest  [2]byte
+	Share   float64
+	Message any
+	hidden  int
+}
+
+func TestFill(t *testing.T) {
+	Convey("Fill sets all that is exported, each time alike", t, func() {
+		var one, other outer
+		Fill(&one)
+		Fill(&other)
+		So(one, ShouldResemble, other)
+		So(one.Inner.Number, ShouldNotEqual, 0)
+		So(one.Inner.Flags, ShouldResemble, []bool{true, true})
+		So(one.Names, ShouldHaveLength, 1)
+		So(one.Digest[0], ShouldNotEqual, one.Digest[1])
+		So(one.Message, ShouldBeNil)
+		So(one.hidden, ShouldEqual, 0)
+	})
+}
+
+func TestForm(t *testing.T) {
+	Convey("Form names the fields that gob sees", t, func() {
+		So(Form(reflect.TypeFor[outer]()), ShouldEqual,
+			"{Inner:*{Number:int8 Flags:[]bool} Names:map[string]uint16 Digest:[2]uint8 Share:float64 Message:interface}")
+	})
+}
+
+// TestRename is the fault that the package is for.
+func TestRename(t *testing.T) {
+	type before struct{ Life uint64 }
+	type after struct{ Incarnation uint64 }
+	Convey("A field with another name has another form", t, func() {
+		So(Form(reflect.TypeFor[before]()), ShouldNotEqual, Form(reflect.TypeFor[after]()))
+	})
+}
--- /dev/null
+++ b/internal/protocol/golden_test.go
@@ -0,0 +1,21 @@
+package protocol
+
+import (
+	"testing"
+
+	"sprucelane.example/sprucelane/internal/golden"
+)
+
+// TestGolden holds the messages between control, gateways and batch processes to the form that earlier versions send.
+func TestGolden(t *testing.T) {
+	golden.Message(t, "poll", Poll{})
+	golden.Message(t, "update", Update{})
+	golden.Message(t, "quota-request", QuotaRequest{})
+	golden.Message(t, "quota-reply", QuotaReply{})
+	golden.Message(t, "batch-call", BatchCall{})
+	golden.Message(t, "batch-answer", BatchAnswer{})
+	golden.Bytes(t, "numbers", []byte{
+		byte(BatchSubmit), byte(BatchRead), byte(BatchBody), byte(BatchEnd),
+		byte(StoreActive), byte(StoreRetiring), byte(StoreRetired),
+	})
+}
--- /dev/null
+++ b/internal/serverload/golden_test.go
@@ -0,0 +1,22 @@
+package serverload
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/golden"
+)
+
+// TestGolden holds a datagram to the form that earlier versions send.
+func TestGolden(t *testing.T) {
+	reports := []Report{
+		{Server: 0x0102030405060708, Load: Load{Running: 1, Waiting: 2, Slots: 3}, Age: 4 * time.Millisecond, Results: Results{Served: 5, Failed: 6}},
+		{Server: 9, Load: Load{Running: 500, Waiting: 501, Slots: 502}, Age: 503 * time.Millisecond, Results: Results{Served: 50, Failed: 51}},
+	}
+	of, decoded, ok := decode(golden.Bytes(t, "datagram", encode(nil, kindZone, reports)))
+	if !ok || of != kindZone || !reflect.DeepEqual(decoded, reports) {
+		t.Errorf("the recorded datagram decodes to %v, %+v, %v; want %+v", of, decoded, ok, reports)
+	}
+	golden.Bytes(t, "kinds", []byte{byte(kindHeard), byte(kindZone), byte(kindForeign)})
+}
