--- a/coord/replica/golden_test.go
+++ b/coord/replica/golden_test.go
@@ -28,7 +28,7 @@
 
 // TestGoldenMessages holds the messages between members to the form that earlier versions send.
 func TestGoldenMessages(t *testing.T) {
-	for number, message := range bodies() {
-		golden.Message(t, fmt.Sprintf("message-%02d", number), message)
+	for number, named := range wireTypes() {
+		golden.Message(t, fmt.Sprintf("message-%02d", number), named.Sample)
 	}
 }
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -2,6 +2,7 @@
 
 import (
 	"sprucelane.example/sprucelane/coord/chain"
+	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/coord/view"
 )
 
@@ -105,11 +106,30 @@
 	Index uint64
 }
 
-// bodies lists all types of messages.
-func bodies() []any {
-	return []any{
-		Hello{}, Heartbeat{}, Append{}, Ack{}, Resume{}, Fetch{}, Copy{}, Forward{}, Poll{}, Feed{},
-		ReadRequest{}, ReadReply{},
-		view.Prepare{}, view.Promise{}, view.Accept{}, view.Accepted{}, view.Refused{}, view.Decided{},
+// wireTypes lists all types of messages with their names on the wire, which stay when a type is renamed or moved.
+func wireTypes() []transport.NamedType {
+	const (
+		here   = "sprucelane.example/sprucelane/coord/replica."
+		inView = "sprucelane.example/sprucelane/coord/view."
+	)
+	return []transport.NamedType{
+		{Name: here + "Hello", Sample: Hello{}},
+		{Name: here + "Heartbeat", Sample: Heartbeat{}},
+		{Name: here + "Append", Sample: Append{}},
+		{Name: here + "Ack", Sample: Ack{}},
+		{Name: here + "Resume", Sample: Resume{}},
+		{Name: here + "Fetch", Sample: Fetch{}},
+		{Name: here + "Copy", Sample: Copy{}},
+		{Name: here + "Forward", Sample: Forward{}},
+		{Name: here + "Poll", Sample: Poll{}},
+		{Name: here + "Feed", Sample: Feed{}},
+		{Name: here + "ReadRequest", Sample: ReadRequest{}},
+		{Name: here + "ReadReply", Sample: ReadReply{}},
+		{Name: inView + "Prepare", Sample: view.Prepare{}},
+		{Name: inView + "Promise", Sample: view.Promise{}},
+		{Name: inView + "Accept", Sample: view.Accept{}},
+		{Name: inView + "Accepted", Sample: view.Accepted{}},
+		{Name: inView + "Refused", Sample: view.Refused{}},
+		{Name: inView + "Decided", Sample: view.Decided{}},
 	}
 }
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -17,7 +17,7 @@
 	sendQueue         = 4096
 )
 
-func init() { transport.Register(bodies()...) }
+func init() { transport.RegisterNamed(wireTypes()...) }
 
 // network carries a node's messages: voters are dialled; everybody else is answered over the
 // connection that it opened.
--- a/coord/transport/golden_test.go
+++ b/coord/transport/golden_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"encoding/gob"
+	"reflect"
 	"testing"
 	"time"
 
@@ -46,3 +48,20 @@
 		t.Errorf("the recorded frame holds %+v, %v", message, err)
 	}
 }
+
+// TestRegisterNamed holds that a message goes by the name that it was registered under, on the wire and as the value of an interface.
+func TestRegisterNamed(t *testing.T) {
+	type renamed struct{ Number int }
+	RegisterNamed(NamedType{Name: "earlier/package.Name", Sample: renamed{}})
+	if name := registered.Load().names[reflect.TypeFor[renamed]()]; name != "earlier/package.Name" {
+		t.Errorf("the name on the wire is %q", name)
+	}
+	var out bytes.Buffer
+	var message any = renamed{Number: 1}
+	if err := gob.NewEncoder(&out).Encode(&message); err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Contains(out.Bytes(), []byte("earlier/package.Name")) {
+		t.Error("the name in an interface is another one")
+	}
+}
--- a/coord/transport/registry.go
+++ b/coord/transport/registry.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/gob"
 	"fmt"
+	"maps"
 	"reflect"
 	"sync"
 	"sync/atomic"
@@ -21,34 +22,56 @@
 
 func init() {
 	registered.Store(&registry{names: map[reflect.Type]string{}, types: map[string]reflect.Type{}})
-	Register(RemoteError{})
+	RegisterNamed(NamedType{Name: "sprucelane.example/sprucelane/coord/transport.RemoteError", Sample: RemoteError{}})
 }
 
-// Register makes the types of the values known as messages, and to gob as values of interface fields. It may be
-// called again with the same types. Both sides must have registered a type before it is sent.
-func Register(values ...any) {
+// NamedType is a type of messages with its name on the wire.
+type NamedType struct {
+	// Name is part of the wire format: it stays when the type is renamed or moved. It has at most 512 bytes.
+	Name string
+	// Sample is any value of the type.
+	Sample any
+}
+
+// RegisterNamed makes types known as messages under names of their own, and to gob as values of interface fields. It may be called
+// again with the same types and names. Both sides must have registered a type under the same name before it is sent. It panics
+// where a name or a type is taken by another one.
+func RegisterNamed(types ...NamedType) {
 	registeredMutex.Lock()
 	defer registeredMutex.Unlock()
-	old := registered.Load()
-	next := &registry{names: make(map[reflect.Type]string), types: make(map[string]reflect.Type)}
-	for kind, name := range old.names {
-		next.names[kind] = name
-		next.types[name] = kind
+	next := registered.Load().clone()
+	for _, named := range types {
+		gob.RegisterName(named.Name, named.Sample)
+		next.add(named.Name, reflect.TypeOf(named.Sample))
 	}
+	registered.Store(next)
+}
+
+// Register makes the types of the values known as RegisterNamed does, each under its import path and name. It is for types whose
+// messages never meet those of another version.
+func Register(values ...any) {
+	types := make([]NamedType, 0, len(values))
 	for _, value := range values {
-		gob.Register(value)
-		kind := reflect.TypeOf(value)
-		name := typeName(kind)
-		if other, taken := next.types[name]; taken && other != kind {
-			panic(fmt.Sprintf("transport: %s is registered for two types", name))
-		}
-		next.names[kind] = name
-		next.types[name] = kind
+		types = append(types, NamedType{Name: typeName(reflect.TypeOf(value)), Sample: value})
 	}
-	registered.Store(next)
+	RegisterNamed(types...)
+}
+
+// clone returns a copy that may be changed.
+func (r *registry) clone() *registry {
+	return &registry{names: maps.Clone(r.names), types: maps.Clone(r.types)}
+}
+
+// add enters a type under its name on the wire.
+func (r *registry) add(name string, kind reflect.Type) {
+	if other, taken := r.types[name]; taken && other != kind {
+		panic(fmt.Sprintf("transport: %s is registered for two types", name))
+	}
+	r.names[kind] = name
+	r.types[name] = kind
 }
 
-// typeName returns the name of a type on the wire: its import path and name.
+// typeName returns the import path and name of a type.
 func typeName(kind reflect.Type) string {
 	if kind.Kind() == reflect.Pointer {
 		return "*" + typeName(kind.Elem())
--- a/internal/batch/replica/golden_test.go
+++ b/internal/batch/replica/golden_test.go
@@ -10,8 +10,8 @@
 
 // TestGoldenMessages holds the messages between stores to the form that earlier versions send.
 func TestGoldenMessages(t *testing.T) {
-	for number, message := range Messages() {
-		golden.Message(t, fmt.Sprintf("message-%02d", number), message)
+	for number, named := range wireTypes() {
+		golden.Message(t, fmt.Sprintf("message-%02d", number), named.Sample)
 	}
 }
 
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -1,8 +1,7 @@
 package replica
 
 import (
-	"encoding/gob"
-
+	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/batch/placement"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -131,19 +130,29 @@
 	Ask     bool // the receiver is to tell, too
 }
 
-// Messages lists one value of each type, for registration with a transport.
-func Messages() []any {
-	return []any{
-		InventoryRequest{}, Inventory{}, Reserve{}, Reserved{}, Release{}, Lookup{}, Found{}, Notice{}, Replicate{},
-		Replicated{}, SettledNotice{}, Concede{}, Claim{}, Claimed{}, ClaimRequest{},
+// wireTypes lists all types of messages between stores with their names on the wire, which stay when a type is renamed or moved.
+func wireTypes() []transport.NamedType {
+	const here = "sprucelane.example/sprucelane/internal/batch/replica."
+	return []transport.NamedType{
+		{Name: here + "InventoryRequest", Sample: InventoryRequest{}},
+		{Name: here + "Inventory", Sample: Inventory{}},
+		{Name: here + "Reserve", Sample: Reserve{}},
+		{Name: here + "Reserved", Sample: Reserved{}},
+		{Name: here + "Release", Sample: Release{}},
+		{Name: here + "Lookup", Sample: Lookup{}},
+		{Name: here + "Found", Sample: Found{}},
+		{Name: here + "Notice", Sample: Notice{}},
+		{Name: here + "Replicate", Sample: Replicate{}},
+		{Name: here + "Replicated", Sample: Replicated{}},
+		{Name: here + "SettledNotice", Sample: SettledNotice{}},
+		{Name: here + "Concede", Sample: Concede{}},
+		{Name: here + "Claim", Sample: Claim{}},
+		{Name: here + "Claimed", Sample: Claimed{}},
+		{Name: here + "ClaimRequest", Sample: ClaimRequest{}},
 	}
 }
 
-func init() {
-	for _, message := range Messages() {
-		gob.Register(message)
-	}
-}
+func init() { transport.RegisterNamed(wireTypes()...) }
 
 func stampOf(message any) (Stamp, bool) {
 	switch m := message.(type) {
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -62,7 +62,6 @@
 
 // New opens what is on the disk and assembles a server.
 func New(settings *node.Settings, log zerolog.Logger) (*Server, error) {
-	transport.Register(replica.Messages()...)
 	s := &Server{
 		settings: settings, log: log,
 		origin:  time.Now(),
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -42,8 +42,6 @@
 	storeRun         = 150 * time.Millisecond // between two items that it runs
 )
 
-func init() { transport.Register(replica.Messages()...) }
-
 // deployedStore is a store machine over all lives of its process.
 type deployedStore struct {
 	world       *deployment
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -43,7 +43,10 @@
 	List   *protocol.ServerList // nil: the list with this digest was sent before
 }
 
-func init() { transport.Register(peerReport{}) }
+// The name of peerReport on the wire stays when the type is renamed or moved.
+func init() {
+	transport.RegisterNamed(transport.NamedType{Name: "sprucelane.example/sprucelane/internal/control.peerReport", Sample: peerReport{}})
+}
 
 // peers are the connections to the other control processes.
 type peers struct {
--- a/internal/protocol/batch.go
+++ b/internal/protocol/batch.go
@@ -1,7 +1,5 @@
 package protocol
 
-import "sprucelane.example/sprucelane/coord/transport"
-
 // BatchCall is a client's call for a batch job, as a gateway hands it to a batch process after it has checked route and key.
 // Any batch process may be asked: it answers, or names who owns the batch job.
 type BatchCall struct {
@@ -35,8 +33,3 @@
 	RetryAfterMs int
 	Owner        string // IP of the batch process to ask instead; Status is 0 then
 }
-
-func init() {
-	transport.Register(BatchCall{})
-	transport.Register(BatchAnswer{})
-}
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -8,8 +8,6 @@
 
 import (
 	"time"
-
-	"sprucelane.example/sprucelane/coord/transport"
 )
 
 // System is the name of the system in transport.Identity: it tells our processes' connections from others'.
@@ -217,12 +215,3 @@
 	Change       bool          // Lease replaces the one held
 	Lease        QuotaLease
 }
-
-// Batch processes and gateways exchange the messages in batch.go, on the batch port.
-
-func init() {
-	transport.Register(Poll{})
-	transport.Register(Update{})
-	transport.Register(QuotaRequest{})
-	transport.Register(QuotaReply{})
-}
--- /dev/null
+++ b/internal/protocol/wire.go
@@ -0,0 +1,17 @@
+package protocol
+
+import "sprucelane.example/sprucelane/coord/transport"
+
+// This file owns the names of the messages on the wire, which stay when a type is renamed or moved. Fields keep the names that
+// they have in the types: gob passes over what it doesn't know, without an error. The golden test holds both.
+func init() {
+	const here = "sprucelane.example/sprucelane/internal/protocol."
+	transport.RegisterNamed(
+		transport.NamedType{Name: here + "Poll", Sample: Poll{}},
+		transport.NamedType{Name: here + "Update", Sample: Update{}},
+		transport.NamedType{Name: here + "QuotaRequest", Sample: QuotaRequest{}},
+		transport.NamedType{Name: here + "QuotaReply", Sample: QuotaReply{}},
+		transport.NamedType{Name: here + "BatchCall", Sample: BatchCall{}},
+		transport.NamedType{Name: here + "BatchAnswer", Sample: BatchAnswer{}},
+	)
+}
