--- a/coord/transport/dial_faultinjection.go
+++ b/coord/transport/dial_faultinjection.go
@@ -8,16 +8,16 @@
 	"os"
 	"sync"
 
-	"sprucelane.example/sprucelane/coord/transport/cut"
+	"sprucelane.example/sprucelane/coord/transport/partition"
 )
 
 // dialTCP opens a TCP connection that can be cut off, where the process is told by what.
 var dialTCP = sync.OnceValue(func() func(context.Context, string) (net.Conn, error) {
-	path := os.Getenv(cut.FileVariable)
+	path := os.Getenv(partition.FileVariable)
 	if path == "" {
 		return dialPlain
 	}
-	dialer := &cut.Dialer{Cuts: cut.Watch(context.Background(), path), Host: os.Getenv(cut.HostVariable), Dial: dialTuned}
+	dialer := &partition.Dialer{Cuts: partition.Watch(context.Background(), path), Host: os.Getenv(partition.HostVariable), Dial: dialTuned}
 	return dialer.DialContext
 })()
 
--- a/coord/transport/cut/cut.go
+++ b/coord/transport/partition/cut.go
@@ -1,11 +1,11 @@
-// Package cut cuts connections between processes of a test off, as a network does that loses everything: what is sent arrives
+// Package partition cuts connections between processes of a test off, as a network does that loses everything: what is sent arrives
 // nowhere and late, and nobody is told. A file names the ways that are cut, one a line: the host that sends and the host that is
 // sent to; it is read again and again. Whoever dials minds both directions of a connection. Only programs that are built with the
 // tag faultinjection are linked with it.
 //
 // Bytes on a way that is cut wait until it heals, as those of TCP do that are sent again. A connection with bytes that have
 // waited for Patience is over, as after TCP_USER_TIMEOUT; its other end learns of that when the way has healed.
-package cut
+package partition
 
 import (
 	"context"
--- a/coord/transport/cut/cut_test.go
+++ b/coord/transport/partition/cut_test.go
@@ -1,4 +1,4 @@
-package cut
+package partition
 
 import (
 	"context"
--- a/internal/lab/programs/programs.go
+++ b/internal/lab/programs/programs.go
@@ -12,7 +12,7 @@
 // commands is the import path of the folder of all programs.
 const commands = "sprucelane.example/sprucelane/cmd/"
 
-// FaultInjection is the flag of go build for programs that can be cut off from each other, see coord/transport/cut.
+// FaultInjection is the flag of go build for programs that can be cut off from each other, see coord/transport/partition.
 const FaultInjection = "-tags=faultinjection"
 
 // Tests are all tests of a package, as testing.M runs them.
--- a/internal/lab/soak/network.go
+++ b/internal/lab/soak/network.go
@@ -6,7 +6,7 @@
 	"strings"
 	"sync"
 
-	"sprucelane.example/sprucelane/coord/transport/cut"
+	"sprucelane.example/sprucelane/coord/transport/partition"
 	"sprucelane.example/sprucelane/internal/lab/system"
 )
 
@@ -16,11 +16,11 @@
 
 	mu   sync.Mutex
 	next int
-	cuts map[int][]cut.Way
+	cuts map[int][]partition.Way
 }
 
 func newNetwork(path string) (*network, error) {
-	n := &network{path: path, cuts: map[int][]cut.Way{}}
+	n := &network{path: path, cuts: map[int][]partition.Way{}}
 	return n, n.write()
 }
 
@@ -29,11 +29,11 @@
 
 // environment tells a machine's processes where the file is and who they are.
 func (n *network) environment(m system.Machine) []string {
-	return []string{cut.FileVariable + "=" + n.path, cut.HostVariable + "=" + m.IP, logLevel}
+	return []string{partition.FileVariable + "=" + n.path, partition.HostVariable + "=" + m.IP, logLevel}
 }
 
 // cut cuts ways off, and gives what heals them.
-func (n *network) cut(ways []cut.Way) (heal func(), err error) {
+func (n *network) cut(ways []partition.Way) (heal func(), err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next++
@@ -72,16 +72,16 @@
 }
 
 // between gives the ways between two groups of machines, in one direction or both.
-func between(from, to []system.Machine, both bool) []cut.Way {
-	var ways []cut.Way
+func between(from, to []system.Machine, both bool) []partition.Way {
+	var ways []partition.Way
 	for _, a := range from {
 		for _, b := range to {
 			if a.IP == b.IP {
 				continue
 			}
-			ways = append(ways, cut.Way{From: a.IP, To: b.IP})
+			ways = append(ways, partition.Way{From: a.IP, To: b.IP})
 			if both {
-				ways = append(ways, cut.Way{From: b.IP, To: a.IP})
+				ways = append(ways, partition.Way{From: b.IP, To: a.IP})
 			}
 		}
 	}
--- a/internal/lab/soak/referee_test.go
+++ b/internal/lab/soak/referee_test.go
@@ -11,7 +11,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/coord/transport/cut"
+	"sprucelane.example/sprucelane/coord/transport/partition"
 	"sprucelane.example/sprucelane/internal/lab/system"
 	"sprucelane.example/sprucelane/internal/standin/engine"
 )
@@ -193,12 +193,12 @@
 		So(err, ShouldBeNil)
 		_, err = n.cut(between([]system.Machine{a}, []system.Machine{b}, false))
 		So(err, ShouldBeNil)
-		So(cut.Watch(t.Context(), path).Cut(cut.Way{From: "2", To: "1"}), ShouldBeTrue)
+		So(partition.Watch(t.Context(), path).Cut(partition.Way{From: "2", To: "1"}), ShouldBeTrue)
 		heal()
-		cuts := cut.Watch(t.Context(), path)
-		So(cuts.Cut(cut.Way{From: "2", To: "1"}), ShouldBeFalse)
-		So(cuts.Cut(cut.Way{From: "1", To: "2"}), ShouldBeTrue)
+		cuts := partition.Watch(t.Context(), path)
+		So(cuts.Cut(partition.Way{From: "2", To: "1"}), ShouldBeFalse)
+		So(cuts.Cut(partition.Way{From: "1", To: "2"}), ShouldBeTrue)
 		So(n.heal(), ShouldBeNil)
-		So(cut.Watch(t.Context(), path).Cut(cut.Way{From: "1", To: "2"}), ShouldBeFalse)
+		So(partition.Watch(t.Context(), path).Cut(partition.Way{From: "1", To: "2"}), ShouldBeFalse)
 	})
 }
