--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/placement"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -278,15 +278,15 @@
 	if len(c.there()) == c.copies {
 		return
 	}
-	outcome := c.command(machine.Command{Retire: &machine.Retire{Node: s.node, Remain: c.copies}})
+	outcome := c.command(statemachine.Command{Retire: &statemachine.Retire{Node: s.node, Remain: c.copies}})
 	c.note("%s is to be emptied: %d", s.node, outcome)
-	if outcome == machine.StoreChanged {
+	if outcome == statemachine.StoreChanged {
 		c.awaitRetired(s)
 	}
 }
 
 func (c *campaign) awaitRetired(s *store) {
-	if c.control.Retirement(s.node) != machine.RetirementCompleted {
+	if c.control.Retirement(s.node) != statemachine.RetirementCompleted {
 		c.after(30*time.Millisecond, func() { c.awaitRetired(s) })
 		return
 	}
--- a/internal/batch/replica/kinds_test.go
+++ b/internal/batch/replica/kinds_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
 // This file owns worlds of one kind of trouble each.
@@ -111,7 +111,7 @@
 
 // onRetired calls a function as soon as a store is emptied.
 func (c *campaign) onRetired(s *store, then func()) {
-	if c.control.Retirement(s.node) == machine.RetirementCompleted {
+	if c.control.Retirement(s.node) == statemachine.RetirementCompleted {
 		then()
 		return
 	}
@@ -169,7 +169,7 @@
 			c.after(c.between(0, 18*time.Second), c.chaos)
 		}
 		c.after(c.between(2*time.Second, 15*time.Second), func() {
-			c.command(machine.Command{Retire: &machine.Retire{Node: c.anyStore().node, Remain: c.copies}})
+			c.command(statemachine.Command{Retire: &statemachine.Retire{Node: c.anyStore().node, Remain: c.copies}})
 		})
 	})
 }
--- a/internal/batch/replica/world_test.go
+++ b/internal/batch/replica/world_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/placement"
-	"sprucelane.example/sprucelane/internal/control/machine"
 	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/simulation"
 )
@@ -46,7 +46,7 @@
 	bound   int64         // on waiting tokens, 0: none
 	stores  []*store
 	lives   int // incarnations given out
-	control *machine.Machine
+	control *statemachine.Machine
 	table   *presence.Table
 	orders  uint64
 	clients *clients
@@ -62,7 +62,7 @@
 func newWorld(seed uint64, count, copies int, plant string) *world {
 	w := &world{
 		seed: seed, random: simulation.NewRand(seed), copies: copies, status: time.Hour, segment: 4000,
-		control: machine.New(), table: presence.New(), cuts: map[[2]string]int{},
+		control: statemachine.New(), table: presence.New(), cuts: map[[2]string]int{},
 		plant: plant, traced: os.Getenv("TRACE") != "",
 	}
 	w.clients = &clients{world: w, jobs: map[string]*clientJob{}}
@@ -232,16 +232,16 @@
 	w.after(100*time.Millisecond, w.authority)
 	view := w.view()
 	if joins := w.table.Joins(w.now, view, w.admission); len(joins) > 0 {
-		w.command(machine.Command{Join: &machine.Join{Processes: joins}})
+		w.command(statemachine.Command{Join: &statemachine.Join{Processes: joins}})
 	}
 	for _, member := range w.table.Evictions(w.now, view, nil) {
-		w.command(machine.Command{Evict: &machine.Evict{Node: member.Node, Incarnation: member.Incarnation}})
+		w.command(statemachine.Command{Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation}})
 	}
 	if w.table.Settled(w.now, view, w.copies-1) {
-		w.command(machine.Command{Settle: &machine.Settle{Epoch: view.Epoch}})
+		w.command(statemachine.Command{Settle: &statemachine.Settle{Epoch: view.Epoch}})
 	}
 	for _, member := range w.emptied(view) {
-		w.command(machine.Command{Retired: &machine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: view.Epoch}})
+		w.command(statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: view.Epoch}})
 	}
 }
 
@@ -250,7 +250,7 @@
 	switch {
 	case !w.control.MayJoin(process):
 		return presence.Refused
-	case w.control.Retirement(process.Node) == machine.RetirementCompleted:
+	case w.control.Retirement(process.Node) == statemachine.RetirementCompleted:
 		return presence.AdmittedLater
 	}
 	return presence.Admitted
@@ -271,14 +271,14 @@
 }
 
 // command changes the set, and pushes the new one to those that are in touch.
-func (w *world) command(command machine.Command) machine.StoreOutcome {
+func (w *world) command(command statemachine.Command) statemachine.StoreOutcome {
 	order, err := command.Encode()
 	if err != nil {
 		panic(err)
 	}
 	w.orders++
 	before := w.view()
-	outcome, err := machine.DecodeOutcome(w.control.Apply(w.orders, order))
+	outcome, err := statemachine.DecodeOutcome(w.control.Apply(w.orders, order))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,10 +23,10 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/coord/view"
 	"sprucelane.example/sprucelane/internal/control/discovery"
-	"sprucelane.example/sprucelane/internal/control/machine"
 	"sprucelane.example/sprucelane/internal/control/operator"
 	"sprucelane.example/sprucelane/internal/control/presence"
 	"sprucelane.example/sprucelane/internal/control/quotas"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -93,7 +93,7 @@
 	started  time.Time
 	around   surroundings
 
-	machine *machine.Machine
+	machine *statemachine.Machine
 	replica Replica
 	api     *http.Server
 	server  *transport.Server
@@ -136,7 +136,7 @@
 	if c.around.spoil != nil {
 		c.replica = c.around.spoil(node)
 	}
-	c.quota = quotas.New(options.Settings.Bounds, c.replica, c.machine, machine.Lender{Member: node.Self().ID(), Process: c.source},
+	c.quota = quotas.New(options.Settings.Bounds, c.replica, c.machine, statemachine.Lender{Member: node.Self().ID(), Process: c.source},
 		func() { wake(c.wakeRoles) })
 	if err := c.serve(); err != nil {
 		node.Close()
@@ -161,7 +161,7 @@
 		source:      options.Settings.NodeName + "-" + randomName(),
 		started:     time.Now(),
 		around:      *options.surroundings,
-		machine:     machine.New(),
+		machine:     statemachine.New(),
 		reader:      discovery.NewReader(options.Settings.Cloud.Address, "", options.Settings.Cloud.Rate),
 		ended:       ended,
 		end:         end,
--- a/internal/control/operator/change.go
+++ b/internal/control/operator/change.go
@@ -14,8 +14,8 @@
 	"github.com/labstack/echo/v4"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
 	"sprucelane.example/sprucelane/internal/control/schema"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
 // change answers PUT and PATCH /config.
@@ -170,7 +170,7 @@
 }
 
 func (a *API) settle(order configuration.Order, arrived time.Time) verdict {
-	raw, err := machine.Command{Configuration: &order}.Encode()
+	raw, err := statemachine.Command{Configuration: &order}.Encode()
 	if err != nil {
 		return verdict{status: http.StatusServiceUnavailable, unknown: err.Error()}
 	}
@@ -269,7 +269,7 @@
 		t.uncertain = t.uncertain || !errors.Is(err, ErrUnavailable)
 		return verdict{}, err
 	}
-	outcome, err := machine.DecodeOutcome(raw)
+	outcome, err := statemachine.DecodeOutcome(raw)
 	if err != nil || outcome.Configuration == nil {
 		t.uncertain = true
 		return verdict{}, errors.Join(errors.New("the order's outcome can't be read"), err)
--- a/internal/control/operator/long_test.go
+++ b/internal/control/operator/long_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
 // Sizes of a large configuration.
@@ -58,7 +58,7 @@
 func (w *world) take(from, to int, through ...*member) {
 	for version := from; version <= to; version++ {
 		order := manyOrder(version)
-		raw, err := machine.Command{Configuration: &order}.Encode()
+		raw, err := statemachine.Command{Configuration: &order}.Encode()
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -68,7 +68,7 @@
 			reply, err := m.node.Propose(ctx, identify(order), raw)
 			cancel()
 			if err == nil {
-				outcome, err := machine.DecodeOutcome(reply)
+				outcome, err := statemachine.DecodeOutcome(reply)
 				if err != nil || outcome.Configuration.Status != configuration.StatusTaken {
 					w.t.Fatal(version, err, outcome.Configuration)
 				}
--- a/internal/control/operator/operator.go
+++ b/internal/control/operator/operator.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 )
 
@@ -44,7 +44,7 @@
 
 // Options are what the API is made of.
 type Options struct {
-	Machine *machine.Machine
+	Machine *statemachine.Machine
 	Chain   Chain
 	Bounds  node.Bounds
 	// BytesMost bounds one configuration; two of that size may be under way. 0: 24 MB.
--- a/internal/control/operator/operator_test.go
+++ b/internal/control/operator/operator_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -25,7 +25,7 @@
 // soleChain is a chain of one process, of which tests decide what becomes of each proposal.
 type soleChain struct {
 	mutex    sync.Mutex
-	machine  *machine.Machine
+	machine  *statemachine.Machine
 	index    uint64
 	outcomes map[string][]byte
 	cut      bool           // nothing can be read or proposed
@@ -44,7 +44,7 @@
 )
 
 func newSoleChain() *soleChain {
-	return &soleChain{machine: machine.New(), outcomes: map[string][]byte{}, ids: map[string]int{}}
+	return &soleChain{machine: statemachine.New(), outcomes: map[string][]byte{}, ids: map[string]int{}}
 }
 
 func (c *soleChain) Read(ctx context.Context) error {
@@ -329,7 +329,7 @@
 		for _, name := range []string{"s1", "s2", "s3"} {
 			processes = append(processes, protocol.Process{Node: name, Role: protocol.RoleBatch, IP: name, Incarnation: "a"})
 		}
-		raw, err := machine.Command{Join: &machine.Join{Processes: processes}}.Encode()
+		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: processes}}.Encode()
 		So(err, ShouldBeNil)
 		chain.machine.Apply(1, raw)
 		So(send(api, "POST", "/retire/s9", "", `{"deadline-s":10}`).Code, ShouldEqual, 404)
@@ -339,7 +339,7 @@
 		So(send(api, "POST", "/retire/s2", "", `{"deadline-s":10}`).Code, ShouldEqual, 409)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"active"`)
 		epoch := chain.machine.Stores().Epoch
-		raw, err = machine.Command{Retired: &machine.Retired{Node: "s1", Incarnation: "a", Epoch: epoch}}.Encode()
+		raw, err = statemachine.Command{Retired: &statemachine.Retired{Node: "s1", Incarnation: "a", Epoch: epoch}}.Encode()
 		So(err, ShouldBeNil)
 		chain.machine.Apply(3, raw)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"completed"`)
--- a/internal/control/operator/plant_test.go
+++ b/internal/control/operator/plant_test.go
@@ -11,7 +11,7 @@
 	"sync"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
 // plant is a bug that the checks must find.
@@ -43,7 +43,7 @@
 type numberedChain struct{ Chain }
 
 func (c numberedChain) Propose(ctx context.Context, _ string, order []byte) ([]byte, error) {
-	var command machine.Command
+	var command statemachine.Command
 	if err := gob.NewDecoder(bytes.NewReader(order)).Decode(&command); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 func (c unprovenChain) Read(context.Context) error { return nil }
 
 // forgetfulMachine forgets which orders were taken when it is restored.
-type forgetfulMachine struct{ *machine.Machine }
+type forgetfulMachine struct{ *statemachine.Machine }
 
 func (m *forgetfulMachine) Restore(raw []byte) error {
 	var whole struct{ Configuration []byte } // the world has no stores and lends no quota
--- a/internal/control/operator/retire.go
+++ b/internal/control/operator/retire.go
@@ -9,7 +9,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
 // retireBodyMost bounds the body of a retirement; what it holds is for people: a retirement ends when the machine is empty.
@@ -28,17 +28,17 @@
 	}
 	a.options.Log.Info().Str("store", name).Int("outcome", int(outcome)).Msg("retire-order")
 	switch outcome {
-	case machine.StoreUnknown:
+	case statemachine.StoreUnknown:
 		return c.JSON(http.StatusNotFound, answer{Message: "no such store machine"})
-	case machine.StoreTooFew:
+	case statemachine.StoreTooFew:
 		return c.JSON(http.StatusConflict, answer{Message: "too few store machines would remain"})
 	}
 	return a.writeRetirement(c, name)
 }
 
 // retireNode proposes a retirement. It may be proposed again at will: one under way stays.
-func (a *API) retireNode(name string, arrived time.Time) (machine.StoreOutcome, error) {
-	raw, err := machine.Command{Retire: &machine.Retire{Node: name, Remain: a.options.Remain}}.Encode()
+func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
+	raw, err := statemachine.Command{Retire: &statemachine.Retire{Node: name, Remain: a.options.Remain}}.Encode()
 	if err != nil {
 		return 0, err
 	}
@@ -50,14 +50,14 @@
 	}
 }
 
-func (a *API) proposeRetirement(name string, raw []byte) (machine.StoreOutcome, error) {
+func (a *API) proposeRetirement(name string, raw []byte) (statemachine.StoreOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeAttempt)
 	defer cancel()
 	reply, err := a.options.Chain.Propose(ctx, newID("retire-"+name), raw)
 	if err != nil {
 		return 0, err
 	}
-	outcome, err := machine.DecodeOutcome(reply)
+	outcome, err := statemachine.DecodeOutcome(reply)
 	return outcome.Store, err
 }
 
@@ -71,9 +71,9 @@
 
 func (a *API) writeRetirement(c echo.Context, name string) error {
 	switch a.options.Machine.Retirement(name) {
-	case machine.RetirementActive:
+	case statemachine.RetirementActive:
 		return c.JSON(http.StatusOK, answer{State: "active"})
-	case machine.RetirementCompleted:
+	case statemachine.RetirementCompleted:
 		return c.JSON(http.StatusOK, answer{State: "completed"})
 	}
 	return c.JSON(http.StatusNotFound, answer{Message: errNoRetirement.Error()})
--- a/internal/control/operator/world_test.go
+++ b/internal/control/operator/world_test.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/coord/chain"
 	"sprucelane.example/sprucelane/coord/replica"
 	"sprucelane.example/sprucelane/coord/transport"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
@@ -49,7 +49,7 @@
 	starts  int
 	host    *bubble.Host
 	node    *replica.Node
-	machine *machine.Machine
+	machine *statemachine.Machine
 	api     http.Handler
 }
 
@@ -107,7 +107,7 @@
 // start starts the process. No lock is held meanwhile: who waits for one doesn't let the time of a bubble pass.
 func (m *member) start(bootstrap bool) {
 	w := m.world
-	host, state := w.network.Host(m.ip), machine.New()
+	host, state := w.network.Host(m.ip), statemachine.New()
 	var planted chain.Machine = state
 	if w.plant == plantForgetful {
 		planted = &forgetfulMachine{Machine: state}
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -13,8 +13,8 @@
 
 	"sprucelane.example/sprucelane/coord/replica"
 	"sprucelane.example/sprucelane/coord/view"
-	"sprucelane.example/sprucelane/internal/control/machine"
 	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -132,7 +132,7 @@
 func TestJoinIsOfASet(t *testing.T) {
 	c, _ := newProvenControl()
 	for index := uint64(1); index <= 2; index++ {
-		raw, err := machine.Command{Join: &machine.Join{Processes: []protocol.Process{storeProcess(int(index), "a")}}}.Encode()
+		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(int(index), "a")}}}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 func TestSetOfTheLease(t *testing.T) {
 	c, chain := newProvenControl()
 	for index, number := range []int{1, 2} {
-		raw, err := machine.Command{Join: &machine.Join{Processes: []protocol.Process{storeProcess(number, "a")}}}.Encode()
+		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(number, "a")}}}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -194,7 +194,7 @@
 				one.report = protocol.BatchReport{Epoch: one.grant.Epoch, Settled: one.grant.Epoch, DrainedDown: true}
 				one.mutex.Unlock()
 			}
-			return s.running[0].machine.Retirement("store-3") == machine.RetirementCompleted
+			return s.running[0].machine.Retirement("store-3") == statemachine.RetirementCompleted
 		})
 		stores[3].silent.Store(true)
 		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].machine.Stores().Members) == 3 })
--- a/internal/control/quotas/core_test.go
+++ b/internal/control/quotas/core_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -33,7 +33,7 @@
 type proposal struct {
 	raw   []byte
 	index int // 0: not committed
-	done  func(*machine.LendingOutcome)
+	done  func(*statemachine.LendingOutcome)
 }
 
 // member is a control process with the real service, and its view of the chain.
@@ -44,7 +44,7 @@
 	up      bool
 	frozen  bool
 	service *Service
-	machine *machine.Machine
+	machine *statemachine.Machine
 	applied int
 	waiting *proposal // whose outcome it waits for
 	ending  bool
@@ -79,11 +79,11 @@
 	m.up, m.frozen, m.ending, m.waiting = true, false, false, nil
 	w.Start(m.name)
 	known := max(0, m.applied-w.random.IntN(3))
-	m.machine, m.applied = machine.New(), 0
+	m.machine, m.applied = statemachine.New(), 0
 	m.apply(known)
 	m.headSince, m.proofAt = w.Elapsed()+leadDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
-	self := machine.Lender{Member: m.name, Process: fmt.Sprint(m.name, "/", m.life)}
+	self := statemachine.Lender{Member: m.name, Process: fmt.Sprint(m.name, "/", m.life)}
 	m.service = newAt(bounds, m, m, self, func() { m.later(time.Millisecond, m.roles) }, w.Now)
 	m.later(w.span(200*time.Millisecond), m.rolesLoop)
 	m.beat()
@@ -118,7 +118,7 @@
 func (m *member) Configuration() *configuration.Version { return m.core.world.version }
 
 // Lender gives who lends, as far as is known here.
-func (m *member) Lender() machine.Lender { return m.machine.Lender() }
+func (m *member) Lender() statemachine.Lender { return m.machine.Lender() }
 
 // Head is that of coord/replica.
 func (m *member) Head() (until time.Time, ok bool) {
@@ -291,7 +291,7 @@
 		raw := m.machine.Apply(uint64(m.applied), m.core.log[m.applied-1])
 		if one := m.waiting; one != nil && one.index == m.applied {
 			m.waiting = nil
-			outcome, err := machine.DecodeOutcome(raw)
+			outcome, err := statemachine.DecodeOutcome(raw)
 			if err != nil {
 				panic(err)
 			}
@@ -301,9 +301,9 @@
 }
 
 // propose proposes a change and waits for its outcome, for two seconds.
-func (m *member) propose(change *machine.Lending, done func(*machine.LendingOutcome)) {
+func (m *member) propose(change *statemachine.Lending, done func(*statemachine.LendingOutcome)) {
 	w := m.core.world
-	raw, err := machine.Command{Lending: change}.Encode()
+	raw, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
 		panic(err)
 	}
@@ -332,7 +332,7 @@
 		return
 	}
 	if change := m.service.Change(); change != nil {
-		m.propose(change, func(outcome *machine.LendingOutcome) { m.service.Changed(change, outcome) })
+		m.propose(change, func(outcome *statemachine.LendingOutcome) { m.service.Changed(change, outcome) })
 	}
 }
 
@@ -356,7 +356,7 @@
 		leave()
 		return
 	}
-	m.propose(change, func(*machine.LendingOutcome) {})
+	m.propose(change, func(*statemachine.LendingOutcome) {})
 	m.later(300*time.Millisecond, leave)
 }
 
--- a/internal/control/quotas/quotas.go
+++ b/internal/control/quotas/quotas.go
@@ -9,7 +9,7 @@
 
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/quota"
@@ -28,7 +28,7 @@
 
 // Record is the agreed record of who lends. *machine.Machine is one.
 type Record interface {
-	Lender() machine.Lender
+	Lender() statemachine.Lender
 	Configuration() *configuration.Version
 }
 
@@ -40,7 +40,7 @@
 type Service struct {
 	lead   Lead
 	record Record
-	self   machine.Lender
+	self   statemachine.Lender
 	wake   func()
 	clock  func() time.Time
 	origin time.Time
@@ -64,11 +64,11 @@
 
 // New makes a service that doesn't act before the process is the lender on record. It calls wake where a change of the record
 // can't wait.
-func New(bounds node.Bounds, lead Lead, record Record, self machine.Lender, wake func()) *Service {
+func New(bounds node.Bounds, lead Lead, record Record, self statemachine.Lender, wake func()) *Service {
 	return newAt(bounds, lead, record, self, wake, time.Now)
 }
 
-func newAt(bounds node.Bounds, lead Lead, record Record, self machine.Lender, wake func(), clock func() time.Time) *Service {
+func newAt(bounds node.Bounds, lead Lead, record Record, self statemachine.Lender, wake func(), clock func() time.Time) *Service {
 	rules := quota.Rules{Window: bounds.QuotaWindow, Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack}
 	return &Service{lead: lead, record: record, self: self, wake: wake, clock: clock, origin: clock(),
 		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules})}
@@ -117,7 +117,7 @@
 
 // Change gives the change of the record that is needed now, or nil. Its outcome is to be told by Changed, and there must be no
 // other until it is known or has been given up.
-func (s *Service) Change() *machine.Lending {
+func (s *Service) Change() *statemachine.Lending {
 	if _, heads := s.lead.Head(); !heads {
 		return nil
 	}
@@ -141,11 +141,11 @@
 		return nil
 	}
 	s.number++
-	return &machine.Lending{Lender: s.self, Number: s.number, Add: adds, Remove: without(s.term.removes, adds), Floors: floors}
+	return &statemachine.Lending{Lender: s.self, Number: s.number, Add: adds, Remove: without(s.term.removes, adds), Floors: floors}
 }
 
 // End stops lending for good, and gives the change that lets a successor begin at once; nil where there is nothing to hand on.
-func (s *Service) End() *machine.Lending {
+func (s *Service) End() *statemachine.Lending {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.ended = true
@@ -155,21 +155,21 @@
 	if !lends {
 		return nil
 	}
-	return &machine.Lending{Lender: s.self, End: true}
+	return &statemachine.Lending{Lender: s.self, End: true}
 }
 
 // beginning gives the change by which this process becomes the lender, or nil while another may still act.
-func (s *Service) beginning(lender machine.Lender) *machine.Lending {
-	alone := lender == machine.Lender{} || lender == machine.Released || lender.Member == s.self.Member
+func (s *Service) beginning(lender statemachine.Lender) *statemachine.Lending {
+	alone := lender == statemachine.Lender{} || lender == statemachine.Released || lender.Member == s.self.Member
 	if _, _, leads := s.lead.Lead(); !alone && !leads {
 		return nil
 	}
 	s.number++
-	return &machine.Lending{Lender: s.self, Begin: true, Before: lender, Number: s.number}
+	return &statemachine.Lending{Lender: s.self, Begin: true, Before: lender, Number: s.number}
 }
 
 // Changed takes in what came of a change. One of which nothing is known is tried again by the next.
-func (s *Service) Changed(change *machine.Lending, outcome *machine.LendingOutcome) {
+func (s *Service) Changed(change *statemachine.Lending, outcome *statemachine.LendingOutcome) {
 	if outcome == nil || !outcome.Taken {
 		return
 	}
@@ -180,7 +180,7 @@
 	}
 	if change.Begin {
 		s.allocator.Stop()
-		s.term = &term{founding: outcome.Before == machine.Lender{}, nodes: append([]string{}, outcome.Nodes...),
+		s.term = &term{founding: outcome.Before == statemachine.Lender{}, nodes: append([]string{}, outcome.Nodes...),
 			floors: outcome.Floors}
 		return
 	}
--- a/internal/control/quotas/quotas_test.go
+++ b/internal/control/quotas/quotas_test.go
@@ -8,7 +8,7 @@
 
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/control/machine"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/quota"
@@ -25,14 +25,14 @@
 
 // chain is one machine on which changes are carried out at once, and the configuration.
 type chain struct {
-	*machine.Machine
+	*statemachine.Machine
 	index   uint64
 	version *configuration.Version
 }
 
 func (c *chain) Configuration() *configuration.Version { return c.version }
 
-func (c *chain) carryOut(s *Service) *machine.LendingOutcome {
+func (c *chain) carryOut(s *Service) *statemachine.LendingOutcome {
 	change := s.Change()
 	if change == nil {
 		return nil
@@ -42,11 +42,11 @@
 	return outcome
 }
 
-func (c *chain) apply(change *machine.Lending) *machine.LendingOutcome {
-	raw, err := machine.Command{Lending: change}.Encode()
+func (c *chain) apply(change *statemachine.Lending) *statemachine.LendingOutcome {
+	raw, err := statemachine.Command{Lending: change}.Encode()
 	So(err, ShouldBeNil)
 	c.index++
-	outcome, err := machine.DecodeOutcome(c.Apply(c.index, raw))
+	outcome, err := statemachine.DecodeOutcome(c.Apply(c.index, raw))
 	So(err, ShouldBeNil)
 	return outcome.Lending
 }
@@ -73,9 +73,9 @@
 	}
 
 	Convey("Given the first process of a new system", t, func() {
-		state := &chain{Machine: machine.New(), version: version}
+		state := &chain{Machine: statemachine.New(), version: version}
 		lead := &fakeLead{heads: true, until: time.Now().Add(time.Minute)}
-		service := New(bounds, lead, state, machine.Lender{Member: "m1", Process: "p1"}, func() {})
+		service := New(bounds, lead, state, statemachine.Lender{Member: "m1", Process: "p1"}, func() {})
 		refused(service)
 		So(state.carryOut(service).Taken, ShouldBeTrue)
 
@@ -104,7 +104,7 @@
 			before, err := ask(service, 1)
 			So(err, ShouldBeNil)
 			lead.alone = false
-			next := New(bounds, lead, state, machine.Lender{Member: "m1", Process: "p2"}, func() {})
+			next := New(bounds, lead, state, statemachine.Lender{Member: "m1", Process: "p2"}, func() {})
 			So(state.carryOut(next).Taken, ShouldBeTrue)
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
@@ -118,7 +118,7 @@
 			refused(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
 			So(state.carryOut(service), ShouldBeNil)
-			next := New(bounds, lead, state, machine.Lender{Member: "m2", Process: "p3"}, func() {})
+			next := New(bounds, lead, state, statemachine.Lender{Member: "m2", Process: "p3"}, func() {})
 			So(state.carryOut(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
@@ -127,7 +127,7 @@
 		})
 		Convey("another's waits until the time of the one before has passed, and ends this one's", func() {
 			lead.alone = false
-			next := New(bounds, lead, state, machine.Lender{Member: "m2", Process: "p3"}, func() {})
+			next := New(bounds, lead, state, statemachine.Lender{Member: "m2", Process: "p3"}, func() {})
 			So(next.Change(), ShouldBeNil)
 			refused(next)
 			lead.alone = true
@@ -136,15 +136,15 @@
 			So(err, ShouldBeNil)
 			refused(service)
 			Convey("and a change of this one's that comes late has no effect", func() {
-				So(state.apply(&machine.Lending{Lender: service.self, Number: 9, Add: []string{"late"}}).Taken, ShouldBeFalse)
-				So(state.apply(&machine.Lending{Lender: service.self, Begin: true}).Taken, ShouldBeFalse)
+				So(state.apply(&statemachine.Lending{Lender: service.self, Number: 9, Add: []string{"late"}}).Taken, ShouldBeFalse)
+				So(state.apply(&statemachine.Lending{Lender: service.self, Begin: true}).Taken, ShouldBeFalse)
 				So(state.Lender(), ShouldResemble, next.self)
 			})
 			Convey("nor has it where this one lends again meanwhile", func() {
 				_, err := ask(service, 1)
 				So(err, ShouldNotBeNil)
 				service.number = 9
-				late := &machine.Lending{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
+				late := &statemachine.Lending{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
 				So(state.carryOut(service).Taken, ShouldBeTrue)
 				So(state.Lender(), ShouldResemble, service.self)
 				So(state.apply(late).Taken, ShouldBeFalse)
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/replica"
-	"sprucelane.example/sprucelane/internal/control/machine"
 	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -40,7 +40,7 @@
 }
 
 // storeCommands gives what the set of batch processes needs now.
-func (c *Control) storeCommands() []machine.Command {
+func (c *Control) storeCommands() []statemachine.Command {
 	epoch, _, leads := c.replica.Lead()
 	stores := c.machine.Stores()
 	others := c.otherControls()
@@ -49,16 +49,16 @@
 	defer c.mutex.Unlock()
 	c.presence.Lead(now, epoch, leads)
 	c.presence.Forget(now)
-	var commands []machine.Command
+	var commands []statemachine.Command
 	if joins := c.presence.Joins(now, stores, c.admission); len(joins) > 0 {
-		commands = append(commands, machine.Command{Join: &machine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.presence.ActedIn(joins)}})
+		commands = append(commands, statemachine.Command{Join: &statemachine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.presence.ActedIn(joins)}})
 	}
 	commands = append(commands, c.evictions(now, stores, others)...)
 	if c.presence.Settled(now, stores, c.settings.Tolerance.Machines) {
-		commands = append(commands, machine.Command{Settle: &machine.Settle{Epoch: stores.Epoch}})
+		commands = append(commands, statemachine.Command{Settle: &statemachine.Settle{Epoch: stores.Epoch}})
 	}
 	for _, member := range c.presence.Emptied(now, stores) {
-		commands = append(commands, machine.Command{Retired: &machine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch}})
+		commands = append(commands, statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch}})
 	}
 	return commands
 }
@@ -68,7 +68,7 @@
 	switch {
 	case !c.machine.MayJoin(process):
 		return presence.Refused
-	case c.machine.Retirement(process.Node) == machine.RetirementCompleted:
+	case c.machine.Retirement(process.Node) == statemachine.RetirementCompleted:
 		return presence.AdmittedLater
 	}
 	return presence.Admitted
@@ -76,7 +76,7 @@
 
 // evictions gives what the silence of members calls for, first a suspicion, and an eviction once that has stood for a lease: whoever
 // polls again before gets none from a control process that hasn't told the head yet.
-func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []machine.Command {
+func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []statemachine.Command {
 	var suspicions []presence.Suspicion
 	ripe := map[string]uint64{}
 	for _, member := range stores.Members {
@@ -87,16 +87,16 @@
 		}
 	}
 	silent, back := c.presence.Suspects(now, suspicions, others)
-	var commands []machine.Command
+	var commands []statemachine.Command
 	for _, member := range back {
-		commands = append(commands, machine.Command{Suspect: &machine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true}})
+		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true}})
 	}
 	for _, member := range silent {
-		commands = append(commands, machine.Command{Suspect: &machine.Suspect{Node: member.Node, Incarnation: member.Incarnation}})
+		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation}})
 	}
 	for _, member := range c.presence.Evictions(now, stores, others) {
 		if number := ripe[member.Node]; number != 0 {
-			commands = append(commands, machine.Command{Evict: &machine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number}})
+			commands = append(commands, statemachine.Command{Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number}})
 		}
 	}
 	return commands
@@ -146,8 +146,8 @@
 }
 
 // proposeLending proposes a change of the record; nil: what came of it isn't known, and the next round looks again.
-func (c *Control) proposeLending(ctx context.Context, change *machine.Lending) *machine.LendingOutcome {
-	raw, err := machine.Command{Lending: change}.Encode()
+func (c *Control) proposeLending(ctx context.Context, change *statemachine.Lending) *statemachine.LendingOutcome {
+	raw, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("lending-command")
 		return nil
@@ -155,7 +155,7 @@
 	if raw, err = c.replica.Propose(ctx, "lending-"+randomName(), raw); err != nil {
 		return nil
 	}
-	outcome, err := machine.DecodeOutcome(raw)
+	outcome, err := statemachine.DecodeOutcome(raw)
 	if err != nil {
 		c.log.Error().Err(err).Msg("lending-outcome")
 		return nil
@@ -164,7 +164,7 @@
 }
 
 // proposeRole proposes a command. Whatever comes of it, the next round looks again at what is needed.
-func (c *Control) proposeRole(command machine.Command) {
+func (c *Control) proposeRole(command statemachine.Command) {
 	raw, err := command.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("store-set-command")
--- a/internal/control/machine/command.go
+++ b/internal/control/statemachine/command.go
@@ -1,7 +1,7 @@
-// Package machine owns the state that the control processes agree on, as the chain's state machine: the operator's
+// Package statemachine owns the state that the control processes agree on, as the chain's state machine: the operator's
 // configuration and the agreed set of batch processes. It is deterministic: it reads no clock and draws no numbers. It must
 // never know how orders reach it.
-package machine
+package statemachine
 
 import (
 	"bytes"
--- a/internal/control/machine/stores.go
+++ b/internal/control/statemachine/stores.go
@@ -1,4 +1,4 @@
-package machine
+package statemachine
 
 import (
 	"slices"
