--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -128,12 +128,12 @@
 		c := newCluster(8, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		c.settle()
-		table := presence.New()
+		table := liveness.New()
 		table.Lead(c.now, 1, true)
 		poll := func(nodes []*clusterNode) {
 			for _, n := range nodes {
 				report := n.machine.Report()
-				table.Observe(presence.Heard{Process: n.process(), Ready: true, Batch: &report, At: c.now})
+				table.Observe(liveness.Heard{Process: n.process(), Ready: true, Batch: &report, At: c.now})
 			}
 		}
 		leaving := c.owner("job")
--- a/internal/batch/replica/world_test.go
+++ b/internal/batch/replica/world_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/placement"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/simulation"
@@ -47,7 +47,7 @@
 	stores  []*store
 	lives   int // incarnations given out
 	control *statemachine.Machine
-	table   *presence.Table
+	table   *liveness.Table
 	orders  uint64
 	clients *clients
 	loss    float64
@@ -62,7 +62,7 @@
 func newWorld(seed uint64, count, copies int, plant string) *world {
 	w := &world{
 		seed: seed, random: simulation.NewRand(seed), copies: copies, status: time.Hour, segment: 4000,
-		control: statemachine.New(), table: presence.New(), cuts: map[[2]string]int{},
+		control: statemachine.New(), table: liveness.New(), cuts: map[[2]string]int{},
 		plant: plant, traced: os.Getenv("TRACE") != "",
 	}
 	w.clients = &clients{world: w, jobs: map[string]*clientJob{}}
@@ -246,14 +246,14 @@
 }
 
 // admission tells whether a store may join, as control does.
-func (w *world) admission(process protocol.Process) presence.Admission {
+func (w *world) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !w.control.MayJoin(process):
-		return presence.Refused
+		return liveness.Refused
 	case w.control.Retirement(process.Node) == statemachine.RetirementCompleted:
-		return presence.AdmittedLater
+		return liveness.AdmittedLater
 	}
-	return presence.Admitted
+	return liveness.Admitted
 }
 
 // emptied gives the members that may be taken away.
@@ -313,7 +313,7 @@
 	sent, generation, process := w.now, s.generation, s.process()
 	report := s.machine.Report()
 	w.carry(s.node, controlName, func() {
-		w.table.Observe(presence.Heard{Process: process, Ready: true, Batch: &report, At: w.now})
+		w.table.Observe(liveness.Heard{Process: process, Ready: true, Batch: &report, At: w.now})
 		view := w.view()
 		grantee, present := placement.MemberOf(view, placement.KeyOf(process))
 		member := present && grantee.Process == process
@@ -321,7 +321,7 @@
 			if s.generation == generation {
 				s.do(func() {
 					s.machine.View(view)
-					s.machine.Grant(view.Epoch, member, sent+presence.StoreLease-worldLeaseMargin)
+					s.machine.Grant(view.Epoch, member, sent+liveness.StoreLease-worldLeaseMargin)
 				})
 			}
 		})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,8 +23,8 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/coord/view"
 	"sprucelane.example/sprucelane/internal/control/discovery"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/control/operator"
-	"sprucelane.example/sprucelane/internal/control/presence"
 	"sprucelane.example/sprucelane/internal/control/quotas"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
@@ -110,7 +110,7 @@
 
 	mutex       sync.Mutex // of all below
 	still       standstill
-	presence    *presence.Table
+	presence    *liveness.Table
 	subscribers map[*transport.Session]*subscriber
 	told        map[*transport.Session]*told // by the connections of other control processes
 	schedule    discovery.Schedule
@@ -168,7 +168,7 @@
 		changed:     make(chan struct{}, 1),
 		wakeRoles:   make(chan struct{}, 1),
 		wakeRead:    make(chan struct{}, 1),
-		presence:    presence.New(),
+		presence:    liveness.New(),
 		subscribers: map[*transport.Session]*subscriber{},
 		told:        map[*transport.Session]*told{},
 	}
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 )
 
 // TestEviction checks when a batch process that falls silent leaves the set: after its lease, and soon after that.
@@ -25,7 +25,7 @@
 			eventually(t, "an eviction", func() bool { return len(s.running[0].machine.Stores().Members) == 1 })
 			took := time.Since(began)
 			t.Log("evicted after", took)
-			if took < presence.StoreLease || took > within {
+			if took < liveness.StoreLease || took > within {
 				t.Errorf("evicted after %v", took)
 			}
 			store.mutex.Lock()
--- a/internal/control/presence/presence.go
+++ b/internal/control/liveness/presence.go
@@ -1,7 +1,7 @@
-// Package presence owns what the control processes know of who is up: which gateways and batch processes polled, here or at
+// Package liveness owns what the control processes know of who is up: which gateways and batch processes polled, here or at
 // another control process, and when. It decides which batch processes are to join the agreed set and which are to leave it.
 // It is pure: time comes in as a duration since the process's start, by the steady clock. It must never grant anything.
-package presence
+package liveness
 
 import (
 	"cmp"
--- a/internal/control/presence/presence_test.go
+++ b/internal/control/liveness/presence_test.go
@@ -1,4 +1,4 @@
-package presence
+package liveness
 
 import (
 	"testing"
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -15,7 +15,7 @@
 // that arrives the receiver has the sender's set.
 func TestPresence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		receiver := &Control{presence: presence.New()}
+		receiver := &Control{presence: liveness.New()}
 		sender := &peer{gateways: map[string]protocol.Process{}}
 		known := &told{gateways: map[string]protocol.Process{}}
 		for range 30 {
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -13,7 +13,7 @@
 
 	"sprucelane.example/sprucelane/coord/replica"
 	"sprucelane.example/sprucelane/coord/view"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -138,7 +138,7 @@
 		}
 		c.machine.Apply(index, raw)
 	}
-	c.presence.Observe(presence.Heard{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}})
+	c.presence.Observe(liveness.Heard{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}})
 	commands := c.storeCommands()
 	if len(commands) != 1 || commands[0].Join == nil || commands[0].Join.Epoch != 2 || commands[0].Join.ActedIn != 40 {
 		t.Fatalf("the head orders %+v for one that joins the set of epoch 2, and acted in 40", commands)
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -5,7 +5,7 @@
 
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/control/discovery"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
@@ -45,7 +45,7 @@
 	for _, one := range c.subscribers {
 		heard, known := c.presence.Newest(one.process)
 		switch {
-		case !known || now-heard.At > presence.GatewayTime:
+		case !known || now-heard.At > liveness.GatewayTime:
 		case one.process.Role == protocol.RoleBatch:
 			batch = append(batch, peerBatch{Process: heard.Process, Ready: heard.Ready, Report: heard.Batch, Ago: now - heard.At})
 		case one.process.Role == protocol.RoleGateway && now-one.polledAt <= gatewayQuiet:
@@ -118,10 +118,10 @@
 	}
 	news := false
 	for _, process := range known.gateways {
-		news = c.presence.Observe(presence.Heard{Process: process, At: now}) || news
+		news = c.presence.Observe(liveness.Heard{Process: process, At: now}) || news
 	}
 	for _, one := range report.Batch {
-		heard := presence.Heard{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
+		heard := liveness.Heard{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
 		news = c.presence.Observe(heard) || news
 	}
 	return news
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/replica"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -64,24 +64,24 @@
 }
 
 // admission tells whether a batch process may join the set. An order to let one in that may not would do nothing, again and again.
-func (c *Control) admission(process protocol.Process) presence.Admission {
+func (c *Control) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !c.machine.MayJoin(process):
-		return presence.Refused
+		return liveness.Refused
 	case c.machine.Retirement(process.Node) == statemachine.RetirementCompleted:
-		return presence.AdmittedLater
+		return liveness.AdmittedLater
 	}
-	return presence.Admitted
+	return liveness.Admitted
 }
 
 // evictions gives what the silence of members calls for, first a suspicion, and an eviction once that has stood for a lease: whoever
 // polls again before gets none from a control process that hasn't told the head yet.
 func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []statemachine.Command {
-	var suspicions []presence.Suspicion
+	var suspicions []liveness.Suspicion
 	ripe := map[string]uint64{}
 	for _, member := range stores.Members {
 		number := c.machine.Suspicion(member.Node, member.Incarnation)
-		suspicions = append(suspicions, presence.Suspicion{Member: member, Number: number})
+		suspicions = append(suspicions, liveness.Suspicion{Member: member, Number: number})
 		if c.presence.Ripe(now, number) {
 			ripe[member.Node] = number
 		}
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/transport"
-	"sprucelane.example/sprucelane/internal/control/presence"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -63,7 +63,7 @@
 	c.beat()
 	one := c.subscribe(session, poll)
 	news := c.bringsNews(session) &&
-		c.presence.Observe(presence.Heard{Process: poll.Process, Ready: poll.Ready, Batch: poll.Batch, At: c.now()})
+		c.presence.Observe(liveness.Heard{Process: poll.Process, Ready: poll.Ready, Batch: poll.Batch, At: c.now()})
 	one.configuration = poll.Configuration
 	if poll.WholeServers {
 		one.servers = 0
@@ -112,7 +112,7 @@
 		if fresh && view.Members[i].Process == process {
 			grant.Member = true
 			if c.around.leaseSuspects || c.machine.Suspicion(process.Node, process.Incarnation) == 0 {
-				grant.Lease = presence.StoreLease - age
+				grant.Lease = liveness.StoreLease - age
 			}
 		}
 	}
