--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -25,7 +25,7 @@
 	"sprucelane.example/sprucelane/internal/control/discovery"
 	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/control/operator"
-	"sprucelane.example/sprucelane/internal/control/quotas"
+	"sprucelane.example/sprucelane/internal/control/quotaservice"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -88,7 +88,7 @@
 type Control struct {
 	settings *node.Settings
 	log      zerolog.Logger
-	quota    *quotas.Service
+	quota    *quotaservice.Service
 	source   string // of what this process numbers
 	started  time.Time
 	around   surroundings
@@ -136,7 +136,7 @@
 	if c.around.spoil != nil {
 		c.replica = c.around.spoil(node)
 	}
-	c.quota = quotas.New(options.Settings.Bounds, c.replica, c.machine, statemachine.Lender{Member: node.Self().ID(), Process: c.source},
+	c.quota = quotaservice.New(options.Settings.Bounds, c.replica, c.machine, statemachine.Lender{Member: node.Self().ID(), Process: c.source},
 		func() { wake(c.wakeRoles) })
 	if err := c.serve(); err != nil {
 		node.Close()
--- a/internal/control/quotas/quotas.go
+++ b/internal/control/quotaservice/quotas.go
@@ -1,6 +1,6 @@
-// Package quotas owns the allocator of quotas in a control process: it acts while the process heads the chain and is the lender on
+// Package quotaservice owns the allocator of quotas in a control process: it acts while the process heads the chain and is the lender on
 // record. It must never answer a gateway by a lead that was read before the clock.
-package quotas
+package quotaservice
 
 import (
 	"slices"
--- a/internal/control/quotas/random_test.go
+++ b/internal/control/quotaservice/random_test.go
@@ -1,4 +1,4 @@
-package quotas
+package quotaservice
 
 import (
 	"fmt"
