--- a/internal/control/chain.go
+++ b/internal/control/chain.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"sprucelane.example/sprucelane/coord/replica"
-	"sprucelane.example/sprucelane/internal/control/operator"
+	"sprucelane.example/sprucelane/internal/control/operatorapi"
 )
 
 // operatorChain is the chain as the operator's API needs it.
@@ -16,7 +16,7 @@
 func (o operatorChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
 	result, err := o.replica.Propose(ctx, id, order)
 	if errors.Is(err, replica.ErrUnavailable) {
-		return nil, fmt.Errorf("%w: %w", operator.ErrUnavailable, err)
+		return nil, fmt.Errorf("%w: %w", operatorapi.ErrUnavailable, err)
 	}
 	return result, err
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -24,7 +24,7 @@
 	"sprucelane.example/sprucelane/coord/view"
 	"sprucelane.example/sprucelane/internal/control/discovery"
 	"sprucelane.example/sprucelane/internal/control/liveness"
-	"sprucelane.example/sprucelane/internal/control/operator"
+	"sprucelane.example/sprucelane/internal/control/operatorapi"
 	"sprucelane.example/sprucelane/internal/control/quotaservice"
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 	"sprucelane.example/sprucelane/internal/node"
@@ -268,8 +268,8 @@
 	}()
 }
 
-func (c *Control) operatorAPI() *operator.API {
-	return operator.New(operator.Options{
+func (c *Control) operatorAPI() *operatorapi.API {
+	return operatorapi.New(operatorapi.Options{
 		Machine:   c.machine,
 		Chain:     operatorChain{c.replica},
 		Bounds:    c.settings.Bounds,
--- a/internal/control/operator/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorapi
 
 import (
 	"encoding/json"
--- a/internal/control/operator/many_test.go
+++ b/internal/control/operatorapi/many_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package operator
+package operatorapi
 
 import (
 	"fmt"
--- a/internal/control/operator/operator.go
+++ b/internal/control/operatorapi/operator.go
@@ -1,7 +1,7 @@
-// Package operator is the operator's API: configurations, and the retirement of store machines. It answers what is true of
+// Package operatorapi is the operator's API: configurations, and the retirement of store machines. It answers what is true of
 // acknowledged state only: a 200 is durable, a 400, 404, 409 or 412 is of a state that was read through the chain. Where the
 // chain can't be asked it answers 503, and the operator turns to another control process. It must never decide what is valid.
-package operator
+package operatorapi
 
 import (
 	"context"
--- a/internal/control/operator/race_test.go
+++ b/internal/control/operatorapi/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package operator
+package operatorapi
 
 // plainHistories is the number of worlds that are played by default.
 const plainHistories = 3
