--- a/internal/batch/runner/run.go
+++ b/internal/batch/runner/run.go
@@ -6,9 +6,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sprucelane.example/sprucelane/internal/batch/exchange"
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
 // run sends one item to one server.
@@ -16,7 +16,7 @@
 	defer r.runs.Done()
 	began := time.Now()
 	outcome := r.send(b, assignment)
-	if outcome.Ending == exchange.Completed {
+	if outcome.Ending == serverclient.Completed {
 		r.completed(time.Since(began))
 	}
 	if r.ended(b, assignment, outcome) {
@@ -32,11 +32,11 @@
 	r.planner.Completed(took)
 }
 
-func (r *Runner) send(b *batchJob, assignment schedule.Assignment) exchange.Outcome {
+func (r *Runner) send(b *batchJob, assignment schedule.Assignment) serverclient.Outcome {
 	r.mutex.Lock()
 	kept := *b.items[assignment.Index]
 	r.mutex.Unlock()
-	closed := exchange.Outcome{Ending: exchange.Closed, LastEventID: kept.last}
+	closed := serverclient.Outcome{Ending: serverclient.Closed, LastEventID: kept.last}
 	snapshot := r.knowledge.Configuration()
 	if snapshot == nil || snapshot.RouteNamed(b.Route) == nil {
 		return closed
@@ -46,7 +46,7 @@
 		r.log.Error().Err(err).Str("batch_job", b.ID).Msg("item_unreadable")
 		return closed
 	}
-	return r.client.Run(b.context, &exchange.Request{
+	return r.client.Run(b.context, &serverclient.Request{
 		Address:     assignment.Server.Address,
 		Instance:    assignment.Server.ID,
 		Host:        snapshot.RouteNamed(b.Route).Hostname,
@@ -104,7 +104,7 @@
 }
 
 // ended takes what came of a run. It tells whether something is to be handed in.
-func (r *Runner) ended(b *batchJob, assignment schedule.Assignment, outcome exchange.Outcome) bool {
+func (r *Runner) ended(b *batchJob, assignment schedule.Assignment, outcome serverclient.Outcome) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
@@ -129,29 +129,29 @@
 }
 
 // noteResult takes in what a run's end says of its server. The mutex is held.
-func (r *Runner) noteResult(instance string, ending exchange.Ending, now time.Duration) {
+func (r *Runner) noteResult(instance string, ending serverclient.Ending, now time.Duration) {
 	hash := xxhash.Sum64String(instance)
 	switch ending {
-	case exchange.Completed, exchange.Impossible:
+	case serverclient.Completed, serverclient.Impossible:
 		r.loads.Ended(time.Now(), hash, false)
 		r.planner.Served(instance)
-	case exchange.Failed:
+	case serverclient.Failed:
 		r.loads.Ended(time.Now(), hash, true)
 		r.planner.Failed(instance, now)
-	case exchange.Cut, exchange.NotSent:
+	case serverclient.Cut, serverclient.NotSent:
 		r.loads.Ended(time.Now(), hash, true)
 	}
 }
 
 // follow decides what follows a run. The mutex is held.
-func (r *Runner) follow(b *batchJob, kept *progress, assignment schedule.Assignment, outcome exchange.Outcome, now time.Duration) bool {
+func (r *Runner) follow(b *batchJob, kept *progress, assignment schedule.Assignment, outcome serverclient.Outcome, now time.Duration) bool {
 	instance := assignment.Server.ID
 	switch outcome.Ending {
-	case exchange.Completed:
+	case serverclient.Completed:
 		b.finished = append(b.finished, finished{index: assignment.Index, state: job.Completed, text: text(kept.events)})
 		return true
-	case exchange.Impossible, exchange.Failed:
-		if outcome.Ending == exchange.Failed {
+	case serverclient.Impossible, serverclient.Failed:
+		if outcome.Ending == serverclient.Failed {
 			r.counts.Failed++
 		}
 		kept.add(outcome.Ending, r.bugs)
@@ -160,15 +160,15 @@
 			return true
 		}
 		r.planner.Return(assignment.Task, now+againSoon, instance)
-	case exchange.NotExecuted:
+	case serverclient.NotExecuted:
 		r.counts.Rejected++
 		r.planner.Full(instance, now, outcome.RetryAfter)
 		r.planner.Return(assignment.Task, now+againSoon, instance)
-	case exchange.Refused:
+	case serverclient.Refused:
 		r.counts.Rejected++
 		r.planner.Full(instance, now, outcome.RetryAfter)
 		r.planner.Return(assignment.Task, now+againLater, instance)
-	case exchange.Cut:
+	case serverclient.Cut:
 		r.counts.Cut++
 		r.log.Debug().Err(outcome.Cause).Str("item", b.ID).Int("index", assignment.Index).Str("server", instance).
 			Int("events", len(outcome.Events)).Msg("stream_cut")
@@ -177,10 +177,10 @@
 		}
 		r.planner.Broken(instance, now)
 		r.planner.Return(assignment.Task, now+againSoon, instance)
-	case exchange.NotSent:
+	case serverclient.NotSent:
 		r.planner.Broken(instance, now)
 		r.planner.Return(assignment.Task, now+againSoon, instance)
-	case exchange.Closed:
+	case serverclient.Closed:
 		r.planner.Return(assignment.Task, now+againLater, "")
 	}
 	return false
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -14,11 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/rs/zerolog"
 
-	"sprucelane.example/sprucelane/internal/batch/exchange"
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/replica"
 	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/serverclient"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/serverload"
@@ -42,7 +42,7 @@
 
 // Client speaks to servers. *exchange.Client is one.
 type Client interface {
-	Run(ctx context.Context, request *exchange.Request) exchange.Outcome
+	Run(ctx context.Context, request *serverclient.Request) serverclient.Outcome
 	Dials() int64
 	Sweep(present func(instance string) bool)
 }
@@ -113,7 +113,7 @@
 func New(zone string, skew time.Duration, store Store, knowledge Knowledge, log zerolog.Logger) *Runner {
 	r := &Runner{
 		store: store, knowledge: knowledge, log: log, skew: skew,
-		client:   exchange.NewClient(),
+		client:   serverclient.NewClient(),
 		loads:    serverload.NewBoard(),
 		origin:   time.Now(),
 		wake:     make(chan struct{}, 1),
--- a/internal/batch/runner/setback.go
+++ b/internal/batch/runner/setback.go
@@ -1,9 +1,9 @@
 package runner
 
 import (
-	"sprucelane.example/sprucelane/internal/batch/exchange"
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
 // This file owns how often an item may fail: as often as its route allows attempts, or once with a 422. That holds beyond a stop
@@ -16,11 +16,11 @@
 }
 
 // add takes in how a run ended.
-func (s *setback) add(ending exchange.Ending, planted bugs) {
+func (s *setback) add(ending serverclient.Ending, planted bugs) {
 	switch {
-	case ending == exchange.Failed && !planted.forgetFailures:
+	case ending == serverclient.Failed && !planted.forgetFailures:
 		s.failures++
-	case ending == exchange.Impossible && !planted.repeatBarred:
+	case ending == serverclient.Impossible && !planted.repeatBarred:
 		s.barred = true
 	}
 }
@@ -48,7 +48,7 @@
 }
 
 // add takes in how a run of a stopped batch job ended.
-func (s setbacks) add(id string, index int, ending exchange.Ending) {
+func (s setbacks) add(id string, index int, ending serverclient.Ending) {
 	one := s[id][index]
 	one.add(ending, bugs{})
 	s.note(id, index, one)
--- a/internal/batch/runner/world_test.go
+++ b/internal/batch/runner/world_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/rs/zerolog"
 
-	"sprucelane.example/sprucelane/internal/batch/exchange"
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/replica"
+	"sprucelane.example/sprucelane/internal/batch/serverclient"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -171,13 +171,13 @@
 func (w *itemWorld) Sweep(func(string) bool) {}
 
 // Run is a try of an item at a server.
-func (w *itemWorld) Run(ctx context.Context, request *exchange.Request) exchange.Outcome {
+func (w *itemWorld) Run(ctx context.Context, request *serverclient.Request) serverclient.Outcome {
 	index, _ := strconv.Atoi(request.Item.ID)
 	w.mutex.Lock()
 	w.tries[index]++
 	random := w.random(2, uint64(index), uint64(w.tries[index]))
 	w.mutex.Unlock()
-	outcome := exchange.Outcome{LastEventID: request.LastEventID, Ending: exchange.Closed}
+	outcome := serverclient.Outcome{LastEventID: request.LastEventID, Ending: serverclient.Closed}
 	if !request.Gate() {
 		return outcome
 	}
@@ -208,9 +208,9 @@
 }
 
 // trouble is a server that turns an item away, can't be reached, answers what says nothing, or cuts its stream.
-func (w *itemWorld) trouble(outcome exchange.Outcome, index, ending int, random *rand.Rand) exchange.Outcome {
-	outcome.Ending = []exchange.Ending{exchange.NotExecuted, exchange.NotSent, exchange.Refused, exchange.Cut}[ending]
-	if outcome.Ending == exchange.Cut && kindOf(index) == sound {
+func (w *itemWorld) trouble(outcome serverclient.Outcome, index, ending int, random *rand.Rand) serverclient.Outcome {
+	outcome.Ending = []serverclient.Ending{serverclient.NotExecuted, serverclient.NotSent, serverclient.Refused, serverclient.Cut}[ending]
+	if outcome.Ending == serverclient.Cut && kindOf(index) == sound {
 		left := worldEvents - int(outcome.LastEventID+1)
 		for range random.IntN(left + 1) {
 			outcome.LastEventID++
@@ -220,7 +220,7 @@
 	return outcome
 }
 
-func (w *itemWorld) answer(outcome exchange.Outcome, index int) exchange.Outcome {
+func (w *itemWorld) answer(outcome serverclient.Outcome, index int) serverclient.Outcome {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	one := &w.items[index]
@@ -229,18 +229,18 @@
 		if one.failed++; one.failed > worldAttempts {
 			w.breakf("item %d reached a server after %d answers of 500", index, one.failed-1)
 		}
-		outcome.Ending = exchange.Failed
+		outcome.Ending = serverclient.Failed
 	case barred:
 		if one.refusedForGood++; one.refusedForGood > 1 {
 			w.breakf("item %d reached a server after a 422", index)
 		}
-		outcome.Ending = exchange.Impossible
+		outcome.Ending = serverclient.Impossible
 	default:
 		for outcome.LastEventID < worldEvents-1 {
 			outcome.LastEventID++
 			outcome.Events = append(outcome.Events, eventOf(index, int(outcome.LastEventID)))
 		}
-		outcome.Ending = exchange.Completed
+		outcome.Ending = serverclient.Completed
 	}
 	return outcome
 }
--- a/internal/batch/exchange/bugs.go
+++ b/internal/batch/serverclient/bugs.go
@@ -1,4 +1,4 @@
-package exchange
+package serverclient
 
 // bugs are faults that only tests can plant, to show that their checks find them.
 type bugs struct {
--- a/internal/batch/exchange/exchange.go
+++ b/internal/batch/serverclient/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange owns what goes between a store and a server: an item's request, and the stream of events that comes
+// Package serverclient owns what goes between a store and a server: an item's request, and the stream of events that comes
 // back. It must never write a byte of a request before its gate has said yes, and never take an event that isn't whole.
-package exchange
+package serverclient
 
 import (
 	"bufio"
--- a/internal/batch/exchange/world_test.go
+++ b/internal/batch/serverclient/world_test.go
@@ -1,4 +1,4 @@
-package exchange
+package serverclient
 
 import (
 	"context"
