--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/simulation"
 )
@@ -43,7 +43,7 @@
 	life        uint64
 	state       protocol.StoreState
 	disk        *simulation.Disk
-	log         *journal.Log // nil: the process doesn't run
+	log         *wal.Log // nil: the process doesn't run
 	machine     *Machine
 	found       []*Finding
 	answers     map[Token]protocol.BatchAnswer
@@ -78,10 +78,10 @@
 	n.found = nil
 	n.answers = map[Token]protocol.BatchAnswer{}
 	n.machine = New(Options{Self: n.process(), Life: n.life, Copies: n.cluster.copies, KeepFor: time.Hour}, n)
-	options := journal.Options{Segment: 4 << 10, Skipped: func(at journal.Location) {
+	options := wal.Options{Segment: 4 << 10, Skipped: func(at wal.Location) {
 		n.found = append(n.found, n.machine.Skipped(at))
 	}}
-	log, err := journal.Load(n.disk, options, func(at journal.Location, record []byte) error {
+	log, err := wal.Load(n.disk, options, func(at wal.Location, record []byte) error {
 		if err := n.machine.Replay(at, record); err != nil {
 			n.found = append(n.found, err.(*Finding))
 		}
@@ -260,11 +260,11 @@
 
 func (n *clusterNode) Stop(string) {}
 
-func (n *clusterNode) Write(record []byte, _ bool) (uint64, journal.Location) {
+func (n *clusterNode) Write(record []byte, _ bool) (uint64, wal.Location) {
 	return n.log.Append(record)
 }
 
-func (n *clusterNode) Read(at journal.Location) ([]byte, error) { return n.log.Read(at) }
+func (n *clusterNode) Read(at wal.Location) ([]byte, error) { return n.log.Read(at) }
 
 func (n *clusterNode) Send(to protocol.Process, message any) {
 	n.cluster.messages = append(n.cluster.messages, clusterMessage{from: n.process(), to: placement.KeyOf(to), body: message})
--- a/internal/batch/replica/departed.go
+++ b/internal/batch/replica/departed.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -30,8 +30,8 @@
 	// Stores whose logs may have held batch jobs that they can't name any more, and since when that is known. They count
 	// like stores that left.
 	obscured   map[placement.Key]time.Duration
-	doubtUntil time.Duration     // too many of both were missing for ever: until then batch jobs that were lost may be asked for
-	at         *journal.Location // of the newest durable record of the view
+	doubtUntil time.Duration // too many of both were missing for ever: until then batch jobs that were lost may be asked for
+	at         *wal.Location // of the newest durable record of the view
 
 	epoch       uint64 // of the newest view that this store acted in, also in earlier lives
 	memberSince uint64 // this store has been a member of all views from this epoch on, 0: it isn't one
@@ -123,7 +123,7 @@
 	}
 }
 
-func (d *departed) replay(at journal.Location, record []byte) *Finding {
+func (d *departed) replay(at wal.Location, record []byte) *Finding {
 	r := &job.Reader{Rest: record[1:]}
 	skipKeys(r)
 	if !r.Failed && len(r.Rest) > 0 { // the earliest versions wrote no more
@@ -219,7 +219,7 @@
 
 // writeView keeps the epoch that this store acts in.
 func (m *Machine) writeView() {
-	var at journal.Location
+	var at wal.Location
 	at = m.write(m.departed.encode(), true, func() { m.departed.at = &at })
 }
 
--- a/internal/batch/replica/finding.go
+++ b/internal/batch/replica/finding.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
 // Problem is what is wrong with a record of the log.
@@ -23,7 +23,7 @@
 // Finding is a record of the log that can't be used, or a part of it that can't be read. It wraps job.ErrCorrupt.
 type Finding struct {
 	Problem  Problem
-	At       journal.Location
+	At       wal.Location
 	Kind     byte   // of the record
 	Job      string // batch job, empty where that isn't known
 	Position int    // of a result
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -2,8 +2,8 @@
 
 import (
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -98,7 +98,7 @@
 }
 
 // locate gives where content and results of a copy stand within its record.
-func locate(h *held, record []byte, at journal.Location) (journal.Location, []heldResult) {
+func locate(h *held, record []byte, at wal.Location) (wal.Location, []heldResult) {
 	r := &job.Reader{Rest: record[1:]}
 	_ = r.Text()
 	readReplicas(r)
@@ -114,6 +114,6 @@
 	return contentAt, results
 }
 
-func heldResultOf(result *Result, at journal.Location) heldResult {
+func heldResultOf(result *Result, at wal.Location) heldResult {
 	return heldResult{item: int32(result.Item), state: job.State(result.State), at: at}
 }
--- a/internal/batch/replica/held.go
+++ b/internal/batch/replica/held.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -30,8 +30,8 @@
 	firstSent         int64 // Unix milliseconds
 	version           Version
 	replicas          []protocol.Process // the owner first
-	contentAt         journal.Location
-	replaces          *journal.Location // the content of an earlier copy, until this one is durable
+	contentAt         wal.Location
+	replaces          *wal.Location // the content of an earlier copy, until this one is durable
 	items             []heldItem
 	queued            int64 // tokens of items that are not listed
 	results           []heldResult
@@ -72,7 +72,7 @@
 type heldResult struct {
 	item  int32
 	state job.State
-	at    journal.Location // of the text
+	at    wal.Location // of the text
 }
 
 // peer is what an owner knows of another member of the replica set.
@@ -94,7 +94,7 @@
 	until time.Duration
 }
 
-func newHeld(encoded []byte, at journal.Location) (*held, error) {
+func newHeld(encoded []byte, at wal.Location) (*held, error) {
 	content, spans, err := job.Decode(encoded)
 	if err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 func (h *held) awaitsOwner() bool { return h.behind && !h.owner && !h.relieved }
 
 // oldest gives the first place in the log that this copy, or the one that it replaces, needs.
-func (h *held) oldest() *journal.Location {
+func (h *held) oldest() *wal.Location {
 	if h.replaces != nil {
 		return h.replaces
 	}
--- a/internal/batch/replica/machine.go
+++ b/internal/batch/replica/machine.go
@@ -53,8 +53,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -68,9 +68,9 @@
 	// Wall is the time of day in Unix milliseconds.
 	Wall() int64
 	// Write queues a record; Machine.Written tells when it is durable. Records are written in order.
-	Write(record []byte, urgent bool) (sequence uint64, at journal.Location)
+	Write(record []byte, urgent bool) (sequence uint64, at wal.Location)
 	// Read gives bytes of a durable record.
-	Read(at journal.Location) ([]byte, error)
+	Read(at wal.Location) ([]byte, error)
 	// Send sends a message to another store; it may be lost.
 	Send(to protocol.Process, message any)
 	// Answer ends a call.
@@ -197,7 +197,7 @@
 	}
 }
 
-func (m *Machine) write(record []byte, urgent bool, then func()) journal.Location {
+func (m *Machine) write(record []byte, urgent bool, then func()) wal.Location {
 	sequence, at := m.env.Write(record, urgent)
 	m.pending = append(m.pending, pendingWrite{sequence: sequence, at: m.env.Now(), then: then})
 	return at
@@ -331,7 +331,7 @@
 // JobItem is an item that isn't listed yet.
 type JobItem struct {
 	Index int
-	At    journal.Location // of its encoding, see job.DecodeItem
+	At    wal.Location // of its encoding, see job.DecodeItem
 	Progress
 }
 
@@ -357,7 +357,7 @@
 	return Progress{Last: -1}
 }
 
-func (h *held) itemAt(index int) journal.Location {
+func (h *held) itemAt(index int) wal.Location {
 	return h.contentAt.Part(h.items[index].span.Offset, h.items[index].span.Length)
 }
 
--- a/internal/batch/replica/progress.go
+++ b/internal/batch/replica/progress.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
 // This file owns what is kept of items that run: the events that came, on this store's disk only. A start of the process
@@ -12,8 +12,8 @@
 
 // Progress is what came of an item that isn't listed.
 type Progress struct {
-	Last   int64              // id of the last event, -1: none
-	Events []journal.Location // data of the events, in order
+	Last   int64          // id of the last event, -1: none
+	Events []wal.Location // data of the events, in order
 }
 
 // Progress keeps events of a running item: those that follow the event with the id after, up to the one with the id last.
@@ -35,7 +35,7 @@
 }
 
 // replayProgress takes events up that follow those known; others are of a run that nothing came of.
-func (h *held) replayProgress(r *job.Reader, at journal.Location, record []byte) *Finding {
+func (h *held) replayProgress(r *job.Reader, at wal.Location, record []byte) *Finding {
 	item := r.Uvarint()
 	after, last := r.Varint(), r.Varint()
 	count := r.Uvarint()
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -86,7 +86,7 @@
 }
 
 // readResult reads a result and says where its text stands; whole is the record that it is read from.
-func readResult(r *job.Reader, whole []byte, at journal.Location) heldResult {
+func readResult(r *job.Reader, whole []byte, at wal.Location) heldResult {
 	result := heldResult{item: int32(r.Uvarint())}
 	state := r.Take(1)
 	text := r.Bytes()
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -125,7 +125,7 @@
 			So(finding.Job, ShouldBeEmpty)
 		}
 		So(n.machine.obscured, ShouldBeTrue)
-		So(n.machine.Replay(journal.Location{}, nil), ShouldNotBeNil)
+		So(n.machine.Replay(wal.Location{}, nil), ShouldNotBeNil)
 	})
 }
 
@@ -155,9 +155,9 @@
 		for range 1 + random.IntN(3) {
 			record[random.IntN(len(record))] = byte(random.Uint32())
 		}
-		_ = n.machine.Replay(journal.Location{Segment: 1}, record[:1+random.IntN(len(record))])
-		_ = n.machine.Replay(journal.Location{Segment: 1}, record)
-		_ = n.machine.Replay(journal.Location{Segment: 1}, whole[random.IntN(len(whole))])
+		_ = n.machine.Replay(wal.Location{Segment: 1}, record[:1+random.IntN(len(record))])
+		_ = n.machine.Replay(wal.Location{Segment: 1}, record)
+		_ = n.machine.Replay(wal.Location{Segment: 1}, whole[random.IntN(len(whole))])
 		if held := n.machine.jobs["job"]; held != nil && (held.durable != len(held.results) || len(held.results) > len(held.items)) {
 			t.Fatalf("%d results durable of %d, %d items", held.durable, len(held.results), len(held.items))
 		}
--- a/internal/batch/replica/replay.go
+++ b/internal/batch/replica/replay.go
@@ -2,7 +2,7 @@
 
 import (
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
 // This file owns the start: how the records of earlier lives make up what is held, and what follows from those that can't
@@ -11,7 +11,7 @@
 
 // Replay applies a record of the log of earlier lives, in order. An error is a *Finding: the record could not be used. It
 // has been dealt with, and Replay goes on with the next record.
-func (m *Machine) Replay(at journal.Location, record []byte) error {
+func (m *Machine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
 		return nil
@@ -23,7 +23,7 @@
 
 // Skipped tells, between two records, that a part of the log in between can't be read at all. Whatever is held may have gone on
 // in it, and counts as damaged, also where nothing of it follows.
-func (m *Machine) Skipped(at journal.Location) *Finding {
+func (m *Machine) Skipped(at wal.Location) *Finding {
 	for _, h := range m.order {
 		h.damaged = true
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func (m *Machine) replay(at journal.Location, record []byte) *Finding {
+func (m *Machine) replay(at wal.Location, record []byte) *Finding {
 	if len(record) == 0 {
 		return &Finding{Problem: ProblemKind}
 	}
@@ -73,7 +73,7 @@
 }
 
 // replayOf applies a record of a batch job.
-func (m *Machine) replayOf(r *job.Reader, id string, at journal.Location, record []byte) *Finding {
+func (m *Machine) replayOf(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
 	switch record[0] {
 	case recordCopy:
 		return m.replayCopy(r, id, at, record)
@@ -92,7 +92,7 @@
 }
 
 // replay applies a record that goes on from a copy.
-func (h *held) replay(r *job.Reader, at journal.Location, record []byte) *Finding {
+func (h *held) replay(r *job.Reader, at wal.Location, record []byte) *Finding {
 	if record[0] == recordEnded {
 		h.ended, h.endDurable = true, true // no matter of which copy: an end is for good
 		return nil
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (m *Machine) replayCopy(r *job.Reader, id string, at journal.Location, record []byte) *Finding {
+func (m *Machine) replayCopy(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
 	content := r.Bytes()
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (h *held) replayResult(r *job.Reader, at journal.Location, record []byte) *Finding {
+func (h *held) replayResult(r *job.Reader, at wal.Location, record []byte) *Finding {
 	position := r.Uvarint()
 	result := readResult(r, record, at)
 	switch {
--- a/internal/batch/replica/replicate.go
+++ b/internal/batch/replica/replicate.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -123,7 +123,7 @@
 // adopt writes a whole copy, in place of what was held.
 func (m *Machine) adopt(from protocol.Process, message Replicate) {
 	record := encodeCopy(message.Job, message.Version, message.Replicas, message.Ended, message.Content, message.Results)
-	h, err := newHeld(message.Content, journal.Location{})
+	h, err := newHeld(message.Content, wal.Location{})
 	if err != nil || h.id != message.Job {
 		return
 	}
--- a/internal/batch/replica/set_check_test.go
+++ b/internal/batch/replica/set_check_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -103,7 +103,7 @@
 	}
 	m := New(Options{Self: s.process(), Copies: s.world.copies, KeepFor: time.Hour}, &setStore{world: s.world})
 	for i, record := range s.disk[:s.durable] {
-		_ = m.Replay(journal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
+		_ = m.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
 	}
 	s.audited, s.audit = s.durable, nil
 	if h := m.jobs[setJob]; h != nil {
--- a/internal/batch/replica/set_world_test.go
+++ b/internal/batch/replica/set_world_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -135,7 +135,7 @@
 	}
 	s.machine = New(Options{Self: s.process(), Life: s.life, Copies: copies, KeepFor: time.Hour}, s)
 	for i, record := range s.disk {
-		if err := s.machine.Replay(journal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
+		if err := s.machine.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
 			s.world.fail("%s finds its log unreadable: %v", s.node, err)
 		}
 	}
@@ -195,13 +195,13 @@
 func (s *setStore) Start(string) {}
 func (s *setStore) Stop(string)  {}
 
-func (s *setStore) Write(record []byte, _ bool) (uint64, journal.Location) {
+func (s *setStore) Write(record []byte, _ bool) (uint64, wal.Location) {
 	s.disk = append(s.disk, record)
 	index := len(s.disk) - 1
-	return uint64(index + 1 - s.base), journal.Location{Segment: uint32(index), Length: uint32(len(record))}
+	return uint64(index + 1 - s.base), wal.Location{Segment: uint32(index), Length: uint32(len(record))}
 }
 
-func (s *setStore) Read(at journal.Location) ([]byte, error) {
+func (s *setStore) Read(at wal.Location) ([]byte, error) {
 	return s.disk[at.Segment][at.Offset : at.Offset+at.Length], nil
 }
 
--- a/internal/batch/replica/store_test.go
+++ b/internal/batch/replica/store_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/slots"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/simulation"
 )
@@ -41,13 +41,13 @@
 	answers     map[Token]func(protocol.BatchAnswer)
 	lastToken   Token
 
-	log      *journal.Log
+	log      *wal.Log
 	stepping bool
 	wakeAt   time.Duration // 0: nothing is queued
 	told     uint64        // record up to which the machine was told
-	appended []journal.Location
-	frontier journal.Location // of the last durable record
-	proven   journal.Location // of the last one that a later group was synced behind
+	appended []wal.Location
+	frontier wal.Location // of the last durable record
+	proven   wal.Location // of the last one that a later group was synced behind
 	stalled  bool
 	slow     int // what the disk's time is multiplied by
 }
@@ -88,11 +88,11 @@
 	s.running = map[string]*jobRun{}
 	s.answers = map[Token]func(protocol.BatchAnswer){}
 	s.stepping, s.wakeAt, s.told, s.appended = false, 0, 0, nil
-	s.frontier, s.proven = journal.Location{}, journal.Location{}
+	s.frontier, s.proven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
 		Self: s.process(), Life: s.life, Copies: w.copies, KeepFor: w.status + 2*worldSkew,
 	}, s)
-	log, err := journal.Load(s.fs, s.journalOptions(), func(at journal.Location, record []byte) error {
+	log, err := wal.Load(s.fs, s.journalOptions(), func(at wal.Location, record []byte) error {
 		s.frontier = at
 		if err := s.machine.Replay(at, record); err != nil && !s.damaged {
 			return err
@@ -115,10 +115,10 @@
 }
 
 // journalOptions has damaged parts of the log gone over where the world damaged it; elsewhere there must be none.
-func (s *store) journalOptions() journal.Options {
-	options := journal.Options{Segment: s.world.segment}
+func (s *store) journalOptions() wal.Options {
+	options := wal.Options{Segment: s.world.segment}
 	if s.damaged {
-		options.Skipped = func(at journal.Location) { s.world.note("%s: %v", s.node, s.machine.Skipped(at)) }
+		options.Skipped = func(at wal.Location) { s.world.note("%s: %v", s.node, s.machine.Skipped(at)) }
 	}
 	return options
 }
@@ -287,12 +287,12 @@
 // The log.
 
 // Write appends to the log, which is written after a while, or soon where the record is urgent.
-func (s *store) Write(record []byte, urgent bool) (uint64, journal.Location) {
+func (s *store) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	sequence, at := s.log.Append(record)
 	s.appended = append(s.appended, at)
 	delay := s.world.between(0, time.Millisecond)
 	if !urgent {
-		delay += s.world.between(0, journal.DefaultLinger)
+		delay += s.world.between(0, wal.DefaultLinger)
 	}
 	s.wake(delay)
 	return sequence, at
@@ -321,7 +321,7 @@
 	}
 	more, err := s.log.Step()
 	switch {
-	case errors.Is(err, journal.ErrFull):
+	case errors.Is(err, wal.ErrFull):
 		s.later(fullAgain, s.step)
 		return
 	case errors.Is(err, simulation.ErrPowerLost):
@@ -387,14 +387,14 @@
 }
 
 // Read reads from the log; only what is durable may be asked for.
-func (s *store) Read(at journal.Location) ([]byte, error) {
+func (s *store) Read(at wal.Location) ([]byte, error) {
 	if after(at, s.frontier) {
 		s.world.fail("%s reads %v, durable is all up to %v", s.node, at, s.frontier)
 	}
 	return s.log.Read(at)
 }
 
-func after(at, frontier journal.Location) bool {
+func after(at, frontier wal.Location) bool {
 	return at.Segment > frontier.Segment ||
 		at.Segment == frontier.Segment && at.Offset+at.Length > frontier.Offset+frontier.Length
 }
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -15,10 +15,10 @@
 	"github.com/rs/zerolog"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/replica"
 	"sprucelane.example/sprucelane/internal/batch/schedule"
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/serverload"
@@ -27,11 +27,11 @@
 // Store is what items belong to.
 type Store interface {
 	Work(id string) (replica.Job, bool)
-	ReadItem(at journal.Location) (job.Item, error)
+	ReadItem(at wal.Location) (job.Item, error)
 	MayRun(id string, index int) bool
 	Finish(id string, index int, state job.State, text []byte) bool
 	Progress(id string, index int, after, last int64, events [][]byte)
-	ReadEvents(at []journal.Location) ([][]byte, error)
+	ReadEvents(at []wal.Location) ([][]byte, error)
 }
 
 // Knowledge is what control tells.
@@ -97,7 +97,7 @@
 
 // progress is what is kept of an item between runs.
 type progress struct {
-	at     journal.Location
+	at     wal.Location
 	events [][]byte
 	last   int64 // id of the last event, -1: none
 	setback
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/replica"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -31,15 +31,15 @@
 	}}, true
 }
 
-func (s *fakeStore) ReadItem(journal.Location) (job.Item, error) {
+func (s *fakeStore) ReadItem(wal.Location) (job.Item, error) {
 	return job.Item{ID: "i", Path: "/"}, nil
 }
 
-func (s *fakeStore) ReadEvents([]journal.Location) ([][]byte, error) { return nil, nil }
-func (s *fakeStore) MayRun(string, int) bool                         { return false }
-func (s *fakeStore) Progress(string, int, int64, int64, [][]byte)    {}
-func (s *fakeStore) Configuration() *configuration.Snapshot          { return testConfiguration() }
-func (s *fakeStore) Servers(string) []protocol.Server                { return nil }
+func (s *fakeStore) ReadEvents([]wal.Location) ([][]byte, error)  { return nil, nil }
+func (s *fakeStore) MayRun(string, int) bool                      { return false }
+func (s *fakeStore) Progress(string, int, int64, int64, [][]byte) {}
+func (s *fakeStore) Configuration() *configuration.Snapshot       { return testConfiguration() }
+func (s *fakeStore) Servers(string) []protocol.Server             { return nil }
 
 func (s *fakeStore) Finish(_ string, index int, state job.State, _ []byte) bool {
 	s.mutex.Lock()
--- a/internal/batch/runner/world_test.go
+++ b/internal/batch/runner/world_test.go
@@ -15,9 +15,9 @@
 	"github.com/rs/zerolog"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/replica"
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -101,17 +101,17 @@
 	work := replica.Job{ID: id, Tenant: "t", Route: "route", FirstSent: w.began.UnixMilli()}
 	for index := range worldItems {
 		if w.items[index].listed == 0 {
-			work.Items = append(work.Items, replica.JobItem{Index: index, At: journal.Location{Offset: uint32(index)}, Progress: replica.Progress{Last: -1}})
+			work.Items = append(work.Items, replica.JobItem{Index: index, At: wal.Location{Offset: uint32(index)}, Progress: replica.Progress{Last: -1}})
 		}
 	}
 	return work, true
 }
 
-func (w *itemWorld) ReadItem(at journal.Location) (job.Item, error) {
+func (w *itemWorld) ReadItem(at wal.Location) (job.Item, error) {
 	return job.Item{ID: strconv.Itoa(int(at.Offset)), Path: "/"}, nil
 }
 
-func (w *itemWorld) ReadEvents([]journal.Location) ([][]byte, error) { return nil, nil }
+func (w *itemWorld) ReadEvents([]wal.Location) ([][]byte, error) { return nil, nil }
 
 func (w *itemWorld) MayRun(_ string, index int) bool {
 	w.mutex.Lock()
--- a/internal/batch/server/damage_test.go
+++ b/internal/batch/server/damage_test.go
@@ -13,12 +13,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
 // writeLog appends records to a folder's log.
 func writeLog(directory string, records ...[]byte) {
-	log, err := journal.Open(directory, journal.Options{}, func(journal.Location, []byte) error { return nil }, func(uint64, error) {})
+	log, err := wal.Open(directory, wal.Options{}, func(wal.Location, []byte) error { return nil }, func(uint64, error) {})
 	So(err, ShouldBeNil)
 	for _, record := range records {
 		log.Append(record, true)
@@ -29,7 +29,7 @@
 // writeGroups appends records to a folder's log, each synced before the next is written.
 func writeGroups(directory string, records ...[]byte) {
 	durable := make(chan uint64, len(records))
-	log, err := journal.Open(directory, journal.Options{}, func(journal.Location, []byte) error { return nil },
+	log, err := wal.Open(directory, wal.Options{}, func(wal.Location, []byte) error { return nil },
 		func(sequence uint64, _ error) { durable <- sequence })
 	So(err, ShouldBeNil)
 	for _, record := range records {
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/transport"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
 	"sprucelane.example/sprucelane/internal/batch/replica"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -14,7 +14,7 @@
 // This file owns what the machine acts through. All of it is called with the mutex held.
 
 type disk struct {
-	journal  *journal.Journal
+	journal  *wal.Journal
 	capacity int64
 }
 
@@ -25,12 +25,12 @@
 func (s *Server) Wall() int64 { return time.Now().UnixMilli() }
 
 // Write queues a record.
-func (s *Server) Write(record []byte, urgent bool) (uint64, journal.Location) {
+func (s *Server) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	return s.disk.journal.Append(record, urgent)
 }
 
 // Read reads from the log.
-func (s *Server) Read(at journal.Location) ([]byte, error) { return s.disk.journal.Read(at) }
+func (s *Server) Read(at wal.Location) ([]byte, error) { return s.disk.journal.Read(at) }
 
 // Free tells what the disk still takes.
 func (s *Server) Free() int64 {
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -14,10 +14,10 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/ablation"
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
 	"sprucelane.example/sprucelane/internal/batch/replica"
 	"sprucelane.example/sprucelane/internal/batch/runner"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
@@ -114,16 +114,16 @@
 	if life.garbled {
 		s.log.Error().Str("incarnation", life.incarnation).Msg("life_unreadable")
 	}
-	options := journal.Options{
-		Skipped: func(at journal.Location) { s.tell(s.machine.Skipped(at)) },
+	options := wal.Options{
+		Skipped: func(at wal.Location) { s.tell(s.machine.Skipped(at)) },
 		CutOff:  s.tellCutOff,
 	}
-	s.disk.journal, err = journal.Open(s.settings.DataDir, options, s.replay, s.written)
+	s.disk.journal, err = wal.Open(s.settings.DataDir, options, s.replay, s.written)
 	return err
 }
 
 // replay hands a record to the machine. One that can't be used is told and keeps no other from being used.
-func (s *Server) replay(at journal.Location, record []byte) error {
+func (s *Server) replay(at wal.Location, record []byte) error {
 	var finding *replica.Finding
 	if errors.As(s.machine.Replay(at, record), &finding) {
 		s.tell(finding)
@@ -140,7 +140,7 @@
 
 // tellCutOff logs the end of the log that isn't whole: a loss of power or a kill leaves one of what was never told, and damage to
 // what was synced last looks the same.
-func (s *Server) tellCutOff(at journal.Location) {
+func (s *Server) tellCutOff(at wal.Location) {
 	s.cutOff += int64(at.Length)
 	s.log.Warn().Uint32("segment", at.Segment).Uint32("offset", at.Offset).Uint32("length", at.Length).Msg("log_end_cut_off")
 }
@@ -352,7 +352,7 @@
 }
 
 // ReadItem reads an item from the log.
-func (s *Server) ReadItem(at journal.Location) (job.Item, error) {
+func (s *Server) ReadItem(at wal.Location) (job.Item, error) {
 	encoded, err := s.disk.journal.Read(at)
 	if err != nil {
 		return job.Item{}, err
@@ -361,7 +361,7 @@
 }
 
 // ReadEvents reads events from the log.
-func (s *Server) ReadEvents(at []journal.Location) ([][]byte, error) {
+func (s *Server) ReadEvents(at []wal.Location) ([][]byte, error) {
 	events := make([][]byte, len(at))
 	for i := range at {
 		event, err := s.disk.journal.Read(at[i])
--- a/internal/batch/journal/journal_test.go
+++ b/internal/batch/wal/journal_test.go
@@ -0,0 +1,163 @@
+package wal
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sprucelane.example/sprucelane/coord/slots"
+)
+
+// opened is a journal with what it replayed and what it told to be durable.
+type opened struct {
+	*Journal
+	replayed  [][]byte
+	locations []Location
+	durable   chan uint64
+}
+
+func open(t *testing.T, directory string, options Options) *opened {
+	o := &opened{durable: make(chan uint64, 1000)}
+	var err error
+	o.Journal, err = Open(directory, options, func(at Location, payload []byte) error {
+		o.replayed = append(o.replayed, bytes.Clone(payload))
+		o.locations = append(o.locations, at)
+		return nil
+	}, func(sequence uint64, err error) {
+		if err != nil {
+			t.Error(err)
+		}
+		o.durable <- sequence
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return o
+}
+
+func (o *opened) await(t *testing.T, sequence uint64) {
+	for {
+		select {
+		case done := <-o.durable:
+			if done >= sequence {
+				return
+			}
+		case <-time.After(5 * time.Second):
+			t.Fatalf("record %d doesn't become durable", sequence)
+		}
+	}
+}
+
+func TestJournal(t *testing.T) {
+	Convey("What is durable is read back, over segments and starts", t, func() {
+		directory := t.TempDir()
+		j := open(t, directory, Options{Segment: 1000, Linger: time.Millisecond})
+		var wrote [][]byte
+		var at []Location
+		last := uint64(0)
+		for i := range 40 {
+			payload := bytes.Repeat([]byte{byte(i + 1)}, 10+7*i)
+			wrote = append(wrote, payload)
+			sequence, location := j.Append(payload, i%5 == 0)
+			at, last = append(at, location), sequence
+		}
+		j.await(t, last)
+		for i := range at {
+			payload, err := j.Read(at[i])
+			So(err, ShouldBeNil)
+			So(bytes.Equal(payload, wrote[i]), ShouldBeTrue)
+		}
+		part, err := j.Read(at[3].Part(2, 5))
+		So(err, ShouldBeNil)
+		So(part, ShouldResemble, wrote[3][2:7])
+		size := j.Size()
+		j.Close()
+		j = open(t, directory, Options{Segment: 1000})
+		So(j.replayed, ShouldResemble, wrote)
+		So(j.locations, ShouldResemble, at)
+		So(j.Size(), ShouldEqual, size)
+		oldest, current := j.Oldest()
+		So(current, ShouldBeGreaterThan, oldest)
+		So(j.Release(oldest), ShouldBeNil)
+		So(j.Release(current), ShouldNotBeNil)
+		So(j.Size(), ShouldBeLessThan, size)
+		j.Close()
+		j = open(t, directory, Options{Segment: 1000})
+		So(len(j.replayed), ShouldBeLessThan, len(wrote))
+		So(j.replayed, ShouldResemble, wrote[len(wrote)-len(j.replayed):])
+		j.Close()
+	})
+}
+
+func TestTornTail(t *testing.T) {
+	Convey("Of what was not synced a prefix comes back, and what was cut off never does", t, func() {
+		for seed := range uint64(60) {
+			random := rand.New(rand.NewPCG(seed, 1))
+			directory := t.TempDir()
+			var wrote [][]byte
+			for i := range 12 {
+				wrote = append(wrote, []byte(fmt.Sprintf("record %d of %d %s", i, seed, bytes.Repeat([]byte("x"), random.IntN(200)))))
+			}
+			writeGroup(directory, wrote)
+			kept := tear(t, directory, random)
+			j := open(t, directory, Options{Linger: time.Millisecond})
+			So(len(j.replayed), ShouldBeGreaterThanOrEqualTo, kept)
+			So(j.replayed, ShouldResemble, wrote[:len(j.replayed)])
+			count := len(j.replayed)
+			sequence, _ := j.Append([]byte("next"), true)
+			j.await(t, sequence)
+			j.Close()
+			j = open(t, directory, Options{})
+			So(j.replayed, ShouldHaveLength, count+1)
+			So(string(j.replayed[count]), ShouldEqual, "next")
+			j.Close()
+		}
+	})
+}
+
+// writeGroup writes records to the log of an empty folder, all of them at once.
+func writeGroup(directory string, records [][]byte) {
+	log, err := Load(slots.Directory(directory), Options{}, nil)
+	So(err, ShouldBeNil)
+	for _, record := range records {
+		log.Append(record)
+	}
+	finish(log)
+	log.closeFiles()
+}
+
+// tear damages the only segment with records, which is one group, as a loss of power does, behind a point, and tells how many
+// records stand before it.
+func tear(t *testing.T, directory string, random *rand.Rand) int {
+	path := filepath.Join(directory, name(1))
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	point := random.IntN(len(data))
+	kept := 0
+	for at := 0; at+headSize <= point; kept++ {
+		at += headSize + int(uint32(data[at])|uint32(data[at+1])<<8)
+		if at > point {
+			break
+		}
+	}
+	switch random.IntN(3) {
+	case 0:
+		data = data[:point]
+	case 1:
+		clear(data[point:min(len(data), point+1+random.IntN(100))])
+	case 2:
+		data[point] ^= 0x40
+	}
+	if err := os.WriteFile(path, data, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return kept
+}
--- a/internal/batch/journal/mark_test.go
+++ b/internal/batch/wal/mark_test.go
@@ -0,0 +1,244 @@
+package wal
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sprucelane.example/sprucelane/internal/simulation"
+)
+
+// writeGroups gives a disk with a log of one segment, in which each group was written at once and synced before the next.
+func writeGroups(groups ...[]string) *simulation.Disk {
+	disk := simulation.NewDisk(simulation.NewRand(1))
+	log, err := Load(disk, Options{}, nil)
+	if err != nil {
+		panic(err)
+	}
+	for _, group := range groups {
+		for _, text := range group {
+			log.Append([]byte(text))
+		}
+		finish(log)
+	}
+	disk.Kill()
+	return disk
+}
+
+// finish has all that was appended durable.
+func finish(log *Log) {
+	for more := true; more; {
+		var err error
+		if more, err = log.Step(); err != nil {
+			panic(err)
+		}
+	}
+}
+
+// unmarked gives a disk with a log as earlier versions wrote it.
+func unmarked(texts ...string) *simulation.Disk {
+	disk := simulation.NewDisk(simulation.NewRand(1))
+	file, err := disk.Create(name(1))
+	So(err, ShouldBeNil)
+	for _, text := range texts {
+		_, err := file.Write(encodeRecord([]byte(text)))
+		So(err, ShouldBeNil)
+	}
+	So(file.Sync(), ShouldBeNil)
+	So(disk.SyncDir(), ShouldBeNil)
+	disk.Kill()
+	return disk
+}
+
+// started is what a start found.
+type started struct {
+	records    []string
+	skipped    []Location
+	cutOff     []Location
+	recordsAt  []Location
+	sizeBefore int64
+	sizeAfter  int64
+}
+
+func (s *started) text() string { return strings.Join(s.records, " ") }
+
+// start loads a log of which the last segment with records is the given one.
+func start(disk *simulation.Disk, segment uint32) *started {
+	s := &started{}
+	s.sizeBefore, _ = disk.Size(name(segment))
+	options := Options{
+		Skipped: func(at Location) {
+			s.skipped = append(s.skipped, at)
+			s.records = append(s.records, "-")
+		},
+		CutOff: func(at Location) { s.cutOff = append(s.cutOff, at) },
+	}
+	_, err := Load(disk, options, func(at Location, record []byte) error {
+		s.records = append(s.records, string(record))
+		s.recordsAt = append(s.recordsAt, at)
+		return nil
+	})
+	if err != nil {
+		panic(err)
+	}
+	s.sizeAfter, _ = disk.Size(name(segment))
+	disk.Kill()
+	return s
+}
+
+func TestDamageInTheLastSegment(t *testing.T) {
+	const record = headSize + 1
+	Convey("What was synced before later records were written is damaged where it can't be read, and none of it is cut off", t, func() {
+		for _, test := range []struct {
+			offset  int64
+			found   string
+			skipped Location
+		}{
+			{headSize, "- 2 3 4 5", Location{1, 0, record}},               // the first group's payload
+			{0, "- 2 3 4 5", Location{1, 0, record}},                      // its length
+			{3, "- 2 3 4 5", Location{1, 0, record}},                      // its mark
+			{record + headSize, "1 - 3 4 5", Location{1, record, record}}, // first of two in a group
+			{record + 1, "1 - 4 5", Location{1, record, 2 * record}},      // its length: the next mark is that of the next group
+			{2*record + headSize, "1 2 - 4 5", Location{1, 2 * record, record}},
+			{3*record + 4, "1 2 3 - 5", Location{1, 3 * record, record}}, // a checksum
+		} {
+			disk := writeGroups([]string{"1"}, []string{"2", "3"}, []string{"4"}, []string{"5"})
+			So(disk.Flip(name(1), test.offset, 5), ShouldBeTrue)
+			for range 2 { // and so again at the next start
+				s := start(disk, 1)
+				So(s.text(), ShouldEqual, test.found)
+				So(s.skipped, ShouldResemble, []Location{test.skipped})
+				So(s.cutOff, ShouldBeEmpty)
+				So(s.sizeAfter, ShouldEqual, s.sizeBefore)
+			}
+		}
+	})
+	Convey("Without somebody to tell, such a log isn't opened and stays as it is", t, func() {
+		disk := writeGroups([]string{"1"}, []string{"2"})
+		So(disk.Flip(name(1), headSize, 0), ShouldBeTrue)
+		before, _ := disk.ReadAll(name(1))
+		_, err := Load(disk, Options{}, nil)
+		So(err, ShouldWrap, ErrCorrupt)
+		disk.Kill()
+		after, _ := disk.ReadAll(name(1))
+		So(bytes.Equal(before, after), ShouldBeTrue)
+	})
+	Convey("A mark is found behind a long record of which the length is damaged, and by length behind a longer one", t, func() {
+		long := strings.Repeat("\x80", searchedRecord)
+		disk := writeGroups([]string{long}, []string{long}, []string{"end"})
+		So(disk.Flip(name(1), 2, 0), ShouldBeTrue)
+		s := start(disk, 1)
+		So(s.records, ShouldResemble, []string{"-", long, "end"})
+		longer := strings.Repeat("\x80", searchedRecord+1)
+		disk = writeGroups([]string{longer}, []string{longer})
+		So(disk.Flip(name(1), headSize, 0), ShouldBeTrue)
+		s = start(disk, 1)
+		So(s.records, ShouldResemble, []string{"-", longer})
+	})
+	Convey("Damage at two places is told twice, and an end behind the last mark is cut off", t, func() {
+		disk := writeGroups([]string{"1"}, []string{"2"}, []string{"3"}, []string{"4"}, []string{"5", "6"})
+		for _, offset := range []int64{headSize, 2*record + headSize, 5*record + headSize} {
+			So(disk.Flip(name(1), offset, 0), ShouldBeTrue)
+		}
+		s := start(disk, 1)
+		So(s.text(), ShouldEqual, "- 2 - 4 5")
+		So(s.cutOff, ShouldResemble, []Location{{1, 5 * record, record}})
+	})
+}
+
+func TestCutOff(t *testing.T) {
+	const record = headSize + 1
+	Convey("A last group that isn't whole is cut off and told, with sound records of it behind", t, func() {
+		disk := writeGroups([]string{"1", "2"}, []string{"3", "4", "5"})
+		So(disk.Flip(name(1), 3*record+headSize, 0), ShouldBeTrue)
+		s := start(disk, 1)
+		So(s.text(), ShouldEqual, "1 2 3")
+		So(s.skipped, ShouldBeEmpty)
+		So(s.cutOff, ShouldResemble, []Location{{1, 3 * record, 2 * record}})
+		So(s.sizeAfter, ShouldEqual, 3*record)
+		s = start(disk, 1)
+		So(s.text(), ShouldEqual, "1 2 3")
+		So(s.cutOff, ShouldBeEmpty)
+	})
+	Convey("So is the end of a log without marks, as earlier versions wrote it; all before is read", t, func() {
+		disk := unmarked("1", "2", "3", "4")
+		So(start(disk, 1).text(), ShouldEqual, "1 2 3 4")
+		disk = unmarked("1", "2", "3", "4")
+		So(disk.Flip(name(1), 2*record+headSize, 0), ShouldBeTrue)
+		s := start(disk, 1)
+		So(s.text(), ShouldEqual, "1 2")
+		So(s.cutOff, ShouldResemble, []Location{{1, 2 * record, 2 * record}})
+	})
+	Convey("Once a later segment is begun, be it without records, nothing is cut off", t, func() {
+		for _, disk := range []*simulation.Disk{writeGroups([]string{"1"}, []string{"2"}), unmarked("1", "2")} {
+			So(start(disk, 1).text(), ShouldEqual, "1 2") // begins segment 2
+			So(disk.Flip(name(1), record+headSize, 0), ShouldBeTrue)
+			s := start(disk, 1)
+			So(s.text(), ShouldEqual, "1 -")
+			So(s.skipped, ShouldResemble, []Location{{1, record, record}})
+			So(s.cutOff, ShouldBeEmpty)
+		}
+	})
+	Convey("A payload that holds a segment's bytes passes for no mark", t, func() {
+		inner := writeGroups([]string{"1"}, []string{"2"})
+		image, _ := inner.ReadAll(name(1))
+		disk := writeGroups([]string{"first"}, []string{string(image) + string(image)})
+		So(disk.Flip(name(1), 2*headSize+int64(len("first")), 0), ShouldBeTrue)
+		s := start(disk, 1)
+		So(s.text(), ShouldEqual, "first")
+		So(s.skipped, ShouldBeEmpty)
+		So(s.cutOff, ShouldHaveLength, 1)
+	})
+}
+
+// TestRandomDamage inverts a bit of logs of random groups: each record is replayed as it was written, or lies in a part that was
+// told, and only the last group is ever cut off.
+func TestRandomDamage(t *testing.T) {
+	first := wanted("FIRST", 0)
+	for seed := first; seed < first+wanted("SEEDS", plainHistories); seed++ {
+		if err := playDamage(simulation.NewRand(uint64(seed))); err != nil {
+			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, err)
+		}
+	}
+}
+
+func playDamage(random *simulation.Rand) error {
+	var groups [][]string
+	for range 2 + random.IntN(8) {
+		var group []string
+		for range 1 + random.IntN(4) {
+			group = append(group, fmt.Sprint(len(groups), len(group), strings.Repeat("\x80", random.IntN(200))))
+		}
+		groups = append(groups, group)
+	}
+	disk := writeGroups(groups...)
+	sound := start(disk, 1)
+	lastGroup := sound.recordsAt[len(sound.recordsAt)-len(groups[len(groups)-1])].Offset - headSize
+	offset := random.Int64N(sound.sizeBefore)
+	disk.Flip(name(1), offset, random.IntN(8))
+	s := start(disk, 1)
+	for _, at := range s.cutOff {
+		if at.Offset < lastGroup {
+			return fmt.Errorf("bit of byte %d: %v is cut off, the last group begins at %d", offset, at, lastGroup)
+		}
+	}
+	if len(s.cutOff)+len(s.skipped) != 1 {
+		return fmt.Errorf("bit of byte %d: skipped %v, cut off %v", offset, s.skipped, s.cutOff)
+	}
+	lost := slices.Concat(s.cutOff, s.skipped)[0]
+	for i, at := range sound.recordsAt {
+		within := at.Offset >= lost.Offset && at.Offset < lost.Offset+lost.Length
+		found := slices.Index(s.recordsAt, at)
+		if within == (found >= 0) {
+			return fmt.Errorf("bit of byte %d: record %d at %v, told %v", offset, i, at, lost)
+		}
+	}
+	if lost.Offset > uint32(offset) || lost.Offset+lost.Length <= uint32(offset) {
+		return fmt.Errorf("bit of byte %d: told %v", offset, lost)
+	}
+	return nil
+}
--- a/internal/batch/journal/skip_test.go
+++ b/internal/batch/wal/skip_test.go
@@ -0,0 +1,86 @@
+package wal
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"sprucelane.example/sprucelane/internal/simulation"
+)
+
+// written gives a disk with a log of records "1" to "9", three in each segment, and a last one.
+func written() *simulation.Disk {
+	disk := simulation.NewDisk(simulation.NewRand(1))
+	log, err := Load(disk, Options{Segment: 3 * (headSize + 1)}, nil)
+	if err != nil {
+		panic(err)
+	}
+	for number := 1; number <= 10; number++ {
+		log.Append(fmt.Append(nil, number%10))
+	}
+	for more := true; more; {
+		if more, err = log.Step(); err != nil {
+			panic(err)
+		}
+	}
+	disk.Kill()
+	return disk
+}
+
+// loadSkipping gives the records that are left, with "-" for each part that was skipped.
+func loadSkipping(disk *simulation.Disk) (string, []Location) {
+	var text strings.Builder
+	var skipped []Location
+	_, err := Load(disk, Options{Skipped: func(at Location) {
+		skipped = append(skipped, at)
+		text.WriteString("-")
+	}}, func(_ Location, record []byte) error {
+		text.Write(record)
+		return nil
+	})
+	if err != nil {
+		panic(err)
+	}
+	disk.Kill()
+	return text.String(), skipped
+}
+
+func TestSkipped(t *testing.T) {
+	Convey("A damaged record is gone over and told; what stands before and behind it is replayed", t, func() {
+		const record = headSize + 1
+		for _, test := range []struct {
+			segment uint32
+			offset  int64
+			found   string
+			at      Location
+		}{
+			{2, headSize, "123-567890", Location{2, 0, record}},                     // its payload
+			{2, record + 4, "1234-67890", Location{2, record, record}},              // its checksum
+			{2, 2*record + headSize, "12345-7890", Location{2, 2 * record, record}}, // the last of its segment
+			{1, 1, "-4567890", Location{1, 0, 3 * record}},                          // its length
+			{3, record, "1234567-0", Location{3, record, 2 * record}},
+		} {
+			disk := written()
+			before, _ := disk.ReadAll(name(test.segment))
+			So(disk.Flip(name(test.segment), test.offset, 3), ShouldBeTrue)
+			for range 2 { // and so again at the next start
+				found, skipped := loadSkipping(disk)
+				So(found, ShouldEqual, test.found)
+				So(skipped, ShouldResemble, []Location{test.at})
+			}
+			disk.Flip(name(test.segment), test.offset, 3)
+			after, _ := disk.ReadAll(name(test.segment))
+			So(bytes.Equal(before, after), ShouldBeTrue) // the part is left as it is
+		}
+	})
+	Convey("A damaged end of the last segment is cut off as a torn one", t, func() {
+		disk := written()
+		So(disk.Flip(name(4), headSize, 0), ShouldBeTrue)
+		found, skipped := loadSkipping(disk)
+		So(found, ShouldEqual, "123456789")
+		So(skipped, ShouldBeEmpty)
+	})
+}
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -15,9 +15,9 @@
 
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/journal"
 	"sprucelane.example/sprucelane/internal/batch/placement"
 	"sprucelane.example/sprucelane/internal/batch/replica"
+	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
 	"sprucelane.example/sprucelane/internal/node"
@@ -63,7 +63,7 @@
 	process      protocol.Process
 	host         *bubble.Host
 	origin       time.Time
-	journal      *journal.Journal
+	journal      *wal.Journal
 	server       *transport.Server
 	options      transport.Options
 	subscription *subscription.Subscription
@@ -123,7 +123,7 @@
 
 func (l *storeLife) open() error {
 	var err error
-	l.journal, err = journal.OpenFS(l.store.disk.Begin(), journal.Options{Segment: storeSegment}, l.machine.Replay, l.durable)
+	l.journal, err = wal.OpenFS(l.store.disk.Begin(), wal.Options{Segment: storeSegment}, l.machine.Replay, l.durable)
 	return err
 }
 
@@ -420,14 +420,14 @@
 func (l *storeLife) Wall() int64 { return time.Now().UnixMilli() }
 
 // Write implements replica.Environment.
-func (l *storeLife) Write(record []byte, urgent bool) (uint64, journal.Location) {
+func (l *storeLife) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	sequence, at := l.journal.Append(record, urgent)
 	l.written = sequence
 	return sequence, at
 }
 
 // Read implements replica.Environment.
-func (l *storeLife) Read(at journal.Location) ([]byte, error) { return l.journal.Read(at) }
+func (l *storeLife) Read(at wal.Location) ([]byte, error) { return l.journal.Read(at) }
 
 // Free implements replica.Environment.
 func (l *storeLife) Free() int64 { return 1<<30 - l.journal.Size() }
