--- a/internal/batch/runner/run.go
+++ b/internal/batch/runner/run.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/scheduler"
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
 // run sends one item to one server.
-func (r *Runner) run(b *batchJob, assignment schedule.Assignment) {
+func (r *Runner) run(b *batchJob, assignment scheduler.Assignment) {
 	defer r.runs.Done()
 	began := time.Now()
 	outcome := r.send(b, assignment)
@@ -32,7 +32,7 @@
 	r.planner.Completed(took)
 }
 
-func (r *Runner) send(b *batchJob, assignment schedule.Assignment) serverclient.Outcome {
+func (r *Runner) send(b *batchJob, assignment scheduler.Assignment) serverclient.Outcome {
 	r.mutex.Lock()
 	kept := *b.items[assignment.Index]
 	r.mutex.Unlock()
@@ -81,7 +81,7 @@
 }
 
 // maySend is asked right before the first byte: the store must still consent, the server be listed, and the route lead to it.
-func (r *Runner) maySend(b *batchJob, assignment schedule.Assignment) bool {
+func (r *Runner) maySend(b *batchJob, assignment scheduler.Assignment) bool {
 	if b.context.Err() != nil || !r.store.MayRun(b.ID, assignment.Index) {
 		return false
 	}
@@ -104,7 +104,7 @@
 }
 
 // ended takes what came of a run. It tells whether something is to be handed in.
-func (r *Runner) ended(b *batchJob, assignment schedule.Assignment, outcome serverclient.Outcome) bool {
+func (r *Runner) ended(b *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
@@ -144,7 +144,7 @@
 }
 
 // follow decides what follows a run. The mutex is held.
-func (r *Runner) follow(b *batchJob, kept *progress, assignment schedule.Assignment, outcome serverclient.Outcome, now time.Duration) bool {
+func (r *Runner) follow(b *batchJob, kept *progress, assignment scheduler.Assignment, outcome serverclient.Outcome, now time.Duration) bool {
 	instance := assignment.Server.ID
 	switch outcome.Ending {
 	case serverclient.Completed:
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -16,7 +16,7 @@
 
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/replica"
-	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/scheduler"
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
 	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
@@ -72,7 +72,7 @@
 	runs      sync.WaitGroup
 
 	mutex    sync.Mutex
-	planner  *schedule.Planner
+	planner  *scheduler.Planner
 	jobs     map[string]*batchJob
 	starting map[string]bool
 	setbacks setbacks // of batch jobs that were stopped
@@ -121,7 +121,7 @@
 		starting: map[string]bool{},
 		setbacks: setbacks{},
 	}
-	r.planner = schedule.New(zone, rand.Uint64(), r)
+	r.planner = scheduler.New(zone, rand.Uint64(), r)
 	return r
 }
 
@@ -257,7 +257,7 @@
 }
 
 func (r *Runner) add(work replica.Job) {
-	tasks := make([]schedule.Task, 0, len(work.Items))
+	tasks := make([]scheduler.Task, 0, len(work.Items))
 	items := make(map[int]*progress, len(work.Items))
 	for _, one := range work.Items {
 		item, err := r.store.ReadItem(one.At)
@@ -265,7 +265,7 @@
 			r.log.Error().Err(err).Str("batch_job", work.ID).Msg("item_unreadable")
 			continue
 		}
-		tasks = append(tasks, schedule.Task{Job: work.ID, Index: one.Index, Prefix: prefixOf(&item)})
+		tasks = append(tasks, scheduler.Task{Job: work.ID, Index: one.Index, Prefix: prefixOf(&item)})
 		items[one.Index] = r.begun(work.ID, one)
 	}
 	snapshot := r.knowledge.Configuration()
--- a/internal/batch/runner/setback.go
+++ b/internal/batch/runner/setback.go
@@ -2,7 +2,7 @@
 
 import (
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/batch/schedule"
+	"sprucelane.example/sprucelane/internal/batch/scheduler"
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
@@ -56,7 +56,7 @@
 
 // takeUp gives a batch job what was said against its items before it was stopped here, and leaves the tasks of those that may still
 // be tried. The mutex is held.
-func (r *Runner) takeUp(b *batchJob, tasks []schedule.Task) (left []schedule.Task) {
+func (r *Runner) takeUp(b *batchJob, tasks []scheduler.Task) (left []scheduler.Task) {
 	known := r.setbacks[b.ID]
 	delete(r.setbacks, b.ID)
 	if r.bugs.forgetStopped {
--- a/internal/batch/schedule/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -1,7 +1,7 @@
-// Package schedule owns which item runs next and on which server: nearest due first, on servers of the own zone where they
+// Package scheduler owns which item runs next and on which server: nearest due first, on servers of the own zone where they
 // have room, within a limit for each server that follows what the server shows of its load. It is a pure state machine over
 // a steady clock, and must never know bodies, texts or connections.
-package schedule
+package scheduler
 
 import (
 	"cmp"
--- a/internal/batch/schedule/planner_test.go
+++ b/internal/batch/scheduler/planner_test.go
@@ -1,4 +1,4 @@
-package schedule
+package scheduler
 
 import (
 	"fmt"
