--- a/internal/batch/backlog/backlog.go
+++ b/internal/batch/queuedtokens/backlog.go
@@ -1,4 +1,4 @@
-// Package backlog owns the bound on the tokens that wait in a tenant's batch jobs on one route, over all stores. Each account (a
+// Package queuedtokens owns the bound on the tokens that wait in a tenant's batch jobs on one route, over all stores. Each account (a
 // tenant's batch jobs on a route) has one counter among the stores of a view. A store claims what it needs there: its claim tells all
 // that waits in the batch jobs that it answers for, and names those that it would accept besides. The counter gives room as long as the
 // sum over all stores stays within the bound; it gives none before it has heard each store of the view, so that it may forget
@@ -6,7 +6,7 @@
 //
 // A claim is a store's whole state, so that lost, repeated and late claims do no harm: the one with the highest number counts. It is
 // pure: no clock, no input or output.
-package backlog
+package queuedtokens
 
 import (
 	"cmp"
--- a/internal/batch/backlog/backlog_test.go
+++ b/internal/batch/queuedtokens/backlog_test.go
@@ -1,4 +1,4 @@
-package backlog
+package queuedtokens
 
 import (
 	"testing"
--- a/internal/batch/replica/backlog.go
+++ b/internal/batch/replica/backlog.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/batch/backlog"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/queuedtokens"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -44,33 +44,33 @@
 
 // claims is a store's part in the bounds, as one that claims and as one that counts.
 type claims struct {
-	levels   map[backlog.Account]int64 // that the account's counter holds for this store at least
+	levels   map[queuedtokens.Account]int64 // that the account's counter holds for this store at least
 	last     map[placement.Key]*claimed
-	counters map[backlog.Account]placement.Key // of the present view
-	unasked  map[backlog.Account]int64         // came since the last claim without room that was given for it
-	counter  *backlog.Counter[placement.Key]
+	counters map[queuedtokens.Account]placement.Key // of the present view
+	unasked  map[queuedtokens.Account]int64         // came since the last claim without room that was given for it
+	counter  *queuedtokens.Counter[placement.Key]
 	asked    time.Duration // other stores were asked for their claims
 }
 
 func newClaims() claims {
 	return claims{
-		levels: map[backlog.Account]int64{}, last: map[placement.Key]*claimed{}, counters: map[backlog.Account]placement.Key{},
-		unasked: map[backlog.Account]int64{}, counter: backlog.NewCounter[placement.Key](),
+		levels: map[queuedtokens.Account]int64{}, last: map[placement.Key]*claimed{}, counters: map[queuedtokens.Account]placement.Key{},
+		unasked: map[queuedtokens.Account]int64{}, counter: queuedtokens.NewCounter[placement.Key](),
 	}
 }
 
 // Claim tells a counter what the sender uses and wants of the accounts that it counts.
 type Claim struct {
 	Stamp
-	backlog.Claim
+	queuedtokens.Claim
 }
 
 // Claimed tells that a claim has come, and answers its wants.
 type Claimed struct {
 	Stamp
 	Number   uint64 // of the claim
-	Verdicts []backlog.Verdict
-	Over     []backlog.Account // of the claim's: more waits than the bound allows, or that isn't known yet
+	Verdicts []queuedtokens.Verdict
+	Over     []queuedtokens.Account // of the claim's: more waits than the bound allows, or that isn't known yet
 }
 
 // ClaimRequest asks a store for its claim: the sender counts accounts and has not heard it in this epoch.
@@ -98,14 +98,16 @@
 	}
 }
 
-func (a *acceptance) account() backlog.Account {
-	return backlog.Account{Tenant: a.content.Tenant, Route: a.content.Route}
+func (a *acceptance) account() queuedtokens.Account {
+	return queuedtokens.Account{Tenant: a.content.Tenant, Route: a.content.Route}
 }
 
-func (h *held) account() backlog.Account { return backlog.Account{Tenant: h.tenant, Route: h.route} }
+func (h *held) account() queuedtokens.Account {
+	return queuedtokens.Account{Tenant: h.tenant, Route: h.route}
+}
 
 // counterOf gives the store that counts an account in the present view, empty where none is active.
-func (m *Machine) counterOf(account backlog.Account) placement.Key {
+func (m *Machine) counterOf(account queuedtokens.Account) placement.Key {
 	if key, known := m.claims.counters[account]; known {
 		return key
 	}
@@ -120,8 +122,8 @@
 
 // used sums, by account, the tokens of items that no server has finished, in batch jobs that this store answers for: those that it owns
 // or gave to a store that has yet to take them, and those that it is accepting with room.
-func (m *Machine) used() map[backlog.Account]int64 {
-	used := map[backlog.Account]int64{}
+func (m *Machine) used() map[queuedtokens.Account]int64 {
+	used := map[queuedtokens.Account]int64{}
 	for _, h := range m.order {
 		_, conceded := m.concession[h.id]
 		if (h.owner || conceded) && !h.ended && h.queued > 0 {
@@ -183,7 +185,7 @@
 		last.stale = true
 		return
 	}
-	message := Claim{Stamp: m.stamp(), Claim: backlog.Claim{Entries: m.entriesFor(counter)}}
+	message := Claim{Stamp: m.stamp(), Claim: queuedtokens.Claim{Entries: m.entriesFor(counter)}}
 	last.number++
 	message.Number = last.number
 	last.at, last.stale, last.open = m.env.Now(), false, true
@@ -197,12 +199,12 @@
 }
 
 // entriesFor lists what this store uses and wants of a counter's accounts. From here on the level of each is what is used.
-func (m *Machine) entriesFor(counter placement.Key) []backlog.Entry {
+func (m *Machine) entriesFor(counter placement.Key) []queuedtokens.Entry {
 	used := m.used()
-	wants := map[backlog.Account][]backlog.Want{}
+	wants := map[queuedtokens.Account][]queuedtokens.Want{}
 	for _, id := range m.accepting() {
 		if a := m.acceptances[id]; a.room == roomOpen {
-			wants[a.account()] = append(wants[a.account()], backlog.Want{Job: id, Tokens: a.tokens})
+			wants[a.account()] = append(wants[a.account()], queuedtokens.Want{Job: id, Tokens: a.tokens})
 			used[a.account()] += 0
 		}
 	}
@@ -211,14 +213,14 @@
 			delete(m.claims.levels, account)
 		}
 	}
-	var entries []backlog.Entry
-	for _, account := range slices.SortedFunc(maps.Keys(used), backlog.Compare) {
+	var entries []queuedtokens.Entry
+	for _, account := range slices.SortedFunc(maps.Keys(used), queuedtokens.Compare) {
 		if m.counterOf(account) != counter {
 			continue
 		}
 		m.claims.levels[account] = used[account]
 		delete(m.claims.unasked, account)
-		entries = append(entries, backlog.Entry{Account: account, Used: used[account], Wants: wants[account]})
+		entries = append(entries, queuedtokens.Entry{Account: account, Used: used[account], Wants: wants[account]})
 	}
 	return entries
 }
@@ -259,9 +261,9 @@
 
 // over lists the accounts that a store uses of which more waits than the bound allows. As long as not all members were heard, that isn't
 // known of any.
-func (m *Machine) over(store placement.Key) []backlog.Account {
+func (m *Machine) over(store placement.Key) []queuedtokens.Account {
 	unsure := !m.hasHeardAll()
-	var list []backlog.Account
+	var list []queuedtokens.Account
 	for _, account := range m.claims.counter.Accounts() {
 		if m.claims.counter.Level(account, store) == 0 {
 			continue
@@ -274,7 +276,7 @@
 	return list
 }
 
-func (m *Machine) queueLimit(account backlog.Account) (int64, bool) {
+func (m *Machine) queueLimit(account queuedtokens.Account) (int64, bool) {
 	return m.env.QueueLimit(account.Route)
 }
 
@@ -401,7 +403,7 @@
 }
 
 // fitted takes a counter's word that all that waits in the accounts of a claim is within their bounds, but for some.
-func (m *Machine) fitted(counter placement.Key, over []backlog.Account) {
+func (m *Machine) fitted(counter placement.Key, over []queuedtokens.Account) {
 	for _, h := range m.order {
 		account := h.account()
 		_, unasked := m.claims.unasked[account]
@@ -419,7 +421,7 @@
 }
 
 // checkRoom checks, as a batch job is written, that there is room for it.
-func (m *Machine) checkRoom(account backlog.Account) {
+func (m *Machine) checkRoom(account queuedtokens.Account) {
 	bound, known := m.queueLimit(account)
 	if !known || bound == 0 {
 		return
--- a/internal/batch/replica/backlog_test.go
+++ b/internal/batch/replica/backlog_test.go
@@ -8,9 +8,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/internal/batch/backlog"
 	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/queuedtokens"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -89,11 +89,11 @@
 		}
 		m := s.machine
 		if c.plant == plantLevelsStand {
-			account := backlog.Account{Tenant: "t", Route: "r"}
+			account := queuedtokens.Account{Tenant: "t", Route: "r"}
 			m.claims.levels[account] = max(m.claims.levels[account], c.bound)
 			continue
 		}
-		m.others(func(other protocol.Process) { m.claims.counter.Take(placement.KeyOf(other), backlog.Claim{}) })
+		m.others(func(other protocol.Process) { m.claims.counter.Take(placement.KeyOf(other), queuedtokens.Claim{}) })
 	}
 }
 
@@ -105,7 +105,7 @@
 
 // counter gives the node that counts the tests' account.
 func (c *cluster) counter() *clusterNode {
-	key := c.nodes[0].machine.counterOf(backlog.Account{Tenant: "t", Route: "r"})
+	key := c.nodes[0].machine.counterOf(queuedtokens.Account{Tenant: "t", Route: "r"})
 	return c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.key() == key })]
 }
 
