--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/ablation"
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/attempts"
 	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/retry"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/serverload"
 )
@@ -26,7 +26,7 @@
 // prepare reads what the choice of a server and admission go by.
 func (q *request) prepare() {
 	repeatable := q.route.Repeatable() && !ablation.Off(ablation.Retries) || q.proxy.bugs.repeatAll
-	q.account = attempts.Account{Repeatable: repeatable, MaxServers: q.route.MaxAttempts}
+	q.account = retry.Account{Repeatable: repeatable, MaxServers: q.route.MaxAttempts}
 	q.wish = Wish{Route: q.route, Tenant: q.tenant, Backend: q.pickBackend(), Deadline: q.deadline,
 		Demand: placement.ParseDemand(q.r.Header.Get(headerPrefix), q.r.Header.Get(headerUsage))}
 	q.head = passOn(q.r.Header)
@@ -75,7 +75,7 @@
 			result = placement.Unreachable // another server has its address
 		}
 		ticket.Done(time.Now(), result)
-		q.account.Note(attempts.NotExecuted)
+		q.account.Note(retry.NotExecuted)
 		return false
 	}
 	if !credible(resp) {
@@ -107,7 +107,7 @@
 		result = placement.Unreachable
 	}
 	ticket.Done(time.Now(), result)
-	q.account.Note(attempts.NotSent)
+	q.account.Note(retry.NotSent)
 	switch {
 	case end != core.EndDenied:
 		return false
@@ -126,7 +126,7 @@
 		result = placement.Abandoned
 	}
 	ticket.Done(time.Now(), result)
-	q.account.Note(attempts.Lost)
+	q.account.Note(retry.Lost)
 	return false
 }
 
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy owns the life of a client's request in the gateway: it is read and checked, a server is chosen, the request goes
 // there, and the answer comes back unchanged or not at all. Streams may be taken up at another server within one answer. What
-// may follow an attempt is decided in internal/gateway/attempts, the choice of a server in internal/gateway/placement. It must
+// may follow an attempt is decided in internal/gateway/retry, the choice of a server in internal/gateway/placement. It must
 // never send a byte to a server that the list, the lease of keys or an earlier attempt speaks against.
 //
 // internal/core's life of a transaction, and with it the module in policy, is not used here: it knows one answer a transaction,
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -9,8 +9,8 @@
 
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/attempts"
 	"sprucelane.example/sprucelane/internal/gateway/events"
+	"sprucelane.example/sprucelane/internal/gateway/retry"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/policy"
 )
@@ -68,7 +68,7 @@
 	sentAt    time.Time // to the server that is asked now
 	counted   bool      // what became of it
 	head      []byte    // lines of headers that are passed on as they came
-	account   attempts.Account
+	account   retry.Account
 	passed    []policy.ServerID
 	scanner   *events.Scanner // of a stream
 	buffer    *[]byte
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/gateway/attempts"
+	"sprucelane.example/sprucelane/internal/gateway/retry"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -241,7 +241,7 @@
 		So(q.mayGo(q.admitted.Add(admittedFor-1)), ShouldBeTrue)
 		So(q.mayGo(q.admitted.Add(admittedFor)), ShouldBeFalse)
 		q.account.Repeatable = true
-		q.account.Note(attempts.Lost)
+		q.account.Note(retry.Lost)
 		So(q.mayGo(q.admitted.Add(admittedFor)), ShouldBeTrue)
 		k.lapsed.Store(true)
 		So(q.mayGo(q.admitted), ShouldBeFalse)
--- a/internal/gateway/proxy/whole.go
+++ b/internal/gateway/proxy/whole.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/gateway/attempts"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
 	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/retry"
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
@@ -28,7 +28,7 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		ticket.Done(now, placement.Failed)
 		if q.started || q.account.Repeatable {
-			q.account.Note(attempts.Failed)
+			q.account.Note(retry.Failed)
 			if q.started || q.account.Again(time.Until(q.deadline)) {
 				return false
 			}
@@ -36,7 +36,7 @@
 	} else {
 		ticket.Done(now, placement.Succeeded)
 		if q.started {
-			q.account.Note(attempts.Failed) // what goes on with a stream is a stream
+			q.account.Note(retry.Failed) // what goes on with a stream is a stream
 			return false
 		}
 	}
--- a/internal/gateway/attempts/attempts.go
+++ b/internal/gateway/retry/attempts.go
@@ -1,10 +1,10 @@
-// Package attempts owns the question what may follow an attempt at a server: another one, or which answer the client gets.
+// Package retry owns the question what may follow an attempt at a server: another one, or which answer the client gets.
 // It keeps the promises of that answer: 503 says that a request has not run and never will. It reads no clock, and does no input
 // or output.
 //
 // It is not internal/core's module: there a transaction has one answer, read whole or copied to its end. Here a stream may go on
 // at another server in the middle of its answer, and a server is chosen by what its cache holds.
-package attempts
+package retry
 
 import (
 	"net/http"
--- a/internal/gateway/attempts/attempts_test.go
+++ b/internal/gateway/retry/attempts_test.go
@@ -1,4 +1,4 @@
-package attempts
+package retry
 
 import (
 	"math/rand/v2"
