--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -9,8 +9,8 @@
 
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/events"
 	"sprucelane.example/sprucelane/internal/gateway/retry"
+	"sprucelane.example/sprucelane/internal/gateway/sse"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/policy"
 )
@@ -70,7 +70,7 @@
 	head      []byte    // lines of headers that are passed on as they came
 	account   retry.Account
 	passed    []policy.ServerID
-	scanner   *events.Scanner // of a stream
+	scanner   *sse.Scanner // of a stream
 	buffer    *[]byte
 	started   bool // the head of a stream has gone out
 	lastEvent string
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/gateway/events"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
 	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/sse"
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
@@ -66,14 +66,14 @@
 func (q *request) prepareScanner() {
 	if q.scanner == nil {
 		q.buffer = pieces.Get().(*[]byte)
-		q.scanner = events.NewScanner(*q.buffer)
+		q.scanner = sse.NewScanner(*q.buffer)
 		return
 	}
 	if last, any := q.scanner.Last(); q.started && any {
 		q.scanner.Resume(last)
 		return
 	}
-	q.scanner = events.NewScanner(q.scanner.Buffer())
+	q.scanner = sse.NewScanner(q.scanner.Buffer())
 }
 
 func (q *request) releaseScanner() {
--- a/internal/gateway/events/events.go
+++ b/internal/gateway/sse/events.go
@@ -1,6 +1,6 @@
-// Package events owns the reading of event streams (text/event-stream) as bytes come: where whole events end, and which id the
+// Package sse owns the reading of event streams (text/event-stream) as bytes come: where whole events end, and which id the
 // last of them has. It must never change a byte, nor give out a part of an event.
-package events
+package sse
 
 import (
 	"bytes"
--- a/internal/gateway/events/events_test.go
+++ b/internal/gateway/sse/events_test.go
@@ -1,4 +1,4 @@
-package events
+package sse
 
 import (
 	"fmt"
