--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,9 +11,9 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/gateway/admission"
-	quotas "sprucelane.example/sprucelane/internal/gateway/limits"
 	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
+	quotas "sprucelane.example/sprucelane/internal/gateway/quotaclient"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	quotas "sprucelane.example/sprucelane/internal/gateway/limits"
+	quotas "sprucelane.example/sprucelane/internal/gateway/quotaclient"
 )
 
 func TestPatienceForTokens(t *testing.T) {
--- a/internal/gateway/limits/limits.go
+++ b/internal/gateway/quotaclient/limits.go
@@ -1,6 +1,6 @@
-// Package limits owns the carrying of a gateway's part of the quotas: it asks the allocator over the network as package quota
+// Package quotaclient owns the carrying of a gateway's part of the quotas: it asks the allocator over the network as package quota
 // tells it to, and has requests wait for what comes back. It must never decide about a token itself.
-package limits
+package quotaclient
 
 import (
 	"context"
--- a/internal/gateway/limits/limits_test.go
+++ b/internal/gateway/quotaclient/limits_test.go
@@ -1,4 +1,4 @@
-package limits
+package quotaclient
 
 import (
 	"context"
