--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,9 +25,9 @@
 	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/gateway/batchcall"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/pool"
@@ -98,7 +98,7 @@
 	g.process = process
 	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role, Zone: process.Zone,
 		Address: process.IP, Incarnation: process.Incarnation}}
-	placer := placement.New(settings.Zone, seed(process))
+	placer := serverselection.New(settings.Zone, seed(process))
 	g.limits = newLimits(placer, g.servers, process, options, log)
 	g.subscription = subscription.New(subscription.Options{Settings: settings, Process: process, Transport: options,
 		Servers: g.servers, Ready: g.Ready, Log: log, Configured: g.limits.Configure})
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,10 +11,10 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/gateway/admission"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	quotas "sprucelane.example/sprucelane/internal/gateway/quotaclient"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
@@ -35,7 +35,7 @@
 	origin    time.Time
 	admission *admission.Admission
 	quotas    *quotas.Keeper
-	placer    *placement.Placer
+	placer    *serverselection.Placer
 	servers   *servers.Registry
 	members   func() *protocol.MemberList
 
@@ -43,7 +43,7 @@
 	told map[string]time.Time // when a service's load was told last
 }
 
-func newLimits(placer *placement.Placer, table *servers.Registry, process protocol.Process, options transport.Options,
+func newLimits(placer *serverselection.Placer, table *servers.Registry, process protocol.Process, options transport.Options,
 	log zerolog.Logger) *limits {
 	l := &limits{origin: time.Now(), admission: admission.New(admission.Options{}), placer: placer, servers: table,
 		told: map[string]time.Time{}}
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/ablation"
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/retry"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/serverload"
 )
@@ -28,7 +28,7 @@
 	repeatable := q.route.Repeatable() && !ablation.Off(ablation.Retries) || q.proxy.bugs.repeatAll
 	q.account = retry.Account{Repeatable: repeatable, MaxServers: q.route.MaxAttempts}
 	q.wish = Wish{Route: q.route, Tenant: q.tenant, Backend: q.pickBackend(), Deadline: q.deadline,
-		Demand: placement.ParseDemand(q.r.Header.Get(headerPrefix), q.r.Header.Get(headerUsage))}
+		Demand: serverselection.ParseDemand(q.r.Header.Get(headerPrefix), q.r.Header.Get(headerUsage))}
 	q.head = passOn(q.r.Header)
 	q.lastEvent = q.r.Header.Get(headerLastEvent)
 }
@@ -48,11 +48,11 @@
 }
 
 // attempt sends the request to a server, and tells whether it has its final answer with that.
-func (q *request) attempt(ticket *placement.Ticket) (answered bool) {
+func (q *request) attempt(ticket *serverselection.Ticket) (answered bool) {
 	began := time.Now()
 	server := ticket.Server
 	q.passed = append(q.passed, server.Number)
-	defer func() { ticket.Done(time.Now(), placement.Abandoned) }() // where nothing else was said
+	defer func() { ticket.Done(time.Now(), serverselection.Abandoned) }() // where nothing else was said
 	x, end := q.proxy.Pool.Open(q.r.Context(), &pool.Call{Server: server.Number, Until: q.deadline, Method: q.r.Method,
 		Head: func(b *bytes.Buffer) { q.writeHead(b, server.ID) }, Body: q.body.bytes,
 		Check: func() bool { return !q.left() && q.mayGo(time.Now()) }})
@@ -70,9 +70,9 @@
 	q.proxy.Placer.Loads().Note(time.Now(), ticket.Server.Hash, resp.Header.Get(serverload.Header))
 	if notExecuted(resp) {
 		q.skip(x)
-		result := placement.Refused
+		result := serverselection.Refused
 		if resp.StatusCode == http.StatusMisdirectedRequest {
-			result = placement.Unreachable // another server has its address
+			result = serverselection.Unreachable // another server has its address
 		}
 		ticket.Done(time.Now(), result)
 		q.account.Note(retry.NotExecuted)
@@ -101,10 +101,10 @@
 }
 
 // unsent takes in that the request didn't go out whole, so that it has not run.
-func (q *request) unsent(ticket *placement.Ticket, end core.End) (answered bool) {
-	result := placement.Abandoned
+func (q *request) unsent(ticket *serverselection.Ticket, end core.End) (answered bool) {
+	result := serverselection.Abandoned
 	if end == core.EndNoConnect || end == core.EndCutShort {
-		result = placement.Unreachable
+		result = serverselection.Unreachable
 	}
 	ticket.Done(time.Now(), result)
 	q.account.Note(retry.NotSent)
@@ -120,10 +120,10 @@
 }
 
 // lost takes in that the request may have run and gave no answer.
-func (q *request) lost(ticket *placement.Ticket) (answered bool) {
-	result := placement.Broken
+func (q *request) lost(ticket *serverselection.Ticket) (answered bool) {
+	result := serverselection.Broken
 	if q.r.Context().Err() != nil {
-		result = placement.Abandoned
+		result = serverselection.Abandoned
 	}
 	ticket.Done(time.Now(), result)
 	q.account.Note(retry.Lost)
@@ -132,7 +132,7 @@
 
 // answerHead reads the head of the answer to this request. One that names another id came late for another: it is passed over
 // together with its body.
-func (q *request) answerHead(x *pool.Exchange, ticket *placement.Ticket) (*http.Response, error) {
+func (q *request) answerHead(x *pool.Exchange, ticket *serverselection.Ticket) (*http.Response, error) {
 	for range foreignMost {
 		if err := q.await(x, ticket); err != nil {
 			return nil, err
@@ -166,7 +166,7 @@
 
 // await waits until something more of the answer has come. A request that may be repeated doesn't wait for a server that has
 // fallen silent, unless its answer has begun and can't go on elsewhere.
-func (q *request) await(x *pool.Exchange, ticket *placement.Ticket) error {
+func (q *request) await(x *pool.Exchange, ticket *serverselection.Ticket) error {
 	if !q.account.Spare(time.Until(q.deadline)) || q.started && !q.route.Resumable && !q.proxy.bugs.cutsSilent {
 		return x.Wait(q.deadline)
 	}
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
@@ -39,12 +39,12 @@
 }
 
 // place chooses the server for the next attempt, or gives nil where there is none.
-func (q *request) place() *placement.Ticket {
+func (q *request) place() *serverselection.Ticket {
 	table := q.proxy.Servers.Current()
 	if table == nil {
 		return nil
 	}
-	ticket := q.proxy.Placer.Pick(time.Now(), &placement.Choice{Demand: q.wish.Demand, Servers: table.Of(q.wish.Backend),
+	ticket := q.proxy.Placer.Pick(time.Now(), &serverselection.Choice{Demand: q.wish.Demand, Servers: table.Of(q.wish.Backend),
 		Passed: q.passed, Most: q.connectionsAtMost()})
 	if ticket != nil && ticket.Unread() >= serverload.ReadingLeast && q.proxy.Announce != nil {
 		q.proxy.Announce(ticket.Server.Hash, ticket.Unread())
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
@@ -62,7 +62,7 @@
 }
 
 // answered counts a request whose answer has begun, or come whole, and records a late one.
-func (q *request) answered(ticket *placement.Ticket, head http.Header) {
+func (q *request) answered(ticket *serverselection.Ticket, head http.Header) {
 	load, _ := serverload.Parse(head.Get(serverload.Header))
 	now := time.Now()
 	attempt := outcomes.Attempt{Took: now.Sub(q.arrived), Target: q.route.TargetLatency(), Earlier: len(q.passed) - 1,
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -1,6 +1,6 @@
 // Package proxy owns the life of a client's request in the gateway: it is read and checked, a server is chosen, the request goes
 // there, and the answer comes back unchanged or not at all. Streams may be taken up at another server within one answer. What
-// may follow an attempt is decided in internal/gateway/retry, the choice of a server in internal/gateway/placement. It must
+// may follow an attempt is decided in internal/gateway/retry, the choice of a server in internal/gateway/serverselection. It must
 // never send a byte to a server that the list, the lease of keys or an earlier attempt speaks against.
 //
 // internal/core's life of a transaction, and with it the module in policy, is not used here: it knows one answer a transaction,
@@ -17,8 +17,8 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -48,7 +48,7 @@
 	Route    *configuration.Route
 	Tenant   *configuration.Tenant
 	Backend  string
-	Demand   placement.Demand
+	Demand   serverselection.Demand
 	Deadline time.Time
 }
 
@@ -68,7 +68,7 @@
 	Knowledge Knowledge
 	Servers   *servers.Registry
 	Pool      *pool.Pool
-	Placer    *placement.Placer
+	Placer    *serverselection.Placer
 	Admission Admission
 	Batch     Batch
 	Bodies    *buffers.Budget
--- a/internal/gateway/proxy/rig_test.go
+++ b/internal/gateway/proxy/rig_test.go
@@ -16,8 +16,8 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/standin"
@@ -119,7 +119,7 @@
 		list.Servers = append(list.Servers, protocol.Server{ID: fmt.Sprintf("i-%d", i), Backend: "b", Address: peer.Addr})
 	}
 	r.registry.Apply(list)
-	r.proxy = &Proxy{Knowledge: r.knowledge, Servers: r.registry, Pool: members, Placer: placement.New("z", 1), Admission: Everyone{},
+	r.proxy = &Proxy{Knowledge: r.knowledge, Servers: r.registry, Pool: members, Placer: serverselection.New("z", 1), Admission: Everyone{},
 		Batch: r.batch, Bodies: buffers.New(1 << 20)}
 	server, err := front.Listen(front.Options{Listen: "127.0.0.1:0", Sockets: 99, LongestDeadline: time.Minute}, r)
 	if err != nil {
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/gateway/sse"
 	"sprucelane.example/sprucelane/internal/pool"
 )
@@ -27,7 +27,7 @@
 
 // stream passes events on as they come, and tells whether the request has its final answer with that. Where it has not, and
 // something has gone out, another server may go on after the last event.
-func (q *request) stream(x *pool.Exchange, resp *http.Response, ticket *placement.Ticket, began time.Time) (answered bool) {
+func (q *request) stream(x *pool.Exchange, resp *http.Response, ticket *serverselection.Ticket, began time.Time) (answered bool) {
 	q.prepareScanner()
 	first := false
 	for {
@@ -86,7 +86,7 @@
 	q.scanner, q.buffer = nil, nil
 }
 
-func (q *request) firstEvent(ticket *placement.Ticket, began time.Time, head http.Header) {
+func (q *request) firstEvent(ticket *serverselection.Ticket, began time.Time, head http.Header) {
 	ticket.First(time.Now())
 	q.attempted(began)
 	if !q.started {
@@ -124,8 +124,8 @@
 const writeSlack = 250 * time.Millisecond
 
 // endStream ends an answer that has come whole.
-func (q *request) endStream(resp *http.Response, ticket *placement.Ticket) (answered bool) {
-	ticket.Done(time.Now(), placement.Succeeded)
+func (q *request) endStream(resp *http.Response, ticket *serverselection.Ticket) (answered bool) {
+	ticket.Done(time.Now(), serverselection.Succeeded)
 	resumed := q.started && q.account.MayHaveRun()
 	q.begin(resp)
 	if rest := q.scanner.Partial(); len(rest) > 0 && !resumed {
@@ -135,7 +135,7 @@
 }
 
 // cut takes in that a stream ended before its end, and prepares for another server to go on.
-func (q *request) cut(ticket *placement.Ticket) (answered bool) {
+func (q *request) cut(ticket *serverselection.Ticket) (answered bool) {
 	q.lost(ticket)
 	if !q.started {
 		return false
--- a/internal/gateway/proxy/timed_test.go
+++ b/internal/gateway/proxy/timed_test.go
@@ -18,8 +18,8 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/standin"
@@ -93,7 +93,7 @@
 		}
 		registry.Apply(list)
 		server, err := front.Listen(front.Options{Listener: w.network.Listen("gateway"), Sockets: 99, LongestDeadline: time.Minute},
-			&Proxy{Knowledge: timedKnowledge(), Servers: registry, Pool: members, Placer: placement.New("z", 1), Admission: Everyone{},
+			&Proxy{Knowledge: timedKnowledge(), Servers: registry, Pool: members, Placer: serverselection.New("z", 1), Admission: Everyone{},
 				Bodies: buffers.New(64 << 20), bugs: g.planted})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/proxy/whole.go
+++ b/internal/gateway/proxy/whole.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/retry"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
@@ -17,7 +17,7 @@
 const maxWhole = 8 << 20
 
 // whole reads an answer to its end and passes it on.
-func (q *request) whole(x *pool.Exchange, resp *http.Response, ticket *placement.Ticket, began time.Time) (answered bool) {
+func (q *request) whole(x *pool.Exchange, resp *http.Response, ticket *serverselection.Ticket, began time.Time) (answered bool) {
 	text, err := q.readWhole(x, resp)
 	defer q.proxy.Bodies.Give(int64(cap(text)))
 	if err != nil {
@@ -26,7 +26,7 @@
 	now := time.Now()
 	ticket.First(now)
 	if resp.StatusCode >= http.StatusInternalServerError {
-		ticket.Done(now, placement.Failed)
+		ticket.Done(now, serverselection.Failed)
 		if q.started || q.account.Repeatable {
 			q.account.Note(retry.Failed)
 			if q.started || q.account.Again(time.Until(q.deadline)) {
@@ -34,7 +34,7 @@
 			}
 		}
 	} else {
-		ticket.Done(now, placement.Succeeded)
+		ticket.Done(now, serverselection.Succeeded)
 		if q.started {
 			q.account.Note(retry.Failed) // what goes on with a stream is a stream
 			return false
--- a/internal/gateway/placement/placement.go
+++ b/internal/gateway/serverselection/placement.go
@@ -1,9 +1,9 @@
-// Package placement owns the choice of a server for a request, from what one gateway sees: which servers lately read the
+// Package serverselection owns the choice of a server for a request, from what one gateway sees: which servers lately read the
 // beginning of a prompt, what of this gateway's is waiting and running there, who fails, falls silent or is slow, and which zone
 // they are in. Requests that share much of their prompt meet at the same few servers without gateways telling each other:
 // all order the servers of such a part alike (rendezvous hashing), and go down that order as load grows. It does no
 // input or output and is told the time; it must never choose a server that isn't in the list it is given.
-package placement
+package serverselection
 
 import (
 	"math/rand/v2"
--- a/internal/gateway/placement/told.go
+++ b/internal/gateway/serverselection/told.go
@@ -1,4 +1,4 @@
-package placement
+package serverselection
 
 import (
 	"time"
--- a/internal/standin/unruly/world.go
+++ b/internal/standin/unruly/world.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/placement"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -110,7 +110,7 @@
 	}
 	w.tell()
 	w.proxy = &proxy.Proxy{Knowledge: knowledge{configuration.NewSnapshot(document(), 1)}, Servers: w.registry, Pool: w.pool,
-		Placer: placement.New("z", seed), Admission: proxy.Everyone{}, Bodies: buffers.New(bodyBudget)}
+		Placer: serverselection.New("z", seed), Admission: proxy.Everyone{}, Bodies: buffers.New(bodyBudget)}
 	return w
 }
 
