--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/internal/batch/runner"
 	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/pool"
@@ -54,7 +54,7 @@
 	closed  bool
 
 	options      transport.Options
-	registry     *servers.Registry
+	registry     *endpoints.Registry
 	subscription *subscription.Subscription
 	runner       *runner.Runner
 	failed       chan error
@@ -81,7 +81,7 @@
 		Heartbeat: heartbeat,
 		Queue:     1024,
 	}
-	s.registry = servers.NewRegistry(noPool{})
+	s.registry = endpoints.NewRegistry(noPool{})
 	s.runner = runner.New(settings.Zone, 2*settings.Bounds.SkewMax, s, s, log)
 	s.subscription = subscription.New(subscription.Options{
 		Settings: settings, Process: s.process, Transport: s.options, Servers: s.registry,
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/internal/batch/placement"
 	"sprucelane.example/sprucelane/internal/batch/replica"
 	"sprucelane.example/sprucelane/internal/batch/wal"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/pool"
@@ -148,7 +148,7 @@
 	subscribing := l.options
 	subscribing.Dial = l.dialControl
 	l.subscription = subscription.New(subscription.Options{
-		Settings: settings, Process: l.process, Transport: subscribing, Servers: servers.NewRegistry(noConnections{}),
+		Settings: settings, Process: l.process, Transport: subscribing, Servers: endpoints.NewRegistry(noConnections{}),
 		Ready: func() bool { return true }, Report: l.report, Granted: l.granted, Updated: l.updated, Log: zerolog.Nop(),
 	})
 	l.wait.Go(func() { l.subscription.Run(l.ended) })
--- a/internal/gateway/servers/servers.go
+++ b/internal/gateway/endpoints/servers.go
@@ -1,6 +1,6 @@
-// Package servers owns the list of servers as the gateway holds it: an immutable table, swapped whole, and each server's number,
+// Package endpoints owns the list of servers as the gateway holds it: an immutable table, swapped whole, and each server's number,
 // by which the pool of connections knows it. It must never choose a server.
-package servers
+package endpoints
 
 import (
 	"cmp"
--- a/internal/gateway/servers/servers_test.go
+++ b/internal/gateway/endpoints/servers_test.go
@@ -1,4 +1,4 @@
-package servers
+package endpoints
 
 import (
 	"testing"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,9 +24,9 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/gateway/batchcall"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/gateway/subscription"
 	"sprucelane.example/sprucelane/internal/node"
@@ -79,7 +79,7 @@
 	log          zerolog.Logger
 	state        *service.State
 	pool         *pool.Pool
-	servers      *servers.Registry
+	servers      *endpoints.Registry
 	subscription *subscription.Subscription
 	batch        *batchcall.Caller
 	limits       *limits
@@ -92,7 +92,7 @@
 	g := &Gateway{settings: settings, log: log, state: service.New()}
 	g.state.AcceptFor(acceptAfterEnd)
 	g.pool = pool.New(pool.Options{Sockets: serverSockets(settings), ConnIdle: serverIdle, ConnectWait: connectWait})
-	g.servers = servers.NewRegistry(g.pool)
+	g.servers = endpoints.NewRegistry(g.pool)
 	process := protocol.Process{Node: settings.NodeName, Role: protocol.RoleGateway, Zone: settings.Zone, IP: settings.IP,
 		Incarnation: incarnation()}
 	g.process = process
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,9 +11,9 @@
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/gateway/admission"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	quotas "sprucelane.example/sprucelane/internal/gateway/quotaclient"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -36,14 +36,14 @@
 	admission *admission.Admission
 	quotas    *quotas.Keeper
 	placer    *serverselection.Placer
-	servers   *servers.Registry
+	servers   *endpoints.Registry
 	members   func() *protocol.MemberList
 
 	mu   sync.Mutex
 	told map[string]time.Time // when a service's load was told last
 }
 
-func newLimits(placer *serverselection.Placer, table *servers.Registry, process protocol.Process, options transport.Options,
+func newLimits(placer *serverselection.Placer, table *endpoints.Registry, process protocol.Process, options transport.Options,
 	log zerolog.Logger) *limits {
 	l := &limits{origin: time.Now(), admission: admission.New(admission.Options{}), placer: placer, servers: table,
 		told: map[string]time.Time{}}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -16,8 +16,8 @@
 
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -66,7 +66,7 @@
 // Proxy serves clients' requests.
 type Proxy struct {
 	Knowledge Knowledge
-	Servers   *servers.Registry
+	Servers   *endpoints.Registry
 	Pool      *pool.Pool
 	Placer    *serverselection.Placer
 	Admission Admission
--- a/internal/gateway/proxy/rig_test.go
+++ b/internal/gateway/proxy/rig_test.go
@@ -16,7 +16,7 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -64,7 +64,7 @@
 type rig struct {
 	t         *testing.T
 	knowledge *knowledge
-	registry  *servers.Registry
+	registry  *endpoints.Registry
 	proxy     *Proxy
 	batch     *batch
 	address   string
@@ -107,7 +107,7 @@
 	r.knowledge.configuration.Store(configuration.NewSnapshot(rigDocument(), 1))
 	members := pool.New(pool.Options{Sockets: 99, ConnIdle: time.Minute, ConnectWait: time.Second})
 	t.Cleanup(members.Close)
-	r.registry = servers.NewRegistry(members)
+	r.registry = endpoints.NewRegistry(members)
 	var turn atomic.Int64
 	shared := func(p *standin.Peer, c net.Conn, s standin.Seen) bool {
 		return script[min(int(turn.Add(1)), len(script))-1](p, c, s)
--- a/internal/gateway/proxy/timed_test.go
+++ b/internal/gateway/proxy/timed_test.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -82,7 +82,7 @@
 		w := &timed{check: g.check, latency: timedLatency}
 		w.network = &memory.Network{Window: func() int { return 16 << 10 }, Latency: w.latencyNow}
 		members := pool.New(pool.Options{Sockets: 99, ConnIdle: time.Minute, ConnectWait: 400 * time.Millisecond, Dial: w.network.Dial})
-		registry := servers.NewRegistry(members)
+		registry := endpoints.NewRegistry(members)
 		list := &protocol.ServerList{Version: 1}
 		for i := range count {
 			address := fmt.Sprint("server-", i)
--- a/internal/gateway/serverselection/load.go
+++ b/internal/gateway/serverselection/load.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/ablation"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
@@ -26,11 +26,11 @@
 
 // sample draws some servers of a service that tells its load, and adds those that a part of the prompt meets at. All are given where
 // loads are not told.
-func (p *Placer) sample(now time.Time, list []*servers.Server, order preference) []*servers.Server {
+func (p *Placer) sample(now time.Time, list []*endpoints.Server, order preference) []*endpoints.Server {
 	if len(list) <= sampleSize || ablation.Off(ablation.ToldLoad) {
 		return list
 	}
-	drawn := make([]*servers.Server, 0, sampleSize+2)
+	drawn := make([]*endpoints.Server, 0, sampleSize+2)
 	tells := false
 	for range drawsMost {
 		one := list[p.random.IntN(len(list))]
@@ -58,13 +58,13 @@
 }
 
 // fails tells whether the zone's processes have seen a server fail what it gets.
-func (p *Placer) fails(now time.Time, server *servers.Server) bool {
+func (p *Placer) fails(now time.Time, server *endpoints.Server) bool {
 	return !ablation.Off(ablation.SharedFailures) && p.loads.Fails(now, server.Hash)
 }
 
 // presence gives what the requests cost that are at a server: by its own word and what went there from here since, else by what is
 // there from here.
-func (p *Placer) presence(now time.Time, server *servers.Server, s *state) float64 {
+func (p *Placer) presence(now time.Time, server *endpoints.Server, s *state) float64 {
 	if ablation.Off(ablation.ToldLoad) {
 		return runningCost * float64(s.active)
 	}
@@ -79,7 +79,7 @@
 }
 
 // presentThere gives the requests at a server by its own word, and what went there from here since.
-func (p *Placer) presentThere(now time.Time, server *servers.Server, s *state) int {
+func (p *Placer) presentThere(now time.Time, server *endpoints.Server, s *state) int {
 	load, at, known := p.loads.Known(now, server.Hash)
 	if !known {
 		return 0
@@ -104,7 +104,7 @@
 
 // Taken gives the share of the places of servers that are taken and whether requests wait there, by the servers' own word; false where
 // fewer than half of them have told.
-func (p *Placer) Taken(now time.Time, list []*servers.Server) (share float64, waiting, known bool) {
+func (p *Placer) Taken(now time.Time, list []*endpoints.Server) (share float64, waiting, known bool) {
 	if ablation.Off(ablation.ToldLoad) {
 		return 0, false, false
 	}
--- a/internal/gateway/serverselection/placement.go
+++ b/internal/gateway/serverselection/placement.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/ablation"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/serverload"
 	"sprucelane.example/sprucelane/policy"
 )
@@ -75,14 +75,14 @@
 // Choice is what a server is chosen by and from.
 type Choice struct {
 	Demand  Demand
-	Servers []*servers.Server
+	Servers []*endpoints.Server
 	Passed  []policy.ServerID // not to be chosen
 	Most    int               // requests from here at one server; 0: no bound
 }
 
 // Ticket is a request's place at a server. It belongs to one goroutine.
 type Ticket struct {
-	Server *servers.Server
+	Server *endpoints.Server
 
 	placer  *Placer
 	state   *state
@@ -115,7 +115,7 @@
 }
 
 // cheapest gives the server that costs the request least, and of those that are to be left alone the one whose time is over first.
-func (p *Placer) cheapest(now time.Time, choice *Choice, list []*servers.Server, order preference) (best, shunned candidate) {
+func (p *Placer) cheapest(now time.Time, choice *Choice, list []*endpoints.Server, order preference) (best, shunned candidate) {
 	for _, server := range list {
 		if passed(choice.Passed, server.Number) {
 			continue
@@ -136,7 +136,7 @@
 }
 
 type candidate struct {
-	server *servers.Server
+	server *endpoints.Server
 	state  *state
 	cost   float64
 }
@@ -167,7 +167,7 @@
 }
 
 // cost gives what a request would wait for at a server.
-func (p *Placer) cost(now time.Time, server *servers.Server, s *state, demand *Demand, order preference) float64 {
+func (p *Placer) cost(now time.Time, server *endpoints.Server, s *state, demand *Demand, order preference) float64 {
 	held := s.cache.holds(demand.Parts, now)
 	if shared := demand.shared(); len(shared) > 0 {
 		all := float64(shared[len(shared)-1].Tokens)
@@ -300,7 +300,7 @@
 }
 
 // Active counts this gateway's requests at servers.
-func (p *Placer) Active(list []*servers.Server) (active int) {
+func (p *Placer) Active(list []*endpoints.Server) (active int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, server := range list {
--- a/internal/gateway/serverselection/placement_test.go
+++ b/internal/gateway/serverselection/placement_test.go
@@ -9,15 +9,15 @@
 	"github.com/cespare/xxhash/v2"
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/policy"
 )
 
-func fleet(n int, zones ...string) []*servers.Server {
-	list := make([]*servers.Server, n)
+func fleet(n int, zones ...string) []*endpoints.Server {
+	list := make([]*endpoints.Server, n)
 	for i := range list {
-		list[i] = &servers.Server{Number: policy.ServerID(i + 1), Hash: xxhash.Sum64String(fmt.Sprintf("i-%d", i)),
+		list[i] = &endpoints.Server{Number: policy.ServerID(i + 1), Hash: xxhash.Sum64String(fmt.Sprintf("i-%d", i)),
 			Server: protocol.Server{ID: fmt.Sprintf("i-%d", i), Zone: zones[i%len(zones)], Slots: 24}}
 	}
 	return list
@@ -173,7 +173,7 @@
 }
 
 // tell has each server of a list tell a load.
-func tell(p *Placer, now time.Time, list []*servers.Server, load func(i int) string) {
+func tell(p *Placer, now time.Time, list []*endpoints.Server, load func(i int) string) {
 	for i, server := range list {
 		p.Loads().Note(now, server.Hash, load(i))
 	}
--- a/internal/gateway/serverselection/prefer.go
+++ b/internal/gateway/serverselection/prefer.go
@@ -1,7 +1,7 @@
 package serverselection
 
 import (
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/policy"
 )
 
@@ -12,7 +12,7 @@
 }
 
 // prefer gives the two servers with the highest weights for a chain.
-func prefer(chain uint64, list []*servers.Server) (order preference) {
+func prefer(chain uint64, list []*endpoints.Server) (order preference) {
 	var highest, next uint64
 	for _, server := range list {
 		weight := mix(chain ^ server.Hash)
--- a/internal/gateway/serverselection/told.go
+++ b/internal/gateway/serverselection/told.go
@@ -4,11 +4,11 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/ablation"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 )
 
 // elsewhere gives the tokens that a server is still reading for other processes.
-func (p *Placer) elsewhere(now time.Time, server *servers.Server) float64 {
+func (p *Placer) elsewhere(now time.Time, server *endpoints.Server) float64 {
 	if ablation.Off(ablation.Announcements) {
 		return 0
 	}
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -19,7 +19,7 @@
 	up      bool
 	frozen  bool
 	seeds   []string
-	table   *servers.Registry
+	table   *endpoints.Registry
 	s       *Subscription
 	session *session
 	eager   bool // clients ask often, by keys
@@ -75,7 +75,7 @@
 	g.up, g.frozen, g.session, g.waiters, g.heard, g.index, g.content = true, false, nil, nil, false, 0, 0
 	g.troubledAt = w.Elapsed()
 	w.Start(g.name)
-	g.table = servers.NewRegistry(unused{})
+	g.table = endpoints.NewRegistry(unused{})
 	process := protocol.Process{Node: g.name, Role: protocol.RoleGateway, Zone: "z", IP: g.name, Incarnation: fmt.Sprint(g.life)}
 	settings := &node.Settings{Bounds: node.Bounds{Closed: true, Revoke: revoke}}
 	g.s = newAt(Options{Settings: settings, Process: process, Servers: g.table, Ready: g.ready}, g.clock.read())
--- a/internal/gateway/subscription/pure_test.go
+++ b/internal/gateway/subscription/pure_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -69,7 +69,7 @@
 
 func testSubscription(now time.Time) *Subscription {
 	settings := &node.Settings{Bounds: node.Bounds{Closed: true, Revoke: 5 * time.Second}}
-	return newAt(Options{Settings: settings, Servers: servers.NewRegistry(unused{}), Ready: func() bool { return false }}, now)
+	return newAt(Options{Settings: settings, Servers: endpoints.NewRegistry(unused{}), Ready: func() bool { return false }}, now)
 }
 
 func document(index uint64, routes string) *protocol.ConfigurationUpdate {
--- a/internal/gateway/subscription/subscription.go
+++ b/internal/gateway/subscription/subscription.go
@@ -13,7 +13,7 @@
 
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/configuration"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
@@ -32,7 +32,7 @@
 	Settings  *node.Settings
 	Process   protocol.Process
 	Transport transport.Options
-	Servers   *servers.Registry
+	Servers   *endpoints.Registry
 	Ready     func() bool // told to control with each poll
 	Log       zerolog.Logger
 	// Configured is told of each configuration that is put in force, in order. Nil: nobody.
--- a/internal/standin/unruly/world.go
+++ b/internal/standin/unruly/world.go
@@ -12,8 +12,8 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
-	"sprucelane.example/sprucelane/internal/gateway/servers"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
@@ -97,14 +97,14 @@
 	pool  *pool.Pool
 	proxy *proxy.Proxy
 
-	registry *servers.Registry
+	registry *endpoints.Registry
 	list     protocol.ServerList
 }
 
 func newWorld(seed uint64, size Size) *world {
 	w := &world{size: size, seed: seed, fleet: NewFleet(seed, size.Servers)}
 	w.pool = pool.New(pool.Options{Sockets: sockets, ConnIdle: connLife, ConnectWait: time.Second, Dial: w.fleet.Network.Dial})
-	w.registry = servers.NewRegistry(w.pool)
+	w.registry = endpoints.NewRegistry(w.pool)
 	for _, s := range w.fleet.Servers {
 		w.list.Servers = append(w.list.Servers, protocol.Server{ID: s.ID, Backend: backend, Address: s.Address})
 	}
