--- a/internal/batch/server/server_test.go
+++ b/internal/batch/server/server_test.go
@@ -16,7 +16,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"sprucelane.example/sprucelane/coord/transport"
-	"sprucelane.example/sprucelane/internal/gateway/batchcall"
+	"sprucelane.example/sprucelane/internal/gateway/batchproxy"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/serverload"
@@ -233,7 +233,7 @@
 }
 
 // until calls until a status comes, for a bounded time.
-func until(t *testing.T, caller *batchcall.Caller, call protocol.BatchCall, status int) protocol.BatchAnswer {
+func until(t *testing.T, caller *batchproxy.Caller, call protocol.BatchCall, status int) protocol.BatchAnswer {
 	deadline := time.Now().Add(10 * time.Second)
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
@@ -258,7 +258,7 @@
 }
 
 // readAll reads results until all are there.
-func readAll(t *testing.T, caller *batchcall.Caller, id string, total int) map[string]string {
+func readAll(t *testing.T, caller *batchproxy.Caller, id string, total int) map[string]string {
 	found := map[string]string{}
 	for start := 0; start < total; {
 		answer := until(t, caller, protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: id, Tenant: "tenant", Start: start, WaitMs: 500}, 200)
@@ -295,7 +295,7 @@
 	}
 	settings := testSettings("127.0.8.20", "front-1", "")
 	settings.Zone = "zone-store-1"
-	caller := batchcall.New(settings, transport.Options{Identity: transport.Identity{System: protocol.System, Role: protocol.RoleGateway}}, control.members,
+	caller := batchproxy.New(settings, transport.Options{Identity: transport.Identity{System: protocol.System, Role: protocol.RoleGateway}}, control.members,
 		serverload.NewBoard())
 	t.Cleanup(caller.Close)
 	call := func(operation protocol.BatchOperation, id string) protocol.BatchCall {
--- a/internal/gateway/batchcall/batchcall.go
+++ b/internal/gateway/batchproxy/batchcall.go
@@ -1,7 +1,7 @@
-// Package batchcall hands clients' calls for batch jobs to the batch processes: to one of the agreed set, to the owner that it
+// Package batchproxy hands clients' calls for batch jobs to the batch processes: to one of the agreed set, to the owner that it
 // names, and to another where one gives no answer. It must never promise more than the process that answered, and where a
 // submission may have been taken by one that fell silent it promises nothing.
-package batchcall
+package batchproxy
 
 import (
 	"context"
--- a/internal/gateway/batchcall/busy_test.go
+++ b/internal/gateway/batchproxy/busy_test.go
@@ -1,4 +1,4 @@
-package batchcall
+package batchproxy
 
 import (
 	"testing"
--- a/internal/gateway/batchcall/route.go
+++ b/internal/gateway/batchproxy/route.go
@@ -1,4 +1,4 @@
-package batchcall
+package batchproxy
 
 // route is the way of one call through the batch processes.
 type route struct {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/gateway/batchcall"
+	"sprucelane.example/sprucelane/internal/gateway/batchproxy"
 	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/outcomes"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
@@ -81,7 +81,7 @@
 	pool         *pool.Pool
 	servers      *endpoints.Registry
 	subscription *subscription.Subscription
-	batch        *batchcall.Caller
+	batch        *batchproxy.Caller
 	limits       *limits
 	proxy        *proxy.Proxy
 	clients      atomic.Pointer[front.Server]
@@ -103,7 +103,7 @@
 	g.subscription = subscription.New(subscription.Options{Settings: settings, Process: process, Transport: options,
 		Servers: g.servers, Ready: g.Ready, Log: log, Configured: g.limits.Configure})
 	g.limits.members = g.subscription.Members
-	g.batch = batchcall.New(settings, options, g.subscription.Members, placer.Loads())
+	g.batch = batchproxy.New(settings, options, g.subscription.Members, placer.Loads())
 	g.proxy = &proxy.Proxy{
 		Knowledge: g.subscription,
 		Servers:   g.servers,
