--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -12,7 +12,7 @@
 
 	"sprucelane.example/sprucelane/internal/discovery"
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/agent"
+	"sprucelane.example/sprucelane/internal/standin/discoveryagent"
 	"sprucelane.example/sprucelane/internal/standin/members"
 )
 
@@ -44,7 +44,7 @@
 // Site is a running one.
 type Site struct {
 	Plan
-	Agent     *agent.Agent
+	Agent     *discoveryagent.Agent
 	Ledger    *members.Ledger
 	Doors     []*load.Door
 	Generator *load.Generator
@@ -83,7 +83,7 @@
 		}
 		s.Dir = s.own
 	}
-	if s.Agent, err = agent.Start(p.Gateways, p.Delay, p.Called); err != nil {
+	if s.Agent, err = discoveryagent.Start(p.Gateways, p.Delay, p.Called); err != nil {
 		return nil, err
 	}
 	s.Ledger.Tap = p.Tap
--- a/internal/standin/agent/agent.go
+++ b/internal/standin/discoveryagent/agent.go
@@ -1,7 +1,7 @@
-// Package agent owns the stand-in discovery agent: the platform's list and watch, told to each gateway on an address
+// Package discoveryagent owns the stand-in discovery agent: the platform's list and watch, told to each gateway on an address
 // of its own, late or not at all by script. It remembers when each gateway was told what. It must never be linked into
 // the gateway.
-package agent
+package discoveryagent
 
 import (
 	"encoding/json"
--- a/internal/standin/agent/agent_test.go
+++ b/internal/standin/discoveryagent/agent_test.go
@@ -1,4 +1,4 @@
-package agent
+package discoveryagent
 
 import (
 	"encoding/json"
