--- a/internal/lab/soak/referee_test.go
+++ b/internal/lab/soak/referee_test.go
@@ -13,13 +13,13 @@
 
 	"sprucelane.example/sprucelane/coord/transport/partition"
 	"sprucelane.example/sprucelane/internal/lab/system"
-	"sprucelane.example/sprucelane/internal/standin/engine"
+	"sprucelane.example/sprucelane/internal/standin/modelserver"
 )
 
 // result gives a whole result of an item, as the stand-in servers put it out.
 func result(item string) system.BatchResult {
 	const events = 10
-	return system.BatchResult{ID: item, State: "completed", Text: engine.Text(item, events)}
+	return system.BatchResult{ID: item, State: "completed", Text: modelserver.Text(item, events)}
 }
 
 func results(from, total int, items ...string) system.Results {
--- a/internal/lab/system/client.go
+++ b/internal/lab/system/client.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/engine"
+	"sprucelane.example/sprucelane/internal/standin/modelserver"
 )
 
 const (
@@ -128,10 +128,10 @@
 }
 
 func wrongEvents(text, id string) string {
-	events := engine.Events(outTokens, engineStride)
+	events := modelserver.Events(outTokens, engineStride)
 	var want strings.Builder
 	for n := 1; n <= events; n++ {
-		fmt.Fprintf(&want, "id: %d\ndata: %s\n\n", n, engine.EventData(id, n))
+		fmt.Fprintf(&want, "id: %d\ndata: %s\n\n", n, modelserver.EventData(id, n))
 	}
 	if text != want.String() {
 		return fmt.Sprintf("%d bytes are not the %d events of the server", len(text), events)
@@ -203,7 +203,7 @@
 
 // Whole tells whether a result is the whole output of its item.
 func (r BatchResult) Whole() bool {
-	return r.State == "completed" && r.Text == engine.Text(r.ID, engine.Events(outTokens, engineStride))
+	return r.State == "completed" && r.Text == modelserver.Text(r.ID, modelserver.Events(outTokens, engineStride))
 }
 
 // Read reads the results of a batch job from a position on; the status is 0 without an answer.
--- a/internal/lab/system/fleet.go
+++ b/internal/lab/system/fleet.go
@@ -17,7 +17,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 	"sprucelane.example/sprucelane/internal/lab/process"
 	"sprucelane.example/sprucelane/internal/node"
-	"sprucelane.example/sprucelane/internal/standin/engine"
+	"sprucelane.example/sprucelane/internal/standin/modelserver"
 	"sprucelane.example/sprucelane/internal/standin/platform"
 )
 
@@ -67,13 +67,13 @@
 	Plan     Plan
 	Machines []Machine
 	Platform *platform.Platform
-	Ledger   *engine.Ledger
+	Ledger   *modelserver.Ledger
 
 	settings Settings
 	network  string
 
 	mu        sync.Mutex
-	engines   []*engine.Server
+	engines   []*modelserver.Server
 	processes map[string]*process.Process // by machine and role
 }
 
@@ -85,7 +85,7 @@
 	}
 	f := &Fleet{
 		Plan:      plan,
-		Ledger:    &engine.Ledger{},
+		Ledger:    &modelserver.Ledger{},
 		network:   ownNetwork(),
 		processes: map[string]*process.Process{},
 	}
@@ -148,12 +148,12 @@
 }
 
 // AddEngine starts a model server in the next zone and lists it.
-func (f *Fleet) AddEngine() (*engine.Server, error) {
+func (f *Fleet) AddEngine() (*modelserver.Server, error) {
 	const firstEngine = 50
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	number := len(f.engines)
-	server, err := engine.Start(engine.Options{
+	server, err := modelserver.Start(modelserver.Options{
 		ID:             fmt.Sprintf("i-%04d", number+1),
 		Service:        ServiceName,
 		Address:        endpoint(f.address(firstEngine+number), portEngine),
@@ -176,10 +176,10 @@
 }
 
 // Engines gives the model servers.
-func (f *Fleet) Engines() []*engine.Server {
+func (f *Fleet) Engines() []*modelserver.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*engine.Server(nil), f.engines...)
+	return append([]*modelserver.Server(nil), f.engines...)
 }
 
 // StartAll starts all processes.
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -13,7 +13,7 @@
 
 	"sprucelane.example/sprucelane/internal/controlclient"
 	"sprucelane.example/sprucelane/internal/lab/programs"
-	"sprucelane.example/sprucelane/internal/standin/engine"
+	"sprucelane.example/sprucelane/internal/standin/modelserver"
 )
 
 // built is the folder of the programs that the tests build.
@@ -82,7 +82,7 @@
 			t.Errorf("request %d at %s: %+v", i, m.Name, got)
 		}
 	}
-	runs := slices.DeleteFunc(runsOf(f, TenantName), func(run engine.Run) bool { return !strings.HasPrefix(run.Request, "req-") })
+	runs := slices.DeleteFunc(runsOf(f, TenantName), func(run modelserver.Run) bool { return !strings.HasPrefix(run.Request, "req-") })
 	if len(runs) != 30 || f.Ledger.Twice() > 0 {
 		t.Errorf("%d runs of 30 requests, %d twice", len(runs), f.Ledger.Twice())
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-func runsOf(f *Fleet, tenant string) []engine.Run {
-	return slices.DeleteFunc(f.Ledger.Runs(), func(run engine.Run) bool { return run.Tenant != tenant })
+func runsOf(f *Fleet, tenant string) []modelserver.Run {
+	return slices.DeleteFunc(f.Ledger.Runs(), func(run modelserver.Run) bool { return run.Tenant != tenant })
 }
 
 // A key that is taken away ends everywhere within the bound, and the other tenant's goes on. What the operator sent twice is
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/modelserver/cache.go
@@ -1,4 +1,4 @@
-package engine
+package modelserver
 
 import (
 	"container/list"
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/modelserver/engine.go
@@ -1,7 +1,7 @@
-// Package engine owns stand-in model servers: they speak the protocol's "Servers", batch requests in slots, read prompts, keep
+// Package modelserver owns stand-in model servers: they speak the protocol's "Servers", batch requests in slots, read prompts, keep
 // shared parts of them and put out streams of events, and they account for what they ran. They must never be linked into a
 // program that is deployed, nor judge what a gateway should have done.
-package engine
+package modelserver
 
 import (
 	"context"
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/engine"
+	"sprucelane.example/sprucelane/internal/standin/modelserver"
 )
 
 const (
@@ -108,7 +108,7 @@
 func (p *Platform) Stop() { p.server.Close() }
 
 // Put lists a server as it is now, in a zone.
-func (p *Platform) Put(s *engine.Server, zone string) {
+func (p *Platform) Put(s *modelserver.Server, zone string) {
 	state := "ready"
 	if s.Draining() {
 		state = "draining"
