--- a/cmd/sprucelab/load.go
+++ b/cmd/sprucelab/load.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/internal/cli"
 	"sprucelane.example/sprucelane/internal/lab"
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 func loadCommand(binary *string) *cobra.Command {
@@ -31,7 +31,7 @@
 			defer stop()
 			asks := lab.PlatformLoad(seed, rate, accounts, max(gateways, 1))
 			asks.Retries, asks.Heeds = retries, heeds
-			site, err := lab.Open(lab.Plan{Binary: *binary, Seed: seed, Gateways: gateways, Members: count, Spec: members.Default(),
+			site, err := lab.Open(lab.Plan{Binary: *binary, Seed: seed, Gateways: gateways, Members: count, Spec: poolmember.Default(),
 				SlowPart: 0.4, Delay: 800 * time.Millisecond, Load: asks, Peers: gateways > 1})
 			if err != nil {
 				return cli.Coded{Code: cli.Usage, Err: err}
--- a/internal/lab/cost.go
+++ b/internal/lab/cost.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 // ServeCost is what a gateway's program takes to start, to stand and to serve.
@@ -20,8 +20,8 @@
 
 // MeasureCost starts a program's gateway some times over, then loads one.
 func MeasureCost(ctx context.Context, binary string, starts int, rate float64, length time.Duration, progress io.Writer) (c ServeCost, err error) {
-	spec := members.Default()
-	spec.Cores, spec.Work = 64, members.Work{Mean: 5 * time.Millisecond}
+	spec := poolmember.Default()
+	spec.Cores, spec.Work = 64, poolmember.Work{Mean: 5 * time.Millisecond}
 	asks := PlatformLoad(1, rate, 100, 1)
 	for i := range asks.Plans {
 		asks.Plans[i].Rate, asks.Plans[i].Burst = 1e6, 1e6
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 // Demo is a small site with something going wrong every few seconds.
@@ -51,7 +51,7 @@
 
 // Run plays the demo and ends with what the rules were kept by.
 func (d Demo) Run(ctx context.Context) error {
-	site, err := Open(Plan{Binary: d.Binary, Seed: d.Seed, Gateways: demoGateways, Members: demoMembers, Spec: members.Default(),
+	site, err := Open(Plan{Binary: d.Binary, Seed: d.Seed, Gateways: demoGateways, Members: demoMembers, Spec: poolmember.Default(),
 		SlowPart: 0.4, Delay: 800 * time.Millisecond, Load: PlatformLoad(d.Seed, d.Rate, 24, demoGateways), Peers: true})
 	if err != nil {
 		return err
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/lab/programs"
 	"sprucelane.example/sprucelane/internal/lab/referee"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 	"sprucelane.example/sprucelane/internal/store"
 	"sprucelane.example/sprucelane/internal/store/keep"
 	"sprucelane.example/sprucelane/policy"
@@ -194,7 +194,7 @@
 	p := Default()
 	set, err := Settings(p)
 	require.NoError(t, err)
-	r := &rig{Plan: p, set: set, requests: map[string]*seen{}, members: map[*members.Member]*referee.Member{}, counts: map[string]map[int]int{},
+	r := &rig{Plan: p, set: set, requests: map[string]*seen{}, members: map[*poolmember.Member]*referee.Member{}, counts: map[string]map[int]int{},
 		troubled: map[int][]span{}, ways: map[int]func(int, int) Way{}, began: time.Now()}
 	r.referee = referee.New(set, 1, 0)
 	return r
--- a/internal/lab/faults/rig.go
+++ b/internal/lab/faults/rig.go
@@ -25,7 +25,7 @@
 	"sprucelane.example/sprucelane/internal/lab"
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/lab/referee"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 	"sprucelane.example/sprucelane/policy"
 )
 
@@ -45,7 +45,7 @@
 	Seed     uint64
 	Gateways int
 	Members  int
-	Spec     members.Spec
+	Spec     poolmember.Spec
 	Load     float64 // first tries, of what all members can do
 	Spread   int     // gateways of an account's set; 0: all
 	Heavy    float64 // share of the accounts that ask four times as much
@@ -61,7 +61,7 @@
 
 // Default is the site that the scripts were written for: five gateways before twelve members, at 0.6 of what these can do.
 func Default() Plan {
-	return Plan{Seed: 1, Gateways: 5, Members: 12, Spec: members.Default(), Load: 0.6, Heavy: 0.1, Ceiling: 2, Length: 30 * time.Second,
+	return Plan{Seed: 1, Gateways: 5, Members: 12, Spec: poolmember.Default(), Load: 0.6, Heavy: 0.1, Ceiling: 2, Length: 30 * time.Second,
 		Notice: 200 * time.Millisecond, Slack: 50 * time.Millisecond}
 }
 
@@ -140,7 +140,7 @@
 	mu       sync.Mutex
 	referee  *referee.Referee
 	requests map[string]*seen
-	members  map[*members.Member]*referee.Member
+	members  map[*poolmember.Member]*referee.Member
 	last     policy.RequestID
 	counts   map[string]map[int]int // by what, in each tenth of a second
 	troubled map[int][]span         // gateways that were killed, stopped or ended, and until when
@@ -234,7 +234,7 @@
 func (r *rig) Connected() { r.count("dials") }
 
 // Came implements members.Tap.
-func (r *rig) Came(m *members.Member, gateway int, id string, warmth float64) int {
+func (r *rig) Came(m *poolmember.Member, gateway int, id string, warmth float64) int {
 	told := r.site.Agent.Told(gateway, m.ID)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,7 +316,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &rig{Plan: p, requests: map[string]*seen{}, members: map[*members.Member]*referee.Member{}, counts: map[string]map[int]int{},
+	r := &rig{Plan: p, requests: map[string]*seen{}, members: map[*poolmember.Member]*referee.Member{}, counts: map[string]map[int]int{},
 		troubled: map[int][]span{}, ways: map[int]func(int, int) Way{}, severed: map[string]*Relay{}, began: time.Now()}
 	if down != nil {
 		r.down = func(n int) { down(r, n) }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,7 +18,7 @@
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/lab/programs"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 	"sprucelane.example/sprucelane/internal/standin/teller"
 )
 
@@ -30,7 +30,7 @@
 }
 
 func site(t *testing.T, gateways, n int) *Site {
-	spec := members.Default()
+	spec := poolmember.Default()
 	spec.Work.Mean = 20 * time.Millisecond
 	asks := PlatformLoad(3, 60, 20, gateways)
 	for i := range asks.Plans {
--- a/internal/lab/learning.go
+++ b/internal/lab/learning.go
@@ -17,7 +17,7 @@
 	"sprucelane.example/sprucelane/internal/knowledge"
 	learning "sprucelane.example/sprucelane/internal/knowledge/link"
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 	"sprucelane.example/sprucelane/internal/standin/teller"
 )
 
@@ -111,7 +111,7 @@
 func (l Learning) play(ctx context.Context, seed uint64, arm string) (run LearningRun, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	spec := members.Default()
+	spec := poolmember.Default()
 	spec.Cores, spec.Speed = 1, 0.6
 	asks := PlatformLoad(seed, l.Rate, 60, 3)
 	for i := range asks.Plans { // quotas are not the subject
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -13,7 +13,7 @@
 	"sprucelane.example/sprucelane/internal/discovery"
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/standin/discoveryagent"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 // Plan of a site: what stands and who asks.
@@ -23,7 +23,7 @@
 	Seed     uint64
 	Gateways int
 	Members  int
-	Spec     members.Spec
+	Spec     poolmember.Spec
 	SlowPart float64       // share of the members whose cores run at three quarters of the speed
 	Delay    time.Duration // of discovery
 	Load     load.Options
@@ -36,7 +36,7 @@
 
 	PeersOf func(gateway int, real []string) ([]string, error) // the addresses at which a gateway finds its peers; nil: the real ones
 	Via     func(gateway int, member, addr string) string      // the address at which it finds a member; nil: the real one
-	Tap     members.Tap                                        // nil: none
+	Tap     poolmember.Tap                                     // nil: none
 	Ahead   func(gateway int) time.Duration                    // of its clock; nil: none is
 	Called  func(gateway int)                                  // of calls to discovery; nil: nobody
 }
@@ -45,7 +45,7 @@
 type Site struct {
 	Plan
 	Agent     *discoveryagent.Agent
-	Ledger    *members.Ledger
+	Ledger    *poolmember.Ledger
 	Doors     []*load.Door
 	Generator *load.Generator
 	Began     time.Time // when the load began
@@ -56,8 +56,8 @@
 	own           string // folder to remove
 
 	mu       sync.Mutex
-	members  []*members.Member // all that ever were
-	current  map[string]*members.Member
+	members  []*poolmember.Member // all that ever were
+	current  map[string]*poolmember.Member
 	gateways []*Process // by number; nil: down
 	rng      *rand.Rand
 	lives    int
@@ -68,7 +68,7 @@
 	if p.Gateways < 1 || p.Members < 1 {
 		return nil, fmt.Errorf("gateways, members: must be 1 or more")
 	}
-	s := &Site{Plan: p, Ledger: members.NewLedger("work-order"), current: map[string]*members.Member{},
+	s := &Site{Plan: p, Ledger: poolmember.NewLedger("work-order"), current: map[string]*poolmember.Member{},
 		gateways: make([]*Process, p.Gateways), rng: rand.New(rand.NewPCG(p.Seed, 4))}
 	if s.MemoryMB == 0 {
 		s.MemoryMB = 192
@@ -123,14 +123,14 @@
 }
 
 // AddMember starts a member and lists it. A started time makes it cold; addresses make it stand where another did.
-func (s *Site) AddMember(id string, started time.Time, addrs []string) (*members.Member, error) {
+func (s *Site) AddMember(id string, started time.Time, addrs []string) (*poolmember.Member, error) {
 	s.mu.Lock()
 	spec := s.Spec
 	if s.rng.Float64() < s.SlowPart {
 		spec.Speed *= 0.75
 	}
 	s.mu.Unlock()
-	m, err := members.Start(id, started, spec, s.Gateways, s.Ledger, s.Agent.Told, addrs)
+	m, err := poolmember.Start(id, started, spec, s.Gateways, s.Ledger, s.Agent.Told, addrs)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 }
 
 // Member gives a member in its present life.
-func (s *Site) Member(id string) *members.Member {
+func (s *Site) Member(id string) *poolmember.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current[id]
@@ -249,7 +249,7 @@
 
 // Audit is what the rules were kept by, over all members that ever were.
 type Audit struct {
-	members.Account
+	poolmember.Account
 	Twice uint64 // work-orders that reached members more than once
 }
 
--- a/internal/lab/storm.go
+++ b/internal/lab/storm.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 // Storm is the plan of the measurement of retry storms: all members are stopped for a while and come back cold, while
@@ -51,8 +51,8 @@
 }
 
 // stormSpec is a member of the measurement: slow, so that few requests make a storm.
-func stormSpec() members.Spec {
-	s := members.Default()
+func stormSpec() poolmember.Spec {
+	s := poolmember.Default()
 	s.Cores, s.Speed, s.Queue = 2, 1, 24
 	s.Work.Mean = 400 * time.Millisecond
 	s.WarmWithin = 16 * time.Second
--- a/internal/lab/upgrade.go
+++ b/internal/lab/upgrade.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/lab/load"
-	"sprucelane.example/sprucelane/internal/standin/members"
+	"sprucelane.example/sprucelane/internal/standin/poolmember"
 )
 
 // Upgrade is the plan of the measurement of upgrades: one gateway at the smallest limits is put in another's place again and
@@ -68,8 +68,8 @@
 func (p Upgrade) play(ctx context.Context, seed uint64, beside bool) (run UpgradeRun, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	spec := members.Default()
-	spec.Cores, spec.Work = 8, members.Work{Mean: 40 * time.Millisecond}
+	spec := poolmember.Default()
+	spec.Cores, spec.Work = 8, poolmember.Work{Mean: 40 * time.Millisecond}
 	dir := ""
 	if p.Dir != "" {
 		dir = filepath.Join(p.Dir, fmt.Sprintf("%d-%t", seed, beside))
--- a/internal/standin/members/member.go
+++ b/internal/standin/poolmember/member.go
@@ -1,8 +1,8 @@
-// Package members owns stand-in pool members: servers on loopback that speak the platform's protocol and behave as
+// Package poolmember owns stand-in pool members: servers on loopback that speak the platform's protocol and behave as
 // machines do, with cores, a queue, a cold start, pauses, hangs and crashes, and that keep account of what they were
 // sent. Their work takes time and no processor. They must never be linked into the gateway, nor judge what a gateway
 // should have done beyond the rules' own figures.
-package members
+package poolmember
 
 import (
 	"context"
--- a/internal/standin/members/member_test.go
+++ b/internal/standin/poolmember/member_test.go
@@ -1,4 +1,4 @@
-package members
+package poolmember
 
 import (
 	"fmt"
