--- a/internal/batch/serverclient/early_test.go
+++ b/internal/batch/serverclient/early_test.go
@@ -12,13 +12,13 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 // inMemory plays a story in virtual time with a server that takes each connection by a function.
-func inMemory(t *testing.T, server func(*memory.Conn), story func(*Client, *Request)) {
+func inMemory(t *testing.T, server func(*memorynet.Conn), story func(*Client, *Request)) {
 	synctest.Test(t, func(*testing.T) {
-		network := &memory.Network{Window: func() int { return 4 << 10 }, Latency: func() time.Duration { return time.Millisecond }}
+		network := &memorynet.Network{Window: func() int { return 4 << 10 }, Latency: func() time.Duration { return time.Millisecond }}
 		l := network.Listen("server")
 		go func() {
 			for {
@@ -26,7 +26,7 @@
 				if err != nil {
 					return
 				}
-				go server(c.(*memory.Conn))
+				go server(c.(*memorynet.Conn))
 			}
 		}()
 		client := NewClient()
@@ -41,16 +41,16 @@
 const impossible = "HTTP/1.1 422 No\r\nX-Request-Id: item\r\nContent-Length: 0\r\n\r\n"
 
 func TestAnswerBeforeTheBodyIsWhole(t *testing.T) {
-	for name, then := range map[string]func(*memory.Conn){
-		"reads no further": func(*memory.Conn) {},
-		"closes":           func(c *memory.Conn) { c.Close() },
-		"resets":           func(c *memory.Conn) { c.Reset(false) },
+	for name, then := range map[string]func(*memorynet.Conn){
+		"reads no further": func(*memorynet.Conn) {},
+		"closes":           func(c *memorynet.Conn) { c.Close() },
+		"resets":           func(c *memorynet.Conn) { c.Reset(false) },
 	} {
 		for _, length := range []int{8 << 10, 200 << 10} {
 			var outcome Outcome
 			var took time.Duration
 			kept := false
-			inMemory(t, func(c *memory.Conn) {
+			inMemory(t, func(c *memorynet.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReaderSize(c, 16)); err == nil {
 					io.WriteString(c, impossible)
 					then(c)
@@ -76,7 +76,7 @@
 	const failure = "HTTP/1.1 500 No\r\nX-Request-Id: item\r\nContent-Length: 0\r\n\r\n"
 	connections, runs := 0, 0
 	var endings []Ending
-	inMemory(t, func(c *memory.Conn) {
+	inMemory(t, func(c *memorynet.Conn) {
 		connections++
 		in := bufio.NewReader(c)
 		for {
@@ -105,7 +105,7 @@
 
 func TestConnectionThatWasNotUsed(t *testing.T) {
 	var dials int64
-	inMemory(t, func(c *memory.Conn) { io.Copy(io.Discard, c) }, func(client *Client, r *Request) {
+	inMemory(t, func(c *memorynet.Conn) { io.Copy(io.Discard, c) }, func(client *Client, r *Request) {
 		r.Gate = func() bool { return false }
 		for range 8 {
 			client.Run(context.Background(), r)
--- a/internal/gateway/proxy/timed_test.go
+++ b/internal/gateway/proxy/timed_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/standin"
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 // This file plays a gateway between a client and servers on virtual time, over connections in memory.
@@ -58,7 +58,7 @@
 // timed is a gateway within a bubble.
 type timed struct {
 	check   assert.TestingT
-	network *memory.Network
+	network *memorynet.Network
 	began   time.Time
 
 	mu       sync.Mutex
@@ -80,7 +80,7 @@
 func (g ruling) play(count int, script []standin.Reply, play func(*timed)) {
 	synctest.Test(g.T, func(t *testing.T) {
 		w := &timed{check: g.check, latency: timedLatency}
-		w.network = &memory.Network{Window: func() int { return 16 << 10 }, Latency: w.latencyNow}
+		w.network = &memorynet.Network{Window: func() int { return 16 << 10 }, Latency: w.latencyNow}
 		members := pool.New(pool.Options{Sockets: 99, ConnIdle: time.Minute, ConnectWait: 400 * time.Millisecond, Dial: w.network.Dial})
 		registry := endpoints.NewRegistry(members)
 		list := &protocol.ServerList{Version: 1}
--- a/internal/pool/early_test.go
+++ b/internal/pool/early_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 	"sprucelane.example/sprucelane/policy"
 )
 
@@ -28,9 +28,9 @@
 )
 
 // inMemory plays a story in virtual time with a pool whose one member takes each connection by a function.
-func inMemory(t *testing.T, member func(*memory.Conn), story func(*Pool)) {
+func inMemory(t *testing.T, member func(*memorynet.Conn), story func(*Pool)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &memory.Network{Window: func() int { return testWindow }, Latency: func() time.Duration { return testLatency }}
+		network := &memorynet.Network{Window: func() int { return testWindow }, Latency: func() time.Duration { return testLatency }}
 		l := network.Listen("member")
 		go func() {
 			for {
@@ -38,7 +38,7 @@
 				if err != nil {
 					return
 				}
-				go member(c.(*memory.Conn))
+				go member(c.(*memorynet.Conn))
 			}
 		}()
 		p := New(Options{Sockets: 9, ConnIdle: testLife, ConnectWait: time.Second, Dial: network.Dial})
@@ -61,8 +61,8 @@
 const fine = okHead + "Content-Length: 2\r\n\r\nok"
 
 // answersAfter answers once it has read the head and so much of the body.
-func answersAfter(read int, text string, then func(c *memory.Conn, in *bufio.Reader)) func(*memory.Conn) {
-	return func(c *memory.Conn) {
+func answersAfter(read int, text string, then func(c *memorynet.Conn, in *bufio.Reader)) func(*memorynet.Conn) {
+	return func(c *memorynet.Conn) {
 		in := bufio.NewReaderSize(c, 16)
 		r, err := http.ReadRequest(in)
 		if err != nil {
@@ -78,11 +78,11 @@
 // of another request comes in the place of the rest, and the next request has a connection of its own.
 func TestAnswerBeforeTheBodyIsWhole(t *testing.T) {
 	const length = 200 << 10
-	for name, then := range map[string]func(*memory.Conn, *bufio.Reader){
-		"it reads no further": func(*memory.Conn, *bufio.Reader) {},
-		"it closes":           func(c *memory.Conn, _ *bufio.Reader) { c.Close() },
-		"it resets":           func(c *memory.Conn, _ *bufio.Reader) { c.Reset(false) },
-		"it reads on later": func(c *memory.Conn, in *bufio.Reader) {
+	for name, then := range map[string]func(*memorynet.Conn, *bufio.Reader){
+		"it reads no further": func(*memorynet.Conn, *bufio.Reader) {},
+		"it closes":           func(c *memorynet.Conn, _ *bufio.Reader) { c.Close() },
+		"it resets":           func(c *memorynet.Conn, _ *bufio.Reader) { c.Reset(false) },
+		"it reads on later": func(c *memorynet.Conn, in *bufio.Reader) {
 			time.Sleep(time.Second)
 			rest, _ := io.ReadAll(in)
 			if strings.Contains(string(rest), "HTTP/1.1") {
@@ -116,7 +116,7 @@
 func TestAnswerBeforeTheBodyIsWholeWithoutStall(t *testing.T) {
 	const length = 40 << 10
 	var whole atomic.Int64
-	member := answersAfter(1000, fine, func(c *memory.Conn, in *bufio.Reader) {
+	member := answersAfter(1000, fine, func(c *memorynet.Conn, in *bufio.Reader) {
 		n := 0
 		for piece := make([]byte, 1024); n < length-1000; time.Sleep(bodyStall / 5) {
 			read, err := in.Read(piece)
@@ -148,7 +148,7 @@
 	call(length).Head(&b)
 	head = b.Len()
 	for _, cut := range []int{0, 1, head - 1, head, head + 1, head + length/2, head + length - 1} {
-		inMemory(t, func(c *memory.Conn) {
+		inMemory(t, func(c *memorynet.Conn) {
 			io.CopyN(io.Discard, c, int64(cut))
 			c.Reset(false)
 		}, func(p *Pool) {
@@ -168,7 +168,7 @@
 
 // A connection that was chosen and then not used is as old as it was: its member closes it when it would have.
 func TestConnectionThatWasNotUsedDoesNotGrowYounger(t *testing.T) {
-	inMemory(t, func(c *memory.Conn) {
+	inMemory(t, func(c *memorynet.Conn) {
 		in := bufio.NewReader(c)
 		for {
 			if _, err := http.ReadRequest(in); err != nil {
@@ -201,7 +201,7 @@
 // What belongs to another request is waited behind as before the first answer, and its connection is not kept.
 func TestAnswerBehindAForeignOne(t *testing.T) {
 	const pause = 300 * time.Millisecond
-	inMemory(t, func(c *memory.Conn) {
+	inMemory(t, func(c *memorynet.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
--- a/internal/pool/torn_test.go
+++ b/internal/pool/torn_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 // A part of a head comes late in the place of the answer, and the answer behind it goes on in one of its values: it would have the
@@ -30,7 +30,7 @@
 		"HTTP/1.1 200 OK\r\nVia: HTTP/1.1 a, HTTP/1.0 200b\r\n" + own[len("HTTP/1.1 500 Internal Server Error\r\n"):]: true,
 		own: true,
 	} {
-		inMemory(t, func(c *memory.Conn) {
+		inMemory(t, func(c *memorynet.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				io.WriteString(c, text)
 			}
--- a/internal/standin/memory/memory_test.go
+++ b/internal/standin/memorynet/memory_test.go
@@ -1,4 +1,4 @@
-package memory
+package memorynet
 
 import (
 	"bytes"
--- a/internal/standin/memory/network.go
+++ b/internal/standin/memorynet/network.go
@@ -1,7 +1,7 @@
-// Package memory owns connections in memory for tests in bubbles of testing/synctest: bytes take time and have bounded room, and
+// Package memorynet owns connections in memory for tests in bubbles of testing/synctest: bytes take time and have bounded room, and
 // an end may close a connection, reset it or fall silent at any byte. Nothing in it waits on the system, so that virtual time
 // passes while all wait. It must never be linked into the program.
-package memory
+package memorynet
 
 import (
 	"context"
--- a/internal/standin/unruly/client.go
+++ b/internal/standin/unruly/client.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 const (
@@ -29,9 +29,9 @@
 type client struct {
 	name    string
 	audit   *Audit
-	network *memory.Network
+	network *memorynet.Network
 	r       *rand.Rand
-	conn    *memory.Conn // nil: none is open
+	conn    *memorynet.Conn // nil: none is open
 	in      *bufio.Reader
 	next    int
 }
@@ -69,7 +69,7 @@
 		c.audit.failf("%s: %v", c.name, err)
 		return false
 	}
-	c.conn = conn.(*memory.Conn)
+	c.conn = conn.(*memorynet.Conn)
 	c.in = bufio.NewReader(c.conn)
 	return true
 }
--- a/internal/standin/unruly/fleet.go
+++ b/internal/standin/unruly/fleet.go
@@ -6,13 +6,13 @@
 	"net"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 // Fleet is the servers of a world.
 type Fleet struct {
 	Audit   *Audit
-	Network *memory.Network
+	Network *memorynet.Network
 	Servers []Address
 
 	listeners []net.Listener
--- a/internal/standin/unruly/network.go
+++ b/internal/standin/unruly/network.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 // conditions are what connections differ in.
@@ -14,9 +14,9 @@
 	r  *rand.Rand
 }
 
-func newNetwork(r *rand.Rand) *memory.Network {
+func newNetwork(r *rand.Rand) *memorynet.Network {
 	c := &conditions{r: r}
-	return &memory.Network{Window: c.window, Latency: c.latency}
+	return &memorynet.Network{Window: c.window, Latency: c.latency}
 }
 
 func (c *conditions) window() int {
--- a/internal/standin/unruly/server.go
+++ b/internal/standin/unruly/server.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/standin/memory"
+	"sprucelane.example/sprucelane/internal/standin/memorynet"
 )
 
 const (
@@ -36,7 +36,7 @@
 type life struct {
 	mu      sync.Mutex
 	id      string
-	conns   []*memory.Conn
+	conns   []*memorynet.Conn
 	drained time.Time // since when the gateway knows that it gets nothing new; zero: it may
 }
 
@@ -58,7 +58,7 @@
 }
 
 // takes notes a connection, and gives the id of the incarnation that has it.
-func (s *server) takes(c *memory.Conn) string {
+func (s *server) takes(c *memorynet.Conn) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, c)
@@ -76,7 +76,7 @@
 type line struct {
 	*server
 	of   string // the incarnation
-	conn *memory.Conn
+	conn *memorynet.Conn
 	in   *bufio.Reader
 	r    *rand.Rand
 	idle time.Duration
@@ -86,7 +86,7 @@
 	over    string // why nothing may follow on this connection; "": something may
 }
 
-func (s *server) serve(c *memory.Conn, r *rand.Rand) {
+func (s *server) serve(c *memorynet.Conn, r *rand.Rand) {
 	l := &line{server: s, of: s.takes(c), conn: c, in: bufio.NewReaderSize(c, 512), r: r}
 	for l.exchange() {
 	}
@@ -355,6 +355,6 @@
 			return
 		}
 		s.audit.count("connections")
-		go s.serve(c.(*memory.Conn), rand.New(rand.NewPCG(seed, number)))
+		go s.serve(c.(*memorynet.Conn), rand.New(rand.NewPCG(seed, number)))
 	}
 }
