--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -21,7 +21,7 @@
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/link"
-	"sprucelane.example/sprucelane/internal/standin/teller"
+	"sprucelane.example/sprucelane/internal/standin/knowledgepeer"
 )
 
 var origin = time.Now()
@@ -116,7 +116,7 @@
 // The peer dies in the middle of its stream: what came counts, and it is asked again.
 func TestPeerThatDies(t *testing.T) {
 	var calls atomic.Int32
-	peer, err := teller.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
+	peer, err := knowledgepeer.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
 		if n == 1 {
 			return nil, 0
 		}
@@ -142,7 +142,7 @@
 	}{"newer, compatible": {9, 1, true}, "newer": {9, 9, false}, "older than any": {0, 0, false}} {
 		facts := []*pb.Fact{fact(1, true), quiet(1)}
 		facts[0].ProtoReflect().SetUnknown([]byte{0xf8, 0x07, 0x05}) // a field that this program doesn't know
-		peer, err := teller.Start(func(int, time.Duration) (*pb.Picture, time.Duration) {
+		peer, err := knowledgepeer.Start(func(int, time.Duration) (*pb.Picture, time.Duration) {
 			return &pb.Picture{Version: c.version, Oldest: c.oldest, Teller: "peer", Whole: true, Facts: facts}, -1
 		})
 		require.NoError(t, err)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -18,8 +18,8 @@
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/lab/programs"
+	"sprucelane.example/sprucelane/internal/standin/knowledgepeer"
 	"sprucelane.example/sprucelane/internal/standin/poolmember"
-	"sprucelane.example/sprucelane/internal/standin/teller"
 )
 
 var built string // folder
@@ -79,7 +79,7 @@
 // speaks holds the start up for no longer than the wait.
 func TestPraiseListsNoMember(t *testing.T) {
 	s := site(t, 1, 4)
-	praise, err := teller.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
+	praise, err := knowledgepeer.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
 		p := &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Whole: n == 0}
 		for i, id := range []string{"m-001", "m-009"} {
 			p.Facts = append(p.Facts, &pb.Fact{Instance: id, Observer: "peer", ObserverLife: 1, Seq: uint64(2*n + i + 1), Pace: 0.01,
@@ -89,7 +89,7 @@
 	})
 	require.NoError(t, err)
 	t.Cleanup(praise.Stop)
-	silent, err := teller.Start(func(int, time.Duration) (*pb.Picture, time.Duration) { return &pb.Picture{Version: 1, Oldest: 1}, -1 })
+	silent, err := knowledgepeer.Start(func(int, time.Duration) (*pb.Picture, time.Duration) { return &pb.Picture{Version: 1, Oldest: 1}, -1 })
 	require.NoError(t, err)
 	t.Cleanup(silent.Stop)
 	ready, err := s.StartGateway(0, knows("", praise.Addr(), silent.Addr()))
--- a/internal/lab/learning.go
+++ b/internal/lab/learning.go
@@ -17,8 +17,8 @@
 	"sprucelane.example/sprucelane/internal/knowledge"
 	learning "sprucelane.example/sprucelane/internal/knowledge/link"
 	"sprucelane.example/sprucelane/internal/lab/load"
+	"sprucelane.example/sprucelane/internal/standin/knowledgepeer"
 	"sprucelane.example/sprucelane/internal/standin/poolmember"
-	"sprucelane.example/sprucelane/internal/standin/teller"
 )
 
 // The arms of the measurement of learning.
@@ -147,7 +147,7 @@
 	}
 	peers := []string{site.Links[0], site.Links[1]}
 	if arm == ArmStale || arm == ArmLying {
-		t, err := teller.Start(wrongPicture(arm, ids, hung, wrong))
+		t, err := knowledgepeer.Start(wrongPicture(arm, ids, hung, wrong))
 		if err != nil {
 			return run, err
 		}
@@ -233,7 +233,7 @@
 
 // wrongPicture scripts a peer that tells of the wrong members that they stall, and of the rest that they are well: as
 // of half a minute ago, when it was cut off, or freshly, because it is wrong.
-func wrongPicture(arm string, all, hung, wrong []string) teller.Script {
+func wrongPicture(arm string, all, hung, wrong []string) knowledgepeer.Script {
 	return func(n int, since time.Duration) (*pb.Picture, time.Duration) {
 		age := uint64(0)
 		p := &pb.Picture{Version: learning.Version, Oldest: 1, Teller: "peer", TellerLife: 1, Whole: n == 0,
--- a/internal/standin/teller/teller.go
+++ b/internal/standin/knowledgepeer/teller.go
@@ -1,6 +1,6 @@
-// Package teller owns a stand-in peer that tells what a script says of pool members: old news, wrong news, nonsense, or
+// Package knowledgepeer owns a stand-in peer that tells what a script says of pool members: old news, wrong news, nonsense, or
 // nothing after the first byte. It must never be linked into the gateway.
-package teller
+package knowledgepeer
 
 import (
 	"net"
