--- a/internal/batch/serverclient/world_test.go
+++ b/internal/batch/serverclient/world_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
-	"sprucelane.example/sprucelane/internal/standin/unruly"
+	"sprucelane.example/sprucelane/internal/standin/faultyserver"
 )
 
 const (
@@ -29,7 +29,7 @@
 // play plays the world of a seed: workers that bring items to their ends at servers that misbehave.
 func play(t *testing.T, seed uint64, plant bugs) (broken []string, counts map[string]int) {
 	synctest.Test(t, func(*testing.T) {
-		fleet := unruly.NewFleet(seed, worldServers)
+		fleet := faultyserver.NewFleet(seed, worldServers)
 		client := NewClient()
 		client.dial, client.bugs = fleet.Network.Dial, plant
 		var all sync.WaitGroup
@@ -50,13 +50,13 @@
 }
 
 type worker struct {
-	fleet  *unruly.Fleet
+	fleet  *faultyserver.Fleet
 	client *Client
 	r      *rand.Rand
 }
 
 // finish runs an item until it is done or can't be.
-func (w *worker) finish(try *unruly.Try) {
+func (w *worker) finish(try *faultyserver.Try) {
 	var data []string
 	last := int64(-1)
 	for attempt := range mostRuns {
@@ -80,7 +80,7 @@
 }
 
 // run sends an item to some server; now and then its gate is shut, or its batch job ends meanwhile.
-func (w *worker) run(try *unruly.Try, attempt string, last int64) Outcome {
+func (w *worker) run(try *faultyserver.Try, attempt string, last int64) Outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if w.r.Float64() < leavingShare {
@@ -93,12 +93,12 @@
 	for name, values := range try.Header {
 		item.Headers = append(item.Headers, job.Header{Name: name, Value: values[0]})
 	}
-	return w.client.Run(ctx, &Request{Address: server.Address, Instance: server.ID, Host: unruly.Host, Tenant: unruly.Tenant, Item: item,
+	return w.client.Run(ctx, &Request{Address: server.Address, Instance: server.ID, Host: faultyserver.Host, Tenant: faultyserver.Tenant, Item: item,
 		LastEventID: last, Deadline: time.Second, Silence: 2 * time.Second, Gate: func() bool { return gate }})
 }
 
 // check holds that what a run came to is what the server did.
-func (w *worker) check(try *unruly.Try, outcome Outcome, runs []*unruly.Run) {
+func (w *worker) check(try *faultyserver.Try, outcome Outcome, runs []*faultyserver.Run) {
 	status := map[Ending]int{Completed: 200, Failed: 500, Impossible: 422}[outcome.Ending]
 	switch {
 	case status != 0 && (len(runs) != 1 || runs[0].Status != status || runs[0].Cut && status == 200):
@@ -108,7 +108,7 @@
 	}
 }
 
-func describe(runs []*unruly.Run) (text string) {
+func describe(runs []*faultyserver.Run) (text string) {
 	for _, run := range runs {
 		text += fmt.Sprintf("[%s after %d: %d, cut: %v]", run.Stamp, run.After, run.Status, run.Cut)
 	}
--- a/internal/gateway/proxy/world_test.go
+++ b/internal/gateway/proxy/world_test.go
@@ -5,7 +5,7 @@
 
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	"sprucelane.example/sprucelane/internal/pool"
-	"sprucelane.example/sprucelane/internal/standin/unruly"
+	"sprucelane.example/sprucelane/internal/standin/faultyserver"
 )
 
 const (
@@ -14,12 +14,12 @@
 )
 
 // TestRandomServers plays worlds of clients and servers that misbehave; SEEDS=N plays N of them, FIRST=S starts at seed S.
-func TestRandomServers(t *testing.T) { unruly.Worlds(t, fixedWorlds) }
+func TestRandomServers(t *testing.T) { faultyserver.Worlds(t, fixedWorlds) }
 
 // TestBreakAtEveryByte has servers break requests and answers at each byte, in each way.
 func TestBreakAtEveryByte(t *testing.T) {
 	t.Parallel()
-	broken, left, counts := unruly.EveryByte(t)
+	broken, left, counts := faultyserver.EveryByte(t)
 	for _, one := range broken {
 		t.Error(one)
 	}
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			unruly.Finds(t, plantedMost, func(p *proxy.Proxy, _ *pool.Pool) { p.Plant(plant) })
+			faultyserver.Finds(t, plantedMost, func(p *proxy.Proxy, _ *pool.Pool) { p.Plant(plant) })
 		})
 	}
 }
--- a/internal/pool/world_test.go
+++ b/internal/pool/world_test.go
@@ -5,7 +5,7 @@
 
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
 	"sprucelane.example/sprucelane/internal/pool"
-	"sprucelane.example/sprucelane/internal/standin/unruly"
+	"sprucelane.example/sprucelane/internal/standin/faultyserver"
 )
 
 // plantedMost is how many worlds a bug may take to show. TestRandomServers of internal/gateway/proxy plays those without.
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			unruly.Finds(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.Plant(plant) })
+			faultyserver.Finds(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.Plant(plant) })
 		})
 	}
 }
--- a/internal/standin/unruly/audit.go
+++ b/internal/standin/faultyserver/audit.go
@@ -1,7 +1,7 @@
-// Package unruly is a world in memory and virtual time for tests of the real gateway proxy on the real pool: many clients, and
+// Package faultyserver is a world in memory and virtual time for tests of the real gateway proxy on the real pool: many clients, and
 // servers that break off, answer early, late, twice or for others, fall silent and close as requests cross, all by a seed. An
 // audit that both sides report to holds that each answer belongs to its request. It must never be linked into the program.
-package unruly
+package faultyserver
 
 import (
 	"bytes"
--- a/internal/standin/unruly/item.go
+++ b/internal/standin/faultyserver/item.go
@@ -1,4 +1,4 @@
-package unruly
+package faultyserver
 
 import (
 	"fmt"
