--- a/internal/control/standstill_test.go
+++ b/internal/control/standstill_test.go
@@ -26,6 +26,17 @@
 	return nil
 }
 
+// awaitSession waits for a session of the connections of others: those that a process pause ends are opened again a little later.
+func awaitSession[V any](t *testing.T, c *Control, sessions map[*transport.Session]V) *transport.Session {
+	t.Helper()
+	var session *transport.Session
+	eventually(t, "a session", func() bool {
+		session = anySession(c, sessions)
+		return session != nil
+	})
+	return session
+}
+
 func (c *Control) hears(process protocol.Process) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -43,22 +54,25 @@
 				store := s.follow(t, 0, storeProcess(1, "a"))
 				eventually(t, "a lease", store.see(func() bool { return store.grant.Lease > 0 }))
 				c := s.running[0]
-				eventually(t, "reports of others", func() bool { return anySession(c, c.told) != nil })
+				awaitSession(t, c, c.told)
+				subscriber := awaitSession(t, c, c.subscribers)
 				short := span < standstillMost
 
 				c.standStill(span)
-				c.handlePoll(anySession(c, c.subscribers), protocol.Poll{Process: storeProcess(2, "old")})
+				c.handlePoll(subscriber, protocol.Poll{Process: storeProcess(2, "old")})
 				if c.hears(storeProcess(2, "old")) != short {
 					t.Errorf("after %v, a poll from before was taken for news: %t", span, !short)
 				}
+				synctest.Wait() // the sessions that the pause ended are gone
+				reporter := awaitSession(t, c, c.told)
 				c.standStill(span)
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
-				c.handleReport(anySession(c, c.told), report)
+				c.handleReport(reporter, report)
 				if c.hears(storeProcess(3, "old")) != short {
 					t.Errorf("after %v, a report from before was taken for news: %t", span, !short)
 				}
 				time.Sleep(time.Second)
-				c.handleReport(anySession(c, c.told), report)
+				c.handleReport(awaitSession(t, c, c.told), report)
 				if !c.hears(storeProcess(3, "old")) {
 					t.Error("a report over a new connection isn't taken in")
 				}
