--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -36,14 +36,14 @@
 		return err
 	}
 	found, err := slots.Verify(slots.Directory(c.Arguments.Folder), slots.Options{})
-	if err != nil && !errors.Is(err, slots.ErrDamaged) {
+	if err != nil && !errors.Is(err, slots.ErrCorrupt) {
 		return err
 	}
 	if err == nil && !found.Found {
 		return fmt.Errorf("%s holds no store of a control process", c.Arguments.Folder)
 	}
 	result := verified{Whole: err == nil, SnapshotBytes: len(found.Snapshot), Records: len(found.Records), Findings: []finding{}}
-	for _, one := range found.Damaged {
+	for _, one := range found.Findings {
 		result.Findings = append(result.Findings, finding{
 			Place: fmt.Sprintf("%s, byte %d", one.File, one.Offset),
 			Text:  one.Problem,
--- a/coord/membership/fleet_test.go
+++ b/coord/membership/fleet_test.go
@@ -11,7 +11,7 @@
 // fleet is a simulated system of nodes.
 type fleet struct {
 	t     testing.TB
-	world *simulation.World
+	world *simulation.Simulation
 	nodes map[string]*Node
 	names []string
 	lives map[string]uint64
@@ -30,7 +30,7 @@
 func newFleet(t testing.TB, seed uint64, count int) *fleet {
 	f := &fleet{
 		t:          t,
-		world:      simulation.NewWorld(seed),
+		world:      simulation.New(seed),
 		nodes:      make(map[string]*Node),
 		lives:      make(map[string]uint64),
 		excused:    make(map[string]bool),
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -82,12 +82,12 @@
 		f.settle()
 		victim := f.nodes[f.names[1]]
 		for _, monitor := range victim.table.ring().Successors(f.names[1], 2) {
-			f.world.Links.Cut(f.names[1], monitor)
+			f.world.Links.Partition(f.names[1], monitor)
 		}
 		for range len(f.names) {
 			from := f.names[f.world.Random.IntN(len(f.names))]
 			to := f.names[f.world.Random.IntN(len(f.names))]
-			f.world.Links.Cut(from, to)
+			f.world.Links.Partition(from, to)
 		}
 		f.world.Run(30 * time.Second)
 		f.noFalseDeath()
@@ -105,7 +105,7 @@
 		deaf := f.names[2]
 		f.excused[deaf] = true
 		for _, name := range f.names {
-			f.world.Links.Cut(name, deaf)
+			f.world.Links.Partition(name, deaf)
 		}
 		f.world.Run(20 * time.Second)
 		f.noFalseDeath()
@@ -125,11 +125,11 @@
 		frozen := f.names[:max(1, len(f.names)/20)]
 		for _, name := range frozen {
 			f.excused[name] = true
-			f.world.Freeze(name)
+			f.world.Pause(name)
 		}
 		f.world.Run(8 * time.Second)
 		for _, name := range frozen {
-			f.world.Thaw(name)
+			f.world.Resume(name)
 		}
 		f.world.Run(time.Second)
 		f.until(10*time.Second, f.agreed)
@@ -184,9 +184,9 @@
 	eachSize(t, small, func(t *testing.T, f *fleet) {
 		f.settle()
 		half := len(f.names) / 2
-		f.world.Links.Separate(f.names[:half], f.names[half:])
+		f.world.Links.PartitionGroups(f.names[:half], f.names[half:])
 		f.world.Run(20 * time.Second)
-		f.world.Links.JoinAll()
+		f.world.Links.HealAll()
 		took := f.until(30*time.Second, f.agreed)
 		t.Logf("%d machines: agreed %s after the cut", len(f.names), took)
 	})
@@ -244,9 +244,9 @@
 			f.trouble()
 			f.world.Run(f.world.Random.Between(0, 2*time.Second))
 		}
-		f.world.Links.JoinAll()
+		f.world.Links.HealAll()
 		for _, name := range f.names {
-			f.world.Thaw(name)
+			f.world.Resume(name)
 			f.world.SetLag(name, 0)
 			if _, ok := f.nodes[name]; !ok {
 				f.start(name)
@@ -272,14 +272,14 @@
 			f.start(name)
 		}
 	case 2:
-		f.world.Freeze(name)
+		f.world.Pause(name)
 	case 3:
-		f.world.Thaw(name)
+		f.world.Resume(name)
 	case 4:
 		f.world.SetLag(name, random.Between(0, 3*time.Second))
 	case 5:
-		f.world.Links.Cut(name, other)
+		f.world.Links.Partition(name, other)
 	case 6:
-		f.world.Links.Join(name, other)
+		f.world.Links.Heal(name, other)
 	}
 }
--- a/coord/replica/disk_test.go
+++ b/coord/replica/disk_test.go
@@ -112,14 +112,14 @@
 	allowed := []string{d.shadow.summary()}
 	if !w.empty() {
 		d.files.FailAt(1 + d.random.IntN(8))
-		if err := d.put(w); err != nil && !errors.Is(err, simulation.ErrPowerLost) && !errors.Is(err, slots.ErrFull) {
+		if err := d.put(w); err != nil && !errors.Is(err, simulation.ErrPowerLost) && !errors.Is(err, slots.ErrDiskFull) {
 			panic(err)
 		}
 		d.follow(w)
 		allowed = append(allowed, d.shadow.summary())
 	}
 	if power {
-		d.files.PowerLoss()
+		d.files.LosePower()
 	} else {
 		d.files.Kill()
 	}
--- a/coord/replica/mended_test.go
+++ b/coord/replica/mended_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	size, _ := disk.Size("log-1")
-	disk.Flip("log-1", size-1, 0)
+	disk.FlipBit("log-1", size-1, 0)
 	disk.Kill()
 	var told []string
 	for range 2 {
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -84,7 +84,7 @@
 	}
 	w.sessions[from.ID()] = session
 	go func() {
-		<-session.Closed()
+		<-session.Done()
 		w.sessionMu.Lock()
 		defer w.sessionMu.Unlock()
 		if w.sessions[from.ID()] == session {
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, opened.Close())
 	}
-	found.mended = contents.Damaged
+	found.mended = contents.Findings
 	return opened, found, nil
 }
 
@@ -43,7 +43,7 @@
 		return nil, nil
 	}
 	store, found, err := openStore(fs)
-	if errors.Is(err, slots.ErrDamaged) || errors.Is(err, errRecord) {
+	if errors.Is(err, slots.ErrCorrupt) || errors.Is(err, errRecord) {
 		n.options.Log("disk damaged, joining anew", "error", err.Error())
 		n.options.Bootstrap = false
 		if err := slots.Wipe(fs, slots.Options{}); err != nil {
--- a/coord/scrub/entry.go
+++ b/coord/scrub/entry.go
@@ -34,7 +34,7 @@
 }
 
 // Good tells whether an entry still says what was written.
-func (e Entry) Good() bool {
+func (e Entry) Valid() bool {
 	return e.Checksum == Checksum(e.Key, e.Version, e.Deleted, e.Value)
 }
 
@@ -44,12 +44,12 @@
 	Version  uint64
 	Checksum uint32
 	// Bad tells that the value doesn't match the checksum.
-	Bad bool
+	Corrupt bool
 }
 
 // summarize returns the summary of an entry that was read.
 func summarize(entry Entry) Summary {
-	return Summary{Key: entry.Key, Version: entry.Version, Checksum: entry.Checksum, Bad: !entry.Good()}
+	return Summary{Key: entry.Key, Version: entry.Version, Checksum: entry.Checksum, Corrupt: !entry.Valid()}
 }
 
 // digestOf returns the digest of the entries of a range.
--- a/coord/scrub/example_test.go
+++ b/coord/scrub/example_test.go
@@ -46,7 +46,7 @@
 	var deliver func(from string, output scrub.Output)
 	deliver = func(from string, output scrub.Output) {
 		for _, finding := range output.Findings {
-			fmt.Println(from, finding.Key, finding.Problem, finding.Mended)
+			fmt.Println(from, finding.Key, finding.Problem, finding.Repaired)
 		}
 		for _, envelope := range output.Messages {
 			deliver(envelope.To, nodes[envelope.To].Receive(now, from, envelope.Message))
--- a/coord/scrub/mend.go
+++ b/coord/scrub/mend.go
@@ -3,14 +3,14 @@
 import "time"
 
 // answer compares another replica's range with this one.
-func (n *Node) answer(from string, message Compare) {
-	entries, until, _, err := n.read(message.From, message.To, message.Settled)
+func (n *Node) handleCompare(from string, message Compare) {
+	entries, until, _, err := n.readRange(message.From, message.To, message.StableVersion)
 	if err != nil {
-		n.failed(message.From, err)
+		n.reportStoreError(message.From, err)
 		return
 	}
 	reply := Summaries{Sequence: message.Sequence, Until: until}
-	reply.Same = until == message.To && digestOf(entries) == message.Digest && !message.Bad && !hasBad(entries)
+	reply.Same = until == message.To && digestOf(entries) == message.Digest && !message.Corrupt && !hasCorrupt(entries)
 	if !reply.Same {
 		reply.Entries = entries
 	}
@@ -18,19 +18,19 @@
 }
 
 // compared takes in another replica's answer.
-func (n *Node) compared(now time.Time, from string, message Summaries) {
-	waiting := n.waiting
-	if waiting == nil || waiting.peer != from || waiting.Sequence != message.Sequence {
+func (n *Node) handleSummaries(now time.Time, from string, message Summaries) {
+	pending := n.pending
+	if pending == nil || pending.peer != from || pending.Sequence != message.Sequence {
 		return
 	}
 	if !message.Same {
-		n.settle(from, cut(waiting.entries, message.Until), message.Entries, waiting.settled)
+		n.reconcile(from, entriesBefore(pending.entries, message.Until), message.Entries, pending.stable)
 	}
-	n.rangeDone(now, message.Until)
+	n.finishRange(now, message.Until)
 }
 
 // cut returns the entries before a key, which is empty for the end of all keys.
-func cut(entries []Summary, until string) []Summary {
+func entriesBefore(entries []Summary, until string) []Summary {
 	for i, entry := range entries {
 		if until != "" && entry.Key >= until {
 			return entries[:i]
@@ -41,7 +41,7 @@
 
 // settle fetches what is better on the other replica and sends what is better here. Both lists are in the order of
 // their keys.
-func (n *Node) settle(peer string, mine, theirs []Summary, settled uint64) {
+func (n *Node) reconcile(peer string, mine, theirs []Summary, stable uint64) {
 	var wanted, offered []string
 	for len(mine) > 0 || len(theirs) > 0 {
 		var own, other *Summary
@@ -57,7 +57,7 @@
 		if other != nil {
 			theirs = theirs[1:]
 		}
-		want, offer := n.judge(own, other, settled)
+		want, offer := n.resolve(own, other, stable)
 		if want {
 			wanted = append(wanted, other.Key)
 		}
@@ -66,124 +66,124 @@
 		}
 	}
 	if len(wanted) > 0 {
-		n.send(peer, Fetch{Keys: wanted})
+		n.send(peer, Pull{Keys: wanted})
 	}
-	n.deliver(peer, offered)
+	n.push(peer, offered)
 }
 
 // judge tells whether the other replica's copy of a key is wanted, and whether the own one is to be sent. Either may
 // be nil for a key that a replica lacks.
-func (n *Node) judge(own, other *Summary, settled uint64) (want, offer bool) {
+func (n *Node) resolve(own, other *Summary, stable uint64) (want, offer bool) {
 	switch {
 	case own == nil:
-		return n.wantMissing(other), false
+		return n.pullsMissing(other), false
 	case other == nil:
-		if own.Bad {
-			n.find(own.Key, Lost)
+		if own.Corrupt {
+			n.report(own.Key, Lost)
 		}
-		return false, !own.Bad && n.isSettled(own.Key, settled)
-	case own.Bad && other.Bad:
-		n.find(own.Key, Lost)
+		return false, !own.Corrupt && n.isStable(own.Key, stable)
+	case own.Corrupt && other.Corrupt:
+		n.report(own.Key, Lost)
 		return false, false
-	case own.Bad:
-		n.find(own.Key, Corrupt)
+	case own.Corrupt:
+		n.report(own.Key, Corrupt)
 		return other.Version >= own.Version, false
-	case other.Bad:
+	case other.Corrupt:
 		return false, own.Version >= other.Version
 	case own.Version != other.Version:
 		if own.Version < other.Version {
-			n.find(own.Key, Stale)
+			n.report(own.Key, Stale)
 		}
 		return own.Version < other.Version, own.Version > other.Version
 	case own.Checksum != other.Checksum:
-		n.find(own.Key, Conflict)
+		n.report(own.Key, Conflict)
 	}
 	return false, false
 }
 
 // wantMissing tells whether an entry that this replica didn't count is to be fetched: it may be here by now, in a
 // version that isn't settled.
-func (n *Node) wantMissing(other *Summary) bool {
+func (n *Node) pullsMissing(other *Summary) bool {
 	entry, found, err := n.store.Get(other.Key)
 	if err != nil {
-		n.failed(other.Key, err)
+		n.reportStoreError(other.Key, err)
 		return false
 	}
 	if found && entry.Version >= other.Version {
 		return false
 	}
-	if other.Bad {
-		n.find(other.Key, Lost)
+	if other.Corrupt {
+		n.report(other.Key, Lost)
 		return false
 	}
-	n.find(other.Key, Missing)
+	n.report(other.Key, Missing)
 	return true
 }
 
 // isSettled tells whether the present entry of a key is still the one that was compared.
-func (n *Node) isSettled(key string, settled uint64) bool {
+func (n *Node) isStable(key string, stable uint64) bool {
 	entry, found, err := n.store.Get(key)
 	if err != nil {
-		n.failed(key, err)
+		n.reportStoreError(key, err)
 		return false
 	}
-	return found && entry.Version <= settled
+	return found && entry.Version <= stable
 }
 
 // deliver sends the good entries of some keys, in parts.
-func (n *Node) deliver(peer string, keys []string) {
+func (n *Node) push(peer string, keys []string) {
 	var entries []Entry
 	bytes := 0
 	for _, key := range keys {
 		entry, found, err := n.store.Get(key)
 		if err != nil {
-			n.failed(key, err)
+			n.reportStoreError(key, err)
 			continue
 		}
-		if !found || !entry.Good() {
+		if !found || !entry.Valid() {
 			continue
 		}
-		if len(entries) > 0 && bytes+len(entry.Value) > deliverBytes {
-			n.send(peer, Deliver{Entries: entries})
+		if len(entries) > 0 && bytes+len(entry.Value) > maxPushBytes {
+			n.send(peer, Push{Entries: entries})
 			entries, bytes = nil, 0
 		}
 		entries = append(entries, entry)
 		bytes += len(entry.Value) + entryOverhead
 	}
 	if len(entries) > 0 {
-		n.send(peer, Deliver{Entries: entries})
+		n.send(peer, Push{Entries: entries})
 	}
 }
 
 // accept mends the own entry by another replica's, if that is good and the own one is missing, bad or older.
-func (n *Node) accept(entry Entry) {
-	if !entry.Good() {
+func (n *Node) applyPushed(entry Entry) {
+	if !entry.Valid() {
 		return
 	}
 	own, found, err := n.store.Get(entry.Key)
 	if err != nil {
-		n.failed(entry.Key, err)
+		n.reportStoreError(entry.Key, err)
 		return
 	}
-	problem := problemOf(own, found, entry)
+	problem := diagnose(own, found, entry)
 	if problem == 0 {
 		return
 	}
 	if err := n.store.Repair(entry); err != nil {
-		n.failed(entry.Key, err)
+		n.reportStoreError(entry.Key, err)
 		return
 	}
-	n.output.Findings = append(n.output.Findings, Finding{Key: entry.Key, Problem: problem, Mended: true})
+	n.output.Findings = append(n.output.Findings, Finding{Key: entry.Key, Problem: problem, Repaired: true})
 }
 
 // problemOf returns what is wrong with the own entry by a good one of another replica, or 0.
-func problemOf(own Entry, found bool, entry Entry) Problem {
+func diagnose(own Entry, found bool, entry Entry) Problem {
 	switch {
 	case !found:
 		return Missing
-	case !own.Good() && own.Version <= entry.Version:
+	case !own.Valid() && own.Version <= entry.Version:
 		return Corrupt
-	case own.Good() && own.Version < entry.Version:
+	case own.Valid() && own.Version < entry.Version:
 		return Stale
 	default:
 		return 0
--- a/coord/scrub/message.go
+++ b/coord/scrub/message.go
@@ -6,10 +6,10 @@
 	// From is the first key of the range, To is the first key after it, empty for the end of all keys.
 	From, To string
 	// Settled is the version up to which entries count.
-	Settled uint64
-	Digest  uint64
+	StableVersion uint64
+	Digest        uint64
 	// Bad tells that the sender found a bad value in the range.
-	Bad bool
+	Corrupt bool
 }
 
 // Summaries answers Compare.
@@ -23,12 +23,12 @@
 }
 
 // Fetch asks a replica for its entries of some keys.
-type Fetch struct {
+type Pull struct {
 	Keys []string
 }
 
 // Deliver brings entries to a replica that lacks them, or asked for them.
-type Deliver struct {
+type Push struct {
 	Entries []Entry
 }
 
@@ -54,7 +54,7 @@
 	// Lost is a key whose copies are bad on both replicas that were compared.
 	Lost
 	// Failed is an error of the store.
-	Failed
+	StoreFailed
 )
 
 // String returns the name of the problem.
@@ -71,7 +71,7 @@
 	Key     string
 	Problem Problem
 	// Mended tells that this replica's entry is good again.
-	Mended bool
+	Repaired bool
 	// Err is the error of the store, for Failed.
 	Err error
 }
--- a/coord/scrub/scrub.go
+++ b/coord/scrub/scrub.go
@@ -17,7 +17,7 @@
 
 const (
 	// deliverBytes bounds the values in one Deliver in bytes, unless one alone is larger.
-	deliverBytes = 512 << 10
+	maxPushBytes = 512 << 10
 	// entryOverhead is what an entry counts in bytes besides its value.
 	entryOverhead = 64
 )
@@ -34,7 +34,7 @@
 	// PassInterval is the least time from the start of one pass over the store to the next.
 	PassInterval time.Duration
 	// Settled returns the version up to which writes are on all replicas. Nil stands for all.
-	Settled func() uint64
+	StableVersion func() uint64
 }
 
 // withDefaults returns the configuration with all values set.
@@ -44,8 +44,8 @@
 	setDefault(&c.RangeBytes, DefaultRangeBytes)
 	setDefault(&c.Timeout, DefaultTimeout)
 	setDefault(&c.PassInterval, DefaultPassInterval)
-	if c.Settled == nil {
-		c.Settled = func() uint64 { return ^uint64(0) }
+	if c.StableVersion == nil {
+		c.StableVersion = func() uint64 { return ^uint64(0) }
 	}
 	return c
 }
@@ -63,44 +63,44 @@
 	config    Config
 	store     Store
 	peers     []string
-	turn      int // of the peers
-	next      time.Time
+	nextPeer  int // of the peers
+	nextRead  time.Time
 	cursor    string // where the next range starts
 	passStart time.Time
 	passes    int
 	sequence  uint64
-	waiting   *comparison
+	pending   *comparison
 	output    Output
 }
 
 // comparison is a range that waits for another replica's answer.
 type comparison struct {
 	Compare
-	peer    string
-	settled uint64
-	entries []Summary
-	expires time.Time
+	peer     string
+	stable   uint64
+	entries  []Summary
+	deadline time.Time
 }
 
 // New returns the node of a replica that knows no others yet.
 func New(config Config, store Store, now time.Time) *Node {
-	return &Node{config: config.withDefaults(), store: store, next: now, passStart: now}
+	return &Node{config: config.withDefaults(), store: store, nextRead: now, passStart: now}
 }
 
 // SetPeers replaces the names of the other replicas.
 func (n *Node) SetPeers(peers []string) {
 	n.peers = slices.Clone(peers)
-	if n.waiting != nil && !slices.Contains(n.peers, n.waiting.peer) {
-		n.waiting = nil
+	if n.pending != nil && !slices.Contains(n.peers, n.pending.peer) {
+		n.pending = nil
 	}
 }
 
 // Next returns when Tick is to be called.
-func (n *Node) Next() time.Time {
-	if n.waiting != nil {
-		return n.waiting.expires
+func (n *Node) NextTick() time.Time {
+	if n.pending != nil {
+		return n.pending.deadline
 	}
-	return n.next
+	return n.nextRead
 }
 
 // Passes returns how often the whole store was compared.
@@ -110,12 +110,12 @@
 
 // Tick does what is due: it reads the next range and asks a replica about it.
 func (n *Node) Tick(now time.Time) Output {
-	if n.waiting != nil && !now.Before(n.waiting.expires) {
+	if n.pending != nil && !now.Before(n.pending.deadline) {
 		// No answer: the range is tried again, with another replica.
-		n.waiting = nil
-		n.turn++
+		n.pending = nil
+		n.nextPeer++
 	}
-	if n.waiting == nil && !now.Before(n.next) {
+	if n.pending == nil && !now.Before(n.nextRead) {
 		n.compareNext(now)
 	}
 	return n.takeOutput()
@@ -125,14 +125,14 @@
 func (n *Node) Receive(now time.Time, from string, message any) Output {
 	switch message := message.(type) {
 	case Compare:
-		n.answer(from, message)
+		n.handleCompare(from, message)
 	case Summaries:
-		n.compared(now, from, message)
-	case Fetch:
-		n.deliver(from, message.Keys)
-	case Deliver:
+		n.handleSummaries(now, from, message)
+	case Pull:
+		n.push(from, message.Keys)
+	case Push:
 		for _, entry := range message.Entries {
-			n.accept(entry)
+			n.applyPushed(entry)
 		}
 	}
 	return n.takeOutput()
@@ -140,10 +140,10 @@
 
 // Mend fetches a key from all other replicas, for a reader that met a bad value. What a good copy changes is found in
 // the output of a later Receive.
-func (n *Node) Mend(key string) Output {
-	n.find(key, Corrupt)
+func (n *Node) ReadRepair(key string) Output {
+	n.report(key, Corrupt)
 	for _, peer := range n.peers {
-		n.send(peer, Fetch{Keys: []string{key}})
+		n.send(peer, Pull{Keys: []string{key}})
 	}
 	return n.takeOutput()
 }
@@ -161,19 +161,19 @@
 }
 
 // find reports a problem that isn't mended yet.
-func (n *Node) find(key string, problem Problem) {
+func (n *Node) report(key string, problem Problem) {
 	n.output.Findings = append(n.output.Findings, Finding{Key: key, Problem: problem})
 }
 
 // failed reports an error of the store.
-func (n *Node) failed(key string, err error) {
-	finding := Finding{Key: key, Problem: Failed, Err: fmt.Errorf("scrub: %w", err)}
+func (n *Node) reportStoreError(key string, err error) {
+	finding := Finding{Key: key, Problem: StoreFailed, Err: fmt.Errorf("scrub: %w", err)}
 	n.output.Findings = append(n.output.Findings, finding)
 }
 
 // read returns the summaries of a range: up to a key, and within the bounds of one range. It returns the first key
 // after the range, empty for the end of all keys, and the bytes that it read.
-func (n *Node) read(from, to string, settled uint64) (entries []Summary, until string, bytes int, err error) {
+func (n *Node) readRange(from, to string, stable uint64) (entries []Summary, until string, bytes int, err error) {
 	until = to
 	err = n.store.Scan(from, func(entry Entry) bool {
 		if to != "" && entry.Key >= to {
@@ -184,7 +184,7 @@
 			return false
 		}
 		bytes += len(entry.Key) + len(entry.Value) + entryOverhead
-		if entry.Version <= settled {
+		if entry.Version <= stable {
 			entries = append(entries, summarize(entry))
 		}
 		return true
@@ -195,53 +195,53 @@
 // compareNext reads the next range and asks a replica about it.
 func (n *Node) compareNext(now time.Time) {
 	if len(n.peers) == 0 {
-		n.next = now.Add(n.config.Timeout)
+		n.nextRead = now.Add(n.config.Timeout)
 		return
 	}
-	settled := n.config.Settled()
-	entries, until, bytes, err := n.read(n.cursor, "", settled)
-	n.next = now.Add(time.Duration(bytes) * time.Second / time.Duration(n.config.BytesPerSecond))
+	stable := n.config.StableVersion()
+	entries, until, bytes, err := n.readRange(n.cursor, "", stable)
+	n.nextRead = now.Add(time.Duration(bytes) * time.Second / time.Duration(n.config.BytesPerSecond))
 	if err != nil {
-		n.failed(n.cursor, err)
-		n.next = now.Add(n.config.Timeout)
+		n.reportStoreError(n.cursor, err)
+		n.nextRead = now.Add(n.config.Timeout)
 		return
 	}
 	n.sequence++
-	n.waiting = &comparison{
+	n.pending = &comparison{
 		Compare: Compare{
-			Sequence: n.sequence,
-			From:     n.cursor,
-			To:       until,
-			Settled:  settled,
-			Digest:   digestOf(entries),
-			Bad:      hasBad(entries),
+			Sequence:      n.sequence,
+			From:          n.cursor,
+			To:            until,
+			StableVersion: stable,
+			Digest:        digestOf(entries),
+			Corrupt:       hasCorrupt(entries),
 		},
-		peer:    n.peers[n.turn%len(n.peers)],
-		settled: settled,
-		entries: entries,
-		expires: now.Add(n.config.Timeout),
+		peer:     n.peers[n.nextPeer%len(n.peers)],
+		stable:   stable,
+		entries:  entries,
+		deadline: now.Add(n.config.Timeout),
 	}
-	n.send(n.waiting.peer, n.waiting.Compare)
+	n.send(n.pending.peer, n.pending.Compare)
 }
 
 // hasBad tells whether one of the entries is bad.
-func hasBad(entries []Summary) bool {
-	return slices.ContainsFunc(entries, func(entry Summary) bool { return entry.Bad })
+func hasCorrupt(entries []Summary) bool {
+	return slices.ContainsFunc(entries, func(entry Summary) bool { return entry.Corrupt })
 }
 
 // rangeDone goes on after a range that ended before a key, or starts the next pass.
-func (n *Node) rangeDone(now time.Time, until string) {
-	n.waiting = nil
+func (n *Node) finishRange(now time.Time, until string) {
+	n.pending = nil
 	n.cursor = until
 	if until != "" {
 		return
 	}
 	n.passes++
-	n.turn++ // so that each range is compared with each replica in turn
-	if next := n.passStart.Add(n.config.PassInterval); next.After(n.next) {
-		n.next = next
+	n.nextPeer++ // so that each range is compared with each replica in turn
+	if next := n.passStart.Add(n.config.PassInterval); next.After(n.nextRead) {
+		n.nextRead = next
 	}
-	n.passStart = latest(now, n.next)
+	n.passStart = latest(now, n.nextRead)
 }
 
 // latest returns the later of two times.
--- a/coord/scrub/scrub_test.go
+++ b/coord/scrub/scrub_test.go
@@ -14,34 +14,34 @@
 )
 
 // memory is a replica's store.
-type memory struct {
-	entries map[string]Entry
-	failing error
-	read    int // bytes
+type memoryStore struct {
+	entries   map[string]Entry
+	err       error
+	bytesRead int // bytes
 }
 
-func newMemory() *memory {
-	return &memory{entries: make(map[string]Entry)}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{entries: make(map[string]Entry)}
 }
 
 // put writes a value with its checksum.
-func (m *memory) put(key string, version uint64, value []byte) {
+func (m *memoryStore) put(key string, version uint64, value []byte) {
 	entry := Entry{Key: key, Version: version, Value: slices.Clone(value)}
 	entry.Checksum = Checksum(key, version, false, value)
 	m.entries[key] = entry
 }
 
 // flip inverts a bit of a value behind the store's back.
-func (m *memory) flip(key string) {
+func (m *memoryStore) flip(key string) {
 	entry := m.entries[key]
 	entry.Value = slices.Clone(entry.Value)
 	entry.Value[len(entry.Value)/2] ^= 4
 	m.entries[key] = entry
 }
 
-func (m *memory) Scan(from string, visit func(Entry) bool) error {
-	if m.failing != nil {
-		return m.failing
+func (m *memoryStore) Scan(from string, visit func(Entry) bool) error {
+	if m.err != nil {
+		return m.err
 	}
 	var keys []string
 	for key := range m.entries {
@@ -51,7 +51,7 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		m.read += len(m.entries[key].Value)
+		m.bytesRead += len(m.entries[key].Value)
 		if !visit(m.entries[key]) {
 			break
 		}
@@ -59,16 +59,16 @@
 	return nil
 }
 
-func (m *memory) Get(key string) (Entry, bool, error) {
+func (m *memoryStore) Get(key string) (Entry, bool, error) {
 	entry, ok := m.entries[key]
-	return entry, ok, m.failing
+	return entry, ok, m.err
 }
 
-func (m *memory) Repair(entry Entry) error {
-	if m.failing != nil {
-		return m.failing
+func (m *memoryStore) Repair(entry Entry) error {
+	if m.err != nil {
+		return m.err
 	}
-	if own, ok := m.entries[entry.Key]; ok && own.Good() && own.Version > entry.Version {
+	if own, ok := m.entries[entry.Key]; ok && own.Valid() && own.Version > entry.Version {
 		return errors.New("an older entry in place of a newer good one")
 	}
 	m.entries[entry.Key] = entry
@@ -77,32 +77,32 @@
 
 // replicas is a simulated group of replicas.
 type replicas struct {
-	world    *simulation.World
-	names    []string
-	stores   map[string]*memory
-	nodes    map[string]*Node
-	findings map[string][]Finding
+	simulation *simulation.Simulation
+	names      []string
+	stores     map[string]*memoryStore
+	nodes      map[string]*Node
+	findings   map[string][]Finding
 }
 
 // newReplicas returns three replicas that hold the same keys.
 func newReplicas(seed uint64, keys int, config Config) *replicas {
 	r := &replicas{
-		world:    simulation.NewWorld(seed),
-		names:    []string{"a", "b", "c"},
-		stores:   make(map[string]*memory),
-		nodes:    make(map[string]*Node),
-		findings: make(map[string][]Finding),
+		simulation: simulation.New(seed),
+		names:      []string{"a", "b", "c"},
+		stores:     make(map[string]*memoryStore),
+		nodes:      make(map[string]*Node),
+		findings:   make(map[string][]Finding),
 	}
 	for _, name := range r.names {
-		r.stores[name] = newMemory()
-		r.nodes[name] = New(config, r.stores[name], r.world.Now())
+		r.stores[name] = newMemoryStore()
+		r.nodes[name] = New(config, r.stores[name], r.simulation.Now())
 		r.nodes[name].SetPeers(slices.DeleteFunc(slices.Clone(r.names), func(other string) bool { return other == name }))
 	}
 	for i := range keys {
-		r.putAll(fmt.Sprintf("key-%05d", i), 1, r.world.Random.Bytes(20+r.world.Random.IntN(200)))
+		r.putAll(fmt.Sprintf("key-%05d", i), 1, r.simulation.Random.Bytes(20+r.simulation.Random.IntN(200)))
 	}
 	for _, name := range r.names {
-		r.world.AfterOn(name, r.world.Random.Between(0, time.Second), func() { r.tick(name) })
+		r.simulation.AfterOn(name, r.simulation.Random.Between(0, time.Second), func() { r.tick(name) })
 	}
 	return r
 }
@@ -117,30 +117,30 @@
 // tick runs a node's timer, now and whenever it is due.
 func (r *replicas) tick(name string) {
 	node := r.nodes[name]
-	r.handle(name, node.Tick(r.world.Now()))
-	delay := max(node.Next().Sub(r.world.Now()), time.Millisecond)
-	r.world.AfterOn(name, min(delay, 100*time.Millisecond), func() { r.tick(name) })
+	r.handle(name, node.Tick(r.simulation.Now()))
+	delay := max(node.NextTick().Sub(r.simulation.Now()), time.Millisecond)
+	r.simulation.AfterOn(name, min(delay, 100*time.Millisecond), func() { r.tick(name) })
 }
 
 // handle sends messages and keeps findings.
 func (r *replicas) handle(name string, output Output) {
 	r.findings[name] = append(r.findings[name], output.Findings...)
 	for _, envelope := range output.Messages {
-		r.world.Send(name, envelope.To, envelope.Message, func() {
-			r.handle(envelope.To, r.nodes[envelope.To].Receive(r.world.Now(), name, envelope.Message))
+		r.simulation.Send(name, envelope.To, envelope.Message, func() {
+			r.handle(envelope.To, r.nodes[envelope.To].Receive(r.simulation.Now(), name, envelope.Message))
 		})
 	}
 }
 
 // has tells whether a replica found a problem with a key.
-func (r *replicas) has(name, key string, problem Problem, mended bool) bool {
+func (r *replicas) found(name, key string, problem Problem, repaired bool) bool {
 	return slices.ContainsFunc(r.findings[name], func(finding Finding) bool {
-		return finding.Key == key && finding.Problem == problem && finding.Mended == mended
+		return finding.Key == key && finding.Problem == problem && finding.Repaired == repaired
 	})
 }
 
 // same tells whether all replicas hold the same good entries.
-func (r *replicas) same() bool {
+func (r *replicas) consistent() bool {
 	first := r.stores[r.names[0]].entries
 	for _, name := range r.names {
 		entries := r.stores[name].entries
@@ -149,7 +149,7 @@
 		}
 		for key, entry := range entries {
 			other, ok := first[key]
-			if !ok || !entry.Good() || entry.Version != other.Version || !bytes.Equal(entry.Value, other.Value) {
+			if !ok || !entry.Valid() || entry.Version != other.Version || !bytes.Equal(entry.Value, other.Value) {
 				return false
 			}
 		}
@@ -162,10 +162,10 @@
 func TestScrub(t *testing.T) {
 	Convey("Given three replicas that hold the same", t, func() {
 		r := newReplicas(1, 1000, quick)
-		So(r.same(), ShouldBeTrue)
+		So(r.consistent(), ShouldBeTrue)
 
 		Convey("nothing is found where nothing is wrong", func() {
-			r.world.Run(30 * time.Second)
+			r.simulation.Run(30 * time.Second)
 			for _, name := range r.names {
 				So(r.findings[name], ShouldBeEmpty)
 				So(r.nodes[name].Passes(), ShouldBeGreaterThan, 2)
@@ -174,9 +174,9 @@
 
 		Convey("a flipped byte is found and mended", func() {
 			r.stores["b"].flip("key-00700")
-			r.world.Run(10 * time.Second)
-			So(r.same(), ShouldBeTrue)
-			So(r.has("b", "key-00700", Corrupt, true), ShouldBeTrue)
+			r.simulation.Run(10 * time.Second)
+			So(r.consistent(), ShouldBeTrue)
+			So(r.found("b", "key-00700", Corrupt, true), ShouldBeTrue)
 		})
 
 		Convey("a missing and a stale entry are found and mended", func() {
@@ -184,58 +184,58 @@
 			delete(r.stores["c"].entries, "key-00999")
 			r.putAll("key-00500", 2, []byte("newer"))
 			r.stores["c"].put("key-00500", 1, []byte("older"))
-			r.world.Run(10 * time.Second)
-			So(r.same(), ShouldBeTrue)
-			So(r.has("a", "key-00001", Missing, true), ShouldBeTrue)
-			So(r.has("c", "key-00999", Missing, true), ShouldBeTrue)
-			So(r.has("c", "key-00500", Stale, true), ShouldBeTrue)
+			r.simulation.Run(10 * time.Second)
+			So(r.consistent(), ShouldBeTrue)
+			So(r.found("a", "key-00001", Missing, true), ShouldBeTrue)
+			So(r.found("c", "key-00999", Missing, true), ShouldBeTrue)
+			So(r.found("c", "key-00500", Stale, true), ShouldBeTrue)
 		})
 
 		Convey("a replica that lost everything gets it all back, though messages are lost", func() {
-			r.world.Links.Default.Loss = 0.1
+			r.simulation.Links.Default.Loss = 0.1
 			clear(r.stores["c"].entries)
-			r.world.Run(120 * time.Second)
-			So(r.same(), ShouldBeTrue)
+			r.simulation.Run(120 * time.Second)
+			So(r.consistent(), ShouldBeTrue)
 			So(len(r.stores["c"].entries), ShouldEqual, 1000)
 		})
 
 		Convey("a conflict is reported and left alone", func() {
 			r.stores["b"].put("key-00300", 1, []byte("another value of the same version"))
-			r.world.Run(20 * time.Second)
-			So(r.has("a", "key-00300", Conflict, false), ShouldBeTrue)
+			r.simulation.Run(20 * time.Second)
+			So(r.found("a", "key-00300", Conflict, false), ShouldBeTrue)
 			So(string(r.stores["b"].entries["key-00300"].Value), ShouldEqual, "another value of the same version")
 		})
 
 		Convey("two bad copies are mended by the third", func() {
 			r.stores["a"].flip("key-00042")
 			r.stores["b"].flip("key-00042")
-			r.world.Run(30 * time.Second)
-			So(r.same(), ShouldBeTrue)
+			r.simulation.Run(30 * time.Second)
+			So(r.consistent(), ShouldBeTrue)
 		})
 
 		Convey("three bad copies are reported as lost", func() {
 			for _, name := range r.names {
 				r.stores[name].flip("key-00042")
 			}
-			r.world.Run(10 * time.Second)
-			So(r.has("a", "key-00042", Lost, false), ShouldBeTrue)
+			r.simulation.Run(10 * time.Second)
+			So(r.found("a", "key-00042", Lost, false), ShouldBeTrue)
 		})
 
 		Convey("a reader's bad value is mended at once", func() {
 			r.stores["b"].flip("key-00900")
-			r.handle("b", r.nodes["b"].Mend("key-00900"))
-			r.world.Run(10 * time.Millisecond)
-			So(r.stores["b"].entries["key-00900"].Good(), ShouldBeTrue)
+			r.handle("b", r.nodes["b"].ReadRepair("key-00900"))
+			r.simulation.Run(10 * time.Millisecond)
+			So(r.stores["b"].entries["key-00900"].Valid(), ShouldBeTrue)
 		})
 
 		Convey("an error of the store is reported and the scrub goes on after it", func() {
-			r.stores["a"].failing = errors.New("disk")
-			r.world.Run(5 * time.Second)
+			r.stores["a"].err = errors.New("disk")
+			r.simulation.Run(5 * time.Second)
 			So(r.findings["a"], ShouldNotBeEmpty)
-			So(errors.Is(r.findings["a"][0].Err, r.stores["a"].failing), ShouldBeTrue)
-			r.stores["a"].failing = nil
+			So(errors.Is(r.findings["a"][0].Err, r.stores["a"].err), ShouldBeTrue)
+			r.stores["a"].err = nil
 			passes := r.nodes["a"].Passes()
-			r.world.Run(20 * time.Second)
+			r.simulation.Run(20 * time.Second)
 			So(r.nodes["a"].Passes(), ShouldBeGreaterThan, passes)
 		})
 	})
@@ -243,22 +243,22 @@
 	Convey("The scrub reads no faster than it may", t, func() {
 		r := newReplicas(1, 2000, Config{BytesPerSecond: 10_000, PassInterval: time.Second})
 		for _, name := range []string{"b", "c"} {
-			r.world.Stop(name)
-			r.world.Start(name) // only a scrubs by itself from here on; b and c still answer
+			r.simulation.Stop(name)
+			r.simulation.Start(name) // only a scrubs by itself from here on; b and c still answer
 		}
-		r.world.Run(time.Second)
-		before := r.stores["a"].read
-		r.world.Run(10 * time.Second)
-		So(r.stores["a"].read-before, ShouldBeBetween, 30_000, 110_000)
+		r.simulation.Run(time.Second)
+		before := r.stores["a"].bytesRead
+		r.simulation.Run(10 * time.Second)
+		So(r.stores["a"].bytesRead-before, ShouldBeBetween, 30_000, 110_000)
 	})
 
 	Convey("Entries that are not settled are left alone", t, func() {
 		config := quick
-		config.Settled = func() uint64 { return 5 }
+		config.StableVersion = func() uint64 { return 5 }
 		r := newReplicas(1, 100, config)
 		r.stores["a"].put("key-00010", 6, []byte("on its way"))
 		r.stores["a"].put("new", 7, []byte("on its way"))
-		r.world.Run(20 * time.Second)
+		r.simulation.Run(20 * time.Second)
 		So(r.stores["b"].entries["key-00010"].Version, ShouldEqual, 1)
 		So(r.stores["b"].entries, ShouldNotContainKey, "new")
 		So(r.stores["a"].entries["key-00010"].Version, ShouldEqual, 6)
@@ -267,11 +267,11 @@
 
 // TestRandomDamage damages replicas at random while writes go on and messages are lost, and checks that all is mended
 // in the end.
-func TestRandomDamage(t *testing.T) {
+func TestRandomCorruption(t *testing.T) {
 	for seed := range uint64(30) {
 		r := newReplicas(seed, 200, quick)
-		r.world.Links.Default.Loss = 0.05
-		random := r.world.Random
+		r.simulation.Links.Default.Loss = 0.05
+		random := r.simulation.Random
 		for range 60 {
 			key := fmt.Sprintf("key-%05d", random.IntN(200))
 			victim := r.names[random.IntN(len(r.names))]
@@ -283,18 +283,18 @@
 			case 1:
 				delete(r.stores[victim].entries, key)
 			case 2, 3:
-				r.putAll(key, uint64(r.world.Elapsed())+2, random.Bytes(50))
+				r.putAll(key, uint64(r.simulation.Elapsed())+2, random.Bytes(50))
 			}
-			r.world.Run(random.Between(0, 2*time.Second))
+			r.simulation.Run(random.Between(0, 2*time.Second))
 			// All copies of a key are never damaged at once: what is damaged is mended before the next blow.
 			for range 100 {
-				if r.same() {
+				if r.consistent() {
 					break
 				}
-				r.world.Run(time.Second)
+				r.simulation.Run(time.Second)
 			}
 		}
-		if !r.same() {
+		if !r.consistent() {
 			t.Fatalf("seed %d: not mended", seed)
 		}
 	}
--- a/coord/slots/benchmark_test.go
+++ b/coord/slots/benchmark_test.go
@@ -9,9 +9,9 @@
 )
 
 // discard is a folder whose files forget what is written, so that only the store's own work is measured.
-type discard struct{ slots.FS }
+type discardingFS struct{ slots.FS }
 
-func (d discard) Open(string) (slots.File, error) { return discardFile{}, nil }
+func (d discardingFS) Open(string) (slots.File, error) { return discardFile{}, nil }
 
 type discardFile struct{}
 
@@ -26,7 +26,7 @@
 	for _, size := range []int{100, 4 << 10} {
 		record := make([]byte, size)
 		for name, folder := range map[string]slots.FS{
-			"own":  discard{slots.Directory(b.TempDir())},
+			"own":  discardingFS{slots.Directory(b.TempDir())},
 			"disk": slots.Directory(b.TempDir()),
 		} {
 			b.Run(fmt.Sprintf("%s/bytes=%d", name, size), func(b *testing.B) {
--- a/coord/slots/fs.go
+++ b/coord/slots/fs.go
@@ -146,11 +146,11 @@
 }
 
 // isFull tells whether an error reports a disk without space.
-func isFull(err error) bool {
+func isDiskFull(err error) bool {
 	return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT)
 }
 
 // isMissing tells whether an error reports a file that isn't there.
-func isMissing(err error) bool {
+func isNotExist(err error) bool {
 	return errors.Is(err, fs.ErrNotExist)
 }
--- a/coord/slots/fuzz_test.go
+++ b/coord/slots/fuzz_test.go
@@ -20,7 +20,7 @@
 }
 
 // validLog returns a log file, and the number of records up to each number of batches.
-func validLog(t testing.TB) ([]byte, []int) {
+func encodedTestLog(t testing.TB) ([]byte, []int) {
 	t.Helper()
 	log := encodeLogHeader(testSequence)
 	counts := []int{0}
@@ -51,8 +51,8 @@
 	if !contents.valid || contents.sequence != testSequence {
 		return
 	}
-	if contents.size > contents.length || contents.size < logHeader {
-		t.Fatalf("size %d of %d", contents.size, contents.length)
+	if contents.validSize > contents.fileSize || contents.validSize < logHeaderSize {
+		t.Fatalf("size %d of %d", contents.validSize, contents.fileSize)
 	}
 	if int(contents.batches) >= len(counts) || len(contents.records) != counts[contents.batches] {
 		t.Fatalf("%d records in %d batches", len(contents.records), contents.batches)
@@ -67,14 +67,14 @@
 // FuzzLog parses any bytes as a log. Batches whose checksum a fuzzer gets right are its own, so only the bounds are
 // checked.
 func FuzzLog(f *testing.F) {
-	log, _ := validLog(f)
+	log, _ := encodedTestLog(f)
 	f.Add(log)
 	f.Add(log[:len(log)-3])
 	f.Add(encodeLogHeader(1))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		contents := parseLog(data)
-		if contents.valid && (contents.size > int64(len(data)) || contents.size < logHeader) {
-			t.Fatalf("size %d of %d", contents.size, len(data))
+		if contents.valid && (contents.validSize > int64(len(data)) || contents.validSize < logHeaderSize) {
+			t.Fatalf("size %d of %d", contents.validSize, len(data))
 		}
 	})
 }
@@ -85,7 +85,7 @@
 	f.Add(encodeSlotHeader(1, nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		contents := parseSlot(data)
-		if contents.valid && len(contents.snapshot) > len(data)-slotHeader {
+		if contents.valid && len(contents.snapshot) > len(data)-slotHeaderSize {
 			t.Fatalf("%d bytes of %d", len(contents.snapshot), len(data))
 		}
 	})
@@ -93,8 +93,8 @@
 
 // TestRandomLogs parses a log that was changed at random, in the same ways in each run.
 func TestRandomLogs(t *testing.T) {
-	log, counts := validLog(t)
-	if contents := parseLog(log); len(contents.records) != counts[len(testAppends)] || contents.damage != 0 {
+	log, counts := encodedTestLog(t)
+	if contents := parseLog(log); len(contents.records) != counts[len(testAppends)] || contents.corruptOffset != 0 {
 		t.Fatalf("the log itself: %+v", contents)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -116,28 +116,28 @@
 }
 
 // TestBatchesOfAnotherSequenceDontCount puts the batches of an earlier life of a file behind a new header.
-func TestBatchesOfAnotherSequenceDontCount(t *testing.T) {
-	log, _ := validLog(t)
-	contents := parseLog(append(encodeLogHeader(testSequence+1), log[logHeader:]...))
-	if !contents.valid || len(contents.records) != 0 || contents.damage != 0 {
+func TestBatchesOfAnotherSequenceAreIgnored(t *testing.T) {
+	log, _ := encodedTestLog(t)
+	contents := parseLog(append(encodeLogHeader(testSequence+1), log[logHeaderSize:]...))
+	if !contents.valid || len(contents.records) != 0 || contents.corruptOffset != 0 {
 		t.Fatalf("%+v", contents)
 	}
 }
 
 // TestDamageIsToldFromATornEnd damages each batch in turn.
-func TestDamageIsToldFromATornEnd(t *testing.T) {
-	log, _ := validLog(t)
-	ends := []int{logHeader}
+func TestCorruptionIsDistinguishedFromTornTail(t *testing.T) {
+	log, _ := encodedTestLog(t)
+	ends := []int{logHeaderSize}
 	for ends[len(ends)-1] < len(log) {
 		size, _ := parseBatch(log[ends[len(ends)-1]:], testSequence, uint32(len(ends)-1))
 		ends = append(ends, ends[len(ends)-1]+size)
 	}
 	for number, start := range ends[:len(ends)-1] {
 		changed := bytes.Clone(log)
-		changed[start+batchHeader] ^= 1
+		changed[start+batchHeaderSize] ^= 1
 		contents := parseLog(changed)
 		isLast := number == len(testAppends)-1
-		if isLast != (contents.damage == 0) || contents.size != int64(start) {
+		if isLast != (contents.corruptOffset == 0) || contents.validSize != int64(start) {
 			t.Fatalf("batch %d: %+v", number, contents)
 		}
 	}
--- a/coord/slots/golden_test.go
+++ b/coord/slots/golden_test.go
@@ -36,8 +36,8 @@
 		writeFile(t, copied, name, golden.Bytes(t, "file-"+name, data))
 	}
 	_, recovered := mustOpen(t, copied)
-	if got, want := contentsOf(recovered), "one two|three,,four"; got != want || len(recovered.Damaged) > 0 {
-		t.Errorf("the recorded files hold %q, damaged %v; want %q", got, recovered.Damaged, want)
+	if got, want := contentsOf(recovered), "one two|three,,four"; got != want || len(recovered.Findings) > 0 {
+		t.Errorf("the recorded files hold %q, damaged %v; want %q", got, recovered.Findings, want)
 	}
 }
 
--- a/coord/slots/history_test.go
+++ b/coord/slots/history_test.go
@@ -19,7 +19,7 @@
 }
 
 // allows tells whether a recovered state is the acknowledged one, or that with the append in flight.
-func (m *model) allows(state string) bool {
+func (m *model) admits(state string) bool {
 	return state == m.acknowledged || state == m.acknowledged+m.inFlight
 }
 
@@ -41,7 +41,7 @@
 	store   *slots.Store
 	model   model
 	next    int
-	wasMade bool // a store has been opened since the last wipe
+	created bool // a store has been opened since the last wipe
 }
 
 // fail ends the test with the seed.
@@ -56,25 +56,25 @@
 	if errors.Is(err, simulation.ErrPowerLost) {
 		return
 	}
-	if errors.Is(err, slots.ErrFull) {
+	if errors.Is(err, slots.ErrDiskFull) {
 		h.disk.SetCapacity(0)
 		return
 	}
 	if err != nil {
 		h.fail("open: %v", err)
 	}
-	if h.wasMade && !recovered.Found {
+	if h.created && !recovered.Found {
 		h.fail("the store is gone")
 	}
 	state := stateOf(recovered)
-	if !h.model.allows(state) {
+	if !h.model.admits(state) {
 		h.fail("recovered %q, acknowledged %q, in flight %q", state, h.model.acknowledged, h.model.inFlight)
 	}
-	if recovered.Lost() {
-		h.fail("lost: %v", recovered.Damaged)
+	if recovered.DataLoss() {
+		h.fail("lost: %v", recovered.Findings)
 	}
 	h.model = model{acknowledged: state}
-	h.wasMade = true
+	h.created = true
 	h.store = store
 }
 
@@ -92,9 +92,9 @@
 	switch {
 	case err == nil:
 		h.model.acknowledged += state.String()
-	case errors.Is(err, slots.ErrFull):
+	case errors.Is(err, slots.ErrDiskFull):
 		h.disk.SetCapacity(0)
-	case errors.Is(err, slots.ErrBroken) || errors.Is(err, simulation.ErrPowerLost):
+	case errors.Is(err, slots.ErrUncertain) || errors.Is(err, simulation.ErrPowerLost):
 		if h.model.inFlight == "" {
 			h.model.inFlight = state.String()
 		}
@@ -109,9 +109,9 @@
 	switch {
 	case err == nil:
 		h.model.inFlight = ""
-	case errors.Is(err, slots.ErrFull):
+	case errors.Is(err, slots.ErrDiskFull):
 		h.disk.SetCapacity(0)
-	case errors.Is(err, slots.ErrBroken) || errors.Is(err, simulation.ErrPowerLost):
+	case errors.Is(err, slots.ErrUncertain) || errors.Is(err, simulation.ErrPowerLost):
 	default:
 		h.fail("compact: %v", err)
 	}
@@ -135,7 +135,7 @@
 	default:
 		h.store = nil
 	}
-	if h.disk.Off() {
+	if h.disk.PoweredOff() {
 		h.store = nil
 	}
 }
@@ -143,7 +143,7 @@
 // recover ends the process by a kill or a loss of power and opens the store again.
 func (h *history) recover() {
 	if h.random.Chance(0.7) {
-		h.disk.PowerLoss()
+		h.disk.LosePower()
 	} else {
 		h.disk.Kill()
 	}
@@ -151,7 +151,7 @@
 		h.disk.FailAt(1 + h.random.IntN(15))
 	}
 	h.open()
-	if h.disk.Off() {
+	if h.disk.PoweredOff() {
 		h.store = nil
 	}
 }
@@ -184,8 +184,8 @@
 
 // TestEveryStepOfACompaction takes the power away within each operation of a compaction, with many outcomes of what
 // was not synced.
-func TestEveryStepOfACompaction(t *testing.T) {
-	cuts := 0
+func TestPowerLossAtEveryStepOfACompaction(t *testing.T) {
+	powerLosses := 0
 	for step := 1; ; step++ {
 		completed := false
 		for seed := range uint64(60) {
@@ -204,8 +204,8 @@
 			if completed {
 				break
 			}
-			cuts++
-			disk.PowerLoss()
+			powerLosses++
+			disk.LosePower()
 			store, recovered := mustOpen(t, disk)
 			if stateOf(recovered) != "abc" {
 				t.Fatalf("step %d, seed %d: %s", step, seed, contentsOf(recovered))
@@ -222,13 +222,13 @@
 			break
 		}
 	}
-	if cuts < 200 {
-		t.Fatalf("only %d cuts", cuts)
+	if powerLosses < 200 {
+		t.Fatalf("only %d cuts", powerLosses)
 	}
 }
 
 // TestWipeNeverRestoresAnOlderState takes the power away within each operation of Wipe.
-func TestWipeNeverRestoresAnOlderState(t *testing.T) {
+func TestPowerLossDuringWipeNeverRestoresAnOlderState(t *testing.T) {
 	for step := 1; step < 40; step++ {
 		for seed := range uint64(30) {
 			disk := simulation.NewDisk(simulation.NewRand(seed))
@@ -238,14 +238,14 @@
 				t.Fatal(failure)
 			}
 			if seed%2 == 0 {
-				disk.Flip("slot-0", 12, 1)
+				disk.FlipBit("slot-0", 12, 1)
 			}
 			disk.FailAt(step)
 			_ = slots.Wipe(disk, slots.Options{})
-			disk.PowerLoss()
+			disk.LosePower()
 			_, recovered, err := slots.Open(disk, slots.Options{})
 			switch {
-			case errors.Is(err, slots.ErrDamaged):
+			case errors.Is(err, slots.ErrCorrupt):
 			case err != nil:
 				t.Fatalf("step %d, seed %d: %v", step, seed, err)
 			case recovered.Found && contentsOf(recovered) != "b|c":
--- a/coord/slots/store.go
+++ b/coord/slots/store.go
@@ -8,18 +8,18 @@
 
 var (
 	// ErrDamaged reports that acknowledged state is missing from the disk.
-	ErrDamaged = errors.New("slots: acknowledged state is damaged")
+	ErrCorrupt = errors.New("slots: acknowledged state is damaged")
 	// ErrFull reports a disk without space. Nothing was stored, and the store goes on as before.
-	ErrFull = errors.New("slots: disk is full")
+	ErrDiskFull = errors.New("slots: disk is full")
 	// ErrBroken reports that a write failed in a way that leaves open whether it was stored. Append is refused until
 	// a Compact has succeeded.
-	ErrBroken = errors.New("slots: state of the disk is unknown")
+	ErrUncertain = errors.New("slots: state of the disk is unknown")
 	// ErrClosed reports a store that was closed.
 	ErrClosed = errors.New("slots: closed")
 )
 
 // keepBuffer is the largest buffer in bytes that is kept between appends.
-const keepBuffer = 64 << 10
+const maxKeptBuffer = 64 << 10
 
 // Options adjusts a store.
 type Options struct {
@@ -32,43 +32,43 @@
 	fs     FS
 	prefix string
 
-	mutex    sync.Mutex
-	current  int    // the number of the slot and log in use
-	sequence uint64 // of that slot
-	log      File
-	size     int64  // of the log in bytes, all synced
-	batches  uint32 // in the log
-	buffer   []byte
-	broken   error // why the state of the disk is unknown
-	closed   bool
+	mutex     sync.Mutex
+	active    int    // the number of the slot and log in use
+	sequence  uint64 // of that slot
+	log       File
+	logSize   int64  // of the log in bytes, all synced
+	batches   uint32 // in the log
+	buffer    []byte
+	uncertain error // why the state of the disk is unknown
+	closed    bool
 }
 
 // Open opens the store in a folder, or makes an empty one. With ErrDamaged it returns no store, and whatever is
 // readable.
 func Open(fs FS, options Options) (*Store, Recovered, error) {
-	loaded, err := load(fs, options.Prefix)
+	loaded, err := loadFiles(fs, options.Prefix)
 	if err != nil {
 		return nil, Recovered{}, fmt.Errorf("slots: %w", err)
 	}
 	recovered, current := loaded.recover()
-	if recovered.Lost() {
-		return nil, recovered, fmt.Errorf("%w: %s", ErrDamaged, recovered.describe())
+	if recovered.DataLoss() {
+		return nil, recovered, fmt.Errorf("%w: %s", ErrCorrupt, recovered.describeFindings())
 	}
 	s := &Store{fs: fs, prefix: options.Prefix}
 	if current < 0 {
-		err = s.create()
+		err = s.createEmpty()
 	} else {
-		err = s.adopt(loaded, current)
+		err = s.openExisting(loaded, current)
 	}
 	if err != nil {
 		s.closeLog()
-		return nil, Recovered{}, fmt.Errorf("slots: open: %w", classify(err))
+		return nil, Recovered{}, fmt.Errorf("slots: open: %w", markDiskFull(err))
 	}
 	return s, recovered, nil
 }
 
 // create makes the files of an empty store. The slot that makes it valid comes last, once all names are durable.
-func (s *Store) create() error {
+func (s *Store) createEmpty() error {
 	s.sequence = 1
 	for number := range 2 {
 		if err := s.writeFile(slotName(s.prefix, number)); err != nil {
@@ -87,33 +87,33 @@
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
-	return s.openLog(logHeader)
+	return s.openLog(logHeaderSize)
 }
 
 // adopt takes over the files that were found, makes them durable and cuts off what follows the last good batch.
-func (s *Store) adopt(loaded *contents, current int) error {
-	s.current = current
+func (s *Store) openExisting(loaded *storeFiles, current int) error {
+	s.active = current
 	s.sequence = loaded.slots[current].sequence
 	s.batches = loaded.logs[current].batches
 	if loaded.missing {
-		if err := s.replaceMissing(); err != nil {
+		if err := s.recreateMissingFiles(); err != nil {
 			return err
 		}
 	}
 	if err := s.syncFile(slotName(s.prefix, current)); err != nil {
 		return err
 	}
-	if err := s.emptyTornSlot(loaded); err != nil {
+	if err := s.truncateTornSlot(loaded); err != nil {
 		return err
 	}
 	if err := s.fs.SyncDir(); err != nil {
 		return err
 	}
-	if err := s.openLog(loaded.logs[current].size); err != nil {
+	if err := s.openLog(loaded.logs[current].validSize); err != nil {
 		return err
 	}
-	if loaded.logs[current].length > s.size {
-		if err := s.log.Truncate(s.size); err != nil {
+	if loaded.logs[current].fileSize > s.logSize {
+		if err := s.log.Truncate(s.logSize); err != nil {
 			return err
 		}
 	}
@@ -121,8 +121,8 @@
 }
 
 // replaceMissing makes the files of the slot that is not in use anew.
-func (s *Store) replaceMissing() error {
-	other := 1 - s.current
+func (s *Store) recreateMissingFiles() error {
+	other := 1 - s.active
 	if err := s.writeFile(logName(s.prefix, other)); err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 
 // emptyTornSlot empties the other slot if a Compact was cut off in it. Its writes may not be durable yet: together
 // with those of the next Compact, which has the same sequence, a loss of power could make a valid slot of them.
-func (s *Store) emptyTornSlot(loaded *contents) error {
-	other := 1 - s.current
+func (s *Store) truncateTornSlot(loaded *storeFiles) error {
+	other := 1 - s.active
 	if loaded.slots[other].valid {
 		return nil
 	}
@@ -141,12 +141,12 @@
 
 // openLog opens the log in use, whose good part has this size.
 func (s *Store) openLog(size int64) error {
-	log, err := s.fs.Open(logName(s.prefix, s.current))
+	log, err := s.fs.Open(logName(s.prefix, s.active))
 	if err != nil {
 		return err
 	}
 	s.log = log
-	s.size = size
+	s.logSize = size
 	return nil
 }
 
@@ -189,7 +189,7 @@
 func (s *Store) Append(records ...[]byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.refusal(); err != nil {
+	if err := s.checkAppendable(); err != nil {
 		return err
 	}
 	if len(records) == 0 {
@@ -199,7 +199,7 @@
 	if err != nil {
 		return err
 	}
-	if cap(batch) <= keepBuffer {
+	if cap(batch) <= maxKeptBuffer {
 		s.buffer = batch
 	}
 	_, err = s.log.Write(batch)
@@ -209,30 +209,30 @@
 	if err != nil {
 		return s.undoAppend(err)
 	}
-	s.size += int64(len(batch))
+	s.logSize += int64(len(batch))
 	s.batches++
 	return nil
 }
 
 // refusal returns why Append isn't possible.
-func (s *Store) refusal() error {
+func (s *Store) checkAppendable() error {
 	if s.closed {
 		return ErrClosed
 	}
-	return s.broken
+	return s.uncertain
 }
 
 // undoAppend cuts a failed append off the log and returns the error of the append.
 func (s *Store) undoAppend(cause error) error {
-	err := s.log.Truncate(s.size)
+	err := s.log.Truncate(s.logSize)
 	if err == nil {
 		err = s.log.Sync()
 	}
 	if err != nil {
-		s.broken = fmt.Errorf("%w: %w, then %w", ErrBroken, cause, err)
-		return s.broken
+		s.uncertain = fmt.Errorf("%w: %w, then %w", ErrUncertain, cause, err)
+		return s.uncertain
 	}
-	return fmt.Errorf("slots: append: %w", classify(cause))
+	return fmt.Errorf("slots: append: %w", markDiskFull(cause))
 }
 
 // Compact replaces the state by a snapshot of it. After nil the snapshot is durable and the log is empty. After an
@@ -243,10 +243,10 @@
 	if s.closed {
 		return ErrClosed
 	}
-	next := 1 - s.current
+	next := 1 - s.active
 	sequence := s.sequence + 1
 	if err := s.writeFile(logName(s.prefix, next), encodeLogHeader(sequence)); err != nil {
-		return fmt.Errorf("slots: compact: %w", classify(err))
+		return fmt.Errorf("slots: compact: %w", markDiskFull(err))
 	}
 	log, err := s.fs.Open(logName(s.prefix, next))
 	if err != nil {
@@ -258,27 +258,27 @@
 	}
 	s.closeLog()
 	s.log = log
-	s.current = next
+	s.active = next
 	s.sequence = sequence
-	s.size = logHeader
+	s.logSize = logHeaderSize
 	s.batches = 0
-	s.broken = nil
+	s.uncertain = nil
 	return nil
 }
 
 // undoCompact empties a slot whose writing failed and returns the error of the compaction.
 func (s *Store) undoCompact(slot int, cause error) error {
 	if err := s.writeFile(slotName(s.prefix, slot)); err != nil {
-		s.broken = fmt.Errorf("%w: %w, then %w", ErrBroken, cause, err)
-		return s.broken
+		s.uncertain = fmt.Errorf("%w: %w, then %w", ErrUncertain, cause, err)
+		return s.uncertain
 	}
-	return fmt.Errorf("slots: compact: %w", classify(cause))
+	return fmt.Errorf("slots: compact: %w", markDiskFull(cause))
 }
 
 // classify marks the errors of a full disk.
-func classify(err error) error {
-	if isFull(err) {
-		return fmt.Errorf("%w: %w", ErrFull, err)
+func markDiskFull(err error) error {
+	if isDiskFull(err) {
+		return fmt.Errorf("%w: %w", ErrDiskFull, err)
 	}
 	return err
 }
@@ -287,27 +287,27 @@
 func (s *Store) LogBytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.size
+	return s.logSize
 }
 
 // Verify reads the files again and reports what is not as it was acknowledged.
 func (s *Store) Verify() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if err := s.refusal(); err != nil {
+	if err := s.checkAppendable(); err != nil {
 		return err
 	}
-	loaded, err := load(s.fs, s.prefix)
+	loaded, err := loadFiles(s.fs, s.prefix)
 	if err != nil {
 		return fmt.Errorf("slots: verify: %w", err)
 	}
-	slot := loaded.slots[s.current]
-	log := loaded.logs[s.current]
+	slot := loaded.slots[s.active]
+	log := loaded.logs[s.active]
 	switch {
 	case !slot.valid || slot.sequence != s.sequence:
-		return fmt.Errorf("%w: %s", ErrDamaged, slotName(s.prefix, s.current))
-	case !log.valid || log.sequence != s.sequence || log.size != s.size || log.batches != s.batches:
-		return fmt.Errorf("%w: %s after %d bytes", ErrDamaged, logName(s.prefix, s.current), log.size)
+		return fmt.Errorf("%w: %s", ErrCorrupt, slotName(s.prefix, s.active))
+	case !log.valid || log.sequence != s.sequence || log.validSize != s.logSize || log.batches != s.batches:
+		return fmt.Errorf("%w: %s after %d bytes", ErrCorrupt, logName(s.prefix, s.active), log.validSize)
 	}
 	return nil
 }
--- a/coord/slots/store_test.go
+++ b/coord/slots/store_test.go
@@ -54,7 +54,7 @@
 				_, recovered := mustOpen(t, fs)
 				So(recovered.Found, ShouldBeTrue)
 				So(contentsOf(recovered), ShouldEqual, "|")
-				So(recovered.Damaged, ShouldBeEmpty)
+				So(recovered.Findings, ShouldBeEmpty)
 			})
 
 			Convey("records and snapshots come back in order", func() {
@@ -75,7 +75,7 @@
 				So(store.Close(), ShouldBeNil)
 				_, recovered = mustOpen(t, fs)
 				So(contentsOf(recovered), ShouldEqual, "abcd|e")
-				So(recovered.Damaged, ShouldBeEmpty)
+				So(recovered.Findings, ShouldBeEmpty)
 			})
 
 			Convey("a closed store refuses", func() {
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestEveryCutOfTheLog(t *testing.T) {
+func TestLogTruncatedAtEveryByte(t *testing.T) {
 	Convey("A log cut at any byte yields the appends that are whole", t, func() {
 		folder := t.TempDir()
 		store, _ := mustOpen(t, slots.Directory(folder))
@@ -144,8 +144,8 @@
 			if contentsOf(recovered) != want[end] || store.LogBytes() != end {
 				t.Fatalf("cut at %d: %s, want %s", cut, contentsOf(recovered), want[end])
 			}
-			if len(recovered.Damaged) > 0 != (cut > end) || recovered.Lost() {
-				t.Fatalf("cut at %d: %v", cut, recovered.Damaged)
+			if len(recovered.Findings) > 0 != (cut > end) || recovered.DataLoss() {
+				t.Fatalf("cut at %d: %v", cut, recovered.Findings)
 			}
 		}
 		for cut := range ends[0] {
@@ -153,7 +153,7 @@
 				t.Fatal(err)
 			}
 			_, recovered, err := slots.Open(slots.Directory(folder), slots.Options{})
-			if !errors.Is(err, slots.ErrDamaged) || !recovered.Found {
+			if !errors.Is(err, slots.ErrCorrupt) || !recovered.Found {
 				t.Fatalf("header cut at %d: %v", cut, err)
 			}
 		}
@@ -184,7 +184,7 @@
 			So(err, ShouldBeNil)
 			for offset := range size {
 				disk, store := build()
-				disk.Flip(name, offset, int(offset))
+				disk.FlipBit(name, offset, int(offset))
 				if store.Verify() == nil {
 					t.Fatalf("%s at %d: not verified", name, offset)
 				}
@@ -193,7 +193,7 @@
 				switch {
 				case lastBatch && (err != nil || contentsOf(recovered) != "a|b,c"):
 					t.Fatalf("%s at %d: %s, %v", name, offset, contentsOf(recovered), err)
-				case !lastBatch && (!errors.Is(err, slots.ErrDamaged) || !recovered.Lost()):
+				case !lastBatch && (!errors.Is(err, slots.ErrCorrupt) || !recovered.DataLoss()):
 					t.Fatalf("%s at %d: %s, %v", name, offset, contentsOf(recovered), err)
 				}
 			}
@@ -215,17 +215,17 @@
 
 		Convey("an append that doesn't fit is reported and leaves nothing behind", func() {
 			err := store.Append(large)
-			So(errors.Is(err, slots.ErrFull), ShouldBeTrue)
+			So(errors.Is(err, slots.ErrDiskFull), ShouldBeTrue)
 			So(store.LogBytes(), ShouldEqual, used)
 			So(store.Append(texts("b")...), ShouldBeNil)
 			_, recovered := mustOpen(t, disk)
 			So(contentsOf(recovered), ShouldEqual, "|a,b")
-			So(recovered.Damaged, ShouldBeEmpty)
+			So(recovered.Findings, ShouldBeEmpty)
 		})
 
 		Convey("a snapshot that doesn't fit is reported and the old state goes on", func() {
 			err := store.Compact(large)
-			So(errors.Is(err, slots.ErrFull), ShouldBeTrue)
+			So(errors.Is(err, slots.ErrDiskFull), ShouldBeTrue)
 			So(store.Append(texts("b")...), ShouldBeNil)
 			_, recovered := mustOpen(t, disk)
 			So(contentsOf(recovered), ShouldEqual, "|a,b")
--- a/coord/slots/verify_test.go
+++ b/coord/slots/verify_test.go
@@ -31,7 +31,7 @@
 
 	damage(t, folder)
 	before := filesOf(t, folder)
-	if _, err := Verify(Directory(folder), Options{}); !errors.Is(err, ErrDamaged) {
+	if _, err := Verify(Directory(folder), Options{}); !errors.Is(err, ErrCorrupt) {
 		t.Fatalf("a damaged first record: %v", err)
 	}
 	if after := filesOf(t, folder); after != before {
--- a/coord/slots/wipe.go
+++ b/coord/slots/wipe.go
@@ -8,7 +8,7 @@
 // Wipe removes a store, so that the next Open finds none. A crash within it leaves a store that is gone or that Open
 // finds as damaged as before, never an older state.
 func Wipe(fs FS, options Options) error {
-	loaded, err := load(fs, options.Prefix)
+	loaded, err := loadFiles(fs, options.Prefix)
 	if err != nil {
 		return fmt.Errorf("slots: wipe: %w", err)
 	}
@@ -27,8 +27,8 @@
 }
 
 // oldestFirst returns the numbers of the slots, an older valid one before a newer one.
-func (c *contents) oldestFirst() [2]int {
-	if newest := c.newest(); newest >= 0 {
+func (c *storeFiles) oldestFirst() [2]int {
+	if newest := c.newestSlot(); newest >= 0 {
 		return [2]int{1 - newest, newest}
 	}
 	return [2]int{0, 1}
@@ -39,7 +39,7 @@
 	var failures []error
 	for number := range 2 {
 		for _, name := range []string{slotName(s.prefix, number), logName(s.prefix, number)} {
-			if err := s.fs.Remove(name); err != nil && !isMissing(err) {
+			if err := s.fs.Remove(name); err != nil && !isNotExist(err) {
 				failures = append(failures, err)
 			}
 		}
--- a/coord/transport/buffer.go
+++ b/coord/transport/buffer.go
@@ -3,26 +3,26 @@
 import "sync"
 
 // keepBuffer is the largest buffer in bytes that is kept for other frames.
-const keepBuffer = 1 << 20
+const maxPooledBuffer = 1 << 20
 
 // buffer is memory for frames. A connection holds one only while it has frames in it.
 type buffer struct{ data []byte }
 
 // buffers holds the memory that no connection uses, until the next collection of garbage.
-var buffers = sync.Pool{New: func() any { return new(buffer) }}
+var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
 // takeBuffer returns an empty buffer.
-func takeBuffer() *buffer {
-	return buffers.Get().(*buffer)
+func getBuffer() *buffer {
+	return bufferPool.Get().(*buffer)
 }
 
 // release gives a buffer back. A nil one is ignored.
 func (b *buffer) release() {
-	if b == nil || cap(b.data) > keepBuffer {
+	if b == nil || cap(b.data) > maxPooledBuffer {
 		return
 	}
 	b.data = b.data[:0]
-	buffers.Put(b)
+	bufferPool.Put(b)
 }
 
 // len returns the bytes in a buffer, which may be nil.
--- a/coord/transport/call.go
+++ b/coord/transport/call.go
@@ -7,7 +7,7 @@
 )
 
 // result is what became of a call.
-type result struct {
+type callResult struct {
 	reply   any
 	failure error
 }
@@ -16,20 +16,20 @@
 type clientLink struct {
 	*link
 
-	callMutex sync.Mutex
-	lastCall  uint32
-	calls     map[uint32]chan result
+	callMutex      sync.Mutex
+	lastCallNumber uint32
+	calls          map[uint32]chan callResult
 }
 
 // newClientLink returns a link without calls.
 func newClientLink(l *link) *clientLink {
-	return &clientLink{link: l, calls: make(map[uint32]chan result)}
+	return &clientLink{link: l, calls: make(map[uint32]chan callResult)}
 }
 
 // call sends a request and waits for what becomes of it.
 func (c *clientLink) call(ctx context.Context, message any) (any, error) {
-	number, answer := c.open()
-	defer c.forget(number)
+	number, answer := c.registerCall()
+	defer c.removeCall(number)
 	frameNumber, err := c.send(frameRequest, number, message)
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 	case received := <-answer:
 		return received.reply, received.failure
 	case <-ctx.Done():
-		return nil, uncertain(ctx.Err())
+		return nil, uncertainError(ctx.Err())
 	case <-c.done:
 	}
 	select {
@@ -46,38 +46,38 @@
 		return received.reply, received.failure
 	default:
 	}
-	if c.wasHanded(frameNumber) && !c.options.bugs.neverHanded {
-		return nil, uncertain(c.endCause())
+	if c.mayHaveBeenSent(frameNumber) && !c.options.injected.neverUncertain {
+		return nil, uncertainError(c.endCause())
 	}
-	return nil, notConnected(c.endCause())
+	return nil, notConnectedError(c.endCause())
 }
 
 // open takes a number for a call.
-func (c *clientLink) open() (uint32, chan result) {
-	answer := make(chan result, 1)
+func (c *clientLink) registerCall() (uint32, chan callResult) {
+	answer := make(chan callResult, 1)
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	for {
-		c.lastCall++
-		if _, taken := c.calls[c.lastCall]; !taken {
+		c.lastCallNumber++
+		if _, taken := c.calls[c.lastCallNumber]; !taken {
 			break
 		}
 	}
-	c.calls[c.lastCall] = answer
-	return c.lastCall, answer
+	c.calls[c.lastCallNumber] = answer
+	return c.lastCallNumber, answer
 }
 
 // forget gives up the number of a call.
-func (c *clientLink) forget(number uint32) {
+func (c *clientLink) removeCall(number uint32) {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	delete(c.calls, number)
 }
 
 // resolve hands a result to the call that waits for it, if any.
-func (c *clientLink) resolve(number uint32, received result) {
+func (c *clientLink) resolve(number uint32, received callResult) {
 	c.callMutex.Lock()
-	if c.options.bugs.anyCall {
+	if c.options.injected.replyToAnyCall {
 		for number = range c.calls {
 			break
 		}
@@ -91,7 +91,7 @@
 }
 
 // read hands replies to calls and one-way messages to onPush until the connection ends.
-func (c *clientLink) read(onPush func(message any)) error {
+func (c *clientLink) readLoop(onPush func(message any)) error {
 	for {
 		received, message, err := c.receive()
 		if err != nil {
@@ -99,13 +99,13 @@
 		}
 		switch received.kind {
 		case frameReply:
-			c.resolve(received.call, result{reply: message})
+			c.resolve(received.call, callResult{reply: message})
 		case frameFailure:
 			failure, ok := message.(RemoteError)
 			if !ok {
 				return fmt.Errorf("%w: failure of type %T", ErrCorrupt, message)
 			}
-			c.resolve(received.call, result{failure: &failure})
+			c.resolve(received.call, callResult{failure: &failure})
 		case frameOneWay:
 			onPush(message)
 		default:
--- a/coord/transport/certainty_test.go
+++ b/coord/transport/certainty_test.go
@@ -16,7 +16,7 @@
 )
 
 // cuttingProxy passes bytes between clients and a server and cuts every connection after a random number of them.
-func cuttingProxy(t testing.TB, address string, seed uint64) net.Listener {
+func disconnectingProxy(t testing.TB, address string, seed uint64) net.Listener {
 	listener := listen(t)
 	random := rand.New(rand.NewPCG(seed, seed))
 	go func() {
@@ -30,15 +30,15 @@
 				client.Close()
 				continue
 			}
-			go passBytes(server, client, 200+random.Int64N(4000))
-			go passBytes(client, server, 200+random.Int64N(4000))
+			go copyAtMost(server, client, 200+random.Int64N(4000))
+			go copyAtMost(client, server, 200+random.Int64N(4000))
 		}
 	}()
 	return listener
 }
 
 // passBytes copies up to limit bytes, then ends both connections.
-func passBytes(to, from net.Conn, limit int64) {
+func copyAtMost(to, from net.Conn, limit int64) {
 	_, _ = io.CopyN(to, from, limit)
 	to.Close()
 	from.Close()
@@ -57,7 +57,7 @@
 		}
 		server := Serve(listen(t), testOptions("server"), handler)
 		defer server.Close()
-		proxy := cuttingProxy(t, server.Addr().String(), 1)
+		proxy := disconnectingProxy(t, server.Addr().String(), 1)
 		defer proxy.Close()
 		client := NewClient(proxy.Addr().String(), testOptions("client"), nil, nil)
 		defer client.Close()
@@ -173,7 +173,7 @@
 	return c.Conn.Write(bytes)
 }
 
-func TestOneWriteForAllThatWaits(t *testing.T) {
+func TestPendingFramesAreWrittenAtOnce(t *testing.T) {
 	Convey("Frames that wait are written at once", t, func() {
 		near, far := net.Pipe()
 		defer far.Close()
@@ -184,18 +184,18 @@
 		defer l.end(ErrClosed)
 		_, err := l.send(frameOneWay, 0, 1)
 		So(err, ShouldBeNil)
-		So(eventually(func() bool { return l.wasHanded(1) }), ShouldBeTrue)
+		So(eventually(func() bool { return l.mayHaveBeenSent(1) }), ShouldBeTrue)
 		for i := range 50 {
 			_, sendErr := l.send(frameOneWay, 0, i)
 			err = errors.Join(err, sendErr)
 		}
 		So(err, ShouldBeNil)
-		So(l.wasHanded(2), ShouldBeFalse)
+		So(l.mayHaveBeenSent(2), ShouldBeFalse)
 		counting.hold <- struct{}{}
 		counting.hold <- struct{}{}
 		<-counting.writes
 		<-counting.writes
-		So(l.wasHanded(51), ShouldBeTrue)
+		So(l.mayHaveBeenSent(51), ShouldBeTrue)
 		So(len(counting.writes), ShouldEqual, 0)
 	})
 }
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -17,7 +17,7 @@
 	options Options
 	onPush  func(message any)
 	onState func(connected bool)
-	context context.Context
+	ctx     context.Context
 	cancel  context.CancelFunc
 	current atomic.Pointer[clientLink]
 	remote  atomic.Pointer[Identity]
@@ -39,7 +39,7 @@
 		options: options.withDefaults(),
 		onPush:  onPush,
 		onState: onState,
-		context: ctx,
+		ctx:     ctx,
 		cancel:  cancel,
 	}
 	go c.run()
@@ -50,10 +50,10 @@
 func (c *Client) Call(ctx context.Context, message any) (any, error) {
 	current := c.current.Load()
 	if current == nil {
-		return nil, notConnected(c.context.Err())
+		return nil, notConnectedError(c.ctx.Err())
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, notConnected(err)
+		return nil, notConnectedError(err)
 	}
 	return current.call(ctx, message)
 }
@@ -63,7 +63,7 @@
 func (c *Client) Send(message any) error {
 	current := c.current.Load()
 	if current == nil {
-		return notConnected(c.context.Err())
+		return notConnectedError(c.ctx.Err())
 	}
 	_, err := current.send(frameOneWay, 0, message)
 	return err
@@ -93,68 +93,68 @@
 
 // run connects again and again until the client is closed.
 func (c *Client) run() {
-	backoff := backoffFirst
-	for c.context.Err() == nil {
+	backoff := initialBackoff
+	for c.ctx.Err() == nil {
 		start := time.Now()
-		err := c.connect()
+		err := c.dialAndServe()
 		c.options.Log("connection ended", err, c.address)
-		if time.Since(start) > backoffLimit && !errors.Is(err, errNoConnection) {
-			backoff = backoffFirst
+		if time.Since(start) > maxBackoff && !errors.Is(err, errDial) {
+			backoff = initialBackoff
 		}
-		if !c.pause(backoff/2 + rand.N(backoff/2)) {
+		if !c.sleep(backoff/2 + rand.N(backoff/2)) {
 			return
 		}
-		backoff = min(2*backoff, backoffLimit)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
 // pause waits and returns false once the client is closed.
-func (c *Client) pause(duration time.Duration) bool {
+func (c *Client) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-c.context.Done():
+	case <-c.ctx.Done():
 		return false
 	}
 }
 
 // errNoConnection marks errors of attempts that led to no connection.
-var errNoConnection = errors.New("no connection")
+var errDial = errors.New("no connection")
 
 // connect dials once and serves the connection to its end.
-func (c *Client) connect() error {
+func (c *Client) dialAndServe() error {
 	timed, in, peer, err := c.dial()
 	if err != nil {
-		return fmt.Errorf("%w: %w", errNoConnection, err)
+		return fmt.Errorf("%w: %w", errDial, err)
 	}
 	current := newClientLink(newLink(timed.connection, in, &c.options, peer))
-	timed.limit = silentHeartbeats * current.heartbeat
+	timed.timeout = maxMissedHeartbeats * current.heartbeat
 	c.remote.Store(&peer.identity)
 	c.current.Store(current)
-	if c.context.Err() != nil {
+	if c.ctx.Err() != nil {
 		current.close()
 	}
 	c.options.Log("connected", nil, c.address)
 	c.onState(true)
-	current.end(current.read(c.onPush))
+	current.end(current.readLoop(c.onPush))
 	c.current.Store(nil)
 	c.onState(false)
 	return current.endCause()
 }
 
 // dial opens a connection and greets the peer.
-func (c *Client) dial() (*timedReader, *bufio.Reader, hello, error) {
-	limited, cancel := context.WithTimeout(c.context, c.options.DialTimeout)
+func (c *Client) dial() (*deadlineReader, *bufio.Reader, hello, error) {
+	limited, cancel := context.WithTimeout(c.ctx, c.options.DialTimeout)
 	defer cancel()
 	connection, err := c.options.Dial(limited, c.address)
 	if err != nil {
 		return nil, nil, hello{}, err
 	}
-	timed := &timedReader{connection: connection}
-	in := bufio.NewReaderSize(timed, readBuffer)
-	peer, err := c.greet(connection, in)
+	timed := &deadlineReader{connection: connection}
+	in := bufio.NewReaderSize(timed, readBufferSize)
+	peer, err := c.handshake(connection, in)
 	if err != nil {
 		_ = connection.Close()
 		return nil, nil, hello{}, err
@@ -163,13 +163,13 @@
 }
 
 // greet says hello and reads the answer.
-func (c *Client) greet(connection net.Conn, in *bufio.Reader) (hello, error) {
-	stop := context.AfterFunc(c.context, func() { _ = connection.Close() })
+func (c *Client) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
+	stop := context.AfterFunc(c.ctx, func() { _ = connection.Close() })
 	defer stop()
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
 	}
-	if err := tuneSocket(connection, c.options.UserTimeout); err != nil {
+	if err := setSocketOptions(connection, c.options.UserTimeout); err != nil {
 		return hello{}, err
 	}
 	own := hello{heartbeat: c.options.Heartbeat, identity: c.options.Identity}
@@ -180,10 +180,10 @@
 	if err != nil {
 		return hello{}, err
 	}
-	if err := statusError(peer.status); err != nil {
+	if err := helloError(peer.status); err != nil {
 		return hello{}, err
 	}
-	if _, err := c.options.judge(peer.identity); err != nil {
+	if _, err := c.options.admit(peer.identity); err != nil {
 		return hello{}, err
 	}
 	return peer, connection.SetDeadline(time.Time{})
--- a/coord/transport/codec.go
+++ b/coord/transport/codec.go
@@ -18,11 +18,11 @@
 
 // encoder appends values to a buffer, which is set before each of them. It remembers which types the peer knows.
 type encoder struct {
-	out     *buffer
-	gob     *gob.Encoder
-	numbers map[reflect.Type]uint64
+	out         *buffer
+	gob         *gob.Encoder
+	typeNumbers map[reflect.Type]uint64
 	// fresh is true until a value has been encoded: the peer must forget all types before it.
-	fresh bool
+	resetPeer bool
 }
 
 // newEncoder returns an encoder whose peer knows no types.
@@ -41,42 +41,42 @@
 // reset forgets which types the peer knows.
 func (e *encoder) reset() {
 	e.gob = gob.NewEncoder(e)
-	e.numbers = make(map[reflect.Type]uint64)
-	e.fresh = true
+	e.typeNumbers = make(map[reflect.Type]uint64)
+	e.resetPeer = true
 }
 
 // encode appends a message. After an error the buffer holds a part of it, and reset must be called.
 func (e *encoder) encode(message any) error {
-	e.fresh = false
+	e.resetPeer = false
 	if message == nil {
 		e.out.data = append(e.out.data, 0)
 		return nil
 	}
-	kind := reflect.TypeOf(message)
-	if err := e.encodeType(kind); err != nil {
+	typ := reflect.TypeOf(message)
+	if err := e.encodeType(typ); err != nil {
 		return err
 	}
-	if isEmpty(kind) {
+	if isEmpty(typ) {
 		return nil
 	}
 	return e.gob.Encode(message)
 }
 
 // encodeType appends the number of a type, and its name at the first use.
-func (e *encoder) encodeType(kind reflect.Type) error {
-	if number, known := e.numbers[kind]; known {
+func (e *encoder) encodeType(typ reflect.Type) error {
+	if number, known := e.typeNumbers[typ]; known {
 		e.out.data = binary.AppendUvarint(e.out.data, number)
 		return nil
 	}
-	name, ok := registered.Load().names[kind]
+	name, ok := registered.Load().names[typ]
 	if !ok {
-		return fmt.Errorf("type %s is not registered", kind)
+		return fmt.Errorf("type %s is not registered", typ)
 	}
-	if len(name) > maxTypeName || len(e.numbers) >= maxTypes {
-		return fmt.Errorf("type %s: name too long or too many types", kind)
+	if len(name) > maxTypeName || len(e.typeNumbers) >= maxTypes {
+		return fmt.Errorf("type %s: name too long or too many types", typ)
 	}
-	number := uint64(len(e.numbers) + 1)
-	e.numbers[kind] = number
+	number := uint64(len(e.typeNumbers) + 1)
+	e.typeNumbers[typ] = number
 	e.out.data = binary.AppendUvarint(e.out.data, number)
 	e.out.data = binary.AppendUvarint(e.out.data, uint64(len(name)))
 	e.out.data = append(e.out.data, name...)
@@ -106,15 +106,15 @@
 // decode returns the message in a payload. The payload may be used again afterwards.
 func (d *decoder) decode(payload []byte) (any, error) {
 	d.in.Reset(payload)
-	kind, err := d.decodeType()
+	typ, err := d.decodeType()
 	if err != nil {
 		return nil, err
 	}
-	if kind == nil {
+	if typ == nil {
 		return nil, d.expectEnd()
 	}
-	value := reflect.New(kind)
-	if !isEmpty(kind) {
+	value := reflect.New(typ)
+	if !isEmpty(typ) {
 		if err := d.gob.DecodeValue(value); err != nil {
 			return nil, err
 		}
@@ -152,12 +152,12 @@
 	if err != nil {
 		return nil, err
 	}
-	kind, ok := registered.Load().types[name]
+	typ, ok := registered.Load().types[name]
 	if !ok {
 		return nil, fmt.Errorf("type %q is not registered", name)
 	}
-	d.types = append(d.types, kind)
-	return kind, nil
+	d.types = append(d.types, typ)
+	return typ, nil
 }
 
 // decodeName reads the name of a type.
--- a/coord/transport/dial.go
+++ b/coord/transport/dial.go
@@ -8,4 +8,4 @@
 )
 
 // dialTCP opens a TCP connection. Its probes are set once it stands.
-func dialTCP(ctx context.Context, address string) (net.Conn, error) { return dialPlain(ctx, address) }
+func dialTCP(ctx context.Context, address string) (net.Conn, error) { return dialDirect(ctx, address) }
--- a/coord/transport/dial_faultinjection.go
+++ b/coord/transport/dial_faultinjection.go
@@ -13,19 +13,19 @@
 
 // dialTCP opens a TCP connection that can be cut off, where the process is told by what.
 var dialTCP = sync.OnceValue(func() func(context.Context, string) (net.Conn, error) {
-	path := os.Getenv(partition.FileVariable)
+	path := os.Getenv(partition.EnvFile)
 	if path == "" {
-		return dialPlain
+		return dialDirect
 	}
-	dialer := &partition.Dialer{Cuts: partition.Watch(context.Background(), path), Host: os.Getenv(partition.HostVariable), Dial: dialTuned}
+	dialer := &partition.Dialer{Partitions: partition.Watch(context.Background(), path), Host: os.Getenv(partition.EnvHost), Dial: dialWithSocketOptions}
 	return dialer.DialContext
 })()
 
 // dialTuned sets the probes here, as they can't be set through what the dialer gives.
-func dialTuned(ctx context.Context, address string) (net.Conn, error) {
-	connection, err := dialPlain(ctx, address)
+func dialWithSocketOptions(ctx context.Context, address string) (net.Conn, error) {
+	connection, err := dialDirect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return connection, tuneSocket(connection, DefaultUserTimeout)
+	return connection, setSocketOptions(connection, DefaultUserTimeout)
 }
--- a/coord/transport/errors.go
+++ b/coord/transport/errors.go
@@ -20,17 +20,17 @@
 	// ErrCorrupt reports bytes that are no frame or no value of a registered type. It ends the connection.
 	ErrCorrupt = errors.New("transport: corrupt frame")
 	// ErrNotTransport reports a peer that doesn't speak this protocol.
-	ErrNotTransport = errors.New("transport: peer does not speak this protocol")
+	ErrUnknownProtocol = errors.New("transport: peer does not speak this protocol")
 	// ErrVersion reports a peer that speaks another version of the protocol.
-	ErrVersion = errors.New("transport: peer speaks another version")
+	ErrVersionMismatch = errors.New("transport: peer speaks another version")
 	// ErrOtherSystem reports a peer that belongs to another system.
-	ErrOtherSystem = errors.New("transport: peer belongs to another system")
+	ErrSystemMismatch = errors.New("transport: peer belongs to another system")
 	// ErrRefused reports that Options.Admit, here or at the peer, refused the connection.
-	ErrRefused = errors.New("transport: peer refused")
+	ErrRejected = errors.New("transport: peer refused")
 	// ErrSilent reports a peer that sent nothing for three heartbeats.
-	ErrSilent = errors.New("transport: peer is silent")
+	ErrHeartbeatTimeout = errors.New("transport: peer is silent")
 	// ErrStalled reports a peer that took no bytes for Options.WriteTimeout.
-	ErrStalled = errors.New("transport: peer does not read")
+	ErrWriteTimeout = errors.New("transport: peer does not read")
 	// ErrClosed reports a connection that this side closed.
 	ErrClosed = errors.New("transport: closed")
 )
@@ -56,7 +56,7 @@
 }
 
 // Coded returns an error that reaches the caller of Client.Call as a RemoteError with this code and text.
-func Coded(code, text string) error {
+func NewError(code, text string) error {
 	return &RemoteError{Code: code, Text: text}
 }
 
@@ -70,7 +70,7 @@
 }
 
 // remoteErrorOf returns the form of a handler's error that is sent to the caller.
-func remoteErrorOf(err error) RemoteError {
+func toRemoteError(err error) RemoteError {
 	var remote *RemoteError
 	if errors.As(err, &remote) {
 		return RemoteError{Code: remote.Code, Text: remote.Text}
@@ -79,12 +79,12 @@
 }
 
 // uncertain returns an ErrUncertain that also wraps its cause.
-func uncertain(cause error) error {
+func uncertainError(cause error) error {
 	return fmt.Errorf("%w: %w", ErrUncertain, cause)
 }
 
 // notConnected returns an ErrNotConnected that also wraps its cause.
-func notConnected(cause error) error {
+func notConnectedError(cause error) error {
 	if cause == nil {
 		return ErrNotConnected
 	}
--- a/coord/transport/example_test.go
+++ b/coord/transport/example_test.go
@@ -30,7 +30,7 @@
 	handler := func(_ context.Context, _ *transport.Session, message any) (any, error) {
 		greeting, ok := message.(Greeting)
 		if !ok {
-			return nil, transport.Coded("unknown", "not a greeting")
+			return nil, transport.NewError("unknown", "not a greeting")
 		}
 		return Welcome{Text: "hello " + greeting.Name}, nil
 	}
--- a/coord/transport/frame.go
+++ b/coord/transport/frame.go
@@ -19,9 +19,9 @@
 
 const (
 	// frameReset is set in the kind byte where the receiver must forget all types first.
-	frameReset = 0x80
+	frameResetBit = 0x80
 	// frameHeader is the size in bytes of length, kind and call number.
-	frameHeader = 4 + 1 + 4
+	frameHeaderSize = 4 + 1 + 4
 	// readChunk bounds the memory in bytes that a frame's length alone can take.
 	readChunk = 256 << 10
 )
@@ -37,7 +37,7 @@
 // appendHeader appends a frame's header whose length is set later by setLength.
 func appendHeader(out *buffer, kind frameKind, reset bool, call uint32) {
 	if reset {
-		kind |= frameReset
+		kind |= frameResetBit
 	}
 	out.data = append(out.data, 0, 0, 0, 0, byte(kind))
 	out.data = binary.BigEndian.AppendUint32(out.data, call)
@@ -45,14 +45,14 @@
 
 // setLength sets the length in the header at the start of a whole frame.
 func setLength(frame []byte) {
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHeader))
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHeaderSize))
 }
 
 // frameReader reads frames with a bounded payload.
 type frameReader struct {
 	in     io.Reader
 	limit  int
-	header [frameHeader]byte
+	header [frameHeaderSize]byte
 }
 
 // next reads one frame.
@@ -66,8 +66,8 @@
 		return frame{}, fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, length)
 	}
 	received := frame{
-		kind:  frameKind(header[4] &^ frameReset),
-		reset: header[4]&frameReset != 0,
+		kind:  frameKind(header[4] &^ frameResetBit),
+		reset: header[4]&frameResetBit != 0,
 		call:  binary.BigEndian.Uint32(header[5:]),
 	}
 	if received.kind < frameRequest || received.kind > framePing {
@@ -86,7 +86,7 @@
 	if length == 0 {
 		return nil, nil
 	}
-	payload := takeBuffer()
+	payload := getBuffer()
 	for len(payload.data) < length {
 		start := len(payload.data)
 		end := min(length, start+readChunk)
--- a/coord/transport/fuzz_test.go
+++ b/coord/transport/fuzz_test.go
@@ -30,7 +30,7 @@
 	}
 	for i, message := range messages {
 		start := len(e.out.data)
-		appendHeader(e.out, frameRequest, e.fresh, uint32(i))
+		appendHeader(e.out, frameRequest, e.resetPeer, uint32(i))
 		if err := e.encode(message); err != nil {
 			t.Fatal(err)
 		}
@@ -169,7 +169,7 @@
 }
 
 // TestLengthAloneTakesNoMemory claims a frame of the largest size and sends nothing of it.
-func TestLengthAloneTakesNoMemory(t *testing.T) {
+func TestClaimedLengthAllocatesNothing(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	header := []byte{0, 0x80, 0, 0, 1, 0, 0, 0, 1}
--- a/coord/transport/golden_test.go
+++ b/coord/transport/golden_test.go
@@ -25,11 +25,11 @@
 	}
 	golden.Message(t, "remote-error", RemoteError{})
 	golden.Bytes(t, "numbers", []byte{
-		byte(helloAccepted), byte(helloOtherSystem), byte(helloRefused),
-		byte(frameRequest), byte(frameReply), byte(frameFailure), byte(frameOneWay), byte(framePing), frameReset,
+		byte(helloAccepted), byte(helloOtherSystem), byte(helloRejected),
+		byte(frameRequest), byte(frameReply), byte(frameFailure), byte(frameOneWay), byte(framePing), frameResetBit,
 	})
 
-	out := takeBuffer()
+	out := getBuffer()
 	defer out.release()
 	appendHeader(out, frameRequest, true, 0x01020304)
 	encoder := newEncoder()
--- a/coord/transport/hello.go
+++ b/coord/transport/hello.go
@@ -23,7 +23,7 @@
 const (
 	helloAccepted helloStatus = iota
 	helloOtherSystem
-	helloRefused
+	helloRejected
 )
 
 // hello is what each side says first.
@@ -57,10 +57,10 @@
 		return hello{}, err
 	}
 	if string(start[:len(helloMagic)]) != helloMagic {
-		return hello{}, ErrNotTransport
+		return hello{}, ErrUnknownProtocol
 	}
 	if version := start[len(helloMagic)]; version != helloVersion {
-		return hello{}, fmt.Errorf("%w: %d", ErrVersion, version)
+		return hello{}, fmt.Errorf("%w: %d", ErrVersionMismatch, version)
 	}
 	var size [2]byte
 	if _, err := io.ReadFull(in, size[:]); err != nil {
@@ -109,28 +109,28 @@
 }
 
 // judge returns why a peer is refused, as a status for it and an error for this side.
-func (o *Options) judge(peer Identity) (helloStatus, error) {
+func (o *Options) admit(peer Identity) (helloStatus, error) {
 	if peer.System != o.Identity.System {
-		return helloOtherSystem, fmt.Errorf("%w: %q", ErrOtherSystem, peer.System)
+		return helloOtherSystem, fmt.Errorf("%w: %q", ErrSystemMismatch, peer.System)
 	}
 	if o.Admit == nil {
 		return helloAccepted, nil
 	}
 	if err := o.Admit(peer); err != nil {
-		return helloRefused, fmt.Errorf("%w: %w", ErrRefused, err)
+		return helloRejected, fmt.Errorf("%w: %w", ErrRejected, err)
 	}
 	return helloAccepted, nil
 }
 
 // statusError returns the error for a status that the peer sent.
-func statusError(status helloStatus) error {
+func helloError(status helloStatus) error {
 	switch status {
 	case helloAccepted:
 		return nil
 	case helloOtherSystem:
-		return ErrOtherSystem
+		return ErrSystemMismatch
 	default:
-		return fmt.Errorf("%w by the peer", ErrRefused)
+		return fmt.Errorf("%w by the peer", ErrRejected)
 	}
 }
 
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -45,8 +45,8 @@
 		bytes     []byte
 		want      error
 	}{
-		{"garbage", false, []byte("GET / HTTP/1.1\r\n\r\n"), ErrNotTransport},
-		{"another version", false, []byte("SPL\xfe\x00\x00"), ErrVersion},
+		{"garbage", false, []byte("GET / HTTP/1.1\r\n\r\n"), ErrUnknownProtocol},
+		{"another version", false, []byte("SPL\xfe\x00\x00"), ErrVersionMismatch},
 		{"a hello that is too long", false, []byte("SPL\x01\xff\xff"), ErrFrameTooLarge},
 		{"a hello cut short", false, []byte("SPL\x01\x00\x05\x00\x00\x00\x00\x00"), ErrCorrupt},
 		{"a frame that is too long", true, []byte("\xff\xff\xff\xff\x01\x00\x00\x00\x01"), ErrFrameTooLarge},
@@ -58,13 +58,13 @@
 		{"bytes after the value", true, rawFrame(byte(frameRequest), 1, []byte{0, 9}), ErrCorrupt},
 	}
 	Convey("Given a server with a good client", t, func() {
-		var log logBook
+		var log errorLog
 		options := testOptions("server")
 		options.Log = log.log
 		server := Serve(listen(t), options, echo)
 		defer server.Close()
 		client := connected(t, server.Addr().String(), testOptions("client"), nil)
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		for _, hostile := range cases {
 			Convey(hostile.name+" ends only its own connection", func() {
@@ -77,7 +77,7 @@
 				_, err = connection.Write(hostile.bytes)
 				So(err, ShouldBeNil)
 				So(eventually(func() bool { return log.has(hostile.want) }), ShouldBeTrue)
-				So(connection.SetReadDeadline(time.Now().Add(patience)), ShouldBeNil)
+				So(connection.SetReadDeadline(time.Now().Add(testTimeout)), ShouldBeNil)
 				_, err = new(bytes.Buffer).ReadFrom(connection)
 				var timeout net.Error
 				So(errors.As(err, &timeout) && timeout.Timeout(), ShouldBeFalse)
@@ -88,14 +88,14 @@
 	})
 }
 
-func TestPeerThatDoesNotRead(t *testing.T) {
+func TestPeerThatDoesNotReadIsDropped(t *testing.T) {
 	Convey("A peer that reads nothing is dropped, and pushing to it never blocks", t, func() {
 		sessions := make(chan *Session, 1)
 		handler := func(_ context.Context, session *Session, _ any) (any, error) {
 			sessions <- session
 			return nil, nil
 		}
-		var log logBook
+		var log errorLog
 		options := testOptions("server")
 		options.WriteTimeout = 200 * time.Millisecond
 		options.Queue = 4
@@ -108,7 +108,7 @@
 		session := <-sessions
 		full := false
 		var longest time.Duration
-		for end := time.Now().Add(patience); time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 			start := time.Now()
 			err = session.Push(echoRequest{Data: make([]byte, 64<<10)})
 			longest = max(longest, time.Since(start))
@@ -119,9 +119,9 @@
 		}
 		So(full, ShouldBeTrue)
 		So(longest, ShouldBeLessThan, time.Second)
-		So(errors.Is(err, ErrStalled), ShouldBeTrue)
-		<-session.Closed()
-		So(eventually(func() bool { return log.has(ErrStalled) }), ShouldBeTrue)
+		So(errors.Is(err, ErrWriteTimeout), ShouldBeTrue)
+		<-session.Done()
+		So(eventually(func() bool { return log.has(ErrWriteTimeout) }), ShouldBeTrue)
 	})
 }
 
@@ -143,20 +143,20 @@
 	return listener
 }
 
-func TestSilence(t *testing.T) {
+func TestHeartbeatTimeout(t *testing.T) {
 	Convey("An idle connection to a silent machine ends after three heartbeats", t, func() {
 		var handshakes atomic.Int64
 		listener := silentServer(t, &handshakes)
 		defer listener.Close()
-		var log logBook
+		var log errorLog
 		options := testOptions("client")
 		options.Heartbeat = 30 * time.Millisecond
 		options.Log = log.log
 		client := connected(t, listener.Addr().String(), options, nil)
 		_, err := client.Call(context.Background(), nothing{})
 		So(errors.Is(err, ErrUncertain), ShouldBeTrue)
-		So(errors.Is(err, ErrSilent), ShouldBeTrue)
-		So(eventually(func() bool { return log.has(ErrSilent) }), ShouldBeTrue)
+		So(errors.Is(err, ErrHeartbeatTimeout), ShouldBeTrue)
+		So(eventually(func() bool { return log.has(ErrHeartbeatTimeout) }), ShouldBeTrue)
 		So(eventually(func() bool { return handshakes.Load() > 1 }), ShouldBeTrue)
 	})
 
@@ -165,12 +165,12 @@
 		defer server.Close()
 		options := testOptions("client")
 		options.Heartbeat = 100 * time.Millisecond
-		var log logBook
+		var log errorLog
 		options.Log = log.log
 		client := connected(t, server.Addr().String(), options, nil)
 		quiet := time.Now().Add(6 * options.Heartbeat)
 		So(eventually(func() bool { return time.Now().After(quiet) }), ShouldBeTrue)
 		So(client.Connected(), ShouldBeTrue)
-		So(log.has(ErrSilent), ShouldBeFalse)
+		So(log.has(ErrHeartbeatTimeout), ShouldBeFalse)
 	})
 }
--- a/coord/transport/link.go
+++ b/coord/transport/link.go
@@ -15,9 +15,9 @@
 	// writeChunk is the progress in bytes that renews the deadline of a write.
 	writeChunk = 256 << 10
 	// roomWait is how long a message waits for room in the queue.
-	roomWait = 5 * time.Millisecond
+	capacityWait = 5 * time.Millisecond
 	// readBuffer is the size in bytes of a connection's read buffer.
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 )
 
 // link is one connection after its handshake, the same at both ends: a queue of encoded frames with its writer, a
@@ -31,20 +31,20 @@
 	decoder    *decoder
 	done       chan struct{} // closed once the link has ended
 
-	mutex    sync.Mutex
-	encoder  *encoder // its buffer holds the pending frames, those not yet handed to the network
-	frames   int      // the number of pending frames
-	queued   uint64   // frames ever queued
-	taken    uint64   // frames ever taken by the writer
-	handed   uint64   // frames ever handed to the network
-	lastSend time.Time
-	writing  bool          // the writer holds frames that it took from pending
-	stuck    bool          // a sender has waited for room in vain since the writer last took frames
-	room     chan struct{} // closed when the writer takes frames; nil while no sender waits for it
-	closing  bool          // set by close: write what is pending, then end
-	cause    error         // why the link ended; nil while it stands
-	pinger   *time.Timer
-	wake     chan struct{} // tells the writer of pending frames, holds one
+	mutex         sync.Mutex
+	encoder       *encoder // its buffer holds the pending frames, those not yet handed to the network
+	pendingFrames int      // the number of pending frames
+	queued        uint64   // frames ever queued
+	dequeued      uint64   // frames ever taken by the writer
+	handedOff     uint64   // frames ever handed to the network
+	lastSend      time.Time
+	writing       bool          // the writer holds frames that it took from pending
+	writerStalled bool          // a sender has waited for room in vain since the writer last took frames
+	capacityFreed chan struct{} // closed when the writer takes frames; nil while no sender waits for it
+	closing       bool          // set by close: write what is pending, then end
+	cause         error         // why the link ended; nil while it stands
+	pingTimer     *time.Timer
+	wake          chan struct{} // tells the writer of pending frames, holds one
 }
 
 // newLink starts the writer of a connection whose handshake is done.
@@ -64,7 +64,7 @@
 	go l.writeLoop()
 	if l.heartbeat > 0 {
 		l.mutex.Lock()
-		l.pinger = time.AfterFunc(l.heartbeat, l.ping)
+		l.pingTimer = time.AfterFunc(l.heartbeat, l.ping)
 		l.mutex.Unlock()
 	}
 	return l
@@ -73,7 +73,7 @@
 // send queues a message and returns the number of its frame.
 func (l *link) send(kind frameKind, call uint32, message any) (uint64, error) {
 	number, err := l.trySend(kind, call, message)
-	if errors.Is(err, ErrQueueFull) && l.awaitRoom() {
+	if errors.Is(err, ErrQueueFull) && l.awaitCapacity() {
 		number, err = l.trySend(kind, call, message)
 	}
 	return number, err
@@ -81,18 +81,18 @@
 
 // awaitRoom gives the writer a short while to take what is pending: on one processor it may just not have had its
 // turn. It returns false if it didn't, and from then on at once until it has.
-func (l *link) awaitRoom() bool {
+func (l *link) awaitCapacity() bool {
 	l.mutex.Lock()
-	if l.stuck || l.cause != nil {
+	if l.writerStalled || l.cause != nil {
 		l.mutex.Unlock()
 		return false
 	}
-	if l.room == nil {
-		l.room = make(chan struct{})
+	if l.capacityFreed == nil {
+		l.capacityFreed = make(chan struct{})
 	}
-	room := l.room
+	room := l.capacityFreed
 	l.mutex.Unlock()
-	timer := time.NewTimer(roomWait)
+	timer := time.NewTimer(capacityWait)
 	defer timer.Stop()
 	select {
 	case <-room:
@@ -103,8 +103,8 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.stuck = l.room == room
-	return !l.stuck
+	l.writerStalled = l.capacityFreed == room
+	return !l.writerStalled
 }
 
 // trySend queues a message if there is room.
@@ -112,10 +112,10 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.cause != nil {
-		return 0, notConnected(l.cause)
+		return 0, notConnectedError(l.cause)
 	}
 	if l.closing {
-		return 0, notConnected(ErrClosed)
+		return 0, notConnectedError(ErrClosed)
 	}
 	if l.isFull(kind) {
 		return 0, ErrQueueFull
@@ -123,7 +123,7 @@
 	if err := l.encodeFrame(kind, call, message); err != nil {
 		return 0, err
 	}
-	l.frames++
+	l.pendingFrames++
 	l.queued++
 	select {
 	case l.wake <- struct{}{}:
@@ -137,15 +137,15 @@
 func (l *link) isFull(kind frameKind) bool {
 	bytes := l.encoder.out.len()
 	if kind == frameReply || kind == frameFailure {
-		return l.frames >= 2*l.options.Queue || bytes > 2*l.options.MaxFrame
+		return l.pendingFrames >= 2*l.options.Queue || bytes > 2*l.options.MaxFrame
 	}
-	return l.frames >= l.options.Queue || bytes > l.options.MaxFrame
+	return l.pendingFrames >= l.options.Queue || bytes > l.options.MaxFrame
 }
 
 // encodeFrame appends a frame to the pending ones, or leaves them as they were. The caller holds the mutex.
 func (l *link) encodeFrame(kind frameKind, call uint32, message any) error {
 	if l.encoder.out == nil {
-		l.encoder.out = takeBuffer()
+		l.encoder.out = getBuffer()
 	}
 	out := l.encoder.out
 	start := len(out.data)
@@ -153,9 +153,9 @@
 		appendHeader(out, kind, false, call)
 		return nil
 	}
-	appendHeader(out, kind, l.encoder.fresh, call)
+	appendHeader(out, kind, l.encoder.resetPeer, call)
 	err := l.encoder.encode(message)
-	size := len(out.data) - start - frameHeader
+	size := len(out.data) - start - frameHeaderSize
 	if err != nil {
 		err = fmt.Errorf("%w: %w", ErrEncode, err)
 	} else if size > l.options.MaxFrame {
@@ -171,10 +171,10 @@
 }
 
 // wasHanded tells whether any byte of a frame may have reached the network.
-func (l *link) wasHanded(number uint64) bool {
+func (l *link) mayHaveBeenSent(number uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return number <= l.handed
+	return number <= l.handedOff
 }
 
 // ping sends a ping if nothing else was sent for a heartbeat, and sets the timer anew.
@@ -189,7 +189,7 @@
 	if next <= 0 {
 		next = l.heartbeat
 	}
-	l.pinger.Reset(next)
+	l.pingTimer.Reset(next)
 	l.mutex.Unlock()
 	if idle >= l.heartbeat {
 		_, _ = l.send(framePing, 0, nil)
@@ -204,15 +204,15 @@
 		case <-l.done:
 			return
 		}
-		batch, last := l.takePending()
+		batch, last := l.dequeueAll()
 		if err := l.write(batch.bytes()); err != nil {
 			l.end(err)
 			return
 		}
 		batch.release()
 		l.mutex.Lock()
-		if l.options.bugs.handedLate {
-			l.handed = l.taken
+		if l.options.injected.handedOffAfterWrite {
+			l.handedOff = l.dequeued
 		}
 		l.writing = false
 		l.mutex.Unlock()
@@ -225,7 +225,7 @@
 
 // takePending returns all frames that wait, or nil, and marks them as handed to the network. It tells whether the
 // link is to end after them.
-func (l *link) takePending() (*buffer, bool) {
+func (l *link) dequeueAll() (*buffer, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.cause != nil {
@@ -233,16 +233,16 @@
 	}
 	batch := l.encoder.out
 	l.encoder.out = nil
-	l.frames = 0
+	l.pendingFrames = 0
 	l.writing = batch.len() > 0
-	l.stuck = false
-	if l.room != nil {
-		close(l.room)
-		l.room = nil
+	l.writerStalled = false
+	if l.capacityFreed != nil {
+		close(l.capacityFreed)
+		l.capacityFreed = nil
 	}
-	l.taken = l.queued
-	if !l.options.bugs.handedLate {
-		l.handed = l.taken
+	l.dequeued = l.queued
+	if !l.options.injected.handedOffAfterWrite {
+		l.handedOff = l.dequeued
 	}
 	l.lastSend = time.Now()
 	return batch, l.closing
@@ -257,7 +257,7 @@
 		}
 		if _, err := l.connection.Write(chunk); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				return fmt.Errorf("%w: %w", ErrStalled, err)
+				return fmt.Errorf("%w: %w", ErrWriteTimeout, err)
 			}
 			return err
 		}
@@ -271,7 +271,7 @@
 	for {
 		received, err := l.reader.next()
 		if err != nil {
-			return frame{}, nil, silence(err)
+			return frame{}, nil, classifyReadError(err)
 		}
 		if received.kind == framePing {
 			continue
@@ -312,8 +312,8 @@
 		return
 	}
 	l.cause = cause
-	if l.pinger != nil {
-		l.pinger.Stop()
+	if l.pingTimer != nil {
+		l.pingTimer.Stop()
 	}
 	l.encoder.out = nil
 	l.mutex.Unlock()
@@ -330,28 +330,28 @@
 
 // lateRead is how long a read is tried again after its time ran out: where this process itself stood still, the
 // bytes may have come meanwhile.
-const lateRead = 20 * time.Millisecond
+const pauseGrace = 20 * time.Millisecond
 
 // timedReader reads from a connection and bounds each wait for bytes.
-type timedReader struct {
+type deadlineReader struct {
 	connection net.Conn
-	limit      time.Duration // zero for none
+	timeout    time.Duration // zero for none
 }
 
 // Read reads what has arrived.
-func (r *timedReader) Read(buffer []byte) (int, error) {
-	if r.limit <= 0 {
+func (r *deadlineReader) Read(buffer []byte) (int, error) {
+	if r.timeout <= 0 {
 		return r.connection.Read(buffer)
 	}
-	count, err := r.readWithin(buffer, r.limit)
+	count, err := r.readWithin(buffer, r.timeout)
 	if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		return r.readWithin(buffer, lateRead)
+		return r.readWithin(buffer, pauseGrace)
 	}
 	return count, err
 }
 
 // readWithin reads what has arrived or arrives in time.
-func (r *timedReader) readWithin(buffer []byte, limit time.Duration) (int, error) {
+func (r *deadlineReader) readWithin(buffer []byte, limit time.Duration) (int, error) {
 	if err := r.connection.SetReadDeadline(time.Now().Add(limit)); err != nil {
 		return 0, err
 	}
@@ -359,9 +359,9 @@
 }
 
 // silence returns ErrSilent for a wait that ran out.
-func silence(err error) error {
+func classifyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("%w: %w", ErrSilent, err)
+		return fmt.Errorf("%w: %w", ErrHeartbeatTimeout, err)
 	}
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("%w: connection ended within a frame", io.ErrUnexpectedEOF)
--- a/coord/transport/options.go
+++ b/coord/transport/options.go
@@ -17,10 +17,10 @@
 
 const (
 	handshakeTimeout = time.Second
-	backoffFirst     = 50 * time.Millisecond
-	backoffLimit     = 500 * time.Millisecond
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff       = 500 * time.Millisecond
 	// silentHeartbeats is the number of heartbeats without a byte after which a peer counts as dead.
-	silentHeartbeats = 3
+	maxMissedHeartbeats = 3
 )
 
 // Identity names one life of one machine of one system.
@@ -64,7 +64,7 @@
 	// Log receives what happens to connections. It must not block.
 	Log func(event string, err error, remote string)
 
-	bugs bugs // of tests
+	injected injectedBugs // of tests
 }
 
 // withDefaults returns the options with all limits set.
@@ -94,7 +94,7 @@
 }
 
 // dialPlain opens a TCP connection. Its probes are set once it stands.
-func dialPlain(ctx context.Context, address string) (net.Conn, error) {
+func dialDirect(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
--- a/coord/transport/partition/cut.go
+++ b/coord/transport/partition/cut.go
@@ -21,71 +21,71 @@
 // The variables that a process is told by.
 const (
 	// FileVariable names the file of the ways that are cut.
-	FileVariable = "SPRUCELANE_CUT_FILE"
+	EnvFile = "SPRUCELANE_CUT_FILE"
 	// HostVariable names the process's own host, as the file does.
-	HostVariable = "SPRUCELANE_CUT_HOST"
+	EnvHost = "SPRUCELANE_CUT_HOST"
 )
 
 // Patience is how long sent bytes may wait.
-const Patience = 1500 * time.Millisecond
+const UserTimeout = 1500 * time.Millisecond
 
 // readInterval is how often the file is read.
-const readInterval = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
 // Way is one direction between two hosts.
-type Way struct{ From, To string }
+type Link struct{ From, To string }
 
 // Cuts knows which ways are cut.
-type Cuts struct {
-	path string
-	ways atomic.Pointer[map[Way]bool]
+type Watcher struct {
+	path        string
+	partitioned atomic.Pointer[map[Link]bool]
 }
 
 // Watch reads the file now, and again until the context ends.
-func Watch(ctx context.Context, path string) *Cuts {
-	c := &Cuts{path: path}
-	c.read()
+func Watch(ctx context.Context, path string) *Watcher {
+	c := &Watcher{path: path}
+	c.reload()
 	go c.watch(ctx)
 	return c
 }
 
-func (c *Cuts) watch(ctx context.Context) {
-	beat := time.NewTicker(readInterval)
+func (c *Watcher) watch(ctx context.Context) {
+	beat := time.NewTicker(pollInterval)
 	defer beat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-beat.C:
-			c.read()
+			c.reload()
 		}
 	}
 }
 
-func (c *Cuts) read() {
+func (c *Watcher) reload() {
 	text, _ := os.ReadFile(c.path) // without the file nothing is cut
-	ways := map[Way]bool{}
+	links := map[Link]bool{}
 	for line := range strings.Lines(string(text)) {
 		if fields := strings.Fields(line); len(fields) == 2 {
-			ways[Way{fields[0], fields[1]}] = true
+			links[Link{fields[0], fields[1]}] = true
 		}
 	}
-	c.ways.Store(&ways)
+	c.partitioned.Store(&links)
 }
 
 // Cut tells whether a way is cut.
-func (c *Cuts) Cut(way Way) bool { return (*c.ways.Load())[way] }
+func (c *Watcher) Partitioned(link Link) bool { return (*c.partitioned.Load())[link] }
 
 // await waits until a way is whole; false: done was closed, or the limit passed, before.
-func (c *Cuts) await(way Way, done <-chan struct{}, limit func() time.Time) bool {
-	for c.Cut(way) {
+func (c *Watcher) awaitHealed(link Link, done <-chan struct{}, limit func() time.Time) bool {
+	for c.Partitioned(link) {
 		if at := limit(); !at.IsZero() && !time.Now().Before(at) {
 			return false
 		}
 		select {
 		case <-done:
 			return false
-		case <-time.After(readInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 	return true
@@ -93,9 +93,9 @@
 
 // Dialer dials for one host.
 type Dialer struct {
-	Cuts *Cuts
-	Host string // its own
-	Dial func(ctx context.Context, address string) (net.Conn, error)
+	Partitions *Watcher
+	Host       string // its own
+	Dial       func(ctx context.Context, address string) (net.Conn, error)
 }
 
 // DialContext opens a connection that minds the cuts. While one of its two ways is cut none comes up.
@@ -104,58 +104,58 @@
 	if err != nil {
 		return nil, err
 	}
-	out, in := Way{d.Host, host}, Way{host, d.Host}
+	out, in := Link{d.Host, host}, Link{host, d.Host}
 	forever := func() time.Time { return time.Time{} }
-	if !d.Cuts.await(out, ctx.Done(), forever) || !d.Cuts.await(in, ctx.Done(), forever) {
+	if !d.Partitions.awaitHealed(out, ctx.Done(), forever) || !d.Partitions.awaitHealed(in, ctx.Done(), forever) {
 		return nil, ctx.Err()
 	}
 	inner, err := d.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &connection{Conn: inner, cuts: d.Cuts, out: out, in: in, closed: make(chan struct{})}, nil
+	return &connection{Conn: inner, partitions: d.Partitions, outbound: out, inbound: in, closed: make(chan struct{})}, nil
 }
 
 // connection minds the cuts of its two ways.
 type connection struct {
 	net.Conn
-	cuts    *Cuts
-	out, in Way
-	once    sync.Once
-	closed  chan struct{}
+	partitions        *Watcher
+	outbound, inbound Link
+	once              sync.Once
+	closed            chan struct{}
 
-	mu             sync.Mutex
-	over           bool // the deadlines stay as Close set them
-	readBy, sendBy time.Time
+	mu                          sync.Mutex
+	closing                     bool // the deadlines stay as Close set them
+	readDeadline, writeDeadline time.Time
 }
 
 // Read gives what has come once its way is whole. The end of the connection waits likewise.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.cuts.await(c.in, c.closed, c.readLimit) {
+	if c.partitions.awaitHealed(c.inbound, c.closed, c.loadReadDeadline) {
 		return n, err
 	}
 	// What was read is gone. A caller that reads on after a deadline would miss it: the connection is over.
-	return 0, c.fail()
+	return 0, c.timeOut()
 }
 
 // Write sends once its way is whole.
 func (c *connection) Write(p []byte) (int, error) {
-	by := time.Now().Add(Patience)
+	by := time.Now().Add(UserTimeout)
 	limit := func() time.Time {
-		if at := c.sendLimit(); !at.IsZero() && at.Before(by) {
+		if at := c.loadWriteDeadline(); !at.IsZero() && at.Before(by) {
 			return at
 		}
 		return by
 	}
-	if !c.cuts.await(c.out, c.closed, limit) {
-		return 0, c.fail()
+	if !c.partitions.awaitHealed(c.outbound, c.closed, limit) {
+		return 0, c.timeOut()
 	}
 	return c.Conn.Write(p)
 }
 
 // fail ends the connection as TCP does that has waited too long.
-func (c *connection) fail() error {
+func (c *connection) timeOut() error {
 	c.Close()
 	return syscall.ETIMEDOUT
 }
@@ -164,14 +164,14 @@
 func (c *connection) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
-		if !c.cuts.Cut(c.out) {
+		if !c.partitions.Partitioned(c.outbound) {
 			c.Conn.Close()
 			return
 		}
-		c.wake()
+		c.interruptIO()
 		go func() {
-			for c.cuts.Cut(c.out) {
-				time.Sleep(readInterval)
+			for c.partitions.Partitioned(c.outbound) {
+				time.Sleep(pollInterval)
 			}
 			c.Conn.Close()
 		}()
@@ -180,10 +180,10 @@
 }
 
 // wake ends reads and writes that wait.
-func (c *connection) wake() {
+func (c *connection) interruptIO() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
+	c.closing = true
 	_ = c.Conn.SetDeadline(time.Unix(1, 0))
 }
 
@@ -197,32 +197,32 @@
 
 // SetReadDeadline bounds reads.
 func (c *connection) SetReadDeadline(at time.Time) error {
-	return c.bound(&c.readBy, c.Conn.SetReadDeadline, at)
+	return c.setDeadline(&c.readDeadline, c.Conn.SetReadDeadline, at)
 }
 
 // SetWriteDeadline bounds writes.
 func (c *connection) SetWriteDeadline(at time.Time) error {
-	return c.bound(&c.sendBy, c.Conn.SetWriteDeadline, at)
+	return c.setDeadline(&c.writeDeadline, c.Conn.SetWriteDeadline, at)
 }
 
-func (c *connection) bound(kept *time.Time, set func(time.Time) error, at time.Time) error {
+func (c *connection) setDeadline(stored *time.Time, set func(time.Time) error, at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over {
+	if c.closing {
 		return net.ErrClosed
 	}
-	*kept = at
+	*stored = at
 	return set(at)
 }
 
-func (c *connection) readLimit() time.Time {
+func (c *connection) loadReadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.readBy
+	return c.readDeadline
 }
 
-func (c *connection) sendLimit() time.Time {
+func (c *connection) loadWriteDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sendBy
+	return c.writeDeadline
 }
--- a/coord/transport/partition/cut_test.go
+++ b/coord/transport/partition/cut_test.go
@@ -20,22 +20,22 @@
 
 // rig is a connection that can be cut, and its other end.
 type rig struct {
-	t          *testing.T
-	cuts       *Cuts
-	dialer     *Dialer
-	listener   net.Listener
-	near, far  net.Conn
-	path       string
-	out, in    Way
-	longerThan time.Duration // that bytes on a cut way are waited for in vain
-	soonerThan time.Duration // that bytes on a whole way take
+	t                 *testing.T
+	partitions        *Watcher
+	dialer            *Dialer
+	listener          net.Listener
+	near, far         net.Conn
+	path              string
+	outbound, inbound Link
+	blockedFor        time.Duration // that bytes on a cut way are waited for in vain
+	arrivesWithin     time.Duration // that bytes on a whole way take
 }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, path: filepath.Join(t.TempDir(), "cuts"), out: Way{here, there}, in: Way{there, here},
-		longerThan: 5 * readInterval, soonerThan: 10 * time.Second}
-	r.cuts = Watch(t.Context(), r.path)
-	r.dialer = &Dialer{Cuts: r.cuts, Host: here, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	r := &rig{t: t, path: filepath.Join(t.TempDir(), "cuts"), outbound: Link{here, there}, inbound: Link{there, here},
+		blockedFor: 5 * pollInterval, arrivesWithin: 10 * time.Second}
+	r.partitions = Watch(t.Context(), r.path)
+	r.dialer = &Dialer{Partitions: r.partitions, Host: here, Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	}}
 	var err error
@@ -59,21 +59,21 @@
 }
 
 // set writes the file and waits until it is read.
-func (r *rig) set(ways ...Way) {
+func (r *rig) partition(links ...Link) {
 	text := ""
-	for _, way := range ways {
-		text += way.From + " " + way.To + "\n"
+	for _, link := range links {
+		text += link.From + " " + link.To + "\n"
 	}
 	if err := os.WriteFile(r.path, []byte(text), 0o600); err != nil {
 		r.t.Fatal(err)
 	}
-	for _, way := range []Way{r.out, r.in} {
+	for _, link := range []Link{r.outbound, r.inbound} {
 		want := false
-		for _, one := range ways {
-			want = want || one == way
+		for _, one := range links {
+			want = want || one == link
 		}
-		for r.cuts.Cut(way) != want {
-			time.Sleep(readInterval / 4)
+		for r.partitions.Partitioned(link) != want {
+			time.Sleep(pollInterval / 4)
 		}
 	}
 }
@@ -87,55 +87,55 @@
 
 func send(to net.Conn) { go func() { _, _ = to.Write([]byte{1}) }() }
 
-func TestWays(t *testing.T) {
+func TestPartitionedLinks(t *testing.T) {
 	Convey("What is sent on a way that is cut waits until it heals, and the other way is whole", t, func() {
 		r := newRig(t)
 		r.connect()
-		r.set(r.out)
+		r.partition(r.outbound)
 		send(r.near)
-		So(arrives(r.far, r.longerThan), ShouldBeFalse)
+		So(arrives(r.far, r.blockedFor), ShouldBeFalse)
 		send(r.far)
-		So(arrives(r.near, r.soonerThan), ShouldBeTrue)
-		r.set()
-		So(arrives(r.far, r.soonerThan), ShouldBeTrue)
+		So(arrives(r.near, r.arrivesWithin), ShouldBeTrue)
+		r.partition()
+		So(arrives(r.far, r.arrivesWithin), ShouldBeTrue)
 	})
 	Convey("What has come on a way that is cut is read once it heals", t, func() {
 		r := newRig(t)
 		r.connect()
-		r.set(r.in)
+		r.partition(r.inbound)
 		send(r.far)
 		send(r.near)
-		So(arrives(r.far, r.soonerThan), ShouldBeTrue)
+		So(arrives(r.far, r.arrivesWithin), ShouldBeTrue)
 		read := make(chan bool, 1)
-		go func() { read <- arrives(r.near, r.soonerThan) }()
+		go func() { read <- arrives(r.near, r.arrivesWithin) }()
 		select {
 		case <-read:
 			t.Error("it was read while the way was cut")
-		case <-time.After(r.longerThan):
+		case <-time.After(r.blockedFor):
 		}
-		r.set()
+		r.partition()
 		So(<-read, ShouldBeTrue)
 	})
 	Convey("A connection whose bytes have waited too long is over, and its other end hears of that later", t, func() {
 		r := newRig(t)
 		r.connect()
-		r.set(r.out)
+		r.partition(r.outbound)
 		_, err := r.near.Write([]byte{1})
 		So(err, ShouldEqual, syscall.ETIMEDOUT)
-		_ = r.far.SetReadDeadline(time.Now().Add(r.longerThan))
+		_ = r.far.SetReadDeadline(time.Now().Add(r.blockedFor))
 		_, err = r.far.Read(make([]byte, 1))
 		So(os.IsTimeout(err), ShouldBeTrue)
-		r.set()
-		_ = r.far.SetReadDeadline(time.Now().Add(r.soonerThan))
+		r.partition()
+		_ = r.far.SetReadDeadline(time.Now().Add(r.arrivesWithin))
 		_, err = r.far.Read(make([]byte, 1))
 		So(err, ShouldEqual, io.EOF)
 	})
 	Convey("A close wakes whoever reads", t, func() {
 		r := newRig(t)
 		r.connect()
-		r.set(r.out, r.in)
+		r.partition(r.outbound, r.inbound)
 		read := make(chan bool, 1)
-		go func() { read <- arrives(r.near, r.soonerThan) }()
+		go func() { read <- arrives(r.near, r.arrivesWithin) }()
 		r.near.Close()
 		So(<-read, ShouldBeFalse)
 	})
@@ -144,16 +144,16 @@
 func TestDial(t *testing.T) {
 	Convey("No connection comes up while one of its ways is cut", t, func() {
 		r := newRig(t)
-		for _, way := range []Way{r.out, r.in} {
-			r.set(way)
-			ctx, cancel := context.WithTimeout(t.Context(), r.longerThan)
+		for _, link := range []Link{r.outbound, r.inbound} {
+			r.partition(link)
+			ctx, cancel := context.WithTimeout(t.Context(), r.blockedFor)
 			_, err := r.dialer.DialContext(ctx, r.listener.Addr().String())
 			cancel()
 			So(err, ShouldEqual, context.DeadlineExceeded)
 		}
-		r.set()
+		r.partition()
 		r.connect()
 		send(r.near)
-		So(arrives(r.far, r.soonerThan), ShouldBeTrue)
+		So(arrives(r.far, r.arrivesWithin), ShouldBeTrue)
 	})
 }
--- a/coord/transport/registry.go
+++ b/coord/transport/registry.go
@@ -63,26 +63,26 @@
 }
 
 // add enters a type under its name on the wire.
-func (r *registry) add(name string, kind reflect.Type) {
-	if other, taken := r.types[name]; taken && other != kind {
+func (r *registry) add(name string, typ reflect.Type) {
+	if other, taken := r.types[name]; taken && other != typ {
 		panic(fmt.Sprintf("transport: %s is registered for two types", name))
 	}
-	r.names[kind] = name
-	r.types[name] = kind
+	r.names[typ] = name
+	r.types[name] = typ
 }
 
 // typeName returns the import path and name of a type.
-func typeName(kind reflect.Type) string {
-	if kind.Kind() == reflect.Pointer {
-		return "*" + typeName(kind.Elem())
+func typeName(typ reflect.Type) string {
+	if typ.Kind() == reflect.Pointer {
+		return "*" + typeName(typ.Elem())
 	}
-	if kind.Name() == "" || kind.PkgPath() == "" {
-		return kind.String()
+	if typ.Name() == "" || typ.PkgPath() == "" {
+		return typ.String()
 	}
-	return kind.PkgPath() + "." + kind.Name()
+	return typ.PkgPath() + "." + typ.Name()
 }
 
 // isEmpty tells whether a type is a struct without fields, which gob can't encode and which needs no bytes.
-func isEmpty(kind reflect.Type) bool {
-	return kind.Kind() == reflect.Struct && kind.NumField() == 0
+func isEmpty(typ reflect.Type) bool {
+	return typ.Kind() == reflect.Struct && typ.NumField() == 0
 }
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -10,7 +10,7 @@
 )
 
 // acceptPause is how long a server waits after a failed accept, such as one without a free descriptor.
-const acceptPause = 50 * time.Millisecond
+const acceptBackoff = 50 * time.Millisecond
 
 // Handler handles the messages of a session. Requests (Client.Call) each run on a goroutine of their own, up to
 // Options.Queue at once in a session; the reply or the error goes back to the caller. One-way messages (Client.Send)
@@ -28,7 +28,7 @@
 
 	mutex       sync.Mutex
 	closed      bool
-	connections map[net.Conn]struct{} // those in their handshake
+	handshaking map[net.Conn]struct{} // those in their handshake
 	sessions    map[*Session]struct{}
 }
 
@@ -39,7 +39,7 @@
 		options:     options.withDefaults(),
 		handler:     handler,
 		done:        make(chan struct{}),
-		connections: make(map[net.Conn]struct{}),
+		handshaking: make(map[net.Conn]struct{}),
 		sessions:    make(map[*Session]struct{}),
 	}
 	go s.accept()
@@ -64,7 +64,7 @@
 	for session := range s.sessions {
 		sessions = append(sessions, session)
 	}
-	for connection := range s.connections {
+	for connection := range s.handshaking {
 		_ = connection.Close()
 	}
 	s.mutex.Unlock()
@@ -74,7 +74,7 @@
 		session.Close()
 	}
 	for _, session := range sessions {
-		<-session.Closed()
+		<-session.Done()
 	}
 }
 
@@ -91,7 +91,7 @@
 		}
 		s.options.Log("accept failed", err, "")
 		select {
-		case <-time.After(acceptPause):
+		case <-time.After(acceptBackoff):
 		case <-s.done:
 			return
 		}
@@ -101,29 +101,29 @@
 // serve carries one connection from its handshake to its end.
 func (s *Server) serve(connection net.Conn) {
 	remote := connection.RemoteAddr().String()
-	if !s.track(connection) {
+	if !s.trackHandshake(connection) {
 		_ = connection.Close()
 		return
 	}
-	timed := &timedReader{connection: connection}
-	in := bufio.NewReaderSize(timed, readBuffer)
-	peer, err := s.greet(connection, in)
+	timed := &deadlineReader{connection: connection}
+	in := bufio.NewReaderSize(timed, readBufferSize)
+	peer, err := s.handshake(connection, in)
 	if err != nil {
-		s.untrack(connection)
+		s.untrackHandshake(connection)
 		_ = connection.Close()
 		s.options.Log("handshake refused", err, remote)
 		return
 	}
 	session := newSession(newLink(connection, in, &s.options, peer))
-	timed.limit = silentHeartbeats * session.link.heartbeat
-	if !s.adopt(connection, session) {
+	timed.timeout = maxMissedHeartbeats * session.link.heartbeat
+	if !s.startSession(connection, session) {
 		session.link.end(ErrClosed)
 		return
 	}
 	s.options.Log("session opened", nil, remote)
-	err = session.read(s.handler)
+	err = session.readLoop(s.handler)
 	session.link.end(err)
-	session.finish()
+	session.runOnClose()
 	s.mutex.Lock()
 	delete(s.sessions, session)
 	s.mutex.Unlock()
@@ -131,23 +131,23 @@
 }
 
 // greet reads the client's hello and answers it.
-func (s *Server) greet(connection net.Conn, in *bufio.Reader) (hello, error) {
+func (s *Server) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
 	}
-	if err := tuneSocket(connection, s.options.UserTimeout); err != nil {
+	if err := setSocketOptions(connection, s.options.UserTimeout); err != nil {
 		return hello{}, err
 	}
 	own := hello{heartbeat: s.options.Heartbeat, identity: s.options.Identity}
 	peer, err := readHello(in)
-	if errors.Is(err, ErrVersion) {
-		own.status = helloRefused
+	if errors.Is(err, ErrVersionMismatch) {
+		own.status = helloRejected
 		_ = own.write(connection)
 	}
 	if err != nil {
 		return hello{}, err
 	}
-	status, refusal := s.options.judge(peer.identity)
+	status, refusal := s.options.admit(peer.identity)
 	own.status = status
 	if err := own.write(connection); err != nil {
 		return hello{}, err
@@ -159,28 +159,28 @@
 }
 
 // track notes a connection in its handshake. It returns false if the server is closed.
-func (s *Server) track(connection net.Conn) bool {
+func (s *Server) trackHandshake(connection net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.connections[connection] = struct{}{}
+	s.handshaking[connection] = struct{}{}
 	return true
 }
 
 // untrack forgets a connection whose handshake failed.
-func (s *Server) untrack(connection net.Conn) {
+func (s *Server) untrackHandshake(connection net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.connections, connection)
+	delete(s.handshaking, connection)
 }
 
 // adopt turns a tracked connection into a session. It returns false if the server is closed.
-func (s *Server) adopt(connection net.Conn, session *Session) bool {
+func (s *Server) startSession(connection net.Conn, session *Session) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.connections, connection)
+	delete(s.handshaking, connection)
 	if s.closed {
 		return false
 	}
--- a/coord/transport/session.go
+++ b/coord/transport/session.go
@@ -9,10 +9,10 @@
 
 // Session is the server's side of one connection.
 type Session struct {
-	link    *link
-	context context.Context
-	cancel  context.CancelFunc
-	atWork  atomic.Int64 // requests in their handler
+	link     *link
+	ctx      context.Context
+	cancel   context.CancelFunc
+	inFlight atomic.Int64 // requests in their handler
 
 	mutex    sync.Mutex
 	finished bool
@@ -22,7 +22,7 @@
 // newSession returns the session of a link.
 func newSession(l *link) *Session {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Session{link: l, context: ctx, cancel: cancel}
+	return &Session{link: l, ctx: ctx, cancel: cancel}
 }
 
 // Remote returns the identity that the client sent.
@@ -38,7 +38,7 @@
 }
 
 // Closed returns a channel that is closed once the connection has ended.
-func (s *Session) Closed() <-chan struct{} {
+func (s *Session) Done() <-chan struct{} {
 	return s.link.done
 }
 
@@ -61,7 +61,7 @@
 }
 
 // finish ends the context and calls the functions given to OnClose.
-func (s *Session) finish() {
+func (s *Session) runOnClose() {
 	s.cancel()
 	s.mutex.Lock()
 	s.finished = true
@@ -74,7 +74,7 @@
 }
 
 // read hands messages to the handler until the connection ends.
-func (s *Session) read(handler Handler) error {
+func (s *Session) readLoop(handler Handler) error {
 	for {
 		received, message, err := s.link.receive()
 		if err != nil {
@@ -82,9 +82,9 @@
 		}
 		switch received.kind {
 		case frameRequest:
-			s.request(handler, received.call, message)
+			s.handleRequest(handler, received.call, message)
 		case frameOneWay:
-			if _, err := handler(s.context, s, message); err != nil {
+			if _, err := handler(s.ctx, s, message); err != nil {
 				s.link.options.Log("one-way message failed", err, s.link.remote.Node)
 			}
 		default:
@@ -94,15 +94,15 @@
 }
 
 // request runs the handler for a request on a goroutine of its own, or refuses it where too many run.
-func (s *Session) request(handler Handler, call uint32, message any) {
-	if s.atWork.Add(1) > int64(s.link.options.Queue) {
-		s.atWork.Add(-1)
-		s.reply(call, nil, Coded(CodeBusy, "too many requests at work in this session"))
+func (s *Session) handleRequest(handler Handler, call uint32, message any) {
+	if s.inFlight.Add(1) > int64(s.link.options.Queue) {
+		s.inFlight.Add(-1)
+		s.reply(call, nil, NewError(CodeBusy, "too many requests at work in this session"))
 		return
 	}
 	go func() {
-		defer s.atWork.Add(-1)
-		reply, err := handler(s.context, s, message)
+		defer s.inFlight.Add(-1)
+		reply, err := handler(s.ctx, s, message)
 		s.reply(call, reply, err)
 	}()
 }
@@ -112,7 +112,7 @@
 func (s *Session) reply(call uint32, reply any, failure error) {
 	var err error
 	if failure != nil {
-		_, err = s.link.send(frameFailure, call, remoteErrorOf(failure))
+		_, err = s.link.send(frameFailure, call, toRemoteError(failure))
 	} else {
 		_, err = s.link.send(frameReply, call, reply)
 	}
--- a/coord/transport/socket.go
+++ b/coord/transport/socket.go
@@ -14,7 +14,7 @@
 )
 
 // tuneSocket sets TCP_NODELAY, short keep-alive probes and TCP_USER_TIMEOUT.
-func tuneSocket(connection net.Conn, userTimeout time.Duration) error {
+func setSocketOptions(connection net.Conn, userTimeout time.Duration) error {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return nil
--- a/coord/transport/transport_test.go
+++ b/coord/transport/transport_test.go
@@ -33,7 +33,7 @@
 	Register(echoRequest{})
 }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // testOptions returns the options of a machine of the system under test.
 func testOptions(node string) Options {
@@ -59,13 +59,13 @@
 	case nothing:
 		return nothing{}, nil
 	default:
-		return nil, Coded("unknown", "no such request")
+		return nil, NewError("unknown", "no such request")
 	}
 }
 
 // eventually waits until a condition holds.
 func eventually(condition func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if condition() {
 			return true
 		}
@@ -85,19 +85,19 @@
 }
 
 // logBook keeps the errors that were logged.
-type logBook struct {
+type errorLog struct {
 	mutex  sync.Mutex
 	errors []error
 }
 
-func (b *logBook) log(_ string, err error, _ string) {
+func (b *errorLog) log(_ string, err error, _ string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.errors = append(b.errors, err)
 }
 
 // has tells whether an error was logged that wraps the target.
-func (b *logBook) has(target error) bool {
+func (b *errorLog) has(target error) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, err := range b.errors {
@@ -125,7 +125,7 @@
 		defer server.Close()
 		pushed := make(chan int, 1000)
 		client := connected(t, server.Addr().String(), testOptions("client"), func(m any) { pushed <- m.(int) })
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 
 		Convey("calls are answered, many at once", func() {
@@ -190,7 +190,7 @@
 
 func TestAdmission(t *testing.T) {
 	Convey("A machine of another system is refused on both sides", t, func() {
-		var serverLog, clientLog logBook
+		var serverLog, clientLog errorLog
 		options := testOptions("server")
 		options.Log = serverLog.log
 		server := Serve(listen(t), options, echo)
@@ -200,13 +200,13 @@
 		stranger.Log = clientLog.log
 		client := NewClient(server.Addr().String(), stranger, nil, nil)
 		defer client.Close()
-		So(eventually(func() bool { return serverLog.has(ErrOtherSystem) }), ShouldBeTrue)
-		So(eventually(func() bool { return clientLog.has(ErrOtherSystem) }), ShouldBeTrue)
+		So(eventually(func() bool { return serverLog.has(ErrSystemMismatch) }), ShouldBeTrue)
+		So(eventually(func() bool { return clientLog.has(ErrSystemMismatch) }), ShouldBeTrue)
 		So(client.Connected(), ShouldBeFalse)
 	})
 
 	Convey("Admit refuses by identity", t, func() {
-		var serverLog, clientLog logBook
+		var serverLog, clientLog errorLog
 		reason := errors.New("old incarnation")
 		options := testOptions("server")
 		options.Log = serverLog.log
@@ -223,7 +223,7 @@
 		client := NewClient(server.Addr().String(), old, nil, nil)
 		defer client.Close()
 		So(eventually(func() bool { return serverLog.has(reason) }), ShouldBeTrue)
-		So(eventually(func() bool { return clientLog.has(ErrRefused) }), ShouldBeTrue)
+		So(eventually(func() bool { return clientLog.has(ErrRejected) }), ShouldBeTrue)
 		connected(t, server.Addr().String(), testOptions("new"), nil)
 	})
 }
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -100,7 +100,7 @@
 
 func (n *clusterNode) losePower() {
 	n.log = nil
-	n.disk.PowerLoss()
+	n.disk.LosePower()
 }
 
 func (n *clusterNode) wipe() {
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -411,7 +411,7 @@
 		c.settle()
 		So(c.nodes[0].submit("behind", 4).Status, ShouldEqual, 202)
 		owner.kill()
-		So(owner.disk.Flip("segment-00000002", 1000, 0), ShouldBeTrue)
+		So(owner.disk.FlipBit("segment-00000002", 1000, 0), ShouldBeTrue)
 		owner.start()
 		So(owner.found, ShouldHaveLength, 1)
 		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
@@ -451,7 +451,7 @@
 		owner.kill()
 		second := owner.machine.jobs["job"].results[1].at
 		So(second.Segment, ShouldEqual, 1)
-		So(owner.disk.Flip("segment-00000001", int64(second.Offset), 0), ShouldBeTrue)
+		So(owner.disk.FlipBit("segment-00000001", int64(second.Offset), 0), ShouldBeTrue)
 		owner.start()
 		So(owner.found, ShouldHaveLength, 1)
 		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
--- a/internal/batch/replica/store_test.go
+++ b/internal/batch/replica/store_test.go
@@ -134,7 +134,7 @@
 		part := parts[s.world.random.IntN(len(parts))]
 		offset := s.world.random.Int64N(part.size)
 		s.world.note("%s: byte %d of %s of %d is damaged", s.node, offset, part.name, part.size)
-		s.disk.Flip(part.name, offset, s.world.random.IntN(8))
+		s.disk.FlipBit(part.name, offset, s.world.random.IntN(8))
 	}
 	s.damaged = true
 	return true
@@ -225,7 +225,7 @@
 func (s *store) losePower() {
 	s.world.note("%s loses power", s.node)
 	s.stop()
-	s.disk.PowerLoss()
+	s.disk.LosePower()
 }
 
 // powerFails is a loss of power in the middle of an operation of the disk.
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -76,7 +76,7 @@
 		})
 		switch {
 		case errors.Is(err, simulation.ErrPowerLost):
-			h.disk.PowerLoss()
+			h.disk.LosePower()
 			continue
 		case err != nil:
 			return err
@@ -131,7 +131,7 @@
 		h.disk.Kill()
 		return h.start()
 	default:
-		h.disk.PowerLoss()
+		h.disk.LosePower()
 		return h.start()
 	}
 	return nil
@@ -155,14 +155,14 @@
 	case err == nil || errors.Is(err, ErrFull):
 		return nil
 	case errors.Is(err, simulation.ErrPowerLost):
-		h.disk.PowerLoss()
+		h.disk.LosePower()
 		return h.start()
 	}
 	return err
 }
 
 func (h *history) read() error {
-	if h.first >= h.durable || h.disk.Off() {
+	if h.first >= h.durable || h.disk.PoweredOff() {
 		return nil
 	}
 	want := h.records[h.first+h.random.IntN(h.durable-h.first)]
@@ -307,7 +307,7 @@
 				more, err = log.Step()
 				So(err, ShouldBeNil)
 			}
-			disk.PowerLoss()
+			disk.LosePower()
 			load()
 			So(found, ShouldResemble, append(taken, "later"))
 		}
@@ -326,7 +326,7 @@
 			more, err = log.Step()
 			So(err, ShouldBeNil)
 		}
-		So(disk.Flip(name(1), headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), headSize, 0), ShouldBeTrue)
 		disk.Kill()
 		size, _ := disk.Size(name(1))
 		_, err = Load(disk, Options{}, func(Location, []byte) error { return nil })
--- a/internal/batch/wal/mark_test.go
+++ b/internal/batch/wal/mark_test.go
@@ -107,7 +107,7 @@
 			{3*record + 4, "1 2 3 - 5", Location{1, 3 * record, record}}, // a checksum
 		} {
 			disk := writeGroups([]string{"1"}, []string{"2", "3"}, []string{"4"}, []string{"5"})
-			So(disk.Flip(name(1), test.offset, 5), ShouldBeTrue)
+			So(disk.FlipBit(name(1), test.offset, 5), ShouldBeTrue)
 			for range 2 { // and so again at the next start
 				s := start(disk, 1)
 				So(s.text(), ShouldEqual, test.found)
@@ -119,7 +119,7 @@
 	})
 	Convey("Without somebody to tell, such a log isn't opened and stays as it is", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"})
-		So(disk.Flip(name(1), headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), headSize, 0), ShouldBeTrue)
 		before, _ := disk.ReadAll(name(1))
 		_, err := Load(disk, Options{}, nil)
 		So(err, ShouldWrap, ErrCorrupt)
@@ -130,19 +130,19 @@
 	Convey("A mark is found behind a long record of which the length is damaged, and by length behind a longer one", t, func() {
 		long := strings.Repeat("\x80", searchedRecord)
 		disk := writeGroups([]string{long}, []string{long}, []string{"end"})
-		So(disk.Flip(name(1), 2, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), 2, 0), ShouldBeTrue)
 		s := start(disk, 1)
 		So(s.records, ShouldResemble, []string{"-", long, "end"})
 		longer := strings.Repeat("\x80", searchedRecord+1)
 		disk = writeGroups([]string{longer}, []string{longer})
-		So(disk.Flip(name(1), headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), headSize, 0), ShouldBeTrue)
 		s = start(disk, 1)
 		So(s.records, ShouldResemble, []string{"-", longer})
 	})
 	Convey("Damage at two places is told twice, and an end behind the last mark is cut off", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"}, []string{"3"}, []string{"4"}, []string{"5", "6"})
 		for _, offset := range []int64{headSize, 2*record + headSize, 5*record + headSize} {
-			So(disk.Flip(name(1), offset, 0), ShouldBeTrue)
+			So(disk.FlipBit(name(1), offset, 0), ShouldBeTrue)
 		}
 		s := start(disk, 1)
 		So(s.text(), ShouldEqual, "- 2 - 4 5")
@@ -154,7 +154,7 @@
 	const record = headSize + 1
 	Convey("A last group that isn't whole is cut off and told, with sound records of it behind", t, func() {
 		disk := writeGroups([]string{"1", "2"}, []string{"3", "4", "5"})
-		So(disk.Flip(name(1), 3*record+headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), 3*record+headSize, 0), ShouldBeTrue)
 		s := start(disk, 1)
 		So(s.text(), ShouldEqual, "1 2 3")
 		So(s.skipped, ShouldBeEmpty)
@@ -168,7 +168,7 @@
 		disk := unmarked("1", "2", "3", "4")
 		So(start(disk, 1).text(), ShouldEqual, "1 2 3 4")
 		disk = unmarked("1", "2", "3", "4")
-		So(disk.Flip(name(1), 2*record+headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), 2*record+headSize, 0), ShouldBeTrue)
 		s := start(disk, 1)
 		So(s.text(), ShouldEqual, "1 2")
 		So(s.cutOff, ShouldResemble, []Location{{1, 2 * record, 2 * record}})
@@ -176,7 +176,7 @@
 	Convey("Once a later segment is begun, be it without records, nothing is cut off", t, func() {
 		for _, disk := range []*simulation.Disk{writeGroups([]string{"1"}, []string{"2"}), unmarked("1", "2")} {
 			So(start(disk, 1).text(), ShouldEqual, "1 2") // begins segment 2
-			So(disk.Flip(name(1), record+headSize, 0), ShouldBeTrue)
+			So(disk.FlipBit(name(1), record+headSize, 0), ShouldBeTrue)
 			s := start(disk, 1)
 			So(s.text(), ShouldEqual, "1 -")
 			So(s.skipped, ShouldResemble, []Location{{1, record, record}})
@@ -187,7 +187,7 @@
 		inner := writeGroups([]string{"1"}, []string{"2"})
 		image, _ := inner.ReadAll(name(1))
 		disk := writeGroups([]string{"first"}, []string{string(image) + string(image)})
-		So(disk.Flip(name(1), 2*headSize+int64(len("first")), 0), ShouldBeTrue)
+		So(disk.FlipBit(name(1), 2*headSize+int64(len("first")), 0), ShouldBeTrue)
 		s := start(disk, 1)
 		So(s.text(), ShouldEqual, "first")
 		So(s.skipped, ShouldBeEmpty)
@@ -219,7 +219,7 @@
 	sound := start(disk, 1)
 	lastGroup := sound.recordsAt[len(sound.recordsAt)-len(groups[len(groups)-1])].Offset - headSize
 	offset := random.Int64N(sound.sizeBefore)
-	disk.Flip(name(1), offset, random.IntN(8))
+	disk.FlipBit(name(1), offset, random.IntN(8))
 	s := start(disk, 1)
 	for _, at := range s.cutOff {
 		if at.Offset < lastGroup {
--- a/internal/batch/wal/skip_test.go
+++ b/internal/batch/wal/skip_test.go
@@ -65,20 +65,20 @@
 		} {
 			disk := written()
 			before, _ := disk.ReadAll(name(test.segment))
-			So(disk.Flip(name(test.segment), test.offset, 3), ShouldBeTrue)
+			So(disk.FlipBit(name(test.segment), test.offset, 3), ShouldBeTrue)
 			for range 2 { // and so again at the next start
 				found, skipped := loadSkipping(disk)
 				So(found, ShouldEqual, test.found)
 				So(skipped, ShouldResemble, []Location{test.at})
 			}
-			disk.Flip(name(test.segment), test.offset, 3)
+			disk.FlipBit(name(test.segment), test.offset, 3)
 			after, _ := disk.ReadAll(name(test.segment))
 			So(bytes.Equal(before, after), ShouldBeTrue) // the part is left as it is
 		}
 	})
 	Convey("A damaged end of the last segment is cut off as a torn one", t, func() {
 		disk := written()
-		So(disk.Flip(name(4), headSize, 0), ShouldBeTrue)
+		So(disk.FlipBit(name(4), headSize, 0), ShouldBeTrue)
 		found, skipped := loadSkipping(disk)
 		So(found, ShouldEqual, "123456789")
 		So(skipped, ShouldBeEmpty)
--- a/internal/control/bubble_test.go
+++ b/internal/control/bubble_test.go
@@ -81,7 +81,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.others[ip] == nil {
-		s.others[ip] = s.network.Host(ip)
+		s.others[ip] = s.network.StartHost(ip)
 	}
 	return s.others[ip]
 }
@@ -109,8 +109,8 @@
 
 // begin starts a control process.
 func (s *bubbleSystem) begin(i int) {
-	s.hosts[i] = s.network.Host(s.settings[i].IP)
-	around := &surroundings{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Begin(), spoil: s.spoil, leaseSuspects: s.lenient}
+	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
+	around := &surroundings{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), spoil: s.spoil, leaseSuspects: s.lenient}
 	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), surroundings: around})
 	if err != nil {
 		s.t.Fatal(err)
@@ -146,10 +146,10 @@
 func (s *bubbleSystem) cut(victim int, out, in bool) {
 	for i := range s.settings {
 		if i != victim && out {
-			s.network.Cut(s.settings[victim].IP, s.settings[i].IP)
+			s.network.Partition(s.settings[victim].IP, s.settings[i].IP)
 		}
 		if i != victim && in {
-			s.network.Cut(s.settings[i].IP, s.settings[victim].IP)
+			s.network.Partition(s.settings[i].IP, s.settings[victim].IP)
 		}
 	}
 }
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -95,7 +95,7 @@
 func (s *deployedStore) start() {
 	w := s.world
 	s.starts++
-	s.host = w.network.Host(s.ip)
+	s.host = w.network.StartHost(s.ip)
 	ended, end := context.WithCancel(context.Background())
 	l := &storeLife{
 		store: s, host: s.host, origin: time.Now(), ended: ended, end: end,
@@ -123,7 +123,7 @@
 
 func (l *storeLife) open() error {
 	var err error
-	l.journal, err = wal.OpenFS(l.store.disk.Begin(), wal.Options{Segment: storeSegment}, l.machine.Replay, l.durable)
+	l.journal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{Segment: storeSegment}, l.machine.Replay, l.durable)
 	return err
 }
 
--- a/internal/control/deployment_troubles_test.go
+++ b/internal/control/deployment_troubles_test.go
@@ -340,9 +340,9 @@
 			if one == other {
 				continue
 			}
-			r.network.Cut(one, other)
+			r.network.Partition(one, other)
 			if both {
-				r.network.Cut(other, one)
+				r.network.Partition(other, one)
 			}
 		}
 	}
@@ -405,17 +405,17 @@
 	return func(down time.Duration) {
 		r.note("%v: the disk stands still", v)
 		for _, i := range v.controls {
-			r.bubbleSystem.disks[i].Stall(true)
+			r.bubbleSystem.disks[i].SetStalled(true)
 		}
 		for _, s := range v.stores {
-			s.disk.Slow(40)
+			s.disk.SlowSyncs(40)
 		}
 		time.Sleep(down)
 		for _, i := range v.controls {
-			r.bubbleSystem.disks[i].Stall(false)
+			r.bubbleSystem.disks[i].SetStalled(false)
 		}
 		for _, s := range v.stores {
-			s.disk.Slow(1)
+			s.disk.SlowSyncs(1)
 		}
 	}
 }
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_world_test.go
@@ -128,7 +128,7 @@
 	settings.ListenControl = settings.IP + ":8080"
 	w.settings = append(w.settings, &settings)
 	w.disks = append(w.disks, bubble.NewDisk(w.seed*8+uint64(i)))
-	w.hosts = append(w.hosts, w.network.Host(settings.IP))
+	w.hosts = append(w.hosts, w.network.StartHost(settings.IP))
 	w.running = append(w.running, nil)
 	w.removed[i] = true
 }
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -103,10 +103,10 @@
 				}
 				time.Sleep(2 * time.Second)
 				w.take(101, 100+missedOrders, w.members[:2]...)
-				before, began := w.network.Received(away.ip), w.now()
+				before, began := w.network.BytesReceived(away.ip), w.now()
 				away.start(false)
 				early := w.servesNothingOld(away, 100+missedOrders)
-				took, received := w.now()-began, w.network.Received(away.ip)-before
+				took, received := w.now()-began, w.network.BytesReceived(away.ip)-before
 				t.Logf("caught up in %v with %d bytes; %d answers before, all without a configuration", took, received, early)
 				if took > catchUpWithin || received > catchUpBytes {
 					t.Errorf("%v and %d bytes to catch up", took, received)
--- a/internal/control/operatorapi/many_test.go
+++ b/internal/control/operatorapi/many_test.go
@@ -18,7 +18,7 @@
 // usage is what the world holds in memory and on the fullest disk.
 func (w *world) usage() (heap uint64, disk int64) {
 	for _, m := range w.members {
-		held, _, _ := m.disk.Used()
+		held, _, _ := m.disk.Usage()
 		disk = max(disk, held)
 	}
 	runtime.GC()
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -107,7 +107,7 @@
 // start starts the process. No lock is held meanwhile: who waits for one doesn't let the time of a bubble pass.
 func (m *member) start(bootstrap bool) {
 	w := m.world
-	host, state := w.network.Host(m.ip), statemachine.New()
+	host, state := w.network.StartHost(m.ip), statemachine.New()
 	var planted chain.Machine = state
 	if w.plant == plantForgetful {
 		planted = &forgetfulMachine{Machine: state}
@@ -119,7 +119,7 @@
 		Dial:      host.Dial,
 		Seeds:     w.seeds,
 		Bootstrap: bootstrap,
-		Disk:      m.disk.Begin(),
+		Disk:      m.disk.Mount(),
 		Tolerance: worldTolerance,
 		Machine:   planted,
 		Log:       func(event string, fields ...any) { w.note("%s %s %v", m.ip, event, fields) },
@@ -206,10 +206,10 @@
 			continue
 		}
 		if out {
-			w.network.Cut(m.ip, other.ip)
+			w.network.Partition(m.ip, other.ip)
 		}
 		if in {
-			w.network.Cut(other.ip, m.ip)
+			w.network.Partition(other.ip, m.ip)
 		}
 	}
 	w.mutex.Lock()
@@ -283,18 +283,18 @@
 		w.cutOff(m, false, true, 20*time.Second)
 	case 8:
 		w.note("the link of %s and %s is cut", m.ip, other.ip)
-		w.network.Cut(m.ip, other.ip)
+		w.network.Partition(m.ip, other.ip)
 		if w.random.IntN(2) == 0 {
-			w.network.Cut(other.ip, m.ip)
+			w.network.Partition(other.ip, m.ip)
 		}
 		time.Sleep(span)
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
 	case 9: // whoever waits for the disk stands still, the API goes on
 		w.note("the disk of %s stalls for %v", m.ip, span)
-		m.disk.Stall(true)
+		m.disk.SetStalled(true)
 		time.Sleep(span)
-		m.disk.Stall(false)
+		m.disk.SetStalled(false)
 	case 10:
 		w.note("%s leaves as planned", m.ip)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
--- a/internal/control/quotaservice/core_test.go
+++ b/internal/control/quotaservice/core_test.go
@@ -103,11 +103,11 @@
 	}
 	life := m.life
 	m.frozen = true
-	w.Freeze(m.name)
+	w.Pause(m.name)
 	w.After(length, func() {
 		if m.life == life && m.up {
 			m.frozen = false
-			w.Thaw(m.name)
+			w.Resume(m.name)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 func (c *core) touch(one, other *member) bool {
 	links := c.world.Links
 	runs := one.up && !one.frozen && other.up && !other.frozen
-	return runs && (one == other || !links.IsCut(one.name, other.name) && !links.IsCut(other.name, one.name))
+	return runs && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
 func (c *core) healthy(m *member) bool {
--- a/internal/control/quotaservice/quotas.go
+++ b/internal/control/quotaservice/quotas.go
@@ -81,7 +81,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.acts(now) {
-		return protocol.QuotaReply{}, transport.Coded(CodeNotLead, "quota is granted elsewhere")
+		return protocol.QuotaReply{}, transport.NewError(CodeNotLead, "quota is granted elsewhere")
 	}
 	if version := s.record.Configuration(); version != nil && version != s.configured {
 		s.configured = version
--- a/internal/control/quotaservice/random_test.go
+++ b/internal/control/quotaservice/random_test.go
@@ -40,7 +40,7 @@
 
 // world is control processes with the real service, gateways with real clients, and tenants at ten times their limits.
 type world struct {
-	*simulation.World
+	*simulation.Simulation
 	random   *simulation.Rand
 	plant    plant
 	core     *core
@@ -74,9 +74,9 @@
 }
 
 func newWorld(seed uint64, bug plant) *world {
-	sim := simulation.NewWorld(seed)
+	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond}
-	w := &world{World: sim, random: sim.Random, plant: bug, ran: map[string][]time.Duration{}, terms: map[uint64]*span{}}
+	w := &world{Simulation: sim, random: sim.Random, plant: bug, ran: map[string][]time.Duration{}, terms: map[uint64]*span{}}
 	const document = `{"generation":1,"routes":[],"backends":[],"tenants":[
 		{"name":"a","api-keys":["k"],"rate-per-s":40,"burst":40},{"name":"b","api-keys":["l"],"rate-per-s":8,"burst":8}]}`
 	version, err := configuration.ParseDocument([]byte(document), 1)
@@ -217,8 +217,8 @@
 func (w *world) cut(one, other string, way int, length time.Duration) {
 	for i, pair := range [][2]string{{one, other}, {other, one}} {
 		if way != i+1 {
-			w.Links.Cut(pair[0], pair[1])
-			w.After(length, func() { w.Links.Join(pair[0], pair[1]) })
+			w.Links.Partition(pair[0], pair[1])
+			w.After(length, func() { w.Links.Heal(pair[0], pair[1]) })
 		}
 	}
 }
@@ -255,8 +255,8 @@
 		g.stop()
 		w.After(200*time.Millisecond+w.span(time.Second), g.start)
 	case 8:
-		w.Freeze(g.name)
-		w.After(w.span(longestCut), func() { w.Thaw(g.name) })
+		w.Pause(g.name)
+		w.After(w.span(longestCut), func() { w.Resume(g.name) })
 	case 9:
 		for _, one := range w.core.members {
 			w.cut(g.name, one.name, w.random.IntN(3), w.span(longestCut))
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -49,7 +49,7 @@
 		c.handleReport(session, &m)
 		return nil, nil
 	}
-	return nil, transport.Coded(CodeUnknownMessage, "control doesn't handle this message")
+	return nil, transport.NewError(CodeUnknownMessage, "control doesn't handle this message")
 }
 
 // handlePoll answers a poll. What the asker lacks is pushed ahead of the answer, so that a push that is due at the same time
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -259,9 +259,9 @@
 		case 0, 1, 2:
 			w.isolate(victim, kind != 1, kind != 2)
 		case 3:
-			w.network.Cut(w.settings[victim].IP, w.settings[other].IP)
+			w.network.Partition(w.settings[victim].IP, w.settings[other].IP)
 			if w.random.IntN(2) == 0 {
-				w.network.Cut(w.settings[other].IP, w.settings[victim].IP)
+				w.network.Partition(w.settings[other].IP, w.settings[victim].IP)
 			}
 			time.Sleep(3 * span)
 			w.heal(victim)
@@ -278,9 +278,9 @@
 				w.begin(i)
 			}
 		case 6:
-			w.disks[victim].Stall(true)
+			w.disks[victim].SetStalled(true)
 			time.Sleep(span)
-			w.disks[victim].Stall(false)
+			w.disks[victim].SetStalled(false)
 		}
 		time.Sleep(5 * time.Second)
 	}
--- a/internal/gateway/quotaclient/limits_test.go
+++ b/internal/gateway/quotaclient/limits_test.go
@@ -50,7 +50,7 @@
 func (c *control) handle(_ context.Context, _ *transport.Session, message any) (any, error) {
 	request, ok := message.(protocol.QuotaRequest)
 	if !ok || !c.acts.Load() {
-		return nil, transport.Coded("not-lead", "elsewhere")
+		return nil, transport.NewError("not-lead", "elsewhere")
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/subscription/core_test.go
+++ b/internal/gateway/subscription/core_test.go
@@ -73,7 +73,7 @@
 
 func (c *core) touch(one, other *simControl) bool {
 	links := c.world.Links
-	return one.runs() && other.runs() && (one == other || !links.IsCut(one.name, other.name) && !links.IsCut(other.name, one.name))
+	return one.runs() && other.runs() && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
 // healthy tells whether a machine is in touch with a majority.
@@ -376,11 +376,11 @@
 	}
 	c.frozen = true
 	life := c.life
-	w.Freeze(c.name)
+	w.Pause(c.name)
 	w.After(length, func() {
 		if c.life == life {
 			c.frozen = false
-			w.Thaw(c.name)
+			w.Resume(c.name)
 		}
 	})
 }
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -104,11 +104,11 @@
 	life := g.life
 	g.frozen = true
 	g.troubledAt = w.Elapsed() + length
-	w.Freeze(g.name)
+	w.Pause(g.name)
 	w.After(length, func() {
 		if g.life == life && g.up {
 			g.frozen = false
-			w.Thaw(g.name)
+			w.Resume(g.name)
 		}
 	})
 }
--- a/internal/gateway/subscription/world_test.go
+++ b/internal/gateway/subscription/world_test.go
@@ -24,7 +24,7 @@
 
 // world is gateways with the real subscriptions, control processes and an operator, in virtual time.
 type world struct {
-	*simulation.World
+	*simulation.Simulation
 	random   *simulation.Rand
 	plant    plant
 	core     *core
@@ -37,9 +37,9 @@
 }
 
 func newWorld(seed uint64, bug plant) *world {
-	sim := simulation.NewWorld(seed)
+	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond, Ordered: true}
-	w := &world{World: sim, random: sim.Random, plant: bug}
+	w := &world{Simulation: sim, random: sim.Random, plant: bug}
 	w.busy, w.slow = 0.05, 0.01
 	if seed%4 == 3 {
 		w.busy, w.slow = 0.5, 0.05
@@ -105,11 +105,11 @@
 func (p *pipe) flush() {
 	w := p.world
 	for len(p.queue) > 0 && !p.broken {
-		if w.Links.IsCut(p.from, p.to) && !p.patient {
+		if w.Links.Partitioned(p.from, p.to) && !p.patient {
 			p.broken = true
 			return
 		}
-		if w.Links.IsCut(p.from, p.to) {
+		if w.Links.Partitioned(p.from, p.to) {
 			p.wait(100 * time.Millisecond)
 			return
 		}
@@ -165,8 +165,8 @@
 }
 
 func (w *world) cutFor(from, to string, length time.Duration) {
-	w.Links.Cut(from, to)
-	w.After(length, func() { w.Links.Join(from, to) })
+	w.Links.Partition(from, to)
+	w.After(length, func() { w.Links.Heal(from, to) })
 }
 
 func (w *world) failf(format string, values ...any) {
--- a/internal/lab/soak/network.go
+++ b/internal/lab/soak/network.go
@@ -16,11 +16,11 @@
 
 	mu   sync.Mutex
 	next int
-	cuts map[int][]partition.Way
+	cuts map[int][]partition.Link
 }
 
 func newNetwork(path string) (*network, error) {
-	n := &network{path: path, cuts: map[int][]partition.Way{}}
+	n := &network{path: path, cuts: map[int][]partition.Link{}}
 	return n, n.write()
 }
 
@@ -29,11 +29,11 @@
 
 // environment tells a machine's processes where the file is and who they are.
 func (n *network) environment(m system.Machine) []string {
-	return []string{partition.FileVariable + "=" + n.path, partition.HostVariable + "=" + m.IP, logLevel}
+	return []string{partition.EnvFile + "=" + n.path, partition.EnvHost + "=" + m.IP, logLevel}
 }
 
 // cut cuts ways off, and gives what heals them.
-func (n *network) cut(ways []partition.Way) (heal func(), err error) {
+func (n *network) cut(ways []partition.Link) (heal func(), err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next++
@@ -72,16 +72,16 @@
 }
 
 // between gives the ways between two groups of machines, in one direction or both.
-func between(from, to []system.Machine, both bool) []partition.Way {
-	var ways []partition.Way
+func between(from, to []system.Machine, both bool) []partition.Link {
+	var ways []partition.Link
 	for _, a := range from {
 		for _, b := range to {
 			if a.IP == b.IP {
 				continue
 			}
-			ways = append(ways, partition.Way{From: a.IP, To: b.IP})
+			ways = append(ways, partition.Link{From: a.IP, To: b.IP})
 			if both {
-				ways = append(ways, partition.Way{From: b.IP, To: a.IP})
+				ways = append(ways, partition.Link{From: b.IP, To: a.IP})
 			}
 		}
 	}
--- a/internal/simulation/bubble/network.go
+++ b/internal/simulation/bubble/network.go
@@ -13,34 +13,34 @@
 
 // Times of the network.
 const (
-	delayLeast  = 200 * time.Microsecond
-	delaySpread = 400 * time.Microsecond
+	minDelay    = 200 * time.Microsecond
+	delayJitter = 400 * time.Microsecond
 	// userTimeout is how long data may go without acknowledgement, as coord/transport sets it.
 	userTimeout = 1500 * time.Millisecond
 	// probeTimeout is after how long probes end a connection without an answer.
-	probeTimeout = 3 * time.Second
+	keepAliveTimeout = 3 * time.Second
 	// retransmission is how long after the end of a cut held bytes arrive, at most.
-	retransmission = 200 * time.Millisecond
+	maxRetransmitDelay = 200 * time.Millisecond
 	// backlog is how many connections wait to be accepted.
-	backlog = 1024
+	listenBacklog = 1024
 )
 
 // Network is all machines and the links between them.
 type Network struct {
-	mutex  sync.Mutex // of all below, and of all hosts and connections
-	random *rand.Rand
-	hosts  map[string]*Host // by IP, the present life
-	cuts   map[[2]string]int
-	cutter int // counts cuts
-	open   map[*connection]bool
-	ports  int
-	bytes  map[string]int64 // that arrived, by IP
+	mutex          sync.Mutex // of all below, and of all hosts and connections
+	random         *rand.Rand
+	hosts          map[string]*Host // by IP, the present life
+	partitions     map[[2]string]int
+	partitionCount int // counts cuts
+	connections    map[*connection]bool
+	lastPort       int
+	received       map[string]int64 // that arrived, by IP
 }
 
 // New gives a network without machines. Call it in the bubble.
 func New(seed uint64) *Network {
-	return &Network{random: rand.New(rand.NewPCG(seed, 11)), hosts: map[string]*Host{}, cuts: map[[2]string]int{},
-		open: map[*connection]bool{}, ports: 40_000, bytes: map[string]int64{}}
+	return &Network{random: rand.New(rand.NewPCG(seed, 11)), hosts: map[string]*Host{}, partitions: map[[2]string]int{},
+		connections: map[*connection]bool{}, lastPort: 40_000, received: map[string]int64{}}
 }
 
 // Host is one life of a process on a machine with an IP address.
@@ -52,11 +52,11 @@
 }
 
 // Host begins a life at an address. Connections of the life before end.
-func (n *Network) Host(ip string) *Host {
+func (n *Network) StartHost(ip string) *Host {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if old := n.hosts[ip]; old != nil {
-		old.end()
+		old.markDead()
 		n.endConnections(old, 0)
 	}
 	host := &Host{network: n, ip: ip, listeners: map[string]*listener{}}
@@ -65,20 +65,20 @@
 }
 
 // Kill ends the life as a killed process does: the other sides of its connections hear of it.
-func (h *Host) Kill() { h.finish(0) }
+func (h *Host) Kill() { h.stop(0) }
 
 // LosePower ends the life without a word to anybody.
-func (h *Host) LosePower() { h.finish(probeTimeout) }
+func (h *Host) LosePower() { h.stop(keepAliveTimeout) }
 
-func (h *Host) finish(heardAfter time.Duration) {
+func (h *Host) stop(noticeDelay time.Duration) {
 	n := h.network
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	h.end()
-	n.endConnections(h, heardAfter)
+	h.markDead()
+	n.endConnections(h, noticeDelay)
 }
 
-func (h *Host) end() {
+func (h *Host) markDead() {
 	h.dead = true
 	for _, one := range h.listeners {
 		one.close()
@@ -86,43 +86,43 @@
 }
 
 // endConnections ends a life's connections on its own side at once, and on the others later.
-func (n *Network) endConnections(h *Host, heardAfter time.Duration) {
-	for c := range n.open {
+func (n *Network) endConnections(h *Host, noticeDelay time.Duration) {
+	for c := range n.connections {
 		for side, one := range c.ends {
 			if one.host != h {
 				continue
 			}
 			one.fail(net.ErrClosed)
 			other := c.ends[1-side]
-			time.AfterFunc(heardAfter+n.delay(), func() { n.reset(other) })
+			time.AfterFunc(noticeDelay+n.drawDelay(), func() { n.reset(other) })
 		}
 	}
 }
 
-func (n *Network) delay() time.Duration {
-	return delayLeast + time.Duration(n.random.Int64N(int64(delaySpread)))
+func (n *Network) drawDelay() time.Duration {
+	return minDelay + time.Duration(n.random.Int64N(int64(delayJitter)))
 }
 
 // Cut cuts one direction between two machines.
-func (n *Network) Cut(from, to string) {
+func (n *Network) Partition(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	pair := [2]string{from, to}
-	n.cutter++
-	cut := n.cutter
-	n.cuts[pair] = cut
-	time.AfterFunc(probeTimeout, func() { n.probe(pair, cut) })
+	n.partitionCount++
+	cut := n.partitionCount
+	n.partitions[pair] = cut
+	time.AfterFunc(keepAliveTimeout, func() { n.expireKeepAlive(pair, cut) })
 }
 
 // probe ends the connections over a cut that still holds.
-func (n *Network) probe(pair [2]string, cut int) {
+func (n *Network) expireKeepAlive(pair [2]string, cut int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	if n.cuts[pair] != cut {
+	if n.partitions[pair] != cut {
 		return
 	}
-	for c := range n.open {
-		if c.between(pair) {
+	for c := range n.connections {
+		if c.connects(pair) {
 			c.ends[0].fail(syscall.ETIMEDOUT)
 			c.ends[1].fail(syscall.ETIMEDOUT)
 		}
@@ -134,13 +134,13 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	pair := [2]string{from, to}
-	delete(n.cuts, pair)
-	for c := range n.open {
-		if !c.between(pair) {
+	delete(n.partitions, pair)
+	for c := range n.connections {
+		if !c.connects(pair) {
 			continue
 		}
 		for _, one := range c.ends {
-			time.AfterFunc(time.Duration(n.random.Int64N(int64(retransmission))), func() { n.flush(one) })
+			time.AfterFunc(time.Duration(n.random.Int64N(int64(maxRetransmitDelay))), func() { n.deliverDue(one) })
 		}
 	}
 }
@@ -149,8 +149,8 @@
 func (n *Network) Reset(one, other string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for c := range n.open {
-		if c.between([2]string{one, other}) {
+	for c := range n.connections {
+		if c.connects([2]string{one, other}) {
 			c.ends[0].fail(syscall.ECONNRESET)
 			c.ends[1].fail(syscall.ECONNRESET)
 		}
@@ -158,16 +158,16 @@
 }
 
 // Received gives how many bytes have arrived at a machine.
-func (n *Network) Received(ip string) int64 {
+func (n *Network) BytesReceived(ip string) int64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.bytes[ip]
+	return n.received[ip]
 }
 
-func (n *Network) isCut(from, to string) bool { return n.cuts[[2]string{from, to}] != 0 }
+func (n *Network) isPartitioned(from, to string) bool { return n.partitions[[2]string{from, to}] != 0 }
 
 // reset ends one side as a reset that comes in does.
-func (n *Network) reset(one *end) {
+func (n *Network) reset(one *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	one.fail(syscall.ECONNRESET)
@@ -184,7 +184,7 @@
 	if old := h.listeners[address]; old != nil && !old.closed {
 		return nil, fmt.Errorf("listen %s: %w", address, syscall.EADDRINUSE)
 	}
-	one := &listener{network: n, address: address, accepted: make(chan net.Conn, backlog), done: make(chan struct{})}
+	one := &listener{network: n, address: address, accepted: make(chan net.Conn, listenBacklog), done: make(chan struct{})}
 	h.listeners[address] = one
 	return one, nil
 }
@@ -200,7 +200,7 @@
 		if connection != nil || err != nil {
 			return connection, err
 		}
-		timer := time.NewTimer(retransmission)
+		timer := time.NewTimer(maxRetransmitDelay)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -214,7 +214,7 @@
 func (h *Host) dial(ip, address string) (net.Conn, error) {
 	n := h.network
 	n.mutex.Lock()
-	delay := 2 * n.delay()
+	delay := 2 * n.drawDelay()
 	n.mutex.Unlock()
 	time.Sleep(delay)
 	n.mutex.Lock()
@@ -223,21 +223,21 @@
 	switch {
 	case h.dead:
 		return nil, net.ErrClosed
-	case target == nil || target.dead || n.isCut(h.ip, ip) || n.isCut(ip, h.ip):
+	case target == nil || target.dead || n.isPartitioned(h.ip, ip) || n.isPartitioned(ip, h.ip):
 		return nil, nil
 	}
 	one := target.listeners[address]
 	if one == nil || one.closed {
 		return nil, syscall.ECONNREFUSED
 	}
-	n.ports++
-	c := newConnection(n, h, target, fmt.Sprintf("%s:%d", h.ip, n.ports), address)
+	n.lastPort++
+	c := newConnection(n, h, target, fmt.Sprintf("%s:%d", h.ip, n.lastPort), address)
 	select {
 	case one.accepted <- c.ends[1]:
 	default:
 		return nil, errors.New("bubble: the backlog is full")
 	}
-	n.open[c] = true
+	n.connections[c] = true
 	return c.ends[0], nil
 }
 
--- a/internal/simulation/bubble/network_test.go
+++ b/internal/simulation/bubble/network_test.go
@@ -17,7 +17,7 @@
 // pair opens a connection between two machines.
 func pair(t *testing.T, n *Network) (from, to net.Conn, server *Host) {
 	t.Helper()
-	client, server := n.Host("10.0.0.1"), n.Host("10.0.0.2")
+	client, server := n.StartHost("10.0.0.1"), n.StartHost("10.0.0.2")
 	listener, err := server.Listen(at)
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +40,10 @@
 }
 
 func TestConnections(t *testing.T) {
-	trouble := func(name string, run func(t *testing.T, n *Network)) {
+	fault := func(name string, run func(t *testing.T, n *Network)) {
 		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { run(t, New(1)) }) })
 	}
-	trouble("bytes arrive in order, then the end", func(t *testing.T, n *Network) {
+	fault("bytes arrive in order, then the end", func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
 		for range 100 {
 			_, _ = from.Write([]byte("abc"))
@@ -54,9 +54,9 @@
 			t.Fatal(len(all), err)
 		}
 	})
-	trouble("a short cut holds bytes back", func(t *testing.T, n *Network) {
+	fault("a short cut holds bytes back", func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
-		n.Cut("10.0.0.1", "10.0.0.2")
+		n.Partition("10.0.0.1", "10.0.0.2")
 		_, _ = from.Write([]byte("held"))
 		if got, err := read(t, to, time.Second); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(got, err)
@@ -66,9 +66,9 @@
 			t.Fatal(got, err)
 		}
 	})
-	trouble("one way cut, the other way still delivers, and its sender gives up for want of acknowledgements", func(t *testing.T, n *Network) {
+	fault("one way cut, the other way still delivers, and its sender gives up for want of acknowledgements", func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
-		n.Cut("10.0.0.1", "10.0.0.2")
+		n.Partition("10.0.0.1", "10.0.0.2")
 		_, _ = to.Write([]byte("back"))
 		if got, err := read(t, from, time.Second); got != "back" || err != nil {
 			t.Fatal(got, err)
@@ -83,7 +83,7 @@
 			t.Fatal(err)
 		}
 	})
-	trouble("a killed process resets its connections, one without power says nothing", func(t *testing.T, n *Network) {
+	fault("a killed process resets its connections, one without power says nothing", func(t *testing.T, n *Network) {
 		from, _, server := pair(t, n)
 		server.Kill()
 		if _, err := read(t, from, time.Second); !errors.Is(err, syscall.ECONNRESET) {
@@ -94,7 +94,7 @@
 		if _, err := read(t, from, time.Second); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
 		}
-		if _, err := read(t, from, probeTimeout); !errors.Is(err, syscall.ECONNRESET) {
+		if _, err := read(t, from, keepAliveTimeout); !errors.Is(err, syscall.ECONNRESET) {
 			t.Fatal(err)
 		}
 	})
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -21,27 +21,27 @@
 	// SyncTime is what each sync takes.
 	SyncTime time.Duration
 
-	random     *Rand
-	names      map[string]*inode
-	durable    map[string]*inode
-	changes    []nameChange
-	capacity   int64 // bytes, 0 for no bound
-	failAt     int   // operations until the power goes, 0 for never
-	off        bool
-	generation int // of the processes that use it
-	operations int
-	busy       time.Duration
+	random         *Rand
+	entries        map[string]*inode
+	durableEntries map[string]*inode
+	unsynced       []directoryChange
+	capacity       int64 // bytes, 0 for no bound
+	failAt         int   // operations until the power goes, 0 for never
+	poweredOff     bool
+	incarnation    int // of the processes that use it
+	operations     int
+	latency        time.Duration
 }
 
 // nameChange is a new, renamed or removed name that is not durable yet. An empty from is a new file, an empty to is
 // a removed one.
-type nameChange struct {
+type directoryChange struct {
 	from, to string
 	file     *inode
 }
 
 // apply makes the change to a table of names.
-func (c nameChange) apply(names map[string]*inode) {
+func (c directoryChange) apply(names map[string]*inode) {
 	if c.from != "" {
 		delete(names, c.from)
 	}
@@ -59,34 +59,34 @@
 
 // Wipe replaces the disk by an empty one.
 func (d *Disk) Wipe() {
-	d.names = make(map[string]*inode)
-	d.durable = make(map[string]*inode)
-	d.changes = nil
+	d.entries = make(map[string]*inode)
+	d.durableEntries = make(map[string]*inode)
+	d.unsynced = nil
 	d.Kill()
 }
 
 // Kill ends the processes that use the disk: open files fail from now on. All that was written stays.
 func (d *Disk) Kill() {
-	d.generation++
-	d.off = false
+	d.incarnation++
+	d.poweredOff = false
 	d.failAt = 0
 }
 
 // PowerLoss ends the processes and keeps, loses or tears each change that was not synced. Now and then all of them
 // are lost.
-func (d *Disk) PowerLoss() {
+func (d *Disk) LosePower() {
 	loseAll := d.random.Chance(0.2)
-	for _, pending := range d.changes {
+	for _, pending := range d.unsynced {
 		if !loseAll && d.random.Chance(0.5) {
-			pending.apply(d.durable)
+			pending.apply(d.durableEntries)
 		}
 	}
-	d.changes = nil
-	d.names = make(map[string]*inode)
-	for _, name := range sortedNames(d.durable) {
-		file := d.durable[name]
+	d.unsynced = nil
+	d.entries = make(map[string]*inode)
+	for _, name := range sortedNames(d.durableEntries) {
+		file := d.durableEntries[name]
 		file.losePower(d.random, loseAll)
-		d.names[name] = file
+		d.entries[name] = file
 	}
 	d.Kill()
 }
@@ -103,8 +103,8 @@
 }
 
 // Off tells whether the power went in the middle of an operation and hasn't come back.
-func (d *Disk) Off() bool {
-	return d.off
+func (d *Disk) PoweredOff() bool {
+	return d.poweredOff
 }
 
 // Operations returns how many operations that change the disk there were.
@@ -113,20 +113,20 @@
 }
 
 // Stall adds to the time that the next operations take.
-func (d *Disk) Stall(duration time.Duration) {
-	d.busy += duration
+func (d *Disk) AddLatency(duration time.Duration) {
+	d.latency += duration
 }
 
 // TakeBusy returns how long the operations since the last call take, so that a world can let that time pass.
-func (d *Disk) TakeBusy() time.Duration {
-	busy := d.busy
-	d.busy = 0
+func (d *Disk) TakeLatency() time.Duration {
+	busy := d.latency
+	d.latency = 0
 	return busy
 }
 
 // Flip inverts one bit of a file as a failing medium does. It returns false if there is no such byte.
-func (d *Disk) Flip(name string, offset int64, bit int) bool {
-	file, ok := d.names[name]
+func (d *Disk) FlipBit(name string, offset int64, bit int) bool {
+	file, ok := d.entries[name]
 	if !ok || offset >= int64(len(file.content)) || offset >= int64(len(file.durable)) {
 		return false
 	}
@@ -138,8 +138,8 @@
 
 // step counts an operation that changes the disk. It returns whether the power goes within it, or an error if the
 // power is off.
-func (d *Disk) step() (bool, error) {
-	if d.off {
+func (d *Disk) countOperation() (bool, error) {
+	if d.poweredOff {
 		return false, ErrPowerLost
 	}
 	d.operations++
@@ -148,22 +148,22 @@
 	}
 	d.failAt--
 	if d.failAt == 0 {
-		d.off = true
+		d.poweredOff = true
 	}
-	return d.off, nil
+	return d.poweredOff, nil
 }
 
 // used returns the bytes in all files.
 func (d *Disk) used() int64 {
 	var total int64
-	for _, file := range d.names {
+	for _, file := range d.entries {
 		total += int64(len(file.content))
 	}
 	return total
 }
 
 // room returns how many of these bytes still fit on the disk.
-func (d *Disk) room(bytes int) int {
+func (d *Disk) capacityFor(bytes int) int {
 	if d.capacity == 0 {
 		return bytes
 	}
@@ -171,14 +171,14 @@
 }
 
 // rename makes a change of names that is not durable yet.
-func (d *Disk) rename(change nameChange) error {
-	fails, err := d.step()
+func (d *Disk) changeDirectory(change directoryChange) error {
+	losesPower, err := d.countOperation()
 	if err != nil {
 		return err
 	}
-	change.apply(d.names)
-	d.changes = append(d.changes, change)
-	if fails {
+	change.apply(d.entries)
+	d.unsynced = append(d.unsynced, change)
+	if losesPower {
 		return ErrPowerLost
 	}
 	return nil
@@ -186,10 +186,10 @@
 
 // find returns the file of a name.
 func (d *Disk) find(operation, name string) (*inode, error) {
-	if d.off {
+	if d.poweredOff {
 		return nil, ErrPowerLost
 	}
-	file, ok := d.names[name]
+	file, ok := d.entries[name]
 	if !ok {
 		return nil, &fs.PathError{Op: operation, Path: name, Err: syscall.ENOENT}
 	}
@@ -198,17 +198,17 @@
 
 // Create implements slots.FS.
 func (d *Disk) Create(name string) (slots.File, error) {
-	if d.off {
+	if d.poweredOff {
 		return nil, ErrPowerLost
 	}
-	file, ok := d.names[name]
+	file, ok := d.entries[name]
 	if !ok {
 		file = &inode{}
-		if err := d.rename(nameChange{to: name, file: file}); err != nil {
+		if err := d.changeDirectory(directoryChange{to: name, file: file}); err != nil {
 			return nil, err
 		}
 	}
-	handle := &diskFile{disk: d, file: file, generation: d.generation}
+	handle := &diskFile{disk: d, file: file, incarnation: d.incarnation}
 	if len(file.content) == 0 {
 		return handle, nil
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &diskFile{disk: d, file: file, generation: d.generation}, nil
+	return &diskFile{disk: d, file: file, incarnation: d.incarnation}, nil
 }
 
 // ReadAll implements slots.FS.
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	return d.rename(nameChange{from: from, to: to, file: file})
+	return d.changeDirectory(directoryChange{from: from, to: to, file: file})
 }
 
 // Remove implements slots.FS.
@@ -257,47 +257,47 @@
 	if err != nil {
 		return err
 	}
-	return d.rename(nameChange{from: name, file: file})
+	return d.changeDirectory(directoryChange{from: name, file: file})
 }
 
 // List implements slots.FS.
 func (d *Disk) List() ([]string, error) {
-	if d.off {
+	if d.poweredOff {
 		return nil, ErrPowerLost
 	}
-	return sortedNames(d.names), nil
+	return sortedNames(d.entries), nil
 }
 
 // SyncDir implements slots.FS.
 func (d *Disk) SyncDir() error {
-	fails, err := d.step()
+	losesPower, err := d.countOperation()
 	if err != nil {
 		return err
 	}
-	if fails {
+	if losesPower {
 		return ErrPowerLost
 	}
-	d.busy += d.SyncTime
-	for _, pending := range d.changes {
-		pending.apply(d.durable)
+	d.latency += d.SyncTime
+	for _, pending := range d.unsynced {
+		pending.apply(d.durableEntries)
 	}
-	d.changes = nil
+	d.unsynced = nil
 	return nil
 }
 
 // syncFile makes a file durable, and its name if it is new.
 func (d *Disk) syncFile(file *inode) {
-	d.busy += d.SyncTime
+	d.latency += d.SyncTime
 	file.sync()
-	kept := d.changes[:0]
-	for _, pending := range d.changes {
+	kept := d.unsynced[:0]
+	for _, pending := range d.unsynced {
 		if pending.file == file && pending.from == "" {
-			pending.apply(d.durable)
+			pending.apply(d.durableEntries)
 			continue
 		}
 		kept = append(kept, pending)
 	}
-	d.changes = kept
+	d.unsynced = kept
 }
 
 // sortedNames returns the names of a table in order.
--- a/internal/simulation/example_test.go
+++ b/internal/simulation/example_test.go
@@ -9,18 +9,18 @@
 )
 
 // Messages over a link that is cut in one direction, in a world whose time passes only as events come due.
-func ExampleWorld() {
-	world := simulation.NewWorld(1)
-	world.Links.Default = simulation.Link{Delay: 5 * time.Millisecond}
-	world.Links.Cut("b", "a")
-	world.Send("a", "b", "ping", func() {
-		fmt.Println("ping arrives after", world.Elapsed())
-		if !world.Send("b", "a", "pong", func() { fmt.Println("pong arrives") }) {
+func ExampleSimulation() {
+	sim := simulation.New(1)
+	sim.Links.Default = simulation.Link{Delay: 5 * time.Millisecond}
+	sim.Links.Partition("b", "a")
+	sim.Send("a", "b", "ping", func() {
+		fmt.Println("ping arrives after", sim.Elapsed())
+		if !sim.Send("b", "a", "pong", func() { fmt.Println("pong arrives") }) {
 			fmt.Println("pong is lost")
 		}
 	})
-	world.Run(time.Second)
-	fmt.Println("the world is", world.Elapsed(), "old")
+	sim.Run(time.Second)
+	fmt.Println("the world is", sim.Elapsed(), "old")
 	// Output:
 	// ping arrives after 5ms
 	// pong is lost
@@ -38,7 +38,7 @@
 	fmt.Println(store.Append([]byte("acknowledged")))
 	disk.FailAt(1)
 	fmt.Println(store.Append([]byte("in flight")) == nil)
-	disk.PowerLoss()
+	disk.LosePower()
 	_, recovered, err := slots.Open(disk, slots.Options{})
 	fmt.Printf("%s %v\n", recovered.Records[0], err)
 	// Output:
--- a/internal/simulation/file.go
+++ b/internal/simulation/file.go
@@ -8,10 +8,10 @@
 
 // diskFile is an open file of a simulated disk. It implements slots.File.
 type diskFile struct {
-	disk       *Disk
-	file       *inode
-	generation int
-	closed     bool
+	disk        *Disk
+	file        *inode
+	incarnation int
+	closed      bool
 }
 
 // check returns why the file can't be used.
@@ -19,7 +19,7 @@
 	if f.closed {
 		return fs.ErrClosed
 	}
-	if f.generation != f.disk.generation {
+	if f.incarnation != f.disk.incarnation {
 		return ErrPowerLost
 	}
 	return nil
@@ -30,16 +30,16 @@
 	if err := f.check(); err != nil {
 		return 0, err
 	}
-	fails, err := f.disk.step()
+	losesPower, err := f.disk.countOperation()
 	if err != nil {
 		return 0, err
 	}
-	fits := f.disk.room(len(data))
+	fits := f.disk.capacityFor(len(data))
 	if fits > 0 {
 		written := append([]byte(nil), data[:fits]...)
-		f.file.change(change{offset: len(f.file.content), data: written})
+		f.file.write(contentChange{offset: len(f.file.content), data: written})
 	}
-	if fails {
+	if losesPower {
 		return 0, ErrPowerLost
 	}
 	if fits < len(data) {
@@ -53,7 +53,7 @@
 	if err := f.check(); err != nil {
 		return 0, err
 	}
-	if f.disk.off {
+	if f.disk.poweredOff {
 		return 0, ErrPowerLost
 	}
 	if offset >= int64(len(f.file.content)) {
@@ -71,12 +71,12 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	fails, err := f.disk.step()
+	losesPower, err := f.disk.countOperation()
 	if err != nil {
 		return err
 	}
-	f.file.change(change{offset: int(size)})
-	if fails {
+	f.file.write(contentChange{offset: int(size)})
+	if losesPower {
 		return ErrPowerLost
 	}
 	return nil
@@ -87,11 +87,11 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	fails, err := f.disk.step()
+	losesPower, err := f.disk.countOperation()
 	if err != nil {
 		return err
 	}
-	if fails {
+	if losesPower {
 		return ErrPowerLost
 	}
 	f.disk.syncFile(f.file)
--- a/internal/simulation/inode.go
+++ b/internal/simulation/inode.go
@@ -4,19 +4,19 @@
 
 // inode is the contents of one file: what is on the platter, and the changes since the last sync.
 type inode struct {
-	content []byte // as processes see it
-	durable []byte // as of the last sync
-	pending []change
+	content  []byte // as processes see it
+	durable  []byte // as of the last sync
+	unsynced []contentChange
 }
 
 // change is a write at an offset, or a new length where data is nil.
-type change struct {
+type contentChange struct {
 	offset int
 	data   []byte
 }
 
 // apply makes a change to contents and returns them.
-func (c change) apply(content []byte) []byte {
+func (c contentChange) apply(content []byte) []byte {
 	if c.data == nil {
 		return resize(content, c.offset)
 	}
@@ -36,21 +36,21 @@
 }
 
 // change makes a change that is not durable yet.
-func (n *inode) change(c change) {
+func (n *inode) write(c contentChange) {
 	n.content = c.apply(n.content)
-	n.pending = append(n.pending, c)
+	n.unsynced = append(n.unsynced, c)
 }
 
 // sync makes all changes durable.
 func (n *inode) sync() {
 	n.durable = append(n.durable[:0], n.content...)
-	n.pending = nil
+	n.unsynced = nil
 }
 
 // losePower keeps, loses or tears each change since the last sync.
 func (n *inode) losePower(random *Rand, loseAll bool) {
 	content := slices.Clone(n.durable)
-	for _, pending := range n.pending {
+	for _, pending := range n.unsynced {
 		if loseAll || random.Chance(0.4) {
 			continue
 		}
@@ -61,7 +61,7 @@
 }
 
 // tear returns a change whole, or a part of a write.
-func tear(whole change, random *Rand) change {
+func tear(whole contentChange, random *Rand) contentChange {
 	if len(whole.data) < 2 || random.Chance(0.5) {
 		return whole
 	}
@@ -73,5 +73,5 @@
 	if random.Chance(0.3) {
 		from = random.IntN(to)
 	}
-	return change{offset: whole.offset + from, data: whole.data[from:to]}
+	return contentChange{offset: whole.offset + from, data: whole.data[from:to]}
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -18,7 +18,7 @@
 var DefaultLink = Link{Delay: time.Millisecond, Jitter: time.Millisecond}
 
 // pair is a direction between two machines.
-type pair struct{ from, to string }
+type direction struct{ from, to string }
 
 // Links are all links of a world.
 type Links struct {
@@ -27,74 +27,74 @@
 	// Filter, if set, returns false for messages to be lost.
 	Filter func(from, to string, message any) bool
 
-	links map[pair]Link
-	cuts  map[pair]bool
-	last  map[pair]time.Duration // arrival of the last message of an ordered link
+	links       map[direction]Link
+	partitioned map[direction]bool
+	lastArrival map[direction]time.Duration // arrival of the last message of an ordered link
 }
 
 // newLinks returns links without faults.
 func newLinks() *Links {
 	return &Links{
-		Default: DefaultLink,
-		links:   make(map[pair]Link),
-		cuts:    make(map[pair]bool),
-		last:    make(map[pair]time.Duration),
+		Default:     DefaultLink,
+		links:       make(map[direction]Link),
+		partitioned: make(map[direction]bool),
+		lastArrival: make(map[direction]time.Duration),
 	}
 }
 
 // Set changes the link in one direction.
 func (l *Links) Set(from, to string, link Link) {
-	l.links[pair{from, to}] = link
+	l.links[direction{from, to}] = link
 }
 
 // Cut lets nothing through in one direction.
-func (l *Links) Cut(from, to string) {
-	l.cuts[pair{from, to}] = true
+func (l *Links) Partition(from, to string) {
+	l.partitioned[direction{from, to}] = true
 }
 
 // Join takes back a Cut.
-func (l *Links) Join(from, to string) {
-	delete(l.cuts, pair{from, to})
+func (l *Links) Heal(from, to string) {
+	delete(l.partitioned, direction{from, to})
 }
 
 // Separate cuts each machine of one group from each of the other, in both directions.
-func (l *Links) Separate(group, others []string) {
+func (l *Links) PartitionGroups(group, others []string) {
 	for _, one := range group {
 		for _, other := range others {
-			l.Cut(one, other)
-			l.Cut(other, one)
+			l.Partition(one, other)
+			l.Partition(other, one)
 		}
 	}
 }
 
 // JoinAll takes back all cuts.
-func (l *Links) JoinAll() {
-	clear(l.cuts)
+func (l *Links) HealAll() {
+	clear(l.partitioned)
 }
 
 // IsCut tells whether a direction is cut.
-func (l *Links) IsCut(from, to string) bool {
-	return l.cuts[pair{from, to}]
+func (l *Links) Partitioned(from, to string) bool {
+	return l.partitioned[direction{from, to}]
 }
 
 // carry returns how long a message takes, and whether it arrives.
-func (l *Links) carry(w *World, from, to string, message any) (time.Duration, bool) {
-	direction := pair{from, to}
+func (l *Links) transmit(s *Simulation, from, to string, message any) (time.Duration, bool) {
+	direction := direction{from, to}
 	link, ok := l.links[direction]
 	if !ok {
 		link = l.Default
 	}
-	if l.cuts[direction] || l.Filter != nil && !l.Filter(from, to, message) {
+	if l.partitioned[direction] || l.Filter != nil && !l.Filter(from, to, message) {
 		return 0, false
 	}
-	if link.Loss > 0 && w.Random.Chance(link.Loss) {
+	if link.Loss > 0 && s.Random.Chance(link.Loss) {
 		return 0, false
 	}
-	delay := link.Delay + w.Random.Between(0, link.Jitter)
+	delay := link.Delay + s.Random.Between(0, link.Jitter)
 	if !link.Ordered {
 		return delay, true
 	}
-	arrival := max(w.now+delay, l.last[direction])
-	l.last[direction] = arrival
-	return arrival - w.now, true
+	arrival := max(s.now+delay, l.lastArrival[direction])
+	l.lastArrival[direction] = arrival
+	return arrival - s.now, true
 }
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -11,85 +11,85 @@
 
 // pingPong runs two machines that answer each other over a bad link, and returns what happened.
 func pingPong(seed uint64) []string {
-	w := NewWorld(seed)
-	w.Links.Default = Link{Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.05}
+	s := New(seed)
+	s.Links.Default = Link{Delay: time.Millisecond, Jitter: 5 * time.Millisecond, Loss: 0.05}
 	var happened []string
 	var hit func(from, to string, round int)
 	hit = func(from, to string, round int) {
-		w.Send(from, to, round, func() {
-			happened = append(happened, fmt.Sprint(w.Elapsed(), to, round))
+		s.Send(from, to, round, func() {
+			happened = append(happened, fmt.Sprint(s.Elapsed(), to, round))
 			hit(to, from, round+1)
 		})
 	}
 	for start := range 5 {
 		hit("a", "b", start*1000)
 	}
-	w.Run(time.Second)
+	s.Run(time.Second)
 	return happened
 }
 
-func TestWorld(t *testing.T) {
+func TestSimulation(t *testing.T) {
 	Convey("The same seed gives the same run, another seed another one", t, func() {
 		So(pingPong(1), ShouldResemble, pingPong(1))
 		So(pingPong(1), ShouldNotResemble, pingPong(2))
 	})
 
 	Convey("Given a world", t, func() {
-		w := NewWorld(1)
+		s := New(1)
 		var order []string
 		note := func(text string) func() { return func() { order = append(order, text) } }
 
 		Convey("events run by time, then by making", func() {
-			w.After(2*time.Second, note("c"))
-			w.After(time.Second, note("a"))
-			w.After(time.Second, note("b"))
-			w.After(time.Second, note("canceled")).Cancel()
-			w.Run(2 * time.Second)
+			s.After(2*time.Second, note("c"))
+			s.After(time.Second, note("a"))
+			s.After(time.Second, note("b"))
+			s.After(time.Second, note("canceled")).Cancel()
+			s.Run(2 * time.Second)
 			So(order, ShouldResemble, []string{"a", "b", "c"})
-			So(w.Elapsed(), ShouldEqual, 2*time.Second)
+			So(s.Elapsed(), ShouldEqual, 2*time.Second)
 		})
 
 		Convey("a stopped machine runs no timers of its old life and gets no messages", func() {
-			w.AfterOn("m", time.Second, note("old timer"))
-			w.Send("x", "m", nil, note("lost"))
-			w.Stop("m")
-			w.Run(100 * time.Millisecond)
-			w.Start("m")
-			w.Send("x", "m", nil, note("message"))
-			w.AfterOn("m", time.Second, note("timer"))
-			w.Run(5 * time.Second)
+			s.AfterOn("m", time.Second, note("old timer"))
+			s.Send("x", "m", nil, note("lost"))
+			s.Stop("m")
+			s.Run(100 * time.Millisecond)
+			s.Start("m")
+			s.Send("x", "m", nil, note("message"))
+			s.AfterOn("m", time.Second, note("timer"))
+			s.Run(5 * time.Second)
 			So(order, ShouldResemble, []string{"message", "timer"})
 		})
 
 		Convey("what comes to a frozen machine waits in order", func() {
-			w.Freeze("m")
-			w.AfterOn("m", time.Second, note("timer"))
-			w.Send("x", "m", nil, note("message"))
-			w.Run(5 * time.Second)
+			s.Pause("m")
+			s.AfterOn("m", time.Second, note("timer"))
+			s.Send("x", "m", nil, note("message"))
+			s.Run(5 * time.Second)
 			So(order, ShouldBeEmpty)
-			w.Thaw("m")
-			w.Run(0)
+			s.Resume("m")
+			s.Run(0)
 			So(order, ShouldResemble, []string{"message", "timer"})
 		})
 
 		Convey("a cut holds in its direction only", func() {
-			w.Links.Cut("a", "b")
-			So(w.Send("a", "b", nil, note("there")), ShouldBeFalse)
-			So(w.Send("b", "a", nil, note("back")), ShouldBeTrue)
-			w.Links.Join("a", "b")
-			So(w.Send("a", "b", nil, note("again")), ShouldBeTrue)
-			w.Links.Separate([]string{"a"}, []string{"b", "c"})
-			So(w.Links.IsCut("c", "a"), ShouldBeTrue)
-			So(w.Links.IsCut("b", "c"), ShouldBeFalse)
+			s.Links.Partition("a", "b")
+			So(s.Send("a", "b", nil, note("there")), ShouldBeFalse)
+			So(s.Send("b", "a", nil, note("back")), ShouldBeTrue)
+			s.Links.Heal("a", "b")
+			So(s.Send("a", "b", nil, note("again")), ShouldBeTrue)
+			s.Links.PartitionGroups([]string{"a"}, []string{"b", "c"})
+			So(s.Links.Partitioned("c", "a"), ShouldBeTrue)
+			So(s.Links.Partitioned("b", "c"), ShouldBeFalse)
 		})
 
 		Convey("an ordered link lets no message overtake", func() {
-			w.Links.Default = Link{Jitter: time.Second, Ordered: true}
+			s.Links.Default = Link{Jitter: time.Second, Ordered: true}
 			var got []int
 			for i := range 50 {
-				w.Send("a", "b", i, func() { got = append(got, i) })
+				s.Send("a", "b", i, func() { got = append(got, i) })
 			}
-			w.Run(2 * time.Second)
+			s.Run(2 * time.Second)
 			for i := range 50 {
 				if got[i] != i {
 					t.Fatal(got)
@@ -116,7 +116,7 @@
 					t.Fatal(err)
 				}
 				_, _ = file.Write([]byte("-one"))
-				d.PowerLoss()
+				d.LosePower()
 				data, err := d.ReadAll("a")
 				if err != nil || len(data) < 6 || string(data[:6]) != "synced" {
 					t.Fatalf("%q %v", data, err)
@@ -140,7 +140,7 @@
 			lost, kept := false, false
 			for range 100 {
 				_ = d.Remove("b")
-				d.PowerLoss()
+				d.LosePower()
 				names, _ := d.List()
 				if len(names) == 1 {
 					kept = true
@@ -179,14 +179,14 @@
 		})
 
 		Convey("what is on the platter after a loss of power stays until the next sync", func() {
-			d.PowerLoss()
+			d.LosePower()
 			for range 50 {
 				file, err := d.Open("a")
 				So(err, ShouldBeNil)
 				So(file.Truncate(0), ShouldBeNil)
 				_, err = file.Write([]byte("others"))
 				So(err, ShouldBeNil)
-				d.PowerLoss()
+				d.LosePower()
 				data, err := d.ReadAll("a")
 				So(err, ShouldBeNil)
 				if string(data) == "synced" {
@@ -201,8 +201,8 @@
 		})
 
 		Convey("a bit flips after a loss of power, too", func() {
-			d.PowerLoss()
-			So(d.Flip("a", 0, 0), ShouldBeTrue)
+			d.LosePower()
+			So(d.FlipBit("a", 0, 0), ShouldBeTrue)
 			data, err := d.ReadAll("a")
 			So(err, ShouldBeNil)
 			So(string(data), ShouldEqual, "rynced")
@@ -222,17 +222,17 @@
 			So(file.Sync(), ShouldEqual, ErrPowerLost)
 			_, err = d.ReadAll("a")
 			So(err, ShouldEqual, ErrPowerLost)
-			d.PowerLoss()
+			d.LosePower()
 			_, err = d.ReadAll("a")
 			So(err, ShouldBeNil)
 		})
 
 		Convey("operations take time", func() {
-			d.TakeBusy()
-			d.Stall(time.Second)
+			d.TakeLatency()
+			d.AddLatency(time.Second)
 			So(file.Sync(), ShouldBeNil)
-			So(d.TakeBusy(), ShouldEqual, time.Second+DefaultSyncTime)
-			So(d.TakeBusy(), ShouldEqual, 0)
+			So(d.TakeLatency(), ShouldEqual, time.Second+DefaultSyncTime)
+			So(d.TakeLatency(), ShouldEqual, 0)
 		})
 	})
 }
