--- a/internal/gateway/serverselection/prefer.go
+++ b/internal/gateway/serverselection/prefer.go
@@ -7,35 +7,35 @@
 
 // preference is the beginning of the order in which the servers of a service stand for a part. All gateways that hold the same
 // list find the same one.
-type preference struct {
+type affinityOrder struct {
 	first, second policy.ServerID
 }
 
 // prefer gives the two servers with the highest weights for a chain.
-func prefer(chain uint64, list []*endpoints.Server) (order preference) {
+func rendezvous(chain uint64, list []*endpoints.Server) (preferred affinityOrder) {
 	var highest, next uint64
 	for _, server := range list {
 		weight := mix(chain ^ server.Hash)
 		switch {
-		case weight >= highest || order.first == 0:
-			next, order.second = highest, order.first
-			highest, order.first = weight, server.Number
-		case weight >= next || order.second == 0:
-			next, order.second = weight, server.Number
+		case weight >= highest || preferred.first == 0:
+			next, preferred.second = highest, preferred.first
+			highest, preferred.first = weight, server.Number
+		case weight >= next || preferred.second == 0:
+			next, preferred.second = weight, server.Number
 		}
 	}
-	return order
+	return preferred
 }
 
 // share gives the part of a beginning that a server is taken to hold.
-func (o preference) share(number policy.ServerID) float64 {
+func (o affinityOrder) cachedShare(number policy.ServerID) float64 {
 	switch number {
 	case 0:
 		return 0
 	case o.first:
-		return firstShare
+		return firstCachedShare
 	case o.second:
-		return secondShare
+		return secondCachedShare
 	}
 	return 0
 }
--- a/internal/gateway/serverselection/speed.go
+++ b/internal/gateway/serverselection/speed.go
@@ -9,30 +9,30 @@
 
 const (
 	// learnShare is the weight of one time in a server's mean, learnAll that in the mean over all.
-	learnShare, learnAll = 0.2, 0.02
+	serverLatencyWeight, overallLatencyWeight = 0.2, 0.02
 	// slowMost bounds what slowness adds to a server's cost.
-	slowMost = 20_000
+	maxLatencyPenalty = 20_000
 )
 
 // learn takes in how long a request waited for a first sign.
-func (p *Placer) learn(now time.Time, s *state, delay time.Duration) {
+func (p *Selector) observeLatency(now time.Time, s *serverState, delay time.Duration) {
 	ms := float64(delay) / float64(time.Millisecond)
-	if p.delay == 0 {
-		p.delay = ms
+	if p.meanLatency == 0 {
+		p.meanLatency = ms
 	}
-	p.delay += learnAll * (ms - p.delay)
-	if s.delayed.IsZero() {
-		s.delay = p.delay
+	p.meanLatency += overallLatencyWeight * (ms - p.meanLatency)
+	if s.latencyAt.IsZero() {
+		s.meanLatency = p.meanLatency
 	}
-	s.delay += learnShare * (ms - s.delay)
-	s.delayed = now
+	s.meanLatency += serverLatencyWeight * (ms - s.meanLatency)
+	s.latencyAt = now
 }
 
 // slowness gives what a server is slower than others, in tokens; it is forgotten with time, so that the server is asked again.
-func (p *Placer) slowness(now time.Time, s *state) float64 {
-	if s.delay <= p.delay || ablation.Off(ablation.Slowness) {
+func (p *Selector) latencyPenalty(now time.Time, s *serverState) float64 {
+	if s.meanLatency <= p.meanLatency || ablation.Off(ablation.Slowness) {
 		return 0
 	}
-	left := math.Exp(-float64(now.Sub(s.delayed)) / float64(slowMemory))
-	return min(slowMost, tokensPerMs*(s.delay-p.delay)*left)
+	left := math.Exp(-float64(now.Sub(s.latencyAt)) / float64(latencyDecay))
+	return min(maxLatencyPenalty, prefillTokensPerMs*(s.meanLatency-p.meanLatency)*left)
 }
--- a/internal/gateway/serverselection/told.go
+++ b/internal/gateway/serverselection/told.go
@@ -8,9 +8,9 @@
 )
 
 // elsewhere gives the tokens that a server is still reading for other processes.
-func (p *Placer) elsewhere(now time.Time, server *endpoints.Server) float64 {
+func (p *Selector) announcedPrefill(now time.Time, server *endpoints.Server) float64 {
 	if ablation.Off(ablation.Announcements) {
 		return 0
 	}
-	return tokensPerMs * float64(p.loads.Reading(now, server.Hash)) / float64(time.Millisecond)
+	return prefillTokensPerMs * float64(p.loads.PrefillTime(now, server.Hash)) / float64(time.Millisecond)
 }
--- a/internal/gateway/sse/events_test.go
+++ b/internal/gateway/sse/events_test.go
@@ -22,16 +22,16 @@
 	var out strings.Builder
 	for len(text) > 0 {
 		n := min(len(text), 1+random.IntN(40))
-		copy(s.Room(n), text[:n])
-		s.Came(n)
+		copy(s.Reserve(n), text[:n])
+		s.Advance(n)
 		text = text[n:]
 		if random.IntN(2) == 0 {
-			out.Write(s.Whole())
-			s.Taken()
+			out.Write(s.Complete())
+			s.Consume()
 		}
 	}
-	out.Write(s.Whole())
-	s.Taken()
+	out.Write(s.Complete())
+	s.Consume()
 	return out.String()
 }
 
@@ -50,7 +50,7 @@
 			if got != all[:end+2] || got+string(s.Partial()) != all[:cut] {
 				So(got, ShouldEqual, all[:end+2])
 			}
-			last, any := s.Last()
+			last, any := s.LastID()
 			if !any || last != uint64(strings.Count(got, "\n\n")) {
 				So(last, ShouldEqual, strings.Count(got, "\n\n"))
 			}
@@ -71,7 +71,7 @@
 		s := NewScanner(nil)
 		text := "versions: 4\r\nid: 7\r\ndata: x\r\n\r\n: note\n\n"
 		So(feed(s, text+"id: 8\n", random), ShouldEqual, text)
-		last, _ := s.Last()
+		last, _ := s.LastID()
 		So(last, ShouldEqual, 7)
 		So(string(s.Partial()), ShouldEqual, "id: 8\n")
 	})
--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -8,13 +8,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-var errAnswer = errors.New("subscription: the answer to a poll is no update")
+var errNotUpdate = errors.New("subscription: the answer to a poll is no update")
 
 // take puts what an update brings in force.
-func (s *Subscription) take(update *protocol.Update, now time.Time) {
+func (s *Subscription) handleUpdate(update *protocol.Update, now time.Time) {
 	s.apply(update, now)
-	if s.opt.Updated != nil {
-		s.opt.Updated()
+	if s.opt.OnUpdate != nil {
+		s.opt.OnUpdate()
 	}
 }
 
@@ -22,20 +22,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if update.Configuration != nil {
-		s.configure(update.Configuration)
+		s.applyConfiguration(update.Configuration)
 	}
 	if update.Servers != nil {
-		s.list(update, now)
+		s.applyServers(update, now)
 	}
 	if update.Members != nil {
-		s.processes(update.Members)
+		s.applyMembers(update.Members)
 	}
 }
 
 // processes takes a list of processes in. Who else may be asked is a hint from whomever it comes; all else is taken only from one
 // that vouches for it, and a set of batch processes never goes back.
-func (s *Subscription) processes(list *protocol.MemberList) {
-	s.homes.Learn(list.Control)
+func (s *Subscription) applyMembers(list *protocol.MemberList) {
+	s.control.Update(list.Control)
 	if !list.Vouched {
 		return
 	}
@@ -48,8 +48,8 @@
 }
 
 // list puts a newer list of servers in force.
-func (s *Subscription) list(update *protocol.Update, now time.Time) {
-	next, err := s.listing.follow(update, now)
+func (s *Subscription) applyServers(update *protocol.Update, now time.Time) {
+	next, err := s.serverList.apply(update, now)
 	if err != nil {
 		s.opt.Log.Warn().Err(err).Uint64("version", update.Servers.Version).Msg("servers_not_taken")
 		return
@@ -57,38 +57,38 @@
 	s.opt.Servers.Apply(next)
 }
 
-func (s *Subscription) noteList(sent time.Time, update *protocol.Update) {
+func (s *Subscription) noteListAge(sent time.Time, update *protocol.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.listing.answered(sent, update)
+	s.serverList.answered(sent, update)
 }
 
 // configure takes a newer configuration in. Where the steps to it can't be taken it is asked for again: from what is held,
 // or whole where that leads nowhere.
-func (s *Subscription) configure(update *protocol.ConfigurationUpdate) {
+func (s *Subscription) applyConfiguration(update *protocol.ConfigurationUpdate) {
 	if update.Index <= s.state.Current().Index {
 		return
 	}
 	version, err := s.state.Follow(update)
 	if err != nil {
 		s.behind = true
-		s.whole = !errors.Is(err, configuration.ErrGap)
+		s.requestFull = !errors.Is(err, configuration.ErrGap)
 		s.opt.Log.Warn().Err(err).Uint64("index", update.Index).Msg("configuration_not_taken")
 		return
 	}
-	s.behind, s.whole = false, false
-	if !s.begun {
+	s.behind, s.requestFull = false, false
+	if !s.everConfirmed {
 		s.pending = version.Snapshot()
 		return
 	}
-	s.enforce(version.Snapshot())
+	s.activate(version.Snapshot())
 }
 
 // enforce puts a configuration in force.
-func (s *Subscription) enforce(next *configuration.Snapshot) {
+func (s *Subscription) activate(next *configuration.Snapshot) {
 	s.configuration.Store(next)
-	if s.opt.Configured != nil {
-		s.opt.Configured(next)
+	if s.opt.OnConfiguration != nil {
+		s.opt.OnConfiguration(next)
 	}
 	s.opt.Log.Info().Uint64("index", next.Index).Uint64("generation", next.Generation).Msg("configuration_in_force")
 }
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -41,7 +41,7 @@
 	life     int
 	out      *pipe
 	back     *pipe
-	polling  polling
+	polling  pollState
 	sequence uint64
 	sent     time.Time
 	asking   bool // a poll is out
@@ -79,9 +79,9 @@
 	process := protocol.Process{Node: g.name, Role: protocol.RoleGateway, Zone: "z", IP: g.name, Incarnation: fmt.Sprint(g.life)}
 	settings := &node.Settings{Bounds: node.Bounds{Closed: true, Revoke: revoke}}
 	g.s = newAt(Options{Settings: settings, Process: process, Servers: g.table, Ready: g.ready}, g.clock.read())
-	g.s.begun = w.plant == plantUnvouched
-	g.s.homes.Seed(seeds)
-	g.later(changePause, g.turn)
+	g.s.everConfirmed = w.plant == plantUnvouched
+	g.s.control.Seed(seeds)
+	g.later(reconnectPause, g.turn)
 	g.ask()
 }
 
@@ -139,17 +139,17 @@
 // turn connects to the control process that is to be asked.
 func (g *simGateway) turn() {
 	w := g.world
-	ip := g.s.homes.Next(g.clock.read())
+	ip := g.s.control.Next(g.clock.read())
 	s := &session{gateway: g, control: w.control(ip), life: g.life, out: w.newPipe(g.name, ip), back: w.newPipe(ip, g.name)}
 	g.session = s
-	g.s.listing.turn(g.clock.read())
+	g.s.serverList.reconnected(g.clock.read())
 	if w.plant == plantGoesBack {
 		g.s.state = configuration.NewState()
 	}
 	s.out.send(func() {
 		s.back.send(func() { g.connected(s) })
 	})
-	g.later(answerWait, func() {
+	g.later(replyTimeout, func() {
 		if s.sequence == 0 {
 			g.leave(s)
 		}
@@ -171,8 +171,8 @@
 	delete(s.control.sessions, s)
 	if g := s.gateway; g.session == s && g.life == s.life {
 		g.session = nil
-		g.s.homes.Failed(s.control.name, g.clock.read())
-		g.later(changePause, g.turn)
+		g.s.control.MarkFailed(s.control.name, g.clock.read())
+		g.later(reconnectPause, g.turn)
 	}
 }
 
@@ -186,7 +186,7 @@
 	if s.ended {
 		return
 	}
-	s.polling = newPolling(g.clock.read())
+	s.polling = newPollState(g.clock.read())
 	g.poll(s)
 }
 
@@ -197,9 +197,9 @@
 	s.sequence++
 	s.asking, g.wants = true, false
 	s.sent = g.clock.read()
-	question, sequence := g.s.question(s.sequence), s.sequence
+	question, sequence := g.s.buildPoll(s.sequence), s.sequence
 	s.out.send(func() { s.control.handlePoll(s, question) })
-	g.later(answerWait, func() {
+	g.later(replyTimeout, func() {
 		if s.asking && s.sequence == sequence {
 			g.leave(s)
 		}
@@ -210,7 +210,7 @@
 	if s.ended || g.session != s {
 		return
 	}
-	g.s.take(&update, g.clock.read())
+	g.s.handleUpdate(&update, g.clock.read())
 	g.look()
 }
 
@@ -225,8 +225,8 @@
 	if g.world.plant == plantFromReceipt {
 		sent = now
 	}
-	g.s.take(&update, now)
-	pause, stays := g.s.answered(&s.polling, sent, now, &update)
+	g.s.handleUpdate(&update, now)
+	pause, stays := g.s.handlePollAnswer(&s.polling, sent, now, &update)
 	g.look()
 	g.release()
 	if !stays {
@@ -234,7 +234,7 @@
 		return
 	}
 	if g.wants {
-		pause = min(pause, soonest)
+		pause = min(pause, minPollInterval)
 	}
 	g.later(s.sent.Add(pause).Sub(now), func() { g.poll(s) })
 }
@@ -246,7 +246,7 @@
 	for _, one := range waiters {
 		switch {
 		case one.done:
-		case g.s.FreshSince(one.since):
+		case g.s.ConfirmedSince(one.since):
 			one.done = true
 			g.soon(func() { one.then(true) })
 		default:
@@ -258,7 +258,7 @@
 
 // await has control asked at once and waits for its word, for so long.
 func (g *simGateway) await(since time.Time, length time.Duration, then func(vouched bool)) {
-	if g.s.FreshSince(since) {
+	if g.s.ConfirmedSince(since) {
 		then(true)
 		return
 	}
@@ -266,7 +266,7 @@
 	g.waiters = append(g.waiters, one)
 	g.wants = true
 	if s := g.session; s != nil && s.sequence > 0 && !s.asking {
-		g.later(s.sent.Add(soonest).Sub(g.clock.read()), func() { g.poll(s) })
+		g.later(s.sent.Add(minPollInterval).Sub(g.clock.read()), func() { g.poll(s) })
 	}
 	g.later(length, func() {
 		if !one.done {
@@ -286,7 +286,7 @@
 		g.index = held.Index
 	}
 	if table := g.table.Current(); table != nil {
-		content := table.Of("b")[0].Slots
+		content := table.ForBackend("b")[0].Slots
 		readAt, before := w.core.readAt[content], w.core.readAt[g.content]
 		if calm := w.Elapsed()-g.troubledAt > listMemory; calm && readAt < before-listSlack {
 			w.failf("%s takes a list read at %v for one read at %v", g.name, readAt, before)
@@ -301,7 +301,7 @@
 const (
 	// listSlack is how much older a list may be that follows another: how old a list is, is known as of the poll whose answer came
 	// last, and messages take up to longestDelay.
-	listSlack = answerWait + longestDelay
+	listSlack = replyTimeout + longestDelay
 	// listMemory is how long after it stood still a gateway may not know how new the list is that it took as it thawed.
 	listMemory = 2 * time.Second
 )
@@ -313,6 +313,6 @@
 		home, sequence = g.session.control.name, g.session.sequence
 	}
 	now := g.clock.read()
-	return fmt.Sprintf("home %s after %d polls, lease %t, fresh %t, behind %t, configuration %d", home, sequence, g.s.Holds(now),
-		g.s.FreshSince(now.Add(-staleMost)), g.s.lacks(), g.index)
+	return fmt.Sprintf("home %s after %d polls, lease %t, fresh %t, behind %t, configuration %d", home, sequence, g.s.KeyLeaseValid(now),
+		g.s.ConfirmedSince(now.Add(-maxReadyStaleness)), g.s.isBehind(), g.index)
 }
--- a/internal/gateway/subscription/island_test.go
+++ b/internal/gateway/subscription/island_test.go
@@ -181,7 +181,7 @@
 // TestIsland steps a gateway that hears only a control process that is cut off through the twenty seconds, and back. The page on
 // guarantees has the table; its bounds are checked here.
 func TestIsland(t *testing.T) {
-	latest := map[string]time.Duration{"readyz": 2500 * time.Millisecond, "keyed": revoke - LeaseMargin, "unknown key": time.Second,
+	latest := map[string]time.Duration{"readyz": 2500 * time.Millisecond, "keyed": revoke - KeyLeaseMargin, "unknown key": time.Second,
 		"unknown route": time.Second, "quota": leadTerm + 3*time.Second, "public": islandFor}
 	earliest := map[string]time.Duration{"readyz": 1600 * time.Millisecond, "keyed": 4 * time.Second, "quota": 2 * time.Second,
 		"public": islandFor - islandStep}
--- a/internal/gateway/subscription/polling.go
+++ b/internal/gateway/subscription/polling.go
@@ -8,61 +8,61 @@
 
 const (
 	// unsureMost is how long a home may go without vouching for what it says.
-	unsureMost = 600 * time.Millisecond
+	maxUnconfirmed = 600 * time.Millisecond
 	// unsurePoll is the time between polls while it doesn't.
-	unsurePoll = 120 * time.Millisecond
+	unconfirmedPollInterval = 120 * time.Millisecond
 	// soonest is the least time between polls that somebody waits for.
-	soonest = 50 * time.Millisecond
+	minPollInterval = 50 * time.Millisecond
 )
 
 // polling is how one home has answered since it became the home.
-type polling struct {
-	vouchedAt time.Time // when the last poll was sent that it vouched in the answer to
+type pollState struct {
+	confirmedAt time.Time // when the last poll was sent that it vouched in the answer to
 }
 
-func newPolling(now time.Time) polling { return polling{vouchedAt: now} }
+func newPollState(now time.Time) pollState { return pollState{confirmedAt: now} }
 
 // answered takes in what an answer says of itself, after what it brings was taken in: in how long after the poll the next is due,
 // and whether the home is still one.
-func (s *Subscription) answered(p *polling, sent, now time.Time, update *protocol.Update) (pause time.Duration, stays bool) {
-	s.noteList(sent, update)
+func (s *Subscription) handlePollAnswer(p *pollState, sent, now time.Time, update *protocol.Update) (pause time.Duration, stays bool) {
+	s.noteListAge(sent, update)
 	pause = protocol.PollInterval
 	if update.Fresh {
-		p.vouchedAt = sent
-		s.vouched(sent, update.Age)
+		p.confirmedAt = sent
+		s.confirm(sent, update.Age)
 	} else {
-		pause = unsurePoll
-		if now.Sub(p.vouchedAt) > unsureMost {
+		pause = unconfirmedPollInterval
+		if now.Sub(p.confirmedAt) > maxUnconfirmed {
 			return 0, false
 		}
 	}
-	if s.lacks() {
-		pause = soonest
+	if s.isBehind() {
+		pause = minPollInterval
 	}
 	return pause, true
 }
 
 // vouched takes in that all which was acknowledged longer than age before an answer is known here. What waited for it is in force
 // before the lease counts from it.
-func (s *Subscription) vouched(sent time.Time, age time.Duration) {
+func (s *Subscription) confirm(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.behind {
 		return // what was sent could not be put in force
 	}
-	s.begun = true
+	s.everConfirmed = true
 	if s.pending != nil {
-		s.enforce(s.pending)
+		s.activate(s.pending)
 		s.pending = nil
 	}
 	s.lease.Renew(sent, age)
-	s.fresh.Store(int64(sent.Sub(s.origin)))
-	close(s.freed)
-	s.freed = make(chan struct{})
+	s.confirmedAt.Store(int64(sent.Sub(s.origin)))
+	close(s.confirmed)
+	s.confirmed = make(chan struct{})
 }
 
 // lacks tells whether something newer is known to be in force than what is held here.
-func (s *Subscription) lacks() bool {
+func (s *Subscription) isBehind() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.behind
--- a/internal/gateway/subscription/proxy_test.go
+++ b/internal/gateway/subscription/proxy_test.go
@@ -98,7 +98,7 @@
 func (q *wish) find(then func(status int)) {
 	g := q.gateway
 	q.lookAt = g.world.Elapsed()
-	q.lapsed = !g.s.Holds(g.clock.read())
+	q.lapsed = !g.s.KeyLeaseValid(g.clock.read())
 	g.soon(func() {
 		held := g.s.Configuration()
 		if g.world.plant == plantLeaseLast {
@@ -125,7 +125,7 @@
 
 func (q *wish) sure() bool {
 	g := q.gateway
-	return q.tenant == nil || !q.lapsed && g.s.Holds(g.clock.read())
+	return q.tenant == nil || !q.lapsed && g.s.KeyLeaseValid(g.clock.read())
 }
 
 // check looks at the lease, and once more right before the first byte to a server, after a wait for a token and a place.
--- a/internal/gateway/subscription/pure_test.go
+++ b/internal/gateway/subscription/pure_test.go
@@ -16,26 +16,26 @@
 func TestHomes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	Convey("A listed one of the own zone goes first, and one that failed rests", t, func() {
-		h := NewHomes("front-a-1", "a")
+		h := NewControlSelector("front-a-1", "a")
 		So(h.Next(now), ShouldBeEmpty)
 		h.Seed([]string{"1", "2", "3"})
 		So(h.Next(now), ShouldNotBeEmpty)
-		h.Learn([]protocol.ControlMember{{IP: "2", Zone: "a"}, {IP: "4", Zone: "b"}})
+		h.Update([]protocol.ControlMember{{IP: "2", Zone: "a"}, {IP: "4", Zone: "b"}})
 		So(h.Next(now), ShouldEqual, "2")
-		h.Failed("2", now)
+		h.MarkFailed("2", now)
 		So(h.Next(now), ShouldEqual, "4")
-		h.Failed("4", now.Add(time.Millisecond))
+		h.MarkFailed("4", now.Add(time.Millisecond))
 		So(h.Next(now.Add(time.Millisecond)), ShouldBeIn, "1", "3")
-		h.Failed("1", now.Add(2*time.Millisecond))
-		h.Failed("3", now.Add(3*time.Millisecond))
+		h.MarkFailed("1", now.Add(2*time.Millisecond))
+		h.MarkFailed("3", now.Add(3*time.Millisecond))
 		So(h.Next(now.Add(4*time.Millisecond)), ShouldEqual, "2")
-		h.Learn(nil)
+		h.Update(nil)
 		So(h.Next(now.Add(time.Minute)), ShouldEqual, "2")
 	})
 	Convey("Gateways are spread over the homes that are as good for them", t, func() {
 		chosen := map[string]int{}
 		for _, node := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
-			h := NewHomes(node, "z")
+			h := NewControlSelector(node, "z")
 			h.Seed([]string{"1", "2", "3"})
 			chosen[h.Next(now)]++
 		}
@@ -46,19 +46,19 @@
 func TestLease(t *testing.T) {
 	now := time.Now()
 	Convey("A lease counts from when the poll was sent, and only rises", t, func() {
-		l := NewLease(true, 5*time.Second, now)
-		So(l.Holds(now), ShouldBeFalse)
+		l := NewKeyLease(true, 5*time.Second, now)
+		So(l.Valid(now), ShouldBeFalse)
 		l.Renew(now, time.Second)
-		So(l.Holds(now.Add(3599*time.Millisecond)), ShouldBeTrue)
-		So(l.Holds(now.Add(3600*time.Millisecond)), ShouldBeFalse)
+		So(l.Valid(now.Add(3599*time.Millisecond)), ShouldBeTrue)
+		So(l.Valid(now.Add(3600*time.Millisecond)), ShouldBeFalse)
 		l.Renew(now.Add(-time.Second), 0)
-		So(l.Holds(now.Add(3599*time.Millisecond)), ShouldBeTrue)
+		So(l.Valid(now.Add(3599*time.Millisecond)), ShouldBeTrue)
 		l.Renew(now.Add(time.Second), 0)
-		So(l.Holds(now.Add(5599*time.Millisecond)), ShouldBeTrue)
-		So(l.Holds(now.Add(5600*time.Millisecond)), ShouldBeFalse)
+		So(l.Valid(now.Add(5599*time.Millisecond)), ShouldBeTrue)
+		So(l.Valid(now.Add(5600*time.Millisecond)), ShouldBeFalse)
 	})
 	Convey("Where keys don't end by lease it always holds", t, func() {
-		So(NewLease(false, time.Second, now).Holds(now.Add(time.Hour)), ShouldBeTrue)
+		So(NewKeyLease(false, time.Second, now).Valid(now.Add(time.Hour)), ShouldBeTrue)
 	})
 }
 
@@ -80,25 +80,25 @@
 	now := time.Now()
 	Convey("Given a process that begins and hears a control process that vouches for nothing", t, func() {
 		s := testSubscription(now)
-		polling := newPolling(now)
+		polling := newPollState(now)
 		unsure := &protocol.Update{Sequence: 1, Configuration: document(3, "")}
-		s.take(unsure, now)
-		_, stays := s.answered(&polling, now, now, unsure)
+		s.handleUpdate(unsure, now)
+		_, stays := s.handlePollAnswer(&polling, now, now, unsure)
 		So(stays, ShouldBeTrue)
 
 		Convey("it has no configuration in force, and leaves", func() {
 			So(s.Configuration(), ShouldBeNil)
-			So(s.question(2).Configuration, ShouldEqual, 3)
-			later := now.Add(unsureMost + time.Millisecond)
-			_, stays := s.answered(&polling, later, later, &protocol.Update{Sequence: 2})
+			So(s.buildPoll(2).Configuration, ShouldEqual, 3)
+			later := now.Add(maxUnconfirmed + time.Millisecond)
+			_, stays := s.handlePollAnswer(&polling, later, later, &protocol.Update{Sequence: 2})
 			So(stays, ShouldBeFalse)
 		})
 		Convey("what it was handed is in force once one vouches for it", func() {
-			s.answered(&polling, now, now, &protocol.Update{Sequence: 2, Fresh: true})
+			s.handlePollAnswer(&polling, now, now, &protocol.Update{Sequence: 2, Fresh: true})
 			So(s.Configuration().Index, ShouldEqual, 3)
-			So(s.Holds(now), ShouldBeTrue)
+			So(s.KeyLeaseValid(now), ShouldBeTrue)
 			Convey("and later ones at once", func() {
-				s.take(&protocol.Update{Configuration: document(4, "")}, now)
+				s.handleUpdate(&protocol.Update{Configuration: document(4, "")}, now)
 				So(s.Configuration().Index, ShouldEqual, 4)
 			})
 		})
@@ -111,39 +111,39 @@
 		return &protocol.ServerList{Version: version, Source: source, Servers: []protocol.Server{{ID: source}}}
 	}
 	Convey("Given a list that was as of a second ago when a poll was answered", t, func() {
-		var l listing
-		l.turn(now.Add(-time.Minute))
-		_, err := l.follow(&protocol.Update{Servers: list("a", 7), ListRead: true, ListAge: time.Second}, now)
+		var l serverListState
+		l.reconnected(now.Add(-time.Minute))
+		_, err := l.apply(&protocol.Update{Servers: list("a", 7), ListRead: true, ListAge: time.Second}, now)
 		So(err, ShouldBeNil)
 		l.answered(now, &protocol.Update{ListRead: true, ListAge: time.Second})
 
 		Convey("an older one of another control process isn't taken, and asked for again", func() {
-			_, err := l.follow(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 20 * time.Second}, now.Add(time.Second))
-			So(err, ShouldEqual, errOlder)
-			So(l.held.Source, ShouldEqual, "a")
+			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 20 * time.Second}, now.Add(time.Second))
+			So(err, ShouldEqual, errStaleList)
+			So(l.current.Source, ShouldEqual, "a")
 			So(l.incomplete, ShouldBeTrue)
 			Convey("nor do its answers make the list held any newer", func() {
 				l.answered(now.Add(time.Minute), &protocol.Update{ListRead: true})
 				So(l.asOf, ShouldEqual, now.Add(-time.Second))
 			})
 			Convey("until it has read the platform", func() {
-				_, err := l.follow(&protocol.Update{Servers: list("b", 10), ListRead: true}, now.Add(2*time.Second))
+				_, err := l.apply(&protocol.Update{Servers: list("b", 10), ListRead: true}, now.Add(2*time.Second))
 				So(err, ShouldBeNil)
 				So(l.incomplete, ShouldBeFalse)
 			})
 		})
 		Convey("one that was pushed before any answer makes the list held as new as the connection allows", func() {
-			l.turn(now.Add(time.Second))
-			_, err := l.follow(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: time.Second}, now.Add(5*time.Second))
+			l.reconnected(now.Add(time.Second))
+			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: time.Second}, now.Add(5*time.Second))
 			So(err, ShouldBeNil)
 			So(l.asOf, ShouldEqual, now)
 		})
 		Convey("one that may be as new is taken", func() {
-			_, err := l.follow(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 3 * time.Second}, now.Add(2*time.Second))
+			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 3 * time.Second}, now.Add(2*time.Second))
 			So(err, ShouldBeNil)
 		})
 		Convey("so is one of a control process that doesn't tell", func() {
-			_, err := l.follow(&protocol.Update{Servers: list("b", 9)}, now.Add(time.Second))
+			_, err := l.apply(&protocol.Update{Servers: list("b", 9)}, now.Add(time.Second))
 			So(err, ShouldBeNil)
 		})
 	})
@@ -156,19 +156,19 @@
 	}
 	Convey("Only a list that control vouches for is put in force, and the set of batch processes never goes back", t, func() {
 		s := New(Options{Settings: &node.Settings{}, Ready: func() bool { return true }})
-		s.processes(&protocol.MemberList{Version: 4, Stores: set(9, false), Control: []protocol.ControlMember{{IP: "127.0.0.9", Zone: "z"}}})
+		s.applyMembers(&protocol.MemberList{Version: 4, Stores: set(9, false), Control: []protocol.ControlMember{{IP: "127.0.0.9", Zone: "z"}}})
 		So(s.Members(), ShouldBeNil)
-		So(s.homes.Next(time.Now()), ShouldEqual, "127.0.0.9") // it may be asked nevertheless
-		s.processes(&protocol.MemberList{Version: 1, Vouched: true, Stores: set(5, true), QuotaAddress: "a"})
+		So(s.control.Next(time.Now()), ShouldEqual, "127.0.0.9") // it may be asked nevertheless
+		s.applyMembers(&protocol.MemberList{Version: 1, Vouched: true, Stores: set(5, true), QuotaAddress: "a"})
 		So(s.Members().Stores, ShouldResemble, set(5, true))
-		s.processes(&protocol.MemberList{Version: 7, Stores: set(6, false)})
+		s.applyMembers(&protocol.MemberList{Version: 7, Stores: set(6, false)})
 		So(s.Members().QuotaAddress, ShouldEqual, "a")
 		for _, older := range []protocol.StoreView{set(4, true), set(5, false), {}} {
-			s.processes(&protocol.MemberList{Version: 1, Vouched: true, Stores: older, QuotaAddress: "b"})
+			s.applyMembers(&protocol.MemberList{Version: 1, Vouched: true, Stores: older, QuotaAddress: "b"})
 			So(s.Members().Stores, ShouldResemble, set(5, true))
 			So(s.Members().QuotaAddress, ShouldEqual, "b")
 		}
-		s.processes(&protocol.MemberList{Version: 2, Vouched: true, Stores: set(6, false)})
+		s.applyMembers(&protocol.MemberList{Version: 2, Vouched: true, Stores: set(6, false)})
 		So(s.Members().Stores, ShouldResemble, set(6, false))
 	})
 }
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -145,7 +145,7 @@
 	case 0: // an answer is on its way for long
 		w.After(due-w.span(400*time.Millisecond), func() {
 			if g.session != nil {
-				g.session.back.slowNext = answerWait/2 + w.span(answerWait/2)
+				g.session.back.slowNext = replyTimeout/2 + w.span(replyTimeout/2)
 			}
 		})
 		cutAfter = w.span(300 * time.Millisecond)
--- a/internal/gateway/subscription/subscription.go
+++ b/internal/gateway/subscription/subscription.go
@@ -20,11 +20,11 @@
 
 const (
 	// answerWait is how long a home may take to come up or to answer.
-	answerWait = 700 * time.Millisecond
+	replyTimeout = 700 * time.Millisecond
 	// staleMost is how long a gateway that control doesn't vouch for calls itself ready.
-	staleMost = 1600 * time.Millisecond
+	maxReadyStaleness = 1600 * time.Millisecond
 	// changePause is the time between two homes, where one after the other doesn't do.
-	changePause = 60 * time.Millisecond
+	reconnectPause = 60 * time.Millisecond
 )
 
 // Options are a subscription's fixed parts.
@@ -36,34 +36,34 @@
 	Ready     func() bool // told to control with each poll
 	Log       zerolog.Logger
 	// Configured is told of each configuration that is put in force, in order. Nil: nobody.
-	Configured func(*configuration.Snapshot)
+	OnConfiguration func(*configuration.Snapshot)
 
 	// Of batch processes; nil elsewhere.
-	Report  func() *protocol.BatchReport                    // told to control with each poll
-	Granted func(grant protocol.StoreGrant, sent time.Time) // a right to act, counted from when the poll was sent
-	Updated func()                                          // something that control sent is in force
+	Report   func() *protocol.BatchReport                    // told to control with each poll
+	OnGrant  func(grant protocol.StoreGrant, sent time.Time) // a right to act, counted from when the poll was sent
+	OnUpdate func()                                          // something that control sent is in force
 }
 
 // Subscription holds what is known. It is safe for concurrent use.
 type Subscription struct {
 	opt   Options
-	lease *Lease
+	lease *KeyLease
 	wake  chan struct{}
 
 	configuration atomic.Pointer[configuration.Snapshot]
 	members       atomic.Pointer[protocol.MemberList]
-	fresh         atomic.Int64 // nanoseconds after origin: when the last poll was sent that control vouched for
+	confirmedAt   atomic.Int64 // nanoseconds after origin: when the last poll was sent that control vouched for
 	origin        time.Time
 
-	mu      sync.Mutex
-	homes   *Homes
-	state   *configuration.State
-	behind  bool // something newer could not be put in force
-	whole   bool // the next poll asks for the whole configuration
-	freed   chan struct{}
-	begun   bool                    // control has vouched for a configuration in this life
-	pending *configuration.Snapshot // not in force before control vouches for it
-	listing listing
+	mu            sync.Mutex
+	control       *ControlSelector
+	state         *configuration.State
+	behind        bool // something newer could not be put in force
+	requestFull   bool // the next poll asks for the whole configuration
+	confirmed     chan struct{}
+	everConfirmed bool                    // control has vouched for a configuration in this life
+	pending       *configuration.Snapshot // not in force before control vouches for it
+	serverList    serverListState
 }
 
 // New gives a subscription; Run keeps it.
@@ -71,10 +71,10 @@
 
 func newAt(opt Options, now time.Time) *Subscription {
 	opt.Transport.Identity.System = protocol.System
-	s := &Subscription{opt: opt, lease: NewLease(opt.Settings.Bounds.Closed, opt.Settings.Bounds.Revoke, now),
-		wake: make(chan struct{}, 1), origin: now, homes: NewHomes(opt.Process.Node, opt.Process.Zone), freed: make(chan struct{}),
+	s := &Subscription{opt: opt, lease: NewKeyLease(opt.Settings.Bounds.Closed, opt.Settings.Bounds.Revoke, now),
+		wake: make(chan struct{}, 1), origin: now, control: NewControlSelector(opt.Process.Node, opt.Process.Zone), confirmed: make(chan struct{}),
 		state: configuration.NewState()}
-	s.fresh.Store(-1 << 62)
+	s.confirmedAt.Store(-1 << 62)
 	s.Seed(opt.Settings)
 	return s
 }
@@ -83,7 +83,7 @@
 func (s *Subscription) Seed(settings *node.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.homes.Seed(settings.SeedHosts())
+	s.control.Seed(settings.SeedHosts())
 }
 
 // Configuration gives the configuration in force, or nil before the first that control has vouched for: a control process that is
@@ -94,33 +94,33 @@
 func (s *Subscription) Members() *protocol.MemberList { return s.members.Load() }
 
 // Holds tells whether a first byte may go to a server now, as far as keys are concerned.
-func (s *Subscription) Holds(now time.Time) bool { return s.lease.Holds(now) }
+func (s *Subscription) KeyLeaseValid(now time.Time) bool { return s.lease.Valid(now) }
 
 // FreshSince tells whether control has vouched for all that was known, in the answer to a poll that was sent at a moment or later.
-func (s *Subscription) FreshSince(moment time.Time) bool {
-	return s.fresh.Load() >= int64(moment.Sub(s.origin))
+func (s *Subscription) ConfirmedSince(moment time.Time) bool {
+	return s.confirmedAt.Load() >= int64(moment.Sub(s.origin))
 }
 
 // Complete tells whether all is known that is needed for serving.
 func (s *Subscription) Complete(now time.Time) bool {
-	return s.Configuration() != nil && s.opt.Servers.Current() != nil && s.Holds(now)
+	return s.Configuration() != nil && s.opt.Servers.Current() != nil && s.KeyLeaseValid(now)
 }
 
 // Ready tells whether clients are to come to a gateway. One that control has not vouched for lately may still serve for a while, but
 // its clients are better off elsewhere.
 func (s *Subscription) Ready(now time.Time) bool {
-	return s.Complete(now) && s.FreshSince(now.Add(-staleMost))
+	return s.Complete(now) && s.ConfirmedSince(now.Add(-maxReadyStaleness))
 }
 
 // Await asks control at once, and waits until it has vouched for what is known at a moment no earlier than now, or until by.
-func (s *Subscription) Await(ctx context.Context, now, by time.Time) bool {
+func (s *Subscription) AwaitConfirmation(ctx context.Context, now, by time.Time) bool {
 	timer := time.NewTimer(time.Until(by))
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		freed := s.freed
+		freed := s.confirmed
 		s.mu.Unlock()
-		if s.FreshSince(now) {
+		if s.ConfirmedSince(now) {
 			return true
 		}
 		select {
@@ -141,16 +141,16 @@
 func (s *Subscription) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		ip := s.homes.Next(time.Now())
+		ip := s.control.Next(time.Now())
 		s.mu.Unlock()
 		if ip != "" {
-			reason := s.serve(ctx, ip)
+			reason := s.subscribeTo(ctx, ip)
 			s.mu.Lock()
-			s.homes.Failed(ip, time.Now())
+			s.control.MarkFailed(ip, time.Now())
 			s.mu.Unlock()
 			s.opt.Log.Debug().Str("home", ip).Str("reason", reason).Msg("home_left")
 		}
-		sleep(ctx, changePause)
+		sleep(ctx, reconnectPause)
 	}
 }
 
@@ -164,15 +164,15 @@
 }
 
 // serve subscribes to one control process for as long as that does, and gives the reason why it doesn't any more.
-func (s *Subscription) serve(ctx context.Context, ip string) string {
+func (s *Subscription) subscribeTo(ctx context.Context, ip string) string {
 	s.mu.Lock()
-	s.listing.turn(time.Now())
+	s.serverList.reconnected(time.Now())
 	s.mu.Unlock()
 	connected := make(chan bool, 16)
 	client := transport.NewClient(s.opt.Settings.EndpointAt(ip, node.PortControl), s.opt.Transport,
 		func(message any) {
 			if update, ok := message.(protocol.Update); ok {
-				s.take(&update, time.Now())
+				s.handleUpdate(&update, time.Now())
 			}
 		},
 		func(up bool) {
@@ -182,7 +182,7 @@
 			}
 		})
 	defer client.Close()
-	timer := time.NewTimer(answerWait)
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	select {
 	case <-connected:
@@ -196,16 +196,16 @@
 }
 
 func (s *Subscription) poll(ctx context.Context, client *transport.Client, connected <-chan bool) string {
-	polling := newPolling(time.Now())
+	polling := newPollState(time.Now())
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for sequence := uint64(1); ; sequence++ {
 		sent := time.Now()
-		update, err := s.ask(ctx, client, sequence, sent)
+		update, err := s.pollOnce(ctx, client, sequence, sent)
 		if err != nil {
 			return err.Error()
 		}
-		pause, stays := s.answered(&polling, sent, time.Now(), update)
+		pause, stays := s.handlePollAnswer(&polling, sent, time.Now(), update)
 		if !stays {
 			return "unsure"
 		}
@@ -213,7 +213,7 @@
 		select {
 		case <-timer.C:
 		case <-s.wake:
-			sleep(ctx, time.Until(sent.Add(soonest)))
+			sleep(ctx, time.Until(sent.Add(minPollInterval)))
 		case <-connected:
 			return "connection ended"
 		case <-ctx.Done():
@@ -223,31 +223,31 @@
 }
 
 // ask polls once, and takes the answer in.
-func (s *Subscription) ask(ctx context.Context, client *transport.Client, sequence uint64, sent time.Time) (*protocol.Update, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait)
+func (s *Subscription) pollOnce(ctx context.Context, client *transport.Client, sequence uint64, sent time.Time) (*protocol.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	reply, err := client.Call(ctx, s.question(sequence))
+	reply, err := client.Call(ctx, s.buildPoll(sequence))
 	if err != nil {
 		return nil, err
 	}
 	update, ok := reply.(protocol.Update)
 	if !ok {
-		return nil, errAnswer
+		return nil, errNotUpdate
 	}
-	s.take(&update, time.Now())
-	if update.Store != nil && s.opt.Granted != nil {
-		s.opt.Granted(*update.Store, sent)
+	s.handleUpdate(&update, time.Now())
+	if update.Store != nil && s.opt.OnGrant != nil {
+		s.opt.OnGrant(*update.Store, sent)
 	}
 	return &update, nil
 }
 
-func (s *Subscription) question(sequence uint64) protocol.Poll {
+func (s *Subscription) buildPoll(sequence uint64) protocol.Poll {
 	poll := protocol.Poll{Process: s.opt.Process, Sequence: sequence, Ready: s.opt.Ready()}
 	s.mu.Lock()
-	if !s.whole {
+	if !s.requestFull {
 		poll.Configuration = s.state.Current().Index
 	}
-	poll.WholeServers = s.listing.incomplete
+	poll.WholeServers = s.serverList.incomplete
 	s.mu.Unlock()
 	if table := s.opt.Servers.Current(); table != nil {
 		poll.Servers = table.Version
--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -15,18 +15,18 @@
 
 const (
 	// backlogFor is how long a backlog stands.
-	backlogFor = 1500 * time.Millisecond
+	backlogTTL = 1500 * time.Millisecond
 	// backlogAgain is how long a home passes on what a batch process told it.
-	backlogAgain = 300 * time.Millisecond
+	backlogRelayFor = 300 * time.Millisecond
 	// backlogUnit is that of backlogs in datagrams, in tokens.
 	backlogUnit = 256
 
-	kindBacklog  kind = 6 // of a batch process, for homes: its own
-	kindBacklogs kind = 7 // of a home, for the processes of its zone: all that it knows
+	kindBacklog      kind = 6 // of a batch process, for homes: its own
+	kindBacklogRelay kind = 7 // of a home, for the processes of its zone: all that it knows
 
 	backlogBytes  = 12
-	mostBacklogs  = 100
-	backlogsBytes = headBytes + mostBacklogs*backlogBytes
+	maxBacklogs   = 100
+	backlogsBytes = headerBytes + maxBacklogs*backlogBytes
 )
 
 // backlog is what waits at a batch process.
@@ -36,50 +36,50 @@
 }
 
 // waiting is what is known of one.
-type waiting struct {
-	tokens int64
-	at     time.Time
-	direct time.Time // it told so itself
+type backlogEntry struct {
+	tokens     int64
+	receivedAt time.Time
+	directAt   time.Time // it told so itself
 }
 
 // Backlog gives the tokens that wait at a batch process, by its node's name; false where it hasn't told lately.
-func (b *Board) Backlog(now time.Time, node string) (tokens int64, known bool) {
+func (b *Table) Backlog(now time.Time, node string) (tokens int64, known bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	one, told := b.backlogs[xxhash.Sum64String(node)]
-	return one.tokens, told && now.Sub(one.at) <= backlogFor
+	return one.tokens, told && now.Sub(one.receivedAt) <= backlogTTL
 }
 
 // Tell notes what a batch process told, by its node's name.
-func (b *Board) Tell(node string, tokens int64) {
-	b.takeBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
+func (b *Table) ReportBacklog(node string, tokens int64) {
+	b.receiveBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
 }
 
-func (b *Board) takeBacklogs(now time.Time, of kind, list []backlog) {
+func (b *Table) receiveBacklogs(now time.Time, of kind, list []backlog) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, one := range list {
 		known := b.backlogs[one.store]
 		if of == kindBacklog {
-			known.direct = now
+			known.directAt = now
 		}
-		known.tokens, known.at = one.tokens, now
+		known.tokens, known.receivedAt = one.tokens, now
 		b.backlogs[one.store] = known
 	}
 	for store, one := range b.backlogs {
-		if now.Sub(one.at) > backlogFor {
+		if now.Sub(one.receivedAt) > backlogTTL {
 			delete(b.backlogs, store)
 		}
 	}
 }
 
 // heardBacklogs lists what batch processes told this home themselves.
-func (b *Board) heardBacklogs(now time.Time) []backlog {
+func (b *Table) directBacklogs(now time.Time) []backlog {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	list := make([]backlog, 0, len(b.backlogs))
 	for store, one := range b.backlogs {
-		if now.Sub(one.direct) <= backlogAgain {
+		if now.Sub(one.directAt) <= backlogRelayFor {
 			list = append(list, backlog{store: store, tokens: one.tokens})
 		}
 	}
@@ -89,24 +89,24 @@
 // shareBacklogs tells homes what waits here, where this is a batch process, and the processes of the zone what all told, where it is a
 // home. What is told doesn't change hands twice: a home of each zone hears each batch process.
 func (s *Sharing) shareBacklogs(now time.Time, known *targets) {
-	if s.waiting != nil {
-		if !s.board.hearsLoads(now) {
+	if s.localBacklog != nil {
+		if !s.table.receivesLoads(now) {
 			return
 		}
-		one := backlog{store: xxhash.Sum64String(s.self.Node), tokens: s.waiting()}
-		if one.tokens > 0 || s.toldWaiting {
-			s.toldWaiting = one.tokens > 0
-			s.sendBacklogs(kindBacklog, []backlog{one}, homesFor(known.everywhere, one.store))
+		one := backlog{store: xxhash.Sum64String(s.self.Node), tokens: s.localBacklog()}
+		if one.tokens > 0 || s.backlogReported {
+			s.backlogReported = one.tokens > 0
+			s.sendBacklogs(kindBacklog, []backlog{one}, aggregatorsFor(known.allAggregators, one.store))
 		}
 		return
 	}
-	if len(known.gateways) > 0 {
-		s.sendBacklogs(kindBacklogs, s.board.heardBacklogs(now), known.gateways)
+	if len(known.zoneGateways) > 0 {
+		s.sendBacklogs(kindBacklogRelay, s.table.directBacklogs(now), known.zoneGateways)
 	}
 }
 
 // homesFor gives one home of each zone, the same for the same key.
-func homesFor(everywhere [][]netip.AddrPort, key uint64) []netip.AddrPort {
+func aggregatorsFor(everywhere [][]netip.AddrPort, key uint64) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(everywhere))
 	for _, homes := range everywhere {
 		list = append(list, homes[key%uint64(len(homes))])
@@ -118,16 +118,16 @@
 	if len(list) == 0 {
 		return
 	}
-	s.backlogs = encodeBacklogs(s.backlogs, of, list)
+	s.backlogBuffer = encodeBacklogs(s.backlogBuffer, of, list)
 	for _, address := range to {
-		_, _ = s.conn.WriteToUDPAddrPort(s.backlogs, address)
+		_, _ = s.conn.WriteToUDPAddrPort(s.backlogBuffer, address)
 	}
 }
 
 // Layout: as that of reports, and for each backlog the hash of the node's name (8) and the tokens in units of 256 (4).
 func encodeBacklogs(out []byte, of kind, list []backlog) []byte {
-	list = list[:min(len(list), mostBacklogs)]
-	out = binary.BigEndian.AppendUint32(out[:0], tag)
+	list = list[:min(len(list), maxBacklogs)]
+	out = binary.BigEndian.AppendUint32(out[:0], magic)
 	out = append(out, byte(of), byte(len(list)))
 	for _, one := range list {
 		out = binary.BigEndian.AppendUint64(out, one.store)
@@ -138,15 +138,15 @@
 
 // decodeBacklogs reads a datagram of backlogs; false where it is none.
 func decodeBacklogs(datagram []byte) (of kind, list []backlog, ok bool) {
-	if len(datagram) < headBytes || binary.BigEndian.Uint32(datagram) != tag {
+	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
 	}
 	of = kind(datagram[4])
 	count := int(datagram[5])
-	if of != kindBacklog && of != kindBacklogs || count > mostBacklogs || len(datagram) != headBytes+count*backlogBytes {
+	if of != kindBacklog && of != kindBacklogRelay || count > maxBacklogs || len(datagram) != headerBytes+count*backlogBytes {
 		return 0, nil, false
 	}
-	for at := headBytes; at < len(datagram); at += backlogBytes {
+	for at := headerBytes; at < len(datagram); at += backlogBytes {
 		one := datagram[at : at+backlogBytes]
 		list = append(list, backlog{store: binary.BigEndian.Uint64(one), tokens: backlogUnit * int64(binary.BigEndian.Uint32(one[8:]))})
 	}
--- a/internal/serverload/golden_test.go
+++ b/internal/serverload/golden_test.go
@@ -18,5 +18,5 @@
 	if !ok || of != kindZone || !reflect.DeepEqual(decoded, reports) {
 		t.Errorf("the recorded datagram decodes to %v, %+v, %v; want %+v", of, decoded, ok, reports)
 	}
-	golden.Bytes(t, "kinds", []byte{byte(kindHeard), byte(kindZone), byte(kindForeign)})
+	golden.Bytes(t, "kinds", []byte{byte(kindObserved), byte(kindZone), byte(kindRemote)})
 }
--- a/internal/serverload/load.go
+++ b/internal/serverload/load.go
@@ -17,10 +17,10 @@
 const Header = "X-Server-Load"
 
 // validFor is how long a load stands: about as long as the requests that make it up last.
-const validFor = 1500 * time.Millisecond
+const loadTTL = 1500 * time.Millisecond
 
 // mostCount bounds what is believed of each number.
-const mostCount = 1<<16 - 1
+const maxCount = 1<<16 - 1
 
 // Load is what a server tells.
 type Load struct {
@@ -30,7 +30,7 @@
 }
 
 // Present counts the requests that are at the server.
-func (l Load) Present() int { return l.Running + l.Waiting }
+func (l Load) InFlight() int { return l.Running + l.Waiting }
 
 // Parse reads a load as it stands in a header.
 func Parse(text string) (Load, bool) {
@@ -43,7 +43,7 @@
 		}
 		number, rest, more = strings.Cut(rest, ",")
 		value, err := strconv.Atoi(strings.TrimSpace(number))
-		if err != nil || value < 0 || value > mostCount {
+		if err != nil || value < 0 || value > maxCount {
 			return Load{}, false
 		}
 		numbers[i] = value
@@ -55,35 +55,35 @@
 }
 
 // Board holds the newest load of each server, by the hash of its id. It is safe for concurrent use.
-type Board struct {
+type Table struct {
 	mu      sync.RWMutex
 	entries map[uint64]entry
 	results results
 
-	backlogs     map[uint64]waiting   // of batch processes
-	readings     map[uint64]time.Time // until when servers read what other processes sent
-	readingsLeft int                  // of them, after those that were over had been dropped
-	told         time.Time            // newest load of any server
-	swept        time.Time
-	invalid      atomic.Int64
+	backlogs           map[uint64]backlogEntry // of batch processes
+	prefillUntil       map[uint64]time.Time    // until when servers read what other processes sent
+	prefillsAfterSweep int                     // of them, after those that were over had been dropped
+	newestAt           time.Time               // newest load of any server
+	sweptAt            time.Time
+	invalid            atomic.Int64
 }
 
 // entry is the newest load of a server that is known here.
 type entry struct {
-	load    Load
-	at      time.Time // it was told
-	heard   time.Time // here
-	own     bool      // to this process
-	foreign bool      // heard from another zone
+	load       Load
+	reportedAt time.Time // it was told
+	receivedAt time.Time // here
+	direct     bool      // to this process
+	remote     bool      // heard from another zone
 }
 
 // NewBoard gives an empty board.
-func NewBoard() *Board {
-	return &Board{entries: map[uint64]entry{}, results: newResults(), readings: map[uint64]time.Time{}, backlogs: map[uint64]waiting{}}
+func NewTable() *Table {
+	return &Table{entries: map[uint64]entry{}, results: newResults(), prefillUntil: map[uint64]time.Time{}, backlogs: map[uint64]backlogEntry{}}
 }
 
 // Note takes in the header of an answer; an empty one tells nothing.
-func (b *Board) Note(now time.Time, server uint64, header string) {
+func (b *Table) Observe(now time.Time, server uint64, header string) {
 	if header == "" {
 		return
 	}
@@ -92,40 +92,40 @@
 		b.invalid.Add(1)
 		return
 	}
-	b.learn(server, entry{load: load, at: now, heard: now, own: true})
+	b.update(server, entry{load: load, reportedAt: now, receivedAt: now, direct: true})
 }
 
 // hearsLoads tells whether servers tell their load.
-func (b *Board) hearsLoads(now time.Time) bool {
+func (b *Table) receivesLoads(now time.Time) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return now.Sub(b.told) <= validFor
+	return now.Sub(b.newestAt) <= loadTTL
 }
 
 // Invalid counts the headers that could not be read.
-func (b *Board) Invalid() int64 { return b.invalid.Load() }
+func (b *Table) Invalid() int64 { return b.invalid.Load() }
 
-func (b *Board) learn(server uint64, one entry) {
+func (b *Table) update(server uint64, one entry) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if known, held := b.entries[server]; held && !one.at.After(known.at) {
+	if known, held := b.entries[server]; held && !one.reportedAt.After(known.reportedAt) {
 		return
 	}
 	b.entries[server] = one
-	if one.at.After(b.told) {
-		b.told = one.at
+	if one.reportedAt.After(b.newestAt) {
+		b.newestAt = one.reportedAt
 	}
-	b.sweep(one.at)
+	b.sweep(one.reportedAt)
 }
 
 // sweep forgets what is too old. The mutex is held.
-func (b *Board) sweep(now time.Time) {
-	if now.Sub(b.swept) < validFor {
+func (b *Table) sweep(now time.Time) {
+	if now.Sub(b.sweptAt) < loadTTL {
 		return
 	}
-	b.swept = now
+	b.sweptAt = now
 	for server, one := range b.entries {
-		if now.Sub(one.at) > validFor {
+		if now.Sub(one.reportedAt) > loadTTL {
 			delete(b.entries, server)
 		}
 	}
@@ -133,14 +133,14 @@
 }
 
 // Known gives a server's load and when it was told; false where nothing is known that still stands.
-func (b *Board) Known(now time.Time, server uint64) (load Load, at time.Time, known bool) {
+func (b *Table) Lookup(now time.Time, server uint64) (load Load, at time.Time, known bool) {
 	b.mu.RLock()
 	one, held := b.entries[server]
 	b.mu.RUnlock()
-	if !held || now.Sub(one.at) > validFor {
+	if !held || now.Sub(one.reportedAt) > loadTTL {
 		return Load{}, time.Time{}, false
 	}
-	return one.load, one.at, true
+	return one.load, one.reportedAt, true
 }
 
 // Report is what is known of a server on its way to others.
@@ -152,12 +152,12 @@
 }
 
 // since lists what was heard after a moment and fits.
-func (b *Board) since(now, moment time.Time, fits func(entry) bool) []Report {
+func (b *Table) reportsSince(now, moment time.Time, fits func(entry) bool) []Report {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var list []Report
 	for server, one := range b.entries {
-		if age := now.Sub(one.at); one.heard.After(moment) && age <= validFor && fits(one) {
+		if age := now.Sub(one.reportedAt); one.receivedAt.After(moment) && age <= loadTTL && fits(one) {
 			list = append(list, Report{Server: server, Load: one.load, Age: age})
 		}
 	}
--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -25,25 +25,25 @@
 
 func TestBoard(t *testing.T) {
 	Convey("The newest word stands for a while, and noise is dropped and counted", t, func() {
-		b := NewBoard()
-		b.Note(start, 7, "3,0,12")
-		b.Note(start.Add(time.Millisecond), 7, "noise")
-		b.Note(start, 7, "")
-		load, at, known := b.Known(start.Add(validFor), 7)
+		b := NewTable()
+		b.Observe(start, 7, "3,0,12")
+		b.Observe(start.Add(time.Millisecond), 7, "noise")
+		b.Observe(start, 7, "")
+		load, at, known := b.Lookup(start.Add(loadTTL), 7)
 		So(known, ShouldBeTrue)
 		So(load.Running, ShouldEqual, 3)
 		So(at, ShouldEqual, start)
 		So(b.Invalid(), ShouldEqual, 1)
-		_, _, known = b.Known(start.Add(validFor+time.Millisecond), 7)
+		_, _, known = b.Lookup(start.Add(loadTTL+time.Millisecond), 7)
 		So(known, ShouldBeFalse)
-		b.learn(7, entry{load: Load{Running: 9, Slots: 12}, at: start.Add(-time.Second)})
-		load, _, _ = b.Known(start, 7)
+		b.update(7, entry{load: Load{Running: 9, Slots: 12}, reportedAt: start.Add(-time.Second)})
+		load, _, _ = b.Lookup(start, 7)
 		So(load.Running, ShouldEqual, 3)
 	})
 	Convey("What is old is forgotten", t, func() {
-		b := NewBoard()
+		b := NewTable()
 		for i := range 100 {
-			b.Note(start.Add(time.Duration(i)*100*time.Millisecond), uint64(i), "1,0,12")
+			b.Observe(start.Add(time.Duration(i)*100*time.Millisecond), uint64(i), "1,0,12")
 		}
 		So(len(b.entries), ShouldBeLessThan, 40)
 	})
@@ -51,41 +51,41 @@
 
 func TestResults(t *testing.T) {
 	Convey("A server that fails is told by the zone's count, and is tried again when that has faded", t, func() {
-		home, other := NewBoard(), NewBoard()
-		for _, b := range []*Board{home, other} {
-			b.Note(start, 1, "0,0,12")
+		home, other := NewTable(), NewTable()
+		for _, b := range []*Table{home, other} {
+			b.Observe(start, 1, "0,0,12")
 		}
-		other.Ended(start, 7, true)
-		So(other.Fails(start, 7), ShouldBeFalse)
-		heard := attach(nil, other.takeFresh())
-		home.take(start, encode(nil, kindHeard, heard))
-		home.take(start, encode(nil, kindHeard, heard))
-		home.Ended(start, 8, false)
-		So(home.Fails(start, 7), ShouldBeTrue)
-		So(home.Fails(start, 8), ShouldBeFalse)
-		other.take(start, encode(nil, kindZone, attach(nil, home.summed(start))))
-		So(other.Fails(start, 7), ShouldBeTrue)
-		later := start.Add(2 * resultsFade)
-		So(home.Fails(later, 7), ShouldBeFalse)
-		So(other.Fails(later, 7), ShouldBeFalse)
+		other.RecordResult(start, 7, true)
+		So(other.Failing(start, 7), ShouldBeFalse)
+		heard := mergeResults(nil, other.drainUnsent())
+		home.receiveReports(start, encode(nil, kindObserved, heard))
+		home.receiveReports(start, encode(nil, kindObserved, heard))
+		home.RecordResult(start, 8, false)
+		So(home.Failing(start, 7), ShouldBeTrue)
+		So(home.Failing(start, 8), ShouldBeFalse)
+		other.receiveReports(start, encode(nil, kindZone, mergeResults(nil, home.decayedSums(start))))
+		So(other.Failing(start, 7), ShouldBeTrue)
+		later := start.Add(2 * resultsDecay)
+		So(home.Failing(later, 7), ShouldBeFalse)
+		So(other.Failing(later, 7), ShouldBeFalse)
 	})
 	Convey("A server that serves most is not left alone for some failures, nor where loads aren't told", t, func() {
-		b := NewBoard()
-		b.Ended(start, 7, true)
-		b.Ended(start, 7, true)
-		So(b.Fails(start, 7), ShouldBeFalse)
-		b.Note(start, 7, "0,0,12")
+		b := NewTable()
+		b.RecordResult(start, 7, true)
+		b.RecordResult(start, 7, true)
+		So(b.Failing(start, 7), ShouldBeFalse)
+		b.Observe(start, 7, "0,0,12")
 		for i := range 40 {
-			b.Ended(start, 7, i%8 == 0)
+			b.RecordResult(start, 7, i%8 == 0)
 		}
-		So(b.Fails(start, 7), ShouldBeFalse)
+		So(b.Failing(start, 7), ShouldBeFalse)
 	})
 }
 
 func TestDatagram(t *testing.T) {
 	Convey("What is written is read, within what a datagram holds", t, func() {
 		var reports []Report
-		for i := range 2 * mostReports {
+		for i := range 2 * maxReports {
 			reports = append(reports, Report{Server: uint64(i), Load: Load{Running: i, Waiting: 1, Slots: 12}, Age: 40 * time.Millisecond,
 				Results: Results{Served: 3, Failed: 1}})
 		}
@@ -94,10 +94,10 @@
 		of, read, ok := decode(datagram)
 		So(ok, ShouldBeTrue)
 		So(of, ShouldEqual, kindZone)
-		So(read, ShouldResemble, reports[:mostReports])
+		So(read, ShouldResemble, reports[:maxReports])
 	})
 	Convey("Anything else is dropped whole", t, func() {
-		good := encode(nil, kindHeard, []Report{{Server: 1, Load: Load{Slots: 12}}})
+		good := encode(nil, kindObserved, []Report{{Server: 1, Load: Load{Slots: 12}}})
 		for _, bad := range [][]byte{nil, good[:3], good[:len(good)-1], append(append([]byte{}, good...), 0), []byte("SPL1\x09\x00"), []byte("XXXX\x01\x00")} {
 			_, _, ok := decode(bad)
 			So(ok, ShouldBeFalse)
@@ -108,8 +108,8 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add(encode(nil, kindZone, []Report{{Server: 1, Load: Load{Running: 1, Slots: 12}}}))
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		b := NewBoard()
-		b.take(start, datagram)
+		b := NewTable()
+		b.receiveReports(start, datagram)
 		if of, reports, ok := decode(datagram); ok {
 			again, read, ok := decode(encode(nil, of, reports))
 			if !ok || again != of || len(read) != len(reports) {
@@ -121,28 +121,28 @@
 
 func TestReadings(t *testing.T) {
 	Convey("What others sent keeps a server busy until it is read, for a bounded time", t, func() {
-		b := NewBoard()
-		b.Read(start, 7, 20_000)
-		b.Read(start, 7, 20_000)
-		So(b.Reading(start, 7), ShouldEqual, 400*time.Millisecond)
-		So(b.Reading(start.Add(time.Second), 7), ShouldEqual, 0)
+		b := NewTable()
+		b.AddPrefill(start, 7, 20_000)
+		b.AddPrefill(start, 7, 20_000)
+		So(b.PrefillTime(start, 7), ShouldEqual, 400*time.Millisecond)
+		So(b.PrefillTime(start.Add(time.Second), 7), ShouldEqual, 0)
 		for range 100 {
-			b.Read(start, 7, 1<<20)
+			b.AddPrefill(start, 7, 1<<20)
 		}
-		So(b.Reading(start, 7), ShouldEqual, readingMost)
+		So(b.PrefillTime(start, 7), ShouldEqual, maxPrefillTime)
 		for i := range 10_000 {
-			b.Read(start.Add(time.Duration(i)*time.Millisecond), uint64(i), ReadingLeast)
+			b.AddPrefill(start.Add(time.Duration(i)*time.Millisecond), uint64(i), MinAnnouncedTokens)
 		}
-		So(len(b.readings), ShouldBeLessThan, 3000)
+		So(len(b.prefillUntil), ShouldBeLessThan, 3000)
 	})
 	Convey("A datagram is read as it was written, and anything else is dropped", t, func() {
-		sent := []reading{{server: 7, tokens: 16_000, source: 9}, {server: 8, tokens: 32, source: 1}}
-		datagram := encodeReadings(nil, kindReading, sent)
-		of, read, ok := decodeReadings(datagram)
+		sent := []prefill{{server: 7, tokens: 16_000, sender: 9}, {server: 8, tokens: 32, sender: 1}}
+		datagram := encodePrefills(nil, kindPrefillRelay, sent)
+		of, read, ok := decodePrefills(datagram)
 		So(ok, ShouldBeTrue)
-		So(of, ShouldEqual, kindReading)
+		So(of, ShouldEqual, kindPrefillRelay)
 		So(read, ShouldResemble, sent)
-		_, _, ok = decodeReadings(datagram[:len(datagram)-1])
+		_, _, ok = decodePrefills(datagram[:len(datagram)-1])
 		So(ok, ShouldBeFalse)
 		_, _, ok = decode(datagram)
 		So(ok, ShouldBeFalse)
@@ -151,19 +151,19 @@
 
 func TestBacklogs(t *testing.T) {
 	Convey("What batch processes told stands for a while, and a home passes on only what it was told by them", t, func() {
-		home, gateway := NewBoard(), NewBoard()
-		home.takeBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
-		home.takeBacklogs(start, kindBacklogs, []backlog{{store: 2, tokens: 5120}})
-		So(home.heardBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
-		of, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogs, home.heardBacklogs(start)))
+		home, gateway := NewTable(), NewTable()
+		home.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
+		home.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
+		So(home.directBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
+		of, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
 		So(ok, ShouldBeTrue)
-		gateway.takeBacklogs(start, of, list)
-		So(gateway.heardBacklogs(start), ShouldBeEmpty)
+		gateway.receiveBacklogs(start, of, list)
+		So(gateway.directBacklogs(start), ShouldBeEmpty)
 		So(gateway.backlogs[1].tokens, ShouldEqual, 5120)
-		So(home.heardBacklogs(start.Add(backlogAgain+1)), ShouldBeEmpty)
-		gateway.takeBacklogs(start.Add(backlogFor+1), of, nil)
+		So(home.directBacklogs(start.Add(backlogRelayFor+1)), ShouldBeEmpty)
+		gateway.receiveBacklogs(start.Add(backlogTTL+1), of, nil)
 		So(gateway.backlogs, ShouldBeEmpty)
-		for _, bad := range [][]byte{nil, []byte("SPL1\x06\x01"), encodeReadings(nil, kindSent, nil)} {
+		for _, bad := range [][]byte{nil, []byte("SPL1\x06\x01"), encodePrefills(nil, kindPrefill, nil)} {
 			_, _, ok := decodeBacklogs(bad)
 			So(ok, ShouldBeFalse)
 		}
@@ -176,15 +176,15 @@
 		for _, node := range []string{"a", "b", "c", "d", "e"} {
 			gateways = append(gateways, protocol.Process{Node: node, Zone: "z"})
 		}
-		of := homesByZone(gateways)["z"]
-		So(of, ShouldHaveLength, homesMost)
+		of := aggregatorsByZone(gateways)["z"]
+		So(of, ShouldHaveLength, aggregatorsPerZone)
 		var left []protocol.Process
 		for _, one := range gateways {
 			if one.Node != of[0].Node {
 				left = append(left, one)
 			}
 		}
-		So(homesByZone(left)["z"][0], ShouldResemble, of[1])
+		So(aggregatorsByZone(left)["z"][0], ShouldResemble, of[1])
 	})
 }
 
@@ -195,23 +195,23 @@
 		home := protocol.Process{Node: "home", Zone: "z", IP: "127.91.8.1"}
 		store := protocol.Process{Node: "store", Zone: "z", IP: "127.91.8.2"}
 		members := &protocol.MemberList{Version: 1, Gateways: []protocol.Process{home}}
-		boards := map[string]*Board{}
+		boards := map[string]*Table{}
 		sharings := map[string]*Sharing{}
 		for _, one := range []protocol.Process{home, store} {
-			boards[one.Node] = NewBoard()
+			boards[one.Node] = NewTable()
 			sharing, err := Listen(boards[one.Node], one, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			defer sharing.conn.Close()
 			sharings[one.Node] = sharing
 		}
-		sharings["store"].Waiting(func() int64 { return 5120 })
-		sharings["store"].update()
+		sharings["store"].SetBacklog(func() int64 { return 5120 })
+		sharings["store"].updateTargets()
 		known := sharings["store"].targets.Load()
 		sharings["store"].shareBacklogs(start, known)
-		So(sharings["store"].toldWaiting, ShouldBeFalse)
-		boards["store"].Note(start, 7, "1,0,12")
+		So(sharings["store"].backlogReported, ShouldBeFalse)
+		boards["store"].Observe(start, 7, "1,0,12")
 		sharings["store"].shareBacklogs(start, known)
-		So(sharings["store"].toldWaiting, ShouldBeTrue)
+		So(sharings["store"].backlogReported, ShouldBeTrue)
 		var datagram [backlogsBytes]byte
 		n, _, err := sharings["home"].conn.ReadFromUDPAddrPort(datagram[:])
 		So(err, ShouldBeNil)
@@ -231,38 +231,38 @@
 		}
 		store := protocol.StoreMember{Process: protocol.Process{Node: "store", Zone: "b", IP: "127.91.7.9"}}
 		members := &protocol.MemberList{Version: 1, Gateways: gateways, Stores: protocol.StoreView{Members: []protocol.StoreMember{store}}}
-		var boards []*Board
+		var boards []*Table
 		var all []*Sharing
 		for _, one := range append(gateways, store.Process) {
-			board := NewBoard()
+			board := NewTable()
 			sharing, err := Listen(board, one, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			go sharing.Run(t.Context())
 			boards, all = append(boards, board), append(all, sharing)
 		}
-		boards[0].Note(time.Now(), 7, "5,0,12")
+		boards[0].Observe(time.Now(), 7, "5,0,12")
 		for i := 1; i < len(boards); i++ {
 			for until := time.Now().Add(10 * time.Second); ; {
-				if load, _, known := boards[i].Known(time.Now(), 7); known {
+				if load, _, known := boards[i].Lookup(time.Now(), 7); known {
 					So(load.Running, ShouldEqual, 5)
 					break
 				}
 				if time.Now().After(until) {
 					t.Fatalf("process %d learnt nothing", i)
 				}
-				boards[0].Note(time.Now(), 7, "5,0,12")
+				boards[0].Observe(time.Now(), 7, "5,0,12")
 				<-time.After(20 * time.Millisecond)
 			}
 		}
 		for i := range boards {
-			for until := time.Now().Add(10 * time.Second); i != 3 && boards[i].Reading(time.Now(), 9) == 0; {
+			for until := time.Now().Add(10 * time.Second); i != 3 && boards[i].PrefillTime(time.Now(), 9) == 0; {
 				if time.Now().After(until) {
 					t.Fatalf("process %d learnt of no prompt", i)
 				}
-				all[3].Tell(9, 40_000)
+				all[3].AnnouncePrefill(9, 40_000)
 				<-time.After(20 * time.Millisecond)
 			}
 		}
-		So(boards[3].Reading(time.Now(), 9), ShouldEqual, 0) // it knows what it sent itself
+		So(boards[3].PrefillTime(time.Now(), 9), ShouldEqual, 0) // it knows what it sent itself
 	})
 }
--- a/internal/serverload/reading.go
+++ b/internal/serverload/reading.go
@@ -13,123 +13,123 @@
 
 const (
 	// ReadingLeast is the least number of tokens to be read that others are told of.
-	ReadingLeast = 2048
+	MinAnnouncedTokens = 2048
 	// ReadPerMs is how many tokens a server is taken to read in a millisecond.
-	ReadPerMs = 100
+	PrefillTokensPerMs = 100
 	// readingMost bounds the time for which prompts keep a server busy.
-	readingMost = 2 * time.Second
+	maxPrefillTime = 2 * time.Second
 	// relayAfter is how long a home gathers what it passes on.
-	relayAfter = 15 * time.Millisecond
+	relayDelay = 15 * time.Millisecond
 	// mostQueued bounds what a home has yet to pass on; what comes beyond it is lost.
-	mostQueued = 1024
+	maxRelayQueue = 1024
 )
 
 // reading is a prompt that a server has to read.
-type reading struct {
+type prefill struct {
 	server uint64
 	tokens int
-	source uint32 // of the process that sent it
+	sender uint32 // of the process that sent it
 }
 
 // Layout of a datagram of readings: as that of reports, and for each reading the hash of the server's id (8), the tokens in units of 16 (2)
 // and what tells the sender apart (4).
 const (
-	kindSent      kind = 4 // of a process, for homes
-	kindReading   kind = 5 // of a home, for the processes of its zone
-	readingBytes       = 14
-	mostReadings       = 100
-	tokensUnit         = 16
-	readingsBytes      = headBytes + mostReadings*readingBytes
+	kindPrefill      kind = 4 // of a process, for homes
+	kindPrefillRelay kind = 5 // of a home, for the processes of its zone
+	prefillBytes          = 14
+	maxPrefills           = 100
+	prefillUnit           = 16
+	prefillsBytes         = headerBytes + maxPrefills*prefillBytes
 )
 
-func encodeReadings(out []byte, of kind, readings []reading) []byte {
-	readings = readings[:min(len(readings), mostReadings)]
-	out = binary.BigEndian.AppendUint32(out[:0], tag)
+func encodePrefills(out []byte, of kind, readings []prefill) []byte {
+	readings = readings[:min(len(readings), maxPrefills)]
+	out = binary.BigEndian.AppendUint32(out[:0], magic)
 	out = append(out, byte(of), byte(len(readings)))
 	for _, one := range readings {
 		out = binary.BigEndian.AppendUint64(out, one.server)
-		out = binary.BigEndian.AppendUint16(out, uint16(min(max(one.tokens, 0)/tokensUnit, mostCount)))
-		out = binary.BigEndian.AppendUint32(out, one.source)
+		out = binary.BigEndian.AppendUint16(out, uint16(min(max(one.tokens, 0)/prefillUnit, maxCount)))
+		out = binary.BigEndian.AppendUint32(out, one.sender)
 	}
 	return out
 }
 
 // decodeReadings reads a datagram of readings; false where it is none.
-func decodeReadings(datagram []byte) (of kind, readings []reading, ok bool) {
-	if len(datagram) < headBytes || binary.BigEndian.Uint32(datagram) != tag {
+func decodePrefills(datagram []byte) (of kind, readings []prefill, ok bool) {
+	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
 	}
 	of = kind(datagram[4])
 	count := int(datagram[5])
-	if of != kindSent && of != kindReading || count > mostReadings || len(datagram) != headBytes+count*readingBytes {
+	if of != kindPrefill && of != kindPrefillRelay || count > maxPrefills || len(datagram) != headerBytes+count*prefillBytes {
 		return 0, nil, false
 	}
-	for at := headBytes; at < len(datagram); at += readingBytes {
-		one := datagram[at : at+readingBytes]
-		readings = append(readings, reading{server: binary.BigEndian.Uint64(one), source: binary.BigEndian.Uint32(one[10:]),
-			tokens: tokensUnit * int(binary.BigEndian.Uint16(one[8:]))})
+	for at := headerBytes; at < len(datagram); at += prefillBytes {
+		one := datagram[at : at+prefillBytes]
+		readings = append(readings, prefill{server: binary.BigEndian.Uint64(one), sender: binary.BigEndian.Uint32(one[10:]),
+			tokens: prefillUnit * int(binary.BigEndian.Uint16(one[8:]))})
 	}
 	return of, readings, true
 }
 
 // Read takes in that another process has sent so many tokens to be read to a server.
-func (b *Board) Read(now time.Time, server uint64, tokens int) {
+func (b *Table) AddPrefill(now time.Time, server uint64, tokens int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	until := b.readings[server]
+	until := b.prefillUntil[server]
 	if until.Before(now) {
 		until = now
 	}
-	until = until.Add(time.Duration(tokens) * time.Millisecond / ReadPerMs)
-	if latest := now.Add(readingMost); until.After(latest) {
+	until = until.Add(time.Duration(tokens) * time.Millisecond / PrefillTokensPerMs)
+	if latest := now.Add(maxPrefillTime); until.After(latest) {
 		until = latest
 	}
-	b.readings[server] = until
-	if len(b.readings) > 2*b.readingsLeft+mostReadings {
-		b.sweepReadings(now)
+	b.prefillUntil[server] = until
+	if len(b.prefillUntil) > 2*b.prefillsAfterSweep+maxPrefills {
+		b.sweepPrefills(now)
 	}
 }
 
 // sweepReadings forgets what has been read. The mutex is held.
-func (b *Board) sweepReadings(now time.Time) {
-	for server, until := range b.readings {
+func (b *Table) sweepPrefills(now time.Time) {
+	for server, until := range b.prefillUntil {
 		if until.Before(now) {
-			delete(b.readings, server)
+			delete(b.prefillUntil, server)
 		}
 	}
-	b.readingsLeft = len(b.readings)
+	b.prefillsAfterSweep = len(b.prefillUntil)
 }
 
 // Reading gives for how long a server still reads what others sent.
-func (b *Board) Reading(now time.Time, server uint64) time.Duration {
+func (b *Table) PrefillTime(now time.Time, server uint64) time.Duration {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return max(0, b.readings[server].Sub(now))
+	return max(0, b.prefillUntil[server].Sub(now))
 }
 
 // Tell tells others at once that this process has sent so many tokens to be read to a server.
-func (s *Sharing) Tell(server uint64, tokens int) {
+func (s *Sharing) AnnouncePrefill(server uint64, tokens int) {
 	targets := s.targets.Load()
 	if targets == nil {
 		return
 	}
-	one := reading{server: server, tokens: tokens, source: s.source}
-	var buffer [headBytes + readingBytes]byte
-	datagram := encodeReadings(buffer[:0], kindSent, []reading{one})
-	for _, homes := range targets.everywhere {
+	one := prefill{server: server, tokens: tokens, sender: s.sender}
+	var buffer [headerBytes + prefillBytes]byte
+	datagram := encodePrefills(buffer[:0], kindPrefill, []prefill{one})
+	for _, homes := range targets.allAggregators {
 		_, _ = s.conn.WriteToUDPAddrPort(datagram, homes[server%uint64(len(homes))])
 	}
 }
 
 // takeReadings takes a datagram of readings in; one of a process for a home is passed on.
-func (s *Sharing) takeReadings(now time.Time, of kind, readings []reading) {
+func (s *Sharing) receivePrefills(now time.Time, of kind, readings []prefill) {
 	for _, one := range readings {
-		if one.source != s.source {
-			s.board.Read(now, one.server, one.tokens)
+		if one.sender != s.sender {
+			s.table.AddPrefill(now, one.server, one.tokens)
 		}
-		if of == kindSent {
+		if of == kindPrefill {
 			select {
-			case s.relay <- one:
+			case s.relayQueue <- one:
 			default: // too many: each process can do without
 			}
 		}
@@ -137,13 +137,13 @@
 }
 
 // passOn sends what was gathered to the processes of the zone.
-func (s *Sharing) passOn(readings []reading, zone []netip.AddrPort) {
+func (s *Sharing) relayPrefills(readings []prefill, zone []netip.AddrPort) {
 	for len(readings) > 0 {
-		count := min(len(readings), mostReadings)
-		s.readings = encodeReadings(s.readings, kindReading, readings[:count])
+		count := min(len(readings), maxPrefills)
+		s.prefillBuffer = encodePrefills(s.prefillBuffer, kindPrefillRelay, readings[:count])
 		readings = readings[count:]
 		for _, address := range zone {
-			_, _ = s.conn.WriteToUDPAddrPort(s.readings, address)
+			_, _ = s.conn.WriteToUDPAddrPort(s.prefillBuffer, address)
 		}
 	}
 }
