--- a/internal/batch/replica/backlog.go
+++ b/internal/batch/replica/backlog.go
@@ -18,44 +18,44 @@
 
 const (
 	// claimAgain is the time between claims that may have been lost.
-	claimAgain = 200 * time.Millisecond
+	claimRetry = 200 * time.Millisecond
 	// claimLess is the least time between claims that only tell that less is used.
-	claimLess = 150 * time.Millisecond
+	decreaseInterval = 150 * time.Millisecond
 	// retryFull is when to come back with a batch job that doesn't fit: a good part of a bound is worked off in that time.
-	retryFull = time.Second
+	overLimitRetry = time.Second
 )
 
 // room is what became of the question whether a batch job fits.
-type room int
+type capacityState int
 
 const (
-	roomOpen room = iota
-	roomGiven
-	roomRefused
+	capacityUnknown capacityState = iota
+	capacityGranted
+	capacityDenied
 )
 
 // claimed is what a counter was told last.
-type claimed struct {
-	number uint64
-	at     time.Duration
-	open   bool // its answer is awaited
-	stale  bool // it is to be told anew
+type sentClaim struct {
+	number         uint64
+	sentAt         time.Duration
+	awaitsResponse bool // its answer is awaited
+	outdated       bool // it is to be told anew
 }
 
 // claims is a store's part in the bounds, as one that claims and as one that counts.
 type claims struct {
-	levels   map[queuedtokens.Account]int64 // that the account's counter holds for this store at least
-	last     map[placement.Key]*claimed
-	counters map[queuedtokens.Account]placement.Key // of the present view
-	unasked  map[queuedtokens.Account]int64         // came since the last claim without room that was given for it
-	counter  *queuedtokens.Counter[placement.Key]
-	asked    time.Duration // other stores were asked for their claims
+	granted   map[queuedtokens.Account]int64 // that the account's counter holds for this store at least
+	sent      map[placement.Key]*sentClaim
+	counters  map[queuedtokens.Account]placement.Key // of the present view
+	unclaimed map[queuedtokens.Account]int64         // came since the last claim without room that was given for it
+	counter   *queuedtokens.Counter[placement.Key]
+	polledAt  time.Duration // other stores were asked for their claims
 }
 
 func newClaims() claims {
 	return claims{
-		levels: map[queuedtokens.Account]int64{}, last: map[placement.Key]*claimed{}, counters: map[queuedtokens.Account]placement.Key{},
-		unasked: map[queuedtokens.Account]int64{}, counter: queuedtokens.NewCounter[placement.Key](),
+		granted: map[queuedtokens.Account]int64{}, sent: map[placement.Key]*sentClaim{}, counters: map[queuedtokens.Account]placement.Key{},
+		unclaimed: map[queuedtokens.Account]int64{}, counter: queuedtokens.NewCounter[placement.Key](),
 	}
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Claimed tells that a claim has come, and answers its wants.
-type Claimed struct {
+type ClaimResponse struct {
 	Stamp
 	Number   uint64 // of the claim
 	Verdicts []queuedtokens.Verdict
@@ -74,27 +74,27 @@
 }
 
 // ClaimRequest asks a store for its claim: the sender counts accounts and has not heard it in this epoch.
-type ClaimRequest struct{ Stamp }
+type ClaimPoll struct{ Stamp }
 
 // forgetClaims begins with nothing in a new view. What is being accepted asks anew, as nothing of it was written: who gave it room may not
 // have known of batch jobs whose stores were away.
-func (m *Machine) forgetClaims() {
-	clear(m.claims.levels)
-	clear(m.claims.last)
+func (m *StateMachine) resetClaims() {
+	clear(m.claims.granted)
+	clear(m.claims.sent)
 	clear(m.claims.counters)
-	clear(m.claims.unasked)
+	clear(m.claims.unclaimed)
 	m.claims.counter.Reset()
-	m.claims.asked = 0
+	m.claims.polledAt = 0
 	for _, a := range m.acceptances {
-		a.room = roomOpen
+		a.capacity = capacityUnknown
 	}
 }
 
 // claimsRestarted notes that another store's process has started again: it counts anew, and numbers its claims anew.
-func (m *Machine) claimsRestarted(store placement.Key) {
+func (m *StateMachine) noteClaimantRestart(store placement.Key) {
 	m.claims.counter.Restarted(store)
-	if last := m.claims.last[store]; last != nil {
-		last.open, last.stale = false, true
+	if last := m.claims.sent[store]; last != nil {
+		last.awaitsResponse, last.outdated = false, true
 	}
 }
 
@@ -102,12 +102,12 @@
 	return queuedtokens.Account{Tenant: a.content.Tenant, Route: a.content.Route}
 }
 
-func (h *held) account() queuedtokens.Account {
+func (h *storedJob) account() queuedtokens.Account {
 	return queuedtokens.Account{Tenant: h.tenant, Route: h.route}
 }
 
 // counterOf gives the store that counts an account in the present view, empty where none is active.
-func (m *Machine) counterOf(account queuedtokens.Account) placement.Key {
+func (m *StateMachine) counterOf(account queuedtokens.Account) placement.Key {
 	if key, known := m.claims.counters[account]; known {
 		return key
 	}
@@ -122,16 +122,16 @@
 
 // used sums, by account, the tokens of items that no server has finished, in batch jobs that this store answers for: those that it owns
 // or gave to a store that has yet to take them, and those that it is accepting with room.
-func (m *Machine) used() map[queuedtokens.Account]int64 {
+func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
 	used := map[queuedtokens.Account]int64{}
 	for _, h := range m.order {
-		_, conceded := m.concession[h.id]
-		if (h.owner || conceded) && !h.ended && h.queued > 0 {
-			used[h.account()] += h.queued
+		_, conceded := m.transfers[h.id]
+		if (h.owned || conceded) && !h.ended && h.queuedTokens > 0 {
+			used[h.account()] += h.queuedTokens
 		}
 	}
 	for _, a := range m.acceptances {
-		if a.room == roomGiven {
+		if a.capacity == capacityGranted {
 			used[a.account()] += a.tokens
 		}
 	}
@@ -139,17 +139,17 @@
 }
 
 // Queued sums the tokens that wait in the batch jobs that this store answers for.
-func (m *Machine) Queued() int64 {
+func (m *StateMachine) QueuedTokens() int64 {
 	sum := int64(0)
-	for _, tokens := range m.used() {
+	for _, tokens := range m.usedTokens() {
 		sum += tokens
 	}
 	return sum
 }
 
 // seekRoom finds out whether a batch job that is being accepted fits.
-func (m *Machine) seekRoom(a *acceptance) {
-	if a.room != roomOpen {
+func (m *StateMachine) requestCapacity(a *acceptance) {
+	if a.capacity != capacityUnknown {
 		return
 	}
 	account := a.account()
@@ -157,40 +157,42 @@
 	switch {
 	case !known: // a later look finds it
 	case bound == 0:
-		a.room = roomGiven
-		m.claims.unasked[account] += a.tokens
+		a.capacity = capacityGranted
+		m.claims.unclaimed[account] += a.tokens
 	case a.tokens > bound:
-		a.room = roomRefused
-	case m.knowsAll() && m.used()[account]+a.tokens <= m.claims.levels[account]:
-		a.room = roomGiven
+		a.capacity = capacityDenied
+	case m.knowsOwnJobs() && m.usedTokens()[account]+a.tokens <= m.claims.granted[account]:
+		a.capacity = capacityGranted
 	default:
-		m.claim(m.counterOf(account))
+		m.sendClaim(m.counterOf(account))
 	}
 }
 
 // knowsAll tells whether this store knows of all batch jobs that it answers for: none is held by stores alone that are away.
-func (m *Machine) knowsAll() bool { return m.settled && m.unowned == 0 && !m.tooManyLeft() }
+func (m *StateMachine) knowsOwnJobs() bool {
+	return m.reconciled && m.unowned == 0 && !m.tooManyDeparted()
+}
 
 // claim tells a counter anew what this store uses and wants, unless it has yet to answer.
-func (m *Machine) claim(counter placement.Key) {
-	if counter == "" || !m.knowsAll() || !m.Allowed() {
+func (m *StateMachine) sendClaim(counter placement.Key) {
+	if counter == "" || !m.knowsOwnJobs() || !m.MayAct() {
 		return
 	}
-	last := m.claims.last[counter]
+	last := m.claims.sent[counter]
 	if last == nil {
-		last = &claimed{}
-		m.claims.last[counter] = last
+		last = &sentClaim{}
+		m.claims.sent[counter] = last
 	}
-	if now := m.env.Now(); last.open && now-last.at < claimAgain {
-		last.stale = true
+	if now := m.env.Now(); last.awaitsResponse && now-last.sentAt < claimRetry {
+		last.outdated = true
 		return
 	}
-	message := Claim{Stamp: m.stamp(), Claim: queuedtokens.Claim{Entries: m.entriesFor(counter)}}
+	message := Claim{Stamp: m.stamp(), Claim: queuedtokens.Claim{Entries: m.claimEntries(counter)}}
 	last.number++
 	message.Number = last.number
-	last.at, last.stale, last.open = m.env.Now(), false, true
+	last.sentAt, last.outdated, last.awaitsResponse = m.env.Now(), false, true
 	if counter == m.self {
-		m.takeClaim(m.self, message)
+		m.handleClaim(m.self, message)
 		return
 	}
 	if member, present := placement.MemberOf(m.view, counter); present {
@@ -199,18 +201,18 @@
 }
 
 // entriesFor lists what this store uses and wants of a counter's accounts. From here on the level of each is what is used.
-func (m *Machine) entriesFor(counter placement.Key) []queuedtokens.Entry {
-	used := m.used()
+func (m *StateMachine) claimEntries(counter placement.Key) []queuedtokens.Entry {
+	used := m.usedTokens()
 	wants := map[queuedtokens.Account][]queuedtokens.Want{}
-	for _, id := range m.accepting() {
-		if a := m.acceptances[id]; a.room == roomOpen {
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; a.capacity == capacityUnknown {
 			wants[a.account()] = append(wants[a.account()], queuedtokens.Want{Job: id, Tokens: a.tokens})
 			used[a.account()] += 0
 		}
 	}
-	for account := range m.claims.levels {
+	for account := range m.claims.granted {
 		if m.counterOf(account) == counter {
-			delete(m.claims.levels, account)
+			delete(m.claims.granted, account)
 		}
 	}
 	var entries []queuedtokens.Entry
@@ -218,25 +220,25 @@
 		if m.counterOf(account) != counter {
 			continue
 		}
-		m.claims.levels[account] = used[account]
-		delete(m.claims.unasked, account)
+		m.claims.granted[account] = used[account]
+		delete(m.claims.unclaimed, account)
 		entries = append(entries, queuedtokens.Entry{Account: account, Used: used[account], Wants: wants[account]})
 	}
 	return entries
 }
 
 // takeClaim takes in, as counter, what a store uses and wants.
-func (m *Machine) takeClaim(from placement.Key, message Claim) {
+func (m *StateMachine) handleClaim(from placement.Key, message Claim) {
 	m.claims.counter.Take(from, message.Claim)
 	if !message.Wants() {
-		m.answerClaim(from, Claimed{Stamp: m.stamp(), Number: message.Number, Over: m.over(from)})
+		m.sendClaimResponse(from, ClaimResponse{Stamp: m.stamp(), Number: message.Number, Over: m.accountsOverLimit(from)})
 	}
-	m.answerClaims()
+	m.answerWaitingClaims()
 }
 
-func (m *Machine) answerClaim(store placement.Key, answer Claimed) {
+func (m *StateMachine) sendClaimResponse(store placement.Key, answer ClaimResponse) {
 	if store == m.self {
-		m.takeVerdicts(m.self, answer)
+		m.handleClaimResponse(m.self, answer)
 		return
 	}
 	if member, present := placement.MemberOf(m.view, store); present {
@@ -245,9 +247,9 @@
 }
 
 // answerClaims answers what stores want of the accounts that are counted here, once all members were heard.
-func (m *Machine) answerClaims() {
+func (m *StateMachine) answerWaitingClaims() {
 	waiting := m.claims.counter.Waiting()
-	if len(waiting) == 0 || !m.hasHeardAll() || !m.Allowed() {
+	if len(waiting) == 0 || !m.allMembersClaimed() || !m.MayAct() {
 		return
 	}
 	for _, store := range waiting {
@@ -255,14 +257,14 @@
 		if len(verdicts) == 0 {
 			continue
 		}
-		m.answerClaim(store, Claimed{Stamp: m.stamp(), Number: number, Verdicts: verdicts, Over: m.over(store)})
+		m.sendClaimResponse(store, ClaimResponse{Stamp: m.stamp(), Number: number, Verdicts: verdicts, Over: m.accountsOverLimit(store)})
 	}
 }
 
 // over lists the accounts that a store uses of which more waits than the bound allows. As long as not all members were heard, that isn't
 // known of any.
-func (m *Machine) over(store placement.Key) []queuedtokens.Account {
-	unsure := !m.hasHeardAll()
+func (m *StateMachine) accountsOverLimit(store placement.Key) []queuedtokens.Account {
+	unsure := !m.allMembersClaimed()
 	var list []queuedtokens.Account
 	for _, account := range m.claims.counter.Accounts() {
 		if m.claims.counter.Level(account, store) == 0 {
@@ -276,109 +278,109 @@
 	return list
 }
 
-func (m *Machine) queueLimit(account queuedtokens.Account) (int64, bool) {
+func (m *StateMachine) queueLimit(account queuedtokens.Account) (int64, bool) {
 	return m.env.QueueLimit(account.Route)
 }
 
 // hasHeardAll tells whether all members have claimed in this epoch, and asks those that have not.
-func (m *Machine) hasHeardAll() bool {
+func (m *StateMachine) allMembersClaimed() bool {
 	if !m.claims.counter.Heard(m.self) {
-		if !m.knowsAll() {
+		if !m.knowsOwnJobs() {
 			return false
 		}
-		m.claim(m.self)
+		m.sendClaim(m.self)
 	}
 	all := true
 	now := m.env.Now()
-	ask := m.claims.asked == 0 || now-m.claims.asked >= claimAgain
-	m.others(func(other protocol.Process) {
+	ask := m.claims.polledAt == 0 || now-m.claims.polledAt >= claimRetry
+	m.eachOtherMember(func(other protocol.Process) {
 		if m.claims.counter.Heard(placement.KeyOf(other)) {
 			return
 		}
 		all = false
 		if ask {
-			m.claims.asked = max(now, 1)
-			m.env.Send(other, ClaimRequest{Stamp: m.stamp()})
+			m.claims.polledAt = max(now, 1)
+			m.env.Send(other, ClaimPoll{Stamp: m.stamp()})
 		}
 	})
 	return all
 }
 
 // takeVerdicts takes a counter's answer to this store's newest claim.
-func (m *Machine) takeVerdicts(from placement.Key, message Claimed) {
-	last := m.claims.last[from]
+func (m *StateMachine) handleClaimResponse(from placement.Key, message ClaimResponse) {
+	last := m.claims.sent[from]
 	if last == nil || last.number != message.Number {
 		return
 	}
-	last.open = false
+	last.awaitsResponse = false
 	for _, verdict := range message.Verdicts {
 		a := m.acceptances[verdict.Job]
 		switch {
-		case a == nil || a.room != roomOpen:
-			last.stale = last.stale || verdict.Fits // it isn't wanted any more
+		case a == nil || a.capacity != capacityUnknown:
+			last.outdated = last.outdated || verdict.Fits // it isn't wanted any more
 		case verdict.Fits:
-			a.room = roomGiven
-			m.claims.levels[a.account()] += a.tokens
+			a.capacity = capacityGranted
+			m.claims.granted[a.account()] += a.tokens
 		default:
-			a.room = roomRefused
+			a.capacity = capacityDenied
 		}
-		m.decide(verdict.Job)
+		m.countVotes(verdict.Job)
 	}
-	m.fitted(from, message.Over)
-	if last.stale {
-		m.claim(from)
+	m.confirmCapacity(from, message.Over)
+	if last.outdated {
+		m.sendClaim(from)
 	}
 }
 
 // tendClaims asks again what was not answered, and tells counters of what has changed.
-func (m *Machine) tendClaims(now time.Duration) {
-	m.answerClaims()
-	for _, id := range m.accepting() {
-		if a := m.acceptances[id]; a != nil && a.room == roomOpen {
-			m.seekRoom(a)
-			m.decide(id)
+func (m *StateMachine) tickClaims(now time.Duration) {
+	m.answerWaitingClaims()
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; a != nil && a.capacity == capacityUnknown {
+			m.requestCapacity(a)
+			m.countVotes(id)
 		}
 	}
-	for _, counter := range m.toldWrong(now) {
-		m.claim(counter)
+	for _, counter := range m.countersToUpdate(now) {
+		m.sendClaim(counter)
 	}
 }
 
 // toldWrong lists the counters of bounded accounts that hold another level for this store than it uses: at once where that is less
 // than it uses, and for what is done after a while.
-func (m *Machine) toldWrong(now time.Duration) []placement.Key {
-	if !m.settled {
+func (m *StateMachine) countersToUpdate(now time.Duration) []placement.Key {
+	if !m.reconciled {
 		return nil
 	}
-	used := m.used()
-	for account := range m.claims.levels {
+	used := m.usedTokens()
+	for account := range m.claims.granted {
 		used[account] += 0
 	}
 	wrong := map[placement.Key]bool{}
 	for _, h := range m.order {
-		if m.awaitsFit(h) {
+		if m.awaitsCapacity(h) {
 			counter := m.counterOf(h.account())
-			last := m.claims.last[counter]
-			wrong[counter] = last == nil || now-last.at >= claimAgain
+			last := m.claims.sent[counter]
+			wrong[counter] = last == nil || now-last.sentAt >= claimRetry
 		}
 	}
-	for counter, last := range m.claims.last {
-		if last.open && now-last.at >= claimAgain { // it may have been lost
+	for counter, last := range m.claims.sent {
+		if last.awaitsResponse && now-last.sentAt >= claimRetry { // it may have been lost
 			wrong[counter] = true
 		}
 	}
 	for account, tokens := range used {
-		level := m.claims.levels[account]
+		level := m.claims.granted[account]
 		counter := m.counterOf(account)
-		last := m.claims.last[counter]
-		stale := last != nil && last.stale
+		last := m.claims.sent[counter]
+		stale := last != nil && last.outdated
 		if level == tokens && !stale {
 			continue
 		}
 		if bound, known := m.env.QueueLimit(account.Route); !known || bound == 0 {
 			continue
 		}
-		if tokens > level || stale || last == nil || now-last.at >= claimLess {
+		if tokens > level || stale || last == nil || now-last.sentAt >= decreaseInterval {
 			wrong[counter] = true
 		}
 	}
@@ -387,15 +389,15 @@
 }
 
 // noteInherited notes that a batch job fell to this store, for which it asked nobody for room.
-func (m *Machine) noteInherited(h *held) {
-	m.claims.unasked[h.account()] += h.queued
-	h.unfitted = true
+func (m *StateMachine) noteInheritedTokens(h *storedJob) {
+	m.claims.unclaimed[h.account()] += h.queuedTokens
+	h.capacityUnconfirmed = true
 }
 
 // exceedsBound tells whether a batch job may not be acknowledged yet: it fell to this store, perhaps without ever having been
 // acknowledged, as when all power was lost while it was written; others may have been given its room meanwhile.
-func (m *Machine) exceedsBound(h *held) bool {
-	if !h.unfitted || h.queued == 0 || h.ended {
+func (m *StateMachine) mayExceedLimit(h *storedJob) bool {
+	if !h.capacityUnconfirmed || h.queuedTokens == 0 || h.ended {
 		return false
 	}
 	bound, known := m.queueLimit(h.account())
@@ -403,28 +405,28 @@
 }
 
 // fitted takes a counter's word that all that waits in the accounts of a claim is within their bounds, but for some.
-func (m *Machine) fitted(counter placement.Key, over []queuedtokens.Account) {
+func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
 	for _, h := range m.order {
 		account := h.account()
-		_, unasked := m.claims.unasked[account]
-		if !h.owner || !h.unfitted || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
+		_, unasked := m.claims.unclaimed[account]
+		if !h.owned || !h.capacityUnconfirmed || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
 			continue
 		}
-		h.unfitted = false
-		m.answerSubmitters(h)
+		h.capacityUnconfirmed = false
+		m.acknowledgeSubmissions(h)
 	}
 }
 
 // awaitsFit tells whether a batch job's acknowledgement waits for the counter.
-func (m *Machine) awaitsFit(h *held) bool {
-	return h.owner && h.whole && len(h.submitters) > 0 && m.exceedsBound(h)
+func (m *StateMachine) awaitsCapacity(h *storedJob) bool {
+	return h.owned && h.replicated && len(h.pendingSubmissions) > 0 && m.mayExceedLimit(h)
 }
 
 // checkRoom checks, as a batch job is written, that there is room for it.
-func (m *Machine) checkRoom(account queuedtokens.Account) {
+func (m *StateMachine) checkCapacity(account queuedtokens.Account) {
 	bound, known := m.queueLimit(account)
 	if !known || bound == 0 {
 		return
 	}
-	m.must(m.used()[account] <= m.claims.levels[account]+m.claims.unasked[account], InvariantWithinRoom)
+	m.assert(m.usedTokens()[account] <= m.claims.granted[account]+m.claims.unclaimed[account], InvariantWithinClaim)
 }
--- a/internal/batch/replica/backlog_test.go
+++ b/internal/batch/replica/backlog_test.go
@@ -69,9 +69,9 @@
 			continue
 		}
 		m := s.machine
-		text += "\n" + string(s.key()) + " epoch " + strconv.FormatUint(m.view.Epoch, 10) + " settled " + strconv.FormatBool(m.settled)
-		for account, used := range m.used() {
-			text += " used " + strconv.FormatInt(used, 10) + " level " + strconv.FormatInt(m.claims.levels[account], 10)
+		text += "\n" + string(s.key()) + " epoch " + strconv.FormatUint(m.view.Epoch, 10) + " settled " + strconv.FormatBool(m.reconciled)
+		for account, used := range m.usedTokens() {
+			text += " used " + strconv.FormatInt(used, 10) + " level " + strconv.FormatInt(m.claims.granted[account], 10)
 		}
 		for _, account := range m.claims.counter.Accounts() {
 			text += " counts " + strconv.FormatInt(m.claims.counter.Sum(account), 10)
@@ -84,16 +84,16 @@
 func (c *campaign) plantInCounts() {
 	c.after(c.between(time.Millisecond, 10*time.Millisecond), c.plantInCounts)
 	for _, s := range c.there() {
-		if !s.up || s.frozen || !s.machine.settled {
+		if !s.up || s.frozen || !s.machine.reconciled {
 			continue
 		}
 		m := s.machine
 		if c.plant == plantLevelsStand {
 			account := queuedtokens.Account{Tenant: "t", Route: "r"}
-			m.claims.levels[account] = max(m.claims.levels[account], c.bound)
+			m.claims.granted[account] = max(m.claims.granted[account], c.bound)
 			continue
 		}
-		m.others(func(other protocol.Process) { m.claims.counter.Take(placement.KeyOf(other), queuedtokens.Claim{}) })
+		m.eachOtherMember(func(other protocol.Process) { m.claims.counter.Take(placement.KeyOf(other), queuedtokens.Claim{}) })
 	}
 }
 
--- a/internal/batch/replica/callers_test.go
+++ b/internal/batch/replica/callers_test.go
@@ -102,7 +102,7 @@
 			}
 			c.view(c.nodes...)
 			c.settle()
-			if owner := c.owner("job"); owner != nil && owner.machine.jobs["job"].whole && len(listed) < 7 {
+			if owner := c.owner("job"); owner != nil && owner.machine.jobs["job"].replicated && len(listed) < 7 {
 				index := len(listed)
 				listed[index] = true
 				owner.finish("job", index)
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -14,46 +14,46 @@
 // This file owns clients' calls: what is answered here, what is sent to another store, what waits.
 
 const (
-	maxWait    = time.Second            // that a read is held
-	parkedFor  = 900 * time.Millisecond // that a call waits for a store to be sure
-	retryAfter = 250 * time.Millisecond
-	maxPage    = 1<<20 - 4<<10 // bytes of an answer with results
+	maxReadWait  = time.Second            // that a read is held
+	parkTimeout  = 900 * time.Millisecond // that a call waits for a store to be sure
+	retryAfter   = 250 * time.Millisecond
+	maxPageBytes = 1<<20 - 4<<10 // bytes of an answer with results
 )
 
 const contentJSON = "application/json"
 
 // parkedCall waits until this store knows enough to answer it.
 type parkedCall struct {
-	token Token
-	call  protocol.BatchCall
-	items []job.Item
-	since time.Duration
-	until time.Duration
+	callID     CallID
+	call       protocol.BatchCall
+	items      []job.Item
+	receivedAt time.Duration
+	deadline   time.Duration
 }
 
 // lookup is a question to arbiters that is not answered yet.
 type lookup struct {
-	number  uint64
-	sentAt  time.Duration
-	unknown map[placement.Key]bool // arbiters that know of nobody
+	number    uint64
+	sentAt    time.Duration
+	unknownTo map[placement.Key]bool // arbiters that know of nobody
 }
 
 // Call takes a client's call; its answer comes through Environment.Answer. Items are those of a submission.
-func (m *Machine) Call(token Token, call protocol.BatchCall, items []job.Item) {
-	if !m.Allowed() {
+func (m *StateMachine) Call(token CallID, call protocol.BatchCall, items []job.Item) {
+	if !m.MayAct() {
 		m.answer(token, unavailable())
 		return
 	}
 	now := m.env.Now()
-	m.dispatch(parkedCall{token: token, call: call, items: items, since: now, until: now + parkedFor})
+	m.dispatch(parkedCall{callID: token, call: call, items: items, receivedAt: now, deadline: now + parkTimeout})
 }
 
 // Forget drops a call that nobody waits for.
-func (m *Machine) Forget(token Token) {
-	m.parked = slices.DeleteFunc(m.parked, func(p parkedCall) bool { return p.token == token })
+func (m *StateMachine) CancelCall(token CallID) {
+	m.parkedCalls = slices.DeleteFunc(m.parkedCalls, func(p parkedCall) bool { return p.callID == token })
 }
 
-func (m *Machine) answer(token Token, answer protocol.BatchAnswer) { m.env.Answer(token, answer) }
+func (m *StateMachine) answer(token CallID, answer protocol.BatchAnswer) { m.env.Answer(token, answer) }
 
 func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 202} }
 
@@ -63,27 +63,27 @@
 }
 
 // full is a promise, too: the batch job doesn't fit now.
-func full() protocol.BatchAnswer {
-	return protocol.BatchAnswer{Status: 429, RetryAfterMs: int(retryFull.Milliseconds())}
+func overLimit() protocol.BatchAnswer {
+	return protocol.BatchAnswer{Status: 429, RetryAfterMs: int(overLimitRetry.Milliseconds())}
 }
 
 // uncertain promises nothing.
-func uncertain() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 504} }
+func outcomeUnknown() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 504} }
 
-func missing() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 404} }
+func notFound() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 404} }
 
-func (m *Machine) dispatch(p parkedCall) {
+func (m *StateMachine) dispatch(p parkedCall) {
 	h := m.jobs[p.call.BatchJob]
 	switch {
 	case h == nil:
-		m.elsewhere(p)
+		m.dispatchNotOwned(p)
 	case h.tenant != p.call.Tenant:
-		m.answer(p.token, missing())
-	case h.handed || !h.owner:
-		m.elsewhere(p)
+		m.answer(p.callID, notFound())
+	case h.handedOver || !h.owned:
+		m.dispatchNotOwned(p)
 	case p.call.Operation == protocol.BatchSubmit:
-		m.submitAgain(h, p)
-	case !h.whole:
+		m.resubmit(h, p)
+	case !h.replicated:
 		m.park(p)
 	default:
 		m.serve(h, p)
@@ -91,59 +91,59 @@
 }
 
 // serve answers a call for a batch job that is owned here and whole.
-func (m *Machine) serve(h *held, p parkedCall) {
+func (m *StateMachine) serve(h *storedJob, p parkedCall) {
 	switch p.call.Operation {
 	case protocol.BatchRead:
-		m.read(h, p)
+		m.serveRead(h, p)
 	case protocol.BatchBody:
-		m.body(h, p)
+		m.serveBody(h, p)
 	case protocol.BatchEnd:
-		m.end(h, p.token)
+		m.serveEnd(h, p.callID)
 	default:
-		m.answer(p.token, protocol.BatchAnswer{Status: 400})
+		m.answer(p.callID, protocol.BatchAnswer{Status: 400})
 	}
 }
 
 // elsewhere deals with a call for a batch job that isn't owned here.
-func (m *Machine) elsewhere(p parkedCall) {
+func (m *StateMachine) dispatchNotOwned(p parkedCall) {
 	id := p.call.BatchJob
-	if owner, known := m.directory[id]; known && owner != m.self {
+	if owner, known := m.owners[id]; known && owner != m.self {
 		if member, present := placement.MemberOf(m.view, owner); present {
-			m.answer(p.token, protocol.BatchAnswer{Owner: member.IP})
+			m.answer(p.callID, protocol.BatchAnswer{Owner: member.IP})
 			return
 		}
 	}
 	if p.call.Operation == protocol.BatchSubmit && m.jobs[id] == nil {
-		m.accept(p)
+		m.startAcceptance(p)
 		return
 	}
 	m.park(p)
 	if m.jobs[id] == nil {
-		m.seek(id)
+		m.startLookup(id)
 	}
 }
 
-func (m *Machine) park(p parkedCall) {
-	if m.env.Now() >= p.until {
-		m.expire(p)
+func (m *StateMachine) park(p parkedCall) {
+	if m.env.Now() >= p.deadline {
+		m.expireCall(p)
 		return
 	}
-	m.parked = append(m.parked, p)
+	m.parkedCalls = append(m.parkedCalls, p)
 }
 
 // expire answers a call whose time is over.
-func (m *Machine) expire(p parkedCall) {
+func (m *StateMachine) expireCall(p parkedCall) {
 	if p.call.Operation == protocol.BatchSubmit {
-		m.answer(p.token, uncertain())
+		m.answer(p.callID, outcomeUnknown())
 		return
 	}
-	m.answer(p.token, unavailable())
+	m.answer(p.callID, unavailable())
 }
 
 // unpark looks at all waiting calls again.
-func (m *Machine) unpark() {
-	waiting := m.parked
-	m.parked = nil
+func (m *StateMachine) retryParkedCalls() {
+	waiting := m.parkedCalls
+	m.parkedCalls = nil
 	for _, p := range waiting {
 		m.dispatch(p)
 	}
@@ -151,40 +151,40 @@
 
 // seek finds out who holds a batch job that isn't known here. Where it was accepted, a majority of its arbiters voted for it
 // in this epoch, or know of it from the inventories.
-func (m *Machine) seek(id string) {
+func (m *StateMachine) startLookup(id string) {
 	now := m.env.Now()
-	if asked := m.lookups[id]; !m.settled || asked != nil && now-asked.sentAt < inventoryAgain {
+	if asked := m.lookups[id]; !m.reconciled || asked != nil && now-asked.sentAt < inventoryRetry {
 		return
 	}
 	m.lastLookup++
-	l := &lookup{number: m.lastLookup, sentAt: now, unknown: map[placement.Key]bool{}}
+	l := &lookup{number: m.lastLookup, sentAt: now, unknownTo: map[placement.Key]bool{}}
 	m.lookups[id] = l
-	for _, arbiter := range placement.Arbiters(id, m.view, m.options.Copies) {
+	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
 		if placement.KeyOf(arbiter) != m.self {
-			m.env.Send(arbiter, Lookup{Stamp: m.stamp(), Job: id, Number: l.number})
+			m.env.Send(arbiter, LookupRequest{Stamp: m.stamp(), Job: id, Number: l.number})
 		}
 	}
-	if placement.Contains(placement.Arbiters(id, m.view, m.options.Copies), m.self) {
-		m.found(m.self, Found{Job: id, Number: l.number, Owner: m.holder(id)})
+	if placement.Contains(placement.Arbiters(id, m.view, m.options.ReplicationFactor), m.self) {
+		m.handleLookupResponse(m.self, LookupResponse{Job: id, Number: l.number, Owner: m.knownHolder(id)})
 	}
 }
 
 // lookUp answers as arbiter.
-func (m *Machine) lookUp(from protocol.Process, message Lookup) {
-	if !m.settled || !m.Allowed() {
+func (m *StateMachine) handleLookupRequest(from protocol.Process, message LookupRequest) {
+	if !m.reconciled || !m.MayAct() {
 		return
 	}
-	if holder := m.holder(message.Job); holder != "" || m.sure() {
-		m.env.Send(from, Found{Stamp: m.stamp(), Job: message.Job, Number: message.Number, Owner: holder})
+	if holder := m.knownHolder(message.Job); holder != "" || m.knowsEveryJob() {
+		m.env.Send(from, LookupResponse{Stamp: m.stamp(), Job: message.Job, Number: message.Number, Owner: holder})
 	}
 }
 
 // holder gives who holds or may accept a batch job, as the arbiter knows.
-func (m *Machine) holder(id string) placement.Key {
-	if h := m.jobs[id]; h != nil && h.owner {
+func (m *StateMachine) knownHolder(id string) placement.Key {
+	if h := m.jobs[id]; h != nil && h.owned {
 		return m.self
 	}
-	if owner, known := m.directory[id]; known {
+	if owner, known := m.owners[id]; known {
 		return owner
 	}
 	if m.jobs[id] != nil {
@@ -194,112 +194,112 @@
 }
 
 // found takes what an arbiter knew. Where it names this store, a batch job was about to be accepted here, and wasn't.
-func (m *Machine) found(from placement.Key, message Found) {
+func (m *StateMachine) handleLookupResponse(from placement.Key, message LookupResponse) {
 	l := m.lookups[message.Job]
-	if l == nil || l.number != message.Number || !m.settled {
+	if l == nil || l.number != message.Number || !m.reconciled {
 		return
 	}
 	if message.Owner != "" && message.Owner != m.self {
 		delete(m.lookups, message.Job)
-		m.learn(message.Job, message.Owner)
-		if m.directory[message.Job] == message.Owner {
-			m.redirectCalls(message.Job)
+		m.noteOwner(message.Job, message.Owner)
+		if m.owners[message.Job] == message.Owner {
+			m.redispatchParkedCalls(message.Job)
 		}
 		return
 	}
-	l.unknown[from] = true
-	arbiters := placement.Arbiters(message.Job, m.view, m.options.Copies)
-	if len(l.unknown) >= placement.Majority(len(arbiters)) && m.sure() {
+	l.unknownTo[from] = true
+	arbiters := placement.Arbiters(message.Job, m.view, m.options.ReplicationFactor)
+	if len(l.unknownTo) >= placement.Majority(len(arbiters)) && m.knowsEveryJob() {
 		delete(m.lookups, message.Job)
-		m.nobodyHolds(message.Job, l.sentAt)
+		m.answerNotFound(message.Job, l.sentAt)
 	}
 }
 
 // nobodyHolds answers the calls for a batch job that didn't exist at a time, up to which they came.
-func (m *Machine) nobodyHolds(id string, at time.Duration) {
-	waiting := m.parked
-	m.parked = nil
+func (m *StateMachine) answerNotFound(id string, at time.Duration) {
+	waiting := m.parkedCalls
+	m.parkedCalls = nil
 	for _, p := range waiting {
-		if p.call.BatchJob == id && p.since <= at && m.jobs[id] == nil {
-			m.answer(p.token, missing())
+		if p.call.BatchJob == id && p.receivedAt <= at && m.jobs[id] == nil {
+			m.answer(p.callID, notFound())
 			continue
 		}
-		m.parked = append(m.parked, p)
+		m.parkedCalls = append(m.parkedCalls, p)
 	}
 }
 
 // redirect sends all that waits for a batch job to its owner.
-func (m *Machine) redirect(h *held) {
-	waiting := h.readers
-	h.readers = nil
+func (m *StateMachine) redirectPending(h *storedJob) {
+	waiting := h.pendingReads
+	h.pendingReads = nil
 	for _, r := range waiting {
-		m.answer(r.token, m.ownerAnswer(h.id))
+		m.answer(r.callID, m.ownerAnswer(h.id))
 	}
-	for _, token := range append(h.submitters, h.enders...) {
+	for _, token := range append(h.pendingSubmissions, h.pendingEnds...) {
 		m.answer(token, m.ownerAnswer(h.id))
 	}
-	h.submitters, h.enders = nil, nil
-	m.redirectCalls(h.id)
+	h.pendingSubmissions, h.pendingEnds = nil, nil
+	m.redispatchParkedCalls(h.id)
 }
 
-func (m *Machine) ownerAnswer(id string) protocol.BatchAnswer {
-	if member, present := placement.MemberOf(m.view, m.directory[id]); present && m.directory[id] != m.self {
+func (m *StateMachine) ownerAnswer(id string) protocol.BatchAnswer {
+	if member, present := placement.MemberOf(m.view, m.owners[id]); present && m.owners[id] != m.self {
 		return protocol.BatchAnswer{Owner: member.IP}
 	}
-	return uncertain()
+	return outcomeUnknown()
 }
 
-func (m *Machine) redirectCalls(id string) {
-	waiting := m.parked
-	m.parked = nil
+func (m *StateMachine) redispatchParkedCalls(id string) {
+	waiting := m.parkedCalls
+	m.parkedCalls = nil
 	for _, p := range waiting {
 		if p.call.BatchJob == id {
 			m.dispatch(p)
 			continue
 		}
-		m.parked = append(m.parked, p)
+		m.parkedCalls = append(m.parkedCalls, p)
 	}
 }
 
 // read answers with results, or holds the call until there is one.
-func (m *Machine) read(h *held, p parkedCall) {
+func (m *StateMachine) serveRead(h *storedJob, p parkedCall) {
 	start := max(p.call.Start, 0)
-	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxWait)
-	if start >= h.shown && wait > 0 && !h.ended && !(h.complete() && h.shown == len(h.items)) {
-		h.readers = append(h.readers, reader{token: p.token, start: start, until: m.env.Now() + wait})
+	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxReadWait)
+	if start >= h.committedResults && wait > 0 && !h.ended && !(h.allFinished() && h.committedResults == len(h.items)) {
+		h.pendingReads = append(h.pendingReads, pendingRead{callID: p.callID, start: start, deadline: m.env.Now() + wait})
 		return
 	}
-	m.answerRead(h, p.token, start)
+	m.answerRead(h, p.callID, start)
 }
 
-func (m *Machine) answerReaders(h *held) {
-	if len(h.readers) == 0 {
+func (m *StateMachine) answerReads(h *storedJob) {
+	if len(h.pendingReads) == 0 {
 		return
 	}
-	waiting := h.readers
-	h.readers = nil
+	waiting := h.pendingReads
+	h.pendingReads = nil
 	for _, r := range waiting {
-		if r.start < h.shown || h.ended {
-			m.answerRead(h, r.token, r.start)
+		if r.start < h.committedResults || h.ended {
+			m.answerRead(h, r.callID, r.start)
 			continue
 		}
-		h.readers = append(h.readers, r)
+		h.pendingReads = append(h.pendingReads, r)
 	}
 }
 
-func (m *Machine) answerRead(h *held, token Token, start int) {
+func (m *StateMachine) answerRead(h *storedJob, token CallID, start int) {
 	body := make([]byte, 0, 4<<10)
 	body = append(body, `{"total":`...)
 	body = strconv.AppendInt(body, int64(len(h.items)), 10)
 	body = append(body, `,"results":[`...)
 	position := start
-	for ; position < h.shown; position++ {
+	for ; position < h.committedResults; position++ {
 		result, ok := m.result(h, position)
 		if !ok {
 			m.answer(token, unavailable())
 			return
 		}
-		if position > start && len(body)+len(result.Text)+len(result.Text)/8+128 > maxPage {
+		if position > start && len(body)+len(result.Text)+len(result.Text)/8+128 > maxPageBytes {
 			break
 		}
 		before := len(body)
@@ -307,7 +307,7 @@
 			body = append(body, ',')
 		}
 		body = appendResultJSON(body, h.items[result.Item].id, job.State(result.State), result.Text)
-		if position > start && len(body) > maxPage {
+		if position > start && len(body) > maxPageBytes {
 			body = body[:before]
 			break
 		}
@@ -348,30 +348,30 @@
 }
 
 // body answers with an item's body while it isn't shown and the batch job not ended.
-func (m *Machine) body(h *held, p parkedCall) {
-	index := slices.IndexFunc(h.items, func(i heldItem) bool { return i.id == p.call.Item })
-	if index < 0 || h.ended || m.isShown(h, index) {
-		m.answer(p.token, missing())
+func (m *StateMachine) serveBody(h *storedJob, p parkedCall) {
+	index := slices.IndexFunc(h.items, func(i storedItem) bool { return i.id == p.call.Item })
+	if index < 0 || h.ended || m.isCommitted(h, index) {
+		m.answer(p.callID, notFound())
 		return
 	}
-	encoded, err := m.env.Read(h.itemAt(index))
+	encoded, err := m.env.Read(h.itemLocation(index))
 	if err != nil {
-		m.answer(p.token, unavailable())
+		m.answer(p.callID, unavailable())
 		return
 	}
 	item, err := job.DecodeItem(encoded)
 	if err != nil {
-		m.answer(p.token, unavailable())
+		m.answer(p.callID, unavailable())
 		return
 	}
-	m.answer(p.token, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
+	m.answer(p.callID, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
 }
 
-func (m *Machine) isShown(h *held, index int) bool {
-	if !h.items[index].listed {
+func (m *StateMachine) isCommitted(h *storedJob, index int) bool {
+	if !h.items[index].finished {
 		return false
 	}
-	for position := range h.shown {
+	for position := range h.committedResults {
 		if int(h.results[position].item) == index {
 			return true
 		}
@@ -380,25 +380,25 @@
 }
 
 // end ends a batch job: nothing of it starts any more here, and it is acknowledged once it is on all replicas.
-func (m *Machine) end(h *held, token Token) {
-	h.enders = append(h.enders, token)
+func (m *StateMachine) serveEnd(h *storedJob, token CallID) {
+	h.pendingEnds = append(h.pendingEnds, token)
 	if h.ended {
-		m.judge(h)
+		m.maybeCommit(h)
 		return
 	}
 	h.ended = true
 	m.env.Stop(h.id)
 	m.write(encodeEnded(h.id), true, func() {
-		h.endDurable = true
-		m.pump(h)
-		m.judge(h)
+		h.endedDurable = true
+		m.replicateJob(h)
+		m.maybeCommit(h)
 	})
-	m.answerReaders(h)
+	m.answerReads(h)
 }
 
-func (m *Machine) answerEnders(h *held) {
-	for _, token := range h.enders {
+func (m *StateMachine) acknowledgeEnds(h *storedJob) {
+	for _, token := range h.pendingEnds {
 		m.answer(token, protocol.BatchAnswer{Status: 200})
 	}
-	h.enders = nil
+	h.pendingEnds = nil
 }
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -399,8 +399,8 @@
 		}
 	}
 	for _, s := range w.there() {
-		if !s.up || w.isMember(s.key()) && s.machine.settledEpoch != view.Epoch {
-			w.fail("%s doesn't stand whole, up %v settled %d of %d", s.node, s.up, s.machine.settledEpoch, view.Epoch)
+		if !s.up || w.isMember(s.key()) && s.machine.reconciledEpoch != view.Epoch {
+			w.fail("%s doesn't stand whole, up %v settled %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
 		}
 	}
 	return w.failure == nil
@@ -410,8 +410,8 @@
 // clock.
 func (w *world) holdsExpired(key placement.Key) bool {
 	s := w.storeOf(key)
-	return s != nil && slices.ContainsFunc(s.machine.order, func(h *held) bool {
-		return !h.handed && w.clients.expired(w.clients.jobs[h.id])
+	return s != nil && slices.ContainsFunc(s.machine.order, func(h *storedJob) bool {
+		return !h.handedOver && w.clients.expired(w.clients.jobs[h.id])
 	})
 }
 
@@ -452,12 +452,12 @@
 	for _, s := range w.there() {
 		h := s.machine.jobs[j.id]
 		switch {
-		case h == nil || h.version < newest || !h.copyDurable:
+		case h == nil || h.version < newest || !h.versionDurable:
 		case h.version > newest:
 			newest, count = h.version, 0
 			fallthrough
 		default:
-			if h.durable >= len(j.seen) || j.ending {
+			if h.durableResults >= len(j.seen) || j.ending {
 				count++
 			}
 		}
@@ -483,10 +483,10 @@
 			continue
 		}
 		m := s.machine
-		text += fmt.Sprintf(" settled %v, %d acceptances", m.settled, len(m.acceptances))
+		text += fmt.Sprintf(" settled %v, %d acceptances", m.reconciled, len(m.acceptances))
 		for _, h := range m.order {
-			if !h.handed {
-				text += "\n" + h.id + fmt.Sprintf(" handing %v", len(h.handing)) + w.describe(h.id)
+			if !h.handedOver {
+				text += "\n" + h.id + fmt.Sprintf(" handing %v", len(h.handoverReplicas)) + w.describe(h.id)
 			}
 		}
 	}
--- a/internal/batch/replica/clients_test.go
+++ b/internal/batch/replica/clients_test.go
@@ -93,7 +93,7 @@
 	}
 	for _, other := range w.stores {
 		h := other.machine.jobs[id]
-		if other != s && other.up && h != nil && h.owner && h.whole && other.machine.Allowed() {
+		if other != s && other.up && h != nil && h.owned && h.replicated && other.machine.MayAct() {
 			w.fail("%s: runs at %s, and %s owns it, too:%s", id, s.node, other.node, w.describe(id))
 		}
 	}
@@ -290,7 +290,7 @@
 		return true
 	}
 	for _, s := range c.world.stores {
-		if h := s.machine.jobs[j.id]; h != nil && h.items[index].listed {
+		if h := s.machine.jobs[j.id]; h != nil && h.items[index].finished {
 			return true
 		}
 	}
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -44,10 +44,10 @@
 	state       protocol.StoreState
 	disk        *simulation.Disk
 	log         *wal.Log // nil: the process doesn't run
-	machine     *Machine
+	machine     *StateMachine
 	found       []*Finding
-	answers     map[Token]protocol.BatchAnswer
-	token       Token
+	answers     map[CallID]protocol.BatchAnswer
+	token       CallID
 }
 
 func newCluster(nodes, copies int, seed uint64) *cluster {
@@ -76,10 +76,10 @@
 func (n *clusterNode) start() {
 	n.life++
 	n.found = nil
-	n.answers = map[Token]protocol.BatchAnswer{}
-	n.machine = New(Options{Self: n.process(), Life: n.life, Copies: n.cluster.copies, KeepFor: time.Hour}, n)
+	n.answers = map[CallID]protocol.BatchAnswer{}
+	n.machine = New(Options{Self: n.process(), ProcessIncarnation: n.life, ReplicationFactor: n.cluster.copies, Retention: time.Hour}, n)
 	options := wal.Options{Segment: 4 << 10, Skipped: func(at wal.Location) {
-		n.found = append(n.found, n.machine.Skipped(at))
+		n.found = append(n.found, n.machine.ReplaySkipped(at))
 	}}
 	log, err := wal.Load(n.disk, options, func(at wal.Location, record []byte) error {
 		if err := n.machine.Replay(at, record); err != nil {
@@ -156,7 +156,7 @@
 	c.newest.Settled, c.newest.Departed = true, nil
 	for _, n := range c.nodes {
 		if n.log != nil && !c.isDeaf(n) && n.machine.Epoch() == c.newest.Epoch {
-			n.machine.View(c.newest)
+			n.machine.InstallView(c.newest)
 		}
 	}
 }
@@ -166,8 +166,8 @@
 // rejoin tells a process of the newest set, and that it may act in it.
 func (c *cluster) rejoin(n *clusterNode) {
 	if n.log != nil && !c.isDeaf(n) {
-		n.machine.View(c.newest)
-		n.machine.Grant(c.newest.Epoch, true, 24*time.Hour)
+		n.machine.InstallView(c.newest)
+		n.machine.GrantLease(c.newest.Epoch, true, 24*time.Hour)
 	}
 }
 
@@ -187,7 +187,7 @@
 		wrote = true
 	}
 	if wrote {
-		n.machine.Written(n.log.Durable())
+		n.machine.Synced(n.log.Durable())
 	}
 	return wrote
 }
@@ -244,7 +244,7 @@
 	}
 	for _, n := range c.nodes {
 		if n.key() == message.to && n.log != nil {
-			n.machine.Message(message.from, message.body)
+			n.machine.Receive(message.from, message.body)
 		}
 	}
 }
@@ -252,8 +252,8 @@
 // The machine's environment.
 
 func (n *clusterNode) Now() time.Duration { return n.cluster.now }
-func (n *clusterNode) Wall() int64        { return n.cluster.now.Milliseconds() }
-func (n *clusterNode) Free() int64        { return 1 << 40 }
+func (n *clusterNode) WallClock() int64   { return n.cluster.now.Milliseconds() }
+func (n *clusterNode) FreeBytes() int64   { return 1 << 40 }
 func (n *clusterNode) Start(string)       {}
 
 func (n *clusterNode) QueueLimit(string) (int64, bool) { return n.cluster.bound, true }
@@ -270,7 +270,7 @@
 	n.cluster.messages = append(n.cluster.messages, clusterMessage{from: n.process(), to: placement.KeyOf(to), body: message})
 }
 
-func (n *clusterNode) Answer(token Token, answer protocol.BatchAnswer) { n.answers[token] = answer }
+func (n *clusterNode) Answer(token CallID, answer protocol.BatchAnswer) { n.answers[token] = answer }
 
 // call makes a call at a node and gives its answer once all is calm.
 func (n *clusterNode) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
@@ -314,7 +314,7 @@
 // owner gives the node that owns a batch job.
 func (c *cluster) owner(id string) *clusterNode {
 	index := slices.IndexFunc(c.nodes, func(n *clusterNode) bool {
-		return n.log != nil && n.machine.jobs[id] != nil && n.machine.jobs[id].owner
+		return n.log != nil && n.machine.jobs[id] != nil && n.machine.jobs[id].owned
 	})
 	if index < 0 {
 		return nil
--- a/internal/batch/replica/departed.go
+++ b/internal/batch/replica/departed.go
@@ -19,65 +19,65 @@
 // from the views that it happened to see. Machines are counted, not disks: the members of one replica set were in one view, and a
 // view has one disk of each machine.
 
-const noticeAgain = time.Second
+const noticeInterval = time.Second
 
 // departed is who left the view since all members stood whole, and what this store knows of the others' logs.
-type departed struct {
-	since   map[placement.Key]departure
-	settled map[placement.Key]uint64 // epoch in which each other member told that it stands whole
-	toldAt  time.Duration
+type departureSet struct {
+	stores           map[placement.Key]departure
+	reconciledEpochs map[placement.Key]uint64 // epoch in which each other member told that it stands whole
+	noticeSentAt     time.Duration
 
 	// Stores whose logs may have held batch jobs that they can't name any more, and since when that is known. They count
 	// like stores that left.
-	obscured   map[placement.Key]time.Duration
-	doubtUntil time.Duration // too many of both were missing for ever: until then batch jobs that were lost may be asked for
-	at         *wal.Location // of the newest durable record of the view
+	incompleteLogs map[placement.Key]time.Duration
+	uncertainUntil time.Duration // too many of both were missing for ever: until then batch jobs that were lost may be asked for
+	viewRecordAt   *wal.Location // of the newest durable record of the view
 
-	epoch       uint64 // of the newest view that this store acted in, also in earlier lives
+	actedEpoch  uint64 // of the newest view that this store acted in, also in earlier lives
 	memberSince uint64 // this store has been a member of all views from this epoch on, 0: it isn't one
 }
 
 // departure is one store that left.
 type departure struct {
-	node string
-	at   time.Duration // when this process learnt of it
-	over bool          // it has been missing for longer than batch jobs are kept
+	node    string
+	at      time.Duration // when this process learnt of it
+	expired bool          // it has been missing for longer than batch jobs are kept
 }
 
 // follow notes since when this store has been a member without a gap. A view that it may have missed is a gap.
-func (d *departed) follow(epoch uint64, present bool) {
+func (d *departureSet) enterEpoch(epoch uint64, present bool) {
 	switch {
 	case !present:
 		d.memberSince = 0
-	case d.memberSince == 0 || epoch > d.epoch+1:
+	case d.memberSince == 0 || epoch > d.actedEpoch+1:
 		d.memberSince = epoch
 	}
-	d.epoch = epoch
+	d.actedEpoch = epoch
 }
 
 // take takes in who departed before a view, and whose logs are still to be counted.
-func (d *departed) take(view protocol.StoreView, now time.Duration) {
-	before := d.since
-	d.since = make(map[placement.Key]departure, len(view.Departed))
+func (d *departureSet) update(view protocol.StoreView, now time.Duration) {
+	before := d.stores
+	d.stores = make(map[placement.Key]departure, len(view.Departed))
 	for _, process := range view.Departed {
 		key := placement.KeyOf(process)
 		one, known := before[key]
 		if !known {
 			one = departure{node: process.Node, at: now}
 		}
-		d.since[key] = one
+		d.stores[key] = one
 	}
-	maps.DeleteFunc(d.obscured, func(key placement.Key, _ time.Duration) bool {
+	maps.DeleteFunc(d.incompleteLogs, func(key placement.Key, _ time.Duration) bool {
 		_, present := placement.MemberOf(view, key)
 		return !present // it counts as one that left
 	})
 }
 
 // missed gives the stores that left and are missed, by key.
-func (d *departed) missed() []placement.Key {
+func (d *departureSet) missingStores() []placement.Key {
 	var list []placement.Key
-	for key, one := range d.since {
-		if !one.over {
+	for key, one := range d.stores {
+		if !one.expired {
 			list = append(list, key)
 		}
 	}
@@ -86,12 +86,12 @@
 }
 
 // left counts the machines of stores that left and are missed.
-func (d *departed) left() int { return len(d.machines()) }
+func (d *departureSet) countDeparted() int { return len(d.departedNodes()) }
 
-func (d *departed) machines() map[string]bool {
-	nodes := make(map[string]bool, len(d.since))
-	for _, one := range d.since {
-		if !one.over {
+func (d *departureSet) departedNodes() map[string]bool {
+	nodes := make(map[string]bool, len(d.stores))
+	for _, one := range d.stores {
+		if !one.expired {
 			nodes[one.node] = true
 		}
 	}
@@ -99,20 +99,20 @@
 }
 
 // missing counts the machines that may have held what the others don't know of: those that left, and those whose logs can't tell.
-func (d *departed) missing() int {
-	nodes := d.machines()
-	for key := range d.obscured {
+func (d *departureSet) countMissing() int {
+	nodes := d.departedNodes()
+	for key := range d.incompleteLogs {
 		nodes[key.Node()] = true
 	}
 	return len(nodes)
 }
 
 // encode gives the record of the view. Earlier versions kept who was missing in what is empty here.
-func (d *departed) encode() []byte {
+func (d *departureSet) encode() []byte {
 	out := binary.AppendUvarint([]byte{recordView}, 0)
 	out = append(out, 0)
 	out = binary.AppendUvarint(out, 0)
-	out = binary.AppendUvarint(out, d.epoch)
+	out = binary.AppendUvarint(out, d.actedEpoch)
 	return binary.AppendUvarint(out, d.memberSince)
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-func (d *departed) replay(at wal.Location, record []byte) *Finding {
+func (d *departureSet) replay(at wal.Location, record []byte) *Finding {
 	r := &job.Reader{Rest: record[1:]}
 	skipKeys(r)
 	if !r.Failed && len(r.Rest) > 0 { // the earliest versions wrote no more
@@ -137,117 +137,121 @@
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord, Kind: recordView}
 	}
-	d.at = &at
-	d.epoch, d.memberSince = epoch, memberSince
+	d.viewRecordAt = &at
+	d.actedEpoch, d.memberSince = epoch, memberSince
 	return nil
 }
 
 // sure tells whether the members of the view together know of every batch job, and this store knows what they know.
-func (m *Machine) sure() bool {
-	return m.settled && !m.tooManyMissing() && m.env.Now() >= m.departed.doubtUntil
+func (m *StateMachine) knowsEveryJob() bool {
+	return m.reconciled && !m.tooManyMissing() && m.env.Now() >= m.departures.uncertainUntil
 }
 
 // noteObscured takes what a store tells of its log.
-func (d *departed) noteObscured(key placement.Key, obscured bool, now time.Duration) {
-	_, noted := d.obscured[key]
+func (d *departureSet) noteLog(key placement.Key, obscured bool, now time.Duration) {
+	_, noted := d.incompleteLogs[key]
 	switch {
 	case !obscured:
-		delete(d.obscured, key)
+		delete(d.incompleteLogs, key)
 	case !noted:
-		d.obscured[key] = now
-		clear(d.settled) // what they told before is asked for again
+		d.incompleteLogs[key] = now
+		clear(d.reconciledEpochs) // what they told before is asked for again
 	}
 }
 
 // tooManyMissing tells that a batch job's newest copies may all be on stores that left the view, or were damaged.
-func (m *Machine) tooManyMissing() bool { return m.departed.missing() >= m.options.Copies }
+func (m *StateMachine) tooManyMissing() bool {
+	return m.departures.countMissing() >= m.options.ReplicationFactor
+}
 
 // tooManyLeft tells that all copies of a batch job may be on stores that left the view, and may come back with them.
-func (m *Machine) tooManyLeft() bool { return m.departed.left() >= m.options.Copies }
+func (m *StateMachine) tooManyDeparted() bool {
+	return m.departures.countDeparted() >= m.options.ReplicationFactor
+}
 
 // isNewest tells whether the highest version that the members hold is the highest there is. An owner's disk holds a new
 // version first, and the owner is one of the set before it; so that set's presence without a higher version proves it.
-func (m *Machine) isNewest(found *copies) bool {
-	return !m.tooManyLeft() || m.allActive(found.replicas)
+func (m *StateMachine) isNewestVersion(found *newestCopies) bool {
+	return !m.tooManyDeparted() || m.allActive(found.replicas)
 }
 
 // awaitsWhole tells that something here ends once all members have told that they stand whole.
-func (m *Machine) awaitsWhole() bool {
-	return len(m.departed.obscured) > 0 || m.retiring || slices.ContainsFunc(m.order, func(h *held) bool { return h.behind })
+func (m *StateMachine) awaitsAllReconciled() bool {
+	return len(m.departures.incompleteLogs) > 0 || m.retiring || slices.ContainsFunc(m.order, func(h *storedJob) bool { return h.superseded })
 }
 
 // checkWhole forgets whose logs can't tell what they held, and drops copies that were left behind, once all members stand whole.
-func (m *Machine) checkWhole() {
-	if m.tooManyLeft() || m.settledEpoch != m.view.Epoch || !m.awaitsWhole() {
+func (m *StateMachine) checkAllReconciled() {
+	if m.tooManyDeparted() || m.reconciledEpoch != m.view.Epoch || !m.awaitsAllReconciled() {
 		return
 	}
-	if !m.allStandWhole() {
+	if !m.allReconciled() {
 		return
 	}
-	m.dropBehind()
-	if len(m.departed.obscured) > 0 {
-		m.forgetObscured()
+	m.dropSuperseded()
+	if len(m.departures.incompleteLogs) > 0 {
+		m.forgetIncompleteLogs()
 	}
 }
 
 // allStandWhole tells that all members have told so, in the present epoch.
-func (m *Machine) allStandWhole() bool {
-	whole := m.settledEpoch == m.view.Epoch
-	m.others(func(other protocol.Process) {
-		whole = whole && m.departed.settled[placement.KeyOf(other)] == m.view.Epoch
+func (m *StateMachine) allReconciled() bool {
+	whole := m.reconciledEpoch == m.view.Epoch
+	m.eachOtherMember(func(other protocol.Process) {
+		whole = whole && m.departures.reconciledEpochs[placement.KeyOf(other)] == m.view.Epoch
 	})
 	return whole
 }
 
 // dropBehind drops copies of versions that are not the newest: kept for longer than those, one could be taken for the newest
 // later, though the batch job was ended.
-func (m *Machine) dropBehind() {
+func (m *StateMachine) dropSuperseded() {
 	for _, h := range slices.Clone(m.order) {
-		if h.behind && !h.owner && h.relieved {
+		if h.superseded && !h.owned && h.releasable {
 			m.discard(h)
 		}
 	}
 }
 
-func (m *Machine) forgetObscured() {
+func (m *StateMachine) forgetIncompleteLogs() {
 	if m.tooManyMissing() {
-		m.departed.doubtUntil = m.env.Now() + m.options.KeepFor
+		m.departures.uncertainUntil = m.env.Now() + m.options.Retention
 	}
-	clear(m.departed.obscured)
-	m.obscured = false
+	clear(m.departures.incompleteLogs)
+	m.incompleteLog = false
 }
 
 // writeView keeps the epoch that this store acts in.
-func (m *Machine) writeView() {
+func (m *StateMachine) writeViewRecord() {
 	var at wal.Location
-	at = m.write(m.departed.encode(), true, func() { m.departed.at = &at })
+	at = m.write(m.departures.encode(), true, func() { m.departures.viewRecordAt = &at })
 }
 
 // expireDeparted gives those up that have been missing for longer than batch jobs are kept.
-func (m *Machine) expireDeparted(now time.Duration) {
-	for key, one := range m.departed.since {
-		if !one.over && now-one.at > m.options.KeepFor {
-			one.over = true
-			m.departed.since[key] = one
-			m.settled = false // what was left to them is looked at again
+func (m *StateMachine) expireDeparted(now time.Duration) {
+	for key, one := range m.departures.stores {
+		if !one.expired && now-one.at > m.options.Retention {
+			one.expired = true
+			m.departures.stores[key] = one
+			m.reconciled = false // what was left to them is looked at again
 		}
 	}
-	maps.DeleteFunc(m.departed.obscured, func(_ placement.Key, at time.Duration) bool { return now-at > m.options.KeepFor })
-	_, noted := m.departed.obscured[m.self]
-	m.obscured = m.obscured && noted
+	maps.DeleteFunc(m.departures.incompleteLogs, func(_ placement.Key, at time.Duration) bool { return now-at > m.options.Retention })
+	_, noted := m.departures.incompleteLogs[m.self]
+	m.incompleteLog = m.incompleteLog && noted
 }
 
 // tellSettled tells the others how far this store is, and asks them if that is awaited here.
-func (m *Machine) tellSettled() {
-	m.departed.toldAt = m.env.Now()
-	notice := SettledNotice{Stamp: m.stamp(), Settled: m.settledEpoch, Ask: m.awaitsWhole()}
-	m.others(func(other protocol.Process) { m.env.Send(other, notice) })
+func (m *StateMachine) sendReconciledNotice() {
+	m.departures.noticeSentAt = m.env.Now()
+	notice := ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch, Ask: m.awaitsAllReconciled()}
+	m.eachOtherMember(func(other protocol.Process) { m.env.Send(other, notice) })
 }
 
-func (m *Machine) settledNotice(from protocol.Process, notice SettledNotice) {
-	m.departed.settled[placement.KeyOf(from)] = notice.Settled
+func (m *StateMachine) handleReconciledNotice(from protocol.Process, notice ReconciledNotice) {
+	m.departures.reconciledEpochs[placement.KeyOf(from)] = notice.Settled
 	if notice.Ask {
-		m.env.Send(from, SettledNotice{Stamp: m.stamp(), Settled: m.settledEpoch})
+		m.env.Send(from, ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch})
 	}
-	m.checkWhole()
+	m.checkAllReconciled()
 }
--- a/internal/batch/replica/finding.go
+++ b/internal/batch/replica/finding.go
@@ -22,19 +22,19 @@
 
 // Finding is a record of the log that can't be used, or a part of it that can't be read. It wraps job.ErrCorrupt.
 type Finding struct {
-	Problem  Problem
-	At       wal.Location
-	Kind     byte   // of the record
-	Job      string // batch job, empty where that isn't known
-	Position int    // of a result
-	Held     int    // results of the batch job that are sound
+	Problem      Problem
+	At           wal.Location
+	Kind         byte   // of the record
+	Job          string // batch job, empty where that isn't known
+	Position     int    // of a result
+	SoundResults int    // results of the batch job that are sound
 }
 
 // Error describes the finding with its place.
 func (f *Finding) Error() string {
 	text := job.ErrCorrupt.Error()
 	if f.Problem == ProblemGap || f.Problem == ProblemResult {
-		text += fmt.Sprintf(": result at position %d of %d", f.Position, f.Held)
+		text += fmt.Sprintf(": result at position %d of %d", f.Position, f.SoundResults)
 	}
 	text += fmt.Sprintf(": %s: segment %d, byte %d", f.Problem, f.At.Segment, f.At.Offset)
 	if f.Job != "" {
@@ -47,7 +47,7 @@
 func (f *Finding) Unwrap() error { return job.ErrCorrupt }
 
 // hides tells whether the log may have held a batch job, or a version of one, that isn't known here.
-func (f *Finding) hides() bool {
+func (f *Finding) mayHideJobs() bool {
 	switch f.Problem {
 	case ProblemKind, ProblemContent, ProblemSkipped:
 		return true
@@ -59,4 +59,4 @@
 }
 
 // damages tells whether the batch job's copy is no whole one. Events of items that run may be missing.
-func (f *Finding) damages() bool { return f.Kind != recordProgress }
+func (f *Finding) corruptsJob() bool { return f.Kind != recordProgress }
--- a/internal/batch/replica/golden_test.go
+++ b/internal/batch/replica/golden_test.go
@@ -27,7 +27,7 @@
 	golden.Bytes(t, "record-ended", encodeEnded("job-1"))
 	golden.Bytes(t, "record-replicas", encodeReplicas("job-1", 9, replicas))
 	golden.Bytes(t, "record-dropped", encodeDropped("job-1"))
-	view := departed{epoch: 11, memberSince: 5}
+	view := departureSet{actedEpoch: 11, memberSince: 5}
 	golden.Bytes(t, "record-view", view.encode())
 	golden.Bytes(t, "record-kinds", []byte{
 		recordCopy, recordResult, recordEnded, recordReplicas, recordDropped, recordView, recordProgress,
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -11,9 +11,9 @@
 // which owns it from then on and fills the others; once that store tells that the set is whole, nothing here is needed.
 
 // handOver chooses the set that a batch job goes to. Its own copy stays as it is, under the old version.
-func (m *Machine) handOver(h *held) {
+func (m *StateMachine) startHandover(h *storedJob) {
 	h.peers = nil
-	h.whole = false
+	h.replicated = false
 	var kept []protocol.Process
 	for _, replica := range h.replicas {
 		member, present := placement.MemberOf(m.view, placement.KeyOf(replica))
@@ -21,84 +21,84 @@
 			kept = append(kept, replica)
 		}
 	}
-	h.handing = placement.Replicas(h.id, m.view, kept, m.options.Copies)
-	if len(h.handing) < m.options.Copies {
-		h.handing = nil
-		m.renew(h) // too few are left: it stays until the view changes
+	h.handoverReplicas = placement.Replicas(h.id, m.view, kept, m.options.ReplicationFactor)
+	if len(h.handoverReplicas) < m.options.ReplicationFactor {
+		h.handoverReplicas = nil
+		m.reconfigure(h) // too few are left: it stays until the view changes
 		return
 	}
 	m.env.Stop(h.id)
-	h.peers = []peer{{process: h.handing[0]}}
+	h.peers = []peer{{process: h.handoverReplicas[0]}}
 }
 
 // handoverVersion is the version of the set that a batch job goes to.
-func (m *Machine) handoverVersion(h *held) Version { return h.version.next(m.view.Epoch) }
+func (m *StateMachine) handoverVersion(h *storedJob) Version { return h.version.next(m.view.Epoch) }
 
-func (m *Machine) pumpHandover(h *held) {
+func (m *StateMachine) sendHandover(h *storedJob) {
 	p := &h.peers[0]
 	now := m.env.Now()
-	if h.handed || p.busy && now-p.sentAt < replicateAgain || h.durable < len(h.results) || h.ended != h.endDurable {
+	if h.handedOver || p.awaitsResponse && now-p.sentAt < replicationRetry || h.durableResults < len(h.results) || h.ended != h.endedDurable {
 		return
 	}
-	message := Replicate{Stamp: m.stamp(), Job: h.id, Version: m.handoverVersion(h)}
-	if p.known && !p.held {
-		if p.fillAt > 0 && now-p.fillAt < replicateAgain {
+	message := ReplicationRequest{Stamp: m.stamp(), Job: h.id, Version: m.handoverVersion(h)}
+	if p.reported && !p.hasCopy {
+		if p.copySentAt > 0 && now-p.copySentAt < replicationRetry {
 			return // it may have yet to be written there
 		}
-		p.fillAt = now
-		if !m.fillCopy(h, &message, h.durable) {
+		p.copySentAt = now
+		if !m.fillFullCopy(h, &message, h.durableResults) {
 			return
 		}
-		message.Replicas = h.handing
+		message.Replicas = h.handoverReplicas
 	}
-	p.busy, p.sentAt = true, now
+	p.awaitsResponse, p.sentAt = true, now
 	m.env.Send(p.process, message)
 }
 
 // handedOver takes the successor's account.
-func (m *Machine) handedOver(h *held, from placement.Key, message Replicated) {
+func (m *StateMachine) handleHandoverResponse(h *storedJob, from placement.Key, message ReplicationResponse) {
 	p := &h.peers[0]
-	if placement.KeyOf(p.process) != from || h.handed {
+	if placement.KeyOf(p.process) != from || h.handedOver {
 		return
 	}
-	p.known, p.busy = true, false
-	p.held = message.Held && message.Version == m.handoverVersion(h)
-	if p.held && message.Whole {
-		h.handed, h.owner = true, false
-		h.peers, h.handing = nil, nil
-		m.directory[h.id] = from
-		m.redirect(h)
-		m.announce(h.id, from)
-		m.checkSettled()
+	p.reported, p.awaitsResponse = true, false
+	p.hasCopy = message.Held && message.Version == m.handoverVersion(h)
+	if p.hasCopy && message.Whole {
+		h.handedOver, h.owned = true, false
+		h.peers, h.handoverReplicas = nil, nil
+		m.owners[h.id] = from
+		m.redirectPending(h)
+		m.announceOwner(h.id, from)
+		m.checkReconciled()
 		return
 	}
-	if p.held {
-		p.busy = true // asked again later
+	if p.hasCopy {
+		p.awaitsResponse = true // asked again later
 		return
 	}
-	m.pumpHandover(h)
+	m.sendHandover(h)
 }
 
 // inherit owns a copy that a retiring store handed over.
-func (m *Machine) inherit(h *held) {
-	if m.jobs[h.id] != h || len(h.replicas) == 0 || placement.KeyOf(h.replicas[0]) != m.self || !m.stands(h) {
+func (m *StateMachine) takeHandover(h *storedJob) {
+	if m.jobs[h.id] != h || len(h.replicas) == 0 || placement.KeyOf(h.replicas[0]) != m.self || !m.hasActiveReplicas(h) {
 		return
 	}
-	if uint64(h.version)>>versionBits != m.view.Epoch || h.owner {
+	if uint64(h.version)>>versionBits != m.view.Epoch || h.owned {
 		return
 	}
-	h.owner = true
-	m.noteInherited(h)
-	m.unsettle() // its set has to be made whole first
-	delete(m.directory, h.id)
+	h.owned = true
+	m.noteInheritedTokens(h)
+	m.revokeReconciled() // its set has to be made whole first
+	delete(m.owners, h.id)
 	h.setReplicas(h.version, h.replicas, m.self)
-	m.announce(h.id, m.self)
-	m.pump(h)
-	m.judge(h)
+	m.announceOwner(h.id, m.self)
+	m.replicateJob(h)
+	m.maybeCommit(h)
 }
 
 // locate gives where content and results of a copy stand within its record.
-func locate(h *held, record []byte, at wal.Location) (wal.Location, []heldResult) {
+func locateCopy(h *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
 	r := &job.Reader{Rest: record[1:]}
 	_ = r.Text()
 	readReplicas(r)
@@ -107,13 +107,13 @@
 	end := len(record) - len(r.Rest)
 	contentAt := at.Part(uint32(end-len(content)), uint32(len(content)))
 	count := r.Uvarint()
-	results := make([]heldResult, 0, count)
+	results := make([]storedResult, 0, count)
 	for range count {
 		results = append(results, readResult(r, record, at))
 	}
 	return contentAt, results
 }
 
-func heldResultOf(result *Result, at wal.Location) heldResult {
-	return heldResult{item: int32(result.Item), state: job.State(result.State), at: at}
+func storedResultOf(result *Result, at wal.Location) storedResult {
+	return storedResult{item: int32(result.Item), state: job.State(result.State), at: at}
 }
--- a/internal/batch/replica/invariants.go
+++ b/internal/batch/replica/invariants.go
@@ -19,13 +19,13 @@
 	// InvariantEpochRises: a store never acts in a view of an epoch below one that it acted in, earlier lives included.
 	InvariantEpochRises Invariant = "a store goes back to a view that ended"
 	// InvariantOneViewAnEpoch: all that is told of one epoch has the same members.
-	InvariantOneViewAnEpoch Invariant = "two views of one epoch differ"
+	InvariantOneViewPerEpoch Invariant = "two views of one epoch differ"
 	// InvariantDepartedLeft: who is told to have departed isn't a member.
-	InvariantDepartedLeft Invariant = "a member counts as departed"
+	InvariantDepartedNotMember Invariant = "a member counts as departed"
 	// InvariantSettledMissesNobody: once all members stood whole, nobody who left before is missed.
-	InvariantSettledMissesNobody Invariant = "all stood whole and somebody is missed"
+	InvariantReconciledNoneDeparted Invariant = "all stood whole and somebody is missed"
 	// InvariantWithinRoom: a batch job is written only within what the counter of its account holds for this store.
-	InvariantWithinRoom Invariant = "a batch job is written without room for it"
+	InvariantWithinClaim Invariant = "a batch job is written without room for it"
 )
 
 // Violations counts what did not hold, by invariant.
@@ -41,21 +41,21 @@
 }
 
 // Violations gives what did not hold in this life.
-func (m *Machine) Violations() Violations { return m.violations }
+func (m *StateMachine) Violations() Violations { return m.violations }
 
-func (m *Machine) must(holds bool, invariant Invariant) {
+func (m *StateMachine) assert(holds bool, invariant Invariant) {
 	if !holds {
 		m.violations[invariant]++
 	}
 }
 
 // checkView checks a view that is about to be taken in place of the one held.
-func (m *Machine) checkView(next protocol.StoreView) {
-	m.must(next.Epoch >= m.departed.epoch, InvariantEpochRises)
-	m.must(next.Epoch != m.view.Epoch || slices.Equal(next.Members, m.view.Members), InvariantOneViewAnEpoch)
-	m.must(!next.Settled || len(next.Departed) == 0, InvariantSettledMissesNobody)
+func (m *StateMachine) checkView(next protocol.StoreView) {
+	m.assert(next.Epoch >= m.departures.actedEpoch, InvariantEpochRises)
+	m.assert(next.Epoch != m.view.Epoch || slices.Equal(next.Members, m.view.Members), InvariantOneViewPerEpoch)
+	m.assert(!next.Settled || len(next.Departed) == 0, InvariantReconciledNoneDeparted)
 	for _, process := range next.Departed {
 		_, member := placement.MemberOf(next, placement.KeyOf(process))
-		m.must(!member, InvariantDepartedLeft)
+		m.assert(!member, InvariantDepartedNotMember)
 	}
 }
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -267,7 +267,7 @@
 		}
 	}
 	for _, n := range h.there() {
-		if standing := n.machine.Standing(); !standing.HasSettled() {
+		if standing := n.machine.Status(); !standing.Reconciled() {
 			h.failf("%s hasn't settled: %+v", n.key(), standing)
 		}
 	}
--- a/internal/batch/replica/machine.go
+++ b/internal/batch/replica/machine.go
@@ -59,14 +59,14 @@
 )
 
 // Token names a client's call until it is answered.
-type Token uint64
+type CallID uint64
 
 // Environment is what a Machine acts through. None of its methods may call the machine back.
 type Environment interface {
 	// Now is a steady clock.
 	Now() time.Duration
 	// Wall is the time of day in Unix milliseconds.
-	Wall() int64
+	WallClock() int64
 	// Write queues a record; Machine.Written tells when it is durable. Records are written in order.
 	Write(record []byte, urgent bool) (sequence uint64, at wal.Location)
 	// Read gives bytes of a durable record.
@@ -74,91 +74,91 @@
 	// Send sends a message to another store; it may be lost.
 	Send(to protocol.Process, message any)
 	// Answer ends a call.
-	Answer(token Token, answer protocol.BatchAnswer)
+	Answer(token CallID, answer protocol.BatchAnswer)
 	// Start tells that this store is to run the batch job's items, Stop that it may not any more.
 	Start(id string)
 	Stop(id string)
 	// Free tells how many bytes the disk still takes.
-	Free() int64
+	FreeBytes() int64
 	// QueueLimit tells how many tokens of a tenant may wait on a route, 0: no limit; false where the route isn't known yet.
 	QueueLimit(route string) (tokens int64, known bool)
 }
 
 // Options are a machine's constants.
 type Options struct {
-	Self      protocol.Process
-	Life      uint64        // differs for each start of the process
-	Copies    int           // disks that a batch job is on: one more than may be lost at once
-	KeepFor   time.Duration // from a batch job's first send, and while it is open
-	Reserve   int64         // bytes of disk that new batch jobs must leave free
-	MaxStored int           // batch jobs held at most, 0: no limit
+	Self               protocol.Process
+	ProcessIncarnation uint64        // differs for each start of the process
+	ReplicationFactor  int           // disks that a batch job is on: one more than may be lost at once
+	Retention          time.Duration // from a batch job's first send, and while it is open
+	MinFreeBytes       int64         // bytes of disk that new batch jobs must leave free
+	MaxJobs            int           // batch jobs held at most, 0: no limit
 }
 
 // Machine is one store's part.
-type Machine struct {
+type StateMachine struct {
 	options Options
 	env     Environment
 	self    placement.Key
 
-	view     protocol.StoreView
-	present  bool // this store is in the view
-	retiring bool // it is to be emptied
-	lease    time.Duration
-
-	round       uint64 // of inventories
-	settled     bool   // all inventories of the epoch are here
-	unowned     int    // batch jobs that they hold and nobody owns until stores that left are back
-	asked       time.Duration
-	inventories map[placement.Key]Inventory
-	lives       map[placement.Key]uint64 // newest life heard of each member
-
-	jobs         map[string]*held
-	order        []*held                  // of jobs, in the order in which they came
-	directory    map[string]placement.Key // owners of batch jobs that are not held here, or not owned
-	reservations map[string]reservation   // votes as arbiter, in this epoch
-	lastAttempt  uint64                   // to accept a batch job
-	claims       claims                   // of room for waiting tokens
-	acceptances  map[string]*acceptance
-	lookups      map[string]*lookup // of batch jobs that aren't known here, at their arbiters
-	lastLookup   uint64
-	parked       []parkedCall
-	pending      []pendingWrite
-
-	slow         map[placement.Key]time.Duration // until when stores are passed over that took long to write
-	departed     departed
-	settledEpoch uint64
-	lastExpiry   time.Duration
-
-	findings   int                   // records of the log that could not be used at the start
-	obscured   bool                  // batch jobs may be missing here for them
-	violations Violations            // of invariants, in this life
-	concession map[string]concession // batch jobs that this store would own in this epoch, and gave to others
+	view       protocol.StoreView
+	isMember   bool // this store is in the view
+	retiring   bool // it is to be emptied
+	leaseUntil time.Duration
+
+	inventoryRound         uint64 // of inventories
+	reconciled             bool   // all inventories of the epoch are here
+	unowned                int    // batch jobs that they hold and nobody owns until stores that left are back
+	inventoriesRequestedAt time.Duration
+	inventories            map[placement.Key]InventoryResponse
+	incarnations           map[placement.Key]uint64 // newest life heard of each member
+
+	jobs          map[string]*storedJob
+	order         []*storedJob             // of jobs, in the order in which they came
+	owners        map[string]placement.Key // owners of batch jobs that are not held here, or not owned
+	reservations  map[string]reservation   // votes as arbiter, in this epoch
+	lastAttempt   uint64                   // to accept a batch job
+	claims        claims                   // of room for waiting tokens
+	acceptances   map[string]*acceptance
+	lookups       map[string]*lookup // of batch jobs that aren't known here, at their arbiters
+	lastLookup    uint64
+	parkedCalls   []parkedCall
+	pendingWrites []pendingWrite
+
+	slowUntil       map[placement.Key]time.Duration // until when stores are passed over that took long to write
+	departures      departureSet
+	reconciledEpoch uint64
+	lastExpiry      time.Duration
+
+	findings      int                          // records of the log that could not be used at the start
+	incompleteLog bool                         // batch jobs may be missing here for them
+	violations    Violations                   // of invariants, in this life
+	transfers     map[string]ownershipTransfer // batch jobs that this store would own in this epoch, and gave to others
 }
 
 type pendingWrite struct {
-	sequence uint64
-	at       time.Duration // it was queued
-	then     func()
+	sequence  uint64
+	queuedAt  time.Duration // it was queued
+	onDurable func()
 }
 
 // New gives a machine without batch jobs. Replay its log before anything else.
-func New(options Options, env Environment) *Machine {
-	return &Machine{
+func New(options Options, env Environment) *StateMachine {
+	return &StateMachine{
 		options: options, env: env,
 		self:         placement.KeyOf(options.Self),
-		inventories:  map[placement.Key]Inventory{},
-		lives:        map[placement.Key]uint64{},
-		jobs:         map[string]*held{},
-		directory:    map[string]placement.Key{},
+		inventories:  map[placement.Key]InventoryResponse{},
+		incarnations: map[placement.Key]uint64{},
+		jobs:         map[string]*storedJob{},
+		owners:       map[string]placement.Key{},
 		reservations: map[string]reservation{},
 		acceptances:  map[string]*acceptance{},
 		lookups:      map[string]*lookup{},
-		slow:         map[placement.Key]time.Duration{},
-		concession:   map[string]concession{},
+		slowUntil:    map[placement.Key]time.Duration{},
+		transfers:    map[string]ownershipTransfer{},
 		violations:   Violations{},
 		claims:       newClaims(),
-		departed: departed{
-			since: map[placement.Key]departure{}, settled: map[placement.Key]uint64{}, obscured: map[placement.Key]time.Duration{},
+		departures: departureSet{
+			stores: map[placement.Key]departure{}, reconciledEpochs: map[placement.Key]uint64{}, incompleteLogs: map[placement.Key]time.Duration{},
 		},
 	}
 }
@@ -166,45 +166,45 @@
 // Grant renews the right to act as a member of the view of an epoch. The lease ends at a time of Environment.Now; it was counted from
 // when it was asked for. One of a later epoch than the view known here gives none: the store may have been out of the set in between,
 // and others may have taken its place.
-func (m *Machine) Grant(epoch uint64, member bool, until time.Duration) {
+func (m *StateMachine) GrantLease(epoch uint64, member bool, until time.Duration) {
 	switch {
 	case !member:
-		m.lease = 0
+		m.leaseUntil = 0
 	case epoch <= m.view.Epoch:
-		m.lease = max(m.lease, until)
+		m.leaseUntil = max(m.leaseUntil, until)
 	}
 }
 
 // Allowed tells whether this store may act now. It is asked right before anything leaves that depends on it.
-func (m *Machine) Allowed() bool { return m.present && m.env.Now() < m.lease }
+func (m *StateMachine) MayAct() bool { return m.isMember && m.env.Now() < m.leaseUntil }
 
 // Epoch gives the epoch of the newest view known here.
-func (m *Machine) Epoch() uint64 { return m.view.Epoch }
+func (m *StateMachine) Epoch() uint64 { return m.view.Epoch }
 
 // ActedIn gives the epoch of the newest view that this store acted in, earlier lives included, as far as its disk tells.
-func (m *Machine) ActedIn() uint64 { return m.departed.epoch }
+func (m *StateMachine) ActedIn() uint64 { return m.departures.actedEpoch }
 
 // Written tells that all records up to a number are durable.
-func (m *Machine) Written(sequence uint64) {
-	for len(m.pending) > 0 && m.pending[0].sequence <= sequence {
-		then := m.pending[0].then
-		m.pending[0].then = nil
-		m.pending = m.pending[1:]
+func (m *StateMachine) Synced(sequence uint64) {
+	for len(m.pendingWrites) > 0 && m.pendingWrites[0].sequence <= sequence {
+		then := m.pendingWrites[0].onDurable
+		m.pendingWrites[0].onDurable = nil
+		m.pendingWrites = m.pendingWrites[1:]
 		then()
 	}
-	if len(m.pending) == 0 {
-		m.pending = nil
+	if len(m.pendingWrites) == 0 {
+		m.pendingWrites = nil
 	}
 }
 
-func (m *Machine) write(record []byte, urgent bool, then func()) wal.Location {
+func (m *StateMachine) write(record []byte, urgent bool, then func()) wal.Location {
 	sequence, at := m.env.Write(record, urgent)
-	m.pending = append(m.pending, pendingWrite{sequence: sequence, at: m.env.Now(), then: then})
+	m.pendingWrites = append(m.pendingWrites, pendingWrite{sequence: sequence, queuedAt: m.env.Now(), onDurable: then})
 	return at
 }
 
 // keep holds a batch job, in place of an earlier copy.
-func (m *Machine) keep(h *held) {
+func (m *StateMachine) putJob(h *storedJob) {
 	if old := m.jobs[h.id]; old != nil {
 		m.order[slices.Index(m.order, old)] = h
 	} else {
@@ -214,19 +214,21 @@
 }
 
 // drop forgets a batch job.
-func (m *Machine) drop(id string) {
+func (m *StateMachine) removeJob(id string) {
 	h := m.jobs[id]
 	if h == nil {
 		return
 	}
 	delete(m.jobs, id)
-	m.order = slices.DeleteFunc(m.order, func(other *held) bool { return other == h })
+	m.order = slices.DeleteFunc(m.order, func(other *storedJob) bool { return other == h })
 }
 
-func (m *Machine) stamp() Stamp { return Stamp{Epoch: m.view.Epoch, Life: m.options.Life} }
+func (m *StateMachine) stamp() Stamp {
+	return Stamp{Epoch: m.view.Epoch, Life: m.options.ProcessIncarnation}
+}
 
 // others calls a function for each other member of the view that may hold something.
-func (m *Machine) others(call func(protocol.Process)) {
+func (m *StateMachine) eachOtherMember(call func(protocol.Process)) {
 	for _, member := range m.view.Members {
 		if member.State != protocol.StoreRetired && placement.KeyOf(member.Process) != m.self {
 			call(member.Process)
@@ -235,49 +237,49 @@
 }
 
 // Message takes a message of another store.
-func (m *Machine) Message(from protocol.Process, message any) {
+func (m *StateMachine) Receive(from protocol.Process, message any) {
 	stamp, known := stampOf(message)
 	key := placement.KeyOf(from)
-	if !known || stamp.Epoch != m.view.Epoch || !m.present {
+	if !known || stamp.Epoch != m.view.Epoch || !m.isMember {
 		return
 	}
 	if _, member := placement.MemberOf(m.view, key); !member || key == m.self {
 		return
 	}
-	if m.hears(key, stamp.Life) {
+	if m.noteIncarnation(key, stamp.Life) {
 		return
 	}
 	switch message := message.(type) {
 	case InventoryRequest:
 		m.env.Send(from, m.inventory(message.Round))
-	case Inventory:
-		m.takeInventory(key, message)
-	case Reserve:
-		m.reserve(from, message)
-	case Reserved:
-		m.reserved(key, message)
-	case Release:
-		m.release(key, message)
-	case Lookup:
-		m.lookUp(from, message)
-	case Found:
-		m.found(key, message)
-	case Notice:
-		m.learn(message.Job, message.Owner)
-	case Replicate:
-		m.replicate(from, message)
-	case Replicated:
-		m.replicated(key, message)
-	case SettledNotice:
-		m.settledNotice(from, message)
-	case Concede:
-		m.conceded(from, message)
+	case InventoryResponse:
+		m.handleInventoryResponse(key, message)
+	case ReservationRequest:
+		m.handleReservationRequest(from, message)
+	case ReservationResponse:
+		m.handleReservationResponse(key, message)
+	case ReservationRelease:
+		m.handleReservationRelease(key, message)
+	case LookupRequest:
+		m.handleLookupRequest(from, message)
+	case LookupResponse:
+		m.handleLookupResponse(key, message)
+	case OwnerNotice:
+		m.noteOwner(message.Job, message.Owner)
+	case ReplicationRequest:
+		m.handleReplicationRequest(from, message)
+	case ReplicationResponse:
+		m.handleReplicationResponse(key, message)
+	case ReconciledNotice:
+		m.handleReconciledNotice(from, message)
+	case OwnershipTransfer:
+		m.handleOwnershipTransfer(from, message)
 	case Claim:
-		m.takeClaim(key, message)
-	case Claimed:
-		m.takeVerdicts(key, message)
-	case ClaimRequest:
-		m.claim(key)
+		m.handleClaim(key, message)
+	case ClaimResponse:
+		m.handleClaimResponse(key, message)
+	case ClaimPoll:
+		m.sendClaim(key)
 	default:
 		panic(fmt.Sprintf("replica: message of type %T", message))
 	}
@@ -285,38 +287,38 @@
 
 // hears notes a sender's life. A new one has forgotten what it granted and knows nothing of what was asked: all
 // inventories are exchanged again. It tells whether the message is of a life that is over.
-func (m *Machine) hears(key placement.Key, life uint64) (stale bool) {
-	last, heard := m.lives[key]
+func (m *StateMachine) noteIncarnation(key placement.Key, life uint64) (stale bool) {
+	last, heard := m.incarnations[key]
 	if heard && life < last {
 		return true
 	}
-	m.lives[key] = life
+	m.incarnations[key] = life
 	if heard && life > last {
-		delete(m.departed.settled, key) // it has to choose sets anew
-		m.forgetPeer(key)
-		m.claimsRestarted(key)
+		delete(m.departures.reconciledEpochs, key) // it has to choose sets anew
+		m.resetPeer(key)
+		m.noteClaimantRestart(key)
 		for _, a := range m.acceptances {
 			delete(a.votes, key)
 		}
 		for _, l := range m.lookups {
-			delete(l.unknown, key)
+			delete(l.unknownTo, key)
 		}
-		m.restart()
+		m.restartReconciliation()
 	}
 	return false
 }
 
 // learn notes who owns a batch job that is not owned here.
-func (m *Machine) learn(id string, owner placement.Key) {
-	if h := m.jobs[id]; h != nil && h.owner {
+func (m *StateMachine) noteOwner(id string, owner placement.Key) {
+	if h := m.jobs[id]; h != nil && h.owned {
 		return
 	}
 	if _, present := placement.MemberOf(m.view, owner); present && owner != m.self {
-		m.directory[id] = owner
+		m.owners[id] = owner
 		delete(m.lookups, id)
-		if c, conceded := m.concession[id]; conceded { // until it stands whole there
+		if c, conceded := m.transfers[id]; conceded { // until it stands whole there
 			c.to = owner
-			m.concession[id] = c
+			m.transfers[id] = c
 		}
 	}
 }
@@ -336,62 +338,62 @@
 }
 
 // Work gives a batch job's items that are not listed, where this store may run them.
-func (m *Machine) Work(id string) (Job, bool) {
+func (m *StateMachine) Work(id string) (Job, bool) {
 	h := m.jobs[id]
-	if h == nil || !h.owner || h.ended {
+	if h == nil || !h.owned || h.ended {
 		return Job{}, false
 	}
 	work := Job{ID: h.id, Tenant: h.tenant, Route: h.route, FirstSent: h.firstSent}
 	for i := range h.items {
-		if !h.items[i].listed {
-			work.Items = append(work.Items, JobItem{Index: i, At: h.itemAt(i), Progress: h.progressOf(i)})
+		if !h.items[i].finished {
+			work.Items = append(work.Items, JobItem{Index: i, At: h.itemLocation(i), Progress: h.progressOfItem(i)})
 		}
 	}
 	return work, true
 }
 
-func (h *held) progressOf(index int) Progress {
+func (h *storedJob) progressOfItem(index int) Progress {
 	if known, started := h.progress[index]; started {
 		return known
 	}
 	return Progress{Last: -1}
 }
 
-func (h *held) itemAt(index int) wal.Location {
+func (h *storedJob) itemLocation(index int) wal.Location {
 	return h.contentAt.Part(h.items[index].span.Offset, h.items[index].span.Length)
 }
 
 // MayRun tells whether an item may go to a server now. It is asked right before its first byte.
-func (m *Machine) MayRun(id string, index int) bool {
+func (m *StateMachine) MayRun(id string, index int) bool {
 	h := m.jobs[id]
-	return m.Allowed() && h != nil && h.owner && h.whole && !h.ended && len(h.handing) == 0 && !h.items[index].listed
+	return m.MayAct() && h != nil && h.owned && h.replicated && !h.ended && len(h.handoverReplicas) == 0 && !h.items[index].finished
 }
 
 // Finish lists what became of an item. It tells whether it was taken; where it wasn't, ask again unless the batch job was
 // stopped.
-func (m *Machine) Finish(id string, index int, state job.State, text []byte) bool {
+func (m *StateMachine) Finish(id string, index int, state job.State, text []byte) bool {
 	h := m.jobs[id]
-	if h == nil || !h.owner || !h.whole || h.ended || !m.present {
+	if h == nil || !h.owned || !h.replicated || h.ended || !m.isMember {
 		return false
 	}
-	if h.items[index].listed {
+	if h.items[index].finished {
 		return true
 	}
 	result := &Result{Item: index, State: byte(state), Text: text}
 	position := len(h.results)
 	record := encodeResult(id, position, result)
 	at := m.write(record, false, func() {
-		h.durable = max(h.durable, position+1)
-		m.pump(h)
-		m.judge(h)
+		h.durableResults = max(h.durableResults, position+1)
+		m.replicateJob(h)
+		m.maybeCommit(h)
 	})
-	h.list(heldResult{item: int32(index), state: state, at: at.Part(uint32(len(record)-len(text)), uint32(len(text)))})
-	if h.fresh == nil {
-		h.fresh = map[int]*Result{}
+	h.appendResult(storedResult{item: int32(index), state: state, at: at.Part(uint32(len(record)-len(text)), uint32(len(text)))})
+	if h.uncommitted == nil {
+		h.uncommitted = map[int]*Result{}
 	}
-	h.fresh[position] = result
+	h.uncommitted[position] = result
 	return true
 }
 
 // Members gives the newest view known here.
-func (m *Machine) Members() protocol.StoreView { return m.view }
+func (m *StateMachine) CurrentView() protocol.StoreView { return m.view }
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -20,17 +20,17 @@
 }
 
 // Inventory is all that a store holds, as of when the request came.
-type Inventory struct {
+type InventoryResponse struct {
 	Stamp
 	Round   uint64
 	Settled uint64 // highest epoch in which all that the sender owns stood whole
-	Entries []Entry
+	Entries []InventoryEntry
 	// Obscured tells that the sender may have held batch jobs, or newer versions of some, that it can't name any more.
 	Obscured bool
 }
 
 // Entry is one batch job of an inventory.
-type Entry struct {
+type InventoryEntry struct {
 	Job      string
 	Version  Version
 	Replicas []protocol.Process
@@ -40,21 +40,21 @@
 }
 
 // Concede gives a batch job to a store that holds a better copy of the version. The sender would own it in this epoch.
-type Concede struct {
+type OwnershipTransfer struct {
 	Stamp
 	Job     string
 	Version Version
 }
 
 // Reserve asks an arbiter of a batch job's id for its vote that the sender may accept it.
-type Reserve struct {
+type ReservationRequest struct {
 	Stamp
 	Job    string
 	Number uint64 // of the sender's attempt; it rises
 }
 
 // Reserved names the store that an arbiter's vote went to, or that holds the batch job.
-type Reserved struct {
+type ReservationResponse struct {
 	Stamp
 	Job    string
 	Number uint64 // of the attempt that is answered
@@ -63,21 +63,21 @@
 }
 
 // Release gives a vote back: the sender has not accepted the batch job in that attempt nor in an earlier one.
-type Release struct {
+type ReservationRelease struct {
 	Stamp
 	Job    string
 	Number uint64
 }
 
 // Lookup asks an arbiter of a batch job's id who holds it.
-type Lookup struct {
+type LookupRequest struct {
 	Stamp
 	Job    string
 	Number uint64 // the asker's; comes back
 }
 
 // Found answers a Lookup. Owner is empty where the arbiter knows of nobody.
-type Found struct {
+type LookupResponse struct {
 	Stamp
 	Job    string
 	Number uint64
@@ -85,14 +85,14 @@
 }
 
 // Notice tells other stores who owns a batch job, so that they need not ask.
-type Notice struct {
+type OwnerNotice struct {
 	Stamp
 	Job   string
 	Owner placement.Key
 }
 
 // Replicate brings a replica up to the owner's state, or asks for the replica's where nothing is in it.
-type Replicate struct {
+type ReplicationRequest struct {
 	Stamp
 	Job      string
 	Version  Version
@@ -111,7 +111,7 @@
 }
 
 // Replicated tells what the replica holds on its disk.
-type Replicated struct {
+type ReplicationResponse struct {
 	Stamp
 	Job     string
 	Held    bool
@@ -124,7 +124,7 @@
 }
 
 // SettledNotice tells the highest epoch in which all that the sender owns stood whole.
-type SettledNotice struct {
+type ReconciledNotice struct {
 	Stamp
 	Settled uint64
 	Ask     bool // the receiver is to tell, too
@@ -135,20 +135,20 @@
 	const here = "sprucelane.example/sprucelane/internal/batch/replica."
 	return []transport.NamedType{
 		{Name: here + "InventoryRequest", Sample: InventoryRequest{}},
-		{Name: here + "Inventory", Sample: Inventory{}},
-		{Name: here + "Reserve", Sample: Reserve{}},
-		{Name: here + "Reserved", Sample: Reserved{}},
-		{Name: here + "Release", Sample: Release{}},
-		{Name: here + "Lookup", Sample: Lookup{}},
-		{Name: here + "Found", Sample: Found{}},
-		{Name: here + "Notice", Sample: Notice{}},
-		{Name: here + "Replicate", Sample: Replicate{}},
-		{Name: here + "Replicated", Sample: Replicated{}},
-		{Name: here + "SettledNotice", Sample: SettledNotice{}},
-		{Name: here + "Concede", Sample: Concede{}},
+		{Name: here + "Inventory", Sample: InventoryResponse{}},
+		{Name: here + "Reserve", Sample: ReservationRequest{}},
+		{Name: here + "Reserved", Sample: ReservationResponse{}},
+		{Name: here + "Release", Sample: ReservationRelease{}},
+		{Name: here + "Lookup", Sample: LookupRequest{}},
+		{Name: here + "Found", Sample: LookupResponse{}},
+		{Name: here + "Notice", Sample: OwnerNotice{}},
+		{Name: here + "Replicate", Sample: ReplicationRequest{}},
+		{Name: here + "Replicated", Sample: ReplicationResponse{}},
+		{Name: here + "SettledNotice", Sample: ReconciledNotice{}},
+		{Name: here + "Concede", Sample: OwnershipTransfer{}},
 		{Name: here + "Claim", Sample: Claim{}},
-		{Name: here + "Claimed", Sample: Claimed{}},
-		{Name: here + "ClaimRequest", Sample: ClaimRequest{}},
+		{Name: here + "Claimed", Sample: ClaimResponse{}},
+		{Name: here + "ClaimRequest", Sample: ClaimPoll{}},
 	}
 }
 
@@ -158,33 +158,33 @@
 	switch m := message.(type) {
 	case InventoryRequest:
 		return m.Stamp, true
-	case Inventory:
+	case InventoryResponse:
 		return m.Stamp, true
-	case Reserve:
+	case ReservationRequest:
 		return m.Stamp, true
-	case Reserved:
+	case ReservationResponse:
 		return m.Stamp, true
-	case Release:
+	case ReservationRelease:
 		return m.Stamp, true
-	case Lookup:
+	case LookupRequest:
 		return m.Stamp, true
-	case Found:
+	case LookupResponse:
 		return m.Stamp, true
-	case Notice:
+	case OwnerNotice:
 		return m.Stamp, true
-	case Replicate:
+	case ReplicationRequest:
 		return m.Stamp, true
-	case Replicated:
+	case ReplicationResponse:
 		return m.Stamp, true
-	case SettledNotice:
+	case ReconciledNotice:
 		return m.Stamp, true
-	case Concede:
+	case OwnershipTransfer:
 		return m.Stamp, true
 	case Claim:
 		return m.Stamp, true
-	case Claimed:
+	case ClaimResponse:
 		return m.Stamp, true
-	case ClaimRequest:
+	case ClaimPoll:
 		return m.Stamp, true
 	default:
 		return Stamp{}, false
--- a/internal/batch/replica/missing_test.go
+++ b/internal/batch/replica/missing_test.go
@@ -50,11 +50,11 @@
 		So(rest[1].submit("new", 4).Status, ShouldEqual, 503) // it can't be told apart
 		c.messages = nil
 		for _, n := range rest { // whoever asks: one may have forgotten who is missing
-			n.machine.Message(rest[0].process(), Reserve{Stamp: n.machine.stamp(), Job: "job", Number: 1})
+			n.machine.Receive(rest[0].process(), ReservationRequest{Stamp: n.machine.stamp(), Job: "job", Number: 1})
 		}
 		So(c.messages, ShouldBeEmpty)
-		rest[0].machine.acceptances["job"] = &acceptance{number: 1, votes: map[placement.Key]Reserved{}, until: time.Hour}
-		rest[0].machine.askArbiters("job", rest[0].machine.acceptances["job"])
+		rest[0].machine.acceptances["job"] = &acceptance{attempt: 1, votes: map[placement.Key]ReservationResponse{}, deadline: time.Hour}
+		rest[0].machine.requestReservations("job", rest[0].machine.acceptances["job"])
 		So(rest[0].machine.acceptances["job"].votes, ShouldBeEmpty)
 		delete(rest[0].machine.acceptances, "job")
 		owner.start()
@@ -161,14 +161,14 @@
 	Convey("A copy that was left behind goes with the batch job, also where it doesn't know that it was closed", t, func() {
 		c, owner, replica := leftBehind()
 		c.lost = func(m clusterMessage) bool {
-			_, told := m.body.(Replicated)
+			_, told := m.body.(ReplicationResponse)
 			return told && m.to == replica.key()
 		}
 		c.view(c.nodes...)
 		c.settle()
-		So(replica.machine.jobs["job"].awaitsOwner(), ShouldBeTrue)
-		So(replica.machine.Standing().HasSettled(), ShouldBeFalse)
-		So(replica.machine.Standing().Behind, ShouldEqual, 1)
+		So(replica.machine.jobs["job"].awaitsRelease(), ShouldBeTrue)
+		So(replica.machine.Status().Reconciled(), ShouldBeFalse)
+		So(replica.machine.Status().Superseded, ShouldEqual, 1)
 		c.now += time.Hour
 		c.settle()
 		So(owner.machine.jobs["job"], ShouldBeNil)
@@ -176,7 +176,7 @@
 		c.lost = nil
 		c.settle()
 		So(replica.machine.jobs["job"], ShouldBeNil)
-		So(replica.machine.Standing().HasSettled(), ShouldBeTrue)
+		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 	})
 }
 
@@ -185,12 +185,12 @@
 	Convey("A copy that was left behind doesn't outlive the batch job", t, func() {
 		c, owner, replica := leftBehind()
 		c.lost = func(m clusterMessage) bool {
-			_, notice := m.body.(SettledNotice)
+			_, notice := m.body.(ReconciledNotice)
 			return notice && m.to == replica.key()
 		}
 		c.view(c.nodes...)
 		c.settle()
-		So(replica.machine.jobs["job"].relieved, ShouldBeTrue)
+		So(replica.machine.jobs["job"].releasable, ShouldBeTrue)
 		c.now += time.Hour
 		c.settle()
 		So(owner.machine.jobs["job"], ShouldBeNil)
@@ -218,7 +218,7 @@
 			return status == 404
 		}
 		So(deny(owner), ShouldBeFalse)
-		So(owner.machine.tooManyLeft(), ShouldBeTrue)
+		So(owner.machine.tooManyDeparted(), ShouldBeTrue)
 		owner.kill() // nor after a further start
 		owner.start()
 		c.view(owner)
@@ -228,8 +228,8 @@
 		c.view(owner, rest[0])
 		c.settle()
 		for _, n := range []*clusterNode{owner, rest[0]} { // its former disk is missing, too
-			So(n.machine.departed.since, ShouldHaveLength, 3)
-			So(n.machine.departed.left(), ShouldEqual, 3)
+			So(n.machine.departures.stores, ShouldHaveLength, 3)
+			So(n.machine.departures.countDeparted(), ShouldEqual, 3)
 		}
 		So(deny(owner) || deny(rest[0]), ShouldBeFalse)
 		replica.start()
@@ -267,15 +267,15 @@
 		first.kill()
 		c.deaf = func(n *clusterNode) bool { return n == replica }
 		c.view(c.others(first)...)
-		replica.machine.View(c.newest)
-		replica.machine.Grant(c.epoch, true, time.Hour)
+		replica.machine.InstallView(c.newest)
+		replica.machine.GrantLease(c.epoch, true, time.Hour)
 		c.settle()
-		So(owner.machine.departed.since, ShouldBeEmpty)
-		So(replica.machine.departed.since, ShouldHaveLength, 1)
+		So(owner.machine.departures.stores, ShouldBeEmpty)
+		So(replica.machine.departures.stores, ShouldHaveLength, 1)
 		c.deaf = nil
 		owner.kill() // the next loss
 		c.view(c.others(first, owner)...)
-		So(replica.machine.departed.missed(), ShouldResemble, []placement.Key{owner.key()})
+		So(replica.machine.departures.missingStores(), ShouldResemble, []placement.Key{owner.key()})
 		c.settle()
 		So(c.owner("job") == replica, ShouldBeTrue)
 		_, status := replica.read("job")
@@ -289,12 +289,12 @@
 		first.start()
 		c.deaf = func(n *clusterNode) bool { return n == c.nodes[3] }
 		c.view(c.nodes...)
-		c.nodes[3].machine.View(c.newest)
-		c.nodes[3].machine.Grant(c.epoch, true, time.Hour)
+		c.nodes[3].machine.InstallView(c.newest)
+		c.nodes[3].machine.GrantLease(c.epoch, true, time.Hour)
 		c.settle()
 		c.deaf = nil
 		So(c.newest.Settled, ShouldBeTrue)
-		So(c.nodes[3].machine.departed.since, ShouldHaveLength, 1)
+		So(c.nodes[3].machine.departures.stores, ShouldHaveLength, 1)
 		var ids []string
 		for i := range 20 {
 			ids = append(ids, fmt.Sprint("job-", i))
@@ -310,7 +310,7 @@
 		c.view(c.nodes...)
 		c.settle()
 		for _, n := range c.nodes {
-			So(n.machine.Standing(), ShouldResemble, Standing{Epoch: c.epoch, Settled: c.epoch})
+			So(n.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
 		}
 		for _, id := range ids {
 			_, status := c.nodes[2].readAnywhere(id)
@@ -349,7 +349,7 @@
 			c.view(away[1:]...)
 			c.settle()
 			for _, n := range away[1:] {
-				So(n.machine.departed.left(), ShouldEqual, copies+1)
+				So(n.machine.departures.countDeparted(), ShouldEqual, copies+1)
 				_, status := n.read("no-such-job")
 				So(status, ShouldEqual, 503)
 			}
@@ -370,11 +370,11 @@
 		second.start()
 		c.view(c.nodes...)
 		n := c.others(twice, second)[0]
-		So(n.machine.departed.since, ShouldHaveLength, 3)
-		So(n.machine.departed.left(), ShouldEqual, 2)
+		So(n.machine.departures.stores, ShouldHaveLength, 3)
+		So(n.machine.departures.countDeparted(), ShouldEqual, 2)
 		c.settle()
 		for _, n := range c.nodes {
-			So(n.machine.Standing(), ShouldResemble, Standing{Epoch: c.epoch, Settled: c.epoch})
+			So(n.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
 		}
 		_, status := n.readAnywhere("job")
 		So(status, ShouldEqual, 200)
@@ -393,27 +393,27 @@
 		second.kill()
 		c.view(c.others(owner, second)...)
 		c.settle()
-		So(replica.machine.Standing().Unowned, ShouldEqual, 1)
+		So(replica.machine.Status().Unowned, ShouldEqual, 1)
 		return c, replica
 	}
 	Convey("It owns what it has once they have been missing for as long as batch jobs are kept", t, func() {
 		c, replica := waiting()
 		c.now += time.Hour + time.Minute
 		c.settle()
-		So(replica.machine.Standing().HasSettled(), ShouldBeTrue)
-		So(replica.machine.jobs["job"].owner, ShouldBeTrue)
+		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
+		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
 	Convey("And once control has agreed that all stand whole without them", t, func() {
 		c, replica := waiting()
 		c.newest.Settled, c.newest.Departed = true, nil
 		for _, n := range c.nodes {
 			if n.log != nil {
-				n.machine.View(c.newest)
+				n.machine.InstallView(c.newest)
 			}
 		}
 		c.settle()
-		So(replica.machine.Standing().HasSettled(), ShouldBeTrue)
-		So(replica.machine.jobs["job"].owner, ShouldBeTrue)
+		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
+		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
 	Convey("A machine that lost its disk, and whose next one can't tell what it held, is missing once", t, func() {
 		c := newCluster(4, 3, 1)
@@ -422,11 +422,11 @@
 		n.start()
 		c.view(c.nodes...)
 		other := c.nodes[1].machine
-		other.departed.noteObscured(n.key(), true, c.now)
-		So(other.departed.since, ShouldHaveLength, 1)
-		So(other.departed.missing(), ShouldEqual, 1)
-		other.departed.noteObscured(c.nodes[2].key(), true, c.now)
-		So(other.departed.missing(), ShouldEqual, 2)
+		other.departures.noteLog(n.key(), true, c.now)
+		So(other.departures.stores, ShouldHaveLength, 1)
+		So(other.departures.countMissing(), ShouldEqual, 1)
+		other.departures.noteLog(c.nodes[2].key(), true, c.now)
+		So(other.departures.countMissing(), ShouldEqual, 2)
 	})
 }
 
@@ -446,12 +446,12 @@
 		c.rejoin(taker)
 		ask := func() bool {
 			c.messages = nil
-			owner.machine.Message(leaving.process(), Replicate{Stamp: leaving.machine.stamp(), Job: "job"})
+			owner.machine.Receive(leaving.process(), ReplicationRequest{Stamp: leaving.machine.stamp(), Job: "job"})
 			So(c.messages, ShouldHaveLength, 1)
-			return c.messages[0].body.(Replicated).Whole
+			return c.messages[0].body.(ReplicationResponse).Whole
 		}
 		So(ask(), ShouldBeTrue) // nothing was heard of it yet
-		owner.machine.Message(taker.process(), InventoryRequest{Stamp: taker.machine.stamp()})
+		owner.machine.Receive(taker.process(), InventoryRequest{Stamp: taker.machine.stamp()})
 		So(ask(), ShouldBeFalse)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		c.settle()
@@ -489,7 +489,7 @@
 			n.losePower()
 			n.start()
 			c.rejoin(n)
-			So(n.machine.departed.since, ShouldBeEmpty)
+			So(n.machine.departures.stores, ShouldBeEmpty)
 		}
 	})
 	Convey("One that was away misses only what was lost", t, func() {
@@ -509,8 +509,8 @@
 		c.view(leaving, rest)
 		away.start() // with the only copy
 		c.view(away, rest)
-		So(away.machine.departed.since, ShouldHaveLength, 1)
-		So(rest.machine.departed.since, ShouldHaveLength, 1)
+		So(away.machine.departures.stores, ShouldHaveLength, 1)
+		So(rest.machine.departures.stores, ShouldHaveLength, 1)
 		c.settle()
 		_, status := away.readAnywhere("job")
 		So(status, ShouldEqual, 200)
@@ -550,7 +550,7 @@
 			c.view(c.nodes...)
 			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // what the others told in the last epoch counts no more
 			c.lost = func(m clusterMessage) bool {
-				_, notice := m.body.(SettledNotice)
+				_, notice := m.body.(ReconciledNotice)
 				return notice && m.to == leaving.key()
 			}
 			c.settle()
@@ -558,8 +558,8 @@
 			c.lost = nil
 			c.settle()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
-			So(gone.machine.jobs["job"].durable, ShouldEqual, 1)
-			So(stays.machine.jobs["job"].durable, ShouldEqual, 1)
+			So(gone.machine.jobs["job"].durableResults, ShouldEqual, 1)
+			So(stays.machine.jobs["job"].durableResults, ShouldEqual, 1)
 		}
 	})
 }
--- a/internal/batch/replica/planted_test.go
+++ b/internal/batch/replica/planted_test.go
@@ -81,12 +81,12 @@
 
 // plantAcknowledgement tells the owner, now and then, at once that what it sent is on the disk.
 func (s *store) plantAcknowledgement(owner protocol.Process, message any) {
-	replicate, ok := message.(Replicate)
+	replicate, ok := message.(ReplicationRequest)
 	h := s.machine.jobs[replicate.Job]
 	if s.world.plant != plantAckEarly || !ok || h == nil || h.version != replicate.Version || s.world.random.IntN(3) > 0 {
 		return // not always: two answers to each message would be a storm
 	}
-	s.Send(owner, Replicated{
+	s.Send(owner, ReplicationResponse{
 		Stamp: s.machine.stamp(), Job: h.id, Held: true, Version: h.version, Count: len(h.results), Ended: h.ended,
 	})
 }
@@ -107,21 +107,21 @@
 	}
 	for _, h := range s.machine.order {
 		switch {
-		case !h.owner || !h.whole || h.ended:
+		case !h.owned || !h.replicated || h.ended:
 		case c.plant == plantShowEarly:
-			h.shown = max(h.shown, h.durable)
-			s.machine.answerReaders(h)
-		case h.durable < len(h.results):
+			h.committedResults = max(h.committedResults, h.durableResults)
+			s.machine.answerReads(h)
+		case h.durableResults < len(h.results):
 			s.plantCopy(h)
 		}
 	}
 }
 
 // plantCopy writes a copy with the durable results only, behind those that are on their way.
-func (s *store) plantCopy(h *held) {
-	message := Replicate{}
-	if s.machine.fillCopy(h, &message, h.durable) {
-		record := encodeCopy(h.id, h.version, h.replicas, h.endDurable, message.Content, message.Results)
+func (s *store) plantCopy(h *storedJob) {
+	message := ReplicationRequest{}
+	if s.machine.fillFullCopy(h, &message, h.durableResults) {
+		record := encodeCopy(h.id, h.version, h.replicas, h.endedDurable, message.Content, message.Results)
 		s.machine.write(record, false, func() {})
 	}
 }
--- a/internal/batch/replica/progress.go
+++ b/internal/batch/replica/progress.go
@@ -17,9 +17,9 @@
 }
 
 // Progress keeps events of a running item: those that follow the event with the id after, up to the one with the id last.
-func (m *Machine) Progress(id string, index int, after, last int64, events [][]byte) {
+func (m *StateMachine) SaveProgress(id string, index int, after, last int64, events [][]byte) {
 	h := m.jobs[id]
-	if h == nil || !h.owner || h.ended || h.items[index].listed {
+	if h == nil || !h.owned || h.ended || h.items[index].finished {
 		return
 	}
 	record := job.AppendText([]byte{recordProgress}, id)
@@ -35,7 +35,7 @@
 }
 
 // replayProgress takes events up that follow those known; others are of a run that nothing came of.
-func (h *held) replayProgress(r *job.Reader, at wal.Location, record []byte) *Finding {
+func (h *storedJob) replayProgress(r *job.Reader, at wal.Location, record []byte) *Finding {
 	item := r.Uvarint()
 	after, last := r.Varint(), r.Varint()
 	count := r.Uvarint()
@@ -43,7 +43,7 @@
 		return &Finding{Problem: ProblemRecord}
 	}
 	index := int(item)
-	if h.items[index].listed {
+	if h.items[index].finished {
 		return nil
 	}
 	known, started := h.progress[index]
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -15,21 +15,21 @@
 		s := w.stores[0]
 		s.idle = true
 		content := &job.Content{ID: "job", Tenant: "t", Items: []job.Item{{ID: "a", Path: "/"}, {ID: "b", Path: "/"}, {ID: "c", Path: "/"}}}
-		s.machine.store(&acceptance{content: content})
+		s.machine.writeAccepted(&acceptance{content: content})
 		s.sync()
-		So(s.machine.jobs["job"].whole, ShouldBeTrue)
+		So(s.machine.jobs["job"].replicated, ShouldBeTrue)
 		events := func(texts ...string) (list [][]byte) {
 			for _, text := range texts {
 				list = append(list, []byte(text))
 			}
 			return list
 		}
-		s.machine.Progress("job", 0, -1, 2, events("one", "two"))
-		s.machine.Progress("job", 0, 2, 3, events("three"))
-		s.machine.Progress("job", 0, 5, 6, events("a hole"))
-		s.machine.Progress("job", 1, -1, 1, events("lost"))
-		s.machine.Progress("job", 1, -1, 1, events("again"))
-		s.machine.Progress("job", 2, -1, 1, events("listed"))
+		s.machine.SaveProgress("job", 0, -1, 2, events("one", "two"))
+		s.machine.SaveProgress("job", 0, 2, 3, events("three"))
+		s.machine.SaveProgress("job", 0, 5, 6, events("a hole"))
+		s.machine.SaveProgress("job", 1, -1, 1, events("lost"))
+		s.machine.SaveProgress("job", 1, -1, 1, events("again"))
+		s.machine.SaveProgress("job", 2, -1, 1, events("listed"))
 		So(s.machine.Finish("job", 2, job.Completed, []byte("whole")), ShouldBeTrue)
 		s.sync()
 		s.kill()
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -86,8 +86,8 @@
 }
 
 // readResult reads a result and says where its text stands; whole is the record that it is read from.
-func readResult(r *job.Reader, whole []byte, at wal.Location) heldResult {
-	result := heldResult{item: int32(r.Uvarint())}
+func readResult(r *job.Reader, whole []byte, at wal.Location) storedResult {
+	result := storedResult{item: int32(r.Uvarint())}
 	state := r.Take(1)
 	text := r.Bytes()
 	if r.Failed {
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -30,13 +30,13 @@
 			n.start()
 			c.view(n)
 			c.settle()
-			So(n.machine.jobs["job"].durable, ShouldEqual, 5)
+			So(n.machine.jobs["job"].durableResults, ShouldEqual, 5)
 			n.finish("job", 5)
 			c.settle()
 			n.losePower()
 			n.start()
 			So(n.found, ShouldBeEmpty)
-			So(n.machine.jobs["job"].durable, ShouldEqual, 6)
+			So(n.machine.jobs["job"].durableResults, ShouldEqual, 6)
 		}
 	})
 }
@@ -90,9 +90,9 @@
 			So(finding.At.Segment, ShouldBeGreaterThan, uint32(0))
 			So(errors.Is(finding, job.ErrCorrupt), ShouldBeTrue)
 			So(finding.Error(), ShouldContainSubstring, "job")
-			So(n.machine.obscured, ShouldEqual, test.obscure)
-			So(n.machine.jobs["job"].damaged, ShouldBeTrue)
-			So(n.machine.jobs["sound"].damaged, ShouldBeFalse)
+			So(n.machine.incompleteLog, ShouldEqual, test.obscure)
+			So(n.machine.jobs["job"].corrupt, ShouldBeTrue)
+			So(n.machine.jobs["sound"].corrupt, ShouldBeFalse)
 			c.view(n)
 			c.settle()
 			for _, id := range []string{"sound", "job"} {
@@ -102,7 +102,7 @@
 			}
 			n.kill()
 			n.start()
-			So(n.machine.jobs["job"].damaged, ShouldBeFalse) // a new copy of the sound part stands behind it
+			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part stands behind it
 			So(n.found, ShouldHaveLength, 1)
 			n.disk.Wipe()
 			n.start()
@@ -117,14 +117,14 @@
 	Convey("Records of the store itself are told, too", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
-		view := n.machine.departed.encode()
+		view := n.machine.departures.encode()
 		n.inject(view[:len(view)-3], []byte{recordCopy})
 		So(n.found, ShouldHaveLength, 2)
 		for _, finding := range n.found {
 			So(finding.Problem, ShouldEqual, ProblemRecord)
 			So(finding.Job, ShouldBeEmpty)
 		}
-		So(n.machine.obscured, ShouldBeTrue)
+		So(n.machine.incompleteLog, ShouldBeTrue)
 		So(n.machine.Replay(wal.Location{}, nil), ShouldNotBeNil)
 	})
 }
@@ -135,7 +135,7 @@
 	n := c.nodes[0]
 	n.submit("job", 4)
 	n.finish("job", 0, 1)
-	n.machine.Progress("job", 2, -1, 3, [][]byte{[]byte("event")})
+	n.machine.SaveProgress("job", 2, -1, 3, [][]byte{[]byte("event")})
 	c.settle()
 	h := n.machine.jobs["job"]
 	content, err := n.Read(h.contentAt)
@@ -144,7 +144,7 @@
 	}
 	whole := [][]byte{
 		encodeCopy("job", h.version, h.replicas, false, content, []Result{{Item: 1, State: 1, Text: []byte("x")}}),
-		encodeReplicas("job", h.version, h.replicas), encodeEnded("job"), gap("job", 2, 2), n.machine.departed.encode(),
+		encodeReplicas("job", h.version, h.replicas), encodeEnded("job"), gap("job", 2, 2), n.machine.departures.encode(),
 		append(job.AppendText([]byte{recordProgress}, "job"), 2, 1, 6, 1, 1, 'x'), encodeDropped("job"),
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -158,8 +158,8 @@
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record[:1+random.IntN(len(record))])
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record)
 		_ = n.machine.Replay(wal.Location{Segment: 1}, whole[random.IntN(len(whole))])
-		if held := n.machine.jobs["job"]; held != nil && (held.durable != len(held.results) || len(held.results) > len(held.items)) {
-			t.Fatalf("%d results durable of %d, %d items", held.durable, len(held.results), len(held.items))
+		if held := n.machine.jobs["job"]; held != nil && (held.durableResults != len(held.results) || len(held.results) > len(held.items)) {
+			t.Fatalf("%d results durable of %d, %d items", held.durableResults, len(held.results), len(held.items))
 		}
 	}
 }
@@ -168,11 +168,11 @@
 func TestDamagedOwner(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		record func(h *held) []byte
+		record func(h *storedJob) []byte
 	}{
-		{"a gap in the results", func(*held) []byte { return gap("job", 5, 5) }},
-		{"the whole batch job is gone", func(*held) []byte { return encodeDropped("job") }},
-		{"its copy can't be read", func(h *held) []byte {
+		{"a gap in the results", func(*storedJob) []byte { return gap("job", 5, 5) }},
+		{"the whole batch job is gone", func(*storedJob) []byte { return encodeDropped("job") }},
+		{"its copy can't be read", func(h *storedJob) []byte {
 			return encodeCopy("job", h.version+1, h.replicas, false, []byte("?"), nil)
 		}},
 	} {
@@ -211,8 +211,8 @@
 				So(c.owner("job") == owner, ShouldBeFalse)
 				for _, n := range c.nodes {
 					if h := n.machine.jobs["job"]; h != nil && h.version == c.owner("job").machine.jobs["job"].version {
-						So(h.damaged, ShouldBeFalse)
-						So(h.durable, ShouldEqual, 3)
+						So(h.corrupt, ShouldBeFalse)
+						So(h.durableResults, ShouldEqual, 3)
 					}
 				}
 				c.owner("job").wipe() // the next loss
@@ -267,11 +267,11 @@
 			owner.finish("job", 3)
 			c.settle()
 			So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
-			So(replica.machine.jobs["job"].durable, ShouldEqual, 4)
+			So(replica.machine.jobs["job"].durableResults, ShouldEqual, 4)
 			replica.kill()
 			replica.start()
-			So(replica.machine.jobs["job"].damaged, ShouldBeFalse)
-			So(replica.machine.jobs["job"].durable, ShouldEqual, 4)
+			So(replica.machine.jobs["job"].corrupt, ShouldBeFalse)
+			So(replica.machine.jobs["job"].durableResults, ShouldEqual, 4)
 			owner.wipe()
 			c.view(replica)
 			c.settle()
@@ -298,11 +298,11 @@
 		texts, status := replica.read("job")
 		So(status, ShouldEqual, 200)
 		So(texts, ShouldResemble, []string{"0", "1", "2"})
-		So(owner.machine.jobs["job"].durable, ShouldEqual, 3)
-		So(owner.machine.jobs["job"].damaged, ShouldBeFalse)
+		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 3)
+		So(owner.machine.jobs["job"].corrupt, ShouldBeFalse)
 		replica.finish("job", 6)
 		c.settle()
-		So(owner.machine.jobs["job"].durable, ShouldEqual, 4)
+		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 4)
 	})
 	Convey("A batch job that may have been lost with a damaged log and a disk is refused for now, not denied", t, func() {
 		c := newCluster(2, 2, 1)
@@ -355,12 +355,12 @@
 		content, err := replica.Read(h.contentAt)
 		So(err, ShouldBeNil)
 		fillSegment(replica)
-		replica.machine.writeView() // so that only the copy is in the way
+		replica.machine.writeViewRecord() // so that only the copy is in the way
 		replica.flush()
 		owner := c.owner("job").process()
-		message := Replicate{Stamp: replica.machine.stamp(), Job: "job", Version: h.version + 1, Replicas: h.replicas, Content: content}
+		message := ReplicationRequest{Stamp: replica.machine.stamp(), Job: "job", Version: h.version + 1, Replicas: h.replicas, Content: content}
 		for range 2 { // a further one, too
-			replica.machine.Message(owner, message)
+			replica.machine.Receive(owner, message)
 			message.Version++
 			So(replica.machine.jobs["job"].contentAt.Segment, ShouldBeGreaterThan, before)
 			So(replica.machine.OldestSegment(100), ShouldEqual, before)
@@ -372,8 +372,8 @@
 		c := newCluster(2, 2, 1)
 		n := c.nodes[0]
 		c.settle()
-		before := n.machine.departed.at.Segment
-		acted, since := n.machine.ActedIn(), n.machine.departed.memberSince
+		before := n.machine.departures.viewRecordAt.Segment
+		acted, since := n.machine.ActedIn(), n.machine.departures.memberSince
 		So(acted, ShouldEqual, c.epoch)
 		fillSegment(n)
 		So(n.machine.OldestSegment(100), ShouldEqual, before) // still needed, for now
@@ -386,7 +386,7 @@
 		n.kill()
 		n.start()
 		So(n.machine.ActedIn(), ShouldEqual, acted)
-		So(n.machine.departed.memberSince, ShouldEqual, since)
+		So(n.machine.departures.memberSince, ShouldEqual, since)
 	})
 }
 
@@ -415,8 +415,8 @@
 		owner.start()
 		So(owner.found, ShouldHaveLength, 1)
 		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
-		So(owner.machine.obscured, ShouldBeTrue)
-		findings, damaged := owner.machine.Damage()
+		So(owner.machine.incompleteLog, ShouldBeTrue)
+		findings, damaged := owner.machine.Corruption()
 		So(findings, ShouldEqual, 1)
 		So(damaged, ShouldEqual, 2)
 		So(owner.machine.jobs["before"].results, ShouldHaveLength, 2)
@@ -428,11 +428,11 @@
 			So(status, ShouldEqual, 200)
 			So(texts, ShouldResemble, []string{"0", "1", "2"})
 		}
-		So(owner.machine.jobs["across"].durable, ShouldEqual, 3)
-		So(owner.machine.obscured, ShouldBeFalse) // all stand whole again
+		So(owner.machine.jobs["across"].durableResults, ShouldEqual, 3)
+		So(owner.machine.incompleteLog, ShouldBeFalse) // all stand whole again
 		_, status := owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
-		findings, damaged = owner.machine.Damage()
+		findings, damaged = owner.machine.Corruption()
 		So(findings, ShouldEqual, 1)
 		So(damaged, ShouldEqual, 0)
 	})
@@ -455,7 +455,7 @@
 		owner.start()
 		So(owner.found, ShouldHaveLength, 1)
 		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
-		So(owner.machine.jobs["job"].damaged, ShouldBeTrue)
+		So(owner.machine.jobs["job"].corrupt, ShouldBeTrue)
 		So(owner.machine.jobs["job"].results, ShouldHaveLength, 1)
 		c.rejoin(owner)
 		c.settle()
@@ -463,7 +463,7 @@
 			texts, status := n.readAnywhere("job")
 			So(status, ShouldEqual, 200)
 			So(texts, ShouldResemble, []string{"0", "1", "2"})
-			So(n.machine.jobs["job"].damaged, ShouldBeFalse)
+			So(n.machine.jobs["job"].corrupt, ShouldBeFalse)
 		}
 	})
 }
@@ -479,7 +479,7 @@
 		owner.inject(gap("job", 3, 3))
 		lost := 0
 		c.lost = func(m clusterMessage) bool {
-			_, concede := m.body.(Concede)
+			_, concede := m.body.(OwnershipTransfer)
 			if concede {
 				lost++
 			}
@@ -489,8 +489,8 @@
 		c.settle()
 		So(lost, ShouldEqual, 4) // the third is heard, the next asks whether the set is whole
 		So(c.owner("job") == replica, ShouldBeTrue)
-		So(owner.machine.concession, ShouldBeEmpty)
-		So(owner.machine.jobs["job"].durable, ShouldEqual, 1)
+		So(owner.machine.transfers, ShouldBeEmpty)
+		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 1)
 	})
 }
 
@@ -503,17 +503,17 @@
 		c.settle()
 		owner.inject(encodeDropped("job"))
 		c.lost = func(m clusterMessage) bool {
-			_, concede := m.body.(Concede)
+			_, concede := m.body.(OwnershipTransfer)
 			return concede
 		}
 		c.rejoin(owner)
 		c.settle()
-		So(owner.machine.concession, ShouldHaveLength, 1)
+		So(owner.machine.transfers, ShouldHaveLength, 1)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		replica.machine.discard(replica.machine.jobs["job"])
 		c.lost = nil
 		c.settle()
-		So(owner.machine.concession, ShouldBeEmpty)
+		So(owner.machine.transfers, ShouldBeEmpty)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
 }
--- a/internal/batch/replica/replay.go
+++ b/internal/batch/replica/replay.go
@@ -11,31 +11,31 @@
 
 // Replay applies a record of the log of earlier lives, in order. An error is a *Finding: the record could not be used. It
 // has been dealt with, and Replay goes on with the next record.
-func (m *Machine) Replay(at wal.Location, record []byte) error {
+func (m *StateMachine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
 		return nil
 	}
 	finding.At = at
-	m.note(finding)
+	m.noteFinding(finding)
 	return finding
 }
 
 // Skipped tells, between two records, that a part of the log in between can't be read at all. Whatever is held may have gone on
 // in it, and counts as damaged, also where nothing of it follows.
-func (m *Machine) Skipped(at wal.Location) *Finding {
+func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
 	for _, h := range m.order {
-		h.damaged = true
+		h.corrupt = true
 	}
 	finding := &Finding{Problem: ProblemSkipped, At: at}
-	m.note(finding)
+	m.noteFinding(finding)
 	return finding
 }
 
 // Damage counts the parts of the log that this start could not use, and the batch jobs that are still damaged for them.
-func (m *Machine) Damage() (findings, damaged int) {
+func (m *StateMachine) Corruption() (findings, damaged int) {
 	for _, h := range m.order {
-		if h.damaged {
+		if h.corrupt {
 			damaged++
 		}
 	}
@@ -43,29 +43,29 @@
 }
 
 // note draws what follows from a record that can't be used for what this store may claim.
-func (m *Machine) note(finding *Finding) {
+func (m *StateMachine) noteFinding(finding *Finding) {
 	m.findings++
-	if finding.hides() {
-		m.obscured = true
+	if finding.mayHideJobs() {
+		m.incompleteLog = true
 	}
-	if h := m.jobs[finding.Job]; h != nil && finding.damages() {
-		h.damaged = true
+	if h := m.jobs[finding.Job]; h != nil && finding.corruptsJob() {
+		h.corrupt = true
 	}
 }
 
-func (m *Machine) replay(at wal.Location, record []byte) *Finding {
+func (m *StateMachine) replay(at wal.Location, record []byte) *Finding {
 	if len(record) == 0 {
 		return &Finding{Problem: ProblemKind}
 	}
 	if record[0] == recordView {
-		return m.departed.replay(at, record)
+		return m.departures.replay(at, record)
 	}
 	r := &job.Reader{Rest: record[1:]}
 	id := r.Text()
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord, Kind: record[0]}
 	}
-	finding := m.replayOf(r, id, at, record)
+	finding := m.replayJobRecord(r, id, at, record)
 	if finding != nil {
 		finding.Job, finding.Kind = id, record[0]
 	}
@@ -73,12 +73,12 @@
 }
 
 // replayOf applies a record of a batch job.
-func (m *Machine) replayOf(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
+func (m *StateMachine) replayJobRecord(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
 	switch record[0] {
 	case recordCopy:
 		return m.replayCopy(r, id, at, record)
 	case recordDropped:
-		m.drop(id)
+		m.removeJob(id)
 		return nil
 	case recordResult, recordProgress, recordEnded, recordReplicas:
 	default:
@@ -92,12 +92,12 @@
 }
 
 // replay applies a record that goes on from a copy.
-func (h *held) replay(r *job.Reader, at wal.Location, record []byte) *Finding {
+func (h *storedJob) replay(r *job.Reader, at wal.Location, record []byte) *Finding {
 	if record[0] == recordEnded {
-		h.ended, h.endDurable = true, true // no matter of which copy: an end is for good
+		h.ended, h.endedDurable = true, true // no matter of which copy: an end is for good
 		return nil
 	}
-	if h.damaged {
+	if h.corrupt {
 		return nil // it may be of a copy that isn't here
 	}
 	switch record[0] {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (h *held) replayReplicas(r *job.Reader) *Finding {
+func (h *storedJob) replayReplicas(r *job.Reader) *Finding {
 	version, replicas := readReplicas(r)
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (m *Machine) replayCopy(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
+func (m *StateMachine) replayCopy(r *job.Reader, id string, at wal.Location, record []byte) *Finding {
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
 	content := r.Bytes()
@@ -127,46 +127,46 @@
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
 	}
-	h, err := newHeld(content, at.Part(uint32(end-len(content)), uint32(len(content))))
+	h, err := newStoredJob(content, at.Part(uint32(end-len(content)), uint32(len(content))))
 	if err != nil || h.id != id {
 		return &Finding{Problem: ProblemContent}
 	}
 	h.version, h.replicas = version, replicas
-	h.ended, h.endDurable = ended[0] == 1, ended[0] == 1
-	h.copyDurable = true
-	m.keep(h)
+	h.ended, h.endedDurable = ended[0] == 1, ended[0] == 1
+	h.versionDurable = true
+	m.putJob(h)
 	count := r.Uvarint()
 	for position := uint64(0); position < count && !r.Failed; position++ {
 		result := readResult(r, record, at)
-		if r.Failed || !h.mayList(result) {
-			return &Finding{Problem: ProblemResult, Position: int(position), Held: len(h.results)}
+		if r.Failed || !h.acceptsResult(result) {
+			return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(h.results)}
 		}
-		h.list(result)
-		h.durable = len(h.results)
+		h.appendResult(result)
+		h.durableResults = len(h.results)
 	}
 	if r.Failed {
-		return &Finding{Problem: ProblemRecord, Held: len(h.results)}
+		return &Finding{Problem: ProblemRecord, SoundResults: len(h.results)}
 	}
 	return nil
 }
 
-func (h *held) replayResult(r *job.Reader, at wal.Location, record []byte) *Finding {
+func (h *storedJob) replayResult(r *job.Reader, at wal.Location, record []byte) *Finding {
 	position := r.Uvarint()
 	result := readResult(r, record, at)
 	switch {
 	case r.Failed:
-		return &Finding{Problem: ProblemRecord, Held: len(h.results)}
+		return &Finding{Problem: ProblemRecord, SoundResults: len(h.results)}
 	case position != uint64(len(h.results)):
-		return &Finding{Problem: ProblemGap, Position: int(position), Held: len(h.results)}
-	case !h.mayList(result):
-		return &Finding{Problem: ProblemResult, Position: int(position), Held: len(h.results)}
+		return &Finding{Problem: ProblemGap, Position: int(position), SoundResults: len(h.results)}
+	case !h.acceptsResult(result):
+		return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(h.results)}
 	}
-	h.list(result)
-	h.durable = len(h.results)
+	h.appendResult(result)
+	h.durableResults = len(h.results)
 	return nil
 }
 
 // mayList tells whether a result is of an item that there is and that isn't listed.
-func (h *held) mayList(result heldResult) bool {
-	return result.item >= 0 && int(result.item) < len(h.items) && !h.items[result.item].listed
+func (h *storedJob) acceptsResult(result storedResult) bool {
+	return result.item >= 0 && int(result.item) < len(h.items) && !h.items[result.item].finished
 }
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -17,7 +17,7 @@
 // silence loses what a node sends to bring others up to its state.
 func (c *cluster) silence(n *clusterNode) {
 	c.lost = func(m clusterMessage) bool {
-		_, replicates := m.body.(Replicate)
+		_, replicates := m.body.(ReplicationRequest)
 		return replicates && m.from.Node == n.process().Node
 	}
 }
@@ -32,7 +32,7 @@
 		c.silence(successor)
 		c.view(c.nodes...)
 		c.settle()
-		So(successor.machine.jobs["job"].owner, ShouldBeTrue)
+		So(successor.machine.jobs["job"].owned, ShouldBeTrue)
 		So(successor.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		leaving.kill()
 		leaving.start()
@@ -101,9 +101,9 @@
 			obscured.disk.Wipe()
 			obscured.start()
 			obscured.inject(job.AppendText([]byte{200}, "?"))
-			So(obscured.machine.obscured, ShouldBeTrue)
+			So(obscured.machine.incompleteLog, ShouldBeTrue)
 			c.lost = func(m clusterMessage) bool {
-				_, notice := m.body.(SettledNotice)
+				_, notice := m.body.(ReconciledNotice)
 				return notice && noticesLost
 			}
 			c.view(c.others(off)...)
@@ -147,7 +147,7 @@
 		leaving.state = protocol.StoreRetiring
 		rest := c.others(off...)
 		c.lost = func(m clusterMessage) bool { // the copy comes later
-			replicate, is := m.body.(Replicate)
+			replicate, is := m.body.(ReplicationRequest)
 			return is && replicate.Content != nil
 		}
 		c.view(rest...)
@@ -155,7 +155,7 @@
 			c.calm()
 			c.now += 100 * time.Millisecond
 		}
-		handing := leaving.machine.jobs["job"].handing[0]
+		handing := leaving.machine.jobs["job"].handoverReplicas[0]
 		successor := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process() == handing })]
 		So(successor.machine.Report().Settled, ShouldEqual, c.epoch)
 		poll(rest)
@@ -163,7 +163,7 @@
 		c.now += 700 * time.Millisecond
 		leaving.machine.Tick()
 		c.calm()
-		So(successor.machine.jobs["job"].owner, ShouldBeTrue)
+		So(successor.machine.jobs["job"].owned, ShouldBeTrue)
 		leaving.kill()
 		leaving.start()
 		c.rejoin(leaving)
@@ -192,13 +192,13 @@
 		c.silence(replica)
 		c.rejoin(owner)
 		c.settle()
-		So(replica.machine.jobs["job"].owner, ShouldBeTrue)
+		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
-		So(owner.machine.Standing().Conceded, ShouldEqual, 1)
+		So(owner.machine.Status().Transferring, ShouldEqual, 1)
 		c.lost = nil
 		c.settle()
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
-		So(owner.machine.Standing().Conceded, ShouldEqual, 0)
+		So(owner.machine.Status().Transferring, ShouldEqual, 0)
 	})
 }
 
@@ -213,31 +213,31 @@
 		c.settle()
 		owner.inject(gap("job", 3, 3))
 		c.lost = func(m clusterMessage) bool {
-			_, concede := m.body.(Concede)
+			_, concede := m.body.(OwnershipTransfer)
 			return concede
 		}
 		c.rejoin(owner)
 		c.settle()
-		So(owner.machine.concession, ShouldHaveLength, 1)
+		So(owner.machine.transfers, ShouldHaveLength, 1)
 		return owner, replica
 	}
 	Convey("It isn't in vain where the new owner has yet to write the version that it chose", t, func() {
 		owner, replica := given()
-		version := owner.machine.concession["job"].version
-		owner.machine.replicated(replica.key(), Replicated{Job: "job", Version: version + 1})
-		So(owner.machine.concession, ShouldHaveLength, 1)
+		version := owner.machine.transfers["job"].version
+		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version + 1})
+		So(owner.machine.transfers, ShouldHaveLength, 1)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, owner.machine.Epoch())
-		owner.machine.replicated(replica.key(), Replicated{Job: "job", Version: version})
-		So(owner.machine.settled, ShouldBeFalse) // it looks again at who holds what
+		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version})
+		So(owner.machine.reconciled, ShouldBeFalse) // it looks again at who holds what
 	})
 	Convey("It ends where the batch job falls to this store again", t, func() {
 		owner, _ := given()
 		h := owner.machine.jobs["job"]
-		h.damaged = false
-		owner.machine.take(h)
-		So(owner.machine.concession, ShouldBeEmpty)
+		h.corrupt = false
+		owner.machine.takeOwnership(h)
+		So(owner.machine.transfers, ShouldBeEmpty)
 		owner.cluster.now += time.Second
 		owner.machine.Tick()
-		So(h.owner, ShouldBeTrue)
+		So(h.owned, ShouldBeTrue)
 	})
 }
--- a/internal/batch/replica/runs_test.go
+++ b/internal/batch/replica/runs_test.go
@@ -109,7 +109,7 @@
 		}
 		line := fmt.Sprintf("%s/%d event %d by %s at %d", id, index, len(lines)+1, s.node, s.world.now)
 		lines := append(lines[:len(lines):len(lines)], line)
-		s.machine.Progress(id, index, after, int64(len(lines)), [][]byte{[]byte(line)})
+		s.machine.SaveProgress(id, index, after, int64(len(lines)), [][]byte{[]byte(line)})
 		s.nextEvent(id, run, index, lines)
 	})
 }
--- a/internal/batch/replica/set_check_test.go
+++ b/internal/batch/replica/set_check_test.go
@@ -37,29 +37,29 @@
 // mayRun tells whether a store owns the batch job and may act on it.
 func (w *setWorld) mayRun(s *setStore) bool {
 	h := s.machine.jobs[setJob]
-	return h != nil && s.machine.Allowed() && h.owner && h.whole && !h.ended && len(h.handing) == 0
+	return h != nil && s.machine.MayAct() && h.owned && h.replicated && !h.ended && len(h.handoverReplicas) == 0
 }
 
 // read reads at the owner what it hasn't shown in this life yet.
 func (w *setWorld) read(s *setStore) {
 	h := s.machine.jobs[setJob]
-	if h == nil || !h.owner || !h.whole || !s.machine.Allowed() {
+	if h == nil || !h.owned || !h.replicated || !s.machine.MayAct() {
 		return
 	}
-	if h.shown > s.shown || w.client.ended != h.ended {
-		s.shown = h.shown
+	if h.committedResults > s.shown || w.client.ended != h.ended {
+		s.shown = h.committedResults
 		w.seeAll(s, h)
 	}
 }
 
-func (w *setWorld) seeAll(s *setStore, h *held) {
+func (w *setWorld) seeAll(s *setStore, h *storedJob) {
 	if w.client.ended && !h.ended {
 		w.fail("%s serves an ended batch job as open", s.node)
 	}
-	if h.shown < len(w.client.seen) && h.ended {
-		w.fail("%s shows %d results of an ended batch job, %d were", s.node, h.shown, len(w.client.seen))
+	if h.committedResults < len(w.client.seen) && h.ended {
+		w.fail("%s shows %d results of an ended batch job, %d were", s.node, h.committedResults, len(w.client.seen))
 	}
-	for position := range h.shown {
+	for position := range h.committedResults {
 		result, ok := s.machine.result(h, position)
 		if !ok {
 			w.fail("%s can't read what it shows", s.node)
@@ -101,13 +101,13 @@
 	if s.audited == s.durable {
 		return s.audit
 	}
-	m := New(Options{Self: s.process(), Copies: s.world.copies, KeepFor: time.Hour}, &setStore{world: s.world})
+	m := New(Options{Self: s.process(), ReplicationFactor: s.world.copies, Retention: time.Hour}, &setStore{world: s.world})
 	for i, record := range s.disk[:s.durable] {
 		_ = m.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
 	}
 	s.audited, s.audit = s.durable, nil
 	if h := m.jobs[setJob]; h != nil {
-		s.audit = &setCopy{version: h.version, ended: h.endDurable}
+		s.audit = &setCopy{version: h.version, ended: h.endedDurable}
 		for _, result := range h.results {
 			text, _ := s.Read(result.at)
 			s.audit.results = append(s.audit.results, fmt.Sprintf("item %d: %s", result.item, text))
--- a/internal/batch/replica/set_world_test.go
+++ b/internal/batch/replica/set_world_test.go
@@ -66,7 +66,7 @@
 	node        string
 	incarnation int
 	life        uint64
-	machine     *Machine
+	machine     *StateMachine
 	disk        [][]byte
 	durable     int // records that a loss of power leaves
 	base        int // records at the start of the process
@@ -78,8 +78,8 @@
 	wipedAt     time.Duration // it lost its last disk
 	leaseUntil  time.Duration
 	inbox       []func()
-	answers     map[Token]func(protocol.BatchAnswer)
-	tokens      Token
+	answers     map[CallID]func(protocol.BatchAnswer)
+	tokens      CallID
 	shown       int // results that were read from this life
 	audited     int // records that audit stands for
 	audit       *setCopy
@@ -128,12 +128,12 @@
 	s.up, s.frozen, s.inbox, s.shown = true, false, nil, 0
 	s.heardAt = s.world.now
 	s.base, s.durable = len(s.disk), len(s.disk)
-	s.answers = map[Token]func(protocol.BatchAnswer){}
+	s.answers = map[CallID]func(protocol.BatchAnswer){}
 	copies := s.world.copies
 	if s.world.bugs.fewCopies {
 		copies--
 	}
-	s.machine = New(Options{Self: s.process(), Life: s.life, Copies: copies, KeepFor: time.Hour}, s)
+	s.machine = New(Options{Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: copies, Retention: time.Hour}, s)
 	for i, record := range s.disk {
 		if err := s.machine.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
 			s.world.fail("%s finds its log unreadable: %v", s.node, err)
@@ -188,12 +188,12 @@
 // The machine's environment.
 
 func (s *setStore) Now() time.Duration              { return s.world.now }
-func (s *setStore) Wall() int64                     { return s.world.now.Milliseconds() }
+func (s *setStore) WallClock() int64                { return s.world.now.Milliseconds() }
 func (s *setStore) QueueLimit(string) (int64, bool) { return 0, true }
 
-func (s *setStore) Free() int64  { return 1 << 40 }
-func (s *setStore) Start(string) {}
-func (s *setStore) Stop(string)  {}
+func (s *setStore) FreeBytes() int64 { return 1 << 40 }
+func (s *setStore) Start(string)     {}
+func (s *setStore) Stop(string)      {}
 
 func (s *setStore) Write(record []byte, _ bool) (uint64, wal.Location) {
 	s.disk = append(s.disk, record)
@@ -209,13 +209,13 @@
 	s.world.messages = append(s.world.messages, setMessage{from: s.process(), to: placement.KeyOf(to), body: message})
 }
 
-func (s *setStore) Answer(token Token, answer protocol.BatchAnswer) {
+func (s *setStore) Answer(token CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[token]
 	delete(s.answers, token)
 	if answered == nil {
 		return
 	}
-	if answer.Status != 503 && answer.Owner == "" && !s.machine.Allowed() {
+	if answer.Status != 503 && answer.Owner == "" && !s.machine.MayAct() {
 		return // Allowed is asked right before an answer leaves
 	}
 	answered(answer)
@@ -232,7 +232,7 @@
 // sync makes all durable that was written.
 func (s *setStore) sync() {
 	s.durable = len(s.disk)
-	s.machine.Written(uint64(s.durable - s.base))
+	s.machine.Synced(uint64(s.durable - s.base))
 }
 
 func (s *setStore) unsynced() bool { return s.up && !s.frozen && s.durable < len(s.disk) }
@@ -254,8 +254,8 @@
 	}
 	if w.bugs.lyingDisk {
 		for _, s := range w.stores {
-			if s.up && !s.frozen && len(s.machine.pending) > 0 {
-				s.machine.Written(uint64(len(s.disk) - s.base))
+			if s.up && !s.frozen && len(s.machine.pendingWrites) > 0 {
+				s.machine.Synced(uint64(len(s.disk) - s.base))
 			}
 		}
 	}
@@ -270,19 +270,19 @@
 	s := w.stores[at]
 	body := message.body
 	switch body := message.body.(type) {
-	case Replicated:
+	case ReplicationResponse:
 		if w.bugs.wholeEarly {
 			body.Held, body.Count, body.Ended = true, setItems, true
 			message.body = body
 		}
-	case Inventory:
+	case InventoryResponse:
 		if w.bugs.emptyLists {
 			body.Entries = nil
 			message.body = body
 		}
 	}
 	body = message.body
-	s.do(func() { s.machine.Message(message.from, body) })
+	s.do(func() { s.machine.Receive(message.from, body) })
 }
 
 // round lets time pass: processes start, the authority looks at who is there, leases are renewed, machines tick, and the
@@ -313,9 +313,9 @@
 			continue
 		}
 		_, member := placement.MemberOf(w.view, s.key())
-		s.machine.View(w.view)
+		s.machine.InstallView(w.view)
 		if w.bugs.keepsVersion {
-			s.machine.departed.memberSince = 1
+			s.machine.departures.memberSince = 1
 		}
 		if member {
 			s.leaseUntil = w.now + setLease
@@ -324,7 +324,7 @@
 		if w.bugs.endlessLease {
 			until += time.Hour
 		}
-		s.machine.Grant(w.view.Epoch, member, until)
+		s.machine.GrantLease(w.view.Epoch, member, until)
 		s.machine.Tick()
 	}
 	if w.begun {
--- a/internal/batch/replica/slow.go
+++ b/internal/batch/replica/slow.go
@@ -11,22 +11,22 @@
 // down, cut off or frozen and still in the view, and those whose disks are slow.
 
 const (
-	replaceAfter = 80 * time.Millisecond // without a word that a peer has written a new batch job
-	passedOver   = 1500 * time.Millisecond
-	recentJobs   = 32                     // that may be new
-	diskLag      = 150 * time.Millisecond // of this store's own disk, from which it takes no new batch jobs
+	replaceReplicasAfter = 80 * time.Millisecond // without a word that a peer has written a new batch job
+	slowPenalty          = 1500 * time.Millisecond
+	maxNewJobs           = 32                     // that may be new
+	maxDiskLag           = 150 * time.Millisecond // of this store's own disk, from which it takes no new batch jobs
 )
 
 // diskLags tells that this store's disk is behind.
-func (m *Machine) diskLags() bool {
-	return len(m.pending) > 0 && m.env.Now()-m.pending[0].at > diskLag
+func (m *StateMachine) diskLags() bool {
+	return len(m.pendingWrites) > 0 && m.env.Now()-m.pendingWrites[0].queuedAt > maxDiskLag
 }
 
 // slowStores lists the stores that are passed over.
-func (m *Machine) slowStores() []placement.Key {
+func (m *StateMachine) slowStores() []placement.Key {
 	var keys []placement.Key
 	now := m.env.Now()
-	for key, until := range m.slow {
+	for key, until := range m.slowUntil {
 		if now < until {
 			keys = append(keys, key)
 		}
@@ -35,12 +35,12 @@
 }
 
 // Pressing tells that a client waits for an acceptance, and Tick is wanted more often.
-func (m *Machine) Pressing() bool {
+func (m *StateMachine) NeedsFastTick() bool {
 	if len(m.acceptances) > 0 {
 		return true
 	}
-	for i := len(m.order) - 1; i >= max(0, len(m.order)-recentJobs); i-- {
-		if m.order[i].replaceAt > 0 {
+	for i := len(m.order) - 1; i >= max(0, len(m.order)-maxNewJobs); i-- {
+		if m.order[i].replaceReplicasAt > 0 {
 			return true
 		}
 	}
@@ -48,54 +48,54 @@
 }
 
 // expectNothing notes that no peer holds a copy.
-func (h *held) expectNothing() {
+func (h *storedJob) assumePeersEmpty() {
 	for i := range h.peers {
-		h.peers[i].known = true
+		h.peers[i].reported = true
 	}
 }
 
 // replaceSlow chooses another replica set for a batch job that is being accepted, where members have not written it in time
 // and there are others. The version rises: what they may still write counts for nothing.
-func (m *Machine) replaceSlow(h *held, now time.Duration) {
-	if h.replaceAt == 0 || now < h.replaceAt || h.whole || !h.copyDurable || len(h.handing) > 0 {
+func (m *StateMachine) replaceSlowReplicas(h *storedJob, now time.Duration) {
+	if h.replaceReplicasAt == 0 || now < h.replaceReplicasAt || h.replicated || !h.versionDurable || len(h.handoverReplicas) > 0 {
 		return
 	}
-	h.replaceAt = now + replaceAfter
+	h.replaceReplicasAt = now + replaceReplicasAfter
 	kept := []protocol.Process{m.options.Self}
 	for i := range h.peers {
-		if p := &h.peers[i]; p.held {
+		if p := &h.peers[i]; p.hasCopy {
 			kept = append(kept, p.process)
 		} else {
-			m.slow[placement.KeyOf(p.process)] = now + passedOver
+			m.slowUntil[placement.KeyOf(p.process)] = now + slowPenalty
 		}
 	}
-	replicas := placement.Replicas(h.id, m.view, kept, m.options.Copies, m.slowStores()...)
+	replicas := placement.Replicas(h.id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
 	for _, replica := range replicas {
-		if until, slow := m.slow[placement.KeyOf(replica)]; slow && now < until {
+		if until, slow := m.slowUntil[placement.KeyOf(replica)]; slow && now < until {
 			return // there is no other
 		}
 	}
-	if len(replicas) < m.options.Copies || len(kept) == m.options.Copies {
+	if len(replicas) < m.options.ReplicationFactor || len(kept) == m.options.ReplicationFactor {
 		return
 	}
 	h.setReplicas(h.version.next(m.view.Epoch), replicas, m.self)
-	h.expectNothing()
+	h.assumePeersEmpty()
 	m.writeReplicas(h)
 }
 
 // writeReplicas has a new version last before it is told to others.
-func (m *Machine) writeReplicas(h *held) {
-	if h.damaged {
-		m.rewrite(h)
+func (m *StateMachine) writeReplicas(h *storedJob) {
+	if h.corrupt {
+		m.rewriteCopy(h)
 		return
 	}
-	h.copyDurable = false
+	h.versionDurable = false
 	version := h.version
 	m.write(encodeReplicas(h.id, version, h.replicas), true, func() {
 		if h.version == version {
-			h.copyDurable = true
-			m.pump(h)
-			m.judge(h)
+			h.versionDurable = true
+			m.replicateJob(h)
+			m.maybeCommit(h)
 		}
 	})
 }
--- a/internal/batch/replica/stale_view_test.go
+++ b/internal/batch/replica/stale_view_test.go
@@ -49,7 +49,7 @@
 }
 
 // note remembers the newest view.
-func (h *history) note() { h.views = append(h.views, h.nodes[0].machine.Members()) }
+func (h *history) note() { h.views = append(h.views, h.nodes[0].machine.CurrentView()) }
 
 // change makes a set of stores the newest view, in which all settle.
 func (h *history) change(members ...*clusterNode) {
@@ -57,12 +57,12 @@
 	h.settle()
 	h.note()
 	for _, n := range members {
-		So(n.machine.Standing().HasSettled(), ShouldBeTrue)
+		So(n.machine.Status().Reconciled(), ShouldBeTrue)
 	}
 }
 
 // tell has a store take a view that was in force once.
-func (h *history) tell(n *clusterNode, epoch uint64) { n.machine.View(h.views[epoch-1]) }
+func (h *history) tell(n *clusterNode, epoch uint64) { n.machine.InstallView(h.views[epoch-1]) }
 
 // rejoinAll tells all that ran before of the set that they are in, and all of the one that the empty disks join.
 func (h *history) rejoinAll() {
@@ -77,7 +77,7 @@
 // check wants all batch jobs to be there and all stores to have settled.
 func (h *history) check() {
 	for _, n := range h.nodes[:8] {
-		So(n.machine.Standing(), ShouldResemble, Standing{Epoch: h.epoch, Settled: h.epoch})
+		So(n.machine.Status(), ShouldResemble, Status{Epoch: h.epoch, ReconciledEpoch: h.epoch})
 	}
 	for _, id := range h.jobs {
 		_, status := h.nodes[3].readAnywhere(id)
@@ -125,21 +125,21 @@
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner := c.owner("job")
 		rest := c.others(owner)
-		owner.machine.Grant(c.epoch, false, 0)
+		owner.machine.GrantLease(c.epoch, false, 0)
 		c.lost = func(m clusterMessage) bool { return m.to == owner.key() || m.from.Node == owner.process().Node }
 		c.view(rest...)
 		c.settle()
 		now := rest[0]
-		if !now.machine.jobs["job"].owner {
+		if !now.machine.jobs["job"].owned {
 			now = rest[1]
 		}
 		So(now.call(protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "job", Tenant: "t"}, nil).Status, ShouldEqual, 200)
-		owner.machine.Grant(c.epoch+1, true, c.now+time.Second)
-		So(owner.machine.Allowed(), ShouldBeFalse)
+		owner.machine.GrantLease(c.epoch+1, true, c.now+time.Second)
+		So(owner.machine.MayAct(), ShouldBeFalse)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
 		c.lost = nil
 		c.view(c.nodes...)
-		So(owner.machine.Allowed(), ShouldBeTrue)
+		So(owner.machine.MayAct(), ShouldBeTrue)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
 	})
 }
--- a/internal/batch/replica/standing_test.go
+++ b/internal/batch/replica/standing_test.go
@@ -15,7 +15,7 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		second := c.others(owner, replica)[0]
-		So(replica.machine.Standing(), ShouldResemble, Standing{Epoch: 1, Settled: 1})
+		So(replica.machine.Status(), ShouldResemble, Status{Epoch: 1, ReconciledEpoch: 1})
 		for _, n := range c.nodes {
 			n.losePower()
 		}
@@ -24,11 +24,11 @@
 			n.start()
 		}
 		c.view(rest...)
-		standing := replica.machine.Standing()
-		So(standing.HasSettled(), ShouldBeFalse)
+		standing := replica.machine.Status()
+		So(standing.Reconciled(), ShouldBeFalse)
 		So(standing.Awaited, ShouldHaveLength, len(rest)-1)
 		c.settle()
-		standing = replica.machine.Standing()
+		standing = replica.machine.Status()
 		So(standing.Awaited, ShouldBeEmpty)
 		So(standing.Missing, ShouldHaveLength, 2)
 		So(standing.Missing, ShouldContain, owner.key())
@@ -37,7 +37,7 @@
 		owner.start()
 		c.view(append([]*clusterNode{owner}, rest...)...)
 		c.settle()
-		So(replica.machine.Standing(), ShouldResemble, Standing{Epoch: c.epoch, Settled: c.epoch})
-		So(owner.machine.Standing().Missing, ShouldResemble, []placement.Key(nil))
+		So(replica.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
+		So(owner.machine.Status().Missing, ShouldResemble, []placement.Key(nil))
 	})
 }
--- a/internal/batch/replica/store_test.go
+++ b/internal/batch/replica/store_test.go
@@ -34,12 +34,12 @@
 	frozen      bool
 	gone        bool // taken away for good
 	inbox       []func()
-	machine     *Machine
+	machine     *StateMachine
 	generation  int // of the process
 	running     map[string]*jobRun
 	idle        bool // no items are run
-	answers     map[Token]func(protocol.BatchAnswer)
-	lastToken   Token
+	answers     map[CallID]func(protocol.BatchAnswer)
+	lastToken   CallID
 
 	log      *wal.Log
 	stepping bool
@@ -86,11 +86,11 @@
 	s.up, s.frozen = true, false
 	s.inbox = nil
 	s.running = map[string]*jobRun{}
-	s.answers = map[Token]func(protocol.BatchAnswer){}
+	s.answers = map[CallID]func(protocol.BatchAnswer){}
 	s.stepping, s.wakeAt, s.told, s.appended = false, 0, 0, nil
 	s.frontier, s.proven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
-		Self: s.process(), Life: s.life, Copies: w.copies, KeepFor: w.status + 2*worldSkew,
+		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: w.copies, Retention: w.status + 2*worldSkew,
 	}, s)
 	log, err := wal.Load(s.fs, s.journalOptions(), func(at wal.Location, record []byte) error {
 		s.frontier = at
@@ -118,7 +118,7 @@
 func (s *store) journalOptions() wal.Options {
 	options := wal.Options{Segment: s.world.segment}
 	if s.damaged {
-		options.Skipped = func(at wal.Location) { s.world.note("%s: %v", s.node, s.machine.Skipped(at)) }
+		options.Skipped = func(at wal.Location) { s.world.note("%s: %v", s.node, s.machine.ReplaySkipped(at)) }
 	}
 	return options
 }
@@ -271,7 +271,7 @@
 	s.world.note("%s thaws", s.node)
 	s.frozen = false
 	if s.world.plant == plantIgnoreLease {
-		s.machine.lease = s.world.now + time.Hour
+		s.machine.leaseUntil = s.world.now + time.Hour
 	}
 	inbox := s.inbox
 	s.inbox = nil
@@ -363,7 +363,7 @@
 	s.proven, s.frontier = s.frontier, s.appended[durable-s.told-1]
 	s.appended = s.appended[durable-s.told:]
 	s.told = durable
-	s.machine.Written(durable)
+	s.machine.Synced(durable)
 }
 
 // release removes segments of the log that nothing needs any more.
@@ -400,7 +400,7 @@
 }
 
 // Free tells what the disk still takes.
-func (s *store) Free() int64 {
+func (s *store) FreeBytes() int64 {
 	if s.log.Full() {
 		return 0
 	}
@@ -429,7 +429,7 @@
 func (s *store) Now() time.Duration { return s.world.now }
 
 // Wall is the time of day.
-func (s *store) Wall() int64 { return (s.world.now + s.skew + time.Hour).Milliseconds() }
+func (s *store) WallClock() int64 { return (s.world.now + s.skew + time.Hour).Milliseconds() }
 
 // Send sends a message to another store.
 func (s *store) Send(to protocol.Process, message any) {
@@ -445,20 +445,20 @@
 			return
 		}
 		target.do(func() {
-			target.machine.Message(sender, message)
+			target.machine.Receive(sender, message)
 			target.plantAcknowledgement(sender, message)
 		})
 	})
 }
 
 // Answer ends a call, as the server does: only while the store may still act.
-func (s *store) Answer(token Token, answer protocol.BatchAnswer) {
+func (s *store) Answer(token CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[token]
 	if answered == nil {
 		return
 	}
 	delete(s.answers, token)
-	if answer.Status != 503 && answer.Status != 504 && answer.Owner == "" && !s.machine.Allowed() {
+	if answer.Status != 503 && answer.Status != 504 && answer.Owner == "" && !s.machine.MayAct() {
 		answer = protocol.BatchAnswer{Status: 504}
 	}
 	answered(answer)
--- a/internal/batch/replica/tick.go
+++ b/internal/batch/replica/tick.go
@@ -8,133 +8,133 @@
 
 // This file owns what happens by time alone.
 
-const expiryEvery = time.Second
+const expiryInterval = time.Second
 
 // Tick is to be called a few times a second.
-func (m *Machine) Tick() {
+func (m *StateMachine) Tick() {
 	now := m.env.Now()
-	m.expireWaiting(now)
-	if !m.present {
+	m.expireCalls(now)
+	if !m.isMember {
 		return
 	}
-	if !m.settled && now-m.asked >= inventoryAgain {
-		m.askInventories()
-		m.settle()
+	if !m.reconciled && now-m.inventoriesRequestedAt >= inventoryRetry {
+		m.requestInventories()
+		m.reconcile()
 	}
-	m.concedeAgain(now)
-	m.tendClaims(now)
-	for _, id := range m.accepting() {
-		m.askArbiters(id, m.acceptances[id])
+	m.resendTransfers(now)
+	m.tickClaims(now)
+	for _, id := range m.acceptanceIDs() {
+		m.requestReservations(id, m.acceptances[id])
 	}
 	for _, h := range m.order {
-		if h.owner {
-			m.replaceSlow(h, now)
-			m.pump(h)
+		if h.owned {
+			m.replaceSlowReplicas(h, now)
+			m.replicateJob(h)
 		}
 	}
-	if m.settled {
-		m.askOwners()
+	if m.reconciled {
+		m.queryOwners()
 	}
-	if m.awaitsWhole() && m.settledEpoch == m.view.Epoch && now-m.departed.toldAt >= noticeAgain {
-		m.tellSettled()
+	if m.awaitsAllReconciled() && m.reconciledEpoch == m.view.Epoch && now-m.departures.noticeSentAt >= noticeInterval {
+		m.sendReconciledNotice()
 	}
-	if now-m.lastExpiry >= expiryEvery {
+	if now-m.lastExpiry >= expiryInterval {
 		m.lastExpiry = now
 		m.expireDeparted(now)
 		m.dropExpired()
-		m.checkSettled() // what was not whole may be among them
+		m.checkReconciled() // what was not whole may be among them
 	}
 }
 
-func (m *Machine) expireWaiting(now time.Duration) {
-	waiting := m.parked
-	m.parked = nil
+func (m *StateMachine) expireCalls(now time.Duration) {
+	waiting := m.parkedCalls
+	m.parkedCalls = nil
 	for _, p := range waiting {
 		switch {
-		case now >= p.until:
-			m.expire(p)
-		case m.jobs[p.call.BatchJob] == nil && m.Allowed():
+		case now >= p.deadline:
+			m.expireCall(p)
+		case m.jobs[p.call.BatchJob] == nil && m.MayAct():
 			m.dispatch(p)
 		default:
-			m.parked = append(m.parked, p)
+			m.parkedCalls = append(m.parkedCalls, p)
 		}
 	}
-	for _, id := range m.accepting() {
-		if a := m.acceptances[id]; now >= a.until {
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; now >= a.deadline {
 			delete(m.acceptances, id)
-			m.giveBack(id, a.number)
-			m.refuse(a)
+			m.releaseReservations(id, a.attempt)
+			m.rejectCalls(a)
 		}
 	}
 	for _, h := range m.order {
-		m.expireReaders(h, now)
+		m.expireReads(h, now)
 	}
 }
 
 // accepting lists the batch jobs that are being accepted, in a fixed order.
-func (m *Machine) accepting() []string {
+func (m *StateMachine) acceptanceIDs() []string {
 	if len(m.acceptances) == 0 {
 		return nil
 	}
 	return slices.Sorted(maps.Keys(m.acceptances))
 }
 
-func (m *Machine) expireReaders(h *held, now time.Duration) {
-	if !slices.ContainsFunc(h.readers, func(r reader) bool { return now >= r.until }) {
+func (m *StateMachine) expireReads(h *storedJob, now time.Duration) {
+	if !slices.ContainsFunc(h.pendingReads, func(r pendingRead) bool { return now >= r.deadline }) {
 		return
 	}
-	waiting := h.readers
-	h.readers = nil
+	waiting := h.pendingReads
+	h.pendingReads = nil
 	for _, r := range waiting {
 		switch {
-		case now < r.until:
-			h.readers = append(h.readers, r)
-		case h.owner && h.whole && m.Allowed():
-			m.answerRead(h, r.token, r.start)
+		case now < r.deadline:
+			h.pendingReads = append(h.pendingReads, r)
+		case h.owned && h.replicated && m.MayAct():
+			m.answerRead(h, r.callID, r.start)
 		default:
-			m.answer(r.token, unavailable())
+			m.answer(r.callID, unavailable())
 		}
 	}
 }
 
 // dropExpired forgets batch jobs whose time is over: closed ones after KeepFor, copies that were left behind after twice
 // that.
-func (m *Machine) dropExpired() {
+func (m *StateMachine) dropExpired() {
 	for _, h := range slices.Clone(m.order) {
-		closed := h.ended || h.complete()
-		if !m.isOver(h) || !closed && (h.owner || m.age(h) < 2*m.options.KeepFor) {
+		closed := h.ended || h.allFinished()
+		if !m.isExpired(h) || !closed && (h.owned || m.age(h) < 2*m.options.Retention) {
 			continue
 		}
 		m.discard(h)
-		m.settled = m.settled && m.unowned == 0 // it may be what nobody owned: all is looked at again
+		m.reconciled = m.reconciled && m.unowned == 0 // it may be what nobody owned: all is looked at again
 	}
 }
 
 // age is how long ago a batch job was sent first, by the time of day.
-func (m *Machine) age(h *held) time.Duration {
-	return time.Duration(m.env.Wall()-h.firstSent) * time.Millisecond
+func (m *StateMachine) age(h *storedJob) time.Duration {
+	return time.Duration(m.env.WallClock()-h.firstSent) * time.Millisecond
 }
 
 // isOver tells whether a batch job needn't be kept any more, if it is closed.
-func (m *Machine) isOver(h *held) bool { return m.age(h) >= m.options.KeepFor }
+func (m *StateMachine) isExpired(h *storedJob) bool { return m.age(h) >= m.options.Retention }
 
 // discard drops a copy for good.
-func (m *Machine) discard(h *held) {
+func (m *StateMachine) discard(h *storedJob) {
 	m.write(encodeDropped(h.id), false, func() {})
-	m.redirect(h)
+	m.redirectPending(h)
 	m.env.Stop(h.id)
-	m.drop(h.id)
+	m.removeJob(h.id)
 }
 
 // OldestSegment gives the first segment of the log that something still needs; limit where there is nothing.
-func (m *Machine) OldestSegment(limit uint32) uint32 {
+func (m *StateMachine) OldestSegment(limit uint32) uint32 {
 	oldest := limit
 	for _, h := range m.order {
-		oldest = min(oldest, h.oldest().Segment)
+		oldest = min(oldest, h.oldestLocation().Segment)
 	}
-	if at := m.departed.at; at != nil && at.Segment < oldest {
+	if at := m.departures.viewRecordAt; at != nil && at.Segment < oldest {
 		oldest = at.Segment
-		m.writeView() // behind all that may go
+		m.writeViewRecord() // behind all that may go
 	}
 	return oldest
 }
--- a/internal/batch/replica/world_test.go
+++ b/internal/batch/replica/world_test.go
@@ -78,7 +78,7 @@
 func (w *world) keepFor(status time.Duration) {
 	w.status = status
 	for _, s := range w.stores {
-		s.machine.options.KeepFor = status + 2*worldSkew
+		s.machine.options.Retention = status + 2*worldSkew
 	}
 }
 
@@ -292,7 +292,7 @@
 		generation := s.generation
 		w.carry(controlName, s.node, func() {
 			if s.generation == generation {
-				s.do(func() { s.machine.View(view) })
+				s.do(func() { s.machine.InstallView(view) })
 			}
 		})
 	}
@@ -320,8 +320,8 @@
 		w.carry(controlName, s.node, func() {
 			if s.generation == generation {
 				s.do(func() {
-					s.machine.View(view)
-					s.machine.Grant(view.Epoch, member, sent+liveness.StoreLease-worldLeaseMargin)
+					s.machine.InstallView(view)
+					s.machine.GrantLease(view.Epoch, member, sent+liveness.StoreLease-worldLeaseMargin)
 				})
 			}
 		})
@@ -336,7 +336,7 @@
 	there := w.there()
 	for _, s := range there {
 		m := s.machine
-		if !s.up || s.frozen || m.settledEpoch != view.Epoch || !w.isMember(s.key()) {
+		if !s.up || s.frozen || m.reconciledEpoch != view.Epoch || !w.isMember(s.key()) {
 			return false
 		}
 	}
@@ -349,10 +349,10 @@
 	for _, s := range w.stores {
 		m := s.machine
 		text += fmt.Sprintf("\n%s up %v frozen %v gone %v member %v epoch %d settled %v (%d) allowed %v departed %v directory %q", s.key(),
-			s.up, s.frozen, s.gone, w.isMember(s.key()), m.view.Epoch, m.settled, m.settledEpoch, m.Allowed(), m.departed.since, m.directory[id])
+			s.up, s.frozen, s.gone, w.isMember(s.key()), m.view.Epoch, m.reconciled, m.reconciledEpoch, m.MayAct(), m.departures.stores, m.owners[id])
 		if h := m.jobs[id]; h != nil {
-			text += fmt.Sprintf(" version %x owner %v whole %v handed %v durable %d/%d shown %d of %d ended %v", uint64(h.version), h.owner, h.whole,
-				h.handed, h.durable, len(h.results), h.shown, len(h.items), h.ended)
+			text += fmt.Sprintf(" version %x owner %v whole %v handed %v durable %d/%d shown %d of %d ended %v", uint64(h.version), h.owned, h.replicated,
+				h.handedOver, h.durableResults, len(h.results), h.committedResults, len(h.items), h.ended)
 			for _, p := range h.replicas {
 				text += " " + string(placement.KeyOf(p))
 			}
--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -32,14 +32,14 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if member, present := s.member(keyOf(remote)); present {
-		s.machine.Message(member, message)
+		s.machine.Receive(member, message)
 	}
 	return nil, nil
 }
 
 // member gives the process of the view that a message is from.
 func (s *Server) member(key placement.Key) (protocol.Process, bool) {
-	member, present := placement.MemberOf(s.machine.Members(), key)
+	member, present := placement.MemberOf(s.machine.CurrentView(), key)
 	return member.Process, present
 }
 
@@ -70,7 +70,7 @@
 	}
 	s.mutex.Lock()
 	delete(s.waiting, token)
-	s.machine.Forget(token)
+	s.machine.CancelCall(token)
 	s.mutex.Unlock()
 	return protocol.BatchAnswer{Status: 504}
 }
@@ -82,7 +82,7 @@
 		return answer
 	}
 	s.mutex.Lock()
-	allowed := s.machine.Allowed()
+	allowed := s.machine.MayAct()
 	s.mutex.Unlock()
 	if allowed {
 		return answer
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -22,7 +22,7 @@
 func (s *Server) Now() time.Duration { return time.Since(s.origin) }
 
 // Wall is the time of day.
-func (s *Server) Wall() int64 { return time.Now().UnixMilli() }
+func (s *Server) WallClock() int64 { return time.Now().UnixMilli() }
 
 // Write queues a record.
 func (s *Server) Write(record []byte, urgent bool) (uint64, wal.Location) {
@@ -33,7 +33,7 @@
 func (s *Server) Read(at wal.Location) ([]byte, error) { return s.disk.journal.Read(at) }
 
 // Free tells what the disk still takes.
-func (s *Server) Free() int64 {
+func (s *Server) FreeBytes() int64 {
 	if s.disk.journal.Full() {
 		return 0
 	}
@@ -73,7 +73,7 @@
 func (s *Server) Stop(id string) { s.runner.Stop(id) }
 
 // Answer ends a call.
-func (s *Server) Answer(token replica.Token, answer protocol.BatchAnswer) {
+func (s *Server) Answer(token replica.CallID, answer protocol.BatchAnswer) {
 	if waiting := s.waiting[token]; waiting != nil {
 		delete(s.waiting, token)
 		waiting <- answer
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -47,9 +47,9 @@
 	cutOff   int64 // bytes of the log's end that this start cut off
 
 	mutex   sync.Mutex // of the machine and all below
-	machine *replica.Machine
-	waiting map[replica.Token]chan protocol.BatchAnswer
-	last    replica.Token
+	machine *replica.StateMachine
+	waiting map[replica.CallID]chan protocol.BatchAnswer
+	last    replica.CallID
 	peers   map[string]*transport.Client // by IP
 	closed  bool
 
@@ -65,7 +65,7 @@
 	s := &Server{
 		settings: settings, log: log,
 		origin:  time.Now(),
-		waiting: map[replica.Token]chan protocol.BatchAnswer{},
+		waiting: map[replica.CallID]chan protocol.BatchAnswer{},
 		peers:   map[string]*transport.Client{},
 		failed:  make(chan error, 1),
 	}
@@ -105,17 +105,17 @@
 	}
 	capacity := int64(s.settings.Limits.DiskMB) << 20
 	s.machine = replica.New(replica.Options{
-		Self: s.process, Life: life.number,
-		Copies:  s.settings.Tolerance.Machines + 1,
-		KeepFor: s.settings.Bounds.Status + 2*s.settings.Bounds.SkewMax,
-		Reserve: int64(reserve * float64(capacity)),
+		Self: s.process, ProcessIncarnation: life.number,
+		ReplicationFactor: s.settings.Tolerance.Machines + 1,
+		Retention:         s.settings.Bounds.Status + 2*s.settings.Bounds.SkewMax,
+		MinFreeBytes:      int64(reserve * float64(capacity)),
 	}, s)
 	s.disk = &disk{capacity: capacity}
 	if life.garbled {
 		s.log.Error().Str("incarnation", life.incarnation).Msg("life_unreadable")
 	}
 	options := wal.Options{
-		Skipped: func(at wal.Location) { s.tell(s.machine.Skipped(at)) },
+		Skipped: func(at wal.Location) { s.tell(s.machine.ReplaySkipped(at)) },
 		CutOff:  s.tellCutOff,
 	}
 	s.disk.journal, err = wal.Open(s.settings.DataDir, options, s.replay, s.written)
@@ -135,7 +135,7 @@
 func (s *Server) tell(finding *replica.Finding) {
 	s.log.Error().Str("problem", string(finding.Problem)).Uint32("segment", finding.At.Segment).Uint32("offset", finding.At.Offset).
 		Uint32("length", finding.At.Length).Uint8("kind", finding.Kind).Str("batch_job", finding.Job).
-		Int("position", finding.Position).Int("sound", finding.Held).Msg("record_unreadable")
+		Int("position", finding.Position).Int("sound", finding.SoundResults).Msg("record_unreadable")
 }
 
 // tellCutOff logs the end of the log that isn't whole: a loss of power or a kill leaves one of what was never told, and damage to
@@ -195,7 +195,7 @@
 func (s *Server) queued() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Queued()
+	return s.machine.QueuedTokens()
 }
 
 func (s *Server) close() {
@@ -225,7 +225,7 @@
 		}
 		s.mutex.Lock()
 		s.machine.Tick()
-		pressing := s.machine.Pressing()
+		pressing := s.machine.NeedsFastTick()
 		s.mutex.Unlock()
 		timer.Reset(tickEvery)
 		if pressing {
@@ -259,7 +259,7 @@
 func (s *Server) damage() (findings, damaged int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Damage()
+	return s.machine.Corruption()
 }
 
 // release removes segments of the log that nothing needs any more.
@@ -281,9 +281,9 @@
 	if members := s.subscription.Members(); members != nil {
 		s.mutex.Lock()
 		before, acted := s.machine.Epoch(), s.machine.ActedIn()
-		s.machine.View(members.Stores)
+		s.machine.InstallView(members.Stores)
 		after := s.machine.Epoch()
-		missing := s.machine.Standing().Missing
+		missing := s.machine.Status().Missing
 		s.mutex.Unlock()
 		s.runner.Stores(len(placement.Active(members.Stores)))
 		if after != before {
@@ -300,7 +300,7 @@
 	until := sent.Sub(s.origin) + grant.Lease - leaseMargin
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.Grant(grant.Epoch, grant.Member, until)
+	s.machine.GrantLease(grant.Epoch, grant.Member, until)
 }
 
 func (s *Server) report() *protocol.BatchReport {
@@ -322,7 +322,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.Written(sequence)
+	s.machine.Synced(sequence)
 }
 
 // Configuration gives the configuration in force.
@@ -377,7 +377,7 @@
 func (s *Server) Progress(id string, index int, after, last int64, events [][]byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.Progress(id, index, after, last, events)
+	s.machine.SaveProgress(id, index, after, last, events)
 }
 
 // MayRun tells whether an item may go to a server now.
--- a/internal/batch/server/standing.go
+++ b/internal/batch/server/standing.go
@@ -19,14 +19,14 @@
 // tellStanding logs what this store waits for, where it doesn't stand whole in the present epoch.
 func (s *Server) tellStanding() {
 	s.mutex.Lock()
-	standing := s.machine.Standing()
+	standing := s.machine.Status()
 	s.mutex.Unlock()
-	if standing.HasSettled() {
+	if standing.Reconciled() {
 		return
 	}
-	s.log.Warn().Uint64("epoch", standing.Epoch).Uint64("settled", standing.Settled).Strs("awaited", names(standing.Awaited)).
-		Strs("missing", names(standing.Missing)).Int("obscured", standing.Obscured).
-		Int("unowned", standing.Unowned).Int("conceded", standing.Conceded).Int("behind", standing.Behind).Int("partial", standing.Partial).Msg("not_settled")
+	s.log.Warn().Uint64("epoch", standing.Epoch).Uint64("settled", standing.ReconciledEpoch).Strs("awaited", names(standing.Awaited)).
+		Strs("missing", names(standing.Missing)).Int("obscured", standing.IncompleteLogs).
+		Int("unowned", standing.Unowned).Int("conceded", standing.Transferring).Int("behind", standing.Superseded).Int("partial", standing.UnderReplicated).Msg("not_settled")
 }
 
 func names(keys []placement.Key) []string {
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -73,9 +73,9 @@
 	wait         sync.WaitGroup
 
 	mutex      sync.Mutex // of all below
-	machine    *replica.Machine
-	waiting    map[replica.Token]chan protocol.BatchAnswer
-	lastToken  replica.Token
+	machine    *replica.StateMachine
+	waiting    map[replica.CallID]chan protocol.BatchAnswer
+	lastToken  replica.CallID
 	peers      map[string]*transport.Client // by IP
 	jobs       map[string]bool              // whose items it is to run
 	runs       int
@@ -100,11 +100,11 @@
 	l := &storeLife{
 		store: s, host: s.host, origin: time.Now(), ended: ended, end: end,
 		random:  rand.New(rand.NewPCG(w.seed, uint64(s.number)<<32+s.starts)),
-		waiting: map[replica.Token]chan protocol.BatchAnswer{}, peers: map[string]*transport.Client{}, jobs: map[string]bool{},
+		waiting: map[replica.CallID]chan protocol.BatchAnswer{}, peers: map[string]*transport.Client{}, jobs: map[string]bool{},
 		process: protocol.Process{Node: s.node, Role: protocol.RoleBatch, Zone: s.zone, IP: s.ip, Incarnation: strconv.Itoa(s.incarnation)},
 	}
 	l.machine = replica.New(replica.Options{
-		Self: l.process, Life: s.starts, Copies: w.tolerance + 1, KeepFor: storeKeep,
+		Self: l.process, ProcessIncarnation: s.starts, ReplicationFactor: w.tolerance + 1, Retention: storeKeep,
 	}, l)
 	if err := l.open(); err != nil {
 		w.failf("%s doesn't start: %v", s.node, err)
@@ -227,7 +227,7 @@
 	if l.closed || err != nil {
 		return // the disk's life is over
 	}
-	l.machine.Written(sequence)
+	l.machine.Synced(sequence)
 	if l.viewEpoch > 0 && sequence >= l.viewRecord {
 		l.acts(l.viewEpoch)
 	}
@@ -260,7 +260,7 @@
 		return
 	}
 	before := l.machine.Epoch()
-	l.machine.View(members.Stores)
+	l.machine.InstallView(members.Stores)
 	if l.machine.Epoch() != before {
 		l.viewed(before, members.Stores)
 	}
@@ -288,8 +288,8 @@
 func (l *storeLife) granted(grant protocol.StoreGrant, sent time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.machine.Grant(grant.Epoch, grant.Member, sent.Sub(l.origin)+grant.Lease-storeLeaseMargin)
-	if !l.closed && l.machine.Allowed() {
+	l.machine.GrantLease(grant.Epoch, grant.Member, sent.Sub(l.origin)+grant.Lease-storeLeaseMargin)
+	if !l.closed && l.machine.MayAct() {
 		l.acts(l.machine.Epoch())
 	}
 }
@@ -367,8 +367,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	key := placement.KeyOf(protocol.Process{Node: remote.Node, Incarnation: remote.Incarnation})
-	if member, present := placement.MemberOf(l.machine.Members(), key); present && !l.closed {
-		l.machine.Message(member.Process, message)
+	if member, present := placement.MemberOf(l.machine.CurrentView(), key); present && !l.closed {
+		l.machine.Receive(member.Process, message)
 	}
 	return nil, nil
 }
@@ -396,7 +396,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.waiting, token)
-	l.machine.Forget(token)
+	l.machine.CancelCall(token)
 	return protocol.BatchAnswer{}
 }
 
@@ -405,7 +405,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	promise := answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
-	if l.closed || !promise && !l.machine.Allowed() {
+	if l.closed || !promise && !l.machine.MayAct() {
 		return protocol.BatchAnswer{}
 	}
 	return answer
@@ -417,7 +417,7 @@
 func (l *storeLife) Now() time.Duration { return time.Since(l.origin) }
 
 // Wall implements replica.Environment.
-func (l *storeLife) Wall() int64 { return time.Now().UnixMilli() }
+func (l *storeLife) WallClock() int64 { return time.Now().UnixMilli() }
 
 // Write implements replica.Environment.
 func (l *storeLife) Write(record []byte, urgent bool) (uint64, wal.Location) {
@@ -430,7 +430,7 @@
 func (l *storeLife) Read(at wal.Location) ([]byte, error) { return l.journal.Read(at) }
 
 // Free implements replica.Environment.
-func (l *storeLife) Free() int64 { return 1<<30 - l.journal.Size() }
+func (l *storeLife) FreeBytes() int64 { return 1<<30 - l.journal.Size() }
 
 // Send implements replica.Environment.
 func (l *storeLife) Send(to protocol.Process, message any) {
@@ -446,7 +446,7 @@
 }
 
 // Answer implements replica.Environment.
-func (l *storeLife) Answer(token replica.Token, answer protocol.BatchAnswer) {
+func (l *storeLife) Answer(token replica.CallID, answer protocol.BatchAnswer) {
 	if waiting := l.waiting[token]; waiting != nil {
 		delete(l.waiting, token)
 		waiting <- answer
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_world_test.go
@@ -583,7 +583,7 @@
 		return []string{s.node + " doesn't run"}
 	}
 	life.mutex.Lock()
-	report, view, allowed := life.machine.Report(), life.machine.Members(), life.machine.Allowed()
+	report, view, allowed := life.machine.Report(), life.machine.CurrentView(), life.machine.MayAct()
 	life.mutex.Unlock()
 	at := slices.IndexFunc(newest.Members, func(one protocol.StoreMember) bool { return one.Process == life.process })
 	switch {
