--- a/internal/batch/wal/mark_test.go
+++ b/internal/batch/wal/mark_test.go
@@ -15,7 +15,7 @@
 // writeGroups gives a disk with a log of one segment, in which each group was written at once and synced before the next.
 func writeGroups(groups ...[]string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
-	log, err := Load(disk, Options{}, nil)
+	log, err := OpenLog(disk, Options{}, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -23,14 +23,14 @@
 		for _, text := range group {
 			log.Append([]byte(text))
 		}
-		finish(log)
+		stepUntilSynced(log)
 	}
 	disk.Kill()
 	return disk
 }
 
 // finish has all that was appended durable.
-func finish(log *Log) {
+func stepUntilSynced(log *Log) {
 	for more := true; more; {
 		var err error
 		if more, err = log.Step(); err != nil {
@@ -40,9 +40,9 @@
 }
 
 // unmarked gives a disk with a log as earlier versions wrote it.
-func unmarked(texts ...string) *simulation.Disk {
+func withoutMarkers(texts ...string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
-	file, err := disk.Create(name(1))
+	file, err := disk.Create(segmentName(1))
 	So(err, ShouldBeNil)
 	for _, text := range texts {
 		_, err := file.Write(encodeRecord([]byte(text)))
@@ -55,29 +55,29 @@
 }
 
 // started is what a start found.
-type started struct {
+type recovery struct {
 	records    []string
 	skipped    []Location
-	cutOff     []Location
+	truncated  []Location
 	recordsAt  []Location
 	sizeBefore int64
 	sizeAfter  int64
 }
 
-func (s *started) text() string { return strings.Join(s.records, " ") }
+func (s *recovery) text() string { return strings.Join(s.records, " ") }
 
 // start loads a log of which the last segment with records is the given one.
-func start(disk *simulation.Disk, segment uint32) *started {
-	s := &started{}
-	s.sizeBefore, _ = disk.Size(name(segment))
+func recoverLog(disk *simulation.Disk, segment uint32) *recovery {
+	s := &recovery{}
+	s.sizeBefore, _ = disk.Size(segmentName(segment))
 	options := Options{
-		Skipped: func(at Location) {
+		OnSkipped: func(at Location) {
 			s.skipped = append(s.skipped, at)
 			s.records = append(s.records, "-")
 		},
-		CutOff: func(at Location) { s.cutOff = append(s.cutOff, at) },
+		OnTruncated: func(at Location) { s.truncated = append(s.truncated, at) },
 	}
-	_, err := Load(disk, options, func(at Location, record []byte) error {
+	_, err := OpenLog(disk, options, func(at Location, record []byte) error {
 		s.records = append(s.records, string(record))
 		s.recordsAt = append(s.recordsAt, at)
 		return nil
@@ -85,128 +85,128 @@
 	if err != nil {
 		panic(err)
 	}
-	s.sizeAfter, _ = disk.Size(name(segment))
+	s.sizeAfter, _ = disk.Size(segmentName(segment))
 	disk.Kill()
 	return s
 }
 
 func TestDamageInTheLastSegment(t *testing.T) {
-	const record = headSize + 1
+	const record = headerSize + 1
 	Convey("What was synced before later records were written is damaged where it can't be read, and none of it is cut off", t, func() {
 		for _, test := range []struct {
 			offset  int64
 			found   string
 			skipped Location
 		}{
-			{headSize, "- 2 3 4 5", Location{1, 0, record}},               // the first group's payload
-			{0, "- 2 3 4 5", Location{1, 0, record}},                      // its length
-			{3, "- 2 3 4 5", Location{1, 0, record}},                      // its mark
-			{record + headSize, "1 - 3 4 5", Location{1, record, record}}, // first of two in a group
-			{record + 1, "1 - 4 5", Location{1, record, 2 * record}},      // its length: the next mark is that of the next group
-			{2*record + headSize, "1 2 - 4 5", Location{1, 2 * record, record}},
+			{headerSize, "- 2 3 4 5", Location{1, 0, record}},               // the first group's payload
+			{0, "- 2 3 4 5", Location{1, 0, record}},                        // its length
+			{3, "- 2 3 4 5", Location{1, 0, record}},                        // its mark
+			{record + headerSize, "1 - 3 4 5", Location{1, record, record}}, // first of two in a group
+			{record + 1, "1 - 4 5", Location{1, record, 2 * record}},        // its length: the next mark is that of the next group
+			{2*record + headerSize, "1 2 - 4 5", Location{1, 2 * record, record}},
 			{3*record + 4, "1 2 3 - 5", Location{1, 3 * record, record}}, // a checksum
 		} {
 			disk := writeGroups([]string{"1"}, []string{"2", "3"}, []string{"4"}, []string{"5"})
-			So(disk.FlipBit(name(1), test.offset, 5), ShouldBeTrue)
+			So(disk.FlipBit(segmentName(1), test.offset, 5), ShouldBeTrue)
 			for range 2 { // and so again at the next start
-				s := start(disk, 1)
+				s := recoverLog(disk, 1)
 				So(s.text(), ShouldEqual, test.found)
 				So(s.skipped, ShouldResemble, []Location{test.skipped})
-				So(s.cutOff, ShouldBeEmpty)
+				So(s.truncated, ShouldBeEmpty)
 				So(s.sizeAfter, ShouldEqual, s.sizeBefore)
 			}
 		}
 	})
 	Convey("Without somebody to tell, such a log isn't opened and stays as it is", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"})
-		So(disk.FlipBit(name(1), headSize, 0), ShouldBeTrue)
-		before, _ := disk.ReadAll(name(1))
-		_, err := Load(disk, Options{}, nil)
+		So(disk.FlipBit(segmentName(1), headerSize, 0), ShouldBeTrue)
+		before, _ := disk.ReadAll(segmentName(1))
+		_, err := OpenLog(disk, Options{}, nil)
 		So(err, ShouldWrap, ErrCorrupt)
 		disk.Kill()
-		after, _ := disk.ReadAll(name(1))
+		after, _ := disk.ReadAll(segmentName(1))
 		So(bytes.Equal(before, after), ShouldBeTrue)
 	})
 	Convey("A mark is found behind a long record of which the length is damaged, and by length behind a longer one", t, func() {
-		long := strings.Repeat("\x80", searchedRecord)
+		long := strings.Repeat("\x80", maxSearchedRecord)
 		disk := writeGroups([]string{long}, []string{long}, []string{"end"})
-		So(disk.FlipBit(name(1), 2, 0), ShouldBeTrue)
-		s := start(disk, 1)
+		So(disk.FlipBit(segmentName(1), 2, 0), ShouldBeTrue)
+		s := recoverLog(disk, 1)
 		So(s.records, ShouldResemble, []string{"-", long, "end"})
-		longer := strings.Repeat("\x80", searchedRecord+1)
+		longer := strings.Repeat("\x80", maxSearchedRecord+1)
 		disk = writeGroups([]string{longer}, []string{longer})
-		So(disk.FlipBit(name(1), headSize, 0), ShouldBeTrue)
-		s = start(disk, 1)
+		So(disk.FlipBit(segmentName(1), headerSize, 0), ShouldBeTrue)
+		s = recoverLog(disk, 1)
 		So(s.records, ShouldResemble, []string{"-", longer})
 	})
 	Convey("Damage at two places is told twice, and an end behind the last mark is cut off", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"}, []string{"3"}, []string{"4"}, []string{"5", "6"})
-		for _, offset := range []int64{headSize, 2*record + headSize, 5*record + headSize} {
-			So(disk.FlipBit(name(1), offset, 0), ShouldBeTrue)
+		for _, offset := range []int64{headerSize, 2*record + headerSize, 5*record + headerSize} {
+			So(disk.FlipBit(segmentName(1), offset, 0), ShouldBeTrue)
 		}
-		s := start(disk, 1)
+		s := recoverLog(disk, 1)
 		So(s.text(), ShouldEqual, "- 2 - 4 5")
-		So(s.cutOff, ShouldResemble, []Location{{1, 5 * record, record}})
+		So(s.truncated, ShouldResemble, []Location{{1, 5 * record, record}})
 	})
 }
 
-func TestCutOff(t *testing.T) {
-	const record = headSize + 1
+func TestTruncatedTail(t *testing.T) {
+	const record = headerSize + 1
 	Convey("A last group that isn't whole is cut off and told, with sound records of it behind", t, func() {
 		disk := writeGroups([]string{"1", "2"}, []string{"3", "4", "5"})
-		So(disk.FlipBit(name(1), 3*record+headSize, 0), ShouldBeTrue)
-		s := start(disk, 1)
+		So(disk.FlipBit(segmentName(1), 3*record+headerSize, 0), ShouldBeTrue)
+		s := recoverLog(disk, 1)
 		So(s.text(), ShouldEqual, "1 2 3")
 		So(s.skipped, ShouldBeEmpty)
-		So(s.cutOff, ShouldResemble, []Location{{1, 3 * record, 2 * record}})
+		So(s.truncated, ShouldResemble, []Location{{1, 3 * record, 2 * record}})
 		So(s.sizeAfter, ShouldEqual, 3*record)
-		s = start(disk, 1)
+		s = recoverLog(disk, 1)
 		So(s.text(), ShouldEqual, "1 2 3")
-		So(s.cutOff, ShouldBeEmpty)
+		So(s.truncated, ShouldBeEmpty)
 	})
 	Convey("So is the end of a log without marks, as earlier versions wrote it; all before is read", t, func() {
-		disk := unmarked("1", "2", "3", "4")
-		So(start(disk, 1).text(), ShouldEqual, "1 2 3 4")
-		disk = unmarked("1", "2", "3", "4")
-		So(disk.FlipBit(name(1), 2*record+headSize, 0), ShouldBeTrue)
-		s := start(disk, 1)
+		disk := withoutMarkers("1", "2", "3", "4")
+		So(recoverLog(disk, 1).text(), ShouldEqual, "1 2 3 4")
+		disk = withoutMarkers("1", "2", "3", "4")
+		So(disk.FlipBit(segmentName(1), 2*record+headerSize, 0), ShouldBeTrue)
+		s := recoverLog(disk, 1)
 		So(s.text(), ShouldEqual, "1 2")
-		So(s.cutOff, ShouldResemble, []Location{{1, 2 * record, 2 * record}})
+		So(s.truncated, ShouldResemble, []Location{{1, 2 * record, 2 * record}})
 	})
 	Convey("Once a later segment is begun, be it without records, nothing is cut off", t, func() {
-		for _, disk := range []*simulation.Disk{writeGroups([]string{"1"}, []string{"2"}), unmarked("1", "2")} {
-			So(start(disk, 1).text(), ShouldEqual, "1 2") // begins segment 2
-			So(disk.FlipBit(name(1), record+headSize, 0), ShouldBeTrue)
-			s := start(disk, 1)
+		for _, disk := range []*simulation.Disk{writeGroups([]string{"1"}, []string{"2"}), withoutMarkers("1", "2")} {
+			So(recoverLog(disk, 1).text(), ShouldEqual, "1 2") // begins segment 2
+			So(disk.FlipBit(segmentName(1), record+headerSize, 0), ShouldBeTrue)
+			s := recoverLog(disk, 1)
 			So(s.text(), ShouldEqual, "1 -")
 			So(s.skipped, ShouldResemble, []Location{{1, record, record}})
-			So(s.cutOff, ShouldBeEmpty)
+			So(s.truncated, ShouldBeEmpty)
 		}
 	})
 	Convey("A payload that holds a segment's bytes passes for no mark", t, func() {
 		inner := writeGroups([]string{"1"}, []string{"2"})
-		image, _ := inner.ReadAll(name(1))
+		image, _ := inner.ReadAll(segmentName(1))
 		disk := writeGroups([]string{"first"}, []string{string(image) + string(image)})
-		So(disk.FlipBit(name(1), 2*headSize+int64(len("first")), 0), ShouldBeTrue)
-		s := start(disk, 1)
+		So(disk.FlipBit(segmentName(1), 2*headerSize+int64(len("first")), 0), ShouldBeTrue)
+		s := recoverLog(disk, 1)
 		So(s.text(), ShouldEqual, "first")
 		So(s.skipped, ShouldBeEmpty)
-		So(s.cutOff, ShouldHaveLength, 1)
+		So(s.truncated, ShouldHaveLength, 1)
 	})
 }
 
 // TestRandomDamage inverts a bit of logs of random groups: each record is replayed as it was written, or lies in a part that was
 // told, and only the last group is ever cut off.
 func TestRandomDamage(t *testing.T) {
-	first := wanted("FIRST", 0)
-	for seed := first; seed < first+wanted("SEEDS", plainHistories); seed++ {
-		if err := playDamage(simulation.NewRand(uint64(seed))); err != nil {
+	first := envInt("FIRST", 0)
+	for seed := first; seed < first+envInt("SEEDS", defaultHistories); seed++ {
+		if err := checkDamage(simulation.NewRand(uint64(seed))); err != nil {
 			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, err)
 		}
 	}
 }
 
-func playDamage(random *simulation.Rand) error {
+func checkDamage(random *simulation.Rand) error {
 	var groups [][]string
 	for range 2 + random.IntN(8) {
 		var group []string
@@ -216,20 +216,20 @@
 		groups = append(groups, group)
 	}
 	disk := writeGroups(groups...)
-	sound := start(disk, 1)
-	lastGroup := sound.recordsAt[len(sound.recordsAt)-len(groups[len(groups)-1])].Offset - headSize
+	sound := recoverLog(disk, 1)
+	lastGroup := sound.recordsAt[len(sound.recordsAt)-len(groups[len(groups)-1])].Offset - headerSize
 	offset := random.Int64N(sound.sizeBefore)
-	disk.FlipBit(name(1), offset, random.IntN(8))
-	s := start(disk, 1)
-	for _, at := range s.cutOff {
+	disk.FlipBit(segmentName(1), offset, random.IntN(8))
+	s := recoverLog(disk, 1)
+	for _, at := range s.truncated {
 		if at.Offset < lastGroup {
 			return fmt.Errorf("bit of byte %d: %v is cut off, the last group begins at %d", offset, at, lastGroup)
 		}
 	}
-	if len(s.cutOff)+len(s.skipped) != 1 {
-		return fmt.Errorf("bit of byte %d: skipped %v, cut off %v", offset, s.skipped, s.cutOff)
+	if len(s.truncated)+len(s.skipped) != 1 {
+		return fmt.Errorf("bit of byte %d: skipped %v, cut off %v", offset, s.skipped, s.truncated)
 	}
-	lost := slices.Concat(s.cutOff, s.skipped)[0]
+	lost := slices.Concat(s.truncated, s.skipped)[0]
 	for i, at := range sound.recordsAt {
 		within := at.Offset >= lost.Offset && at.Offset < lost.Offset+lost.Length
 		found := slices.Index(s.recordsAt, at)
--- a/internal/batch/wal/record.go
+++ b/internal/batch/wal/record.go
@@ -17,88 +17,88 @@
 // record covers its place, too: bytes of a payload never pass for a mark. Logs of earlier versions have no marks.
 
 const (
-	headSize  = 8
-	groupMark = 1 << 31 // in a record's length
+	headerSize  = 8
+	groupMarker = 1 << 31 // in a record's length
 )
 
 // Marks are searched for behind a record whose length can't be relied on, at every byte. Bytes that aren't a record may look
 // like the head of a long one; so only marked records up to a size are found there, and the checksums taken are bounded.
 const (
-	searchedRecord = 256 << 10 // bytes
-	searchedBytes  = 1 << 30
+	maxSearchedRecord = 256 << 10 // bytes
+	maxSearchedBytes  = 1 << 30
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // encodeRecord gives a record without a mark.
 func encodeRecord(payload []byte) []byte {
-	record := make([]byte, headSize+len(payload))
+	record := make([]byte, headerSize+len(payload))
 	binary.LittleEndian.PutUint32(record, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(record[4:], crc32.Checksum(payload, table))
-	copy(record[headSize:], payload)
+	binary.LittleEndian.PutUint32(record[4:], crc32.Checksum(payload, castagnoli))
+	copy(record[headerSize:], payload)
 	return record
 }
 
 // mark makes a record, which is to stand at an offset of a segment, the first of its group.
-func mark(record []byte, segment uint32, offset int64) {
+func setMarker(record []byte, segment uint32, offset int64) {
 	length := binary.LittleEndian.Uint32(record)
-	binary.LittleEndian.PutUint32(record, length|groupMark)
-	binary.LittleEndian.PutUint32(record[4:], markedChecksum(segment, offset, record[headSize:]))
+	binary.LittleEndian.PutUint32(record, length|groupMarker)
+	binary.LittleEndian.PutUint32(record[4:], markedChecksum(segment, offset, record[headerSize:]))
 }
 
 func markedChecksum(segment uint32, offset int64, payload []byte) uint32 {
 	var place [12]byte
 	binary.LittleEndian.PutUint32(place[:], segment)
 	binary.LittleEndian.PutUint64(place[4:], uint64(offset))
-	return crc32.Update(crc32.Checksum(place[:], table), table, payload)
+	return crc32.Update(crc32.Checksum(place[:], castagnoli), castagnoli, payload)
 }
 
 // head is a record's head as it was read.
-type head struct {
+type recordHeader struct {
 	length   uint32
 	marked   bool
 	checksum uint32
 }
 
-func decodeHead(bytes []byte) head {
+func decodeHeader(bytes []byte) recordHeader {
 	length := binary.LittleEndian.Uint32(bytes)
-	return head{
-		length: length &^ groupMark, marked: length&groupMark != 0, checksum: binary.LittleEndian.Uint32(bytes[4:]),
+	return recordHeader{
+		length: length &^ groupMarker, marked: length&groupMarker != 0, checksum: binary.LittleEndian.Uint32(bytes[4:]),
 	}
 }
 
 // plausible tells whether a record may have such a length.
-func (h head) plausible() bool { return h.length > 0 && h.length <= MaxRecord }
+func (h recordHeader) validLength() bool { return h.length > 0 && h.length <= MaxRecordSize }
 
 // fits tells whether a payload is the one that was written with the head at an offset of a segment.
-func (h head) fits(segment uint32, offset int64, payload []byte) bool {
+func (h recordHeader) matches(segment uint32, offset int64, payload []byte) bool {
 	if h.marked {
 		return markedChecksum(segment, offset, payload) == h.checksum
 	}
-	return crc32.Checksum(payload, table) == h.checksum
+	return crc32.Checksum(payload, castagnoli) == h.checksum
 }
 
 // readRecord reads the payload of the record at an offset of a segment; ErrCorrupt says that there is none that is whole.
 func readRecord(in *bufio.Reader, segment uint32, offset int64) ([]byte, error) {
-	var bytes [headSize]byte
+	var bytes [headerSize]byte
 	if _, err := io.ReadFull(in, bytes[:]); err != nil {
-		return nil, endOfLog(err)
+		return nil, eofAsCorrupt(err)
 	}
-	h := decodeHead(bytes[:])
-	if !h.plausible() {
+	h := decodeHeader(bytes[:])
+	if !h.validLength() {
 		return nil, ErrCorrupt
 	}
 	payload, err := io.ReadAll(io.LimitReader(in, int64(h.length)))
 	if err != nil {
 		return nil, err
 	}
-	if len(payload) != int(h.length) || !h.fits(segment, offset, payload) {
+	if len(payload) != int(h.length) || !h.matches(segment, offset, payload) {
 		return nil, ErrCorrupt
 	}
 	return payload, nil
 }
 
-func endOfLog(err error) error {
+func eofAsCorrupt(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrCorrupt
 	}
@@ -107,18 +107,18 @@
 
 // findMark gives the place of a mark behind the record that data, the rest of a segment from base on, begins with and that
 // can't be read: the first one that the lengths of records lead to, or else the first one that is found at any byte.
-func findMark(data []byte, segment uint32, base int64) (offset int64, found bool) {
-	if at, found := followToMark(data, segment, base); found {
+func findMarker(data []byte, segment uint32, base int64) (offset int64, found bool) {
+	if at, found := followLengthsToMarker(data, segment, base); found {
 		return base + int64(at), true
 	}
-	budget := searchedBytes
-	for at := 1; at+headSize < len(data) && budget > 0; at++ {
-		h := decodeHead(data[at:])
-		if !h.marked || h.length > searchedRecord || !h.plausible() {
+	budget := maxSearchedBytes
+	for at := 1; at+headerSize < len(data) && budget > 0; at++ {
+		h := decodeHeader(data[at:])
+		if !h.marked || h.length > maxSearchedRecord || !h.validLength() {
 			continue
 		}
 		budget -= int(h.length)
-		if recordAt(data[at:], segment, base+int64(at)) {
+		if beginsWithRecord(data[at:], segment, base+int64(at)) {
 			return base + int64(at), true
 		}
 	}
@@ -126,13 +126,13 @@
 }
 
 // followToMark goes from record to record by their lengths, the first of which can't be read, up to a mark.
-func followToMark(data []byte, segment uint32, base int64) (at int, found bool) {
-	for len(data)-at > headSize {
-		at += headSize + int(decodeHead(data[at:]).length)
-		if at >= len(data) || !recordAt(data[at:], segment, base+int64(at)) {
+func followLengthsToMarker(data []byte, segment uint32, base int64) (at int, found bool) {
+	for len(data)-at > headerSize {
+		at += headerSize + int(decodeHeader(data[at:]).length)
+		if at >= len(data) || !beginsWithRecord(data[at:], segment, base+int64(at)) {
 			return 0, false
 		}
-		if decodeHead(data[at:]).marked {
+		if decodeHeader(data[at:]).marked {
 			return at, true
 		}
 	}
@@ -140,11 +140,11 @@
 }
 
 // recordAt tells whether a whole record begins with the bytes at an offset of a segment.
-func recordAt(data []byte, segment uint32, offset int64) bool {
-	if len(data) <= headSize {
+func beginsWithRecord(data []byte, segment uint32, offset int64) bool {
+	if len(data) <= headerSize {
 		return false
 	}
-	h := decodeHead(data)
-	rest := data[headSize:]
-	return h.plausible() && int(h.length) <= len(rest) && h.fits(segment, offset, rest[:h.length])
+	h := decodeHeader(data)
+	rest := data[headerSize:]
+	return h.validLength() && int(h.length) <= len(rest) && h.matches(segment, offset, rest[:h.length])
 }
--- a/internal/batch/wal/skip_test.go
+++ b/internal/batch/wal/skip_test.go
@@ -12,9 +12,9 @@
 )
 
 // written gives a disk with a log of records "1" to "9", three in each segment, and a last one.
-func written() *simulation.Disk {
+func writtenLog() *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
-	log, err := Load(disk, Options{Segment: 3 * (headSize + 1)}, nil)
+	log, err := OpenLog(disk, Options{SegmentSize: 3 * (headerSize + 1)}, nil)
 	if err != nil {
 		panic(err)
 	}
@@ -34,7 +34,7 @@
 func loadSkipping(disk *simulation.Disk) (string, []Location) {
 	var text strings.Builder
 	var skipped []Location
-	_, err := Load(disk, Options{Skipped: func(at Location) {
+	_, err := OpenLog(disk, Options{OnSkipped: func(at Location) {
 		skipped = append(skipped, at)
 		text.WriteString("-")
 	}}, func(_ Location, record []byte) error {
@@ -50,35 +50,35 @@
 
 func TestSkipped(t *testing.T) {
 	Convey("A damaged record is gone over and told; what stands before and behind it is replayed", t, func() {
-		const record = headSize + 1
+		const record = headerSize + 1
 		for _, test := range []struct {
 			segment uint32
 			offset  int64
 			found   string
 			at      Location
 		}{
-			{2, headSize, "123-567890", Location{2, 0, record}},                     // its payload
-			{2, record + 4, "1234-67890", Location{2, record, record}},              // its checksum
-			{2, 2*record + headSize, "12345-7890", Location{2, 2 * record, record}}, // the last of its segment
-			{1, 1, "-4567890", Location{1, 0, 3 * record}},                          // its length
+			{2, headerSize, "123-567890", Location{2, 0, record}},                     // its payload
+			{2, record + 4, "1234-67890", Location{2, record, record}},                // its checksum
+			{2, 2*record + headerSize, "12345-7890", Location{2, 2 * record, record}}, // the last of its segment
+			{1, 1, "-4567890", Location{1, 0, 3 * record}},                            // its length
 			{3, record, "1234567-0", Location{3, record, 2 * record}},
 		} {
-			disk := written()
-			before, _ := disk.ReadAll(name(test.segment))
-			So(disk.FlipBit(name(test.segment), test.offset, 3), ShouldBeTrue)
+			disk := writtenLog()
+			before, _ := disk.ReadAll(segmentName(test.segment))
+			So(disk.FlipBit(segmentName(test.segment), test.offset, 3), ShouldBeTrue)
 			for range 2 { // and so again at the next start
 				found, skipped := loadSkipping(disk)
 				So(found, ShouldEqual, test.found)
 				So(skipped, ShouldResemble, []Location{test.at})
 			}
-			disk.FlipBit(name(test.segment), test.offset, 3)
-			after, _ := disk.ReadAll(name(test.segment))
+			disk.FlipBit(segmentName(test.segment), test.offset, 3)
+			after, _ := disk.ReadAll(segmentName(test.segment))
 			So(bytes.Equal(before, after), ShouldBeTrue) // the part is left as it is
 		}
 	})
 	Convey("A damaged end of the last segment is cut off as a torn one", t, func() {
-		disk := written()
-		So(disk.FlipBit(name(4), headSize, 0), ShouldBeTrue)
+		disk := writtenLog()
+		So(disk.FlipBit(segmentName(4), headerSize, 0), ShouldBeTrue)
 		found, skipped := loadSkipping(disk)
 		So(found, ShouldEqual, "123456789")
 		So(skipped, ShouldBeEmpty)
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -63,7 +63,7 @@
 	process      protocol.Process
 	host         *bubble.Host
 	origin       time.Time
-	journal      *wal.Journal
+	journal      *wal.WAL
 	server       *transport.Server
 	options      transport.Options
 	subscription *subscription.Subscription
@@ -123,7 +123,7 @@
 
 func (l *storeLife) open() error {
 	var err error
-	l.journal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{Segment: storeSegment}, l.machine.Replay, l.durable)
+	l.journal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{SegmentSize: storeSegment}, l.machine.Replay, l.durable)
 	return err
 }
 
@@ -319,12 +319,12 @@
 
 // release removes segments of the log that nothing needs any more.
 func (l *storeLife) release() {
-	oldest, current := l.journal.Oldest()
+	oldest, current := l.journal.SegmentRange()
 	l.mutex.Lock()
 	needed := l.machine.OldestSegment(current)
 	l.mutex.Unlock()
 	for ; oldest < needed; oldest++ {
-		if l.journal.Release(oldest) != nil {
+		if l.journal.RemoveSegment(oldest) != nil {
 			return
 		}
 	}
