--- a/internal/control/quotaservice/quotas.go
+++ b/internal/control/quotaservice/quotas.go
@@ -92,7 +92,7 @@
 		s.allocator.Start(now.Sub(s.origin), s.idle(now), s.term.nodes, s.term.floors)
 	}
 	reply := s.allocator.Request(now.Sub(s.origin), request)
-	if s.allocator.Pressed() {
+	if s.allocator.FloorChangeUrgent() {
 		s.wake()
 	}
 	return reply, nil
@@ -133,10 +133,10 @@
 	if !s.term.started {
 		return nil
 	}
-	adds := s.allocator.Unrecorded()
+	adds := s.allocator.MissingGrantees()
 	now := s.clock().Sub(s.origin)
-	s.term.removes = append(s.term.removes, s.allocator.Forget(now)...)
-	floors := s.allocator.Floors(now)
+	s.term.removes = append(s.term.removes, s.allocator.EvictGrantees(now)...)
+	floors := s.allocator.FloorChanges(now)
 	if len(adds)+len(s.term.removes)+len(floors) == 0 {
 		return nil
 	}
@@ -185,7 +185,7 @@
 		return
 	}
 	if s.term != nil && s.term.started {
-		s.allocator.Recorded(change.Add)
+		s.allocator.GranteesRecorded(change.Add)
 		s.allocator.FloorsRecorded(change.Floors)
 		s.term.removes = without(s.term.removes, change.Remove)
 	}
--- a/internal/control/quotaservice/random_test.go
+++ b/internal/control/quotaservice/random_test.go
@@ -131,7 +131,7 @@
 	}
 	w.ran[tenant.Name] = ran
 	rules := quota.Rules{Window: testWindow, Overshoot: testOvershoot, Slack: testSlack}
-	most := rules.Most(tenant.RatePerSec, tenant.Burst)
+	most := rules.MaxInWindow(tenant.RatePerSec, tenant.Burst)
 	w.worst = max(w.worst, float64(len(ran))/most)
 	if float64(len(ran)) > most {
 		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", tenant.Name, len(ran), most, w.Elapsed()))
@@ -171,7 +171,7 @@
 	}
 	if named != g.asks {
 		g.asks = named
-		g.client.Moved(w.Elapsed())
+		g.client.AllocatorMoved(w.Elapsed())
 	}
 	g.later(200*time.Millisecond+w.span(200*time.Millisecond), g.follow)
 }
@@ -197,7 +197,7 @@
 	if verdict := g.client.Resolve(now, tenant); verdict.Admit {
 		g.world.run(tenant)
 	} else if verdict.Wait {
-		g.client.GiveUp(now, tenant)
+		g.client.Cancel(now, tenant)
 	}
 }
 
@@ -207,7 +207,7 @@
 		m := g.asks
 		w.Send(g.name, m.name, nil, func() {
 			reply := m.handle(request)
-			w.Send(m.name, g.name, nil, func() { g.client.Replied(w.Elapsed(), &reply) })
+			w.Send(m.name, g.name, nil, func() { g.client.HandleReply(w.Elapsed(), &reply) })
 		})
 	}
 	g.later(10*time.Millisecond, g.pump)
--- a/internal/gateway/quotaclient/asking.go
+++ b/internal/gateway/quotaclient/asking.go
@@ -36,12 +36,12 @@
 		l.counts.Requests++
 		if l.connection == nil {
 			l.counts.Failed++
-			l.client.Failed(now)
+			l.client.RequestFailed(now)
 		} else {
 			go l.request(ctx, l.connection, request)
 		}
 	}
-	return max(minStepInterval, l.client.Wake(now)-now)
+	return max(minStepInterval, l.client.WakeAt(now)-now)
 }
 
 // follow turns to the allocator that the list of processes names.
@@ -55,7 +55,7 @@
 		l.connection = nil
 	}
 	l.address = members.QuotaAddress
-	l.client.Moved(l.now())
+	l.client.AllocatorMoved(l.now())
 	if l.address != "" {
 		l.connection = transport.NewClient(l.address, l.options.Transport, nil, l.connected)
 	}
@@ -67,7 +67,7 @@
 		return
 	}
 	l.mutex.Lock()
-	l.client.Moved(l.now())
+	l.client.AllocatorMoved(l.now())
 	l.mutex.Unlock()
 	l.wake()
 }
@@ -82,7 +82,7 @@
 		reply = protocol.QuotaReply{Sequence: request.Sequence}
 		l.counts.Failed++
 	}
-	l.client.Replied(now, &reply)
+	l.client.HandleReply(now, &reply)
 	l.resolve(now)
 	l.wake()
 }
--- a/internal/gateway/quotaclient/limits.go
+++ b/internal/gateway/quotaclient/limits.go
@@ -114,7 +114,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	served := l.client.ServesIn(now, tenant)
+	served := l.client.TimeToToken(now, tenant)
 	verdict := l.client.Take(now, tenant)
 	if !verdict.Wait {
 		return l.count(now, tenant, verdict), nil, 0
@@ -124,8 +124,8 @@
 	switch {
 	case served < patience.Certain:
 		until = max(until, served+certainMargin)
-	case l.client.Silent(now):
-		return l.count(now, tenant, quota.Verdict{RetryAfter: l.client.GiveUp(now, tenant)}), nil, 0
+	case l.client.AllocatorTimedOut(now):
+		return l.count(now, tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, tenant)}), nil, 0
 	}
 	one := &waiter{tenant: tenant, decided: make(chan Decision, 1)}
 	l.waiters = append(l.waiters, one)
@@ -138,7 +138,7 @@
 		l.counts.Admitted++
 	} else {
 		l.counts.Rejected++
-		l.rejections.record(tenant.Name, l.client.Silent(now))
+		l.rejections.record(tenant.Name, l.client.AllocatorTimedOut(now))
 	}
 	return Decision{Admit: verdict.Admit, RetryAfter: verdict.RetryAfter, takenAt: now}
 }
@@ -151,7 +151,7 @@
 		if other == one {
 			l.waiters = append(l.waiters[:i], l.waiters[i+1:]...)
 			now := l.now()
-			return l.count(now, one.tenant, quota.Verdict{RetryAfter: l.client.GiveUp(now, one.tenant)})
+			return l.count(now, one.tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, one.tenant)})
 		}
 	}
 	return <-one.decided
--- a/internal/gateway/quotaclient/limits_test.go
+++ b/internal/gateway/quotaclient/limits_test.go
@@ -157,7 +157,7 @@
 		So(eventually(func() bool {
 			keeper.mutex.Lock()
 			defer keeper.mutex.Unlock()
-			return keeper.client.ServesIn(keeper.now(), snapshot.TenantNamed("large")) < time.Second
+			return keeper.client.TimeToToken(keeper.now(), snapshot.TenantNamed("large")) < time.Second
 		}), ShouldBeTrue)
 		server.acts.Store(false)
 		So(eventually(func() bool { return keeper.Counts().Failed > 0 }), ShouldBeTrue)
--- a/internal/gateway/subscription/island_test.go
+++ b/internal/gateway/subscription/island_test.go
@@ -65,11 +65,11 @@
 		return
 	}
 	if now >= q.control.freshSince+leadTerm {
-		q.client.Replied(now, &protocol.QuotaReply{Sequence: request.Sequence})
+		q.client.HandleReply(now, &protocol.QuotaReply{Sequence: request.Sequence})
 		return
 	}
 	reply := q.allocator.Request(now, request)
-	q.world.After(2*time.Millisecond, func() { q.client.Replied(q.world.Elapsed(), &reply) })
+	q.world.After(2*time.Millisecond, func() { q.client.HandleReply(q.world.Elapsed(), &reply) })
 }
 
 // take asks for a token, and again a little later where it has to wait.
@@ -82,7 +82,7 @@
 	q.world.After(30*time.Millisecond, func() {
 		now := q.world.Elapsed()
 		if verdict := q.client.Resolve(now, q.tenant); verdict.Wait {
-			q.client.GiveUp(now, q.tenant)
+			q.client.Cancel(now, q.tenant)
 			then(false)
 		} else {
 			then(verdict.Admit)
--- a/internal/quota/asking.go
+++ b/internal/quota/asking.go
@@ -8,36 +8,36 @@
 
 // NextRequest gives the request to send now, if one is due. What it brings counts from now: it is sent after this.
 func (c *Client) NextRequest(now time.Duration) (request protocol.QuotaRequest, due bool) {
-	if c.out && now-c.sentAt > maxReplyAge {
-		c.Failed(now)
+	if c.inFlight && now-c.sentAt > replyTimeout {
+		c.RequestFailed(now)
 	}
-	c.expire(now)
-	polls := now >= c.nextPoll
-	asks := c.ask && c.waiting > 0 || c.whole
-	if c.out || now < c.nextAsk || !polls && !asks {
+	c.expireLeases(now)
+	reportDue := now >= c.nextReportAt
+	tokensDue := c.tokensDue && c.waiting > 0 || c.fullReportDue
+	if c.inFlight || now < c.nextRequestAt || !reportDue && !tokensDue {
 		return request, false
 	}
-	if polls || c.whole {
-		c.noteDemand(now)
-		c.nextPoll = now + pollEvery
+	if reportDue || c.fullReportDue {
+		c.scheduleChangedReports(now)
+		c.nextReportAt = now + reportInterval
 	}
-	renews := c.leaseUntil != 0 && now-c.sentAt >= renewEvery && c.holdsAny()
-	if !asks && !renews && !c.unacked && len(c.dirty) == 0 {
+	renewalDue := c.leaseExpiry != 0 && now-c.sentAt >= renewInterval && c.holdsLease()
+	if !tokensDue && !renewalDue && !c.ackDue && len(c.dueReports) == 0 {
 		return request, false
 	}
 	c.sequence++
 	request = protocol.QuotaRequest{
-		Process: c.process, Sequence: c.sequence, Acked: c.acked, Term: c.term, Whole: c.whole,
+		Process: c.process, Sequence: c.sequence, Acked: c.ackedSequence, Term: c.term, Whole: c.fullReportDue,
 	}
 	c.fillDemands(now, &request)
-	c.out, c.outWhole, c.sentAt = true, c.whole, now
-	c.ask, c.whole, c.unacked = false, false, false
+	c.inFlight, c.inFlightFull, c.sentAt = true, c.fullReportDue, now
+	c.tokensDue, c.fullReportDue, c.ackDue = false, false, false
 	return request, true
 }
 
-func (c *Client) holdsAny() bool {
-	for _, t := range c.order {
-		if !t.held.none() {
+func (c *Client) holdsLease() bool {
+	for _, t := range c.ordered {
+		if !t.lease.isZero() {
 			return true
 		}
 	}
@@ -46,110 +46,110 @@
 
 // fillDemands lists the tenants that are to be told.
 func (c *Client) fillDemands(now time.Duration, request *protocol.QuotaRequest) {
-	c.outTells = c.outTells[:0]
-	for _, t := range c.dirty {
-		t.dirty = false
-		demand := protocol.QuotaDemand{Tenant: t.name, Rate: t.report(now), Want: t.wants(now)}
+	c.inFlightTenants = c.inFlightTenants[:0]
+	for _, t := range c.dueReports {
+		t.reportDue = false
+		demand := protocol.QuotaDemand{Tenant: t.name, Rate: t.takeReportedDemand(now), Want: t.tokensWanted(now)}
 		if request.Whole {
-			demand.Held = t.held.message()
+			demand.Held = t.lease.toMessage()
 		}
 		request.Demands = append(request.Demands, demand)
-		c.outTells = append(c.outTells, t)
+		c.inFlightTenants = append(c.inFlightTenants, t)
 	}
-	clear(c.dirty)
-	c.dirty = c.dirty[:0]
+	clear(c.dueReports)
+	c.dueReports = c.dueReports[:0]
 }
 
 // noteDemand marks the tenants to be told of beside those that requests came for, and forgets those that nothing hangs on.
-func (c *Client) noteDemand(now time.Duration) {
-	kept := c.order[:0]
-	for _, t := range c.order {
-		if !t.dirty && t.forgettable(now) {
+func (c *Client) scheduleChangedReports(now time.Duration) {
+	kept := c.ordered[:0]
+	for _, t := range c.ordered {
+		if !t.reportDue && t.forgettable(now) {
 			delete(c.tenants, t.name)
 			continue
 		}
 		kept = append(kept, t)
-		if t.demandChanged(now) || t.wants(now) > 0 || c.whole && (!t.held.none() || t.reported > 0) {
-			c.tell(t)
+		if t.demandChanged(now) || t.tokensWanted(now) > 0 || c.fullReportDue && (!t.lease.isZero() || t.reportedDemand > 0) {
+			c.scheduleReport(t)
 		}
 	}
-	clear(c.order[len(kept):])
-	c.order = kept
+	clear(c.ordered[len(kept):])
+	c.ordered = kept
 }
 
 // Replied takes the reply to the request that is out. Resolve the requests that wait after it.
-func (c *Client) Replied(now time.Duration, reply *protocol.QuotaReply) {
-	if !c.out || reply.Sequence != c.sequence {
+func (c *Client) HandleReply(now time.Duration, reply *protocol.QuotaReply) {
+	if !c.inFlight || reply.Sequence != c.sequence {
 		return
 	}
-	if reply.Term == 0 || now-c.sentAt > maxReplyAge {
-		c.Failed(now)
+	if reply.Term == 0 || now-c.sentAt > replyTimeout {
+		c.RequestFailed(now)
 		return
 	}
-	c.askGap = max(leastAskGap, reply.AskGap)
-	c.out, c.retryGap, c.nextAsk = false, firstRetryGap, c.sentAt+c.askGap
+	c.requestInterval = max(minRequestInterval, reply.AskGap)
+	c.inFlight, c.backoff, c.nextRequestAt = false, minBackoff, c.sentAt+c.requestInterval
 	c.failures = 0
 	if reply.Unknown {
-		c.whole = true
-		c.tellAgain()
+		c.fullReportDue = true
+		c.rescheduleReports()
 		return
 	}
-	c.expire(now)
-	c.term, c.acked = reply.Term, c.sequence
-	if until := c.sentAt + reply.LeaseFor; until > now {
-		c.leaseUntil = until
+	c.expireLeases(now)
+	c.term, c.ackedSequence = reply.Term, c.sequence
+	if expiry := c.sentAt + reply.LeaseFor; expiry > now {
+		c.leaseExpiry = expiry
 	}
 	for i := range reply.Grants {
 		grant := &reply.Grants[i]
-		c.unacked = c.unacked || grant.Change
+		c.ackDue = c.ackDue || grant.Change
 		if t := c.tenants[grant.Tenant]; t != nil {
-			t.take(now, c.sentAt, grant, c.leaseUntil != 0)
+			t.applyGrant(now, c.sentAt, grant, c.leaseExpiry != 0)
 		}
 	}
 }
 
 // Failed gives the request that is out up: it may have come or not.
-func (c *Client) Failed(now time.Duration) {
-	if !c.out {
+func (c *Client) RequestFailed(now time.Duration) {
+	if !c.inFlight {
 		return
 	}
-	c.out = false
+	c.inFlight = false
 	c.failures++
-	c.nextAsk = now + c.retryGap
-	c.retryGap = min(2*c.retryGap, longestGap)
-	c.whole = c.whole || c.outWhole
-	c.ask, c.unacked = true, true
-	c.tellAgain()
+	c.nextRequestAt = now + c.backoff
+	c.backoff = min(2*c.backoff, maxBackoff)
+	c.fullReportDue = c.fullReportDue || c.inFlightFull
+	c.tokensDue, c.ackDue = true, true
+	c.rescheduleReports()
 }
 
 // Moved tells that requests go to another place from now on, or can go again: what is out has failed, and asking goes on at once.
-func (c *Client) Moved(now time.Duration) {
-	c.Failed(now)
-	c.failures, c.retryGap, c.nextAsk = 0, firstRetryGap, now
+func (c *Client) AllocatorMoved(now time.Duration) {
+	c.RequestFailed(now)
+	c.failures, c.backoff, c.nextRequestAt = 0, minBackoff, now
 }
 
 // tellAgain marks what the last request told.
-func (c *Client) tellAgain() {
-	for _, t := range c.outTells {
+func (c *Client) rescheduleReports() {
+	for _, t := range c.inFlightTenants {
 		if c.tenants[t.name] == t {
-			c.tell(t)
+			c.scheduleReport(t)
 		}
 	}
 }
 
 // Wake tells when NextRequest or Resolve has something to do, if nothing else happens before.
-func (c *Client) Wake(now time.Duration) time.Duration {
-	at := max(c.nextPoll, c.nextAsk)
+func (c *Client) WakeAt(now time.Duration) time.Duration {
+	at := max(c.nextReportAt, c.nextRequestAt)
 	switch {
-	case c.out:
-		at = c.sentAt + maxReplyAge + time.Millisecond
-	case c.ask && c.waiting > 0 || c.whole:
-		at = c.nextAsk
+	case c.inFlight:
+		at = c.sentAt + replyTimeout + time.Millisecond
+	case c.tokensDue && c.waiting > 0 || c.fullReportDue:
+		at = c.nextRequestAt
 	}
 	if c.waiting > 0 {
-		for _, t := range c.order {
+		for _, t := range c.ordered {
 			if t.waiting > 0 {
-				at = min(at, now+t.refills(now))
+				at = min(at, now+t.timeToLeaseToken(now))
 			}
 		}
 	}
--- a/internal/quota/audit_test.go
+++ b/internal/quota/audit_test.go
@@ -75,7 +75,7 @@
 		if i+1 < len(list) && list[i+1].boundAt > 0 && w.now >= list[i+1].boundAt+testRules.Window {
 			continue
 		}
-		most = max(most, testRules.Most(one.rate, one.burst))
+		most = max(most, testRules.MaxInWindow(one.rate, one.burst))
 	}
 	return most
 }
@@ -112,13 +112,13 @@
 
 // check panics where the allocator's books don't add up.
 func (a *Allocator) check() {
-	for _, one := range a.accounts {
+	for _, one := range a.tenants {
 		sum, demand, leases := lease{}, amount(0), 0
 		for _, h := range a.holders {
-			if e := h.entries[one]; e != nil {
-				sum = sum.plus(e.inForce)
+			if e := h.allocations[one]; e != nil {
+				sum = sum.plus(e.outstanding)
 				demand += e.demand
-				if !e.inForce.none() {
+				if !e.outstanding.isZero() {
 					leases++
 				}
 			}
@@ -126,8 +126,8 @@
 		if one.limited && one.pool.level < one.floor.recorded {
 			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", one.tenant, one.pool.level, one.floor.recorded))
 		}
-		if sum != one.lent || demand != one.demand || leases != one.leases {
-			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", one.tenant, one.lent, one.demand, one.leases, sum, demand, leases))
+		if sum != one.outstanding || demand != one.demand || leases != one.leaseCount {
+			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", one.tenant, one.outstanding, one.demand, one.leaseCount, sum, demand, leases))
 		}
 	}
 }
@@ -140,25 +140,25 @@
 	}
 	a := control.allocator
 	w.checkFloors(a)
-	for name := range sortedNames(a.accounts) {
-		one := a.accounts[name]
-		if limits := w.limits[name]; len(limits) > 1 && w.now < limits[len(limits)-1].at+leaseFor+2*clockMargin {
+	for name := range sortedNames(a.tenants) {
+		one := a.tenants[name]
+		if limits := w.limits[name]; len(limits) > 1 && w.now < limits[len(limits)-1].at+leaseTTL+2*clockDriftMargin {
 			continue // a larger limit's leases may be held still
 		}
 		held := lease{}
 		for _, g := range w.gateways {
-			if !g.alive || g.client.leaseUntil <= g.clock.read() {
+			if !g.alive || g.client.leaseExpiry <= g.clock.read() {
 				continue
 			}
 			if t := g.client.tenants[name]; t != nil {
-				held = held.plus(t.held)
+				held = held.plus(t.lease)
 			}
 		}
-		committed := one.lent
-		if control.clock.read() < a.unknownUntil {
-			committed = committed.plus(one.unknown)
+		committed := one.outstanding
+		if control.clock.read() < a.learningUntil {
+			committed = committed.plus(one.unaccounted)
 		}
-		if held.rate > committed.rate+rounding || held.depth > committed.depth+rounding {
+		if held.rate > committed.rate+roundingTolerance || held.depth > committed.depth+roundingTolerance {
 			panic(fmt.Sprintf("at %v tenant %s holds %v, committed %v", w.now, name, held, committed))
 		}
 	}
@@ -167,7 +167,7 @@
 // checkFloors panics where the record says more of a pool than is in it: a successor would grant the difference once more.
 func (w *world) checkFloors(a *Allocator) {
 	for name := range sortedNames(w.floors) {
-		one, tokens := a.accounts[name], w.floors[name]
+		one, tokens := a.tenants[name], w.floors[name]
 		if one == nil || !one.limited || a.term == 0 {
 			continue
 		}
@@ -188,7 +188,7 @@
 
 // credit is a tenant's part.
 type credit struct {
-	stock  []batch
+	stock  []tokenBatch
 	rate   float64 // of the lease
 	depth  float64
 	level  float64
@@ -215,7 +215,7 @@
 
 // replied takes in a reply, if it is that to the newest request and not too old: what it brings counts from the request.
 func (l *ledger) replied(now time.Duration, reply *protocol.QuotaReply) {
-	if l.taken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > maxReplyAge {
+	if l.taken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
 		return
 	}
 	l.taken = true
@@ -228,7 +228,7 @@
 			one.rate, one.depth = grant.Lease.Rate, grant.Lease.Depth
 		}
 		if grant.Tokens > 0 {
-			one.stock = append(one.stock, batch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
+			one.stock = append(one.stock, tokenBatch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	l.expire(now)
 	for len(one.stock) > 0 {
 		first := &one.stock[0]
-		if first.expires > now && first.tokens > 0 {
+		if first.expiresAt > now && first.tokens > 0 {
 			first.tokens--
 			return
 		}
@@ -270,7 +270,7 @@
 // returned takes back a token that was taken a moment ago.
 func (l *ledger) returned(now, taken time.Duration, tenant string) {
 	l.expire(now)
-	if one := l.of(tenant); now-taken <= longestExpiry {
+	if one := l.of(tenant); now-taken <= maxTokenTTL {
 		one.fill(now)
 		one.level = min(one.level+1, one.depth)
 	}
--- a/internal/quota/control_test.go
+++ b/internal/quota/control_test.go
@@ -79,7 +79,7 @@
 	if !w.hollow {
 		control.allocator.check()
 	}
-	if control.allocator.Pressed() {
+	if control.allocator.FloorChangeUrgent() {
 		w.at(w.now+millisecond, w.keepRecord)
 	}
 	w.reply(control, g, life, reply)
@@ -123,7 +123,7 @@
 		}
 		control.allocator.Start(control.clock.read(), 0, nodes, floors)
 		if w.plant == plantNoWait {
-			control.allocator.unknownUntil = control.allocator.now
+			control.allocator.learningUntil = control.allocator.now
 		}
 		control.leadUntil = math.MaxInt64
 	})
@@ -137,24 +137,24 @@
 		return
 	}
 	now := control.clock.read()
-	if floors := control.allocator.Floors(now); len(floors) > 0 {
+	if floors := control.allocator.FloorChanges(now); len(floors) > 0 {
 		w.recordFloors(control, floors)
 		return
 	}
-	if gone := control.allocator.Forget(now); len(gone) > 0 {
+	if gone := control.allocator.EvictGrantees(now); len(gone) > 0 {
 		w.change(func() {
 			w.recorded = slices.DeleteFunc(w.recorded, func(node string) bool { return slices.Contains(gone, node) })
 		}, func() {})
 		return
 	}
-	if wanted := control.allocator.Unrecorded(); len(wanted) > 0 {
+	if wanted := control.allocator.MissingGrantees(); len(wanted) > 0 {
 		w.change(func() {
 			for _, node := range wanted {
 				if !slices.Contains(w.recorded, node) {
 					w.recorded = append(w.recorded, node)
 				}
 			}
-		}, func() { control.allocator.Recorded(wanted) })
+		}, func() { control.allocator.GranteesRecorded(wanted) })
 	}
 }
 
--- a/internal/quota/floor_test.go
+++ b/internal/quota/floor_test.go
@@ -15,20 +15,20 @@
 		a.ConfigureTenants(limit("a", 100))
 		a.Start(0, 0, []string{}, floors)
 		a.Request(4*second, protocol.QuotaRequest{Sequence: 1, Process: protocol.Process{Node: "n", Incarnation: "1"}})
-		one := a.accounts["a"]
+		one := a.tenants["a"]
 
 		Convey("a lowered limit leaves what lies up to the floor, and grants none of it", func() {
 			a.ConfigureTenants(limit("a", 1))
 			So(one.poolDepth(), ShouldBeLessThan, 20*token)
 			So(one.pool.level, ShouldEqual, 20*token)
-			So(one.free(), ShouldEqual, 0)
+			So(one.grantable(), ShouldEqual, 0)
 			Convey("until the floor has been lowered on record", func() {
-				lowered := a.Floors(4 * second)
+				lowered := a.FloorChanges(4 * second)
 				So(lowered, ShouldHaveLength, 1)
 				a.FloorsRecorded(lowered)
 				a.refill(one)
 				So(one.pool.level, ShouldEqual, one.poolDepth())
-				So(one.free(), ShouldBeGreaterThan, 0)
+				So(one.grantable(), ShouldBeGreaterThan, 0)
 			})
 			Convey("also where it is raised again", func() {
 				a.ConfigureTenants(limit("a", 100))
@@ -38,17 +38,17 @@
 		Convey("no floor is raised above what is in a pool that has lost its depth", func() {
 			a.ConfigureTenants(limit("a", 100))
 			a.FloorsRecorded([]Floor{{Tenant: "a"}})
-			one.pool.level, one.lent = 0, lease{one.budget.rate, one.budget.depth}
+			one.pool.level, one.outstanding = 0, lease{one.budget.rate, one.budget.depth}
 			So(one.poolDepth(), ShouldEqual, 0)
-			So(a.Floors(20*second), ShouldBeEmpty)
+			So(a.FloorChanges(20*second), ShouldBeEmpty)
 		})
 		Convey("a tenant that was forgotten and comes back has its floor still", func() {
 			a.ConfigureTenants(nil)
-			a.now += 2 * rememberDropped
+			a.now += 2 * tombstoneTTL
 			a.ConfigureTenants(nil)
-			So(a.accounts, ShouldBeEmpty)
+			So(a.tenants, ShouldBeEmpty)
 			a.ConfigureTenants(limit("a", 100))
-			So(a.accounts["a"].floor.recorded, ShouldEqual, 20*token)
+			So(a.tenants["a"].floor.recorded, ShouldEqual, 20*token)
 		})
 	})
 }
--- a/internal/quota/gateway_test.go
+++ b/internal/quota/gateway_test.go
@@ -118,7 +118,7 @@
 	}
 	if w.now >= g.cut.until && !g.still() && g.address != named {
 		g.address = named
-		g.client.Moved(g.clock.read())
+		g.client.AllocatorMoved(g.clock.read())
 		g.pump()
 	}
 	w.at(w.now+200*millisecond+w.spread(200*millisecond), func() { g.learnAddress(life) })
@@ -176,8 +176,8 @@
 		g.admitted(tenant)
 	case verdict.Wait:
 		now := g.clock.read()
-		if g.client.Silent(now) && g.client.ServesIn(now, tenant) > w.maxWait {
-			g.client.GiveUp(now, tenant)
+		if g.client.AllocatorTimedOut(now) && g.client.TimeToToken(now, tenant) > w.maxWait {
+			g.client.Cancel(now, tenant)
 			w.refuse(tenant.Name, g)
 			return
 		}
@@ -249,7 +249,7 @@
 		g.ledger.sent(now, request.Sequence)
 		g.send(request)
 	}
-	if wake := g.clock.when(g.client.Wake(now)); g.wakeAt != wake {
+	if wake := g.clock.when(g.client.WakeAt(now)); g.wakeAt != wake {
 		g.wakeAt = wake
 		life := g.life
 		w.at(max(wake, w.now+millisecond), func() {
@@ -274,7 +274,7 @@
 		case !verdict.Wait:
 			w.refuse(wait.tenant.Name, g)
 		case w.now >= wait.deadline:
-			g.client.GiveUp(now, wait.tenant)
+			g.client.Cancel(now, wait.tenant)
 			w.refuse(wait.tenant.Name, g)
 		default:
 			g.waits = append(g.waits, wait)
@@ -341,9 +341,9 @@
 	}
 	now := g.clock.read()
 	g.ledger.replied(now, &reply)
-	if w.plant == plantFromReceipt && g.client.out && reply.Sequence == g.client.sequence {
+	if w.plant == plantFromReceipt && g.client.inFlight && reply.Sequence == g.client.sequence {
 		g.client.sentAt = now
 	}
-	g.client.Replied(now, &reply)
+	g.client.HandleReply(now, &reply)
 	g.pump()
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -11,56 +11,56 @@
 
 // The figures by which leases follow demand.
 const (
-	leaseHeadroom   = 1.25        // of a gateway's demand
-	leastLeaseRate  = token / 100 // below which none is lent
-	thinDemand      = token / 2   // a lease for less rests most of the time
-	thinHeadroom    = 0.6         // of such demand
-	tightHeadroom   = 0.6         // of other demand, with the pool empty
-	easyShare       = 0.6         // of the pool's depth, from which on headrooms are full
-	thinShare       = 0.6         // of the depth that may be lent: up to it thin leases are
-	leaseChange     = 0.1         // share by which an offer must differ from the last to be made
-	rounding        = token / 100 // by which leases that were told may pass the sum they are part of
-	longestInBucket = 2           // seconds of its rate that a lease holds at most, beside the first token
+	leaseHeadroom       = 1.25        // of a gateway's demand
+	minLeaseRate        = token / 100 // below which none is lent
+	lowDemand           = token / 2   // a lease for less rests most of the time
+	lowDemandHeadroom   = 0.6         // of such demand
+	emptyPoolHeadroom   = 0.6         // of other demand, with the pool empty
+	fullHeadroomShare   = 0.6         // of the pool's depth, from which on headrooms are full
+	lowDemandDepthShare = 0.6         // of the depth that may be lent: up to it thin leases are
+	minLeaseChange      = 0.1         // share by which an offer must differ from the last to be made
+	roundingTolerance   = token / 100 // by which leases that were told may pass the sum they are part of
+	maxDepthSeconds     = 2           // seconds of its rate that a lease holds at most, beside the first token
 )
 
 // holder is a process that may hold leases.
-type holder struct {
-	process  string
-	node     string
-	sequence uint64 // of its last request
-	heardAt  time.Duration
-	swept    time.Duration
-	known    bool // its leases are of this term, or it has told them
-	entries  map[*account]*entry
-	order    []*entry // the same, as they came
-	pending  []*entry // offered what isn't acknowledged
-	place    *list.Element
+type leaseHolder struct {
+	process        string
+	node           string
+	lastSequence   uint64 // of its last request
+	lastContact    time.Duration
+	rebalancedAt   time.Duration
+	reconciled     bool // its leases are of this term, or it has told them
+	allocations    map[*tenantQuota]*allocation
+	ordered        []*allocation // the same, as they came
+	unacked        []*allocation // offered what isn't acknowledged
+	contactElement *list.Element
 }
 
 // entry is a holder's part of an account.
-type entry struct {
-	account   *account
-	demand    amount
-	inForce   lease  // the most that the holder may spend by
-	offered   lease  // what it was told last
-	pendingAt uint64 // sequence of the newest request whose reply told it, 0: acknowledged
-	toldAt    uint64 // sequence of the newest request whose reply has the entry
+type allocation struct {
+	tenant          *tenantQuota
+	demand          amount
+	outstanding     lease  // the most that the holder may spend by
+	offered         lease  // what it was told last
+	unackedSequence uint64 // sequence of the newest request whose reply told it, 0: acknowledged
+	sentSequence    uint64 // sequence of the newest request whose reply has the entry
 }
 
-func processName(p *protocol.Process) string { return p.Node + "/" + p.Incarnation }
+func processID(p *protocol.Process) string { return p.Node + "/" + p.Incarnation }
 
 // holderOf finds or makes the record of an asker; nil where it is known to have ended.
-func (a *Allocator) holderOf(request *protocol.QuotaRequest) *holder {
-	name := processName(&request.Process)
-	if _, ended := a.dead[name]; ended {
+func (a *Allocator) holderFor(request *protocol.QuotaRequest) *leaseHolder {
+	name := processID(&request.Process)
+	if _, ended := a.deadProcesses[name]; ended {
 		return nil
 	}
 	h := a.holders[name]
 	if h == nil {
-		h = &holder{process: name, node: request.Process.Node, entries: map[*account]*entry{}}
+		h = &leaseHolder{process: name, node: request.Process.Node, allocations: map[*tenantQuota]*allocation{}}
 		a.holders[name] = h
-		a.byNode[h.node] = append(a.byNode[h.node], h)
-		h.place = a.heard.PushBack(h)
+		a.holdersByNode[h.node] = append(a.holdersByNode[h.node], h)
+		h.contactElement = a.byLastContact.PushBack(h)
 	}
 	return h
 }
@@ -68,272 +68,274 @@
 // endEarlier ends the processes that ran on the asker's node before it. That it took the reply to its last request shows that it
 // ran later than that was heard; whoever was heard on the node before that moment is dead, as a node runs one process at a time.
 // A first request shows nothing: it may be a dead process's, held up on its way.
-func (a *Allocator) endEarlier(h *holder, request *protocol.QuotaRequest) {
-	others := a.byNode[h.node]
-	if len(others) == 1 || request.Term != a.term || request.Acked != h.sequence || h.sequence == 0 {
+func (a *Allocator) endPredecessors(h *leaseHolder, request *protocol.QuotaRequest) {
+	others := a.holdersByNode[h.node]
+	if len(others) == 1 || request.Term != a.term || request.Acked != h.lastSequence || h.lastSequence == 0 {
 		return
 	}
 	for _, other := range slices.Clone(others) {
-		if other != h && other.heardAt <= h.heardAt {
-			a.dead[other.process] = a.now
-			a.end(other)
+		if other != h && other.lastContact <= h.lastContact {
+			a.deadProcesses[other.process] = a.now
+			a.endHolder(other)
 		}
 	}
 }
 
 // meet takes in what an asker holds that this term hasn't lent. It tells whether that is known.
-func (a *Allocator) meet(h *holder, request *protocol.QuotaRequest) bool {
+func (a *Allocator) reconcile(h *leaseHolder, request *protocol.QuotaRequest) bool {
 	switch {
 	case request.Whole:
-		a.takeHeld(h, request)
+		a.adoptReported(h, request)
 	case request.Term == 0: // it holds nothing
-	case request.Term != a.term || !h.known:
+	case request.Term != a.term || !h.reconciled:
 		return false
 	}
-	h.known = true
+	h.reconciled = true
 	return true
 }
 
 // takeHeld takes in all leases that an asker has. What it was told beyond them stays in force until it acknowledges a reply.
-func (a *Allocator) takeHeld(h *holder, request *protocol.QuotaRequest) {
-	for _, e := range h.order {
-		e.setOffered(h, lease{})
+func (a *Allocator) adoptReported(h *leaseHolder, request *protocol.QuotaRequest) {
+	for _, part := range h.ordered {
+		part.setOffered(h, lease{})
 	}
 	for i := range request.Demands {
 		demand := &request.Demands[i]
-		one := a.accounts[demand.Tenant]
-		held := leaseOf(demand.Held)
-		if one == nil || !one.limited || held.none() {
+		q := a.tenants[demand.Tenant]
+		held := leaseFromMessage(demand.Held)
+		if q == nil || !q.limited || held.isZero() {
 			continue
 		}
-		a.refill(one)
-		if !h.known && request.Term != a.term {
-			one.unknown = one.unknown.minus(held).most(lease{})
+		a.refill(q)
+		if !h.reconciled && request.Term != a.term {
+			q.unaccounted = q.unaccounted.minus(held).max(lease{})
 		}
-		e := h.entryOf(one)
-		e.setInForce(e.inForce.most(held))
-		e.setOffered(h, held)
+		part := h.allocationFor(q)
+		part.setOutstanding(part.outstanding.max(held))
+		part.setOffered(h, held)
 	}
 }
 
 // setOffered notes what a holder has once it acknowledges the reply to its last request.
-func (e *entry) setOffered(h *holder, l lease) {
-	e.offered = l
-	if e.inForce != l && e.pendingAt == 0 {
-		h.pending = append(h.pending, e)
+func (p *allocation) setOffered(h *leaseHolder, l lease) {
+	p.offered = l
+	if p.outstanding != l && p.unackedSequence == 0 {
+		h.unacked = append(h.unacked, p)
 	}
-	if e.inForce != l || e.pendingAt != 0 {
-		e.pendingAt = h.sequence
+	if p.outstanding != l || p.unackedSequence != 0 {
+		p.unackedSequence = h.lastSequence
 	}
 }
 
 // acknowledge takes in which replies the asker has taken: what they told is all that it may hold.
-func (a *Allocator) acknowledge(h *holder, request *protocol.QuotaRequest) {
+func (a *Allocator) acknowledge(h *leaseHolder, request *protocol.QuotaRequest) {
 	if request.Term != a.term {
 		return
 	}
-	kept := h.pending[:0]
-	for _, e := range h.pending {
+	kept := h.unacked[:0]
+	for _, part := range h.unacked {
 		switch {
-		case e.pendingAt == 0:
-		case request.Acked >= e.pendingAt:
-			a.refill(e.account)
-			e.pendingAt = 0
-			e.setInForce(e.offered)
+		case part.unackedSequence == 0:
+		case request.Acked >= part.unackedSequence:
+			a.refill(part.tenant)
+			part.unackedSequence = 0
+			part.setOutstanding(part.offered)
 		default:
-			kept = append(kept, e)
+			kept = append(kept, part)
 		}
 	}
-	clear(h.pending[len(kept):])
-	h.pending = kept
+	clear(h.unacked[len(kept):])
+	h.unacked = kept
 }
 
 // hear moves a holder to the end of the silent ones.
-func (a *Allocator) hear(h *holder) {
-	h.heardAt = a.now
-	a.heard.MoveToBack(h.place)
+func (a *Allocator) recordContact(h *leaseHolder) {
+	h.lastContact = a.now
+	a.byLastContact.MoveToBack(h.contactElement)
 }
 
 // endSilent frees the leases of holders that were silent for longer than these last.
-func (a *Allocator) endSilent() {
-	for front := a.heard.Front(); front != nil; front = a.heard.Front() {
-		h := front.Value.(*holder)
-		if a.now-h.heardAt <= leaseFor+clockMargin {
+func (a *Allocator) expireHolders() {
+	for front := a.byLastContact.Front(); front != nil; front = a.byLastContact.Front() {
+		h := front.Value.(*leaseHolder)
+		if a.now-h.lastContact <= leaseTTL+clockDriftMargin {
 			break
 		}
-		a.end(h)
+		a.endHolder(h)
 	}
-	if a.now-a.deadSwept > rememberDropped {
-		a.deadSwept = a.now
-		for name, at := range a.dead {
-			if a.now-at > rememberDropped {
-				delete(a.dead, name)
+	if a.now-a.tombstonesSweptAt > tombstoneTTL {
+		a.tombstonesSweptAt = a.now
+		for name, at := range a.deadProcesses {
+			if a.now-at > tombstoneTTL {
+				delete(a.deadProcesses, name)
 			}
 		}
 	}
 }
 
 // end frees all that a holder has.
-func (a *Allocator) end(h *holder) {
-	for _, e := range h.order {
-		a.refill(e.account)
-		e.setInForce(lease{})
-		e.setDemand(0)
+func (a *Allocator) endHolder(h *leaseHolder) {
+	for _, part := range h.ordered {
+		a.refill(part.tenant)
+		part.setOutstanding(lease{})
+		part.setDemand(0)
 	}
-	a.heard.Remove(h.place)
+	a.byLastContact.Remove(h.contactElement)
 	delete(a.holders, h.process)
-	left := slices.DeleteFunc(a.byNode[h.node], func(other *holder) bool { return other == h })
-	if len(left) == 0 {
-		delete(a.byNode, h.node)
+	remaining := slices.DeleteFunc(a.holdersByNode[h.node], func(other *leaseHolder) bool { return other == h })
+	if len(remaining) == 0 {
+		delete(a.holdersByNode, h.node)
 		return
 	}
-	a.byNode[h.node] = left
+	a.holdersByNode[h.node] = remaining
 }
 
-func (h *holder) entryOf(one *account) *entry {
-	e := h.entries[one]
-	if e == nil {
-		e = &entry{account: one}
-		h.entries[one] = e
-		h.order = append(h.order, e)
+func (h *leaseHolder) allocationFor(q *tenantQuota) *allocation {
+	part := h.allocations[q]
+	if part == nil {
+		part = &allocation{tenant: q}
+		h.allocations[q] = part
+		h.ordered = append(h.ordered, part)
 	}
-	return e
+	return part
 }
 
 // idle tells whether nothing hangs on an entry.
-func (e *entry) idle() bool { return e.demand == 0 && e.inForce.none() && e.pendingAt == 0 }
+func (p *allocation) idle() bool {
+	return p.demand == 0 && p.outstanding.isZero() && p.unackedSequence == 0
+}
 
-func (e *entry) setDemand(demand amount) {
-	e.account.demand += demand - e.demand
-	e.demand = demand
+func (p *allocation) setDemand(demand amount) {
+	p.tenant.demand += demand - p.demand
+	p.demand = demand
 }
 
-func (e *entry) setInForce(l lease) {
-	one := e.account
-	one.lent = one.lent.plus(l).minus(e.inForce)
-	if !e.inForce.none() {
-		one.leases--
+func (p *allocation) setOutstanding(l lease) {
+	q := p.tenant
+	q.outstanding = q.outstanding.plus(l).minus(p.outstanding)
+	if !p.outstanding.isZero() {
+		q.leaseCount--
 	}
-	if !l.none() {
-		one.leases++
+	if !l.isZero() {
+		q.leaseCount++
 	}
-	e.inForce = l
-	if one.lent.rate < 0 || one.lent.depth < 0 {
-		panic(fmt.Sprintf("quota: tenant %s has lent %v", one.tenant, one.lent))
+	p.outstanding = l
+	if q.outstanding.rate < 0 || q.outstanding.depth < 0 {
+		panic(fmt.Sprintf("quota: tenant %s has lent %v", q.tenant, q.outstanding))
 	}
 }
 
 // sweep weighs all leases of a holder again.
-func (a *Allocator) sweep(h *holder) {
-	h.swept = a.now
-	kept := h.order[:0]
-	for _, e := range h.order {
-		if e.idle() {
-			delete(h.entries, e.account)
+func (a *Allocator) rebalance(h *leaseHolder) {
+	h.rebalancedAt = a.now
+	kept := h.ordered[:0]
+	for _, part := range h.ordered {
+		if part.idle() {
+			delete(h.allocations, part.tenant)
 			continue
 		}
-		kept = append(kept, e)
-		if e.toldAt != h.sequence {
-			a.refill(e.account)
-			a.offer(h, e)
+		kept = append(kept, part)
+		if part.sentSequence != h.lastSequence {
+			a.refill(part.tenant)
+			a.offerLease(h, part)
 		}
 	}
-	clear(h.order[len(kept):])
-	h.order = kept
+	clear(h.ordered[len(kept):])
+	h.ordered = kept
 }
 
 // tellPending adds the offers that aren't acknowledged to those told in this reply: the replies that told them may be lost.
-func (h *holder) tellPending(grants []protocol.QuotaGrant) []protocol.QuotaGrant {
-	for _, e := range h.pending {
-		if e.pendingAt == 0 || e.toldAt == h.sequence {
+func (h *leaseHolder) appendUnacked(grants []protocol.QuotaGrant) []protocol.QuotaGrant {
+	for _, part := range h.unacked {
+		if part.unackedSequence == 0 || part.sentSequence == h.lastSequence {
 			continue
 		}
-		e.pendingAt, e.toldAt = h.sequence, h.sequence
-		grants = append(grants, protocol.QuotaGrant{Tenant: e.account.tenant, Change: true, Lease: e.offered.message()})
+		part.unackedSequence, part.sentSequence = h.lastSequence, h.lastSequence
+		grants = append(grants, protocol.QuotaGrant{Tenant: part.tenant.tenant, Change: true, Lease: part.offered.toMessage()})
 	}
 	return grants
 }
 
 // offer gives a holder the lease that its demand deserves and the account has room for, where that differs from what it has.
-func (a *Allocator) offer(h *holder, e *entry) {
-	one := e.account
-	next := one.deserved(e)
-	if !a.record.lendsTo(h.node) {
+func (a *Allocator) offerLease(h *leaseHolder, part *allocation) {
+	q := part.tenant
+	next := q.fairShare(part)
+	if !a.grantees.mayLease(h.node) {
 		next = lease{}
 	}
-	others := one.lent.minus(e.inForce).plus(one.unknown)
-	next.rate = min(next.rate, one.budget.maxLentRate-others.rate)
-	next.depth = min(next.depth, one.maxLentFor(e.demand)-others.depth, one.budget.depth-one.floor.least()-others.depth)
-	if next.rate < leastLeaseRate || next.depth < tokens(leastDepth) {
+	others := q.outstanding.minus(part.outstanding).plus(q.unaccounted)
+	next.rate = min(next.rate, q.budget.maxLeasedRate-others.rate)
+	next.depth = min(next.depth, q.maxLeasedDepthFor(part.demand)-others.depth, q.budget.depth-q.floor.bound()-others.depth)
+	if next.rate < minLeaseRate || next.depth < tokens(minLeaseDepth) {
 		next = lease{}
 	}
-	if next == e.offered || !one.overLent() && next.like(e.offered) {
+	if next == part.offered || !q.overcommitted() && next.similar(part.offered) {
 		return
 	}
-	e.setInForce(e.inForce.most(next))
-	e.setOffered(h, next)
-	if e.pendingAt == 0 { // a raise: it is told, and told again until it was taken
-		e.pendingAt = h.sequence
-		h.pending = append(h.pending, e)
+	part.setOutstanding(part.outstanding.max(next))
+	part.setOffered(h, next)
+	if part.unackedSequence == 0 { // a raise: it is told, and told again until it was taken
+		part.unackedSequence = h.lastSequence
+		h.unacked = append(h.unacked, part)
 	}
 }
 
 // deserved is the lease that a holder's share of the demand is worth, whoever has what.
-func (one *account) deserved(e *entry) lease {
-	if e.demand <= 0 || !one.limited || one.dropped || one.budget.maxLentRate <= 0 {
+func (q *tenantQuota) fairShare(part *allocation) lease {
+	if part.demand <= 0 || !q.limited || q.removed || q.budget.maxLeasedRate <= 0 {
 		return lease{}
 	}
-	share := e.demand.float() / max(one.demand, e.demand).float()
-	ease := one.ease()
-	headroom := tightHeadroom + (leaseHeadroom-tightHeadroom)*ease
-	if e.demand < thinDemand {
-		headroom = thinHeadroom * ease
+	share := part.demand.float() / max(q.demand, part.demand).float()
+	fullness := q.poolFullness()
+	headroom := emptyPoolHeadroom + (leaseHeadroom-emptyPoolHeadroom)*fullness
+	if part.demand < lowDemand {
+		headroom = lowDemandHeadroom * fullness
 	}
-	rate := min(share*one.budget.maxLentRate.float(), headroom*e.demand.float())
-	holders := one.leases
-	if e.inForce.none() {
+	rate := min(share*q.budget.maxLeasedRate.float(), headroom*part.demand.float())
+	holders := q.leaseCount
+	if part.outstanding.isZero() {
 		holders++
 	}
-	spare := max(0, one.budget.maxLent.float()-float64(holders)*leastDepth)
-	depth := leastDepth + min(spare*rate/one.budget.maxLentRate.float(), longestInBucket*rate)
+	spare := max(0, q.budget.maxLeasedDepth.float()-float64(holders)*minLeaseDepth)
+	depth := minLeaseDepth + min(spare*rate/q.budget.maxLeasedRate.float(), maxDepthSeconds*rate)
 	return lease{tokens(rate), tokens(depth)}
 }
 
 // ease is 1 while the pool is well filled and falls to 0 as it empties. What flows into a full lease is lost, so less is lent.
-func (one *account) ease() float64 {
-	return min(1, max(0, one.pool.level.float())/(easyShare*max(token, one.poolDepth()).float()))
+func (q *tenantQuota) poolFullness() float64 {
+	return min(1, max(0, q.pool.level.float())/(fullHeadroomShare*max(token, q.poolDepth()).float()))
 }
 
 // maxLentFor bounds the summed depth when a lease for a demand is lent: thin ones, which mostly rest, leave more to the pool.
-func (one *account) maxLentFor(demand amount) amount {
-	if demand < thinDemand {
-		return amount(thinShare * float64(one.budget.maxLent))
+func (q *tenantQuota) maxLeasedDepthFor(demand amount) amount {
+	if demand < lowDemand {
+		return amount(lowDemandDepthShare * float64(q.budget.maxLeasedDepth))
 	}
-	return one.budget.maxLent
+	return q.budget.maxLeasedDepth
 }
 
 // overLent tells whether more is lent than the limit in force allows, beyond what rounding adds.
-func (one *account) overLent() bool {
-	all := one.lent.plus(one.unknown)
-	return all.rate > one.budget.maxLentRate+rounding || all.depth > one.budget.maxLent+rounding
+func (q *tenantQuota) overcommitted() bool {
+	all := q.outstanding.plus(q.unaccounted)
+	return all.rate > q.budget.maxLeasedRate+roundingTolerance || all.depth > q.budget.maxLeasedDepth+roundingTolerance
 }
 
 // like tells whether two leases differ too little to change one for the other.
-func (l lease) like(other lease) bool {
-	return l.none() == other.none() && near(l.rate, other.rate) && near(l.depth, other.depth)
+func (l lease) similar(other lease) bool {
+	return l.isZero() == other.isZero() && near(l.rate, other.rate) && near(l.depth, other.depth)
 }
 
 func near(a, b amount) bool {
 	difference := max(a-b, b-a)
-	return difference.float() <= leaseChange*b.float()
+	return difference.float() <= minLeaseChange*b.float()
 }
 
-func (l lease) message() protocol.QuotaLease {
+func (l lease) toMessage() protocol.QuotaLease {
 	return protocol.QuotaLease{Rate: l.rate.float(), Depth: l.depth.float()}
 }
 
 // leaseOf reads a lease; what another process told in floating point is rounded up, so that it is never counted short.
-func leaseOf(m protocol.QuotaLease) lease {
+func leaseFromMessage(m protocol.QuotaLease) lease {
 	if m.Rate <= 0 && m.Depth <= 0 {
 		return lease{}
 	}
--- a/internal/quota/return_test.go
+++ b/internal/quota/return_test.go
@@ -20,19 +20,19 @@
 		c.Take(0, tenant)
 		request, due := c.NextRequest(0)
 		So(due, ShouldBeTrue)
-		c.Replied(millisecond, &protocol.QuotaReply{Sequence: request.Sequence, Term: 1, LeaseFor: leaseFor,
+		c.HandleReply(millisecond, &protocol.QuotaReply{Sequence: request.Sequence, Term: 1, LeaseFor: leaseTTL,
 			Grants: []protocol.QuotaGrant{{Tenant: "a", Change: true, Lease: protocol.QuotaLease{Rate: 1, Depth: 2}}}})
 		So(c.Resolve(second+2*millisecond, tenant).Admit, ShouldBeTrue)
-		So(c.tenants["a"].bucket.level, ShouldBeLessThan, token)
+		So(c.tenants["a"].leaseBucket.level, ShouldBeLessThan, token)
 
 		Convey("a token that was taken a moment ago goes back", func() {
 			c.Return(second+10*millisecond, second+2*millisecond, tenant)
-			So(c.tenants["a"].bucket.level, ShouldBeGreaterThan, token)
+			So(c.tenants["a"].leaseBucket.level, ShouldBeGreaterThan, token)
 		})
 		Convey("one that was taken longer ago than a token lasts is lost", func() {
-			before := c.tenants["a"].bucket.level
+			before := c.tenants["a"].leaseBucket.level
 			c.Return(second+300*millisecond, second+2*millisecond, tenant)
-			So(c.tenants["a"].bucket.level, ShouldEqual, before)
+			So(c.tenants["a"].leaseBucket.level, ShouldEqual, before)
 		})
 	})
 }
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -72,7 +72,7 @@
 // footprint counts the allocator's entries and gives the memory of the whole test, in MB: an upper bound.
 func (a *Allocator) footprint() (entries int, megabytes float64) {
 	for _, h := range a.holders {
-		entries += len(h.order)
+		entries += len(h.ordered)
 	}
 	runtime.GC()
 	var stats runtime.MemStats
