--- a/cmd/sprucelane-batch/main.go
+++ b/cmd/sprucelane-batch/main.go
@@ -25,7 +25,7 @@
 	s, err := server.Open(ctx, p.Settings, p.Log)
 	if errors.Is(err, context.Canceled) {
 		p.Log.Info().Msg("ended")
-		return program.ExitDone
+		return program.ExitOK
 	}
 	if err != nil {
 		p.Log.Error().Err(err).Msg("start_failed")
@@ -37,7 +37,7 @@
 		return program.ExitFailed
 	}
 	p.Log.Info().Msg("ended")
-	return program.ExitDone
+	return program.ExitOK
 }
 
 // watchSignals ends the process on SIGTERM, and takes changed settings in on SIGHUP once the disk is open.
@@ -48,7 +48,7 @@
 		select {
 		case s = <-opened:
 			reloads = signals.Reloads()
-		case <-signals.Ends():
+		case <-signals.Terminations():
 			stop()
 		case <-reloads:
 			p.Reload(s.Reload)
--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -113,7 +113,7 @@
 	changed := modified(path)
 	for {
 		select {
-		case <-signals.Ends():
+		case <-signals.Terminations():
 			return
 		case <-signals.Reloads():
 		case <-look.C:
--- a/cmd/sprucelane-gateway/main.go
+++ b/cmd/sprucelane-gateway/main.go
@@ -22,14 +22,14 @@
 		p.Log.Error().Err(err).Msg("failed")
 		return program.ExitFailed
 	}
-	return program.ExitDone
+	return program.ExitOK
 }
 
 // watchSignals ends the gateway on SIGTERM, and takes changed settings in on SIGHUP.
 func watchSignals(signals *program.Signals, g *gateway.Gateway, p *program.Program) {
 	for {
 		select {
-		case <-signals.Ends():
+		case <-signals.Terminations():
 			g.Shutdown()
 		case <-signals.Reloads():
 			p.Reload(g.Reload)
--- a/cmd/sprucelanectl/check.go
+++ b/cmd/sprucelanectl/check.go
@@ -16,7 +16,7 @@
 	Arguments struct {
 		File string `positional-arg-name:"FILE" description:"the configuration in JSON; - reads it from standard input"`
 	} `positional-args:"yes" required:"yes"`
-	screen *printer
+	printer *printer
 }
 
 // Execute names every finding with its place.
@@ -28,7 +28,7 @@
 	if err := checkConfiguration(c.Arguments.File, body, c.Patch).OrNil(); err != nil {
 		return err
 	}
-	return c.screen.valid(fmt.Sprintf("%s: valid, generation %d", c.Arguments.File, generationOf(body)))
+	return c.printer.valid(fmt.Sprintf("%s: valid, generation %d", c.Arguments.File, generationOf(body)))
 }
 
 // checkConfiguration gives what the schema finds and, where the shape is right, what spans items.
@@ -38,20 +38,20 @@
 		list = checkReferences(body, patch)
 	}
 	for i := range list {
-		list[i].Place = joinPlace(path, list[i].Place)
+		list[i].Place = joinLocation(path, list[i].Place)
 	}
 	return list
 }
 
 func checkReferences(body []byte, patch bool) node.Findings {
-	order := configuration.Order{Patch: patch, Body: body}
+	order := configuration.ChangeRequest{Patch: patch, Body: body}
 	if patch {
-		return configuration.CheckAlone(order)
+		return configuration.ValidateStandalone(order)
 	}
 	return configuration.NewState().Evaluate(order).Findings
 }
 
-func joinPlace(path, place string) string {
+func joinLocation(path, place string) string {
 	if place == "" {
 		return path
 	}
@@ -60,6 +60,6 @@
 
 func addConfig(parser *flags.Parser, screen *printer) *flags.Command {
 	group := add(parser.Command, "config", "the operator's configuration", &struct{}{})
-	add(group, "check", "check a configuration offline and name every finding by its place", &configCheck{screen: screen})
+	add(group, "check", "check a configuration offline and name every finding by its place", &configCheck{printer: screen})
 	return group
 }
--- a/cmd/sprucelanectl/control.go
+++ b/cmd/sprucelanectl/control.go
@@ -49,7 +49,7 @@
 }
 
 // current gives the newest configuration and its version; version 0: there is none yet.
-func (o *controlOptions) current() (version uint64, document []byte, err error) {
+func (o *controlOptions) currentConfiguration() (version uint64, document []byte, err error) {
 	answer, err := o.call(controlclient.Order{Method: http.MethodGet, Path: "/config"})
 	if controlclient.StatusOf(err) == http.StatusNotFound {
 		return 0, nil, nil
@@ -67,20 +67,20 @@
 }
 
 type configGet struct {
-	Remote controlOptions `group:"Control options"`
-	screen *printer
+	Remote  controlOptions `group:"Control options"`
+	printer *printer
 }
 
 // Execute prints the newest configuration as control gives it: JSON in both forms of output.
 func (c *configGet) Execute([]string) error {
-	version, document, err := c.Remote.current()
+	version, document, err := c.Remote.currentConfiguration()
 	if err != nil {
 		return err
 	}
 	if version == 0 {
 		return errors.New("there is no configuration yet")
 	}
-	_, err = fmt.Fprintln(c.screen.out, strings.TrimSpace(string(document)))
+	_, err = fmt.Fprintln(c.printer.out, strings.TrimSpace(string(document)))
 	return err
 }
 
@@ -91,12 +91,12 @@
 	Arguments struct {
 		File string `positional-arg-name:"FILE" description:"the change in JSON; - reads it from standard input"`
 	} `positional-args:"yes" required:"yes"`
-	method string
-	screen *printer
+	method  string
+	printer *printer
 }
 
 // taken is what an acknowledged change gives.
-type taken struct {
+type changeResult struct {
 	Acknowledged bool   `json:"acknowledged"`
 	BuiltOn      uint64 `json:"built-on"`
 	Generation   uint64 `json:"generation"`
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	builtOn, err := c.base()
+	builtOn, err := c.baseVersion()
 	if err != nil {
 		return err
 	}
@@ -122,17 +122,17 @@
 	if err != nil {
 		return err
 	}
-	result := taken{Acknowledged: true, BuiltOn: builtOn, Generation: generationOf(body), By: answer.Address}
-	return c.screen.print(result, func(out io.Writer) {
+	result := changeResult{Acknowledged: true, BuiltOn: builtOn, Generation: generationOf(body), By: answer.Address}
+	return c.printer.print(result, func(out io.Writer) {
 		fmt.Fprintf(out, "version %d is acknowledged by %s, on top of %d\n", result.Generation, result.By, result.BuiltOn)
 	})
 }
 
-func (c *configChange) base() (uint64, error) {
+func (c *configChange) baseVersion() (uint64, error) {
 	if c.IfMatch != nil {
 		return *c.IfMatch, nil
 	}
-	version, _, err := c.Remote.current()
+	version, _, err := c.Remote.currentConfiguration()
 	return version, err
 }
 
@@ -157,7 +157,7 @@
 	Arguments struct {
 		Node string `positional-arg-name:"NODE" description:"the store machine's name"`
 	} `positional-args:"yes" required:"yes"`
-	screen *printer
+	printer *printer
 }
 
 // Execute asks for a store machine to be emptied.
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	return c.screen.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodPost, Body: body})
+	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodPost, Body: body})
 }
 
 type retireStatus struct {
@@ -174,12 +174,12 @@
 	Arguments struct {
 		Node string `positional-arg-name:"NODE" description:"the store machine's name"`
 	} `positional-args:"yes" required:"yes"`
-	screen *printer
+	printer *printer
 }
 
 // Execute tells how far a retirement is.
 func (c *retireStatus) Execute([]string) error {
-	return c.screen.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodGet})
+	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodGet})
 }
 
 // retirement is what calls for a retirement give. State is "active" or "completed"; completed: the machine may be taken away.
@@ -202,11 +202,11 @@
 }
 
 func addControl(parser *flags.Parser, config *flags.Command, screen *printer) {
-	add(config, "get", "print the newest configuration", &configGet{screen: screen})
-	add(config, "put", "put a whole configuration", &configChange{method: http.MethodPut, screen: screen})
-	add(config, "patch", "add, replace and remove items of the configuration", &configChange{method: http.MethodPatch, screen: screen})
+	add(config, "get", "print the newest configuration", &configGet{printer: screen})
+	add(config, "put", "put a whole configuration", &configChange{method: http.MethodPut, printer: screen})
+	add(config, "patch", "add, replace and remove items of the configuration", &configChange{method: http.MethodPatch, printer: screen})
 	group := add(parser.Command, "retire", "emptying of store machines", &struct{}{})
-	add(group, "start", "ask for a store machine to be emptied", &retireStart{screen: screen})
-	add(group, "status", "tell how far a retirement is", &retireStatus{screen: screen})
-	add(parser.Command, "status", "ask each control process for the version that it knows", &status{screen: screen})
+	add(group, "start", "ask for a store machine to be emptied", &retireStart{printer: screen})
+	add(group, "status", "tell how far a retirement is", &retireStatus{printer: screen})
+	add(parser.Command, "status", "ask each control process for the version that it knows", &status{printer: screen})
 }
--- a/cmd/sprucelanectl/control_test.go
+++ b/cmd/sprucelanectl/control_test.go
@@ -50,27 +50,27 @@
 	change := file(t, "change.json", `{"generation":7}`)
 	Convey("The first configuration builds on 0, which need not be said", t, func() {
 		got := call("config", "put", "--control", address, "-o", "json", change)
-		So(got.problems, ShouldBeEmpty)
-		So(got.code, ShouldEqual, exitDone)
+		So(got.errOut, ShouldBeEmpty)
+		So(got.code, ShouldEqual, exitOK)
 		So(fake.ifMatch, ShouldEqual, "0")
 		So(fake.body, ShouldEqual, `{"generation":7}`)
-		var result taken
+		var result changeResult
 		So(json.Unmarshal([]byte(got.out), &result), ShouldBeNil)
-		So(result, ShouldResemble, taken{Acknowledged: true, Generation: 7, By: address})
+		So(result, ShouldResemble, changeResult{Acknowledged: true, Generation: 7, By: address})
 	})
 	Convey("The newest is printed as control gives it", t, func() {
 		got := call("config", "get", "--control", "127.0.0.1:1,"+address)
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldEqual, "{\"generation\":7}\n")
 	})
 	Convey("A change on top of another version is refused", t, func() {
 		got := call("config", "patch", "--control", address, "--if-match", "5", change)
 		So(got.code, ShouldEqual, exitFailed)
-		So(got.problems, ShouldContainSubstring, "412")
+		So(got.errOut, ShouldContainSubstring, "412")
 	})
 	Convey("Status shows each control process, and fails where none answers", t, func() {
 		got := call("status", "--control", address)
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldContainSubstring, "version 7")
 		got = call("status", "--control", "127.0.0.1:1")
 		So(got.code, ShouldEqual, exitFailed)
@@ -78,16 +78,16 @@
 	})
 	Convey("Retirement tells its state, and what isn't there fails", t, func() {
 		got := call("retire", "start", "--control", address, "store-1")
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldEqual, "store-1: active\n")
 		got = call("retire", "status", "--control", address, "store-2")
 		So(got.code, ShouldEqual, exitFailed)
-		So(got.problems, ShouldContainSubstring, "404")
+		So(got.errOut, ShouldContainSubstring, "404")
 	})
 	Convey("Without an address of control the command line can't be used", t, func() {
 		got := call("config", "get")
-		So(got.code, ShouldEqual, exitFound)
-		So(got.problems, ShouldContainSubstring, "--control")
+		So(got.code, ShouldEqual, exitFindings)
+		So(got.errOut, ShouldContainSubstring, "--control")
 	})
 }
 
@@ -99,7 +99,7 @@
 	Convey("A valid configuration is said to be", t, func() {
 		got := call("config", "check", file(t, "c.json", goodConfiguration))
 		So(got.out, ShouldContainSubstring, "valid, generation 7")
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 	})
 	Convey("What is wrong is named with its place", t, func() {
 		for _, wrong := range []struct{ from, to, says string }{
@@ -111,14 +111,14 @@
 		} {
 			text := strings.Replace(goodConfiguration, wrong.from, wrong.to, 1)
 			got := call("config", "check", file(t, "c.json", text))
-			So(got.code, ShouldEqual, exitFound)
+			So(got.code, ShouldEqual, exitFindings)
 			So(got.out, ShouldContainSubstring, wrong.says)
 		}
 	})
 	Convey("A patch is checked by itself", t, func() {
 		patch := file(t, "p.json", `{"generation":9,"delete":{"routes":["r"]}}`)
-		So(call("config", "check", "--patch", patch).code, ShouldEqual, exitDone)
-		So(call("config", "check", patch).code, ShouldEqual, exitFound)
+		So(call("config", "check", "--patch", patch).code, ShouldEqual, exitOK)
+		So(call("config", "check", patch).code, ShouldEqual, exitFindings)
 	})
 	Convey("A file that isn't there can't be checked", t, func() {
 		So(call("config", "check", "/no/such").code, ShouldEqual, exitFailed)
--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -16,11 +16,11 @@
 	Arguments struct {
 		Folder string `positional-arg-name:"DIR" description:"the data folder of a control process (data-dir of its settings)"`
 	} `positional-args:"yes" required:"yes"`
-	screen *printer
+	printer *printer
 }
 
 // verified is what a store holds.
-type verified struct {
+type verifyResult struct {
 	Whole         bool      `json:"whole"`
 	SnapshotBytes int       `json:"snapshot-bytes"`
 	Records       int       `json:"records"` // appended since the snapshot
@@ -42,14 +42,14 @@
 	if err == nil && !found.Found {
 		return fmt.Errorf("%s holds no store of a control process", c.Arguments.Folder)
 	}
-	result := verified{Whole: err == nil, SnapshotBytes: len(found.Snapshot), Records: len(found.Records), Findings: []finding{}}
+	result := verifyResult{Whole: err == nil, SnapshotBytes: len(found.Snapshot), Records: len(found.Records), Findings: []finding{}}
 	for _, one := range found.Findings {
 		result.Findings = append(result.Findings, finding{
 			Place: fmt.Sprintf("%s, byte %d", one.File, one.Offset),
 			Text:  one.Problem,
 		})
 	}
-	if printError := c.screen.print(result, result.write); printError != nil {
+	if printError := c.printer.print(result, result.write); printError != nil {
 		return printError
 	}
 	if !result.Whole {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (v verified) write(out io.Writer) {
+func (v verifyResult) write(out io.Writer) {
 	for _, one := range v.Findings {
 		fmt.Fprintf(out, "%s: %s\n", one.Place, one.Text)
 	}
@@ -69,5 +69,5 @@
 
 func addDisk(parser *flags.Parser, screen *printer) {
 	group := add(parser.Command, "disk", "disks of control processes", &struct{}{})
-	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{screen: screen})
+	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{printer: screen})
 }
--- a/cmd/sprucelanectl/main.go
+++ b/cmd/sprucelanectl/main.go
@@ -17,9 +17,9 @@
 
 // The exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitFound  = 2 // also: the command line can't be used
+	exitOK       = 0
+	exitFailed   = 1
+	exitFindings = 2 // also: the command line can't be used
 )
 
 // options are of every command.
@@ -29,7 +29,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-func run(arguments []string, out, problems io.Writer) int {
+func run(arguments []string, out, errOut io.Writer) int {
 	common := &options{}
 	parser := flags.NewNamedParser("sprucelanectl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "The operator's command. Exit codes: 0 done and nothing found; 1 it could not be done (no answer, refused); " +
@@ -37,7 +37,7 @@
 	if _, err := parser.AddGroup("Common options", "", common); err != nil {
 		panic(err) // the struct above is wrong
 	}
-	screen := &printer{out: out, problems: problems, options: common}
+	screen := &printer{out: out, errOut: errOut, options: common}
 	addSettings(parser, screen)
 	addControl(parser, addConfig(parser, screen), screen)
 	addDisk(parser, screen)
@@ -48,25 +48,25 @@
 // report prints an error, in one place, and gives the exit code.
 func report(err error, screen *printer) int {
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	var usage *flags.Error
 	if errors.As(err, &usage) {
 		if usage.Type == flags.ErrHelp {
 			fmt.Fprintln(screen.out, usage.Message)
-			return exitDone
+			return exitOK
 		}
-		fmt.Fprintln(screen.problems, usage.Message)
-		return exitFound
+		fmt.Fprintln(screen.errOut, usage.Message)
+		return exitFindings
 	}
 	var findings node.Findings
 	if errors.As(err, &findings) {
 		screen.findings(findings)
-		return exitFound
+		return exitFindings
 	}
-	fmt.Fprintln(screen.problems, err)
+	fmt.Fprintln(screen.errOut, err)
 	if errors.Is(err, errDamaged) {
-		return exitFound
+		return exitFindings
 	}
 	return exitFailed
 }
--- a/cmd/sprucelanectl/main_test.go
+++ b/cmd/sprucelanectl/main_test.go
@@ -22,16 +22,16 @@
 `
 
 // command is what one call of the program gave.
-type command struct {
-	code     int
-	out      string
-	problems string
+type result struct {
+	code   int
+	out    string
+	errOut string
 }
 
-func call(arguments ...string) command {
+func call(arguments ...string) result {
 	var out, problems bytes.Buffer
 	code := run(arguments, &out, &problems)
-	return command{code, out.String(), problems.String()}
+	return result{code, out.String(), problems.String()}
 }
 
 func file(t *testing.T, name, text string) string {
@@ -47,15 +47,15 @@
 	Convey("Help is printed and is no failure", t, func() {
 		for _, arguments := range [][]string{{"--help"}, {"settings", "check", "--help"}} {
 			got := call(arguments...)
-			So(got.code, ShouldEqual, exitDone)
+			So(got.code, ShouldEqual, exitOK)
 			So(got.out, ShouldContainSubstring, "Usage:")
 		}
 	})
 	Convey("A command line that can't be used ends with 2", t, func() {
 		for _, arguments := range [][]string{{}, {"no-such"}, {"settings", "check"}, {"-o", "yaml", "settings", "check", "x"}} {
 			got := call(arguments...)
-			So(got.code, ShouldEqual, exitFound)
-			So(got.problems, ShouldNotBeEmpty)
+			So(got.code, ShouldEqual, exitFindings)
+			So(got.errOut, ShouldNotBeEmpty)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 		So(store.Append([]byte("second")), ShouldBeNil)
 		So(store.Close(), ShouldBeNil)
 		got := call("disk", "verify", folder)
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldContainSubstring, "2 records")
 
 		for _, name := range []string{"log-0", "log-1"} {
@@ -83,8 +83,8 @@
 			So(os.WriteFile(path, bytes.Replace(text, []byte("first"), []byte("FIRST"), 1), 0o600), ShouldBeNil)
 		}
 		got = call("-o", "json", "disk", "verify", folder)
-		So(got.code, ShouldEqual, exitFound)
-		var result verified
+		So(got.code, ShouldEqual, exitFindings)
+		var result verifyResult
 		So(json.Unmarshal([]byte(got.out), &result), ShouldBeNil)
 		So(result.Whole, ShouldBeFalse)
 		So(result.Findings, ShouldNotBeEmpty)
@@ -96,18 +96,18 @@
 	good, bad := file(t, "good.conf", goodSettings), file(t, "bad.conf", "ip=here\n")
 	Convey("A valid file is said to be", t, func() {
 		got := call("settings", "check", good)
-		So(got.code, ShouldEqual, exitDone)
+		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldContainSubstring, "valid, of front-huron-1 in the role gateway")
 	})
 	Convey("All faults are named, as text and as JSON", t, func() {
 		got := call("settings", "check", bad)
-		So(got.code, ShouldEqual, exitFound)
+		So(got.code, ShouldEqual, exitFindings)
 		So(got.out, ShouldContainSubstring, `bad.conf:1: ip: "here" is no IP address`)
 		So(got.out, ShouldContainSubstring, "role: is missing")
 
 		got = call("-o", "json", "settings", "check", bad)
-		So(got.code, ShouldEqual, exitFound)
-		var result checked
+		So(got.code, ShouldEqual, exitFindings)
+		var result checkResult
 		So(json.Unmarshal([]byte(got.out), &result), ShouldBeNil)
 		So(result.Valid, ShouldBeFalse)
 		So(len(result.Findings), ShouldBeGreaterThan, 1)
--- a/cmd/sprucelanectl/printer.go
+++ b/cmd/sprucelanectl/printer.go
@@ -10,9 +10,9 @@
 
 // printer writes what commands give, as text or as JSON.
 type printer struct {
-	out      io.Writer
-	problems io.Writer // why a command failed
-	options  *options
+	out     io.Writer
+	errOut  io.Writer // why a command failed
+	options *options
 }
 
 // print writes a value: as JSON, or by the function that makes text of it.
@@ -27,7 +27,7 @@
 }
 
 // checked is what a check gives.
-type checked struct {
+type checkResult struct {
 	Valid    bool      `json:"valid"`
 	Findings []finding `json:"findings"`
 }
@@ -38,7 +38,7 @@
 }
 
 func (p *printer) findings(list node.Findings) {
-	result := checked{Findings: make([]finding, 0, len(list))}
+	result := checkResult{Findings: make([]finding, 0, len(list))}
 	for _, one := range list {
 		result.Findings = append(result.Findings, finding(one))
 	}
@@ -46,5 +46,5 @@
 }
 
 func (p *printer) valid(text string) error {
-	return p.print(checked{Valid: true, Findings: []finding{}}, func(out io.Writer) { fmt.Fprintln(out, text) })
+	return p.print(checkResult{Valid: true, Findings: []finding{}}, func(out io.Writer) { fmt.Fprintln(out, text) })
 }
--- a/cmd/sprucelanectl/settings.go
+++ b/cmd/sprucelanectl/settings.go
@@ -10,7 +10,7 @@
 
 // settingsCheck reads a settings file as a process of the system would.
 type settingsCheck struct {
-	screen    *printer
+	printer   *printer
 	Arguments struct {
 		File string `positional-arg-name:"FILE" description:"the settings file"`
 	} `positional-args:"yes" required:"yes"`
@@ -22,10 +22,10 @@
 	if err != nil {
 		return err
 	}
-	return c.screen.valid(fmt.Sprintf("%s: valid, of %s in the role %s", c.Arguments.File, settings.NodeName, settings.Role))
+	return c.printer.valid(fmt.Sprintf("%s: valid, of %s in the role %s", c.Arguments.File, settings.NodeName, settings.Role))
 }
 
 func addSettings(parser *flags.Parser, screen *printer) {
 	group := add(parser.Command, "settings", "settings files of processes", &struct{}{})
-	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{screen: screen})
+	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{printer: screen})
 }
--- a/cmd/sprucelanectl/status.go
+++ b/cmd/sprucelanectl/status.go
@@ -12,14 +12,14 @@
 
 // status asks each control process by itself.
 type status struct {
-	Remote controlOptions `group:"Control options"`
-	screen *printer
+	Remote  controlOptions `group:"Control options"`
+	printer *printer
 }
 
 // controlStatus is what one control process tells.
 type controlStatus struct {
 	Address  string  `json:"address"`
-	Answers  bool    `json:"answers"`
+	Answered bool    `json:"answers"`
 	Version  uint64  `json:"version"` // 0: no configuration yet
 	Took     float64 `json:"took-ms"`
 	Problem  string  `json:"problem,omitempty"`
@@ -36,16 +36,16 @@
 		return usageError(errNoControl)
 	}
 	list := make([]controlStatus, 0, len(addresses))
-	told := 0
+	answered := 0
 	for _, address := range addresses {
 		one := askVersion(address)
-		if one.Answers {
-			told++
+		if one.Answered {
+			answered++
 		}
 		list = append(list, one)
 	}
-	err := c.screen.print(list, func(out io.Writer) { writeStatus(out, list) })
-	if err == nil && told == 0 {
+	err := c.printer.print(list, func(out io.Writer) { writeStatus(out, list) })
+	if err == nil && answered == 0 {
 		err = fmt.Errorf("none of %d control processes tells the version", len(addresses))
 	}
 	return err
@@ -59,11 +59,11 @@
 	one.Took = float64(time.Since(began).Microseconds()) / 1000
 	switch {
 	case controlclient.StatusOf(err) == http.StatusNotFound:
-		one.Answers = true
+		one.Answered = true
 	case err != nil:
 		one.Problem = err.Error()
 	default:
-		one.Answers = true
+		one.Answered = true
 		one.Version = generationOf(answer.Body)
 		one.Redirect = answer.Address != address
 	}
@@ -73,7 +73,7 @@
 func writeStatus(out io.Writer, list []controlStatus) {
 	for _, one := range list {
 		switch {
-		case !one.Answers:
+		case !one.Answered:
 			fmt.Fprintf(out, "%-22s no answer: %s\n", one.Address, one.Problem)
 		case one.Version == 0:
 			fmt.Fprintf(out, "%-22s no configuration yet (%.1f ms)\n", one.Address, one.Took)
--- a/internal/batch/runner/run.go
+++ b/internal/batch/runner/run.go
@@ -38,7 +38,7 @@
 	r.mutex.Unlock()
 	closed := serverclient.Outcome{Result: serverclient.Canceled, LastEventID: kept.lastEventID}
 	snapshot := r.discovery.Configuration()
-	if snapshot == nil || snapshot.RouteNamed(b.Route) == nil {
+	if snapshot == nil || snapshot.RouteByName(b.Route) == nil {
 		return closed
 	}
 	item, err := r.store.ReadItem(kept.location)
@@ -49,7 +49,7 @@
 	return r.client.Run(b.context, &serverclient.Request{
 		Address:      assignment.Server.Address,
 		Instance:     assignment.Server.ID,
-		Host:         snapshot.RouteNamed(b.Route).Hostname,
+		Host:         snapshot.RouteByName(b.Route).Hostname,
 		Tenant:       b.Tenant,
 		Item:         &item,
 		LastEventID:  kept.lastEventID,
@@ -86,7 +86,7 @@
 		return false
 	}
 	snapshot := r.discovery.Configuration()
-	route := snapshot.RouteNamed(b.Route)
+	route := snapshot.RouteByName(b.Route)
 	if route == nil {
 		return false
 	}
@@ -193,7 +193,7 @@
 	if snapshot == nil {
 		return math.MaxInt
 	}
-	route := snapshot.RouteNamed(b.Route)
+	route := snapshot.RouteByName(b.Route)
 	if route == nil {
 		return math.MaxInt
 	}
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -283,7 +283,7 @@
 	target := defaultCompletionTarget
 	var backends []string
 	if snapshot != nil {
-		if route := snapshot.RouteNamed(work.Route); route != nil {
+		if route := snapshot.RouteByName(work.Route); route != nil {
 			target, backends = route.CompletionTarget(), route.Backends()
 			b.expiresAt = r.expiry(work.FirstSent, route)
 		}
@@ -331,7 +331,7 @@
 	r.planner.SetServers(list)
 	now := time.Now()
 	for id, b := range r.jobs {
-		route := snapshot.RouteNamed(b.Route)
+		route := snapshot.RouteByName(b.Route)
 		if route != nil {
 			b.routeMissingSince = time.Time{}
 			b.expiresAt = r.expiry(b.FirstSent, route)
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -153,7 +153,7 @@
 // Next gives the next task and its server, and counts it as running there; false where nothing can start now. What can't be in time
 // any more lets the rest pass: to be later costs it little, and one late batch job would make all that follow late.
 func (p *Planner) Next(now time.Duration) (Assignment, bool) {
-	if ablation.Off(ablation.BatchLateLast) {
+	if ablation.Off(ablation.BatchDeadlineOrder) {
 		return p.nextWhere(now, func(*queuedJob) bool { return true })
 	}
 	if assignment, found := p.nextWhere(now, func(w *queuedJob) bool { return !p.missesDeadline(w, now) }); found {
@@ -221,7 +221,7 @@
 	if s.ID == one.avoid {
 		cost += avoidedCost
 	}
-	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchWarmth) {
+	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
 		cost -= cachedPrefixGain
 	}
 	return cost
--- a/internal/batch/scheduler/told.go
+++ b/internal/batch/scheduler/told.go
@@ -65,7 +65,7 @@
 
 // reserve gives the share of a server's places that a batch job's items leave free.
 func (p *Planner) reserve(w *queuedJob, now time.Duration) float64 {
-	if ablation.Off(ablation.BatchReserve) {
+	if ablation.Off(ablation.BatchCapacityReserve) {
 		return 0
 	}
 	switch slack := w.deadline - now - p.meanDuration; {
@@ -79,10 +79,10 @@
 
 // chooseTold chooses by what servers tell, nil where none has room; false where they don't tell.
 func (p *Planner) pickByReportedLoad(w *queuedJob, one *queuedTask, now time.Duration) (chosen *serverState, told bool) {
-	if p.reports == nil || ablation.Off(ablation.ToldLoad) {
+	if p.reports == nil || ablation.Off(ablation.ReportedLoad) {
 		return nil, false
 	}
-	paced := !ablation.Off(ablation.BatchPace)
+	paced := !ablation.Off(ablation.BatchPacing)
 	if paced && p.budget.exhausted(now) {
 		return nil, true
 	}
@@ -126,7 +126,7 @@
 
 // reads tells whether a server is busy reading, so that its load as it told it is out of date.
 func (p *Planner) isPrefilling(s *serverState) bool {
-	return !ablation.Off(ablation.Announcements) && p.reports.PrefillBacklog(s.ID) > maxPrefillBacklog
+	return !ablation.Off(ablation.PrefixAnnouncements) && p.reports.PrefillBacklog(s.ID) > maxPrefillBacklog
 }
 
 func (p *Planner) isFailing(s *serverState) bool {
@@ -142,7 +142,7 @@
 	if s.ID == one.avoid {
 		cost += avoidedCost
 	}
-	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchWarmth) {
+	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
 		cost -= cachedPrefixGain
 	}
 	return cost
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -59,7 +59,7 @@
 	if snapshot == nil {
 		return 0, false
 	}
-	of := snapshot.RouteNamed(route)
+	of := snapshot.RouteByName(route)
 	if of == nil {
 		return 0, false
 	}
--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -28,7 +28,7 @@
 		b.Fatal(err)
 	}
 	state := NewState()
-	if _, err := state.Follow(&protocol.ConfigurationUpdate{Index: 1, Whole: whole}); err != nil {
+	if _, err := state.ApplyUpdate(&protocol.ConfigurationUpdate{Index: 1, Whole: whole}); err != nil {
 		b.Fatal(err)
 	}
 	index := uint64(1)
@@ -36,7 +36,7 @@
 	for b.Loop() {
 		body := fmt.Sprintf(`{"generation":%d,"upsert":{"routes":[{"name":"assist","hostname":"assist.example","path-prefix":"/","route-type":"streaming","timeout-ms":%d,"target-latency-ms":400,"priority":0,"backend":"lm","max-attempts":2}]}}`,
 			index+1, 5000+index)
-		version, err := state.Follow(&protocol.ConfigurationUpdate{Index: index + 1, From: index,
+		version, err := state.ApplyUpdate(&protocol.ConfigurationUpdate{Index: index + 1, From: index,
 			Steps: []protocol.ConfigurationStep{{Index: index + 1, Patch: true, Body: []byte(body)}}})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/configuration/check.go
+++ b/internal/configuration/check.go
@@ -36,14 +36,14 @@
 	if route.MaxAttempts < 0 {
 		p.addf(path+".max-attempts", element.offset, "must not be below 0")
 	}
-	if route.MaxQueuedTokens < 0 || route.MaxQueuedTokens > mostQueuedTokens {
-		p.addf(path+".max-queued-tokens", element.offset, "%d must be from 0 to %d", route.MaxQueuedTokens, int64(mostQueuedTokens))
+	if route.MaxQueuedTokens < 0 || route.MaxQueuedTokens > maxQueuedTokensBound {
+		p.addf(path+".max-queued-tokens", element.offset, "%d must be from 0 to %d", route.MaxQueuedTokens, int64(maxQueuedTokensBound))
 	}
 	p.checkWeights(route, element, path)
 }
 
 // mostQueuedTokens is the largest bound that a route may set: sums of tokens stay far from overflowing, and numbers exact in JSON.
-const mostQueuedTokens = 1 << 50
+const maxQueuedTokensBound = 1 << 50
 
 func hasMember(raw []byte, key string) bool {
 	var members map[string]json.RawMessage
@@ -71,13 +71,13 @@
 }
 
 // checkWhole checks what spans several items of a document.
-func checkWhole(document *Document, findings *node.Findings) {
-	checkServices(document, findings)
-	checkPlaces(document, findings)
-	checkKeys(document, findings)
+func checkReferences(document *Document, findings *node.Findings) {
+	checkBackendReferences(document, findings)
+	checkRouteConflicts(document, findings)
+	checkSharedKeys(document, findings)
 }
 
-func checkServices(document *Document, findings *node.Findings) {
+func checkBackendReferences(document *Document, findings *node.Findings) {
 	known := make(map[string]bool, len(document.Backends))
 	for i := range document.Backends {
 		known[document.Backends[i].Name] = true
@@ -99,32 +99,32 @@
 	}
 }
 
-func checkPlaces(document *Document, findings *node.Findings) {
+func checkRouteConflicts(document *Document, findings *node.Findings) {
 	type place struct{ host, prefix string }
-	holders := make(map[place]string, len(document.Routes))
+	owners := make(map[place]string, len(document.Routes))
 	for i := range document.Routes {
 		route := &document.Routes[i]
-		at := place{normalHost(route.Hostname), route.PathPrefix}
-		if other, taken := holders[at]; taken {
+		at := place{normalizeHost(route.Hostname), route.PathPrefix}
+		if other, taken := owners[at]; taken {
 			findings.Addf(fmt.Sprintf("routes[%d] %q", i, route.Name), "has the host and prefix of route %q", other)
 			continue
 		}
-		holders[at] = route.Name
+		owners[at] = route.Name
 	}
 }
 
 // checkKeys finds tenants that share a key. The key itself is not told: findings go to logs.
-func checkKeys(document *Document, findings *node.Findings) {
-	holders := make(map[string]string, 2*len(document.Tenants))
+func checkSharedKeys(document *Document, findings *node.Findings) {
+	owners := make(map[string]string, 2*len(document.Tenants))
 	for i := range document.Tenants {
 		tenant := &document.Tenants[i]
 		for j, key := range tenant.APIKeys {
-			if other, taken := holders[key]; taken && other != tenant.Name {
+			if other, taken := owners[key]; taken && other != tenant.Name {
 				place := fmt.Sprintf("tenants[%d] %q.api-keys[%d]", i, tenant.Name, j)
 				findings.Addf(place, "is a key of tenant %q too", other)
 				continue
 			}
-			holders[key] = tenant.Name
+			owners[key] = tenant.Name
 		}
 	}
 }
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -49,24 +49,24 @@
 
 // addf adds a finding whose place is a path in the document and its line and column.
 func (p *parser) addf(path string, offset int, format string, values ...any) {
-	p.findings.Addf(path+" ("+textPlace(p.text, offset)+")", format, values...)
+	p.findings.Addf(path+" ("+position(p.text, offset)+")", format, values...)
 }
 
 // object splits the text's outermost object.
 func (p *parser) object() ([]span, bool) {
-	if !checkText(p.text, &p.findings) {
+	if !checkSyntax(p.text, &p.findings) {
 		return nil, false
 	}
 	members, isObject := splitObject(p.text, 0)
 	if !isObject {
-		p.findings.Addf(textPlace(p.text, skipSpace(p.text, 0)), "must be an object")
+		p.findings.Addf(position(p.text, skipSpace(p.text, 0)), "must be an object")
 		return nil, false
 	}
-	p.checkTwice(members)
+	p.checkDuplicates(members)
 	return members, true
 }
 
-func (p *parser) checkTwice(members []span) {
+func (p *parser) checkDuplicates(members []span) {
 	seen := make(map[string]bool, len(members))
 	for _, one := range members {
 		if seen[one.key] {
@@ -82,7 +82,7 @@
 		if one.key != memberGeneration {
 			continue
 		}
-		number, ok := wholeNumber(one.raw)
+		number, ok := parseWholeNumber(one.raw)
 		if !ok {
 			p.addf(memberGeneration, one.offset, "must be a whole number above 0")
 		}
@@ -92,7 +92,7 @@
 	return 0
 }
 
-func wholeNumber(raw []byte) (uint64, bool) {
+func parseWholeNumber(raw []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(raw), 10, 64); err == nil {
 		return number, number > 0
 	}
@@ -154,7 +154,7 @@
 func (p *parser) checkLimits(one span, path string) {
 	var limits Limits
 	if err := decode(one.raw, &limits); err != nil {
-		p.addf(path, one.offset, "%s", describe(err))
+		p.addf(path, one.offset, "%s", describeDecodeError(err))
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 	value, err := decodeItem(list, element.raw)
 	if err != nil {
-		p.addf(path+" "+strconv.Quote(name), element.offset, "%s", describe(err))
+		p.addf(path+" "+strconv.Quote(name), element.offset, "%s", describeDecodeError(err))
 		return item{}, false
 	}
 	p.checkItem(value, element, path+" "+strconv.Quote(name))
@@ -230,14 +230,14 @@
 	return nil
 }
 
-func describe(err error) string {
+func describeDecodeError(err error) string {
 	if wrong, ok := err.(*json.UnmarshalTypeError); ok && wrong.Field != "" {
-		return fmt.Sprintf("%s: is a %s, but must be a %s", wrong.Field, wrong.Value, plainType(wrong.Type.Kind().String()))
+		return fmt.Sprintf("%s: is a %s, but must be a %s", wrong.Field, wrong.Value, typeDescription(wrong.Type.Kind().String()))
 	}
 	return err.Error()
 }
 
-func plainType(kind string) string {
+func typeDescription(kind string) string {
 	switch kind {
 	case "int", "int64", "uint64":
 		return "whole number"
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -12,13 +12,13 @@
 )
 
 // plainModel is what the operator expects: lists by name, without any of the code under test.
-type plainModel struct {
+type referenceModel struct {
 	generation uint64
 	tenants    []map[string]any
-	taken      map[string]bool
+	accepted   map[string]bool
 }
 
-func (m *plainModel) patch(generation uint64, upsert []map[string]any, remove []string) {
+func (m *referenceModel) patch(generation uint64, upsert []map[string]any, remove []string) {
 	m.generation = generation
 	m.tenants = slices.DeleteFunc(slices.Clone(m.tenants), func(t map[string]any) bool { return slices.Contains(remove, t["name"].(string)) })
 	for _, one := range upsert {
@@ -54,21 +54,21 @@
 // and holds all three to the model.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		model := &plainModel{taken: map[string]bool{}}
+		model := &referenceModel{accepted: map[string]bool{}}
 		state, replica, follower := NewState(), NewState(), NewState()
-		var sent []Order
+		var sent []ChangeRequest
 		for index := uint64(1); index < 40; index++ {
-			order := drawOrder(t, model, sent)
-			sent = append(sent, order)
-			expected := model.verdict(order)
-			if told := state.Evaluate(order); told.Status != expected {
+			request := drawRequest(t, model, sent)
+			sent = append(sent, request)
+			expected := model.verdict(request)
+			if told := state.Evaluate(request); told.Status != expected {
 				t.Fatalf("evaluated as %d, the model says %d", told.Status, expected)
 			}
-			result := state.Apply(index, order)
+			result := state.Apply(index, request)
 			if result.Status != expected {
 				t.Fatalf("order %d: %d, the model says %d: %v", index, result.Status, expected, result.Findings)
 			}
-			if other := replica.Apply(index, order); !reflect.DeepEqual(other, result) {
+			if other := replica.Apply(index, request); !reflect.DeepEqual(other, result) {
 				t.Fatalf("a replica says %v, not %v", other, result)
 			}
 			model.compare(t, state)
@@ -95,11 +95,11 @@
 }
 
 func follow(t *rapid.T, state, follower *State) {
-	update := state.Since(follower.Current().Index)
+	update := state.UpdateSince(follower.Current().Index)
 	if update == nil {
 		return
 	}
-	version, err := follower.Follow(update)
+	version, err := follower.ApplyUpdate(update)
 	if errors.Is(err, ErrGap) {
 		t.Fatal("an update made for this follower has a gap")
 	}
@@ -120,52 +120,52 @@
 	Delete     map[string][]string         `json:"delete,omitempty"`
 }
 
-func drawOrder(t *rapid.T, model *plainModel, sent []Order) Order {
+func drawRequest(t *rapid.T, model *referenceModel, sent []ChangeRequest) ChangeRequest {
 	if len(sent) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "earlier")
 	}
-	order := Order{IfMatch: model.generation, Patch: model.generation > 0 && rapid.IntRange(0, 3).Draw(t, "patch") > 0}
+	request := ChangeRequest{IfMatch: model.generation, Patch: model.generation > 0 && rapid.IntRange(0, 3).Draw(t, "patch") > 0}
 	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 {
-		order.IfMatch = rapid.Uint64Range(0, model.generation+2).Draw(t, "if-match")
+		request.IfMatch = rapid.Uint64Range(0, model.generation+2).Draw(t, "if-match")
 	}
 	generation := model.generation + uint64(rapid.IntRange(0, 3).Draw(t, "rise"))
-	if order.Patch {
+	if request.Patch {
 		remove := rapid.SliceOfN(rapid.SampledFrom([]string{"t0", "t1", "t2", "t9"}), 0, 2).Draw(t, "remove")
-		order.Body = encode(t, drawnBody{Generation: generation, Upsert: map[string][]map[string]any{"tenants": drawTenants(t)},
+		request.Body = encode(t, drawnBody{Generation: generation, Upsert: map[string][]map[string]any{"tenants": drawTenants(t)},
 			Delete: map[string][]string{"tenants": remove}})
-		return order
+		return request
 	}
 	whole := map[string]any{"generation": generation, "routes": []any{}, "backends": []any{}, "tenants": drawTenants(t)}
-	order.Body = encode(t, whole)
-	return order
+	request.Body = encode(t, whole)
+	return request
 }
 
-func (m *plainModel) key(order Order) string {
-	return fmt.Sprint(order.IfMatch, order.Patch, string(order.Body))
+func (m *referenceModel) key(request ChangeRequest) string {
+	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
 
 // verdict gives the status that an order must get, and carries it out where it is taken.
-func (m *plainModel) verdict(order Order) Status {
-	if m.taken[m.key(order)] {
-		return StatusTaken
+func (m *referenceModel) verdict(request ChangeRequest) Status {
+	if m.accepted[m.key(request)] {
+		return StatusAccepted
 	}
-	if order.IfMatch != m.generation {
+	if request.IfMatch != m.generation {
 		return StatusStale
 	}
 	var body drawnBody
-	if err := json.Unmarshal(order.Body, &body); err != nil || body.Generation <= m.generation {
+	if err := json.Unmarshal(request.Body, &body); err != nil || body.Generation <= m.generation {
 		return StatusInvalid
 	}
-	m.taken[m.key(order)] = true
-	if order.Patch {
+	m.accepted[m.key(request)] = true
+	if request.Patch {
 		m.patch(body.Generation, body.Upsert["tenants"], body.Delete["tenants"])
-		return StatusTaken
+		return StatusAccepted
 	}
 	m.generation, m.tenants = body.Generation, body.Tenants
-	return StatusTaken
+	return StatusAccepted
 }
 
-func (m *plainModel) compare(t *rapid.T, s *State) {
+func (m *referenceModel) compare(t *rapid.T, s *State) {
 	if s.Current().Generation != m.generation {
 		t.Fatalf("generation %d, not %d", s.Current().Generation, m.generation)
 	}
@@ -188,11 +188,11 @@
 	f.Add([]byte(`{"generation":1,"routes":[],"backends":[],"x":[[],{},"\""]}`), false)
 	f.Fuzz(func(t *testing.T, body []byte, patch bool) {
 		state := NewState()
-		if first := state.Apply(1, Order{Body: []byte(firstDocument)}); first.Status != StatusTaken {
+		if first := state.Apply(1, ChangeRequest{Body: []byte(firstDocument)}); first.Status != StatusAccepted {
 			t.Fatal(first)
 		}
-		result := state.Apply(2, Order{IfMatch: 7, Patch: patch, Body: body})
-		if result.Status != StatusTaken {
+		result := state.Apply(2, ChangeRequest{IfMatch: 7, Patch: patch, Body: body})
+		if result.Status != StatusAccepted {
 			return
 		}
 		again, err := ParseDocument(state.Current().JSON(), 2)
--- a/internal/configuration/model.go
+++ b/internal/configuration/model.go
@@ -31,7 +31,7 @@
 	Public             bool      `json:"public"` // takes requests without a key
 	Sticky             bool      `json:"sticky"`
 	Resumable          bool      `json:"resumable"`
-	GapAimMs           float64   `json:"gap_aim_ms,omitempty"`
+	GapTargetMs        float64   `json:"gap_aim_ms,omitempty"`
 	CompletionTargetMs float64   `json:"completion-target-ms,omitempty"`
 	RetentionSeconds   float64   `json:"retention-s,omitempty"`
 	MaxQueuedTokens    int64     `json:"max-queued-tokens,omitempty"` // of a tenant's batch jobs that wait, over all gateways; 0: no limit
@@ -56,7 +56,7 @@
 func (r *Route) Retention() time.Duration { return milliseconds(r.RetentionSeconds * 1000) }
 
 // Repeatable tells whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+func (r *Route) Idempotent() bool {
 	return r.Type == RouteSafe || r.Type == RouteStreaming && r.Resumable
 }
 
--- a/internal/configuration/order.go
+++ b/internal/configuration/order.go
@@ -9,7 +9,7 @@
 )
 
 // Order is a change that the operator asks for.
-type Order struct {
+type ChangeRequest struct {
 	IfMatch uint64 // generation that it builds on, 0 for the first
 	Patch   bool   // Body is a PATCH, else a whole document
 	Body    []byte // JSON, exactly as it came
@@ -19,9 +19,9 @@
 type Digest [16]byte
 
 // Digest gives the order's.
-func (o Order) Digest() Digest {
-	digester := NewDigester(o.IfMatch, o.Patch)
-	_, _ = digester.Write(o.Body) // a hash takes all
+func (r ChangeRequest) Digest() Digest {
+	digester := NewDigester(r.IfMatch, r.Patch)
+	_, _ = digester.Write(r.Body) // a hash takes all
 	return digester.Digest()
 }
 
@@ -51,11 +51,11 @@
 
 // The outcomes of orders. They are the statuses of HTTP that the operator gets.
 const (
-	StatusTaken   Status = 200 // in force, now or when it came first
-	StatusInvalid Status = 400
-	StatusStale   Status = 412 // another version is current
+	StatusAccepted Status = 200 // in force, now or when it came first
+	StatusInvalid  Status = 400
+	StatusStale    Status = 412 // another version is current
 	// StatusUnsure: the order builds on a version so old that it isn't remembered whether it was taken.
-	StatusUnsure Status = 503
+	StatusUnknown Status = 503
 )
 
 // Result is what came of an order.
--- a/internal/configuration/order_test.go
+++ b/internal/configuration/order_test.go
@@ -17,7 +17,7 @@
  "tenants":[{"name":"t1","api-keys":["k1","k2"],"priority":1,"rate-per-s":61,"burst":61}], "novel":{"a":1.50}}`
 
 func apply(s *State, index, ifMatch uint64, patch bool, body string) Result {
-	return s.Apply(index, Order{IfMatch: ifMatch, Patch: patch, Body: []byte(body)})
+	return s.Apply(index, ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: []byte(body)})
 }
 
 func same(t *testing.T, got []byte, want string) {
@@ -30,17 +30,17 @@
 func TestOrders(t *testing.T) {
 	Convey("A first document is taken and read back as it was sent", t, func() {
 		s := NewState()
-		So(apply(s, 1, 0, false, firstDocument).Status, ShouldEqual, StatusTaken)
+		So(apply(s, 1, 0, false, firstDocument).Status, ShouldEqual, StatusAccepted)
 		same(t, s.Current().JSON(), firstDocument)
 		So(string(s.Current().JSON()), ShouldContainSubstring, `"novel":{"a":1.50}`)
 		So(s.Current().Document().Backends[0].MaxConns, ShouldEqual, 190)
 
 		Convey("the same order gets the same answer, however often, and after others", func() {
-			So(apply(s, 2, 0, false, firstDocument).Status, ShouldEqual, StatusTaken)
+			So(apply(s, 2, 0, false, firstDocument).Status, ShouldEqual, StatusAccepted)
 			So(s.Current().Index, ShouldEqual, 1)
-			So(apply(s, 3, 7, true, `{"generation":9}`).Status, ShouldEqual, StatusTaken)
+			So(apply(s, 3, 7, true, `{"generation":9}`).Status, ShouldEqual, StatusAccepted)
 			again := apply(s, 4, 0, false, firstDocument)
-			So(again.Status, ShouldEqual, StatusTaken)
+			So(again.Status, ShouldEqual, StatusAccepted)
 			So(again.Repeated, ShouldBeTrue)
 			So(again.Generation, ShouldEqual, 9)
 			So(s.Current().Generation, ShouldEqual, 9)
@@ -55,7 +55,7 @@
 			patch := `{"generation":12,"upsert":{"routes":[{"name":"r3","hostname":"b.example","path-prefix":"/","timeout-ms":1,"backend":"b1"},
 				{"name":"r1","hostname":"a.example","path-prefix":"/z/","timeout-ms":5,"backend":"b1"}],"limits":{"max-body-bytes":5}},
 				"delete":{"routes":["r2","never"],"tenants":["t1"]}}`
-			So(apply(s, 2, 7, true, patch).Status, ShouldEqual, StatusTaken)
+			So(apply(s, 2, 7, true, patch).Status, ShouldEqual, StatusAccepted)
 			same(t, s.Current().JSON(), `{"generation":12,"routes":[
 				{"name":"r1","hostname":"a.example","path-prefix":"/z/","timeout-ms":5,"backend":"b1"},
 				{"name":"r3","hostname":"b.example","path-prefix":"/","timeout-ms":1,"backend":"b1"}],
@@ -64,7 +64,7 @@
 			snapshot := s.Current().Snapshot()
 			So(snapshot.RouteFor("A.example:80", "/z/1").Name, ShouldEqual, "r1")
 			So(snapshot.RouteFor("a.example", "/y/1"), ShouldBeNil)
-			So(snapshot.TenantFor("k1"), ShouldBeNil)
+			So(snapshot.TenantByKey("k1"), ShouldBeNil)
 			So(snapshot.Limits.MaxBodyBytes, ShouldEqual, 5)
 		})
 		Convey("a state that is written and read again goes on as the same", func() {
@@ -79,11 +79,11 @@
 		})
 		Convey("an order as old as what is no longer remembered gets no verdict", func() {
 			generation := uint64(7)
-			for i := range uint64(historySize + 1) {
-				So(apply(s, 10+i, generation, true, fmt.Sprintf(`{"generation":%d}`, generation+1)).Status, ShouldEqual, StatusTaken)
+			for i := range uint64(maxHistory + 1) {
+				So(apply(s, 10+i, generation, true, fmt.Sprintf(`{"generation":%d}`, generation+1)).Status, ShouldEqual, StatusAccepted)
 				generation++
 			}
-			So(apply(s, 9000, 0, false, firstDocument).Status, ShouldEqual, StatusUnsure)
+			So(apply(s, 9000, 0, false, firstDocument).Status, ShouldEqual, StatusUnknown)
 			So(apply(s, 9000, generation-1, true, `{"generation":1}`).Status, ShouldEqual, StatusStale)
 		})
 	})
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -45,7 +45,7 @@
 		p.addf(memberUpsert, one.offset, "must be an object of lists")
 		return
 	}
-	p.checkTwice(members)
+	p.checkDuplicates(members)
 	for _, list := range members {
 		switch {
 		case typedList(list.key):
@@ -103,17 +103,17 @@
 
 // mergeItems replaces items in their places and appends new ones. Neither list is changed.
 func mergeItems(old, changed []item) []item {
-	places := make(map[string]int, len(old))
+	positions := make(map[string]int, len(old))
 	for i := range old {
-		places[old[i].name] = i
+		positions[old[i].name] = i
 	}
 	merged := slices.Clone(old)
 	for _, one := range changed {
-		if at, found := places[one.name]; found {
+		if at, found := positions[one.name]; found {
 			merged[at] = one
 			continue
 		}
-		places[one.name] = len(merged)
+		positions[one.name] = len(merged)
 		merged = append(merged, one)
 	}
 	return merged
@@ -124,13 +124,13 @@
 	if at < 0 || len(names) == 0 {
 		return
 	}
-	gone := make(map[string]bool, len(names))
+	removed := make(map[string]bool, len(names))
 	for _, name := range names {
-		gone[name] = true
+		removed[name] = true
 	}
 	kept := make([]item, 0, len(v.members[at].items))
 	for _, one := range v.members[at].items {
-		if !gone[one.name] {
+		if !removed[one.name] {
 			kept = append(kept, one)
 		}
 	}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -32,7 +32,7 @@
 	}
 	for i := range s.Routes {
 		route := &s.Routes[i]
-		host := normalHost(route.Hostname)
+		host := normalizeHost(route.Hostname)
 		s.hosts[host] = append(s.hosts[host], route)
 		s.routes[route.Name] = route
 	}
@@ -54,7 +54,7 @@
 
 // RouteFor gives the route of a host with the longest prefix that a path begins with, or nil.
 func (s *Snapshot) RouteFor(host, path string) *Route {
-	for _, route := range s.hosts[normalHost(host)] {
+	for _, route := range s.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
 			return route
 		}
@@ -63,21 +63,21 @@
 }
 
 // RoutesOf gives the routes of a host, those with the longest prefixes first. Nobody changes the list.
-func (s *Snapshot) RoutesOf(host string) []*Route { return s.hosts[normalHost(host)] }
+func (s *Snapshot) RoutesForHost(host string) []*Route { return s.hosts[normalizeHost(host)] }
 
 // RouteNamed gives a route by its name, or nil.
-func (s *Snapshot) RouteNamed(name string) *Route { return s.routes[name] }
+func (s *Snapshot) RouteByName(name string) *Route { return s.routes[name] }
 
 // BackendNamed gives a service by its name, or nil.
-func (s *Snapshot) BackendNamed(name string) *Backend { return s.backends[name] }
+func (s *Snapshot) BackendByName(name string) *Backend { return s.backends[name] }
 
 // TenantNamed gives a tenant by its name, or nil.
-func (s *Snapshot) TenantNamed(name string) *Tenant { return s.tenants[name] }
+func (s *Snapshot) TenantByName(name string) *Tenant { return s.tenants[name] }
 
 // TenantFor gives the tenant that holds a key, or nil.
-func (s *Snapshot) TenantFor(key string) *Tenant { return s.keys[key] }
+func (s *Snapshot) TenantByKey(key string) *Tenant { return s.keys[key] }
 
-func normalHost(host string) string {
+func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			host = name
--- a/internal/configuration/split.go
+++ b/internal/configuration/split.go
@@ -17,13 +17,13 @@
 }
 
 // wellFormed lets encoding/json scan a text whole without building anything.
-type wellFormed struct{}
+type syntaxCheck struct{}
 
-func (*wellFormed) UnmarshalJSON([]byte) error { return nil }
+func (*syntaxCheck) UnmarshalJSON([]byte) error { return nil }
 
 // checkText finds out whether a text is one whole JSON value.
-func checkText(text []byte, findings *node.Findings) bool {
-	err := json.Unmarshal(text, &wellFormed{})
+func checkSyntax(text []byte, findings *node.Findings) bool {
+	err := json.Unmarshal(text, &syntaxCheck{})
 	if err == nil {
 		return true
 	}
@@ -32,12 +32,12 @@
 	if errors.As(err, &syntax) {
 		offset = int(syntax.Offset)
 	}
-	findings.Addf(textPlace(text, offset), "cannot be read: %v", err)
+	findings.Addf(position(text, offset), "cannot be read: %v", err)
 	return false
 }
 
 // textPlace gives the line and column of an offset, counted from 1.
-func textPlace(text []byte, offset int) string {
+func position(text []byte, offset int) string {
 	offset = min(max(offset, 0), len(text))
 	line := 1 + bytes.Count(text[:offset], []byte("\n"))
 	column := offset - bytes.LastIndexByte(text[:offset], '\n')
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -10,26 +10,26 @@
 )
 
 // historySize is how many taken orders are remembered, so that one that is sent again gets its answer again.
-const historySize = 4096
+const maxHistory = 4096
 
 // State is the configuration in force and the orders that led to it. It is a deterministic function of the orders applied,
 // so that replicas agree. It isn't safe for concurrent use; the Version that it gives is.
 type State struct {
-	current *Version
-	taken   map[Digest]bool
-	order   []takenOrder // oldest first
-	steps   steps
+	current  *Version
+	accepted map[Digest]bool
+	history  []acceptedRequest // oldest first
+	changes  changeLog
 }
 
 // takenOrder is a remembered order.
-type takenOrder struct {
+type acceptedRequest struct {
 	Digest  Digest
 	IfMatch uint64
 }
 
 // NewState gives the state before the first configuration.
 func NewState() *State {
-	return &State{current: &Version{}, taken: map[Digest]bool{}}
+	return &State{current: &Version{}, accepted: map[Digest]bool{}}
 }
 
 // Current gives the version in force. Its Generation is 0 before the first.
@@ -37,51 +37,51 @@
 
 // Remembered tells what is remembered of the order with a digest: that it was taken, that it is too old to tell, and else
 // StatusStale: it was not taken.
-func (s *State) Remembered(digest Digest, ifMatch uint64) Status {
-	if s.taken[digest] {
-		return StatusTaken
+func (s *State) StatusOf(digest Digest, ifMatch uint64) Status {
+	if s.accepted[digest] {
+		return StatusAccepted
 	}
-	if len(s.order) == historySize && ifMatch < s.order[0].IfMatch {
-		return StatusUnsure
+	if len(s.history) == maxHistory && ifMatch < s.history[0].IfMatch {
+		return StatusUnknown
 	}
 	return StatusStale
 }
 
 // Apply carries an order out as the one with an index in the chain. The caller doesn't change the order's body afterwards.
-func (s *State) Apply(index uint64, order Order) Result {
-	result, next := s.evaluate(index, order)
+func (s *State) Apply(index uint64, request ChangeRequest) Result {
+	result, next := s.evaluate(index, request)
 	if next == nil {
 		return result
 	}
 	s.current = next
-	s.remember(takenOrder{Digest: order.Digest(), IfMatch: order.IfMatch})
-	s.steps.add(protocol.ConfigurationStep{Index: index, Patch: order.Patch, Body: order.Body})
+	s.remember(acceptedRequest{Digest: request.Digest(), IfMatch: request.IfMatch})
+	s.changes.add(protocol.ConfigurationStep{Index: index, Patch: request.Patch, Body: request.Body})
 	return result
 }
 
 // Evaluate tells what would come of an order now, and changes nothing.
-func (s *State) Evaluate(order Order) Result {
-	result, _ := s.evaluate(s.current.Index+1, order)
+func (s *State) Evaluate(request ChangeRequest) Result {
+	result, _ := s.evaluate(s.current.Index+1, request)
 	return result
 }
 
-func (s *State) evaluate(index uint64, order Order) (Result, *Version) {
+func (s *State) evaluate(index uint64, request ChangeRequest) (Result, *Version) {
 	generation := s.current.Generation
-	switch status := s.Remembered(order.Digest(), order.IfMatch); {
-	case status == StatusTaken:
-		return Result{Status: StatusTaken, Generation: generation, Repeated: true}, nil
-	case order.IfMatch != generation:
+	switch status := s.StatusOf(request.Digest(), request.IfMatch); {
+	case status == StatusAccepted:
+		return Result{Status: StatusAccepted, Generation: generation, Repeated: true}, nil
+	case request.IfMatch != generation:
 		return Result{Status: status, Generation: generation}, nil
 	}
-	next, err := s.build(index, order)
+	next, err := s.buildNext(index, request)
 	if err != nil {
 		return Result{Status: StatusInvalid, Generation: generation, Findings: asFindings(err)}, nil
 	}
-	return Result{Status: StatusTaken, Generation: next.Generation}, next
+	return Result{Status: StatusAccepted, Generation: next.Generation}, next
 }
 
-func (s *State) build(index uint64, order Order) (*Version, error) {
-	next, err := s.successor(index, order)
+func (s *State) buildNext(index uint64, request ChangeRequest) (*Version, error) {
+	next, err := s.successor(index, request)
 	if err != nil {
 		return nil, err
 	}
@@ -93,11 +93,11 @@
 	return next, nil
 }
 
-func (s *State) successor(index uint64, order Order) (*Version, error) {
-	if !order.Patch {
-		return ParseDocument(order.Body, index)
+func (s *State) successor(index uint64, request ChangeRequest) (*Version, error) {
+	if !request.Patch {
+		return ParseDocument(request.Body, index)
 	}
-	patch, err := ParsePatch(order.Body)
+	patch, err := ParsePatch(request.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -114,25 +114,25 @@
 	return node.Findings{{Text: err.Error()}}
 }
 
-func (s *State) remember(one takenOrder) {
-	if len(s.order) == historySize {
-		delete(s.taken, s.order[0].Digest)
-		s.order = append(s.order[:0], s.order[1:]...)
+func (s *State) remember(one acceptedRequest) {
+	if len(s.history) == maxHistory {
+		delete(s.accepted, s.history[0].Digest)
+		s.history = append(s.history[:0], s.history[1:]...)
 	}
-	s.order = append(s.order, one)
-	s.taken[one.Digest] = true
+	s.history = append(s.history, one)
+	s.accepted[one.Digest] = true
 }
 
 // image is the form of a State in a snapshot of the chain.
-type image struct {
+type encodedState struct {
 	Index    uint64
 	Document []byte // empty: none yet
-	Taken    []takenOrder
+	Taken    []acceptedRequest
 }
 
 // Encode gives the state's form for a snapshot of the chain.
 func (s *State) Encode() ([]byte, error) {
-	form := image{Index: s.current.Index, Taken: s.order}
+	form := encodedState{Index: s.current.Index, Taken: s.history}
 	if s.current.Generation > 0 {
 		form.Document = s.current.JSON()
 	}
@@ -143,7 +143,7 @@
 
 // DecodeState reads what Encode gave.
 func DecodeState(raw []byte) (*State, error) {
-	var form image
+	var form encodedState
 	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&form); err != nil {
 		return nil, fmt.Errorf("configuration's state: %w", err)
 	}
@@ -162,12 +162,12 @@
 }
 
 // CheckAlone gives what is wrong with an order whatever version it builds on.
-func CheckAlone(order Order) node.Findings {
+func ValidateStandalone(request ChangeRequest) node.Findings {
 	var err error
-	if order.Patch {
-		_, err = ParsePatch(order.Body)
+	if request.Patch {
+		_, err = ParsePatch(request.Body)
 	} else {
-		_, err = ParseDocument(order.Body, 0)
+		_, err = ParseDocument(request.Body, 0)
 	}
 	if err == nil {
 		return nil
--- a/internal/configuration/steps.go
+++ b/internal/configuration/steps.go
@@ -9,55 +9,55 @@
 
 // Steps are kept so that who is a little behind gets only what is new.
 const (
-	stepsMost      = 512
-	stepsMostBytes = 2 << 20
+	maxLoggedSteps = 512
+	maxLoggedBytes = 2 << 20
 )
 
 // steps are the last changes, oldest first.
-type steps struct {
-	list  []protocol.ConfigurationStep
-	bytes int
-	floor uint64 // index of the version that the first step applies to
+type changeLog struct {
+	steps     []protocol.ConfigurationStep
+	bytes     int
+	baseIndex uint64 // index of the version that the first step applies to
 }
 
-func (s *steps) add(step protocol.ConfigurationStep) {
+func (s *changeLog) add(step protocol.ConfigurationStep) {
 	if !step.Patch { // a whole document supersedes all before it, and is sent as such
-		*s = steps{floor: step.Index}
+		*s = changeLog{baseIndex: step.Index}
 		return
 	}
-	s.list = append(s.list, step)
+	s.steps = append(s.steps, step)
 	s.bytes += len(step.Body)
-	for len(s.list) > stepsMost || s.bytes > stepsMostBytes {
-		s.floor = s.list[0].Index
-		s.bytes -= len(s.list[0].Body)
-		s.list = slices.Delete(s.list, 0, 1)
+	for len(s.steps) > maxLoggedSteps || s.bytes > maxLoggedBytes {
+		s.baseIndex = s.steps[0].Index
+		s.bytes -= len(s.steps[0].Body)
+		s.steps = slices.Delete(s.steps, 0, 1)
 	}
 }
 
 // Since gives what leads from the version with an index to the current one: nil where that is the current one or a later one, steps where
 // they are kept and shorter, and else the whole document.
-func (s *State) Since(index uint64) *protocol.ConfigurationUpdate {
+func (s *State) UpdateSince(index uint64) *protocol.ConfigurationUpdate {
 	if index >= s.current.Index {
 		return nil
 	}
-	if steps, kept := s.steps.since(index); kept {
+	if steps, kept := s.changes.since(index); kept {
 		return &protocol.ConfigurationUpdate{Index: s.current.Index, From: index, Steps: steps}
 	}
 	return &protocol.ConfigurationUpdate{Index: s.current.Index, Whole: s.current.JSON()}
 }
 
-func (s *steps) since(index uint64) ([]protocol.ConfigurationStep, bool) {
-	if s.floor == 0 || index < s.floor {
+func (s *changeLog) since(index uint64) ([]protocol.ConfigurationStep, bool) {
+	if s.baseIndex == 0 || index < s.baseIndex {
 		return nil, false
 	}
-	if index == s.floor {
-		return slices.Clone(s.list), true
+	if index == s.baseIndex {
+		return slices.Clone(s.steps), true
 	}
-	at := slices.IndexFunc(s.list, func(step protocol.ConfigurationStep) bool { return step.Index == index })
+	at := slices.IndexFunc(s.steps, func(step protocol.ConfigurationStep) bool { return step.Index == index })
 	if at < 0 {
 		return nil, false
 	}
-	return slices.Clone(s.list[at+1:]), true
+	return slices.Clone(s.steps[at+1:]), true
 }
 
 // ErrGap tells that an update doesn't follow the version held: it must be asked for with the version held.
@@ -66,12 +66,12 @@
 // Follow brings a state that follows control's up to an update, for gateways and batch processes. Older updates change
 // nothing. With ErrGap, and with any other error, the state is as it was; ask again, after an other error for the whole
 // document (Poll.Configuration 0).
-func (s *State) Follow(update *protocol.ConfigurationUpdate) (*Version, error) {
+func (s *State) ApplyUpdate(update *protocol.ConfigurationUpdate) (*Version, error) {
 	if update.Index <= s.current.Index {
 		return s.current, nil
 	}
 	if update.Whole != nil {
-		return s.replace(update.Whole, update.Index)
+		return s.replaceDocument(update.Whole, update.Index)
 	}
 	if update.From > s.current.Index || s.current.Index == 0 {
 		return nil, ErrGap
@@ -118,7 +118,7 @@
 	return v.Apply(patch, step.Index)
 }
 
-func (s *State) replace(whole []byte, index uint64) (*Version, error) {
+func (s *State) replaceDocument(whole []byte, index uint64) (*Version, error) {
 	version, err := ParseDocument(whole, index)
 	if err != nil {
 		return nil, err
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -35,12 +35,12 @@
 	for _, one := range spans {
 		version.members = append(version.members, p.member(one))
 	}
-	p.requireLists(spans)
+	p.checkRequiredLists(spans)
 	return version.finish(&p.findings)
 }
 
 // requireLists holds a whole document to having what a document can't be without.
-func (p *parser) requireLists(spans []span) {
+func (p *parser) checkRequiredLists(spans []span) {
 	for _, key := range []string{memberRoutes, memberBackends} {
 		if !hasSpan(spans, key) {
 			p.findings.Addf(key, "is missing")
@@ -61,16 +61,16 @@
 func (v *Version) finish(findings *node.Findings) (*Version, error) {
 	v.document = Document{Generation: v.Generation}
 	for _, one := range v.members {
-		v.document.take(one)
+		v.document.decodeMember(one)
 	}
-	checkWhole(&v.document, findings)
+	checkReferences(&v.document, findings)
 	if err := findings.OrNil(); err != nil {
 		return nil, err
 	}
 	return v, nil
 }
 
-func (d *Document) take(one member) {
+func (d *Document) decodeMember(one member) {
 	if one.key == memberLimits && !one.list {
 		_ = decode(one.raw, &d.Limits) // checked when it was read
 		return
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_world_test.go
@@ -322,7 +322,7 @@
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	if update.Configuration != nil {
-		_, _ = o.state.Follow(update.Configuration) // one that doesn't follow is asked for again
+		_, _ = o.state.ApplyUpdate(update.Configuration) // one that doesn't follow is asked for again
 	}
 	if update.Members != nil {
 		o.epoch = update.Members.Stores.Epoch
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return bodyFailed(c, err)
 		}
-		order := configuration.Order{IfMatch: ifMatch, Patch: patch, Body: body}
+		order := configuration.ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: body}
 		verdict, finished := a.flights.join(c.Request().Context(), order.Digest(), func() verdict { return a.decide(order, arrived) }, release)
 		if !finished {
 			return c.Request().Context().Err()
@@ -154,7 +154,7 @@
 
 // decide finds out what an order gets: it reads acknowledged state, refuses what that refuses, and proposes the rest. It goes
 // on when the operator has gone, as an order that is under way can't be called back.
-func (a *API) decide(order configuration.Order, arrived time.Time) verdict {
+func (a *API) decide(order configuration.ChangeRequest, arrived time.Time) verdict {
 	log := a.options.Log.With().Uint64("if-match", order.IfMatch).Bool("patch", order.Patch).Int("bytes", len(order.Body)).Logger()
 	decided := a.settle(order, arrived)
 	event := log.Info()
@@ -169,7 +169,7 @@
 	return decided
 }
 
-func (a *API) settle(order configuration.Order, arrived time.Time) verdict {
+func (a *API) settle(order configuration.ChangeRequest, arrived time.Time) verdict {
 	raw, err := statemachine.Command{Configuration: &order}.Encode()
 	if err != nil {
 		return verdict{status: http.StatusServiceUnavailable, unknown: err.Error()}
@@ -181,19 +181,19 @@
 
 // shapeFindings checks the shape of an order that builds on the version in force. One that was taken is never held to it: the
 // rules may have changed since.
-func shapeFindings(order configuration.Order) []answerFinding {
+func shapeFindings(order configuration.ChangeRequest) []answerFinding {
 	if json.Valid(order.Body) {
 		if found := schema.Check(order.Body, order.Patch); len(found) > 0 {
 			return answerFindings(found)
 		}
 	}
-	if found := configuration.CheckAlone(order); len(found) > 0 {
+	if found := configuration.ValidateStandalone(order); len(found) > 0 {
 		return answerFindings(found)
 	}
 	return nil
 }
 
-func identify(order configuration.Order) string {
+func identify(order configuration.ChangeRequest) string {
 	digest := order.Digest()
 	return "configuration-" + hex.EncodeToString(digest[:])
 }
@@ -201,7 +201,7 @@
 // attempt carries one order to an end.
 type attempt struct {
 	api       *API
-	order     configuration.Order
+	order     configuration.ChangeRequest
 	raw       []byte
 	id        string
 	hold      time.Time // how long it waits while it was surely not taken
@@ -246,7 +246,7 @@
 		return verdict{}, err
 	}
 	result := t.api.options.Machine.Evaluate(t.order)
-	if result.Repeated || result.Status != configuration.StatusTaken && result.Status != configuration.StatusInvalid {
+	if result.Repeated || result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
 		return fromResult(result), nil
 	}
 	if !t.shaped {
@@ -285,7 +285,7 @@
 	case configuration.StatusInvalid:
 		decided.body.Message = "the configuration is invalid"
 		decided.body.Findings = answerFindings(result.Findings)
-	case configuration.StatusUnsure:
+	case configuration.StatusUnknown:
 		decided.unknown = "the order builds on a version so old that it isn't known whether it was taken"
 	}
 	return decided
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -35,7 +35,7 @@
 }
 
 func (o *sentOrder) digest() configuration.Digest {
-	return configuration.Order{IfMatch: o.ifMatch, Patch: o.method == "PATCH", Body: []byte(o.body)}.Digest()
+	return configuration.ChangeRequest{IfMatch: o.ifMatch, Patch: o.method == "PATCH", Body: []byte(o.body)}.Digest()
 }
 
 // seen is what a call of the history brought.
@@ -333,9 +333,9 @@
 		for _, order := range h.orders {
 			status := m.machine.Remembered(order.digest(), order.ifMatch)
 			switch {
-			case status == configuration.StatusTaken && order.refused != 0 && !order.future && w.plant != plantForgetful:
+			case status == configuration.StatusAccepted && order.refused != 0 && !order.future && w.plant != plantForgetful:
 				w.failf("order %s on %d was refused with %d and is in force on %s", order.tenant, order.ifMatch, order.refused, m.ip)
-			case status != configuration.StatusTaken && order.acked && w.plant != plantForgetful:
+			case status != configuration.StatusAccepted && order.acked && w.plant != plantForgetful:
 				w.failf("order %s on %d was acknowledged and isn't known to %s", order.tenant, order.ifMatch, m.ip)
 			}
 		}
@@ -393,7 +393,7 @@
 
 func (h *history) wasTaken(order *sentOrder) bool {
 	return order.acked || slices.ContainsFunc(h.world.members, func(m *member) bool {
-		return m.machine.Remembered(order.digest(), order.ifMatch) == configuration.StatusTaken
+		return m.machine.Remembered(order.digest(), order.ifMatch) == configuration.StatusAccepted
 	})
 }
 
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -38,8 +38,8 @@
 }
 
 // manyOrder makes the order that leads to a version: mostly a PATCH of a route and a tenant.
-func manyOrder(version int) configuration.Order {
-	order := configuration.Order{IfMatch: uint64(version) - 1, Patch: version%wholeEvery != 1}
+func manyOrder(version int) configuration.ChangeRequest {
+	order := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%wholeEvery != 1}
 	if order.Patch {
 		order.Body = fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`, version,
 			manyRoute(version%routesOfMany, version), manyTenant(version%tenantsOfMany, version))
@@ -69,7 +69,7 @@
 			cancel()
 			if err == nil {
 				outcome, err := statemachine.DecodeOutcome(reply)
-				if err != nil || outcome.Configuration.Status != configuration.StatusTaken {
+				if err != nil || outcome.Configuration.Status != configuration.StatusAccepted {
 					w.t.Fatal(version, err, outcome.Configuration)
 				}
 				break
--- a/internal/control/quotaservice/random_test.go
+++ b/internal/control/quotaservice/random_test.go
@@ -85,7 +85,7 @@
 	}
 	w.version = version
 	snapshot := version.Snapshot()
-	w.tenants = []*configuration.Tenant{snapshot.TenantNamed("a"), snapshot.TenantNamed("b")}
+	w.tenants = []*configuration.Tenant{snapshot.TenantByName("a"), snapshot.TenantByName("b")}
 	w.core = newCore(w, 3+2*int(seed%2))
 	for i := range 3 + int(seed%3) {
 		g := &gateway{world: w, name: fmt.Sprintf("gateway-%d", i)}
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -130,7 +130,7 @@
 // takeShared takes in a list that another process read, and tells whether it changed the one held here.
 func (c *Control) takeShared(known *told, shared *peerServers, now time.Duration) bool {
 	if shared.List != nil {
-		list, err := serverlist.Follow(known.servers, shared.List)
+		list, err := serverlist.ApplyUpdate(known.servers, shared.List)
 		if err != nil {
 			known.servers = nil // nothing that adds to it can be used: this process reads the list itself before long
 			return false
--- a/internal/control/rig_test.go
+++ b/internal/control/rig_test.go
@@ -202,12 +202,12 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if update.Configuration != nil {
-		if _, err := f.configuration.Follow(update.Configuration); err != nil {
+		if _, err := f.configuration.ApplyUpdate(update.Configuration); err != nil {
 			panic(err)
 		}
 	}
 	if update.Servers != nil {
-		list, err := serverlist.Follow(f.servers, update.Servers)
+		list, err := serverlist.ApplyUpdate(f.servers, update.Servers)
 		if err != nil {
 			panic(err)
 		}
--- a/internal/control/server_table.go
+++ b/internal/control/server_table.go
@@ -17,7 +17,7 @@
 	list        discovery.List
 	version     uint64 // 0: no list was had
 	readAt      time.Duration
-	differences []serverlist.Difference // the last ones; the newest led to version
+	differences []serverlist.Delta // the last ones; the newest led to version
 }
 
 // take takes a list in, and tells whether its content changed.
@@ -32,21 +32,21 @@
 	if len(t.differences) == differencesMost {
 		t.differences = slices.Delete(t.differences, 0, 1)
 	}
-	t.differences = append(t.differences, serverlist.Between(t.list.Servers, list.Servers))
+	t.differences = append(t.differences, serverlist.Diff(t.list.Servers, list.Servers))
 	t.list = list
 	t.version++
 	return true
 }
 
 // since gives what leads from a version to the newest. False: that isn't kept, or the whole list is no longer.
-func (t *serverTable) since(version uint64) (serverlist.Difference, bool) {
+func (t *serverTable) since(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
 	if version == 0 || version > t.version || behind > uint64(len(t.differences)) {
-		return serverlist.Difference{}, false
+		return serverlist.Delta{}, false
 	}
-	var joined serverlist.Difference
+	var joined serverlist.Delta
 	for _, one := range t.differences[len(t.differences)-int(behind):] {
-		joined = serverlist.Join(joined, one)
+		joined = serverlist.Compose(joined, one)
 	}
 	return joined, len(joined.Changed)+len(joined.Removed) < len(t.list.Servers)
 }
--- a/internal/control/server_table_test.go
+++ b/internal/control/server_table_test.go
@@ -38,7 +38,7 @@
 			if followers[one] != nil {
 				has = followers[one].Version
 			}
-			next, err := serverlist.Follow(followers[one], table.message("a", has, time.Duration(step)))
+			next, err := serverlist.ApplyUpdate(followers[one], table.message("a", has, time.Duration(step)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -14,7 +14,7 @@
 
 // Command is one order of the chain. Exactly one member is set.
 type Command struct {
-	Configuration *configuration.Order
+	Configuration *configuration.ChangeRequest
 	Join          *Join
 	Evict         *Evict
 	Suspect       *Suspect
--- a/internal/control/statemachine/machine.go
+++ b/internal/control/statemachine/machine.go
@@ -117,11 +117,11 @@
 func (m *Machine) Since(index uint64) *protocol.ConfigurationUpdate {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.configuration.Since(index)
+	return m.configuration.UpdateSince(index)
 }
 
 // Evaluate tells what would come of an order of the operator now.
-func (m *Machine) Evaluate(order configuration.Order) configuration.Result {
+func (m *Machine) Evaluate(order configuration.ChangeRequest) configuration.Result {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Evaluate(order)
@@ -159,5 +159,5 @@
 func (m *Machine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.configuration.Remembered(digest, ifMatch)
+	return m.configuration.StatusOf(digest, ifMatch)
 }
--- a/internal/control/statemachine/machine_test.go
+++ b/internal/control/statemachine/machine_test.go
@@ -39,7 +39,7 @@
 	}
 	generation := m.Configuration().Generation
 	body := fmt.Sprintf(`{"generation":%d,"routes":[],"backends":[]}`, generation+rapid.Uint64Range(0, 2).Draw(t, "rise"))
-	return Command{Configuration: &configuration.Order{IfMatch: generation, Body: []byte(body)}}
+	return Command{Configuration: &configuration.ChangeRequest{IfMatch: generation, Body: []byte(body)}}
 }
 
 // checkInvariants holds whatever was applied.
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -172,7 +172,7 @@
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	_, _ = r.state.Follow(update.Configuration) // one that doesn't follow is asked for again
+	_, _ = r.state.ApplyUpdate(update.Configuration) // one that doesn't follow is asked for again
 }
 
 // judge holds an answer to what it vouches for.
--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -150,7 +150,7 @@
 	g.countOffered(class)
 	returning := g.isReturning(size.Remaining)
 	share := g.effectiveShed[class]
-	if share <= 0 || ablation.Off(ablation.AdmissionCuts) || !a.serversLoaded(g, now) {
+	if share <= 0 || ablation.Off(ablation.AdmissionControl) || !a.serversLoaded(g, now) {
 		return Decision{Admit: true}
 	}
 	if returning {
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -25,7 +25,7 @@
 
 // prepare reads what the choice of a server and admission go by.
 func (q *request) prepare() {
-	repeatable := q.route.Repeatable() && !ablation.Off(ablation.Retries) || q.proxy.bugs.retryNonIdempotent
+	repeatable := q.route.Idempotent() && !ablation.Off(ablation.Retries) || q.proxy.bugs.retryNonIdempotent
 	q.history = retry.History{Idempotent: repeatable, MaxServers: q.route.MaxAttempts}
 	q.admission = AdmissionRequest{Route: q.route, Tenant: q.tenant, Backend: q.chooseBackend(), Deadline: q.deadline,
 		Workload: serverselection.ParseWorkload(q.r.Header.Get(headerPromptPrefix), q.r.Header.Get(headerTokenUsage))}
--- a/internal/gateway/proxy/batch.go
+++ b/internal/gateway/proxy/batch.go
@@ -30,7 +30,7 @@
 	if operation == 0 {
 		return
 	}
-	for _, route := range q.configuration.RoutesOf(q.r.Host) {
+	for _, route := range q.configuration.RoutesForHost(q.r.Host) {
 		if route.Type == configuration.RouteBatch {
 			q.route, q.operation = route, operation
 			return
--- a/internal/gateway/proxy/choose.go
+++ b/internal/gateway/proxy/choose.go
@@ -54,7 +54,7 @@
 
 // connectionsAtMost gives this gateway's part of the connections that a server takes.
 func (q *request) maxInFlight() int {
-	backend := q.configuration.BackendNamed(q.admission.Backend)
+	backend := q.configuration.BackendByName(q.admission.Backend)
 	if backend == nil || backend.MaxConns <= 0 {
 		return 0
 	}
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -157,7 +157,7 @@
 	q.tenant = nil
 	keys := q.r.Header.Values(headerAPIKey)
 	if len(keys) == 1 {
-		q.tenant = q.configuration.TenantFor(keys[0])
+		q.tenant = q.configuration.TenantByKey(keys[0])
 	}
 	if q.tenant == nil && !q.route.Public && len(q.configuration.Tenants) > 0 {
 		return &errorResponse{status: http.StatusUnauthorized, message: "unknown key"}
--- a/internal/gateway/quotaclient/limits_test.go
+++ b/internal/gateway/quotaclient/limits_test.go
@@ -97,7 +97,7 @@
 			for range 4 {
 				wait.Go(func() {
 					for range 10 {
-						if !keeper.Acquire(context.Background(), snapshot.TenantNamed("large"), patience).Admit {
+						if !keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience).Admit {
 							refused.Add(1)
 						}
 					}
@@ -115,7 +115,7 @@
 		short := WaitLimits{Uncertain: 20 * time.Millisecond, Certain: 20 * time.Millisecond}
 		for first := time.Now(); time.Since(first) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 			for _, keeper := range keepers {
-				if keeper.Acquire(context.Background(), snapshot.TenantNamed("middle"), short).Admit {
+				if keeper.Acquire(context.Background(), snapshot.TenantByName("middle"), short).Admit {
 					admitted++
 				} else {
 					refused++
@@ -132,7 +132,7 @@
 		admitted := 0
 		var last Decision
 		for range 100 {
-			if last = keeper.Acquire(context.Background(), snapshot.TenantNamed("small"), patience); last.Admit {
+			if last = keeper.Acquire(context.Background(), snapshot.TenantByName("small"), patience); last.Admit {
 				admitted++
 			}
 		}
@@ -140,35 +140,35 @@
 		So(last.Admit, ShouldBeFalse)
 		So(last.RetryAfter, ShouldBeBetween, 100*time.Millisecond, 2*time.Second)
 		So(keeper.Counts().Rejected, ShouldEqual, 100-admitted)
-		So(keeper.Acquire(context.Background(), snapshot.TenantNamed("free"), patience).Admit, ShouldBeTrue)
+		So(keeper.Acquire(context.Background(), snapshot.TenantByName("free"), patience).Admit, ShouldBeTrue)
 		So(keeper.Acquire(context.Background(), nil, patience).Admit, ShouldBeTrue)
 	})
 
 	Convey("Without an allocator requests are refused soon, and leases carry on", t, func() {
 		nobody := startKeeper(t, "front-2", func() *protocol.MemberList { return nil })
 		short := WaitLimits{Uncertain: 30 * time.Millisecond, Certain: 60 * time.Millisecond}
-		So(nobody.Acquire(context.Background(), snapshot.TenantNamed("large"), short).Admit, ShouldBeFalse)
+		So(nobody.Acquire(context.Background(), snapshot.TenantByName("large"), short).Admit, ShouldBeFalse)
 
 		server := startControl(t, snapshot)
 		keeper := startKeeper(t, "front-3", server.members)
 		for range 30 {
-			keeper.Acquire(context.Background(), snapshot.TenantNamed("large"), patience)
+			keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience)
 		}
 		So(eventually(func() bool {
 			keeper.mutex.Lock()
 			defer keeper.mutex.Unlock()
-			return keeper.client.TimeToToken(keeper.now(), snapshot.TenantNamed("large")) < time.Second
+			return keeper.client.TimeToToken(keeper.now(), snapshot.TenantByName("large")) < time.Second
 		}), ShouldBeTrue)
 		server.acts.Store(false)
 		So(eventually(func() bool { return keeper.Counts().Failed > 0 }), ShouldBeTrue)
-		So(keeper.Acquire(context.Background(), snapshot.TenantNamed("large"), patience).Admit, ShouldBeTrue)
+		So(keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience).Admit, ShouldBeTrue)
 	})
 
 	Convey("A request whose client leaves gives its place up", t, func() {
 		keeper := startKeeper(t, "front-4", func() *protocol.MemberList { return nil })
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(keeper.Acquire(ctx, snapshot.TenantNamed("small"), patience).Admit, ShouldBeFalse)
+		So(keeper.Acquire(ctx, snapshot.TenantByName("small"), patience).Admit, ShouldBeFalse)
 		keeper.mutex.Lock()
 		defer keeper.mutex.Unlock()
 		So(keeper.waiters, ShouldBeEmpty)
--- a/internal/gateway/serverselection/load.go
+++ b/internal/gateway/serverselection/load.go
@@ -27,7 +27,7 @@
 // sample draws some servers of a service that tells its load, and adds those that a part of the prompt meets at. All are given where
 // loads are not told.
 func (p *Selector) sample(now time.Time, list []*endpoints.Server, preferred affinityOrder) []*endpoints.Server {
-	if len(list) <= sampleSize || ablation.Off(ablation.ToldLoad) {
+	if len(list) <= sampleSize || ablation.Off(ablation.ReportedLoad) {
 		return list
 	}
 	drawn := make([]*endpoints.Server, 0, sampleSize+2)
@@ -65,7 +65,7 @@
 // presence gives what the requests cost that are at a server: by its own word and what went there from here since, else by what is
 // there from here.
 func (p *Selector) loadCost(now time.Time, server *endpoints.Server, s *serverState) float64 {
-	if ablation.Off(ablation.ToldLoad) {
+	if ablation.Off(ablation.ReportedLoad) {
 		return ownRequestCost * float64(s.inFlight)
 	}
 	load, at, known := p.loads.Lookup(now, server.Hash)
@@ -105,7 +105,7 @@
 // Taken gives the share of the places of servers that are taken and whether requests wait there, by the servers' own word; false where
 // fewer than half of them have told.
 func (p *Selector) Utilization(now time.Time, list []*endpoints.Server) (share float64, waiting, known bool) {
-	if ablation.Off(ablation.ToldLoad) {
+	if ablation.Off(ablation.ReportedLoad) {
 		return 0, false, false
 	}
 	var sum serverload.Load
--- a/internal/gateway/serverselection/placement.go
+++ b/internal/gateway/serverselection/placement.go
@@ -182,7 +182,7 @@
 
 // silence gives what is to be waited for at a server that has shown no sign of life while something waits there: as long again.
 func (s *serverState) stallPenalty(now time.Time) float64 {
-	if s.waiting == 0 || ablation.Off(ablation.Silence) {
+	if s.waiting == 0 || ablation.Off(ablation.TimeoutWeighting) {
 		return 0
 	}
 	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(s.lastProgress))/float64(time.Millisecond))
@@ -213,7 +213,7 @@
 	s.pendingTokens += t.prefillTokens
 	s.lastUsed = now
 	s.recent.Add(now.UnixNano())
-	if !ablation.Off(ablation.CacheMemory) {
+	if !ablation.Off(ablation.PrefixCacheModel) {
 		s.cache.record(workload.Prefixes, now)
 	}
 	p.sweep(now)
--- a/internal/gateway/serverselection/speed.go
+++ b/internal/gateway/serverselection/speed.go
@@ -30,7 +30,7 @@
 
 // slowness gives what a server is slower than others, in tokens; it is forgotten with time, so that the server is asked again.
 func (p *Selector) latencyPenalty(now time.Time, s *serverState) float64 {
-	if s.meanLatency <= p.meanLatency || ablation.Off(ablation.Slowness) {
+	if s.meanLatency <= p.meanLatency || ablation.Off(ablation.LatencyWeighting) {
 		return 0
 	}
 	left := math.Exp(-float64(now.Sub(s.latencyAt)) / float64(latencyDecay))
--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -69,7 +69,7 @@
 	if update.Index <= s.state.Current().Index {
 		return
 	}
-	version, err := s.state.Follow(update)
+	version, err := s.state.ApplyUpdate(update)
 	if err != nil {
 		s.behind = true
 		s.requestFull = !errors.Is(err, configuration.ErrGap)
--- a/internal/gateway/subscription/core_test.go
+++ b/internal/gateway/subscription/core_test.go
@@ -16,7 +16,7 @@
 	world    *world
 	controls []*simControl
 	chain    []*simControl
-	log      []configuration.Order
+	log      []configuration.ChangeRequest
 	brokenAt time.Duration // since when the chain isn't whole; 0: it is
 	patience time.Duration
 	content  int // of the platform's list
@@ -347,7 +347,7 @@
 }
 
 func (c *simControl) push(s *session, subscribed *subscriber) {
-	update := protocol.Update{Configuration: c.state.Since(subscribed.configuration)}
+	update := protocol.Update{Configuration: c.state.UpdateSince(subscribed.configuration)}
 	if c.list != nil && c.list.Version > subscribed.servers {
 		update.Servers = c.list
 		subscribed.servers = c.list.Version
--- a/internal/gateway/subscription/listing.go
+++ b/internal/gateway/subscription/listing.go
@@ -24,7 +24,7 @@
 // follow gives the list after an update. One that was surely read before the list held is not taken: a control process that was
 // cut off or stood still has it, and a list must not go back. Where a list isn't taken it is asked for again, whole.
 func (l *serverListState) apply(update *protocol.Update, now time.Time) (*protocol.ServerList, error) {
-	next, err := serverlist.Follow(l.current, update.Servers)
+	next, err := serverlist.ApplyUpdate(l.current, update.Servers)
 	if err == nil && update.ListRead && now.Add(-update.ListAge).Before(l.asOf) {
 		err = errStaleList
 	}
--- a/internal/gateway/subscription/proxy_test.go
+++ b/internal/gateway/subscription/proxy_test.go
@@ -116,7 +116,7 @@
 	if route == nil {
 		return http.StatusNotFound
 	}
-	q.tenant = held.TenantFor(q.key)
+	q.tenant = held.TenantByKey(q.key)
 	if q.tenant == nil && !route.Public {
 		return http.StatusUnauthorized
 	}
--- a/internal/gateway/subscription/truth_test.go
+++ b/internal/gateway/subscription/truth_test.go
@@ -22,7 +22,7 @@
 
 // version is a configuration that was proposed, and what of it comes and goes.
 type version struct {
-	order      configuration.Order
+	order      configuration.ChangeRequest
 	keys       map[string]bool
 	routes     map[string]bool
 	proposedAt time.Duration
@@ -39,10 +39,10 @@
 }
 
 // next gives the operator's next order, if one is due.
-func (t *truth) next(w *world) (configuration.Order, bool) {
+func (t *truth) next(w *world) (configuration.ChangeRequest, bool) {
 	now := w.Elapsed()
 	if t.closed || now < t.dueAt || len(t.versions) > 0 && t.versions[len(t.versions)-1].ackedAt == 0 {
-		return configuration.Order{}, false
+		return configuration.ChangeRequest{}, false
 	}
 	t.dueAt = now + w.span(2*orderEvery)
 	share := replaced
@@ -58,7 +58,7 @@
 		one.routes[fmt.Sprint("open-", i)] = w.random.Chance(0.6)
 	}
 	generation := uint64(len(t.versions))
-	one.order = configuration.Order{IfMatch: generation, Body: body(one.document(generation + 1))}
+	one.order = configuration.ChangeRequest{IfMatch: generation, Body: body(one.document(generation + 1))}
 	t.versions = append(t.versions, one)
 	return one.order, true
 }
--- a/internal/lab/system/configuration.go
+++ b/internal/lab/system/configuration.go
@@ -31,7 +31,7 @@
 		Generation: generation,
 		Routes: []configuration.Route{
 			{Name: StreamRoute, Hostname: StreamHost, PathPrefix: StreamPrefix, Type: configuration.RouteStreaming, TimeoutMs: 5000,
-				TargetLatencyMs: 400, Backend: ServiceName, MaxAttempts: 2, Sticky: true, Resumable: true, GapAimMs: 300},
+				TargetLatencyMs: 400, Backend: ServiceName, MaxAttempts: 2, Sticky: true, Resumable: true, GapTargetMs: 300},
 			{Name: BatchRoute, Hostname: BatchHost, PathPrefix: BatchPrefix, Type: configuration.RouteBatch, TimeoutMs: 4000,
 				TargetLatencyMs: 400, Priority: 1, Backend: ServiceName, MaxAttempts: 3, Sticky: true, Resumable: true,
 				CompletionTargetMs: 10000, RetentionSeconds: 60},
--- a/internal/node/program/program.go
+++ b/internal/node/program/program.go
@@ -16,7 +16,7 @@
 
 // Exit codes.
 const (
-	ExitDone   = 0
+	ExitOK     = 0
 	ExitFailed = 1
 	ExitUsage  = 2 // flags or settings can't be used
 )
@@ -48,7 +48,7 @@
 	parser := flags.NewParser(&opt, flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "The settings file is named by the environment variable " + node.SettingsVariable + "."
 	if _, err := parser.ParseArgs(arguments); err != nil {
-		return nil, usage(err)
+		return nil, reportUsage(err)
 	}
 	p := &Program{check: check}
 	settings, err := p.Load()
@@ -57,20 +57,20 @@
 		return nil, ExitUsage
 	}
 	if opt.Check {
-		return nil, ExitDone
+		return nil, ExitOK
 	}
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(memoryShare * float64(settings.Limits.MemoryMB) * (1 << 20)))
 	p.Settings = settings
 	p.Log = node.NewLogger(settings, opt.LogLevel)
-	return p, ExitDone
+	return p, ExitOK
 }
 
-func usage(err error) int {
+func reportUsage(err error) int {
 	var wrong *flags.Error
 	if errors.As(err, &wrong) && wrong.Type == flags.ErrHelp {
 		fmt.Println(err)
-		return ExitDone
+		return ExitOK
 	}
 	fmt.Fprintln(os.Stderr, err)
 	return ExitUsage
--- a/internal/node/program/program_test.go
+++ b/internal/node/program/program_test.go
@@ -35,7 +35,7 @@
 		for _, flag := range []string{"--help", "--check"} {
 			p, code := Begin([]string{flag}, fine)
 			So(p, ShouldBeNil)
-			So(code, ShouldEqual, ExitDone)
+			So(code, ShouldEqual, ExitOK)
 		}
 	})
 	Convey("Flags and settings that can't be used end with 2, also by what the role finds", t, func() {
--- a/internal/node/program/signals_test.go
+++ b/internal/node/program/signals_test.go
@@ -17,7 +17,7 @@
 			send(syscall.SIGHUP)
 		}
 		send(syscall.SIGTERM)
-		So(<-signals.Ends(), ShouldEqual, syscall.SIGTERM)
+		So(<-signals.Terminations(), ShouldEqual, syscall.SIGTERM)
 		So(<-signals.Reloads(), ShouldEqual, syscall.SIGHUP)
 	})
 }
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -23,7 +23,7 @@
 	PortGateway                     // reserved for what gateways tell each other
 	PortBatch                       // batch processes for gateways and each other
 	PortLoad                        // gateways and batch processes for each other: what servers tell of their load
-	portUses
+	numPorts
 )
 
 // Settings are a process's settings, read once and checked. They are a value: SIGHUP makes another.
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -223,7 +223,7 @@
 }
 
 // serve answers one demand.
-func (a *Allocator) answerDemand(h *leaseHolder, demand *protocol.QuotaDemand) (grant protocol.QuotaGrant, include bool) {
+func (a *Allocator) answerDemand(holder *leaseHolder, demand *protocol.QuotaDemand) (grant protocol.QuotaGrant, include bool) {
 	grant.Tenant = demand.Tenant
 	q := a.tenants[demand.Tenant]
 	if q == nil || q.removed {
@@ -235,17 +235,17 @@
 		return grant, demand.Want > 0
 	}
 	a.refill(q)
-	part := h.allocationFor(q)
+	part := holder.allocationFor(q)
 	part.setDemand(tokens(max(0, demand.Rate)))
-	a.offerLease(h, part)
+	a.offerLease(holder, part)
 	if demand.Want > 0 {
 		a.grantTokens(q, demand.Want, &grant)
 	}
 	if part.unackedSequence != 0 {
-		part.unackedSequence = h.lastSequence
+		part.unackedSequence = holder.lastSequence
 		grant.Change, grant.Lease = true, part.offered.toMessage()
 	}
-	part.sentSequence = h.lastSequence
+	part.sentSequence = holder.lastSequence
 	return grant, grant.Change || demand.Want > 0
 }
 
--- a/internal/quota/audit_test.go
+++ b/internal/quota/audit_test.go
@@ -8,71 +8,71 @@
 )
 
 // auditor judges from outside: by what runs, what is on the wire and the machines' true clocks.
-type auditor struct {
-	world   *world
+type invariantChecker struct {
+	sim     *simulation
 	ran     map[string][]time.Duration
 	worst   float64 // of the share of the bound that was used
 	worstAt string
 
-	terms map[uint64]*span
+	terms map[uint64]*activeSpan
 }
 
 // span is the time over which an allocator acted.
-type span struct{ from, to time.Duration }
+type activeSpan struct{ from, to time.Duration }
 
-func newAuditor(w *world) auditor {
-	return auditor{world: w, ran: map[string][]time.Duration{}, terms: map[uint64]*span{}}
+func newInvariantChecker(sim *simulation) invariantChecker {
+	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
 // answered takes in that an allocator answered as of a moment: no two act at the same time. The answer may be made later.
-func (a *auditor) answered(at time.Duration, term uint64) {
-	if term == 0 || a.world.hollow {
+func (a *invariantChecker) answered(at time.Duration, term uint64) {
+	if term == 0 || a.sim.windowsOnly {
 		return
 	}
-	acts := a.terms[term]
-	if acts == nil {
-		acts = &span{at, at}
-		a.terms[term] = acts
-	} else if at >= acts.from && at <= acts.to {
+	active := a.terms[term]
+	if active == nil {
+		active = &activeSpan{at, at}
+		a.terms[term] = active
+	} else if at >= active.from && at <= active.to {
 		return
 	}
-	acts.from, acts.to = min(acts.from, at), max(acts.to, at)
+	active.from, active.to = min(active.from, at), max(active.to, at)
 	for other, span := range a.terms {
-		if other != term && acts.from < span.to && span.from < acts.to {
-			panic(fmt.Sprintf("two allocators act: one from %v to %v, one from %v to %v", acts.from, acts.to, span.from, span.to))
+		if other != term && active.from < span.to && span.from < active.to {
+			panic(fmt.Sprintf("two allocators act: one from %v to %v, one from %v to %v", active.from, active.to, span.from, span.to))
 		}
 	}
 }
 
 // run counts a request that a server runs and checks the rule. It counts as of the decision, which lies between the client's
 // sending and the arrival at a server: a window of the rule holds no more.
-func (w *world) run(name string, g *simGateway) {
-	count := w.counts[name]
+func (sim *simulation) recordRun(name string, g *simGateway) {
+	count := sim.counts[name]
 	count.served++
-	if w.hot[name] <= 1 && g.inTouch <= w.now {
-		count.owed++
+	if sim.overload[name] <= 1 && g.connectedSince <= sim.now {
+		count.expected++
 	}
-	a := &w.audit
-	ran := append(a.ran[name], w.now)
-	for len(ran) > 0 && ran[0] < w.now-testRules.Window {
+	a := &sim.checker
+	ran := append(a.ran[name], sim.now)
+	for len(ran) > 0 && ran[0] < sim.now-testRules.Window {
 		ran = ran[1:]
 	}
 	a.ran[name] = ran
-	most := w.most(name)
+	most := sim.maxInWindow(name)
 	if used := float64(len(ran)) / most; used > a.worst {
-		a.worst, a.worstAt = used, fmt.Sprintf("%s at %v: %d of %.1f", name, w.now, len(ran), most)
+		a.worst, a.worstAt = used, fmt.Sprintf("%s at %v: %d of %.1f", name, sim.now, len(ran), most)
 	}
 	if float64(len(ran)) > most {
-		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", name, len(ran), most, w.now))
+		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", name, len(ran), most, sim.now))
 	}
 }
 
 // most is the bound of the largest limit that may still bind.
-func (w *world) most(name string) float64 {
+func (sim *simulation) maxInWindow(name string) float64 {
 	most := 0.0
-	list := w.limits[name]
+	list := sim.limits[name]
 	for i, one := range list {
-		if i+1 < len(list) && list[i+1].boundAt > 0 && w.now >= list[i+1].boundAt+testRules.Window {
+		if i+1 < len(list) && list[i+1].effectiveAt > 0 && sim.now >= list[i+1].effectiveAt+testRules.Window {
 			continue
 		}
 		most = max(most, testRules.MaxInWindow(one.rate, one.burst))
@@ -81,72 +81,72 @@
 }
 
 // bind looks which limits bind alone, a window from now.
-func (w *world) bind() {
-	for name := range sortedNames(w.usage) {
-		for _, one := range w.limits[name] {
-			if one.boundAt > 0 || w.now < one.at+configApply {
+func (sim *simulation) updateEffectiveLimits() {
+	for name := range sortedNames(sim.usualRate) {
+		for _, one := range sim.limits[name] {
+			if one.effectiveAt > 0 || sim.now < one.acknowledgedAt+configApplyBound {
 				continue
 			}
 			all := true
-			for _, g := range w.gateways {
-				if g.alive && w.now >= g.inTouch {
-					one.seen[g] = true
+			for _, g := range sim.gateways {
+				if g.alive && sim.now >= g.connectedSince {
+					one.appliedBy[g] = true
 				}
-				all = all && one.seen[g]
+				all = all && one.appliedBy[g]
 			}
 			if all {
-				one.boundAt = w.now
+				one.effectiveAt = sim.now
 			}
 		}
 	}
 }
 
-func (w *world) refuse(name string, g *simGateway) {
-	count := w.counts[name]
-	count.refused++
-	if w.hot[name] <= 1 && g.inTouch <= w.now {
-		count.owed++
-		count.owedRefused++
+func (sim *simulation) recordRejected(name string, g *simGateway) {
+	count := sim.counts[name]
+	count.rejected++
+	if sim.overload[name] <= 1 && g.connectedSince <= sim.now {
+		count.expected++
+		count.expectedRejected++
 	}
 }
 
 // check panics where the allocator's books don't add up.
-func (a *Allocator) check() {
-	for _, one := range a.tenants {
+func (a *Allocator) checkInvariants() {
+	for _, q := range a.tenants {
 		sum, demand, leases := lease{}, amount(0), 0
-		for _, h := range a.holders {
-			if e := h.allocations[one]; e != nil {
-				sum = sum.plus(e.outstanding)
-				demand += e.demand
-				if !e.outstanding.isZero() {
+		for _, holder := range a.holders {
+			if part := holder.allocations[q]; part != nil {
+				sum = sum.plus(part.outstanding)
+				demand += part.demand
+				if !part.outstanding.isZero() {
 					leases++
 				}
 			}
 		}
-		if one.limited && one.pool.level < one.floor.recorded {
-			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", one.tenant, one.pool.level, one.floor.recorded))
+		if q.limited && q.pool.level < q.floor.recorded {
+			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", q.tenant, q.pool.level, q.floor.recorded))
 		}
-		if sum != one.outstanding || demand != one.demand || leases != one.leaseCount {
-			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", one.tenant, one.outstanding, one.demand, one.leaseCount, sum, demand, leases))
+		if sum != q.outstanding || demand != q.demand || leases != q.leaseCount {
+			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", q.tenant, q.outstanding, q.demand, q.leaseCount, sum, demand, leases))
 		}
 	}
 }
 
 // checkHeld panics where gateways hold more than the lead has committed.
-func (w *world) checkHeld() {
-	control := w.leader()
-	if control == nil || w.now >= control.leadUntil || w.hollow {
+func (sim *simulation) checkOutstanding() {
+	control := sim.leader()
+	if control == nil || sim.now >= control.leadUntil || sim.windowsOnly {
 		return
 	}
 	a := control.allocator
-	w.checkFloors(a)
+	sim.checkFloors(a)
 	for name := range sortedNames(a.tenants) {
-		one := a.tenants[name]
-		if limits := w.limits[name]; len(limits) > 1 && w.now < limits[len(limits)-1].at+leaseTTL+2*clockDriftMargin {
+		q := a.tenants[name]
+		if limits := sim.limits[name]; len(limits) > 1 && sim.now < limits[len(limits)-1].acknowledgedAt+leaseTTL+2*clockDriftMargin {
 			continue // a larger limit's leases may be held still
 		}
 		held := lease{}
-		for _, g := range w.gateways {
+		for _, g := range sim.gateways {
 			if !g.alive || g.client.leaseExpiry <= g.clock.read() {
 				continue
 			}
@@ -154,124 +154,126 @@
 				held = held.plus(t.lease)
 			}
 		}
-		committed := one.outstanding
+		committed := q.outstanding
 		if control.clock.read() < a.learningUntil {
-			committed = committed.plus(one.unaccounted)
+			committed = committed.plus(q.unaccounted)
 		}
 		if held.rate > committed.rate+roundingTolerance || held.depth > committed.depth+roundingTolerance {
-			panic(fmt.Sprintf("at %v tenant %s holds %v, committed %v", w.now, name, held, committed))
+			panic(fmt.Sprintf("at %v tenant %s holds %v, committed %v", sim.now, name, held, committed))
 		}
 	}
 }
 
 // checkFloors panics where the record says more of a pool than is in it: a successor would grant the difference once more.
-func (w *world) checkFloors(a *Allocator) {
-	for name := range sortedNames(w.floors) {
-		one, tokens := a.tenants[name], w.floors[name]
-		if one == nil || !one.limited || a.term == 0 {
+func (sim *simulation) checkFloors(a *Allocator) {
+	for name := range sortedNames(sim.floors) {
+		q, tokens := a.tenants[name], sim.floors[name]
+		if q == nil || !q.limited || a.term == 0 {
 			continue
 		}
-		if one.pool.level < amount(tokens)*token {
-			panic(fmt.Sprintf("at %v tenant %s has %v in its pool, %d tokens on record", w.now, name, one.pool.level, tokens))
+		if q.pool.level < amount(tokens)*token {
+			panic(fmt.Sprintf("at %v tenant %s has %v in its pool, %d tokens on record", sim.now, name, q.pool.level, tokens))
 		}
 	}
 }
 
 // ledger is what one life of a gateway may spend at most, by the replies that it was sent in time.
-type ledger struct {
-	sequence   uint64 // of the request that was sent last
-	sentAt     time.Duration
-	taken      bool // its reply came
-	leaseUntil time.Duration
-	tenants    map[string]*credit
+type entitlement struct {
+	sequence    uint64 // of the request that was sent last
+	sentAt      time.Duration
+	replyTaken  bool // its reply came
+	leaseExpiry time.Duration
+	tenants     map[string]*tenantEntitlement
 }
 
 // credit is a tenant's part.
-type credit struct {
-	stock  []tokenBatch
-	rate   float64 // of the lease
-	depth  float64
-	level  float64
-	filled time.Duration
+type tenantEntitlement struct {
+	poolTokens []tokenBatch
+	rate       float64 // of the lease
+	depth      float64
+	level      float64
+	refilledAt time.Duration
 }
 
 // ledgerRounding is what a credit's level may be short by, as its parts are rounded.
-const ledgerRounding = 1e-3
+const entitlementRounding = 1e-3
 
-func newLedger() ledger { return ledger{taken: true, tenants: map[string]*credit{}} }
+func newEntitlement() entitlement {
+	return entitlement{replyTaken: true, tenants: map[string]*tenantEntitlement{}}
+}
 
-func (l *ledger) of(tenant string) *credit {
-	one := l.tenants[tenant]
-	if one == nil {
-		one = &credit{}
-		l.tenants[tenant] = one
+func (l *entitlement) of(tenant string) *tenantEntitlement {
+	part := l.tenants[tenant]
+	if part == nil {
+		part = &tenantEntitlement{}
+		l.tenants[tenant] = part
 	}
-	return one
+	return part
 }
 
-func (l *ledger) sent(now time.Duration, sequence uint64) {
-	l.sequence, l.sentAt, l.taken = sequence, now, false
+func (l *entitlement) sent(now time.Duration, sequence uint64) {
+	l.sequence, l.sentAt, l.replyTaken = sequence, now, false
 }
 
 // replied takes in a reply, if it is that to the newest request and not too old: what it brings counts from the request.
-func (l *ledger) replied(now time.Duration, reply *protocol.QuotaReply) {
-	if l.taken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
+func (l *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
+	if l.replyTaken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
 		return
 	}
-	l.taken = true
-	l.expire(now)
-	l.leaseUntil = max(l.leaseUntil, l.sentAt+reply.LeaseFor)
+	l.replyTaken = true
+	l.expireLeases(now)
+	l.leaseExpiry = max(l.leaseExpiry, l.sentAt+reply.LeaseFor)
 	for _, grant := range reply.Grants {
-		one := l.of(grant.Tenant)
-		one.fill(now)
+		part := l.of(grant.Tenant)
+		part.refill(now)
 		if grant.Change {
-			one.rate, one.depth = grant.Lease.Rate, grant.Lease.Depth
+			part.rate, part.depth = grant.Lease.Rate, grant.Lease.Depth
 		}
 		if grant.Tokens > 0 {
-			one.stock = append(one.stock, tokenBatch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
+			part.poolTokens = append(part.poolTokens, tokenBatch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
 		}
 	}
 }
 
 // expire ends the leases when their time is over.
-func (l *ledger) expire(now time.Duration) {
-	if now < l.leaseUntil {
+func (l *entitlement) expireLeases(now time.Duration) {
+	if now < l.leaseExpiry {
 		return
 	}
-	for _, one := range l.tenants {
-		one.rate, one.depth, one.level = 0, 0, 0
+	for _, part := range l.tenants {
+		part.rate, part.depth, part.level = 0, 0, 0
 	}
 }
 
-func (c *credit) fill(now time.Duration) {
-	c.level = min(c.level+c.rate*(now-c.filled).Seconds(), c.depth)
-	c.filled = now
+func (c *tenantEntitlement) refill(now time.Duration) {
+	c.level = min(c.level+c.rate*(now-c.refilledAt).Seconds(), c.depth)
+	c.refilledAt = now
 }
 
 // spend takes a token for a request that goes on, or panics where there is none.
-func (l *ledger) spend(g *simGateway, tenant string) {
-	now, one := g.clock.read(), l.of(tenant)
-	l.expire(now)
-	for len(one.stock) > 0 {
-		first := &one.stock[0]
+func (l *entitlement) spend(g *simGateway, tenant string) {
+	now, part := g.clock.read(), l.of(tenant)
+	l.expireLeases(now)
+	for len(part.poolTokens) > 0 {
+		first := &part.poolTokens[0]
 		if first.expiresAt > now && first.tokens > 0 {
 			first.tokens--
 			return
 		}
-		one.stock = one.stock[1:]
+		part.poolTokens = part.poolTokens[1:]
 	}
-	one.fill(now)
-	if one.level < 1-ledgerRounding && !g.world.hollow {
-		panic(fmt.Sprintf("at %v %s spent a token of %s without a grant in force", g.world.now, g.node, tenant))
+	part.refill(now)
+	if part.level < 1-entitlementRounding && !g.sim.windowsOnly {
+		panic(fmt.Sprintf("at %v %s spent a token of %s without a grant in force", g.sim.now, g.node, tenant))
 	}
-	one.level--
+	part.level--
 }
 
 // returned takes back a token that was taken a moment ago.
-func (l *ledger) returned(now, taken time.Duration, tenant string) {
-	l.expire(now)
-	if one := l.of(tenant); now-taken <= maxTokenTTL {
-		one.fill(now)
-		one.level = min(one.level+1, one.depth)
+func (l *entitlement) returned(now, taken time.Duration, tenant string) {
+	l.expireLeases(now)
+	if part := l.of(tenant); now-taken <= maxTokenTTL {
+		part.refill(now)
+		part.level = min(part.level+1, part.depth)
 	}
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -80,7 +80,7 @@
 // Configure takes a configuration in. A lower limit holds here at once.
 func (c *Client) Configure(snapshot *configuration.Snapshot) {
 	for _, t := range c.ordered {
-		configured := snapshot.TenantNamed(t.name)
+		configured := snapshot.TenantByName(t.name)
 		if t.removed = configured == nil; t.removed {
 			c.scheduleReport(t)
 			continue
--- a/internal/quota/control_test.go
+++ b/internal/quota/control_test.go
@@ -11,19 +11,19 @@
 
 // simControl is a control process with an allocator.
 type simControl struct {
-	clock       steadyClock
+	clock       driftingClock
 	allocator   *Allocator
 	configured  uint64
 	leadUntil   time.Duration
-	frozenUntil time.Duration
-	cut         cut
+	pausedUntil time.Duration
+	partition   partition
 	dead        bool
 }
 
-func (w *world) newControl() *simControl {
-	control := &simControl{clock: w.newClock()}
-	control.allocator = NewAllocator(AllocatorOptions{Rules: testRules, Random: w.random.Uint64})
-	control.configure(w.snapshot)
+func (sim *simulation) newControl() *simControl {
+	control := &simControl{clock: sim.newClock()}
+	control.allocator = NewAllocator(AllocatorOptions{Rules: testRules, Random: sim.random.Uint64})
+	control.configure(sim.snapshot)
 	return control
 }
 
@@ -35,94 +35,94 @@
 }
 
 // leader is the machine that the list of members names.
-func (w *world) leader() *simControl {
-	if w.lead < 0 {
+func (sim *simulation) leader() *simControl {
+	if sim.leaderIndex < 0 {
 		return nil
 	}
-	return w.controls[w.lead]
+	return sim.controls[sim.leaderIndex]
 }
 
 // handle is what a control machine does with a request: it reads the clock, then makes sure that it leads, then answers. Now and
 // then it stands still between the two last.
-func (w *world) handle(control *simControl, g *simGateway, life int, request protocol.QuotaRequest) {
+func (sim *simulation) handle(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest) {
 	if control.dead {
 		return
 	}
-	if w.now < control.frozenUntil {
-		w.at(control.frozenUntil, func() { w.handle(control, g, life, request) })
+	if sim.now < control.pausedUntil {
+		sim.schedule(control.pausedUntil, func() { sim.handle(control, g, incarnation, request) })
 		return
 	}
-	clock, at := control.clock.read(), w.now
-	leads := w.now < control.leadUntil || w.plant == plantUnproven
-	if leads && w.stallNext {
-		w.stallNext = false
-		w.failOver(500*millisecond + w.spread(8*second))
-		w.at(control.frozenUntil, func() { w.answer(control, g, life, request, clock, at) })
+	clock, at := control.clock.read(), sim.now
+	leads := sim.now < control.leadUntil || sim.bug == bugUnprovenLeader
+	if leads && sim.pauseNext {
+		sim.pauseNext = false
+		sim.failOver(500*millisecond + sim.randomDuration(8*second))
+		sim.schedule(control.pausedUntil, func() { sim.answer(control, g, incarnation, request, clock, at) })
 		return
 	}
 	if !leads {
-		w.reply(control, g, life, protocol.QuotaReply{Sequence: request.Sequence})
+		sim.reply(control, g, incarnation, protocol.QuotaReply{Sequence: request.Sequence})
 		return
 	}
-	w.answer(control, g, life, request, clock, at)
+	sim.answer(control, g, incarnation, request, clock, at)
 }
 
 // answer asks the allocator, as of a moment at which the machine led.
-func (w *world) answer(control *simControl, g *simGateway, life int, request protocol.QuotaRequest, clock, at time.Duration) {
+func (sim *simulation) answer(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest, clock, at time.Duration) {
 	if control.dead {
 		return
 	}
 	began := time.Now()
 	reply := control.allocator.Request(clock, request)
-	w.spent += time.Since(began)
-	w.audit.answered(max(at, control.clock.when(control.allocator.now)-clockRounding), reply.Term)
-	if !w.hollow {
-		control.allocator.check()
+	sim.allocatorTime += time.Since(began)
+	sim.checker.answered(max(at, control.clock.simTime(control.allocator.now)-clockRounding), reply.Term)
+	if !sim.windowsOnly {
+		control.allocator.checkInvariants()
 	}
 	if control.allocator.FloorChangeUrgent() {
-		w.at(w.now+millisecond, w.keepRecord)
+		sim.schedule(sim.now+millisecond, sim.maintainGrantees)
 	}
-	w.reply(control, g, life, reply)
+	sim.reply(control, g, incarnation, reply)
 }
 
-func (w *world) reply(control *simControl, g *simGateway, life int, reply protocol.QuotaReply) {
-	if delay := g.delay(control, inward); delay >= 0 {
-		w.at(w.now+delay, func() { g.replied(life, reply) })
+func (sim *simulation) reply(control *simControl, g *simGateway, incarnation int, reply protocol.QuotaReply) {
+	if delay := g.delay(control, inbound); delay >= 0 {
+		sim.schedule(sim.now+delay, func() { g.handleReply(incarnation, reply) })
 	}
 }
 
 // elect makes a control machine the lead after the one before it surely ended: the first from next on that runs.
-func (w *world) elect(next int, decided, wait time.Duration) {
-	w.at(decided+wait, func() {
-		for range w.controls {
-			if one := w.controls[next]; !one.dead && w.now >= max(one.frozenUntil, one.cut.until) {
-				w.begin(next)
+func (sim *simulation) elect(next int, decided, wait time.Duration) {
+	sim.schedule(decided+wait, func() {
+		for range sim.controls {
+			if one := sim.controls[next]; !one.dead && sim.now >= max(one.pausedUntil, one.partition.until) {
+				sim.becomeGrantor(next)
 				return
 			}
-			next = (next + 1) % len(w.controls)
+			next = (next + 1) % len(sim.controls)
 		}
-		w.elect(next, w.now, 100*millisecond)
+		sim.elect(next, sim.now, 100*millisecond)
 	})
 }
 
 // begin has a machine record itself as the lender, and then act.
-func (w *world) begin(next int) {
-	control := w.controls[next]
-	w.recordOwner = control
-	w.recordTerm++
-	nodes, floors := append([]string{}, w.recorded...), w.floorList()
-	w.at(w.now+w.spread(50*millisecond), func() {
-		if w.recordOwner != control || control.dead || w.now < max(control.frozenUntil, control.cut.until) {
-			w.elect(next, w.now, startAfter)
+func (sim *simulation) becomeGrantor(next int) {
+	control := sim.controls[next]
+	sim.grantor = control
+	sim.grantorTerm++
+	nodes, floors := append([]string{}, sim.grantees...), sim.floorList()
+	sim.schedule(sim.now+sim.randomDuration(50*millisecond), func() {
+		if sim.grantor != control || control.dead || sim.now < max(control.pausedUntil, control.partition.until) {
+			sim.elect(next, sim.now, takeOverDelay)
 			return
 		}
-		w.lead = next
-		control.configure(w.snapshot)
-		if w.plant == plantForgetRecord {
+		sim.leaderIndex = next
+		control.configure(sim.snapshot)
+		if sim.bug == bugGranteesForgotten {
 			nodes = []string{}
 		}
 		control.allocator.Start(control.clock.read(), 0, nodes, floors)
-		if w.plant == plantNoWait {
+		if sim.bug == bugNoLearning {
 			control.allocator.learningUntil = control.allocator.now
 		}
 		control.leadUntil = math.MaxInt64
@@ -131,68 +131,68 @@
 
 // keepRecord does what falls to the lead: it has nodes put on record, and taken off it. A change of a lead that has been followed
 // has no effect.
-func (w *world) keepRecord() {
-	control := w.leader()
-	if control == nil || w.now >= control.leadUntil || w.now < control.frozenUntil || w.recording {
+func (sim *simulation) maintainGrantees() {
+	control := sim.leader()
+	if control == nil || sim.now >= control.leadUntil || sim.now < control.pausedUntil || sim.changePending {
 		return
 	}
 	now := control.clock.read()
 	if floors := control.allocator.FloorChanges(now); len(floors) > 0 {
-		w.recordFloors(control, floors)
+		sim.recordFloors(control, floors)
 		return
 	}
-	if gone := control.allocator.EvictGrantees(now); len(gone) > 0 {
-		w.change(func() {
-			w.recorded = slices.DeleteFunc(w.recorded, func(node string) bool { return slices.Contains(gone, node) })
+	if stale := control.allocator.EvictGrantees(now); len(stale) > 0 {
+		sim.changeGrantees(func() {
+			sim.grantees = slices.DeleteFunc(sim.grantees, func(node string) bool { return slices.Contains(stale, node) })
 		}, func() {})
 		return
 	}
-	if wanted := control.allocator.MissingGrantees(); len(wanted) > 0 {
-		w.change(func() {
-			for _, node := range wanted {
-				if !slices.Contains(w.recorded, node) {
-					w.recorded = append(w.recorded, node)
+	if missing := control.allocator.MissingGrantees(); len(missing) > 0 {
+		sim.changeGrantees(func() {
+			for _, node := range missing {
+				if !slices.Contains(sim.grantees, node) {
+					sim.grantees = append(sim.grantees, node)
 				}
 			}
-		}, func() { control.allocator.GranteesRecorded(wanted) })
+		}, func() { control.allocator.GranteesRecorded(missing) })
 	}
 }
 
 // change changes the record, as long as its owner wants it, and tells the owner.
-func (w *world) change(record, told func()) {
-	w.recording = true
-	term := w.recordTerm
-	w.at(w.now+w.spread(40*millisecond), func() {
-		w.recording = false
-		if w.recordTerm != term {
+func (sim *simulation) changeGrantees(record, notify func()) {
+	sim.changePending = true
+	term := sim.grantorTerm
+	sim.schedule(sim.now+sim.randomDuration(40*millisecond), func() {
+		sim.changePending = false
+		if sim.grantorTerm != term {
 			return
 		}
 		record()
-		w.at(w.now+w.spread(40*millisecond), func() {
-			if w.recordTerm == term {
-				told()
+		sim.schedule(sim.now+sim.randomDuration(40*millisecond), func() {
+			if sim.grantorTerm == term {
+				notify()
 			}
 		})
 	})
 }
 
 // recordFloors puts floors on record, or fails to, or does without the lead's hearing of it.
-func (w *world) recordFloors(control *simControl, floors []Floor) {
-	w.recording = true
-	share := min(0.1, 10*w.loss)
-	term := w.recordTerm
-	lost, unheard := w.random.Float64() < share, w.random.Float64() < share
-	w.at(w.now+w.spread(20*millisecond), func() {
-		w.recording = false
-		if w.recordTerm != term || lost {
+func (sim *simulation) recordFloors(control *simControl, floors []Floor) {
+	sim.changePending = true
+	share := min(0.1, 10*sim.lossRate)
+	term := sim.grantorTerm
+	lost, unheard := sim.random.Float64() < share, sim.random.Float64() < share
+	sim.schedule(sim.now+sim.randomDuration(20*millisecond), func() {
+		sim.changePending = false
+		if sim.grantorTerm != term || lost {
 			return
 		}
-		if w.floors == nil {
-			w.floors = map[string]int64{}
+		if sim.floors == nil {
+			sim.floors = map[string]int64{}
 		}
 		for _, one := range floors {
-			if w.plant != plantKeepFloors || one.Tokens > w.floors[one.Tenant] {
-				w.floors[one.Tenant] = one.Tokens
+			if sim.bug != bugFloorsNotLowered || one.Tokens > sim.floors[one.Tenant] {
+				sim.floors[one.Tenant] = one.Tokens
 			}
 		}
 		if !unheard {
@@ -201,9 +201,9 @@
 	})
 }
 
-func (w *world) floorList() (list []Floor) {
-	for name := range sortedNames(w.floors) {
-		list = append(list, Floor{name, w.floors[name]})
+func (sim *simulation) floorList() (list []Floor) {
+	for name := range sortedNames(sim.floors) {
+		list = append(list, Floor{name, sim.floors[name]})
 	}
 	return list
 }
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -26,75 +26,75 @@
 	return last
 }
 
-func (w *world) at(at time.Duration, run func()) {
-	w.ordinal++
-	heap.Push(&w.events, event{max(at, w.now), w.ordinal, run})
+func (sim *simulation) schedule(at time.Duration, run func()) {
+	sim.ordinal++
+	heap.Push(&sim.events, event{max(at, sim.now), sim.ordinal, run})
 }
 
-func (w *world) play(until time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= until {
-		next := heap.Pop(&w.events).(event)
-		w.now = next.at
+func (sim *simulation) runUntil(until time.Duration) {
+	for len(sim.events) > 0 && sim.events[0].at <= until {
+		next := heap.Pop(&sim.events).(event)
+		sim.now = next.at
 		next.run()
 	}
-	w.now = until
+	sim.now = until
 }
 
 // every runs something again and again.
-func (w *world) every(period time.Duration, run func()) {
-	w.at(w.now+period, func() {
+func (sim *simulation) every(period time.Duration, run func()) {
+	sim.schedule(sim.now+period, func() {
 		run()
-		w.every(period, run)
+		sim.every(period, run)
 	})
 }
 
 // steadyClock is a machine's: it begins anywhere and gains or loses a little.
-type steadyClock struct {
-	world  *world
+type driftingClock struct {
+	sim    *simulation
 	offset time.Duration
-	pace   float64
+	rate   float64
 }
 
 // clockDrift is how much a clock gains or loses at most: two that run apart by it part by 30 ms over a lease.
-const clockDrift = 0.005
+const maxClockDrift = 0.005
 
 // clockRounding is what reading a clock and turning it back into the world's time adds at most.
 const clockRounding = 2 * time.Microsecond
 
-func (w *world) newClock() steadyClock {
-	return steadyClock{w, time.Hour + w.spread(time.Hour), 1 + clockDrift*(2*w.random.Float64()-1)}
+func (sim *simulation) newClock() driftingClock {
+	return driftingClock{sim, time.Hour + sim.randomDuration(time.Hour), 1 + maxClockDrift*(2*sim.random.Float64()-1)}
 }
 
-func (c *steadyClock) read() time.Duration {
-	return c.offset + time.Duration(float64(c.world.now)*c.pace)
+func (c *driftingClock) read() time.Duration {
+	return c.offset + time.Duration(float64(c.sim.now)*c.rate)
 }
 
 // when gives the world's time of a clock's moment, rounded up.
-func (c *steadyClock) when(moment time.Duration) time.Duration {
-	return time.Duration(float64(moment-c.offset)/c.pace) + time.Nanosecond
+func (c *driftingClock) simTime(moment time.Duration) time.Duration {
+	return time.Duration(float64(moment-c.offset)/c.rate) + time.Nanosecond
 }
 
 // cut is a machine's part from the others, for some time.
-type cut struct {
-	until time.Duration
-	way   cutWay
+type partition struct {
+	until     time.Duration
+	direction direction
 }
 
-type cutWay int
+type direction int
 
 const (
-	bothWays cutWay = iota
-	outward         // what it sends is lost
-	inward          // what it is sent is lost
+	bothDirections direction = iota
+	outbound                 // what it sends is lost
+	inbound                  // what it is sent is lost
 )
 
-func (w *world) newCut(longest time.Duration) cut {
-	return cut{w.now + w.spread(longest), cutWay(w.random.IntN(3))}
+func (sim *simulation) newPartition(longest time.Duration) partition {
+	return partition{sim.now + sim.randomDuration(longest), direction(sim.random.IntN(3))}
 }
 
 // ends tells until when a machine's messages in a direction don't pass.
-func (c *cut) ends(way cutWay) time.Duration {
-	if c.way == bothWays || c.way == way {
+func (c *partition) endFor(way direction) time.Duration {
+	if c.direction == bothDirections || c.direction == way {
 		return c.until
 	}
 	return 0
--- a/internal/quota/floor_test.go
+++ b/internal/quota/floor_test.go
@@ -12,34 +12,34 @@
 	Convey("Given an allocator whose predecessor left a floor of 20 tokens on record", t, func() {
 		floors := []Floor{{Tenant: "a", Tokens: 20}}
 		a := NewAllocator(AllocatorOptions{Rules: testRules})
-		a.ConfigureTenants(limit("a", 100))
+		a.ConfigureTenants(tenantWithLimit("a", 100))
 		a.Start(0, 0, []string{}, floors)
 		a.Request(4*second, protocol.QuotaRequest{Sequence: 1, Process: protocol.Process{Node: "n", Incarnation: "1"}})
-		one := a.tenants["a"]
+		q := a.tenants["a"]
 
 		Convey("a lowered limit leaves what lies up to the floor, and grants none of it", func() {
-			a.ConfigureTenants(limit("a", 1))
-			So(one.poolDepth(), ShouldBeLessThan, 20*token)
-			So(one.pool.level, ShouldEqual, 20*token)
-			So(one.grantable(), ShouldEqual, 0)
+			a.ConfigureTenants(tenantWithLimit("a", 1))
+			So(q.poolDepth(), ShouldBeLessThan, 20*token)
+			So(q.pool.level, ShouldEqual, 20*token)
+			So(q.grantable(), ShouldEqual, 0)
 			Convey("until the floor has been lowered on record", func() {
 				lowered := a.FloorChanges(4 * second)
 				So(lowered, ShouldHaveLength, 1)
 				a.FloorsRecorded(lowered)
-				a.refill(one)
-				So(one.pool.level, ShouldEqual, one.poolDepth())
-				So(one.grantable(), ShouldBeGreaterThan, 0)
+				a.refill(q)
+				So(q.pool.level, ShouldEqual, q.poolDepth())
+				So(q.grantable(), ShouldBeGreaterThan, 0)
 			})
 			Convey("also where it is raised again", func() {
-				a.ConfigureTenants(limit("a", 100))
-				So(one.pool.level, ShouldBeGreaterThanOrEqualTo, one.floor.recorded)
+				a.ConfigureTenants(tenantWithLimit("a", 100))
+				So(q.pool.level, ShouldBeGreaterThanOrEqualTo, q.floor.recorded)
 			})
 		})
 		Convey("no floor is raised above what is in a pool that has lost its depth", func() {
-			a.ConfigureTenants(limit("a", 100))
+			a.ConfigureTenants(tenantWithLimit("a", 100))
 			a.FloorsRecorded([]Floor{{Tenant: "a"}})
-			one.pool.level, one.outstanding = 0, lease{one.budget.rate, one.budget.depth}
-			So(one.poolDepth(), ShouldEqual, 0)
+			q.pool.level, q.outstanding = 0, lease{q.budget.rate, q.budget.depth}
+			So(q.poolDepth(), ShouldEqual, 0)
 			So(a.FloorChanges(20*second), ShouldBeEmpty)
 		})
 		Convey("a tenant that was forgotten and comes back has its floor still", func() {
@@ -47,7 +47,7 @@
 			a.now += 2 * tombstoneTTL
 			a.ConfigureTenants(nil)
 			So(a.tenants, ShouldBeEmpty)
-			a.ConfigureTenants(limit("a", 100))
+			a.ConfigureTenants(tenantWithLimit("a", 100))
 			So(a.tenants["a"].floor.recorded, ShouldEqual, 20*token)
 		})
 	})
--- a/internal/quota/gateway_test.go
+++ b/internal/quota/gateway_test.go
@@ -11,63 +11,63 @@
 
 // simGateway is a gateway's process and what its carrier does.
 type simGateway struct {
-	world       *world
-	node        string
-	clock       steadyClock
-	client      *Client
-	snapshot    *configuration.Snapshot // nil: none yet
-	life        int
-	alive       bool
-	frozenUntil time.Duration
-	frozeAt     time.Duration // as its clock told then
-	cut         cut
-	alone       *simControl // the only machine that it reaches, until aloneUntil
-	aloneUntil  time.Duration
-	inTouch     time.Duration // in touch from then on
-	address     *simControl   // that it asks
-	waits       []*simWait
-	wakeAt      time.Duration
-	share       float64
-	ledger      ledger
+	sim                *simulation
+	node               string
+	clock              driftingClock
+	client             *Client
+	snapshot           *configuration.Snapshot // nil: none yet
+	incarnation        int
+	alive              bool
+	pausedUntil        time.Duration
+	pausedAt           time.Duration // as its clock told then
+	partition          partition
+	onlyReachable      *simControl // the only machine that it reaches, until aloneUntil
+	onlyReachableUntil time.Duration
+	connectedSince     time.Duration // in touch from then on
+	allocator          *simControl   // that it asks
+	waiting            []*waitingRequest
+	wakeAt             time.Duration
+	share              float64
+	entitlement        entitlement
 }
 
-type simWait struct {
+type waitingRequest struct {
 	tenant   *configuration.Tenant
 	deadline time.Duration
 }
 
-func (w *world) addGateway() *simGateway {
-	g := &simGateway{world: w, node: fmt.Sprintf("front-%d", len(w.gateways)), clock: w.newClock()}
-	g.share = 0.4 + 1.2*w.random.Float64()
-	w.gateways = append(w.gateways, g)
+func (sim *simulation) addGateway() *simGateway {
+	g := &simGateway{sim: sim, node: fmt.Sprintf("front-%d", len(sim.gateways)), clock: sim.newClock()}
+	g.share = 0.4 + 1.2*sim.random.Float64()
+	sim.gateways = append(sim.gateways, g)
 	g.start()
 	return g
 }
 
 // start begins a life. One that reaches only a machine that is cut off gets no configuration.
 func (g *simGateway) start() {
-	w := g.world
-	g.life++
-	g.alive, g.frozenUntil, g.waits, g.wakeAt = true, 0, nil, -1
-	g.inTouch = max(g.inTouch, w.now+3*second)
-	g.snapshot, g.address = nil, nil
+	sim := g.sim
+	g.incarnation++
+	g.alive, g.pausedUntil, g.waiting, g.wakeAt = true, 0, nil, -1
+	g.connectedSince = max(g.connectedSince, sim.now+3*second)
+	g.snapshot, g.allocator = nil, nil
 	g.client = NewClient(ClientOptions{
-		Process: protocol.Process{Node: g.node, Incarnation: fmt.Sprint(g.life)},
-		Random:  rand.New(rand.NewPCG(w.random.Uint64(), 1)),
+		Process: protocol.Process{Node: g.node, Incarnation: fmt.Sprint(g.incarnation)},
+		Random:  rand.New(rand.NewPCG(sim.random.Uint64(), 1)),
 	})
-	g.ledger = newLedger()
-	g.takeSnapshot(g.life, w.snapshot)
-	life := g.life
-	w.at(w.now+100*millisecond+w.spread(300*millisecond), func() { g.learnAddress(life) })
+	g.entitlement = newEntitlement()
+	g.takeSnapshot(g.incarnation, sim.snapshot)
+	incarnation := g.incarnation
+	sim.schedule(sim.now+100*millisecond+sim.randomDuration(300*millisecond), func() { g.learnAddress(incarnation) })
 }
 
-func (g *simGateway) takeSnapshot(life int, snapshot *configuration.Snapshot) {
-	w := g.world
-	if g.life != life || !g.alive {
+func (g *simGateway) takeSnapshot(incarnation int, snapshot *configuration.Snapshot) {
+	sim := g.sim
+	if g.incarnation != incarnation || !g.alive {
 		return
 	}
-	if until := max(g.cut.until, g.frozenUntil, g.aloneUntil); w.now < until {
-		w.at(until+millisecond, func() { g.takeSnapshot(life, snapshot) })
+	if until := max(g.partition.until, g.pausedUntil, g.onlyReachableUntil); sim.now < until {
+		sim.schedule(until+millisecond, func() { g.takeSnapshot(incarnation, snapshot) })
 		return
 	}
 	if g.snapshot != nil && g.snapshot.Index > snapshot.Index {
@@ -77,71 +77,71 @@
 	g.client.Configure(snapshot)
 }
 
-func (g *simGateway) kill(down time.Duration) {
+func (g *simGateway) crash(downFor time.Duration) {
 	if !g.alive {
 		return
 	}
 	g.alive = false
-	g.world.at(g.world.now+down, g.start)
+	g.sim.schedule(g.sim.now+downFor, g.start)
 }
 
-func (g *simGateway) freeze(length time.Duration) {
-	g.frozeAt = g.clock.read()
-	g.frozenUntil = g.world.now + length
-	g.inTouch = max(g.inTouch, g.frozenUntil+3*second)
+func (g *simGateway) pause(length time.Duration) {
+	g.pausedAt = g.clock.read()
+	g.pausedUntil = g.sim.now + length
+	g.connectedSince = max(g.connectedSince, g.pausedUntil+3*second)
 }
 
-func (g *simGateway) cutOff(one cut) {
-	g.cut = one
-	g.inTouch = max(g.inTouch, one.until+3*second)
+func (g *simGateway) cutOffBy(one partition) {
+	g.partition = one
+	g.connectedSince = max(g.connectedSince, one.until+3*second)
 }
 
 // join leaves a gateway one machine that it reaches, and restarts it there in half of the cases.
-func (g *simGateway) join(only *simControl, length time.Duration) {
-	w := g.world
-	g.alone, g.aloneUntil = only, w.now+length
-	g.inTouch = max(g.inTouch, g.aloneUntil+3*second)
-	if w.random.IntN(2) == 0 {
-		g.kill(100 * millisecond)
+func (g *simGateway) reachOnly(only *simControl, length time.Duration) {
+	sim := g.sim
+	g.onlyReachable, g.onlyReachableUntil = only, sim.now+length
+	g.connectedSince = max(g.connectedSince, g.onlyReachableUntil+3*second)
+	if sim.random.IntN(2) == 0 {
+		g.crash(100 * millisecond)
 	}
 }
 
 // learnAddress follows the list of members: that of the machine that leads, or of the only one in reach, which names itself.
-func (g *simGateway) learnAddress(life int) {
-	w := g.world
-	if g.life != life || !g.alive {
+func (g *simGateway) learnAddress(incarnation int) {
+	sim := g.sim
+	if g.incarnation != incarnation || !g.alive {
 		return
 	}
-	named := w.leader()
-	if w.now < g.aloneUntil {
-		named = g.alone
+	named := sim.leader()
+	if sim.now < g.onlyReachableUntil {
+		named = g.onlyReachable
 	}
-	if w.now >= g.cut.until && !g.still() && g.address != named {
-		g.address = named
+	if sim.now >= g.partition.until && !g.paused() && g.allocator != named {
+		g.allocator = named
 		g.client.AllocatorMoved(g.clock.read())
 		g.pump()
 	}
-	w.at(w.now+200*millisecond+w.spread(200*millisecond), func() { g.learnAddress(life) })
+	sim.schedule(sim.now+200*millisecond+sim.randomDuration(200*millisecond), func() { g.learnAddress(incarnation) })
 }
 
 // still tells whether the process stands still.
-func (g *simGateway) still() bool { return g.world.now < g.frozenUntil }
+func (g *simGateway) paused() bool { return g.sim.now < g.pausedUntil }
 
 // afterThaw runs what comes up while the process stands still, in any order once it goes on.
-func (g *simGateway) afterThaw(run func()) {
-	g.world.at(g.frozenUntil+g.world.spread(millisecond), run)
+func (g *simGateway) afterResume(run func()) {
+	g.sim.schedule(g.pausedUntil+g.sim.randomDuration(millisecond), run)
 }
 
 // request is a client's, at this gateway. One that comes while the process stands still is read as it thaws.
-func (g *simGateway) request(name string) {
+func (g *simGateway) clientRequest(name string) {
 	if !g.alive || g.snapshot == nil {
 		return
 	}
-	if g.still() {
-		life, froze := g.life, g.frozeAt
-		g.afterThaw(func() {
-			if g.life == life {
-				g.arrive(name, froze)
+	if g.paused() {
+		incarnation, pausedAt := g.incarnation, g.pausedAt
+		g.afterResume(func() {
+			if g.incarnation == incarnation {
+				g.arrive(name, pausedAt)
 			}
 		})
 		return
@@ -150,110 +150,110 @@
 }
 
 // arrive decides about a request. Froze is what the clock told as the process froze before this request was read.
-func (g *simGateway) arrive(name string, froze time.Duration) {
-	w := g.world
-	if !g.alive || g.still() {
+func (g *simGateway) arrive(name string, pausedAt time.Duration) {
+	sim := g.sim
+	if !g.alive || g.paused() {
 		return
 	}
-	tenant := g.snapshot.TenantNamed(name)
+	tenant := g.snapshot.TenantByName(name)
 	if tenant == nil {
 		return
 	}
 	now := g.clock.read()
-	if w.plant == plantStaleClock && froze > 0 {
-		now = froze
+	if sim.bug == bugStaleClock && pausedAt > 0 {
+		now = pausedAt
 	}
-	w.counts[name].offered++
-	g.settle(tenant, g.client.Take(now, tenant))
+	sim.counts[name].offered++
+	g.applyVerdict(tenant, g.client.Take(now, tenant))
 	g.pump()
 }
 
 // settle does what a verdict says.
-func (g *simGateway) settle(tenant *configuration.Tenant, verdict Verdict) {
-	w := g.world
+func (g *simGateway) applyVerdict(tenant *configuration.Tenant, verdict Verdict) {
+	sim := g.sim
 	switch {
 	case verdict.Admit:
 		g.admitted(tenant)
 	case verdict.Wait:
 		now := g.clock.read()
-		if g.client.AllocatorTimedOut(now) && g.client.TimeToToken(now, tenant) > w.maxWait {
+		if g.client.AllocatorTimedOut(now) && g.client.TimeToToken(now, tenant) > sim.maxWait {
 			g.client.Cancel(now, tenant)
-			w.refuse(tenant.Name, g)
+			sim.recordRejected(tenant.Name, g)
 			return
 		}
-		g.waits = append(g.waits, &simWait{tenant, w.now + w.maxWait})
-		w.at(w.now+w.maxWait, g.pump)
+		g.waiting = append(g.waiting, &waitingRequest{tenant, sim.now + sim.maxWait})
+		sim.schedule(sim.now+sim.maxWait, g.pump)
 	default:
-		w.refuse(tenant.Name, g)
+		sim.recordRejected(tenant.Name, g)
 	}
 }
 
 // admitted sends a request on, or gives its token back: soon, or after a time that the process stood still.
 func (g *simGateway) admitted(tenant *configuration.Tenant) {
-	w := g.world
-	taken, life := g.clock.read(), g.life
-	g.ledger.spend(g, tenant.Name)
-	if !w.returns || w.random.Float64() >= returnShare {
-		w.run(tenant.Name, g)
-		if w.returns && w.random.Float64() < chargeShare {
-			w.at(w.now+w.spread(second), func() { g.sendAgain(life, tenant) })
+	sim := g.sim
+	taken, incarnation := g.clock.read(), g.incarnation
+	g.entitlement.spend(g, tenant.Name)
+	if !sim.refunds || sim.random.Float64() >= refundShare {
+		sim.recordRun(tenant.Name, g)
+		if sim.refunds && sim.random.Float64() < retryShare {
+			sim.schedule(sim.now+sim.randomDuration(second), func() { g.retry(incarnation, tenant) })
 		}
 		return
 	}
 	soon := 2 * millisecond
-	if w.random.IntN(20) == 0 {
+	if sim.random.IntN(20) == 0 {
 		soon = 600 * millisecond // on a machine that is busy
 	}
-	w.at(w.now+w.spread(soon), func() { g.giveBack(life, tenant, taken) })
+	sim.schedule(sim.now+sim.randomDuration(soon), func() { g.returnToken(incarnation, tenant, taken) })
 }
 
-func (g *simGateway) giveBack(life int, tenant *configuration.Tenant, taken time.Duration) {
-	w := g.world
-	if g.life != life || !g.alive {
+func (g *simGateway) returnToken(incarnation int, tenant *configuration.Tenant, taken time.Duration) {
+	sim := g.sim
+	if g.incarnation != incarnation || !g.alive {
 		return
 	}
-	if g.still() {
-		g.afterThaw(func() { g.giveBack(life, tenant, taken) })
+	if g.paused() {
+		g.afterResume(func() { g.returnToken(incarnation, tenant, taken) })
 		return
 	}
 	now := g.clock.read()
-	g.ledger.returned(now, taken, tenant.Name)
-	if w.plant == plantLateReturn {
+	g.entitlement.returned(now, taken, tenant.Name)
+	if sim.bug == bugLateReturn {
 		taken = now
 	}
 	g.client.Return(now, taken, tenant)
 }
 
 // sendAgain has a server run a request once more.
-func (g *simGateway) sendAgain(life int, tenant *configuration.Tenant) {
-	if g.life != life || !g.alive || g.still() {
+func (g *simGateway) retry(incarnation int, tenant *configuration.Tenant) {
+	if g.incarnation != incarnation || !g.alive || g.paused() {
 		return
 	}
 	g.client.Charge(g.clock.read(), tenant)
-	g.world.run(tenant.Name, g)
+	g.sim.recordRun(tenant.Name, g)
 }
 
 // pump resolves what waits, sends what is due and sets the next wake-up.
 func (g *simGateway) pump() {
-	w := g.world
+	sim := g.sim
 	if !g.alive {
 		return
 	}
-	if g.still() {
-		g.afterThaw(g.pump)
+	if g.paused() {
+		g.afterResume(g.pump)
 		return
 	}
 	g.resolve()
 	now := g.clock.read()
 	if request, due := g.client.NextRequest(now); due {
-		g.ledger.sent(now, request.Sequence)
+		g.entitlement.sent(now, request.Sequence)
 		g.send(request)
 	}
-	if wake := g.clock.when(g.client.WakeAt(now)); g.wakeAt != wake {
+	if wake := g.clock.simTime(g.client.WakeAt(now)); g.wakeAt != wake {
 		g.wakeAt = wake
-		life := g.life
-		w.at(max(wake, w.now+millisecond), func() {
-			if g.life == life && g.wakeAt == wake {
+		incarnation := g.incarnation
+		sim.schedule(max(wake, sim.now+millisecond), func() {
+			if g.incarnation == incarnation && g.wakeAt == wake {
 				g.wakeAt = -1
 				g.pump()
 			}
@@ -262,9 +262,9 @@
 }
 
 func (g *simGateway) resolve() {
-	w := g.world
-	waits := g.waits
-	g.waits = nil
+	sim := g.sim
+	waits := g.waiting
+	g.waiting = nil
 	for _, wait := range waits {
 		now := g.clock.read()
 		verdict := g.client.Resolve(now, wait.tenant)
@@ -272,76 +272,76 @@
 		case verdict.Admit:
 			g.admitted(wait.tenant)
 		case !verdict.Wait:
-			w.refuse(wait.tenant.Name, g)
-		case w.now >= wait.deadline:
+			sim.recordRejected(wait.tenant.Name, g)
+		case sim.now >= wait.deadline:
 			g.client.Cancel(now, wait.tenant)
-			w.refuse(wait.tenant.Name, g)
+			sim.recordRejected(wait.tenant.Name, g)
 		default:
-			g.waits = append(g.waits, wait)
+			g.waiting = append(g.waiting, wait)
 		}
 	}
 }
 
 // delay is how long a message takes between a gateway and a control machine; below 0 it is lost. Where the path is cut it is lost
 // or comes when the cut ends.
-func (g *simGateway) delay(control *simControl, to cutWay) time.Duration {
-	w := g.world
-	if until := g.pathCut(control, to); w.now < until {
-		if w.random.IntN(2) == 0 {
+func (g *simGateway) delay(control *simControl, to direction) time.Duration {
+	sim := g.sim
+	if until := g.partitionedUntil(control, to); sim.now < until {
+		if sim.random.IntN(2) == 0 {
 			return -1
 		}
-		return until - w.now + w.spread(10*millisecond)
+		return until - sim.now + sim.randomDuration(10*millisecond)
 	}
-	if w.random.Float64() < w.loss {
+	if sim.random.Float64() < sim.lossRate {
 		return -1
 	}
-	if w.random.Float64() < w.slow {
-		return w.spread(1500 * millisecond)
+	if sim.random.Float64() < sim.slowRate {
+		return sim.randomDuration(1500 * millisecond)
 	}
-	return 300*time.Microsecond + w.spread(2*millisecond)
+	return 300*time.Microsecond + sim.randomDuration(2*millisecond)
 }
 
 // pathCut tells until when messages don't pass, outward from the gateway or inward to it.
-func (g *simGateway) pathCut(control *simControl, to cutWay) time.Duration {
-	if g.world.now < g.aloneUntil {
-		if g.alone == control {
+func (g *simGateway) partitionedUntil(control *simControl, to direction) time.Duration {
+	if g.sim.now < g.onlyReachableUntil {
+		if g.onlyReachable == control {
 			return 0
 		}
-		return g.aloneUntil
+		return g.onlyReachableUntil
 	}
-	other := inward
-	if to == inward {
-		other = outward
+	other := inbound
+	if to == inbound {
+		other = outbound
 	}
-	return max(g.cut.ends(to), control.cut.ends(other))
+	return max(g.partition.endFor(to), control.partition.endFor(other))
 }
 
 func (g *simGateway) send(request protocol.QuotaRequest) {
-	w := g.world
-	w.messages++
-	w.sizes += len(request.Demands)
+	sim := g.sim
+	sim.messages++
+	sim.demands += len(request.Demands)
 	request.Demands = append([]protocol.QuotaDemand(nil), request.Demands...)
-	if g.address == nil {
+	if g.allocator == nil {
 		return
 	}
-	control, life := g.address, g.life
-	if delay := g.delay(control, outward); delay >= 0 {
-		w.at(w.now+delay, func() { w.handle(control, g, life, request) })
+	control, incarnation := g.allocator, g.incarnation
+	if delay := g.delay(control, outbound); delay >= 0 {
+		sim.schedule(sim.now+delay, func() { sim.handle(control, g, incarnation, request) })
 	}
 }
 
-func (g *simGateway) replied(life int, reply protocol.QuotaReply) {
-	w := g.world
-	if g.life != life || !g.alive {
+func (g *simGateway) handleReply(incarnation int, reply protocol.QuotaReply) {
+	sim := g.sim
+	if g.incarnation != incarnation || !g.alive {
 		return
 	}
-	if g.still() {
-		g.afterThaw(func() { g.replied(life, reply) })
+	if g.paused() {
+		g.afterResume(func() { g.handleReply(incarnation, reply) })
 		return
 	}
 	now := g.clock.read()
-	g.ledger.replied(now, &reply)
-	if w.plant == plantFromReceipt && g.client.inFlight && reply.Sequence == g.client.sequence {
+	g.entitlement.replied(now, &reply)
+	if sim.bug == bugLeaseFromReceipt && g.client.inFlight && reply.Sequence == g.client.sequence {
 		g.client.sentAt = now
 	}
 	g.client.HandleReply(now, &reply)
--- a/internal/quota/hazards_test.go
+++ b/internal/quota/hazards_test.go
@@ -10,93 +10,93 @@
 
 // Lengths of troubles.
 const (
-	longestCut    = 20 * second
-	longestFreeze = 8 * second
-	mostGateways  = 20
+	maxPartition = 20 * second
+	maxPause     = 8 * second
+	maxGateways  = 20
 )
 
 // trouble brings one about, now and then.
-func (w *world) trouble() {
-	if w.now < 8*second || w.calm {
+func (sim *simulation) injectFault() {
+	if sim.now < 8*second || sim.faultsStopped {
 		return
 	}
-	w.troubles++
-	g := w.gateways[w.random.IntN(len(w.gateways))]
-	switch w.random.IntN(20) {
+	sim.faults++
+	g := sim.gateways[sim.random.IntN(len(sim.gateways))]
+	switch sim.random.IntN(20) {
 	case 0:
-		g.kill(200*millisecond + w.spread(2*second))
+		g.crash(200*millisecond + sim.randomDuration(2*second))
 	case 1:
-		g.freeze(w.spread(longestFreeze))
+		g.pause(sim.randomDuration(maxPause))
 	case 2:
-		g.cutOff(w.newCut(longestCut))
+		g.cutOffBy(sim.newPartition(maxPartition))
 	case 3:
-		if len(w.gateways) < mostGateways {
-			w.addGateway()
+		if len(sim.gateways) < maxGateways {
+			sim.addGateway()
 		}
 	case 4:
-		w.failOver(0)
+		sim.failOver(0)
 	case 5:
-		w.failOver(500*millisecond + w.spread(longestFreeze))
+		sim.failOver(500*millisecond + sim.randomDuration(maxPause))
 	case 6:
-		if !w.steadyLimits {
-			w.changeLimits()
+		if !sim.steadyLimits {
+			sim.changeLimits()
 		}
 	case 7:
-		w.restartHalf()
+		sim.restartHalf()
 	case 8:
-		g.share = 0.1 + 3*w.random.Float64()
+		g.share = 0.1 + 3*sim.random.Float64()
 	case 9:
-		w.isolate(g)
+		sim.partitionLeader(g)
 	case 10:
-		w.stallNext = true
+		sim.pauseNext = true
 	case 11:
-		w.depose()
+		sim.depose()
 	case 12:
-		w.handOver()
+		sim.handOver()
 	case 13:
-		w.restartLead()
+		sim.restartLeader()
 	case 14:
-		w.replace(w.random.IntN(len(w.controls)))
+		sim.replaceControl(sim.random.IntN(len(sim.controls)))
 	case 15:
-		w.losePower()
+		sim.losePower()
 	case 16:
-		for _, one := range w.gateways {
-			if w.random.IntN(2) == 0 {
-				one.freeze(w.spread(longestFreeze))
+		for _, one := range sim.gateways {
+			if sim.random.IntN(2) == 0 {
+				one.pause(sim.randomDuration(maxPause))
 			}
 		}
 	}
 }
 
 // changeLimits raises and lowers limits, and has tenants go and come back.
-func (w *world) changeLimits() {
-	tenants := append(slices.Clone(w.snapshot.Tenants), w.dropped...)
-	w.dropped = nil
-	if i := w.random.IntN(3 * len(tenants)); i < len(tenants) {
-		w.dropped = []configuration.Tenant{tenants[i]}
+func (sim *simulation) changeLimits() {
+	tenants := append(slices.Clone(sim.snapshot.Tenants), sim.removedTenants...)
+	sim.removedTenants = nil
+	if i := sim.random.IntN(3 * len(tenants)); i < len(tenants) {
+		sim.removedTenants = []configuration.Tenant{tenants[i]}
 		tenants = slices.Delete(tenants, i, i+1)
 	}
 	for i := range tenants {
-		if w.random.IntN(3) == 0 {
-			factor := 0.4 + 1.2*w.random.Float64()
-			tenants[i].RatePerSec = max(1, w.usage[tenants[i].Name]*1.6*factor)
+		if sim.random.IntN(3) == 0 {
+			factor := 0.4 + 1.2*sim.random.Float64()
+			tenants[i].RatePerSec = max(1, sim.usualRate[tenants[i].Name]*1.6*factor)
 			tenants[i].Burst = tenants[i].RatePerSec
 		}
 	}
-	w.configure(tenants)
+	sim.configure(tenants)
 }
 
-func (w *world) restartHalf() {
-	for _, one := range w.gateways {
-		if w.random.IntN(2) == 0 {
-			one.kill(200*millisecond + w.spread(second))
+func (sim *simulation) restartHalf() {
+	for _, one := range sim.gateways {
+		if sim.random.IntN(2) == 0 {
+			one.crash(200*millisecond + sim.randomDuration(second))
 		}
 	}
 }
 
 // acting gives the machine that leads with nothing in its way, or nil.
-func (w *world) acting() *simControl {
-	control := w.leader()
+func (sim *simulation) activeLeader() *simControl {
+	control := sim.leader()
 	if control == nil || control.leadUntil < math.MaxInt64 {
 		return nil
 	}
@@ -104,118 +104,118 @@
 }
 
 // lose ends the time of the lead: others decide on a view without it, and its proof of the epoch ages.
-func (w *world) lose(control *simControl) {
-	decided := w.now + 700*millisecond + w.spread(600*millisecond)
-	control.leadUntil = min(decided, w.now+confirmFor)
-	w.elect((w.lead+1)%len(w.controls), decided, w.startAfter())
+func (sim *simulation) deposeAfterSuspicion(control *simControl) {
+	decided := sim.now + 700*millisecond + sim.randomDuration(600*millisecond)
+	control.leadUntil = min(decided, sim.now+leaderLease)
+	sim.elect((sim.leaderIndex+1)%len(sim.controls), decided, sim.takeOverWait())
 }
 
-func (w *world) startAfter() time.Duration {
-	if w.plant == plantEarlyStart {
+func (sim *simulation) takeOverWait() time.Duration {
+	if sim.bug == bugEarlyStart {
 		return 0
 	}
-	return startAfter
+	return takeOverDelay
 }
 
 // failOver ends the lead: by death, or by a freeze from which it wakes later.
-func (w *world) failOver(freeze time.Duration) {
-	control := w.acting()
+func (sim *simulation) failOver(freeze time.Duration) {
+	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
-	w.lose(control)
+	sim.deposeAfterSuspicion(control)
 	if freeze > 0 {
-		control.frozenUntil = w.now + freeze
+		control.pausedUntil = sim.now + freeze
 		return
 	}
-	w.replaceAfter(w.lead, control, w.spread(3*second))
+	sim.replaceAfter(sim.leaderIndex, control, sim.randomDuration(3*second))
 }
 
 // replaceAfter ends a process, and begins another in its place.
-func (w *world) replaceAfter(index int, control *simControl, down time.Duration) {
+func (sim *simulation) replaceAfter(index int, control *simControl, downFor time.Duration) {
 	control.dead = true
-	w.at(w.now+down, func() {
-		if w.controls[index] == control {
-			w.controls[index] = w.newControl()
+	sim.schedule(sim.now+downFor, func() {
+		if sim.controls[index] == control {
+			sim.controls[index] = sim.newControl()
 		}
 	})
 }
 
 // isolate cuts the lead off, both ways or one way, from the other control machines and from the gateways; some of these reach
 // nobody but it.
-func (w *world) isolate(g *simGateway) {
-	control := w.acting()
+func (sim *simulation) partitionLeader(g *simGateway) {
+	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
-	w.lose(control)
-	length := second + w.spread(longestCut-second)
-	control.cut = cut{w.now + length, cutWay(w.random.IntN(3))}
-	if w.random.IntN(2) == 0 {
-		g.join(control, length)
+	sim.deposeAfterSuspicion(control)
+	length := second + sim.randomDuration(maxPartition-second)
+	control.partition = partition{sim.now + length, direction(sim.random.IntN(3))}
+	if sim.random.IntN(2) == 0 {
+		g.reachOnly(control, length)
 	}
-	if w.random.IntN(3) == 0 && len(w.gateways) < mostGateways {
-		fresh := w.addGateway()
-		fresh.join(control, length)
+	if sim.random.IntN(3) == 0 && len(sim.gateways) < maxGateways {
+		fresh := sim.addGateway()
+		fresh.reachOnly(control, length)
 	}
 }
 
 // depose decides on another head while the present one is in touch and has just proven its epoch.
-func (w *world) depose() {
-	control := w.acting()
+func (sim *simulation) depose() {
+	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
-	control.leadUntil = w.now + confirmFor
-	w.elect((w.lead+1)%len(w.controls), w.now, w.startAfter())
+	control.leadUntil = sim.now + leaderLease
+	sim.elect((sim.leaderIndex+1)%len(sim.controls), sim.now, sim.takeOverWait())
 }
 
 // handOver ends the lead as planned: it hands its task on, and another begins at once.
-func (w *world) handOver() {
-	control := w.acting()
+func (sim *simulation) handOver() {
+	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
-	control.leadUntil = w.now
+	control.leadUntil = sim.now
 	control.allocator.Stop()
-	w.elect((w.lead+1)%len(w.controls), w.now, w.spread(100*millisecond))
+	sim.elect((sim.leaderIndex+1)%len(sim.controls), sim.now, sim.randomDuration(100*millisecond))
 }
 
 // restartLead ends the lead's process; its next life on the same disk begins at once.
-func (w *world) restartLead() {
-	control := w.acting()
+func (sim *simulation) restartLeader() {
+	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
-	index := w.lead
-	control.leadUntil, control.dead = w.now, true
-	w.controls[index] = w.newControl()
-	w.elect(index, w.now, 150*millisecond+w.spread(500*millisecond))
+	index := sim.leaderIndex
+	control.leadUntil, control.dead = sim.now, true
+	sim.controls[index] = sim.newControl()
+	sim.elect(index, sim.now, 150*millisecond+sim.randomDuration(500*millisecond))
 }
 
 // replace ends a control machine for good, and puts an empty one in its place.
-func (w *world) replace(index int) {
-	control := w.controls[index]
-	if control == w.leader() {
-		w.failOver(0)
+func (sim *simulation) replaceControl(index int) {
+	control := sim.controls[index]
+	if control == sim.leader() {
+		sim.failOver(0)
 		return
 	}
 	control.leadUntil = 0
-	w.replaceAfter(index, control, w.spread(second))
+	sim.replaceAfter(index, control, sim.randomDuration(second))
 }
 
 // losePower ends all processes; the record is on disks.
-func (w *world) losePower() {
-	lead := w.acting()
+func (sim *simulation) losePower() {
+	lead := sim.activeLeader()
 	if lead == nil {
 		return
 	}
-	for index, control := range w.controls {
-		w.replaceAfter(index, control, 0)
+	for index, control := range sim.controls {
+		sim.replaceAfter(index, control, 0)
 	}
-	lead.leadUntil = w.now
-	w.elect(w.random.IntN(len(w.controls)), w.now, startAfter+w.spread(second))
-	for _, g := range w.gateways {
-		g.kill(200*millisecond + w.spread(second))
+	lead.leadUntil = sim.now
+	sim.elect(sim.random.IntN(len(sim.controls)), sim.now, takeOverDelay+sim.randomDuration(second))
+	for _, g := range sim.gateways {
+		g.crash(200*millisecond + sim.randomDuration(second))
 	}
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -55,26 +55,26 @@
 	if _, ended := a.deadProcesses[name]; ended {
 		return nil
 	}
-	h := a.holders[name]
-	if h == nil {
-		h = &leaseHolder{process: name, node: request.Process.Node, allocations: map[*tenantQuota]*allocation{}}
-		a.holders[name] = h
-		a.holdersByNode[h.node] = append(a.holdersByNode[h.node], h)
-		h.contactElement = a.byLastContact.PushBack(h)
+	holder := a.holders[name]
+	if holder == nil {
+		holder = &leaseHolder{process: name, node: request.Process.Node, allocations: map[*tenantQuota]*allocation{}}
+		a.holders[name] = holder
+		a.holdersByNode[holder.node] = append(a.holdersByNode[holder.node], holder)
+		holder.contactElement = a.byLastContact.PushBack(holder)
 	}
-	return h
+	return holder
 }
 
 // endEarlier ends the processes that ran on the asker's node before it. That it took the reply to its last request shows that it
 // ran later than that was heard; whoever was heard on the node before that moment is dead, as a node runs one process at a time.
 // A first request shows nothing: it may be a dead process's, held up on its way.
-func (a *Allocator) endPredecessors(h *leaseHolder, request *protocol.QuotaRequest) {
-	others := a.holdersByNode[h.node]
-	if len(others) == 1 || request.Term != a.term || request.Acked != h.lastSequence || h.lastSequence == 0 {
+func (a *Allocator) endPredecessors(holder *leaseHolder, request *protocol.QuotaRequest) {
+	others := a.holdersByNode[holder.node]
+	if len(others) == 1 || request.Term != a.term || request.Acked != holder.lastSequence || holder.lastSequence == 0 {
 		return
 	}
 	for _, other := range slices.Clone(others) {
-		if other != h && other.lastContact <= h.lastContact {
+		if other != holder && other.lastContact <= holder.lastContact {
 			a.deadProcesses[other.process] = a.now
 			a.endHolder(other)
 		}
@@ -82,22 +82,22 @@
 }
 
 // meet takes in what an asker holds that this term hasn't lent. It tells whether that is known.
-func (a *Allocator) reconcile(h *leaseHolder, request *protocol.QuotaRequest) bool {
+func (a *Allocator) reconcile(holder *leaseHolder, request *protocol.QuotaRequest) bool {
 	switch {
 	case request.Whole:
-		a.adoptReported(h, request)
+		a.adoptReported(holder, request)
 	case request.Term == 0: // it holds nothing
-	case request.Term != a.term || !h.reconciled:
+	case request.Term != a.term || !holder.reconciled:
 		return false
 	}
-	h.reconciled = true
+	holder.reconciled = true
 	return true
 }
 
 // takeHeld takes in all leases that an asker has. What it was told beyond them stays in force until it acknowledges a reply.
-func (a *Allocator) adoptReported(h *leaseHolder, request *protocol.QuotaRequest) {
-	for _, part := range h.ordered {
-		part.setOffered(h, lease{})
+func (a *Allocator) adoptReported(holder *leaseHolder, request *protocol.QuotaRequest) {
+	for _, part := range holder.ordered {
+		part.setOffered(holder, lease{})
 	}
 	for i := range request.Demands {
 		demand := &request.Demands[i]
@@ -107,33 +107,33 @@
 			continue
 		}
 		a.refill(q)
-		if !h.reconciled && request.Term != a.term {
+		if !holder.reconciled && request.Term != a.term {
 			q.unaccounted = q.unaccounted.minus(held).max(lease{})
 		}
-		part := h.allocationFor(q)
+		part := holder.allocationFor(q)
 		part.setOutstanding(part.outstanding.max(held))
-		part.setOffered(h, held)
+		part.setOffered(holder, held)
 	}
 }
 
 // setOffered notes what a holder has once it acknowledges the reply to its last request.
-func (p *allocation) setOffered(h *leaseHolder, l lease) {
+func (p *allocation) setOffered(holder *leaseHolder, l lease) {
 	p.offered = l
 	if p.outstanding != l && p.unackedSequence == 0 {
-		h.unacked = append(h.unacked, p)
+		holder.unacked = append(holder.unacked, p)
 	}
 	if p.outstanding != l || p.unackedSequence != 0 {
-		p.unackedSequence = h.lastSequence
+		p.unackedSequence = holder.lastSequence
 	}
 }
 
 // acknowledge takes in which replies the asker has taken: what they told is all that it may hold.
-func (a *Allocator) acknowledge(h *leaseHolder, request *protocol.QuotaRequest) {
+func (a *Allocator) acknowledge(holder *leaseHolder, request *protocol.QuotaRequest) {
 	if request.Term != a.term {
 		return
 	}
-	kept := h.unacked[:0]
-	for _, part := range h.unacked {
+	kept := holder.unacked[:0]
+	for _, part := range holder.unacked {
 		switch {
 		case part.unackedSequence == 0:
 		case request.Acked >= part.unackedSequence:
@@ -144,24 +144,24 @@
 			kept = append(kept, part)
 		}
 	}
-	clear(h.unacked[len(kept):])
-	h.unacked = kept
+	clear(holder.unacked[len(kept):])
+	holder.unacked = kept
 }
 
 // hear moves a holder to the end of the silent ones.
-func (a *Allocator) recordContact(h *leaseHolder) {
-	h.lastContact = a.now
-	a.byLastContact.MoveToBack(h.contactElement)
+func (a *Allocator) recordContact(holder *leaseHolder) {
+	holder.lastContact = a.now
+	a.byLastContact.MoveToBack(holder.contactElement)
 }
 
 // endSilent frees the leases of holders that were silent for longer than these last.
 func (a *Allocator) expireHolders() {
 	for front := a.byLastContact.Front(); front != nil; front = a.byLastContact.Front() {
-		h := front.Value.(*leaseHolder)
-		if a.now-h.lastContact <= leaseTTL+clockDriftMargin {
+		holder := front.Value.(*leaseHolder)
+		if a.now-holder.lastContact <= leaseTTL+clockDriftMargin {
 			break
 		}
-		a.endHolder(h)
+		a.endHolder(holder)
 	}
 	if a.now-a.tombstonesSweptAt > tombstoneTTL {
 		a.tombstonesSweptAt = a.now
@@ -174,20 +174,20 @@
 }
 
 // end frees all that a holder has.
-func (a *Allocator) endHolder(h *leaseHolder) {
-	for _, part := range h.ordered {
+func (a *Allocator) endHolder(holder *leaseHolder) {
+	for _, part := range holder.ordered {
 		a.refill(part.tenant)
 		part.setOutstanding(lease{})
 		part.setDemand(0)
 	}
-	a.byLastContact.Remove(h.contactElement)
-	delete(a.holders, h.process)
-	remaining := slices.DeleteFunc(a.holdersByNode[h.node], func(other *leaseHolder) bool { return other == h })
+	a.byLastContact.Remove(holder.contactElement)
+	delete(a.holders, holder.process)
+	remaining := slices.DeleteFunc(a.holdersByNode[holder.node], func(other *leaseHolder) bool { return other == holder })
 	if len(remaining) == 0 {
-		delete(a.holdersByNode, h.node)
+		delete(a.holdersByNode, holder.node)
 		return
 	}
-	a.holdersByNode[h.node] = remaining
+	a.holdersByNode[holder.node] = remaining
 }
 
 func (h *leaseHolder) allocationFor(q *tenantQuota) *allocation {
@@ -226,22 +226,22 @@
 }
 
 // sweep weighs all leases of a holder again.
-func (a *Allocator) rebalance(h *leaseHolder) {
-	h.rebalancedAt = a.now
-	kept := h.ordered[:0]
-	for _, part := range h.ordered {
+func (a *Allocator) rebalance(holder *leaseHolder) {
+	holder.rebalancedAt = a.now
+	kept := holder.ordered[:0]
+	for _, part := range holder.ordered {
 		if part.idle() {
-			delete(h.allocations, part.tenant)
+			delete(holder.allocations, part.tenant)
 			continue
 		}
 		kept = append(kept, part)
-		if part.sentSequence != h.lastSequence {
+		if part.sentSequence != holder.lastSequence {
 			a.refill(part.tenant)
-			a.offerLease(h, part)
+			a.offerLease(holder, part)
 		}
 	}
-	clear(h.ordered[len(kept):])
-	h.ordered = kept
+	clear(holder.ordered[len(kept):])
+	holder.ordered = kept
 }
 
 // tellPending adds the offers that aren't acknowledged to those told in this reply: the replies that told them may be lost.
@@ -257,10 +257,10 @@
 }
 
 // offer gives a holder the lease that its demand deserves and the account has room for, where that differs from what it has.
-func (a *Allocator) offerLease(h *leaseHolder, part *allocation) {
+func (a *Allocator) offerLease(holder *leaseHolder, part *allocation) {
 	q := part.tenant
 	next := q.fairShare(part)
-	if !a.grantees.mayLease(h.node) {
+	if !a.grantees.mayLease(holder.node) {
 		next = lease{}
 	}
 	others := q.outstanding.minus(part.outstanding).plus(q.unaccounted)
@@ -273,10 +273,10 @@
 		return
 	}
 	part.setOutstanding(part.outstanding.max(next))
-	part.setOffered(h, next)
+	part.setOffered(holder, next)
 	if part.unackedSequence == 0 { // a raise: it is told, and told again until it was taken
-		part.unackedSequence = h.lastSequence
-		h.unacked = append(h.unacked, part)
+		part.unackedSequence = holder.lastSequence
+		holder.unacked = append(holder.unacked, part)
 	}
 }
 
--- a/internal/quota/random_test.go
+++ b/internal/quota/random_test.go
@@ -13,66 +13,66 @@
 )
 
 const (
-	plainWorlds   = 12 // played where SEEDS doesn't say
-	troubledUntil = 60 * second
-	calmFrom      = 80 * second // all has healed by then
-	worldLength   = 90 * second
-	troubleEvery  = 700 * millisecond
+	defaultSimulations = 12 // played where SEEDS doesn't say
+	faultsUntil        = 60 * second
+	steadyFrom         = 80 * second // all has healed by then
+	simulationLength   = 90 * second
+	faultInterval      = 700 * millisecond
 )
 
 // plant is a bug of the harness that the checks must find.
-type plant string
+type injectedBug string
 
 // Bugs that the harness can plant.
 const (
-	plantNone         plant = ""
-	plantUnproven     plant = "an allocator grants without a proof that it leads"
-	plantEarlyStart   plant = "a new head begins before the time of the one before has passed"
-	plantNoWait       plant = "a new allocator doesn't wait out its predecessor's leases"
-	plantForgetRecord plant = "the record of who may hold leases is forgotten at a take-over"
-	plantKeepFloors   plant = "floors that were lowered aren't recorded"
-	plantFromReceipt  plant = "a holder times grants from their receipt"
-	plantStaleClock   plant = "a thawed holder decides by a clock that it read before"
-	plantLateReturn   plant = "tokens are taken back however old they are"
+	bugNone              injectedBug = ""
+	bugUnprovenLeader    injectedBug = "an allocator grants without a proof that it leads"
+	bugEarlyStart        injectedBug = "a new head begins before the time of the one before has passed"
+	bugNoLearning        injectedBug = "a new allocator doesn't wait out its predecessor's leases"
+	bugGranteesForgotten injectedBug = "the record of who may hold leases is forgotten at a take-over"
+	bugFloorsNotLowered  injectedBug = "floors that were lowered aren't recorded"
+	bugLeaseFromReceipt  injectedBug = "a holder times grants from their receipt"
+	bugStaleClock        injectedBug = "a thawed holder decides by a clock that it read before"
+	bugLateReturn        injectedBug = "tokens are taken back however old they are"
 )
 
 // playWorld plays a world with all troubles and tells what broke. The seed says what it is like. In a hollow one only
 // the rule's windows are checked.
-func playWorld(seed uint64, bug plant, hollow bool) (w *world, broken string) {
-	w = newWorld(seed, 3+int(seed%4)*4, siteTenants())
+func runSimulation(seed uint64, bug injectedBug, windowsOnly bool) (sim *simulation, violation string) {
+	sim = newSimulation(seed, 3+int(seed%4)*4, typicalTenants())
 	defer func() {
 		if failure := recover(); failure != nil {
-			broken = fmt.Sprint(failure)
+			violation = fmt.Sprint(failure)
 		}
 	}()
-	w.plant, w.hollow, w.loss, w.slow = bug, hollow, 0.01, 0.02
-	w.hot["tenant-0"], w.hot["tenant-3"], w.hot["tenant-6"] = 16, 16, 8 // ten times their limit, and five times
-	w.steadyLimits, w.returns = seed%2 == 0, seed%3 != 0
-	w.open()
-	w.every(troubleEvery, w.trouble)
-	w.play(troubledUntil)
-	w.calm, w.loss, w.slow, w.stallNext = true, 0, 0, false
-	w.play(calmFrom)
-	for _, count := range w.counts {
-		*count = counts{}
+	sim.bug, sim.windowsOnly, sim.lossRate, sim.slowRate = bug, windowsOnly, 0.01, 0.02
+	sim.overload["tenant-0"], sim.overload["tenant-3"], sim.overload["tenant-6"] = 16, 16, 8 // ten times their limit, and five times
+	sim.steadyLimits, sim.refunds = seed%2 == 0, seed%3 != 0
+	sim.start()
+	sim.every(faultInterval, sim.injectFault)
+	sim.runUntil(faultsUntil)
+	sim.faultsStopped, sim.lossRate, sim.slowRate, sim.pauseNext = true, 0, 0, false
+	sim.runUntil(steadyFrom)
+	for _, count := range sim.counts {
+		*count = requestCounts{}
 	}
-	w.play(worldLength)
-	return w, ""
+	sim.runUntil(simulationLength)
+	return sim, ""
 }
 
 // honest gives what tenants within their limits were owed, and refused.
-func (w *world) honest() (refused, owed int) {
-	for name, count := range w.counts {
-		if w.hot[name] == 0 && w.steadyLimits {
-			refused += count.owedRefused
-			owed += count.owed
+func (sim *simulation) rejectedWithinLimits() (rejected, expected int) {
+	for name, count := range sim.counts {
+		if sim.overload[name] == 0 && sim.steadyLimits {
+			rejected += count.expectedRejected
+			expected += count.expected
 		}
 	}
-	return refused, owed
+	return rejected, expected
 }
 
 // wanted reads a number from the environment.
-func wanted(name string, usual int) int {
+func envInt(name string, usual int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
@@ -80,53 +80,53 @@
 }
 
 // total is what came of several worlds.
-type total struct {
-	mutex                          sync.Mutex
-	worst                          float64
-	refused, owed, troubles, terms int
+type totals struct {
+	mutex                             sync.Mutex
+	worst                             float64
+	rejected, expected, faults, terms int
 }
 
-func (t *total) add(w *world) {
-	refused, owed := w.honest()
+func (t *totals) add(sim *simulation) {
+	refused, owed := sim.rejectedWithinLimits()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.worst = max(t.worst, w.audit.worst)
-	t.refused, t.owed = t.refused+refused, t.owed+owed
-	t.troubles, t.terms = t.troubles+w.troubles, t.terms+len(w.audit.terms)
+	t.worst = max(t.worst, sim.checker.worst)
+	t.rejected, t.expected = t.rejected+refused, t.expected+owed
+	t.faults, t.terms = t.faults+sim.faults, t.terms+len(sim.checker.terms)
 }
 
 // TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S. However machines die, freeze,
 // are cut off and come, no tenant passes its bound, and calm heals all.
-func TestRandomWorlds(t *testing.T) {
-	first, count := wanted("FIRST", 1), wanted("SEEDS", plainWorlds)
-	var all total
-	eachWorld(count, func(number int) {
-		w, broken := playWorld(uint64(first+number), plantNone, false)
-		if broken != "" {
-			t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, broken)
+func TestRandomSimulations(t *testing.T) {
+	first, count := envInt("FIRST", 1), envInt("SEEDS", defaultSimulations)
+	var all totals
+	eachSimulation(count, func(number int) {
+		sim, violation := runSimulation(uint64(first+number), bugNone, false)
+		if violation != "" {
+			t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, violation)
 			return
 		}
-		all.add(w)
+		all.add(sim)
 	})
-	refused := float64(all.refused) / float64(max(1, all.owed))
+	refused := float64(all.rejected) / float64(max(1, all.expected))
 	t.Logf("%d worlds, %d troubles, %d terms; worst window %.3f of the bound; once calm, %.5f of %d requests of honest tenants refused",
-		count, all.troubles, all.terms, all.worst, refused, all.owed)
+		count, all.faults, all.terms, all.worst, refused, all.expected)
 	if refused > 0.005 {
-		t.Errorf("once calm, %.5f of %d requests of honest tenants were refused", refused, all.owed)
+		t.Errorf("once calm, %.5f of %d requests of honest tenants were refused", refused, all.expected)
 	}
-	if count >= plainWorlds && all.worst < 0.6 {
+	if count >= defaultSimulations && all.worst < 0.6 {
 		t.Errorf("no window came near its bound: %.3f", all.worst)
 	}
 }
 
 // eachWorld calls play for the numbers up to count, a few at a time.
-func eachWorld(count int, play func(number int)) {
+func eachSimulation(count int, run func(number int)) {
 	numbers := make(chan int)
 	var wait sync.WaitGroup
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wait.Go(func() {
 			for number := range numbers {
-				play(number)
+				run(number)
 			}
 		})
 	}
@@ -138,27 +138,27 @@
 }
 
 // foundBy tells for each bug what finds it.
-var foundBy = map[plant]string{
-	plantUnproven:     "two allocators act",
-	plantEarlyStart:   "two allocators act",
-	plantNoWait:       "committed",
-	plantForgetRecord: "committed",
-	plantKeepFloors:   "tokens on record",
-	plantFromReceipt:  "without a grant in force",
-	plantStaleClock:   "without a grant in force",
-	plantLateReturn:   "without a grant in force",
+var detectedBy = map[injectedBug]string{
+	bugUnprovenLeader:    "two allocators act",
+	bugEarlyStart:        "two allocators act",
+	bugNoLearning:        "committed",
+	bugGranteesForgotten: "committed",
+	bugFloorsNotLowered:  "tokens on record",
+	bugLeaseFromReceipt:  "without a grant in force",
+	bugStaleClock:        "without a grant in force",
+	bugLateReturn:        "without a grant in force",
 }
 
 // TestPlantedBugs shows that the worlds find each bug, by the check that is meant for it.
-func TestPlantedBugs(t *testing.T) {
+func TestInjectedBugs(t *testing.T) {
 	const mostWorlds = 40
-	for bug, reason := range foundBy {
+	for bug, reason := range detectedBy {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= mostWorlds; seed++ {
-				_, broken := playWorld(seed, bug, false)
-				if strings.Contains(broken, reason) {
-					t.Logf("found in world %d: %s", seed, broken)
+				_, violation := runSimulation(seed, bug, false)
+				if strings.Contains(violation, reason) {
+					t.Logf("found in world %d: %s", seed, violation)
 					return
 				}
 			}
@@ -171,8 +171,8 @@
 func TestWindowBreaks(t *testing.T) {
 	const mostWorlds = 40
 	for seed := uint64(1); seed <= mostWorlds; seed++ {
-		if _, broken := playWorld(seed, plantUnproven, true); strings.Contains(broken, "in a window that allows") {
-			t.Logf("world %d: %s", seed, broken)
+		if _, violation := runSimulation(seed, bugUnprovenLeader, true); strings.Contains(violation, "in a window that allows") {
+			t.Logf("world %d: %s", seed, violation)
 			return
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // siteTenants has a few large and some small ones, as the sites do.
-func siteTenants() []configuration.Tenant {
+func typicalTenants() []configuration.Tenant {
 	var list []configuration.Tenant
 	for i, rate := range []float64{76, 48, 30, 18, 12, 8, 5, 2} {
 		list = append(list, configuration.Tenant{Name: fmt.Sprintf("tenant-%d", i), RatePerSec: rate, Burst: rate})
--- a/internal/quota/record.go
+++ b/internal/quota/record.go
@@ -53,18 +53,18 @@
 
 // noteTold takes in that a process has taken a reply of this term: all that it holds is counted by name, and processes that ran
 // on its node before it are dead.
-func (a *Allocator) noteReconciled(h *leaseHolder, request *protocol.QuotaRequest) {
+func (a *Allocator) noteReconciled(holder *leaseHolder, request *protocol.QuotaRequest) {
 	r := &a.grantees
 	if !r.enabled {
 		return
 	}
-	if _, recorded := r.lastContact[h.node]; recorded {
-		r.lastContact[h.node] = a.now
+	if _, recorded := r.lastContact[holder.node]; recorded {
+		r.lastContact[holder.node] = a.now
 	}
 	if r.allReconciled || request.Term != a.term || request.Acked == 0 {
 		return
 	}
-	delete(r.unreconciled, h.node)
+	delete(r.unreconciled, holder.node)
 	if r.allReconciled = len(r.unreconciled) == 0; r.allReconciled {
 		a.learningUntil = min(a.learningUntil, a.now)
 	}
--- a/internal/quota/return_test.go
+++ b/internal/quota/return_test.go
@@ -9,13 +9,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-func limit(name string, rate float64) []configuration.Tenant {
+func tenantWithLimit(name string, rate float64) []configuration.Tenant {
 	return []configuration.Tenant{{Name: name, RatePerSec: rate, Burst: rate}}
 }
 
 func TestReturn(t *testing.T) {
 	Convey("Given a gateway with a lease that has been spent", t, func() {
-		tenant := &limit("a", 10)[0]
+		tenant := &tenantWithLimit("a", 10)[0]
 		c := NewClient(ClientOptions{Process: protocol.Process{Node: "n", Incarnation: "1"}})
 		c.Take(0, tenant)
 		request, due := c.NextRequest(0)
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -25,31 +25,31 @@
 			perSecond         float64
 		}{{14, 8, 190}, {62, 76, 520}, {130, 1000, 5000}, {400, 10000, 33000}} {
 			const seconds = 12
-			w := newWorld(1, one.gateways, spreadTenants(one.tenants, one.perSecond))
-			w.hollow, w.maxWait = true, 100*millisecond // a fifth of the aims at size, at most
-			w.elect(0, 0, startAfter)
-			for name := range sortedNames(w.usage) {
-				w.at(5*second, func() { w.traffic(name) })
+			sim := newSimulation(1, one.gateways, spreadTenants(one.tenants, one.perSecond))
+			sim.windowsOnly, sim.maxWait = true, 100*millisecond // a fifth of the aims at size, at most
+			sim.elect(0, 0, takeOverDelay)
+			for name := range sortedNames(sim.usualRate) {
+				sim.schedule(5*second, func() { sim.generateTraffic(name) })
 			}
-			w.play(7 * second)
-			messages, sizes, spent := w.messages, w.sizes, w.spent
-			for _, count := range w.counts {
-				*count = counts{}
+			sim.runUntil(7 * second)
+			messages, sizes, spent := sim.messages, sim.demands, sim.allocatorTime
+			for _, count := range sim.counts {
+				*count = requestCounts{}
 			}
-			w.play((7 + seconds) * second)
-			entries, memory := w.controls[0].allocator.footprint()
-			share, owed := w.refusedShare(names(w)...)
-			n := float64(w.messages - messages)
+			sim.runUntil((7 + seconds) * second)
+			entries, memory := sim.controls[0].allocator.footprint()
+			share, owed := sim.rejectedShare(names(sim)...)
+			n := float64(sim.messages - messages)
 			t.Logf("%d gateways, %d tenants, %.0f requests/s: %.1f messages a second a gateway, %.1f demands each; allocator %.0f messages/s, %.4f of a core, %d entries, %.1f MB; %.5f of %d refused",
-				one.gateways, one.tenants, one.perSecond, n/seconds/float64(one.gateways), float64(w.sizes-sizes)/n,
-				n/seconds, (w.spent-spent).Seconds()/seconds, entries, memory, share, owed)
+				one.gateways, one.tenants, one.perSecond, n/seconds/float64(one.gateways), float64(sim.demands-sizes)/n,
+				n/seconds, (sim.allocatorTime-spent).Seconds()/seconds, entries, memory, share, owed)
 		}
 		So(true, ShouldBeTrue)
 	})
 }
 
-func names(w *world) (list []string) {
-	for name := range sortedNames(w.usage) {
+func names(sim *simulation) (list []string) {
+	for name := range sortedNames(sim.usualRate) {
 		list = append(list, name)
 	}
 	return list
@@ -71,8 +71,8 @@
 
 // footprint counts the allocator's entries and gives the memory of the whole test, in MB: an upper bound.
 func (a *Allocator) footprint() (entries int, megabytes float64) {
-	for _, h := range a.holders {
-		entries += len(h.ordered)
+	for _, holder := range a.holders {
+		entries += len(holder.ordered)
 	}
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/ruda/ruda.go
+++ b/internal/ruda/ruda.go
@@ -6,12 +6,12 @@
 import "math"
 
 // leastSum keeps a division by a sum of nothing defined.
-const leastSum = 1e-9
+const minDenominator = 1e-9
 
 // Score gives f = (1/v) x (r / sum of r) x (sum of q / q) of a group: v is its priority (all groups' sum to 1), r the
 // resource that it used and q the requests that it sent. The group with the highest score is degraded first.
 func Score(v, r, sumR, q, sumQ float64) float64 {
-	return 1 / v * (r / math.Max(sumR, leastSum)) * (sumQ / math.Max(q, leastSum))
+	return 1 / v * (r / math.Max(sumR, minDenominator)) * (sumQ / math.Max(q, minDenominator))
 }
 
 // Priorities gives the groups' priorities from their ranks, 0 the most urgent: 1 / (1 + rank), scaled to sum to 1.
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -15,26 +15,26 @@
 var ErrGap = errors.New("serverlist: the difference does not apply to the list held")
 
 // Difference is what leads from one list to another.
-type Difference struct {
+type Delta struct {
 	Changed []protocol.Server // added, or with another content
 	Removed []string          // ids
 }
 
 // Empty tells whether nothing differs.
-func (d *Difference) Empty() bool { return len(d.Changed) == 0 && len(d.Removed) == 0 }
+func (d *Delta) Empty() bool { return len(d.Changed) == 0 && len(d.Removed) == 0 }
 
 // Same tells whether two entries say the same. How long a server stays cold changes by itself and doesn't count.
-func Same(a, b *protocol.Server) bool {
+func SameContent(a, b *protocol.Server) bool {
 	return a.ID == b.ID && a.Backend == b.Backend && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Stage == b.Stage
 }
 
 // Between gives what leads from one list to another.
-func Between(from, to []protocol.Server) Difference {
-	var d Difference
+func Diff(from, to []protocol.Server) Delta {
+	var d Delta
 	i, j := 0, 0
 	for i < len(from) || j < len(to) {
-		switch order(from, i, to, j) {
+		switch compareAt(from, i, to, j) {
 		case -1:
 			d.Removed = append(d.Removed, from[i].ID)
 			i++
@@ -42,7 +42,7 @@
 			d.Changed = append(d.Changed, to[j])
 			j++
 		default:
-			if !Same(&from[i], &to[j]) {
+			if !SameContent(&from[i], &to[j]) {
 				d.Changed = append(d.Changed, to[j])
 			}
 			i++
@@ -53,7 +53,7 @@
 }
 
 // order tells which of two entries comes first; an end comes last.
-func order(from []protocol.Server, i int, to []protocol.Server, j int) int {
+func compareAt(from []protocol.Server, i int, to []protocol.Server, j int) int {
 	switch {
 	case i == len(from):
 		return 1
@@ -64,19 +64,19 @@
 }
 
 // Apply gives the list that a difference makes of another.
-func Apply(list []protocol.Server, d *Difference) []protocol.Server {
+func Apply(list []protocol.Server, d *Delta) []protocol.Server {
 	changed := slices.Clone(d.Changed)
 	slices.SortFunc(changed, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
-	gone := make(map[string]bool, len(d.Removed))
+	removed := make(map[string]bool, len(d.Removed))
 	for _, id := range d.Removed {
-		gone[id] = true
+		removed[id] = true
 	}
 	next := make([]protocol.Server, 0, len(list)+len(changed))
 	i, j := 0, 0
 	for i < len(list) || j < len(changed) {
-		switch order(list, i, changed, j) {
+		switch compareAt(list, i, changed, j) {
 		case -1:
-			if !gone[list[i].ID] {
+			if !removed[list[i].ID] {
 				next = append(next, list[i])
 			}
 			i++
@@ -93,36 +93,36 @@
 }
 
 // Join gives one difference for two that follow each other.
-func Join(first, second Difference) Difference {
-	latest := make(map[string]bool, len(second.Changed)+len(second.Removed))
-	joined := Difference{Changed: slices.Clone(second.Changed), Removed: slices.Clone(second.Removed)}
+func Compose(first, second Delta) Delta {
+	overwritten := make(map[string]bool, len(second.Changed)+len(second.Removed))
+	composed := Delta{Changed: slices.Clone(second.Changed), Removed: slices.Clone(second.Removed)}
 	for i := range second.Changed {
-		latest[second.Changed[i].ID] = true
+		overwritten[second.Changed[i].ID] = true
 	}
 	for _, id := range second.Removed {
-		latest[id] = true
+		overwritten[id] = true
 	}
 	for i := range first.Changed {
-		if !latest[first.Changed[i].ID] {
-			joined.Changed = append(joined.Changed, first.Changed[i])
+		if !overwritten[first.Changed[i].ID] {
+			composed.Changed = append(composed.Changed, first.Changed[i])
 		}
 	}
 	for _, id := range first.Removed {
-		if !latest[id] {
-			joined.Removed = append(joined.Removed, id)
+		if !overwritten[id] {
+			composed.Removed = append(composed.Removed, id)
 		}
 	}
-	return joined
+	return composed
 }
 
 // Follow gives the whole list after an update, which may be a difference. held may be nil. With ErrGap the whole list is needed.
-func Follow(held, update *protocol.ServerList) (*protocol.ServerList, error) {
+func ApplyUpdate(current, update *protocol.ServerList) (*protocol.ServerList, error) {
 	if update.Base == 0 {
 		return update, nil
 	}
-	if held == nil || held.Source != update.Source || held.Version != update.Base {
+	if current == nil || current.Source != update.Source || current.Version != update.Base {
 		return nil, ErrGap
 	}
-	difference := Difference{Changed: update.Servers, Removed: update.Removed}
-	return &protocol.ServerList{Version: update.Version, Source: update.Source, Servers: Apply(held.Servers, &difference)}, nil
+	delta := Delta{Changed: update.Servers, Removed: update.Removed}
+	return &protocol.ServerList{Version: update.Version, Source: update.Source, Servers: Apply(current.Servers, &delta)}, nil
 }
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -29,15 +29,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		first, second, third := drawList(t), drawList(t), drawList(t)
 		kept := slices.Clone(first)
-		one, two := Between(first, second), Between(second, third)
+		one, two := Diff(first, second), Diff(second, third)
 		if got := Apply(first, &one); !equal(got, second) {
 			t.Fatalf("%v leads to %v", one, got)
 		}
-		joined := Join(one, two)
+		joined := Compose(one, two)
 		if got := Apply(first, &joined); !equal(got, third) {
 			t.Fatalf("%v and %v join to %v, which leads to %v", one, two, joined, got)
 		}
-		if none := Between(first, first); !none.Empty() {
+		if none := Diff(first, first); !none.Empty() {
 			t.Fatalf("%v leads from a list to itself", none)
 		}
 		if !equal(first, kept) {
@@ -49,16 +49,16 @@
 func TestFollow(t *testing.T) {
 	held := &protocol.ServerList{Version: 4, Source: "a", Servers: []protocol.Server{{ID: "1"}, {ID: "2"}}}
 	whole := &protocol.ServerList{Version: 1, Source: "b"}
-	if next, err := Follow(held, whole); err != nil || next != whole {
+	if next, err := ApplyUpdate(held, whole); err != nil || next != whole {
 		t.Fatal(next, err)
 	}
 	update := &protocol.ServerList{Version: 6, Source: "a", Base: 4, Servers: []protocol.Server{{ID: "3"}}, Removed: []string{"1"}}
-	next, err := Follow(held, update)
+	next, err := ApplyUpdate(held, update)
 	if err != nil || next.Version != 6 || next.Base != 0 || len(next.Servers) != 2 || next.Servers[1].ID != "3" {
 		t.Fatal(next, err)
 	}
 	for _, other := range []*protocol.ServerList{nil, {Version: 4, Source: "b"}, {Version: 5, Source: "a"}} {
-		if _, err := Follow(other, update); err != ErrGap {
+		if _, err := ApplyUpdate(other, update); err != ErrGap {
 			t.Fatal(other, err)
 		}
 	}
