--- a/coord/view/model_key_test.go
+++ b/coord/view/model_key_test.go
@@ -132,12 +132,18 @@
 	case Prepare:
 		return fmt.Sprintf("%s prepare %d %v", m.to.ID(), body.View.Epoch, body.Ballot)
 	case Promise:
-		return fmt.Sprintf("%s promise %s %d %v %v %v %s", m.to.ID(), body.From.ID(), body.Epoch, body.Ballot,
+		return fmt.Sprintf("%s response to prepare %s %d %v %v %v %s", m.to.ID(), body.From.ID(), body.Epoch, body.Ballot,
 			body.Log, body.AcceptedBallot, viewText(body.Accepted))
 	case Accept:
 		return fmt.Sprintf("%s accept %v %s", m.to.ID(), body.Ballot, viewText(&body.Value))
+	case Accepted:
+		return fmt.Sprintf("%s response to accept %v", m.to.ID(), body)
 	case Decided:
 		return fmt.Sprintf("%s decided %s", m.to.ID(), viewText(&body.View))
+	case modelAppend:
+		return fmt.Sprintf("%s append %v", m.to.ID(), body)
+	case modelCopy:
+		return fmt.Sprintf("%s copy %v", m.to.ID(), body)
 	default:
 		return fmt.Sprintf("%s %T %v", m.to.ID(), body, body)
 	}
