--- a/coord/leader/leader_test.go
+++ b/coord/leader/leader_test.go
@@ -13,38 +13,38 @@
 func TestElection(t *testing.T) {
 	Convey("An election", t, func() {
 		e := NewElection(10 * time.Millisecond)
-		claim := Claim{Epoch: 4, Until: time.Second, Leads: true}
-		So(e.Observe(0, claim), ShouldEqual, Start)
+		claim := LeaderLease{Epoch: 4, Expires: time.Second, Held: true}
+		So(e.Observe(0, claim), ShouldEqual, StartRole)
 		So(e.Valid(989*time.Millisecond, 4), ShouldBeTrue)
 		So(e.Valid(990*time.Millisecond, 4), ShouldBeFalse)
 
 		Convey("goes on as the claim is renewed", func() {
-			claim.Until = 2 * time.Second
-			So(e.Observe(500*time.Millisecond, claim), ShouldEqual, Stay)
+			claim.Expires = 2 * time.Second
+			So(e.Observe(500*time.Millisecond, claim), ShouldEqual, NoAction)
 			So(e.Valid(1900*time.Millisecond, 4), ShouldBeTrue)
 		})
 		Convey("stops when the claim has run out", func() {
-			So(e.Observe(500*time.Millisecond, Claim{}), ShouldEqual, Stay)
-			So(e.Observe(990*time.Millisecond, Claim{}), ShouldEqual, Stop)
-			So(e.Observe(991*time.Millisecond, Claim{}), ShouldEqual, Stay)
+			So(e.Observe(500*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
+			So(e.Observe(990*time.Millisecond, LeaderLease{}), ShouldEqual, StopRole)
+			So(e.Observe(991*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
 		})
 		Convey("starts anew under another epoch", func() {
-			next := Claim{Epoch: 5, Until: 3 * time.Second, Leads: true}
-			So(e.Observe(500*time.Millisecond, next), ShouldEqual, Stop)
-			So(e.Observe(500*time.Millisecond, next), ShouldEqual, Start)
+			next := LeaderLease{Epoch: 5, Expires: 3 * time.Second, Held: true}
+			So(e.Observe(500*time.Millisecond, next), ShouldEqual, StopRole)
+			So(e.Observe(500*time.Millisecond, next), ShouldEqual, StartRole)
 			So(e.Valid(time.Second, 4), ShouldBeFalse)
 			So(e.Valid(time.Second, 5), ShouldBeTrue)
 		})
 		Convey("doesn't start again after it resigned, until it stands", func() {
-			So(e.Resign(), ShouldEqual, Stop)
+			So(e.Resign(), ShouldEqual, StopRole)
 			So(e.Valid(0, 4), ShouldBeFalse)
-			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, Stay)
-			e.Stand()
-			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, Start)
+			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, NoAction)
+			e.Campaign()
+			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, StartRole)
 		})
 		Convey("doesn't start on a claim that has nearly run out", func() {
 			other := NewElection(10 * time.Millisecond)
-			So(other.Observe(995*time.Millisecond, claim), ShouldEqual, Stay)
+			So(other.Observe(995*time.Millisecond, claim), ShouldEqual, NoAction)
 		})
 	})
 }
@@ -59,10 +59,10 @@
 		for i := 0; i < 100; i++ {
 			now += time.Duration(rapid.IntRange(0, 5e8).Draw(t, "pause"))
 			epoch += uint64(rapid.IntRange(0, 1).Draw(t, "epoch"))
-			claim := Claim{Epoch: epoch, Until: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
-			claim.Leads = rapid.Bool().Draw(t, "leads")
-			if claim.Leads {
-				ends[epoch] = max(ends[epoch], claim.Until)
+			claim := LeaderLease{Epoch: epoch, Expires: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
+			claim.Held = rapid.Bool().Draw(t, "leads")
+			if claim.Held {
+				ends[epoch] = max(ends[epoch], claim.Expires)
 			}
 			e.Observe(now, claim)
 			for known := uint64(1); known <= epoch; known++ {
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -45,17 +45,17 @@
 
 // Runner runs a role while this node leads.
 type Runner struct {
-	source   Source
-	role     Role
-	options  Options
-	start    time.Time
-	closing  chan struct{}
-	done     chan struct{}
-	once     sync.Once
-	mutex    sync.Mutex
-	election *Election
-	cancel   context.CancelFunc
-	stopped  chan struct{} // closed once the role that runs, or ran last, has returned
+	source     Source
+	role       Role
+	options    Options
+	epochStart time.Time
+	closing    chan struct{}
+	done       chan struct{}
+	closeOnce  sync.Once
+	mutex      sync.Mutex
+	election   *Election
+	cancel     context.CancelFunc
+	roleDone   chan struct{} // closed once the role that runs, or ran last, has returned
 }
 
 // Run starts a runner.
@@ -67,21 +67,21 @@
 		options.Margin = defaultMargin
 	}
 	r := &Runner{
-		source:   source,
-		role:     role,
-		options:  options,
-		start:    time.Now(),
-		closing:  make(chan struct{}),
-		done:     make(chan struct{}),
-		election: NewElection(options.Margin),
-		stopped:  make(chan struct{}),
+		source:     source,
+		role:       role,
+		options:    options,
+		epochStart: time.Now(),
+		closing:    make(chan struct{}),
+		done:       make(chan struct{}),
+		election:   NewElection(options.Margin),
+		roleDone:   make(chan struct{}),
 	}
-	close(r.stopped)
+	close(r.roleDone)
 	go r.loop()
 	return r
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.start) }
+func (r *Runner) now() time.Duration { return time.Since(r.epochStart) }
 
 func (r *Runner) loop() {
 	defer close(r.done)
@@ -103,32 +103,32 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	epoch, until, leads := r.source.Lead()
-	claim := Claim{Epoch: epoch, Until: until.Sub(r.start), Leads: leads}
-	if _, _, running := r.election.Term(); !running && !r.returned() {
+	claim := LeaderLease{Epoch: epoch, Expires: until.Sub(r.epochStart), Held: leads}
+	if _, _, running := r.election.Term(); !running && !r.roleReturned() {
 		return
 	}
 	switch r.election.Observe(r.now(), claim) {
-	case Start:
-		r.begin(epoch)
-	case Stop:
+	case StartRole:
+		r.startRole(epoch)
+	case StopRole:
 		r.cancel()
-	case Stay:
+	case NoAction:
 	}
 }
 
-func (r *Runner) returned() bool {
+func (r *Runner) roleReturned() bool {
 	select {
-	case <-r.stopped:
+	case <-r.roleDone:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *Runner) begin(epoch uint64) {
+func (r *Runner) startRole(epoch uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
-	r.cancel, r.stopped = cancel, stopped
+	r.cancel, r.roleDone = cancel, stopped
 	go func() {
 		defer close(stopped)
 		r.role(ctx, &Term{runner: r, epoch: epoch})
@@ -142,7 +142,7 @@
 	defer r.mutex.Unlock()
 	if leads && current == epoch {
 		if _, _, running := r.election.Term(); running {
-			r.election.Observe(r.now(), Claim{Epoch: current, Until: until.Sub(r.start), Leads: true})
+			r.election.Observe(r.now(), LeaderLease{Epoch: current, Expires: until.Sub(r.epochStart), Held: true})
 		}
 	}
 	return r.election.Valid(r.now(), epoch)
@@ -152,10 +152,10 @@
 // start here again until Stand.
 func (r *Runner) Resign(ctx context.Context) error {
 	r.mutex.Lock()
-	if r.election.Resign() == Stop {
+	if r.election.Resign() == StopRole {
 		r.cancel()
 	}
-	stopped := r.stopped
+	stopped := r.roleDone
 	r.mutex.Unlock()
 	select {
 	case <-stopped:
@@ -166,21 +166,21 @@
 }
 
 // Stand allows the role to start here again.
-func (r *Runner) Stand() {
+func (r *Runner) Campaign() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.election.Stand()
+	r.election.Campaign()
 }
 
 // Close stops the role and waits for it.
 func (r *Runner) Close() {
-	r.once.Do(func() { close(r.closing) })
+	r.closeOnce.Do(func() { close(r.closing) })
 	<-r.done
 	r.mutex.Lock()
-	if r.election.Resign() == Stop {
+	if r.election.Resign() == StopRole {
 		r.cancel()
 	}
-	stopped := r.stopped
+	stopped := r.roleDone
 	r.mutex.Unlock()
 	<-stopped
 }
--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -9,7 +9,7 @@
 
 // A holder asks, is granted a second counted from its question, and checks right before each act.
 func Example() {
-	granter := lease.NewFirstGranter(lease.GranterOptions{Epoch: 1, Longest: 5 * time.Second, Guard: 50 * time.Millisecond})
+	granter := lease.NewFirstGranter(lease.GranterOptions{Epoch: 1, MaxDuration: 5 * time.Second, DriftAllowance: 50 * time.Millisecond})
 	holder := lease.NewHolder(100 * time.Millisecond)
 
 	asked := 10 * time.Second
@@ -19,7 +19,7 @@
 		fmt.Println(err)
 		return
 	}
-	holder.Granted(asked, grant)
+	holder.OnGrant(asked, grant)
 
 	_, valid := holder.Valid(asked + 850*time.Millisecond)
 	fmt.Println("after 850 ms:", valid)
--- a/coord/lease/granter.go
+++ b/coord/lease/granter.go
@@ -10,11 +10,11 @@
 	// ErrHeld says that another holder's lease may still stand.
 	ErrHeld = errors.New("lease: held by another")
 	// ErrWarmingUp says that grants of an earlier granter may still stand.
-	ErrWarmingUp = errors.New("lease: an earlier granter's leases may still stand")
+	ErrGracePeriod = errors.New("lease: an earlier granter's leases may still stand")
 	// ErrStale says that the token isn't that of a standing lease of this holder.
-	ErrStale = errors.New("lease: token is not current")
+	ErrStaleToken = errors.New("lease: token is not current")
 	// ErrDuration says that a duration isn't within the granter's limit.
-	ErrDuration = errors.New("lease: duration out of range")
+	ErrDurationOutOfRange = errors.New("lease: duration out of range")
 )
 
 // Token fences: a higher one is of a later grant.
@@ -39,89 +39,89 @@
 	// Epoch must be higher than that of any granter before.
 	Epoch uint64
 	// Longest is the longest duration that is or was granted in the system.
-	Longest time.Duration
+	MaxDuration time.Duration
 	// Guard is how much longer than its duration a lease counts as standing here, for clocks that
 	// don't run alike.
-	Guard time.Duration
+	DriftAllowance time.Duration
 }
 
 // standing is a lease as its granter knows it.
-type standing struct {
-	grant Grant
-	ends  time.Duration // it may stand until then
+type record struct {
+	grant   Grant
+	expires time.Duration // it may stand until then
 }
 
 // Granter gives each resource to one holder at a time. It isn't safe for concurrent use.
 type Granter struct {
-	options GranterOptions
-	warm    time.Duration // grants of earlier granters may stand until then
-	granted uint32
-	leases  map[string]standing
+	options   GranterOptions
+	graceEnds time.Duration // grants of earlier granters may stand until then
+	grants    uint32
+	leases    map[string]record
 }
 
 // NewGranter returns a granter that refuses until the leases of an earlier one have surely ended.
 func NewGranter(now time.Duration, options GranterOptions) *Granter {
 	return &Granter{
-		options: options,
-		warm:    now + options.Longest + options.Guard,
-		leases:  make(map[string]standing),
+		options:   options,
+		graceEnds: now + options.MaxDuration + options.DriftAllowance,
+		leases:    make(map[string]record),
 	}
 }
 
 // NewFirstGranter returns a granter that had none before it.
 func NewFirstGranter(options GranterOptions) *Granter {
-	return &Granter{options: options, leases: make(map[string]standing)}
+	return &Granter{options: options, leases: make(map[string]record)}
 }
 
 // Acquire grants a resource, or lengthens the lease of its present holder under a new token.
 func (g *Granter) Acquire(now time.Duration, resource, holder string, duration time.Duration) (Grant, error) {
-	if duration <= 0 || duration > g.options.Longest {
-		return Grant{}, ErrDuration
+	if duration <= 0 || duration > g.options.MaxDuration {
+		return Grant{}, ErrDurationOutOfRange
 	}
-	if now < g.warm {
-		return Grant{}, ErrWarmingUp
+	if now < g.graceEnds {
+		return Grant{}, ErrGracePeriod
 	}
-	if held, ok := g.leases[resource]; ok && held.grant.Holder != holder && now < held.ends {
+	if held, ok := g.leases[resource]; ok && held.grant.Holder != holder && now < held.expires {
 		return Grant{}, ErrHeld
 	}
-	g.granted++
+	g.grants++
 	grant := Grant{
 		Resource: resource,
 		Holder:   holder,
-		Token:    Token(g.options.Epoch<<epochShift | uint64(g.granted)),
+		Token:    Token(g.options.Epoch<<epochShift | uint64(g.grants)),
 		Duration: duration,
 	}
-	g.keep(now, grant)
+	g.extend(now, grant)
 	return grant, nil
 }
 
 // Renew lengthens a standing lease and keeps its token.
 func (g *Granter) Renew(now time.Duration, grant Grant) (Grant, error) {
-	if grant.Duration <= 0 || grant.Duration > g.options.Longest {
-		return Grant{}, ErrDuration
+	if grant.Duration <= 0 || grant.Duration > g.options.MaxDuration {
+		return Grant{}, ErrDurationOutOfRange
 	}
 	held, ok := g.leases[grant.Resource]
-	if !ok || held.grant.Holder != grant.Holder || held.grant.Token != grant.Token || now >= held.ends {
-		return Grant{}, ErrStale
+	if !ok || held.grant.Holder != grant.Holder || held.grant.Token != grant.Token || now >= held.expires {
+		return Grant{}, ErrStaleToken
 	}
-	g.keep(now, grant)
+	g.extend(now, grant)
 	return grant, nil
 }
 
 // keep notes a lease; a shorter one never takes back what was given before.
-func (g *Granter) keep(now time.Duration, grant Grant) {
-	ends := now + grant.Duration + g.options.Guard
+func (g *Granter) extend(now time.Duration, grant Grant) {
+	ends := now + grant.Duration + g.options.DriftAllowance
 	if held, ok := g.leases[grant.Resource]; ok && held.grant.Holder == grant.Holder {
-		ends = max(ends, held.ends)
+		ends = max(ends, held.expires)
 	}
-	g.leases[grant.Resource] = standing{grant: grant, ends: ends}
+	g.leases[grant.Resource] = record{grant: grant, expires: ends}
 }
 
 // Release ends a lease whose holder has stopped to use it.
 func (g *Granter) Release(grant Grant) error {
 	held, ok := g.leases[grant.Resource]
 	if !ok || held.grant.Holder != grant.Holder || held.grant.Token != grant.Token {
-		return ErrStale
+		return ErrStaleToken
 	}
 	delete(g.leases, grant.Resource)
 	return nil
@@ -131,7 +131,7 @@
 func (g *Granter) Expire(now time.Duration) []Grant {
 	var ended []Grant
 	for resource, held := range g.leases {
-		if now >= held.ends {
+		if now >= held.expires {
 			ended = append(ended, held.grant)
 			delete(g.leases, resource)
 		}
@@ -140,4 +140,4 @@
 }
 
 // Standing returns the number of leases that may still stand.
-func (g *Granter) Standing() int { return len(g.leases) }
+func (g *Granter) Outstanding() int { return len(g.leases) }
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -4,11 +4,11 @@
 
 // Holder is one holder's side of one lease. It isn't safe for concurrent use.
 type Holder struct {
-	margin time.Duration // the right is given up this much before its end
-	grant  Grant
-	ends   time.Duration
-	held   bool
-	given  Token // given back; answers that are still on their way don't bring it back
+	margin       time.Duration // the right is given up this much before its end
+	grant        Grant
+	expires      time.Duration
+	held         bool
+	relinquished Token // given back; answers that are still on their way don't bring it back
 }
 
 // NewHolder returns the side of a holder that stops this much before its lease ends.
@@ -16,34 +16,34 @@
 
 // Granted takes in an answer. asked is the moment at which the question was sent: the duration
 // counts from there, however long the answer took. An answer that came late never shortens the lease.
-func (h *Holder) Granted(asked time.Duration, grant Grant) {
+func (h *Holder) OnGrant(asked time.Duration, grant Grant) {
 	ends := asked + grant.Duration - h.margin
-	if grant.Token <= h.given || h.held && grant.Token < h.grant.Token {
+	if grant.Token <= h.relinquished || h.held && grant.Token < h.grant.Token {
 		return
 	}
-	if !h.held || grant.Token > h.grant.Token || ends > h.ends {
-		h.grant, h.ends, h.held = grant, ends, true
+	if !h.held || grant.Token > h.grant.Token || ends > h.expires {
+		h.grant, h.expires, h.held = grant, ends, true
 	}
 }
 
 // Valid returns the token to act under, if the lease stands. It is asked right before each act.
 func (h *Holder) Valid(now time.Duration) (Token, bool) {
-	if !h.held || now >= h.ends {
+	if !h.held || now >= h.expires {
 		return 0, false
 	}
 	return h.grant.Token, true
 }
 
 // Ends returns when the right ends, by this holder's clock.
-func (h *Holder) Ends() (time.Duration, bool) { return h.ends, h.held }
+func (h *Holder) Expiry() (time.Duration, bool) { return h.expires, h.held }
 
 // Give stops the use of the lease and returns its grant, to be released at the granter.
-func (h *Holder) Give() (Grant, bool) {
+func (h *Holder) Relinquish() (Grant, bool) {
 	if !h.held {
 		return Grant{}, false
 	}
 	h.held = false
-	h.given = h.grant.Token
+	h.relinquished = h.grant.Token
 	return h.grant, true
 }
 
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -10,7 +10,7 @@
 )
 
 func options() GranterOptions {
-	return GranterOptions{Epoch: 3, Longest: 5 * time.Second, Guard: 100 * time.Millisecond}
+	return GranterOptions{Epoch: 3, MaxDuration: 5 * time.Second, DriftAllowance: 100 * time.Millisecond}
 }
 
 func TestGranter(t *testing.T) {
@@ -27,8 +27,8 @@
 			So(err, ShouldBeNil)
 			So(second.Token, ShouldBeGreaterThan, first.Token)
 			_, err = g.Renew(time.Second+200*time.Millisecond, first)
-			So(err, ShouldEqual, ErrStale)
-			So(g.Release(first), ShouldEqual, ErrStale)
+			So(err, ShouldEqual, ErrStaleToken)
+			So(g.Release(first), ShouldEqual, ErrStaleToken)
 		})
 		Convey("doesn't take back what it gave when a shorter lease is asked for", func() {
 			_, err := g.Acquire(0, "zone", "a", 10*time.Millisecond)
@@ -43,18 +43,18 @@
 		})
 		Convey("refuses durations beyond its longest", func() {
 			_, err := g.Acquire(0, "other", "a", 6*time.Second)
-			So(err, ShouldEqual, ErrDuration)
+			So(err, ShouldEqual, ErrDurationOutOfRange)
 		})
 		Convey("forgets what has ended", func() {
 			So(g.Expire(time.Second), ShouldBeEmpty)
 			So(g.Expire(2*time.Second), ShouldHaveLength, 1)
-			So(g.Standing(), ShouldEqual, 0)
+			So(g.Outstanding(), ShouldEqual, 0)
 		})
 	})
 	Convey("A granter that takes over refuses until earlier leases have ended", t, func() {
 		g := NewGranter(10*time.Second, options())
 		_, err := g.Acquire(15*time.Second, "zone", "b", time.Second)
-		So(err, ShouldEqual, ErrWarmingUp)
+		So(err, ShouldEqual, ErrGracePeriod)
 		_, err = g.Acquire(15100*time.Millisecond, "zone", "b", time.Second)
 		So(err, ShouldBeNil)
 	})
@@ -63,19 +63,19 @@
 func TestHolder(t *testing.T) {
 	Convey("A holder counts from its question and stops before the end", t, func() {
 		h := NewHolder(50 * time.Millisecond)
-		h.Granted(time.Second, Grant{Token: 7, Duration: time.Second})
+		h.OnGrant(time.Second, Grant{Token: 7, Duration: time.Second})
 		_, ok := h.Valid(1949 * time.Millisecond)
 		So(ok, ShouldBeTrue)
 		_, ok = h.Valid(1950 * time.Millisecond)
 		So(ok, ShouldBeFalse)
-		h.Granted(500*time.Millisecond, Grant{Token: 7, Duration: time.Second})
-		ends, _ := h.Ends()
+		h.OnGrant(500*time.Millisecond, Grant{Token: 7, Duration: time.Second})
+		ends, _ := h.Expiry()
 		So(ends, ShouldEqual, 1950*time.Millisecond)
-		_, held := h.Give()
+		_, held := h.Relinquish()
 		So(held, ShouldBeTrue)
 		_, ok = h.Valid(time.Second)
 		So(ok, ShouldBeFalse)
-		h.Granted(time.Second, Grant{Token: 7, Duration: time.Second})
+		h.OnGrant(time.Second, Grant{Token: 7, Duration: time.Second})
 		_, ok = h.Valid(time.Second)
 		So(ok, ShouldBeFalse)
 	})
@@ -83,7 +83,7 @@
 
 // leaseWorld has holders that ask, with delays both ways, granters that follow each other, and clocks
 // that differ. At most one holder may count a resource as its own.
-type leaseWorld struct {
+type leaseSimulation struct {
 	now     time.Duration
 	granter *Granter
 	epoch   uint64
@@ -102,7 +102,7 @@
 
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &leaseWorld{granter: NewFirstGranter(GranterOptions{Epoch: 1, Longest: time.Second, Guard: time.Millisecond}), epoch: 1}
+		w := &leaseSimulation{granter: NewFirstGranter(GranterOptions{Epoch: 1, MaxDuration: time.Second, DriftAllowance: time.Millisecond}), epoch: 1}
 		for i := 0; i < 3; i++ {
 			w.holders = append(w.holders, NewHolder(0))
 			w.offsets = append(w.offsets, time.Duration(rapid.IntRange(0, 1e9).Draw(t, "offset")))
@@ -116,15 +116,15 @@
 	})
 }
 
-func (w *leaseWorld) act(t *rapid.T) {
+func (w *leaseSimulation) act(t *rapid.T) {
 	holder := rapid.IntRange(0, len(w.holders)-1).Draw(t, "holder")
 	if rapid.IntRange(0, 15).Draw(t, "takeover") == 0 {
 		w.epoch++
-		w.granter = NewGranter(w.now, GranterOptions{Epoch: w.epoch, Longest: time.Second, Guard: time.Millisecond})
+		w.granter = NewGranter(w.now, GranterOptions{Epoch: w.epoch, MaxDuration: time.Second, DriftAllowance: time.Millisecond})
 		return
 	}
 	if rapid.IntRange(0, 9).Draw(t, "release") == 0 {
-		if grant, held := w.holders[holder].Give(); held {
+		if grant, held := w.holders[holder].Relinquish(); held {
 			_ = w.granter.Release(grant)
 		}
 		return
@@ -148,19 +148,19 @@
 	w.answers = append(w.answers, answer{at: w.now + back, holder: holder, asked: asked, grant: grant})
 }
 
-func (w *leaseWorld) deliver() {
+func (w *leaseSimulation) deliver() {
 	waiting := w.answers[:0]
 	for _, a := range w.answers {
 		if a.at > w.now {
 			waiting = append(waiting, a)
 			continue
 		}
-		w.holders[a.holder].Granted(a.asked, a.grant)
+		w.holders[a.holder].OnGrant(a.asked, a.grant)
 	}
 	w.answers = waiting
 }
 
-func (w *leaseWorld) check(t *rapid.T) {
+func (w *leaseSimulation) check(t *rapid.T) {
 	owners := 0
 	for i, h := range w.holders {
 		token, ok := h.Valid(w.now + w.offsets[i])
--- a/coord/membership/config.go
+++ b/coord/membership/config.go
@@ -4,29 +4,29 @@
 
 // Defaults of Config.
 const (
-	DefaultInterval = 300 * time.Millisecond
-	DefaultMonitors = 3
-	DefaultLinks    = 2
-	DefaultRetain   = 10 * time.Minute
+	DefaultInterval      = 300 * time.Millisecond
+	DefaultMonitors      = 3
+	DefaultLinks         = 2
+	DefaultDeadRetention = 10 * time.Minute
 )
 
 const (
 	// maxUpdates bounds the news in one message.
-	maxUpdates = 24
+	maxPiggyback = 24
 	// syncUpdates bounds the part of the table in one Sync message.
-	syncUpdates = 64
+	maxSyncUpdates = 64
 	// maxHealth bounds the signs of bad health that are counted. Timeouts grow to 1 + maxHealth times their length.
-	maxHealth = 6
+	maxHealthScore = 6
 	// remoteProbes is the number of intervals between probes of a dead machine or a seed.
-	remoteProbes = 10
+	reconnectRounds = 10
 	// eagerJoins is the number of intervals in which a machine that knows nobody asks a seed each time.
-	eagerJoins = 100
+	eagerJoinRounds = 100
 	// muchNews is the number of news on their way from which on tables are exchanged meanwhile.
-	muchNews = 2 * maxUpdates
+	heavyBacklog = 2 * maxPiggyback
 	// differingDigests is the number of differing digests after which tables are exchanged meanwhile.
-	differingDigests = 4
+	mismatchesBeforeSync = 4
 	// maxDifferences bounds the machines whose digests are remembered.
-	maxDifferences = 16
+	maxMismatches = 16
 )
 
 // Config adjusts a Node. Zero values take the defaults.
@@ -39,7 +39,7 @@
 	// Seeds are addresses at which a machine may answer.
 	Seeds []string
 	// Seed determines what is left to chance.
-	Seed uint64
+	RandomSeed uint64
 	// Interval is the time between heartbeats.
 	Interval time.Duration
 	// Monitors is the number of machines that watch each one.
@@ -47,15 +47,15 @@
 	// Links is the number of further machines that each one exchanges news with.
 	Links int
 	// MissAfter is how long a machine may be silent before its monitor asks around: 3 intervals by default.
-	MissAfter time.Duration
+	HeartbeatTimeout time.Duration
 	// AskFor is how long the monitor waits for what others say: an interval by default.
-	AskFor time.Duration
+	ConfirmationTimeout time.Duration
 	// AloneAfter is how long it waits for others before it accuses alone: 3 intervals by default.
-	AloneAfter time.Duration
+	UnconfirmedTimeout time.Duration
 	// DeadAfter is the time from suspicion to death: 3 intervals by default.
-	DeadAfter time.Duration
+	SuspicionTimeout time.Duration
 	// Retain is how long a dead machine is remembered.
-	Retain time.Duration
+	DeadRetention time.Duration
 }
 
 // withDefaults returns the configuration with all values set.
@@ -63,11 +63,11 @@
 	setDefault(&c.Interval, DefaultInterval)
 	setDefault(&c.Monitors, DefaultMonitors)
 	setDefault(&c.Links, DefaultLinks)
-	setDefault(&c.MissAfter, 3*c.Interval)
-	setDefault(&c.AskFor, c.Interval)
-	setDefault(&c.AloneAfter, 3*c.Interval)
-	setDefault(&c.DeadAfter, 3*c.Interval)
-	setDefault(&c.Retain, DefaultRetain)
+	setDefault(&c.HeartbeatTimeout, 3*c.Interval)
+	setDefault(&c.ConfirmationTimeout, c.Interval)
+	setDefault(&c.UnconfirmedTimeout, 3*c.Interval)
+	setDefault(&c.SuspicionTimeout, 3*c.Interval)
+	setDefault(&c.DeadRetention, DefaultDeadRetention)
 	return c
 }
 
--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -11,12 +11,12 @@
 	magic = "SPM\x01" // the last byte is the version
 
 	// maxDatagram bounds what is sent in one datagram in bytes, so that it isn't split on its way.
-	maxDatagram = 1400
+	maxDatagramSize = 1400
 	// headerSize is the size in bytes of magic and system tag.
 	headerSize = len(magic) + 8
 	// maxText bounds a string in bytes, and maxList a list in entries, in what is received.
-	maxText = 255
-	maxList = 128
+	maxStringLength = 255
+	maxListLength   = 128
 )
 
 // errMalformed reports a datagram that is no message of this system.
@@ -28,13 +28,13 @@
 	rest := message.Updates
 	for {
 		message.Updates = nil
-		data := appendFixed(nil, tag, message)
+		data := appendHeader(nil, tag, message)
 		counter := len(data)
 		data = append(data, 0)
 		count := 0
-		for len(rest) > 0 && count < maxList {
+		for len(rest) > 0 && count < maxListLength {
 			next := appendUpdate(data, rest[0])
-			if len(next) > maxDatagram && count > 0 {
+			if len(next) > maxDatagramSize && count > 0 {
 				break
 			}
 			data = next
@@ -60,15 +60,15 @@
 }
 
 // appendFixed appends all of a message but its news.
-func appendFixed(data []byte, tag uint64, message membership.Message) []byte {
+func appendHeader(data []byte, tag uint64, message membership.Message) []byte {
 	data = append(data, magic...)
 	data = binary.BigEndian.AppendUint64(data, tag)
 	data = append(data, byte(message.Kind))
-	data = appendText(data, message.From)
+	data = appendString(data, message.From)
 	data = binary.AppendUvarint(data, message.Incarnation)
 	data = binary.AppendUvarint(data, message.Sequence)
-	data = appendText(data, message.Target)
-	data = binary.AppendVarint(data, message.HeardAgo)
+	data = appendString(data, message.Target)
+	data = binary.AppendVarint(data, message.LastContactMillis)
 	data = binary.BigEndian.AppendUint64(data, message.Digest)
 	data = append(data, byte(len(message.Digests)))
 	for _, digest := range message.Digests {
@@ -81,15 +81,15 @@
 func appendUpdate(data []byte, update membership.Update) []byte {
 	data = append(data, byte(update.State))
 	data = binary.AppendUvarint(data, update.Incarnation)
-	data = appendText(data, update.Member.Name)
-	data = appendText(data, update.Member.Address)
-	data = appendText(data, update.Member.Role)
-	return appendText(data, update.Member.Zone)
+	data = appendString(data, update.Member.Name)
+	data = appendString(data, update.Member.Address)
+	data = appendString(data, update.Member.Role)
+	return appendString(data, update.Member.Zone)
 }
 
 // appendText appends a string after its length. Longer ones than a datagram may hold are cut.
-func appendText(data []byte, text string) []byte {
-	text = text[:min(len(text), maxText)]
+func appendString(data []byte, text string) []byte {
+	text = text[:min(len(text), maxStringLength)]
 	data = append(data, byte(len(text)))
 	return append(data, text...)
 }
@@ -104,18 +104,18 @@
 	}
 	r := reader{data: data[headerSize:]}
 	message := membership.Message{
-		Kind:        membership.Kind(r.octet()),
-		From:        r.text(),
-		Incarnation: r.unsigned(),
-		Sequence:    r.unsigned(),
-		Target:      r.text(),
-		HeardAgo:    r.signed(),
-		Digest:      r.fixed(),
+		Kind:              membership.MessageKind(r.byte()),
+		From:              r.string(),
+		Incarnation:       r.uvarint(),
+		Sequence:          r.uvarint(),
+		Target:            r.string(),
+		LastContactMillis: r.varint(),
+		Digest:            r.uint64(),
 	}
-	for range r.count() {
-		message.Digests = append(message.Digests, r.fixed())
+	for range r.listLength() {
+		message.Digests = append(message.Digests, r.uint64())
 	}
-	for range r.count() {
+	for range r.listLength() {
 		message.Updates = append(message.Updates, r.update())
 	}
 	if r.failed || len(r.data) > 0 || message.From == "" {
@@ -142,13 +142,13 @@
 	return taken
 }
 
-func (r *reader) octet() byte   { return r.take(1)[0] }
-func (r *reader) fixed() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *reader) byte() byte     { return r.take(1)[0] }
+func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
 
 // count returns the length of a list.
-func (r *reader) count() int {
-	count := int(r.octet())
-	if count > maxList {
+func (r *reader) listLength() int {
+	count := int(r.byte())
+	if count > maxListLength {
 		r.failed = true
 		return 0
 	}
@@ -156,8 +156,8 @@
 }
 
 // text returns a string.
-func (r *reader) text() string {
-	length := int(r.octet())
+func (r *reader) string() string {
+	length := int(r.byte())
 	if r.failed || length > len(r.data) {
 		r.failed = true
 		return ""
@@ -166,7 +166,7 @@
 }
 
 // unsigned returns a varint.
-func (r *reader) unsigned() uint64 {
+func (r *reader) uvarint() uint64 {
 	value, width := binary.Uvarint(r.data)
 	if width <= 0 {
 		r.failed = true
@@ -177,7 +177,7 @@
 }
 
 // signed returns a signed varint.
-func (r *reader) signed() int64 {
+func (r *reader) varint() int64 {
 	value, width := binary.Varint(r.data)
 	if width <= 0 {
 		r.failed = true
@@ -190,8 +190,8 @@
 // update returns one piece of news.
 func (r *reader) update() membership.Update {
 	return membership.Update{
-		State:       membership.State(r.octet()),
-		Incarnation: r.unsigned(),
-		Member:      membership.Member{Name: r.text(), Address: r.text(), Role: r.text(), Zone: r.text()},
+		State:       membership.State(r.byte()),
+		Incarnation: r.uvarint(),
+		Member:      membership.Member{Name: r.string(), Address: r.string(), Role: r.string(), Zone: r.string()},
 	}
 }
--- a/coord/membership/datagram/datagram_test.go
+++ b/coord/membership/datagram/datagram_test.go
@@ -61,7 +61,7 @@
 }
 
 // seeAll tells whether all runners know exactly this many machines as alive.
-func seeAll(runners []*Runner, count int) bool {
+func allSee(runners []*Runner, count int) bool {
 	for _, r := range runners {
 		alive := 0
 		for _, member := range r.Members().List() {
@@ -84,7 +84,7 @@
 		for number := range count {
 			runners = append(runners, startRunner(t, number, addresses, 1))
 		}
-		So(eventually(func() bool { return seeAll(runners, count) }), ShouldBeTrue)
+		So(eventually(func() bool { return allSee(runners, count) }), ShouldBeTrue)
 		known, ok := runners[7].Members().Get("m3")
 		So(ok, ShouldBeTrue)
 		So(known.Member, ShouldResemble, membership.Member{Name: "m3", Address: addresses[3], Role: "gateway", Zone: "z"})
@@ -92,12 +92,12 @@
 		Convey("a death, a planned end and a return become known to all", func() {
 			runners[4].Close()
 			rest := append(append([]*Runner{}, runners[:4]...), runners[5:]...)
-			So(eventually(func() bool { return seeAll(rest, count-1) }), ShouldBeTrue)
+			So(eventually(func() bool { return allSee(rest, count-1) }), ShouldBeTrue)
 			runners[7].Leave()
 			rest = rest[:len(rest)-1]
-			So(eventually(func() bool { return seeAll(rest, count-2) }), ShouldBeTrue)
+			So(eventually(func() bool { return allSee(rest, count-2) }), ShouldBeTrue)
 			rest = append(rest, startRunner(t, 4, addresses, 2))
-			So(eventually(func() bool { return seeAll(rest, count-1) }), ShouldBeTrue)
+			So(eventually(func() bool { return allSee(rest, count-1) }), ShouldBeTrue)
 			So(rest[0].Isolated(), ShouldBeFalse)
 		})
 	})
@@ -133,7 +133,7 @@
 func testMessage(updates int) membership.Message {
 	message := membership.Message{
 		Kind: membership.Sync, From: "front-huron-1", Incarnation: 1 << 50, Sequence: 12345, Target: "front-erie-2",
-		HeardAgo: -1, Digest: 1 << 63, Digests: []uint64{1, 2, 3},
+		LastContactMillis: -1, Digest: 1 << 63, Digests: []uint64{1, 2, 3},
 	}
 	for i := range updates {
 		message.Updates = append(message.Updates, membership.Update{
@@ -153,7 +153,7 @@
 			message := testMessage(count)
 			var updates []membership.Update
 			for i, data := range encode(7, message) {
-				So(len(data), ShouldBeLessThanOrEqualTo, maxDatagram)
+				So(len(data), ShouldBeLessThanOrEqualTo, maxDatagramSize)
 				part, err := decode(7, data)
 				So(err, ShouldBeNil)
 				updates = append(updates, part.Updates...)
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -15,10 +15,10 @@
 )
 
 // receiveBuffer is the size in bytes of the largest datagram that is received whole.
-const receiveBuffer = 4096
+const receiveBufferSize = 4096
 
 // readPause is how long a runner waits after a failed read.
-const readPause = 50 * time.Millisecond
+const readErrorBackoff = 50 * time.Millisecond
 
 // Options adjusts a Runner.
 type Options struct {
@@ -53,11 +53,11 @@
 
 // Runner runs a membership node over a UDP socket.
 type Runner struct {
-	options Options
-	tag     uint64
-	socket  *net.UDPConn
-	members atomic.Pointer[Members]
-	done    chan struct{} // closed once nothing is read any more
+	options   Options
+	systemTag uint64
+	socket    *net.UDPConn
+	members   atomic.Pointer[Members]
+	done      chan struct{} // closed once nothing is read any more
 
 	mutex  sync.Mutex
 	node   *membership.Node
@@ -85,11 +85,11 @@
 		return nil, fmt.Errorf("datagram: %w", err)
 	}
 	r := &Runner{
-		options: options,
-		tag:     xxhash.Sum64String(options.System),
-		socket:  socket,
-		done:    make(chan struct{}),
-		node:    membership.New(options.Config, time.Now()),
+		options:   options,
+		systemTag: xxhash.Sum64String(options.System),
+		socket:    socket,
+		done:      make(chan struct{}),
+		node:      membership.New(options.Config, time.Now()),
 	}
 	r.publish()
 	go r.read()
@@ -155,7 +155,7 @@
 // read takes datagrams in until the socket is closed.
 func (r *Runner) read() {
 	defer close(r.done)
-	buffer := make([]byte, receiveBuffer)
+	buffer := make([]byte, receiveBufferSize)
 	for {
 		size, from, err := r.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -163,10 +163,10 @@
 		}
 		if err != nil {
 			r.options.Log("read failed", err, "")
-			time.Sleep(readPause)
+			time.Sleep(readErrorBackoff)
 			continue
 		}
-		message, err := decode(r.tag, buffer[:size])
+		message, err := decode(r.systemTag, buffer[:size])
 		if err != nil {
 			r.options.Log("datagram dropped", err, from.String())
 			continue
@@ -202,7 +202,7 @@
 		r.options.Log("bad address", err, envelope.Address)
 		return
 	}
-	for _, data := range encode(r.tag, envelope.Message) {
+	for _, data := range encode(r.systemTag, envelope.Message) {
 		if _, err := r.socket.WriteToUDPAddrPort(data, address); err != nil {
 			r.options.Log("datagram not sent", err, envelope.Address)
 		}
--- a/coord/membership/fleet_test.go
+++ b/coord/membership/fleet_test.go
@@ -9,34 +9,34 @@
 )
 
 // fleet is a simulated system of nodes.
-type fleet struct {
-	t     testing.TB
-	world *simulation.Simulation
-	nodes map[string]*Node
-	names []string
-	lives map[string]uint64
+type cluster struct {
+	t            testing.TB
+	world        *simulation.Simulation
+	nodes        map[string]*Node
+	names        []string
+	incarnations map[string]uint64
 
 	// excused holds machines that are not well, so that accusations of them are not false.
-	excused map[string]bool
+	faulty map[string]bool
 	// suspicions and deaths count false accusations by accuser.
 	suspicions, deaths map[string]int
 	// knows counts, for each machine, the others for which it is dead.
-	knows map[string]int
+	deathKnown map[string]int
 	// traffic
 	messages, updates int
 }
 
 // newFleet returns a fleet of machines that start within 0.3 s of each other and know three seeds.
-func newFleet(t testing.TB, seed uint64, count int) *fleet {
-	f := &fleet{
-		t:          t,
-		world:      simulation.New(seed),
-		nodes:      make(map[string]*Node),
-		lives:      make(map[string]uint64),
-		excused:    make(map[string]bool),
-		suspicions: make(map[string]int),
-		deaths:     make(map[string]int),
-		knows:      make(map[string]int),
+func newCluster(t testing.TB, seed uint64, count int) *cluster {
+	f := &cluster{
+		t:            t,
+		world:        simulation.New(seed),
+		nodes:        make(map[string]*Node),
+		incarnations: make(map[string]uint64),
+		faulty:       make(map[string]bool),
+		suspicions:   make(map[string]int),
+		deaths:       make(map[string]int),
+		deathKnown:   make(map[string]int),
 	}
 	f.world.Links.Default = simulation.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond, Loss: 0.005}
 	for i := range count {
@@ -49,36 +49,36 @@
 }
 
 // start starts a machine's process.
-func (f *fleet) start(name string) {
-	f.lives[name]++
+func (f *cluster) start(name string) {
+	f.incarnations[name]++
 	f.world.Start(name)
 	config := Config{
 		Self:        Member{Name: name, Address: name, Role: "gateway", Zone: "z"},
 		Incarnation: uint64(f.world.Elapsed().Milliseconds()+1)<<8 + 1,
 		Seeds:       f.names[:min(3, len(f.names))],
-		Seed:        f.world.Random.Uint64(),
+		RandomSeed:  f.world.Random.Uint64(),
 	}
 	f.nodes[name] = New(config, f.world.Now())
-	f.knows[name] = 0
+	f.deathKnown[name] = 0
 	f.tick(name)
 }
 
 // stop ends a machine's process.
-func (f *fleet) stop(name string) {
+func (f *cluster) stop(name string) {
 	f.world.Stop(name)
 	delete(f.nodes, name)
-	f.excused[name] = true
+	f.faulty[name] = true
 }
 
 // tick runs a machine's timer, now and whenever it is due.
-func (f *fleet) tick(name string) {
+func (f *cluster) tick(name string) {
 	node := f.nodes[name]
 	f.handle(name, node.Tick(f.world.Now()))
 	f.world.AfterOn(name, node.Next().Sub(f.world.Now()), func() { f.tick(name) })
 }
 
 // handle sends messages and counts changes.
-func (f *fleet) handle(name string, output Output) {
+func (f *cluster) handle(name string, output Output) {
 	for _, change := range output.Changes {
 		f.count(name, change)
 	}
@@ -95,14 +95,14 @@
 }
 
 // count counts false accusations and who knows of a death.
-func (f *fleet) count(observer string, change Change) {
+func (f *cluster) count(observer string, change Change) {
 	name := change.Member.Name
 	if change.State == Dead {
-		f.knows[name]++
+		f.deathKnown[name]++
 	} else if change.Old == Dead {
-		f.knows[name]--
+		f.deathKnown[name]--
 	}
-	if f.excused[name] {
+	if f.faulty[name] {
 		return
 	}
 	switch change.State {
@@ -123,13 +123,13 @@
 }
 
 // agreed tells whether every running machine knows exactly the running machines as present.
-func (f *fleet) agreed() bool {
+func (f *cluster) converged() bool {
 	var expected uint64
 	for _, node := range f.nodes {
-		expected ^= sumOf(node.config.Self.Name, node.incarnation)
+		expected ^= memberDigest(node.config.Self.Name, node.incarnation)
 	}
 	for _, node := range f.nodes {
-		present := len(node.table.entries) - len(node.table.gone)
+		present := len(node.table.entries) - len(node.table.departed)
 		if present != len(f.nodes) || len(node.table.suspects) > 0 || node.table.digest() != expected {
 			return false
 		}
@@ -138,7 +138,7 @@
 }
 
 // until runs the world until a condition holds and returns how long that took.
-func (f *fleet) until(limit time.Duration, condition func() bool) time.Duration {
+func (f *cluster) until(limit time.Duration, condition func() bool) time.Duration {
 	f.t.Helper()
 	start := f.world.Elapsed()
 	for f.world.Elapsed()-start < limit {
@@ -152,35 +152,35 @@
 }
 
 // describe tells who disagrees.
-func (f *fleet) describe() string {
+func (f *cluster) describe() string {
 	text := ""
 	for _, name := range f.names {
 		if node, ok := f.nodes[name]; ok && len(text) < 500 {
-			text += fmt.Sprintf("%s sees %d, health %d; ", name, node.table.ring().Len(), node.Health())
+			text += fmt.Sprintf("%s sees %d, health %d; ", name, node.table.ring().Len(), node.HealthScore())
 		}
 	}
 	return text
 }
 
 // settle runs the world until all agree, and forgets what was counted.
-func (f *fleet) settle() time.Duration {
+func (f *cluster) converge() time.Duration {
 	f.t.Helper()
 	f.world.Run(300 * time.Millisecond)
-	took := 300*time.Millisecond + f.until(30*time.Second, f.agreed)
+	took := 300*time.Millisecond + f.until(30*time.Second, f.converged)
 	f.world.Run(3 * time.Second)
-	f.forget()
+	f.resetCounts()
 	return took
 }
 
 // forget forgets what was counted.
-func (f *fleet) forget() {
+func (f *cluster) resetCounts() {
 	clear(f.suspicions)
 	clear(f.deaths)
 	f.messages, f.updates = 0, 0
 }
 
 // noFalseDeath fails if a machine that is well was declared dead.
-func (f *fleet) noFalseDeath() {
+func (f *cluster) noFalseDeath() {
 	f.t.Helper()
 	if total(f.deaths) > 0 {
 		f.t.Errorf("seed %d: false deaths by %v", f.world.Random.Seed(), f.deaths)
--- a/coord/membership/health.go
+++ b/coord/membership/health.go
@@ -3,7 +3,7 @@
 import "time"
 
 // health counts the signs of this machine's own bad health.
-type health struct {
+type localHealth struct {
 	score  int
 	probes [4]sentProbe // the last ones, in turn
 	turn   int
@@ -16,24 +16,24 @@
 }
 
 // worsen counts a sign of bad health.
-func (h *health) worsen() {
-	h.score = min(h.score+1, maxHealth)
+func (h *localHealth) worsen() {
+	h.score = min(h.score+1, maxHealthScore)
 }
 
 // improve takes a sign back.
-func (h *health) improve() {
+func (h *localHealth) improve() {
 	h.score = max(h.score-1, 0)
 }
 
 // probed notes a probe.
-func (h *health) probed(sequence uint64, now time.Time) {
+func (h *localHealth) probed(sequence uint64, now time.Time) {
 	h.probes[h.turn%len(h.probes)] = sentProbe{sequence: sequence, at: now}
 	h.turn++
 }
 
 // answered notes the answer to a probe. A late one is a sign that this machine, or the other, is slow. One that never
 // comes says nothing of this machine: the other may be gone.
-func (h *health) answered(sequence uint64, now time.Time, limit time.Duration) {
+func (h *localHealth) answered(sequence uint64, now time.Time, limit time.Duration) {
 	for _, probe := range h.probes {
 		if probe.sequence != sequence || sequence == 0 {
 			continue
@@ -48,24 +48,24 @@
 }
 
 // stretch returns a timeout as long as this machine's health asks for.
-func (n *Node) stretch(timeout time.Duration) time.Duration {
+func (n *Node) scaleTimeout(timeout time.Duration) time.Duration {
 	return timeout * time.Duration(1+n.health.score)
 }
 
 // noticePause finds out whether this machine itself stood still. Then what it hasn't heard meanwhile says nothing.
-func (n *Node) noticePause(now time.Time) {
+func (n *Node) detectPause(now time.Time) {
 	late := now.Sub(n.next)
 	if late <= n.config.Interval {
 		return
 	}
 	n.health.worsen()
 	n.health.worsen()
-	n.heardAny = n.heardAny.Add(late)
+	n.lastContact = n.lastContact.Add(late)
 	for _, watched := range n.watches {
-		*watched = watch{heard: now}
+		*watched = watch{lastContact: now}
 	}
 	for name := range n.table.suspects {
 		suspected := n.table.entries[name]
-		suspected.since = suspected.since.Add(late)
+		suspected.stateSince = suspected.stateSince.Add(late)
 	}
 }
--- a/coord/membership/member.go
+++ b/coord/membership/member.go
@@ -30,7 +30,7 @@
 }
 
 // present tells whether a machine in this state may still be at work.
-func (s State) present() bool {
+func (s State) isPresent() bool {
 	return s == Alive || s == Suspect
 }
 
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -22,11 +22,11 @@
 }
 
 // eachSize runs a test with some numbers of machines, and with ten seeds for few of them.
-func eachSize(t *testing.T, counts []int, test func(t *testing.T, f *fleet)) {
+func eachSize(t *testing.T, counts []int, test func(t *testing.T, f *cluster)) {
 	for _, count := range sizes(t, counts...) {
 		t.Run(strconv.Itoa(count), func(t *testing.T) {
 			for seed := range uint64(min(10, max(1, 140/count))) {
-				test(t, newFleet(t, seed+1, count))
+				test(t, newCluster(t, seed+1, count))
 			}
 		})
 	}
@@ -39,18 +39,18 @@
 
 // TestDeathIsKnown measures the time from the death of a machine until all others know it.
 func TestDeathIsKnown(t *testing.T) {
-	eachSize(t, large, func(t *testing.T, f *fleet) {
-		joined := f.settle()
+	eachSize(t, large, func(t *testing.T, f *cluster) {
+		joined := f.converge()
 		f.world.Run(10 * time.Second)
-		f.forget()
+		f.resetCounts()
 		f.world.Run(10 * time.Second)
 		quiet := float64(f.messages) / float64(len(f.names)) / 10
 		quietUpdates := float64(f.updates) / float64(len(f.names)) / 10
-		f.forget()
+		f.resetCounts()
 		victim := f.names[len(f.names)/2]
 		f.stop(victim)
-		first := f.until(10*time.Second, func() bool { return f.knows[victim] > 0 })
-		all := first + f.until(10*time.Second, func() bool { return f.knows[victim] == len(f.nodes) })
+		first := f.until(10*time.Second, func() bool { return f.deathKnown[victim] > 0 })
+		all := first + f.until(10*time.Second, func() bool { return f.deathKnown[victim] == len(f.nodes) })
 		t.Logf("%d machines: joined in %s; a machine sends %.1f messages/s and %.2f updates/s when quiet; a death is known first in %s, to all in %s; false suspicions %d",
 			len(f.names), joined, quiet, quietUpdates, first, all, total(f.suspicions))
 		f.noFalseDeath()
@@ -64,9 +64,9 @@
 }
 
 // TestNobodyIsAccusedInQuiet runs with losses and without any fault.
-func TestNobodyIsAccusedInQuiet(t *testing.T) {
-	eachSize(t, large, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestNoFalseSuspicionsWithoutFaults(t *testing.T) {
+	eachSize(t, large, func(t *testing.T, f *cluster) {
+		f.converge()
 		f.world.Links.Default.Loss = 0.02
 		f.world.Run(30 * time.Second)
 		f.noFalseDeath()
@@ -77,9 +77,9 @@
 }
 
 // TestOneWayCuts cuts single directions, also those on which heartbeats go.
-func TestOneWayCuts(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestOneWayPartitions(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		victim := f.nodes[f.names[1]]
 		for _, monitor := range victim.table.ring().Successors(f.names[1], 2) {
 			f.world.Links.Partition(f.names[1], monitor)
@@ -99,11 +99,11 @@
 }
 
 // TestDeafMachineAccusesNobody cuts all that goes to one machine, while what it sends arrives.
-func TestDeafMachineAccusesNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestDeafMachineSuspectsNobody(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		deaf := f.names[2]
-		f.excused[deaf] = true
+		f.faulty[deaf] = true
 		for _, name := range f.names {
 			f.world.Links.Partition(name, deaf)
 		}
@@ -119,12 +119,12 @@
 }
 
 // TestFrozenMachineAccusesNobody freezes machines and lets them go on.
-func TestFrozenMachineAccusesNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestPausedMachineSuspectsNobody(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		frozen := f.names[:max(1, len(f.names)/20)]
 		for _, name := range frozen {
-			f.excused[name] = true
+			f.faulty[name] = true
 			f.world.Pause(name)
 		}
 		f.world.Run(8 * time.Second)
@@ -132,7 +132,7 @@
 			f.world.Resume(name)
 		}
 		f.world.Run(time.Second)
-		f.until(10*time.Second, f.agreed)
+		f.until(10*time.Second, f.converged)
 		f.noFalseDeath()
 		for _, name := range frozen {
 			if f.suspicions[name] > 0 {
@@ -143,12 +143,12 @@
 }
 
 // TestSlowMachinesAccuseNobody slows machines so much that each timer and message is up to two seconds late.
-func TestSlowMachinesAccuseNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestSlowMachinesSuspectNobody(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		slow := f.names[:max(1, len(f.names)/20)]
 		for _, name := range slow {
-			f.excused[name] = true
+			f.faulty[name] = true
 			f.world.SetLag(name, 2*time.Second)
 		}
 		f.world.Run(30 * time.Second)
@@ -166,55 +166,55 @@
 
 // TestLossOfAThird stops a third of the machines at once.
 func TestLossOfAThird(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		for i, name := range f.names {
 			if i%3 == 0 {
 				f.stop(name)
 			}
 		}
-		took := f.until(30*time.Second, f.agreed)
+		took := f.until(30*time.Second, f.converged)
 		t.Logf("%d machines: a third lost, agreed in %s", len(f.names), took)
 		f.noFalseDeath()
 	})
 }
 
 // TestTwoHalvesFindTogether cuts the machines in two for a while.
-func TestTwoHalvesFindTogether(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestPartitionHeals(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		half := len(f.names) / 2
 		f.world.Links.PartitionGroups(f.names[:half], f.names[half:])
 		f.world.Run(20 * time.Second)
 		f.world.Links.HealAll()
-		took := f.until(30*time.Second, f.agreed)
+		took := f.until(30*time.Second, f.converged)
 		t.Logf("%d machines: agreed %s after the cut", len(f.names), took)
 	})
 }
 
 // TestAllRestartAtOnce kills all processes, which are back within a second.
 func TestAllRestartAtOnce(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		for _, name := range f.names {
 			f.stop(name)
 			f.world.After(f.world.Random.Between(200*time.Millisecond, time.Second), func() { f.start(name) })
 		}
 		f.world.Run(time.Second)
-		took := f.until(30*time.Second, f.agreed)
+		took := f.until(30*time.Second, f.converged)
 		t.Logf("%d machines: agreed %s after the restart", len(f.names), took)
 	})
 }
 
 // TestPlannedEnd lets a machine leave, which all know without any suspicion.
-func TestPlannedEnd(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *fleet) {
-		f.settle()
+func TestLeave(t *testing.T) {
+	eachSize(t, small, func(t *testing.T, f *cluster) {
+		f.converge()
 		leaver := f.names[len(f.names)-1]
 		f.handle(leaver, f.nodes[leaver].Leave(f.world.Now()))
 		f.world.Stop(leaver)
 		delete(f.nodes, leaver)
-		took := f.until(10*time.Second, f.agreed)
+		took := f.until(10*time.Second, f.converged)
 		t.Logf("%d machines: known to all in %s", len(f.names), took)
 		if total(f.suspicions) > 0 {
 			t.Errorf("seed %d: suspected %v", f.world.Random.Seed(), f.suspicions)
@@ -236,12 +236,12 @@
 }
 
 // TestRandomTrouble stops, starts, freezes, slows and cuts at random. Once all is well again, all agree.
-func TestRandomTrouble(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(seeds(t, 40)) {
-		f := newFleet(t, seed+100, 12)
-		f.settle()
+		f := newCluster(t, seed+100, 12)
+		f.converge()
 		for range 40 {
-			f.trouble()
+			f.injectFault()
 			f.world.Run(f.world.Random.Between(0, 2*time.Second))
 		}
 		f.world.Links.HealAll()
@@ -252,12 +252,12 @@
 				f.start(name)
 			}
 		}
-		f.until(60*time.Second, f.agreed)
+		f.until(60*time.Second, f.converged)
 	}
 }
 
 // trouble does one random thing to a random machine.
-func (f *fleet) trouble() {
+func (f *cluster) injectFault() {
 	random := f.world.Random
 	name := f.names[random.IntN(len(f.names))]
 	other := f.names[random.IntN(len(f.names))]
--- a/coord/membership/message.go
+++ b/coord/membership/message.go
@@ -1,20 +1,20 @@
 package membership
 
 // Kind tells what a message is for.
-type Kind uint8
+type MessageKind uint8
 
 // Kinds of messages.
 const (
 	// Heartbeat goes to the monitors of the sender.
-	Heartbeat Kind = iota + 1
+	Heartbeat MessageKind = iota + 1
 	// Probe asks for a ProbeReply.
 	Probe
 	// ProbeReply carries the digest of the table of who replies.
 	ProbeReply
 	// Query asks another monitor of Message.Target when it last heard of it.
-	Query
+	IndirectProbe
 	// QueryReply says so in Message.HeardAgo.
-	QueryReply
+	IndirectProbeReply
 	// Join asks for the whole table and makes the sender known.
 	Join
 	// Sync carries a part of the whole table.
@@ -25,7 +25,7 @@
 
 // Message is what machines send each other.
 type Message struct {
-	Kind Kind
+	Kind MessageKind
 	// From is the sender's name, with its incarnation.
 	From        string
 	Incarnation uint64
@@ -34,7 +34,7 @@
 	// Target is the machine that a Query or its reply is about.
 	Target string
 	// HeardAgo is how many milliseconds ago the target was heard, or -1 for not at all.
-	HeardAgo int64
+	LastContactMillis int64
 	// Digest is the digest of the sender's table.
 	Digest uint64
 	// Digests are those of the parts of the sender's table.
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -8,24 +8,24 @@
 
 // Node is the view that one machine has of all. It must not be used by several goroutines at once.
 type Node struct {
-	config      Config
-	incarnation uint64
-	left        bool
-	random      *rand.Rand
-	table       *table
-	gossip      gossip
-	next        time.Time // of Tick
-	sequence    uint64
-	health      health
-	watches     map[string]*watch // of the predecessors
-	relays      []relay
-	nearby      neighbours
-	rounds      int
-	differences map[string]difference
-	differing   int       // differing digests while there was much news
-	synced      bool      // a table has come from another machine
-	heardAny    time.Time // when any message came
-	output      Output
+	config              Config
+	incarnation         uint64
+	left                bool
+	random              *rand.Rand
+	table               *table
+	gossip              broadcastQueue
+	next                time.Time // of Tick
+	sequence            uint64
+	health              localHealth
+	watches             map[string]*watch // of the predecessors
+	indirectProbes      []indirectProbe
+	cachedPeers         peers
+	rounds              int
+	mismatches          map[string]digestMismatch
+	mismatchesUnderLoad int       // differing digests while there was much news
+	hasSynced           bool      // a table has come from another machine
+	lastContact         time.Time // when any message came
+	output              Output
 }
 
 // New returns the node of a machine that knows nobody yet.
@@ -34,12 +34,12 @@
 	n := &Node{
 		config:      config,
 		incarnation: config.Incarnation,
-		random:      rand.New(rand.NewPCG(config.Seed, config.Incarnation)),
+		random:      rand.New(rand.NewPCG(config.RandomSeed, config.Incarnation)),
 		table:       newTable(),
 		watches:     make(map[string]*watch),
-		differences: make(map[string]difference),
+		mismatches:  make(map[string]digestMismatch),
 		next:        now,
-		heardAny:    now,
+		lastContact: now,
 	}
 	n.announce(now)
 	return n
@@ -68,7 +68,7 @@
 func (n *Node) Members() []Update {
 	members := make([]Update, 0, len(n.table.entries))
 	for _, known := range n.table.entries {
-		if known.update.State.present() {
+		if known.update.State.isPresent() {
 			members = append(members, known.update)
 		}
 	}
@@ -77,15 +77,15 @@
 }
 
 // Health returns the number of signs of this machine's own bad health, 0 for a healthy one.
-func (n *Node) Health() int {
+func (n *Node) HealthScore() int {
 	return n.health.score
 }
 
 // Isolated tells whether this machine has heard nobody for so long that others must count it as dead or cut off.
 // A machine that knows nobody else is not isolated.
 func (n *Node) Isolated(now time.Time) bool {
-	limit := n.config.MissAfter + n.config.AskFor + n.config.DeadAfter
-	return len(n.table.entries)-len(n.table.gone) > 1 && now.Sub(n.heardAny) > limit
+	limit := n.config.HeartbeatTimeout + n.config.ConfirmationTimeout + n.config.SuspicionTimeout
+	return len(n.table.entries)-len(n.table.departed) > 1 && now.Sub(n.lastContact) > limit
 }
 
 // SetSeeds replaces the addresses at which a machine may answer.
@@ -99,14 +99,14 @@
 		n.next = now.Add(n.config.Interval)
 		return n.takeOutput()
 	}
-	n.noticePause(now)
+	n.detectPause(now)
 	n.next = now.Add(n.config.Interval)
 	n.rounds++
 	n.sendHeartbeats()
 	n.probe(now)
-	n.watchPredecessors(now)
-	n.bury(now)
-	n.table.forget(now.Add(-n.config.Retain))
+	n.checkPredecessors(now)
+	n.declareDead(now)
+	n.table.purge(now.Add(-n.config.DeadRetention))
 	return n.takeOutput()
 }
 
@@ -115,25 +115,25 @@
 	if n.left || message.From == n.config.Self.Name {
 		return n.takeOutput()
 	}
-	n.heardAny = now
+	n.lastContact = now
 	for _, update := range message.Updates {
 		n.merge(update, now, message.Kind != Sync)
 	}
-	n.heard(message.From, now)
-	n.correct(address, message)
+	n.recordContact(message.From, now)
+	n.requestRefutation(address, message)
 	switch message.Kind {
 	case Probe:
-		n.answerProbe(address, message)
+		n.onProbe(address, message)
 	case ProbeReply:
-		n.probeAnswered(now, address, message)
-	case Query:
-		n.answerQuery(now, address, message)
-	case QueryReply:
-		n.queryAnswered(now, message)
+		n.onProbeReply(now, address, message)
+	case IndirectProbe:
+		n.onIndirectProbe(now, address, message)
+	case IndirectProbeReply:
+		n.onIndirectProbeReply(now, message)
 	case Join, SyncRequest:
 		n.sendTable(address, message)
 	case Sync:
-		n.tableReceived(address, message)
+		n.onSync(address, message)
 	}
 	return n.takeOutput()
 }
@@ -146,8 +146,8 @@
 	n.left = true
 	n.gossip.add(n.Self())
 	n.sendHeartbeats()
-	for _, name := range n.neighbours().links {
-		n.send(name, Message{Kind: Heartbeat, Updates: n.news()})
+	for _, name := range n.peers().links {
+		n.send(name, Message{Kind: Heartbeat, Updates: n.piggyback()})
 	}
 	n.table.merge(n.Self(), now)
 	return n.takeOutput()
@@ -176,7 +176,7 @@
 }
 
 // news returns what the next message is to spread.
-func (n *Node) news() []Update {
+func (n *Node) piggyback() []Update {
 	return n.gossip.take(n.table.ring().Len())
 }
 
@@ -204,7 +204,7 @@
 		n.gossip.add(update)
 	}
 	if update.State == Alive {
-		n.refuted(update.Member.Name, now)
+		n.recordRefutation(update.Member.Name, now)
 	}
 	if old != update.State {
 		n.output.Changes = append(n.output.Changes, Change{Update: update, Old: old})
@@ -225,12 +225,12 @@
 }
 
 // correct tells a machine that counts as dead, or as suspect, what is known of it, so that it refutes it.
-func (n *Node) correct(address string, message Message) {
+func (n *Node) requestRefutation(address string, message Message) {
 	known, ok := n.table.get(message.From)
 	if !ok || known.State == Alive || message.Incarnation > known.Incarnation {
 		return
 	}
-	if message.Kind == ProbeReply || message.Kind == QueryReply || message.Kind == Sync {
+	if message.Kind == ProbeReply || message.Kind == IndirectProbeReply || message.Kind == Sync {
 		return
 	}
 	n.sendTo(message.From, address, Message{Kind: ProbeReply, Digest: n.table.digest(), Updates: []Update{known}})
@@ -238,7 +238,7 @@
 
 // sendHeartbeats sends a heartbeat to each monitor.
 func (n *Node) sendHeartbeats() {
-	for _, name := range n.neighbours().monitors {
-		n.send(name, Message{Kind: Heartbeat, Updates: n.news()})
+	for _, name := range n.peers().monitors {
+		n.send(name, Message{Kind: Heartbeat, Updates: n.piggyback()})
 	}
 }
--- a/coord/membership/relay.go
+++ b/coord/membership/relay.go
@@ -6,66 +6,66 @@
 )
 
 // maxRelays bounds the questions that wait for a sign of their targets.
-const maxRelays = 64
+const maxIndirectProbes = 64
 
 // relay is a question about a machine that this one hasn't heard lately either.
-type relay struct {
-	target, name, address string
-	sequence              uint64
-	expires               time.Time
+type indirectProbe struct {
+	target, requester, address string
+	sequence                   uint64
+	expires                    time.Time
 }
 
 // answerQuery says when a machine was last heard here. If that was long ago, or it isn't watched here, it is probed,
 // and its answer is reported.
-func (n *Node) answerQuery(now time.Time, address string, message Message) {
-	reply := Message{Kind: QueryReply, Sequence: message.Sequence, Target: message.Target, HeardAgo: -1}
+func (n *Node) onIndirectProbe(now time.Time, address string, message Message) {
+	reply := Message{Kind: IndirectProbeReply, Sequence: message.Sequence, Target: message.Target, LastContactMillis: -1}
 	if watched, ok := n.watches[message.Target]; ok {
-		ago := now.Sub(watched.heard)
-		if watched.real || ago > n.config.MissAfter {
-			reply.HeardAgo = ago.Milliseconds()
+		ago := now.Sub(watched.lastContact)
+		if watched.observed || ago > n.config.HeartbeatTimeout {
+			reply.LastContactMillis = ago.Milliseconds()
 		}
-		if watched.real && ago <= n.config.MissAfter {
+		if watched.observed && ago <= n.config.HeartbeatTimeout {
 			n.sendTo(message.From, address, reply)
 			return
 		}
 	}
-	if reply.HeardAgo >= 0 {
+	if reply.LastContactMillis >= 0 {
 		n.sendTo(message.From, address, reply)
 	}
-	n.addRelay(now, address, message)
+	n.probeFor(now, address, message)
 }
 
 // addRelay probes a machine for another one.
-func (n *Node) addRelay(now time.Time, address string, message Message) {
-	isSame := func(r relay) bool {
-		return r.expires.Before(now) || r.target == message.Target && r.name == message.From
+func (n *Node) probeFor(now time.Time, address string, message Message) {
+	isSame := func(r indirectProbe) bool {
+		return r.expires.Before(now) || r.target == message.Target && r.requester == message.From
 	}
-	n.relays = slices.DeleteFunc(n.relays, isSame)
-	if len(n.relays) >= maxRelays {
+	n.indirectProbes = slices.DeleteFunc(n.indirectProbes, isSame)
+	if len(n.indirectProbes) >= maxIndirectProbes {
 		return
 	}
-	n.relays = append(n.relays, relay{
-		target:   message.Target,
-		name:     message.From,
-		address:  address,
-		sequence: message.Sequence,
-		expires:  now.Add(n.config.AloneAfter),
+	n.indirectProbes = append(n.indirectProbes, indirectProbe{
+		target:    message.Target,
+		requester: message.From,
+		address:   address,
+		sequence:  message.Sequence,
+		expires:   now.Add(n.config.UnconfirmedTimeout),
 	})
 	n.sequence++
 	n.send(message.Target, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest()})
 }
 
 // answerRelays tells those who asked that a machine has been heard.
-func (n *Node) answerRelays(name string, now time.Time) {
-	if len(n.relays) == 0 {
+func (n *Node) answerIndirectProbes(name string, now time.Time) {
+	if len(n.indirectProbes) == 0 {
 		return
 	}
-	answer := func(r relay) bool {
+	answer := func(r indirectProbe) bool {
 		if r.target != name {
 			return r.expires.Before(now)
 		}
-		n.sendTo(r.name, r.address, Message{Kind: QueryReply, Sequence: r.sequence, Target: name})
+		n.sendTo(r.requester, r.address, Message{Kind: IndirectProbeReply, Sequence: r.sequence, Target: name})
 		return true
 	}
-	n.relays = slices.DeleteFunc(n.relays, answer)
+	n.indirectProbes = slices.DeleteFunc(n.indirectProbes, answer)
 }
--- a/coord/membership/table.go
+++ b/coord/membership/table.go
@@ -15,19 +15,19 @@
 
 // entry is what is known of one machine.
 type entry struct {
-	update Update
-	since  time.Time // of the state
-	bucket int
-	sum    uint64 // the share of the bucket's digest, 0 for a machine that isn't present
+	update     Update
+	stateSince time.Time // of the state
+	bucket     int
+	digest     uint64 // the share of the bucket's digest, 0 for a machine that isn't present
 }
 
 // table holds all machines that are known, this one included.
 type table struct {
-	entries  map[string]*entry
-	digests  [buckets]uint64 // over the machines that are present and their incarnations
-	suspects map[string]struct{}
-	gone     map[string]struct{} // dead and left machines
-	current  *ring.Ring          // of the machines that are alive; nil if it is to be made anew
+	entries    map[string]*entry
+	digests    [buckets]uint64 // over the machines that are present and their incarnations
+	suspects   map[string]struct{}
+	departed   map[string]struct{} // dead and left machines
+	cachedRing *ring.Ring          // of the machines that are alive; nil if it is to be made anew
 }
 
 // newTable returns an empty table.
@@ -35,7 +35,7 @@
 	return &table{
 		entries:  make(map[string]*entry),
 		suspects: make(map[string]struct{}),
-		gone:     make(map[string]struct{}),
+		departed: make(map[string]struct{}),
 	}
 }
 
@@ -52,10 +52,10 @@
 	old := known.update.State
 	known.update = update
 	if old != update.State {
-		known.since = now
+		known.stateSince = now
 	}
 	if (old == Alive) != (update.State == Alive) {
-		t.current = nil
+		t.cachedRing = nil
 	}
 	t.reindex(name, known)
 	return old, true
@@ -64,26 +64,26 @@
 // reindex brings digests and sets in line with an entry.
 func (t *table) reindex(name string, changed *entry) {
 	delete(t.suspects, name)
-	delete(t.gone, name)
-	t.digests[changed.bucket] ^= changed.sum
-	changed.sum = 0
+	delete(t.departed, name)
+	t.digests[changed.bucket] ^= changed.digest
+	changed.digest = 0
 	switch changed.update.State {
 	case Suspect:
 		t.suspects[name] = struct{}{}
 	case Dead, Left:
-		t.gone[name] = struct{}{}
+		t.departed[name] = struct{}{}
 	}
-	if changed.update.State.present() {
-		changed.sum = sumOf(name, changed.update.Incarnation)
-		t.digests[changed.bucket] ^= changed.sum
+	if changed.update.State.isPresent() {
+		changed.digest = memberDigest(name, changed.update.Incarnation)
+		t.digests[changed.bucket] ^= changed.digest
 	}
 }
 
 // ring returns the ring of the machines that are alive. Suspects have no place on it, so that their work as monitors
 // passes to others at once.
 func (t *table) ring() *ring.Ring {
-	if t.current != nil {
-		return t.current
+	if t.cachedRing != nil {
+		return t.cachedRing
 	}
 	names := make([]string, 0, len(t.entries))
 	for name, known := range t.entries {
@@ -91,8 +91,8 @@
 			names = append(names, name)
 		}
 	}
-	t.current = ring.New(names...)
-	return t.current
+	t.cachedRing = ring.New(names...)
+	return t.cachedRing
 }
 
 // digest returns the digest of the whole table.
@@ -105,11 +105,11 @@
 }
 
 // forget removes machines that have been gone since before a time.
-func (t *table) forget(before time.Time) {
-	for name := range t.gone {
-		if t.entries[name].since.Before(before) {
+func (t *table) purge(before time.Time) {
+	for name := range t.departed {
+		if t.entries[name].stateSince.Before(before) {
 			delete(t.entries, name)
-			delete(t.gone, name)
+			delete(t.departed, name)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 }
 
 // suspected returns the names of the machines under suspicion, in order.
-func (t *table) suspected() []string {
+func (t *table) suspectNames() []string {
 	names := make([]string, 0, len(t.suspects))
 	for name := range t.suspects {
 		names = append(names, name)
@@ -135,7 +135,7 @@
 
 // differing returns all that is known in the buckets whose digests differ from those of another table, or all there
 // is where these are not given.
-func (t *table) differing(others []uint64) []Update {
+func (t *table) differingFrom(others []uint64) []Update {
 	var updates []Update
 	for _, known := range t.entries {
 		if len(others) == buckets && others[known.bucket] == t.digests[known.bucket] {
@@ -153,6 +153,6 @@
 }
 
 // sumOf returns the share of a machine in a digest.
-func sumOf(name string, incarnation uint64) uint64 {
+func memberDigest(name string, incarnation uint64) uint64 {
 	return xxhash.Sum64String(name) * (2*incarnation + 1)
 }
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -128,7 +128,7 @@
 	if found != nil {
 		c.acceptor.Self = found.self
 		c.self = found.self
-		c.acceptor.Durable = found.durable
+		c.acceptor.DurableState = found.durable
 		c.synced = found.synced
 		c.log = found.log
 		if found.image != nil {
@@ -139,7 +139,7 @@
 		c.commit, _ = c.state.Applied()
 		c.durableTo = c.log.End()
 	} else if genesis != nil {
-		c.acceptor.Durable = view.Durable{View: *genesis}
+		c.acceptor.DurableState = view.DurableState{View: *genesis}
 		if genesis.InChain(c.self) {
 			c.synced = genesis.Epoch
 		}
@@ -216,11 +216,11 @@
 		c.onPrepare(from, m)
 	case view.Accept:
 		c.onAccept(from, m)
-	case view.Promise:
+	case view.PrepareResponse:
 		c.onPromise(m)
-	case view.Accepted:
+	case view.AcceptResponse:
 		c.onAccepted(m)
-	case view.Refused:
+	case view.Reject:
 		c.onRefused(m)
 	case view.Decided:
 		c.adopt(m.View)
@@ -253,7 +253,7 @@
 // Nothing of that has left the member.
 func (c *core) reopened(now time.Duration, found *recovered) {
 	c.now = now
-	c.acceptor.Durable = found.durable
+	c.acceptor.DurableState = found.durable
 	c.synced = found.synced
 	c.log = found.log
 	c.commit, _ = c.state.Applied()
@@ -305,7 +305,7 @@
 	baseIndex, baseEpoch := c.log.Base()
 	return encodeGob(checkpoint{
 		Self:      c.self,
-		Durable:   c.acceptor.Durable,
+		Durable:   c.acceptor.DurableState,
 		Synced:    c.synced,
 		BaseIndex: baseIndex,
 		BaseEpoch: baseEpoch,
--- a/coord/replica/core_agree.go
+++ b/coord/replica/core_agree.go
@@ -85,37 +85,37 @@
 		return
 	}
 	switch m := reply.(type) {
-	case view.Promise:
+	case view.PrepareResponse:
 		c.onPromise(m)
-	case view.Accepted:
+	case view.AcceptResponse:
 		c.onAccepted(m)
-	case view.Refused:
+	case view.Reject:
 		c.onRefused(m)
 	}
 }
 
-func (c *core) onPromise(m view.Promise) {
+func (c *core) onPromise(m view.PrepareResponse) {
 	if c.agree.proposal == nil {
 		return
 	}
-	c.agree.proposal.OnPromise(m)
+	c.agree.proposal.OnPrepareResponse(m)
 	c.driveProposal()
 }
 
-func (c *core) onRefused(m view.Refused) {
+func (c *core) onRefused(m view.Reject) {
 	c.agree.maxRound = max(c.agree.maxRound, m.Promised.Round)
 	p := c.agree.proposal
-	if p == nil || m.Epoch != c.epoch() || !p.Ballot.Less(m.Promised) {
+	if p == nil || m.Epoch != c.epoch() || !p.Number.Less(m.Promised) {
 		return
 	}
 	c.agree.abandon(c.now, c.pause(100*time.Millisecond, 300*time.Millisecond))
 }
 
-func (c *core) onAccepted(m view.Accepted) {
+func (c *core) onAccepted(m view.AcceptResponse) {
 	if c.agree.proposal == nil {
 		return
 	}
-	decided := c.agree.proposal.OnAccepted(m)
+	decided := c.agree.proposal.OnAcceptResponse(m)
 	if decided == nil {
 		return
 	}
@@ -167,7 +167,7 @@
 func (c *core) propose(reason string) {
 	round := max(c.agree.maxRound, c.acceptor.Promised.Round) + 1
 	c.agree.maxRound = round
-	c.agree.proposal = view.NewProposal(c.acceptor.View, view.Ballot{Round: round, Member: c.self.ID()})
+	c.agree.proposal = view.NewProposal(c.acceptor.View, view.ProposalNumber{Round: round, Member: c.self.ID()})
 	c.agree.startedAt = c.now
 	c.agree.majorityAt = 0
 	c.agree.acceptSent = false
@@ -205,7 +205,7 @@
 
 func (c *core) allPromised(p *view.Proposal) bool {
 	for _, m := range p.View.Voters {
-		if c.heard(m) && !p.Promised(m) {
+		if c.heard(m) && !p.HasPromised(m) {
 			return false
 		}
 	}
@@ -236,7 +236,7 @@
 	}
 	for _, m := range c.acceptor.View.Chain {
 		if !c.heard(m) {
-			before, after := c.acceptor.View.Neighbours(m)
+			before, after := c.acceptor.View.Adjacent(m)
 			add(before)
 			add(after)
 		}
--- a/coord/replica/core_chain.go
+++ b/coord/replica/core_chain.go
@@ -28,7 +28,7 @@
 		c.send(c.acceptor.View.Source, view.Decided{View: c.acceptor.View})
 		c.fetch()
 	}
-	if _, after := c.acceptor.View.Neighbours(c.self); c.inChain() && !after.IsZero() {
+	if _, after := c.acceptor.View.Adjacent(c.self); c.inChain() && !after.IsZero() {
 		c.send(after, Resume{Epoch: c.epoch()})
 	}
 	if c.serving() && c.acceptor.View.Head().Same(c.self) {
@@ -148,7 +148,7 @@
 		c.tellView(from)
 		return
 	}
-	before, _ := c.acceptor.View.Neighbours(c.self)
+	before, _ := c.acceptor.View.Adjacent(c.self)
 	if m.Epoch != c.epoch() || !c.serving() || !before.Same(from) {
 		return
 	}
@@ -190,7 +190,7 @@
 // advanceChain forwards, commits and acknowledges what has become durable.
 func (c *core) advanceChain() {
 	if c.serving() {
-		_, after := c.acceptor.View.Neighbours(c.self)
+		_, after := c.acceptor.View.Adjacent(c.self)
 		if after.IsZero() {
 			c.commitAtTail()
 		} else if c.link.known && c.link.whole {
@@ -233,7 +233,7 @@
 }
 
 func (c *core) sendAck(gap bool) {
-	before, _ := c.acceptor.View.Neighbours(c.self)
+	before, _ := c.acceptor.View.Adjacent(c.self)
 	c.link.ackDue = false
 	c.link.ackedUp = c.commit
 	c.send(before, Ack{
@@ -250,7 +250,7 @@
 		c.tellView(from)
 		return
 	}
-	_, after := c.acceptor.View.Neighbours(c.self)
+	_, after := c.acceptor.View.Adjacent(c.self)
 	if m.Epoch != c.epoch() || !after.Same(from) || c.synced != c.epoch() {
 		return
 	}
@@ -280,7 +280,7 @@
 		return
 	}
 	c.link.gapTold = false
-	before, after := c.acceptor.View.Neighbours(c.self)
+	before, after := c.acceptor.View.Adjacent(c.self)
 	if !before.IsZero() {
 		c.link.ackDue = true
 	}
--- a/coord/replica/core_plan.go
+++ b/coord/replica/core_plan.go
@@ -70,7 +70,7 @@
 
 // adjacent reports whether m is this member's neighbour in the chain.
 func (c *core) adjacent(m view.Member) bool {
-	before, after := c.acceptor.View.Neighbours(c.self)
+	before, after := c.acceptor.View.Adjacent(c.self)
 	return before.Same(m) || after.Same(m)
 }
 
@@ -123,14 +123,14 @@
 // planner tells what this member sees of the machines.
 func (c *core) planner() view.Planner {
 	return view.Planner{
-		Present:    c.acceptor.View,
-		Tolerance:  c.tolerance,
-		Candidates: c.candidates(),
-		Known:      c.knownAs,
-		Heard:      c.heard,
-		Leaving:    c.isLeaving,
-		MayJoin:    c.mayJoinChain,
-		Absent:     func(m view.Member) time.Duration { return max(c.silentFor(m)-absenceLimit, 0) },
+		Current:        c.acceptor.View,
+		Tolerance:      c.tolerance,
+		Candidates:     c.candidates(),
+		ResolveNode:    c.knownAs,
+		Alive:          c.heard,
+		Leaving:        c.isLeaving,
+		MayJoin:        c.mayJoinChain,
+		UnreachableFor: func(m view.Member) time.Duration { return max(c.silentFor(m)-absenceLimit, 0) },
 	}
 }
 
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -30,8 +30,8 @@
 // ballotsRecord says what was promised and accepted in the instance after Epoch.
 type ballotsRecord struct {
 	Epoch          uint64
-	Promised       view.Ballot
-	AcceptedBallot view.Ballot
+	Promised       view.ProposalNumber
+	AcceptedBallot view.ProposalNumber
 	Accepted       *view.View
 }
 
@@ -45,7 +45,7 @@
 // checkpoint is the whole durable state of a member.
 type checkpoint struct {
 	Self      view.Member
-	Durable   view.Durable
+	Durable   view.DurableState
 	Synced    uint64
 	BaseIndex uint64
 	BaseEpoch uint64
@@ -131,7 +131,7 @@
 // recovered is what a member knows after a start.
 type recovered struct {
 	self    view.Member
-	durable view.Durable
+	durable view.DurableState
 	synced  uint64
 	log     *chain.Log
 	image   *chain.Image
@@ -171,7 +171,7 @@
 		if err := decodeGob(record[1:], &saved); err != nil {
 			return fmt.Errorf("%w: %w", errRecord, err)
 		}
-		s.durable = view.Durable{View: saved.View}
+		s.durable = view.DurableState{View: saved.View}
 		s.synced = saved.Synced
 	case recordBallots:
 		var saved ballotsRecord
--- a/coord/replica/disk_test.go
+++ b/coord/replica/disk_test.go
@@ -158,7 +158,7 @@
 func (c *core) durableState() *recovered {
 	baseIndex, baseEpoch := c.log.Base()
 	entries := c.log.After(baseIndex, math.MaxInt)
-	return &recovered{self: c.self, durable: c.acceptor.Durable, synced: c.synced, log: chain.NewLog(baseIndex, baseEpoch, entries)}
+	return &recovered{self: c.self, durable: c.acceptor.DurableState, synced: c.synced, log: chain.NewLog(baseIndex, baseEpoch, entries)}
 }
 
 var _ slots.FS = (*simulation.Disk)(nil)
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -126,10 +126,10 @@
 		{Name: here + "ReadRequest", Sample: ReadRequest{}},
 		{Name: here + "ReadReply", Sample: ReadReply{}},
 		{Name: inView + "Prepare", Sample: view.Prepare{}},
-		{Name: inView + "Promise", Sample: view.Promise{}},
+		{Name: inView + "Promise", Sample: view.PrepareResponse{}},
 		{Name: inView + "Accept", Sample: view.Accept{}},
-		{Name: inView + "Accepted", Sample: view.Accepted{}},
-		{Name: inView + "Refused", Sample: view.Refused{}},
+		{Name: inView + "Accepted", Sample: view.AcceptResponse{}},
+		{Name: inView + "Refused", Sample: view.Reject{}},
 		{Name: inView + "Decided", Sample: view.Decided{}},
 	}
 }
--- a/coord/replica/plants_test.go
+++ b/coord/replica/plants_test.go
@@ -39,7 +39,7 @@
 // plantRecovery spoils what a start finds on its disk.
 func (n *simulatedNode) plantRecovery(found *recovered) {
 	if found != nil && n.world.plant == plantForget {
-		found.durable = view.Durable{View: found.durable.View}
+		found.durable = view.DurableState{View: found.durable.View}
 	}
 }
 
@@ -82,7 +82,7 @@
 // plantMessage spoils a message on its way, and tells whether it goes at all.
 func (w *world) plantMessage(from, to *simulatedNode, m envelope) (envelope, bool) {
 	switch body := m.body.(type) {
-	case view.Promise:
+	case view.PrepareResponse:
 		m.body = w.plantPromise(body)
 	case Forward:
 		return w.plantForward(to, m, body)
@@ -92,7 +92,7 @@
 	return m, true
 }
 
-func (w *world) plantPromise(body view.Promise) view.Promise {
+func (w *world) plantPromise(body view.PrepareResponse) view.PrepareResponse {
 	switch w.plant {
 	case plantSkipRepair:
 		body.Accepted = nil
--- a/coord/ring/ring.go
+++ b/coord/ring/ring.go
@@ -68,13 +68,13 @@
 
 // Contains tells whether a name is in the ring.
 func (r *Ring) Contains(name string) bool {
-	_, found := r.find(name)
+	_, found := r.search(name)
 	return found
 }
 
 // With returns the ring with another name.
 func (r *Ring) With(name string) *Ring {
-	place, found := r.find(name)
+	place, found := r.search(name)
 	if found {
 		return r
 	}
@@ -83,7 +83,7 @@
 
 // Without returns the ring without a name.
 func (r *Ring) Without(name string) *Ring {
-	place, found := r.find(name)
+	place, found := r.search(name)
 	if !found {
 		return r
 	}
@@ -91,18 +91,18 @@
 }
 
 // find returns where a name is, or where it would be.
-func (r *Ring) find(name string) (int, bool) {
+func (r *Ring) search(name string) (int, bool) {
 	return slices.BinarySearchFunc(r.nodes, makeNode(name), compareNodes)
 }
 
 // Successors returns up to count other names that follow a name on the circle, the next first. The name itself need
 // not be in the ring.
 func (r *Ring) Successors(name string, count int) []string {
-	place, found := r.find(name)
+	place, found := r.search(name)
 	if found {
 		place++
 	}
-	others := r.others(found)
+	others := r.otherCount(found)
 	names := make([]string, 0, min(count, others))
 	for i := range min(count, others) {
 		names = append(names, r.nodes[(place+i)%len(r.nodes)].name)
@@ -113,8 +113,8 @@
 // Predecessors returns up to count other names that precede a name on the circle, the nearest first. The name itself
 // need not be in the ring.
 func (r *Ring) Predecessors(name string, count int) []string {
-	place, found := r.find(name)
-	others := r.others(found)
+	place, found := r.search(name)
+	others := r.otherCount(found)
 	names := make([]string, 0, min(count, others))
 	for i := range min(count, others) {
 		names = append(names, r.nodes[(place-1-i+2*len(r.nodes))%len(r.nodes)].name)
@@ -123,7 +123,7 @@
 }
 
 // others returns how many names there are besides one that is or isn't in the ring.
-func (r *Ring) others(found bool) int {
+func (r *Ring) otherCount(found bool) int {
 	if found {
 		return len(r.nodes) - 1
 	}
@@ -136,7 +136,7 @@
 	var best node
 	var bestScore uint64
 	for i, member := range r.nodes {
-		score := mix(member.hash ^ hash)
+		score := mix64(member.hash ^ hash)
 		if i == 0 || score > bestScore || score == bestScore && member.name > best.name {
 			best, bestScore = member, score
 		}
@@ -146,18 +146,18 @@
 
 // Owners returns up to count names in the order of their scores for a key, the owner first.
 func (r *Ring) Owners(key string, count int) []string {
-	return r.OwnersWithin(key, count, nil)
+	return r.OwnersFunc(key, count, nil)
 }
 
 // OwnersWithin is Owners without the names for which accept returns false.
-func (r *Ring) OwnersWithin(key string, count int, accept func(name string) bool) []string {
+func (r *Ring) OwnersFunc(key string, count int, accept func(name string) bool) []string {
 	hash := xxhash.Sum64String(key)
-	best := make([]scored, 0, min(count, len(r.nodes)))
+	best := make([]scoredName, 0, min(count, len(r.nodes)))
 	for _, member := range r.nodes {
 		if accept != nil && !accept(member.name) {
 			continue
 		}
-		best = insert(best, scored{name: member.name, score: mix(member.hash ^ hash)}, count)
+		best = insertBest(best, scoredName{name: member.name, score: mix64(member.hash ^ hash)}, count)
 	}
 	names := make([]string, 0, len(best))
 	for _, candidate := range best {
@@ -167,22 +167,22 @@
 }
 
 // scored is a name with its score for a key.
-type scored struct {
+type scoredName struct {
 	name  string
 	score uint64
 }
 
 // compareScored orders the highest scores first.
-func compareScored(one, other scored) int {
+func compareScores(one, other scoredName) int {
 	return cmp.Or(cmp.Compare(other.score, one.score), cmp.Compare(other.name, one.name))
 }
 
 // insert adds a candidate to the count best ones, which are in order.
-func insert(best []scored, candidate scored, count int) []scored {
+func insertBest(best []scoredName, candidate scoredName, count int) []scoredName {
 	if count <= 0 {
 		return best
 	}
-	place, _ := slices.BinarySearchFunc(best, candidate, compareScored)
+	place, _ := slices.BinarySearchFunc(best, candidate, compareScores)
 	if place >= count {
 		return best
 	}
@@ -193,7 +193,7 @@
 }
 
 // mix spreads a hash over all bits (the finalizer of SplitMix64).
-func mix(hash uint64) uint64 {
+func mix64(hash uint64) uint64 {
 	hash ^= hash >> 30
 	hash *= 0xbf58476d1ce4e5b9
 	hash ^= hash >> 27
--- a/coord/ring/ring_test.go
+++ b/coord/ring/ring_test.go
@@ -57,7 +57,7 @@
 
 		Convey("names that are not accepted are left out", func() {
 			owners := r.Owners("key", 3)
-			within := r.OwnersWithin("key", 2, func(name string) bool { return name != owners[0] })
+			within := r.OwnersFunc("key", 2, func(name string) bool { return name != owners[0] })
 			So(within, ShouldResemble, owners[1:])
 		})
 
@@ -93,7 +93,7 @@
 			t.Fatal("Owners isn't a prefix of the whole order")
 		}
 		for _, name := range names {
-			checkNeighbours(t, r, name, count)
+			checkAdjacency(t, r, name, count)
 		}
 		extended := r.With("another").Without("another")
 		if !slices.Equal(extended.Names(), r.Names()) {
@@ -103,7 +103,7 @@
 }
 
 // checkNeighbours checks that whoever succeeds a name is preceded by it.
-func checkNeighbours(t *rapid.T, r *Ring, name string, count int) {
+func checkAdjacency(t *rapid.T, r *Ring, name string, count int) {
 	successors := r.Successors(name, count)
 	if len(successors) != min(count, r.Len()-1) || slices.Contains(successors, name) {
 		t.Fatalf("successors of %s: %v", name, successors)
--- a/coord/view/agreement.go
+++ b/coord/view/agreement.go
@@ -3,22 +3,22 @@
 import "fmt"
 
 // Durable is what an acceptor must never forget.
-type Durable struct {
-	View           View   // highest decided view that the member knows
-	Promised       Ballot // in the instance View.Epoch+1; not zero: wedged
-	AcceptedBallot Ballot
+type DurableState struct {
+	View           View           // highest decided view that the member knows
+	Promised       ProposalNumber // in the instance View.Epoch+1; not zero: wedged
+	AcceptedBallot ProposalNumber
 	Accepted       *View
 }
 
 // Wedged reports whether the member has promised a successor of its view.
-func (d *Durable) Wedged() bool { return !d.Promised.IsZero() }
+func (d *DurableState) Wedged() bool { return !d.Promised.IsZero() }
 
 // Adopt moves to a decided view with a higher epoch and reports whether it did.
-func (d *Durable) Adopt(v View) bool {
+func (d *DurableState) Adopt(v View) bool {
 	if v.Epoch <= d.View.Epoch {
 		return false
 	}
-	*d = Durable{View: v}
+	*d = DurableState{View: v}
 	return true
 }
 
@@ -26,7 +26,7 @@
 // sends the answer.
 type Acceptor struct {
 	Self Member
-	Durable
+	DurableState
 }
 
 // OnPrepare answers a prepare of the present epoch. changed tells that the state must be written.
@@ -35,11 +35,11 @@
 		return nil, false
 	}
 	if p.Ballot.Less(a.Promised) {
-		return Refused{From: a.Self, Epoch: a.View.Epoch, Promised: a.Promised}, false
+		return Reject{From: a.Self, Epoch: a.View.Epoch, Promised: a.Promised}, false
 	}
 	changed = a.Promised != p.Ballot
 	a.Promised = p.Ballot
-	return Promise{
+	return PrepareResponse{
 		From:           a.Self,
 		Epoch:          a.View.Epoch,
 		Ballot:         p.Ballot,
@@ -55,7 +55,7 @@
 		return nil, false
 	}
 	if m.Ballot.Less(a.Promised) {
-		return Refused{From: a.Self, Epoch: a.View.Epoch, Promised: a.Promised}, false
+		return Reject{From: a.Self, Epoch: a.View.Epoch, Promised: a.Promised}, false
 	}
 	if m.Value.Epoch != a.View.Epoch+1 {
 		panic(fmt.Sprintf("view: value of epoch %d voted on in epoch %d", m.Value.Epoch, a.View.Epoch))
@@ -63,43 +63,43 @@
 	changed = a.AcceptedBallot != m.Ballot
 	value := m.Value
 	a.Promised, a.AcceptedBallot, a.Accepted = m.Ballot, m.Ballot, &value
-	return Accepted{From: a.Self, Epoch: a.View.Epoch, Ballot: m.Ballot}, changed
+	return AcceptResponse{From: a.Self, Epoch: a.View.Epoch, Ballot: m.Ballot}, changed
 }
 
 // Proposal is one attempt to decide on the successor of a view.
 type Proposal struct {
-	View     View
-	Ballot   Ballot
-	Value    *View // set once the promises allow a value
-	promises []Promise
-	accepted []Member
+	View             View
+	Number           ProposalNumber
+	Value            *View // set once the promises allow a value
+	prepareResponses []PrepareResponse
+	acceptedBy       []Member
 }
 
 // NewProposal starts an attempt.
-func NewProposal(present View, ballot Ballot) *Proposal {
-	return &Proposal{View: present, Ballot: ballot}
+func NewProposal(present View, ballot ProposalNumber) *Proposal {
+	return &Proposal{View: present, Number: ballot}
 }
 
 // Prepare returns the message to all voters.
-func (p *Proposal) Prepare() Prepare { return Prepare{View: p.View, Ballot: p.Ballot} }
+func (p *Proposal) Prepare() Prepare { return Prepare{View: p.View, Ballot: p.Number} }
 
 // OnPromise counts a promise.
-func (p *Proposal) OnPromise(m Promise) {
-	if m.Epoch != p.View.Epoch || m.Ballot != p.Ballot || !p.View.IsVoter(m.From) {
+func (p *Proposal) OnPrepareResponse(m PrepareResponse) {
+	if m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) {
 		return
 	}
-	for i := range p.promises {
-		if p.promises[i].From.Same(m.From) {
+	for i := range p.prepareResponses {
+		if p.prepareResponses[i].From.Same(m.From) {
 			return
 		}
 	}
-	p.promises = append(p.promises, m)
+	p.prepareResponses = append(p.prepareResponses, m)
 }
 
 // Promised reports whether m has promised.
-func (p *Proposal) Promised(m Member) bool {
-	for i := range p.promises {
-		if p.promises[i].From.Same(m) {
+func (p *Proposal) HasPromised(m Member) bool {
+	for i := range p.prepareResponses {
+		if p.prepareResponses[i].From.Same(m) {
 			return true
 		}
 	}
@@ -107,16 +107,16 @@
 }
 
 // HasMajority reports whether a majority of the voters has promised.
-func (p *Proposal) HasMajority() bool { return len(p.promises) >= p.View.Majority() }
+func (p *Proposal) HasMajority() bool { return len(p.prepareResponses) >= p.View.Majority() }
 
 // MakePlan makes the voters and the chain of a next view for its source. The holders are the promisers,
 // the source among them, that hold every order that may have committed.
-type MakePlan func(source Member, holders []Member) (voters, chain []Member, ok bool)
+type PlanFunc func(source Member, holders []Member) (voters, chain []Member, ok bool)
 
 // Choose fixes the value: the accepted one with the highest ballot, else the one that plan makes
 // for the source, which is one that the proposer prefers, if possible. It returns false while the
 // promises don't suffice.
-func (p *Proposal) Choose(prefer func(Member) bool, plan MakePlan) bool {
+func (p *Proposal) Choose(prefer func(Member) bool, plan PlanFunc) bool {
 	if p.Value != nil || !p.HasMajority() {
 		return p.Value != nil
 	}
@@ -124,11 +124,11 @@
 		p.Value = repaired
 		return true
 	}
-	source, terms, ok := ChooseSource(p.View, p.promises, prefer)
+	source, terms, ok := ChooseSource(p.View, p.prepareResponses, prefer)
 	if !ok {
 		return false
 	}
-	voters, chain, ok := plan(source, p.holders(terms[0].Epoch))
+	voters, chain, ok := plan(source, p.syncedSince(terms[0].Epoch))
 	if !ok || Index(chain, source) < 0 {
 		return false
 	}
@@ -144,9 +144,9 @@
 }
 
 // holders returns the promisers whose logs were whole in an epoch or later.
-func (p *Proposal) holders(epoch uint64) []Member {
+func (p *Proposal) syncedSince(epoch uint64) []Member {
 	var members []Member
-	for _, m := range p.promises {
+	for _, m := range p.prepareResponses {
 		if m.Log.Synced >= epoch {
 			members = append(members, m.From)
 		}
@@ -155,9 +155,9 @@
 }
 
 func (p *Proposal) highestAccepted() *View {
-	var highest Ballot
+	var highest ProposalNumber
 	var value *View
-	for _, m := range p.promises {
+	for _, m := range p.prepareResponses {
 		if m.Accepted != nil && highest.Less(m.AcceptedBallot) {
 			highest, value = m.AcceptedBallot, m.Accepted
 		}
@@ -167,18 +167,18 @@
 
 // Accept returns the message to all voters once a value is chosen.
 func (p *Proposal) Accept() Accept {
-	return Accept{View: p.View, Ballot: p.Ballot, Value: *p.Value}
+	return Accept{View: p.View, Ballot: p.Number, Value: *p.Value}
 }
 
 // OnAccepted counts a vote and returns the view once it is decided.
-func (p *Proposal) OnAccepted(m Accepted) (decided *View) {
-	if p.Value == nil || m.Epoch != p.View.Epoch || m.Ballot != p.Ballot || !p.View.IsVoter(m.From) {
+func (p *Proposal) OnAcceptResponse(m AcceptResponse) (decided *View) {
+	if p.Value == nil || m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) {
 		return nil
 	}
-	if Index(p.accepted, m.From) < 0 {
-		p.accepted = append(p.accepted, m.From)
+	if Index(p.acceptedBy, m.From) < 0 {
+		p.acceptedBy = append(p.acceptedBy, m.From)
 	}
-	if len(p.accepted) < p.View.Majority() {
+	if len(p.acceptedBy) < p.View.Majority() {
 		return nil
 	}
 	return p.Value
@@ -186,15 +186,15 @@
 
 // maximumTerms bounds what a view remembers of epochs in doubt. Without the older ones fewer losses in
 // a row of unfinished views are borne, but no order is ever left out.
-const maximumTerms = 8
+const maxTerms = 8
 
 // ChooseSource picks the member whose log the next chain starts from, and the epochs in which an order
 // may have committed, the newest first. It returns false when the promises don't prove that no committed
 // order is left out; see the package comment for the argument. Any log that the argument allows will
 // do; a preferred member's comes first, and then the one with the most.
-func ChooseSource(present View, promises []Promise, prefer func(Member) bool) (source Member, terms []Term, ok bool) {
-	terms = presentTerms(present)
-	for len(terms) > 1 && disproved(terms[0], promises) {
+func ChooseSource(present View, promises []PrepareResponse, prefer func(Member) bool) (source Member, terms []Term, ok bool) {
+	terms = termsInDoubt(present)
+	for len(terms) > 1 && provenEmpty(terms[0], promises) {
 		terms = terms[1:]
 	}
 	best := -1
@@ -209,14 +209,14 @@
 	if best < 0 {
 		return Member{}, nil, false
 	}
-	if proven(terms[0], promises) {
+	if fullySynced(terms[0], promises) {
 		terms = terms[:1]
 	}
-	return promises[best].From, terms[:min(len(terms), maximumTerms)], true
+	return promises[best].From, terms[:min(len(terms), maxTerms)], true
 }
 
 // presentTerms returns the epochs up to that of a view in which the last order may have committed.
-func presentTerms(present View) []Term {
+func termsInDoubt(present View) []Term {
 	terms := append([]Term{{Epoch: present.Epoch, Chain: present.Chain}}, present.Terms...)
 	if len(present.Terms) == 0 {
 		terms = append(terms, Term{Epoch: present.SourceEpoch})
@@ -226,7 +226,7 @@
 
 // disproved reports whether a promiser shows that nothing was ever committed in an epoch: it belonged to
 // the chain, wasn't whole in it, and can't become so any more.
-func disproved(term Term, promises []Promise) bool {
+func provenEmpty(term Term, promises []PrepareResponse) bool {
 	for _, m := range promises {
 		if Index(term.Chain, m.From) >= 0 && m.Log.Synced < term.Epoch {
 			return true
@@ -237,7 +237,7 @@
 
 // proven reports whether all of an epoch's chain promise with logs that were whole in it: it can't be
 // disproved any more, and there are more of them than disks may be lost.
-func proven(term Term, promises []Promise) bool {
+func fullySynced(term Term, promises []PrepareResponse) bool {
 	whole := 0
 	for _, m := range promises {
 		if Index(term.Chain, m.From) >= 0 && m.Log.Synced >= term.Epoch {
@@ -247,14 +247,14 @@
 	return whole > 0 && whole == len(term.Chain)
 }
 
-func betterSource(a, b Promise, prefer func(Member) bool) bool {
+func betterSource(a, b PrepareResponse, prefer func(Member) bool) bool {
 	if first, second := prefer(a.From), prefer(b.From); first != second {
 		return first
 	}
-	return higherLog(a.Log, b.Log)
+	return isMoreUpToDate(a.Log, b.Log)
 }
 
-func higherLog(a, b LogState) bool {
+func isMoreUpToDate(a, b LogState) bool {
 	if a.Synced != b.Synced {
 		return a.Synced > b.Synced
 	}
--- a/coord/view/membership_attempt_test.go
+++ b/coord/view/membership_attempt_test.go
@@ -10,35 +10,35 @@
 )
 
 // memberSight is what a proposer sees of the machines.
-type memberSight struct {
-	heard      []Member
-	candidates []Member
-	absent     []Member // silent for so long that candidates may take their places, the longest first
-	mayJoin    bool     // those that are heard are also in touch with the whole chain
+type observation struct {
+	alive       []Member
+	candidates  []Member
+	unreachable []Member // silent for so long that candidates may take their places, the longest first
+	mayJoin     bool     // those that are heard are also in touch with the whole chain
 }
 
 // planner fills in the real Planner, as core.planner does.
-func (w *memberWorld) planner(present View, sight memberSight) *Planner {
+func (w *membershipState) planner(present View, sight observation) *Planner {
 	return &Planner{
-		Present:    present,
-		Tolerance:  w.rules.tolerance,
-		Candidates: sight.candidates,
-		Known:      knownByAddress,
-		Heard:      func(m Member) bool { return Index(sight.heard, m) >= 0 },
-		Leaving:    w.isLeaving,
+		Current:     present,
+		Tolerance:   w.config.tolerance,
+		Candidates:  sight.candidates,
+		ResolveNode: knownByAddress,
+		Alive:       func(m Member) bool { return Index(sight.alive, m) >= 0 },
+		Leaving:     w.isLeaving,
 		MayJoin: func(m Member) bool {
-			return sight.mayJoin && !w.isLeaving(m) && (Index(sight.heard, m) >= 0 || Index(sight.candidates, m) >= 0)
+			return sight.mayJoin && !w.isLeaving(m) && (Index(sight.alive, m) >= 0 || Index(sight.candidates, m) >= 0)
 		},
-		Absent: func(m Member) time.Duration {
-			if position := Index(sight.absent, m); position >= 0 {
-				return time.Duration(len(sight.absent)-position) * time.Second
+		UnreachableFor: func(m Member) time.Duration {
+			if position := Index(sight.unreachable, m); position >= 0 {
+				return time.Duration(len(sight.unreachable)-position) * time.Second
 			}
 			return 0
 		},
 	}
 }
 
-func (w *memberWorld) isLeaving(m Member) bool {
+func (w *membershipState) isLeaving(m Member) bool {
 	n := w.at(m)
 	return n != nil && n.leaving
 }
@@ -51,22 +51,22 @@
 
 // memberAttempt is one attempt on the view after a view: its promises, and the values that what the
 // proposer may see makes of them.
-type memberAttempt struct {
-	present   *View
-	ballot    Ballot
-	promisers []Member
-	values    []*View
+type viewAttempt struct {
+	current    *View
+	number     ProposalNumber
+	responders []Member
+	values     []*View
 }
 
 // addAttempts adds attempts in the newest epoch, and in the one before by those that don't know better:
 // all that may be, or any one.
-func (w *memberWorld) addAttempts(actions []memberAction, random *rand.Rand) []memberAction {
+func (w *membershipState) addAttempts(actions []membershipAction, random *rand.Rand) []membershipAction {
 	for _, v := range w.decided[max(len(w.decided)-2, 0):] {
-		if v.Epoch >= w.rules.maxEpoch || v != w.newest() && w.failed == w.rules.failed {
+		if v.Epoch >= w.config.maxEpoch || v != w.newest() && w.undecided == w.config.undecided {
 			continue
 		}
-		for _, promisers := range anyOf(w.majorities(v), random) {
-			attempt := &memberAttempt{present: v, ballot: w.nextBallot(v.Epoch), promisers: promisers}
+		for _, promisers := range oneOrAll(w.majorities(v), random) {
+			attempt := &viewAttempt{current: v, number: w.nextNumber(v.Epoch), responders: promisers}
 			w.chooseAll(attempt, random)
 			actions = w.addOutcomes(actions, attempt)
 		}
@@ -75,7 +75,7 @@
 }
 
 // anyOf returns all of a list, or only any one.
-func anyOf[T any](list []T, random *rand.Rand) []T {
+func oneOrAll[T any](list []T, random *rand.Rand) []T {
 	if random == nil || len(list) == 0 {
 		return list
 	}
@@ -84,24 +84,24 @@
 }
 
 // addOutcomes adds how far an attempt comes.
-func (w *memberWorld) addOutcomes(actions []memberAction, a *memberAttempt) []memberAction {
-	names := memberNames(a.promisers)
+func (w *membershipState) addOutcomes(actions []membershipAction, a *viewAttempt) []membershipAction {
+	names := memberNames(a.responders)
 	for _, value := range a.values {
-		decide := func(w *memberWorld) {
-			if a.present != w.newest() {
-				w.failed++ // it tells of nothing new
+		decide := func(w *membershipState) {
+			if a.current != w.newest() {
+				w.undecided++ // it tells of nothing new
 			}
-			w.attempt(a, value, a.promisers)
+			w.attempt(a, value, a.responders)
 		}
 		actions = append(actions, named(decide, "%s decide %s", names, viewText(value)))
 	}
-	if w.failed == w.rules.failed {
+	if w.undecided == w.config.undecided {
 		return actions
 	}
-	actions = append(actions, named(func(w *memberWorld) { w.failed++; w.attempt(a, nil, nil) }, "%s promise", names))
+	actions = append(actions, named(func(w *membershipState) { w.undecided++; w.attempt(a, nil, nil) }, "%s promise", names))
 	for _, value := range a.values {
-		for _, m := range a.promisers {
-			actions = append(actions, named(func(w *memberWorld) { w.failed++; w.attempt(a, value, []Member{m}) },
+		for _, m := range a.responders {
+			actions = append(actions, named(func(w *membershipState) { w.undecided++; w.attempt(a, value, []Member{m}) },
 				"%s promise, %s accepts %s", names, m.ID(), viewText(value)))
 		}
 	}
@@ -118,7 +118,7 @@
 
 // majorities returns the sets of voters that may promise in the epoch of v: a majority, one of them
 // knowing the view.
-func (w *memberWorld) majorities(v *View) [][]Member {
+func (w *membershipState) majorities(v *View) [][]Member {
 	var eligible []Member
 	for _, m := range v.Voters {
 		if n := w.at(m); n != nil && n.epoch() <= v.Epoch {
@@ -152,37 +152,37 @@
 }
 
 // nextBallot is above all ballots of the epoch, so that it belongs to one attempt.
-func (w *memberWorld) nextBallot(epoch uint64) Ballot {
+func (w *membershipState) nextNumber(epoch uint64) ProposalNumber {
 	round := uint64(0)
 	for _, n := range w.nodes {
 		if n.epoch() == epoch {
 			round = max(round, n.acceptor.Promised.Round)
 		}
 	}
-	return Ballot{Round: round + 1, Member: "p"}
+	return ProposalNumber{Round: round + 1, Member: "p"}
 }
 
 // propose collects the promises of an attempt from copies of the promisers.
-func (w *memberWorld) propose(a *memberAttempt) *Proposal {
-	p := NewProposal(*a.present, a.ballot)
-	for _, m := range a.promisers {
+func (w *membershipState) propose(a *viewAttempt) *Proposal {
+	p := NewProposal(*a.current, a.number)
+	for _, m := range a.responders {
 		n := *w.at(m)
-		if n.acceptor.Adopt(*a.present) && a.present.Source.Same(m) {
-			n.synced = a.present.Epoch
+		if n.acceptor.Adopt(*a.current) && a.current.Source.Same(m) {
+			n.synced = a.current.Epoch
 		}
 		answer, _ := n.acceptor.OnPrepare(p.Prepare(), LogState{Synced: n.synced, End: uint64(len(n.log))})
-		if promise, ok := answer.(Promise); ok {
-			p.OnPromise(promise)
+		if promise, ok := answer.(PrepareResponse); ok {
+			p.OnPrepareResponse(promise)
 		}
 	}
 	return p
 }
 
 // chooseAll fills in the values that an attempt may choose.
-func (w *memberWorld) chooseAll(a *memberAttempt, random *rand.Rand) {
+func (w *membershipState) chooseAll(a *viewAttempt, random *rand.Rand) {
 	p := w.propose(a)
 	known := map[string]bool{}
-	for _, sight := range anyOf(w.sights(a), random) {
+	for _, sight := range oneOrAll(w.observations(a), random) {
 		value := w.choose(p, sight)
 		if value == nil {
 			continue
@@ -196,10 +196,10 @@
 }
 
 // choose is core.driveProposal.
-func (w *memberWorld) choose(promised *Proposal, sight memberSight) *View {
+func (w *membershipState) choose(promised *Proposal, sight observation) *View {
 	p := *promised
 	plan := w.plan(w.planner(p.View, sight))
-	if w.rules.longestLog && p.highestAccepted() == nil {
+	if w.config.longestLog && p.highestAccepted() == nil {
 		return chooseLongest(&p, plan)
 	}
 	staying := func(m Member) bool { return !w.isLeaving(m) }
@@ -207,23 +207,23 @@
 	if !p.Choose(staying, plan) {
 		return nil
 	}
-	if w.rules.oneTerm && !repaired {
+	if w.config.oneTerm && !repaired {
 		p.Value.Terms = p.Value.Terms[:1]
 	}
 	return p.Value
 }
 
 // plan is the real Planner's, with the planted bugs.
-func (w *memberWorld) plan(planner *Planner) MakePlan {
+func (w *membershipState) plan(planner *Planner) PlanFunc {
 	return func(source Member, holders []Member) (voters, chain []Member, ok bool) {
-		if w.rules.replacesNeeded || w.rules.replacesSeveral {
-			holders = append(append([]Member(nil), planner.Present.Voters...), planner.Candidates...)
+		if w.config.replacesNeeded || w.config.replacesSeveral {
+			holders = append(append([]Member(nil), planner.Current.Voters...), planner.Candidates...)
 		}
 		voters, chain, ok = planner.Plan(source, holders)
-		if w.rules.shortChains && Index(voters, source) >= 0 {
-			chain, ok = planner.chain(voters, source), true
+		if w.config.shortChains && Index(voters, source) >= 0 {
+			chain, ok = planner.nextChain(voters, source), true
 		}
-		if w.rules.leaverNoVote {
+		if w.config.leaverNoVote {
 			voters = slices.DeleteFunc(voters, w.isLeaving)
 			chain = slices.DeleteFunc(chain, w.isLeaving)
 		}
@@ -231,14 +231,14 @@
 	}
 }
 
-func chooseLongest(p *Proposal, plan MakePlan) *View {
-	best := p.promises[0]
-	for _, m := range p.promises {
+func chooseLongest(p *Proposal, plan PlanFunc) *View {
+	best := p.prepareResponses[0]
+	for _, m := range p.prepareResponses {
 		if m.Log.End > best.Log.End {
 			best = m
 		}
 	}
-	voters, chain, ok := plan(best.From, p.holders(0))
+	voters, chain, ok := plan(best.From, p.syncedSince(0))
 	if !ok {
 		return nil
 	}
@@ -247,28 +247,28 @@
 
 // sights returns what a proposer may see: it hears those that promised or one less, any candidates, and
 // any one of the others may be absent for long.
-func (w *memberWorld) sights(a *memberAttempt) []memberSight {
-	candidates := w.candidates(a.present)
-	var sights []memberSight
-	for missing := -1; missing < len(a.promisers); missing++ {
-		heard := a.promisers
+func (w *membershipState) observations(a *viewAttempt) []observation {
+	candidates := w.candidates(a.current)
+	var sights []observation
+	for missing := -1; missing < len(a.responders); missing++ {
+		heard := a.responders
 		if missing >= 0 {
 			heard = append(append([]Member(nil), heard[:missing]...), heard[missing+1:]...)
 		}
 		for mask := 0; mask < 1<<len(candidates); mask++ {
-			sight := memberSight{heard: heard, candidates: subset(candidates, mask)}
-			sights = append(sights, sight.variants(a.present, w.rules.replacesSeveral)...)
+			sight := observation{alive: heard, candidates: subset(candidates, mask)}
+			sights = append(sights, sight.variants(a.current, w.config.replacesSeveral)...)
 		}
 	}
 	return sights
 }
 
 // variants adds who is absent and whether the others may join.
-func (s memberSight) variants(present *View, anyAbsent bool) []memberSight {
+func (s observation) variants(present *View, anyAbsent bool) []observation {
 	absent := [][]Member{nil}
 	if len(s.candidates) > 0 {
 		for _, m := range present.Voters {
-			if Index(s.heard, m) < 0 {
+			if Index(s.alive, m) < 0 {
 				absent = append(absent, []Member{m})
 			}
 		}
@@ -276,9 +276,9 @@
 	if anyAbsent {
 		absent = append(absent, present.Voters[1:], present.Voters[:2])
 	}
-	var sights []memberSight
+	var sights []observation
 	for _, members := range absent {
-		s.absent = members
+		s.unreachable = members
 		for _, s.mayJoin = range []bool{true, false} {
 			sights = append(sights, s)
 		}
@@ -287,7 +287,7 @@
 }
 
 // candidates is core.candidates: machines that know of a view and don't vote in it.
-func (w *memberWorld) candidates(v *View) []Member {
+func (w *membershipState) candidates(v *View) []Member {
 	var members []Member
 	for _, n := range w.nodes {
 		if n.epoch() > 0 && !v.IsVoter(n.self()) {
@@ -298,18 +298,18 @@
 }
 
 // attempt takes the promises, and the votes of some for a value.
-func (w *memberWorld) attempt(a *memberAttempt, value *View, acceptors []Member) {
-	for _, m := range a.promisers {
+func (w *membershipState) attempt(a *viewAttempt, value *View, acceptors []Member) {
+	for _, m := range a.responders {
 		n := w.at(m)
-		w.adopt(n, *a.present)
-		n.acceptor.OnPrepare(Prepare{View: *a.present, Ballot: a.ballot}, LogState{})
-		n.whole, n.pieces = false, false
+		w.adopt(n, *a.current)
+		n.acceptor.OnPrepare(Prepare{View: *a.current, Ballot: a.number}, LogState{})
+		n.prefixComplete, n.partialCopy = false, false
 	}
-	p := NewProposal(*a.present, a.ballot)
+	p := NewProposal(*a.current, a.number)
 	p.Value = value
 	for _, m := range acceptors {
 		answer, _ := w.at(m).acceptor.OnAccept(p.Accept())
-		if vote, ok := answer.(Accepted); ok && p.OnAccepted(vote) != nil {
+		if vote, ok := answer.(AcceptResponse); ok && p.OnAcceptResponse(vote) != nil {
 			w.decide(value)
 		}
 	}
@@ -318,10 +318,10 @@
 // recovers plays on without the machines of a set, all others up and in touch, and tells what stands in
 // the way of a view that serves and has all acknowledged orders. Nothing of the machines that are left
 // out is used: their disks may as well be gone.
-func (w *memberWorld) recovers(without int) string {
+func (w *membershipState) recoveryProblem(without int) string {
 	c := w.clone()
 	c.messages = nil
-	var up []*memberNode
+	var up []*membershipNode
 	for i, n := range c.nodes {
 		if without>>i&1 == 0 {
 			c.restart(n)
@@ -329,12 +329,12 @@
 		}
 	}
 	for range 8 {
-		v := c.meet(up)
+		v := c.shareNewestView(up)
 		if v.Epoch == 0 {
 			return "nobody knows a view"
 		}
 		if c.serves(v, up) {
-			return c.lacks(v)
+			return c.missingCommit(v)
 		}
 		if problem := c.advance(v, up); problem != "" {
 			return problem
@@ -344,7 +344,7 @@
 }
 
 // meet tells all the newest view that one of them knows.
-func (w *memberWorld) meet(up []*memberNode) View {
+func (w *membershipState) shareNewestView(up []*membershipNode) View {
 	var newest View
 	for _, n := range up {
 		if n.epoch() > newest.Epoch {
@@ -358,8 +358,8 @@
 }
 
 // serves copies what the source holds and reports whether the view takes orders.
-func (w *memberWorld) serves(v View, up []*memberNode) bool {
-	if !w.enough(v) {
+func (w *membershipState) serves(v View, up []*membershipNode) bool {
+	if !w.chainLongEnough(v) {
 		return false
 	}
 	for _, m := range v.Chain {
@@ -370,13 +370,13 @@
 	source := w.at(v.Source)
 	for _, m := range v.Chain {
 		for range 2 {
-			w.arrive(memberMessage{from: v.Source, to: m, epoch: v.Epoch, copy: true, log: source.prefix()})
+			w.receive(chainMessage{from: v.Source, to: m, epoch: v.Epoch, isCopy: true, log: source.prefix()})
 		}
 	}
 	return true
 }
 
-func isUp(n *memberNode, up []*memberNode) bool {
+func isUp(n *membershipNode, up []*membershipNode) bool {
 	for _, other := range up {
 		if n == other {
 			return true
@@ -386,7 +386,7 @@
 }
 
 // lacks tells which member of a chain lacks what was acknowledged.
-func (w *memberWorld) lacks(v View) string {
+func (w *membershipState) missingCommit(v View) string {
 	for _, m := range v.Chain {
 		if n := w.at(m); !holdsAll(n.log, w.commits) && n.serving() && !w.inFlightIn(v) {
 			return fmt.Sprintf("%s serves in %s without an acknowledged order", m.ID(), viewText(&v))
@@ -396,58 +396,58 @@
 }
 
 // inFlightIn reports whether orders of the view itself were acknowledged: the chain's own links bring them.
-func (w *memberWorld) inFlightIn(v View) bool {
-	return len(w.commits) > 0 && w.commitIn[len(w.commits)-1] == v.Epoch
+func (w *membershipState) inFlightIn(v View) bool {
+	return len(w.commits) > 0 && w.commitEpochs[len(w.commits)-1] == v.Epoch
 }
 
 // advance makes one attempt with all that are up.
-func (w *memberWorld) advance(v View, up []*memberNode) string {
-	a := &memberAttempt{present: &v, ballot: w.nextBallot(v.Epoch)}
-	sight := memberSight{mayJoin: true}
+func (w *membershipState) advance(v View, up []*membershipNode) string {
+	a := &viewAttempt{current: &v, number: w.nextNumber(v.Epoch)}
+	sight := observation{mayJoin: true}
 	for _, n := range up {
-		sight.heard = append(sight.heard, n.self())
+		sight.alive = append(sight.alive, n.self())
 		if v.IsVoter(n.self()) {
-			a.promisers = append(a.promisers, n.self())
+			a.responders = append(a.responders, n.self())
 		} else {
 			sight.candidates = append(sight.candidates, n.self())
 		}
 	}
 	for _, m := range v.Voters {
-		if Index(sight.heard, m) < 0 {
-			sight.absent = append(sight.absent, m)
+		if Index(sight.alive, m) < 0 {
+			sight.unreachable = append(sight.unreachable, m)
 		}
 	}
-	if len(a.promisers) < v.Majority() {
+	if len(a.responders) < v.Majority() {
 		return fmt.Sprintf("no majority left of %v", v.Voters)
 	}
 	value := w.choose(w.propose(a), sight)
 	if value == nil {
-		return fmt.Sprintf("the promises of %s give no view after %s", memberNames(a.promisers), viewText(&v))
+		return fmt.Sprintf("the promises of %s give no view after %s", memberNames(a.responders), viewText(&v))
 	}
-	w.attempt(a, value, a.promisers)
+	w.attempt(a, value, a.responders)
 	for _, n := range up {
 		w.adopt(n, *value)
 	}
-	return w.broken
+	return w.violation
 }
 
 // dead tells which permitted losses the state doesn't bear.
-func (w *memberWorld) dead() string {
-	if problem := w.recovers(0); problem != "" {
+func (w *membershipState) unrecoverableLoss() string {
+	if problem := w.recoveryProblem(0); problem != "" {
 		return "with all machines up: " + problem
 	}
 	for without := 1; without < 1<<len(w.nodes); without++ {
-		if bits.OnesCount(uint(without)) != w.permitted {
+		if bits.OnesCount(uint(without)) != w.lossesPermitted {
 			continue
 		}
-		if problem := w.recovers(without); problem != "" {
+		if problem := w.recoveryProblem(without); problem != "" {
 			return fmt.Sprintf("without %s: %s", w.machineNames(without), problem)
 		}
 	}
 	return ""
 }
 
-func (w *memberWorld) machineNames(set int) string {
+func (w *membershipState) machineNames(set int) string {
 	var members []Member
 	for i, n := range w.nodes {
 		if set>>i&1 == 1 {
--- a/coord/view/membership_explore_test.go
+++ b/coord/view/membership_explore_test.go
@@ -10,34 +10,34 @@
 )
 
 // memberSearch visits states, breadth first.
-type memberSearch struct {
-	states map[uint64]struct{}
-	borne  map[uint64]struct{} // what is on the disks of states whose next losses were played
-	depth  int                 // to which all states were visited
-	whole  bool                // there are no more
-	last   *memberWorld        // the end of a walk
+type membershipSearch struct {
+	states       map[uint64]struct{}
+	lossesPlayed map[uint64]struct{} // what is on the disks of states whose next losses were played
+	depth        int                 // to which all states were visited
+	exhausted    bool                // there are no more
+	last         *membershipState    // the end of a walk
 }
 
 // problem returns what is wrong with a state, or with what may follow the next losses.
-func (s *memberSearch) problem(w *memberWorld) string {
+func (s *membershipSearch) problem(w *membershipState) string {
 	if problem := w.check(); problem != "" {
 		return problem
 	}
-	key := maphash.Bytes(modelHash, append(w.appendDurable(make([]byte, 0, 512)), byte(w.permitted)))
-	if _, known := s.borne[key]; known {
+	key := maphash.Bytes(modelHash, append(w.appendDurable(make([]byte, 0, 512)), byte(w.lossesPermitted)))
+	if _, known := s.lossesPlayed[key]; known {
 		return ""
 	}
-	s.borne[key] = struct{}{}
-	return w.dead()
+	s.lossesPlayed[key] = struct{}{}
+	return w.unrecoverableLoss()
 }
 
 // run visits every state that follows, up to a number, and returns the first broken one.
-func (s *memberSearch) run(start *memberWorld, limit int) (broken *memberWorld, problem string) {
+func (s *membershipSearch) run(start *membershipState, limit int) (broken *membershipState, problem string) {
 	s.states = map[uint64]struct{}{start.key(): {}}
-	s.borne = map[uint64]struct{}{}
-	level := []*memberWorld{start}
+	s.lossesPlayed = map[uint64]struct{}{}
+	level := []*membershipState{start}
 	for ; len(level) > 0; s.depth++ {
-		var next []*memberWorld
+		var next []*membershipState
 		for _, w := range level {
 			for _, action := range w.actions() {
 				after := w.step(action)
@@ -57,7 +57,7 @@
 		}
 		level = next
 	}
-	s.whole = true
+	s.exhausted = true
 	return nil, ""
 }
 
@@ -65,9 +65,9 @@
 const attemptEvery = 20
 
 // walk takes random steps and returns the first broken state.
-func (s *memberSearch) walk(start *memberWorld, seed uint64, steps int) (broken *memberWorld, problem string) {
+func (s *membershipSearch) walk(start *membershipState, seed uint64, steps int) (broken *membershipState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 11))
-	s.borne = map[uint64]struct{}{}
+	s.lossesPlayed = map[uint64]struct{}{}
 	w := start
 	for range steps {
 		actions := w.steps()
@@ -77,7 +77,7 @@
 		if len(actions) == 0 {
 			break
 		}
-		w = w.step(anyOf(actions, random)[0])
+		w = w.step(oneOrAll(actions, random)[0])
 		s.last = w
 		if problem := s.problem(w); problem != "" {
 			return w, problem
@@ -87,7 +87,7 @@
 }
 
 // play runs the actions whose names begin with these texts, one each.
-func (w *memberWorld) play(t testing.TB, names ...string) *memberWorld {
+func (w *membershipState) play(t testing.TB, names ...string) *membershipState {
 	t.Helper()
 	for _, name := range names {
 		found := false
@@ -104,80 +104,80 @@
 	return w
 }
 
-type memberScenario struct {
-	name  string
-	rules memberRules
-	steps []string
-	limit int // states; where it isn't reached, all are visited
+type membershipScenario struct {
+	name   string
+	config membershipConfig
+	steps  []string
+	limit  int // states; where it isn't reached, all are visited
 }
 
 // committedInA has the founders acknowledge an order.
-var committedInA = []string{"a#genesis orders", "a#genesis forwards", "b#genesis forwards", "c#genesis commits"}
+var committedInGenesis = []string{"a#genesis orders", "a#genesis forwards", "b#genesis forwards", "c#genesis commits"}
 
-func memberScenarios() []memberScenario {
-	return []memberScenario{
+func membershipScenarios() []membershipScenario {
+	return []membershipScenario{
 		{
-			name:  "two changes and a loss",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 3, orders: 1, losses: 1},
-			limit: 100_000,
+			name:   "two changes and a loss",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 3, commands: 1, losses: 1},
+			limit:  100_000,
 		},
 		{
-			name:  "attempts that aren't decided, a loss and a loss of power",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 2, orders: 1, losses: 1, failed: 1, powerCuts: 1},
-			limit: 40_000,
+			name:   "attempts that aren't decided, a loss and a loss of power",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, undecided: 1, powerCuts: 1},
+			limit:  40_000,
 		},
 		{
-			name:  "a spare and two losses",
-			rules: memberRules{tolerance: 1, machines: 4, maxEpoch: 2, orders: 1, losses: 2},
-			limit: 80_000,
+			name:   "a spare and two losses",
+			config: membershipConfig{tolerance: 1, machines: 4, maxEpoch: 2, commands: 1, losses: 2},
+			limit:  80_000,
 		},
 		{
-			name:  "copies in pieces, messages lost, late and twice",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 2, orders: 1, losses: 1, restarts: 1, inFlight: 2, pieces: true},
-			limit: 50_000,
+			name:   "copies in pieces, messages lost, late and twice",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, restarts: 1, inFlight: 2, copiesInPieces: true},
+			limit:  50_000,
 		},
 		{
-			name:  "losses one after the other",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 4, orders: 1, losses: 2, elsewhere: true, pieces: true},
-			steps: append(committedInA[:4:4], "c#genesis loses its disk", "c#2 learns of epoch 1"),
-			limit: 15_000,
+			name:   "losses one after the other",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 4, commands: 1, losses: 2, newAddresses: true, copiesInPieces: true},
+			steps:  append(committedInGenesis[:4:4], "c#genesis loses its disk", "c#2 learns of epoch 1"),
+			limit:  15_000,
 		},
 		{
-			name:  "an older log that is longer",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 4, orders: 4, losses: 1},
+			name:   "an older log that is longer",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 4, commands: 4, losses: 1},
 			steps: []string{"a#genesis orders", "a#genesis orders",
 				"b#genesis c#genesis decide 2 [{ a genesis} { b genesis} { c genesis}] [{ b genesis} { c genesis}]",
 				"b#genesis learns", "c#genesis learns", "b#genesis copies to c", "b#genesis orders", "b#genesis forwards"},
 			limit: 10_000,
 		},
 		{
-			name:  "a planned leave",
-			rules: memberRules{tolerance: 1, machines: 3, maxEpoch: 3, orders: 2, losses: 2, leaves: 1, failed: 1},
-			steps: append(committedInA[:4:4], "b#genesis is to leave"),
-			limit: 15_000,
+			name:   "a planned leave",
+			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 3, commands: 2, losses: 2, leaves: 1, undecided: 1},
+			steps:  append(committedInGenesis[:4:4], "b#genesis is to leave"),
+			limit:  15_000,
 		},
 		{
-			name:  "a spare and three changes",
-			rules: memberRules{tolerance: 1, machines: 4, maxEpoch: 4, orders: 1, losses: 2},
-			steps: append(committedInA[:4:4], "d#1 learns of epoch 1"),
-			limit: 10_000,
+			name:   "a spare and three changes",
+			config: membershipConfig{tolerance: 1, machines: 4, maxEpoch: 4, commands: 1, losses: 2},
+			steps:  append(committedInGenesis[:4:4], "d#1 learns of epoch 1"),
+			limit:  10_000,
 		},
 		{
-			name:  "two spares",
-			rules: memberRules{tolerance: 1, machines: 5, maxEpoch: 3, orders: 1, losses: 1},
-			steps: append(committedInA[:4:4], "d#1 learns of epoch 1", "e#1 learns of epoch 1"),
-			limit: 5_000,
+			name:   "two spares",
+			config: membershipConfig{tolerance: 1, machines: 5, maxEpoch: 3, commands: 1, losses: 1},
+			steps:  append(committedInGenesis[:4:4], "d#1 learns of epoch 1", "e#1 learns of epoch 1"),
+			limit:  5_000,
 		},
 		{
-			name:  "founders that are to bear two losses",
-			rules: memberRules{tolerance: 2, machines: 5, maxEpoch: 4, orders: 1},
+			name:   "founders that are to bear two losses",
+			config: membershipConfig{tolerance: 2, machines: 5, maxEpoch: 4, commands: 1},
 			steps: []string{"a#genesis b#genesis decide 2 [{ a genesis} { b genesis} { c genesis}] [{ a genesis} { b genesis}]",
 				"a#genesis learns", "b#genesis learns", "a#genesis copies to b"},
 			limit: 5_000,
 		},
 		{
-			name:  "five machines that bear two losses",
-			rules: memberRules{tolerance: 2, machines: 5, maxEpoch: 4, orders: 1, losses: 2},
+			name:   "five machines that bear two losses",
+			config: membershipConfig{tolerance: 2, machines: 5, maxEpoch: 4, commands: 1, losses: 2},
 			steps: []string{"d#1 learns of epoch 1", "e#1 learns of epoch 1",
 				"a#genesis b#genesis c#genesis decide 2 [{ a genesis} { b genesis} { c genesis} {d d 1} {e e 1}] " +
 					"[{ a genesis} { b genesis} { c genesis} {d d 1} {e e 1}]",
@@ -187,33 +187,33 @@
 	}
 }
 
-func (s memberScenario) world(t testing.TB, bugs memberBugs) *memberWorld {
-	rules := s.rules
-	rules.memberBugs = bugs
-	return newMemberWorld(&rules).play(t, s.steps...)
+func (s membershipScenario) start(t testing.TB, bugs membershipBugs) *membershipState {
+	rules := s.config
+	rules.membershipBugs = bugs
+	return newMembershipState(&rules).play(t, s.steps...)
 }
 
 // TestMembershipModel checks changes of the membership with a loss at every step, in all orders, up to
 // bounds; MODEL=N explores N times as many states.
 func TestMembershipModel(t *testing.T) {
-	for _, scenario := range memberScenarios() {
+	for _, scenario := range membershipScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
-			search := &memberSearch{}
-			broken, problem := search.run(scenario.world(t, memberBugs{}), scenario.limit*modelEffort())
+			search := &membershipSearch{}
+			broken, problem := search.run(scenario.start(t, membershipBugs{}), scenario.limit*modelEffort())
 			if problem != "" {
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
 			t.Logf("%d states, all to depth %d (no more: %v), losses played in %d", len(search.states), search.depth,
-				search.whole, len(search.borne))
+				search.exhausted, len(search.lossesPlayed))
 		})
 	}
 }
 
 // walkRules are wide enough for several losses and repairs.
-func walkRules(tolerance, machines int) *memberRules {
-	return &memberRules{
-		tolerance: tolerance, machines: machines, maxEpoch: 20, orders: 12, losses: 8, failed: 4, restarts: 4,
-		powerCuts: 2, leaves: 3, inFlight: 3, pieces: true, elsewhere: true,
+func walkConfig(tolerance, machines int) *membershipConfig {
+	return &membershipConfig{
+		tolerance: tolerance, machines: machines, maxEpoch: 20, commands: 12, losses: 8, undecided: 4, restarts: 4,
+		powerCuts: 2, leaves: 3, inFlight: 3, copiesInPieces: true, newAddresses: true,
 	}
 }
 
@@ -230,8 +230,8 @@
 	for _, sizes := range [][2]int{{1, 3}, {1, 4}, {1, 5}, {2, 5}, {2, 6}, {2, 8}} {
 		changes, losses := 0, 0
 		for seed := first; seed < first+uint64(seeds); seed++ {
-			search := &memberSearch{}
-			start := newMemberWorld(walkRules(sizes[0], sizes[1]))
+			search := &membershipSearch{}
+			start := newMembershipState(walkConfig(sizes[0], sizes[1]))
 			broken, problem := search.walk(start, seed, 400)
 			if problem != "" {
 				t.Errorf("tolerance %d, %d machines, FIRST=%d SEEDS=1: %s after\n%s", sizes[0], sizes[1], seed, problem, broken.trace)
@@ -244,34 +244,34 @@
 	}
 }
 
-func (w *memberWorld) changes() int { return len(w.decided) - 1 }
+func (w *membershipState) changes() int { return len(w.decided) - 1 }
 
 // TestMembershipModelFindsPlantedBugs checks that the exploration finds what it is for.
-func TestMembershipModelFindsPlantedBugs(t *testing.T) {
+func TestMembershipModelFindsInjectedBugs(t *testing.T) {
 	plants := []struct {
 		name     string
 		scenario string
-		bugs     memberBugs
+		bugs     membershipBugs
 	}{
-		{"a lost disk keeps its vote", "attempts that aren't decided, a loss and a loss of power", memberBugs{wipedVotes: true}},
-		{"a leaving member's disk goes before the view stands", "a planned leave", memberBugs{endsEarly: true}},
-		{"a leaving member loses its vote", "a planned leave", memberBugs{leaverNoVote: true}},
-		{"a chain of as many as may be lost acknowledges", "founders that are to bear two losses", memberBugs{shortAcks: true}},
-		{"a chain of as many as may be lost is made", "two changes and a loss", memberBugs{shortChains: true}},
-		{"the source is whoever has the longest log", "an older log that is longer", memberBugs{longestLog: true}},
-		{"one epoch in doubt is remembered", "two changes and a loss", memberBugs{oneTerm: true}},
-		{"a new member is whole before the copy", "losses one after the other", memberBugs{wholeEarly: true}},
-		{"an absent voter is replaced that is needed", "a spare and three changes", memberBugs{replacesNeeded: true}},
-		{"two voters are replaced at once", "two spares", memberBugs{replacesSeveral: true}},
+		{"a lost disk keeps its vote", "attempts that aren't decided, a loss and a loss of power", membershipBugs{wipedVotes: true}},
+		{"a leaving member's disk goes before the view stands", "a planned leave", membershipBugs{endsEarly: true}},
+		{"a leaving member loses its vote", "a planned leave", membershipBugs{leaverNoVote: true}},
+		{"a chain of as many as may be lost acknowledges", "founders that are to bear two losses", membershipBugs{shortAcks: true}},
+		{"a chain of as many as may be lost is made", "two changes and a loss", membershipBugs{shortChains: true}},
+		{"the source is whoever has the longest log", "an older log that is longer", membershipBugs{longestLog: true}},
+		{"one epoch in doubt is remembered", "two changes and a loss", membershipBugs{oneTerm: true}},
+		{"a new member is whole before the copy", "losses one after the other", membershipBugs{syncedEarly: true}},
+		{"an absent voter is replaced that is needed", "a spare and three changes", membershipBugs{replacesNeeded: true}},
+		{"two voters are replaced at once", "two spares", membershipBugs{replacesSeveral: true}},
 	}
 	for _, planted := range plants {
 		t.Run(planted.name, func(t *testing.T) {
-			for _, scenario := range memberScenarios() {
+			for _, scenario := range membershipScenarios() {
 				if scenario.name != planted.scenario {
 					continue
 				}
-				search := &memberSearch{}
-				broken, problem := search.run(scenario.world(t, planted.bugs), scenario.limit)
+				search := &membershipSearch{}
+				broken, problem := search.run(scenario.start(t, planted.bugs), scenario.limit)
 				if problem == "" {
 					t.Fatalf("not found in %d states", len(search.states))
 				}
--- a/coord/view/messages.go
+++ b/coord/view/messages.go
@@ -1,13 +1,13 @@
 package view
 
 // Ballot orders the proposals of one instance.
-type Ballot struct {
+type ProposalNumber struct {
 	Round  uint64
 	Member string // ID of the proposer
 }
 
 // Less reports whether b is lower than other.
-func (b Ballot) Less(other Ballot) bool {
+func (b ProposalNumber) Less(other ProposalNumber) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
 	}
@@ -15,12 +15,12 @@
 }
 
 // IsZero reports whether there is no ballot.
-func (b Ballot) IsZero() bool { return b.Round == 0 }
+func (b ProposalNumber) IsZero() bool { return b.Round == 0 }
 
 // Prepare asks the voters of View for a promise on the instance View.Epoch+1.
 type Prepare struct {
 	View   View // the proposer's present view, so that a voter that lags adopts it first
-	Ballot Ballot
+	Ballot ProposalNumber
 }
 
 // LogState tells what the log of a promiser holds. It can't change after the promise.
@@ -30,34 +30,34 @@
 }
 
 // Promise wedges its sender in Epoch.
-type Promise struct {
+type PrepareResponse struct {
 	From           Member
 	Epoch          uint64 // present epoch; the instance is Epoch+1
-	Ballot         Ballot
+	Ballot         ProposalNumber
 	Log            LogState
-	AcceptedBallot Ballot
+	AcceptedBallot ProposalNumber
 	Accepted       *View
 }
 
 // Accept asks for the vote on a value.
 type Accept struct {
 	View   View // present view
-	Ballot Ballot
+	Ballot ProposalNumber
 	Value  View
 }
 
 // Accepted is a vote.
-type Accepted struct {
+type AcceptResponse struct {
 	From   Member
 	Epoch  uint64
-	Ballot Ballot
+	Ballot ProposalNumber
 }
 
 // Refused tells a proposer which ballot stands in its way.
-type Refused struct {
+type Reject struct {
 	From     Member
 	Epoch    uint64
-	Promised Ballot
+	Promised ProposalNumber
 }
 
 // Decided tells of a view that a majority accepted.
--- a/coord/view/model_explore_test.go
+++ b/coord/view/model_explore_test.go
@@ -10,7 +10,7 @@
 )
 
 // step returns the state after an action.
-func (w *modelWorld) step(action modelAction) *modelWorld {
+func (w *modelState) step(action modelAction) *modelState {
 	next := w.clone()
 	next.trace = &modelStep{name: action.name, before: w.trace}
 	action.run(next)
@@ -18,7 +18,7 @@
 }
 
 // play runs the actions whose names begin with these texts, one each.
-func (w *modelWorld) play(t testing.TB, names ...string) *modelWorld {
+func (w *modelState) play(t testing.TB, names ...string) *modelState {
 	t.Helper()
 	for _, name := range names {
 		found := false
@@ -40,11 +40,11 @@
 
 // explore visits every state within a depth, breadth first, up to a number of states. It returns the
 // first broken state.
-func explore(start *modelWorld, depth, limit int) (broken *modelWorld, problem string, states, reached int) {
+func explore(start *modelState, depth, limit int) (broken *modelState, problem string, states, reached int) {
 	seen := map[uint64]struct{}{start.key(): {}}
-	level := []*modelWorld{start}
+	level := []*modelState{start}
 	for reached = 0; reached < depth && len(level) > 0; reached++ {
-		var next []*modelWorld
+		var next []*modelState
 		for _, w := range level {
 			for _, action := range w.actions() {
 				after := w.step(action)
@@ -68,7 +68,7 @@
 }
 
 // walk takes random steps from a state, many times.
-func walk(start *modelWorld, seed uint64, walks, length int) (broken *modelWorld, problem string) {
+func walk(start *modelState, seed uint64, walks, length int) (broken *modelState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	for i := 0; i < walks; i++ {
 		w := start
@@ -95,10 +95,10 @@
 }
 
 type modelScenario struct {
-	name  string
-	rules modelRules
-	steps []string
-	depth int
+	name   string
+	config modelConfig
+	steps  []string
+	depth  int
 }
 
 func modelScenarios() []modelScenario {
@@ -106,43 +106,43 @@
 		"deliver c#genesis", "c#genesis commits"}
 	return []modelScenario{
 		{
-			name:  "two proposers and a restart",
-			rules: modelRules{maxRound: 2, maxEpoch: 2, restarts: 1, starts: 2, proposers: "ac", agreementOnly: true},
-			depth: 15,
+			name:   "two proposers and a restart",
+			config: modelConfig{maxRound: 2, maxEpoch: 2, restarts: 1, starts: 2, proposers: "ac", agreementOnly: true},
+			depth:  15,
 		},
 		{
-			name:  "a wiped machine and two proposers",
-			rules: modelRules{maxRound: 2, maxEpoch: 2, wipes: 1, starts: 2, proposers: "ac", agreementOnly: true},
-			depth: 15,
+			name:   "a wiped machine and two proposers",
+			config: modelConfig{maxRound: 2, maxEpoch: 2, wipes: 1, starts: 2, proposers: "ac", agreementOnly: true},
+			depth:  15,
 		},
 		{
-			name:  "orders while a view changes",
-			rules: modelRules{maxRound: 1, maxEpoch: 2, orders: 1, starts: 1, shortChain: true, proposers: "ac"},
-			depth: 14,
+			name:   "orders while a view changes",
+			config: modelConfig{maxRound: 1, maxEpoch: 2, commands: 1, starts: 1, shortChain: true, proposers: "ac"},
+			depth:  14,
 		},
 		{
-			name:  "a head that hands over with orders on their way",
-			rules: modelRules{maxRound: 1, maxEpoch: 3, orders: 3, starts: 2, shortChain: true, disliked: "a"},
-			steps: append(committed[:6:6], "a#genesis orders", "a#genesis forwards", "a#genesis proposes"),
-			depth: 11,
+			name:   "a head that hands over with orders on their way",
+			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, disliked: "a"},
+			steps:  append(committed[:6:6], "a#genesis orders", "a#genesis forwards", "a#genesis proposes"),
+			depth:  11,
 		},
 		{
-			name:  "a view after a committed order, with a wiped machine",
-			rules: modelRules{maxRound: 1, maxEpoch: 2, orders: 1, wipes: 1, starts: 1},
-			steps: committed,
-			depth: 13,
+			name:   "a view after a committed order, with a wiped machine",
+			config: modelConfig{maxRound: 1, maxEpoch: 2, commands: 1, wipes: 1, starts: 1},
+			steps:  committed,
+			depth:  13,
 		},
 		{
-			name:  "a source that goes before its prefix is copied",
-			rules: modelRules{maxRound: 1, maxEpoch: 3, orders: 2, wipes: 1, starts: 2, shortChain: true},
+			name:   "a source that goes before its prefix is copied",
+			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 2, wipes: 1, starts: 2, shortChain: true},
 			steps: append(committed[:6:6], "a#genesis orders", "a#genesis proposes", "deliver b#genesis prepare",
 				"deliver a#genesis response to prepare b", "a#genesis chooses a short chain", "deliver b#genesis accept",
 				"deliver a#genesis response to accept"),
 			depth: 12,
 		},
 		{
-			name:  "an older log that is longer",
-			rules: modelRules{maxRound: 1, maxEpoch: 3, orders: 4, starts: 2, shortChain: true},
+			name:   "an older log that is longer",
+			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 4, starts: 2, shortChain: true},
 			steps: append(committed[:6:6], "a#genesis orders", "a#genesis orders", "b#genesis proposes",
 				"deliver c#genesis prepare", "deliver b#genesis response to prepare c", "b#genesis chooses a short chain",
 				"deliver c#genesis accept", "deliver b#genesis response to accept", "deliver c#genesis decided",
@@ -153,10 +153,10 @@
 	}
 }
 
-func (s modelScenario) world(t testing.TB, plant func(*modelRules)) *modelWorld {
-	rules := s.rules
+func (s modelScenario) start(t testing.TB, plant func(*modelConfig)) *modelState {
+	rules := s.config
 	plant(&rules)
-	return newModelWorld(&rules).play(t, s.steps...)
+	return newModelState(&rules).play(t, s.steps...)
 }
 
 // TestModel checks the change of views in every order of messages, restarts and wiped disks, up to
@@ -164,7 +164,7 @@
 func TestModel(t *testing.T) {
 	for _, scenario := range modelScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
-			start := scenario.world(t, func(*modelRules) {})
+			start := scenario.start(t, func(*modelConfig) {})
 			depth, limit := scenario.depth, 25_000*modelEffort()
 			if modelEffort() > 1 {
 				depth *= 3
@@ -174,11 +174,11 @@
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
 			t.Logf("%d states, all to depth %d", states, reached)
-			wide := *start.rules
-			wide.maxEpoch, wide.maxRound, wide.starts, wide.orders, wide.restarts = 4, 3, 6, 4, 3
+			wide := *start.config
+			wide.maxEpoch, wide.maxRound, wide.starts, wide.commands, wide.restarts = 4, 3, 6, 4, 3
 			wide.shortChain, wide.agreementOnly, wide.proposers = true, false, ""
 			wide.wipes = min(1, wide.wipes)
-			start.rules = &wide
+			start.config = &wide
 			if broken, problem := walk(start, 1, 300*modelEffort(), 80); problem != "" {
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
@@ -187,19 +187,19 @@
 }
 
 // TestModelFindsPlantedBugs checks that the exploration finds what it is for.
-func TestModelFindsPlantedBugs(t *testing.T) {
+func TestModelFindsInjectedBugs(t *testing.T) {
 	plants := []struct {
 		name     string
 		scenario string
-		plant    func(*modelRules)
+		plant    func(*modelConfig)
 	}{
-		{"votes are forgotten at a restart", "two proposers and a restart", func(r *modelRules) { r.forgetVotes = true }},
-		{"a proposer doesn't repair", "two proposers and a restart", func(r *modelRules) { r.skipRepair = true }},
+		{"votes are forgotten at a restart", "two proposers and a restart", func(r *modelConfig) { r.forgetVotes = true }},
+		{"a proposer doesn't repair", "two proposers and a restart", func(r *modelConfig) { r.skipRepair = true }},
 		{"a view serves before the prefix is copied", "a view after a committed order, with a wiped machine",
-			func(r *modelRules) { r.serveEarly = true }},
-		{"a wiped machine votes", "a wiped machine and two proposers", func(r *modelRules) { r.wipedVotes = true }},
+			func(r *modelConfig) { r.serveEarly = true }},
+		{"a wiped machine votes", "a wiped machine and two proposers", func(r *modelConfig) { r.wipedVotes = true }},
 		{"the source is whoever has the longest log", "an older log that is longer",
-			func(r *modelRules) { r.longestLog = true }},
+			func(r *modelConfig) { r.longestLog = true }},
 	}
 	for _, planted := range plants {
 		t.Run(planted.name, func(t *testing.T) {
@@ -207,7 +207,7 @@
 				if scenario.name != planted.scenario {
 					continue
 				}
-				start := scenario.world(t, planted.plant)
+				start := scenario.start(t, planted.plant)
 				broken, problem, states, _ := explore(start, scenario.depth, 100_000)
 				if problem == "" {
 					t.Fatalf("not found in %d states", states)
--- a/coord/view/model_key_test.go
+++ b/coord/view/model_key_test.go
@@ -7,7 +7,7 @@
 )
 
 // key describes the state; the order of messages doesn't matter.
-func (w *modelWorld) key() uint64 {
+func (w *modelState) key() uint64 {
 	text := make([]byte, 0, 1024)
 	for _, n := range w.nodes {
 		text = n.appendKey(text)
@@ -22,29 +22,29 @@
 		text = append(text, 255)
 	}
 	for _, commit := range w.commits {
-		text = append(text, byte(commit.order.epoch), commit.order.name, byte(commit.epoch))
+		text = append(text, byte(commit.command.epoch), commit.command.name, byte(commit.epoch))
 	}
-	text = append(text, byte(len(w.views)), byte(w.orders), byte(w.restarts), byte(w.wipes), byte(w.starts))
+	text = append(text, byte(len(w.views)), byte(w.commands), byte(w.restarts), byte(w.wipes), byte(w.starts))
 	return maphash.Bytes(modelHash, text)
 }
 
 func (n *modelNode) appendKey(text []byte) []byte {
-	d := &n.acceptor.Durable
+	d := &n.acceptor.DurableState
 	text = appendMember(text, n.acceptor.Self)
-	text = append(text, byte(d.View.Epoch), byte(n.synced), flag(n.whole), byte(len(n.log)))
-	text = appendBallot(appendBallot(text, d.Promised), d.AcceptedBallot)
+	text = append(text, byte(d.View.Epoch), byte(n.synced), flag(n.prefixComplete), byte(len(n.log)))
+	text = appendNumber(appendNumber(text, d.Promised), d.AcceptedBallot)
 	text = appendView(text, d.Accepted)
-	text = appendOrders(text, n.log)
+	text = appendCommands(text, n.log)
 	p := n.proposal
 	if p == nil {
 		return append(text, 0)
 	}
-	text = appendView(appendBallot(text, p.Ballot), p.Value)
-	text = append(text, byte(len(p.promises)))
-	for _, m := range p.promises {
+	text = appendView(appendNumber(text, p.Number), p.Value)
+	text = append(text, byte(len(p.prepareResponses)))
+	for _, m := range p.prepareResponses {
 		text = append(text, messageKey(m)...)
 	}
-	for _, m := range p.accepted {
+	for _, m := range p.acceptedBy {
 		text = appendMember(text, m)
 	}
 	return append(text, 1)
@@ -64,7 +64,7 @@
 	return append(text, m.Address[0], m.Incarnation[0], m.Incarnation[len(m.Incarnation)-1])
 }
 
-func appendBallot(text []byte, b Ballot) []byte {
+func appendNumber(text []byte, b ProposalNumber) []byte {
 	text = append(text, byte(b.Round))
 	if b.Member != "" {
 		text = append(text, b.Member[0], b.Member[len(b.Member)-1])
@@ -90,7 +90,7 @@
 	return text
 }
 
-func appendOrders(text []byte, orders []modelOrder) []byte {
+func appendCommands(text []byte, orders []modelCommand) []byte {
 	text = append(text, byte(len(orders)))
 	for _, order := range orders {
 		text = append(text, byte(order.epoch), order.name)
@@ -102,20 +102,20 @@
 func messageKey(body any) []byte {
 	switch m := body.(type) {
 	case Prepare:
-		return appendBallot([]byte{1, byte(m.View.Epoch)}, m.Ballot)
-	case Promise:
+		return appendNumber([]byte{1, byte(m.View.Epoch)}, m.Ballot)
+	case PrepareResponse:
 		text := appendMember([]byte{2, byte(m.Epoch), byte(m.Log.Synced), byte(m.Log.End)}, m.From)
-		return appendView(appendBallot(appendBallot(text, m.Ballot), m.AcceptedBallot), m.Accepted)
+		return appendView(appendNumber(appendNumber(text, m.Ballot), m.AcceptedBallot), m.Accepted)
 	case Accept:
-		return appendView(appendBallot([]byte{3}, m.Ballot), &m.Value)
-	case Accepted:
-		return appendBallot(appendMember([]byte{4, byte(m.Epoch)}, m.From), m.Ballot)
+		return appendView(appendNumber([]byte{3}, m.Ballot), &m.Value)
+	case AcceptResponse:
+		return appendNumber(appendMember([]byte{4, byte(m.Epoch)}, m.From), m.Ballot)
 	case Decided:
 		return appendView([]byte{5}, &m.View)
 	case modelAppend:
-		return appendOrders(appendMember([]byte{6, byte(m.epoch)}, m.from), m.log)
+		return appendCommands(appendMember([]byte{6, byte(m.epoch)}, m.from), m.log)
 	case modelCopy:
-		return appendOrders(appendMember([]byte{7, byte(m.epoch)}, m.from), m.prefix)
+		return appendCommands(appendMember([]byte{7, byte(m.epoch)}, m.from), m.prefix)
 	}
 	panic(fmt.Sprintf("model: message %T", body))
 }
@@ -131,12 +131,12 @@
 	switch body := m.body.(type) {
 	case Prepare:
 		return fmt.Sprintf("%s prepare %d %v", m.to.ID(), body.View.Epoch, body.Ballot)
-	case Promise:
+	case PrepareResponse:
 		return fmt.Sprintf("%s response to prepare %s %d %v %v %v %s", m.to.ID(), body.From.ID(), body.Epoch, body.Ballot,
 			body.Log, body.AcceptedBallot, viewText(body.Accepted))
 	case Accept:
 		return fmt.Sprintf("%s accept %v %s", m.to.ID(), body.Ballot, viewText(&body.Value))
-	case Accepted:
+	case AcceptResponse:
 		return fmt.Sprintf("%s response to accept %v", m.to.ID(), body)
 	case Decided:
 		return fmt.Sprintf("%s decided %s", m.to.ID(), viewText(&body.View))
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -6,7 +6,7 @@
 )
 
 // modelOrder is an order of the model: its epoch and its name.
-type modelOrder struct {
+type modelCommand struct {
 	epoch uint64
 	name  byte
 }
@@ -14,25 +14,25 @@
 // modelNode is one address. Everything in durable survives a restart.
 type modelNode struct {
 	acceptor Acceptor
-	log      []modelOrder
+	log      []modelCommand
 	synced   uint64
 
-	proposal   *Proposal
-	acceptSent bool
-	whole      bool // has heard from its predecessor in this epoch
+	proposal       *Proposal
+	acceptSent     bool
+	prefixComplete bool // has heard from its predecessor in this epoch
 }
 
 // The messages that the view package doesn't know.
 type modelAppend struct {
 	from  Member
 	epoch uint64
-	log   []modelOrder
+	log   []modelCommand
 }
 
 type modelCopy struct {
 	from   Member
 	epoch  uint64
-	prefix []modelOrder
+	prefix []modelCommand
 }
 
 // modelMessage is on its way; one that is never delivered is lost.
@@ -44,23 +44,23 @@
 
 // modelCommit is an order that was acknowledged.
 type modelCommit struct {
-	order modelOrder
-	epoch uint64 // in which it was completed
+	command modelCommand
+	epoch   uint64 // in which it was completed
 }
 
 // modelWorld is one state of the model.
-type modelWorld struct {
-	rules    *modelRules
-	nodes    []*modelNode
-	messages []modelMessage
-	commits  []modelCommit
-	views    map[uint64]string
-	orders   int
-	restarts int
-	wipes    int
-	starts   int
-	trace    *modelStep
-	broken   string
+type modelState struct {
+	config    *modelConfig
+	nodes     []*modelNode
+	messages  []modelMessage
+	commits   []modelCommit
+	views     map[uint64]string
+	commands  int
+	restarts  int
+	wipes     int
+	starts    int
+	trace     *modelStep
+	violation string
 }
 
 type modelStep struct {
@@ -80,10 +80,10 @@
 }
 
 // modelRules bound an exploration and plant bugs.
-type modelRules struct {
+type modelConfig struct {
 	maxRound   uint64
 	maxEpoch   uint64
-	orders     int
+	commands   int
 	restarts   int
 	wipes      int
 	starts     int // proposals
@@ -103,28 +103,28 @@
 
 var modelSeeds = []string{"a", "b", "c"}
 
-func newModelWorld(rules *modelRules) *modelWorld {
-	w := &modelWorld{rules: rules, views: map[uint64]string{}}
+func newModelState(rules *modelConfig) *modelState {
+	w := &modelState{config: rules, views: map[uint64]string{}}
 	genesis := Genesis(modelSeeds)
 	for _, m := range genesis.Voters {
 		n := &modelNode{synced: GenesisEpoch}
 		n.acceptor.Self = m
-		n.acceptor.Durable = Durable{View: genesis}
+		n.acceptor.DurableState = DurableState{View: genesis}
 		w.nodes = append(w.nodes, n)
 	}
-	w.nodes[0].whole = true
+	w.nodes[0].prefixComplete = true
 	return w
 }
 
-func (w *modelWorld) clone() *modelWorld {
+func (w *modelState) clone() *modelState {
 	next := *w
 	next.nodes = make([]*modelNode, len(w.nodes))
 	for i, n := range w.nodes {
 		copied := *n
 		if n.proposal != nil {
 			proposal := *n.proposal
-			proposal.promises = append([]Promise(nil), proposal.promises...)
-			proposal.accepted = append([]Member(nil), proposal.accepted...)
+			proposal.prepareResponses = append([]PrepareResponse(nil), proposal.prepareResponses...)
+			proposal.acceptedBy = append([]Member(nil), proposal.acceptedBy...)
 			copied.proposal = &proposal
 		}
 		next.nodes[i] = &copied
@@ -141,59 +141,59 @@
 // modelAction is one thing that may happen next.
 type modelAction struct {
 	name func() string
-	run  func(w *modelWorld)
+	run  func(w *modelState)
 }
 
-func (w *modelWorld) actions() []modelAction {
+func (w *modelState) actions() []modelAction {
 	var actions []modelAction
 	for i := range w.messages {
 		message := w.messages[i]
 		actions = append(actions, modelAction{
 			name: func() string { return "deliver " + messageText(message) },
-			run:  func(w *modelWorld) { w.deliver(i) },
+			run:  func(w *modelState) { w.deliver(i) },
 		})
 	}
-	add := func(who Member, what string, run func(w *modelWorld)) {
+	add := func(who Member, what string, run func(w *modelState)) {
 		actions = append(actions, modelAction{func() string { return who.ID() + what }, run})
 	}
 	for i, n := range w.nodes {
 		name := n.acceptor.Self
 		if w.mayStart(n) {
-			add(name, " proposes", func(w *modelWorld) { w.start(w.nodes[i]) })
+			add(name, " proposes", func(w *modelState) { w.start(w.nodes[i]) })
 		}
 		if p := n.proposal; p != nil && p.Value == nil && p.HasMajority() {
-			add(name, " chooses", func(w *modelWorld) { w.choose(w.nodes[i], false) })
-			if w.rules.shortChain {
-				add(name, " chooses a short chain", func(w *modelWorld) { w.choose(w.nodes[i], true) })
+			add(name, " chooses", func(w *modelState) { w.choose(w.nodes[i], false) })
+			if w.config.shortChain {
+				add(name, " chooses a short chain", func(w *modelState) { w.choose(w.nodes[i], true) })
 			}
 		}
-		if w.restarts < w.rules.restarts {
-			add(name, " restarts", func(w *modelWorld) { w.restart(w.nodes[i]) })
+		if w.restarts < w.config.restarts {
+			add(name, " restarts", func(w *modelState) { w.restart(w.nodes[i]) })
 		}
-		if w.wipes < w.rules.wipes {
-			add(name, " is wiped", func(w *modelWorld) { w.wipe(w.nodes[i]) })
+		if w.wipes < w.config.wipes {
+			add(name, " is wiped", func(w *modelState) { w.wipe(w.nodes[i]) })
 		}
 		w.addChainActions(i, add)
 	}
 	return actions
 }
 
-func (w *modelWorld) addChainActions(i int, add func(Member, string, func(*modelWorld))) {
+func (w *modelState) addChainActions(i int, add func(Member, string, func(*modelState))) {
 	n := w.nodes[i]
-	if !n.serving() || w.rules.agreementOnly {
+	if !n.serving() || w.config.agreementOnly {
 		return
 	}
 	name := n.acceptor.Self
 	v := n.acceptor.View
-	_, after := v.Neighbours(n.acceptor.Self)
-	if v.Head().Same(n.acceptor.Self) && w.orders < w.rules.orders {
-		add(name, " orders", func(w *modelWorld) { w.order(w.nodes[i]) })
+	_, after := v.Adjacent(n.acceptor.Self)
+	if v.Head().Same(n.acceptor.Self) && w.commands < w.config.commands {
+		add(name, " orders", func(w *modelState) { w.appendCommand(w.nodes[i]) })
 	}
-	if after.IsZero() && n.whole && w.uncommitted(n) && len(v.Chain) > 1 {
-		add(name, " commits", func(w *modelWorld) { w.commit(w.nodes[i]) })
+	if after.IsZero() && n.prefixComplete && w.uncommitted(n) && len(v.Chain) > 1 {
+		add(name, " commits", func(w *modelState) { w.commit(w.nodes[i]) })
 	}
-	if !after.IsZero() && n.whole && w.lags(after, n) {
-		add(name, " forwards", func(w *modelWorld) {
+	if !after.IsZero() && n.prefixComplete && w.lags(after, n) {
+		add(name, " forwards", func(w *modelState) {
 			n := w.nodes[i]
 			w.send(after, modelAppend{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
 		})
@@ -203,7 +203,7 @@
 	}
 	for _, m := range v.Chain {
 		if to := w.at(m); to != nil && to.synced != v.Epoch {
-			add(name, " copies to "+m.Address, func(w *modelWorld) {
+			add(name, " copies to "+m.Address, func(w *modelState) {
 				n := w.nodes[i]
 				w.send(m, modelCopy{from: n.acceptor.Self, epoch: v.Epoch, prefix: n.prefix()})
 			})
@@ -212,12 +212,12 @@
 }
 
 // lags reports whether the successor may need a message: one that wouldn't change it is left out.
-func (w *modelWorld) lags(after Member, n *modelNode) bool {
+func (w *modelState) lags(after Member, n *modelNode) bool {
 	to := w.at(after)
-	return to != nil && to.serving() && (len(to.log) < len(n.log) || !to.whole)
+	return to != nil && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
 }
 
-func (w *modelWorld) at(m Member) *modelNode {
+func (w *modelState) at(m Member) *modelNode {
 	for _, n := range w.nodes {
 		if n.acceptor.Self.Same(m) {
 			return n
@@ -230,7 +230,7 @@
 	return n.acceptor.View.InChain(n.acceptor.Self) && n.synced == n.acceptor.View.Epoch && !n.acceptor.Wedged()
 }
 
-func (n *modelNode) prefix() []modelOrder {
+func (n *modelNode) prefix() []modelCommand {
 	end := len(n.log)
 	for end > 0 && n.log[end-1].epoch == n.acceptor.View.Epoch {
 		end--
@@ -238,7 +238,7 @@
 	return n.log[:end:end]
 }
 
-func (w *modelWorld) send(to Member, body any) {
+func (w *modelState) send(to Member, body any) {
 	key := string(appendMember(messageKey(body), to))
 	for i := range w.messages {
 		if w.messages[i].key == key {
@@ -248,19 +248,19 @@
 	w.messages = append(w.messages, modelMessage{to: to, body: body, key: key})
 }
 
-func (w *modelWorld) mayStart(n *modelNode) bool {
-	d := &n.acceptor.Durable
-	if w.rules.proposers != "" && !strings.Contains(w.rules.proposers, n.acceptor.Self.Address) {
+func (w *modelState) mayStart(n *modelNode) bool {
+	d := &n.acceptor.DurableState
+	if w.config.proposers != "" && !strings.Contains(w.config.proposers, n.acceptor.Self.Address) {
 		return false
 	}
-	return n.proposal == nil && w.starts < w.rules.starts && d.View.Epoch < w.rules.maxEpoch &&
-		d.View.IsVoter(n.acceptor.Self) && d.Promised.Round < w.rules.maxRound
+	return n.proposal == nil && w.starts < w.config.starts && d.View.Epoch < w.config.maxEpoch &&
+		d.View.IsVoter(n.acceptor.Self) && d.Promised.Round < w.config.maxRound
 }
 
-func (w *modelWorld) start(n *modelNode) {
+func (w *modelState) start(n *modelNode) {
 	w.starts++
-	d := &n.acceptor.Durable
-	n.proposal = NewProposal(d.View, Ballot{Round: d.Promised.Round + 1, Member: n.acceptor.Self.ID()})
+	d := &n.acceptor.DurableState
+	n.proposal = NewProposal(d.View, ProposalNumber{Round: d.Promised.Round + 1, Member: n.acceptor.Self.ID()})
 	n.acceptSent = false
 	prepare := n.proposal.Prepare()
 	for _, m := range d.View.Voters {
@@ -271,17 +271,17 @@
 	w.handle(n, n.acceptor.Self, prepare)
 }
 
-func (w *modelWorld) choose(n *modelNode, short bool) {
+func (w *modelState) choose(n *modelNode, short bool) {
 	p := n.proposal
-	if w.rules.skipRepair {
-		for i := range p.promises {
-			p.promises[i].Accepted = nil
-			p.promises[i].AcceptedBallot = Ballot{}
+	if w.config.skipRepair {
+		for i := range p.prepareResponses {
+			p.prepareResponses[i].Accepted = nil
+			p.prepareResponses[i].AcceptedBallot = ProposalNumber{}
 		}
 	}
-	if w.rules.longestLog {
-		best := p.promises[0]
-		for _, m := range p.promises {
+	if w.config.longestLog {
+		best := p.prepareResponses[0]
+		for _, m := range p.prepareResponses {
 			if best.Log.End < m.Log.End {
 				best = m
 			}
@@ -291,7 +291,7 @@
 			p.Value = &View{Epoch: p.View.Epoch + 1, Voters: voters, Chain: chain, Source: best.From, SourceEpoch: best.Log.Synced}
 		}
 	}
-	prefer := func(m Member) bool { return m.Address != w.rules.disliked }
+	prefer := func(m Member) bool { return m.Address != w.config.disliked }
 	chosen := p.Choose(prefer, func(source Member, _ []Member) ([]Member, []Member, bool) { return w.plan(p.View, source, short) })
 	if !chosen {
 		return
@@ -306,7 +306,7 @@
 }
 
 // plan puts wiped machines' new lives in the places of the old ones.
-func (w *modelWorld) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
+func (w *modelState) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
 	for _, m := range present.Voters {
 		for _, n := range w.nodes {
 			if n.acceptor.Self.Address == m.Address {
@@ -329,49 +329,49 @@
 	return voters, chain, true
 }
 
-func (w *modelWorld) restart(n *modelNode) {
+func (w *modelState) restart(n *modelNode) {
 	w.restarts++
 	n.proposal, n.acceptSent = nil, false
-	n.whole = n.serving() && n.acceptor.View.Head().Same(n.acceptor.Self)
-	if w.rules.forgetVotes {
-		n.acceptor.Durable = Durable{View: n.acceptor.View}
+	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.acceptor.Self)
+	if w.config.forgetVotes {
+		n.acceptor.DurableState = DurableState{View: n.acceptor.View}
 	}
 }
 
-func (w *modelWorld) wipe(n *modelNode) {
+func (w *modelState) wipe(n *modelNode) {
 	w.wipes++
 	self := n.acceptor.Self
-	if !w.rules.wipedVotes {
+	if !w.config.wipedVotes {
 		self.Incarnation = fmt.Sprintf("wiped-%d", w.wipes)
 	}
 	*n = modelNode{}
 	n.acceptor.Self = self
-	if w.rules.wipedVotes {
-		n.acceptor.Durable = Durable{View: Genesis(modelSeeds)}
+	if w.config.wipedVotes {
+		n.acceptor.DurableState = DurableState{View: Genesis(modelSeeds)}
 		n.synced = GenesisEpoch
 	}
 }
 
-func (w *modelWorld) order(n *modelNode) {
-	w.orders++
-	n.log = append(n.log[:len(n.log):len(n.log)], modelOrder{epoch: n.acceptor.View.Epoch, name: byte('0' + w.orders)})
+func (w *modelState) appendCommand(n *modelNode) {
+	w.commands++
+	n.log = append(n.log[:len(n.log):len(n.log)], modelCommand{epoch: n.acceptor.View.Epoch, name: byte('0' + w.commands)})
 }
 
-func (w *modelWorld) uncommitted(n *modelNode) bool { return len(n.log) > len(w.commits) }
+func (w *modelState) uncommitted(n *modelNode) bool { return len(n.log) > len(w.commits) }
 
-func (w *modelWorld) commit(n *modelNode) {
+func (w *modelState) commit(n *modelNode) {
 	for i, order := range n.log {
 		if i < len(w.commits) {
-			if w.commits[i].order != order {
-				w.broken = fmt.Sprintf("two orders committed at %d", i)
+			if w.commits[i].command != order {
+				w.violation = fmt.Sprintf("two orders committed at %d", i)
 			}
 			continue
 		}
-		w.commits = append(w.commits, modelCommit{order: order, epoch: n.acceptor.View.Epoch})
+		w.commits = append(w.commits, modelCommit{command: order, epoch: n.acceptor.View.Epoch})
 	}
 }
 
-func (w *modelWorld) deliver(i int) {
+func (w *modelState) deliver(i int) {
 	m := w.messages[i]
 	w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
 	if n := w.at(m.to); n != nil {
@@ -379,7 +379,7 @@
 	}
 }
 
-func (w *modelWorld) handle(n *modelNode, _ Member, body any) {
+func (w *modelState) handle(n *modelNode, _ Member, body any) {
 	switch m := body.(type) {
 	case Prepare:
 		w.adopt(n, m.View)
@@ -389,19 +389,19 @@
 		w.adopt(n, m.View)
 		answer, _ := n.acceptor.OnAccept(m)
 		w.reply(n, m.Ballot, answer)
-	case Promise:
+	case PrepareResponse:
 		if n.proposal != nil && n.proposal.Value == nil {
-			n.proposal.OnPromise(m)
+			n.proposal.OnPrepareResponse(m)
 		}
-	case Refused:
-	case Accepted:
-		w.onAccepted(n, m)
+	case Reject:
+	case AcceptResponse:
+		w.onAcceptResponse(n, m)
 	case Decided:
 		w.adopt(n, m.View)
 	case modelAppend:
-		before, _ := n.acceptor.View.Neighbours(n.acceptor.Self)
+		before, _ := n.acceptor.View.Adjacent(n.acceptor.Self)
 		if m.epoch == n.acceptor.View.Epoch && n.serving() && before.Same(m.from) {
-			n.whole = true
+			n.prefixComplete = true
 			if len(m.log) > len(n.log) {
 				n.log = m.log[:len(m.log):len(m.log)]
 			}
@@ -410,12 +410,12 @@
 		if m.epoch == n.acceptor.View.Epoch && !n.acceptor.Wedged() && n.synced != m.epoch &&
 			n.acceptor.View.InChain(n.acceptor.Self) {
 			n.log, n.synced = m.prefix, m.epoch
-			n.whole = n.acceptor.View.Head().Same(n.acceptor.Self)
+			n.prefixComplete = n.acceptor.View.Head().Same(n.acceptor.Self)
 		}
 	}
 }
 
-func (w *modelWorld) reply(n *modelNode, ballot Ballot, answer any) {
+func (w *modelState) reply(n *modelNode, ballot ProposalNumber, answer any) {
 	if answer == nil {
 		return
 	}
@@ -423,7 +423,7 @@
 		w.handle(n, n.acceptor.Self, answer)
 		return
 	}
-	if _, refused := answer.(Refused); refused {
+	if _, refused := answer.(Reject); refused {
 		return
 	}
 	for _, other := range w.nodes {
@@ -433,11 +433,11 @@
 	}
 }
 
-func (w *modelWorld) onAccepted(n *modelNode, m Accepted) {
+func (w *modelState) onAcceptResponse(n *modelNode, m AcceptResponse) {
 	if n.proposal == nil {
 		return
 	}
-	decided := n.proposal.OnAccepted(m)
+	decided := n.proposal.OnAcceptResponse(m)
 	if decided == nil {
 		return
 	}
@@ -450,7 +450,7 @@
 	}
 }
 
-func (w *modelWorld) adopt(n *modelNode, v View) {
+func (w *modelState) adopt(n *modelNode, v View) {
 	before := n.acceptor.View.Epoch
 	wedged := n.acceptor.Wedged()
 	if !n.acceptor.Adopt(v) {
@@ -458,26 +458,26 @@
 	}
 	text := viewText(&v)
 	if earlier, known := w.views[v.Epoch]; known && earlier != text {
-		w.broken = fmt.Sprintf("two views of epoch %d: %s and %s", v.Epoch, earlier, text)
+		w.violation = fmt.Sprintf("two views of epoch %d: %s and %s", v.Epoch, earlier, text)
 	}
 	w.views[v.Epoch] = text
 	n.proposal, n.acceptSent = nil, false
 	if v.Source.Same(n.acceptor.Self) {
 		if before+1 != v.Epoch || !wedged {
-			w.broken = "a source that hadn't promised"
+			w.violation = "a source that hadn't promised"
 		}
 		n.synced = v.Epoch
 	}
-	if w.rules.serveEarly && v.InChain(n.acceptor.Self) {
+	if w.config.serveEarly && v.InChain(n.acceptor.Self) {
 		n.synced = v.Epoch
 	}
-	n.whole = n.serving() && v.Head().Same(n.acceptor.Self)
+	n.prefixComplete = n.serving() && v.Head().Same(n.acceptor.Self)
 }
 
 // check returns what is wrong with the state.
-func (w *modelWorld) check() string {
-	if w.broken != "" {
-		return w.broken
+func (w *modelState) check() string {
+	if w.violation != "" {
+		return w.violation
 	}
 	for _, n := range w.nodes {
 		if n.synced == 0 || n.synced != n.acceptor.View.Epoch {
@@ -487,7 +487,7 @@
 			if commit.epoch >= n.acceptor.View.Epoch {
 				continue
 			}
-			if i >= len(n.log) || n.log[i] != commit.order {
+			if i >= len(n.log) || n.log[i] != commit.command {
 				return fmt.Sprintf("%s is whole in epoch %d without the order committed at %d in epoch %d",
 					n.acceptor.Self.ID(), n.acceptor.View.Epoch, i, commit.epoch)
 			}
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -96,7 +96,7 @@
 }
 
 // Neighbours returns the members before and after m in the chain (zero where there is none).
-func (v View) Neighbours(m Member) (before, after Member) {
+func (v View) Adjacent(m Member) (before, after Member) {
 	position := Index(v.Chain, m)
 	if position < 0 {
 		return Member{}, Member{}
