--- a/coord/slots/benchmark_test.go
+++ b/coord/slots/benchmark_test.go
@@ -8,11 +8,12 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// discard is a folder whose files forget what is written, so that only the store's own work is measured.
+// discardingFS is a folder whose files drop what is written, so that only the work of the store itself is measured.
 type discardingFS struct{ slots.FS }
 
 func (d discardingFS) Open(string) (slots.File, error) { return discardFile{}, nil }
 
+// discardFile is an empty file that drops what is written.
 type discardFile struct{}
 
 func (discardFile) Write(data []byte) (int, error)    { return len(data), nil }
--- a/coord/slots/example_test.go
+++ b/coord/slots/example_test.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// A counter keeps its steps as records and folds them into a snapshot now and then.
+// A state machine appends its commands as records, and replaces them by a snapshot now and then.
 func Example() {
 	folder, err := os.MkdirTemp("", "slots")
 	if err != nil {
--- a/coord/slots/format.go
+++ b/coord/slots/format.go
@@ -1,38 +1,60 @@
 package slots
 
+// # Files
+//
+// A store has four files, whose names never change: slot-0, slot-1, log-0 and log-1, each after Options.Prefix. Slot
+// and log of one number belong together. Integers are big endian, checksums are CRC-32C (Castagnoli).
+//
+//	slot:  magic "SPLSLOT" (7 bytes), version (1), sequence (8), snapshot length (8), checksum (4), snapshot
+//	log:   magic "SPLSLOG" (7 bytes), version (1), sequence (8), checksum (4), batches
+//	batch: payload length (4), number (4), checksum (4), payload: for each record its length (uvarint) and bytes
+//
+// The state is in the valid slot with the highest sequence n, and in the log of the same number, which then has the
+// sequence n too. A Compact gives the other pair the sequence n+1.
+//
+// The checksum of a slot covers sequence, length and snapshot. That of a log's header covers the sequence. That of a
+// batch covers the sequence of its log, its own length and number, and the payload: bytes that an earlier use of the
+// same file left behind have another sequence, and never pass for a batch.
+//
+// One Append is one batch, so that it is stored as a whole or not at all. The batches of a log are numbered from 0. The
+// numbers tell a torn write from corruption: a valid batch with a higher number than the one that is missing was
+// written after it had been synced.
+
 import (
 	"encoding/binary"
-	"errors"
 	"hash/crc32"
 	"math"
 )
 
 const (
-	slotMagic = "SPLSLOT\x01" // the last byte is the version
+	// slotMagic and logMagic start the files. The last byte is the version of the format.
+	slotMagic = "SPLSLOT\x01"
 	logMagic  = "SPLSLOG\x01"
 
-	// slotHeader is the size in bytes of magic, sequence, length and checksum.
+	// slotHeaderSize is the size in bytes of magic, sequence, length and checksum.
 	slotHeaderSize = 8 + 8 + 8 + 4
-	// logHeader is the size in bytes of magic, sequence and checksum.
+	// logHeaderSize is the size in bytes of magic, sequence and checksum.
 	logHeaderSize = 8 + 8 + 4
-	// batchHeader is the size in bytes of length, number and checksum.
+	// batchHeaderSize is the size in bytes of length, number and checksum.
 	batchHeaderSize = 4 + 4 + 4
 
-	// maxBatch bounds the payload of one Append in bytes.
+	// maxBatchPayload bounds the payload of one Append in bytes, so that its length fits four bytes and an int.
 	maxBatchPayload = math.MaxInt32
 )
 
+// castagnoli is the polynomial of all checksums; processors compute it in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// slotContents is what a slot file holds.
+// slotContents is what a slot file holds. Only a valid one has a sequence and a snapshot; an invalid one that isn't
+// empty is torn or corrupt.
 type slotContents struct {
 	valid    bool
-	empty    bool
+	empty    bool // the file has no bytes
 	sequence uint64
 	snapshot []byte
 }
 
-// encodeSlotHeader returns the start of a slot file.
+// encodeSlotHeader returns the start of a slot file, which the snapshot follows.
 func encodeSlotHeader(sequence uint64, snapshot []byte) []byte {
 	header := make([]byte, 0, slotHeaderSize)
 	header = append(header, slotMagic...)
@@ -43,7 +65,7 @@
 	return binary.BigEndian.AppendUint32(header, checksum)
 }
 
-// parseSlot reads a slot file. Bytes after the snapshot are ignored.
+// parseSlot parses a slot file. Bytes after the snapshot are ignored.
 func parseSlot(data []byte) slotContents {
 	if len(data) < slotHeaderSize || string(data[:len(slotMagic)]) != slotMagic {
 		return slotContents{empty: len(data) == 0}
@@ -62,18 +84,18 @@
 	return slotContents{valid: true, sequence: sequence, snapshot: snapshot}
 }
 
-// logContents is what a log file holds.
+// logContents is what a log file holds, up to its first invalid batch.
 type logContents struct {
-	valid         bool // the header is good
+	valid         bool // the header is valid
 	sequence      uint64
 	records       [][]byte
 	batches       uint32
-	validSize     int64 // bytes up to the end of the last good batch
+	validSize     int64 // bytes up to the end of the last valid batch
 	fileSize      int64 // bytes of the file
-	corruptOffset int64 // offset of a bad batch that is followed by a good one, or 0
+	corruptOffset int64 // offset of an invalid batch that a valid one follows, or 0
 }
 
-// encodeLogHeader returns the start of a log file.
+// encodeLogHeader returns the start of a log file, which is all of an empty log.
 func encodeLogHeader(sequence uint64) []byte {
 	header := make([]byte, 0, logHeaderSize)
 	header = append(header, logMagic...)
@@ -81,7 +103,7 @@
 	return binary.BigEndian.AppendUint32(header, crc32.Checksum(header[len(logMagic):], castagnoli))
 }
 
-// parseLog reads a log file up to its first bad batch.
+// parseLog parses a log file up to its first invalid batch.
 func parseLog(data []byte) logContents {
 	if len(data) < logHeaderSize || string(data[:len(logMagic)]) != logMagic {
 		return logContents{}
@@ -107,10 +129,7 @@
 	return contents
 }
 
-// errTooLarge reports records that don't fit into one batch.
-var errBatchTooLarge = errors.New("slots: records too large for one append")
-
-// appendBatch appends the batch of some records to a buffer.
+// appendBatch appends the batch that holds some records to a buffer. It returns errBatchTooLarge if they don't fit.
 func appendBatch(buffer []byte, sequence uint64, number uint32, records [][]byte) ([]byte, error) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, batchHeaderSize)...)
@@ -128,7 +147,7 @@
 	return buffer, nil
 }
 
-// batchChecksum returns the checksum of a whole batch in the log of a sequence.
+// batchChecksum returns the checksum of a whole batch, header included, in the log with a sequence.
 func batchChecksum(batch []byte, sequence uint64) uint32 {
 	var prefix [8]byte
 	binary.BigEndian.PutUint64(prefix[:], sequence)
@@ -137,8 +156,8 @@
 	return crc32.Update(checksum, castagnoli, batch[batchHeaderSize:])
 }
 
-// parseBatch returns the size in bytes and the records of the batch at the start of data, or 0 if there is no good
-// one with this number.
+// parseBatch returns the size in bytes and the records of the batch at the start of data, or 0 if there is no valid one
+// with this number.
 func parseBatch(data []byte, sequence uint64, number uint32) (int, [][]byte) {
 	batch := validBatch(data, sequence)
 	if batch == nil || binary.BigEndian.Uint32(batch[4:]) != number {
@@ -158,7 +177,7 @@
 	return len(batch), records
 }
 
-// goodBatch returns the batch at the start of data if its checksum is right.
+// validBatch returns the batch at the start of data, or nil if its checksum is wrong.
 func validBatch(data []byte, sequence uint64) []byte {
 	if len(data) < batchHeaderSize {
 		return nil
@@ -174,8 +193,9 @@
 	return batch
 }
 
-// hasLaterBatch tells whether data holds, at any offset, a good batch with a higher number than the one expected at
-// its start.
+// hasLaterValidBatch reports whether data holds, at any offset, a valid batch with a higher number than the one that is
+// expected at its start. The length of the invalid batch can't be trusted, so every offset is tried; batches are at
+// least a byte long, which bounds the numbers that are possible at an offset and spares most checksums.
 func hasLaterValidBatch(data []byte, sequence uint64, expected uint32) bool {
 	for offset := 1; offset+batchHeaderSize < len(data); offset++ {
 		number := binary.BigEndian.Uint32(data[offset+4:])
--- a/coord/slots/fuzz_test.go
+++ b/coord/slots/fuzz_test.go
@@ -9,9 +9,10 @@
 // randomCases is the number of random inputs that a normal test run tries.
 const randomCases = 20_000
 
+// testSequence is the sequence of the log that the tests change.
 const testSequence = 7
 
-// testAppends are the records of the appends in validLog.
+// testAppends are the records of the appends in encodedTestLog.
 var testAppends = [][][]byte{
 	{[]byte("first")},
 	{[]byte("second"), nil, []byte("third")},
@@ -19,7 +20,7 @@
 	{[]byte("last")},
 }
 
-// validLog returns a log file, and the number of records up to each number of batches.
+// encodedTestLog returns a log file, and the number of records in its first 0, 1, 2... batches.
 func encodedTestLog(t testing.TB) ([]byte, []int) {
 	t.Helper()
 	log := encodeLogHeader(testSequence)
@@ -43,8 +44,8 @@
 	return records
 }
 
-// checkLog fails if a log yields records of another sequence's place: whatever is read of the test's log must be the
-// first batches that were written.
+// checkLog fails unless the records that are parsed from a changed copy of the test's log are those of its first
+// batches, in order.
 func checkLog(t testing.TB, data []byte, counts []int) {
 	t.Helper()
 	contents := parseLog(data)
@@ -64,8 +65,7 @@
 	}
 }
 
-// FuzzLog parses any bytes as a log. Batches whose checksum a fuzzer gets right are its own, so only the bounds are
-// checked.
+// FuzzLog parses any bytes as a log. A fuzzer may make valid batches of its own, so only the bounds are checked.
 func FuzzLog(f *testing.F) {
 	log, _ := encodedTestLog(f)
 	f.Add(log)
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestBatchesOfAnotherSequenceDontCount puts the batches of an earlier life of a file behind a new header.
+// TestBatchesOfAnotherSequenceAreIgnored puts the batches of an earlier use of the file behind a new header.
 func TestBatchesOfAnotherSequenceAreIgnored(t *testing.T) {
 	log, _ := encodedTestLog(t)
 	contents := parseLog(append(encodeLogHeader(testSequence+1), log[logHeaderSize:]...))
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestDamageIsToldFromATornEnd damages each batch in turn.
+// TestCorruptionIsDistinguishedFromTornTail corrupts each batch in turn: only the last may pass for a torn write.
 func TestCorruptionIsDistinguishedFromTornTail(t *testing.T) {
 	log, _ := encodedTestLog(t)
 	ends := []int{logHeaderSize}
--- a/coord/slots/history_test.go
+++ b/coord/slots/history_test.go
@@ -15,10 +15,10 @@
 // model is what the store must hold: the state is the concatenation of all records, and its snapshot is the state.
 type model struct {
 	acknowledged string
-	inFlight     string // the records of an append whose end is open
+	inFlight     string // the records of an append whose outcome is uncertain
 }
 
-// allows tells whether a recovered state is the acknowledged one, or that with the append in flight.
+// admits reports whether a recovered state is the acknowledged one, or that with the append in flight.
 func (m *model) admits(state string) bool {
 	return state == m.acknowledged || state == m.acknowledged+m.inFlight
 }
@@ -50,7 +50,7 @@
 	h.t.Fatalf("seed %d: %s", h.seed, fmt.Sprintf(format, values...))
 }
 
-// open recovers the store and checks what it found. The power may go meanwhile.
+// open recovers the store and checks what it found. The disk may lose power meanwhile.
 func (h *history) open() {
 	store, recovered, err := slots.Open(h.disk, slots.Options{})
 	if errors.Is(err, simulation.ErrPowerLost) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// step does one random thing.
+// step does one random operation, or injects a fault.
 func (h *history) step() {
 	if h.store == nil {
 		h.recover()
@@ -170,7 +170,7 @@
 }
 
 // TestRandomHistories runs stores on disks that fill up, lose power within any operation, and tear, lose and reorder
-// what was not synced. Whatever is recovered is the acknowledged state, or that with the append in flight.
+// writes that were not synced. The recovered state must be the acknowledged one, or that with the append in flight.
 func TestRandomHistories(t *testing.T) {
 	for seed := range seeds(t, 1200) {
 		random := simulation.NewRand(uint64(seed))
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestEveryStepOfACompaction takes the power away within each operation of a compaction, with many outcomes of what
-// was not synced.
+// TestPowerLossAtEveryStepOfACompaction takes the power away within each operation of a compaction, with many outcomes
+// for the writes that were not synced.
 func TestPowerLossAtEveryStepOfACompaction(t *testing.T) {
 	powerLosses := 0
 	for step := 1; ; step++ {
@@ -223,11 +223,11 @@
 		}
 	}
 	if powerLosses < 200 {
-		t.Fatalf("only %d cuts", powerLosses)
+		t.Fatalf("only %d losses of power", powerLosses)
 	}
 }
 
-// TestWipeNeverRestoresAnOlderState takes the power away within each operation of Wipe.
+// TestPowerLossDuringWipeNeverRestoresAnOlderState takes the power away within each operation of Wipe.
 func TestPowerLossDuringWipeNeverRestoresAnOlderState(t *testing.T) {
 	for step := 1; step < 40; step++ {
 		for seed := range uint64(30) {
--- a/coord/slots/recover.go
+++ b/coord/slots/recover.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 )
 
@@ -9,15 +10,15 @@
 type Finding struct {
 	// File is the name of the file.
 	File string
-	// Offset is where in the file, in bytes.
+	// Offset is where in the file it is, in bytes from its start.
 	Offset int64
-	// Problem describes it.
+	// Problem describes it for people.
 	Problem string
-	// Lost tells whether acknowledged records or snapshots are missing for it.
+	// DataLoss is true if acknowledged state is missing because of it. Without, it is what a crash leaves.
 	DataLoss bool
 }
 
-// String describes the finding with its place.
+// String describes the finding with its file and offset.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s at %d: %s", f.File, f.Offset, f.Problem)
 }
@@ -28,23 +29,18 @@
 	Snapshot []byte
 	// Records are those appended since, in order.
 	Records [][]byte
-	// Found tells whether a store was on the disk. A first Open that crashed leaves none.
+	// Found is true if there was a store. A first Open that crashed leaves none.
 	Found bool
-	// Damaged lists what was wrong. Entries without Lost are what a crash leaves behind.
+	// Findings are what was wrong in the files.
 	Findings []Finding
 }
 
-// Lost tells whether acknowledged state is missing.
+// DataLoss reports whether acknowledged state is missing.
 func (r Recovered) DataLoss() bool {
-	for _, finding := range r.Findings {
-		if finding.DataLoss {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(r.Findings, func(finding Finding) bool { return finding.DataLoss })
 }
 
-// describe returns the findings in one line.
+// describeFindings returns the findings in one line.
 func (r Recovered) describeFindings() string {
 	texts := make([]string, 0, len(r.Findings))
 	for _, finding := range r.Findings {
@@ -53,108 +49,112 @@
 	return strings.Join(texts, "; ")
 }
 
-// slotName and logName are the names of the files of a number.
+// addFinding adds a finding.
+func (r *Recovered) addFinding(file string, offset int64, problem string, dataLoss bool) {
+	finding := Finding{File: file, Offset: offset, Problem: problem, DataLoss: dataLoss}
+	r.Findings = append(r.Findings, finding)
+}
+
+// slotName returns the name of the slot with a number, 0 or 1.
 func slotName(prefix string, number int) string { return fmt.Sprintf("%sslot-%d", prefix, number) }
-func logName(prefix string, number int) string  { return fmt.Sprintf("%slog-%d", prefix, number) }
 
-// contents is what all files of a store hold.
+// logName returns the name of the log with a number, 0 or 1.
+func logName(prefix string, number int) string { return fmt.Sprintf("%slog-%d", prefix, number) }
+
+// storeFiles is what the files of a store hold.
 type storeFiles struct {
 	prefix  string
 	slots   [2]slotContents
 	logs    [2]logContents
-	missing bool // at least one file isn't there
+	missing bool // at least one file doesn't exist
 }
 
-// load reads all files of a store.
+// loadFiles reads all files of a store.
 func loadFiles(fs FS, prefix string) (*storeFiles, error) {
-	loaded := &storeFiles{prefix: prefix}
+	files := &storeFiles{prefix: prefix}
 	for number := range 2 {
-		slot, err := loaded.read(fs, slotName(prefix, number))
+		slot, err := files.read(fs, slotName(prefix, number))
 		if err != nil {
 			return nil, err
 		}
-		log, err := loaded.read(fs, logName(prefix, number))
+		log, err := files.read(fs, logName(prefix, number))
 		if err != nil {
 			return nil, err
 		}
-		loaded.slots[number] = parseSlot(slot)
-		loaded.logs[number] = parseLog(log)
+		files.slots[number] = parseSlot(slot)
+		files.logs[number] = parseLog(log)
 	}
-	return loaded, nil
+	return files, nil
 }
 
-// read returns a file's contents, or nothing if it isn't there.
-func (c *storeFiles) read(fs FS, name string) ([]byte, error) {
+// read returns a file's contents, or none if it doesn't exist.
+func (f *storeFiles) read(fs FS, name string) ([]byte, error) {
 	data, err := fs.ReadAll(name)
 	if isNotExist(err) {
-		c.missing = true
+		f.missing = true
 		return nil, nil
 	}
 	return data, err
 }
 
-// newest returns the number of the valid slot with the highest sequence, or -1.
-func (c *storeFiles) newestSlot() int {
+// newestSlot returns the number of the valid slot with the highest sequence, or -1 if none is valid.
+func (f *storeFiles) newestSlot() int {
 	newest := -1
-	for number, slot := range c.slots {
-		if slot.valid && (newest < 0 || slot.sequence > c.slots[newest].sequence) {
+	for number, slot := range f.slots {
+		if slot.valid && (newest < 0 || slot.sequence > f.slots[newest].sequence) {
 			newest = number
 		}
 	}
 	return newest
 }
 
-// recover returns the state on the disk and the number of the slot that it starts from, or -1 if there is no store.
-func (c *storeFiles) recover() (Recovered, int) {
-	current := c.newestSlot()
-	if current < 0 {
-		return c.recoverWithoutSlot(), -1
+// recover returns the state on the disk and the number of the slot that it starts from, or -1 if there is none.
+func (f *storeFiles) recover() (Recovered, int) {
+	active := f.newestSlot()
+	if active < 0 {
+		return f.recoverWithoutSlot(), -1
 	}
-	recovered := Recovered{Found: true, Snapshot: c.slots[current].snapshot}
-	sequence := c.slots[current].sequence
-	c.replayLog(&recovered, current, sequence)
-	other := 1 - current
-	if !c.slots[other].valid && !c.slots[other].empty {
-		c.addFinding(&recovered, slotName(c.prefix, other), 0, "torn or damaged snapshot", false)
+	recovered := Recovered{Found: true, Snapshot: f.slots[active].snapshot}
+	sequence := f.slots[active].sequence
+	f.replayLog(&recovered, active, sequence)
+	inactive := 1 - active
+	if !f.slots[inactive].valid && !f.slots[inactive].empty {
+		recovered.addFinding(slotName(f.prefix, inactive), 0, "torn or damaged snapshot", false)
 	}
-	if c.logs[other].valid && c.logs[other].sequence > sequence && c.logs[other].batches > 0 {
-		c.addFinding(&recovered, slotName(c.prefix, other), 0, "damaged snapshot that records follow", true)
-		recovered.Records = append(recovered.Records, c.logs[other].records...)
+	// Batches are appended to a log only after its slot was synced: if there are some above the newest valid slot, a
+	// newer slot was acknowledged and has been lost.
+	if f.logs[inactive].valid && f.logs[inactive].sequence > sequence && f.logs[inactive].batches > 0 {
+		recovered.addFinding(slotName(f.prefix, inactive), 0, "damaged snapshot that records follow", true)
+		recovered.Records = append(recovered.Records, f.logs[inactive].records...)
 	}
-	return recovered, current
+	return recovered, active
 }
 
-// withoutSlot returns the state where no slot is valid. Records without a snapshot to start from are lost.
-func (c *storeFiles) recoverWithoutSlot() Recovered {
+// recoverWithoutSlot returns the state if no slot is valid. Records without the snapshot that they follow are useless.
+func (f *storeFiles) recoverWithoutSlot() Recovered {
 	var recovered Recovered
-	for number, log := range c.logs {
+	for number, log := range f.logs {
 		if log.batches > 0 {
 			recovered.Found = true
-			c.addFinding(&recovered, slotName(c.prefix, number), 0, "damaged snapshot that records follow", true)
+			recovered.addFinding(slotName(f.prefix, number), 0, "damaged snapshot that records follow", true)
 		}
 	}
 	return recovered
 }
 
-// replay adds the records of a log that must belong to a slot.
-func (c *storeFiles) replayLog(recovered *Recovered, number int, sequence uint64) {
-	log := c.logs[number]
-	name := logName(c.prefix, number)
+// replayLog adds the records of the active log, whose sequence must be that of its slot.
+func (f *storeFiles) replayLog(recovered *Recovered, number int, sequence uint64) {
+	log := f.logs[number]
+	name := logName(f.prefix, number)
 	if !log.valid || log.sequence != sequence {
-		c.addFinding(recovered, name, 0, "damaged header", true)
+		recovered.addFinding(name, 0, "damaged header", true)
 		return
 	}
 	recovered.Records = log.records
 	switch {
 	case log.corruptOffset > 0:
-		c.addFinding(recovered, name, log.corruptOffset, "damaged record before good ones", true)
+		recovered.addFinding(name, log.corruptOffset, "damaged record before good ones", true)
 	case log.fileSize > log.validSize:
-		c.addFinding(recovered, name, log.validSize, "torn record at the end", false)
+		recovered.addFinding(name, log.validSize, "torn record at the end", false)
 	}
 }
-
-// find adds a finding.
-func (c *storeFiles) addFinding(recovered *Recovered, file string, offset int64, problem string, lost bool) {
-	finding := Finding{File: file, Offset: offset, Problem: problem, DataLoss: lost}
-	recovered.Findings = append(recovered.Findings, finding)
-}
--- a/coord/slots/store_test.go
+++ b/coord/slots/store_test.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s|%s", recovered.Snapshot, bytes.Join(recovered.Records, []byte(",")))
 }
 
-// mustOpen opens a store that must be there or be made.
+// mustOpen opens a store, or creates it, and fails the test if it can't.
 func mustOpen(t testing.TB, fs slots.FS) (*slots.Store, slots.Recovered) {
 	t.Helper()
 	store, recovered, err := slots.Open(fs, slots.Options{})
@@ -110,7 +110,7 @@
 }
 
 func TestLogTruncatedAtEveryByte(t *testing.T) {
-	Convey("A log cut at any byte yields the appends that are whole", t, func() {
+	Convey("A log truncated at any byte yields the appends that are complete", t, func() {
 		folder := t.TempDir()
 		store, _ := mustOpen(t, slots.Directory(folder))
 		want := map[int64]string{store.LogBytes(): "|"}
--- a/coord/slots/verify.go
+++ b/coord/slots/verify.go
@@ -2,16 +2,40 @@
 
 import "fmt"
 
-// Verify reads the store in a folder as Open would, and changes nothing. What it gives of a store that is open elsewhere may lack
-// the Append or the Compact in flight.
+// Verify reads the store in a folder as Open does, and changes nothing. If another process has the store open, the
+// result may lack the Append or the Compact in flight. If acknowledged state is missing it returns ErrCorrupt and
+// whatever is readable.
 func Verify(fs FS, options Options) (Recovered, error) {
-	loaded, err := loadFiles(fs, options.Prefix)
+	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
 		return Recovered{}, fmt.Errorf("slots: %w", err)
 	}
-	recovered, _ := loaded.recover()
+	recovered, _ := files.recover()
 	if recovered.DataLoss() {
 		return recovered, fmt.Errorf("%w: %s", ErrCorrupt, recovered.describeFindings())
 	}
 	return recovered, nil
 }
+
+// Verify reads the files again, to find corruption while other replicas still have the state. It returns ErrCorrupt if
+// they don't hold exactly what was acknowledged: unlike Open it knows how long the log must be. Appends wait meanwhile.
+func (s *Store) Verify() error {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if err := s.checkAppendable(); err != nil {
+		return err
+	}
+	files, err := loadFiles(s.fs, s.prefix)
+	if err != nil {
+		return fmt.Errorf("slots: verify: %w", err)
+	}
+	slot := files.slots[s.active]
+	log := files.logs[s.active]
+	switch {
+	case !slot.valid || slot.sequence != s.sequence:
+		return fmt.Errorf("%w: %s", ErrCorrupt, slotName(s.prefix, s.active))
+	case !log.valid || log.sequence != s.sequence || log.validSize != s.logSize || log.batches != s.batches:
+		return fmt.Errorf("%w: %s after %d bytes", ErrCorrupt, logName(s.prefix, s.active), log.validSize)
+	}
+	return nil
+}
--- a/coord/slots/verify_test.go
+++ b/coord/slots/verify_test.go
@@ -61,6 +61,7 @@
 	t.Fatal("no log holds the first record")
 }
 
+// filesOf returns names and contents of all files in a folder.
 func filesOf(t *testing.T, folder string) string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/coord/slots/wipe.go
+++ b/coord/slots/wipe.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// Wipe removes a store, so that the next Open finds none. A crash within it leaves a store that is gone or that Open
-// finds as damaged as before, never an older state.
+// Wipe removes a store, so that the next Open finds none. A crash within it leaves no store, the same state as
+// before, or one that Open reports as ErrCorrupt, but never an older state: the older slot is truncated first, and
+// the logs only after both slots, so that their records still show that state is missing.
 func Wipe(fs FS, options Options) error {
-	loaded, err := loadFiles(fs, options.Prefix)
+	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
 		return fmt.Errorf("slots: wipe: %w", err)
 	}
 	s := &Store{fs: fs, prefix: options.Prefix}
-	for _, number := range loaded.oldestFirst() {
+	for _, number := range files.oldestFirst() {
 		if err := s.writeFile(slotName(s.prefix, number)); err != nil {
 			return fmt.Errorf("slots: wipe: %w", err)
 		}
@@ -26,15 +27,15 @@
 	return s.removeAll()
 }
 
-// oldestFirst returns the numbers of the slots, an older valid one before a newer one.
-func (c *storeFiles) oldestFirst() [2]int {
-	if newest := c.newestSlot(); newest >= 0 {
+// oldestFirst returns the numbers of the slots, with the newest valid one last.
+func (f *storeFiles) oldestFirst() [2]int {
+	if newest := f.newestSlot(); newest >= 0 {
 		return [2]int{1 - newest, newest}
 	}
 	return [2]int{0, 1}
 }
 
-// removeAll removes the files, which are empty.
+// removeAll removes the files, which are empty by now.
 func (s *Store) removeAll() error {
 	var failures []error
 	for number := range 2 {
