--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -235,27 +235,27 @@
 	content := a.content.Encode()
 	version := versionOf(m.view.Epoch, 0)
 	record := encodeCopy(id, version, replicas, false, content, nil)
-	h := &storedJob{}
+	j := &storedJob{}
 	at := m.write(record, true, func() {
-		h.versionDurable = true
-		m.replicateJob(h)
-		m.maybeCommit(h)
+		j.versionDurable = true
+		m.replicateJob(j)
+		m.maybeCommit(j)
 	})
-	contentAt, _ := locateCopy(h, record, at)
+	contentAt, _ := locateCopy(j, record, at)
 	made, err := newStoredJob(content, contentAt)
 	if err != nil {
 		panic("replica: an encoded batch job can't be read: " + err.Error())
 	}
-	*h = *made
-	h.content = content
-	h.owned = true
-	h.setReplicas(version, replicas, m.self)
-	h.assumePeersEmpty()
-	h.replaceReplicasAt = m.env.Now() + replaceReplicasAfter
+	*j = *made
+	j.content = content
+	j.owned = true
+	j.setReplicas(version, replicas, m.self)
+	j.assumePeersEmpty()
+	j.replaceReplicasAt = m.env.Now() + replaceReplicasAfter
 	for _, p := range a.calls {
-		h.pendingSubmissions = append(h.pendingSubmissions, p.callID)
+		j.pendingSubmissions = append(j.pendingSubmissions, p.callID)
 	}
-	m.putJob(h)
+	m.putJob(j)
 	delete(m.owners, id)
 	m.announceOwner(id, m.self)
 }
@@ -279,18 +279,18 @@
 }
 
 // submitAgain answers a submission of a batch job that is owned here.
-func (m *StateMachine) resubmit(h *storedJob, p parkedCall) {
-	h.pendingSubmissions = append(h.pendingSubmissions, p.callID)
-	m.acknowledgeSubmissions(h)
+func (m *StateMachine) resubmit(j *storedJob, p parkedCall) {
+	j.pendingSubmissions = append(j.pendingSubmissions, p.callID)
+	m.acknowledgeSubmissions(j)
 }
 
 // answerSubmitters tells those who handed a batch job in that it is taken, once it is on all disks of its set and the counter knows of it.
-func (m *StateMachine) acknowledgeSubmissions(h *storedJob) {
-	if !h.replicated || m.mayExceedLimit(h) {
+func (m *StateMachine) acknowledgeSubmissions(j *storedJob) {
+	if !j.replicated || m.mayExceedLimit(j) {
 		return
 	}
-	for _, token := range h.pendingSubmissions {
+	for _, token := range j.pendingSubmissions {
 		m.answer(token, accepted())
 	}
-	h.pendingSubmissions = nil
+	j.pendingSubmissions = nil
 }
--- a/internal/batch/replica/backlog.go
+++ b/internal/batch/replica/backlog.go
@@ -102,8 +102,8 @@
 	return queuedtokens.Account{Tenant: a.content.Tenant, Route: a.content.Route}
 }
 
-func (h *storedJob) account() queuedtokens.Account {
-	return queuedtokens.Account{Tenant: h.tenant, Route: h.route}
+func (j *storedJob) account() queuedtokens.Account {
+	return queuedtokens.Account{Tenant: j.tenant, Route: j.route}
 }
 
 // counterOf gives the store that counts an account in the present view, empty where none is active.
@@ -124,10 +124,10 @@
 // or gave to a store that has yet to take them, and those that it is accepting with room.
 func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
 	used := map[queuedtokens.Account]int64{}
-	for _, h := range m.order {
-		_, conceded := m.transfers[h.id]
-		if (h.owned || conceded) && !h.ended && h.queuedTokens > 0 {
-			used[h.account()] += h.queuedTokens
+	for _, j := range m.order {
+		_, conceded := m.transfers[j.id]
+		if (j.owned || conceded) && !j.ended && j.queuedTokens > 0 {
+			used[j.account()] += j.queuedTokens
 		}
 	}
 	for _, a := range m.acceptances {
@@ -357,9 +357,9 @@
 		used[account] += 0
 	}
 	wrong := map[placement.Key]bool{}
-	for _, h := range m.order {
-		if m.awaitsCapacity(h) {
-			counter := m.counterOf(h.account())
+	for _, j := range m.order {
+		if m.awaitsCapacity(j) {
+			counter := m.counterOf(j.account())
 			last := m.claims.sent[counter]
 			wrong[counter] = last == nil || now-last.sentAt >= claimRetry
 		}
@@ -389,37 +389,37 @@
 }
 
 // noteInherited notes that a batch job fell to this store, for which it asked nobody for room.
-func (m *StateMachine) noteInheritedTokens(h *storedJob) {
-	m.claims.unclaimed[h.account()] += h.queuedTokens
-	h.capacityUnconfirmed = true
+func (m *StateMachine) noteInheritedTokens(j *storedJob) {
+	m.claims.unclaimed[j.account()] += j.queuedTokens
+	j.capacityUnconfirmed = true
 }
 
 // exceedsBound tells whether a batch job may not be acknowledged yet: it fell to this store, perhaps without ever having been
 // acknowledged, as when all power was lost while it was written; others may have been given its room meanwhile.
-func (m *StateMachine) mayExceedLimit(h *storedJob) bool {
-	if !h.capacityUnconfirmed || h.queuedTokens == 0 || h.ended {
+func (m *StateMachine) mayExceedLimit(j *storedJob) bool {
+	if !j.capacityUnconfirmed || j.queuedTokens == 0 || j.ended {
 		return false
 	}
-	bound, known := m.queueLimit(h.account())
+	bound, known := m.queueLimit(j.account())
 	return !known || bound > 0
 }
 
 // fitted takes a counter's word that all that waits in the accounts of a claim is within their bounds, but for some.
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
-	for _, h := range m.order {
-		account := h.account()
+	for _, j := range m.order {
+		account := j.account()
 		_, unasked := m.claims.unclaimed[account]
-		if !h.owned || !h.capacityUnconfirmed || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
+		if !j.owned || !j.capacityUnconfirmed || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
 			continue
 		}
-		h.capacityUnconfirmed = false
-		m.acknowledgeSubmissions(h)
+		j.capacityUnconfirmed = false
+		m.acknowledgeSubmissions(j)
 	}
 }
 
 // awaitsFit tells whether a batch job's acknowledgement waits for the counter.
-func (m *StateMachine) awaitsCapacity(h *storedJob) bool {
-	return h.owned && h.replicated && len(h.pendingSubmissions) > 0 && m.mayExceedLimit(h)
+func (m *StateMachine) awaitsCapacity(j *storedJob) bool {
+	return j.owned && j.replicated && len(j.pendingSubmissions) > 0 && m.mayExceedLimit(j)
 }
 
 // checkRoom checks, as a batch job is written, that there is room for it.
--- a/internal/batch/replica/backlog_test.go
+++ b/internal/batch/replica/backlog_test.go
@@ -15,16 +15,16 @@
 )
 
 // boundedTokens is the bound on waiting tokens in worlds that have one: a few batch jobs.
-const boundedTokens = 500
+const testTokenLimit = 500
 
 // itemTokens are those of a batch job's item.
 func itemTokens(index int) int { return 20 + 37*index%50 }
 
 // waiting sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody has asked for.
-func (c *clients) waiting() int64 {
+func (c *clients) waitingTokens() int64 {
 	sum := int64(0)
 	for _, j := range c.order {
-		if !j.accepted || j.ending {
+		if !j.accepted || j.endRequested {
 			continue
 		}
 		for i := range j.items {
@@ -37,34 +37,34 @@
 }
 
 // checkBound holds an acceptance to the bound.
-func (c *clients) checkBound(j *clientJob) {
-	if waiting := c.waiting(); c.world.bound > 0 && waiting > c.world.bound {
-		c.world.fail("%s is accepted: %d tokens wait, %d may:%s", j.id, waiting, c.world.bound, c.world.describeClaims())
+func (c *clients) checkTokenLimit(j *clientJob) {
+	if waiting := c.waitingTokens(); c.sim.tokenLimit > 0 && waiting > c.sim.tokenLimit {
+		c.sim.fail("%s is accepted: %d tokens wait, %d may:%s", j.id, waiting, c.sim.tokenLimit, c.sim.describeClaims())
 	}
 }
 
 // auditRoom wants room for as much as the bound once all is done: nothing that was given is held for ever.
-func (w *world) auditRoom() {
-	if w.bound == 0 || w.failure != nil || w.clients.waiting() > 0 {
+func (w *storeSimulation) auditCapacity() {
+	if w.tokenLimit == 0 || w.failure != nil || w.clients.waitingTokens() > 0 {
 		return
 	}
 	var items []job.Item
-	for left := w.bound; left > 0; left -= min(left, boundedTokens/5) {
-		items = append(items, job.Item{ID: "room-" + strconv.FormatInt(left, 10), Path: "/p", Tokens: int(min(left, boundedTokens/5))})
+	for left := w.tokenLimit; left > 0; left -= min(left, testTokenLimit/5) {
+		items = append(items, job.Item{ID: "room-" + strconv.FormatInt(left, 10), Path: "/p", Tokens: int(min(left, testTokenLimit/5))})
 	}
 	status := 0
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "room", Tenant: "t", Route: "r"}
-	w.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, open: 1, tries: 1}
-	w.clients.ask(w.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
+	w.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, unanswered: 1, tries: 1}
+	w.clients.call(w.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
 	w.runUntil(w.now + 4*time.Second)
 	if status != 202 {
 		w.fail("a batch job as large as the bound is answered %d though nothing waits:%s", status, w.describeClaims())
 	}
 }
 
-func (w *world) describeClaims() string {
+func (w *storeSimulation) describeClaims() string {
 	text := ""
-	for _, s := range w.there() {
+	for _, s := range w.remaining() {
 		if !s.up {
 			continue
 		}
@@ -81,16 +81,16 @@
 }
 
 // plantInCounts breaks, now and then, what a machine knows of waiting tokens.
-func (c *campaign) plantInCounts() {
-	c.after(c.between(time.Millisecond, 10*time.Millisecond), c.plantInCounts)
-	for _, s := range c.there() {
-		if !s.up || s.frozen || !s.machine.reconciled {
+func (c *campaign) injectCounterBugs() {
+	c.schedule(c.randomDuration(time.Millisecond, 10*time.Millisecond), c.injectCounterBugs)
+	for _, s := range c.remaining() {
+		if !s.up || s.paused || !s.machine.reconciled {
 			continue
 		}
 		m := s.machine
-		if c.plant == plantLevelsStand {
+		if c.bug == bugKeepsGrantsAcrossViews {
 			account := queuedtokens.Account{Tenant: "t", Route: "r"}
-			m.claims.granted[account] = max(m.claims.granted[account], c.bound)
+			m.claims.granted[account] = max(m.claims.granted[account], c.tokenLimit)
 			continue
 		}
 		m.eachOtherMember(func(other protocol.Process) { m.claims.counter.Apply(placement.KeyOf(other), queuedtokens.Claim{}) })
@@ -112,15 +112,15 @@
 func TestWaitingTokensAreBounded(t *testing.T) {
 	Convey("Batch jobs are taken up to the bound over all stores, and again once items are done", t, func() {
 		c := newCluster(5, 2, 1)
-		c.bound = 100
-		c.settle()
+		c.tokenLimit = 100
+		c.quiesce()
 		So(c.nodes[0].submitTokens("one", 60), ShouldEqual, 202)
 		So(c.nodes[1].submitTokens("large", 50), ShouldEqual, 429)
 		So(c.nodes[2].submitTokens("two", 40), ShouldEqual, 202)
 		So(c.nodes[3].submitTokens("three", 1), ShouldEqual, 429)
 		So(c.nodes[0].submitTokens("more than all", 101), ShouldEqual, 429)
 		c.owner("one").finish("one", 0)
-		c.settle()
+		c.quiesce()
 		So(c.nodes[1].submitTokens("large", 50), ShouldEqual, 202)
 		So(c.nodes[4].call(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "large", Tenant: "t", Route: "r"}, nil).Owner,
 			ShouldEqual, c.nodes[1].process().IP) // it is known
@@ -128,23 +128,23 @@
 	})
 	Convey("The end of a batch job makes room", t, func() {
 		c := newCluster(3, 2, 1)
-		c.bound = 100
-		c.settle()
+		c.tokenLimit = 100
+		c.quiesce()
 		So(c.nodes[0].submitTokens("one", 100), ShouldEqual, 202)
 		So(c.nodes[0].call(protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "one", Tenant: "t"}, nil).Status, ShouldEqual, 200)
-		c.settle()
+		c.quiesce()
 		So(c.nodes[1].submitTokens("two", 100), ShouldEqual, 202)
 	})
 	Convey("Whoever counts next knows what waits, after the loss of the one that counted, a restart, and of all power", t, func() {
 		c := newCluster(5, 2, 1)
-		c.bound = 100
-		c.settle()
+		c.tokenLimit = 100
+		c.quiesce()
 		So(c.nodes[0].submitTokens("one", 60), ShouldEqual, 202)
 		counter := c.counter()
 		counter.kill()
 		counter.start()
 		c.rejoin(counter)
-		c.settle()
+		c.quiesce()
 		So(c.nodes[1].submitTokens("a", 41), ShouldEqual, 429)
 		lost := c.counter()
 		lost.wipe()
@@ -154,8 +154,8 @@
 				left = append(left, n)
 			}
 		}
-		c.view(left...)
-		c.settle()
+		c.installView(left...)
+		c.quiesce()
 		So(left[1].submitTokens("b", 41), ShouldEqual, 429)
 		So(left[1].submitTokens("c", 40), ShouldEqual, 202)
 		for _, n := range left {
@@ -165,37 +165,37 @@
 			n.start()
 			c.rejoin(n)
 		}
-		c.settle()
+		c.quiesce()
 		So(left[2].submitTokens("d", 1), ShouldEqual, 429)
 		c.owner("c").finish("c", 0)
-		c.settle()
+		c.quiesce()
 		So(left[2].submitTokens("d", 40), ShouldEqual, 202)
 	})
 	Convey("A lowered bound holds from then on, a lifted one for what waits as well", t, func() {
 		c := newCluster(3, 2, 1)
-		c.settle()
+		c.quiesce()
 		So(c.nodes[0].submitTokens("free", 1000), ShouldEqual, 202)
-		c.bound = 1500
+		c.tokenLimit = 1500
 		So(c.nodes[1].submitTokens("two", 501), ShouldEqual, 429)
 		So(c.nodes[1].submitTokens("two", 500), ShouldEqual, 202)
-		c.bound = 1200
+		c.tokenLimit = 1200
 		So(c.nodes[2].submitTokens("three", 1), ShouldEqual, 429)
-		c.bound = 0
+		c.tokenLimit = 0
 		So(c.nodes[2].submitTokens("three", 5000), ShouldEqual, 202)
 	})
 	Convey("No answer is given on a bound while a member hasn't told what it uses", t, func() {
 		c := newCluster(5, 2, 1)
-		c.bound = 100
-		c.settle()
+		c.tokenLimit = 100
+		c.quiesce()
 		counter := c.counter()
 		silent := c.nodes[(counter.number+1)%5]
 		asker := c.nodes[(counter.number+2)%5]
-		c.lost = func(message clusterMessage) bool {
+		c.drops = func(message clusterMessage) bool {
 			_, claim := message.body.(Claim)
 			return claim && message.from == silent.process()
 		}
 		So(asker.submitTokens("one", 10), ShouldEqual, 503)
-		c.lost = nil
+		c.drops = nil
 		So(asker.submitTokens("one", 10), ShouldEqual, 202)
 	})
 }
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -91,14 +91,14 @@
 }
 
 // serve answers a call for a batch job that is owned here and whole.
-func (m *StateMachine) serve(h *storedJob, p parkedCall) {
+func (m *StateMachine) serve(j *storedJob, p parkedCall) {
 	switch p.call.Operation {
 	case protocol.BatchRead:
-		m.serveRead(h, p)
+		m.serveRead(j, p)
 	case protocol.BatchBody:
-		m.serveBody(h, p)
+		m.serveBody(j, p)
 	case protocol.BatchEnd:
-		m.serveEnd(h, p.callID)
+		m.serveEnd(j, p.callID)
 	default:
 		m.answer(p.callID, protocol.BatchAnswer{Status: 400})
 	}
@@ -181,7 +181,7 @@
 
 // holder gives who holds or may accept a batch job, as the arbiter knows.
 func (m *StateMachine) knownHolder(id string) placement.Key {
-	if h := m.jobs[id]; h != nil && h.owned {
+	if j := m.jobs[id]; j != nil && j.owned {
 		return m.self
 	}
 	if owner, known := m.owners[id]; known {
@@ -229,17 +229,17 @@
 }
 
 // redirect sends all that waits for a batch job to its owner.
-func (m *StateMachine) redirectPending(h *storedJob) {
-	waiting := h.pendingReads
-	h.pendingReads = nil
+func (m *StateMachine) redirectPending(j *storedJob) {
+	waiting := j.pendingReads
+	j.pendingReads = nil
 	for _, r := range waiting {
-		m.answer(r.callID, m.ownerAnswer(h.id))
+		m.answer(r.callID, m.ownerAnswer(j.id))
 	}
-	for _, token := range append(h.pendingSubmissions, h.pendingEnds...) {
-		m.answer(token, m.ownerAnswer(h.id))
+	for _, token := range append(j.pendingSubmissions, j.pendingEnds...) {
+		m.answer(token, m.ownerAnswer(j.id))
 	}
-	h.pendingSubmissions, h.pendingEnds = nil, nil
-	m.redispatchParkedCalls(h.id)
+	j.pendingSubmissions, j.pendingEnds = nil, nil
+	m.redispatchParkedCalls(j.id)
 }
 
 func (m *StateMachine) ownerAnswer(id string) protocol.BatchAnswer {
@@ -262,39 +262,39 @@
 }
 
 // read answers with results, or holds the call until there is one.
-func (m *StateMachine) serveRead(h *storedJob, p parkedCall) {
+func (m *StateMachine) serveRead(j *storedJob, p parkedCall) {
 	start := max(p.call.Start, 0)
 	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxReadWait)
-	if start >= h.committedResults && wait > 0 && !h.ended && !(h.allFinished() && h.committedResults == len(h.items)) {
-		h.pendingReads = append(h.pendingReads, pendingRead{callID: p.callID, start: start, deadline: m.env.Now() + wait})
+	if start >= j.committedResults && wait > 0 && !j.ended && !(j.allFinished() && j.committedResults == len(j.items)) {
+		j.pendingReads = append(j.pendingReads, pendingRead{callID: p.callID, start: start, deadline: m.env.Now() + wait})
 		return
 	}
-	m.answerRead(h, p.callID, start)
+	m.answerRead(j, p.callID, start)
 }
 
-func (m *StateMachine) answerReads(h *storedJob) {
-	if len(h.pendingReads) == 0 {
+func (m *StateMachine) answerReads(j *storedJob) {
+	if len(j.pendingReads) == 0 {
 		return
 	}
-	waiting := h.pendingReads
-	h.pendingReads = nil
+	waiting := j.pendingReads
+	j.pendingReads = nil
 	for _, r := range waiting {
-		if r.start < h.committedResults || h.ended {
-			m.answerRead(h, r.callID, r.start)
+		if r.start < j.committedResults || j.ended {
+			m.answerRead(j, r.callID, r.start)
 			continue
 		}
-		h.pendingReads = append(h.pendingReads, r)
+		j.pendingReads = append(j.pendingReads, r)
 	}
 }
 
-func (m *StateMachine) answerRead(h *storedJob, token CallID, start int) {
+func (m *StateMachine) answerRead(j *storedJob, token CallID, start int) {
 	body := make([]byte, 0, 4<<10)
 	body = append(body, `{"total":`...)
-	body = strconv.AppendInt(body, int64(len(h.items)), 10)
+	body = strconv.AppendInt(body, int64(len(j.items)), 10)
 	body = append(body, `,"results":[`...)
 	position := start
-	for ; position < h.committedResults; position++ {
-		result, ok := m.result(h, position)
+	for ; position < j.committedResults; position++ {
+		result, ok := m.result(j, position)
 		if !ok {
 			m.answer(token, unavailable())
 			return
@@ -306,7 +306,7 @@
 		if position > start {
 			body = append(body, ',')
 		}
-		body = appendResultJSON(body, h.items[result.Item].id, job.State(result.State), result.Text)
+		body = appendResultJSON(body, j.items[result.Item].id, job.State(result.State), result.Text)
 		if position > start && len(body) > maxPageBytes {
 			body = body[:before]
 			break
@@ -348,13 +348,13 @@
 }
 
 // body answers with an item's body while it isn't shown and the batch job not ended.
-func (m *StateMachine) serveBody(h *storedJob, p parkedCall) {
-	index := slices.IndexFunc(h.items, func(i storedItem) bool { return i.id == p.call.Item })
-	if index < 0 || h.ended || m.isCommitted(h, index) {
+func (m *StateMachine) serveBody(j *storedJob, p parkedCall) {
+	index := slices.IndexFunc(j.items, func(i storedItem) bool { return i.id == p.call.Item })
+	if index < 0 || j.ended || m.isCommitted(j, index) {
 		m.answer(p.callID, notFound())
 		return
 	}
-	encoded, err := m.env.Read(h.itemLocation(index))
+	encoded, err := m.env.Read(j.itemLocation(index))
 	if err != nil {
 		m.answer(p.callID, unavailable())
 		return
@@ -367,12 +367,12 @@
 	m.answer(p.callID, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
 }
 
-func (m *StateMachine) isCommitted(h *storedJob, index int) bool {
-	if !h.items[index].finished {
+func (m *StateMachine) isCommitted(j *storedJob, index int) bool {
+	if !j.items[index].finished {
 		return false
 	}
-	for position := range h.committedResults {
-		if int(h.results[position].item) == index {
+	for position := range j.committedResults {
+		if int(j.results[position].item) == index {
 			return true
 		}
 	}
@@ -380,25 +380,25 @@
 }
 
 // end ends a batch job: nothing of it starts any more here, and it is acknowledged once it is on all replicas.
-func (m *StateMachine) serveEnd(h *storedJob, token CallID) {
-	h.pendingEnds = append(h.pendingEnds, token)
-	if h.ended {
-		m.maybeCommit(h)
+func (m *StateMachine) serveEnd(j *storedJob, token CallID) {
+	j.pendingEnds = append(j.pendingEnds, token)
+	if j.ended {
+		m.maybeCommit(j)
 		return
 	}
-	h.ended = true
-	m.env.Stop(h.id)
-	m.write(encodeEnded(h.id), true, func() {
-		h.endedDurable = true
-		m.replicateJob(h)
-		m.maybeCommit(h)
+	j.ended = true
+	m.env.Stop(j.id)
+	m.write(encodeEnded(j.id), true, func() {
+		j.endedDurable = true
+		m.replicateJob(j)
+		m.maybeCommit(j)
 	})
-	m.answerReads(h)
+	m.answerReads(j)
 }
 
-func (m *StateMachine) acknowledgeEnds(h *storedJob) {
-	for _, token := range h.pendingEnds {
+func (m *StateMachine) acknowledgeEnds(j *storedJob) {
+	for _, token := range j.pendingEnds {
 		m.answer(token, protocol.BatchAnswer{Status: 200})
 	}
-	h.pendingEnds = nil
+	j.pendingEnds = nil
 }
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -13,47 +13,47 @@
 // This file owns worlds under random load and troubles, one after the other, within what may be lost at once.
 
 const (
-	worldLength = 30 * time.Second // under load and troubles
-	catchUp     = 4800 * time.Millisecond
-	healing     = 12 * time.Second // after which all must be well
-	auditing    = 6 * time.Second
-	mostStores  = 9
+	loadDuration = 30 * time.Second // under load and troubles
+	catchUpTime  = 4800 * time.Millisecond
+	recoveryTime = 12 * time.Second // after which all must be well
+	auditTime    = 6 * time.Second
+	maxStores    = 9
 )
 
 // campaign is one world.
 type campaign struct {
-	*world
-	tolerance int
-	impatient bool // the next trouble comes as soon as the stores stand whole
-	submitted int
-	troubles  int
-	endsAt    time.Duration // when all that was lost is back
-	focus     []string      // troubles that come, empty: all
+	*storeSimulation
+	tolerance   int
+	impatient   bool // the next trouble comes as soon as the stores stand whole
+	submitted   int
+	faults      int
+	recoveredAt time.Duration // when all that was lost is back
+	onlyFaults  []string      // troubles that come, empty: all
 }
 
 // The troubles.
 const (
-	troubleKill          = "kills"
-	troublePower         = "losses of power"
-	troubleWipe          = "lost disks"
-	troubleReplace       = "replacements"
-	troubleFreeze        = "freezes"
-	troubleCut           = "cuts"
-	troubleSlowDisk      = "slow disks"
-	troubleFullDisk      = "full disks"
-	troubleTornOperation = "a loss of power within an operation"
-	troubleGrow          = "an addition"
-	troubleRetire        = "a planned leave"
-	troubleKillThenPower = "kills, then all lose power"
-	troubleAllPower      = "all lose power"
-	troubleAllPowerDisks = "all lose power, some their disks"
-	troubleDamage        = "damaged logs"
+	faultKill          = "kills"
+	faultPower         = "losses of power"
+	faultWipe          = "lost disks"
+	faultReplace       = "replacements"
+	faultPause         = "freezes"
+	faultPartition     = "cuts"
+	faultSlowDisk      = "slow disks"
+	faultFullDisk      = "full disks"
+	faultTornOperation = "a loss of power within an operation"
+	faultGrow          = "an addition"
+	faultRetire        = "a planned leave"
+	faultKillThenPower = "kills, then all lose power"
+	faultAllPower      = "all lose power"
+	faultAllPowerDisks = "all lose power, some their disks"
+	faultCorruption    = "damaged logs"
 )
 
 // trouble strikes some stores, which are as many as may be lost, for a time.
-type trouble struct {
+type fault struct {
 	name   string
-	strike func(lost []*store, down time.Duration)
+	inject func(lost []*simulatedStore, down time.Duration)
 }
 
 func newCampaign(seed uint64, plant string) *campaign {
@@ -61,184 +61,184 @@
 	if seed%4 == 3 {
 		tolerance, stores = 2, 5+int(seed/4%3)
 	}
-	w := newWorld(seed, stores, tolerance+1, plant)
+	w := newStoreSimulation(seed, stores, tolerance+1, plant)
 	if seed%3 == 1 {
-		w.keepFor(20 * time.Second)
+		w.setRetention(20 * time.Second)
 	}
 	if seed%5 == 2 {
-		w.loss = 0.03
+		w.lossRate = 0.03
 	}
 	w.segment = int64(300 + w.random.IntN(6000))
 	if seed%6 == 4 {
-		w.bound = boundedTokens
+		w.tokenLimit = testTokenLimit
 	}
-	return &campaign{world: w, tolerance: tolerance, impatient: seed%2 == 0}
+	return &campaign{storeSimulation: w, tolerance: tolerance, impatient: seed%2 == 0}
 }
 
 // playSeed plays a world and gives what it broke. Where troubles are named, others don't come.
-func playSeed(seed uint64, plant string, focus ...string) (c *campaign, err error) {
+func runSeed(seed uint64, plant string, focus ...string) (c *campaign, err error) {
 	defer func() {
 		if caught := recover(); caught != nil {
 			err = fmt.Errorf("at %v: panic: %v", c.now, caught)
 		}
 	}()
 	c = newCampaign(seed, plant)
-	c.focus = focus
+	c.onlyFaults = focus
 	c.run()
 	return c, c.failure
 }
 
 func (c *campaign) run() {
 	c.runUntil(1500 * time.Millisecond)
-	c.load()
-	c.plantAtRandom()
-	c.after(c.between(time.Second, 4*time.Second), c.trouble)
+	c.submitJobs()
+	c.injectBugs()
+	c.schedule(c.randomDuration(time.Second, 4*time.Second), c.injectFault)
 	c.finish()
 }
 
 // finish plays the world to its end, all well again, and audits it.
 func (c *campaign) finish() {
-	c.runUntil(worldLength)
+	c.runUntil(loadDuration)
 	c.heal()
-	c.runUntil(c.now + healing)
+	c.runUntil(c.now + recoveryTime)
 	c.audit()
 }
 
 // load submits batch jobs all the time.
-func (c *campaign) load() {
-	if c.calm {
+func (c *campaign) submitJobs() {
+	if c.faultsEnded {
 		return
 	}
 	c.submitted++
 	c.clients.submit(fmt.Sprintf("job-%d", c.submitted), 1+c.random.IntN(6))
-	c.after(c.between(100*time.Millisecond, 2*time.Second), c.load)
+	c.schedule(c.randomDuration(100*time.Millisecond, 2*time.Second), c.submitJobs)
 }
 
 // trouble brings one trouble, and the next when that is over.
-func (c *campaign) trouble() {
-	if c.calm || c.now > worldLength-2*time.Second {
+func (c *campaign) injectFault() {
+	if c.faultsEnded || c.now > loadDuration-2*time.Second {
 		return
 	}
-	c.troubles++
-	list := c.there()
+	c.faults++
+	list := c.remaining()
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	lost := list[:1+c.random.IntN(c.tolerance)]
-	down := c.between(50*time.Millisecond, 4*time.Second)
-	kinds := c.kinds()
-	if len(c.focus) > 0 {
-		kinds = slices.DeleteFunc(kinds, func(kind trouble) bool { return !slices.Contains(c.focus, kind.name) })
+	down := c.randomDuration(50*time.Millisecond, 4*time.Second)
+	kinds := c.faultKinds()
+	if len(c.onlyFaults) > 0 {
+		kinds = slices.DeleteFunc(kinds, func(kind fault) bool { return !slices.Contains(c.onlyFaults, kind.name) })
 	}
 	kind := kinds[c.random.IntN(len(kinds))]
 	c.note("%s for %v", kind.name, down)
-	kind.strike(lost, down)
-	c.after(c.between(0, down), c.next)
+	kind.inject(lost, down)
+	c.schedule(c.randomDuration(0, down), c.nextFault)
 }
 
 // lasts notes that what was lost is back only after a time.
-func (c *campaign) lasts(down time.Duration) { c.endsAt = max(c.endsAt, c.now+down) }
+func (c *campaign) extendRecovery(down time.Duration) { c.recoveredAt = max(c.recoveredAt, c.now+down) }
 
 // next brings the next trouble once the stores have caught up.
-func (c *campaign) next() {
-	if c.borne() {
-		c.trouble()
+func (c *campaign) nextFault() {
+	if c.toleratesNextFault() {
+		c.injectFault()
 		return
 	}
-	c.after(20*time.Millisecond, c.next)
+	c.schedule(20*time.Millisecond, c.nextFault)
 }
 
 // borne tells whether the next loss is to be borne: all is back, for as long as stores may take to catch up, or they have.
-func (c *campaign) borne() bool {
-	return c.now > c.endsAt && (c.now-c.endsAt >= catchUp || c.impatient && c.settled())
+func (c *campaign) toleratesNextFault() bool {
+	return c.now > c.recoveredAt && (c.now-c.recoveredAt >= catchUpTime || c.impatient && c.toleratesLoss())
 }
 
 // kinds lists the troubles. Each is over after the time that it is given.
-func (c *campaign) kinds() []trouble {
-	each := func(call func(s *store, down time.Duration)) func([]*store, time.Duration) {
-		return func(lost []*store, down time.Duration) {
-			c.lasts(down)
+func (c *campaign) faultKinds() []fault {
+	each := func(call func(s *simulatedStore, down time.Duration)) func([]*simulatedStore, time.Duration) {
+		return func(lost []*simulatedStore, down time.Duration) {
+			c.extendRecovery(down)
 			for _, s := range lost {
 				call(s, down)
 			}
 		}
 	}
-	restarted := func(call func(s *store)) func([]*store, time.Duration) {
-		return each(func(s *store, down time.Duration) {
+	restarted := func(call func(s *simulatedStore)) func([]*simulatedStore, time.Duration) {
+		return each(func(s *simulatedStore, down time.Duration) {
 			call(s)
-			c.after(down, s.restart)
+			c.schedule(down, s.restart)
 		})
 	}
-	kinds := []trouble{
-		{troubleKill, restarted((*store).kill)},
-		{troublePower, restarted((*store).losePower)},
-		{troubleWipe, restarted((*store).wipe)},
-		{troubleWipe, restarted((*store).wipe)},
-		{troubleReplace, each(c.replace)},
-		{troubleFreeze, each((*store).freeze)},
-		{troubleFreeze, each((*store).freeze)},
-		{troubleCut, each(c.cutOff)},
-		{troubleCut, each(c.cutOneWay)},
-		{troubleSlowDisk, each(c.slowDisk)},
-		{troubleFullDisk, each(func(s *store, down time.Duration) { s.fill(int64(c.random.IntN(2000)), down) })},
-		{troubleTornOperation, each(func(s *store, _ time.Duration) { s.disk.FailAt(1 + c.random.IntN(40)) })},
-		{troubleKill, each(c.killOften)},
-		{troubleGrow, c.grow},
-		{troubleRetire, c.retire},
-		{troubleRetire, c.retire},
-		{troubleKillThenPower, c.killThenAllLosePower},
-		{troubleAllPower, c.allLosePower},
-		{troubleAllPower, c.allLosePower},
-		{troubleAllPowerDisks, c.allLosePowerDisks},
-		{troubleAllPowerDisks, c.disksAfterAcceptance},
-	}
-	if slices.Contains(c.focus, troubleDamage) { // disks keep what was synced: it comes only where it is asked for
-		kinds = append(kinds, trouble{troubleDamage, each(c.damage)}, trouble{troubleDamage, each(c.damage)})
+	kinds := []fault{
+		{faultKill, restarted((*simulatedStore).kill)},
+		{faultPower, restarted((*simulatedStore).losePower)},
+		{faultWipe, restarted((*simulatedStore).wipe)},
+		{faultWipe, restarted((*simulatedStore).wipe)},
+		{faultReplace, each(c.replace)},
+		{faultPause, each((*simulatedStore).pause)},
+		{faultPause, each((*simulatedStore).pause)},
+		{faultPartition, each(c.partitionStore)},
+		{faultPartition, each(c.partitionOneWay)},
+		{faultSlowDisk, each(c.slowDisk)},
+		{faultFullDisk, each(func(s *simulatedStore, down time.Duration) { s.fill(int64(c.random.IntN(2000)), down) })},
+		{faultTornOperation, each(func(s *simulatedStore, _ time.Duration) { s.disk.FailAt(1 + c.random.IntN(40)) })},
+		{faultKill, each(c.killOften)},
+		{faultGrow, c.grow},
+		{faultRetire, c.retire},
+		{faultRetire, c.retire},
+		{faultKillThenPower, c.killThenAllLosePower},
+		{faultAllPower, c.allLosePower},
+		{faultAllPower, c.allLosePower},
+		{faultAllPowerDisks, c.allLosePowerDisks},
+		{faultAllPowerDisks, c.disksAfterAcceptance},
+	}
+	if slices.Contains(c.onlyFaults, faultCorruption) { // disks keep what was synced: it comes only where it is asked for
+		kinds = append(kinds, fault{faultCorruption, each(c.corruptStore)}, fault{faultCorruption, each(c.corruptStore)})
 	}
 	return kinds
 }
 
 // replace takes a store for good; an empty one comes in its place at another address, under its name or another.
-func (c *campaign) replace(s *store, down time.Duration) {
+func (c *campaign) replace(s *simulatedStore, down time.Duration) {
 	s.remove()
 	c.note("%s is taken away", s.node)
-	c.after(down, func() {
+	c.schedule(down, func() {
 		if c.random.IntN(2) == 0 {
 			c.addStore()
 			return
 		}
-		fresh := newStore(c.world, s.node, fmt.Sprintf("ip-%d", 100+len(c.stores)), s.zone)
+		fresh := newSimulatedStore(c.storeSimulation, s.node, fmt.Sprintf("ip-%d", 100+len(c.stores)), s.zone)
 		c.stores = append(c.stores, fresh)
 		fresh.start()
 	})
 }
 
 // cutOff cuts a store from all others, and from control in most cases.
-func (c *campaign) cutOff(s *store, down time.Duration) {
+func (c *campaign) partitionStore(s *simulatedStore, down time.Duration) {
 	c.note("%s is cut off", s.node)
 	for _, other := range c.peersOf(s) {
-		c.cut(s.node, other, down)
-		c.cut(other, s.node, down)
+		c.partition(s.node, other, down)
+		c.partition(other, s.node, down)
 	}
 }
 
 // cutOneWay lets nothing through from a store, or to it.
-func (c *campaign) cutOneWay(s *store, down time.Duration) {
+func (c *campaign) partitionOneWay(s *simulatedStore, down time.Duration) {
 	from := c.random.IntN(2) == 0
 	c.note("%s is cut off one way, from it: %v", s.node, from)
 	for _, other := range c.peersOf(s) {
 		if from {
-			c.cut(s.node, other, down)
+			c.partition(s.node, other, down)
 		} else {
-			c.cut(other, s.node, down)
+			c.partition(other, s.node, down)
 		}
 	}
 }
 
-func (c *campaign) peersOf(s *store) []string {
+func (c *campaign) peersOf(s *simulatedStore) []string {
 	var names []string
 	if c.random.IntN(4) > 0 {
 		names = append(names, controlName)
 	}
-	for _, other := range c.there() {
+	for _, other := range c.remaining() {
 		if other != s {
 			names = append(names, other.node)
 		}
@@ -246,36 +246,36 @@
 	return names
 }
 
-func (c *campaign) slowDisk(s *store, down time.Duration) {
+func (c *campaign) slowDisk(s *simulatedStore, down time.Duration) {
 	stalled := c.random.IntN(2) == 0
 	c.note("the disk of %s is slow, stalled: %v", s.node, stalled)
-	s.stalled, s.slow = stalled, 40
-	c.after(down, func() { s.stalled, s.slow = false, 1 })
+	s.stalled, s.slowdown = stalled, 40
+	c.schedule(down, func() { s.stalled, s.slowdown = false, 1 })
 }
 
 // killOften kills a store again and again, each time soon after its start.
-func (c *campaign) killOften(s *store, down time.Duration) {
+func (c *campaign) killOften(s *simulatedStore, down time.Duration) {
 	for range 3 {
-		c.after(c.between(0, down), func() {
+		c.schedule(c.randomDuration(0, down), func() {
 			if s.up {
 				s.kill()
 			}
-			c.after(c.between(10*time.Millisecond, 100*time.Millisecond), s.restart)
+			c.schedule(c.randomDuration(10*time.Millisecond, 100*time.Millisecond), s.restart)
 		})
 	}
-	c.lasts(down + 100*time.Millisecond)
+	c.extendRecovery(down + 100*time.Millisecond)
 }
 
-func (c *campaign) grow([]*store, time.Duration) {
-	if len(c.there()) < mostStores {
+func (c *campaign) grow([]*simulatedStore, time.Duration) {
+	if len(c.remaining()) < maxStores {
 		c.addStore()
 	}
 }
 
 // retire empties a store; once that is done it is taken away, and right after that disks are lost.
-func (c *campaign) retire(lost []*store, _ time.Duration) {
+func (c *campaign) retire(lost []*simulatedStore, _ time.Duration) {
 	s := lost[0]
-	if len(c.there()) == c.copies {
+	if len(c.remaining()) == c.copies {
 		return
 	}
 	outcome := c.command(statemachine.Command{Retire: &statemachine.Retire{Node: s.node, Remain: c.copies}})
@@ -285,14 +285,14 @@
 	}
 }
 
-func (c *campaign) awaitRetired(s *store) {
+func (c *campaign) awaitRetired(s *simulatedStore) {
 	if c.control.Retirement(s.node) != statemachine.RetirementCompleted {
-		c.after(30*time.Millisecond, func() { c.awaitRetired(s) })
+		c.schedule(30*time.Millisecond, func() { c.awaitRetired(s) })
 		return
 	}
-	c.after(c.between(0, time.Second), func() {
+	c.schedule(c.randomDuration(0, time.Second), func() {
 		c.note("%s is emptied and taken away", s.node)
-		borne := !c.calm && c.borne()
+		borne := !c.faultsEnded && c.toleratesNextFault()
 		s.remove()
 		if borne && c.random.IntN(2) == 0 {
 			c.loseDisks()
@@ -302,69 +302,71 @@
 
 // loseDisks takes as many disks as may be lost at once.
 func (c *campaign) loseDisks() {
-	list := c.there()
+	list := c.remaining()
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	c.lasts(time.Second)
+	c.extendRecovery(time.Second)
 	for _, s := range list[:c.tolerance] {
 		s.wipe()
-		c.after(c.between(100*time.Millisecond, time.Second), s.restart)
+		c.schedule(c.randomDuration(100*time.Millisecond, time.Second), s.restart)
 	}
 }
 
 // killThenAllLosePower kills stores, which start again at once, and takes all power soon after.
-func (c *campaign) killThenAllLosePower(lost []*store, down time.Duration) {
-	c.lasts(down)
-	for _, s := range c.there() {
+func (c *campaign) killThenAllLosePower(lost []*simulatedStore, down time.Duration) {
+	c.extendRecovery(down)
+	for _, s := range c.remaining() {
 		if c.random.IntN(2) == 0 && s.up {
 			s.kill()
-			c.after(c.between(10*time.Millisecond, 100*time.Millisecond), s.restart)
+			c.schedule(c.randomDuration(10*time.Millisecond, 100*time.Millisecond), s.restart)
 		}
 	}
-	c.after(down/2, func() { c.takePower(nil, down/2) })
+	c.schedule(down/2, func() { c.takePower(nil, down/2) })
 }
 
-func (c *campaign) allLosePower(_ []*store, down time.Duration) { c.takePower(nil, down) }
+func (c *campaign) allLosePower(_ []*simulatedStore, down time.Duration) { c.takePower(nil, down) }
 
-func (c *campaign) allLosePowerDisks(lost []*store, down time.Duration) { c.takePower(lost, down) }
+func (c *campaign) allLosePowerDisks(lost []*simulatedStore, down time.Duration) {
+	c.takePower(lost, down)
+}
 
 // disksAfterAcceptance takes all power and some disks right after an acceptance.
-func (c *campaign) disksAfterAcceptance(lost []*store, down time.Duration) {
-	c.lasts(down)
+func (c *campaign) disksAfterAcceptance(lost []*simulatedStore, down time.Duration) {
+	c.extendRecovery(down)
 	c.clients.onAccept = func() {
-		if !c.calm {
+		if !c.faultsEnded {
 			c.takePower(lost, time.Second)
 		}
 	}
-	c.after(down, func() { c.clients.onAccept = nil })
+	c.schedule(down, func() { c.clients.onAccept = nil })
 }
 
 // takePower takes the power from all stores within milliseconds, and the disks of some.
-func (c *campaign) takePower(wiped []*store, down time.Duration) {
+func (c *campaign) takePower(wiped []*simulatedStore, down time.Duration) {
 	c.note("all lose power, %d their disks", len(wiped))
-	c.lasts(down + 10*time.Millisecond)
-	for _, s := range c.there() {
+	c.extendRecovery(down + 10*time.Millisecond)
+	for _, s := range c.remaining() {
 		s := s
-		c.after(c.between(0, 3*time.Millisecond), func() {
+		c.schedule(c.randomDuration(0, 3*time.Millisecond), func() {
 			s.losePower()
 			for _, other := range wiped {
-				if other == s && !s.gone {
+				if other == s && !s.removed {
 					s.wipe()
 				}
 			}
-			c.after(c.between(50*time.Millisecond, max(down, 60*time.Millisecond)), s.restart)
+			c.schedule(c.randomDuration(50*time.Millisecond, max(down, 60*time.Millisecond)), s.restart)
 		})
 	}
 }
 
 // heal ends all troubles.
-func (w *world) heal() {
+func (w *storeSimulation) heal() {
 	w.note("all troubles end")
-	w.calm, w.loss = true, 0
-	clear(w.cuts)
+	w.faultsEnded, w.lossRate = true, 0
+	clear(w.partitions)
 	w.clients.onAccept = nil
-	for _, s := range w.there() {
-		s.thaw()
-		s.stalled, s.slow = false, 1
+	for _, s := range w.remaining() {
+		s.resume()
+		s.stalled, s.slowdown = false, 1
 		s.disk.SetCapacity(0)
 		if s.up {
 			s.disk.FailAt(0)
@@ -375,30 +377,30 @@
 
 // audit holds the settled world to what must be there: all that was accepted, whole and on enough disks, and all that was
 // read.
-func (w *world) audit() {
+func (w *storeSimulation) audit() {
 	if w.failure != nil {
 		return
 	}
-	if !w.wellAgain() {
+	if !w.checkAllReconciled() {
 		return
 	}
-	w.auditRoom()
+	w.auditCapacity()
 	w.clients.quiet = true
 	for _, j := range w.clients.order {
 		w.auditJob(j)
 	}
-	w.runUntil(w.now + auditing)
+	w.runUntil(w.now + auditTime)
 }
 
 // wellAgain wants all stores to stand whole, and none to be retiring still.
-func (w *world) wellAgain() bool {
+func (w *storeSimulation) checkAllReconciled() bool {
 	view := w.view()
 	for _, member := range view.Members {
 		if member.State == protocol.StoreRetiring && !w.holdsExpired(placement.KeyOf(member.Process)) {
 			w.fail("%s is still not emptied:%s", member.Node, w.describeUndrained(member.Node))
 		}
 	}
-	for _, s := range w.there() {
+	for _, s := range w.remaining() {
 		if !s.up || w.isMember(s.key()) && s.machine.reconciledEpoch != view.Epoch {
 			w.fail("%s doesn't stand whole, up %v settled %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
 		}
@@ -408,14 +410,14 @@
 
 // holdsExpired tells whether a store still holds something whose time is over: its owner may have dropped it before, by another
 // clock.
-func (w *world) holdsExpired(key placement.Key) bool {
+func (w *storeSimulation) holdsExpired(key placement.Key) bool {
 	s := w.storeOf(key)
-	return s != nil && slices.ContainsFunc(s.machine.order, func(h *storedJob) bool {
-		return !h.handedOver && w.clients.expired(w.clients.jobs[h.id])
+	return s != nil && slices.ContainsFunc(s.machine.order, func(j *storedJob) bool {
+		return !j.handedOver && w.clients.expired(w.clients.jobs[j.id])
 	})
 }
 
-func (w *world) auditJob(j *clientJob) {
+func (w *storeSimulation) auditJob(j *clientJob) {
 	if w.clients.expired(j) {
 		return
 	}
@@ -426,20 +428,20 @@
 	w.auditCopies(j)
 	sent, answered := w.now, false
 	call := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: j.id, Tenant: "t"}
-	w.clients.ask(w.someMember(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	w.clients.call(w.someMember(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		answered = true
 		read := len(j.seen)
-		w.clients.take(j, 0, sent, answer)
+		w.clients.checkPage(j, 0, sent, answer)
 		switch {
 		case w.clients.expired(j):
 		case answer.Status != 200:
 			w.fail("%s: can't be read in calm, %d:%s", j.id, answer.Status, w.describe(j.id))
-		case !j.ending && !j.whole():
+		case !j.endRequested && !j.allRead():
 			w.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s", j.id, j.acceptedAt, len(j.seen), read, len(j.items),
 				w.describe(j.id))
 		}
 	})
-	w.after(auditing-time.Second, func() {
+	w.schedule(auditTime-time.Second, func() {
 		if !answered {
 			w.fail("%s: isn't answered in calm:%s", j.id, w.describe(j.id))
 		}
@@ -447,9 +449,9 @@
 }
 
 // auditCopies wants a batch job's newest version on enough disks, with all that was shown.
-func (w *world) auditCopies(j *clientJob) {
+func (w *storeSimulation) auditCopies(j *clientJob) {
 	newest, count := Version(0), 0
-	for _, s := range w.there() {
+	for _, s := range w.remaining() {
 		h := s.machine.jobs[j.id]
 		switch {
 		case h == nil || h.version < newest || !h.versionDurable:
@@ -457,7 +459,7 @@
 			newest, count = h.version, 0
 			fallthrough
 		default:
-			if h.durableResults >= len(j.seen) || j.ending {
+			if h.durableResults >= len(j.seen) || j.endRequested {
 				count++
 			}
 		}
@@ -467,7 +469,7 @@
 	}
 }
 
-func (w *world) someMember() *store {
+func (w *storeSimulation) someMember() *simulatedStore {
 	for {
 		if s := w.anyStore(); s.up && w.isMember(s.key()) {
 			return s
@@ -476,17 +478,17 @@
 }
 
 // describeUndrained tells what keeps a retiring store.
-func (w *world) describeUndrained(node string) string {
+func (w *storeSimulation) describeUndrained(node string) string {
 	text := ""
-	for _, s := range w.there() {
+	for _, s := range w.remaining() {
 		if s.node != node {
 			continue
 		}
 		m := s.machine
 		text += fmt.Sprintf(" settled %v, %d acceptances", m.reconciled, len(m.acceptances))
-		for _, h := range m.order {
-			if !h.handedOver {
-				text += "\n" + h.id + fmt.Sprintf(" handing %v", len(h.handoverReplicas)) + w.describe(h.id)
+		for _, j := range m.order {
+			if !j.handedOver {
+				text += "\n" + j.id + fmt.Sprintf(" handing %v", len(j.handoverReplicas)) + w.describe(j.id)
 			}
 		}
 	}
--- a/internal/batch/replica/clients_test.go
+++ b/internal/batch/replica/clients_test.go
@@ -15,11 +15,11 @@
 const (
 	callTimeout = 3500 * time.Millisecond
 	callHops    = 3
-	mostTries   = 4
+	maxTries    = 4
 )
 
 type clients struct {
-	world    *world
+	sim      *storeSimulation
 	jobs     map[string]*clientJob
 	order    []*clientJob
 	accepted int // batch jobs
@@ -29,34 +29,34 @@
 }
 
 type clientJob struct {
-	id         string
-	body       []byte
-	items      []job.Item
-	index      map[string]int // of items by id
-	firstTry   time.Duration
-	tries      int
-	promises   int // tries answered with 503
-	open       int // tries without an answer yet
-	acceptedAt time.Duration
-	accepted   bool
-	starts     int
-	seen       map[int]string // results by position
-	places     map[string]int // positions by item
-	done       map[int]bool   // items that a server has finished
-	ending     bool
-	endedAt    time.Duration
-	ended      bool
+	id             string
+	body           []byte
+	items          []job.Item
+	index          map[string]int // of items by id
+	firstSubmitted time.Duration
+	tries          int
+	refusals       int // tries answered with 503
+	unanswered     int // tries without an answer yet
+	acceptedAt     time.Duration
+	accepted       bool
+	starts         int
+	seen           map[int]string // results by position
+	positions      map[string]int // positions by item
+	done           map[int]bool   // items that a server has finished
+	endRequested   bool
+	endedAt        time.Duration
+	ended          bool
 }
 
 // expired tells whether the batch job may be forgotten.
-func (c *clients) expired(j *clientJob) bool { return c.world.now >= j.firstTry+c.world.status }
+func (c *clients) expired(j *clientJob) bool { return c.sim.now >= j.firstSubmitted+c.sim.retention }
 
 // whole tells whether all items were read.
-func (j *clientJob) whole() bool { return len(j.seen) == len(j.items) }
+func (j *clientJob) allRead() bool { return len(j.seen) == len(j.items) }
 
 func (c *clients) submit(id string, count int) *clientJob {
-	j := &clientJob{id: id, index: map[string]int{}, seen: map[int]string{}, places: map[string]int{}, done: map[int]bool{},
-		firstTry: c.world.now}
+	j := &clientJob{id: id, index: map[string]int{}, seen: map[int]string{}, positions: map[string]int{}, done: map[int]bool{},
+		firstSubmitted: c.sim.now}
 	type request struct {
 		ID     string `json:"id"`
 		Path   string `json:"path"`
@@ -79,16 +79,16 @@
 	}
 	c.jobs[id] = j
 	c.order = append(c.order, j)
-	c.try(j)
+	c.submitOnce(j)
 	return j
 }
 
 // started takes note of an item that reached a server.
-func (c *clients) started(s *store, id string) {
-	w := c.world
+func (c *clients) itemStarted(s *simulatedStore, id string) {
+	w := c.sim
 	j := c.jobs[id]
 	j.starts++
-	if j.ended && w.now > j.endedAt+worldCancel {
+	if j.ended && w.now > j.endedAt+cancelDeadline {
 		w.fail("%s: an item starts at %s %v after the end:%s", id, s.node, w.now-j.endedAt, w.describe(id))
 	}
 	for _, other := range w.stores {
@@ -101,14 +101,14 @@
 }
 
 func (c *clients) checkPromise(j *clientJob) {
-	if j.starts > 0 && j.open == 0 && j.promises == j.tries {
-		c.world.fail("%s: an item ran though all %d tries were refused", j.id, j.tries)
+	if j.starts > 0 && j.unanswered == 0 && j.refusals == j.tries {
+		c.sim.fail("%s: an item ran though all %d tries were refused", j.id, j.tries)
 	}
 }
 
 // ask sends a call to a store and follows it to the owner.
-func (c *clients) ask(s *store, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer)) {
-	w := c.world
+func (c *clients) call(s *simulatedStore, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer)) {
+	w := c.sim
 	answered := false
 	finish := func(answer protocol.BatchAnswer) {
 		if !answered {
@@ -116,12 +116,12 @@
 			done(answer)
 		}
 	}
-	w.after(callTimeout, func() { finish(protocol.BatchAnswer{}) })
-	w.after(w.between(time.Millisecond, 3*time.Millisecond), func() {
+	w.schedule(callTimeout, func() { finish(protocol.BatchAnswer{}) })
+	w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
 		s.do(func() {
 			s.lastToken++
 			s.answers[s.lastToken] = func(answer protocol.BatchAnswer) {
-				w.after(w.between(time.Millisecond, 3*time.Millisecond), func() { c.follow(answer, call, items, hops, finish) })
+				w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() { c.follow(answer, call, items, hops, finish) })
 			}
 			s.machine.Call(s.lastToken, call, items)
 		})
@@ -133,52 +133,52 @@
 		finish(answer)
 		return
 	}
-	if next := c.world.byIP(answer.Owner); next != nil {
-		c.ask(next, call, items, hops-1, finish)
+	if next := c.sim.byIP(answer.Owner); next != nil {
+		c.call(next, call, items, hops-1, finish)
 		return
 	}
 	finish(protocol.BatchAnswer{Status: 504})
 }
 
-func (c *clients) try(j *clientJob) {
-	w := c.world
+func (c *clients) submitOnce(j *clientJob) {
+	w := c.sim
 	j.tries++
-	j.open++
+	j.unanswered++
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: j.id, Tenant: "t", Route: "r", Body: j.body}
-	c.ask(w.anyStore(), call, j.items, callHops, func(answer protocol.BatchAnswer) {
-		j.open--
-		c.tried(j, answer)
-		if j.tries < mostTries && !j.accepted {
-			w.after(w.between(0, 800*time.Millisecond), func() { c.try(j) })
+	c.call(w.anyStore(), call, j.items, callHops, func(answer protocol.BatchAnswer) {
+		j.unanswered--
+		c.handleSubmitAnswer(j, answer)
+		if j.tries < maxTries && !j.accepted {
+			w.schedule(w.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
 		}
 	})
-	if w.random.IntN(4) == 0 && j.tries < mostTries { // a copy that goes elsewhere at the same time
-		w.after(w.between(0, 20*time.Millisecond), func() { c.try(j) })
+	if w.random.IntN(4) == 0 && j.tries < maxTries { // a copy that goes elsewhere at the same time
+		w.schedule(w.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
 	}
 }
 
-func (c *clients) tried(j *clientJob, answer protocol.BatchAnswer) {
-	w := c.world
+func (c *clients) handleSubmitAnswer(j *clientJob, answer protocol.BatchAnswer) {
+	w := c.sim
 	w.note("%s is answered %d", j.id, answer.Status)
 	switch {
 	case answer.Status == 202 && !j.accepted:
 		j.accepted, j.acceptedAt = true, w.now
 		c.accepted++
-		c.checkBound(j)
-		c.readOn(j)
-		w.after(w.between(0, 3*time.Second), func() { c.body(j) })
+		c.checkTokenLimit(j)
+		c.keepReading(j)
+		w.schedule(w.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
 		if w.random.IntN(3) == 0 {
-			w.after(w.between(0, 6*time.Second), func() { c.try(j) }) // another client sends it once more
+			w.schedule(w.randomDuration(0, 6*time.Second), func() { c.submitOnce(j) }) // another client sends it once more
 		}
 		if w.random.IntN(6) == 0 {
-			w.after(w.between(0, 5*time.Second), func() { c.end(j) })
+			w.schedule(w.randomDuration(0, 5*time.Second), func() { c.end(j) })
 		}
 		if act := c.onAccept; act != nil {
 			c.onAccept = nil
 			act()
 		}
-	case answer.Status == 503 || answer.Status == 429 && w.bound > 0:
-		j.promises++
+	case answer.Status == 503 || answer.Status == 429 && w.tokenLimit > 0:
+		j.refusals++
 		c.checkPromise(j)
 	case answer.Status >= 400 && answer.Status < 500 && !c.expired(j):
 		w.fail("%s: a submission is answered %d", j.id, answer.Status)
@@ -196,29 +196,29 @@
 }
 
 // readOn reads on until all is read.
-func (c *clients) readOn(j *clientJob) {
-	w := c.world
+func (c *clients) keepReading(j *clientJob) {
+	w := c.sim
 	start := len(j.seen)
 	if w.random.IntN(3) == 0 {
 		start = w.random.IntN(start + 1)
 	}
 	sent := w.now
 	call := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: j.id, Tenant: "t", Start: start, WaitMs: 1000}
-	c.ask(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
-		c.take(j, start, sent, answer)
+	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+		c.checkPage(j, start, sent, answer)
 		switch {
 		case c.expired(j) || c.quiet:
-		case !j.whole() && !j.ended:
-			w.after(w.between(0, 600*time.Millisecond), func() { c.readOn(j) })
+		case !j.allRead() && !j.ended:
+			w.schedule(w.randomDuration(0, 600*time.Millisecond), func() { c.keepReading(j) })
 		case w.random.IntN(2) == 0: // somebody looks again later
-			w.after(w.between(0, 6*time.Second), func() { c.readOn(j) })
+			w.schedule(w.randomDuration(0, 6*time.Second), func() { c.keepReading(j) })
 		}
 	})
 }
 
 // take holds results that were read to those that were read before.
-func (c *clients) take(j *clientJob, start int, sent time.Duration, answer protocol.BatchAnswer) {
-	w := c.world
+func (c *clients) checkPage(j *clientJob, start int, sent time.Duration, answer protocol.BatchAnswer) {
+	w := c.sim
 	if answer.Status == 404 && sent > j.acceptedAt && !c.expired(j) {
 		w.fail("%s: 404 though it was accepted at %v:%s", j.id, j.acceptedAt, w.describe(j.id))
 	}
@@ -237,17 +237,17 @@
 		w.fail("%s: nothing at position %d, which was read, asked at %v:%s", j.id, start, sent, w.describe(j.id))
 	}
 	for i, result := range read.Results {
-		c.takeResult(j, start+i, result.ID, result.Text)
+		c.checkResult(j, start+i, result.ID, result.Text)
 	}
 }
 
-func (c *clients) takeResult(j *clientJob, position int, item, text string) {
-	w := c.world
+func (c *clients) checkResult(j *clientJob, position int, item, text string) {
+	w := c.sim
 	index, known := j.index[item]
-	if !known || !isWholeText(text, j.id, index) {
+	if !known || !isCompleteText(text, j.id, index) {
 		w.fail("%s: position %d holds %q of item %q", j.id, position, text, item)
 	}
-	if place, read := j.places[item]; read && place != position {
+	if place, read := j.positions[item]; read && place != position {
 		w.fail("%s: item %s at positions %d and %d:%s", j.id, item, place, position, w.describe(j.id))
 	}
 	content := item + " " + text
@@ -257,39 +257,39 @@
 	if _, read := j.seen[position]; !read {
 		c.read++
 	}
-	j.seen[position], j.places[item] = content, position
+	j.seen[position], j.positions[item] = content, position
 }
 
 // body asks for an item's body, which is there until the item is listed.
-func (c *clients) body(j *clientJob) {
-	w := c.world
+func (c *clients) readBody(j *clientJob) {
+	w := c.sim
 	index := w.random.IntN(len(j.items))
 	sent := w.now
 	call := protocol.BatchCall{Operation: protocol.BatchBody, BatchJob: j.id, Tenant: "t", Item: j.items[index].ID}
-	c.ask(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		c.takeBody(j, index, sent, answer)
-		if !j.whole() && !j.ending && !c.quiet {
-			w.after(w.between(0, 3*time.Second), func() { c.body(j) })
+		if !j.allRead() && !j.endRequested && !c.quiet {
+			w.schedule(w.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
 		}
 	})
 }
 
 func (c *clients) takeBody(j *clientJob, index int, sent time.Duration, answer protocol.BatchAnswer) {
-	w := c.world
+	w := c.sim
 	switch {
 	case answer.Status == 200 && !bytes.Equal(answer.Body, j.items[index].Body):
 		w.fail("%s: the body of item %d is %q", j.id, index, answer.Body)
-	case answer.Status == 404 && sent > j.acceptedAt && !j.ending && !c.expired(j) && !c.isListed(j, index):
+	case answer.Status == 404 && sent > j.acceptedAt && !j.endRequested && !c.expired(j) && !c.hasResult(j, index):
 		w.fail("%s: 404 for the body of item %d, which isn't listed:%s", j.id, index, w.describe(j.id))
 	}
 }
 
 // isListed tells whether a store shows an item as listed.
-func (c *clients) isListed(j *clientJob, index int) bool {
-	if _, read := j.places[j.items[index].ID]; read {
+func (c *clients) hasResult(j *clientJob, index int) bool {
+	if _, read := j.positions[j.items[index].ID]; read {
 		return true
 	}
-	for _, s := range c.world.stores {
+	for _, s := range c.sim.stores {
 		if h := s.machine.jobs[j.id]; h != nil && h.items[index].finished {
 			return true
 		}
@@ -298,22 +298,22 @@
 }
 
 func (c *clients) end(j *clientJob) {
-	w := c.world
-	j.ending = true
+	w := c.sim
+	j.endRequested = true
 	call := protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: j.id, Tenant: "t"}
 	sent := w.now
-	c.ask(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		switch {
 		case answer.Status == 200 && !j.ended:
 			w.note("%s is ended", j.id)
 			j.ended, j.endedAt = true, w.now
 			if w.random.IntN(3) == 0 {
-				w.after(w.between(0, 5*time.Second), func() { c.end(j) })
+				w.schedule(w.randomDuration(0, 5*time.Second), func() { c.end(j) })
 			}
 		case answer.Status == 404 && sent > j.acceptedAt && !c.expired(j):
 			w.fail("%s: 404 to the end of an accepted batch job:%s", j.id, w.describe(j.id))
 		case answer.Status != 200 && !c.expired(j):
-			w.after(w.between(0, 500*time.Millisecond), func() { c.end(j) })
+			w.schedule(w.randomDuration(0, 500*time.Millisecond), func() { c.end(j) })
 		}
 	})
 }
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -19,15 +19,15 @@
 // leaves.
 
 type cluster struct {
-	copies   int
-	now      time.Duration
-	epoch    uint64
-	newest   protocol.StoreView // that control agreed on
-	bound    int64              // on waiting tokens, 0: none
-	nodes    []*clusterNode
-	messages []clusterMessage
-	deaf     func(*clusterNode) bool   // tells whether control tells a node nothing, nil: none
-	lost     func(clusterMessage) bool // tells of a message whether it is lost, nil: none is
+	copies      int
+	now         time.Duration
+	epoch       uint64
+	currentView protocol.StoreView // that control agreed on
+	tokenLimit  int64              // on waiting tokens, 0: none
+	nodes       []*clusterNode
+	messages    []clusterMessage
+	uninformed  func(*clusterNode) bool   // tells whether control tells a node nothing, nil: none
+	drops       func(clusterMessage) bool // tells of a message whether it is lost, nil: none is
 }
 
 type clusterMessage struct {
@@ -45,7 +45,7 @@
 	disk        *simulation.Disk
 	log         *wal.Log // nil: the process doesn't run
 	machine     *StateMachine
-	found       []*Finding
+	findings    []*Finding
 	answers     map[CallID]protocol.BatchAnswer
 	token       CallID
 }
@@ -58,7 +58,7 @@
 		})
 		c.nodes[i].start()
 	}
-	c.view(c.nodes...)
+	c.installView(c.nodes...)
 	return c
 }
 
@@ -75,15 +75,15 @@
 // start reads the disk; a finding is noted.
 func (n *clusterNode) start() {
 	n.life++
-	n.found = nil
+	n.findings = nil
 	n.answers = map[CallID]protocol.BatchAnswer{}
 	n.machine = New(Options{Self: n.process(), ProcessIncarnation: n.life, ReplicationFactor: n.cluster.copies, Retention: time.Hour}, n)
 	options := wal.Options{SegmentSize: 4 << 10, OnSkipped: func(at wal.Location) {
-		n.found = append(n.found, n.machine.ReplaySkipped(at))
+		n.findings = append(n.findings, n.machine.ReplaySkipped(at))
 	}}
 	log, err := wal.OpenLog(n.disk, options, func(at wal.Location, record []byte) error {
 		if err := n.machine.Replay(at, record); err != nil {
-			n.found = append(n.found, err.(*Finding))
+			n.findings = append(n.findings, err.(*Finding))
 		}
 		return nil
 	})
@@ -111,21 +111,21 @@
 }
 
 // view makes a set of stores the newest view.
-func (c *cluster) view(members ...*clusterNode) {
+func (c *cluster) installView(members ...*clusterNode) {
 	c.epoch++
 	view := protocol.StoreView{Epoch: c.epoch}
 	for _, n := range members {
 		view.Members = append(view.Members, protocol.StoreMember{Process: n.process(), State: n.state})
 	}
-	view.Departed = departures(c.newest, view)
-	c.newest = view
+	view.Departed = departedAfter(c.currentView, view)
+	c.currentView = view
 	for _, n := range members {
 		c.rejoin(n)
 	}
 }
 
 // departures gives who has departed with the view after another, as control agrees on it.
-func departures(last, next protocol.StoreView) (departed []protocol.Process) {
+func departedAfter(last, next protocol.StoreView) (departed []protocol.Process) {
 	before := slices.Clone(last.Departed)
 	for _, member := range last.Members {
 		if member.State != protocol.StoreRetired {
@@ -141,38 +141,38 @@
 }
 
 // noteSettled has control agree that all members stand whole once they have told so.
-func (c *cluster) noteSettled() {
-	if c.newest.Settled {
+func (c *cluster) noteReconciled() {
+	if c.currentView.Settled {
 		return
 	}
-	for _, member := range c.newest.Members {
+	for _, member := range c.currentView.Members {
 		n := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process().Node == member.Node })]
 		report := n.machine.Report()
-		told := n.log != nil && n.process() == member.Process && report.Settled == c.newest.Epoch && report.Missing < c.copies
+		told := n.log != nil && n.process() == member.Process && report.Settled == c.currentView.Epoch && report.Missing < c.copies
 		if !told && member.State != protocol.StoreRetired {
 			return
 		}
 	}
-	c.newest.Settled, c.newest.Departed = true, nil
+	c.currentView.Settled, c.currentView.Departed = true, nil
 	for _, n := range c.nodes {
-		if n.log != nil && !c.isDeaf(n) && n.machine.Epoch() == c.newest.Epoch {
-			n.machine.InstallView(c.newest)
+		if n.log != nil && !c.isUninformed(n) && n.machine.Epoch() == c.currentView.Epoch {
+			n.machine.InstallView(c.currentView)
 		}
 	}
 }
 
-func (c *cluster) isDeaf(n *clusterNode) bool { return c.deaf != nil && c.deaf(n) }
+func (c *cluster) isUninformed(n *clusterNode) bool { return c.uninformed != nil && c.uninformed(n) }
 
 // rejoin tells a process of the newest set, and that it may act in it.
 func (c *cluster) rejoin(n *clusterNode) {
-	if n.log != nil && !c.isDeaf(n) {
-		n.machine.InstallView(c.newest)
-		n.machine.GrantLease(c.newest.Epoch, true, 24*time.Hour)
+	if n.log != nil && !c.isUninformed(n) {
+		n.machine.InstallView(c.currentView)
+		n.machine.GrantLease(c.currentView.Epoch, true, 24*time.Hour)
 	}
 }
 
 // flush makes all that a node wrote durable.
-func (n *clusterNode) flush() (wrote bool) {
+func (n *clusterNode) sync() (wrote bool) {
 	if n.log == nil {
 		return false
 	}
@@ -193,25 +193,25 @@
 }
 
 // settle delivers messages and writes until nothing more comes of them, over some ticks.
-func (c *cluster) settle() {
+func (c *cluster) quiesce() {
 	for range 12 {
 		c.round()
 	}
-	c.calm()
-	c.noteSettled()
+	c.deliverAll()
+	c.noteReconciled()
 	c.checkInvariants()
 }
 
 // round delivers what is on its way and lets some time pass.
 func (c *cluster) round() {
-	c.calm()
+	c.deliverAll()
 	c.now += 300 * time.Millisecond
 	for _, n := range c.nodes {
 		if n.log != nil {
 			n.machine.Tick()
 		}
 	}
-	c.noteSettled()
+	c.noteReconciled()
 }
 
 // checkInvariants fails the test where something that must always hold didn't.
@@ -223,7 +223,7 @@
 	}
 }
 
-func (c *cluster) calm() {
+func (c *cluster) deliverAll() {
 	for busy := true; busy; {
 		busy = false
 		for len(c.messages) > 0 {
@@ -233,13 +233,13 @@
 			c.deliver(next)
 		}
 		for _, n := range c.nodes {
-			busy = n.flush() || busy
+			busy = n.sync() || busy
 		}
 	}
 }
 
 func (c *cluster) deliver(message clusterMessage) {
-	if c.lost != nil && c.lost(message) {
+	if c.drops != nil && c.drops(message) {
 		return
 	}
 	for _, n := range c.nodes {
@@ -256,7 +256,7 @@
 func (n *clusterNode) FreeBytes() int64   { return 1 << 40 }
 func (n *clusterNode) Start(string)       {}
 
-func (n *clusterNode) QueueLimit(string) (int64, bool) { return n.cluster.bound, true }
+func (n *clusterNode) QueueLimit(string) (int64, bool) { return n.cluster.tokenLimit, true }
 
 func (n *clusterNode) Stop(string) {}
 
@@ -277,7 +277,7 @@
 	n.token++
 	token := n.token
 	n.machine.Call(token, call, items)
-	n.cluster.settle()
+	n.cluster.quiesce()
 	return n.answers[token]
 }
 
--- a/internal/batch/replica/damage.go
+++ b/internal/batch/replica/damage.go
@@ -21,22 +21,22 @@
 // takeOrConcede owns a batch job that falls to this store, or gives it to a store that holds a better copy of the newest
 // version. Only the store that would own it does so; so there is one decision in an epoch.
 func (m *StateMachine) ownOrTransfer(id string, found *newestCopies) {
-	h := m.jobs[id]
-	held := h != nil && h.version == found.version
-	if held && !h.corrupt {
-		m.takeOwnership(h)
+	j := m.jobs[id]
+	held := j != nil && j.version == found.version
+	if held && !j.corrupt {
+		m.takeOwnership(j)
 		return
 	}
 	mine := -1
 	if held {
-		mine = len(h.results)
+		mine = len(j.results)
 	}
 	if better := found.betterHolder(m.self, mine); better != "" {
 		m.transferOwnership(id, ownershipTransfer{to: better, version: found.version})
 		return
 	}
 	if held {
-		m.takeOwnership(h)
+		m.takeOwnership(j)
 	}
 }
 
@@ -71,8 +71,8 @@
 	c.sentAt = m.env.Now()
 	m.transfers[id] = c
 	m.owners[id] = c.to
-	if h := m.jobs[id]; h != nil {
-		m.followOwner(h)
+	if j := m.jobs[id]; j != nil {
+		m.followOwner(j)
 	}
 	m.env.Send(member.Process, OwnershipTransfer{Stamp: m.stamp(), Job: id, Version: c.version})
 }
@@ -92,22 +92,22 @@
 	if !m.reconciled {
 		return
 	}
-	h := m.jobs[message.Job]
-	if h == nil || !h.owned && h.version != message.Version { // what the inventory listed was dropped or replaced since
+	j := m.jobs[message.Job]
+	if j == nil || !j.owned && j.version != message.Version { // what the inventory listed was dropped or replaced since
 		m.env.Send(from, ReplicationResponse{Stamp: m.stamp(), Job: message.Job, Version: message.Version})
 		return
 	}
-	if h.owned {
-		m.env.Send(from, OwnerNotice{Stamp: m.stamp(), Job: h.id, Owner: m.self})
-		m.sendReplicationResponse(h, from)
+	if j.owned {
+		m.env.Send(from, OwnerNotice{Stamp: m.stamp(), Job: j.id, Owner: m.self})
+		m.sendReplicationResponse(j, from)
 		return
 	}
-	if h.handedOver { // to the next owner
-		m.sendOwnerNotice(from, h.id)
+	if j.handedOver { // to the next owner
+		m.sendOwnerNotice(from, j.id)
 		return
 	}
 	m.revokeReconciled() // its set has to be made whole first
-	m.takeOwnership(h)
+	m.takeOwnership(j)
 	m.retryParkedCalls()
 }
 
@@ -124,8 +124,8 @@
 
 // forgetPeer forgets what is known of copies at a store that has started again: it may have found them damaged.
 func (m *StateMachine) resetPeer(key placement.Key) {
-	for _, h := range m.order {
-		if p := h.peer(key); h.owned && p != nil {
+	for _, j := range m.order {
+		if p := j.peer(key); j.owned && p != nil {
 			*p = peer{process: p.process}
 			m.revokeReconciled()
 		}
@@ -140,24 +140,24 @@
 }
 
 // rewrite replaces a damaged copy by its sound part, as a whole copy of a new version.
-func (m *StateMachine) rewriteCopy(h *storedJob) {
+func (m *StateMachine) rewriteCopy(j *storedJob) {
 	message := ReplicationRequest{}
-	if !m.fillFullCopy(h, &message, len(h.results)) {
+	if !m.fillFullCopy(j, &message, len(j.results)) {
 		return // neither content nor results can be read: calls wait and are refused, for as long as this store owns it
 	}
-	h.corrupt = false
-	h.versionDurable = false
-	version := h.version
-	record := encodeCopy(h.id, version, h.replicas, h.ended, message.Content, message.Results)
-	h.previousAt = h.oldestLocation()
+	j.corrupt = false
+	j.versionDurable = false
+	version := j.version
+	record := encodeCopy(j.id, version, j.replicas, j.ended, message.Content, message.Results)
+	j.previousAt = j.oldestLocation()
 	at := m.write(record, true, func() {
-		h.previousAt = nil
-		if h.version == version {
-			h.versionDurable = true
-			m.replicateJob(h)
-			m.maybeCommit(h)
+		j.previousAt = nil
+		if j.version == version {
+			j.versionDurable = true
+			m.replicateJob(j)
+			m.maybeCommit(j)
 		}
 	})
-	h.contentAt, h.results = locateCopy(h, record, at)
-	h.progress = nil // what is left of it stands in segments that may go now
+	j.contentAt, j.results = locateCopy(j, record, at)
+	j.progress = nil // what is left of it stands in segments that may go now
 }
--- a/internal/batch/replica/departed.go
+++ b/internal/batch/replica/departed.go
@@ -177,7 +177,7 @@
 
 // awaitsWhole tells that something here ends once all members have told that they stand whole.
 func (m *StateMachine) awaitsAllReconciled() bool {
-	return len(m.departures.incompleteLogs) > 0 || m.retiring || slices.ContainsFunc(m.order, func(h *storedJob) bool { return h.superseded })
+	return len(m.departures.incompleteLogs) > 0 || m.retiring || slices.ContainsFunc(m.order, func(j *storedJob) bool { return j.superseded })
 }
 
 // checkWhole forgets whose logs can't tell what they held, and drops copies that were left behind, once all members stand whole.
@@ -206,9 +206,9 @@
 // dropBehind drops copies of versions that are not the newest: kept for longer than those, one could be taken for the newest
 // later, though the batch job was ended.
 func (m *StateMachine) dropSuperseded() {
-	for _, h := range slices.Clone(m.order) {
-		if h.superseded && !h.owned && h.releasable {
-			m.discard(h)
+	for _, j := range slices.Clone(m.order) {
+		if j.superseded && !j.owned && j.releasable {
+			m.discard(j)
 		}
 	}
 }
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -11,28 +11,28 @@
 // which owns it from then on and fills the others; once that store tells that the set is whole, nothing here is needed.
 
 // handOver chooses the set that a batch job goes to. Its own copy stays as it is, under the old version.
-func (m *StateMachine) startHandover(h *storedJob) {
-	h.peers = nil
-	h.replicated = false
+func (m *StateMachine) startHandover(j *storedJob) {
+	j.peers = nil
+	j.replicated = false
 	var kept []protocol.Process
-	for _, replica := range h.replicas {
+	for _, replica := range j.replicas {
 		member, present := placement.MemberOf(m.view, placement.KeyOf(replica))
 		if present && member.State == protocol.StoreActive {
 			kept = append(kept, replica)
 		}
 	}
-	h.handoverReplicas = placement.Replicas(h.id, m.view, kept, m.options.ReplicationFactor)
-	if len(h.handoverReplicas) < m.options.ReplicationFactor {
-		h.handoverReplicas = nil
-		m.reconfigure(h) // too few are left: it stays until the view changes
+	j.handoverReplicas = placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor)
+	if len(j.handoverReplicas) < m.options.ReplicationFactor {
+		j.handoverReplicas = nil
+		m.reconfigure(j) // too few are left: it stays until the view changes
 		return
 	}
-	m.env.Stop(h.id)
-	h.peers = []peer{{process: h.handoverReplicas[0]}}
+	m.env.Stop(j.id)
+	j.peers = []peer{{process: j.handoverReplicas[0]}}
 }
 
 // handoverVersion is the version of the set that a batch job goes to.
-func (m *StateMachine) handoverVersion(h *storedJob) Version { return h.version.next(m.view.Epoch) }
+func (m *StateMachine) handoverVersion(j *storedJob) Version { return j.version.next(m.view.Epoch) }
 
 func (m *StateMachine) sendHandover(h *storedJob) {
 	p := &h.peers[0]
@@ -56,19 +56,19 @@
 }
 
 // handedOver takes the successor's account.
-func (m *StateMachine) handleHandoverResponse(h *storedJob, from placement.Key, message ReplicationResponse) {
-	p := &h.peers[0]
-	if placement.KeyOf(p.process) != from || h.handedOver {
+func (m *StateMachine) handleHandoverResponse(j *storedJob, from placement.Key, message ReplicationResponse) {
+	p := &j.peers[0]
+	if placement.KeyOf(p.process) != from || j.handedOver {
 		return
 	}
 	p.reported, p.awaitsResponse = true, false
-	p.hasCopy = message.Held && message.Version == m.handoverVersion(h)
+	p.hasCopy = message.Held && message.Version == m.handoverVersion(j)
 	if p.hasCopy && message.Whole {
-		h.handedOver, h.owned = true, false
-		h.peers, h.handoverReplicas = nil, nil
-		m.owners[h.id] = from
-		m.redirectPending(h)
-		m.announceOwner(h.id, from)
+		j.handedOver, j.owned = true, false
+		j.peers, j.handoverReplicas = nil, nil
+		m.owners[j.id] = from
+		m.redirectPending(j)
+		m.announceOwner(j.id, from)
 		m.checkReconciled()
 		return
 	}
@@ -76,29 +76,29 @@
 		p.awaitsResponse = true // asked again later
 		return
 	}
-	m.sendHandover(h)
+	m.sendHandover(j)
 }
 
 // inherit owns a copy that a retiring store handed over.
-func (m *StateMachine) takeHandover(h *storedJob) {
-	if m.jobs[h.id] != h || len(h.replicas) == 0 || placement.KeyOf(h.replicas[0]) != m.self || !m.hasActiveReplicas(h) {
+func (m *StateMachine) takeHandover(j *storedJob) {
+	if m.jobs[j.id] != j || len(j.replicas) == 0 || placement.KeyOf(j.replicas[0]) != m.self || !m.hasActiveReplicas(j) {
 		return
 	}
-	if uint64(h.version)>>versionBits != m.view.Epoch || h.owned {
+	if uint64(j.version)>>versionBits != m.view.Epoch || j.owned {
 		return
 	}
-	h.owned = true
-	m.noteInheritedTokens(h)
+	j.owned = true
+	m.noteInheritedTokens(j)
 	m.revokeReconciled() // its set has to be made whole first
-	delete(m.owners, h.id)
-	h.setReplicas(h.version, h.replicas, m.self)
-	m.announceOwner(h.id, m.self)
-	m.replicateJob(h)
-	m.maybeCommit(h)
+	delete(m.owners, j.id)
+	j.setReplicas(j.version, j.replicas, m.self)
+	m.announceOwner(j.id, m.self)
+	m.replicateJob(j)
+	m.maybeCommit(j)
 }
 
 // locate gives where content and results of a copy stand within its record.
-func locateCopy(h *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
+func locateCopy(j *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
 	r := &job.Decoder{Remaining: record[1:]}
 	_ = r.Text()
 	readReplicas(r)
--- a/internal/batch/replica/held.go
+++ b/internal/batch/replica/held.go
@@ -99,39 +99,39 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &storedJob{
+	j := &storedJob{
 		id: content.ID, tenant: content.Tenant, route: content.Route, firstSent: content.FirstSent,
 		contentAt: at,
 		items:     make([]storedItem, len(spans)),
 	}
 	for i := range spans {
-		h.items[i] = storedItem{id: content.Items[i].ID, span: spans[i], tokens: content.Items[i].Tokens}
-		h.queuedTokens += int64(content.Items[i].Tokens)
+		j.items[i] = storedItem{id: content.Items[i].ID, span: spans[i], tokens: content.Items[i].Tokens}
+		j.queuedTokens += int64(content.Items[i].Tokens)
 	}
-	return h, nil
+	return j, nil
 }
 
 // list adds a result at the next position.
-func (h *storedJob) appendResult(result storedResult) {
-	if h.items[result.item].finished {
+func (j *storedJob) appendResult(result storedResult) {
+	if j.items[result.item].finished {
 		panic("replica: an item at two positions")
 	}
-	h.markFinished(int(result.item))
-	delete(h.progress, int(result.item))
-	h.results = append(h.results, result)
+	j.markFinished(int(result.item))
+	delete(j.progress, int(result.item))
+	j.results = append(j.results, result)
 }
 
 // markListed notes that an item waits no longer.
-func (h *storedJob) markFinished(index int) {
-	item := &h.items[index]
+func (j *storedJob) markFinished(index int) {
+	item := &j.items[index]
 	if !item.finished {
 		item.finished = true
-		h.queuedTokens -= int64(item.tokens)
+		j.queuedTokens -= int64(item.tokens)
 	}
 }
 
 // complete tells whether all items are listed.
-func (h *storedJob) allFinished() bool { return len(h.results) == len(h.items) }
+func (j *storedJob) allFinished() bool { return len(j.results) == len(j.items) }
 
 func (h *storedJob) peer(key placement.Key) *peer {
 	for i := range h.peers {
@@ -143,19 +143,19 @@
 }
 
 // setReplicas takes a replica set of which self is the owner; nothing is known of the others.
-func (h *storedJob) setReplicas(version Version, replicas []protocol.Process, self placement.Key) {
-	h.version, h.replicas = version, replicas
-	h.peers = nil
+func (j *storedJob) setReplicas(version Version, replicas []protocol.Process, self placement.Key) {
+	j.version, j.replicas = version, replicas
+	j.peers = nil
 	for _, replica := range replicas {
 		if placement.KeyOf(replica) != self {
-			h.peers = append(h.peers, peer{process: replica})
+			j.peers = append(j.peers, peer{process: replica})
 		}
 	}
-	h.replicated = false
+	j.replicated = false
 }
 
 // awaitsOwner tells that this copy was left behind, and that it isn't known yet whether all of the newer set hold theirs.
-func (h *storedJob) awaitsRelease() bool { return h.superseded && !h.owned && !h.releasable }
+func (j *storedJob) awaitsRelease() bool { return j.superseded && !j.owned && !j.releasable }
 
 // oldest gives the first place in the log that this copy, or the one that it replaces, needs.
 func (h *storedJob) oldestLocation() *wal.Location {
@@ -167,16 +167,16 @@
 }
 
 // stood tells whether all replicas are known to hold it with all that was shown.
-func (h *storedJob) isFullyReplicated() bool {
-	whole, shown, _ := h.onAllReplicas()
-	return h.replicated && whole && shown >= h.committedResults
+func (j *storedJob) isFullyReplicated() bool {
+	whole, shown, _ := j.onAllReplicas()
+	return j.replicated && whole && shown >= j.committedResults
 }
 
 // standing gives what is on all replicas: the content, a count of results, the end.
-func (h *storedJob) onAllReplicas() (whole bool, shown int, ended bool) {
-	whole, shown, ended = h.versionDurable, h.durableResults, h.endedDurable
-	for i := range h.peers {
-		p := &h.peers[i]
+func (j *storedJob) onAllReplicas() (whole bool, shown int, ended bool) {
+	whole, shown, ended = j.versionDurable, j.durableResults, j.endedDurable
+	for i := range j.peers {
+		p := &j.peers[i]
 		whole = whole && p.reported && p.hasCopy
 		if !p.reported || !p.hasCopy {
 			shown, ended = 0, false
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -29,7 +29,7 @@
 	late     bool
 	lost     map[int]bool // machines that were lost or went away since all stood whole
 	away     map[int]bool
-	gone     map[int]bool // retired and taken away
+	removed  map[int]bool // retired and taken away
 	accepted []string
 	events   []string
 	failure  string
@@ -39,9 +39,9 @@
 	allowed := 1 + int(seed%2)
 	h := &lossHistory{
 		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)), seed: seed, allowed: allowed, late: late,
-		lost: map[int]bool{}, away: map[int]bool{}, gone: map[int]bool{},
+		lost: map[int]bool{}, away: map[int]bool{}, removed: map[int]bool{},
 	}
-	h.cluster.settle()
+	h.cluster.quiesce()
 	return h
 }
 
@@ -56,9 +56,9 @@
 }
 
 // there gives the machines that are neither away nor gone.
-func (h *lossHistory) there() (list []*clusterNode) {
+func (h *lossHistory) remaining() (list []*clusterNode) {
 	for _, n := range h.nodes {
-		if !h.away[n.number] && !h.gone[n.number] {
+		if !h.away[n.number] && !h.removed[n.number] {
 			list = append(list, n)
 		}
 	}
@@ -69,13 +69,13 @@
 
 // change has control agree on the set of those that are there; now and then a view before it was told to nobody. Late histories
 // have some of them hear of it only after the others have gone on, with messages lost meanwhile.
-func (h *lossHistory) change() {
+func (h *lossHistory) changeMembers() {
 	if h.chance(3) {
 		h.epoch++
 	}
-	list := h.there()
+	list := h.remaining()
 	if !h.late {
-		h.cluster.view(list...)
+		h.cluster.installView(list...)
 		return
 	}
 	var unaware []*clusterNode
@@ -84,13 +84,13 @@
 			unaware = append(unaware, n)
 		}
 	}
-	h.deaf = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
-	h.cluster.view(list...)
-	h.cluster.lost = func(clusterMessage) bool { return h.chance(8) }
+	h.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
+	h.cluster.installView(list...)
+	h.cluster.drops = func(clusterMessage) bool { return h.chance(8) }
 	for range h.random.IntN(4) {
 		h.round()
 	}
-	h.deaf = nil
+	h.uninformed = nil
 	for _, n := range unaware {
 		if !h.chance(3) {
 			h.rejoin(n)
@@ -99,36 +99,36 @@
 }
 
 // settle has all hear of the newest set and come to rest.
-func (h *lossHistory) settle() {
-	h.cluster.lost, h.deaf = nil, nil
-	for _, n := range h.there() {
+func (h *lossHistory) settleAll() {
+	h.cluster.drops, h.uninformed = nil, nil
+	for _, n := range h.remaining() {
 		h.rejoin(n)
 	}
-	h.cluster.settle()
-	if h.newest.Settled && len(h.newest.Members) == len(h.there()) {
+	h.cluster.quiesce()
+	if h.currentView.Settled && len(h.currentView.Members) == len(h.remaining()) {
 		clear(h.lost)
 	}
 }
 
 // step has the next thing happen.
 func (h *lossHistory) step() {
-	list := h.there()
+	list := h.remaining()
 	n := list[h.random.IntN(len(list))]
 	switch kind := h.random.IntN(11); {
 	case kind <= 1 && len(h.lost) < h.allowed && len(list) > h.allowed+1:
 		h.note("%s goes away", n.key())
 		n.kill()
 		h.away[n.number], h.lost[n.number] = true, true
-		h.change()
+		h.changeMembers()
 	case kind == 2 && len(h.lost) < h.allowed:
 		h.note("%s loses its disk", n.key())
 		h.lost[n.number] = true
 		n.wipe()
 		n.start()
-		h.change()
+		h.changeMembers()
 	case kind == 3 && len(h.away) > 0:
-		h.comeBack(h.firstAway())
-		h.change()
+		h.returns(h.firstAway())
+		h.changeMembers()
 	case kind == 4:
 		h.note("all processes start again")
 		for _, n := range list {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-func (h *lossHistory) comeBack(n *clusterNode) {
+func (h *lossHistory) returns(n *clusterNode) {
 	h.note("%s comes back", n.key())
 	delete(h.away, n.number)
 	n.start()
@@ -185,19 +185,19 @@
 		h.away[n.number] = true
 	}
 	for i, n := range list {
-		h.comeBack(n)
+		h.returns(n)
 		if i == len(list)-1 || h.chance(2) {
-			h.change()
+			h.changeMembers()
 		}
 		if h.chance(3) {
-			h.cluster.settle()
+			h.cluster.quiesce()
 		}
-		h.askFor(n)
+		h.checkNotDenied(n)
 	}
 }
 
 // askFor asks a store, which may be one of the first that are back, for a batch job that was accepted.
-func (h *lossHistory) askFor(n *clusterNode) {
+func (h *lossHistory) checkNotDenied(n *clusterNode) {
 	if len(h.accepted) == 0 || !h.chance(3) {
 		return
 	}
@@ -213,28 +213,28 @@
 	h.note("%s is added", n.key())
 	h.nodes = append(h.nodes, n)
 	n.start()
-	h.change()
+	h.changeMembers()
 }
 
 // retire empties a store and takes it away, where all are there.
 func (h *lossHistory) retire(n *clusterNode) {
 	h.note("%s is to be emptied", n.key())
 	n.state = protocol.StoreRetiring
-	h.change()
-	h.settle()
-	h.settle()
+	h.changeMembers()
+	h.settleAll()
+	h.settleAll()
 	if !n.machine.Report().DrainedDown {
 		h.failf("%s isn't emptied", n.key())
 		return
 	}
 	n.state = protocol.StoreRetired
-	h.change()
+	h.changeMembers()
 	if h.chance(2) {
-		h.cluster.settle()
+		h.cluster.quiesce()
 	}
 	n.wipe()
-	h.gone[n.number] = true
-	h.change()
+	h.removed[n.number] = true
+	h.changeMembers()
 }
 
 func (h *lossHistory) submit(n *clusterNode) {
@@ -252,26 +252,26 @@
 	for range lossSteps {
 		h.step()
 		if !h.chance(4) {
-			h.settle()
+			h.settleAll()
 		}
 	}
 	for n := h.firstAway(); n != nil; n = h.firstAway() {
-		h.comeBack(n)
+		h.returns(n)
 	}
-	h.change()
-	h.settle()
-	h.settle()
+	h.changeMembers()
+	h.settleAll()
+	h.settleAll()
 	for _, id := range h.accepted {
-		if _, status := h.there()[0].readAnywhere(id); status != 200 {
+		if _, status := h.remaining()[0].readAnywhere(id); status != 200 {
 			h.failf("%s is answered with %d", id, status)
 		}
 	}
-	for _, n := range h.there() {
+	for _, n := range h.remaining() {
 		if standing := n.machine.Status(); !standing.Reconciled() {
 			h.failf("%s hasn't settled: %+v", n.key(), standing)
 		}
 	}
-	if !h.newest.Settled {
+	if !h.currentView.Settled {
 		h.failf("control hasn't heard that all stand whole")
 	}
 }
--- a/internal/batch/replica/machine.go
+++ b/internal/batch/replica/machine.go
@@ -204,23 +204,23 @@
 }
 
 // keep holds a batch job, in place of an earlier copy.
-func (m *StateMachine) putJob(h *storedJob) {
-	if old := m.jobs[h.id]; old != nil {
-		m.order[slices.Index(m.order, old)] = h
+func (m *StateMachine) putJob(j *storedJob) {
+	if old := m.jobs[j.id]; old != nil {
+		m.order[slices.Index(m.order, old)] = j
 	} else {
-		m.order = append(m.order, h)
+		m.order = append(m.order, j)
 	}
-	m.jobs[h.id] = h
+	m.jobs[j.id] = j
 }
 
 // drop forgets a batch job.
 func (m *StateMachine) removeJob(id string) {
-	h := m.jobs[id]
-	if h == nil {
+	j := m.jobs[id]
+	if j == nil {
 		return
 	}
 	delete(m.jobs, id)
-	m.order = slices.DeleteFunc(m.order, func(other *storedJob) bool { return other == h })
+	m.order = slices.DeleteFunc(m.order, func(other *storedJob) bool { return other == j })
 }
 
 func (m *StateMachine) stamp() Stamp {
@@ -310,7 +310,7 @@
 
 // learn notes who owns a batch job that is not owned here.
 func (m *StateMachine) noteOwner(id string, owner placement.Key) {
-	if h := m.jobs[id]; h != nil && h.owned {
+	if j := m.jobs[id]; j != nil && j.owned {
 		return
 	}
 	if _, present := placement.MemberOf(m.view, owner); present && owner != m.self {
@@ -339,59 +339,59 @@
 
 // Work gives a batch job's items that are not listed, where this store may run them.
 func (m *StateMachine) Work(id string) (Job, bool) {
-	h := m.jobs[id]
-	if h == nil || !h.owned || h.ended {
+	j := m.jobs[id]
+	if j == nil || !j.owned || j.ended {
 		return Job{}, false
 	}
-	work := Job{ID: h.id, Tenant: h.tenant, Route: h.route, FirstSent: h.firstSent}
-	for i := range h.items {
-		if !h.items[i].finished {
-			work.Items = append(work.Items, JobItem{Index: i, At: h.itemLocation(i), Progress: h.progressOfItem(i)})
+	work := Job{ID: j.id, Tenant: j.tenant, Route: j.route, FirstSent: j.firstSent}
+	for i := range j.items {
+		if !j.items[i].finished {
+			work.Items = append(work.Items, JobItem{Index: i, At: j.itemLocation(i), Progress: j.progressOfItem(i)})
 		}
 	}
 	return work, true
 }
 
-func (h *storedJob) progressOfItem(index int) Progress {
-	if known, started := h.progress[index]; started {
+func (j *storedJob) progressOfItem(index int) Progress {
+	if known, started := j.progress[index]; started {
 		return known
 	}
 	return Progress{Last: -1}
 }
 
-func (h *storedJob) itemLocation(index int) wal.Location {
-	return h.contentAt.Part(h.items[index].span.Offset, h.items[index].span.Length)
+func (j *storedJob) itemLocation(index int) wal.Location {
+	return j.contentAt.Part(j.items[index].span.Offset, j.items[index].span.Length)
 }
 
 // MayRun tells whether an item may go to a server now. It is asked right before its first byte.
 func (m *StateMachine) MayRun(id string, index int) bool {
-	h := m.jobs[id]
-	return m.MayAct() && h != nil && h.owned && h.replicated && !h.ended && len(h.handoverReplicas) == 0 && !h.items[index].finished
+	j := m.jobs[id]
+	return m.MayAct() && j != nil && j.owned && j.replicated && !j.ended && len(j.handoverReplicas) == 0 && !j.items[index].finished
 }
 
 // Finish lists what became of an item. It tells whether it was taken; where it wasn't, ask again unless the batch job was
 // stopped.
 func (m *StateMachine) Finish(id string, index int, state job.State, text []byte) bool {
-	h := m.jobs[id]
-	if h == nil || !h.owned || !h.replicated || h.ended || !m.isMember {
+	j := m.jobs[id]
+	if j == nil || !j.owned || !j.replicated || j.ended || !m.isMember {
 		return false
 	}
-	if h.items[index].finished {
+	if j.items[index].finished {
 		return true
 	}
 	result := &Result{Item: index, State: byte(state), Text: text}
-	position := len(h.results)
+	position := len(j.results)
 	record := encodeResult(id, position, result)
 	at := m.write(record, false, func() {
-		h.durableResults = max(h.durableResults, position+1)
-		m.replicateJob(h)
-		m.maybeCommit(h)
+		j.durableResults = max(j.durableResults, position+1)
+		m.replicateJob(j)
+		m.maybeCommit(j)
 	})
-	h.appendResult(storedResult{item: int32(index), state: state, at: at.Part(uint32(len(record)-len(text)), uint32(len(text)))})
-	if h.uncommitted == nil {
-		h.uncommitted = map[int]*Result{}
+	j.appendResult(storedResult{item: int32(index), state: state, at: at.Part(uint32(len(record)-len(text)), uint32(len(text)))})
+	if j.uncommitted == nil {
+		j.uncommitted = map[int]*Result{}
 	}
-	h.uncommitted[position] = result
+	j.uncommitted[position] = result
 	return true
 }
 
--- a/internal/batch/replica/missing_test.go
+++ b/internal/batch/replica/missing_test.go
@@ -14,7 +14,7 @@
 // This file tests what is due to stores that left the view, and to copies that were left behind.
 
 // others gives the nodes that are none of these.
-func (c *cluster) others(nodes ...*clusterNode) []*clusterNode {
+func (c *cluster) except(nodes ...*clusterNode) []*clusterNode {
 	var list []*clusterNode
 	for _, n := range c.nodes {
 		found := false
@@ -35,16 +35,16 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0, 1)
-		c.settle()
-		rest := c.others(owner, replica)
+		c.quiesce()
+		rest := c.except(owner, replica)
 		for _, n := range c.nodes { // all lose power, and these two come back late
 			n.losePower()
 		}
 		for _, n := range rest {
 			n.start()
 		}
-		c.view(rest...)
-		c.settle()
+		c.installView(rest...)
+		c.quiesce()
 		rest[0].machine.Call(77, protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "job", Tenant: "t"}, nil)
 		So(rest[0].answers[77].Status, ShouldEqual, 503)      // at once
 		So(rest[1].submit("new", 4).Status, ShouldEqual, 503) // it can't be told apart
@@ -58,8 +58,8 @@
 		So(rest[0].machine.acceptances["job"].votes, ShouldBeEmpty)
 		delete(rest[0].machine.acceptances, "job")
 		owner.start()
-		c.view(append(rest, owner)...)
-		c.settle()
+		c.installView(append(rest, owner)...)
+		c.quiesce()
 		So(rest[0].submit("new", 4).Status, ShouldEqual, 202)
 		texts, status := rest[0].readAnywhere("job")
 		So(status, ShouldEqual, 200)
@@ -70,9 +70,9 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0, 1)
-		c.settle()
-		rest := c.others(owner)
-		second := c.others(owner, replica)[0]
+		c.quiesce()
+		rest := c.except(owner)
+		second := c.except(owner, replica)[0]
 		for _, n := range c.nodes {
 			n.losePower()
 		}
@@ -81,17 +81,17 @@
 				n.start()
 			}
 		}
-		c.view(c.others(owner, second)...)
-		c.settle()
-		for _, n := range c.others(owner, second) {
+		c.installView(c.except(owner, second)...)
+		c.quiesce()
+		for _, n := range c.except(owner, second) {
 			answer := n.submit("job", 4)
 			So(answer.Status, ShouldNotEqual, 202)
 			So(answer.Owner, ShouldBeIn, "", replica.process().IP)
 			So(n.machine.Report().Settled, ShouldBeLessThan, c.epoch) // a batch job stands on one disk
 		}
 		second.start()
-		c.view(rest...)
-		c.settle()
+		c.installView(rest...)
+		c.quiesce()
 		texts, status := rest[0].readAnywhere("job")
 		So(status, ShouldEqual, 200)
 		So(texts, ShouldResemble, []string{"0", "1"})
@@ -100,19 +100,19 @@
 }
 
 // TestLeftBehind has a copy left behind by a store that comes back after its place was taken.
-func TestLeftBehind(t *testing.T) {
+func TestSupersededReplica(t *testing.T) {
 	Convey("A copy that was left behind goes once all stand whole, and can't outlive the batch job", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		c.view(c.others(replica)...)
-		c.settle()
-		third := c.others(owner, replica)[0]
+		c.installView(c.except(replica)...)
+		c.quiesce()
+		third := c.except(owner, replica)[0]
 		So(third.machine.jobs["job"].version, ShouldEqual, owner.machine.jobs["job"].version)
 		So(replica.machine.jobs["job"].version, ShouldBeLessThan, owner.machine.jobs["job"].version)
-		c.view(c.nodes...)
+		c.installView(c.nodes...)
 		So(replica.machine.jobs["job"], ShouldNotBeNil) // it is there until all stand whole
-		c.settle()
+		c.quiesce()
 		So(replica.machine.jobs["job"], ShouldBeNil)
 		replica.kill()
 		replica.start()
@@ -129,89 +129,89 @@
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0)
-		c.settle()
+		c.quiesce()
 		c.now += 59 * time.Minute
 		replica.kill()
-		c.view(owner)
-		c.settle()
+		c.installView(owner)
+		c.quiesce()
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		c.now += 2 * time.Minute // it is over, who is missing is still of interest
-		c.settle()
+		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
 }
 
 // leftBehind has a store start again that was away while its batch job was closed without it; it has heard of no view yet.
-func leftBehind() (c *cluster, owner, replica *clusterNode) {
+func newSupersededReplica() (c *cluster, owner, replica *clusterNode) {
 	c = newCluster(3, 2, 1)
 	So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 	owner, replica = c.owner("job"), c.replicaOf("job")
 	replica.kill()
-	c.view(c.others(replica)...)
-	c.settle()
+	c.installView(c.except(replica)...)
+	c.quiesce()
 	owner.finish("job", 0)
-	c.settle()
+	c.quiesce()
 	replica.start()
 	return c, owner, replica
 }
 
 // TestDroppedElsewhere has a copy be left behind of a batch job that its owner has dropped since.
-func TestDroppedElsewhere(t *testing.T) {
+func TestExpiredAtOwner(t *testing.T) {
 	Convey("A copy that was left behind goes with the batch job, also where it doesn't know that it was closed", t, func() {
-		c, owner, replica := leftBehind()
-		c.lost = func(m clusterMessage) bool {
+		c, owner, replica := newSupersededReplica()
+		c.drops = func(m clusterMessage) bool {
 			_, told := m.body.(ReplicationResponse)
 			return told && m.to == replica.key()
 		}
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(replica.machine.jobs["job"].awaitsRelease(), ShouldBeTrue)
 		So(replica.machine.Status().Reconciled(), ShouldBeFalse)
 		So(replica.machine.Status().Superseded, ShouldEqual, 1)
 		c.now += time.Hour
-		c.settle()
+		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 		So(replica.machine.jobs["job"], ShouldNotBeNil)
-		c.lost = nil
-		c.settle()
+		c.drops = nil
+		c.quiesce()
 		So(replica.machine.jobs["job"], ShouldBeNil)
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 	})
 }
 
 // TestDroppedWhileKept has a copy stay that could go, as not all have told that they stand whole, until the batch job's time is over.
-func TestDroppedWhileKept(t *testing.T) {
+func TestSupersededReplicaExpires(t *testing.T) {
 	Convey("A copy that was left behind doesn't outlive the batch job", t, func() {
-		c, owner, replica := leftBehind()
-		c.lost = func(m clusterMessage) bool {
+		c, owner, replica := newSupersededReplica()
+		c.drops = func(m clusterMessage) bool {
 			_, notice := m.body.(ReconciledNotice)
 			return notice && m.to == replica.key()
 		}
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(replica.machine.jobs["job"].releasable, ShouldBeTrue)
 		c.now += time.Hour
-		c.settle()
+		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 		So(replica.machine.jobs["job"], ShouldBeNil)
 	})
 }
 
 // TestBlankStore has a store with an empty disk be the first to come back.
-func TestBlankStore(t *testing.T) {
+func TestEmptyDisk(t *testing.T) {
 	Convey("A store whose disk was lost denies nothing while more are missing than copies but one", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		rest := c.others(owner, replica)
+		rest := c.except(owner, replica)
 		for _, n := range c.nodes {
 			n.losePower()
 		}
 		owner.wipe()
 		owner.start()
-		c.view(owner)
-		c.settle()
+		c.installView(owner)
+		c.quiesce()
 		deny := func(n *clusterNode) bool {
 			_, status := n.read("job")
 			So(status, ShouldBeIn, 404, 503)
@@ -221,12 +221,12 @@
 		So(owner.machine.tooManyDeparted(), ShouldBeTrue)
 		owner.kill() // nor after a further start
 		owner.start()
-		c.view(owner)
-		c.settle()
+		c.installView(owner)
+		c.quiesce()
 		So(deny(owner), ShouldBeFalse)
 		rest[0].start()
-		c.view(owner, rest[0])
-		c.settle()
+		c.installView(owner, rest[0])
+		c.quiesce()
 		for _, n := range []*clusterNode{owner, rest[0]} { // its former disk is missing, too
 			So(n.machine.departures.stores, ShouldHaveLength, 3)
 			So(n.machine.departures.countDeparted(), ShouldEqual, 3)
@@ -234,8 +234,8 @@
 		So(deny(owner) || deny(rest[0]), ShouldBeFalse)
 		replica.start()
 		rest[1].start()
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		_, status := owner.readAnywhere("job")
 		So(status, ShouldEqual, 200)
 		_, status = owner.read("no-such-job")
@@ -246,37 +246,37 @@
 		n := c.nodes[0]
 		n.wipe()
 		n.start()
-		c.view(n)
-		c.settle()
+		c.installView(n)
+		c.quiesce()
 		_, status := n.read("no-such-job")
 		So(status, ShouldEqual, 503)
 		c.now += time.Hour
-		c.settle()
+		c.quiesce()
 		_, status = n.read("no-such-job")
 		So(status, ShouldEqual, 404)
 	})
 }
 
 // TestForgottenTogether has one store miss the word that all stand whole, right before the next loss.
-func TestForgottenTogether(t *testing.T) {
+func TestMissedReconciledNotice(t *testing.T) {
 	Convey("A store that wasn't told that all stand whole misses nobody who left before, once the next one leaves", t, func() {
 		c := newCluster(5, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		first := c.others(owner, replica)[0]
+		first := c.except(owner, replica)[0]
 		first.kill()
-		c.deaf = func(n *clusterNode) bool { return n == replica }
-		c.view(c.others(first)...)
-		replica.machine.InstallView(c.newest)
+		c.uninformed = func(n *clusterNode) bool { return n == replica }
+		c.installView(c.except(first)...)
+		replica.machine.InstallView(c.currentView)
 		replica.machine.GrantLease(c.epoch, true, time.Hour)
-		c.settle()
+		c.quiesce()
 		So(owner.machine.departures.stores, ShouldBeEmpty)
 		So(replica.machine.departures.stores, ShouldHaveLength, 1)
-		c.deaf = nil
+		c.uninformed = nil
 		owner.kill() // the next loss
-		c.view(c.others(first, owner)...)
+		c.installView(c.except(first, owner)...)
 		So(replica.machine.departures.missingStores(), ShouldResemble, []placement.Key{owner.key()})
-		c.settle()
+		c.quiesce()
 		So(c.owner("job") == replica, ShouldBeTrue)
 		_, status := replica.read("job")
 		So(status, ShouldEqual, 200)
@@ -287,13 +287,13 @@
 		first := c.nodes[8]
 		first.wipe()
 		first.start()
-		c.deaf = func(n *clusterNode) bool { return n == c.nodes[3] }
-		c.view(c.nodes...)
-		c.nodes[3].machine.InstallView(c.newest)
+		c.uninformed = func(n *clusterNode) bool { return n == c.nodes[3] }
+		c.installView(c.nodes...)
+		c.nodes[3].machine.InstallView(c.currentView)
 		c.nodes[3].machine.GrantLease(c.epoch, true, time.Hour)
-		c.settle()
-		c.deaf = nil
-		So(c.newest.Settled, ShouldBeTrue)
+		c.quiesce()
+		c.uninformed = nil
+		So(c.currentView.Settled, ShouldBeTrue)
 		So(c.nodes[3].machine.departures.stores, ShouldHaveLength, 1)
 		var ids []string
 		for i := range 20 {
@@ -307,8 +307,8 @@
 			}
 			n.start()
 		}
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		for _, n := range c.nodes {
 			So(n.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
 		}
@@ -329,8 +329,8 @@
 			for _, n := range news { // as long as nobody is a member but away, and one that stays
 				n.kill()
 			}
-			c.view(away...)
-			c.settle()
+			c.installView(away...)
+			c.quiesce()
 			for _, n := range away[1:] {
 				n.losePower()
 			}
@@ -338,16 +338,16 @@
 				n.wipe()
 				n.start()
 			}
-			c.view(append(news, away[0])...)
-			c.settle()
+			c.installView(append(news, away[0])...)
+			c.quiesce()
 			for _, n := range append(news, away[0]) {
 				n.losePower()
 			}
 			for _, n := range away[1:] {
 				n.start()
 			}
-			c.view(away[1:]...)
-			c.settle()
+			c.installView(away[1:]...)
+			c.quiesce()
 			for _, n := range away[1:] {
 				So(n.machine.departures.countDeparted(), ShouldEqual, copies+1)
 				_, status := n.read("no-such-job")
@@ -358,21 +358,21 @@
 	Convey("Two disks of one machine count as one", t, func() {
 		c := newCluster(5, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
-		c.settle()
-		twice := c.others(c.owner("job"))[0]
+		c.quiesce()
+		twice := c.except(c.owner("job"))[0]
 		for range 2 {
 			twice.wipe()
 			twice.start()
-			c.view(c.nodes...)
+			c.installView(c.nodes...)
 		}
-		second := c.others(c.owner("job"), twice)[0]
+		second := c.except(c.owner("job"), twice)[0]
 		second.wipe()
 		second.start()
-		c.view(c.nodes...)
-		n := c.others(twice, second)[0]
+		c.installView(c.nodes...)
+		n := c.except(twice, second)[0]
 		So(n.machine.departures.stores, ShouldHaveLength, 3)
 		So(n.machine.departures.countDeparted(), ShouldEqual, 2)
-		c.settle()
+		c.quiesce()
 		for _, n := range c.nodes {
 			So(n.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
 		}
@@ -388,30 +388,30 @@
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		second := c.others(owner, replica)[0]
+		second := c.except(owner, replica)[0]
 		owner.kill()
 		second.kill()
-		c.view(c.others(owner, second)...)
-		c.settle()
+		c.installView(c.except(owner, second)...)
+		c.quiesce()
 		So(replica.machine.Status().Unowned, ShouldEqual, 1)
 		return c, replica
 	}
 	Convey("It owns what it has once they have been missing for as long as batch jobs are kept", t, func() {
 		c, replica := waiting()
 		c.now += time.Hour + time.Minute
-		c.settle()
+		c.quiesce()
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
 	Convey("And once control has agreed that all stand whole without them", t, func() {
 		c, replica := waiting()
-		c.newest.Settled, c.newest.Departed = true, nil
+		c.currentView.Settled, c.currentView.Departed = true, nil
 		for _, n := range c.nodes {
 			if n.log != nil {
-				n.machine.InstallView(c.newest)
+				n.machine.InstallView(c.currentView)
 			}
 		}
-		c.settle()
+		c.quiesce()
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
@@ -420,7 +420,7 @@
 		n := c.nodes[0]
 		n.wipe()
 		n.start()
-		c.view(c.nodes...)
+		c.installView(c.nodes...)
 		other := c.nodes[1].machine
 		other.departures.noteLog(n.key(), true, c.now)
 		So(other.departures.stores, ShouldHaveLength, 1)
@@ -437,12 +437,12 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, leaving := c.owner("job"), c.replicaOf("job")
 		leaving.state = protocol.StoreRetiring
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(leaving.machine.drained(), ShouldBeTrue)
 		taker := c.replicaOf("job")
 		So(taker == leaving, ShouldBeFalse)
-		taker.inject(encodeDropped("job")) // what it had is gone
+		taker.injectRecords(encodeDropped("job")) // what it had is gone
 		c.rejoin(taker)
 		ask := func() bool {
 			c.messages = nil
@@ -454,38 +454,38 @@
 		owner.machine.Receive(taker.process(), InventoryRequest{Stamp: taker.machine.stamp()})
 		So(ask(), ShouldBeFalse)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
-		c.settle()
+		c.quiesce()
 		So(ask(), ShouldBeTrue)
 		So(taker.machine.jobs["job"], ShouldNotBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 		owner.wipe() // the disk that goes right after
-		c.view(c.others(owner)...)
-		c.settle()
+		c.installView(c.except(owner)...)
+		c.quiesce()
 		_, status := taker.read("job")
 		So(status, ShouldEqual, 200)
 	})
 }
 
 // TestEmptiedIsKnown has a store leave as planned while others are away.
-func TestEmptiedIsKnown(t *testing.T) {
+func TestDrainedStoreIsNotMissed(t *testing.T) {
 	Convey("A store counts as emptied once all others have told that they stand whole, and is missed by nobody then", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
-		leaving := c.others(c.owner("job"), c.replicaOf("job"))[0]
-		other := c.others(leaving)[0]
-		c.lost = func(m clusterMessage) bool { return m.to == other.key() }
+		leaving := c.except(c.owner("job"), c.replicaOf("job"))[0]
+		other := c.except(leaving)[0]
+		c.drops = func(m clusterMessage) bool { return m.to == other.key() }
 		leaving.state = protocol.StoreRetiring
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // nothing is known of what the other holds
-		c.lost = nil
-		c.settle()
+		c.drops = nil
+		c.quiesce()
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 		leaving.state = protocol.StoreRetired
-		c.view(c.nodes...)
+		c.installView(c.nodes...)
 		leaving.wipe()
-		c.view(c.others(leaving)...)
-		for _, n := range c.others(leaving) {
+		c.installView(c.except(leaving)...)
+		for _, n := range c.except(leaving) {
 			n.losePower()
 			n.start()
 			c.rejoin(n)
@@ -496,22 +496,22 @@
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner, away := c.owner("job"), c.replicaOf("job")
-		leaving, rest := c.others(owner, away)[0], c.others(owner, away)[1]
+		leaving, rest := c.except(owner, away)[0], c.except(owner, away)[1]
 		away.kill()
 		leaving.state = protocol.StoreRetiring
-		c.view(owner, leaving, rest)
+		c.installView(owner, leaving, rest)
 		owner.machine.disown(owner.machine.jobs["job"]) // it is not made whole before the disk goes
 		owner.wipe()
-		c.view(leaving, rest)
-		c.settle()
+		c.installView(leaving, rest)
+		c.quiesce()
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 		leaving.state = protocol.StoreRetired
-		c.view(leaving, rest)
+		c.installView(leaving, rest)
 		away.start() // with the only copy
-		c.view(away, rest)
+		c.installView(away, rest)
 		So(away.machine.departures.stores, ShouldHaveLength, 1)
 		So(rest.machine.departures.stores, ShouldHaveLength, 1)
-		c.settle()
+		c.quiesce()
 		_, status := away.readAnywhere("job")
 		So(status, ShouldEqual, 200)
 	})
@@ -525,38 +525,38 @@
 			So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 			owner, replica := c.owner("job"), c.replicaOf("job")
 			owner.finish("job", 0)
-			c.settle()
-			leaving := c.others(owner, replica)[0]
+			c.quiesce()
+			leaving := c.except(owner, replica)[0]
 			gone, stays := owner, replica
 			if lost == 1 {
 				gone, stays = replica, owner
 			}
 			leaving.state = protocol.StoreRetiring
-			c.view(c.nodes...)
-			c.settle()
+			c.installView(c.nodes...)
+			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 			gone.wipe()
-			c.view(leaving, stays)
-			c.settle()
+			c.installView(leaving, stays)
+			c.quiesce()
 			texts, status := stays.readAnywhere("job")
 			So(status, ShouldEqual, 200)
 			So(texts, ShouldResemble, []string{"0"})
 			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // it is needed again
 			So(stays.machine.Report().Settled, ShouldEqual, c.epoch)
 			gone.start()
-			c.view(c.nodes...)
-			c.settle()
+			c.installView(c.nodes...)
+			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
-			c.view(c.nodes...)
+			c.installView(c.nodes...)
 			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // what the others told in the last epoch counts no more
-			c.lost = func(m clusterMessage) bool {
+			c.drops = func(m clusterMessage) bool {
 				_, notice := m.body.(ReconciledNotice)
 				return notice && m.to == leaving.key()
 			}
-			c.settle()
+			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeFalse)
-			c.lost = nil
-			c.settle()
+			c.drops = nil
+			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 			So(gone.machine.jobs["job"].durableResults, ShouldEqual, 1)
 			So(stays.machine.jobs["job"].durableResults, ShouldEqual, 1)
--- a/internal/batch/replica/norace_test.go
+++ b/internal/batch/replica/norace_test.go
@@ -4,6 +4,6 @@
 
 // plainWorlds is the number of random worlds that are played by default, plainKinds that of each kind of trouble.
 const (
-	plainWorlds = 200
-	plainKinds  = 10
+	defaultSeeds         = 200
+	defaultSeedsPerFault = 10
 )
--- a/internal/batch/replica/progress.go
+++ b/internal/batch/replica/progress.go
@@ -18,8 +18,8 @@
 
 // Progress keeps events of a running item: those that follow the event with the id after, up to the one with the id last.
 func (m *StateMachine) SaveProgress(id string, index int, after, last int64, events [][]byte) {
-	h := m.jobs[id]
-	if h == nil || !h.owned || h.ended || h.items[index].finished {
+	j := m.jobs[id]
+	if j == nil || !j.owned || j.ended || j.items[index].finished {
 		return
 	}
 	record := job.AppendString([]byte{recordProgress}, id)
@@ -35,18 +35,18 @@
 }
 
 // replayProgress takes events up that follow those known; others are of a run that nothing came of.
-func (h *storedJob) replayProgress(r *job.Decoder, at wal.Location, record []byte) *Finding {
+func (j *storedJob) replayProgress(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	item := r.Uvarint()
 	after, last := r.Varint(), r.Varint()
 	count := r.Uvarint()
-	if r.Failed || item >= uint64(len(h.items)) {
+	if r.Failed || item >= uint64(len(j.items)) {
 		return &Finding{Problem: ProblemRecord}
 	}
 	index := int(item)
-	if h.items[index].finished {
+	if j.items[index].finished {
 		return nil
 	}
-	known, started := h.progress[index]
+	known, started := j.progress[index]
 	if !started || after < 0 {
 		known = Progress{Last: -1}
 	}
@@ -62,9 +62,9 @@
 		return &Finding{Problem: ProblemRecord}
 	}
 	known.Last = last
-	if h.progress == nil {
-		h.progress = map[int]Progress{}
+	if j.progress == nil {
+		j.progress = map[int]Progress{}
 	}
-	h.progress[index] = known
+	j.progress[index] = known
 	return nil
 }
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -10,7 +10,7 @@
 
 func TestProgress(t *testing.T) {
 	Convey("Events of running items are there after a start, only in an unbroken row, and not of listed items", t, func() {
-		w := newWorld(1, 1, 1, "")
+		w := newStoreSimulation(1, 1, 1, "")
 		w.runUntil(2e9)
 		s := w.stores[0]
 		s.idle = true
@@ -52,7 +52,7 @@
 		So(text(work.Items[1]), ShouldEqual, "again ")
 	})
 	Convey("A single store, where none may be lost, accepts by itself", t, func() {
-		w := newWorld(2, 1, 1, "")
+		w := newStoreSimulation(2, 1, 1, "")
 		w.runUntil(2e9)
 		j := w.clients.submit("job", 3)
 		w.runUntil(8e9)
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -22,37 +22,37 @@
 			n := c.nodes[0]
 			So(n.submit("job", 8).Status, ShouldEqual, 202)
 			n.finish("job", 0, 1, 2)
-			c.settle()
+			c.quiesce()
 			n.finish("job", 3, 4)
 			_, err := n.log.Step() // written, and not synced
 			So(err, ShouldBeNil)
 			n.kill()
 			n.start()
-			c.view(n)
-			c.settle()
+			c.installView(n)
+			c.quiesce()
 			So(n.machine.jobs["job"].durableResults, ShouldEqual, 5)
 			n.finish("job", 5)
-			c.settle()
+			c.quiesce()
 			n.losePower()
 			n.start()
-			So(n.found, ShouldBeEmpty)
+			So(n.findings, ShouldBeEmpty)
 			So(n.machine.jobs["job"].durableResults, ShouldEqual, 6)
 		}
 	})
 }
 
 // inject writes a record to a node's log behind all that is there, and starts the node anew on it.
-func (n *clusterNode) inject(records ...[]byte) {
+func (n *clusterNode) injectRecords(records ...[]byte) {
 	for _, record := range records {
 		n.log.Append(record)
 	}
-	n.flush()
+	n.sync()
 	n.kill()
 	n.start()
 }
 
 // gap is a result that stands behind others that are missing.
-func gap(id string, position, item int) []byte {
+func resultAfterGap(id string, position, item int) []byte {
 	return encodeResult(id, position, &Result{Item: item, State: byte(job.Completed), Text: []byte("lost")})
 }
 
@@ -64,27 +64,27 @@
 			So(n.submit(id, 4).Status, ShouldEqual, 202)
 			n.finish(id, 0, 1)
 		}
-		c.settle()
-		h := n.machine.jobs["job"]
-		replicas := encodeReplicas("job", h.version, h.replicas)
-		garbled := encodeCopy("job", h.version+1, h.replicas, false, []byte("?"), nil)
+		c.quiesce()
+		j := n.machine.jobs["job"]
+		replicas := encodeReplicas("job", j.version, j.replicas)
+		garbled := encodeCopy("job", j.version+1, j.replicas, false, []byte("?"), nil)
 		for _, test := range []struct {
 			problem Problem
 			record  []byte
 			obscure bool
 		}{
-			{ProblemGap, gap("job", 3, 3), false},
-			{ProblemResult, gap("job", 2, 9), false},
-			{ProblemResult, gap("job", 2, 1), false},
-			{ProblemRecord, gap("job", 2, 2)[:8], false},
+			{ProblemGap, resultAfterGap("job", 3, 3), false},
+			{ProblemResult, resultAfterGap("job", 2, 9), false},
+			{ProblemResult, resultAfterGap("job", 2, 1), false},
+			{ProblemRecord, resultAfterGap("job", 2, 2)[:8], false},
 			{ProblemRecord, replicas[:len(replicas)-1], true},
 			{ProblemRecord, garbled[:len(garbled)-8], true},
 			{ProblemContent, garbled, true},
 			{ProblemKind, job.AppendString([]byte{200}, "job"), true},
 		} {
-			n.inject(test.record, gap("job", 2, 3)) // the second may be of a copy that isn't here
-			So(n.found, ShouldHaveLength, 1)
-			finding := n.found[0]
+			n.injectRecords(test.record, resultAfterGap("job", 2, 3)) // the second may be of a copy that isn't here
+			So(n.findings, ShouldHaveLength, 1)
+			finding := n.findings[0]
 			So(finding.Problem, ShouldEqual, test.problem)
 			So(finding.Job, ShouldEqual, "job")
 			So(finding.At.Segment, ShouldBeGreaterThan, uint32(0))
@@ -93,8 +93,8 @@
 			So(n.machine.incompleteLog, ShouldEqual, test.obscure)
 			So(n.machine.jobs["job"].corrupt, ShouldBeTrue)
 			So(n.machine.jobs["sound"].corrupt, ShouldBeFalse)
-			c.view(n)
-			c.settle()
+			c.installView(n)
+			c.quiesce()
 			for _, id := range []string{"sound", "job"} {
 				texts, status := n.read(id)
 				So(status, ShouldEqual, 200)
@@ -103,24 +103,24 @@
 			n.kill()
 			n.start()
 			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part stands behind it
-			So(n.found, ShouldHaveLength, 1)
+			So(n.findings, ShouldHaveLength, 1)
 			n.disk.Wipe()
 			n.start()
-			c.view(n)
+			c.installView(n)
 			for _, id := range []string{"sound", "job"} {
 				So(n.submit(id, 4).Status, ShouldEqual, 202)
 				n.finish(id, 0, 1)
 			}
-			c.settle()
+			c.quiesce()
 		}
 	})
 	Convey("Records of the store itself are told, too", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		view := n.machine.departures.encode()
-		n.inject(view[:len(view)-3], []byte{recordCopy})
-		So(n.found, ShouldHaveLength, 2)
-		for _, finding := range n.found {
+		n.injectRecords(view[:len(view)-3], []byte{recordCopy})
+		So(n.findings, ShouldHaveLength, 2)
+		for _, finding := range n.findings {
 			So(finding.Problem, ShouldEqual, ProblemRecord)
 			So(finding.Job, ShouldBeEmpty)
 		}
@@ -136,15 +136,15 @@
 	n.submit("job", 4)
 	n.finish("job", 0, 1)
 	n.machine.SaveProgress("job", 2, -1, 3, [][]byte{[]byte("event")})
-	c.settle()
-	h := n.machine.jobs["job"]
-	content, err := n.Read(h.contentAt)
+	c.quiesce()
+	j := n.machine.jobs["job"]
+	content, err := n.Read(j.contentAt)
 	if err != nil {
 		t.Fatal(err)
 	}
 	whole := [][]byte{
-		encodeCopy("job", h.version, h.replicas, false, content, []Result{{Item: 1, State: 1, Text: []byte("x")}}),
-		encodeReplicas("job", h.version, h.replicas), encodeEnded("job"), gap("job", 2, 2), n.machine.departures.encode(),
+		encodeCopy("job", j.version, j.replicas, false, content, []Result{{Item: 1, State: 1, Text: []byte("x")}}),
+		encodeReplicas("job", j.version, j.replicas), encodeEnded("job"), resultAfterGap("job", 2, 2), n.machine.departures.encode(),
 		append(job.AppendString([]byte{recordProgress}, "job"), 2, 1, 6, 1, 1, 'x'), encodeDropped("job"),
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -165,15 +165,15 @@
 }
 
 // TestDamagedOwner damages the owner's copy: the batch job goes to the store that holds a whole one, and the owner gets it.
-func TestDamagedOwner(t *testing.T) {
+func TestCorruptOwner(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		record func(h *storedJob) []byte
+		record func(j *storedJob) []byte
 	}{
-		{"a gap in the results", func(*storedJob) []byte { return gap("job", 5, 5) }},
+		{"a gap in the results", func(*storedJob) []byte { return resultAfterGap("job", 5, 5) }},
 		{"the whole batch job is gone", func(*storedJob) []byte { return encodeDropped("job") }},
-		{"its copy can't be read", func(h *storedJob) []byte {
-			return encodeCopy("job", h.version+1, h.replicas, false, []byte("?"), nil)
+		{"its copy can't be read", func(j *storedJob) []byte {
+			return encodeCopy("job", j.version+1, j.replicas, false, []byte("?"), nil)
 		}},
 	} {
 		Convey("The better copy is owned, and the damaged one replaced, after "+test.name, t, func() {
@@ -182,17 +182,17 @@
 				So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 				owner := c.owner("job")
 				owner.finish("job", 0, 1, 2)
-				c.settle()
+				c.quiesce()
 				replica := c.replicaOf("job")
-				owner.inject(test.record(owner.machine.jobs["job"]))
-				So(owner.found == nil, ShouldEqual, test.name == "the whole batch job is gone")
+				owner.injectRecords(test.record(owner.machine.jobs["job"]))
+				So(owner.findings == nil, ShouldEqual, test.name == "the whole batch job is gone")
 				switch restart {
 				case "at once":
 					c.rejoin(owner)
 				case "after it was taken out":
-					c.view(replica)
-					c.settle()
-					c.view(c.nodes...)
+					c.installView(replica)
+					c.quiesce()
+					c.installView(c.nodes...)
 				default:
 					for _, n := range c.nodes {
 						if n != owner {
@@ -200,9 +200,9 @@
 							n.start()
 						}
 					}
-					c.view(c.nodes...)
+					c.installView(c.nodes...)
 				}
-				c.settle()
+				c.quiesce()
 				for _, n := range c.nodes {
 					texts, status := n.readAnywhere("job")
 					So(status, ShouldEqual, 200)
@@ -210,15 +210,15 @@
 				}
 				So(c.owner("job") == owner, ShouldBeFalse)
 				for _, n := range c.nodes {
-					if h := n.machine.jobs["job"]; h != nil && h.version == c.owner("job").machine.jobs["job"].version {
-						So(h.corrupt, ShouldBeFalse)
-						So(h.durableResults, ShouldEqual, 3)
+					if j := n.machine.jobs["job"]; j != nil && j.version == c.owner("job").machine.jobs["job"].version {
+						So(j.corrupt, ShouldBeFalse)
+						So(j.durableResults, ShouldEqual, 3)
 					}
 				}
 				c.owner("job").wipe() // the next loss
-				c.view(c.alive()...)
-				c.settle()
-				texts, status := c.alive()[0].readAnywhere("job")
+				c.installView(c.running()...)
+				c.quiesce()
+				texts, status := c.running()[0].readAnywhere("job")
 				So(status, ShouldEqual, 200)
 				So(texts, ShouldResemble, []string{"0", "1", "2"})
 			}
@@ -226,7 +226,7 @@
 	}
 }
 
-func (c *cluster) alive() []*clusterNode {
+func (c *cluster) running() []*clusterNode {
 	var alive []*clusterNode
 	for _, n := range c.nodes {
 		if n.log != nil {
@@ -250,22 +250,22 @@
 
 // TestDamagedReplica damages a copy that its owner had counted on: the owner takes back that all stands whole until it has
 // replaced the copy, also where nobody left the view.
-func TestDamagedReplica(t *testing.T) {
-	for _, record := range [][]byte{encodeDropped("job"), gap("job", 5, 5)} {
+func TestCorruptReplica(t *testing.T) {
+	for _, record := range [][]byte{encodeDropped("job"), resultAfterGap("job", 5, 5)} {
 		Convey(fmt.Sprintf("A damaged replica is replaced before anything more is shown on its word: kind %d", record[0]), t, func() {
 			c := newCluster(2, 2, 1)
 			So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 			owner := c.owner("job")
 			owner.finish("job", 0, 1, 2)
-			c.settle()
+			c.quiesce()
 			replica := c.replicaOf("job")
-			replica.inject(record)
+			replica.injectRecords(record)
 			So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 			c.rejoin(replica)
 			c.deliver(clusterMessage{from: replica.process(), to: owner.key(), body: InventoryRequest{Stamp: replica.machine.stamp()}})
 			So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 			owner.finish("job", 3)
-			c.settle()
+			c.quiesce()
 			So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 			So(replica.machine.jobs["job"].durableResults, ShouldEqual, 4)
 			replica.kill()
@@ -273,27 +273,27 @@
 			So(replica.machine.jobs["job"].corrupt, ShouldBeFalse)
 			So(replica.machine.jobs["job"].durableResults, ShouldEqual, 4)
 			owner.wipe()
-			c.view(replica)
-			c.settle()
+			c.installView(replica)
+			c.quiesce()
 			So(replica.machine.jobs["job"].results, ShouldHaveLength, 4)
 		})
 	}
 }
 
 // TestOnlyDamagedCopies leaves damaged copies alone: the longest sound prefix is served, and nothing is said not to exist.
-func TestOnlyDamagedCopies(t *testing.T) {
+func TestOnlyCorruptCopies(t *testing.T) {
 	Convey("The longest sound prefix is served where no whole copy is left", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 8).Status, ShouldEqual, 202)
 		owner := c.owner("job")
 		owner.finish("job", 0, 1)
-		c.settle()
+		c.quiesce()
 		replica := c.replicaOf("job")
 		longer := encodeResult("job", 2, &Result{Item: 2, State: byte(job.Completed), Text: []byte("2")})
-		owner.inject(gap("job", 6, 6))
-		replica.inject(longer, gap("job", 7, 7))
-		c.view(c.nodes...)
-		c.settle()
+		owner.injectRecords(resultAfterGap("job", 6, 6))
+		replica.injectRecords(longer, resultAfterGap("job", 7, 7))
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(c.owner("job") == replica, ShouldBeTrue)
 		texts, status := replica.read("job")
 		So(status, ShouldEqual, 200)
@@ -301,7 +301,7 @@
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 3)
 		So(owner.machine.jobs["job"].corrupt, ShouldBeFalse)
 		replica.finish("job", 6)
-		c.settle()
+		c.quiesce()
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 4)
 	})
 	Convey("A batch job that may have been lost with a damaged log and a disk is refused for now, not denied", t, func() {
@@ -309,11 +309,11 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		_, status := c.nodes[0].read("no-such-job")
 		So(status, ShouldEqual, 404)
-		c.nodes[1].inject(encodeCopy("job", c.nodes[1].machine.jobs["job"].version, nil, false, []byte("?"), nil), encodeDropped("job"))
+		c.nodes[1].injectRecords(encodeCopy("job", c.nodes[1].machine.jobs["job"].version, nil, false, []byte("?"), nil), encodeDropped("job"))
 		c.nodes[0].wipe()
 		c.nodes[0].start()
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		for _, n := range c.nodes {
 			_, status = n.read("job")
 			So(status, ShouldEqual, 503)
@@ -322,20 +322,20 @@
 }
 
 // TestDamagedRetires has a store leave whose only copy is damaged: it hands over what is sound.
-func TestDamagedRetires(t *testing.T) {
+func TestCorruptStoreRetires(t *testing.T) {
 	Convey("A store that leaves hands over the sound part of a damaged copy", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner := c.owner("job")
 		owner.finish("job", 0)
-		c.settle()
+		c.quiesce()
 		replica := c.replicaOf("job")
-		owner.inject(gap("job", 3, 3))
+		owner.injectRecords(resultAfterGap("job", 3, 3))
 		replica.wipe()
 		replica.start()
 		owner.state = protocol.StoreRetiring
-		c.view(c.nodes...)
-		c.settle()
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(owner.machine.drained(), ShouldBeTrue)
 		texts, status := owner.readAnywhere("job")
 		So(status, ShouldEqual, 200)
@@ -350,34 +350,34 @@
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		replica := c.replicaOf("job")
-		h := replica.machine.jobs["job"]
-		before := h.contentAt.Segment
-		content, err := replica.Read(h.contentAt)
+		j := replica.machine.jobs["job"]
+		before := j.contentAt.Segment
+		content, err := replica.Read(j.contentAt)
 		So(err, ShouldBeNil)
 		fillSegment(replica)
 		replica.machine.writeViewRecord() // so that only the copy is in the way
-		replica.flush()
+		replica.sync()
 		owner := c.owner("job").process()
-		message := ReplicationRequest{Stamp: replica.machine.stamp(), Job: "job", Version: h.version + 1, Replicas: h.replicas, Content: content}
+		message := ReplicationRequest{Stamp: replica.machine.stamp(), Job: "job", Version: j.version + 1, Replicas: j.replicas, Content: content}
 		for range 2 { // a further one, too
 			replica.machine.Receive(owner, message)
 			message.Version++
 			So(replica.machine.jobs["job"].contentAt.Segment, ShouldBeGreaterThan, before)
 			So(replica.machine.OldestSegment(100), ShouldEqual, before)
 		}
-		replica.flush()
+		replica.sync()
 		So(replica.machine.OldestSegment(100), ShouldBeGreaterThan, before)
 	})
 	Convey("The epoch acted in is written again before its segment goes", t, func() {
 		c := newCluster(2, 2, 1)
 		n := c.nodes[0]
-		c.settle()
+		c.quiesce()
 		before := n.machine.departures.viewRecordAt.Segment
 		acted, since := n.machine.ActedIn(), n.machine.departures.memberSince
 		So(acted, ShouldEqual, c.epoch)
 		fillSegment(n)
 		So(n.machine.OldestSegment(100), ShouldEqual, before) // still needed, for now
-		n.flush()
+		n.sync()
 		oldest := n.machine.OldestSegment(100)
 		So(oldest, ShouldBeGreaterThan, before)
 		for number, _ := n.log.SegmentRange(); number < oldest; number++ {
@@ -393,7 +393,7 @@
 // fillSegment has the next record of a node go to a new segment.
 func fillSegment(n *clusterNode) {
 	n.log.Append(append(encodeDropped("nothing"), make([]byte, 4<<10)...))
-	n.flush()
+	n.sync()
 }
 
 // TestSkippedPart damages a part of the log in which a newer copy may have stood.
@@ -403,18 +403,18 @@
 		for _, id := range []string{"before", "across"} {
 			So(c.nodes[0].submit(id, 4).Status, ShouldEqual, 202)
 			c.owner(id).finish(id, 0, 1)
-			c.settle()
+			c.quiesce()
 		}
 		owner := c.owner("across")
 		fillSegment(owner)
 		owner.finish("across", 2)
-		c.settle()
+		c.quiesce()
 		So(c.nodes[0].submit("behind", 4).Status, ShouldEqual, 202)
 		owner.kill()
 		So(owner.disk.FlipBit("segment-00000002", 1000, 0), ShouldBeTrue)
 		owner.start()
-		So(owner.found, ShouldHaveLength, 1)
-		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
+		So(owner.findings, ShouldHaveLength, 1)
+		So(owner.findings[0].Problem, ShouldEqual, ProblemSkipped)
 		So(owner.machine.incompleteLog, ShouldBeTrue)
 		findings, damaged := owner.machine.Corruption()
 		So(findings, ShouldEqual, 1)
@@ -422,7 +422,7 @@
 		So(owner.machine.jobs["before"].results, ShouldHaveLength, 2)
 		So(owner.machine.jobs["across"].results, ShouldHaveLength, 2)
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		for _, n := range c.nodes {
 			texts, status := n.readAnywhere("across")
 			So(status, ShouldEqual, 200)
@@ -439,26 +439,26 @@
 }
 
 // TestDamageInTheNewestSegment damages what an owner synced before later records of the segment that it was writing.
-func TestDamageInTheNewestSegment(t *testing.T) {
+func TestCorruptionInNewestSegment(t *testing.T) {
 	Convey("What was shown comes back from the other copy, and isn't listed anew", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner := c.owner("job")
 		for item := range 3 {
 			owner.finish("job", item)
-			c.settle()
+			c.quiesce()
 		}
 		owner.kill()
 		second := owner.machine.jobs["job"].results[1].at
 		So(second.Segment, ShouldEqual, 1)
 		So(owner.disk.FlipBit("segment-00000001", int64(second.Offset), 0), ShouldBeTrue)
 		owner.start()
-		So(owner.found, ShouldHaveLength, 1)
-		So(owner.found[0].Problem, ShouldEqual, ProblemSkipped)
+		So(owner.findings, ShouldHaveLength, 1)
+		So(owner.findings[0].Problem, ShouldEqual, ProblemSkipped)
 		So(owner.machine.jobs["job"].corrupt, ShouldBeTrue)
 		So(owner.machine.jobs["job"].results, ShouldHaveLength, 1)
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		for _, n := range c.nodes {
 			texts, status := n.readAnywhere("job")
 			So(status, ShouldEqual, 200)
@@ -469,16 +469,16 @@
 }
 
 // TestConcedeIsSentAgain loses the word that a batch job is given to a better copy.
-func TestConcedeIsSentAgain(t *testing.T) {
+func TestOwnershipTransferIsResent(t *testing.T) {
 	Convey("A store that concedes a batch job tells it until it stands whole at the other one", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0)
-		c.settle()
-		owner.inject(gap("job", 3, 3))
+		c.quiesce()
+		owner.injectRecords(resultAfterGap("job", 3, 3))
 		lost := 0
-		c.lost = func(m clusterMessage) bool {
+		c.drops = func(m clusterMessage) bool {
 			_, concede := m.body.(OwnershipTransfer)
 			if concede {
 				lost++
@@ -486,7 +486,7 @@
 			return concede && lost <= 2
 		}
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		So(lost, ShouldEqual, 4) // the third is heard, the next asks whether the set is whole
 		So(c.owner("job") == replica, ShouldBeTrue)
 		So(owner.machine.transfers, ShouldBeEmpty)
@@ -495,24 +495,24 @@
 }
 
 // TestConcedeInVain has the better copy dropped, as its time is over, before it is given the batch job.
-func TestConcedeInVain(t *testing.T) {
+func TestOwnershipTransferRejected(t *testing.T) {
 	Convey("A store that concedes a batch job that is gone looks again, and stands whole", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		c.settle()
-		owner.inject(encodeDropped("job"))
-		c.lost = func(m clusterMessage) bool {
+		c.quiesce()
+		owner.injectRecords(encodeDropped("job"))
+		c.drops = func(m clusterMessage) bool {
 			_, concede := m.body.(OwnershipTransfer)
 			return concede
 		}
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		replica.machine.discard(replica.machine.jobs["job"])
-		c.lost = nil
-		c.settle()
+		c.drops = nil
+		c.quiesce()
 		So(owner.machine.transfers, ShouldBeEmpty)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
--- a/internal/batch/replica/replay.go
+++ b/internal/batch/replica/replay.go
@@ -24,8 +24,8 @@
 // Skipped tells, between two records, that a part of the log in between can't be read at all. Whatever is held may have gone on
 // in it, and counts as damaged, also where nothing of it follows.
 func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
-	for _, h := range m.order {
-		h.corrupt = true
+	for _, j := range m.order {
+		j.corrupt = true
 	}
 	finding := &Finding{Problem: ProblemSkipped, At: at}
 	m.noteFinding(finding)
@@ -34,8 +34,8 @@
 
 // Damage counts the parts of the log that this start could not use, and the batch jobs that are still damaged for them.
 func (m *StateMachine) Corruption() (findings, damaged int) {
-	for _, h := range m.order {
-		if h.corrupt {
+	for _, j := range m.order {
+		if j.corrupt {
 			damaged++
 		}
 	}
@@ -48,8 +48,8 @@
 	if finding.mayHideJobs() {
 		m.incompleteLog = true
 	}
-	if h := m.jobs[finding.Job]; h != nil && finding.corruptsJob() {
-		h.corrupt = true
+	if j := m.jobs[finding.Job]; j != nil && finding.corruptsJob() {
+		j.corrupt = true
 	}
 }
 
@@ -92,30 +92,30 @@
 }
 
 // replay applies a record that goes on from a copy.
-func (h *storedJob) replay(r *job.Decoder, at wal.Location, record []byte) *Finding {
+func (j *storedJob) replay(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	if record[0] == recordEnded {
-		h.ended, h.endedDurable = true, true // no matter of which copy: an end is for good
+		j.ended, j.endedDurable = true, true // no matter of which copy: an end is for good
 		return nil
 	}
-	if h.corrupt {
+	if j.corrupt {
 		return nil // it may be of a copy that isn't here
 	}
 	switch record[0] {
 	case recordResult:
-		return h.replayResult(r, at, record)
+		return j.replayResult(r, at, record)
 	case recordProgress:
-		return h.replayProgress(r, at, record)
+		return j.replayProgress(r, at, record)
 	default:
-		return h.replayReplicas(r)
+		return j.replayReplicas(r)
 	}
 }
 
-func (h *storedJob) replayReplicas(r *job.Decoder) *Finding {
+func (j *storedJob) replayReplicas(r *job.Decoder) *Finding {
 	version, replicas := readReplicas(r)
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
 	}
-	h.version, h.replicas = version, replicas
+	j.version, j.replicas = version, replicas
 	return nil
 }
 
@@ -127,46 +127,46 @@
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
 	}
-	h, err := newStoredJob(content, at.Part(uint32(end-len(content)), uint32(len(content))))
-	if err != nil || h.id != id {
+	j, err := newStoredJob(content, at.Part(uint32(end-len(content)), uint32(len(content))))
+	if err != nil || j.id != id {
 		return &Finding{Problem: ProblemContent}
 	}
-	h.version, h.replicas = version, replicas
-	h.ended, h.endedDurable = ended[0] == 1, ended[0] == 1
-	h.versionDurable = true
-	m.putJob(h)
+	j.version, j.replicas = version, replicas
+	j.ended, j.endedDurable = ended[0] == 1, ended[0] == 1
+	j.versionDurable = true
+	m.putJob(j)
 	count := r.Uvarint()
 	for position := uint64(0); position < count && !r.Failed; position++ {
 		result := readResult(r, record, at)
-		if r.Failed || !h.acceptsResult(result) {
-			return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(h.results)}
+		if r.Failed || !j.acceptsResult(result) {
+			return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(j.results)}
 		}
-		h.appendResult(result)
-		h.durableResults = len(h.results)
+		j.appendResult(result)
+		j.durableResults = len(j.results)
 	}
 	if r.Failed {
-		return &Finding{Problem: ProblemRecord, SoundResults: len(h.results)}
+		return &Finding{Problem: ProblemRecord, SoundResults: len(j.results)}
 	}
 	return nil
 }
 
-func (h *storedJob) replayResult(r *job.Decoder, at wal.Location, record []byte) *Finding {
+func (j *storedJob) replayResult(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	position := r.Uvarint()
 	result := readResult(r, record, at)
 	switch {
 	case r.Failed:
-		return &Finding{Problem: ProblemRecord, SoundResults: len(h.results)}
-	case position != uint64(len(h.results)):
-		return &Finding{Problem: ProblemGap, Position: int(position), SoundResults: len(h.results)}
-	case !h.acceptsResult(result):
-		return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(h.results)}
-	}
-	h.appendResult(result)
-	h.durableResults = len(h.results)
+		return &Finding{Problem: ProblemRecord, SoundResults: len(j.results)}
+	case position != uint64(len(j.results)):
+		return &Finding{Problem: ProblemGap, Position: int(position), SoundResults: len(j.results)}
+	case !j.acceptsResult(result):
+		return &Finding{Problem: ProblemResult, Position: int(position), SoundResults: len(j.results)}
+	}
+	j.appendResult(result)
+	j.durableResults = len(j.results)
 	return nil
 }
 
 // mayList tells whether a result is of an item that there is and that isn't listed.
-func (h *storedJob) acceptsResult(result storedResult) bool {
-	return result.item >= 0 && int(result.item) < len(h.items) && !h.items[result.item].finished
+func (j *storedJob) acceptsResult(result storedResult) bool {
+	return result.item >= 0 && int(result.item) < len(j.items) && !j.items[result.item].finished
 }
--- a/internal/batch/replica/replicate.go
+++ b/internal/batch/replica/replicate.go
@@ -16,36 +16,36 @@
 )
 
 // pump sends each peer of an owned batch job what it lacks.
-func (m *StateMachine) replicateJob(h *storedJob) {
-	if !h.owned || !m.isMember || !h.versionDurable {
+func (m *StateMachine) replicateJob(j *storedJob) {
+	if !j.owned || !m.isMember || !j.versionDurable {
 		return
 	}
-	if len(h.handoverReplicas) > 0 {
-		m.sendHandover(h)
+	if len(j.handoverReplicas) > 0 {
+		m.sendHandover(j)
 		return
 	}
-	for i := range h.peers {
-		m.replicateTo(h, &h.peers[i])
+	for i := range j.peers {
+		m.replicateTo(j, &j.peers[i])
 	}
 }
 
-func (m *StateMachine) replicateTo(h *storedJob, p *peer) {
+func (m *StateMachine) replicateTo(j *storedJob, p *peer) {
 	now := m.env.Now()
 	if p.awaitsResponse && now-p.sentAt < replicationRetry {
 		return
 	}
-	message := ReplicationRequest{Stamp: m.stamp(), Job: h.id, Version: h.version}
+	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: j.version}
 	switch {
 	case !p.reported: // ask
 	case !p.hasCopy:
-		if !m.fillFullCopy(h, &message, h.durableResults) {
+		if !m.fillFullCopy(j, &message, j.durableResults) {
 			return
 		}
-	case p.results < h.durableResults || h.endedDurable && !p.ended:
-		if !m.fillResults(h, &message, p.results) {
+	case p.results < j.durableResults || j.endedDurable && !p.ended:
+		if !m.fillResults(j, &message, p.results) {
 			return
 		}
-		message.Ended = h.endedDurable
+		message.Ended = j.endedDurable
 	default:
 		return
 	}
@@ -54,18 +54,18 @@
 }
 
 // fillCopy puts a whole copy into a message. It tells whether it could be read.
-func (m *StateMachine) fillFullCopy(h *storedJob, message *ReplicationRequest, count int) bool {
-	content := h.content
+func (m *StateMachine) fillFullCopy(j *storedJob, message *ReplicationRequest, count int) bool {
+	content := j.content
 	if content == nil {
-		read, err := m.env.Read(h.contentAt)
+		read, err := m.env.Read(j.contentAt)
 		if err != nil {
 			return false
 		}
 		content = read
 	}
-	message.Content, message.Replicas, message.Ended = content, h.replicas, h.endedDurable
+	message.Content, message.Replicas, message.Ended = content, j.replicas, j.endedDurable
 	for position := range count {
-		result, ok := m.result(h, position)
+		result, ok := m.result(j, position)
 		if !ok {
 			return false
 		}
@@ -74,11 +74,11 @@
 	return true
 }
 
-func (m *StateMachine) fillResults(h *storedJob, message *ReplicationRequest, start int) bool {
+func (m *StateMachine) fillResults(j *storedJob, message *ReplicationRequest, start int) bool {
 	message.Start = start
 	size := 0
-	for position := start; position < h.durableResults && size < maxResultBytes; position++ {
-		result, ok := m.result(h, position)
+	for position := start; position < j.durableResults && size < maxResultBytes; position++ {
+		result, ok := m.result(j, position)
 		if !ok {
 			return false
 		}
@@ -89,11 +89,11 @@
 }
 
 // result gives a listed item with its text.
-func (m *StateMachine) result(h *storedJob, position int) (Result, bool) {
-	if fresh := h.uncommitted[position]; fresh != nil {
+func (m *StateMachine) result(j *storedJob, position int) (Result, bool) {
+	if fresh := j.uncommitted[position]; fresh != nil {
 		return *fresh, true
 	}
-	listed := &h.results[position]
+	listed := &j.results[position]
 	text, err := m.env.Read(listed.at)
 	if err != nil {
 		return Result{}, false
@@ -103,17 +103,17 @@
 
 // replicate takes what the owner sends.
 func (m *StateMachine) handleReplicationRequest(from protocol.Process, message ReplicationRequest) {
-	h := m.jobs[message.Job]
+	j := m.jobs[message.Job]
 	switch {
-	case h != nil && h.owned: // a retiring store asks whether the set is whole without it
-		m.sendReplicationResponse(h, from)
-	case h != nil && h.version == message.Version && !h.corrupt:
-		m.appendResults(h, from, message)
-	case h != nil && h.version > message.Version:
+	case j != nil && j.owned: // a retiring store asks whether the set is whole without it
+		m.sendReplicationResponse(j, from)
+	case j != nil && j.version == message.Version && !j.corrupt:
+		m.appendResults(j, from, message)
+	case j != nil && j.version > message.Version:
 		m.sendOwnerNotice(from, message.Job) // who may be asked instead
 	case message.Content == nil: // no copy of that version is here, or no whole one
 		m.sendOwnerNotice(from, message.Job)
-		none := h == nil && m.reconciled && m.owners[message.Job] == ""
+		none := j == nil && m.reconciled && m.owners[message.Job] == ""
 		m.env.Send(from, ReplicationResponse{Stamp: m.stamp(), Job: message.Job, Version: message.Version, None: none})
 	default:
 		m.installCopy(from, message)
@@ -123,47 +123,47 @@
 // adopt writes a whole copy, in place of what was held.
 func (m *StateMachine) installCopy(from protocol.Process, message ReplicationRequest) {
 	record := encodeCopy(message.Job, message.Version, message.Replicas, message.Ended, message.Content, message.Results)
-	h, err := newStoredJob(message.Content, wal.Location{})
-	if err != nil || h.id != message.Job {
+	j, err := newStoredJob(message.Content, wal.Location{})
+	if err != nil || j.id != message.Job {
 		return
 	}
 	if old := m.jobs[message.Job]; old != nil {
 		m.followOwner(old)
-		h.previousAt = old.oldestLocation()
+		j.previousAt = old.oldestLocation()
 	}
 	at := m.write(record, true, func() {
-		h.versionDurable, h.previousAt = true, nil
-		h.durableResults = max(h.durableResults, len(message.Results))
-		h.endedDurable = message.Ended
-		m.sendReplicationResponse(h, from)
-		m.takeHandover(h)
+		j.versionDurable, j.previousAt = true, nil
+		j.durableResults = max(j.durableResults, len(message.Results))
+		j.endedDurable = message.Ended
+		m.sendReplicationResponse(j, from)
+		m.takeHandover(j)
 	})
-	h.version, h.replicas, h.ended = message.Version, message.Replicas, message.Ended
-	h.contentAt, h.results = locateCopy(h, record, at)
-	for i := range h.results {
-		h.markFinished(int(h.results[i].item))
+	j.version, j.replicas, j.ended = message.Version, message.Replicas, message.Ended
+	j.contentAt, j.results = locateCopy(j, record, at)
+	for i := range j.results {
+		j.markFinished(int(j.results[i].item))
 	}
-	m.putJob(h)
+	m.putJob(j)
 	m.owners[message.Job] = placement.KeyOf(from)
 }
 
 // extend appends results to a copy of the same version.
-func (m *StateMachine) appendResults(h *storedJob, from protocol.Process, message ReplicationRequest) {
+func (m *StateMachine) appendResults(j *storedJob, from protocol.Process, message ReplicationRequest) {
 	for i := range message.Results {
 		position := message.Start + i
-		if position != len(h.results) {
+		if position != len(j.results) {
 			continue
 		}
 		result := message.Results[i]
-		record := encodeResult(h.id, position, &result)
-		at := m.write(record, message.Ended, func() { h.durableResults = max(h.durableResults, position+1) })
-		h.appendResult(storedResultOf(&result, at.Part(uint32(len(record)-len(result.Text)), uint32(len(result.Text)))))
+		record := encodeResult(j.id, position, &result)
+		at := m.write(record, message.Ended, func() { j.durableResults = max(j.durableResults, position+1) })
+		j.appendResult(storedResultOf(&result, at.Part(uint32(len(record)-len(result.Text)), uint32(len(result.Text)))))
 	}
-	if message.Ended && !h.ended {
-		h.ended = true
-		m.write(encodeEnded(h.id), true, func() { h.endedDurable = true })
+	if message.Ended && !j.ended {
+		j.ended = true
+		m.write(encodeEnded(j.id), true, func() { j.endedDurable = true })
 	}
-	m.afterPendingWrites(func() { m.sendReplicationResponse(h, from) })
+	m.afterPendingWrites(func() { m.sendReplicationResponse(j, from) })
 }
 
 // afterWrites calls a function once all that was written so far is durable.
@@ -176,14 +176,14 @@
 	m.pendingWrites = append(m.pendingWrites, pendingWrite{sequence: last.sequence, queuedAt: last.queuedAt, onDurable: then})
 }
 
-func (m *StateMachine) sendReplicationResponse(h *storedJob, to protocol.Process) {
-	if m.jobs[h.id] != h {
+func (m *StateMachine) sendReplicationResponse(j *storedJob, to protocol.Process) {
+	if m.jobs[j.id] != j {
 		return
 	}
-	stands := h.owned && h.isFullyReplicated()
+	stands := j.owned && j.isFullyReplicated()
 	m.env.Send(to, ReplicationResponse{
-		Stamp: m.stamp(), Job: h.id, Held: h.versionDurable, Version: h.version, Count: h.durableResults, Ended: h.endedDurable,
-		Stands: stands, Whole: stands && !placement.Contains(h.replicas, placement.KeyOf(to)),
+		Stamp: m.stamp(), Job: j.id, Held: j.versionDurable, Version: j.version, Count: j.durableResults, Ended: j.endedDurable,
+		Stands: stands, Whole: stands && !placement.Contains(j.replicas, placement.KeyOf(to)),
 	})
 }
 
@@ -201,8 +201,8 @@
 	if c, conceded := m.transfers[id]; conceded && c.to == from {
 		delete(m.transfers, id)
 	}
-	if h := m.jobs[id]; h != nil && !h.owned && h.superseded {
-		h.releasable = true
+	if j := m.jobs[id]; j != nil && !j.owned && j.superseded {
+		j.releasable = true
 	}
 	m.checkReconciled()
 	m.checkAllReconciled()
@@ -210,8 +210,8 @@
 
 // wasDropped tells that the owner of a batch job whose copy was left behind here has none any more, as its time is over. The copy here may
 // not know that the batch job is closed.
-func (m *StateMachine) expiredAtOwner(h *storedJob, from placement.Key, message ReplicationResponse) bool {
-	return h.superseded && !h.owned && from == m.owners[h.id] && message.None && m.isExpired(h)
+func (m *StateMachine) expiredAtOwner(j *storedJob, from placement.Key, message ReplicationResponse) bool {
+	return j.superseded && !j.owned && from == m.owners[j.id] && message.None && m.isExpired(j)
 }
 
 // replicated takes a peer's account.
@@ -220,64 +220,64 @@
 	if message.Stands {
 		m.noteReplicatedElsewhere(from, message.Job)
 	}
-	h := m.jobs[message.Job]
-	if h == nil {
+	j := m.jobs[message.Job]
+	if j == nil {
 		return
 	}
-	if m.expiredAtOwner(h, from, message) {
-		m.discard(h)
+	if m.expiredAtOwner(j, from, message) {
+		m.discard(j)
 		m.checkReconciled()
 		return
 	}
-	if !h.owned {
-		h.handedOver = h.handedOver || m.retiring && message.Whole
+	if !j.owned {
+		j.handedOver = j.handedOver || m.retiring && message.Whole
 		return
 	}
-	if len(h.handoverReplicas) > 0 {
-		m.handleHandoverResponse(h, from, message)
+	if len(j.handoverReplicas) > 0 {
+		m.handleHandoverResponse(j, from, message)
 		return
 	}
-	p := h.peer(from)
-	if p == nil || message.Version != h.version {
+	p := j.peer(from)
+	if p == nil || message.Version != j.version {
 		return
 	}
 	p.reported, p.awaitsResponse = true, false
 	p.hasCopy = p.hasCopy || message.Held // what is on its disk stays there: an answer that says less is an earlier one
 	p.results = max(p.results, message.Count)
 	p.ended = p.ended || message.Ended
-	m.maybeCommit(h)
-	m.replicateTo(h, p)
+	m.maybeCommit(j)
+	m.replicateTo(j, p)
 }
 
 // judge draws what follows from what the replicas hold.
-func (m *StateMachine) maybeCommit(h *storedJob) {
-	if !h.owned || len(h.handoverReplicas) > 0 || len(h.replicas) < m.options.ReplicationFactor {
+func (m *StateMachine) maybeCommit(j *storedJob) {
+	if !j.owned || len(j.handoverReplicas) > 0 || len(j.replicas) < m.options.ReplicationFactor {
 		return
 	}
-	whole, shown, ended := h.onAllReplicas()
-	if !whole && !h.replicated {
+	whole, shown, ended := j.onAllReplicas()
+	if !whole && !j.replicated {
 		return
 	}
-	for ; h.committedResults < shown; h.committedResults++ {
-		delete(h.uncommitted, h.committedResults)
+	for ; j.committedResults < shown; j.committedResults++ {
+		delete(j.uncommitted, j.committedResults)
 	}
-	if !h.replicated {
-		h.replicated = true
-		h.content = nil
-		h.replaceReplicasAt = 0
-		m.onFullyReplicated(h)
+	if !j.replicated {
+		j.replicated = true
+		j.content = nil
+		j.replaceReplicasAt = 0
+		m.onFullyReplicated(j)
 	}
-	m.answerReads(h)
+	m.answerReads(j)
 	if ended {
-		m.acknowledgeEnds(h)
+		m.acknowledgeEnds(j)
 	}
 	m.checkReconciled()
 }
 
-func (m *StateMachine) onFullyReplicated(h *storedJob) {
-	m.acknowledgeSubmissions(h)
-	if !h.ended && !h.allFinished() {
-		m.env.Start(h.id)
+func (m *StateMachine) onFullyReplicated(j *storedJob) {
+	m.acknowledgeSubmissions(j)
+	if !j.ended && !j.allFinished() {
+		m.env.Start(j.id)
 	}
 	m.checkReconciled()
 	m.retryParkedCalls()
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -15,8 +15,8 @@
 // This file tests processes that start again while a set isn't whole yet, followed by as many lost disks as may be.
 
 // silence loses what a node sends to bring others up to its state.
-func (c *cluster) silence(n *clusterNode) {
-	c.lost = func(m clusterMessage) bool {
+func (c *cluster) dropReplication(n *clusterNode) {
+	c.drops = func(m clusterMessage) bool {
 		_, replicates := m.body.(ReplicationRequest)
 		return replicates && m.from.Node == n.process().Node
 	}
@@ -29,24 +29,24 @@
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving, successor := c.owner("job"), c.replicaOf("job")
 		leaving.state = protocol.StoreRetiring
-		c.silence(successor)
-		c.view(c.nodes...)
-		c.settle()
+		c.dropReplication(successor)
+		c.installView(c.nodes...)
+		c.quiesce()
 		So(successor.machine.jobs["job"].owned, ShouldBeTrue)
 		So(successor.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		leaving.kill()
 		leaving.start()
 		c.rejoin(leaving)
-		c.settle()
+		c.quiesce()
 		So(leaving.machine.jobs["job"], ShouldNotBeNil)
 		So(leaving.machine.Report().DrainedDown, ShouldBeFalse)
-		So(c.newest.Settled, ShouldBeFalse)
+		So(c.currentView.Settled, ShouldBeFalse)
 		successor.wipe()
 		successor.start()
-		c.lost = nil
-		c.view(c.nodes...)
-		c.settle()
-		_, status := c.others(leaving, successor)[0].readAnywhere("job")
+		c.drops = nil
+		c.installView(c.nodes...)
+		c.quiesce()
+		_, status := c.except(leaving, successor)[0].readAnywhere("job")
 		So(status, ShouldEqual, 200)
 	})
 }
@@ -58,39 +58,39 @@
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner := c.owner("job")
 		owner.state = protocol.StoreRetiring // and stays in the sets, as too few others are left
-		first := c.others(owner)[0]
+		first := c.except(owner)[0]
 		first.wipe()
-		rest := c.others(first)
-		c.view(rest...)
-		c.settle()
-		So(c.newest.Settled, ShouldBeTrue)
+		rest := c.except(first)
+		c.installView(rest...)
+		c.quiesce()
+		So(c.currentView.Settled, ShouldBeTrue)
 		owner.kill()
 		owner.start()
-		c.silence(owner)
+		c.dropReplication(owner)
 		c.rejoin(owner)
-		c.settle()
-		again := c.others(owner, first)[0]
+		c.quiesce()
+		again := c.except(owner, first)[0]
 		again.kill()
 		again.start()
 		c.rejoin(again)
-		c.settle()
-		last := c.others(owner, first, again)[0]
+		c.quiesce()
+		last := c.except(owner, first, again)[0]
 		So(last.machine.jobs["job"], ShouldNotBeNil)
 		for _, n := range []*clusterNode{owner, again} {
 			n.wipe()
 			n.start()
 		}
 		owner.state = protocol.StoreActive
-		c.lost = nil
-		c.view(rest...)
-		c.settle()
+		c.drops = nil
+		c.installView(rest...)
+		c.quiesce()
 		_, status := last.readAnywhere("job")
 		So(status, ShouldEqual, 200)
 	})
 }
 
 // TestObscuredAndAway has one of two copies on a store that is off, and the other in a log that can't name it any more.
-func TestObscuredAndAway(t *testing.T) {
+func TestIncompleteLogWhileOwnerAway(t *testing.T) {
 	Convey("Nobody says that there is none while the stores that may hold it are away or can't tell", t, func() {
 		for _, noticesLost := range []bool{false, true} {
 			c := newCluster(4, 2, 1)
@@ -100,21 +100,21 @@
 			obscured.kill()
 			obscured.disk.Wipe()
 			obscured.start()
-			obscured.inject(job.AppendString([]byte{200}, "?"))
+			obscured.injectRecords(job.AppendString([]byte{200}, "?"))
 			So(obscured.machine.incompleteLog, ShouldBeTrue)
-			c.lost = func(m clusterMessage) bool {
+			c.drops = func(m clusterMessage) bool {
 				_, notice := m.body.(ReconciledNotice)
 				return notice && noticesLost
 			}
-			c.view(c.others(off)...)
-			c.settle()
-			asked := c.others(off, obscured)[0]
+			c.installView(c.except(off)...)
+			c.quiesce()
+			asked := c.except(off, obscured)[0]
 			_, status := asked.readAnywhere("job")
 			So(status, ShouldEqual, 503)
 			off.start()
-			c.lost = nil
-			c.view(c.nodes...)
-			c.settle()
+			c.drops = nil
+			c.installView(c.nodes...)
+			c.quiesce()
 			_, status = asked.readAnywhere("job")
 			So(status, ShouldEqual, 200)
 		}
@@ -123,11 +123,11 @@
 
 // TestWordsOfDifferentMoments has the head hear of a successor what it told before it came to the batch job, and of the store that
 // handed it over what it tells after it has started again.
-func TestWordsOfDifferentMoments(t *testing.T) {
+func TestReportsOfDifferentMoments(t *testing.T) {
 	Convey("All stand whole only where nothing hangs on what one of them has taken back since", t, func() {
 		c := newCluster(8, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
-		c.settle()
+		c.quiesce()
 		table := liveness.New()
 		table.Lead(c.now, 1, true)
 		poll := func(nodes []*clusterNode) {
@@ -145,41 +145,41 @@
 			}
 		}
 		leaving.state = protocol.StoreRetiring
-		rest := c.others(off...)
-		c.lost = func(m clusterMessage) bool { // the copy comes later
+		rest := c.except(off...)
+		c.drops = func(m clusterMessage) bool { // the copy comes later
 			replicate, is := m.body.(ReplicationRequest)
 			return is && replicate.Content != nil
 		}
-		c.view(rest...)
+		c.installView(rest...)
 		for range 4 {
-			c.calm()
+			c.deliverAll()
 			c.now += 100 * time.Millisecond
 		}
 		handing := leaving.machine.jobs["job"].handoverReplicas[0]
 		successor := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process() == handing })]
 		So(successor.machine.Report().Settled, ShouldEqual, c.epoch)
 		poll(rest)
-		c.silence(successor)
+		c.dropReplication(successor)
 		c.now += 700 * time.Millisecond
 		leaving.machine.Tick()
-		c.calm()
+		c.deliverAll()
 		So(successor.machine.jobs["job"].owned, ShouldBeTrue)
 		leaving.kill()
 		leaving.start()
 		c.rejoin(leaving)
 		for range 3 {
-			c.calm()
+			c.deliverAll()
 			c.now += 300 * time.Millisecond
 			for _, n := range rest {
 				n.machine.Tick()
 			}
 		}
-		poll(c.others(append(off, successor)...)) // the successor's polls don't come through
+		poll(c.except(append(off, successor)...)) // the successor's polls don't come through
 		So(leaving.machine.Report().DrainedDown, ShouldBeFalse)
-		So(table.Settled(c.now, c.newest, 2), ShouldBeFalse)
-		c.lost = nil
-		c.settle()
-		So(c.newest.Settled, ShouldBeTrue)
+		So(table.Settled(c.now, c.currentView, 2), ShouldBeFalse)
+		c.drops = nil
+		c.quiesce()
+		So(c.currentView.Settled, ShouldBeTrue)
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 	})
 	Convey("A store that gives a batch job to one with a better copy waits for its set to be whole, too", t, func() {
@@ -187,37 +187,37 @@
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0)
-		c.settle()
-		owner.inject(gap("job", 3, 3))
-		c.silence(replica)
+		c.quiesce()
+		owner.injectRecords(resultAfterGap("job", 3, 3))
+		c.dropReplication(replica)
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		So(owner.machine.Status().Transferring, ShouldEqual, 1)
-		c.lost = nil
-		c.settle()
+		c.drops = nil
+		c.quiesce()
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 		So(owner.machine.Status().Transferring, ShouldEqual, 0)
 	})
 }
 
 // TestConcessionStands has a batch job be given to a store with a better copy, whose disk is slow.
-func TestConcessionStands(t *testing.T) {
+func TestOwnershipTransferPending(t *testing.T) {
 	// given has the owner of a batch job give it to the replica, which doesn't hear of it.
 	given := func() (owner, replica *clusterNode) {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica = c.owner("job"), c.replicaOf("job")
 		owner.finish("job", 0)
-		c.settle()
-		owner.inject(gap("job", 3, 3))
-		c.lost = func(m clusterMessage) bool {
+		c.quiesce()
+		owner.injectRecords(resultAfterGap("job", 3, 3))
+		c.drops = func(m clusterMessage) bool {
 			_, concede := m.body.(OwnershipTransfer)
 			return concede
 		}
 		c.rejoin(owner)
-		c.settle()
+		c.quiesce()
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		return owner, replica
 	}
@@ -232,12 +232,12 @@
 	})
 	Convey("It ends where the batch job falls to this store again", t, func() {
 		owner, _ := given()
-		h := owner.machine.jobs["job"]
-		h.corrupt = false
-		owner.machine.takeOwnership(h)
+		j := owner.machine.jobs["job"]
+		j.corrupt = false
+		owner.machine.takeOwnership(j)
 		So(owner.machine.transfers, ShouldBeEmpty)
 		owner.cluster.now += time.Second
 		owner.machine.Tick()
-		So(h.owned, ShouldBeTrue)
+		So(j.owned, ShouldBeTrue)
 	})
 }
--- a/internal/batch/replica/runs_test.go
+++ b/internal/batch/replica/runs_test.go
@@ -20,7 +20,7 @@
 }
 
 // Start has a batch job's items run.
-func (s *store) Start(id string) {
+func (s *simulatedStore) Start(id string) {
 	if s.idle {
 		return
 	}
@@ -32,9 +32,9 @@
 }
 
 // Stop has none of them run any more.
-func (s *store) Stop(id string) { delete(s.running, id) }
+func (s *simulatedStore) Stop(id string) { delete(s.running, id) }
 
-func (s *store) runAll(id string, run *jobRun) {
+func (s *simulatedStore) runAll(id string, run *jobRun) {
 	if s.running[id] != run {
 		return
 	}
@@ -48,36 +48,36 @@
 		}
 		run.items[item.Index] = true
 		if lines, ok := s.eventsOf(id, item); ok {
-			s.later(s.world.between(0, 200*time.Millisecond), func() { s.runItem(id, run, item.Index, lines) })
+			s.later(s.sim.randomDuration(0, 200*time.Millisecond), func() { s.runItem(id, run, item.Index, lines) })
 		}
 	}
 }
 
 // eventsOf reads what an earlier life kept of an item.
-func (s *store) eventsOf(id string, item JobItem) (lines []string, ok bool) {
+func (s *simulatedStore) eventsOf(id string, item JobItem) (lines []string, ok bool) {
 	encoded, err := s.Read(item.At)
 	if err != nil {
-		s.world.fail("%s: item %d of %s can't be read: %v", s.node, item.Index, id, err)
+		s.sim.fail("%s: item %d of %s can't be read: %v", s.node, item.Index, id, err)
 		return nil, false
 	}
-	if decoded, err := job.DecodeItem(encoded); err != nil || decoded.ID != s.world.clients.jobs[id].items[item.Index].ID {
-		s.world.fail("%s: item %d of %s is %q, %v", s.node, item.Index, id, decoded.ID, err)
+	if decoded, err := job.DecodeItem(encoded); err != nil || decoded.ID != s.sim.clients.jobs[id].items[item.Index].ID {
+		s.sim.fail("%s: item %d of %s is %q, %v", s.node, item.Index, id, decoded.ID, err)
 	}
 	for _, at := range item.Events {
 		line, err := s.Read(at)
 		if err != nil {
-			s.world.fail("%s: an event of item %d of %s can't be read: %v", s.node, item.Index, id, err)
+			s.sim.fail("%s: an event of item %d of %s can't be read: %v", s.node, item.Index, id, err)
 			return nil, false
 		}
 		lines = append(lines, string(line))
 	}
 	if item.Last >= 0 && int(item.Last) != len(lines) {
-		s.world.fail("%s: item %d of %s: %d events are kept, the last is %d", s.node, item.Index, id, len(lines), item.Last)
+		s.sim.fail("%s: item %d of %s: %d events are kept, the last is %d", s.node, item.Index, id, len(lines), item.Last)
 	}
 	return lines, true
 }
 
-func (s *store) runItem(id string, run *jobRun, index int, lines []string) {
+func (s *simulatedStore) runItem(id string, run *jobRun, index int, lines []string) {
 	if s.running[id] != run {
 		return
 	}
@@ -85,21 +85,21 @@
 		s.later(300*time.Millisecond, func() { s.runItem(id, run, index, lines) })
 		return
 	}
-	s.world.clients.started(s, id)
+	s.sim.clients.itemStarted(s, id)
 	s.nextEvent(id, run, index, lines)
 }
 
 // nextEvent takes the item's next event, or lists it after the last one.
-func (s *store) nextEvent(id string, run *jobRun, index int, lines []string) {
+func (s *simulatedStore) nextEvent(id string, run *jobRun, index int, lines []string) {
 	if s.running[id] != run {
 		return
 	}
 	if len(lines) == itemEvents {
-		s.world.clients.jobs[id].done[index] = true
+		s.sim.clients.jobs[id].done[index] = true
 		s.finish(id, run, index, strings.Join(lines, "\n"))
 		return
 	}
-	s.later(s.world.between(20*time.Millisecond, 300*time.Millisecond), func() {
+	s.later(s.sim.randomDuration(20*time.Millisecond, 300*time.Millisecond), func() {
 		if s.running[id] != run {
 			return
 		}
@@ -107,21 +107,21 @@
 		if after == 0 {
 			after = -1
 		}
-		line := fmt.Sprintf("%s/%d event %d by %s at %d", id, index, len(lines)+1, s.node, s.world.now)
+		line := fmt.Sprintf("%s/%d event %d by %s at %d", id, index, len(lines)+1, s.node, s.sim.now)
 		lines := append(lines[:len(lines):len(lines)], line)
 		s.machine.SaveProgress(id, index, after, int64(len(lines)), [][]byte{[]byte(line)})
 		s.nextEvent(id, run, index, lines)
 	})
 }
 
-func (s *store) finish(id string, run *jobRun, index int, text string) {
+func (s *simulatedStore) finish(id string, run *jobRun, index int, text string) {
 	if s.running[id] == run && !s.machine.Finish(id, index, job.Completed, []byte(text)) {
 		s.later(200*time.Millisecond, func() { s.finish(id, run, index, text) })
 	}
 }
 
 // isWholeText tells whether a text is an item's output: each of its events once, in order.
-func isWholeText(text, id string, index int) bool {
+func isCompleteText(text, id string, index int) bool {
 	lines := strings.Split(text, "\n")
 	if len(lines) != itemEvents {
 		return false
--- a/internal/batch/replica/set_check_test.go
+++ b/internal/batch/replica/set_check_test.go
@@ -12,15 +12,15 @@
 
 // This file owns what the model holds to the rules after each step.
 
-const setLost = "no surviving copy of the highest version holds all that was acknowledged"
+const modelDataLost = "no surviving copy of the highest version holds all that was acknowledged"
 
-func (w *setWorld) check() {
-	if w.bearsLoss() {
-		w.permitted = w.copies - 1
+func (w *modelCluster) check() {
+	if w.toleratesLoss() {
+		w.allowedLosses = w.copies - 1
 	}
 	runs := ""
 	for _, s := range w.stores {
-		if !s.up || s.frozen {
+		if !s.up || s.paused {
 			continue
 		}
 		if w.mayRun(s) {
@@ -35,32 +35,32 @@
 }
 
 // mayRun tells whether a store owns the batch job and may act on it.
-func (w *setWorld) mayRun(s *setStore) bool {
-	h := s.machine.jobs[setJob]
-	return h != nil && s.machine.MayAct() && h.owned && h.replicated && !h.ended && len(h.handoverReplicas) == 0
+func (w *modelCluster) mayRun(s *modelStore) bool {
+	j := s.machine.jobs[modelJob]
+	return j != nil && s.machine.MayAct() && j.owned && j.replicated && !j.ended && len(j.handoverReplicas) == 0
 }
 
 // read reads at the owner what it hasn't shown in this life yet.
-func (w *setWorld) read(s *setStore) {
-	h := s.machine.jobs[setJob]
-	if h == nil || !h.owned || !h.replicated || !s.machine.MayAct() {
+func (w *modelCluster) read(s *modelStore) {
+	j := s.machine.jobs[modelJob]
+	if j == nil || !j.owned || !j.replicated || !s.machine.MayAct() {
 		return
 	}
-	if h.committedResults > s.shown || w.client.ended != h.ended {
-		s.shown = h.committedResults
-		w.seeAll(s, h)
+	if j.committedResults > s.shown || w.client.ended != j.ended {
+		s.shown = j.committedResults
+		w.seeAll(s, j)
 	}
 }
 
-func (w *setWorld) seeAll(s *setStore, h *storedJob) {
-	if w.client.ended && !h.ended {
+func (w *modelCluster) seeAll(s *modelStore, j *storedJob) {
+	if w.client.ended && !j.ended {
 		w.fail("%s serves an ended batch job as open", s.node)
 	}
-	if h.committedResults < len(w.client.seen) && h.ended {
-		w.fail("%s shows %d results of an ended batch job, %d were", s.node, h.committedResults, len(w.client.seen))
+	if j.committedResults < len(w.client.seen) && j.ended {
+		w.fail("%s shows %d results of an ended batch job, %d were", s.node, j.committedResults, len(w.client.seen))
 	}
-	for position := range h.committedResults {
-		result, ok := s.machine.result(h, position)
+	for position := range j.committedResults {
+		result, ok := s.machine.result(j, position)
 		if !ok {
 			w.fail("%s can't read what it shows", s.node)
 			return
@@ -76,39 +76,39 @@
 }
 
 // audit checks that what was acknowledged is on a surviving copy of the highest version.
-func (w *setWorld) audit() {
+func (w *modelCluster) audit() {
 	if !w.client.accepted {
 		return
 	}
 	var highest Version
 	for _, s := range w.stores {
-		if held := s.held(); held != nil {
+		if held := s.durableCopy(); held != nil {
 			highest = max(highest, held.version)
 		}
 	}
 	for _, s := range w.stores {
-		held := s.held()
+		held := s.durableCopy()
 		if held != nil && held.version == highest && len(held.results) >= len(w.client.seen) &&
 			slices.Equal(held.results[:len(w.client.seen)], w.client.seen) && (held.ended || !w.client.ended) {
 			return
 		}
 	}
-	w.fail(setLost)
+	w.fail(modelDataLost)
 }
 
 // held reads what the store's disk holds for sure.
-func (s *setStore) held() *setCopy {
+func (s *modelStore) durableCopy() *diskCopy {
 	if s.audited == s.durable {
 		return s.audit
 	}
-	m := New(Options{Self: s.process(), ReplicationFactor: s.world.copies, Retention: time.Hour}, &setStore{world: s.world})
+	m := New(Options{Self: s.process(), ReplicationFactor: s.model.copies, Retention: time.Hour}, &modelStore{model: s.model})
 	for i, record := range s.disk[:s.durable] {
 		_ = m.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
 	}
 	s.audited, s.audit = s.durable, nil
-	if h := m.jobs[setJob]; h != nil {
-		s.audit = &setCopy{version: h.version, ended: h.endedDurable}
-		for _, result := range h.results {
+	if j := m.jobs[modelJob]; j != nil {
+		s.audit = &diskCopy{version: j.version, ended: j.endedDurable}
+		for _, result := range j.results {
 			text, _ := s.Read(result.at)
 			s.audit.results = append(s.audit.results, fmt.Sprintf("item %d: %s", result.item, text))
 		}
@@ -117,20 +117,20 @@
 }
 
 // checkEnd checks that all came to its end.
-func (w *setWorld) checkEnd() {
+func (w *modelCluster) checkEnd() {
 	if !w.done() {
 		w.fail("not done %d rounds after the last trouble: accepted %v, shown %d, ended %v",
-			setRounds, w.client.accepted, len(w.client.seen), w.client.ended)
+			modelMaxRounds, w.client.accepted, len(w.client.seen), w.client.ended)
 	}
 }
 
 // retire asks for a store to be emptied, where enough others are there and remain.
-func (w *setWorld) retire(s *setStore) bool {
+func (w *modelCluster) retire(s *modelStore) bool {
 	members := slices.Clone(w.view.Members)
 	at := slices.IndexFunc(members, func(m protocol.StoreMember) bool { return m.Process == s.process() })
 	active := 0
 	for _, member := range members {
-		if s := w.of(placement.KeyOf(member.Process)); member.State == protocol.StoreActive && s != nil && s.up {
+		if s := w.storeOf(placement.KeyOf(member.Process)); member.State == protocol.StoreActive && s != nil && s.up {
 			active++
 		}
 	}
@@ -138,6 +138,6 @@
 		return false
 	}
 	members[at].State = protocol.StoreRetiring
-	w.change(members, "retires "+s.node)
+	w.changeMembers(members, "retires "+s.node)
 	return true
 }
--- a/internal/batch/replica/set_model_test.go
+++ b/internal/batch/replica/set_model_test.go
@@ -10,7 +10,7 @@
 )
 
 // setTrouble is one thing that befalls the world, before a step.
-type setTrouble struct {
+type modelFault struct {
 	kind  int
 	store int
 	step  int
@@ -18,107 +18,107 @@
 
 // The kinds of trouble.
 const (
-	setWipe      = iota // a disk is lost, the machine comes back empty at once
-	setWipeLong         // ... after the others have gone on without it
-	setReplace          // ... or never, and another machine comes
-	setKill             // a process ends; what it wrote stays
-	setCrash            // a machine loses power
-	setCrashLong        // ... until the others have gone on without it
-	setFreeze           // a process stands still until the others have gone on without it
-	setRetire           // a store is to be emptied
-	setPower            // all lose power
-	setPowerWipe        // ... and one its disk
-	setDrop             // the next message is lost
-	setLate             // the next message comes after the others that are on their way
-	setTwice            // the next message comes again later
-	setAdd              // another store joins
-	setKinds
-	setStoreless = setDrop // from here on no store is named
+	modelWipe             = iota // a disk is lost, the machine comes back empty at once
+	modelWipeLong                // ... after the others have gone on without it
+	modelReplace                 // ... or never, and another machine comes
+	modelKill                    // a process ends; what it wrote stays
+	modelCrash                   // a machine loses power
+	modelCrashLong               // ... until the others have gone on without it
+	modelPause                   // a process stands still until the others have gone on without it
+	modelRetire                  // a store is to be emptied
+	modelPowerLoss               // all lose power
+	modelPowerLossAndWipe        // ... and one its disk
+	modelDropMessage             // the next message is lost
+	modelDelayMessage            // the next message comes after the others that are on their way
+	modelDuplicateMessage        // the next message comes again later
+	modelAddStore                // another store joins
+	modelFaultKinds
+	modelFirstWithoutStore = modelDropMessage // from here on no store is named
 )
 
-var setKindNames = [setKinds]string{"wiped", "wiped for long", "replaced", "killed", "loses power", "loses power for long",
+var modelFaultNames = [modelFaultKinds]string{"wiped", "wiped for long", "replaced", "killed", "loses power", "loses power for long",
 	"stands still", "is to be emptied", "all lose power", "all lose power, and its disk is lost", "message lost", "message late",
 	"message twice", "a store is added"}
 
-const setLong = 2*setSilent + setRound
+const modelLongAbsence = 2*modelTimeout + modelRound
 
-func (t setTrouble) String() string {
-	if t.kind >= setStoreless {
-		return fmt.Sprintf("%d:%s", t.step, setKindNames[t.kind])
+func (t modelFault) String() string {
+	if t.kind >= modelFirstWithoutStore {
+		return fmt.Sprintf("%d:%s", t.step, modelFaultNames[t.kind])
 	}
-	return fmt.Sprintf("%d:s%d %s", t.step, t.store+1, setKindNames[t.kind])
+	return fmt.Sprintf("%d:s%d %s", t.step, t.store+1, modelFaultNames[t.kind])
 }
 
 // happen brings a trouble about. It tells whether it could be: no more disks go than may.
-func (w *setWorld) happen(t setTrouble) bool {
+func (w *modelCluster) inject(t modelFault) bool {
 	s := w.stores[t.store]
-	lost := t.kind == setWipe || t.kind == setWipeLong || t.kind == setReplace || t.kind == setPowerWipe
-	if lost && w.permitted == 0 || s.gone || t.kind < setStoreless && !s.up {
+	lost := t.kind == modelWipe || t.kind == modelWipeLong || t.kind == modelReplace || t.kind == modelPowerLossAndWipe
+	if lost && w.allowedLosses == 0 || s.removed || t.kind < modelFirstWithoutStore && !s.up {
 		return false
 	}
 	if lost {
-		w.permitted--
+		w.allowedLosses--
 	}
 	switch t.kind {
-	case setWipe:
+	case modelWipe:
 		s.wipe(0)
-	case setWipeLong:
-		s.wipe(setLong)
-	case setReplace:
+	case modelWipeLong:
+		s.wipe(modelLongAbsence)
+	case modelReplace:
 		s.wipe(0)
-		s.gone = true
+		s.removed = true
 		w.add()
-	case setKill:
+	case modelKill:
 		s.stop(true, 0)
-	case setCrash:
+	case modelCrash:
 		s.stop(false, 0)
-	case setCrashLong:
-		s.stop(false, setLong)
-	case setFreeze:
-		s.frozen, s.thawAt = true, w.now+setLong
-	case setRetire:
+	case modelCrashLong:
+		s.stop(false, modelLongAbsence)
+	case modelPause:
+		s.paused, s.resumeAt = true, w.now+modelLongAbsence
+	case modelRetire:
 		if !w.retire(s) {
 			return false
 		}
-	case setPower, setPowerWipe:
+	case modelPowerLoss, modelPowerLossAndWipe:
 		w.messages = nil
 		for _, other := range w.stores {
 			if other.up {
 				other.stop(false, 0)
 			}
 		}
-		if t.kind == setPowerWipe {
-			s.wipe(setRound)
+		if t.kind == modelPowerLossAndWipe {
+			s.wipe(modelRound)
 		}
-	case setAdd:
+	case modelAddStore:
 		w.add()
 	default:
-		return w.disturb(t.kind)
+		return w.disturbMessage(t.kind)
 	}
 	return true
 }
 
 // disturb has something become of the next message.
-func (w *setWorld) disturb(kind int) bool {
+func (w *modelCluster) disturbMessage(kind int) bool {
 	if len(w.messages) == 0 {
 		return false
 	}
 	next := w.messages[0]
-	if kind != setTwice {
+	if kind != modelDuplicateMessage {
 		w.messages = w.messages[1:]
 	}
-	if kind != setDrop {
+	if kind != modelDropMessage {
 		w.messages = append(w.messages, next)
 	}
 	return true
 }
 
 // play runs a world with troubles, in the order of their steps, until the client is done. It tells how many came about.
-func (w *setWorld) play(troubles []setTrouble) (happened int) {
+func (w *modelCluster) play(troubles []modelFault) (happened int) {
 	w.rounds = 0
-	for w.failure == "" && (len(troubles) > 0 || !w.done()) && w.rounds < setRounds {
+	for w.failure == "" && (len(troubles) > 0 || !w.done()) && w.rounds < modelMaxRounds {
 		for len(troubles) > 0 && troubles[0].step == w.steps {
-			if w.happen(troubles[0]) {
+			if w.inject(troubles[0]) {
 				happened++
 				w.rounds = 0
 				w.note("%v", troubles[0])
@@ -138,9 +138,9 @@
 }
 
 // settleSet plays until all stores are members and whole.
-func settleSet(count, copies int, bugs setBugs) *setWorld {
-	w := newSetWorld(count, copies, bugs)
-	for w.failure == "" && (len(w.view.Members) < count || !w.bearsLoss()) {
+func newReconciledModel(count, copies int, bugs modelBugs) *modelCluster {
+	w := newModelCluster(count, copies, bugs)
+	for w.failure == "" && (len(w.view.Members) < count || !w.toleratesLoss()) {
 		w.step()
 	}
 	w.steps, w.rounds, w.begun = 0, 0, true
@@ -148,8 +148,8 @@
 }
 
 // setLength is the number of steps that a run without trouble takes.
-func setLength(t testing.TB, count, copies int) int {
-	w := settleSet(count, copies, setBugs{})
+func modelLength(t testing.TB, count, copies int) int {
+	w := newReconciledModel(count, copies, modelBugs{})
 	w.play(nil)
 	if w.failure != "" {
 		t.Fatalf("without trouble: %s\n%s", w.failure, strings.Join(w.events, "\n"))
@@ -158,35 +158,35 @@
 }
 
 // runSet plays one world and tells what was broken.
-func runSet(count, copies int, bugs setBugs, troubles ...setTrouble) (w *setWorld, happened int) {
-	w = settleSet(count, copies, bugs)
+func runModel(count, copies int, bugs modelBugs, troubles ...modelFault) (w *modelCluster, happened int) {
+	w = newReconciledModel(count, copies, bugs)
 	happened = w.play(troubles)
 	return w, happened
 }
 
-func setProblem(w *setWorld, troubles []setTrouble) string {
+func describeModelFailure(w *modelCluster, troubles []modelFault) string {
 	return fmt.Sprintf("%v: %s\n%s", troubles, w.failure, strings.Join(w.events, "\n"))
 }
 
-var setSizes = [][2]int{{3, 2}, {4, 2}, {4, 3}} // stores, copies
+var modelSizes = [][2]int{{3, 2}, {4, 2}, {4, 3}} // stores, copies
 
 // TestSetModel brings each trouble about before each step of a batch job's life, on real machines.
 func TestSetModel(t *testing.T) {
-	for _, size := range setSizes {
+	for _, size := range modelSizes {
 		played, steps := 0, 0
-		length := setLength(t, size[0], size[1])
+		length := modelLength(t, size[0], size[1])
 		for step := range length {
-			for kind := range setKinds {
+			for kind := range modelFaultKinds {
 				for store := range size[0] {
-					if kind >= setStoreless && store > 0 {
+					if kind >= modelFirstWithoutStore && store > 0 {
 						break
 					}
-					troubles := []setTrouble{{kind: kind, store: store, step: step}}
-					w, happened := runSet(size[0], size[1], setBugs{}, troubles...)
+					troubles := []modelFault{{kind: kind, store: store, step: step}}
+					w, happened := runModel(size[0], size[1], modelBugs{}, troubles...)
 					played += happened
 					steps += w.steps
 					if w.failure != "" {
-						t.Fatal(setProblem(w, troubles))
+						t.Fatal(describeModelFailure(w, troubles))
 					}
 				}
 			}
@@ -203,21 +203,21 @@
 		every = 1
 	}
 	const stores, copies, after = 4, 2, 60
-	length := setLength(t, stores, copies)
+	length := modelLength(t, stores, copies)
 	pairs, played, both := 0, 0, 0
-	for first := range length * stores * len(setFirsts) {
-		for second := range after * stores * len(setSeconds) {
+	for first := range length * stores * len(modelFirstFaults) {
+		for second := range after * stores * len(modelSecondFaults) {
 			if pairs++; pairs%every != 0 {
 				continue
 			}
-			step := first / (stores * len(setFirsts))
-			troubles := []setTrouble{
-				{step: step, store: first % stores, kind: setFirsts[first/stores%len(setFirsts)]},
-				{step: step + second/(stores*len(setSeconds)), store: second % stores, kind: setSeconds[second/stores%len(setSeconds)]},
+			step := first / (stores * len(modelFirstFaults))
+			troubles := []modelFault{
+				{step: step, store: first % stores, kind: modelFirstFaults[first/stores%len(modelFirstFaults)]},
+				{step: step + second/(stores*len(modelSecondFaults)), store: second % stores, kind: modelSecondFaults[second/stores%len(modelSecondFaults)]},
 			}
-			w, happened := runSet(stores, copies, setBugs{}, troubles...)
+			w, happened := runModel(stores, copies, modelBugs{}, troubles...)
 			if w.failure != "" {
-				t.Fatal(setProblem(w, troubles))
+				t.Fatal(describeModelFailure(w, troubles))
 			}
 			played++
 			both += happened / 2
@@ -227,18 +227,18 @@
 }
 
 var (
-	setFirsts  = []int{setWipe, setReplace, setRetire, setAdd}
-	setSeconds = []int{setWipeLong, setPowerWipe, setDrop}
+	modelFirstFaults  = []int{modelWipe, modelReplace, modelRetire, modelAddStore}
+	modelSecondFaults = []int{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
 )
 
 // TestSetModelVersionAfterAbsence has an owner come back to a set that stands, while another store, which is away, has
 // chosen a higher version that was never whole. A random run found it.
 func TestSetModelVersionAfterAbsence(t *testing.T) {
-	playTrace(t, 3, 2, setTrouble{setFreeze, 1, 17}, setTrouble{setCrashLong, 0, 30}, setTrouble{setCrashLong, 2, 49},
-		setTrouble{setCrashLong, 1, 72})
-	troubles := []setTrouble{{setFreeze, 1, 15}, {setCrashLong, 2, 28}, {setCrashLong, 0, 41}, {setCrashLong, 1, 51}}
+	playTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
+		modelFault{modelCrashLong, 1, 72})
+	troubles := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
 	playTrace(t, 3, 2, troubles...)
-	if w, _ := runSet(3, 2, setBugs{keepsVersion: true}, troubles...); !strings.Contains(w.failure, setLost) {
+	if w, _ := runModel(3, 2, modelBugs{keepsVersion: true}, troubles...); !strings.Contains(w.failure, modelDataLost) {
 		t.Errorf("not found where an owner keeps its version: %q", w.failure)
 	}
 }
@@ -246,16 +246,16 @@
 // TestSetModelEmptiedWhileAway has a store leave as planned while others are out of the view, and a disk lost meanwhile.
 // Random runs found these: a store that came back with the only copy missed the emptied one like one that was lost.
 func TestSetModelEmptiedWhileAway(t *testing.T) {
-	playTrace(t, 3, 2, setTrouble{setKill, 0, 17}, setTrouble{setFreeze, 2, 34}, setTrouble{setRetire, 0, 41}, setTrouble{setReplace, 1, 52})
-	playTrace(t, 4, 2, setTrouble{setRetire, 2, 2}, setTrouble{setRetire, 0, 13}, setTrouble{setWipeLong, 3, 23}, setTrouble{setFreeze, 1, 26})
-	playTrace(t, 4, 3, setTrouble{setFreeze, 2, 23}, setTrouble{setFreeze, 1, 23}, setTrouble{setRetire, 0, 24}, setTrouble{setWipe, 3, 64},
-		setTrouble{setPowerWipe, 2, 76})
-	playTrace(t, 4, 2, setTrouble{setRetire, 0, 0}, setTrouble{setDrop, 0, 30}) // word that another one stands whole
+	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41}, modelFault{modelReplace, 1, 52})
+	playTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23}, modelFault{modelPause, 1, 26})
+	playTrace(t, 4, 3, modelFault{modelPause, 2, 23}, modelFault{modelPause, 1, 23}, modelFault{modelRetire, 0, 24}, modelFault{modelWipe, 3, 64},
+		modelFault{modelPowerLossAndWipe, 2, 76})
+	playTrace(t, 4, 2, modelFault{modelRetire, 0, 0}, modelFault{modelDropMessage, 0, 30}) // word that another one stands whole
 }
 
 // TestSetModelRestartWhileLeaving has a store start again while it hands over, and the successor lose its disk.
 func TestSetModelRestartWhileLeaving(t *testing.T) {
-	playTrace(t, 4, 2, setTrouble{setRetire, 1, 35}, setTrouble{setCrash, 2, 66}, setTrouble{setWipe, 3, 98})
+	playTrace(t, 4, 2, modelFault{modelRetire, 1, 35}, modelFault{modelCrash, 2, 66}, modelFault{modelWipe, 3, 98})
 }
 
 // TestSetModelDense plays several troubles that follow each other closely, with the disk of one and the same machine lost; SEEDS=N
@@ -265,28 +265,28 @@
 	for _, size := range [][2]int{{4, 2}, {4, 3}} {
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
-			troubles := denseTroubles(seed, size[0])
-			w, count := runSet(size[0], size[1], setBugs{}, troubles...)
+			troubles := denseFaults(seed, size[0])
+			w, count := runModel(size[0], size[1], modelBugs{}, troubles...)
 			happened += count
 			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, setProblem(w, troubles))
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, troubles))
 			}
 		}
 		t.Logf("%d stores, %d copies: %d runs, %d troubles", size[0], size[1], seeds, happened)
 	}
 }
 
-var setDense = []int{setWipe, setWipe, setWipeLong, setKill, setCrash, setPower, setDrop, setLate, setCrashLong, setRetire}
+var modelDenseFaults = []int{modelWipe, modelWipe, modelWipeLong, modelKill, modelCrash, modelPowerLoss, modelDropMessage, modelDelayMessage, modelCrashLong, modelRetire}
 
 // denseTroubles draws troubles that are at most 39 steps apart.
-func denseTroubles(seed uint64, stores int) []setTrouble {
+func denseFaults(seed uint64, stores int) []modelFault {
 	random := rand.New(rand.NewPCG(seed, 99))
-	var troubles []setTrouble
+	var troubles []modelFault
 	step, wiped := 0, random.IntN(stores)
 	for range 3 + random.IntN(4) {
 		step += random.IntN(40)
-		one := setTrouble{kind: setDense[random.IntN(len(setDense))], store: random.IntN(stores), step: step}
-		if one.kind == setWipe || one.kind == setWipeLong {
+		one := modelFault{kind: modelDenseFaults[random.IntN(len(modelDenseFaults))], store: random.IntN(stores), step: step}
+		if one.kind == modelWipe || one.kind == modelWipeLong {
 			one.store = wiped
 		}
 		troubles = append(troubles, one)
@@ -307,11 +307,11 @@
 }
 
 // playTrace plays troubles that were found to break something once.
-func playTrace(t *testing.T, stores, copies int, troubles ...setTrouble) {
+func playTrace(t *testing.T, stores, copies int, troubles ...modelFault) {
 	t.Helper()
-	w, happened := runSet(stores, copies, setBugs{}, troubles...)
+	w, happened := runModel(stores, copies, modelBugs{}, troubles...)
 	if w.failure != "" {
-		t.Error(setProblem(w, troubles))
+		t.Error(describeModelFailure(w, troubles))
 	}
 	if happened != len(troubles) {
 		t.Errorf("%v: only %d of them came about", troubles, happened)
@@ -321,55 +321,55 @@
 // TestSetModelRandom plays several troubles in one run; SEEDS=N plays N runs of each size, FIRST=S starts at seed S.
 func TestSetModelRandom(t *testing.T) {
 	seeds, first := modelSeeds(600)
-	for _, size := range setSizes {
-		length := setLength(t, size[0], size[1])
+	for _, size := range modelSizes {
+		length := modelLength(t, size[0], size[1])
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
-			troubles := randomTroubles(seed, size[0], length)
-			w, count := runSet(size[0], size[1], setBugs{}, troubles...)
+			troubles := randomFaults(seed, size[0], length)
+			w, count := runModel(size[0], size[1], modelBugs{}, troubles...)
 			happened += count
 			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, setProblem(w, troubles))
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, troubles))
 			}
 		}
 		t.Logf("%d stores, %d copies: %d runs, %d troubles", size[0], size[1], seeds, happened)
 	}
 }
 
-func randomTroubles(seed uint64, stores, length int) []setTrouble {
+func randomFaults(seed uint64, stores, length int) []modelFault {
 	random := rand.New(rand.NewPCG(seed, 17))
-	var troubles []setTrouble
+	var troubles []modelFault
 	step := 0
 	for range 2 + random.IntN(4) {
 		step += random.IntN(length)
-		troubles = append(troubles, setTrouble{kind: random.IntN(setKinds), store: random.IntN(stores), step: step})
+		troubles = append(troubles, modelFault{kind: random.IntN(modelFaultKinds), store: random.IntN(stores), step: step})
 	}
 	return troubles
 }
 
 // TestSetModelFindsPlantedBugs checks that the troubles find what they are for.
-func TestSetModelFindsPlantedBugs(t *testing.T) {
+func TestSetModelFindsInjectedBugs(t *testing.T) {
 	plants := []struct {
 		name   string
 		copies int
-		bugs   setBugs
+		bugs   modelBugs
 		broken string // what it breaks
 	}{
-		{"a lost disk isn't noticed", 2, setBugs{sameLife: true}, setLost},
-		{"records count as durable when written", 2, setBugs{lyingDisk: true}, setLost},
-		{"a batch job is on as many disks as may be lost", 2, setBugs{fewCopies: true}, setLost},
-		{"replicas count as whole before they are", 2, setBugs{wholeEarly: true}, setLost},
-		{"inventories list nothing", 3, setBugs{emptyLists: true}, "steps without end"},
-		{"a store counts as emptied when it is asked to be", 2, setBugs{retireEarly: true}, setLost},
-		{"a lease never ends", 2, setBugs{endlessLease: true}, "shows"},
+		{"a lost disk isn't noticed", 2, modelBugs{keepsIncarnation: true}, modelDataLost},
+		{"records count as durable when written", 2, modelBugs{earlyDurable: true}, modelDataLost},
+		{"a batch job is on as many disks as may be lost", 2, modelBugs{fewCopies: true}, modelDataLost},
+		{"replicas count as whole before they are", 2, modelBugs{earlyReplicated: true}, modelDataLost},
+		{"inventories list nothing", 3, modelBugs{emptyInventories: true}, "steps without end"},
+		{"a store counts as emptied when it is asked to be", 2, modelBugs{retireEarly: true}, modelDataLost},
+		{"a lease never ends", 2, modelBugs{endlessLease: true}, "shows"},
 	}
 	for _, planted := range plants {
 		t.Run(planted.name, func(t *testing.T) {
-			length := setLength(t, 4, planted.copies)
+			length := modelLength(t, 4, planted.copies)
 			for seed := range uint64(5000) {
-				troubles := randomTroubles(seed, 4, length)
-				if w, _ := runSet(4, planted.copies, planted.bugs, troubles...); strings.Contains(w.failure, planted.broken) {
-					t.Logf("found by seed %d: %s", seed, setProblem(w, troubles))
+				troubles := randomFaults(seed, 4, length)
+				if w, _ := runModel(4, planted.copies, planted.bugs, troubles...); strings.Contains(w.failure, planted.broken) {
+					t.Logf("found by seed %d: %s", seed, describeModelFailure(w, troubles))
 					return
 				}
 			}
