--- a/internal/batch/replica/set_world_test.go
+++ b/internal/batch/replica/set_world_test.go
@@ -18,82 +18,82 @@
 // its troubles and the steps before which they come.
 
 const (
-	setRound  = 300 * time.Millisecond
-	setLease  = 2 * setRound
-	setSilent = 3 * setRound // after which the authority evicts a store whose lease is over
-	setJob    = "j"
-	setItems  = 2
-	setSteps  = 5000
-	setRounds = 80 // after the last trouble, in which all must come to its end
+	modelRound     = 300 * time.Millisecond
+	modelLease     = 2 * modelRound
+	modelTimeout   = 3 * modelRound // after which the authority evicts a store whose lease is over
+	modelJob       = "j"
+	modelItems     = 2
+	modelMaxSteps  = 5000
+	modelMaxRounds = 80 // after the last trouble, in which all must come to its end
 )
 
 // setBugs are planted by tests that show that the model finds them.
-type setBugs struct {
-	sameLife     bool // a store whose disk was lost comes back as if it hadn't been away
-	lyingDisk    bool // records count as durable when they are written
-	fewCopies    bool // a batch job is on as many disks as may be lost
-	wholeEarly   bool // replicas count as whole before they are
-	emptyLists   bool // inventories list nothing
-	retireEarly  bool // a store counts as emptied once it is asked to be
-	endlessLease bool // a store that stood still never finds its lease ended
-	keepsVersion bool // an owner that was away goes on under the version that it had
-}
-
-type setMessage struct {
+type modelBugs struct {
+	keepsIncarnation bool // a store whose disk was lost comes back as if it hadn't been away
+	earlyDurable     bool // records count as durable when they are written
+	fewCopies        bool // a batch job is on as many disks as may be lost
+	earlyReplicated  bool // replicas count as whole before they are
+	emptyInventories bool // inventories list nothing
+	retireEarly      bool // a store counts as emptied once it is asked to be
+	endlessLease     bool // a store that stood still never finds its lease ended
+	keepsVersion     bool // an owner that was away goes on under the version that it had
+}
+
+type modelMessage struct {
 	from protocol.Process
 	to   placement.Key
 	body any
 }
 
-type setWorld struct {
-	bugs      setBugs
-	copies    int
-	now       time.Duration
-	stores    []*setStore
-	view      protocol.StoreView
-	messages  []setMessage
-	steps     int
-	rounds    int  // since the last trouble
-	permitted int  // disks that may be lost now
-	begun     bool // the client has
-	client    setClient
-	failure   string
-	events    []string
-}
-
-type setStore struct {
-	world       *setWorld
-	node        string
-	incarnation int
-	life        uint64
-	machine     *StateMachine
-	disk        [][]byte
-	durable     int // records that a loss of power leaves
-	base        int // records at the start of the process
-	up, frozen  bool
-	gone        bool          // taken away for good
-	startAt     time.Duration // where it is down
-	thawAt      time.Duration
-	heardAt     time.Duration
-	wipedAt     time.Duration // it lost its last disk
-	leaseUntil  time.Duration
-	inbox       []func()
-	answers     map[CallID]func(protocol.BatchAnswer)
-	tokens      CallID
-	shown       int // results that were read from this life
-	audited     int // records that audit stands for
-	audit       *setCopy
+type modelCluster struct {
+	bugs          modelBugs
+	copies        int
+	now           time.Duration
+	stores        []*modelStore
+	view          protocol.StoreView
+	messages      []modelMessage
+	steps         int
+	rounds        int  // since the last trouble
+	allowedLosses int  // disks that may be lost now
+	begun         bool // the client has
+	client        modelClient
+	failure       string
+	events        []string
+}
+
+type modelStore struct {
+	model         *modelCluster
+	node          string
+	incarnation   int
+	life          uint64
+	machine       *StateMachine
+	disk          [][]byte
+	durable       int // records that a loss of power leaves
+	base          int // records at the start of the process
+	up, paused    bool
+	removed       bool          // taken away for good
+	startAt       time.Duration // where it is down
+	resumeAt      time.Duration
+	lastContact   time.Duration
+	wipedAt       time.Duration // it lost its last disk
+	leaseUntil    time.Duration
+	delayedInputs []func()
+	answers       map[CallID]func(protocol.BatchAnswer)
+	tokens        CallID
+	shown         int // results that were read from this life
+	audited       int // records that audit stands for
+	audit         *diskCopy
 }
 
 // setCopy is what a disk holds of the batch job for sure.
-type setCopy struct {
+type diskCopy struct {
 	version Version
 	results []string // by position: item and text
 	ended   bool
 }
 
-func newSetWorld(count, copies int, bugs setBugs) *setWorld {
-	w := &setWorld{bugs: bugs, copies: copies}
+func newModelCluster(count, copies int, bugs modelBugs) *modelCluster {
+	w := &modelCluster{bugs: bugs, copies: copies}
 	w.client.begin()
 	for range count {
 		w.add()
@@ -101,64 +101,64 @@
 	return w
 }
 
-func (w *setWorld) fail(format string, values ...any) {
+func (w *modelCluster) fail(format string, values ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf("step %d at %v: ", w.steps, w.now) + fmt.Sprintf(format, values...)
 	}
 }
 
-func (w *setWorld) note(format string, values ...any) {
+func (w *modelCluster) note(format string, values ...any) {
 	w.events = append(w.events, fmt.Sprintf("%4d %6v ", w.steps, w.now)+fmt.Sprintf(format, values...))
 }
 
-func (w *setWorld) add() {
-	s := &setStore{world: w, node: "s" + strconv.Itoa(len(w.stores)+1), incarnation: 1}
+func (w *modelCluster) add() {
+	s := &modelStore{model: w, node: "s" + strconv.Itoa(len(w.stores)+1), incarnation: 1}
 	w.stores = append(w.stores, s)
 	s.start()
 }
 
-func (s *setStore) process() protocol.Process {
+func (s *modelStore) process() protocol.Process {
 	return protocol.Process{Node: s.node, IP: s.node, Zone: "z-" + s.node, Incarnation: strconv.Itoa(s.incarnation)}
 }
 
-func (s *setStore) key() placement.Key { return placement.KeyOf(s.process()) }
+func (s *modelStore) key() placement.Key { return placement.KeyOf(s.process()) }
 
-func (s *setStore) start() {
+func (s *modelStore) start() {
 	s.life++
-	s.up, s.frozen, s.inbox, s.shown = true, false, nil, 0
-	s.heardAt = s.world.now
+	s.up, s.paused, s.delayedInputs, s.shown = true, false, nil, 0
+	s.lastContact = s.model.now
 	s.base, s.durable = len(s.disk), len(s.disk)
 	s.answers = map[CallID]func(protocol.BatchAnswer){}
-	copies := s.world.copies
-	if s.world.bugs.fewCopies {
+	copies := s.model.copies
+	if s.model.bugs.fewCopies {
 		copies--
 	}
 	s.machine = New(Options{Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: copies, Retention: time.Hour}, s)
 	for i, record := range s.disk {
 		if err := s.machine.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
-			s.world.fail("%s finds its log unreadable: %v", s.node, err)
+			s.model.fail("%s finds its log unreadable: %v", s.node, err)
 		}
 	}
 }
 
 // stop ends the process; what wasn't synced may stay, as when only the process is killed.
-func (s *setStore) stop(keep bool, down time.Duration) {
+func (s *modelStore) stop(keep bool, down time.Duration) {
 	if !s.up {
 		return
 	}
 	s.up = false
-	s.startAt = s.world.now + down
+	s.startAt = s.model.now + down
 	if !keep {
 		s.disk = s.disk[:s.durable]
 	}
 	s.durable = len(s.disk)
 }
 
-func (s *setStore) wipe(down time.Duration) {
+func (s *modelStore) wipe(down time.Duration) {
 	s.stop(false, down)
-	s.wipedAt = s.world.now
+	s.wipedAt = s.model.now
 	s.disk, s.durable, s.audited, s.audit = nil, 0, 0, nil
-	if s.world.bugs.sameLife {
+	if s.model.bugs.keepsIncarnation {
 		s.life--
 		return
 	}
@@ -166,20 +166,20 @@
 }
 
 // do runs an input now, after a thaw, or never.
-func (s *setStore) do(input func()) {
+func (s *modelStore) do(input func()) {
 	switch {
 	case !s.up:
-	case s.frozen:
-		s.inbox = append(s.inbox, input)
+	case s.paused:
+		s.delayedInputs = append(s.delayedInputs, input)
 	default:
 		input()
 	}
 }
 
-func (s *setStore) thaw() {
-	s.frozen = false
-	inbox := s.inbox
-	s.inbox = nil
+func (s *modelStore) resume() {
+	s.paused = false
+	inbox := s.delayedInputs
+	s.delayedInputs = nil
 	for _, input := range inbox {
 		s.do(input)
 	}
@@ -187,29 +187,29 @@
 
 // The machine's environment.
 
-func (s *setStore) Now() time.Duration              { return s.world.now }
-func (s *setStore) WallClock() int64                { return s.world.now.Milliseconds() }
-func (s *setStore) QueueLimit(string) (int64, bool) { return 0, true }
+func (s *modelStore) Now() time.Duration              { return s.model.now }
+func (s *modelStore) WallClock() int64                { return s.model.now.Milliseconds() }
+func (s *modelStore) QueueLimit(string) (int64, bool) { return 0, true }
 
-func (s *setStore) FreeBytes() int64 { return 1 << 40 }
-func (s *setStore) Start(string)     {}
-func (s *setStore) Stop(string)      {}
+func (s *modelStore) FreeBytes() int64 { return 1 << 40 }
+func (s *modelStore) Start(string)     {}
+func (s *modelStore) Stop(string)      {}
 
-func (s *setStore) Write(record []byte, _ bool) (uint64, wal.Location) {
+func (s *modelStore) Write(record []byte, _ bool) (uint64, wal.Location) {
 	s.disk = append(s.disk, record)
 	index := len(s.disk) - 1
 	return uint64(index + 1 - s.base), wal.Location{Segment: uint32(index), Length: uint32(len(record))}
 }
 
-func (s *setStore) Read(at wal.Location) ([]byte, error) {
+func (s *modelStore) Read(at wal.Location) ([]byte, error) {
 	return s.disk[at.Segment][at.Offset : at.Offset+at.Length], nil
 }
 
-func (s *setStore) Send(to protocol.Process, message any) {
-	s.world.messages = append(s.world.messages, setMessage{from: s.process(), to: placement.KeyOf(to), body: message})
+func (s *modelStore) Send(to protocol.Process, message any) {
+	s.model.messages = append(s.model.messages, modelMessage{from: s.process(), to: placement.KeyOf(to), body: message})
 }
 
-func (s *setStore) Answer(token CallID, answer protocol.BatchAnswer) {
+func (s *modelStore) Answer(token CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[token]
 	delete(s.answers, token)
 	if answered == nil {
@@ -221,7 +221,7 @@
 	answered(answer)
 }
 
-func (s *setStore) call(call protocol.BatchCall, items []job.Item, done func(protocol.BatchAnswer)) {
+func (s *modelStore) call(call protocol.BatchCall, items []job.Item, done func(protocol.BatchAnswer)) {
 	s.do(func() {
 		s.tokens++
 		s.answers[s.tokens] = done
@@ -230,31 +230,31 @@
 }
 
 // sync makes all durable that was written.
-func (s *setStore) sync() {
+func (s *modelStore) sync() {
 	s.durable = len(s.disk)
 	s.machine.Synced(uint64(s.durable - s.base))
 }
 
-func (s *setStore) unsynced() bool { return s.up && !s.frozen && s.durable < len(s.disk) }
+func (s *modelStore) unsynced() bool { return s.up && !s.paused && s.durable < len(s.disk) }
 
 // step does the next thing.
-func (w *setWorld) step() {
+func (w *modelCluster) step() {
 	w.steps++
-	if w.steps > setSteps {
+	if w.steps > modelMaxSteps {
 		w.fail("steps without end")
 	}
 	if len(w.messages) > 0 {
 		message := w.messages[0]
 		w.messages = w.messages[1:]
 		w.deliver(message)
-	} else if at := slices.IndexFunc(w.stores, (*setStore).unsynced); at >= 0 {
+	} else if at := slices.IndexFunc(w.stores, (*modelStore).unsynced); at >= 0 {
 		w.stores[at].sync()
 	} else {
 		w.round()
 	}
-	if w.bugs.lyingDisk {
+	if w.bugs.earlyDurable {
 		for _, s := range w.stores {
-			if s.up && !s.frozen && len(s.machine.pendingWrites) > 0 {
+			if s.up && !s.paused && len(s.machine.pendingWrites) > 0 {
 				s.machine.Synced(uint64(len(s.disk) - s.base))
 			}
 		}
@@ -262,8 +262,8 @@
 	w.check()
 }
 
-func (w *setWorld) deliver(message setMessage) {
-	at := slices.IndexFunc(w.stores, func(s *setStore) bool { return s.key() == message.to })
+func (w *modelCluster) deliver(message modelMessage) {
+	at := slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.key() == message.to })
 	if at < 0 {
 		return
 	}
@@ -271,12 +271,12 @@
 	body := message.body
 	switch body := message.body.(type) {
 	case ReplicationResponse:
-		if w.bugs.wholeEarly {
-			body.Held, body.Count, body.Ended = true, setItems, true
+		if w.bugs.earlyReplicated {
+			body.Held, body.Count, body.Ended = true, modelItems, true
 			message.body = body
 		}
 	case InventoryResponse:
-		if w.bugs.emptyLists {
+		if w.bugs.emptyInventories {
 			body.Entries = nil
 			message.body = body
 		}
@@ -287,28 +287,28 @@
 
 // round lets time pass: processes start, the authority looks at who is there, leases are renewed, machines tick, and the
 // client goes on.
-func (w *setWorld) round() {
+func (w *modelCluster) round() {
 	w.rounds++
-	w.now += setRound
+	w.now += modelRound
 	for _, s := range w.stores {
 		switch {
-		case s.gone:
+		case s.removed:
 		case !s.up && w.now >= s.startAt:
 			s.start()
-		case s.up && s.frozen && w.now >= s.thawAt:
-			s.thaw()
+		case s.up && s.paused && w.now >= s.resumeAt:
+			s.resume()
 			continue // it hears of the view and of its lease in the next round
 		}
-		if s.up && !s.frozen {
-			s.heardAt = w.now
+		if s.up && !s.paused {
+			s.lastContact = w.now
 		}
 	}
-	w.authority()
+	w.runControl()
 	for _, s := range w.stores {
-		if !s.up || s.frozen {
+		if !s.up || s.paused {
 			continue
 		}
-		if s.heardAt < w.now {
+		if s.lastContact < w.now {
 			s.machine.Tick()
 			continue
 		}
@@ -318,7 +318,7 @@
 			s.machine.departures.memberSince = 1
 		}
 		if member {
-			s.leaseUntil = w.now + setLease
+			s.leaseUntil = w.now + modelLease
 		}
 		until := s.leaseUntil
 		if w.bugs.endlessLease {
@@ -328,50 +328,50 @@
 		s.machine.Tick()
 	}
 	if w.begun {
-		w.client.act(w)
+		w.client.step(w)
 	}
 }
 
 // authority changes the view, one change a round, as control does.
-func (w *setWorld) authority() {
+func (w *modelCluster) runControl() {
 	members := slices.Clone(w.view.Members)
 	for i := range members {
 		s := w.byNode(members[i].Node)
 		switch {
-		case w.now-s.heardOf(members[i].Process) >= setSilent && w.now >= s.leaseUntil:
-			w.change(slices.Delete(members, i, i+1), "evicts "+s.node)
+		case w.now-s.lastContactOf(members[i].Process) >= modelTimeout && w.now >= s.leaseUntil:
+			w.changeMembers(slices.Delete(members, i, i+1), "evicts "+s.node)
 			return
-		case members[i].State == protocol.StoreRetired && !s.gone:
-			w.change(slices.Delete(members, i, i+1), "takes "+s.node+" away")
+		case members[i].State == protocol.StoreRetired && !s.removed:
+			w.changeMembers(slices.Delete(members, i, i+1), "takes "+s.node+" away")
 			s.wipe(0)
-			s.gone = true
+			s.removed = true
 			return
-		case members[i].State == protocol.StoreRetiring && w.emptied(s):
+		case members[i].State == protocol.StoreRetiring && w.isDrained(s):
 			members[i].State = protocol.StoreRetired
-			w.change(members, "notes that "+s.node+" is emptied")
+			w.changeMembers(members, "notes that "+s.node+" is emptied")
 			return
 		}
 	}
-	if !w.view.Settled && w.allSettled() {
+	if !w.view.Settled && w.allReconciled() {
 		w.view.Settled, w.view.Departed = true, nil
 	}
 	for _, s := range w.stores {
-		if _, member := placement.MemberOf(w.view, s.key()); member || !s.up || s.frozen || s.gone {
+		if _, member := placement.MemberOf(w.view, s.key()); member || !s.up || s.paused || s.removed {
 			continue
 		}
 		members = slices.DeleteFunc(members, func(m protocol.StoreMember) bool { return m.Node == s.node })
-		w.change(append(members, protocol.StoreMember{Process: s.process()}), "lets "+s.node+" in")
+		w.changeMembers(append(members, protocol.StoreMember{Process: s.process()}), "lets "+s.node+" in")
 		return
 	}
 }
 
 // allSettled tells whether all members have told that they stand whole, as control asks.
-func (w *setWorld) allSettled() bool {
+func (w *modelCluster) allReconciled() bool {
 	for _, member := range w.view.Members {
-		s := w.of(placement.KeyOf(member.Process))
+		s := w.storeOf(placement.KeyOf(member.Process))
 		switch {
 		case member.State == protocol.StoreRetired:
-		case s == nil || !s.up || s.frozen:
+		case s == nil || !s.up || s.paused:
 			return false
 		default:
 			report := s.machine.Report()
@@ -383,34 +383,34 @@
 	return len(w.view.Members) > 0
 }
 
-func (w *setWorld) byNode(node string) *setStore {
-	return w.stores[slices.IndexFunc(w.stores, func(s *setStore) bool { return s.node == node })]
+func (w *modelCluster) byNode(node string) *modelStore {
+	return w.stores[slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.node == node })]
 }
 
 // heardOf tells when a life of the store's disk was heard last.
-func (s *setStore) heardOf(process protocol.Process) time.Duration {
-	if process != s.process() || s.gone {
+func (s *modelStore) lastContactOf(process protocol.Process) time.Duration {
+	if process != s.process() || s.removed {
 		return s.wipedAt
 	}
-	return s.heardAt
+	return s.lastContact
 }
 
-func (w *setWorld) emptied(s *setStore) bool {
+func (w *modelCluster) isDrained(s *modelStore) bool {
 	if w.bugs.retireEarly {
 		return true
 	}
 	report := s.machine.Report()
-	return s.up && !s.frozen && report.DrainedDown && report.Epoch == w.view.Epoch
+	return s.up && !s.paused && report.DrainedDown && report.Epoch == w.view.Epoch
 }
 
-func (w *setWorld) change(members []protocol.StoreMember, why string) {
+func (w *modelCluster) changeMembers(members []protocol.StoreMember, why string) {
 	before := w.view
 	w.view = protocol.StoreView{Epoch: before.Epoch + 1, Members: members}
-	w.view.Departed = departures(before, w.view)
+	w.view.Departed = departedAfter(before, w.view)
 	w.note("control %s: epoch %d", why, w.view.Epoch)
 }
 
-func (w *setWorld) of(key placement.Key) *setStore {
+func (w *modelCluster) storeOf(key placement.Key) *modelStore {
 	for _, s := range w.stores {
 		if s.key() == key {
 			return s
@@ -421,11 +421,11 @@
 
 // bearsLoss is the moment from which the next loss of as many disks as may be lost is borne: all members of the newest
 // view are there, enough of them active, and control has agreed that all that they own stands whole in that view.
-func (w *setWorld) bearsLoss() bool {
+func (w *modelCluster) toleratesLoss() bool {
 	active := 0
 	for _, member := range w.view.Members {
-		s := w.of(placement.KeyOf(member.Process))
-		if s == nil || !s.up || s.frozen || !w.view.Settled {
+		s := w.storeOf(placement.KeyOf(member.Process))
+		if s == nil || !s.up || s.paused || !w.view.Settled {
 			return false
 		}
 		if member.State == protocol.StoreActive {
@@ -436,17 +436,17 @@
 }
 
 // setClient submits the batch job, has its items run, reads and ends it.
-type setClient struct {
+type modelClient struct {
 	submission []byte
 	items      []job.Item
 	accepted   bool
 	seen       []string // by position
 	ended      bool
 	texts      int
-	turn       int
+	stepCount  int
 }
 
-func (c *setClient) begin() {
+func (c *modelClient) begin() {
 	type request struct {
 		ID     string `json:"id"`
 		Path   string `json:"path"`
@@ -454,7 +454,7 @@
 		Tokens int    `json:"tokens"`
 	}
 	var requests []request
-	for i := range setItems {
+	for i := range modelItems {
 		requests = append(requests, request{ID: "i" + strconv.Itoa(i), Path: "/p", Body: []byte{'b'}})
 	}
 	c.submission, _ = json.Marshal(map[string]any{"requests": requests})
@@ -466,26 +466,26 @@
 }
 
 // act takes the next step of the client: one item a round, on every store that may run it.
-func (c *setClient) act(w *setWorld) {
-	c.turn++
+func (c *modelClient) step(w *modelCluster) {
+	c.stepCount++
 	switch {
 	case !c.accepted:
-		c.ask(w, protocol.BatchCall{Operation: protocol.BatchSubmit, Body: c.submission}, func(answer protocol.BatchAnswer) {
+		c.call(w, protocol.BatchCall{Operation: protocol.BatchSubmit, Body: c.submission}, func(answer protocol.BatchAnswer) {
 			c.accepted = c.accepted || answer.Status == 202
 		})
-	case len(c.seen) < setItems:
+	case len(c.seen) < modelItems:
 		c.run(w)
 	case !c.ended:
-		c.ask(w, protocol.BatchCall{Operation: protocol.BatchEnd}, func(answer protocol.BatchAnswer) {
+		c.call(w, protocol.BatchCall{Operation: protocol.BatchEnd}, func(answer protocol.BatchAnswer) {
 			c.ended = c.ended || answer.Status == 200
 		})
 	}
 }
 
 // ask sends a call to one store after the other, and to the owner that it names.
-func (c *setClient) ask(w *setWorld, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
-	call.BatchJob, call.Tenant, call.Route = setJob, "t", "r"
-	s := w.stores[c.turn%len(w.stores)]
+func (c *modelClient) call(w *modelCluster, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
+	call.BatchJob, call.Tenant, call.Route = modelJob, "t", "r"
+	s := w.stores[c.stepCount%len(w.stores)]
 	s.call(call, c.items, func(answer protocol.BatchAnswer) {
 		if answer.Owner == "" {
 			done(answer)
@@ -500,12 +500,12 @@
 }
 
 // run lists the next item wherever it may run, with a text of its own.
-func (c *setClient) run(w *setWorld) {
+func (c *modelClient) run(w *modelCluster) {
 	for _, s := range w.stores {
-		for index := range setItems {
-			if s.up && !s.frozen && index <= len(c.seen) && s.machine.MayRun(setJob, index) {
+		for index := range modelItems {
+			if s.up && !s.paused && index <= len(c.seen) && s.machine.MayRun(modelJob, index) {
 				c.texts++
-				s.machine.Finish(setJob, index, job.Completed, fmt.Appendf(nil, "text %d", c.texts))
+				s.machine.Finish(modelJob, index, job.Completed, fmt.Appendf(nil, "text %d", c.texts))
 				break
 			}
 		}
@@ -513,7 +513,7 @@
 }
 
 // done tells that all has been acknowledged, and that no store has yet to be emptied.
-func (w *setWorld) done() bool {
+func (w *modelCluster) done() bool {
 	return w.client.ended && !slices.ContainsFunc(w.view.Members, func(m protocol.StoreMember) bool {
 		return m.State != protocol.StoreActive
 	})
--- a/internal/batch/replica/settle.go
+++ b/internal/batch/replica/settle.go
@@ -55,13 +55,13 @@
 	m.isMember = present
 	m.retiring = present && member.State != protocol.StoreActive
 	next := wasPresent && present && view.Epoch == last.Epoch+1
-	for _, h := range m.order {
-		h.handedOver, h.releasable = false, false
-		if h.owned && !(next && m.hasActiveReplicas(h)) {
-			m.disown(h)
+	for _, j := range m.order {
+		j.handedOver, j.releasable = false, false
+		if j.owned && !(next && m.hasActiveReplicas(j)) {
+			m.disown(j)
 		}
 		if !present {
-			m.failPendingCalls(h)
+			m.failPendingCalls(j)
 		}
 	}
 	for id, owner := range m.owners {
@@ -83,11 +83,11 @@
 }
 
 // stands tells whether a replica set is good in the present view as it is.
-func (m *StateMachine) hasActiveReplicas(h *storedJob) bool {
-	if len(h.replicas) < m.options.ReplicationFactor || len(h.handoverReplicas) > 0 {
+func (m *StateMachine) hasActiveReplicas(j *storedJob) bool {
+	if len(j.replicas) < m.options.ReplicationFactor || len(j.handoverReplicas) > 0 {
 		return false
 	}
-	return m.allActive(h.replicas)
+	return m.allActive(j.replicas)
 }
 
 func (m *StateMachine) allActive(stores []protocol.Process) bool {
@@ -101,20 +101,20 @@
 }
 
 // disown gives up a batch job until it is known who owns it. What runs may end, and is taken if this store owns it again.
-func (m *StateMachine) disown(h *storedJob) {
-	h.owned, h.replicated = false, false
-	h.handoverReplicas = nil
-	h.peers = nil
-	h.replaceReplicasAt = 0
+func (m *StateMachine) disown(j *storedJob) {
+	j.owned, j.replicated = false, false
+	j.handoverReplicas = nil
+	j.peers = nil
+	j.replaceReplicasAt = 0
 }
 
 // leave stops what this store does for a batch job: it is out of the view.
-func (m *StateMachine) failPendingCalls(h *storedJob) {
-	m.env.Stop(h.id)
-	for _, token := range append(h.pendingSubmissions, h.pendingEnds...) {
+func (m *StateMachine) failPendingCalls(j *storedJob) {
+	m.env.Stop(j.id)
+	for _, token := range append(j.pendingSubmissions, j.pendingEnds...) {
 		m.answer(token, outcomeUnknown())
 	}
-	h.pendingSubmissions, h.pendingEnds = nil, nil
+	j.pendingSubmissions, j.pendingEnds = nil, nil
 }
 
 // restart asks all other members for their inventories.
@@ -137,9 +137,9 @@
 
 func (m *StateMachine) inventory(round uint64) InventoryResponse {
 	entries := make([]InventoryEntry, 0, len(m.jobs))
-	for _, h := range m.order {
+	for _, j := range m.order {
 		entries = append(entries, InventoryEntry{
-			Job: h.id, Version: h.version, Replicas: h.replicas, Count: h.durableResults, Ended: h.endedDurable, Damaged: h.corrupt,
+			Job: j.id, Version: j.version, Replicas: j.replicas, Count: j.durableResults, Ended: j.endedDurable, Damaged: j.corrupt,
 		})
 	}
 	return InventoryResponse{Stamp: m.stamp(), Round: round, Settled: m.reconciledEpoch, Entries: entries, Obscured: m.incompleteLog}
@@ -178,8 +178,8 @@
 	m.pruneOwners(all)
 	m.unowned = 0
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		if h := m.jobs[id]; h != nil {
-			h.superseded = h.version < all[id].version
+		if j := m.jobs[id]; j != nil {
+			j.superseded = j.version < all[id].version
 		}
 		if !m.isNewestVersion(all[id]) {
 			m.unowned++
@@ -191,8 +191,8 @@
 			continue
 		}
 		m.owners[id] = owner
-		if h := m.jobs[id]; h != nil {
-			m.followOwner(h)
+		if j := m.jobs[id]; j != nil {
+			m.followOwner(j)
 		}
 	}
 	m.retryParkedCalls()
@@ -253,30 +253,30 @@
 }
 
 // take owns a batch job, with a replica set that is good in the present view.
-func (m *StateMachine) takeOwnership(h *storedJob) {
-	if h.owned {
-		for i := range h.peers {
-			h.peers[i].awaitsResponse = false
+func (m *StateMachine) takeOwnership(j *storedJob) {
+	if j.owned {
+		for i := range j.peers {
+			j.peers[i].awaitsResponse = false
 		}
-		m.replicateJob(h)
+		m.replicateJob(j)
 		return
 	}
-	delete(m.owners, h.id)
-	delete(m.transfers, h.id) // what was given away falls to this store again
-	h.owned = true
-	m.noteInheritedTokens(h)
+	delete(m.owners, j.id)
+	delete(m.transfers, j.id) // what was given away falls to this store again
+	j.owned = true
+	m.noteInheritedTokens(j)
 	m.revokeReconciled() // its set has to be made whole first
 	switch {
 	case m.retiring:
-		m.startHandover(h)
-	case m.hasActiveReplicas(h) && placement.KeyOf(h.replicas[0]) == m.self && !h.corrupt && m.soleOwnerSince(h.version):
-		h.setReplicas(h.version, h.replicas, m.self)
+		m.startHandover(j)
+	case m.hasActiveReplicas(j) && placement.KeyOf(j.replicas[0]) == m.self && !j.corrupt && m.soleOwnerSince(j.version):
+		j.setReplicas(j.version, j.replicas, m.self)
 	default:
-		m.reconfigure(h)
+		m.reconfigure(j)
 	}
-	m.announceOwner(h.id, m.self)
-	m.replicateJob(h)
-	m.maybeCommit(h)
+	m.announceOwner(j.id, m.self)
+	m.replicateJob(j)
+	m.maybeCommit(j)
 }
 
 // ownedSince tells that nobody else can have owned a batch job since its version was made here. In a view without this store
@@ -288,18 +288,18 @@
 }
 
 // renew gives a batch job a new replica set: this store, those left of the old one, and others up to the count.
-func (m *StateMachine) reconfigure(h *storedJob) {
+func (m *StateMachine) reconfigure(j *storedJob) {
 	kept := []protocol.Process{m.options.Self}
-	for _, replica := range h.replicas {
+	for _, replica := range j.replicas {
 		key := placement.KeyOf(replica)
 		member, present := placement.MemberOf(m.view, key)
 		if key != m.self && present && member.State == protocol.StoreActive && len(kept) < m.options.ReplicationFactor {
 			kept = append(kept, replica)
 		}
 	}
-	replicas := m.addRetiring(placement.Replicas(h.id, m.view, kept, m.options.ReplicationFactor))
-	h.setReplicas(h.version.next(m.view.Epoch), replicas, m.self)
-	m.writeReplicas(h)
+	replicas := m.addRetiring(placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor))
+	j.setReplicas(j.version.next(m.view.Epoch), replicas, m.self)
+	m.writeReplicas(j)
 }
 
 // fillUp adds stores that are to be emptied to a set that too few active ones are left for: they go once others have come.
@@ -314,12 +314,12 @@
 }
 
 // pass leaves a batch job to its owner. What runs here is stopped.
-func (m *StateMachine) followOwner(h *storedJob) {
-	h.owned, h.replicated = false, false
-	h.peers = nil
-	h.content, h.uncommitted = nil, nil
-	m.env.Stop(h.id)
-	m.redirectPending(h)
+func (m *StateMachine) followOwner(j *storedJob) {
+	j.owned, j.replicated = false, false
+	j.peers = nil
+	j.content, j.uncommitted = nil, nil
+	m.env.Stop(j.id)
+	m.redirectPending(j)
 }
 
 // announce tells the others who owns a batch job.
@@ -347,8 +347,8 @@
 	if !m.reconciled || !m.isMember || m.unowned > 0 || len(m.transfers) > 0 || m.reconciledEpoch == m.view.Epoch {
 		return
 	}
-	for _, h := range m.order {
-		if h.owned && !h.isFullyReplicated() || h.awaitsRelease() {
+	for _, j := range m.order {
+		if j.owned && !j.isFullyReplicated() || j.awaitsRelease() {
 			return
 		}
 	}
@@ -366,8 +366,8 @@
 	if !m.allReconciled() || len(placement.ActiveMembers(m.view)) == 0 {
 		return false
 	}
-	for _, h := range m.order {
-		if !h.handedOver {
+	for _, j := range m.order {
+		if !j.handedOver {
 			return false
 		}
 	}
@@ -378,15 +378,15 @@
 // copies that were left behind.
 func (m *StateMachine) queryOwners() {
 	now := m.env.Now()
-	for _, h := range m.order {
-		lets := h.awaitsRelease() || h.superseded && m.isExpired(h) || m.retiring && !h.handedOver
-		if h.owned || !lets || now-h.ownerQueriedAt < inventoryRetry {
+	for _, j := range m.order {
+		lets := j.awaitsRelease() || j.superseded && m.isExpired(j) || m.retiring && !j.handedOver
+		if j.owned || !lets || now-j.ownerQueriedAt < inventoryRetry {
 			continue
 		}
-		h.ownerQueriedAt = now
-		member, present := placement.MemberOf(m.view, m.owners[h.id])
+		j.ownerQueriedAt = now
+		member, present := placement.MemberOf(m.view, m.owners[j.id])
 		if present {
-			m.env.Send(member.Process, ReplicationRequest{Stamp: m.stamp(), Job: h.id, Version: h.version})
+			m.env.Send(member.Process, ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: j.version})
 		}
 	}
 }
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-func wanted(name string, value int) int {
+func intFromEnvironment(name string, value int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
@@ -18,8 +18,8 @@
 }
 
 // TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S, TRACE=1 prints what happens.
-func TestRandomWorlds(t *testing.T) {
-	first, count := wanted("FIRST", 0), wanted("SEEDS", plainWorlds)
+func TestRandomSimulations(t *testing.T) {
+	first, count := intFromEnvironment("FIRST", 0), intFromEnvironment("SEEDS", defaultSeeds)
 	const shards = 3
 	var next, accepted, read, troubles atomic.Int64
 	t.Run("shards", func(t *testing.T) {
@@ -27,14 +27,14 @@
 			t.Run(strconv.Itoa(shard), func(t *testing.T) {
 				t.Parallel()
 				for number := int(next.Add(1)) - 1; number < count; number = int(next.Add(1)) - 1 {
-					c, err := playSeed(uint64(first+number), "")
+					c, err := runSeed(uint64(first+number), "")
 					if err != nil {
 						t.Errorf("replay with FIRST=%d SEEDS=1: %v", first+number, err)
 						continue
 					}
 					accepted.Add(int64(c.clients.accepted))
 					read.Add(int64(c.clients.read))
-					troubles.Add(int64(c.troubles))
+					troubles.Add(int64(c.faults))
 				}
 			})
 		}
@@ -45,9 +45,9 @@
 // TestReplaysExactly plays worlds twice.
 func TestReplaysExactly(t *testing.T) {
 	for seed := uint64(1); seed < 9; seed++ {
-		first, _ := playSeed(seed, "")
-		second, _ := playSeed(seed, "")
-		if first.traces != second.traces {
+		first, _ := runSeed(seed, "")
+		second, _ := runSeed(seed, "")
+		if first.traceHash != second.traceHash {
 			t.Errorf("seed %d played in two ways", seed)
 		}
 	}
@@ -60,9 +60,9 @@
 }
 
 // TestWorldsThatPassedTheBound plays worlds in which more tokens were accepted than allowed, or room was held for ever.
-func TestWorldsThatPassedTheBound(t *testing.T) {
+func TestSeedsThatExceededTokenLimit(t *testing.T) {
 	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
-		if _, err := playSeed(seed, ""); err != nil {
+		if _, err := runSeed(seed, ""); err != nil {
 			t.Errorf("replay with FIRST=%d SEEDS=1: %v", seed, err)
 		}
 	}
--- a/internal/batch/replica/slow.go
+++ b/internal/batch/replica/slow.go
@@ -48,28 +48,28 @@
 }
 
 // expectNothing notes that no peer holds a copy.
-func (h *storedJob) assumePeersEmpty() {
-	for i := range h.peers {
-		h.peers[i].reported = true
+func (j *storedJob) assumePeersEmpty() {
+	for i := range j.peers {
+		j.peers[i].reported = true
 	}
 }
 
 // replaceSlow chooses another replica set for a batch job that is being accepted, where members have not written it in time
 // and there are others. The version rises: what they may still write counts for nothing.
-func (m *StateMachine) replaceSlowReplicas(h *storedJob, now time.Duration) {
-	if h.replaceReplicasAt == 0 || now < h.replaceReplicasAt || h.replicated || !h.versionDurable || len(h.handoverReplicas) > 0 {
+func (m *StateMachine) replaceSlowReplicas(j *storedJob, now time.Duration) {
+	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt || j.replicated || !j.versionDurable || len(j.handoverReplicas) > 0 {
 		return
 	}
-	h.replaceReplicasAt = now + replaceReplicasAfter
+	j.replaceReplicasAt = now + replaceReplicasAfter
 	kept := []protocol.Process{m.options.Self}
-	for i := range h.peers {
-		if p := &h.peers[i]; p.hasCopy {
+	for i := range j.peers {
+		if p := &j.peers[i]; p.hasCopy {
 			kept = append(kept, p.process)
 		} else {
 			m.slowUntil[placement.KeyOf(p.process)] = now + slowPenalty
 		}
 	}
-	replicas := placement.Replicas(h.id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
+	replicas := placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
 	for _, replica := range replicas {
 		if until, slow := m.slowUntil[placement.KeyOf(replica)]; slow && now < until {
 			return // there is no other
@@ -78,24 +78,24 @@
 	if len(replicas) < m.options.ReplicationFactor || len(kept) == m.options.ReplicationFactor {
 		return
 	}
-	h.setReplicas(h.version.next(m.view.Epoch), replicas, m.self)
-	h.assumePeersEmpty()
-	m.writeReplicas(h)
+	j.setReplicas(j.version.next(m.view.Epoch), replicas, m.self)
+	j.assumePeersEmpty()
+	m.writeReplicas(j)
 }
 
 // writeReplicas has a new version last before it is told to others.
-func (m *StateMachine) writeReplicas(h *storedJob) {
-	if h.corrupt {
-		m.rewriteCopy(h)
+func (m *StateMachine) writeReplicas(j *storedJob) {
+	if j.corrupt {
+		m.rewriteCopy(j)
 		return
 	}
-	h.versionDurable = false
-	version := h.version
-	m.write(encodeReplicas(h.id, version, h.replicas), true, func() {
-		if h.version == version {
-			h.versionDurable = true
-			m.replicateJob(h)
-			m.maybeCommit(h)
+	j.versionDurable = false
+	version := j.version
+	m.write(encodeReplicas(j.id, version, j.replicas), true, func() {
+		if j.version == version {
+			j.versionDurable = true
+			m.replicateJob(j)
+			m.maybeCommit(j)
 		}
 	})
 }
--- a/internal/batch/replica/stale_view_test.go
+++ b/internal/batch/replica/stale_view_test.go
@@ -13,7 +13,7 @@
 // This file tests what an old set of stores may do that a process which has just started tells a store that has just started.
 
 // history is a cluster of three copies whose set has changed a few times, and that has lost power everywhere and two disks for good.
-type history struct {
+type viewHistory struct {
 	*cluster
 	views []protocol.StoreView // by epoch, from 1 on
 	jobs  []string
@@ -21,15 +21,15 @@
 
 // newHistory has a store retire that leaves and one come back with an empty disk, each settled before the next, then takes batch
 // jobs; last, the first two stores lose their disks and all others lose power.
-func newHistory(seed uint64) *history {
-	h := &history{cluster: newCluster(9, 3, seed)}
-	h.note()
-	h.settle()
-	h.change(h.nodes[:8]...)
+func newViewHistory(seed uint64) *viewHistory {
+	h := &viewHistory{cluster: newCluster(9, 3, seed)}
+	h.noteView()
+	h.quiesce()
+	h.changeMembers(h.nodes[:8]...)
 	h.nodes[7].wipe()
 	h.nodes[7].start()
-	h.change(h.nodes[:7]...)
-	h.change(h.nodes[:8]...)
+	h.changeMembers(h.nodes[:7]...)
+	h.changeMembers(h.nodes[:8]...)
 	for i := range 24 {
 		id := fmt.Sprint("job-", i)
 		h.jobs = append(h.jobs, id)
@@ -49,33 +49,35 @@
 }
 
 // note remembers the newest view.
-func (h *history) note() { h.views = append(h.views, h.nodes[0].machine.CurrentView()) }
+func (h *viewHistory) noteView() { h.views = append(h.views, h.nodes[0].machine.CurrentView()) }
 
 // change makes a set of stores the newest view, in which all settle.
-func (h *history) change(members ...*clusterNode) {
-	h.view(members...)
-	h.settle()
-	h.note()
+func (h *viewHistory) changeMembers(members ...*clusterNode) {
+	h.installView(members...)
+	h.quiesce()
+	h.noteView()
 	for _, n := range members {
 		So(n.machine.Status().Reconciled(), ShouldBeTrue)
 	}
 }
 
 // tell has a store take a view that was in force once.
-func (h *history) tell(n *clusterNode, epoch uint64) { n.machine.InstallView(h.views[epoch-1]) }
+func (h *viewHistory) installOldView(n *clusterNode, epoch uint64) {
+	n.machine.InstallView(h.views[epoch-1])
+}
 
 // rejoinAll tells all that ran before of the set that they are in, and all of the one that the empty disks join.
-func (h *history) rejoinAll() {
+func (h *viewHistory) rejoinAll() {
 	for _, n := range h.nodes[2:8] {
-		h.tell(n, h.epoch)
+		h.installOldView(n, h.epoch)
 	}
-	h.settle()
-	h.view(h.nodes[:8]...)
-	h.settle()
+	h.quiesce()
+	h.installView(h.nodes[:8]...)
+	h.quiesce()
 }
 
 // check wants all batch jobs to be there and all stores to have settled.
-func (h *history) check() {
+func (h *viewHistory) check() {
 	for _, n := range h.nodes[:8] {
 		So(n.machine.Status(), ShouldResemble, Status{Epoch: h.epoch, ReconciledEpoch: h.epoch})
 	}
@@ -86,30 +88,30 @@
 }
 
 // TestToldOfAnEndedView has stores that lost power be told a set that ended before they did.
-func TestToldOfAnEndedView(t *testing.T) {
+func TestPastViewIsIgnored(t *testing.T) {
 	Convey("All batch jobs are there after a loss of power with two disks", t, func() {
-		h := newHistory(1)
+		h := newViewHistory(1)
 		h.rejoinAll()
 		h.check()
 	})
 	for ended := uint64(1); ended <= 3; ended++ {
 		Convey(fmt.Sprintf("So they are where stores are told of the set of epoch %d first, which ended long ago", ended), t, func() {
 			for _, told := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
-				h := newHistory(1)
+				h := newViewHistory(1)
 				for _, number := range told {
-					h.tell(h.nodes[number], ended)
+					h.installOldView(h.nodes[number], ended)
 				}
-				h.calm()
+				h.deliverAll()
 				h.rejoinAll()
 				h.check()
 			}
 		})
 	}
 	Convey("Nor does a store act in it, nor forget which one it acted in", t, func() {
-		h := newHistory(1)
+		h := newViewHistory(1)
 		n := h.nodes[3]
-		h.tell(n, 3)
-		h.calm()
+		h.installOldView(n, 3)
+		h.deliverAll()
 		So(n.machine.Epoch(), ShouldEqual, 0)
 		So(n.machine.ActedIn(), ShouldEqual, h.epoch)
 		n.kill()
@@ -124,11 +126,11 @@
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner := c.owner("job")
-		rest := c.others(owner)
+		rest := c.except(owner)
 		owner.machine.GrantLease(c.epoch, false, 0)
-		c.lost = func(m clusterMessage) bool { return m.to == owner.key() || m.from.Node == owner.process().Node }
-		c.view(rest...)
-		c.settle()
+		c.drops = func(m clusterMessage) bool { return m.to == owner.key() || m.from.Node == owner.process().Node }
+		c.installView(rest...)
+		c.quiesce()
 		now := rest[0]
 		if !now.machine.jobs["job"].owned {
 			now = rest[1]
@@ -137,8 +139,8 @@
 		owner.machine.GrantLease(c.epoch+1, true, c.now+time.Second)
 		So(owner.machine.MayAct(), ShouldBeFalse)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
-		c.lost = nil
-		c.view(c.nodes...)
+		c.drops = nil
+		c.installView(c.nodes...)
 		So(owner.machine.MayAct(), ShouldBeTrue)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
 	})
--- a/internal/batch/replica/standing_test.go
+++ b/internal/batch/replica/standing_test.go
@@ -9,25 +9,25 @@
 )
 
 // TestStanding has a store tell what it waits for.
-func TestStanding(t *testing.T) {
+func TestStatus(t *testing.T) {
 	Convey("A store that doesn't stand whole names the stores and the batch jobs that it waits for", t, func() {
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
-		second := c.others(owner, replica)[0]
+		second := c.except(owner, replica)[0]
 		So(replica.machine.Status(), ShouldResemble, Status{Epoch: 1, ReconciledEpoch: 1})
 		for _, n := range c.nodes {
 			n.losePower()
 		}
-		rest := c.others(owner, second)
+		rest := c.except(owner, second)
 		for _, n := range rest {
 			n.start()
 		}
-		c.view(rest...)
+		c.installView(rest...)
 		standing := replica.machine.Status()
 		So(standing.Reconciled(), ShouldBeFalse)
 		So(standing.Awaited, ShouldHaveLength, len(rest)-1)
-		c.settle()
+		c.quiesce()
 		standing = replica.machine.Status()
 		So(standing.Awaited, ShouldBeEmpty)
 		So(standing.Missing, ShouldHaveLength, 2)
@@ -35,8 +35,8 @@
 		So(standing.Missing, ShouldContain, second.key())
 		So(standing.Unowned, ShouldEqual, 1)
 		owner.start()
-		c.view(append([]*clusterNode{owner}, rest...)...)
-		c.settle()
+		c.installView(append([]*clusterNode{owner}, rest...)...)
+		c.quiesce()
 		So(replica.machine.Status(), ShouldResemble, Status{Epoch: c.epoch, ReconciledEpoch: c.epoch})
 		So(owner.machine.Status().Missing, ShouldResemble, []placement.Key(nil))
 	})
--- a/internal/batch/replica/store_test.go
+++ b/internal/batch/replica/store_test.go
@@ -18,83 +18,83 @@
 // This file owns a simulated store: a process with the real log on a simulated disk, whose steps take time.
 
 // fullAgain is the time between tries to write to a full disk.
-const fullAgain = 200 * time.Millisecond
-
-type store struct {
-	world       *world
-	node, ip    string
-	zone        string
-	incarnation int
-	skew        time.Duration // of its time of day
-	disk        *simulation.Disk
-	damaged     bool // bits of the disk were inverted
-	fs          slots.FS
-	life        uint64
-	up          bool
-	frozen      bool
-	gone        bool // taken away for good
-	inbox       []func()
-	machine     *StateMachine
-	generation  int // of the process
-	running     map[string]*jobRun
-	idle        bool // no items are run
-	answers     map[CallID]func(protocol.BatchAnswer)
-	lastToken   CallID
-
-	log      *wal.Log
-	stepping bool
-	wakeAt   time.Duration // 0: nothing is queued
-	told     uint64        // record up to which the machine was told
-	appended []wal.Location
-	frontier wal.Location // of the last durable record
-	proven   wal.Location // of the last one that a later group was synced behind
-	stalled  bool
-	slow     int // what the disk's time is multiplied by
-}
-
-func newStore(w *world, node, ip, zone string) *store {
-	s := &store{world: w, node: node, ip: ip, zone: zone, slow: 1}
+const fullDiskRetry = 200 * time.Millisecond
+
+type simulatedStore struct {
+	sim           *storeSimulation
+	node, ip      string
+	zone          string
+	incarnation   int
+	skew          time.Duration // of its time of day
+	disk          *simulation.Disk
+	corrupted     bool // bits of the disk were inverted
+	fs            slots.FS
+	life          uint64
+	up            bool
+	paused        bool
+	removed       bool // taken away for good
+	delayedInputs []func()
+	machine       *StateMachine
+	generation    int // of the process
+	running       map[string]*jobRun
+	idle          bool // no items are run
+	answers       map[CallID]func(protocol.BatchAnswer)
+	lastToken     CallID
+
+	log             *wal.Log
+	stepping        bool
+	wakeAt          time.Duration // 0: nothing is queued
+	reportedDurable uint64        // record up to which the machine was told
+	appended        []wal.Location
+	lastDurable     wal.Location // of the last durable record
+	lastProven      wal.Location // of the last one that a later group was synced behind
+	stalled         bool
+	slowdown        int // what the disk's time is multiplied by
+}
+
+func newSimulatedStore(w *storeSimulation, node, ip, zone string) *simulatedStore {
+	s := &simulatedStore{sim: w, node: node, ip: ip, zone: zone, slowdown: 1}
 	s.disk = simulation.NewDisk(w.random.Fork(node + ip))
-	s.fs = w.plantedDisk(s.disk)
-	s.skew = w.between(-worldSkew, worldSkew)
+	s.fs = w.buggyDisk(s.disk)
+	s.skew = w.randomDuration(-maxClockSkew, maxClockSkew)
 	s.newIncarnation()
 	return s
 }
 
-func (s *store) newIncarnation() {
-	if s.incarnation > 0 && s.world.plant == plantWipedKeepsName {
+func (s *simulatedStore) newIncarnation() {
+	if s.incarnation > 0 && s.sim.bug == bugWipedKeepsName {
 		return
 	}
-	s.world.lives++
-	s.incarnation = s.world.lives
+	s.sim.incarnations++
+	s.incarnation = s.sim.incarnations
 }
 
 // process gives the store's identity in its present incarnation.
-func (s *store) process() protocol.Process {
+func (s *simulatedStore) process() protocol.Process {
 	return protocol.Process{
 		Node: s.node, Role: protocol.RoleBatch, Zone: s.zone, IP: s.ip, Incarnation: strconv.Itoa(s.incarnation),
 	}
 }
 
-func (s *store) key() placement.Key { return placement.KeyOf(s.process()) }
+func (s *simulatedStore) key() placement.Key { return placement.KeyOf(s.process()) }
 
 // start begins a life of the process on what is on the disk.
-func (s *store) start() {
-	w := s.world
+func (s *simulatedStore) start() {
+	w := s.sim
 	s.life++
 	s.generation++
-	s.up, s.frozen = true, false
-	s.inbox = nil
+	s.up, s.paused = true, false
+	s.delayedInputs = nil
 	s.running = map[string]*jobRun{}
 	s.answers = map[CallID]func(protocol.BatchAnswer){}
-	s.stepping, s.wakeAt, s.told, s.appended = false, 0, 0, nil
-	s.frontier, s.proven = wal.Location{}, wal.Location{}
+	s.stepping, s.wakeAt, s.reportedDurable, s.appended = false, 0, 0, nil
+	s.lastDurable, s.lastProven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
-		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: w.copies, Retention: w.status + 2*worldSkew,
+		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
 	}, s)
-	log, err := wal.OpenLog(s.fs, s.journalOptions(), func(at wal.Location, record []byte) error {
-		s.frontier = at
-		if err := s.machine.Replay(at, record); err != nil && !s.damaged {
+	log, err := wal.OpenLog(s.fs, s.walOptions(), func(at wal.Location, record []byte) error {
+		s.lastDurable = at
+		if err := s.machine.Replay(at, record); err != nil && !s.corrupted {
 			return err
 		}
 		return nil
@@ -110,33 +110,33 @@
 	w.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.life, len(s.machine.jobs))
 	s.log = log
 	s.every(100*time.Millisecond, func() { s.machine.Tick() })
-	s.every(w.between(50*time.Millisecond, 700*time.Millisecond), s.release)
+	s.every(w.randomDuration(50*time.Millisecond, 700*time.Millisecond), s.release)
 	s.poll()
 }
 
 // journalOptions has damaged parts of the log gone over where the world damaged it; elsewhere there must be none.
-func (s *store) journalOptions() wal.Options {
-	options := wal.Options{SegmentSize: s.world.segment}
-	if s.damaged {
-		options.OnSkipped = func(at wal.Location) { s.world.note("%s: %v", s.node, s.machine.ReplaySkipped(at)) }
+func (s *simulatedStore) walOptions() wal.Options {
+	options := wal.Options{SegmentSize: s.sim.segment}
+	if s.corrupted {
+		options.OnSkipped = func(at wal.Location) { s.sim.note("%s: %v", s.node, s.machine.ReplaySkipped(at)) }
 	}
 	return options
 }
 
 // damage inverts some bits of the log, where they can't pass for what a loss of power left. It tells whether there is such a
 // place.
-func (s *store) damage() bool {
+func (s *simulatedStore) corruptLog() bool {
 	parts := s.provenParts()
 	if len(parts) == 0 {
 		return false
 	}
-	for range 1 + s.world.random.IntN(3) {
-		part := parts[s.world.random.IntN(len(parts))]
-		offset := s.world.random.Int64N(part.size)
-		s.world.note("%s: byte %d of %s of %d is damaged", s.node, offset, part.name, part.size)
-		s.disk.FlipBit(part.name, offset, s.world.random.IntN(8))
+	for range 1 + s.sim.random.IntN(3) {
+		part := parts[s.sim.random.IntN(len(parts))]
+		offset := s.sim.random.Int64N(part.size)
+		s.sim.note("%s: byte %d of %s of %d is damaged", s.node, offset, part.name, part.size)
+		s.disk.FlipBit(part.name, offset, s.sim.random.IntN(8))
 	}
-	s.damaged = true
+	s.corrupted = true
 	return true
 }
 
@@ -147,15 +147,15 @@
 }
 
 // provenParts gives what the log itself tells to have been synced: all but the last group of the newest segment.
-func (s *store) provenParts() []logPart {
+func (s *simulatedStore) provenParts() []logPart {
 	names, _ := s.disk.List()
 	var parts []logPart
 	for i, name := range names {
 		size, _ := s.disk.Size(name)
 		if i == len(names)-1 {
 			size = 0
-			if name == fmt.Sprintf("segment-%08d", s.proven.Segment) {
-				size = int64(s.proven.Offset + s.proven.Length)
+			if name == fmt.Sprintf("segment-%08d", s.lastProven.Segment) {
+				size = int64(s.lastProven.Offset + s.lastProven.Length)
 			}
 		}
 		if size > 0 {
@@ -166,27 +166,27 @@
 }
 
 // do runs something in the process: at once, after a thaw, or never if it ended.
-func (s *store) do(run func()) {
+func (s *simulatedStore) do(run func()) {
 	if !s.up {
 		return
 	}
-	if s.frozen {
-		s.inbox = append(s.inbox, run)
+	if s.paused {
+		s.delayedInputs = append(s.delayedInputs, run)
 		return
 	}
 	run()
 }
 
-func (s *store) later(delay time.Duration, run func()) {
+func (s *simulatedStore) later(delay time.Duration, run func()) {
 	generation := s.generation
-	s.world.after(delay, func() {
+	s.sim.schedule(delay, func() {
 		if s.generation == generation {
 			s.do(run)
 		}
 	})
 }
 
-func (s *store) every(period time.Duration, run func()) {
+func (s *simulatedStore) every(period time.Duration, run func()) {
 	s.later(period, func() {
 		run()
 		s.every(period, run)
@@ -194,14 +194,14 @@
 }
 
 // restart starts the process unless it runs.
-func (s *store) restart() {
-	if !s.up && !s.gone {
+func (s *simulatedStore) restart() {
+	if !s.up && !s.removed {
 		s.start()
 	}
 }
 
 // stop ends the process.
-func (s *store) stop() {
+func (s *simulatedStore) stop() {
 	if !s.up {
 		return
 	}
@@ -215,67 +215,67 @@
 }
 
 // kill ends the process; all that it wrote stays in its files.
-func (s *store) kill() {
-	s.world.note("%s is killed", s.node)
+func (s *simulatedStore) kill() {
+	s.sim.note("%s is killed", s.node)
 	s.stop()
 	s.disk.Kill()
 }
 
 // losePower ends the process and takes what was not synced, in part or all of it.
-func (s *store) losePower() {
-	s.world.note("%s loses power", s.node)
+func (s *simulatedStore) losePower() {
+	s.sim.note("%s loses power", s.node)
 	s.stop()
 	s.disk.LosePower()
 }
 
 // powerFails is a loss of power in the middle of an operation of the disk.
-func (s *store) powerFails() {
+func (s *simulatedStore) powerFails() {
 	s.losePower()
-	s.world.after(s.world.between(100*time.Millisecond, 2*time.Second), s.restart)
+	s.sim.schedule(s.sim.randomDuration(100*time.Millisecond, 2*time.Second), s.restart)
 }
 
 // wipe ends the process and takes its disk.
-func (s *store) wipe() {
-	s.world.note("%s loses its disk", s.node)
+func (s *simulatedStore) wipe() {
+	s.sim.note("%s loses its disk", s.node)
 	s.stop()
 	s.disk.Wipe()
-	s.damaged = false
+	s.corrupted = false
 	s.newIncarnation()
 }
 
 // remove takes the store away for good.
-func (s *store) remove() {
+func (s *simulatedStore) remove() {
 	s.wipe()
-	s.gone = true
+	s.removed = true
 }
 
-func (s *store) freeze(duration time.Duration) {
-	if !s.up || s.frozen {
+func (s *simulatedStore) pause(duration time.Duration) {
+	if !s.up || s.paused {
 		return
 	}
-	s.world.note("%s freezes", s.node)
-	s.frozen = true
+	s.sim.note("%s freezes", s.node)
+	s.paused = true
 	generation := s.generation
-	s.world.after(duration, func() {
+	s.sim.schedule(duration, func() {
 		if s.generation == generation {
-			s.thaw()
+			s.resume()
 		}
 	})
 }
 
 // thaw lets the process run on; what came meanwhile comes in any order.
-func (s *store) thaw() {
-	if !s.frozen {
+func (s *simulatedStore) resume() {
+	if !s.paused {
 		return
 	}
-	s.world.note("%s thaws", s.node)
-	s.frozen = false
-	if s.world.plant == plantIgnoreLease {
-		s.machine.leaseUntil = s.world.now + time.Hour
+	s.sim.note("%s thaws", s.node)
+	s.paused = false
+	if s.sim.bug == bugIgnoreLease {
+		s.machine.leaseUntil = s.sim.now + time.Hour
 	}
-	inbox := s.inbox
-	s.inbox = nil
-	s.world.random.Shuffle(len(inbox), func(i, j int) { inbox[i], inbox[j] = inbox[j], inbox[i] })
+	inbox := s.delayedInputs
+	s.delayedInputs = nil
+	s.sim.random.Shuffle(len(inbox), func(i, j int) { inbox[i], inbox[j] = inbox[j], inbox[i] })
 	generation := s.generation
 	for _, run := range inbox {
 		if s.generation == generation {
@@ -287,20 +287,20 @@
 // The log.
 
 // Write appends to the log, which is written after a while, or soon where the record is urgent.
-func (s *store) Write(record []byte, urgent bool) (uint64, wal.Location) {
+func (s *simulatedStore) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	sequence, at := s.log.Append(record)
 	s.appended = append(s.appended, at)
-	delay := s.world.between(0, time.Millisecond)
+	delay := s.sim.randomDuration(0, time.Millisecond)
 	if !urgent {
-		delay += s.world.between(0, wal.DefaultLinger)
+		delay += s.sim.randomDuration(0, wal.DefaultLinger)
 	}
 	s.wake(delay)
 	return sequence, at
 }
 
 // wake has the log written after a delay, unless it is before.
-func (s *store) wake(delay time.Duration) {
-	at := s.world.now + delay
+func (s *simulatedStore) wake(delay time.Duration) {
+	at := s.sim.now + delay
 	if s.stepping || s.wakeAt > 0 && s.wakeAt <= at {
 		return
 	}
@@ -314,7 +314,7 @@
 }
 
 // step does the log's next thing with the disk, which takes time.
-func (s *store) step() {
+func (s *simulatedStore) step() {
 	if s.stalled {
 		s.later(20*time.Millisecond, s.step)
 		return
@@ -322,55 +322,55 @@
 	more, err := s.log.Step()
 	switch {
 	case errors.Is(err, wal.ErrDiskFull):
-		s.later(fullAgain, s.step)
+		s.later(fullDiskRetry, s.step)
 		return
 	case errors.Is(err, simulation.ErrPowerLost):
 		s.powerFails()
 		return
 	case err != nil:
-		s.world.fail("%s: the log fails: %v", s.node, err)
+		s.sim.fail("%s: the log fails: %v", s.node, err)
 		return
 	}
 	if !more {
 		s.stepping, s.wakeAt = false, 0
 		return
 	}
-	took := s.world.between(100*time.Microsecond, 3*time.Millisecond) * time.Duration(s.slow)
+	took := s.sim.randomDuration(100*time.Microsecond, 3*time.Millisecond) * time.Duration(s.slowdown)
 	s.later(took, func() {
-		s.tell()
+		s.reportDurable()
 		s.step()
 	})
 }
 
 // sync has all that was appended durable, at once.
-func (s *store) sync() {
+func (s *simulatedStore) sync() {
 	for more := true; more; {
 		var err error
 		if more, err = s.log.Step(); err != nil {
-			s.world.fail("%s: the log fails: %v", s.node, err)
+			s.sim.fail("%s: the log fails: %v", s.node, err)
 			return
 		}
 	}
-	s.tell()
+	s.reportDurable()
 }
 
 // tell tells the machine what is durable.
-func (s *store) tell() {
+func (s *simulatedStore) reportDurable() {
 	durable := s.log.Durable()
-	if durable == s.told {
+	if durable == s.reportedDurable {
 		return
 	}
-	s.proven, s.frontier = s.frontier, s.appended[durable-s.told-1]
-	s.appended = s.appended[durable-s.told:]
-	s.told = durable
+	s.lastProven, s.lastDurable = s.lastDurable, s.appended[durable-s.reportedDurable-1]
+	s.appended = s.appended[durable-s.reportedDurable:]
+	s.reportedDurable = durable
 	s.machine.Synced(durable)
 }
 
 // release removes segments of the log that nothing needs any more.
-func (s *store) release() {
+func (s *simulatedStore) release() {
 	oldest, current := s.log.SegmentRange()
 	needed := s.machine.OldestSegment(current)
-	if s.world.plant == plantReleaseNeeded {
+	if s.sim.bug == bugReleaseNeeded {
 		needed = current
 	}
 	for ; oldest < needed; oldest++ {
@@ -379,28 +379,28 @@
 			s.powerFails()
 			return
 		case err != nil:
-			s.world.fail("%s: segment %d isn't released: %v", s.node, oldest, err)
+			s.sim.fail("%s: segment %d isn't released: %v", s.node, oldest, err)
 			return
 		}
-		s.world.note("%s releases segment %d", s.node, oldest)
+		s.sim.note("%s releases segment %d", s.node, oldest)
 	}
 }
 
 // Read reads from the log; only what is durable may be asked for.
-func (s *store) Read(at wal.Location) ([]byte, error) {
-	if after(at, s.frontier) {
-		s.world.fail("%s reads %v, durable is all up to %v", s.node, at, s.frontier)
+func (s *simulatedStore) Read(at wal.Location) ([]byte, error) {
+	if isAfter(at, s.lastDurable) {
+		s.sim.fail("%s reads %v, durable is all up to %v", s.node, at, s.lastDurable)
 	}
 	return s.log.Read(at)
 }
 
-func after(at, frontier wal.Location) bool {
+func isAfter(at, frontier wal.Location) bool {
 	return at.Segment > frontier.Segment ||
 		at.Segment == frontier.Segment && at.Offset+at.Length > frontier.Offset+frontier.Length
 }
 
 // Free tells what the disk still takes.
-func (s *store) FreeBytes() int64 {
+func (s *simulatedStore) FreeBytes() int64 {
 	if s.log.DiskFull() {
 		return 0
 	}
@@ -408,8 +408,8 @@
 }
 
 // fill leaves room for so many bytes on the disk, for a while.
-func (s *store) fill(room int64, duration time.Duration) {
-	s.world.note("the disk of %s has room for %d bytes", s.node, room)
+func (s *simulatedStore) fill(room int64, duration time.Duration) {
+	s.sim.note("the disk of %s has room for %d bytes", s.node, room)
 	used := int64(0)
 	names, _ := s.disk.List()
 	for _, name := range names {
@@ -417,42 +417,42 @@
 		used += size
 	}
 	s.disk.SetCapacity(used + room)
-	s.world.after(duration, func() { s.disk.SetCapacity(0) })
+	s.sim.schedule(duration, func() { s.disk.SetCapacity(0) })
 }
 
 // The rest of the machine's environment.
 
 // QueueLimit is the same at all stores.
-func (s *store) QueueLimit(string) (int64, bool) { return s.world.bound, true }
+func (s *simulatedStore) QueueLimit(string) (int64, bool) { return s.sim.tokenLimit, true }
 
 // Now is the steady clock.
-func (s *store) Now() time.Duration { return s.world.now }
+func (s *simulatedStore) Now() time.Duration { return s.sim.now }
 
 // Wall is the time of day.
-func (s *store) WallClock() int64 { return (s.world.now + s.skew + time.Hour).Milliseconds() }
+func (s *simulatedStore) WallClock() int64 { return (s.sim.now + s.skew + time.Hour).Milliseconds() }
 
 // Send sends a message to another store.
-func (s *store) Send(to protocol.Process, message any) {
-	w := s.world
+func (s *simulatedStore) Send(to protocol.Process, message any) {
+	w := s.sim
 	target := w.storeOf(placement.KeyOf(to))
-	if target == nil || target.gone {
+	if target == nil || target.removed {
 		return
 	}
 	sender := s.process()
 	incarnation := target.incarnation
-	w.carry(s.node, target.node, func() {
+	w.transmit(s.node, target.node, func() {
 		if target.incarnation != incarnation {
 			return
 		}
 		target.do(func() {
 			target.machine.Receive(sender, message)
-			target.plantAcknowledgement(sender, message)
+			target.injectAcknowledgement(sender, message)
 		})
 	})
 }
 
 // Answer ends a call, as the server does: only while the store may still act.
-func (s *store) Answer(token CallID, answer protocol.BatchAnswer) {
+func (s *simulatedStore) Answer(token CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[token]
 	if answered == nil {
 		return
--- a/internal/batch/replica/tick.go
+++ b/internal/batch/replica/tick.go
@@ -26,10 +26,10 @@
 	for _, id := range m.acceptanceIDs() {
 		m.requestReservations(id, m.acceptances[id])
 	}
-	for _, h := range m.order {
-		if h.owned {
-			m.replaceSlowReplicas(h, now)
-			m.replicateJob(h)
+	for _, j := range m.order {
+		if j.owned {
+			m.replaceSlowReplicas(j, now)
+			m.replicateJob(j)
 		}
 	}
 	if m.reconciled {
@@ -66,8 +66,8 @@
 			m.rejectCalls(a)
 		}
 	}
-	for _, h := range m.order {
-		m.expireReads(h, now)
+	for _, j := range m.order {
+		m.expireReads(j, now)
 	}
 }
 
@@ -79,18 +79,18 @@
 	return slices.Sorted(maps.Keys(m.acceptances))
 }
 
-func (m *StateMachine) expireReads(h *storedJob, now time.Duration) {
-	if !slices.ContainsFunc(h.pendingReads, func(r pendingRead) bool { return now >= r.deadline }) {
+func (m *StateMachine) expireReads(j *storedJob, now time.Duration) {
+	if !slices.ContainsFunc(j.pendingReads, func(r pendingRead) bool { return now >= r.deadline }) {
 		return
 	}
-	waiting := h.pendingReads
-	h.pendingReads = nil
+	waiting := j.pendingReads
+	j.pendingReads = nil
 	for _, r := range waiting {
 		switch {
 		case now < r.deadline:
-			h.pendingReads = append(h.pendingReads, r)
-		case h.owned && h.replicated && m.MayAct():
-			m.answerRead(h, r.callID, r.start)
+			j.pendingReads = append(j.pendingReads, r)
+		case j.owned && j.replicated && m.MayAct():
+			m.answerRead(j, r.callID, r.start)
 		default:
 			m.answer(r.callID, unavailable())
 		}
@@ -100,23 +100,23 @@
 // dropExpired forgets batch jobs whose time is over: closed ones after KeepFor, copies that were left behind after twice
 // that.
 func (m *StateMachine) dropExpired() {
-	for _, h := range slices.Clone(m.order) {
-		closed := h.ended || h.allFinished()
-		if !m.isExpired(h) || !closed && (h.owned || m.age(h) < 2*m.options.Retention) {
+	for _, j := range slices.Clone(m.order) {
+		closed := j.ended || j.allFinished()
+		if !m.isExpired(j) || !closed && (j.owned || m.age(j) < 2*m.options.Retention) {
 			continue
 		}
-		m.discard(h)
+		m.discard(j)
 		m.reconciled = m.reconciled && m.unowned == 0 // it may be what nobody owned: all is looked at again
 	}
 }
 
 // age is how long ago a batch job was sent first, by the time of day.
-func (m *StateMachine) age(h *storedJob) time.Duration {
-	return time.Duration(m.env.WallClock()-h.firstSent) * time.Millisecond
+func (m *StateMachine) age(j *storedJob) time.Duration {
+	return time.Duration(m.env.WallClock()-j.firstSent) * time.Millisecond
 }
 
 // isOver tells whether a batch job needn't be kept any more, if it is closed.
-func (m *StateMachine) isExpired(h *storedJob) bool { return m.age(h) >= m.options.Retention }
+func (m *StateMachine) isExpired(j *storedJob) bool { return m.age(j) >= m.options.Retention }
 
 // discard drops a copy for good.
 func (m *StateMachine) discard(h *storedJob) {
@@ -129,8 +129,8 @@
 // OldestSegment gives the first segment of the log that something still needs; limit where there is nothing.
 func (m *StateMachine) OldestSegment(limit uint32) uint32 {
 	oldest := limit
-	for _, h := range m.order {
-		oldest = min(oldest, h.oldestLocation().Segment)
+	for _, j := range m.order {
+		oldest = min(oldest, j.oldestLocation().Segment)
 	}
 	if at := m.departures.viewRecordAt; at != nil && at.Segment < oldest {
 		oldest = at.Segment
--- a/internal/batch/replica/world_test.go
+++ b/internal/batch/replica/world_test.go
@@ -17,14 +17,14 @@
 // the real set of stores and the real judgement of who is up, in one process that never fails. All chance follows from a seed.
 
 const (
-	worldLeaseMargin = 100 * time.Millisecond // as the server has it
-	worldPoll        = 400 * time.Millisecond
-	worldCancel      = 3 * time.Second // cancel-ms
-	worldSkew        = time.Second     // of a store's time of day, at most
-	controlName      = "control"
+	leaseMargin    = 100 * time.Millisecond // as the server has it
+	pollInterval   = 400 * time.Millisecond
+	cancelDeadline = 3 * time.Second // cancel-ms
+	maxClockSkew   = time.Second     // of a store's time of day, at most
+	controlName    = "control"
 
 	// mostEvents is how many events a world may have: more are a storm of messages. Usual are 10,000.
-	mostEvents = 100_000
+	maxEvents = 100_000
 )
 
 type event struct {
@@ -33,83 +33,83 @@
 	run   func()
 }
 
-type world struct {
-	seed    uint64
-	random  *simulation.Rand
-	now     time.Duration
-	events  []event
-	order   int
-	played  int // events
-	copies  int
-	status  time.Duration // for which a batch job is kept from its first send
-	segment int64         // bytes
-	bound   int64         // on waiting tokens, 0: none
-	stores  []*store
-	lives   int // incarnations given out
-	control *statemachine.Machine
-	table   *liveness.Table
-	orders  uint64
-	clients *clients
-	loss    float64
-	cuts    map[[2]string]int
-	calm    bool
-	plant   string
-	traced  bool
-	traces  uint64 // a sum over all that was noted
-	failure error
+type storeSimulation struct {
+	seed         uint64
+	random       *simulation.Rand
+	now          time.Duration
+	events       []event
+	order        int
+	eventCount   int // events
+	copies       int
+	retention    time.Duration // for which a batch job is kept from its first send
+	segment      int64         // bytes
+	tokenLimit   int64         // on waiting tokens, 0: none
+	stores       []*simulatedStore
+	incarnations int // incarnations given out
+	control      *statemachine.Machine
+	table        *liveness.Table
+	commandIndex uint64
+	clients      *clients
+	lossRate     float64
+	partitions   map[[2]string]int
+	faultsEnded  bool
+	bug          string
+	tracing      bool
+	traceHash    uint64 // a sum over all that was noted
+	failure      error
 }
 
-func newWorld(seed uint64, count, copies int, plant string) *world {
-	w := &world{
-		seed: seed, random: simulation.NewRand(seed), copies: copies, status: time.Hour, segment: 4000,
-		control: statemachine.New(), table: liveness.New(), cuts: map[[2]string]int{},
-		plant: plant, traced: os.Getenv("TRACE") != "",
+func newStoreSimulation(seed uint64, count, copies int, plant string) *storeSimulation {
+	w := &storeSimulation{
+		seed: seed, random: simulation.NewRand(seed), copies: copies, retention: time.Hour, segment: 4000,
+		control: statemachine.New(), table: liveness.New(), partitions: map[[2]string]int{},
+		bug: plant, tracing: os.Getenv("TRACE") != "",
 	}
-	w.clients = &clients{world: w, jobs: map[string]*clientJob{}}
+	w.clients = &clients{sim: w, jobs: map[string]*clientJob{}}
 	w.table.Lead(0, 1, true)
 	for range count {
 		w.addStore()
 	}
-	w.after(0, w.authority)
+	w.schedule(0, w.runControl)
 	return w
 }
 
 // keepFor sets how long batch jobs are kept, for all stores as the settings of a deployment do.
-func (w *world) keepFor(status time.Duration) {
-	w.status = status
+func (w *storeSimulation) setRetention(status time.Duration) {
+	w.retention = status
 	for _, s := range w.stores {
-		s.machine.options.Retention = status + 2*worldSkew
+		s.machine.options.Retention = status + 2*maxClockSkew
 	}
 }
 
 // addStore starts a store on an empty disk.
-func (w *world) addStore() *store {
+func (w *storeSimulation) addStore() *simulatedStore {
 	number := len(w.stores) + 1
-	s := newStore(w, "store-"+strconv.Itoa(number), "ip-"+strconv.Itoa(number), "zone-"+strconv.Itoa(number%3+1))
+	s := newSimulatedStore(w, "store-"+strconv.Itoa(number), "ip-"+strconv.Itoa(number), "zone-"+strconv.Itoa(number%3+1))
 	w.stores = append(w.stores, s)
 	s.start()
 	return s
 }
 
-func (w *world) after(delay time.Duration, run func()) {
+func (w *storeSimulation) schedule(delay time.Duration, run func()) {
 	w.order++
 	w.events = append(w.events, event{at: w.now + delay, order: w.order, run: run})
-	w.up(len(w.events) - 1)
+	w.siftUp(len(w.events) - 1)
 }
 
-func (w *world) less(i, j int) bool {
+func (w *storeSimulation) less(i, j int) bool {
 	a, b := &w.events[i], &w.events[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
-func (w *world) up(i int) {
+func (w *storeSimulation) siftUp(i int) {
 	for i > 0 && w.less(i, (i-1)/2) {
 		w.events[i], w.events[(i-1)/2] = w.events[(i-1)/2], w.events[i]
 		i = (i - 1) / 2
 	}
 }
 
-func (w *world) pop() event {
+func (w *storeSimulation) pop() event {
 	first := w.events[0]
 	last := len(w.events) - 1
 	w.events[0] = w.events[last]
@@ -131,19 +131,19 @@
 	}
 }
 
-func (w *world) runUntil(end time.Duration) {
+func (w *storeSimulation) runUntil(end time.Duration) {
 	for w.failure == nil && len(w.events) > 0 && w.events[0].at <= end {
 		next := w.pop()
 		w.now = next.at
 		next.run()
-		if w.played++; w.played > mostEvents {
+		if w.eventCount++; w.eventCount > maxEvents {
 			w.fail("a storm of messages")
 		}
 	}
 	w.now = end
 }
 
-func (w *world) fail(format string, values ...any) {
+func (w *storeSimulation) fail(format string, values ...any) {
 	if w.failure == nil {
 		w.failure = fmt.Errorf("at %v: "+format, append([]any{w.now}, values...)...)
 		w.note("FAILURE: %v", w.failure)
@@ -151,49 +151,49 @@
 }
 
 // note takes part of what happens into the world's sum, and prints it where TRACE is set.
-func (w *world) note(format string, values ...any) {
+func (w *storeSimulation) note(format string, values ...any) {
 	line := fmt.Sprintf(format, values...)
 	for i := range len(line) {
-		w.traces = w.traces*1099511628211 + uint64(line[i])
+		w.traceHash = w.traceHash*1099511628211 + uint64(line[i])
 	}
-	w.traces += uint64(w.now)
-	if w.traced {
+	w.traceHash += uint64(w.now)
+	if w.tracing {
 		fmt.Printf("%12v %s\n", w.now, line)
 	}
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
+func (w *storeSimulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
 // cut lets nothing through in one direction, for a while.
-func (w *world) cut(from, to string, duration time.Duration) {
+func (w *storeSimulation) partition(from, to string, duration time.Duration) {
 	direction := [2]string{from, to}
-	w.cuts[direction]++
-	w.after(duration, func() { w.cuts[direction]-- })
+	w.partitions[direction]++
+	w.schedule(duration, func() { w.partitions[direction]-- })
 }
 
 // carry delivers a message after a delay, or not.
-func (w *world) carry(from, to string, deliver func()) {
-	if w.cuts[[2]string{from, to}] > 0 || w.random.Float64() < w.loss {
+func (w *storeSimulation) transmit(from, to string, deliver func()) {
+	if w.partitions[[2]string{from, to}] > 0 || w.random.Float64() < w.lossRate {
 		return
 	}
-	delay := w.between(time.Millisecond, 3*time.Millisecond)
+	delay := w.randomDuration(time.Millisecond, 3*time.Millisecond)
 	if w.random.IntN(40) == 0 {
-		delay = w.between(time.Millisecond, 300*time.Millisecond)
+		delay = w.randomDuration(time.Millisecond, 300*time.Millisecond)
 	}
-	w.after(delay, deliver)
+	w.schedule(delay, deliver)
 }
 
 // view gives the agreed set of stores.
-func (w *world) view() protocol.StoreView { return w.control.Stores() }
+func (w *storeSimulation) view() protocol.StoreView { return w.control.Stores() }
 
-func (w *world) isMember(key placement.Key) bool {
+func (w *storeSimulation) isMember(key placement.Key) bool {
 	_, present := placement.MemberOf(w.view(), key)
 	return present
 }
 
-func (w *world) storeOf(key placement.Key) *store {
+func (w *storeSimulation) storeOf(key placement.Key) *simulatedStore {
 	for _, s := range w.stores {
 		if s.key() == key {
 			return s
@@ -202,9 +202,9 @@
 	return nil
 }
 
-func (w *world) byIP(ip string) *store {
+func (w *storeSimulation) byIP(ip string) *simulatedStore {
 	for _, s := range w.stores {
-		if s.ip == ip && !s.gone {
+		if s.ip == ip && !s.removed {
 			return s
 		}
 	}
@@ -212,24 +212,24 @@
 }
 
 // there lists the stores that are not gone for good.
-func (w *world) there() []*store {
-	var list []*store
+func (w *storeSimulation) remaining() []*simulatedStore {
+	var list []*simulatedStore
 	for _, s := range w.stores {
-		if !s.gone {
+		if !s.removed {
 			list = append(list, s)
 		}
 	}
 	return list
 }
 
-func (w *world) anyStore() *store {
-	list := w.there()
+func (w *storeSimulation) anyStore() *simulatedStore {
+	list := w.remaining()
 	return list[w.random.IntN(len(list))]
 }
 
 // authority is what control does: silent stores leave the set, new ones join it, emptied ones are told to be so.
-func (w *world) authority() {
-	w.after(100*time.Millisecond, w.authority)
+func (w *storeSimulation) runControl() {
+	w.schedule(100*time.Millisecond, w.runControl)
 	view := w.view()
 	if joins := w.table.Joins(w.now, view, w.admission); len(joins) > 0 {
 		w.command(statemachine.Command{Join: &statemachine.Join{Processes: joins}})
@@ -240,13 +240,13 @@
 	if w.table.Settled(w.now, view, w.copies-1) {
 		w.command(statemachine.Command{Settle: &statemachine.Settle{Epoch: view.Epoch}})
 	}
-	for _, member := range w.emptied(view) {
+	for _, member := range w.drainedMembers(view) {
 		w.command(statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: view.Epoch}})
 	}
 }
 
 // admission tells whether a store may join, as control does.
-func (w *world) admission(process protocol.Process) liveness.Admission {
+func (w *storeSimulation) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !w.control.MayJoin(process):
 		return liveness.Refused
@@ -257,8 +257,8 @@
 }
 
 // emptied gives the members that may be taken away.
-func (w *world) emptied(view protocol.StoreView) []protocol.StoreMember {
-	if w.plant != plantRetireEarly {
+func (w *storeSimulation) drainedMembers(view protocol.StoreView) []protocol.StoreMember {
+	if w.bug != bugRetireEarly {
 		return w.table.Emptied(w.now, view)
 	}
 	var list []protocol.StoreMember
@@ -271,14 +271,14 @@
 }
 
 // command changes the set, and pushes the new one to those that are in touch.
-func (w *world) command(command statemachine.Command) statemachine.StoreOutcome {
+func (w *storeSimulation) command(command statemachine.Command) statemachine.StoreOutcome {
 	order, err := command.Encode()
 	if err != nil {
 		panic(err)
 	}
-	w.orders++
+	w.commandIndex++
 	before := w.view()
-	outcome, err := statemachine.DecodeOutcome(w.control.Apply(w.orders, order))
+	outcome, err := statemachine.DecodeOutcome(w.control.Apply(w.commandIndex, order))
 	if err != nil {
 		panic(err)
 	}
@@ -287,10 +287,10 @@
 		return outcome.Store
 	}
 	w.note("view %d: %s", view.Epoch, describeView(view))
-	for _, s := range w.there() {
+	for _, s := range w.remaining() {
 		s := s
 		generation := s.generation
-		w.carry(controlName, s.node, func() {
+		w.transmit(controlName, s.node, func() {
 			if s.generation == generation {
 				s.do(func() { s.machine.InstallView(view) })
 			}
@@ -308,35 +308,35 @@
 }
 
 // poll asks control for the view and the right to act.
-func (s *store) poll() {
-	w := s.world
+func (s *simulatedStore) poll() {
+	w := s.sim
 	sent, generation, process := w.now, s.generation, s.process()
 	report := s.machine.Report()
-	w.carry(s.node, controlName, func() {
+	w.transmit(s.node, controlName, func() {
 		w.table.Observe(liveness.Heard{Process: process, Ready: true, Batch: &report, At: w.now})
 		view := w.view()
 		grantee, present := placement.MemberOf(view, placement.KeyOf(process))
 		member := present && grantee.Process == process
-		w.carry(controlName, s.node, func() {
+		w.transmit(controlName, s.node, func() {
 			if s.generation == generation {
 				s.do(func() {
 					s.machine.InstallView(view)
-					s.machine.GrantLease(view.Epoch, member, sent+liveness.StoreLease-worldLeaseMargin)
+					s.machine.GrantLease(view.Epoch, member, sent+liveness.StoreLease-leaseMargin)
 				})
 			}
 		})
 	})
-	s.later(worldPoll, s.poll)
+	s.later(pollInterval, s.poll)
 }
 
 // settled tells whether the next loss is borne: all stores are up and members, and control has agreed that they stand whole in the
 // newest view.
-func (w *world) settled() bool {
+func (w *storeSimulation) toleratesLoss() bool {
 	view := w.view()
-	there := w.there()
+	there := w.remaining()
 	for _, s := range there {
 		m := s.machine
-		if !s.up || s.frozen || m.reconciledEpoch != view.Epoch || !w.isMember(s.key()) {
+		if !s.up || s.paused || m.reconciledEpoch != view.Epoch || !w.isMember(s.key()) {
 			return false
 		}
 	}
@@ -344,19 +344,19 @@
 }
 
 // describe tells what each store knows of a batch job.
-func (w *world) describe(id string) string {
+func (w *storeSimulation) describe(id string) string {
 	text := fmt.Sprintf("\nepoch %d", w.view().Epoch)
 	for _, s := range w.stores {
 		m := s.machine
 		text += fmt.Sprintf("\n%s up %v frozen %v gone %v member %v epoch %d settled %v (%d) allowed %v departed %v directory %q", s.key(),
-			s.up, s.frozen, s.gone, w.isMember(s.key()), m.view.Epoch, m.reconciled, m.reconciledEpoch, m.MayAct(), m.departures.stores, m.owners[id])
-		if h := m.jobs[id]; h != nil {
-			text += fmt.Sprintf(" version %x owner %v whole %v handed %v durable %d/%d shown %d of %d ended %v", uint64(h.version), h.owned, h.replicated,
-				h.handedOver, h.durableResults, len(h.results), h.committedResults, len(h.items), h.ended)
-			for _, p := range h.replicas {
+			s.up, s.paused, s.removed, w.isMember(s.key()), m.view.Epoch, m.reconciled, m.reconciledEpoch, m.MayAct(), m.departures.stores, m.owners[id])
+		if j := m.jobs[id]; j != nil {
+			text += fmt.Sprintf(" version %x owner %v whole %v handed %v durable %d/%d shown %d of %d ended %v", uint64(j.version), j.owned, j.replicated,
+				j.handedOver, j.durableResults, len(j.results), j.committedResults, len(j.items), j.ended)
+			for _, p := range j.replicas {
 				text += " " + string(placement.KeyOf(p))
 			}
-			text += fmt.Sprintf(" peers %+v", h.peers)
+			text += fmt.Sprintf(" peers %+v", j.peers)
 		}
 	}
 	return text
