--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -44,12 +44,12 @@
 }
 
 // playHistory gives what broke, and the life.
-func runHistory(seed uint64, plant func(slots.FS) slots.FS) (h *history, err error) {
+func runHistory(seed uint64, inject func(slots.FS) slots.FS) (h *history, err error) {
 	random := simulation.NewRand(seed)
 	h = &history{random: random, disk: simulation.NewDisk(random.Fork("disk"))}
 	h.fs = h.disk
-	if plant != nil {
-		h.fs = plant(h.disk)
+	if inject != nil {
+		h.fs = inject(h.disk)
 	}
 	if err := h.start(); err != nil {
 		return h, err
--- a/internal/batch/wal/journal.go
+++ b/internal/batch/wal/journal.go
@@ -66,7 +66,7 @@
 	linger    time.Duration
 	onDurable func(sequence uint64, err error)
 	wake      chan struct{}
-	urgent    chan struct{}
+	writeNow  chan struct{}
 	mutex     sync.Mutex
 	closed    bool
 	done      chan struct{}
@@ -87,24 +87,24 @@
 	if err != nil {
 		return nil, err
 	}
-	j := &WAL{
+	w := &WAL{
 		Log:       log,
 		linger:    options.Linger,
 		onDurable: onDurable,
 		wake:      make(chan struct{}, 1),
-		urgent:    make(chan struct{}, 1),
+		writeNow:  make(chan struct{}, 1),
 		done:      make(chan struct{}),
 	}
-	go j.run()
-	return j, nil
+	go w.run()
+	return w, nil
 }
 
 // Append queues a record and gives its number and where it will stand. Urgent ones are written at once.
-func (j *WAL) Append(payload []byte, urgent bool) (uint64, Location) {
-	sequence, location := j.Log.Append(payload)
-	notify(j.wake)
+func (w *WAL) Append(payload []byte, urgent bool) (uint64, Location) {
+	sequence, location := w.Log.Append(payload)
+	notify(w.wake)
 	if urgent {
-		notify(j.urgent)
+		notify(w.writeNow)
 	}
 	return sequence, location
 }
@@ -117,13 +117,13 @@
 }
 
 // run writes and syncs what is queued until the journal is closed or fails.
-func (j *WAL) run() {
-	defer close(j.done)
-	for range j.wake {
-		j.awaitGroup()
-		closing := j.isClosed() // what was queued before is written below
-		if err := j.writeQueued(); err != nil {
-			j.onDurable(j.Durable(), err)
+func (w *WAL) run() {
+	defer close(w.done)
+	for range w.wake {
+		w.awaitGroup()
+		closing := w.isClosed() // what was queued before is written below
+		if err := w.writeQueued(); err != nil {
+			w.onDurable(w.Durable(), err)
 			return
 		}
 		if closing {
@@ -133,27 +133,27 @@
 }
 
 // gather gives records that nobody waits for time to gather.
-func (j *WAL) awaitGroup() {
-	timer := time.NewTimer(j.linger)
+func (w *WAL) awaitGroup() {
+	timer := time.NewTimer(w.linger)
 	defer timer.Stop()
 	select {
-	case <-j.urgent:
+	case <-w.writeNow:
 	case <-timer.C:
 	}
 }
 
 // writeQueued takes steps until all that was queued is durable. A full disk is waited for: nothing is told to be durable
 // meanwhile. What a sync has failed for is lost, and ends the journal.
-func (j *WAL) writeQueued() error {
-	told := j.Durable()
+func (w *WAL) writeQueued() error {
+	notified := w.Durable()
 	for {
-		more, err := j.Step()
-		if durable := j.Durable(); durable > told {
-			told = durable
-			j.onDurable(told, nil)
+		more, err := w.Step()
+		if durable := w.Durable(); durable > notified {
+			notified = durable
+			w.onDurable(notified, nil)
 		}
 		switch {
-		case errors.Is(err, ErrDiskFull) && !j.isClosed():
+		case errors.Is(err, ErrDiskFull) && !w.isClosed():
 			time.Sleep(diskFullRetryInterval)
 		case err != nil:
 			return err
@@ -163,19 +163,19 @@
 	}
 }
 
-func (j *WAL) isClosed() bool {
-	j.mutex.Lock()
-	defer j.mutex.Unlock()
-	return j.closed
+func (w *WAL) isClosed() bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.closed
 }
 
 // Close writes what is queued and ends the journal.
-func (j *WAL) Close() {
-	j.mutex.Lock()
-	j.closed = true
-	j.mutex.Unlock()
-	notify(j.urgent)
-	notify(j.wake)
-	<-j.done
-	j.closeFiles()
+func (w *WAL) Close() {
+	w.mutex.Lock()
+	w.closed = true
+	w.mutex.Unlock()
+	notify(w.writeNow)
+	notify(w.wake)
+	<-w.done
+	w.closeFiles()
 }
--- a/internal/batch/wal/load.go
+++ b/internal/batch/wal/load.go
@@ -28,10 +28,10 @@
 			l.closeFiles()
 			return nil, err
 		}
-		l.tailNumber = found[i].number
+		l.tailSegment = found[i].number
 	}
-	l.tailNumber++
-	if err := l.createSegment(l.tailNumber); err != nil {
+	l.tailSegment++
+	if err := l.createSegment(l.tailSegment); err != nil {
 		l.closeFiles()
 		return nil, err
 	}
@@ -68,14 +68,14 @@
 
 // load replays one segment up to its last whole record and cuts off what follows, so that it can't come back. What it
 // replayed may be of a process that was killed before it synced it, and is synced here.
-func (l *Log) loadSegment(found segmentFile, tornEnd bool, replay func(Location, []byte) error, options *Options) error {
+func (l *Log) loadSegment(found segmentFile, last bool, replay func(Location, []byte) error, options *Options) error {
 	file, err := l.fs.Open(segmentName(found.number))
 	if err != nil {
 		return err
 	}
 	s := &segment{number: found.number, file: file}
 	l.segments[found.number] = s
-	if err := s.replay(found.size, tornEnd, replay, options.OnSkipped); err != nil {
+	if err := s.replay(found.size, last, replay, options.OnSkipped); err != nil {
 		return err
 	}
 	l.totalSize += s.size
@@ -91,7 +91,7 @@
 }
 
 // replayAll hands over all whole records, and tells of what is damaged between them. What it leaves is a torn end.
-func (s *segment) replay(size int64, tornEnd bool, replay func(Location, []byte) error, skipped func(Location)) error {
+func (s *segment) replay(size int64, last bool, replay func(Location, []byte) error, onSkipped func(Location)) error {
 	for {
 		if err := s.replayRun(size, replay); err != nil {
 			return err
@@ -99,25 +99,25 @@
 		if s.size == size {
 			return nil
 		}
-		mark, marked, err := s.nextMarker(size)
+		next, found, err := s.nextMarker(size)
 		switch {
 		case err != nil:
 			return err
-		case tornEnd && !marked:
+		case last && !found:
 			return nil
-		case skipped == nil:
+		case onSkipped == nil:
 			return fmt.Errorf("%w: %s at byte %d of %d", ErrCorrupt, segmentName(s.number), s.size, size)
-		case !marked:
-			mark = size
+		case !found:
+			next = size
 		}
-		skipped(s.skip(mark, size))
+		onSkipped(s.skip(next, size))
 	}
 }
 
 // cutOff takes what follows the last whole record away.
-func (s *segment) truncateTail(size int64, told func(Location)) error {
-	if told != nil {
-		told(Location{Segment: s.number, Offset: uint32(s.size), Length: uint32(size - s.size)})
+func (s *segment) truncateTail(size int64, onTruncated func(Location)) error {
+	if onTruncated != nil {
+		onTruncated(Location{Segment: s.number, Offset: uint32(s.size), Length: uint32(size - s.size)})
 	}
 	return s.file.Truncate(s.size)
 }
@@ -144,17 +144,17 @@
 
 // skip goes over a damaged record to the one behind it, where its length tells of a whole one there, or else to the next mark,
 // or to the end of the segment where there is none. It gives the part that was gone over.
-func (s *segment) skip(mark, size int64) Location {
+func (s *segment) skip(marker, size int64) Location {
 	start := s.size
-	s.size = mark
-	if next, whole := s.recordBehind(start, size); whole {
+	s.size = marker
+	if next, valid := s.recordBehind(start, size); valid {
 		s.size = next
 	}
 	return Location{Segment: s.number, Offset: uint32(start), Length: uint32(s.size - start)}
 }
 
 // behind tells where the record after the one at an offset begins, and whether a whole one does.
-func (s *segment) recordBehind(offset, size int64) (next int64, whole bool) {
+func (s *segment) recordBehind(offset, size int64) (next int64, valid bool) {
 	var head [headerSize]byte
 	if _, err := s.file.ReadAt(head[:], offset); err != nil {
 		return 0, false
@@ -168,11 +168,11 @@
 }
 
 // nextMark looks for a mark behind the record that can't be read.
-func (s *segment) nextMarker(size int64) (offset int64, marked bool, err error) {
+func (s *segment) nextMarker(size int64) (offset int64, found bool, err error) {
 	rest := make([]byte, size-s.size)
 	if _, err := s.file.ReadAt(rest, s.size); err != nil {
 		return 0, false, err
 	}
-	offset, marked = findMarker(rest, s.number, s.size)
-	return offset, marked, nil
+	offset, found = findMarker(rest, s.number, s.size)
+	return offset, found, nil
 }
--- a/internal/batch/wal/log.go
+++ b/internal/batch/wal/log.go
@@ -20,22 +20,22 @@
 
 	mutex           sync.Mutex
 	queue           []queuedRecord // in order
-	appended        uint64         // of the last record appended
-	synced          uint64         // of the last record synced
+	lastAppended    uint64         // of the last record appended
+	lastSynced      uint64         // of the last record synced
 	segments        map[uint32]*segment
-	activeNumber    uint32 // number of the segment being written; those before it are whole on the disk
-	tailNumber      uint32 // of the segment that the next record goes to
+	activeSegment   uint32 // number of the segment being written; those before it are whole on the disk
+	tailSegment     uint32 // of the segment that the next record goes to
 	tailSize        int64  // of that segment with what is queued
 	totalSize       int64  // of all segments with what is queued
 	diskFull        bool   // the disk took no more bytes
 	removalUnsynced bool   // a segment's name was removed, and that may not be durable
 
 	// What follows is Step's own.
-	batch     []queuedRecord // taken from the queue
-	active    *segment       // that is written to
-	unwritten []byte         // of the group of records that is being written
-	groupEnd  uint64         // number of the last record of that group
-	unsynced  bool           // the group is written and not synced
+	batch       []queuedRecord // taken from the queue
+	active      *segment       // that is written to
+	unwritten   []byte         // of the group of records that is being written
+	lastInGroup uint64         // number of the last record of that group
+	unsynced    bool           // the group is written and not synced
 }
 
 // entry is a record with its head on its way to a segment.
@@ -58,15 +58,15 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.tailSize > 0 && l.tailSize+int64(len(record)) > l.segmentSize {
-		l.tailNumber++
+		l.tailSegment++
 		l.tailSize = 0
 	}
-	location := Location{Segment: l.tailNumber, Offset: uint32(l.tailSize + headerSize), Length: uint32(len(payload))}
+	location := Location{Segment: l.tailSegment, Offset: uint32(l.tailSize + headerSize), Length: uint32(len(payload))}
 	l.tailSize += int64(len(record))
 	l.totalSize += int64(len(record))
-	l.appended++
-	l.queue = append(l.queue, queuedRecord{segment: l.tailNumber, record: record})
-	return l.appended, location
+	l.lastAppended++
+	l.queue = append(l.queue, queuedRecord{segment: l.tailSegment, record: record})
+	return l.lastAppended, location
 }
 
 // Step does the next thing that is to be done with the disk for the records appended: it begins a segment, writes a group
@@ -111,7 +111,7 @@
 			l.unwritten = append(l.unwritten, e.record...)
 		}
 	}
-	l.groupEnd += uint64(count)
+	l.lastInGroup += uint64(count)
 	l.batch = l.batch[count:]
 }
 
@@ -134,7 +134,7 @@
 	l.unsynced = false
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.synced = l.groupEnd
+	l.lastSynced = l.lastInGroup
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.segments[number] = l.active
-	l.activeNumber = number
+	l.activeSegment = number
 	return nil
 }
 
@@ -171,7 +171,7 @@
 func (l *Log) Durable() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.synced
+	return l.lastSynced
 }
 
 // Full tells that the disk took no more bytes when it was last written to.
@@ -192,11 +192,11 @@
 func (l *Log) SegmentRange() (oldest, current uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.oldestNumber(), l.activeNumber
+	return l.oldestNumber(), l.activeSegment
 }
 
 func (l *Log) oldestNumber() uint32 {
-	oldest := l.activeNumber
+	oldest := l.activeSegment
 	for number := range l.segments {
 		oldest = min(oldest, number)
 	}
@@ -226,7 +226,7 @@
 	}
 	l.mutex.Lock()
 	s := l.segments[number]
-	if s == nil || number == l.activeNumber || number != l.oldestNumber() {
+	if s == nil || number == l.activeSegment || number != l.oldestNumber() {
 		l.mutex.Unlock()
 		return fs.ErrNotExist
 	}
--- a/internal/batch/wal/record.go
+++ b/internal/batch/wal/record.go
@@ -32,25 +32,25 @@
 
 // encodeRecord gives a record without a mark.
 func encodeRecord(payload []byte) []byte {
-	record := make([]byte, headerSize+len(payload))
-	binary.LittleEndian.PutUint32(record, uint32(len(payload)))
-	binary.LittleEndian.PutUint32(record[4:], crc32.Checksum(payload, castagnoli))
-	copy(record[headerSize:], payload)
-	return record
+	encoded := make([]byte, headerSize+len(payload))
+	binary.LittleEndian.PutUint32(encoded, uint32(len(payload)))
+	binary.LittleEndian.PutUint32(encoded[4:], crc32.Checksum(payload, castagnoli))
+	copy(encoded[headerSize:], payload)
+	return encoded
 }
 
 // mark makes a record, which is to stand at an offset of a segment, the first of its group.
-func setMarker(record []byte, segment uint32, offset int64) {
-	length := binary.LittleEndian.Uint32(record)
-	binary.LittleEndian.PutUint32(record, length|groupMarker)
-	binary.LittleEndian.PutUint32(record[4:], markedChecksum(segment, offset, record[headerSize:]))
+func setMarker(encoded []byte, segment uint32, offset int64) {
+	length := binary.LittleEndian.Uint32(encoded)
+	binary.LittleEndian.PutUint32(encoded, length|groupMarker)
+	binary.LittleEndian.PutUint32(encoded[4:], markedChecksum(segment, offset, encoded[headerSize:]))
 }
 
 func markedChecksum(segment uint32, offset int64, payload []byte) uint32 {
-	var place [12]byte
-	binary.LittleEndian.PutUint32(place[:], segment)
-	binary.LittleEndian.PutUint64(place[4:], uint64(offset))
-	return crc32.Update(crc32.Checksum(place[:], castagnoli), castagnoli, payload)
+	var position [12]byte
+	binary.LittleEndian.PutUint32(position[:], segment)
+	binary.LittleEndian.PutUint64(position[4:], uint64(offset))
+	return crc32.Update(crc32.Checksum(position[:], castagnoli), castagnoli, payload)
 }
 
 // head is a record's head as it was read.
@@ -60,10 +60,10 @@
 	checksum uint32
 }
 
-func decodeHeader(bytes []byte) recordHeader {
-	length := binary.LittleEndian.Uint32(bytes)
+func decodeHeader(encoded []byte) recordHeader {
+	length := binary.LittleEndian.Uint32(encoded)
 	return recordHeader{
-		length: length &^ groupMarker, marked: length&groupMarker != 0, checksum: binary.LittleEndian.Uint32(bytes[4:]),
+		length: length &^ groupMarker, marked: length&groupMarker != 0, checksum: binary.LittleEndian.Uint32(encoded[4:]),
 	}
 }
 
@@ -80,11 +80,11 @@
 
 // readRecord reads the payload of the record at an offset of a segment; ErrCorrupt says that there is none that is whole.
 func readRecord(in *bufio.Reader, segment uint32, offset int64) ([]byte, error) {
-	var bytes [headerSize]byte
-	if _, err := io.ReadFull(in, bytes[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return nil, eofAsCorrupt(err)
 	}
-	h := decodeHeader(bytes[:])
+	h := decodeHeader(header[:])
 	if !h.validLength() {
 		return nil, ErrCorrupt
 	}
