--- a/internal/batch/wal/golden_test.go
+++ b/internal/batch/wal/golden_test.go
@@ -9,7 +9,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds the segments of a log to the form that earlier versions wrote, and reads the recorded segment.
+// TestGolden checks that segments are written byte for byte as by earlier versions, and that a recorded one
+// is replayed.
 func TestGolden(t *testing.T) {
 	directory := t.TempDir()
 	written := open(t, directory, Options{Linger: time.Millisecond})
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -14,8 +14,9 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// This file holds the log to what it promises, on a simulated disk: kills, losses of power between and within operations,
-// full disks, small segments, releases, for many lives.
+// The tests in this file check the guarantees of the package comment on a simulated disk, over many
+// incarnations: with kills, losses of power between and within operations, full disks, small segments and
+// removed segments.
 
 const (
 	defaultHistories   = 200
@@ -23,17 +24,17 @@
 	historySegmentSize = 300 // bytes
 )
 
-// history is a log's life beside a model of it.
+// history is a log on a simulated disk together with a model of what it must contain.
 type history struct {
 	random *simulation.Rand
 	disk   *simulation.Disk
-	fs     slots.FS // disk, or a liar before it
+	fs     slots.FS // disk, or a faultyFS around it
 	log    *Log
 
-	records      []record // of all lives, those left out that were rightly lost
-	first        int      // of records: those before it were released
-	durable      int      // records told to be durable, or handed over at a start
-	loaded       int      // records when this life began
+	records      []record // of all incarnations, without those that were not durable and were lost
+	first        int      // index in records: those before it are in removed segments
+	durable      int      // number of records that were reported as durable, or replayed at a start
+	loaded       int      // number of records when this incarnation began
 	incarnations int
 	ops          int
 }
@@ -43,7 +44,8 @@
 	at   Location
 }
 
-// playHistory gives what broke, and the life.
+// runHistory runs the history of a seed. It returns the history and the first violation. inject wraps the
+// disk in a fault.
 func runHistory(seed uint64, inject func(slots.FS) slots.FS) (h *history, err error) {
 	random := simulation.NewRand(seed)
 	h = &history{random: random, disk: simulation.NewDisk(random.Fork("disk"))}
@@ -56,13 +58,14 @@
 	}
 	for range historyOps {
 		if err := h.operate(); err != nil {
-			return h, fmt.Errorf("life %d, operation %d: %w", h.incarnations, h.ops, err)
+			return h, fmt.Errorf("incarnation %d, operation %d: %w", h.incarnations, h.ops, err)
 		}
 	}
 	return h, nil
 }
 
-// start opens the log, in which the power may go again, and compares what it hands over with the model.
+// start opens the log, during which the power may be lost again, and compares what is replayed with the
+// model.
 func (h *history) start() error {
 	for {
 		h.incarnations++
@@ -86,7 +89,7 @@
 	}
 }
 
-// compare wants of the records all that are durable, no gap, and of the others those that came first.
+// compare checks that what was replayed is all durable records and a prefix of the others, without a gap.
 func (h *history) compare(found []record) error {
 	begin := h.first
 	if len(found) > 0 {
@@ -149,7 +152,7 @@
 	return h.checkError(err)
 }
 
-// judge takes an operation's error: the power may have gone within it.
+// checkError handles the error of an operation, in which the power may have been lost.
 func (h *history) checkError(err error) error {
 	switch {
 	case err == nil || errors.Is(err, ErrDiskFull):
@@ -177,7 +180,7 @@
 	oldest, current := h.log.SegmentRange()
 	if oldest == current {
 		if h.log.RemoveSegment(oldest) == nil {
-			return errors.New("the segment being written is released")
+			return errors.New("the active segment was removed")
 		}
 		return nil
 	}
@@ -194,44 +197,46 @@
 	return value
 }
 
-// TestRandomHistories plays lives of a log with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
+// TestRandomHistories runs histories with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
 func TestRandomHistories(t *testing.T) {
 	first := envInt("FIRST", 0)
 	count := envInt("SEEDS", defaultHistories)
-	lives, records := 0, 0
+	incarnations, records := 0, 0
 	for seed := first; seed < first+count; seed++ {
 		h, err := runHistory(uint64(seed), nil)
 		if err != nil {
 			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, err)
 		}
-		lives += h.incarnations
+		incarnations += h.incarnations
 		records += len(h.records)
 	}
-	t.Logf("%d histories, %d lives, %d records", count, lives, records)
+	t.Logf("%d histories, %d incarnations, %d records", count, incarnations, records)
 }
 
-// liar is a folder whose files don't do all that they are told.
+// faultyFS is a directory some of whose operations do nothing and report success.
 type faultyFS struct {
 	slots.FS
-	skipSyncOfOpened, skipSyncOfCreated, skipTruncate bool // files on which Sync does nothing, and whether Truncate does nothing
-	skipSyncDir                                       bool // SyncDir does nothing
+	skipSyncOfOpened  bool // File.Sync of files that existed before
+	skipSyncOfCreated bool // File.Sync of files that were created
+	skipTruncate      bool // File.Truncate
+	skipSyncDir       bool // SyncDir
 }
 
-func (l faultyFS) Open(name string) (slots.File, error) {
-	file, err := l.FS.Open(name)
-	return faultyFile{File: file, skipSync: l.skipSyncOfOpened, skipTruncate: l.skipTruncate}, err
+func (f faultyFS) Open(name string) (slots.File, error) {
+	file, err := f.FS.Open(name)
+	return faultyFile{File: file, skipSync: f.skipSyncOfOpened, skipTruncate: f.skipTruncate}, err
 }
 
-func (l faultyFS) Create(name string) (slots.File, error) {
-	file, err := l.FS.Create(name)
-	return faultyFile{File: file, skipSync: l.skipSyncOfCreated}, err
+func (f faultyFS) Create(name string) (slots.File, error) {
+	file, err := f.FS.Create(name)
+	return faultyFile{File: file, skipSync: f.skipSyncOfCreated}, err
 }
 
-func (l faultyFS) SyncDir() error {
-	if l.skipSyncDir {
+func (f faultyFS) SyncDir() error {
+	if f.skipSyncDir {
 		return nil
 	}
-	return l.FS.SyncDir()
+	return f.FS.SyncDir()
 }
 
 type faultyFile struct {
@@ -253,13 +258,13 @@
 	return f.File.Truncate(size)
 }
 
-// TestPlantedBugs shows that the histories find a log that leaves out what it must do with the disk.
+// TestInjectedBugs checks that the histories detect a log that leaves out a necessary operation on the disk.
 func TestInjectedBugs(t *testing.T) {
 	for name, bug := range map[string]faultyFS{
 		"durable before the sync":             {skipSyncOfCreated: true},
 		"a start does not sync what it found": {skipSyncOfOpened: true},
-		"a torn tail is not cut":              {skipTruncate: true},
-		"removed names are not gone":          {skipSyncDir: true},
+		"a torn tail is not truncated":        {skipTruncate: true},
+		"removals are not durable":            {skipSyncDir: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2000) {
@@ -279,7 +284,7 @@
 }
 
 func TestKilledBeforeSync(t *testing.T) {
-	Convey("What a start took from a killed process outlives a loss of power, before what was appended later", t, func() {
+	Convey("What a start replays of a killed process outlives a loss of power, and so does what follows", t, func() {
 		for seed := range uint64(40) {
 			disk := simulation.NewDisk(simulation.NewRand(seed))
 			var found []string
@@ -300,32 +305,25 @@
 			}
 			disk.Kill()
 			log = load()
-			taken := found
+			replayed := found
 			log.Append([]byte("later"))
-			for more := true; more; {
-				var err error
-				more, err = log.Step()
-				So(err, ShouldBeNil)
-			}
+			stepUntilSynced(log)
 			disk.LosePower()
 			load()
-			So(found, ShouldResemble, append(taken, "later"))
+			So(found, ShouldResemble, append(replayed, "later"))
 		}
 	})
 }
 
 func TestDamagedMiddle(t *testing.T) {
-	Convey("A damaged record that no loss of power can have torn is told, and the log stays as it is", t, func() {
+	Convey("A corrupt record that can't be a torn write is reported, and the log stays as it is", t, func() {
 		disk := simulation.NewDisk(simulation.NewRand(1))
 		log, err := OpenLog(disk, Options{SegmentSize: 10}, nil)
 		So(err, ShouldBeNil)
 		for _, text := range []string{"one", "two"} {
 			log.Append([]byte(text))
 		}
-		for more := true; more; {
-			more, err = log.Step()
-			So(err, ShouldBeNil)
-		}
+		stepUntilSynced(log)
 		So(disk.FlipBit(segmentName(1), headerSize, 0), ShouldBeTrue)
 		disk.Kill()
 		size, _ := disk.Size(segmentName(1))
@@ -339,7 +337,7 @@
 }
 
 func TestReleaseOrder(t *testing.T) {
-	Convey("Only the oldest segment goes, and none that is still written", t, func() {
+	Convey("Only the oldest segment can be removed, and not while it is active", t, func() {
 		disk := simulation.NewDisk(simulation.NewRand(1))
 		log, err := OpenLog(disk, Options{SegmentSize: 10}, nil)
 		So(err, ShouldBeNil)
@@ -348,12 +346,9 @@
 		}
 		_, _ = log.Step()
 		oldest, current := log.SegmentRange()
-		So(oldest, ShouldEqual, current) // what is queued for the others isn't written
+		So(oldest, ShouldEqual, current) // what is queued for later segments isn't written yet
 		So(log.RemoveSegment(1), ShouldNotBeNil)
-		for more := true; more; {
-			more, err = log.Step()
-			So(err, ShouldBeNil)
-		}
+		stepUntilSynced(log)
 		So(log.RemoveSegment(2), ShouldNotBeNil)
 		So(log.RemoveSegment(1), ShouldBeNil)
 		So(log.RemoveSegment(2), ShouldBeNil)
--- a/internal/batch/wal/mark_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -12,7 +12,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// writeGroups gives a disk with a log of one segment, in which each group was written at once and synced before the next.
+// writeGroups returns a disk with a log of one segment, in which each group was written at once and synced
+// before the next.
 func writeGroups(groups ...[]string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	log, err := OpenLog(disk, Options{}, nil)
@@ -29,7 +30,7 @@
 	return disk
 }
 
-// finish has all that was appended durable.
+// stepUntilSynced makes all appended records durable.
 func stepUntilSynced(log *Log) {
 	for more := true; more; {
 		var err error
@@ -39,7 +40,7 @@
 	}
 }
 
-// unmarked gives a disk with a log as earlier versions wrote it.
+// withoutMarkers returns a disk with a log as versions without group-commit markers wrote it.
 func withoutMarkers(texts ...string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	file, err := disk.Create(segmentName(1))
@@ -54,7 +55,7 @@
 	return disk
 }
 
-// started is what a start found.
+// recovery is what a start replayed and reported.
 type recovery struct {
 	records    []string
 	skipped    []Location
@@ -66,7 +67,7 @@
 
 func (s *recovery) text() string { return strings.Join(s.records, " ") }
 
-// start loads a log of which the last segment with records is the given one.
+// recoverLog opens a log of which the given segment is the last one with records.
 func recoverLog(disk *simulation.Disk, segment uint32) *recovery {
 	s := &recovery{}
 	s.sizeBefore, _ = disk.Size(segmentName(segment))
@@ -92,7 +93,7 @@
 
 func TestDamageInTheLastSegment(t *testing.T) {
 	const record = headerSize + 1
-	Convey("What was synced before later records were written is damaged where it can't be read, and none of it is cut off", t, func() {
+	Convey("What was synced before later records is corrupt if it can't be read, and isn't truncated", t, func() {
 		for _, test := range []struct {
 			offset  int64
 			found   string
@@ -100,9 +101,9 @@
 		}{
 			{headerSize, "- 2 3 4 5", Location{1, 0, record}},               // the first group's payload
 			{0, "- 2 3 4 5", Location{1, 0, record}},                        // its length
-			{3, "- 2 3 4 5", Location{1, 0, record}},                        // its mark
+			{3, "- 2 3 4 5", Location{1, 0, record}},                        // its marker
 			{record + headerSize, "1 - 3 4 5", Location{1, record, record}}, // first of two in a group
-			{record + 1, "1 - 4 5", Location{1, record, 2 * record}},        // its length: the next mark is that of the next group
+			{record + 1, "1 - 4 5", Location{1, record, 2 * record}},        // its length
 			{2*record + headerSize, "1 2 - 4 5", Location{1, 2 * record, record}},
 			{3*record + 4, "1 2 3 - 5", Location{1, 3 * record, record}}, // a checksum
 		} {
@@ -117,7 +118,7 @@
 			}
 		}
 	})
-	Convey("Without somebody to tell, such a log isn't opened and stays as it is", t, func() {
+	Convey("Without OnSkipped such a log isn't opened, and stays as it is", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"})
 		So(disk.FlipBit(segmentName(1), headerSize, 0), ShouldBeTrue)
 		before, _ := disk.ReadAll(segmentName(1))
@@ -127,7 +128,7 @@
 		after, _ := disk.ReadAll(segmentName(1))
 		So(bytes.Equal(before, after), ShouldBeTrue)
 	})
-	Convey("A mark is found behind a long record of which the length is damaged, and by length behind a longer one", t, func() {
+	Convey("A marker is found after a long record with a corrupt length, and by length after a longer one", t, func() {
 		long := strings.Repeat("\x80", maxSearchedRecord)
 		disk := writeGroups([]string{long}, []string{long}, []string{"end"})
 		So(disk.FlipBit(segmentName(1), 2, 0), ShouldBeTrue)
@@ -139,7 +140,7 @@
 		s = recoverLog(disk, 1)
 		So(s.records, ShouldResemble, []string{"-", longer})
 	})
-	Convey("Damage at two places is told twice, and an end behind the last mark is cut off", t, func() {
+	Convey("Corruption at two offsets is reported twice, and a tail after the last marker is truncated", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"}, []string{"3"}, []string{"4"}, []string{"5", "6"})
 		for _, offset := range []int64{headerSize, 2*record + headerSize, 5*record + headerSize} {
 			So(disk.FlipBit(segmentName(1), offset, 0), ShouldBeTrue)
@@ -152,7 +153,7 @@
 
 func TestTruncatedTail(t *testing.T) {
 	const record = headerSize + 1
-	Convey("A last group that isn't whole is cut off and told, with sound records of it behind", t, func() {
+	Convey("A last group that isn't complete is truncated and reported, with valid records in its tail", t, func() {
 		disk := writeGroups([]string{"1", "2"}, []string{"3", "4", "5"})
 		So(disk.FlipBit(segmentName(1), 3*record+headerSize, 0), ShouldBeTrue)
 		s := recoverLog(disk, 1)
@@ -164,7 +165,7 @@
 		So(s.text(), ShouldEqual, "1 2 3")
 		So(s.truncated, ShouldBeEmpty)
 	})
-	Convey("So is the end of a log without marks, as earlier versions wrote it; all before is read", t, func() {
+	Convey("So is the tail of a log without markers; all before it is replayed", t, func() {
 		disk := withoutMarkers("1", "2", "3", "4")
 		So(recoverLog(disk, 1).text(), ShouldEqual, "1 2 3 4")
 		disk = withoutMarkers("1", "2", "3", "4")
@@ -173,7 +174,7 @@
 		So(s.text(), ShouldEqual, "1 2")
 		So(s.truncated, ShouldResemble, []Location{{1, 2 * record, 2 * record}})
 	})
-	Convey("Once a later segment is begun, be it without records, nothing is cut off", t, func() {
+	Convey("Once a later segment exists, even without records, nothing is truncated", t, func() {
 		for _, disk := range []*simulation.Disk{writeGroups([]string{"1"}, []string{"2"}), withoutMarkers("1", "2")} {
 			So(recoverLog(disk, 1).text(), ShouldEqual, "1 2") // begins segment 2
 			So(disk.FlipBit(segmentName(1), record+headerSize, 0), ShouldBeTrue)
@@ -183,7 +184,7 @@
 			So(s.truncated, ShouldBeEmpty)
 		}
 	})
-	Convey("A payload that holds a segment's bytes passes for no mark", t, func() {
+	Convey("A payload that contains a segment's bytes doesn't pass for a marker", t, func() {
 		inner := writeGroups([]string{"1"}, []string{"2"})
 		image, _ := inner.ReadAll(segmentName(1))
 		disk := writeGroups([]string{"first"}, []string{string(image) + string(image)})
@@ -195,8 +196,8 @@
 	})
 }
 
-// TestRandomDamage inverts a bit of logs of random groups: each record is replayed as it was written, or lies in a part that was
-// told, and only the last group is ever cut off.
+// TestRandomDamage inverts a bit in logs of random groups: each record is replayed as it was written, or
+// lies in a part that was reported, and only the last group is ever truncated.
 func TestRandomDamage(t *testing.T) {
 	first := envInt("FIRST", 0)
 	for seed := first; seed < first+envInt("SEEDS", defaultHistories); seed++ {
@@ -216,29 +217,29 @@
 		groups = append(groups, group)
 	}
 	disk := writeGroups(groups...)
-	sound := recoverLog(disk, 1)
-	lastGroup := sound.recordsAt[len(sound.recordsAt)-len(groups[len(groups)-1])].Offset - headerSize
-	offset := random.Int64N(sound.sizeBefore)
+	intact := recoverLog(disk, 1)
+	lastGroup := intact.recordsAt[len(intact.recordsAt)-len(groups[len(groups)-1])].Offset - headerSize
+	offset := random.Int64N(intact.sizeBefore)
 	disk.FlipBit(segmentName(1), offset, random.IntN(8))
 	s := recoverLog(disk, 1)
 	for _, at := range s.truncated {
 		if at.Offset < lastGroup {
-			return fmt.Errorf("bit of byte %d: %v is cut off, the last group begins at %d", offset, at, lastGroup)
+			return fmt.Errorf("bit of byte %d: %v was truncated, the last group begins at %d", offset, at, lastGroup)
 		}
 	}
 	if len(s.truncated)+len(s.skipped) != 1 {
-		return fmt.Errorf("bit of byte %d: skipped %v, cut off %v", offset, s.skipped, s.truncated)
+		return fmt.Errorf("bit of byte %d: skipped %v, truncated %v", offset, s.skipped, s.truncated)
 	}
 	lost := slices.Concat(s.truncated, s.skipped)[0]
-	for i, at := range sound.recordsAt {
+	for i, at := range intact.recordsAt {
 		within := at.Offset >= lost.Offset && at.Offset < lost.Offset+lost.Length
 		found := slices.Index(s.recordsAt, at)
 		if within == (found >= 0) {
-			return fmt.Errorf("bit of byte %d: record %d at %v, told %v", offset, i, at, lost)
+			return fmt.Errorf("bit of byte %d: record %d at %v, reported %v", offset, i, at, lost)
 		}
 	}
 	if lost.Offset > uint32(offset) || lost.Offset+lost.Length <= uint32(offset) {
-		return fmt.Errorf("bit of byte %d: told %v", offset, lost)
+		return fmt.Errorf("bit of byte %d: reported %v", offset, lost)
 	}
 	return nil
 }
--- a/internal/batch/wal/load.go
+++ b/internal/batch/wal/recovery.go
@@ -10,25 +10,26 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// Load reads a folder's log, hands each record to replay in order, and begins a new segment. All that was handed over is
-// durable when it returns. A record that is damaged as no loss of power can have torn it is told to Options.Skipped; without
-// that, Load gives ErrCorrupt and changes nothing. An end that a loss of power may have torn is told to Options.CutOff.
-func OpenLog(fs slots.FS, options Options, replay func(Location, []byte) error) (*Log, error) {
+// OpenLog reads the log in a directory, hands each record to replay in order, and begins a new segment. All
+// that it replayed is durable when it returns. Corruption and a torn tail are reported to Options.OnSkipped
+// and Options.OnTruncated; without OnSkipped, a corrupt log gives an error that wraps ErrCorrupt, and is
+// left as it is. Errors of the disk and of replay are returned.
+func OpenLog(fs slots.FS, options Options, replay ReplayFunc) (*Log, error) {
 	if options.SegmentSize <= 0 {
 		options.SegmentSize = DefaultSegmentSize
 	}
 	l := &Log{fs: fs, segmentSize: options.SegmentSize, segments: map[uint32]*segment{}}
-	found, err := l.listSegments()
+	files, err := l.listSegments()
 	if err != nil {
 		return nil, err
 	}
-	last := len(found) - 1 // the only one that isn't known to have been synced whole, as a segment is begun only after that
-	for i := range found {
-		if err := l.loadSegment(found[i], i == last, replay, &options); err != nil {
+	last := len(files) - 1 // the others were synced whole before the next was created
+	for i := range files {
+		if err := l.loadSegment(files[i], i == last, replay, &options); err != nil {
 			l.closeFiles()
 			return nil, err
 		}
-		l.tailSegment = found[i].number
+		l.tailSegment = files[i].number
 	}
 	l.tailSegment++
 	if err := l.createSegment(l.tailSegment); err != nil {
@@ -38,37 +39,37 @@
 	return l, nil
 }
 
-// stored is a segment's file as it was found.
+// segmentFile is a segment's file as a start finds it.
 type segmentFile struct {
 	number uint32
-	size   int64
+	size   int64 // bytes
 }
 
-// list gives the segments in order.
+// listSegments lists the segments in the directory by number. Other files are ignored.
 func (l *Log) listSegments() ([]segmentFile, error) {
 	names, err := l.fs.List()
 	if err != nil {
 		return nil, err
 	}
-	var found []segmentFile
-	for _, file := range names {
+	var files []segmentFile
+	for _, name := range names {
 		var number uint32
-		if n, _ := fmt.Sscanf(file, "segment-%08d", &number); n != 1 || file != segmentName(number) {
+		if n, _ := fmt.Sscanf(name, "segment-%08d", &number); n != 1 || name != segmentName(number) {
 			continue
 		}
-		size, err := l.fs.Size(file)
+		size, err := l.fs.Size(name)
 		if err != nil {
 			return nil, err
 		}
-		found = append(found, segmentFile{number: number, size: size})
+		files = append(files, segmentFile{number: number, size: size})
 	}
-	slices.SortFunc(found, func(a, b segmentFile) int { return int(a.number) - int(b.number) })
-	return found, nil
+	slices.SortFunc(files, func(a, b segmentFile) int { return int(a.number) - int(b.number) })
+	return files, nil
 }
 
-// load replays one segment up to its last whole record and cuts off what follows, so that it can't come back. What it
-// replayed may be of a process that was killed before it synced it, and is synced here.
-func (l *Log) loadSegment(found segmentFile, last bool, replay func(Location, []byte) error, options *Options) error {
+// loadSegment replays a segment, truncates what follows its last valid record, so that it can't come back,
+// and syncs the file: a process that was killed before it synced may have written what was replayed.
+func (l *Log) loadSegment(found segmentFile, last bool, replay ReplayFunc, options *Options) error {
 	file, err := l.fs.Open(segmentName(found.number))
 	if err != nil {
 		return err
@@ -90,8 +91,10 @@
 	return file.Sync()
 }
 
-// replayAll hands over all whole records, and tells of what is damaged between them. What it leaves is a torn end.
-func (s *segment) replay(size int64, last bool, replay func(Location, []byte) error, onSkipped func(Location)) error {
+// replay replays all valid records and reports what is corrupt between them. In the last segment it stops
+// before an unreadable tail without a marker after it, which may be a torn write; in others such a tail is
+// corrupt. On return s.size is the end of what was replayed or skipped.
+func (s *segment) replay(size int64, last bool, replay ReplayFunc, onSkipped func(Location)) error {
 	for {
 		if err := s.replayRun(size, replay); err != nil {
 			return err
@@ -114,7 +117,7 @@
 	}
 }
 
-// cutOff takes what follows the last whole record away.
+// truncateTail removes what follows s.size.
 func (s *segment) truncateTail(size int64, onTruncated func(Location)) error {
 	if onTruncated != nil {
 		onTruncated(Location{Segment: s.number, Offset: uint32(s.size), Length: uint32(size - s.size)})
@@ -122,8 +125,8 @@
 	return s.file.Truncate(s.size)
 }
 
-// replay hands over the records up to the last whole one.
-func (s *segment) replayRun(size int64, replay func(Location, []byte) error) error {
+// replayRun replays records from s.size on, up to the first that can't be read.
+func (s *segment) replayRun(size int64, replay ReplayFunc) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.file, s.size, size-s.size), readBufferSize)
 	for s.size < size {
 		payload, err := readRecord(in, s.number, s.size)
@@ -142,8 +145,9 @@
 	return nil
 }
 
-// skip goes over a damaged record to the one behind it, where its length tells of a whole one there, or else to the next mark,
-// or to the end of the segment where there is none. It gives the part that was gone over.
+// skip moves s.size past a corrupt record: to the record after it, if the corrupt one's length leads to a
+// valid one, or else to the next marker, which is the end of the segment if there is none. It returns the
+// part that was skipped.
 func (s *segment) skip(marker, size int64) Location {
 	start := s.size
 	s.size = marker
@@ -153,13 +157,14 @@
 	return Location{Segment: s.number, Offset: uint32(start), Length: uint32(s.size - start)}
 }
 
-// behind tells where the record after the one at an offset begins, and whether a whole one does.
+// recordBehind returns the offset that the length of the record at an offset leads to, and whether a valid
+// record begins there.
 func (s *segment) recordBehind(offset, size int64) (next int64, valid bool) {
-	var head [headerSize]byte
-	if _, err := s.file.ReadAt(head[:], offset); err != nil {
+	var header [headerSize]byte
+	if _, err := s.file.ReadAt(header[:], offset); err != nil {
 		return 0, false
 	}
-	next = offset + headerSize + int64(decodeHeader(head[:]).length)
+	next = offset + headerSize + int64(decodeHeader(header[:]).length)
 	if next >= size {
 		return 0, false
 	}
@@ -167,7 +172,7 @@
 	return next, err == nil
 }
 
-// nextMark looks for a mark behind the record that can't be read.
+// nextMarker looks for a marker after the unreadable record at s.size.
 func (s *segment) nextMarker(size int64) (offset int64, found bool, err error) {
 	rest := make([]byte, size-s.size)
 	if _, err := s.file.ReadAt(rest, s.size); err != nil {
--- a/internal/batch/wal/skip_test.go
+++ b/internal/batch/wal/skip_test.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// written gives a disk with a log of records "1" to "9", three in each segment, and a last one.
+// writtenLog returns a disk with a log of ten records, "1" to "9" and "0", three in each segment.
 func writtenLog() *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	log, err := OpenLog(disk, Options{SegmentSize: 3 * (headerSize + 1)}, nil)
@@ -21,16 +21,13 @@
 	for number := 1; number <= 10; number++ {
 		log.Append(fmt.Append(nil, number%10))
 	}
-	for more := true; more; {
-		if more, err = log.Step(); err != nil {
-			panic(err)
-		}
-	}
+	stepUntilSynced(log)
 	disk.Kill()
 	return disk
 }
 
-// loadSkipping gives the records that are left, with "-" for each part that was skipped.
+// loadSkipping returns the records that were replayed, with "-" for each part that was skipped, and these
+// parts.
 func loadSkipping(disk *simulation.Disk) (string, []Location) {
 	var text strings.Builder
 	var skipped []Location
@@ -49,7 +46,7 @@
 }
 
 func TestSkipped(t *testing.T) {
-	Convey("A damaged record is gone over and told; what stands before and behind it is replayed", t, func() {
+	Convey("A corrupt record is skipped and reported; what is before and after it is replayed", t, func() {
 		const record = headerSize + 1
 		for _, test := range []struct {
 			segment uint32
@@ -76,7 +73,7 @@
 			So(bytes.Equal(before, after), ShouldBeTrue) // the part is left as it is
 		}
 	})
-	Convey("A damaged end of the last segment is cut off as a torn one", t, func() {
+	Convey("A corrupt tail of the last segment is truncated like a torn write", t, func() {
 		disk := writtenLog()
 		So(disk.FlipBit(segmentName(4), headerSize, 0), ShouldBeTrue)
 		found, skipped := loadSkipping(disk)
--- a/internal/batch/wal/journal_test.go
+++ b/internal/batch/wal/wal_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// opened is a journal with what it replayed and what it told to be durable.
+// openedWAL is a WAL with what it replayed and the sequence numbers that it reported as durable.
 type openedWAL struct {
 	*WAL
 	replayed  [][]byte
@@ -55,7 +55,7 @@
 }
 
 func TestWAL(t *testing.T) {
-	Convey("What is durable is read back, over segments and starts", t, func() {
+	Convey("What is durable is read back, across segments and restarts", t, func() {
 		directory := t.TempDir()
 		w := open(t, directory, Options{SegmentSize: 1000, Linger: time.Millisecond})
 		var wrote [][]byte
@@ -96,13 +96,14 @@
 }
 
 func TestTornTail(t *testing.T) {
-	Convey("Of what was not synced a prefix comes back, and what was cut off never does", t, func() {
+	Convey("Of what was not synced a prefix is replayed, and what was truncated never is", t, func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			directory := t.TempDir()
 			var wrote [][]byte
 			for i := range 12 {
-				wrote = append(wrote, []byte(fmt.Sprintf("record %d of %d %s", i, seed, bytes.Repeat([]byte("x"), random.IntN(200)))))
+				padding := bytes.Repeat([]byte("x"), random.IntN(200))
+				wrote = append(wrote, fmt.Appendf(nil, "record %d of %d %s", i, seed, padding))
 			}
 			writeGroup(directory, wrote)
 			kept := tearGroup(t, directory, random)
@@ -121,7 +122,7 @@
 	})
 }
 
-// writeGroup writes records to the log of an empty folder, all of them at once.
+// writeGroup writes records to the log of an empty directory, as one group.
 func writeGroup(directory string, records [][]byte) {
 	log, err := OpenLog(slots.Directory(directory), Options{}, nil)
 	So(err, ShouldBeNil)
@@ -132,8 +133,8 @@
 	log.closeFiles()
 }
 
-// tear damages the only segment with records, which is one group, as a loss of power does, behind a point, and tells how many
-// records stand before it.
+// tearGroup damages the only segment with records, which is one group, from a random point on as a loss of
+// power may. It returns the number of records before that point.
 func tearGroup(t *testing.T, directory string, random *rand.Rand) int {
 	path := filepath.Join(directory, segmentName(1))
 	data, err := os.ReadFile(path)
