--- a/coord/chain/state_test.go
+++ b/coord/chain/state_test.go
@@ -19,7 +19,7 @@
 
 // TestMemoryOfOutcomes applies more orders than are remembered: the last ones are known, the others not, alike in a state that was
 // restored from an image on the way; an order that is known is applied once.
-func TestMemoryOfOutcomes(t *testing.T) {
+func TestDeduplicationWindow(t *testing.T) {
 	const memory, orders = 16, 100
 	for restoredAt := 1; restoredAt < orders; restoredAt += 7 {
 		states := []*chain.State{chain.NewState(&counter{}, memory), chain.NewState(&counter{}, memory)}
@@ -29,7 +29,7 @@
 			}
 			if index == uint64(restoredAt) {
 				states[1] = chain.NewState(&counter{}, memory)
-				if err := states[1].Restore(states[0].Image()); err != nil {
+				if err := states[1].Restore(states[0].Snapshot()); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -45,8 +45,8 @@
 			if outcome, repeated := state.Apply(chain.Entry{Index: orders + 1, ID: fmt.Sprint(orders - memory + 1)}); !repeated || outcome.Index != orders-memory+1 {
 				t.Errorf("the oldest order that is remembered is applied again: %+v", outcome)
 			}
-			if images := len(state.Image().Outcomes); images != memory {
-				t.Errorf("an image holds %d outcomes", images)
+			if outcomes := len(state.Snapshot().Outcomes); outcomes != memory {
+				t.Errorf("an image holds %d outcomes", outcomes)
 			}
 		}
 	}
--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -16,15 +16,15 @@
 // ErrUncertain may be proposed again with its id anywhere. Without an id one is drawn.
 //
 // ErrUnavailable speaks of this call alone: an earlier call with the same id may have been taken.
-func (n *Node) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
+func (n *Node) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
 	if id == "" {
 		id = n.drawID()
 	}
-	if n.status.Load().ailing {
-		return nil, fmt.Errorf("%w: %w", ErrUnavailable, errDisk)
+	if n.status.Load().diskUnhealthy {
+		return nil, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
 	}
 	wait := &waiter{outcomes: make(chan chain.Outcome, 1)}
-	err := n.input(ctx, func() { n.core.submit(n.now(), id, order, wait) })
+	err := n.enqueue(ctx, func() { n.core.submit(n.now(), id, command, wait) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -39,20 +39,20 @@
 }
 
 func (n *Node) drawID() string {
-	return fmt.Sprintf("%s/%x/%d", n.core.self.ID(), n.core.life, n.drawn.Add(1))
+	return fmt.Sprintf("%s/%x/%d", n.core.self.ID(), n.core.incarnation, n.drawnIDs.Add(1))
 }
 
 // withdrawTime bounds the wait for the loop once a caller's time is over.
-const withdrawTime = 20 * time.Millisecond
+const withdrawTimeout = 20 * time.Millisecond
 
 // withdraw ends the wait for an order. What is known of it is known on the loop only; a node whose
 // disk holds up the loop can't tell, and then the order counts as uncertain.
 func (n *Node) withdraw(id string, wait *waiter, cause error) ([]byte, error) {
-	limited, cancel := context.WithTimeout(context.Background(), withdrawTime)
+	limited, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	sent := true
 	withdrawn := make(chan bool, 1)
-	if err := n.input(limited, func() { withdrawn <- n.core.withdraw(id, wait) }); err == nil {
+	if err := n.enqueue(limited, func() { withdrawn <- n.core.withdraw(id, wait) }); err == nil {
 		select {
 		case sent = <-withdrawn:
 		case <-limited.Done():
@@ -71,12 +71,12 @@
 
 // Read returns once the local machine has applied every order acknowledged before the call.
 func (n *Node) Read(ctx context.Context) (index uint64, err error) {
-	if n.status.Load().ailing {
-		return 0, fmt.Errorf("%w: %w", ErrUnavailable, errDisk)
+	if n.status.Load().diskUnhealthy {
+		return 0, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
 	}
 	indexes := make(chan uint64, 1)
 	var read *pendingRead
-	err = n.input(ctx, func() {
+	err = n.enqueue(ctx, func() {
 		read = n.core.read(n.now(), func(index uint64) { indexes <- index })
 	})
 	if err != nil {
@@ -88,23 +88,23 @@
 	case <-n.done:
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, ErrClosed)
 	case <-ctx.Done():
-		go func() { _ = n.input(context.Background(), func() { n.core.forgetRead(read) }) }()
+		go func() { _ = n.enqueue(context.Background(), func() { n.core.cancelRead(read) }) }()
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, ctx.Err())
 	}
 }
 
 // Fresh returns the age of this node's knowledge: everything acknowledged longer ago than age is
 // applied here. It is computed from the steady clock at the call.
-func (n *Node) Fresh() (age time.Duration, ok bool) {
+func (n *Node) Staleness() (age time.Duration, ok bool) {
 	current := n.status.Load()
-	if !current.fresh {
+	if !current.stalenessKnown {
 		return 0, false
 	}
-	return time.Since(current.freshSince), true
+	return time.Since(current.currentAsOf), true
 }
 
 // errDisk says why a node refuses.
-var errDisk = errors.New("the disk refuses writes")
+var errDiskUnhealthy = errors.New("the disk refuses writes")
 
 // View returns the newest view that the node knows.
 func (n *Node) View() view.View { return n.status.Load().view }
@@ -127,30 +127,30 @@
 // the one before has surely passed.
 func (n *Node) Lead() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
-	if !current.leads || !time.Now().Before(current.lead.Until) {
+	if !current.hasLease || !time.Now().Before(current.lease.Until) {
 		return 0, time.Time{}, false
 	}
-	return current.lead.Epoch, current.lead.Until, true
+	return current.lease.Epoch, current.lease.Until, true
 }
 
 // Head returns the moment until which no successor acts, where this node is the proven head of its epoch. Unlike Lead it doesn't
 // wait until the time of the head before has passed: it is for a holder that knows that no other has acted since it did itself,
 // in this life or an earlier one of its disk.
 func (n *Node) Head() (until time.Time, ok bool) {
-	until = n.status.Load().headUntil
+	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
 }
 
 // LeadSince returns the moment from which this node may act as the holder of singleton roles.
 func (n *Node) LeadSince() (time.Time, bool) {
 	current := n.status.Load()
-	return current.lead.Since, current.leads
+	return current.lease.Since, current.hasLease
 }
 
 // OnApply has a function called after each order that is applied here, in order, on the goroutine of
 // the machine. It must be short and must not call Propose or Read. Orders that came within an image
 // of the whole state aren't told one by one.
-func (n *Node) OnApply(call func(index uint64, order, result []byte)) {
+func (n *Node) OnApply(call func(index uint64, command, result []byte)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
 	next := *n.callbacks.Load()
@@ -170,7 +170,7 @@
 // SetSeeds replaces the addresses to ask when nobody of the known view answers.
 func (n *Node) SetSeeds(seeds []string) {
 	copied := append([]string(nil), seeds...)
-	_ = n.input(context.Background(), func() { n.core.seeds = copied })
+	_ = n.enqueue(context.Background(), func() { n.core.seeds = copied })
 }
 
 // HandOver leaves the chain by a change of the view, where enough others stay in it. It returns once
@@ -179,7 +179,7 @@
 func (n *Node) HandOver(ctx context.Context) error {
 	out := make(chan struct{}, 1)
 	spared := true
-	err := n.query(ctx, func() {
+	err := n.runOnLoop(ctx, func() {
 		spared = n.core.leave(n.now(), func() { out <- struct{}{} })
 	})
 	if err != nil {
--- a/coord/replica/campaign_test.go
+++ b/coord/replica/campaign_test.go
@@ -78,12 +78,12 @@
 
 // drawLimits draws how soon logs and disks are compacted and how much is remembered. Small bounds have them compacted all the time.
 func (c *campaign) drawLimits() {
-	c.limits.keptLog = pick(c.draws, 64, 1<<10, keptLogBytes)
-	c.limits.batchBytes = pick(c.draws, 100, 1<<10, batchBytes)
+	c.limits.retainedLogBytes = pick(c.draws, 64, 1<<10, defaultRetainedLogBytes)
+	c.limits.batchBytes = pick(c.draws, 100, 1<<10, defaultBatchBytes)
 	c.compactAt = int64(pick(c.draws, 512, 2<<10, 16<<10))
 	if c.draws.IntN(4) == 0 {
 		c.onlyOnce = true
-		c.limits.remembered = 32
+		c.limits.deduplicationWindow = 32
 	}
 }
 
@@ -225,8 +225,8 @@
 		c.after(c.span(8*time.Millisecond), func() {
 			n.handle(func() {
 				if n.core.isVoter() {
-					n.core.agree.abandon(c.now, 0)
-					n.core.propose("duel")
+					n.core.proposer.abandon(c.now, 0)
+					n.core.proposeView("duel")
 				}
 			})
 		})
@@ -315,13 +315,13 @@
 // checkOrders checks that what was acknowledged is there, each order once, and none that was surely not taken.
 func (c *campaign) checkOrders(orders []string) {
 	positions := make(map[string]int)
-	for i, order := range orders {
-		if _, twice := positions[order]; twice {
-			c.failf("order %s applied twice", order)
+	for i, command := range orders {
+		if _, twice := positions[command]; twice {
+			c.failf("order %s applied twice", command)
 		}
-		positions[order] = i
-		if of := c.callers[order]; of != nil && of.calls == of.unsent {
-			c.failf("order %s was applied, and its caller was told that it was not taken", order)
+		positions[command] = i
+		if of := c.callers[command]; of != nil && of.calls == of.unsent {
+			c.failf("order %s was applied, and its caller was told that it was not taken", command)
 		}
 	}
 	for id := range c.acked {
@@ -340,8 +340,8 @@
 		if len(n.machine.orders) != len(reference.machine.orders) {
 			c.failf("%s applied %d orders, %s %d", n.name, len(n.machine.orders), reference.name, len(reference.machine.orders))
 		}
-		for i, order := range reference.machine.orders {
-			if n.machine.orders[i] != order {
+		for i, command := range reference.machine.orders {
+			if n.machine.orders[i] != command {
 				c.failf("%s and %s differ at %d", n.name, reference.name, i)
 			}
 		}
--- a/coord/replica/checks_test.go
+++ b/coord/replica/checks_test.go
@@ -43,21 +43,21 @@
 // applied checks that no two different orders stand at one index, and that none was ordered in a view from after its last caller gave up.
 func (n *simulatedNode) applied(entry chain.Entry, _ chain.Outcome, _ bool) {
 	w := n.world
-	order := entry.ID + "=" + string(entry.Order)
+	command := entry.ID + "=" + string(entry.Order)
 	if earlier, known := w.applied[entry.Index]; known {
-		if earlier != order {
-			w.failf("%s applies %q at %d, another node %q", n.name, order, entry.Index, earlier)
+		if earlier != command {
+			w.failf("%s applies %q at %d, another node %q", n.name, command, entry.Index, earlier)
 		}
 		return
 	}
-	w.applied[entry.Index] = order
+	w.applied[entry.Index] = command
 	w.checkDisks(entry)
 	w.checkHeldUp(entry)
 }
 
 // heldLimit is how long after its last caller gave up an order may be taken into a newer view: the head holds orders that came in the
 // midst of a change.
-const heldLimit = retryInterval + 50*time.Millisecond
+const heldLimit = retransmitInterval + 50*time.Millisecond
 
 // checkHeldUp checks that an order wasn't held somewhere until a view from after its last caller gave up.
 func (w *world) checkHeldUp(entry chain.Entry) {
@@ -87,7 +87,7 @@
 	if source == nil || v.Epoch == view.GenesisEpoch {
 		return
 	}
-	if end := source.disk.shadow.log.End(); end < w.lastAcked() {
+	if end := source.disk.shadow.log.LastIndex(); end < w.lastAcked() {
 		w.failf("epoch %d starts from %s, which holds %d of %d acknowledged orders", v.Epoch, source.name, end, w.lastAcked())
 	}
 }
@@ -104,17 +104,17 @@
 			w.failf("%s and %s lead", leader.name, n.name)
 		}
 		leader = n
-		if end, least := n.core.log.End(), w.ackedBefore(n.core.fresh.epochAt); end < least {
+		if end, least := n.core.log.LastIndex(), w.ackedBefore(n.core.staleness.epochConfirmedAt); end < least {
 			w.failf("%s leads with %d of %d acknowledged orders", n.name, end, least)
 		}
-		if n.cutOff && w.now > n.cutOffSince+leadTerm {
+		if n.cutOff && w.now > n.cutOffSince+leaderLeaseDuration {
 			w.failf("%s leads, cut off since %v", n.name, n.cutOffSince)
 		}
 	}
 }
 
 func (n *simulatedNode) leadsAt(now time.Duration) bool {
-	until, ok := n.core.leads()
+	until, ok := n.core.leaderLease()
 	return ok && until > now
 }
 
@@ -139,7 +139,7 @@
 // lostDisk is a disk that was lost, with what it held.
 type lostDisk struct {
 	at    time.Duration
-	state *recovered
+	state *recoveredState
 }
 
 // lossWindow is how long a loss may lie back of a member that held an order and handed it on, when the last member syncs it: a frozen
@@ -165,12 +165,12 @@
 }
 
 // holds reports whether an entry is on a disk.
-func (s *recovered) holds(entry chain.Entry) bool {
+func (s *recoveredState) holds(entry chain.Entry) bool {
 	if s == nil {
 		return false
 	}
 	base, _ := s.log.Base()
-	return entry.Index <= base || entry.Index <= s.log.End() && s.log.Entry(entry.Index).ID == entry.ID
+	return entry.Index <= base || entry.Index <= s.log.LastIndex() && s.log.Entry(entry.Index).ID == entry.ID
 }
 
 // read does a linearizable read through a node and checks it.
@@ -199,7 +199,7 @@
 		if !n.up || n.core == nil {
 			continue
 		}
-		since, proven := n.core.freshSince()
+		since, proven := n.core.currentAsOf()
 		if !proven {
 			continue
 		}
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -11,45 +11,45 @@
 
 // Times of the protocol, all on the steady clock.
 const (
-	tickInterval      = 100 * time.Millisecond // how often a carrier calls tick
-	heartbeatInterval = 200 * time.Millisecond
-	silenceLimit      = 700 * time.Millisecond  // a member not heard for this long is suspected
-	echoLimit         = 1000 * time.Millisecond // nor one that hasn't heard this member
-	thawGap           = 400 * time.Millisecond  // a gap between ticks that means: this process stood still
-	absenceLimit      = 2 * time.Second         // a voter silent for this long may be replaced by a spare
-	retryInterval     = 300 * time.Millisecond  // of fetches and forwarded orders
-	helloInterval     = 500 * time.Millisecond  // between questions of a node that hears nobody of its view
-	pollInterval      = 250 * time.Millisecond  // of nodes outside of the chain
-	proposalLimit     = 600 * time.Millisecond  // an attempt on a view that takes longer is given up
-	promiseWait       = 100 * time.Millisecond  // for the promises beyond a majority
-	rankDelay         = 200 * time.Millisecond  // between possible proposers
-	returnSettle      = 150 * time.Millisecond  // a member must be heard this long before it is let in
-	wedgeLimit        = 400 * time.Millisecond  // a wedged member without a decision proposes
-	leadTerm          = 800 * time.Millisecond  // after the last proof of its epoch a head leads
-	leadDelay         = 1000 * time.Millisecond // after the decision on its view a head waits
+	tickInterval          = 100 * time.Millisecond // how often a carrier calls tick
+	heartbeatInterval     = 200 * time.Millisecond
+	suspicionTimeout      = 700 * time.Millisecond  // a member not heard for this long is suspected
+	echoTimeout           = 1000 * time.Millisecond // nor one that hasn't heard this member
+	processPauseThreshold = 400 * time.Millisecond  // a gap between ticks that means: this process stood still
+	replacementTimeout    = 2 * time.Second         // a voter silent for this long may be replaced by a spare
+	retransmitInterval    = 300 * time.Millisecond  // of fetches and forwarded orders
+	viewQueryInterval     = 500 * time.Millisecond  // between questions of a node that hears nobody of its view
+	learnerPollInterval   = 250 * time.Millisecond  // of nodes outside of the chain
+	proposalTimeout       = 600 * time.Millisecond  // an attempt on a view that takes longer is given up
+	prepareGracePeriod    = 100 * time.Millisecond  // for the promises beyond a majority
+	proposerStagger       = 200 * time.Millisecond  // between possible proposers
+	rejoinDelay           = 150 * time.Millisecond  // a member must be heard this long before it is let in
+	wedgedTimeout         = 400 * time.Millisecond  // a wedged member without a decision proposes
+	leaderLeaseDuration   = 800 * time.Millisecond  // after the last proof of its epoch a head leads
+	newLeaderDelay        = 1000 * time.Millisecond // after the decision on its view a head waits
 )
 
 // Sizes of messages and of the log kept in memory for others.
 const (
-	batchBytes      = 256 << 10
-	keptLogBytes    = 256 << 10
-	maxUncommitted  = 8192
-	compactLogBytes = 1 << 20
+	defaultBatchBytes       = 256 << 10
+	defaultRetainedLogBytes = 256 << 10
+	defaultMaxUncommitted   = 8192
+	checkpointLogBytes      = 1 << 20
 )
 
 // limits bound what a core keeps and sends at once. All members of a system have the same.
 type limits struct {
-	batchBytes  int // orders in one message
-	keptLog     int // bytes of applied orders that the log keeps for others
-	uncommitted int // orders
-	remembered  int // outcomes of the last orders
+	batchBytes          int // orders in one message
+	retainedLogBytes    int // bytes of applied orders that the log keeps for others
+	maxUncommitted      int // orders
+	deduplicationWindow int // outcomes of the last orders
 }
 
-var usualLimits = limits{
-	batchBytes:  batchBytes,
-	keptLog:     keptLogBytes,
-	uncommitted: maxUncommitted,
-	remembered:  chain.RememberedRequests,
+var defaultLimits = limits{
+	batchBytes:          defaultBatchBytes,
+	retainedLogBytes:    defaultRetainedLogBytes,
+	maxUncommitted:      defaultMaxUncommitted,
+	deduplicationWindow: chain.DeduplicationWindow,
 }
 
 // envelope is a message on its way out.
@@ -60,92 +60,92 @@
 
 // coreOptions are what a core needs to know.
 type coreOptions struct {
-	self      view.Member
-	disk      bool
-	tolerance int
-	limits    limits
-	seeds     []string
-	machine   chain.Machine
-	random    *rand.Rand
-	life      uint64
-	report    func(event string, fields ...any)
-	onApply   func(entry chain.Entry, outcome chain.Outcome, repeated bool)
-	onView    func(view.View)
+	self          view.Member
+	hasDisk       bool
+	tolerance     int
+	limits        limits
+	seeds         []string
+	stateMachine  chain.StateMachine
+	random        *rand.Rand
+	incarnation   uint64
+	report        func(event string, fields ...any)
+	onApply       func(entry chain.Entry, outcome chain.Outcome, repeated bool)
+	onViewAdopted func(view.View)
 }
 
 // core is the pure state machine of a node: messages and time go in, records and messages come
 // out. Its carrier makes the records durable first, then calls persisted, then sends the messages.
 type core struct {
 	coreOptions
-	acceptor  view.Acceptor
-	log       *chain.Log
-	state     *chain.State
-	synced    uint64 // highest epoch in which the log was whole
-	commit    uint64 // last order known to be on all disks of a chain
-	durableTo uint64 // last order on the own disk
-	now       time.Duration
-
-	records  [][]byte
-	rewrite  bool // the whole state is to be written instead of records
-	messages []envelope
-
-	link  chainLink
-	peers map[string]*peer
-	agree agreementState
-	fresh freshness
-	work  clientWork
-	feed  follower
-
-	lastTick   time.Duration
-	lastBeat   time.Duration
-	lastHello  time.Duration
-	helloRound int
-	leaving    bool
-	onLeft     func() // called once this member is out of the chain and the others know
-	leftAt     time.Duration
-	lead       leadState
+	acceptor     view.Acceptor
+	log          *chain.Log
+	state        *chain.State
+	syncedEpoch  uint64 // highest epoch in which the log was whole
+	commitIndex  uint64 // last order known to be on all disks of a chain
+	durableIndex uint64 // last order on the own disk
+	now          time.Duration
+
+	records       [][]byte
+	checkpointDue bool // the whole state is to be written instead of records
+	messages      []envelope
+
+	replication replicationState
+	peers       map[string]*peer
+	proposer    proposerState
+	staleness   stalenessProof
+	requests    pendingRequests
+	learner     learnerState
+
+	lastTick      time.Duration
+	lastHeartbeat time.Duration
+	lastViewQuery time.Duration
+	viewQueries   int
+	leaving       bool
+	onDeparted    func() // called once this member is out of the chain and the others know
+	departedAt    time.Duration
+	lease         leaderLease
 }
 
 // newCore starts a member from what its disk held (nil: nothing, or no disk).
-func newCore(options coreOptions, found *recovered, genesis *view.View, now time.Duration) (*core, error) {
+func newCore(options coreOptions, found *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
 	c := &core{
-		coreOptions: options,
-		log:         chain.NewLog(0, 0, nil),
-		state:       chain.NewState(options.machine, options.limits.remembered),
-		peers:       make(map[string]*peer),
-		now:         now,
-		lastTick:    now,
-		lastBeat:    now - heartbeatInterval,
-		lastHello:   now - time.Second,
+		coreOptions:   options,
+		log:           chain.NewLog(0, 0, nil),
+		state:         chain.NewState(options.stateMachine, options.limits.deduplicationWindow),
+		peers:         make(map[string]*peer),
+		now:           now,
+		lastTick:      now,
+		lastHeartbeat: now - heartbeatInterval,
+		lastViewQuery: now - time.Second,
 	}
 	if c.report == nil {
 		c.report = func(string, ...any) {}
 	}
 	c.acceptor.Self = options.self
-	c.work.init()
-	c.feed.init(c)
-	c.lead.since = now + leadDelay
+	c.requests.init()
+	c.learner.init(c)
+	c.lease.notBefore = now + newLeaderDelay
 	if found != nil {
 		c.acceptor.Self = found.self
 		c.self = found.self
 		c.acceptor.DurableState = found.durable
-		c.synced = found.synced
+		c.syncedEpoch = found.synced
 		c.log = found.log
 		if found.image != nil {
 			if err := c.state.Restore(*found.image); err != nil {
 				return nil, err
 			}
 		}
-		c.commit, _ = c.state.Applied()
-		c.durableTo = c.log.End()
+		c.commitIndex, _ = c.state.Applied()
+		c.durableIndex = c.log.LastIndex()
 	} else if genesis != nil {
 		c.acceptor.DurableState = view.DurableState{View: *genesis}
 		if genesis.InChain(c.self) {
-			c.synced = genesis.Epoch
+			c.syncedEpoch = genesis.Epoch
 		}
 	}
-	c.rewrite = found == nil
-	c.resetPeers()
+	c.checkpointDue = found == nil
+	c.resetFailureDetector()
 	c.enterView()
 	return c, nil
 }
@@ -154,17 +154,17 @@
 
 func (c *core) epoch() uint64 { return c.acceptor.View.Epoch }
 
-func (c *core) isVoter() bool { return c.disk && c.acceptor.View.IsVoter(c.self) }
+func (c *core) isVoter() bool { return c.hasDisk && c.acceptor.View.IsVoter(c.self) }
 
-func (c *core) inChain() bool { return c.disk && c.acceptor.View.InChain(c.self) }
+func (c *core) inChain() bool { return c.hasDisk && c.acceptor.View.InChain(c.self) }
 
 // serving reports whether the member may order, forward and acknowledge in its epoch.
 func (c *core) serving() bool {
-	return c.inChain() && c.synced == c.epoch() && !c.acceptor.Wedged()
+	return c.inChain() && c.syncedEpoch == c.epoch() && !c.acceptor.Wedged()
 }
 
 // enough reports whether the chain may acknowledge: fewer members than this couldn't bear the losses.
-func (c *core) enough() bool { return len(c.acceptor.View.Chain) > c.tolerance }
+func (c *core) toleratesFailures() bool { return len(c.acceptor.View.Chain) > c.tolerance }
 
 func (c *core) send(to view.Member, body any) {
 	if to.Address == c.self.Address || to.Address == "" {
@@ -174,22 +174,22 @@
 }
 
 func (c *core) record(kind byte, value any) {
-	if c.disk {
+	if c.hasDisk {
 		c.records = append(c.records, encodeRecord(kind, value))
 	}
 }
 
 // takeRecords returns what must be durable before persisted is called. When whole is set, the
 // carrier writes the snapshot in place of all that the disk held.
-func (c *core) takeRecords() (records [][]byte, whole []byte) {
-	if c.work.resend {
-		c.workTick()
+func (c *core) takeRecords() (records [][]byte, snapshot []byte) {
+	if c.requests.resendDue {
+		c.retryRequests()
 	}
-	c.releaseHeld()
-	c.askForReads()
+	c.retryDeferred()
+	c.requestReadIndexes()
 	records, c.records = c.records, nil
-	if c.rewrite && c.disk {
-		c.rewrite = false
+	if c.checkpointDue && c.hasDisk {
+		c.checkpointDue = false
 		return nil, c.checkpoint()
 	}
 	return records, nil
@@ -206,9 +206,9 @@
 func (c *core) step(now time.Duration, from view.Member, body any) {
 	c.now = now
 	switch m := body.(type) {
-	case Hello:
+	case ViewQuery:
 		if m.Epoch < c.epoch() {
-			c.tellView(from)
+			c.sendView(from)
 		}
 	case Heartbeat:
 		c.onHeartbeat(from, m)
@@ -223,80 +223,80 @@
 	case view.Reject:
 		c.onRefused(m)
 	case view.Decided:
-		c.adopt(m.View)
+		c.adoptView(m.View)
 	case Append:
 		c.onAppend(from, m)
 	case Ack:
 		c.onAck(from, m)
-	case Resume:
+	case AckRequest:
 		if m.Epoch == c.epoch() {
-			c.link.ackDue = true
+			c.replication.ackDue = true
 		}
-	case Fetch:
-		c.onFetch(from, m)
-	case Copy:
-		c.onCopy(from, m)
+	case PrefixRequest:
+		c.onPrefixRequest(from, m)
+	case PrefixTransfer:
+		c.onPrefixTransfer(from, m)
 	case Forward:
 		c.onForward(from, m)
-	case Poll:
-		c.onPoll(from, m)
-	case Feed:
-		c.onFeed(from, m)
-	case ReadRequest:
-		c.onReadRequest(from, m)
-	case ReadReply:
-		c.onReadReply(m)
+	case LearnerPoll:
+		c.onLearnerPoll(from, m)
+	case LearnerUpdate:
+		c.onLearnerUpdate(from, m)
+	case ReadIndexRequest:
+		c.onReadIndexRequest(from, m)
+	case ReadIndexReply:
+		c.onReadIndexReply(m)
 	}
 }
 
 // reopened goes back to what the disk holds, after it refused to take what this member decided.
 // Nothing of that has left the member.
-func (c *core) reopened(now time.Duration, found *recovered) {
+func (c *core) reopened(now time.Duration, found *recoveredState) {
 	c.now = now
 	c.acceptor.DurableState = found.durable
-	c.synced = found.synced
+	c.syncedEpoch = found.synced
 	c.log = found.log
-	c.commit, _ = c.state.Applied()
-	c.durableTo = c.log.End()
-	c.records, c.messages, c.rewrite = nil, nil, false
-	c.agree.abandon(now, 0)
+	c.commitIndex, _ = c.state.Applied()
+	c.durableIndex = c.log.LastIndex()
+	c.records, c.messages, c.checkpointDue = nil, nil, false
+	c.proposer.abandon(now, 0)
 	c.lastTick = now
-	c.resetPeers()
+	c.resetFailureDetector()
 	c.enterView()
 }
 
 // stoodStill reports whether this process did nothing for long, and hasn't ticked since.
-func (c *core) stoodStill() bool { return c.now-c.lastTick > thawGap }
+func (c *core) wasPaused() bool { return c.now-c.lastTick > processPauseThreshold }
 
 // tick is called every tickInterval.
 func (c *core) tick(now time.Duration) {
 	c.now = now
-	if c.stoodStill() {
+	if c.wasPaused() {
 		c.logEvent("stood still", "for", now-c.lastTick)
-		c.resetPeers()
-		c.agree.abandon(now, 0)
-		c.agree.needSince = 0
+		c.resetFailureDetector()
+		c.proposer.abandon(now, 0)
+		c.proposer.reasonSince = 0
 	}
 	c.lastTick = now
-	if now-c.lastBeat >= heartbeatInterval-tickInterval/4 {
-		c.lastBeat = now
-		c.beat(false)
-		c.linkBeat()
+	if now-c.lastHeartbeat >= heartbeatInterval-tickInterval/4 {
+		c.lastHeartbeat = now
+		c.sendHeartbeats(false)
+		c.retransmit()
 	}
-	c.discover()
-	c.considerView()
-	c.followTick()
-	c.workTick()
-	c.checkLeft()
+	c.discoverView()
+	c.considerReconfiguration()
+	c.pollTick()
+	c.retryRequests()
+	c.checkDeparture()
 }
 
 // persisted is called once all records taken are durable.
 func (c *core) persisted(now time.Duration) {
 	c.now = now
-	c.durableTo = c.log.End()
-	c.advanceChain()
+	c.durableIndex = c.log.LastIndex()
+	c.advanceReplication()
 	c.completeReads()
-	c.pushFeeds()
+	c.pushLearnerUpdates()
 }
 
 // checkpoint returns the whole durable state, and forgets what the log needn't hold any more.
@@ -306,10 +306,10 @@
 	return encodeGob(checkpoint{
 		Self:      c.self,
 		Durable:   c.acceptor.DurableState,
-		Synced:    c.synced,
+		Synced:    c.syncedEpoch,
 		BaseIndex: baseIndex,
 		BaseEpoch: baseEpoch,
-		Image:     c.diskImage(),
+		Image:     c.diskSnapshot(),
 		Entries:   c.log.After(baseIndex, int(^uint(0)>>1)),
 	})
 }
@@ -318,12 +318,12 @@
 func (c *core) compactable() bool {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
-	return applied >= base && applied <= c.log.End()
+	return applied >= base && applied <= c.log.LastIndex()
 }
 
 // diskImage is the machine as the checkpoint holds it. A member that follows a chain from outside
 // has applied more than its own log holds; only orders of its log may be left out of it.
-func (c *core) diskImage() chain.Image { return c.state.Image() }
+func (c *core) diskSnapshot() chain.Snapshot { return c.state.Snapshot() }
 
 func (c *core) compactLog() {
 	if !c.compactable() {
@@ -336,7 +336,7 @@
 	for index > base {
 		entry := c.log.Entry(index)
 		kept += len(entry.Order) + len(entry.ID)
-		if kept > c.limits.keptLog {
+		if kept > c.limits.retainedLogBytes {
 			break
 		}
 		index--
--- a/coord/replica/core_agree.go
+++ b/coord/replica/core_agree.go
@@ -7,26 +7,26 @@
 )
 
 // agreementState is the member's part as a proposer.
-type agreementState struct {
-	proposal    *view.Proposal
-	startedAt   time.Duration
-	majorityAt  time.Duration
-	acceptSent  bool
-	notBefore   time.Duration // after a failed attempt
-	needSince   time.Duration // zero: no need seen
-	maxRound    uint64
-	wedgedSince time.Duration
-	reason      string
-}
-
-func (a *agreementState) abandon(now time.Duration, pause time.Duration) {
+type proposerState struct {
+	proposal     *view.Proposal
+	startedAt    time.Duration
+	majorityAt   time.Duration
+	acceptSent   bool
+	backoffUntil time.Duration // after a failed attempt
+	reasonSince  time.Duration // zero: no need seen
+	highestRound uint64
+	wedgedSince  time.Duration
+	reason       string
+}
+
+func (a *proposerState) abandon(now time.Duration, backoff time.Duration) {
 	a.proposal = nil
 	a.acceptSent = false
-	a.notBefore = now + pause
+	a.backoffUntil = now + backoff
 }
 
-func (c *core) recordBallots() {
-	c.record(recordBallots, ballotsRecord{
+func (c *core) recordAcceptorState() {
+	c.record(recordAcceptor, acceptorRecord{
 		Epoch:          c.epoch(),
 		Promised:       c.acceptor.Promised,
 		AcceptedBallot: c.acceptor.AcceptedBallot,
@@ -35,56 +35,56 @@
 }
 
 // meet adopts a newer view that a proposer stands in, and corrects one that lags.
-func (c *core) meet(from view.Member, present view.View) bool {
-	c.adopt(present)
+func (c *core) reconcileView(from view.Member, present view.View) bool {
+	c.adoptView(present)
 	if present.Epoch < c.epoch() {
-		c.tellView(from)
+		c.sendView(from)
 		return false
 	}
-	return c.disk
+	return c.hasDisk
 }
 
 func (c *core) onPrepare(from view.Member, m view.Prepare) {
-	if !c.meet(from, m.View) {
+	if !c.reconcileView(from, m.View) {
 		return
 	}
-	c.agree.maxRound = max(c.agree.maxRound, m.Ballot.Round)
-	answer, changed := c.acceptor.OnPrepare(m, view.LogState{Synced: c.synced, End: c.log.End()})
+	c.proposer.highestRound = max(c.proposer.highestRound, m.Ballot.Round)
+	response, changed := c.acceptor.OnPrepare(m, view.LogState{Synced: c.syncedEpoch, End: c.log.LastIndex()})
 	if changed {
 		c.noteWedged()
-		c.recordBallots()
+		c.recordAcceptorState()
 	}
-	c.answer(from, answer)
+	c.reply(from, response)
 }
 
 func (c *core) noteWedged() {
-	c.agree.wedgedSince = c.now
-	c.fresh.pending = false
+	c.proposer.wedgedSince = c.now
+	c.staleness.pending = false
 }
 
 func (c *core) onAccept(from view.Member, m view.Accept) {
-	if !c.meet(from, m.View) {
+	if !c.reconcileView(from, m.View) {
 		return
 	}
-	c.agree.maxRound = max(c.agree.maxRound, m.Ballot.Round)
-	answer, changed := c.acceptor.OnAccept(m)
+	c.proposer.highestRound = max(c.proposer.highestRound, m.Ballot.Round)
+	response, changed := c.acceptor.OnAccept(m)
 	if changed {
 		c.noteWedged()
-		c.recordBallots()
+		c.recordAcceptorState()
 	}
-	c.answer(from, answer)
+	c.reply(from, response)
 }
 
 // answer sends a reply of the acceptor, or hands it to the own proposal.
-func (c *core) answer(to view.Member, reply any) {
-	if reply == nil {
+func (c *core) reply(to view.Member, response any) {
+	if response == nil {
 		return
 	}
 	if !to.Same(c.self) {
-		c.send(to, reply)
+		c.send(to, response)
 		return
 	}
-	switch m := reply.(type) {
+	switch m := response.(type) {
 	case view.PrepareResponse:
 		c.onPromise(m)
 	case view.AcceptResponse:
@@ -95,32 +95,32 @@
 }
 
 func (c *core) onPromise(m view.PrepareResponse) {
-	if c.agree.proposal == nil {
+	if c.proposer.proposal == nil {
 		return
 	}
-	c.agree.proposal.OnPrepareResponse(m)
-	c.driveProposal()
+	c.proposer.proposal.OnPrepareResponse(m)
+	c.advanceProposal()
 }
 
 func (c *core) onRefused(m view.Reject) {
-	c.agree.maxRound = max(c.agree.maxRound, m.Promised.Round)
-	p := c.agree.proposal
+	c.proposer.highestRound = max(c.proposer.highestRound, m.Promised.Round)
+	p := c.proposer.proposal
 	if p == nil || m.Epoch != c.epoch() || !p.Number.Less(m.Promised) {
 		return
 	}
-	c.agree.abandon(c.now, c.pause(100*time.Millisecond, 300*time.Millisecond))
+	c.proposer.abandon(c.now, c.randomBackoff(100*time.Millisecond, 300*time.Millisecond))
 }
 
 func (c *core) onAccepted(m view.AcceptResponse) {
-	if c.agree.proposal == nil {
+	if c.proposer.proposal == nil {
 		return
 	}
-	decided := c.agree.proposal.OnAcceptResponse(m)
+	decided := c.proposer.proposal.OnAcceptResponse(m)
 	if decided == nil {
 		return
 	}
 	before := c.acceptor.View
-	c.adopt(*decided)
+	c.adoptView(*decided)
 	for _, m := range before.Voters {
 		c.send(m, view.Decided{View: *decided})
 	}
@@ -131,49 +131,49 @@
 	}
 }
 
-func (c *core) pause(from, to time.Duration) time.Duration {
+func (c *core) randomBackoff(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.random.Int64N(int64(to-from)))
 }
 
 // considerView starts or continues an attempt on the next view where there is a need for one.
-func (c *core) considerView() {
-	c.loseTouch()
+func (c *core) considerReconfiguration() {
+	c.expireReachability()
 	if !c.isVoter() {
 		return
 	}
-	if c.agree.proposal != nil {
-		if c.now-c.agree.startedAt > proposalLimit {
-			c.agree.abandon(c.now, c.pause(0, 300*time.Millisecond))
+	if c.proposer.proposal != nil {
+		if c.now-c.proposer.startedAt > proposalTimeout {
+			c.proposer.abandon(c.now, c.randomBackoff(0, 300*time.Millisecond))
 			return
 		}
-		c.driveProposal()
+		c.advanceProposal()
 		return
 	}
-	reason := c.need()
+	reason := c.reconfigurationReason()
 	if reason == "" {
-		c.agree.needSince = 0
+		c.proposer.reasonSince = 0
 		return
 	}
-	if c.agree.needSince == 0 {
-		c.agree.needSince = c.now
+	if c.proposer.reasonSince == 0 {
+		c.proposer.reasonSince = c.now
 	}
-	if c.now < c.agree.notBefore || c.now < c.agree.needSince+time.Duration(c.rank())*rankDelay {
+	if c.now < c.proposer.backoffUntil || c.now < c.proposer.reasonSince+time.Duration(c.proposerRank())*proposerStagger {
 		return
 	}
-	c.propose(reason)
+	c.proposeView(reason)
 }
 
 // propose starts an attempt.
-func (c *core) propose(reason string) {
-	round := max(c.agree.maxRound, c.acceptor.Promised.Round) + 1
-	c.agree.maxRound = round
-	c.agree.proposal = view.NewProposal(c.acceptor.View, view.ProposalNumber{Round: round, Member: c.self.ID()})
-	c.agree.startedAt = c.now
-	c.agree.majorityAt = 0
-	c.agree.acceptSent = false
-	c.agree.reason = reason
+func (c *core) proposeView(reason string) {
+	round := max(c.proposer.highestRound, c.acceptor.Promised.Round) + 1
+	c.proposer.highestRound = round
+	c.proposer.proposal = view.NewProposal(c.acceptor.View, view.ProposalNumber{Round: round, Member: c.self.ID()})
+	c.proposer.startedAt = c.now
+	c.proposer.majorityAt = 0
+	c.proposer.acceptSent = false
+	c.proposer.reason = reason
 	c.logEvent("proposes a view", "epoch", c.epoch()+1, "reason", reason)
-	prepare := c.agree.proposal.Prepare()
+	prepare := c.proposer.proposal.Prepare()
 	for _, m := range c.acceptor.View.Voters {
 		c.send(m, prepare)
 	}
@@ -181,21 +181,21 @@
 }
 
 // driveProposal sends the value once the promises allow one and no more are to be expected soon.
-func (c *core) driveProposal() {
-	p := c.agree.proposal
-	if p == nil || c.agree.acceptSent || !p.HasMajority() {
+func (c *core) advanceProposal() {
+	p := c.proposer.proposal
+	if p == nil || c.proposer.acceptSent || !p.HasMajority() {
 		return
 	}
-	if c.agree.majorityAt == 0 {
-		c.agree.majorityAt = c.now
+	if c.proposer.majorityAt == 0 {
+		c.proposer.majorityAt = c.now
 	}
-	if !c.allPromised(p) && c.now-c.agree.majorityAt < promiseWait {
+	if !c.allPromised(p) && c.now-c.proposer.majorityAt < prepareGracePeriod {
 		return
 	}
-	if !p.Choose(c.isStaying, c.plan) {
+	if !p.Choose(c.isStaying, c.planMembers) {
 		return
 	}
-	c.agree.acceptSent = true
+	c.proposer.acceptSent = true
 	accept := p.Accept()
 	for _, m := range c.acceptor.View.Voters {
 		c.send(m, accept)
@@ -205,7 +205,7 @@
 
 func (c *core) allPromised(p *view.Proposal) bool {
 	for _, m := range p.View.Voters {
-		if c.heard(m) && !p.HasPromised(m) {
+		if c.alive(m) && !p.HasPromised(m) {
 			return false
 		}
 	}
@@ -214,31 +214,31 @@
 
 // rank is the member's place among those who may propose: the neighbours of a silent member come
 // first, because they know best and at once.
-func (c *core) rank() int {
+func (c *core) proposerRank() int {
 	rank := 0
-	for _, m := range c.proposers() {
+	for _, m := range c.proposerOrder() {
 		if m.Same(c.self) {
 			return rank
 		}
-		if c.heard(m) && !c.isLeaving(m) {
+		if c.alive(m) && !c.isLeaving(m) {
 			rank++
 		}
 	}
 	return rank
 }
 
-func (c *core) proposers() []view.Member {
-	var order []view.Member
+func (c *core) proposerOrder() []view.Member {
+	var command []view.Member
 	add := func(m view.Member) {
-		if !m.IsZero() && view.Index(order, m) < 0 {
-			order = append(order, m)
+		if !m.IsZero() && view.Index(command, m) < 0 {
+			command = append(command, m)
 		}
 	}
 	for _, m := range c.acceptor.View.Chain {
-		if !c.heard(m) {
-			before, after := c.acceptor.View.Adjacent(m)
-			add(before)
-			add(after)
+		if !c.alive(m) {
+			predecessor, successor := c.acceptor.View.Adjacent(m)
+			add(predecessor)
+			add(successor)
 		}
 	}
 	for _, m := range c.acceptor.View.Chain {
@@ -247,5 +247,5 @@
 	for _, m := range c.acceptor.View.Voters {
 		add(m)
 	}
-	return order
+	return command
 }
--- a/coord/replica/core_client.go
+++ b/coord/replica/core_client.go
@@ -9,14 +9,14 @@
 )
 
 // pendingOrder is an order that was proposed here and whose outcome isn't known yet.
-type pendingOrder struct {
-	id     string
-	order  []byte
-	sent   bool // it left this node, or was given a place: it may be applied
-	sentAt time.Duration
-	since  uint64 // the order wasn't applied at or below this index
-	unsure bool   // it may have been applied above since, and be forgotten
-	waits  []*waiter
+type pendingProposal struct {
+	id                string
+	command           []byte
+	sent              bool // it left this node, or was given a place: it may be applied
+	sentAt            time.Duration
+	notAppliedThrough uint64 // the order wasn't applied at or below this index
+	mayBeForgotten    bool   // it may have been applied above since, and be forgotten
+	waiters           []*waiter
 }
 
 // waiter is one call that waits for an order's outcome, which comes at most once.
@@ -24,131 +24,131 @@
 
 // pendingRead waits for a proof that is younger than its start.
 type pendingRead struct {
-	startedAt time.Duration
-	asked     bool
-	index     uint64 // all orders acknowledged before the start are at or below it
-	known     bool
-	seq       uint64
-	sentAt    time.Duration
-	done      func(index uint64)
-	remote    view.Member // asker, when the read is another node's
-	remoteSeq uint64
-	life      uint64
+	startedAt            time.Duration
+	requested            bool
+	index                uint64 // all orders acknowledged before the start are at or below it
+	indexKnown           bool
+	seq                  uint64
+	sentAt               time.Duration
+	done                 func(index uint64)
+	requester            view.Member // asker, when the read is another node's
+	requesterSeq         uint64
+	requesterIncarnation uint64
 }
 
 // clientWork is what this node's callers wait for.
-type clientWork struct {
-	orders  map[string]*pendingOrder
-	reads   []*pendingRead
-	resend  bool
-	readSeq uint64
-	held    []heldOrder
+type pendingRequests struct {
+	proposals map[string]*pendingProposal
+	reads     []*pendingRead
+	resendDue bool
+	readSeq   uint64
+	deferred  []deferredCommand
 }
 
 // heldOrder came to the head at a moment at which it may not order: it waits for the end of the
 // change of the view, or for the prefix.
-type heldOrder struct {
+type deferredCommand struct {
 	Forward
-	heldAt time.Duration
+	deferredAt time.Duration
 }
 
 // maxHeld bounds the orders that wait at the head.
-const maxHeld = 1024
+const maxDeferred = 1024
 
-func (w *clientWork) init() { w.orders = make(map[string]*pendingOrder) }
+func (w *pendingRequests) init() { w.proposals = make(map[string]*pendingProposal) }
 
-func (w *clientWork) settle(id string, outcome chain.Outcome) {
-	order := w.orders[id]
-	if order == nil || id == "" {
+func (w *pendingRequests) complete(id string, outcome chain.Outcome) {
+	proposal := w.proposals[id]
+	if proposal == nil || id == "" {
 		return
 	}
-	delete(w.orders, id)
-	for _, wait := range order.waits {
-		wait.outcomes <- outcome
+	delete(w.proposals, id)
+	for _, waiter := range proposal.waiters {
+		waiter.outcomes <- outcome
 	}
 }
 
 // settleRestored settles orders whose outcomes came with an image, where the machine had applied orders to an index before.
-func (w *clientWork) settleRestored(c *core, before uint64) {
+func (w *pendingRequests) completeRestored(c *core, before uint64) {
 	applied, _ := c.state.Applied()
-	for _, id := range sortedKeys(w.orders) {
+	for _, id := range sortedKeys(w.proposals) {
 		if outcome, known := c.state.Outcome(id); known {
-			w.settle(id, outcome)
+			w.complete(id, outcome)
 			continue
 		}
-		order := w.orders[id]
-		order.unsure = order.unsure || order.sent && applied-before > uint64(c.limits.remembered)
+		proposal := w.proposals[id]
+		proposal.mayBeForgotten = proposal.mayBeForgotten || proposal.sent && applied-before > uint64(c.limits.deduplicationWindow)
 	}
 }
 
 // submit takes an order from a caller of this node, whose outcome is told when it is applied here.
-func (c *core) submit(now time.Duration, id string, order []byte, wait *waiter) {
+func (c *core) submit(now time.Duration, id string, command []byte, wait *waiter) {
 	c.now = now
 	if outcome, known := c.state.Outcome(id); known {
 		wait.outcomes <- outcome
 		return
 	}
-	pending := c.work.orders[id]
+	pending := c.requests.proposals[id]
 	if pending == nil {
-		pending = &pendingOrder{id: id, order: order}
-		c.work.orders[id] = pending
+		pending = &pendingProposal{id: id, command: command}
+		c.requests.proposals[id] = pending
 	}
-	pending.waits = append(pending.waits, wait)
+	pending.waiters = append(pending.waiters, wait)
 	c.dispatch(pending)
 }
 
 // withdraw forgets a caller's order and tells whether it may have been taken.
 func (c *core) withdraw(id string, wait *waiter) (sent bool) {
-	order := c.work.orders[id]
-	if order == nil {
+	proposal := c.requests.proposals[id]
+	if proposal == nil {
 		return true
 	}
-	order.waits = slices.DeleteFunc(order.waits, func(other *waiter) bool { return other == wait })
-	if len(order.waits) == 0 {
-		delete(c.work.orders, id)
+	proposal.waiters = slices.DeleteFunc(proposal.waiters, func(other *waiter) bool { return other == wait })
+	if len(proposal.waiters) == 0 {
+		delete(c.requests.proposals, id)
 	}
-	return order.sent
+	return proposal.sent
 }
 
 // dispatch gives an order a place, or sends it towards the head.
-func (c *core) dispatch(order *pendingOrder) {
-	order.sentAt = c.now
-	if !order.unsure {
-		order.since, _ = c.state.Applied()
+func (c *core) dispatch(proposal *pendingProposal) {
+	proposal.sentAt = c.now
+	if !proposal.mayBeForgotten {
+		proposal.notAppliedThrough, _ = c.state.Applied()
 	}
 	head := c.acceptor.View.Head()
 	switch {
 	case c.epoch() == 0:
-	case head.Same(c.self) && c.disk:
-		if c.take(order.id, order.order, order.since) {
-			order.sent = true
+	case head.Same(c.self) && c.hasDisk:
+		if c.admit(proposal.id, proposal.command, proposal.notAppliedThrough) {
+			proposal.sent = true
 		}
 	case c.isVoter():
-		if next := c.towards(head); !next.IsZero() {
-			order.sent = true
-			c.forward(next, order)
+		if next := c.nextHop(head); !next.IsZero() {
+			proposal.sent = true
+			c.forward(next, proposal)
 		}
-	case c.feed.alive(c.now):
-		order.sent = true
-		c.forward(c.feed.feeder, order)
+	case c.learner.upstreamAlive(c.now):
+		proposal.sent = true
+		c.forward(c.learner.upstream, proposal)
 	}
 }
 
-func (c *core) forward(to view.Member, order *pendingOrder) {
-	c.send(to, Forward{ID: order.id, Order: order.order, Epoch: c.epoch(), Since: order.since})
+func (c *core) forward(to view.Member, proposal *pendingProposal) {
+	c.send(to, Forward{ID: proposal.id, Order: proposal.command, Epoch: c.epoch(), Since: proposal.notAppliedThrough})
 }
 
 // towards returns the member to which a voter sends its orders: the head, or where the link to it is broken a member of the chain
 // that is in touch with both.
-func (c *core) towards(head view.Member) view.Member {
-	if c.heard(head) {
+func (c *core) nextHop(head view.Member) view.Member {
+	if c.alive(head) {
 		return head
 	}
 	for _, m := range c.acceptor.View.Chain {
-		if m.Same(c.self) || !c.inTouch(m) {
+		if m.Same(c.self) || !c.reachable(m) {
 			continue
 		}
-		if c.peers[m.ID()].heard[head.ID()] {
+		if c.peers[m.ID()].reaches[head.ID()] {
 			return m
 		}
 	}
@@ -156,44 +156,44 @@
 }
 
 // take gives an order a place at the head, once. An order that may have been applied so long ago that its outcome is forgotten gets none.
-func (c *core) take(id string, order []byte, since uint64) bool {
-	if !c.serving() || !c.enough() || c.leaving {
+func (c *core) admit(id string, command []byte, since uint64) bool {
+	if !c.serving() || !c.toleratesFailures() || c.leaving {
 		return false
 	}
 	if _, known := c.state.Outcome(id); known {
 		return true
 	}
 	applied, _ := c.state.Applied()
-	if c.log.End()-applied >= uint64(c.limits.uncommitted) {
+	if c.log.LastIndex()-applied >= uint64(c.limits.maxUncommitted) {
 		return false
 	}
-	for index := c.log.End(); index > applied; index-- {
+	for index := c.log.LastIndex(); index > applied; index-- {
 		if id != "" && c.log.Entry(index).ID == id {
 			return true
 		}
 	}
-	if since < c.log.End() && c.log.End()-since >= uint64(c.limits.remembered) {
+	if since < c.log.LastIndex() && c.log.LastIndex()-since >= uint64(c.limits.deduplicationWindow) {
 		return false
 	}
-	c.orderEntry(id, order)
+	c.appendCommand(id, command)
 	return true
 }
 
 // onForward takes in an order from elsewhere. One that was sent in an earlier epoch may be as old as a cut is long, and one that waited
 // for this process as old as its standstill: its node sends it again, if its caller still waits.
 func (c *core) onForward(from view.Member, m Forward) {
-	if m.Epoch < c.epoch() || c.stoodStill() {
-		c.tellView(from)
+	if m.Epoch < c.epoch() || c.wasPaused() {
+		c.sendView(from)
 		return
 	}
 	head := c.acceptor.View.Head()
 	if head.Same(c.self) {
-		if !c.take(m.ID, m.Order, m.Since) && !c.serving() && len(c.work.held) < maxHeld {
-			c.work.held = append(c.work.held, heldOrder{Forward: m, heldAt: c.now})
+		if !c.admit(m.ID, m.Order, m.Since) && !c.serving() && len(c.requests.deferred) < maxDeferred {
+			c.requests.deferred = append(c.requests.deferred, deferredCommand{Forward: m, deferredAt: c.now})
 		}
 		return
 	}
-	if m.Hops < 2 && c.disk && c.epoch() > 0 {
+	if m.Hops < 2 && c.hasDisk && c.epoch() > 0 {
 		m.Hops++
 		c.send(head, m)
 	}
@@ -201,35 +201,35 @@
 
 // releaseHeld goes on, in the next view at most, with the orders that came while this head couldn't order. Their senders repeat
 // them, so an old one is dropped.
-func (c *core) releaseHeld() {
-	if len(c.work.held) == 0 || c.acceptor.Wedged() {
+func (c *core) retryDeferred() {
+	if len(c.requests.deferred) == 0 || c.acceptor.Wedged() {
 		return
 	}
 	if c.acceptor.View.Head().Same(c.self) && !c.serving() {
 		return
 	}
-	held := c.work.held
-	c.work.held = nil
-	for _, order := range held {
-		if c.now-order.heldAt <= retryInterval && order.Epoch+1 >= c.epoch() {
-			order.Epoch = max(order.Epoch, c.epoch())
-			c.onForward(c.self, order.Forward)
+	waiting := c.requests.deferred
+	c.requests.deferred = nil
+	for _, deferred := range waiting {
+		if c.now-deferred.deferredAt <= retransmitInterval && deferred.Epoch+1 >= c.epoch() {
+			deferred.Epoch = max(deferred.Epoch, c.epoch())
+			c.onForward(c.self, deferred.Forward)
 		}
 	}
 }
 
 // workTick repeats what may have been lost.
-func (c *core) workTick() {
-	for _, id := range sortedKeys(c.work.orders) {
-		order := c.work.orders[id]
-		if c.work.resend || c.now-order.sentAt >= retryInterval {
-			c.dispatch(order)
+func (c *core) retryRequests() {
+	for _, id := range sortedKeys(c.requests.proposals) {
+		proposal := c.requests.proposals[id]
+		if c.requests.resendDue || c.now-proposal.sentAt >= retransmitInterval {
+			c.dispatch(proposal)
 		}
 	}
-	c.work.resend = false
-	for _, read := range c.work.reads {
-		if read.asked && c.now-read.sentAt >= retryInterval {
-			read.asked = false
+	c.requests.resendDue = false
+	for _, read := range c.requests.reads {
+		if read.requested && c.now-read.sentAt >= retransmitInterval {
+			read.requested = false
 		}
 	}
 }
@@ -237,43 +237,43 @@
 // read calls done once everything acknowledged before now is applied here.
 func (c *core) read(now time.Duration, done func(index uint64)) *pendingRead {
 	c.now = now
-	c.work.readSeq++
-	read := &pendingRead{startedAt: now, seq: c.work.readSeq, done: done}
-	c.work.reads = append(c.work.reads, read)
+	c.requests.readSeq++
+	read := &pendingRead{startedAt: now, seq: c.requests.readSeq, done: done}
+	c.requests.reads = append(c.requests.reads, read)
 	return read
 }
 
 // forgetRead drops a read whose caller has gone.
-func (c *core) forgetRead(gone *pendingRead) {
-	for i, read := range c.work.reads {
+func (c *core) cancelRead(gone *pendingRead) {
+	for i, read := range c.requests.reads {
 		if read == gone {
-			c.work.reads = append(c.work.reads[:i], c.work.reads[i+1:]...)
+			c.requests.reads = append(c.requests.reads[:i], c.requests.reads[i+1:]...)
 			return
 		}
 	}
 }
 
-func (c *core) onReadRequest(from view.Member, m ReadRequest) {
+func (c *core) onReadIndexRequest(from view.Member, m ReadIndexRequest) {
 	if !c.inChain() {
 		return
 	}
-	for _, read := range c.work.reads {
-		if read.remote.Same(from) && read.life == m.Life && read.remoteSeq == m.Seq {
+	for _, read := range c.requests.reads {
+		if read.requester.Same(from) && read.requesterIncarnation == m.Life && read.requesterSeq == m.Seq {
 			return
 		}
 	}
-	c.work.reads = append(c.work.reads, &pendingRead{
-		startedAt: c.now, remote: from, remoteSeq: m.Seq, life: m.Life,
+	c.requests.reads = append(c.requests.reads, &pendingRead{
+		startedAt: c.now, requester: from, requesterSeq: m.Seq, requesterIncarnation: m.Life,
 	})
 }
 
-func (c *core) onReadReply(m ReadReply) {
-	if m.Life != c.life {
+func (c *core) onReadIndexReply(m ReadIndexReply) {
+	if m.Life != c.incarnation {
 		return
 	}
-	for _, read := range c.work.reads {
+	for _, read := range c.requests.reads {
 		if read.done != nil && read.seq == m.Seq {
-			read.index, read.known = m.Index, true
+			read.index, read.indexKnown = m.Index, true
 		}
 	}
 }
@@ -281,42 +281,42 @@
 // completeReads answers the reads that have their proofs.
 func (c *core) completeReads() {
 	applied, _ := c.state.Applied()
-	waiting := c.work.reads[:0]
-	for _, read := range c.work.reads {
-		if c.inChain() && !read.known && c.synced == c.epoch() && c.fresh.epochAt >= read.startedAt {
-			read.index, read.known = c.log.End(), true
+	waiting := c.requests.reads[:0]
+	for _, read := range c.requests.reads {
+		if c.inChain() && !read.indexKnown && c.syncedEpoch == c.epoch() && c.staleness.epochConfirmedAt >= read.startedAt {
+			read.index, read.indexKnown = c.log.LastIndex(), true
 		}
 		switch {
-		case read.known && read.done != nil && applied >= read.index:
+		case read.indexKnown && read.done != nil && applied >= read.index:
 			read.done(applied)
-		case read.known && read.done == nil && c.commit >= read.index:
-			c.send(read.remote, ReadReply{Life: read.life, Seq: read.remoteSeq, Index: read.index})
+		case read.indexKnown && read.done == nil && c.commitIndex >= read.index:
+			c.send(read.requester, ReadIndexReply{Life: read.requesterIncarnation, Seq: read.requesterSeq, Index: read.index})
 		case read.done == nil && c.now-read.startedAt > 2*time.Second:
 		default:
 			waiting = append(waiting, read)
 		}
 	}
-	c.work.reads = waiting
+	c.requests.reads = waiting
 }
 
 // askForReads sends one urgent round of heartbeats for all reads that wait for one.
-func (c *core) askForReads() {
+func (c *core) requestReadIndexes() {
 	urgent := false
-	for _, read := range c.work.reads {
-		if read.asked || read.known {
+	for _, read := range c.requests.reads {
+		if read.requested || read.indexKnown {
 			continue
 		}
-		read.asked, read.sentAt = true, c.now
+		read.requested, read.sentAt = true, c.now
 		if c.inChain() {
 			urgent = true
-		} else if read.done != nil && c.feed.alive(c.now) {
-			c.send(c.feed.feeder, ReadRequest{Life: c.life, Seq: read.seq})
+		} else if read.done != nil && c.learner.upstreamAlive(c.now) {
+			c.send(c.learner.upstream, ReadIndexRequest{Life: c.incarnation, Seq: read.seq})
 		}
 	}
 	if urgent {
-		c.beat(true)
+		c.sendHeartbeats(true)
 		if len(c.acceptor.View.Voters) == 1 {
-			c.proveEpoch()
+			c.confirmEpoch()
 		}
 	}
 }
--- a/coord/replica/core_leave.go
+++ b/coord/replica/core_leave.go
@@ -10,48 +10,48 @@
 }
 
 // leave hands this member's place over and calls onLeft once it is out; it returns false where the chain can't spare it.
-func (c *core) leave(now time.Duration, onLeft func()) (spared bool) {
+func (c *core) leave(now time.Duration, onDeparted func()) (spared bool) {
 	if !c.mayLeave() {
 		return false
 	}
 	if !c.inChain() {
-		onLeft()
+		onDeparted()
 		return true
 	}
-	c.onLeft = onLeft
-	c.handOver(now)
+	c.onDeparted = onDeparted
+	c.announceDeparture(now)
 	return true
 }
 
 // handOver asks the others, at once, to go on without this member.
-func (c *core) handOver(now time.Duration) {
+func (c *core) announceDeparture(now time.Duration) {
 	c.now = now
 	c.leaving = true
-	if c.isVoter() && c.agree.proposal == nil && !c.acceptor.Wedged() && c.need() != "" {
-		c.propose("leaving member")
+	if c.isVoter() && c.proposer.proposal == nil && !c.acceptor.Wedged() && c.reconfigurationReason() != "" {
+		c.proposeView("leaving member")
 	}
-	c.beat(false)
+	c.sendHeartbeats(false)
 }
 
 // leaveLimit is how long a member that is out of the chain waits for the others to know, and to hold all that it holds.
-const leaveLimit = 1000 * time.Millisecond
+const departureTimeout = 1000 * time.Millisecond
 
 // checkLeft calls onLeft once a member that leaves is out of the chain, and the others have shown that they know and that the chain is
 // whole without it: before that they take as long to go on as after a crash, and its copies are needed.
-func (c *core) checkLeft() {
-	if c.onLeft == nil || c.inChain() {
+func (c *core) checkDeparture() {
+	if c.onDeparted == nil || c.inChain() {
 		return
 	}
-	if c.othersWhole() || c.now-c.leftAt > leaveLimit {
-		c.onLeft()
-		c.onLeft = nil
+	if c.othersComplete() || c.now-c.departedAt > departureTimeout {
+		c.onDeparted()
+		c.onDeparted = nil
 	}
 }
 
 // othersWhole reports whether all in the chain have shown that they are whole in the present epoch or a later one.
-func (c *core) othersWhole() bool {
+func (c *core) othersComplete() bool {
 	for _, m := range c.acceptor.View.Chain {
-		if p := c.peerOf(m); !m.Same(c.self) && (p.epoch < c.epoch() || !p.whole) {
+		if p := c.peerOf(m); !m.Same(c.self) && (p.epoch < c.epoch() || !p.prefixComplete) {
 			return false
 		}
 	}
--- a/coord/replica/core_plan.go
+++ b/coord/replica/core_plan.go
@@ -7,12 +7,12 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-func (c *core) hearsMajority() bool {
+func (c *core) reachesMajority() bool {
 	count := 0
 	for _, m := range c.acceptor.View.Voters {
 		if m.Same(c.self) {
 			count++
-		} else if p := c.peers[m.ID()]; p != nil && p.inTouch && c.heard(m) {
+		} else if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
 			count++
 		}
 	}
@@ -20,23 +20,23 @@
 }
 
 // need tells why the view should change, or nothing.
-func (c *core) need() string {
-	if !c.hearsMajority() {
+func (c *core) reconfigurationReason() string {
+	if !c.reachesMajority() {
 		return ""
 	}
 	if c.acceptor.Wedged() {
-		if c.now-c.agree.wedgedSince > wedgeLimit {
+		if c.now-c.proposer.wedgedSince > wedgedTimeout {
 			return "wedged"
 		}
 		return ""
 	}
-	_, chain, possible := c.plan(c.likelySource(), c.acceptor.View.Chain)
+	_, chain, possible := c.planMembers(c.expectedSource(), c.acceptor.View.Chain)
 	if !possible {
 		return "" // promises would wedge their members for nothing
 	}
-	if silent, broken := c.silentMembers(); broken {
+	if suspected, broken := c.suspectedMembers(); broken {
 		return "silent member"
-	} else if silent {
+	} else if suspected {
 		return "" // a view of this member's would leave out one that the chain has a use for
 	}
 	for _, m := range c.acceptor.View.Chain {
@@ -57,31 +57,31 @@
 }
 
 // silentMembers reports whether members of the chain are silent here, and whether that breaks the chain.
-func (c *core) silentMembers() (silent, broken bool) {
+func (c *core) suspectedMembers() (suspected, broken bool) {
 	for _, m := range c.acceptor.View.Chain {
-		if c.heard(m) {
+		if c.alive(m) {
 			continue
 		}
-		silent = true
-		broken = broken || c.adjacent(m) || !c.heardByChain(m)
+		suspected = true
+		broken = broken || c.adjacent(m) || !c.reachableFromChain(m)
 	}
-	return silent, broken
+	return suspected, broken
 }
 
 // adjacent reports whether m is this member's neighbour in the chain.
 func (c *core) adjacent(m view.Member) bool {
-	before, after := c.acceptor.View.Adjacent(c.self)
-	return before.Same(m) || after.Same(m)
+	predecessor, successor := c.acceptor.View.Adjacent(c.self)
+	return predecessor.Same(m) || successor.Same(m)
 }
 
 // heardByChain reports whether a member of the chain that is in touch with this one hears m. Then only
 // the link between m and this member is broken, which the chain doesn't use.
-func (c *core) heardByChain(m view.Member) bool {
+func (c *core) reachableFromChain(m view.Member) bool {
 	for _, other := range c.acceptor.View.Chain {
-		if other.Same(c.self) || other.Same(m) || !c.heard(other) {
+		if other.Same(c.self) || other.Same(m) || !c.alive(other) {
 			continue
 		}
-		if p := c.peers[other.ID()]; p != nil && p.inTouch && p.heard[m.ID()] {
+		if p := c.peers[other.ID()]; p != nil && p.reachable && p.reaches[m.ID()] {
 			return true
 		}
 	}
@@ -90,7 +90,7 @@
 
 // mayJoinChain reports whether m is in touch with this member and with all of the chain.
 func (c *core) mayJoinChain(m view.Member) bool {
-	if !c.inTouch(m) || c.isLeaving(m) {
+	if !c.reachable(m) || c.isLeaving(m) {
 		return false
 	}
 	for _, other := range c.acceptor.View.Chain {
@@ -98,10 +98,10 @@
 			continue
 		}
 		p := c.peers[other.ID()]
-		if p == nil || !c.heard(other) {
+		if p == nil || !c.alive(other) {
 			continue
 		}
-		if !p.heard[m.ID()] && c.acceptor.View.IsVoter(m) {
+		if !p.reaches[m.ID()] && c.acceptor.View.IsVoter(m) {
 			return false
 		}
 	}
@@ -112,7 +112,7 @@
 func (c *core) candidates() []view.Member {
 	var members []view.Member
 	for _, p := range c.peers {
-		if p.candidate && !c.acceptor.View.IsVoter(p.member) && !p.leaving && c.inTouch(p.member) {
+		if p.candidate && !c.acceptor.View.IsVoter(p.member) && !p.leaving && c.reachable(p.member) {
 			members = append(members, p.member)
 		}
 	}
@@ -126,34 +126,34 @@
 		Current:        c.acceptor.View,
 		Tolerance:      c.tolerance,
 		Candidates:     c.candidates(),
-		ResolveNode:    c.knownAs,
-		Alive:          c.heard,
+		ResolveNode:    c.withKnownName,
+		Alive:          c.alive,
 		Leaving:        c.isLeaving,
 		MayJoin:        c.mayJoinChain,
-		UnreachableFor: func(m view.Member) time.Duration { return max(c.silentFor(m)-absenceLimit, 0) },
+		UnreachableFor: func(m view.Member) time.Duration { return max(c.sinceContact(m)-replacementTimeout, 0) },
 	}
 }
 
 // planVoters returns the voters that the next view should have.
 func (c *core) planVoters() []view.Member {
 	planner := c.planner()
-	return planner.Voters(c.knownWhole() > c.tolerance)
+	return planner.Voters(c.knownComplete() > c.tolerance)
 }
 
 // knownWhole is the number of members of the chain that this one knows to be whole.
-func (c *core) knownWhole() int {
-	if !c.serving() || !c.link.whole {
+func (c *core) knownComplete() int {
+	if !c.serving() || !c.replication.prefixComplete {
 		return 0
 	}
 	known := view.Index(c.acceptor.View.Chain, c.self) + 1
-	if c.link.succWhole {
+	if c.replication.successorComplete {
 		known++
 	}
 	return known
 }
 
 // knownAs returns m with the name that heartbeats brought.
-func (c *core) knownAs(m view.Member) view.Member {
+func (c *core) withKnownName(m view.Member) view.Member {
 	if p := c.peers[m.ID()]; p != nil {
 		return p.member
 	}
@@ -161,9 +161,9 @@
 }
 
 // likelySource is the source that the promises would give, as far as this member can tell.
-func (c *core) likelySource() view.Member {
+func (c *core) expectedSource() view.Member {
 	for _, m := range c.acceptor.View.Chain {
-		if c.heard(m) && !c.isLeaving(m) {
+		if c.alive(m) && !c.isLeaving(m) {
 			return m
 		}
 	}
@@ -174,14 +174,14 @@
 func (c *core) isStaying(m view.Member) bool { return !c.isLeaving(m) }
 
 // plan makes the members of the next view for the source that the promises gave.
-func (c *core) plan(source view.Member, holders []view.Member) (voters, members []view.Member, ok bool) {
+func (c *core) planMembers(source view.Member, holders []view.Member) (voters, members []view.Member, ok bool) {
 	planner := c.planner()
 	voters, members, ok = planner.Plan(source, holders)
-	return c.named(voters), c.named(members), ok
+	return c.withNames(voters), c.withNames(members), ok
 }
 
 // named fills in the names that heartbeats brought.
-func (c *core) named(members []view.Member) []view.Member {
+func (c *core) withNames(members []view.Member) []view.Member {
 	for i := range members {
 		if members[i].Same(c.self) {
 			members[i].Node = c.self.Node
--- a/coord/replica/core_test.go
+++ b/coord/replica/core_test.go
@@ -39,12 +39,12 @@
 		if len(n.machine.orders) != 80 {
 			t.Errorf("%s applied %d orders", n.name, len(n.machine.orders))
 		}
-		since, proven := n.core.freshSince()
+		since, proven := n.core.currentAsOf()
 		if !proven || w.now-since > 900*time.Millisecond {
 			t.Errorf("%s is fresh since %v at %v (%v)", n.name, since, w.now, proven)
 		}
 	}
-	if until, ok := w.nodes[0].core.leads(); !ok {
+	if until, ok := w.nodes[0].core.leaderLease(); !ok {
 		t.Errorf("head doesn't lead (until %v)", until)
 	}
 }
--- a/coord/replica/core_view.go
+++ b/coord/replica/core_view.go
@@ -5,47 +5,47 @@
 )
 
 // adopt moves to a decided view.
-func (c *core) adopt(v view.View) {
+func (c *core) adoptView(v view.View) {
 	if v.Epoch <= c.epoch() {
 		return
 	}
 	before := c.acceptor.View
 	wedged := c.acceptor.Wedged()
-	if v.Source.Same(c.self) && c.disk {
+	if v.Source.Same(c.self) && c.hasDisk {
 		c.invariant(v.Epoch == before.Epoch+1 && wedged,
 			"source of epoch %d without a promise (epoch %d)", v.Epoch, before.Epoch)
 	}
 	c.acceptor.Adopt(v)
 	if v.Source.Same(c.self) {
-		c.synced = v.Epoch
+		c.syncedEpoch = v.Epoch
 	}
-	c.record(recordView, viewRecord{View: v, Synced: c.synced})
-	c.agree.abandon(c.now, 0)
-	c.agree.needSince = 0
-	if c.disk && v.IsVoter(c.self) || before.IsVoter(c.self) {
+	c.record(recordView, viewRecord{View: v, Synced: c.syncedEpoch})
+	c.proposer.abandon(c.now, 0)
+	c.proposer.reasonSince = 0
+	if c.hasDisk && v.IsVoter(c.self) || before.IsVoter(c.self) {
 		c.logEvent("view", "epoch", v.Epoch, "chain", v.String(), "voters", len(v.Voters), "source", v.Source.Node)
 	}
-	c.takeLead(before, v)
+	c.startLease(before, v)
 	c.enterView()
 	if before.InChain(c.self) && !c.inChain() {
-		c.leftAt = c.now
+		c.departedAt = c.now
 	}
-	c.checkLeft()
-	if c.onView != nil {
-		c.onView(v)
+	c.checkDeparture()
+	if c.onViewAdopted != nil {
+		c.onViewAdopted(v)
 	}
 }
 
 // takeLead sets when a new head may act: a head that stays goes on.
-func (c *core) takeLead(before, v view.View) {
+func (c *core) startLease(before, v view.View) {
 	if !v.Head().Same(c.self) {
 		return
 	}
 	stays := before.Head().Same(c.self) && v.Epoch == before.Epoch+1
 	if !stays {
-		c.lead.since = c.now + leadDelay
+		c.lease.notBefore = c.now + newLeaderDelay
 	}
-	c.lead.epoch = v.Epoch
+	c.lease.epoch = v.Epoch
 }
 
 // enterView prepares the volatile state of the present view.
@@ -59,9 +59,9 @@
 		}
 	}
 	c.enterChain()
-	c.resetFreshness()
-	c.work.resend = true
+	c.resetEpochConfirmation()
+	c.requests.resendDue = true
 	if c.acceptor.Wedged() {
-		c.agree.wedgedSince = c.now
+		c.proposer.wedgedSince = c.now
 	}
 }
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -15,7 +15,7 @@
 // The kinds of records in the log of the disk.
 const (
 	recordView byte = iota + 1
-	recordBallots
+	recordAcceptor
 	recordEntries
 	recordInstall
 	recordProbe // says nothing: it tells whether the disk takes bytes
@@ -28,7 +28,7 @@
 }
 
 // ballotsRecord says what was promised and accepted in the instance after Epoch.
-type ballotsRecord struct {
+type acceptorRecord struct {
 	Epoch          uint64
 	Promised       view.ProposalNumber
 	AcceptedBallot view.ProposalNumber
@@ -49,11 +49,11 @@
 	Synced    uint64
 	BaseIndex uint64
 	BaseEpoch uint64
-	Image     chain.Image // at BaseIndex or later
+	Image     chain.Snapshot // at BaseIndex or later
 	Entries   []chain.Entry
 }
 
-var errRecord = errors.New("replica: a record of the disk can't be read")
+var errCorruptRecord = errors.New("replica: a record of the disk can't be read")
 
 func encodeGob(value any) []byte {
 	var buffer bytes.Buffer
@@ -88,63 +88,63 @@
 }
 
 // entryReader takes entries apart.
-type entryReader struct {
+type entryDecoder struct {
 	data []byte
 	err  error
 }
 
-func (r *entryReader) number() uint64 {
-	value, width := binary.Uvarint(r.data)
+func (d *entryDecoder) uvarint() uint64 {
+	value, width := binary.Uvarint(d.data)
 	if width <= 0 {
-		r.err = errRecord
-		r.data = nil
+		d.err = errCorruptRecord
+		d.data = nil
 		return 0
 	}
-	r.data = r.data[width:]
+	d.data = d.data[width:]
 	return value
 }
 
-func (r *entryReader) bytes() []byte {
-	length := r.number()
-	if length > uint64(len(r.data)) {
-		r.err = errRecord
+func (d *entryDecoder) bytes() []byte {
+	length := d.uvarint()
+	if length > uint64(len(d.data)) {
+		d.err = errCorruptRecord
 		return nil
 	}
-	value := r.data[:length:length]
-	r.data = r.data[length:]
+	value := d.data[:length:length]
+	d.data = d.data[length:]
 	return value
 }
 
 func decodeEntries(data []byte) ([]chain.Entry, error) {
-	reader := entryReader{data: data}
-	count := reader.number()
+	decoder := entryDecoder{data: data}
+	count := decoder.uvarint()
 	var entries []chain.Entry
-	for i := uint64(0); i < count && reader.err == nil; i++ {
-		entry := chain.Entry{Index: reader.number(), Epoch: reader.number()}
-		entry.ID = string(reader.bytes())
-		entry.Order = append([]byte(nil), reader.bytes()...)
+	for i := uint64(0); i < count && decoder.err == nil; i++ {
+		entry := chain.Entry{Index: decoder.uvarint(), Epoch: decoder.uvarint()}
+		entry.ID = string(decoder.bytes())
+		entry.Order = append([]byte(nil), decoder.bytes()...)
 		entries = append(entries, entry)
 	}
-	return entries, reader.err
+	return entries, decoder.err
 }
 
 // recovered is what a member knows after a start.
-type recovered struct {
+type recoveredState struct {
 	self    view.Member
 	durable view.DurableState
 	synced  uint64
 	log     *chain.Log
-	image   *chain.Image
-	mended  []slots.Finding // what a crash left, or damage that looks the same
+	image   *chain.Snapshot
+	repairs []slots.Finding // what a crash left, or damage that looks the same
 }
 
 // recoverState replays the records of a disk on its snapshot.
-func recoverState(snapshot []byte, records [][]byte) (*recovered, error) {
+func recoverState(snapshot []byte, records [][]byte) (*recoveredState, error) {
 	var saved checkpoint
 	if err := decodeGob(snapshot, &saved); err != nil {
-		return nil, fmt.Errorf("%w: snapshot: %w", errRecord, err)
+		return nil, fmt.Errorf("%w: snapshot: %w", errCorruptRecord, err)
 	}
-	state := &recovered{
+	state := &recoveredState{
 		self:    saved.Self,
 		durable: saved.Durable,
 		synced:  saved.Synced,
@@ -161,22 +161,22 @@
 	return state, nil
 }
 
-func (s *recovered) replay(record []byte) error {
+func (s *recoveredState) replay(record []byte) error {
 	if len(record) == 0 {
-		return errRecord
+		return errCorruptRecord
 	}
 	switch record[0] {
 	case recordView:
 		var saved viewRecord
 		if err := decodeGob(record[1:], &saved); err != nil {
-			return fmt.Errorf("%w: %w", errRecord, err)
+			return fmt.Errorf("%w: %w", errCorruptRecord, err)
 		}
 		s.durable = view.DurableState{View: saved.View}
 		s.synced = saved.Synced
-	case recordBallots:
-		var saved ballotsRecord
+	case recordAcceptor:
+		var saved acceptorRecord
 		if err := decodeGob(record[1:], &saved); err != nil {
-			return fmt.Errorf("%w: %w", errRecord, err)
+			return fmt.Errorf("%w: %w", errCorruptRecord, err)
 		}
 		if saved.Epoch == s.durable.View.Epoch {
 			s.durable.Promised = saved.Promised
@@ -194,7 +194,7 @@
 	case recordInstall:
 		var saved installRecord
 		if err := decodeGob(record[1:], &saved); err != nil {
-			return fmt.Errorf("%w: %w", errRecord, err)
+			return fmt.Errorf("%w: %w", errCorruptRecord, err)
 		}
 		s.log.Truncate(saved.Common)
 		for _, entry := range saved.Entries {
@@ -203,7 +203,7 @@
 		s.synced = saved.Synced
 	case recordProbe:
 	default:
-		return errRecord
+		return errCorruptRecord
 	}
 	return nil
 }
--- a/coord/replica/disk_test.go
+++ b/coord/replica/disk_test.go
@@ -17,8 +17,8 @@
 	keep   int
 }
 
-func (m *historyMachine) Apply(index uint64, order []byte) []byte {
-	m.orders = append(m.orders, string(order))
+func (m *historyMachine) Apply(index uint64, command []byte) []byte {
+	m.orders = append(m.orders, string(command))
 	if m.keep > 0 && len(m.orders) > m.keep {
 		m.orders = append(m.orders[:0], m.orders[1:]...)
 	}
@@ -43,7 +43,7 @@
 	store   durableStore
 	syncs   int
 	written int
-	shadow  *recovered // what a start would find; nil on an empty disk
+	shadow  *recoveredState // what a start would find; nil on an empty disk
 }
 
 func newSimulatedDisk(seed uint64) *simulatedDisk {
@@ -54,7 +54,7 @@
 func (d *simulatedDisk) empty() bool { return d.shadow == nil }
 
 // open is what a starting process does, and returns what it finds.
-func (d *simulatedDisk) open() *recovered {
+func (d *simulatedDisk) open() *recoveredState {
 	store, found, err := openStore(d.files)
 	if err != nil {
 		panic(fmt.Sprintf("a disk can't be read that lost no more than power: %v", err))
@@ -67,7 +67,7 @@
 type diskWrite struct {
 	records [][]byte
 	whole   []byte
-	state   *recovered
+	state   *recoveredState
 }
 
 func (w diskWrite) empty() bool { return len(w.records) == 0 && w.whole == nil }
@@ -145,20 +145,20 @@
 }
 
 // summary tells what a state of the disk holds.
-func (s *recovered) summary() string {
+func (s *recoveredState) summary() string {
 	if s == nil {
 		return "nothing"
 	}
-	epoch, _ := s.log.EpochAt(s.log.End())
+	epoch, _ := s.log.EpochAt(s.log.LastIndex())
 	return fmt.Sprintf("view %d promised %v accepted %v synced %d, log to %d of epoch %d", s.durable.View.Epoch, s.durable.Promised,
-		s.durable.AcceptedBallot, s.synced, s.log.End(), epoch)
+		s.durable.AcceptedBallot, s.synced, s.log.LastIndex(), epoch)
 }
 
 // durableState is what a start would find that a core has just written whole.
-func (c *core) durableState() *recovered {
+func (c *core) durableState() *recoveredState {
 	baseIndex, baseEpoch := c.log.Base()
 	entries := c.log.After(baseIndex, math.MaxInt)
-	return &recovered{self: c.self, durable: c.acceptor.DurableState, synced: c.synced, log: chain.NewLog(baseIndex, baseEpoch, entries)}
+	return &recoveredState{self: c.self, durable: c.acceptor.DurableState, synced: c.syncedEpoch, log: chain.NewLog(baseIndex, baseEpoch, entries)}
 }
 
 var _ slots.FS = (*simulation.Disk)(nil)
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -18,11 +18,11 @@
 	text  string
 }
 
-func (g *greeting) Apply(_ uint64, order []byte) []byte {
+func (g *greeting) Apply(_ uint64, command []byte) []byte {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	before := g.text
-	g.text = string(order)
+	g.text = string(command)
 	return []byte(before)
 }
 
@@ -63,12 +63,12 @@
 
 	state := &greeting{}
 	options := replica.Options{
-		Identity:  transport.Identity{System: "example", Node: "one"},
-		Listen:    address,
-		Seeds:     []string{address},
-		Bootstrap: true,
-		DataDir:   folder,
-		Machine:   state,
+		Identity:     transport.Identity{System: "example", Node: "one"},
+		Listen:       address,
+		Seeds:        []string{address},
+		Bootstrap:    true,
+		DataDir:      folder,
+		StateMachine: state,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -84,7 +84,7 @@
 	node.Close()
 
 	restarted := &greeting{}
-	options.Machine, options.Bootstrap = restarted, false
+	options.StateMachine, options.Bootstrap = restarted, false
 	node, err = replica.Start(options)
 	if err != nil {
 		fmt.Println(err)
--- a/coord/replica/flat_test.go
+++ b/coord/replica/flat_test.go
@@ -33,8 +33,8 @@
 	for _, entry := range c.log.After(base, 1<<30) {
 		held.logBytes += len(entry.ID) + len(entry.Order)
 	}
-	held.outcomes = len(c.state.Image().Outcomes)
-	held.waiting = len(c.work.orders) + len(c.work.reads) + len(c.work.held) + len(c.feed.readers) + len(c.peers)
+	held.outcomes = len(c.state.Snapshot().Outcomes)
+	held.waiting = len(c.requests.proposals) + len(c.requests.reads) + len(c.requests.deferred) + len(c.learner.learners) + len(c.peers)
 	names, _ := n.disk.files.List()
 	for _, name := range names {
 		size, _ := n.disk.files.Size(name)
@@ -75,8 +75,8 @@
 	w := startedWorld(80, 3, 1)
 	w.keepOrders = 16
 	w.compactAt = 64 << 10
-	w.limits.keptLog = 32 << 10
-	w.limits.remembered = 1024
+	w.limits.retainedLogBytes = 32 << 10
+	w.limits.deduplicationWindow = 1024
 	w.runUntil(2 * time.Second)
 	observer := w.addNode(false)
 	observer.start(true)
@@ -94,8 +94,8 @@
 	early := measure("early", 2500)
 	late := measure("late", 2500)
 	t.Logf("orders 5,000 to 7,500: %+v; 7,500 to 10,000: %+v", early, late)
-	if late.outcomes != w.limits.remembered {
-		t.Errorf("%d outcomes are remembered, of %d", late.outcomes, w.limits.remembered)
+	if late.outcomes != w.limits.deduplicationWindow {
+		t.Errorf("%d outcomes are remembered, of %d", late.outcomes, w.limits.deduplicationWindow)
 	}
 	if late.logBytes > early.logBytes*11/10 || late.waiting > early.waiting+8 || late.diskBytes > early.diskBytes*11/10 {
 		t.Errorf("grown from %+v to %+v", early, late)
@@ -108,7 +108,7 @@
 	for seed := uint64(0); seed < 10; seed++ {
 		w := startedWorld(90+seed, 3, 1)
 		w.keepOrders = 16
-		w.limits.keptLog = 4 << 10
+		w.limits.retainedLogBytes = 4 << 10
 		w.compactAt = 16 << 10
 		w.runUntil(2 * time.Second)
 		w.order(t, "before", 50, func() {})
@@ -123,8 +123,8 @@
 		if !w.runWhile(2*time.Second, func() bool { return away.core.epoch() <= outside || !away.core.serving() }) {
 			t.Fatalf("seed %d: not whole after %v", seed, w.now-back)
 		}
-		image := w.nodes[0].core.state.Image()
-		most := 2*copyBytes(Copy{Image: &image}) + w.limits.keptLog
+		image := w.nodes[0].core.state.Snapshot()
+		most := 2*copyBytes(PrefixTransfer{Image: &image}) + w.limits.retainedLogBytes
 		if copied = w.copied - copied; copied > most {
 			t.Errorf("seed %d: %d bytes were copied, of at most %d", seed, copied, most)
 		}
--- a/coord/replica/golden_test.go
+++ b/coord/replica/golden_test.go
@@ -12,7 +12,7 @@
 // TestGoldenDisk holds the records and the checkpoint on a member's disk to the form that earlier versions wrote.
 func TestGoldenDisk(t *testing.T) {
 	golden.Gob[viewRecord](t, "disk-view")
-	golden.Gob[ballotsRecord](t, "disk-ballots")
+	golden.Gob[acceptorRecord](t, "disk-ballots")
 	golden.Gob[installRecord](t, "disk-install")
 	golden.Gob[checkpoint](t, "disk-checkpoint")
 
@@ -23,7 +23,7 @@
 	if err != nil || !reflect.DeepEqual(decoded, entries) {
 		t.Errorf("the recorded entries decode to %+v, %v; want %+v", decoded, err, entries)
 	}
-	golden.Bytes(t, "disk-kinds", []byte{recordView, recordBallots, recordEntries, recordInstall, recordProbe})
+	golden.Bytes(t, "disk-kinds", []byte{recordView, recordAcceptor, recordEntries, recordInstall, recordProbe})
 }
 
 // TestGoldenMessages holds the messages between members to the form that earlier versions send.
--- a/coord/replica/hazards_test.go
+++ b/coord/replica/hazards_test.go
@@ -309,7 +309,7 @@
 	fresh := c.addNode(true)
 	c.note("%s replaced by %s", n.name, fresh.name)
 	c.after(down, func() { fresh.start(false) })
-	c.lose(max(down, absenceLimit))
+	c.lose(max(down, replacementTimeout))
 }
 
 // mostMachines bounds the machines of a world.
--- a/coord/replica/history_test.go
+++ b/coord/replica/history_test.go
@@ -135,7 +135,7 @@
 			}
 			left := false
 			leaving.handle(func() {
-				leaving.core.onLeft = func() {
+				leaving.core.onDeparted = func() {
 					left = true
 					for _, n := range w.nodes {
 						if n.core.epoch() < leaving.core.epoch() {
@@ -143,7 +143,7 @@
 						}
 					}
 				}
-				leaving.core.handOver(w.now)
+				leaving.core.announceDeparture(w.now)
 			})
 			if !w.runWhile(200*time.Millisecond, leaving.core.inChain) {
 				w.failf("%s is in the chain 200 ms after it asked to leave", leaving.name)
--- a/coord/replica/late_test.go
+++ b/coord/replica/late_test.go
@@ -9,13 +9,13 @@
 // busyWorld is three machines whose logs are compacted at once, with some orders acknowledged.
 func busyWorld(t *testing.T, seed uint64) *world {
 	w := startedWorld(seed, 3, 1)
-	w.limits.keptLog = 0
+	w.limits.retainedLogBytes = 0
 	w.runUntil(2 * time.Second)
 	for i := range 12 {
 		w.acknowledged(t, w.nodes[0], fmt.Sprint("order-", i), time.Second)
 	}
 	for _, n := range w.nodes {
-		n.handle(func() { n.core.rewrite = true })
+		n.handle(func() { n.core.checkpointDue = true })
 	}
 	w.runUntil(w.now + 100*time.Millisecond)
 	w.acknowledged(t, w.nodes[0], "last", time.Second)
@@ -26,7 +26,7 @@
 func TestLateFetch(t *testing.T) {
 	w := busyWorld(t, 30)
 	source, asker := w.nodes[0], w.nodes[1].core.self
-	source.handle(func() { source.core.step(w.now, asker, Fetch{Epoch: source.core.epoch()}) })
+	source.handle(func() { source.core.step(w.now, asker, PrefixRequest{Epoch: source.core.epoch()}) })
 	w.acknowledged(t, w.nodes[1], "after", time.Second)
 }
 
@@ -65,8 +65,8 @@
 	sender := w.nodes[1].core.self
 	head.handle(func() { head.core.step(w.now, sender, Forward{ID: "late", Order: []byte("late"), Epoch: 1}) })
 	w.acknowledged(t, w.nodes[1], "after", time.Second)
-	for _, order := range head.machine.orders {
-		if order == "late" {
+	for _, command := range head.machine.orders {
+		if command == "late" {
 			t.Error("an order from before the view was taken")
 		}
 	}
@@ -78,7 +78,7 @@
 	w := startedWorld(35, 3, 1)
 	w.runUntil(2 * time.Second)
 	head, sender := w.nodes[0], w.nodes[1].core.self
-	head.handle(func() { head.core.propose("test") })
+	head.handle(func() { head.core.proposeView("test") })
 	w.runUntil(w.now + time.Millisecond/4)
 	head.freeze()
 	forward := Forward{ID: "held", Order: []byte("held"), Epoch: head.core.epoch()}
@@ -87,8 +87,8 @@
 	w.acknowledged(t, w.nodes[1], "meanwhile", time.Second)
 	head.thaw()
 	w.runUntil(w.now + 2*time.Second)
-	for _, order := range w.nodes[1].machine.orders {
-		if order == "held" {
+	for _, command := range w.nodes[1].machine.orders {
+		if command == "held" {
 			t.Error("an order was taken that a frozen head held")
 		}
 	}
@@ -97,7 +97,7 @@
 // TestOrderBeyondMemory brings the head an order again whose first outcome is forgotten.
 func TestOrderBeyondMemory(t *testing.T) {
 	w := startedWorld(33, 3, 1)
-	w.limits.remembered = 8
+	w.limits.deduplicationWindow = 8
 	w.runUntil(2 * time.Second)
 	for i := range 20 {
 		w.acknowledged(t, w.nodes[i%3], fmt.Sprint("order-", i), time.Second)
@@ -110,8 +110,8 @@
 		w.acknowledged(t, w.nodes[1], fmt.Sprint("after-", since), time.Second)
 	}
 	times := 0
-	for _, order := range head.machine.orders {
-		if order == "order-1" {
+	for _, command := range head.machine.orders {
+		if command == "order-1" {
 			times++
 		}
 	}
@@ -124,8 +124,8 @@
 // ordered again.
 func TestPendingOrderMissedByImage(t *testing.T) {
 	w := startedWorld(34, 3, 1)
-	w.limits.remembered = 8
-	w.limits.keptLog = 0
+	w.limits.deduplicationWindow = 8
+	w.limits.retainedLogBytes = 0
 	w.runUntil(2 * time.Second)
 	away, head := w.nodes[2], w.nodes[0]
 	away.propose("missed", nil)
@@ -136,14 +136,14 @@
 		w.acknowledged(t, head, fmt.Sprint("order-", i), time.Second)
 	}
 	for _, n := range w.nodes {
-		n.handle(func() { n.core.rewrite = true })
+		n.handle(func() { n.core.checkpointDue = true })
 	}
 	w.runUntil(w.now + 100*time.Millisecond)
 	away.thaw()
 	w.runUntil(w.now + 5*time.Second)
 	times := 0
-	for _, order := range head.machine.orders {
-		if order == "missed" {
+	for _, command := range head.machine.orders {
+		if command == "missed" {
 			times++
 		}
 	}
--- a/coord/replica/leave_test.go
+++ b/coord/replica/leave_test.go
@@ -41,7 +41,7 @@
 // It may end before that once it has waited long enough.
 func (n *simulatedNode) checkLeave() {
 	w, c := n.world, n.core
-	if c.leftAt > 0 && w.now-c.leftAt > leaveLimit {
+	if c.departedAt > 0 && w.now-c.departedAt > departureTimeout {
 		return
 	}
 	v := c.view()
--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -44,16 +44,16 @@
 	n.waits, n.ailing = nil, false
 	n.machine = &historyMachine{keep: w.keepOrders}
 	options := coreOptions{
-		self:      view.Member{Node: n.name, Address: n.address},
-		disk:      n.disk != nil,
-		tolerance: w.tolerance,
-		limits:    w.limits,
-		seeds:     w.currentSeeds(bootstrap),
-		machine:   n.machine,
-		random:    rand.New(rand.NewPCG(w.random.Uint64(), 1)),
-		life:      w.random.Uint64(),
-		onApply:   n.applied,
-		onView:    n.adopted,
+		self:          view.Member{Node: n.name, Address: n.address},
+		hasDisk:       n.disk != nil,
+		tolerance:     w.tolerance,
+		limits:        w.limits,
+		seeds:         w.currentSeeds(bootstrap),
+		stateMachine:  n.machine,
+		random:        rand.New(rand.NewPCG(w.random.Uint64(), 1)),
+		incarnation:   w.random.Uint64(),
+		onApply:       n.applied,
+		onViewAdopted: n.adopted,
 		report: func(event string, fields ...any) {
 			w.note("%s %s %v", n.name, event, fields)
 		},
@@ -77,7 +77,7 @@
 }
 
 // open opens the disk, if there is one.
-func (n *simulatedNode) open() *recovered {
+func (n *simulatedNode) open() *recoveredState {
 	if n.disk == nil {
 		return nil
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	if n.disk != nil && n.disk.store.LogBytes() > w.compactAt {
-		n.core.rewrite = true
+		n.core.checkpointDue = true
 	}
 	n.plantBefore()
 	var write diskWrite
@@ -228,7 +228,7 @@
 }
 
 func (n *simulatedNode) peekRecords() (records, whole bool) {
-	return len(n.core.records) > 0 && n.disk != nil, n.core.rewrite && n.disk != nil
+	return len(n.core.records) > 0 && n.disk != nil, n.core.checkpointDue && n.disk != nil
 }
 
 // kill ends a process; of what was being written a part may be there.
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -7,7 +7,7 @@
 )
 
 // Hello asks for the newest view.
-type Hello struct {
+type ViewQuery struct {
 	Epoch uint64 // newest one that the asker knows
 }
 
@@ -46,21 +46,21 @@
 }
 
 // Resume asks the successor for an Ack: the one that it sent at the start of the epoch came too early.
-type Resume struct {
+type AckRequest struct {
 	Epoch uint64
 }
 
 // Fetch asks the source of a view for the prefix.
-type Fetch struct {
+type PrefixRequest struct {
 	Epoch uint64
-	Runs  []chain.Run
+	Runs  []chain.EpochRun
 }
 
 // Copy carries the source's prefix: the entries after Common, or after an image.
-type Copy struct {
+type PrefixTransfer struct {
 	Epoch   uint64
 	Common  uint64
-	Image   *chain.Image
+	Image   *chain.Snapshot
 	Entries []chain.Entry
 }
 
@@ -75,7 +75,7 @@
 }
 
 // Poll asks for committed orders and for a proof of freshness.
-type Poll struct {
+type LearnerPoll struct {
 	Life    uint64
 	Seq     uint64
 	Epoch   uint64
@@ -83,24 +83,24 @@
 }
 
 // Feed carries committed orders to a node outside of the chain.
-type Feed struct {
+type LearnerUpdate struct {
 	Life    uint64 // of the poll that is answered; 0 for a push
 	Seq     uint64
 	Fresh   bool
 	AgeNano int64 // age of the sender's own freshness, in nanoseconds
 	Prev    uint64
-	Image   *chain.Image
+	Image   *chain.Snapshot
 	Entries []chain.Entry
 }
 
 // ReadRequest asks a chain member to do a linearizable read.
-type ReadRequest struct {
+type ReadIndexRequest struct {
 	Life uint64
 	Seq  uint64
 }
 
 // ReadReply tells up to where the asker must have applied.
-type ReadReply struct {
+type ReadIndexReply struct {
 	Life  uint64
 	Seq   uint64
 	Index uint64
@@ -113,18 +113,18 @@
 		inView = "sprucelane.example/sprucelane/coord/view."
 	)
 	return []transport.NamedType{
-		{Name: here + "Hello", Sample: Hello{}},
+		{Name: here + "Hello", Sample: ViewQuery{}},
 		{Name: here + "Heartbeat", Sample: Heartbeat{}},
 		{Name: here + "Append", Sample: Append{}},
 		{Name: here + "Ack", Sample: Ack{}},
-		{Name: here + "Resume", Sample: Resume{}},
-		{Name: here + "Fetch", Sample: Fetch{}},
-		{Name: here + "Copy", Sample: Copy{}},
+		{Name: here + "Resume", Sample: AckRequest{}},
+		{Name: here + "Fetch", Sample: PrefixRequest{}},
+		{Name: here + "Copy", Sample: PrefixTransfer{}},
 		{Name: here + "Forward", Sample: Forward{}},
-		{Name: here + "Poll", Sample: Poll{}},
-		{Name: here + "Feed", Sample: Feed{}},
-		{Name: here + "ReadRequest", Sample: ReadRequest{}},
-		{Name: here + "ReadReply", Sample: ReadReply{}},
+		{Name: here + "Poll", Sample: LearnerPoll{}},
+		{Name: here + "Feed", Sample: LearnerUpdate{}},
+		{Name: here + "ReadRequest", Sample: ReadIndexRequest{}},
+		{Name: here + "ReadReply", Sample: ReadIndexReply{}},
 		{Name: inView + "Prepare", Sample: view.Prepare{}},
 		{Name: inView + "Promise", Sample: view.PrepareResponse{}},
 		{Name: inView + "Accept", Sample: view.Accept{}},
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	maxFrameBytes     = 64 << 20
-	idleConnection    = 10 * time.Second // a connection that nothing was sent on for so long is closed
-	housekeepInterval = 2 * time.Second
-	sendQueue         = 4096
+	maxFrameBytes   = 64 << 20
+	idleTimeout     = 10 * time.Second // a connection that nothing was sent on for so long is closed
+	sweepInterval   = 2 * time.Second
+	sendQueueLength = 4096
 )
 
 func init() { transport.RegisterNamed(wireTypes()...) }
@@ -22,13 +22,13 @@
 // network carries a node's messages: voters are dialled; everybody else is answered over the
 // connection that it opened.
 type network struct {
-	node      *Node
-	options   transport.Options
-	server    *transport.Server
-	outbound  map[string]*outbound // by address; used on the loop only
-	swept     time.Time
-	sessionMu sync.Mutex
-	sessions  map[string]*transport.Session // by ID of the member
+	node       *Node
+	options    transport.Options
+	server     *transport.Server
+	outbound   map[string]*outbound // by address; used on the loop only
+	sweptAt    time.Time
+	sessionsMu sync.Mutex
+	sessions   map[string]*transport.Session // by ID of the member
 }
 
 type outbound struct {
@@ -47,11 +47,11 @@
 			Identity: identity,
 			Dial:     n.options.Dial,
 			MaxFrame: maxFrameBytes,
-			Queue:    sendQueue,
+			Queue:    sendQueueLength,
 		},
 		outbound: make(map[string]*outbound),
 		sessions: make(map[string]*transport.Session),
-		swept:    time.Now(),
+		sweptAt:  time.Now(),
 	}
 }
 
@@ -59,61 +59,61 @@
 	return view.Member{Node: identity.Node, Address: identity.Address, Incarnation: identity.Incarnation}
 }
 
-func (w *network) serve(listener net.Listener) {
-	w.server = transport.Serve(listener, w.options, w.handle)
+func (n *network) serve(listener net.Listener) {
+	n.server = transport.Serve(listener, n.options, n.handle)
 }
 
 // handle takes in a message of a session.
-func (w *network) handle(_ context.Context, session *transport.Session, message any) (any, error) {
+func (n *network) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	from := memberOf(session.Remote())
-	w.keep(from, session)
-	w.receive(from, message)
+	n.rememberSession(from, session)
+	n.receive(from, message)
 	return nil, nil
 }
 
-func (w *network) receive(from view.Member, message any) {
-	_ = w.node.input(context.Background(), func() { w.node.core.step(w.node.now(), from, message) })
+func (n *network) receive(from view.Member, message any) {
+	_ = n.node.enqueue(context.Background(), func() { n.node.core.step(n.node.now(), from, message) })
 }
 
 // keep remembers the session over which a member is answered.
-func (w *network) keep(from view.Member, session *transport.Session) {
-	w.sessionMu.Lock()
-	defer w.sessionMu.Unlock()
-	if w.sessions[from.ID()] == session {
+func (n *network) rememberSession(from view.Member, session *transport.Session) {
+	n.sessionsMu.Lock()
+	defer n.sessionsMu.Unlock()
+	if n.sessions[from.ID()] == session {
 		return
 	}
-	w.sessions[from.ID()] = session
+	n.sessions[from.ID()] = session
 	go func() {
 		<-session.Done()
-		w.sessionMu.Lock()
-		defer w.sessionMu.Unlock()
-		if w.sessions[from.ID()] == session {
-			delete(w.sessions, from.ID())
+		n.sessionsMu.Lock()
+		defer n.sessionsMu.Unlock()
+		if n.sessions[from.ID()] == session {
+			delete(n.sessions, from.ID())
 		}
 	}()
 }
 
 // send sends a message, or loses it: the protocol repeats what matters.
-func (w *network) send(m envelope) {
-	if m.to.Incarnation != "" && !w.node.core.view().IsVoter(m.to) {
-		w.sessionMu.Lock()
-		session := w.sessions[m.to.ID()]
-		w.sessionMu.Unlock()
+func (n *network) send(m envelope) {
+	if m.to.Incarnation != "" && !n.node.core.view().IsVoter(m.to) {
+		n.sessionsMu.Lock()
+		session := n.sessions[m.to.ID()]
+		n.sessionsMu.Unlock()
 		if session != nil {
 			_ = session.Push(m.body)
 			return
 		}
 	}
-	w.dial(m)
+	n.dial(m)
 }
 
-func (w *network) dial(m envelope) {
-	out := w.outbound[m.to.Address]
+func (n *network) dial(m envelope) {
+	out := n.outbound[m.to.Address]
 	if out == nil {
 		out = &outbound{ready: make(chan struct{})}
-		out.client = transport.NewClient(m.to.Address, w.options, w.pushed(out), nil)
+		out.client = transport.NewClient(m.to.Address, n.options, n.onPush(out), nil)
 		close(out.ready)
-		w.outbound[m.to.Address] = out
+		n.outbound[m.to.Address] = out
 	}
 	out.usedAt = time.Now()
 	if !out.client.Connected() {
@@ -121,39 +121,39 @@
 	}
 	actual := memberOf(out.client.Remote())
 	if m.to.Incarnation != "" && !actual.Same(m.to) {
-		w.node.core.stranger(w.node.now(), actual)
+		n.node.core.onIncarnationMismatch(n.node.now(), actual)
 		return
 	}
 	_ = out.client.Send(m.body)
 }
 
 // pushed takes in what comes back over a connection that this node opened.
-func (w *network) pushed(out *outbound) func(any) {
+func (n *network) onPush(out *outbound) func(any) {
 	return func(message any) {
 		<-out.ready
-		w.receive(memberOf(out.client.Remote()), message)
+		n.receive(memberOf(out.client.Remote()), message)
 	}
 }
 
 // housekeep closes connections that aren't used any more.
-func (w *network) housekeep() {
-	if time.Since(w.swept) < housekeepInterval {
+func (n *network) closeIdle() {
+	if time.Since(n.sweptAt) < sweepInterval {
 		return
 	}
-	w.swept = time.Now()
-	for address, out := range w.outbound {
-		if time.Since(out.usedAt) > idleConnection {
+	n.sweptAt = time.Now()
+	for address, out := range n.outbound {
+		if time.Since(out.usedAt) > idleTimeout {
 			out.client.Close()
-			delete(w.outbound, address)
+			delete(n.outbound, address)
 		}
 	}
 }
 
-func (w *network) close() {
-	if w.server != nil {
-		w.server.Close()
+func (n *network) close() {
+	if n.server != nil {
+		n.server.Close()
 	}
-	for _, out := range w.outbound {
+	for _, out := range n.outbound {
 		out.client.Close()
 	}
 }
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	eventQueueLength = 1024
-	batchLimit       = 512 // inputs that share one sync
-	probeInterval    = 500 * time.Millisecond
-	observerTick     = 250 * time.Millisecond
+	inputQueueLength    = 1024
+	maxBatchedInputs    = 512 // inputs that share one sync
+	diskProbeInterval   = 500 * time.Millisecond
+	learnerTickInterval = 250 * time.Millisecond
 )
 
 // Node is one machine's part of the replicated state.
 type Node struct {
-	options Options
-	start   time.Time
-	core    *core
-	store   durableStore
-	network *network
-	inputs  chan func()
-	drawn   atomic.Uint64 // counts ids of orders that came without one
-	done    chan struct{}
-	closing chan struct{}
-	once    sync.Once
+	options   Options
+	start     time.Time
+	core      *core
+	store     durableStore
+	network   *network
+	inputs    chan func()
+	drawnIDs  atomic.Uint64 // counts ids of orders that came without one
+	done      chan struct{}
+	closing   chan struct{}
+	closeOnce sync.Once
 
-	ailing     bool // the disk refused a write
-	nextProbe  time.Time
-	members    []Peer // as of the last tick
-	status     atomic.Pointer[status]
-	callbacks  atomic.Pointer[callbacks]
-	callbackMu sync.Mutex
+	diskUnhealthy bool // the disk refused a write
+	nextDiskProbe time.Time
+	members       []Peer // as of the last tick
+	status        atomic.Pointer[status]
+	callbacks     atomic.Pointer[callbacks]
+	callbackMu    sync.Mutex
 }
 
 // status is what a node shows of itself, swapped whole.
 type status struct {
-	view       view.View
-	applied    uint64
-	freshSince time.Time
-	fresh      bool
-	lead       Lead
-	leads      bool
-	headUntil  time.Time // zero: not the proven head
-	members    []Peer
-	ailing     bool
+	view            view.View
+	applied         uint64
+	currentAsOf     time.Time
+	stalenessKnown  bool
+	lease           LeaderLease
+	hasLease        bool
+	headLeaseExpiry time.Time // zero: not the proven head
+	members         []Peer
+	diskUnhealthy   bool
 }
 
 type callbacks struct {
@@ -68,7 +68,7 @@
 	n := &Node{
 		options: options,
 		start:   time.Now(),
-		inputs:  make(chan func(), eventQueueLength),
+		inputs:  make(chan func(), inputQueueLength),
 		done:    make(chan struct{}),
 		closing: make(chan struct{}),
 	}
@@ -81,10 +81,10 @@
 		return nil, n.abort(err)
 	}
 	n.flush()
-	if n.ailing {
+	if n.diskUnhealthy {
 		return nil, n.abort(fmt.Errorf("replica: the disk takes no bytes: %w", ErrUnavailable))
 	}
-	listener, err := options.bind()
+	listener, err := options.listen()
 	if err != nil {
 		return nil, n.abort(fmt.Errorf("replica: %w", err))
 	}
@@ -104,7 +104,7 @@
 	return err
 }
 
-func (n *Node) openCore(found *recovered) error {
+func (n *Node) openCore(found *recoveredState) error {
 	member, genesis, err := newMember(&n.options)
 	if err != nil {
 		return err
@@ -120,17 +120,17 @@
 	seed := func(i int) uint64 { return binary.LittleEndian.Uint64(drawn[8*i:]) }
 	n.network = newNetwork(n, member)
 	n.core, err = newCore(coreOptions{
-		self:      member,
-		disk:      n.options.disk() != nil,
-		tolerance: n.options.Tolerance,
-		limits:    usualLimits,
-		seeds:     n.options.Seeds,
-		machine:   n.options.Machine,
-		random:    rand.New(rand.NewPCG(seed(0), seed(1))),
-		life:      seed(2),
-		report:    n.options.Log,
-		onApply:   n.applied,
-		onView:    n.viewed,
+		self:          member,
+		hasDisk:       n.options.filesystem() != nil,
+		tolerance:     n.options.Tolerance,
+		limits:        defaultLimits,
+		seeds:         n.options.Seeds,
+		stateMachine:  n.options.StateMachine,
+		random:        rand.New(rand.NewPCG(seed(0), seed(1))),
+		incarnation:   seed(2),
+		report:        n.options.Log,
+		onApply:       n.onApplied,
+		onViewAdopted: n.onViewAdopted,
 	}, found, genesis, n.now())
 	return err
 }
@@ -142,8 +142,8 @@
 func (n *Node) run() {
 	defer close(n.done)
 	interval := tickInterval
-	if n.options.disk() == nil {
-		interval = observerTick
+	if n.options.filesystem() == nil {
+		interval = learnerTickInterval
 	}
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -154,7 +154,7 @@
 		case <-ticker.C:
 			n.tick()
 		case input := <-n.inputs:
-			n.batch(input)
+			n.runBatch(input)
 		}
 		n.flush()
 		n.publish()
@@ -162,18 +162,18 @@
 }
 
 func (n *Node) tick() {
-	if n.ailing && !n.probeDisk() {
+	if n.diskUnhealthy && !n.probeDisk() {
 		return
 	}
 	n.core.tick(n.now())
-	n.network.housekeep()
+	n.network.closeIdle()
 	n.members = n.core.members()
 }
 
 // batch takes in everything that waits, so that it shares one sync.
-func (n *Node) batch(input func()) {
+func (n *Node) runBatch(input func()) {
 	input()
-	for i := 1; i < batchLimit; i++ {
+	for i := 1; i < maxBatchedInputs; i++ {
 		select {
 		case input = <-n.inputs:
 			input()
@@ -185,15 +185,15 @@
 
 // flush makes the core's records durable, then sends its messages.
 func (n *Node) flush() {
-	if n.ailing {
+	if n.diskUnhealthy {
 		n.core.takeMessages()
 		return
 	}
-	if n.store != nil && n.store.LogBytes() > compactLogBytes {
-		n.core.rewrite = true
+	if n.store != nil && n.store.LogBytes() > checkpointLogBytes {
+		n.core.checkpointDue = true
 	}
-	records, whole := n.core.takeRecords()
-	if err := n.write(records, whole); err != nil {
+	records, snapshot := n.core.takeRecords()
+	if err := n.write(records, snapshot); err != nil {
 		n.diskFailed(err)
 		return
 	}
@@ -203,12 +203,12 @@
 	}
 }
 
-func (n *Node) write(records [][]byte, whole []byte) error {
+func (n *Node) write(records [][]byte, snapshot []byte) error {
 	if n.store == nil {
 		return nil
 	}
-	if whole != nil {
-		return n.store.Compact(whole)
+	if snapshot != nil {
+		return n.store.Compact(snapshot)
 	}
 	if len(records) == 0 {
 		return nil
@@ -220,19 +220,19 @@
 // what it decided last leaves it.
 func (n *Node) diskFailed(err error) {
 	n.options.Log("disk failed", "error", err.Error())
-	n.ailing = true
-	n.nextProbe = time.Now().Add(probeInterval)
+	n.diskUnhealthy = true
+	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
 	n.core.takeMessages()
 	_ = n.store.Close()
 }
 
 // probeDisk reopens the disk once it takes bytes again, and goes on from what it holds.
 func (n *Node) probeDisk() bool {
-	if time.Now().Before(n.nextProbe) {
+	if time.Now().Before(n.nextDiskProbe) {
 		return false
 	}
-	n.nextProbe = time.Now().Add(probeInterval)
-	store, found, err := openStore(n.options.disk())
+	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
+	store, found, err := openStore(n.options.filesystem())
 	if err != nil || found == nil {
 		return false
 	}
@@ -241,14 +241,14 @@
 		return false
 	}
 	n.store = store
-	n.ailing = false
+	n.diskUnhealthy = false
 	n.core.reopened(n.now(), found)
 	n.options.Log("disk works again")
 	return true
 }
 
 // applied tells the callbacks of an order. An order that came twice is told once.
-func (n *Node) applied(entry chain.Entry, outcome chain.Outcome, repeated bool) {
+func (n *Node) onApplied(entry chain.Entry, outcome chain.Outcome, repeated bool) {
 	if repeated {
 		return
 	}
@@ -257,7 +257,7 @@
 	}
 }
 
-func (n *Node) viewed(v view.View) {
+func (n *Node) onViewAdopted(v view.View) {
 	for _, call := range n.callbacks.Load().onView {
 		call(v)
 	}
@@ -269,24 +269,24 @@
 	elapsed := now.Sub(n.start)
 	at := func(moment time.Duration) time.Time { return now.Add(moment - elapsed) }
 	c := n.core
-	next := &status{view: c.view(), ailing: n.ailing}
+	next := &status{view: c.view(), diskUnhealthy: n.diskUnhealthy}
 	next.applied, _ = c.state.Applied()
-	if since, proven := c.freshSince(); proven {
-		next.freshSince, next.fresh = at(since), true
+	if since, proven := c.currentAsOf(); proven {
+		next.currentAsOf, next.stalenessKnown = at(since), true
 	}
-	if until, ok := c.heads(); ok && !n.ailing {
-		next.headUntil = at(until)
+	if until, ok := c.headLease(); ok && !n.diskUnhealthy {
+		next.headLeaseExpiry = at(until)
 	}
-	if until, ok := c.leads(); ok && !n.ailing {
-		next.lead = Lead{Epoch: c.epoch(), Since: at(c.lead.since), Until: at(until)}
-		next.leads = true
+	if until, ok := c.leaderLease(); ok && !n.diskUnhealthy {
+		next.lease = LeaderLease{Epoch: c.epoch(), Since: at(c.lease.notBefore), Until: at(until)}
+		next.hasLease = true
 	}
 	next.members = n.members
 	n.status.Store(next)
 }
 
 // input has the loop run a function. It waits while the loop is held up, by its disk for instance.
-func (n *Node) input(ctx context.Context, run func()) error {
+func (n *Node) enqueue(ctx context.Context, run func()) error {
 	select {
 	case n.inputs <- run:
 		return nil
@@ -299,7 +299,7 @@
 
 // Close leaves without a word: as if the process had ended.
 func (n *Node) Close() {
-	n.once.Do(func() { close(n.closing) })
+	n.closeOnce.Do(func() { close(n.closing) })
 	<-n.done
 	n.network.close()
 	if n.store != nil {
@@ -308,9 +308,9 @@
 }
 
 // query runs a function on the loop and waits for it.
-func (n *Node) query(ctx context.Context, run func()) error {
+func (n *Node) runOnLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
-	if err := n.input(ctx, func() { run(); close(finished) }); err != nil {
+	if err := n.enqueue(ctx, func() { run(); close(finished) }); err != nil {
 		return err
 	}
 	select {
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -18,10 +18,10 @@
 	historyMachine
 }
 
-func (m *lockedHistory) Apply(index uint64, order []byte) []byte {
+func (m *lockedHistory) Apply(index uint64, command []byte) []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.historyMachine.Apply(index, order)
+	return m.historyMachine.Apply(index, command)
 }
 
 func (m *lockedHistory) Snapshot() []byte {
@@ -36,11 +36,11 @@
 	return m.historyMachine.Restore(snapshot)
 }
 
-func (m *lockedHistory) has(order string) bool {
+func (m *lockedHistory) has(command string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, held := range m.orders {
-		if held == order {
+		if held == command {
 			return true
 		}
 	}
@@ -70,14 +70,14 @@
 	t.Helper()
 	m.state = &lockedHistory{}
 	node, err := Start(Options{
-		Identity:  transport.Identity{System: "test", Node: m.name},
-		Listen:    m.address,
-		Seeds:     seeds,
-		Bootstrap: bootstrap,
-		DataDir:   m.dir,
-		Tolerance: 1,
-		Machine:   m.state,
-		Log:       func(event string, fields ...any) { t.Log(m.name, event, fields) },
+		Identity:     transport.Identity{System: "test", Node: m.name},
+		Listen:       m.address,
+		Seeds:        seeds,
+		Bootstrap:    bootstrap,
+		DataDir:      m.dir,
+		Tolerance:    1,
+		StateMachine: m.state,
+		Log:          func(event string, fields ...any) { t.Log(m.name, event, fields) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +158,7 @@
 			}
 		}
 		eventually(t, 3*time.Second, "freshness", func() bool {
-			age, ok := m.node.Fresh()
+			age, ok := m.node.Staleness()
 			return ok && age < time.Second
 		})
 	}
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -22,7 +22,7 @@
 	// ErrClosed says that the node was closed.
 	ErrClosed = errors.New("replica: closed")
 	// ErrSeeds says that a founding needs at least one seed.
-	ErrSeeds = errors.New("replica: no seeds")
+	ErrNoSeeds = errors.New("replica: no seeds")
 )
 
 // Options say what a node is.
@@ -45,13 +45,13 @@
 	// Tolerance is the number of disks that may be lost at once: an acknowledged order is on more.
 	Tolerance int
 	// Machine is the state that orders change. It is called from one goroutine.
-	Machine chain.Machine
+	StateMachine chain.StateMachine
 	// Log receives what happens, as an event and pairs of keys and values. It must not block. It may be nil.
 	Log func(event string, fields ...any)
 }
 
 // disk gives the folder of the disk, nil for a machine without one.
-func (o *Options) disk() slots.FS {
+func (o *Options) filesystem() slots.FS {
 	if o.Disk != nil || o.DataDir == "" {
 		return o.Disk
 	}
@@ -59,7 +59,7 @@
 }
 
 // bind listens.
-func (o *Options) bind() (net.Listener, error) {
+func (o *Options) listen() (net.Listener, error) {
 	if o.Bind != nil {
 		return o.Bind(o.Listen)
 	}
@@ -71,12 +71,12 @@
 	Member    view.Member
 	Voter     bool
 	InChain   bool
-	Heard     bool // in touch with this node, both ways; known on core machines only
+	Reachable bool // in touch with this node, both ways; known on core machines only
 	Candidate bool // has a disk and waits for a place
 }
 
 // Lead says until when this node holds the singleton roles.
-type Lead struct {
+type LeaderLease struct {
 	Epoch uint64
 	Since time.Time
 	Until time.Time
--- a/coord/replica/plants_test.go
+++ b/coord/replica/plants_test.go
@@ -37,7 +37,7 @@
 )
 
 // plantRecovery spoils what a start finds on its disk.
-func (n *simulatedNode) plantRecovery(found *recovered) {
+func (n *simulatedNode) plantRecovery(found *recoveredState) {
 	if found != nil && n.world.plant == plantForget {
 		found.durable = view.DurableState{View: found.durable.View}
 	}
@@ -49,21 +49,21 @@
 	switch n.world.plant {
 	case plantServeEarly:
 		if c.inChain() && !c.acceptor.Wedged() {
-			c.synced = c.epoch()
+			c.syncedEpoch = c.epoch()
 		}
 	case plantShortChain:
 		c.tolerance = 0
 	case plantStaleRead:
-		c.fresh.epochAt = now
+		c.staleness.epochConfirmedAt = now
 	case plantStaleFresh:
-		if n.cutOff && c.fresh.proven {
-			c.fresh.since = now
+		if n.cutOff && c.staleness.proven {
+			c.staleness.currentAsOf = now
 		}
 	case plantConfirmAlone:
 		n.confirmAlone()
 	case plantEndlessLead:
-		if c.acceptor.View.Head().Same(c.self) && c.fresh.epochAt != never {
-			c.fresh.epochAt = max(c.fresh.epochAt, now-leadTerm/2)
+		if c.acceptor.View.Head().Same(c.self) && c.staleness.epochConfirmedAt != never {
+			c.staleness.epochConfirmedAt = max(c.staleness.epochConfirmedAt, now-leaderLeaseDuration/2)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 		return
 	}
 	applied, _ := n.core.state.Applied()
-	for _, id := range sortedKeys(n.core.work.orders) {
-		n.core.work.settle(id, chain.Outcome{ID: id, Index: applied + 1})
+	for _, id := range sortedKeys(n.core.requests.proposals) {
+		n.core.requests.complete(id, chain.Outcome{ID: id, Index: applied + 1})
 	}
 }
 
@@ -86,7 +86,7 @@
 		m.body = w.plantPromise(body)
 	case Forward:
 		return w.plantForward(to, m, body)
-	case Copy:
+	case PrefixTransfer:
 		return w.plantCopy(from, to, m, body)
 	}
 	return m, true
@@ -114,7 +114,7 @@
 	return m, true
 }
 
-func (w *world) plantCopy(from, to *simulatedNode, m envelope, body Copy) (envelope, bool) {
+func (w *world) plantCopy(from, to *simulatedNode, m envelope, body PrefixTransfer) (envelope, bool) {
 	switch w.plant {
 	case plantHalfCopy:
 		body.Entries = body.Entries[:len(body.Entries)/2]
--- a/coord/replica/second_loss_test.go
+++ b/coord/replica/second_loss_test.go
@@ -14,8 +14,8 @@
 		w.acknowledged(t, w.nodes[0], "before", time.Second)
 		stays, leaves, dies := w.nodes[0], w.nodes[1], w.nodes[2]
 		dies.kill()
-		w.runWhile(time.Second, func() bool { return leaves.core.heard(dies.core.self) })
-		leaves.handle(func() { leaves.core.handOver(w.now) })
+		w.runWhile(time.Second, func() bool { return leaves.core.alive(dies.core.self) })
+		leaves.handle(func() { leaves.core.announceDeparture(w.now) })
 		w.runUntil(w.now + 300*time.Millisecond)
 		stays.wipe()
 		leaves.kill()
@@ -93,7 +93,7 @@
 		w.runUntil(w.now + time.Second)
 		w.acknowledged(t, holds, "before", 3*time.Second)
 		absent.kill()
-		w.runUntil(w.now + absenceLimit + time.Second)
+		w.runUntil(w.now + replacementTimeout + time.Second)
 		returns.start(false)
 		epoch := holds.core.epoch()
 		if !w.runWhile(5*time.Second, func() bool { return holds.core.epoch() == epoch }) {
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -19,7 +19,7 @@
 }
 
 // openStore opens the disk and reads what it holds; found is nil for an empty one.
-func openStore(fs slots.FS) (store durableStore, found *recovered, err error) {
+func openStore(fs slots.FS) (store durableStore, found *recoveredState, err error) {
 	opened, contents, err := slots.Open(fs, slots.Options{})
 	if err != nil {
 		return nil, nil, err
@@ -31,19 +31,19 @@
 	if err != nil {
 		return nil, nil, errors.Join(err, opened.Close())
 	}
-	found.mended = contents.Findings
+	found.repairs = contents.Findings
 	return opened, found, nil
 }
 
 // openDisk opens the disk of a starting node. A disk that has lost what it acknowledged is emptied:
 // its member is gone, and another one joins in its place.
-func (n *Node) openDisk() (*recovered, error) {
-	fs := n.options.disk()
+func (n *Node) openDisk() (*recoveredState, error) {
+	fs := n.options.filesystem()
 	if fs == nil {
 		return nil, nil
 	}
 	store, found, err := openStore(fs)
-	if errors.Is(err, slots.ErrCorrupt) || errors.Is(err, errRecord) {
+	if errors.Is(err, slots.ErrCorrupt) || errors.Is(err, errCorruptRecord) {
 		n.options.Log("disk damaged, joining anew", "error", err.Error())
 		n.options.Bootstrap = false
 		if err := slots.Wipe(fs, slots.Options{}); err != nil {
@@ -55,16 +55,16 @@
 		return nil, fmt.Errorf("replica: open the disk: %w", err)
 	}
 	n.store = store
-	n.tellMended(found)
+	n.logRepairs(found)
 	return found, nil
 }
 
 // tellMended logs the ends that the disk's files lost at this start.
-func (n *Node) tellMended(found *recovered) {
+func (n *Node) logRepairs(found *recoveredState) {
 	if found == nil {
 		return
 	}
-	for _, finding := range found.mended {
+	for _, finding := range found.repairs {
 		n.options.Log("disk mended", "file", finding.File, "offset", finding.Offset, "problem", finding.Problem)
 	}
 }
@@ -81,11 +81,11 @@
 		return member, nil, nil
 	}
 	if len(options.Seeds) == 0 {
-		return member, nil, ErrSeeds
+		return member, nil, ErrNoSeeds
 	}
 	genesis := view.Genesis(options.Seeds)
 	for _, seed := range options.Seeds {
-		if seed == options.Listen && options.disk() != nil {
+		if seed == options.Listen && options.filesystem() != nil {
 			member.Incarnation = view.GenesisIncarnation
 		}
 	}
--- a/coord/replica/world_test.go
+++ b/coord/replica/world_test.go
@@ -78,7 +78,7 @@
 	w := &world{
 		random:    rand.New(rand.NewPCG(seed, 77)),
 		seed:      seed,
-		limits:    usualLimits,
+		limits:    defaultLimits,
 		compactAt: 16 << 10,
 		tolerance: tolerance,
 		syncTime:  time.Millisecond,
@@ -279,7 +279,7 @@
 
 // countCopy notes the bytes of a copy, and tells of it.
 func (w *world) countCopy(from, to *simulatedNode, m envelope) {
-	body, ok := m.body.(Copy)
+	body, ok := m.body.(PrefixTransfer)
 	if !ok {
 		return
 	}
@@ -293,7 +293,7 @@
 }
 
 // copyBytes is about what a copy weighs.
-func copyBytes(body Copy) int {
+func copyBytes(body PrefixTransfer) int {
 	size := 0
 	if body.Image != nil {
 		size += len(body.Image.Machine)
@@ -319,7 +319,7 @@
 	sender := from.core.self
 	if m.to.Incarnation != "" && !m.to.Same(to.core.self) {
 		actual := to.core.self
-		from.handle(func() { from.core.stranger(w.now, actual) })
+		from.handle(func() { from.core.onIncarnationMismatch(w.now, actual) })
 		return
 	}
 	to.handle(func() { to.core.step(w.now, sender, m.body) })
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -45,7 +45,7 @@
 type Replica interface {
 	Propose(ctx context.Context, id string, order []byte) ([]byte, error)
 	Read(ctx context.Context) (uint64, error)
-	Fresh() (age time.Duration, ok bool)
+	Staleness() (age time.Duration, ok bool)
 	View() view.View
 	Self() view.Member
 	Members() []replica.Peer
@@ -208,16 +208,16 @@
 func (c *Control) replicaOptions() replica.Options {
 	s := c.settings
 	return replica.Options{
-		Identity:  c.identity(),
-		Listen:    s.Endpoint(node.PortCoordination),
-		Seeds:     s.SeedEndpoints(node.PortCoordination),
-		Bootstrap: s.Bootstrap,
-		DataDir:   s.DataDir,
-		Bind:      c.around.bind,
-		Dial:      c.around.dial,
-		Disk:      c.around.disk,
-		Tolerance: s.Tolerance.Machines,
-		Machine:   c.machine,
+		Identity:     c.identity(),
+		Listen:       s.Endpoint(node.PortCoordination),
+		Seeds:        s.SeedEndpoints(node.PortCoordination),
+		Bootstrap:    s.Bootstrap,
+		DataDir:      s.DataDir,
+		Bind:         c.around.bind,
+		Dial:         c.around.dial,
+		Disk:         c.around.disk,
+		Tolerance:    s.Tolerance.Machines,
+		StateMachine: c.machine,
 		Log: func(event string, fields ...any) {
 			c.log.Info().Fields(fields).Str("part", "chain").Msg(event)
 		},
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -213,7 +213,7 @@
 	unproving struct{ Replica } // reads what is there
 )
 
-func (vouching) Fresh() (time.Duration, bool) { return 0, true }
+func (vouching) Staleness() (time.Duration, bool) { return 0, true }
 
 func (r leading) Lead() (uint64, time.Time, bool) {
 	heads := r.View().Head().Same(r.Self())
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -126,7 +126,7 @@
 func (w *world) servesNothingOld(m *member, newest int) (early int) {
 	for {
 		held := m.machine.Configuration().Generation
-		age, fresh := m.node.Fresh()
+		age, fresh := m.node.Staleness()
 		if held < uint64(newest) && fresh && age < time.Second {
 			w.failf("%s is fresh with version %d", m.ip, held)
 		}
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -108,21 +108,21 @@
 func (m *member) start(bootstrap bool) {
 	w := m.world
 	host, state := w.network.StartHost(m.ip), statemachine.New()
-	var planted chain.Machine = state
+	var planted chain.StateMachine = state
 	if w.plant == plantForgetful {
 		planted = &forgetfulMachine{Machine: state}
 	}
 	started, err := replica.Start(replica.Options{
-		Identity:  transport.Identity{System: "world", Node: m.ip, Role: "control"},
-		Listen:    m.ip + ":70",
-		Bind:      host.Listen,
-		Dial:      host.Dial,
-		Seeds:     w.seeds,
-		Bootstrap: bootstrap,
-		Disk:      m.disk.Mount(),
-		Tolerance: worldTolerance,
-		Machine:   planted,
-		Log:       func(event string, fields ...any) { w.note("%s %s %v", m.ip, event, fields) },
+		Identity:     transport.Identity{System: "world", Node: m.ip, Role: "control"},
+		Listen:       m.ip + ":70",
+		Bind:         host.Listen,
+		Dial:         host.Dial,
+		Seeds:        w.seeds,
+		Bootstrap:    bootstrap,
+		Disk:         m.disk.Mount(),
+		Tolerance:    worldTolerance,
+		StateMachine: planted,
+		Log:          func(event string, fields ...any) { w.note("%s %s %v", m.ip, event, fields) },
 	})
 	if err != nil {
 		w.failf("start of %s: %v", m.ip, err)
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -110,9 +110,9 @@
 	return 1, time.Now().Add(time.Second), true
 }
 
-func (r *provenReplica) Fresh() (time.Duration, bool) { return 0, r.proven }
-func (r *provenReplica) Self() view.Member            { return view.Member{Node: "c", Address: "127.0.0.1:1"} }
-func (r *provenReplica) Members() []replica.Peer      { return nil }
+func (r *provenReplica) Staleness() (time.Duration, bool) { return 0, r.proven }
+func (r *provenReplica) Self() view.Member                { return view.Member{Node: "c", Address: "127.0.0.1:1"} }
+func (r *provenReplica) Members() []replica.Peer          { return nil }
 func (r *provenReplica) View() view.View {
 	return view.View{Epoch: 1, Chain: []view.Member{{Node: "head", Address: r.head}}}
 }
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -22,7 +22,7 @@
 
 // fresh gives the age of what is known here: all that was acknowledged longer ago is applied. False: it is too old to vouch.
 func (c *Control) fresh() (time.Duration, bool) {
-	age, proven := c.replica.Fresh()
+	age, proven := c.replica.Staleness()
 	return age, proven && age <= freshMost
 }
 
