--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -25,12 +25,12 @@
 
 // Memory is priced: the heap grows by half before it is collected, and collection turns eager near the limit.
 const (
-	collectAt     = 50 // percent
-	memoryPercent = 60 // of the process's limit
+	gcPercent          = 50 // percent
+	memoryLimitPercent = 60 // of the process's limit
 )
 
 // settingsLook is how often the settings file is looked at: it may change without a signal.
-const settingsLook = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // arguments are the command's flags.
 type arguments struct {
@@ -48,7 +48,7 @@
 	parser.LongDescription = "Keeps the configuration of a sprucelane system and tells its gateways and batch processes what they need.\n" +
 		"SIGTERM hands over and ends; SIGHUP reads the settings file again."
 	if _, err := parser.ParseArgs(args); err != nil {
-		return parsed(err)
+		return exitAfterParse(err)
 	}
 	settings, err := load(given.Settings)
 	if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // parsed ends after flags that don't ask for a start.
-func parsed(err error) int {
+func exitAfterParse(err error) int {
 	var told *flags.Error
 	if errors.As(err, &told) && told.Type == flags.ErrHelp {
 		fmt.Println(told.Message)
@@ -93,8 +93,8 @@
 }
 
 func serve(settings *node.Settings, given arguments, signals *program.Signals) int {
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(settings.Limits.MemoryMB) << 20 * memoryPercent / 100)
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(settings.Limits.MemoryMB) << 20 * memoryLimitPercent / 100)
 	log := node.NewLogger(settings, given.LogLevel)
 	process, err := control.Start(control.Options{Settings: settings, Log: log})
 	if err != nil {
@@ -108,16 +108,16 @@
 
 // watch waits for the signal to end, and reads the settings again when told to or when the file changes.
 func watch(process *control.Control, path string, signals *program.Signals, log zerolog.Logger) {
-	look := time.NewTicker(settingsLook)
+	look := time.NewTicker(settingsPollInterval)
 	defer look.Stop()
-	changed := modified(path)
+	changed := modifiedAt(path)
 	for {
 		select {
 		case <-signals.Terminations():
 			return
 		case <-signals.Reloads():
 		case <-look.C:
-			newest := modified(path)
+			newest := modifiedAt(path)
 			if newest.Equal(changed) {
 				continue
 			}
@@ -127,7 +127,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modifiedAt(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/sprucelanectl/control.go
+++ b/cmd/sprucelanectl/control.go
@@ -34,7 +34,7 @@
 
 var errNoControl = errors.New("--control (or SPRUCELANECTL_CONTROL) must name a control process")
 
-func (o *controlOptions) call(order controlclient.Order) (*controlclient.Answer, error) {
+func (o *controlOptions) call(order controlclient.Request) (*controlclient.Response, error) {
 	addresses := o.addresses()
 	if len(addresses) == 0 {
 		return nil, usageError(errNoControl)
@@ -50,7 +50,7 @@
 
 // current gives the newest configuration and its version; version 0: there is none yet.
 func (o *controlOptions) currentConfiguration() (version uint64, document []byte, err error) {
-	answer, err := o.call(controlclient.Order{Method: http.MethodGet, Path: "/config"})
+	answer, err := o.call(controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	if controlclient.StatusOf(err) == http.StatusNotFound {
 		return 0, nil, nil
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.Remote.call(controlclient.Order{
+	answer, err := c.Remote.call(controlclient.Request{
 		Method:  c.method,
 		Path:    "/config",
 		IfMatch: strconv.FormatUint(builtOn, 10),
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodPost, Body: body})
+	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Request{Method: http.MethodPost, Body: body})
 }
 
 type retireStatus struct {
@@ -179,7 +179,7 @@
 
 // Execute tells how far a retirement is.
 func (c *retireStatus) Execute([]string) error {
-	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Order{Method: http.MethodGet})
+	return c.printer.retirement(&c.Remote, c.Arguments.Node, controlclient.Request{Method: http.MethodGet})
 }
 
 // retirement is what calls for a retirement give. State is "active" or "completed"; completed: the machine may be taken away.
@@ -188,7 +188,7 @@
 	State string `json:"state"`
 }
 
-func (p *printer) retirement(control *controlOptions, name string, order controlclient.Order) error {
+func (p *printer) retirement(control *controlOptions, name string, order controlclient.Request) error {
 	order.Path = "/retire/" + name
 	answer, err := control.call(order)
 	if err != nil {
--- a/cmd/sprucelanectl/status.go
+++ b/cmd/sprucelanectl/status.go
@@ -55,7 +55,7 @@
 	one := controlStatus{Address: address}
 	client := controlclient.Client{Addresses: []string{address}, Timeout: statusTimeout}
 	began := time.Now()
-	answer, err := client.Call(context.Background(), controlclient.Order{Method: http.MethodGet, Path: "/config"})
+	answer, err := client.Call(context.Background(), controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	one.Took = float64(time.Since(began).Microseconds()) / 1000
 	switch {
 	case controlclient.StatusOf(err) == http.StatusNotFound:
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -129,11 +129,11 @@
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		c.quiesce()
 		table := liveness.New()
-		table.Lead(c.now, 1, true)
+		table.SetLeadership(c.now, 1, true)
 		poll := func(nodes []*clusterNode) {
 			for _, n := range nodes {
 				report := n.machine.Report()
-				table.Observe(liveness.Heard{Process: n.process(), Ready: true, Batch: &report, At: c.now})
+				table.Observe(liveness.Contact{Process: n.process(), Ready: true, Batch: &report, At: c.now})
 			}
 		}
 		leaving := c.owner("job")
@@ -176,7 +176,7 @@
 		}
 		poll(c.except(append(off, successor)...)) // the successor's polls don't come through
 		So(leaving.machine.Report().DrainedDown, ShouldBeFalse)
-		So(table.Settled(c.now, c.currentView, 2), ShouldBeFalse)
+		So(table.Reconciled(c.now, c.currentView, 2), ShouldBeFalse)
 		c.drops = nil
 		c.quiesce()
 		So(c.currentView.Settled, ShouldBeTrue)
--- a/internal/batch/replica/world_test.go
+++ b/internal/batch/replica/world_test.go
@@ -46,7 +46,7 @@
 	tokenLimit   int64         // on waiting tokens, 0: none
 	stores       []*simulatedStore
 	incarnations int // incarnations given out
-	control      *statemachine.Machine
+	control      *statemachine.StateMachine
 	table        *liveness.Table
 	commandIndex uint64
 	clients      *clients
@@ -66,7 +66,7 @@
 		bug: plant, tracing: os.Getenv("TRACE") != "",
 	}
 	w.clients = &clients{sim: w, jobs: map[string]*clientJob{}}
-	w.table.Lead(0, 1, true)
+	w.table.SetLeadership(0, 1, true)
 	for range count {
 		w.addStore()
 	}
@@ -237,7 +237,7 @@
 	for _, member := range w.table.Evictions(w.now, view, nil) {
 		w.command(statemachine.Command{Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation}})
 	}
-	if w.table.Settled(w.now, view, w.copies-1) {
+	if w.table.Reconciled(w.now, view, w.copies-1) {
 		w.command(statemachine.Command{Settle: &statemachine.Settle{Epoch: view.Epoch}})
 	}
 	for _, member := range w.drainedMembers(view) {
@@ -249,9 +249,9 @@
 func (w *storeSimulation) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !w.control.MayJoin(process):
-		return liveness.Refused
+		return liveness.NotAdmitted
 	case w.control.Retirement(process.Node) == statemachine.RetirementCompleted:
-		return liveness.AdmittedLater
+		return liveness.AdmittedAfterDelay
 	}
 	return liveness.Admitted
 }
@@ -259,7 +259,7 @@
 // emptied gives the members that may be taken away.
 func (w *storeSimulation) drainedMembers(view protocol.StoreView) []protocol.StoreMember {
 	if w.bug != bugRetireEarly {
-		return w.table.Emptied(w.now, view)
+		return w.table.Drained(w.now, view)
 	}
 	var list []protocol.StoreMember
 	for _, member := range view.Members {
@@ -313,7 +313,7 @@
 	sent, generation, process := w.now, s.generation, s.process()
 	report := s.machine.Report()
 	w.transmit(s.node, controlName, func() {
-		w.table.Observe(liveness.Heard{Process: process, Ready: true, Batch: &report, At: w.now})
+		w.table.Observe(liveness.Contact{Process: process, Ready: true, Batch: &report, At: w.now})
 		view := w.view()
 		grantee, present := placement.MemberOf(view, placement.KeyOf(process))
 		member := present && grantee.Process == process
--- a/internal/control/bubble_test.go
+++ b/internal/control/bubble_test.go
@@ -110,8 +110,8 @@
 // begin starts a control process.
 func (s *bubbleSystem) begin(i int) {
 	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
-	around := &surroundings{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), spoil: s.spoil, leaseSuspects: s.lenient}
-	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), surroundings: around})
+	around := &environment{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), wrapReplica: s.spoil, leaseSuspected: s.lenient}
+	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: around})
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,12 +33,12 @@
 
 // Heartbeats of connections between processes.
 const (
-	heartbeat     = 500 * time.Millisecond
-	frameMost     = 64 << 20
-	shutdownHTTP  = 1200 * time.Millisecond
-	shutdownChain = 1500 * time.Millisecond
+	heartbeatInterval   = 500 * time.Millisecond
+	maxFrameBytes       = 64 << 20
+	httpShutdownTimeout = 1200 * time.Millisecond
+	handOverTimeout     = 1500 * time.Millisecond
 	// shutdownLending is how long the word that this process lends no more may take: without it a successor waits a second.
-	shutdownLending = 300 * time.Millisecond
+	releaseGrantsTimeout = 300 * time.Millisecond
 )
 
 // Replica is what is needed of the chain. *replica.Node is one.
@@ -62,22 +62,22 @@
 	Settings *node.Settings
 	Log      zerolog.Logger
 
-	surroundings *surroundings // nil: TCP and the folder of the settings
+	environment *environment // nil: TCP and the folder of the settings
 }
 
 // surroundings are the connections and the disk of a process, for worlds of tests.
-type surroundings struct {
+type environment struct {
 	bind func(address string) (net.Listener, error)
 	dial func(ctx context.Context, address string) (net.Conn, error)
 	disk slots.FS
 	// spoil plants a bug in what is known of the chain; nil: none.
-	spoil func(Replica) Replica
+	wrapReplica func(Replica) Replica
 	// leaseSuspects plants the bug that a batch process under suspicion gets leases.
-	leaseSuspects bool
+	leaseSuspected bool
 }
 
 // listen listens where the process does.
-func (s *surroundings) listen(address string) (net.Listener, error) {
+func (s *environment) listen(address string) (net.Listener, error) {
 	if s.bind != nil {
 		return s.bind(address)
 	}
@@ -86,43 +86,43 @@
 
 // Control is a control process.
 type Control struct {
-	settings *node.Settings
-	log      zerolog.Logger
-	quota    *quotaservice.Service
-	source   string // of what this process numbers
-	started  time.Time
-	around   surroundings
+	settings    *node.Settings
+	log         zerolog.Logger
+	quota       *quotaservice.Service
+	incarnation string // of what this process numbers
+	started     time.Time
+	environment environment
 
-	machine *statemachine.Machine
-	replica Replica
-	api     *http.Server
-	server  *transport.Server
-	peers   *peers
-	reader  *discovery.Reader
+	state              *statemachine.StateMachine
+	replica            Replica
+	apiServer          *http.Server
+	subscriptionServer *transport.Server
+	peers              *peers
+	reader             *discovery.Reader
 
-	ended context.Context
-	end   context.CancelFunc
-	wait  sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	loops  sync.WaitGroup
 
-	changed   chan struct{} // something that subscribers are told has changed
-	wakeRoles chan struct{}
-	wakeRead  chan struct{}
+	wakePush      chan struct{} // something that subscribers are told has changed
+	wakeRoles     chan struct{}
+	wakeDiscovery chan struct{}
 
-	mutex       sync.Mutex // of all below
-	still       standstill
-	presence    *liveness.Table
-	subscribers map[*transport.Session]*subscriber
-	told        map[*transport.Session]*told // by the connections of other control processes
-	schedule    discovery.Schedule
-	servers     serverTable
-	members     protocol.MemberList
-	gatewaysAt  time.Duration // when the gateways in members were looked at
+	mutex            sync.Mutex // of all below
+	pauses           pauseDetector
+	liveness         *liveness.Table
+	subscribers      map[*transport.Session]*subscriber
+	peerSessions     map[*transport.Session]*peerSession // by the connections of other control processes
+	schedule         discovery.Schedule
+	servers          serverTable
+	memberList       protocol.MemberList
+	gatewaysListedAt time.Duration // when the gateways in members were looked at
 }
 
 // Start starts a control process.
 func Start(options Options) (*Control, error) {
-	if options.surroundings == nil {
-		options.surroundings = &surroundings{}
+	if options.environment == nil {
+		options.environment = &environment{}
 		if err := prepareDisk(options.Settings); err != nil {
 			return nil, fmt.Errorf("control: data-dir: %w", err)
 		}
@@ -133,10 +133,10 @@
 		return nil, fmt.Errorf("control: the chain: %w", err)
 	}
 	c.replica = node
-	if c.around.spoil != nil {
-		c.replica = c.around.spoil(node)
+	if c.environment.wrapReplica != nil {
+		c.replica = c.environment.wrapReplica(node)
 	}
-	c.quota = quotaservice.New(options.Settings.Bounds, c.replica, c.machine, statemachine.Lender{Member: node.Self().ID(), Process: c.source},
+	c.quota = quotaservice.New(options.Settings.Bounds, c.replica, c.state, statemachine.Grantor{Member: node.Self().ID(), Process: c.incarnation},
 		func() { wake(c.wakeRoles) })
 	if err := c.serve(); err != nil {
 		node.Close()
@@ -156,27 +156,27 @@
 func newControl(options Options) *Control {
 	ended, end := context.WithCancel(context.Background())
 	c := &Control{
-		settings:    options.Settings,
-		log:         options.Log,
-		source:      options.Settings.NodeName + "-" + randomName(),
-		started:     time.Now(),
-		around:      *options.surroundings,
-		machine:     statemachine.New(),
-		reader:      discovery.NewReader(options.Settings.Cloud.Address, "", options.Settings.Cloud.Rate),
-		ended:       ended,
-		end:         end,
-		changed:     make(chan struct{}, 1),
-		wakeRoles:   make(chan struct{}, 1),
-		wakeRead:    make(chan struct{}, 1),
-		presence:    liveness.New(),
-		subscribers: map[*transport.Session]*subscriber{},
-		told:        map[*transport.Session]*told{},
+		settings:      options.Settings,
+		log:           options.Log,
+		incarnation:   options.Settings.NodeName + "-" + randomName(),
+		started:       time.Now(),
+		environment:   *options.environment,
+		state:         statemachine.New(),
+		reader:        discovery.NewReader(options.Settings.Cloud.Address, "", options.Settings.Cloud.Rate),
+		ctx:           ended,
+		cancel:        end,
+		wakePush:      make(chan struct{}, 1),
+		wakeRoles:     make(chan struct{}, 1),
+		wakeDiscovery: make(chan struct{}, 1),
+		liveness:      liveness.New(),
+		subscribers:   map[*transport.Session]*subscriber{},
+		peerSessions:  map[*transport.Session]*peerSession{},
 	}
-	if c.around.dial != nil {
-		c.reader.DialBy(c.around.dial)
+	if c.environment.dial != nil {
+		c.reader.SetDialer(c.environment.dial)
 	}
-	c.machine.OnChange(func() {
-		wake(c.changed)
+	c.state.OnChange(func() {
+		wake(c.wakePush)
 		wake(c.wakeRoles)
 	})
 	return c
@@ -202,7 +202,7 @@
 func (c *Control) identity() transport.Identity {
 	s := c.settings
 	return transport.Identity{System: protocol.System, Node: s.NodeName, Role: protocol.RoleControl, Zone: s.Zone,
-		Address: s.Endpoint(node.PortControl), Incarnation: c.source}
+		Address: s.Endpoint(node.PortControl), Incarnation: c.incarnation}
 }
 
 func (c *Control) replicaOptions() replica.Options {
@@ -213,11 +213,11 @@
 		Seeds:        s.SeedEndpoints(node.PortCoordination),
 		Bootstrap:    s.Bootstrap,
 		DataDir:      s.DataDir,
-		Bind:         c.around.bind,
-		Dial:         c.around.dial,
-		Disk:         c.around.disk,
+		Bind:         c.environment.bind,
+		Dial:         c.environment.dial,
+		Disk:         c.environment.disk,
 		Tolerance:    s.Tolerance.Machines,
-		StateMachine: c.machine,
+		StateMachine: c.state,
 		Log: func(event string, fields ...any) {
 			c.log.Info().Fields(fields).Str("part", "chain").Msg(event)
 		},
@@ -225,7 +225,7 @@
 }
 
 func (c *Control) transportOptions() transport.Options {
-	return transport.Options{Identity: c.identity(), Dial: c.around.dial, MaxFrame: frameMost, Heartbeat: heartbeat,
+	return transport.Options{Identity: c.identity(), Dial: c.environment.dial, MaxFrame: maxFrameBytes, Heartbeat: heartbeatInterval,
 		Log: func(event string, err error, remote string) {
 			c.log.Debug().Err(err).Str("remote", remote).Msg(event)
 		}}
@@ -233,65 +233,65 @@
 
 // serve opens the ports and starts all loops.
 func (c *Control) serve() error {
-	subscriptions, err := c.around.listen(c.settings.Endpoint(node.PortControl))
+	subscriptions, err := c.environment.listen(c.settings.Endpoint(node.PortControl))
 	if err != nil {
 		return fmt.Errorf("control: subscriptions: %w", err)
 	}
-	operators, err := c.around.listen(c.settings.ListenControl)
+	operators, err := c.environment.listen(c.settings.ListenControl)
 	if err != nil {
 		_ = subscriptions.Close()
 		return fmt.Errorf("control: operator's API: %w", err)
 	}
-	c.still.beatAt = c.now()
+	c.pauses.lastRanAt = c.now()
 	c.peers = newPeers(c)
 	c.replica.OnView(func(view.View) { c.viewChanged() })
-	c.server = transport.Serve(subscriptions, c.transportOptions(), c.handle)
-	c.api = c.operatorAPI().Server()
+	c.subscriptionServer = transport.Serve(subscriptions, c.transportOptions(), c.handle)
+	c.apiServer = c.operatorAPI().Server()
 	c.run(func() { c.serveAPI(operators) })
 	c.run(c.pushLoop)
 	c.run(c.rolesLoop)
 	c.run(c.reportLoop)
-	c.run(c.beatLoop)
+	c.run(c.pauseLoop)
 	if c.settings.Cloud.Address != "" {
 		c.run(c.readLoop)
 	}
 	c.log.Info().Str("control", c.settings.ListenControl).Str("data", c.settings.DataDir).Bool("bootstrap", c.settings.Bootstrap).
-		Uint64("store_epoch", c.machine.Stores().Epoch).Msg("started")
+		Uint64("store_epoch", c.state.Stores().Epoch).Msg("started")
 	return nil
 }
 
 func (c *Control) run(loop func()) {
-	c.wait.Add(1)
+	c.loops.Add(1)
 	go func() {
-		defer c.wait.Done()
+		defer c.loops.Done()
 		loop()
 	}()
 }
 
 func (c *Control) operatorAPI() *operatorapi.API {
 	return operatorapi.New(operatorapi.Options{
-		Machine:   c.machine,
-		Chain:     operatorChain{c.replica},
-		Bounds:    c.settings.Bounds,
-		BytesMost: c.settings.Limits.MemoryMB << 20 / bodyPart,
-		Remain:    c.settings.Tolerance.Machines + 1,
-		Log:       c.log.With().Str("part", "operator").Logger(),
+		Machine:         c.state,
+		Chain:           operatorChain{c.replica},
+		Bounds:          c.settings.Bounds,
+		MaxBodyBytes:    c.settings.Limits.MemoryMB << 20 / bodyMemoryFraction,
+		MinActiveStores: c.settings.Tolerance.Machines + 1,
+		Log:             c.log.With().Str("part", "operator").Logger(),
 	})
 }
 
 // bodyPart is the part of the memory that one configuration may take: it is held a few times over while it is taken.
-const bodyPart = 16
+const bodyMemoryFraction = 16
 
 func (c *Control) serveAPI(listener net.Listener) {
-	if err := c.api.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := c.apiServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		c.log.Error().Err(err).Msg("operator-api-ended")
 	}
 }
 
 func (c *Control) viewChanged() {
 	wake(c.wakeRoles)
-	wake(c.wakeRead)
-	wake(c.changed)
+	wake(c.wakeDiscovery)
+	wake(c.wakePush)
 }
 
 // Reload takes in settings that were read again. Only the seeds may change in a life.
@@ -303,28 +303,28 @@
 // Stop ends the process's part in order: the roles and its place in the chain are handed over, what is in flight is answered.
 func (c *Control) Stop() {
 	c.log.Info().Msg("stopping")
-	c.end()
+	c.cancel()
 	handed := make(chan struct{})
 	go func() {
 		defer close(handed)
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownChain)
+		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
-		lending, stop := context.WithTimeout(ctx, shutdownLending)
-		c.endLending(lending)
+		lending, stop := context.WithTimeout(ctx, releaseGrantsTimeout)
+		c.releaseGrants(lending)
 		stop()
 		if err := c.replica.HandOver(ctx); err != nil {
 			c.log.Warn().Err(err).Msg("handover-failed")
 		}
 	}()
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownHTTP)
+	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
-	if err := c.api.Shutdown(ctx); err != nil {
-		_ = c.api.Close()
+	if err := c.apiServer.Shutdown(ctx); err != nil {
+		_ = c.apiServer.Close()
 	}
 	<-handed
-	c.server.Close()
+	c.subscriptionServer.Close()
 	c.peers.close()
 	c.replica.Close()
-	c.wait.Wait()
+	c.loops.Wait()
 	c.log.Info().Msg("stopped")
 }
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -15,7 +15,7 @@
 // good for freshMost, and an answer is on its way.
 const (
 	cutFor       = 20 * time.Second
-	settledAfter = freshMost + 50*time.Millisecond
+	settledAfter = maxStaleness + 50*time.Millisecond
 )
 
 const limitedDocument = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]}`
@@ -144,7 +144,7 @@
 	if generation := beginner.configuration.Current().Generation; generation != 0 {
 		s.failf("a gateway that begins got version %d", generation)
 	}
-	members := s.running[s.other].machine.Stores()
+	members := s.running[s.other].state.Stores()
 	time.Sleep(time.Until(cutAt.Add(cutFor)))
 	s.heal(s.victim)
 	s.comesBack(beginner, members)
@@ -164,7 +164,7 @@
 		s.failf("an order that was taken is refused: %d %s", status, body)
 	}
 	time.Sleep(5 * time.Second)
-	now := s.running[s.victim].machine.Stores()
+	now := s.running[s.victim].state.Stores()
 	for _, member := range members.Members {
 		found := false
 		for _, other := range now.Members {
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_world_test.go
@@ -213,7 +213,7 @@
 func (w *deployment) setAcknowledged(by *acknowledging) {
 	for _, one := range w.controls() {
 		if one.replica == Replica(by) {
-			epoch := one.machine.Stores().Epoch
+			epoch := one.state.Stores().Epoch
 			w.lock.Lock()
 			w.ackedSets = append(w.ackedSets, ackedVersion{generation: epoch, at: time.Now()})
 			w.lock.Unlock()
@@ -533,7 +533,7 @@
 func (w *deployment) newestSet() protocol.StoreView {
 	var newest protocol.StoreView
 	for _, one := range w.controls() {
-		if set := one.machine.Stores(); set.Epoch > newest.Epoch {
+		if set := one.state.Stores(); set.Epoch > newest.Epoch {
 			newest = set
 		}
 	}
@@ -566,10 +566,10 @@
 		return []string{name + " doesn't run"}
 	}
 	var list []string
-	if _, fresh := one.fresh(); !fresh {
+	if _, fresh := one.staleness(); !fresh {
 		list = append(list, name+" doesn't vouch")
 	}
-	if set := one.machine.Stores(); set.Epoch != newest.Epoch || !slices.Equal(set.Members, newest.Members) {
+	if set := one.state.Stores(); set.Epoch != newest.Epoch || !slices.Equal(set.Members, newest.Members) {
 		list = append(list, fmt.Sprintf("%s has view %d, the newest is %d", name, set.Epoch, newest.Epoch))
 	}
 	return list
--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -20,40 +20,40 @@
 func TestSchedule(t *testing.T) {
 	Convey("The first by rank reads at once and then steadily", t, func() {
 		var s Schedule
-		So(s.Next(), ShouldEqual, 0)
-		s.Read(10*ms, 0)
-		So(s.Next(), ShouldEqual, 10*ms+readEvery)
-		s.Failed(900*ms, 0)
-		So(s.Next(), ShouldEqual, 1000*ms)
-		s.Failed(1000*ms, time.Hour)
-		So(s.Next(), ShouldEqual, 1000*ms+lastRetry)
-		s.Read(1900*ms, 0)
-		So(s.Next(), ShouldEqual, 1900*ms+readEvery)
+		So(s.NextRead(), ShouldEqual, 0)
+		s.ReadSucceeded(10*ms, 0)
+		So(s.NextRead(), ShouldEqual, 10*ms+readInterval)
+		s.ReadFailed(900*ms, 0)
+		So(s.NextRead(), ShouldEqual, 1000*ms)
+		s.ReadFailed(1000*ms, time.Hour)
+		So(s.NextRead(), ShouldEqual, 1000*ms+maxRetryDelay)
+		s.ReadSucceeded(1900*ms, 0)
+		So(s.NextRead(), ShouldEqual, 1900*ms+readInterval)
 	})
 	Convey("Another takes over after a silence, reads steadily, and stops when one before it reads again", t, func() {
 		var s Schedule
-		s.Rank(2)
-		s.Received(100*ms, 0, 0)
-		So(s.Next(), ShouldEqual, 100*ms+takeOver+2*takeOverStep)
-		s.Read(2500*ms, 0)
-		So(s.Next(), ShouldEqual, 2500*ms+readEvery)
-		s.Received(2400*ms, 0, 0)
-		So(s.Next(), ShouldEqual, 2500*ms+readEvery)
-		s.Received(2600*ms, 0, 0)
-		So(s.Next(), ShouldEqual, 2600*ms+takeOver+2*takeOverStep)
+		s.SetRank(2)
+		s.ListReceived(100*ms, 0, 0)
+		So(s.NextRead(), ShouldEqual, 100*ms+takeoverTimeout+2*takeoverStagger)
+		s.ReadSucceeded(2500*ms, 0)
+		So(s.NextRead(), ShouldEqual, 2500*ms+readInterval)
+		s.ListReceived(2400*ms, 0, 0)
+		So(s.NextRead(), ShouldEqual, 2500*ms+readInterval)
+		s.ListReceived(2600*ms, 0, 0)
+		So(s.NextRead(), ShouldEqual, 2600*ms+takeoverTimeout+2*takeoverStagger)
 	})
 	Convey("A list that takes long to read is waited for", t, func() {
 		var s Schedule
-		s.Rank(1)
-		s.Received(100*ms, 3000*ms, 0)
-		So(s.Next(), ShouldEqual, 3100*ms+takeOver+takeOverStep)
+		s.SetRank(1)
+		s.ListReceived(100*ms, 3000*ms, 0)
+		So(s.NextRead(), ShouldEqual, 3100*ms+takeoverTimeout+takeoverStagger)
 	})
 	Convey("A reader that hears one behind it goes on reading", t, func() {
 		var s Schedule
-		s.Rank(1)
-		s.Read(0, 0)
-		s.Received(100*ms, 0, 2)
-		So(s.Next(), ShouldEqual, 100*ms+readEvery)
+		s.SetRank(1)
+		s.ReadSucceeded(0, 0)
+		s.ListReceived(100*ms, 0, 2)
+		So(s.NextRead(), ShouldEqual, 100*ms+readInterval)
 	})
 }
 
@@ -103,7 +103,7 @@
 			w.WriteHeader(http.StatusTooManyRequests)
 		})
 		_, err := reader.Read(context.Background())
-		var rate *RateError
+		var rate *RateLimitError
 		So(errors.As(err, &rate), ShouldBeTrue)
 		So(rate.RetryAfter, ShouldEqual, 500*ms)
 	})
--- a/internal/control/discovery/pace_test.go
+++ b/internal/control/discovery/pace_test.go
@@ -16,17 +16,17 @@
 func TestPace(t *testing.T) {
 	Convey("Calls go at once up to the burst, and then keep to the rate", t, func() {
 		now := time.Unix(1000, 0)
-		p := newPace(50)
+		p := newRateLimiter(50)
 		calls := 0
 		for begin := now; now.Sub(begin) < 10*time.Second; calls++ {
-			now = now.Add(p.next(now))
+			now = now.Add(p.reserve(now))
 		}
 		So(calls, ShouldBeBetweenOrEqual, 400, 400+int(burstSeconds*50))
 	})
 	Convey("Without a rate nothing waits", t, func() {
-		p := newPace(0)
-		So(p.next(time.Unix(1000, 0)), ShouldEqual, 0)
-		So(p.next(time.Unix(1000, 0)), ShouldEqual, 0)
+		p := newRateLimiter(0)
+		So(p.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
+		So(p.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
 	})
 }
 
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -21,14 +21,14 @@
 
 // Limits of reading.
 const (
-	pageMost   = 8 << 20 // bytes
-	pagesMost  = 10_000
-	readWithin = 700 * time.Millisecond // a page
-
-	rateShare    = 0.8 // of the platform's rate that one reader uses: another may take over in between
-	burstSeconds = 0.3 // of that rate, that may go at once
-	pageTries    = 6   // of a page that was refused for the rate
-	pagePause    = 100 * time.Millisecond
+	maxPageBytes = 8 << 20 // bytes
+	maxPages     = 10_000
+	pageTimeout  = 700 * time.Millisecond // a page
+
+	rateShare         = 0.8 // of the platform's rate that one reader uses: another may take over in between
+	burstSeconds      = 0.3 // of that rate, that may go at once
+	maxPageAttempts   = 6   // of a page that was refused for the rate
+	minPageRetryDelay = 100 * time.Millisecond
 )
 
 // List is the platform's list as it was read whole.
@@ -42,28 +42,28 @@
 	address string
 	zone    string // empty: of all zones
 	client  *http.Client
-	pace    pace
+	limiter rateLimiter
 }
 
 // NewReader gives a reader of the list at an address, of one zone or all. rate is the platform's, in calls a second.
 func NewReader(address, zone string, rate float64) *Reader {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
-	return &Reader{address: address, zone: zone, client: &http.Client{Transport: transport, Timeout: readWithin}, pace: newPace(rate)}
+	return &Reader{address: address, zone: zone, client: &http.Client{Transport: transport, Timeout: pageTimeout}, limiter: newRateLimiter(rate)}
 }
 
 // DialBy has connections opened by a function in place of TCP. It is for before the first reading.
-func (r *Reader) DialBy(dial func(ctx context.Context, address string) (net.Conn, error)) {
+func (r *Reader) SetDialer(dial func(ctx context.Context, address string) (net.Conn, error)) {
 	r.client.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return dial(ctx, address) }}
 }
 
 // RateError tells that the platform took too many calls.
-type RateError struct {
+type RateLimitError struct {
 	RetryAfter time.Duration
 }
 
 // Error describes it.
-func (e *RateError) Error() string { return "the platform refuses for the rate of calls" }
+func (e *RateLimitError) Error() string { return "the platform refuses for the rate of calls" }
 
 // page is one page of the list as the platform sends it.
 type page struct {
@@ -93,8 +93,8 @@
 func (r *Reader) Read(ctx context.Context) (List, error) {
 	var servers []protocol.Server
 	token := ""
-	for range pagesMost {
-		one, err := r.pageInTurn(ctx, token)
+	for range maxPages {
+		one, err := r.readPageLimited(ctx, token)
 		if err != nil {
 			return List{}, err
 		}
@@ -113,17 +113,17 @@
 }
 
 // pageInTurn reads a page when the platform's rate allows for it, and again where it was refused for the rate.
-func (r *Reader) pageInTurn(ctx context.Context, token string) (*page, error) {
+func (r *Reader) readPageLimited(ctx context.Context, token string) (*page, error) {
 	for try := 1; ; try++ {
-		if err := sleep(ctx, r.pace.next(time.Now())); err != nil {
+		if err := sleep(ctx, r.limiter.reserve(time.Now())); err != nil {
 			return nil, err
 		}
-		one, err := r.page(ctx, token)
-		var rate *RateError
-		if token == "" || try == pageTries || !errors.As(err, &rate) {
+		one, err := r.readPage(ctx, token)
+		var rate *RateLimitError
+		if token == "" || try == maxPageAttempts || !errors.As(err, &rate) {
 			return one, err // before the first page the schedule knows how to wait
 		}
-		if err := sleep(ctx, max(rate.RetryAfter, pagePause)); err != nil {
+		if err := sleep(ctx, max(rate.RetryAfter, minPageRetryDelay)); err != nil {
 			return nil, err
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 }
 
-func (r *Reader) page(ctx context.Context, token string) (*page, error) {
+func (r *Reader) readPage(ctx context.Context, token string) (*page, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url(token), nil)
 	if err != nil {
 		return nil, err
@@ -153,12 +153,12 @@
 		return nil, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, pageMost))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
 	if err != nil {
 		return nil, err
 	}
 	if response.StatusCode == http.StatusTooManyRequests {
-		return nil, &RateError{RetryAfter: retryAfter(response)}
+		return nil, &RateLimitError{RetryAfter: retryAfter(response)}
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("the platform's list answers %d", response.StatusCode)
@@ -198,7 +198,7 @@
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, lastRetry.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryDelay.Seconds()) * float64(time.Second))
 }
 
 // NewList puts servers in order and numbers them by their content. A server that stands twice, as pages may shift while they are
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -22,7 +22,7 @@
 			time.Sleep(5 * time.Second)
 			store.silent.Store(true)
 			began := time.Now()
-			eventually(t, "an eviction", func() bool { return len(s.running[0].machine.Stores().Members) == 1 })
+			eventually(t, "an eviction", func() bool { return len(s.running[0].state.Stores().Members) == 1 })
 			took := time.Since(began)
 			t.Log("evicted after", took)
 			if took < liveness.StoreLease || took > within {
--- a/internal/control/liveness/presence_test.go
+++ b/internal/control/liveness/presence_test.go
@@ -23,46 +23,46 @@
 	member := protocol.StoreMember{Process: store("1", "a")}
 	Convey("A batch process that polls joins, and only the lead says so", t, func() {
 		table := New()
-		So(table.Observe(Heard{Process: store("1", "a"), At: second}), ShouldBeTrue)
-		So(table.Observe(Heard{Process: store("1", "a"), At: second + 1}), ShouldBeFalse)
+		So(table.Observe(Contact{Process: store("1", "a"), At: second}), ShouldBeTrue)
+		So(table.Observe(Contact{Process: store("1", "a"), At: second + 1}), ShouldBeFalse)
 		So(table.Joins(second, viewOf(0), anybody), ShouldBeEmpty)
-		table.Lead(second, 1, true)
+		table.SetLeadership(second, 1, true)
 		So(table.Joins(second, viewOf(0), anybody), ShouldResemble, []protocol.Process{store("1", "a")})
 		So(table.Joins(second, viewOf(1, member), anybody), ShouldBeEmpty)
-		So(table.Observe(Heard{Process: store("1", "b"), At: 2 * second}), ShouldBeTrue)
+		So(table.Observe(Contact{Process: store("1", "b"), At: 2 * second}), ShouldBeTrue)
 		So(table.Joins(2*second, viewOf(1, member), anybody), ShouldResemble, []protocol.Process{store("1", "b")})
 		So(table.Joins(5*second, viewOf(1, member), anybody), ShouldBeEmpty)
 	})
 	Convey("A silent member is evicted, but not before a new lead has waited, nor while a control process is silent", t, func() {
 		table := New()
-		table.Observe(Heard{Process: store("1", "a"), At: 0})
-		table.Lead(10*second, 1, true)
-		table.Cover("c2", 12*second)
+		table.Observe(Contact{Process: store("1", "a"), At: 0})
+		table.SetLeadership(10*second, 1, true)
+		table.ReportReceived("c2", 12*second)
 		So(table.Evictions(12*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
 		So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
 		So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
 		So(table.Evictions(14*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-		table.Observe(Heard{Process: store("1", "a"), At: 12 * second})
+		table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
 		So(table.Evictions(13*second, viewOf(1, member), nil), ShouldBeEmpty)
 		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), nil), ShouldHaveLength, 1)
 	})
 	Convey("A member whose lease a control process left out by the view may have granted last outlives that", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
-		table.Observe(Heard{Process: store("1", "a"), At: 10 * second}) // it then polls c3, which this process can't hear
-		table.Cover("c2", 13*second)
+		table.SetLeadership(0, 1, true)
+		table.Observe(Contact{Process: store("1", "a"), At: 10 * second}) // it then polls c3, which this process can't hear
+		table.ReportReceived("c2", 13*second)
 		So(table.Evictions(13*second, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
-		table.Lead(12*second, 2, true) // without c3, whose proof ended just now
+		table.SetLeadership(12*second, 2, true) // without c3, whose proof ended just now
 		So(table.Evictions(13*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
 		So(table.Evictions(12*second+StoreLease, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-		table.Cover("c2", 12*second+EvictAfter)
+		table.ReportReceived("c2", 12*second+EvictAfter)
 		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
 	})
 	Convey("A silent member comes under suspicion, is cleared by a poll, and is ripe once that has stood for a lease", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
-		table.Observe(Heard{Process: store("1", "a"), At: 10 * second})
-		table.Cover("c2", 10*second+SuspectAfter)
+		table.SetLeadership(0, 1, true)
+		table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
+		table.ReportReceived("c2", 10*second+SuspectAfter)
 		free, suspected := []Suspicion{{Member: member}}, []Suspicion{{Member: member, Number: 4}}
 		silent, back := table.Suspects(10*second+SuspectAfter-1, free, []string{"c2"})
 		So(silent, ShouldBeEmpty)
@@ -74,42 +74,42 @@
 		silent, back = table.Suspects(10*second+SuspectAfter, suspected, []string{"c2"})
 		So(silent, ShouldBeEmpty)
 		So(back, ShouldBeEmpty)
-		So(table.Ripe(11*second, 0), ShouldBeFalse)
-		So(table.Ripe(11*second, 4), ShouldBeFalse)
-		So(table.Ripe(11*second+StoreLease-1, 4), ShouldBeFalse)
-		So(table.Ripe(11*second+StoreLease, 4), ShouldBeTrue)
-		So(table.Ripe(11*second+StoreLease, 5), ShouldBeFalse)
-		table.Observe(Heard{Process: store("1", "a"), At: 12 * second})
+		So(table.SuspicionExpired(11*second, 0), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second, 4), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second+StoreLease-1, 4), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second+StoreLease, 4), ShouldBeTrue)
+		So(table.SuspicionExpired(11*second+StoreLease, 5), ShouldBeFalse)
+		table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
 		_, back = table.Suspects(12*second, suspected, nil)
 		So(back, ShouldHaveLength, 1)
-		table.Lead(13*second, 2, true)
-		So(table.Ripe(13*second, 4), ShouldBeFalse) // a new lead counts from when it saw it
+		table.SetLeadership(13*second, 2, true)
+		So(table.SuspicionExpired(13*second, 4), ShouldBeFalse) // a new lead counts from when it saw it
 	})
 	Convey("A poll of a later life is no sign of the former one", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
-		table.Observe(Heard{Process: store("1", "b"), At: 3 * second})
+		table.SetLeadership(0, 1, true)
+		table.Observe(Contact{Process: store("1", "b"), At: 3 * second})
 		So(table.Evictions(3*second, viewOf(1, member), nil), ShouldHaveLength, 1)
 	})
 	Convey("A retiring member is empty once it says so and all active ones have settled", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
+		table.SetLeadership(0, 1, true)
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
 		active := protocol.StoreMember{Process: store("2", "a")}
 		view := viewOf(7, retiring, active)
 		tell := func(node string, report protocol.BatchReport) {
-			table.Observe(Heard{Process: store(node, "a"), Batch: &report, At: second})
+			table.Observe(Contact{Process: store(node, "a"), Batch: &report, At: second})
 		}
 		tell("1", protocol.BatchReport{Epoch: 7, DrainedDown: true})
-		So(table.Emptied(second, view), ShouldBeEmpty)
+		So(table.Drained(second, view), ShouldBeEmpty)
 		tell("2", protocol.BatchReport{Epoch: 7, Settled: 6})
-		So(table.Emptied(second, view), ShouldBeEmpty)
+		So(table.Drained(second, view), ShouldBeEmpty)
 		tell("2", protocol.BatchReport{Epoch: 7, Settled: 7})
-		So(table.Emptied(second, view), ShouldHaveLength, 1)
-		So(table.Emptied(second, viewOf(8, retiring, active)), ShouldBeEmpty)
-		So(table.Emptied(5*second, view), ShouldBeEmpty)
+		So(table.Drained(second, view), ShouldHaveLength, 1)
+		So(table.Drained(second, viewOf(8, retiring, active)), ShouldBeEmpty)
+		So(table.Drained(5*second, view), ShouldBeEmpty)
 		tell("1", protocol.BatchReport{Epoch: 6, DrainedDown: true})
-		So(table.Emptied(second, view), ShouldBeEmpty)
+		So(table.Drained(second, view), ShouldBeEmpty)
 	})
 }
 
@@ -119,25 +119,25 @@
 func TestRejoin(t *testing.T) {
 	Convey("A machine whose retirement was completed joins only once it has polled for long", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
+		table.SetLeadership(0, 1, true)
 		emptied := func(process protocol.Process) Admission {
 			switch process.Node {
 			case store("1", "b").Node:
-				return AdmittedLater
+				return AdmittedAfterDelay
 			case store("3", "a").Node:
-				return Refused
+				return NotAdmitted
 			}
 			return Admitted
 		}
 		for at := time.Duration(0); at < RejoinAfter; at += second {
-			table.Observe(Heard{Process: store("1", "b"), At: at})
-			table.Observe(Heard{Process: store("2", "a"), At: at})
-			table.Observe(Heard{Process: store("3", "a"), At: at}) // may not join at all
+			table.Observe(Contact{Process: store("1", "b"), At: at})
+			table.Observe(Contact{Process: store("2", "a"), At: at})
+			table.Observe(Contact{Process: store("3", "a"), At: at}) // may not join at all
 			So(table.Joins(at, viewOf(3), emptied), ShouldResemble, []protocol.Process{store("2", "a")})
 		}
-		table.Observe(Heard{Process: store("1", "b"), At: RejoinAfter})
+		table.Observe(Contact{Process: store("1", "b"), At: RejoinAfter})
 		So(table.Joins(RejoinAfter, viewOf(3), emptied), ShouldHaveLength, 2)
-		table.Observe(Heard{Process: store("1", "c"), At: RejoinAfter + second}) // another disk
+		table.Observe(Contact{Process: store("1", "c"), At: RejoinAfter + second}) // another disk
 		So(table.Joins(RejoinAfter+second, viewOf(3), emptied), ShouldBeEmpty)
 	})
 }
@@ -145,37 +145,37 @@
 func TestSettled(t *testing.T) {
 	Convey("All members stand whole once each says so of the newest set, and waits for no more than may be lost", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
+		table.SetLeadership(0, 1, true)
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
 		retired := protocol.StoreMember{Process: store("2", "a"), State: protocol.StoreRetired}
 		view := viewOf(7, retiring, retired, protocol.StoreMember{Process: store("3", "a")})
 		tell := func(node, incarnation string, report protocol.BatchReport) {
-			table.Observe(Heard{Process: store(node, incarnation), Batch: &report, At: second})
+			table.Observe(Contact{Process: store(node, incarnation), Batch: &report, At: second})
 		}
 		tell("1", "a", protocol.BatchReport{Settled: 7})
-		So(table.Settled(second, view, 1), ShouldBeFalse) // one is silent
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // one is silent
 		tell("3", "a", protocol.BatchReport{Settled: 6})
-		So(table.Settled(second, view, 1), ShouldBeFalse)
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
 		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
-		So(table.Settled(second, view, 1), ShouldBeFalse)
-		So(table.Settled(second, view, 2), ShouldBeTrue)
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
+		So(table.Reconciled(second, view, 2), ShouldBeTrue)
 		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 1})
-		So(table.Settled(second, view, 1), ShouldBeTrue)
-		So(table.Settled(5*second, view, 1), ShouldBeFalse) // what was told is old
-		So(table.Settled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
+		So(table.Reconciled(second, view, 1), ShouldBeTrue)
+		So(table.Reconciled(5*second, view, 1), ShouldBeFalse) // what was told is old
+		So(table.Reconciled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
 		view.Settled = true
-		So(table.Settled(second, view, 1), ShouldBeFalse) // it is agreed already
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // it is agreed already
 		view.Settled = false
-		table.Lead(second, 1, false)
-		So(table.Settled(second, view, 1), ShouldBeFalse)
-		table.Lead(second, 2, true)
+		table.SetLeadership(second, 1, false)
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
+		table.SetLeadership(second, 2, true)
 		tell("3", "b", protocol.BatchReport{Settled: 7})
-		So(table.Settled(second, view, 1), ShouldBeFalse) // another disk
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // another disk
 	})
 	Convey("An empty set doesn't", t, func() {
 		table := New()
-		table.Lead(0, 1, true)
-		So(table.Settled(second, viewOf(0), 1), ShouldBeFalse)
+		table.SetLeadership(0, 1, true)
+		So(table.Reconciled(second, viewOf(0), 1), ShouldBeFalse)
 	})
 }
 
@@ -183,14 +183,14 @@
 	Convey("Gateways that polled lately are listed by name", t, func() {
 		table := New()
 		for i, name := range []string{"b", "a", "c"} {
-			table.Observe(Heard{Process: protocol.Process{Node: name, Role: protocol.RoleGateway}, At: time.Duration(i) * second})
+			table.Observe(Contact{Process: protocol.Process{Node: name, Role: protocol.RoleGateway}, At: time.Duration(i) * second})
 		}
 		names := []string{}
 		for _, one := range table.Gateways(4 * second) {
 			names = append(names, one.Node)
 		}
 		So(names, ShouldResemble, []string{"a", "c"})
-		table.Forget(31500 * time.Millisecond)
-		So(table.Since(0), ShouldHaveLength, 1)
+		table.Expire(31500 * time.Millisecond)
+		So(table.PolledSince(0), ShouldHaveLength, 1)
 	})
 }
--- a/internal/control/operatorapi/flights.go
+++ b/internal/control/operatorapi/flights.go
@@ -8,74 +8,74 @@
 )
 
 // flights joins orders that come again while they are under way.
-type flights struct {
+type orderGroup struct {
 	mutex sync.Mutex
-	open  map[configuration.Digest]*flight
+	calls map[configuration.Digest]*orderCall
 }
 
 // flight is one order under way.
-type flight struct {
-	done    chan struct{} // closed once verdict is set
-	verdict verdict
+type orderCall struct {
+	done     chan struct{} // closed once verdict is set
+	decision decision
 }
 
-func newFlights() flights { return flights{open: map[configuration.Digest]*flight{}} }
+func newOrderGroup() orderGroup { return orderGroup{calls: map[configuration.Digest]*orderCall{}} }
 
 // join gives what the order's flight comes to, and starts one where there is none. False: the caller's context ended first; the
 // flight goes on. release is called once the caller's body isn't held any more: that of a flight's first caller is up to its end.
-func (f *flights) join(ctx context.Context, digest configuration.Digest, decide func() verdict, release func()) (verdict, bool) {
-	one, begun := f.find(digest, decide, release)
+func (f *orderGroup) do(ctx context.Context, digest configuration.Digest, decide func() decision, release func()) (decision, bool) {
+	one, begun := f.findOrStart(digest, decide, release)
 	if !begun {
 		defer release()
 	}
 	select {
 	case <-one.done:
-		return one.verdict, true
+		return one.decision, true
 	case <-ctx.Done():
-		return verdict{}, false
+		return decision{}, false
 	}
 }
 
-func (f *flights) find(digest configuration.Digest, decide func() verdict, release func()) (one *flight, begun bool) {
+func (f *orderGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *orderCall, begun bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if one, found := f.open[digest]; found {
+	if one, found := f.calls[digest]; found {
 		return one, false
 	}
-	one = &flight{done: make(chan struct{})}
-	f.open[digest] = one
-	go f.fly(digest, one, decide, release)
+	one = &orderCall{done: make(chan struct{})}
+	f.calls[digest] = one
+	go f.run(digest, one, decide, release)
 	return one, true
 }
 
-func (f *flights) fly(digest configuration.Digest, one *flight, decide func() verdict, release func()) {
-	one.verdict = decide()
+func (f *orderGroup) run(digest configuration.Digest, one *orderCall, decide func() decision, release func()) {
+	one.decision = decide()
 	release()
 	f.mutex.Lock()
-	delete(f.open, digest)
+	delete(f.calls, digest)
 	f.mutex.Unlock()
 	close(one.done)
 }
 
 // byteBudget bounds the bytes of bodies under way.
 type byteBudget struct {
-	mutex sync.Mutex
-	most  int64
-	taken int64
+	mutex    sync.Mutex
+	limit    int64
+	reserved int64
 }
 
-func (b *byteBudget) take(bytes int64) bool {
+func (b *byteBudget) reserve(bytes int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.taken > 0 && b.taken+bytes > b.most {
+	if b.reserved > 0 && b.reserved+bytes > b.limit {
 		return false
 	}
-	b.taken += bytes
+	b.reserved += bytes
 	return true
 }
 
-func (b *byteBudget) give(bytes int64) {
+func (b *byteBudget) release(bytes int64) {
 	b.mutex.Lock()
-	b.taken -= bytes
+	b.reserved -= bytes
 	b.mutex.Unlock()
 }
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -65,7 +65,7 @@
 		m := through[version%len(through)]
 		for tries := 0; ; tries++ {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			reply, err := m.node.Propose(ctx, identify(order), raw)
+			reply, err := m.node.Propose(ctx, proposalID(order), raw)
 			cancel()
 			if err == nil {
 				outcome, err := statemachine.DecodeOutcome(reply)
--- a/internal/control/operatorapi/operator.go
+++ b/internal/control/operatorapi/operator.go
@@ -32,42 +32,42 @@
 
 // Limits of the API.
 const (
-	bodyMost        = 24 << 20               // bytes of one configuration, whatever the memory: a frame between processes holds two
-	holdFor         = 900 * time.Millisecond // how long an order waits for a chain that takes none; the operator moves on after 1 s
-	retryPause      = 60 * time.Millisecond
-	readAttempt     = 400 * time.Millisecond
-	proposeAttempt  = 1500 * time.Millisecond
-	headerTimeout   = 3 * time.Second
-	idleTimeout     = 30 * time.Second
-	headerBytesMost = 16 << 10
+	maxBodyBytes     = 24 << 20               // bytes of one configuration, whatever the memory: a frame between processes holds two
+	unavailableAfter = 900 * time.Millisecond // how long an order waits for a chain that takes none; the operator moves on after 1 s
+	retryInterval    = 60 * time.Millisecond
+	readTimeout      = 400 * time.Millisecond
+	proposeTimeout   = 1500 * time.Millisecond
+	headerTimeout    = 3 * time.Second
+	idleTimeout      = 30 * time.Second
+	maxHeaderBytes   = 16 << 10
 )
 
 // Options are what the API is made of.
 type Options struct {
-	Machine *statemachine.Machine
+	Machine *statemachine.StateMachine
 	Chain   Chain
 	Bounds  node.Bounds
 	// BytesMost bounds one configuration; two of that size may be under way. 0: 24 MB.
-	BytesMost int
-	Remain    int // active store machines that must remain when one retires: f + 1
-	Log       zerolog.Logger
+	MaxBodyBytes    int
+	MinActiveStores int // active store machines that must remain when one retires: f + 1
+	Log             zerolog.Logger
 }
 
 // API answers the operator.
 type API struct {
-	options Options
-	flights flights
-	bodies  byteBudget
-	most    int64 // bytes of one configuration
+	options      Options
+	orders       orderGroup
+	bodies       byteBudget
+	maxBodyBytes int64 // bytes of one configuration
 }
 
 // New makes the API. Its Handler can be served as it is.
 func New(options Options) *API {
-	most := int64(bodyMost)
-	if options.BytesMost > 0 {
-		most = min(most, int64(options.BytesMost))
+	most := int64(maxBodyBytes)
+	if options.MaxBodyBytes > 0 {
+		most = min(most, int64(options.MaxBodyBytes))
 	}
-	return &API{options: options, flights: newFlights(), bodies: byteBudget{most: 2 * most}, most: most}
+	return &API{options: options, orders: newOrderGroup(), bodies: byteBudget{limit: 2 * most}, maxBodyBytes: most}
 }
 
 // Handler gives the API's routes.
@@ -75,12 +75,12 @@
 	router := echo.New()
 	router.HideBanner = true
 	router.HidePort = true
-	router.HTTPErrorHandler = a.failed
-	router.PUT("/config", a.change(false))
-	router.PATCH("/config", a.change(true))
-	router.GET("/config", a.read)
-	router.POST("/retire/:node", a.retire)
-	router.GET("/retire/:node", a.retirement)
+	router.HTTPErrorHandler = a.handleError
+	router.PUT("/config", a.handleChange(false))
+	router.PATCH("/config", a.handleChange(true))
+	router.GET("/config", a.handleRead)
+	router.POST("/retire/:node", a.handleRetire)
+	router.GET("/retire/:node", a.handleRetirement)
 	return router
 }
 
@@ -90,34 +90,34 @@
 		Handler:           a.Handler(),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytesMost,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
 // answer is the body of every answer but a configuration's.
-type answer struct {
-	Generation uint64          `json:"generation,omitempty"`
-	State      string          `json:"state,omitempty"`
-	Message    string          `json:"message,omitempty"`
-	Findings   []answerFinding `json:"findings,omitempty"`
+type responseBody struct {
+	Generation uint64        `json:"generation,omitempty"`
+	State      string        `json:"state,omitempty"`
+	Message    string        `json:"message,omitempty"`
+	Findings   []findingBody `json:"findings,omitempty"`
 }
 
 // answerFinding is one fault of a configuration.
-type answerFinding struct {
+type findingBody struct {
 	Place string `json:"place,omitempty"`
 	Text  string `json:"text"`
 }
 
-func answerFindings(findings node.Findings) []answerFinding {
-	list := make([]answerFinding, len(findings))
+func findingBodies(findings node.Findings) []findingBody {
+	list := make([]findingBody, len(findings))
 	for i, one := range findings {
-		list[i] = answerFinding{Place: one.Place, Text: one.Text}
+		list[i] = findingBody{Place: one.Place, Text: one.Text}
 	}
 	return list
 }
 
 // failed answers what echo found wrong itself: an unknown path, another method.
-func (a *API) failed(err error, c echo.Context) {
+func (a *API) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -128,34 +128,34 @@
 	} else {
 		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator-request-failed")
 	}
-	_ = c.JSON(status, answer{Message: message}) // the caller has gone
+	_ = c.JSON(status, responseBody{Message: message}) // the caller has gone
 }
 
 // unavailable answers that another control process is to be asked.
-func unavailable(c echo.Context, message string) error {
+func writeUnavailable(c echo.Context, message string) error {
 	c.Response().Header().Set(echo.HeaderRetryAfter, "0.2")
-	return c.JSON(http.StatusServiceUnavailable, answer{Message: message})
+	return c.JSON(http.StatusServiceUnavailable, responseBody{Message: message})
 }
 
 // readable waits until acknowledged state can be read here, for as long as an operator waits.
-func (a *API) readable(ctx context.Context) error {
-	deadline := time.Now().Add(holdFor)
+func (a *API) awaitReadable(ctx context.Context) error {
+	deadline := time.Now().Add(unavailableAfter)
 	for {
-		attempt, cancel := context.WithTimeout(ctx, min(readAttempt, time.Until(deadline)))
+		attempt, cancel := context.WithTimeout(ctx, min(readTimeout, time.Until(deadline)))
 		err := a.options.Chain.Read(attempt)
 		cancel()
-		if err == nil || !pause(ctx, deadline) {
+		if err == nil || !waitToRetry(ctx, deadline) {
 			return err
 		}
 	}
 }
 
 // pause waits before another attempt, and tells whether there is time for one.
-func pause(ctx context.Context, deadline time.Time) bool {
-	if time.Until(deadline) < 2*retryPause {
+func waitToRetry(ctx context.Context, deadline time.Time) bool {
+	if time.Until(deadline) < 2*retryInterval {
 		return false
 	}
-	timer := time.NewTimer(retryPause)
+	timer := time.NewTimer(retryInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -165,13 +165,13 @@
 	}
 }
 
-func (a *API) read(c echo.Context) error {
-	if err := a.readable(c.Request().Context()); err != nil {
-		return unavailable(c, "the newest configuration can't be told here now: "+err.Error())
+func (a *API) handleRead(c echo.Context) error {
+	if err := a.awaitReadable(c.Request().Context()); err != nil {
+		return writeUnavailable(c, "the newest configuration can't be told here now: "+err.Error())
 	}
 	version := a.options.Machine.Configuration()
 	if version.Generation == 0 {
-		return c.JSON(http.StatusNotFound, answer{Message: "there is no configuration yet"})
+		return c.JSON(http.StatusNotFound, responseBody{Message: "there is no configuration yet"})
 	}
 	return writeVersion(c, version)
 }
--- a/internal/control/operatorapi/operator_test.go
+++ b/internal/control/operatorapi/operator_test.go
@@ -25,7 +25,7 @@
 // soleChain is a chain of one process, of which tests decide what becomes of each proposal.
 type soleChain struct {
 	mutex    sync.Mutex
-	machine  *statemachine.Machine
+	machine  *statemachine.StateMachine
 	index    uint64
 	outcomes map[string][]byte
 	cut      bool           // nothing can be read or proposed
@@ -88,8 +88,8 @@
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
 func newAPI(chain *soleChain) http.Handler {
-	return New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, BytesMost: 4096,
-		Remain: 2, Log: zerolog.Nop()}).Handler()
+	return New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, MaxBodyBytes: 4096,
+		MinActiveStores: 2, Log: zerolog.Nop()}).Handler()
 }
 
 func send(api http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
@@ -141,7 +141,7 @@
 			bad := strings.NewReplacer(`"timeout-ms":5`, `"timeout-ms":0`, `"path-prefix":"/"`, `"path-prefix":"x"`).Replace(document)
 			refused := send(api, "PUT", "/config", "0", bad)
 			So(refused.Code, ShouldEqual, 400)
-			var told answer
+			var told responseBody
 			So(json.Unmarshal(refused.Body.Bytes(), &told), ShouldBeNil)
 			So(told.Findings, ShouldHaveLength, 2)
 			So(send(api, "PUT", "/config", "0", document[:40]).Code, ShouldEqual, 400)
@@ -192,7 +192,7 @@
 				answer = send(api, method, "/config", "0", `{"generation":2}`)
 			}
 			expect(t, answer, 503)
-			if took := time.Since(began); took > 2*holdFor || answer.Header().Get("Retry-After") == "" {
+			if took := time.Since(began); took > 2*unavailableAfter || answer.Header().Get("Retry-After") == "" {
 				t.Fatalf("took %v, headers %v", took, answer.Header())
 			}
 		}
--- a/internal/control/operatorapi/plant_test.go
+++ b/internal/control/operatorapi/plant_test.go
@@ -56,7 +56,7 @@
 func (c unprovenChain) Read(context.Context) error { return nil }
 
 // forgetfulMachine forgets which orders were taken when it is restored.
-type forgetfulMachine struct{ *statemachine.Machine }
+type forgetfulMachine struct{ *statemachine.StateMachine }
 
 func (m *forgetfulMachine) Restore(raw []byte) error {
 	var whole struct{ Configuration []byte } // the world has no stores and lends no quota
@@ -71,7 +71,7 @@
 		return err
 	}
 	whole.Configuration = encoded(state)
-	return m.Machine.Restore(encoded(whole))
+	return m.StateMachine.Restore(encoded(whole))
 }
 
 func encoded(value any) []byte {
@@ -96,7 +96,7 @@
 	case plantHasty:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			number, _ := strconv.ParseUint(request.Header.Get("If-Match"), 10, 64)
-			if request.Method != http.MethodGet && api.readable(request.Context()) == nil && number < api.options.Machine.Configuration().Generation {
+			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil && number < api.options.Machine.Configuration().Generation {
 				response.WriteHeader(http.StatusPreconditionFailed)
 				return
 			}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -13,45 +13,45 @@
 )
 
 // retireBodyMost bounds the body of a retirement; what it holds is for people: a retirement ends when the machine is empty.
-const retireBodyMost = 64 << 10
+const maxRetireBodyBytes = 64 << 10
 
 // retire answers POST /retire/NODE.
-func (a *API) retire(c echo.Context) error {
+func (a *API) handleRetire(c echo.Context) error {
 	arrived := time.Now()
-	if _, err := io.Copy(io.Discard, io.LimitReader(c.Request().Body, retireBodyMost)); err != nil {
-		return bodyFailed(c, err)
+	if _, err := io.Copy(io.Discard, io.LimitReader(c.Request().Body, maxRetireBodyBytes)); err != nil {
+		return writeBodyError(c, err)
 	}
 	name := c.Param("node")
 	outcome, err := a.retireNode(name, arrived)
 	if err != nil {
-		return unavailable(c, "the retirement can't be ordered here now: "+err.Error())
+		return writeUnavailable(c, "the retirement can't be ordered here now: "+err.Error())
 	}
 	a.options.Log.Info().Str("store", name).Int("outcome", int(outcome)).Msg("retire-order")
 	switch outcome {
 	case statemachine.StoreUnknown:
-		return c.JSON(http.StatusNotFound, answer{Message: "no such store machine"})
+		return c.JSON(http.StatusNotFound, responseBody{Message: "no such store machine"})
 	case statemachine.StoreTooFew:
-		return c.JSON(http.StatusConflict, answer{Message: "too few store machines would remain"})
+		return c.JSON(http.StatusConflict, responseBody{Message: "too few store machines would remain"})
 	}
 	return a.writeRetirement(c, name)
 }
 
 // retireNode proposes a retirement. It may be proposed again at will: one under way stays.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
-	raw, err := statemachine.Command{Retire: &statemachine.Retire{Node: name, Remain: a.options.Remain}}.Encode()
+	raw, err := statemachine.Command{Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores}}.Encode()
 	if err != nil {
 		return 0, err
 	}
 	for {
 		outcome, err := a.proposeRetirement(name, raw)
-		if err == nil || !pause(context.Background(), arrived.Add(holdFor)) {
+		if err == nil || !waitToRetry(context.Background(), arrived.Add(unavailableAfter)) {
 			return outcome, err
 		}
 	}
 }
 
 func (a *API) proposeRetirement(name string, raw []byte) (statemachine.StoreOutcome, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), proposeAttempt)
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	reply, err := a.options.Chain.Propose(ctx, newID("retire-"+name), raw)
 	if err != nil {
@@ -62,9 +62,9 @@
 }
 
 // retirement answers GET /retire/NODE.
-func (a *API) retirement(c echo.Context) error {
-	if err := a.readable(c.Request().Context()); err != nil {
-		return unavailable(c, "the retirement can't be told here now: "+err.Error())
+func (a *API) handleRetirement(c echo.Context) error {
+	if err := a.awaitReadable(c.Request().Context()); err != nil {
+		return writeUnavailable(c, "the retirement can't be told here now: "+err.Error())
 	}
 	return a.writeRetirement(c, c.Param("node"))
 }
@@ -72,11 +72,11 @@
 func (a *API) writeRetirement(c echo.Context, name string) error {
 	switch a.options.Machine.Retirement(name) {
 	case statemachine.RetirementActive:
-		return c.JSON(http.StatusOK, answer{State: "active"})
+		return c.JSON(http.StatusOK, responseBody{State: "active"})
 	case statemachine.RetirementCompleted:
-		return c.JSON(http.StatusOK, answer{State: "completed"})
+		return c.JSON(http.StatusOK, responseBody{State: "completed"})
 	}
-	return c.JSON(http.StatusNotFound, answer{Message: errNoRetirement.Error()})
+	return c.JSON(http.StatusNotFound, responseBody{Message: errNoRetirement.Error()})
 }
 
 var errNoRetirement = errors.New("no retirement of such a store machine was ordered")
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -49,7 +49,7 @@
 	starts  int
 	host    *bubble.Host
 	node    *replica.Node
-	machine *statemachine.Machine
+	machine *statemachine.StateMachine
 	api     http.Handler
 }
 
@@ -110,7 +110,7 @@
 	host, state := w.network.StartHost(m.ip), statemachine.New()
 	var planted chain.StateMachine = state
 	if w.plant == plantForgetful {
-		planted = &forgetfulMachine{Machine: state}
+		planted = &forgetfulMachine{StateMachine: state}
 	}
 	started, err := replica.Start(replica.Options{
 		Identity:     transport.Identity{System: "world", Node: m.ip, Role: "control"},
@@ -129,7 +129,7 @@
 		return
 	}
 	api := New(Options{Machine: state, Chain: w.plant.chain(replicaChain{started}), Bounds: node.Bounds{Acknowledge: 4 * time.Second},
-		BytesMost: 1 << 20, Remain: worldTolerance + 1, Log: zerolog.Nop()})
+		MaxBodyBytes: 1 << 20, MinActiveStores: worldTolerance + 1, Log: zerolog.Nop()})
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.starts++
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -11,8 +11,8 @@
 
 // Times of what control processes tell each other.
 const (
-	reportEvery = 400 * time.Millisecond // to the head of the chain, which keeps the set of batch processes
-	othersEvery = 2                      // reports to the head for one to the others
+	reportInterval      = 400 * time.Millisecond // to the head of the chain, which keeps the set of batch processes
+	reportsPerBroadcast = 2                      // reports to the head for one to the others
 )
 
 // peerReport is what a control process tells another. Ages are as of when it was sent. What goes over one connection adds up: the
@@ -57,11 +57,11 @@
 
 // peer is one other control process, and what it was told over this connection.
 type peer struct {
-	client   *transport.Client
-	servers  uint64                      // version of the list
-	gateways map[string]protocol.Process // by node
-	begun    bool                        // gateways were told at all
-	wanted   bool                        // still a control process
+	client         *transport.Client
+	serversVersion uint64                      // version of the list
+	gateways       map[string]protocol.Process // by node
+	sentAll        bool                        // gateways were told at all
+	present        bool                        // still a control process
 }
 
 func newPeers(c *Control) *peers { return &peers{control: c, byIP: map[string]*peer{}} }
@@ -72,7 +72,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range p.byIP {
-		one.wanted = false
+		one.present = false
 	}
 	for _, ip := range p.control.controlIPs() {
 		if ip == self {
@@ -81,10 +81,10 @@
 		if p.byIP[ip] == nil {
 			p.byIP[ip] = p.connect(ip)
 		}
-		p.byIP[ip].wanted = true
+		p.byIP[ip].present = true
 	}
 	for ip, one := range p.byIP {
-		if !one.wanted {
+		if !one.present {
 			one.client.Close()
 			delete(p.byIP, ip)
 		}
@@ -95,8 +95,8 @@
 	one := &peer{gateways: map[string]protocol.Process{}}
 	forget := func(bool) {
 		p.mutex.Lock()
-		one.servers = 0
-		one.begun = false
+		one.serversVersion = 0
+		one.sentAll = false
 		clear(one.gateways)
 		p.mutex.Unlock()
 	}
@@ -113,26 +113,26 @@
 }
 
 // tell tells the head of the chain, and every other where all is set, who polls here.
-func (p *peers) tell(head string, all bool, gateways map[string]protocol.Process, batch []peerBatch) {
+func (p *peers) report(head string, all bool, gateways map[string]protocol.Process, batch []peerBatch) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for ip, one := range p.byIP {
 		if ip != head && !all {
 			continue
 		}
-		report := one.presence(gateways)
+		report := one.pollersDelta(gateways)
 		if ip == head {
 			report.Batch = batch
 		}
 		if one.client.Send(report) == nil {
-			one.told(&report)
+			one.markSent(&report)
 		}
 	}
 }
 
 // presence gives what differs from what was told.
-func (o *peer) presence(gateways map[string]protocol.Process) peerReport {
-	report := peerReport{Presence: true, All: !o.begun}
+func (o *peer) pollersDelta(gateways map[string]protocol.Process) peerReport {
+	report := peerReport{Presence: true, All: !o.sentAll}
 	for node, process := range gateways {
 		if o.gateways[node] != process {
 			report.Gateways = append(report.Gateways, process)
@@ -146,8 +146,8 @@
 	return report
 }
 
-func (o *peer) told(report *peerReport) {
-	o.begun = true
+func (o *peer) markSent(report *peerReport) {
+	o.sentAll = true
 	for _, process := range report.Gateways {
 		o.gateways[process.Node] = process
 	}
@@ -157,27 +157,27 @@
 }
 
 // shareServers tells all the list that was just read, as far as they haven't had it.
-func (p *peers) shareServers() {
+func (p *peers) sendServers() {
 	c := p.control
-	rank := c.rank()
+	rank := c.readerRank()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range p.byIP {
-		share, version := c.sharedServers(rank, one.servers)
+		share, version := c.peerServersSince(rank, one.serversVersion)
 		if one.client.Send(peerReport{Servers: share}) == nil {
-			one.servers = version
+			one.serversVersion = version
 		}
 	}
 }
 
 // sharedServers gives the list for a process that has a version.
-func (c *Control) sharedServers(rank int, has uint64) (*peerServers, uint64) {
+func (c *Control) peerServersSince(rank int, has uint64) (*peerServers, uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	table := &c.servers
-	share := &peerServers{Digest: table.list.Digest, Ago: c.now() - table.readAt, Took: c.schedule.Took(), Rank: rank}
+	share := &peerServers{Digest: table.list.Digest, Ago: c.now() - table.readAt, Took: c.schedule.ReadDuration(), Rank: rank}
 	if has != table.version {
-		share.List = table.message(c.source, has, c.now())
+		share.List = table.messageFrom(c.incarnation, has, c.now())
 	}
 	return share, table.version
 }
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -15,19 +15,19 @@
 // that arrives the receiver has the sender's set.
 func TestPresence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		receiver := &Control{presence: liveness.New()}
+		receiver := &Control{liveness: liveness.New()}
 		sender := &peer{gateways: map[string]protocol.Process{}}
-		known := &told{gateways: map[string]protocol.Process{}}
+		known := &peerSession{gateways: map[string]protocol.Process{}}
 		for range 30 {
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0: // the sender sees a new connection, whatever it has sent over it already
-				sender.begun = false
+				sender.sentAll = false
 				clear(sender.gateways)
 				continue
 			case 1: // a new connection at both
-				sender.begun = false
+				sender.sentAll = false
 				clear(sender.gateways)
-				known = &told{gateways: map[string]protocol.Process{}}
+				known = &peerSession{gateways: map[string]protocol.Process{}}
 				continue
 			}
 			gateways := map[string]protocol.Process{}
@@ -35,9 +35,9 @@
 				name := fmt.Sprint("front-", id)
 				gateways[name] = protocol.Process{Node: name, Role: protocol.RoleGateway, Incarnation: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "life"))}
 			}
-			report := sender.presence(gateways)
-			sender.told(&report)
-			receiver.takePresence(known, &report, 0)
+			report := sender.pollersDelta(gateways)
+			sender.markSent(&report)
+			receiver.mergePollers(known, &report, 0)
 			if !maps.Equal(known.gateways, gateways) {
 				t.Fatalf("the receiver has %v, not %v", known.gateways, gateways)
 			}
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -70,8 +70,8 @@
 		}
 		s.fillLog(t)
 		stores[3].silent.Store(true)
-		eventually(t, "that a silent one is out of the set", func() bool { return len(s.running[0].machine.Stores().Members) == 3 })
-		newest := s.running[0].machine.Stores().Epoch
+		eventually(t, "that a silent one is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
+		newest := s.running[0].state.Stores().Epoch
 		for i := range s.running {
 			s.losePower(i)
 		}
@@ -120,11 +120,11 @@
 // newProvenControl gives a control process without ports, on a chain that is always proven.
 func newProvenControl() (*Control, *provenReplica) {
 	c := newControl(Options{Settings: &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10}, Log: zerolog.Nop(),
-		surroundings: &surroundings{}})
+		environment: &environment{}})
 	chain := &provenReplica{proven: true, head: "127.0.0.1:1"}
 	c.replica = chain
 	c.peers = newPeers(c)
-	c.still.beatAt = c.now()
+	c.pauses.lastRanAt = c.now()
 	return c, chain
 }
 
@@ -136,9 +136,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.machine.Apply(index, raw)
+		c.state.Apply(index, raw)
 	}
-	c.presence.Observe(liveness.Heard{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}})
+	c.liveness.Observe(liveness.Contact{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}})
 	commands := c.storeCommands()
 	if len(commands) != 1 || commands[0].Join == nil || commands[0].Join.Epoch != 2 || commands[0].Join.ActedIn != 40 {
 		t.Fatalf("the head orders %+v for one that joins the set of epoch 2, and acted in 40", commands)
@@ -157,7 +157,7 @@
 		if index == 1 {
 			c.refreshMembers()
 		}
-		c.machine.Apply(uint64(index+1), raw)
+		c.state.Apply(uint64(index+1), raw)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -166,7 +166,7 @@
 		t.Fatalf("told is %+v, where the lease is of epoch 2", list)
 	}
 	chain.head = "127.0.0.2:1"
-	if list := c.membersFor(&subscriber{members: c.members.Version}, true); list == nil || !strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
+	if list := c.membersFor(&subscriber{members: c.memberList.Version}, true); list == nil || !strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
 		t.Fatalf("told is %+v, where quotas are elsewhere by now", list)
 	}
 	if hint := c.membersFor(&subscriber{}, false); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 || hint.QuotaAddress != "" {
@@ -194,10 +194,10 @@
 				one.report = protocol.BatchReport{Epoch: one.grant.Epoch, Settled: one.grant.Epoch, DrainedDown: true}
 				one.mutex.Unlock()
 			}
-			return s.running[0].machine.Retirement("store-3") == statemachine.RetirementCompleted
+			return s.running[0].state.Retirement("store-3") == statemachine.RetirementCompleted
 		})
 		stores[3].silent.Store(true)
-		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].machine.Stores().Members) == 3 })
+		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
 		stores[3].silent.Store(false)
 		time.Sleep(5 * time.Second) // longer than a lease: whatever is to be ordered has been
 		before := s.ordered(t)
--- a/internal/control/quotaservice/core_test.go
+++ b/internal/control/quotaservice/core_test.go
@@ -33,7 +33,7 @@
 type proposal struct {
 	raw   []byte
 	index int // 0: not committed
-	done  func(*statemachine.LendingOutcome)
+	done  func(*statemachine.GrantsOutcome)
 }
 
 // member is a control process with the real service, and its view of the chain.
@@ -44,7 +44,7 @@
 	up      bool
 	frozen  bool
 	service *Service
-	machine *statemachine.Machine
+	machine *statemachine.StateMachine
 	applied int
 	waiting *proposal // whose outcome it waits for
 	ending  bool
@@ -83,8 +83,8 @@
 	m.apply(known)
 	m.headSince, m.proofAt = w.Elapsed()+leadDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
-	self := statemachine.Lender{Member: m.name, Process: fmt.Sprint(m.name, "/", m.life)}
-	m.service = newAt(bounds, m, m, self, func() { m.later(time.Millisecond, m.roles) }, w.Now)
+	self := statemachine.Grantor{Member: m.name, Process: fmt.Sprint(m.name, "/", m.life)}
+	m.service = newWithClock(bounds, m, m, self, func() { m.later(time.Millisecond, m.roles) }, w.Now)
 	m.later(w.span(200*time.Millisecond), m.rolesLoop)
 	m.beat()
 }
@@ -118,7 +118,7 @@
 func (m *member) Configuration() *configuration.Version { return m.core.world.version }
 
 // Lender gives who lends, as far as is known here.
-func (m *member) Lender() statemachine.Lender { return m.machine.Lender() }
+func (m *member) Grantor() statemachine.Grantor { return m.machine.Grantor() }
 
 // Head is that of coord/replica.
 func (m *member) Head() (until time.Time, ok bool) {
@@ -301,7 +301,7 @@
 }
 
 // propose proposes a change and waits for its outcome, for two seconds.
-func (m *member) propose(change *statemachine.Lending, done func(*statemachine.LendingOutcome)) {
+func (m *member) propose(change *statemachine.GrantsChange, done func(*statemachine.GrantsOutcome)) {
 	w := m.core.world
 	raw, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
@@ -331,8 +331,8 @@
 	if m.waiting != nil || m.ending {
 		return
 	}
-	if change := m.service.Change(); change != nil {
-		m.propose(change, func(outcome *statemachine.LendingOutcome) { m.service.Changed(change, outcome) })
+	if change := m.service.NextChange(); change != nil {
+		m.propose(change, func(outcome *statemachine.GrantsOutcome) { m.service.ChangeDone(change, outcome) })
 	}
 }
 
@@ -342,7 +342,7 @@
 		return
 	}
 	c, w := m.core, m.core.world
-	change := m.service.End()
+	change := m.service.Release()
 	leave := func() {
 		m.ending = true
 		rest := slices.DeleteFunc(slices.Clone(c.chain), func(other *member) bool { return other == m })
@@ -356,7 +356,7 @@
 		leave()
 		return
 	}
-	m.propose(change, func(*statemachine.LendingOutcome) {})
+	m.propose(change, func(*statemachine.GrantsOutcome) {})
 	m.later(300*time.Millisecond, leave)
 }
 
--- a/internal/control/quotaservice/quotas.go
+++ b/internal/control/quotaservice/quotas.go
@@ -16,10 +16,10 @@
 )
 
 // CodeNotLead is the code of a refusal: this process doesn't lead now.
-const CodeNotLead = "not-lead"
+const CodeNotLeader = "not-lead"
 
 // Lead tells whether the process leads the chain. *replica.Node is one.
-type Lead interface {
+type Leadership interface {
 	// Head gives the moment until which no successor acts, where the process is the chain's proven head.
 	Head() (until time.Time, ok bool)
 	// Lead tells as well that the time of the head before has surely passed.
@@ -27,8 +27,8 @@
 }
 
 // Record is the agreed record of who lends. *machine.Machine is one.
-type Record interface {
-	Lender() statemachine.Lender
+type GrantRecord interface {
+	Grantor() statemachine.Grantor
 	Configuration() *configuration.Version
 }
 
@@ -38,39 +38,39 @@
 // was an earlier life of this process, nobody else acts, so that can be as soon as the process heads the chain. Else it waits until the time of the
 // head before has passed. A beginning takes effect only on the record that it was judged by.
 type Service struct {
-	lead   Lead
-	record Record
-	self   statemachine.Lender
-	wake   func()
-	clock  func() time.Time
-	origin time.Time
+	leadership Leadership
+	record     GrantRecord
+	self       statemachine.Grantor
+	wake       func()
+	clock      func() time.Time
+	origin     time.Time
 
 	mutex      sync.Mutex
 	allocator  *quota.Allocator
 	configured *configuration.Version // that the allocator works by
-	number     uint64                 // of the last change of the record
-	ended      bool                   // for good
+	lastChange uint64                 // of the last change of the record
+	released   bool                   // for good
 	term       *term                  // nil: not known to be the lender
 }
 
 // term is the time as the lender on record.
 type term struct {
-	founding bool // nobody lent before
-	nodes    []string
-	floors   []quota.Floor
-	started  bool
-	removes  []string // that are not known to be off the record
+	first           bool // nobody lent before
+	nodes           []string
+	floors          []quota.Floor
+	started         bool
+	pendingRemovals []string // that are not known to be off the record
 }
 
 // New makes a service that doesn't act before the process is the lender on record. It calls wake where a change of the record
 // can't wait.
-func New(bounds node.Bounds, lead Lead, record Record, self statemachine.Lender, wake func()) *Service {
-	return newAt(bounds, lead, record, self, wake, time.Now)
+func New(bounds node.Bounds, lead Leadership, record GrantRecord, self statemachine.Grantor, wake func()) *Service {
+	return newWithClock(bounds, lead, record, self, wake, time.Now)
 }
 
-func newAt(bounds node.Bounds, lead Lead, record Record, self statemachine.Lender, wake func(), clock func() time.Time) *Service {
+func newWithClock(bounds node.Bounds, lead Leadership, record GrantRecord, self statemachine.Grantor, wake func(), clock func() time.Time) *Service {
 	rules := quota.Rules{Window: bounds.QuotaWindow, Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack}
-	return &Service{lead: lead, record: record, self: self, wake: wake, clock: clock, origin: clock(),
+	return &Service{leadership: lead, record: record, self: self, wake: wake, clock: clock, origin: clock(),
 		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules})}
 }
 
@@ -80,8 +80,8 @@
 	now := s.clock()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.acts(now) {
-		return protocol.QuotaReply{}, transport.NewError(CodeNotLead, "quota is granted elsewhere")
+	if !s.mayGrant(now) {
+		return protocol.QuotaReply{}, transport.NewError(CodeNotLeader, "quota is granted elsewhere")
 	}
 	if version := s.record.Configuration(); version != nil && version != s.configured {
 		s.configured = version
@@ -89,7 +89,7 @@
 	}
 	if !s.term.started {
 		s.term.started = true
-		s.allocator.Start(now.Sub(s.origin), s.idle(now), s.term.nodes, s.term.floors)
+		s.allocator.Start(now.Sub(s.origin), s.idleFor(now), s.term.nodes, s.term.floors)
 	}
 	reply := s.allocator.Request(now.Sub(s.origin), request)
 	if s.allocator.FloorChangeUrgent() {
@@ -99,17 +99,17 @@
 }
 
 // acts tells whether this process is the only one that may hand out quota now.
-func (s *Service) acts(now time.Time) bool {
-	if s.record.Lender() != s.self {
+func (s *Service) mayGrant(now time.Time) bool {
+	if s.record.Grantor() != s.self {
 		s.term = nil // another lends, or did
 	}
-	until, heads := s.lead.Head()
+	until, heads := s.leadership.Head()
 	return s.term != nil && heads && now.Before(until)
 }
 
 // idle is for how long at least no allocator has acted.
-func (s *Service) idle(now time.Time) time.Duration {
-	if s.term.founding {
+func (s *Service) idleFor(now time.Time) time.Duration {
+	if s.term.first {
 		return now.Sub(s.origin) + time.Hour
 	}
 	return 0
@@ -117,77 +117,77 @@
 
 // Change gives the change of the record that is needed now, or nil. Its outcome is to be told by Changed, and there must be no
 // other until it is known or has been given up.
-func (s *Service) Change() *statemachine.Lending {
-	if _, heads := s.lead.Head(); !heads {
+func (s *Service) NextChange() *statemachine.GrantsChange {
+	if _, heads := s.leadership.Head(); !heads {
 		return nil
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.ended {
+	if s.released {
 		return nil
 	}
-	lender := s.record.Lender()
+	lender := s.record.Grantor()
 	if lender != s.self || s.term == nil {
-		return s.beginning(lender)
+		return s.beginTerm(lender)
 	}
 	if !s.term.started {
 		return nil
 	}
 	adds := s.allocator.MissingGrantees()
 	now := s.clock().Sub(s.origin)
-	s.term.removes = append(s.term.removes, s.allocator.EvictGrantees(now)...)
+	s.term.pendingRemovals = append(s.term.pendingRemovals, s.allocator.EvictGrantees(now)...)
 	floors := s.allocator.FloorChanges(now)
-	if len(adds)+len(s.term.removes)+len(floors) == 0 {
+	if len(adds)+len(s.term.pendingRemovals)+len(floors) == 0 {
 		return nil
 	}
-	s.number++
-	return &statemachine.Lending{Lender: s.self, Number: s.number, Add: adds, Remove: without(s.term.removes, adds), Floors: floors}
+	s.lastChange++
+	return &statemachine.GrantsChange{Lender: s.self, Number: s.lastChange, Add: adds, Remove: without(s.term.pendingRemovals, adds), Floors: floors}
 }
 
 // End stops lending for good, and gives the change that lets a successor begin at once; nil where there is nothing to hand on.
-func (s *Service) End() *statemachine.Lending {
+func (s *Service) Release() *statemachine.GrantsChange {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ended = true
-	lends := s.term != nil && s.record.Lender() == s.self
+	s.released = true
+	lends := s.term != nil && s.record.Grantor() == s.self
 	s.term = nil
 	s.allocator.Stop()
 	if !lends {
 		return nil
 	}
-	return &statemachine.Lending{Lender: s.self, End: true}
+	return &statemachine.GrantsChange{Lender: s.self, End: true}
 }
 
 // beginning gives the change by which this process becomes the lender, or nil while another may still act.
-func (s *Service) beginning(lender statemachine.Lender) *statemachine.Lending {
-	alone := lender == statemachine.Lender{} || lender == statemachine.Released || lender.Member == s.self.Member
-	if _, _, leads := s.lead.Lead(); !alone && !leads {
+func (s *Service) beginTerm(lender statemachine.Grantor) *statemachine.GrantsChange {
+	alone := lender == statemachine.Grantor{} || lender == statemachine.ReleasedGrantor || lender.Member == s.self.Member
+	if _, _, leads := s.leadership.Lead(); !alone && !leads {
 		return nil
 	}
-	s.number++
-	return &statemachine.Lending{Lender: s.self, Begin: true, Before: lender, Number: s.number}
+	s.lastChange++
+	return &statemachine.GrantsChange{Lender: s.self, Begin: true, Before: lender, Number: s.lastChange}
 }
 
 // Changed takes in what came of a change. One of which nothing is known is tried again by the next.
-func (s *Service) Changed(change *statemachine.Lending, outcome *statemachine.LendingOutcome) {
+func (s *Service) ChangeDone(change *statemachine.GrantsChange, outcome *statemachine.GrantsOutcome) {
 	if outcome == nil || !outcome.Taken {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.ended {
+	if s.released {
 		return
 	}
 	if change.Begin {
 		s.allocator.Stop()
-		s.term = &term{founding: outcome.Before == statemachine.Lender{}, nodes: append([]string{}, outcome.Nodes...),
+		s.term = &term{first: outcome.Before == statemachine.Grantor{}, nodes: append([]string{}, outcome.Nodes...),
 			floors: outcome.Floors}
 		return
 	}
 	if s.term != nil && s.term.started {
 		s.allocator.GranteesRecorded(change.Add)
 		s.allocator.FloorsRecorded(change.Floors)
-		s.term.removes = without(s.term.removes, change.Remove)
+		s.term.pendingRemovals = without(s.term.pendingRemovals, change.Remove)
 	}
 }
 
--- a/internal/control/quotaservice/quotas_test.go
+++ b/internal/control/quotaservice/quotas_test.go
@@ -25,24 +25,24 @@
 
 // chain is one machine on which changes are carried out at once, and the configuration.
 type chain struct {
-	*statemachine.Machine
+	*statemachine.StateMachine
 	index   uint64
 	version *configuration.Version
 }
 
 func (c *chain) Configuration() *configuration.Version { return c.version }
 
-func (c *chain) carryOut(s *Service) *statemachine.LendingOutcome {
-	change := s.Change()
+func (c *chain) carryOut(s *Service) *statemachine.GrantsOutcome {
+	change := s.NextChange()
 	if change == nil {
 		return nil
 	}
 	outcome := c.apply(change)
-	s.Changed(change, outcome)
+	s.ChangeDone(change, outcome)
 	return outcome
 }
 
-func (c *chain) apply(change *statemachine.Lending) *statemachine.LendingOutcome {
+func (c *chain) apply(change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	raw, err := statemachine.Command{Lending: change}.Encode()
 	So(err, ShouldBeNil)
 	c.index++
@@ -69,13 +69,13 @@
 	}
 	refused := func(s *Service) {
 		_, err := ask(s, 1)
-		So(transport.CodeOf(err), ShouldEqual, CodeNotLead)
+		So(transport.CodeOf(err), ShouldEqual, CodeNotLeader)
 	}
 
 	Convey("Given the first process of a new system", t, func() {
-		state := &chain{Machine: statemachine.New(), version: version}
+		state := &chain{StateMachine: statemachine.New(), version: version}
 		lead := &fakeLead{heads: true, until: time.Now().Add(time.Minute)}
-		service := New(bounds, lead, state, statemachine.Lender{Member: "m1", Process: "p1"}, func() {})
+		service := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p1"}, func() {})
 		refused(service)
 		So(state.carryOut(service).Taken, ShouldBeTrue)
 
@@ -98,13 +98,13 @@
 			refused(service)
 			lead.until, lead.heads = time.Now().Add(time.Minute), false
 			refused(service)
-			So(service.Change(), ShouldBeNil)
+			So(service.NextChange(), ShouldBeNil)
 		})
 		Convey("its next life acts at once", func() {
 			before, err := ask(service, 1)
 			So(err, ShouldBeNil)
 			lead.alone = false
-			next := New(bounds, lead, state, statemachine.Lender{Member: "m1", Process: "p2"}, func() {})
+			next := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p2"}, func() {})
 			So(state.carryOut(next).Taken, ShouldBeTrue)
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
@@ -113,22 +113,22 @@
 		})
 		Convey("one that ends lends no more, and another begins at once", func() {
 			lead.alone = false
-			end := service.End()
+			end := service.Release()
 			So(end, ShouldNotBeNil)
 			refused(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
 			So(state.carryOut(service), ShouldBeNil)
-			next := New(bounds, lead, state, statemachine.Lender{Member: "m2", Process: "p3"}, func() {})
+			next := New(bounds, lead, state, statemachine.Grantor{Member: "m2", Process: "p3"}, func() {})
 			So(state.carryOut(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(state.apply(end).Taken, ShouldBeFalse)
-			So(state.Lender(), ShouldResemble, next.self)
+			So(state.Grantor(), ShouldResemble, next.self)
 		})
 		Convey("another's waits until the time of the one before has passed, and ends this one's", func() {
 			lead.alone = false
-			next := New(bounds, lead, state, statemachine.Lender{Member: "m2", Process: "p3"}, func() {})
-			So(next.Change(), ShouldBeNil)
+			next := New(bounds, lead, state, statemachine.Grantor{Member: "m2", Process: "p3"}, func() {})
+			So(next.NextChange(), ShouldBeNil)
 			refused(next)
 			lead.alone = true
 			So(state.carryOut(next).Taken, ShouldBeTrue)
@@ -136,17 +136,17 @@
 			So(err, ShouldBeNil)
 			refused(service)
 			Convey("and a change of this one's that comes late has no effect", func() {
-				So(state.apply(&statemachine.Lending{Lender: service.self, Number: 9, Add: []string{"late"}}).Taken, ShouldBeFalse)
-				So(state.apply(&statemachine.Lending{Lender: service.self, Begin: true}).Taken, ShouldBeFalse)
-				So(state.Lender(), ShouldResemble, next.self)
+				So(state.apply(&statemachine.GrantsChange{Lender: service.self, Number: 9, Add: []string{"late"}}).Taken, ShouldBeFalse)
+				So(state.apply(&statemachine.GrantsChange{Lender: service.self, Begin: true}).Taken, ShouldBeFalse)
+				So(state.Grantor(), ShouldResemble, next.self)
 			})
 			Convey("nor has it where this one lends again meanwhile", func() {
 				_, err := ask(service, 1)
 				So(err, ShouldNotBeNil)
-				service.number = 9
-				late := &statemachine.Lending{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
+				service.lastChange = 9
+				late := &statemachine.GrantsChange{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
 				So(state.carryOut(service).Taken, ShouldBeTrue)
-				So(state.Lender(), ShouldResemble, service.self)
+				So(state.Grantor(), ShouldResemble, service.self)
 				So(state.apply(late).Taken, ShouldBeFalse)
 				_, err = ask(service, 1)
 				So(err, ShouldBeNil)
--- a/internal/control/reports.go
+++ b/internal/control/reports.go
@@ -11,27 +11,27 @@
 )
 
 // told is what another control process has told over one connection.
-type told struct {
-	since    time.Duration               // first heard
-	gateways map[string]protocol.Process // that poll there, by node
-	servers  *protocol.ServerList
+type peerSession struct {
+	firstContactAt time.Duration               // first heard
+	gateways       map[string]protocol.Process // that poll there, by node
+	servers        *protocol.ServerList
 }
 
 // reportLoop tells the other control processes who polls here.
 func (c *Control) reportLoop() {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		select {
 		case <-ticker.C:
-		case <-c.ended.Done():
+		case <-c.ctx.Done():
 			return
 		}
 		c.peers.refresh()
 		gateways, batch := c.pollers()
 		head := hostOf(c.replica.View().Head().Address)
-		c.peers.tell(head, round%othersEvery == 0, gateways, batch)
-		wake(c.changed) // gateways that fell silent leave the list
+		c.peers.report(head, round%reportsPerBroadcast == 0, gateways, batch)
+		wake(c.wakePush) // gateways that fell silent leave the list
 	}
 }
 
@@ -43,12 +43,12 @@
 	gateways := make(map[string]protocol.Process, len(c.subscribers))
 	var batch []peerBatch
 	for _, one := range c.subscribers {
-		heard, known := c.presence.Newest(one.process)
+		heard, known := c.liveness.LastContact(one.process)
 		switch {
-		case !known || now-heard.At > liveness.GatewayTime:
+		case !known || now-heard.At > liveness.GatewayTimeout:
 		case one.process.Role == protocol.RoleBatch:
 			batch = append(batch, peerBatch{Process: heard.Process, Ready: heard.Ready, Report: heard.Batch, Ago: now - heard.At})
-		case one.process.Role == protocol.RoleGateway && now-one.polledAt <= gatewayQuiet:
+		case one.process.Role == protocol.RoleGateway && now-one.lastPollAt <= gatewayPollTimeout:
 			gateways[one.process.Node] = one.process
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // gatewayQuiet is how long a gateway that stays connected may go without a poll before it is told to be gone.
-const gatewayQuiet = 4 * protocol.PollInterval
+const gatewayPollTimeout = 4 * protocol.PollInterval
 
 // handleReport takes in what another control process tells.
 func (c *Control) handleReport(session *transport.Session, report *peerReport) {
@@ -66,47 +66,47 @@
 	}
 	now := c.now()
 	c.mutex.Lock()
-	c.beat()
-	known := c.toldOver(session)
-	if !c.bringsNews(session) {
+	c.checkPause()
+	known := c.peerSessionOf(session)
+	if !c.trustsSession(session) {
 		c.mutex.Unlock()
 		return
 	}
-	news := report.Presence && c.takePresence(known, report, now)
+	news := report.Presence && c.mergePollers(known, report, now)
 	if report.Presence {
-		c.presence.Cover(hostOf(from.Address), now)
+		c.liveness.ReportReceived(hostOf(from.Address), now)
 	}
-	changed := report.Servers != nil && c.takeShared(known, report.Servers, now)
+	changed := report.Servers != nil && c.mergeServers(known, report.Servers, now)
 	c.mutex.Unlock()
 	if news {
 		wake(c.wakeRoles)
 	}
 	if changed {
-		wake(c.changed)
+		wake(c.wakePush)
 	}
 	if report.Servers != nil {
-		wake(c.wakeRead)
+		wake(c.wakeDiscovery)
 	}
 }
 
-func (c *Control) toldOver(session *transport.Session) *told {
-	known := c.told[session]
+func (c *Control) peerSessionOf(session *transport.Session) *peerSession {
+	known := c.peerSessions[session]
 	if known == nil {
-		known = &told{since: c.now(), gateways: map[string]protocol.Process{}}
-		c.told[session] = known
-		session.OnClose(func() { go c.forgetTold(session) })
+		known = &peerSession{firstContactAt: c.now(), gateways: map[string]protocol.Process{}}
+		c.peerSessions[session] = known
+		session.OnClose(func() { go c.removePeerSession(session) })
 	}
 	return known
 }
 
-func (c *Control) forgetTold(session *transport.Session) {
+func (c *Control) removePeerSession(session *transport.Session) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.told, session)
+	delete(c.peerSessions, session)
 }
 
 // takePresence takes in who polls at another process, and tells whether someone is new.
-func (c *Control) takePresence(known *told, report *peerReport, now time.Duration) bool {
+func (c *Control) mergePollers(known *peerSession, report *peerReport, now time.Duration) bool {
 	if report.All {
 		clear(known.gateways)
 	}
@@ -118,17 +118,17 @@
 	}
 	news := false
 	for _, process := range known.gateways {
-		news = c.presence.Observe(liveness.Heard{Process: process, At: now}) || news
+		news = c.liveness.Observe(liveness.Contact{Process: process, At: now}) || news
 	}
 	for _, one := range report.Batch {
-		heard := liveness.Heard{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
-		news = c.presence.Observe(heard) || news
+		heard := liveness.Contact{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
+		news = c.liveness.Observe(heard) || news
 	}
 	return news
 }
 
 // takeShared takes in a list that another process read, and tells whether it changed the one held here.
-func (c *Control) takeShared(known *told, shared *peerServers, now time.Duration) bool {
+func (c *Control) mergeServers(known *peerSession, shared *peerServers, now time.Duration) bool {
 	if shared.List != nil {
 		list, err := serverlist.ApplyUpdate(known.servers, shared.List)
 		if err != nil {
@@ -141,6 +141,6 @@
 		return false
 	}
 	readAt := now - max(shared.Ago, 0)
-	c.schedule.Received(readAt, shared.Took, shared.Rank)
-	return c.servers.take(discovery.List{Servers: known.servers.Servers, Digest: shared.Digest}, readAt)
+	c.schedule.ListReceived(readAt, shared.Took, shared.Rank)
+	return c.servers.update(discovery.List{Servers: known.servers.Servers, Digest: shared.Digest}, readAt)
 }
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -17,47 +17,47 @@
 
 // Times of the roles that one process has at a time.
 const (
-	rolesEvery  = 200 * time.Millisecond
-	roleAttempt = 2 * time.Second
+	rolesInterval  = 200 * time.Millisecond
+	proposeTimeout = 2 * time.Second
 )
 
 // rolesLoop does what falls to the process that leads the chain: it keeps the set of batch processes.
 func (c *Control) rolesLoop() {
-	ticker := time.NewTicker(rolesEvery)
+	ticker := time.NewTicker(rolesInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 		case <-c.wakeRoles:
-		case <-c.ended.Done():
+		case <-c.ctx.Done():
 			return
 		}
 		for _, command := range c.storeCommands() {
-			c.proposeRole(command)
+			c.proposeStoreCommand(command)
 		}
-		c.keepLending()
+		c.updateGrants()
 	}
 }
 
 // storeCommands gives what the set of batch processes needs now.
 func (c *Control) storeCommands() []statemachine.Command {
 	epoch, _, leads := c.replica.Lead()
-	stores := c.machine.Stores()
+	stores := c.state.Stores()
 	others := c.otherControls()
 	now := c.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.presence.Lead(now, epoch, leads)
-	c.presence.Forget(now)
+	c.liveness.SetLeadership(now, epoch, leads)
+	c.liveness.Expire(now)
 	var commands []statemachine.Command
-	if joins := c.presence.Joins(now, stores, c.admission); len(joins) > 0 {
-		commands = append(commands, statemachine.Command{Join: &statemachine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.presence.ActedIn(joins)}})
+	if joins := c.liveness.Joins(now, stores, c.admission); len(joins) > 0 {
+		commands = append(commands, statemachine.Command{Join: &statemachine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.liveness.LastEpochActedIn(joins)}})
 	}
 	commands = append(commands, c.evictions(now, stores, others)...)
-	if c.presence.Settled(now, stores, c.settings.Tolerance.Machines) {
+	if c.liveness.Reconciled(now, stores, c.settings.Tolerance.Machines) {
 		commands = append(commands, statemachine.Command{Settle: &statemachine.Settle{Epoch: stores.Epoch}})
 	}
-	for _, member := range c.presence.Emptied(now, stores) {
+	for _, member := range c.liveness.Drained(now, stores) {
 		commands = append(commands, statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch}})
 	}
 	return commands
@@ -66,10 +66,10 @@
 // admission tells whether a batch process may join the set. An order to let one in that may not would do nothing, again and again.
 func (c *Control) admission(process protocol.Process) liveness.Admission {
 	switch {
-	case !c.machine.MayJoin(process):
-		return liveness.Refused
-	case c.machine.Retirement(process.Node) == statemachine.RetirementCompleted:
-		return liveness.AdmittedLater
+	case !c.state.MayJoin(process):
+		return liveness.NotAdmitted
+	case c.state.Retirement(process.Node) == statemachine.RetirementCompleted:
+		return liveness.AdmittedAfterDelay
 	}
 	return liveness.Admitted
 }
@@ -80,13 +80,13 @@
 	var suspicions []liveness.Suspicion
 	ripe := map[string]uint64{}
 	for _, member := range stores.Members {
-		number := c.machine.Suspicion(member.Node, member.Incarnation)
+		number := c.state.Suspicion(member.Node, member.Incarnation)
 		suspicions = append(suspicions, liveness.Suspicion{Member: member, Number: number})
-		if c.presence.Ripe(now, number) {
+		if c.liveness.SuspicionExpired(now, number) {
 			ripe[member.Node] = number
 		}
 	}
-	silent, back := c.presence.Suspects(now, suspicions, others)
+	silent, back := c.liveness.Suspects(now, suspicions, others)
 	var commands []statemachine.Command
 	for _, member := range back {
 		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true}})
@@ -94,7 +94,7 @@
 	for _, member := range silent {
 		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation}})
 	}
-	for _, member := range c.presence.Evictions(now, stores, others) {
+	for _, member := range c.liveness.Evictions(now, stores, others) {
 		if number := ripe[member.Node]; number != 0 {
 			commands = append(commands, statemachine.Command{Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number}})
 		}
@@ -124,29 +124,29 @@
 }
 
 // keepLending keeps the record of who lends quota to whom.
-func (c *Control) keepLending() {
-	change := c.quota.Change()
+func (c *Control) updateGrants() {
+	change := c.quota.NextChange()
 	if change == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.ended, roleAttempt)
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
-	outcome := c.proposeLending(ctx, change)
-	c.quota.Changed(change, outcome)
+	outcome := c.proposeGrants(ctx, change)
+	c.quota.ChangeDone(change, outcome)
 	if outcome != nil && outcome.Taken && change.Begin {
 		c.log.Info().Str("before", outcome.Before.Member).Int("nodes", len(outcome.Nodes)).Msg("lends-quota")
 	}
 }
 
 // endLending hands the lending of quota on.
-func (c *Control) endLending(ctx context.Context) {
-	if change := c.quota.End(); change != nil {
-		c.proposeLending(ctx, change)
+func (c *Control) releaseGrants(ctx context.Context) {
+	if change := c.quota.Release(); change != nil {
+		c.proposeGrants(ctx, change)
 	}
 }
 
 // proposeLending proposes a change of the record; nil: what came of it isn't known, and the next round looks again.
-func (c *Control) proposeLending(ctx context.Context, change *statemachine.Lending) *statemachine.LendingOutcome {
+func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	raw, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("lending-command")
@@ -164,13 +164,13 @@
 }
 
 // proposeRole proposes a command. Whatever comes of it, the next round looks again at what is needed.
-func (c *Control) proposeRole(command statemachine.Command) {
+func (c *Control) proposeStoreCommand(command statemachine.Command) {
 	raw, err := command.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("store-set-command")
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.ended, roleAttempt)
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
 	_, err = c.replica.Propose(ctx, "stores-"+randomName(), raw)
 	if err != nil && !errors.Is(err, replica.ErrClosed) {
@@ -192,29 +192,29 @@
 	case command.Settle != nil:
 		event = event.Uint64("settled", command.Settle.Epoch)
 	}
-	event.Uint64("epoch", c.machine.Stores().Epoch).Msg("store-set")
+	event.Uint64("epoch", c.state.Stores().Epoch).Msg("store-set")
 }
 
 // gatewaysPause is the least time between two lists of processes that differ in gateways only: many start together.
-const gatewaysPause = time.Second
+const minGatewayListInterval = time.Second
 
 // refreshMembers brings the list of processes up to date.
 func (c *Control) refreshMembers() {
 	next := protocol.MemberList{Control: c.controlMembers(), QuotaAddress: c.quotaAddress()}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	next.Stores = c.machine.Stores()
-	next.Gateways = c.members.Gateways
-	if now := c.now(); c.members.Version == 0 || now-c.gatewaysAt >= gatewaysPause {
-		next.Gateways = c.presence.Gateways(now)
-		c.gatewaysAt = now
-	}
-	next.Version = c.members.Version
-	if next.Version > 0 && reflect.DeepEqual(next, c.members) {
+	next.Stores = c.state.Stores()
+	next.Gateways = c.memberList.Gateways
+	if now := c.now(); c.memberList.Version == 0 || now-c.gatewaysListedAt >= minGatewayListInterval {
+		next.Gateways = c.liveness.Gateways(now)
+		c.gatewaysListedAt = now
+	}
+	next.Version = c.memberList.Version
+	if next.Version > 0 && reflect.DeepEqual(next, c.memberList) {
 		return
 	}
 	next.Version++
-	c.members = next
+	c.memberList = next
 }
 
 // controlMembers gives the control processes that are known. The zone is known of those that are connected.
--- a/internal/control/schema/schema.go
+++ b/internal/control/schema/schema.go
@@ -22,16 +22,16 @@
 var source string
 
 // findingsMost bounds how many findings of one document are told.
-const findingsMost = 100
+const maxFindings = 100
 
 // bytesMost bounds the texts that are checked here: CUE takes 0.35 ms and 45 KB a route. Longer ones have only the check in
 // package configuration, which names the first fault of each item in place of all.
-const bytesMost = 512 << 10
+const maxCheckedBytes = 512 << 10
 
 // Check gives what is wrong with the shape of a document, or of a patch. A context of CUE keeps what it has seen, so each check
 // has one of its own.
 func Check(body []byte, patch bool) node.Findings {
-	if len(body) > bytesMost {
+	if len(body) > maxCheckedBytes {
 		return nil
 	}
 	context := cuecontext.New()
@@ -40,12 +40,12 @@
 	if err != nil {
 		return findings(err)
 	}
-	shape := definitions.LookupPath(cue.ParsePath(definition(patch)))
+	shape := definitions.LookupPath(cue.ParsePath(definitionName(patch)))
 	value := shape.Unify(context.BuildExpr(expression))
 	return findings(value.Validate(cue.Concrete(true), cue.All()))
 }
 
-func definition(patch bool) string {
+func definitionName(patch bool) string {
 	if patch {
 		return "#Patch"
 	}
@@ -55,11 +55,11 @@
 func findings(err error) node.Findings {
 	var list node.Findings
 	for _, one := range errors.Errors(err) {
-		if len(list) == findingsMost {
+		if len(list) == maxFindings {
 			list.Addf("", "and more")
 			break
 		}
-		if found := finding(one); !aboutAlternative(found.Text) {
+		if found := finding(one); !fromNullAlternative(found.Text) {
 			list = append(list, found)
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // aboutAlternative tells what is said only because null would have been allowed too; the fault itself stands beside it.
-func aboutAlternative(text string) bool {
+func fromNullAlternative(text string) bool {
 	return strings.Contains(text, "errors in empty disjunction") || strings.HasSuffix(text, "and null)")
 }
 
--- a/internal/control/server_table.go
+++ b/internal/control/server_table.go
@@ -10,7 +10,7 @@
 )
 
 // differencesMost is how many versions back a difference is made; who is further behind gets the whole list.
-const differencesMost = 64
+const maxDifferences = 64
 
 // serverTable is the newest list of servers, as this process numbers it, with what led to it.
 type serverTable struct {
@@ -21,7 +21,7 @@
 }
 
 // take takes a list in, and tells whether its content changed.
-func (t *serverTable) take(list discovery.List, readAt time.Duration) bool {
+func (t *serverTable) update(list discovery.List, readAt time.Duration) bool {
 	if t.version > 0 && readAt < t.readAt {
 		return false
 	}
@@ -29,7 +29,7 @@
 	if t.version > 0 && t.list.Digest == list.Digest {
 		return false
 	}
-	if len(t.differences) == differencesMost {
+	if len(t.differences) == maxDifferences {
 		t.differences = slices.Delete(t.differences, 0, 1)
 	}
 	t.differences = append(t.differences, serverlist.Diff(t.list.Servers, list.Servers))
@@ -39,7 +39,7 @@
 }
 
 // since gives what leads from a version to the newest. False: that isn't kept, or the whole list is no longer.
-func (t *serverTable) since(version uint64) (serverlist.Delta, bool) {
+func (t *serverTable) differenceFrom(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
 	if version == 0 || version > t.version || behind > uint64(len(t.differences)) {
 		return serverlist.Delta{}, false
@@ -52,9 +52,9 @@
 }
 
 // message gives what a subscriber with a version lacks, with the time that servers stay cold brought up to date.
-func (t *serverTable) message(source string, version uint64, now time.Duration) *protocol.ServerList {
+func (t *serverTable) messageFrom(source string, version uint64, now time.Duration) *protocol.ServerList {
 	message := &protocol.ServerList{Version: t.version, Source: source}
-	if difference, kept := t.since(version); kept {
+	if difference, kept := t.differenceFrom(version); kept {
 		message.Base, message.Servers, message.Removed = version, difference.Changed, difference.Removed
 	} else {
 		message.Servers = slices.Clone(t.list.Servers)
--- a/internal/control/server_table_test.go
+++ b/internal/control/server_table_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
 		followers := make([]*protocol.ServerList, 3)
-		for step := range 3 * differencesMost {
+		for step := range 3 * maxDifferences {
 			var servers []protocol.Server
 			for id := range 6 {
 				if slots := rapid.IntRange(0, 2).Draw(t, "slots"); slots > 0 {
@@ -26,7 +26,7 @@
 				}
 			}
 			version := table.version
-			changed := table.take(discovery.NewList(servers), time.Duration(step))
+			changed := table.update(discovery.NewList(servers), time.Duration(step))
 			if changed != (table.version == version+1) {
 				t.Fatal("the version doesn't tell of a change")
 			}
@@ -38,7 +38,7 @@
 			if followers[one] != nil {
 				has = followers[one].Version
 			}
-			next, err := serverlist.ApplyUpdate(followers[one], table.message("a", has, time.Duration(step)))
+			next, err := serverlist.ApplyUpdate(followers[one], table.messageFrom("a", has, time.Duration(step)))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/control/servers.go
+++ b/internal/control/servers.go
@@ -15,8 +15,8 @@
 	for {
 		select {
 		case <-timer.C:
-		case <-c.wakeRead:
-		case <-c.ended.Done():
+		case <-c.wakeDiscovery:
+		case <-c.ctx.Done():
 			return
 		}
 		if c.nextRead() <= c.now() {
@@ -27,15 +27,15 @@
 }
 
 func (c *Control) nextRead() time.Duration {
-	rank := c.rank()
+	rank := c.readerRank()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.schedule.Rank(rank)
-	return c.schedule.Next()
+	c.schedule.SetRank(rank)
+	return c.schedule.NextRead()
 }
 
 // rank gives this process's place among those of the chain, by their addresses.
-func (c *Control) rank() int {
+func (c *Control) readerRank() int {
 	self := c.replica.Self()
 	rank := 0
 	for _, member := range c.replica.View().Chain {
@@ -48,7 +48,7 @@
 
 func (c *Control) readServers() {
 	began := c.now()
-	list, err := c.reader.Read(c.ended)
+	list, err := c.reader.Read(c.ctx)
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -57,24 +57,24 @@
 		return
 	}
 	c.mutex.Lock()
-	c.schedule.Read(began, c.now()-began)
-	changed := c.servers.take(list, began)
+	c.schedule.ReadSucceeded(began, c.now()-began)
+	changed := c.servers.update(list, began)
 	c.mutex.Unlock()
-	c.peers.shareServers()
+	c.peers.sendServers()
 	if changed {
 		c.log.Info().Int("servers", len(list.Servers)).Msg("servers-changed")
-		wake(c.changed)
+		wake(c.wakePush)
 	}
 }
 
 func (c *Control) readFailed(err error) {
-	var rate *discovery.RateError
+	var rate *discovery.RateLimitError
 	var patience time.Duration
 	if errors.As(err, &rate) {
 		patience = rate.RetryAfter
 	}
 	c.mutex.Lock()
-	c.schedule.Failed(c.now(), patience)
+	c.schedule.ReadFailed(c.now(), patience)
 	c.mutex.Unlock()
 	c.log.Warn().Err(err).Msg("servers-not-read")
 }
--- a/internal/control/standstill_test.go
+++ b/internal/control/standstill_test.go
@@ -13,7 +13,7 @@
 func (c *Control) standStill(span time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.still.beatAt -= span
+	c.pauses.lastRanAt -= span
 }
 
 // anySession gives a session of the connections of others.
@@ -40,23 +40,23 @@
 func (c *Control) hears(process protocol.Process) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	_, known := c.presence.Newest(process)
+	_, known := c.liveness.LastContact(process)
 	return known
 }
 
 // TestStandstill checks that what lay in the sockets of a process that stood still isn't taken for news, and that the next
 // connections bring some.
 func TestStandstill(t *testing.T) {
-	for _, span := range []time.Duration{standstillMost / 2, 20 * time.Second} {
+	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newBubbleSystem(t, 3, nil)
 				store := s.follow(t, 0, storeProcess(1, "a"))
 				eventually(t, "a lease", store.see(func() bool { return store.grant.Lease > 0 }))
 				c := s.running[0]
-				awaitSession(t, c, c.told)
+				awaitSession(t, c, c.peerSessions)
 				subscriber := awaitSession(t, c, c.subscribers)
-				short := span < standstillMost
+				short := span < maxPause
 
 				c.standStill(span)
 				c.handlePoll(subscriber, protocol.Poll{Process: storeProcess(2, "old")})
@@ -64,7 +64,7 @@
 					t.Errorf("after %v, a poll from before was taken for news: %t", span, !short)
 				}
 				synctest.Wait() // the sessions that the pause ended are gone
-				reporter := awaitSession(t, c, c.told)
+				reporter := awaitSession(t, c, c.peerSessions)
 				c.standStill(span)
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
 				c.handleReport(reporter, report)
@@ -72,7 +72,7 @@
 					t.Errorf("after %v, a report from before was taken for news: %t", span, !short)
 				}
 				time.Sleep(time.Second)
-				c.handleReport(awaitSession(t, c, c.told), report)
+				c.handleReport(awaitSession(t, c, c.peerSessions), report)
 				if !c.hears(storeProcess(3, "old")) {
 					t.Error("a report over a new connection isn't taken in")
 				}
--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -21,7 +21,7 @@
 	Retire        *Retire
 	Retired       *Retired
 	Settle        *Settle
-	Lending       *Lending
+	Lending       *GrantsChange
 }
 
 // Join takes batch processes into the set. A member with the same node or address and another incarnation goes: its disk was
@@ -71,7 +71,7 @@
 type Outcome struct {
 	Configuration *configuration.Result
 	Store         StoreOutcome
-	Lending       *LendingOutcome
+	Lending       *GrantsOutcome
 }
 
 // StoreOutcome is what came of a command on the set of batch processes.
--- a/internal/control/statemachine/golden_test.go
+++ b/internal/control/statemachine/golden_test.go
@@ -10,5 +10,5 @@
 func TestGolden(t *testing.T) {
 	golden.Gob[Command](t, "command")
 	golden.Gob[Outcome](t, "outcome")
-	golden.Gob[image](t, "snapshot")
+	golden.Gob[snapshot](t, "snapshot")
 }
--- a/internal/control/statemachine/machine.go
+++ b/internal/control/statemachine/machine.go
@@ -8,25 +8,25 @@
 )
 
 // Machine is the chain's state machine. It is safe for concurrent use: the chain applies, others read.
-type Machine struct {
+type StateMachine struct {
 	mutex         sync.RWMutex
 	configuration *configuration.State
-	stores        *storeSet
-	lending       lending
+	stores        *membership
+	grants        grantRecord
 	onChange      func()
 }
 
 // New gives the state before the first order.
-func New() *Machine {
-	return &Machine{configuration: configuration.NewState(), stores: newStoreSet(), onChange: func() {}}
+func New() *StateMachine {
+	return &StateMachine{configuration: configuration.NewState(), stores: newMembership(), onChange: func() {}}
 }
 
 // OnChange has a function called after each order and each restoration. It must be set before the first, and return soon.
-func (m *Machine) OnChange(call func()) { m.onChange = call }
+func (m *StateMachine) OnChange(call func()) { m.onChange = call }
 
 // Apply carries out the order with an index and gives its Outcome, encoded. An order that can't be read changes nothing: every
 // replica reads the same bytes.
-func (m *Machine) Apply(index uint64, order []byte) []byte {
+func (m *StateMachine) Apply(index uint64, order []byte) []byte {
 	var command Command
 	if decode(order, &command) != nil {
 		return nil
@@ -42,7 +42,7 @@
 	return raw
 }
 
-func (m *Machine) apply(index uint64, command Command) Outcome {
+func (m *StateMachine) apply(index uint64, command Command) Outcome {
 	switch {
 	case command.Configuration != nil:
 		result := m.configuration.Apply(index, *command.Configuration)
@@ -58,29 +58,29 @@
 	case command.Retired != nil:
 		return Outcome{Store: m.stores.retired(command.Retired)}
 	case command.Settle != nil:
-		return Outcome{Store: m.stores.settle(command.Settle)}
+		return Outcome{Store: m.stores.reconcile(command.Settle)}
 	case command.Lending != nil:
-		return Outcome{Lending: m.lending.apply(command.Lending)}
+		return Outcome{Lending: m.grants.apply(command.Lending)}
 	}
 	return Outcome{}
 }
 
 // image is the form of a Machine in a snapshot.
-type image struct {
+type snapshot struct {
 	Configuration []byte
-	Stores        storeImage
-	Lending       lending
+	Stores        membershipSnapshot
+	Lending       grantRecord
 }
 
 // Snapshot gives the state's form.
-func (m *Machine) Snapshot() []byte {
+func (m *StateMachine) Snapshot() []byte {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	raw, err := m.configuration.Encode()
 	if err != nil {
 		return nil
 	}
-	whole, err := encode(image{Configuration: raw, Stores: m.stores.image(), Lending: m.lending})
+	whole, err := encode(snapshot{Configuration: raw, Stores: m.stores.snapshot(), Lending: m.grants})
 	if err != nil {
 		return nil
 	}
@@ -88,8 +88,8 @@
 }
 
 // Restore replaces the state by one that Snapshot gave.
-func (m *Machine) Restore(raw []byte) error {
-	var form image
+func (m *StateMachine) Restore(raw []byte) error {
+	var form snapshot
 	if err := decode(raw, &form); err != nil {
 		return err
 	}
@@ -99,64 +99,64 @@
 	}
 	m.mutex.Lock()
 	m.configuration = state
-	m.stores = restoreStores(form.Stores)
-	m.lending = form.Lending
+	m.stores = restoreMembership(form.Stores)
+	m.grants = form.Lending
 	m.mutex.Unlock()
 	m.onChange()
 	return nil
 }
 
 // Configuration gives the version in force here. Its Generation is 0 before the first.
-func (m *Machine) Configuration() *configuration.Version {
+func (m *StateMachine) Configuration() *configuration.Version {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Current()
 }
 
 // Since gives what leads from a version of the configuration to the one in force, or nil.
-func (m *Machine) Since(index uint64) *protocol.ConfigurationUpdate {
+func (m *StateMachine) ConfigurationSince(index uint64) *protocol.ConfigurationUpdate {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.UpdateSince(index)
 }
 
 // Evaluate tells what would come of an order of the operator now.
-func (m *Machine) Evaluate(order configuration.ChangeRequest) configuration.Result {
+func (m *StateMachine) Evaluate(order configuration.ChangeRequest) configuration.Result {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Evaluate(order)
 }
 
 // Stores gives the agreed set of batch processes.
-func (m *Machine) Stores() protocol.StoreView {
+func (m *StateMachine) Stores() protocol.StoreView {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.view()
 }
 
 // MayJoin tells whether an order to let a batch process into the set would.
-func (m *Machine) MayJoin(process protocol.Process) bool {
+func (m *StateMachine) MayJoin(process protocol.Process) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.mayJoin(m.stores.members, process)
 }
 
 // Suspicion gives the number of the suspicion that a life of a batch process is under, 0 for none.
-func (m *Machine) Suspicion(node, incarnation string) uint64 {
+func (m *StateMachine) Suspicion(node, incarnation string) uint64 {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.stores.suspicion(node, incarnation)
+	return m.stores.suspicionNumber(node, incarnation)
 }
 
 // Retirement tells how far a batch process's retirement is.
-func (m *Machine) Retirement(node string) Retirement {
+func (m *StateMachine) Retirement(node string) Retirement {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.stores.retirement(node)
+	return m.stores.retirementState(node)
 }
 
 // Remembered tells what is remembered of the operator's order with a digest.
-func (m *Machine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
+func (m *StateMachine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.StatusOf(digest, ifMatch)
--- a/internal/control/statemachine/machine_test.go
+++ b/internal/control/statemachine/machine_test.go
@@ -18,7 +18,7 @@
 	return protocol.Process{Node: fmt.Sprint("s", node), Role: protocol.RoleBatch, IP: fmt.Sprint("10.0.0.", node), Incarnation: fmt.Sprint(incarnation)}
 }
 
-func drawCommand(t *rapid.T, m *Machine) Command {
+func drawCommand(t *rapid.T, m *StateMachine) Command {
 	one := process(rapid.IntRange(0, 3).Draw(t, "node"), rapid.IntRange(0, 2).Draw(t, "incarnation"))
 	switch rapid.IntRange(0, 8).Draw(t, "kind") {
 	case 8:
@@ -155,14 +155,14 @@
 }
 
 func TestMembers(t *testing.T) {
-	apply := func(m *Machine, command Command) Outcome {
+	apply := func(m *StateMachine, command Command) Outcome {
 		raw, err := command.Encode()
 		So(err, ShouldBeNil)
 		outcome, err := DecodeOutcome(m.Apply(1, raw))
 		So(err, ShouldBeNil)
 		return outcome
 	}
-	join := func(m *Machine, list ...protocol.Process) Outcome {
+	join := func(m *StateMachine, list ...protocol.Process) Outcome {
 		return apply(m, Command{Join: &Join{Processes: list}})
 	}
 	Convey("A life with an empty disk takes the place of the former at once", t, func() {
@@ -239,14 +239,14 @@
 
 // TestDeparted plays what the list of those who departed is for.
 func TestDeparted(t *testing.T) {
-	apply := func(m *Machine, command Command) StoreOutcome {
+	apply := func(m *StateMachine, command Command) StoreOutcome {
 		raw, err := command.Encode()
 		So(err, ShouldBeNil)
 		outcome, err := DecodeOutcome(m.Apply(1, raw))
 		So(err, ShouldBeNil)
 		return outcome.Store
 	}
-	join := func(m *Machine, processes ...protocol.Process) {
+	join := func(m *StateMachine, processes ...protocol.Process) {
 		So(apply(m, Command{Join: &Join{Processes: processes}}), ShouldEqual, StoreChanged)
 	}
 	Convey("Who leaves is listed until it is back, or all stood whole in the present epoch", t, func() {
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -196,7 +196,7 @@
 	if least := w.ackedBefore(sent.Add(-update.Age)); held < least {
 		w.failf("%s vouches to %s for version %d at an age of %v, %d was acknowledged", w.settings[at].NodeName, r.process.Node, held, update.Age, least)
 	}
-	if w.isolated == at && sent.Sub(w.since) > freshMost {
+	if w.isolated == at && sent.Sub(w.since) > maxStaleness {
 		w.failf("%s vouches %v after it was cut off", w.settings[at].NodeName, sent.Sub(w.since))
 	}
 	return true
@@ -213,7 +213,7 @@
 		w.mutex.Unlock()
 		for _, one := range running {
 			if one != nil {
-				w.takeMembers(one.machine.Stores())
+				w.takeMembers(one.state.Stores())
 			}
 		}
 		time.Sleep(watchStep)
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -16,13 +16,13 @@
 
 // How the client calls, by the protocol's own figures.
 const (
-	mostRedirects      = 2
-	mostOtherRefusals  = 3 // of statuses of 400 to 499 that are neither final nor to be repeated
-	silence            = time.Second
-	silencePerMegabyte = time.Second // on top, for large bodies
-	firstPause         = 50 * time.Millisecond
-	longestPause       = 800 * time.Millisecond
-	mostAnswerBytes    = 64 << 20
+	maxRedirects        = 2
+	maxOtherRefusals    = 3 // of statuses of 400 to 499 that are neither final nor to be repeated
+	attemptTimeout      = time.Second
+	attemptTimeoutPerMB = time.Second // on top, for large bodies
+	minBackoff          = 50 * time.Millisecond
+	maxBackoff          = 800 * time.Millisecond
+	maxResponseBytes    = 64 << 20
 )
 
 // DefaultTimeout is how long an order is repeated where Client.Timeout is 0.
@@ -55,7 +55,7 @@
 }
 
 // Order is one call.
-type Order struct {
+type Request struct {
 	Method  string
 	Path    string
 	IfMatch string // the version that a change builds on; empty: none
@@ -63,7 +63,7 @@
 }
 
 // Answer is a success.
-type Answer struct {
+type Response struct {
 	Address string // of the control process that answered
 	Status  int
 	Header  http.Header
@@ -71,7 +71,7 @@
 }
 
 // Call sends an order until it is answered. The error is of the types above.
-func (c *Client) Call(ctx context.Context, order Order) (*Answer, error) {
+func (c *Client) Call(ctx context.Context, order Request) (*Response, error) {
 	if len(c.Addresses) == 0 {
 		return nil, Unanswered.New("no address of a control process was given")
 	}
@@ -81,9 +81,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d := &delivery{order: order, pause: firstPause}
+	d := &call{request: order, backoff: minBackoff}
 	for try := 0; ; try++ {
-		answer, err := d.once(ctx, c.Addresses[try%len(c.Addresses)])
+		answer, err := d.attempt(ctx, c.Addresses[try%len(c.Addresses)])
 		if err == nil || errorx.IsOfType(err, Refused) {
 			return answer, err
 		}
@@ -94,17 +94,17 @@
 }
 
 // delivery is an order under way.
-type delivery struct {
-	order         Order
-	pause         time.Duration
+type call struct {
+	request       Request
+	backoff       time.Duration
 	otherRefusals int
 }
 
 // wait pauses before the next try, longer each time; false: the time is over.
-func (d *delivery) wait(ctx context.Context) bool {
-	timer := time.NewTimer(d.pause)
+func (d *call) wait(ctx context.Context) bool {
+	timer := time.NewTimer(d.backoff)
 	defer timer.Stop()
-	d.pause = min(2*d.pause, longestPause)
+	d.backoff = min(2*d.backoff, maxBackoff)
 	select {
 	case <-timer.C:
 		return true
@@ -114,41 +114,41 @@
 }
 
 // once sends the order to one address and on to where that redirects.
-func (d *delivery) once(ctx context.Context, address string) (*Answer, error) {
-	patience := silence + time.Duration(len(d.order.Body)>>20)*silencePerMegabyte
+func (d *call) attempt(ctx context.Context, address string) (*Response, error) {
+	patience := attemptTimeout + time.Duration(len(d.request.Body)>>20)*attemptTimeoutPerMB
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
-	target := "http://" + address + d.order.Path
-	for range mostRedirects + 1 {
+	target := "http://" + address + d.request.Path
+	for range maxRedirects + 1 {
 		response, err := d.send(ctx, target)
 		if err != nil {
 			return nil, err
 		}
-		body, err := io.ReadAll(io.LimitReader(response.Body, mostAnswerBytes))
+		body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 		response.Body.Close()
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode != http.StatusTemporaryRedirect {
-			return d.judge(response, body)
+			return d.classify(response, body)
 		}
 		if target = response.Header.Get("Location"); target == "" {
 			return nil, Unanswered.New("%s redirects without a location", address)
 		}
 	}
-	return nil, Unanswered.New("%s redirects more than %d times", address, mostRedirects)
+	return nil, Unanswered.New("%s redirects more than %d times", address, maxRedirects)
 }
 
-func (d *delivery) send(ctx context.Context, target string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, d.order.Method, target, bytes.NewReader(d.order.Body))
+func (d *call) send(ctx context.Context, target string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, d.request.Method, target, bytes.NewReader(d.request.Body))
 	if err != nil {
 		return nil, err
 	}
-	if len(d.order.Body) > 0 {
+	if len(d.request.Body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if d.order.IfMatch != "" {
-		request.Header.Set("If-Match", d.order.IfMatch)
+	if d.request.IfMatch != "" {
+		request.Header.Set("If-Match", d.request.IfMatch)
 	}
 	client := http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -156,12 +156,12 @@
 	return client.Do(request)
 }
 
-func (d *delivery) judge(response *http.Response, body []byte) (*Answer, error) {
+func (d *call) classify(response *http.Response, body []byte) (*Response, error) {
 	status := response.StatusCode
 	if status >= 200 && status < 300 {
-		return &Answer{Address: response.Request.URL.Host, Status: status, Header: response.Header, Body: body}, nil
+		return &Response{Address: response.Request.URL.Host, Status: status, Header: response.Header, Body: body}, nil
 	}
-	refusal := Refused.New("%s %s: %d %s", d.order.Method, d.order.Path, status, string(bytes.TrimSpace(body))).
+	refusal := Refused.New("%s %s: %d %s", d.request.Method, d.request.Path, status, string(bytes.TrimSpace(body))).
 		WithProperty(statusProperty, status)
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -169,7 +169,7 @@
 		return nil, refusal
 	}
 	if status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-		if d.otherRefusals++; d.otherRefusals >= mostOtherRefusals {
+		if d.otherRefusals++; d.otherRefusals >= maxOtherRefusals {
 			return nil, refusal
 		}
 	}
@@ -177,4 +177,4 @@
 }
 
 // Version gives a version as If-Match holds it.
-func Version(generation uint64) string { return strconv.FormatUint(generation, 10) }
+func IfMatch(generation uint64) string { return strconv.FormatUint(generation, 10) }
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -45,9 +45,9 @@
 	<-r.Context().Done()
 }
 
-func put(addresses ...string) (*Answer, error) {
+func put(addresses ...string) (*Response, error) {
 	client := &Client{Addresses: addresses, Timeout: 3 * time.Second}
-	return client.Call(context.Background(), Order{Method: http.MethodPut, Path: "/config", IfMatch: "5", Body: []byte(`{}`)})
+	return client.Call(context.Background(), Request{Method: http.MethodPut, Path: "/config", IfMatch: "5", Body: []byte(`{}`)})
 }
 
 func TestCall(t *testing.T) {
--- a/internal/lab/system/configuration.go
+++ b/internal/lab/system/configuration.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = f.Operator().Call(ctx, controlclient.Order{
+	_, err = f.Operator().Call(ctx, controlclient.Request{
 		Method:  http.MethodPut,
 		Path:    "/config",
 		IfMatch: strconv.FormatUint(builtOn, 10),
@@ -65,7 +65,7 @@
 // Get reads the newest configuration back.
 func (f *Fleet) Get(ctx context.Context) (configuration.Document, error) {
 	var document configuration.Document
-	answer, err := f.Operator().Call(ctx, controlclient.Order{Method: http.MethodGet, Path: "/config"})
+	answer, err := f.Operator().Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	if err != nil {
 		return document, err
 	}
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -258,7 +258,7 @@
 		t.Error(err)
 	}
 	alone := controlclient.Client{Addresses: []string{endpoint(m.IP, portControl)}, Timeout: 20 * time.Second}
-	if _, err := alone.Call(ctx, controlclient.Order{Method: http.MethodGet, Path: "/config"}); err != nil {
+	if _, err := alone.Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"}); err != nil {
 		t.Errorf("the one that was killed doesn't tell the configuration: %v%s", err, f.lastLines())
 	}
 	close(stop)
