--- a/internal/control/bubble_test.go
+++ b/internal/control/bubble_test.go
@@ -27,29 +27,29 @@
 // bubbleSystem is a system in memory, in virtual time, with the platform and an operator.
 type bubbleSystem struct {
 	*system
-	t       *testing.T
-	network *bubble.Network
-	disks   []*bubble.Disk
-	hosts   []*bubble.Host
-	others  map[string]*bubble.Host // of the operator, of gateways and batch processes
-	mutex   sync.Mutex              // of servers
-	servers string
-	spoil   func(Replica) Replica
-	lenient bool // plants surroundings.leaseSuspects
+	t              *testing.T
+	network        *bubble.Network
+	disks          []*bubble.Disk
+	hosts          []*bubble.Host
+	others         map[string]*bubble.Host // of the operator, of gateways and batch processes
+	mutex          sync.Mutex              // of servers
+	servers        string
+	wrapReplica    func(Replica) Replica
+	leaseSuspected bool // plants surroundings.leaseSuspects
 }
 
 // newBubbleSystem starts three control processes. Call it in a bubble.
 func newBubbleSystem(t *testing.T, seed uint64, spoil func(Replica) Replica) *bubbleSystem {
-	return newSpoiltSystem(t, seed, spoil, false)
+	return newInjectedBugSystem(t, seed, spoil, false)
 }
 
-func newSpoiltSystem(t *testing.T, seed uint64, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
+func newInjectedBugSystem(t *testing.T, seed uint64, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
 	return newSizedSystem(t, seed, 3, 1, spoil, lenient)
 }
 
 // newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance says.
 func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
-	s := &bubbleSystem{system: &system{running: make([]*Control, members)}, t: t, spoil: spoil, lenient: lenient, network: bubble.New(seed), others: map[string]*bubble.Host{}}
+	s := &bubbleSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.New(seed), others: map[string]*bubble.Host{}}
 	s.dialFrom = func(ip string) func(context.Context, string) (net.Conn, error) { return s.host(ip).Dial }
 	s.client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -110,7 +110,7 @@
 // begin starts a control process.
 func (s *bubbleSystem) begin(i int) {
 	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
-	around := &environment{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), wrapReplica: s.spoil, leaseSuspected: s.lenient}
+	around := &environment{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), wrapReplica: s.wrapReplica, leaseSuspected: s.leaseSuspected}
 	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: around})
 	if err != nil {
 		s.t.Fatal(err)
@@ -143,7 +143,7 @@
 }
 
 // cut cuts a control process off from the others.
-func (s *bubbleSystem) cut(victim int, out, in bool) {
+func (s *bubbleSystem) partition(victim int, out, in bool) {
 	for i := range s.settings {
 		if i != victim && out {
 			s.network.Partition(s.settings[victim].IP, s.settings[i].IP)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -36,18 +36,18 @@
 }
 
 func TestSystem(t *testing.T) {
-	cloud := newPlatform(t)
+	cloud := newFakePlatform(t)
 	s := newSystem(t, strings.TrimPrefix(cloud.URL, "http://"))
-	gateway := s.follow(t, 1, protocol.Process{Node: "front-9", Role: protocol.RoleGateway, Zone: "z1", IP: "127.0.0.9", Incarnation: "x"})
+	gateway := s.startPoller(t, 1, protocol.Process{Node: "front-9", Role: protocol.RoleGateway, Zone: "z1", IP: "127.0.0.9", Incarnation: "x"})
 	if status := s.put(t, "PUT", "0", document); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(t, "the configuration at the gateway", gateway.see(func() bool { return gateway.configuration.Current().Generation == 7 }))
-	eventually(t, "the list of servers at the gateway", gateway.see(func() bool { return gateway.servers != nil && len(gateway.servers.Servers) == 2 }))
-	eventually(t, "the list of processes at the gateway", gateway.see(func() bool {
+	eventually(t, "the configuration at the gateway", gateway.locked(func() bool { return gateway.configuration.Current().Generation == 7 }))
+	eventually(t, "the list of servers at the gateway", gateway.locked(func() bool { return gateway.servers != nil && len(gateway.servers.Servers) == 2 }))
+	eventually(t, "the list of processes at the gateway", gateway.locked(func() bool {
 		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 && gateway.members.QuotaAddress != ""
 	}))
-	eventually(t, "that control vouches", gateway.see(func() bool { return gateway.fresh }))
+	eventually(t, "that control vouches", gateway.locked(func() bool { return gateway.fresh }))
 	for i := range s.running {
 		eventually(t, "the configuration read back", func() bool {
 			status, body := s.call(i, "GET", "/config", "", "")
@@ -55,13 +55,13 @@
 		})
 	}
 	cloud.set(`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`)
-	eventually(t, "the draining server at the gateway, as a difference", gateway.see(func() bool {
+	eventually(t, "the draining server at the gateway, as a difference", gateway.locked(func() bool {
 		return gateway.servers.Servers[0].Draining && !gateway.servers.Servers[1].Draining && gateway.differences > 0
 	}))
 	if status := s.put(t, "PATCH", "7", `{"generation":9}`); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(t, "the change at the gateway", gateway.see(func() bool { return gateway.configuration.Current().Generation == 9 }))
+	eventually(t, "the change at the gateway", gateway.locked(func() bool { return gateway.configuration.Current().Generation == 9 }))
 
 	s.stop(0)
 	if status := s.put(t, "PATCH", "9", `{"generation":10}`); status != 200 {
@@ -81,14 +81,14 @@
 
 func TestStores(t *testing.T) {
 	s := newSystem(t, "")
-	stores := map[string]*follower{}
+	stores := map[string]*simulatedPoller{}
 	for i, name := range []string{"store-1", "store-2", "store-3"} {
-		stores[name] = s.follow(t, i, protocol.Process{Node: name, Role: protocol.RoleBatch, IP: "127.0.0." + name, Incarnation: "a"})
+		stores[name] = s.startPoller(t, i, protocol.Process{Node: name, Role: protocol.RoleBatch, IP: "127.0.0." + name, Incarnation: "a"})
 	}
 	for name, one := range stores {
-		eventually(t, "a grant for "+name, one.see(func() bool { return one.grant.Member && one.grant.Lease > 0 }))
+		eventually(t, "a grant for "+name, one.locked(func() bool { return one.grant.Member && one.grant.Lease > 0 }))
 	}
-	eventually(t, "the whole set", stores["store-1"].see(func() bool {
+	eventually(t, "the whole set", stores["store-1"].locked(func() bool {
 		return stores["store-1"].members != nil && len(stores["store-1"].members.Stores.Members) == 3
 	}))
 	eventually(t, "the retirement taken", func() bool {
@@ -107,8 +107,8 @@
 		_, body := s.call(0, "GET", "/retire/store-2", "", "")
 		return strings.Contains(body, "completed")
 	})
-	stores["store-3"].silent.Store(true)
-	eventually(t, "the silent store evicted", stores["store-1"].see(func() bool {
+	stores["store-3"].paused.Store(true)
+	eventually(t, "the silent store evicted", stores["store-1"].locked(func() bool {
 		for _, member := range stores["store-1"].members.Stores.Members {
 			if member.Node == "store-3" {
 				return false
@@ -116,15 +116,15 @@
 		}
 		return true
 	}))
-	stores["store-3"].silent.Store(false)
-	eventually(t, "the store back", stores["store-3"].see(func() bool { return stores["store-3"].grant.Member }))
+	stores["store-3"].paused.Store(false)
+	eventually(t, "the store back", stores["store-3"].locked(func() bool { return stores["store-3"].grant.Member }))
 }
 
 // TestQuota asks the allocator for tokens, over the address that the list of processes names, before and after its process ends.
 func TestQuota(t *testing.T) {
 	s := newSystem(t, "")
 	gateway := protocol.Process{Node: "front-9", Role: protocol.RoleGateway, IP: "127.0.0.9", Incarnation: "x"}
-	f := s.follow(t, 1, gateway)
+	f := s.startPoller(t, 1, gateway)
 	limited := strings.Replace(document, `"x":1.50`, `"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]`, 1)
 	if status := s.put(t, "PUT", "0", limited); status != 200 {
 		t.Fatal(status)
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -14,31 +14,33 @@
 // cutFor is how long a control machine is cut off, and settledAfter how long after the cut it may still vouch: its last proof is
 // good for freshMost, and an answer is on its way.
 const (
-	cutFor       = 20 * time.Second
-	settledAfter = maxStaleness + 50*time.Millisecond
+	partitionLength  = 20 * time.Second
+	stalenessElapsed = maxStaleness + 50*time.Millisecond
 )
 
-const limitedDocument = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]}`
+const quotaDocument = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]}`
 
 // cutCase says who is cut off and how.
-type cutCase struct {
+type partitionCase struct {
 	head, out, in bool
 }
 
-func (c cutCase) String() string { return fmt.Sprintf("head %t, out %t, in %t", c.head, c.out, c.in) }
+func (c partitionCase) String() string {
+	return fmt.Sprintf("head %t, out %t, in %t", c.head, c.out, c.in)
+}
 
 // cutScene is a system in which one control process is cut off.
-type cutScene struct {
+type partitionTest struct {
 	*bubbleSystem
 	victim, other int
-	gateway       *follower // that polls the victim all the time
-	stores        []*follower
-	broken        []string
+	gateway       *simulatedPoller // that polls the victim all the time
+	stores        []*simulatedPoller
+	violations    []string
 }
 
 // failf notes a broken check.
-func (s *cutScene) failf(format string, arguments ...any) {
-	s.broken = append(s.broken, fmt.Sprintf(format, arguments...))
+func (s *partitionTest) failf(format string, arguments ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
 func gatewayProcess(number int) protocol.Process {
@@ -49,9 +51,9 @@
 	return protocol.Process{Node: fmt.Sprint("store-", number), Role: protocol.RoleBatch, IP: fmt.Sprint("10.0.4.", number), Incarnation: incarnation}
 }
 
-func newCutScene(t *testing.T, one cutCase, spoil func(Replica) Replica) *cutScene {
-	s := &cutScene{bubbleSystem: newBubbleSystem(t, 1, spoil)}
-	if status := s.put(t, "PUT", "0", limitedDocument); status != 200 {
+func newPartitionTest(t *testing.T, one partitionCase, spoil func(Replica) Replica) *partitionTest {
+	s := &partitionTest{bubbleSystem: newBubbleSystem(t, 1, spoil)}
+	if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
 	eventually(t, "a head", func() bool { return s.head() >= 0 })
@@ -60,29 +62,29 @@
 		s.victim = (s.victim + 1) % 3
 	}
 	s.other = (s.victim + 1) % 3
-	s.gateway = s.follow(t, s.victim, gatewayProcess(1))
+	s.gateway = s.startPoller(t, s.victim, gatewayProcess(1))
 	for i := range 4 {
 		at := s.other
 		if i == 3 {
 			at = s.victim
 		}
-		s.stores = append(s.stores, s.follow(t, at, storeProcess(i, "a")))
+		s.stores = append(s.stores, s.startPoller(t, at, storeProcess(i, "a")))
 	}
 	for i, store := range s.stores {
-		eventually(t, fmt.Sprint("the lease of store ", i), store.see(func() bool { return store.grant.Member && store.grant.Lease > 0 }))
+		eventually(t, fmt.Sprint("the lease of store ", i), store.locked(func() bool { return store.grant.Member && store.grant.Lease > 0 }))
 	}
-	eventually(t, "that the gateway is served", s.gateway.see(func() bool {
+	eventually(t, "that the gateway is served", s.gateway.locked(func() bool {
 		return s.gateway.fresh && s.gateway.configuration.Current().Generation == 7 && s.gateway.servers != nil
 	}))
 	return s
 }
 
 // tellsNothing checks all that the process that is cut off could tell.
-func (s *cutScene) tellsNothing(sequence uint64) {
+func (s *partitionTest) checkAnswersNothing(sequence uint64) {
 	for _, call := range []struct{ method, path, ifMatch, body string }{
 		{"GET", "/config", "", ""},
-		{"PUT", "/config", "0", limitedDocument}, // taken before
-		{"PUT", "/config", "7", limitedDocument}, // its generation doesn't rise here
+		{"PUT", "/config", "0", quotaDocument}, // taken before
+		{"PUT", "/config", "7", quotaDocument}, // its generation doesn't rise here
 		{"PATCH", "/config", "7", `{"generation":8}`},
 		{"PATCH", "/config", "3", `{"generation":8}`}, // stale here
 		{"PATCH", "/config", "7", `{"generation":8`},
@@ -93,11 +95,11 @@
 			s.failf("%s %s If-Match %s at the one that is cut off: %d %s", call.method, call.path, call.ifMatch, status, body)
 		}
 	}
-	if s.gateway.see(func() bool { return s.gateway.fresh })() {
+	if s.gateway.locked(func() bool { return s.gateway.fresh })() {
 		s.failf("it vouches for what it knows")
 	}
 	store := s.stores[3]
-	if store.see(func() bool { return store.grant.Member })() {
+	if store.locked(func() bool { return store.grant.Member })() {
 		s.failf("it grants a lease")
 	}
 	if s.askQuota(s.victim, sequence) {
@@ -112,21 +114,21 @@
 }
 
 // reportEmpty has a batch process say that it holds nothing that others need, as of the set that it knows.
-func (s *cutScene) reportEmpty(store *follower) {
+func (s *partitionTest) reportDrained(store *simulatedPoller) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.report = protocol.BatchReport{Epoch: store.grant.Epoch, Settled: store.grant.Epoch, DrainedDown: true}
 }
 
 // play cuts the victim off while the others go on, and checks what it tells meanwhile and does afterwards.
-func (s *cutScene) play(one cutCase) {
+func (s *partitionTest) play(one partitionCase) {
 	t := s.t
-	s.cut(s.victim, one.out, one.in)
+	s.partition(s.victim, one.out, one.in)
 	cutAt := time.Now()
-	time.Sleep(settledAfter)
-	beginner := s.follow(t, s.victim, gatewayProcess(2))
-	s.follow(t, s.victim, storeProcess(4, "a")) // a batch process that comes
-	s.reportEmpty(s.stores[3])
+	time.Sleep(stalenessElapsed)
+	beginner := s.startPoller(t, s.victim, gatewayProcess(2))
+	s.startPoller(t, s.victim, storeProcess(4, "a")) // a batch process that comes
+	s.reportDrained(s.stores[3])
 	status := 0
 	eventually(t, "an order that the others take", func() bool {
 		status, _ = s.call(s.other, "PATCH", "/config", "7", `{"generation":9,"delete":{"tenants":["t"]}}`)
@@ -137,30 +139,30 @@
 		return status == 200
 	})
 	s.setServers(`{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`)
-	for sequence := uint64(1); time.Since(cutAt) < cutFor-2*time.Second; sequence++ {
-		s.tellsNothing(sequence)
+	for sequence := uint64(1); time.Since(cutAt) < partitionLength-2*time.Second; sequence++ {
+		s.checkAnswersNothing(sequence)
 		time.Sleep(200 * time.Millisecond)
 	}
 	if generation := beginner.configuration.Current().Generation; generation != 0 {
 		s.failf("a gateway that begins got version %d", generation)
 	}
 	members := s.running[s.other].state.Stores()
-	time.Sleep(time.Until(cutAt.Add(cutFor)))
+	time.Sleep(time.Until(cutAt.Add(partitionLength)))
 	s.heal(s.victim)
-	s.comesBack(beginner, members)
+	s.checkRecovery(beginner, members)
 }
 
 // comesBack checks that the process that is back takes in what the others have, and changes nothing by what it held.
-func (s *cutScene) comesBack(beginner *follower, members protocol.StoreView) {
+func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
-		return s.gateway.see(func() bool { return s.gateway.fresh && s.gateway.configuration.Current().Generation == 9 })() &&
-			beginner.see(func() bool { return beginner.fresh && beginner.configuration.Current().Generation == 9 })()
+		return s.gateway.locked(func() bool { return s.gateway.fresh && s.gateway.configuration.Current().Generation == 9 })() &&
+			beginner.locked(func() bool { return beginner.fresh && beginner.configuration.Current().Generation == 9 })()
 	})
 	if status, body := s.call(s.victim, "GET", "/config", "", ""); status != 200 || !strings.Contains(body, `"generation":9`) {
 		s.failf("the newest version isn't told: %d %s", status, body)
 	}
-	if status, body := s.call(s.victim, "PUT", "/config", "0", limitedDocument); status != 200 {
+	if status, body := s.call(s.victim, "PUT", "/config", "0", quotaDocument); status != 200 {
 		s.failf("an order that was taken is refused: %d %s", status, body)
 	}
 	time.Sleep(5 * time.Second)
@@ -183,22 +185,22 @@
 }
 
 // playCut plays one case and gives what was broken.
-func playCut(t *testing.T, one cutCase, spoil func(Replica) Replica) []string {
-	s := newCutScene(t, one, spoil)
+func runPartition(t *testing.T, one partitionCase, spoil func(Replica) Replica) []string {
+	s := newPartitionTest(t, one, spoil)
 	s.play(one)
 	s.finish()
-	return s.broken
+	return s.violations
 }
 
 // TestCutOff cuts one control machine off for twenty seconds, and holds it to telling nothing that may be old.
-func TestCutOff(t *testing.T) {
-	for _, one := range []cutCase{
+func TestPartition(t *testing.T) {
+	for _, one := range []partitionCase{
 		{head: true, out: true, in: true}, {head: true, out: true}, {head: true, in: true},
 		{out: true, in: true}, {out: true}, {in: true},
 	} {
 		t.Run(one.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				for _, broken := range playCut(t, one, nil) {
+				for _, broken := range runPartition(t, one, nil) {
 					t.Error(broken)
 				}
 			})
@@ -208,44 +210,44 @@
 
 // Replicas with a planted bug.
 type (
-	vouching  struct{ Replica } // takes what it knows for fresh
-	leading   struct{ Replica } // goes on as the head that it was
-	unproving struct{ Replica } // reads what is there
+	alwaysFreshReplica   struct{ Replica } // takes what it knows for fresh
+	alwaysLeadingReplica struct{ Replica } // goes on as the head that it was
+	unprovenReadReplica  struct{ Replica } // reads what is there
 )
 
-func (vouching) Staleness() (time.Duration, bool) { return 0, true }
+func (alwaysFreshReplica) Staleness() (time.Duration, bool) { return 0, true }
 
-func (r leading) Lead() (uint64, time.Time, bool) {
+func (r alwaysLeadingReplica) Lead() (uint64, time.Time, bool) {
 	heads := r.View().Head().Same(r.Self())
 	return r.View().Epoch, time.Now().Add(time.Second), heads
 }
 
-func (r leading) Head() (time.Time, bool) {
+func (r alwaysLeadingReplica) Head() (time.Time, bool) {
 	_, until, heads := r.Lead()
 	return until, heads
 }
 
-func (unproving) Read(context.Context) (uint64, error) { return 0, nil }
+func (unprovenReadReplica) Read(context.Context) (uint64, error) { return 0, nil }
 
 // TestCutOffPlanted checks that the checks of TestCutOff find each bug.
-func TestCutOffPlanted(t *testing.T) {
+func TestPartitionFindsInjectedBugs(t *testing.T) {
 	for name, bug := range map[string]struct {
 		spoil func(Replica) Replica
 		told  string // one of what is broken
 	}{
-		"it vouches by what is old":         {func(r Replica) Replica { return vouching{r} }, "vouches"},
-		"it hands out what is old":          {func(r Replica) Replica { return vouching{r} }, "a gateway that begins got version 7"},
-		"it grants leases by what is old":   {func(r Replica) Replica { return vouching{r} }, "grants a lease"},
-		"it goes on to lead":                {func(r Replica) Replica { return leading{r} }, "it leads"},
-		"it goes on to lend":                {func(r Replica) Replica { return leading{r} }, "grants quota"},
-		"it decides on batch processes":     {func(r Replica) Replica { return leading{r} }, "decides on the set"},
-		"its API answers from what is old":  {func(r Replica) Replica { return unproving{r} }, "200"},
-		"its API refuses from what is old":  {func(r Replica) Replica { return unproving{r} }, "412"},
-		"its API finds no store in the set": {func(r Replica) Replica { return unproving{r} }, "404"},
+		"it vouches by what is old":         {func(r Replica) Replica { return alwaysFreshReplica{r} }, "vouches"},
+		"it hands out what is old":          {func(r Replica) Replica { return alwaysFreshReplica{r} }, "a gateway that begins got version 7"},
+		"it grants leases by what is old":   {func(r Replica) Replica { return alwaysFreshReplica{r} }, "grants a lease"},
+		"it goes on to lead":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "it leads"},
+		"it goes on to lend":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "grants quota"},
+		"it decides on batch processes":     {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "decides on the set"},
+		"its API answers from what is old":  {func(r Replica) Replica { return unprovenReadReplica{r} }, "200"},
+		"its API refuses from what is old":  {func(r Replica) Replica { return unprovenReadReplica{r} }, "412"},
+		"its API finds no store in the set": {func(r Replica) Replica { return unprovenReadReplica{r} }, "404"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				broken := strings.Join(playCut(t, cutCase{head: true, out: true, in: true}, bug.spoil), "\n")
+				broken := strings.Join(runPartition(t, partitionCase{head: true, out: true, in: true}, bug.spoil), "\n")
 				if !strings.Contains(broken, bug.told) {
 					t.Errorf("not found; broken is %q", broken)
 				}
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -44,26 +44,26 @@
 
 // deployedStore is a store machine over all lives of its process.
 type deployedStore struct {
-	world       *deployment
-	number      int
-	node, ip    string
-	zone        string
-	disk        *bubble.Disk
-	host        *bubble.Host // of the last life
-	incarnation int
-	starts      uint64
-	acted       uint64     // newest epoch that the disk's life acted in, or has on its disk
-	life        *storeLife // nil: the process doesn't run
-	gone        bool       // taken away for good
+	deployment       *deployment
+	number           int
+	node, ip         string
+	zone             string
+	disk             *bubble.Disk
+	host             *bubble.Host // of the last life
+	incarnation      int
+	starts           uint64
+	lastEpochActedIn uint64           // newest epoch that the disk's life acted in, or has on its disk
+	process          *storeProcessRun // nil: the process doesn't run
+	removed          bool             // taken away for good
 }
 
 // storeLife is one life of the process.
-type storeLife struct {
+type storeProcessRun struct {
 	store        *deployedStore
 	process      protocol.Process
 	host         *bubble.Host
 	origin       time.Time
-	journal      *wal.WAL
+	wal          *wal.WAL
 	server       *transport.Server
 	options      transport.Options
 	subscription *subscription.Subscription
@@ -72,18 +72,18 @@
 	end          context.CancelFunc
 	wait         sync.WaitGroup
 
-	mutex      sync.Mutex // of all below
-	machine    *replica.StateMachine
-	waiting    map[replica.CallID]chan protocol.BatchAnswer
-	lastToken  replica.CallID
-	peers      map[string]*transport.Client // by IP
-	jobs       map[string]bool              // whose items it is to run
-	runs       int
-	home       string // address of the control process that was dialled last
-	written    uint64 // number of the record queued last
-	viewEpoch  uint64 // newest view that was taken
-	viewRecord uint64 // number of its record
-	closed     bool
+	mutex          sync.Mutex // of all below
+	machine        *replica.StateMachine
+	waiting        map[replica.CallID]chan protocol.BatchAnswer
+	lastToken      replica.CallID
+	peers          map[string]*transport.Client // by IP
+	jobs           map[string]bool              // whose items it is to run
+	runs           int
+	controlAddress string // address of the control process that was dialled last
+	written        uint64 // number of the record queued last
+	viewEpoch      uint64 // newest view that was taken
+	viewRecord     uint64 // number of its record
+	closed         bool
 }
 
 // noConnections stands for the gateways' pool of connections, which a batch process doesn't have.
@@ -93,11 +93,11 @@
 
 // start begins a life on what is on the disk.
 func (s *deployedStore) start() {
-	w := s.world
+	w := s.deployment
 	s.starts++
 	s.host = w.network.StartHost(s.ip)
 	ended, end := context.WithCancel(context.Background())
-	l := &storeLife{
+	l := &storeProcessRun{
 		store: s, host: s.host, origin: time.Now(), ended: ended, end: end,
 		random:  rand.New(rand.NewPCG(w.seed, uint64(s.number)<<32+s.starts)),
 		waiting: map[replica.CallID]chan protocol.BatchAnswer{}, peers: map[string]*transport.Client{}, jobs: map[string]bool{},
@@ -112,24 +112,24 @@
 		return
 	}
 	w.lock.Lock()
-	s.life = l
+	s.process = l
 	w.lock.Unlock()
-	w.note("%s starts as %s", s.node, placement.KeyOf(l.process))
+	w.logf("%s starts as %s", s.node, placement.KeyOf(l.process))
 	l.serve()
 }
 
 // QueueLimit is none.
-func (l *storeLife) QueueLimit(string) (int64, bool) { return 0, true }
+func (l *storeProcessRun) QueueLimit(string) (int64, bool) { return 0, true }
 
-func (l *storeLife) open() error {
+func (l *storeProcessRun) open() error {
 	var err error
-	l.journal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{SegmentSize: storeSegment}, l.machine.Replay, l.durable)
+	l.wal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{SegmentSize: storeSegment}, l.machine.Replay, l.durable)
 	return err
 }
 
 // serve opens the port and starts all loops.
-func (l *storeLife) serve() {
-	w, s := l.store.world, l.store
+func (l *storeProcessRun) serve() {
+	w, s := l.store.deployment, l.store
 	settings := &node.Settings{
 		NodeName: s.node, Role: "batch", IP: s.ip, Zone: s.zone, FirstPort: w.settings[0].FirstPort, LastPort: w.settings[0].LastPort,
 		Seeds: w.settings[0].Seeds, Tolerance: node.Tolerance{Machines: w.tolerance},
@@ -158,10 +158,10 @@
 
 // halt ends the life at once, for its disk and connections how they end.
 func (s *deployedStore) halt(how func()) {
-	w := s.world
+	w := s.deployment
 	w.lock.Lock()
-	l := s.life
-	s.life = nil
+	l := s.process
+	s.process = nil
 	w.lock.Unlock()
 	if l != nil {
 		l.mutex.Lock()
@@ -171,12 +171,12 @@
 	how()
 	if l != nil {
 		l.end()
-		w.ending.Go(l.close)
+		w.stopping.Go(l.close)
 	}
 }
 
 // close waits until nothing of the life runs any more.
-func (l *storeLife) close() {
+func (l *storeProcessRun) close() {
 	l.mutex.Lock()
 	peers := l.peers
 	l.peers = nil
@@ -188,7 +188,7 @@
 		l.server.Close()
 	}
 	l.wait.Wait()
-	l.journal.Close()
+	l.wal.Close()
 }
 
 // kill ends the process; what it wrote stays.
@@ -214,14 +214,14 @@
 		s.disk.Wipe()
 	})
 	s.incarnation++
-	s.world.lock.Lock()
-	defer s.world.lock.Unlock()
-	s.acted = 0
-	s.world.counts.wipes++
+	s.deployment.lock.Lock()
+	defer s.deployment.lock.Unlock()
+	s.lastEpochActedIn = 0
+	s.deployment.counts.wipes++
 }
 
 // durable takes word of the log.
-func (l *storeLife) durable(sequence uint64, err error) {
+func (l *storeProcessRun) durable(sequence uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed || err != nil {
@@ -229,27 +229,27 @@
 	}
 	l.machine.Synced(sequence)
 	if l.viewEpoch > 0 && sequence >= l.viewRecord {
-		l.acts(l.viewEpoch)
+		l.markEpoch(l.viewEpoch)
 	}
 }
 
 // acts notes the newest epoch, with the lock held.
-func (l *storeLife) acts(epoch uint64) {
-	w := l.store.world
+func (l *storeProcessRun) markEpoch(epoch uint64) {
+	w := l.store.deployment
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	l.store.acted = max(l.store.acted, epoch)
+	l.store.lastEpochActedIn = max(l.store.lastEpochActedIn, epoch)
 }
 
-func (l *storeLife) dialControl(ctx context.Context, address string) (net.Conn, error) {
+func (l *storeProcessRun) dialControl(ctx context.Context, address string) (net.Conn, error) {
 	l.mutex.Lock()
-	l.home = address
+	l.controlAddress = address
 	l.mutex.Unlock()
 	return l.host.Dial(ctx, address)
 }
 
 // updated takes in what control sent.
-func (l *storeLife) updated() {
+func (l *storeProcessRun) updated() {
 	members := l.subscription.Members()
 	if members == nil {
 		return
@@ -262,20 +262,20 @@
 	before := l.machine.Epoch()
 	l.machine.InstallView(members.Stores)
 	if l.machine.Epoch() != before {
-		l.viewed(before, members.Stores)
+		l.checkView(before, members.Stores)
 	}
 }
 
 // viewed holds a view that was taken to what this store did before.
-func (l *storeLife) viewed(before uint64, view protocol.StoreView) {
-	w, s := l.store.world, l.store
+func (l *storeProcessRun) checkView(before uint64, view protocol.StoreView) {
+	w, s := l.store.deployment, l.store
 	l.viewEpoch, l.viewRecord = view.Epoch, l.written
 	w.lock.Lock()
-	acted := s.acted
+	acted := s.lastEpochActedIn
 	w.lock.Unlock()
-	w.note("%s takes view %d of %d members from %s (before %d, its disk %d)", s.node, view.Epoch, len(view.Members), l.home, before, acted)
+	w.logf("%s takes view %d of %d members from %s (before %d, its disk %d)", s.node, view.Epoch, len(view.Members), l.controlAddress, before, acted)
 	if view.Epoch < acted {
-		w.failf("%s works in view %d, told by %s, though it has acted in %d", s.node, view.Epoch, l.home, acted)
+		w.failf("%s works in view %d, told by %s, though it has acted in %d", s.node, view.Epoch, l.controlAddress, acted)
 	}
 	for ip, peer := range l.peers {
 		if !slices.ContainsFunc(view.Members, func(one protocol.StoreMember) bool { return one.IP == ip }) {
@@ -285,23 +285,23 @@
 	}
 }
 
-func (l *storeLife) granted(grant protocol.StoreGrant, sent time.Time) {
+func (l *storeProcessRun) granted(grant protocol.StoreGrant, sent time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.machine.GrantLease(grant.Epoch, grant.Member, sent.Sub(l.origin)+grant.Lease-storeLeaseMargin)
 	if !l.closed && l.machine.MayAct() {
-		l.acts(l.machine.Epoch())
+		l.markEpoch(l.machine.Epoch())
 	}
 }
 
-func (l *storeLife) report() *protocol.BatchReport {
+func (l *storeProcessRun) report() *protocol.BatchReport {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	report := l.machine.Report()
 	return &report
 }
 
-func (l *storeLife) tick() {
+func (l *storeProcessRun) tick() {
 	released := time.Now()
 	for l.ended.Err() == nil {
 		time.Sleep(storeTick)
@@ -318,20 +318,20 @@
 }
 
 // release removes segments of the log that nothing needs any more.
-func (l *storeLife) release() {
-	oldest, current := l.journal.SegmentRange()
+func (l *storeProcessRun) release() {
+	oldest, current := l.wal.SegmentRange()
 	l.mutex.Lock()
 	needed := l.machine.OldestSegment(current)
 	l.mutex.Unlock()
 	for ; oldest < needed; oldest++ {
-		if l.journal.RemoveSegment(oldest) != nil {
+		if l.wal.RemoveSegment(oldest) != nil {
 			return
 		}
 	}
 }
 
 // run runs the items of batch jobs that it owns, one after the other.
-func (l *storeLife) run() {
+func (l *storeProcessRun) run() {
 	for l.ended.Err() == nil {
 		time.Sleep(storeRun/2 + time.Duration(l.random.Int64N(int64(storeRun))))
 		l.mutex.Lock()
@@ -342,7 +342,7 @@
 	}
 }
 
-func (l *storeLife) runItem(id string) {
+func (l *storeProcessRun) runItem(id string) {
 	work, ok := l.machine.Work(id)
 	if !ok || l.closed || len(work.Items) == 0 {
 		return
@@ -359,7 +359,7 @@
 var errStoreMessage = errors.New("a message of an unknown kind")
 
 // handle takes other stores' messages.
-func (l *storeLife) handle(_ context.Context, session *transport.Session, message any) (any, error) {
+func (l *storeProcessRun) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	remote := session.Remote()
 	if remote.Role != protocol.RoleBatch {
 		return nil, errStoreMessage
@@ -374,7 +374,7 @@
 }
 
 // call answers a client's call. Status 0: the process ended, or the time was over.
-func (l *storeLife) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
+func (l *storeProcessRun) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	ctx, cancel := context.WithTimeout(l.ended, storeAnswer)
 	defer cancel()
 	answered := make(chan protocol.BatchAnswer, 1)
@@ -390,7 +390,7 @@
 	l.mutex.Unlock()
 	select {
 	case answer := <-answered:
-		return l.checked(answer)
+		return l.withLease(answer)
 	case <-ctx.Done():
 	}
 	l.mutex.Lock()
@@ -401,7 +401,7 @@
 }
 
 // checked lets an answer go only while the store may still act.
-func (l *storeLife) checked(answer protocol.BatchAnswer) protocol.BatchAnswer {
+func (l *storeProcessRun) withLease(answer protocol.BatchAnswer) protocol.BatchAnswer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	promise := answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
@@ -414,39 +414,39 @@
 // The machine's environment. All of it is called with the mutex held.
 
 // Now implements replica.Environment.
-func (l *storeLife) Now() time.Duration { return time.Since(l.origin) }
+func (l *storeProcessRun) Now() time.Duration { return time.Since(l.origin) }
 
 // Wall implements replica.Environment.
-func (l *storeLife) WallClock() int64 { return time.Now().UnixMilli() }
+func (l *storeProcessRun) WallClock() int64 { return time.Now().UnixMilli() }
 
 // Write implements replica.Environment.
-func (l *storeLife) Write(record []byte, urgent bool) (uint64, wal.Location) {
-	sequence, at := l.journal.Append(record, urgent)
+func (l *storeProcessRun) Write(record []byte, urgent bool) (uint64, wal.Location) {
+	sequence, at := l.wal.Append(record, urgent)
 	l.written = sequence
 	return sequence, at
 }
 
 // Read implements replica.Environment.
-func (l *storeLife) Read(at wal.Location) ([]byte, error) { return l.journal.Read(at) }
+func (l *storeProcessRun) Read(at wal.Location) ([]byte, error) { return l.wal.Read(at) }
 
 // Free implements replica.Environment.
-func (l *storeLife) FreeBytes() int64 { return 1<<30 - l.journal.Size() }
+func (l *storeProcessRun) FreeBytes() int64 { return 1<<30 - l.wal.Size() }
 
 // Send implements replica.Environment.
-func (l *storeLife) Send(to protocol.Process, message any) {
+func (l *storeProcessRun) Send(to protocol.Process, message any) {
 	if l.closed || l.peers == nil {
 		return
 	}
 	peer := l.peers[to.IP]
 	if peer == nil {
-		peer = transport.NewClient(l.store.world.settings[0].EndpointAt(to.IP, node.PortBatch), l.options, nil, nil)
+		peer = transport.NewClient(l.store.deployment.settings[0].EndpointAt(to.IP, node.PortBatch), l.options, nil, nil)
 		l.peers[to.IP] = peer
 	}
 	_ = peer.Send(message) // what matters is sent again
 }
 
 // Answer implements replica.Environment.
-func (l *storeLife) Answer(token replica.CallID, answer protocol.BatchAnswer) {
+func (l *storeProcessRun) Answer(token replica.CallID, answer protocol.BatchAnswer) {
 	if waiting := l.waiting[token]; waiting != nil {
 		delete(l.waiting, token)
 		waiting <- answer
@@ -454,7 +454,7 @@
 }
 
 // Start implements replica.Environment.
-func (l *storeLife) Start(id string) { l.jobs[id] = true }
+func (l *storeProcessRun) Start(id string) { l.jobs[id] = true }
 
 // Stop implements replica.Environment.
-func (l *storeLife) Stop(id string) { delete(l.jobs, id) }
+func (l *storeProcessRun) Stop(id string) { delete(l.jobs, id) }
--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -9,22 +9,22 @@
 // TestOldSetAfterPowerLoss plays one history: a store loses its disk and is replaced, all lose power, two more disks are lost, and
 // the first control process that is back still holds the set of stores of its last snapshot. No store may work in that set, and no
 // batch job may be lost.
-func TestOldSetAfterPowerLoss(t *testing.T) {
+func TestOldStoresAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newDeployment(t, 1, 6, 10, 2)
 		defer w.close()
-		if list := w.recovers(settleWithin, steadyFor); len(list) > 0 {
+		if list := w.awaitHealthy(finalRecoveryTimeout, healthyBeforeNextRound); len(list) > 0 {
 			t.Fatal(list)
 		}
 		w.sendBulk(110)
-		w.note("the chain's log was written anew; store-10 loses its disk")
+		w.logf("the chain's log was written anew; store-10 loses its disk")
 		w.stores[9].wipe()
 		time.Sleep(4 * time.Second)
 		w.stores[9].start()
-		if list := w.recovers(settleWithin, steadyFor); len(list) > 0 {
+		if list := w.awaitHealthy(finalRecoveryTimeout, healthyBeforeNextRound); len(list) > 0 {
 			t.Fatal(list)
 		}
-		w.note("all lose power, store-1 and store-2 lose their disks")
+		w.logf("all lose power, store-1 and store-2 lose their disks")
 		w.losePowerOfAll()
 		w.stores[0].wipe()
 		w.stores[1].wipe()
@@ -36,11 +36,11 @@
 			w.begin(i)
 			time.Sleep(400 * time.Millisecond)
 		}
-		w.audit()
+		w.finalCheck()
 		if w.counts.accepted == 0 || w.counts.read == 0 || w.counts.vouches == 0 {
 			t.Errorf("nothing was played: %+v", w.counts)
 		}
-		if err := w.verdict(); err != nil {
+		if err := w.err(); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/control/deployment_troubles_test.go
+++ b/internal/control/deployment_troubles_test.go
@@ -17,148 +17,148 @@
 // those that strike all. No more disks are lost in a round than may be lost at once, and the next round begins once all is well.
 
 const (
-	deploymentRounds = 3
-	recoverWithin    = 25 * time.Second // of a round, after its last trouble
-	startSpread      = 1500 * time.Millisecond
-	downMost         = 5 * time.Second
-	acknowledgeWait  = 3 * time.Second
-	bulkChanges      = 100
+	deploymentRounds       = 3
+	roundRecoveryTimeout   = 25 * time.Second // of a round, after its last trouble
+	maxFaultStart          = 1500 * time.Millisecond
+	maxFaultLength         = 5 * time.Second
+	acknowledgementTimeout = 3 * time.Second
+	bulkChanges            = 100
 )
 
 // round is a few troubles that overlap.
-type round struct {
+type faultRound struct {
 	*deployment
-	random   *rand.Rand
-	stores   []*deployedStore // that no trouble was drawn for yet
-	controls []int
-	left     int // disks that may be lost yet
-	striking sync.WaitGroup
+	random    *rand.Rand
+	stores    []*deployedStore // that no trouble was drawn for yet
+	controls  []int
+	disksLeft int // disks that may be lost yet
+	active    sync.WaitGroup
 }
 
 // deployedTrouble strikes from a moment on, for a time.
-type deployedTrouble struct {
-	name string
-	draw func(*round) func(down time.Duration) // claims machines; nil: none are left
-}
-
-var deployedTroubles = []deployedTrouble{
-	{"all lose power", drawPowerOfAll},
-	{"all lose power", drawPowerOfAll},
-	{"all lose power right after an acknowledgement", drawPowerAfterAcknowledgement},
-	{"processes are killed", drawKills},
-	{"machines lose power", drawPower},
-	{"disks are lost", drawWipes},
-	{"a control machine is cut off", drawCutOff},
-	{"control is split", drawSplit},
-	{"stores are cut off from control machines", drawStoresCut},
-	{"disks stand still", drawStall},
-	{"a store retires, and disks are lost", drawRetirement},
-	{"a control machine is replaced", drawReplacement},
-	{"many changes of the configuration", drawBulk},
+type deploymentFault struct {
+	name    string
+	prepare func(*faultRound) func(down time.Duration) // claims machines; nil: none are left
+}
+
+var deploymentFaults = []deploymentFault{
+	{"all lose power", faultPowerEverywhere},
+	{"all lose power", faultPowerEverywhere},
+	{"all lose power right after an acknowledgement", faultPowerAfterAcknowledgement},
+	{"processes are killed", faultKills},
+	{"machines lose power", faultPower},
+	{"disks are lost", faultWipes},
+	{"a control machine is cut off", faultControlPartitioned},
+	{"control is split", faultControlSplit},
+	{"stores are cut off from control machines", faultStoresPartitioned},
+	{"disks stand still", faultDiskStall},
+	{"a store retires, and disks are lost", faultRetirement},
+	{"a control machine is replaced", faultReplacement},
+	{"many changes of the configuration", faultBulk},
 }
 
 // newRound draws what comes in a round.
-func (w *deployment) newRound() *round {
-	r := &round{deployment: w, random: w.random, stores: w.there(), controls: w.members(), left: w.tolerance}
+func (w *deployment) newRound() *faultRound {
+	r := &faultRound{deployment: w, random: w.random, stores: w.presentStores(), controls: w.presentControls(), disksLeft: w.tolerance}
 	w.random.Shuffle(len(r.stores), func(i, j int) { r.stores[i], r.stores[j] = r.stores[j], r.stores[i] })
 	w.random.Shuffle(len(r.controls), func(i, j int) { r.controls[i], r.controls[j] = r.controls[j], r.controls[i] })
 	return r
 }
 
 // play plays a round, and tells whether all is well after it.
-func (r *round) play() bool {
+func (r *faultRound) play() bool {
 	for range 2 + r.random.IntN(2) {
-		kind := deployedTroubles[r.random.IntN(len(deployedTroubles))]
-		strike := kind.draw(r)
+		kind := deploymentFaults[r.random.IntN(len(deploymentFaults))]
+		strike := kind.prepare(r)
 		if strike == nil {
 			continue
 		}
-		r.count(func(c *deploymentCounts) { c.troubles++ })
-		after, down := r.between(0, startSpread), r.between(100*time.Millisecond, downMost)
-		r.striking.Go(func() {
+		r.count(func(c *deploymentCounts) { c.faults++ })
+		after, down := r.randomDuration(0, maxFaultStart), r.randomDuration(100*time.Millisecond, maxFaultLength)
+		r.active.Go(func() {
 			time.Sleep(after)
-			r.note("trouble: %s for %v", kind.name, down)
+			r.logf("trouble: %s for %v", kind.name, down)
 			strike(down)
 		})
 	}
-	r.striking.Wait()
-	r.restoreAll()
-	if !r.wellAgain() {
+	r.active.Wait()
+	r.endFaults()
+	if !r.checkRecovery() {
 		return false
 	}
 	return r.removeRetired()
 }
 
-func (r *round) wellAgain() bool {
-	list := r.recovers(recoverWithin, steadyFor)
+func (r *faultRound) checkRecovery() bool {
+	list := r.awaitHealthy(roundRecoveryTimeout, healthyBeforeNextRound)
 	if len(list) > 0 {
-		r.failf("%v after a round of troubles: %s", recoverWithin, strings.Join(list, "; "))
+		r.failf("%v after a round of troubles: %s", roundRecoveryTimeout, strings.Join(list, "; "))
 		return false
 	}
-	r.note("all is well")
+	r.logf("all is well")
 	r.count(func(c *deploymentCounts) { c.recoveries++ })
 	return true
 }
 
-func (w *deployment) between(least, most time.Duration) time.Duration {
+func (w *deployment) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
 // exclusively has nobody else start or end processes meanwhile.
-func (w *deployment) exclusively(act func()) {
-	w.turn <- struct{}{}
-	defer func() { <-w.turn }()
+func (w *deployment) withProcessLock(act func()) {
+	w.processLock <- struct{}{}
+	defer func() { <-w.processLock }()
 	act()
 }
 
 // restoreAll ends what is left of the troubles.
-func (w *deployment) restoreAll() {
+func (w *deployment) endFaults() {
 	w.lock.Lock()
-	w.onAck = nil
+	w.onAcknowledgement = nil
 	w.lock.Unlock()
 	for _, from := range w.addresses() {
 		for _, to := range w.addresses() {
 			w.network.Heal(from, to)
 		}
 	}
-	for _, i := range w.members() {
-		w.bringControl(i)
+	for _, i := range w.presentControls() {
+		w.startControl(i)
 	}
-	for _, s := range w.there() {
-		w.bringStore(s)
+	for _, s := range w.presentStores() {
+		w.startStore(s)
 	}
 }
 
 // addresses gives those of control processes and stores.
 func (w *deployment) addresses() []string {
 	var list []string
-	for _, i := range w.members() {
+	for _, i := range w.presentControls() {
 		list = append(list, w.settings[i].IP)
 	}
-	for _, s := range w.there() {
+	for _, s := range w.presentStores() {
 		list = append(list, s.ip)
 	}
 	return list
 }
 
 // bringControl starts a control process unless it runs.
-func (w *deployment) bringControl(i int) {
-	w.exclusively(func() {
+func (w *deployment) startControl(i int) {
+	w.withProcessLock(func() {
 		w.mutex.Lock()
 		runs := w.running[i] != nil
 		w.mutex.Unlock()
-		if !runs && slices.Contains(w.members(), i) {
-			w.note("%s starts", w.settings[i].NodeName)
+		if !runs && slices.Contains(w.presentControls(), i) {
+			w.logf("%s starts", w.settings[i].NodeName)
 			w.begin(i)
 		}
 	})
 }
 
 // bringStore starts a store unless it runs.
-func (w *deployment) bringStore(s *deployedStore) {
-	w.exclusively(func() {
+func (w *deployment) startStore(s *deployedStore) {
+	w.withProcessLock(func() {
 		w.lock.Lock()
-		idle := s.life == nil && !s.gone
+		idle := s.process == nil && !s.removed
 		w.lock.Unlock()
 		if idle {
 			s.start()
@@ -167,14 +167,14 @@
 }
 
 // claimStores takes up to so many stores that no trouble strikes yet.
-func (r *round) claimStores(count int) []*deployedStore {
+func (r *faultRound) claimStores(count int) []*deployedStore {
 	count = min(count, len(r.stores))
 	claimed := r.stores[:count]
 	r.stores = r.stores[count:]
 	return claimed
 }
 
-func (r *round) claimControls(count int) []int {
+func (r *faultRound) claimControls(count int) []int {
 	count = min(count, len(r.controls))
 	claimed := r.controls[:count]
 	r.controls = r.controls[count:]
@@ -201,7 +201,7 @@
 func (v victims) none() bool { return len(v.stores)+len(v.controls) == 0 }
 
 // claim takes up to so many machines, more stores than control machines.
-func (r *round) claim(count int) victims {
+func (r *faultRound) claim(count int) victims {
 	var v victims
 	for range count {
 		if r.random.IntN(3) == 0 {
@@ -214,18 +214,18 @@
 }
 
 // claimDisks takes up to so many machines whose disks are to be lost.
-func (r *round) claimDisks(most int) victims {
-	v := r.claim(min(most, r.left))
-	r.left -= len(v.stores) + len(v.controls)
+func (r *faultRound) claimDisks(most int) victims {
+	v := r.claim(min(most, r.disksLeft))
+	r.disksLeft -= len(v.stores) + len(v.controls)
 	return v
 }
 
 // wipe takes the disks of machines.
-func (r *round) wipe(v victims) {
+func (r *faultRound) wipe(v victims) {
 	if v.none() {
 		return
 	}
-	r.note("%v: the disk is lost", v)
+	r.logf("%v: the disk is lost", v)
 	r.haltControls(v.controls, r.wipeControl)
 	for _, s := range v.stores {
 		s.wipe()
@@ -234,19 +234,19 @@
 }
 
 // bring starts machines again.
-func (r *round) bring(v victims) {
+func (r *faultRound) restart(v victims) {
 	for _, i := range v.controls {
-		r.bringControl(i)
+		r.startControl(i)
 	}
 	for _, s := range v.stores {
-		r.bringStore(s)
+		r.startStore(s)
 	}
 }
 
 // powerOfAll takes the power of all at once with some disks; each machine is back in its own time.
-func (r *round) powerOfAll(lost victims, down time.Duration, delays *rand.Rand) {
-	r.exclusively(func() {
-		r.note("all lose power")
+func (r *faultRound) losePowerEverywhere(lost victims, down time.Duration, delays *rand.Rand) {
+	r.withProcessLock(func() {
+		r.logf("all lose power")
 		r.losePowerOfAll()
 		r.wipe(lost)
 	})
@@ -259,82 +259,82 @@
 			start()
 		})
 	}
-	for _, i := range r.members() {
-		later(func() { r.bringControl(i) })
+	for _, i := range r.presentControls() {
+		later(func() { r.startControl(i) })
 	}
-	for _, s := range r.there() {
-		later(func() { r.bringStore(s) })
+	for _, s := range r.presentStores() {
+		later(func() { r.startStore(s) })
 	}
 	starting.Wait()
 }
 
 // ownRandom gives chance to a trouble that runs beside others.
-func (r *round) ownRandom() *rand.Rand { return rand.New(rand.NewPCG(r.random.Uint64(), 1)) }
+func (r *faultRound) ownRandom() *rand.Rand { return rand.New(rand.NewPCG(r.random.Uint64(), 1)) }
 
-func drawPowerOfAll(r *round) func(time.Duration) {
+func faultPowerEverywhere(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
-	return func(down time.Duration) { r.powerOfAll(lost, down, delays) }
+	return func(down time.Duration) { r.losePowerEverywhere(lost, down, delays) }
 }
 
-func drawPowerAfterAcknowledgement(r *round) func(time.Duration) {
+func faultPowerAfterAcknowledgement(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
 	return func(down time.Duration) {
 		acknowledged := make(chan struct{})
 		r.lock.Lock()
-		r.onAck = func() { close(acknowledged) }
+		r.onAcknowledgement = func() { close(acknowledged) }
 		r.lock.Unlock()
 		select {
 		case <-acknowledged:
-		case <-time.After(acknowledgeWait):
+		case <-time.After(acknowledgementTimeout):
 		}
-		r.powerOfAll(lost, down, delays)
+		r.losePowerEverywhere(lost, down, delays)
 	}
 }
 
-func drawKills(r *round) func(time.Duration) {
+func faultKills(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(r.tolerance+1))
 	return func(down time.Duration) {
-		r.exclusively(func() {
-			r.note("%v: killed", v)
+		r.withProcessLock(func() {
+			r.logf("%v: killed", v)
 			r.haltControls(v.controls, r.killControl)
 			for _, s := range v.stores {
 				s.kill()
 			}
 		})
 		time.Sleep(down)
-		r.bring(v)
+		r.restart(v)
 	}
 }
 
-func drawPower(r *round) func(time.Duration) {
+func faultPower(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(r.tolerance+1))
 	return func(down time.Duration) {
-		r.exclusively(func() {
-			r.note("%v: power lost", v)
+		r.withProcessLock(func() {
+			r.logf("%v: power lost", v)
 			r.haltControls(v.controls, r.losePowerOfControl)
 			for _, s := range v.stores {
 				s.losePower()
 			}
 		})
 		time.Sleep(down)
-		r.bring(v)
+		r.restart(v)
 	}
 }
 
-func drawWipes(r *round) func(time.Duration) {
+func faultWipes(r *faultRound) func(time.Duration) {
 	v := r.claimDisks(1 + r.random.IntN(r.tolerance))
 	if v.none() {
 		return nil
 	}
 	return func(down time.Duration) {
-		r.exclusively(func() { r.wipe(v) })
+		r.withProcessLock(func() { r.wipe(v) })
 		time.Sleep(down)
-		r.bring(v)
+		r.restart(v)
 	}
 }
 
 // cutBetween cuts all links between two groups of machines, in one direction or both, for a time.
-func (r *round) cutBetween(from, to []string, both bool, down time.Duration) {
+func (r *faultRound) partitionBetween(from, to []string, both bool, down time.Duration) {
 	for _, one := range from {
 		for _, other := range to {
 			if one == other {
@@ -355,7 +355,7 @@
 	}
 }
 
-func (r *round) controlAddresses(members []int) []string {
+func (r *faultRound) controlAddresses(members []int) []string {
 	var list []string
 	for _, i := range members {
 		list = append(list, r.settings[i].IP)
@@ -363,30 +363,30 @@
 	return list
 }
 
-func drawCutOff(r *round) func(time.Duration) {
-	all := r.members()
+func faultControlPartitioned(r *faultRound) func(time.Duration) {
+	all := r.presentControls()
 	victim, direction := all[r.random.IntN(len(all))], r.random.IntN(3)
 	return func(down time.Duration) {
 		one, others := r.controlAddresses([]int{victim}), r.controlAddresses(all)
-		r.note("%s is cut off, %d", r.settings[victim].NodeName, direction)
+		r.logf("%s is cut off, %d", r.settings[victim].NodeName, direction)
 		if direction == 1 {
 			one, others = others, one
 		}
-		r.cutBetween(one, others, direction == 2, down)
+		r.partitionBetween(one, others, direction == 2, down)
 	}
 }
 
-func drawSplit(r *round) func(time.Duration) {
-	all := r.members()
+func faultControlSplit(r *faultRound) func(time.Duration) {
+	all := r.presentControls()
 	at := 1 + r.random.IntN(len(all)-1)
 	return func(down time.Duration) {
-		r.note("control is split before %s", r.settings[all[at]].NodeName)
-		r.cutBetween(r.controlAddresses(all[:at]), r.controlAddresses(all[at:]), true, down)
+		r.logf("control is split before %s", r.settings[all[at]].NodeName)
+		r.partitionBetween(r.controlAddresses(all[:at]), r.controlAddresses(all[at:]), true, down)
 	}
 }
 
-func drawStoresCut(r *round) func(time.Duration) {
-	stores, all := r.there(), r.members()
+func faultStoresPartitioned(r *faultRound) func(time.Duration) {
+	stores, all := r.presentStores(), r.presentControls()
 	var from []string
 	for _, s := range stores[:1+r.random.IntN(len(stores))] {
 		from = append(from, s.ip)
@@ -394,16 +394,16 @@
 	r.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	to := r.controlAddresses(all[:1+r.random.IntN(len(all)-1)])
 	return func(down time.Duration) {
-		r.note("%v cut off from %v", from, to)
-		r.cutBetween(from, to, true, down)
+		r.logf("%v cut off from %v", from, to)
+		r.partitionBetween(from, to, true, down)
 	}
 }
 
 // drawStall has the disks of control machines stand still, and those of stores take forty times as long.
-func drawStall(r *round) func(time.Duration) {
+func faultDiskStall(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(2))
 	return func(down time.Duration) {
-		r.note("%v: the disk stands still", v)
+		r.logf("%v: the disk stands still", v)
 		for _, i := range v.controls {
 			r.bubbleSystem.disks[i].SetStalled(true)
 		}
@@ -421,66 +421,66 @@
 }
 
 // drawRetirement has an operator retire a store, and takes the disks of others right after.
-func drawRetirement(r *round) func(time.Duration) {
+func faultRetirement(r *faultRound) func(time.Duration) {
 	one := r.claimStores(1)
-	if len(one) == 0 || len(r.there()) <= r.tolerance+2 {
+	if len(one) == 0 || len(r.presentStores()) <= r.tolerance+2 {
 		return nil
 	}
-	lost, at := r.claimDisks(r.random.IntN(r.tolerance+1)), r.random.IntN(len(r.members()))
+	lost, at := r.claimDisks(r.random.IntN(r.tolerance+1)), r.random.IntN(len(r.presentControls()))
 	return func(down time.Duration) {
 		if !r.retire(one[0].node, at) {
 			return
 		}
-		r.exclusively(func() { r.wipe(lost) })
+		r.withProcessLock(func() { r.wipe(lost) })
 		time.Sleep(down)
-		r.bring(lost)
+		r.restart(lost)
 	}
 }
 
 // retire orders a retirement, and tells whether that was acknowledged.
 func (w *deployment) retire(node string, at int) bool {
 	for try := range 8 {
-		members := w.members()
+		members := w.presentControls()
 		status, answer := w.call(members[(at+try)%len(members)], "POST", "/retire/"+node, "", `{"deadline-s":10}`)
 		if status == 200 {
-			w.note("%s is to retire", node)
+			w.logf("%s is to retire", node)
 			w.count(func(c *deploymentCounts) { c.retired++ })
 			return true
 		}
-		w.note("the retirement of %s is answered %d %s", node, status, answer)
+		w.logf("the retirement of %s is answered %d %s", node, status, answer)
 	}
 	return false
 }
 
 // removeRetired takes away the stores that were emptied, and brings new ones in their places.
-func (r *round) removeRetired() bool {
+func (r *faultRound) removeRetired() bool {
 	removed := false
-	newest := r.newestSet()
+	newest := r.newestStoreView()
 	for _, member := range newest.Members {
-		for _, s := range r.there() {
+		for _, s := range r.presentStores() {
 			if member.Node == s.node && member.State == protocol.StoreRetired {
-				r.exclusively(func() { r.takeAway(s) })
+				r.withProcessLock(func() { r.replaceStore(s) })
 				removed = true
 			}
 		}
 	}
-	return !removed || r.wellAgain()
+	return !removed || r.checkRecovery()
 }
 
-func (w *deployment) takeAway(s *deployedStore) {
-	w.note("%s is taken away", s.node)
+func (w *deployment) replaceStore(s *deployedStore) {
+	w.logf("%s is taken away", s.node)
 	s.losePower()
 	w.lock.Lock()
-	s.gone = true
+	s.removed = true
 	w.lock.Unlock()
 	w.addStore()
 }
 
 // drawReplacement brings a new control machine for another: before that one ends in order, or after its disk is lost. Either way a
 // disk is gone, and counts as lost: others may be before the new machine has all.
-func drawReplacement(r *round) func(time.Duration) {
+func faultReplacement(r *faultRound) func(time.Duration) {
 	planned := r.random.IntN(2) == 0
-	if r.left == 0 || len(r.controls) == 0 {
+	if r.disksLeft == 0 || len(r.controls) == 0 {
 		return nil
 	}
 	spare := r.spare()
@@ -488,31 +488,31 @@
 		return nil
 	}
 	old := r.claimControls(1)
-	r.left--
+	r.disksLeft--
 	return func(down time.Duration) {
 		r.count(func(c *deploymentCounts) { c.replaced++ })
-		r.note("%s comes for %s, planned %v", r.settings[spare].NodeName, r.settings[old[0]].NodeName, planned)
+		r.logf("%s comes for %s, planned %v", r.settings[spare].NodeName, r.settings[old[0]].NodeName, planned)
 		if !planned {
-			r.exclusively(func() { r.removeControl(old[0], r.wipeControl) })
+			r.withProcessLock(func() { r.removeControl(old[0], r.wipeControl) })
 			time.Sleep(down)
 		}
 		r.lock.Lock()
 		r.removed[spare] = false
 		r.lock.Unlock()
-		r.bringControl(spare)
+		r.startControl(spare)
 		if planned {
 			time.Sleep(down)
-			r.exclusively(func() { r.removeControl(old[0], func(int) {}) })
+			r.withProcessLock(func() { r.removeControl(old[0], func(int) {}) })
 		}
 	}
 }
 
 // spare gives a control machine that hasn't come yet; -1: none.
-func (r *round) spare() int {
+func (r *faultRound) spare() int {
 	first := len(r.settings) - spareControls
 	for i := first; i < len(r.settings); i++ {
-		if !r.used[i] {
-			r.used[i] = true
+		if !r.usedSpares[i] {
+			r.usedSpares[i] = true
 			return i
 		}
 	}
@@ -527,7 +527,7 @@
 	w.haltControls([]int{i}, how)
 }
 
-func drawBulk(r *round) func(time.Duration) {
+func faultBulk(r *faultRound) func(time.Duration) {
 	return func(time.Duration) {
 		r.lock.Lock()
 		r.bulk = bulkChanges
@@ -536,7 +536,7 @@
 }
 
 // playDeployment plays a world.
-func playDeployment(t *testing.T, seed uint64) *deployment {
+func simulateDeployment(t *testing.T, seed uint64) *deployment {
 	var w *deployment
 	synctest.Test(t, func(t *testing.T) {
 		tolerance, members, stores := 1, 3+int(seed%2), 4+int(seed/2%2)
@@ -545,12 +545,12 @@
 		}
 		w = newDeployment(t, seed, members, stores, tolerance)
 		defer w.close()
-		w.note("%d control machines, %d stores, %d disks may be lost", members, stores, tolerance)
-		well := (&round{deployment: w}).wellAgain()
+		w.logf("%d control machines, %d stores, %d disks may be lost", members, stores, tolerance)
+		well := (&faultRound{deployment: w}).checkRecovery()
 		for number := 0; well && number < deploymentRounds; number++ {
 			well = w.newRound().play()
 		}
-		w.audit()
+		w.finalCheck()
 	})
 	return w
 }
@@ -565,11 +565,11 @@
 		for seed := first; seed < first+worlds; seed++ {
 			t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 				t.Parallel()
-				w := playDeployment(t, seed)
+				w := simulateDeployment(t, seed)
 				lock.Lock()
 				counts.add(w.counts)
 				lock.Unlock()
-				if err := w.verdict(); err != nil {
+				if err := w.err(); err != nil {
 					t.Error(err)
 				}
 			})
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_world_test.go
@@ -28,45 +28,45 @@
 // Times of a deployment.
 const (
 	// settleWithin is how long after the last trouble all must be well.
-	settleWithin = 20 * time.Second
+	finalRecoveryTimeout = 20 * time.Second
 	// steadyFor is how long all must have been well before the next disk may be lost.
-	steadyFor = 3 * time.Second
+	healthyBeforeNextRound = 3 * time.Second
 	// deploymentLook is the time between two looks at the whole.
-	deploymentLook = 100 * time.Millisecond
+	healthCheckInterval = 100 * time.Millisecond
 	// witnessPoll is the time between polls of who checks what control vouches for.
-	witnessPoll = 250 * time.Millisecond
+	checkerPollInterval = 250 * time.Millisecond
 )
 
 // deployment is one world.
 type deployment struct {
 	*bubbleSystem
-	seed      uint64
-	random    *rand.Rand // of the troubles
-	began     time.Time
-	tolerance int
-	ending    sync.WaitGroup // lives that end
-	loops     sync.WaitGroup
-	used      map[int]bool  // spare control machines that have come
-	turn      chan struct{} // held by who starts or ends processes
-
-	lock      sync.Mutex // of all below
-	over      bool
-	stores    []*deployedStore
-	removed   map[int]bool // control processes that are gone for good, or haven't come yet
-	jobs      []*deployedJob
-	calm      bool // no new batch jobs
-	bulk      int  // changes of the configuration that are to come at once
-	acked     []ackedVersion
-	ackedSets []ackedVersion // epochs of the set of stores
-	onAck     func()         // called once at the next acknowledgement
-	broken    []string
-	events    []string
-	counts    deploymentCounts
+	seed        uint64
+	random      *rand.Rand // of the troubles
+	began       time.Time
+	tolerance   int
+	stopping    sync.WaitGroup // lives that end
+	loops       sync.WaitGroup
+	usedSpares  map[int]bool  // spare control machines that have come
+	processLock chan struct{} // held by who starts or ends processes
+
+	lock                 sync.Mutex // of all below
+	over                 bool
+	stores               []*deployedStore
+	removed              map[int]bool // control processes that are gone for good, or haven't come yet
+	jobs                 []*deployedJob
+	calm                 bool // no new batch jobs
+	bulk                 int  // changes of the configuration that are to come at once
+	acknowledgedVersions []acknowledgement
+	acknowledgedEpochs   []acknowledgement // epochs of the set of stores
+	onAcknowledgement    func()            // called once at the next acknowledgement
+	violations           []string
+	events               []string
+	counts               deploymentCounts
 }
 
 // deploymentCounts is what a world did.
 type deploymentCounts struct {
-	accepted, read, powerLosses, wipes, views, vouches, versions, troubles, recoveries, retired, replaced int
+	accepted, read, powerLosses, wipes, views, vouches, versions, faults, recoveries, retired, replaced int
 }
 
 func (c *deploymentCounts) add(other deploymentCounts) {
@@ -77,7 +77,7 @@
 	c.views += other.views
 	c.vouches += other.vouches
 	c.versions += other.versions
-	c.troubles += other.troubles
+	c.faults += other.faults
 	c.recoveries += other.recoveries
 	c.retired += other.retired
 	c.replaced += other.replaced
@@ -95,9 +95,9 @@
 
 func newDeployment(t *testing.T, seed uint64, members, stores, tolerance int) *deployment {
 	w := &deployment{seed: seed, random: rand.New(rand.NewPCG(seed, 21)), began: time.Now(), tolerance: tolerance,
-		removed: map[int]bool{}, used: map[int]bool{}, turn: make(chan struct{}, 1)}
-	w.bubbleSystem = newSizedSystem(t, seed, members, tolerance, func(r Replica) Replica { return &acknowledging{Replica: r, world: w} }, false)
-	if status := w.put(t, "PUT", "0", limitedDocument); status != 200 {
+		removed: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
+	w.bubbleSystem = newSizedSystem(t, seed, members, tolerance, func(r Replica) Replica { return &recordingReplica{Replica: r, deployment: w} }, false)
+	if status := w.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
 	for i := range w.settings {
@@ -110,7 +110,7 @@
 		w.addStore()
 	}
 	for i := range w.settings {
-		w.witness(i)
+		w.addFreshnessChecker(i)
 	}
 	w.loops.Go(w.operate)
 	w.loops.Go(w.load)
@@ -134,21 +134,21 @@
 }
 
 // everyStore gives all stores, those that are gone included.
-func (w *deployment) everyStore() []*deployedStore {
+func (w *deployment) allStores() []*deployedStore {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return slices.Clone(w.stores)
 }
 
 // there gives the stores that are not gone for good.
-func (w *deployment) there() []*deployedStore {
+func (w *deployment) presentStores() []*deployedStore {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return slices.DeleteFunc(slices.Clone(w.stores), func(s *deployedStore) bool { return s.gone })
+	return slices.DeleteFunc(slices.Clone(w.stores), func(s *deployedStore) bool { return s.removed })
 }
 
 // members gives the control processes that are not gone for good.
-func (w *deployment) members() []int {
+func (w *deployment) presentControls() []int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	var list []int
@@ -162,8 +162,8 @@
 
 // addStore starts a store on an empty disk.
 func (w *deployment) addStore() *deployedStore {
-	number := len(w.everyStore()) + 1
-	s := &deployedStore{world: w, number: number, node: fmt.Sprint("store-", number), ip: fmt.Sprint("10.0.4.", number),
+	number := len(w.allStores()) + 1
+	s := &deployedStore{deployment: w, number: number, node: fmt.Sprint("store-", number), ip: fmt.Sprint("10.0.4.", number),
 		zone: fmt.Sprint("z", number%3), incarnation: 1, disk: bubble.NewDisk(w.seed*64 + 32 + uint64(number))}
 	w.lock.Lock()
 	w.stores = append(w.stores, s)
@@ -172,7 +172,7 @@
 	return s
 }
 
-func (w *deployment) note(format string, arguments ...any) {
+func (w *deployment) logf(format string, arguments ...any) {
 	line := fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds()) + fmt.Sprintf(format, arguments...)
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -183,10 +183,10 @@
 }
 
 func (w *deployment) failf(format string, arguments ...any) {
-	w.note("BROKEN: "+format, arguments...)
+	w.logf("BROKEN: "+format, arguments...)
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.broken = append(w.broken, fmt.Sprintf(format, arguments...))
+	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
 func (w *deployment) isOver() bool {
@@ -196,37 +196,37 @@
 }
 
 // acknowledging notes which changes of the set of stores were acknowledged, and when.
-type acknowledging struct {
+type recordingReplica struct {
 	Replica
-	world *deployment
+	deployment *deployment
 }
 
 // Propose implements Replica.
-func (a *acknowledging) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
+func (a *recordingReplica) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
 	result, err := a.Replica.Propose(ctx, id, order)
 	if err == nil && (strings.HasPrefix(id, "stores-") || strings.HasPrefix(id, "retire-")) {
-		a.world.setAcknowledged(a)
+		a.deployment.recordAcknowledgedEpoch(a)
 	}
 	return result, err
 }
 
-func (w *deployment) setAcknowledged(by *acknowledging) {
-	for _, one := range w.controls() {
+func (w *deployment) recordAcknowledgedEpoch(by *recordingReplica) {
+	for _, one := range w.runningControls() {
 		if one.replica == Replica(by) {
 			epoch := one.state.Stores().Epoch
 			w.lock.Lock()
-			w.ackedSets = append(w.ackedSets, ackedVersion{generation: epoch, at: time.Now()})
+			w.acknowledgedEpochs = append(w.acknowledgedEpochs, acknowledgement{version: epoch, at: time.Now()})
 			w.lock.Unlock()
-			w.acknowledged()
+			w.runOnAcknowledgement()
 		}
 	}
 }
 
 // acknowledged does what waits for an acknowledgement.
-func (w *deployment) acknowledged() {
+func (w *deployment) runOnAcknowledgement() {
 	w.lock.Lock()
-	act := w.onAck
-	w.onAck = nil
+	act := w.onAcknowledgement
+	w.onAcknowledgement = nil
 	w.lock.Unlock()
 	if act != nil {
 		act()
@@ -234,7 +234,7 @@
 }
 
 // controls gives the control processes that run.
-func (w *deployment) controls() []*Control {
+func (w *deployment) runningControls() []*Control {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.running), func(one *Control) bool { return one == nil })
@@ -249,7 +249,7 @@
 	defer w.mutex.Unlock()
 	for _, i := range members {
 		if gone := w.running[i]; gone != nil {
-			w.ending.Go(gone.Stop)
+			w.stopping.Go(gone.Stop)
 		}
 		w.running[i] = nil
 	}
@@ -271,33 +271,33 @@
 }
 
 // witness polls a control process over all its lives, and holds its answers to what was acknowledged.
-func (w *deployment) witness(i int) {
+func (w *deployment) addFreshnessChecker(i int) {
 	process := protocol.Process{Node: fmt.Sprint("witness-", i), Role: protocol.RoleGateway, IP: fmt.Sprint("10.0.3.", 100+i), Incarnation: "x"}
-	one := &witness{world: w, at: w.settings[i].NodeName, process: process, state: configuration.NewState()}
+	one := &freshnessChecker{deployment: w, controlNode: w.settings[i].NodeName, process: process, state: configuration.NewState()}
 	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role}, Dial: w.host(process.IP).Dial}
 	one.client = transport.NewClient(w.settings[i].Endpoint(node.PortControl), options, one.take, nil)
 	w.loops.Go(one.run)
 }
 
-type witness struct {
-	world   *deployment
-	at      string
-	process protocol.Process
-	client  *transport.Client
-	lock    sync.Mutex // of all below
-	state   *configuration.State
-	epoch   uint64
+type freshnessChecker struct {
+	deployment  *deployment
+	controlNode string
+	process     protocol.Process
+	client      *transport.Client
+	lock        sync.Mutex // of all below
+	state       *configuration.State
+	epoch       uint64
 }
 
-func (o *witness) run() {
+func (o *freshnessChecker) run() {
 	defer o.client.Close()
-	for sequence := uint64(1); !o.world.isOver(); sequence++ {
+	for sequence := uint64(1); !o.deployment.isOver(); sequence++ {
 		o.poll(sequence)
-		time.Sleep(witnessPoll)
+		time.Sleep(checkerPollInterval)
 	}
 }
 
-func (o *witness) poll(sequence uint64) {
+func (o *freshnessChecker) poll(sequence uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	o.lock.Lock()
@@ -310,11 +310,11 @@
 	}
 	o.take(reply)
 	if update := reply.(protocol.Update); update.Fresh {
-		o.judge(sent.Add(-update.Age))
+		o.check(sent.Add(-update.Age))
 	}
 }
 
-func (o *witness) take(message any) {
+func (o *freshnessChecker) take(message any) {
 	update, ok := message.(protocol.Update)
 	if !ok {
 		return
@@ -330,28 +330,28 @@
 }
 
 // judge holds what is known here to what was acknowledged before a moment.
-func (o *witness) judge(moment time.Time) {
+func (o *freshnessChecker) check(moment time.Time) {
 	o.lock.Lock()
 	generation, epoch := o.state.Current().Generation, o.epoch
 	o.lock.Unlock()
-	w := o.world
+	w := o.deployment
 	w.lock.Lock()
 	w.counts.vouches++
-	version, set := newestBefore(w.acked, moment), newestBefore(w.ackedSets, moment)
+	version, set := newestBefore(w.acknowledgedVersions, moment), newestBefore(w.acknowledgedEpochs, moment)
 	w.lock.Unlock()
 	if generation < version {
-		w.failf("%s vouches for version %d, %d was acknowledged", o.at, generation, version)
+		w.failf("%s vouches for version %d, %d was acknowledged", o.controlNode, generation, version)
 	}
 	if epoch < set {
-		w.failf("%s vouches for view %d, %d was acknowledged", o.at, epoch, set)
+		w.failf("%s vouches for view %d, %d was acknowledged", o.controlNode, epoch, set)
 	}
 }
 
-func newestBefore(list []ackedVersion, moment time.Time) uint64 {
+func newestBefore(list []acknowledgement, moment time.Time) uint64 {
 	newest := uint64(0)
 	for _, one := range list {
 		if !one.at.After(moment) {
-			newest = max(newest, one.generation)
+			newest = max(newest, one.version)
 		}
 	}
 	return newest
@@ -370,17 +370,17 @@
 		w.lock.Unlock()
 		order := fmt.Sprintf(`{"generation":%d,"x":"%s"}`, last+1, strings.Repeat("x", pad))
 		for !w.isOver() {
-			members := w.members()
+			members := w.presentControls()
 			if status, _ := w.call(members[random.IntN(len(members))], "PATCH", "/config", strconv.FormatUint(last, 10), order); status == 200 {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 		w.lock.Lock()
-		w.acked = append(w.acked, ackedVersion{generation: last + 1, at: time.Now()})
+		w.acknowledgedVersions = append(w.acknowledgedVersions, acknowledgement{version: last + 1, at: time.Now()})
 		w.counts.versions++
 		w.lock.Unlock()
-		w.acknowledged()
+		w.runOnAcknowledgement()
 		time.Sleep(pause)
 	}
 }
@@ -401,7 +401,7 @@
 		}
 		if !calm {
 			one := newDeployedJob(fmt.Sprint("job-", number), 1+random.IntN(4))
-			at, ends := random.IntN(len(w.everyStore())), random.IntN(10) == 0
+			at, ends := random.IntN(len(w.allStores())), random.IntN(10) == 0
 			w.loops.Go(func() { w.submit(one, at, ends) })
 		}
 	}
@@ -429,10 +429,10 @@
 }
 
 // ask sends a call to a store and follows it to the owner.
-func (w *deployment) ask(at int, call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
+func (w *deployment) callStore(at int, call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	for range 4 {
 		w.lock.Lock()
-		life := w.stores[at].life
+		life := w.stores[at].process
 		w.lock.Unlock()
 		if life == nil {
 			return protocol.BatchAnswer{}
@@ -442,7 +442,7 @@
 		if answer.Owner == "" {
 			return answer
 		}
-		at = slices.IndexFunc(w.everyStore(), func(s *deployedStore) bool { return s.ip == answer.Owner })
+		at = slices.IndexFunc(w.allStores(), func(s *deployedStore) bool { return s.ip == answer.Owner })
 	}
 	return protocol.BatchAnswer{}
 }
@@ -451,14 +451,14 @@
 func (w *deployment) submit(one *deployedJob, at int, ends bool) {
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: one.id, Tenant: "t", Route: "r", Body: one.body}
 	for try := range 4 {
-		answer := w.ask((at+try)%len(w.everyStore()), call, one.items)
+		answer := w.callStore((at+try)%len(w.allStores()), call, one.items)
 		if answer.Status == 202 {
 			w.lock.Lock()
 			one.accepted = true
 			w.jobs = append(w.jobs, one)
 			w.counts.accepted++
 			w.lock.Unlock()
-			w.acknowledged()
+			w.runOnAcknowledgement()
 			break
 		}
 		time.Sleep(300 * time.Millisecond)
@@ -470,7 +470,7 @@
 	w.lock.Lock()
 	one.ending = true
 	w.lock.Unlock()
-	w.ask(at, protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: one.id, Tenant: "t"}, nil)
+	w.callStore(at, protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: one.id, Tenant: "t"}, nil)
 }
 
 type resultPage struct {
@@ -484,13 +484,13 @@
 // readJob reads a batch job at some store, and tells what is missing; empty: nothing.
 func (w *deployment) readJob(one *deployedJob) string {
 	failure := "no store is up"
-	for at, s := range w.everyStore() {
-		answer := w.ask(at, protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: one.id, Tenant: "t"}, nil)
+	for at, s := range w.allStores() {
+		answer := w.callStore(at, protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: one.id, Tenant: "t"}, nil)
 		if answer.Status == 200 {
-			return w.takePage(one, answer.Body)
+			return w.checkPage(one, answer.Body)
 		}
 		w.lock.Lock()
-		ending, up := one.ending, s.life != nil
+		ending, up := one.ending, s.process != nil
 		w.lock.Unlock()
 		if answer.Status == 404 && !ending {
 			w.failf("%s: %s answers 404 though it was accepted", one.id, s.node)
@@ -503,7 +503,7 @@
 }
 
 // takePage holds results to those that were read before.
-func (w *deployment) takePage(one *deployedJob, body []byte) string {
+func (w *deployment) checkPage(one *deployedJob, body []byte) string {
 	var page resultPage
 	if err := json.Unmarshal(body, &page); err != nil {
 		w.failf("%s: %v", one.id, err)
@@ -530,9 +530,9 @@
 }
 
 // newestSet gives the newest set of stores that a control process which runs knows.
-func (w *deployment) newestSet() protocol.StoreView {
+func (w *deployment) newestStoreView() protocol.StoreView {
 	var newest protocol.StoreView
-	for _, one := range w.controls() {
+	for _, one := range w.runningControls() {
 		if set := one.state.Stores(); set.Epoch > newest.Epoch {
 			newest = set
 		}
@@ -541,15 +541,15 @@
 }
 
 // unwell tells what isn't as it should be; nothing: all processes run, agree on the set of stores, and have settled in it.
-func (w *deployment) unwell() []string {
+func (w *deployment) unhealthy() []string {
 	var list []string
-	newest := w.newestSet()
-	for _, i := range w.members() {
-		list = append(list, w.unwellControl(i, newest)...)
+	newest := w.newestStoreView()
+	for _, i := range w.presentControls() {
+		list = append(list, w.unhealthyControl(i, newest)...)
 	}
-	there := w.there()
+	there := w.presentStores()
 	for _, s := range there {
-		list = append(list, w.unwellStore(s, newest)...)
+		list = append(list, w.unhealthyStore(s, newest)...)
 	}
 	if len(newest.Members) != len(there) {
 		list = append(list, fmt.Sprintf("view %d has %d members of %d stores", newest.Epoch, len(newest.Members), len(there)))
@@ -557,7 +557,7 @@
 	return list
 }
 
-func (w *deployment) unwellControl(i int, newest protocol.StoreView) []string {
+func (w *deployment) unhealthyControl(i int, newest protocol.StoreView) []string {
 	w.mutex.Lock()
 	one := w.running[i]
 	w.mutex.Unlock()
@@ -575,9 +575,9 @@
 	return list
 }
 
-func (w *deployment) unwellStore(s *deployedStore, newest protocol.StoreView) []string {
+func (w *deployment) unhealthyStore(s *deployedStore, newest protocol.StoreView) []string {
 	w.lock.Lock()
-	life := s.life
+	life := s.process
 	w.lock.Unlock()
 	if life == nil {
 		return []string{s.node + " doesn't run"}
@@ -604,10 +604,10 @@
 }
 
 // recovers waits until all has been well for a time, and tells what isn't within a bound.
-func (w *deployment) recovers(within, steady time.Duration) []string {
+func (w *deployment) awaitHealthy(within, steady time.Duration) []string {
 	deadline, well := time.Now().Add(within), time.Now()
 	for {
-		list := w.unwell()
+		list := w.unhealthy()
 		switch {
 		case len(list) > 0:
 			well = time.Now()
@@ -617,35 +617,35 @@
 		if time.Now().After(deadline) {
 			return list
 		}
-		time.Sleep(deploymentLook)
+		time.Sleep(healthCheckInterval)
 	}
 }
 
 // audit holds the world, once its troubles are over, to what it promised.
-func (w *deployment) audit() {
-	w.note("the troubles are over")
+func (w *deployment) finalCheck() {
+	w.logf("the troubles are over")
 	w.lock.Lock()
 	w.calm = true
 	w.lock.Unlock()
-	deadline := time.Now().Add(settleWithin)
-	for _, one := range w.recovers(settleWithin, 0) {
-		w.failf("%v after the last trouble: %s", settleWithin, one)
+	deadline := time.Now().Add(finalRecoveryTimeout)
+	for _, one := range w.awaitHealthy(finalRecoveryTimeout, 0) {
+		w.failf("%v after the last trouble: %s", finalRecoveryTimeout, one)
 	}
 	w.lock.Lock()
 	known := slices.Clone(w.jobs)
 	w.lock.Unlock()
 	var readers sync.WaitGroup
 	for _, one := range known {
-		readers.Go(func() { w.auditJob(one, deadline) })
+		readers.Go(func() { w.finalCheckJob(one, deadline) })
 	}
 	readers.Wait()
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.counts.views = int(newestBefore(w.ackedSets, time.Now()))
+	w.counts.views = int(newestBefore(w.acknowledgedEpochs, time.Now()))
 }
 
 // auditJob reads a batch job until it is whole. One that a client wanted to end may be gone.
-func (w *deployment) auditJob(one *deployedJob, deadline time.Time) {
+func (w *deployment) finalCheckJob(one *deployedJob, deadline time.Time) {
 	for {
 		failure := w.readJob(one)
 		w.lock.Lock()
@@ -658,7 +658,7 @@
 			w.failf("%s was accepted and can't be read: %s", one.id, failure)
 			return
 		}
-		time.Sleep(deploymentLook)
+		time.Sleep(healthCheckInterval)
 	}
 }
 
@@ -668,19 +668,19 @@
 	w.over = true
 	w.lock.Unlock()
 	w.loops.Wait()
-	for _, s := range w.everyStore() {
+	for _, s := range w.allStores() {
 		s.kill()
 	}
-	w.ending.Wait()
+	w.stopping.Wait()
 	w.finish()
 }
 
 // verdict gives what broke, with what happened.
-func (w *deployment) verdict() error {
-	if len(w.broken) == 0 {
+func (w *deployment) err() error {
+	if len(w.violations) == 0 {
 		return nil
 	}
-	return fmt.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(w.broken, "\n"), strings.Join(w.events, "\n"))
+	return fmt.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 }
 
 // sendBulk waits until so many changes of the configuration are through.
@@ -688,7 +688,7 @@
 	w.lock.Lock()
 	w.bulk += changes
 	w.lock.Unlock()
-	for left := 1; left > 0; time.Sleep(deploymentLook) {
+	for left := 1; left > 0; time.Sleep(healthCheckInterval) {
 		w.lock.Lock()
 		left = w.bulk
 		w.lock.Unlock()
@@ -697,8 +697,8 @@
 
 // losePowerOfAll takes the power of all machines at one moment.
 func (w *deployment) losePowerOfAll() {
-	w.haltControls(w.members(), w.losePowerOfControl)
-	for _, s := range w.there() {
+	w.haltControls(w.presentControls(), w.losePowerOfControl)
+	for _, s := range w.presentStores() {
 		s.losePower()
 	}
 	w.count(func(c *deploymentCounts) { c.powerLosses++ })
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -13,14 +13,14 @@
 	const within = 2900 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		s := newBubbleSystem(t, 5, nil)
-		store := s.follow(t, 1, storeProcess(1, "a"))
-		other := s.follow(t, 2, storeProcess(2, "a"))
+		store := s.startPoller(t, 1, storeProcess(1, "a"))
+		other := s.startPoller(t, 2, storeProcess(2, "a"))
 		for range 5 {
 			eventually(t, "leases", func() bool {
-				return store.see(func() bool { return store.grant.Lease > 0 })() && other.see(func() bool { return other.grant.Lease > 0 })()
+				return store.locked(func() bool { return store.grant.Lease > 0 })() && other.locked(func() bool { return other.grant.Lease > 0 })()
 			})
 			time.Sleep(5 * time.Second)
-			store.silent.Store(true)
+			store.paused.Store(true)
 			began := time.Now()
 			eventually(t, "an eviction", func() bool { return len(s.running[0].state.Stores().Members) == 1 })
 			took := time.Since(began)
@@ -31,7 +31,7 @@
 			store.mutex.Lock()
 			store.grant.Lease = 0
 			store.mutex.Unlock()
-			store.silent.Store(false)
+			store.paused.Store(false)
 		}
 		s.finish()
 	})
--- a/internal/control/liveness/presence_test.go
+++ b/internal/control/liveness/presence_test.go
@@ -25,13 +25,13 @@
 		table := New()
 		So(table.Observe(Contact{Process: store("1", "a"), At: second}), ShouldBeTrue)
 		So(table.Observe(Contact{Process: store("1", "a"), At: second + 1}), ShouldBeFalse)
-		So(table.Joins(second, viewOf(0), anybody), ShouldBeEmpty)
+		So(table.Joins(second, viewOf(0), admitAll), ShouldBeEmpty)
 		table.SetLeadership(second, 1, true)
-		So(table.Joins(second, viewOf(0), anybody), ShouldResemble, []protocol.Process{store("1", "a")})
-		So(table.Joins(second, viewOf(1, member), anybody), ShouldBeEmpty)
+		So(table.Joins(second, viewOf(0), admitAll), ShouldResemble, []protocol.Process{store("1", "a")})
+		So(table.Joins(second, viewOf(1, member), admitAll), ShouldBeEmpty)
 		So(table.Observe(Contact{Process: store("1", "b"), At: 2 * second}), ShouldBeTrue)
-		So(table.Joins(2*second, viewOf(1, member), anybody), ShouldResemble, []protocol.Process{store("1", "b")})
-		So(table.Joins(5*second, viewOf(1, member), anybody), ShouldBeEmpty)
+		So(table.Joins(2*second, viewOf(1, member), admitAll), ShouldResemble, []protocol.Process{store("1", "b")})
+		So(table.Joins(5*second, viewOf(1, member), admitAll), ShouldBeEmpty)
 	})
 	Convey("A silent member is evicted, but not before a new lead has waited, nor while a control process is silent", t, func() {
 		table := New()
@@ -114,7 +114,7 @@
 }
 
 // anybody may join.
-func anybody(protocol.Process) Admission { return Admitted }
+func admitAll(protocol.Process) Admission { return Admitted }
 
 func TestRejoin(t *testing.T) {
 	Convey("A machine whose retirement was completed joins only once it has polled for long", t, func() {
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -21,17 +21,17 @@
 
 // sentOrder is an order that an operator has sent, once or more.
 type sentOrder struct {
-	id         string // of its digest
-	tenant     string // that marks what it brings
-	method     string
-	ifMatch    uint64
-	generation uint64
-	invalid    bool
-	future     bool // builds on a version that nobody was told of: refused, it may be taken when it comes again
-	body       string
-	attempts   int
-	acked      bool // told so, at least once
-	refused    int  // status of a refusal
+	id           string // of its digest
+	tenant       string // that marks what it brings
+	method       string
+	ifMatch      uint64
+	generation   uint64
+	invalid      bool
+	futureBase   bool // builds on a version that nobody was told of: refused, it may be taken when it comes again
+	body         string
+	attempts     int
+	acknowledged bool // told so, at least once
+	rejectedWith int  // status of a refusal
 }
 
 func (o *sentOrder) digest() configuration.Digest {
@@ -39,29 +39,29 @@
 }
 
 // seen is what a call of the history brought.
-type seen struct {
+type observed struct {
 	status  int
-	lineage string // of a GET: the tenants
-	number  uint64 // of a GET
+	tenants string // of a GET: the tenants
+	version uint64 // of a GET
 }
 
 // history is what all operators sent and saw.
 type history struct {
-	world      *world
-	clock      atomic.Int64 // orders calls and returns
-	mutex      sync.Mutex
-	operations []porcupine.Operation
-	orders     []*sentOrder
-	byID       map[string]*sentOrder
-	newest     uint64 // version that an operator was told of last
-	padding    int
-	lastAck    time.Duration
-	told       map[int]int // answers by status
-	kept       []porcupine.Operation
-}
-
-func newHistory(w *world) *history {
-	h := &history{world: w, byID: map[string]*sentOrder{}, told: map[int]int{}}
+	cluster            *clusterSimulation
+	clock              atomic.Int64 // orders calls and returns
+	mutex              sync.Mutex
+	operations         []porcupine.Operation
+	orders             []*sentOrder
+	ordersByID         map[string]*sentOrder
+	newestVersion      uint64 // version that an operator was told of last
+	padding            int
+	lastAcknowledgedAt time.Duration
+	statuses           map[int]int // answers by status
+	decisiveOperations []porcupine.Operation
+}
+
+func newHistory(w *clusterSimulation) *history {
+	h := &history{cluster: w, ordersByID: map[string]*sentOrder{}, statuses: map[int]int{}}
 	if w.seed%2 == 0 {
 		h.padding = 24 << 10 // logs are cut and snapshots taken before long
 	}
@@ -78,25 +78,25 @@
 
 // run sends orders and reads until a moment.
 func (c *operatorClient) run(end time.Duration) {
-	for c.world.now() < end {
+	for c.cluster.now() < end {
 		time.Sleep(time.Duration(c.random.Int64N(int64(400 * time.Millisecond))))
 		switch {
 		case c.random.IntN(3) == 0:
 			c.read()
 		case c.random.IntN(5) == 0:
-			c.again()
+			c.resend()
 		default:
-			c.deliver(c.draw(), 1+c.random.IntN(6))
+			c.deliver(c.nextOrder(), 1+c.random.IntN(6))
 		}
 	}
 }
 
-func (c *operatorClient) anyMember() *member {
-	return c.world.members[c.random.IntN(len(c.world.members))]
+func (c *operatorClient) anyMember() *simulatedControl {
+	return c.cluster.members[c.random.IntN(len(c.cluster.members))]
 }
 
 // patience is mostly that of an operator; some leave early, and some wait for an answer whatever it is.
-func (c *operatorClient) patience() time.Duration {
+func (c *operatorClient) callTimeout() time.Duration {
 	switch c.random.IntN(12) {
 	case 0, 1:
 		return time.Millisecond + time.Duration(c.random.Int64N(int64(300*time.Millisecond)))
@@ -107,12 +107,12 @@
 }
 
 // again sends an order of any age once more, as it was.
-func (c *operatorClient) again() {
+func (c *operatorClient) resend() {
 	c.mutex.Lock()
 	var order *sentOrder
 	if len(c.orders) > 0 {
 		order = c.orders[c.random.IntN(len(c.orders))]
-		if order.future {
+		if order.futureBase {
 			order = nil
 		}
 	}
@@ -123,12 +123,12 @@
 }
 
 // draw makes an order.
-func (c *operatorClient) draw() *sentOrder {
+func (c *operatorClient) nextOrder() *sentOrder {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.count++
-	order := &sentOrder{tenant: fmt.Sprintf("t%d-%d", c.number, c.count), method: "PATCH", ifMatch: c.newest}
-	if c.newest == 0 || c.random.IntN(4) == 0 {
+	order := &sentOrder{tenant: fmt.Sprintf("t%d-%d", c.number, c.count), method: "PATCH", ifMatch: c.newestVersion}
+	if c.newestVersion == 0 || c.random.IntN(4) == 0 {
 		order.method = "PUT"
 	}
 	order.generation = order.ifMatch + 1 + uint64(c.random.IntN(2))
@@ -138,7 +138,7 @@
 	case 1:
 		order.ifMatch += 1 + uint64(c.random.IntN(2))
 		order.generation = order.ifMatch + 1
-		order.future = true
+		order.futureBase = true
 	case 2:
 		order.invalid = true
 	case 3:
@@ -147,17 +147,17 @@
 	if len(c.orders) > 0 && c.random.IntN(12) == 0 { // the same bytes with another If-Match
 		earlier := c.orders[c.random.IntN(len(c.orders))]
 		again := *earlier
-		again.attempts, again.acked, again.refused, again.ifMatch = 0, false, 0, order.ifMatch
-		again.future = order.future
+		again.attempts, again.acknowledged, again.rejectedWith, again.ifMatch = 0, false, 0, order.ifMatch
+		again.futureBase = order.futureBase
 		order = &again
-		return c.enter(order)
+		return c.register(order)
 	}
-	c.write(order)
-	return c.enter(order)
+	c.writeBody(order)
+	return c.register(order)
 }
 
 // write makes the body. The second PUT that marks a tenant of the same name is the same order.
-func (c *operatorClient) write(order *sentOrder) {
+func (c *operatorClient) writeBody(order *sentOrder) {
 	timeout := 5
 	if order.invalid {
 		timeout = 0
@@ -173,20 +173,20 @@
 }
 
 // enter notes an order, or finds that it was sent before.
-func (c *operatorClient) enter(order *sentOrder) *sentOrder {
+func (c *operatorClient) register(order *sentOrder) *sentOrder {
 	order.id = fmt.Sprintf("%x", order.digest())
-	if known := c.byID[order.id]; known != nil {
-		known.future = known.future || order.future
+	if known := c.ordersByID[order.id]; known != nil {
+		known.futureBase = known.futureBase || order.futureBase
 		return known
 	}
-	c.byID[order.id] = order
+	c.ordersByID[order.id] = order
 	c.orders = append(c.orders, order)
 	return order
 }
 
 // deliver sends an order to one machine after the other until it has a clear answer, or the operator gives up.
 func (c *operatorClient) deliver(order *sentOrder, attempts int) {
-	if order.future {
+	if order.futureBase {
 		attempts = 1
 	}
 	for range attempts {
@@ -200,67 +200,67 @@
 // send sends an order once and tells whether it got a clear answer.
 func (c *operatorClient) send(order *sentOrder) bool {
 	m := c.anyMember()
-	began := c.world.now()
+	began := c.cluster.now()
 	call := c.clock.Add(1)
-	got := m.call(order.method, strconv.FormatUint(order.ifMatch, 10), order.body, c.patience())
+	got := m.call(order.method, strconv.FormatUint(order.ifMatch, 10), order.body, c.callTimeout())
 	if c.random.IntN(5) == 0 {
-		got = answered{} // the answer is lost
+		got = callResult{} // the answer is lost
 	}
-	c.held(m, began, got)
+	c.checkPartitioned(m, began, got)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	order.attempts++
-	operation := porcupine.Operation{ClientId: len(c.operations), Input: order, Call: call, Return: c.clock.Add(1), Output: seen{status: got.status}}
+	operation := porcupine.Operation{ClientId: len(c.operations), Input: order, Call: call, Return: c.clock.Add(1), Output: observed{status: got.status}}
 	switch got.status {
 	case 200:
-		order.acked = true
-		c.newest = max(c.newest, order.generation)
-		c.lastAck = c.world.now()
+		order.acknowledged = true
+		c.newestVersion = max(c.newestVersion, order.generation)
+		c.lastAcknowledgedAt = c.cluster.now()
 	case 400, 409, 412, 413:
-		order.refused = got.status
+		order.rejectedWith = got.status
 	case 0, 503, 504:
-		operation.Return, operation.Output = openEnd, seen{}
+		operation.Return, operation.Output = noReturn, observed{}
 	default:
-		c.world.failf("%s answers %d: %s", m.ip, got.status, got.body)
+		c.cluster.failf("%s answers %d: %s", m.ip, got.status, got.body)
 	}
-	c.told[got.status]++
+	c.statuses[got.status]++
 	c.operations = append(c.operations, operation)
-	return operation.Return != openEnd
+	return operation.Return != noReturn
 }
 
 // openEnd is the return of a call whose effect may come any time, or never.
-const openEnd = int64(1) << 60
+const noReturn = int64(1) << 60
 
 // held checks that a machine that is cut off tells nothing.
-func (c *operatorClient) held(m *member, began time.Duration, got answered) {
-	if got.status != 0 && got.status != 503 && got.status != 504 && c.world.outOfTouch(m, began) {
-		c.world.failf("%s is cut off and answers %d: %s", m.ip, got.status, got.body)
+func (c *operatorClient) checkPartitioned(m *simulatedControl, began time.Duration, got callResult) {
+	if got.status != 0 && got.status != 503 && got.status != 504 && c.cluster.isPartitioned(m, began) {
+		c.cluster.failf("%s is cut off and answers %d: %s", m.ip, got.status, got.body)
 	}
 }
 
 func (c *operatorClient) read() {
 	m := c.anyMember()
-	began := c.world.now()
+	began := c.cluster.now()
 	call := c.clock.Add(1)
-	got := m.call("GET", "", "", c.patience())
-	c.held(m, began, got)
+	got := m.call("GET", "", "", c.callTimeout())
+	c.checkPartitioned(m, began, got)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.told[got.status]++
+	c.statuses[got.status]++
 	if got.status != 200 && got.status != 404 {
 		return
 	}
-	output := seen{status: got.status}
+	output := observed{status: got.status}
 	if got.status == 200 {
-		output.number, _ = strconv.ParseUint(strings.Trim(got.etag, `"`), 10, 64)
-		output.lineage = tenantsOf(c.world, got.body)
-		c.newest = max(c.newest, output.number)
+		output.version, _ = strconv.ParseUint(strings.Trim(got.etag, `"`), 10, 64)
+		output.tenants = tenantsOf(c.cluster, got.body)
+		c.newestVersion = max(c.newestVersion, output.version)
 	}
 	c.operations = append(c.operations, porcupine.Operation{ClientId: len(c.operations), Call: call, Return: c.clock.Add(1), Output: output})
 }
 
 // tenantsOf lists who stands in a configuration, in order.
-func tenantsOf(w *world, body string) string {
+func tenantsOf(w *clusterSimulation, body string) string {
 	var document configuration.Document
 	if err := json.Unmarshal([]byte(body), &document); err != nil {
 		w.failf("a configuration that can't be read: %v", err)
@@ -274,45 +274,45 @@
 
 // modelState is the configuration and the orders that were taken, as the page tells it.
 type modelState struct {
-	number  uint64
-	lineage string // tenants, each with a semicolon
-	taken   string // ids of orders, each with a semicolon
+	version   uint64
+	tenants   string // tenants, each with a semicolon
+	committed string // ids of orders, each with a semicolon
 }
 
 // step tells whether a call may have gone as it did, and what it left.
-func step(state modelState, order *sentOrder, output seen) (bool, modelState) {
+func step(state modelState, order *sentOrder, output observed) (bool, modelState) {
 	if order == nil {
 		if output.status == 404 {
-			return state.number == 0, state
+			return state.version == 0, state
 		}
-		return output.number == state.number && output.lineage == state.lineage, state
+		return output.version == state.version && output.tenants == state.tenants, state
 	}
-	taken := strings.Contains(state.taken, order.id+";")
-	rises := order.generation > state.number && (order.method == "PUT" || state.number > 0)
-	takes := !taken && !order.invalid && order.ifMatch == state.number && rises
+	taken := strings.Contains(state.committed, order.id+";")
+	rises := order.generation > state.version && (order.method == "PUT" || state.version > 0)
+	takes := !taken && !order.invalid && order.ifMatch == state.version && rises
 	switch output.status {
 	case 200:
-		return taken || takes, state.after(order, takes)
+		return taken || takes, state.next(order, takes)
 	case 412:
-		return !taken && order.ifMatch != state.number, state
+		return !taken && order.ifMatch != state.version, state
 	case 400:
-		return !taken && order.ifMatch == state.number && (order.invalid || !rises), state
+		return !taken && order.ifMatch == state.version && (order.invalid || !rises), state
 	case 0:
-		return true, state.after(order, takes)
+		return true, state.next(order, takes)
 	}
 	return false, state
 }
 
-func (s modelState) after(order *sentOrder, takes bool) modelState {
+func (s modelState) next(order *sentOrder, takes bool) modelState {
 	if !takes {
 		return s
 	}
 	mark := order.tenant + ";"
-	next := modelState{number: order.generation, lineage: s.lineage, taken: s.taken + order.id + ";"}
+	next := modelState{version: order.generation, tenants: s.tenants, committed: s.committed + order.id + ";"}
 	if order.method == "PUT" {
-		next.lineage = mark
-	} else if !strings.Contains(";"+s.lineage, ";"+mark) {
-		next.lineage += mark
+		next.tenants = mark
+	} else if !strings.Contains(";"+s.tenants, ";"+mark) {
+		next.tenants += mark
 	}
 	return next
 }
@@ -321,41 +321,41 @@
 	Init: func() interface{} { return modelState{} },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
 		order, _ := input.(*sentOrder)
-		return step(state.(modelState), order, output.(seen))
+		return step(state.(modelState), order, output.(observed))
 	},
 	Equal: func(a, b interface{}) bool { return a == b },
 }
 
 // judge checks the whole history once the world has come together.
-func (h *history) judge() {
-	w := h.world
+func (h *history) check() {
+	w := h.cluster
 	for _, m := range w.members {
 		for _, order := range h.orders {
 			status := m.machine.Remembered(order.digest(), order.ifMatch)
 			switch {
-			case status == configuration.StatusAccepted && order.refused != 0 && !order.future && w.plant != plantForgetful:
-				w.failf("order %s on %d was refused with %d and is in force on %s", order.tenant, order.ifMatch, order.refused, m.ip)
-			case status != configuration.StatusAccepted && order.acked && w.plant != plantForgetful:
+			case status == configuration.StatusAccepted && order.rejectedWith != 0 && !order.futureBase && w.bug != bugSnapshotDropsOrders:
+				w.failf("order %s on %d was refused with %d and is in force on %s", order.tenant, order.ifMatch, order.rejectedWith, m.ip)
+			case status != configuration.StatusAccepted && order.acknowledged && w.bug != bugSnapshotDropsOrders:
 				w.failf("order %s on %d was acknowledged and isn't known to %s", order.tenant, order.ifMatch, m.ip)
 			}
 		}
 	}
-	h.kept = h.decisive()
+	h.decisiveOperations = h.decisive()
 }
 
 // linear checks the history with porcupine. It is called outside of the bubble, whose time doesn't pass while something computes.
-func (h *history) linear() {
-	w := h.world
+func (h *history) checkLinearizable() {
+	w := h.cluster
 	patience := 20 * time.Second
-	if w.plant != plantNone {
+	if w.bug != bugNone {
 		patience = time.Second // another seed decides
 	}
-	switch porcupine.CheckOperationsTimeout(configurationModel, h.kept, patience) {
+	switch porcupine.CheckOperationsTimeout(configurationModel, h.decisiveOperations, patience) {
 	case porcupine.Illegal:
-		w.failures = append(w.failures, "the history is not linearizable")
+		w.violations = append(w.violations, "the history is not linearizable")
 	case porcupine.Unknown:
-		if w.plant == plantNone {
-			w.failures = append(w.failures, "the history isn't decided in time")
+		if w.bug == bugNone {
+			w.violations = append(w.violations, "the history isn't decided in time")
 		}
 	}
 }
@@ -367,11 +367,11 @@
 	var kept []porcupine.Operation
 	for _, operation := range h.operations {
 		order, _ := operation.Input.(*sentOrder)
-		if operation.Return != openEnd {
+		if operation.Return != noReturn {
 			kept = append(kept, operation)
 			continue
 		}
-		if first[order] || !h.wasTaken(order) {
+		if first[order] || !h.wasCommitted(order) {
 			continue
 		}
 		first[order] = true
@@ -382,63 +382,63 @@
 }
 
 func (h *history) firstCall(order *sentOrder) int64 {
-	call := openEnd
+	call := noReturn
 	for _, operation := range h.operations {
-		if operation.Input == order && operation.Return == openEnd {
+		if operation.Input == order && operation.Return == noReturn {
 			call = min(call, operation.Call)
 		}
 	}
 	return call
 }
 
-func (h *history) wasTaken(order *sentOrder) bool {
-	return order.acked || slices.ContainsFunc(h.world.members, func(m *member) bool {
+func (h *history) wasCommitted(order *sentOrder) bool {
+	return order.acknowledged || slices.ContainsFunc(h.cluster.members, func(m *simulatedControl) bool {
 		return m.machine.Remembered(order.digest(), order.ifMatch) == configuration.StatusAccepted
 	})
 }
 
 // playHistory plays one world and gives what was broken.
-func playHistory(t *testing.T, seed uint64, span time.Duration, planted plant) (failures []string, h *history) {
+func simulateHistory(t *testing.T, seed uint64, span time.Duration, planted injectedBug) (failures []string, h *history) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := 3
 		if seed%5 == 4 {
 			machines = 4
 		}
-		w := newWorld(t, seed, machines, planted)
+		w := newClusterSimulation(t, seed, machines, planted)
 		h = newHistory(w)
 		var running sync.WaitGroup
 		for number := range 2 + int(seed%3) {
 			client := &operatorClient{history: h, number: number, random: rand.New(rand.NewPCG(seed, 100+uint64(number)))}
 			running.Go(func() { client.run(span) })
 		}
-		running.Go(func() { w.trouble(span) })
+		running.Go(func() { w.injectFaults(span) })
 		running.Wait()
-		time.Sleep(settle)
-		h.last()
-		h.judge()
+		time.Sleep(recoveryTime)
+		h.awaitRecovery()
+		h.check()
 		w.stop()
 	})
-	h.linear()
-	return h.world.failures, h
+	h.checkLinearizable()
+	return h.cluster.violations, h
 }
 
 // last holds the world to taking an order once all trouble is over, and waits until every machine has it.
-func (h *history) last() {
-	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.world.seed, 99))}
-	before := h.lastAck
-	for tries := 0; h.lastAck == before; tries++ {
+func (h *history) awaitRecovery() {
+	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.cluster.seed, 99))}
+	before := h.lastAcknowledgedAt
+	for tries := 0; h.lastAcknowledgedAt == before; tries++ {
 		if tries == 40 {
-			h.world.failf("no order is taken once all trouble is over")
+			h.cluster.failf("no order is taken once all trouble is over")
 			return
 		}
 		client.read()
-		order := client.draw()
+		order := client.nextOrder()
 		client.deliver(order, 8)
 	}
-	for _, m := range h.world.members {
+	for _, m := range h.cluster.members {
 		for tries := 0; m.call("GET", "", "", time.Second).status != 200; tries++ {
 			if tries == 40 {
-				h.world.failf("%s can't be read once all trouble is over", m.ip)
+				h.cluster.failf("%s can't be read once all trouble is over", m.ip)
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -446,16 +446,16 @@
 	}
 }
 
-func number(name string, fallback uint64) uint64 {
+func envNumber(name string, fallback uint64) uint64 {
 	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return value
 	}
 	return fallback
 }
 
-func report(t *testing.T, seed uint64, failures []string, h *history) {
+func failWithEvents(t *testing.T, seed uint64, failures []string, h *history) {
 	t.Helper()
-	tail := h.world.events
+	tail := h.cluster.events
 	if len(tail) > 80 && os.Getenv("TRACE") == "" {
 		tail = tail[len(tail)-80:]
 	}
@@ -465,15 +465,15 @@
 // TestRandomHistories checks what operators saw of real control processes in worlds with troubles. SEEDS=N plays N worlds,
 // FIRST=S begins at seed S, TRACE=1 prints a failing world whole.
 func TestRandomHistories(t *testing.T) {
-	first, worlds := number("FIRST", 0), number("SEEDS", plainHistories)
+	first, worlds := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
 	calls, told := 0, map[int]int{}
 	for seed := first; seed < first+worlds; seed++ {
-		failures, h := playHistory(t, seed, 60*time.Second, plantNone)
+		failures, h := simulateHistory(t, seed, 60*time.Second, bugNone)
 		if len(failures) > 0 {
-			report(t, seed, failures, h)
+			failWithEvents(t, seed, failures, h)
 		}
 		calls += len(h.operations)
-		for status, count := range h.told {
+		for status, count := range h.statuses {
 			told[status] += count
 		}
 	}
@@ -481,11 +481,11 @@
 }
 
 // TestPlantedBugs checks that the checks find each bug.
-func TestPlantedBugs(t *testing.T) {
-	for _, planted := range []plant{plantNumbersOnly, plantOldState, plantUnproven, plantForgetful, plantHasty, plantLeftOver} {
+func TestFindsInjectedBugs(t *testing.T) {
+	for _, planted := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsOrders, bugBaseBeforeRepeat, bugStaleResponse} {
 		t.Run(string(planted), func(t *testing.T) {
 			for seed := uint64(0); seed < 40; seed++ {
-				if failures, _ := playHistory(t, seed, 60*time.Second, planted); len(failures) > 0 {
+				if failures, _ := simulateHistory(t, seed, 60*time.Second, planted); len(failures) > 0 {
 					t.Logf("seed %d: %s", seed, failures[0])
 					return
 				}
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -14,22 +14,22 @@
 
 // Sizes of a large configuration.
 const (
-	routesOfMany  = 120
-	tenantsOfMany = 300
-	wholeEvery    = 50 // orders for one that is a whole document
+	largeRouteCount  = 120
+	largeTenantCount = 300
+	putEvery         = 50 // orders for one that is a whole document
 )
 
 // manyRoute writes a route of a large configuration.
-func manyRoute(number, version int) string {
+func largeRoute(number, version int) string {
 	return fmt.Sprintf(`{"name":"route-%04d","hostname":"host-%d.example","path-prefix":"/prefix-%04d/","route-type":"streaming","timeout-ms":%d,"target-latency-ms":300,"priority":1,"traffic-split":[{"backend":"backend-%d","weight":90},{"backend":"backend-0","weight":10}],"max-attempts":2,"public":false,"sticky":true,"resumable":true,"gap_aim_ms":300}`,
 		number, number%7, number, 3000+version%1000, number%9)
 }
 
-func manyTenant(number, version int) string {
+func largeTenant(number, version int) string {
 	return fmt.Sprintf(`{"name":"tenant-%04d","api-keys":["key-%04d-%d","key-%04d"],"priority":1,"rate-per-s":61,"burst":61}`, number, number, version, number)
 }
 
-func listed(count int, one func(number int) string) string {
+func joined(count int, one func(number int) string) string {
 	list := make([]string, count)
 	for i := range list {
 		list[i] = one(i)
@@ -38,26 +38,26 @@
 }
 
 // manyOrder makes the order that leads to a version: mostly a PATCH of a route and a tenant.
-func manyOrder(version int) configuration.ChangeRequest {
-	order := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%wholeEvery != 1}
+func largeOrder(version int) configuration.ChangeRequest {
+	order := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%putEvery != 1}
 	if order.Patch {
 		order.Body = fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`, version,
-			manyRoute(version%routesOfMany, version), manyTenant(version%tenantsOfMany, version))
+			largeRoute(version%largeRouteCount, version), largeTenant(version%largeTenantCount, version))
 		return order
 	}
-	backends := listed(9, func(i int) string {
+	backends := joined(9, func(i int) string {
 		return fmt.Sprintf(`{"name":"backend-%d","health-path":"/healthz","max-conns":190,"protocol":"h1","engine":{"slots":16,"kv-bytes":327680}}`, i)
 	})
 	order.Body = fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"backends":[%s],"tenants":[%s]}`, version,
-		listed(routesOfMany, func(i int) string { return manyRoute(i, version) }), backends,
-		listed(tenantsOfMany, func(i int) string { return manyTenant(i, version) }))
+		joined(largeRouteCount, func(i int) string { return largeRoute(i, version) }), backends,
+		joined(largeTenantCount, func(i int) string { return largeTenant(i, version) }))
 	return order
 }
 
 // take has the world take the orders from one version to another, through one machine after the other.
-func (w *world) take(from, to int, through ...*member) {
+func (w *clusterSimulation) commit(from, to int, through ...*simulatedControl) {
 	for version := from; version <= to; version++ {
-		order := manyOrder(version)
+		order := largeOrder(version)
 		raw, err := statemachine.Command{Configuration: &order}.Encode()
 		if err != nil {
 			w.t.Fatal(err)
@@ -83,9 +83,9 @@
 
 // Bounds of a machine that comes back after many orders.
 const (
-	missedOrders  = 500
-	catchUpWithin = 3 * time.Second
-	catchUpBytes  = 4 << 20
+	missedOrders    = 500
+	maxCatchUpTime  = 3 * time.Second
+	maxCatchUpBytes = 4 << 20
 )
 
 // TestCatchUp has a machine miss 500 orders, with its disk or without: it catches up in bounded time and bytes, and tells nothing
@@ -94,26 +94,26 @@
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("wiped %t", wiped), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 2, 3, plantNone)
-				w.take(1, 100, w.members...)
+				w := newClusterSimulation(t, 2, 3, bugNone)
+				w.commit(1, 100, w.members...)
 				away := w.members[2]
 				away.end(true)
 				if wiped {
 					away.disk.Wipe()
 				}
 				time.Sleep(2 * time.Second)
-				w.take(101, 100+missedOrders, w.members[:2]...)
+				w.commit(101, 100+missedOrders, w.members[:2]...)
 				before, began := w.network.BytesReceived(away.ip), w.now()
 				away.start(false)
-				early := w.servesNothingOld(away, 100+missedOrders)
+				early := w.awaitCaughtUp(away, 100+missedOrders)
 				took, received := w.now()-began, w.network.BytesReceived(away.ip)-before
 				t.Logf("caught up in %v with %d bytes; %d answers before, all without a configuration", took, received, early)
-				if took > catchUpWithin || received > catchUpBytes {
+				if took > maxCatchUpTime || received > maxCatchUpBytes {
 					t.Errorf("%v and %d bytes to catch up", took, received)
 				}
-				w.take(101+missedOrders, 110+missedOrders, away)
+				w.commit(101+missedOrders, 110+missedOrders, away)
 				w.stop()
-				for _, failure := range w.failures {
+				for _, failure := range w.violations {
 					t.Error(failure)
 				}
 			})
@@ -123,7 +123,7 @@
 
 // servesNothingOld asks a machine until it tells the newest version, and counts the answers before. It must neither be fresh nor
 // head the chain with less.
-func (w *world) servesNothingOld(m *member, newest int) (early int) {
+func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
 	for {
 		held := m.machine.Configuration().Generation
 		age, fresh := m.node.Staleness()
--- a/internal/control/operatorapi/majority_test.go
+++ b/internal/control/operatorapi/majority_test.go
@@ -13,8 +13,8 @@
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("disks come back %t", disks), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 4, 3, plantNone)
-				w.take(1, 20, w.members...)
+				w := newClusterSimulation(t, 4, 3, bugNone)
+				w.commit(1, 20, w.members...)
 				left := w.members[2]
 				for _, lost := range w.members[:2] {
 					lost.end(true)
@@ -22,18 +22,18 @@
 						lost.disk.Wipe()
 					}
 				}
-				w.refusesAll(left, 20*time.Second)
+				w.checkUnavailable(left, 20*time.Second)
 				if disks {
 					w.members[0].start(false)
 					time.Sleep(3 * time.Second)
-					w.take(21, 30, left)
+					w.commit(21, 30, left)
 				} else {
 					w.members[0].start(false)
 					w.members[1].start(false)
-					w.refusesAll(left, 20*time.Second)
+					w.checkUnavailable(left, 20*time.Second)
 				}
 				w.stop()
-				for _, failure := range w.failures {
+				for _, failure := range w.violations {
 					t.Error(failure)
 				}
 			})
@@ -42,10 +42,10 @@
 }
 
 // refusesAll checks that a machine takes and tells nothing for a while.
-func (w *world) refusesAll(m *member, span time.Duration) {
-	order := manyOrder(21)
+func (w *clusterSimulation) checkUnavailable(m *simulatedControl, span time.Duration) {
+	order := largeOrder(21)
 	for end := w.now() + span; w.now() < end; {
-		for _, got := range []answered{
+		for _, got := range []callResult{
 			m.call("GET", "", "", 5*time.Second),
 			m.call("PATCH", fmt.Sprint(order.IfMatch), string(order.Body), 5*time.Second),
 			m.call("PATCH", "3", `{"generation":4}`, 5*time.Second),
--- a/internal/control/operatorapi/many_test.go
+++ b/internal/control/operatorapi/many_test.go
@@ -16,7 +16,7 @@
 )
 
 // usage is what the world holds in memory and on the fullest disk.
-func (w *world) usage() (heap uint64, disk int64) {
+func (w *clusterSimulation) usage() (heap uint64, disk int64) {
 	for _, m := range w.members {
 		held, _, _ := m.disk.Usage()
 		disk = max(disk, held)
@@ -30,20 +30,20 @@
 // TestManyOrders takes thousands of orders, and holds memory, disk and the snapshot to standing still from the moment at which as
 // many orders are remembered as ever are.
 func TestManyOrders(t *testing.T) {
-	orders := int(number("ORDERS", manyOrders))
+	orders := int(envNumber("ORDERS", manyOrders))
 	full := remembered + (orders-remembered)/4
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, 3, plantNone)
+		w := newClusterSimulation(t, 1, 3, bugNone)
 		began := w.now()
-		w.take(1, full, w.members...)
+		w.commit(1, full, w.members...)
 		heap, disk := w.usage()
 		snapshot := len(w.members[0].machine.Snapshot())
-		w.take(full+1, orders, w.members...)
+		w.commit(full+1, orders, w.members...)
 		heapAfter, diskAfter := w.usage()
 		snapshotAfter := len(w.members[0].machine.Snapshot())
 		t.Logf("%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
 			full, orders, float64(heap)/1e6, float64(heapAfter)/1e6, float64(disk)/1e6, float64(diskAfter)/1e6, snapshot, snapshotAfter,
-			len(manyOrder(1).Body), float64((w.now()-began).Microseconds())/1e3/float64(orders))
+			len(largeOrder(1).Body), float64((w.now()-began).Microseconds())/1e3/float64(orders))
 		if heapAfter > heap+heap/4+4<<20 {
 			t.Errorf("the heap grew from %d to %d", heap, heapAfter)
 		}
@@ -53,9 +53,9 @@
 		if snapshotAfter > snapshot+snapshot/10 {
 			t.Errorf("the snapshot grew from %d to %d bytes", snapshot, snapshotAfter)
 		}
-		w.remembers(orders)
+		w.checkRemembered(orders)
 		w.stop()
-		for _, failure := range w.failures {
+		for _, failure := range w.violations {
 			t.Error(failure)
 		}
 	})
@@ -63,9 +63,9 @@
 
 // remembers checks what orders of any age get: those remembered an acknowledgement, older ones no clear answer, and what was
 // never taken a refusal as long as that is known.
-func (w *world) remembers(orders int) {
+func (w *clusterSimulation) checkRemembered(orders int) {
 	for version := 1; version <= orders; version += 499 {
-		order := manyOrder(version)
+		order := largeOrder(version)
 		method := "PUT"
 		if order.Patch {
 			method = "PATCH"
--- a/internal/control/operatorapi/operator_test.go
+++ b/internal/control/operatorapi/operator_test.go
@@ -23,33 +23,33 @@
 )
 
 // soleChain is a chain of one process, of which tests decide what becomes of each proposal.
-type soleChain struct {
-	mutex    sync.Mutex
-	machine  *statemachine.StateMachine
-	index    uint64
-	outcomes map[string][]byte
-	cut      bool           // nothing can be read or proposed
-	fates    []proposalFate // of the next proposals
-	held     chan struct{}  // not nil: proposals wait for it
-	ids      map[string]int // proposals by id
+type fakeChain struct {
+	mutex        sync.Mutex
+	machine      *statemachine.StateMachine
+	index        uint64
+	outcomes     map[string][]byte
+	partitioned  bool              // nothing can be read or proposed
+	nextOutcomes []proposalOutcome // of the next proposals
+	blocked      chan struct{}     // not nil: proposals wait for it
+	proposals    map[string]int    // proposals by id
 }
 
-type proposalFate int
+type proposalOutcome int
 
 const (
-	fateTaken   proposalFate = iota
-	fateLost                 // not carried out, uncertain
-	fateUnheard              // carried out, uncertain
-	fateRefused              // not carried out, and surely so
+	proposalAcknowledged proposalOutcome = iota
+	proposalLost                         // not carried out, uncertain
+	acknowledgementLost                  // carried out, uncertain
+	proposalRejected                     // not carried out, and surely so
 )
 
-func newSoleChain() *soleChain {
-	return &soleChain{machine: statemachine.New(), outcomes: map[string][]byte{}, ids: map[string]int{}}
+func newFakeChain() *fakeChain {
+	return &fakeChain{machine: statemachine.New(), outcomes: map[string][]byte{}, proposals: map[string]int{}}
 }
 
-func (c *soleChain) Read(ctx context.Context) error {
+func (c *fakeChain) Read(ctx context.Context) error {
 	c.mutex.Lock()
-	cut := c.cut
+	cut := c.partitioned
 	c.mutex.Unlock()
 	if !cut {
 		return nil
@@ -58,28 +58,28 @@
 	return ctx.Err()
 }
 
-func (c *soleChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
-	if c.held != nil {
-		<-c.held
+func (c *fakeChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
+	if c.blocked != nil {
+		<-c.blocked
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ids[id]++
-	fate := fateTaken
-	if len(c.fates) > 0 {
-		fate, c.fates = c.fates[0], c.fates[1:]
+	c.proposals[id]++
+	fate := proposalAcknowledged
+	if len(c.nextOutcomes) > 0 {
+		fate, c.nextOutcomes = c.nextOutcomes[0], c.nextOutcomes[1:]
 	}
 	switch fate {
-	case fateLost:
+	case proposalLost:
 		return nil, errors.New("no answer")
-	case fateRefused:
+	case proposalRejected:
 		return nil, ErrUnavailable
 	}
 	if _, done := c.outcomes[id]; !done {
 		c.index++
 		c.outcomes[id] = c.machine.Apply(c.index, order)
 	}
-	if fate == fateUnheard {
+	if fate == acknowledgementLost {
 		return nil, errors.New("no answer")
 	}
 	return c.outcomes[id], nil
@@ -87,7 +87,7 @@
 
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
-func newAPI(chain *soleChain) http.Handler {
+func newAPI(chain *fakeChain) http.Handler {
 	return New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, MaxBodyBytes: 4096,
 		MinActiveStores: 2, Log: zerolog.Nop()}).Handler()
 }
@@ -114,7 +114,7 @@
 
 func TestConfiguration(t *testing.T) {
 	Convey("Given a chain", t, func() {
-		chain := newSoleChain()
+		chain := newFakeChain()
 		api := newAPI(chain)
 		Convey("before the first configuration there is none to read", func() {
 			So(send(api, "GET", "/config", "", "").Code, ShouldEqual, 404)
@@ -169,21 +169,21 @@
 }
 
 // inTime runs a test on a clock that runs as soon as nothing else does.
-func inTime(t *testing.T, name string, run func(t *testing.T)) {
+func runInBubble(t *testing.T, name string, run func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, run) })
 }
 
-func expect(t *testing.T, recorder *httptest.ResponseRecorder, status int) {
+func checkStatus(t *testing.T, recorder *httptest.ResponseRecorder, status int) {
 	t.Helper()
 	if recorder.Code != status {
 		t.Fatalf("status %d, expected %d: %s", recorder.Code, status, recorder.Body)
 	}
 }
 
-func TestUnclear(t *testing.T) {
-	inTime(t, "a chain that can't be read is told soon, with when to come back", func(t *testing.T) {
-		chain := newSoleChain()
-		chain.cut = true
+func TestIndeterminate(t *testing.T) {
+	runInBubble(t, "a chain that can't be read is told soon, with when to come back", func(t *testing.T) {
+		chain := newFakeChain()
+		chain.partitioned = true
 		api := newAPI(chain)
 		for _, method := range []string{"GET", "PUT", "PATCH"} {
 			began := time.Now()
@@ -191,17 +191,17 @@
 			if method == "PATCH" {
 				answer = send(api, method, "/config", "0", `{"generation":2}`)
 			}
-			expect(t, answer, 503)
+			checkStatus(t, answer, 503)
 			if took := time.Since(began); took > 2*unavailableAfter || answer.Header().Get("Retry-After") == "" {
 				t.Fatalf("took %v, headers %v", took, answer.Header())
 			}
 		}
 	})
-	inTime(t, "a chain that can't be read refuses nothing, whatever was sent", func(t *testing.T) {
-		chain := newSoleChain()
+	runInBubble(t, "a chain that can't be read refuses nothing, whatever was sent", func(t *testing.T) {
+		chain := newFakeChain()
 		api := newAPI(chain)
-		expect(t, send(api, "PUT", "/config", "0", document), 200)
-		chain.cut = true
+		checkStatus(t, send(api, "PUT", "/config", "0", document), 200)
+		chain.partitioned = true
 		for _, one := range []struct{ method, path, ifMatch, body string }{
 			{"PUT", "/config", "7", document[:40]},                              // can't be read whole
 			{"PUT", "/config", "7", strings.Replace(document, ":5,", ":0,", 1)}, // a fault of the shape
@@ -213,65 +213,65 @@
 			{"GET", "/config", "", ""},
 		} {
 			if one.method == "POST" {
-				chain.fates = slices.Repeat([]proposalFate{fateRefused}, 1000)
+				chain.nextOutcomes = slices.Repeat([]proposalOutcome{proposalRejected}, 1000)
 			}
-			expect(t, send(api, one.method, one.path, one.ifMatch, one.body), 503)
+			checkStatus(t, send(api, one.method, one.path, one.ifMatch, one.body), 503)
 		}
 	})
-	inTime(t, "an order that is too large here, and was taken elsewhere, is acknowledged again", func(t *testing.T) {
-		chain := newSoleChain()
+	runInBubble(t, "an order that is too large here, and was taken elsewhere, is acknowledged again", func(t *testing.T) {
+		chain := newFakeChain()
 		large := New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, Log: zerolog.Nop()}).Handler()
 		api := newAPI(chain)
 		body := document + strings.Repeat(" ", 5000)
-		expect(t, send(large, "PUT", "/config", "0", body), 200)
-		expect(t, send(api, "PUT", "/config", "0", body), 200)
-		expect(t, sendChunked(api, body), 200)
-		expect(t, send(api, "PUT", "/config", "0", body+" "), 413)
-		expect(t, sendChunked(api, body+" "), 413)
+		checkStatus(t, send(large, "PUT", "/config", "0", body), 200)
+		checkStatus(t, send(api, "PUT", "/config", "0", body), 200)
+		checkStatus(t, sendChunked(api, body), 200)
+		checkStatus(t, send(api, "PUT", "/config", "0", body+" "), 413)
+		checkStatus(t, sendChunked(api, body+" "), 413)
 	})
-	inTime(t, "an order whose outcome is unheard is proposed again under its id", func(t *testing.T) {
-		for _, fates := range [][]proposalFate{{fateUnheard}, {fateLost}, {fateRefused, fateLost, fateUnheard}, {fateRefused, fateRefused}} {
-			chain := newSoleChain()
-			chain.fates = fates
-			expect(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
-			if chain.index != 1 || len(chain.ids) != 1 {
-				t.Fatalf("%d orders, ids %v", chain.index, chain.ids)
+	runInBubble(t, "an order whose outcome is unheard is proposed again under its id", func(t *testing.T) {
+		for _, fates := range [][]proposalOutcome{{acknowledgementLost}, {proposalLost}, {proposalRejected, proposalLost, acknowledgementLost}, {proposalRejected, proposalRejected}} {
+			chain := newFakeChain()
+			chain.nextOutcomes = fates
+			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
+			if chain.index != 1 || len(chain.proposals) != 1 {
+				t.Fatalf("%d orders, ids %v", chain.index, chain.proposals)
 			}
 		}
 	})
-	inTime(t, "an order that was surely not taken ends with 503, one that may have been with 504 within ack-ms", func(t *testing.T) {
-		for status, fate := range map[int]proposalFate{503: fateRefused, 504: fateLost} {
-			chain := newSoleChain()
+	runInBubble(t, "an order that was surely not taken ends with 503, one that may have been with 504 within ack-ms", func(t *testing.T) {
+		for status, fate := range map[int]proposalOutcome{503: proposalRejected, 504: proposalLost} {
+			chain := newFakeChain()
 			for range 1000 {
-				chain.fates = append(chain.fates, fate)
+				chain.nextOutcomes = append(chain.nextOutcomes, fate)
 			}
 			began := time.Now()
-			expect(t, send(newAPI(chain), "PUT", "/config", "0", document), status)
+			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), status)
 			if took := time.Since(began); took > 4*time.Second {
 				t.Fatalf("took %v", took)
 			}
 		}
 	})
-	inTime(t, "an order that comes again while it is under way joins the first", func(t *testing.T) {
-		chain := newSoleChain()
-		chain.held = make(chan struct{})
+	runInBubble(t, "an order that comes again while it is under way joins the first", func(t *testing.T) {
+		chain := newFakeChain()
+		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
 		answers := make(chan *httptest.ResponseRecorder)
 		for range 3 {
 			go func() { answers <- send(api, "PUT", "/config", "0", document) }()
 		}
 		synctest.Wait()
-		close(chain.held)
+		close(chain.blocked)
 		for range 3 {
-			expect(t, <-answers, 200)
+			checkStatus(t, <-answers, 200)
 		}
-		if len(chain.ids) != 1 || chain.index != 1 {
-			t.Fatalf("ids %v", chain.ids)
+		if len(chain.proposals) != 1 || chain.index != 1 {
+			t.Fatalf("ids %v", chain.proposals)
 		}
 	})
-	inTime(t, "an order goes on when its caller has gone", func(t *testing.T) {
-		chain := newSoleChain()
-		chain.held = make(chan struct{})
+	runInBubble(t, "an order goes on when its caller has gone", func(t *testing.T) {
+		chain := newFakeChain()
+		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
 		ctx, cancel := context.WithCancel(t.Context())
 		request := httptest.NewRequestWithContext(ctx, "PUT", "/config", strings.NewReader(document))
@@ -284,13 +284,13 @@
 		synctest.Wait()
 		cancel()
 		<-gone
-		close(chain.held)
+		close(chain.blocked)
 		synctest.Wait()
-		expect(t, send(api, "GET", "/config", "", ""), 200)
+		checkStatus(t, send(api, "GET", "/config", "", ""), 200)
 	})
-	inTime(t, "the body of an order whose caller has gone counts as long as it is held", func(t *testing.T) {
-		chain := newSoleChain()
-		chain.held = make(chan struct{})
+	runInBubble(t, "the body of an order whose caller has gone counts as long as it is held", func(t *testing.T) {
+		chain := newFakeChain()
+		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
 		for _, padding := range []int{3700, 3701} { // of 4096 bytes, of which there may be two
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -299,13 +299,13 @@
 			request.Header.Set("If-Match", "0")
 			api.ServeHTTP(httptest.NewRecorder(), request)
 		}
-		expect(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 503)
-		close(chain.held)
+		checkStatus(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 503)
+		close(chain.blocked)
 		synctest.Wait()
-		expect(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 412)
+		checkStatus(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 412)
 	})
-	inTime(t, "of two orders on one version one wins", func(t *testing.T) {
-		chain := newSoleChain()
+	runInBubble(t, "of two orders on one version one wins", func(t *testing.T) {
+		chain := newFakeChain()
 		api := newAPI(chain)
 		statuses := make(chan int)
 		for _, body := range []string{document, document + " ", document + "\n"} {
@@ -323,7 +323,7 @@
 
 func TestRetirement(t *testing.T) {
 	Convey("Given three store machines", t, func() {
-		chain := newSoleChain()
+		chain := newFakeChain()
 		api := newAPI(chain)
 		var processes []protocol.Process
 		for _, name := range []string{"s1", "s2", "s3"} {
--- a/internal/control/operatorapi/plant_test.go
+++ b/internal/control/operatorapi/plant_test.go
@@ -15,34 +15,34 @@
 )
 
 // plant is a bug that the checks must find.
-type plant string
+type injectedBug string
 
 // Bugs that a world can be given.
 const (
-	plantNone        plant = ""
-	plantNumbersOnly plant = "an order is known by the number that it builds on alone"
-	plantOldState    plant = "orders are refused from state that was not proven"
-	plantUnproven    plant = "GET answers without proof"
-	plantForgetful   plant = "which orders were taken is forgotten at a snapshot"
-	plantHasty       plant = "an order is refused before it is looked for among those taken"
-	plantLeftOver    plant = "a caller gets the answer of the one before"
+	bugNone                injectedBug = ""
+	bugIDIsBaseVersion     injectedBug = "an order is known by the number that it builds on alone"
+	bugUnprovenRefusal     injectedBug = "orders are refused from state that was not proven"
+	bugUnprovenGet         injectedBug = "GET answers without proof"
+	bugSnapshotDropsOrders injectedBug = "which orders were taken is forgotten at a snapshot"
+	bugBaseBeforeRepeat    injectedBug = "an order is refused before it is looked for among those taken"
+	bugStaleResponse       injectedBug = "a caller gets the answer of the one before"
 )
 
 // chain spoils what the API has of the chain.
-func (p plant) chain(whole Chain) Chain {
+func (p injectedBug) wrapChain(whole Chain) Chain {
 	switch p {
-	case plantNumbersOnly:
-		return numberedChain{whole}
-	case plantOldState:
-		return unprovenChain{whole}
+	case bugIDIsBaseVersion:
+		return baseVersionIDChain{whole}
+	case bugUnprovenRefusal:
+		return unprovenReadChain{whole}
 	}
 	return whole
 }
 
 // numberedChain takes orders that build on one version for the same.
-type numberedChain struct{ Chain }
+type baseVersionIDChain struct{ Chain }
 
-func (c numberedChain) Propose(ctx context.Context, _ string, order []byte) ([]byte, error) {
+func (c baseVersionIDChain) Propose(ctx context.Context, _ string, order []byte) ([]byte, error) {
 	var command statemachine.Command
 	if err := gob.NewDecoder(bytes.NewReader(order)).Decode(&command); err != nil {
 		return nil, err
@@ -51,14 +51,14 @@
 }
 
 // unprovenChain reads what is there.
-type unprovenChain struct{ Chain }
+type unprovenReadChain struct{ Chain }
 
-func (c unprovenChain) Read(context.Context) error { return nil }
+func (c unprovenReadChain) Read(context.Context) error { return nil }
 
 // forgetfulMachine forgets which orders were taken when it is restored.
-type forgetfulMachine struct{ *statemachine.StateMachine }
+type forgetfulStateMachine struct{ *statemachine.StateMachine }
 
-func (m *forgetfulMachine) Restore(raw []byte) error {
+func (m *forgetfulStateMachine) Restore(raw []byte) error {
 	var whole struct{ Configuration []byte } // the world has no stores and lends no quota
 	var state struct {
 		Index    uint64
@@ -70,11 +70,11 @@
 	if err := gob.NewDecoder(bytes.NewReader(whole.Configuration)).Decode(&state); err != nil {
 		return err
 	}
-	whole.Configuration = encoded(state)
-	return m.StateMachine.Restore(encoded(whole))
+	whole.Configuration = mustEncode(state)
+	return m.StateMachine.Restore(mustEncode(whole))
 }
 
-func encoded(value any) []byte {
+func mustEncode(value any) []byte {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(value); err != nil {
 		panic(err)
@@ -83,17 +83,17 @@
 }
 
 // handler spoils the API itself.
-func (p plant) handler(api *API, whole http.Handler) http.Handler {
+func (p injectedBug) wrapHandler(api *API, whole http.Handler) http.Handler {
 	switch p {
-	case plantUnproven:
+	case bugUnprovenGet:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			if request.Method == http.MethodGet {
-				writeRaw(response, api.options.Machine.Configuration())
+				writeUnprovenVersion(response, api.options.Machine.Configuration())
 				return
 			}
 			whole.ServeHTTP(response, request)
 		})
-	case plantHasty:
+	case bugBaseBeforeRepeat:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			number, _ := strconv.ParseUint(request.Header.Get("If-Match"), 10, 64)
 			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil && number < api.options.Machine.Configuration().Generation {
@@ -102,13 +102,13 @@
 			}
 			whole.ServeHTTP(response, request)
 		})
-	case plantLeftOver:
-		return &leftOver{whole: whole}
+	case bugStaleResponse:
+		return &staleResponder{next: whole}
 	}
 	return whole
 }
 
-func writeRaw(response http.ResponseWriter, version *configuration.Version) {
+func writeUnprovenVersion(response http.ResponseWriter, version *configuration.Version) {
 	if version.Generation == 0 {
 		response.WriteHeader(http.StatusNotFound)
 		return
@@ -118,15 +118,15 @@
 }
 
 // leftOver gives the answer of each second GET to the next one as well.
-type leftOver struct {
-	whole http.Handler
+type staleResponder struct {
+	next  http.Handler
 	mutex sync.Mutex
 	kept  *httptest.ResponseRecorder
 }
 
-func (l *leftOver) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+func (l *staleResponder) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet {
-		l.whole.ServeHTTP(response, request)
+		l.next.ServeHTTP(response, request)
 		return
 	}
 	l.mutex.Lock()
@@ -135,7 +135,7 @@
 	l.mutex.Unlock()
 	if kept == nil {
 		kept = httptest.NewRecorder()
-		l.whole.ServeHTTP(kept, request.WithContext(context.WithoutCancel(request.Context())))
+		l.next.ServeHTTP(kept, request.WithContext(context.WithoutCancel(request.Context())))
 		l.mutex.Lock()
 		l.kept = kept
 		l.mutex.Unlock()
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -40,44 +40,44 @@
 }
 
 // member is a control machine of the world: the API on the state machine on a real replica.
-type member struct {
-	world   *world
-	ip      string
-	disk    *bubble.Disk
-	mutex   sync.Mutex
-	life    int // 0 while it is down: counts starts else
-	starts  int
-	host    *bubble.Host
-	node    *replica.Node
-	machine *statemachine.StateMachine
-	api     http.Handler
+type simulatedControl struct {
+	cluster     *clusterSimulation
+	ip          string
+	disk        *bubble.Disk
+	mutex       sync.Mutex
+	incarnation int // 0 while it is down: counts starts else
+	starts      int
+	host        *bubble.Host
+	node        *replica.Node
+	machine     *statemachine.StateMachine
+	api         http.Handler
 }
 
 // world is a core of control machines in virtual time.
-type world struct {
-	t        *testing.T
-	seed     uint64
-	random   *rand.Rand // of the troubles
-	network  *bubble.Network
-	members  []*member
-	seeds    []string
-	plant    plant
-	began    time.Time
-	mutex    sync.Mutex // of all below
-	events   []string
-	isolated *member // cut off from all others
-	since    time.Duration
-	failures []string
+type clusterSimulation struct {
+	t             *testing.T
+	seed          uint64
+	random        *rand.Rand // of the troubles
+	network       *bubble.Network
+	members       []*simulatedControl
+	seeds         []string
+	bug           injectedBug
+	began         time.Time
+	mutex         sync.Mutex // of all below
+	events        []string
+	partitioned   *simulatedControl // cut off from all others
+	partitionedAt time.Duration
+	violations    []string
 }
 
-const worldTolerance = 1
+const simulatedTolerance = 1
 
 // newWorld starts a core. It is called in a bubble.
-func newWorld(t *testing.T, seed uint64, machines int, planted plant) *world {
-	w := &world{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), network: bubble.New(seed), plant: planted, began: time.Now()}
+func newClusterSimulation(t *testing.T, seed uint64, machines int, planted injectedBug) *clusterSimulation {
+	w := &clusterSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), network: bubble.New(seed), bug: planted, began: time.Now()}
 	for i := range machines {
 		ip := fmt.Sprint("10.0.0.", i+1)
-		w.members = append(w.members, &member{world: w, ip: ip, disk: bubble.NewDisk(seed*31 + uint64(i))})
+		w.members = append(w.members, &simulatedControl{cluster: w, ip: ip, disk: bubble.NewDisk(seed*31 + uint64(i))})
 		if i < 3 {
 			w.seeds = append(w.seeds, ip+":70")
 		}
@@ -88,29 +88,29 @@
 	return w
 }
 
-func (w *world) now() time.Duration { return time.Since(w.began) }
+func (w *clusterSimulation) now() time.Duration { return time.Since(w.began) }
 
-func (w *world) note(format string, arguments ...any) {
+func (w *clusterSimulation) logf(format string, arguments ...any) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.events = append(w.events, fmt.Sprintf("%10.3f ", w.now().Seconds())+fmt.Sprintf(format, arguments...))
 }
 
 // failf notes a broken check. The world goes on to its end.
-func (w *world) failf(format string, arguments ...any) {
-	w.note("BROKEN: "+format, arguments...)
+func (w *clusterSimulation) failf(format string, arguments ...any) {
+	w.logf("BROKEN: "+format, arguments...)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.failures = append(w.failures, fmt.Sprintf(format, arguments...))
+	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
 // start starts the process. No lock is held meanwhile: who waits for one doesn't let the time of a bubble pass.
-func (m *member) start(bootstrap bool) {
-	w := m.world
+func (m *simulatedControl) start(bootstrap bool) {
+	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
 	var planted chain.StateMachine = state
-	if w.plant == plantForgetful {
-		planted = &forgetfulMachine{StateMachine: state}
+	if w.bug == bugSnapshotDropsOrders {
+		planted = &forgetfulStateMachine{StateMachine: state}
 	}
 	started, err := replica.Start(replica.Options{
 		Identity:     transport.Identity{System: "world", Node: m.ip, Role: "control"},
@@ -120,34 +120,34 @@
 		Seeds:        w.seeds,
 		Bootstrap:    bootstrap,
 		Disk:         m.disk.Mount(),
-		Tolerance:    worldTolerance,
+		Tolerance:    simulatedTolerance,
 		StateMachine: planted,
-		Log:          func(event string, fields ...any) { w.note("%s %s %v", m.ip, event, fields) },
+		Log:          func(event string, fields ...any) { w.logf("%s %s %v", m.ip, event, fields) },
 	})
 	if err != nil {
 		w.failf("start of %s: %v", m.ip, err)
 		return
 	}
-	api := New(Options{Machine: state, Chain: w.plant.chain(replicaChain{started}), Bounds: node.Bounds{Acknowledge: 4 * time.Second},
-		MaxBodyBytes: 1 << 20, MinActiveStores: worldTolerance + 1, Log: zerolog.Nop()})
+	api := New(Options{Machine: state, Chain: w.bug.wrapChain(replicaChain{started}), Bounds: node.Bounds{Acknowledge: 4 * time.Second},
+		MaxBodyBytes: 1 << 20, MinActiveStores: simulatedTolerance + 1, Log: zerolog.Nop()})
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.starts++
-	m.host, m.machine, m.node, m.life = host, state, started, m.starts
-	m.api = w.plant.handler(api, api.Handler())
-	w.note("%s starts", m.ip)
+	m.host, m.machine, m.node, m.incarnation = host, state, started, m.starts
+	m.api = w.bug.wrapHandler(api, api.Handler())
+	w.logf("%s starts", m.ip)
 }
 
 // end ends the process: as a kill, or by a loss of power.
-func (m *member) end(power bool) {
+func (m *simulatedControl) end(power bool) {
 	m.mutex.Lock()
-	running := m.life != 0
-	m.life = 0
+	running := m.incarnation != 0
+	m.incarnation = 0
 	m.mutex.Unlock()
 	if !running {
 		return
 	}
-	m.world.note("%s ends, power lost %t", m.ip, power)
+	m.cluster.logf("%s ends, power lost %t", m.ip, power)
 	if power {
 		m.host.LosePower()
 		m.disk.LosePower()
@@ -159,19 +159,19 @@
 }
 
 // answered is what a caller saw.
-type answered struct {
+type callResult struct {
 	status int // 0: nothing
 	body   string
 	etag   string
 }
 
 // call sends one request to a machine and waits as long as an operator does.
-func (m *member) call(method, ifMatch, body string, patience time.Duration) answered {
+func (m *simulatedControl) call(method, ifMatch, body string, patience time.Duration) callResult {
 	m.mutex.Lock()
-	life, api := m.life, m.api
+	life, api := m.incarnation, m.api
 	m.mutex.Unlock()
 	if life == 0 {
-		return answered{}
+		return callResult{}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -188,19 +188,19 @@
 	select {
 	case <-done:
 	case <-ctx.Done():
-		return answered{}
+		return callResult{}
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.life != life || ctx.Err() != nil {
-		return answered{}
+	if m.incarnation != life || ctx.Err() != nil {
+		return callResult{}
 	}
-	return answered{status: recorder.Code, body: recorder.Body.String(), etag: recorder.Header().Get("ETag")}
+	return callResult{status: recorder.Code, body: recorder.Body.String(), etag: recorder.Header().Get("ETag")}
 }
 
 // cutOff cuts a machine off from all others, in one direction or both.
-func (w *world) cutOff(m *member, out, in bool, span time.Duration) {
-	w.note("%s is cut off for %v, out %t, in %t", m.ip, span, out, in)
+func (w *clusterSimulation) partition(m *simulatedControl, out, in bool, span time.Duration) {
+	w.logf("%s is cut off for %v, out %t, in %t", m.ip, span, out, in)
 	for _, other := range w.members {
 		if other == m {
 			continue
@@ -213,45 +213,45 @@
 		}
 	}
 	w.mutex.Lock()
-	w.isolated, w.since = m, w.now()
+	w.partitioned, w.partitionedAt = m, w.now()
 	w.mutex.Unlock()
 	time.Sleep(span)
 	w.mutex.Lock()
-	w.isolated = nil
+	w.partitioned = nil
 	w.mutex.Unlock()
 	for _, other := range w.members {
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
 	}
-	w.note("%s is back in touch", m.ip)
+	w.logf("%s is back in touch", m.ip)
 }
 
 // outOfTouch tells whether a machine has been cut off since before a moment.
-func (w *world) outOfTouch(m *member, called time.Duration) bool {
+func (w *clusterSimulation) isPartitioned(m *simulatedControl, called time.Duration) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.isolated == m && called > w.since
+	return w.partitioned == m && called > w.partitionedAt
 }
 
 // settle is how long a machine that is back takes to be whole again.
-const settle = 5 * time.Second
+const recoveryTime = 5 * time.Second
 
 // trouble brings one trouble after the other, each within what is to be borne.
-func (w *world) trouble(end time.Duration) {
-	time.Sleep(2*time.Second + w.span(time.Second))
+func (w *clusterSimulation) injectFaults(end time.Duration) {
+	time.Sleep(2*time.Second + w.randomDuration(time.Second))
 	for w.now() < end-2*time.Second {
 		members := slices.Clone(w.members)
 		w.random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		w.oneTrouble(members[0], members[1], w.random.IntN(12), 200*time.Millisecond+w.span(3*time.Second))
-		time.Sleep(settle)
+		w.injectFault(members[0], members[1], w.random.IntN(12), 200*time.Millisecond+w.randomDuration(3*time.Second))
+		time.Sleep(recoveryTime)
 	}
 }
 
-func (w *world) span(most time.Duration) time.Duration {
+func (w *clusterSimulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(w.random.Int64N(int64(most)))
 }
 
-func (w *world) oneTrouble(m, other *member, kind int, span time.Duration) {
+func (w *clusterSimulation) injectFault(m, other *simulatedControl, kind int, span time.Duration) {
 	switch kind {
 	case 0, 1:
 		m.end(kind == 1)
@@ -262,7 +262,7 @@
 			one.end(true)
 		}
 		if kind == 3 {
-			w.note("%s loses its disk", m.ip)
+			w.logf("%s loses its disk", m.ip)
 			m.disk.Wipe()
 		}
 		time.Sleep(span)
@@ -271,18 +271,18 @@
 		}
 	case 4:
 		m.end(true)
-		w.note("%s loses its disk", m.ip)
+		w.logf("%s loses its disk", m.ip)
 		m.disk.Wipe()
 		time.Sleep(span)
 		m.start(false)
 	case 5:
-		w.cutOff(m, true, true, 20*time.Second)
+		w.partition(m, true, true, 20*time.Second)
 	case 6:
-		w.cutOff(m, true, false, 20*time.Second)
+		w.partition(m, true, false, 20*time.Second)
 	case 7:
-		w.cutOff(m, false, true, 20*time.Second)
+		w.partition(m, false, true, 20*time.Second)
 	case 8:
-		w.note("the link of %s and %s is cut", m.ip, other.ip)
+		w.logf("the link of %s and %s is cut", m.ip, other.ip)
 		w.network.Partition(m.ip, other.ip)
 		if w.random.IntN(2) == 0 {
 			w.network.Partition(other.ip, m.ip)
@@ -291,12 +291,12 @@
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
 	case 9: // whoever waits for the disk stands still, the API goes on
-		w.note("the disk of %s stalls for %v", m.ip, span)
+		w.logf("the disk of %s stalls for %v", m.ip, span)
 		m.disk.SetStalled(true)
 		time.Sleep(span)
 		m.disk.SetStalled(false)
 	case 10:
-		w.note("%s leaves as planned", m.ip)
+		w.logf("%s leaves as planned", m.ip)
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		_ = m.node.HandOver(ctx)
 		cancel()
@@ -306,13 +306,13 @@
 	case 11:
 		for range 10 {
 			w.network.Reset(m.ip, other.ip)
-			time.Sleep(w.span(span / 5))
+			time.Sleep(w.randomDuration(span / 5))
 		}
 	}
 }
 
 // stop ends all processes and waits for what they left behind.
-func (w *world) stop() {
+func (w *clusterSimulation) stop() {
 	for _, m := range w.members {
 		m.end(false)
 	}
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -13,7 +13,7 @@
 
 // TestPresence tells random sets of gateways over a connection that ends now and then, at either side first; after each report
 // that arrives the receiver has the sender's set.
-func TestPresence(t *testing.T) {
+func TestPollersDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		receiver := &Control{liveness: liveness.New()}
 		sender := &peer{gateways: map[string]protocol.Process{}}
--- a/internal/control/proof_test.go
+++ b/internal/control/proof_test.go
@@ -31,7 +31,7 @@
 }
 
 // toldSet gives the epoch of the set of batch processes that a process was told; 0: none yet.
-func (f *follower) toldSet() uint64 {
+func (f *simulatedPoller) storeEpoch() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.members == nil {
@@ -56,33 +56,33 @@
 
 // TestSetNeedsProof has all control processes lose power after the set of batch processes has changed a few times. What one holds that
 // starts alone is what its disk had learnt to be acknowledged, which may be a set that ended long ago.
-func TestSetNeedsProof(t *testing.T) {
+func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBubbleSystem(t, 1, nil)
 		defer s.finish()
-		if status := s.put(t, "PUT", "0", limitedDocument); status != 200 {
+		if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 			t.Fatal(status)
 		}
-		var stores []*follower
+		var stores []*simulatedPoller
 		for i := range 4 {
-			stores = append(stores, s.follow(t, i%3, storeProcess(i, "a")))
-			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].see(func() bool { return stores[i].grant.Lease > 0 }))
+			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
+			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }))
 		}
 		s.fillLog(t)
-		stores[3].silent.Store(true)
+		stores[3].paused.Store(true)
 		eventually(t, "that a silent one is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
 		newest := s.running[0].state.Stores().Epoch
 		for i := range s.running {
 			s.losePower(i)
 		}
 		for _, store := range stores {
-			store.silent.Store(true)
+			store.paused.Store(true)
 		}
 		s.begin(0)
-		beginners := []*follower{s.follow(t, 0, storeProcess(2, "a")), s.follow(t, 0, gatewayProcess(1))}
+		beginners := []*simulatedPoller{s.startPoller(t, 0, storeProcess(2, "a")), s.startPoller(t, 0, gatewayProcess(1))}
 		for range 50 {
 			for _, one := range beginners {
-				if told := one.toldSet(); told != 0 {
+				if told := one.storeEpoch(); told != 0 {
 					t.Fatalf("a process without proof tells the set of epoch %d, where %d is the newest", told, newest)
 				}
 			}
@@ -91,8 +91,8 @@
 		s.begin(1)
 		s.begin(2)
 		for _, one := range beginners {
-			eventually(t, "the set", func() bool { return one.toldSet() != 0 })
-			if told := one.toldSet(); told < newest {
+			eventually(t, "the set", func() bool { return one.storeEpoch() != 0 })
+			if told := one.storeEpoch(); told < newest {
 				t.Errorf("the set of epoch %d is told, where %d is the newest", told, newest)
 			}
 		}
@@ -100,28 +100,28 @@
 }
 
 // provenReplica stands for a chain whose proof the test sets.
-type provenReplica struct {
+type fixedReplica struct {
 	Replica
 	proven bool
 	head   string // its address
 }
 
-func (r *provenReplica) Lead() (uint64, time.Time, bool) {
+func (r *fixedReplica) Lead() (uint64, time.Time, bool) {
 	return 1, time.Now().Add(time.Second), true
 }
 
-func (r *provenReplica) Staleness() (time.Duration, bool) { return 0, r.proven }
-func (r *provenReplica) Self() view.Member                { return view.Member{Node: "c", Address: "127.0.0.1:1"} }
-func (r *provenReplica) Members() []replica.Peer          { return nil }
-func (r *provenReplica) View() view.View {
+func (r *fixedReplica) Staleness() (time.Duration, bool) { return 0, r.proven }
+func (r *fixedReplica) Self() view.Member                { return view.Member{Node: "c", Address: "127.0.0.1:1"} }
+func (r *fixedReplica) Members() []replica.Peer          { return nil }
+func (r *fixedReplica) View() view.View {
 	return view.View{Epoch: 1, Chain: []view.Member{{Node: "head", Address: r.head}}}
 }
 
 // newProvenControl gives a control process without ports, on a chain that is always proven.
-func newProvenControl() (*Control, *provenReplica) {
+func newControlWithFixedReplica() (*Control, *fixedReplica) {
 	c := newControl(Options{Settings: &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10}, Log: zerolog.Nop(),
 		environment: &environment{}})
-	chain := &provenReplica{proven: true, head: "127.0.0.1:1"}
+	chain := &fixedReplica{proven: true, head: "127.0.0.1:1"}
 	c.replica = chain
 	c.peers = newPeers(c)
 	c.pauses.lastRanAt = c.now()
@@ -129,8 +129,8 @@
 }
 
 // TestJoinIsOfASet has the head let a batch process in.
-func TestJoinIsOfASet(t *testing.T) {
-	c, _ := newProvenControl()
+func TestJoinNamesEpoch(t *testing.T) {
+	c, _ := newControlWithFixedReplica()
 	for index := uint64(1); index <= 2; index++ {
 		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(int(index), "a")}}}.Encode()
 		if err != nil {
@@ -147,8 +147,8 @@
 
 // TestSetOfTheLease has the set of batch processes change right before a poll is answered, when the list of processes that is at hand
 // is still of the one before.
-func TestSetOfTheLease(t *testing.T) {
-	c, chain := newProvenControl()
+func TestStoresMatchLease(t *testing.T) {
+	c, chain := newControlWithFixedReplica()
 	for index, number := range []int{1, 2} {
 		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(number, "a")}}}.Encode()
 		if err != nil {
@@ -175,14 +175,14 @@
 }
 
 // TestEmptiedStoreGoesOn has a batch process go on polling after its retirement was completed and it left the set.
-func TestEmptiedStoreGoesOn(t *testing.T) {
+func TestDrainedStoreKeepsPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBubbleSystem(t, 1, nil)
 		defer s.finish()
-		var stores []*follower
+		var stores []*simulatedPoller
 		for i := range 4 {
-			stores = append(stores, s.follow(t, i%3, storeProcess(i, "a")))
-			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].see(func() bool { return stores[i].grant.Lease > 0 }))
+			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
+			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }))
 		}
 		if status, body := s.call(0, "POST", "/retire/store-3", "", `{"deadline-s":10}`); status != 200 {
 			t.Errorf("the retirement: %d %s", status, body)
@@ -196,20 +196,20 @@
 			}
 			return s.running[0].state.Retirement("store-3") == statemachine.RetirementCompleted
 		})
-		stores[3].silent.Store(true)
+		stores[3].paused.Store(true)
 		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
-		stores[3].silent.Store(false)
+		stores[3].paused.Store(false)
 		time.Sleep(5 * time.Second) // longer than a lease: whatever is to be ordered has been
-		before := s.ordered(t)
+		before := s.commandsApplied(t)
 		time.Sleep(20 * time.Second)
-		if orders := s.ordered(t) - before; orders > 0 {
+		if orders := s.commandsApplied(t) - before; orders > 0 {
 			t.Errorf("%d orders while nothing changes", orders)
 		}
 	})
 }
 
 // ordered gives how many orders the chain has taken.
-func (s *bubbleSystem) ordered(t *testing.T) uint64 {
+func (s *bubbleSystem) commandsApplied(t *testing.T) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	index, err := s.running[0].replica.Read(ctx)
--- a/internal/control/quotaservice/core_test.go
+++ b/internal/control/quotaservice/core_test.go
@@ -13,20 +13,20 @@
 
 // Times of coord/replica.
 const (
-	leadTerm  = 800 * time.Millisecond  // after the last proof of its epoch a head leads
-	leadDelay = 1000 * time.Millisecond // after it learnt of its view a new head waits
-	silence   = 700 * time.Millisecond  // after which a member is replaced
+	leaderLease   = 800 * time.Millisecond  // after the last proof of its epoch a head leads
+	leaderDelay   = 1000 * time.Millisecond // after it learnt of its view a new head waits
+	memberTimeout = 700 * time.Millisecond  // after which a member is replaced
 )
 
 // core is the chain as an abstract register of epochs with a log.
-type core struct {
-	world    *world
-	members  []*member
-	epoch    int
-	chain    []*member
-	log      [][]byte
-	pending  []*proposal
-	brokenAt time.Duration
+type chainModel struct {
+	simulation *quotaSimulation
+	members    []*simulatedControl
+	epoch      int
+	chain      []*simulatedControl
+	log        [][]byte
+	pending    []*proposal
+	brokenAt   time.Duration
 }
 
 // proposal is an order on its way. One whose proposer has given it up may be taken still.
@@ -37,29 +37,29 @@
 }
 
 // member is a control process with the real service, and its view of the chain.
-type member struct {
-	core    *core
-	name    string
-	life    int
-	up      bool
-	frozen  bool
-	service *Service
-	machine *statemachine.StateMachine
-	applied int
-	waiting *proposal // whose outcome it waits for
-	ending  bool
-
-	epoch     int // that it knows
-	chain     []*member
-	headSince time.Duration
-	proofAt   time.Duration // 0: none
-	touchedAt time.Duration // out of touch last
+type simulatedControl struct {
+	chainModel  *chainModel
+	name        string
+	incarnation int
+	up          bool
+	paused      bool
+	service     *Service
+	machine     *statemachine.StateMachine
+	applied     int
+	waiting     *proposal // whose outcome it waits for
+	ending      bool
+
+	epoch              int // that it knows
+	chain              []*simulatedControl
+	headSince          time.Duration
+	proofAt            time.Duration // 0: none
+	lastDisconnectedAt time.Duration // out of touch last
 }
 
-func newCore(w *world, machines int) *core {
-	c := &core{world: w}
+func newChainModel(w *quotaSimulation, machines int) *chainModel {
+	c := &chainModel{simulation: w}
 	for i := range machines {
-		m := &member{core: c, name: fmt.Sprintf("control-%d", i)}
+		m := &simulatedControl{chainModel: c, name: fmt.Sprintf("control-%d", i)}
 		c.members = append(c.members, m)
 	}
 	c.chain = slices.Clone(c.members)
@@ -70,99 +70,103 @@
 	return c
 }
 
-func (m *member) start() {
-	w := m.core.world
+func (m *simulatedControl) start() {
+	w := m.chainModel.simulation
 	if m.up {
 		return
 	}
-	m.life++
-	m.up, m.frozen, m.ending, m.waiting = true, false, false, nil
+	m.incarnation++
+	m.up, m.paused, m.ending, m.waiting = true, false, false, nil
 	w.Start(m.name)
 	known := max(0, m.applied-w.random.IntN(3))
 	m.machine, m.applied = statemachine.New(), 0
 	m.apply(known)
-	m.headSince, m.proofAt = w.Elapsed()+leadDelay, 0
+	m.headSince, m.proofAt = w.Elapsed()+leaderDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
-	self := statemachine.Grantor{Member: m.name, Process: fmt.Sprint(m.name, "/", m.life)}
+	self := statemachine.Grantor{Member: m.name, Process: fmt.Sprint(m.name, "/", m.incarnation)}
 	m.service = newWithClock(bounds, m, m, self, func() { m.later(time.Millisecond, m.roles) }, w.Now)
-	m.later(w.span(200*time.Millisecond), m.rolesLoop)
-	m.beat()
+	m.later(w.randomDuration(200*time.Millisecond), m.rolesLoop)
+	m.proveEpoch()
 }
 
-func (m *member) stop() {
+func (m *simulatedControl) stop() {
 	if m.up {
-		m.up, m.frozen = false, false
-		m.core.world.Stop(m.name)
+		m.up, m.paused = false, false
+		m.chainModel.simulation.Stop(m.name)
 	}
 }
 
-func (m *member) freeze(length time.Duration) {
-	w := m.core.world
-	if !m.up || m.frozen {
+func (m *simulatedControl) pause(length time.Duration) {
+	w := m.chainModel.simulation
+	if !m.up || m.paused {
 		return
 	}
-	life := m.life
-	m.frozen = true
+	life := m.incarnation
+	m.paused = true
 	w.Pause(m.name)
 	w.After(length, func() {
-		if m.life == life && m.up {
-			m.frozen = false
+		if m.incarnation == life && m.up {
+			m.paused = false
 			w.Resume(m.name)
 		}
 	})
 }
 
-func (m *member) later(delay time.Duration, run func()) { m.core.world.AfterOn(m.name, delay, run) }
+func (m *simulatedControl) later(delay time.Duration, run func()) {
+	m.chainModel.simulation.AfterOn(m.name, delay, run)
+}
 
 // Configuration gives the one that is in force all the time.
-func (m *member) Configuration() *configuration.Version { return m.core.world.version }
+func (m *simulatedControl) Configuration() *configuration.Version {
+	return m.chainModel.simulation.version
+}
 
 // Lender gives who lends, as far as is known here.
-func (m *member) Grantor() statemachine.Grantor { return m.machine.Grantor() }
+func (m *simulatedControl) Grantor() statemachine.Grantor { return m.machine.Grantor() }
 
 // Head is that of coord/replica.
-func (m *member) Head() (until time.Time, ok bool) {
-	w := m.core.world
+func (m *simulatedControl) Head() (until time.Time, ok bool) {
+	w := m.chainModel.simulation
 	if m.chain == nil || m.chain[0] != m || m.ending {
 		return time.Time{}, false
 	}
-	if w.plant == plantUnproven {
+	if w.bug == bugUnproven {
 		return w.Now().Add(time.Hour), true
 	}
-	until = w.Now().Add(m.proofAt + leadTerm - w.Elapsed())
+	until = w.Now().Add(m.proofAt + leaderLease - w.Elapsed())
 	return until, m.proofAt > 0 && w.Now().Before(until)
 }
 
 // Lead is that of coord/replica.
-func (m *member) Lead() (epoch uint64, until time.Time, ok bool) {
+func (m *simulatedControl) Lead() (epoch uint64, until time.Time, ok bool) {
 	until, ok = m.Head()
-	waited := m.core.world.Elapsed() >= m.headSince || m.core.world.plant == plantEarlyStart
+	waited := m.chainModel.simulation.Elapsed() >= m.headSince || m.chainModel.simulation.bug == bugEarlyStart
 	return uint64(m.epoch), until, ok && waited
 }
 
-func (c *core) touch(one, other *member) bool {
-	links := c.world.Links
-	runs := one.up && !one.frozen && other.up && !other.frozen
+func (c *chainModel) connected(one, other *simulatedControl) bool {
+	links := c.simulation.Links
+	runs := one.up && !one.paused && other.up && !other.paused
 	return runs && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
-func (c *core) healthy(m *member) bool {
+func (c *chainModel) reachesMajority(m *simulatedControl) bool {
 	count := 0
 	for _, other := range c.members {
-		if c.touch(m, other) {
+		if c.connected(m, other) {
 			count++
 		}
 	}
 	return 2*count > len(c.members)
 }
 
-func (c *core) whole(chain []*member) bool {
+func (c *chainModel) allConnected(chain []*simulatedControl) bool {
 	for i, one := range chain {
-		if !c.healthy(one) {
+		if !c.reachesMajority(one) {
 			return false
 		}
 		for _, other := range chain[:i] {
-			if !c.touch(one, other) {
+			if !c.connected(one, other) {
 				return false
 			}
 		}
@@ -170,67 +174,67 @@
 	return true
 }
 
-func (c *core) tick() {
-	now := c.world.Elapsed()
+func (c *chainModel) tick() {
+	now := c.simulation.Elapsed()
 	for _, m := range c.members {
-		if !c.healthy(m) {
-			m.touchedAt = now
+		if !c.reachesMajority(m) {
+			m.lastDisconnectedAt = now
 		} else if m.epoch < c.epoch || m.chain == nil {
-			m.adopt()
+			m.learnView()
 		}
 	}
-	if !c.whole(c.chain) || len(c.chain) < 2 {
+	if !c.allConnected(c.chain) || len(c.chain) < 2 {
 		if c.brokenAt == 0 {
-			c.brokenAt = now + c.world.span(600*time.Millisecond)
+			c.brokenAt = now + c.simulation.randomDuration(600*time.Millisecond)
 		}
-		if now-c.brokenAt > silence {
+		if now-c.brokenAt > memberTimeout {
 			c.repair()
 		}
 		return
 	}
 	c.brokenAt = 0
-	c.takeBack()
+	c.readmit()
 	c.commit()
 }
 
 // repair begins an epoch with those of the chain that are in touch.
-func (c *core) repair() {
-	var next []*member
+func (c *chainModel) repair() {
+	var next []*simulatedControl
 	for _, m := range c.chain {
-		if c.whole(append(slices.Clone(next), m)) {
+		if c.allConnected(append(slices.Clone(next), m)) {
 			next = append(next, m)
 		}
 	}
 	if len(next) > 0 {
-		c.begin(next)
-		c.takeBack()
+		c.beginEpoch(next)
+		c.readmit()
 	}
 }
 
 // takeBack lets machines in, at the end: such a one applies all before it can become the head.
-func (c *core) takeBack() {
+func (c *chainModel) readmit() {
 	for _, m := range c.members {
-		if slices.Contains(c.chain, m) || m.ending || c.world.Elapsed()-m.touchedAt < 300*time.Millisecond {
+		if slices.Contains(c.chain, m) || m.ending || c.simulation.Elapsed()-m.lastDisconnectedAt < 300*time.Millisecond {
 			continue
 		}
-		if next := append(slices.Clone(c.chain), m); c.whole(next) {
-			if c.world.plant == plantUnapplied {
-				next = append([]*member{m}, c.chain...)
+		if next := append(slices.Clone(c.chain), m); c.allConnected(next) {
+			if c.simulation.bug == bugUnapplied {
+				next = append([]*simulatedControl{m}, c.chain...)
 			} else {
 				m.apply(len(c.log))
 			}
-			c.begin(next)
+			c.beginEpoch(next)
 		}
 	}
 }
 
-func (c *core) begin(chain []*member) {
+func (c *chainModel) beginEpoch(chain []*simulatedControl) {
 	c.epoch++
 	c.chain, c.brokenAt = chain, 0
 	for _, m := range chain {
-		m.later(c.world.span(20*time.Millisecond), func() {
-			if c.healthy(m) {
-				m.adopt()
+		m.later(c.simulation.randomDuration(20*time.Millisecond), func() {
+			if c.reachesMajority(m) {
+				m.learnView()
 			}
 		})
 		m.applySoon(len(c.log))
@@ -238,32 +242,32 @@
 }
 
 // adopt learns of the present view.
-func (m *member) adopt() {
-	c := m.core
+func (m *simulatedControl) learnView() {
+	c := m.chainModel
 	if m.epoch == c.epoch && m.chain != nil {
 		return
 	}
 	stays := m.chain != nil && m.chain[0] == m && m.epoch+1 == c.epoch
 	m.epoch, m.chain, m.proofAt = c.epoch, c.chain, 0
 	if m.chain[0] == m && !stays {
-		m.headSince = c.world.Elapsed() + leadDelay
+		m.headSince = c.simulation.Elapsed() + leaderDelay
 	}
 }
 
 // beat proves the epoch again and again.
-func (m *member) beat() {
-	w := m.core.world
-	m.later(150*time.Millisecond+w.span(100*time.Millisecond), func() {
-		if m.chain != nil && m.epoch == m.core.epoch && slices.Contains(m.chain, m) && m.core.healthy(m) {
+func (m *simulatedControl) proveEpoch() {
+	w := m.chainModel.simulation
+	m.later(150*time.Millisecond+w.randomDuration(100*time.Millisecond), func() {
+		if m.chain != nil && m.epoch == m.chainModel.epoch && slices.Contains(m.chain, m) && m.chainModel.reachesMajority(m) {
 			m.proofAt = w.Elapsed()
-			m.applySoon(len(m.core.log))
+			m.applySoon(len(m.chainModel.log))
 		}
-		m.beat()
+		m.proveEpoch()
 	})
 }
 
 // commit takes the orders that wait.
-func (c *core) commit() {
+func (c *chainModel) commit() {
 	pending := c.pending
 	c.pending = nil
 	for _, one := range pending {
@@ -275,20 +279,20 @@
 	}
 }
 
-func (m *member) applySoon(end int) {
-	if w := m.core.world; end > m.applied {
+func (m *simulatedControl) applySoon(end int) {
+	if w := m.chainModel.simulation; end > m.applied {
 		longest := 20 * time.Millisecond
-		if w.plant == plantUnapplied {
+		if w.bug == bugUnapplied {
 			longest = time.Second
 		}
-		m.later(w.span(longest), func() { m.apply(end) })
+		m.later(w.randomDuration(longest), func() { m.apply(end) })
 	}
 }
 
-func (m *member) apply(end int) {
+func (m *simulatedControl) apply(end int) {
 	for m.applied < end {
 		m.applied++
-		raw := m.machine.Apply(uint64(m.applied), m.core.log[m.applied-1])
+		raw := m.machine.Apply(uint64(m.applied), m.chainModel.log[m.applied-1])
 		if one := m.waiting; one != nil && one.index == m.applied {
 			m.waiting = nil
 			outcome, err := statemachine.DecodeOutcome(raw)
@@ -301,19 +305,19 @@
 }
 
 // propose proposes a change and waits for its outcome, for two seconds.
-func (m *member) propose(change *statemachine.GrantsChange, done func(*statemachine.GrantsOutcome)) {
-	w := m.core.world
+func (m *simulatedControl) propose(change *statemachine.GrantsChange, done func(*statemachine.GrantsOutcome)) {
+	w := m.chainModel.simulation
 	raw, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
 		panic(err)
 	}
 	one := &proposal{raw: raw, done: done}
 	m.waiting = one
-	delay := w.span(10 * time.Millisecond)
+	delay := w.randomDuration(10 * time.Millisecond)
 	if w.random.Chance(0.02) {
-		delay = w.span(8 * time.Second) // held up on its way: it may come after its proposer's time
+		delay = w.randomDuration(8 * time.Second) // held up on its way: it may come after its proposer's time
 	}
-	w.After(delay, func() { m.core.pending = append(m.core.pending, one) })
+	w.After(delay, func() { m.chainModel.pending = append(m.chainModel.pending, one) })
 	m.later(2*time.Second, func() {
 		if m.waiting == one {
 			m.waiting = nil
@@ -322,12 +326,12 @@
 	})
 }
 
-func (m *member) rolesLoop() {
+func (m *simulatedControl) rolesLoop() {
 	m.roles()
 	m.later(200*time.Millisecond, m.rolesLoop)
 }
 
-func (m *member) roles() {
+func (m *simulatedControl) roles() {
 	if m.waiting != nil || m.ending {
 		return
 	}
@@ -337,20 +341,20 @@
 }
 
 // handOver ends the process as planned: it hands its lending on and leaves the chain.
-func (m *member) handOver() {
-	if !m.up || m.frozen || m.ending {
+func (m *simulatedControl) handOver() {
+	if !m.up || m.paused || m.ending {
 		return
 	}
-	c, w := m.core, m.core.world
+	c, w := m.chainModel, m.chainModel.simulation
 	change := m.service.Release()
 	leave := func() {
 		m.ending = true
-		rest := slices.DeleteFunc(slices.Clone(c.chain), func(other *member) bool { return other == m })
-		if len(rest) >= 2 && len(rest) < len(c.chain) && c.whole(rest) {
-			c.begin(rest)
+		rest := slices.DeleteFunc(slices.Clone(c.chain), func(other *simulatedControl) bool { return other == m })
+		if len(rest) >= 2 && len(rest) < len(c.chain) && c.allConnected(rest) {
+			c.beginEpoch(rest)
 		}
 		w.After(100*time.Millisecond, m.stop)
-		w.After(300*time.Millisecond+w.span(2*time.Second), m.start)
+		w.After(300*time.Millisecond+w.randomDuration(2*time.Second), m.start)
 	}
 	if change == nil {
 		leave()
@@ -361,18 +365,18 @@
 }
 
 // depose begins an epoch with another head while all are in touch.
-func (c *core) depose() {
-	if len(c.chain) > 1 && c.whole(c.chain) {
-		c.begin(append(slices.Clone(c.chain[1:]), c.chain[0]))
+func (c *chainModel) depose() {
+	if len(c.chain) > 1 && c.allConnected(c.chain) {
+		c.beginEpoch(append(slices.Clone(c.chain[1:]), c.chain[0]))
 	}
 }
 
 // handle answers a gateway.
-func (m *member) handle(request protocol.QuotaRequest) protocol.QuotaReply {
+func (m *simulatedControl) handle(request protocol.QuotaRequest) protocol.QuotaReply {
 	reply, err := m.service.Request(request)
 	if err != nil {
 		return protocol.QuotaReply{Sequence: request.Sequence}
 	}
-	m.core.world.answered(reply.Term, m.name)
+	m.chainModel.simulation.checkSingleAllocator(reply.Term, m.name)
 	return reply
 }
--- a/internal/control/quotaservice/quotas_test.go
+++ b/internal/control/quotaservice/quotas_test.go
@@ -15,24 +15,24 @@
 )
 
 // fakeLead is what a test says of the lead.
-type fakeLead struct {
+type fakeLeadership struct {
 	until        time.Time
 	heads, alone bool
 }
 
-func (f *fakeLead) Head() (time.Time, bool)         { return f.until, f.heads }
-func (f *fakeLead) Lead() (uint64, time.Time, bool) { return 1, f.until, f.heads && f.alone }
+func (f *fakeLeadership) Head() (time.Time, bool)         { return f.until, f.heads }
+func (f *fakeLeadership) Lead() (uint64, time.Time, bool) { return 1, f.until, f.heads && f.alone }
 
 // chain is one machine on which changes are carried out at once, and the configuration.
-type chain struct {
+type fakeChain struct {
 	*statemachine.StateMachine
 	index   uint64
 	version *configuration.Version
 }
 
-func (c *chain) Configuration() *configuration.Version { return c.version }
+func (c *fakeChain) Configuration() *configuration.Version { return c.version }
 
-func (c *chain) carryOut(s *Service) *statemachine.GrantsOutcome {
+func (c *fakeChain) applyNextChange(s *Service) *statemachine.GrantsOutcome {
 	change := s.NextChange()
 	if change == nil {
 		return nil
@@ -42,7 +42,7 @@
 	return outcome
 }
 
-func (c *chain) apply(change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
+func (c *fakeChain) apply(change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	raw, err := statemachine.Command{Lending: change}.Encode()
 	So(err, ShouldBeNil)
 	c.index++
@@ -73,11 +73,11 @@
 	}
 
 	Convey("Given the first process of a new system", t, func() {
-		state := &chain{StateMachine: statemachine.New(), version: version}
-		lead := &fakeLead{heads: true, until: time.Now().Add(time.Minute)}
+		state := &fakeChain{StateMachine: statemachine.New(), version: version}
+		lead := &fakeLeadership{heads: true, until: time.Now().Add(time.Minute)}
 		service := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p1"}, func() {})
 		refused(service)
-		So(state.carryOut(service).Taken, ShouldBeTrue)
+		So(state.applyNextChange(service).Taken, ShouldBeTrue)
 
 		Convey("it acts at once, with full pools, and lends once the asker is on record", func() {
 			reply, err := ask(service, 50)
@@ -86,12 +86,12 @@
 			So(reply.Grants[0].Change, ShouldBeFalse)
 			So(reply.Term, ShouldNotEqual, 0)
 			term := reply.Term
-			So(state.carryOut(service).Nodes, ShouldResemble, []string{"front-1"})
+			So(state.applyNextChange(service).Nodes, ShouldResemble, []string{"front-1"})
 			reply, err = ask(service, 0)
 			So(err, ShouldBeNil)
 			So(reply.Grants[0].Change, ShouldBeTrue)
 			So(reply.Term, ShouldEqual, term)
-			So(state.carryOut(service), ShouldBeNil)
+			So(state.applyNextChange(service), ShouldBeNil)
 		})
 		Convey("it acts only while it heads the chain", func() {
 			lead.until = time.Now().Add(-time.Millisecond)
@@ -105,7 +105,7 @@
 			So(err, ShouldBeNil)
 			lead.alone = false
 			next := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p2"}, func() {})
-			So(state.carryOut(next).Taken, ShouldBeTrue)
+			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(anew.Term, ShouldNotEqual, before.Term)
@@ -117,9 +117,9 @@
 			So(end, ShouldNotBeNil)
 			refused(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
-			So(state.carryOut(service), ShouldBeNil)
+			So(state.applyNextChange(service), ShouldBeNil)
 			next := New(bounds, lead, state, statemachine.Grantor{Member: "m2", Process: "p3"}, func() {})
-			So(state.carryOut(next).Taken, ShouldBeTrue)
+			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(state.apply(end).Taken, ShouldBeFalse)
@@ -131,7 +131,7 @@
 			So(next.NextChange(), ShouldBeNil)
 			refused(next)
 			lead.alone = true
-			So(state.carryOut(next).Taken, ShouldBeTrue)
+			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			refused(service)
@@ -145,12 +145,12 @@
 				So(err, ShouldNotBeNil)
 				service.lastChange = 9
 				late := &statemachine.GrantsChange{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
-				So(state.carryOut(service).Taken, ShouldBeTrue)
+				So(state.applyNextChange(service).Taken, ShouldBeTrue)
 				So(state.Grantor(), ShouldResemble, service.self)
 				So(state.apply(late).Taken, ShouldBeFalse)
 				_, err = ask(service, 1)
 				So(err, ShouldBeNil)
-				So(state.carryOut(service).Taken, ShouldBeTrue)
+				So(state.applyNextChange(service).Taken, ShouldBeTrue)
 			})
 		})
 	})
--- a/internal/control/quotaservice/random_test.go
+++ b/internal/control/quotaservice/random_test.go
@@ -18,65 +18,65 @@
 )
 
 const (
-	testWindow    = 5 * time.Second
-	testOvershoot = 0.1
-	testSlack     = 20
-	plainWorlds   = 6
-	troubledUntil = 60 * time.Second
-	worldLength   = 90 * time.Second
-	longestCut    = 20 * time.Second
+	testWindow       = 5 * time.Second
+	testOvershoot    = 0.1
+	testSlack        = 20
+	defaultSeeds     = 6
+	faultsUntil      = 60 * time.Second
+	simulationLength = 90 * time.Second
+	maxPartition     = 20 * time.Second
 )
 
 // plant is a bug of the harness that the checks must find.
-type plant string
+type injectedBug string
 
 // Bugs that the harness can plant.
 const (
-	plantNone       plant = ""
-	plantUnproven   plant = "a head lends without a proof of its epoch"
-	plantEarlyStart plant = "a new head begins before the time of the one before has passed"
-	plantUnapplied  plant = "a machine that returns is the head before it has applied what it missed"
+	bugNone       injectedBug = ""
+	bugUnproven   injectedBug = "a head lends without a proof of its epoch"
+	bugEarlyStart injectedBug = "a new head begins before the time of the one before has passed"
+	bugUnapplied  injectedBug = "a machine that returns is the head before it has applied what it missed"
 )
 
 // world is control processes with the real service, gateways with real clients, and tenants at ten times their limits.
-type world struct {
+type quotaSimulation struct {
 	*simulation.Simulation
-	random   *simulation.Rand
-	plant    plant
-	core     *core
-	gateways []*gateway
-	version  *configuration.Version
-	tenants  []*configuration.Tenant
-	ran      map[string][]time.Duration
-	worst    float64
-	terms    map[uint64]*span
-	calm     bool
-	troubles int
+	random      *simulation.Rand
+	bug         injectedBug
+	chain       *chainModel
+	gateways    []*simulatedGateway
+	version     *configuration.Version
+	tenants     []*configuration.Tenant
+	admitted    map[string][]time.Duration
+	worstWindow float64
+	terms       map[uint64]*termSpan
+	faultsOver  bool
+	faults      int
 }
 
 // span is the time over which an allocator answered.
-type span struct {
+type termSpan struct {
 	from, to time.Duration
 	member   string
 }
 
 // gateway is a gateway's process as far as quota goes.
-type gateway struct {
-	world  *world
-	name   string
-	life   int
-	up     bool
-	frozen bool
-	client *quota.Client
-	asks   *member
-	only   *member // the only one that it reaches, until onlyUntil
-	until  time.Duration
+type simulatedGateway struct {
+	simulation    *quotaSimulation
+	name          string
+	incarnation   int
+	up            bool
+	paused        bool
+	client        *quota.Client
+	allocator     *simulatedControl
+	onlyReachable *simulatedControl // the only one that it reaches, until onlyUntil
+	until         time.Duration
 }
 
-func newWorld(seed uint64, bug plant) *world {
+func newQuotaSimulation(seed uint64, bug injectedBug) *quotaSimulation {
 	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond}
-	w := &world{Simulation: sim, random: sim.Random, plant: bug, ran: map[string][]time.Duration{}, terms: map[uint64]*span{}}
+	w := &quotaSimulation{Simulation: sim, random: sim.Random, bug: bug, admitted: map[string][]time.Duration{}, terms: map[uint64]*termSpan{}}
 	const document = `{"generation":1,"routes":[],"backends":[],"tenants":[
 		{"name":"a","api-keys":["k"],"rate-per-s":40,"burst":40},{"name":"b","api-keys":["l"],"rate-per-s":8,"burst":8}]}`
 	version, err := configuration.ParseDocument([]byte(document), 1)
@@ -86,18 +86,20 @@
 	w.version = version
 	snapshot := version.Snapshot()
 	w.tenants = []*configuration.Tenant{snapshot.TenantByName("a"), snapshot.TenantByName("b")}
-	w.core = newCore(w, 3+2*int(seed%2))
+	w.chain = newChainModel(w, 3+2*int(seed%2))
 	for i := range 3 + int(seed%3) {
-		g := &gateway{world: w, name: fmt.Sprintf("gateway-%d", i)}
+		g := &simulatedGateway{simulation: w, name: fmt.Sprintf("gateway-%d", i)}
 		w.gateways = append(w.gateways, g)
 		g.start()
 	}
 	return w
 }
 
-func (w *world) span(most time.Duration) time.Duration { return w.random.Between(0, most) }
+func (w *quotaSimulation) randomDuration(most time.Duration) time.Duration {
+	return w.random.Between(0, most)
+}
 
-func (w *world) every(period time.Duration, run func()) {
+func (w *quotaSimulation) every(period time.Duration, run func()) {
 	w.After(period, func() {
 		run()
 		w.every(period, run)
@@ -105,14 +107,14 @@
 }
 
 // answered takes in that an allocator answered now: no two act at the same time.
-func (w *world) answered(term uint64, name string) {
+func (w *quotaSimulation) checkSingleAllocator(term uint64, name string) {
 	now := w.Elapsed()
 	if term == 0 {
 		return
 	}
 	acts := w.terms[term]
 	if acts == nil {
-		acts = &span{now, now, name}
+		acts = &termSpan{now, now, name}
 		w.terms[term] = acts
 	}
 	acts.to = now
@@ -124,67 +126,69 @@
 }
 
 // run counts a request and checks the rule.
-func (w *world) run(tenant *configuration.Tenant) {
-	ran := append(w.ran[tenant.Name], w.Elapsed())
+func (w *quotaSimulation) admit(tenant *configuration.Tenant) {
+	ran := append(w.admitted[tenant.Name], w.Elapsed())
 	for ran[0] < w.Elapsed()-testWindow {
 		ran = ran[1:]
 	}
-	w.ran[tenant.Name] = ran
+	w.admitted[tenant.Name] = ran
 	rules := quota.Rules{Window: testWindow, Overshoot: testOvershoot, Slack: testSlack}
 	most := rules.MaxInWindow(tenant.RatePerSec, tenant.Burst)
-	w.worst = max(w.worst, float64(len(ran))/most)
+	w.worstWindow = max(w.worstWindow, float64(len(ran))/most)
 	if float64(len(ran)) > most {
 		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", tenant.Name, len(ran), most, w.Elapsed()))
 	}
 }
 
-func (g *gateway) start() {
-	w := g.world
+func (g *simulatedGateway) start() {
+	w := g.simulation
 	if g.up {
 		return
 	}
-	g.life++
-	g.up, g.frozen, g.asks = true, false, nil
+	g.incarnation++
+	g.up, g.paused, g.allocator = true, false, nil
 	w.Start(g.name)
-	g.client = quota.NewClient(quota.ClientOptions{Process: protocol.Process{Node: g.name, Incarnation: fmt.Sprint(g.life)},
+	g.client = quota.NewClient(quota.ClientOptions{Process: protocol.Process{Node: g.name, Incarnation: fmt.Sprint(g.incarnation)},
 		Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
-	g.follow()
-	g.pump()
+	g.followHead()
+	g.exchange()
 	for _, tenant := range w.tenants {
 		g.traffic(tenant)
 	}
 }
 
-func (g *gateway) stop() {
+func (g *simulatedGateway) stop() {
 	g.up = false
-	g.world.Stop(g.name)
+	g.simulation.Stop(g.name)
 }
 
-func (g *gateway) later(delay time.Duration, run func()) { g.world.AfterOn(g.name, delay, run) }
+func (g *simulatedGateway) later(delay time.Duration, run func()) {
+	g.simulation.AfterOn(g.name, delay, run)
+}
 
 // follow turns to the head that the list of processes names, or to the only machine in reach, which names itself.
-func (g *gateway) follow() {
-	w := g.world
-	named := w.core.chain[0]
+func (g *simulatedGateway) followHead() {
+	w := g.simulation
+	named := w.chain.chain[0]
 	if w.Elapsed() < g.until {
-		named = g.only
+		named = g.onlyReachable
 	}
-	if named != g.asks {
-		g.asks = named
+	if named != g.allocator {
+		g.allocator = named
 		g.client.AllocatorMoved(w.Elapsed())
 	}
-	g.later(200*time.Millisecond+w.span(200*time.Millisecond), g.follow)
+	g.later(200*time.Millisecond+w.randomDuration(200*time.Millisecond), g.followHead)
 }
 
 // traffic has clients send ten times a tenant's limit, in all.
-func (g *gateway) traffic(tenant *configuration.Tenant) {
-	w := g.world
+func (g *simulatedGateway) traffic(tenant *configuration.Tenant) {
+	w := g.simulation
 	rate := 10 * tenant.RatePerSec / float64(len(w.gateways))
 	g.later(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() {
 		now := w.Elapsed()
 		switch verdict := g.client.Take(now, tenant); {
 		case verdict.Admit:
-			w.run(tenant)
+			w.admit(tenant)
 		case verdict.Wait:
 			g.later(40*time.Millisecond, func() { g.resolve(tenant) })
 		}
@@ -192,29 +196,29 @@
 	})
 }
 
-func (g *gateway) resolve(tenant *configuration.Tenant) {
-	now := g.world.Elapsed()
+func (g *simulatedGateway) resolve(tenant *configuration.Tenant) {
+	now := g.simulation.Elapsed()
 	if verdict := g.client.Resolve(now, tenant); verdict.Admit {
-		g.world.run(tenant)
+		g.simulation.admit(tenant)
 	} else if verdict.Wait {
 		g.client.Cancel(now, tenant)
 	}
 }
 
-func (g *gateway) pump() {
-	w := g.world
+func (g *simulatedGateway) exchange() {
+	w := g.simulation
 	if request, due := g.client.NextRequest(w.Elapsed()); due {
-		m := g.asks
+		m := g.allocator
 		w.Send(g.name, m.name, nil, func() {
 			reply := m.handle(request)
 			w.Send(m.name, g.name, nil, func() { g.client.HandleReply(w.Elapsed(), &reply) })
 		})
 	}
-	g.later(10*time.Millisecond, g.pump)
+	g.later(10*time.Millisecond, g.exchange)
 }
 
 // cut cuts two machines, both ways or one way, for a time.
-func (w *world) cut(one, other string, way int, length time.Duration) {
+func (w *quotaSimulation) cut(one, other string, way int, length time.Duration) {
 	for i, pair := range [][2]string{{one, other}, {other, one}} {
 		if way != i+1 {
 			w.Links.Partition(pair[0], pair[1])
@@ -224,51 +228,51 @@
 }
 
 // trouble brings one about, mostly to the head.
-func (w *world) trouble() {
-	if w.calm {
+func (w *quotaSimulation) injectFault() {
+	if w.faultsOver {
 		return
 	}
-	w.troubles++
-	m := w.core.chain[0]
+	w.faults++
+	m := w.chain.chain[0]
 	if w.random.Chance(0.3) {
-		m = w.core.members[w.random.IntN(len(w.core.members))]
+		m = w.chain.members[w.random.IntN(len(w.chain.members))]
 	}
 	g := w.gateways[w.random.IntN(len(w.gateways))]
 	switch w.random.IntN(10) {
 	case 0, 1:
-		w.isolate(m, g)
+		w.partition(m, g)
 	case 2:
-		m.freeze(w.span(longestCut))
+		m.pause(w.randomDuration(maxPartition))
 	case 3:
 		m.stop()
-		w.After(100*time.Millisecond+w.span(3*time.Second), m.start)
+		w.After(100*time.Millisecond+w.randomDuration(3*time.Second), m.start)
 	case 4:
 		m.handOver()
 	case 5:
-		w.core.depose()
+		w.chain.depose()
 	case 6:
-		for _, one := range w.core.members {
+		for _, one := range w.chain.members {
 			one.stop()
-			w.After(100*time.Millisecond+w.span(time.Second), one.start)
+			w.After(100*time.Millisecond+w.randomDuration(time.Second), one.start)
 		}
 	case 7:
 		g.stop()
-		w.After(200*time.Millisecond+w.span(time.Second), g.start)
+		w.After(200*time.Millisecond+w.randomDuration(time.Second), g.start)
 	case 8:
 		w.Pause(g.name)
-		w.After(w.span(longestCut), func() { w.Resume(g.name) })
+		w.After(w.randomDuration(maxPartition), func() { w.Resume(g.name) })
 	case 9:
-		for _, one := range w.core.members {
-			w.cut(g.name, one.name, w.random.IntN(3), w.span(longestCut))
+		for _, one := range w.chain.members {
+			w.cut(g.name, one.name, w.random.IntN(3), w.randomDuration(maxPartition))
 		}
 	}
 }
 
 // isolate cuts a control process off from the others, with a gateway that reaches only it.
-func (w *world) isolate(m *member, g *gateway) {
-	length, way := time.Second+w.span(longestCut-time.Second), w.random.IntN(3)
-	g.only, g.until = m, w.Elapsed()+length
-	for _, one := range w.core.members {
+func (w *quotaSimulation) partition(m *simulatedControl, g *simulatedGateway) {
+	length, way := time.Second+w.randomDuration(maxPartition-time.Second), w.random.IntN(3)
+	g.onlyReachable, g.until = m, w.Elapsed()+length
+	for _, one := range w.chain.members {
 		if one != m {
 			w.cut(m.name, one.name, way, length)
 			w.cut(g.name, one.name, 0, length)
@@ -277,26 +281,26 @@
 }
 
 // playWorld plays a world with all troubles and tells what broke.
-func playWorld(seed uint64, bug plant) (w *world, broken string) {
+func simulate(seed uint64, bug injectedBug) (w *quotaSimulation, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
 			broken = fmt.Sprint(failure)
 		}
 	}()
-	w = newWorld(seed, bug)
-	w.every(1100*time.Millisecond, w.trouble)
-	w.Run(troubledUntil)
-	w.calm = true
-	w.Run(worldLength - troubledUntil)
+	w = newQuotaSimulation(seed, bug)
+	w.every(1100*time.Millisecond, w.injectFault)
+	w.Run(faultsUntil)
+	w.faultsOver = true
+	w.Run(simulationLength - faultsUntil)
 	for _, one := range w.terms {
-		if one.to > worldLength-time.Second {
+		if one.to > simulationLength-time.Second {
 			return w, ""
 		}
 	}
 	return w, "nobody lends in the end"
 }
 
-func wanted(name string, usual int) int {
+func envNumber(name string, usual int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
@@ -304,8 +308,8 @@
 }
 
 // TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
-func TestRandomWorlds(t *testing.T) {
-	first, count := wanted("FIRST", 1), wanted("SEEDS", plainWorlds)
+func TestRandomSimulations(t *testing.T) {
+	first, count := envNumber("FIRST", 1), envNumber("SEEDS", defaultSeeds)
 	var mutex sync.Mutex
 	var troubles, terms int
 	worst := 0.0
@@ -314,13 +318,13 @@
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wait.Go(func() {
 			for number := range numbers {
-				w, broken := playWorld(uint64(first+number), plantNone)
+				w, broken := simulate(uint64(first+number), bugNone)
 				if broken != "" {
 					t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, broken)
 					continue
 				}
 				mutex.Lock()
-				troubles, terms, worst = troubles+w.troubles, terms+len(w.terms), max(worst, w.worst)
+				troubles, terms, worst = troubles+w.faults, terms+len(w.terms), max(worst, w.worstWindow)
 				mutex.Unlock()
 			}
 		})
@@ -334,14 +338,14 @@
 }
 
 // TestPlantedBugs shows that the worlds find each bug.
-func TestPlantedBugs(t *testing.T) {
+func TestFindsInjectedBugs(t *testing.T) {
 	const mostWorlds = 60
-	firstSeeds := map[plant]uint64{plantUnproven: 1, plantEarlyStart: 45, plantUnapplied: 1} // saves the worlds that are known not to find it
+	firstSeeds := map[injectedBug]uint64{bugUnproven: 1, bugEarlyStart: 45, bugUnapplied: 1} // saves the worlds that are known not to find it
 	for bug, first := range firstSeeds {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := first; seed < first+mostWorlds; seed++ {
-				if _, broken := playWorld(seed, bug); strings.Contains(broken, "two allocators act") {
+				if _, broken := simulate(seed, bug); strings.Contains(broken, "two allocators act") {
 					t.Logf("found in world %d: %s", seed, broken)
 					return
 				}
--- a/internal/control/rig_test.go
+++ b/internal/control/rig_test.go
@@ -24,15 +24,15 @@
 )
 
 // platform is a stand-in for the platform's list of servers.
-type platform struct {
+type fakePlatform struct {
 	*httptest.Server
 	calls   atomic.Int64
 	mutex   sync.Mutex
 	servers string
 }
 
-func newPlatform(t *testing.T) *platform {
-	p := &platform{}
+func newFakePlatform(t *testing.T) *fakePlatform {
+	p := &fakePlatform{}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		p.calls.Add(1)
 		p.mutex.Lock()
@@ -44,7 +44,7 @@
 	return p
 }
 
-func (p *platform) set(servers string) {
+func (p *fakePlatform) set(servers string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.servers = servers
@@ -142,7 +142,7 @@
 }
 
 // follower is a gateway or batch process that polls one control process.
-type follower struct {
+type simulatedPoller struct {
 	mutex         sync.Mutex
 	configuration *configuration.State
 	servers       *protocol.ServerList
@@ -151,17 +151,17 @@
 	grant         protocol.StoreGrant
 	report        protocol.BatchReport
 	fresh         bool
-	silent        atomic.Bool
+	paused        atomic.Bool
 }
 
-func (s *system) follow(t *testing.T, i int, process protocol.Process) *follower {
-	f := &follower{configuration: configuration.NewState()}
+func (s *system) startPoller(t *testing.T, i int, process protocol.Process) *simulatedPoller {
+	f := &simulatedPoller{configuration: configuration.NewState()}
 	identity := transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role, Zone: process.Zone}
 	options := transport.Options{Identity: identity}
 	if s.dialFrom != nil {
 		options.Dial = s.dialFrom(process.IP)
 	}
-	client := transport.NewClient(s.settings[i].Endpoint(node.PortControl), options, f.take, nil)
+	client := transport.NewClient(s.settings[i].Endpoint(node.PortControl), options, f.apply, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -179,8 +179,8 @@
 	return f
 }
 
-func (f *follower) poll(ctx context.Context, client *transport.Client, process protocol.Process, sequence uint64) {
-	if f.silent.Load() {
+func (f *simulatedPoller) poll(ctx context.Context, client *transport.Client, process protocol.Process, sequence uint64) {
+	if f.paused.Load() {
 		return
 	}
 	f.mutex.Lock()
@@ -193,11 +193,11 @@
 	limited, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if reply, err := client.Call(limited, poll); err == nil {
-		f.take(reply)
+		f.apply(reply)
 	}
 }
 
-func (f *follower) take(message any) {
+func (f *simulatedPoller) apply(message any) {
 	update := message.(protocol.Update)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -225,7 +225,7 @@
 	f.fresh = update.Fresh
 }
 
-func (f *follower) see(condition func() bool) func() bool {
+func (f *simulatedPoller) locked(condition func() bool) func() bool {
 	return func() bool {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
--- a/internal/control/standstill_test.go
+++ b/internal/control/standstill_test.go
@@ -10,7 +10,7 @@
 )
 
 // standStill has a process find that it stood still until now.
-func (c *Control) standStill(span time.Duration) {
+func (c *Control) simulatePause(span time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.pauses.lastRanAt -= span
@@ -37,7 +37,7 @@
 	return session
 }
 
-func (c *Control) hears(process protocol.Process) bool {
+func (c *Control) knows(process protocol.Process) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	_, known := c.liveness.LastContact(process)
@@ -46,37 +46,37 @@
 
 // TestStandstill checks that what lay in the sockets of a process that stood still isn't taken for news, and that the next
 // connections bring some.
-func TestStandstill(t *testing.T) {
+func TestProcessPause(t *testing.T) {
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newBubbleSystem(t, 3, nil)
-				store := s.follow(t, 0, storeProcess(1, "a"))
-				eventually(t, "a lease", store.see(func() bool { return store.grant.Lease > 0 }))
+				store := s.startPoller(t, 0, storeProcess(1, "a"))
+				eventually(t, "a lease", store.locked(func() bool { return store.grant.Lease > 0 }))
 				c := s.running[0]
 				awaitSession(t, c, c.peerSessions)
 				subscriber := awaitSession(t, c, c.subscribers)
 				short := span < maxPause
 
-				c.standStill(span)
+				c.simulatePause(span)
 				c.handlePoll(subscriber, protocol.Poll{Process: storeProcess(2, "old")})
-				if c.hears(storeProcess(2, "old")) != short {
+				if c.knows(storeProcess(2, "old")) != short {
 					t.Errorf("after %v, a poll from before was taken for news: %t", span, !short)
 				}
 				synctest.Wait() // the sessions that the pause ended are gone
 				reporter := awaitSession(t, c, c.peerSessions)
-				c.standStill(span)
+				c.simulatePause(span)
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
 				c.handleReport(reporter, report)
-				if c.hears(storeProcess(3, "old")) != short {
+				if c.knows(storeProcess(3, "old")) != short {
 					t.Errorf("after %v, a report from before was taken for news: %t", span, !short)
 				}
 				time.Sleep(time.Second)
 				c.handleReport(awaitSession(t, c, c.peerSessions), report)
-				if !c.hears(storeProcess(3, "old")) {
+				if !c.knows(storeProcess(3, "old")) {
 					t.Error("a report over a new connection isn't taken in")
 				}
-				eventually(t, "a lease again", store.see(func() bool { return store.grant.Lease > 0 }))
+				eventually(t, "a lease again", store.locked(func() bool { return store.grant.Lease > 0 }))
 				s.finish()
 			})
 		})
