--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -20,51 +20,51 @@
 )
 
 // serviceWorld is whole control processes with gateways, batch processes and an operator, in virtual time and under random troubles.
-type serviceWorld struct {
+type serviceSimulation struct {
 	*bubbleSystem
 	random *rand.Rand // of the troubles
 	began  time.Time
 	end    time.Duration
 
-	lock     sync.Mutex // of all below
-	acked    []ackedVersion
-	leases   map[protocol.Process]time.Time // when the right of a life ends
-	newest   map[string]string              // the newest life of each batch process
-	members  protocol.StoreView             // newest set that was seen
-	isolated int                            // who is cut off; -1: nobody
-	since    time.Time
-	vouches  int // answers that vouched
-	grants   int // leases
-	changes  int // of the set
-	broken   []string
-	events   []string
+	lock          sync.Mutex // of all below
+	acknowledged  []acknowledgement
+	leases        map[protocol.Process]time.Time // when the right of a life ends
+	newest        map[string]string              // the newest life of each batch process
+	members       protocol.StoreView             // newest set that was seen
+	partitioned   int                            // who is cut off; -1: nobody
+	partitionedAt time.Time
+	vouches       int // answers that vouched
+	grants        int // leases
+	changes       int // of the set
+	violations    []string
+	events        []string
 }
 
 // ackedVersion is a version whose acknowledgement an operator has had at a moment.
-type ackedVersion struct {
-	generation uint64
-	at         time.Time
+type acknowledgement struct {
+	version uint64
+	at      time.Time
 }
 
-func newServiceWorld(t *testing.T, seed uint64, end time.Duration, spoil func(Replica) Replica, lenient bool) *serviceWorld {
-	return &serviceWorld{bubbleSystem: newSpoiltSystem(t, seed, spoil, lenient), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(), end: end,
-		leases: map[protocol.Process]time.Time{}, newest: map[string]string{}, isolated: -1}
+func newServiceSimulation(t *testing.T, seed uint64, end time.Duration, spoil func(Replica) Replica, lenient bool) *serviceSimulation {
+	return &serviceSimulation{bubbleSystem: newInjectedBugSystem(t, seed, spoil, lenient), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(), end: end,
+		leases: map[protocol.Process]time.Time{}, newest: map[string]string{}, partitioned: -1}
 }
 
-func (w *serviceWorld) over() bool { return time.Since(w.began) > w.end }
+func (w *serviceSimulation) over() bool { return time.Since(w.began) > w.end }
 
-func (w *serviceWorld) note(format string, arguments ...any) {
+func (w *serviceSimulation) logf(format string, arguments ...any) {
 	w.events = append(w.events, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
 // failf notes a broken check, with the lock held.
-func (w *serviceWorld) failf(format string, arguments ...any) {
-	w.note("BROKEN: "+format, arguments...)
-	w.broken = append(w.broken, fmt.Sprintf(format, arguments...))
+func (w *serviceSimulation) failf(format string, arguments ...any) {
+	w.logf("BROKEN: "+format, arguments...)
+	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
 // operate sends one change after the other.
-func (w *serviceWorld) operate(random *rand.Rand) {
+func (w *serviceSimulation) operate(random *rand.Rand) {
 	last := uint64(7)
 	for !w.over() {
 		order := fmt.Sprintf(`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["k%d"],"rate-per-s":10,"burst":10}]}}`, last+1, last+1)
@@ -72,7 +72,7 @@
 			if status, _ := w.call(random.IntN(3), "PATCH", "/config", strconv.FormatUint(last, 10), order); status == 200 {
 				last++
 				w.lock.Lock()
-				w.acked = append(w.acked, ackedVersion{generation: last, at: time.Now()})
+				w.acknowledged = append(w.acknowledged, acknowledgement{version: last, at: time.Now()})
 				w.lock.Unlock()
 				break
 			}
@@ -83,32 +83,32 @@
 }
 
 // ackedBefore gives the newest version that was acknowledged before a moment.
-func (w *serviceWorld) ackedBefore(moment time.Time) uint64 {
+func (w *serviceSimulation) acknowledgedBefore(moment time.Time) uint64 {
 	newest := uint64(0)
-	for _, one := range w.acked {
+	for _, one := range w.acknowledged {
 		if !one.at.After(moment) {
-			newest = one.generation
+			newest = one.version
 		}
 	}
 	return newest
 }
 
 // roamer is a gateway or batch process that polls one control process, and another when that doesn't vouch.
-type roamer struct {
-	world   *serviceWorld
-	random  *rand.Rand
-	process protocol.Process
-	state   *configuration.State
-	lock    sync.Mutex // of state
-	lives   int
+type simulatedSubscriber struct {
+	simulation *serviceSimulation
+	random     *rand.Rand
+	process    protocol.Process
+	state      *configuration.State
+	lock       sync.Mutex // of state
+	lives      int
 }
 
 // run polls over several lives.
-func (r *roamer) run() {
-	for !r.world.over() {
-		r.begin()
+func (r *simulatedSubscriber) run() {
+	for !r.simulation.over() {
+		r.restart()
 		till := time.Now().Add(5*time.Second + time.Duration(r.random.Int64N(int64(20*time.Second))))
-		for !r.world.over() && time.Now().Before(till) {
+		for !r.simulation.over() && time.Now().Before(till) {
 			r.subscribe(r.random.IntN(3), till)
 		}
 		time.Sleep(time.Duration(r.random.Int64N(int64(4 * time.Second))))
@@ -116,7 +116,7 @@
 }
 
 // begin begins a life: a gateway knows nothing then, and half of the batch processes have lost their disks.
-func (r *roamer) begin() {
+func (r *simulatedSubscriber) restart() {
 	r.lives++
 	r.lock.Lock()
 	r.state = configuration.NewState()
@@ -124,14 +124,14 @@
 	if r.process.Role == protocol.RoleGateway || r.lives == 1 || r.random.IntN(2) == 0 {
 		r.process.Incarnation = fmt.Sprint(r.process.Node, "/", r.lives)
 	}
-	r.world.lock.Lock()
-	defer r.world.lock.Unlock()
-	r.world.newest[r.process.Node] = r.process.Incarnation
+	r.simulation.lock.Lock()
+	defer r.simulation.lock.Unlock()
+	r.simulation.newest[r.process.Node] = r.process.Incarnation
 }
 
 // subscribe polls a control process until it doesn't vouch.
-func (r *roamer) subscribe(at int, till time.Time) {
-	w := r.world
+func (r *simulatedSubscriber) subscribe(at int, till time.Time) {
+	w := r.simulation
 	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: r.process.Node, Role: r.process.Role}, Dial: w.host(r.process.IP).Dial}
 	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.take, nil)
 	defer client.Close()
@@ -139,11 +139,11 @@
 	for sequence := uint64(1); time.Since(vouched) < 700*time.Millisecond && time.Now().Before(till) && !w.over(); sequence++ {
 		sent := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
-		reply, err := client.Call(ctx, r.question(sequence))
+		reply, err := client.Call(ctx, r.nextPoll(sequence))
 		cancel()
 		if err == nil {
 			r.take(reply)
-			if r.judge(at, sent, reply.(protocol.Update)) {
+			if r.check(at, sent, reply.(protocol.Update)) {
 				vouched = sent
 			}
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (r *roamer) question(sequence uint64) protocol.Poll {
+func (r *simulatedSubscriber) nextPoll(sequence uint64) protocol.Poll {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	poll := protocol.Poll{Process: r.process, Sequence: sequence, Configuration: r.state.Current().Index}
@@ -165,7 +165,7 @@
 	return poll
 }
 
-func (r *roamer) take(message any) {
+func (r *simulatedSubscriber) take(message any) {
 	update, ok := message.(protocol.Update)
 	if !ok || update.Configuration == nil {
 		return
@@ -176,11 +176,11 @@
 }
 
 // judge holds an answer to what it vouches for.
-func (r *roamer) judge(at int, sent time.Time, update protocol.Update) bool {
+func (r *simulatedSubscriber) check(at int, sent time.Time, update protocol.Update) bool {
 	r.lock.Lock()
 	held := r.state.Current().Generation
 	r.lock.Unlock()
-	w := r.world
+	w := r.simulation
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if update.Store != nil && update.Store.Lease > 0 {
@@ -193,11 +193,11 @@
 		return false
 	}
 	w.vouches++
-	if least := w.ackedBefore(sent.Add(-update.Age)); held < least {
+	if least := w.acknowledgedBefore(sent.Add(-update.Age)); held < least {
 		w.failf("%s vouches to %s for version %d at an age of %v, %d was acknowledged", w.settings[at].NodeName, r.process.Node, held, update.Age, least)
 	}
-	if w.isolated == at && sent.Sub(w.since) > maxStaleness {
-		w.failf("%s vouches %v after it was cut off", w.settings[at].NodeName, sent.Sub(w.since))
+	if w.partitioned == at && sent.Sub(w.partitionedAt) > maxStaleness {
+		w.failf("%s vouches %v after it was cut off", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
 	}
 	return true
 }
@@ -206,21 +206,21 @@
 const watchStep = 5 * time.Millisecond
 
 // watch holds the changes of the set to what leases say.
-func (w *serviceWorld) watch() {
+func (w *serviceSimulation) watchMembers() {
 	for !w.over() {
 		w.mutex.Lock()
 		running := slices.Clone(w.running)
 		w.mutex.Unlock()
 		for _, one := range running {
 			if one != nil {
-				w.takeMembers(one.state.Stores())
+				w.checkMembers(one.state.Stores())
 			}
 		}
 		time.Sleep(watchStep)
 	}
 }
 
-func (w *serviceWorld) takeMembers(next protocol.StoreView) {
+func (w *serviceSimulation) checkMembers(next protocol.StoreView) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if next.Epoch <= w.members.Epoch {
@@ -241,23 +241,23 @@
 			w.failf("the former life %s is in the set again, in place of %s", member.Incarnation, w.newest[member.Node])
 		}
 	}
-	w.note("set %d: %d members", next.Epoch, len(next.Members))
+	w.logf("set %d: %d members", next.Epoch, len(next.Members))
 	w.members = next
 }
 
 // trouble brings one trouble after the other.
-func (w *serviceWorld) trouble() {
+func (w *serviceSimulation) injectFaults() {
 	time.Sleep(4 * time.Second)
 	for !w.over() {
 		victim, span := w.random.IntN(3), 200*time.Millisecond+time.Duration(w.random.Int64N(int64(3*time.Second)))
 		other := (victim + 1 + w.random.IntN(2)) % 3
 		kind := w.random.IntN(7)
 		w.lock.Lock()
-		w.note("trouble %d of %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
+		w.logf("trouble %d of %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
 		w.lock.Unlock()
 		switch kind {
 		case 0, 1, 2:
-			w.isolate(victim, kind != 1, kind != 2)
+			w.partitionControl(victim, kind != 1, kind != 2)
 		case 3:
 			w.network.Partition(w.settings[victim].IP, w.settings[other].IP)
 			if w.random.IntN(2) == 0 {
@@ -287,24 +287,24 @@
 }
 
 // isolate cuts a process off from the others for twenty seconds.
-func (w *serviceWorld) isolate(victim int, out, in bool) {
-	w.cut(victim, out, in)
+func (w *serviceSimulation) partitionControl(victim int, out, in bool) {
+	w.partition(victim, out, in)
 	w.lock.Lock()
-	w.isolated, w.since = victim, time.Now()
+	w.partitioned, w.partitionedAt = victim, time.Now()
 	w.lock.Unlock()
-	time.Sleep(cutFor)
+	time.Sleep(partitionLength)
 	w.lock.Lock()
-	w.isolated = -1
+	w.partitioned = -1
 	w.lock.Unlock()
 	w.heal(victim)
 }
 
 // playServices plays a world and gives it.
-func playServices(t *testing.T, seed uint64, span time.Duration, spoil func(Replica) Replica, lenient bool) *serviceWorld {
-	var w *serviceWorld
+func simulateServices(t *testing.T, seed uint64, span time.Duration, spoil func(Replica) Replica, lenient bool) *serviceSimulation {
+	var w *serviceSimulation
 	synctest.Test(t, func(t *testing.T) {
-		w = newServiceWorld(t, seed, span, spoil, lenient)
-		if status := w.put(t, "PUT", "0", limitedDocument); status != 200 {
+		w = newServiceSimulation(t, seed, span, spoil, lenient)
+		if status := w.put(t, "PUT", "0", quotaDocument); status != 200 {
 			t.Fatal(status)
 		}
 		var running sync.WaitGroup
@@ -313,12 +313,12 @@
 			if number < 3 {
 				process = storeProcess(number, "")
 			}
-			one := &roamer{world: w, process: process, random: rand.New(rand.NewPCG(seed, 50+uint64(number)))}
+			one := &simulatedSubscriber{simulation: w, process: process, random: rand.New(rand.NewPCG(seed, 50+uint64(number)))}
 			running.Go(one.run)
 		}
 		running.Go(func() { w.operate(rand.New(rand.NewPCG(seed, 40))) })
-		running.Go(w.watch)
-		running.Go(w.trouble)
+		running.Go(w.watchMembers)
+		running.Go(w.injectFaults)
 		running.Wait()
 		w.finish()
 	})
@@ -338,29 +338,29 @@
 	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
 	vouches, grants, changes, versions := 0, 0, 0, 0
 	for seed := first; seed < first+worlds; seed++ {
-		w := playServices(t, seed, time.Minute, nil, false)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.broken, "\n"), strings.Join(w.events, "\n"))
+		w := simulateServices(t, seed, time.Minute, nil, false)
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 		}
-		vouches, grants, changes, versions = vouches+w.vouches, grants+w.grants, changes+w.changes, versions+len(w.acked)
+		vouches, grants, changes, versions = vouches+w.vouches, grants+w.grants, changes+w.changes, versions+len(w.acknowledged)
 	}
 	t.Logf("%d worlds: %d answers that vouch, %d leases, %d changes of the set, %d versions", worlds, vouches, grants, changes, versions)
 }
 
 // TestServicesPlanted checks that the checks of the worlds find each bug.
-func TestServicesPlanted(t *testing.T) {
+func TestServicesFindInjectedBugs(t *testing.T) {
 	for name, bug := range map[string]struct {
 		spoil   func(Replica) Replica
 		lenient bool
 		told    string
 	}{
-		"what is held counts as fresh":       {spoil: func(r Replica) Replica { return vouching{r} }, told: "vouches to"},
+		"what is held counts as fresh":       {spoil: func(r Replica) Replica { return alwaysFreshReplica{r} }, told: "vouches to"},
 		"who is under suspicion gets leases": {lenient: true, told: "of its lease left"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(0); seed < 30; seed++ {
-				if w := playServices(t, seed, time.Minute, bug.spoil, bug.lenient); strings.Contains(strings.Join(w.broken, "; "), bug.told) {
-					t.Logf("seed %d: %s", seed, w.broken[0])
+				if w := simulateServices(t, seed, time.Minute, bug.spoil, bug.lenient); strings.Contains(strings.Join(w.violations, "; "), bug.told) {
+					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
 			}
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -15,7 +15,7 @@
 )
 
 // control is a scripted control process: each call takes the next answer, the last one stays.
-func control(t *testing.T, answers ...http.HandlerFunc) (address string, calls *atomic.Int32) {
+func scriptedControl(t *testing.T, answers ...http.HandlerFunc) (address string, calls *atomic.Int32) {
 	calls = &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := int(calls.Add(1))
@@ -40,7 +40,7 @@
 }
 
 // silent reads the order, as only then the end of the connection is seen, and answers nothing.
-func silent(_ http.ResponseWriter, r *http.Request) {
+func neverAnswers(_ http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
 }
@@ -54,7 +54,7 @@
 	Convey("The order arrives as it was given", t, func() {
 		var seen *http.Request
 		var body []byte
-		address, _ := control(t, func(_ http.ResponseWriter, r *http.Request) {
+		address, _ := scriptedControl(t, func(_ http.ResponseWriter, r *http.Request) {
 			seen = r
 			body, _ = io.ReadAll(r.Body)
 		})
@@ -66,22 +66,22 @@
 		So(string(body), ShouldEqual, "{}")
 	})
 	Convey("A failure is repeated at another address, with the same order", t, func() {
-		first, _ := control(t, status(503))
-		second, _ := control(t, status(200))
+		first, _ := scriptedControl(t, status(503))
+		second, _ := scriptedControl(t, status(200))
 		answer, err := put("127.0.0.1:1", first, second)
 		So(err, ShouldBeNil)
 		So(answer.Address, ShouldEqual, second)
 	})
 	Convey("Silence is a failure", t, func() {
-		first, _ := control(t, silent)
-		second, _ := control(t, status(200))
+		first, _ := scriptedControl(t, neverAnswers)
+		second, _ := scriptedControl(t, status(200))
 		_, err := put(first, second)
 		So(err, ShouldBeNil)
 	})
 	Convey("A redirection is followed with the body", t, func() {
 		var body []byte
-		second, _ := control(t, func(_ http.ResponseWriter, r *http.Request) { body, _ = io.ReadAll(r.Body) })
-		first, _ := control(t, redirect(second))
+		second, _ := scriptedControl(t, func(_ http.ResponseWriter, r *http.Request) { body, _ = io.ReadAll(r.Body) })
+		first, _ := scriptedControl(t, redirect(second))
 		answer, err := put(first)
 		So(err, ShouldBeNil)
 		So(answer.Address, ShouldEqual, second)
@@ -89,13 +89,13 @@
 	})
 	Convey("Redirections that go round end", t, func() {
 		var address string
-		address, _ = control(t, func(w http.ResponseWriter, r *http.Request) { redirect(address)(w, r) })
+		address, _ = scriptedControl(t, func(w http.ResponseWriter, r *http.Request) { redirect(address)(w, r) })
 		_, err := put(address)
 		So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
 	})
 	Convey("A clear refusal is not repeated", t, func() {
 		for _, code := range []int{400, 409, 412, 413, 422} {
-			address, calls := control(t, status(code))
+			address, calls := scriptedControl(t, status(code))
 			_, err := put(address)
 			So(errorx.IsOfType(err, Refused), ShouldBeTrue)
 			So(StatusOf(err), ShouldEqual, code)
@@ -104,7 +104,7 @@
 		}
 	})
 	Convey("Another refusal counts at the third try", t, func() {
-		address, calls := control(t, status(404))
+		address, calls := scriptedControl(t, status(404))
 		_, err := put(address)
 		So(StatusOf(err), ShouldEqual, 404)
 		So(calls.Load(), ShouldEqual, 3)
