--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -2,9 +2,7 @@
 
 import (
 	"bytes"
-	"io"
 	"net/http"
-	"strings"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/ablation"
@@ -16,43 +14,45 @@
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
-const (
-	// leftoverWait is how long the rest of an answer may take that only says that nothing ran.
-	drainTimeout = 50 * time.Millisecond
-	// foreignMost bounds the answers to other requests that may stand before the one that is due.
-	maxMismatched = 2
-)
+// attempt is one sending of the request to a server.
+type attempt struct {
+	reservation *serverselection.Reservation
+	startedAt   time.Time
+	exchange    *pool.Exchange // on the server's connection
+	response    *http.Response // its head
+}
 
-// prepare reads what the choice of a server and admission go by.
+// prepare computes, before admission, what admission and the attempts need.
 func (q *request) prepare() {
-	repeatable := q.route.Idempotent() && !ablation.Off(ablation.Retries) || q.proxy.bugs.retryNonIdempotent
-	q.history = retry.History{Idempotent: repeatable, MaxServers: q.route.MaxAttempts}
+	idempotent := q.route.Idempotent() && !ablation.Off(ablation.Retries) || q.proxy.bugs.retryNonIdempotent
+	q.history = retry.History{Idempotent: idempotent, MaxServers: q.route.MaxAttempts}
 	q.admission = AdmissionRequest{Route: q.route, Tenant: q.tenant, Backend: q.chooseBackend(), Deadline: q.deadline,
 		Workload: serverselection.ParseWorkload(q.r.Header.Get(headerPromptPrefix), q.r.Header.Get(headerTokenUsage))}
 	q.headerLines = forwardedHeaders(q.r.Header)
 	q.lastEventID = q.r.Header.Get(headerLastEventID)
 }
 
-// run sends the request to one server after another until it has its answer or is given up.
+// runAttempts sends the request to one server after another until the client has its final response.
 func (q *request) runAttempts() {
 	for q.r.Context().Err() == nil && q.history.MayRetry(time.Until(q.deadline)) {
 		reservation := q.selectServer()
 		if reservation == nil {
 			break
 		}
-		if q.attempt(reservation) {
+		if q.send(reservation) {
 			return
 		}
 	}
 	q.giveUp()
 }
 
-// attempt sends the request to a server, and tells whether it has its final answer with that.
-func (q *request) attempt(reservation *serverselection.Reservation) (answered bool) {
-	startedAt := time.Now()
+// send makes an attempt at the server of a reservation. It reports whether the client has its final response; if not,
+// the request's history has the attempt's outcome.
+func (q *request) send(reservation *serverselection.Reservation) (final bool) {
+	a := attempt{reservation: reservation, startedAt: time.Now()}
 	server := reservation.Server
 	q.tried = append(q.tried, server.Number)
-	defer func() { reservation.Done(time.Now(), serverselection.Abandoned) }() // where nothing else was said
+	defer func() { reservation.Done(time.Now(), serverselection.Abandoned) }() // unless a result was reported before
 	exchange, end := q.proxy.Pool.Open(q.r.Context(), &pool.Call{Server: server.Number, Until: q.deadline, Method: q.r.Method,
 		Head: func(b *bytes.Buffer) { q.writeRequestHead(b, server.ID) }, Body: q.body.bytes,
 		Check: func() bool { return !q.clientLeft() && q.maySend(time.Now()) }})
@@ -60,48 +60,42 @@
 		return q.handleUnsent(reservation, end)
 	}
 	defer exchange.Close()
+	a.exchange = exchange
 	q.sentAt = time.Now()
 	q.proxy.Admission.Sent(q.admission, q.history.MayHaveRun())
-	resp, err := q.readResponseHead(exchange, reservation)
-	if err != nil {
-		q.observeLatency(startedAt)
+	var err error
+	if a.response, err = q.readResponseHead(&a); err != nil {
+		q.observeLatency(&a)
 		return q.handleLost(reservation)
 	}
-	q.proxy.Selector.Loads().Observe(time.Now(), reservation.Server.Hash, resp.Header.Get(serverload.Header))
-	if notExecuted(resp) {
-		q.drain(exchange)
-		result := serverselection.Rejected
-		if resp.StatusCode == http.StatusMisdirectedRequest {
-			result = serverselection.Unreachable // another server has its address
-		}
-		reservation.Done(time.Now(), result)
-		q.history.Record(retry.NotExecuted)
-		return false
-	}
-	if !credible(resp) {
+	q.proxy.Selector.Loads().Observe(time.Now(), server.Hash, a.response.Header.Get(serverload.Header))
+	switch {
+	case notExecuted(a.response):
+		return q.handleNotExecuted(&a)
+	case !credible(a.response):
 		return q.handleLost(reservation)
+	case isEventStream(a.response):
+		return q.forwardStream(&a)
 	}
-	if isEventStream(resp) {
-		return q.streamResponse(exchange, resp, reservation, startedAt)
-	}
-	return q.bufferedResponse(exchange, resp, reservation, startedAt)
+	return q.forwardBuffered(&a)
 }
 
-// left tells whether the client has left. Before the first attempt the request may have been held up together with the end of its
-// connection; later that has been read.
+// clientLeft reports whether the client has closed its connection. net/http's background read reports that through the
+// context, but may be behind it: at the first attempt the close may have arrived together with the request.
 func (q *request) clientLeft() bool {
 	return len(q.tried) == 1 && front.Left(q.r) || q.r.Context().Err() != nil
 }
 
-// attempted tells admission how long the attempt took.
-func (q *request) observeLatency(startedAt time.Time) {
+// observeLatency reports the attempt's latency to admission. An attempt that resumes a stream doesn't count, nor does
+// one whose client has left.
+func (q *request) observeLatency(a *attempt) {
 	if !q.streamStarted && q.r.Context().Err() == nil {
-		q.proxy.Admission.Attempted(q.admission, time.Since(startedAt))
+		q.proxy.Admission.Attempted(q.admission, time.Since(a.startedAt))
 	}
 }
 
-// unsent takes in that the request didn't go out whole, so that it has not run.
-func (q *request) handleUnsent(reservation *serverselection.Reservation, end core.End) (answered bool) {
+// handleUnsent ends an attempt whose request wasn't written completely: the server has not run it.
+func (q *request) handleUnsent(reservation *serverselection.Reservation, end core.End) (final bool) {
 	result := serverselection.Abandoned
 	if end == core.EndNoConnect || end == core.EndCutShort {
 		result = serverselection.Unreachable
@@ -111,7 +105,7 @@
 	switch {
 	case end != core.EndDenied:
 		return false
-	case q.streamStarted || q.history.MayHaveRun():
+	case q.streamStarted || q.history.MayHaveRun(): // 503 would promise that nothing has run
 		q.giveUp()
 	default:
 		q.reject(http.StatusServiceUnavailable, unreadyRetryAfter)
@@ -119,8 +113,20 @@
 	return true
 }
 
-// lost takes in that the request may have run and gave no answer.
-func (q *request) handleLost(reservation *serverselection.Reservation) (answered bool) {
+// handleNotExecuted ends an attempt whose server promises not to have run the request.
+func (q *request) handleNotExecuted(a *attempt) (final bool) {
+	drain(a.exchange)
+	result := serverselection.Rejected
+	if a.response.StatusCode == http.StatusMisdirectedRequest {
+		result = serverselection.Unreachable // another server has its address
+	}
+	a.reservation.Done(time.Now(), result)
+	q.history.Record(retry.NotExecuted)
+	return false
+}
+
+// handleLost ends an attempt that may have run the request and gave no usable response.
+func (q *request) handleLost(reservation *serverselection.Reservation) (final bool) {
 	result := serverselection.Broken
 	if q.r.Context().Err() != nil {
 		result = serverselection.Abandoned
@@ -130,99 +136,40 @@
 	return false
 }
 
-// answerHead reads the head of the answer to this request. One that names another id came late for another: it is passed over
-// together with its body.
-func (q *request) readResponseHead(exchange *pool.Exchange, reservation *serverselection.Reservation) (*http.Response, error) {
-	for range maxMismatched {
-		if err := q.awaitData(exchange, reservation); err != nil {
-			return nil, err
-		}
-		resp, err := exchange.Head(q.deadline)
-		if err != nil {
-			return nil, err
-		}
-		if q.matchesID(resp) {
-			return resp, nil
-		}
-		if len(resp.Header[headerID]) > 1 || !exchange.Delimited() || !q.drain(exchange) {
-			break
-		}
-	}
-	return nil, errMismatchedID
-}
-
-// isNamed tells whether an answer names this request, and no other one beside it.
-func (q *request) matchesID(resp *http.Response) bool {
-	ids := resp.Header[headerID]
-	return len(ids) == 1 && ids[0] == q.id || q.proxy.bugs.acceptAnyID
-}
-
 const (
-	// leastSilence is how long a server may leave a request without a word before one that may be repeated goes elsewhere.
+	// minStallWait is how long a server may send nothing at least before an idempotent request goes to another.
 	minStallWait = 1200 * time.Millisecond
-	// lookEvery is the time between looks at whether the server is silent towards all.
+	// stallCheckInterval is the time between checks whether the server has stalled for all its requests.
 	stallCheckInterval = 150 * time.Millisecond
 )
 
-// await waits until something more of the answer has come. A request that may be repeated doesn't wait for a server that has
-// fallen silent, unless its answer has begun and can't go on elsewhere.
-func (q *request) awaitData(exchange *pool.Exchange, reservation *serverselection.Reservation) error {
-	if !q.history.MayAbandon(time.Until(q.deadline)) || q.streamStarted && !q.route.Resumable && !q.proxy.bugs.abandonStartedStreams {
-		return exchange.Wait(q.deadline)
+// awaitData waits until more of the response has arrived.
+//
+// A request that may go to another server doesn't wait for a stalled one until its deadline: it gives up after a while
+// (longer on routes with a long latency target), or earlier if the server has sent nothing to any request of this
+// gateway. A stream that has started on a route that isn't resumable can't continue elsewhere, and waits.
+func (q *request) awaitData(a *attempt) error {
+	if !q.history.MayAbandon(time.Until(q.deadline)) ||
+		q.streamStarted && !q.route.Resumable && !q.proxy.bugs.abandonStartedStreams {
+		return a.exchange.Wait(q.deadline)
 	}
 	wait := minStallWait
 	if !q.streamStarted {
 		wait = max(wait, 3*q.route.TargetLatency())
 	}
-	patience := time.Now().Add(wait)
-	if patience.After(q.deadline) {
-		patience = q.deadline
+	giveUpAt := time.Now().Add(wait)
+	if giveUpAt.After(q.deadline) {
+		giveUpAt = q.deadline
 	}
 	for {
-		by := time.Now().Add(stallCheckInterval)
-		if by.After(patience) {
-			by = patience
+		next := time.Now().Add(stallCheckInterval)
+		if next.After(giveUpAt) {
+			next = giveUpAt
 		}
-		err := exchange.Wait(by)
+		err := a.exchange.Wait(next)
 		now := time.Now()
-		if err == nil || !pool.TimedOut(err) || !now.Before(patience) || reservation.Stalled(now) {
+		if err == nil || !pool.TimedOut(err) || !now.Before(giveUpAt) || a.reservation.Stalled(now) {
 			return err
 		}
 	}
 }
-
-// skip reads the rest of an answer that is not passed on, so that its connection can be kept, and tells whether it is there.
-func (q *request) drain(exchange *pool.Exchange) bool {
-	exchange.ReadBy(time.Now().Add(drainTimeout))
-	_, err := io.Copy(io.Discard, io.LimitReader(exchangeReader{exchange}, maxResponseBytes))
-	return err == nil
-}
-
-// readerOf reads an exchange's body.
-type exchangeReader struct{ *pool.Exchange }
-
-// notExecuted tells whether an answer says that the server did not run the request.
-func notExecuted(resp *http.Response) bool {
-	return resp.Header.Get(headerNotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
-}
-
-// credible tells whether an answer can be a server's to this request. A success bears its stamp; the statuses that promise that
-// nothing ran are true only of a server that says so (which is looked at before); and clients ask for no encoding.
-func credible(resp *http.Response) bool {
-	switch resp.StatusCode {
-	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return false
-	}
-	if resp.Header.Get(headerContentEncoding) != "" {
-		return false
-	}
-	stamps := resp.Header[headerSignature]
-	if len(stamps) > 1 {
-		return false
-	}
-	return resp.StatusCode >= http.StatusMultipleChoices || len(stamps) == 1 && stamps[0] != ""
-}
-
-func isEventStream(resp *http.Response) bool {
-	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get(headerContentType), contentEventStream)
-}
--- a/internal/gateway/proxy/batch.go
+++ b/internal/gateway/proxy/batch.go
@@ -12,19 +12,21 @@
 )
 
 const (
+	// Paths of batch jobs and of the bodies of their items, at any host with batch routes.
 	batchJobsPath = "/lots/"
 	itemsPath     = "/items/"
-	// batchPatience is how long a call for a batch job may be held, where neither client nor route says.
+	// defaultBatchTimeout bounds a call for a batch job if neither client nor route does.
 	defaultBatchTimeout = 5 * time.Second
-	// readSlack is how long a client waits beyond the time for which it lets an answer be held.
+	// longPollMargin is how much longer than its X-Wait-Ms a client waits for the response of a long poll.
 	longPollMargin = 1300 * time.Millisecond
 )
 
-// endedRoute stands for the route of a call for a batch job whose own has ended: what is listed can be read for as long as it is
-// kept, by the tenant that it belongs to.
+// removedRoute stands for the route of a batch job whose own is no longer configured: its tenant can read it for as long
+// as it is stored.
 var removedRoute = &configuration.Route{Type: configuration.RouteBatch}
 
-// findBatch finds the route of a call for a batch job that is known by its path: one of the host's batch routes.
+// resolveBatch finds the route of a call for an existing batch job, whose path names no route: one of the host's batch
+// routes.
 func (q *request) resolveBatch(path string) {
 	operation := batchOperation(q.r.Method, path)
 	if operation == 0 {
@@ -41,6 +43,7 @@
 	}
 }
 
+// batchOperation returns the operation on an existing batch job that a path names; 0: none.
 func batchOperation(method, path string) protocol.BatchOperation {
 	switch {
 	case method == http.MethodGet && strings.HasPrefix(path, batchJobsPath):
@@ -53,18 +56,18 @@
 	return 0
 }
 
-// callBatch hands the call to a batch process and gives its answer.
+// callBatch hands a call for a batch job to a batch process, and the client its answer.
 func (q *request) callBatch() {
 	call, failure := q.parseBatchCall()
 	if failure != nil {
 		failure.write(q.w)
 		return
 	}
-	until := q.deadline
+	deadline := q.deadline
 	if call.Operation != protocol.BatchSubmit {
-		until = q.arrived.Add(time.Duration(call.WaitMs)*time.Millisecond + longPollMargin)
+		deadline = q.arrived.Add(time.Duration(call.WaitMs)*time.Millisecond + longPollMargin)
 	}
-	ctx, cancel := context.WithDeadline(q.r.Context(), until)
+	ctx, cancel := context.WithDeadline(q.r.Context(), deadline)
 	defer cancel()
 	if !q.keyValid(time.Now()) {
 		q.reject(http.StatusServiceUnavailable, unreadyRetryAfter)
@@ -73,6 +76,7 @@
 	q.writeBatchAnswer(q.proxy.Batch.Call(ctx, call))
 }
 
+// parseBatchCall reads the call from the request.
 func (q *request) parseBatchCall() (call protocol.BatchCall, failure *errorResponse) {
 	call = protocol.BatchCall{Operation: q.operation, Route: q.route.Name}
 	if q.tenant != nil {
@@ -102,7 +106,7 @@
 	return call, nil
 }
 
-// answerBatch gives the client what the batch process says.
+// writeBatchAnswer sends the client a batch process's answer.
 func (q *request) writeBatchAnswer(answer protocol.BatchAnswer) {
 	if q.r.Context().Err() != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -10,39 +10,41 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 )
 
-// firstStep is what a body holds at first, in bytes: what a client says of its length need not come.
+// initialBufferSize is what a body's buffer starts with, in bytes. It grows with what arrives: a client's Content-Length
+// alone doesn't reserve memory.
 const initialBufferSize = 4 << 10
 
-// defaultBody bounds bodies where the configuration doesn't, in bytes.
+// defaultMaxBodyBytes bounds bodies if the configuration doesn't.
 const defaultMaxBodyBytes = 4 << 20
 
-// body is a request's body, read whole: it may be sent to more than one server.
+// body is a request's complete body. It is held in memory as it may be sent to more than one server.
 type body struct {
 	bytes    []byte
-	readAt   time.Time
-	reserved int64
+	readAt   time.Time // when it was complete, or given up
+	reserved int64     // bytes of the budget
 }
 
-// read reads it whole until some moment.
-func (b *body) read(w http.ResponseWriter, r *http.Request, most int, budget *buffers.Budget, until time.Time) *errorResponse {
+// read reads the complete body, until a deadline.
+func (b *body) read(w http.ResponseWriter, r *http.Request, limit int, budget *buffers.Budget, deadline time.Time) *errorResponse {
 	defer func() { b.readAt = time.Now() }()
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if most <= 0 {
-		most = defaultMaxBodyBytes
+	if limit <= 0 {
+		limit = defaultMaxBodyBytes
 	}
-	if r.ContentLength > int64(most) {
+	if r.ContentLength > int64(limit) {
 		return bodyTooLarge()
 	}
-	limit := http.NewResponseController(w)
-	limit.SetReadDeadline(until)
-	failure := b.fill(r, most, budget, until)
+	controller := http.NewResponseController(w)
+	controller.SetReadDeadline(deadline)
+	failure := b.fill(r, limit, budget, deadline)
 	if failure != nil {
 		b.release(budget)
 		return failure
 	}
-	limit.SetReadDeadline(time.Time{}) // a client's leaving is watched for as long as its answer takes
+	// net/http goes on reading, to notice when the client disconnects; that has no deadline.
+	controller.SetReadDeadline(time.Time{})
 	return nil
 }
 
@@ -50,14 +52,16 @@
 	return &errorResponse{status: http.StatusRequestEntityTooLarge, message: "body: too long", closeConnection: true}
 }
 
-func (b *body) fill(r *http.Request, most int, budget *buffers.Budget, until time.Time) *errorResponse {
-	whole := int64(most) + 1
+// fill reads the body into a buffer that doubles as needed, each time reserving its size from the budget first.
+func (b *body) fill(r *http.Request, limit int, budget *buffers.Budget, deadline time.Time) *errorResponse {
+	maxSize := int64(limit) + 1
 	if r.ContentLength > 0 {
-		whole = r.ContentLength + 1 // the end is read as well: net/http watches the client only after that
+		maxSize = r.ContentLength + 1 // EOF is read as well: net/http watches the connection only after that
 	}
-	for size := min(initialBufferSize, whole); ; size = min(2*size, whole) {
-		if !budget.Take(size-b.reserved, until) {
-			return &errorResponse{status: http.StatusServiceUnavailable, message: "body: no room for it now", retryAfter: unreadyRetryAfter, closeConnection: true}
+	for size := min(initialBufferSize, maxSize); ; size = min(2*size, maxSize) {
+		if !budget.Take(size-b.reserved, deadline) {
+			return &errorResponse{status: http.StatusServiceUnavailable, message: "body: no room for it now",
+				retryAfter: unreadyRetryAfter, closeConnection: true}
 		}
 		b.reserved = size
 		grown := make([]byte, len(b.bytes), size)
@@ -67,12 +71,13 @@
 			n, err := r.Body.Read(b.bytes[len(b.bytes):cap(b.bytes)])
 			b.bytes = b.bytes[:len(b.bytes)+n]
 			switch {
-			case len(b.bytes) > most:
+			case len(b.bytes) > limit:
 				return bodyTooLarge()
 			case errors.Is(err, io.EOF):
 				return nil
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				return &errorResponse{status: http.StatusRequestTimeout, message: "body: did not come whole in time", closeConnection: true}
+				return &errorResponse{status: http.StatusRequestTimeout, message: "body: did not come whole in time",
+					closeConnection: true}
 			case err != nil:
 				return &errorResponse{status: http.StatusBadRequest, message: "body: not whole", closeConnection: true}
 			}
@@ -80,6 +85,7 @@
 	}
 }
 
+// release returns the body's memory to the budget.
 func (b *body) release(budget *buffers.Budget) {
 	budget.Give(b.reserved)
 	b.reserved, b.bytes = 0, nil
--- /dev/null
+++ b/internal/gateway/proxy/buffered.go
@@ -0,0 +1,91 @@
+package proxy
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/gateway/outcomes"
+	"sprucelane.example/sprucelane/internal/gateway/retry"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
+	"sprucelane.example/sprucelane/internal/pool"
+)
+
+// maxResponseBytes is the largest response that is not a stream.
+const maxResponseBytes = 8 << 20
+
+// forwardBuffered reads a response completely before the client gets any of it, so that one that breaks off, or a
+// server's failure, can still be replaced by another server's response.
+func (q *request) forwardBuffered(a *attempt) (final bool) {
+	body, err := q.readResponseBody(a.exchange, a.response)
+	defer q.proxy.Bodies.Give(int64(cap(body)))
+	if err != nil {
+		return q.handleLost(a.reservation)
+	}
+	now := time.Now()
+	status := a.response.StatusCode
+	failed := status >= http.StatusInternalServerError
+	a.reservation.FirstResponse(now)
+	if failed {
+		a.reservation.Done(now, serverselection.Failed)
+		if q.streamStarted || q.history.Idempotent {
+			q.history.Record(retry.Failed)
+			if q.streamStarted || q.history.MayRetry(time.Until(q.deadline)) {
+				return false
+			}
+		}
+	} else {
+		a.reservation.Done(now, serverselection.Succeeded)
+		if q.streamStarted {
+			q.history.Record(retry.Failed) // a started stream can be continued by a stream only
+			return false
+		}
+	}
+	q.observeLatency(a)
+	if failed {
+		q.count(outcomes.ServerFailed)
+	} else {
+		q.recordAnswer(a.reservation, a.response.Header)
+	}
+	copyResponseHeaders(q.w.Header(), a.response.Header)
+	q.w.Header().Set(headerContentLength, strconv.Itoa(len(body)))
+	if status == http.StatusNoContent || status == http.StatusNotModified {
+		q.w.Header().Del(headerContentLength)
+	}
+	q.w.WriteHeader(status)
+	q.w.Write(body)
+	return true
+}
+
+// errResponseTooLarge reports a response above maxResponseBytes, or one that the budget has no room for.
+var errResponseTooLarge = errors.New("proxy: answer too long")
+
+// readResponseBody reads the complete body of a response. The body's capacity is reserved from the budget, also when an
+// error is returned; the caller returns it.
+func (q *request) readResponseBody(exchange *pool.Exchange, resp *http.Response) (body []byte, err error) {
+	exchange.ReadBy(q.deadline)
+	for size := int64(initialBufferSize); size <= maxResponseBytes; size *= 2 {
+		if resp.ContentLength >= 0 {
+			size = max(size, min(resp.ContentLength+1, maxResponseBytes))
+		}
+		if !q.proxy.Bodies.Take(size-int64(cap(body)), q.deadline) {
+			return body, errResponseTooLarge
+		}
+		grown := make([]byte, len(body), size)
+		copy(grown, body)
+		body = grown
+		for len(body) < cap(body) {
+			n, err := exchange.Read(body[len(body):cap(body)])
+			body = body[:len(body)+n]
+			if errors.Is(err, io.EOF) || err != nil && q.proxy.bugs.truncatedIsComplete && !exchange.Delimited() {
+				return body, nil
+			}
+			if err != nil {
+				return body, err
+			}
+		}
+	}
+	return body, errResponseTooLarge
+}
--- a/internal/gateway/proxy/export_test.go
+++ b/internal/gateway/proxy/export_test.go
@@ -1,12 +1,12 @@
 package proxy
 
-// Plant plants a fault for the tests outside the package.
+// InjectBug switches a bug on for tests outside the package.
 func (p *Proxy) InjectBug(set func(*Bugs)) { set(&p.bugs) }
 
-// Bugs are the faults that can be planted.
+// Bugs are those that can be injected.
 type Bugs = injectedBugs
 
-// The faults.
+// Bugs to inject.
 var (
 	AcceptAnyID          = func(b *Bugs) { b.acceptAnyID = true }
 	RetryNonIdempotent   = func(b *Bugs) { b.retryNonIdempotent = true }
--- /dev/null
+++ b/internal/gateway/proxy/gateway_responses.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/gateway/outcomes"
+)
+
+const (
+	// unreadyRetryAfter is for clients of a gateway that lacks a configuration, a valid key lease or memory.
+	unreadyRetryAfter = 250 * time.Millisecond
+	// noServerRetryAfter is for requests that no server took.
+	noServerRetryAfter = 150 * time.Millisecond
+)
+
+// errorResponse is the gateway's own response to a request that no server was sent.
+type errorResponse struct {
+	status          int
+	message         string
+	retryAfter      time.Duration
+	closeConnection bool // the end of the request can't be relied on, or the process exits
+}
+
+func (e *errorResponse) write(w http.ResponseWriter) {
+	if e.closeConnection {
+		w.Header().Set("Connection", "close")
+	}
+	writeResponse(w, e.status, e.retryAfter, e.message)
+}
+
+// writeResponse writes a response of the gateway's own.
+func writeResponse(w http.ResponseWriter, status int, retryAfter time.Duration, message string) {
+	if retryAfter > 0 {
+		w.Header().Set(headerRetryAfter, formatSeconds(retryAfter))
+	}
+	if message != "" {
+		message += "\n"
+		w.Header().Set(headerContentType, "text/plain")
+	}
+	w.Header().Set(headerContentLength, strconv.Itoa(len(message)))
+	w.WriteHeader(status)
+	w.Write([]byte(message))
+}
+
+// formatSeconds formats a Retry-After, in seconds with up to three decimals.
+func formatSeconds(wait time.Duration) string {
+	return strconv.FormatFloat(wait.Round(time.Millisecond).Seconds(), 'f', -1, 64)
+}
+
+// reject answers that the request has not run and never will.
+func (q *request) reject(status int, retryAfter time.Duration) {
+	writeResponse(q.w, status, max(retryAfter, time.Millisecond), "")
+}
+
+// giveUp ends a request that no attempt answered: with the status that its history allows, or by aborting the connection
+// if the client has left or its stream has started.
+func (q *request) giveUp() {
+	if q.r.Context().Err() != nil || q.streamStarted {
+		q.count(outcomes.ClientLeft) // a started stream has been counted already, and stays so
+		panic(http.ErrAbortHandler)
+	}
+	status := q.history.FinalStatus(!time.Now().Before(q.deadline))
+	if q.proxy.bugs.alwaysPromisesNotRun {
+		status = http.StatusServiceUnavailable
+	}
+	if status == http.StatusServiceUnavailable {
+		q.count(outcomes.NoServer)
+		q.reject(status, noServerRetryAfter)
+		return
+	}
+	q.count(outcomes.Lost)
+	writeResponse(q.w, status, 0, "")
+}
--- a/internal/gateway/proxy/head.go
+++ b/internal/gateway/proxy/headers.go
@@ -8,19 +8,39 @@
 	"time"
 )
 
-// hopByHop names the headers that concern one connection only.
+// Headers of the protocol between clients, gateways and servers.
+const (
+	headerID              = "X-Request-Id"
+	headerDeadline        = "X-Deadline-Ms"        // how long the sender waits for the response
+	headerAPIKey          = "Api-Key"              // of a tenant; never forwarded
+	headerTenant          = "X-Tenant"             // for the server, instead of the key
+	headerInstance        = "X-Expect-Instance"    // the server that is meant: another at its address answers 421
+	headerSignature       = "X-Response-Signature" // of a server's successful response
+	headerNotExecuted     = "X-Not-Executed"       // the server promises not to have run the request
+	headerPromptPrefix    = "X-Prompt-Prefix"
+	headerTokenUsage      = "X-Token-Usage"
+	headerLastEventID     = "Last-Event-Id"
+	headerWait            = "X-Wait-Ms" // long poll of a batch job
+	headerRetryAfter      = "Retry-After"
+	headerContentType     = "Content-Type"
+	headerContentEncoding = "Content-Encoding"
+	headerContentLength   = "Content-Length"
+	contentEventStream    = "text/event-stream"
+)
+
+// hopByHopHeaders concern one connection only and are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
-	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
+	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
+	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// own names the headers of a request that the gateway sets itself or keeps to itself.
+// gatewayHeaders are headers of a request that the gateway sets anew or doesn't forward.
 var gatewayHeaders = map[string]bool{
-	headerAPIKey: true, headerTenant: true, headerInstance: true, headerDeadline: true, headerLastEventID: true, headerContentLength: true,
-	"Host": true, "Expect": true,
+	headerAPIKey: true, headerTenant: true, headerInstance: true, headerDeadline: true, headerLastEventID: true,
+	headerContentLength: true, "Host": true, "Expect": true,
 }
 
-// connectionNames gives the headers that a Connection header names.
+// connectionHeaders returns the headers that a Connection header names, which are hop-by-hop as well. Nil: none.
 func connectionHeaders(header http.Header) map[string]bool {
 	var names map[string]bool
 	for _, value := range header["Connection"] {
@@ -34,7 +54,7 @@
 	return names
 }
 
-// passOn gives the lines of a request's headers that go to the server as they came.
+// forwardedHeaders returns the header lines that go unchanged to every server that the request is sent to.
 func forwardedHeaders(header http.Header) []byte {
 	lines := make([]byte, 0, 512)
 	named := connectionHeaders(header)
@@ -56,7 +76,8 @@
 	return append(lines, "\r\n"...)
 }
 
-// writeHead writes the head of the request to a server, as it is right now.
+// writeRequestHead writes the request's head for one attempt. It is called when the head goes out, so that the server
+// is handed what is left of the deadline by then.
 func (q *request) writeRequestHead(b *bytes.Buffer, instance string) {
 	b.WriteString(q.r.Method)
 	b.WriteByte(' ')
@@ -86,7 +107,8 @@
 	b.WriteString("\r\n")
 }
 
-// copyHead takes a server's head over into the answer, without what concerns its connection and without its length.
+// copyResponseHeaders copies a server's headers into the response to the client, without hop-by-hop headers and the
+// length.
 func copyResponseHeaders(to, from http.Header) {
 	named := connectionHeaders(from)
 	for name, values := range from {
@@ -94,7 +116,7 @@
 			to[name] = values
 		}
 	}
-	if _, told := from[headerContentType]; !told {
-		to[headerContentType] = nil // net/http would guess one
+	if _, set := from[headerContentType]; !set {
+		to[headerContentType] = nil // keeps net/http from guessing one
 	}
 }
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -10,19 +10,17 @@
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
-// This file owns how a request's end is counted, and the record of answers that are late.
-
-// lateRecordEvery is the least time between two records of late answers: a sample is enough, and all would be a flood just when
-// there is much to do.
+// lateLogInterval is the least time between two log lines on late responses. They are sampled, as they are most frequent
+// when the gateway has most to do.
 const lateLogInterval = time.Second
 
-// lateRecords samples records.
+// logSampler limits the rate of a log line. It is safe for concurrent use.
 type logSampler struct {
-	next    atomic.Int64 // nanoseconds of Unix time
-	skipped atomic.Int64
+	next    atomic.Int64 // when the next line may be written, in nanoseconds of Unix time
+	skipped atomic.Int64 // lines since the last one
 }
 
-// take tells whether a record may be written now, and how many were left out before.
+// take reports whether a line may be written now, and how many were skipped before it.
 func (l *logSampler) take(now time.Time) (skipped int64, taken bool) {
 	due := l.next.Load()
 	if now.UnixNano() < due || !l.next.CompareAndSwap(due, now.Add(lateLogInterval).UnixNano()) {
@@ -32,7 +30,7 @@
 	return l.skipped.Swap(0), true
 }
 
-// count counts what became of the request.
+// count counts the request's outcome. Only the first counts.
 func (q *request) count(outcome outcomes.Outcome) {
 	if q.proxy.Outcomes != nil && !q.counted {
 		q.counted = true
@@ -40,30 +38,24 @@
 	}
 }
 
-// countMore counts what became of an answer that had begun, beside how it began.
+// countStreamEnd counts how a stream ended whose beginning has been counted already.
 func (p *Proxy) countStreamEnd(route string, outcome outcomes.Outcome) {
 	if p.Outcomes != nil {
 		p.Outcomes.Add(route, outcome)
 	}
 }
 
-// countRefusal counts a request of which no route is known, or that this gateway is not ready for.
+// countUnready counts a request that the gateway wasn't ready for. Its route isn't known.
 func (p *Proxy) countUnready(failure *errorResponse) {
 	if p.Outcomes != nil && failure.status == http.StatusServiceUnavailable {
 		p.Outcomes.Add("", outcomes.Unready)
 	}
 }
 
-func (r Rejection) outcome() outcomes.Outcome {
-	if r.Status == http.StatusTooManyRequests {
-		return outcomes.RejectedQuota
-	}
-	return outcomes.RejectedOverload
-}
-
-// answered counts a request whose answer has begun, or come whole, and records a late one.
-func (q *request) recordAnswer(reservation *serverselection.Reservation, head http.Header) {
-	load, _ := serverload.Parse(head.Get(serverload.Header))
+// recordAnswer counts a request when its response is complete or its stream's first event has arrived, and logs a
+// sample of the late ones.
+func (q *request) recordAnswer(reservation *serverselection.Reservation, header http.Header) {
+	load, _ := serverload.Parse(header.Get(serverload.Header))
 	now := time.Now()
 	attempt := outcomes.Attempt{Latency: now.Sub(q.arrived), Target: q.route.TargetLatency(), EarlierAttempts: len(q.tried) - 1,
 		PrefillTokens: reservation.PrefillTokens(), InFlight: reservation.ReportedInFlight(), Queued: load.Waiting, Slots: load.Slots}
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -1,7 +1,6 @@
 package proxy
 
 import (
-	"cmp"
 	"net/http"
 	"strconv"
 	"strings"
@@ -15,94 +14,72 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Headers of the protocol.
 const (
-	headerID              = "X-Request-Id"
-	headerDeadline        = "X-Deadline-Ms"
-	headerAPIKey          = "Api-Key"
-	headerTenant          = "X-Tenant"
-	headerInstance        = "X-Expect-Instance"
-	headerSignature       = "X-Response-Signature"
-	headerNotExecuted     = "X-Not-Executed"
-	headerPromptPrefix    = "X-Prompt-Prefix"
-	headerTokenUsage      = "X-Token-Usage"
-	headerLastEventID     = "Last-Event-Id"
-	headerWait            = "X-Wait-Ms"
-	headerRetryAfter      = "Retry-After"
-	headerContentType     = "Content-Type"
-	headerContentEncoding = "Content-Encoding"
-	headerContentLength   = "Content-Length"
-	contentEventStream    = "text/event-stream"
-)
-
-const (
-	// transit is taken off a deadline, which counts from when the client sent: the way back, and an answer's last steps.
+	// transitMargin is subtracted from a client's deadline, which counts from when the client sent the request: it
+	// covers the network and the last steps of a response.
 	transitMargin = 10 * time.Millisecond
-	// denyWait is how long a request waits for control to say that its route or key is not known there either.
+	// denialWait is how long a request waits for control to confirm that its route or key doesn't exist, before it is
+	// denied with 404 or 401.
 	denialWait = 400 * time.Millisecond
-	// firstWait is how long a request waits for the first configuration of a process.
+	// firstConfigurationWait is how long a request waits for the process's first configuration.
 	firstConfigurationWait = 1200 * time.Millisecond
-	// longestWait is how long a client waits that doesn't say, where its route doesn't either.
+	// defaultClientTimeout is for clients that send no X-Deadline-Ms, on routes without a time-out.
 	defaultClientTimeout = time.Minute
-	maxRequestIDBytes    = 256 // bytes
+	maxRequestIDBytes    = 256
 )
 
-// request is one try of a client.
+// request is one request of a client, with the state of its attempts. It belongs to the goroutine that serves it.
 type request struct {
-	proxy         *Proxy
-	w             http.ResponseWriter
-	r             *http.Request
-	arrived       time.Time
-	deadline      time.Time
-	id            string
-	configuration *configuration.Snapshot
+	proxy    *Proxy
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Time
+	deadline time.Time // by which the client must have its response
+	id       string    // X-Request-Id, the same at each attempt
+	body     body
+
+	configuration *configuration.Snapshot // that the route and the tenant are from
 	route         *configuration.Route
-	tenant        *configuration.Tenant // nil: of a public route
-	body          body
-
-	operation    protocol.BatchOperation // 0: live
-	leaseExpired bool                    // the lease of keys did not hold before the configuration was looked at
-
-	admission     AdmissionRequest
-	admittedAt    time.Time
-	sentAt        time.Time // to the server that is asked now
-	counted       bool      // what became of it
-	headerLines   []byte    // lines of headers that are passed on as they came
-	history       retry.History
-	tried         []policy.ServerID
-	scanner       *sse.Scanner // of a stream
-	streamBuffer  *[]byte
-	streamStarted bool // the head of a stream has gone out
-	lastEventID   string
+	tenant        *configuration.Tenant   // nil on a public route
+	operation     protocol.BatchOperation // 0: a live request, none for a batch job
+	leaseExpired  bool                    // the key lease wasn't valid before the configuration was read
+
+	admission   AdmissionRequest
+	admittedAt  time.Time
+	headerLines []byte // the headers that are forwarded unchanged, as they go on the wire
+
+	history retry.History
+	tried   []policy.ServerID // servers, in order of the attempts
+	sentAt  time.Time         // of the latest attempt
+	counted bool              // its outcome
+
+	scanner       *sse.Scanner // nil: no attempt has returned a stream
+	streamBuffer  *[]byte      // the scanner's, from streamBuffers
+	streamStarted bool         // the response's head has gone to the client, and events follow
+	lastEventID   string       // the client's Last-Event-Id, later that of the last event that the client was sent
 }
 
-// read reads a request and finds its route and tenant.
+// readRequest reads and checks a request, and finds its route and tenant. A request that is not to be served has an
+// errorResponse.
 func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request) (*request, *errorResponse) {
 	q := &request{proxy: p, w: w, r: r, arrived: time.Now(), id: r.Header.Get(headerID)}
 	if len(r.TransferEncoding) > 0 && !front.ChunksAlone(r) {
-		return nil, &errorResponse{status: http.StatusBadRequest, message: "Transfer-Encoding: beside Content-Length, or it can't be told", closeConnection: true}
+		return nil, &errorResponse{status: http.StatusBadRequest,
+			message: "Transfer-Encoding: beside Content-Length, or it can't be told", closeConnection: true}
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return nil, &errorResponse{status: http.StatusBadRequest, message: "target: not a path"}
 	}
-	if p.Control.Configuration() == nil { // the process has just begun
-		p.Control.AwaitConfirmation(r.Context(), q.arrived, q.arrived.Add(min(firstConfigurationWait, q.clientTimeout())))
-	}
-	if failure := q.resolve(); failure != nil && failure.status == http.StatusServiceUnavailable {
+	if failure := q.resolveConfirmed(); failure != nil {
 		return nil, failure
-	} else if failure != nil {
-		if !p.Control.AwaitConfirmation(r.Context(), q.arrived, q.arrived.Add(min(denialWait, q.clientTimeout()))) {
-			return nil, &errorResponse{status: http.StatusServiceUnavailable, message: "configuration: not sure", retryAfter: unreadyRetryAfter}
-		}
-		if failure := q.resolve(); failure != nil {
-			return nil, failure
-		}
 	}
-	if most := q.configuration.Limits.MaxHeaderBytes; most > 0 && headerBytes(r) > most {
-		return nil, &errorResponse{status: http.StatusRequestHeaderFieldsTooLarge, message: "header: too long", closeConnection: true}
+	if limit := q.configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(r) > limit {
+		return nil, &errorResponse{status: http.StatusRequestHeaderFieldsTooLarge, message: "header: too long",
+			closeConnection: true}
 	}
 	if !q.keyValid(time.Now()) {
-		return nil, &errorResponse{status: http.StatusServiceUnavailable, message: "keys: not sure", retryAfter: unreadyRetryAfter}
+		return nil, &errorResponse{status: http.StatusServiceUnavailable, message: "keys: not sure",
+			retryAfter: unreadyRetryAfter}
 	}
 	if q.operation == 0 || q.operation == protocol.BatchSubmit {
 		if ids := r.Header.Values(headerID); len(ids) != 1 || q.id == "" || len(q.id) > maxRequestIDBytes {
@@ -111,7 +88,8 @@
 	}
 	q.deadline = q.arrived.Add(q.timeLimit())
 	if !p.runsUntil(q.arrived, q.deadline) {
-		return nil, &errorResponse{status: http.StatusServiceUnavailable, message: "ending", retryAfter: noServerRetryAfter, closeConnection: true}
+		return nil, &errorResponse{status: http.StatusServiceUnavailable, message: "ending",
+			retryAfter: noServerRetryAfter, closeConnection: true}
 	}
 	if failure := q.body.read(w, r, q.configuration.Limits.MaxBodyBytes, p.Bodies, q.deadline); failure != nil {
 		return nil, failure
@@ -119,7 +97,7 @@
 	return q, nil
 }
 
-// headerBytes gives the length of a request's head, without what each line takes besides its name and value.
+// headerBytes returns the size of a request's head: its target, host, and the names and values of its headers.
 func headerBytes(r *http.Request) int {
 	size := len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -130,68 +108,20 @@
 	return size
 }
 
-// find looks the route and the tenant up in the configuration in force. The lease of keys is looked at before: one that is renewed
-// afterwards speaks for a newer configuration, which may have removed the key.
-func (q *request) resolve() *errorResponse {
-	q.leaseExpired = !q.proxy.Control.KeyLeaseValid(time.Now())
-	q.configuration = q.proxy.Control.Configuration()
-	if q.configuration == nil {
-		return &errorResponse{status: http.StatusServiceUnavailable, message: "no configuration yet", retryAfter: unreadyRetryAfter}
-	}
-	path, _, _ := strings.Cut(q.r.RequestURI, "?")
-	q.operation = 0
-	if q.route = q.configuration.RouteFor(q.r.Host, path); q.route != nil && q.route.Type == configuration.RouteBatch {
-		q.operation = cmp.Or(batchOperation(q.r.Method, path), protocol.BatchSubmit)
-	}
-	if q.route == nil {
-		q.resolveBatch(path)
-	}
-	if q.route == nil {
-		return &errorResponse{status: http.StatusNotFound, message: "no such route"}
-	}
-	return q.authenticate()
-}
-
-// identify finds the tenant by the key.
-func (q *request) authenticate() *errorResponse {
-	q.tenant = nil
-	keys := q.r.Header.Values(headerAPIKey)
-	if len(keys) == 1 {
-		q.tenant = q.configuration.TenantByKey(keys[0])
-	}
-	if q.tenant == nil && !q.route.Public && len(q.configuration.Tenants) > 0 {
-		return &errorResponse{status: http.StatusUnauthorized, message: "unknown key"}
-	}
-	return nil
-}
-
-// admittedFor is how long a request that nothing was sent of may act on its admission: a process that stood still must not send
-// all at once what its quota allowed for long ago.
-const admissionTTL = 700 * time.Millisecond
-
-// mayGo tells, right before the first byte to a server, whether it may be written.
-func (q *request) maySend(now time.Time) bool {
-	return q.keyValid(now) && (q.history.MayHaveRun() || now.Sub(q.admittedAt) < admissionTTL)
-}
-
-// sure tells whether the request's key may still be acted on.
-func (q *request) keyValid(now time.Time) bool {
-	return q.tenant == nil || !q.leaseExpired && q.proxy.Control.KeyLeaseValid(now)
-}
-
-// patience gives how long the request may be held.
+// timeLimit returns how long after its arrival the request must have its response: the shorter of the client's and the
+// route's time-out.
 func (q *request) timeLimit() time.Duration {
-	most := q.route.Timeout()
-	if q.operation != 0 && most == 0 {
-		most = defaultBatchTimeout
+	limit := q.route.Timeout()
+	if q.operation != 0 && limit == 0 {
+		limit = defaultBatchTimeout
 	}
-	if told := q.clientTimeout(); most == 0 || told < most {
-		most = told
+	if timeout := q.clientTimeout(); limit == 0 || timeout < limit {
+		limit = timeout
 	}
-	return max(0, most-transitMargin)
+	return max(0, limit-transitMargin)
 }
 
-// told gives how long the client says that it waits.
+// clientTimeout returns how long the client waits, by its X-Deadline-Ms.
 func (q *request) clientTimeout() time.Duration {
 	wait, err := strconv.ParseUint(q.r.Header.Get(headerDeadline), 10, 31)
 	if err != nil {
@@ -200,7 +130,7 @@
 	return time.Duration(wait) * time.Millisecond
 }
 
-// release gives back what the request holds.
+// release returns the request's buffers.
 func (q *request) release() {
 	q.body.release(q.proxy.Bodies)
 	q.releaseScanner()
--- /dev/null
+++ b/internal/gateway/proxy/resumption.go
@@ -0,0 +1,55 @@
+package proxy
+
+import (
+	"net/http"
+	"strconv"
+
+	"sprucelane.example/sprucelane/internal/gateway/outcomes"
+	"sprucelane.example/sprucelane/internal/gateway/serverselection"
+	"sprucelane.example/sprucelane/internal/gateway/sse"
+)
+
+// handleTruncated ends an attempt whose stream broke off. If events have gone to the client, the next attempt asks
+// another server, by Last-Event-Id, to go on after them. Where that isn't possible the client's connection is aborted,
+// so that the response doesn't look complete.
+func (q *request) handleTruncated(reservation *serverselection.Reservation) (final bool) {
+	q.handleLost(reservation)
+	if !q.streamStarted {
+		return false
+	}
+	last, numbered := q.scanner.LastID()
+	if !q.route.Resumable || !numbered {
+		q.proxy.countStreamEnd(q.route.Name, outcomes.Truncated)
+		panic(http.ErrAbortHandler)
+	}
+	if !q.proxy.bugs.omitLastEventID {
+		q.lastEventID = strconv.FormatUint(last, 10)
+	}
+	return false
+}
+
+// prepareScanner readies the scanner for an attempt's stream: for one that continues after the last event that the
+// client was sent, or for one from the beginning.
+func (q *request) prepareScanner() {
+	if q.scanner == nil {
+		q.streamBuffer = streamBuffers.Get().(*[]byte)
+		q.scanner = sse.NewScanner(*q.streamBuffer)
+		return
+	}
+	if last, numbered := q.scanner.LastID(); q.streamStarted && numbered {
+		q.scanner.Resume(last)
+		return
+	}
+	q.scanner = sse.NewScanner(q.scanner.Buffer())
+}
+
+// releaseScanner returns the scanner's buffer to the pool.
+func (q *request) releaseScanner() {
+	if q.scanner == nil {
+		return
+	}
+	if *q.streamBuffer = q.scanner.Buffer(); cap(*q.streamBuffer) <= maxPooledBytes {
+		streamBuffers.Put(q.streamBuffer)
+	}
+	q.scanner, q.streamBuffer = nil, nil
+}
--- /dev/null
+++ b/internal/gateway/proxy/routing.go
@@ -0,0 +1,80 @@
+package proxy
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// resolveConfirmed finds the route and the tenant. A 404 or 401 is returned only after control has confirmed that the
+// configuration it rests on is the latest: a new route or key must work at every gateway as soon as it is acknowledged.
+func (q *request) resolveConfirmed() *errorResponse {
+	control := q.proxy.Control
+	if control.Configuration() == nil { // the process has just started
+		wait := min(firstConfigurationWait, q.clientTimeout())
+		control.AwaitConfirmation(q.r.Context(), q.arrived, q.arrived.Add(wait))
+	}
+	failure := q.resolve()
+	if failure == nil || failure.status == http.StatusServiceUnavailable {
+		return failure
+	}
+	wait := min(denialWait, q.clientTimeout())
+	if !control.AwaitConfirmation(q.r.Context(), q.arrived, q.arrived.Add(wait)) {
+		return &errorResponse{status: http.StatusServiceUnavailable, message: "configuration: not sure",
+			retryAfter: unreadyRetryAfter}
+	}
+	return q.resolve()
+}
+
+// resolve finds the route and the tenant in the configuration in force.
+//
+// The key lease is read before the configuration: a lease that is renewed in between belongs to a newer configuration,
+// which may have removed the key that the older one still has.
+func (q *request) resolve() *errorResponse {
+	q.leaseExpired = !q.proxy.Control.KeyLeaseValid(time.Now())
+	q.configuration = q.proxy.Control.Configuration()
+	if q.configuration == nil {
+		return &errorResponse{status: http.StatusServiceUnavailable, message: "no configuration yet",
+			retryAfter: unreadyRetryAfter}
+	}
+	path, _, _ := strings.Cut(q.r.RequestURI, "?")
+	q.operation = 0
+	if q.route = q.configuration.RouteFor(q.r.Host, path); q.route != nil && q.route.Type == configuration.RouteBatch {
+		q.operation = cmp.Or(batchOperation(q.r.Method, path), protocol.BatchSubmit)
+	}
+	if q.route == nil {
+		q.resolveBatch(path)
+	}
+	if q.route == nil {
+		return &errorResponse{status: http.StatusNotFound, message: "no such route"}
+	}
+	return q.authenticate()
+}
+
+// chooseBackend returns the route's backend, or one drawn by the weights of its traffic split.
+func (q *request) chooseBackend() string {
+	if len(q.route.TrafficSplit) == 0 {
+		return q.route.Backend
+	}
+	sum := 0.0
+	for _, split := range q.route.TrafficSplit {
+		sum += split.Weight
+	}
+	point := rand.Float64() * sum
+	name := q.route.Backend
+	for _, split := range q.route.TrafficSplit {
+		if split.Weight <= 0 {
+			continue
+		}
+		name = split.Backend
+		if point -= split.Weight; point < 0 {
+			break
+		}
+	}
+	return name
+}
