--- a/internal/batch/job/encoding.go
+++ b/internal/batch/job/encoding.go
@@ -5,10 +5,20 @@
 	"errors"
 )
 
-// ErrCorrupt is given for bytes that are no encoded value.
+// # Format
+//
+// Content is encoded as id, tenant, route (strings), FirstSent (varint), the number of items (uvarint) and
+// the items. An item is id, path (strings), tokens (uvarint), the number of headers (uvarint), for each its
+// name and value (strings), and the body. Strings and the body are preceded by their length (uvarint). An
+// item's bytes can be decoded alone, so that a store reads one item of a log record without the rest (see
+// Span).
+//
+// The golden test holds this format: logs and other stores have it.
+
+// ErrCorrupt is returned for bytes that are not an encoded value.
 var ErrCorrupt = errors.New("job: corrupt encoding")
 
-// Encode gives the content's bytes: a head with all that is small, item by item its own bytes.
+// Encode returns the encoded content.
 func (c *Content) Encode() []byte {
 	size := 64 + len(c.ID) + len(c.Tenant) + len(c.Route)
 	for i := range c.Items {
@@ -26,6 +36,7 @@
 	return out
 }
 
+// encodedSize estimates the size of the encoded item in bytes, so that Encode allocates once.
 func (i *Item) encodedSize() int {
 	size := 32 + len(i.ID) + len(i.Path) + len(i.Body)
 	for _, header := range i.Headers {
@@ -47,107 +58,48 @@
 	return append(out, i.Body...)
 }
 
-// Span is where an item's bytes stand within the encoded content.
+// Span is the range of an item's bytes within encoded content.
 type Span struct{ Offset, Length uint32 }
 
-// Decode reads encoded content. Bodies point into the given bytes.
+// Decode decodes content, and returns the span of each item. Bodies alias the given bytes. The error is
+// ErrCorrupt.
 func Decode(encoded []byte) (*Content, []Span, error) {
-	r := Decoder{Remaining: encoded}
-	c := &Content{ID: r.Text(), Tenant: r.Text(), Route: r.Text(), FirstSent: r.Varint()}
-	count := r.Uvarint()
-	if r.Failed || count > MaxItems {
+	d := Decoder{Remaining: encoded}
+	c := &Content{ID: d.Text(), Tenant: d.Text(), Route: d.Text(), FirstSent: d.Varint()}
+	count := d.Uvarint()
+	if d.Failed || count > MaxItems {
 		return nil, nil, ErrCorrupt
 	}
 	c.Items = make([]Item, 0, count)
 	spans := make([]Span, 0, count)
 	for range count {
-		start := len(encoded) - len(r.Remaining)
-		c.Items = append(c.Items, r.item())
-		end := len(encoded) - len(r.Remaining)
+		start := len(encoded) - len(d.Remaining)
+		c.Items = append(c.Items, d.item())
+		end := len(encoded) - len(d.Remaining)
 		spans = append(spans, Span{Offset: uint32(start), Length: uint32(end - start)})
 	}
-	if r.Failed {
+	if d.Failed {
 		return nil, nil, ErrCorrupt
 	}
 	return c, spans, nil
 }
 
-// DecodeItem reads one item's span.
+// DecodeItem decodes the bytes of one item's span. The body aliases them. The error is ErrCorrupt.
 func DecodeItem(encoded []byte) (Item, error) {
-	r := Decoder{Remaining: encoded}
-	item := r.item()
-	if r.Failed {
+	d := Decoder{Remaining: encoded}
+	item := d.item()
+	if d.Failed {
 		return Item{}, ErrCorrupt
 	}
 	return item, nil
 }
 
-func (r *Decoder) item() Item {
-	item := Item{ID: r.Text(), Path: r.Text(), Tokens: int(r.Uvarint())}
-	headers := r.Uvarint()
-	for i := uint64(0); i < headers && !r.Failed; i++ {
-		item.Headers = append(item.Headers, Header{Name: r.Text(), Value: r.Text()})
+func (d *Decoder) item() Item {
+	item := Item{ID: d.Text(), Path: d.Text(), Tokens: int(d.Uvarint())}
+	headers := d.Uvarint()
+	for i := uint64(0); i < headers && !d.Failed; i++ {
+		item.Headers = append(item.Headers, Header{Name: d.Text(), Value: d.Text()})
 	}
-	item.Body = r.Bytes()
+	item.Body = d.Bytes()
 	return item
 }
-
-// AppendText adds a string after its length.
-func AppendString(out []byte, text string) []byte {
-	out = binary.AppendUvarint(out, uint64(len(text)))
-	return append(out, text...)
-}
-
-// Reader takes values off the front of encoded bytes. After a fault Failed is set and all values are zero.
-type Decoder struct {
-	Remaining []byte
-	Failed    bool
-}
-
-// Uvarint takes an unsigned number.
-func (r *Decoder) Uvarint() uint64 {
-	value, n := binary.Uvarint(r.Remaining)
-	if n <= 0 || r.Failed {
-		r.Failed = true
-		return 0
-	}
-	r.Remaining = r.Remaining[n:]
-	return value
-}
-
-// Varint takes a signed number.
-func (r *Decoder) Varint() int64 {
-	value, n := binary.Varint(r.Remaining)
-	if n <= 0 || r.Failed {
-		r.Failed = true
-		return 0
-	}
-	r.Remaining = r.Remaining[n:]
-	return value
-}
-
-// Bytes takes bytes after their length, without copying them.
-func (r *Decoder) Bytes() []byte {
-	length := r.Uvarint()
-	if r.Failed || length > uint64(len(r.Remaining)) {
-		r.Failed = true
-		return nil
-	}
-	taken := r.Remaining[:length:length]
-	r.Remaining = r.Remaining[length:]
-	return taken
-}
-
-// Text takes a string.
-func (r *Decoder) Text() string { return string(r.Bytes()) }
-
-// Take takes a number of bytes, without copying them.
-func (r *Decoder) Take(count int) []byte {
-	if r.Failed || count > len(r.Remaining) {
-		r.Failed = true
-		return nil
-	}
-	taken := r.Remaining[:count]
-	r.Remaining = r.Remaining[count:]
-	return taken
-}
--- a/internal/batch/job/golden_test.go
+++ b/internal/batch/job/golden_test.go
@@ -7,7 +7,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds the content of a batch job, in logs and between stores, to the form that earlier versions wrote.
+// TestGolden checks that content is encoded byte for byte as by earlier versions, whose logs and messages
+// it is in.
 func TestGolden(t *testing.T) {
 	var content Content
 	golden.Fill(&content)
--- a/internal/batch/job/job_test.go
+++ b/internal/batch/job/job_test.go
@@ -11,8 +11,9 @@
 )
 
 func TestParseSubmission(t *testing.T) {
-	Convey("A submission is read, or refused with what is wrong", t, func() {
-		items, err := ParseSubmission([]byte(`{"requests":[{"id":"e5","path":"/p/3/91","headers":{"X-Model":"m"},"body":"q83vEjRWeJA=","tokens":940}]}`))
+	Convey("A submission is parsed, or rejected with an error that says what is wrong", t, func() {
+		items, err := ParseSubmission([]byte(`{"requests":[{"id":"e5","path":"/p/3/91","headers":{"X-Model":"m"},` +
+			`"body":"q83vEjRWeJA=","tokens":940}]}`))
 		So(err, ShouldBeNil)
 		So(items, ShouldHaveLength, 1)
 		So(items[0].Body, ShouldResemble, []byte{0xab, 0xcd, 0xef, 0x12, 0x34, 0x56, 0x78, 0x90})
@@ -24,7 +25,8 @@
 		}
 		for _, text := range []string{
 			``, `{}`, `{"requests":[]}`, `{"requests":[{"id":"a"}]}`, `{"requests":[{"path":"/p"}]}`,
-			`{"requests":[{"id":"a","path":"/p","body":"?"}]}`, `{"requests":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]}`,
+			`{"requests":[{"id":"a","path":"/p","body":"?"}]}`,
+			`{"requests":[{"id":"a","path":"/p"},{"id":"a","path":"/p"}]}`,
 			`{"requests":[` + many.String()[1:] + `]}`,
 		} {
 			_, err := ParseSubmission([]byte(text))
@@ -35,13 +37,13 @@
 
 func drawContent(t *rapid.T) *Content {
 	content := &Content{
-		ID: rapid.String().Draw(t, "id"), Tenant: rapid.String().Draw(t, "tenant"), Route: rapid.String().Draw(t, "route"),
-		FirstSent: rapid.Int64().Draw(t, "sent"), Items: []Item{},
+		ID: rapid.String().Draw(t, "id"), Tenant: rapid.String().Draw(t, "tenant"),
+		Route: rapid.String().Draw(t, "route"), FirstSent: rapid.Int64().Draw(t, "sent"), Items: []Item{},
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "items") {
 		item := Item{
-			ID: rapid.String().Draw(t, "item"), Path: rapid.String().Draw(t, "path"), Tokens: rapid.IntRange(0, 1<<30).Draw(t, "tokens"),
-			Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"),
+			ID: rapid.String().Draw(t, "item"), Path: rapid.String().Draw(t, "path"),
+			Tokens: rapid.IntRange(0, 1<<30).Draw(t, "tokens"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body"),
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "headers") {
 			item.Headers = append(item.Headers, Header{rapid.String().Draw(t, "name"), rapid.String().Draw(t, "value")})
