--- a/internal/batch/placement/placement.go
+++ b/internal/batch/placement/placement.go
@@ -1,5 +1,10 @@
-// Package placement owns which stores keep a batch job: a pure function of the job's id and the agreed set of stores, by
-// rendezvous hashing, so that any process comes to the same answer. It must never look at load or time.
+// Package placement decides which stores keep a batch job and which stores vote on its acceptance: a pure
+// function of the job's id and the agreed membership of the stores, so that every process comes to the same
+// answer without asking.
+//
+// Stores are ranked by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998): when a
+// store joins or leaves, only the batch jobs that rank it among their first ones are affected. Replicas are
+// spread over zones before rank counts. Load and time play no part.
 package placement
 
 import (
@@ -12,18 +17,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Key tells stores apart, lives of a disk included: a store whose disk was lost comes back under another key.
+// Key identifies a store together with the incarnation of its disk: a store that lost its disk comes back
+// under another key.
 type Key string
 
-// KeyOf gives the key of a process.
+// KeyOf returns the key of a process.
 func KeyOf(process protocol.Process) Key { return Key(process.Node + "/" + process.Incarnation) }
 
-// Node gives the node whose disk it is.
+// Node returns the node that has the disk.
 func (k Key) Node() string {
 	return string(k[:max(strings.LastIndexByte(string(k), '/'), 0)])
 }
 
-// Active gives the members of a view that take batch jobs.
+// ActiveMembers returns the members of a view that accept batch jobs.
 func ActiveMembers(view protocol.StoreView) []protocol.Process {
 	active := make([]protocol.Process, 0, len(view.Members))
 	for _, member := range view.Members {
@@ -34,29 +40,47 @@
 	return active
 }
 
-// Rank orders stores by their weight for a job, heaviest first. Taking one store away leaves the order of the others.
+// Contains reports whether a store is among others.
+func Contains(stores []protocol.Process, key Key) bool {
+	return slices.ContainsFunc(stores, func(p protocol.Process) bool { return KeyOf(p) == key })
+}
+
+// MemberOf returns the view's member with a key.
+func MemberOf(view protocol.StoreView, key Key) (protocol.StoreMember, bool) {
+	for _, member := range view.Members {
+		if KeyOf(member.Process) == key {
+			return member, true
+		}
+	}
+	return protocol.StoreMember{}, false
+}
+
+// Rank orders stores by their weight for a job, heaviest first. Removing a store leaves the order of the
+// others.
 func Rank(job string, stores []protocol.Process) []protocol.Process {
-	type weighed struct {
-		process protocol.Process
-		weight  uint64
+	type weighted struct {
+		store  protocol.Process
+		weight uint64
 	}
-	list := make([]weighed, 0, len(stores))
+	list := make([]weighted, 0, len(stores))
 	for _, store := range stores {
-		list = append(list, weighed{process: store, weight: rendezvousWeight(job, store)})
+		list = append(list, weighted{store: store, weight: rendezvousWeight(job, store)})
 	}
-	slices.SortFunc(list, func(a, b weighed) int {
+	slices.SortFunc(list, func(a, b weighted) int {
 		if a.weight != b.weight {
 			return cmp.Compare(b.weight, a.weight)
 		}
-		return cmp.Compare(KeyOf(a.process), KeyOf(b.process))
+		return cmp.Compare(KeyOf(a.store), KeyOf(b.store))
 	})
 	ranked := make([]protocol.Process, len(list))
 	for i := range list {
-		ranked[i] = list[i].process
+		ranked[i] = list[i].store
 	}
 	return ranked
 }
 
+// rendezvousWeight hashes a job's id together with a store's key. All processes must compute the same
+// weights: the hash can't change while stores of different versions run.
 func rendezvousWeight(job string, store protocol.Process) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(job)
@@ -65,19 +89,23 @@
 	return digest.Sum64()
 }
 
-// Arbiters gives the stores that decide who may accept a job: the heaviest of the active ones, so many that a majority is left
-// when as many as may be lost at once are lost.
+// Arbiters returns the stores that vote on which store may accept a job: the 2r-1 heaviest active ones,
+// where r is the number of replicas, or all active ones if there are fewer. A majority of 2r-1 is left when
+// r-1 are lost at once, which is also what r replicas survive.
 func Arbiters(job string, view protocol.StoreView, replicas int) []protocol.Process {
 	ranked := Rank(job, ActiveMembers(view))
 	return ranked[:min(len(ranked), 2*replicas-1)]
 }
 
-// Majority tells how many of a number of arbiters decide.
+// Majority returns how many votes decide among a number of arbiters.
 func Majority(arbiters int) int { return arbiters/2 + 1 }
 
-// Replicas fills a replica set up to count members: those already in it stay in their order, then come active stores by
-// weight, those first that stand in a zone without one. Stores in avoid come last. It gives fewer where there are no more.
-func Replicas(job string, view protocol.StoreView, kept []protocol.Process, count int, avoid ...Key) []protocol.Process {
+// Replicas extends a replica set to count members. The stores already in it come first, in their order;
+// then active stores by weight, those in a zone without a replica before others, and stores in avoid last.
+// It returns fewer if there are no more.
+func Replicas(
+	job string, view protocol.StoreView, kept []protocol.Process, count int, avoid ...Key,
+) []protocol.Process {
 	chosen := slices.Clone(kept)
 	candidates := Rank(job, ActiveMembers(view))
 	slices.SortStableFunc(candidates, func(a, b protocol.Process) int {
@@ -93,7 +121,8 @@
 	return chosen
 }
 
-// pick gives the first candidate that is not chosen, one in a new zone before others, -1 where there is none.
+// pickNext returns the index of the first candidate that is not chosen and in a new zone, or else of the
+// first that is not chosen, or -1 if there is none.
 func pickNext(candidates, chosen []protocol.Process, avoid []Key) int {
 	fallback := -1
 	for i, candidate := range candidates {
@@ -110,8 +139,9 @@
 	return fallback
 }
 
-func avoidRank(process protocol.Process, avoid []Key) int {
-	if slices.Contains(avoid, KeyOf(process)) {
+// avoidRank returns 1 for a store to avoid and 0 for others, as a sort key.
+func avoidRank(store protocol.Process, avoid []Key) int {
+	if slices.Contains(avoid, KeyOf(store)) {
 		return 1
 	}
 	return 0
@@ -120,18 +150,3 @@
 func hasZone(stores []protocol.Process, zone string) bool {
 	return slices.ContainsFunc(stores, func(p protocol.Process) bool { return p.Zone == zone })
 }
-
-// Contains tells whether a store is among others.
-func Contains(stores []protocol.Process, key Key) bool {
-	return slices.ContainsFunc(stores, func(p protocol.Process) bool { return KeyOf(p) == key })
-}
-
-// MemberOf gives a view's member with a key.
-func MemberOf(view protocol.StoreView, key Key) (protocol.StoreMember, bool) {
-	for _, member := range view.Members {
-		if KeyOf(member.Process) == key {
-			return member, true
-		}
-	}
-	return protocol.StoreMember{}, false
-}
--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -20,15 +20,15 @@
 }
 
 func TestPlacement(t *testing.T) {
-	Convey("Replicas stand in other zones, only on active stores, and what is kept stays first", t, func() {
+	Convey("Replicas are in different zones, only on active stores, and kept ones stay first", t, func() {
 		v := view(12)
 		v.Members[4].State = protocol.StoreRetiring
 		for i := range 200 {
 			id := fmt.Sprint("job", i)
-			own := v.Members[i%3].Process
-			replicas := Replicas(id, v, []protocol.Process{own}, 3)
+			owner := v.Members[i%3].Process
+			replicas := Replicas(id, v, []protocol.Process{owner}, 3)
 			So(replicas, ShouldHaveLength, 3)
-			So(replicas[0], ShouldResemble, own)
+			So(replicas[0], ShouldResemble, owner)
 			So(Contains(replicas, KeyOf(v.Members[4].Process)), ShouldBeFalse)
 			zones := map[string]bool{}
 			for _, replica := range replicas {
@@ -38,13 +38,13 @@
 		}
 		So(Replicas("job", view(2), nil, 3), ShouldHaveLength, 2)
 	})
-	Convey("Taking a store away moves only what it decided", t, func() {
+	Convey("Removing a store changes only the arbiters that it was among", t, func() {
 		v := view(9)
-		less := protocol.StoreView{Epoch: 2, Members: v.Members[1:]}
+		smaller := protocol.StoreView{Epoch: 2, Members: v.Members[1:]}
 		counts := map[Key]int{}
 		for i := range 900 {
 			id := fmt.Sprint("job", i)
-			before, after := Arbiters(id, v, 2), Arbiters(id, less, 2)
+			before, after := Arbiters(id, v, 2), Arbiters(id, smaller, 2)
 			So(before, ShouldHaveLength, 3)
 			counts[KeyOf(before[0])]++
 			if !Contains(before, KeyOf(v.Members[0].Process)) {
