--- a/coord/transport/buffer.go
+++ b/coord/transport/buffer.go
@@ -2,21 +2,23 @@
 
 import "sync"
 
-// keepBuffer is the largest buffer in bytes that is kept for other frames.
+// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not hold memory
+// on.
 const maxPooledBuffer = 1 << 20
 
-// buffer is memory for frames. A connection holds one only while it has frames in it.
+// buffer is memory for frames. A connection holds one only while it has frames in it, so that idle connections cost
+// little. The zero pointer is an empty buffer.
 type buffer struct{ data []byte }
 
-// buffers holds the memory that no connection uses, until the next collection of garbage.
+// bufferPool holds the buffers that no connection uses.
 var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
-// takeBuffer returns an empty buffer.
+// getBuffer returns an empty buffer from the pool.
 func getBuffer() *buffer {
 	return bufferPool.Get().(*buffer)
 }
 
-// release gives a buffer back. A nil one is ignored.
+// release returns a buffer to the pool. Its contents must not be used afterwards.
 func (b *buffer) release() {
 	if b == nil || cap(b.data) > maxPooledBuffer {
 		return
@@ -25,7 +27,7 @@
 	bufferPool.Put(b)
 }
 
-// len returns the bytes in a buffer, which may be nil.
+// len returns the number of bytes in a buffer.
 func (b *buffer) len() int {
 	if b == nil {
 		return 0
@@ -33,7 +35,7 @@
 	return len(b.data)
 }
 
-// bytes returns the contents of a buffer, which may be nil.
+// bytes returns the contents of a buffer, valid until it is released.
 func (b *buffer) bytes() []byte {
 	if b == nil {
 		return nil
--- a/coord/transport/call.go
+++ b/coord/transport/call.go
@@ -6,19 +6,20 @@
 	"sync"
 )
 
-// result is what became of a call.
+// callResult is the outcome of a call that was answered.
 type callResult struct {
 	reply   any
 	failure error
 }
 
-// clientLink is a link with the calls that wait on it.
+// clientLink is a link with the calls that wait for a reply on it. Call numbers belong to one connection: a reply can't
+// reach a call of an earlier one.
 type clientLink struct {
 	*link
 
-	callMutex      sync.Mutex
+	callMutex      sync.Mutex // guards the fields below
 	lastCallNumber uint32
-	calls          map[uint32]chan callResult
+	calls          map[uint32]chan callResult // by number; each channel has a buffer of one
 }
 
 // newClientLink returns a link without calls.
@@ -26,7 +27,11 @@
 	return &clientLink{link: l, calls: make(map[uint32]chan callResult)}
 }
 
-// call sends a request and waits for what becomes of it.
+// call sends a request and waits for its outcome.
+//
+// Without a reply the error says whether the request may have been handled. It can't have been if its frame was never
+// handed to the network. That is final only once the link has ended, because until then the writer may still take it:
+// a call that is given up earlier, by its context, is always uncertain.
 func (c *clientLink) call(ctx context.Context, message any) (any, error) {
 	number, answer := c.registerCall()
 	defer c.removeCall(number)
@@ -42,7 +47,7 @@
 	case <-c.done:
 	}
 	select {
-	case received := <-answer:
+	case received := <-answer: // the reply came just before the link ended
 		return received.reply, received.failure
 	default:
 	}
@@ -52,7 +57,8 @@
 	return nil, notConnectedError(c.endCause())
 }
 
-// open takes a number for a call.
+// registerCall returns an unused number for a call, and the channel of its result. Numbers wrap around after 2^32
+// calls.
 func (c *clientLink) registerCall() (uint32, chan callResult) {
 	answer := make(chan callResult, 1)
 	c.callMutex.Lock()
@@ -67,14 +73,14 @@
 	return c.lastCallNumber, answer
 }
 
-// forget gives up the number of a call.
+// removeCall frees the number of a call.
 func (c *clientLink) removeCall(number uint32) {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	delete(c.calls, number)
 }
 
-// resolve hands a result to the call that waits for it, if any.
+// resolve passes a result to the call that waits for it. A result that no call waits for any more is dropped.
 func (c *clientLink) resolve(number uint32, received callResult) {
 	c.callMutex.Lock()
 	if c.options.injected.replyToAnyCall {
@@ -90,7 +96,7 @@
 	}
 }
 
-// read hands replies to calls and one-way messages to onPush until the connection ends.
+// readLoop passes replies to calls, and one-way messages to onPush, until the connection ends. It returns why it ended.
 func (c *clientLink) readLoop(onPush func(message any)) error {
 	for {
 		received, message, err := c.receive()
--- a/coord/transport/certainty_test.go
+++ b/coord/transport/certainty_test.go
@@ -15,7 +15,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// cuttingProxy passes bytes between clients and a server and cuts every connection after a random number of them.
+// disconnectingProxy passes bytes between clients and a server, and ends every connection after a random number of
+// them.
 func disconnectingProxy(t testing.TB, address string, seed uint64) net.Listener {
 	listener := listen(t)
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -37,7 +38,7 @@
 	return listener
 }
 
-// passBytes copies up to limit bytes, then ends both connections.
+// copyAtMost copies up to limit bytes, then ends both connections.
 func copyAtMost(to, from net.Conn, limit int64) {
 	_, _ = io.CopyN(to, from, limit)
 	to.Close()
@@ -45,7 +46,7 @@
 }
 
 func TestCertainty(t *testing.T) {
-	Convey("What Call says agrees with what the handler saw, over connections cut at random", t, func() {
+	Convey("The outcome of Call agrees with what the handler saw, over connections that end at random", t, func() {
 		var mutex sync.Mutex
 		handled := make(map[int]int)
 		handler := func(_ context.Context, _ *Session, message any) (any, error) {
@@ -109,7 +110,7 @@
 		So(counts[ErrUncertain], ShouldBeGreaterThan, 0)
 	})
 
-	Convey("A call that is given up, or whose server goes, is uncertain", t, func() {
+	Convey("A call that is canceled, or whose server closes, is uncertain", t, func() {
 		started := make(chan struct{}, 2)
 		handler := func(ctx context.Context, _ *Session, _ any) (any, error) {
 			started <- struct{}{}
@@ -163,8 +164,8 @@
 // countingConn counts the writes to a connection.
 type countingConn struct {
 	net.Conn
-	hold   chan struct{}
-	writes chan int
+	hold   chan struct{} // lets one write through for each value
+	writes chan int      // gets the length of each write
 }
 
 func (c *countingConn) Write(bytes []byte) (int, error) {
@@ -174,7 +175,7 @@
 }
 
 func TestPendingFramesAreWrittenAtOnce(t *testing.T) {
-	Convey("Frames that wait are written at once", t, func() {
+	Convey("Pending frames are written with one system call", t, func() {
 		near, far := net.Pipe()
 		defer far.Close()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
@@ -201,7 +202,7 @@
 }
 
 func TestBurstOnOneProcessor(t *testing.T) {
-	Convey("A burst of small messages beyond the queue is taken, though all goroutines share one processor", t, func() {
+	Convey("A burst of small messages beyond the queue is accepted, though all goroutines share one processor", t, func() {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 		var got atomic.Int64
 		handler := func(context.Context, *Session, any) (any, error) {
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -6,26 +6,35 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"sync/atomic"
 	"time"
 )
 
-// Client keeps a connection to one address.
+// Waits between attempts to connect. A wait is between half of the backoff and all of it, so that the clients of a
+// server that restarted don't come back at once. The backoff doubles with each attempt, and starts again after a
+// connection that lasted longer than maxBackoff.
+const (
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+)
+
+// Client keeps one connection to an address, and connects again whenever it ends, until it is closed. Its methods may
+// be called by several goroutines at once.
 type Client struct {
 	address string
 	options Options
 	onPush  func(message any)
 	onState func(connected bool)
-	ctx     context.Context
+	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
-	current atomic.Pointer[clientLink]
-	remote  atomic.Pointer[Identity]
+	current atomic.Pointer[clientLink] // nil while not connected
+	remote  atomic.Pointer[Identity]   // of the last connection
 }
 
-// NewClient starts to connect to an address. Both functions may be nil. They are called in order on the goroutine
-// that reads the connection: they must return soon and must not wait for a Call of the same client. onState(true)
-// comes before the first push of a connection, onState(false) after the last.
+// NewClient starts to connect to an address. onPush takes the one-way messages of the server, onState the beginning and
+// end of each connection; both may be nil. They are called in order on the goroutine that reads the connection: they
+// must return soon and must not wait for a Call of the same client. onState(true) comes before the first push of a
+// connection, onState(false) after the last.
 func NewClient(address string, options Options, onPush func(message any), onState func(connected bool)) *Client {
 	if onPush == nil {
 		onPush = func(any) {}
@@ -46,7 +55,9 @@
 	return c
 }
 
-// Call sends a request and waits for its reply. See the package comment for what its errors tell.
+// Call sends a request and waits for its reply. The request is sent at most once: Call never repeats it. Its errors
+// tell whether the request may have been handled, as the package comment says: ErrNotConnected, ErrQueueFull,
+// ErrFrameTooLarge, ErrEncode (it was not sent), ErrUncertain, or a *RemoteError (the handler's answer).
 func (c *Client) Call(ctx context.Context, message any) (any, error) {
 	current := c.current.Load()
 	if current == nil {
@@ -69,7 +80,7 @@
 	return err
 }
 
-// Connected tells whether a connection stands, as far as is known.
+// Connected reports whether there is a connection, as far as is known: that of a dead peer ends only after a time-out.
 func (c *Client) Connected() bool {
 	return c.current.Load() != nil
 }
@@ -91,7 +102,7 @@
 	}
 }
 
-// run connects again and again until the client is closed.
+// run connects, with backoff, until the client is closed.
 func (c *Client) run() {
 	backoff := initialBackoff
 	for c.ctx.Err() == nil {
@@ -108,7 +119,7 @@
 	}
 }
 
-// pause waits and returns false once the client is closed.
+// sleep waits, and returns false once the client is closed.
 func (c *Client) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -120,20 +131,20 @@
 	}
 }
 
-// errNoConnection marks errors of attempts that led to no connection.
+// errDial marks errors of attempts that led to no connection.
 var errDial = errors.New("no connection")
 
-// connect dials once and serves the connection to its end.
+// dialAndServe dials once and serves the connection to its end.
 func (c *Client) dialAndServe() error {
-	timed, in, peer, err := c.dial()
+	current, err := c.dial()
 	if err != nil {
 		return fmt.Errorf("%w: %w", errDial, err)
 	}
-	current := newClientLink(newLink(timed.connection, in, &c.options, peer))
-	timed.timeout = maxMissedHeartbeats * current.heartbeat
-	c.remote.Store(&peer.identity)
+	remote := current.remote // a copy, so that the link isn't kept after its end
+	c.remote.Store(&remote)
 	c.current.Store(current)
 	if c.ctx.Err() != nil {
+		// Close has run since the dial, and may have seen no current connection.
 		current.close()
 	}
 	c.options.Log("connected", nil, c.address)
@@ -144,47 +155,22 @@
 	return current.endCause()
 }
 
-// dial opens a connection and greets the peer.
-func (c *Client) dial() (*deadlineReader, *bufio.Reader, hello, error) {
+// dial opens a connection and returns its link after the handshake.
+func (c *Client) dial() (*clientLink, error) {
 	limited, cancel := context.WithTimeout(c.ctx, c.options.DialTimeout)
 	defer cancel()
 	connection, err := c.options.Dial(limited, c.address)
 	if err != nil {
-		return nil, nil, hello{}, err
+		return nil, err
 	}
-	timed := &deadlineReader{connection: connection}
-	in := bufio.NewReaderSize(timed, readBufferSize)
+	reader := &deadlineReader{connection: connection}
+	in := bufio.NewReaderSize(reader, readBufferSize)
 	peer, err := c.handshake(connection, in)
 	if err != nil {
 		_ = connection.Close()
-		return nil, nil, hello{}, err
-	}
-	return timed, in, peer, nil
-}
-
-// greet says hello and reads the answer.
-func (c *Client) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
-	stop := context.AfterFunc(c.ctx, func() { _ = connection.Close() })
-	defer stop()
-	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return hello{}, err
-	}
-	if err := setSocketOptions(connection, c.options.UserTimeout); err != nil {
-		return hello{}, err
-	}
-	own := hello{heartbeat: c.options.Heartbeat, identity: c.options.Identity}
-	if err := own.write(connection); err != nil {
-		return hello{}, err
-	}
-	peer, err := readHello(in)
-	if err != nil {
-		return hello{}, err
-	}
-	if err := helloError(peer.status); err != nil {
-		return hello{}, err
-	}
-	if _, err := c.options.admit(peer.identity); err != nil {
-		return hello{}, err
+		return nil, err
 	}
-	return peer, connection.SetDeadline(time.Time{})
+	opened := newClientLink(newLink(connection, in, &c.options, peer))
+	reader.timeout = maxMissedHeartbeats * opened.heartbeat
+	return opened, nil
 }
--- a/coord/transport/codec.go
+++ b/coord/transport/codec.go
@@ -16,12 +16,13 @@
 	maxTypes = 4096
 )
 
-// encoder appends values to a buffer, which is set before each of them. It remembers which types the peer knows.
+// encoder encodes the messages of one direction of a connection. It remembers which types the peer knows, so that names
+// and gob descriptions of types are sent once.
 type encoder struct {
-	out         *buffer
+	out         *buffer // to append to; set by the caller before each message
 	gob         *gob.Encoder
-	typeNumbers map[reflect.Type]uint64
-	// fresh is true until a value has been encoded: the peer must forget all types before it.
+	typeNumbers map[reflect.Type]uint64 // those that the peer knows, numbered from 1 in the order of their first use
+	// resetPeer is true until a message has been encoded: with the next frame the peer must forget all types.
 	resetPeer bool
 }
 
@@ -32,7 +33,7 @@
 	return e
 }
 
-// Write appends to the present buffer. The gob encoder writes through it.
+// Write appends to the buffer. It is the io.Writer of the gob encoder.
 func (e *encoder) Write(data []byte) (int, error) {
 	e.out.data = append(e.out.data, data...)
 	return len(data), nil
@@ -62,7 +63,7 @@
 	return e.gob.Encode(message)
 }
 
-// encodeType appends the number of a type, and its name at the first use.
+// encodeType appends the number of a type, and at its first use its name.
 func (e *encoder) encodeType(typ reflect.Type) error {
 	if number, known := e.typeNumbers[typ]; known {
 		e.out.data = binary.AppendUvarint(e.out.data, number)
@@ -83,11 +84,11 @@
 	return nil
 }
 
-// decoder reads values from payloads. It remembers the types that the peer has named.
+// decoder decodes the messages of one direction of a connection. It remembers the types that the peer has named.
 type decoder struct {
-	in    *bytes.Reader
+	in    *bytes.Reader // the payload that is being decoded
 	gob   *gob.Decoder
-	types []reflect.Type
+	types []reflect.Type // the type with number n is at n-1
 }
 
 // newDecoder returns a decoder that knows no types yet.
@@ -103,7 +104,7 @@
 	d.types = d.types[:0]
 }
 
-// decode returns the message in a payload. The payload may be used again afterwards.
+// decode returns the message in a payload, which it doesn't keep.
 func (d *decoder) decode(payload []byte) (any, error) {
 	d.in.Reset(payload)
 	typ, err := d.decodeType()
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// decodeType reads the number of a type, and its name at the first use. It returns nil for no value.
+// decodeType reads the number of a type, and at its first use its name. It returns nil for the message nil.
 func (d *decoder) decodeType() (reflect.Type, error) {
 	number, err := binary.ReadUvarint(d.in)
 	if err != nil {
--- a/coord/transport/dial.go
+++ b/coord/transport/dial.go
@@ -7,5 +7,5 @@
 	"net"
 )
 
-// dialTCP opens a TCP connection. Its probes are set once it stands.
+// dialTCP opens a TCP connection. It is the default of Options.Dial.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) { return dialDirect(ctx, address) }
--- a/coord/transport/dial_faultinjection.go
+++ b/coord/transport/dial_faultinjection.go
@@ -11,17 +11,23 @@
 	"sprucelane.example/sprucelane/coord/transport/partition"
 )
 
-// dialTCP opens a TCP connection that can be cut off, where the process is told by what.
+// dialTCP opens a TCP connection, which obeys injected partitions if the environment names a file of them. It is the
+// default of Options.Dial.
 var dialTCP = sync.OnceValue(func() func(context.Context, string) (net.Conn, error) {
 	path := os.Getenv(partition.EnvFile)
 	if path == "" {
 		return dialDirect
 	}
-	dialer := &partition.Dialer{Partitions: partition.Watch(context.Background(), path), Host: os.Getenv(partition.EnvHost), Dial: dialWithSocketOptions}
+	dialer := &partition.Dialer{
+		Partitions: partition.Watch(context.Background(), path),
+		Host:       os.Getenv(partition.EnvHost),
+		Dial:       dialWithSocketOptions,
+	}
 	return dialer.DialContext
 })()
 
-// dialTuned sets the probes here, as they can't be set through what the dialer gives.
+// dialWithSocketOptions opens a TCP connection and sets its options here, since setSocketOptions finds no TCP
+// connection in what the partition's dialer returns.
 func dialWithSocketOptions(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := dialDirect(ctx, address)
 	if err != nil {
--- a/coord/transport/frame.go
+++ b/coord/transport/frame.go
@@ -6,35 +6,36 @@
 	"io"
 )
 
-// frameKind tells what a frame carries.
+// frameKind tells what a frame carries. Its numbers are part of the wire format.
 type frameKind byte
 
 const (
-	frameRequest frameKind = iota + 1
-	frameReply
-	frameFailure
-	frameOneWay
-	framePing
+	frameRequest frameKind = iota + 1 // of a client, to be answered with its call number
+	frameReply                        // the handler's reply
+	frameFailure                      // the handler's error, a RemoteError
+	frameOneWay                       // of either side, without an answer
+	framePing                         // without payload; only shows that the sender is alive
 )
 
 const (
-	// frameReset is set in the kind byte where the receiver must forget all types first.
+	// frameResetBit is set in the kind byte if the receiver must forget all types first.
 	frameResetBit = 0x80
-	// frameHeader is the size in bytes of length, kind and call number.
+	// frameHeaderSize is the size in bytes of length, kind and call number.
 	frameHeaderSize = 4 + 1 + 4
-	// readChunk bounds the memory in bytes that a frame's length alone can take.
+	// readChunk bounds the memory in bytes that a frame takes by its claimed length alone, before any of it has
+	// arrived.
 	readChunk = 256 << 10
 )
 
 // frame is one frame as received.
 type frame struct {
 	kind    frameKind
-	reset   bool
-	call    uint32
-	payload *buffer // nil for an empty one; to be released
+	reset   bool    // the receiver must forget all types first
+	call    uint32  // the number of a call; 0 for one-way messages and pings
+	payload *buffer // to be released; nil if empty
 }
 
-// appendHeader appends a frame's header whose length is set later by setLength.
+// appendHeader appends the header of a frame, with the length 0: setLength sets it once the payload is known.
 func appendHeader(out *buffer, kind frameKind, reset bool, call uint32) {
 	if reset {
 		kind |= frameResetBit
@@ -43,19 +44,19 @@
 	out.data = binary.BigEndian.AppendUint32(out.data, call)
 }
 
-// setLength sets the length in the header at the start of a whole frame.
+// setLength sets the length in the header of a frame that is complete.
 func setLength(frame []byte) {
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHeaderSize))
 }
 
-// frameReader reads frames with a bounded payload.
+// frameReader reads frames whose payloads have at most limit bytes.
 type frameReader struct {
 	in     io.Reader
 	limit  int
 	header [frameHeaderSize]byte
 }
 
-// next reads one frame.
+// next reads one frame. It returns ErrFrameTooLarge, ErrCorrupt or an error of the connection.
 func (r *frameReader) next() (frame, error) {
 	header := r.header[:]
 	if _, err := io.ReadFull(r.in, header); err != nil {
@@ -81,7 +82,7 @@
 	return received, nil
 }
 
-// payload reads length bytes, taking memory as they arrive.
+// payload reads length bytes, and allocates memory as they arrive.
 func (r *frameReader) payload(length int) (*buffer, error) {
 	if length == 0 {
 		return nil, nil
@@ -99,7 +100,7 @@
 	return payload, nil
 }
 
-// grow returns the data with this length and its old contents.
+// grow returns data extended to a length, in place if its capacity allows.
 func grow(data []byte, length int) []byte {
 	if length <= cap(data) {
 		return data[:length]
--- a/coord/transport/fuzz_test.go
+++ b/coord/transport/fuzz_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// mutate changes a few bytes, cuts, or repeats a part of an input.
+// mutate changes a few bytes of an input, truncates it, or repeats a part of it.
 func mutate(random *rand.Rand, input []byte) []byte {
 	output := bytes.Clone(input)
 	for range 1 + random.IntN(4) {
@@ -116,7 +116,8 @@
 	}
 	f.Add(valid.Bytes())
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
-	f.Add(append([]byte("SPL\x01\x00\x11\x00\x80\x00\x00\x00"), make([]byte, 12)...)) // a heartbeat too long to write again
+	// A heartbeat that is too long to be written again.
+	f.Add(append([]byte("SPL\x01\x00\x11\x00\x80\x00\x00\x00"), make([]byte, 12)...))
 	f.Fuzz(checkHello)
 }
 
@@ -168,7 +169,7 @@
 	}
 }
 
-// TestLengthAloneTakesNoMemory claims a frame of the largest size and sends nothing of it.
+// TestClaimedLengthAllocatesNothing claims a frame of the largest size and sends nothing of it.
 func TestClaimedLengthAllocatesNothing(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/coord/transport/hello.go
+++ b/coord/transport/hello.go
@@ -9,15 +9,16 @@
 )
 
 const (
+	// helloMagic and helloVersion start what each side sends. A peer with another version is rejected.
 	helloMagic   = "SPL"
 	helloVersion = 1
 	// maxHello bounds the body of a hello in bytes.
 	maxHello = 4096
-	// maxHeartbeat bounds the heartbeat that a side may name.
+	// maxHeartbeat bounds the heartbeat that a side may announce.
 	maxHeartbeat = time.Hour
 )
 
-// helloStatus tells whether the sender takes the connection.
+// helloStatus tells whether the sender accepts the connection. Its numbers are part of the wire format.
 type helloStatus byte
 
 const (
@@ -26,14 +27,14 @@
 	helloRejected
 )
 
-// hello is what each side says first.
+// hello is what each side sends first. Its layout is in the package comment.
 type hello struct {
-	status    helloStatus
-	heartbeat time.Duration
+	status    helloStatus   // always helloAccepted from a client, which speaks first
+	heartbeat time.Duration // in whole milliseconds; zero for none
 	identity  Identity
 }
 
-// write sends the hello.
+// write sends the hello with one write. It returns ErrFrameTooLarge for an identity that doesn't fit maxHello.
 func (h hello) write(out io.Writer) error {
 	body := []byte{byte(h.status)}
 	body = binary.BigEndian.AppendUint32(body, milliseconds(h.heartbeat))
@@ -50,7 +51,8 @@
 	return err
 }
 
-// readHello reads what the peer says first.
+// readHello reads the hello of a peer. It returns ErrUnknownProtocol, ErrVersionMismatch, ErrFrameTooLarge,
+// ErrCorrupt or an error of the connection.
 func readHello(in io.Reader) (hello, error) {
 	var start [len(helloMagic) + 1]byte
 	if _, err := io.ReadFull(in, start[:]); err != nil {
@@ -77,7 +79,7 @@
 	return parseHello(body)
 }
 
-// parseHello reads the body of a hello.
+// parseHello parses the body of a hello. Bytes after the identity are ignored, so that later versions may append some.
 func parseHello(body []byte) (hello, error) {
 	if len(body) < 5 {
 		return hello{}, fmt.Errorf("%w: short hello", ErrCorrupt)
@@ -108,43 +110,6 @@
 	return []*string{&i.System, &i.Node, &i.Role, &i.Zone, &i.Address, &i.Incarnation}
 }
 
-// judge returns why a peer is refused, as a status for it and an error for this side.
-func (o *Options) admit(peer Identity) (helloStatus, error) {
-	if peer.System != o.Identity.System {
-		return helloOtherSystem, fmt.Errorf("%w: %q", ErrSystemMismatch, peer.System)
-	}
-	if o.Admit == nil {
-		return helloAccepted, nil
-	}
-	if err := o.Admit(peer); err != nil {
-		return helloRejected, fmt.Errorf("%w: %w", ErrRejected, err)
-	}
-	return helloAccepted, nil
-}
-
-// statusError returns the error for a status that the peer sent.
-func helloError(status helloStatus) error {
-	switch status {
-	case helloAccepted:
-		return nil
-	case helloOtherSystem:
-		return ErrSystemMismatch
-	default:
-		return fmt.Errorf("%w by the peer", ErrRejected)
-	}
-}
-
-// agreedHeartbeat returns the shorter of two heartbeats, where zero is none.
-func agreedHeartbeat(one, other time.Duration) time.Duration {
-	if one <= 0 {
-		return other
-	}
-	if other <= 0 {
-		return one
-	}
-	return min(one, other)
-}
-
 // milliseconds returns a heartbeat in whole milliseconds.
 func milliseconds(heartbeat time.Duration) uint32 {
 	return uint32(min(max(heartbeat, 0), maxHeartbeat).Milliseconds())
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -13,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// rawPeer opens a connection and exchanges hellos, without anything of a link.
+// rawPeer opens a connection and exchanges hellos; the test itself sends and reads the frames.
 func rawPeer(t testing.TB, address string, identity Identity) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -38,6 +38,7 @@
 	return append(bytes, payload...)
 }
 
+// TestHostileBytes sends a server what no client of this package sends.
 func TestHostileBytes(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -125,7 +126,7 @@
 	})
 }
 
-// silentServer greets every client and then says nothing.
+// silentServer completes the handshake with every client and then sends nothing.
 func silentServer(t testing.TB, handshakes *atomic.Int64) net.Listener {
 	listener := listen(t)
 	go func() {
--- a/coord/transport/bugs.go
+++ b/coord/transport/injected_bugs.go
@@ -1,8 +1,8 @@
 package transport
 
-// bugs are faults that only tests can plant, to show that their checks find them.
+// injectedBugs are faults that only tests of this package can switch on, to show that their checks find them.
 type injectedBugs struct {
 	replyToAnyCall      bool // a reply goes to any call that waits
 	neverUncertain      bool // a call counts as not sent whenever its connection ended
-	handedOffAfterWrite bool // a frame counts as handed to the network once it has been written, not before
+	handedOffAfterWrite bool // a frame counts as handed to the network once it has been written, instead of before
 }
--- a/coord/transport/registry.go
+++ b/coord/transport/registry.go
@@ -9,14 +9,16 @@
 	"sync/atomic"
 )
 
-// registry is an immutable table of the types that may be sent.
+// registry is an immutable table of the types that may be sent, by type and by name on the wire.
 type registry struct {
 	names map[reflect.Type]string
 	types map[string]reflect.Type
 }
 
 var (
-	registered      atomic.Pointer[registry]
+	// registered is the present table. Encoders and decoders read it without a lock; it is replaced as a whole.
+	registered atomic.Pointer[registry]
+	// registeredMutex serializes the replacements.
 	registeredMutex sync.Mutex
 )
 
@@ -33,9 +35,9 @@
 	Sample any
 }
 
-// RegisterNamed makes types known as messages under names of their own, and to gob as values of interface fields. It may be called
-// again with the same types and names. Both sides must have registered a type under the same name before it is sent. It panics
-// where a name or a type is taken by another one.
+// RegisterNamed registers types of messages under names of their own, and with gob as values of interface fields. Both
+// sides must have registered a type under the same name before it is sent. It may be called again with the same types
+// and names, and panics if a name or a type is taken by another one.
 func RegisterNamed(types ...NamedType) {
 	registeredMutex.Lock()
 	defer registeredMutex.Unlock()
@@ -47,8 +49,9 @@
 	registered.Store(next)
 }
 
-// Register makes the types of the values known as RegisterNamed does, each under its import path and name. It is for types whose
-// messages never meet those of another version.
+// Register registers the types of the values as RegisterNamed does, each under its import path and name. It is for
+// messages that are never exchanged with another version of the program, in which a type may have been renamed or
+// moved.
 func Register(values ...any) {
 	types := make([]NamedType, 0, len(values))
 	for _, value := range values {
@@ -82,7 +85,7 @@
 	return typ.PkgPath() + "." + typ.Name()
 }
 
-// isEmpty tells whether a type is a struct without fields, which gob can't encode and which needs no bytes.
+// isEmpty reports whether a type is a struct without fields, which gob can't encode and which needs no bytes.
 func isEmpty(typ reflect.Type) bool {
 	return typ.Kind() == reflect.Struct && typ.NumField() == 0
 }
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -9,14 +9,17 @@
 	"time"
 )
 
-// acceptPause is how long a server waits after a failed accept, such as one without a free descriptor.
+// acceptBackoff is how long a server waits after a failed accept, such as one without a free descriptor.
 const acceptBackoff = 50 * time.Millisecond
 
-// Handler handles the messages of a session. Requests (Client.Call) each run on a goroutine of their own, up to
-// Options.Queue at once in a session; the reply or the error goes back to the caller. One-way messages (Client.Send)
-// run in order on the goroutine that reads the connection: the handler must return soon from them, and must not wait
-// there for other messages of the same session. Their replies are dropped and their errors are logged.
-// The context ends with the session.
+// Handler handles the messages of a session. The context ends with the session.
+//
+// Requests (Client.Call) each run on a goroutine of their own, up to Options.Queue at once in a session. The reply or
+// the error goes back to the caller, the error as a RemoteError; see NewError for one with a code.
+//
+// One-way messages (Client.Send) run in order on the goroutine that reads the connection: the handler must return soon
+// from them, and must not wait there for other messages of the same session. Their replies are dropped and their errors
+// are logged.
 type Handler func(ctx context.Context, session *Session, message any) (reply any, err error)
 
 // Server accepts connections and serves their messages.
@@ -26,9 +29,11 @@
 	handler  Handler
 	done     chan struct{}
 
+	// mutex guards the fields below. Each connection is in one of the sets until it ends, and none is added once closed
+	// is true, so that Close reaches all of them.
 	mutex       sync.Mutex
 	closed      bool
-	handshaking map[net.Conn]struct{} // those in their handshake
+	handshaking map[net.Conn]struct{}
 	sessions    map[*Session]struct{}
 }
 
@@ -51,8 +56,8 @@
 	return s.listener.Addr()
 }
 
-// Close ends the listener and all sessions. Messages that were queued are still written, within
-// Options.WriteTimeout. It doesn't wait for handlers that run; their contexts end.
+// Close ends the listener and all sessions, and waits for the connections to end. Messages that were queued are still
+// written, within Options.WriteTimeout. It doesn't wait for handlers that run; their contexts end.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	if s.closed {
@@ -78,7 +83,7 @@
 	}
 }
 
-// accept takes connections until the server is closed.
+// accept accepts connections until the server is closed.
 func (s *Server) accept() {
 	for {
 		connection, err := s.listener.Accept()
@@ -98,15 +103,15 @@
 	}
 }
 
-// serve carries one connection from its handshake to its end.
+// serve serves one connection from its handshake to its end.
 func (s *Server) serve(connection net.Conn) {
 	remote := connection.RemoteAddr().String()
 	if !s.trackHandshake(connection) {
 		_ = connection.Close()
 		return
 	}
-	timed := &deadlineReader{connection: connection}
-	in := bufio.NewReaderSize(timed, readBufferSize)
+	reader := &deadlineReader{connection: connection}
+	in := bufio.NewReaderSize(reader, readBufferSize)
 	peer, err := s.handshake(connection, in)
 	if err != nil {
 		s.untrackHandshake(connection)
@@ -115,7 +120,7 @@
 		return
 	}
 	session := newSession(newLink(connection, in, &s.options, peer))
-	timed.timeout = maxMissedHeartbeats * session.link.heartbeat
+	reader.timeout = maxMissedHeartbeats * session.link.heartbeat
 	if !s.startSession(connection, session) {
 		session.link.end(ErrClosed)
 		return
@@ -130,35 +135,7 @@
 	s.options.Log("session ended", session.link.endCause(), remote)
 }
 
-// greet reads the client's hello and answers it.
-func (s *Server) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
-	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
-		return hello{}, err
-	}
-	if err := setSocketOptions(connection, s.options.UserTimeout); err != nil {
-		return hello{}, err
-	}
-	own := hello{heartbeat: s.options.Heartbeat, identity: s.options.Identity}
-	peer, err := readHello(in)
-	if errors.Is(err, ErrVersionMismatch) {
-		own.status = helloRejected
-		_ = own.write(connection)
-	}
-	if err != nil {
-		return hello{}, err
-	}
-	status, refusal := s.options.admit(peer.identity)
-	own.status = status
-	if err := own.write(connection); err != nil {
-		return hello{}, err
-	}
-	if refusal != nil {
-		return hello{}, refusal
-	}
-	return peer, connection.SetDeadline(time.Time{})
-}
-
-// track notes a connection in its handshake. It returns false if the server is closed.
+// trackHandshake notes a connection in its handshake. It returns false if the server is closed.
 func (s *Server) trackHandshake(connection net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -169,14 +146,14 @@
 	return true
 }
 
-// untrack forgets a connection whose handshake failed.
+// untrackHandshake forgets a connection whose handshake failed.
 func (s *Server) untrackHandshake(connection net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.handshaking, connection)
 }
 
-// adopt turns a tracked connection into a session. It returns false if the server is closed.
+// startSession turns a connection in its handshake into a session. It returns false if the server is closed.
 func (s *Server) startSession(connection net.Conn, session *Session) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/coord/transport/session.go
+++ b/coord/transport/session.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// Session is the server's side of one connection.
+// Session is the server's side of one connection. Its methods may be called by several goroutines at once.
 type Session struct {
 	link     *link
-	ctx      context.Context
+	ctx      context.Context // of the handlers; ends with the session
 	cancel   context.CancelFunc
 	inFlight atomic.Int64 // requests in their handler
 
-	mutex    sync.Mutex
-	finished bool
+	mutex    sync.Mutex // guards the fields below
+	finished bool       // the functions of onClose have been taken
 	onClose  []func()
 }
 
@@ -37,7 +37,7 @@
 	return err
 }
 
-// Closed returns a channel that is closed once the connection has ended.
+// Done returns a channel that is closed once the connection has ended.
 func (s *Session) Done() <-chan struct{} {
 	return s.link.done
 }
@@ -47,8 +47,8 @@
 	s.link.close()
 }
 
-// OnClose has a function called after the session has ended, or at once if it has. Functions run in the order of
-// the calls.
+// OnClose registers a function to call after the session has ended, or calls it at once if it has. Functions run in the
+// order of the calls.
 func (s *Session) OnClose(run func()) {
 	s.mutex.Lock()
 	if !s.finished {
@@ -60,7 +60,7 @@
 	run()
 }
 
-// finish ends the context and calls the functions given to OnClose.
+// runOnClose ends the context and calls the functions given to OnClose.
 func (s *Session) runOnClose() {
 	s.cancel()
 	s.mutex.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// read hands messages to the handler until the connection ends.
+// readLoop passes messages to the handler until the connection ends. It returns why it ended.
 func (s *Session) readLoop(handler Handler) error {
 	for {
 		received, message, err := s.link.receive()
@@ -93,7 +93,8 @@
 	}
 }
 
-// request runs the handler for a request on a goroutine of its own, or refuses it where too many run.
+// handleRequest runs the handler for a request on a goroutine of its own, or rejects the request with CodeBusy if
+// Options.Queue of them run already.
 func (s *Session) handleRequest(handler Handler, call uint32, message any) {
 	if s.inFlight.Add(1) > int64(s.link.options.Queue) {
 		s.inFlight.Add(-1)
@@ -107,8 +108,8 @@
 	}()
 }
 
-// reply sends what a request led to. Where it can't be sent, the connection ends, so that the caller isn't left to
-// wait for it.
+// reply sends the reply or the error of a request. If it can't be sent the connection ends, so that the caller doesn't
+// wait for it in vain.
 func (s *Session) reply(call uint32, reply any, failure error) {
 	var err error
 	if failure != nil {
--- a/coord/transport/world_test.go
+++ b/coord/transport/simulation_test.go
@@ -16,71 +16,75 @@
 	"time"
 )
 
+// Sizes of a simulation.
 const (
 	defaultSimulations  = 40
 	maxBugSimulations   = 60
 	simulatedClients    = 3
-	workersPerClient    = 8 // of each client
+	workersPerClient    = 8
 	callsPerWorker      = 40
 	maxTextBytes        = 2000
-	maxRelayChunk       = 2500 // bytes that pass at once
+	maxRelayChunk       = 2500 // bytes that a relay passes on at once
 	maxRelayDelay       = 2 * time.Millisecond
-	maxBytesBeforeFault = 100 << 10 // of a connection until something happens to it
+	maxBytesBeforeFault = 100 << 10 // that pass over one direction of a connection
 )
 
-// callWorld is clients, a server and connections that break, in virtual time.
+// callSimulation runs clients and a server over connections that break, in virtual time, and checks what each call
+// returns against what the server handled.
 type callSimulation struct {
 	random *rand.Rand
 	dials  chan net.Conn
 	done   chan struct{}
 
-	mutex      sync.Mutex
-	handled    map[int]int
-	violations []string
-	counts     map[string]int
+	mutex      sync.Mutex     // guards all below, and random
+	handled    map[int]int    // how often, by the number of the request
+	violations []string       // of the certainty of calls
+	counts     map[string]int // of outcomes and faults
 }
 
-func (w *callSimulation) failf(format string, parts ...any) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.violations = append(w.violations, fmt.Sprintf(format, parts...))
+// failf notes a violation.
+func (s *callSimulation) failf(format string, parts ...any) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf(format, parts...))
 }
 
-func (w *callSimulation) count(what string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.counts[what]++
+// count counts an outcome or a fault.
+func (s *callSimulation) count(what string) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.counts[what]++
 }
 
-// draw gives a number from 0 on.
-func (w *callSimulation) draw(below int) int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.random.IntN(below)
+// draw returns a random number in [0, below).
+func (s *callSimulation) draw(below int) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.random.IntN(below)
 }
 
 // dial opens a connection over a relay that breaks it at some byte of either direction.
-func (w *callSimulation) dial(ctx context.Context, _ string) (net.Conn, error) {
+func (s *callSimulation) dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, relayNear := net.Pipe()
 	relayFar, far := net.Pipe()
-	go w.relay(relayFar, relayNear)
-	go w.relay(relayNear, relayFar)
+	go s.relay(relayFar, relayNear)
+	go s.relay(relayNear, relayFar)
 	select {
-	case w.dials <- far:
+	case s.dials <- far:
 		return near, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// relay passes bytes on until some byte; then it ends both connections, falls silent, or takes what comes and loses it.
-func (w *callSimulation) relay(to, from net.Conn) {
-	left := w.draw(maxBytesBeforeFault)
-	how := w.draw(3)
+// relay passes on some number of bytes; then it ends both connections, stops reading, or reads on and loses everything.
+func (s *callSimulation) relay(to, from net.Conn) {
+	left := s.draw(maxBytesBeforeFault)
+	how := s.draw(3)
 	buffer := make([]byte, maxRelayChunk)
 	for {
-		n, err := from.Read(buffer[:1+w.draw(len(buffer))])
-		time.Sleep(time.Duration(w.draw(int(maxRelayDelay))))
+		n, err := from.Read(buffer[:1+s.draw(len(buffer))])
+		time.Sleep(time.Duration(s.draw(int(maxRelayDelay))))
 		if left -= n; err != nil || left < 0 && how == 0 {
 			_, _ = to.Write(buffer[:max(0, min(n, n+left))])
 			to.Close()
@@ -88,7 +92,7 @@
 			return
 		}
 		if left < 0 && how == 1 {
-			<-w.done
+			<-s.done
 			to.Close()
 			from.Close()
 			return
@@ -104,36 +108,36 @@
 }
 
 // Accept implements net.Listener.
-func (w *callSimulation) Accept() (net.Conn, error) {
+func (s *callSimulation) Accept() (net.Conn, error) {
 	select {
-	case connection := <-w.dials:
+	case connection := <-s.dials:
 		return connection, nil
-	case <-w.done:
+	case <-s.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (w *callSimulation) Close() error { return nil }
+func (s *callSimulation) Close() error { return nil }
 
 // Addr implements net.Listener.
-func (w *callSimulation) Addr() net.Addr { return &net.TCPAddr{} }
+func (s *callSimulation) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve answers calls as a server does that sends replies twice, late and to numbers that nobody waits for.
-func (w *callSimulation) serve(s *Server) {
+// serve answers calls, some of them late, twice, or to numbers that no call has.
+func (s *callSimulation) serve(server *Server) {
 	for {
-		connection, err := w.Accept()
+		connection, err := s.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
 			in := bufio.NewReader(connection)
-			peer, err := s.handshake(connection, in)
+			peer, err := server.handshake(connection, in)
 			if err != nil {
 				connection.Close()
 				return
 			}
-			l := newLink(connection, in, &s.options, peer)
+			l := newLink(connection, in, &server.options, peer)
 			for {
 				received, message, err := l.receive()
 				if err != nil {
@@ -141,79 +145,81 @@
 					return
 				}
 				if request, ok := message.(echoRequest); ok && received.kind == frameRequest {
-					go w.answer(l, received.call, request)
+					go s.answer(l, received.call, request)
 				}
 			}
 		}()
 	}
 }
 
-func (w *callSimulation) answer(l *link, call uint32, request echoRequest) {
-	w.mutex.Lock()
-	w.handled[request.Number]++
-	w.mutex.Unlock()
-	time.Sleep(time.Duration(w.draw(int(20 * maxRelayDelay))))
-	if w.draw(20) == 0 {
+// answer handles a request and replies to it.
+func (s *callSimulation) answer(l *link, call uint32, request echoRequest) {
+	s.mutex.Lock()
+	s.handled[request.Number]++
+	s.mutex.Unlock()
+	time.Sleep(time.Duration(s.draw(int(20 * maxRelayDelay))))
+	if s.draw(20) == 0 {
 		_, _ = l.send(frameReply, call+1<<20, echoReply{Number: -1})
 	}
 	_, _ = l.send(frameReply, call, echoReply(request))
-	if w.draw(5) == 0 {
-		w.count("doubled replies")
-		time.Sleep(time.Duration(w.draw(int(20 * maxRelayDelay))))
+	if s.draw(5) == 0 {
+		s.count("doubled replies")
+		time.Sleep(time.Duration(s.draw(int(20 * maxRelayDelay))))
 		_, _ = l.send(frameReply, call, echoReply{Number: -2})
 	}
 }
 
-// call makes one call and holds that what it is told is true.
-func (w *callSimulation) call(client *Client, number int, outcomes map[int]error) {
-	wait := time.Duration(1+w.draw(200)) * time.Millisecond
+// call makes one call, checks its reply and notes its outcome.
+func (s *callSimulation) call(client *Client, number int, outcomes map[int]error) {
+	wait := time.Duration(1+s.draw(200)) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	text := strings.Repeat("x", w.draw(maxTextBytes))
+	text := strings.Repeat("x", s.draw(maxTextBytes))
 	reply, err := client.Call(ctx, echoRequest{Number: number, Text: text})
 	if err == nil {
 		got, ok := reply.(echoReply)
 		if !ok || got.Number != number || got.Text != text {
-			w.failf("call %d got the reply %+v", number, reply)
+			s.failf("call %d got the reply %+v", number, reply)
 		}
 	}
-	w.mutex.Lock()
+	s.mutex.Lock()
 	outcomes[number] = err
-	w.mutex.Unlock()
+	s.mutex.Unlock()
 }
 
-// check holds what each call was told against what the server did, when all is over.
-func (w *callSimulation) check(outcomes map[int]error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// check compares the outcome of each call with how often its request was handled, after the end of the simulation.
+func (s *callSimulation) check(outcomes map[int]error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for number, err := range outcomes {
 		most, least := 0, 0
 		switch {
 		case err == nil:
 			most, least = 1, 1
-			w.counts["replies"]++
+			s.counts["replies"]++
 		case errors.Is(err, ErrUncertain):
 			most = 1
-			w.counts["uncertain"]++
+			s.counts["uncertain"]++
 		default:
-			w.counts["not sent"]++
+			s.counts["not sent"]++
 		}
-		if handled := w.handled[number]; handled < least || handled > most {
-			w.violations = append(w.violations, fmt.Sprintf("call %d was told %v and has been handled %d times", number, err, handled))
+		if handled := s.handled[number]; handled < least || handled > most {
+			s.violations = append(s.violations,
+				fmt.Sprintf("call %d returned %v and was handled %d times", number, err, handled))
 		}
 	}
 }
 
-// playCalls plays the world of a seed.
+// simulateCalls runs the simulation of a seed and returns the violations that it found.
 func simulateCalls(t *testing.T, seed uint64, injected injectedBugs) (violations []string, counts map[string]int) {
 	synctest.Test(t, func(*testing.T) {
-		w := &callSimulation{random: rand.New(rand.NewPCG(seed, 5)), dials: make(chan net.Conn), done: make(chan struct{}),
+		s := &callSimulation{random: rand.New(rand.NewPCG(seed, 5)), dials: make(chan net.Conn), done: make(chan struct{}),
 			handled: map[int]int{}, counts: map[string]int{}}
 		options := testOptions("machine")
 		options.Heartbeat = 50 * time.Millisecond
-		options.Dial, options.injected = w.dial, injected
+		options.Dial, options.injected = s.dial, injected
 		server := &Server{options: options.withDefaults()}
-		go w.serve(server)
+		go s.serve(server)
 		outcomes := map[int]error{}
 		var all sync.WaitGroup
 		var clients []*Client
@@ -223,8 +229,8 @@
 			for worker := range workersPerClient {
 				all.Go(func() {
 					for i := range callsPerWorker {
-						time.Sleep(time.Duration(w.draw(int(5 * time.Millisecond))))
-						w.call(client, (c*workersPerClient+worker)*callsPerWorker+i, outcomes)
+						time.Sleep(time.Duration(s.draw(int(5 * time.Millisecond))))
+						s.call(client, (c*workersPerClient+worker)*callsPerWorker+i, outcomes)
 					}
 				})
 			}
@@ -233,15 +239,16 @@
 		for _, client := range clients {
 			client.Close()
 		}
-		close(w.done)
-		time.Sleep(time.Minute) // what was on its way has come
-		w.check(outcomes)
-		violations, counts = w.violations, w.counts
+		close(s.done)
+		time.Sleep(time.Minute) // until everything in flight has arrived
+		s.check(outcomes)
+		violations, counts = s.violations, s.counts
 	})
 	return violations, counts
 }
 
-// TestRandomCalls plays worlds of calls over connections that break; SEEDS=N plays N of them, FIRST=S starts at seed S.
+// TestRandomCalls runs simulations of calls over connections that break. SEEDS=N runs N of them, FIRST=S starts at
+// seed S.
 func TestRandomCalls(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	simulations := defaultSimulations
@@ -259,7 +266,7 @@
 			all[name] += n
 		}
 	}
-	t.Log(simulations, "worlds from", first, all)
+	t.Log(simulations, "simulations from", first, all)
 	for _, name := range []string{"replies", "uncertain", "not sent", "doubled replies"} {
 		if all[name] == 0 {
 			t.Errorf("never came about: %s", name)
@@ -267,7 +274,7 @@
 	}
 }
 
-// TestRandomCallsFindBugs plants bugs one by one; some world must show each.
+// TestRandomCallsFindInjectedBugs injects bugs one by one; some simulation must show each.
 func TestRandomCallsFindInjectedBugs(t *testing.T) {
 	for name, injected := range map[string]injectedBugs{
 		"a reply goes to any call that waits":                                  {replyToAnyCall: true},
@@ -281,7 +288,7 @@
 					return
 				}
 			}
-			t.Errorf("%d worlds didn't show it", maxBugSimulations)
+			t.Errorf("%d simulations didn't show it", maxBugSimulations)
 		})
 	}
 }
--- a/coord/transport/socket.go
+++ b/coord/transport/socket.go
@@ -1,19 +1,29 @@
 package transport
 
 import (
+	"context"
 	"net"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
+// TCP keep-alive probes end an idle connection to a dead machine after two to three seconds, also if no heartbeat is
+// agreed on. The number of probes counts only where TCP_USER_TIMEOUT doesn't end the connection before (tcp(7)).
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
 )
 
-// tuneSocket sets TCP_NODELAY, short keep-alive probes and TCP_USER_TIMEOUT.
+// dialDirect opens a TCP connection without keep-alive: setSocketOptions configures it in the handshake.
+func dialDirect(ctx context.Context, address string) (net.Conn, error) {
+	dialer := net.Dialer{KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", address)
+}
+
+// setSocketOptions sets TCP_NODELAY (frames are batched by the writer already), short keep-alive probes and
+// TCP_USER_TIMEOUT. Connections that aren't TCP, such as those of tests, are left as they are.
 func setSocketOptions(connection net.Conn, userTimeout time.Duration) error {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
--- a/coord/transport/transport_test.go
+++ b/coord/transport/transport_test.go
@@ -12,6 +12,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// echoRequest and echoReply are messages with all that a payload may hold.
 type echoRequest struct {
 	Number int
 	Text   string
@@ -24,8 +25,10 @@
 	Data   []byte
 }
 
+// nothing is a message without fields.
 type nothing struct{}
 
+// unregistered is a type that isn't registered.
 type unregistered struct{ Number int }
 
 func init() {
@@ -33,6 +36,7 @@
 	Register(echoRequest{})
 }
 
+// testTimeout bounds what a test waits for.
 const testTimeout = 10 * time.Second
 
 // testOptions returns the options of a machine of the system under test.
@@ -84,7 +88,7 @@
 	return client
 }
 
-// logBook keeps the errors that were logged.
+// errorLog keeps the errors that were logged.
 type errorLog struct {
 	mutex  sync.Mutex
 	errors []error
@@ -96,7 +100,7 @@
 	b.errors = append(b.errors, err)
 }
 
-// has tells whether an error was logged that wraps the target.
+// has reports whether an error was logged that wraps the target.
 func (b *errorLog) has(target error) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -175,7 +179,7 @@
 			So(remote.Text, ShouldEqual, "no such request")
 		})
 
-		Convey("a message that can't be encoded or is too large isn't sent and harms no other", func() {
+		Convey("a message that can't be encoded or is too large isn't sent and affects no other", func() {
 			_, err := client.Call(ctx, unregistered{})
 			So(errors.Is(err, ErrEncode), ShouldBeTrue)
 			_, err = client.Call(ctx, echoRequest{Data: make([]byte, DefaultMaxFrame+1)})
