--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -46,7 +46,7 @@
 
 // account is a tenant's.
 type tenantQuota struct {
-	tenant      string
+	name        string
 	limited     bool
 	removed     bool // no configuration has it any more
 	removedAt   time.Duration
@@ -108,7 +108,7 @@
 // begin opens an account of which all that may be lent counts as lent by others. What couldn't be has flowed in since none acted.
 func (a *Allocator) enterLearning(q *tenantQuota, idle time.Duration) {
 	q.unaccounted = lease{q.budget.maxLeasedRate, q.budget.maxLeasedDepth}
-	q.floor = poolFloor{recorded: a.recordedFloors[q.tenant], changedAt: a.now}
+	q.floor = poolFloor{recorded: a.recordedFloors[q.name], changedAt: a.now}
 	q.pool = bucket{level: q.floor.recorded, refilledAt: a.now - idle}
 	a.refill(q)
 }
@@ -141,7 +141,7 @@
 	q := a.tenants[tenant.Name]
 	isNew := q == nil
 	if isNew {
-		q = &tenantQuota{tenant: tenant.Name}
+		q = &tenantQuota{name: tenant.Name}
 		a.tenants[tenant.Name] = q
 	}
 	wasLimited := q.limited
@@ -153,14 +153,14 @@
 	if !isNew && wasLimited {
 		a.refill(q)
 	}
-	q.budget = budgetOf(a.options.Rules, tenant)
+	q.budget = newBudget(a.options.Rules, tenant)
 	switch {
 	case !isNew && wasLimited:
 		q.pool.level = min(q.pool.level, q.maxPoolLevel())
 	case a.now < a.learningUntil:
 		a.enterLearning(q, 0)
 	default:
-		q.floor.recorded = a.recordedFloors[q.tenant]
+		q.floor.recorded = a.recordedFloors[q.name]
 		q.pool = bucket{level: q.maxPoolLevel(), refilledAt: a.now}
 	}
 }
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -43,13 +43,13 @@
 }
 
 // budgetOf divides a limit. The sum of the parts stays within what the rule allows.
-func budgetOf(rules Rules, tenant *configuration.Tenant) budget {
+func newBudget(rules Rules, tenant *configuration.Tenant) budget {
 	rate, margin := grantedRate(rules, tenant)
 	burst := tenant.Burst
-	expiry := min(maxTokenTTL, time.Duration(tokenTTLShare*margin/rate*float64(time.Second))).Truncate(time.Millisecond)
+	tokenTTL := min(maxTokenTTL, time.Duration(tokenTTLShare*margin/rate*float64(time.Second))).Truncate(time.Millisecond)
 	reserve := reserveShare * max(0, margin-burst)
-	depth := math.Max(minLeaseDepth, margin-reserve-rate*expiry.Seconds())
-	result := budget{rate: tokens(rate), tokenTTL: expiry, depth: tokens(depth)}
+	depth := math.Max(minLeaseDepth, margin-reserve-rate*tokenTTL.Seconds())
+	result := budget{rate: tokens(rate), tokenTTL: tokenTTL, depth: tokens(depth)}
 	if leasedDepth := leasedDepthShare * depth; leasedDepth >= minLeaseDepth {
 		result.maxLeasedDepth, result.maxLeasedRate = tokens(leasedDepth), tokens(leasedRateShare*rate)
 	}
--- a/internal/quota/floor.go
+++ b/internal/quota/floor.go
@@ -66,12 +66,12 @@
 		switch {
 		case q.needsLowerFloor():
 			q.floor.changedAt = a.now
-			changes = append(changes, Floor{q.tenant, wholeTokens(amount(loweredFloorShare * float64(max(0, q.pool.level))))})
+			changes = append(changes, Floor{q.name, wholeTokens(amount(loweredFloorShare * float64(max(0, q.pool.level))))})
 		case q.allowsHigherFloor(a.now):
 			q.floor.changedAt = a.now
 			raised := wholeTokens(q.steadyFloor())
 			q.floor.pendingRaise = amount(raised) * token
-			changes = append(changes, Floor{q.tenant, raised})
+			changes = append(changes, Floor{q.name, raised})
 		}
 	}
 	slices.SortFunc(changes, func(x, y Floor) int { return cmp.Compare(x.Tenant, y.Tenant) })
@@ -94,7 +94,7 @@
 
 // Pressed tells whether a floor stands in the way of a grant, or soon will.
 func (a *Allocator) FloorChangeUrgent() bool {
-	pressed := a.floorChangeUrgent
+	urgent := a.floorChangeUrgent
 	a.floorChangeUrgent = false
-	return pressed
+	return urgent
 }
--- a/internal/quota/grantee_registry.go
+++ b/internal/quota/grantee_registry.go
@@ -22,18 +22,18 @@
 }
 
 // begin starts a term and tells whether nobody can hold anything.
-func (r *granteeRegistry) startTerm(now time.Duration, nodes []string) (none bool) {
-	*r = granteeRegistry{enabled: nodes != nil, beganAt: now}
+func (r *granteeRegistry) startTerm(now time.Duration, grantees []string) (mayHoldNone bool) {
+	*r = granteeRegistry{enabled: grantees != nil, beganAt: now}
 	if !r.enabled {
 		return false
 	}
-	r.lastContact = make(map[string]time.Duration, len(nodes))
-	r.unreconciled = make(map[string]bool, len(nodes))
-	for _, node := range nodes {
+	r.lastContact = make(map[string]time.Duration, len(grantees))
+	r.unreconciled = make(map[string]bool, len(grantees))
+	for _, node := range grantees {
 		r.lastContact[node] = now
 		r.unreconciled[node] = true
 	}
-	r.allReconciled = len(nodes) == 0
+	r.allReconciled = len(grantees) == 0
 	return r.allReconciled
 }
 
@@ -94,8 +94,8 @@
 		return nil
 	}
 	r.nextScanAt = now + granteeTTL/10
-	for node, heard := range r.lastContact {
-		if now-heard > granteeTTL && len(a.holdersByNode[node]) == 0 {
+	for node, lastContact := range r.lastContact {
+		if now-lastContact > granteeTTL && len(a.holdersByNode[node]) == 0 {
 			nodes = append(nodes, node)
 			delete(r.lastContact, node)
 		}
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -124,10 +124,10 @@
 			}
 		}
 		if q.limited && q.pool.level < q.floor.recorded {
-			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", q.tenant, q.pool.level, q.floor.recorded))
+			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", q.name, q.pool.level, q.floor.recorded))
 		}
 		if sum != q.outstanding || demand != q.demand || leases != q.leaseCount {
-			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", q.tenant, q.outstanding, q.demand, q.leaseCount, sum, demand, leases))
+			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", q.name, q.outstanding, q.demand, q.leaseCount, sum, demand, leases))
 		}
 	}
 }
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -25,7 +25,7 @@
 
 // holder is a process that may hold leases.
 type leaseHolder struct {
-	process        string
+	processID      string
 	node           string
 	lastSequence   uint64 // of its last request
 	lastContact    time.Duration
@@ -39,7 +39,7 @@
 
 // entry is a holder's part of an account.
 type allocation struct {
-	tenant          *tenantQuota
+	quota           *tenantQuota
 	demand          amount
 	outstanding     lease  // the most that the holder may spend by
 	offered         lease  // what it was told last
@@ -57,7 +57,7 @@
 	}
 	holder := a.holders[name]
 	if holder == nil {
-		holder = &leaseHolder{process: name, node: request.Process.Node, allocations: map[*tenantQuota]*allocation{}}
+		holder = &leaseHolder{processID: name, node: request.Process.Node, allocations: map[*tenantQuota]*allocation{}}
 		a.holders[name] = holder
 		a.holdersByNode[holder.node] = append(a.holdersByNode[holder.node], holder)
 		holder.contactElement = a.byLastContact.PushBack(holder)
@@ -75,7 +75,7 @@
 	}
 	for _, other := range slices.Clone(others) {
 		if other != holder && other.lastContact <= holder.lastContact {
-			a.deadProcesses[other.process] = a.now
+			a.deadProcesses[other.processID] = a.now
 			a.endHolder(other)
 		}
 	}
@@ -137,7 +137,7 @@
 		switch {
 		case part.unackedSequence == 0:
 		case request.Acked >= part.unackedSequence:
-			a.refill(part.tenant)
+			a.refill(part.quota)
 			part.unackedSequence = 0
 			part.setOutstanding(part.offered)
 		default:
@@ -176,12 +176,12 @@
 // end frees all that a holder has.
 func (a *Allocator) endHolder(holder *leaseHolder) {
 	for _, part := range holder.ordered {
-		a.refill(part.tenant)
+		a.refill(part.quota)
 		part.setOutstanding(lease{})
 		part.setDemand(0)
 	}
 	a.byLastContact.Remove(holder.contactElement)
-	delete(a.holders, holder.process)
+	delete(a.holders, holder.processID)
 	remaining := slices.DeleteFunc(a.holdersByNode[holder.node], func(other *leaseHolder) bool { return other == holder })
 	if len(remaining) == 0 {
 		delete(a.holdersByNode, holder.node)
@@ -193,7 +193,7 @@
 func (h *leaseHolder) allocationFor(q *tenantQuota) *allocation {
 	part := h.allocations[q]
 	if part == nil {
-		part = &allocation{tenant: q}
+		part = &allocation{quota: q}
 		h.allocations[q] = part
 		h.ordered = append(h.ordered, part)
 	}
@@ -206,12 +206,12 @@
 }
 
 func (p *allocation) setDemand(demand amount) {
-	p.tenant.demand += demand - p.demand
+	p.quota.demand += demand - p.demand
 	p.demand = demand
 }
 
 func (p *allocation) setOutstanding(l lease) {
-	q := p.tenant
+	q := p.quota
 	q.outstanding = q.outstanding.plus(l).minus(p.outstanding)
 	if !p.outstanding.isZero() {
 		q.leaseCount--
@@ -221,7 +221,7 @@
 	}
 	p.outstanding = l
 	if q.outstanding.rate < 0 || q.outstanding.depth < 0 {
-		panic(fmt.Sprintf("quota: tenant %s has lent %v", q.tenant, q.outstanding))
+		panic(fmt.Sprintf("quota: tenant %s has lent %v", q.name, q.outstanding))
 	}
 }
 
@@ -231,12 +231,12 @@
 	kept := holder.ordered[:0]
 	for _, part := range holder.ordered {
 		if part.idle() {
-			delete(holder.allocations, part.tenant)
+			delete(holder.allocations, part.quota)
 			continue
 		}
 		kept = append(kept, part)
 		if part.sentSequence != holder.lastSequence {
-			a.refill(part.tenant)
+			a.refill(part.quota)
 			a.offerLease(holder, part)
 		}
 	}
@@ -251,14 +251,14 @@
 			continue
 		}
 		part.unackedSequence, part.sentSequence = h.lastSequence, h.lastSequence
-		grants = append(grants, protocol.QuotaGrant{Tenant: part.tenant.tenant, Change: true, Lease: part.offered.toMessage()})
+		grants = append(grants, protocol.QuotaGrant{Tenant: part.quota.name, Change: true, Lease: part.offered.toMessage()})
 	}
 	return grants
 }
 
 // offer gives a holder the lease that its demand deserves and the account has room for, where that differs from what it has.
 func (a *Allocator) offerLease(holder *leaseHolder, part *allocation) {
-	q := part.tenant
+	q := part.quota
 	next := q.fairShare(part)
 	if !a.grantees.mayLease(holder.node) {
 		next = lease{}
@@ -316,8 +316,8 @@
 
 // overLent tells whether more is lent than the limit in force allows, beyond what rounding adds.
 func (q *tenantQuota) overcommitted() bool {
-	all := q.outstanding.plus(q.unaccounted)
-	return all.rate > q.budget.maxLeasedRate+roundingTolerance || all.depth > q.budget.maxLeasedDepth+roundingTolerance
+	total := q.outstanding.plus(q.unaccounted)
+	return total.rate > q.budget.maxLeasedRate+roundingTolerance || total.depth > q.budget.maxLeasedDepth+roundingTolerance
 }
 
 // like tells whether two leases differ too little to change one for the other.
