--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -7,101 +7,63 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// The settled figures. Shares are of what the rule allows beyond the rate over the window.
+// How a limit is divided. In these comments the margin is what the rule allows in a window beyond the granted rate.
 const (
-	leaseTTL         = 3 * time.Second        // a lease lasts so long without an answer
-	clockDriftMargin = 100 * time.Millisecond // that a clock may gain over a lease
-	maxTokenTTL      = 250 * time.Millisecond // of tokens
-	tokenTTLShare    = 0.4                    // of the margin that the expiry of tokens may take
-	rateShare        = 0.9                    // of the overshoot: goes into the rate where the depth can spare it
-	minMarginSeconds = 0.75                   // seconds of the rate that the margin keeps
-	reserveShare     = 0.1                    // of overshoot and slack: for requests charged after they were sent
-	leasedDepthShare = 0.5                    // of the depth: may be lent; what isn't is the pool's
-	leasedRateShare  = 0.65                   // of the rate: may be lent, the rest always flows into the pool
-	minLeaseDepth    = 1.0                    // of a lease: a request takes a whole token
+	leaseTTL         = 3 * time.Second        // lifetime of a lease without an answered request
+	clockDriftMargin = 100 * time.Millisecond // the most that a clock may gain or lose over leaseTTL
+	maxTokenTTL      = 250 * time.Millisecond // longest lifetime of pool tokens
+	tokenTTLShare    = 0.4                    // part of the margin that the tokens' lifetime may cost
+	rateShare        = 0.9                    // part of the overshoot that is added to the rate, where the depth can spare it
+	minMarginSeconds = 0.75                   // least margin, in seconds of the granted rate
+	reserveShare     = 0.1                    // part of overshoot and slack kept for requests that are charged after they were sent
+	leasedDepthShare = 0.5                    // part of the depth that may be leased; the rest is the pool's
+	leasedRateShare  = 0.65                   // part of the rate that may be leased; the rest always flows into the pool
+	minLeaseDepth    = 1.0                    // tokens; a request takes a whole one, so a smaller bucket would never serve any
 )
 
-// Rules are the figures of the rule that are the same for all tenants.
+// Rules are the parts of the rate-limit rule that are the same for all tenants (settings bounds.quota-*).
 type Rules struct {
-	Window    time.Duration
-	Overshoot float64
-	Slack     float64
+	Window    time.Duration // length of the sliding window
+	Overshoot float64       // share by which a limit may be exceeded
+	Slack     float64       // requests by which it may be exceeded besides
 }
 
-// Most is what the rule allows a tenant in any window.
+// MaxInWindow gives the most requests that the rule allows a tenant in any window. The rate is per second.
 func (r Rules) MaxInWindow(rate, burst float64) float64 {
 	return (rate*r.Window.Seconds()+burst)*(1+r.Overshoot) + r.Slack
 }
 
-// budget is how a tenant's limit is spent.
+// budget is a tenant's limit, divided into what the allocator works with. Invariant: depth + rate*tokenTTL +
+// rate*window, plus the reserve for charges, is at most Rules.MaxInWindow. (The package comment has the proof that
+// no more is spent.)
 type budget struct {
-	rate           amount        // tokens a second
-	tokenTTL       time.Duration // of tokens of the pool
+	rate           amount        // granted, per second
+	tokenTTL       time.Duration // lifetime of pool tokens
 	depth          amount        // of the pool and of all leases together
-	maxLeasedRate  amount
-	maxLeasedDepth amount // summed depth of leases
+	maxLeasedRate  amount        // summed rates of leases
+	maxLeasedDepth amount        // summed depths of leases
 }
 
-// budgetOf divides a limit. The sum of the parts stays within what the rule allows.
+// newBudget divides a tenant's limit. A tenant whose leases couldn't hold one whole token is served from the pool
+// alone.
 func newBudget(rules Rules, tenant *configuration.Tenant) budget {
 	rate, margin := grantedRate(rules, tenant)
-	burst := tenant.Burst
 	tokenTTL := min(maxTokenTTL, time.Duration(tokenTTLShare*margin/rate*float64(time.Second))).Truncate(time.Millisecond)
-	reserve := reserveShare * max(0, margin-burst)
+	reserve := reserveShare * max(0, margin-tenant.Burst)
 	depth := math.Max(minLeaseDepth, margin-reserve-rate*tokenTTL.Seconds())
-	result := budget{rate: tokens(rate), tokenTTL: tokenTTL, depth: tokens(depth)}
+	divided := budget{rate: tokens(rate), tokenTTL: tokenTTL, depth: tokens(depth)}
 	if leasedDepth := leasedDepthShare * depth; leasedDepth >= minLeaseDepth {
-		result.maxLeasedDepth, result.maxLeasedRate = tokens(leasedDepth), tokens(leasedRateShare*rate)
+		divided.maxLeasedDepth, divided.maxLeasedRate = tokens(leasedDepth), tokens(leasedRateShare*rate)
 	}
-	return result
+	return divided
 }
 
-// raisedRate gives the rate that is granted and what the rule allows beyond it: tenants that press are owed the whole limit in
-// every window, so a part of the overshoot is granted to them steadily.
+// grantedRate gives the rate per second that is granted, and the margin: the requests that the rule allows in a
+// window beyond it. A tenant with a backlog is owed its whole limit in every window, so a part of the overshoot is
+// granted steadily.
 func grantedRate(rules Rules, tenant *configuration.Tenant) (rate, margin float64) {
 	bound, window := rules.MaxInWindow(tenant.RatePerSec, tenant.Burst), rules.Window.Seconds()
 	rate = min(tenant.RatePerSec*(1+rateShare*rules.Overshoot), bound/(window+minMarginSeconds))
 	rate = max(rate, tenant.RatePerSec)
 	return rate, bound - rate*window
 }
-
-// amount is a number of tokens, or of tokens a second, in millionths: sums of them are exact.
-type amount int64
-
-const token amount = 1e6
-
-// tokens rounds down to an amount.
-func tokens(n float64) amount { return amount(math.Floor(n * float64(token))) }
-
-func (a amount) float() float64 { return float64(a) / float64(token) }
-
-// over gives what flows at a rate over a time, rounded down.
-func (a amount) over(d time.Duration) amount { return amount(math.Floor(float64(a) * d.Seconds())) }
-
-// lease is a local bucket: what fills it a second, and what it holds at most.
-type lease struct{ rate, depth amount }
-
-func (l lease) plus(other lease) lease  { return lease{l.rate + other.rate, l.depth + other.depth} }
-func (l lease) minus(other lease) lease { return lease{l.rate - other.rate, l.depth - other.depth} }
-
-// most gives the larger of each part.
-func (l lease) max(other lease) lease {
-	return lease{max(l.rate, other.rate), max(l.depth, other.depth)}
-}
-
-func (l lease) isZero() bool { return l == lease{} }
-
-// bucket holds tokens. It may be below zero.
-type bucket struct {
-	level      amount
-	refilledAt time.Duration
-}
-
-// fill brings the bucket up to date.
-func (b *bucket) refill(now time.Duration, inflow, depth amount) {
-	if now > b.refilledAt {
-		b.level += max(0, inflow).over(now - b.refilledAt)
-		b.refilledAt = now
-	}
-	b.level = min(b.level, depth)
-}
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -8,64 +8,76 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// Timing of the exchange with the allocator.
 const (
-	reportInterval       = 300 * time.Millisecond // demand that changed is told, and leases that changed are acknowledged
-	renewInterval        = 600 * time.Millisecond // leases are renewed
-	minRequestInterval   = 5 * time.Millisecond   // between requests for waiting ones
-	replyTimeout         = 600 * time.Millisecond // a reply that comes later is as lost
-	minBackoff           = 60 * time.Millisecond  // after a request that failed, doubled each time
+	reportInterval       = 300 * time.Millisecond // after which changed demand is reported and changed leases are acknowledged
+	renewInterval        = 600 * time.Millisecond // after which leases are renewed: a fifth of leaseTTL
+	minRequestInterval   = 5 * time.Millisecond   // between requests for tokens; the allocator may ask for a longer one
+	replyTimeout         = 600 * time.Millisecond // a reply that comes later is ignored
+	minBackoff           = 60 * time.Millisecond  // after a failed request; doubled with each further one
 	maxBackoff           = 400 * time.Millisecond
-	allocatorTimeout     = 150 * time.Millisecond // without an answer to a request nobody waits for the allocator
-	allocatorMaxFailures = 2                      // or after so many requests in a row that failed
-	minClientRetryAfter  = 900 * time.Millisecond // of refused clients: one that comes back too soon is refused for good
-	maxClientRetryAfter  = 1400 * time.Millisecond
-	retryJitterFrom      = 0.8 // shares of the time until there is room, over which clients' return is spread
-	retryJitterSpan      = 0.4
+	allocatorTimeout     = 150 * time.Millisecond // an unanswered request of this age, or
+	allocatorMaxFailures = 2                      // so many failed requests in a row: the allocator counts as timed out
 )
 
-// Verdict is what became of a request's wish for a token.
+// Retry-After of rejected requests, before jitter. It is bounded below because clients that are rejected again soon
+// give up.
+const (
+	minClientRetryAfter = 900 * time.Millisecond
+	maxClientRetryAfter = 1400 * time.Millisecond
+	retryJitterFrom     = 0.8 // jitter: uniform over this share of the value
+	retryJitterSpan     = 0.4 // to this much more
+)
+
+// Verdict is the decision on a request: Admit, Wait, or neither, which is a rejection.
 type Verdict struct {
 	Admit      bool
-	Wait       bool          // ask again by Resolve once a reply was taken, or by the time that Wake tells
-	RetryAfter time.Duration // of a refusal
+	Wait       bool          // no token yet: call Resolve after each reply and at WakeAt, or Cancel
+	RetryAfter time.Duration // of a rejection
 }
 
-// ClientOptions are what a gateway tells once.
+// ClientOptions are the fixed parameters of a Client.
 type ClientOptions struct {
-	Process protocol.Process
-	Random  *rand.Rand // spreads the return of refused clients; nil: seeded at random
+	Process protocol.Process // its incarnation is unique for each Client: the allocator knows holders by it
+	Random  *rand.Rand       // for the jitter of Retry-After; nil: a randomly seeded one
 }
 
-// Client holds a gateway's tokens and leases. It has one owner: its methods must not run at the same time.
+// Client holds the tokens and leases of a gateway and decides on its requests. It isn't safe for concurrent use.
+//
+// Its times are durations since an origin that the caller chooses, from a monotonic clock. A caller that was paused
+// must read the clock anew before each call: leases expire by that time.
 type Client struct {
 	process protocol.Process
 	random  *rand.Rand
-	tenants map[string]*clientTenant
-	ordered []*clientTenant // the same, as they came
-
-	term          uint64        // of the allocator whose reply was taken last
-	ackedSequence uint64        // sequence of that reply
-	leaseExpiry   time.Duration // all leases end; 0: none is held
-	failures      int           // requests in a row that weren't answered
-
-	sequence        uint64
-	inFlight        bool // the request of that sequence is out
-	inFlightFull    bool
-	inFlightTenants []*clientTenant // whose demand it tells
-	sentAt          time.Duration   // of the newest request
-	ackDue          bool            // the newest reply changed leases, and no request has told since that it was taken
-	requestInterval time.Duration
-
-	fullReportDue bool // the allocator wants all that is held
-	tokensDue     bool // a request waits that nothing out asks for
-	waiting       int  // requests that wait, of all tenants
-	nextRequestAt time.Duration
-	nextReportAt  time.Duration
-	backoff       time.Duration
-	dueReports    []*clientTenant // to be told
-}
-
-// NewClient makes the client of a process that holds nothing. A new process needs a new incarnation.
+
+	// Invariant: tenants and ordered have the same elements. The order makes runs reproducible.
+	tenants map[string]*clientTenant // by name
+	ordered []*clientTenant
+
+	term          uint64        // of the allocator whose reply was taken last; 0: none was
+	ackedSequence uint64        // of the request that it answered
+	leaseExpiry   time.Duration // of all leases; 0: none is held
+	failures      int           // failed requests in a row
+
+	// At most one request is in flight: the newest. A reply to any other is ignored.
+	sequence        uint64          // of the newest request
+	sentAt          time.Duration   // of the same
+	inFlight        bool            // it is neither answered nor failed
+	inFlightFull    bool            // it is a full report
+	inFlightTenants []*clientTenant // that it reports, to be reported again if it fails
+	ackDue          bool            // the newest reply changed leases, and no request has acknowledged it yet
+
+	fullReportDue   bool            // the next request must list everything that is held here
+	tokensDue       bool            // a request waits for a token that no request in flight asks for
+	waiting         int             // requests that wait, of all tenants
+	dueReports      []*clientTenant // to be in the next request: those with reportDue
+	nextRequestAt   time.Duration
+	nextReportAt    time.Duration
+	requestInterval time.Duration // least time between requests for tokens
+	backoff         time.Duration // after the next failure
+}
+
+// NewClient creates a client that holds nothing.
 func NewClient(options ClientOptions) *Client {
 	random := options.Random
 	if random == nil {
@@ -77,7 +89,8 @@
 	}
 }
 
-// Configure takes a configuration in. A lower limit holds here at once.
+// Configure applies a configuration. A lower limit applies here at once, to leases as well. Tenants that are new to
+// the client need no Configure: each call for a request brings its tenant's limit.
 func (c *Client) Configure(snapshot *configuration.Snapshot) {
 	for _, t := range c.ordered {
 		configured := snapshot.TenantByName(t.name)
@@ -91,7 +104,8 @@
 	}
 }
 
-// Take asks for a token for a request that comes now.
+// Take asks for a token for a request that arrives now. A tenant that is nil or has no limit is always admitted.
+// After a verdict to wait the caller must call Resolve until the verdict is another, or Cancel.
 func (c *Client) Take(now time.Duration, tenant *configuration.Tenant) Verdict {
 	if unlimited(tenant) {
 		return Verdict{Admit: true}
@@ -111,7 +125,7 @@
 	return verdict
 }
 
-// Resolve asks again for a request that waits. Only Wait leaves it waiting.
+// Resolve asks again for a request that waits. After any other verdict than Wait it waits no longer.
 func (c *Client) Resolve(now time.Duration, tenant *configuration.Tenant) Verdict {
 	c.expireLeases(now)
 	t := c.tenantFor(tenant)
@@ -124,7 +138,7 @@
 	return verdict
 }
 
-// GiveUp ends the waiting of a request and tells when its client may come back.
+// Cancel ends the waiting of a request and gives the Retry-After for its client.
 func (c *Client) Cancel(now time.Duration, tenant *configuration.Tenant) time.Duration {
 	c.expireLeases(now)
 	t := c.tenantFor(tenant)
@@ -132,7 +146,9 @@
 	return c.retryAfter(t.timeToLeaseToken(now))
 }
 
-// Charge takes a token for a further attempt of a request, after the fact: the tenant may be in debt for a while.
+// Charge takes a token for a retry or hedge of a request that was admitted before and that a server may have run.
+// It is taken after the fact, so the lease may go into debt, up to maxDebt. The budget has a reserve for what that
+// exceeds.
 func (c *Client) Charge(now time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) {
 		return
@@ -141,13 +157,13 @@
 	c.tenantFor(tenant).charge(now)
 }
 
-// Silent tells whether the allocator hasn't answered for so long that waiting for it is vain.
+// AllocatorTimedOut reports whether the allocator hasn't answered for so long that requests shouldn't wait for it.
 func (c *Client) AllocatorTimedOut(now time.Duration) bool {
 	return c.failures >= allocatorMaxFailures || c.inFlight && now-c.sentAt > allocatorTimeout
 }
 
-// ServesIn tells when a tenant's lease would have a token for one more request, after those that wait; a very long time where
-// there is no lease.
+// TimeToToken gives the time until the tenant's lease has a token for one more request, after those that wait.
+// Without a lease it is a very long time.
 func (c *Client) TimeToToken(now time.Duration, tenant *configuration.Tenant) time.Duration {
 	if unlimited(tenant) {
 		return 0
@@ -156,9 +172,10 @@
 	return c.tenantFor(tenant).timeToServeNext(now)
 }
 
-// Return gives back a token that was taken at a moment, of a request that was not sent to any server. Without a lease it is lost.
-// So is one that was taken longer ago than a token of the pool lasts, by a process that stood still since: the pool may have
-// granted its place anew.
+// Return gives back a token that was taken at a given time, for a request that was sent to no server. It goes into
+// the lease; without a lease it is lost. It is lost as well if it was taken more than maxTokenTTL ago, as after a
+// process pause: by then the token, had it come from the pool, would have expired, and the pool's inflow has
+// replaced it.
 func (c *Client) Return(now, taken time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) || now-taken > maxTokenTTL {
 		return
@@ -169,9 +186,10 @@
 	t.leaseBucket.level = min(t.leaseBucket.level+token, t.lease.depth)
 }
 
+// unlimited reports whether a tenant has no limit; requests without a tenant have none.
 func unlimited(tenant *configuration.Tenant) bool { return tenant == nil || tenant.RatePerSec <= 0 }
 
-// tell marks a tenant to be told of in the next request.
+// scheduleReport has the next request report a tenant.
 func (c *Client) scheduleReport(t *clientTenant) {
 	if !t.reportDue {
 		t.reportDue = true
@@ -179,6 +197,7 @@
 	}
 }
 
+// requestTokens has the next request ask for the tokens that the tenant's requests wait for.
 func (c *Client) requestTokens(t *clientTenant) {
 	c.tokensDue = true
 	c.scheduleReport(t)
@@ -189,25 +208,27 @@
 	c.waiting--
 }
 
-// decide spends a token if there is one. Tokens of the pool go first: they expire.
+// decide spends a token if there is one. Pool tokens go first, as they expire sooner. A request waits unless the
+// pool is known to be empty; then only one waits, and only for a lease that refills within shortRefillWait.
 func (c *Client) decide(now time.Duration, t *clientTenant) Verdict {
 	if t.spendPoolToken(now) || t.spendLeaseToken(now) {
 		return Verdict{Admit: true}
 	}
-	refill := t.timeToLeaseToken(now)
-	if now < t.poolEmptyUntil && (refill > shortRefillWait || t.waiting > 1) {
-		return Verdict{RetryAfter: c.retryAfter(min(refill, t.poolEmptyUntil-now))}
+	untilToken := t.timeToLeaseToken(now)
+	if now < t.poolEmptyUntil && (untilToken > shortRefillWait || t.waiting > 1) {
+		return Verdict{RetryAfter: c.retryAfter(min(untilToken, t.poolEmptyUntil-now))}
 	}
 	return Verdict{Wait: true}
 }
 
-// returnAfter spreads clients' return around the time when there is room.
+// retryAfter gives the Retry-After for a token that is expected after a time, with jitter so that clients don't
+// come back all at once.
 func (c *Client) retryAfter(untilToken time.Duration) time.Duration {
 	after := min(max(untilToken, minClientRetryAfter), maxClientRetryAfter)
 	return time.Duration(float64(after) * (retryJitterFrom + retryJitterSpan*c.random.Float64()))
 }
 
-// expire ends leases that weren't renewed in time.
+// expireLeases ends the leases if they weren't renewed in time. Debts stay.
 func (c *Client) expireLeases(now time.Duration) {
 	if c.leaseExpiry == 0 || now < c.leaseExpiry {
 		return
@@ -219,14 +240,15 @@
 	}
 }
 
-func (c *Client) tenantFor(of *configuration.Tenant) *clientTenant {
-	t := c.tenants[of.Name]
+// tenantFor finds or adds the state of a tenant, and applies its current limit.
+func (c *Client) tenantFor(tenant *configuration.Tenant) *clientTenant {
+	t := c.tenants[tenant.Name]
 	if t == nil {
-		t = &clientTenant{name: of.Name}
-		c.tenants[of.Name] = t
+		t = &clientTenant{name: tenant.Name}
+		c.tenants[tenant.Name] = t
 		c.ordered = append(c.ordered, t)
 	}
 	t.removed = false
-	t.setLimit(of)
+	t.setLimit(tenant)
 	return t
 }
--- a/internal/quota/client_request.go
+++ b/internal/quota/client_request.go
@@ -6,7 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// NextRequest gives the request to send now, if one is due. What it brings counts from now: it is sent after this.
+// NextRequest gives the request to send to the allocator now, if one is due. The lifetimes of what its reply brings
+// count from now, so it must not be sent before this call. The caller reports the outcome by HandleReply or
+// RequestFailed.
 func (c *Client) NextRequest(now time.Duration) (request protocol.QuotaRequest, due bool) {
 	if c.inFlight && now-c.sentAt > replyTimeout {
 		c.RequestFailed(now)
@@ -35,6 +37,7 @@
 	return request, true
 }
 
+// holdsLease reports whether there is a lease to renew.
 func (c *Client) holdsLease() bool {
 	for _, t := range c.ordered {
 		if !t.lease.isZero() {
@@ -44,7 +47,7 @@
 	return false
 }
 
-// fillDemands lists the tenants that are to be told.
+// fillDemands adds the due reports to a request.
 func (c *Client) fillDemands(now time.Duration, request *protocol.QuotaRequest) {
 	c.inFlightTenants = c.inFlightTenants[:0]
 	for _, t := range c.dueReports {
@@ -60,7 +63,8 @@
 	c.dueReports = c.dueReports[:0]
 }
 
-// noteDemand marks the tenants to be told of beside those that requests came for, and forgets those that nothing hangs on.
+// scheduleChangedReports schedules the tenants whose demand has changed without a new request (it decays), and
+// forgets unused ones. For a full report it schedules all that are known to the allocator.
 func (c *Client) scheduleChangedReports(now time.Duration) {
 	kept := c.ordered[:0]
 	for _, t := range c.ordered {
@@ -77,7 +81,8 @@
 	c.ordered = kept
 }
 
-// Replied takes the reply to the request that is out. Resolve the requests that wait after it.
+// HandleReply takes the reply to the request in flight; any other reply is ignored. The caller then calls Resolve
+// for all requests that wait.
 func (c *Client) HandleReply(now time.Duration, reply *protocol.QuotaReply) {
 	if !c.inFlight || reply.Sequence != c.sequence {
 		return
@@ -108,7 +113,8 @@
 	}
 }
 
-// Failed gives the request that is out up: it may have come or not.
+// RequestFailed gives up the request in flight. It may have been received or not, so what it reported is reported
+// again, and as a reply may have been lost, the next request acknowledges the last one that was taken.
 func (c *Client) RequestFailed(now time.Duration) {
 	if !c.inFlight {
 		return
@@ -122,13 +128,14 @@
 	c.rescheduleReports()
 }
 
-// Moved tells that requests go to another place from now on, or can go again: what is out has failed, and asking goes on at once.
+// AllocatorMoved tells the client that the allocator has another address, or that its address has become known. The
+// request in flight has failed, and the next one is sent without backoff.
 func (c *Client) AllocatorMoved(now time.Duration) {
 	c.RequestFailed(now)
 	c.failures, c.backoff, c.nextRequestAt = 0, minBackoff, now
 }
 
-// tellAgain marks what the last request told.
+// rescheduleReports schedules the tenants of the last request again.
 func (c *Client) rescheduleReports() {
 	for _, t := range c.inFlightTenants {
 		if c.tenants[t.name] == t {
@@ -137,7 +144,7 @@
 	}
 }
 
-// Wake tells when NextRequest or Resolve has something to do, if nothing else happens before.
+// WakeAt gives the time at which NextRequest and Resolve are to be called next, if nothing else happens before.
 func (c *Client) WakeAt(now time.Duration) time.Duration {
 	at := max(c.nextReportAt, c.nextRequestAt)
 	switch {
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -8,50 +8,58 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// How a gateway estimates and reports a tenant's demand.
 const (
-	demandTimeConstant      = 3 * time.Second        // arrivals are remembered
-	minRelativeDemandChange = 0.25                   // share by which demand must change to be told
-	minDemandChange         = 0.3                    // and requests a second
-	idleDemand              = 0.05                   // requests a second that count as none
-	prefetchHorizon         = 200 * time.Millisecond // of the demand that the lease doesn't cover
-	prefetchPause           = time.Second            // after an empty pool nothing is fetched ahead
-	shortRefillWait         = 20 * time.Millisecond  // a lease that refills so soon is waited for, by one request
-	never                   = time.Duration(math.MaxInt64 / 4)
-	maxTokenBatches         = 4
-	maxDebt                 = 5 * token // below zero, by further attempts
-	demandPrecision         = 1000
+	demandTimeConstant      = 3 * time.Second // of the exponentially decaying count of arrivals
+	minRelativeDemandChange = 0.25            // demand is reported when it has changed by this share, and
+	minDemandChange         = 0.3             // by this many requests per second
+	idleDemand              = 0.05            // requests per second; less counts as none
+	demandPrecision         = 1000            // reports are rounded up to 1/1000 request per second: short messages
 )
 
-// tenant is a gateway's part of a tenant's limit.
+// How a gateway uses the pool and its lease.
+const (
+	prefetchHorizon = 200 * time.Millisecond // tokens are asked for ahead for this time, beyond what the lease covers
+	prefetchPause   = time.Second            // after the pool was empty, none are asked for ahead
+	shortRefillWait = 20 * time.Millisecond  // one request waits for a lease that refills so soon, though the pool is empty
+	maxTokenBatches = 4                      // the oldest is dropped for a further one
+	maxDebt         = 5 * token              // of a lease's bucket (Client.Charge)
+)
+
+// never is a duration that doesn't end, and to which a time can be added without overflow.
+const never = time.Duration(math.MaxInt64 / 4)
+
+// clientTenant is a gateway's part of one tenant's quota.
 type clientTenant struct {
 	name    string
-	limit   amount // tokens a second; no lease is spent faster
+	limit   amount // tokens per second; a lease with a higher rate is cut to it
 	removed bool   // not in the configuration
 
-	lease       lease
-	leaseBucket bucket
-	poolTokens  []tokenBatch // tokens of the pool, the oldest first
+	lease          lease // until Client.leaseExpiry
+	leaseBucket    bucket
+	poolTokens     []tokenBatch  // the oldest first
+	poolEmptyUntil time.Duration // the allocator had too few tokens, and said when there will be more
 
-	arrivals       float64 // decayed
+	arrivals       float64 // as of arrivedAt; decays with demandTimeConstant
 	arrivedAt      time.Duration
-	reportedDemand float64 // demand that was told last
-	reportDue      bool    // to be told
+	reportedDemand float64 // requests per second, in the last report
+	reportDue      bool    // it is in Client.dueReports
 	waiting        int     // requests that wait
-	poolEmptyUntil time.Duration
 }
 
-// batch is tokens of the pool that end together.
+// tokenBatch is tokens of the pool that expire together.
 type tokenBatch struct {
 	tokens    int
 	expiresAt time.Duration
 }
 
+// setLimit applies a tenant's limit to its lease at once.
 func (t *clientTenant) setLimit(configured *configuration.Tenant) {
 	t.limit = tokens(configured.RatePerSec)
 	t.lease.rate = min(t.lease.rate, t.limit)
 }
 
-// arrived counts a request that came.
+// countArrival counts a request that arrives now, whether or not it is admitted.
 func (t *clientTenant) countArrival(now time.Duration) {
 	t.arrivals = t.decayedArrivals(now) + 1
 	t.arrivedAt = now
@@ -61,7 +69,7 @@
 	return t.arrivals * math.Exp(-(now-t.arrivedAt).Seconds()/demandTimeConstant.Seconds())
 }
 
-// demand is the requests a second that come here.
+// demand is the estimated requests per second that arrive here, rejected ones included.
 func (t *clientTenant) demand(now time.Duration) float64 {
 	rate := t.decayedArrivals(now) / demandTimeConstant.Seconds()
 	if rate < idleDemand || t.removed {
@@ -70,6 +78,7 @@
 	return rate
 }
 
+// demandChanged reports whether demand differs enough from the last report to be reported.
 func (t *clientTenant) demandChanged(now time.Duration) bool {
 	rate := t.demand(now)
 	if rate == 0 || t.reportedDemand == 0 {
@@ -78,18 +87,19 @@
 	return math.Abs(rate-t.reportedDemand) > max(minDemandChange, minRelativeDemandChange*t.reportedDemand)
 }
 
-// report gives the demand as it is told: few decimals make short messages.
+// takeReportedDemand gives the demand for a report, and remembers it as reported.
 func (t *clientTenant) takeReportedDemand(now time.Duration) float64 {
 	t.reportedDemand = math.Ceil(t.demand(now)*demandPrecision) / demandPrecision
 	return t.reportedDemand
 }
 
-// forgettable tells whether nothing hangs on a tenant any more, here or at the allocator.
+// forgettable reports whether neither the client nor the allocator has any state of the tenant that matters.
 func (t *clientTenant) forgettable(now time.Duration) bool {
 	return t.lease.isZero() && t.waiting == 0 && t.reportedDemand == 0 && t.demand(now) == 0 && t.unexpiredPoolTokens(now) == 0
 }
 
-// wants is the tokens to ask for: those that requests wait for, and what the lease won't cover until the next poll.
+// tokensWanted is the number of tokens to ask for: one for each request that waits, and those for the demand of the
+// next prefetchHorizon that neither the lease nor unspent tokens cover.
 func (t *clientTenant) tokensWanted(now time.Duration) int {
 	want := t.waiting
 	if now >= t.poolEmptyUntil+prefetchPause {
@@ -108,7 +118,7 @@
 	return sum
 }
 
-// spendStock spends a token of the pool.
+// spendPoolToken spends a token of the oldest batch, if there is one.
 func (t *clientTenant) spendPoolToken(now time.Duration) bool {
 	for len(t.poolTokens) > 0 {
 		first := &t.poolTokens[0]
@@ -125,7 +135,7 @@
 	t.leaseBucket.refill(now, t.lease.rate, t.lease.depth)
 }
 
-// spendLease spends a token of the lease.
+// spendLeaseToken spends a token of the lease, if it has one.
 func (t *clientTenant) spendLeaseToken(now time.Duration) bool {
 	if t.lease.isZero() {
 		return false
@@ -138,7 +148,7 @@
 	return true
 }
 
-// charge takes a token after the fact.
+// charge takes a token whether or not there is one.
 func (t *clientTenant) charge(now time.Duration) {
 	if t.spendPoolToken(now) {
 		return
@@ -147,7 +157,7 @@
 	t.leaseBucket.level = max(t.leaseBucket.level-token, -maxDebt)
 }
 
-// refills tells when the lease has its next token.
+// timeToLeaseToken gives the time until the lease has a token, or never.
 func (t *clientTenant) timeToLeaseToken(now time.Duration) time.Duration {
 	if t.lease.rate <= 0 {
 		return never
@@ -157,7 +167,7 @@
 	return max(0, time.Duration(math.Ceil(missing/float64(t.lease.rate)*float64(time.Second))))
 }
 
-// servesIn tells when the lease has a token for one request more than those that wait.
+// timeToServeNext gives the time until the lease has a token for one request more than those that wait, or never.
 func (t *clientTenant) timeToServeNext(now time.Duration) time.Duration {
 	first := t.timeToLeaseToken(now)
 	if first == never {
@@ -167,7 +177,8 @@
 	return first + time.Duration(float64(others)/float64(t.lease.rate)*float64(time.Second))
 }
 
-// take takes a grant in, of a request sent at sentAt.
+// applyGrant takes a grant of the reply to a request that was sent at sentAt. A lease that changes keeps its level,
+// cut to the new depth: a new one starts empty. It is ignored if the reply came too late to have leases in force.
 func (t *clientTenant) applyGrant(now, sentAt time.Duration, grant *protocol.QuotaGrant, leased bool) {
 	if grant.Change && leased {
 		t.refill(now)
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// isolate cuts the lead off, both ways or one way, from the other control machines and from the gateways; some of these reach
-// nobody but it.
+// isolate cuts the lead off, both ways or one way, from the other control machines and from the gateways; some of
+// these reach nobody but it.
 func (sim *simulation) partitionLeader(g *simGateway) {
 	control := sim.activeLeader()
 	if control == nil {
--- a/internal/quota/floor.go
+++ b/internal/quota/floor.go
@@ -6,53 +6,58 @@
 	"time"
 )
 
-// The figures by which floors follow pools.
+// How floors follow the pools' levels. Each change is a write to the replicated state, so a floor is raised seldom,
+// and lowered far enough that the next change isn't needed soon.
 const (
-	steadyFloorShare  = 0.25            // of the depth: a pool's floor in calm
-	fullPoolShare     = 0.9             // of the depth: with so much in it a pool counts as full
-	lowerThreshold    = 1.6             // times the floor: below it the floor is to be lowered
-	loweredFloorShare = 1.0 / 3         // of the level
-	minRaiseInterval  = 2 * time.Second // at most, of one tenant
+	steadyFloorShare  = 0.25            // of the depth: the floor of a pool that is full
+	fullPoolShare     = 0.9             // of the depth: from this level on a pool counts as full
+	lowerThreshold    = 1.6             // times the floor: at a level below it the floor is to be lowered
+	loweredFloorShare = 1.0 / 3         // of the level: a lowered floor
+	minRaiseInterval  = 2 * time.Second // between a change of a tenant's floor and a raise
 	minRaise          = 2 * token
 )
 
-// Floor is a level, in whole tokens, below which a tenant's pool doesn't fall while it is on record. An allocator that starts
-// finds so much in the pool, as the one before surely left it.
+// Floor is a recorded lower bound of a tenant's pool: the pool doesn't fall below it while it is recorded. An
+// allocator that starts a term starts with that many tokens in the pool, because its predecessor certainly left
+// them there. It must lower the floor itself before it grants them.
+//
+// Floors are part of the replicated state (gob): the names of the fields are fixed.
 type Floor struct {
 	Tenant string
-	Tokens int64
+	Tokens int64 // whole tokens
 }
 
-// floor is an account's.
+// poolFloor is the floor of one tenant's pool.
+//
+// Invariant: the pool's level is at least recorded, because grants leave bound in the pool. A raise applies from
+// when it is requested, a decrease only once it is recorded: so whatever of the two the record holds is kept.
 type poolFloor struct {
 	recorded     amount
-	pendingRaise amount // on its way to the record: it is kept to already
+	pendingRaise amount // requested, and perhaps recorded already
 	changedAt    time.Duration
 }
 
-// least is what a pool may not fall below.
+// bound is the level that grants may not go below.
 func (f *poolFloor) bound() amount { return max(f.recorded, f.pendingRaise) }
 
-// free is what may be granted from an account's pool.
-func (q *tenantQuota) grantable() amount { return max(0, q.pool.level-q.floor.bound()) }
-
-// lowers tells whether the floor stands in the way, or soon will.
+// needsLowerFloor reports whether the floor prevents grants or soon will.
 func (q *tenantQuota) needsLowerFloor() bool {
 	bound := q.floor.bound()
 	return bound > 0 && q.pool.level.float() < lowerThreshold*bound.float()
 }
 
-// raises tells whether the pool has been full while the floor was low. Full may be less than the floor to be, where much is lent
-// under a limit that was lowered.
+// allowsHigherFloor reports whether the pool is full and its floor is low. A full pool may hold less than
+// steadyFloor, where much is leased under a limit that was lowered: so the level must reach both.
 func (q *tenantQuota) allowsHigherFloor(now time.Duration) bool {
-	return q.pool.level >= q.steadyFloor() && q.pool.level.float() >= fullPoolShare*q.poolDepth().float() && now-q.floor.changedAt >= minRaiseInterval &&
-		q.steadyFloor() >= q.floor.recorded+minRaise
+	steady := q.steadyFloor()
+	return q.pool.level >= steady && q.pool.level.float() >= fullPoolShare*q.poolDepth().float() &&
+		now-q.floor.changedAt >= minRaiseInterval && steady >= q.floor.recorded+minRaise
 }
 
 func (q *tenantQuota) steadyFloor() amount { return amount(steadyFloorShare * float64(q.budget.depth)) }
 
-// Floors gives the floors that are to be changed on the record. Once they are, FloorsRecorded is to be called. Until then there
-// must be no other change out.
+// FloorChanges lists the floors to be changed in the record. The caller records them and then calls FloorsRecorded;
+// until the outcome is known it must have no other change in flight.
 func (a *Allocator) FloorChanges(now time.Duration) (changes []Floor) {
 	if !a.grantees.enabled || a.term == 0 {
 		return nil
@@ -66,10 +71,11 @@
 		switch {
 		case q.needsLowerFloor():
 			q.floor.changedAt = a.now
-			changes = append(changes, Floor{q.name, wholeTokens(amount(loweredFloorShare * float64(max(0, q.pool.level))))})
+			lowered := amount(loweredFloorShare * float64(max(0, q.pool.level)))
+			changes = append(changes, Floor{q.name, lowered.wholeTokens()})
 		case q.allowsHigherFloor(a.now):
 			q.floor.changedAt = a.now
-			raised := wholeTokens(q.steadyFloor())
+			raised := q.steadyFloor().wholeTokens()
 			q.floor.pendingRaise = amount(raised) * token
 			changes = append(changes, Floor{q.name, raised})
 		}
@@ -78,9 +84,7 @@
 	return changes
 }
 
-func wholeTokens(level amount) int64 { return int64(level / token) }
-
-// FloorsRecorded takes in that floors have been put on record.
+// FloorsRecorded tells the allocator that floors have been recorded.
 func (a *Allocator) FloorsRecorded(floors []Floor) {
 	for _, floor := range floors {
 		if a.recordedFloors != nil {
@@ -92,7 +96,8 @@
 	}
 }
 
-// Pressed tells whether a floor stands in the way of a grant, or soon will.
+// FloorChangeUrgent reports whether, since the last call, a grant has brought a pool so low that its floor prevents
+// grants or soon will. FloorChanges should then be called without delay.
 func (a *Allocator) FloorChangeUrgent() bool {
 	urgent := a.floorChangeUrgent
 	a.floorChangeUrgent = false
--- a/internal/quota/grantee_registry.go
+++ b/internal/quota/grantee_registry.go
@@ -7,23 +7,26 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// forgetAfter is how long a node on record is silent before it is to be taken off: much longer than any lease lasts.
+// granteeTTL is the time without contact after which a node is to be removed from the record: much longer than any
+// lease lasts.
 const granteeTTL = 30 * time.Second
 
-// record is the set of nodes to which anything may be lent, as the processes of control have agreed on it.
+// granteeRegistry is the set of nodes that may hold leases, as it is recorded in the control processes' replicated
+// state. A node is recorded before it gets its first lease, so that the next allocator knows whom to wait for: once
+// a process of each recorded node has reported, nothing is unaccounted and learning ends early.
 type granteeRegistry struct {
-	enabled       bool                     // else everybody may be lent to, and nobody is known to be all
-	lastContact   map[string]time.Duration // by when they were heard last in this term, or began to be on record
-	missing       []string                 // asked for and not on record
-	unreconciled  map[string]bool          // on record as the term began; no process of theirs has told what it holds
-	allReconciled bool
-	beganAt       time.Duration
-	nextScanAt    time.Duration
+	enabled       bool                     // false: nothing is recorded, and any node may hold leases
+	lastContact   map[string]time.Duration // of each recorded node; at first when the term began or the node was recorded
+	missing       []string                 // nodes that ask and aren't recorded
+	unreconciled  map[string]bool          // nodes recorded at the start of the term whose leases aren't all counted by name yet
+	allReconciled bool                     // unreconciled became empty
+	nextScanAt    time.Duration            // when EvictGrantees looks again
 }
 
-// begin starts a term and tells whether nobody can hold anything.
+// startTerm resets the registry to the recorded nodes, nil where nothing is recorded. It reports whether no node
+// can hold a lease.
 func (r *granteeRegistry) startTerm(now time.Duration, grantees []string) (mayHoldNone bool) {
-	*r = granteeRegistry{enabled: grantees != nil, beganAt: now}
+	*r = granteeRegistry{enabled: grantees != nil}
 	if !r.enabled {
 		return false
 	}
@@ -37,7 +40,7 @@
 	return r.allReconciled
 }
 
-// lendsTo tells whether a node may be lent to, and remembers that it should be where it may not.
+// mayLease reports whether a node may get leases. It notes a node that may not yet as missing from the record.
 func (r *granteeRegistry) mayLease(node string) bool {
 	if !r.enabled {
 		return true
@@ -51,8 +54,9 @@
 	return false
 }
 
-// noteTold takes in that a process has taken a reply of this term: all that it holds is counted by name, and processes that ran
-// on its node before it are dead.
+// noteReconciled notes a node as reconciled once one of its processes has taken a reply of this term: all that it
+// holds is counted by name, and processes that ran on its node before it are dead. When all recorded nodes are
+// reconciled, learning ends.
 func (a *Allocator) noteReconciled(holder *leaseHolder, request *protocol.QuotaRequest) {
 	r := &a.grantees
 	if !r.enabled {
@@ -70,10 +74,11 @@
 	}
 }
 
-// Unrecorded gives the nodes that ask and aren't on record. Once they are, Recorded is to be called.
+// MissingGrantees lists the nodes that ask for tokens and aren't recorded as grantees. The caller records them and
+// then calls GranteesRecorded; until then they get tokens and no leases.
 func (a *Allocator) MissingGrantees() []string { return slices.Clone(a.grantees.missing) }
 
-// Recorded takes in that nodes have been put on record.
+// GranteesRecorded tells the allocator that nodes have been recorded as grantees.
 func (a *Allocator) GranteesRecorded(nodes []string) {
 	r := &a.grantees
 	if !r.enabled {
@@ -87,7 +92,8 @@
 	r.missing = slices.DeleteFunc(r.missing, func(node string) bool { return slices.Contains(nodes, node) })
 }
 
-// Forget gives nodes that were silent for so long that they are to be taken off the record. Nothing is lent to them from now on.
+// EvictGrantees lists the nodes without contact for granteeTTL, for the caller to remove from the record. They get
+// no leases from now on, whether or not the removal succeeds.
 func (a *Allocator) EvictGrantees(now time.Duration) (nodes []string) {
 	r := &a.grantees
 	if !r.enabled || now < r.nextScanAt {
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -24,7 +24,8 @@
 	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
-// answered takes in that an allocator answered as of a moment: no two act at the same time. The answer may be made later.
+// answered takes in that an allocator answered as of a moment: no two act at the same time. The answer may be made
+// later.
 func (a *invariantChecker) answered(at time.Duration, term uint64) {
 	if term == 0 || a.sim.windowsOnly {
 		return
@@ -44,8 +45,8 @@
 	}
 }
 
-// run counts a request that a server runs and checks the rule. It counts as of the decision, which lies between the client's
-// sending and the arrival at a server: a window of the rule holds no more.
+// run counts a request that a server runs and checks the rule. It counts as of the decision, which lies between the
+// client's sending and the arrival at a server: a window of the rule holds no more.
 func (sim *simulation) recordRun(name string, g *simGateway) {
 	count := sim.counts[name]
 	count.served++
@@ -164,7 +165,8 @@
 	}
 }
 
-// checkFloors panics where the record says more of a pool than is in it: a successor would grant the difference once more.
+// checkFloors panics where the record says more of a pool than is in it: a successor would grant the difference
+// once more.
 func (sim *simulation) checkFloors(a *Allocator) {
 	for name := range sortedNames(sim.floors) {
 		q, tokens := a.tenants[name], sim.floors[name]
@@ -215,7 +217,8 @@
 	l.sequence, l.sentAt, l.replyTaken = sequence, now, false
 }
 
-// replied takes in a reply, if it is that to the newest request and not too old: what it brings counts from the request.
+// replied takes in a reply, if it is that to the newest request and not too old: what it brings counts from the
+// request.
 func (l *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
 	if l.replyTaken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
 		return
--- a/internal/quota/random_simulations_test.go
+++ b/internal/quota/random_simulations_test.go
@@ -95,8 +95,8 @@
 	t.faults, t.terms = t.faults+sim.faults, t.terms+len(sim.checker.terms)
 }
 
-// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S. However machines die, freeze,
-// are cut off and come, no tenant passes its bound, and calm heals all.
+// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S. However
+// machines die, freeze, are cut off and come, no tenant passes its bound, and calm heals all.
 func TestRandomSimulations(t *testing.T) {
 	first, count := envInt("FIRST", 1), envInt("SEEDS", defaultSimulations)
 	var all totals
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -42,8 +42,8 @@
 	return sim.controls[sim.leaderIndex]
 }
 
-// handle is what a control machine does with a request: it reads the clock, then makes sure that it leads, then answers. Now and
-// then it stands still between the two last.
+// handle is what a control machine does with a request: it reads the clock, then makes sure that it leads, then
+// answers. Now and then it stands still between the two last.
 func (sim *simulation) handle(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest) {
 	if control.dead {
 		return
@@ -129,8 +129,8 @@
 	})
 }
 
-// keepRecord does what falls to the lead: it has nodes put on record, and taken off it. A change of a lead that has been followed
-// has no effect.
+// keepRecord does what falls to the lead: it has nodes put on record, and taken off it. A change of a lead that has
+// been followed has no effect.
 func (sim *simulation) maintainGrantees() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.now < control.pausedUntil || sim.changePending {
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// learnAddress follows the list of members: that of the machine that leads, or of the only one in reach, which names itself.
+// learnAddress follows the list of members: that of the machine that leads, or of the only one in reach, which
+// names itself.
 func (g *simGateway) learnAddress(incarnation int) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -282,8 +283,8 @@
 	}
 }
 
-// delay is how long a message takes between a gateway and a control machine; below 0 it is lost. Where the path is cut it is lost
-// or comes when the cut ends.
+// delay is how long a message takes between a gateway and a control machine; below 0 it is lost. Where the path is
+// cut it is lost or comes when the cut ends.
 func (g *simGateway) delay(control *simControl, to direction) time.Duration {
 	sim := g.sim
 	if until := g.partitionedUntil(control, to); sim.now < until {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -60,7 +60,8 @@
 	pauseNext      bool                   // the lead stands still with its next request
 }
 
-// limitSince is a limit that was acknowledged. It binds alone once every gateway has been in touch for long enough after that.
+// limitSince is a limit that was acknowledged. It binds alone once every gateway has been in touch for long enough
+// after that.
 type limitChange struct {
 	acknowledgedAt time.Duration
 	rate, burst    float64
--- /dev/null
+++ b/internal/quota/tenant_quota.go
@@ -0,0 +1,121 @@
+package quota
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// Bounds of the time after which a gateway is told that an empty pool has tokens again.
+const (
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Second
+)
+
+// tenantQuota is the allocator's state of one tenant: the pool and the sums over all leases.
+//
+// Invariants: outstanding, demand and leaseCount are the sums over all holders' allocations. After a refill,
+// pool.level plus the depths of outstanding and unaccounted is at most budget.depth, except for what the floor
+// keeps in the pool after a limit was lowered (maxPoolLevel).
+type tenantQuota struct {
+	name      string
+	limited   bool // the tenant has a limit; the fields from budget on are valid only then
+	removed   bool // not in the configuration any more
+	removedAt time.Duration
+
+	budget      budget
+	pool        bucket
+	floor       poolFloor
+	outstanding lease  // upper bound of what known holders may spend from
+	unaccounted lease  // upper bound of what holders of earlier terms may have and haven't reported, until Allocator.learningUntil
+	demand      amount // per second, summed over holders
+	leaseCount  int    // holders with an outstanding lease
+}
+
+// unused reports whether no holder has a lease or demand.
+func (q *tenantQuota) unused() bool {
+	return q.leaseCount == 0 && q.outstanding.isZero() && q.demand == 0
+}
+
+func (a *Allocator) configureTenant(tenant *configuration.Tenant) {
+	q := a.tenants[tenant.Name]
+	isNew := q == nil
+	if isNew {
+		q = &tenantQuota{name: tenant.Name}
+		a.tenants[tenant.Name] = q
+	}
+	wasLimited := q.limited
+	q.removed = false
+	q.limited = tenant.RatePerSec > 0
+	if !q.limited {
+		return
+	}
+	if !isNew && wasLimited {
+		a.refill(q) // at the old rate up to now
+	}
+	q.budget = newBudget(a.options.Rules, tenant)
+	switch {
+	case !isNew && wasLimited:
+		q.pool.level = min(q.pool.level, q.maxPoolLevel())
+	case a.now < a.learningUntil:
+		a.enterLearning(q, 0)
+	default:
+		q.floor.recorded = a.recordedFloors[q.name]
+		q.pool = bucket{level: q.maxPoolLevel(), refilledAt: a.now}
+	}
+}
+
+// enterLearning resets a tenant's pool at the start of a term: everything that may be leased counts as leased by
+// earlier allocators, and the pool holds the recorded floor. What can't have been leased has flowed in during idle,
+// while no allocator was active.
+func (a *Allocator) enterLearning(q *tenantQuota, idle time.Duration) {
+	q.unaccounted = lease{q.budget.maxLeasedRate, q.budget.maxLeasedDepth}
+	q.floor = poolFloor{recorded: a.recordedFloors[q.name], changedAt: a.now}
+	q.pool = bucket{level: q.floor.recorded, refilledAt: a.now - idle}
+	a.refill(q)
+}
+
+// refill brings a pool up to now. What is or may be leased doesn't flow into it. Within a term every change of
+// outstanding or unaccounted is preceded by a refill, as the inflow changes with them.
+func (a *Allocator) refill(q *tenantQuota) {
+	if !q.unaccounted.isZero() {
+		q.pool.refill(min(a.now, a.learningUntil), q.inflow(), q.maxPoolLevel())
+		if a.now >= a.learningUntil {
+			q.unaccounted = lease{}
+		}
+	}
+	q.pool.refill(a.now, q.inflow(), q.maxPoolLevel())
+}
+
+// inflow is the rate per second that isn't leased.
+func (q *tenantQuota) inflow() amount { return q.budget.rate - q.outstanding.rate - q.unaccounted.rate }
+
+// poolDepth is the depth that isn't leased.
+func (q *tenantQuota) poolDepth() amount {
+	return max(0, q.budget.depth-q.outstanding.depth-q.unaccounted.depth)
+}
+
+// maxPoolLevel is the most that the pool may hold. Under a limit that was lowered, poolDepth may be less than the
+// floor: the tokens up to the floor stay in the pool, though none of them can be granted, until the floor has been
+// lowered in the record. Without that a successor would start with more tokens than this pool has.
+func (q *tenantQuota) maxPoolLevel() amount { return max(q.poolDepth(), q.floor.bound()) }
+
+// grantable is the part of the pool that may be granted.
+func (q *tenantQuota) grantable() amount { return max(0, q.pool.level-q.floor.bound()) }
+
+// grantTokens takes up to want whole tokens from the pool. Where there are fewer, the grant says when the rest will
+// have flowed in.
+func (q *tenantQuota) grantTokens(want int, grant *protocol.QuotaGrant) {
+	q.pool.level = min(q.pool.level, q.maxPoolLevel()) // more may have been leased since the refill
+	grant.Tokens = min(want, int(q.grantable()/token))
+	grant.ExpiresAfter = q.budget.tokenTTL
+	q.pool.level -= amount(grant.Tokens) * token
+	missing := want - grant.Tokens
+	if missing == 0 {
+		return
+	}
+	inflow := max(token/100, q.inflow()) // a pool whose rate is all leased would never fill
+	wait := time.Duration(float64(amount(missing)*token-q.grantable()) / float64(inflow) * float64(time.Second))
+	grant.RetryAfter = min(max(wait, minRetryAfter), maxRetryAfter)
+}
