--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -164,7 +164,9 @@
 }
 
 // answerDemand answers one demand of a request. The grant is part of the reply only if include is true.
-func (a *Allocator) answerDemand(holder *leaseHolder, demand *protocol.QuotaDemand) (grant protocol.QuotaGrant, include bool) {
+func (a *Allocator) answerDemand(
+	holder *leaseHolder, demand *protocol.QuotaDemand,
+) (grant protocol.QuotaGrant, include bool) {
 	grant.Tenant = demand.Tenant
 	q := a.tenants[demand.Tenant]
 	if q == nil || q.removed {
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -13,12 +13,12 @@
 	clockDriftMargin = 100 * time.Millisecond // the most that a clock may gain or lose over leaseTTL
 	maxTokenTTL      = 250 * time.Millisecond // longest lifetime of pool tokens
 	tokenTTLShare    = 0.4                    // part of the margin that the tokens' lifetime may cost
-	rateShare        = 0.9                    // part of the overshoot that is added to the rate, where the depth can spare it
+	rateShare        = 0.9                    // part of the overshoot that goes into the rate, if the depth can spare it
 	minMarginSeconds = 0.75                   // least margin, in seconds of the granted rate
-	reserveShare     = 0.1                    // part of overshoot and slack kept for requests that are charged after they were sent
+	reserveShare     = 0.1                    // part of overshoot and slack kept for Client.Charge
 	leasedDepthShare = 0.5                    // part of the depth that may be leased; the rest is the pool's
 	leasedRateShare  = 0.65                   // part of the rate that may be leased; the rest always flows into the pool
-	minLeaseDepth    = 1.0                    // tokens; a request takes a whole one, so a smaller bucket would never serve any
+	minLeaseDepth    = 1.0                    // tokens; a smaller bucket could never admit a request
 )
 
 // Rules are the parts of the rate-limit rule that are the same for all tenants (settings bounds.quota-*).
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -10,8 +10,8 @@
 
 // Timing of the exchange with the allocator.
 const (
-	reportInterval       = 300 * time.Millisecond // after which changed demand is reported and changed leases are acknowledged
-	renewInterval        = 600 * time.Millisecond // after which leases are renewed: a fifth of leaseTTL
+	reportInterval       = 300 * time.Millisecond // between reports of changed demand and acknowledgements
+	renewInterval        = 600 * time.Millisecond // until leases are renewed: a fifth of leaseTTL
 	minRequestInterval   = 5 * time.Millisecond   // between requests for tokens; the allocator may ask for a longer one
 	replyTimeout         = 600 * time.Millisecond // a reply that comes later is ignored
 	minBackoff           = 60 * time.Millisecond  // after a failed request; doubled with each further one
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -21,7 +21,7 @@
 const (
 	prefetchHorizon = 200 * time.Millisecond // tokens are asked for ahead for this time, beyond what the lease covers
 	prefetchPause   = time.Second            // after the pool was empty, none are asked for ahead
-	shortRefillWait = 20 * time.Millisecond  // one request waits for a lease that refills so soon, though the pool is empty
+	shortRefillWait = 20 * time.Millisecond  // with an empty pool, one request waits for a lease that refills so soon
 	maxTokenBatches = 4                      // the oldest is dropped for a further one
 	maxDebt         = 5 * token              // of a lease's bucket (Client.Charge)
 )
@@ -95,7 +95,8 @@
 
 // forgettable reports whether neither the client nor the allocator has any state of the tenant that matters.
 func (t *clientTenant) forgettable(now time.Duration) bool {
-	return t.lease.isZero() && t.waiting == 0 && t.reportedDemand == 0 && t.demand(now) == 0 && t.unexpiredPoolTokens(now) == 0
+	return t.lease.isZero() && t.waiting == 0 && t.reportedDemand == 0 && t.demand(now) == 0 &&
+		t.unexpiredPoolTokens(now) == 0
 }
 
 // tokensWanted is the number of tokens to ask for: one for each request that waits, and those for the demand of the
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -29,7 +29,7 @@
 			c.Return(second+10*millisecond, second+2*millisecond, tenant)
 			So(c.tenants["a"].leaseBucket.level, ShouldBeGreaterThan, token)
 		})
-		Convey("one that was taken longer ago than a token lasts is lost", func() {
+		Convey("one that was taken longer ago than a token's lifetime is lost", func() {
 			before := c.tenants["a"].leaseBucket.level
 			c.Return(second+300*millisecond, second+2*millisecond, tenant)
 			So(c.tenants["a"].leaseBucket.level, ShouldEqual, before)
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -8,14 +8,14 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// Lengths of troubles.
+// Bounds of faults.
 const (
 	maxPartition = 20 * second
 	maxPause     = 8 * second
 	maxGateways  = 20
 )
 
-// trouble brings one about, now and then.
+// injectFault draws a fault and injects it; some draws are none.
 func (sim *simulation) injectFault() {
 	if sim.now < 8*second || sim.faultsStopped {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// changeLimits raises and lowers limits, and has tenants go and come back.
+// changeLimits raises and lowers limits, and removes and adds tenants.
 func (sim *simulation) changeLimits() {
 	tenants := append(slices.Clone(sim.snapshot.Tenants), sim.removedTenants...)
 	sim.removedTenants = nil
@@ -86,6 +86,7 @@
 	sim.configure(tenants)
 }
 
+// restartHalf restarts each gateway with probability 1/2.
 func (sim *simulation) restartHalf() {
 	for _, one := range sim.gateways {
 		if sim.random.IntN(2) == 0 {
@@ -94,7 +95,7 @@
 	}
 }
 
-// acting gives the machine that leads with nothing in its way, or nil.
+// activeLeader gives the leader if nothing is ending its leadership yet, or nil.
 func (sim *simulation) activeLeader() *simControl {
 	control := sim.leader()
 	if control == nil || control.leadUntil < math.MaxInt64 {
@@ -103,13 +104,15 @@
 	return control
 }
 
-// lose ends the time of the lead: others decide on a view without it, and its proof of the epoch ages.
+// deposeAfterSuspicion ends a leadership as a failure detector does: the others suspect the leader and decide on a
+// view without it, while its lease runs out.
 func (sim *simulation) deposeAfterSuspicion(control *simControl) {
 	decided := sim.now + 700*millisecond + sim.randomDuration(600*millisecond)
 	control.leadUntil = min(decided, sim.now+leaderLease)
 	sim.elect((sim.leaderIndex+1)%len(sim.controls), decided, sim.takeOverWait())
 }
 
+// takeOverWait is the time from the decision on a new leader to its start.
 func (sim *simulation) takeOverWait() time.Duration {
 	if sim.bug == bugEarlyStart {
 		return 0
@@ -117,21 +120,21 @@
 	return takeOverDelay
 }
 
-// failOver ends the lead: by death, or by a freeze from which it wakes later.
-func (sim *simulation) failOver(freeze time.Duration) {
+// failOver ends the leadership by a crash, or by a pause from which the leader resumes later.
+func (sim *simulation) failOver(pause time.Duration) {
 	control := sim.activeLeader()
 	if control == nil {
 		return
 	}
 	sim.deposeAfterSuspicion(control)
-	if freeze > 0 {
-		control.pausedUntil = sim.now + freeze
+	if pause > 0 {
+		control.pausedUntil = sim.now + pause
 		return
 	}
 	sim.replaceAfter(sim.leaderIndex, control, sim.randomDuration(3*second))
 }
 
-// replaceAfter ends a process, and begins another in its place.
+// replaceAfter ends a process, and starts another in its place after downFor.
 func (sim *simulation) replaceAfter(index int, control *simControl, downFor time.Duration) {
 	control.dead = true
 	sim.schedule(sim.now+downFor, func() {
@@ -141,8 +144,8 @@
 	})
 }
 
-// isolate cuts the lead off, both ways or one way, from the other control machines and from the gateways; some of
-// these reach nobody but it.
+// partitionLeader separates the leader, in both directions or one, from the other control processes and from the
+// gateways; some gateways reach nobody but it.
 func (sim *simulation) partitionLeader(g *simGateway) {
 	control := sim.activeLeader()
 	if control == nil {
@@ -160,7 +163,7 @@
 	}
 }
 
-// depose decides on another head while the present one is in touch and has just proven its epoch.
+// depose decides on another leader while the present one is connected and has just renewed its lease.
 func (sim *simulation) depose() {
 	control := sim.activeLeader()
 	if control == nil {
@@ -170,7 +173,7 @@
 	sim.elect((sim.leaderIndex+1)%len(sim.controls), sim.now, sim.takeOverWait())
 }
 
-// handOver ends the lead as planned: it hands its task on, and another begins at once.
+// handOver ends the leadership in a planned way: the leader stops, and another starts at once.
 func (sim *simulation) handOver() {
 	control := sim.activeLeader()
 	if control == nil {
@@ -181,7 +184,7 @@
 	sim.elect((sim.leaderIndex+1)%len(sim.controls), sim.now, sim.randomDuration(100*millisecond))
 }
 
-// restartLead ends the lead's process; its next life on the same disk begins at once.
+// restartLeader ends the leader's process; its next incarnation on the same disk leads at once.
 func (sim *simulation) restartLeader() {
 	control := sim.activeLeader()
 	if control == nil {
@@ -193,7 +196,7 @@
 	sim.elect(index, sim.now, 150*millisecond+sim.randomDuration(500*millisecond))
 }
 
-// replace ends a control machine for good, and puts an empty one in its place.
+// replaceControl ends a control process for good, and puts an empty one in its place.
 func (sim *simulation) replaceControl(index int) {
 	control := sim.controls[index]
 	if control == sim.leader() {
@@ -204,7 +207,7 @@
 	sim.replaceAfter(index, control, sim.randomDuration(second))
 }
 
-// losePower ends all processes; the record is on disks.
+// losePower ends all processes; the record survives on disks.
 func (sim *simulation) losePower() {
 	lead := sim.activeLeader()
 	if lead == nil {
--- a/internal/quota/grantee_registry.go
+++ b/internal/quota/grantee_registry.go
@@ -18,7 +18,7 @@
 	enabled       bool                     // false: nothing is recorded, and any node may hold leases
 	lastContact   map[string]time.Duration // of each recorded node; at first when the term began or the node was recorded
 	missing       []string                 // nodes that ask and aren't recorded
-	unreconciled  map[string]bool          // nodes recorded at the start of the term whose leases aren't all counted by name yet
+	unreconciled  map[string]bool          // nodes recorded at the start of the term that aren't reconciled yet
 	allReconciled bool                     // unreconciled became empty
 	nextScanAt    time.Duration            // when EvictGrantees looks again
 }
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -3,29 +3,27 @@
 import (
 	"fmt"
 	"time"
-
-	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// auditor judges from outside: by what runs, what is on the wire and the machines' true clocks.
+// invariantChecker checks the simulation from outside: by the requests that run, the messages and the true time. It
+// panics at a violation.
 type invariantChecker struct {
 	sim     *simulation
-	ran     map[string][]time.Duration
-	worst   float64 // of the share of the bound that was used
-	worstAt string
-
-	terms map[uint64]*activeSpan
+	ran     map[string][]time.Duration // by tenant: when requests of the current window ran
+	worst   float64                    // largest share of the bound that a window used
+	worstAt string                     // where that was
+	terms   map[uint64]*activeSpan
 }
 
-// span is the time over which an allocator acted.
+// activeSpan is the time over which an allocator was active, as far as its answers show.
 type activeSpan struct{ from, to time.Duration }
 
 func newInvariantChecker(sim *simulation) invariantChecker {
 	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
-// answered takes in that an allocator answered as of a moment: no two act at the same time. The answer may be made
-// later.
+// answered notes that an allocator answered as of a moment, and checks that no two are active at the same time. The
+// answer may be made later.
 func (a *invariantChecker) answered(at time.Duration, term uint64) {
 	if term == 0 || a.sim.windowsOnly {
 		return
@@ -40,13 +38,14 @@
 	active.from, active.to = min(active.from, at), max(active.to, at)
 	for other, span := range a.terms {
 		if other != term && active.from < span.to && span.from < active.to {
-			panic(fmt.Sprintf("two allocators act: one from %v to %v, one from %v to %v", active.from, active.to, span.from, span.to))
+			panic(fmt.Sprintf("two allocators act: one from %v to %v, one from %v to %v",
+				active.from, active.to, span.from, span.to))
 		}
 	}
 }
 
-// run counts a request that a server runs and checks the rule. It counts as of the decision, which lies between the
-// client's sending and the arrival at a server: a window of the rule holds no more.
+// recordRun counts a request that a server runs and checks the rule. The request counts at the time of the
+// decision, which lies between the client's sending and the arrival at a server: no window of the rule has more.
 func (sim *simulation) recordRun(name string, g *simGateway) {
 	count := sim.counts[name]
 	count.served++
@@ -68,7 +67,7 @@
 	}
 }
 
-// most is the bound of the largest limit that may still bind.
+// maxInWindow is the rule's bound for the largest limit that may still apply.
 func (sim *simulation) maxInWindow(name string) float64 {
 	most := 0.0
 	list := sim.limits[name]
@@ -81,7 +80,8 @@
 	return most
 }
 
-// bind looks which limits bind alone, a window from now.
+// updateEffectiveLimits notes the limits that every gateway applies by now. Earlier limits don't apply any more a
+// window from then on.
 func (sim *simulation) updateEffectiveLimits() {
 	for name := range sortedNames(sim.usualRate) {
 		for _, one := range sim.limits[name] {
@@ -102,6 +102,7 @@
 	}
 }
 
+// recordRejected counts a rejected request.
 func (sim *simulation) recordRejected(name string, g *simGateway) {
 	count := sim.counts[name]
 	count.rejected++
@@ -111,7 +112,7 @@
 	}
 }
 
-// check panics where the allocator's books don't add up.
+// checkInvariants panics if a tenant's sums differ from its allocations, or its pool is below its floor.
 func (a *Allocator) checkInvariants() {
 	for _, q := range a.tenants {
 		sum, demand, leases := lease{}, amount(0), 0
@@ -128,12 +129,13 @@
 			panic(fmt.Sprintf("tenant %s has %v in its pool, floor %v", q.name, q.pool.level, q.floor.recorded))
 		}
 		if sum != q.outstanding || demand != q.demand || leases != q.leaseCount {
-			panic(fmt.Sprintf("tenant %s: books %v %v %d, entries %v %v %d", q.name, q.outstanding, q.demand, q.leaseCount, sum, demand, leases))
+			panic(fmt.Sprintf("tenant %s: sums %v %v %d, allocations %v %v %d",
+				q.name, q.outstanding, q.demand, q.leaseCount, sum, demand, leases))
 		}
 	}
 }
 
-// checkHeld panics where gateways hold more than the lead has committed.
+// checkOutstanding panics if gateways hold more than the leader's allocator counts.
 func (sim *simulation) checkOutstanding() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.windowsOnly {
@@ -143,8 +145,9 @@
 	sim.checkFloors(a)
 	for name := range sortedNames(a.tenants) {
 		q := a.tenants[name]
-		if limits := sim.limits[name]; len(limits) > 1 && sim.now < limits[len(limits)-1].acknowledgedAt+leaseTTL+2*clockDriftMargin {
-			continue // a larger limit's leases may be held still
+		limits := sim.limits[name]
+		if len(limits) > 1 && sim.now < limits[len(limits)-1].acknowledgedAt+leaseTTL+2*clockDriftMargin {
+			continue // leases of a larger limit may still be held
 		}
 		held := lease{}
 		for _, g := range sim.gateways {
@@ -165,8 +168,7 @@
 	}
 }
 
-// checkFloors panics where the record says more of a pool than is in it: a successor would grant the difference
-// once more.
+// checkFloors panics if a recorded floor is above the pool's level: a successor would grant the difference again.
 func (sim *simulation) checkFloors(a *Allocator) {
 	for name := range sortedNames(sim.floors) {
 		q, tokens := a.tenants[name], sim.floors[name]
@@ -178,105 +180,3 @@
 		}
 	}
 }
-
-// ledger is what one life of a gateway may spend at most, by the replies that it was sent in time.
-type entitlement struct {
-	sequence    uint64 // of the request that was sent last
-	sentAt      time.Duration
-	replyTaken  bool // its reply came
-	leaseExpiry time.Duration
-	tenants     map[string]*tenantEntitlement
-}
-
-// credit is a tenant's part.
-type tenantEntitlement struct {
-	poolTokens []tokenBatch
-	rate       float64 // of the lease
-	depth      float64
-	level      float64
-	refilledAt time.Duration
-}
-
-// ledgerRounding is what a credit's level may be short by, as its parts are rounded.
-const entitlementRounding = 1e-3
-
-func newEntitlement() entitlement {
-	return entitlement{replyTaken: true, tenants: map[string]*tenantEntitlement{}}
-}
-
-func (l *entitlement) of(tenant string) *tenantEntitlement {
-	part := l.tenants[tenant]
-	if part == nil {
-		part = &tenantEntitlement{}
-		l.tenants[tenant] = part
-	}
-	return part
-}
-
-func (l *entitlement) sent(now time.Duration, sequence uint64) {
-	l.sequence, l.sentAt, l.replyTaken = sequence, now, false
-}
-
-// replied takes in a reply, if it is that to the newest request and not too old: what it brings counts from the
-// request.
-func (l *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
-	if l.replyTaken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
-		return
-	}
-	l.replyTaken = true
-	l.expireLeases(now)
-	l.leaseExpiry = max(l.leaseExpiry, l.sentAt+reply.LeaseFor)
-	for _, grant := range reply.Grants {
-		part := l.of(grant.Tenant)
-		part.refill(now)
-		if grant.Change {
-			part.rate, part.depth = grant.Lease.Rate, grant.Lease.Depth
-		}
-		if grant.Tokens > 0 {
-			part.poolTokens = append(part.poolTokens, tokenBatch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
-		}
-	}
-}
-
-// expire ends the leases when their time is over.
-func (l *entitlement) expireLeases(now time.Duration) {
-	if now < l.leaseExpiry {
-		return
-	}
-	for _, part := range l.tenants {
-		part.rate, part.depth, part.level = 0, 0, 0
-	}
-}
-
-func (c *tenantEntitlement) refill(now time.Duration) {
-	c.level = min(c.level+c.rate*(now-c.refilledAt).Seconds(), c.depth)
-	c.refilledAt = now
-}
-
-// spend takes a token for a request that goes on, or panics where there is none.
-func (l *entitlement) spend(g *simGateway, tenant string) {
-	now, part := g.clock.read(), l.of(tenant)
-	l.expireLeases(now)
-	for len(part.poolTokens) > 0 {
-		first := &part.poolTokens[0]
-		if first.expiresAt > now && first.tokens > 0 {
-			first.tokens--
-			return
-		}
-		part.poolTokens = part.poolTokens[1:]
-	}
-	part.refill(now)
-	if part.level < 1-entitlementRounding && !g.sim.windowsOnly {
-		panic(fmt.Sprintf("at %v %s spent a token of %s without a grant in force", g.sim.now, g.node, tenant))
-	}
-	part.level--
-}
-
-// returned takes back a token that was taken a moment ago.
-func (l *entitlement) returned(now, taken time.Duration, tenant string) {
-	l.expireLeases(now)
-	if part := l.of(tenant); now-taken <= maxTokenTTL {
-		part.refill(now)
-		part.level = min(part.level+1, part.depth)
-	}
-}
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -150,6 +150,6 @@
 	}
 	p.outstanding = l
 	if q.outstanding.rate < 0 || q.outstanding.depth < 0 {
-		panic(fmt.Sprintf("quota: tenant %s has lent %v", q.name, q.outstanding))
+		panic(fmt.Sprintf("quota: tenant %s has a negative sum of outstanding leases: %v", q.name, q.outstanding))
 	}
 }
--- a/internal/quota/lease_policy.go
+++ b/internal/quota/lease_policy.go
@@ -45,14 +45,16 @@
 	}
 	others := q.outstanding.minus(part.outstanding).plus(q.unaccounted)
 	next.rate = min(next.rate, q.budget.maxLeasedRate-others.rate)
-	next.depth = min(next.depth, q.maxLeasedDepthFor(part.demand)-others.depth, q.budget.depth-q.floor.bound()-others.depth)
+	next.depth = min(next.depth,
+		q.maxLeasedDepthFor(part.demand)-others.depth,
+		q.budget.depth-q.floor.bound()-others.depth) // the floor's tokens stay in the pool
 	if next.rate < minLeaseRate || next.depth < tokens(minLeaseDepth) {
 		next = lease{}
 	}
 	if next == part.offered || !q.overcommitted() && next.similar(part.offered) {
 		return
 	}
-	part.setOutstanding(part.outstanding.max(next)) // an increase counts before it is sent, a decrease once it is acknowledged
+	part.setOutstanding(part.outstanding.max(next)) // a decrease counts only once it is acknowledged
 	part.setOffered(holder, next)
 	if part.unackedSequence == 0 { // an increase: it is sent in each reply until it is acknowledged
 		part.unackedSequence = holder.lastSequence
--- a/internal/quota/random_simulations_test.go
+++ b/internal/quota/random_simulations_test.go
@@ -20,24 +20,25 @@
 	faultInterval      = 700 * millisecond
 )
 
-// plant is a bug of the harness that the checks must find.
+// injectedBug is a deviation of the simulation from what the package requires of its callers or promises. The
+// checks must detect it.
 type injectedBug string
 
-// Bugs that the harness can plant.
+// The injected bugs.
 const (
 	bugNone              injectedBug = ""
 	bugUnprovenLeader    injectedBug = "an allocator grants without a proof that it leads"
-	bugEarlyStart        injectedBug = "a new head begins before the time of the one before has passed"
-	bugNoLearning        injectedBug = "a new allocator doesn't wait out its predecessor's leases"
-	bugGranteesForgotten injectedBug = "the record of who may hold leases is forgotten at a take-over"
-	bugFloorsNotLowered  injectedBug = "floors that were lowered aren't recorded"
-	bugLeaseFromReceipt  injectedBug = "a holder times grants from their receipt"
-	bugStaleClock        injectedBug = "a thawed holder decides by a clock that it read before"
-	bugLateReturn        injectedBug = "tokens are taken back however old they are"
+	bugEarlyStart        injectedBug = "a new leader starts before its predecessor's lease has ended"
+	bugNoLearning        injectedBug = "a new allocator doesn't wait for its predecessor's leases to end"
+	bugGranteesForgotten injectedBug = "the recorded grantees are forgotten at a take-over"
+	bugFloorsNotLowered  injectedBug = "lowered floors aren't recorded"
+	bugLeaseFromReceipt  injectedBug = "a holder times leases from the receipt of the reply"
+	bugStaleClock        injectedBug = "a resumed holder decides by a time read before its pause"
+	bugLateReturn        injectedBug = "tokens are returned however old they are"
 )
 
-// playWorld plays a world with all troubles and tells what broke. The seed says what it is like. In a hollow one only
-// the rule's windows are checked.
+// runSimulation runs a simulation with all faults and gives the first violation of an invariant, or "". The seed
+// determines all of it. With windowsOnly, only the rule's windows are checked.
 func runSimulation(seed uint64, bug injectedBug, windowsOnly bool) (sim *simulation, violation string) {
 	sim = newSimulation(seed, 3+int(seed%4)*4, typicalTenants())
 	defer func() {
@@ -46,7 +47,8 @@
 		}
 	}()
 	sim.bug, sim.windowsOnly, sim.lossRate, sim.slowRate = bug, windowsOnly, 0.01, 0.02
-	sim.overload["tenant-0"], sim.overload["tenant-3"], sim.overload["tenant-6"] = 16, 16, 8 // ten times their limit, and five times
+	sim.overload["tenant-0"], sim.overload["tenant-3"] = 16, 16 // ten times their limit
+	sim.overload["tenant-6"] = 8                                // five times its limit
 	sim.steadyLimits, sim.refunds = seed%2 == 0, seed%3 != 0
 	sim.start()
 	sim.every(faultInterval, sim.injectFault)
@@ -60,7 +62,7 @@
 	return sim, ""
 }
 
-// honest gives what tenants within their limits were owed, and refused.
+// rejectedWithinLimits sums over the tenants that stay within their limits.
 func (sim *simulation) rejectedWithinLimits() (rejected, expected int) {
 	for name, count := range sim.counts {
 		if sim.overload[name] == 0 && sim.steadyLimits {
@@ -71,15 +73,15 @@
 	return rejected, expected
 }
 
-// wanted reads a number from the environment.
-func envInt(name string, usual int) int {
+// envInt reads a number from the environment.
+func envInt(name string, defaultValue int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
-	return usual
+	return defaultValue
 }
 
-// total is what came of several worlds.
+// totals are the results of several simulations.
 type totals struct {
 	mutex                             sync.Mutex
 	worst                             float64
@@ -87,16 +89,17 @@
 }
 
 func (t *totals) add(sim *simulation) {
-	refused, owed := sim.rejectedWithinLimits()
+	rejected, expected := sim.rejectedWithinLimits()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.worst = max(t.worst, sim.checker.worst)
-	t.rejected, t.expected = t.rejected+refused, t.expected+owed
+	t.rejected, t.expected = t.rejected+rejected, t.expected+expected
 	t.faults, t.terms = t.faults+sim.faults, t.terms+len(sim.checker.terms)
 }
 
-// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S. However
-// machines die, freeze, are cut off and come, no tenant passes its bound, and calm heals all.
+// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S. Under
+// any faults no tenant exceeds its bound, and without further faults nearly all requests within limits are served
+// again.
 func TestRandomSimulations(t *testing.T) {
 	first, count := envInt("FIRST", 1), envInt("SEEDS", defaultSimulations)
 	var all totals
@@ -108,18 +111,19 @@
 		}
 		all.add(sim)
 	})
-	refused := float64(all.rejected) / float64(max(1, all.expected))
-	t.Logf("%d worlds, %d troubles, %d terms; worst window %.3f of the bound; once calm, %.5f of %d requests of honest tenants refused",
-		count, all.faults, all.terms, all.worst, refused, all.expected)
-	if refused > 0.005 {
-		t.Errorf("once calm, %.5f of %d requests of honest tenants were refused", refused, all.expected)
+	rejected := float64(all.rejected) / float64(max(1, all.expected))
+	t.Logf("%d simulations, %d faults, %d terms; fullest window %.3f of the bound; "+
+		"without faults, %.5f of %d requests within limits rejected",
+		count, all.faults, all.terms, all.worst, rejected, all.expected)
+	if rejected > 0.005 {
+		t.Errorf("without faults, %.5f of %d requests within limits were rejected", rejected, all.expected)
 	}
 	if count >= defaultSimulations && all.worst < 0.6 {
 		t.Errorf("no window came near its bound: %.3f", all.worst)
 	}
 }
 
-// eachWorld calls play for the numbers up to count, a few at a time.
+// eachSimulation calls run for the numbers below count, a few at a time.
 func eachSimulation(count int, run func(number int)) {
 	numbers := make(chan int)
 	var wait sync.WaitGroup
@@ -137,7 +141,7 @@
 	wait.Wait()
 }
 
-// foundBy tells for each bug what finds it.
+// detectedBy has for each injected bug a part of the violation that must be reported.
 var detectedBy = map[injectedBug]string{
 	bugUnprovenLeader:    "two allocators act",
 	bugEarlyStart:        "two allocators act",
@@ -149,37 +153,38 @@
 	bugLateReturn:        "without a grant in force",
 }
 
-// TestPlantedBugs shows that the worlds find each bug, by the check that is meant for it.
+// TestInjectedBugs shows that the simulations detect each injected bug, by the check that is meant for it.
 func TestInjectedBugs(t *testing.T) {
-	const mostWorlds = 40
+	const maxSimulations = 40
 	for bug, reason := range detectedBy {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= mostWorlds; seed++ {
+			for seed := uint64(1); seed <= maxSimulations; seed++ {
 				_, violation := runSimulation(seed, bug, false)
 				if strings.Contains(violation, reason) {
-					t.Logf("found in world %d: %s", seed, violation)
+					t.Logf("found by seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Errorf("not found in %d worlds", mostWorlds)
+			t.Errorf("not found in %d simulations", maxSimulations)
 		})
 	}
 }
 
-// TestWindowBreaks shows that the rule itself breaks where two allocators act, with all other checks off.
+// TestWindowBreaks shows that the rule's windows alone detect two active allocators, with all other checks off.
 func TestWindowBreaks(t *testing.T) {
-	const mostWorlds = 40
-	for seed := uint64(1); seed <= mostWorlds; seed++ {
-		if _, violation := runSimulation(seed, bugUnprovenLeader, true); strings.Contains(violation, "in a window that allows") {
-			t.Logf("world %d: %s", seed, violation)
+	const maxSimulations = 40
+	for seed := uint64(1); seed <= maxSimulations; seed++ {
+		_, violation := runSimulation(seed, bugUnprovenLeader, true)
+		if strings.Contains(violation, "in a window that allows") {
+			t.Logf("seed %d: %s", seed, violation)
 			return
 		}
 	}
-	t.Errorf("no window broke in %d worlds", mostWorlds)
+	t.Errorf("no window was exceeded in %d simulations", maxSimulations)
 }
 
-// siteTenants has a few large and some small ones, as the sites do.
+// typicalTenants has a few large tenants and some small ones.
 func typicalTenants() []configuration.Tenant {
 	var list []configuration.Tenant
 	for i, rate := range []float64{76, 48, 30, 18, 12, 8, 5, 2} {
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -13,8 +13,8 @@
 type simControl struct {
 	clock       driftingClock
 	allocator   *Allocator
-	configured  uint64
-	leadUntil   time.Duration
+	configured  uint64        // index of the configuration
+	leadUntil   time.Duration // when its leadership ends; the maximum while nothing ends it
 	pausedUntil time.Duration
 	partition   partition
 	dead        bool
@@ -34,7 +34,7 @@
 	}
 }
 
-// leader is the machine that the list of members names.
+// leader is the process that the membership names.
 func (sim *simulation) leader() *simControl {
 	if sim.leaderIndex < 0 {
 		return nil
@@ -42,8 +42,8 @@
 	return sim.controls[sim.leaderIndex]
 }
 
-// handle is what a control machine does with a request: it reads the clock, then makes sure that it leads, then
-// answers. Now and then it stands still between the two last.
+// handle is what a control process does with a request: it reads the clock, then checks that it leads, then
+// answers. Now and then it pauses between the last two.
 func (sim *simulation) handle(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest) {
 	if control.dead {
 		return
@@ -67,8 +67,11 @@
 	sim.answer(control, g, incarnation, request, clock, at)
 }
 
-// answer asks the allocator, as of a moment at which the machine led.
-func (sim *simulation) answer(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest, clock, at time.Duration) {
+// answer has the allocator answer a request as of a moment when the process led: clock by its own clock, at by
+// simulation time.
+func (sim *simulation) answer(
+	control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest, clock, at time.Duration,
+) {
 	if control.dead {
 		return
 	}
@@ -91,7 +94,8 @@
 	}
 }
 
-// elect makes a control machine the lead after the one before it surely ended: the first from next on that runs.
+// elect makes a control process the leader after the previous leader's lease has surely ended: the first from next
+// on that runs.
 func (sim *simulation) elect(next int, decided, wait time.Duration) {
 	sim.schedule(decided+wait, func() {
 		for range sim.controls {
@@ -105,12 +109,12 @@
 	})
 }
 
-// begin has a machine record itself as the lender, and then act.
+// becomeGrantor has a process record itself as the grantor, and then start its allocator.
 func (sim *simulation) becomeGrantor(next int) {
 	control := sim.controls[next]
 	sim.grantor = control
 	sim.grantorTerm++
-	nodes, floors := append([]string{}, sim.grantees...), sim.floorList()
+	grantees, floors := append([]string{}, sim.grantees...), sim.floorList()
 	sim.schedule(sim.now+sim.randomDuration(50*millisecond), func() {
 		if sim.grantor != control || control.dead || sim.now < max(control.pausedUntil, control.partition.until) {
 			sim.elect(next, sim.now, takeOverDelay)
@@ -119,9 +123,9 @@
 		sim.leaderIndex = next
 		control.configure(sim.snapshot)
 		if sim.bug == bugGranteesForgotten {
-			nodes = []string{}
+			grantees = []string{}
 		}
-		control.allocator.Start(control.clock.read(), 0, nodes, floors)
+		control.allocator.Start(control.clock.read(), 0, grantees, floors)
 		if sim.bug == bugNoLearning {
 			control.allocator.learningUntil = control.allocator.now
 		}
@@ -129,8 +133,8 @@
 	})
 }
 
-// keepRecord does what falls to the lead: it has nodes put on record, and taken off it. A change of a lead that has
-// been followed has no effect.
+// maintainGrantees is the leader's periodic work: it changes the recorded floors and grantees as its allocator asks
+// for. A change by a leader that has a successor has no effect.
 func (sim *simulation) maintainGrantees() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.now < control.pausedUntil || sim.changePending {
@@ -158,7 +162,7 @@
 	}
 }
 
-// change changes the record, as long as its owner wants it, and tells the owner.
+// changeGrantees changes the record, unless there is a new grantor by then, and notifies the grantor.
 func (sim *simulation) changeGrantees(record, notify func()) {
 	sim.changePending = true
 	term := sim.grantorTerm
@@ -176,12 +180,12 @@
 	})
 }
 
-// recordFloors puts floors on record, or fails to, or does without the lead's hearing of it.
+// recordFloors records floors, or loses the change, or loses the notification of the leader.
 func (sim *simulation) recordFloors(control *simControl, floors []Floor) {
 	sim.changePending = true
 	share := min(0.1, 10*sim.lossRate)
 	term := sim.grantorTerm
-	lost, unheard := sim.random.Float64() < share, sim.random.Float64() < share
+	lost, unnotified := sim.random.Float64() < share, sim.random.Float64() < share
 	sim.schedule(sim.now+sim.randomDuration(20*millisecond), func() {
 		sim.changePending = false
 		if sim.grantorTerm != term || lost {
@@ -190,12 +194,12 @@
 		if sim.floors == nil {
 			sim.floors = map[string]int64{}
 		}
-		for _, one := range floors {
-			if sim.bug != bugFloorsNotLowered || one.Tokens > sim.floors[one.Tenant] {
-				sim.floors[one.Tenant] = one.Tokens
+		for _, floor := range floors {
+			if sim.bug != bugFloorsNotLowered || floor.Tokens > sim.floors[floor.Tenant] {
+				sim.floors[floor.Tenant] = floor.Tokens
 			}
 		}
-		if !unheard {
+		if !unnotified {
 			control.allocator.FloorsRecorded(floors)
 		}
 	})
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -9,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// simGateway is a gateway's process and what its carrier does.
+// simGateway is a gateway's process, with what quotaclient does around a Client.
 type simGateway struct {
 	sim                *simulation
 	node               string
@@ -19,18 +19,19 @@
 	incarnation        int
 	alive              bool
 	pausedUntil        time.Duration
-	pausedAt           time.Duration // as its clock told then
+	pausedAt           time.Duration // by its clock
 	partition          partition
-	onlyReachable      *simControl // the only machine that it reaches, until aloneUntil
+	onlyReachable      *simControl // the only control process that it reaches, until onlyReachableUntil
 	onlyReachableUntil time.Duration
-	connectedSince     time.Duration // in touch from then on
-	allocator          *simControl   // that it asks
+	connectedSince     time.Duration // connected and configured from then on, if nothing else happens
+	allocator          *simControl   // as the membership names it; nil: not known
 	waiting            []*waitingRequest
 	wakeAt             time.Duration
-	share              float64
+	share              float64 // weight of this gateway in the choice of one for a request
 	entitlement        entitlement
 }
 
+// waitingRequest is a request that waits for a token.
 type waitingRequest struct {
 	tenant   *configuration.Tenant
 	deadline time.Duration
@@ -44,7 +45,7 @@
 	return g
 }
 
-// start begins a life. One that reaches only a machine that is cut off gets no configuration.
+// start begins an incarnation.
 func (g *simGateway) start() {
 	sim := g.sim
 	g.incarnation++
@@ -61,6 +62,7 @@
 	sim.schedule(sim.now+100*millisecond+sim.randomDuration(300*millisecond), func() { g.learnAddress(incarnation) })
 }
 
+// takeSnapshot applies a configuration, once the gateway is reachable.
 func (g *simGateway) takeSnapshot(incarnation int, snapshot *configuration.Snapshot) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -96,7 +98,7 @@
 	g.connectedSince = max(g.connectedSince, one.until+3*second)
 }
 
-// join leaves a gateway one machine that it reaches, and restarts it there in half of the cases.
+// reachOnly leaves a gateway only one control process that it reaches, and restarts it in half of the cases.
 func (g *simGateway) reachOnly(only *simControl, length time.Duration) {
 	sim := g.sim
 	g.onlyReachable, g.onlyReachableUntil = only, sim.now+length
@@ -106,8 +108,7 @@
 	}
 }
 
-// learnAddress follows the list of members: that of the machine that leads, or of the only one in reach, which
-// names itself.
+// learnAddress follows the membership: it names the leader, or the only reachable process, which names itself.
 func (g *simGateway) learnAddress(incarnation int) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -125,15 +126,15 @@
 	sim.schedule(sim.now+200*millisecond+sim.randomDuration(200*millisecond), func() { g.learnAddress(incarnation) })
 }
 
-// still tells whether the process stands still.
 func (g *simGateway) paused() bool { return g.sim.now < g.pausedUntil }
 
-// afterThaw runs what comes up while the process stands still, in any order once it goes on.
+// afterResume runs what happens during a process pause when the process resumes, in random order.
 func (g *simGateway) afterResume(run func()) {
 	g.sim.schedule(g.pausedUntil+g.sim.randomDuration(millisecond), run)
 }
 
-// request is a client's, at this gateway. One that comes while the process stands still is read as it thaws.
+// clientRequest is a request of a client at this gateway. One that arrives during a process pause is read when the
+// process resumes.
 func (g *simGateway) clientRequest(name string) {
 	if !g.alive || g.snapshot == nil {
 		return
@@ -150,7 +151,8 @@
 	g.arrive(name, 0)
 }
 
-// arrive decides about a request. Froze is what the clock told as the process froze before this request was read.
+// arrive decides on a request. A pausedAt other than 0 is the clock's time when the process paused, before it read
+// this request.
 func (g *simGateway) arrive(name string, pausedAt time.Duration) {
 	sim := g.sim
 	if !g.alive || g.paused() {
@@ -169,7 +171,7 @@
 	g.pump()
 }
 
-// settle does what a verdict says.
+// applyVerdict does what a verdict on an arriving request says.
 func (g *simGateway) applyVerdict(tenant *configuration.Tenant, verdict Verdict) {
 	sim := g.sim
 	switch {
@@ -189,7 +191,7 @@
 	}
 }
 
-// admitted sends a request on, or gives its token back: soon, or after a time that the process stood still.
+// admitted has a server run a request, or returns its token.
 func (g *simGateway) admitted(tenant *configuration.Tenant) {
 	sim := g.sim
 	taken, incarnation := g.clock.read(), g.incarnation
@@ -203,7 +205,7 @@
 	}
 	soon := 2 * millisecond
 	if sim.random.IntN(20) == 0 {
-		soon = 600 * millisecond // on a machine that is busy
+		soon = 600 * millisecond // as on a busy machine; tokens have expired by then
 	}
 	sim.schedule(sim.now+sim.randomDuration(soon), func() { g.returnToken(incarnation, tenant, taken) })
 }
@@ -225,7 +227,7 @@
 	g.client.Return(now, taken, tenant)
 }
 
-// sendAgain has a server run a request once more.
+// retry has a server run a request once more.
 func (g *simGateway) retry(incarnation int, tenant *configuration.Tenant) {
 	if g.incarnation != incarnation || !g.alive || g.paused() {
 		return
@@ -234,7 +236,7 @@
 	g.sim.recordRun(tenant.Name, g)
 }
 
-// pump resolves what waits, sends what is due and sets the next wake-up.
+// pump resolves the requests that wait, sends what is due and schedules the next call.
 func (g *simGateway) pump() {
 	sim := g.sim
 	if !g.alive {
@@ -283,8 +285,8 @@
 	}
 }
 
-// delay is how long a message takes between a gateway and a control machine; below 0 it is lost. Where the path is
-// cut it is lost or comes when the cut ends.
+// delay gives how long a message takes between a gateway and a control process; below 0 it is lost. Under a
+// partition it is lost or arrives when the partition ends.
 func (g *simGateway) delay(control *simControl, to direction) time.Duration {
 	sim := g.sim
 	if until := g.partitionedUntil(control, to); sim.now < until {
@@ -302,7 +304,7 @@
 	return 300*time.Microsecond + sim.randomDuration(2*millisecond)
 }
 
-// pathCut tells until when messages don't pass, outward from the gateway or inward to it.
+// partitionedUntil gives the time until which messages don't pass, outbound from the gateway or inbound to it.
 func (g *simGateway) partitionedUntil(control *simControl, to direction) time.Duration {
 	if g.sim.now < g.onlyReachableUntil {
 		if g.onlyReachable == control {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -13,17 +13,18 @@
 const (
 	second           = time.Second
 	millisecond      = time.Millisecond
-	defaultWait      = 40 * millisecond  // that a request waits for a token
-	leaderLease      = 800 * millisecond // a head leads after the last proof of its epoch
-	takeOverDelay    = second            // a successor starts so long after its view was decided
-	configApplyBound = 2 * second        // a gateway that was in touch for so long has the newest configuration
-	refundShare      = 0.03              // of admitted requests: their token goes back
-	retryShare       = 0.003             // of requests: sent once more after a server may have run them
+	defaultWait      = 40 * millisecond  // the longest that a request waits for a token
+	leaderLease      = 800 * millisecond // a leader may act for so long after its last confirmation
+	takeOverDelay    = second            // from the decision on a new leader to its start; longer than leaderLease
+	configApplyBound = 2 * second        // a gateway that was connected for so long has the newest configuration
+	refundShare      = 0.03              // of admitted requests: their token is returned
+	retryShare       = 0.003             // of admitted requests: charged and run once more
 )
 
 var testRules = Rules{Window: 5 * second, Overshoot: 0.1, Slack: 20}
 
-// world is gateways, control machines and clients in virtual time.
+// simulation is gateways, control processes and clients in virtual time. It is a function of its seed: every random
+// draw comes from random, and events run in the order of their times.
 type simulation struct {
 	random      *rand.Rand
 	now         time.Duration
@@ -33,35 +34,37 @@
 	limits      map[string][]*limitChange
 	gateways    []*simGateway
 	controls    []*simControl
-	leaderIndex int // of controls; -1: none
-	lossRate    float64
-	slowRate    float64 // share of messages that take long
-	usualRate   map[string]float64
-	overload    map[string]float64
+	leaderIndex int                // into controls; -1: none
+	lossRate    float64            // share of messages that are lost
+	slowRate    float64            // share of messages that take long
+	usualRate   map[string]float64 // requests per second, by tenant
+	overload    map[string]float64 // factor on usualRate, by tenant; 0 and 1: none
 	checker     invariantChecker
 	bug         injectedBug
 	counts      map[string]*requestCounts
-	messages    int
-	demands     int
+	messages    int // requests to the allocator
+	demands     int // in these
+
+	// The replicated record.
+	grantees      []string
+	floors        map[string]int64
+	grantor       *simControl // whose changes have effect
+	grantorTerm   int         // rises with each grantor: a late change of an earlier term of the same one has no effect
+	changePending bool
 
-	grantees       []string // nodes that may be lent to, as agreed
-	floors         map[string]int64
-	grantor        *simControl
-	grantorTerm    int  // counts the owners: a change of an earlier time of the same owner has no effect
-	changePending  bool // a change of the record is on its way
-	faultsStopped  bool // no more troubles
-	maxWait        time.Duration
-	windowsOnly    bool          // only the rule's windows are checked
-	allocatorTime  time.Duration // in the allocator
-	steadyLimits   bool
-	refunds        bool // tokens go back, and requests are sent once more
 	faults         int
-	removedTenants []configuration.Tenant // that the configuration in force doesn't have
-	pauseNext      bool                   // the lead stands still with its next request
+	faultsStopped  bool
+	pauseNext      bool // the leader pauses between the check that it leads and the answer to its next request
+	steadyLimits   bool // limits don't change
+	removedTenants []configuration.Tenant
+	refunds        bool          // tokens are returned, and requests are retried
+	maxWait        time.Duration // of a request for a token
+	windowsOnly    bool          // only the rule's windows are checked
+	allocatorTime  time.Duration // real time spent in the allocator
 }
 
-// limitSince is a limit that was acknowledged. It binds alone once every gateway has been in touch for long enough
-// after that.
+// limitChange is an acknowledged change of a tenant's limit. Earlier limits may still apply somewhere until every
+// gateway has been connected for long enough after that.
 type limitChange struct {
 	acknowledgedAt time.Duration
 	rate, burst    float64
@@ -69,6 +72,8 @@
 	effectiveAt    time.Duration // 0: not yet
 }
 
+// requestCounts are totals of one tenant. Expected are the requests within its limit that came through gateways
+// that were connected: the system should serve nearly all of them.
 type requestCounts struct{ offered, served, rejected, expected, expectedRejected int }
 
 func newSimulation(seed uint64, gateways int, tenants []configuration.Tenant) *simulation {
@@ -91,7 +96,7 @@
 	return sim
 }
 
-// configure makes a configuration current; processes take it in a little later.
+// configure makes a configuration current; processes apply it a little later.
 func (sim *simulation) configure(tenants []configuration.Tenant) {
 	index := uint64(1)
 	if sim.snapshot != nil {
@@ -114,29 +119,32 @@
 	}
 }
 
+// randomDuration draws uniformly from 0 to most.
 func (sim *simulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(sim.random.Float64() * float64(most))
 }
 
-// traffic has a tenant's clients send: gateways get uneven shares, and the whole swings.
+// generateTraffic sends a tenant's next request and schedules the one after. Gateways get uneven shares, and the
+// rate swings by 0.35 around the usual.
 func (sim *simulation) generateTraffic(name string) {
 	rate := sim.usualRate[name] * max(1, sim.overload[name])
 	rate *= 1 + 0.35*math.Sin(2*math.Pi*sim.now.Seconds()/11)
-	all := 0.0
+	sum := 0.0
 	for _, g := range sim.gateways {
-		all += g.share
+		sum += g.share
 	}
-	pick := sim.random.Float64() * all
+	pick := sim.random.Float64() * sum
 	for _, g := range sim.gateways {
 		if pick -= g.share; pick < 0 {
 			g.clientRequest(name)
 			break
 		}
 	}
-	sim.schedule(sim.now+time.Duration(sim.random.ExpFloat64()/rate*float64(second)), func() { sim.generateTraffic(name) })
+	gap := time.Duration(sim.random.ExpFloat64() / rate * float64(second))
+	sim.schedule(sim.now+gap, func() { sim.generateTraffic(name) })
 }
 
-// sortedNames gives the keys in order, so that a seed replays.
+// sortedNames iterates over the keys in order, so that a seed replays.
 func sortedNames[V any](m map[string]V) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for _, name := range slices.Sorted(maps.Keys(m)) {
--- a/internal/quota/single_faults_test.go
+++ b/internal/quota/single_faults_test.go
@@ -6,7 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestSingleTroubles measures what one trouble costs honest tenants, over the twelve seconds from its beginning.
+// TestSingleFaults measures what one fault costs tenants within their limits, over the twelve seconds from its
+// beginning.
 func TestSingleFaults(t *testing.T) {
 	faults := []struct {
 		name  string
@@ -15,9 +16,9 @@
 	}{
 		{"none", func(*simulation) {}, 0.005},
 		{"the allocator's machine dies", func(sim *simulation) { sim.failOver(0) }, 0.08},
-		{"the allocator's machine freezes and thaws", func(sim *simulation) { sim.failOver(3 * second) }, 0.08},
+		{"the allocator's machine pauses and resumes", func(sim *simulation) { sim.failOver(3 * second) }, 0.08},
 		{"a gateway restarts", func(sim *simulation) { sim.gateways[0].crash(second) }, 0.005},
-		{"a gateway freezes for 3 s", func(sim *simulation) { sim.gateways[1].pause(3 * second) }, 0.01},
+		{"a gateway pauses for 3 s", func(sim *simulation) { sim.gateways[1].pause(3 * second) }, 0.01},
 		{"a gateway comes", func(sim *simulation) { sim.addGateway() }, 0.005},
 		{"six of eleven gateways restart", func(sim *simulation) {
 			for _, g := range sim.gateways[:6] {
@@ -31,9 +32,9 @@
 			}
 		}, 0.04},
 	}
-	Convey("One trouble costs honest tenants little", t, func() {
+	Convey("One fault costs tenants within their limits little", t, func() {
 		for _, fault := range faults {
-			refused, owed := 0, 0
+			rejected, expected := 0, 0
 			for seed := range uint64(6) {
 				sim := newSimulation(seed+1, 11, typicalTenants())
 				sim.start()
@@ -50,12 +51,12 @@
 				}
 				sim.runUntil(32 * second)
 				for _, count := range sim.counts {
-					refused += count.expectedRejected
-					owed += count.expected
+					rejected += count.expectedRejected
+					expected += count.expected
 				}
 			}
-			share := float64(refused) / float64(owed)
-			t.Logf("%s: %.4f of %d refused", fault.name, share, owed)
+			share := float64(rejected) / float64(expected)
+			t.Logf("%s: %.4f of %d rejected", fault.name, share, expected)
 			So(share, ShouldBeLessThan, fault.allow)
 		}
 	})
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -14,7 +14,7 @@
 
 var size = flag.Bool("size", false, "measure the allocator at several sizes")
 
-// TestAtSize measures what quotas cost at sizes up to that which the operators name.
+// TestAtSize measures the cost of quotas at sizes up to the operators' largest.
 func TestAtSize(t *testing.T) {
 	if !*size {
 		t.Skip("a measurement: run with -args -size")
@@ -26,23 +26,24 @@
 		}{{14, 8, 190}, {62, 76, 520}, {130, 1000, 5000}, {400, 10000, 33000}} {
 			const seconds = 12
 			sim := newSimulation(1, one.gateways, spreadTenants(one.tenants, one.perSecond))
-			sim.windowsOnly, sim.maxWait = true, 100*millisecond // a fifth of the aims at size, at most
+			sim.windowsOnly, sim.maxWait = true, 100*millisecond // a fifth of the latency targets at size, at most
 			sim.elect(0, 0, takeOverDelay)
 			for name := range sortedNames(sim.usualRate) {
 				sim.schedule(5*second, func() { sim.generateTraffic(name) })
 			}
 			sim.runUntil(7 * second)
-			messages, sizes, spent := sim.messages, sim.demands, sim.allocatorTime
+			messages, demands, spent := sim.messages, sim.demands, sim.allocatorTime
 			for _, count := range sim.counts {
 				*count = requestCounts{}
 			}
 			sim.runUntil((7 + seconds) * second)
-			entries, memory := sim.controls[0].allocator.footprint()
-			share, owed := sim.rejectedShare(names(sim)...)
+			allocations, memory := sim.controls[0].allocator.footprint()
+			share, expected := sim.rejectedShare(names(sim)...)
 			n := float64(sim.messages - messages)
-			t.Logf("%d gateways, %d tenants, %.0f requests/s: %.1f messages a second a gateway, %.1f demands each; allocator %.0f messages/s, %.4f of a core, %d entries, %.1f MB; %.5f of %d refused",
-				one.gateways, one.tenants, one.perSecond, n/seconds/float64(one.gateways), float64(sim.demands-sizes)/n,
-				n/seconds, (sim.allocatorTime-spent).Seconds()/seconds, entries, memory, share, owed)
+			t.Logf("%d gateways, %d tenants, %.0f requests/s: %.1f messages a second a gateway, %.1f demands each; "+
+				"allocator %.0f messages/s, %.4f of a core, %d allocations, %.1f MB; %.5f of %d rejected",
+				one.gateways, one.tenants, one.perSecond, n/seconds/float64(one.gateways), float64(sim.demands-demands)/n,
+				n/seconds, (sim.allocatorTime-spent).Seconds()/seconds, allocations, memory, share, expected)
 		}
 		So(true, ShouldBeTrue)
 	})
@@ -55,7 +56,7 @@
 	return list
 }
 
-// spreadTenants gives tenants whose sizes fall as those of the sites do: the n-th has 1/(n+3) of the first's.
+// spreadTenants gives tenants whose rates are proportional to 1/(n+3), about as in production.
 func spreadTenants(n int, perSecond float64) []configuration.Tenant {
 	sum := 0.0
 	for i := range n {
@@ -69,13 +70,13 @@
 	return list
 }
 
-// footprint counts the allocator's entries and gives the memory of the whole test, in MB: an upper bound.
-func (a *Allocator) footprint() (entries int, megabytes float64) {
+// footprint counts the allocations and gives the heap of the whole test, in MB: an upper bound.
+func (a *Allocator) footprint() (allocations int, megabytes float64) {
 	for _, holder := range a.holders {
-		entries += len(holder.ordered)
+		allocations += len(holder.ordered)
 	}
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
-	return entries, float64(stats.HeapAlloc) / (1 << 20)
+	return allocations, float64(stats.HeapAlloc) / (1 << 20)
 }
--- a/internal/quota/steady_state_test.go
+++ b/internal/quota/steady_state_test.go
@@ -6,6 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// start schedules the first leader, the traffic and the checks.
 func (sim *simulation) start() {
 	sim.elect(0, 0, takeOverDelay)
 	for name := range sortedNames(sim.usualRate) {
@@ -16,6 +17,7 @@
 	sim.every(100*millisecond, sim.updateEffectiveLimits)
 }
 
+// rejectedShare gives the share of the tenants' expected requests that were rejected.
 func (sim *simulation) rejectedShare(names ...string) (share float64, expected int) {
 	rejected := 0
 	for _, name := range names {
@@ -25,21 +27,23 @@
 	return float64(rejected) / float64(max(1, expected)), expected
 }
 
+// TestSteadyState measures rejections without faults, beside one overloading tenant.
 func TestSteadyState(t *testing.T) {
-	Convey("In calm hardly any honest request is refused, beside a tenant that sends eight times its usual all day", t, func() {
+	Convey("Without faults hardly any request within a limit is rejected, beside one overloading tenant", t, func() {
 		for _, gateways := range []int{3, 11, 40} {
 			sim := newSimulation(uint64(gateways), gateways, typicalTenants())
 			sim.overload["tenant-1"] = 8
 			sim.start()
 			sim.runUntil(65 * second)
-			honest := []string{"tenant-0", "tenant-2", "tenant-3", "tenant-4", "tenant-5", "tenant-6", "tenant-7"}
-			share, owed := sim.rejectedShare(honest...)
-			hot := sim.counts["tenant-1"]
-			t.Logf("%d gateways: %d of honest tenants, %.5f refused; hot: %d of %d served, limit 48/s; worst window %.3f of the bound (%s); %.1f messages a second a gateway, %.1f demands each",
-				gateways, owed, share, hot.served, hot.offered, sim.checker.worst, sim.checker.worstAt,
+			withinLimits := []string{"tenant-0", "tenant-2", "tenant-3", "tenant-4", "tenant-5", "tenant-6", "tenant-7"}
+			share, expected := sim.rejectedShare(withinLimits...)
+			overloading := sim.counts["tenant-1"]
+			t.Logf("%d gateways: %d requests within limits, %.5f rejected; overloading tenant: %d of %d served, limit 48/s; "+
+				"fullest window %.3f of the bound (%s); %.1f messages a second a gateway, %.1f demands each",
+				gateways, expected, share, overloading.served, overloading.offered, sim.checker.worst, sim.checker.worstAt,
 				float64(sim.messages)/65/float64(gateways), float64(sim.demands)/float64(sim.messages))
 			So(share, ShouldBeLessThan, 0.005)
-			So(float64(hot.served), ShouldBeGreaterThan, 0.95*48*60)
+			So(float64(overloading.served), ShouldBeGreaterThan, 0.95*48*60)
 		}
 	})
 }
--- a/internal/quota/tenant_quota.go
+++ b/internal/quota/tenant_quota.go
@@ -27,8 +27,8 @@
 	budget      budget
 	pool        bucket
 	floor       poolFloor
-	outstanding lease  // upper bound of what known holders may spend from
-	unaccounted lease  // upper bound of what holders of earlier terms may have and haven't reported, until Allocator.learningUntil
+	outstanding lease  // upper bound of what known holders may have
+	unaccounted lease  // the same of holders of earlier terms that haven't reported, until learningUntil
 	demand      amount // per second, summed over holders
 	leaseCount  int    // holders with an outstanding lease
 }
