--- a/internal/protocol/batch.go
+++ b/internal/protocol/batch.go
@@ -1,33 +1,34 @@
 package protocol
 
-// BatchCall is a client's call for a batch job, as a gateway hands it to a batch process after it has checked route and key.
-// Any batch process may be asked: it answers, or names who owns the batch job.
+// BatchCall is a client's call of the batch interface. A gateway sends it to a batch process after it has checked route and key.
+// Any batch process may be asked: it answers, or names the owner of the batch job.
 type BatchCall struct {
 	Operation BatchOperation
-	BatchJob  string // id
+	BatchJob  string // ID
 	Tenant    string
 	Route     string // name; of submissions
-	Item      string // id, for BatchBody
+	Item      string // ID, for BatchBody
 	Start     int    // first position wanted, for BatchRead
-	WaitMs    int    // how long the answer may be held until a result exists, for BatchRead
-	Body      []byte // the submission as the client sent it (JSON)
-	StoreView uint64 // epoch of the asker's store view
+	WaitMs    int    // long poll: how long the answer may wait for a result, for BatchRead, in milliseconds
+	Body      []byte // the submission in JSON, as the client sent it
+	StoreView uint64 // epoch of the sender's view of the stores
 }
 
 // BatchOperation is a kind of call.
 type BatchOperation int
 
-// The calls.
+// The kinds of calls.
 const (
-	BatchSubmit BatchOperation = iota + 1
-	BatchRead
-	BatchBody
-	BatchEnd
+	BatchSubmit BatchOperation = iota + 1 // accept a batch job
+	BatchRead                             // results from a position on
+	BatchBody                             // the result of one item
+	BatchEnd                              // cancel
 )
 
-// BatchAnswer is what the client is to be told.
+// BatchAnswer is the answer for the client, or the process to ask instead.
 type BatchAnswer struct {
-	Status       int // HTTP: 200, 202, 400, 404, 429, 503 (promises) or 504 (no promise)
+	// Status is the HTTP status: 200, 202, 400, 404, 429; 503, which says that nothing was done; or 504, which leaves it open.
+	Status       int
 	Body         []byte
 	ContentType  string
 	RetryAfterMs int
--- /dev/null
+++ b/internal/protocol/members.go
@@ -0,0 +1,75 @@
+package protocol
+
+import "time"
+
+// MemberList is the membership of the system as a control process sees it.
+type MemberList struct {
+	Version uint64
+	// Vouched says that Stores is at least as new as what the sender has proof of. Where it isn't set, only Control is filled in:
+	// it tells where else to ask.
+	Vouched  bool
+	Control  []ControlMember
+	Gateways []Process
+	Stores   StoreView
+	// QuotaAddress is where the allocator takes a QuotaRequest ("ip:port"), empty where there is none at the moment.
+	QuotaAddress string
+}
+
+// ControlMember is a control process.
+type ControlMember struct {
+	Node, Zone, IP string
+}
+
+// StoreView is the agreed membership of the batch processes, the stores. It is part of the replicated state of control. Epoch
+// rises with each change of Members.
+type StoreView struct {
+	Epoch   uint64
+	Members []StoreMember
+	// Departed are the stores that left since all members of one epoch were reconciled: they may have batch jobs that no member
+	// knows of. A store that was emptied before it left isn't among them.
+	Departed []Process
+	// Settled says that all members were reconciled in this epoch. No store that left before is needed then, and Departed is empty.
+	Settled bool
+}
+
+// Newer tells whether a view is later than another one.
+func (v StoreView) Newer(than StoreView) bool {
+	if v.Epoch != than.Epoch {
+		return v.Epoch > than.Epoch
+	}
+	return v.Settled && !than.Settled
+}
+
+// StoreMember is a store in the agreed membership.
+type StoreMember struct {
+	Process
+	State StoreState
+}
+
+// StoreState tells what a store may do.
+type StoreState int
+
+// The states of a store.
+const (
+	StoreActive   StoreState = iota // has batch jobs and takes new ones
+	StoreRetiring                   // hands its batch jobs over, takes no new ones
+	StoreRetired                    // has nothing that others need, and may be taken away
+)
+
+// StoreGrant is a store's lease: its right to act in a view of the stores.
+type StoreGrant struct {
+	Epoch  uint64
+	Member bool          // the store is a member in that epoch
+	Lease  time.Duration // from when the Poll was sent, by the store's clock
+}
+
+// BatchReport is what a store reports of itself with each Poll.
+type BatchReport struct {
+	Epoch       uint64 // of the view that it works in
+	ActedIn     uint64 // the highest epoch that it worked in, over all incarnations of its process on this disk
+	Settled     uint64 // the highest epoch in which it was reconciled
+	Missing     int    // machines that may have what the members don't know of: departed ones, and those with incomplete logs
+	BatchJobs   int
+	FreeBytes   int64
+	DrainedDown bool // retiring: everything that it has is on f + 1 other disks
+}
