--- a/internal/protocol/batch.go
+++ b/internal/protocol/batch.go
@@ -21,7 +21,7 @@
 const (
 	BatchSubmit BatchOperation = iota + 1 // accept a batch job
 	BatchRead                             // results from a position on
-	BatchBody                             // the result of one item
+	BatchBody                             // one item as it was submitted
 	BatchEnd                              // cancel
 )
 
