--- a/coord/transport/partition/cut_test.go
+++ b/coord/transport/partition/partition_test.go
@@ -13,12 +13,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// The hosts of the test's links. A file may name any host as the own one.
 const (
 	here  = "10.0.0.1"
 	there = "127.0.0.1"
 )
 
-// rig is a connection that can be cut, and its other end.
+// rig is a connection whose links can be partitioned, and its other end.
 type rig struct {
 	t                 *testing.T
 	partitions        *Watcher
@@ -27,17 +28,25 @@
 	near, far         net.Conn
 	path              string
 	outbound, inbound Link
-	blockedFor        time.Duration // that bytes on a cut way are waited for in vain
-	arrivesWithin     time.Duration // that bytes on a whole way take
+	blockedFor        time.Duration // how long bytes on a partitioned link must not arrive
+	arrivesWithin     time.Duration // how long bytes on a healed link may take
 }
 
+// newRig returns a rig without partitions whose connection isn't open yet.
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, path: filepath.Join(t.TempDir(), "cuts"), outbound: Link{here, there}, inbound: Link{there, here},
-		blockedFor: 5 * pollInterval, arrivesWithin: 10 * time.Second}
+	r := &rig{
+		t:             t,
+		path:          filepath.Join(t.TempDir(), "partitions"),
+		outbound:      Link{here, there},
+		inbound:       Link{there, here},
+		blockedFor:    5 * pollInterval,
+		arrivesWithin: 10 * time.Second,
+	}
 	r.partitions = Watch(t.Context(), r.path)
-	r.dialer = &Dialer{Partitions: r.partitions, Host: here, Dial: func(ctx context.Context, address string) (net.Conn, error) {
+	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	}}
+	}
+	r.dialer = &Dialer{Partitions: r.partitions, Host: here, Dial: dial}
 	var err error
 	if r.listener, err = net.Listen("tcp", there+":0"); err != nil {
 		t.Fatal(err)
@@ -58,7 +67,7 @@
 	r.t.Cleanup(func() { r.near.Close(); r.far.Close() })
 }
 
-// set writes the file and waits until it is read.
+// partition writes the file, with the only links that are partitioned from now on, and waits until it is read.
 func (r *rig) partition(links ...Link) {
 	text := ""
 	for _, link := range links {
@@ -78,17 +87,18 @@
 	}
 }
 
-// arrives tells whether bytes come out within a time.
+// arrives reports whether a byte is read within a time.
 func arrives(from net.Conn, within time.Duration) bool {
 	_ = from.SetReadDeadline(time.Now().Add(within))
 	_, err := io.ReadFull(from, make([]byte, 1))
 	return err == nil
 }
 
+// send writes a byte without waiting for it.
 func send(to net.Conn) { go func() { _, _ = to.Write([]byte{1}) }() }
 
 func TestPartitionedLinks(t *testing.T) {
-	Convey("What is sent on a way that is cut waits until it heals, and the other way is whole", t, func() {
+	Convey("What is sent over a partitioned link waits until it heals, and the other link isn't affected", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.outbound)
@@ -99,7 +109,7 @@
 		r.partition()
 		So(arrives(r.far, r.arrivesWithin), ShouldBeTrue)
 	})
-	Convey("What has come on a way that is cut is read once it heals", t, func() {
+	Convey("What has arrived over a partitioned link is read once it heals", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.inbound)
@@ -110,13 +120,13 @@
 		go func() { read <- arrives(r.near, r.arrivesWithin) }()
 		select {
 		case <-read:
-			t.Error("it was read while the way was cut")
+			t.Error("it was read while the link was partitioned")
 		case <-time.After(r.blockedFor):
 		}
 		r.partition()
 		So(<-read, ShouldBeTrue)
 	})
-	Convey("A connection whose bytes have waited too long is over, and its other end hears of that later", t, func() {
+	Convey("A connection whose bytes have waited too long ends, and its other end learns of that later", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.outbound)
@@ -130,7 +140,7 @@
 		_, err = r.far.Read(make([]byte, 1))
 		So(err, ShouldEqual, io.EOF)
 	})
-	Convey("A close wakes whoever reads", t, func() {
+	Convey("A close interrupts a read", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.outbound, r.inbound)
@@ -142,7 +152,7 @@
 }
 
 func TestDial(t *testing.T) {
-	Convey("No connection comes up while one of its ways is cut", t, func() {
+	Convey("No connection opens while one of its links is partitioned", t, func() {
 		r := newRig(t)
 		for _, link := range []Link{r.outbound, r.inbound} {
 			r.partition(link)
