--- a/coord/scrub/entry.go
+++ b/coord/scrub/entry.go
@@ -7,21 +7,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// castagnoli is the polynomial of the checksums; processors compute it in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Entry is one key of a replica.
 type Entry struct {
 	Key string
-	// Version orders the writes of a key.
+	// Version orders the writes of a key. Two replicas have the same version of a key only with the same value.
 	Version uint64
-	// Deleted marks a deletion.
+	// Deleted marks a tombstone: a deletion that isn't on all replicas yet.
 	Deleted bool
 	Value   []byte
-	// Checksum is that of Checksum at the time of the write, read from where it is kept.
+	// Checksum is what the function Checksum returned when the entry was written, as it is stored.
 	Checksum uint32
 }
 
-// Checksum returns the checksum (CRC-32C) of what an entry says.
+// Checksum returns the checksum (CRC-32C) of the contents of an entry. The caller stores it with the entry.
 func Checksum(key string, version uint64, deleted bool, value []byte) uint32 {
 	var fixed [9]byte
 	binary.BigEndian.PutUint64(fixed[:], version)
@@ -33,7 +34,7 @@
 	return crc32.Update(sum, castagnoli, value)
 }
 
-// Good tells whether an entry still says what was written.
+// Valid reports whether an entry still has the contents that were written.
 func (e Entry) Valid() bool {
 	return e.Checksum == Checksum(e.Key, e.Version, e.Deleted, e.Value)
 }
@@ -43,7 +44,7 @@
 	Key      string
 	Version  uint64
 	Checksum uint32
-	// Bad tells that the value doesn't match the checksum.
+	// Corrupt is true if the contents don't match the checksum.
 	Corrupt bool
 }
 
@@ -52,7 +53,7 @@
 	return Summary{Key: entry.Key, Version: entry.Version, Checksum: entry.Checksum, Corrupt: !entry.Valid()}
 }
 
-// digestOf returns the digest of the entries of a range.
+// digestOf returns the digest (xxHash64) of the entries of a range: their keys, versions and checksums.
 func digestOf(entries []Summary) uint64 {
 	digest := xxhash.New()
 	var fixed [20]byte
@@ -65,14 +66,3 @@
 	}
 	return digest.Sum64()
 }
-
-// Store is a replica's own copy.
-type Store interface {
-	// Scan calls visit for the entries from a key on, in the order of the keys, until visit returns false. It reads
-	// the values from where they are kept.
-	Scan(from string, visit func(Entry) bool) error
-	// Get returns the entry of a key.
-	Get(key string) (Entry, bool, error)
-	// Repair puts a good entry in place of a missing, bad or older one, durably.
-	Repair(entry Entry) error
-}
--- a/coord/scrub/example_test.go
+++ b/coord/scrub/example_test.go
@@ -32,7 +32,7 @@
 	return &table{scrub.Entry{Key: "key", Version: 1, Value: []byte(value), Checksum: checksum}}
 }
 
-// Two replicas, of which the second has a damaged value. The caller carries the messages.
+// Two replicas, of which the second has a corrupt value. The caller delivers the messages.
 func Example() {
 	now := time.Unix(0, 0)
 	stores := map[string]*table{"a": newTable("value"), "b": newTable("vaLue")}
--- a/coord/scrub/scrub_test.go
+++ b/coord/scrub/node_test.go
@@ -13,13 +13,14 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// memory is a replica's store.
+// memoryStore is the store of a replica.
 type memoryStore struct {
 	entries   map[string]Entry
-	err       error
-	bytesRead int // bytes
+	err       error // of all operations, if set
+	bytesRead int   // by Scan, without keys
 }
 
+// newMemoryStore returns an empty store.
 func newMemoryStore() *memoryStore {
 	return &memoryStore{entries: make(map[string]Entry)}
 }
@@ -31,7 +32,7 @@
 	m.entries[key] = entry
 }
 
-// flip inverts a bit of a value behind the store's back.
+// flip inverts a bit of a value and keeps the checksum, as a failing medium does.
 func (m *memoryStore) flip(key string) {
 	entry := m.entries[key]
 	entry.Value = slices.Clone(entry.Value)
@@ -69,7 +70,7 @@
 		return m.err
 	}
 	if own, ok := m.entries[entry.Key]; ok && own.Valid() && own.Version > entry.Version {
-		return errors.New("an older entry in place of a newer good one")
+		return errors.New("an older entry in place of a newer valid one")
 	}
 	m.entries[entry.Key] = entry
 	return nil
@@ -122,7 +123,7 @@
 	r.simulation.AfterOn(name, min(delay, 100*time.Millisecond), func() { r.tick(name) })
 }
 
-// handle sends messages and keeps findings.
+// handle sends the messages and keeps the findings of a step.
 func (r *replicas) handle(name string, output Output) {
 	r.findings[name] = append(r.findings[name], output.Findings...)
 	for _, envelope := range output.Messages {
@@ -132,14 +133,14 @@
 	}
 }
 
-// has tells whether a replica found a problem with a key.
+// found reports whether a replica found a problem with a key.
 func (r *replicas) found(name, key string, problem Problem, repaired bool) bool {
 	return slices.ContainsFunc(r.findings[name], func(finding Finding) bool {
 		return finding.Key == key && finding.Problem == problem && finding.Repaired == repaired
 	})
 }
 
-// same tells whether all replicas hold the same good entries.
+// consistent reports whether all replicas hold the same valid entries.
 func (r *replicas) consistent() bool {
 	first := r.stores[r.names[0]].entries
 	for _, name := range r.names {
@@ -157,6 +158,7 @@
 	return true
 }
 
+// quick is the configuration of most tests, with short passes.
 var quick = Config{PassInterval: 5 * time.Second, RangeEntries: 50, BytesPerSecond: 1 << 20}
 
 func TestScrub(t *testing.T) {
@@ -164,7 +166,7 @@
 		r := newReplicas(1, 1000, quick)
 		So(r.consistent(), ShouldBeTrue)
 
-		Convey("nothing is found where nothing is wrong", func() {
+		Convey("nothing is found if nothing is wrong", func() {
 			r.simulation.Run(30 * time.Second)
 			for _, name := range r.names {
 				So(r.findings[name], ShouldBeEmpty)
@@ -172,14 +174,14 @@
 			}
 		})
 
-		Convey("a flipped byte is found and mended", func() {
+		Convey("a flipped bit is found and repaired", func() {
 			r.stores["b"].flip("key-00700")
 			r.simulation.Run(10 * time.Second)
 			So(r.consistent(), ShouldBeTrue)
 			So(r.found("b", "key-00700", Corrupt, true), ShouldBeTrue)
 		})
 
-		Convey("a missing and a stale entry are found and mended", func() {
+		Convey("a missing and a stale entry are found and repaired", func() {
 			delete(r.stores["a"].entries, "key-00001")
 			delete(r.stores["c"].entries, "key-00999")
 			r.putAll("key-00500", 2, []byte("newer"))
@@ -206,14 +208,14 @@
 			So(string(r.stores["b"].entries["key-00300"].Value), ShouldEqual, "another value of the same version")
 		})
 
-		Convey("two bad copies are mended by the third", func() {
+		Convey("two corrupt copies are repaired by the third", func() {
 			r.stores["a"].flip("key-00042")
 			r.stores["b"].flip("key-00042")
 			r.simulation.Run(30 * time.Second)
 			So(r.consistent(), ShouldBeTrue)
 		})
 
-		Convey("three bad copies are reported as lost", func() {
+		Convey("three corrupt copies are reported as lost", func() {
 			for _, name := range r.names {
 				r.stores[name].flip("key-00042")
 			}
@@ -221,7 +223,7 @@
 			So(r.found("a", "key-00042", Lost, false), ShouldBeTrue)
 		})
 
-		Convey("a reader's bad value is mended at once", func() {
+		Convey("a value that a reader found corrupt is repaired at once", func() {
 			r.stores["b"].flip("key-00900")
 			r.handle("b", r.nodes["b"].ReadRepair("key-00900"))
 			r.simulation.Run(10 * time.Millisecond)
@@ -252,7 +254,7 @@
 		So(r.stores["a"].bytesRead-before, ShouldBeBetween, 30_000, 110_000)
 	})
 
-	Convey("Entries that are not settled are left alone", t, func() {
+	Convey("Entries above the stable version are left alone", t, func() {
 		config := quick
 		config.StableVersion = func() uint64 { return 5 }
 		r := newReplicas(1, 100, config)
@@ -265,8 +267,8 @@
 	})
 }
 
-// TestRandomDamage damages replicas at random while writes go on and messages are lost, and checks that all is mended
-// in the end.
+// TestRandomCorruption corrupts and removes entries at random while writes go on and messages are lost, and checks that
+// all are repaired in the end.
 func TestRandomCorruption(t *testing.T) {
 	for seed := range uint64(30) {
 		r := newReplicas(seed, 200, quick)
@@ -286,7 +288,7 @@
 				r.putAll(key, uint64(r.simulation.Elapsed())+2, random.Bytes(50))
 			}
 			r.simulation.Run(random.Between(0, 2*time.Second))
-			// All copies of a key are never damaged at once: what is damaged is mended before the next blow.
+			// The copies of a key are never all corrupt at once: each fault is repaired before the next one.
 			for range 100 {
 				if r.consistent() {
 					break
@@ -295,7 +297,7 @@
 			}
 		}
 		if !r.consistent() {
-			t.Fatalf("seed %d: not mended", seed)
+			t.Fatalf("seed %d: not repaired", seed)
 		}
 	}
 }
--- a/coord/scrub/mend.go
+++ b/coord/scrub/repair.go
@@ -1,48 +1,12 @@
 package scrub
 
-import "time"
+// maxPushBytes bounds the values in one Push in bytes, unless one alone is larger.
+const maxPushBytes = 512 << 10
 
-// answer compares another replica's range with this one.
-func (n *Node) handleCompare(from string, message Compare) {
-	entries, until, _, err := n.readRange(message.From, message.To, message.StableVersion)
-	if err != nil {
-		n.reportStoreError(message.From, err)
-		return
-	}
-	reply := Summaries{Sequence: message.Sequence, Until: until}
-	reply.Same = until == message.To && digestOf(entries) == message.Digest && !message.Corrupt && !hasCorrupt(entries)
-	if !reply.Same {
-		reply.Entries = entries
-	}
-	n.send(from, reply)
-}
-
-// compared takes in another replica's answer.
-func (n *Node) handleSummaries(now time.Time, from string, message Summaries) {
-	pending := n.pending
-	if pending == nil || pending.peer != from || pending.Sequence != message.Sequence {
-		return
-	}
-	if !message.Same {
-		n.reconcile(from, entriesBefore(pending.entries, message.Until), message.Entries, pending.stable)
-	}
-	n.finishRange(now, message.Until)
-}
-
-// cut returns the entries before a key, which is empty for the end of all keys.
-func entriesBefore(entries []Summary, until string) []Summary {
-	for i, entry := range entries {
-		if until != "" && entry.Key >= until {
-			return entries[:i]
-		}
-	}
-	return entries
-}
-
-// settle fetches what is better on the other replica and sends what is better here. Both lists are in the order of
-// their keys.
+// reconcile pulls what is better at a peer and pushes what is better here. It merges the summaries of both, which are
+// in the order of their keys.
 func (n *Node) reconcile(peer string, mine, theirs []Summary, stable uint64) {
-	var wanted, offered []string
+	var pulled, pushed []string
 	for len(mine) > 0 || len(theirs) > 0 {
 		var own, other *Summary
 		if len(theirs) == 0 || len(mine) > 0 && mine[0].Key <= theirs[0].Key {
@@ -57,23 +21,23 @@
 		if other != nil {
 			theirs = theirs[1:]
 		}
-		want, offer := n.resolve(own, other, stable)
-		if want {
-			wanted = append(wanted, other.Key)
+		pull, push := n.resolve(own, other, stable)
+		if pull {
+			pulled = append(pulled, other.Key)
 		}
-		if offer {
-			offered = append(offered, own.Key)
+		if push {
+			pushed = append(pushed, own.Key)
 		}
 	}
-	if len(wanted) > 0 {
-		n.send(peer, Pull{Keys: wanted})
+	if len(pulled) > 0 {
+		n.send(peer, Pull{Keys: pulled})
 	}
-	n.push(peer, offered)
+	n.push(peer, pushed)
 }
 
-// judge tells whether the other replica's copy of a key is wanted, and whether the own one is to be sent. Either may
-// be nil for a key that a replica lacks.
-func (n *Node) resolve(own, other *Summary, stable uint64) (want, offer bool) {
+// resolve decides by the rule of the package comment whether the peer's copy of a key is pulled and whether the own one
+// is pushed, and reports what is wrong with the own one. Either is nil if that replica lacks the key.
+func (n *Node) resolve(own, other *Summary, stable uint64) (pull, push bool) {
 	switch {
 	case own == nil:
 		return n.pullsMissing(other), false
@@ -101,8 +65,8 @@
 	return false, false
 }
 
-// wantMissing tells whether an entry that this replica didn't count is to be fetched: it may be here by now, in a
-// version that isn't settled.
+// pullsMissing reports whether to pull an entry that wasn't among the own summaries. It may be here all the same, in a
+// version that isn't stable yet or that was written since.
 func (n *Node) pullsMissing(other *Summary) bool {
 	entry, found, err := n.store.Get(other.Key)
 	if err != nil {
@@ -120,7 +84,8 @@
 	return true
 }
 
-// isSettled tells whether the present entry of a key is still the one that was compared.
+// isStable reports whether the present entry of a key is stable still. If it was overwritten since it was compared, the
+// peer gets the newer version by itself.
 func (n *Node) isStable(key string, stable uint64) bool {
 	entry, found, err := n.store.Get(key)
 	if err != nil {
@@ -130,7 +95,7 @@
 	return found && entry.Version <= stable
 }
 
-// deliver sends the good entries of some keys, in parts.
+// push sends the valid entries of some keys to a peer, in messages of bounded size.
 func (n *Node) push(peer string, keys []string) {
 	var entries []Entry
 	bytes := 0
@@ -155,7 +120,7 @@
 	}
 }
 
-// accept mends the own entry by another replica's, if that is good and the own one is missing, bad or older.
+// applyPushed repairs the own entry by a peer's, if that is valid and the own one is missing, corrupt or older.
 func (n *Node) applyPushed(entry Entry) {
 	if !entry.Valid() {
 		return
@@ -176,7 +141,7 @@
 	n.output.Findings = append(n.output.Findings, Finding{Key: entry.Key, Problem: problem, Repaired: true})
 }
 
-// problemOf returns what is wrong with the own entry by a good one of another replica, or 0.
+// diagnose returns what is wrong with the own entry, compared with a valid one of a peer, or 0 if nothing is.
 func diagnose(own Entry, found bool, entry Entry) Problem {
 	switch {
 	case !found:
