--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -32,14 +32,14 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if member, present := s.member(keyOf(remote)); present {
-		s.machine.Receive(member, message)
+		s.stateMachine.Receive(member, message)
 	}
 	return nil, nil
 }
 
 // member gives the process of the view that a message is from.
 func (s *Server) member(key placement.Key) (protocol.Process, bool) {
-	member, present := placement.MemberOf(s.machine.CurrentView(), key)
+	member, present := placement.MemberOf(s.stateMachine.CurrentView(), key)
 	return member.Process, present
 }
 
@@ -58,10 +58,10 @@
 	defer cancel()
 	answered := make(chan protocol.BatchAnswer, 1)
 	s.mutex.Lock()
-	s.lastToken++
-	token := s.lastToken
+	s.lastCall++
+	token := s.lastCall
 	s.pendingCalls[token] = answered
-	s.machine.Call(token, call, items)
+	s.stateMachine.Call(token, call, items)
 	s.mutex.Unlock()
 	select {
 	case answer := <-answered:
@@ -70,7 +70,7 @@
 	}
 	s.mutex.Lock()
 	delete(s.pendingCalls, token)
-	s.machine.CancelCall(token)
+	s.stateMachine.CancelCall(token)
 	s.mutex.Unlock()
 	return protocol.BatchAnswer{Status: 504}
 }
@@ -82,7 +82,7 @@
 		return answer
 	}
 	s.mutex.Lock()
-	allowed := s.machine.MayAct()
+	allowed := s.stateMachine.MayAct()
 	s.mutex.Unlock()
 	if allowed {
 		return answer
--- a/internal/batch/server/damage_test.go
+++ b/internal/batch/server/damage_test.go
@@ -58,7 +58,7 @@
 }
 
 // contents gives all files of a folder but the life.
-func contents(directory string) map[string]string {
+func readFiles(directory string) map[string]string {
 	files := map[string]string{}
 	entries, err := os.ReadDir(directory)
 	So(err, ShouldBeNil)
@@ -73,7 +73,7 @@
 }
 
 // logged gives the lines of an event.
-func logged(log *bytes.Buffer, event string) (lines []map[string]any) {
+func logLines(log *bytes.Buffer, event string) (lines []map[string]any) {
 	decoder := json.NewDecoder(bytes.NewReader(log.Bytes()))
 	for {
 		var line map[string]any
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestUnusableRecords(t *testing.T) {
+func TestCorruptRecords(t *testing.T) {
 	Convey("A start uses all that is sound on a disk, tells the rest with its place, and changes none of it", t, func() {
 		directory := t.TempDir()
 		first, err := openIncarnation(directory)
@@ -96,7 +96,7 @@
 			junk[kind] = []byte{byte(kind)} // none is whole
 		}
 		writeLog(directory, append(append([][]byte{replicaRecord("before")}, junk...), replicaRecord("after"))...)
-		before := contents(directory)
+		before := readFiles(directory)
 		for start := range 3 {
 			var log bytes.Buffer
 			s, err := New(testSettings("127.0.0.1", "store-1", directory), zerolog.New(&log))
@@ -104,10 +104,10 @@
 			s.disk.wal.Close()
 			So(s.process.Incarnation, ShouldEqual, first.id)
 			So(s.report().BatchJobs, ShouldEqual, 2)
-			findings, damaged := s.damageCounts()
+			findings, damaged := s.corruptionCounts()
 			So(findings, ShouldEqual, len(junk))
 			So(damaged, ShouldEqual, 0)
-			lines := logged(&log, "record_unreadable")
+			lines := logLines(&log, "record_unreadable")
 			So(lines, ShouldHaveLength, len(junk))
 			for _, line := range lines {
 				So(line["segment"], ShouldEqual, 1)
@@ -115,10 +115,10 @@
 				So(line["problem"], ShouldNotBeEmpty)
 			}
 			for file, text := range before {
-				now := contents(directory)[file]
+				now := readFiles(directory)[file]
 				So(now == text, ShouldBeTrue)
 			}
-			So(contents(directory), ShouldHaveLength, len(before)+start+1) // a segment for each start
+			So(readFiles(directory), ShouldHaveLength, len(before)+start+1) // a segment for each start
 		}
 	})
 	Convey("A part of the log that doesn't match its checksums is told, and the rest is used", t, func() {
@@ -135,8 +135,8 @@
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
 		So(s.report().BatchJobs, ShouldEqual, 2)
-		So(logged(&log, "record_unreadable"), ShouldHaveLength, 1)
-		So(contents(directory)["segment-00000001"] == string(text), ShouldBeTrue)
+		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
+		So(readFiles(directory)["segment-00000001"] == string(text), ShouldBeTrue)
 	})
 	Convey("So is one in the last segment that later records were synced behind; nothing is cut off", t, func() {
 		directory := t.TempDir()
@@ -146,18 +146,18 @@
 		So(err, ShouldBeNil)
 		writeGroups(directory, replicaRecord("two"), replicaRecord("three"), replicaRecord("four"))
 		invertBit(filepath.Join(directory, "segment-00000002"), len(text)+12) // within the second of three
-		before := contents(directory)["segment-00000002"]
+		before := readFiles(directory)["segment-00000002"]
 		var log bytes.Buffer
 		s, err := New(testSettings("127.0.0.1", "store-1", directory), zerolog.New(&log))
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
-		findings, damaged := s.damageCounts()
+		findings, damaged := s.corruptionCounts()
 		So(findings, ShouldEqual, 1)
 		So(damaged, ShouldEqual, 2) // all that was held where the part stood
 		So(s.report().BatchJobs, ShouldEqual, 3)
-		So(logged(&log, "record_unreadable"), ShouldHaveLength, 1)
-		So(logged(&log, "log_end_cut_off"), ShouldBeEmpty)
-		So(contents(directory)["segment-00000002"] == before, ShouldBeTrue)
+		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
+		So(logLines(&log, "log_end_cut_off"), ShouldBeEmpty)
+		So(readFiles(directory)["segment-00000002"] == before, ShouldBeTrue)
 	})
 	Convey("An end that may have been torn is cut off, and told with its place and size", t, func() {
 		directory := t.TempDir()
@@ -171,15 +171,15 @@
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
 		So(s.report().BatchJobs, ShouldEqual, 1)
-		findings, damaged := s.damageCounts()
+		findings, damaged := s.corruptionCounts()
 		So(findings+damaged, ShouldEqual, 0)
-		lines := logged(&log, "log_end_cut_off")
+		lines := logLines(&log, "log_end_cut_off")
 		So(lines, ShouldHaveLength, 1)
 		So(lines[0]["segment"], ShouldEqual, 1)
 		So(lines[0]["offset"], ShouldEqual, len(text)/2)
 		So(lines[0]["length"], ShouldEqual, len(text)/2-3)
 		s.logState()
-		So(logged(&log, "state")[0]["cut_off"], ShouldEqual, len(text)/2-3)
+		So(logLines(&log, "state")[0]["cut_off"], ShouldEqual, len(text)/2-3)
 	})
 	Convey("A life that can't be made out begins another, with all that the log holds", t, func() {
 		for _, garbled := range []string{"?", "", "0123456789abcdef", "0123456789abcdef x\n"} {
@@ -195,7 +195,7 @@
 			So(s.process.Incarnation, ShouldNotEqual, first.id)
 			So(s.process.Incarnation, ShouldHaveLength, len(first.id))
 			So(s.report().BatchJobs, ShouldEqual, 1)
-			So(logged(&log, "life_unreadable"), ShouldHaveLength, 1)
+			So(logLines(&log, "life_unreadable"), ShouldHaveLength, 1)
 			again, err := openIncarnation(directory)
 			So(err, ShouldBeNil)
 			So(again.id, ShouldEqual, s.process.Incarnation)
@@ -225,7 +225,7 @@
 		s.disk.wal.Close()
 		So(tries, ShouldEqual, 3)
 		So(s.report().BatchJobs, ShouldEqual, 1)
-		So(logged(&log, "disk_unreadable"), ShouldHaveLength, 3)
+		So(logLines(&log, "disk_unreadable"), ShouldHaveLength, 3)
 	})
 	Convey("It is tried until the process is to end; without a folder it doesn't begin", t, func() {
 		file := filepath.Join(t.TempDir(), "file")
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -47,9 +47,9 @@
 	truncatedBytes int64 // bytes of the log's end that this start cut off
 
 	mutex        sync.Mutex // of the machine and all below
-	machine      *replica.StateMachine
+	stateMachine *replica.StateMachine
 	pendingCalls map[replica.CallID]chan protocol.BatchAnswer
-	lastToken    replica.CallID
+	lastCall     replica.CallID
 	peers        map[string]*transport.Client // by IP
 	closed       bool
 
@@ -104,7 +104,7 @@
 		Node: s.settings.NodeName, Role: protocol.RoleBatch, Zone: s.settings.Zone, IP: s.settings.IP, Incarnation: life.id,
 	}
 	capacity := int64(s.settings.Limits.DiskMB) << 20
-	s.machine = replica.New(replica.Options{
+	s.stateMachine = replica.New(replica.Options{
 		Self: s.process, ProcessIncarnation: life.starts,
 		ReplicationFactor: s.settings.Tolerance.Machines + 1,
 		Retention:         s.settings.Bounds.Status + 2*s.settings.Bounds.SkewMax,
@@ -115,7 +115,7 @@
 		s.log.Error().Str("incarnation", life.id).Msg("life_unreadable")
 	}
 	options := wal.Options{
-		OnSkipped:   func(at wal.Location) { s.logFinding(s.machine.ReplaySkipped(at)) },
+		OnSkipped:   func(at wal.Location) { s.logFinding(s.stateMachine.ReplaySkipped(at)) },
 		OnTruncated: s.logTruncation,
 	}
 	s.disk.wal, err = wal.Open(s.settings.DataDir, options, s.replay, s.onDurable)
@@ -125,7 +125,7 @@
 // replay hands a record to the machine. One that can't be used is told and keeps no other from being used.
 func (s *Server) replay(at wal.Location, record []byte) error {
 	var finding *replica.Finding
-	if errors.As(s.machine.Replay(at, record), &finding) {
+	if errors.As(s.stateMachine.Replay(at, record), &finding) {
 		s.logFinding(finding)
 	}
 	return nil
@@ -163,7 +163,7 @@
 	tasks.Go(func() { s.subscription.Run(ctx) })
 	tasks.Go(func() { s.runner.Run(ctx) })
 	tasks.Go(func() { s.runTicks(ctx) })
-	s.runLoadSharing(ctx)
+	s.shareLoads(ctx)
 	s.log.Info().Str("incarnation", s.process.Incarnation).Msg("serving")
 	select {
 	case <-ctx.Done():
@@ -178,7 +178,7 @@
 }
 
 // shareLoads passes on what servers tell of their load. Where the port can't be had, this process knows what it hears itself.
-func (s *Server) runLoadSharing(ctx context.Context) {
+func (s *Server) shareLoads(ctx context.Context) {
 	if ablation.Off(ablation.SharedLoad) {
 		return
 	}
@@ -195,7 +195,7 @@
 func (s *Server) queuedTokens() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.QueuedTokens()
+	return s.stateMachine.QueuedTokens()
 }
 
 func (s *Server) close() {
@@ -224,8 +224,8 @@
 			return
 		}
 		s.mutex.Lock()
-		s.machine.Tick()
-		pressing := s.machine.NeedsFastTick()
+		s.stateMachine.Tick()
+		pressing := s.stateMachine.NeedsFastTick()
 		s.mutex.Unlock()
 		timer.Reset(tickInterval)
 		if pressing {
@@ -245,7 +245,7 @@
 func (s *Server) logState() {
 	report, counts := s.report(), s.runner.Counts()
 	waiting, running, allowed := s.runner.Load()
-	findings, damaged := s.damageCounts()
+	findings, damaged := s.corruptionCounts()
 	s.logUnreconciled()
 	s.logViolations()
 	s.log.Info().Int("waiting", waiting).Int("running", running).Int("allowed", allowed).Uint64("epoch", report.Epoch).Uint64("settled", report.Settled).Int("batch_jobs", report.BatchJobs).
@@ -256,17 +256,17 @@
 }
 
 // damage counts the parts of the log that this start could not use, and the batch jobs that are still damaged for it.
-func (s *Server) damageCounts() (findings, damaged int) {
+func (s *Server) corruptionCounts() (findings, damaged int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Corruption()
+	return s.stateMachine.Corruption()
 }
 
 // release removes segments of the log that nothing needs any more.
 func (s *Server) removeSegments() {
 	oldest, current := s.disk.wal.SegmentRange()
 	s.mutex.Lock()
-	needed := s.machine.OldestSegment(current)
+	needed := s.stateMachine.OldestSegment(current)
 	s.mutex.Unlock()
 	for ; oldest < needed; oldest++ {
 		if err := s.disk.wal.RemoveSegment(oldest); err != nil {
@@ -280,10 +280,10 @@
 func (s *Server) onUpdate() {
 	if members := s.subscription.Members(); members != nil {
 		s.mutex.Lock()
-		before, acted := s.machine.Epoch(), s.machine.ActedIn()
-		s.machine.InstallView(members.Stores)
-		after := s.machine.Epoch()
-		missing := s.machine.Status().Missing
+		before, acted := s.stateMachine.Epoch(), s.stateMachine.ActedIn()
+		s.stateMachine.InstallView(members.Stores)
+		after := s.stateMachine.Epoch()
+		missing := s.stateMachine.Status().Missing
 		s.mutex.Unlock()
 		s.runner.SetStoreCount(len(placement.ActiveMembers(members.Stores)))
 		if after != before {
@@ -300,13 +300,13 @@
 	until := sent.Sub(s.origin) + grant.Lease - leaseMargin
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.GrantLease(grant.Epoch, grant.Member, until)
+	s.stateMachine.GrantLease(grant.Epoch, grant.Member, until)
 }
 
 func (s *Server) report() *protocol.BatchReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	report := s.machine.Report()
+	report := s.stateMachine.Report()
 	return &report
 }
 
@@ -322,7 +322,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.Synced(sequence)
+	s.stateMachine.Synced(sequence)
 }
 
 // Configuration gives the configuration in force.
@@ -348,7 +348,7 @@
 func (s *Server) Work(id string) (replica.Job, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Work(id)
+	return s.stateMachine.Work(id)
 }
 
 // ReadItem reads an item from the log.
@@ -377,19 +377,19 @@
 func (s *Server) Progress(id string, index int, after, last int64, events [][]byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.machine.SaveProgress(id, index, after, last, events)
+	s.stateMachine.SaveProgress(id, index, after, last, events)
 }
 
 // MayRun tells whether an item may go to a server now.
 func (s *Server) MayRun(id string, index int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.MayRun(id, index)
+	return s.stateMachine.MayRun(id, index)
 }
 
 // Finish lists what became of an item.
 func (s *Server) Finish(id string, index int, state job.State, text []byte) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.machine.Finish(id, index, state, text)
+	return s.stateMachine.Finish(id, index, state, text)
 }
--- a/internal/batch/server/server_test.go
+++ b/internal/batch/server/server_test.go
@@ -31,18 +31,18 @@
 
 // control stands for a control process: it hands out a configuration, servers and views, and grants leases.
 type fakeControl struct {
-	mutex   sync.Mutex
-	server  *transport.Server
-	whole   []byte
-	servers []protocol.Server
-	view    protocol.StoreView
-	heard   map[string]time.Time
-	version uint64
+	mutex          sync.Mutex
+	server         *transport.Server
+	configuration  []byte
+	servers        []protocol.Server
+	view           protocol.StoreView
+	polledAt       map[string]time.Time
+	membersVersion uint64
 }
 
 func startControl(t *testing.T, servers []protocol.Server) *fakeControl {
-	c := &fakeControl{servers: servers, heard: map[string]time.Time{}, version: 1}
-	c.whole, _ = json.Marshal(map[string]any{
+	c := &fakeControl{servers: servers, polledAt: map[string]time.Time{}, membersVersion: 1}
+	c.configuration, _ = json.Marshal(map[string]any{
 		"generation": 1,
 		"routes": []any{map[string]any{
 			"name": "route", "hostname": "host.example", "path-prefix": "/p/", "route-type": "batch", "timeout-ms": 5000,
@@ -65,19 +65,19 @@
 	poll := message.(protocol.Poll)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.heard[poll.Process.Node] = time.Now()
+	c.polledAt[poll.Process.Node] = time.Now()
 	c.admit(poll.Process)
 	update := protocol.Update{Sequence: poll.Sequence, Fresh: true, Store: &protocol.StoreGrant{
 		Epoch: c.view.Epoch, Member: true, Lease: 1500 * time.Millisecond,
 	}}
 	if poll.Configuration == 0 {
-		update.Configuration = &protocol.ConfigurationUpdate{Index: 1, Whole: c.whole}
+		update.Configuration = &protocol.ConfigurationUpdate{Index: 1, Whole: c.configuration}
 	}
 	if poll.Servers == 0 {
 		update.Servers = &protocol.ServerList{Version: 1, Servers: c.servers}
 	}
-	if poll.Members != c.version {
-		update.Members = &protocol.MemberList{Version: c.version, Vouched: true, Stores: c.view}
+	if poll.Members != c.membersVersion {
+		update.Members = &protocol.MemberList{Version: c.membersVersion, Vouched: true, Stores: c.view}
 	}
 	return update, nil
 }
@@ -96,7 +96,7 @@
 }
 
 func (c *fakeControl) change(members []protocol.StoreMember) {
-	c.version++
+	c.membersVersion++
 	c.view = protocol.StoreView{Epoch: c.view.Epoch + 1, Members: members}
 }
 
@@ -115,7 +115,7 @@
 func (c *fakeControl) members() *protocol.MemberList {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return &protocol.MemberList{Version: c.version, Vouched: true, Stores: c.view}
+	return &protocol.MemberList{Version: c.membersVersion, Vouched: true, Stores: c.view}
 }
 
 func testSettings(ip, name, directory string) *node.Settings {
@@ -129,13 +129,13 @@
 
 // model stands for a model server whose behaviour follows from the item's id.
 type fakeModelServer struct {
-	mutex  sync.Mutex
-	counts map[string]int
-	resume map[string]string // Last-Event-Id by item
+	mutex        sync.Mutex
+	counts       map[string]int
+	lastEventIDs map[string]string // Last-Event-Id by item
 }
 
-func startModel(t *testing.T) (*fakeModelServer, protocol.Server) {
-	m := &fakeModelServer{counts: map[string]int{}, resume: map[string]string{}}
+func startModelServer(t *testing.T) (*fakeModelServer, protocol.Server) {
+	m := &fakeModelServer{counts: map[string]int{}, lastEventIDs: map[string]string{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -151,7 +151,7 @@
 	m.mutex.Lock()
 	m.counts[id]++
 	count := m.counts[id]
-	m.resume[id] = r.Header.Get("Last-Event-Id")
+	m.lastEventIDs[id] = r.Header.Get("Last-Event-Id")
 	m.mutex.Unlock()
 	w.Header().Set("X-Request-Id", id)
 	w.Header().Set("X-Response-Signature", "s")
@@ -190,25 +190,25 @@
 	}
 }
 
-type running struct {
+type runningStore struct {
 	server *Server
 	cancel context.CancelFunc
 	done   chan error
 }
 
-func startStore(t *testing.T, number int, directory string) *running {
+func startStore(t *testing.T, number int, directory string) *runningStore {
 	settings := testSettings(fmt.Sprintf("127.0.8.%d", 10+number), fmt.Sprintf("store-%d", number), directory)
 	s, err := New(settings, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{server: s, cancel: cancel, done: make(chan error, 1)}
+	r := &runningStore{server: s, cancel: cancel, done: make(chan error, 1)}
 	go func() { r.done <- s.Run(ctx) }()
 	return r
 }
 
-func (r *running) stop(t *testing.T) {
+func (r *runningStore) stop(t *testing.T) {
 	r.cancel()
 	select {
 	case err := <-r.done:
@@ -258,7 +258,7 @@
 }
 
 // readAll reads results until all are there.
-func readAll(t *testing.T, caller *batchproxy.Caller, id string, total int) map[string]string {
+func readAllResults(t *testing.T, caller *batchproxy.Caller, id string, total int) map[string]string {
 	found := map[string]string{}
 	for start := 0; start < total; {
 		answer := callUntil(t, caller, protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: id, Tenant: "tenant", Start: start, WaitMs: 500}, 200)
@@ -286,10 +286,10 @@
 }
 
 func TestBatchProcesses(t *testing.T) {
-	model, server := startModel(t)
+	model, server := startModelServer(t)
 	control := startControl(t, []protocol.Server{server})
 	directories := []string{t.TempDir(), t.TempDir(), t.TempDir()}
-	var stores []*running
+	var stores []*runningStore
 	for i, directory := range directories {
 		stores = append(stores, startStore(t, i+1, directory))
 	}
@@ -308,7 +308,7 @@
 		submit.Body = submission(ids...)
 		callUntil(t, caller, submit, 202)
 		So(caller.Call(context.Background(), submit).Status, ShouldEqual, 202)
-		found := readAll(t, caller, "job-1", len(ids))
+		found := readAllResults(t, caller, "job-1", len(ids))
 		So(found, ShouldResemble, map[string]string{
 			"plain-1": completed("plain-1"), "plain-2": completed("plain-2"), "busy-1": completed("busy-1"), "cut-1": completed("cut-1"),
 			"impossible-1": "dead_letter: ", "failing-1": "dead_letter: ",
@@ -317,7 +317,7 @@
 		So(model.counts["impossible-1"], ShouldEqual, 1)
 		So(model.counts["failing-1"], ShouldEqual, 3)
 		So(model.counts["cut-1"], ShouldEqual, 2)
-		So(model.resume["cut-1"], ShouldEqual, "3")
+		So(model.lastEventIDs["cut-1"], ShouldEqual, "3")
 
 		callUntil(t, caller, call(protocol.BatchRead, "no-such-job"), 404)
 		other := call(protocol.BatchRead, "job-1")
@@ -332,13 +332,13 @@
 
 		stores[0].stop(t)
 		control.evict("store-1")
-		So(readAll(t, caller, "job-1", len(ids)), ShouldResemble, found)
+		So(readAllResults(t, caller, "job-1", len(ids)), ShouldResemble, found)
 		stores[0] = startStore(t, 1, directories[0])
 		third := call(protocol.BatchSubmit, "job-3")
 		third.Body = submission("plain-5", "cut-2")
 		callUntil(t, caller, third, 202)
-		So(readAll(t, caller, "job-3", 2), ShouldResemble, map[string]string{"plain-5": completed("plain-5"), "cut-2": completed("cut-2")})
-		So(readAll(t, caller, "job-1", len(ids)), ShouldResemble, found)
+		So(readAllResults(t, caller, "job-3", 2), ShouldResemble, map[string]string{"plain-5": completed("plain-5"), "cut-2": completed("cut-2")})
+		So(readAllResults(t, caller, "job-1", len(ids)), ShouldResemble, found)
 	})
 	for _, store := range stores {
 		store.stop(t)
--- a/internal/batch/server/standing.go
+++ b/internal/batch/server/standing.go
@@ -9,7 +9,7 @@
 // tellViolations logs the invariants that did not hold in this life.
 func (s *Server) logViolations() {
 	s.mutex.Lock()
-	violations := maps.Clone(s.machine.Violations())
+	violations := maps.Clone(s.stateMachine.Violations())
 	s.mutex.Unlock()
 	for invariant, count := range violations {
 		s.log.Error().Str("invariant", string(invariant)).Int("count", count).Msg("invariant_violated")
@@ -19,7 +19,7 @@
 // tellStanding logs what this store waits for, where it doesn't stand whole in the present epoch.
 func (s *Server) logUnreconciled() {
 	s.mutex.Lock()
-	standing := s.machine.Status()
+	standing := s.stateMachine.Status()
 	s.mutex.Unlock()
 	if standing.Reconciled() {
 		return
