--- a/cmd/sprucelane-batch/main.go
+++ b/cmd/sprucelane-batch/main.go
@@ -1,4 +1,10 @@
-// Command sprucelane-batch is the system's store of batch jobs: it keeps them, runs their items and gives their results.
+// Command sprucelane-batch is the store process of a machine with a disk: it keeps batch jobs together with
+// the stores of other machines, runs their items at model servers and serves their results
+// (internal/batch/server).
+//
+// Flags, the settings file and exit codes are those of internal/node/program. SIGTERM ends it with exit
+// code 0, SIGHUP has it read the settings again. It ends with an error if the settings don't fit a store or
+// its log fails; a disk that can't be read at a start is tried again until it can.
 package main
 
 import (
@@ -40,10 +46,11 @@
 	return program.ExitOK
 }
 
-// watchSignals ends the process on SIGTERM, and takes changed settings in on SIGHUP once the disk is open.
+// watchSignals ends the process on SIGTERM, and reloads the settings on SIGHUP. A SIGHUP that comes before
+// the disk is open stays in its channel until then.
 func watchSignals(signals *program.Signals, stop context.CancelFunc, opened <-chan *server.Server, p *program.Program) {
 	var s *server.Server
-	var reloads <-chan os.Signal // one that comes earlier is kept until then
+	var reloads <-chan os.Signal // nil, which is never ready, until the disk is open
 	for {
 		select {
 		case s = <-opened:
--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"time"
 
 	"sprucelane.example/sprucelane/coord/transport"
@@ -11,18 +12,23 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// answerWithin is how long a call is worked on: gateways have given it up by then.
+// callTimeout is how long a call may take, besides the time that it asks to wait for results. Gateways have
+// given it up by then.
 const callTimeout = 4 * time.Second
 
-var errUnknownMessage = errors.New("batch: a message of an unknown kind")
+// lostLeaseRetry is the Retry-After of a call that was answered after the lease had ended, by when another
+// store may act.
+const lostLeaseRetry = 250 * time.Millisecond
+
+var errUnknownMessage = errors.New("server: message of an unknown kind")
 
 // handle takes gateways' calls and other stores' messages.
 func (s *Server) handle(ctx context.Context, session *transport.Session, message any) (any, error) {
 	if call, ok := message.(protocol.BatchCall); ok {
 		started := time.Now()
 		answer := s.call(ctx, call)
-		s.log.Debug().Int("operation", int(call.Operation)).Str("batch_job", call.BatchJob).Int("status", answer.Status).
-			Str("owner", answer.Owner).Dur("took", time.Since(started)).Msg("call")
+		s.log.Debug().Int("operation", int(call.Operation)).Str("batch_job", call.BatchJob).
+			Int("status", answer.Status).Str("owner", answer.Owner).Dur("took", time.Since(started)).Msg("call")
 		return answer, nil
 	}
 	remote := session.Remote()
@@ -31,26 +37,26 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if member, present := s.member(keyOf(remote)); present {
-		s.stateMachine.Receive(member, message)
+	if sender, present := s.member(keyOf(remote)); present {
+		s.stateMachine.Receive(sender, message)
 	}
 	return nil, nil
 }
 
-// member gives the process of the view that a message is from.
+// member returns the process of the view with a key; false if there is none. The mutex is held.
 func (s *Server) member(key placement.Key) (protocol.Process, bool) {
 	member, present := placement.MemberOf(s.stateMachine.CurrentView(), key)
 	return member.Process, present
 }
 
-// call answers a client's call.
+// call has the state machine answer a client's call, and waits for the answer.
 func (s *Server) call(ctx context.Context, call protocol.BatchCall) protocol.BatchAnswer {
 	var items []job.Item
 	if call.Operation == protocol.BatchSubmit {
 		parsed, err := job.ParseSubmission(call.Body)
 		if err != nil {
 			s.log.Info().Err(err).Str("batch_job", call.BatchJob).Msg("batch_job_invalid")
-			return protocol.BatchAnswer{Status: 400}
+			return protocol.BatchAnswer{Status: http.StatusBadRequest}
 		}
 		items = parsed
 	}
@@ -59,9 +65,9 @@
 	answered := make(chan protocol.BatchAnswer, 1)
 	s.mutex.Lock()
 	s.lastCall++
-	token := s.lastCall
-	s.pendingCalls[token] = answered
-	s.stateMachine.Call(token, call, items)
+	id := s.lastCall
+	s.pendingCalls[id] = answered
+	s.stateMachine.Call(id, call, items)
 	s.mutex.Unlock()
 	select {
 	case answer := <-answered:
@@ -69,26 +75,28 @@
 	case <-ctx.Done():
 	}
 	s.mutex.Lock()
-	delete(s.pendingCalls, token)
-	s.stateMachine.CancelCall(token)
+	delete(s.pendingCalls, id)
+	s.stateMachine.CancelCall(id)
 	s.mutex.Unlock()
-	return protocol.BatchAnswer{Status: 504}
+	return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
 }
 
-// checked lets an answer go only while this store may still act: between an answer and its leaving the process may have
-// stood still.
+// withholdUnlessLeased replaces an answer if the lease has ended since it was given, as after a process
+// pause: another store may own the batch job by now, so that it may be out of date. A submission may have
+// been accepted, which is what 504 says.
 func (s *Server) withholdUnlessLeased(call protocol.BatchCall, answer protocol.BatchAnswer) protocol.BatchAnswer {
-	if answer.Status == 503 || answer.Status == 504 || answer.Owner != "" {
+	redirected := answer.Owner != ""
+	if redirected || answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusGatewayTimeout {
 		return answer
 	}
 	s.mutex.Lock()
-	allowed := s.stateMachine.MayAct()
+	leased := s.stateMachine.MayAct()
 	s.mutex.Unlock()
-	if allowed {
+	if leased {
 		return answer
 	}
 	if call.Operation == protocol.BatchSubmit {
-		return protocol.BatchAnswer{Status: 504}
+		return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
 	}
-	return protocol.BatchAnswer{Status: 503, RetryAfterMs: 250}
+	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(lostLeaseRetry.Milliseconds())}
 }
--- a/internal/batch/server/check.go
+++ b/internal/batch/server/check.go
@@ -2,7 +2,7 @@
 
 import "sprucelane.example/sprucelane/internal/node"
 
-// Check tells all that keeps a batch process from running with the settings. The error is of type node.Findings.
+// Check reports all settings that keep a batch process from running. The error is of type node.Findings.
 func Check(settings *node.Settings) error {
 	var findings node.Findings
 	if settings.DataDir == "" {
@@ -12,7 +12,8 @@
 		findings = append(findings, node.Finding{Place: "serves", Text: "a batch process serves store"})
 	}
 	if settings.Port(node.PortBatch) > settings.LastPort {
-		findings = append(findings, node.Finding{Place: "port-range", Text: "the port between stores is beyond its end"})
+		findings = append(findings,
+			node.Finding{Place: "port-range", Text: "the port between stores is beyond its end"})
 	}
 	return findings.OrNil()
 }
--- a/internal/batch/server/damage_test.go
+++ b/internal/batch/server/corruption_test.go
@@ -16,9 +16,10 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// writeLog appends records to a folder's log.
+// writeLog appends records to the log in a directory.
 func writeLog(directory string, records ...[]byte) {
-	log, err := wal.Open(directory, wal.Options{}, func(wal.Location, []byte) error { return nil }, func(uint64, error) {})
+	ignore := func(wal.Location, []byte) error { return nil }
+	log, err := wal.Open(directory, wal.Options{}, ignore, func(uint64, error) {})
 	So(err, ShouldBeNil)
 	for _, record := range records {
 		log.Append(record, true)
@@ -26,7 +27,7 @@
 	log.Close()
 }
 
-// writeGroups appends records to a folder's log, each synced before the next is written.
+// writeGroups appends records to the log in a directory, each synced before the next is written.
 func writeGroups(directory string, records ...[]byte) {
 	durable := make(chan uint64, len(records))
 	log, err := wal.Open(directory, wal.Options{}, func(wal.Location, []byte) error { return nil },
@@ -40,7 +41,7 @@
 	log.Close()
 }
 
-// damage inverts a bit of a file.
+// invertBit inverts the lowest bit of a file's byte.
 func invertBit(path string, offset int) {
 	text, err := os.ReadFile(path)
 	So(err, ShouldBeNil)
@@ -48,7 +49,7 @@
 	So(os.WriteFile(path, text, 0o644), ShouldBeNil)
 }
 
-// copyRecord is a whole batch job with one item, as a store writes it.
+// replicaRecord is a complete batch job with one item, as a store writes it.
 func replicaRecord(id string) []byte {
 	content := (&job.Content{ID: id, Tenant: "t", Route: "r", Items: []job.Item{{ID: "item", Path: "/p"}}}).Encode()
 	record := job.AppendString([]byte{1}, id)
@@ -57,7 +58,7 @@
 	return append(record, 0) // results
 }
 
-// contents gives all files of a folder but the life.
+// readFiles reads all files of a directory but the incarnation's.
 func readFiles(directory string) map[string]string {
 	files := map[string]string{}
 	entries, err := os.ReadDir(directory)
@@ -72,7 +73,7 @@
 	return files
 }
 
-// logged gives the lines of an event.
+// logLines returns the log lines of an event.
 func logLines(log *bytes.Buffer, event string) (lines []map[string]any) {
 	decoder := json.NewDecoder(bytes.NewReader(log.Bytes()))
 	for {
@@ -87,13 +88,13 @@
 }
 
 func TestCorruptRecords(t *testing.T) {
-	Convey("A start uses all that is sound on a disk, tells the rest with its place, and changes none of it", t, func() {
+	Convey("A start uses all that is valid on a disk, logs the rest with its location, changes none of it", t, func() {
 		directory := t.TempDir()
 		first, err := openIncarnation(directory)
 		So(err, ShouldBeNil)
 		junk := make([][]byte, 16)
 		for kind := range junk {
-			junk[kind] = []byte{byte(kind)} // none is whole
+			junk[kind] = []byte{byte(kind)} // none is complete
 		}
 		writeLog(directory, append(append([][]byte{replicaRecord("before")}, junk...), replicaRecord("after"))...)
 		before := readFiles(directory)
@@ -121,7 +122,7 @@
 			So(readFiles(directory), ShouldHaveLength, len(before)+start+1) // a segment for each start
 		}
 	})
-	Convey("A part of the log that doesn't match its checksums is told, and the rest is used", t, func() {
+	Convey("A part of the log that doesn't match its checksum is logged, and the rest is used", t, func() {
 		directory := t.TempDir()
 		writeLog(directory, replicaRecord("one"), replicaRecord("two"))
 		writeLog(directory, replicaRecord("three"))
@@ -138,7 +139,7 @@
 		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
 		So(readFiles(directory)["segment-00000001"] == string(text), ShouldBeTrue)
 	})
-	Convey("So is one in the last segment that later records were synced behind; nothing is cut off", t, func() {
+	Convey("So is one in the last segment with records that were synced later; nothing is truncated", t, func() {
 		directory := t.TempDir()
 		writeLog(directory, replicaRecord("one"))
 		path := filepath.Join(directory, "segment-00000001")
@@ -153,13 +154,13 @@
 		s.disk.wal.Close()
 		findings, damaged := s.corruptionCounts()
 		So(findings, ShouldEqual, 1)
-		So(damaged, ShouldEqual, 2) // all that was held where the part stood
+		So(damaged, ShouldEqual, 2) // all that the log held before that part
 		So(s.report().BatchJobs, ShouldEqual, 3)
 		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
 		So(logLines(&log, "log_end_cut_off"), ShouldBeEmpty)
 		So(readFiles(directory)["segment-00000002"] == before, ShouldBeTrue)
 	})
-	Convey("An end that may have been torn is cut off, and told with its place and size", t, func() {
+	Convey("A tail that may be a torn write is truncated, and logged with its location and size", t, func() {
 		directory := t.TempDir()
 		writeGroups(directory, replicaRecord("one"), replicaRecord("two"))
 		path := filepath.Join(directory, "segment-00000001")
@@ -181,13 +182,13 @@
 		s.logState()
 		So(logLines(&log, "state")[0]["cut_off"], ShouldEqual, len(text)/2-3)
 	})
-	Convey("A life that can't be made out begins another, with all that the log holds", t, func() {
-		for _, garbled := range []string{"?", "", "0123456789abcdef", "0123456789abcdef x\n"} {
+	Convey("A corrupt incarnation file begins another incarnation, with all that the log has", t, func() {
+		for _, corrupt := range []string{"?", "", "0123456789abcdef", "0123456789abcdef x\n"} {
 			directory := t.TempDir()
 			first, err := openIncarnation(directory)
 			So(err, ShouldBeNil)
 			writeLog(directory, replicaRecord("one"))
-			So(os.WriteFile(filepath.Join(directory, incarnationFile), []byte(garbled), 0o644), ShouldBeNil)
+			So(os.WriteFile(filepath.Join(directory, incarnationFile), []byte(corrupt), 0o644), ShouldBeNil)
 			var log bytes.Buffer
 			s, err := New(testSettings("127.0.0.1", "store-1", directory), zerolog.New(&log))
 			So(err, ShouldBeNil)
@@ -213,7 +214,8 @@
 		So(os.Mkdir(path, 0o755), ShouldBeNil) // reading it gives an error
 		var log bytes.Buffer
 		tries := 0
-		s, err := openWithRetry(context.Background(), testSettings("127.0.0.1", "store-1", directory), zerolog.New(&log), func(context.Context) error {
+		settings := testSettings("127.0.0.1", "store-1", directory)
+		s, err := openWithRetry(context.Background(), settings, zerolog.New(&log), func(context.Context) error {
 			tries++
 			if tries == 3 {
 				So(os.Remove(path), ShouldBeNil)
@@ -227,7 +229,7 @@
 		So(s.report().BatchJobs, ShouldEqual, 1)
 		So(logLines(&log, "disk_unreadable"), ShouldHaveLength, 3)
 	})
-	Convey("It is tried until the process is to end; without a folder it doesn't begin", t, func() {
+	Convey("It is tried again until the context ends; without a data directory it isn't tried", t, func() {
 		file := filepath.Join(t.TempDir(), "file")
 		So(os.WriteFile(file, nil, 0o644), ShouldBeNil)
 		ctx, cancel := context.WithCancel(context.Background())
--- /dev/null
+++ b/internal/batch/server/disk.go
@@ -0,0 +1,109 @@
+package server
+
+import (
+	"errors"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/replica"
+	"sprucelane.example/sprucelane/internal/batch/wal"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// reservedDiskShare is the share of disk-mb that new batch jobs leave free, for the results of those that
+// are stored.
+const reservedDiskShare = 0.2
+
+// removeInterval is the time between attempts to remove segments that nothing needs any more.
+const removeInterval = 5 * time.Second
+
+// disk is the log and the space that it may take.
+type disk struct {
+	wal      *wal.WAL
+	capacity int64 // bytes
+}
+
+// openDisk replays the log of earlier incarnations into a new state machine. What can't be used is logged,
+// and stays on the disk.
+func (s *Server) openDisk() error {
+	opened, err := openIncarnation(s.settings.DataDir)
+	if err != nil {
+		return err
+	}
+	s.process = protocol.Process{
+		Node: s.settings.NodeName, Role: protocol.RoleBatch, Zone: s.settings.Zone, IP: s.settings.IP,
+		Incarnation: opened.id,
+	}
+	capacity := int64(s.settings.Limits.DiskMB) << 20
+	s.stateMachine = replica.New(replica.Options{
+		Self: s.process, ProcessIncarnation: opened.starts,
+		ReplicationFactor: s.settings.Tolerance.Machines + 1,
+		Retention:         s.settings.Bounds.Status + 2*s.settings.Bounds.SkewMax,
+		MinFreeBytes:      int64(reservedDiskShare * float64(capacity)),
+	}, s)
+	s.disk = &disk{capacity: capacity}
+	if opened.unreadable {
+		s.log.Error().Str("incarnation", opened.id).Msg("life_unreadable")
+	}
+	options := wal.Options{
+		OnSkipped:   func(at wal.Location) { s.logFinding(s.stateMachine.ReplaySkipped(at)) },
+		OnTruncated: s.logTruncation,
+	}
+	s.disk.wal, err = wal.Open(s.settings.DataDir, options, s.replay, s.onDurable)
+	return err
+}
+
+// replay passes a record to the state machine. A record that can't be used is logged; the start goes on, as
+// the others are still of use.
+func (s *Server) replay(at wal.Location, record []byte) error {
+	var finding *replica.Finding
+	if errors.As(s.stateMachine.Replay(at, record), &finding) {
+		s.logFinding(finding)
+	}
+	return nil
+}
+
+// logFinding logs a part of the log that can't be used.
+func (s *Server) logFinding(finding *replica.Finding) {
+	s.log.Error().Str("problem", string(finding.Problem)).
+		Uint32("segment", finding.At.Segment).Uint32("offset", finding.At.Offset).Uint32("length", finding.At.Length).
+		Uint8("kind", finding.Kind).Str("batch_job", finding.Job).
+		Int("position", finding.Position).Int("sound", finding.SoundResults).Msg("record_unreadable")
+}
+
+// logTruncation logs the tail of the log that was truncated. That is a warning, not an error: a kill or a
+// loss of power leaves one of what was never reported as durable. Corruption of what was synced last looks
+// the same.
+func (s *Server) logTruncation(at wal.Location) {
+	s.truncatedBytes += int64(at.Length)
+	s.log.Warn().Uint32("segment", at.Segment).Uint32("offset", at.Offset).Uint32("length", at.Length).
+		Msg("log_end_cut_off")
+}
+
+// onDurable is called by the log's goroutine.
+func (s *Server) onDurable(sequence uint64, err error) {
+	if err != nil {
+		s.log.Error().Err(err).Msg("log_failed")
+		select {
+		case s.diskFailed <- err:
+		default:
+		}
+		return
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.stateMachine.Synced(sequence)
+}
+
+// removeSegments removes the segments of the log that the state machine doesn't need any more.
+func (s *Server) removeSegments() {
+	oldest, active := s.disk.wal.SegmentRange()
+	s.mutex.Lock()
+	needed := s.stateMachine.OldestSegment(active)
+	s.mutex.Unlock()
+	for ; oldest < needed; oldest++ {
+		if err := s.disk.wal.RemoveSegment(oldest); err != nil {
+			s.log.Warn().Err(err).Msg("segment_not_released")
+			return
+		}
+	}
+}
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -11,28 +11,26 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns what the machine acts through. All of it is called with the mutex held.
+// The exported methods in this file are what the state machine acts through. It calls them with the mutex
+// held.
+var _ replica.Environment = (*Server)(nil)
 
-type disk struct {
-	wal      *wal.WAL
-	capacity int64
-}
-
-// Now is the steady clock.
+// Now returns the monotonic time since the start.
 func (s *Server) Now() time.Duration { return time.Since(s.origin) }
 
-// Wall is the time of day.
+// WallClock returns the time of day in Unix milliseconds.
 func (s *Server) WallClock() int64 { return time.Now().UnixMilli() }
 
-// Write queues a record.
+// Write appends a record to the log. Its sequence number is passed to the state machine once it is durable.
 func (s *Server) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	return s.disk.wal.Append(record, urgent)
 }
 
-// Read reads from the log.
+// Read reads bytes of a durable record.
 func (s *Server) Read(at wal.Location) ([]byte, error) { return s.disk.wal.Read(at) }
 
-// Free tells what the disk still takes.
+// FreeBytes returns how much more the log may take. It is 0 while the disk is full, whatever the settings
+// allow.
 func (s *Server) FreeBytes() int64 {
 	if s.disk.wal.DiskFull() {
 		return 0
@@ -40,7 +38,7 @@
 	return s.disk.capacity - s.disk.wal.Size()
 }
 
-// Send sends a message to another store.
+// Send sends a message to another store. It may be lost: the state machine sends again what matters.
 func (s *Server) Send(to protocol.Process, message any) {
 	if s.closed {
 		return
@@ -50,37 +48,37 @@
 		peer = transport.NewClient(s.settings.EndpointAt(to.IP, node.PortBatch), s.transportOptions, nil, nil)
 		s.peers[to.IP] = peer
 	}
-	_ = peer.Send(message) // what matters is sent again
+	_ = peer.Send(message)
 }
 
-// QueueLimit tells how many tokens of a tenant may wait on a route.
+// QueueLimit returns a route's max-queued-tokens, 0 for no limit; false while the route isn't known.
 func (s *Server) QueueLimit(route string) (tokens int64, known bool) {
 	snapshot := s.Configuration()
 	if snapshot == nil {
 		return 0, false
 	}
-	of := snapshot.RouteByName(route)
-	if of == nil {
+	found := snapshot.RouteByName(route)
+	if found == nil {
 		return 0, false
 	}
-	return of.MaxQueuedTokens, true
+	return found.MaxQueuedTokens, true
 }
 
-// Start has a batch job's items run.
+// Start makes the runner run a batch job's items.
 func (s *Server) Start(id string) { s.runner.Start(id) }
 
-// Stop has none of them run any more.
+// Stop cancels those that run, and makes the runner start no more.
 func (s *Server) Stop(id string) { s.runner.Stop(id) }
 
-// Answer ends a call.
-func (s *Server) Answer(token replica.CallID, answer protocol.BatchAnswer) {
-	if waiting := s.pendingCalls[token]; waiting != nil {
-		delete(s.pendingCalls, token)
-		waiting <- answer
+// Answer ends a call, unless its caller has given up.
+func (s *Server) Answer(call replica.CallID, answer protocol.BatchAnswer) {
+	if pending := s.pendingCalls[call]; pending != nil {
+		delete(s.pendingCalls, call)
+		pending <- answer
 	}
 }
 
-// dropPeers closes connections to stores that are gone.
+// closeDepartedPeers closes the connections to stores that are not in the view.
 func (s *Server) closeDepartedPeers(view protocol.StoreView) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,7 +99,7 @@
 	return false
 }
 
-// keyOf gives the key of the process at the other end of a session.
+// keyOf returns the key of the process at the other end of a session.
 func keyOf(identity transport.Identity) placement.Key {
 	return placement.KeyOf(protocol.Process{Node: identity.Node, Incarnation: identity.Incarnation})
 }
--- /dev/null
+++ b/internal/batch/server/incarnation.go
@@ -0,0 +1,82 @@
+package server
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// incarnation identifies the life of a disk, from empty to lost, and counts the starts of the process on
+// it. A store that lost its disk comes back with another id, so that nobody takes it for the one that held
+// its batch jobs.
+type incarnation struct {
+	id         string // 16 hexadecimal digits
+	starts     uint64 // this one included; the state machine's process incarnation
+	unreadable bool   // the file existed and was corrupt, so that a new incarnation was begun
+}
+
+// incarnationFile holds the id and the number of starts, separated by a space, and a line end.
+const incarnationFile = "life"
+
+var errNoDataDir = errors.New("server: no data-dir in the settings")
+
+// openIncarnation reads the incarnation of a disk and counts this start, durably. On an empty disk, and if
+// the file is corrupt, it begins a new one: the process joins as a new store then, with the replicas that
+// its log has.
+func openIncarnation(directory string) (incarnation, error) {
+	if directory == "" {
+		return incarnation{}, errNoDataDir
+	}
+	if err := os.MkdirAll(directory, 0o755); err != nil {
+		return incarnation{}, err
+	}
+	var opened incarnation
+	text, err := os.ReadFile(filepath.Join(directory, incarnationFile))
+	switch {
+	case errors.Is(err, os.ErrNotExist):
+		opened.id, err = newIncarnationID()
+	case err == nil:
+		if _, scanErr := fmt.Sscanf(string(text), "%s %d\n", &opened.id, &opened.starts); scanErr != nil {
+			opened = incarnation{unreadable: true}
+			opened.id, err = newIncarnationID()
+		}
+	}
+	if err != nil {
+		return incarnation{}, err
+	}
+	opened.starts++
+	return opened, opened.write(directory)
+}
+
+func newIncarnationID() (string, error) {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return "", err
+	}
+	return hex.EncodeToString(random[:]), nil
+}
+
+// write replaces the file atomically and durably.
+func (i incarnation) write(directory string) error {
+	path := filepath.Join(directory, incarnationFile)
+	file, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o644)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(file, "%s %d\n", i.id, i.starts)
+	err = errors.Join(err, file.Sync(), file.Close())
+	if err != nil {
+		return err
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		return err
+	}
+	parent, err := os.Open(directory)
+	if err != nil {
+		return err
+	}
+	return errors.Join(parent.Sync(), parent.Close())
+}
--- a/internal/batch/server/stats.go
+++ b/internal/batch/server/state_interval.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// statsEvery is how often the process logs its state.
+// statsInterval is the time between summaries of the state in the log.
 const statsInterval = 10 * time.Second
