--- /dev/null
+++ b/internal/gateway/serverselection/cost.go
@@ -0,0 +1,58 @@
+package serverselection
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/ablation"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
+	"sprucelane.example/sprucelane/internal/serverload"
+)
+
+// Costs are in prompt tokens that the server would have to read before the request's own first token.
+const (
+	// ownRequestCost is that of one of this gateway's requests in flight, at a server that doesn't report its load: each
+	// makes every decoding step a little longer.
+	ownRequestCost = 60
+	// reportedRequestCost is that of a request in flight at a server that reports its load, and queuedRequestCost that of
+	// one that waits there for a slot, ahead of a new request.
+	reportedRequestCost, queuedRequestCost = 300, 5000
+	// crossZoneCost is that of a server in another zone: the crossings and the price of the bytes.
+	crossZoneCost = 200
+	// maxStallPenalty and maxLatencyPenalty bound the penalties.
+	maxStallPenalty, maxLatencyPenalty = 50_000, 20_000
+	// jitter is the width of the random part.
+	jitter = 120
+	// prefillTokensPerMs converts time into tokens.
+	prefillTokensPerMs = serverload.PrefillTokensPerMs
+)
+
+// cost estimates how long a request waits for its first token at a server, in tokens. mu is held.
+func (p *Selector) cost(now time.Time, server *endpoints.Server, s *serverState, workload *Workload, preferred affinityOrder) float64 {
+	cached := s.cache.cachedTokens(workload.Prefixes, now)
+	if shared := workload.shared(); len(shared) > 0 {
+		all := float64(shared[len(shared)-1].Tokens)
+		cached = max(cached, int(preferred.cachedShare(server.Number)*all))
+	}
+	cost := float64(workload.PromptTokens-cached) + float64(s.pendingTokens) + p.loadCost(now, server, s)
+	if server.Zone != p.zone && !ablation.Off(ablation.ZonePreference) {
+		cost += crossZoneCost
+	}
+	return cost + p.announcedPrefill(now, server) + s.stallPenalty(now) + p.latencyPenalty(now, s) + jitter*p.random.Float64()
+}
+
+// announcedPrefill returns the tokens of long prompts from other processes that a server is still reading.
+func (p *Selector) announcedPrefill(now time.Time, server *endpoints.Server) float64 {
+	if ablation.Off(ablation.PrefixAnnouncements) {
+		return 0
+	}
+	return prefillTokensPerMs * float64(p.loads.PrefillTime(now, server.Hash)) / float64(time.Millisecond)
+}
+
+// stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request is expected
+// to wait for as long as the server has been silent.
+func (s *serverState) stallPenalty(now time.Time) float64 {
+	if s.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
+		return 0
+	}
+	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(s.lastProgress))/float64(time.Millisecond))
+}
--- a/internal/gateway/serverselection/speed.go
+++ b/internal/gateway/serverselection/latency.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// learnShare is the weight of one time in a server's mean, learnAll that in the mean over all.
+	// Weights of one latency in the exponentially weighted moving averages of its server and over all servers.
 	serverLatencyWeight, overallLatencyWeight = 0.2, 0.02
-	// slowMost bounds what slowness adds to a server's cost.
-	maxLatencyPenalty = 20_000
+	// latencyDecay is the time in which the penalty for a server's latency decays to 1/e without new requests, so that
+	// the server is tried again.
+	latencyDecay = 3 * time.Second
 )
 
-// learn takes in how long a request waited for a first sign.
-func (p *Selector) observeLatency(now time.Time, s *serverState, delay time.Duration) {
-	ms := float64(delay) / float64(time.Millisecond)
+// observeLatency takes in how long a request waited for its first response. mu is held.
+func (p *Selector) observeLatency(now time.Time, s *serverState, latency time.Duration) {
+	ms := float64(latency) / float64(time.Millisecond)
 	if p.meanLatency == 0 {
 		p.meanLatency = ms
 	}
@@ -28,7 +29,7 @@
 	s.latencyAt = now
 }
 
-// slowness gives what a server is slower than others, in tokens; it is forgotten with time, so that the server is asked again.
+// latencyPenalty returns the penalty of a server that is slower than the average. mu is held.
 func (p *Selector) latencyPenalty(now time.Time, s *serverState) float64 {
 	if s.meanLatency <= p.meanLatency || ablation.Off(ablation.LatencyWeighting) {
 		return 0
--- /dev/null
+++ b/internal/gateway/serverselection/selector.go
@@ -0,0 +1,158 @@
+package serverselection
+
+import (
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/ablation"
+	"sprucelane.example/sprucelane/internal/gateway/endpoints"
+	"sprucelane.example/sprucelane/internal/serverload"
+	"sprucelane.example/sprucelane/policy"
+)
+
+// Selector selects servers for the requests of one gateway. It is safe for concurrent use.
+type Selector struct {
+	zone  string
+	loads *serverload.Table
+
+	// mu guards all that follows, and the serverState of each server.
+	mu          sync.Mutex
+	random      *rand.Rand
+	servers     map[policy.ServerID]*serverState
+	lastReport  map[string]time.Time // by backend: when the load of one of its servers was last known
+	meanLatency float64              // milliseconds to the first response, moving average over all servers
+	sweptAt     time.Time
+}
+
+// serverState is what this gateway has observed of one server.
+type serverState struct {
+	ejection ejection
+	cache    prefixCache
+	inFlight int // requests of this gateway
+
+	awaitingFirst int       // requests in flight without a first response
+	pendingTokens int       // prompt tokens of these that the server has to read
+	lastProgress  time.Time // the server last sent something, or began to have requests that await it
+
+	meanLatency float64   // milliseconds to the first response, moving average
+	latencyAt   time.Time // of the latest one
+
+	lastUsed time.Time
+	recent   serverload.Recent // requests that were sent there
+}
+
+// New returns the selector of a gateway in a zone. Its random draws follow from the seed.
+func New(zone string, seed uint64) *Selector {
+	return &Selector{zone: zone, random: rand.New(rand.NewPCG(seed, 0)), servers: map[policy.ServerID]*serverState{},
+		loads: serverload.NewTable(), lastReport: map[string]time.Time{}}
+}
+
+// Loads returns the table of the loads that servers report. It is filled from responses and from other processes.
+func (p *Selector) Loads() *serverload.Table { return p.loads }
+
+// Criteria are what a server is selected by.
+type Criteria struct {
+	Workload    Workload
+	Servers     []*endpoints.Server // of the request's backend
+	Exclude     []policy.ServerID   // those that the request was sent to before
+	MaxInFlight int                 // requests of this gateway at one server; 0: no bound
+}
+
+// Pick selects a server and reserves a place for the request there. It returns nil if no server is left.
+func (p *Selector) Pick(now time.Time, criteria *Criteria) *Reservation {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var preferred affinityOrder
+	if prefix, found := criteria.Workload.affinityKey(); found && !ablation.Off(ablation.Affinity) {
+		preferred = rendezvous(prefix, criteria.Servers)
+	}
+	best, ejected := p.cheapest(now, criteria, p.sample(now, criteria.Servers, preferred), preferred)
+	if best.server == nil {
+		best, ejected = p.cheapest(now, criteria, criteria.Servers, preferred)
+	}
+	if best.server == nil {
+		best = ejected
+	}
+	if best.server == nil {
+		return nil
+	}
+	return p.reserve(now, best, &criteria.Workload)
+}
+
+// candidate is a server that may be selected. Its zero value is none.
+type candidate struct {
+	server *endpoints.Server
+	state  *serverState
+	cost   float64
+}
+
+// cheapest returns the available server with the lowest cost, and the ejected one whose ejection ends first.
+func (p *Selector) cheapest(now time.Time, criteria *Criteria, list []*endpoints.Server, preferred affinityOrder) (
+	best, ejected candidate) {
+	for _, server := range list {
+		if slices.Contains(criteria.Exclude, server.Number) {
+			continue
+		}
+		s := p.state(server.Number)
+		if criteria.MaxInFlight > 0 && s.inFlight >= criteria.MaxInFlight {
+			continue
+		}
+		one := candidate{server: server, state: s, cost: p.cost(now, server, s, &criteria.Workload, preferred)}
+		if s.ejection.available(now, s.inFlight) {
+			best = cheaper(best, one)
+		} else {
+			one.cost = float64(s.ejection.ejectedUntil.Sub(now))
+			ejected = cheaper(ejected, one)
+		}
+	}
+	return best, ejected
+}
+
+func cheaper(a, b candidate) candidate {
+	if a.server == nil || b.cost < a.cost {
+		return b
+	}
+	return a
+}
+
+func (p *Selector) state(number policy.ServerID) *serverState {
+	s := p.servers[number]
+	if s == nil {
+		s = &serverState{}
+		p.servers[number] = s
+	}
+	return s
+}
+
+const (
+	sweepInterval = 10 * time.Second
+	// idleStateTTL is how long the state of a server that gets no requests is kept.
+	idleStateTTL = 60 * time.Second
+)
+
+// sweep drops the state of servers without requests. mu is held.
+func (p *Selector) sweep(now time.Time) {
+	if now.Sub(p.sweptAt) < sweepInterval {
+		return
+	}
+	p.sweptAt = now
+	for number, s := range p.servers {
+		if s.inFlight == 0 && now.Sub(s.lastUsed) > idleStateTTL {
+			delete(p.servers, number)
+		}
+	}
+}
+
+// InFlight returns the number of this gateway's requests at servers.
+func (p *Selector) InFlight(list []*endpoints.Server) (count int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, server := range list {
+		if s := p.servers[server.Number]; s != nil {
+			count += s.inFlight
+		}
+	}
+	return count
+}
