--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -27,17 +27,17 @@
 )
 
 // cost estimates how long a request waits for its first token at a server, in tokens. mu is held.
-func (p *Selector) cost(now time.Time, server *endpoints.Server, s *serverState, workload *Workload, preferred affinityOrder) float64 {
-	cached := s.cache.cachedTokens(workload.Prefixes, now)
+func (p *Selector) cost(now time.Time, server *endpoints.Server, state *serverState, workload *Workload, preferred affinityOrder) float64 {
+	cached := state.cache.cachedTokens(workload.Prefixes, now)
 	if shared := workload.shared(); len(shared) > 0 {
 		all := float64(shared[len(shared)-1].Tokens)
 		cached = max(cached, int(preferred.cachedShare(server.Number)*all))
 	}
-	cost := float64(workload.PromptTokens-cached) + float64(s.pendingTokens) + p.loadCost(now, server, s)
+	cost := float64(workload.PromptTokens-cached) + float64(state.pendingTokens) + p.loadCost(now, server, state)
 	if server.Zone != p.zone && !ablation.Off(ablation.ZonePreference) {
 		cost += crossZoneCost
 	}
-	return cost + p.announcedPrefill(now, server) + s.stallPenalty(now) + p.latencyPenalty(now, s) + jitter*p.random.Float64()
+	return cost + p.announcedPrefill(now, server) + state.stallPenalty(now) + p.latencyPenalty(now, state) + jitter*p.random.Float64()
 }
 
 // announcedPrefill returns the tokens of long prompts from other processes that a server is still reading.
@@ -50,9 +50,9 @@
 
 // stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request is expected
 // to wait for as long as the server has been silent.
-func (s *serverState) stallPenalty(now time.Time) float64 {
-	if s.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
+func (state *serverState) stallPenalty(now time.Time) float64 {
+	if state.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
 		return 0
 	}
-	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(s.lastProgress))/float64(time.Millisecond))
+	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(state.lastProgress))/float64(time.Millisecond))
 }
--- a/internal/gateway/serverselection/reported_load.go
+++ b/internal/gateway/serverselection/reported_load.go
@@ -58,28 +58,28 @@
 }
 
 // loadCost returns the cost of the requests in flight at a server. mu is held.
-func (p *Selector) loadCost(now time.Time, server *endpoints.Server, s *serverState) float64 {
+func (p *Selector) loadCost(now time.Time, server *endpoints.Server, state *serverState) float64 {
 	if ablation.Off(ablation.ReportedLoad) {
-		return ownRequestCost * float64(s.inFlight)
+		return ownRequestCost * float64(state.inFlight)
 	}
 	load, reportedAt, known := p.loads.Lookup(now, server.Hash)
 	if !known && !p.reportsLoad(now, server.Backend) {
-		return ownRequestCost * float64(s.inFlight)
+		return ownRequestCost * float64(state.inFlight)
 	}
 	if !known {
-		return queueCost(int(assumedUtilization*float64(server.Slots))+s.inFlight, max(server.Slots, 1))
+		return queueCost(int(assumedUtilization*float64(server.Slots))+state.inFlight, max(server.Slots, 1))
 	}
-	return queueCost(load.InFlight()+s.recent.CountSince(reportedAt.UnixNano()), load.Slots)
+	return queueCost(load.InFlight()+state.recent.CountSince(reportedAt.UnixNano()), load.Slots)
 }
 
 // reportedInFlight returns the requests that a server reported, and those that this gateway has sent it since; 0 if its
 // load isn't known. mu is held.
-func (p *Selector) reportedInFlight(now time.Time, server *endpoints.Server, s *serverState) int {
+func (p *Selector) reportedInFlight(now time.Time, server *endpoints.Server, state *serverState) int {
 	load, reportedAt, known := p.loads.Lookup(now, server.Hash)
 	if !known {
 		return 0
 	}
-	return load.InFlight() + s.recent.CountSince(reportedAt.UnixNano())
+	return load.InFlight() + state.recent.CountSince(reportedAt.UnixNano())
 }
 
 // reportsLoad reports whether a backend's servers have reported their load lately. mu is held.
--- a/internal/gateway/serverselection/reservation.go
+++ b/internal/gateway/serverselection/reservation.go
@@ -22,54 +22,54 @@
 
 // reserve counts a request at the selected server. mu is held.
 func (p *Selector) reserve(now time.Time, selected candidate, workload *Workload) *Reservation {
-	s := selected.state
-	t := &Reservation{Server: selected.server, selector: p, state: s, startedAt: now, waiting: true}
-	t.prefillTokens = workload.PromptTokens - s.cache.cachedTokens(workload.Prefixes, now)
-	t.reportedInFlight = p.reportedInFlight(now, selected.server, s)
-	if s.awaitingFirst == 0 {
-		s.lastProgress = now
+	state := selected.state
+	r := &Reservation{Server: selected.server, selector: p, state: state, startedAt: now, waiting: true}
+	r.prefillTokens = workload.PromptTokens - state.cache.cachedTokens(workload.Prefixes, now)
+	r.reportedInFlight = p.reportedInFlight(now, selected.server, state)
+	if state.awaitingFirst == 0 {
+		state.lastProgress = now
 	}
-	s.inFlight++
-	s.awaitingFirst++
-	s.pendingTokens += t.prefillTokens
-	s.lastUsed = now
-	s.recent.Add(now.UnixNano())
+	state.inFlight++
+	state.awaitingFirst++
+	state.pendingTokens += r.prefillTokens
+	state.lastUsed = now
+	state.recent.Add(now.UnixNano())
 	if !ablation.Off(ablation.PrefixCacheModel) {
-		s.cache.record(workload.Prefixes, now)
+		state.cache.record(workload.Prefixes, now)
 	}
 	p.sweep(now)
-	return t
+	return r
 }
 
 // PrefillTokens returns the estimated number of prompt tokens that the server has to read, as its cache lacks them.
-func (t *Reservation) PrefillTokens() int { return t.prefillTokens }
+func (r *Reservation) PrefillTokens() int { return r.prefillTokens }
 
 // ReportedInFlight returns how many requests were at the server when it was selected: those that it reported, and what
 // this gateway sent it since. 0 if it doesn't report its load.
-func (t *Reservation) ReportedInFlight() int { return t.reportedInFlight }
+func (r *Reservation) ReportedInFlight() int { return r.reportedInFlight }
 
 // FirstResponse notes that the first part of the response has arrived.
-func (t *Reservation) FirstResponse(now time.Time) {
-	t.selector.mu.Lock()
-	defer t.selector.mu.Unlock()
-	if t.waiting {
-		t.endWaiting()
-		t.selector.observeLatency(now, t.state, now.Sub(t.startedAt))
+func (r *Reservation) FirstResponse(now time.Time) {
+	r.selector.mu.Lock()
+	defer r.selector.mu.Unlock()
+	if r.waiting {
+		r.endWaiting()
+		r.selector.observeLatency(now, r.state, now.Sub(r.startedAt))
 	}
-	t.state.lastProgress = now
+	r.state.lastProgress = now
 }
 
 // Progress notes that the server has sent more of the response.
-func (t *Reservation) Progress(now time.Time) {
-	t.selector.mu.Lock()
-	defer t.selector.mu.Unlock()
-	t.state.lastProgress = now
+func (r *Reservation) Progress(now time.Time) {
+	r.selector.mu.Lock()
+	defer r.selector.mu.Unlock()
+	r.state.lastProgress = now
 }
 
-func (t *Reservation) endWaiting() {
-	t.waiting = false
-	t.state.awaitingFirst--
-	t.state.pendingTokens -= t.prefillTokens
+func (r *Reservation) endWaiting() {
+	r.waiting = false
+	r.state.awaitingFirst--
+	r.state.pendingTokens -= r.prefillTokens
 }
 
 // stallTimeout is how long a working server may leave all requests that wait there without a response, beside the time
@@ -78,11 +78,11 @@
 
 // Stalled reports whether the server has sent nothing, to any request of this gateway, for so long that the request is
 // better retried elsewhere. The time for reading the prompts that wait there is allowed for twice.
-func (t *Reservation) Stalled(now time.Time) bool {
-	t.selector.mu.Lock()
-	defer t.selector.mu.Unlock()
-	prefill := time.Duration(float64(t.state.pendingTokens) / prefillTokensPerMs * float64(time.Millisecond))
-	return now.Sub(t.state.lastProgress) > stallTimeout+2*prefill
+func (r *Reservation) Stalled(now time.Time) bool {
+	r.selector.mu.Lock()
+	defer r.selector.mu.Unlock()
+	prefill := time.Duration(float64(r.state.pendingTokens) / prefillTokensPerMs * float64(time.Millisecond))
+	return now.Sub(r.state.lastProgress) > stallTimeout+2*prefill
 }
 
 // abandonedFailureAfter is the wait after which a request that is given up without a first response counts as the
@@ -90,29 +90,29 @@
 const abandonedFailureAfter = time.Second
 
 // Done ends the reservation with the attempt's result. Only the first call counts.
-func (t *Reservation) Done(now time.Time, result Result) {
-	t.selector.mu.Lock()
-	defer t.selector.mu.Unlock()
-	if t.done {
+func (r *Reservation) Done(now time.Time, result Result) {
+	r.selector.mu.Lock()
+	defer r.selector.mu.Unlock()
+	if r.done {
 		return
 	}
-	t.done = true
-	if t.waiting {
-		t.endWaiting()
-		if result == Abandoned && now.Sub(t.startedAt) > abandonedFailureAfter {
+	r.done = true
+	if r.waiting {
+		r.endWaiting()
+		if result == Abandoned && now.Sub(r.startedAt) > abandonedFailureAfter {
 			result = Broken
 		}
 	}
-	t.state.inFlight--
-	t.state.lastUsed = now
+	r.state.inFlight--
+	r.state.lastUsed = now
 	if result != Abandoned && result != Unreachable && result != Broken {
-		t.state.lastProgress = now
+		r.state.lastProgress = now
 	}
-	t.state.ejection.record(result, now)
+	r.state.ejection.record(result, now)
 	switch result {
 	case Succeeded:
-		t.selector.loads.RecordResult(now, t.Server.Hash, false)
+		r.selector.loads.RecordResult(now, r.Server.Hash, false)
 	case Failed, Broken, Unreachable:
-		t.selector.loads.RecordResult(now, t.Server.Hash, true)
+		r.selector.loads.RecordResult(now, r.Server.Hash, true)
 	}
 }
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -95,15 +95,15 @@
 		if slices.Contains(criteria.Exclude, server.Number) {
 			continue
 		}
-		s := p.state(server.Number)
-		if criteria.MaxInFlight > 0 && s.inFlight >= criteria.MaxInFlight {
+		state := p.state(server.Number)
+		if criteria.MaxInFlight > 0 && state.inFlight >= criteria.MaxInFlight {
 			continue
 		}
-		one := candidate{server: server, state: s, cost: p.cost(now, server, s, &criteria.Workload, preferred)}
-		if s.ejection.available(now, s.inFlight) {
+		one := candidate{server: server, state: state, cost: p.cost(now, server, state, &criteria.Workload, preferred)}
+		if state.ejection.available(now, state.inFlight) {
 			best = cheaper(best, one)
 		} else {
-			one.cost = float64(s.ejection.ejectedUntil.Sub(now))
+			one.cost = float64(state.ejection.ejectedUntil.Sub(now))
 			ejected = cheaper(ejected, one)
 		}
 	}
@@ -138,8 +138,8 @@
 		return
 	}
 	p.sweptAt = now
-	for number, s := range p.servers {
-		if s.inFlight == 0 && now.Sub(s.lastUsed) > idleStateTTL {
+	for number, state := range p.servers {
+		if state.inFlight == 0 && now.Sub(state.lastUsed) > idleStateTTL {
 			delete(p.servers, number)
 		}
 	}
@@ -150,8 +150,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, server := range list {
-		if s := p.servers[server.Number]; s != nil {
-			count += s.inFlight
+		if state := p.servers[server.Number]; state != nil {
+			count += state.inFlight
 		}
 	}
 	return count
