--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -27,25 +27,25 @@
 )
 
 // cost estimates how long a request waits for its first token at a server, in tokens. mu is held.
-func (p *Selector) cost(now time.Time, server *endpoints.Server, state *serverState, workload *Workload, preferred affinityOrder) float64 {
+func (s *Selector) cost(now time.Time, server *endpoints.Server, state *serverState, workload *Workload, preferred affinityOrder) float64 {
 	cached := state.cache.cachedTokens(workload.Prefixes, now)
 	if shared := workload.shared(); len(shared) > 0 {
 		all := float64(shared[len(shared)-1].Tokens)
 		cached = max(cached, int(preferred.cachedShare(server.Number)*all))
 	}
-	cost := float64(workload.PromptTokens-cached) + float64(state.pendingTokens) + p.loadCost(now, server, state)
-	if server.Zone != p.zone && !ablation.Off(ablation.ZonePreference) {
+	cost := float64(workload.PromptTokens-cached) + float64(state.pendingTokens) + s.loadCost(now, server, state)
+	if server.Zone != s.zone && !ablation.Off(ablation.ZonePreference) {
 		cost += crossZoneCost
 	}
-	return cost + p.announcedPrefill(now, server) + state.stallPenalty(now) + p.latencyPenalty(now, state) + jitter*p.random.Float64()
+	return cost + s.announcedPrefill(now, server) + state.stallPenalty(now) + s.latencyPenalty(now, state) + jitter*s.random.Float64()
 }
 
 // announcedPrefill returns the tokens of long prompts from other processes that a server is still reading.
-func (p *Selector) announcedPrefill(now time.Time, server *endpoints.Server) float64 {
+func (s *Selector) announcedPrefill(now time.Time, server *endpoints.Server) float64 {
 	if ablation.Off(ablation.PrefixAnnouncements) {
 		return 0
 	}
-	return prefillTokensPerMs * float64(p.loads.PrefillTime(now, server.Hash)) / float64(time.Millisecond)
+	return prefillTokensPerMs * float64(s.loads.PrefillTime(now, server.Hash)) / float64(time.Millisecond)
 }
 
 // stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request is expected
--- a/internal/gateway/serverselection/latency.go
+++ b/internal/gateway/serverselection/latency.go
@@ -16,24 +16,24 @@
 )
 
 // observeLatency takes in how long a request waited for its first response. mu is held.
-func (p *Selector) observeLatency(now time.Time, state *serverState, latency time.Duration) {
+func (s *Selector) observeLatency(now time.Time, state *serverState, latency time.Duration) {
 	ms := float64(latency) / float64(time.Millisecond)
-	if p.meanLatency == 0 {
-		p.meanLatency = ms
+	if s.meanLatency == 0 {
+		s.meanLatency = ms
 	}
-	p.meanLatency += overallLatencyWeight * (ms - p.meanLatency)
+	s.meanLatency += overallLatencyWeight * (ms - s.meanLatency)
 	if state.latencyAt.IsZero() {
-		state.meanLatency = p.meanLatency
+		state.meanLatency = s.meanLatency
 	}
 	state.meanLatency += serverLatencyWeight * (ms - state.meanLatency)
 	state.latencyAt = now
 }
 
 // latencyPenalty returns the penalty of a server that is slower than the average. mu is held.
-func (p *Selector) latencyPenalty(now time.Time, state *serverState) float64 {
-	if state.meanLatency <= p.meanLatency || ablation.Off(ablation.LatencyWeighting) {
+func (s *Selector) latencyPenalty(now time.Time, state *serverState) float64 {
+	if state.meanLatency <= s.meanLatency || ablation.Off(ablation.LatencyWeighting) {
 		return 0
 	}
 	left := math.Exp(-float64(now.Sub(state.latencyAt)) / float64(latencyDecay))
-	return min(maxLatencyPenalty, prefillTokensPerMs*(state.meanLatency-p.meanLatency)*left)
+	return min(maxLatencyPenalty, prefillTokensPerMs*(state.meanLatency-s.meanLatency)*left)
 }
--- a/internal/gateway/serverselection/reported_load.go
+++ b/internal/gateway/serverselection/reported_load.go
@@ -21,17 +21,17 @@
 
 // sample draws servers of a backend that reports its load, and adds those that are preferred for the request's prefix. It
 // returns all servers if loads aren't reported. mu is held.
-func (p *Selector) sample(now time.Time, list []*endpoints.Server, preferred affinityOrder) []*endpoints.Server {
+func (s *Selector) sample(now time.Time, list []*endpoints.Server, preferred affinityOrder) []*endpoints.Server {
 	if len(list) <= sampleSize || ablation.Off(ablation.ReportedLoad) {
 		return list
 	}
 	drawn := make([]*endpoints.Server, 0, sampleSize+2)
 	reported := false
 	for range maxDraws {
-		one := list[p.random.IntN(len(list))]
-		_, _, known := p.loads.Lookup(now, one.Hash)
+		one := list[s.random.IntN(len(list))]
+		_, _, known := s.loads.Lookup(now, one.Hash)
 		reported = reported || known
-		if !p.failing(now, one) {
+		if !s.failing(now, one) {
 			drawn = append(drawn, one)
 		}
 		if len(drawn) == sampleSize {
@@ -41,10 +41,10 @@
 	if !reported {
 		return list
 	}
-	p.lastReport[list[0].Backend] = now
+	s.lastReport[list[0].Backend] = now
 	if preferred.primary != 0 {
 		for _, one := range list {
-			if (one.Number == preferred.primary || one.Number == preferred.secondary) && !p.failing(now, one) {
+			if (one.Number == preferred.primary || one.Number == preferred.secondary) && !s.failing(now, one) {
 				drawn = append(drawn, one)
 			}
 		}
@@ -53,17 +53,17 @@
 }
 
 // failing reports whether a server fails the requests of the zone's processes.
-func (p *Selector) failing(now time.Time, server *endpoints.Server) bool {
-	return !ablation.Off(ablation.SharedFailures) && p.loads.Failing(now, server.Hash)
+func (s *Selector) failing(now time.Time, server *endpoints.Server) bool {
+	return !ablation.Off(ablation.SharedFailures) && s.loads.Failing(now, server.Hash)
 }
 
 // loadCost returns the cost of the requests in flight at a server. mu is held.
-func (p *Selector) loadCost(now time.Time, server *endpoints.Server, state *serverState) float64 {
+func (s *Selector) loadCost(now time.Time, server *endpoints.Server, state *serverState) float64 {
 	if ablation.Off(ablation.ReportedLoad) {
 		return ownRequestCost * float64(state.inFlight)
 	}
-	load, reportedAt, known := p.loads.Lookup(now, server.Hash)
-	if !known && !p.reportsLoad(now, server.Backend) {
+	load, reportedAt, known := s.loads.Lookup(now, server.Hash)
+	if !known && !s.reportsLoad(now, server.Backend) {
 		return ownRequestCost * float64(state.inFlight)
 	}
 	if !known {
@@ -74,8 +74,8 @@
 
 // reportedInFlight returns the requests that a server reported, and those that this gateway has sent it since; 0 if its
 // load isn't known. mu is held.
-func (p *Selector) reportedInFlight(now time.Time, server *endpoints.Server, state *serverState) int {
-	load, reportedAt, known := p.loads.Lookup(now, server.Hash)
+func (s *Selector) reportedInFlight(now time.Time, server *endpoints.Server, state *serverState) int {
+	load, reportedAt, known := s.loads.Lookup(now, server.Hash)
 	if !known {
 		return 0
 	}
@@ -83,8 +83,8 @@
 }
 
 // reportsLoad reports whether a backend's servers have reported their load lately. mu is held.
-func (p *Selector) reportsLoad(now time.Time, backend string) bool {
-	last, reported := p.lastReport[backend]
+func (s *Selector) reportsLoad(now time.Time, backend string) bool {
+	last, reported := s.lastReport[backend]
 	return reported && now.Sub(last) < reportMemory
 }
 
@@ -100,14 +100,14 @@
 
 // Utilization returns the share of the servers' slots that is in use, and whether requests wait for slots, by the loads
 // that the servers report. known is false if fewer than half of the servers have reported lately.
-func (p *Selector) Utilization(now time.Time, list []*endpoints.Server) (share float64, waiting, known bool) {
+func (s *Selector) Utilization(now time.Time, list []*endpoints.Server) (share float64, waiting, known bool) {
 	if ablation.Off(ablation.ReportedLoad) {
 		return 0, false, false
 	}
 	var sum serverload.Load
 	reported := 0
 	for _, server := range list {
-		load, _, known := p.loads.Lookup(now, server.Hash)
+		load, _, known := s.loads.Lookup(now, server.Hash)
 		if !known {
 			continue
 		}
--- a/internal/gateway/serverselection/reservation.go
+++ b/internal/gateway/serverselection/reservation.go
@@ -21,11 +21,11 @@
 }
 
 // reserve counts a request at the selected server. mu is held.
-func (p *Selector) reserve(now time.Time, selected candidate, workload *Workload) *Reservation {
+func (s *Selector) reserve(now time.Time, selected candidate, workload *Workload) *Reservation {
 	state := selected.state
-	r := &Reservation{Server: selected.server, selector: p, state: state, startedAt: now, waiting: true}
+	r := &Reservation{Server: selected.server, selector: s, state: state, startedAt: now, waiting: true}
 	r.prefillTokens = workload.PromptTokens - state.cache.cachedTokens(workload.Prefixes, now)
-	r.reportedInFlight = p.reportedInFlight(now, selected.server, state)
+	r.reportedInFlight = s.reportedInFlight(now, selected.server, state)
 	if state.awaitingFirst == 0 {
 		state.lastProgress = now
 	}
@@ -37,7 +37,7 @@
 	if !ablation.Off(ablation.PrefixCacheModel) {
 		state.cache.record(workload.Prefixes, now)
 	}
-	p.sweep(now)
+	s.sweep(now)
 	return r
 }
 
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -50,7 +50,7 @@
 }
 
 // Loads returns the table of the loads that servers report. It is filled from responses and from other processes.
-func (p *Selector) Loads() *serverload.Table { return p.loads }
+func (s *Selector) Loads() *serverload.Table { return s.loads }
 
 // Criteria are what a server is selected by.
 type Criteria struct {
@@ -61,16 +61,16 @@
 }
 
 // Pick selects a server and reserves a place for the request there. It returns nil if no server is left.
-func (p *Selector) Pick(now time.Time, criteria *Criteria) *Reservation {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Selector) Pick(now time.Time, criteria *Criteria) *Reservation {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var preferred affinityOrder
 	if prefix, found := criteria.Workload.affinityKey(); found && !ablation.Off(ablation.Affinity) {
 		preferred = rendezvous(prefix, criteria.Servers)
 	}
-	best, ejected := p.cheapest(now, criteria, p.sample(now, criteria.Servers, preferred), preferred)
+	best, ejected := s.cheapest(now, criteria, s.sample(now, criteria.Servers, preferred), preferred)
 	if best.server == nil {
-		best, ejected = p.cheapest(now, criteria, criteria.Servers, preferred)
+		best, ejected = s.cheapest(now, criteria, criteria.Servers, preferred)
 	}
 	if best.server == nil {
 		best = ejected
@@ -78,7 +78,7 @@
 	if best.server == nil {
 		return nil
 	}
-	return p.reserve(now, best, &criteria.Workload)
+	return s.reserve(now, best, &criteria.Workload)
 }
 
 // candidate is a server that may be selected. Its zero value is none.
@@ -89,17 +89,17 @@
 }
 
 // cheapest returns the available server with the lowest cost, and the ejected one whose ejection ends first.
-func (p *Selector) cheapest(now time.Time, criteria *Criteria, list []*endpoints.Server, preferred affinityOrder) (
+func (s *Selector) cheapest(now time.Time, criteria *Criteria, list []*endpoints.Server, preferred affinityOrder) (
 	best, ejected candidate) {
 	for _, server := range list {
 		if slices.Contains(criteria.Exclude, server.Number) {
 			continue
 		}
-		state := p.state(server.Number)
+		state := s.state(server.Number)
 		if criteria.MaxInFlight > 0 && state.inFlight >= criteria.MaxInFlight {
 			continue
 		}
-		one := candidate{server: server, state: state, cost: p.cost(now, server, state, &criteria.Workload, preferred)}
+		one := candidate{server: server, state: state, cost: s.cost(now, server, state, &criteria.Workload, preferred)}
 		if state.ejection.available(now, state.inFlight) {
 			best = cheaper(best, one)
 		} else {
@@ -133,24 +133,24 @@
 )
 
 // sweep drops the state of servers without requests. mu is held.
-func (p *Selector) sweep(now time.Time) {
-	if now.Sub(p.sweptAt) < sweepInterval {
+func (s *Selector) sweep(now time.Time) {
+	if now.Sub(s.sweptAt) < sweepInterval {
 		return
 	}
-	p.sweptAt = now
-	for number, state := range p.servers {
+	s.sweptAt = now
+	for number, state := range s.servers {
 		if state.inFlight == 0 && now.Sub(state.lastUsed) > idleStateTTL {
-			delete(p.servers, number)
+			delete(s.servers, number)
 		}
 	}
 }
 
 // InFlight returns the number of this gateway's requests at servers.
-func (p *Selector) InFlight(list []*endpoints.Server) (count int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Selector) InFlight(list []*endpoints.Server) (count int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	for _, server := range list {
-		if state := p.servers[server.Number]; state != nil {
+		if state := s.servers[server.Number]; state != nil {
 			count += state.inFlight
 		}
 	}
--- a/internal/gateway/serverselection/selector_test.go
+++ b/internal/gateway/serverselection/selector_test.go
@@ -66,11 +66,11 @@
 		So(float64(all)/float64(len(used)), ShouldBeLessThan, 2.5)
 	})
 	Convey("Under load they spread", r, func() {
-		list, now, p := fleet(6, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := fleet(6, "a"), time.Unix(100, 0), New("a", 1)
 		on := map[string]int{}
 		for i := range 30 {
 			workload := ParseWorkload(fmt.Sprintf("7:13300,%x:3720", i), "17020,40")
-			on[p.Pick(now, &Criteria{Workload: workload, Servers: list}).Server.ID]++
+			on[s.Pick(now, &Criteria{Workload: workload, Servers: list}).Server.ID]++
 		}
 		So(len(on), ShouldBeGreaterThan, 3)
 	})
@@ -79,10 +79,10 @@
 func TestEjection(r *testing.T) {
 	Convey("A server that fails, stalls or is slow gets less, and comes back", r, func() {
 		for _, result := range []Result{Rejected, Unreachable, Broken, Failed} {
-			list, now, p := fleet(3, "a"), time.Unix(100, 0), New("a", 1)
+			list, now, s := fleet(3, "a"), time.Unix(100, 0), New("a", 1)
 			count := func() (bad int) {
 				for range 300 {
-					ticket := p.Pick(now, &Criteria{Servers: list})
+					ticket := s.Pick(now, &Criteria{Servers: list})
 					now = now.Add(10 * time.Millisecond)
 					if ticket.Server == list[0] {
 						bad++
@@ -96,17 +96,17 @@
 			}
 			So(count(), ShouldBeLessThan, 30)
 			now = now.Add(failureMemory + maxEjection)
-			ticket := p.Pick(now, &Criteria{Servers: list[:1]})
+			ticket := s.Pick(now, &Criteria{Servers: list[:1]})
 			ticket.Done(now, Succeeded)
 			result = Succeeded
 			So(count(), ShouldBeGreaterThan, 60)
 		}
 	})
 	Convey("A stalled server isn't selected while requests wait there", r, func() {
-		list, now, p := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
 		var silent []*Reservation
 		for range 20 {
-			if ticket := p.Pick(now, &Criteria{Servers: list}); ticket.Server == list[0] {
+			if ticket := s.Pick(now, &Criteria{Servers: list}); ticket.Server == list[0] {
 				silent = append(silent, ticket)
 			} else {
 				ticket.FirstResponse(now)
@@ -116,28 +116,28 @@
 		So(silent, ShouldNotBeEmpty)
 		now = now.Add(stallTimeout + time.Millisecond)
 		for range 20 {
-			ticket := p.Pick(now, &Criteria{Servers: list})
+			ticket := s.Pick(now, &Criteria{Servers: list})
 			So(ticket.Server, ShouldEqual, list[1])
 			ticket.FirstResponse(now)
 			ticket.Done(now, Succeeded)
 		}
 		silent[0].FirstResponse(now)
-		So(p.servers[1].awaitingFirst, ShouldEqual, len(silent)-1)
+		So(s.servers[1].awaitingFirst, ShouldEqual, len(silent)-1)
 	})
 	Convey("No server is selected that is excluded or full, and all places are returned", r, func() {
-		list, now, p := fleet(3, "a", "b"), time.Unix(100, 0), New("a", 1)
-		So(p.Pick(now, &Criteria{Servers: list, Exclude: []policy.ServerID{1, 2, 3}}), ShouldBeNil)
-		So(p.Pick(now, &Criteria{}), ShouldBeNil)
+		list, now, s := fleet(3, "a", "b"), time.Unix(100, 0), New("a", 1)
+		So(s.Pick(now, &Criteria{Servers: list, Exclude: []policy.ServerID{1, 2, 3}}), ShouldBeNil)
+		So(s.Pick(now, &Criteria{}), ShouldBeNil)
 		var tickets []*Reservation
 		for range 6 {
-			tickets = append(tickets, p.Pick(now, &Criteria{Servers: list, MaxInFlight: 2, Workload: Workload{PromptTokens: 7}}))
+			tickets = append(tickets, s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2, Workload: Workload{PromptTokens: 7}}))
 		}
-		So(p.Pick(now, &Criteria{Servers: list, MaxInFlight: 2}), ShouldBeNil)
+		So(s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2}), ShouldBeNil)
 		for _, ticket := range tickets {
 			ticket.Done(now, Abandoned)
 			ticket.Done(now, Abandoned)
 		}
-		for _, state := range p.servers {
+		for _, state := range s.servers {
 			So([]int{state.inFlight, state.awaitingFirst, state.pendingTokens}, ShouldResemble, []int{0, 0, 0})
 		}
 	})
@@ -145,12 +145,12 @@
 
 func TestReportedPrefill(r *testing.T) {
 	Convey("Nothing is sent behind a long prompt of another gateway until that has been read", r, func() {
-		list, now, p := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
-		p.Loads().AddPrefill(now, list[2].Hash, 20_000)
-		p.Loads().AddPrefill(now, list[2].Hash, 20_000)
+		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
+		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
+		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
 		count := func() (there int) {
 			for range 100 {
-				ticket := p.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
+				ticket := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
 				if ticket.Server == list[2] {
 					there++
 				}
@@ -165,7 +165,7 @@
 		now = now.Add(60 * time.Millisecond)
 		So(count(), ShouldBeGreaterThan, 5)
 		for range 100 {
-			p.Loads().AddPrefill(now, list[2].Hash, 1<<20)
+			s.Loads().AddPrefill(now, list[2].Hash, 1<<20)
 		}
 		now = now.Add(2*time.Second + time.Millisecond)
 		So(count(), ShouldBeGreaterThan, 5)
@@ -173,16 +173,16 @@
 }
 
 // reportLoads has each server of a list report a load.
-func reportLoads(p *Selector, now time.Time, list []*endpoints.Server, load func(i int) string) {
+func reportLoads(s *Selector, now time.Time, list []*endpoints.Server, load func(i int) string) {
 	for i, server := range list {
-		p.Loads().Observe(now, server.Hash, load(i))
+		s.Loads().Observe(now, server.Hash, load(i))
 	}
 }
 
 func TestReportedLoad(r *testing.T) {
 	Convey("Requests avoid servers whose slots are in use, and are spread over those with free slots", r, func() {
-		list, now, p := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
-		reportLoads(p, now, list, func(i int) string {
+		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+		reportLoads(s, now, list, func(i int) string {
 			if i < 6 {
 				return "24,3,24"
 			}
@@ -190,7 +190,7 @@
 		})
 		counts := map[int]int{}
 		for range 60 {
-			server := p.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}).Server
+			server := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}).Server
 			counts[int(server.Number)-1]++
 		}
 		full, most := 0, 0
@@ -204,73 +204,73 @@
 		So(most, ShouldBeLessThan, 11)
 	})
 	Convey("Requests sent since a server's report count, and its next report replaces them", r, func() {
-		list, now, p := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
-		reportLoads(p, now, list, func(int) string { return "0,0,2" })
-		state := p.state(list[0].Number)
+		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
+		reportLoads(s, now, list, func(int) string { return "0,0,2" })
+		state := s.state(list[0].Number)
 		state.recent.Add(now.Add(time.Millisecond).UnixNano())
 		state.recent.Add(now.Add(2 * time.Millisecond).UnixNano())
-		So(p.reportedInFlight(now.Add(3*time.Millisecond), list[0], state), ShouldEqual, 2)
-		p.Loads().Observe(now.Add(time.Millisecond), list[0].Hash, "1,0,2")
-		So(p.reportedInFlight(now.Add(3*time.Millisecond), list[0], state), ShouldEqual, 2)
-		p.Loads().Observe(now.Add(4*time.Millisecond), list[0].Hash, "1,0,2")
-		So(p.reportedInFlight(now.Add(5*time.Millisecond), list[0], state), ShouldEqual, 1)
+		So(s.reportedInFlight(now.Add(3*time.Millisecond), list[0], state), ShouldEqual, 2)
+		s.Loads().Observe(now.Add(time.Millisecond), list[0].Hash, "1,0,2")
+		So(s.reportedInFlight(now.Add(3*time.Millisecond), list[0], state), ShouldEqual, 2)
+		s.Loads().Observe(now.Add(4*time.Millisecond), list[0].Hash, "1,0,2")
+		So(s.reportedInFlight(now.Add(5*time.Millisecond), list[0], state), ShouldEqual, 1)
 	})
 	Convey("A long prompt goes where its prefix is cached, unless others wait there", r, func() {
-		list, now, p := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
 		workload := func(i int) Workload { return ParseWorkload(fmt.Sprintf("7:13300,%x:3720", i), "17020,40") }
-		reportLoads(p, now, list, func(int) string { return "10,0,24" })
+		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		chain, _ := func() (uint64, bool) { d := workload(0); return d.affinityKey() }()
 		first := rendezvous(chain, list).primary
 		for i := range 8 {
-			ticket := p.Pick(now, &Criteria{Servers: list, Workload: workload(i)})
+			ticket := s.Pick(now, &Criteria{Servers: list, Workload: workload(i)})
 			So(ticket.Server.Number, ShouldEqual, first)
 			ticket.FirstResponse(now)
 			ticket.Done(now, Succeeded)
 		}
 		now = now.Add(100 * time.Millisecond)
-		reportLoads(p, now, list, func(i int) string {
+		reportLoads(s, now, list, func(i int) string {
 			if list[i].Number == first {
 				return "24,6,24"
 			}
 			return "10,0,24"
 		})
-		So(p.Pick(now, &Criteria{Servers: list, Workload: workload(9)}).Server.Number, ShouldNotEqual, first)
+		So(s.Pick(now, &Criteria{Servers: list, Workload: workload(9)}).Server.Number, ShouldNotEqual, first)
 	})
 	Convey("A server that fails the zone's requests isn't selected by a gateway that has sent it nothing", r, func() {
-		list, now, p := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
-		reportLoads(p, now, list, func(int) string { return "10,0,24" })
+		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for range 3 {
-			p.Loads().RecordResult(now, list[4].Hash, true)
+			s.Loads().RecordResult(now, list[4].Hash, true)
 		}
 		for range 100 {
-			So(p.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}).Server, ShouldNotEqual, list[4])
+			So(s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}).Server, ShouldNotEqual, list[4])
 		}
 		now = now.Add(5 * time.Second)
-		reportLoads(p, now, list, func(int) string { return "10,0,24" })
+		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		found := false
 		for range 200 {
-			ticket := p.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
+			ticket := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
 			found = found || ticket.Server == list[4]
 			ticket.Done(now, Abandoned)
 		}
 		So(found, ShouldBeTrue)
 	})
 	Convey("If all servers fail, they are used all the same", r, func() {
-		list, now, p := fleet(8, "a"), time.Unix(100, 0), New("a", 1)
-		reportLoads(p, now, list, func(int) string { return "10,0,24" })
+		list, now, s := fleet(8, "a"), time.Unix(100, 0), New("a", 1)
+		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for _, server := range list {
 			for range 3 {
-				p.Loads().RecordResult(now, server.Hash, true)
+				s.Loads().RecordResult(now, server.Hash, true)
 			}
 		}
-		So(p.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}), ShouldNotBeNil)
+		So(s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}), ShouldNotBeNil)
 	})
 	Convey("The utilization is known once half of the servers have reported", r, func() {
-		list, now, p := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
-		_, _, known := p.Utilization(now, list)
+		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
+		_, _, known := s.Utilization(now, list)
 		So(known, ShouldBeFalse)
-		reportLoads(p, now, list[:2], func(int) string { return "12,1,24" })
-		share, waiting, known := p.Utilization(now, list)
+		reportLoads(s, now, list[:2], func(int) string { return "12,1,24" })
+		share, waiting, known := s.Utilization(now, list)
 		So(known, ShouldBeTrue)
 		So(share, ShouldAlmostEqual, 26.0/48)
 		So(waiting, ShouldBeTrue)
