--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -93,21 +93,21 @@
 }
 
 // Line is a total.
-type Total struct {
+type RouteCount struct {
 	Route   string
 	Outcome Outcome
 	Count   uint64
 }
 
 // Totals lists what was counted, in a fixed order.
-func (c *Counts) Totals() []Total {
+func (c *Counts) Totals() []RouteCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return sortedTotals(c.totals)
 }
 
 // Since lists what was counted since it was asked last.
-func (c *Counts) Delta() []Total {
+func (c *Counts) Delta() []RouteCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fresh := map[key]uint64{}
@@ -120,12 +120,12 @@
 	return sortedTotals(fresh)
 }
 
-func sortedTotals(counts map[key]uint64) []Total {
-	list := make([]Total, 0, len(counts))
+func sortedTotals(counts map[key]uint64) []RouteCount {
+	list := make([]RouteCount, 0, len(counts))
 	for one, count := range counts {
-		list = append(list, Total{Route: one.Route, Outcome: one.Outcome, Count: count})
+		list = append(list, RouteCount{Route: one.Route, Outcome: one.Outcome, Count: count})
 	}
-	slices.SortFunc(list, func(a, b Total) int {
+	slices.SortFunc(list, func(a, b RouteCount) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Outcome, b.Outcome))
 	})
 	return list
--- a/internal/gateway/outcomes/outcomes_test.go
+++ b/internal/gateway/outcomes/outcomes_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestOf(t *testing.T) {
+func TestClassify(t *testing.T) {
 	Convey("A late answer is told by what it waited for", t, func() {
 		late := Attempt{Latency: 500 * time.Millisecond, Target: 300 * time.Millisecond}
 		So(Classify(Attempt{Latency: 200 * time.Millisecond, Target: 300 * time.Millisecond}), ShouldEqual, InTime)
@@ -32,9 +32,9 @@
 		c.Add("a", InTime)
 		c.Add("a", InTime)
 		c.Add("b", Lost)
-		So(c.Delta(), ShouldResemble, []Total{{"a", InTime, 2}, {"b", Lost, 1}})
+		So(c.Delta(), ShouldResemble, []RouteCount{{"a", InTime, 2}, {"b", Lost, 1}})
 		c.Add("b", Lost)
-		So(c.Delta(), ShouldResemble, []Total{{"b", Lost, 1}})
+		So(c.Delta(), ShouldResemble, []RouteCount{{"b", Lost, 1}})
 		So(c.Delta(), ShouldBeEmpty)
 		var text strings.Builder
 		So(c.WritePrometheus(&text), ShouldBeNil)
--- a/internal/gateway/retry/attempts.go
+++ b/internal/gateway/retry/attempts.go
@@ -42,40 +42,40 @@
 }
 
 // Note takes an outcome in.
-func (a *History) Record(outcome Outcome) {
+func (h *History) Record(outcome Outcome) {
 	switch outcome {
 	case NotSent:
-		a.unsent++
+		h.unsent++
 	case NotExecuted:
-		a.rejections++
+		h.rejections++
 	case Lost, Failed:
-		a.possibleRuns++
+		h.possibleRuns++
 	}
-	if a.possibleRuns > 1 && !a.Idempotent {
+	if h.possibleRuns > 1 && !h.Idempotent {
 		panic("attempts: a request that may run once was sent to a second server")
 	}
 }
 
 // MayHaveRun tells whether a server may have begun work on the request.
-func (a *History) MayHaveRun() bool { return a.possibleRuns > 0 }
+func (h *History) MayHaveRun() bool { return h.possibleRuns > 0 }
 
 // Again tells whether the request may be sent to another server with so much time left.
-func (a *History) MayRetry(left time.Duration) bool {
-	if left < MinTimeLeft || a.rejections >= maxRejections || a.unsent >= maxUnsent {
+func (h *History) MayRetry(left time.Duration) bool {
+	if left < MinTimeLeft || h.rejections >= maxRejections || h.unsent >= maxUnsent {
 		return false
 	}
-	return a.possibleRuns == 0 || a.Idempotent && a.possibleRuns < max(1, a.MaxServers)
+	return h.possibleRuns == 0 || h.Idempotent && h.possibleRuns < max(1, h.MaxServers)
 }
 
 // Spare tells whether another server could be asked with so much time left, should the one that has the request now be given up.
-func (a *History) MayAbandon(left time.Duration) bool {
-	return left >= MinTimeLeft && a.Idempotent && a.possibleRuns+1 < a.MaxServers
+func (h *History) MayAbandon(left time.Duration) bool {
+	return left >= MinTimeLeft && h.Idempotent && h.possibleRuns+1 < h.MaxServers
 }
 
 // Status gives the answer to a request that is given up.
-func (a *History) FinalStatus(late bool) int {
+func (h *History) FinalStatus(late bool) int {
 	switch {
-	case a.possibleRuns == 0:
+	case h.possibleRuns == 0:
 		return http.StatusServiceUnavailable
 	case late:
 		return http.StatusGatewayTimeout
--- a/internal/gateway/retry/attempts_test.go
+++ b/internal/gateway/retry/attempts_test.go
@@ -13,38 +13,38 @@
 	Convey("Whatever happens, a request runs where it may and its answer is true", t, func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		for range 20000 {
-			a := History{Idempotent: random.IntN(2) == 0, MaxServers: random.IntN(4)}
+			h := History{Idempotent: random.IntN(2) == 0, MaxServers: random.IntN(4)}
 			ran, tries := 0, 0
-			for a.MayRetry(time.Duration(random.IntN(200)) * time.Millisecond) {
+			for h.MayRetry(time.Duration(random.IntN(200)) * time.Millisecond) {
 				outcome := Outcome(random.IntN(4))
 				if tries++; outcome == Lost || outcome == Failed {
 					ran++
 				}
-				a.Record(outcome)
+				h.Record(outcome)
 			}
 			most := 1
-			if a.Idempotent {
-				most = max(1, a.MaxServers)
+			if h.Idempotent {
+				most = max(1, h.MaxServers)
 			}
 			if ran > most || tries > maxRejections+maxUnsent+most {
 				So(ran, ShouldBeLessThanOrEqualTo, most)
 			}
-			status := a.FinalStatus(random.IntN(2) == 0)
+			status := h.FinalStatus(random.IntN(2) == 0)
 			if (status == http.StatusServiceUnavailable) != (ran == 0) {
 				So(status, ShouldNotEqual, http.StatusServiceUnavailable)
 			}
 		}
 	})
 	Convey("A server that refused may be followed by another, one that may have run it may not", t, func() {
-		a := History{MaxServers: 1}
-		a.Record(NotExecuted)
-		a.Record(NotSent)
-		So(a.MayRetry(time.Second), ShouldBeTrue)
-		So(a.MayRetry(MinTimeLeft-1), ShouldBeFalse)
-		a.Record(Lost)
-		So(a.MayRetry(time.Second), ShouldBeFalse)
-		So(a.FinalStatus(true), ShouldEqual, http.StatusGatewayTimeout)
-		So(a.FinalStatus(false), ShouldEqual, http.StatusBadGateway)
-		So(func() { a.Record(Lost) }, ShouldPanic)
+		h := History{MaxServers: 1}
+		h.Record(NotExecuted)
+		h.Record(NotSent)
+		So(h.MayRetry(time.Second), ShouldBeTrue)
+		So(h.MayRetry(MinTimeLeft-1), ShouldBeFalse)
+		h.Record(Lost)
+		So(h.MayRetry(time.Second), ShouldBeFalse)
+		So(h.FinalStatus(true), ShouldEqual, http.StatusGatewayTimeout)
+		So(h.FinalStatus(false), ShouldEqual, http.StatusBadGateway)
+		So(func() { h.Record(Lost) }, ShouldPanic)
 	})
 }
--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -50,9 +50,9 @@
 
 // stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request is expected
 // to wait for as long as the server has been silent.
-func (state *serverState) stallPenalty(now time.Time) float64 {
-	if state.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
+func (s *serverState) stallPenalty(now time.Time) float64 {
+	if s.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
 		return 0
 	}
-	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(state.lastProgress))/float64(time.Millisecond))
+	return min(maxStallPenalty, prefillTokensPerMs*float64(now.Sub(s.lastProgress))/float64(time.Millisecond))
 }
--- a/internal/gateway/serverselection/selector_test.go
+++ b/internal/gateway/serverselection/selector_test.go
@@ -23,8 +23,8 @@
 	return list
 }
 
-func TestParseWorkload(r *testing.T) {
-	Convey("Headers are parsed, and what isn't well formed is ignored", r, func() {
+func TestParseWorkload(t *testing.T) {
+	Convey("Headers are parsed, and what isn't well formed is ignored", t, func() {
 		d := ParseWorkload("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80")
 		So(d.Prefixes, ShouldHaveLength, 3)
 		So(d.Prefixes[2].Tokens, ShouldEqual, 1460)
@@ -38,8 +38,8 @@
 	})
 }
 
-func TestAffinity(r *testing.T) {
-	Convey("Long prefixes stay on a few servers, whichever gateway is asked", r, func() {
+func TestAffinity(t *testing.T) {
+	Convey("Long prefixes stay on a few servers, whichever gateway is asked", t, func() {
 		random := rand.New(rand.NewPCG(1, 1))
 		list, now := fleet(18, "a", "b", "c"), time.Unix(100, 0)
 		var gateways []*Selector
@@ -65,7 +65,7 @@
 		}
 		So(float64(all)/float64(len(used)), ShouldBeLessThan, 2.5)
 	})
-	Convey("Under load they spread", r, func() {
+	Convey("Under load they spread", t, func() {
 		list, now, s := fleet(6, "a"), time.Unix(100, 0), New("a", 1)
 		on := map[string]int{}
 		for i := range 30 {
@@ -76,8 +76,8 @@
 	})
 }
 
-func TestEjection(r *testing.T) {
-	Convey("A server that fails, stalls or is slow gets less, and comes back", r, func() {
+func TestEjection(t *testing.T) {
+	Convey("A server that fails, stalls or is slow gets less, and comes back", t, func() {
 		for _, result := range []Result{Rejected, Unreachable, Broken, Failed} {
 			list, now, s := fleet(3, "a"), time.Unix(100, 0), New("a", 1)
 			count := func() (bad int) {
@@ -102,7 +102,7 @@
 			So(count(), ShouldBeGreaterThan, 60)
 		}
 	})
-	Convey("A stalled server isn't selected while requests wait there", r, func() {
+	Convey("A stalled server isn't selected while requests wait there", t, func() {
 		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
 		var silent []*Reservation
 		for range 20 {
@@ -124,7 +124,7 @@
 		silent[0].FirstResponse(now)
 		So(s.servers[1].awaitingFirst, ShouldEqual, len(silent)-1)
 	})
-	Convey("No server is selected that is excluded or full, and all places are returned", r, func() {
+	Convey("No server is selected that is excluded or full, and all places are returned", t, func() {
 		list, now, s := fleet(3, "a", "b"), time.Unix(100, 0), New("a", 1)
 		So(s.Pick(now, &Criteria{Servers: list, Exclude: []policy.ServerID{1, 2, 3}}), ShouldBeNil)
 		So(s.Pick(now, &Criteria{}), ShouldBeNil)
@@ -143,8 +143,8 @@
 	})
 }
 
-func TestReportedPrefill(r *testing.T) {
-	Convey("Nothing is sent behind a long prompt of another gateway until that has been read", r, func() {
+func TestReportedPrefill(t *testing.T) {
+	Convey("Nothing is sent behind a long prompt of another gateway until that has been read", t, func() {
 		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
 		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
 		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
@@ -179,8 +179,8 @@
 	}
 }
 
-func TestReportedLoad(r *testing.T) {
-	Convey("Requests avoid servers whose slots are in use, and are spread over those with free slots", r, func() {
+func TestReportedLoad(t *testing.T) {
+	Convey("Requests avoid servers whose slots are in use, and are spread over those with free slots", t, func() {
 		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(i int) string {
 			if i < 6 {
@@ -203,7 +203,7 @@
 		So(full, ShouldBeLessThan, 8) // all of a sample may be full
 		So(most, ShouldBeLessThan, 11)
 	})
-	Convey("Requests sent since a server's report count, and its next report replaces them", r, func() {
+	Convey("Requests sent since a server's report count, and its next report replaces them", t, func() {
 		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "0,0,2" })
 		state := s.state(list[0].Number)
@@ -215,7 +215,7 @@
 		s.Loads().Observe(now.Add(4*time.Millisecond), list[0].Hash, "1,0,2")
 		So(s.reportedInFlight(now.Add(5*time.Millisecond), list[0], state), ShouldEqual, 1)
 	})
-	Convey("A long prompt goes where its prefix is cached, unless others wait there", r, func() {
+	Convey("A long prompt goes where its prefix is cached, unless others wait there", t, func() {
 		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
 		workload := func(i int) Workload { return ParseWorkload(fmt.Sprintf("7:13300,%x:3720", i), "17020,40") }
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
@@ -236,7 +236,7 @@
 		})
 		So(s.Pick(now, &Criteria{Servers: list, Workload: workload(9)}).Server.Number, ShouldNotEqual, first)
 	})
-	Convey("A server that fails the zone's requests isn't selected by a gateway that has sent it nothing", r, func() {
+	Convey("A server that fails the zone's requests isn't selected by a gateway that has sent it nothing", t, func() {
 		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for range 3 {
@@ -255,7 +255,7 @@
 		}
 		So(found, ShouldBeTrue)
 	})
-	Convey("If all servers fail, they are used all the same", r, func() {
+	Convey("If all servers fail, they are used all the same", t, func() {
 		list, now, s := fleet(8, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for _, server := range list {
@@ -265,7 +265,7 @@
 		}
 		So(s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}), ShouldNotBeNil)
 	})
-	Convey("The utilization is known once half of the servers have reported", r, func() {
+	Convey("The utilization is known once half of the servers have reported", t, func() {
 		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
 		_, _, known := s.Utilization(now, list)
 		So(known, ShouldBeFalse)
--- a/internal/gateway/sse/events.go
+++ b/internal/gateway/sse/events.go
@@ -109,7 +109,7 @@
 }
 
 // Last gives the id of the last whole event, and whether any had one.
-func (s *Scanner) LastID() (id uint64, any bool) { return s.lastID, s.hasLastID }
+func (s *Scanner) LastID() (id uint64, found bool) { return s.lastID, s.hasLastID }
 
 // Gap tells whether a resumed stream lacks events.
 func (s *Scanner) Gap() bool { return s.gap }
