--- a/internal/gateway/endpoints/benchmark_test.go
+++ b/internal/gateway/endpoints/benchmark_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// manyServers is the number that docs/CAPACITY.md tells of.
+// manyServers is the number of servers in docs/CAPACITY.md.
 const manyServers = 12_000
 
 // unused is a pool without connections.
@@ -16,7 +16,7 @@
 
 func (unused) Apply([]pool.Change) {}
 
-// BenchmarkApply tells what a gateway takes to put a list of many servers in force in which one has changed.
+// BenchmarkApply measures applying a list of many servers of which one has changed.
 func BenchmarkApply(b *testing.B) {
 	list := protocol.ServerList{Source: "control"}
 	for i := range manyServers {
--- /dev/null
+++ b/internal/gateway/endpoints/registry.go
@@ -0,0 +1,111 @@
+// Package endpoints holds the list of servers as a process uses it: an immutable Table that is replaced as a whole with
+// each new list, so that a request sees one list from its selection of a server to its end.
+//
+// The Registry also numbers the servers. The connection pool knows them by these numbers, and is told of each server that
+// is added, drained or removed. A server is identified by its id, not its address: an address that another server has
+// got gets another number, and connections to the former server aren't used for it.
+package endpoints
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"sync/atomic"
+
+	"github.com/cespare/xxhash/v2"
+
+	"sprucelane.example/sprucelane/internal/pool"
+	"sprucelane.example/sprucelane/internal/protocol"
+	"sprucelane.example/sprucelane/policy"
+)
+
+// Server is one incarnation of a server. It is immutable.
+type Server struct {
+	protocol.Server
+	Number policy.ServerID // identifies it within this process; never 0
+	Hash   uint64          // of its id; identifies it at all gateways
+}
+
+// Table is one version of the list of servers. It is immutable.
+type Table struct {
+	Version  uint64
+	Source   string // of the list: versions of different sources can't be compared
+	backends map[string][]*Server
+	numbers  map[policy.ServerID]*Server
+}
+
+// ForBackend returns the backend's servers that aren't draining, ordered by id. The slice must not be changed.
+func (t *Table) ForBackend(backend string) []*Server { return t.backends[backend] }
+
+// ByNumber returns the server with a number, or nil if it was removed or is draining.
+func (t *Table) ByNumber(number policy.ServerID) *Server { return t.numbers[number] }
+
+// Pool is told of changes of the servers; pool.Pool implements it.
+type Pool interface{ Apply([]pool.Change) }
+
+// Registry holds the current table. It is safe for concurrent use.
+type Registry struct {
+	pool    Pool
+	current atomic.Pointer[Table]
+
+	// mu serializes Apply and guards what follows.
+	mu         sync.Mutex
+	lastNumber policy.ServerID  // numbers are never reused
+	entries    map[string]entry // by server id
+}
+
+// entry is what the pool was last told of a server.
+type entry struct {
+	number  policy.ServerID
+	address string
+	state   pool.State
+}
+
+// NewRegistry returns a registry without a table that reports changes to a pool.
+func NewRegistry(pool Pool) *Registry { return &Registry{pool: pool, entries: map[string]entry{}} }
+
+// Current returns the current table, or nil before the first.
+func (r *Registry) Current() *Table { return r.current.Load() }
+
+// Apply replaces the table by one of a new list. The pool is told before the table is visible: a server that can be
+// selected is known to the pool.
+func (r *Registry) Apply(list *protocol.ServerList) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	table := &Table{Version: list.Version, Source: list.Source, backends: map[string][]*Server{}, numbers: map[policy.ServerID]*Server{}}
+	next := make(map[string]entry, len(list.Servers))
+	var changes []pool.Change
+	for i := range list.Servers {
+		server := &list.Servers[i]
+		previous, known := r.entries[server.ID]
+		now := entry{number: previous.number, address: server.Address, state: policy.Ready}
+		if !known {
+			r.lastNumber++
+			now.number = r.lastNumber
+		}
+		if server.Draining {
+			now.state = policy.Draining
+		} else {
+			one := &Server{Server: *server, Number: now.number, Hash: xxhash.Sum64String(server.ID)}
+			table.backends[server.Backend] = append(table.backends[server.Backend], one)
+			table.numbers[now.number] = one
+		}
+		next[server.ID] = now
+		if !known || now != previous {
+			changes = append(changes, pool.Change{ID: now.number, Address: now.address, State: now.state})
+		}
+	}
+	for id, old := range r.entries {
+		if _, stays := next[id]; !stays {
+			changes = append(changes, pool.Change{ID: old.number, State: policy.Gone})
+		}
+	}
+	for _, servers := range table.backends {
+		slices.SortFunc(servers, func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) })
+	}
+	r.entries = next
+	if len(changes) > 0 {
+		r.pool.Apply(changes)
+	}
+	r.current.Store(table)
+}
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -1,5 +1,5 @@
-// Package outcomes owns the count of what became of clients' requests, by route and reason, so that an operator can tell of a live gateway
-// where answers are late, refused or lost, and why. It decides nothing.
+// Package outcomes counts how clients' requests end, by route and outcome, so that the operators of a live gateway can see
+// where responses are late, rejected or lost, and why. docs/operate/requests.md describes each outcome and what to do.
 package outcomes
 
 import (
@@ -12,41 +12,42 @@
 	"time"
 )
 
-// Outcome is what became of a request.
+// Outcome is how a request ended. Its values are label values of a metric and keys of log lines.
 type Outcome string
 
-// The outcomes. A request counts once, by its last one; late ones count by what they waited for.
+// Outcomes. A request counts once, by its final response; a late one by what it waited for. Truncated is counted in
+// addition, as the beginning of the response has been counted already.
 const (
 	InTime           Outcome = "in_time"
 	LateRetried      Outcome = "late_retried"     // earlier attempts took the time
-	LateQueued       Outcome = "late_queued"      // its server had as many requests as places, or others waiting
+	LateQueued       Outcome = "late_queued"      // its server had a request in every slot, or others waiting
 	LatePrefill      Outcome = "late_reading"     // its prompt took long to read
-	LateServer       Outcome = "late_server"      // its server was slow, by all that is known without cause
-	RejectedOverload Outcome = "refused_overload" // admission cut it
-	RejectedQuota    Outcome = "refused_quota"    // its tenant is beyond its rate
-	Unready          Outcome = "unready"          // this gateway can't be sure of its configuration or keys, or is ending
+	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
+	RejectedOverload Outcome = "refused_overload" // load shedding
+	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
+	Unready          Outcome = "unready"          // the gateway lacks a confirmed configuration or a key lease, or shuts down
 	NoServer         Outcome = "no_server"        // no server took it, and none ran it
-	ServerFailed     Outcome = "server_failed"    // it ended with a server's own failure
-	Lost             Outcome = "lost"             // it may have run, and no answer came
-	Truncated        Outcome = "cut"              // its answer broke off midway
-	ClientLeft       Outcome = "client_left"      // its client closed the connection before the answer
+	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
+	Lost             Outcome = "lost"             // it may have run, and no response came
+	Truncated        Outcome = "cut"              // its response broke off midway
+	ClientLeft       Outcome = "client_left"      // its client closed the connection before the response
 )
 
-// Attempt is what is known of the attempt that answered.
+// Attempt is what is known of the attempt that was answered.
 type Attempt struct {
-	Latency         time.Duration // from the request's arrival to the first event, or to the answer
+	Latency         time.Duration // from the request's arrival to the first event, or to the response
 	Target          time.Duration // of the route; 0: none
-	EarlierAttempts int           // attempts before this one
-	PrefillTokens   int           // tokens that the server was thought to have to read
-	InFlight        int           // requests that were at the server by its own word as it was chosen
-	Queued          int           // requests that waited there as it answered
-	Slots           int           // that the server has; 0: it tells no load
+	EarlierAttempts int           // before this one
+	PrefillTokens   int           // that the server was estimated to have to read
+	InFlight        int           // requests that the server reported when it was selected
+	Queued          int           // requests that waited there when it responded
+	Slots           int           // of the server; 0: it reports no load
 }
 
-// readingRate is how many tokens a server is taken to read in a millisecond, at least.
+// prefillTokensPerMs is the rate at which servers are assumed to read prompts, at least.
 const prefillTokensPerMs = 100
 
-// Of gives the outcome of a request that was answered.
+// Classify returns the outcome of a request that was answered.
 func Classify(a Attempt) Outcome {
 	if a.Target <= 0 || a.Latency <= a.Target {
 		return InTime
@@ -62,7 +63,7 @@
 	return LateServer
 }
 
-// key is what is counted apart.
+// key is what is counted separately.
 type key struct {
 	Route   string
 	Outcome Outcome
@@ -70,15 +71,15 @@
 
 // Counts are totals since the start. They are safe for concurrent use.
 type Counts struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows
 	totals   map[key]uint64
-	reported map[key]uint64
+	reported map[key]uint64 // totals at the last Delta
 }
 
-// mostKeys bounds the routes and outcomes that are counted apart: routes come and go all day.
+// maxKeys bounds the keys, as routes come and go all day. Requests beyond it count under an empty route.
 const maxKeys = 4096
 
-// New gives counts of nothing.
+// New returns empty counts.
 func New() *Counts { return &Counts{totals: map[key]uint64{}, reported: map[key]uint64{}} }
 
 // Add counts a request.
@@ -92,32 +93,32 @@
 	c.totals[one]++
 }
 
-// Line is a total.
+// RouteCount is the number of a route's requests with one outcome.
 type RouteCount struct {
 	Route   string
 	Outcome Outcome
 	Count   uint64
 }
 
-// Totals lists what was counted, in a fixed order.
+// Totals returns all counts since the start, by route and outcome.
 func (c *Counts) Totals() []RouteCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return sortedTotals(c.totals)
 }
 
-// Since lists what was counted since it was asked last.
+// Delta returns the counts since the last call, by route and outcome.
 func (c *Counts) Delta() []RouteCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	fresh := map[key]uint64{}
+	delta := map[key]uint64{}
 	for one, count := range c.totals {
 		if count > c.reported[one] {
-			fresh[one] = count - c.reported[one]
+			delta[one] = count - c.reported[one]
 		}
 	}
 	c.reported = maps.Clone(c.totals)
-	return sortedTotals(fresh)
+	return sortedTotals(delta)
 }
 
 func sortedTotals(counts map[key]uint64) []RouteCount {
@@ -131,7 +132,7 @@
 	return list
 }
 
-// Write writes the totals in Prometheus' text format.
+// WritePrometheus writes the totals in Prometheus' text format.
 func (c *Counts) WritePrometheus(w io.Writer) error {
 	const name = "sprucelane_requests_total"
 	if _, err := fmt.Fprintf(w, "# HELP %s Clients' requests by what became of them.\n# TYPE %s counter\n", name, name); err != nil {
--- a/internal/gateway/outcomes/outcomes_test.go
+++ b/internal/gateway/outcomes/outcomes_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestClassify(t *testing.T) {
-	Convey("A late answer is told by what it waited for", t, func() {
+	Convey("A late response is classified by what it waited for", t, func() {
 		late := Attempt{Latency: 500 * time.Millisecond, Target: 300 * time.Millisecond}
 		So(Classify(Attempt{Latency: 200 * time.Millisecond, Target: 300 * time.Millisecond}), ShouldEqual, InTime)
 		So(Classify(Attempt{Latency: time.Hour}), ShouldEqual, InTime)
@@ -27,7 +27,7 @@
 }
 
 func TestCounts(t *testing.T) {
-	Convey("Totals stay, and what is new is told once", t, func() {
+	Convey("Totals stay, and Delta returns what is new once", t, func() {
 		c := New()
 		c.Add("a", InTime)
 		c.Add("a", InTime)
@@ -40,7 +40,7 @@
 		So(c.WritePrometheus(&text), ShouldBeNil)
 		So(text.String(), ShouldContainSubstring, "sprucelane_requests_total{route=\"b\",outcome=\"lost\"} 2\n")
 	})
-	Convey("Routes that come and go don't fill the memory", t, func() {
+	Convey("The number of keys is bounded", t, func() {
 		c := New()
 		for i := range 3 * maxKeys {
 			c.Add(strings.Repeat("r", i%97)+string(rune('a'+i/97)), InTime)
--- a/internal/gateway/retry/attempts_test.go
+++ b/internal/gateway/retry/history_test.go
@@ -10,24 +10,24 @@
 )
 
 func TestPromises(t *testing.T) {
-	Convey("Whatever happens, a request runs where it may and its answer is true", t, func() {
+	Convey("Whatever the outcomes, a request runs on no more servers than allowed and its status is true", t, func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		for range 20000 {
 			h := History{Idempotent: random.IntN(2) == 0, MaxServers: random.IntN(4)}
-			ran, tries := 0, 0
+			ran, attempts := 0, 0
 			for h.MayRetry(time.Duration(random.IntN(200)) * time.Millisecond) {
 				outcome := Outcome(random.IntN(4))
-				if tries++; outcome == Lost || outcome == Failed {
+				if attempts++; outcome == Lost || outcome == Failed {
 					ran++
 				}
 				h.Record(outcome)
 			}
-			most := 1
+			allowed := 1
 			if h.Idempotent {
-				most = max(1, h.MaxServers)
+				allowed = max(1, h.MaxServers)
 			}
-			if ran > most || tries > maxRejections+maxUnsent+most {
-				So(ran, ShouldBeLessThanOrEqualTo, most)
+			if ran > allowed || attempts > maxRejections+maxUnsent+allowed {
+				So(ran, ShouldBeLessThanOrEqualTo, allowed)
 			}
 			status := h.FinalStatus(random.IntN(2) == 0)
 			if (status == http.StatusServiceUnavailable) != (ran == 0) {
@@ -35,7 +35,7 @@
 			}
 		}
 	})
-	Convey("A server that refused may be followed by another, one that may have run it may not", t, func() {
+	Convey("A server that did not run the request may be followed by another, one that may have run it may not", t, func() {
 		h := History{MaxServers: 1}
 		h.Record(NotExecuted)
 		h.Record(NotSent)
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -88,7 +88,7 @@
 	cost   float64
 }
 
-// cheapest returns the available server with the lowest cost, and the ejected one whose ejection ends first.
+// cheapest returns the available server with the lowest cost, and the ejected one whose ejection ends first. mu is held.
 func (s *Selector) cheapest(now time.Time, criteria *Criteria, list []*endpoints.Server, preferred affinityOrder) (
 	best, ejected candidate) {
 	for _, server := range list {
@@ -110,6 +110,7 @@
 	return best, ejected
 }
 
+// cheaper returns the candidate with the lower cost, or the one that exists.
 func cheaper(a, b candidate) candidate {
 	if a.server == nil || b.cost < a.cost {
 		return b
@@ -117,13 +118,14 @@
 	return a
 }
 
-func (p *Selector) state(number policy.ServerID) *serverState {
-	s := p.servers[number]
-	if s == nil {
-		s = &serverState{}
-		p.servers[number] = s
+// state returns the state of a server. mu is held.
+func (s *Selector) state(number policy.ServerID) *serverState {
+	state := s.servers[number]
+	if state == nil {
+		state = &serverState{}
+		s.servers[number] = state
 	}
-	return s
+	return state
 }
 
 const (
--- a/internal/gateway/sse/events_test.go
+++ b/internal/gateway/sse/scanner_test.go
@@ -17,7 +17,7 @@
 	return b.String()
 }
 
-// feed puts a text in by pieces of random lengths and collects what was given out.
+// feed scans a text in pieces of random lengths and collects the complete events.
 func feed(s *Scanner, text string, random *rand.Rand) string {
 	var out strings.Builder
 	for len(text) > 0 {
@@ -37,7 +37,7 @@
 
 func TestScanner(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	Convey("Whatever the pieces, whole events are given out and a partial one is not", t, func() {
+	Convey("Whatever the pieces, complete events are returned and a partial one is not", t, func() {
 		all := stream(1, 30)
 		for cut := range len(all) {
 			s := NewScanner(nil)
@@ -50,13 +50,13 @@
 			if got != all[:end+2] || got+string(s.Partial()) != all[:cut] {
 				So(got, ShouldEqual, all[:end+2])
 			}
-			last, any := s.LastID()
-			if !any || last != uint64(strings.Count(got, "\n\n")) {
+			last, found := s.LastID()
+			if !found || last != uint64(strings.Count(got, "\n\n")) {
 				So(last, ShouldEqual, strings.Count(got, "\n\n"))
 			}
 		}
 	})
-	Convey("A resumed stream drops what was given out, and tells of a gap", t, func() {
+	Convey("A resumed stream drops events that were consumed before, and reports a gap", t, func() {
 		for range 200 {
 			after, from := random.IntN(12), 1+random.IntN(16)
 			s := NewScanner(nil)
