--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -1,6 +1,8 @@
 package replica
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
@@ -8,26 +10,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns how a batch job is accepted.
+// How is a batch job accepted?
 
-const (
-	reservationRetry = 200 * time.Millisecond
-	acceptTimeout    = 2500 * time.Millisecond // that a submission waits for a majority of the arbiters
-)
+// acceptTimeout is for how long a submission waits for a majority of the arbiters and for capacity. Clients try
+// elsewhere after it.
+const acceptTimeout = 2500 * time.Millisecond
 
-// acceptance is a batch job of which nothing was written yet.
+// acceptance is a batch job that is about to be accepted. Nothing of it is written yet.
 type acceptance struct {
 	content     *job.Content
-	attempt     uint64 // of this attempt
+	attempt     uint64 // number of this attempt
 	calls       []parkedCall
-	votes       map[placement.Key]ReservationResponse // of this epoch, by arbiter
-	requestedAt time.Duration
+	votes       map[placement.Key]ReservationResponse // of the present epoch, by arbiter
+	requestedAt time.Duration                         // when votes were requested last; 0 for never
 	deadline    time.Duration
 	tokens      int64         // of all items
-	capacity    capacityState // within the bound on waiting tokens
+	capacity    capacityState // within the limit of the account
 }
 
-// accept begins to take a batch job that isn't known here.
+// startAcceptance begins to accept a batch job that isn't known here.
 func (m *StateMachine) startAcceptance(p parkedCall) {
 	id := p.call.BatchJob
 	if a := m.acceptances[id]; a != nil {
@@ -64,7 +65,7 @@
 	m.requestReservations(id, a)
 }
 
-// fits tells whether there is room for a batch job, and stores enough.
+// hasCapacity reports whether there are enough stores for a batch job, and enough disk here.
 func (m *StateMachine) hasCapacity(p parkedCall) bool {
 	if len(placement.ActiveMembers(m.view)) < m.options.ReplicationFactor {
 		return false
@@ -75,7 +76,7 @@
 	return m.env.FreeBytes()-int64(len(p.call.Body)) > m.options.MinFreeBytes
 }
 
-// sendToActive sends a submission to a store that takes batch jobs.
+// redirectToActive sends a submission to a store that accepts batch jobs.
 func (m *StateMachine) redirectToActive(p parkedCall) {
 	for _, other := range placement.Rank(p.call.BatchJob, placement.ActiveMembers(m.view)) {
 		if placement.KeyOf(other) != m.self {
@@ -86,110 +87,8 @@
 	m.answer(p.callID, unavailable())
 }
 
-// askArbiters asks those arbiters for their votes that have not given them to this store.
-func (m *StateMachine) requestReservations(id string, a *acceptance) {
-	now := m.env.Now()
-	if !m.isMember || a.requestedAt > 0 && now-a.requestedAt < reservationRetry {
-		return
-	}
-	a.requestedAt = max(now, 1)
-	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
-		key := placement.KeyOf(arbiter)
-		switch {
-		case a.votes[key].Owner == m.self:
-		case key != m.self:
-			m.env.Send(arbiter, ReservationRequest{Stamp: m.stamp(), Job: id, Number: a.attempt})
-		case m.reconciled && (m.knownHolder(id) != "" || !m.tooManyDeparted()):
-			a.votes[key] = m.vote(id, m.self, a.attempt)
-		}
-	}
-	m.countVotes(id)
-}
-
-// reservation is an arbiter's vote.
-type reservation struct {
-	store   placement.Key
-	attempt uint64 // of that store's newest attempt
-}
-
-// vote answers, as arbiter, who may accept a batch job: always the same store for an id in one epoch, unless that one gives
-// the vote back.
-func (m *StateMachine) vote(id string, asker placement.Key, number uint64) ReservationResponse {
-	answer := ReservationResponse{Stamp: m.stamp(), Job: id, Number: number, Owner: m.knownHolder(id)}
-	given, voted := m.reservations[id]
-	switch {
-	case answer.Owner == "":
-		answer.Owner = asker
-		m.reservations[id] = reservation{store: asker, attempt: number}
-	case voted && given.store == asker && answer.Owner == asker:
-		m.reservations[id] = reservation{store: asker, attempt: max(number, given.attempt)}
-	default:
-		answer.Held = !voted || given.store != answer.Owner
-	}
-	return answer
-}
-
-func (m *StateMachine) handleReservationRequest(from protocol.Process, message ReservationRequest) {
-	if !m.reconciled || !m.MayAct() {
-		return
-	}
-	if m.knownHolder(message.Job) != "" || !m.tooManyDeparted() { // else it may have been accepted by stores that are missing
-		m.env.Send(from, m.vote(message.Job, placement.KeyOf(from), message.Number))
-	}
-}
-
-// release takes a vote back, unless it was asked for again since.
-func (m *StateMachine) handleReservationRelease(from placement.Key, message ReservationRelease) {
-	if given := m.reservations[message.Job]; given.store == from && given.attempt <= message.Number {
-		delete(m.reservations, message.Job)
-	}
-}
-
-// reserved takes an arbiter's answer to this attempt. One to an earlier attempt may have been given back.
-func (m *StateMachine) handleReservationResponse(from placement.Key, message ReservationResponse) {
-	if a := m.acceptances[message.Job]; a != nil && a.attempt == message.Number {
-		a.votes[from] = message
-		m.countVotes(message.Job)
-	}
-}
-
-// decide looks at the votes. Of several stores that want to accept a batch job at the same time the one with the lowest key
-// goes on asking, and the others give their votes back.
-func (m *StateMachine) countVotes(id string) {
-	a := m.acceptances[id]
-	if a == nil || !m.MayAct() {
-		return
-	}
-	arbiters := placement.Arbiters(id, m.view, m.options.ReplicationFactor)
-	majority := placement.Majority(len(arbiters))
-	mine, silent := 0, 0
-	var holder, rival placement.Key
-	for _, arbiter := range arbiters {
-		vote, voted := a.votes[placement.KeyOf(arbiter)]
-		switch {
-		case !voted:
-			silent++
-		case vote.Owner == m.self:
-			mine++
-		case vote.Held:
-			holder = vote.Owner
-		case vote.Owner < m.self:
-			rival = vote.Owner
-		}
-	}
-	switch {
-	case m.jobs[id] != nil:
-		m.yieldAcceptance("", id, a)
-	case len(arbiters) > 0 && mine >= majority:
-		m.finishAccepting(a)
-	case holder != "":
-		m.yieldAcceptance(holder, id, a)
-	case rival != "" && mine+silent < majority:
-		m.yieldAcceptance(rival, id, a)
-	}
-}
-
-// finishAccepting writes a batch job that nobody else holds, or refuses it where it doesn't fit. It waits until that is known.
+// finishAccepting writes a batch job that no other store holds, or rejects it if its account has no capacity for it.
+// It waits until that is known.
 func (m *StateMachine) finishAccepting(a *acceptance) {
 	id := a.content.ID
 	switch a.capacity {
@@ -206,24 +105,8 @@
 	}
 }
 
-// leaveTo sends the calls of an acceptance to the store that holds the batch job or goes on with it.
-func (m *StateMachine) yieldAcceptance(owner placement.Key, id string, a *acceptance) {
-	delete(m.acceptances, id)
-	m.releaseReservations(id, a.attempt)
-	member, present := placement.MemberOf(m.view, owner)
-	for _, p := range a.calls {
-		switch {
-		case m.jobs[id] != nil:
-			m.dispatch(p)
-		case present:
-			m.answer(p.callID, protocol.BatchAnswer{Owner: member.IP})
-		default:
-			m.answer(p.callID, unavailable())
-		}
-	}
-}
-
-// store writes a batch job here and to the other replicas. From here on nothing is promised.
+// writeAccepted writes a batch job here and to the other replicas. From here on a failure doesn't promise that it
+// wasn't accepted.
 func (m *StateMachine) writeAccepted(a *acceptance) {
 	id := a.content.ID
 	replicas := placement.Replicas(id, m.view, []protocol.Process{m.options.Self}, m.options.ReplicationFactor, m.slowStores()...)
@@ -260,37 +143,53 @@
 	m.announceOwner(id, m.self)
 }
 
-// giveBack frees the votes of an attempt under which nothing was written.
-func (m *StateMachine) releaseReservations(id string, number uint64) {
-	message := ReservationRelease{Stamp: m.stamp(), Job: id, Number: number}
-	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
-		if placement.KeyOf(arbiter) != m.self {
-			m.env.Send(arbiter, message)
-		} else {
-			m.handleReservationRelease(m.self, message)
+// yieldAcceptance gives up an acceptance, and sends its calls to the store that holds the batch job or continues to
+// accept it.
+func (m *StateMachine) yieldAcceptance(owner placement.Key, id string, a *acceptance) {
+	delete(m.acceptances, id)
+	m.releaseReservations(id, a.attempt)
+	member, present := placement.MemberOf(m.view, owner)
+	for _, p := range a.calls {
+		switch {
+		case m.jobs[id] != nil:
+			m.dispatch(p)
+		case present:
+			m.answer(p.callID, protocol.BatchAnswer{Owner: member.IP})
+		default:
+			m.answer(p.callID, unavailable())
 		}
 	}
 }
 
+// rejectCalls answers an acceptance's calls that it was not accepted.
 func (m *StateMachine) rejectCalls(a *acceptance) {
 	for _, p := range a.calls {
 		m.answer(p.callID, unavailable())
 	}
 }
 
-// submitAgain answers a submission of a batch job that is owned here.
+// resubmit answers a submission of a batch job that is owned here already.
 func (m *StateMachine) resubmit(j *storedJob, p parkedCall) {
 	j.pendingSubmissions = append(j.pendingSubmissions, p.callID)
 	m.acknowledgeSubmissions(j)
 }
 
-// answerSubmitters tells those who handed a batch job in that it is taken, once it is on all disks of its set and the counter knows of it.
+// acknowledgeSubmissions answers 202 once a batch job is on all disks of its set and its tokens are within the
+// account's limit.
 func (m *StateMachine) acknowledgeSubmissions(j *storedJob) {
 	if !j.replicated || m.mayExceedLimit(j) {
 		return
 	}
-	for _, token := range j.pendingSubmissions {
-		m.answer(token, accepted())
+	for _, id := range j.pendingSubmissions {
+		m.answer(id, accepted())
 	}
 	j.pendingSubmissions = nil
 }
+
+// acceptanceIDs lists the batch jobs that are being accepted, in a fixed order.
+func (m *StateMachine) acceptanceIDs() []string {
+	if len(m.acceptances) == 0 {
+		return nil
+	}
+	return slices.Sorted(maps.Keys(m.acceptances))
+}
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -1,9 +1,7 @@
 package replica
 
 import (
-	"encoding/json"
 	"slices"
-	"strconv"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/batch/job"
@@ -11,67 +9,62 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns clients' calls: what is answered here, what is sent to another store, what waits.
+// Which store answers a client's call, and which calls wait?
 
 const (
-	maxReadWait  = time.Second            // that a read is held
-	parkTimeout  = 900 * time.Millisecond // that a call waits for a store to be sure
-	retryAfter   = 250 * time.Millisecond
-	maxPageBytes = 1<<20 - 4<<10 // bytes of an answer with results
+	// parkTimeout is for how long a call waits until this store is certain of its answer.
+	parkTimeout = 900 * time.Millisecond
+	// retryAfter is the Retry-After of calls that can't be answered now.
+	retryAfter = 250 * time.Millisecond
 )
 
-const contentJSON = "application/json"
-
 // parkedCall waits until this store knows enough to answer it.
 type parkedCall struct {
 	callID     CallID
 	call       protocol.BatchCall
-	items      []job.Item
+	items      []job.Item // of a submission
 	receivedAt time.Duration
 	deadline   time.Duration
 }
 
-// lookup is a question to arbiters that is not answered yet.
-type lookup struct {
-	number    uint64
-	sentAt    time.Duration
-	unknownTo map[placement.Key]bool // arbiters that know of nobody
-}
-
 // Call takes a client's call; its answer comes through Environment.Answer. Items are those of a submission.
-func (m *StateMachine) Call(token CallID, call protocol.BatchCall, items []job.Item) {
+func (m *StateMachine) Call(id CallID, call protocol.BatchCall, items []job.Item) {
 	if !m.MayAct() {
-		m.answer(token, unavailable())
+		m.answer(id, unavailable())
 		return
 	}
 	now := m.env.Now()
-	m.dispatch(parkedCall{callID: token, call: call, items: items, receivedAt: now, deadline: now + parkTimeout})
+	m.dispatch(parkedCall{callID: id, call: call, items: items, receivedAt: now, deadline: now + parkTimeout})
 }
 
-// Forget drops a call that nobody waits for.
-func (m *StateMachine) CancelCall(token CallID) {
-	m.parkedCalls = slices.DeleteFunc(m.parkedCalls, func(p parkedCall) bool { return p.callID == token })
+// CancelCall drops a call that nobody waits for any more.
+func (m *StateMachine) CancelCall(id CallID) {
+	m.parkedCalls = slices.DeleteFunc(m.parkedCalls, func(p parkedCall) bool { return p.callID == id })
 }
 
-func (m *StateMachine) answer(token CallID, answer protocol.BatchAnswer) { m.env.Answer(token, answer) }
+// answer ends a call.
+func (m *StateMachine) answer(id CallID, answer protocol.BatchAnswer) { m.env.Answer(id, answer) }
 
+// accepted says that the batch job is on all disks of its replica set.
 func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 202} }
 
-// unavailable is a promise: nothing was done.
+// unavailable promises that nothing was done.
 func unavailable() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: 503, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
-// full is a promise, too: the batch job doesn't fit now.
+// overLimit promises that nothing was done: the batch job doesn't fit within its account's limit now.
 func overLimit() protocol.BatchAnswer {
 	return protocol.BatchAnswer{Status: 429, RetryAfterMs: int(overLimitRetry.Milliseconds())}
 }
 
-// uncertain promises nothing.
+// outcomeUnknown promises nothing.
 func outcomeUnknown() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 504} }
 
+// notFound says that the batch job doesn't exist, for this tenant.
 func notFound() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 404} }
 
+// dispatch answers a call, sends it to another store or has it wait.
 func (m *StateMachine) dispatch(p parkedCall) {
 	h := m.jobs[p.call.BatchJob]
 	switch {
@@ -90,7 +83,7 @@
 	}
 }
 
-// serve answers a call for a batch job that is owned here and whole.
+// serve answers a call for a batch job that is owned here and replicated.
 func (m *StateMachine) serve(j *storedJob, p parkedCall) {
 	switch p.call.Operation {
 	case protocol.BatchRead:
@@ -104,7 +97,7 @@
 	}
 }
 
-// elsewhere deals with a call for a batch job that isn't owned here.
+// dispatchNotOwned deals with a call for a batch job that isn't owned here.
 func (m *StateMachine) dispatchNotOwned(p parkedCall) {
 	id := p.call.BatchJob
 	if owner, known := m.owners[id]; known && owner != m.self {
@@ -123,6 +116,7 @@
 	}
 }
 
+// park has a call wait.
 func (m *StateMachine) park(p parkedCall) {
 	if m.env.Now() >= p.deadline {
 		m.expireCall(p)
@@ -131,7 +125,7 @@
 	m.parkedCalls = append(m.parkedCalls, p)
 }
 
-// expire answers a call whose time is over.
+// expireCall answers a call whose time is over. A submission may have been accepted by another store.
 func (m *StateMachine) expireCall(p parkedCall) {
 	if p.call.Operation == protocol.BatchSubmit {
 		m.answer(p.callID, outcomeUnknown())
@@ -140,115 +134,42 @@
 	m.answer(p.callID, unavailable())
 }
 
-// unpark looks at all waiting calls again.
-func (m *StateMachine) retryParkedCalls() {
+// expireCalls ends calls and acceptances whose time is over.
+func (m *StateMachine) expireCalls(now time.Duration) {
 	waiting := m.parkedCalls
 	m.parkedCalls = nil
 	for _, p := range waiting {
-		m.dispatch(p)
-	}
-}
-
-// seek finds out who holds a batch job that isn't known here. Where it was accepted, a majority of its arbiters voted for it
-// in this epoch, or know of it from the inventories.
-func (m *StateMachine) startLookup(id string) {
-	now := m.env.Now()
-	if asked := m.lookups[id]; !m.reconciled || asked != nil && now-asked.sentAt < inventoryRetry {
-		return
-	}
-	m.lastLookup++
-	l := &lookup{number: m.lastLookup, sentAt: now, unknownTo: map[placement.Key]bool{}}
-	m.lookups[id] = l
-	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
-		if placement.KeyOf(arbiter) != m.self {
-			m.env.Send(arbiter, LookupRequest{Stamp: m.stamp(), Job: id, Number: l.number})
+		switch {
+		case now >= p.deadline:
+			m.expireCall(p)
+		case m.jobs[p.call.BatchJob] == nil && m.MayAct():
+			m.dispatch(p)
+		default:
+			m.parkedCalls = append(m.parkedCalls, p)
 		}
 	}
-	if placement.Contains(placement.Arbiters(id, m.view, m.options.ReplicationFactor), m.self) {
-		m.handleLookupResponse(m.self, LookupResponse{Job: id, Number: l.number, Owner: m.knownHolder(id)})
-	}
-}
-
-// lookUp answers as arbiter.
-func (m *StateMachine) handleLookupRequest(from protocol.Process, message LookupRequest) {
-	if !m.reconciled || !m.MayAct() {
-		return
-	}
-	if holder := m.knownHolder(message.Job); holder != "" || m.knowsEveryJob() {
-		m.env.Send(from, LookupResponse{Stamp: m.stamp(), Job: message.Job, Number: message.Number, Owner: holder})
-	}
-}
-
-// holder gives who holds or may accept a batch job, as the arbiter knows.
-func (m *StateMachine) knownHolder(id string) placement.Key {
-	if j := m.jobs[id]; j != nil && j.owned {
-		return m.self
-	}
-	if owner, known := m.owners[id]; known {
-		return owner
-	}
-	if m.jobs[id] != nil {
-		return m.self
-	}
-	return m.reservations[id].store
-}
-
-// found takes what an arbiter knew. Where it names this store, a batch job was about to be accepted here, and wasn't.
-func (m *StateMachine) handleLookupResponse(from placement.Key, message LookupResponse) {
-	l := m.lookups[message.Job]
-	if l == nil || l.number != message.Number || !m.reconciled {
-		return
-	}
-	if message.Owner != "" && message.Owner != m.self {
-		delete(m.lookups, message.Job)
-		m.noteOwner(message.Job, message.Owner)
-		if m.owners[message.Job] == message.Owner {
-			m.redispatchParkedCalls(message.Job)
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; now >= a.deadline {
+			delete(m.acceptances, id)
+			m.releaseReservations(id, a.attempt)
+			m.rejectCalls(a)
 		}
-		return
 	}
-	l.unknownTo[from] = true
-	arbiters := placement.Arbiters(message.Job, m.view, m.options.ReplicationFactor)
-	if len(l.unknownTo) >= placement.Majority(len(arbiters)) && m.knowsEveryJob() {
-		delete(m.lookups, message.Job)
-		m.answerNotFound(message.Job, l.sentAt)
+	for _, j := range m.order {
+		m.expireReads(j, now)
 	}
 }
 
-// nobodyHolds answers the calls for a batch job that didn't exist at a time, up to which they came.
-func (m *StateMachine) answerNotFound(id string, at time.Duration) {
+// retryParkedCalls dispatches all waiting calls again.
+func (m *StateMachine) retryParkedCalls() {
 	waiting := m.parkedCalls
 	m.parkedCalls = nil
 	for _, p := range waiting {
-		if p.call.BatchJob == id && p.receivedAt <= at && m.jobs[id] == nil {
-			m.answer(p.callID, notFound())
-			continue
-		}
-		m.parkedCalls = append(m.parkedCalls, p)
-	}
-}
-
-// redirect sends all that waits for a batch job to its owner.
-func (m *StateMachine) redirectPending(j *storedJob) {
-	waiting := j.pendingReads
-	j.pendingReads = nil
-	for _, r := range waiting {
-		m.answer(r.callID, m.ownerAnswer(j.id))
-	}
-	for _, token := range append(j.pendingSubmissions, j.pendingEnds...) {
-		m.answer(token, m.ownerAnswer(j.id))
-	}
-	j.pendingSubmissions, j.pendingEnds = nil, nil
-	m.redispatchParkedCalls(j.id)
-}
-
-func (m *StateMachine) ownerAnswer(id string) protocol.BatchAnswer {
-	if member, present := placement.MemberOf(m.view, m.owners[id]); present && m.owners[id] != m.self {
-		return protocol.BatchAnswer{Owner: member.IP}
+		m.dispatch(p)
 	}
-	return outcomeUnknown()
 }
 
+// redispatchParkedCalls dispatches the waiting calls for one batch job again.
 func (m *StateMachine) redispatchParkedCalls(id string) {
 	waiting := m.parkedCalls
 	m.parkedCalls = nil
@@ -261,144 +182,31 @@
 	}
 }
 
-// read answers with results, or holds the call until there is one.
-func (m *StateMachine) serveRead(j *storedJob, p parkedCall) {
-	start := max(p.call.Start, 0)
-	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxReadWait)
-	if start >= j.committedResults && wait > 0 && !j.ended && !(j.allFinished() && j.committedResults == len(j.items)) {
-		j.pendingReads = append(j.pendingReads, pendingRead{callID: p.callID, start: start, deadline: m.env.Now() + wait})
-		return
-	}
-	m.answerRead(j, p.callID, start)
-}
-
-func (m *StateMachine) answerReads(j *storedJob) {
-	if len(j.pendingReads) == 0 {
-		return
-	}
+// redirectPending sends all that waits for a batch job to its owner.
+func (m *StateMachine) redirectPending(j *storedJob) {
 	waiting := j.pendingReads
 	j.pendingReads = nil
 	for _, r := range waiting {
-		if r.start < j.committedResults || j.ended {
-			m.answerRead(j, r.callID, r.start)
-			continue
-		}
-		j.pendingReads = append(j.pendingReads, r)
-	}
-}
-
-func (m *StateMachine) answerRead(j *storedJob, token CallID, start int) {
-	body := make([]byte, 0, 4<<10)
-	body = append(body, `{"total":`...)
-	body = strconv.AppendInt(body, int64(len(j.items)), 10)
-	body = append(body, `,"results":[`...)
-	position := start
-	for ; position < j.committedResults; position++ {
-		result, ok := m.result(j, position)
-		if !ok {
-			m.answer(token, unavailable())
-			return
-		}
-		if position > start && len(body)+len(result.Text)+len(result.Text)/8+128 > maxPageBytes {
-			break
-		}
-		before := len(body)
-		if position > start {
-			body = append(body, ',')
-		}
-		body = appendResultJSON(body, j.items[result.Item].id, job.State(result.State), result.Text)
-		if position > start && len(body) > maxPageBytes {
-			body = body[:before]
-			break
-		}
-	}
-	body = append(body, `],"next-token":`...)
-	body = strconv.AppendInt(body, int64(position), 10)
-	body = append(body, '}')
-	m.answer(token, protocol.BatchAnswer{Status: 200, Body: body, ContentType: contentJSON})
-}
-
-func appendResultJSON(body []byte, id string, state job.State, text []byte) []byte {
-	body = append(body, `{"id":`...)
-	body = appendJSON(body, id)
-	body = append(body, `,"state":"`...)
-	body = append(body, state.String()...)
-	body = append(body, `","text":`...)
-	body = appendJSON(body, string(text))
-	return append(body, '}')
-}
-
-// appendJSON adds a string as JSON.
-func appendJSON(body []byte, text string) []byte {
-	for i := range len(text) {
-		if c := text[i]; c < 0x20 && c != '\n' || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(text)
-			return append(body, quoted...)
-		}
-	}
-	body = append(body, '"')
-	for i := range len(text) {
-		if text[i] == '\n' {
-			body = append(body, '\\', 'n')
-			continue
-		}
-		body = append(body, text[i])
-	}
-	return append(body, '"')
-}
-
-// body answers with an item's body while it isn't shown and the batch job not ended.
-func (m *StateMachine) serveBody(j *storedJob, p parkedCall) {
-	index := slices.IndexFunc(j.items, func(i storedItem) bool { return i.id == p.call.Item })
-	if index < 0 || j.ended || m.isCommitted(j, index) {
-		m.answer(p.callID, notFound())
-		return
-	}
-	encoded, err := m.env.Read(j.itemLocation(index))
-	if err != nil {
-		m.answer(p.callID, unavailable())
-		return
-	}
-	item, err := job.DecodeItem(encoded)
-	if err != nil {
-		m.answer(p.callID, unavailable())
-		return
+		m.answer(r.callID, m.ownerAnswer(j.id))
 	}
-	m.answer(p.callID, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
+	m.answerSubmissionsAndEnds(j, m.ownerAnswer(j.id))
+	m.redispatchParkedCalls(j.id)
 }
 
-func (m *StateMachine) isCommitted(j *storedJob, index int) bool {
-	if !j.items[index].finished {
-		return false
-	}
-	for position := range j.committedResults {
-		if int(j.results[position].item) == index {
-			return true
+// answerSubmissionsAndEnds gives one answer to all submissions and ends that wait for a batch job.
+func (m *StateMachine) answerSubmissionsAndEnds(j *storedJob, answer protocol.BatchAnswer) {
+	for _, calls := range [][]CallID{j.pendingSubmissions, j.pendingEnds} {
+		for _, id := range calls {
+			m.answer(id, answer)
 		}
 	}
-	return false
-}
-
-// end ends a batch job: nothing of it starts any more here, and it is acknowledged once it is on all replicas.
-func (m *StateMachine) serveEnd(j *storedJob, token CallID) {
-	j.pendingEnds = append(j.pendingEnds, token)
-	if j.ended {
-		m.maybeCommit(j)
-		return
-	}
-	j.ended = true
-	m.env.Stop(j.id)
-	m.write(encodeEnded(j.id), true, func() {
-		j.endedDurable = true
-		m.replicateJob(j)
-		m.maybeCommit(j)
-	})
-	m.answerReads(j)
+	j.pendingSubmissions, j.pendingEnds = nil, nil
 }
 
-func (m *StateMachine) acknowledgeEnds(j *storedJob) {
-	for _, token := range j.pendingEnds {
-		m.answer(token, protocol.BatchAnswer{Status: 200})
+// ownerAnswer names the owner of a batch job that isn't owned here.
+func (m *StateMachine) ownerAnswer(id string) protocol.BatchAnswer {
+	if member, present := placement.MemberOf(m.view, m.owners[id]); present && m.owners[id] != m.self {
+		return protocol.BatchAnswer{Owner: member.IP}
 	}
-	j.pendingEnds = nil
+	return outcomeUnknown()
 }
--- /dev/null
+++ b/internal/batch/replica/claims.go
@@ -0,0 +1,347 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/queuedtokens"
+)
+
+// Has an account capacity for a batch job? The store's side.
+//
+// An account is a tenant's batch jobs on a route; its queued tokens are limited over all stores
+// (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a batch job is written,
+// the store has capacity for it: within what the counter granted already, or by a new claim. What it inherits from
+// other stores it holds without asking; the counter hears of it and grants nothing until enough is finished. A new
+// view begins with nothing: each store claims anew once it knows what it owns, and a counter grants capacity once all
+// members have claimed. So what was granted in an earlier view is in those claims, or with a store whose lease is
+// over.
+
+const (
+	// claimRetry is the time after which claims and polls that may have been lost are sent again.
+	claimRetry = 200 * time.Millisecond
+	// decreaseInterval is the least time between claims that only tell that less is used.
+	decreaseInterval = 150 * time.Millisecond
+	// overLimitRetry is the Retry-After for a batch job over the limit: a good part of a limit is worked off in that
+	// time.
+	overLimitRetry = time.Second
+)
+
+// capacityState is the answer to whether a batch job that is being accepted fits within its account's limit.
+type capacityState int
+
+const (
+	capacityUnknown capacityState = iota
+	capacityGranted
+	capacityDenied
+)
+
+// sentClaim is the newest claim to a counter.
+type sentClaim struct {
+	number         uint64
+	sentAt         time.Duration
+	awaitsResponse bool
+	outdated       bool // a new claim is due as soon as this one is answered
+}
+
+// claims is a store's part in the limits of queued tokens, as one that claims and as one that counts.
+type claims struct {
+	granted   map[queuedtokens.Account]int64         // tokens that the account's counter holds for this store at least
+	sent      map[placement.Key]*sentClaim           // by counter
+	counters  map[queuedtokens.Account]placement.Key // in the present view
+	unclaimed map[queuedtokens.Account]int64         // tokens that came since the last claim without having been granted
+	counter   *queuedtokens.Counter[placement.Key]
+	polledAt  time.Duration // when other stores were asked for their claims last; 0 for never
+}
+
+// newClaims returns a part that has claimed and counted nothing.
+func newClaims() claims {
+	return claims{
+		granted: map[queuedtokens.Account]int64{}, sent: map[placement.Key]*sentClaim{}, counters: map[queuedtokens.Account]placement.Key{},
+		unclaimed: map[queuedtokens.Account]int64{}, counter: queuedtokens.NewCounter[placement.Key](),
+	}
+}
+
+// resetClaims begins with nothing in a new view. Batch jobs that are being accepted claim anew, as nothing of them
+// was written: the counter that granted them capacity may not have known of batch jobs whose stores were away.
+func (m *StateMachine) resetClaims() {
+	clear(m.claims.granted)
+	clear(m.claims.sent)
+	clear(m.claims.counters)
+	clear(m.claims.unclaimed)
+	m.claims.counter.Reset()
+	m.claims.polledAt = 0
+	for _, a := range m.acceptances {
+		a.capacity = capacityUnknown
+	}
+}
+
+// noteClaimantRestart notes that another store's process restarted: it counts anew, and numbers its claims anew.
+func (m *StateMachine) noteClaimantRestart(store placement.Key) {
+	m.claims.counter.Restarted(store)
+	if last := m.claims.sent[store]; last != nil {
+		last.awaitsResponse, last.outdated = false, true
+	}
+}
+
+// account returns the account that limits the batch job's queued tokens.
+func (a *acceptance) account() queuedtokens.Account {
+	return queuedtokens.Account{Tenant: a.content.Tenant, Route: a.content.Route}
+}
+
+// counterOf returns the store that counts an account in the present view, empty if no store is active.
+func (m *StateMachine) counterOf(account queuedtokens.Account) placement.Key {
+	if key, known := m.claims.counters[account]; known {
+		return key
+	}
+	ranked := placement.Rank(account.Tenant+"\x00"+account.Route, placement.ActiveMembers(m.view))
+	if len(ranked) == 0 {
+		return ""
+	}
+	key := placement.KeyOf(ranked[0])
+	m.claims.counters[account] = key
+	return key
+}
+
+// usedTokens sums, by account, the tokens of unfinished items of the batch jobs that this store answers for: those
+// that it owns, those that it transferred to a store that has yet to take over, and those that it is accepting with
+// capacity granted.
+func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
+	used := map[queuedtokens.Account]int64{}
+	for _, j := range m.order {
+		_, transferring := m.transfers[j.id]
+		if (j.owned || transferring) && !j.ended && j.queuedTokens > 0 {
+			used[j.account()] += j.queuedTokens
+		}
+	}
+	for _, a := range m.acceptances {
+		if a.capacity == capacityGranted {
+			used[a.account()] += a.tokens
+		}
+	}
+	return used
+}
+
+// QueuedTokens returns the number of queued tokens of the batch jobs that this store answers for.
+func (m *StateMachine) QueuedTokens() int64 {
+	sum := int64(0)
+	for _, tokens := range m.usedTokens() {
+		sum += tokens
+	}
+	return sum
+}
+
+// knowsOwnJobs reports whether this store knows all batch jobs that it answers for: none is held only by stores that
+// are away.
+func (m *StateMachine) knowsOwnJobs() bool {
+	return m.reconciled && m.unowned == 0 && !m.tooManyDeparted()
+}
+
+// requestCapacity finds out whether a batch job that is being accepted fits within its account's limit.
+func (m *StateMachine) requestCapacity(a *acceptance) {
+	if a.capacity != capacityUnknown {
+		return
+	}
+	account := a.account()
+	limit, known := m.env.QueueLimit(account.Route)
+	switch {
+	case !known: // a later tick finds it
+	case limit == 0:
+		a.capacity = capacityGranted
+		m.claims.unclaimed[account] += a.tokens
+	case a.tokens > limit:
+		a.capacity = capacityDenied
+	case m.knowsOwnJobs() && m.usedTokens()[account]+a.tokens <= m.claims.granted[account]:
+		a.capacity = capacityGranted
+	default:
+		m.sendClaim(m.counterOf(account))
+	}
+}
+
+// checkCapacity checks, as a batch job is written, that capacity for it was claimed.
+func (m *StateMachine) checkCapacity(account queuedtokens.Account) {
+	limit, known := m.queueLimit(account)
+	if !known || limit == 0 {
+		return
+	}
+	m.assert(m.usedTokens()[account] <= m.claims.granted[account]+m.claims.unclaimed[account], InvariantWithinClaim)
+}
+
+// sendClaim tells a counter what this store uses and wants, unless an answer of it is awaited.
+func (m *StateMachine) sendClaim(counter placement.Key) {
+	if counter == "" || !m.knowsOwnJobs() || !m.MayAct() {
+		return
+	}
+	last := m.claims.sent[counter]
+	if last == nil {
+		last = &sentClaim{}
+		m.claims.sent[counter] = last
+	}
+	if now := m.env.Now(); last.awaitsResponse && now-last.sentAt < claimRetry {
+		last.outdated = true
+		return
+	}
+	message := Claim{Stamp: m.stamp(), Claim: queuedtokens.Claim{Entries: m.claimEntries(counter)}}
+	last.number++
+	message.Number = last.number
+	last.sentAt, last.outdated, last.awaitsResponse = m.env.Now(), false, true
+	if counter == m.self {
+		m.handleClaim(m.self, message)
+		return
+	}
+	if member, present := placement.MemberOf(m.view, counter); present {
+		m.env.Send(member.Process, message)
+	}
+}
+
+// claimEntries lists what this store uses and wants of a counter's accounts. From here on, what is used counts as
+// granted.
+func (m *StateMachine) claimEntries(counter placement.Key) []queuedtokens.Entry {
+	used := m.usedTokens()
+	wants := map[queuedtokens.Account][]queuedtokens.Want{}
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; a.capacity == capacityUnknown {
+			wants[a.account()] = append(wants[a.account()], queuedtokens.Want{Job: id, Tokens: a.tokens})
+			used[a.account()] += 0
+		}
+	}
+	for account := range m.claims.granted {
+		if m.counterOf(account) == counter {
+			delete(m.claims.granted, account)
+		}
+	}
+	var entries []queuedtokens.Entry
+	for _, account := range slices.SortedFunc(maps.Keys(used), queuedtokens.CompareAccounts) {
+		if m.counterOf(account) != counter {
+			continue
+		}
+		m.claims.granted[account] = used[account]
+		delete(m.claims.unclaimed, account)
+		entries = append(entries, queuedtokens.Entry{Account: account, Used: used[account], Wants: wants[account]})
+	}
+	return entries
+}
+
+// handleClaimResponse takes a counter's answer to this store's newest claim.
+func (m *StateMachine) handleClaimResponse(from placement.Key, message ClaimResponse) {
+	last := m.claims.sent[from]
+	if last == nil || last.number != message.Number {
+		return
+	}
+	last.awaitsResponse = false
+	for _, verdict := range message.Verdicts {
+		a := m.acceptances[verdict.Job]
+		switch {
+		case a == nil || a.capacity != capacityUnknown:
+			last.outdated = last.outdated || verdict.Fits // it isn't wanted any more
+		case verdict.Fits:
+			a.capacity = capacityGranted
+			m.claims.granted[a.account()] += a.tokens
+		default:
+			a.capacity = capacityDenied
+		}
+		m.countVotes(verdict.Job)
+	}
+	m.confirmCapacity(from, message.Over)
+	if last.outdated {
+		m.sendClaim(from)
+	}
+}
+
+// tickClaims sends claims again that were not answered, and tells counters what has changed.
+func (m *StateMachine) tickClaims(now time.Duration) {
+	m.answerWaitingClaims()
+	for _, id := range m.acceptanceIDs() {
+		if a := m.acceptances[id]; a != nil && a.capacity == capacityUnknown {
+			m.requestCapacity(a)
+			m.countVotes(id)
+		}
+	}
+	for _, counter := range m.countersToUpdate(now) {
+		m.sendClaim(counter)
+	}
+}
+
+// countersToUpdate lists the counters of limited accounts that hold another number of tokens for this store than it
+// uses: at once if that is less than it uses, otherwise after decreaseInterval.
+func (m *StateMachine) countersToUpdate(now time.Duration) []placement.Key {
+	if !m.reconciled {
+		return nil
+	}
+	used := m.usedTokens()
+	for account := range m.claims.granted {
+		used[account] += 0
+	}
+	due := map[placement.Key]bool{}
+	for _, j := range m.order {
+		if m.awaitsCapacity(j) {
+			counter := m.counterOf(j.account())
+			last := m.claims.sent[counter]
+			due[counter] = last == nil || now-last.sentAt >= claimRetry
+		}
+	}
+	for counter, last := range m.claims.sent {
+		if last.awaitsResponse && now-last.sentAt >= claimRetry { // it may have been lost
+			due[counter] = true
+		}
+	}
+	for account, tokens := range used {
+		level := m.claims.granted[account]
+		counter := m.counterOf(account)
+		last := m.claims.sent[counter]
+		stale := last != nil && last.outdated
+		if level == tokens && !stale {
+			continue
+		}
+		if limit, known := m.env.QueueLimit(account.Route); !known || limit == 0 {
+			continue
+		}
+		if tokens > level || stale || last == nil || now-last.sentAt >= decreaseInterval {
+			due[counter] = true
+		}
+	}
+	maps.DeleteFunc(due, func(_ placement.Key, is bool) bool { return !is })
+	return slices.Sorted(maps.Keys(due))
+}
+
+// noteInheritedTokens notes that ownership of a batch job fell to this store, which has no capacity granted for it.
+func (m *StateMachine) noteInheritedTokens(j *storedJob) {
+	m.claims.unclaimed[j.account()] += j.queuedTokens
+	j.capacityUnconfirmed = true
+}
+
+// mayExceedLimit reports whether a batch job may not be acknowledged yet. Its ownership fell to this store, and
+// perhaps nobody ever acknowledged it, as when all power was lost while it was written; its capacity may have been
+// granted to others meanwhile.
+func (m *StateMachine) mayExceedLimit(j *storedJob) bool {
+	if !j.capacityUnconfirmed || j.queuedTokens == 0 || j.ended {
+		return false
+	}
+	limit, known := m.queueLimit(j.account())
+	return !known || limit > 0
+}
+
+// confirmCapacity takes a counter's word that a claim's accounts are within their limits, except for some.
+func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
+	for _, j := range m.order {
+		account := j.account()
+		_, unasked := m.claims.unclaimed[account]
+		if !j.owned || !j.capacityUnconfirmed || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
+			continue
+		}
+		j.capacityUnconfirmed = false
+		m.acknowledgeSubmissions(j)
+	}
+}
+
+// awaitsCapacity reports whether a batch job's acknowledgement waits for the counter.
+func (m *StateMachine) awaitsCapacity(j *storedJob) bool {
+	return j.owned && j.replicated && len(j.pendingSubmissions) > 0 && m.mayExceedLimit(j)
+}
+
+// queueLimit returns an account's limit, see Environment.QueueLimit.
+func (m *StateMachine) queueLimit(account queuedtokens.Account) (int64, bool) {
+	return m.env.QueueLimit(account.Route)
+}
--- a/internal/batch/replica/finding.go
+++ b/internal/batch/replica/finding.go
@@ -7,10 +7,12 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
+// What is wrong with a record of the log, and what does it cost?
+
 // Problem is what is wrong with a record of the log.
 type Problem string
 
-// The problems of records. None is left behind by a kill, a loss of power or a full disk.
+// The problems of records. None is left behind by a killed process, a loss of power or a full disk.
 const (
 	ProblemRecord  Problem = "a record can't be decoded"
 	ProblemKind    Problem = "a record is of no known kind"
@@ -20,17 +22,18 @@
 	ProblemSkipped Problem = "a part of the log doesn't match its checksums"
 )
 
-// Finding is a record of the log that can't be used, or a part of it that can't be read. It wraps job.ErrCorrupt.
+// Finding is a record of the log that can't be used, or a part of the log that can't be read. It wraps
+// job.ErrCorrupt.
 type Finding struct {
 	Problem      Problem
 	At           wal.Location
 	Kind         byte   // of the record
 	Job          string // batch job, empty where that isn't known
 	Position     int    // of a result
-	SoundResults int    // results of the batch job that are sound
+	SoundResults int    // of the batch job
 }
 
-// Error describes the finding with its place.
+// Error describes the finding with its location.
 func (f *Finding) Error() string {
 	text := job.ErrCorrupt.Error()
 	if f.Problem == ProblemGap || f.Problem == ProblemResult {
@@ -43,10 +46,10 @@
 	return text
 }
 
-// Unwrap makes the finding a job.ErrCorrupt.
+// Unwrap returns job.ErrCorrupt.
 func (f *Finding) Unwrap() error { return job.ErrCorrupt }
 
-// hides tells whether the log may have held a batch job, or a version of one, that isn't known here.
+// mayHideJobs reports whether the log may have held a batch job, or a version of one, that isn't known here.
 func (f *Finding) mayHideJobs() bool {
 	switch f.Problem {
 	case ProblemKind, ProblemContent, ProblemSkipped:
@@ -58,5 +61,5 @@
 	}
 }
 
-// damages tells whether the batch job's copy is no whole one. Events of items that run may be missing.
+// corruptsJob reports whether the batch job's copy is incomplete. Events of unfinished items may be missing.
 func (f *Finding) corruptsJob() bool { return f.Kind != recordProgress }
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -1,16 +1,16 @@
 package replica
 
 import (
-	"sprucelane.example/sprucelane/internal/batch/job"
 	"sprucelane.example/sprucelane/internal/batch/placement"
-	"sprucelane.example/sprucelane/internal/batch/wal"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns how a retiring store gives its batch jobs away: it copies one to the first store of a new replica set,
-// which owns it from then on and fills the others; once that store tells that the set is whole, nothing here is needed.
+// How does a retiring store hand its batch jobs over?
+//
+// It copies each to the first store of a new replica set, which owns it from then on and replicates it to the rest.
+// Once that store has told that the set is fully replicated, nothing here is needed.
 
-// handOver chooses the set that a batch job goes to. Its own copy stays as it is, under the old version.
+// startHandover chooses the set that a batch job goes to. The copy here stays as it is, under the old version.
 func (m *StateMachine) startHandover(j *storedJob) {
 	j.peers = nil
 	j.replicated = false
@@ -24,38 +24,39 @@
 	j.handoverReplicas = placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor)
 	if len(j.handoverReplicas) < m.options.ReplicationFactor {
 		j.handoverReplicas = nil
-		m.reconfigure(j) // too few are left: it stays until the view changes
+		m.reconfigure(j) // too few active members: it stays until the view changes
 		return
 	}
 	m.env.Stop(j.id)
 	j.peers = []peer{{process: j.handoverReplicas[0]}}
 }
 
-// handoverVersion is the version of the set that a batch job goes to.
+// handoverVersion returns the version of the set that a batch job goes to.
 func (m *StateMachine) handoverVersion(j *storedJob) Version { return j.version.next(m.view.Epoch) }
 
-func (m *StateMachine) sendHandover(h *storedJob) {
-	p := &h.peers[0]
+// sendHandover asks the successor for its state, or sends it a full copy.
+func (m *StateMachine) sendHandover(j *storedJob) {
+	p := &j.peers[0]
 	now := m.env.Now()
-	if h.handedOver || p.awaitsResponse && now-p.sentAt < replicationRetry || h.durableResults < len(h.results) || h.ended != h.endedDurable {
+	if j.handedOver || p.awaitsResponse && now-p.sentAt < replicationRetry || j.durableResults < len(j.results) || j.ended != j.endedDurable {
 		return
 	}
-	message := ReplicationRequest{Stamp: m.stamp(), Job: h.id, Version: m.handoverVersion(h)}
+	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: m.handoverVersion(j)}
 	if p.reported && !p.hasCopy {
 		if p.copySentAt > 0 && now-p.copySentAt < replicationRetry {
-			return // it may have yet to be written there
+			return // the copy may still be on its way to the disk there
 		}
 		p.copySentAt = now
-		if !m.fillFullCopy(h, &message, h.durableResults) {
+		if !m.fillFullCopy(j, &message, j.durableResults) {
 			return
 		}
-		message.Replicas = h.handoverReplicas
+		message.Replicas = j.handoverReplicas
 	}
 	p.awaitsResponse, p.sentAt = true, now
 	m.env.Send(p.process, message)
 }
 
-// handedOver takes the successor's account.
+// handleHandoverResponse takes in what is durable at the successor.
 func (m *StateMachine) handleHandoverResponse(j *storedJob, from placement.Key, message ReplicationResponse) {
 	p := &j.peers[0]
 	if placement.KeyOf(p.process) != from || j.handedOver {
@@ -79,7 +80,7 @@
 	m.sendHandover(j)
 }
 
-// inherit owns a copy that a retiring store handed over.
+// takeHandover owns a copy that a retiring store handed over.
 func (m *StateMachine) takeHandover(j *storedJob) {
 	if m.jobs[j.id] != j || len(j.replicas) == 0 || placement.KeyOf(j.replicas[0]) != m.self || !m.hasActiveReplicas(j) {
 		return
@@ -89,7 +90,7 @@
 	}
 	j.owned = true
 	m.noteInheritedTokens(j)
-	m.revokeReconciled() // its set has to be made whole first
+	m.revokeReconciled() // it has to be fully replicated first
 	delete(m.owners, j.id)
 	j.setReplicas(j.version, j.replicas, m.self)
 	m.announceOwner(j.id, m.self)
@@ -97,23 +98,19 @@
 	m.maybeCommit(j)
 }
 
-// locate gives where content and results of a copy stand within its record.
-func locateCopy(j *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
-	r := &job.Decoder{Remaining: record[1:]}
-	_ = r.Text()
-	readReplicas(r)
-	_ = r.Take(1)
-	content := r.Bytes()
-	end := len(record) - len(r.Remaining)
-	contentAt := at.Part(uint32(end-len(content)), uint32(len(content)))
-	count := r.Uvarint()
-	results := make([]storedResult, 0, count)
-	for range count {
-		results = append(results, readResult(r, record, at))
+// drained reports whether a retiring store holds nothing that other stores don't. It waits until all members have
+// reconciled, so that none has yet to choose sets in this epoch, and until there is an active member.
+func (m *StateMachine) drained() bool {
+	if !m.retiring || !m.reconciled || len(m.acceptances) > 0 {
+		return false
 	}
-	return contentAt, results
-}
-
-func storedResultOf(result *Result, at wal.Location) storedResult {
-	return storedResult{item: int32(result.Item), state: job.State(result.State), at: at}
+	if !m.allReconciled() || len(placement.ActiveMembers(m.view)) == 0 {
+		return false
+	}
+	for _, j := range m.order {
+		if !j.handedOver {
+			return false
+		}
+	}
+	return true
 }
--- /dev/null
+++ b/internal/batch/replica/lookup.go
@@ -0,0 +1,97 @@
+package replica
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// Who holds a batch job that isn't known here?
+
+// lookup is a question to arbiters that isn't answered yet.
+type lookup struct {
+	number    uint64
+	sentAt    time.Duration
+	unknownTo map[placement.Key]bool // arbiters that know of no holder
+}
+
+// startLookup finds out who holds a batch job that isn't known here. If it was accepted, a majority of its arbiters
+// voted for it in this epoch, or knows of it from the inventories.
+func (m *StateMachine) startLookup(id string) {
+	now := m.env.Now()
+	if asked := m.lookups[id]; !m.reconciled || asked != nil && now-asked.sentAt < inventoryRetry {
+		return
+	}
+	m.lastLookup++
+	l := &lookup{number: m.lastLookup, sentAt: now, unknownTo: map[placement.Key]bool{}}
+	m.lookups[id] = l
+	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
+		if placement.KeyOf(arbiter) != m.self {
+			m.env.Send(arbiter, LookupRequest{Stamp: m.stamp(), Job: id, Number: l.number})
+		}
+	}
+	if placement.Contains(placement.Arbiters(id, m.view, m.options.ReplicationFactor), m.self) {
+		m.handleLookupResponse(m.self, LookupResponse{Job: id, Number: l.number, Owner: m.knownHolder(id)})
+	}
+}
+
+// handleLookupRequest answers as arbiter, if this store is certain.
+func (m *StateMachine) handleLookupRequest(from protocol.Process, message LookupRequest) {
+	if !m.reconciled || !m.MayAct() {
+		return
+	}
+	if holder := m.knownHolder(message.Job); holder != "" || m.knowsEveryJob() {
+		m.env.Send(from, LookupResponse{Stamp: m.stamp(), Job: message.Job, Number: message.Number, Owner: holder})
+	}
+}
+
+// knownHolder returns who holds or may accept a batch job, as far as this store knows as arbiter.
+func (m *StateMachine) knownHolder(id string) placement.Key {
+	if j := m.jobs[id]; j != nil && j.owned {
+		return m.self
+	}
+	if owner, known := m.owners[id]; known {
+		return owner
+	}
+	if m.jobs[id] != nil {
+		return m.self
+	}
+	return m.reservations[id].store
+}
+
+// handleLookupResponse takes an arbiter's answer. If it names this store, a batch job was about to be accepted here,
+// and wasn't.
+func (m *StateMachine) handleLookupResponse(from placement.Key, message LookupResponse) {
+	l := m.lookups[message.Job]
+	if l == nil || l.number != message.Number || !m.reconciled {
+		return
+	}
+	if message.Owner != "" && message.Owner != m.self {
+		delete(m.lookups, message.Job)
+		m.noteOwner(message.Job, message.Owner)
+		if m.owners[message.Job] == message.Owner {
+			m.redispatchParkedCalls(message.Job)
+		}
+		return
+	}
+	l.unknownTo[from] = true
+	arbiters := placement.Arbiters(message.Job, m.view, m.options.ReplicationFactor)
+	if len(l.unknownTo) >= placement.Majority(len(arbiters)) && m.knowsEveryJob() {
+		delete(m.lookups, message.Job)
+		m.answerNotFound(message.Job, l.sentAt)
+	}
+}
+
+// answerNotFound answers the calls for a batch job that came before a time at which it didn't exist.
+func (m *StateMachine) answerNotFound(id string, at time.Duration) {
+	waiting := m.parkedCalls
+	m.parkedCalls = nil
+	for _, p := range waiting {
+		if p.call.BatchJob == id && p.receivedAt <= at && m.jobs[id] == nil {
+			m.answer(p.callID, notFound())
+			continue
+		}
+		m.parkedCalls = append(m.parkedCalls, p)
+	}
+}
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -3,80 +3,95 @@
 import (
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/batch/queuedtokens"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Stamp heads every message between stores. A message of another epoch than the receiver's is dropped: what matters is
-// sent again.
+// What do stores send to each other?
+
+// The gob encoding matches fields by name: the fields of all types here keep their names (testdata/golden), as
+// running processes of earlier versions send them. The types' own names on the wire are in wireTypes.
+
+// Stamp heads every message between stores. A message of another epoch than the receiver's is dropped: what matters
+// is sent again.
 type Stamp struct {
 	Epoch uint64 // of the sender's view
-	Life  uint64 // differs for each start of the sender's process
+	Life  uint64 // the sender's Options.ProcessIncarnation
 }
 
-// InventoryRequest asks a store for all that it holds.
+// header returns the message's stamp. All types of messages embed it.
+func (s Stamp) header() Stamp { return s }
+
+// stamped is a message between stores.
+type stamped interface{ header() Stamp }
+
+// InventoryRequest asks a store for a list of all that it holds.
 type InventoryRequest struct {
 	Stamp
-	Round uint64 // the asker's; comes back
+	Round uint64 // the asker's inventoryRound; the response returns it
 }
 
-// Inventory is all that a store holds, as of when the request came.
+// InventoryResponse lists all that a store holds, as of when the request came.
 type InventoryResponse struct {
 	Stamp
 	Round   uint64
-	Settled uint64 // highest epoch in which all that the sender owns stood whole
+	Settled uint64 // newest epoch in which the sender had reconciled
 	Entries []InventoryEntry
-	// Obscured tells that the sender may have held batch jobs, or newer versions of some, that it can't name any more.
+	// Obscured: the sender's log is incomplete. It may have held batch jobs, or higher versions of some, that it
+	// can't name.
 	Obscured bool
 }
 
-// Entry is one batch job of an inventory.
+// InventoryEntry is one batch job of an inventory.
 type InventoryEntry struct {
 	Job      string
 	Version  Version
 	Replicas []protocol.Process
-	Count    int // results
+	Count    int // durable results
 	Ended    bool
-	Damaged  bool // the results are a sound prefix, but this is no whole copy of the version
+	Damaged  bool // the copy is corrupt: its results are a sound prefix
 }
 
-// Concede gives a batch job to a store that holds a better copy of the version. The sender would own it in this epoch.
+// OwnershipTransfer makes a store with a better copy of a version own the batch job. The sender is its designated
+// owner in this epoch. A ReplicationResponse or an OwnerNotice answers it.
 type OwnershipTransfer struct {
 	Stamp
 	Job     string
 	Version Version
 }
 
-// Reserve asks an arbiter of a batch job's id for its vote that the sender may accept it.
+// ReservationRequest asks an arbiter of a batch job's id for its vote that the sender may accept it.
 type ReservationRequest struct {
 	Stamp
 	Job    string
 	Number uint64 // of the sender's attempt; it rises
 }
 
-// Reserved names the store that an arbiter's vote went to, or that holds the batch job.
+// ReservationResponse names the store that has the arbiter's vote, or that holds the batch job.
 type ReservationResponse struct {
 	Stamp
 	Job    string
 	Number uint64 // of the attempt that is answered
 	Owner  placement.Key
-	Held   bool // Owner holds it
+	Held   bool // Owner holds the batch job, as opposed to the vote
 }
 
-// Release gives a vote back: the sender has not accepted the batch job in that attempt nor in an earlier one.
+// ReservationRelease gives a vote back: the sender has not accepted the batch job in that attempt nor in an earlier
+// one.
 type ReservationRelease struct {
 	Stamp
 	Job    string
 	Number uint64
 }
 
-// Lookup asks an arbiter of a batch job's id who holds it.
+// LookupRequest asks an arbiter of a batch job's id who holds it.
 type LookupRequest struct {
 	Stamp
 	Job    string
-	Number uint64 // the asker's; comes back
+	Number uint64 // of the sender's lookup; the response returns it
 }
 
-// Found answers a Lookup. Owner is empty where the arbiter knows of nobody.
+// LookupResponse names the holder. Owner is empty where the arbiter knows of none.
 type LookupResponse struct {
 	Stamp
 	Job    string
@@ -84,53 +99,71 @@
 	Owner  placement.Key
 }
 
-// Notice tells other stores who owns a batch job, so that they need not ask.
+// OwnerNotice tells another store who owns a batch job, so that it needn't ask.
 type OwnerNotice struct {
 	Stamp
 	Job   string
 	Owner placement.Key
 }
 
-// Replicate brings a replica up to the owner's state, or asks for the replica's where nothing is in it.
+// ReplicationRequest brings a replica up to the owner's state. Without Content, Results and Ended it asks for the
+// replica's state. A store that lets a copy go sends such a question to the owner, too.
 type ReplicationRequest struct {
 	Stamp
 	Job      string
 	Version  Version
 	Replicas []protocol.Process // with Content
-	Content  []byte             // encoded; nil: the replica has it
+	Content  []byte             // encoded; nil where the replica has it
 	Start    int                // position of the first of Results; 0 with Content
 	Results  []Result
 	Ended    bool
 }
 
-// Result is one listed item.
+// Result is the result of one item.
 type Result struct {
 	Item  int // index in the batch job
 	State byte
 	Text  []byte
 }
 
-// Replicated tells what the replica holds on its disk.
+// ReplicationResponse says what is durable at the sender.
 type ReplicationResponse struct {
 	Stamp
 	Job     string
-	Held    bool
+	Held    bool // the sender has a durable copy of Version
 	Version Version
-	Count   int
+	Count   int // durable results
 	Ended   bool
-	None    bool // the sender has no copy and, as far as it is settled, knows of nobody who has
-	Stands  bool // the sender owns the batch job, and all of its replicas hold it
-	Whole   bool // Stands, and the receiver is none of them
+	None    bool // the sender has no copy and, as far as it is reconciled, knows of no owner
+	Stands  bool // the sender owns the batch job, and it is fully replicated
+	Whole   bool // Stands, and the receiver isn't one of the replicas
 }
 
-// SettledNotice tells the highest epoch in which all that the sender owns stood whole.
+// ReconciledNotice tells the newest epoch in which the sender had reconciled.
 type ReconciledNotice struct {
 	Stamp
 	Settled uint64
-	Ask     bool // the receiver is to tell, too
+	Ask     bool // the receiver should answer with its own
+}
+
+// Claim tells the store that counts some accounts what the sender uses of them and wants besides.
+type Claim struct {
+	Stamp
+	queuedtokens.Claim
 }
 
-// wireTypes lists all types of messages between stores with their names on the wire, which stay when a type is renamed or moved.
+// ClaimResponse confirms a claim and answers its wants.
+type ClaimResponse struct {
+	Stamp
+	Number   uint64 // of the claim
+	Verdicts []queuedtokens.Decision
+	Over     []queuedtokens.Account // of the claim's accounts, those over their limits, or not yet known to be within
+}
+
+// ClaimPoll asks a store for its claim: the sender counts accounts and has no claim of it in this epoch.
+type ClaimPoll struct{ Stamp }
+
+// wireTypes lists all types of messages with their names on the wire, which stay when a type is renamed or moved.
 func wireTypes() []transport.NamedType {
 	const here = "sprucelane.example/sprucelane/internal/batch/replica."
 	return []transport.NamedType{
@@ -153,40 +186,3 @@
 }
 
 func init() { transport.RegisterNamed(wireTypes()...) }
-
-func stampOf(message any) (Stamp, bool) {
-	switch m := message.(type) {
-	case InventoryRequest:
-		return m.Stamp, true
-	case InventoryResponse:
-		return m.Stamp, true
-	case ReservationRequest:
-		return m.Stamp, true
-	case ReservationResponse:
-		return m.Stamp, true
-	case ReservationRelease:
-		return m.Stamp, true
-	case LookupRequest:
-		return m.Stamp, true
-	case LookupResponse:
-		return m.Stamp, true
-	case OwnerNotice:
-		return m.Stamp, true
-	case ReplicationRequest:
-		return m.Stamp, true
-	case ReplicationResponse:
-		return m.Stamp, true
-	case ReconciledNotice:
-		return m.Stamp, true
-	case OwnershipTransfer:
-		return m.Stamp, true
-	case Claim:
-		return m.Stamp, true
-	case ClaimResponse:
-		return m.Stamp, true
-	case ClaimPoll:
-		return m.Stamp, true
-	default:
-		return Stamp{}, false
-	}
-}
--- /dev/null
+++ b/internal/batch/replica/reconciliation.go
@@ -0,0 +1,244 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// Who owns which batch job in a new epoch, and when has a store reconciled?
+//
+// All members exchange inventories and come to the same answer from them.
+
+// inventoryRetry is the time after which unanswered inventory requests, lookups and transfers are sent again.
+const inventoryRetry = 250 * time.Millisecond
+
+// noticeInterval is the time between ReconciledNotices while something waits for all members to reconcile.
+const noticeInterval = time.Second
+
+// newestCopies is what the inventories tell of a batch job's copies of the highest version.
+type newestCopies struct {
+	version  Version
+	replicas []protocol.Process
+	holders  []placement.Key
+	corrupt  map[placement.Key]int // number of sound results of those holders whose copies are corrupt
+}
+
+// restartReconciliation asks all other members for their inventories.
+func (m *StateMachine) restartReconciliation() {
+	m.inventoryRound++
+	m.reconciled = false
+	clear(m.inventories)
+	m.requestInventories()
+	m.reconcile()
+}
+
+// requestInventories asks the members whose inventories are missing.
+func (m *StateMachine) requestInventories() {
+	m.inventoriesRequestedAt = m.env.Now()
+	m.eachOtherMember(func(other protocol.Process) {
+		if _, here := m.inventories[placement.KeyOf(other)]; !here {
+			m.env.Send(other, InventoryRequest{Stamp: m.stamp(), Round: m.inventoryRound})
+		}
+	})
+}
+
+// inventory lists all that this store holds.
+func (m *StateMachine) inventory(round uint64) InventoryResponse {
+	entries := make([]InventoryEntry, 0, len(m.jobs))
+	for _, j := range m.order {
+		entries = append(entries, InventoryEntry{
+			Job: j.id, Version: j.version, Replicas: j.replicas, Count: j.durableResults, Ended: j.endedDurable, Damaged: j.corrupt,
+		})
+	}
+	return InventoryResponse{Stamp: m.stamp(), Round: round, Settled: m.reconciledEpoch, Entries: entries, Obscured: m.incompleteLog}
+}
+
+func (m *StateMachine) handleInventoryResponse(from placement.Key, inventory InventoryResponse) {
+	if inventory.Round != m.inventoryRound || m.reconciled {
+		return
+	}
+	m.inventories[from] = inventory
+	m.departures.reconciledEpochs[from] = inventory.Settled
+	m.departures.noteLog(from, inventory.Obscured, m.env.Now())
+	m.reconcile()
+}
+
+// awaited returns the members whose inventories are missing.
+func (m *StateMachine) awaited() []placement.Key {
+	var list []placement.Key
+	m.eachOtherMember(func(other protocol.Process) {
+		key := placement.KeyOf(other)
+		if _, here := m.inventories[key]; !here {
+			list = append(list, key)
+		}
+	})
+	return list
+}
+
+// reconcile decides who owns what, once all inventories are here.
+func (m *StateMachine) reconcile() {
+	if m.reconciled || !m.isMember {
+		return
+	}
+	if len(m.awaited()) > 0 {
+		return
+	}
+	m.reconciled = true
+	m.departures.noteLog(m.self, m.incompleteLog, m.env.Now())
+	all := m.mergeInventories()
+	clear(m.inventories)
+	m.pruneOwners(all)
+	m.unowned = 0
+	for _, id := range slices.Sorted(maps.Keys(all)) {
+		if j := m.jobs[id]; j != nil {
+			j.superseded = j.version < all[id].version
+		}
+		if !m.isNewestVersion(all[id]) {
+			m.unowned++
+			continue // until departed stores are back
+		}
+		owner := m.designatedOwner(all[id])
+		if owner == m.self {
+			m.ownOrTransfer(id, all[id])
+			continue
+		}
+		m.owners[id] = owner
+		if j := m.jobs[id]; j != nil {
+			m.followOwner(j)
+		}
+	}
+	m.retryParkedCalls()
+	m.checkReconciled()
+}
+
+// mergeInventories merges the inventories with what is held here.
+func (m *StateMachine) mergeInventories() map[string]*newestCopies {
+	all := make(map[string]*newestCopies, len(m.jobs))
+	for _, entry := range m.inventory(0).Entries {
+		mergeEntry(all, m.self, entry)
+	}
+	for key, inventory := range m.inventories {
+		for _, entry := range inventory.Entries {
+			mergeEntry(all, key, entry)
+		}
+	}
+	return all
+}
+
+// mergeEntry takes in a holder's copy if it is of the highest version so far.
+func mergeEntry(all map[string]*newestCopies, holder placement.Key, entry InventoryEntry) {
+	newest := all[entry.Job]
+	if newest == nil || newest.version < entry.Version {
+		newest = &newestCopies{version: entry.Version, replicas: entry.Replicas, corrupt: map[placement.Key]int{}}
+		all[entry.Job] = newest
+	}
+	if newest.version != entry.Version {
+		return
+	}
+	newest.holders = append(newest.holders, holder)
+	if entry.Damaged {
+		newest.corrupt[holder] = entry.Count
+	}
+}
+
+// pruneOwners forgets the owners of batch jobs that nobody holds, except for those that have a vote of this epoch.
+func (m *StateMachine) pruneOwners(all map[string]*newestCopies) {
+	for id := range m.owners {
+		if _, reserved := m.reservations[id]; all[id] == nil && !reserved {
+			delete(m.owners, id)
+		}
+	}
+}
+
+// isNewestVersion reports whether the highest version that members hold is the highest there is, though too many
+// stores departed. The owner's disk holds a new version first, and the owner is one of the set before it: if that
+// whole set is present without a higher version, there is none.
+func (m *StateMachine) isNewestVersion(newest *newestCopies) bool {
+	return !m.tooManyDeparted() || m.allActive(newest.replicas)
+}
+
+// designatedOwner returns the owner of the highest version: the first of its replica set if that is a member, as it
+// had its copy on disk before it sent one; else the first that is a member and listed a copy. All stores of an epoch
+// come to the same answer, though their inventories aren't of one moment: within an epoch only the owner raises the
+// version, and its new set begins with itself.
+func (m *StateMachine) designatedOwner(newest *newestCopies) placement.Key {
+	for i, replica := range newest.replicas {
+		key := placement.KeyOf(replica)
+		_, present := placement.MemberOf(m.view, key)
+		if present && (i == 0 || slices.Contains(newest.holders, key)) {
+			return key
+		}
+	}
+	return slices.Min(newest.holders)
+}
+
+// checkReconciled records that this store has reconciled, once all that it owns is fully replicated in the present
+// epoch.
+func (m *StateMachine) checkReconciled() {
+	if !m.reconciled || !m.isMember || m.unowned > 0 || len(m.transfers) > 0 || m.reconciledEpoch == m.view.Epoch {
+		return
+	}
+	for _, j := range m.order {
+		if j.owned && !j.isFullyReplicated() || j.awaitsRelease() {
+			return
+		}
+	}
+	m.reconciledEpoch = m.view.Epoch
+	m.sendReconciledNotice()
+	m.checkAllReconciled()
+}
+
+// revokeReconciled takes back that this store has reconciled in the present epoch.
+func (m *StateMachine) revokeReconciled() {
+	if m.reconciledEpoch > 0 && m.reconciledEpoch == m.view.Epoch {
+		m.reconciledEpoch--
+	}
+}
+
+// sendReconciledNotice tells the others how far this store has reconciled, and asks them where something here waits
+// for that.
+func (m *StateMachine) sendReconciledNotice() {
+	m.departures.noticeSentAt = m.env.Now()
+	notice := ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch, Ask: m.awaitsAllReconciled()}
+	m.eachOtherMember(func(other protocol.Process) { m.env.Send(other, notice) })
+}
+
+func (m *StateMachine) handleReconciledNotice(from protocol.Process, notice ReconciledNotice) {
+	m.departures.reconciledEpochs[placement.KeyOf(from)] = notice.Settled
+	if notice.Ask {
+		m.env.Send(from, ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch})
+	}
+	m.checkAllReconciled()
+}
+
+// awaitsAllReconciled reports whether something here waits for all members to reconcile.
+func (m *StateMachine) awaitsAllReconciled() bool {
+	return len(m.departures.incompleteLogs) > 0 || m.retiring || slices.ContainsFunc(m.order, func(j *storedJob) bool { return j.superseded })
+}
+
+// checkAllReconciled drops superseded copies and forgets incomplete logs, once all members have reconciled.
+func (m *StateMachine) checkAllReconciled() {
+	if m.tooManyDeparted() || m.reconciledEpoch != m.view.Epoch || !m.awaitsAllReconciled() {
+		return
+	}
+	if !m.allReconciled() {
+		return
+	}
+	m.dropSuperseded()
+	if len(m.departures.incompleteLogs) > 0 {
+		m.forgetIncompleteLogs()
+	}
+}
+
+// allReconciled reports whether all members have told that they reconciled in the present epoch.
+func (m *StateMachine) allReconciled() bool {
+	all := m.reconciledEpoch == m.view.Epoch
+	m.eachOtherMember(func(other protocol.Process) {
+		all = all && m.departures.reconciledEpochs[placement.KeyOf(other)] == m.view.Epoch
+	})
+	return all
+}
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -8,18 +8,20 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns how a store's records stand in its log.
+// How are the records of a store's log encoded?
 
+// The kinds of records, which are their first bytes. They are a stored format: values stay.
 const (
-	recordCopy     = 1 // a whole batch job, in place of what was held of it
+	recordCopy     = 1 // a whole batch job, in place of what was stored of it
 	recordResult   = 2
 	recordEnded    = 3
 	recordReplicas = 4 // a new version's replica set
 	recordDropped  = 5
-	recordView     = 6 // of no batch job
-	recordProgress = 7 // events of an item that is running
+	recordView     = 6 // the epoch acted in; of no batch job
+	recordProgress = 7 // events of an unfinished item
 )
 
+// encodeCopy encodes a whole batch job, which replaces what was stored of it.
 func encodeCopy(id string, version Version, replicas []protocol.Process, ended bool, content []byte, results []Result) []byte {
 	size := len(content) + 256
 	for i := range results {
@@ -39,6 +41,7 @@
 	return out
 }
 
+// encodeResult encodes a result at a position of a batch job's list. The result's text is last.
 func encodeResult(id string, position int, result *Result) []byte {
 	out := make([]byte, 0, len(result.Text)+len(id)+24)
 	out = append(out, recordResult)
@@ -47,14 +50,51 @@
 	return appendResult(out, result)
 }
 
+// encodeEnded encodes that a client ended a batch job.
 func encodeEnded(id string) []byte { return job.AppendString([]byte{recordEnded}, id) }
 
+// encodeDropped encodes that a batch job isn't stored any more.
 func encodeDropped(id string) []byte { return job.AppendString([]byte{recordDropped}, id) }
 
+// encodeReplicas encodes a new version of a batch job with its replica set.
 func encodeReplicas(id string, version Version, replicas []protocol.Process) []byte {
 	return appendReplicas(job.AppendString([]byte{recordReplicas}, id), version, replicas)
 }
 
+// encodeProgress encodes events of an unfinished item: those that follow the event with the id after, up to the one
+// with the id last.
+func encodeProgress(id string, index int, after, last int64, events [][]byte) []byte {
+	record := job.AppendString([]byte{recordProgress}, id)
+	record = binary.AppendUvarint(record, uint64(index))
+	record = binary.AppendVarint(record, after)
+	record = binary.AppendVarint(record, last)
+	record = binary.AppendUvarint(record, uint64(len(events)))
+	for _, event := range events {
+		record = binary.AppendUvarint(record, uint64(len(event)))
+		record = append(record, event...)
+	}
+	return record
+}
+
+// encode encodes the record of the view: the epoch acted in, and since when this store has been a member. Earlier
+// versions wrote the departed stores, too, in what is empty here.
+func (d *departureSet) encode() []byte {
+	out := binary.AppendUvarint([]byte{recordView}, 0)
+	out = append(out, 0)
+	out = binary.AppendUvarint(out, 0)
+	out = binary.AppendUvarint(out, d.actedEpoch)
+	return binary.AppendUvarint(out, d.memberSince)
+}
+
+// skipKeys passes over a list of keys, which earlier versions wrote.
+func skipKeys(r *job.Decoder) {
+	count := r.Uvarint()
+	for i := uint64(0); i < count && !r.Failed; i++ {
+		r.Text()
+	}
+}
+
+// appendReplicas appends a version and its replica set.
 func appendReplicas(out []byte, version Version, replicas []protocol.Process) []byte {
 	out = binary.AppendUvarint(out, uint64(version))
 	out = binary.AppendUvarint(out, uint64(len(replicas)))
@@ -66,6 +106,7 @@
 	return out
 }
 
+// readReplicas reads what appendReplicas wrote.
 func readReplicas(r *job.Decoder) (Version, []protocol.Process) {
 	version := Version(r.Uvarint())
 	count := r.Uvarint()
@@ -78,6 +119,7 @@
 	return version, replicas
 }
 
+// appendResult appends a result; its text is last.
 func appendResult(out []byte, result *Result) []byte {
 	out = binary.AppendUvarint(out, uint64(result.Item))
 	out = append(out, result.State)
@@ -85,8 +127,8 @@
 	return append(out, result.Text...)
 }
 
-// readResult reads a result and says where its text stands; whole is the record that it is read from.
-func readResult(r *job.Decoder, whole []byte, at wal.Location) storedResult {
+// readResult reads a result and locates its text, which is part of a record at a location.
+func readResult(r *job.Decoder, record []byte, at wal.Location) storedResult {
 	result := storedResult{item: int32(r.Uvarint())}
 	state := r.Take(1)
 	text := r.Bytes()
@@ -94,11 +136,42 @@
 		return result
 	}
 	result.state = job.State(state[0])
-	end := len(whole) - len(r.Remaining)
-	result.at = at.Part(uint32(end-len(text)), uint32(len(text)))
+	result.at = locateRead(r, text, record, at)
 	return result
 }
 
+// locateCopy returns the locations of the content and of the results within a copy record that is being written.
+func locateCopy(j *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
+	r := &job.Decoder{Remaining: record[1:]}
+	_ = r.Text()
+	readReplicas(r)
+	_ = r.Take(1)
+	content := r.Bytes()
+	contentAt := locateRead(r, content, record, at)
+	count := r.Uvarint()
+	results := make([]storedResult, 0, count)
+	for range count {
+		results = append(results, readResult(r, record, at))
+	}
+	return contentAt, results
+}
+
+// storedResultOf returns what is kept in memory of a result whose text is at a location.
+func storedResultOf(result *Result, at wal.Location) storedResult {
+	return storedResult{item: int32(result.Item), state: job.State(result.State), at: at}
+}
+
+// locateRead returns the location of data that a decoder has just read from a record.
+func locateRead(r *job.Decoder, data, record []byte, at wal.Location) wal.Location {
+	end := len(record) - len(r.Remaining)
+	return at.Part(uint32(end-len(data)), uint32(len(data)))
+}
+
+// locateLast returns the location of data that a record ends with.
+func locateLast(data, record []byte, at wal.Location) wal.Location {
+	return at.Part(uint32(len(record)-len(data)), uint32(len(data)))
+}
+
 func boolByte(set bool) byte {
 	if set {
 		return 1
--- a/internal/batch/replica/replay.go
+++ b/internal/batch/replica/recovery.go
@@ -5,12 +5,14 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// This file owns the start: how the records of earlier lives make up what is held, and what follows from those that can't
-// be used. Such a record never costs more than its own batch job: of that one the sound prefix of results stays, and it is
-// marked as damaged until a new copy is written.
+// How does a start rebuild the state from the records of earlier incarnations, and what follows from records that
+// can't be used?
+//
+// An unusable record never costs more than its own batch job: the sound prefix of its results stays, and the copy
+// counts as corrupt until a new one is written.
 
-// Replay applies a record of the log of earlier lives, in order. An error is a *Finding: the record could not be used. It
-// has been dealt with, and Replay goes on with the next record.
+// Replay applies a record of the log of earlier incarnations, in order. An error is a *Finding: the record can't be
+// used. It has been dealt with, and Replay goes on with the next record.
 func (m *StateMachine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
@@ -21,8 +23,8 @@
 	return finding
 }
 
-// Skipped tells, between two records, that a part of the log in between can't be read at all. Whatever is held may have gone on
-// in it, and counts as damaged, also where nothing of it follows.
+// ReplaySkipped says, between two records, that a part of the log between them can't be read at all. All batch jobs
+// stored so far count as corrupt, as records of each may be missing, also where none of theirs follow.
 func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
 	for _, j := range m.order {
 		j.corrupt = true
@@ -32,7 +34,8 @@
 	return finding
 }
 
-// Damage counts the parts of the log that this start could not use, and the batch jobs that are still damaged for them.
+// Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are still
+// corrupt because of them.
 func (m *StateMachine) Corruption() (findings, damaged int) {
 	for _, j := range m.order {
 		if j.corrupt {
@@ -42,7 +45,7 @@
 	return m.findings, damaged
 }
 
-// note draws what follows from a record that can't be used for what this store may claim.
+// noteFinding records what this store can't claim any more because of a record that can't be used.
 func (m *StateMachine) noteFinding(finding *Finding) {
 	m.findings++
 	if finding.mayHideJobs() {
@@ -53,6 +56,7 @@
 	}
 }
 
+// replay applies a record, or returns why it can't be used.
 func (m *StateMachine) replay(at wal.Location, record []byte) *Finding {
 	if len(record) == 0 {
 		return &Finding{Problem: ProblemKind}
@@ -72,7 +76,7 @@
 	return finding
 }
 
-// replayOf applies a record of a batch job.
+// replayJobRecord applies a record of a batch job.
 func (m *StateMachine) replayJobRecord(r *job.Decoder, id string, at wal.Location, record []byte) *Finding {
 	switch record[0] {
 	case recordCopy:
@@ -84,21 +88,21 @@
 	default:
 		return &Finding{Problem: ProblemKind}
 	}
-	held := m.jobs[id]
-	if held == nil {
-		return nil // its beginning went with a released segment
+	j := m.jobs[id]
+	if j == nil {
+		return nil // its copy record was in a segment that was released
 	}
-	return held.replay(r, at, record)
+	return j.replay(r, at, record)
 }
 
-// replay applies a record that goes on from a copy.
+// replay applies a record that continues a copy.
 func (j *storedJob) replay(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	if record[0] == recordEnded {
-		j.ended, j.endedDurable = true, true // no matter of which copy: an end is for good
+		j.ended, j.endedDurable = true, true // of whichever copy: an end is final
 		return nil
 	}
 	if j.corrupt {
-		return nil // it may be of a copy that isn't here
+		return nil // it may continue a copy whose record is missing
 	}
 	switch record[0] {
 	case recordResult:
@@ -123,11 +127,11 @@
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
 	content := r.Bytes()
-	end := len(record) - len(r.Remaining)
+	contentAt := locateRead(r, content, record, at)
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
 	}
-	j, err := newStoredJob(content, at.Part(uint32(end-len(content)), uint32(len(content))))
+	j, err := newStoredJob(content, contentAt)
 	if err != nil || j.id != id {
 		return &Finding{Problem: ProblemContent}
 	}
@@ -166,7 +170,55 @@
 	return nil
 }
 
-// mayList tells whether a result is of an item that there is and that isn't listed.
-func (j *storedJob) acceptsResult(result storedResult) bool {
-	return result.item >= 0 && int(result.item) < len(j.items) && !j.items[result.item].finished
+// replayProgress adds events that follow the known ones. Others are of a run that was given up, and are ignored.
+func (j *storedJob) replayProgress(r *job.Decoder, at wal.Location, record []byte) *Finding {
+	item := r.Uvarint()
+	after, last := r.Varint(), r.Varint()
+	count := r.Uvarint()
+	if r.Failed || item >= uint64(len(j.items)) {
+		return &Finding{Problem: ProblemRecord}
+	}
+	index := int(item)
+	if j.items[index].finished {
+		return nil
+	}
+	known, started := j.progress[index]
+	if !started || after < 0 {
+		known = Progress{Last: -1}
+	}
+	if after != known.Last {
+		return nil
+	}
+	for i := uint64(0); i < count && !r.Failed; i++ {
+		event := r.Bytes()
+		known.Events = append(known.Events, locateRead(r, event, record, at))
+	}
+	if r.Failed {
+		return &Finding{Problem: ProblemRecord}
+	}
+	known.Last = last
+	if j.progress == nil {
+		j.progress = map[int]Progress{}
+	}
+	j.progress[index] = known
+	return nil
+}
+
+func (d *departureSet) replay(at wal.Location, record []byte) *Finding {
+	r := &job.Decoder{Remaining: record[1:]}
+	skipKeys(r)
+	if !r.Failed && len(r.Remaining) > 0 { // the earliest versions end here
+		r.Take(1)
+		skipKeys(r)
+	}
+	var epoch, memberSince uint64
+	if !r.Failed && len(r.Remaining) > 0 {
+		epoch, memberSince = r.Uvarint(), r.Uvarint()
+	}
+	if r.Failed {
+		return &Finding{Problem: ProblemRecord, Kind: recordView}
+	}
+	d.viewRecordAt = &at
+	d.actedEpoch, d.memberSince = epoch, memberSince
+	return nil
 }
--- /dev/null
+++ b/internal/batch/replica/replication.go
@@ -0,0 +1,184 @@
+package replica
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/placement"
+)
+
+// How does an owner bring the other replicas up to its state, and when is a result committed?
+
+const (
+	// replicationRetry is the time after which an unanswered request is sent again.
+	replicationRetry = 700 * time.Millisecond
+	// maxResultBytes limits the texts of one request's results; the last one may pass it.
+	maxResultBytes = 512 << 10
+)
+
+// replicateJob sends each peer of an owned batch job what it lacks.
+func (m *StateMachine) replicateJob(j *storedJob) {
+	if !j.owned || !m.isMember || !j.versionDurable {
+		return
+	}
+	if len(j.handoverReplicas) > 0 {
+		m.sendHandover(j)
+		return
+	}
+	for i := range j.peers {
+		m.replicateTo(j, &j.peers[i])
+	}
+}
+
+// replicateTo sends a peer what it lacks, unless an answer of it is awaited.
+func (m *StateMachine) replicateTo(j *storedJob, p *peer) {
+	now := m.env.Now()
+	if p.awaitsResponse && now-p.sentAt < replicationRetry {
+		return
+	}
+	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: j.version}
+	switch {
+	case !p.reported: // an empty request asks for its state
+	case !p.hasCopy:
+		if !m.fillFullCopy(j, &message, j.durableResults) {
+			return
+		}
+	case p.results < j.durableResults || j.endedDurable && !p.ended:
+		if !m.fillResults(j, &message, p.results) {
+			return
+		}
+		message.Ended = j.endedDurable
+	default:
+		return
+	}
+	p.awaitsResponse, p.sentAt = true, now
+	m.env.Send(p.process, message)
+}
+
+// fillFullCopy adds the content and the first count results to a request. It reports whether they could be read.
+func (m *StateMachine) fillFullCopy(j *storedJob, message *ReplicationRequest, count int) bool {
+	content := j.content
+	if content == nil {
+		read, err := m.env.Read(j.contentAt)
+		if err != nil {
+			return false
+		}
+		content = read
+	}
+	message.Content, message.Replicas, message.Ended = content, j.replicas, j.endedDurable
+	for position := range count {
+		result, ok := m.result(j, position)
+		if !ok {
+			return false
+		}
+		message.Results = append(message.Results, result)
+	}
+	return true
+}
+
+// fillResults adds durable results from a position on, up to maxResultBytes. It reports whether they could be read.
+func (m *StateMachine) fillResults(j *storedJob, message *ReplicationRequest, start int) bool {
+	message.Start = start
+	size := 0
+	for position := start; position < j.durableResults && size < maxResultBytes; position++ {
+		result, ok := m.result(j, position)
+		if !ok {
+			return false
+		}
+		size += len(result.Text)
+		message.Results = append(message.Results, result)
+	}
+	return true
+}
+
+// result returns a listed result with its text.
+func (m *StateMachine) result(j *storedJob, position int) (Result, bool) {
+	if uncommitted := j.uncommitted[position]; uncommitted != nil {
+		return *uncommitted, true
+	}
+	listed := &j.results[position]
+	text, err := m.env.Read(listed.at)
+	if err != nil {
+		return Result{}, false
+	}
+	return Result{Item: int(listed.item), State: byte(listed.state), Text: text}, true
+}
+
+// handleReplicationResponse takes in what is durable at a peer.
+func (m *StateMachine) handleReplicationResponse(from placement.Key, message ReplicationResponse) {
+	m.checkTransferRejected(from, message)
+	if message.Stands {
+		m.noteReplicatedElsewhere(from, message.Job)
+	}
+	j := m.jobs[message.Job]
+	if j == nil {
+		return
+	}
+	if m.expiredAtOwner(j, from, message) {
+		m.discard(j)
+		m.checkReconciled()
+		return
+	}
+	if !j.owned {
+		j.handedOver = j.handedOver || m.retiring && message.Whole
+		return
+	}
+	if len(j.handoverReplicas) > 0 {
+		m.handleHandoverResponse(j, from, message)
+		return
+	}
+	p := j.peer(from)
+	if p == nil || message.Version != j.version {
+		return
+	}
+	p.reported, p.awaitsResponse = true, false
+	p.hasCopy = p.hasCopy || message.Held // what is on its disk stays there: a response that says less is an earlier one
+	p.results = max(p.results, message.Count)
+	p.ended = p.ended || message.Ended
+	m.maybeCommit(j)
+	m.replicateTo(j, p)
+}
+
+// maybeCommit advances what is committed to what is on all replicas, and answers the calls that waited for it.
+func (m *StateMachine) maybeCommit(j *storedJob) {
+	if !j.owned || len(j.handoverReplicas) > 0 || len(j.replicas) < m.options.ReplicationFactor {
+		return
+	}
+	copied, results, ended := j.onAllReplicas()
+	if !copied && !j.replicated {
+		return
+	}
+	for ; j.committedResults < results; j.committedResults++ {
+		delete(j.uncommitted, j.committedResults)
+	}
+	if !j.replicated {
+		j.replicated = true
+		j.content = nil
+		j.replaceReplicasAt = 0
+		m.onFullyReplicated(j)
+	}
+	m.answerReads(j)
+	if ended {
+		m.acknowledgeEnds(j)
+	}
+	m.checkReconciled()
+}
+
+// onFullyReplicated starts to serve a batch job whose replicas all hold it.
+func (m *StateMachine) onFullyReplicated(j *storedJob) {
+	m.acknowledgeSubmissions(j)
+	if !j.ended && !j.allFinished() {
+		m.env.Start(j.id)
+	}
+	m.checkReconciled()
+	m.retryParkedCalls()
+}
+
+// resetPeer forgets what is known of the copies at a store that restarted: it may have found them corrupt.
+func (m *StateMachine) resetPeer(key placement.Key) {
+	for _, j := range m.order {
+		if p := j.peer(key); j.owned && p != nil {
+			*p = peer{process: p.process}
+			m.revokeReconciled()
+		}
+	}
+}
--- /dev/null
+++ b/internal/batch/replica/serve.go
@@ -0,0 +1,189 @@
+package replica
+
+import (
+	"encoding/json"
+	"slices"
+	"strconv"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/batch/job"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// What does the owner answer to reads, item bodies and ends?
+
+const (
+	// maxReadWait is the longest time that a read waits for a result.
+	maxReadWait = time.Second
+	// maxPageBytes is the largest body of an answer with more than one result.
+	maxPageBytes = 1<<20 - 4<<10
+
+	contentJSON = "application/json"
+)
+
+// serveRead answers with results, or has the call wait until there is one.
+func (m *StateMachine) serveRead(j *storedJob, p parkedCall) {
+	start := max(p.call.Start, 0)
+	wait := min(time.Duration(p.call.WaitMs)*time.Millisecond, maxReadWait)
+	if start >= j.committedResults && wait > 0 && !j.ended && !(j.allFinished() && j.committedResults == len(j.items)) {
+		j.pendingReads = append(j.pendingReads, pendingRead{callID: p.callID, start: start, deadline: m.env.Now() + wait})
+		return
+	}
+	m.answerRead(j, p.callID, start)
+}
+
+// answerReads answers the waiting reads that there are results for.
+func (m *StateMachine) answerReads(j *storedJob) {
+	if len(j.pendingReads) == 0 {
+		return
+	}
+	waiting := j.pendingReads
+	j.pendingReads = nil
+	for _, r := range waiting {
+		if r.start < j.committedResults || j.ended {
+			m.answerRead(j, r.callID, r.start)
+			continue
+		}
+		j.pendingReads = append(j.pendingReads, r)
+	}
+}
+
+// answerRead answers with the committed results from a position on, as many as fit.
+func (m *StateMachine) answerRead(j *storedJob, id CallID, start int) {
+	body := make([]byte, 0, 4<<10)
+	body = append(body, `{"total":`...)
+	body = strconv.AppendInt(body, int64(len(j.items)), 10)
+	body = append(body, `,"results":[`...)
+	position := start
+	for ; position < j.committedResults; position++ {
+		result, ok := m.result(j, position)
+		if !ok {
+			m.answer(id, unavailable())
+			return
+		}
+		if position > start && len(body)+len(result.Text)+len(result.Text)/8+128 > maxPageBytes {
+			break
+		}
+		before := len(body)
+		if position > start {
+			body = append(body, ',')
+		}
+		body = appendResultJSON(body, j.items[result.Item].id, job.State(result.State), result.Text)
+		if position > start && len(body) > maxPageBytes {
+			body = body[:before]
+			break
+		}
+	}
+	body = append(body, `],"next-token":`...)
+	body = strconv.AppendInt(body, int64(position), 10)
+	body = append(body, '}')
+	m.answer(id, protocol.BatchAnswer{Status: 200, Body: body, ContentType: contentJSON})
+}
+
+// expireReads ends reads whose time is over.
+func (m *StateMachine) expireReads(j *storedJob, now time.Duration) {
+	if !slices.ContainsFunc(j.pendingReads, func(r pendingRead) bool { return now >= r.deadline }) {
+		return
+	}
+	waiting := j.pendingReads
+	j.pendingReads = nil
+	for _, r := range waiting {
+		switch {
+		case now < r.deadline:
+			j.pendingReads = append(j.pendingReads, r)
+		case j.owned && j.replicated && m.MayAct():
+			m.answerRead(j, r.callID, r.start)
+		default:
+			m.answer(r.callID, unavailable())
+		}
+	}
+}
+
+// appendResultJSON appends a result as JSON.
+func appendResultJSON(body []byte, id string, state job.State, text []byte) []byte {
+	body = append(body, `{"id":`...)
+	body = appendJSON(body, id)
+	body = append(body, `,"state":"`...)
+	body = append(body, state.String()...)
+	body = append(body, `","text":`...)
+	body = appendJSON(body, string(text))
+	return append(body, '}')
+}
+
+// appendJSON appends a string as JSON. Plain text, which is the usual case, is copied without a call of
+// encoding/json.
+func appendJSON(body []byte, text string) []byte {
+	for i := range len(text) {
+		if c := text[i]; c < 0x20 && c != '\n' || c == '"' || c == '\\' || c >= 0x7f {
+			quoted, _ := json.Marshal(text)
+			return append(body, quoted...)
+		}
+	}
+	body = append(body, '"')
+	for i := range len(text) {
+		if text[i] == '\n' {
+			body = append(body, '\\', 'n')
+			continue
+		}
+		body = append(body, text[i])
+	}
+	return append(body, '"')
+}
+
+// serveBody answers with an item's body until its result is committed or the batch job ended.
+func (m *StateMachine) serveBody(j *storedJob, p parkedCall) {
+	index := slices.IndexFunc(j.items, func(i storedItem) bool { return i.id == p.call.Item })
+	if index < 0 || j.ended || m.isCommitted(j, index) {
+		m.answer(p.callID, notFound())
+		return
+	}
+	encoded, err := m.env.Read(j.itemLocation(index))
+	if err != nil {
+		m.answer(p.callID, unavailable())
+		return
+	}
+	item, err := job.DecodeItem(encoded)
+	if err != nil {
+		m.answer(p.callID, unavailable())
+		return
+	}
+	m.answer(p.callID, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
+}
+
+// isCommitted reports whether an item's result is committed.
+func (m *StateMachine) isCommitted(j *storedJob, index int) bool {
+	if !j.items[index].finished {
+		return false
+	}
+	for position := range j.committedResults {
+		if int(j.results[position].item) == index {
+			return true
+		}
+	}
+	return false
+}
+
+// serveEnd ends a batch job: no further item starts here, and the call is answered once the end is on all replicas.
+func (m *StateMachine) serveEnd(j *storedJob, id CallID) {
+	j.pendingEnds = append(j.pendingEnds, id)
+	if j.ended {
+		m.maybeCommit(j)
+		return
+	}
+	j.ended = true
+	m.env.Stop(j.id)
+	m.write(encodeEnded(j.id), true, func() {
+		j.endedDurable = true
+		m.replicateJob(j)
+		m.maybeCommit(j)
+	})
+	m.answerReads(j)
+}
+
+// acknowledgeEnds answers the ends of a batch job.
+func (m *StateMachine) acknowledgeEnds(j *storedJob) {
+	for _, id := range j.pendingEnds {
+		m.answer(id, protocol.BatchAnswer{Status: 200})
+	}
+	j.pendingEnds = nil
+}
--- a/internal/batch/replica/slow.go
+++ b/internal/batch/replica/slowreplicas.go
@@ -7,22 +7,27 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns what is done about stores that don't write in time while a client waits for an acceptance: those that are
-// down, cut off or frozen and still in the view, and those whose disks are slow.
+// How does an acceptance get past replicas that don't write in time?
+//
+// They may be down, partitioned or paused and still in the view, or have slow disks, while a client waits.
 
 const (
-	replaceReplicasAfter = 80 * time.Millisecond // without a word that a peer has written a new batch job
-	slowPenalty          = 1500 * time.Millisecond
-	maxNewJobs           = 32                     // that may be new
-	maxDiskLag           = 150 * time.Millisecond // of this store's own disk, from which it takes no new batch jobs
+	// replaceReplicasAfter is the time within which each replica must confirm a new batch job before it is replaced.
+	replaceReplicasAfter = 80 * time.Millisecond
+	// slowPenalty is for how long a store that was replaced isn't chosen for new batch jobs.
+	slowPenalty = 1500 * time.Millisecond
+	// maxNewJobs is how many of the newest batch jobs may still be waiting for replicas, as NeedsFastTick assumes.
+	maxNewJobs = 32
+	// maxDiskLag is the time a record may wait for this store's own disk before it accepts no new batch jobs.
+	maxDiskLag = 150 * time.Millisecond
 )
 
-// diskLags tells that this store's disk is behind.
+// diskLags reports whether this store's disk is behind.
 func (m *StateMachine) diskLags() bool {
 	return len(m.pendingWrites) > 0 && m.env.Now()-m.pendingWrites[0].queuedAt > maxDiskLag
 }
 
-// slowStores lists the stores that are passed over.
+// slowStores lists the stores that aren't chosen for new batch jobs.
 func (m *StateMachine) slowStores() []placement.Key {
 	var keys []placement.Key
 	now := m.env.Now()
@@ -34,7 +39,7 @@
 	return keys
 }
 
-// Pressing tells that a client waits for an acceptance, and Tick is wanted more often.
+// NeedsFastTick reports whether a client waits for an acceptance, so that Tick should be called more often.
 func (m *StateMachine) NeedsFastTick() bool {
 	if len(m.acceptances) > 0 {
 		return true
@@ -47,15 +52,9 @@
 	return false
 }
 
-// expectNothing notes that no peer holds a copy.
-func (j *storedJob) assumePeersEmpty() {
-	for i := range j.peers {
-		j.peers[i].reported = true
-	}
-}
-
-// replaceSlow chooses another replica set for a batch job that is being accepted, where members have not written it in time
-// and there are others. The version rises: what they may still write counts for nothing.
+// replaceSlowReplicas chooses another replica set for a batch job that is being accepted, if members have not
+// confirmed it in time and there are others. The version rises: what the replaced ones may still write counts for
+// nothing.
 func (m *StateMachine) replaceSlowReplicas(j *storedJob, now time.Duration) {
 	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt || j.replicated || !j.versionDurable || len(j.handoverReplicas) > 0 {
 		return
@@ -72,7 +71,7 @@
 	replicas := placement.Replicas(j.id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
 	for _, replica := range replicas {
 		if until, slow := m.slowUntil[placement.KeyOf(replica)]; slow && now < until {
-			return // there is no other
+			return // there are no other stores
 		}
 	}
 	if len(replicas) < m.options.ReplicationFactor || len(kept) == m.options.ReplicationFactor {
@@ -82,20 +81,3 @@
 	j.assumePeersEmpty()
 	m.writeReplicas(j)
 }
-
-// writeReplicas has a new version last before it is told to others.
-func (m *StateMachine) writeReplicas(j *storedJob) {
-	if j.corrupt {
-		m.rewriteCopy(j)
-		return
-	}
-	j.versionDurable = false
-	version := j.version
-	m.write(encodeReplicas(j.id, version, j.replicas), true, func() {
-		if j.version == version {
-			j.versionDurable = true
-			m.replicateJob(j)
-			m.maybeCommit(j)
-		}
-	})
-}
--- /dev/null
+++ b/internal/batch/replica/status.go
@@ -0,0 +1,62 @@
+package replica
+
+import (
+	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// How far has a store reconciled, and what does it wait for?
+
+// Status is how far a store has reconciled in the present epoch, and what it waits for. All but the epochs is empty
+// once it has.
+type Status struct {
+	Epoch           uint64
+	ReconciledEpoch uint64          // newest epoch in which the store reconciled, 0 for none since its start
+	Awaited         []placement.Key // members whose inventories are missing
+	Missing         []placement.Key // departed stores that may hold what the members don't know of
+	IncompleteLogs  int             // stores whose logs may have held what they can't name
+	Unowned         int             // batch jobs that nobody owns until enough of the missing stores are back
+	Transferring    int             // batch jobs transferred to stores with better copies, not yet fully replicated there
+	Superseded      int             // superseded copies here whose owners haven't confirmed that the newer version is fully replicated
+	UnderReplicated int             // batch jobs owned here that aren't on all disks of their sets
+}
+
+// Reconciled reports whether the store has reconciled in the present epoch. One that has no view yet has not.
+func (s Status) Reconciled() bool { return s.Epoch > 0 && s.ReconciledEpoch == s.Epoch }
+
+// Status returns how far this store has reconciled.
+func (m *StateMachine) Status() Status {
+	standing := Status{Epoch: m.view.Epoch, ReconciledEpoch: m.reconciledEpoch}
+	if standing.Reconciled() {
+		return standing
+	}
+	standing.Missing = m.departures.missingStores()
+	standing.IncompleteLogs = len(m.departures.incompleteLogs)
+	standing.Unowned = m.unowned
+	standing.Transferring = len(m.transfers)
+	if !m.reconciled && m.isMember {
+		standing.Awaited = m.awaited()
+	}
+	for _, h := range m.order {
+		switch {
+		case h.awaitsRelease():
+			standing.Superseded++
+		case h.owned && !h.isFullyReplicated():
+			standing.UnderReplicated++
+		}
+	}
+	return standing
+}
+
+// Report returns what control is told of this store.
+func (m *StateMachine) Report() protocol.BatchReport {
+	return protocol.BatchReport{
+		Epoch:       m.view.Epoch,
+		ActedIn:     m.ActedIn(),
+		Settled:     m.reconciledEpoch,
+		Missing:     m.departures.countMissing(),
+		BatchJobs:   len(m.jobs),
+		FreeBytes:   m.env.FreeBytes(),
+		DrainedDown: m.drained(),
+	}
+}
