--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -2,52 +2,35 @@
 
 import (
 	"errors"
-	"io/fs"
-	"sort"
-	"syscall"
+	"maps"
+	"slices"
 	"time"
-
-	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// ErrPowerLost is the error of operations on a disk whose power went, and on files of a process that ended.
+// ErrPowerLost is the error of operations on a disk without power, and on files that a process opened which has ended.
 var ErrPowerLost = errors.New("simulation: power lost")
 
-// DefaultSyncTime is what a sync takes unless Disk.SyncTime says otherwise.
+// DefaultSyncTime is the initial Disk.SyncTime.
 const DefaultSyncTime = time.Millisecond
 
 // Disk is one folder on a simulated disk. It implements slots.FS.
 type Disk struct {
-	// SyncTime is what each sync takes.
+	// SyncTime is the latency of each sync.
 	SyncTime time.Duration
 
-	random         *Rand
+	random *Rand
+	// entries is the directory as processes see it; durableEntries is what a loss of power leaves of it at least, and
+	// unsynced are the changes between the two, in order.
 	entries        map[string]*inode
 	durableEntries map[string]*inode
 	unsynced       []directoryChange
-	capacity       int64 // bytes, 0 for no bound
-	failAt         int   // operations until the power goes, 0 for never
-	poweredOff     bool
-	incarnation    int // of the processes that use it
-	operations     int
-	latency        time.Duration
-}
 
-// nameChange is a new, renamed or removed name that is not durable yet. An empty from is a new file, an empty to is
-// a removed one.
-type directoryChange struct {
-	from, to string
-	file     *inode
-}
-
-// apply makes the change to a table of names.
-func (c directoryChange) apply(names map[string]*inode) {
-	if c.from != "" {
-		delete(names, c.from)
-	}
-	if c.to != "" {
-		names[c.to] = c.file
-	}
+	capacity    int64 // bytes, 0 for no bound
+	failAt      int   // operations until the loss of power, 0 for never
+	poweredOff  bool
+	incarnation int // of the processes that use it; files of earlier ones fail
+	operations  int
+	latency     time.Duration // of operations since the last TakeLatency
 }
 
 // NewDisk returns an empty disk.
@@ -72,13 +55,13 @@
 	d.failAt = 0
 }
 
-// PowerLoss ends the processes and keeps, loses or tears each change that was not synced. Now and then all of them
-// are lost.
+// LosePower ends the processes, restores the power, and keeps, loses or tears each change that was not synced. In one
+// of five cases all of them are lost, which independent draws would hardly ever give.
 func (d *Disk) LosePower() {
 	loseAll := d.random.Chance(0.2)
-	for _, pending := range d.unsynced {
+	for _, change := range d.unsynced {
 		if !loseAll && d.random.Chance(0.5) {
-			pending.apply(d.durableEntries)
+			change.apply(d.durableEntries)
 		}
 	}
 	d.unsynced = nil
@@ -91,40 +74,42 @@
 	d.Kill()
 }
 
-// SetCapacity bounds the bytes in all files. Zero takes the bound away.
+// SetCapacity bounds the bytes in all files together. Zero removes the bound.
 func (d *Disk) SetCapacity(bytes int64) {
 	d.capacity = bytes
 }
 
-// FailAt takes the power away in the middle of the n-th operation that changes the disk from now, counted from 1.
-// The operation, and all after it until PowerLoss, Kill or Wipe, fail with ErrPowerLost.
+// FailAt takes the power away within the n-th operation from now that changes the disk, counted from 1. That operation
+// and all later ones fail with ErrPowerLost, until LosePower, Kill or Wipe.
 func (d *Disk) FailAt(n int) {
 	d.failAt = n
 }
 
-// Off tells whether the power went in the middle of an operation and hasn't come back.
+// PoweredOff reports whether FailAt has taken the power away and it hasn't come back.
 func (d *Disk) PoweredOff() bool {
 	return d.poweredOff
 }
 
-// Operations returns how many operations that change the disk there were.
+// Operations returns how many operations have changed the disk, as FailAt counts them.
 func (d *Disk) Operations() int {
 	return d.operations
 }
 
-// Stall adds to the time that the next operations take.
+// AddLatency adds a stall to the latency that TakeLatency returns next.
 func (d *Disk) AddLatency(duration time.Duration) {
 	d.latency += duration
 }
 
-// TakeBusy returns how long the operations since the last call take, so that a world can let that time pass.
+// TakeLatency returns the latency of all operations since the last call. The disk doesn't wait itself: the caller lets
+// that much virtual time pass.
 func (d *Disk) TakeLatency() time.Duration {
-	busy := d.latency
+	latency := d.latency
 	d.latency = 0
-	return busy
+	return latency
 }
 
-// Flip inverts one bit of a file as a failing medium does. It returns false if there is no such byte.
+// FlipBit inverts one bit of a file, as a failing medium does. It returns false if the file has no such byte that is
+// durable.
 func (d *Disk) FlipBit(name string, offset int64, bit int) bool {
 	file, ok := d.entries[name]
 	if !ok || offset >= int64(len(file.content)) || offset >= int64(len(file.durable)) {
@@ -136,9 +121,9 @@
 	return true
 }
 
-// step counts an operation that changes the disk. It returns whether the power goes within it, or an error if the
-// power is off.
-func (d *Disk) countOperation() (bool, error) {
+// countOperation counts an operation that changes the disk. It returns whether power is lost within it, or an error if
+// the power is off already.
+func (d *Disk) countOperation() (losesPower bool, err error) {
 	if d.poweredOff {
 		return false, ErrPowerLost
 	}
@@ -162,7 +147,7 @@
 	return total
 }
 
-// room returns how many of these bytes still fit on the disk.
+// capacityFor returns how many of so many more bytes fit on the disk.
 func (d *Disk) capacityFor(bytes int) int {
 	if d.capacity == 0 {
 		return bytes
@@ -170,142 +155,7 @@
 	return int(max(0, min(int64(bytes), d.capacity-d.used())))
 }
 
-// rename makes a change of names that is not durable yet.
-func (d *Disk) changeDirectory(change directoryChange) error {
-	losesPower, err := d.countOperation()
-	if err != nil {
-		return err
-	}
-	change.apply(d.entries)
-	d.unsynced = append(d.unsynced, change)
-	if losesPower {
-		return ErrPowerLost
-	}
-	return nil
-}
-
-// find returns the file of a name.
-func (d *Disk) find(operation, name string) (*inode, error) {
-	if d.poweredOff {
-		return nil, ErrPowerLost
-	}
-	file, ok := d.entries[name]
-	if !ok {
-		return nil, &fs.PathError{Op: operation, Path: name, Err: syscall.ENOENT}
-	}
-	return file, nil
-}
-
-// Create implements slots.FS.
-func (d *Disk) Create(name string) (slots.File, error) {
-	if d.poweredOff {
-		return nil, ErrPowerLost
-	}
-	file, ok := d.entries[name]
-	if !ok {
-		file = &inode{}
-		if err := d.changeDirectory(directoryChange{to: name, file: file}); err != nil {
-			return nil, err
-		}
-	}
-	handle := &diskFile{disk: d, file: file, incarnation: d.incarnation}
-	if len(file.content) == 0 {
-		return handle, nil
-	}
-	return handle, handle.Truncate(0)
-}
-
-// Open implements slots.FS.
-func (d *Disk) Open(name string) (slots.File, error) {
-	file, err := d.find("open", name)
-	if err != nil {
-		return nil, err
-	}
-	return &diskFile{disk: d, file: file, incarnation: d.incarnation}, nil
-}
-
-// ReadAll implements slots.FS.
-func (d *Disk) ReadAll(name string) ([]byte, error) {
-	file, err := d.find("open", name)
-	if err != nil {
-		return nil, err
-	}
-	return append([]byte(nil), file.content...), nil
-}
-
-// Size implements slots.FS.
-func (d *Disk) Size(name string) (int64, error) {
-	file, err := d.find("stat", name)
-	if err != nil {
-		return 0, err
-	}
-	return int64(len(file.content)), nil
-}
-
-// Rename implements slots.FS.
-func (d *Disk) Rename(from, to string) error {
-	file, err := d.find("rename", from)
-	if err != nil {
-		return err
-	}
-	return d.changeDirectory(directoryChange{from: from, to: to, file: file})
-}
-
-// Remove implements slots.FS.
-func (d *Disk) Remove(name string) error {
-	file, err := d.find("remove", name)
-	if err != nil {
-		return err
-	}
-	return d.changeDirectory(directoryChange{from: name, file: file})
-}
-
-// List implements slots.FS.
-func (d *Disk) List() ([]string, error) {
-	if d.poweredOff {
-		return nil, ErrPowerLost
-	}
-	return sortedNames(d.entries), nil
-}
-
-// SyncDir implements slots.FS.
-func (d *Disk) SyncDir() error {
-	losesPower, err := d.countOperation()
-	if err != nil {
-		return err
-	}
-	if losesPower {
-		return ErrPowerLost
-	}
-	d.latency += d.SyncTime
-	for _, pending := range d.unsynced {
-		pending.apply(d.durableEntries)
-	}
-	d.unsynced = nil
-	return nil
-}
-
-// syncFile makes a file durable, and its name if it is new.
-func (d *Disk) syncFile(file *inode) {
-	d.latency += d.SyncTime
-	file.sync()
-	kept := d.unsynced[:0]
-	for _, pending := range d.unsynced {
-		if pending.file == file && pending.from == "" {
-			pending.apply(d.durableEntries)
-			continue
-		}
-		kept = append(kept, pending)
-	}
-	d.unsynced = kept
-}
-
-// sortedNames returns the names of a table in order.
-func sortedNames(names map[string]*inode) []string {
-	sorted := make([]string, 0, len(names))
-	for name := range names {
-		sorted = append(sorted, name)
-	}
-	sort.Strings(sorted)
-	return sorted
+// sortedNames returns the names in a directory in order. Draws must not depend on the order of a map.
+func sortedNames(entries map[string]*inode) []string {
+	return slices.Sorted(maps.Keys(entries))
 }
--- a/internal/simulation/example_test.go
+++ b/internal/simulation/example_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// Messages over a link that is cut in one direction, in a world whose time passes only as events come due.
+// Two machines exchange messages over a link that is partitioned in one direction, in virtual time.
 func ExampleSimulation() {
 	sim := simulation.New(1)
 	sim.Links.Default = simulation.Link{Delay: 5 * time.Millisecond}
@@ -20,14 +20,14 @@
 		}
 	})
 	sim.Run(time.Second)
-	fmt.Println("the world is", sim.Elapsed(), "old")
+	fmt.Println("elapsed:", sim.Elapsed())
 	// Output:
 	// ping arrives after 5ms
 	// pong is lost
-	// the world is 1s old
+	// elapsed: 1s
 }
 
-// A store on a disk that loses power in the middle of an append keeps what was acknowledged.
+// A store on a disk that loses power within an append keeps what was acknowledged.
 func ExampleDisk() {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _, err := slots.Open(disk, slots.Options{})
--- a/internal/simulation/file.go
+++ b/internal/simulation/file.go
@@ -10,11 +10,11 @@
 type diskFile struct {
 	disk        *Disk
 	file        *inode
-	incarnation int
+	incarnation int // of the process that opened it
 	closed      bool
 }
 
-// check returns why the file can't be used.
+// check returns why the file can't be used, or nil.
 func (f *diskFile) check() error {
 	if f.closed {
 		return fs.ErrClosed
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Sync implements slots.File. Where the power goes within it, nothing is durable for sure.
+// Sync implements slots.File. If power is lost within it, nothing has become durable for sure.
 func (f *diskFile) Sync() error {
 	if err := f.check(); err != nil {
 		return err
--- a/internal/simulation/inode.go
+++ b/internal/simulation/inode.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// inode is the contents of one file: what is on the platter, and the changes since the last sync.
+// inode is the contents of one file: what is on the medium, and the changes since the last sync.
 type inode struct {
 	content  []byte // as processes see it
 	durable  []byte // as of the last sync
 	unsynced []contentChange
 }
 
-// change is a write at an offset, or a new length where data is nil.
+// contentChange is a write at an offset, or a new length if data is nil.
 type contentChange struct {
 	offset int
 	data   []byte
@@ -27,7 +27,7 @@
 	return content
 }
 
-// resize cuts contents or fills them with zeros to a length.
+// resize truncates contents, or extends them with zeros, to a length.
 func resize(content []byte, length int) []byte {
 	if length <= len(content) {
 		return content[:length]
@@ -35,10 +35,10 @@
 	return append(content, make([]byte, length-len(content))...)
 }
 
-// change makes a change that is not durable yet.
-func (n *inode) write(c contentChange) {
-	n.content = c.apply(n.content)
-	n.unsynced = append(n.unsynced, c)
+// write makes a change that is not durable yet.
+func (n *inode) write(change contentChange) {
+	n.content = change.apply(n.content)
+	n.unsynced = append(n.unsynced, change)
 }
 
 // sync makes all changes durable.
@@ -47,20 +47,20 @@
 	n.unsynced = nil
 }
 
-// losePower keeps, loses or tears each change since the last sync.
+// losePower keeps, loses or tears each change since the last sync, in their order. What is left is durable.
 func (n *inode) losePower(random *Rand, loseAll bool) {
 	content := slices.Clone(n.durable)
-	for _, pending := range n.unsynced {
+	for _, change := range n.unsynced {
 		if loseAll || random.Chance(0.4) {
 			continue
 		}
-		content = tear(pending, random).apply(content)
+		content = tear(change, random).apply(content)
 	}
 	n.content = content
 	n.sync()
 }
 
-// tear returns a change whole, or a part of a write.
+// tear returns the change as it is, or a part of a write. A new length is never torn.
 func tear(whole contentChange, random *Rand) contentChange {
 	if len(whole.data) < 2 || random.Chance(0.5) {
 		return whole
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -4,32 +4,32 @@
 
 // Link is how messages travel from one machine to another.
 type Link struct {
-	// Delay is the least time on the way.
+	// Delay is the least latency of a message.
 	Delay time.Duration
-	// Jitter is added to it, by chance, in part. Messages overtake each other through it.
+	// Jitter bounds a random latency that is added to Delay. It lets messages overtake each other.
 	Jitter time.Duration
-	// Loss is the probability that a message is lost.
+	// Loss is the probability that a message is lost, 0 to 1.
 	Loss float64
-	// Ordered lets no message overtake another, as over one TCP connection.
+	// Ordered keeps the order of messages, as one TCP connection does.
 	Ordered bool
 }
 
-// DefaultLink is the link between machines that no other one was set for.
+// DefaultLink is the initial Links.Default.
 var DefaultLink = Link{Delay: time.Millisecond, Jitter: time.Millisecond}
 
-// pair is a direction between two machines.
+// direction is one direction between two machines.
 type direction struct{ from, to string }
 
-// Links are all links of a world.
+// Links are the links between all machines of a simulation, one for each direction.
 type Links struct {
-	// Default is the link between machines that no other one was set for.
+	// Default is the link of directions for which Set was not called.
 	Default Link
-	// Filter, if set, returns false for messages to be lost.
+	// Filter, if set, returns false for messages to lose.
 	Filter func(from, to string, message any) bool
 
 	links       map[direction]Link
 	partitioned map[direction]bool
-	lastArrival map[direction]time.Duration // arrival of the last message of an ordered link
+	lastArrival map[direction]time.Duration // of the last message on an ordered link
 }
 
 // newLinks returns links without faults.
@@ -42,22 +42,22 @@
 	}
 }
 
-// Set changes the link in one direction.
+// Set replaces the link in one direction.
 func (l *Links) Set(from, to string, link Link) {
 	l.links[direction{from, to}] = link
 }
 
-// Cut lets nothing through in one direction.
+// Partition loses all messages in one direction until Heal.
 func (l *Links) Partition(from, to string) {
 	l.partitioned[direction{from, to}] = true
 }
 
-// Join takes back a Cut.
+// Heal ends a Partition.
 func (l *Links) Heal(from, to string) {
 	delete(l.partitioned, direction{from, to})
 }
 
-// Separate cuts each machine of one group from each of the other, in both directions.
+// PartitionGroups partitions each machine of one group from each of the other, in both directions.
 func (l *Links) PartitionGroups(group, others []string) {
 	for _, one := range group {
 		for _, other := range others {
@@ -67,17 +67,17 @@
 	}
 }
 
-// JoinAll takes back all cuts.
+// HealAll ends all partitions.
 func (l *Links) HealAll() {
 	clear(l.partitioned)
 }
 
-// IsCut tells whether a direction is cut.
+// Partitioned reports whether a direction is partitioned.
 func (l *Links) Partitioned(from, to string) bool {
 	return l.partitioned[direction{from, to}]
 }
 
-// carry returns how long a message takes, and whether it arrives.
+// transmit returns the latency of a message that is sent now, and whether it arrives.
 func (l *Links) transmit(s *Simulation, from, to string, message any) (time.Duration, bool) {
 	direction := direction{from, to}
 	link, ok := l.links[direction]
--- a/internal/simulation/rand.go
+++ b/internal/simulation/rand.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Rand is a source of random numbers that a seed determines.
+// Rand is a source of random numbers that a seed determines. Tests are replayed by seed: the order of draws matters.
 type Rand struct {
 	*rand.Rand
 	seed uint64
 }
 
-// NewRand returns the source of a seed.
+// NewRand returns the source of a seed. The second word of the generator's seed is an arbitrary constant.
 func NewRand(seed uint64) *Rand {
 	return &Rand{Rand: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), seed: seed}
 }
@@ -22,7 +22,7 @@
 	return r.seed
 }
 
-// Fork returns a source that the seed and a name determine, whatever was drawn from this one.
+// Fork returns a source that the seed and a name determine, whatever was drawn from this one before.
 func (r *Rand) Fork(name string) *Rand {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(name))
