--- a/internal/configuration/order_test.go
+++ b/internal/configuration/change_request_test.go
@@ -28,14 +28,14 @@
 }
 
 func TestOrders(t *testing.T) {
-	Convey("A first document is taken and read back as it was sent", t, func() {
+	Convey("A first document is accepted and read back as it was sent", t, func() {
 		s := NewState()
 		So(apply(s, 1, 0, false, firstDocument).Status, ShouldEqual, StatusAccepted)
 		same(t, s.Current().JSON(), firstDocument)
 		So(string(s.Current().JSON()), ShouldContainSubstring, `"novel":{"a":1.50}`)
 		So(s.Current().Document().Backends[0].MaxConns, ShouldEqual, 190)
 
-		Convey("the same order gets the same answer, however often, and after others", func() {
+		Convey("the same request gets the same answer, however often, and after others", func() {
 			So(apply(s, 2, 0, false, firstDocument).Status, ShouldEqual, StatusAccepted)
 			So(s.Current().Index, ShouldEqual, 1)
 			So(apply(s, 3, 7, true, `{"generation":9}`).Status, ShouldEqual, StatusAccepted)
@@ -45,13 +45,13 @@
 			So(again.Generation, ShouldEqual, 9)
 			So(s.Current().Generation, ShouldEqual, 9)
 		})
-		Convey("other bytes, another method or another base are other orders", func() {
+		Convey("other bytes, another method or another base are other requests", func() {
 			So(apply(s, 2, 0, false, firstDocument+" ").Status, ShouldEqual, StatusStale)
 			So(apply(s, 2, 0, true, firstDocument).Status, ShouldEqual, StatusStale)
 			So(apply(s, 2, 7, false, firstDocument).Status, ShouldEqual, StatusInvalid)
 			So(apply(s, 2, 8, true, `{"generation":9}`).Status, ShouldEqual, StatusStale)
 		})
-		Convey("a patch puts in, replaces in place and removes by name", func() {
+		Convey("a patch adds, replaces in place and removes by name", func() {
 			patch := `{"generation":12,"upsert":{"routes":[{"name":"r3","hostname":"b.example","path-prefix":"/","timeout-ms":1,"backend":"b1"},
 				{"name":"r1","hostname":"a.example","path-prefix":"/z/","timeout-ms":5,"backend":"b1"}],"limits":{"max-body-bytes":5}},
 				"delete":{"routes":["r2","never"],"tenants":["t1"]}}`
@@ -67,7 +67,7 @@
 			So(snapshot.TenantByKey("k1"), ShouldBeNil)
 			So(snapshot.Limits.MaxBodyBytes, ShouldEqual, 5)
 		})
-		Convey("a state that is written and read again goes on as the same", func() {
+		Convey("a state that is encoded and decoded goes on as the same", func() {
 			apply(s, 3, 7, true, `{"generation":9,"delete":{"routes":["r2"]}}`)
 			raw, err := s.Encode()
 			So(err, ShouldBeNil)
@@ -77,10 +77,11 @@
 			So(other.Current().Index, ShouldEqual, 3)
 			So(apply(other, 5, 0, false, firstDocument).Repeated, ShouldBeTrue)
 		})
-		Convey("an order as old as what is no longer remembered gets no verdict", func() {
+		Convey("a request older than what is remembered gets no verdict", func() {
 			generation := uint64(7)
 			for i := range uint64(maxHistory + 1) {
-				So(apply(s, 10+i, generation, true, fmt.Sprintf(`{"generation":%d}`, generation+1)).Status, ShouldEqual, StatusAccepted)
+				patch := fmt.Sprintf(`{"generation":%d}`, generation+1)
+				So(apply(s, 10+i, generation, true, patch).Status, ShouldEqual, StatusAccepted)
 				generation++
 			}
 			So(apply(s, 9000, 0, false, firstDocument).Status, ShouldEqual, StatusUnknown)
@@ -133,24 +134,33 @@
 		})
 	}
 	Convey("All findings come together", t, func() {
-		body := strings.NewReplacer(`"timeout-ms":3000`, `"timeout-ms":0`, `"path-prefix":"/y/"`, `"path-prefix":"/y"`, `"weight":10`, `"weight":-1`).Replace(firstDocument)
+		body := strings.NewReplacer(
+			`"timeout-ms":3000`, `"timeout-ms":0`,
+			`"path-prefix":"/y/"`, `"path-prefix":"/y"`,
+			`"weight":10`, `"weight":-1`,
+		).Replace(firstDocument)
 		So(apply(NewState(), 1, 0, false, body).Findings, ShouldHaveLength, 3)
 	})
-	Convey("A patch that leaves a route without its service is refused whole", t, func() {
+	Convey("A patch that leaves a route without its backend is rejected as a whole", t, func() {
 		s := NewState()
 		apply(s, 1, 0, false, firstDocument)
 		result := apply(s, 2, 7, true, `{"generation":8,"delete":{"backends":["b1"],"routes":["r1"]}}`)
 		So(result.Status, ShouldEqual, StatusInvalid)
 		same(t, s.Current().JSON(), firstDocument)
 	})
-	Convey("A patch before the first document is refused", t, func() {
+	Convey("A patch before the first document is rejected", t, func() {
 		So(apply(NewState(), 1, 0, true, `{"generation":8}`).Status, ShouldEqual, StatusInvalid)
 	})
 }
 
 func TestQueueBound(t *testing.T) {
-	Convey("A bound on waiting tokens may be written as any whole number, and is 0 where none is told", t, func() {
-		for text, want := range map[string]int64{`,"max-queued-tokens":3200000`: 3_200_000, `,"max-queued-tokens":3.2e6`: 3_200_000, "": 0} {
+	Convey("A limit of queued tokens may be written as any whole number, and is 0 by default", t, func() {
+		cases := map[string]int64{
+			`,"max-queued-tokens":3200000`: 3_200_000,
+			`,"max-queued-tokens":3.2e6`:   3_200_000,
+			"":                             0,
+		}
+		for text, want := range cases {
 			var route Route
 			So(decode([]byte(`{"name":"r"`+text+`}`), &route), ShouldBeNil)
 			So(route.MaxQueuedTokens, ShouldEqual, want)
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// plainModel is what the operator expects: lists by name, without any of the code under test.
+// referenceModel is what the operator expects, without any of the code under test: a list of tenants by name.
 type referenceModel struct {
 	generation uint64
 	tenants    []map[string]any
@@ -20,7 +20,9 @@
 
 func (m *referenceModel) patch(generation uint64, upsert []map[string]any, remove []string) {
 	m.generation = generation
-	m.tenants = slices.DeleteFunc(slices.Clone(m.tenants), func(t map[string]any) bool { return slices.Contains(remove, t["name"].(string)) })
+	m.tenants = slices.DeleteFunc(slices.Clone(m.tenants), func(t map[string]any) bool {
+		return slices.Contains(remove, t["name"].(string))
+	})
 	for _, one := range upsert {
 		at := slices.IndexFunc(m.tenants, func(t map[string]any) bool { return t["name"] == one["name"] })
 		if at < 0 {
@@ -50,8 +52,8 @@
 	return raw
 }
 
-// TestHistories drives a state, a replica restored now and then, and a follower that misses updates, through random orders,
-// and holds all three to the model.
+// TestHistories drives a state, a replica restored now and then, and a follower that misses updates, through random
+// orders, and holds all three to the model.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &referenceModel{accepted: map[string]bool{}}
@@ -61,12 +63,12 @@
 			request := drawRequest(t, model, sent)
 			sent = append(sent, request)
 			expected := model.verdict(request)
-			if told := state.Evaluate(request); told.Status != expected {
-				t.Fatalf("evaluated as %d, the model says %d", told.Status, expected)
+			if evaluated := state.Evaluate(request); evaluated.Status != expected {
+				t.Fatalf("evaluated as %d, the model says %d", evaluated.Status, expected)
 			}
 			result := state.Apply(index, request)
 			if result.Status != expected {
-				t.Fatalf("order %d: %d, the model says %d: %v", index, result.Status, expected, result.Findings)
+				t.Fatalf("request %d: %d, the model says %d: %v", index, result.Status, expected, result.Findings)
 			}
 			if other := replica.Apply(index, request); !reflect.DeepEqual(other, result) {
 				t.Fatalf("a replica says %v, not %v", other, result)
@@ -124,15 +126,21 @@
 	if len(sent) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "earlier")
 	}
-	request := ChangeRequest{IfMatch: model.generation, Patch: model.generation > 0 && rapid.IntRange(0, 3).Draw(t, "patch") > 0}
+	request := ChangeRequest{
+		IfMatch: model.generation,
+		Patch:   model.generation > 0 && rapid.IntRange(0, 3).Draw(t, "patch") > 0,
+	}
 	if rapid.IntRange(0, 5).Draw(t, "stale") == 0 {
 		request.IfMatch = rapid.Uint64Range(0, model.generation+2).Draw(t, "if-match")
 	}
 	generation := model.generation + uint64(rapid.IntRange(0, 3).Draw(t, "rise"))
 	if request.Patch {
 		remove := rapid.SliceOfN(rapid.SampledFrom([]string{"t0", "t1", "t2", "t9"}), 0, 2).Draw(t, "remove")
-		request.Body = encode(t, drawnBody{Generation: generation, Upsert: map[string][]map[string]any{"tenants": drawTenants(t)},
-			Delete: map[string][]string{"tenants": remove}})
+		request.Body = encode(t, drawnBody{
+			Generation: generation,
+			Upsert:     map[string][]map[string]any{"tenants": drawTenants(t)},
+			Delete:     map[string][]string{"tenants": remove},
+		})
 		return request
 	}
 	whole := map[string]any{"generation": generation, "routes": []any{}, "backends": []any{}, "tenants": drawTenants(t)}
@@ -144,7 +152,7 @@
 	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
 
-// verdict gives the status that an order must get, and carries it out where it is taken.
+// verdict gives the status that a request must get, and applies it to the model if it is accepted.
 func (m *referenceModel) verdict(request ChangeRequest) Status {
 	if m.accepted[m.key(request)] {
 		return StatusAccepted
@@ -176,7 +184,8 @@
 	if err := json.Unmarshal(s.Current().JSON(), &got); err != nil {
 		t.Fatal(err)
 	}
-	if got.Generation != m.generation || len(got.Tenants) != len(m.tenants) || len(m.tenants) > 0 && !reflect.DeepEqual(got.Tenants, m.tenants) {
+	if got.Generation != m.generation || len(got.Tenants) != len(m.tenants) ||
+		len(m.tenants) > 0 && !reflect.DeepEqual(got.Tenants, m.tenants) {
 		t.Fatalf("the document is %s, the model has %v", s.Current().JSON(), m.tenants)
 	}
 }
@@ -197,7 +206,7 @@
 		}
 		again, err := ParseDocument(state.Current().JSON(), 2)
 		if err != nil {
-			t.Fatalf("what was taken can't be read again: %v", err)
+			t.Fatalf("what was accepted can't be parsed again: %v", err)
 		}
 		if !reflect.DeepEqual(again.Document(), state.Current().Document()) {
 			t.Fatalf("read again it is another: %s", state.Current().JSON())
--- a/internal/configuration/split.go
+++ b/internal/configuration/jsonscan.go
@@ -9,19 +9,23 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// span is one value of a JSON text that is known to be well formed, with its place in it.
+// This file splits JSON texts into their parts without decoding them, so that a document can keep its items' bytes
+// and findings can name lines and columns. The split functions need well-formed input; checkSyntax establishes
+// that.
+
+// span is one value in a well-formed JSON text.
 type span struct {
 	key    string // of a member of an object
 	raw    json.RawMessage
-	offset int // of raw in the whole text
+	offset int // of raw in the whole text, in bytes
 }
 
-// wellFormed lets encoding/json scan a text whole without building anything.
+// syntaxCheck lets encoding/json check the syntax of a whole text without building values.
 type syntaxCheck struct{}
 
 func (*syntaxCheck) UnmarshalJSON([]byte) error { return nil }
 
-// checkText finds out whether a text is one whole JSON value.
+// checkSyntax checks that a text is exactly one JSON value.
 func checkSyntax(text []byte, findings *node.Findings) bool {
 	err := json.Unmarshal(text, &syntaxCheck{})
 	if err == nil {
@@ -36,7 +40,7 @@
 	return false
 }
 
-// textPlace gives the line and column of an offset, counted from 1.
+// position gives the line and column (in bytes) of an offset, both counted from 1.
 func position(text []byte, offset int) string {
 	offset = min(max(offset, 0), len(text))
 	line := 1 + bytes.Count(text[:offset], []byte("\n"))
@@ -44,7 +48,7 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// splitObject gives the members of an object in their order. The text must be well formed.
+// splitObject gives the members of an object in order; false if the value isn't one.
 func splitObject(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '{' {
@@ -65,7 +69,7 @@
 	return members, true
 }
 
-// splitArray gives the elements of an array. The text must be well formed.
+// splitArray gives the elements of an array; false if the value isn't one.
 func splitArray(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '[' {
@@ -95,7 +99,7 @@
 	return at
 }
 
-// valueEnd gives the end of the value that begins at an offset.
+// valueEnd gives the offset after the value that begins at an offset.
 func valueEnd(raw []byte, at int) int {
 	switch raw[at] {
 	case '"':
--- a/internal/configuration/model.go
+++ b/internal/configuration/model.go
@@ -1,22 +1,29 @@
-// Package configuration owns the operator's configuration as a value: its model, the immutable snapshot that gateways and
-// batch processes work from, and the orders that lead from one version to the next. It reads no clock and does no input or
-// output; it must never decide which version is in force.
 package configuration
 
 import "time"
 
-// RouteType tells what a route carries.
+// RouteType says what a route's requests are, and so what may be done with them.
 type RouteType string
 
 // The route types.
 const (
-	RouteSafe      RouteType = "safe"      // may run more than once
-	RouteUnsafe    RouteType = "unsafe"    // at most once a try
-	RouteStreaming RouteType = "streaming" // answers are events; unsafe unless resumable
-	RouteBatch     RouteType = "batch"     // batch jobs
+	RouteSafe      RouteType = "safe"      // idempotent: may be retried and hedged
+	RouteUnsafe    RouteType = "unsafe"    // not idempotent: a server runs a request at most once
+	RouteStreaming RouteType = "streaming" // the response is a stream of events; idempotent only if the route is resumable
+	RouteBatch     RouteType = "batch"     // requests are batch jobs
 )
 
-// Route says which requests go to which service, and how.
+// Document is the typed content of a configuration.
+type Document struct {
+	Generation uint64    `json:"generation"` // the operator's number of the version
+	Routes     []Route   `json:"routes"`
+	Backends   []Backend `json:"backends"`
+	Limits     Limits    `json:"limits"`
+	Tenants    []Tenant  `json:"tenants"`
+}
+
+// Route says which requests go to which backends, and how. A request takes the route of its host with the longest
+// matching prefix.
 type Route struct {
 	Name               string    `json:"name"`
 	Hostname           string    `json:"hostname"`
@@ -24,43 +31,43 @@
 	Type               RouteType `json:"route-type"`
 	TimeoutMs          float64   `json:"timeout-ms"`
 	TargetLatencyMs    float64   `json:"target-latency-ms"`
-	Priority           int       `json:"priority"` // 0 is the highest
-	Backend            string    `json:"backend,omitempty"`
-	TrafficSplit       []Split   `json:"traffic-split,omitempty"` // in place of Backend
-	MaxAttempts        int       `json:"max-attempts"`
-	Public             bool      `json:"public"` // takes requests without a key
+	Priority           int       `json:"priority"`                // rank: 0 is the most urgent
+	Backend            string    `json:"backend,omitempty"`       // the only backend, or
+	TrafficSplit       []Split   `json:"traffic-split,omitempty"` // several, with weights
+	MaxAttempts        int       `json:"max-attempts"`            // servers that a request is sent to at most, the first included
+	Public             bool      `json:"public"`                  // accepts requests without an API key
 	Sticky             bool      `json:"sticky"`
 	Resumable          bool      `json:"resumable"`
-	GapTargetMs        float64   `json:"gap_aim_ms,omitempty"`
+	GapTargetMs        float64   `json:"gap_aim_ms,omitempty"` // target for the time between events of a stream
 	CompletionTargetMs float64   `json:"completion-target-ms,omitempty"`
 	RetentionSeconds   float64   `json:"retention-s,omitempty"`
-	MaxQueuedTokens    int64     `json:"max-queued-tokens,omitempty"` // of a tenant's batch jobs that wait, over all gateways; 0: no limit
+	MaxQueuedTokens    int64     `json:"max-queued-tokens,omitempty"` // of a tenant's batch jobs; 0: no limit
 }
 
-// Split is one service of a route with its weight.
+// Split is one of a route's backends with its weight.
 type Split struct {
 	Backend string  `json:"backend"`
-	Weight  float64 `json:"weight"`
+	Weight  float64 `json:"weight"` // relative to the sum of all weights; 0: gets nothing
 }
 
-// Timeout is the longest that the operator wants a request held.
+// Timeout is the longest time that a request may take.
 func (r *Route) Timeout() time.Duration { return milliseconds(r.TimeoutMs) }
 
-// TargetLatency is the time within which an answer earns its full worth.
+// TargetLatency is the latency target: a response within it has its full value.
 func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
-// CompletionTarget is the time within which a batch job's results are due, from its first send.
+// CompletionTarget is the time within which a batch job's results are due, counted from when it was first sent.
 func (r *Route) CompletionTarget() time.Duration { return milliseconds(r.CompletionTargetMs) }
 
 // Retention is the time after which an item of a batch job may be given up.
 func (r *Route) Retention() time.Duration { return milliseconds(r.RetentionSeconds * 1000) }
 
-// Repeatable tells whether a request may run more than once.
+// Idempotent reports whether servers may run a request more than once.
 func (r *Route) Idempotent() bool {
 	return r.Type == RouteSafe || r.Type == RouteStreaming && r.Resumable
 }
 
-// Backends gives the names of the services that the route may send to.
+// Backends gives the names of the backends that the route may send to.
 func (r *Route) Backends() []string {
 	if len(r.TrafficSplit) == 0 {
 		return []string{r.Backend}
@@ -74,32 +81,32 @@
 	return names
 }
 
-// Backend is a service.
+// Backend is a service: a set of servers that serve the same requests.
 type Backend struct {
 	Name       string `json:"name"`
 	HealthPath string `json:"health-path"`
-	MaxConns   int    `json:"max-conns"` // of one server, from all callers together; 0: not told
+	MaxConns   int    `json:"max-conns"` // of one server, from all gateways together; 0: unknown
 	Protocol   string `json:"protocol"`
 	TLS        bool   `json:"tls"`
 	Engine     Engine `json:"engine"`
 }
 
-// Engine is what the servers of a service are.
+// Engine describes the servers of a backend.
 type Engine struct {
-	Slots    int     `json:"slots"`
-	KVTokens int     `json:"kv-tokens"`
-	KVBytes  float64 `json:"kv-bytes"`
+	Slots    int     `json:"slots"`     // requests that a server runs at a time
+	KVTokens int     `json:"kv-tokens"` // size of a server's KV cache, in tokens
+	KVBytes  float64 `json:"kv-bytes"`  // of the KV cache, per token
 	LinkMbps float64 `json:"link-mbps"`
-	Stride   int     `json:"stride"` // tokens of an event at most
+	Stride   int     `json:"stride"` // the most tokens of one event
 	Models   []Model `json:"models"`
 }
 
-// Model is one that a service serves.
+// Model is a model that a backend serves.
 type Model struct {
 	Name string `json:"name"`
 }
 
-// Limits bound what a client may send and how long it may take. Zero: not told.
+// Limits bound what a client may send and how long that may take. Zero: no limit is configured.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max-header-bytes"`
 	MaxBodyBytes    int     `json:"max-body-bytes"`
@@ -107,22 +114,13 @@
 	IdleTimeoutMs   float64 `json:"idle-timeout-ms"`
 }
 
-// Tenant holds keys.
+// Tenant is a customer: requests belong to the tenant of their API key.
 type Tenant struct {
 	Name       string   `json:"name"`
 	APIKeys    []string `json:"api-keys"`
-	Priority   int      `json:"priority"`   // goes before the route's
-	RatePerSec float64  `json:"rate-per-s"` // 0: no limit
-	Burst      float64  `json:"burst"`
-}
-
-// Document is a whole configuration as it is read.
-type Document struct {
-	Generation uint64    `json:"generation"`
-	Routes     []Route   `json:"routes"`
-	Backends   []Backend `json:"backends"`
-	Limits     Limits    `json:"limits"`
-	Tenants    []Tenant  `json:"tenants"`
+	Priority   int      `json:"priority"`   // rank: 0 is the most urgent; compared before the route's
+	RatePerSec float64  `json:"rate-per-s"` // rate limit in requests per second, over all gateways; 0: no limit
+	Burst      float64  `json:"burst"`      // requests
 }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -7,15 +7,16 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Patch is a read PATCH: items to remove and items to put in by their names. Removals come first, so that an item that
-// stands in both is there afterwards; a name to remove that isn't there is passed over.
+// Patch is a parsed PATCH: items to remove and items to add or replace, by name. Removals are applied first, so an
+// item that is in both is there afterwards. A name to remove that isn't there is ignored.
 type Patch struct {
 	Generation uint64
 	upserts    []member
-	deletes    map[string][]string // member to names
+	deletes    map[string][]string // names of items, by member
 }
 
-// ParsePatch reads a PATCH and checks what can be told of it alone. The error is of type node.Findings.
+// ParsePatch parses a PATCH and checks what can be checked without the version that it applies to. The error is of
+// type node.Findings.
 func ParsePatch(body []byte) (*Patch, error) {
 	p := &parser{text: body}
 	spans, ok := p.object()
@@ -39,6 +40,7 @@
 	return patch, nil
 }
 
+// upserts parses the member with the items to add or replace.
 func (p *parser) upserts(one span, patch *Patch) {
 	members, isObject := splitObject(one.raw, one.offset)
 	if !isObject {
@@ -59,6 +61,7 @@
 	}
 }
 
+// deletes parses the member with the names of items to remove.
 func (p *parser) deletes(one span, patch *Patch) {
 	members, isObject := splitObject(one.raw, one.offset)
 	if !isObject {
@@ -75,7 +78,7 @@
 	}
 }
 
-// Apply gives the version that a patch makes of this one. The error is of type node.Findings.
+// Apply gives the version that a patch makes of this one, which stays as it is. The error is of type node.Findings.
 func (v *Version) Apply(patch *Patch, index uint64) (*Version, error) {
 	next := &Version{Generation: patch.Generation, Index: index, members: slices.Clone(v.members)}
 	next.put(generationMember(patch.Generation))
@@ -87,52 +90,3 @@
 	}
 	return next.finish(&node.Findings{})
 }
-
-// put sets a member, or merges a list into the one that is there.
-func (v *Version) put(one member) {
-	at := slices.IndexFunc(v.members, func(other member) bool { return other.key == one.key })
-	switch {
-	case at < 0:
-		v.members = append(v.members, one)
-	case one.list && v.members[at].list:
-		v.members[at] = member{key: one.key, list: true, items: mergeItems(v.members[at].items, one.items)}
-	default:
-		v.members[at] = one
-	}
-}
-
-// mergeItems replaces items in their places and appends new ones. Neither list is changed.
-func mergeItems(old, changed []item) []item {
-	positions := make(map[string]int, len(old))
-	for i := range old {
-		positions[old[i].name] = i
-	}
-	merged := slices.Clone(old)
-	for _, one := range changed {
-		if at, found := positions[one.name]; found {
-			merged[at] = one
-			continue
-		}
-		positions[one.name] = len(merged)
-		merged = append(merged, one)
-	}
-	return merged
-}
-
-func (v *Version) remove(key string, names []string) {
-	at := slices.IndexFunc(v.members, func(other member) bool { return other.key == key && other.list })
-	if at < 0 || len(names) == 0 {
-		return
-	}
-	removed := make(map[string]bool, len(names))
-	for _, name := range names {
-		removed[name] = true
-	}
-	kept := make([]item, 0, len(v.members[at].items))
-	for _, one := range v.members[at].items {
-		if !removed[one.name] {
-			kept = append(kept, one)
-		}
-	}
-	v.members[at] = member{key: key, list: true, items: kept}
-}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// Snapshot is one version in force: a document with what is looked up in it. Nobody changes it.
+// Snapshot is a version with the indexes that requests are routed by. It is immutable and safe for concurrent use:
+// what its methods return must not be changed.
 type Snapshot struct {
 	Document
-	Index uint64 // of the order that made it, in the chain
+	Index uint64 // of the change request that made the version, in the replicated log
 
-	hosts    map[string][]*Route // longest prefix first
-	routes   map[string]*Route
-	backends map[string]*Backend
-	tenants  map[string]*Tenant
-	keys     map[string]*Tenant
+	hosts    map[string][]*Route // by normalized host name; the longest prefix first
+	routes   map[string]*Route   // by name
+	backends map[string]*Backend // by name
+	tenants  map[string]*Tenant  // by name
+	keys     map[string]*Tenant  // by API key
 }
 
-// NewSnapshot makes a snapshot of a checked document.
+// NewSnapshot indexes a document that has been validated.
 func NewSnapshot(document Document, index uint64) *Snapshot {
 	s := &Snapshot{
 		Document: document,
@@ -52,7 +53,8 @@
 	return s
 }
 
-// RouteFor gives the route of a host with the longest prefix that a path begins with, or nil.
+// RouteFor gives the route for a request: of those of its host, the one with the longest prefix of its path; nil if
+// there is none.
 func (s *Snapshot) RouteFor(host, path string) *Route {
 	for _, route := range s.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -62,21 +64,22 @@
 	return nil
 }
 
-// RoutesOf gives the routes of a host, those with the longest prefixes first. Nobody changes the list.
+// RoutesForHost gives the routes of a host, those with the longest prefixes first.
 func (s *Snapshot) RoutesForHost(host string) []*Route { return s.hosts[normalizeHost(host)] }
 
-// RouteNamed gives a route by its name, or nil.
+// RouteByName gives a route, or nil.
 func (s *Snapshot) RouteByName(name string) *Route { return s.routes[name] }
 
-// BackendNamed gives a service by its name, or nil.
+// BackendByName gives a backend, or nil.
 func (s *Snapshot) BackendByName(name string) *Backend { return s.backends[name] }
 
-// TenantNamed gives a tenant by its name, or nil.
+// TenantByName gives a tenant, or nil.
 func (s *Snapshot) TenantByName(name string) *Tenant { return s.tenants[name] }
 
-// TenantFor gives the tenant that holds a key, or nil.
+// TenantByKey gives the tenant with an API key, or nil.
 func (s *Snapshot) TenantByKey(key string) *Tenant { return s.keys[key] }
 
+// normalizeHost gives a host name without port and in lower case.
 func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -3,25 +3,31 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"errors"
 	"fmt"
 
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// historySize is how many taken orders are remembered, so that one that is sent again gets its answer again.
+// maxHistory is the number of accepted requests that are remembered, so that one that is sent again gets the same
+// answer.
 const maxHistory = 4096
 
-// State is the configuration in force and the orders that led to it. It is a deterministic function of the orders applied,
-// so that replicas agree. It isn't safe for concurrent use; the Version that it gives is.
+// State is the configuration in force and the requests that were accepted last. It is a deterministic function of
+// the requests applied, so that replicas agree. It isn't safe for concurrent use; the Versions that it returns are.
 type State struct {
-	current  *Version
+	current *Version
+
+	// Invariant: accepted has the digests of history.
 	accepted map[Digest]bool
-	history  []acceptedRequest // oldest first
-	changes  changeLog
+	history  []acceptedRequest // the oldest first
+
+	changes changeLog
 }
 
-// takenOrder is a remembered order.
+// acceptedRequest identifies a remembered request. It is part of replicated snapshots (gob): the names of the
+// fields are fixed.
 type acceptedRequest struct {
 	Digest  Digest
 	IfMatch uint64
@@ -35,8 +41,8 @@
 // Current gives the version in force. Its Generation is 0 before the first.
 func (s *State) Current() *Version { return s.current }
 
-// Remembered tells what is remembered of the order with a digest: that it was taken, that it is too old to tell, and else
-// StatusStale: it was not taken.
+// StatusOf gives what is remembered of the request with a digest: StatusAccepted; StatusUnknown for one that is too
+// old to tell; or StatusStale, which means that it was not accepted.
 func (s *State) StatusOf(digest Digest, ifMatch uint64) Status {
 	if s.accepted[digest] {
 		return StatusAccepted
@@ -47,7 +53,8 @@
 	return StatusStale
 }
 
-// Apply carries an order out as the one with an index in the chain. The caller doesn't change the order's body afterwards.
+// Apply executes a request that has an index in the replicated log. The caller must not change the request's body
+// afterwards.
 func (s *State) Apply(index uint64, request ChangeRequest) Result {
 	result, next := s.evaluate(index, request)
 	if next == nil {
@@ -59,12 +66,13 @@
 	return result
 }
 
-// Evaluate tells what would come of an order now, and changes nothing.
+// Evaluate gives the result that Apply would have now, and changes nothing.
 func (s *State) Evaluate(request ChangeRequest) Result {
 	result, _ := s.evaluate(s.current.Index+1, request)
 	return result
 }
 
+// evaluate gives the result of a request and the version that it makes; nil where it changes nothing.
 func (s *State) evaluate(index uint64, request ChangeRequest) (Result, *Version) {
 	generation := s.current.Generation
 	switch status := s.StatusOf(request.Digest(), request.IfMatch); {
@@ -80,8 +88,9 @@
 	return Result{Status: StatusAccepted, Generation: next.Generation}, next
 }
 
+// buildNext makes the version that follows the current one. The error is of type node.Findings.
 func (s *State) buildNext(index uint64, request ChangeRequest) (*Version, error) {
-	next, err := s.successor(index, request)
+	next, err := s.current.next(index, request.Patch, request.Body)
 	if err != nil {
 		return nil, err
 	}
@@ -93,84 +102,58 @@
 	return next, nil
 }
 
-func (s *State) successor(index uint64, request ChangeRequest) (*Version, error) {
-	if !request.Patch {
-		return ParseDocument(request.Body, index)
-	}
-	patch, err := ParsePatch(request.Body)
-	if err != nil {
-		return nil, err
-	}
-	if s.current.Generation == 0 {
-		return nil, node.Findings{{Place: "If-Match", Text: "there is no configuration to change yet"}}
-	}
-	return s.current.Apply(patch, index)
-}
-
 func asFindings(err error) node.Findings {
-	if findings, ok := err.(node.Findings); ok {
+	var findings node.Findings
+	if errors.As(err, &findings) {
 		return findings
 	}
 	return node.Findings{{Text: err.Error()}}
 }
 
-func (s *State) remember(one acceptedRequest) {
+func (s *State) remember(request acceptedRequest) {
 	if len(s.history) == maxHistory {
 		delete(s.accepted, s.history[0].Digest)
 		s.history = append(s.history[:0], s.history[1:]...)
 	}
-	s.history = append(s.history, one)
-	s.accepted[one.Digest] = true
+	s.history = append(s.history, request)
+	s.accepted[request.Digest] = true
 }
 
-// image is the form of a State in a snapshot of the chain.
+// encodedState is a State in a snapshot of the replicated state machine (gob): the names of the fields are fixed.
 type encodedState struct {
 	Index    uint64
-	Document []byte // empty: none yet
+	Document []byte // empty: there is no configuration yet
 	Taken    []acceptedRequest
 }
 
-// Encode gives the state's form for a snapshot of the chain.
+// Encode gives the state's form for a snapshot. The change log isn't part of it: after a restore, followers get the
+// whole document.
 func (s *State) Encode() ([]byte, error) {
-	form := encodedState{Index: s.current.Index, Taken: s.history}
+	encoded := encodedState{Index: s.current.Index, Taken: s.history}
 	if s.current.Generation > 0 {
-		form.Document = s.current.JSON()
+		encoded.Document = s.current.JSON()
 	}
 	var out bytes.Buffer
-	err := gob.NewEncoder(&out).Encode(form)
+	err := gob.NewEncoder(&out).Encode(encoded)
 	return out.Bytes(), err
 }
 
-// DecodeState reads what Encode gave.
+// DecodeState restores what Encode gave.
 func DecodeState(raw []byte) (*State, error) {
-	var form encodedState
-	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&form); err != nil {
-		return nil, fmt.Errorf("configuration's state: %w", err)
+	var encoded encodedState
+	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&encoded); err != nil {
+		return nil, fmt.Errorf("configuration: decode state: %w", err)
 	}
 	s := NewState()
-	if len(form.Document) > 0 {
-		version, err := ParseDocument(form.Document, form.Index)
+	if len(encoded.Document) > 0 {
+		version, err := ParseDocument(encoded.Document, encoded.Index)
 		if err != nil {
-			return nil, fmt.Errorf("configuration's state: %w", err)
+			return nil, fmt.Errorf("configuration: decode state: %w", err)
 		}
 		s.current = version
 	}
-	for _, one := range form.Taken {
-		s.remember(one)
+	for _, request := range encoded.Taken {
+		s.remember(request)
 	}
 	return s, nil
 }
-
-// CheckAlone gives what is wrong with an order whatever version it builds on.
-func ValidateStandalone(request ChangeRequest) node.Findings {
-	var err error
-	if request.Patch {
-		_, err = ParsePatch(request.Body)
-	} else {
-		_, err = ParseDocument(request.Body, 0)
-	}
-	if err == nil {
-		return nil
-	}
-	return asFindings(err)
-}
--- a/internal/configuration/check.go
+++ b/internal/configuration/validate.go
@@ -8,16 +8,16 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// checkItem checks what can be told of one item alone.
+// checkItem checks what can be checked of one item alone.
 func (p *parser) checkItem(value any, element span, path string) {
-	switch one := value.(type) {
+	switch value := value.(type) {
 	case Route:
-		p.checkRoute(&one, element, path)
+		p.checkRoute(&value, element, path)
 	case Tenant:
-		if one.RatePerSec < 0 {
+		if value.RatePerSec < 0 {
 			p.addf(path+".rate-per-s", element.offset, "must not be below 0")
 		}
-		if one.Burst < 0 {
+		if value.Burst < 0 {
 			p.addf(path+".burst", element.offset, "must not be below 0")
 		}
 	}
@@ -37,14 +37,17 @@
 		p.addf(path+".max-attempts", element.offset, "must not be below 0")
 	}
 	if route.MaxQueuedTokens < 0 || route.MaxQueuedTokens > maxQueuedTokensBound {
-		p.addf(path+".max-queued-tokens", element.offset, "%d must be from 0 to %d", route.MaxQueuedTokens, int64(maxQueuedTokensBound))
+		p.addf(path+".max-queued-tokens", element.offset, "%d must be from 0 to %d",
+			route.MaxQueuedTokens, int64(maxQueuedTokensBound))
 	}
 	p.checkWeights(route, element, path)
 }
 
-// mostQueuedTokens is the largest bound that a route may set: sums of tokens stay far from overflowing, and numbers exact in JSON.
+// maxQueuedTokensBound is the largest max-queued-tokens: sums of such numbers stay far from overflowing an int64,
+// and a float64, as JSON implementations use, has them exactly.
 const maxQueuedTokensBound = 1 << 50
 
+// hasMember tells an explicit zero from an absent member.
 func hasMember(raw []byte, key string) bool {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(raw, &members) != nil {
@@ -54,6 +57,14 @@
 	return found
 }
 
+// checkLimits checks the types in the member with the limits.
+func (p *parser) checkLimits(s span, path string) {
+	var limits Limits
+	if err := decode(s.raw, &limits); err != nil {
+		p.addf(path, s.offset, "%s", describeDecodeError(err))
+	}
+}
+
 func (p *parser) checkWeights(route *Route, element span, path string) {
 	if len(route.TrafficSplit) == 0 {
 		return
@@ -70,13 +81,14 @@
 	}
 }
 
-// checkWhole checks what spans several items of a document.
+// checkReferences checks what spans several items of a document.
 func checkReferences(document *Document, findings *node.Findings) {
 	checkBackendReferences(document, findings)
 	checkRouteConflicts(document, findings)
 	checkSharedKeys(document, findings)
 }
 
+// checkBackendReferences finds routes that name no backend or one that isn't in the document.
 func checkBackendReferences(document *Document, findings *node.Findings) {
 	known := make(map[string]bool, len(document.Backends))
 	for i := range document.Backends {
@@ -99,12 +111,13 @@
 	}
 }
 
+// checkRouteConflicts finds routes with the host and prefix of an earlier one.
 func checkRouteConflicts(document *Document, findings *node.Findings) {
-	type place struct{ host, prefix string }
-	owners := make(map[place]string, len(document.Routes))
+	type location struct{ host, prefix string }
+	owners := make(map[location]string, len(document.Routes))
 	for i := range document.Routes {
 		route := &document.Routes[i]
-		at := place{normalizeHost(route.Hostname), route.PathPrefix}
+		at := location{normalizeHost(route.Hostname), route.PathPrefix}
 		if other, taken := owners[at]; taken {
 			findings.Addf(fmt.Sprintf("routes[%d] %q", i, route.Name), "has the host and prefix of route %q", other)
 			continue
@@ -113,15 +126,15 @@
 	}
 }
 
-// checkKeys finds tenants that share a key. The key itself is not told: findings go to logs.
+// checkSharedKeys finds tenants that share an API key. Findings don't contain the key itself, as they go to logs.
 func checkSharedKeys(document *Document, findings *node.Findings) {
 	owners := make(map[string]string, 2*len(document.Tenants))
 	for i := range document.Tenants {
 		tenant := &document.Tenants[i]
 		for j, key := range tenant.APIKeys {
 			if other, taken := owners[key]; taken && other != tenant.Name {
-				place := fmt.Sprintf("tenants[%d] %q.api-keys[%d]", i, tenant.Name, j)
-				findings.Addf(place, "is a key of tenant %q too", other)
+				path := fmt.Sprintf("tenants[%d] %q.api-keys[%d]", i, tenant.Name, j)
+				findings.Addf(path, "is a key of tenant %q too", other)
 				continue
 			}
 			owners[key] = tenant.Name
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -1,30 +1,47 @@
 package configuration
 
 import (
+	"slices"
 	"strconv"
 
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Version is one version of the configuration: what the operator sent, item by item, and what was read of it. Nobody changes
-// it, so that it may be shared.
+// Version is one version of the configuration. It is immutable and safe to share; versions share the items that
+// they have in common.
 type Version struct {
-	Generation uint64
-	Index      uint64 // of the order that made it, in the chain; 0: the empty version before the first
+	Generation uint64 // the operator's number of the version; 0: the empty version before the first
+	Index      uint64 // of the change request that made it, in the replicated log; 0: the empty version
 	members    []member
-	document   Document
+	document   Document // decoded from members
 }
 
-// JSON gives the whole document. Items are as the operator sent them, unknown members included.
+// JSON gives the whole document. Items are as the operator sent them, with members that this program doesn't know.
 func (v *Version) JSON() []byte { return renderMembers(v.members) }
 
-// Document gives what was read. The caller doesn't change it.
+// Document gives the typed content. The caller must not change what it points to.
 func (v *Version) Document() Document { return v.document }
 
-// Snapshot gives what requests are routed by.
+// Snapshot gives the version with the indexes that requests are routed by.
 func (v *Version) Snapshot() *Snapshot { return NewSnapshot(v.document, v.Index) }
 
-// ParseDocument reads a whole document and checks it. The error is of type node.Findings.
+// next gives the version that a change makes of this one, in the form of a patch or a whole document. The error is
+// of type node.Findings.
+func (v *Version) next(index uint64, patch bool, body []byte) (*Version, error) {
+	if !patch {
+		return ParseDocument(body, index)
+	}
+	parsed, err := ParsePatch(body)
+	if err != nil {
+		return nil, err
+	}
+	if v.Generation == 0 {
+		return nil, node.Findings{{Place: "If-Match", Text: "there is no configuration to change yet"}}
+	}
+	return v.Apply(parsed, index)
+}
+
+// ParseDocument parses and validates a whole document. The error is of type node.Findings.
 func ParseDocument(body []byte, index uint64) (*Version, error) {
 	p := &parser{text: body}
 	spans, ok := p.object()
@@ -32,32 +49,24 @@
 		return nil, p.findings
 	}
 	version := &Version{Generation: p.generation(spans), Index: index, members: make([]member, 0, len(spans))}
-	for _, one := range spans {
-		version.members = append(version.members, p.member(one))
+	for _, span := range spans {
+		version.members = append(version.members, p.member(span))
 	}
 	p.checkRequiredLists(spans)
 	return version.finish(&p.findings)
 }
 
-// requireLists holds a whole document to having what a document can't be without.
+// checkRequiredLists checks that the lists that every document has are there.
 func (p *parser) checkRequiredLists(spans []span) {
 	for _, key := range []string{memberRoutes, memberBackends} {
-		if !hasSpan(spans, key) {
+		if !slices.ContainsFunc(spans, func(s span) bool { return s.key == key }) {
 			p.findings.Addf(key, "is missing")
 		}
 	}
 }
 
-func hasSpan(spans []span, key string) bool {
-	for _, one := range spans {
-		if one.key == key {
-			return true
-		}
-	}
-	return false
-}
-
-// finish fills in what is read from the members, and checks across them.
+// finish decodes the members into the typed document and validates it as a whole. It adds to findings; the error
+// has all of them.
 func (v *Version) finish(findings *node.Findings) (*Version, error) {
 	v.document = Document{Generation: v.Generation}
 	for _, one := range v.members {
@@ -70,13 +79,13 @@
 	return v, nil
 }
 
-func (d *Document) decodeMember(one member) {
-	if one.key == memberLimits && !one.list {
-		_ = decode(one.raw, &d.Limits) // checked when it was read
+func (d *Document) decodeMember(m member) {
+	if m.key == memberLimits && !m.list {
+		_ = decode(m.raw, &d.Limits) // an error was reported when the member was parsed
 		return
 	}
-	for i := range one.items {
-		switch value := one.items[i].value.(type) {
+	for i := range m.items {
+		switch value := m.items[i].value.(type) {
 		case Route:
 			d.Routes = append(d.Routes, value)
 		case Backend:
