--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -52,8 +52,8 @@
 	return raw
 }
 
-// TestHistories drives a state, a replica restored now and then, and a follower that misses updates, through random
-// orders, and holds all three to the model.
+// TestHistories applies random change requests to a state, a replica that is restored now and then, and a follower
+// that misses updates, and compares all three with the reference model.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &referenceModel{accepted: map[string]bool{}}
--- a/internal/configuration/model.go
+++ b/internal/configuration/model.go
@@ -34,7 +34,7 @@
 	Priority           int       `json:"priority"`                // rank: 0 is the most urgent
 	Backend            string    `json:"backend,omitempty"`       // the only backend, or
 	TrafficSplit       []Split   `json:"traffic-split,omitempty"` // several, with weights
-	MaxAttempts        int       `json:"max-attempts"`            // servers that a request is sent to at most, the first included
+	MaxAttempts        int       `json:"max-attempts"`            // servers that a request is sent to at most
 	Public             bool      `json:"public"`                  // accepts requests without an API key
 	Sticky             bool      `json:"sticky"`
 	Resumable          bool      `json:"resumable"`
