--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -1,6 +1,3 @@
-// Package statemachine owns the state that the control processes agree on, as the chain's state machine: the operator's
-// configuration and the agreed set of batch processes. It is deterministic: it reads no clock and draws no numbers. It must
-// never know how orders reach it.
 package statemachine
 
 import (
@@ -12,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Command is one order of the chain. Exactly one member is set.
+// Command is one entry of the chain's log. Exactly one of its fields is set.
 type Command struct {
 	Configuration *configuration.ChangeRequest
 	Join          *Join
@@ -24,88 +21,95 @@
 	Lending       *GrantsChange
 }
 
-// Join takes batch processes into the set. A member with the same node or address and another incarnation goes: its disk was
-// lost or its machine replaced.
+// Join adds batch processes to the store membership. Each replaces members that have its node or its address: the
+// disk of such a member was lost, or its machine was replaced.
 type Join struct {
 	Processes []protocol.Process
-	Epoch     uint64 // of the set as it was when they were found missing; nothing is done in a later one. 0: in any
-	// ActedIn is the highest epoch that one of them acted in. It is above that of the set where the control state was founded anew;
-	// epochs go on from there, as no batch process goes back.
+	// Epoch is that of the membership in which the processes were found missing. The command has no effect in
+	// another one, so that a late command can't bring back a process that has been replaced since. 0 fits every
+	// epoch.
+	Epoch uint64
+	// ActedIn is the highest epoch that one of Processes has acted in. It is above the membership's epoch where the
+	// control state was founded anew; the epochs then continue from ActedIn, as a batch process never returns to an
+	// earlier epoch.
 	ActedIn uint64
 }
 
-// Suspect says that a batch process has fallen silent, or that it polls again. One that is suspected gets no lease, so that the one
-// that it has ends.
+// Suspect records that a batch process has timed out or, where Over is set, that it polls again. A member under
+// suspicion is granted no lease, so that the lease that it has runs out.
 type Suspect struct {
 	Node        string
 	Incarnation string
 	Over        bool
 }
 
-// Evict removes a batch process whose lease has surely ended: under a suspicion that is as old as a lease lasts.
+// Evict removes a batch process whose lease has certainly ended, because its suspicion is older than a lease lasts.
 type Evict struct {
 	Node        string
 	Incarnation string
-	Suspicion   uint64 // its number; nothing is done where that is over. 0: of logs from before there were suspicions
+	// Suspicion is the number of the suspicion that the eviction relies on; the command has no effect once that is
+	// over. 0 is met in logs from before suspicions were recorded, and stands for no such condition.
+	Suspicion uint64
 }
 
-// Retire asks for a batch process to be emptied.
+// Retire begins the retirement of a batch process: it is to hand all that it stores to other members.
 type Retire struct {
 	Node   string
-	Remain int // how many active members must remain at least
+	Remain int // least number of active members that must remain
 }
 
-// Retired states that a retiring batch process holds nothing that others need, as seen in a store view.
+// Retired completes a retirement: in Epoch the batch process held nothing that others need.
 type Retired struct {
 	Node        string
 	Incarnation string
 	Epoch       uint64
 }
 
-// Settle states that all members of the set stood whole in an epoch: whoever left before holds nothing that others need.
+// Settle records that all members were reconciled and fully replicated in Epoch. Processes that departed earlier
+// hold nothing that is still needed.
 type Settle struct {
 	Epoch uint64
 }
 
-// Outcome is what came of a command.
+// Outcome is the result of a command. Only the field that belongs to the command's kind is set.
 type Outcome struct {
 	Configuration *configuration.Result
 	Store         StoreOutcome
 	Lending       *GrantsOutcome
 }
 
-// StoreOutcome is what came of a command on the set of batch processes.
+// StoreOutcome is the result of a command on the store membership.
 type StoreOutcome int
 
-// The outcomes on the set.
+// The results of commands on the store membership. Their numbers are part of the encoding.
 const (
-	StoreUnchanged StoreOutcome = iota // it was so already, or the command no longer fits
+	StoreUnchanged StoreOutcome = iota // the state was as asked for already, or the command no longer fits it
 	StoreChanged
-	StoreUnknown // no such batch process
-	StoreTooFew  // too few would remain
+	StoreUnknown // the membership has no such batch process
+	StoreTooFew  // fewer active members would remain than Retire.Remain
 )
 
-// Encode gives the command's form in the chain.
+// Encode returns the command as the chain carries it.
 func (c Command) Encode() ([]byte, error) { return encode(c) }
 
-// DecodeOutcome reads what Apply gave.
-func DecodeOutcome(raw []byte) (Outcome, error) {
+// DecodeOutcome decodes what [StateMachine.Apply] returned.
+func DecodeOutcome(encoded []byte) (Outcome, error) {
 	var outcome Outcome
-	err := decode(raw, &outcome)
+	err := decode(encoded, &outcome)
 	return outcome, err
 }
 
 func encode(value any) ([]byte, error) {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(value); err != nil {
-		return nil, fmt.Errorf("control's state machine: %w", err)
+		return nil, fmt.Errorf("statemachine: encode %T: %w", value, err)
 	}
 	return out.Bytes(), nil
 }
 
-func decode(raw []byte, into any) error {
-	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(into); err != nil {
-		return fmt.Errorf("control's state machine: %w", err)
+func decode(encoded []byte, into any) error {
+	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(into); err != nil {
+		return fmt.Errorf("statemachine: decode %T: %w", into, err)
 	}
 	return nil
 }
--- a/internal/control/statemachine/golden_test.go
+++ b/internal/control/statemachine/golden_test.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds the orders in the chain's log, their outcomes and the snapshot to the form that earlier versions wrote.
+// TestGolden checks that commands, outcomes and snapshots keep the form that earlier versions wrote.
 func TestGolden(t *testing.T) {
 	golden.Gob[Command](t, "command")
 	golden.Gob[Outcome](t, "outcome")
--- /dev/null
+++ b/internal/control/statemachine/retirement.go
@@ -0,0 +1,89 @@
+package statemachine
+
+import (
+	"slices"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// maxRetirements is the number of retirements that are remembered; the oldest is forgotten first.
+const maxRetirements = 1024
+
+// Retirement is the state of a batch process's retirement.
+type Retirement int
+
+// The states of a retirement.
+const (
+	NotRetiring         Retirement = iota
+	RetirementActive               // it hands what it stores to others
+	RetirementCompleted            // it stores nothing that others need; its machine may be taken away
+)
+
+// retirement is the record of a node's last retirement. It outlives the node's membership.
+type retirement struct {
+	Node        string
+	Incarnation string
+	Completed   bool
+}
+
+// retire applies a Retire. A completed retirement belongs to an earlier incarnation and doesn't stand in the way of
+// retiring a machine that has joined under the same name since.
+func (s *membership) retire(command *Retire) StoreOutcome {
+	at := slices.IndexFunc(s.members, func(member protocol.StoreMember) bool { return member.Node == command.Node })
+	active := at >= 0 && s.members[at].State == protocol.StoreActive
+	if s.retirementState(command.Node) != NotRetiring && !active {
+		return StoreUnchanged
+	}
+	if at < 0 {
+		return StoreUnknown
+	}
+	if s.activeCount()-1 < command.Remain {
+		return StoreTooFew
+	}
+	s.recordRetirement(retirement{Node: command.Node, Incarnation: s.members[at].Incarnation})
+	return s.setState(at, protocol.StoreRetiring)
+}
+
+// retired applies a Retired. It is valid only for the epoch in which the process was found to be drained.
+func (s *membership) retired(command *Retired) StoreOutcome {
+	at := s.indexOf(command.Node, command.Incarnation)
+	if at < 0 || command.Epoch != s.epoch || s.members[at].State != protocol.StoreRetiring {
+		return StoreUnchanged
+	}
+	if record := s.retirementOf(command.Node); record != nil {
+		record.Completed = true
+	}
+	return s.setState(at, protocol.StoreRetired)
+}
+
+func (s *membership) retirementState(node string) Retirement {
+	record := s.retirementOf(node)
+	switch {
+	case record == nil:
+		return NotRetiring
+	case record.Completed:
+		return RetirementCompleted
+	}
+	return RetirementActive
+}
+
+// retirementOf returns the record of a node's last retirement, nil if there is none.
+func (s *membership) retirementOf(node string) *retirement {
+	at := slices.IndexFunc(s.retirements, func(one retirement) bool { return one.Node == node })
+	if at < 0 {
+		return nil
+	}
+	return &s.retirements[at]
+}
+
+// recordRetirement replaces the record of a node's last retirement.
+func (s *membership) recordRetirement(next retirement) {
+	if record := s.retirementOf(next.Node); record != nil {
+		*record = next
+		return
+	}
+	if len(s.retirements) == maxRetirements {
+		s.retirements = slices.Delete(s.retirements, 0, 1)
+	}
+	s.retirements = append(s.retirements, next)
+}
--- a/internal/control/statemachine/machine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -7,41 +7,47 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Machine is the chain's state machine. It is safe for concurrent use: the chain applies, others read.
+// StateMachine is the control plane's replicated state machine. It is safe for concurrent use: the chain applies
+// commands while others read.
 type StateMachine struct {
+	onChange func() // set before the first command, and not changed after it; called without mutex held
+
+	// mutex guards the fields below. Apply holds it for the whole of a command, so that a reader sees each
+	// command's effect whole or not at all.
 	mutex         sync.RWMutex
 	configuration *configuration.State
 	stores        *membership
 	grants        grantRecord
-	onChange      func()
 }
 
-// New gives the state before the first order.
+// New returns the state before the first command.
 func New() *StateMachine {
 	return &StateMachine{configuration: configuration.NewState(), stores: newMembership(), onChange: func() {}}
 }
 
-// OnChange has a function called after each order and each restoration. It must be set before the first, and return soon.
+// OnChange sets a function that is called after each command and after each Restore. It must be set before the
+// first of them, and must not block: the chain's next command waits for it.
 func (m *StateMachine) OnChange(call func()) { m.onChange = call }
 
-// Apply carries out the order with an index and gives its Outcome, encoded. An order that can't be read changes nothing: every
-// replica reads the same bytes.
-func (m *StateMachine) Apply(index uint64, order []byte) []byte {
+// Apply applies the encoded command at an index of the log and returns the encoded [Outcome]. A command that can't
+// be decoded changes nothing and returns nil; all members agree on that, as they decode the same bytes.
+func (m *StateMachine) Apply(index uint64, encoded []byte) []byte {
 	var command Command
-	if decode(order, &command) != nil {
+	if decode(encoded, &command) != nil {
 		return nil
 	}
 	m.mutex.Lock()
 	outcome := m.apply(index, command)
 	m.mutex.Unlock()
 	m.onChange()
-	raw, err := encode(outcome)
+	result, err := encode(outcome)
 	if err != nil {
-		return nil // an Outcome always has a form
+		return nil // can't happen: every Outcome can be encoded
 	}
-	return raw
+	return result
 }
 
+// apply applies a command with mutex held.
 func (m *StateMachine) apply(index uint64, command Command) Outcome {
 	switch {
 	case command.Configuration != nil:
@@ -65,99 +71,107 @@
 	return Outcome{}
 }
 
-// image is the form of a Machine in a snapshot.
+// snapshot is the encoded form of a StateMachine.
 type snapshot struct {
-	Configuration []byte
+	Configuration []byte // as configuration.State.Encode gives it
 	Stores        membershipSnapshot
 	Lending       grantRecord
 }
 
-// Snapshot gives the state's form.
+// Snapshot returns the encoded state.
 func (m *StateMachine) Snapshot() []byte {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	raw, err := m.configuration.Encode()
+	configuration, err := m.configuration.Encode()
 	if err != nil {
 		return nil
 	}
-	whole, err := encode(snapshot{Configuration: raw, Stores: m.stores.snapshot(), Lending: m.grants})
+	encoded, err := encode(snapshot{Configuration: configuration, Stores: m.stores.snapshot(), Lending: m.grants})
 	if err != nil {
 		return nil
 	}
-	return whole
+	return encoded
 }
 
-// Restore replaces the state by one that Snapshot gave.
-func (m *StateMachine) Restore(raw []byte) error {
-	var form snapshot
-	if err := decode(raw, &form); err != nil {
+// Restore replaces the state by one that Snapshot returned. On an error the state stays as it was.
+func (m *StateMachine) Restore(encoded []byte) error {
+	var decoded snapshot
+	if err := decode(encoded, &decoded); err != nil {
 		return err
 	}
-	state, err := configuration.DecodeState(form.Configuration)
+	state, err := configuration.DecodeState(decoded.Configuration)
 	if err != nil {
 		return err
 	}
 	m.mutex.Lock()
 	m.configuration = state
-	m.stores = restoreMembership(form.Stores)
-	m.grants = form.Lending
+	m.stores = restoreMembership(decoded.Stores)
+	m.grants = decoded.Lending
 	m.mutex.Unlock()
 	m.onChange()
 	return nil
 }
 
-// Configuration gives the version in force here. Its Generation is 0 before the first.
+// Configuration returns the current version of the configuration. Its Generation is 0 before the first one.
 func (m *StateMachine) Configuration() *configuration.Version {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Current()
 }
 
-// Since gives what leads from a version of the configuration to the one in force, or nil.
+// ConfigurationSince returns the update that leads from the version at an index to the current one; nil if that is
+// the current one.
 func (m *StateMachine) ConfigurationSince(index uint64) *protocol.ConfigurationUpdate {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.UpdateSince(index)
 }
 
-// Evaluate tells what would come of an order of the operator now.
-func (m *StateMachine) Evaluate(order configuration.ChangeRequest) configuration.Result {
+// Evaluate returns what Apply would return for an operator's change of the configuration now, without applying it.
+func (m *StateMachine) Evaluate(change configuration.ChangeRequest) configuration.Result {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.configuration.Evaluate(order)
+	return m.configuration.Evaluate(change)
 }
 
-// Stores gives the agreed set of batch processes.
+// Remembered returns what is known of an operator's earlier change by its digest and the version that it builds on.
+func (m *StateMachine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
+	m.mutex.RLock()
+	defer m.mutex.RUnlock()
+	return m.configuration.StatusOf(digest, ifMatch)
+}
+
+// Stores returns the store membership.
 func (m *StateMachine) Stores() protocol.StoreView {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.view()
 }
 
-// MayJoin tells whether an order to let a batch process into the set would.
+// MayJoin reports whether a Join of a batch process would have an effect.
 func (m *StateMachine) MayJoin(process protocol.Process) bool {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.mayJoin(m.stores.members, process)
 }
 
-// Suspicion gives the number of the suspicion that a life of a batch process is under, 0 for none.
+// Suspicion returns the number of the suspicion that an incarnation of a batch process is under, 0 for none.
 func (m *StateMachine) Suspicion(node, incarnation string) uint64 {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.suspicionNumber(node, incarnation)
 }
 
-// Retirement tells how far a batch process's retirement is.
+// Retirement returns the state of a batch process's retirement.
 func (m *StateMachine) Retirement(node string) Retirement {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.retirementState(node)
 }
 
-// Remembered tells what is remembered of the operator's order with a digest.
-func (m *StateMachine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
+// Grantor returns the process that may grant quota.
+func (m *StateMachine) Grantor() Grantor {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.configuration.StatusOf(digest, ifMatch)
+	return m.grants.Lender
 }
--- a/internal/control/statemachine/machine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -42,7 +42,7 @@
 	return Command{Configuration: &configuration.ChangeRequest{IfMatch: generation, Body: []byte(body)}}
 }
 
-// checkInvariants holds whatever was applied.
+// checkInvariants checks what must hold between the views before and after any command.
 func checkInvariants(t *rapid.T, before, after protocol.StoreView, outcome Outcome) {
 	nodes, addresses := map[string]bool{}, map[string]bool{}
 	for _, member := range after.Members {
@@ -68,7 +68,8 @@
 	checkDeparted(t, before, after)
 }
 
-// checkDeparted holds the departed to who was a member and isn't.
+// checkDeparted checks that the departed processes are those that were members, are not now, and were not drained
+// first.
 func checkDeparted(t *rapid.T, before, after protocol.StoreView) {
 	want := map[protocol.Process]bool{}
 	for _, process := range before.Departed {
@@ -94,7 +95,8 @@
 	}
 }
 
-// TestReplicas drives two replicas, one of which is restored now and then, through the same random orders.
+// TestReplicas applies the same random commands to two replicas, one of which is restored from a snapshot now and
+// then.
 func TestReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(), New()
@@ -117,13 +119,13 @@
 			checkInvariants(t, before, first.Stores(), outcome)
 			if command.Retire != nil && outcome.Store == StoreChanged {
 				if first.Retirement(command.Retire.Node) != RetirementActive {
-					t.Fatalf("%s is to be emptied, and counts as %d", command.Retire.Node, first.Retirement(command.Retire.Node))
+					t.Fatalf("%s is retiring, and its retirement is in state %d", command.Retire.Node, first.Retirement(command.Retire.Node))
 				}
-				delete(completed, command.Retire.Node) // a machine of that name that came after the one that was emptied
+				delete(completed, command.Retire.Node) // a machine of that name that joined after the one that was drained
 			}
 			for node := range completed {
 				if first.Retirement(node) != RetirementCompleted {
-					t.Fatalf("%s was emptied, and is no longer", node)
+					t.Fatalf("the retirement of %s was completed, and isn't any longer", node)
 				}
 			}
 			for i := range 4 {
@@ -165,7 +167,7 @@
 	join := func(m *StateMachine, list ...protocol.Process) Outcome {
 		return apply(m, Command{Join: &Join{Processes: list}})
 	}
-	Convey("A life with an empty disk takes the place of the former at once", t, func() {
+	Convey("An incarnation with an empty disk replaces the former one at once", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0))
 		So(m.Stores().Epoch, ShouldEqual, 1)
@@ -175,7 +177,7 @@
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}).Store, ShouldEqual, StoreUnchanged)
 	})
-	Convey("A retirement outlasts the loss of the disk, and one that is completed the machine", t, func() {
+	Convey("A retirement survives the loss of the disk, and a completed one the departure of the machine", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Retire: &Retire{Node: "s1", Remain: 2}}).Store, ShouldEqual, StoreChanged)
@@ -188,15 +190,15 @@
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		So(join(m, process(1, 2)).Store, ShouldEqual, StoreChanged)
 	})
-	Convey("A machine that came in the place of one that was emptied is emptied in its turn", t, func() {
+	Convey("A machine that replaced one that was retired can be retired in its turn", t, func() {
 		m := New()
 		retire := Command{Retire: &Retire{Node: "s1", Remain: 2}}
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		apply(m, retire)
 		apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}})
-		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged) // sent again
+		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged) // repeated
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
-		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged) // it is taken away any moment now, with its disk
+		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged) // its machine is about to be taken away, with its disk
 		apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}})
 		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged)
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreChanged)
@@ -206,7 +208,7 @@
 		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "1", Epoch: m.Stores().Epoch}}).Store, ShouldEqual, StoreChanged)
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
 	})
-	Convey("A member is put out under the suspicion that it is under, and no other", t, func() {
+	Convey("A member is evicted under its present suspicion, and no other", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0))
 		evict := func(number uint64) StoreOutcome {
@@ -217,7 +219,7 @@
 		}
 		suspect(false)
 		So(m.Suspicion("s1", "0"), ShouldEqual, 1)
-		suspect(false) // it stands
+		suspect(false) // it is recorded already
 		So(m.Suspicion("s1", "0"), ShouldEqual, 1)
 		suspect(true)
 		So(m.Suspicion("s1", "0"), ShouldEqual, 0)
@@ -229,7 +231,7 @@
 		So(m.Suspicion("s1", "0"), ShouldEqual, 0)
 		So(apply(m, Command{Suspect: &Suspect{Node: "s1", Incarnation: "0"}}).Store, ShouldEqual, StoreUnknown)
 	})
-	Convey("What can't be read changes nothing", t, func() {
+	Convey("What can't be decoded changes nothing", t, func() {
 		m := New()
 		So(m.Apply(1, []byte("?")), ShouldBeNil)
 		So(m.Restore([]byte("?")), ShouldNotBeNil)
@@ -237,7 +239,7 @@
 	})
 }
 
-// TestDeparted plays what the list of those who departed is for.
+// TestDeparted checks when a process enters the list of departed processes, and when it leaves it.
 func TestDeparted(t *testing.T) {
 	apply := func(m *StateMachine, command Command) StoreOutcome {
 		raw, err := command.Encode()
@@ -249,7 +251,7 @@
 	join := func(m *StateMachine, processes ...protocol.Process) {
 		So(apply(m, Command{Join: &Join{Processes: processes}}), ShouldEqual, StoreChanged)
 	}
-	Convey("Who leaves is listed until it is back, or all stood whole in the present epoch", t, func() {
+	Convey("A process that departs is listed until it returns or all members are reconciled in the present epoch", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}), ShouldEqual, StoreChanged)
@@ -269,7 +271,7 @@
 		So(restored.Restore(m.Snapshot()), ShouldBeNil)
 		So(restored.Stores(), ShouldResemble, m.Stores())
 	})
-	Convey("Who was emptied before it left isn't listed", t, func() {
+	Convey("A process that was drained before it departed isn't listed", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Retire: &Retire{Node: "s1", Remain: 2}}), ShouldEqual, StoreChanged)
@@ -277,7 +279,7 @@
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}), ShouldEqual, StoreChanged)
 		So(m.Stores().Departed, ShouldBeEmpty)
 	})
-	Convey("Epochs go on from the highest that one who joins acted in, where control began anew", t, func() {
+	Convey("Epochs continue from the highest that a joining process acted in, where control was founded anew", t, func() {
 		m := New()
 		join(m, process(1, 0))
 		So(apply(m, Command{Join: &Join{Processes: []protocol.Process{process(1, 0)}, ActedIn: 40}}), ShouldEqual, StoreUnchanged)
@@ -287,7 +289,7 @@
 		So(apply(m, Command{Join: &Join{Processes: []protocol.Process{process(3, 0)}, ActedIn: 12}}), ShouldEqual, StoreChanged)
 		So(m.Stores().Epoch, ShouldEqual, 42)
 	})
-	Convey("A join that was judged by an earlier set brings nobody back", t, func() {
+	Convey("A join that was decided in an earlier epoch brings no process back", t, func() {
 		m := New()
 		join(m, process(1, 0))
 		late := Command{Join: &Join{Processes: []protocol.Process{process(1, 0)}, Epoch: m.Stores().Epoch}}
@@ -303,5 +305,5 @@
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	f.Fuzz(func(t *testing.T, order []byte) { New().Apply(1, order) })
+	f.Fuzz(func(t *testing.T, command []byte) { New().Apply(1, command) })
 }
