--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,7 +1,3 @@
-// Package control assembles the control plane: the chain of control processes with its state machine, the operator's API, the
-// subscriptions of gateways and batch processes, the reading of the platform's list, and the roles that one process has at a
-// time. Its parts decide; this package carries what they need to each other. It must never hold a decision of its own that
-// another process could see differently.
 package control
 
 import (
@@ -19,7 +15,6 @@
 	"github.com/rs/zerolog"
 
 	"sprucelane.example/sprucelane/coord/replica"
-	"sprucelane.example/sprucelane/coord/slots"
 	"sprucelane.example/sprucelane/coord/transport"
 	"sprucelane.example/sprucelane/coord/view"
 	"sprucelane.example/sprucelane/internal/control/discovery"
@@ -31,95 +26,66 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Heartbeats of connections between processes.
+// Times and sizes of connections between processes, and of the shutdown.
 const (
 	heartbeatInterval   = 500 * time.Millisecond
 	maxFrameBytes       = 64 << 20
-	httpShutdownTimeout = 1200 * time.Millisecond
-	handOverTimeout     = 1500 * time.Millisecond
-	// shutdownLending is how long the word that this process lends no more may take: without it a successor waits a second.
+	httpShutdownTimeout = 1200 * time.Millisecond // for the operator's requests in flight
+	handOverTimeout     = 1500 * time.Millisecond // for the roles and the place in the chain
+	// releaseGrantsTimeout bounds the release of the role of grantor. Without the release a successor waits for a
+	// second.
 	releaseGrantsTimeout = 300 * time.Millisecond
 )
 
-// Replica is what is needed of the chain. *replica.Node is one.
-type Replica interface {
-	Propose(ctx context.Context, id string, order []byte) ([]byte, error)
-	Read(ctx context.Context) (uint64, error)
-	Staleness() (age time.Duration, ok bool)
-	View() view.View
-	Self() view.Member
-	Members() []replica.Peer
-	Lead() (epoch uint64, until time.Time, ok bool)
-	Head() (until time.Time, ok bool)
-	OnView(call func(view.View))
-	SetSeeds(seeds []string)
-	HandOver(ctx context.Context) error
-	Close()
-}
-
-// Options are what a control process is made of.
+// Options configure a control process.
 type Options struct {
 	Settings *node.Settings
 	Log      zerolog.Logger
 
-	environment *environment // nil: TCP and the folder of the settings
-}
-
-// surroundings are the connections and the disk of a process, for worlds of tests.
-type environment struct {
-	bind func(address string) (net.Listener, error)
-	dial func(ctx context.Context, address string) (net.Conn, error)
-	disk slots.FS
-	// spoil plants a bug in what is known of the chain; nil: none.
-	wrapReplica func(Replica) Replica
-	// leaseSuspects plants the bug that a batch process under suspicion gets leases.
-	leaseSuspected bool
-}
-
-// listen listens where the process does.
-func (s *environment) listen(address string) (net.Listener, error) {
-	if s.bind != nil {
-		return s.bind(address)
-	}
-	return net.Listen("tcp", address)
+	environment *environment // of tests; nil: TCP and the folder of the settings
 }
 
-// Control is a control process.
+// Control is a control process. Its methods are spread over files by concern; see the package comment.
 type Control struct {
-	settings    *node.Settings
-	log         zerolog.Logger
-	quota       *quotaservice.Service
-	incarnation string // of what this process numbers
-	started     time.Time
-	environment environment
-
+	// Set by Start and not changed after it. Each is safe for concurrent use by itself.
+	settings           *node.Settings
+	log                zerolog.Logger
+	incarnation        string // of this process; subscribers compare versions of the server list only within one
+	started            time.Time
+	environment        environment
 	state              *statemachine.StateMachine
 	replica            Replica
+	quota              *quotaservice.Service
 	apiServer          *http.Server
 	subscriptionServer *transport.Server
 	peers              *peers
 	reader             *discovery.Reader
 
-	ctx    context.Context
+	ctx    context.Context // ends with Stop
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 
-	wakePush      chan struct{} // something that subscribers are told has changed
+	// Signals to the loops, each with a buffer of one; see wake.
+	wakePush      chan struct{} // something that subscribers are sent has changed
 	wakeRoles     chan struct{}
 	wakeDiscovery chan struct{}
 
-	mutex            sync.Mutex // of all below
-	pauses           pauseDetector
-	liveness         *liveness.Table
-	subscribers      map[*transport.Session]*subscriber
-	peerSessions     map[*transport.Session]*peerSession // by the connections of other control processes
-	schedule         discovery.Schedule
-	servers          serverTable
-	memberList       protocol.MemberList
-	gatewaysListedAt time.Duration // when the gateways in members were looked at
+	// mutex guards the fields below. Whoever processes a message calls checkPause first. Lock order: peers.mutex
+	// before mutex.
+	mutex        sync.Mutex
+	pauses       pauseDetector
+	liveness     *liveness.Table                     // who polls, here and at the other control processes
+	subscribers  map[*transport.Session]*subscriber  // that poll here
+	peerSessions map[*transport.Session]*peerSession // connections of other control processes
+	schedule     discovery.Schedule                  // of reading the server list
+	servers      serverTable
+	memberList   protocol.MemberList // as it was sent to subscribers last
+	// gatewaysListedAt is when the gateways in memberList were taken from liveness.
+	gatewaysListedAt time.Duration
 }
 
-// Start starts a control process.
+// Start starts a control process. It returns once the ports are open; the process may serve later, when it has
+// reached a majority of the chain's voters. Errors are of the disk, of the replica's start and of the ports.
 func Start(options Options) (*Control, error) {
 	if options.environment == nil {
 		options.environment = &environment{}
@@ -145,7 +111,7 @@
 	return c, nil
 }
 
-// prepareDisk makes the folder of the disk where it is missing.
+// prepareDisk creates the folder of the data.
 func prepareDisk(settings *node.Settings) error {
 	if settings.DataDir == "" {
 		return nil
@@ -153,6 +119,7 @@
 	return os.MkdirAll(settings.DataDir, 0o700)
 }
 
+// newControl returns a control process without a replica, ports and loops.
 func newControl(options Options) *Control {
 	ended, end := context.WithCancel(context.Background())
 	c := &Control{
@@ -182,13 +149,14 @@
 	return c
 }
 
+// randomName returns 12 random hexadecimal digits.
 func randomName() string {
 	var random [6]byte
 	_, _ = rand.Read(random[:]) // never fails: it ends the process where the system has no randomness
 	return hex.EncodeToString(random[:])
 }
 
-// wake puts a token into a channel of one, unless one waits there.
+// wake signals a channel with a buffer of one. Signals that are not yet received are merged.
 func wake(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -196,34 +164,18 @@
 	}
 }
 
-// now is the steady clock since the process's start.
+// now returns the time since the process's start by the monotonic clock.
 func (c *Control) now() time.Duration { return time.Since(c.started) }
 
+// identity is what this process tells others when it connects.
 func (c *Control) identity() transport.Identity {
 	s := c.settings
 	return transport.Identity{System: protocol.System, Node: s.NodeName, Role: protocol.RoleControl, Zone: s.Zone,
 		Address: s.Endpoint(node.PortControl), Incarnation: c.incarnation}
 }
 
-func (c *Control) replicaOptions() replica.Options {
-	s := c.settings
-	return replica.Options{
-		Identity:     c.identity(),
-		Listen:       s.Endpoint(node.PortCoordination),
-		Seeds:        s.SeedEndpoints(node.PortCoordination),
-		Bootstrap:    s.Bootstrap,
-		DataDir:      s.DataDir,
-		Bind:         c.environment.bind,
-		Dial:         c.environment.dial,
-		Disk:         c.environment.disk,
-		Tolerance:    s.Tolerance.Machines,
-		StateMachine: c.state,
-		Log: func(event string, fields ...any) {
-			c.log.Info().Fields(fields).Str("part", "chain").Msg(event)
-		},
-	}
-}
-
+// transportOptions are the settings of connections to and from gateways, batch processes and other control
+// processes.
 func (c *Control) transportOptions() transport.Options {
 	return transport.Options{Identity: c.identity(), Dial: c.environment.dial, MaxFrame: maxFrameBytes, Heartbeat: heartbeatInterval,
 		Log: func(event string, err error, remote string) {
@@ -231,7 +183,7 @@
 		}}
 }
 
-// serve opens the ports and starts all loops.
+// serve opens the ports and starts the loops.
 func (c *Control) serve() error {
 	subscriptions, err := c.environment.listen(c.settings.Endpoint(node.PortControl))
 	if err != nil {
@@ -260,6 +212,7 @@
 	return nil
 }
 
+// run starts a loop that Stop waits for.
 func (c *Control) run(loop func()) {
 	c.loops.Add(1)
 	go func() {
@@ -268,6 +221,7 @@
 	}()
 }
 
+// operatorAPI returns the operator's API on this process's state and chain.
 func (c *Control) operatorAPI() *operatorapi.API {
 	return operatorapi.New(operatorapi.Options{
 		Machine:         c.state,
@@ -279,28 +233,25 @@
 	})
 }
 
-// bodyPart is the part of the memory that one configuration may take: it is held a few times over while it is taken.
+// bodyMemoryFraction: one configuration may take 1/16 of the process's memory, as several copies of it exist while
+// it is committed.
 const bodyMemoryFraction = 16
 
+// serveAPI serves the operator's API until Stop.
 func (c *Control) serveAPI(listener net.Listener) {
 	if err := c.apiServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		c.log.Error().Err(err).Msg("operator-api-ended")
 	}
 }
 
-func (c *Control) viewChanged() {
-	wake(c.wakeRoles)
-	wake(c.wakeDiscovery)
-	wake(c.wakePush)
-}
-
-// Reload takes in settings that were read again. Only the seeds may change in a life.
+// Reload applies settings that were read again. Only the seeds take effect; all others need a restart.
 func (c *Control) Reload(settings *node.Settings) {
 	c.replica.SetSeeds(settings.SeedEndpoints(node.PortCoordination))
 	c.log.Info().Strs("seeds", settings.Seeds).Msg("settings-reloaded")
 }
 
-// Stop ends the process's part in order: the roles and its place in the chain are handed over, what is in flight is answered.
+// Stop ends the process in order: it releases its roles and its place in the chain, so that its successors needn't
+// wait for its leases to end, answers the requests in flight, and closes its connections.
 func (c *Control) Stop() {
 	c.log.Info().Msg("stopping")
 	c.cancel()
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -120,7 +120,8 @@
 	eventually(t, "the store back", stores["store-3"].locked(func() bool { return stores["store-3"].grant.Member }))
 }
 
-// TestQuota asks the allocator for tokens, over the address that the list of processes names, before and after its process ends.
+// TestQuota asks the allocator for tokens, over the address that the list of processes names, before and after its
+// process ends.
 func TestQuota(t *testing.T) {
 	s := newSystem(t, "")
 	gateway := protocol.Process{Node: "front-9", Role: protocol.RoleGateway, IP: "127.0.0.9", Incarnation: "x"}
--- a/internal/control/deployment_troubles_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -13,8 +13,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns random troubles of a deployment. They come in rounds: those of one overlap, on machines of their own but for
-// those that strike all. No more disks are lost in a round than may be lost at once, and the next round begins once all is well.
+// This file owns random troubles of a deployment. They come in rounds: those of one overlap, on machines of their
+// own but for those that strike all. No more disks are lost in a round than may be lost at once, and the next round
+// begins once all is well.
 
 const (
 	deploymentRounds       = 3
@@ -476,8 +477,8 @@
 	w.addStore()
 }
 
-// drawReplacement brings a new control machine for another: before that one ends in order, or after its disk is lost. Either way a
-// disk is gone, and counts as lost: others may be before the new machine has all.
+// drawReplacement brings a new control machine for another: before that one ends in order, or after its disk is
+// lost. Either way a disk is gone, and counts as lost: others may be before the new machine has all.
 func faultReplacement(r *faultRound) func(time.Duration) {
 	planned := r.random.IntN(2) == 0
 	if r.disksLeft == 0 || len(r.controls) == 0 {
@@ -555,8 +556,9 @@
 	return w
 }
 
-// TestRandomDeployments plays worlds of control processes and stores under random troubles. SEEDS=N plays N worlds, FIRST=S begins
-// at seed S. With -parallel 1 goroutines of one world interleave more, and more is found than in worlds side by side.
+// TestRandomDeployments plays worlds of control processes and stores under random troubles. SEEDS=N plays N worlds,
+// FIRST=S begins at seed S. With -parallel 1 goroutines of one world interleave more, and more is found than in
+// worlds side by side.
 func TestRandomDeployments(t *testing.T) {
 	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 12)
 	var lock sync.Mutex
--- a/internal/control/deployment_world_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -21,9 +21,9 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// This file owns a deployment: whole control processes and batch processes in one world, in virtual time, with clients, an
-// operator, and the checks on what each plane tells the other. Its troubles follow from its seed, the order in which goroutines run
-// at one moment does not: a seed that failed may need a few runs to fail again.
+// This file owns a deployment: whole control processes and batch processes in one world, in virtual time, with
+// clients, an operator, and the checks on what each plane tells the other. Its troubles follow from its seed, the
+// order in which goroutines run at one moment does not: a seed that failed may need a few runs to fail again.
 
 // Times of a deployment.
 const (
@@ -385,7 +385,8 @@
 	}
 }
 
-// bulkBytes is the size of one of many changes that come at once: the log of a disk is written anew after some ninety of them.
+// bulkBytes is the size of one of many changes that come at once: the log of a disk is written anew after some
+// ninety of them.
 const bulkBytes = 12_000
 
 // load submits batch jobs and reads some all the time.
@@ -540,7 +541,8 @@
 	return newest
 }
 
-// unwell tells what isn't as it should be; nothing: all processes run, agree on the set of stores, and have settled in it.
+// unwell tells what isn't as it should be; nothing: all processes run, agree on the set of stores, and have settled
+// in it.
 func (w *deployment) unhealthy() []string {
 	var list []string
 	newest := w.newestStoreView()
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -26,8 +26,8 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// This file owns a batch process of a deployment: the real machine and log on a simulated disk, the real subscription to control
-// and the real connections to other stores, put together as internal/batch/server does.
+// This file owns a batch process of a deployment: the real machine and log on a simulated disk, the real
+// subscription to control and the real connections to other stores, put together as internal/batch/server does.
 
 // Constants of a store, as internal/batch/server has them.
 const (
--- /dev/null
+++ b/internal/control/grants.go
@@ -0,0 +1,48 @@
+package control
+
+import (
+	"context"
+
+	"sprucelane.example/sprucelane/internal/control/statemachine"
+)
+
+// updateGrants proposes the change of the grant record that the quota service needs now, if any.
+func (c *Control) updateGrants() {
+	change := c.quota.NextChange()
+	if change == nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
+	defer cancel()
+	outcome := c.proposeGrants(ctx, change)
+	c.quota.ChangeDone(change, outcome)
+	if outcome != nil && outcome.Taken && change.Begin {
+		c.log.Info().Str("before", outcome.Before.Member).Int("nodes", len(outcome.Nodes)).Msg("lends-quota")
+	}
+}
+
+// releaseGrants releases the role of grantor, so that the next one can begin at once.
+func (c *Control) releaseGrants(ctx context.Context) {
+	if change := c.quota.Release(); change != nil {
+		c.proposeGrants(ctx, change)
+	}
+}
+
+// proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; the next round
+// tries again.
+func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
+	raw, err := statemachine.Command{Lending: change}.Encode()
+	if err != nil {
+		c.log.Error().Err(err).Msg("lending-command")
+		return nil
+	}
+	if raw, err = c.replica.Propose(ctx, "lending-"+randomName(), raw); err != nil {
+		return nil
+	}
+	outcome, err := statemachine.DecodeOutcome(raw)
+	if err != nil {
+		c.log.Error().Err(err).Msg("lending-outcome")
+		return nil
+	}
+	return outcome.Lending
+}
--- a/internal/control/cutoff_test.go
+++ b/internal/control/partition_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// cutFor is how long a control machine is cut off, and settledAfter how long after the cut it may still vouch: its last proof is
-// good for freshMost, and an answer is on its way.
+// cutFor is how long a control machine is cut off, and settledAfter how long after the cut it may still vouch: its
+// last proof is good for freshMost, and an answer is on its way.
 const (
 	partitionLength  = 20 * time.Second
 	stalenessElapsed = maxStaleness + 50*time.Millisecond
@@ -152,7 +152,8 @@
 	s.checkRecovery(beginner, members)
 }
 
-// comesBack checks that the process that is back takes in what the others have, and changes nothing by what it held.
+// comesBack checks that the process that is back takes in what the others have, and changes nothing by what it
+// held.
 func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
--- a/internal/control/standstill_test.go
+++ b/internal/control/pause_test.go
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// awaitSession waits for a session of the connections of others: those that a process pause ends are opened again a little later.
+// awaitSession waits for a session of the connections of others: those that a process pause ends are opened again a
+// little later.
 func awaitSession[V any](t *testing.T, c *Control, sessions map[*transport.Session]V) *transport.Session {
 	t.Helper()
 	var session *transport.Session
@@ -44,8 +45,8 @@
 	return known
 }
 
-// TestStandstill checks that what lay in the sockets of a process that stood still isn't taken for news, and that the next
-// connections bring some.
+// TestStandstill checks that what lay in the sockets of a process that stood still isn't taken for news, and that
+// the next connections bring some.
 func TestProcessPause(t *testing.T) {
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -5,68 +5,37 @@
 	"time"
 
 	"sprucelane.example/sprucelane/coord/transport"
+	"sprucelane.example/sprucelane/internal/control/liveness"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Times of what control processes tell each other.
+// Intervals of the reports between control processes.
 const (
-	reportInterval      = 400 * time.Millisecond // to the head of the chain, which keeps the set of batch processes
-	reportsPerBroadcast = 2                      // reports to the head for one to the others
+	reportInterval      = 400 * time.Millisecond // of reports to the head of the chain, which keeps the store membership
+	reportsPerBroadcast = 2                      // reports to the head for each one to the others
 )
 
-// peerReport is what a control process tells another. Ages are as of when it was sent. What goes over one connection adds up: the
-// gateways that were named and aren't gone still poll there, and a list of servers may be the difference to the one before.
-type peerReport struct {
-	Presence bool               // Gateways, Gone and Batch tell who polls there now
-	All      bool               // Gateways holds all, whatever was told before
-	Gateways []protocol.Process // new since the report before
-	Gone     []string           // nodes of gateways
-	Batch    []peerBatch        // to the head of the chain only
-	Servers  *peerServers
-}
-
-// peerBatch is a batch process that polls.
-type peerBatch struct {
-	Process protocol.Process
-	Ready   bool
-	Report  *protocol.BatchReport
-	Ago     time.Duration // of its newest poll
-}
-
-// peerServers is the platform's list as a control process has read it.
-type peerServers struct {
-	Digest uint64
-	Ago    time.Duration        // when the reading began
-	Took   time.Duration        // to read it
-	Rank   int                  // of who read it
-	List   *protocol.ServerList // nil: the list with this digest was sent before
-}
-
-// The name of peerReport on the wire stays when the type is renamed or moved.
-func init() {
-	transport.RegisterNamed(transport.NamedType{Name: "sprucelane.example/sprucelane/internal/control.peerReport", Sample: peerReport{}})
-}
-
-// peers are the connections to the other control processes.
+// peers are this process's connections to the other control processes, over which it sends its reports.
 type peers struct {
 	control *Control
-	mutex   sync.Mutex
+	mutex   sync.Mutex // guards byIP and the peers in it
 	byIP    map[string]*peer
 }
 
-// peer is one other control process, and what it was told over this connection.
+// peer is the connection to one other control process. Its fields are guarded by peers.mutex.
 type peer struct {
 	client         *transport.Client
-	serversVersion uint64                      // version of the list
-	gateways       map[string]protocol.Process // by node
-	sentAll        bool                        // gateways were told at all
-	present        bool                        // still a control process
+	serversVersion uint64                      // of the server list that was sent; 0: none
+	gateways       map[string]protocol.Process // that were sent, by node
+	sentAll        bool                        // a report with All set was sent
+	present        bool                        // used by refresh: it is still a control process
 }
 
+// newPeers returns no connections; refresh opens them.
 func newPeers(c *Control) *peers { return &peers{control: c, byIP: map[string]*peer{}} }
 
-// refresh connects to new control processes and leaves those that are gone.
+// refresh connects to new control processes and closes the connections to those that have departed.
 func (p *peers) refresh() {
 	self := p.control.settings.IP
 	p.mutex.Lock()
@@ -91,6 +60,8 @@
 	}
 }
 
+// connect opens a connection with peers.mutex held. Whenever it is opened anew, everything is sent again, since the
+// other side has dropped what it had over the former connection.
 func (p *peers) connect(ip string) *peer {
 	one := &peer{gateways: map[string]protocol.Process{}}
 	forget := func(bool) {
@@ -104,6 +75,7 @@
 	return one
 }
 
+// close closes all connections.
 func (p *peers) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,12 +84,13 @@
 	}
 }
 
-// tell tells the head of the chain, and every other where all is set, who polls here.
-func (p *peers) report(head string, all bool, gateways map[string]protocol.Process, batch []peerBatch) {
+// report sends the gateways that poll here to the head of the chain and, where toAll is set, to every other control
+// process. The head gets the batch processes as well, since it keeps the store membership.
+func (p *peers) report(head string, toAll bool, gateways map[string]protocol.Process, batch []peerBatch) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for ip, one := range p.byIP {
-		if ip != head && !all {
+		if ip != head && !toAll {
 			continue
 		}
 		report := one.pollersDelta(gateways)
@@ -130,15 +103,15 @@
 	}
 }
 
-// presence gives what differs from what was told.
-func (o *peer) pollersDelta(gateways map[string]protocol.Process) peerReport {
-	report := peerReport{Presence: true, All: !o.sentAll}
+// pollersDelta returns a report of the difference between gateways and those that were sent before.
+func (p *peer) pollersDelta(gateways map[string]protocol.Process) peerReport {
+	report := peerReport{Presence: true, All: !p.sentAll}
 	for node, process := range gateways {
-		if o.gateways[node] != process {
+		if p.gateways[node] != process {
 			report.Gateways = append(report.Gateways, process)
 		}
 	}
-	for node := range o.gateways {
+	for node := range p.gateways {
 		if _, here := gateways[node]; !here {
 			report.Gone = append(report.Gone, node)
 		}
@@ -146,17 +119,19 @@
 	return report
 }
 
-func (o *peer) markSent(report *peerReport) {
-	o.sentAll = true
+// markSent records that a report was sent.
+func (p *peer) markSent(report *peerReport) {
+	p.sentAll = true
 	for _, process := range report.Gateways {
-		o.gateways[process.Node] = process
+		p.gateways[process.Node] = process
 	}
 	for _, node := range report.Gone {
-		delete(o.gateways, node)
+		delete(p.gateways, node)
 	}
 }
 
-// shareServers tells all the list that was just read, as far as they haven't had it.
+// sendServers sends the server list that was just read to all others, as a difference where they have the version
+// before.
 func (p *peers) sendServers() {
 	c := p.control
 	rank := c.readerRank()
@@ -170,7 +145,7 @@
 	}
 }
 
-// sharedServers gives the list for a process that has a version.
+// peerServersSince returns the server list for a peer that has a version of it, and the version that it then has.
 func (c *Control) peerServersSince(rank int, has uint64) (*peerServers, uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -182,21 +157,45 @@
 	return share, table.version
 }
 
-// controlIPs gives the addresses of all control processes that are known.
-func (c *Control) controlIPs() []string {
-	seen := map[string]bool{}
-	var list []string
-	add := func(address string) {
-		if ip := hostOf(address); ip != "" && !seen[ip] {
-			seen[ip] = true
-			list = append(list, ip)
+// reportLoop reports who polls here to the other control processes.
+func (c *Control) reportLoop() {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	for round := 0; ; round++ {
+		select {
+		case <-ticker.C:
+		case <-c.ctx.Done():
+			return
 		}
+		c.peers.refresh()
+		gateways, batch := c.pollers()
+		head := hostOf(c.replica.View().Head().Address)
+		c.peers.report(head, round%reportsPerBroadcast == 0, gateways, batch)
+		wake(c.wakePush) // gateways may have timed out, and leave the member list
 	}
-	for _, member := range c.replica.View().Chain {
-		add(member.Address)
-	}
-	for _, one := range c.replica.Members() {
-		add(one.Member.Address)
+}
+
+// pollers returns the gateways that poll here, by node, and the batch processes that do, with their newest reports.
+func (c *Control) pollers() (map[string]protocol.Process, []peerBatch) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	now := c.now()
+	gateways := make(map[string]protocol.Process, len(c.subscribers))
+	var batch []peerBatch
+	for _, one := range c.subscribers {
+		last, known := c.liveness.LastContact(one.process)
+		switch {
+		case !known || now-last.At > liveness.GatewayTimeout:
+		case one.process.Role == protocol.RoleBatch:
+			batch = append(batch,
+				peerBatch{Process: last.Process, Ready: last.Ready, Report: last.Batch, Ago: now - last.At})
+		case one.process.Role == protocol.RoleGateway && now-one.lastPollAt <= gatewayPollTimeout:
+			gateways[one.process.Node] = one.process
+		}
 	}
-	return list
+	return gateways, batch
 }
+
+// gatewayPollTimeout is how long a connected gateway may go without a poll before the other control processes are
+// told that it is gone.
+const gatewayPollTimeout = 4 * protocol.PollInterval
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestPresence tells random sets of gateways over a connection that ends now and then, at either side first; after each report
-// that arrives the receiver has the sender's set.
+// TestPresence tells random sets of gateways over a connection that ends now and then, at either side first; after
+// each report that arrives the receiver has the sender's set.
 func TestPollersDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		receiver := &Control{liveness: liveness.New()}
--- /dev/null
+++ b/internal/control/peersessions.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/coord/transport"
+	"sprucelane.example/sprucelane/internal/control/discovery"
+	"sprucelane.example/sprucelane/internal/control/liveness"
+	"sprucelane.example/sprucelane/internal/protocol"
+	"sprucelane.example/sprucelane/internal/serverlist"
+)
+
+// peerSession is what another control process has reported over one connection. It is guarded by Control.mutex.
+type peerSession struct {
+	firstContactAt time.Duration               // when its first message was received
+	gateways       map[string]protocol.Process // that poll there, by node
+	servers        *protocol.ServerList        // that it sent last, whole; nil: none
+}
+
+// handleReport processes a report of another control process.
+func (c *Control) handleReport(session *transport.Session, report *peerReport) {
+	from := session.Remote()
+	if from.Role != protocol.RoleControl {
+		return
+	}
+	now := c.now()
+	c.mutex.Lock()
+	c.checkPause()
+	peer := c.peerSessionOf(session)
+	if !c.trustsSession(session) {
+		c.mutex.Unlock()
+		return
+	}
+	joined := report.Presence && c.mergePollers(peer, report, now)
+	if report.Presence {
+		c.liveness.ReportReceived(hostOf(from.Address), now)
+	}
+	changed := report.Servers != nil && c.mergeServers(peer, report.Servers, now)
+	c.mutex.Unlock()
+	if joined {
+		wake(c.wakeRoles)
+	}
+	if changed {
+		wake(c.wakePush)
+	}
+	if report.Servers != nil {
+		wake(c.wakeDiscovery)
+	}
+}
+
+// peerSessionOf returns the state of a session, and creates it with the first report. It is called with the mutex
+// held.
+func (c *Control) peerSessionOf(session *transport.Session) *peerSession {
+	peer := c.peerSessions[session]
+	if peer == nil {
+		peer = &peerSession{firstContactAt: c.now(), gateways: map[string]protocol.Process{}}
+		c.peerSessions[session] = peer
+		session.OnClose(func() { go c.removePeerSession(session) }) // not here: the mutex may be held
+	}
+	return peer
+}
+
+// removePeerSession drops the state of a session that has closed.
+func (c *Control) removePeerSession(session *transport.Session) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.peerSessions, session)
+}
+
+// mergePollers records who polls at another control process, and reports whether a process or incarnation among
+// them is new. It is called with the mutex held.
+func (c *Control) mergePollers(peer *peerSession, report *peerReport, now time.Duration) bool {
+	if report.All {
+		clear(peer.gateways)
+	}
+	for _, process := range report.Gateways {
+		peer.gateways[process.Node] = process
+	}
+	for _, node := range report.Gone {
+		delete(peer.gateways, node)
+	}
+	joined := false
+	for _, process := range peer.gateways {
+		joined = c.liveness.Observe(liveness.Contact{Process: process, At: now}) || joined
+	}
+	for _, one := range report.Batch {
+		contact := liveness.Contact{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
+		joined = c.liveness.Observe(contact) || joined
+	}
+	return joined
+}
+
+// mergeServers applies a server list that another control process has read, and reports whether it changed the one
+// held here. It is called with the mutex held.
+func (c *Control) mergeServers(peer *peerSession, shared *peerServers, now time.Duration) bool {
+	if shared.List != nil {
+		list, err := serverlist.ApplyUpdate(peer.servers, shared.List)
+		if err != nil {
+			peer.servers = nil // later differences can't be applied either; this process reads the list itself before long
+			return false
+		}
+		peer.servers = list
+	}
+	if peer.servers == nil {
+		return false
+	}
+	readAt := now - max(shared.Ago, 0)
+	c.schedule.ListReceived(readAt, shared.Took, shared.Rank)
+	return c.servers.update(discovery.List{Servers: peer.servers.Servers, Digest: shared.Digest}, readAt)
+}
--- a/internal/control/servers.go
+++ b/internal/control/serverdiscovery.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/control/discovery"
 )
 
-// readLoop reads the platform's list when it is this process's turn.
+// readLoop reads the platform's server list whenever it is this process's turn.
 func (c *Control) readLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -26,6 +26,7 @@
 	}
 }
 
+// nextRead returns when this process is to read the list next.
 func (c *Control) nextRead() time.Duration {
 	rank := c.readerRank()
 	c.mutex.Lock()
@@ -34,18 +35,7 @@
 	return c.schedule.NextRead()
 }
 
-// rank gives this process's place among those of the chain, by their addresses.
-func (c *Control) readerRank() int {
-	self := c.replica.Self()
-	rank := 0
-	for _, member := range c.replica.View().Chain {
-		if !member.Same(self) && member.Address < self.Address {
-			rank++
-		}
-	}
-	return rank
-}
-
+// readServers reads the list and sends it to the other control processes.
 func (c *Control) readServers() {
 	began := c.now()
 	list, err := c.reader.Read(c.ctx)
@@ -67,6 +57,7 @@
 	}
 }
 
+// readFailed schedules the next attempt, by the platform's Retry-After where it gave one.
 func (c *Control) readFailed(err error) {
 	var rate *discovery.RateLimitError
 	var patience time.Duration
--- a/internal/control/server_table.go
+++ b/internal/control/servertable.go
@@ -9,10 +9,12 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// differencesMost is how many versions back a difference is made; who is further behind gets the whole list.
+// maxDifferences is the number of versions over which a difference is kept. A subscriber that is further behind
+// gets the whole list.
 const maxDifferences = 64
 
-// serverTable is the newest list of servers, as this process numbers it, with what led to it.
+// serverTable is the newest server list, with the versions that this process gives its changes and the differences
+// between the last of them. It is guarded by Control.mutex.
 type serverTable struct {
 	list        discovery.List
 	version     uint64 // 0: no list was had
@@ -20,7 +22,8 @@
 	differences []serverlist.Delta // the last ones; the newest led to version
 }
 
-// take takes a list in, and tells whether its content changed.
+// update replaces the list by a newer one and reports whether its content changed. One that was read earlier than
+// the present one is ignored.
 func (t *serverTable) update(list discovery.List, readAt time.Duration) bool {
 	if t.version > 0 && readAt < t.readAt {
 		return false
@@ -38,7 +41,8 @@
 	return true
 }
 
-// since gives what leads from a version to the newest. False: that isn't kept, or the whole list is no longer.
+// differenceFrom returns the difference from a version to the newest. It reports false if that isn't kept, or isn't
+// smaller than the whole list.
 func (t *serverTable) differenceFrom(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
 	if version == 0 || version > t.version || behind > uint64(len(t.differences)) {
@@ -51,7 +55,8 @@
 	return joined, len(joined.Changed)+len(joined.Removed) < len(t.list.Servers)
 }
 
-// message gives what a subscriber with a version lacks, with the time that servers stay cold brought up to date.
+// messageFrom returns the message that leads from a version to the newest one, with the remaining warm-up time of
+// servers as of now.
 func (t *serverTable) messageFrom(source string, version uint64, now time.Duration) *protocol.ServerList {
 	message := &protocol.ServerList{Version: t.version, Source: source}
 	if difference, kept := t.differenceFrom(version); kept {
--- a/internal/control/server_table_test.go
+++ b/internal/control/servertable_test.go
@@ -13,7 +13,8 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// TestServerTable drives a table through random lists; followers that are behind by any number of versions come to the same list.
+// TestServerTable drives a table through random lists; followers that are behind by any number of versions come to
+// the same list.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
--- a/internal/control/world_test.go
+++ b/internal/control/services_simulation_test.go
@@ -19,7 +19,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// serviceWorld is whole control processes with gateways, batch processes and an operator, in virtual time and under random troubles.
+// serviceWorld is whole control processes with gateways, batch processes and an operator, in virtual time and under
+// random troubles.
 type serviceSimulation struct {
 	*bubbleSystem
 	random *rand.Rand // of the troubles
@@ -332,8 +333,8 @@
 	return fallback
 }
 
-// TestRandomServices holds whole control processes, in worlds with troubles, to what they vouch for, to the leases that they grant and
-// to the set of batch processes. SEEDS=N plays N worlds, FIRST=S begins at seed S.
+// TestRandomServices holds whole control processes, in worlds with troubles, to what they vouch for, to the leases
+// that they grant and to the set of batch processes. SEEDS=N plays N worlds, FIRST=S begins at seed S.
 func TestRandomServices(t *testing.T) {
 	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
 	vouches, grants, changes, versions := 0, 0, 0, 0
--- /dev/null
+++ b/internal/control/storemembership.go
@@ -0,0 +1,111 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"sprucelane.example/sprucelane/coord/replica"
+	"sprucelane.example/sprucelane/internal/control/liveness"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// storeCommands returns the commands that the store membership needs now. There are none unless this process leads
+// the chain.
+func (c *Control) storeCommands() []statemachine.Command {
+	epoch, _, leads := c.replica.Lead()
+	stores := c.state.Stores()
+	others := c.otherControls()
+	now := c.now()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.liveness.SetLeadership(now, epoch, leads)
+	c.liveness.Expire(now)
+	var commands []statemachine.Command
+	if joins := c.liveness.Joins(now, stores, c.admission); len(joins) > 0 {
+		commands = append(commands, statemachine.Command{Join: &statemachine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.liveness.LastEpochActedIn(joins)}})
+	}
+	commands = append(commands, c.evictions(now, stores, others)...)
+	if c.liveness.Reconciled(now, stores, c.settings.Tolerance.Machines) {
+		commands = append(commands, statemachine.Command{Settle: &statemachine.Settle{Epoch: stores.Epoch}})
+	}
+	for _, member := range c.liveness.Drained(now, stores) {
+		commands = append(commands, statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch}})
+	}
+	return commands
+}
+
+// admission tells whether a batch process may join the membership. A Join that has no effect must not be proposed:
+// it would be proposed again in every round.
+func (c *Control) admission(process protocol.Process) liveness.Admission {
+	switch {
+	case !c.state.MayJoin(process):
+		return liveness.NotAdmitted
+	case c.state.Retirement(process.Node) == statemachine.RetirementCompleted:
+		return liveness.AdmittedAfterDelay
+	}
+	return liveness.Admitted
+}
+
+// evictions returns the commands for members that have timed out, and for those that poll again. An eviction takes
+// two steps: a suspicion is committed first, and the member is evicted once that has stood for as long as a lease.
+// In between, no control process that knows the suspicion grants the member a lease; a lease granted without
+// knowledge of it is shortened by the granter's staleness, and so ends within StoreLease of the suspicion too.
+func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []statemachine.Command {
+	var suspicions []liveness.Suspicion
+	expired := map[string]uint64{} // numbers of suspicions that allow an eviction, by node
+	for _, member := range stores.Members {
+		number := c.state.Suspicion(member.Node, member.Incarnation)
+		suspicions = append(suspicions, liveness.Suspicion{Member: member, Number: number})
+		if c.liveness.SuspicionExpired(now, number) {
+			expired[member.Node] = number
+		}
+	}
+	timedOut, returned := c.liveness.Suspects(now, suspicions, others)
+	var commands []statemachine.Command
+	for _, member := range returned {
+		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true}})
+	}
+	for _, member := range timedOut {
+		commands = append(commands, statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation}})
+	}
+	for _, member := range c.liveness.Evictions(now, stores, others) {
+		if number := expired[member.Node]; number != 0 {
+			commands = append(commands, statemachine.Command{Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number}})
+		}
+	}
+	return commands
+}
+
+// proposeStoreCommand proposes a command on the store membership and waits for its outcome, up to proposeTimeout.
+func (c *Control) proposeStoreCommand(command statemachine.Command) {
+	raw, err := command.Encode()
+	if err != nil {
+		c.log.Error().Err(err).Msg("store-set-command")
+		return
+	}
+	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
+	defer cancel()
+	_, err = c.replica.Propose(ctx, "stores-"+randomName(), raw)
+	if err != nil && !errors.Is(err, replica.ErrClosed) {
+		c.log.Warn().Err(err).Msg("store-set-not-changed")
+		return
+	}
+	event := c.log.Info()
+	switch {
+	case command.Join != nil:
+		for _, process := range command.Join.Processes {
+			event = event.Str("joins", process.Node)
+		}
+	case command.Suspect != nil:
+		event = event.Str("suspected", command.Suspect.Node).Bool("over", command.Suspect.Over)
+	case command.Evict != nil:
+		event = event.Str("evicted", command.Evict.Node)
+	case command.Retired != nil:
+		event = event.Str("retired", command.Retired.Node)
+	case command.Settle != nil:
+		event = event.Uint64("settled", command.Settle.Epoch)
+	}
+	event.Uint64("epoch", c.state.Stores().Epoch).Msg("store-set")
+}
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -10,35 +10,26 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Codes of refusals that callers can tell apart.
+// Codes of errors that callers can tell apart.
 const (
 	// CodeUnknownMessage is of a message that control doesn't handle.
 	CodeUnknownMessage = "unknown-message"
 )
 
-// freshMost is how old this process's proof of what it knows may be where it vouches. One that is cut off from the others falls
-// over it at once, and whom it serves turn to another; heartbeats keep it at a third of that.
-const maxStaleness = 800 * time.Millisecond
-
-// fresh gives the age of what is known here: all that was acknowledged longer ago is applied. False: it is too old to vouch.
-func (c *Control) staleness() (time.Duration, bool) {
-	age, proven := c.replica.Staleness()
-	return age, proven && age <= maxStaleness
-}
-
-// subscriber is a gateway or batch process with a connection to this process. What was queued on a connection arrives, in order,
-// or the connection ends: what was sent is what the other side has.
+// subscriber is a gateway or batch process that is connected to this process, with the versions that it has been
+// sent. Messages on a connection arrive in order or the connection ends, so what was sent is what the subscriber
+// has. Its fields are guarded by Control.mutex.
 type subscriber struct {
 	process        protocol.Process
-	firstContactAt time.Duration // first heard
+	firstContactAt time.Duration // when its first message was received
 	lastPollAt     time.Duration
-	configuration  uint64
-	servers        uint64
-	members        uint64 // version of the list of processes that it was told whole
-	controlMembers uint64 // ... of which it was told the control processes
+	configuration  uint64 // index of the configuration that it has or was sent
+	servers        uint64 // version of the server list that it was sent; 0: none
+	members        uint64 // version of the member list that it was sent whole
+	controlMembers uint64 // version of the member list of which it was sent the control processes
 }
 
-// handle answers the messages of one session.
+// handle processes a message of a session.
 func (c *Control) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	switch m := message.(type) {
 	case protocol.Poll:
@@ -52,17 +43,17 @@
 	return nil, transport.NewError(CodeUnknownMessage, "control doesn't handle this message")
 }
 
-// handlePoll answers a poll. What the asker lacks is pushed ahead of the answer, so that a push that is due at the same time
-// can't be overtaken by it.
+// handlePoll answers a poll. What the subscriber lacks is pushed ahead of the answer, so that the answer can't
+// overtake a push that it depends on: once the answer vouches for the state, the subscriber has that state.
 func (c *Control) handlePoll(session *transport.Session, poll protocol.Poll) protocol.Update {
-	age, fresh := c.staleness() // before anything is looked at that is vouched for
+	age, fresh := c.staleness() // before any state is read that the answer vouches for
 	if poll.Process.Role == protocol.RoleBatch && !c.mayGrantLeases() {
 		fresh = false
 	}
 	c.mutex.Lock()
 	c.checkPause()
 	one := c.subscribe(session, poll)
-	news := c.trustsSession(session) &&
+	joined := c.trustsSession(session) &&
 		c.liveness.Observe(liveness.Contact{Process: poll.Process, Ready: poll.Ready, Batch: poll.Batch, At: c.now()})
 	one.configuration = poll.Configuration
 	if poll.WholeServers {
@@ -72,7 +63,7 @@
 	update := protocol.Update{Sequence: poll.Sequence, Fresh: fresh, Age: age}
 	c.setListAge(&update)
 	c.mutex.Unlock()
-	if news {
+	if joined {
 		wake(c.wakeRoles)
 	}
 	if poll.Process.Role == protocol.RoleBatch {
@@ -81,6 +72,8 @@
 	return update
 }
 
+// subscribe returns the subscriber of a session, and creates it with the first poll. It is called with the mutex
+// held.
 func (c *Control) subscribe(session *transport.Session, poll protocol.Poll) *subscriber {
 	one, known := c.subscribers[session]
 	if !known {
@@ -93,33 +86,14 @@
 	return one
 }
 
+// unsubscribe drops the subscriber of a session that has closed.
 func (c *Control) unsubscribe(session *transport.Session) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.subscribers, session)
 }
 
-// grantsLeases tells whether this process may grant leases: in the chain, so that nobody is evicted unheard of while it says nothing
-// of who polls here. One outside of it is fresh through another, and the head may not hear it.
-func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
-
-// storeGrant gives a batch process's right to act. It is given only by a process that can vouch for the set, and shortened by the
-// age of what that knows: whoever is under suspicion has no right left StoreLease after that was acknowledged.
-func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
-	view := c.state.Stores()
-	grant := &protocol.StoreGrant{Epoch: view.Epoch}
-	for i := range view.Members {
-		if fresh && view.Members[i].Process == process {
-			grant.Member = true
-			if c.environment.leaseSuspected || c.state.Suspicion(process.Node, process.Incarnation) == 0 {
-				grant.Lease = liveness.StoreLease - age
-			}
-		}
-	}
-	return grant
-}
-
-// pushLoop tells subscribers what has changed. Changes that come together go together.
+// pushLoop pushes changes to subscribers. Changes that come close together go out in one push.
 func (c *Control) pushLoop() {
 	for {
 		select {
@@ -132,6 +106,7 @@
 	}
 }
 
+// pushAll pushes to every subscriber what it lacks.
 func (c *Control) pushAll() {
 	_, fresh := c.staleness()
 	c.mutex.Lock()
@@ -141,14 +116,15 @@
 	}
 }
 
-// ageList tells how old the list of servers is that is held here.
+// setListAge sets the age of the server list that is held here.
 func (c *Control) setListAge(update *protocol.Update) {
 	update.ListRead = c.servers.version > 0
 	update.ListAge = c.now() - c.servers.readAt
 }
 
-// push queues what a subscriber lacks. One that begins gets a configuration only where this process vouches for it: what is held by
-// one that is cut off may be old, and the subscriber would serve by it.
+// push queues what a subscriber lacks. One without a configuration gets one only if this process vouches for its
+// state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by it.
+// It is called with the mutex held.
 func (c *Control) push(session *transport.Session, one *subscriber, fresh bool) {
 	update := protocol.Update{}
 	if fresh || one.configuration > 0 {
@@ -176,43 +152,3 @@
 		c.noteMembersSent(one, update.Members)
 	}
 }
-
-// membersFor gives the list of processes where a subscriber lacks it, or nil. The set of batch processes is told only where this
-// process vouches for it: what one holds that has just started, or that is cut off, may have ended long ago.
-func (c *Control) membersFor(one *subscriber, fresh bool) *protocol.MemberList {
-	if !fresh {
-		if c.memberList.Version <= max(one.members, one.controlMembers) {
-			return nil
-		}
-		return &protocol.MemberList{Version: c.memberList.Version, Control: c.memberList.Control}
-	}
-	c.refreshStores() // what is at hand may be of before the proof
-	if c.memberList.Version <= one.members {
-		return nil
-	}
-	list := c.memberList
-	list.Vouched = true
-	return &list
-}
-
-// takeStores brings the set of batch processes, and where quotas are, up to date with the chain's state.
-func (c *Control) refreshStores() {
-	stores, address := c.state.Stores(), c.quotaAddress()
-	if !stores.Newer(c.memberList.Stores) && address == c.memberList.QuotaAddress {
-		return
-	}
-	c.memberList.Stores, c.memberList.QuotaAddress = stores, address
-	c.memberList.Version++
-}
-
-func (c *Control) noteMembersSent(one *subscriber, list *protocol.MemberList) {
-	one.controlMembers = list.Version
-	if !list.Vouched {
-		return
-	}
-	one.members = list.Version
-	if one.process.Role == protocol.RoleBatch {
-		c.log.Info().Str("to", one.process.Node).Uint64("epoch", list.Stores.Epoch).Bool("settled", list.Stores.Settled).
-			Int("departed", len(list.Stores.Departed)).Msg("store-view-told")
-	}
-}
--- /dev/null
+++ b/internal/control/vouching.go
@@ -0,0 +1,43 @@
+package control
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/control/liveness"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// maxStaleness is the greatest age of this process's proof of freshness with which it vouches for what it knows. A
+// process that is partitioned from the others exceeds it within that time, and its subscribers turn to another;
+// heartbeats of the chain otherwise keep the age at a third of it.
+const maxStaleness = 800 * time.Millisecond
+
+// staleness returns the staleness bound of the state here: everything acknowledged longer ago is applied. It
+// reports false if the bound is too high to vouch for the state.
+func (c *Control) staleness() (time.Duration, bool) {
+	age, proven := c.replica.Staleness()
+	return age, proven && age <= maxStaleness
+}
+
+// mayGrantLeases reports whether this process may grant leases to batch processes. Only members of the chain may:
+// the head evicts a batch process only while it receives the reports of all other members, so that a lease that a
+// member grants is known to it. A process outside of the chain is fresh through a member, and the head doesn't wait
+// for its reports.
+func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
+
+// storeGrant returns a batch process's membership and lease. The lease is granted only by a process that can vouch
+// for the membership, and is shortened by the staleness of that: a member under suspicion has no lease left
+// StoreLease after the suspicion was acknowledged.
+func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
+	view := c.state.Stores()
+	grant := &protocol.StoreGrant{Epoch: view.Epoch}
+	for i := range view.Members {
+		if fresh && view.Members[i].Process == process {
+			grant.Member = true
+			if c.environment.leaseSuspected || c.state.Suspicion(process.Node, process.Incarnation) == 0 {
+				grant.Lease = liveness.StoreLease - age
+			}
+		}
+	}
+	return grant
+}
--- a/internal/control/proof_test.go
+++ b/internal/control/vouching_test.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// TestSetNeedsProof has all control processes lose power after the set of batch processes has changed a few times. What one holds that
-// starts alone is what its disk had learnt to be acknowledged, which may be a set that ended long ago.
+// TestSetNeedsProof has all control processes lose power after the set of batch processes has changed a few times.
+// What one holds that starts alone is what its disk had learnt to be acknowledged, which may be a set that ended
+// long ago.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newBubbleSystem(t, 1, nil)
@@ -145,8 +146,8 @@
 	}
 }
 
-// TestSetOfTheLease has the set of batch processes change right before a poll is answered, when the list of processes that is at hand
-// is still of the one before.
+// TestSetOfTheLease has the set of batch processes change right before a poll is answered, when the list of
+// processes that is at hand is still of the one before.
 func TestStoresMatchLease(t *testing.T) {
 	c, chain := newControlWithFixedReplica()
 	for index, number := range []int{1, 2} {
