--- /dev/null
+++ b/coord/view/member.go
@@ -0,0 +1,57 @@
+package view
+
+// GenesisIncarnation is the incarnation of the machines that found the system.
+const GenesisIncarnation = "genesis"
+
+// Member is one incarnation of a machine's disk. Address and Incarnation identify it; Node is empty in the genesis
+// view.
+type Member struct {
+	Node        string // name of the machine, for people and to recognise a replacement
+	Address     string // coordination address, "ip:port"
+	Incarnation string // drawn when the disk was empty; GenesisIncarnation for founders
+}
+
+// ID identifies the member. The same address with another disk has another ID.
+func (m Member) ID() string { return m.Address + "#" + m.Incarnation }
+
+// Same reports whether both are the same incarnation of the same disk, whether or not their Node names are known.
+func (m Member) Same(other Member) bool {
+	return m.Address == other.Address && m.Incarnation == other.Incarnation
+}
+
+// IsZero reports whether m names nobody.
+func (m Member) IsZero() bool { return m.Address == "" && m.Incarnation == "" }
+
+// Index returns the position of m among members, or -1.
+func Index(members []Member, m Member) int {
+	for i := range members {
+		if members[i].Same(m) {
+			return i
+		}
+	}
+	return -1
+}
+
+// SameMembers reports whether both lists hold the same members in the same order.
+func SameMembers(a, b []Member) bool {
+	if len(a) != len(b) {
+		return false
+	}
+	for i := range a {
+		if !a[i].Same(b[i]) {
+			return false
+		}
+	}
+	return true
+}
+
+// countCommon returns how many members of a are also in b.
+func countCommon(a, b []Member) int {
+	count := 0
+	for _, m := range a {
+		if Index(b, m) >= 0 {
+			count++
+		}
+	}
+	return count
+}
--- a/coord/view/plan.go
+++ b/coord/view/plan.go
@@ -5,28 +5,35 @@
 	"time"
 )
 
-// MinimumVoters is the smallest set of voters that is worth a majority.
+// MinimumVoters is the smallest number of voters of which one may fail: with two, a majority is both.
 const MinimumVoters = 3
 
-// TargetVoters is the number of voters that the losses to be borne ask for.
+// TargetVoters is the number of voters of which a majority remains after the loss of tolerance disks.
 func TargetVoters(tolerance int) int { return max(2*tolerance+1, MinimumVoters) }
 
-// Planner makes the members of the next view from what its proposer sees of the machines. It decides
-// nothing: whatever it proposes is agreed on, or not, by the voters of the present view.
+// Planner makes the members of the next view from what its proposer sees of the machines. It is a matter of
+// availability only: the voters of the current view agree on what it proposes, and ChooseSource keeps that safe.
 type Planner struct {
 	Current    View
-	Tolerance  int
-	Candidates []Member // machines with a disk that ask to become voters, the same order at each call
+	Tolerance  int      // number of disks whose loss the system is to bear
+	Candidates []Member // machines with a disk that ask to become voters, in the same order at each call
 
-	ResolveNode    func(Member) Member        // with the name of its machine, where it was heard of
-	Alive          func(Member) bool          // not silent long enough to be suspected
-	Leaving        func(Member) bool          // about to end as planned
-	MayJoin        func(Member) bool          // in touch with the proposer and with the whole chain
-	UnreachableFor func(Member) time.Duration // how long a voter is silent beyond what is put up with; zero: not so long
+	// ResolveNode returns the member with the name of its machine, if that is known.
+	ResolveNode func(Member) Member
+	// Alive reports whether the proposer doesn't suspect the member.
+	Alive func(Member) bool
+	// Leaving reports whether the member is about to end as planned.
+	Leaving func(Member) bool
+	// MayJoin reports whether the member is in contact with the proposer and with the whole chain.
+	MayJoin func(Member) bool
+	// UnreachableFor returns the time since the last contact beyond what is tolerated of a voter, zero within that.
+	UnreachableFor func(Member) time.Duration
 }
 
-// Voters returns the voters that the next view should have. Earlier lives of the candidates' disks are
-// always replaced; voters that are only absent, or about to leave, where their disks aren't needed.
+// Voters returns the voters that the next view should have. A candidate takes the place of an earlier incarnation
+// of its disk, whose vote is lost in any case. It takes the place of a voter that is only unreachable or leaving if
+// replace is set, that is, if the disks of those voters aren't needed. Without a place to take it is added up to
+// the target.
 func (p *Planner) Voters(replace bool) []Member {
 	voters := append([]Member(nil), p.Current.Voters...)
 	target := TargetVoters(p.Tolerance)
@@ -49,12 +56,14 @@
 		if position < 0 {
 			break
 		}
-		voters = append(voters[:position], voters[position+1:]...)
+		voters = slices.Delete(voters, position, position+1)
 	}
 	return voters
 }
 
-// earlierLife returns the voter that was an earlier life of a candidate's disk or machine.
+// previousIncarnation returns the position of the voter that was an earlier incarnation of a candidate's disk or
+// machine, or -1. A machine that came back at another address is recognised by its name, once the old address isn't
+// alive.
 func (p *Planner) previousIncarnation(voters []Member, candidate Member) int {
 	for i, m := range voters {
 		known := p.ResolveNode(m)
@@ -65,28 +74,31 @@
 	return -1
 }
 
+// longestUnreachable returns the position of the current view's voter that is beyond the limit for the longest
+// time, or -1.
 func (p *Planner) longestUnreachable(voters []Member) int {
 	position, longest := -1, time.Duration(0)
 	for i, m := range voters {
 		if !p.Current.IsVoter(m) {
 			continue
 		}
-		if absent := p.UnreachableFor(m); absent > longest {
-			position, longest = i, absent
+		if unreachable := p.UnreachableFor(m); unreachable > longest {
+			position, longest = i, unreachable
 		}
 	}
 	return position
 }
 
-// Plan returns the voters and the chain of the next view for the source that the promises gave.
+// Plan returns the voters and the chain of the next view for the source that the prepare responses gave; synced are
+// the responders whose logs hold every command that may have committed. It is a PlanFunc.
 //
-// A voter that is absent keeps its vote until more members than may be lost hold everything without it:
-// its disk may be the one that the next loss asks for. So does one that leaves, and the source. And a chain that the losses to be borne can take
-// away whole would leave nobody who can tell what it committed: there is no plan with one while there are
-// voters enough to ask for more.
-func (p *Planner) Plan(source Member, holders []Member) (voters, chain []Member, ok bool) {
+// An unreachable or leaving voter keeps its vote until more members than disks may be lost hold everything without
+// it: the next loss may ask for its disk. So does the source. The loss of a whole chain would leave nobody who can
+// tell what it committed, so that there is no plan with a chain of only Tolerance members while there are voters
+// enough to ask for more.
+func (p *Planner) Plan(source Member, synced []Member) (voters, chain []Member, ok bool) {
 	voters = p.Voters(true)
-	if countCommon(voters, holders) <= p.Tolerance || Index(voters, source) < 0 {
+	if countCommon(voters, synced) <= p.Tolerance || Index(voters, source) < 0 {
 		voters = p.Voters(false)
 	}
 	if Index(voters, source) < 0 {
@@ -99,17 +111,8 @@
 	return voters, chain, len(chain) > p.Tolerance || len(voters) < TargetVoters(p.Tolerance)
 }
 
-func countCommon(a, b []Member) int {
-	count := 0
-	for _, m := range a {
-		if Index(b, m) >= 0 {
-			count++
-		}
-	}
-	return count
-}
-
-// chain puts those that stay before those that return.
+// nextChain returns the chain of the next view: the members that stay in their order, and then those that join,
+// which have most to copy.
 func (p *Planner) nextChain(voters []Member, source Member) []Member {
 	var chain []Member
 	for _, m := range p.Current.Chain {
@@ -128,8 +131,8 @@
 	return chain
 }
 
-// lengthened adds voters to a chain that is too short: those that are heard, and then those about to
-// leave, which have to wait until others can do without them.
+// lengthenChain adds voters to a chain that is too short: those that are alive, and then those about to leave, which
+// have to wait until others can do without them.
 func (p *Planner) lengthenChain(chain, voters []Member) []Member {
 	for _, leaving := range []bool{false, true} {
 		for _, m := range voters {
