--- a/internal/node/findings.go
+++ b/internal/node/findings.go
@@ -5,25 +5,26 @@
 	"strings"
 )
 
-// Finding is one fault with its place: a file's line, a key, a path in a document.
+// Finding is one fault of something that was read, with its location. It is part of replicated outcomes (gob): the
+// names of the fields are fixed.
 type Finding struct {
-	Place string
+	Place string // a line of a file, a key, a path in a document
 	Text  string
 }
 
-// Findings are all faults of one thing that was read, reported together.
+// Findings are all faults of one thing that was read. They are one error, so that all are reported together.
 type Findings []Finding
 
-// Error gives one line a finding.
+// Error gives one line for each finding.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Place + ": " + one.Text
+	for i, finding := range f {
+		lines[i] = finding.Place + ": " + finding.Text
 	}
 	return strings.Join(lines, "\n")
 }
 
-// OrNil gives the findings as an error, or nil where there are none.
+// OrNil gives the findings as an error, or a nil error if there are none.
 func (f Findings) OrNil() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -7,7 +7,8 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger gives a logger whose lines carry the machine's name and role; each line names its event.
+// NewLogger gives a logger to standard error. Lines are JSON objects with the time in milliseconds, the node's
+// name, its role and the event (the message). An unknown level is info. It sets global options of zerolog.
 func NewLogger(s *Settings, level string) zerolog.Logger {
 	return newLogger(os.Stderr, s, level)
 }
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -11,15 +11,17 @@
 	"github.com/magiconair/properties"
 )
 
-// reader takes values out of the file and collects what is wrong with them.
+// fileParser converts the values of a settings file and collects what is wrong with them. Its methods for values
+// return the zero value for one that is wrong, and the default for one that is absent.
 type fileParser struct {
 	path     string
-	lines    map[string]int // of each key, from 1
+	lines    map[string]int // line of each key, from 1
 	values   *properties.Properties
 	findings Findings
 }
 
-// Parse reads the text of a settings file; path is named in findings. Unknown keys are skipped, as new ones may appear.
+// Parse parses the text of a settings file; findings name the path. The error is of type Findings. Unknown keys are
+// ignored, as the platform may add some.
 func Parse(path string, text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(text)
@@ -34,6 +36,7 @@
 	return s, nil
 }
 
+// lineNumbers gives the line of each key, for findings: the properties package doesn't keep it.
 func lineNumbers(text []byte) map[string]int {
 	lines := map[string]int{}
 	for i, line := range bytes.Split(text, []byte("\n")) {
@@ -112,6 +115,7 @@
 	}
 }
 
+// location gives the place of a finding about a key.
 func (p *fileParser) location(key string) string {
 	if line, known := p.lines[key]; known {
 		return fmt.Sprintf("%s:%d: %s", p.path, line, key)
@@ -140,6 +144,7 @@
 	return text
 }
 
+// zones collects the keys zones.NAME.
 func (p *fileParser) zones() map[string]string {
 	zones := map[string]string{}
 	for _, key := range p.values.Keys() {
@@ -173,11 +178,11 @@
 }
 
 func (p *fileParser) addresses(key string) []string {
-	list := splitList(p.text(key, true))
-	for _, one := range list {
-		p.checkAddress(key, one)
+	addresses := splitList(p.text(key, true))
+	for _, address := range addresses {
+		p.checkAddress(key, address)
 	}
-	return list
+	return addresses
 }
 
 func (p *fileParser) flag(key string, defaultValue bool) bool {
@@ -192,6 +197,7 @@
 	return value
 }
 
+// nonNegative parses a number of 0 or more. NaN and numbers too large for a duration in seconds are wrong.
 func (p *fileParser) nonNegative(key string, defaultValue float64) float64 {
 	text := p.text(key, false)
 	if text == "" {
@@ -212,6 +218,7 @@
 	return time.Duration(p.nonNegative(key, defaultValue) * float64(time.Millisecond))
 }
 
+// ports parses a range of ports, "FIRST,LAST".
 func (p *fileParser) ports(key string) (first, last int) {
 	parts := splitList(p.text(key, true))
 	if len(parts) == 0 {
@@ -226,3 +233,14 @@
 	}
 	return first, last
 }
+
+// splitList splits a list at commas. Empty elements are dropped.
+func splitList(text string) []string {
+	var list []string
+	for part := range strings.SplitSeq(text, ",") {
+		if part = strings.TrimSpace(part); part != "" {
+			list = append(list, part)
+		}
+	}
+	return list
+}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,54 +1,60 @@
-// Package node owns what every role of the system shares: the settings file, the machine's identity, ports and logs. It
-// must never know what a role does with them.
 package node
 
 import (
-	"net"
-	"os"
-	"strconv"
-	"strings"
+	"slices"
 	"time"
 )
 
-// SettingsVariable names the environment variable with the settings file's path.
-const SettingsVariable = "SPRUCELANE_SETTINGS"
-
-// PortUse is a port of the range that is free on all machines, by what it is for.
-type PortUse int
-
-// The ports between machines, counted from the first of the range. Two processes on one machine share the range.
-const (
-	PortCoordination PortUse = iota // between control processes: view and chain
-	PortControl                     // control for gateways and batch processes: subscriptions
-	PortGateway                     // reserved for what gateways tell each other
-	PortBatch                       // batch processes for gateways and each other
-	PortLoad                        // gateways and batch processes for each other: what servers tell of their load
-	numPorts
-)
-
-// Settings are a process's settings, read once and checked. They are a value: SIGHUP makes another.
+// Settings are the settings of a process. They are immutable: SIGHUP makes new ones. The key of each setting in the
+// file is named with its field. A setting without a default is required, unless it says otherwise. "Not used" marks
+// what the platform's files have and this program only checks.
 type Settings struct {
-	NodeName     string
-	Role         string
+	// NodeName (node-name) is the machine's name, unique in the deployment. It identifies the process to others and
+	// is in each log line.
+	NodeName string
+	// Role (role) is what the process is: gateway, control or batch. It is in each log line.
+	Role string
+	// MachineClass (machine-class) is the platform's class of the machine. Not used.
 	MachineClass string
-	Serves       []string
-	IP           string
-	Zone         string
-	Region       string
-	Zones        map[string]string // zone to region
-
-	ListenFront   string // host:port, empty where the role doesn't serve it
-	ListenReady   string
+	// Serves (serves) are the kinds of callers that the role serves, a list of front, control and store. Default:
+	// none. A batch process must have store.
+	Serves []string
+	// IP (ip) is the machine's address, on which the ports between machines are served.
+	IP string
+	// Zone (zone) is the machine's failure domain. Processes prefer control processes, batch processes and servers
+	// of their zone.
+	Zone string
+	// Region (region) is the zone's region. Default: empty. Not used.
+	Region string
+	// Zones (zones.NAME, one key for each zone) maps each zone to its region. Not used.
+	Zones map[string]string
+
+	// ListenFront (listen.front) is the address, host:port, on which a gateway serves clients. Default: none; a
+	// gateway needs it.
+	ListenFront string
+	// ListenReady (listen.ready) is the address, host:port, of a gateway's readiness check. Default: none; a
+	// gateway needs it.
+	ListenReady string
+	// ListenControl (listen.control) is the address, host:port, of a control process's API for operators. Default:
+	// none; a control process needs it.
 	ListenControl string
-	FirstPort     int
-	LastPort      int
-
-	Seeds           []string // control addresses, host:port
-	Bootstrap       bool
+	// FirstPort and LastPort (port-range, "FIRST,LAST") are the ports between machines; PortUse divides them.
+	FirstPort int
+	LastPort  int
+
+	// Seeds (seeds) are the control processes through which a process finds the others: a list of addresses,
+	// ip:port. Only the IP is used, with the ports of port-range.
+	Seeds []string
+	// Bootstrap (bootstrap) lets a control process with an empty disk found the replicated state with its seeds,
+	// instead of only joining one. Set it for the first start of a deployment alone: two foundations would be two
+	// systems. Default: false.
+	Bootstrap bool
+	// CountsForQuorum (counts-for-quorum) is the platform's word on the machine. Default: false. Not used.
 	CountsForQuorum bool
 
-	Limits    Limits
-	DataDir   string // empty: no disk
+	Limits Limits
+	// DataDir (data-dir) is the folder on the process's disk. Default: none; control and batch processes need it.
+	DataDir   string
 	Tolerance Tolerance
 	Bounds    Bounds
 	Cloud     Cloud
@@ -56,101 +62,89 @@
 
 // Limits are what the machine gives the process.
 type Limits struct {
-	CPUShare float64 // of one core
-	Cores    int
+	// CPUShare (limits.cpu-share) is a share of one core. Default: 1. Not used.
+	CPUShare float64
+	// Cores (limits.cores) is a number of cores. Default: 1. Not used.
+	Cores int
+	// MemoryMB (limits.memory-mb), in MiB, bounds the heap (a share of it) and a gateway's buffers for request
+	// bodies. More lets a gateway keep more bodies for retries; too much has the platform kill the process.
+	// Default: 256.
 	MemoryMB int
-	MaxFDs   int
+	// MaxFDs (limits.max-fds) is the number of file descriptors. A gateway divides them between connections of
+	// clients and to servers. Default: 1024.
+	MaxFDs int
+	// LinkMbps (limits.link-mbps) is the network's rate in Mbit/s. Default: 100. Not used.
 	LinkMbps float64
-	DiskMB   int
+	// DiskMB (limits.disk-mb), in MiB, bounds what a batch process stores. Default: 0.
+	DiskMB int
 }
 
-// Tolerance is what may be lost at once.
-type Tolerance struct{ Machines, Zones, Regions int }
+// Tolerance is how many failures at once the system must survive.
+type Tolerance struct {
+	// Machines (fault-tolerance.machines) sets the number of replicas: one more than this, of the control state and
+	// of batch jobs. A larger value costs a write on a further disk for each change and job. Default: 1.
+	Machines int
+	// Zones (fault-tolerance.zones). Default: 0. Not used.
+	Zones int
+	// Regions (fault-tolerance.regions). Default: 0. Not used.
+	Regions int
+}
 
-// Bounds are the figures of the rules.
+// Bounds are the limits that the platform's rules set. Durations ending in -s are in seconds in the file, those
+// ending in -ms in milliseconds. Those that aren't used describe what the rules measure from outside; the program's
+// own timing is fixed to meet them.
 type Bounds struct {
-	SeedLag, ReuseAfter, Liveness, Acknowledge, CatchUp, Drain, Grace time.Duration
-	LossSlack, ConfigurationApply, RollbackSlack, SkewMax, Revoke     time.Duration
-	QuotaWindow, Recovery, Pass, Finish, Status, Cancel, Settle       time.Duration
-	Closed                                                            bool // keys end within Revoke wherever they are
-	QuotaOvershoot                                                    float64
-	QuotaSlack                                                        float64
+	// Acknowledge (bounds.ack-ms) is the time within which a configuration change is acknowledged or fails. Control
+	// stops trying after four fifths of it. Default: 4 s.
+	Acknowledge time.Duration
+	// Grace (bounds.grace-s) is the time from SIGTERM to SIGKILL. A gateway accepts requests until shortly before
+	// its end. Default: 8 s.
+	Grace time.Duration
+	// SkewMax (bounds.skew-max-ms) is the most that the wall clocks of two machines differ. Batch processes keep
+	// jobs twice as much longer than the rules ask for. Default: 5 s.
+	SkewMax time.Duration
+	// Closed (bounds.closed) makes API keys fail closed: a process without contact to control for Revoke rejects
+	// all keys. Without it, such a process goes on with the keys that it has. Default: false.
+	Closed bool
+	// Revoke (bounds.revoke-ms) is the time within which a removed API key is rejected everywhere. Default: 5 s.
+	Revoke time.Duration
+	// QuotaWindow (bounds.quota-window-s) is the length of the sliding window in which tenants' rate limits are
+	// judged. Default: 5 s.
+	QuotaWindow time.Duration
+	// QuotaOvershoot (bounds.quota-overshoot) is the share by which a tenant may exceed its limit in a window.
+	// Default: 0.
+	QuotaOvershoot float64
+	// QuotaSlack (bounds.quota-slack) is the number of requests by which a tenant may exceed its limit in a window
+	// besides. Default: 0.
+	QuotaSlack float64
+	// Status (bounds.status-s) is the time for which a finished batch job can be read. Default: 120 s.
+	Status time.Duration
+
+	SeedLag            time.Duration // bounds.seed-lag-s, default 3 s; not used
+	ReuseAfter         time.Duration // bounds.reuse-after-s, default 2 s; not used
+	Liveness           time.Duration // bounds.liveness-ms, default 3 s; not used
+	CatchUp            time.Duration // bounds.catch-up-s, default 5 s; not used
+	Drain              time.Duration // bounds.drain-ms, default 3 s; not used
+	LossSlack          time.Duration // bounds.loss-slack-ms, default 200 ms; not used
+	ConfigurationApply time.Duration // bounds.config-apply-ms, default 2 s; not used
+	RollbackSlack      time.Duration // bounds.rollback-slack-ms, default 250 ms; not used
+	Recovery           time.Duration // bounds.recovery-s, default 12 s; not used
+	Pass               time.Duration // bounds.pass_ms, default 120 ms; not used
+	Finish             time.Duration // bounds.finish-s, default 10 s; not used
+	Cancel             time.Duration // bounds.cancel-ms, default 3 s; not used
+	Settle             time.Duration // bounds.settle-ms, default 1 s; not used
 }
 
-// Cloud is the platform's list of servers.
+// Cloud is the platform's list of servers, which control processes poll.
 type Cloud struct {
-	Address string        // host:port
-	Rate    float64       // calls a second, of all machines together
-	MaxLag  time.Duration // the list's age at most
-}
-
-// Port gives the port of a use.
-func (s *Settings) Port(use PortUse) int { return s.FirstPort + int(use) }
-
-// Endpoint gives the address of a use on this machine.
-func (s *Settings) Endpoint(use PortUse) string { return s.EndpointAt(s.IP, use) }
-
-// EndpointAt gives the address of a use on another machine: all machines share their ports.
-func (s *Settings) EndpointAt(ip string, use PortUse) string {
-	return net.JoinHostPort(ip, strconv.Itoa(s.Port(use)))
+	// Address (cloud.address) is host:port of the platform's API. Default: none, and then control has no servers.
+	Address string
+	// Rate (cloud.rate-per-s) bounds the calls per second of all machines together. A higher rate shows changed
+	// servers earlier. Default: 10.
+	Rate float64
+	// MaxLag (cloud.max-lag-ms) is the most that the platform's answers are behind. Default: 1 s. Not used.
+	MaxLag time.Duration
 }
 
-// SeedHosts gives the seeds' IPs.
-func (s *Settings) SeedHosts() []string {
-	list := make([]string, 0, len(s.Seeds))
-	for _, seed := range s.Seeds {
-		host, _, err := net.SplitHostPort(seed)
-		if err != nil {
-			continue // the check has named it
-		}
-		list = append(list, host)
-	}
-	return list
-}
-
-// SeedEndpoints gives the seeds' addresses for a use.
-func (s *Settings) SeedEndpoints(use PortUse) []string {
-	list := s.SeedHosts()
-	for i, host := range list {
-		list[i] = s.EndpointAt(host, use)
-	}
-	return list
-}
-
-// Offers tells whether the role serves callers of a kind: front, control or store.
-func (s *Settings) Offers(kind string) bool {
-	for _, one := range s.Serves {
-		if one == kind {
-			return true
-		}
-	}
-	return false
-}
-
-// Load reads the file that the environment names.
-func Load() (*Settings, error) {
-	path := os.Getenv(SettingsVariable)
-	if path == "" {
-		return nil, Findings{{Place: SettingsVariable, Text: "the variable with the settings file's path is not set"}}
-	}
-	return LoadFile(path)
-}
-
-// LoadFile reads a settings file. The error is of type Findings: every fault with its place.
-func LoadFile(path string) (*Settings, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, Findings{{Place: path, Text: err.Error()}}
-	}
-	return Parse(path, text)
-}
-
-func splitList(text string) []string {
-	var list []string
-	for part := range strings.SplitSeq(text, ",") {
-		if part = strings.TrimSpace(part); part != "" {
-			list = append(list, part)
-		}
-	}
-	return list
-}
+// Offers reports whether the role serves callers of a kind: front, control or store.
+func (s *Settings) Offers(kind string) bool { return slices.Contains(s.Serves, kind) }
