--- a/internal/ablation/ablation.go
+++ b/internal/ablation/ablation.go
@@ -1,36 +1,38 @@
-// Package ablation names the mechanisms that a build for measuring can switch off one by one, to see what each is worth. In any other
-// build all are on, and asking costs nothing.
+// Package ablation names the mechanisms that a build for ablation studies can switch off one by one, to measure
+// what each is worth. Such a build has the build tag ablation and names the mechanisms by a linker flag
+// (off_ablation.go). In any other build all are on, and the compiler removes the question.
 package ablation
 
-// Mechanism is one that can be switched off.
+// Mechanism is a mechanism that can be switched off. Its value is its name in the linker flag.
 type Mechanism string
 
 // The mechanisms.
 const (
-	Affinity             Mechanism = "affinity"        // requests that share much of a prompt meet at the same servers
-	PrefixCacheModel     Mechanism = "cache-memory"    // a gateway remembers what it sent to a server
-	PrefixAnnouncements  Mechanism = "announcements"   // gateways tell each other of long prompts
-	ReportedLoad         Mechanism = "told-load"       // what servers tell of their load is used
-	SharedLoad           Mechanism = "shared-load"     // and passed on between processes
-	SharedFailures       Mechanism = "shared-failures" // servers that fail the zone's requests are left alone by all
-	ZonePreference       Mechanism = "zone-preference" // servers of the own zone come first
-	LatencyWeighting     Mechanism = "slowness"        // a server that is slower than others gets less
-	TimeoutWeighting     Mechanism = "silence"         // a server without a sign of life gets less
-	Ejection             Mechanism = "ejection"        // a server that failed or refused is left alone for a while
-	AdmissionControl     Mechanism = "admission-cuts"  // requests are refused while a route misses its target
-	Retries              Mechanism = "retries"         // what may be repeated goes to another server
-	BatchCapacityReserve Mechanism = "batch-reserve"   // batch items leave places of a server to live requests
-	BatchPacing          Mechanism = "batch-pace"      // a store takes its part of the free places at a time
-	BatchDeadlineOrder   Mechanism = "batch-late-last" // items that can't be in time any more let others pass
-	BatchAffinity        Mechanism = "batch-warmth"    // items go where their prompts' beginnings were read
-	StoreBacklog         Mechanism = "store-backlog"   // a batch job is handed to a store at which less waits
-	HedgedSubmit         Mechanism = "hedged-submit"   // a batch job is handed to a second store after a silence
+	Affinity             Mechanism = "affinity"        // requests that share a long prompt prefix go to the same servers
+	PrefixCacheModel     Mechanism = "cache-memory"    // a gateway models the prefix caches of the servers that it sent to
+	PrefixAnnouncements  Mechanism = "announcements"   // gateways announce long prompts to each other
+	ReportedLoad         Mechanism = "told-load"       // the load that servers report is used
+	SharedLoad           Mechanism = "shared-load"     // and shared between processes
+	SharedFailures       Mechanism = "shared-failures" // all avoid a server that fails the requests of a zone
+	ZonePreference       Mechanism = "zone-preference" // servers of the own zone are preferred
+	LatencyWeighting     Mechanism = "slowness"        // a server that is slower than others gets fewer requests
+	TimeoutWeighting     Mechanism = "silence"         // a server without recent contact gets fewer requests
+	Ejection             Mechanism = "ejection"        // a server that failed or rejected requests is ejected for a while
+	AdmissionControl     Mechanism = "admission-cuts"  // requests are rejected while a route misses its latency target
+	Retries              Mechanism = "retries"         // idempotent requests are retried at another server
+	BatchCapacityReserve Mechanism = "batch-reserve"   // batch items leave capacity of a server to interactive requests
+	BatchPacing          Mechanism = "batch-pace"      // a store takes its share of the free capacity at a time
+	BatchDeadlineOrder   Mechanism = "batch-late-last" // items that can't meet their deadline any more come last
+	BatchAffinity        Mechanism = "batch-warmth"    // items go where the prefix of their prompt is cached
+	StoreBacklog         Mechanism = "store-backlog"   // a batch job is submitted to a store with a shorter queue
+	HedgedSubmit         Mechanism = "hedged-submit"   // a batch job is submitted to a second store after a time-out
 )
 
 // All lists the mechanisms.
 func All() []Mechanism {
 	return []Mechanism{
-		Affinity, PrefixCacheModel, PrefixAnnouncements, ReportedLoad, SharedLoad, SharedFailures, ZonePreference, LatencyWeighting, TimeoutWeighting, Ejection,
-		AdmissionControl, Retries, BatchCapacityReserve, BatchPacing, BatchDeadlineOrder, BatchAffinity, StoreBacklog, HedgedSubmit,
+		Affinity, PrefixCacheModel, PrefixAnnouncements, ReportedLoad, SharedLoad, SharedFailures, ZonePreference,
+		LatencyWeighting, TimeoutWeighting, Ejection, AdmissionControl, Retries, BatchCapacityReserve, BatchPacing,
+		BatchDeadlineOrder, BatchAffinity, StoreBacklog, HedgedSubmit,
 	}
 }
--- a/internal/ablation/off.go
+++ b/internal/ablation/off.go
@@ -2,5 +2,5 @@
 
 package ablation
 
-// Off tells whether a mechanism is switched off.
+// Off reports whether a mechanism is switched off.
 func Off(Mechanism) bool { return false }
--- a/internal/ablation/off_ablation.go
+++ b/internal/ablation/off_ablation.go
@@ -4,10 +4,12 @@
 
 import "strings"
 
-// off is set by the linker, with commas between names: -X sprucelane.example/sprucelane/internal/ablation.off=MECHANISM,MECHANISM
+// off is a comma-separated list of mechanisms, set by the linker:
+// -X sprucelane.example/sprucelane/internal/ablation.off=MECHANISM,MECHANISM
 var off string
 
-var mechanisms = parse(off)
+// switchedOff is read-only after initialization.
+var switchedOff = parse(off)
 
 func parse(list string) map[Mechanism]bool {
 	names := map[Mechanism]bool{}
@@ -17,5 +19,5 @@
 	return names
 }
 
-// Off tells whether a mechanism is switched off.
-func Off(mechanism Mechanism) bool { return mechanisms[mechanism] }
+// Off reports whether a mechanism is switched off.
+func Off(mechanism Mechanism) bool { return switchedOff[mechanism] }
--- a/internal/node/program/program.go
+++ b/internal/node/program/program.go
@@ -1,5 +1,6 @@
-// Package program owns how the programs of gateways and batch processes begin: flags, the check of the settings, the log and the
-// bounds of the heap. It must never know what a role does.
+// Package program starts the programs of gateways and batch processes: signals, flags, the settings file, the log
+// and the bounds of the heap. It doesn't know what a role does. A main calls CatchSignals first, then Begin, and
+// Reload on SIGHUP.
 package program
 
 import (
@@ -14,35 +15,38 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Exit codes.
+// Exit codes of a program.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	ExitUsage  = 2 // flags or settings can't be used
+	ExitUsage  = 2 // flags or settings are invalid
 )
 
 const (
-	// gcPercent is how much the heap may grow between collections: memory is dearer here than the time for them.
+	// gcPercent is GOGC: the growth of the heap, in percent, after which it is collected. It is below Go's default
+	// of 100, as memory is scarcer on these machines than processor time.
 	gcPercent = 50
-	// memoryShare is the part of the machine's memory that the heap keeps to.
+	// memoryShare is the part of limits.memory-mb that is the heap's soft limit (GOMEMLIMIT). The rest is for what
+	// the limit doesn't cover.
 	memoryShare = 0.7
 )
 
+// options are the command line's flags.
 type options struct {
 	Check    bool   `long:"check" description:"check the settings, report all findings and exit"`
 	LogLevel string `long:"log-level" env:"SPRUCELANE_LOG_LEVEL" default:"info" description:"debug, info, warn or error"`
 }
 
-// Program is a program that is to run.
+// Program is a program that has been set up to run.
 type Program struct {
 	Settings *node.Settings
 	Log      zerolog.Logger
 
-	check func(*node.Settings) error
+	check func(*node.Settings) error // what the role requires of its settings
 }
 
-// Begin reads flags and settings, which the role checks for what it needs itself. Where the program is not to run, it gives nil
-// and the exit code.
+// Begin parses flags and loads the settings, which check validates for the role. If the program is not to run,
+// because of invalid input, --help or --check, it returns nil and the exit code.
 func Begin(arguments []string, check func(*node.Settings) error) (*Program, int) {
 	var opt options
 	parser := flags.NewParser(&opt, flags.HelpFlag|flags.PassDoubleDash)
@@ -66,6 +70,7 @@
 	return p, ExitOK
 }
 
+// reportUsage prints an error of the command line, or the help, and gives the exit code.
 func reportUsage(err error) int {
 	var wrong *flags.Error
 	if errors.As(err, &wrong) && wrong.Type == flags.ErrHelp {
@@ -76,7 +81,7 @@
 	return ExitUsage
 }
 
-// Load reads and checks the settings file as it is now.
+// Load reads and validates the settings file as it is now.
 func (p *Program) Load() (*node.Settings, error) {
 	settings, err := node.Load()
 	if err != nil {
@@ -85,13 +90,13 @@
 	return settings, p.check(settings)
 }
 
-// Reload reads the settings again and hands them to the role; a file with findings changes nothing.
-func (p *Program) Reload(take func(*node.Settings)) {
+// Reload loads the settings again and calls apply with them. A file with faults is logged and changes nothing.
+func (p *Program) Reload(apply func(*node.Settings)) {
 	settings, err := p.Load()
 	if err != nil {
 		p.Log.Error().Err(err).Msg("reload_failed")
 		return
 	}
-	take(settings)
+	apply(settings)
 	p.Log.Info().Msg("reloaded")
 }
--- a/internal/node/program/programtest/hangup.go
+++ b/internal/node/program/programtest/programtest.go
@@ -1,5 +1,4 @@
-// Package programtest has programs run in processes of their own, for the tests of their mains. It must never be linked into a
-// program.
+// Package programtest runs programs in processes of their own, for the tests of their mains. Only tests import it.
 package programtest
 
 import (
@@ -12,10 +11,10 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// runVariable tells a process of a test that it is the program.
+// runVariable is set in the environment of a test binary that is to run the program instead of the tests.
 const runVariable = "SPRUCELANE_TEST_RUNS_MAIN"
 
-// Main runs a package's tests, or its program where this process was started for that.
+// Main runs a package's tests, or its program if ExitAfterEarlySignals started this process. A TestMain calls it.
 func Main(m *testing.M, run func(arguments []string) int) {
 	if os.Getenv(runVariable) != "" {
 		os.Exit(run(nil))
@@ -23,9 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// ExitAfterEarlySignals starts the program with settings that it can't use, sends it signals while it reads them, and gives its
-// exit code, or -1 where a signal has ended it. The settings file is a pipe: who opens it for writing waits until the program
-// has opened it for reading, and the program waits for what is written.
+// ExitAfterEarlySignals starts the program with invalid settings, sends it signals while it reads them, and gives
+// its exit code, or -1 if a signal has killed it. The settings file is a named pipe, which orders the events
+// without sleeps: opening it for writing blocks until the program has opened it for reading, and the program then
+// blocks until something is written.
 func ExitAfterEarlySignals(t *testing.T, signals ...syscall.Signal) int {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.conf")
@@ -45,12 +45,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, one := range signals {
-		if err := program.Process.Signal(one); err != nil {
+	for _, signal := range signals {
+		if err := program.Process.Signal(signal); err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, _ = settings.WriteString("ip=nowhere\n") // nobody reads it any more where a signal has ended the program
+	_, _ = settings.WriteString("ip=nowhere\n") // fails if a signal has killed the program, which the exit code shows
 	_ = settings.Close()
 	_ = program.Wait()
 	return program.ProcessState.ExitCode()
--- a/internal/node/program/signals.go
+++ b/internal/node/program/signals.go
@@ -6,14 +6,15 @@
 	"syscall"
 )
 
-// Signals are the platform's words to a process. They are caught from its very beginning: one that comes while the process still
-// starts must neither end it, as the system does by default, nor be lost.
+// Signals are the signals by which the platform controls a process. They are caught from its start: one that
+// arrives while the process is still starting must neither kill it, as is the default, nor be lost.
 type Signals struct {
-	// SIGTERM and SIGHUP have room of their own: a process that is told to reload again and again must still hear of its end.
+	// SIGTERM and SIGHUP have a channel each, with a buffer of one: many SIGHUPs must not keep SIGTERM out.
 	terminations, reloads chan os.Signal
 }
 
-// CatchSignals is the first that a program does. A log that nobody reads any more doesn't end it either.
+// CatchSignals starts to catch signals. A main calls it before anything else. It also ignores SIGPIPE, so that the
+// process survives the reader of its log.
 func CatchSignals() *Signals {
 	s := &Signals{terminations: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.terminations, syscall.SIGTERM, os.Interrupt)
@@ -22,13 +23,13 @@
 	return s
 }
 
-// Ends gives each SIGTERM. Those that nobody takes count as one.
+// Terminations receives a value for SIGTERM or an interrupt. Several that arrive before one is received count as one.
 func (s *Signals) Terminations() <-chan os.Signal { return s.terminations }
 
-// Reloads gives each SIGHUP. Those that nobody takes count as one.
+// Reloads receives a value for SIGHUP. Several that arrive before one is received count as one.
 func (s *Signals) Reloads() <-chan os.Signal { return s.reloads }
 
-// Release has signals do again what the system does by default.
+// Release restores the default effects of SIGTERM and SIGHUP.
 func (s *Signals) Release() {
 	signal.Stop(s.terminations)
 	signal.Stop(s.reloads)
--- a/internal/node/program/signals_test.go
+++ b/internal/node/program/signals_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSignals(t *testing.T) {
-	Convey("A process that is told again and again to reload still hears that it is to end", t, func() {
+	Convey("SIGTERM is received in spite of many SIGHUPs", t, func() {
 		signals := CatchSignals()
 		defer signals.Release()
 		send := func(one syscall.Signal) { So(syscall.Kill(os.Getpid(), one), ShouldBeNil) }
--- a/internal/ruda/ruda.go
+++ b/internal/ruda/ruda.go
@@ -1,20 +1,31 @@
-// Package ruda owns the score of the RUDA decision algorithm ("Towards a degradation-based mechanism for adaptive overload
-// control", equation 1): which group of requests gives the most resource back for the least that is lost. It must never hold
-// state, read a clock or choose what is done with the score.
+// Package ruda computes the score of the RUDA decision algorithm, equation 1 of "Towards a degradation-based
+// mechanism for adaptive overload control": which group of requests gives the most resource back for the least that
+// is lost when it is degraded. It is pure: it has no state, reads no clock, and doesn't decide what is done with
+// the score.
+//
+// The paper's formula, with its names:
+//
+//	f = (1/v) * (r / Σr) * (Σq / q)
+//
+// where v is the group's priority (the sum over all groups is 1), r the resource that it used, and q the number of
+// requests that it sent. What a group, r and q are here, and how much of a group is degraded, is up to the callers
+// (docs/design/limits.md).
 package ruda
 
 import "math"
 
-// leastSum keeps a division by a sum of nothing defined.
+// minDenominator keeps divisions by a sum of zero defined.
 const minDenominator = 1e-9
 
-// Score gives f = (1/v) x (r / sum of r) x (sum of q / q) of a group: v is its priority (all groups' sum to 1), r the
-// resource that it used and q the requests that it sent. The group with the highest score is degraded first.
+// Score gives a group's score f. The group with the highest score is degraded first. The parameters have the
+// paper's names: v is the group's priority, greater than 0; r its resource and sumR that of all groups; q its
+// requests and sumQ those of all groups.
 func Score(v, r, sumR, q, sumQ float64) float64 {
 	return 1 / v * (r / math.Max(sumR, minDenominator)) * (sumQ / math.Max(q, minDenominator))
 }
 
-// Priorities gives the groups' priorities from their ranks, 0 the most urgent: 1 / (1 + rank), scaled to sum to 1.
+// Priorities gives the priorities v of groups from their ranks, 0 being the most urgent: 1/(1+rank), scaled so that
+// the sum is 1.
 func Priorities(ranks []int) []float64 {
 	priorities := make([]float64, len(ranks))
 	sum := 0.0
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,6 +1,11 @@
-// Package serverlist owns how the platform's list of servers goes from process to process: whole at first, and then as the
-// differences between two versions. A list is in the order of its servers' ids. The package is pure; it must never hold on to a
-// list that it was handed, nor change one.
+// Package serverlist encodes versions of the platform's list of servers as deltas (delta encoding), so that
+// processes that have a version are sent only what differs in the next one.
+//
+// Lists are sorted by the servers' ids. The package is pure: it neither modifies nor keeps the lists that it is given.
+//
+// The sender computes a Delta between two versions by Diff, or combines several in a row by Compose, and sends it
+// in a protocol.ServerList with a Base. The receiver gets the new version by ApplyUpdate. Invariant: for any lists
+// a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b), Diff(b, c)), applied to a, gives c.
 package serverlist
 
 import (
@@ -11,25 +16,26 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// ErrGap tells that a difference doesn't apply to the list held: the whole list is needed.
+// ErrGap says that an update isn't based on the list that the receiver has. It must ask for the whole list.
 var ErrGap = errors.New("serverlist: the difference does not apply to the list held")
 
-// Difference is what leads from one list to another.
+// Delta is the difference between two lists.
 type Delta struct {
-	Changed []protocol.Server // added, or with another content
-	Removed []string          // ids
+	Changed []protocol.Server // servers that were added or whose content changed
+	Removed []string          // ids of servers that were removed
 }
 
-// Empty tells whether nothing differs.
+// Empty reports whether the lists are the same.
 func (d *Delta) Empty() bool { return len(d.Changed) == 0 && len(d.Removed) == 0 }
 
-// Same tells whether two entries say the same. How long a server stays cold changes by itself and doesn't count.
+// SameContent reports whether two entries are the same. For how long a server is warming up isn't compared, as it
+// changes with time alone.
 func SameContent(a, b *protocol.Server) bool {
 	return a.ID == b.ID && a.Backend == b.Backend && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Stage == b.Stage
 }
 
-// Between gives what leads from one list to another.
+// Diff gives the delta between two lists, in one pass over both.
 func Diff(from, to []protocol.Server) Delta {
 	var d Delta
 	i, j := 0, 0
@@ -52,7 +58,7 @@
 	return d
 }
 
-// order tells which of two entries comes first; an end comes last.
+// compareAt compares the ids at two positions. The end of a list comes after all ids.
 func compareAt(from []protocol.Server, i int, to []protocol.Server, j int) int {
 	switch {
 	case i == len(from):
@@ -63,7 +69,7 @@
 	return strings.Compare(from[i].ID, to[j].ID)
 }
 
-// Apply gives the list that a difference makes of another.
+// Apply gives the list that a delta makes of another.
 func Apply(list []protocol.Server, d *Delta) []protocol.Server {
 	changed := slices.Clone(d.Changed)
 	slices.SortFunc(changed, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
@@ -92,7 +98,7 @@
 	return next
 }
 
-// Join gives one difference for two that follow each other.
+// Compose gives one delta for two in a row: the second wins where both change or remove a server.
 func Compose(first, second Delta) Delta {
 	overwritten := make(map[string]bool, len(second.Changed)+len(second.Removed))
 	composed := Delta{Changed: slices.Clone(second.Changed), Removed: slices.Clone(second.Removed)}
@@ -115,7 +121,9 @@
 	return composed
 }
 
-// Follow gives the whole list after an update, which may be a difference. held may be nil. With ErrGap the whole list is needed.
+// ApplyUpdate gives the list after an update, which is a whole list or a delta (Base other than 0). The current
+// list is nil if there is none yet. The error is ErrGap if the delta is based on another version than the current
+// one.
 func ApplyUpdate(current, update *protocol.ServerList) (*protocol.ServerList, error) {
 	if update.Base == 0 {
 		return update, nil
@@ -124,5 +132,6 @@
 		return nil, ErrGap
 	}
 	delta := Delta{Changed: update.Servers, Removed: update.Removed}
-	return &protocol.ServerList{Version: update.Version, Source: update.Source, Servers: Apply(current.Servers, &delta)}, nil
+	servers := Apply(current.Servers, &delta)
+	return &protocol.ServerList{Version: update.Version, Source: update.Source, Servers: servers}, nil
 }
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -16,7 +16,11 @@
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 12), 0, 8, rapid.ID[int]).Draw(t, "ids")
 	list := []protocol.Server{}
 	for _, id := range ids {
-		list = append(list, protocol.Server{ID: fmt.Sprint("i", id), Slots: rapid.IntRange(1, 2).Draw(t, "slots"), Draining: rapid.Bool().Draw(t, "draining")})
+		list = append(list, protocol.Server{
+			ID:       fmt.Sprint("i", id),
+			Slots:    rapid.IntRange(1, 2).Draw(t, "slots"),
+			Draining: rapid.Bool().Draw(t, "draining"),
+		})
 	}
 	slices.SortFunc(list, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
 	return list
@@ -24,8 +28,8 @@
 
 func equal(a, b []protocol.Server) bool { return len(a) == 0 && len(b) == 0 || reflect.DeepEqual(a, b) }
 
-// TestDifferences holds differences, joined or one by one, to what they stand for.
-func TestDifferences(t *testing.T) {
+// TestDeltas checks the package's invariant on random lists.
+func TestDeltas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second, third := drawList(t), drawList(t), drawList(t)
 		kept := slices.Clone(first)
@@ -33,9 +37,9 @@
 		if got := Apply(first, &one); !equal(got, second) {
 			t.Fatalf("%v leads to %v", one, got)
 		}
-		joined := Compose(one, two)
-		if got := Apply(first, &joined); !equal(got, third) {
-			t.Fatalf("%v and %v join to %v, which leads to %v", one, two, joined, got)
+		composed := Compose(one, two)
+		if got := Apply(first, &composed); !equal(got, third) {
+			t.Fatalf("%v and %v compose to %v, which leads to %v", one, two, composed, got)
 		}
 		if none := Diff(first, first); !none.Empty() {
 			t.Fatalf("%v leads from a list to itself", none)
@@ -46,13 +50,16 @@
 	})
 }
 
-func TestFollow(t *testing.T) {
+// TestApplyUpdate checks whole lists, deltas, and deltas that are based on another list.
+func TestApplyUpdate(t *testing.T) {
 	held := &protocol.ServerList{Version: 4, Source: "a", Servers: []protocol.Server{{ID: "1"}, {ID: "2"}}}
 	whole := &protocol.ServerList{Version: 1, Source: "b"}
 	if next, err := ApplyUpdate(held, whole); err != nil || next != whole {
 		t.Fatal(next, err)
 	}
-	update := &protocol.ServerList{Version: 6, Source: "a", Base: 4, Servers: []protocol.Server{{ID: "3"}}, Removed: []string{"1"}}
+	update := &protocol.ServerList{
+		Version: 6, Source: "a", Base: 4, Servers: []protocol.Server{{ID: "3"}}, Removed: []string{"1"},
+	}
 	next, err := ApplyUpdate(held, update)
 	if err != nil || next.Version != 6 || next.Base != 0 || len(next.Servers) != 2 || next.Servers[1].ID != "3" {
 		t.Fatal(next, err)
