--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -1,15 +1,3 @@
-// Package admission owns the decision which live requests a gateway refuses while the servers are overloaded. Requests are
-// grouped by route. Each second every group's share of the attempt latency is set against its share of the requests and its
-// priority (package ruda); while a route's 90th percentile attempt latency passes its target, requests of the group with the
-// highest score are refused, a second later those of the next, and after calm seconds the cuts are lifted in reverse order.
-//
-// A cut takes a share of a group's requests, never all of them: at most mostRefused of any group and any tenant priority, and
-// never a larger share of more urgent requests than of less urgent ones of the same service. The tenant's priority goes
-// before the route's. Shares are spread evenly over the sizes of requests. Nothing is refused while under half of the places
-// of the servers are taken, or while that isn't known.
-//
-// It must never hold a tenant to its quota, choose a server, do input or output, or read a clock: the time is an argument, on
-// a steady clock. All methods may be called from several goroutines.
 package admission
 
 import (
@@ -22,81 +10,90 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// The settled figures of the mechanism.
+// Settings of the mechanism. docs/operate/admission.md lists those that an operator sees, docs/design/limits.md gives their
+// reasons.
 const (
-	interval          = time.Second            // between judgements
-	windowSlots       = 8                      // intervals whose latencies are remembered
-	smoothingOver     = 4                      // intervals over which the score's counts are smoothed
-	minSamples        = 20                     // attempts that a percentile is taken from, where the window has as many
-	minLate           = 3                      // late attempts without which no percentile is judged
-	lateShare         = 0.1                    // the 90th percentile passes the target when a tenth is late
-	chanceBound       = 1.64                   // deviations beyond it that chance passes once in twenty
-	minRequestRate    = 0.5                    // smoothed requests a second below which a group has no score
-	maxLatencyTargets = 4                      // in targets: the most that one attempt adds to its group's latency
-	minUtilization    = 0.55                   // share of the places below which nothing is refused
-	loadTTL           = 3 * time.Second        // how long a told load stands
-	maxShed           = 0.6                    // largest share of any group and tenant priority that is refused
-	stepShare         = 0.125                  // share of a group's requests that one cut takes
-	steepStepShare    = 0.25                   // the same while half of the attempts are late
-	minStepShare      = 0.02                   // a cut that would take less goes to the next group
-	calmIntervals     = 3                      // calm seconds before the first cut is lifted
-	returnerGrace     = 0.3                    // shares refused up to this let requests that came back pass
-	minRetryAfter     = 600 * time.Millisecond // after which a refused client is asked to come back
-	maxRetryAfter     = 1500 * time.Millisecond
-	retryAfterShare   = 0.3 // of the time left: clients honour a third
+	interval = time.Second // between decisions
+
+	// Latency.
+	windowSlots       = 8    // intervals whose latencies are kept
+	smoothingOver     = 4    // intervals over which the score's counts are smoothed
+	minSamples        = 20   // attempts that a percentile is taken from, if the window has as many
+	minLate           = 3    // late attempts below which a target isn't missed
+	lateShare         = 0.1  // of attempts: the 90th percentile misses the target when more are late
+	chanceBound       = 1.64 // standard deviations above lateShare, exceeded by chance once in twenty
+	minRequestRate    = 0.5  // smoothed requests a second below which a group has no score
+	maxLatencyTargets = 4    // most that one attempt adds to its group's latency, in targets
+
+	// Load of the servers.
+	minUtilization = 0.55            // of the slots; below it nothing is shed
+	loadTTL        = 3 * time.Second // how long an observed load is valid
+
+	// Shedding.
+	maxShed        = 0.6   // largest share of any group and tenant priority
+	stepShare      = 0.125 // of a group's requests that one step sheds
+	steepStepShare = 0.25  // the same while half of the attempts are late
+	minStepShare   = 0.02  // a group that could shed less is passed over
+	calmIntervals  = 3     // without overload before the first step is taken back
+
+	// Clients that come back after a rejection.
+	returnerGrace   = 0.3                    // while a share is below it, they aren't shed
+	minRetryAfter   = 600 * time.Millisecond // after which they are asked to come back
+	maxRetryAfter   = 1500 * time.Millisecond
+	retryAfterShare = 0.3 // of the time left, as longest Retry-After: clients honor a third of it
 )
 
-// Reason tells why a request was refused.
+// Reason is why a request was rejected.
 type Reason string
 
-// The reasons.
+// Reasons of rejections.
 const (
 	ReasonNone     Reason = ""
-	ReasonOverload Reason = "overload" // its group is cut
+	ReasonOverload Reason = "overload" // load shedding of its group
 )
 
-// Request is what admission weighs of a request.
+// Request is what admission knows of a request's size and time.
 type Request struct {
 	PromptTokens int
-	OutputTokens int           // the most to come out
+	OutputTokens int           // at most
 	Remaining    time.Duration // until the client's deadline; 0: not known
 }
 
-// Decision is what became of a request.
+// Decision is the answer to Admit.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // of a refused one
+	RetryAfter time.Duration // if it is rejected
 	Reason     Reason
 }
 
-// Options are what a gateway tells once.
+// Options are the fixed settings of an Admission.
 type Options struct {
-	Random *rand.Rand // spreads Retry-After and the first refusal of each size; nil: seeded at random
+	Random *rand.Rand // spreads Retry-After and the first rejection of each size; nil: seeded at random
 }
 
-// Admission is the state of one gateway.
+// Admission is the load shedding of one gateway. It is safe for concurrent use.
 type Admission struct {
-	mutex      sync.Mutex
+	mutex      sync.Mutex // guards all fields
 	random     *rand.Rand
 	started    bool
-	nextTick   time.Duration
-	priorities []int // the tenants' priorities in use, the most urgent first
+	nextTick   time.Duration // end of the current interval
+	priorities []int         // the tenants' priorities in use, the most urgent first; a class is an index
 	groups     map[string]*group
-	order      []*group // as in the configuration
+	order      []*group // in the configuration's order
 	loads      map[string]serviceLoad
-	actions    []shedAction // in the order in which they were made
-	calm       int          // intervals since the last that was pressed
-	restoring  bool         // calm has lasted: cuts are being lifted
+	actions    []shedAction // steps in force, in the order in which they were taken
+	calm       int          // intervals since the last with an overload
+	restoring  bool         // calm has lasted, and a step is taken back each interval
 }
 
-// load is what is known of a service's servers.
+// serviceLoad is the observed load of a backend's servers.
 type serviceLoad struct {
 	at          time.Duration
-	utilization float64 // share of the places
-	queueing    bool
+	utilization float64 // share of the slots in use
+	queueing    bool    // requests wait for slots
 }
 
-// New makes the state of a gateway that has no configuration yet: it admits everything.
+// New returns the admission of a gateway without a configuration: it admits everything.
 func New(options Options) *Admission {
 	random := options.Random
 	if random == nil {
@@ -105,12 +102,12 @@
 	return &Admission{random: random, groups: map[string]*group{}, loads: map[string]serviceLoad{}}
 }
 
-// Configure takes a configuration in. Groups that stay keep their counts; cuts stay while no urgency changed.
+// Configure applies a configuration. Groups that stay keep their counts; what is shed stays unless a priority changed.
 func (a *Admission) Configure(snapshot *configuration.Snapshot) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	priorities := tenantPriorities(snapshot)
-	keepCuts := slices.Equal(priorities, a.priorities)
+	keepActions := slices.Equal(priorities, a.priorities)
 	a.priorities = priorities
 	previous := a.groups
 	a.groups, a.order = make(map[string]*group, len(snapshot.Routes)), nil
@@ -123,21 +120,21 @@
 		if g == nil {
 			g = &group{name: route.Name}
 		} else if g.rank != route.Priority {
-			keepCuts = false
+			keepActions = false
 		}
 		g.configure(route, len(priorities))
 		a.groups[route.Name] = g
 		a.order = append(a.order, g)
 	}
 	a.updatePriorities()
-	if !keepCuts {
+	if !keepActions {
 		a.restoreAll()
 	}
 	a.forgetRemoved()
 	a.updateEffective()
 }
 
-// Admit decides about a request that has come. A nil tenant is that of a public route.
+// Admit decides about a request. The tenant is nil on a public route.
 func (a *Admission) Admit(now time.Duration, route *configuration.Route, tenant *configuration.Tenant, size Request) Decision {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -163,7 +160,7 @@
 	return Decision{RetryAfter: a.retryAfter(size.Remaining), Reason: ReasonOverload}
 }
 
-// Sent counts a request that was sent on.
+// Sent counts a request that was sent to a server.
 func (a *Admission) Sent(now time.Duration, routeName string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -173,8 +170,8 @@
 	}
 }
 
-// Attempt counts an attempt by its latency: to the first event on streaming routes, to the answer on others. An attempt that
-// was given up counts with the time that it had.
+// Attempt counts an attempt by its latency: to the first event on streaming routes, to the response on others. An attempt
+// that was given up counts with the time until then.
 func (a *Admission) Attempt(now time.Duration, routeName string, latency time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -184,21 +181,22 @@
 	}
 }
 
-// Load tells the share of the places of a service's servers that are taken, as far as the gateway knows, and whether requests
-// wait at them.
-func (a *Admission) ObserveLoad(now time.Duration, backend string, takenShare float64, waiting bool) {
+// ObserveLoad takes in the load of a backend's servers: the share of their slots that is in use, and whether requests wait
+// for slots.
+func (a *Admission) ObserveLoad(now time.Duration, backend string, utilization float64, queueing bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance(now)
-	a.loads[backend] = serviceLoad{at: now, utilization: takenShare, queueing: waiting}
+	a.loads[backend] = serviceLoad{at: now, utilization: utilization, queueing: queueing}
 }
 
-// returningShare is the share of requests refused once already that is refused again where share of the others is.
+// returnerShed returns the share to shed of requests that were rejected before, when share is shed of the others: none up
+// to returnerGrace, then rising to the same maximum.
 func returnerShed(share float64) float64 {
 	return max(0, (share-returnerGrace)*maxShed/(maxShed-returnerGrace))
 }
 
-// retryAfter spreads the clients' return, within the time that they honour.
+// retryAfter returns a random Retry-After, so that clients don't come back at once, within the time that they honor.
 func (a *Admission) retryAfter(remaining time.Duration) time.Duration {
 	longest := maxRetryAfter
 	if remaining > 0 {
@@ -208,11 +206,11 @@
 	return shortest + time.Duration(a.random.Float64()*float64(longest-shortest))
 }
 
-// mayRefuse tells whether the servers of a group are known to be loaded: all its services, so that none has room.
+// serversLoaded reports whether the servers of all of a group's backends are known to be loaded.
 func (a *Admission) serversLoaded(g *group, now time.Duration) bool {
 	for _, backend := range g.backends {
-		known, told := a.loads[backend]
-		if !told || now-known.at > loadTTL || known.utilization < minUtilization && !known.queueing {
+		load, known := a.loads[backend]
+		if !known || now-load.at > loadTTL || load.utilization < minUtilization && !load.queueing {
 			return false
 		}
 	}
--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -17,7 +17,7 @@
 	millisecond = time.Millisecond
 )
 
-// testSnapshot has routes of the given ranks before one service and a tenant of each priority.
+// testSnapshot has routes of the given ranks before one backend, and a tenant of each priority.
 func testSnapshot(ranks, tenantPriorities []int) *configuration.Snapshot {
 	document := configuration.Document{Backends: []configuration.Backend{{Name: backendName}}}
 	for i, rank := range ranks {
@@ -69,7 +69,7 @@
 	rates := []int{50, 5}
 	late := []time.Duration{150 * millisecond, 900 * millisecond}
 
-	Convey("The group with the top score is refused first, the next a second later, and calm lifts both", t, func() {
+	Convey("The group with the top score is shed first, the next an interval later, and calm restores both", t, func() {
 		a := newAdmission(snapshot, 1)
 		So(play(a, snapshot, 0, 2, rates, []time.Duration{50 * millisecond, 50 * millisecond}, 0.9), ShouldResemble, []float64{0, 0})
 		play(a, snapshot, 2, 2, rates, late, 0.9)
@@ -88,7 +88,7 @@
 		So(play(a, snapshot, 28, 2, rates, calm, 0.9), ShouldResemble, []float64{0, 0})
 	})
 
-	Convey("Nothing is refused while under half of the places are taken, or while that isn't known", t, func() {
+	Convey("Nothing is shed while little of the capacity is in use, or while that isn't known", t, func() {
 		a := newAdmission(snapshot, 1)
 		So(play(a, snapshot, 0, 10, rates, late, 0.45), ShouldResemble, []float64{0, 0})
 		unknown := newAdmission(snapshot, 1)
@@ -101,7 +101,7 @@
 		}
 	})
 
-	Convey("A refusal tells when to come back, and who comes back is let in while the cut is small", t, func() {
+	Convey("A rejection has a Retry-After, and who comes back is admitted while the share is small", t, func() {
 		a := newAdmission(snapshot, 1)
 		play(a, snapshot, 2, 2, rates, late, 0.9)
 		route := &snapshot.Routes[1]
@@ -120,7 +120,7 @@
 		So(a.retryAfter(600*millisecond), ShouldBeLessThan, 200*millisecond)
 	})
 
-	Convey("A gateway that stood still begins anew", t, func() {
+	Convey("After a process pause a gateway starts over", t, func() {
 		a := newAdmission(snapshot, 1)
 		play(a, snapshot, 0, 6, rates, late, 0.9)
 		a.ObserveLoad(60*second, backendName, 0.9, true)
@@ -130,7 +130,7 @@
 }
 
 func TestLessUrgentShedFirst(t *testing.T) {
-	Convey("However high its score, a more urgent group isn't refused before the less urgent ones are", t, func() {
+	Convey("However high its score, a more urgent group isn't shed before the less urgent ones are", t, func() {
 		snapshot := testSnapshot([]int{0, 2}, []int{0, 1})
 		a := newAdmission(snapshot, 1)
 		random := rand.New(rand.NewPCG(3, 3))
@@ -200,7 +200,7 @@
 		So(float64(raw)/float64(judged), ShouldBeLessThan, 0.92)
 	})
 
-	Convey("Where one in sixteen is late by nature, a loaded gateway hardly ever cuts", t, func() {
+	Convey("If one in sixteen is late without overload, a loaded gateway hardly ever sheds", t, func() {
 		snapshot := testSnapshot([]int{0}, []int{0})
 		cuts, intervals := 0, 0
 		for seed := range uint64(20) {
@@ -228,7 +228,7 @@
 	})
 }
 
-// offerOne counts an offered request without drawing a decision.
+// countOffered counts an offered request without drawing a decision.
 func (a *Admission) countOffered(route string) { a.groups[route].countOffered(0) }
 
 func TestReport(t *testing.T) {
--- a/internal/gateway/admission/load_test.go
+++ b/internal/gateway/admission/load_test.go
@@ -8,24 +8,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// queueModel is a service that works on a fixed number of tokens a second, first come first served.
+// queueModel is a server with a fixed rate of tokens per second, first come first served.
 type queueModel struct {
 	perSecond float64
 	free      time.Duration // when its queue is empty
 }
 
-// serve gives the latency of a request that comes now.
+// serve returns the latency of a request that arrives now.
 func (q *queueModel) serve(now time.Duration, cost float64) time.Duration {
 	q.free = max(q.free, now) + time.Duration(cost/q.perSecond*float64(second))
 	return q.free - now
 }
 
-// outcome counts what became of requests.
+// outcome counts requests by how they ended.
 type outcome struct{ offered, served, inTime float64 }
 
 func (o *outcome) share() float64 { return o.served / max(1, o.offered) }
 
-// world is gateways with their own admission before one queue.
+// simulatedLoad is gateways, each with its own admission, before one queue.
 type simulatedLoad struct {
 	random    *rand.Rand
 	gateways  []*Admission
@@ -34,7 +34,7 @@
 	returning []arrival
 }
 
-// arrival is a request that comes, or comes back.
+// arrival is a request that arrives, for the first time or after a rejection.
 type arrival struct {
 	at, first     time.Duration
 	route, tenant int
@@ -138,7 +138,7 @@
 		}
 	})
 
-	Convey("In calm it refuses nothing, and in a burst more are in time than without it", t, func() {
+	Convey("Without overload it sheds nothing, and in a burst more are in time than without it", t, func() {
 		calm := make([]float64, 40)
 		burst := make([]float64, 40)
 		for i := range calm {
--- a/internal/gateway/admission/report.go
+++ b/internal/gateway/admission/report.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// slack is the rounding that sums of shares may carry.
+// roundingSlack is the rounding error that sums of shares may have.
 const roundingSlack = 1e-9
 
-// GroupReport is what an operator sees of a group.
+// GroupReport is the state of a group, for operators.
 type GroupReport struct {
 	Route        string
 	Priority     float64       // v
-	Requests     float64       // q, a second
-	Latency      float64       // r, seconds a second
+	Requests     float64       // q, per second
+	Latency      float64       // r, seconds per second
 	Score        float64       // f
 	Percentile90 time.Duration // of the recent attempts
 	Shed         []float64     // share by tenant priority, the most urgent first
-	Rejections   uint64        // since the route is known
+	Rejections   uint64        // since the route was configured
 }
 
-// Report tells each group's state.
+// Report returns the state of each group.
 func (a *Admission) Report() []GroupReport {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -36,8 +36,8 @@
 	return list
 }
 
-// checkInvariants panics where a share is out of bounds, or grows with the urgency within a group: both are faults of this
-// package.
+// checkInvariants panics if a share is out of bounds, or is larger for more urgent tenants of a group: either is a bug of
+// this package.
 func (a *Admission) checkInvariants() {
 	for _, g := range a.order {
 		for class, share := range g.effectiveShed {
--- a/internal/gateway/admission/latency.go
+++ b/internal/gateway/admission/window.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	latencyBuckets     = 64
-	bucketsPerDoubling = 4 // buckets in which a latency doubles
+	latencyBuckets     = 64 // of a histogram; from a millisecond to about a minute
+	bucketsPerDoubling = 4  // each bucket is a fifth wider than the one before
 	firstBucket        = time.Millisecond
-	recentSlots        = 2 // intervals that must miss the target by themselves
+	recentSlots        = 2 // newest intervals, which must miss the target by themselves
 )
 
-// slot is what one interval saw of a group. The buckets widen with the latency, by a fifth each, from a millisecond to a
-// minute.
+// slot is one interval's counts of a group.
 type slot struct {
-	sent    uint32
-	count   uint32
-	late    uint32  // beyond the target
-	latency float64 // summed, in seconds; each attempt's at most latencyCap targets
+	sent    uint32  // requests
+	count   uint32  // attempts that ended
+	late    uint32  // of these, with a latency above the target
+	latency float64 // sum, in seconds; of each attempt at most maxLatencyTargets
 	buckets [latencyBuckets]uint16
 }
 
+// add counts an attempt.
 func (s *slot) add(latency, target time.Duration) {
 	s.count++
 	if latency > target {
@@ -33,20 +33,21 @@
 	}
 }
 
+// bucketOf returns the bucket of a latency.
 func bucketOf(latency time.Duration) int {
 	if latency <= firstBucket {
 		return 0
 	}
-	place := bucketsPerDoubling * math.Log2(float64(latency)/float64(firstBucket))
-	return min(int(math.Ceil(place)), latencyBuckets-1)
+	index := bucketsPerDoubling * math.Log2(float64(latency)/float64(firstBucket))
+	return min(int(math.Ceil(index)), latencyBuckets-1)
 }
 
-// bucketTop is the longest latency of a bucket.
+// bucketTop returns the longest latency of a bucket.
 func bucketTop(bucket int) time.Duration {
 	return time.Duration(float64(firstBucket) * math.Exp2(float64(bucket)/bucketsPerDoubling))
 }
 
-// recent sums the newest slots, back until there are leastSamples.
+// recent sums the newest slots, as many as needed for minSamples.
 func (g *group) recent() (sum slot) {
 	for back := 0; back < windowSlots && sum.count < minSamples; back++ {
 		one := &g.window[(g.current-back+windowSlots)%windowSlots]
@@ -59,7 +60,7 @@
 	return sum
 }
 
-// percentile90 gives the latency that nine in ten stay within, to a bucket.
+// percentile90 returns the 90th percentile of the latency, rounded up to a bucket.
 func (s *slot) percentile90() time.Duration {
 	left := uint32(math.Ceil((1 - lateShare) * float64(s.count)))
 	for i, n := range s.buckets {
@@ -71,13 +72,15 @@
 	return bucketTop(latencyBuckets - 1)
 }
 
-// missesTarget tells whether the 90th percentile passes the target, by more than chance gives so few attempts.
+// missesTarget reports whether the 90th percentile exceeds the target, significantly for the number of attempts (normal
+// approximation of the binomial distribution).
 func (s *slot) missesTarget() bool {
 	n, late := float64(s.count), float64(s.late)
 	return late >= minLate && late > n*lateShare+chanceBound*math.Sqrt(n*lateShare*(1-lateShare))
 }
 
-// stillLate tells whether the newest intervals miss the target too, so that what came before a cut doesn't call for the next.
+// stillLate reports whether the newest intervals alone miss the target as well: latencies from before a step don't call for
+// the next one.
 func (g *group) stillLate() bool {
 	count, late := uint32(0), uint32(0)
 	for back := range recentSlots {
