--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -8,9 +8,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-var errNotUpdate = errors.New("subscription: the answer to a poll is no update")
-
-// take puts what an update brings in force.
+// handleUpdate applies an update that was pushed or is the answer to a poll.
 func (s *Subscription) handleUpdate(update *protocol.Update, now time.Time) {
 	s.apply(update, now)
 	if s.opt.OnUpdate != nil {
@@ -18,6 +16,7 @@
 	}
 }
 
+// apply applies the parts of an update.
 func (s *Subscription) apply(update *protocol.Update, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,8 +31,9 @@
 	}
 }
 
-// processes takes a list of processes in. Who else may be asked is a hint from whomever it comes; all else is taken only from one
-// that vouches for it, and a set of batch processes never goes back.
+// applyMembers applies a list of processes. The control processes in it are taken as candidates to subscribe to from any
+// list. All else is taken only from a list that control confirms, and the set of batch processes never goes back to an
+// older epoch. mu is held.
 func (s *Subscription) applyMembers(list *protocol.MemberList) {
 	s.control.Update(list.Control)
 	if !list.Vouched {
@@ -47,7 +47,7 @@
 	s.members.Store(list)
 }
 
-// list puts a newer list of servers in force.
+// applyServers applies an update of the server list. mu is held.
 func (s *Subscription) applyServers(update *protocol.Update, now time.Time) {
 	next, err := s.serverList.apply(update, now)
 	if err != nil {
@@ -57,14 +57,15 @@
 	s.opt.Servers.Apply(next)
 }
 
+// noteListAge takes in how old the server list is, by the answer to a poll.
 func (s *Subscription) noteListAge(sent time.Time, update *protocol.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serverList.answered(sent, update)
 }
 
-// configure takes a newer configuration in. Where the steps to it can't be taken it is asked for again: from what is held,
-// or whole where that leads nowhere.
+// applyConfiguration applies a newer configuration. If the update doesn't apply to the configuration held, the next poll
+// asks again: for an update from that one after a gap, else for the complete configuration. mu is held.
 func (s *Subscription) applyConfiguration(update *protocol.ConfigurationUpdate) {
 	if update.Index <= s.state.Current().Index {
 		return
@@ -84,7 +85,7 @@
 	s.activate(version.Snapshot())
 }
 
-// enforce puts a configuration in force.
+// activate puts a configuration in force. mu is held.
 func (s *Subscription) activate(next *configuration.Snapshot) {
 	s.configuration.Store(next)
 	if s.opt.OnConfiguration != nil {
--- a/internal/gateway/subscription/polling.go
+++ b/internal/gateway/subscription/confirmation.go
@@ -7,24 +7,23 @@
 )
 
 const (
-	// unsureMost is how long a home may go without vouching for what it says.
+	// maxUnconfirmed is how long a control process may answer without confirming its state before another is tried.
 	maxUnconfirmed = 600 * time.Millisecond
-	// unsurePoll is the time between polls while it doesn't.
+	// unconfirmedPollInterval is the time between polls while it doesn't confirm.
 	unconfirmedPollInterval = 120 * time.Millisecond
-	// soonest is the least time between polls that somebody waits for.
-	minPollInterval = 50 * time.Millisecond
 )
 
-// polling is how one home has answered since it became the home.
+// pollState is how one control process has answered since the subscription to it began.
 type pollState struct {
-	confirmedAt time.Time // when the last poll was sent that it vouched in the answer to
+	confirmedAt time.Time // when the last poll was sent whose answer confirmed the state
 }
 
 func newPollState(now time.Time) pollState { return pollState{confirmedAt: now} }
 
-// answered takes in what an answer says of itself, after what it brings was taken in: in how long after the poll the next is due,
-// and whether the home is still one.
-func (s *Subscription) handlePollAnswer(p *pollState, sent, now time.Time, update *protocol.Update) (pause time.Duration, stays bool) {
+// handlePollAnswer takes in what the answer to a poll says of the control process's state, after its update was applied. It
+// returns how long after the poll the next one is due, and whether the subscription stays with that control process.
+func (s *Subscription) handlePollAnswer(p *pollState, sent, now time.Time, update *protocol.Update) (
+	pause time.Duration, stays bool) {
 	s.noteListAge(sent, update)
 	pause = protocol.PollInterval
 	if update.Fresh {
@@ -42,13 +41,13 @@
 	return pause, true
 }
 
-// vouched takes in that all which was acknowledged longer than age before an answer is known here. What waited for it is in force
-// before the lease counts from it.
+// confirm takes in that the state held has all that was acknowledged longer than age before the poll was sent. A
+// configuration that waits for it takes effect before the lease is renewed, as the lease is for that configuration.
 func (s *Subscription) confirm(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.behind {
-		return // what was sent could not be put in force
+		return // the confirmed configuration couldn't be applied
 	}
 	s.everConfirmed = true
 	if s.pending != nil {
@@ -61,7 +60,7 @@
 	s.confirmed = make(chan struct{})
 }
 
-// lacks tells whether something newer is known to be in force than what is held here.
+// isBehind reports whether a newer configuration is known to exist than the one held.
 func (s *Subscription) isBehind() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/internal/gateway/subscription/connection.go
@@ -0,0 +1,151 @@
+package subscription
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"sprucelane.example/sprucelane/coord/transport"
+	"sprucelane.example/sprucelane/internal/node"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+const (
+	// replyTimeout is how long a control process may take to accept a connection or to answer a poll.
+	replyTimeout = 700 * time.Millisecond
+	// reconnectPause is the time before another control process is tried.
+	reconnectPause = 60 * time.Millisecond
+	// minPollInterval is the least time between two polls.
+	minPollInterval = 50 * time.Millisecond
+)
+
+// errNotUpdate reports that a control process answered a poll with another message.
+var errNotUpdate = errors.New("subscription: the answer to a poll is no update")
+
+// Run keeps the subscription up to date until ctx ends.
+func (s *Subscription) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		s.mu.Lock()
+		ip := s.control.Next(time.Now())
+		s.mu.Unlock()
+		if ip != "" {
+			reason := s.subscribeTo(ctx, ip)
+			s.mu.Lock()
+			s.control.MarkFailed(ip, time.Now())
+			s.mu.Unlock()
+			s.opt.Log.Debug().Str("home", ip).Str("reason", reason).Msg("home_left")
+		}
+		sleep(ctx, reconnectPause)
+	}
+}
+
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
+	}
+}
+
+// subscribeTo subscribes to one control process for as long as that serves, and returns why it no longer does.
+func (s *Subscription) subscribeTo(ctx context.Context, ip string) (reason string) {
+	s.mu.Lock()
+	s.serverList.reconnected(time.Now())
+	s.mu.Unlock()
+	connected := make(chan bool, 16)
+	client := transport.NewClient(s.opt.Settings.EndpointAt(ip, node.PortControl), s.opt.Transport,
+		func(message any) {
+			if update, ok := message.(protocol.Update); ok {
+				s.handleUpdate(&update, time.Now())
+			}
+		},
+		func(up bool) {
+			select {
+			case connected <- up:
+			default:
+			}
+		})
+	defer client.Close()
+	timer := time.NewTimer(replyTimeout)
+	defer timer.Stop()
+	select {
+	case <-connected:
+	case <-timer.C:
+		return "no connection"
+	case <-ctx.Done():
+		return "end"
+	}
+	s.opt.Log.Debug().Str("home", ip).Msg("home_found")
+	return s.poll(ctx, client, connected)
+}
+
+// poll polls one control process until it fails, and returns the reason. connected reports changes of the connection: the
+// first after the connection was established is its end.
+func (s *Subscription) poll(ctx context.Context, client *transport.Client, connected <-chan bool) (reason string) {
+	state := newPollState(time.Now())
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for sequence := uint64(1); ; sequence++ {
+		sent := time.Now()
+		update, err := s.pollOnce(ctx, client, sequence, sent)
+		if err != nil {
+			return err.Error()
+		}
+		pause, stays := s.handlePollAnswer(&state, sent, time.Now(), update)
+		if !stays {
+			return "unsure"
+		}
+		timer.Reset(time.Until(sent.Add(pause)))
+		select {
+		case <-timer.C:
+		case <-s.wake:
+			sleep(ctx, time.Until(sent.Add(minPollInterval)))
+		case <-connected:
+			return "connection ended"
+		case <-ctx.Done():
+			return "end"
+		}
+	}
+}
+
+// pollOnce sends a poll and applies the answer.
+func (s *Subscription) pollOnce(ctx context.Context, client *transport.Client, sequence uint64, sent time.Time) (
+	*protocol.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
+	defer cancel()
+	reply, err := client.Call(ctx, s.buildPoll(sequence))
+	if err != nil {
+		return nil, err
+	}
+	update, ok := reply.(protocol.Update)
+	if !ok {
+		return nil, errNotUpdate
+	}
+	s.handleUpdate(&update, time.Now())
+	if update.Store != nil && s.opt.OnGrant != nil {
+		s.opt.OnGrant(*update.Store, sent)
+	}
+	return &update, nil
+}
+
+// buildPoll returns a poll with the versions held, so that the answer has only what is newer.
+func (s *Subscription) buildPoll(sequence uint64) protocol.Poll {
+	poll := protocol.Poll{Process: s.opt.Process, Sequence: sequence, Ready: s.opt.Ready()}
+	s.mu.Lock()
+	if !s.requestFull {
+		poll.Configuration = s.state.Current().Index
+	}
+	poll.WholeServers = s.serverList.incomplete
+	s.mu.Unlock()
+	if table := s.opt.Servers.Current(); table != nil {
+		poll.Servers = table.Version
+	}
+	if members := s.members.Load(); members != nil {
+		poll.Members = members.Version
+	}
+	if s.opt.Report != nil {
+		poll.Batch = s.opt.Report()
+	}
+	return poll
+}
--- a/internal/gateway/subscription/homes.go
+++ b/internal/gateway/subscription/control_selector.go
@@ -9,38 +9,39 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// restFor is how long a control process that failed is asked only where no other is left.
+// failureBackoff is how long a control process that failed is chosen only if no other is left.
 const failureBackoff = 3 * time.Second
 
-// Homes chooses which control process is asked. It never forgets one: those that the newest list doesn't name may be the only
-// ones that a gateway that is cut off can reach.
+// ControlSelector chooses the control process to subscribe to. It never forgets one: a control process that the newest
+// list lacks may be the only one that a partitioned gateway can reach. It isn't safe for concurrent use.
 type ControlSelector struct {
 	zone    string
 	node    string
 	members map[string]*controlProcess // by IP
 }
 
+// controlProcess is a candidate.
 type controlProcess struct {
 	ip       string
-	zone     string
-	listed   bool // in the newest list
+	zone     string // empty: not known
+	listed   bool   // in the newest list
 	failedAt time.Time
-	weight   uint64 // spreads gateways over the homes that are as good for them
+	weight   uint64 // a hash with this node's name, which spreads gateways over equally good candidates
 }
 
-// NewHomes gives the choice of a gateway on a machine of a zone.
+// NewControlSelector returns the selector of a process on a node in a zone.
 func NewControlSelector(node, zone string) *ControlSelector {
 	return &ControlSelector{zone: zone, node: node, members: map[string]*controlProcess{}}
 }
 
-// Seed adds machines of which only the address is known.
+// Seed adds candidates of which only the address is known.
 func (h *ControlSelector) Seed(ips []string) {
 	for _, ip := range ips {
 		h.member(ip)
 	}
 }
 
-// Learn takes a newer list of control processes in.
+// Update takes in a newer list of control processes.
 func (h *ControlSelector) Update(list []protocol.ControlMember) {
 	for _, one := range h.members {
 		one.listed = false
@@ -51,6 +52,7 @@
 	}
 }
 
+// member returns the candidate with an IP, which it adds if necessary.
 func (h *ControlSelector) member(ip string) *controlProcess {
 	one := h.members[ip]
 	if one == nil {
@@ -62,10 +64,10 @@
 	return one
 }
 
-// Failed notes that a control process did not do.
+// MarkFailed notes that a control process didn't serve.
 func (h *ControlSelector) MarkFailed(ip string, now time.Time) { h.member(ip).failedAt = now }
 
-// Next gives the IP of the control process to ask, empty where none is known.
+// Next returns the IP of the control process to subscribe to, or "" if none is known.
 func (h *ControlSelector) Next(now time.Time) string {
 	list := make([]*controlProcess, 0, len(h.members))
 	for _, one := range h.members {
@@ -77,6 +79,8 @@
 	return slices.MinFunc(list, func(a, b *controlProcess) int { return h.compare(a, b, now) }).ip
 }
 
+// compare orders candidates: those that have not failed lately first, then (of those that have) the one that failed first,
+// then those in the newest list, in the own zone, and by weight.
 func (h *ControlSelector) compare(a, b *controlProcess, now time.Time) int {
 	return cmp.Or(
 		compareBool(a.backingOff(now), b.backingOff(now)),
@@ -87,11 +91,12 @@
 	)
 }
 
+// backingOff reports whether the control process failed lately.
 func (one *controlProcess) backingOff(now time.Time) bool {
 	return !one.failedAt.IsZero() && now.Sub(one.failedAt) < failureBackoff
 }
 
-// restOrder puts those that rest in the order in which they failed.
+// compareBackoff orders candidates that are backing off by when they failed.
 func compareBackoff(a, b *controlProcess, now time.Time) int {
 	if !a.backingOff(now) || !b.backingOff(now) {
 		return 0
@@ -99,6 +104,7 @@
 	return a.failedAt.Compare(b.failedAt)
 }
 
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
