--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -74,7 +74,7 @@
 
 // newWorld starts a core. It is called in a bubble.
 func newClusterSimulation(t *testing.T, seed uint64, machines int, planted injectedBug) *clusterSimulation {
-	w := &clusterSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), network: bubble.New(seed), bug: planted, began: time.Now()}
+	w := &clusterSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), network: bubble.NewNetwork(seed), bug: planted, began: time.Now()}
 	for i := range machines {
 		ip := fmt.Sprint("10.0.0.", i+1)
 		w.members = append(w.members, &simulatedControl{cluster: w, ip: ip, disk: bubble.NewDisk(seed*31 + uint64(i))})
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -49,7 +49,7 @@
 
 // newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance says.
 func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
-	s := &bubbleSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.New(seed), others: map[string]*bubble.Host{}}
+	s := &bubbleSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.NewNetwork(seed), others: map[string]*bubble.Host{}}
 	s.dialFrom = func(ip string) func(context.Context, string) (net.Conn, error) { return s.host(ip).Dial }
 	s.client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
--- a/internal/simulation/bubble/connection.go
+++ b/internal/simulation/bubble/connection.go
@@ -133,14 +133,14 @@
 }
 
 // dispatch sends a segment on its way.
-func (e *endpoint) transmit(one segment) {
+func (e *endpoint) transmit(sent segment) {
 	n := e.connection.network
 	at := time.Now().Add(n.drawDelay())
 	if at.Before(e.lastArrival) {
 		at = e.lastArrival
 	}
-	one.arrival, e.lastArrival = at, at
-	e.inFlight = append(e.inFlight, one)
+	sent.arrival, e.lastArrival = at, at
+	e.inFlight = append(e.inFlight, sent)
 	if e.unackedSince.IsZero() {
 		e.unackedSince = time.Now()
 		time.AfterFunc(userTimeout, func() { n.checkUserTimeout(e) })
@@ -170,16 +170,16 @@
 	}
 }
 
-func (e *endpoint) deliver(one segment) {
+func (e *endpoint) deliver(arrived segment) {
 	if e.peer.failure != nil {
 		e.fail(syscall.ECONNRESET)
 		return
 	}
-	if one.fin {
+	if arrived.fin {
 		e.peer.remoteClosed = true
 	} else {
-		e.peer.received = append(e.peer.received, one.data...)
-		e.connection.network.received[e.peer.host.ip] += int64(len(one.data))
+		e.peer.received = append(e.peer.received, arrived.data...)
+		e.connection.network.received[e.peer.host.ip] += int64(len(arrived.data))
 	}
 	e.peer.wakeReaders()
 }
--- a/internal/simulation/bubble/network.go
+++ b/internal/simulation/bubble/network.go
@@ -38,7 +38,7 @@
 }
 
 // New gives a network without machines. Call it in the bubble.
-func New(seed uint64) *Network {
+func NewNetwork(seed uint64) *Network {
 	return &Network{random: rand.New(rand.NewPCG(seed, 11)), hosts: map[string]*Host{}, partitions: map[[2]string]int{},
 		connections: map[*connection]bool{}, lastPort: 40_000, received: map[string]int64{}}
 }
--- a/internal/simulation/bubble/network_test.go
+++ b/internal/simulation/bubble/network_test.go
@@ -41,7 +41,7 @@
 
 func TestConnections(t *testing.T) {
 	fault := func(name string, run func(t *testing.T, n *Network)) {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { run(t, New(1)) }) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { run(t, NewNetwork(1)) }) })
 	}
 	fault("bytes arrive in order, then the end", func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
