--- a/internal/simulation/bubble/connection.go
+++ b/internal/simulation/bubble/connection.go
@@ -9,39 +9,42 @@
 	"time"
 )
 
-// connection is both ends of one.
+// connection is a TCP connection with both of its ends. The mutex of the network guards all fields here.
 type connection struct {
 	network *Network
-	ends    [2]*endpoint
+	ends    [2]*endpoint // of the host that dialed, and of the one that accepted
 }
 
-// end is one side of a connection. It implements net.Conn.
+// endpoint is one side of a connection. It implements net.Conn.
 type endpoint struct {
 	connection *connection
 	host       *Host
 	local      address
 	peer       *endpoint
 
-	received     []byte
-	remoteClosed bool  // the other side has closed
-	failure      error // why nothing more is read or written here
-	wake         chan struct{}
+	// From the other side.
+	received     []byte // and not read yet
+	remoteClosed bool   // the other side has closed, and received is the rest
+	readDeadline time.Time
+	wake         chan struct{} // closed, and replaced, when a read may go on
 
-	// Towards the other side.
+	// To the other side.
 	inFlight     []segment // not delivered yet, in order
-	lastArrival  time.Time // of the newest of them
-	unackedSince time.Time // since when data is without acknowledgement; zero: none is
+	lastArrival  time.Time // of the newest segment: the order of segments stays
+	unackedSince time.Time // since when data goes without acknowledgement; zero if none does
 	closing      bool
-	readDeadline time.Time
+
+	failure error // why nothing more is read or written on this side
 }
 
-// segment is what one write sent.
+// segment is what one write sent, or the end of the stream.
 type segment struct {
-	arrival time.Time
+	arrival time.Time // at the earliest: a partition may hold it back
 	data    []byte
-	fin     bool // the sender closes
+	fin     bool // the sender has closed
 }
 
+// newConnection returns an open connection.
 func newConnection(n *Network, from, to *Host, local, remote string) *connection {
 	c := &connection{network: n}
 	c.ends[0] = &endpoint{connection: c, host: from, local: address(local), wake: make(chan struct{})}
@@ -50,18 +53,19 @@
 	return c
 }
 
-func (c *connection) connects(pair [2]string) bool {
+// uses reports whether the connection is between the machines of a link, in either direction.
+func (c *connection) uses(l link) bool {
 	a, b := c.ends[0].host.ip, c.ends[1].host.ip
-	return a == pair[0] && b == pair[1] || a == pair[1] && b == pair[0]
+	return a == l.from && b == l.to || a == l.to && b == l.from
 }
 
-// stir wakes who reads here.
+// wakeReaders lets reads that wait here look again.
 func (e *endpoint) wakeReaders() {
 	close(e.wake)
 	e.wake = make(chan struct{})
 }
 
-// fail ends this side.
+// fail ends this side. The first cause stays. Once both sides have ended the network forgets the connection.
 func (e *endpoint) fail(cause error) {
 	if e.failure != nil {
 		return
@@ -88,6 +92,7 @@
 	}
 }
 
+// readAvailable reads without waiting. Without either result there is nothing to read yet.
 func (e *endpoint) readAvailable(into []byte) (int, error) {
 	switch {
 	case e.failure != nil:
@@ -104,6 +109,7 @@
 	return 0, nil
 }
 
+// awaitUntil waits until wake is closed or the deadline passes; a zero one never does.
 func awaitUntil(wake chan struct{}, deadline time.Time) {
 	if deadline.IsZero() {
 		<-wake
@@ -117,7 +123,7 @@
 	}
 }
 
-// Write implements net.Conn. The buffer of the sender has no bound.
+// Write implements net.Conn. It never waits: the send buffer is unbounded.
 func (e *endpoint) Write(data []byte) (int, error) {
 	n := e.connection.network
 	n.mutex.Lock()
@@ -132,7 +138,7 @@
 	return len(data), nil
 }
 
-// dispatch sends a segment on its way.
+// transmit sends a segment, to arrive after those before it.
 func (e *endpoint) transmit(sent segment) {
 	n := e.connection.network
 	at := time.Now().Add(n.drawDelay())
@@ -148,7 +154,8 @@
 	time.AfterFunc(time.Until(at), func() { n.deliverDue(e) })
 }
 
-// flush delivers what is due and isn't held back by a cut.
+// deliverDue delivers the segments that are due, unless a partition holds them back. If their acknowledgement is lost
+// to a partition of the way back, the sender still counts them as unacknowledged.
 func (n *Network) deliverDue(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -170,6 +177,7 @@
 	}
 }
 
+// deliver hands a segment to the other side, or learns by a reset that there is none any more.
 func (e *endpoint) deliver(arrived segment) {
 	if e.peer.failure != nil {
 		e.fail(syscall.ECONNRESET)
@@ -184,7 +192,8 @@
 	e.peer.wakeReaders()
 }
 
-// expire ends a side whose data is without acknowledgement for too long.
+// checkUserTimeout ends a side whose data has gone without acknowledgement for userTimeout. Its reset reaches the other
+// side, unless that is partitioned and only notices by keep-alive.
 func (n *Network) checkUserTimeout(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -196,15 +205,15 @@
 		return
 	}
 	e.fail(syscall.ETIMEDOUT)
-	other := e.peer
-	later := keepAliveTimeout
-	if !n.isPartitioned(e.host.ip, other.host.ip) {
-		later = n.drawDelay()
+	peer := e.peer
+	noticeDelay := keepAliveTimeout
+	if !n.isPartitioned(e.host.ip, peer.host.ip) {
+		noticeDelay = n.drawDelay()
 	}
-	time.AfterFunc(later, func() { n.reset(other) })
+	time.AfterFunc(noticeDelay, func() { n.reset(peer) })
 }
 
-// Close implements net.Conn. What was written still goes out.
+// Close implements net.Conn. What was written is still delivered.
 func (e *endpoint) Close() error {
 	n := e.connection.network
 	n.mutex.Lock()
--- a/internal/simulation/bubble/doc.go
+++ b/internal/simulation/bubble/doc.go
@@ -1,11 +1,18 @@
-// Package bubble has the network and the disks of worlds that run real processes in a bubble of testing/synctest, where time is
-// virtual.
+// Package bubble has the network and the disks of simulations that run real processes, goroutines included, in a
+// bubble of testing/synctest, where time is virtual.
 //
-// The connections of a Network are net.Conns in memory with the delay of a local network, and with what TCP does under trouble: a
-// cut, in one direction or both, holds bytes back until it ends, data that stays without acknowledgement ends its connection at
-// the sender, probes end an idle one, a dead process resets its connections, and a machine without power says nothing. A Disk is
-// a simulation.Disk whose syncs take their time, for one life of a process after the other.
+// The connections of a [Network] are net.Conns in memory with the delay of a local network. They do what TCP does under
+// faults:
 //
-// Both are made inside of the bubble that uses them, and are safe for concurrent use. Goroutines of one moment run in the order
-// that the scheduler gives them: a seed repeats the troubles and the calls of a world, and mostly what follows.
+//   - A partition, in one direction or both, holds bytes back until it heals.
+//   - Data that stays without acknowledgement ends its connection at the sender, as with TCP_USER_TIMEOUT.
+//   - Keep-alive probes end an idle connection over a partition.
+//   - A process that is killed resets its connections; a machine without power sends nothing.
+//
+// A [Disk] is a simulation.Disk whose syncs take their time. It outlives the incarnations of its process: each mounts
+// it anew, and files of earlier mounts fail.
+//
+// Both are created inside the bubble that uses them, and are safe for concurrent use. Unlike in package simulation, the
+// scheduler decides the order of goroutines that run at the same virtual time: a seed repeats the faults and the calls
+// of a simulation exactly, and what follows from them mostly.
 package bubble
--- a/internal/simulation/bubble/network_test.go
+++ b/internal/simulation/bubble/network_test.go
@@ -12,17 +12,18 @@
 	"time"
 )
 
-const at = "10.0.0.2:70"
+// serverAddress is where the server of each test listens.
+const serverAddress = "10.0.0.2:70"
 
 // pair opens a connection between two machines.
 func pair(t *testing.T, n *Network) (from, to net.Conn, server *Host) {
 	t.Helper()
 	client, server := n.StartHost("10.0.0.1"), n.StartHost("10.0.0.2")
-	listener, err := server.Listen(at)
+	listener, err := server.Listen(serverAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if from, err = client.Dial(t.Context(), at); err != nil {
+	if from, err = client.Dial(t.Context(), serverAddress); err != nil {
 		t.Fatal(err)
 	}
 	if to, err = listener.Accept(); err != nil {
@@ -31,6 +32,7 @@
 	return from, to, server
 }
 
+// read reads once, within a time.
 func read(t *testing.T, c net.Conn, within time.Duration) (string, error) {
 	t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(within))
@@ -54,7 +56,7 @@
 			t.Fatal(len(all), err)
 		}
 	})
-	fault("a short cut holds bytes back", func(t *testing.T, n *Network) {
+	fault("a short partition holds bytes back", func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
 		n.Partition("10.0.0.1", "10.0.0.2")
 		_, _ = from.Write([]byte("held"))
@@ -66,7 +68,8 @@
 			t.Fatal(got, err)
 		}
 	})
-	fault("one way cut, the other way still delivers, and its sender gives up for want of acknowledgements", func(t *testing.T, n *Network) {
+	oneWay := "over a partition in one direction the other delivers, and its sender times out without acknowledgements"
+	fault(oneWay, func(t *testing.T, n *Network) {
 		from, to, _ := pair(t, n)
 		n.Partition("10.0.0.1", "10.0.0.2")
 		_, _ = to.Write([]byte("back"))
@@ -79,11 +82,11 @@
 		}
 		limited, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := n.hosts["10.0.0.1"].Dial(limited, at); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := n.hosts["10.0.0.1"].Dial(limited, serverAddress); !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatal(err)
 		}
 	})
-	fault("a killed process resets its connections, one without power says nothing", func(t *testing.T, n *Network) {
+	fault("a killed process resets its connections, one without power sends nothing", func(t *testing.T, n *Network) {
 		from, _, server := pair(t, n)
 		server.Kill()
 		if _, err := read(t, from, time.Second); !errors.Is(err, syscall.ECONNRESET) {
