--- a/internal/batch/runner/run.go
+++ b/internal/batch/runner/run.go
@@ -12,15 +12,15 @@
 )
 
 // run sends one item to one server.
-func (r *Runner) runItem(b *batchJob, assignment scheduler.Assignment) {
+func (r *Runner) runItem(batch *batchJob, assignment scheduler.Assignment) {
 	defer r.attempts.Done()
 	began := time.Now()
-	outcome := r.attempt(b, assignment)
+	outcome := r.attempt(batch, assignment)
 	if outcome.Result == serverclient.Completed {
 		r.observeDuration(time.Since(began))
 	}
-	if r.handleOutcome(b, assignment, outcome) {
-		r.submitResults(b)
+	if r.handleOutcome(batch, assignment, outcome) {
+		r.submitResults(batch)
 	}
 	r.Wake()
 }
@@ -32,32 +32,32 @@
 	r.planner.ObserveDuration(took)
 }
 
-func (r *Runner) attempt(b *batchJob, assignment scheduler.Assignment) serverclient.Outcome {
+func (r *Runner) attempt(batch *batchJob, assignment scheduler.Assignment) serverclient.Outcome {
 	r.mutex.Lock()
-	kept := *b.items[assignment.Index]
+	progress := *batch.items[assignment.Index]
 	r.mutex.Unlock()
-	closed := serverclient.Outcome{Result: serverclient.Canceled, LastEventID: kept.lastEventID}
+	closed := serverclient.Outcome{Result: serverclient.Canceled, LastEventID: progress.lastEventID}
 	snapshot := r.discovery.Configuration()
-	if snapshot == nil || snapshot.RouteByName(b.Route) == nil {
+	if snapshot == nil || snapshot.RouteByName(batch.Route) == nil {
 		return closed
 	}
-	item, err := r.store.ReadItem(kept.location)
+	item, err := r.store.ReadItem(progress.location)
 	if err != nil {
-		r.log.Error().Err(err).Str("batch_job", b.ID).Msg("item_unreadable")
+		r.log.Error().Err(err).Str("batch_job", batch.ID).Msg("item_unreadable")
 		return closed
 	}
-	return r.client.Run(b.context, &serverclient.Request{
+	return r.client.Run(batch.ctx, &serverclient.Request{
 		Address:      assignment.Server.Address,
 		Instance:     assignment.Server.ID,
-		Host:         snapshot.RouteByName(b.Route).Hostname,
-		Tenant:       b.Tenant,
+		Host:         snapshot.RouteByName(batch.Route).Hostname,
+		Tenant:       batch.Tenant,
 		Item:         &item,
-		LastEventID:  kept.lastEventID,
-		Deadline:     r.deadline(b),
+		LastEventID:  progress.lastEventID,
+		Deadline:     r.deadline(batch),
 		StallTimeout: stallTimeout,
-		Gate:         func() bool { return r.maySend(b, assignment) },
+		Gate:         func() bool { return r.maySend(batch, assignment) },
 		OnProgress: func(after, last int64, events [][]byte) {
-			r.store.Progress(b.ID, assignment.Index, after, last, events)
+			r.store.Progress(batch.ID, assignment.Index, after, last, events)
 		},
 		OnLoad: func(header string) {
 			r.loads.Observe(time.Now(), xxhash.Sum64String(assignment.Server.ID), header)
@@ -71,22 +71,22 @@
 }
 
 // deadline is what a server gets for an item.
-func (r *Runner) deadline(b *batchJob) time.Duration {
+func (r *Runner) deadline(batch *batchJob) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if b.expiresAt.IsZero() {
+	if batch.expiresAt.IsZero() {
 		return maxDeadline
 	}
-	return min(maxDeadline, max(time.Until(b.expiresAt), time.Second))
+	return min(maxDeadline, max(time.Until(batch.expiresAt), time.Second))
 }
 
 // maySend is asked right before the first byte: the store must still consent, the server be listed, and the route lead to it.
-func (r *Runner) maySend(b *batchJob, assignment scheduler.Assignment) bool {
-	if b.context.Err() != nil || !r.store.MayRun(b.ID, assignment.Index) {
+func (r *Runner) maySend(batch *batchJob, assignment scheduler.Assignment) bool {
+	if batch.ctx.Err() != nil || !r.store.MayRun(batch.ID, assignment.Index) {
 		return false
 	}
 	snapshot := r.discovery.Configuration()
-	route := snapshot.RouteByName(b.Route)
+	route := snapshot.RouteByName(batch.Route)
 	if route == nil {
 		return false
 	}
@@ -104,7 +104,7 @@
 }
 
 // ended takes what came of a run. It tells whether something is to be handed in.
-func (r *Runner) handleOutcome(b *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome) bool {
+func (r *Runner) handleOutcome(batch *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
@@ -113,19 +113,19 @@
 	if outcome.Draining {
 		r.planner.Rejected(assignment.Server.ID, now, longRetryDelay)
 	}
-	kept := b.items[assignment.Index]
-	if r.jobs[b.ID] != b {
-		r.stoppedFailures.record(b.ID, assignment.Index, outcome.Result)
+	progress := batch.items[assignment.Index]
+	if r.jobs[batch.ID] != batch {
+		r.stoppedFailures.record(batch.ID, assignment.Index, outcome.Result)
 		return false
 	}
-	if kept == nil {
+	if progress == nil {
 		return false
 	}
 	if !r.bugs.forgetEvents {
-		kept.events = append(kept.events, outcome.Events...)
+		progress.events = append(progress.events, outcome.Events...)
 	}
-	kept.lastEventID = outcome.LastEventID
-	return r.decideNext(b, kept, assignment, outcome, now)
+	progress.lastEventID = outcome.LastEventID
+	return r.decideNext(batch, progress, assignment, outcome, now)
 }
 
 // noteResult takes in what a run's end says of its server. The mutex is held.
@@ -144,19 +144,19 @@
 }
 
 // follow decides what follows a run. The mutex is held.
-func (r *Runner) decideNext(b *batchJob, kept *itemProgress, assignment scheduler.Assignment, outcome serverclient.Outcome, now time.Duration) bool {
+func (r *Runner) decideNext(batch *batchJob, progress *itemProgress, assignment scheduler.Assignment, outcome serverclient.Outcome, now time.Duration) bool {
 	instance := assignment.Server.ID
 	switch outcome.Result {
 	case serverclient.Completed:
-		b.results = append(b.results, itemResult{index: assignment.Index, state: job.Completed, text: joinEvents(kept.events)})
+		batch.results = append(batch.results, itemResult{index: assignment.Index, state: job.Completed, text: joinEvents(progress.events)})
 		return true
 	case serverclient.Unprocessable, serverclient.Failed:
 		if outcome.Result == serverclient.Failed {
 			r.counts.Failed++
 		}
-		kept.record(outcome.Result, r.bugs)
-		if kept.exhausted(r.maxAttempts(b)) {
-			b.results = append(b.results, itemResult{index: assignment.Index, state: job.DeadLetter})
+		progress.record(outcome.Result, r.bugs)
+		if progress.exhausted(r.maxAttempts(batch)) {
+			batch.results = append(batch.results, itemResult{index: assignment.Index, state: job.DeadLetter})
 			return true
 		}
 		r.planner.Requeue(assignment.Task, now+retryDelay, instance)
@@ -170,9 +170,9 @@
 		r.planner.Requeue(assignment.Task, now+longRetryDelay, instance)
 	case serverclient.Interrupted:
 		r.counts.Interrupted++
-		r.log.Debug().Err(outcome.Cause).Str("item", b.ID).Int("index", assignment.Index).Str("server", instance).
+		r.log.Debug().Err(outcome.Cause).Str("item", batch.ID).Int("index", assignment.Index).Str("server", instance).
 			Int("events", len(outcome.Events)).Msg("stream_cut")
-		if len(kept.events) > 0 {
+		if len(progress.events) > 0 {
 			r.counts.Resumed++
 		}
 		r.planner.Unreachable(instance, now)
@@ -188,12 +188,12 @@
 
 // maxAttempts tells how often an item may fail. While its route isn't known nothing is given up for that: a route that has ended
 // ends its items by itself.
-func (r *Runner) maxAttempts(b *batchJob) int {
+func (r *Runner) maxAttempts(batch *batchJob) int {
 	snapshot := r.discovery.Configuration()
 	if snapshot == nil {
 		return math.MaxInt
 	}
-	route := snapshot.RouteByName(b.Route)
+	route := snapshot.RouteByName(batch.Route)
 	if route == nil {
 		return math.MaxInt
 	}
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -87,7 +87,7 @@
 // batchJob is one that is run here.
 type batchJob struct {
 	replica.Job
-	context           context.Context
+	ctx               context.Context
 	cancel            context.CancelFunc
 	items             map[int]*itemProgress
 	results           []itemResult // not taken yet
@@ -164,12 +164,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.toStart, id)
-	if b := r.jobs[id]; b != nil {
-		b.cancel()
+	if batch := r.jobs[id]; batch != nil {
+		batch.cancel()
 		delete(r.jobs, id)
 		r.planner.Remove(id)
-		for index, kept := range b.items {
-			r.stoppedFailures.put(id, index, kept.failureRecord)
+		for index, progress := range batch.items {
+			r.stoppedFailures.put(id, index, progress.failureRecord)
 		}
 	}
 }
@@ -231,8 +231,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.closed = true
-	for _, b := range r.jobs {
-		b.cancel()
+	for _, batch := range r.jobs {
+		batch.cancel()
 	}
 }
 
@@ -277,15 +277,15 @@
 		return // it runs here already
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &batchJob{Job: work, context: ctx, cancel: cancel, items: items}
-	r.jobs[work.ID] = b
-	tasks = r.restoreFailures(b, tasks)
+	batch := &batchJob{Job: work, ctx: ctx, cancel: cancel, items: items}
+	r.jobs[work.ID] = batch
+	tasks = r.restoreFailures(batch, tasks)
 	target := defaultCompletionTarget
 	var backends []string
 	if snapshot != nil {
 		if route := snapshot.RouteByName(work.Route); route != nil {
 			target, backends = route.CompletionTarget(), route.Backends()
-			b.expiresAt = r.expiry(work.FirstSent, route)
+			batch.expiresAt = r.expiry(work.FirstSent, route)
 		}
 	}
 	r.planner.Add(work.ID, r.now()+time.Until(time.UnixMilli(work.FirstSent).Add(target)), backends, tasks)
@@ -293,17 +293,17 @@
 
 // begun gives an item with what an earlier life of this process received of it.
 func (r *Runner) restoreProgress(id string, one replica.JobItem) *itemProgress {
-	kept := &itemProgress{location: one.At, lastEventID: -1}
+	progress := &itemProgress{location: one.At, lastEventID: -1}
 	if one.Last < 0 {
-		return kept
+		return progress
 	}
 	events, err := r.store.ReadEvents(one.Events)
 	if err != nil {
 		r.log.Error().Err(err).Str("batch_job", id).Msg("progress_unreadable")
-		return kept
+		return progress
 	}
-	kept.events, kept.lastEventID = events, one.Last
-	return kept
+	progress.events, progress.lastEventID = events, one.Last
+	return progress
 }
 
 // prefixOf gives the first part that an item's prompt shares with others.
@@ -330,31 +330,31 @@
 	r.mutex.Lock()
 	r.planner.SetServers(list)
 	now := time.Now()
-	for id, b := range r.jobs {
-		route := snapshot.RouteByName(b.Route)
+	for id, batch := range r.jobs {
+		route := snapshot.RouteByName(batch.Route)
 		if route != nil {
-			b.routeMissingSince = time.Time{}
-			b.expiresAt = r.expiry(b.FirstSent, route)
+			batch.routeMissingSince = time.Time{}
+			batch.expiresAt = r.expiry(batch.FirstSent, route)
 			r.planner.SetBackends(id, route.Backends())
-		} else if b.routeMissingSince.IsZero() {
-			b.routeMissingSince = now
+		} else if batch.routeMissingSince.IsZero() {
+			batch.routeMissingSince = now
 		}
-		if !b.expiresAt.IsZero() && now.After(b.expiresAt) || !b.routeMissingSince.IsZero() && now.Sub(b.routeMissingSince) > routeMissingTimeout {
+		if !batch.expiresAt.IsZero() && now.After(batch.expiresAt) || !batch.routeMissingSince.IsZero() && now.Sub(batch.routeMissingSince) > routeMissingTimeout {
 			for _, task := range r.planner.Waiting(id) {
 				r.planner.RemoveTask(id, task.Index)
-				b.results = append(b.results, itemResult{index: task.Index, state: job.DeadLetter})
+				batch.results = append(batch.results, itemResult{index: task.Index, state: job.DeadLetter})
 			}
 		}
 	}
 	var due []*batchJob
-	for _, b := range r.jobs {
-		if len(b.results) > 0 {
-			due = append(due, b)
+	for _, batch := range r.jobs {
+		if len(batch.results) > 0 {
+			due = append(due, batch)
 		}
 	}
 	r.mutex.Unlock()
-	for _, b := range due {
-		r.submitResults(b)
+	for _, batch := range due {
+		r.submitResults(batch)
 	}
 }
 
@@ -368,28 +368,28 @@
 }
 
 // handIn lists what is finished of a batch job; what isn't taken is offered again.
-func (r *Runner) submitResults(b *batchJob) {
+func (r *Runner) submitResults(batch *batchJob) {
 	r.mutex.Lock()
-	list := b.results
-	b.results = nil
-	current := r.jobs[b.ID] == b
+	list := batch.results
+	batch.results = nil
+	current := r.jobs[batch.ID] == batch
 	r.mutex.Unlock()
 	if !current {
 		return
 	}
 	for _, one := range list {
-		taken := r.store.Finish(b.ID, one.index, one.state, one.text)
+		taken := r.store.Finish(batch.ID, one.index, one.state, one.text)
 		r.mutex.Lock()
 		if taken {
-			delete(b.items, one.index)
+			delete(batch.items, one.index)
 			r.countFinished(one.state)
 		} else if !r.bugs.dropUnacceptedResult {
-			b.results = append(b.results, one)
+			batch.results = append(batch.results, one)
 		}
-		if len(b.items) == 0 && r.jobs[b.ID] == b {
-			b.cancel()
-			delete(r.jobs, b.ID)
-			r.planner.Remove(b.ID)
+		if len(batch.items) == 0 && r.jobs[batch.ID] == batch {
+			batch.cancel()
+			delete(r.jobs, batch.ID)
+			r.planner.Remove(batch.ID)
 		}
 		r.mutex.Unlock()
 	}
@@ -412,9 +412,9 @@
 		if !ok {
 			return
 		}
-		b := r.jobs[assignment.Job]
+		batch := r.jobs[assignment.Job]
 		r.attempts.Add(1)
-		go r.runItem(b, assignment)
+		go r.runItem(batch, assignment)
 	}
 }
 
--- a/internal/batch/runner/setback.go
+++ b/internal/batch/runner/setback.go
@@ -56,18 +56,18 @@
 
 // takeUp gives a batch job what was said against its items before it was stopped here, and leaves the tasks of those that may still
 // be tried. The mutex is held.
-func (r *Runner) restoreFailures(b *batchJob, tasks []scheduler.Task) (left []scheduler.Task) {
-	known := r.stoppedFailures[b.ID]
-	delete(r.stoppedFailures, b.ID)
+func (r *Runner) restoreFailures(batch *batchJob, tasks []scheduler.Task) (left []scheduler.Task) {
+	known := r.stoppedFailures[batch.ID]
+	delete(r.stoppedFailures, batch.ID)
 	if r.bugs.forgetStopped {
 		known = nil
 	}
-	attempts := r.maxAttempts(b)
+	attempts := r.maxAttempts(batch)
 	for _, task := range tasks {
-		kept := b.items[task.Index]
-		kept.failureRecord = known[task.Index]
-		if kept.exhausted(attempts) {
-			b.results = append(b.results, itemResult{index: task.Index, state: job.DeadLetter})
+		progress := batch.items[task.Index]
+		progress.failureRecord = known[task.Index]
+		if progress.exhausted(attempts) {
+			batch.results = append(batch.results, itemResult{index: task.Index, state: job.DeadLetter})
 			continue
 		}
 		left = append(left, task)
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -63,25 +63,25 @@
 // Add takes a batch job's items.
 func (p *Planner) Add(id string, due time.Duration, backends []string, tasks []Task) {
 	p.Remove(id)
-	w := &queuedJob{id: id, deadline: due, backends: backends}
+	job := &queuedJob{id: id, deadline: due, backends: backends}
 	for _, task := range tasks {
-		w.tasks = append(w.tasks, queuedTask{task: task})
+		job.tasks = append(job.tasks, queuedTask{task: task})
 	}
-	p.jobs[id] = w
-	at, _ := slices.BinarySearchFunc(p.queue, w, func(a, b *queuedJob) int {
+	p.jobs[id] = job
+	at, _ := slices.BinarySearchFunc(p.queue, job, func(a, b *queuedJob) int {
 		return cmp.Or(cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.id, b.id))
 	})
-	p.queue = slices.Insert(p.queue, at, w)
+	p.queue = slices.Insert(p.queue, at, job)
 }
 
 // Remove drops a batch job's items that wait.
 func (p *Planner) Remove(id string) {
-	w := p.jobs[id]
-	if w == nil {
+	job := p.jobs[id]
+	if job == nil {
 		return
 	}
 	delete(p.jobs, id)
-	p.queue = slices.DeleteFunc(p.queue, func(other *queuedJob) bool { return other == w })
+	p.queue = slices.DeleteFunc(p.queue, func(other *queuedJob) bool { return other == job })
 }
 
 // Has tells whether a batch job is planned.
@@ -89,44 +89,44 @@
 
 // Backends changes the services that a batch job's items go to.
 func (p *Planner) SetBackends(id string, backends []string) {
-	if w := p.jobs[id]; w != nil {
-		w.backends = backends
+	if job := p.jobs[id]; job != nil {
+		job.backends = backends
 	}
 }
 
 // Return takes a task back that is to be tried again, not before a time and rather not on a server.
 func (p *Planner) Requeue(task Task, notBefore time.Duration, avoid string) {
-	w := p.jobs[task.Job]
-	if w == nil {
+	job := p.jobs[task.Job]
+	if job == nil {
 		return
 	}
-	w.tasks = slices.Insert(w.tasks, 0, queuedTask{task: task, notBefore: notBefore, avoid: avoid})
+	job.tasks = slices.Insert(job.tasks, 0, queuedTask{task: task, notBefore: notBefore, avoid: avoid})
 }
 
 // Take removes a waiting task, as one that is given up.
 func (p *Planner) RemoveTask(id string, index int) {
-	if w := p.jobs[id]; w != nil {
-		w.tasks = slices.DeleteFunc(w.tasks, func(one queuedTask) bool { return one.task.Index == index })
+	if job := p.jobs[id]; job != nil {
+		job.tasks = slices.DeleteFunc(job.tasks, func(one queuedTask) bool { return one.task.Index == index })
 	}
 }
 
 // Waiting lists a batch job's tasks that wait.
 func (p *Planner) Waiting(id string) []Task {
-	w := p.jobs[id]
-	if w == nil {
+	job := p.jobs[id]
+	if job == nil {
 		return nil
 	}
-	tasks := make([]Task, len(w.tasks))
-	for i := range w.tasks {
-		tasks[i] = w.tasks[i].task
+	tasks := make([]Task, len(job.tasks))
+	for i := range job.tasks {
+		tasks[i] = job.tasks[i].task
 	}
 	return tasks
 }
 
 // Counts tells how many tasks wait and run.
 func (p *Planner) Counts() (waiting, running int) {
-	for _, w := range p.queue {
-		waiting += len(w.tasks)
+	for _, job := range p.queue {
+		waiting += len(job.tasks)
 	}
 	return waiting, p.running
 }
@@ -146,8 +146,8 @@
 }
 
 // isLate tells whether items of a batch job that start now can't be in time any more.
-func (p *Planner) missesDeadline(w *queuedJob, now time.Duration) bool {
-	return now+p.meanDuration > w.deadline
+func (p *Planner) missesDeadline(job *queuedJob, now time.Duration) bool {
+	return now+p.meanDuration > job.deadline
 }
 
 // Next gives the next task and its server, and counts it as running there; false where nothing can start now. What can't be in time
@@ -156,27 +156,27 @@
 	if ablation.Off(ablation.BatchDeadlineOrder) {
 		return p.nextWhere(now, func(*queuedJob) bool { return true })
 	}
-	if assignment, found := p.nextWhere(now, func(w *queuedJob) bool { return !p.missesDeadline(w, now) }); found {
+	if assignment, found := p.nextWhere(now, func(job *queuedJob) bool { return !p.missesDeadline(job, now) }); found {
 		return assignment, true
 	}
-	return p.nextWhere(now, func(w *queuedJob) bool { return p.missesDeadline(w, now) })
+	return p.nextWhere(now, func(job *queuedJob) bool { return p.missesDeadline(job, now) })
 }
 
 func (p *Planner) nextWhere(now time.Duration, wanted func(*queuedJob) bool) (Assignment, bool) {
-	for _, w := range p.queue {
-		if !wanted(w) {
+	for _, job := range p.queue {
+		if !wanted(job) {
 			continue
 		}
-		index := slices.IndexFunc(w.tasks, func(one queuedTask) bool { return one.notBefore <= now })
+		index := slices.IndexFunc(job.tasks, func(one queuedTask) bool { return one.notBefore <= now })
 		if index < 0 {
 			continue
 		}
-		chosen := p.pickServer(w, &w.tasks[index], now)
+		chosen := p.pickServer(job, &job.tasks[index], now)
 		if chosen == nil {
 			continue
 		}
-		task := w.tasks[index].task
-		w.tasks = slices.Delete(w.tasks, index, index+1)
+		task := job.tasks[index].task
+		job.tasks = slices.Delete(job.tasks, index, index+1)
 		chosen.startTask(task.Prefix, now)
 		p.running++
 		return Assignment{Task: task, Server: chosen.Server}, true
@@ -185,20 +185,20 @@
 }
 
 // choose gives the server with the least cost that has room, nil where none has.
-func (p *Planner) pickServer(w *queuedJob, one *queuedTask, now time.Duration) *serverState {
-	if chosen, told := p.pickByReportedLoad(w, one, now); told {
+func (p *Planner) pickServer(job *queuedJob, task *queuedTask, now time.Duration) *serverState {
+	if chosen, reported := p.pickByReportedLoad(job, task, now); reported {
 		return chosen
 	}
 	var best *serverState
 	bestCost := 0.0
-	for _, backend := range w.backends {
-		for _, s := range p.byBackend[backend] {
-			if !s.hasCapacity(now) {
+	for _, backend := range job.backends {
+		for _, server := range p.byBackend[backend] {
+			if !server.hasCapacity(now) {
 				continue
 			}
-			cost := p.cost(s, one, now)
+			cost := p.cost(server, task, now)
 			if best == nil || cost < bestCost {
-				best, bestCost = s, cost
+				best, bestCost = server, cost
 			}
 		}
 	}
@@ -213,15 +213,15 @@
 	prefixCacheTTL   = 5 * time.Second
 )
 
-func (p *Planner) cost(s *serverState, one *queuedTask, now time.Duration) float64 {
-	cost := float64(s.inFlight) / s.limit
-	if s.Zone != p.zone {
+func (p *Planner) cost(server *serverState, task *queuedTask, now time.Duration) float64 {
+	cost := float64(server.inFlight) / server.limit
+	if server.Zone != p.zone {
 		cost += crossZoneCost
 	}
-	if s.ID == one.avoid {
+	if server.ID == task.avoid {
 		cost += avoidedCost
 	}
-	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
+	if task.task.Prefix != "" && server.hasCachedPrefix(task.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
 		cost -= cachedPrefixGain
 	}
 	return cost
--- a/internal/batch/scheduler/server.go
+++ b/internal/batch/scheduler/server.go
@@ -46,14 +46,14 @@
 	next := make(map[string]*serverState, len(list))
 	lists := map[string][]*serverState{}
 	for _, one := range list {
-		s := p.servers[one.ID]
-		if s == nil {
-			s = &serverState{limit: max(minLimit, initialLimitShare*float64(one.Slots)), decreasedAt: -time.Hour}
+		state := p.servers[one.ID]
+		if state == nil {
+			state = &serverState{limit: max(minLimit, initialLimitShare*float64(one.Slots)), decreasedAt: -time.Hour}
 		}
-		s.Server = one
-		next[one.ID] = s
+		state.Server = one
+		next[one.ID] = state
 		if !one.Draining {
-			lists[one.Backend] = append(lists[one.Backend], s)
+			lists[one.Backend] = append(lists[one.Backend], state)
 		}
 	}
 	for _, of := range lists {
@@ -65,8 +65,8 @@
 // Allowed sums the limits of all servers.
 func (p *Planner) TotalLimit() int {
 	sum := 0.0
-	for _, s := range p.servers {
-		sum += s.limit
+	for _, server := range p.servers {
+		sum += server.limit
 	}
 	return int(sum)
 }
@@ -119,58 +119,58 @@
 
 // FirstEvent takes how long a server took to an item's first event.
 func (p *Planner) ObserveFirstEvent(id string, took, now time.Duration) {
-	s := p.servers[id]
-	if s == nil {
+	server := p.servers[id]
+	if server == nil {
 		return
 	}
 	if took > lateFirstEvent {
-		s.decreaseLimit(lateDecrease, now)
+		server.decreaseLimit(lateDecrease, now)
 		return
 	}
 	if took <= promptFirstEvent {
-		s.limit = min(maxLimitShare*float64(max(s.Slots, 1)), s.limit+limitIncrease/s.limit)
+		server.limit = min(maxLimitShare*float64(max(server.Slots, 1)), server.limit+limitIncrease/server.limit)
 	}
 }
 
 // Ended counts a task as no longer running.
 func (p *Planner) Finished(id string) {
 	p.running--
-	if s := p.servers[id]; s != nil {
-		s.inFlight--
+	if server := p.servers[id]; server != nil {
+		server.inFlight--
 	}
 }
 
 // Failed notes that a server failed an item: it is left alone, for longer each time until it serves one. An item that fails everywhere
 // costs each server a short pause.
 func (p *Planner) Failed(id string, now time.Duration) {
-	s := p.servers[id]
-	if s == nil {
+	server := p.servers[id]
+	if server == nil {
 		return
 	}
-	s.consecutiveFailures++
-	pause := min(maxEjection, minEjection<<min(s.consecutiveFailures-1, maxEjectionDoublings))
-	s.ejectedUntil = max(s.ejectedUntil, now+pause)
+	server.consecutiveFailures++
+	pause := min(maxEjection, minEjection<<min(server.consecutiveFailures-1, maxEjectionDoublings))
+	server.ejectedUntil = max(server.ejectedUntil, now+pause)
 }
 
 // Served notes that a server did what it could of an item.
 func (p *Planner) Succeeded(id string) {
-	if s := p.servers[id]; s != nil {
-		s.consecutiveFailures = 0
+	if server := p.servers[id]; server != nil {
+		server.consecutiveFailures = 0
 	}
 }
 
 // Full notes that a server turned an item away; it is left alone for a moment, or as long as it asks.
 func (p *Planner) Rejected(id string, now, pause time.Duration) {
-	if s := p.servers[id]; s != nil {
-		s.decreaseLimit(rejectedDecrease, now)
-		s.ejectedUntil = max(s.ejectedUntil, now+max(rejectedPause, pause))
+	if server := p.servers[id]; server != nil {
+		server.decreaseLimit(rejectedDecrease, now)
+		server.ejectedUntil = max(server.ejectedUntil, now+max(rejectedPause, pause))
 	}
 }
 
 // Broken notes that a server can't be reached or broke off.
 func (p *Planner) Unreachable(id string, now time.Duration) {
-	if s := p.servers[id]; s != nil {
-		s.decreaseLimit(rejectedDecrease, now)
-		s.ejectedUntil = max(s.ejectedUntil, now+unreachablePause)
+	if server := p.servers[id]; server != nil {
+		server.decreaseLimit(rejectedDecrease, now)
+		server.ejectedUntil = max(server.ejectedUntil, now+unreachablePause)
 	}
 }
--- a/internal/batch/scheduler/told.go
+++ b/internal/batch/scheduler/told.go
@@ -64,11 +64,11 @@
 }
 
 // reserve gives the share of a server's places that a batch job's items leave free.
-func (p *Planner) reserve(w *queuedJob, now time.Duration) float64 {
+func (p *Planner) reserve(job *queuedJob, now time.Duration) float64 {
 	if ablation.Off(ablation.BatchCapacityReserve) {
 		return 0
 	}
-	switch slack := w.deadline - now - p.meanDuration; {
+	switch slack := job.deadline - now - p.meanDuration; {
 	case slack < 0 || slack >= farSlack:
 		return farReserve
 	case slack >= nearSlack:
@@ -78,7 +78,7 @@
 }
 
 // chooseTold chooses by what servers tell, nil where none has room; false where they don't tell.
-func (p *Planner) pickByReportedLoad(w *queuedJob, one *queuedTask, now time.Duration) (chosen *serverState, told bool) {
+func (p *Planner) pickByReportedLoad(job *queuedJob, task *queuedTask, now time.Duration) (chosen *serverState, reported bool) {
 	if p.reports == nil || ablation.Off(ablation.ReportedLoad) {
 		return nil, false
 	}
@@ -86,63 +86,63 @@
 	if paced && p.budget.exhausted(now) {
 		return nil, true
 	}
-	free := 1 - p.reserve(w, now)
+	usableShare := 1 - p.reserve(job, now)
 	var first, second *serverState
-	count, room := 0, 0.0
-	for _, backend := range w.backends {
-		for _, s := range p.byBackend[backend] {
-			present, places, known := p.occupancy(s, now)
-			told = told || known
-			if !s.hasCapacity(now) || float64(present+1) > free*float64(places) || p.isFailing(s) || p.isPrefilling(s) {
+	count, freeSlots := 0, 0.0
+	for _, backend := range job.backends {
+		for _, server := range p.byBackend[backend] {
+			present, slots, known := p.occupancy(server, now)
+			reported = reported || known
+			if !server.hasCapacity(now) || float64(present+1) > usableShare*float64(slots) || p.isFailing(server) || p.isPrefilling(server) {
 				continue
 			}
 			count++
-			room += free*float64(places) - float64(present)
+			freeSlots += usableShare*float64(slots) - float64(present)
 			if p.random.IntN(count) == 0 {
-				first, second = s, first
+				first, second = server, first
 			} else if second == nil || p.random.IntN(count-1) == 0 {
-				second = s
+				second = server
 			}
 		}
 	}
-	if first == nil || told && paced && !p.budget.tryTake(now, room/float64(max(p.stores, 1))) {
-		return nil, told
+	if first == nil || reported && paced && !p.budget.tryTake(now, freeSlots/float64(max(p.stores, 1))) {
+		return nil, reported
 	}
-	if second != nil && p.reportedLoadCost(second, one, now) < p.reportedLoadCost(first, one, now) {
+	if second != nil && p.reportedLoadCost(second, task, now) < p.reportedLoadCost(first, task, now) {
 		first = second
 	}
-	return first, told
+	return first, reported
 }
 
 // present gives the requests at a server and its places, with what went there from here since it told.
-func (p *Planner) occupancy(s *serverState, now time.Duration) (present, places int, known bool) {
-	present, places, at, known := p.reports.ReportedLoad(s.ID)
+func (p *Planner) occupancy(server *serverState, now time.Duration) (present, slots int, known bool) {
+	present, slots, at, known := p.reports.ReportedLoad(server.ID)
 	if !known {
-		places = max(s.Slots, 1)
-		return int((1-assumedFreeShare)*float64(places)) + s.inFlight, places, false
+		slots = max(server.Slots, 1)
+		return int((1-assumedFreeShare)*float64(slots)) + server.inFlight, slots, false
 	}
-	return present + s.recent.CountSince(int64(at)), max(places, 1), true
+	return present + server.recent.CountSince(int64(at)), max(slots, 1), true
 }
 
 // reads tells whether a server is busy reading, so that its load as it told it is out of date.
-func (p *Planner) isPrefilling(s *serverState) bool {
-	return !ablation.Off(ablation.PrefixAnnouncements) && p.reports.PrefillBacklog(s.ID) > maxPrefillBacklog
+func (p *Planner) isPrefilling(server *serverState) bool {
+	return !ablation.Off(ablation.PrefixAnnouncements) && p.reports.PrefillBacklog(server.ID) > maxPrefillBacklog
 }
 
-func (p *Planner) isFailing(s *serverState) bool {
-	return !ablation.Off(ablation.SharedFailures) && p.reports.IsFailing(s.ID)
+func (p *Planner) isFailing(server *serverState) bool {
+	return !ablation.Off(ablation.SharedFailures) && p.reports.IsFailing(server.ID)
 }
 
-func (p *Planner) reportedLoadCost(s *serverState, one *queuedTask, now time.Duration) float64 {
-	present, places, _ := p.occupancy(s, now)
-	cost := loadCost * float64(present) / float64(places)
-	if s.Zone != p.zone {
+func (p *Planner) reportedLoadCost(server *serverState, task *queuedTask, now time.Duration) float64 {
+	present, slots, _ := p.occupancy(server, now)
+	cost := loadCost * float64(present) / float64(slots)
+	if server.Zone != p.zone {
 		cost += reportedCrossZoneCost
 	}
-	if s.ID == one.avoid {
+	if server.ID == task.avoid {
 		cost += avoidedCost
 	}
-	if one.task.Prefix != "" && s.hasCachedPrefix(one.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
+	if task.task.Prefix != "" && server.hasCachedPrefix(task.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
 		cost -= cachedPrefixGain
 	}
 	return cost
