--- /dev/null
+++ b/internal/batch/runner/outcome.go
@@ -0,0 +1,121 @@
+package runner
+
+import (
+	"math"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"sprucelane.example/sprucelane/internal/batch/job"
+	"sprucelane.example/sprucelane/internal/batch/scheduler"
+	"sprucelane.example/sprucelane/internal/batch/serverclient"
+)
+
+// Delays before an item is queued again. The planner bounds the rate at each server by itself.
+const (
+	retryDelay     = 20 * time.Millisecond  // another server may well take it
+	longRetryDelay = 300 * time.Millisecond // what keeps it from running is likely to last
+)
+
+// handleOutcome takes in how an attempt ended. It reports whether there are results to submit.
+func (r *Runner) handleOutcome(batch *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	now := r.now()
+	r.planner.Finished(assignment.Server.ID)
+	r.recordServerResult(assignment.Server.ID, outcome.Result, now)
+	if outcome.Draining {
+		r.planner.Rejected(assignment.Server.ID, now, longRetryDelay)
+	}
+	progress := batch.items[assignment.Index]
+	if r.jobs[batch.ID] != batch { // it was stopped, and perhaps started again
+		r.stoppedFailures.record(batch.ID, assignment.Index, outcome.Result)
+		return false
+	}
+	if progress == nil {
+		return false
+	}
+	if !r.bugs.forgetEvents {
+		progress.events = append(progress.events, outcome.Events...)
+	}
+	progress.lastEventID = outcome.LastEventID
+	return r.decideNext(batch, progress, assignment, outcome, now)
+}
+
+// recordServerResult records what a result says of the server, for this process and for those that loads
+// are shared with. The mutex is held.
+func (r *Runner) recordServerResult(instance string, result serverclient.Result, now time.Duration) {
+	hash := xxhash.Sum64String(instance)
+	switch result {
+	case serverclient.Completed, serverclient.Unprocessable:
+		r.loads.RecordResult(time.Now(), hash, false)
+		r.planner.Succeeded(instance)
+	case serverclient.Failed:
+		r.loads.RecordResult(time.Now(), hash, true)
+		r.planner.Failed(instance, now)
+	case serverclient.Interrupted, serverclient.NotSent:
+		r.loads.RecordResult(time.Now(), hash, true)
+	}
+}
+
+// decideNext finishes an item or queues it again. It reports whether there are results to submit. The mutex
+// is held.
+func (r *Runner) decideNext(
+	batch *batchJob, progress *itemProgress, assignment scheduler.Assignment, outcome serverclient.Outcome,
+	now time.Duration,
+) bool {
+	instance := assignment.Server.ID
+	switch outcome.Result {
+	case serverclient.Completed:
+		text := joinEvents(progress.events)
+		batch.results = append(batch.results, itemResult{index: assignment.Index, state: job.Completed, text: text})
+		return true
+	case serverclient.Unprocessable, serverclient.Failed:
+		if outcome.Result == serverclient.Failed {
+			r.counts.Failed++
+		}
+		progress.record(outcome.Result, r.bugs)
+		if progress.exhausted(r.maxAttempts(batch)) {
+			batch.results = append(batch.results, itemResult{index: assignment.Index, state: job.DeadLetter})
+			return true
+		}
+		r.planner.Requeue(assignment.Task, now+retryDelay, instance)
+	case serverclient.NotExecuted:
+		r.counts.Rejected++
+		r.planner.Rejected(instance, now, outcome.RetryAfter)
+		r.planner.Requeue(assignment.Task, now+retryDelay, instance)
+	case serverclient.Rejected:
+		r.counts.Rejected++
+		r.planner.Rejected(instance, now, outcome.RetryAfter)
+		r.planner.Requeue(assignment.Task, now+longRetryDelay, instance)
+	case serverclient.Interrupted:
+		r.counts.Interrupted++
+		r.log.Debug().Err(outcome.Cause).Str("item", batch.ID).Int("index", assignment.Index).Str("server", instance).
+			Int("events", len(outcome.Events)).Msg("stream_cut")
+		if len(progress.events) > 0 {
+			r.counts.Resumed++
+		}
+		r.planner.Unreachable(instance, now)
+		r.planner.Requeue(assignment.Task, now+retryDelay, instance)
+	case serverclient.NotSent:
+		r.planner.Unreachable(instance, now)
+		r.planner.Requeue(assignment.Task, now+retryDelay, instance)
+	case serverclient.Canceled:
+		r.planner.Requeue(assignment.Task, now+longRetryDelay, "")
+	}
+	return false
+}
+
+// maxAttempts returns how often an item may fail. While its route isn't known nothing is given up for
+// failures: the items of a route that is gone are given up anyway.
+func (r *Runner) maxAttempts(batch *batchJob) int {
+	snapshot := r.discovery.Configuration()
+	if snapshot == nil {
+		return math.MaxInt
+	}
+	route := snapshot.RouteByName(batch.Route)
+	if route == nil {
+		return math.MaxInt
+	}
+	return max(route.MaxAttempts, 1)
+}
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -17,7 +17,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// fakeStore holds one batch job, whose items were first sent at a time.
+// fakeStore has one batch job of two items, first submitted at a time, and doesn't let them run.
 type fakeStore struct {
 	mutex    sync.Mutex
 	sent     time.Time
@@ -54,6 +54,7 @@
 	}}, 1)
 }
 
+// runnerAt runs the first steps of a runner's loop and returns the store with the results.
 func runnerAt(sent time.Time, route string) *fakeStore {
 	store := &fakeStore{sent: sent, route: route, finished: map[int]job.State{}}
 	r := New("z", 10*time.Second, store, store, zerolog.Nop())
@@ -64,7 +65,7 @@
 }
 
 func TestExpiry(t *testing.T) {
-	Convey("An item is given up after its retention, with room for clocks that jump, and never without one", t, func() {
+	Convey("An item expires after its retention, with a margin for clock jumps, and never without one", t, func() {
 		now := time.Now()
 		So(runnerAt(now.Add(-29*time.Second), "limited").finished, ShouldBeEmpty)
 		So(runnerAt(now.Add(-31*time.Second), "limited").finished, ShouldResemble,
@@ -72,7 +73,7 @@
 		So(runnerAt(now.Add(-time.Hour), "endless").finished, ShouldBeEmpty)
 		So(runnerAt(now, "no such route").finished, ShouldBeEmpty)
 	})
-	Convey("A route has ended once it is missing for long", t, func() {
+	Convey("A route counts as removed once it is missing for long", t, func() {
 		store := &fakeStore{sent: time.Now(), route: "no such route", finished: map[int]job.State{}}
 		r := New("z", 0, store, store, zerolog.Nop())
 		r.Start("job")
@@ -86,17 +87,18 @@
 }
 
 func TestDeadlinesAndAttempts(t *testing.T) {
-	Convey("While its route isn't known an item is not given up for failures", t, func() {
+	Convey("While its route isn't known an item isn't given up for failures", t, func() {
 		store := &fakeStore{}
 		r := New("z", 0, store, store, zerolog.Nop())
 		of := func(route string) *batchJob { return &batchJob{Job: replica.Job{Route: route}} }
 		So(r.maxAttempts(of("limited")), ShouldEqual, 1)
 		So(r.maxAttempts(of("no such route")), ShouldEqual, math.MaxInt)
 	})
-	Convey("A server gets half a minute for an item, or until it is given up, but time for a try", t, func() {
+	Convey("A server gets half a minute for an item, or until it expires, but a second at least", t, func() {
 		r := New("z", 0, nil, nil, zerolog.Nop())
-		for left, want := range map[time.Duration]time.Duration{time.Hour: maxDeadline, 10 * time.Second: 10 * time.Second,
-			0: time.Second, -time.Minute: time.Second} {
+		for left, want := range map[time.Duration]time.Duration{
+			time.Hour: maxDeadline, 10 * time.Second: 10 * time.Second, 0: time.Second, -time.Minute: time.Second,
+		} {
 			got := r.deadline(&batchJob{expiresAt: time.Now().Add(left)})
 			So(got, ShouldBeBetweenOrEqual, want-time.Second, want)
 		}
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -1,6 +1,3 @@
-// Package scheduler owns which item runs next and on which server: nearest due first, on servers of the own zone where they
-// have room, within a limit for each server that follows what the server shows of its load. It is a pure state machine over
-// a steady clock, and must never know bodies, texts or connections.
 package scheduler
 
 import (
@@ -13,11 +10,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+const (
+	// initialMeanDuration is what a run is taken to last before any has ended.
+	initialMeanDuration = time.Second
+	// meanDurationWeight is the weight of one run in the moving average.
+	meanDurationWeight = 0.05
+)
+
+// Weights of a server's cost, relative to a server that is full, which costs 1.
+const (
+	crossZoneCost    = 2.0 // for traffic between zones, where loads are not reported
+	avoidedCost      = 4.0 // for the server at which the last attempt failed
+	cachedPrefixGain = 0.1 // for a server that was lately sent the prompt's prefix and may have it cached
+)
+
 // Task is an item to run.
 type Task struct {
-	Job    string
-	Index  int
-	Prefix string // what its prompt begins with, empty where it isn't known
+	Job    string // id
+	Index  int    // of the item in the batch job
+	Prefix string // identifies the first part of the prompt; empty if unknown
 }
 
 // Assignment is a task with the server that it goes to.
@@ -26,44 +37,54 @@
 	Server protocol.Server
 }
 
-// Planner holds what waits and what the servers take.
+// Planner holds the queue of tasks and what is known of the servers. It isn't safe for concurrent use.
+// Times are on one monotonic clock of the caller's.
 type Planner struct {
 	zone         string
 	random       *rand.Rand
-	reports      LoadReports
+	reports      LoadReports // nil: none
 	jobs         map[string]*queuedJob
-	queue        []*queuedJob // nearest due first
+	queue        []*queuedJob // all of jobs, by deadline, then id
 	servers      map[string]*serverState
-	byBackend    map[string][]*serverState // by service
+	byBackend    map[string][]*serverState // those of servers that aren't draining, in order of their ids
 	running      int
-	stores       int // that compete for the servers' places, this one included
+	stores       int // that compete for the servers' slots, this one included
 	budget       slotBudget
-	meanDuration time.Duration // that a run to its end takes, running mean
+	meanDuration time.Duration // of runs to their end, exponentially weighted moving average
 }
 
+// queuedJob is a batch job with its tasks that are waiting.
 type queuedJob struct {
 	id       string
 	deadline time.Duration
 	backends []string
-	tasks    []queuedTask
+	tasks    []queuedTask // in order of preference
 }
 
+// queuedTask is a task that is waiting.
 type queuedTask struct {
 	task      Task
 	notBefore time.Duration
-	avoid     string // server that the last try ended badly on
+	avoid     string // id of the server at which the last attempt failed, empty: none
 }
 
-// New gives a planner for a store in a zone. load tells what servers told of their load, nil where nobody does.
-func New(zone string, seed uint64, load LoadReports) *Planner {
-	return &Planner{zone: zone, random: rand.New(rand.NewPCG(seed, 0)), reports: load, meanDuration: initialMeanDuration, jobs: map[string]*queuedJob{},
-		servers: map[string]*serverState{}, byBackend: map[string][]*serverState{}}
+// New returns a planner for a store in a zone. reports may be nil.
+func New(zone string, seed uint64, reports LoadReports) *Planner {
+	return &Planner{
+		zone:         zone,
+		random:       rand.New(rand.NewPCG(seed, 0)),
+		reports:      reports,
+		meanDuration: initialMeanDuration,
+		jobs:         map[string]*queuedJob{},
+		servers:      map[string]*serverState{},
+		byBackend:    map[string][]*serverState{},
+	}
 }
 
-// Add takes a batch job's items.
-func (p *Planner) Add(id string, due time.Duration, backends []string, tasks []Task) {
+// Add queues a batch job's tasks, in place of those that it may have.
+func (p *Planner) Add(id string, deadline time.Duration, backends []string, tasks []Task) {
 	p.Remove(id)
-	job := &queuedJob{id: id, deadline: due, backends: backends}
+	job := &queuedJob{id: id, deadline: deadline, backends: backends}
 	for _, task := range tasks {
 		job.tasks = append(job.tasks, queuedTask{task: task})
 	}
@@ -74,7 +95,7 @@
 	p.queue = slices.Insert(p.queue, at, job)
 }
 
-// Remove drops a batch job's items that wait.
+// Remove removes a batch job with its waiting tasks. Running ones are not affected.
 func (p *Planner) Remove(id string) {
 	job := p.jobs[id]
 	if job == nil {
@@ -84,17 +105,15 @@
 	p.queue = slices.DeleteFunc(p.queue, func(other *queuedJob) bool { return other == job })
 }
 
-// Has tells whether a batch job is planned.
-func (p *Planner) Has(id string) bool { return p.jobs[id] != nil }
-
-// Backends changes the services that a batch job's items go to.
+// SetBackends sets the services whose servers a batch job's items go to.
 func (p *Planner) SetBackends(id string, backends []string) {
 	if job := p.jobs[id]; job != nil {
 		job.backends = backends
 	}
 }
 
-// Return takes a task back that is to be tried again, not before a time and rather not on a server.
+// Requeue queues a task again, ahead of its batch job's others, to start at notBefore at the earliest and
+// preferably not at the server avoid. It is dropped if the batch job was removed.
 func (p *Planner) Requeue(task Task, notBefore time.Duration, avoid string) {
 	job := p.jobs[task.Job]
 	if job == nil {
@@ -103,14 +122,14 @@
 	job.tasks = slices.Insert(job.tasks, 0, queuedTask{task: task, notBefore: notBefore, avoid: avoid})
 }
 
-// Take removes a waiting task, as one that is given up.
+// RemoveTask removes a waiting task.
 func (p *Planner) RemoveTask(id string, index int) {
 	if job := p.jobs[id]; job != nil {
-		job.tasks = slices.DeleteFunc(job.tasks, func(one queuedTask) bool { return one.task.Index == index })
+		job.tasks = slices.DeleteFunc(job.tasks, func(queued queuedTask) bool { return queued.task.Index == index })
 	}
 }
 
-// Waiting lists a batch job's tasks that wait.
+// Waiting lists a batch job's waiting tasks.
 func (p *Planner) Waiting(id string) []Task {
 	job := p.jobs[id]
 	if job == nil {
@@ -123,7 +142,7 @@
 	return tasks
 }
 
-// Counts tells how many tasks wait and run.
+// Counts returns the number of tasks that wait and that run.
 func (p *Planner) Counts() (waiting, running int) {
 	for _, job := range p.queue {
 		waiting += len(job.tasks)
@@ -131,43 +150,39 @@
 	return waiting, p.running
 }
 
-// firstTypical is the time that a run is taken to need before any has ended.
-const initialMeanDuration = time.Second
-
-// typicalShare is the weight of one run in the mean.
-const meanDurationWeight = 0.05
-
-// Stores tells how many stores compete for the servers' places.
+// SetStoreCount sets how many stores compete for the servers' slots.
 func (p *Planner) SetStoreCount(count int) { p.stores = max(count, 1) }
 
-// Completed takes in how long a run to its end took.
+// ObserveDuration takes in how long a run to its end took.
 func (p *Planner) ObserveDuration(took time.Duration) {
 	p.meanDuration += time.Duration(meanDurationWeight * float64(took-p.meanDuration))
 }
 
-// isLate tells whether items of a batch job that start now can't be in time any more.
+// missesDeadline reports whether items of a batch job that start now are expected to end too late.
 func (p *Planner) missesDeadline(job *queuedJob, now time.Duration) bool {
 	return now+p.meanDuration > job.deadline
 }
 
-// Next gives the next task and its server, and counts it as running there; false where nothing can start now. What can't be in time
-// any more lets the rest pass: to be later costs it little, and one late batch job would make all that follow late.
+// Next takes the next task off the queue, with its server, and counts it as running there; false if nothing
+// can start now.
 func (p *Planner) Next(now time.Duration) (Assignment, bool) {
 	if ablation.Off(ablation.BatchDeadlineOrder) {
 		return p.nextWhere(now, func(*queuedJob) bool { return true })
 	}
-	if assignment, found := p.nextWhere(now, func(job *queuedJob) bool { return !p.missesDeadline(job, now) }); found {
+	inTime := func(job *queuedJob) bool { return !p.missesDeadline(job, now) }
+	if assignment, found := p.nextWhere(now, inTime); found {
 		return assignment, true
 	}
 	return p.nextWhere(now, func(job *queuedJob) bool { return p.missesDeadline(job, now) })
 }
 
+// nextWhere is Next among the batch jobs that are wanted.
 func (p *Planner) nextWhere(now time.Duration, wanted func(*queuedJob) bool) (Assignment, bool) {
 	for _, job := range p.queue {
 		if !wanted(job) {
 			continue
 		}
-		index := slices.IndexFunc(job.tasks, func(one queuedTask) bool { return one.notBefore <= now })
+		index := slices.IndexFunc(job.tasks, func(queued queuedTask) bool { return queued.notBefore <= now })
 		if index < 0 {
 			continue
 		}
@@ -184,7 +199,8 @@
 	return Assignment{}, false
 }
 
-// choose gives the server with the least cost that has room, nil where none has.
+// pickServer returns a server for a task, nil if none has capacity: by reported loads, or else that with
+// the least cost.
 func (p *Planner) pickServer(job *queuedJob, task *queuedTask, now time.Duration) *serverState {
 	if chosen, reported := p.pickByReportedLoad(job, task, now); reported {
 		return chosen
@@ -196,7 +212,8 @@
 			if !server.hasCapacity(now) {
 				continue
 			}
-			cost := p.cost(server, task, now)
+			load := float64(server.inFlight) / server.limit
+			cost := p.cost(server, task, load, crossZoneCost, now)
 			if best == nil || cost < bestCost {
 				best, bestCost = server, cost
 			}
@@ -205,23 +222,19 @@
 	return best
 }
 
-// Weights of a server's cost, in units of a full server.
-const (
-	crossZoneCost    = 2.0 // bytes between zones
-	avoidedCost      = 4.0
-	cachedPrefixGain = 0.1 // it has read the prompt's first part lately
-	prefixCacheTTL   = 5 * time.Second
-)
-
-func (p *Planner) cost(server *serverState, task *queuedTask, now time.Duration) float64 {
-	cost := float64(server.inFlight) / server.limit
+// cost returns the cost of running a task at a server with a load, which is 1 for a full one.
+func (p *Planner) cost(
+	server *serverState, task *queuedTask, load, crossZone float64, now time.Duration,
+) float64 {
+	cost := load
 	if server.Zone != p.zone {
-		cost += crossZoneCost
+		cost += crossZone
 	}
 	if server.ID == task.avoid {
 		cost += avoidedCost
 	}
-	if task.task.Prefix != "" && server.hasCachedPrefix(task.task.Prefix, now) && !ablation.Off(ablation.BatchAffinity) {
+	prefix := task.task.Prefix
+	if prefix != "" && server.hasCachedPrefix(prefix, now) && !ablation.Off(ablation.BatchAffinity) {
 		cost -= cachedPrefixGain
 	}
 	return cost
--- a/internal/batch/scheduler/planner_test.go
+++ b/internal/batch/scheduler/planner_test.go
@@ -10,11 +10,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-func list(count, slots int) []protocol.Server {
+// listServers returns servers in two zones by turns.
+func listServers(count, slots int) []protocol.Server {
 	var servers []protocol.Server
 	for i := range count {
 		servers = append(servers, protocol.Server{
-			ID: fmt.Sprint("i-", i), Backend: "b", Address: fmt.Sprint("10.0.0.", i, ":1"), Zone: fmt.Sprint("z", i%2), Slots: slots,
+			ID: fmt.Sprint("i-", i), Backend: "b", Address: fmt.Sprint("10.0.0.", i, ":1"),
+			Zone: fmt.Sprint("z", i%2), Slots: slots,
 		})
 	}
 	return servers
@@ -29,9 +31,9 @@
 }
 
 func TestPlanner(t *testing.T) {
-	Convey("What is due first goes first, to the own zone first, within the limits", t, func() {
+	Convey("The earliest deadline goes first, to the own zone first, within the limits", t, func() {
 		p := New("z0", 1, nil)
-		p.SetServers(list(4, 8))
+		p.SetServers(listServers(4, 8))
 		p.Add("late", 20*time.Second, []string{"b"}, tasks("late", 10))
 		p.Add("soon", 10*time.Second, []string{"b"}, tasks("soon", 3))
 		var order []Assignment
@@ -59,9 +61,9 @@
 		_, ok = p.Next(0)
 		So(ok, ShouldBeFalse)
 	})
-	Convey("Limits grow with good first events and shrink with late ones and refusals", t, func() {
+	Convey("Limits grow with prompt first events, and shrink with late ones and rejections", t, func() {
 		p := New("z0", 1, nil)
-		p.SetServers(list(1, 20))
+		p.SetServers(listServers(1, 20))
 		s := p.servers["i-0"]
 		before := s.limit
 		for range 400 {
@@ -79,9 +81,9 @@
 		So(s.hasCapacity(52*time.Second), ShouldBeFalse)
 		So(s.hasCapacity(53*time.Second), ShouldBeTrue)
 	})
-	Convey("A task that comes back is tried elsewhere, and a server that left is forgotten", t, func() {
+	Convey("A requeued task is tried elsewhere, and a departed server is forgotten", t, func() {
 		p := New("z0", 1, nil)
-		p.SetServers(list(2, 8))
+		p.SetServers(listServers(2, 8))
 		p.Add("job", time.Second, []string{"b"}, tasks("job", 1))
 		a, _ := p.Next(0)
 		So(a.Server.ID, ShouldEqual, "i-0")
@@ -92,7 +94,7 @@
 		a, ok = p.Next(time.Second)
 		So(ok, ShouldBeTrue)
 		So(a.Server.ID, ShouldEqual, "i-1")
-		p.SetServers(list(1, 8))
+		p.SetServers(listServers(1, 8))
 		So(p.HasServer("i-1"), ShouldBeFalse)
 		p.Finished("i-1")
 		So(p.Waiting("job"), ShouldBeEmpty)
--- a/internal/batch/scheduler/told_test.go
+++ b/internal/batch/scheduler/reportedload_test.go
@@ -7,24 +7,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// board is what servers told, by id.
+// fakeReports are reported loads by server id, of 8 slots each and all of one time.
 type fakeReports struct {
-	present map[string]int
-	fails   map[string]bool
-	reading map[string]time.Duration
-	at      time.Duration
+	inFlight map[string]int
+	failing  map[string]bool
+	prefill  map[string]time.Duration
+	at       time.Duration
 }
 
-func (b *fakeReports) ReportedLoad(id string) (present, places int, at time.Duration, known bool) {
-	present, known = b.present[id]
-	return present, 8, b.at, known
+func (b *fakeReports) ReportedLoad(id string) (ReportedLoad, bool) {
+	inFlight, known := b.inFlight[id]
+	return ReportedLoad{InFlight: inFlight, Slots: 8, At: b.at}, known
 }
 
-func (b *fakeReports) PrefillBacklog(id string) time.Duration { return b.reading[id] }
+func (b *fakeReports) PrefillBacklog(id string) time.Duration { return b.prefill[id] }
 
-func (b *fakeReports) IsFailing(id string) bool { return b.fails[id] }
+func (b *fakeReports) IsFailing(id string) bool { return b.failing[id] }
 
-// drain starts all that can start, and counts it by server.
+// startAll starts all tasks that can start, and counts them by server and by batch job.
 func startAll(p *Planner, now time.Duration) (started int, on map[string]int, jobs map[string]int) {
 	on, jobs = map[string]int{}, map[string]int{}
 	for {
@@ -40,11 +40,11 @@
 
 func TestReportedLoads(t *testing.T) {
 	const far, soon = 20 * time.Second, 2100 * time.Millisecond
-	Convey("Items go where places are free, and leave some to live requests, fewer the nearer they are due", t, func() {
+	Convey("Items go where slots are free, and leave some to live requests, fewer the less slack they have", t, func() {
 		for due, want := range map[time.Duration]int{far: 1, soon: 1, soon - time.Second: 3, time.Millisecond: 1} {
-			b := &fakeReports{present: map[string]int{"i-0": 5, "i-1": 8, "i-2": 8, "i-3": 12}, at: time.Second}
+			b := &fakeReports{inFlight: map[string]int{"i-0": 5, "i-1": 8, "i-2": 8, "i-3": 12}, at: time.Second}
 			p := New("z0", 1, b)
-			p.SetServers(list(4, 8))
+			p.SetServers(listServers(4, 8))
 			p.servers["i-0"].limit = 8
 			p.Add("job", time.Second+due, []string{"b"}, tasks("job", 30))
 			started, on, _ := startAll(p, time.Second+1)
@@ -52,23 +52,23 @@
 			So(on["i-0"], ShouldEqual, want)
 		}
 	})
-	Convey("What went there since it told takes places", t, func() {
-		b := &fakeReports{present: map[string]int{"i-0": 0}, at: time.Second}
+	Convey("What was sent to a server since its report takes slots", t, func() {
+		b := &fakeReports{inFlight: map[string]int{"i-0": 0}, at: time.Second}
 		p := New("z0", 1, b)
-		p.SetServers(list(1, 8))
+		p.SetServers(listServers(1, 8))
 		p.servers["i-0"].limit = 8
 		p.Add("job", far, []string{"b"}, tasks("job", 30))
 		started, _, _ := startAll(p, 2*time.Second)
 		So(started, ShouldEqual, 6)
-		b.at, b.present["i-0"] = 3*time.Second, 4
+		b.at, b.inFlight["i-0"] = 3*time.Second, 4
 		started, _, _ = startAll(p, 3*time.Second)
 		So(started, ShouldEqual, 2)
 	})
-	Convey("A store takes its part of the free places, and the next a while later", t, func() {
-		b := &fakeReports{present: map[string]int{"i-0": 0, "i-1": 0}, at: time.Second}
+	Convey("A store takes its share of the free slots, and the next one an interval later", t, func() {
+		b := &fakeReports{inFlight: map[string]int{"i-0": 0, "i-1": 0}, at: time.Second}
 		p := New("z0", 1, b)
 		p.SetStoreCount(4)
-		p.SetServers(list(2, 8))
+		p.SetServers(listServers(2, 8))
 		p.servers["i-0"].limit, p.servers["i-1"].limit = 8, 8
 		p.Add("job", far, []string{"b"}, tasks("job", 30))
 		started, _, _ := startAll(p, 2*time.Second)
@@ -79,37 +79,42 @@
 		started, _, _ = startAll(p, 2*time.Second+budgetInterval)
 		So(started, ShouldEqual, 3)
 	})
-	Convey("A server that reads a long prompt gets none until that is read", t, func() {
-		b := &fakeReports{present: map[string]int{"i-0": 0}, reading: map[string]time.Duration{"i-0": maxPrefillBacklog + 1}, at: time.Second}
+	Convey("A server with a prefill backlog gets no items until that is done", t, func() {
+		b := &fakeReports{
+			inFlight: map[string]int{"i-0": 0}, at: time.Second,
+			prefill: map[string]time.Duration{"i-0": maxPrefillBacklog + 1},
+		}
 		p := New("z0", 1, b)
-		p.SetServers(list(1, 8))
+		p.SetServers(listServers(1, 8))
 		p.Add("job", far, []string{"b"}, tasks("job", 1))
 		started, _, _ := startAll(p, time.Second+1)
 		So(started, ShouldEqual, 0)
-		b.reading["i-0"] = maxPrefillBacklog
+		b.prefill["i-0"] = maxPrefillBacklog
 		started, _, _ = startAll(p, time.Second+1)
 		So(started, ShouldEqual, 1)
 	})
-	Convey("A server that fails the zone's requests gets none", t, func() {
-		b := &fakeReports{present: map[string]int{"i-0": 0, "i-1": 0}, fails: map[string]bool{"i-0": true}, at: time.Second}
+	Convey("A server that failing the zone's requests gets no items", t, func() {
+		b := &fakeReports{
+			inFlight: map[string]int{"i-0": 0, "i-1": 0}, at: time.Second, failing: map[string]bool{"i-0": true},
+		}
 		p := New("z0", 1, b)
-		p.SetServers(list(2, 8))
+		p.SetServers(listServers(2, 8))
 		p.Add("job", far, []string{"b"}, tasks("job", 30))
 		_, on, _ := startAll(p, time.Second+1)
 		So(on["i-0"], ShouldEqual, 0)
 		So(on["i-1"], ShouldBeGreaterThan, 0)
 	})
-	Convey("What can't be in time any more lets the rest pass, and goes when that is done", t, func() {
+	Convey("Items that miss their deadline let the others pass, and start after them", t, func() {
 		p := New("z0", 1, nil)
-		p.SetServers(list(1, 8))
+		p.SetServers(listServers(1, 8))
 		p.Add("past", time.Second, []string{"b"}, tasks("past", 2))
 		p.Add("open", far, []string{"b"}, tasks("open", 1))
 		_, _, jobs := startAll(p, 2*time.Second)
 		So(jobs, ShouldResemble, map[string]int{"open": 1, "past": 1})
 	})
-	Convey("A server that failed items is left alone for longer each time, until it serves one", t, func() {
+	Convey("A server that failing items is ejected for longer each time, until it succeeds", t, func() {
 		p := New("z0", 1, nil)
-		p.SetServers(list(1, 8))
+		p.SetServers(listServers(1, 8))
 		for range 20 {
 			p.Failed("i-0", 0)
 		}
