--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -109,7 +109,8 @@
 // wasn't accepted.
 func (m *StateMachine) writeAccepted(a *acceptance) {
 	id := a.content.ID
-	replicas := placement.Replicas(id, m.view, []protocol.Process{m.options.Self}, m.options.ReplicationFactor, m.slowStores()...)
+	kept := []protocol.Process{m.options.Self}
+	replicas := placement.Replicas(id, m.view, kept, m.options.ReplicationFactor, m.slowStores()...)
 	if len(replicas) < m.options.ReplicationFactor || m.retiring {
 		m.rejectCalls(a)
 		m.releaseReservations(id, a.attempt)
@@ -124,7 +125,7 @@
 		m.replicateJob(j)
 		m.maybeCommit(j)
 	})
-	contentAt, _ := locateCopy(j, record, at)
+	contentAt, _ := locateCopy(record, at)
 	made, err := newStoredJob(content, contentAt)
 	if err != nil {
 		panic("replica: an encoded batch job can't be read: " + err.Error())
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -46,23 +47,25 @@
 func (m *StateMachine) answer(id CallID, answer protocol.BatchAnswer) { m.env.Answer(id, answer) }
 
 // accepted says that the batch job is on all disks of its replica set.
-func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 202} }
+func accepted() protocol.BatchAnswer { return protocol.BatchAnswer{Status: http.StatusAccepted} }
 
 // unavailable promises that nothing was done.
 func unavailable() protocol.BatchAnswer {
-	return protocol.BatchAnswer{Status: 503, RetryAfterMs: int(retryAfter.Milliseconds())}
+	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
 // overLimit promises that nothing was done: the batch job doesn't fit within its account's limit now.
 func overLimit() protocol.BatchAnswer {
-	return protocol.BatchAnswer{Status: 429, RetryAfterMs: int(overLimitRetry.Milliseconds())}
+	return protocol.BatchAnswer{Status: http.StatusTooManyRequests, RetryAfterMs: int(overLimitRetry.Milliseconds())}
 }
 
 // outcomeUnknown promises nothing.
-func outcomeUnknown() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 504} }
+func outcomeUnknown() protocol.BatchAnswer {
+	return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
+}
 
 // notFound says that the batch job doesn't exist, for this tenant.
-func notFound() protocol.BatchAnswer { return protocol.BatchAnswer{Status: 404} }
+func notFound() protocol.BatchAnswer { return protocol.BatchAnswer{Status: http.StatusNotFound} }
 
 // dispatch answers a call, sends it to another store or has it wait.
 func (m *StateMachine) dispatch(p parkedCall) {
@@ -93,7 +96,7 @@
 	case protocol.BatchEnd:
 		m.serveEnd(j, p.callID)
 	default:
-		m.answer(p.callID, protocol.BatchAnswer{Status: 400})
+		m.answer(p.callID, protocol.BatchAnswer{Status: http.StatusBadRequest})
 	}
 }
 
--- a/internal/batch/replica/claimcounter.go
+++ b/internal/batch/replica/claimcounter.go
@@ -17,6 +17,7 @@
 	m.answerWaitingClaims()
 }
 
+// sendClaimResponse answers a claim, which may be of this store itself.
 func (m *StateMachine) sendClaimResponse(store placement.Key, answer ClaimResponse) {
 	if store == m.self {
 		m.handleClaimResponse(m.self, answer)
@@ -38,7 +39,9 @@
 		if len(verdicts) == 0 {
 			continue
 		}
-		m.sendClaimResponse(store, ClaimResponse{Stamp: m.stamp(), Number: number, Verdicts: verdicts, Over: m.accountsOverLimit(store)})
+		m.sendClaimResponse(store, ClaimResponse{
+			Stamp: m.stamp(), Number: number, Verdicts: verdicts, Over: m.accountsOverLimit(store),
+		})
 	}
 }
 
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -59,8 +59,11 @@
 // newClaims returns a part that has claimed and counted nothing.
 func newClaims() claims {
 	return claims{
-		granted: map[queuedtokens.Account]int64{}, sent: map[placement.Key]*sentClaim{}, counters: map[queuedtokens.Account]placement.Key{},
-		unclaimed: map[queuedtokens.Account]int64{}, counter: queuedtokens.NewCounter[placement.Key](),
+		granted:   map[queuedtokens.Account]int64{},
+		sent:      map[placement.Key]*sentClaim{},
+		counters:  map[queuedtokens.Account]placement.Key{},
+		unclaimed: map[queuedtokens.Account]int64{},
+		counter:   queuedtokens.NewCounter[placement.Key](),
 	}
 }
 
@@ -204,7 +207,7 @@
 	for _, id := range m.acceptanceIDs() {
 		if a := m.acceptances[id]; a.capacity == capacityUnknown {
 			wants[a.account()] = append(wants[a.account()], queuedtokens.Want{Job: id, Tokens: a.tokens})
-			used[a.account()] += 0
+			used[a.account()] += 0 // so that the account is listed
 		}
 	}
 	for account := range m.claims.granted {
@@ -272,7 +275,7 @@
 	}
 	used := m.usedTokens()
 	for account := range m.claims.granted {
-		used[account] += 0
+		used[account] += 0 // so that the account is looked at
 	}
 	due := map[placement.Key]bool{}
 	for _, j := range m.order {
@@ -288,17 +291,17 @@
 		}
 	}
 	for account, tokens := range used {
-		level := m.claims.granted[account]
+		granted := m.claims.granted[account]
 		counter := m.counterOf(account)
 		last := m.claims.sent[counter]
-		stale := last != nil && last.outdated
-		if level == tokens && !stale {
+		outdated := last != nil && last.outdated
+		if granted == tokens && !outdated {
 			continue
 		}
 		if limit, known := m.env.QueueLimit(account.Route); !known || limit == 0 {
 			continue
 		}
-		if tokens > level || stale || last == nil || now-last.sentAt >= decreaseInterval {
+		if tokens > granted || outdated || last == nil || now-last.sentAt >= decreaseInterval {
 			due[counter] = true
 		}
 	}
@@ -327,8 +330,11 @@
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
 	for _, j := range m.order {
 		account := j.account()
-		_, unasked := m.claims.unclaimed[account]
-		if !j.owned || !j.capacityUnconfirmed || unasked || m.counterOf(account) != counter || slices.Contains(over, account) {
+		_, unclaimed := m.claims.unclaimed[account]
+		if !j.owned || !j.capacityUnconfirmed || unclaimed {
+			continue
+		}
+		if m.counterOf(account) != counter || slices.Contains(over, account) {
 			continue
 		}
 		j.capacityUnconfirmed = false
--- a/internal/batch/replica/departures.go
+++ b/internal/batch/replica/departures.go
@@ -19,7 +19,8 @@
 // without them: no store concludes it from the views that it happened to see. Machines are counted, not disks: the
 // members of one replica set were in one view, and a view has one disk of each machine.
 
-// departureSet is who departed since all members had last reconciled, and whose logs are incomplete.
+// departureSet is who departed since all members had last reconciled, whose logs are incomplete, and how far the
+// other members have reconciled, which ends both.
 type departureSet struct {
 	stores           map[placement.Key]departure
 	reconciledEpochs map[placement.Key]uint64 // newest epoch in which each other member told that it had reconciled
@@ -61,11 +62,11 @@
 	d.stores = make(map[placement.Key]departure, len(view.Departed))
 	for _, process := range view.Departed {
 		key := placement.KeyOf(process)
-		one, known := before[key]
+		departed, known := before[key]
 		if !known {
-			one = departure{node: process.Node, at: now}
+			departed = departure{node: process.Node, at: now}
 		}
-		d.stores[key] = one
+		d.stores[key] = departed
 	}
 	maps.DeleteFunc(d.incompleteLogs, func(key placement.Key, _ time.Duration) bool {
 		_, present := placement.MemberOf(view, key)
@@ -76,8 +77,8 @@
 // missingStores returns the departed stores that are missed, by key.
 func (d *departureSet) missingStores() []placement.Key {
 	var list []placement.Key
-	for key, one := range d.stores {
-		if !one.expired {
+	for key, departed := range d.stores {
+		if !departed.expired {
 			list = append(list, key)
 		}
 	}
@@ -91,9 +92,9 @@
 // departedNodes returns the machines whose stores departed and are missed.
 func (d *departureSet) departedNodes() map[string]bool {
 	nodes := make(map[string]bool, len(d.stores))
-	for _, one := range d.stores {
-		if !one.expired {
-			nodes[one.node] = true
+	for _, departed := range d.stores {
+		if !departed.expired {
+			nodes[departed.node] = true
 		}
 	}
 	return nodes
@@ -139,14 +140,16 @@
 
 // expireDeparted gives up stores that have been missing for longer than batch jobs are kept.
 func (m *StateMachine) expireDeparted(now time.Duration) {
-	for key, one := range m.departures.stores {
-		if !one.expired && now-one.at > m.options.Retention {
-			one.expired = true
-			m.departures.stores[key] = one
+	for key, departed := range m.departures.stores {
+		if !departed.expired && now-departed.at > m.options.Retention {
+			departed.expired = true
+			m.departures.stores[key] = departed
 			m.reconciled = false // what they may have held is decided anew
 		}
 	}
-	maps.DeleteFunc(m.departures.incompleteLogs, func(_ placement.Key, at time.Duration) bool { return now-at > m.options.Retention })
+	maps.DeleteFunc(m.departures.incompleteLogs, func(_ placement.Key, at time.Duration) bool {
+		return now-at > m.options.Retention
+	})
 	_, noted := m.departures.incompleteLogs[m.self]
 	m.incompleteLog = m.incompleteLog && noted
 }
--- a/internal/batch/replica/doc.go
+++ b/internal/batch/replica/doc.go
@@ -38,7 +38,7 @@
 //	  releasable       ... and it has; the copy is dropped once all members have reconciled
 //	  handed over      this store retires, and isn't needed for the batch job any more
 //	corrupt          some records can't be used: its results are a sound prefix. It combines with the states above.
-//	ended            a client ended it, or all items are finished; dropped after Options.Retention
+//	closed           a client ended it, or all items are finished; dropped after Options.Retention
 //
 // # Acceptance, and what 202 promises
 //
@@ -51,9 +51,10 @@
 // f + 1 disks. A member that is slow to confirm is replaced by another under a higher version (slowreplicas.go). Once
 // something is written, a failure is answered 504, which promises nothing.
 //
-// An arbiter votes only after it has the inventories of all members of its epoch, pending acceptances included, so
-// that a batch job that was accepted in an earlier epoch, or still may be, is known to it. An arbiter that restarted
-// has forgotten its votes; they are discarded everywhere as soon as its new incarnation is seen.
+// An arbiter votes only after it has the inventories of all members of its epoch. These list what is written and not
+// yet acknowledged as well, so a batch job that was accepted in an earlier epoch, or still may be, is known to it. An
+// arbiter that restarted has forgotten its votes; they are discarded everywhere as soon as its new incarnation is
+// seen.
 //
 // The owner also needs room for the tokens of the batch job within the limit of its account (claims.go,
 // claimcounter.go, internal/batch/queuedtokens).
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -38,9 +38,12 @@
 func (m *StateMachine) sendHandover(j *storedJob) {
 	p := &j.peers[0]
 	now := m.env.Now()
-	if j.handedOver || p.awaitsResponse && now-p.sentAt < replicationRetry || j.durableResults < len(j.results) || j.ended != j.endedDurable {
+	if j.handedOver || p.awaitsResponse && now-p.sentAt < replicationRetry {
 		return
 	}
+	if j.durableResults < len(j.results) || j.ended != j.endedDurable {
+		return // what is listed has to be durable first
+	}
 	message := ReplicationRequest{Stamp: m.stamp(), Job: j.id, Version: m.handoverVersion(j)}
 	if p.reported && !p.hasCopy {
 		if p.copySentAt > 0 && now-p.copySentAt < replicationRetry {
@@ -85,7 +88,7 @@
 	if m.jobs[j.id] != j || len(j.replicas) == 0 || placement.KeyOf(j.replicas[0]) != m.self || !m.hasActiveReplicas(j) {
 		return
 	}
-	if uint64(j.version)>>versionBits != m.view.Epoch || j.owned {
+	if j.version.epoch() != m.view.Epoch || j.owned {
 		return
 	}
 	j.owned = true
--- a/internal/batch/replica/items.go
+++ b/internal/batch/replica/items.go
@@ -47,7 +47,8 @@
 // MayRun reports whether an item may be sent to a server now. It is checked right before the first byte.
 func (m *StateMachine) MayRun(id string, index int) bool {
 	j := m.jobs[id]
-	return m.MayAct() && j != nil && j.owned && j.replicated && !j.ended && len(j.handoverReplicas) == 0 && !j.items[index].finished
+	return m.MayAct() && j != nil && j.owned && j.replicated && !j.ended &&
+		len(j.handoverReplicas) == 0 && !j.items[index].finished
 }
 
 // SaveProgress keeps events of a running item: those that follow the event with the id after (-1 for the first), up
--- a/internal/batch/replica/ownership.go
+++ b/internal/batch/replica/ownership.go
@@ -62,8 +62,8 @@
 // joined.
 func (m *StateMachine) addRetiring(replicas []protocol.Process) []protocol.Process {
 	for _, member := range m.view.Members {
-		missing := len(replicas) < m.options.ReplicationFactor && member.State == protocol.StoreRetiring
-		if missing && !placement.Contains(replicas, placement.KeyOf(member.Process)) {
+		needed := len(replicas) < m.options.ReplicationFactor && member.State == protocol.StoreRetiring
+		if needed && !placement.Contains(replicas, placement.KeyOf(member.Process)) {
 			replicas = append(replicas, member.Process)
 		}
 	}
--- a/internal/batch/replica/ownershiptransfer.go
+++ b/internal/batch/replica/ownershiptransfer.go
@@ -96,7 +96,7 @@
 		return
 	}
 	j := m.jobs[message.Job]
-	if j == nil || !j.owned && j.version != message.Version { // what the inventory listed was dropped or replaced since then
+	if j == nil || !j.owned && j.version != message.Version { // what the inventory listed was dropped or replaced
 		m.env.Send(from, ReplicationResponse{Stamp: m.stamp(), Job: message.Job, Version: message.Version})
 		return
 	}
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -1,6 +1,7 @@
 package replica
 
 import (
+	"bytes"
 	"testing"
 
 	. "github.com/smartystreets/goconvey/convey"
@@ -61,3 +62,11 @@
 		So(w.failure, ShouldBeNil)
 	})
 }
+
+// TestProgressRecord holds the record of an item's events to the stored format.
+func TestProgressRecord(t *testing.T) {
+	want := append(job.AppendString([]byte{recordProgress}, "job"), 2, 1, 6, 1, 1, 'x') // item, after, last, events
+	if got := encodeProgress("job", 2, -1, 3, [][]byte{{'x'}}); !bytes.Equal(got, want) {
+		t.Errorf("encoded as %v, want %v", got, want)
+	}
+}
--- a/internal/batch/replica/reconciliation.go
+++ b/internal/batch/replica/reconciliation.go
@@ -51,12 +51,16 @@
 	entries := make([]InventoryEntry, 0, len(m.jobs))
 	for _, j := range m.order {
 		entries = append(entries, InventoryEntry{
-			Job: j.id, Version: j.version, Replicas: j.replicas, Count: j.durableResults, Ended: j.endedDurable, Damaged: j.corrupt,
+			Job: j.id, Version: j.version, Replicas: j.replicas,
+			Count: j.durableResults, Ended: j.endedDurable, Damaged: j.corrupt,
 		})
 	}
-	return InventoryResponse{Stamp: m.stamp(), Round: round, Settled: m.reconciledEpoch, Entries: entries, Obscured: m.incompleteLog}
+	return InventoryResponse{
+		Stamp: m.stamp(), Round: round, Settled: m.reconciledEpoch, Entries: entries, Obscured: m.incompleteLog,
+	}
 }
 
+// handleInventoryResponse takes in an inventory of the present round.
 func (m *StateMachine) handleInventoryResponse(from placement.Key, inventory InventoryResponse) {
 	if inventory.Round != m.inventoryRound || m.reconciled {
 		return
@@ -207,6 +211,7 @@
 	m.eachOtherMember(func(other protocol.Process) { m.env.Send(other, notice) })
 }
 
+// handleReconciledNotice takes in how far another member has reconciled.
 func (m *StateMachine) handleReconciledNotice(from protocol.Process, notice ReconciledNotice) {
 	m.departures.reconciledEpochs[placement.KeyOf(from)] = notice.Settled
 	if notice.Ask {
@@ -217,7 +222,8 @@
 
 // awaitsAllReconciled reports whether something here waits for all members to reconcile.
 func (m *StateMachine) awaitsAllReconciled() bool {
-	return len(m.departures.incompleteLogs) > 0 || m.retiring || slices.ContainsFunc(m.order, func(j *storedJob) bool { return j.superseded })
+	return len(m.departures.incompleteLogs) > 0 || m.retiring ||
+		slices.ContainsFunc(m.order, func(j *storedJob) bool { return j.superseded })
 }
 
 // checkAllReconciled drops superseded copies and forgets incomplete logs, once all members have reconciled.
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -22,7 +22,9 @@
 )
 
 // encodeCopy encodes a whole batch job, which replaces what was stored of it.
-func encodeCopy(id string, version Version, replicas []protocol.Process, ended bool, content []byte, results []Result) []byte {
+func encodeCopy(
+	id string, version Version, replicas []protocol.Process, ended bool, content []byte, results []Result,
+) []byte {
 	size := len(content) + 256
 	for i := range results {
 		size += len(results[i].Text) + 16
@@ -141,7 +143,7 @@
 }
 
 // locateCopy returns the locations of the content and of the results within a copy record that is being written.
-func locateCopy(j *storedJob, record []byte, at wal.Location) (wal.Location, []storedResult) {
+func locateCopy(record []byte, at wal.Location) (wal.Location, []storedResult) {
 	r := &job.Decoder{Remaining: record[1:]}
 	_ = r.Text()
 	readReplicas(r)
@@ -172,6 +174,7 @@
 	return at.Part(uint32(len(record)-len(data)), uint32(len(data)))
 }
 
+// boolByte encodes a flag.
 func boolByte(set bool) byte {
 	if set {
 		return 1
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -36,13 +36,13 @@
 
 // Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are still
 // corrupt because of them.
-func (m *StateMachine) Corruption() (findings, damaged int) {
+func (m *StateMachine) Corruption() (findings, corrupt int) {
 	for _, j := range m.order {
 		if j.corrupt {
-			damaged++
+			corrupt++
 		}
 	}
-	return m.findings, damaged
+	return m.findings, corrupt
 }
 
 // noteFinding records what this store can't claim any more because of a record that can't be used.
@@ -114,6 +114,7 @@
 	}
 }
 
+// replayReplicas applies a new version of a copy.
 func (j *storedJob) replayReplicas(r *job.Decoder) *Finding {
 	version, replicas := readReplicas(r)
 	if r.Failed {
@@ -123,6 +124,7 @@
 	return nil
 }
 
+// replayCopy stores a batch job in place of an earlier copy, up to its first result that can't be used.
 func (m *StateMachine) replayCopy(r *job.Decoder, id string, at wal.Location, record []byte) *Finding {
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
@@ -154,6 +156,7 @@
 	return nil
 }
 
+// replayResult lists a result if it is the next one.
 func (j *storedJob) replayResult(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	position := r.Uvarint()
 	result := readResult(r, record, at)
@@ -204,6 +207,7 @@
 	return nil
 }
 
+// replay applies the record of the view.
 func (d *departureSet) replay(at wal.Location, record []byte) *Finding {
 	r := &job.Decoder{Remaining: record[1:]}
 	skipKeys(r)
--- a/internal/batch/replica/repair.go
+++ b/internal/batch/replica/repair.go
@@ -21,6 +21,6 @@
 			m.maybeCommit(j)
 		}
 	})
-	j.contentAt, j.results = locateCopy(j, record, at)
+	j.contentAt, j.results = locateCopy(record, at)
 	j.progress = nil // its locations are in segments that may be released now
 }
--- a/internal/batch/replica/replicationmember.go
+++ b/internal/batch/replica/replicationmember.go
@@ -8,6 +8,8 @@
 
 // What does a replica do with what the owner sends?
 
+// handleReplicationRequest does what the owner sends, or answers a question of a store that takes this one for the
+// owner.
 func (m *StateMachine) handleReplicationRequest(from protocol.Process, message ReplicationRequest) {
 	j := m.jobs[message.Job]
 	switch {
@@ -45,7 +47,7 @@
 		m.takeHandover(j)
 	})
 	j.version, j.replicas, j.ended = message.Version, message.Replicas, message.Ended
-	j.contentAt, j.results = locateCopy(j, record, at)
+	j.contentAt, j.results = locateCopy(record, at)
 	for i := range j.results {
 		j.markFinished(int(j.results[i].item))
 	}
@@ -79,7 +81,8 @@
 	}
 	replicated := j.owned && j.isFullyReplicated()
 	m.env.Send(to, ReplicationResponse{
-		Stamp: m.stamp(), Job: j.id, Held: j.versionDurable, Version: j.version, Count: j.durableResults, Ended: j.endedDurable,
+		Stamp: m.stamp(), Job: j.id, Version: j.version,
+		Held: j.versionDurable, Count: j.durableResults, Ended: j.endedDurable,
 		Stands: replicated, Whole: replicated && !placement.Contains(j.replicas, placement.KeyOf(to)),
 	})
 }
--- a/internal/batch/replica/reservation.go
+++ b/internal/batch/replica/reservation.go
@@ -40,21 +40,22 @@
 
 // vote answers, as an arbiter, who may accept a batch job: always the same store in one epoch, unless that one gives
 // the vote back.
-func (m *StateMachine) vote(id string, asker placement.Key, number uint64) ReservationResponse {
+func (m *StateMachine) vote(id string, requester placement.Key, number uint64) ReservationResponse {
 	answer := ReservationResponse{Stamp: m.stamp(), Job: id, Number: number, Owner: m.knownHolder(id)}
 	given, voted := m.reservations[id]
 	switch {
 	case answer.Owner == "":
-		answer.Owner = asker
-		m.reservations[id] = reservation{store: asker, attempt: number}
-	case voted && given.store == asker && answer.Owner == asker:
-		m.reservations[id] = reservation{store: asker, attempt: max(number, given.attempt)}
+		answer.Owner = requester
+		m.reservations[id] = reservation{store: requester, attempt: number}
+	case voted && given.store == requester && answer.Owner == requester:
+		m.reservations[id] = reservation{store: requester, attempt: max(number, given.attempt)}
 	default:
 		answer.Held = !voted || given.store != answer.Owner
 	}
 	return answer
 }
 
+// handleReservationRequest votes, as an arbiter that is certain of what was accepted before.
 func (m *StateMachine) handleReservationRequest(from protocol.Process, message ReservationRequest) {
 	if !m.reconciled || !m.MayAct() {
 		return
--- a/internal/batch/replica/serve.go
+++ b/internal/batch/replica/serve.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"slices"
 	"strconv"
 	"time"
@@ -18,7 +19,8 @@
 	// maxPageBytes is the largest body of an answer with more than one result.
 	maxPageBytes = 1<<20 - 4<<10
 
-	contentJSON = "application/json"
+	contentJSON   = "application/json"
+	contentBinary = "application/octet-stream"
 )
 
 // serveRead answers with results, or has the call wait until there is one.
@@ -77,7 +79,7 @@
 	body = append(body, `],"next-token":`...)
 	body = strconv.AppendInt(body, int64(position), 10)
 	body = append(body, '}')
-	m.answer(id, protocol.BatchAnswer{Status: 200, Body: body, ContentType: contentJSON})
+	m.answer(id, protocol.BatchAnswer{Status: http.StatusOK, Body: body, ContentType: contentJSON})
 }
 
 // expireReads ends reads whose time is over.
@@ -147,7 +149,7 @@
 		m.answer(p.callID, unavailable())
 		return
 	}
-	m.answer(p.callID, protocol.BatchAnswer{Status: 200, Body: item.Body, ContentType: "application/octet-stream"})
+	m.answer(p.callID, protocol.BatchAnswer{Status: http.StatusOK, Body: item.Body, ContentType: contentBinary})
 }
 
 // isCommitted reports whether an item's result is committed.
@@ -183,7 +185,7 @@
 // acknowledgeEnds answers the ends of a batch job.
 func (m *StateMachine) acknowledgeEnds(j *storedJob) {
 	for _, id := range j.pendingEnds {
-		m.answer(id, protocol.BatchAnswer{Status: 200})
+		m.answer(id, protocol.BatchAnswer{Status: http.StatusOK})
 	}
 	j.pendingEnds = nil
 }
--- a/internal/batch/replica/slowreplicas.go
+++ b/internal/batch/replica/slowreplicas.go
@@ -56,7 +56,10 @@
 // confirmed it in time and there are others. The version rises: what the replaced ones may still write counts for
 // nothing.
 func (m *StateMachine) replaceSlowReplicas(j *storedJob, now time.Duration) {
-	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt || j.replicated || !j.versionDurable || len(j.handoverReplicas) > 0 {
+	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt {
+		return
+	}
+	if j.replicated || !j.versionDurable || len(j.handoverReplicas) > 0 {
 		return
 	}
 	j.replaceReplicasAt = now + replaceReplicasAfter
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -75,7 +75,7 @@
 	inventories            map[placement.Key]InventoryResponse
 	incarnations           map[placement.Key]uint64     // newest process incarnation seen of each store
 	transfers              map[string]ownershipTransfer // batch jobs that this store would own, and transferred to others
-	reconciledEpoch        uint64                       // newest epoch in which all that this store owns was fully replicated
+	reconciledEpoch        uint64                       // newest epoch in which this store had reconciled
 
 	jobs   map[string]*storedJob
 	order  []*storedJob             // the same, in the order in which they came
@@ -117,7 +117,9 @@
 		violations:   Violations{},
 		claims:       newClaims(),
 		departures: departureSet{
-			stores: map[placement.Key]departure{}, reconciledEpochs: map[placement.Key]uint64{}, incompleteLogs: map[placement.Key]time.Duration{},
+			stores:           map[placement.Key]departure{},
+			reconciledEpochs: map[placement.Key]uint64{},
+			incompleteLogs:   map[placement.Key]time.Duration{},
 		},
 	}
 }
--- a/internal/batch/replica/status.go
+++ b/internal/batch/replica/status.go
@@ -17,7 +17,7 @@
 	IncompleteLogs  int             // stores whose logs may have held what they can't name
 	Unowned         int             // batch jobs that nobody owns until enough of the missing stores are back
 	Transferring    int             // batch jobs transferred to stores with better copies, not yet fully replicated there
-	Superseded      int             // superseded copies here whose owners haven't confirmed that the newer version is fully replicated
+	Superseded      int             // superseded copies here that aren't releasable yet
 	UnderReplicated int             // batch jobs owned here that aren't on all disks of their sets
 }
 
--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -23,9 +23,12 @@
 // versionOf returns the version with a number within an epoch.
 func versionOf(epoch uint64, number uint64) Version { return Version(epoch<<versionBits | number) }
 
+// epoch returns the epoch in which the replica set was chosen.
+func (v Version) epoch() uint64 { return uint64(v) >> versionBits }
+
 // next returns a version of an epoch that is above this one.
 func (v Version) next(epoch uint64) Version {
-	if uint64(v)>>versionBits >= epoch {
+	if v.epoch() >= epoch {
 		return v + 1
 	}
 	return versionOf(epoch, 0)
@@ -63,7 +66,7 @@
 	content           []byte             // encoded, in memory until it is replicated
 	uncommitted       map[int]*Result    // by position, in memory until they are committed
 	handoverReplicas  []protocol.Process // the set to hand over to, while this store retires
-	replaceReplicasAt time.Duration      // when replicas of a new batch job that haven't confirmed it are replaced; 0 for never
+	replaceReplicasAt time.Duration      // when replicas that haven't confirmed a new batch job are replaced; 0 for never
 	// capacityUnconfirmed: ownership fell to this store, and the account's counter has not confirmed since that the
 	// account is within its limit.
 	capacityUnconfirmed bool
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -49,10 +49,10 @@
 	m.writeViewRecord()
 	m.isMember = present
 	m.retiring = present && member.State != protocol.StoreActive
-	next := wasPresent && present && view.Epoch == last.Epoch+1
+	consecutive := wasPresent && present && view.Epoch == last.Epoch+1
 	for _, j := range m.order {
 		j.handedOver, j.releasable = false, false
-		if j.owned && !(next && m.hasActiveReplicas(j)) {
+		if j.owned && !(consecutive && m.hasActiveReplicas(j)) {
 			m.disown(j)
 		}
 		if !present {
@@ -105,7 +105,8 @@
 	j.replaceReplicasAt = 0
 }
 
-// failPendingCalls stops what this store does for a batch job: it is not in the view any more.
+// failPendingCalls stops what this store does for a batch job, as it isn't a member any more. Whether waiting
+// submissions and ends took effect is not known here.
 func (m *StateMachine) failPendingCalls(j *storedJob) {
 	m.env.Stop(j.id)
 	m.answerSubmissionsAndEnds(j, outcomeUnknown())
--- a/internal/batch/replica/writes.go
+++ b/internal/batch/replica/writes.go
@@ -42,5 +42,6 @@
 		return
 	}
 	last := m.pendingWrites[len(m.pendingWrites)-1]
-	m.pendingWrites = append(m.pendingWrites, pendingWrite{sequence: last.sequence, queuedAt: last.queuedAt, onDurable: then})
+	last.onDurable = then
+	m.pendingWrites = append(m.pendingWrites, last)
 }
