--- a/cmd/sprucelanectl/check.go
+++ b/cmd/sprucelanectl/config_check.go
@@ -3,14 +3,12 @@
 import (
 	"fmt"
 
-	"github.com/jessevdk/go-flags"
-
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/control/schema"
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// configCheck checks a configuration offline, as control would.
+// configCheck is the command "config check": it checks a configuration offline, as control would.
 type configCheck struct {
 	Patch     bool `long:"patch" description:"the file is a change of named items, not a whole configuration; what it needs of the rest isn't checked"`
 	Arguments struct {
@@ -19,7 +17,7 @@
 	printer *printer
 }
 
-// Execute names every finding with its place.
+// Execute reports all findings, each with its location.
 func (c *configCheck) Execute([]string) error {
 	body, err := readFile(c.Arguments.File)
 	if err != nil {
@@ -31,24 +29,27 @@
 	return c.printer.valid(fmt.Sprintf("%s: valid, generation %d", c.Arguments.File, generationOf(body)))
 }
 
-// checkConfiguration gives what the schema finds and, where the shape is right, what spans items.
+// checkConfiguration gives the findings of the schema, or, if there are none, of the checks in Go, which need a
+// document of the right shape.
 func checkConfiguration(path string, body []byte, patch bool) node.Findings {
-	list := schema.Check(body, patch)
-	if len(list) == 0 {
-		list = checkReferences(body, patch)
+	findings := schema.Check(body, patch)
+	if len(findings) == 0 {
+		findings = checkReferences(body, patch)
 	}
-	for i := range list {
-		list[i].Place = joinLocation(path, list[i].Place)
+	for i := range findings {
+		findings[i].Place = joinLocation(path, findings[i].Place)
 	}
-	return list
+	return findings
 }
 
+// checkReferences makes the checks that span items. Of a patch only what doesn't depend on the version that it
+// changes can be checked.
 func checkReferences(body []byte, patch bool) node.Findings {
-	order := configuration.ChangeRequest{Patch: patch, Body: body}
+	request := configuration.ChangeRequest{Patch: patch, Body: body}
 	if patch {
-		return configuration.ValidateStandalone(order)
+		return configuration.ValidateStandalone(request)
 	}
-	return configuration.NewState().Evaluate(order).Findings
+	return configuration.NewState().Evaluate(request).Findings
 }
 
 func joinLocation(path, place string) string {
@@ -57,9 +58,3 @@
 	}
 	return path + ": " + place
 }
-
-func addConfig(parser *flags.Parser, screen *printer) *flags.Command {
-	group := add(parser.Command, "config", "the operator's configuration", &struct{}{})
-	add(group, "check", "check a configuration offline and name every finding by its place", &configCheck{printer: screen})
-	return group
-}
--- a/cmd/sprucelanectl/control_test.go
+++ b/cmd/sprucelanectl/control_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeControl holds one configuration as control does: a change must build on its version.
+// fakeControl has one configuration, as control does: a change must build on its version.
 type fakeControl struct {
 	version  string
 	document string
@@ -63,7 +63,7 @@
 		So(got.code, ShouldEqual, exitOK)
 		So(got.out, ShouldEqual, "{\"generation\":7}\n")
 	})
-	Convey("A change on top of another version is refused", t, func() {
+	Convey("A change on top of another version is rejected", t, func() {
 		got := call("config", "patch", "--control", address, "--if-match", "5", change)
 		So(got.code, ShouldEqual, exitFailed)
 		So(got.errOut, ShouldContainSubstring, "412")
@@ -84,7 +84,7 @@
 		So(got.code, ShouldEqual, exitFailed)
 		So(got.errOut, ShouldContainSubstring, "404")
 	})
-	Convey("Without an address of control the command line can't be used", t, func() {
+	Convey("Without an address of control the command line is invalid", t, func() {
 		got := call("config", "get")
 		So(got.code, ShouldEqual, exitFindings)
 		So(got.errOut, ShouldContainSubstring, "--control")
@@ -101,7 +101,7 @@
 		So(got.out, ShouldContainSubstring, "valid, generation 7")
 		So(got.code, ShouldEqual, exitOK)
 	})
-	Convey("What is wrong is named with its place", t, func() {
+	Convey("Each finding has its location", t, func() {
 		for _, wrong := range []struct{ from, to, says string }{
 			{`"timeout-ms":100`, `"timeout-ms":0`, "timeout-ms"},
 			{`"backend":"b"`, `"backend":"x"`, "backend"},
--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// diskVerify reads the store in the data folder of a control process.
+// diskVerify is the command "disk verify": it reads the log and snapshots in the data folder of a control process.
 type diskVerify struct {
 	Arguments struct {
 		Folder string `positional-arg-name:"DIR" description:"the data folder of a control process (data-dir of its settings)"`
@@ -19,7 +19,7 @@
 	printer *printer
 }
 
-// verified is what a store holds.
+// verifyResult is the output of the command.
 type verifyResult struct {
 	Whole         bool      `json:"whole"`
 	SnapshotBytes int       `json:"snapshot-bytes"`
@@ -27,10 +27,10 @@
 	Findings      []finding `json:"findings"`
 }
 
-// errDamaged makes the exit code that of findings; they have been printed.
+// errDamaged gives the exit code of findings, which have been printed by then.
 var errDamaged = errors.New("acknowledged state is missing from the disk")
 
-// Execute names every damage by file and offset. It changes nothing.
+// Execute reports each corruption by file and offset. It changes nothing on the disk.
 func (c *diskVerify) Execute([]string) error {
 	if _, err := os.Stat(c.Arguments.Folder); err != nil {
 		return err
@@ -42,7 +42,12 @@
 	if err == nil && !found.Found {
 		return fmt.Errorf("%s holds no store of a control process", c.Arguments.Folder)
 	}
-	result := verifyResult{Whole: err == nil, SnapshotBytes: len(found.Snapshot), Records: len(found.Records), Findings: []finding{}}
+	result := verifyResult{
+		Whole:         err == nil,
+		SnapshotBytes: len(found.Snapshot),
+		Records:       len(found.Records),
+		Findings:      []finding{},
+	}
 	for _, one := range found.Findings {
 		result.Findings = append(result.Findings, finding{
 			Place: fmt.Sprintf("%s, byte %d", one.File, one.Offset),
@@ -58,6 +63,7 @@
 	return nil
 }
 
+// write prints the result as text.
 func (v verifyResult) write(out io.Writer) {
 	for _, one := range v.Findings {
 		fmt.Fprintf(out, "%s: %s\n", one.Place, one.Text)
@@ -67,7 +73,7 @@
 	}
 }
 
-func addDisk(parser *flags.Parser, screen *printer) {
+func addDisk(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "disk", "disks of control processes", &struct{}{})
-	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{printer: screen})
+	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{printer: printer})
 }
--- a/cmd/sprucelanectl/main.go
+++ b/cmd/sprucelanectl/main.go
@@ -1,7 +1,9 @@
-// Command sprucelanectl is the operator's command. sprucelanectl --help lists what it does, and each command has --help.
+// Command sprucelanectl is the operators' command line: it checks settings files, configurations and disks offline,
+// and reads and changes the configuration and retires store machines through control processes. sprucelanectl
+// --help lists the commands, and each has --help.
 //
-// Exit codes: 0, done and nothing found; 1, it could not be done (no answer, refused); 2, the command line can't be used, or
-// what was checked has findings.
+// Exit codes: 0, done and nothing found; 1, failed (no answer, rejected); 2, the command line is invalid, or what
+// was checked has findings.
 package main
 
 import (
@@ -19,59 +21,63 @@
 const (
 	exitOK       = 0
 	exitFailed   = 1
-	exitFindings = 2 // also: the command line can't be used
+	exitFindings = 2 // also: the command line is invalid
 )
 
-// options are of every command.
+// options are the options of every command.
 type options struct {
 	Output string `short:"o" long:"output" env:"SPRUCELANECTL_OUTPUT" choice:"text" choice:"json" default:"text" description:"form of the output"`
 }
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// run executes a command line and gives the exit code.
 func run(arguments []string, out, errOut io.Writer) int {
 	common := &options{}
 	parser := flags.NewNamedParser("sprucelanectl", flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "The operator's command. Exit codes: 0 done and nothing found; 1 it could not be done (no answer, refused); " +
+	parser.LongDescription = "The operator's command. Exit codes: 0 done and nothing found; " +
+		"1 it could not be done (no answer, refused); " +
 		"2 the command line can't be used, or what was checked has findings."
 	if _, err := parser.AddGroup("Common options", "", common); err != nil {
-		panic(err) // the struct above is wrong
+		panic(err) // a programming error: wrong tags of options
 	}
-	screen := &printer{out: out, errOut: errOut, options: common}
-	addSettings(parser, screen)
-	addControl(parser, addConfig(parser, screen), screen)
-	addDisk(parser, screen)
+	printer := &printer{out: out, errOut: errOut, options: common}
+	addSettings(parser, printer)
+	addConfig(parser, printer)
+	addRetire(parser, printer)
+	addStatus(parser, printer)
+	addDisk(parser, printer)
 	_, err := parser.ParseArgs(arguments)
-	return report(err, screen)
+	return report(err, printer)
 }
 
-// report prints an error, in one place, and gives the exit code.
-func report(err error, screen *printer) int {
+// report prints an error and gives the exit code.
+func report(err error, printer *printer) int {
 	if err == nil {
 		return exitOK
 	}
 	var usage *flags.Error
 	if errors.As(err, &usage) {
 		if usage.Type == flags.ErrHelp {
-			fmt.Fprintln(screen.out, usage.Message)
+			fmt.Fprintln(printer.out, usage.Message)
 			return exitOK
 		}
-		fmt.Fprintln(screen.errOut, usage.Message)
+		fmt.Fprintln(printer.errOut, usage.Message)
 		return exitFindings
 	}
 	var findings node.Findings
 	if errors.As(err, &findings) {
-		screen.findings(findings)
+		printer.findings(findings)
 		return exitFindings
 	}
-	fmt.Fprintln(screen.errOut, err)
+	fmt.Fprintln(printer.errOut, err)
 	if errors.Is(err, errDamaged) {
 		return exitFindings
 	}
 	return exitFailed
 }
 
-// add adds a command; the error can only be one of the program's own making.
+// add adds a command. An error is a programming error: wrong tags of data, or a name twice.
 func add(parent *flags.Command, name, short string, data any) *flags.Command {
 	command, err := parent.AddCommand(name, short, short, data)
 	if err != nil {
--- a/cmd/sprucelanectl/main_test.go
+++ b/cmd/sprucelanectl/main_test.go
@@ -21,7 +21,7 @@
 seeds=10.1.0.14:8683,10.2.0.22:8683
 `
 
-// command is what one call of the program gave.
+// result is the outcome of one call of the program.
 type result struct {
 	code   int
 	out    string
@@ -51,8 +51,9 @@
 			So(got.out, ShouldContainSubstring, "Usage:")
 		}
 	})
-	Convey("A command line that can't be used ends with 2", t, func() {
-		for _, arguments := range [][]string{{}, {"no-such"}, {"settings", "check"}, {"-o", "yaml", "settings", "check", "x"}} {
+	Convey("An invalid command line exits with 2", t, func() {
+		invalid := [][]string{{}, {"no-such"}, {"settings", "check"}, {"-o", "yaml", "settings", "check", "x"}}
+		for _, arguments := range invalid {
 			got := call(arguments...)
 			So(got.code, ShouldEqual, exitFindings)
 			So(got.errOut, ShouldNotBeEmpty)
--- a/cmd/sprucelanectl/printer.go
+++ b/cmd/sprucelanectl/printer.go
@@ -8,14 +8,14 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// printer writes what commands give, as text or as JSON.
+// printer writes the output of commands, as text or as JSON.
 type printer struct {
 	out     io.Writer
 	errOut  io.Writer // why a command failed
 	options *options
 }
 
-// print writes a value: as JSON, or by the function that makes text of it.
+// print writes a value as JSON, or as the text that a function makes of it.
 func (p *printer) print(value any, text func(io.Writer)) error {
 	if p.options.Output == "json" {
 		encoder := json.NewEncoder(p.out)
@@ -26,17 +26,19 @@
 	return nil
 }
 
-// checked is what a check gives.
+// checkResult is the output of a check.
 type checkResult struct {
 	Valid    bool      `json:"valid"`
 	Findings []finding `json:"findings"`
 }
 
+// finding is node.Finding with JSON names.
 type finding struct {
 	Place string `json:"place"`
 	Text  string `json:"text"`
 }
 
+// findings prints the result of a check with findings.
 func (p *printer) findings(list node.Findings) {
 	result := checkResult{Findings: make([]finding, 0, len(list))}
 	for _, one := range list {
@@ -45,6 +47,7 @@
 	_ = p.print(result, func(out io.Writer) { fmt.Fprintln(out, list.Error()) })
 }
 
+// valid prints the result of a check without findings; text is the output in text form.
 func (p *printer) valid(text string) error {
 	return p.print(checkResult{Valid: true, Findings: []finding{}}, func(out io.Writer) { fmt.Fprintln(out, text) })
 }
--- a/cmd/sprucelanectl/settings.go
+++ b/cmd/sprucelanectl/settings.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// settingsCheck reads a settings file as a process of the system would.
+// settingsCheck is the command "settings check": it reads a settings file as a process of the system would.
 type settingsCheck struct {
 	printer   *printer
 	Arguments struct {
@@ -16,16 +16,17 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute names every fault by line and key.
+// Execute reports all faults, each with its line and key.
 func (c *settingsCheck) Execute([]string) error {
 	settings, err := node.LoadFile(c.Arguments.File)
 	if err != nil {
 		return err
 	}
-	return c.printer.valid(fmt.Sprintf("%s: valid, of %s in the role %s", c.Arguments.File, settings.NodeName, settings.Role))
+	return c.printer.valid(fmt.Sprintf("%s: valid, of %s in the role %s",
+		c.Arguments.File, settings.NodeName, settings.Role))
 }
 
-func addSettings(parser *flags.Parser, screen *printer) {
+func addSettings(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "settings", "settings files of processes", &struct{}{})
-	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{printer: screen})
+	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{printer: printer})
 }
--- a/cmd/sprucelanectl/status.go
+++ b/cmd/sprucelanectl/status.go
@@ -7,29 +7,35 @@
 	"net/http"
 	"time"
 
+	"github.com/jessevdk/go-flags"
+
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
-// status asks each control process by itself.
+func addStatus(parser *flags.Parser, printer *printer) {
+	add(parser.Command, "status", "ask each control process for the version that it knows", &status{printer: printer})
+}
+
+// status is the command "status": it asks each control process by itself.
 type status struct {
 	Remote  controlOptions `group:"Control options"`
 	printer *printer
 }
 
-// controlStatus is what one control process tells.
+// controlStatus is the output for one control process.
 type controlStatus struct {
 	Address  string  `json:"address"`
 	Answered bool    `json:"answers"`
-	Version  uint64  `json:"version"` // 0: no configuration yet
-	Took     float64 `json:"took-ms"`
-	Problem  string  `json:"problem,omitempty"`
-	Redirect bool    `json:"redirected"` // another one has answered in its place
+	Version  uint64  `json:"version"`           // 0: no configuration yet
+	Took     float64 `json:"took-ms"`           // milliseconds
+	Problem  string  `json:"problem,omitempty"` // why there is no answer
+	Redirect bool    `json:"redirected"`        // it redirected to another one, which answered
 }
 
-// statusTimeout bounds the call to one control process: its own readers wait for 0.9 s.
+// statusTimeout bounds the call to one control process, which itself lets a reader wait for up to 0.9 s.
 const statusTimeout = 2 * time.Second
 
-// Execute fails where no control process tells the version.
+// Execute fails if no control process answers.
 func (c *status) Execute([]string) error {
 	addresses := c.Remote.addresses()
 	if len(addresses) == 0 {
@@ -51,6 +57,7 @@
 	return err
 }
 
+// askVersion asks one control process for its newest version.
 func askVersion(address string) controlStatus {
 	one := controlStatus{Address: address}
 	client := controlclient.Client{Addresses: []string{address}, Timeout: statusTimeout}
