--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -23,7 +23,7 @@
 	if n.status.Load().diskUnhealthy {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
 	}
-	wait := &waiter{outcomes: make(chan chain.Outcome, 1)}
+	wait := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
 	err := n.enqueue(ctx, func() { n.core.submit(n.now(), id, command, wait) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -47,7 +47,7 @@
 
 // withdraw ends the wait for an order. What is known of it is known on the loop only; a node whose
 // disk holds up the loop can't tell, and then the order counts as uncertain.
-func (n *Node) withdraw(id string, wait *waiter, cause error) ([]byte, error) {
+func (n *Node) withdraw(id string, wait *outcomeWaiter, cause error) ([]byte, error) {
 	limited, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	sent := true
--- a/coord/replica/core_client.go
+++ b/coord/replica/core_client.go
@@ -16,11 +16,11 @@
 	sentAt            time.Duration
 	notAppliedThrough uint64 // the order wasn't applied at or below this index
 	mayBeForgotten    bool   // it may have been applied above since, and be forgotten
-	waiters           []*waiter
+	waiters           []*outcomeWaiter
 }
 
 // waiter is one call that waits for an order's outcome, which comes at most once.
-type waiter struct{ outcomes chan chain.Outcome }
+type outcomeWaiter struct{ outcomes chan chain.Outcome }
 
 // pendingRead waits for a proof that is younger than its start.
 type pendingRead struct {
@@ -55,34 +55,34 @@
 // maxHeld bounds the orders that wait at the head.
 const maxDeferred = 1024
 
-func (w *pendingRequests) init() { w.proposals = make(map[string]*pendingProposal) }
+func (sim *pendingRequests) init() { sim.proposals = make(map[string]*pendingProposal) }
 
-func (w *pendingRequests) complete(id string, outcome chain.Outcome) {
-	proposal := w.proposals[id]
+func (sim *pendingRequests) complete(id string, outcome chain.Outcome) {
+	proposal := sim.proposals[id]
 	if proposal == nil || id == "" {
 		return
 	}
-	delete(w.proposals, id)
+	delete(sim.proposals, id)
 	for _, waiter := range proposal.waiters {
 		waiter.outcomes <- outcome
 	}
 }
 
 // settleRestored settles orders whose outcomes came with an image, where the machine had applied orders to an index before.
-func (w *pendingRequests) completeRestored(c *core, before uint64) {
+func (sim *pendingRequests) completeRestored(c *core, before uint64) {
 	applied, _ := c.state.Applied()
-	for _, id := range sortedKeys(w.proposals) {
+	for _, id := range sortedKeys(sim.proposals) {
 		if outcome, known := c.state.Outcome(id); known {
-			w.complete(id, outcome)
+			sim.complete(id, outcome)
 			continue
 		}
-		proposal := w.proposals[id]
+		proposal := sim.proposals[id]
 		proposal.mayBeForgotten = proposal.mayBeForgotten || proposal.sent && applied-before > uint64(c.limits.deduplicationWindow)
 	}
 }
 
 // submit takes an order from a caller of this node, whose outcome is told when it is applied here.
-func (c *core) submit(now time.Duration, id string, command []byte, wait *waiter) {
+func (c *core) submit(now time.Duration, id string, command []byte, wait *outcomeWaiter) {
 	c.now = now
 	if outcome, known := c.state.Outcome(id); known {
 		wait.outcomes <- outcome
@@ -98,12 +98,12 @@
 }
 
 // withdraw forgets a caller's order and tells whether it may have been taken.
-func (c *core) withdraw(id string, wait *waiter) (sent bool) {
+func (c *core) withdraw(id string, wait *outcomeWaiter) (sent bool) {
 	proposal := c.requests.proposals[id]
 	if proposal == nil {
 		return true
 	}
-	proposal.waiters = slices.DeleteFunc(proposal.waiters, func(other *waiter) bool { return other == wait })
+	proposal.waiters = slices.DeleteFunc(proposal.waiters, func(other *outcomeWaiter) bool { return other == wait })
 	if len(proposal.waiters) == 0 {
 		delete(c.requests.proposals, id)
 	}
--- a/coord/replica/disk_test.go
+++ b/coord/replica/disk_test.go
@@ -12,25 +12,25 @@
 )
 
 // historyMachine remembers all orders that it applied, or the last ones where it keeps so many.
-type historyMachine struct {
-	orders []string
-	keep   int
+type historyStateMachine struct {
+	commands []string
+	retained int
 }
 
-func (m *historyMachine) Apply(index uint64, command []byte) []byte {
-	m.orders = append(m.orders, string(command))
-	if m.keep > 0 && len(m.orders) > m.keep {
-		m.orders = append(m.orders[:0], m.orders[1:]...)
+func (m *historyStateMachine) Apply(index uint64, command []byte) []byte {
+	m.commands = append(m.commands, string(command))
+	if m.retained > 0 && len(m.commands) > m.retained {
+		m.commands = append(m.commands[:0], m.commands[1:]...)
 	}
-	return []byte(fmt.Sprint(len(m.orders)))
+	return []byte(fmt.Sprint(len(m.commands)))
 }
 
-func (m *historyMachine) Snapshot() []byte { return []byte(strings.Join(m.orders, "\n")) }
+func (m *historyStateMachine) Snapshot() []byte { return []byte(strings.Join(m.commands, "\n")) }
 
-func (m *historyMachine) Restore(snapshot []byte) error {
-	m.orders = nil
+func (m *historyStateMachine) Restore(snapshot []byte) error {
+	m.commands = nil
 	if len(snapshot) > 0 {
-		m.orders = strings.Split(string(snapshot), "\n")
+		m.commands = strings.Split(string(snapshot), "\n")
 	}
 	return nil
 }
@@ -65,41 +65,41 @@
 
 // diskWrite is what a process decided: records, or a snapshot in place of all, which holds a state.
 type diskWrite struct {
-	records [][]byte
-	whole   []byte
-	state   *recoveredState
+	records  [][]byte
+	snapshot []byte
+	state    *recoveredState
 }
 
-func (w diskWrite) empty() bool { return len(w.records) == 0 && w.whole == nil }
+func (write diskWrite) empty() bool { return len(write.records) == 0 && write.snapshot == nil }
 
 // write stores what a process decided.
-func (d *simulatedDisk) write(w diskWrite) error {
+func (d *simulatedDisk) write(pending diskWrite) error {
 	d.syncs++
-	if err := d.put(w); err != nil {
+	if err := d.persist(pending); err != nil {
 		return err
 	}
-	d.follow(w)
+	d.updateShadow(pending)
 	return nil
 }
 
-func (d *simulatedDisk) put(w diskWrite) error {
-	if w.whole != nil {
-		d.written += len(w.whole)
-		return d.store.Compact(w.whole)
+func (d *simulatedDisk) persist(write diskWrite) error {
+	if write.snapshot != nil {
+		d.written += len(write.snapshot)
+		return d.store.Compact(write.snapshot)
 	}
-	for _, record := range w.records {
+	for _, record := range write.records {
 		d.written += len(record)
 	}
-	return d.store.Append(w.records...)
+	return d.store.Append(write.records...)
 }
 
 // follow keeps the shadow as the disk is after a write.
-func (d *simulatedDisk) follow(w diskWrite) {
-	if w.whole != nil {
-		d.shadow = w.state
+func (d *simulatedDisk) updateShadow(write diskWrite) {
+	if write.snapshot != nil {
+		d.shadow = write.state
 		return
 	}
-	for _, record := range w.records {
+	for _, record := range write.records {
 		if err := d.shadow.replay(record); err != nil {
 			panic(err)
 		}
@@ -108,14 +108,14 @@
 
 // end ends the process, by a kill or by a loss of power, in the midst of a write where there is one. It checks that the disk then holds
 // what it did before or after that write, and nothing between.
-func (d *simulatedDisk) end(w diskWrite, power bool) {
+func (d *simulatedDisk) end(write diskWrite, power bool) {
 	allowed := []string{d.shadow.summary()}
-	if !w.empty() {
+	if !write.empty() {
 		d.files.FailAt(1 + d.random.IntN(8))
-		if err := d.put(w); err != nil && !errors.Is(err, simulation.ErrPowerLost) && !errors.Is(err, slots.ErrDiskFull) {
+		if err := d.persist(write); err != nil && !errors.Is(err, simulation.ErrPowerLost) && !errors.Is(err, slots.ErrDiskFull) {
 			panic(err)
 		}
-		d.follow(w)
+		d.updateShadow(write)
 		allowed = append(allowed, d.shadow.summary())
 	}
 	if power {
--- a/coord/replica/figures_test.go
+++ b/coord/replica/figures_test.go
@@ -12,49 +12,49 @@
 // failover returns the time from the loss of the member at a place of the chain to the next
 // acknowledgement, for an order that is proposed through another member at a random moment soon after.
 func failover(t *testing.T, seed uint64, place int, lose func(*simulatedNode)) time.Duration {
-	w := startedWorld(seed, 3, 1)
-	w.runUntil(2*time.Second + time.Duration(w.random.Int64N(int64(time.Second))))
-	w.acknowledged(t, w.nodes[0], "before", time.Second)
-	chainMembers := w.nodes[0].core.view().Chain
+	sim := startSimulatedCluster(seed, 3, 1)
+	sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
+	sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
+	chainMembers := sim.nodes[0].core.view().Chain
 	var victim, other *simulatedNode
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		if n.address == chainMembers[place].Address {
 			victim = n
 		} else {
 			other = n
 		}
 	}
-	lost := w.now
+	lost := sim.now
 	lose(victim)
-	w.runUntil(w.now + time.Duration(w.random.Int64N(int64(20*time.Millisecond))))
+	sim.runUntil(sim.now + time.Duration(sim.random.Int64N(int64(20*time.Millisecond))))
 	done := false
 	other.propose("after", func(chain.Outcome) { done = true })
-	if !w.runWhile(5*time.Second, func() bool { return !done }) {
-		w.failf("no acknowledgement after the loss")
+	if !sim.runWhile(5*time.Second, func() bool { return !done }) {
+		sim.failf("no acknowledgement after the loss")
 	}
-	return w.now - lost
+	return sim.now - lost
 }
 
 // livenessLimit is the time within which an order is acknowledged after a single loss.
-const livenessLimit = 1500 * time.Millisecond
+const maxFailoverTime = 1500 * time.Millisecond
 
 // TestFailover measures and bounds the pause after a single loss.
 func TestFailover(t *testing.T) {
 	losses := map[string]func(*simulatedNode){
 		"kill":   (*simulatedNode).kill,
-		"freeze": (*simulatedNode).freeze,
+		"freeze": (*simulatedNode).pause,
 	}
 	for name, lose := range losses {
 		for place, title := range []string{"head", "middle", "tail"} {
 			var times []time.Duration
-			for seed := uint64(0); seed < plainWorlds; seed++ {
+			for seed := uint64(0); seed < defaultRuns; seed++ {
 				times = append(times, failover(t, seed, place, lose))
 			}
 			sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 			worst := times[len(times)-1]
 			t.Logf("%s of the %s: p50 %v, p99 %v, worst %v", name, title,
 				times[len(times)/2], times[len(times)*99/100], worst)
-			if worst > livenessLimit {
+			if worst > maxFailoverTime {
 				t.Errorf("%s of the %s: worst %v", name, title, worst)
 			}
 		}
@@ -62,45 +62,45 @@
 }
 
 // TestCostOfOrders measures syncs, bytes and messages of orders in calm.
-func TestCostOfOrders(t *testing.T) {
+func TestCommandCost(t *testing.T) {
 	for _, parallel := range []int{1, 16} {
-		w := startedWorld(5, 3, 1)
-		w.runUntil(2 * time.Second)
-		w.acknowledged(t, w.nodes[1], "first", time.Second)
+		sim := startSimulatedCluster(5, 3, 1)
+		sim.runUntil(2 * time.Second)
+		sim.mustAcknowledge(t, sim.nodes[1], "first", time.Second)
 		syncs, written := 0, 0
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			syncs -= n.disk.syncs
 			written -= n.disk.written
 		}
-		messages := w.messages
-		began := w.now
+		messages := sim.messages
+		began := sim.now
 		const orders = 320
 		var latencies []time.Duration
 		finished := 0
 		for stream := 0; stream < parallel; stream++ {
 			var next func(number int)
 			next = func(number int) {
-				start := w.now
-				w.nodes[1].propose(fmt.Sprintf("%d-%d", stream, number), func(chain.Outcome) {
-					latencies = append(latencies, w.now-start)
+				start := sim.now
+				sim.nodes[1].propose(fmt.Sprintf("%d-%d", stream, number), func(chain.Outcome) {
+					latencies = append(latencies, sim.now-start)
 					finished++
 					if number+parallel < orders {
-						w.after(0, func() { next(number + parallel) })
+						sim.after(0, func() { next(number + parallel) })
 					}
 				})
 			}
 			next(stream)
 		}
-		if !w.runWhile(time.Minute, func() bool { return finished < orders }) {
-			w.failf("%d orders finished", finished)
+		if !sim.runWhile(time.Minute, func() bool { return finished < orders }) {
+			sim.failf("%d orders finished", finished)
 		}
-		for _, n := range w.nodes {
+		for _, n := range sim.nodes {
 			syncs += n.disk.syncs
 			written += n.disk.written
 		}
 		sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
 		t.Logf("%d at a time: %.2f syncs, %.0f bytes written and %.1f messages an order on 3 machines; p50 %v, p99 %v; %.0f orders/s",
-			parallel, float64(syncs)/orders, float64(written)/orders, float64(w.messages-messages)/orders,
-			latencies[orders/2], latencies[orders*99/100], orders/(w.now-began).Seconds())
+			parallel, float64(syncs)/orders, float64(written)/orders, float64(sim.messages-messages)/orders,
+			latencies[orders/2], latencies[orders*99/100], orders/(sim.now-began).Seconds())
 	}
 }
--- a/coord/replica/flat_test.go
+++ b/coord/replica/flat_test.go
@@ -10,41 +10,41 @@
 )
 
 // holding is what a member holds in memory and on its disk.
-type holding struct {
+type resourceUsage struct {
 	logBytes  int // of the orders in its log
 	outcomes  int // that it remembers
-	waiting   int // orders, reads, held orders, readers and peers that it keeps
+	pending   int // orders, reads, held orders, readers and peers that it keeps
 	diskBytes int64
 }
 
-func (h holding) most(other holding) holding {
-	return holding{
-		logBytes:  max(h.logBytes, other.logBytes),
-		outcomes:  max(h.outcomes, other.outcomes),
-		waiting:   max(h.waiting, other.waiting),
-		diskBytes: max(h.diskBytes, other.diskBytes),
+func (u resourceUsage) maximum(other resourceUsage) resourceUsage {
+	return resourceUsage{
+		logBytes:  max(u.logBytes, other.logBytes),
+		outcomes:  max(u.outcomes, other.outcomes),
+		pending:   max(u.pending, other.pending),
+		diskBytes: max(u.diskBytes, other.diskBytes),
 	}
 }
 
-func (n *simulatedNode) holding() holding {
+func (n *simulatedNode) resourceUsage() resourceUsage {
 	c := n.core
 	base, _ := c.log.Base()
-	var held holding
+	var usage resourceUsage
 	for _, entry := range c.log.After(base, 1<<30) {
-		held.logBytes += len(entry.ID) + len(entry.Order)
+		usage.logBytes += len(entry.ID) + len(entry.Order)
 	}
-	held.outcomes = len(c.state.Snapshot().Outcomes)
-	held.waiting = len(c.requests.proposals) + len(c.requests.reads) + len(c.requests.deferred) + len(c.learner.learners) + len(c.peers)
+	usage.outcomes = len(c.state.Snapshot().Outcomes)
+	usage.pending = len(c.requests.proposals) + len(c.requests.reads) + len(c.requests.deferred) + len(c.learner.learners) + len(c.peers)
 	names, _ := n.disk.files.List()
 	for _, name := range names {
 		size, _ := n.disk.files.Size(name)
-		held.diskBytes += size
+		usage.diskBytes += size
 	}
-	return held
+	return usage
 }
 
 // order gives count orders of some bytes, eight at a time, and calls sample now and then.
-func (w *world) order(t *testing.T, name string, count int, sample func()) {
+func (sim *simulatedCluster) proposeMany(t *testing.T, name string, count int, sample func()) {
 	t.Helper()
 	text := strings.Repeat("x", 100)
 	finished, begun := 0, 0
@@ -54,7 +54,7 @@
 			return
 		}
 		begun++
-		w.nodes[begun%2].propose(fmt.Sprintf("%s-%d-%s", name, begun, text), func(chain.Outcome) {
+		sim.nodes[begun%2].propose(fmt.Sprintf("%s-%d-%s", name, begun, text), func(chain.Outcome) {
 			finished++
 			if finished%100 == 0 {
 				sample()
@@ -65,27 +65,27 @@
 	for range 8 {
 		next()
 	}
-	if !w.runWhile(5*time.Minute, func() bool { return finished < count }) {
+	if !sim.runWhile(5*time.Minute, func() bool { return finished < count }) {
 		t.Fatalf("%d of %d orders are acknowledged", finished, count)
 	}
 }
 
 // TestFlatOverTenThousandOrders gives 10,000 orders: what a member holds doesn't grow over the last half of them, in memory or on disk.
-func TestFlatOverTenThousandOrders(t *testing.T) {
-	w := startedWorld(80, 3, 1)
-	w.keepOrders = 16
-	w.compactAt = 64 << 10
-	w.limits.retainedLogBytes = 32 << 10
-	w.limits.deduplicationWindow = 1024
-	w.runUntil(2 * time.Second)
-	observer := w.addNode(false)
+func TestResourceUsageIsBounded(t *testing.T) {
+	sim := startSimulatedCluster(80, 3, 1)
+	sim.retainedCommands = 16
+	sim.checkpointAt = 64 << 10
+	sim.limits.retainedLogBytes = 32 << 10
+	sim.limits.deduplicationWindow = 1024
+	sim.runUntil(2 * time.Second)
+	observer := sim.addNode(false)
 	observer.start(true)
-	w.runUntil(3 * time.Second)
-	measure := func(name string, count int) holding {
-		var most holding
-		w.order(t, name, count, func() {
-			for _, n := range w.machines() {
-				most = most.most(n.holding())
+	sim.runUntil(3 * time.Second)
+	measure := func(name string, count int) resourceUsage {
+		var most resourceUsage
+		sim.proposeMany(t, name, count, func() {
+			for _, n := range sim.members() {
+				most = most.maximum(n.resourceUsage())
 			}
 		})
 		return most
@@ -94,40 +94,40 @@
 	early := measure("early", 2500)
 	late := measure("late", 2500)
 	t.Logf("orders 5,000 to 7,500: %+v; 7,500 to 10,000: %+v", early, late)
-	if late.outcomes != w.limits.deduplicationWindow {
-		t.Errorf("%d outcomes are remembered, of %d", late.outcomes, w.limits.deduplicationWindow)
+	if late.outcomes != sim.limits.deduplicationWindow {
+		t.Errorf("%d outcomes are remembered, of %d", late.outcomes, sim.limits.deduplicationWindow)
 	}
-	if late.logBytes > early.logBytes*11/10 || late.waiting > early.waiting+8 || late.diskBytes > early.diskBytes*11/10 {
+	if late.logBytes > early.logBytes*11/10 || late.pending > early.pending+8 || late.diskBytes > early.diskBytes*11/10 {
 		t.Errorf("grown from %+v to %+v", early, late)
 	}
 }
 
 // TestReturnAfterFiveHundredOrders has a member miss over 500 orders, with an old snapshot and a log that a loss of power tore: it is whole
 // soon after it is back, for about the bytes of one image and the orders after it.
-func TestReturnAfterFiveHundredOrders(t *testing.T) {
+func TestRejoinAfterLongAbsence(t *testing.T) {
 	for seed := uint64(0); seed < 10; seed++ {
-		w := startedWorld(90+seed, 3, 1)
-		w.keepOrders = 16
-		w.limits.retainedLogBytes = 4 << 10
-		w.compactAt = 16 << 10
-		w.runUntil(2 * time.Second)
-		w.order(t, "before", 50, func() {})
-		away := w.nodes[2]
+		sim := startSimulatedCluster(90+seed, 3, 1)
+		sim.retainedCommands = 16
+		sim.limits.retainedLogBytes = 4 << 10
+		sim.checkpointAt = 16 << 10
+		sim.runUntil(2 * time.Second)
+		sim.proposeMany(t, "before", 50, func() {})
+		away := sim.nodes[2]
 		away.propose("torn", nil)
-		w.runUntil(w.now + 3*time.Millisecond)
+		sim.runUntil(sim.now + 3*time.Millisecond)
 		away.losePower()
-		w.order(t, "missed", 600, func() {})
-		copied, back := w.copied, w.now
+		sim.proposeMany(t, "missed", 600, func() {})
+		copied, back := sim.transferredBytes, sim.now
 		away.start(false)
-		outside := w.nodes[0].core.epoch()
-		if !w.runWhile(2*time.Second, func() bool { return away.core.epoch() <= outside || !away.core.serving() }) {
-			t.Fatalf("seed %d: not whole after %v", seed, w.now-back)
+		outside := sim.nodes[0].core.epoch()
+		if !sim.runWhile(2*time.Second, func() bool { return away.core.epoch() <= outside || !away.core.serving() }) {
+			t.Fatalf("seed %d: not whole after %v", seed, sim.now-back)
 		}
-		image := w.nodes[0].core.state.Snapshot()
-		most := 2*copyBytes(PrefixTransfer{Image: &image}) + w.limits.retainedLogBytes
-		if copied = w.copied - copied; copied > most {
+		image := sim.nodes[0].core.state.Snapshot()
+		most := 2*transferBytes(PrefixTransfer{Image: &image}) + sim.limits.retainedLogBytes
+		if copied = sim.transferredBytes - copied; copied > most {
 			t.Errorf("seed %d: %d bytes were copied, of at most %d", seed, copied, most)
 		}
-		t.Logf("whole %v after its return, for %d bytes", w.now-back, copied)
+		t.Logf("whole %v after its return, for %d bytes", sim.now-back, copied)
 	}
 }
--- a/coord/replica/hazards_test.go
+++ b/coord/replica/hazards_test.go
@@ -7,113 +7,113 @@
 
 // hazard is one kind of trouble within what is to be borne. begin brings it about to some of the machines for some time, and calls
 // lose once for the moment at which the loss begins.
-type hazard struct {
-	name  string
-	begin func(c *campaign, lost []*simulatedNode, down time.Duration)
+type faultKind struct {
+	name   string
+	inject func(c *campaign, lost []*simulatedNode, down time.Duration)
 }
 
 // hazards are drawn alike.
-var hazards []hazard
+var faultKinds []faultKind
 
 func init() {
-	hazards = []hazard{
-		{"kill", (*campaign).hazardKill},
-		{"quick kill", (*campaign).hazardQuickKill},
-		{"power", (*campaign).hazardPower},
-		{"wipe", (*campaign).hazardWipe},
-		{"wipe at acknowledgement", (*campaign).hazardWipeAtAck},
-		{"freeze", (*campaign).hazardFreeze},
-		{"cut off", (*campaign).hazardCutOff},
-		{"long cut", (*campaign).hazardLongCut},
-		{"cut link", (*campaign).hazardCutLink},
-		{"resets", (*campaign).hazardResets},
-		{"kill all", (*campaign).hazardKillAll},
-		{"wipe and power of all", (*campaign).hazardWipeAll},
-		{"wipe and power of all at acknowledgement", (*campaign).hazardWipeAllAtAck},
-		{"replacement", (*campaign).hazardReplace},
-		{"planned replacement", (*campaign).hazardPlannedReplace},
-		{"addition", (*campaign).hazardAdd},
-		{"leave", (*campaign).hazardLeave},
-		{"leave and wipe", (*campaign).hazardLeaveAndWipe},
-		{"stalled disk", (*campaign).hazardStall},
-		{"slow disk", (*campaign).hazardSlow},
-		{"full disk", (*campaign).hazardFull},
-		{"away", (*campaign).hazardAway},
-		{"interrupted copy", (*campaign).hazardInterruptedCopy},
+	faultKinds = []faultKind{
+		{"kill", (*campaign).injectKill},
+		{"quick kill", (*campaign).injectQuickKill},
+		{"power", (*campaign).injectPowerLoss},
+		{"wipe", (*campaign).injectWipe},
+		{"wipe at acknowledgement", (*campaign).injectWipeAtAck},
+		{"freeze", (*campaign).injectPause},
+		{"cut off", (*campaign).injectPartition},
+		{"long cut", (*campaign).injectLongPartition},
+		{"cut link", (*campaign).injectLinkPartition},
+		{"resets", (*campaign).injectResets},
+		{"kill all", (*campaign).injectKillAll},
+		{"wipe and power of all", (*campaign).injectWipeAndPowerLossOfAll},
+		{"wipe and power of all at acknowledgement", (*campaign).injectWipeAndPowerLossOfAllAtAck},
+		{"replacement", (*campaign).injectReplacement},
+		{"planned replacement", (*campaign).injectPlannedReplacement},
+		{"addition", (*campaign).injectAddition},
+		{"leave", (*campaign).injectDeparture},
+		{"leave and wipe", (*campaign).injectDepartureAndWipe},
+		{"stalled disk", (*campaign).injectStalledDisk},
+		{"slow disk", (*campaign).injectSlowDisk},
+		{"full disk", (*campaign).injectFullDisk},
+		{"away", (*campaign).injectLongAbsence},
+		{"interrupted copy", (*campaign).injectInterruptedTransfer},
 	}
 }
 
 // longestLoss is about how long most losses last at most.
-const longestLoss = 3 * time.Second
+const maxFaultDuration = 3 * time.Second
 
 // fault brings one trouble within what is to be borne.
-func (c *campaign) fault() {
+func (c *campaign) injectFault() {
 	if c.now > c.end-2*time.Second {
 		return
 	}
-	if !c.settled() && (c.duels || c.eager) {
+	if !c.chainComplete() && (c.duels || c.backToBack) {
 		// Duels without end may keep a machine that came back empty from being taken in; a further loss
 		// would then be one more than is to be borne.
-		c.after(c.span(20*time.Millisecond), c.fault)
+		c.after(c.randomDuration(20*time.Millisecond), c.injectFault)
 		return
 	}
 	c.faults++
-	down := 100*time.Millisecond + c.span(longestLoss)
-	chosen := c.drawHazard()
+	down := 100*time.Millisecond + c.randomDuration(maxFaultDuration)
+	chosen := c.drawFault()
 	lost := c.victims()
-	c.note("HAZARD %s: %s and %d more", chosen.name, lost[0].name, len(lost)-1)
-	chosen.begin(c, lost, down)
+	c.tracef("HAZARD %s: %s and %d more", chosen.name, lost[0].name, len(lost)-1)
+	chosen.inject(c, lost, down)
 }
 
-func (c *campaign) drawHazard() hazard {
-	if c.only == "" {
-		return hazards[c.random.IntN(len(hazards))]
+func (c *campaign) drawFault() faultKind {
+	if c.onlyFault == "" {
+		return faultKinds[c.random.IntN(len(faultKinds))]
 	}
-	for _, h := range hazards {
-		if h.name == c.only {
+	for _, h := range faultKinds {
+		if h.name == c.onlyFault {
 			return h
 		}
 	}
-	panic("no hazard " + c.only)
+	panic("no hazard " + c.onlyFault)
 }
 
 // next has the next trouble come once this one is over: when the page counts all as whole, or as soon as they are.
-func (c *campaign) next(down time.Duration) {
-	if c.eager {
-		c.after(down, c.whenWhole)
+func (c *campaign) scheduleNextFault(down time.Duration) {
+	if c.backToBack {
+		c.after(down, c.faultOnceComplete)
 		return
 	}
-	c.after(down+catchUp, c.fault)
+	c.after(down+catchUpTime, c.injectFault)
 }
 
 // whenWhole brings the next trouble at the moment at which the chain is whole.
-func (c *campaign) whenWhole() {
+func (c *campaign) faultOnceComplete() {
 	if c.now > c.end-2*time.Second {
 		return
 	}
-	if !c.allUp() || !c.settled() {
-		c.after(2*time.Millisecond, c.whenWhole)
+	if !c.noFaultActive() || !c.chainComplete() {
+		c.after(2*time.Millisecond, c.faultOnceComplete)
 		return
 	}
-	c.after(c.span(20*time.Millisecond), c.fault)
+	c.after(c.randomDuration(20*time.Millisecond), c.injectFault)
 }
 
 // lose is what most hazards end with: the loss has begun and lasts so long.
-func (c *campaign) lose(down time.Duration) {
-	c.expect(down)
-	c.next(down)
+func (c *campaign) faultBegan(down time.Duration) {
+	c.expectAvailable(down)
+	c.scheduleNextFault(down)
 }
 
 // victims draws as many machines as may be lost, rather those that vote, now and then the head or the tail first, and in some worlds
 // those whose disks have lasted longest.
 func (c *campaign) victims() []*simulatedNode {
-	nodes := c.machines()
+	nodes := c.members()
 	c.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	newest := c.newest()
+	newest := c.newestView()
 	if newest != nil {
 		sort.SliceStable(nodes, func(i, j int) bool { return c.rankOf(nodes[i], newest) < c.rankOf(nodes[j], newest) })
 	}
-	if c.oldest {
+	if c.oldestDiskFirst {
 		sort.SliceStable(nodes, func(i, j int) bool { return nodes[i].diskSince < nodes[j].diskSince })
 	}
 	if c.random.IntN(4) == 0 {
@@ -126,7 +126,7 @@
 	v := newest.core.view()
 	role := c.faults % 3
 	switch {
-	case n.life == 0 || !v.IsVoter(n.core.self):
+	case n.incarnation == 0 || !v.IsVoter(n.core.self):
 		return 2
 	case role == 1 && v.Head().Same(n.core.self), role == 2 && v.Tail().Same(n.core.self):
 		return 0
@@ -134,28 +134,28 @@
 	return 1
 }
 
-func (c *campaign) hazardKill(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectKill(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
 		n.kill()
 		c.restart(n, down)
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardQuickKill(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectQuickKill(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
 		n.kill()
-		c.restart(n, 20*time.Millisecond+c.span(200*time.Millisecond))
+		c.restart(n, 20*time.Millisecond+c.randomDuration(200*time.Millisecond))
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardPower(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectPowerLoss(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
 		n.losePower()
 		c.restart(n, down)
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
 func (c *campaign) wipeAll(lost []*simulatedNode, down time.Duration) {
@@ -171,97 +171,97 @@
 	if c.random.IntN(4) != 0 {
 		return
 	}
-	n.slow = 10
-	c.after(down+time.Second, func() { n.slow = 1 })
+	n.diskSlowdown = 10
+	c.after(down+time.Second, func() { n.diskSlowdown = 1 })
 }
 
-func (c *campaign) hazardWipe(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectWipe(lost []*simulatedNode, down time.Duration) {
 	c.wipeAll(lost, down)
-	c.lose(down)
+	c.faultBegan(down)
 }
 
 // atAck runs something at the next acknowledgement.
-func (c *campaign) atAck(act func()) { c.onAcks = act }
+func (c *campaign) atNextAck(act func()) { c.onNextAck = act }
 
-func (c *campaign) hazardWipeAtAck(lost []*simulatedNode, down time.Duration) {
-	c.atAck(func() {
+func (c *campaign) injectWipeAtAck(lost []*simulatedNode, down time.Duration) {
+	c.atNextAck(func() {
 		c.wipeAll(lost, down)
-		c.lose(down)
+		c.faultBegan(down)
 	})
 }
 
 // hazardFreeze has machines stand still, now and then for as long as a machine may be away.
-func (c *campaign) hazardFreeze(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectPause(lost []*simulatedNode, down time.Duration) {
 	if c.random.IntN(4) == 0 {
 		down *= 4
 	}
 	for _, n := range lost {
-		n.freeze()
-		c.after(down, n.thaw)
+		n.pause()
+		c.after(down, n.resume)
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardCutOff(lost []*simulatedNode, down time.Duration) {
-	c.cutOff(lost, down)
-	c.lose(down)
+func (c *campaign) injectPartition(lost []*simulatedNode, down time.Duration) {
+	c.partitionNodes(lost, down)
+	c.faultBegan(down)
 }
 
 // longCut is how long a machine may be cut off.
-const longCut = 20 * time.Second
+const longPartition = 20 * time.Second
 
-func (c *campaign) hazardLongCut(lost []*simulatedNode, _ time.Duration) {
-	down := min(longCut, max(c.end-c.now-4*time.Second, time.Second))
-	c.cutOff(lost, down)
-	c.lose(down)
+func (c *campaign) injectLongPartition(lost []*simulatedNode, _ time.Duration) {
+	down := min(longPartition, max(c.end-c.now-4*time.Second, time.Second))
+	c.partitionNodes(lost, down)
+	c.faultBegan(down)
 }
 
 // cutOff cuts machines from the other core machines, one way or both, and now and then from all.
-func (c *campaign) cutOff(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) partitionNodes(lost []*simulatedNode, down time.Duration) {
 	oneWay := c.random.IntN(3)
-	others := c.machines()
+	others := c.members()
 	if c.random.IntN(2) == 0 {
 		others = c.nodes
 	}
-	c.note("%s and %d more cut off, kind %d", lost[0].name, len(lost)-1, oneWay)
+	c.tracef("%s and %d more cut off, kind %d", lost[0].name, len(lost)-1, oneWay)
 	for _, n := range lost {
-		n.cutOff, n.cutOffSince = true, c.now
+		n.partitioned, n.partitionedSince = true, c.now
 		for _, other := range others {
 			if other == n {
 				continue
 			}
 			if oneWay != 1 {
-				c.after(down, c.cut(n, other))
+				c.after(down, c.partition(n, other))
 			}
 			if oneWay != 2 {
-				c.after(down, c.cut(other, n))
+				c.after(down, c.partition(other, n))
 			}
 		}
-		c.after(down, func() { n.cutOff = false })
+		c.after(down, func() { n.partitioned = false })
 	}
 }
 
-func (c *campaign) hazardCutLink(_ []*simulatedNode, down time.Duration) {
-	nodes := c.machines()
+func (c *campaign) injectLinkPartition(_ []*simulatedNode, down time.Duration) {
+	nodes := c.members()
 	c.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	c.note("the link between %s and %s is cut", nodes[0].name, nodes[1].name)
-	c.after(down, c.cut(nodes[0], nodes[1]))
+	c.tracef("the link between %s and %s is cut", nodes[0].name, nodes[1].name)
+	c.after(down, c.partition(nodes[0], nodes[1]))
 	if c.random.IntN(2) == 0 {
-		c.after(down, c.cut(nodes[1], nodes[0]))
+		c.after(down, c.partition(nodes[1], nodes[0]))
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardResets(_ []*simulatedNode, down time.Duration) {
+func (c *campaign) injectResets(_ []*simulatedNode, down time.Duration) {
 	for i := 0; i < 20; i++ {
-		c.after(c.span(down), c.reset)
+		c.after(c.randomDuration(down), c.reset)
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
 // reset resets the connections of two machines: what is on its way between them is lost.
 func (c *campaign) reset() {
-	nodes := c.machines()
+	nodes := c.members()
 	from, to := nodes[c.random.IntN(len(nodes))], nodes[c.random.IntN(len(nodes))]
 	c.resets[link{from.address, to.address}]++
 	c.resets[link{to.address, from.address}]++
@@ -270,15 +270,15 @@
 // killAll ends all processes within milliseconds, by kills or losses of power; wiped lose their disks. It returns how long it takes.
 func (c *campaign) killAll(wiped []*simulatedNode, down time.Duration) time.Duration {
 	power := c.random.IntN(2) == 0
-	for _, n := range c.machines() {
-		c.after(c.span(4*time.Millisecond), func() {
+	for _, n := range c.members() {
+		c.after(c.randomDuration(4*time.Millisecond), func() {
 			n.end("is one of all that end", power)
 			for _, other := range wiped {
 				if other == n {
 					n.wipe()
 				}
 			}
-			c.restart(n, 50*time.Millisecond+c.span(down+time.Millisecond))
+			c.restart(n, 50*time.Millisecond+c.randomDuration(down+time.Millisecond))
 		})
 	}
 	return down + 100*time.Millisecond
@@ -286,91 +286,91 @@
 
 // endAll ends all processes. What is expected counts from when all run again.
 func (c *campaign) endAll(wiped []*simulatedNode, down time.Duration) {
-	c.after(c.killAll(wiped, down), func() { c.lose(0) })
+	c.after(c.killAll(wiped, down), func() { c.faultBegan(0) })
 }
 
-func (c *campaign) hazardKillAll([]*simulatedNode, time.Duration) {
-	c.endAll(nil, c.span(time.Second))
+func (c *campaign) injectKillAll([]*simulatedNode, time.Duration) {
+	c.endAll(nil, c.randomDuration(time.Second))
 }
 
-func (c *campaign) hazardWipeAll(lost []*simulatedNode, _ time.Duration) {
-	c.endAll(lost, c.span(time.Second))
+func (c *campaign) injectWipeAndPowerLossOfAll(lost []*simulatedNode, _ time.Duration) {
+	c.endAll(lost, c.randomDuration(time.Second))
 }
 
-func (c *campaign) hazardWipeAllAtAck(lost []*simulatedNode, _ time.Duration) {
-	c.atAck(func() { c.endAll(lost, time.Second) })
+func (c *campaign) injectWipeAndPowerLossOfAllAtAck(lost []*simulatedNode, _ time.Duration) {
+	c.atNextAck(func() { c.endAll(lost, time.Second) })
 }
 
 // hazardReplace removes a machine for good; an empty one comes later at another address.
-func (c *campaign) hazardReplace(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectReplacement(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
 	n.kill()
-	n.gone = true
+	n.removed = true
 	fresh := c.addNode(true)
-	c.note("%s replaced by %s", n.name, fresh.name)
+	c.tracef("%s replaced by %s", n.name, fresh.name)
 	c.after(down, func() { fresh.start(false) })
-	c.lose(max(down, replacementTimeout))
+	c.faultBegan(max(down, replacementTimeout))
 }
 
 // mostMachines bounds the machines of a world.
-const mostMachines = 8
+const maxMachines = 8
 
 // hazardAdd starts a further machine, and others lose their disks while it joins.
-func (c *campaign) hazardAdd(lost []*simulatedNode, down time.Duration) {
-	if len(c.machines()) < mostMachines {
+func (c *campaign) injectAddition(lost []*simulatedNode, down time.Duration) {
+	if len(c.members()) < maxMachines {
 		fresh := c.addNode(true)
-		c.note("%s added", fresh.name)
+		c.tracef("%s added", fresh.name)
 		fresh.start(false)
 	}
-	c.after(c.span(1500*time.Millisecond), func() {
+	c.after(c.randomDuration(1500*time.Millisecond), func() {
 		c.wipeAll(lost, down)
-		c.lose(down)
+		c.faultBegan(down)
 	})
 }
 
-func (c *campaign) hazardStall(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectStalledDisk(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
-		c.note("the disk of %s stalls", n.name)
-		n.stalled = true
-		c.after(down, func() { n.stalled = false })
+		c.tracef("the disk of %s stalls", n.name)
+		n.diskStalled = true
+		c.after(down, func() { n.diskStalled = false })
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardSlow(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectSlowDisk(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
-		c.note("the disk of %s is slow", n.name)
-		n.slow = 30
-		c.after(down, func() { n.slow = 1 })
+		c.tracef("the disk of %s is slow", n.name)
+		n.diskSlowdown = 30
+		c.after(down, func() { n.diskSlowdown = 1 })
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
-func (c *campaign) hazardFull(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectFullDisk(lost []*simulatedNode, down time.Duration) {
 	for _, n := range lost {
-		c.note("the disk of %s is full", n.name)
+		c.tracef("the disk of %s is full", n.name)
 		n.refuseWrites(down)
 	}
-	c.lose(down)
+	c.faultBegan(down)
 }
 
 // hazardAway has a machine miss hundreds of orders, and come back with an old snapshot and a torn log.
-func (c *campaign) hazardAway(lost []*simulatedNode, _ time.Duration) {
+func (c *campaign) injectLongAbsence(lost []*simulatedNode, _ time.Duration) {
 	const down = 3 * time.Second
-	c.think = busyTime
-	c.after(down, func() { c.think = thinkTime })
-	c.atAck(func() {
+	c.maxThinkTime = busyThinkTime
+	c.after(down, func() { c.maxThinkTime = thinkTime })
+	c.atNextAck(func() {
 		for _, n := range lost {
 			n.losePower()
 			c.restart(n, down)
 			c.slowDown(n, down)
 		}
-		c.lose(down)
+		c.faultBegan(down)
 	})
 }
 
 // hazardInterruptedCopy has a machine come back, and something happen in the midst of the copy that it needs.
-func (c *campaign) hazardInterruptedCopy(lost []*simulatedNode, down time.Duration) {
+func (c *campaign) injectInterruptedTransfer(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
 	if c.random.IntN(2) == 0 {
 		n.wipe()
@@ -380,18 +380,18 @@
 	c.restart(n, down)
 	over := down + 2*time.Second
 	c.after(down, func() {
-		c.onCopy = func(source, target *simulatedNode) { c.interrupt(source, target, over-down) }
+		c.onTransfer = func(source, target *simulatedNode) { c.interruptTransfer(source, target, over-down) }
 	})
-	c.after(over, func() { c.onCopy = nil })
-	c.expectWhole(over)
-	c.next(over)
+	c.after(over, func() { c.onTransfer = nil })
+	c.expectComplete(over)
+	c.scheduleNextFault(over)
 }
 
 // interrupt ends or holds up a copy, for less than a time.
-func (c *campaign) interrupt(source, target *simulatedNode, within time.Duration) {
-	down := 50*time.Millisecond + c.span(within/2)
+func (c *campaign) interruptTransfer(source, target *simulatedNode, within time.Duration) {
+	down := 50*time.Millisecond + c.randomDuration(within/2)
 	kind := c.random.IntN(6)
-	c.note("the copy from %s to %s is interrupted, kind %d", source.name, target.name, kind)
+	c.tracef("the copy from %s to %s is interrupted, kind %d", source.name, target.name, kind)
 	switch kind {
 	case 0:
 		source.kill()
@@ -400,14 +400,14 @@
 		source.losePower()
 		c.restart(source, down)
 	case 2:
-		source.freeze()
-		c.after(down, source.thaw)
+		source.pause()
+		c.after(down, source.resume)
 	case 3:
 		target.losePower()
 		c.restart(target, down)
 	case 4:
-		c.after(down, c.cut(source, target))
+		c.after(down, c.partition(source, target))
 	case 5:
-		c.after(down, c.cut(target, source))
+		c.after(down, c.partition(target, source))
 	}
 }
--- a/coord/replica/history_test.go
+++ b/coord/replica/history_test.go
@@ -38,9 +38,9 @@
 		if c.now > c.end {
 			return
 		}
-		nodes := c.serving()
+		nodes := c.servingNodes()
 		if len(nodes) == 0 {
-			c.after(c.span(100*time.Millisecond), next)
+			c.after(c.randomDuration(100*time.Millisecond), next)
 			return
 		}
 		n := nodes[c.random.IntN(len(nodes))]
@@ -60,22 +60,22 @@
 				(*history)[position].Output = value
 			})
 		}
-		c.after(100*time.Millisecond+c.span(600*time.Millisecond), next)
+		c.after(100*time.Millisecond+c.randomDuration(600*time.Millisecond), next)
 	}
-	c.after(c.span(time.Second), next)
+	c.after(c.randomDuration(time.Second), next)
 }
 
 // readValue reads the register through a node.
 func (n *simulatedNode) readValue(done func(value string)) {
-	life := n.life
+	incarnation := n.incarnation
 	n.handle(func() {
-		n.core.read(n.world.now, func(uint64) {
-			if n.life != life {
+		n.core.read(n.sim.now, func(uint64) {
+			if n.incarnation != incarnation {
 				return
 			}
 			value := ""
-			if count := len(n.machine.orders); count > 0 {
-				value = n.machine.orders[count-1]
+			if count := len(n.stateMachine.commands); count > 0 {
+				value = n.stateMachine.commands[count-1]
 			}
 			done(value)
 		})
@@ -83,7 +83,7 @@
 }
 
 // answered leaves out the reads that got no answer; writes without one may have happened any time.
-func answered(history []porcupine.Operation) []porcupine.Operation {
+func answeredOperations(history []porcupine.Operation) []porcupine.Operation {
 	var kept []porcupine.Operation
 	for _, operation := range history {
 		if operation.Input.(registerOperation).write || operation.Return < int64(time.Hour) {
@@ -96,15 +96,15 @@
 // TestHistoriesAreLinearizable checks what clients saw in worlds with troubles, by an independent checker.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	checked := 0
-	for seed := uint64(0); seed < plainWorlds/4; seed++ {
+	for seed := uint64(0); seed < defaultRuns/4; seed++ {
 		var history []porcupine.Operation
 		c := prepareCampaign(seed, 16*time.Second, "")
-		c.silent = true
+		c.noClients = true
 		for client := 0; client < 4; client++ {
 			recordHistory(c, &history, client)
 		}
 		c.run()
-		kept := answered(history)
+		kept := answeredOperations(history)
 		checked += len(kept)
 		result := porcupine.CheckOperationsTimeout(registerModel, kept, 20*time.Second)
 		if result == porcupine.Illegal {
@@ -119,15 +119,15 @@
 
 // TestHandOver checks that a member that leaves as planned is out of the chain at once, and that the
 // others go on without a pause.
-func TestHandOver(t *testing.T) {
+func TestPlannedDeparture(t *testing.T) {
 	for place := 0; place < 3; place++ {
 		for seed := uint64(0); seed < 50; seed++ {
-			w := startedWorld(seed, 3, 1)
-			w.runUntil(2*time.Second + time.Duration(w.random.Int64N(int64(time.Second))))
-			w.acknowledged(t, w.nodes[0], "before", time.Second)
+			sim := startSimulatedCluster(seed, 3, 1)
+			sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
+			sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
 			var leaving, staying *simulatedNode
-			for _, n := range w.nodes {
-				if n.address == w.nodes[0].core.view().Chain[place].Address {
+			for _, n := range sim.nodes {
+				if n.address == sim.nodes[0].core.view().Chain[place].Address {
 					leaving = n
 				} else {
 					staying = n
@@ -137,26 +137,26 @@
 			leaving.handle(func() {
 				leaving.core.onDeparted = func() {
 					left = true
-					for _, n := range w.nodes {
+					for _, n := range sim.nodes {
 						if n.core.epoch() < leaving.core.epoch() {
-							w.failf("%s ends, and %s doesn't know of the view without it", leaving.name, n.name)
+							sim.failf("%s ends, and %s doesn't know of the view without it", leaving.name, n.name)
 						}
 					}
 				}
-				leaving.core.announceDeparture(w.now)
+				leaving.core.announceDeparture(sim.now)
 			})
-			if !w.runWhile(200*time.Millisecond, leaving.core.inChain) {
-				w.failf("%s is in the chain 200 ms after it asked to leave", leaving.name)
+			if !sim.runWhile(200*time.Millisecond, leaving.core.inChain) {
+				sim.failf("%s is in the chain 200 ms after it asked to leave", leaving.name)
 			}
-			if took := w.acknowledged(t, staying, "after", time.Second); took > 400*time.Millisecond {
+			if took := sim.mustAcknowledge(t, staying, "after", time.Second); took > 400*time.Millisecond {
 				t.Errorf("place %d, seed %d: next order after %v", place, seed, took)
 			}
-			w.runUntil(w.now + 3*time.Second)
+			sim.runUntil(sim.now + 3*time.Second)
 			if !left {
-				w.failf("%s hears nothing of its leave", leaving.name)
+				sim.failf("%s hears nothing of its leave", leaving.name)
 			}
 			if leaving.core.inChain() {
-				w.failf("a member that leaves was let in again")
+				sim.failf("a member that leaves was let in again")
 			}
 		}
 	}
--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -12,68 +12,68 @@
 
 // simulatedNode is a machine of the world.
 type simulatedNode struct {
-	world     *world
-	name      string
-	address   string
-	disk      *simulatedDisk // nil: a machine without one
-	diskSince time.Duration  // its disk has lasted since
-	core      *core
-	machine   *historyMachine
-	life      int // counts starts; events of earlier lives are dropped
-	up        bool
-	frozen    bool
-	syncing   bool
-	stalled   bool // the disk answers nothing
-	slow      int  // the disk takes this many times as long
-	full      bool // the disk refuses writes
-	ailing    bool // it has refused one
-	inbox     []func()
-	waits     []func() bool
-	writing   func(power bool) // ends the process within the write under way
-	gone      bool
+	sim             *simulatedCluster
+	name            string
+	address         string
+	disk            *simulatedDisk // nil: a machine without one
+	diskSince       time.Duration  // its disk has lasted since
+	core            *core
+	stateMachine    *historyStateMachine
+	incarnation     int // counts starts; events of earlier lives are dropped
+	up              bool
+	paused          bool
+	syncing         bool
+	diskStalled     bool // the disk answers nothing
+	diskSlowdown    int  // the disk takes this many times as long
+	diskFull        bool // the disk refuses writes
+	diskUnhealthy   bool // it has refused one
+	inbox           []func()
+	pendingOutcomes []func() bool
+	writing         func(power bool) // ends the process within the write under way
+	removed         bool
 
-	cutOff      bool // from all other machines, at least one way
-	cutOffSince time.Duration
+	partitioned      bool // from all other machines, at least one way
+	partitionedSince time.Duration
 }
 
 // start starts the process of a machine.
 func (n *simulatedNode) start(bootstrap bool) {
-	w := n.world
-	n.life++
-	n.up, n.frozen, n.syncing, n.inbox, n.writing = true, false, false, nil, nil
-	n.waits, n.ailing = nil, false
-	n.machine = &historyMachine{keep: w.keepOrders}
+	sim := n.sim
+	n.incarnation++
+	n.up, n.paused, n.syncing, n.inbox, n.writing = true, false, false, nil, nil
+	n.pendingOutcomes, n.diskUnhealthy = nil, false
+	n.stateMachine = &historyStateMachine{retained: sim.retainedCommands}
 	options := coreOptions{
 		self:          view.Member{Node: n.name, Address: n.address},
 		hasDisk:       n.disk != nil,
-		tolerance:     w.tolerance,
-		limits:        w.limits,
-		seeds:         w.currentSeeds(bootstrap),
-		stateMachine:  n.machine,
-		random:        rand.New(rand.NewPCG(w.random.Uint64(), 1)),
-		incarnation:   w.random.Uint64(),
-		onApply:       n.applied,
-		onViewAdopted: n.adopted,
+		tolerance:     sim.tolerance,
+		limits:        sim.limits,
+		seeds:         sim.currentSeeds(bootstrap),
+		stateMachine:  n.stateMachine,
+		random:        rand.New(rand.NewPCG(sim.random.Uint64(), 1)),
+		incarnation:   sim.random.Uint64(),
+		onApply:       n.onApplied,
+		onViewAdopted: n.onViewAdopted,
 		report: func(event string, fields ...any) {
-			w.note("%s %s %v", n.name, event, fields)
+			sim.tracef("%s %s %v", n.name, event, fields)
 		},
 	}
 	found := n.open()
 	var genesis *view.View
 	if found == nil {
-		options.self.Incarnation = fmt.Sprintf("%x", w.random.Uint64())
-		if bootstrap || w.plant == plantWipedVotes {
+		options.self.Incarnation = fmt.Sprintf("%x", sim.random.Uint64())
+		if bootstrap || sim.bug == bugWipedMemberVotes {
 			genesis = n.genesis(&options)
 		}
 	}
 	var err error
-	if n.core, err = newCore(options, found, genesis, w.now); err != nil {
-		w.failf("start %s: %v", n.name, err)
+	if n.core, err = newCore(options, found, genesis, sim.now); err != nil {
+		sim.failf("start %s: %v", n.name, err)
 	}
-	w.note("%s starts, incarnation %s", n.name, n.core.self.Incarnation)
-	life := n.life
+	sim.tracef("%s starts, incarnation %s", n.name, n.core.self.Incarnation)
+	incarnation := n.incarnation
 	n.flush()
-	w.after(time.Duration(w.random.Int64N(int64(tickInterval))), func() { n.tick(life) })
+	sim.after(time.Duration(sim.random.Int64N(int64(tickInterval))), func() { n.tick(incarnation) })
 }
 
 // open opens the disk, if there is one.
@@ -84,32 +84,32 @@
 	n.disk.files.SetCapacity(0)
 	found := n.disk.open()
 	if found != nil {
-		n.world.recoveries++
+		n.sim.recoveries++
 	}
 	if found.summary() != n.disk.shadow.summary() {
-		n.world.failf("%s finds %s on its disk, which held %s", n.name, found.summary(), n.disk.shadow.summary())
+		n.sim.failf("%s finds %s on its disk, which held %s", n.name, found.summary(), n.disk.shadow.summary())
 	}
-	n.plantRecovery(found)
+	n.injectIntoRecovery(found)
 	return found
 }
 
 // genesis founds the system, as one of its seeds where this machine is one.
 func (n *simulatedNode) genesis(options *coreOptions) *view.View {
-	first := view.Genesis(n.world.seeds)
-	if n.disk != nil && slices.Contains(n.world.seeds, n.address) {
+	first := view.Genesis(n.sim.seeds)
+	if n.disk != nil && slices.Contains(n.sim.seeds, n.address) {
 		options.self.Incarnation = view.GenesisIncarnation
 	}
 	return &first
 }
 
-func (n *simulatedNode) tick(life int) {
-	if n.life != life || !n.up {
+func (n *simulatedNode) tick(incarnation int) {
+	if n.incarnation != incarnation || !n.up {
 		return
 	}
-	if !n.frozen && !n.ailing {
-		n.handle(func() { n.core.tick(n.world.now) })
+	if !n.paused && !n.diskUnhealthy {
+		n.handle(func() { n.core.tick(n.sim.now) })
 	}
-	n.world.after(tickInterval, func() { n.tick(life) })
+	n.sim.after(tickInterval, func() { n.tick(incarnation) })
 }
 
 // handle runs an input now, or after the sync or the freeze that holds the process up.
@@ -117,7 +117,7 @@
 	if !n.up {
 		return
 	}
-	if n.frozen || n.syncing {
+	if n.paused || n.syncing {
 		n.inbox = append(n.inbox, input)
 		return
 	}
@@ -127,63 +127,63 @@
 
 // flush makes durable what the core wants, then sends what it says.
 func (n *simulatedNode) flush() {
-	w := n.world
-	if n.ailing {
+	sim := n.sim
+	if n.diskUnhealthy {
 		n.core.takeMessages()
 		return
 	}
-	if n.disk != nil && n.disk.store.LogBytes() > w.compactAt {
+	if n.disk != nil && n.disk.store.LogBytes() > sim.checkpointAt {
 		n.core.checkpointDue = true
 	}
-	n.plantBefore()
+	n.injectIntoCore()
 	var write diskWrite
-	write.records, write.whole = n.core.takeRecords()
+	write.records, write.snapshot = n.core.takeRecords()
 	if write.empty() {
 		n.finish()
 		return
 	}
-	if write.whole != nil {
+	if write.snapshot != nil {
 		write.state = n.core.durableState()
 	}
-	if w.plant == plantSyncLate {
+	if sim.bug == bugSendBeforeSync {
 		n.finish()
 	}
 	n.syncing = true
-	life := n.life
+	incarnation := n.incarnation
 	n.writing = func(power bool) { n.disk.end(write, power) }
-	duration := w.syncTime/2 + time.Duration(w.random.Int64N(int64(w.syncTime)))
-	w.after(duration*time.Duration(max(n.slow, 1)), func() { n.synced(life, write) })
+	duration := sim.syncTime/2 + time.Duration(sim.random.Int64N(int64(sim.syncTime)))
+	sim.after(duration*time.Duration(max(n.diskSlowdown, 1)), func() { n.synced(incarnation, write) })
 }
 
 // refuseWrites has the disk take no bytes for a while. As Node does, the process then goes on from what
 // the disk holds.
 func (n *simulatedNode) refuseWrites(down time.Duration) {
-	n.full = true
+	n.diskFull = true
 	n.disk.fill()
-	n.world.after(down, func() {
-		n.full = false
+	n.sim.after(down, func() {
+		n.diskFull = false
 		n.disk.files.SetCapacity(0)
-		if !n.ailing || !n.up {
+		if !n.diskUnhealthy || !n.up {
 			return
 		}
-		n.ailing = false
-		n.core.reopened(n.world.now, n.disk.open())
+		n.diskUnhealthy = false
+		n.core.reopened(n.sim.now, n.disk.open())
 		n.flush()
 	})
 }
 
-func (n *simulatedNode) synced(life int, write diskWrite) {
-	if n.life != life || !n.up {
+func (n *simulatedNode) synced(incarnation int, write diskWrite) {
+	if n.incarnation != incarnation || !n.up {
 		return
 	}
-	if n.frozen || n.stalled {
-		n.world.after(5*time.Millisecond, func() { n.synced(life, write) })
+	if n.paused || n.diskStalled {
+		n.sim.after(5*time.Millisecond, func() { n.synced(incarnation, write) })
 		return
 	}
 	n.writing = nil
 	n.syncing = false
 	if err := n.disk.write(write); err != nil {
-		n.refused(err)
+		n.writeRefused(err)
 	} else {
 		n.finish()
 	}
@@ -191,19 +191,19 @@
 }
 
 // refused takes the member out until its disk takes bytes again, as Node does.
-func (n *simulatedNode) refused(err error) {
-	if !n.full {
-		n.world.failf("the disk of %s: %v", n.name, err)
+func (n *simulatedNode) writeRefused(err error) {
+	if !n.diskFull {
+		n.sim.failf("the disk of %s: %v", n.name, err)
 	}
-	n.world.note("the disk of %s refuses a write", n.name)
-	n.ailing = true
+	n.sim.tracef("the disk of %s refuses a write", n.name)
+	n.diskUnhealthy = true
 	n.core.takeMessages()
 	_ = n.disk.store.Close()
 }
 
 // drain takes in what arrived meanwhile, as one batch.
 func (n *simulatedNode) drain() {
-	if len(n.inbox) == 0 || n.frozen || n.syncing {
+	if len(n.inbox) == 0 || n.paused || n.syncing {
 		return
 	}
 	inbox := n.inbox
@@ -215,16 +215,16 @@
 }
 
 func (n *simulatedNode) finish() {
-	w := n.world
-	n.core.persisted(w.now)
-	n.tellWaiting()
+	sim := n.sim
+	n.core.persisted(sim.now)
+	n.notifyWaiting()
 	if records, whole := n.peekRecords(); records || whole {
-		w.failf("%s wants to write after its sync", n.name)
+		sim.failf("%s wants to write after its sync", n.name)
 	}
 	for _, m := range n.core.takeMessages() {
-		w.deliver(n, m)
+		sim.deliver(n, m)
 	}
-	w.checkLeads()
+	sim.checkLeaderLeases()
 }
 
 func (n *simulatedNode) peekRecords() (records, whole bool) {
@@ -241,9 +241,9 @@
 	if !n.up {
 		return
 	}
-	n.world.note("%s %s", n.name, how)
+	n.sim.tracef("%s %s", n.name, how)
 	n.up = false
-	n.life++
+	n.incarnation++
 	if n.disk == nil {
 		return
 	}
@@ -257,79 +257,79 @@
 
 func (n *simulatedNode) wipe() {
 	n.kill()
-	n.world.note("%s loses its disk", n.name)
-	n.world.lostDisks = append(n.world.lostDisks, lostDisk{at: n.world.now, state: n.disk.shadow})
-	n.disk = newSimulatedDisk(n.world.random.Uint64())
-	n.diskSince = n.world.now
+	n.sim.tracef("%s loses its disk", n.name)
+	n.sim.lostDisks = append(n.sim.lostDisks, lostDisk{at: n.sim.now, state: n.disk.shadow})
+	n.disk = newSimulatedDisk(n.sim.random.Uint64())
+	n.diskSince = n.sim.now
 }
 
-func (n *simulatedNode) freeze() {
-	n.world.note("%s freezes", n.name)
-	n.frozen = true
+func (n *simulatedNode) pause() {
+	n.sim.tracef("%s freezes", n.name)
+	n.paused = true
 }
 
-func (n *simulatedNode) thaw() {
-	if !n.up || !n.frozen {
+func (n *simulatedNode) resume() {
+	if !n.up || !n.paused {
 		return
 	}
-	n.world.note("%s thaws", n.name)
-	n.frozen = false
+	n.sim.tracef("%s thaws", n.name)
+	n.paused = false
 	n.drain()
 }
 
 // propose sends an order through a node and notes the acknowledgement. The function that it returns withdraws the caller.
 func (n *simulatedNode) propose(id string, done func(chain.Outcome)) (withdraw func()) {
-	w := n.world
-	life, started := n.life, w.now
-	wait := &waiter{outcomes: make(chan chain.Outcome, 1)}
+	sim := n.sim
+	incarnation, started := n.incarnation, sim.now
+	wait := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
 	submitted := false
-	of := w.callersOf(id)
+	of := sim.callersOf(id)
 	of.calls++
 	of.open++
 	n.handle(func() {
-		if n.life != life {
+		if n.incarnation != incarnation {
 			return
 		}
 		submitted = true
-		n.waits = append(n.waits, func() bool {
+		n.pendingOutcomes = append(n.pendingOutcomes, func() bool {
 			if len(wait.outcomes) == 0 {
 				return false
 			}
 			outcome := <-wait.outcomes
-			w.acknowledge(n, id, started, outcome)
+			sim.recordAck(n, id, started, outcome)
 			if done != nil {
-				w.after(0, func() { done(outcome) })
+				sim.after(0, func() { done(outcome) })
 			}
 			return true
 		})
-		n.core.submit(w.now, id, []byte(id), wait)
+		n.core.submit(sim.now, id, []byte(id), wait)
 	})
 	return func() {
 		n.handle(func() {
-			if n.life == life && submitted && len(wait.outcomes) == 0 {
-				n.withdrawn(of, n.core.withdraw(id, wait))
+			if n.incarnation == incarnation && submitted && len(wait.outcomes) == 0 {
+				n.recordWithdrawal(of, n.core.withdraw(id, wait))
 			}
 		})
 	}
 }
 
 // withdrawn notes what a caller is told that gives up.
-func (n *simulatedNode) withdrawn(of *callers, sent bool) {
-	if !sent || n.world.plant == plantSentForgotten {
+func (n *simulatedNode) recordWithdrawal(of *callerRecord, sent bool) {
+	if !sent || n.sim.bug == bugSentForgotten {
 		of.unsent++
 	}
 	of.open--
-	of.lastGone = n.world.now
+	of.lastWithdrawn = n.sim.now
 }
 
-func (w *world) callersOf(id string) *callers {
-	if w.callers[id] == nil {
-		w.callers[id] = &callers{}
+func (sim *simulatedCluster) callersOf(id string) *callerRecord {
+	if sim.callers[id] == nil {
+		sim.callers[id] = &callerRecord{}
 	}
-	return w.callers[id]
+	return sim.callers[id]
 }
 
 // tellWaiting tells the clients of this node what has come of their orders.
-func (n *simulatedNode) tellWaiting() {
-	n.waits = slices.DeleteFunc(n.waits, func(told func() bool) bool { return told() })
+func (n *simulatedNode) notifyWaiting() {
+	n.pendingOutcomes = slices.DeleteFunc(n.pendingOutcomes, func(told func() bool) bool { return told() })
 }
--- a/coord/replica/mended_test.go
+++ b/coord/replica/mended_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestTornEndIsTold opens a disk whose last record isn't whole: what was cut off it is logged with its place, once.
-func TestTornEndIsTold(t *testing.T) {
+func TestTornLogIsReported(t *testing.T) {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _, err := slots.Open(disk, slots.Options{})
 	saved := checkpoint{Self: view.Member{Node: "a", Incarnation: "1"}}
@@ -27,10 +27,10 @@
 	size, _ := disk.Size("log-1")
 	disk.FlipBit("log-1", size-1, 0)
 	disk.Kill()
-	var told []string
+	var logged []string
 	for range 2 {
 		node := &Node{options: Options{Disk: disk, Log: func(event string, fields ...any) {
-			told = append(told, fmt.Sprint(event, fields))
+			logged = append(logged, fmt.Sprint(event, fields))
 		}}}
 		found, err := node.openDisk()
 		if err != nil || found.self != saved.Self {
@@ -39,7 +39,7 @@
 		disk.Kill()
 	}
 	want := fmt.Sprint("disk mended", []any{"file", "log-1", "offset", whole, "problem", "torn record at the end"})
-	if !slices.Equal(told, []string{want}) {
-		t.Fatalf("told %q, wants %q", told, want)
+	if !slices.Equal(logged, []string{want}) {
+		t.Fatalf("told %q, wants %q", logged, want)
 	}
 }
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -15,31 +15,31 @@
 // lockedHistory is a machine that tests may look at from outside.
 type lockedHistory struct {
 	mutex sync.Mutex
-	historyMachine
+	historyStateMachine
 }
 
 func (m *lockedHistory) Apply(index uint64, command []byte) []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.historyMachine.Apply(index, command)
+	return m.historyStateMachine.Apply(index, command)
 }
 
 func (m *lockedHistory) Snapshot() []byte {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.historyMachine.Snapshot()
+	return m.historyStateMachine.Snapshot()
 }
 
 func (m *lockedHistory) Restore(snapshot []byte) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.historyMachine.Restore(snapshot)
+	return m.historyStateMachine.Restore(snapshot)
 }
 
 func (m *lockedHistory) has(command string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, held := range m.orders {
+	for _, held := range m.commands {
 		if held == command {
 			return true
 		}
--- a/coord/replica/norace_test.go
+++ b/coord/replica/norace_test.go
@@ -3,7 +3,7 @@
 package replica
 
 // plainWorlds is the number of random worlds that are played by default.
-const plainWorlds = 200
+const defaultRuns = 200
 
 // hazardWorlds is the number of worlds for each kind of trouble alone.
-const hazardWorlds = 5
+const runsPerFault = 5
--- a/coord/replica/plants_test.go
+++ b/coord/replica/plants_test.go
@@ -11,57 +11,57 @@
 )
 
 // plant is a bug that the harness can plant.
-type plant string
+type injectedBug string
 
 const (
-	plantForget        plant = "votes are forgotten at a restart"
-	plantSkipRepair    plant = "a proposer doesn't repair the accepted value"
-	plantServeEarly    plant = "a view serves before the prefix is copied"
-	plantWipedVotes    plant = "a wiped machine keeps its vote"
-	plantShortChain    plant = "a chain acknowledges with too few disks"
-	plantOnlyDuels     plant = "no bug, but frequent duels"
-	plantStaleRead     plant = "reads are answered without proof of the epoch"
-	plantSentForgotten plant = "a caller is told that its order never left, though it did"
-	plantSyncLate      plant = "messages leave before the sync"
-	plantNoRelay       plant = "orders aren't passed on by a member between"
-	plantOldOrders     plant = "the head takes orders from before its view"
-	plantConfirmAlone  plant = "a member that is cut off confirms orders"
-	plantOldSource     plant = "a view starts from any log"
-	plantHalfCopy      plant = "half of a copy counts as whole"
-	plantBareImage     plant = "an image comes without the outcomes of orders"
-	plantCopyStorm     plant = "a copy is sent again and again"
-	plantLostCopy      plant = "copies never arrive"
-	plantStaleFresh    plant = "a member claims to be fresh when it hears nobody"
-	plantEndlessLead   plant = "a head leads on without proof"
-	plantLeaveEarly    plant = "a member ends before it may leave"
+	bugForgottenPromises       injectedBug = "votes are forgotten at a restart"
+	bugAcceptedValueIgnored    injectedBug = "a proposer doesn't repair the accepted value"
+	bugServeBeforePrefix       injectedBug = "a view serves before the prefix is copied"
+	bugWipedMemberVotes        injectedBug = "a wiped machine keeps its vote"
+	bugShortChain              injectedBug = "a chain acknowledges with too few disks"
+	onlyDuels                  injectedBug = "no bug, but frequent duels"
+	bugUnconfirmedRead         injectedBug = "reads are answered without proof of the epoch"
+	bugSentForgotten           injectedBug = "a caller is told that its order never left, though it did"
+	bugSendBeforeSync          injectedBug = "messages leave before the sync"
+	bugNoRelay                 injectedBug = "orders aren't passed on by a member between"
+	bugOldCommands             injectedBug = "the head takes orders from before its view"
+	bugAcknowledgeAlone        injectedBug = "a member that is cut off confirms orders"
+	bugAnySource               injectedBug = "a view starts from any log"
+	bugHalfPrefix              injectedBug = "half of a copy counts as whole"
+	bugSnapshotWithoutOutcomes injectedBug = "an image comes without the outcomes of orders"
+	bugTransferStorm           injectedBug = "a copy is sent again and again"
+	bugLostTransfers           injectedBug = "copies never arrive"
+	bugStalenessUnproven       injectedBug = "a member claims to be fresh when it hears nobody"
+	bugEndlessLease            injectedBug = "a head leads on without proof"
+	bugDepartEarly             injectedBug = "a member ends before it may leave"
 )
 
 // plantRecovery spoils what a start finds on its disk.
-func (n *simulatedNode) plantRecovery(found *recoveredState) {
-	if found != nil && n.world.plant == plantForget {
+func (n *simulatedNode) injectIntoRecovery(found *recoveredState) {
+	if found != nil && n.sim.bug == bugForgottenPromises {
 		found.durable = view.DurableState{View: found.durable.View}
 	}
 }
 
 // plantBefore spoils what a node does next.
-func (n *simulatedNode) plantBefore() {
-	c, now := n.core, n.world.now
-	switch n.world.plant {
-	case plantServeEarly:
+func (n *simulatedNode) injectIntoCore() {
+	c, now := n.core, n.sim.now
+	switch n.sim.bug {
+	case bugServeBeforePrefix:
 		if c.inChain() && !c.acceptor.Wedged() {
 			c.syncedEpoch = c.epoch()
 		}
-	case plantShortChain:
+	case bugShortChain:
 		c.tolerance = 0
-	case plantStaleRead:
+	case bugUnconfirmedRead:
 		c.staleness.epochConfirmedAt = now
-	case plantStaleFresh:
-		if n.cutOff && c.staleness.proven {
+	case bugStalenessUnproven:
+		if n.partitioned && c.staleness.proven {
 			c.staleness.currentAsOf = now
 		}
-	case plantConfirmAlone:
-		n.confirmAlone()
-	case plantEndlessLead:
+	case bugAcknowledgeAlone:
+		n.acknowledgeAlone()
+	case bugEndlessLease:
 		if c.acceptor.View.Head().Same(c.self) && c.staleness.epochConfirmedAt != never {
 			c.staleness.epochConfirmedAt = max(c.staleness.epochConfirmedAt, now-leaderLeaseDuration/2)
 		}
@@ -69,8 +69,8 @@
 }
 
 // confirmAlone settles, where the node is cut off, the orders that wait there.
-func (n *simulatedNode) confirmAlone() {
-	if !n.cutOff {
+func (n *simulatedNode) acknowledgeAlone() {
+	if !n.partitioned {
 		return
 	}
 	applied, _ := n.core.state.Applied()
@@ -80,97 +80,97 @@
 }
 
 // plantMessage spoils a message on its way, and tells whether it goes at all.
-func (w *world) plantMessage(from, to *simulatedNode, m envelope) (envelope, bool) {
+func (sim *simulatedCluster) injectIntoMessage(from, to *simulatedNode, m envelope) (envelope, bool) {
 	switch body := m.body.(type) {
 	case view.PrepareResponse:
-		m.body = w.plantPromise(body)
+		m.body = sim.injectIntoPromise(body)
 	case Forward:
-		return w.plantForward(to, m, body)
+		return sim.injectIntoForward(to, m, body)
 	case PrefixTransfer:
-		return w.plantCopy(from, to, m, body)
+		return sim.injectIntoTransfer(from, to, m, body)
 	}
 	return m, true
 }
 
-func (w *world) plantPromise(body view.PrepareResponse) view.PrepareResponse {
-	switch w.plant {
-	case plantSkipRepair:
+func (sim *simulatedCluster) injectIntoPromise(body view.PrepareResponse) view.PrepareResponse {
+	switch sim.bug {
+	case bugAcceptedValueIgnored:
 		body.Accepted = nil
-	case plantOldSource:
+	case bugAnySource:
 		body.Log.Synced = body.Epoch
-		body.Log.End = w.random.Uint64N(1 << 40)
+		body.Log.End = sim.random.Uint64N(1 << 40)
 	}
 	return body
 }
 
-func (w *world) plantForward(to *simulatedNode, m envelope, body Forward) (envelope, bool) {
-	switch w.plant {
-	case plantNoRelay:
+func (sim *simulatedCluster) injectIntoForward(to *simulatedNode, m envelope, body Forward) (envelope, bool) {
+	switch sim.bug {
+	case bugNoRelay:
 		return m, to.core.view().Head().Same(to.core.self)
-	case plantOldOrders:
+	case bugOldCommands:
 		body.Epoch, body.Since = to.core.epoch(), math.MaxUint64
 		m.body = body
 	}
 	return m, true
 }
 
-func (w *world) plantCopy(from, to *simulatedNode, m envelope, body PrefixTransfer) (envelope, bool) {
-	switch w.plant {
-	case plantHalfCopy:
+func (sim *simulatedCluster) injectIntoTransfer(from, to *simulatedNode, m envelope, body PrefixTransfer) (envelope, bool) {
+	switch sim.bug {
+	case bugHalfPrefix:
 		body.Entries = body.Entries[:len(body.Entries)/2]
 		m.body = body
-	case plantBareImage:
+	case bugSnapshotWithoutOutcomes:
 		if body.Image != nil {
 			image := *body.Image
 			image.Outcomes = nil
 			body.Image = &image
 			m.body = body
 		}
-	case plantCopyStorm:
-		for range mostCopies {
-			w.countCopy(from, to, m)
+	case bugTransferStorm:
+		for range maxTransfers {
+			sim.countTransfer(from, to, m)
 		}
-	case plantLostCopy:
+	case bugLostTransfers:
 		return m, false
 	}
 	return m, true
 }
 
 // plantedBugs are found by the worlds, from a seed on that saves those that are known not to find them.
-var plantedBugs = []struct {
-	plant plant
+var injectedBugs = []struct {
+	plant injectedBug
 	first uint64
 	step  uint64
 }{
-	{plantForget, 1, 4}, // those with duels
-	{plantSkipRepair, 65, 4},
-	{plantServeEarly, 1, 4},
-	{plantWipedVotes, 121, 4},
-	{plantShortChain, 13, 4},
-	{plantStaleRead, 1, 1},
-	{plantSentForgotten, 26, 1},
-	{plantSyncLate, 0, 1},
-	{plantNoRelay, 16, 1},
-	{plantOldOrders, 0, 1},
-	{plantConfirmAlone, 0, 1},
-	{plantOldSource, 0, 1},
-	{plantHalfCopy, 0, 1},
-	{plantBareImage, 122, 1},
-	{plantCopyStorm, 0, 1},
-	{plantLostCopy, 0, 1},
-	{plantStaleFresh, 0, 1},
-	{plantEndlessLead, 4, 1},
-	{plantLeaveEarly, 0, 1},
+	{bugForgottenPromises, 1, 4}, // those with duels
+	{bugAcceptedValueIgnored, 65, 4},
+	{bugServeBeforePrefix, 1, 4},
+	{bugWipedMemberVotes, 121, 4},
+	{bugShortChain, 13, 4},
+	{bugUnconfirmedRead, 1, 1},
+	{bugSentForgotten, 26, 1},
+	{bugSendBeforeSync, 0, 1},
+	{bugNoRelay, 16, 1},
+	{bugOldCommands, 0, 1},
+	{bugAcknowledgeAlone, 0, 1},
+	{bugAnySource, 0, 1},
+	{bugHalfPrefix, 0, 1},
+	{bugSnapshotWithoutOutcomes, 122, 1},
+	{bugTransferStorm, 0, 1},
+	{bugLostTransfers, 0, 1},
+	{bugStalenessUnproven, 0, 1},
+	{bugEndlessLease, 4, 1},
+	{bugDepartEarly, 0, 1},
 }
 
 // TestPlantedBugs checks that the worlds find what they are for: each bug stands in the harness.
-func TestPlantedBugs(t *testing.T) {
-	for _, bug := range plantedBugs {
+func TestInjectedBugs(t *testing.T) {
+	for _, bug := range injectedBugs {
 		t.Run(string(bug.plant), func(t *testing.T) {
 			t.Parallel()
 			began := time.Now()
 			for seed := bug.first; seed < bug.first+400*bug.step; seed += bug.step {
-				if _, broken := play(seed, bug.plant); broken != "" {
+				if _, broken := runSeed(seed, bug.plant); broken != "" {
 					line, _, _ := strings.Cut(broken, "\n")
 					t.Logf("found after %v: %s", time.Since(began), line)
 					return
--- a/coord/replica/simulation_test.go
+++ b/coord/replica/simulation_test.go
@@ -10,9 +10,9 @@
 )
 
 // worldLength is how long a world is under load and faults.
-const worldLength = 30 * time.Second
+const runDuration = 30 * time.Second
 
-func wantedWorlds(count int) int {
+func wantedRuns(count int) int {
 	if text := os.Getenv("SEEDS"); text != "" {
 		if wanted, err := strconv.Atoi(text); err == nil {
 			return wanted
@@ -22,19 +22,19 @@
 }
 
 // play runs a world and returns what it broke, if anything.
-func play(seed uint64, planted plant) (c *campaign, broken string) {
+func runSeed(seed uint64, bug injectedBug) (c *campaign, broken string) {
 	defer func() {
 		if caught := recover(); caught != nil {
 			broken = fmt.Sprint(caught)
 		}
 	}()
-	return runCampaign(seed, worldLength, planted), ""
+	return runCampaign(seed, runDuration, bug), ""
 }
 
 // TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
-func TestRandomWorlds(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	first, _ := strconv.Atoi(os.Getenv("FIRST"))
-	count := wantedWorlds(plainWorlds)
+	count := wantedRuns(defaultRuns)
 	const shards = 4
 	var acked, faults, recoveries, copied, next atomic.Int64
 	t.Run("shards", func(t *testing.T) {
@@ -43,7 +43,7 @@
 				t.Parallel()
 				for number := int(next.Add(1)) - 1; number < count; number = int(next.Add(1)) - 1 {
 					seed := first + number
-					c, broken := play(uint64(seed), "")
+					c, broken := runSeed(uint64(seed), "")
 					if broken != "" {
 						t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, broken)
 						continue
@@ -51,7 +51,7 @@
 					acked.Add(int64(len(c.acked)))
 					faults.Add(int64(c.faults))
 					recoveries.Add(int64(c.recoveries))
-					copied.Add(int64(c.copied))
+					copied.Add(int64(c.transferredBytes))
 				}
 			})
 		}
@@ -65,7 +65,7 @@
 	for seed := uint64(1); seed < 33; seed += 4 {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			if _, broken := play(seed, plantOnlyDuels); broken != "" {
+			if _, broken := runSeed(seed, onlyDuels); broken != "" {
 				t.Error(broken)
 			}
 		})
@@ -74,24 +74,24 @@
 
 // TestFullDisks plays worlds in which disks refuse writes for a while.
 func TestFullDisks(t *testing.T) {
-	for seed := uint64(0); seed < plainWorlds/5; seed++ {
+	for seed := uint64(0); seed < defaultRuns/5; seed++ {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			c := prepareCampaign(seed, worldLength, "")
-			c.only = "full disk"
+			c := prepareCampaign(seed, runDuration, "")
+			c.onlyFault = "full disk"
 			c.run()
 		})
 	}
 }
 
 // TestOneHazard plays worlds in which one kind of trouble comes again and again.
-func TestOneHazard(t *testing.T) {
-	for _, h := range hazards {
+func TestSingleFaultKind(t *testing.T) {
+	for _, h := range faultKinds {
 		t.Run(h.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(0); seed < hazardWorlds; seed++ {
-				c := prepareCampaign(seed, worldLength, "")
-				c.only = h.name
+			for seed := uint64(0); seed < runsPerFault; seed++ {
+				c := prepareCampaign(seed, runDuration, "")
+				c.onlyFault = h.name
 				c.run()
 			}
 		})
@@ -100,38 +100,38 @@
 
 // TestClientsTurnElsewhere checks that a client that gets no answer tries each other node before it comes back to one: three clients
 // that happened to choose the same cut-off machine again were seed 7002540's two seconds without an acknowledgement.
-func TestClientsTurnElsewhere(t *testing.T) {
+func TestClientsTryAllNodes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
-		c := prepareCampaign(seed, worldLength, "")
+		c := prepareCampaign(seed, runDuration, "")
 		c.runUntil(time.Second)
-		var tried []*simulatedNode
-		for range len(c.serving()) {
-			n := c.elsewhere(tried)
-			for _, earlier := range tried {
+		var attempted []*simulatedNode
+		for range len(c.servingNodes()) {
+			n := c.nextNode(attempted)
+			for _, earlier := range attempted {
 				if n == earlier {
 					t.Fatalf("seed %d: a client comes back to %s before it has tried all", seed, n.name)
 				}
 			}
-			tried = append(tried, n)
+			attempted = append(attempted, n)
 		}
 	}
 }
 
 // TestClientOfCutOffMachine plays the moment of seed 7002540 with all clients at the machine that is cut off: the orders are
 // acknowledged through the others in time.
-func TestClientOfCutOffMachine(t *testing.T) {
-	c := &campaign{world: startedWorld(22, 3, 1), end: worldLength}
+func TestClientsOfPartitionedNode(t *testing.T) {
+	c := &campaign{simulatedCluster: startSimulatedCluster(22, 3, 1), end: runDuration}
 	c.runUntil(2 * time.Second)
 	mute := c.nodes[1]
-	c.cut(mute, c.nodes[0])
-	c.cut(mute, c.nodes[2])
+	c.partition(mute, c.nodes[0])
+	c.partition(mute, c.nodes[2])
 	lost, waiting := c.now, 3
 	for client := range 3 {
 		id := fmt.Sprint("order-", client)
 		mute.propose(id, nil)
-		c.after(time.Second, func() { c.try(id, []*simulatedNode{mute}, func() { waiting-- }) })
+		c.after(time.Second, func() { c.attempt(id, []*simulatedNode{mute}, func() { waiting-- }) })
 	}
-	if !c.runWhile(expectedPause, func() bool { return waiting > 0 }) {
+	if !c.runWhile(maxUnavailability, func() bool { return waiting > 0 }) {
 		t.Errorf("%d orders aren't acknowledged %v after the cut", waiting, c.now-lost)
 	}
 }
--- a/coord/replica/world_test.go
+++ b/coord/replica/world_test.go
@@ -12,20 +12,20 @@
 )
 
 // event is something that happens at a moment.
-type event struct {
-	at    time.Duration
-	order int
-	run   func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type eventQueue []*event
+type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -37,184 +37,184 @@
 type link struct{ from, to string }
 
 // world is machines, links and disks in virtual time.
-type world struct {
-	random     *rand.Rand
-	seed       uint64
-	limits     limits
-	keepOrders int   // that machines remember; 0: all
-	compactAt  int64 // bytes of the disk's log at which it is compacted
-	now        time.Duration
-	queue      eventQueue
-	sequence   int
-	nodes      []*simulatedNode
-	seeds      []string
-	tolerance  int
-	syncTime   time.Duration
-	unordered  bool // messages overtake, repeat and get lost
-	plant      plant
-	cuts       map[link]int // how many cuts are on a link
-	holding    bool         // what was sent over a cut link arrives after the cut, as from the kernel's buffers
-	held       map[link][]func()
-	resets     map[link]int // counts resets of connections
-	lastAt     map[link]time.Duration
-	applied    map[uint64]string // index: order of the entry
-	views      map[uint64]string
-	acked      map[string]uint64
-	callers    map[string]*callers      // of each order
-	decidedAt  map[uint64]time.Duration // epoch: when it was first adopted
-	lostDisks  []lostDisk
-	onlyOnce   bool           // no caller sends an order twice
-	copies     map[string]int // of prefixes, by receiver and epoch
-	ackLine    []acknowledgement
-	onAck      func(n *simulatedNode, id string)
-	onCopy     func(from, to *simulatedNode) // a copy of a prefix is on its way
-	messages   int
-	copied     int // bytes of copies
-	recoveries int // starts from a disk that held something
-	events     []string
+type simulatedCluster struct {
+	random            *rand.Rand
+	seed              uint64
+	limits            limits
+	retainedCommands  int   // that machines remember; 0: all
+	checkpointAt      int64 // bytes of the disk's log at which it is compacted
+	now               time.Duration
+	queue             eventQueue
+	sequence          int
+	nodes             []*simulatedNode
+	seeds             []string
+	tolerance         int
+	syncTime          time.Duration
+	unordered         bool // messages overtake, repeat and get lost
+	bug               injectedBug
+	partitions        map[link]int // how many cuts are on a link
+	bufferPartitioned bool         // what was sent over a cut link arrives after the cut, as from the kernel's buffers
+	buffered          map[link][]func()
+	resets            map[link]int // counts resets of connections
+	lastArrival       map[link]time.Duration
+	applied           map[uint64]string // index: order of the entry
+	views             map[uint64]string
+	acked             map[string]uint64
+	callers           map[string]*callerRecord // of each order
+	decidedAt         map[uint64]time.Duration // epoch: when it was first adopted
+	lostDisks         []lostDisk
+	noRetries         bool           // no caller sends an order twice
+	transfers         map[string]int // of prefixes, by receiver and epoch
+	ackHistory        []acknowledgement
+	onAck             func(n *simulatedNode, id string)
+	onTransfer        func(from, to *simulatedNode) // a copy of a prefix is on its way
+	messages          int
+	transferredBytes  int // bytes of copies
+	recoveries        int // starts from a disk that held something
+	trace             []string
 }
 
-func newWorld(seed uint64, machines, tolerance int) *world {
-	w := &world{
-		random:    rand.New(rand.NewPCG(seed, 77)),
-		seed:      seed,
-		limits:    defaultLimits,
-		compactAt: 16 << 10,
-		tolerance: tolerance,
-		syncTime:  time.Millisecond,
-		cuts:      make(map[link]int),
-		held:      make(map[link][]func()),
-		resets:    make(map[link]int),
-		lastAt:    make(map[link]time.Duration),
-		applied:   make(map[uint64]string),
-		views:     make(map[uint64]string),
-		acked:     make(map[string]uint64),
-		callers:   make(map[string]*callers),
-		decidedAt: make(map[uint64]time.Duration),
-		copies:    make(map[string]int),
+func newSimulatedCluster(seed uint64, machines, tolerance int) *simulatedCluster {
+	sim := &simulatedCluster{
+		random:       rand.New(rand.NewPCG(seed, 77)),
+		seed:         seed,
+		limits:       defaultLimits,
+		checkpointAt: 16 << 10,
+		tolerance:    tolerance,
+		syncTime:     time.Millisecond,
+		partitions:   make(map[link]int),
+		buffered:     make(map[link][]func()),
+		resets:       make(map[link]int),
+		lastArrival:  make(map[link]time.Duration),
+		applied:      make(map[uint64]string),
+		views:        make(map[uint64]string),
+		acked:        make(map[string]uint64),
+		callers:      make(map[string]*callerRecord),
+		decidedAt:    make(map[uint64]time.Duration),
+		transfers:    make(map[string]int),
 	}
 	for i := 0; i < machines; i++ {
-		w.addNode(true)
+		sim.addNode(true)
 	}
 	for i := 0; i < min(3, machines); i++ {
-		w.seeds = append(w.seeds, w.nodes[i].address)
+		sim.seeds = append(sim.seeds, sim.nodes[i].address)
 	}
-	return w
+	return sim
 }
 
-func startedWorld(seed uint64, machines, tolerance int) *world {
-	w := newWorld(seed, machines, tolerance)
-	for _, n := range w.nodes {
-		w.after(time.Duration(w.random.Int64N(int64(300*time.Millisecond))), func() { n.start(true) })
+func startSimulatedCluster(seed uint64, machines, tolerance int) *simulatedCluster {
+	sim := newSimulatedCluster(seed, machines, tolerance)
+	for _, n := range sim.nodes {
+		sim.after(time.Duration(sim.random.Int64N(int64(300*time.Millisecond))), func() { n.start(true) })
 	}
-	return w
+	return sim
 }
 
-func (w *world) addNode(disk bool) *simulatedNode {
-	number := len(w.nodes)
-	n := &simulatedNode{world: w, name: fmt.Sprintf("n%d", number), address: fmt.Sprintf("10.0.0.%d:70", number)}
+func (sim *simulatedCluster) addNode(disk bool) *simulatedNode {
+	number := len(sim.nodes)
+	n := &simulatedNode{sim: sim, name: fmt.Sprintf("n%d", number), address: fmt.Sprintf("10.0.0.%d:70", number)}
 	if disk {
-		n.disk = newSimulatedDisk(w.random.Uint64())
-		n.diskSince = w.now
+		n.disk = newSimulatedDisk(sim.random.Uint64())
+		n.diskSince = sim.now
 	}
-	w.nodes = append(w.nodes, n)
+	sim.nodes = append(sim.nodes, n)
 	return n
 }
 
 // failure is what a broken check panics with.
 type failure string
 
-func (w *world) failf(format string, arguments ...any) {
+func (sim *simulatedCluster) failf(format string, arguments ...any) {
 	for _, argument := range arguments {
 		if already, ok := argument.(failure); ok && strings.HasPrefix(string(already), "seed ") {
 			panic(already)
 		}
 	}
-	tail := w.events
+	tail := sim.trace
 	if len(tail) > 60 && os.Getenv("TRACE") == "" {
 		tail = tail[len(tail)-60:]
 	}
-	panic(failure(fmt.Sprintf("seed %d at %v: ", w.seed, w.now) +
+	panic(failure(fmt.Sprintf("seed %d at %v: ", sim.seed, sim.now) +
 		fmt.Sprintf(format, arguments...) + "\n" + strings.Join(tail, "\n")))
 }
 
-func (w *world) note(format string, arguments ...any) {
-	w.events = append(w.events, fmt.Sprintf("%10v ", w.now)+fmt.Sprintf(format, arguments...))
+func (sim *simulatedCluster) tracef(format string, arguments ...any) {
+	sim.trace = append(sim.trace, fmt.Sprintf("%10v ", sim.now)+fmt.Sprintf(format, arguments...))
 }
 
-func (w *world) after(delay time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.queue, &event{at: w.now + delay, order: w.sequence, run: run})
+func (sim *simulatedCluster) after(delay time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.queue, &scheduledEvent{at: sim.now + delay, sequence: sim.sequence, run: run})
 }
 
 // runUntil plays events to a moment.
-func (w *world) runUntil(moment time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= moment {
-		next := heap.Pop(&w.queue).(*event)
-		w.now = next.at
+func (sim *simulatedCluster) runUntil(moment time.Duration) {
+	for len(sim.queue) > 0 && sim.queue[0].at <= moment {
+		next := heap.Pop(&sim.queue).(*scheduledEvent)
+		sim.now = next.at
 		next.run()
 	}
-	w.now = moment
+	sim.now = moment
 }
 
 // runWhile plays events until the condition holds, and tells whether it does before the limit.
-func (w *world) runWhile(limit time.Duration, waiting func() bool) bool {
-	end := w.now + limit
+func (sim *simulatedCluster) runWhile(limit time.Duration, waiting func() bool) bool {
+	end := sim.now + limit
 	for waiting() {
-		if len(w.queue) == 0 || w.queue[0].at > end {
-			w.now = end
+		if len(sim.queue) == 0 || sim.queue[0].at > end {
+			sim.now = end
 			return false
 		}
-		next := heap.Pop(&w.queue).(*event)
-		w.now = next.at
+		next := heap.Pop(&sim.queue).(*scheduledEvent)
+		sim.now = next.at
 		next.run()
 	}
 	return true
 }
 
 // currentSeeds is what the operator's list shows: the first ones at first, later any three.
-func (w *world) currentSeeds(bootstrap bool) []string {
+func (sim *simulatedCluster) currentSeeds(bootstrap bool) []string {
 	if bootstrap {
-		return w.seeds
+		return sim.seeds
 	}
 	var addresses []string
-	for _, n := range w.nodes {
-		if n.disk != nil && !n.gone {
+	for _, n := range sim.nodes {
+		if n.disk != nil && !n.removed {
 			addresses = append(addresses, n.address)
 		}
 	}
-	w.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
+	sim.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	return addresses[:min(3, len(addresses))]
 }
 
 // cut cuts the way from one machine to another until mend is called.
-func (w *world) cut(from, to *simulatedNode) (mend func()) {
+func (sim *simulatedCluster) partition(from, to *simulatedNode) (heal func()) {
 	way := link{from.address, to.address}
-	w.cuts[way]++
+	sim.partitions[way]++
 	return func() {
-		if w.cuts[way] == 0 {
+		if sim.partitions[way] == 0 {
 			return
 		}
-		if w.cuts[way]--; w.cuts[way] == 0 {
-			w.release(way)
+		if sim.partitions[way]--; sim.partitions[way] == 0 {
+			sim.releaseBuffered(way)
 		}
 	}
 }
 
 // mendAll ends all cuts.
-func (w *world) mendAll() {
-	for _, way := range w.cutLinks() {
-		delete(w.cuts, way)
-		w.release(way)
+func (sim *simulatedCluster) healAll() {
+	for _, way := range sim.partitionedLinks() {
+		delete(sim.partitions, way)
+		sim.releaseBuffered(way)
 	}
 }
 
 // cutLinks lists the links that are cut, in an order that is the same in each run.
-func (w *world) cutLinks() []link {
+func (sim *simulatedCluster) partitionedLinks() []link {
 	var ways []link
-	for _, from := range w.nodes {
-		for _, to := range w.nodes {
-			if way := (link{from.address, to.address}); w.cuts[way] > 0 {
+	for _, from := range sim.nodes {
+		for _, to := range sim.nodes {
+			if way := (link{from.address, to.address}); sim.partitions[way] > 0 {
 				ways = append(ways, way)
 			}
 		}
@@ -223,17 +223,17 @@
 }
 
 // release lets arrive what a cut held up.
-func (w *world) release(way link) {
-	delete(w.cuts, way)
-	held := w.held[way]
-	delete(w.held, way)
+func (sim *simulatedCluster) releaseBuffered(way link) {
+	delete(sim.partitions, way)
+	held := sim.buffered[way]
+	delete(sim.buffered, way)
 	for _, arrive := range held {
-		w.after(time.Millisecond/2, arrive)
+		sim.after(time.Millisecond/2, arrive)
 	}
 }
 
-func (w *world) nodeAt(address string) *simulatedNode {
-	for _, n := range w.nodes {
+func (sim *simulatedCluster) nodeAt(address string) *simulatedNode {
+	for _, n := range sim.nodes {
 		if n.address == address {
 			return n
 		}
@@ -241,59 +241,59 @@
 	return nil
 }
 
-func (w *world) deliver(from *simulatedNode, m envelope) {
-	to := w.nodeAt(m.to.Address)
+func (sim *simulatedCluster) deliver(from *simulatedNode, m envelope) {
+	to := sim.nodeAt(m.to.Address)
 	if to == nil || !to.up {
 		return
 	}
-	m, goes := w.plantMessage(from, to, m)
+	m, goes := sim.injectIntoMessage(from, to, m)
 	if !goes {
 		return
 	}
-	w.messages++
-	w.countCopy(from, to, m)
+	sim.messages++
+	sim.countTransfer(from, to, m)
 	way := link{from.address, to.address}
-	delay := time.Millisecond/2 + time.Duration(w.random.Int64N(int64(time.Millisecond)))
-	if w.unordered {
-		if w.random.IntN(50) == 0 {
+	delay := time.Millisecond/2 + time.Duration(sim.random.Int64N(int64(time.Millisecond)))
+	if sim.unordered {
+		if sim.random.IntN(50) == 0 {
 			return
 		}
-		if w.random.IntN(10) == 0 {
-			delay += time.Duration(w.random.Int64N(int64(50 * time.Millisecond)))
+		if sim.random.IntN(10) == 0 {
+			delay += time.Duration(sim.random.Int64N(int64(50 * time.Millisecond)))
 		}
-		if w.random.IntN(50) == 0 {
-			w.after(delay+time.Duration(w.random.Int64N(int64(2*time.Second))), func() { w.arrive(from, to, to.life, m) })
+		if sim.random.IntN(50) == 0 {
+			sim.after(delay+time.Duration(sim.random.Int64N(int64(2*time.Second))), func() { sim.arrive(from, to, to.incarnation, m) })
 		}
 	} else {
-		at := max(w.now+delay, w.lastAt[way])
-		w.lastAt[way] = at
-		delay = at - w.now
+		at := max(sim.now+delay, sim.lastArrival[way])
+		sim.lastArrival[way] = at
+		delay = at - sim.now
 	}
-	life, resets := to.life, w.resets[way]
-	w.after(delay, func() {
-		if resets == w.resets[way] {
-			w.arrive(from, to, life, m)
+	incarnation, resets := to.incarnation, sim.resets[way]
+	sim.after(delay, func() {
+		if resets == sim.resets[way] {
+			sim.arrive(from, to, incarnation, m)
 		}
 	})
 }
 
 // countCopy notes the bytes of a copy, and tells of it.
-func (w *world) countCopy(from, to *simulatedNode, m envelope) {
+func (sim *simulatedCluster) countTransfer(from, to *simulatedNode, m envelope) {
 	body, ok := m.body.(PrefixTransfer)
 	if !ok {
 		return
 	}
-	w.copied += copyBytes(body)
-	w.checkCopies(to, body.Epoch)
-	if w.onCopy != nil {
-		act := w.onCopy
-		w.onCopy = nil
-		w.after(0, func() { act(from, to) })
+	sim.transferredBytes += transferBytes(body)
+	sim.checkTransfers(to, body.Epoch)
+	if sim.onTransfer != nil {
+		act := sim.onTransfer
+		sim.onTransfer = nil
+		sim.after(0, func() { act(from, to) })
 	}
 }
 
 // copyBytes is about what a copy weighs.
-func copyBytes(body PrefixTransfer) int {
+func transferBytes(body PrefixTransfer) int {
 	size := 0
 	if body.Image != nil {
 		size += len(body.Image.Machine)
@@ -307,42 +307,42 @@
 	return size
 }
 
-func (w *world) arrive(from, to *simulatedNode, life int, m envelope) {
-	if to.life != life || !to.up {
+func (sim *simulatedCluster) arrive(from, to *simulatedNode, incarnation int, m envelope) {
+	if to.incarnation != incarnation || !to.up {
 		return
 	}
 	way := link{from.address, to.address}
-	if w.cuts[way] > 0 {
-		w.holdUp(way, from, to, m)
+	if sim.partitions[way] > 0 {
+		sim.buffer(way, from, to, m)
 		return
 	}
 	sender := from.core.self
 	if m.to.Incarnation != "" && !m.to.Same(to.core.self) {
 		actual := to.core.self
-		from.handle(func() { from.core.onIncarnationMismatch(w.now, actual) })
+		from.handle(func() { from.core.onIncarnationMismatch(sim.now, actual) })
 		return
 	}
-	to.handle(func() { to.core.step(w.now, sender, m.body) })
+	to.handle(func() { to.core.step(sim.now, sender, m.body) })
 }
 
 // holdUp keeps what is sent over a cut link for its end, where the world's kernels do and neither process ends before.
-func (w *world) holdUp(way link, from, to *simulatedNode, m envelope) {
-	if !w.holding {
+func (sim *simulatedCluster) buffer(way link, from, to *simulatedNode, m envelope) {
+	if !sim.bufferPartitioned {
 		return
 	}
-	sent, received, resets := from.life, to.life, w.resets[way]
-	w.held[way] = append(w.held[way], func() {
-		if from.life == sent && resets == w.resets[way] {
-			w.arrive(from, to, received, m)
+	sent, received, resets := from.incarnation, to.incarnation, sim.resets[way]
+	sim.buffered[way] = append(sim.buffered[way], func() {
+		if from.incarnation == sent && resets == sim.resets[way] {
+			sim.arrive(from, to, received, m)
 		}
 	})
 }
 
 // serving returns nodes that run, aren't frozen and don't refuse for their disk.
-func (w *world) serving() []*simulatedNode {
+func (sim *simulatedCluster) servingNodes() []*simulatedNode {
 	var nodes []*simulatedNode
-	for _, n := range w.nodes {
-		if n.up && !n.frozen && !n.ailing {
+	for _, n := range sim.nodes {
+		if n.up && !n.paused && !n.diskUnhealthy {
 			nodes = append(nodes, n)
 		}
 	}
@@ -350,10 +350,10 @@
 }
 
 // machines returns the machines with a disk that are still there.
-func (w *world) machines() []*simulatedNode {
+func (sim *simulatedCluster) members() []*simulatedNode {
 	var nodes []*simulatedNode
-	for _, n := range w.nodes {
-		if n.disk != nil && !n.gone {
+	for _, n := range sim.nodes {
+		if n.disk != nil && !n.removed {
 			nodes = append(nodes, n)
 		}
 	}
@@ -361,9 +361,9 @@
 }
 
 // newest returns the machine that runs and knows the newest view.
-func (w *world) newest() *simulatedNode {
+func (sim *simulatedCluster) newestView() *simulatedNode {
 	var newest *simulatedNode
-	for _, n := range w.machines() {
+	for _, n := range sim.members() {
 		if n.up && (newest == nil || n.core.epoch() > newest.core.epoch()) {
 			newest = n
 		}
@@ -372,8 +372,8 @@
 }
 
 // holder returns the machine whose disk is this member's, if it is still there.
-func (w *world) holder(m view.Member) *simulatedNode {
-	for _, n := range w.nodes {
+func (sim *simulatedCluster) ownerOf(m view.Member) *simulatedNode {
+	for _, n := range sim.nodes {
 		if n.disk != nil && !n.disk.empty() && n.disk.shadow.self.Same(m) {
 			return n
 		}
