--- a/coord/slots/store_test.go
+++ b/coord/slots/store_test.go
@@ -130,31 +130,31 @@
 		whole, err := os.ReadFile(path)
 		So(err, ShouldBeNil)
 		last := int64(len(whole))
-		for cut := last; cut >= ends[0]; cut-- {
-			if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+		for length := last; length >= ends[0]; length-- {
+			if err := os.WriteFile(path, whole[:length], 0o600); err != nil {
 				t.Fatal(err)
 			}
 			end := ends[0]
 			for _, candidate := range ends {
-				if candidate <= cut {
+				if candidate <= length {
 					end = candidate
 				}
 			}
 			store, recovered := mustOpen(t, slots.Directory(folder))
 			if contentsOf(recovered) != want[end] || store.LogBytes() != end {
-				t.Fatalf("cut at %d: %s, want %s", cut, contentsOf(recovered), want[end])
+				t.Fatalf("truncated at %d: %s, want %s", length, contentsOf(recovered), want[end])
 			}
-			if len(recovered.Findings) > 0 != (cut > end) || recovered.DataLoss() {
-				t.Fatalf("cut at %d: %v", cut, recovered.Findings)
+			if len(recovered.Findings) > 0 != (length > end) || recovered.DataLoss() {
+				t.Fatalf("truncated at %d: %v", length, recovered.Findings)
 			}
 		}
-		for cut := range ends[0] {
-			if err := os.WriteFile(path, whole[:cut], 0o600); err != nil {
+		for length := range ends[0] {
+			if err := os.WriteFile(path, whole[:length], 0o600); err != nil {
 				t.Fatal(err)
 			}
 			_, recovered, err := slots.Open(slots.Directory(folder), slots.Options{})
 			if !errors.Is(err, slots.ErrCorrupt) || !recovered.Found {
-				t.Fatalf("header cut at %d: %v", cut, err)
+				t.Fatalf("header truncated at %d: %v", length, err)
 			}
 		}
 	})
--- a/coord/transport/doc.go
+++ b/coord/transport/doc.go
@@ -53,7 +53,7 @@
 // Each side first sends a hello: the three letters "SPL", a version byte, the length of the rest (2 bytes, big
 // endian), a status byte, the heartbeat in milliseconds (4 bytes) and the six strings of its Identity, each after
 // its length (2 bytes). The client sends first. A peer of another system, of another version, or one that
-// Options.Admit rejects is told so and disconnected before any gob is read from it.
+// Options.Admit rejects gets a hello that says so, and is disconnected before any gob is read from it.
 //
 // Then come frames: the length of the payload (4 bytes, big endian), a kind byte, whose highest bit tells the
 // receiver to forget all type descriptions, and a call number (4 bytes). A payload is a type number (uvarint), the
--- a/coord/transport/handshake.go
+++ b/coord/transport/handshake.go
@@ -33,13 +33,13 @@
 	if err := helloError(peer.status); err != nil {
 		return hello{}, err
 	}
-	if _, err := c.options.admit(peer.identity); err != nil {
+	if _, err := c.options.checkPeer(peer.identity); err != nil {
 		return hello{}, err
 	}
 	return peer, connection.SetDeadline(time.Time{})
 }
 
-// handshake reads the client's hello and answers it. A peer that is rejected is told so before the connection ends.
+// handshake reads the client's hello and answers it, also if the client is rejected: the answer says why.
 func (s *Server) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
@@ -56,7 +56,7 @@
 	if err != nil {
 		return hello{}, err
 	}
-	status, refusal := s.options.admit(peer.identity)
+	status, refusal := s.options.checkPeer(peer.identity)
 	own.status = status
 	if err := own.write(connection); err != nil {
 		return hello{}, err
@@ -67,9 +67,9 @@
 	return peer, connection.SetDeadline(time.Time{})
 }
 
-// admit decides whether to talk to a peer, by its system and by Options.Admit. It returns the status that is sent to
+// checkPeer decides whether to talk to a peer, by its system and by Options.Admit. It returns the status that is sent to
 // the peer, and the error for this side if the peer is rejected.
-func (o *Options) admit(peer Identity) (helloStatus, error) {
+func (o *Options) checkPeer(peer Identity) (helloStatus, error) {
 	if peer.System != o.Identity.System {
 		return helloOtherSystem, fmt.Errorf("%w: %q", ErrSystemMismatch, peer.System)
 	}
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -49,7 +49,7 @@
 		{"garbage", false, []byte("GET / HTTP/1.1\r\n\r\n"), ErrUnknownProtocol},
 		{"another version", false, []byte("SPL\xfe\x00\x00"), ErrVersionMismatch},
 		{"a hello that is too long", false, []byte("SPL\x01\xff\xff"), ErrFrameTooLarge},
-		{"a hello cut short", false, []byte("SPL\x01\x00\x05\x00\x00\x00\x00\x00"), ErrCorrupt},
+		{"a truncated hello", false, []byte("SPL\x01\x00\x05\x00\x00\x00\x00\x00"), ErrCorrupt},
 		{"a frame that is too long", true, []byte("\xff\xff\xff\xff\x01\x00\x00\x00\x01"), ErrFrameTooLarge},
 		{"a frame of no kind", true, rawFrame(0x77, 1, nil), ErrCorrupt},
 		{"a reply to a server", true, rawFrame(byte(frameReply), 1, []byte{0}), ErrCorrupt},
@@ -145,7 +145,7 @@
 }
 
 func TestHeartbeatTimeout(t *testing.T) {
-	Convey("An idle connection to a silent machine ends after three heartbeats", t, func() {
+	Convey("An idle connection to a machine that sends nothing ends after three heartbeats", t, func() {
 		var handshakes atomic.Int64
 		listener := silentServer(t, &handshakes)
 		defer listener.Close()
--- a/coord/transport/partition/doc.go
+++ b/coord/transport/partition/doc.go
@@ -4,8 +4,8 @@
 // the file, every process of the system polls it (see [Watch]), and connections that are opened with a [Dialer] obey
 // it. The side that dials obeys both directions of its connections, so that the side that accepts needs nothing.
 //
-// Traffic over a partitioned link behaves as that of TCP over a network that loses every packet, without a word to
-// either side:
+// Traffic over a partitioned link behaves as that of TCP over a network that loses every packet, with no
+// notice to either side:
 //
 //   - Bytes wait until the link heals, like segments that are retransmitted. What was written before the partition and
 //     not yet read is held back too.
