--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -7,25 +7,29 @@
 	"sprucelane.example/sprucelane/coord/lease"
 )
 
-// A holder asks, is granted a second counted from its question, and checks right before each act.
+// A holder requests a lease of one second, which counts from its request, and checks it right before each act.
 func Example() {
-	granter := lease.NewFirstGranter(lease.GranterOptions{Epoch: 1, MaxDuration: 5 * time.Second, DriftAllowance: 50 * time.Millisecond})
+	granter := lease.NewFirstGranter(lease.GranterOptions{
+		Epoch:          1,
+		MaxDuration:    5 * time.Second,
+		DriftAllowance: 50 * time.Millisecond,
+	})
 	holder := lease.NewHolder(100 * time.Millisecond)
 
-	asked := 10 * time.Second
-	answered := asked + 30*time.Millisecond
-	grant, err := granter.Acquire(answered, "discovery/huron", "front-huron-1", time.Second)
+	requestedAt := 10 * time.Second
+	answeredAt := requestedAt + 30*time.Millisecond
+	grant, err := granter.Acquire(answeredAt, "discovery/huron", "front-huron-1", time.Second)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	holder.OnGrant(asked, grant)
+	holder.OnGrant(requestedAt, grant)
 
-	_, valid := holder.Valid(asked + 850*time.Millisecond)
+	_, valid := holder.Valid(requestedAt + 850*time.Millisecond)
 	fmt.Println("after 850 ms:", valid)
-	_, valid = holder.Valid(asked + 950*time.Millisecond)
+	_, valid = holder.Valid(requestedAt + 950*time.Millisecond)
 	fmt.Println("after 950 ms:", valid)
-	_, err = granter.Acquire(asked+950*time.Millisecond, "discovery/huron", "front-huron-2", time.Second)
+	_, err = granter.Acquire(requestedAt+950*time.Millisecond, "discovery/huron", "front-huron-2", time.Second)
 	fmt.Println("another, after 950 ms:", err)
 	// Output:
 	// after 850 ms: true
--- a/coord/lease/granter.go
+++ b/coord/lease/granter.go
@@ -5,28 +5,19 @@
 	"time"
 )
 
-// Errors of a Granter.
+// Errors of a Granter, to be compared with errors.Is.
 var (
-	// ErrHeld says that another holder's lease may still stand.
+	// ErrHeld says that another holder's lease may not have ended yet.
 	ErrHeld = errors.New("lease: held by another")
-	// ErrWarmingUp says that grants of an earlier granter may still stand.
+	// ErrGracePeriod says that grants of an earlier granter may not have ended yet.
 	ErrGracePeriod = errors.New("lease: an earlier granter's leases may still stand")
-	// ErrStale says that the token isn't that of a standing lease of this holder.
+	// ErrStaleToken says that the token isn't that of this holder's current lease.
 	ErrStaleToken = errors.New("lease: token is not current")
-	// ErrDuration says that a duration isn't within the granter's limit.
+	// ErrDurationOutOfRange says that a duration isn't positive, or exceeds GranterOptions.MaxDuration.
 	ErrDurationOutOfRange = errors.New("lease: duration out of range")
 )
 
-// Token fences: a higher one is of a later grant.
-type Token uint64
-
-// epochShift places the granter's epoch above its count of grants.
-const epochShift = 32
-
-// Epoch returns the epoch of the granter that drew the token.
-func (t Token) Epoch() uint64 { return uint64(t >> epochShift) }
-
-// Grant is a right of a holder for a duration, counted by the holder from its question on.
+// Grant is a holder's right to a resource. The holder counts Duration from the moment at which it sent its request.
 type Grant struct {
 	Resource string
 	Holder   string
@@ -34,32 +25,35 @@
 	Duration time.Duration
 }
 
-// GranterOptions adjust a Granter.
+// GranterOptions configures a Granter.
 type GranterOptions struct {
-	// Epoch must be higher than that of any granter before.
+	// Epoch must be higher than that of any granter before. It must fit into 32 bits.
 	Epoch uint64
-	// Longest is the longest duration that is or was granted in the system.
+	// MaxDuration is the longest duration that any granter of the system grants, now or before. A longer one lets
+	// holders renew less often; a resource stays unavailable for as long after its holder failed, and so does the
+	// granter after a failover.
 	MaxDuration time.Duration
-	// Guard is how much longer than its duration a lease counts as standing here, for clocks that
-	// don't run alike.
+	// DriftAllowance is added to a lease's duration before the resource may go to another holder. It must be at
+	// least the amount by which the clocks of granter and holder can drift apart within MaxDuration.
 	DriftAllowance time.Duration
 }
 
-// standing is a lease as its granter knows it.
+// record is what the granter knows of one lease.
 type record struct {
 	grant   Grant
-	expires time.Duration // it may stand until then
+	expires time.Duration // by the granter's clock: the holder's right has ended by then
 }
 
 // Granter gives each resource to one holder at a time. It isn't safe for concurrent use.
 type Granter struct {
 	options   GranterOptions
-	graceEnds time.Duration // grants of earlier granters may stand until then
-	grants    uint32
+	graceEnds time.Duration // grants of earlier granters have ended by then
+	grants    uint32        // number of tokens drawn
 	leases    map[string]record
 }
 
-// NewGranter returns a granter that refuses until the leases of an earlier one have surely ended.
+// NewGranter returns a granter that takes over from an earlier one. It rejects requests with ErrGracePeriod until
+// all leases of earlier granters must have ended.
 func NewGranter(now time.Duration, options GranterOptions) *Granter {
 	return &Granter{
 		options:   options,
@@ -68,12 +62,14 @@
 	}
 }
 
-// NewFirstGranter returns a granter that had none before it.
+// NewFirstGranter returns the first granter of a system, which needs no grace period. It is unsafe if any lease was
+// granted before.
 func NewFirstGranter(options GranterOptions) *Granter {
 	return &Granter{options: options, leases: make(map[string]record)}
 }
 
-// Acquire grants a resource, or lengthens the lease of its present holder under a new token.
+// Acquire grants a resource under a new token. The current holder may acquire it again, which ends the use of its
+// earlier token. The errors are ErrDurationOutOfRange, ErrGracePeriod and ErrHeld.
 func (g *Granter) Acquire(now time.Duration, resource, holder string, duration time.Duration) (Grant, error) {
 	if duration <= 0 || duration > g.options.MaxDuration {
 		return Grant{}, ErrDurationOutOfRange
@@ -95,7 +91,8 @@
 	return grant, nil
 }
 
-// Renew lengthens a standing lease and keeps its token.
+// Renew extends a lease that hasn't ended to grant.Duration from now, under the same token. The errors are
+// ErrDurationOutOfRange and ErrStaleToken.
 func (g *Granter) Renew(now time.Duration, grant Grant) (Grant, error) {
 	if grant.Duration <= 0 || grant.Duration > g.options.MaxDuration {
 		return Grant{}, ErrDurationOutOfRange
@@ -108,16 +105,18 @@
 	return grant, nil
 }
 
-// keep notes a lease; a shorter one never takes back what was given before.
+// extend records a lease. A shorter one doesn't shorten an earlier one of the same holder, whose answer the holder
+// may act on.
 func (g *Granter) extend(now time.Duration, grant Grant) {
-	ends := now + grant.Duration + g.options.DriftAllowance
+	expires := now + grant.Duration + g.options.DriftAllowance
 	if held, ok := g.leases[grant.Resource]; ok && held.grant.Holder == grant.Holder {
-		ends = max(ends, held.expires)
+		expires = max(expires, held.expires)
 	}
-	g.leases[grant.Resource] = record{grant: grant, expires: ends}
+	g.leases[grant.Resource] = record{grant: grant, expires: expires}
 }
 
-// Release ends a lease whose holder has stopped to use it.
+// Release ends a lease at once. The holder must have stopped using it (Holder.Relinquish). The error is
+// ErrStaleToken.
 func (g *Granter) Release(grant Grant) error {
 	held, ok := g.leases[grant.Resource]
 	if !ok || held.grant.Holder != grant.Holder || held.grant.Token != grant.Token {
@@ -127,17 +126,17 @@
 	return nil
 }
 
-// Expire forgets the leases that have surely ended and returns their grants.
+// Expire removes the leases that have ended and returns their grants, in no particular order.
 func (g *Granter) Expire(now time.Duration) []Grant {
-	var ended []Grant
+	var expired []Grant
 	for resource, held := range g.leases {
 		if now >= held.expires {
-			ended = append(ended, held.grant)
+			expired = append(expired, held.grant)
 			delete(g.leases, resource)
 		}
 	}
-	return ended
+	return expired
 }
 
-// Standing returns the number of leases that may still stand.
+// Outstanding returns the number of leases that were neither released nor removed by Expire.
 func (g *Granter) Outstanding() int { return len(g.leases) }
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -4,29 +4,31 @@
 
 // Holder is one holder's side of one lease. It isn't safe for concurrent use.
 type Holder struct {
-	margin       time.Duration // the right is given up this much before its end
+	margin       time.Duration // the right counts as ended this much before its end
 	grant        Grant
-	expires      time.Duration
+	expires      time.Duration // by the holder's clock, less margin
 	held         bool
-	relinquished Token // given back; answers that are still on their way don't bring it back
+	relinquished Token // highest token given back: a late answer doesn't bring it back
 }
 
-// NewHolder returns the side of a holder that stops this much before its lease ends.
+// NewHolder returns a holder without a lease. It treats a lease as ended a margin before its end, which leaves time
+// for an act that has begun; zero is safe where the resource has a Fence.
 func NewHolder(margin time.Duration) *Holder { return &Holder{margin: margin} }
 
-// Granted takes in an answer. asked is the moment at which the question was sent: the duration
-// counts from there, however long the answer took. An answer that came late never shortens the lease.
-func (h *Holder) OnGrant(asked time.Duration, grant Grant) {
-	ends := asked + grant.Duration - h.margin
+// OnGrant takes in the granter's answer to Acquire or Renew. requestedAt is the moment at which the request was
+// sent: the duration counts from there, however long the answer took. An answer that is older than what is known is
+// ignored, and none shortens the lease under its token.
+func (h *Holder) OnGrant(requestedAt time.Duration, grant Grant) {
+	expires := requestedAt + grant.Duration - h.margin
 	if grant.Token <= h.relinquished || h.held && grant.Token < h.grant.Token {
 		return
 	}
-	if !h.held || grant.Token > h.grant.Token || ends > h.expires {
-		h.grant, h.expires, h.held = grant, ends, true
+	if !h.held || grant.Token > h.grant.Token || expires > h.expires {
+		h.grant, h.expires, h.held = grant, expires, true
 	}
 }
 
-// Valid returns the token to act under, if the lease stands. It is asked right before each act.
+// Valid returns the token to act under if the lease hasn't ended. Ask it right before each act.
 func (h *Holder) Valid(now time.Duration) (Token, bool) {
 	if !h.held || now >= h.expires {
 		return 0, false
@@ -34,10 +36,11 @@
 	return h.grant.Token, true
 }
 
-// Ends returns when the right ends, by this holder's clock.
+// Expiry returns when the right ends by this holder's clock, or ended, and false if there is no lease.
 func (h *Holder) Expiry() (time.Duration, bool) { return h.expires, h.held }
 
-// Give stops the use of the lease and returns its grant, to be released at the granter.
+// Relinquish stops the use of the lease and returns its grant, to be passed to Granter.Release; false if there is
+// none.
 func (h *Holder) Relinquish() (Grant, bool) {
 	if !h.held {
 		return Grant{}, false
@@ -46,15 +49,3 @@
 	h.relinquished = h.grant.Token
 	return h.grant, true
 }
-
-// Fence stands where a lease's holder acts, and refuses those whose time has passed.
-type Fence struct{ highest Token }
-
-// Admit reports whether an act under a token may go on.
-func (f *Fence) Admit(token Token) bool {
-	if token < f.highest {
-		return false
-	}
-	f.highest = token
-	return true
-}
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -20,7 +20,7 @@
 		So(err, ShouldBeNil)
 		So(first.Token.Epoch(), ShouldEqual, 3)
 
-		Convey("refuses another holder until the lease has surely ended", func() {
+		Convey("rejects another holder until the lease has ended, drift included", func() {
 			_, err := g.Acquire(time.Second+99*time.Millisecond, "zone", "b", time.Second)
 			So(err, ShouldEqual, ErrHeld)
 			second, err := g.Acquire(time.Second+100*time.Millisecond, "zone", "b", time.Second)
@@ -30,28 +30,28 @@
 			So(err, ShouldEqual, ErrStaleToken)
 			So(g.Release(first), ShouldEqual, ErrStaleToken)
 		})
-		Convey("doesn't take back what it gave when a shorter lease is asked for", func() {
+		Convey("isn't shortened by a shorter lease of the same holder", func() {
 			_, err := g.Acquire(0, "zone", "a", 10*time.Millisecond)
 			So(err, ShouldBeNil)
 			_, err = g.Acquire(time.Second, "zone", "b", time.Second)
 			So(err, ShouldEqual, ErrHeld)
 		})
-		Convey("gives a released resource at once", func() {
+		Convey("grants a released resource at once", func() {
 			So(g.Release(first), ShouldBeNil)
 			_, err := g.Acquire(time.Millisecond, "zone", "b", time.Second)
 			So(err, ShouldBeNil)
 		})
-		Convey("refuses durations beyond its longest", func() {
+		Convey("rejects durations beyond its longest", func() {
 			_, err := g.Acquire(0, "other", "a", 6*time.Second)
 			So(err, ShouldEqual, ErrDurationOutOfRange)
 		})
-		Convey("forgets what has ended", func() {
+		Convey("removes what has ended", func() {
 			So(g.Expire(time.Second), ShouldBeEmpty)
 			So(g.Expire(2*time.Second), ShouldHaveLength, 1)
 			So(g.Outstanding(), ShouldEqual, 0)
 		})
 	})
-	Convey("A granter that takes over refuses until earlier leases have ended", t, func() {
+	Convey("A granter that takes over rejects requests in its grace period", t, func() {
 		g := NewGranter(10*time.Second, options())
 		_, err := g.Acquire(15*time.Second, "zone", "b", time.Second)
 		So(err, ShouldEqual, ErrGracePeriod)
@@ -61,7 +61,7 @@
 }
 
 func TestHolder(t *testing.T) {
-	Convey("A holder counts from its question and stops before the end", t, func() {
+	Convey("A holder counts from its request and stops before the end", t, func() {
 		h := NewHolder(50 * time.Millisecond)
 		h.OnGrant(time.Second, Grant{Token: 7, Duration: time.Second})
 		_, ok := h.Valid(1949 * time.Millisecond)
@@ -81,8 +81,8 @@
 	})
 }
 
-// leaseWorld has holders that ask, with delays both ways, granters that follow each other, and clocks
-// that differ. At most one holder may count a resource as its own.
+// leaseSimulation has holders that request leases of one resource, with delays both ways, granters that follow each
+// other, and clocks that differ by a constant. At most one holder may have a valid lease at any time.
 type leaseSimulation struct {
 	now     time.Duration
 	granter *Granter
@@ -93,16 +93,21 @@
 	fence   Fence
 }
 
+// answer is a grant on its way to a holder.
 type answer struct {
-	at     time.Duration
-	holder int
-	asked  time.Duration // by the holder's clock
-	grant  Grant
+	at          time.Duration
+	holder      int
+	requestedAt time.Duration // by the holder's clock
+	grant       Grant
+}
+
+func simulationOptions(epoch uint64) GranterOptions {
+	return GranterOptions{Epoch: epoch, MaxDuration: time.Second, DriftAllowance: time.Millisecond}
 }
 
 func TestOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &leaseSimulation{granter: NewFirstGranter(GranterOptions{Epoch: 1, MaxDuration: time.Second, DriftAllowance: time.Millisecond}), epoch: 1}
+		w := &leaseSimulation{granter: NewFirstGranter(simulationOptions(1)), epoch: 1}
 		for i := 0; i < 3; i++ {
 			w.holders = append(w.holders, NewHolder(0))
 			w.offsets = append(w.offsets, time.Duration(rapid.IntRange(0, 1e9).Draw(t, "offset")))
@@ -120,7 +125,7 @@
 	holder := rapid.IntRange(0, len(w.holders)-1).Draw(t, "holder")
 	if rapid.IntRange(0, 15).Draw(t, "takeover") == 0 {
 		w.epoch++
-		w.granter = NewGranter(w.now, GranterOptions{Epoch: w.epoch, MaxDuration: time.Second, DriftAllowance: time.Millisecond})
+		w.granter = NewGranter(w.now, simulationOptions(w.epoch))
 		return
 	}
 	if rapid.IntRange(0, 9).Draw(t, "release") == 0 {
@@ -129,7 +134,7 @@
 		}
 		return
 	}
-	asked := w.now + w.offsets[holder]
+	requestedAt := w.now + w.offsets[holder]
 	w.now += time.Duration(rapid.IntRange(0, 3e8).Draw(t, "way there"))
 	duration := time.Duration(rapid.IntRange(1, 1e9).Draw(t, "duration"))
 	var grant Grant
@@ -145,7 +150,7 @@
 		return
 	}
 	back := time.Duration(rapid.IntRange(0, 3e8).Draw(t, "way back"))
-	w.answers = append(w.answers, answer{at: w.now + back, holder: holder, asked: asked, grant: grant})
+	w.answers = append(w.answers, answer{at: w.now + back, holder: holder, requestedAt: requestedAt, grant: grant})
 }
 
 func (w *leaseSimulation) deliver() {
@@ -155,7 +160,7 @@
 			waiting = append(waiting, a)
 			continue
 		}
-		w.holders[a.holder].OnGrant(a.asked, a.grant)
+		w.holders[a.holder].OnGrant(a.requestedAt, a.grant)
 	}
 	w.answers = waiting
 }
@@ -169,7 +174,7 @@
 		}
 		owners++
 		if !w.fence.Admit(token) {
-			t.Fatalf("holder %d is fenced off though its lease stands", i)
+			t.Fatalf("holder %d is fenced off though its lease is valid", i)
 		}
 	}
 	if owners > 1 {
