--- a/coord/leader/example_test.go
+++ b/coord/leader/example_test.go
@@ -9,9 +9,9 @@
 )
 
 // always is a source that leads in epoch 7 until it hands over.
-type always struct{ handed chan struct{} }
+type alwaysLeader struct{ handed chan struct{} }
 
-func (a *always) Lead() (uint64, time.Time, bool) {
+func (a *alwaysLeader) Lead() (uint64, time.Time, bool) {
 	select {
 	case <-a.handed:
 		return 0, time.Time{}, false
@@ -20,7 +20,7 @@
 	}
 }
 
-func (a *always) HandOver(context.Context) error {
+func (a *alwaysLeader) HandOver(context.Context) error {
 	close(a.handed)
 	return nil
 }
@@ -34,7 +34,7 @@
 		<-ctx.Done()
 		fmt.Println("over, valid", term.Valid())
 	}
-	runner := leader.Run(&always{handed: make(chan struct{})}, role, leader.Options{})
+	runner := leader.Run(&alwaysLeader{handed: make(chan struct{})}, role, leader.Options{})
 	<-started
 	fmt.Println("resign:", runner.Resign(context.Background()))
 	runner.Close()
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -45,17 +45,17 @@
 
 // Runner runs a role while this node leads.
 type Runner struct {
-	source     Source
-	role       Role
-	options    Options
-	epochStart time.Time
-	closing    chan struct{}
-	done       chan struct{}
-	closeOnce  sync.Once
-	mutex      sync.Mutex
-	election   *Election
-	cancel     context.CancelFunc
-	roleDone   chan struct{} // closed once the role that runs, or ran last, has returned
+	source       Source
+	role         Role
+	options      Options
+	startedAt    time.Time
+	closing      chan struct{}
+	loopDone     chan struct{}
+	closeOnce    sync.Once
+	mutex        sync.Mutex
+	election     *Election
+	cancel       context.CancelFunc
+	roleReturned chan struct{} // closed once the role that runs, or ran last, has returned
 }
 
 // Run starts a runner.
@@ -67,24 +67,24 @@
 		options.Margin = defaultMargin
 	}
 	r := &Runner{
-		source:     source,
-		role:       role,
-		options:    options,
-		epochStart: time.Now(),
-		closing:    make(chan struct{}),
-		done:       make(chan struct{}),
-		election:   NewElection(options.Margin),
-		roleDone:   make(chan struct{}),
+		source:       source,
+		role:         role,
+		options:      options,
+		startedAt:    time.Now(),
+		closing:      make(chan struct{}),
+		loopDone:     make(chan struct{}),
+		election:     NewElection(options.Margin),
+		roleReturned: make(chan struct{}),
 	}
-	close(r.roleDone)
-	go r.loop()
+	close(r.roleReturned)
+	go r.run()
 	return r
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.epochStart) }
+func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-func (r *Runner) loop() {
-	defer close(r.done)
+func (r *Runner) run() {
+	defer close(r.loopDone)
 	ticker := time.NewTicker(r.options.Interval)
 	defer ticker.Stop()
 	for {
@@ -103,8 +103,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	epoch, until, leads := r.source.Lead()
-	claim := LeaderLease{Epoch: epoch, Expires: until.Sub(r.epochStart), Held: leads}
-	if _, _, running := r.election.Term(); !running && !r.roleReturned() {
+	claim := LeaderLease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
+	if _, _, running := r.election.Term(); !running && !r.hasRoleReturned() {
 		return
 	}
 	switch r.election.Observe(r.now(), claim) {
@@ -116,9 +116,9 @@
 	}
 }
 
-func (r *Runner) roleReturned() bool {
+func (r *Runner) hasRoleReturned() bool {
 	select {
-	case <-r.roleDone:
+	case <-r.roleReturned:
 		return true
 	default:
 		return false
@@ -128,7 +128,7 @@
 func (r *Runner) startRole(epoch uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
-	r.cancel, r.roleDone = cancel, stopped
+	r.cancel, r.roleReturned = cancel, stopped
 	go func() {
 		defer close(stopped)
 		r.role(ctx, &Term{runner: r, epoch: epoch})
@@ -142,7 +142,7 @@
 	defer r.mutex.Unlock()
 	if leads && current == epoch {
 		if _, _, running := r.election.Term(); running {
-			r.election.Observe(r.now(), LeaderLease{Epoch: current, Expires: until.Sub(r.epochStart), Held: true})
+			r.election.Observe(r.now(), LeaderLease{Epoch: current, Expires: until.Sub(r.startedAt), Held: true})
 		}
 	}
 	return r.election.Valid(r.now(), epoch)
@@ -155,7 +155,7 @@
 	if r.election.Resign() == StopRole {
 		r.cancel()
 	}
-	stopped := r.roleDone
+	stopped := r.roleReturned
 	r.mutex.Unlock()
 	select {
 	case <-stopped:
@@ -175,12 +175,12 @@
 // Close stops the role and waits for it.
 func (r *Runner) Close() {
 	r.closeOnce.Do(func() { close(r.closing) })
-	<-r.done
+	<-r.loopDone
 	r.mutex.Lock()
 	if r.election.Resign() == StopRole {
 		r.cancel()
 	}
-	stopped := r.roleDone
+	stopped := r.roleReturned
 	r.mutex.Unlock()
 	<-stopped
 }
