--- a/coord/leader/example_test.go
+++ b/coord/leader/example_test.go
@@ -8,12 +8,12 @@
 	"sprucelane.example/sprucelane/coord/leader"
 )
 
-// always is a source that leads in epoch 7 until it hands over.
-type alwaysLeader struct{ handed chan struct{} }
+// alwaysLeader is a source that leads in epoch 7 until it hands over.
+type alwaysLeader struct{ handedOver chan struct{} }
 
 func (a *alwaysLeader) Lead() (uint64, time.Time, bool) {
 	select {
-	case <-a.handed:
+	case <-a.handedOver:
 		return 0, time.Time{}, false
 	default:
 		return 7, time.Now().Add(time.Minute), true
@@ -21,11 +21,11 @@
 }
 
 func (a *alwaysLeader) HandOver(context.Context) error {
-	close(a.handed)
+	close(a.handedOver)
 	return nil
 }
 
-// A role runs in its term, looks at the term before each act, and ends when the runner resigns.
+// A role runs in its term, checks the term before each act, and ends when the runner resigns.
 func Example() {
 	started := make(chan struct{})
 	role := func(ctx context.Context, term *leader.Term) {
@@ -34,7 +34,7 @@
 		<-ctx.Done()
 		fmt.Println("over, valid", term.Valid())
 	}
-	runner := leader.Run(&alwaysLeader{handed: make(chan struct{})}, role, leader.Options{})
+	runner := leader.Run(&alwaysLeader{handedOver: make(chan struct{})}, role, leader.Options{})
 	<-started
 	fmt.Println("resign:", runner.Resign(context.Background()))
 	runner.Close()
--- a/coord/leader/leader_test.go
+++ b/coord/leader/leader_test.go
@@ -13,17 +13,17 @@
 func TestElection(t *testing.T) {
 	Convey("An election", t, func() {
 		e := NewElection(10 * time.Millisecond)
-		claim := LeaderLease{Epoch: 4, Expires: time.Second, Held: true}
-		So(e.Observe(0, claim), ShouldEqual, StartRole)
+		lease := LeaderLease{Epoch: 4, Expires: time.Second, Held: true}
+		So(e.Observe(0, lease), ShouldEqual, StartRole)
 		So(e.Valid(989*time.Millisecond, 4), ShouldBeTrue)
 		So(e.Valid(990*time.Millisecond, 4), ShouldBeFalse)
 
-		Convey("goes on as the claim is renewed", func() {
-			claim.Expires = 2 * time.Second
-			So(e.Observe(500*time.Millisecond, claim), ShouldEqual, NoAction)
+		Convey("goes on as the lease is renewed", func() {
+			lease.Expires = 2 * time.Second
+			So(e.Observe(500*time.Millisecond, lease), ShouldEqual, NoAction)
 			So(e.Valid(1900*time.Millisecond, 4), ShouldBeTrue)
 		})
-		Convey("stops when the claim has run out", func() {
+		Convey("stops when the lease has ended", func() {
 			So(e.Observe(500*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
 			So(e.Observe(990*time.Millisecond, LeaderLease{}), ShouldEqual, StopRole)
 			So(e.Observe(991*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
@@ -35,22 +35,22 @@
 			So(e.Valid(time.Second, 4), ShouldBeFalse)
 			So(e.Valid(time.Second, 5), ShouldBeTrue)
 		})
-		Convey("doesn't start again after it resigned, until it stands", func() {
+		Convey("doesn't start again after it resigned, until it campaigns", func() {
 			So(e.Resign(), ShouldEqual, StopRole)
 			So(e.Valid(0, 4), ShouldBeFalse)
-			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, NoAction)
+			So(e.Observe(100*time.Millisecond, lease), ShouldEqual, NoAction)
 			e.Campaign()
-			So(e.Observe(100*time.Millisecond, claim), ShouldEqual, StartRole)
+			So(e.Observe(100*time.Millisecond, lease), ShouldEqual, StartRole)
 		})
-		Convey("doesn't start on a claim that has nearly run out", func() {
+		Convey("doesn't start on a lease that has nearly ended", func() {
 			other := NewElection(10 * time.Millisecond)
-			So(other.Observe(995*time.Millisecond, claim), ShouldEqual, NoAction)
+			So(other.Observe(995*time.Millisecond, lease), ShouldEqual, NoAction)
 		})
 	})
 }
 
-// TestElectionIsValidOnlyWithinClaims checks that no term is valid outside of a claim of its epoch.
-func TestElectionIsValidOnlyWithinClaims(t *testing.T) {
+// TestElectionIsValidOnlyWithinLeases checks that no term is valid outside of a lease of its epoch.
+func TestElectionIsValidOnlyWithinLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewElection(time.Millisecond)
 		ends := map[uint64]time.Duration{}
@@ -59,22 +59,22 @@
 		for i := 0; i < 100; i++ {
 			now += time.Duration(rapid.IntRange(0, 5e8).Draw(t, "pause"))
 			epoch += uint64(rapid.IntRange(0, 1).Draw(t, "epoch"))
-			claim := LeaderLease{Epoch: epoch, Expires: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
-			claim.Held = rapid.Bool().Draw(t, "leads")
-			if claim.Held {
-				ends[epoch] = max(ends[epoch], claim.Expires)
+			lease := LeaderLease{Epoch: epoch, Expires: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
+			lease.Held = rapid.Bool().Draw(t, "leads")
+			if lease.Held {
+				ends[epoch] = max(ends[epoch], lease.Expires)
 			}
-			e.Observe(now, claim)
+			e.Observe(now, lease)
 			for known := uint64(1); known <= epoch; known++ {
 				if e.Valid(now, known) && now >= ends[known] {
-					t.Fatalf("epoch %d is valid at %v, claimed until %v", known, now, ends[known])
+					t.Fatalf("epoch %d is valid at %v, leased until %v", known, now, ends[known])
 				}
 			}
 		}
 	})
 }
 
-// fakeSource is a source that a test commands.
+// fakeSource is a source whose leader lease a test sets.
 type fakeSource struct {
 	mutex  sync.Mutex
 	epoch  uint64
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -2,63 +2,47 @@
 
 import (
 	"context"
+	"fmt"
 	"sync"
 	"time"
 )
 
-// Source says whether this node leads; coord/replica.Node is one.
-type Source interface {
-	// Lead returns the epoch of the leadership and the moment until which no other node has one.
-	Lead() (epoch uint64, until time.Time, ok bool)
-	// HandOver gives the leadership away.
-	HandOver(ctx context.Context) error
-}
-
-// Role is what one node at a time does. It returns soon after ctx ends.
-type Role func(ctx context.Context, term *Term)
-
-// Term is one uninterrupted leadership.
-type Term struct {
-	runner *Runner
-	epoch  uint64
-}
-
-// Epoch returns the term's epoch, which is higher than that of any term before it, on any node. It
-// fences off what earlier terms began.
-func (t *Term) Epoch() uint64 { return t.epoch }
-
-// Valid reports whether this node still leads. It is asked right before each act.
-func (t *Term) Valid() bool { return t.runner.valid(t.epoch) }
-
-// Options adjust a Runner.
+// Options configures a Runner.
 type Options struct {
-	// Interval is how often the source is asked. Zero means 100 ms.
+	// Interval is the time between looks at the source. A shorter one starts and stops the role sooner after the
+	// leadership has moved; Term.Valid doesn't depend on it. Zero means 100 ms.
 	Interval time.Duration
-	// Margin is how much before its end a term is over. Zero means 50 ms.
+	// Margin is how much before the end of its lease a term is over. It must cover the time between a look at
+	// Term.Valid and the act that follows. Zero means 50 ms.
 	Margin time.Duration
 }
 
+// Defaults of Options.
 const (
 	defaultInterval = 100 * time.Millisecond
 	defaultMargin   = 50 * time.Millisecond
 )
 
-// Runner runs a role while this node leads.
+// Runner runs a role while this node is the leader. Its methods may be called by several goroutines at once.
 type Runner struct {
-	source       Source
-	role         Role
-	options      Options
-	startedAt    time.Time
-	closing      chan struct{}
-	loopDone     chan struct{}
-	closeOnce    sync.Once
+	source    Source
+	role      Role
+	options   Options
+	startedAt time.Time // zero of the election's clock; time.Time carries a monotonic reading
+
+	closeOnce sync.Once
+	closing   chan struct{} // closed by Close
+	loopDone  chan struct{} // closed once the source isn't polled any more
+
+	// mutex guards what follows. It is held for no longer than a call of Source.Lead, and never while a role is
+	// waited for.
 	mutex        sync.Mutex
 	election     *Election
-	cancel       context.CancelFunc
-	roleReturned chan struct{} // closed once the role that runs, or ran last, has returned
+	cancel       context.CancelFunc // of the role that was started last; nil before the first
+	roleReturned chan struct{}      // closed once the role that was started last has returned, or if none was
 }
 
-// Run starts a runner.
+// Run starts a runner, which campaigns until Resign or Close.
 func Run(source Source, role Role, options Options) *Runner {
 	if options.Interval <= 0 {
 		options.Interval = defaultInterval
@@ -81,8 +65,16 @@
 	return r
 }
 
+// now returns the election's time.
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
+// leaderLease returns what the source says, in the election's time.
+func (r *Runner) leaderLease() LeaderLease {
+	epoch, until, leads := r.source.Lead()
+	return LeaderLease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
+}
+
+// run polls the source until Close.
 func (r *Runner) run() {
 	defer close(r.loopDone)
 	ticker := time.NewTicker(r.options.Interval)
@@ -97,25 +89,24 @@
 	}
 }
 
-// observe asks the source and starts or stops the role. A role starts only once the one before has
-// returned.
+// observe asks the source, and starts or cancels the role. A role starts only once the one before has returned.
 func (r *Runner) observe() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	epoch, until, leads := r.source.Lead()
-	claim := LeaderLease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
+	lease := r.leaderLease()
 	if _, _, running := r.election.Term(); !running && !r.hasRoleReturned() {
 		return
 	}
-	switch r.election.Observe(r.now(), claim) {
+	switch r.election.Observe(r.now(), lease) {
 	case StartRole:
-		r.startRole(epoch)
+		r.startRole(lease.Epoch)
 	case StopRole:
 		r.cancel()
 	case NoAction:
 	}
 }
 
+// hasRoleReturned reports whether no role is at work, cancelled or not. The caller holds the mutex.
 func (r *Runner) hasRoleReturned() bool {
 	select {
 	case <-r.roleReturned:
@@ -125,62 +116,62 @@
 	}
 }
 
+// startRole runs the role in a goroutine of its own. The caller holds the mutex.
 func (r *Runner) startRole(epoch uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	stopped := make(chan struct{})
-	r.cancel, r.roleReturned = cancel, stopped
+	returned := make(chan struct{})
+	r.cancel, r.roleReturned = cancel, returned
 	go func() {
-		defer close(stopped)
+		defer close(returned)
 		r.role(ctx, &Term{runner: r, epoch: epoch})
 	}()
 }
 
-// valid compares the term with the clock and with the source's newest word.
+// valid is Term.Valid. It asks the source itself: a lease that was renewed since the last poll counts at once.
 func (r *Runner) valid(epoch uint64) bool {
-	current, until, leads := r.source.Lead()
+	lease := r.leaderLease()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if leads && current == epoch {
+	if lease.Held && lease.Epoch == epoch {
 		if _, _, running := r.election.Term(); running {
-			r.election.Observe(r.now(), LeaderLease{Epoch: current, Expires: until.Sub(r.startedAt), Held: true})
+			r.election.Observe(r.now(), lease)
 		}
 	}
 	return r.election.Valid(r.now(), epoch)
 }
 
-// Resign stops the role, waits for it to return, and hands the leadership over. The role doesn't
-// start here again until Stand.
+// Resign stops the role, waits for it to return, and hands the leadership over. The role doesn't start here again
+// until Campaign. The error is that of ctx if it ends before the role has returned, in which case nothing is handed
+// over, or the source's.
 func (r *Runner) Resign(ctx context.Context) error {
-	r.mutex.Lock()
-	if r.election.Resign() == StopRole {
-		r.cancel()
-	}
-	stopped := r.roleReturned
-	r.mutex.Unlock()
 	select {
-	case <-stopped:
+	case <-r.stopRole():
 	case <-ctx.Done():
-		return ctx.Err()
+		return fmt.Errorf("leader: the role hasn't returned: %w", ctx.Err())
 	}
 	return r.source.HandOver(ctx)
 }
 
-// Stand allows the role to start here again.
+// stopRole resigns and cancels the role. The channel that it returns is closed once the role has returned.
+func (r *Runner) stopRole() <-chan struct{} {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.election.Resign() == StopRole {
+		r.cancel()
+	}
+	return r.roleReturned
+}
+
+// Campaign lets the role start here again after Resign.
 func (r *Runner) Campaign() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.election.Campaign()
 }
 
-// Close stops the role and waits for it.
+// Close stops the role, waits for it to return, and ends the runner. The leadership isn't handed over.
 func (r *Runner) Close() {
 	r.closeOnce.Do(func() { close(r.closing) })
 	<-r.loopDone
-	r.mutex.Lock()
-	if r.election.Resign() == StopRole {
-		r.cancel()
-	}
-	stopped := r.roleReturned
-	r.mutex.Unlock()
-	<-stopped
+	<-r.stopRole()
 }
