--- /dev/null
+++ b/internal/control/liveness/joins.go
@@ -0,0 +1,57 @@
+package liveness
+
+import (
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// Admission tells whether a batch process may join the store membership.
+type Admission int
+
+// The admissions.
+const (
+	Admitted           Admission = iota
+	AdmittedAfterDelay           // once it has polled for RejoinAfter
+	NotAdmitted
+)
+
+// Joins returns the batch processes that poll, are no members, and may join. There are none unless this process
+// leads.
+func (t *Table) Joins(
+	now time.Duration,
+	view protocol.StoreView,
+	admission func(protocol.Process) Admission,
+) []protocol.Process {
+	if !t.leads {
+		return nil
+	}
+	var list []protocol.Process
+	for _, one := range t.PolledSince(now - StoreLease) {
+		if one.Process.Role != protocol.RoleBatch || contains(view, one.Process) {
+			continue
+		}
+		verdict := admission(one.Process)
+		if verdict == Admitted || verdict == AdmittedAfterDelay && now-one.since >= RejoinAfter {
+			list = append(list, one.Process)
+		}
+	}
+	return list
+}
+
+// LastEpochActedIn returns the highest epoch that one of some batch processes has acted in, by their last reports.
+func (t *Table) LastEpochActedIn(processes []protocol.Process) uint64 {
+	highest := uint64(0)
+	for _, process := range processes {
+		if one, known := t.LastContact(process); known && one.Batch != nil {
+			highest = max(highest, one.Batch.ActedIn)
+		}
+	}
+	return highest
+}
+
+// contains reports whether a process is a member.
+func contains(view protocol.StoreView, process protocol.Process) bool {
+	return slices.ContainsFunc(view.Members, func(one protocol.StoreMember) bool { return one.Process == process })
+}
--- /dev/null
+++ b/internal/control/liveness/reconciliation.go
@@ -0,0 +1,72 @@
+package liveness
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// Reconciled reports whether all members that may store something have reported that they are reconciled in the
+// view's epoch, and miss the replicas of at most tolerance machines, as many as may be lost at once. It is false
+// once the view says so itself.
+func (t *Table) Reconciled(now time.Duration, view protocol.StoreView, tolerance int) bool {
+	if !t.leads || view.Settled || len(view.Members) == 0 {
+		return false
+	}
+	for _, member := range view.Members {
+		if member.State == protocol.StoreRetired {
+			continue
+		}
+		report := t.recentReport(now, member.Process)
+		if report == nil || report.Settled < view.Epoch || report.Missing > tolerance {
+			return false
+		}
+	}
+	return true
+}
+
+// Drained returns the retiring members that store nothing that others need: they report so themselves in the view's
+// epoch, and all active members are reconciled in it.
+func (t *Table) Drained(now time.Duration, view protocol.StoreView) []protocol.StoreMember {
+	if !t.leads || !t.activeReconciled(now, view) {
+		return nil
+	}
+	var list []protocol.StoreMember
+	for _, member := range view.Members {
+		if member.State != protocol.StoreRetiring {
+			continue
+		}
+		if report := t.recentReport(
+			now,
+			member.Process,
+		); report != nil && report.Epoch == view.Epoch &&
+			report.DrainedDown {
+			list = append(list, member)
+		}
+	}
+	return list
+}
+
+// activeReconciled reports whether all active members have reported that they are reconciled in the view's epoch.
+func (t *Table) activeReconciled(now time.Duration, view protocol.StoreView) bool {
+	for _, member := range view.Members {
+		if member.State != protocol.StoreActive {
+			continue
+		}
+		report := t.recentReport(now, member.Process)
+		if report == nil || report.Settled < view.Epoch {
+			return false
+		}
+	}
+	return true
+}
+
+// recentReport returns the last report of an incarnation of a batch process; nil if there is none within
+// EvictAfter.
+func (t *Table) recentReport(now time.Duration, process protocol.Process) *protocol.BatchReport {
+	one, known := t.contacts[processKey{process.Node, process.Role}]
+	if !known || one.Process.Incarnation != process.Incarnation || now-one.At > EvictAfter {
+		return nil
+	}
+	return one.Batch
+}
