--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -33,75 +33,60 @@
 		So(table.Joins(2*second, viewOf(1, member), admitAll), ShouldResemble, []protocol.Process{store("1", "b")})
 		So(table.Joins(5*second, viewOf(1, member), admitAll), ShouldBeEmpty)
 	})
-	Convey(
-		"A member that timed out is evicted, but not before a new leader has waited, nor while a control process doesn't report",
-		t,
-		func() {
-			table := New()
-			table.Observe(Contact{Process: store("1", "a"), At: 0})
-			table.SetLeadership(10*second, 1, true)
-			table.ReportReceived("c2", 12*second)
-			So(table.Evictions(12*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-			So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
-			So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
-			So(table.Evictions(14*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-			table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
-			So(table.Evictions(13*second, viewOf(1, member), nil), ShouldBeEmpty)
-			So(table.Evictions(12*second+EvictAfter, viewOf(1, member), nil), ShouldHaveLength, 1)
-		},
-	)
-	Convey(
-		"A member keeps its place for as long as a lease that a control process outside of the new view may have granted it",
-		t,
-		func() {
-			table := New()
-			table.SetLeadership(0, 1, true)
-			table.Observe(
-				Contact{Process: store("1", "a"), At: 10 * second},
-			) // it then polls c3, which can't report to this process
-			table.ReportReceived("c2", 13*second)
-			So(table.Evictions(13*second, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
-			table.SetLeadership(12*second, 2, true) // without c3, whose leader lease ended just now
-			So(table.Evictions(13*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-			So(table.Evictions(12*second+StoreLease, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
-			table.ReportReceived("c2", 12*second+EvictAfter)
-			So(table.Evictions(12*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
-		},
-	)
-	Convey(
-		"A member that timed out comes under suspicion, which a poll ends, and which expires after the time of a lease",
-		t,
-		func() {
-			table := New()
-			table.SetLeadership(0, 1, true)
-			table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
-			table.ReportReceived("c2", 10*second+SuspectAfter)
-			free, suspected := []Suspicion{{Member: member}}, []Suspicion{{Member: member, Number: 4}}
-			timedOut, returned := table.Suspects(10*second+SuspectAfter-1, free, []string{"c2"})
-			So(timedOut, ShouldBeEmpty)
-			So(returned, ShouldBeEmpty)
-			timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2", "c3"})
-			So(timedOut, ShouldBeEmpty) // it may be polling c3
-			timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2"})
-			So(timedOut, ShouldHaveLength, 1)
-			timedOut, returned = table.Suspects(10*second+SuspectAfter, suspected, []string{"c2"})
-			So(timedOut, ShouldBeEmpty)
-			So(returned, ShouldBeEmpty)
-			So(table.SuspicionExpired(11*second, 0), ShouldBeFalse)
-			So(table.SuspicionExpired(11*second, 4), ShouldBeFalse)
-			So(table.SuspicionExpired(11*second+StoreLease-1, 4), ShouldBeFalse)
-			So(table.SuspicionExpired(11*second+StoreLease, 4), ShouldBeTrue)
-			So(table.SuspicionExpired(11*second+StoreLease, 5), ShouldBeFalse)
-			table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
-			_, returned = table.Suspects(12*second, suspected, nil)
-			So(returned, ShouldHaveLength, 1)
-			table.SetLeadership(13*second, 2, true)
-			So(
-				table.SuspicionExpired(13*second, 4),
-				ShouldBeFalse,
-			) // a new leader counts from when it saw the suspicion first
-		},
-	)
+	Convey("A timed-out member is evicted, once a new leader has waited and while all control processes report", t, func() {
+		table := New()
+		table.Observe(Contact{Process: store("1", "a"), At: 0})
+		table.SetLeadership(10*second, 1, true)
+		table.ReportReceived("c2", 12*second)
+		So(table.Evictions(12*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
+		So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
+		So(table.Evictions(10*second+EvictAfter, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
+		So(table.Evictions(14*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
+		table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
+		So(table.Evictions(13*second, viewOf(1, member), nil), ShouldBeEmpty)
+		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), nil), ShouldHaveLength, 1)
+	})
+	Convey("A member outlives a lease that a control process outside of the new view may have granted", t, func() {
+		table := New()
+		table.SetLeadership(0, 1, true)
+		// It then polls c3, which can't report to this process.
+		table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
+		table.ReportReceived("c2", 13*second)
+		So(table.Evictions(13*second, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
+		table.SetLeadership(12*second, 2, true) // without c3, whose leader lease ended just now
+		So(table.Evictions(13*second, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
+		So(table.Evictions(12*second+StoreLease, viewOf(1, member), []string{"c2"}), ShouldBeEmpty)
+		table.ReportReceived("c2", 12*second+EvictAfter)
+		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
+	})
+	Convey("A timed-out member comes under suspicion until it polls, which expires with a lease", t, func() {
+		table := New()
+		table.SetLeadership(0, 1, true)
+		table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
+		table.ReportReceived("c2", 10*second+SuspectAfter)
+		free, suspected := []Suspicion{{Member: member}}, []Suspicion{{Member: member, Number: 4}}
+		timedOut, returned := table.Suspects(10*second+SuspectAfter-1, free, []string{"c2"})
+		So(timedOut, ShouldBeEmpty)
+		So(returned, ShouldBeEmpty)
+		timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2", "c3"})
+		So(timedOut, ShouldBeEmpty) // it may be polling c3
+		timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2"})
+		So(timedOut, ShouldHaveLength, 1)
+		timedOut, returned = table.Suspects(10*second+SuspectAfter, suspected, []string{"c2"})
+		So(timedOut, ShouldBeEmpty)
+		So(returned, ShouldBeEmpty)
+		So(table.SuspicionExpired(11*second, 0), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second, 4), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second+StoreLease-1, 4), ShouldBeFalse)
+		So(table.SuspicionExpired(11*second+StoreLease, 4), ShouldBeTrue)
+		So(table.SuspicionExpired(11*second+StoreLease, 5), ShouldBeFalse)
+		table.Observe(Contact{Process: store("1", "a"), At: 12 * second})
+		_, returned = table.Suspects(12*second, suspected, nil)
+		So(returned, ShouldHaveLength, 1)
+		table.SetLeadership(13*second, 2, true)
+		// A new leader counts from when it saw the suspicion first.
+		So(table.SuspicionExpired(13*second, 4), ShouldBeFalse)
+	})
 	Convey("A poll of a later incarnation is no sign of life of the former one", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
@@ -160,39 +145,35 @@
 }
 
 func TestSettled(t *testing.T) {
-	Convey(
-		"The members are reconciled once each says so of the newest epoch, and misses no more than may be lost at once",
-		t,
-		func() {
-			table := New()
-			table.SetLeadership(0, 1, true)
-			retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
-			retired := protocol.StoreMember{Process: store("2", "a"), State: protocol.StoreRetired}
-			view := viewOf(7, retiring, retired, protocol.StoreMember{Process: store("3", "a")})
-			tell := func(node, incarnation string, report protocol.BatchReport) {
-				table.Observe(Contact{Process: store(node, incarnation), Batch: &report, At: second})
-			}
-			tell("1", "a", protocol.BatchReport{Settled: 7})
-			So(table.Reconciled(second, view, 1), ShouldBeFalse) // one has not reported
-			tell("3", "a", protocol.BatchReport{Settled: 6})
-			So(table.Reconciled(second, view, 1), ShouldBeFalse)
-			tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
-			So(table.Reconciled(second, view, 1), ShouldBeFalse)
-			So(table.Reconciled(second, view, 2), ShouldBeTrue)
-			tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 1})
-			So(table.Reconciled(second, view, 1), ShouldBeTrue)
-			So(table.Reconciled(5*second, view, 1), ShouldBeFalse) // the reports are too old
-			So(table.Reconciled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
-			view.Settled = true
-			So(table.Reconciled(second, view, 1), ShouldBeFalse) // it is committed already
-			view.Settled = false
-			table.SetLeadership(second, 1, false)
-			So(table.Reconciled(second, view, 1), ShouldBeFalse)
-			table.SetLeadership(second, 2, true)
-			tell("3", "b", protocol.BatchReport{Settled: 7})
-			So(table.Reconciled(second, view, 1), ShouldBeFalse) // another disk
-		},
-	)
+	Convey("The members are reconciled once each says so of the newest epoch, and misses no more than may be lost at once", t, func() {
+		table := New()
+		table.SetLeadership(0, 1, true)
+		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
+		retired := protocol.StoreMember{Process: store("2", "a"), State: protocol.StoreRetired}
+		view := viewOf(7, retiring, retired, protocol.StoreMember{Process: store("3", "a")})
+		tell := func(node, incarnation string, report protocol.BatchReport) {
+			table.Observe(Contact{Process: store(node, incarnation), Batch: &report, At: second})
+		}
+		tell("1", "a", protocol.BatchReport{Settled: 7})
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // one has not reported
+		tell("3", "a", protocol.BatchReport{Settled: 6})
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
+		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
+		So(table.Reconciled(second, view, 2), ShouldBeTrue)
+		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 1})
+		So(table.Reconciled(second, view, 1), ShouldBeTrue)
+		So(table.Reconciled(5*second, view, 1), ShouldBeFalse) // the reports are too old
+		So(table.Reconciled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
+		view.Settled = true
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // it is committed already
+		view.Settled = false
+		table.SetLeadership(second, 1, false)
+		So(table.Reconciled(second, view, 1), ShouldBeFalse)
+		table.SetLeadership(second, 2, true)
+		tell("3", "b", protocol.BatchReport{Settled: 7})
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // another disk
+	})
 	Convey("An empty membership is never reconciled", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
