--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -174,7 +174,7 @@
 	if err != nil {
 		return decision{status: http.StatusServiceUnavailable, reason: err.Error()}
 	}
-	attempts := submission{api: a, order: order, raw: raw, id: proposalID(order), unavailableAt: arrived.Add(unavailableAfter),
+	attempts := orderSubmission{api: a, order: order, raw: raw, id: proposalID(order), unavailableAt: arrived.Add(unavailableAfter),
 		deadline: arrived.Add(a.options.Bounds.Acknowledge * 4 / 5)}
 	return attempts.run()
 }
@@ -199,7 +199,7 @@
 }
 
 // attempt carries one order to an end.
-type submission struct {
+type orderSubmission struct {
 	api           *API
 	order         configuration.ChangeRequest
 	raw           []byte
@@ -210,7 +210,7 @@
 	shapeChecked  bool      // the shape was checked and is sound
 }
 
-func (t *submission) run() decision {
+func (t *orderSubmission) run() decision {
 	for {
 		decided, err := t.attempt()
 		if err == nil {
@@ -222,14 +222,14 @@
 	}
 }
 
-func (t *submission) retryUntil() time.Time {
+func (t *orderSubmission) retryUntil() time.Time {
 	if t.uncertain {
 		return t.deadline
 	}
 	return t.unavailableAt
 }
 
-func (t *submission) giveUp(err error) decision {
+func (t *orderSubmission) giveUp(err error) decision {
 	if t.uncertain {
 		return decision{status: http.StatusGatewayTimeout, reason: "the order may have been taken: " + err.Error()}
 	}
@@ -238,7 +238,7 @@
 
 // once reads, and proposes what would be taken. An error leaves the matter open. Nothing is refused before the read: what is known
 // here may be old, and the order may have been taken elsewhere.
-func (t *submission) attempt() (decision, error) {
+func (t *orderSubmission) attempt() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(t.retryUntil())))
 	err := t.api.options.Chain.Read(ctx)
 	cancel()
@@ -261,7 +261,7 @@
 	return t.propose()
 }
 
-func (t *submission) propose() (decision, error) {
+func (t *orderSubmission) propose() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(t.deadline)))
 	defer cancel()
 	raw, err := t.api.options.Chain.Propose(ctx, t.id, t.raw)
--- a/internal/control/operatorapi/flights.go
+++ b/internal/control/operatorapi/flights.go
@@ -9,8 +9,8 @@
 
 // flights joins orders that come again while they are under way.
 type orderGroup struct {
-	mutex sync.Mutex
-	calls map[configuration.Digest]*orderCall
+	mutex   sync.Mutex
+	pending map[configuration.Digest]*orderCall
 }
 
 // flight is one order under way.
@@ -19,7 +19,7 @@
 	decision decision
 }
 
-func newOrderGroup() orderGroup { return orderGroup{calls: map[configuration.Digest]*orderCall{}} }
+func newOrderGroup() orderGroup { return orderGroup{pending: map[configuration.Digest]*orderCall{}} }
 
 // join gives what the order's flight comes to, and starts one where there is none. False: the caller's context ended first; the
 // flight goes on. release is called once the caller's body isn't held any more: that of a flight's first caller is up to its end.
@@ -39,11 +39,11 @@
 func (f *orderGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *orderCall, begun bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if one, found := f.calls[digest]; found {
+	if one, found := f.pending[digest]; found {
 		return one, false
 	}
 	one = &orderCall{done: make(chan struct{})}
-	f.calls[digest] = one
+	f.pending[digest] = one
 	go f.run(digest, one, decide, release)
 	return one, true
 }
@@ -52,7 +52,7 @@
 	one.decision = decide()
 	release()
 	f.mutex.Lock()
-	delete(f.calls, digest)
+	delete(f.pending, digest)
 	f.mutex.Unlock()
 	close(one.done)
 }
--- a/internal/control/quotaservice/quotas.go
+++ b/internal/control/quotaservice/quotas.go
@@ -55,7 +55,7 @@
 
 // term is the time as the lender on record.
 type term struct {
-	first           bool // nobody lent before
+	firstEver       bool // nobody lent before
 	nodes           []string
 	floors          []quota.Floor
 	started         bool
@@ -64,13 +64,13 @@
 
 // New makes a service that doesn't act before the process is the lender on record. It calls wake where a change of the record
 // can't wait.
-func New(bounds node.Bounds, lead Leadership, record GrantRecord, self statemachine.Grantor, wake func()) *Service {
-	return newWithClock(bounds, lead, record, self, wake, time.Now)
+func New(bounds node.Bounds, leadership Leadership, record GrantRecord, self statemachine.Grantor, wake func()) *Service {
+	return newWithClock(bounds, leadership, record, self, wake, time.Now)
 }
 
-func newWithClock(bounds node.Bounds, lead Leadership, record GrantRecord, self statemachine.Grantor, wake func(), clock func() time.Time) *Service {
+func newWithClock(bounds node.Bounds, leadership Leadership, record GrantRecord, self statemachine.Grantor, wake func(), clock func() time.Time) *Service {
 	rules := quota.Rules{Window: bounds.QuotaWindow, Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack}
-	return &Service{leadership: lead, record: record, self: self, wake: wake, clock: clock, origin: clock(),
+	return &Service{leadership: leadership, record: record, self: self, wake: wake, clock: clock, origin: clock(),
 		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules})}
 }
 
@@ -109,7 +109,7 @@
 
 // idle is for how long at least no allocator has acted.
 func (s *Service) idleFor(now time.Time) time.Duration {
-	if s.term.first {
+	if s.term.firstEver {
 		return now.Sub(s.origin) + time.Hour
 	}
 	return 0
@@ -180,7 +180,7 @@
 	}
 	if change.Begin {
 		s.allocator.Stop()
-		s.term = &term{first: outcome.Before == statemachine.Grantor{}, nodes: append([]string{}, outcome.Nodes...),
+		s.term = &term{firstEver: outcome.Before == statemachine.Grantor{}, nodes: append([]string{}, outcome.Nodes...),
 			floors: outcome.Floors}
 		return
 	}
