--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -224,7 +224,7 @@
 // operatorAPI returns the operator's API on this process's state and chain.
 func (c *Control) operatorAPI() *operatorapi.API {
 	return operatorapi.New(operatorapi.Options{
-		Machine:         c.state,
+		State:           c.state,
 		Chain:           operatorChain{c.replica},
 		Bounds:          c.settings.Bounds,
 		MaxBodyBytes:    c.settings.Limits.MemoryMB << 20 / bodyMemoryFraction,
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -115,8 +115,8 @@
 	if err := a.awaitReadable(c.Request().Context()); err != nil {
 		return writeUnavailable(c, "it can't be told here now whether the order was taken: "+err.Error())
 	}
-	result := configuration.Result{Status: a.options.Machine.Remembered(digester.Digest(), ifMatch),
-		Generation: a.options.Machine.Configuration().Generation}
+	result := configuration.Result{Status: a.options.State.Remembered(digester.Digest(), ifMatch),
+		Generation: a.options.State.Configuration().Generation}
 	if result.Status == configuration.StatusStale {
 		return c.JSON(http.StatusRequestEntityTooLarge, refusal)
 	}
@@ -245,7 +245,7 @@
 	if err != nil {
 		return decision{}, err
 	}
-	result := t.api.options.Machine.Evaluate(t.order)
+	result := t.api.options.State.Evaluate(t.order)
 	if result.Repeated || result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
 		return decisionOf(result), nil
 	}
--- a/internal/control/operatorapi/operator.go
+++ b/internal/control/operatorapi/operator.go
@@ -44,9 +44,9 @@
 
 // Options are what the API is made of.
 type Options struct {
-	Machine *statemachine.StateMachine
-	Chain   Chain
-	Bounds  node.Bounds
+	State  *statemachine.StateMachine
+	Chain  Chain
+	Bounds node.Bounds
 	// BytesMost bounds one configuration; two of that size may be under way. 0: 24 MB.
 	MaxBodyBytes    int
 	MinActiveStores int // active store machines that must remain when one retires: f + 1
@@ -169,7 +169,7 @@
 	if err := a.awaitReadable(c.Request().Context()); err != nil {
 		return writeUnavailable(c, "the newest configuration can't be told here now: "+err.Error())
 	}
-	version := a.options.Machine.Configuration()
+	version := a.options.State.Configuration()
 	if version.Generation == 0 {
 		return c.JSON(http.StatusNotFound, responseBody{Message: "there is no configuration yet"})
 	}
--- a/internal/control/operatorapi/operator_test.go
+++ b/internal/control/operatorapi/operator_test.go
@@ -88,7 +88,7 @@
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
 func newAPI(chain *fakeChain) http.Handler {
-	return New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, MaxBodyBytes: 4096,
+	return New(Options{State: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, MaxBodyBytes: 4096,
 		MinActiveStores: 2, Log: zerolog.Nop()}).Handler()
 }
 
@@ -220,7 +220,7 @@
 	})
 	runInBubble(t, "an order that is too large here, and was taken elsewhere, is acknowledged again", func(t *testing.T) {
 		chain := newFakeChain()
-		large := New(Options{Machine: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, Log: zerolog.Nop()}).Handler()
+		large := New(Options{State: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, Log: zerolog.Nop()}).Handler()
 		api := newAPI(chain)
 		body := document + strings.Repeat(" ", 5000)
 		checkStatus(t, send(large, "PUT", "/config", "0", body), 200)
--- a/internal/control/operatorapi/plant_test.go
+++ b/internal/control/operatorapi/plant_test.go
@@ -88,7 +88,7 @@
 	case bugUnprovenGet:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			if request.Method == http.MethodGet {
-				writeUnprovenVersion(response, api.options.Machine.Configuration())
+				writeUnprovenVersion(response, api.options.State.Configuration())
 				return
 			}
 			whole.ServeHTTP(response, request)
@@ -96,7 +96,7 @@
 	case bugBaseBeforeRepeat:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			number, _ := strconv.ParseUint(request.Header.Get("If-Match"), 10, 64)
-			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil && number < api.options.Machine.Configuration().Generation {
+			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil && number < api.options.State.Configuration().Generation {
 				response.WriteHeader(http.StatusPreconditionFailed)
 				return
 			}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -70,7 +70,7 @@
 }
 
 func (a *API) writeRetirement(c echo.Context, name string) error {
-	switch a.options.Machine.Retirement(name) {
+	switch a.options.State.Retirement(name) {
 	case statemachine.RetirementActive:
 		return c.JSON(http.StatusOK, responseBody{State: "active"})
 	case statemachine.RetirementCompleted:
