--- /dev/null
+++ b/internal/control/operatorapi/api.go
@@ -0,0 +1,94 @@
+package operatorapi
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/labstack/echo/v4"
+	"github.com/rs/zerolog"
+
+	"sprucelane.example/sprucelane/internal/control/statemachine"
+	"sprucelane.example/sprucelane/internal/node"
+)
+
+// Chain is what the API needs of the chain.
+type Chain interface {
+	// Propose returns the state machine's outcome once the command is durable. ErrUnavailable tells that the
+	// command was not committed and never will be; any other error leaves that open. Commands with the same id are
+	// executed once.
+	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
+	// Read returns once everything that was acknowledged before the call is applied here.
+	Read(ctx context.Context) error
+}
+
+// ErrUnavailable reports that a command was certainly not committed, and never will be.
+var ErrUnavailable = errors.New("the chain takes no orders now")
+
+// Limits of the API.
+const (
+	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must hold two
+	unavailableAfter = 900 * time.Millisecond  // until 503 while the chain is unavailable; operators give up after 1 s
+	retryInterval    = 60 * time.Millisecond   // between attempts
+	readTimeout      = 400 * time.Millisecond  // of one read of the chain
+	proposeTimeout   = 1500 * time.Millisecond // of one proposal
+	headerTimeout    = 3 * time.Second         // for a request's header
+	idleTimeout      = 30 * time.Second        // of a connection without requests
+	maxHeaderBytes   = 16 << 10
+)
+
+// Options configure an API.
+type Options struct {
+	State  *statemachine.StateMachine
+	Chain  Chain
+	Bounds node.Bounds
+	// MaxBodyBytes limits one configuration; all that are held at a time may take twice that. 0: 24 MB, which is
+	// also the highest limit.
+	MaxBodyBytes int
+	// MinActiveStores is the least number of active store machines that must remain when one retires: the number of
+	// replicas of a batch job, f + 1.
+	MinActiveStores int
+	Log             zerolog.Logger
+}
+
+// API answers the operator's requests. It is safe for concurrent use.
+type API struct {
+	options      Options
+	orders       orderGroup // changes that are being decided
+	bodies       byteBudget // of those
+	maxBodyBytes int64      // of one configuration
+}
+
+// New returns an API that is served by its Handler or Server.
+func New(options Options) *API {
+	limit := int64(maxBodyBytes)
+	if options.MaxBodyBytes > 0 {
+		limit = min(limit, int64(options.MaxBodyBytes))
+	}
+	return &API{options: options, orders: newOrderGroup(), bodies: byteBudget{limit: 2 * limit}, maxBodyBytes: limit}
+}
+
+// Handler returns the handler of all paths.
+func (a *API) Handler() http.Handler {
+	router := echo.New()
+	router.HideBanner = true
+	router.HidePort = true
+	router.HTTPErrorHandler = a.handleError
+	router.PUT("/config", a.handleChange(false))
+	router.PATCH("/config", a.handleChange(true))
+	router.GET("/config", a.handleRead)
+	router.POST("/retire/:node", a.handleRetire)
+	router.GET("/retire/:node", a.handleRetirement)
+	return router
+}
+
+// Server returns an HTTP server of the API with its limits set.
+func (a *API) Server() *http.Server {
+	return &http.Server{
+		Handler:           a.Handler(),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+}
--- /dev/null
+++ b/internal/control/operatorapi/body.go
@@ -0,0 +1,75 @@
+package operatorapi
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"sync"
+)
+
+var (
+	errBodyTooLarge = errors.New("the body is too large")
+	errBodiesBusy   = errors.New("other large configurations are under way") // their bodies use the byteBudget up
+)
+
+// readBody reads a request's body within the limits on its size and on all bodies together. The returned function
+// gives the body's part of the latter back. With errBodyTooLarge the returned bytes are the beginning of the body,
+// which was read.
+func (a *API) readBody(request *http.Request) ([]byte, func(), error) {
+	if request.ContentLength > a.maxBodyBytes {
+		return nil, nil, errBodyTooLarge
+	}
+	reserved := request.ContentLength
+	if reserved < 0 {
+		reserved = a.maxBodyBytes
+	}
+	if !a.bodies.reserve(reserved) {
+		return nil, nil, errBodiesBusy
+	}
+	release := func() { a.bodies.release(reserved) }
+	body, err := readAll(request, a.maxBodyBytes)
+	if err != nil {
+		release()
+		return body, nil, err
+	}
+	return body, release, nil
+}
+
+// readAll reads a body of a known length, or one of an unknown length up to a limit.
+func readAll(request *http.Request, most int64) ([]byte, error) {
+	if request.ContentLength >= 0 {
+		body := make([]byte, request.ContentLength)
+		_, err := io.ReadFull(request.Body, body)
+		return body, err
+	}
+	body, err := io.ReadAll(io.LimitReader(request.Body, most+1))
+	if err == nil && int64(len(body)) > most {
+		return body, errBodyTooLarge
+	}
+	return body, err
+}
+
+// byteBudget limits the bytes of all bodies that are held at a time.
+type byteBudget struct {
+	limit    int64
+	mutex    sync.Mutex
+	reserved int64 // guarded by mutex
+}
+
+// reserve reports whether so many bytes could be reserved. A first body is let in whatever its size.
+func (b *byteBudget) reserve(bytes int64) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if b.reserved > 0 && b.reserved+bytes > b.limit {
+		return false
+	}
+	b.reserved += bytes
+	return true
+}
+
+// release gives reserved bytes back.
+func (b *byteBudget) release(bytes int64) {
+	b.mutex.Lock()
+	b.reserved -= bytes
+	b.mutex.Unlock()
+}
--- /dev/null
+++ b/internal/control/operatorapi/decision.go
@@ -0,0 +1,170 @@
+package operatorapi
+
+import (
+	"context"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/control/schema"
+	"sprucelane.example/sprucelane/internal/control/statemachine"
+)
+
+// decision is the answer to a change.
+type decision struct {
+	status int
+	body   responseBody
+	reason string // why the change is undecided; empty with other statuses than 503 and 504
+}
+
+// decide decides a change and logs the decision. It continues when its caller has gone, as a command that has been
+// proposed can't be withdrawn.
+func (a *API) decide(order configuration.ChangeRequest, arrived time.Time) decision {
+	log := a.options.Log.With().Uint64("if-match", order.IfMatch).Bool("patch", order.Patch).Int("bytes", len(order.Body)).Logger()
+	decided := a.submit(order, arrived)
+	event := log.Info()
+	if decided.reason != "" {
+		event = log.Warn().Str("reason", decided.reason)
+	}
+	for _, one := range decided.body.Findings {
+		log.Debug().Str("place", one.Place).Str("text", one.Text).Msg("configuration-finding")
+	}
+	event.Int("status", decided.status).Uint64("generation", decided.body.Generation).Int("findings", len(decided.body.Findings)).
+		Dur("took", time.Since(arrived)).Msg("configuration-order")
+	return decided
+}
+
+// submit submits a change to the chain until it is decided or its time is over.
+func (a *API) submit(order configuration.ChangeRequest, arrived time.Time) decision {
+	raw, err := statemachine.Command{Configuration: &order}.Encode()
+	if err != nil {
+		return decision{status: http.StatusServiceUnavailable, reason: err.Error()}
+	}
+	attempts := orderSubmission{api: a, order: order, raw: raw, id: proposalID(order), unavailableAt: arrived.Add(unavailableAfter),
+		deadline: arrived.Add(a.options.Bounds.Acknowledge * 4 / 5)}
+	return attempts.run()
+}
+
+// shapeFindings checks the shape of a change that builds on the current version. A change that was accepted earlier
+// is not checked again: the rules may have become stricter since, and it must get its 200 again.
+func shapeFindings(order configuration.ChangeRequest) []findingBody {
+	if json.Valid(order.Body) {
+		if found := schema.Check(order.Body, order.Patch); len(found) > 0 {
+			return findingBodies(found)
+		}
+	}
+	if found := configuration.ValidateStandalone(order); len(found) > 0 {
+		return findingBodies(found)
+	}
+	return nil
+}
+
+// proposalID returns the id under which a change is proposed. It is a digest of the change, so that the chain
+// executes a change once however often, and to whichever control process, it is sent.
+func proposalID(order configuration.ChangeRequest) string {
+	digest := order.Digest()
+	return "configuration-" + hex.EncodeToString(digest[:])
+}
+
+// orderSubmission is the submission of one change.
+type orderSubmission struct {
+	api           *API
+	order         configuration.ChangeRequest
+	raw           []byte
+	id            string
+	unavailableAt time.Time // end of the attempts while no proposal can have been committed
+	deadline      time.Time // end of all attempts
+	uncertain     bool      // a proposal may have been committed, or may yet be
+	shapeChecked  bool      // the shape was checked and is valid
+}
+
+// run makes attempts until one decides or the time is over.
+func (t *orderSubmission) run() decision {
+	for {
+		decided, err := t.attempt()
+		if err == nil {
+			return decided
+		}
+		if !waitToRetry(context.Background(), t.retryUntil()) {
+			return t.giveUp(err)
+		}
+	}
+}
+
+// retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed, as only
+// an answer resolves that.
+func (t *orderSubmission) retryUntil() time.Time {
+	if t.uncertain {
+		return t.deadline
+	}
+	return t.unavailableAt
+}
+
+// giveUp returns the decision when the time is over: 503 if the change was certainly not accepted, else 504.
+func (t *orderSubmission) giveUp(err error) decision {
+	if t.uncertain {
+		return decision{status: http.StatusGatewayTimeout, reason: "the order may have been taken: " + err.Error()}
+	}
+	return decision{status: http.StatusServiceUnavailable, reason: "no order is taken here now: " + err.Error()}
+}
+
+// attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the change
+// undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and the change may
+// have been accepted elsewhere.
+func (t *orderSubmission) attempt() (decision, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(t.retryUntil())))
+	err := t.api.options.Chain.Read(ctx)
+	cancel()
+	if err != nil {
+		return decision{}, err
+	}
+	result := t.api.options.State.Evaluate(t.order)
+	if result.Repeated || result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
+		return decisionOf(result), nil
+	}
+	if !t.shapeChecked {
+		if findings := shapeFindings(t.order); len(findings) > 0 {
+			return decision{status: http.StatusBadRequest, body: responseBody{Message: "the configuration is invalid", Findings: findings}}, nil
+		}
+		t.shapeChecked = true
+	}
+	if result.Status == configuration.StatusInvalid {
+		return decisionOf(result), nil
+	}
+	return t.propose()
+}
+
+// propose proposes the change and decodes its outcome.
+func (t *orderSubmission) propose() (decision, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(t.deadline)))
+	defer cancel()
+	raw, err := t.api.options.Chain.Propose(ctx, t.id, t.raw)
+	if err != nil {
+		t.uncertain = t.uncertain || !errors.Is(err, ErrUnavailable)
+		return decision{}, err
+	}
+	outcome, err := statemachine.DecodeOutcome(raw)
+	if err != nil || outcome.Configuration == nil {
+		t.uncertain = true
+		return decision{}, errors.Join(errors.New("the order's outcome can't be read"), err)
+	}
+	return decisionOf(*outcome.Configuration), nil
+}
+
+// decisionOf returns the decision for a result of the state machine.
+func decisionOf(result configuration.Result) decision {
+	decided := decision{status: int(result.Status), body: responseBody{Generation: result.Generation}}
+	switch result.Status {
+	case configuration.StatusStale:
+		decided.body.Message = "another version is current"
+	case configuration.StatusInvalid:
+		decided.body.Message = "the configuration is invalid"
+		decided.body.Findings = findingBodies(result.Findings)
+	case configuration.StatusUnknown:
+		decided.reason = "the order builds on a version so old that it isn't known whether it was taken"
+	}
+	return decided
+}
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -343,7 +343,8 @@
 	h.decisiveOperations = h.decisive()
 }
 
-// linear checks the history with porcupine. It is called outside of the bubble, whose time doesn't pass while something computes.
+// linear checks the history with porcupine. It is called outside of the bubble, whose time doesn't pass while
+// something computes.
 func (h *history) checkLinearizable() {
 	w := h.cluster
 	patience := 20 * time.Second
@@ -360,8 +361,8 @@
 	}
 }
 
-// decisive leaves out what can't matter: calls without a clear answer of orders that were never taken, and all but the first of
-// those that were.
+// decisive leaves out what can't matter: calls without a clear answer of orders that were never taken, and all but
+// the first of those that were.
 func (h *history) decisive() []porcupine.Operation {
 	first := map[*sentOrder]bool{}
 	var kept []porcupine.Operation
@@ -462,8 +463,8 @@
 	t.Fatalf("seed %d: %s\n%s", seed, strings.Join(failures, "\n"), strings.Join(tail, "\n"))
 }
 
-// TestRandomHistories checks what operators saw of real control processes in worlds with troubles. SEEDS=N plays N worlds,
-// FIRST=S begins at seed S, TRACE=1 prints a failing world whole.
+// TestRandomHistories checks what operators saw of real control processes in worlds with troubles. SEEDS=N plays N
+// worlds, FIRST=S begins at seed S, TRACE=1 prints a failing world whole.
 func TestRandomHistories(t *testing.T) {
 	first, worlds := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
 	calls, told := 0, map[int]int{}
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -88,8 +88,8 @@
 	maxCatchUpBytes = 4 << 20
 )
 
-// TestCatchUp has a machine miss 500 orders, with its disk or without: it catches up in bounded time and bytes, and tells nothing
-// before.
+// TestCatchUp has a machine miss 500 orders, with its disk or without: it catches up in bounded time and bytes, and
+// tells nothing before.
 func TestCatchUp(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("wiped %t", wiped), func(t *testing.T) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// servesNothingOld asks a machine until it tells the newest version, and counts the answers before. It must neither be fresh nor
-// head the chain with less.
+// servesNothingOld asks a machine until it tells the newest version, and counts the answers before. It must neither
+// be fresh nor head the chain with less.
 func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
 	for {
 		held := m.machine.Configuration().Generation
--- a/internal/control/operatorapi/majority_test.go
+++ b/internal/control/operatorapi/majority_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestMajorityLost checks what docs/operate/control.md says of a core that has lost more than half of its voters: it takes no order
-// and tells nothing, for good where their disks are gone, and until one is back at its address with its disk where they aren't.
+// TestMajorityLost checks what docs/operate/control.md says of a core that has lost more than half of its voters:
+// it takes no order and tells nothing, for good where their disks are gone, and until one is back at its address
+// with its disk where they aren't.
 func TestMajorityLost(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("disks come back %t", disks), func(t *testing.T) {
--- a/internal/control/operatorapi/many_test.go
+++ b/internal/control/operatorapi/many_test.go
@@ -27,8 +27,8 @@
 	return stats.HeapAlloc, disk
 }
 
-// TestManyOrders takes thousands of orders, and holds memory, disk and the snapshot to standing still from the moment at which as
-// many orders are remembered as ever are.
+// TestManyOrders takes thousands of orders, and holds memory, disk and the snapshot to standing still from the
+// moment at which as many orders are remembered as ever are.
 func TestManyOrders(t *testing.T) {
 	orders := int(envNumber("ORDERS", manyOrders))
 	full := remembered + (orders-remembered)/4
@@ -61,8 +61,8 @@
 	})
 }
 
-// remembers checks what orders of any age get: those remembered an acknowledgement, older ones no clear answer, and what was
-// never taken a refusal as long as that is known.
+// remembers checks what orders of any age get: those remembered an acknowledgement, older ones no clear answer, and
+// what was never taken a refusal as long as that is known.
 func (w *clusterSimulation) checkRemembered(orders int) {
 	for version := 1; version <= orders; version += 499 {
 		order := largeOrder(version)
--- a/internal/control/operatorapi/flights.go
+++ b/internal/control/operatorapi/ordergroup.go
@@ -7,22 +7,24 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// flights joins orders that come again while they are under way.
+// orderGroup merges changes that are sent again while they are being decided, as golang.org/x/sync/singleflight
+// does, and lets a caller leave before the decision.
 type orderGroup struct {
 	mutex   sync.Mutex
-	pending map[configuration.Digest]*orderCall
+	pending map[configuration.Digest]*orderCall // guarded by mutex; removed before done is closed
 }
 
-// flight is one order under way.
+// orderCall is one change that is being decided.
 type orderCall struct {
-	done     chan struct{} // closed once verdict is set
+	done     chan struct{} // closed once decision is set
 	decision decision
 }
 
 func newOrderGroup() orderGroup { return orderGroup{pending: map[configuration.Digest]*orderCall{}} }
 
-// join gives what the order's flight comes to, and starts one where there is none. False: the caller's context ended first; the
-// flight goes on. release is called once the caller's body isn't held any more: that of a flight's first caller is up to its end.
+// do returns the decision of the change with a digest, and starts decide unless it runs for that change already. It
+// reports false if ctx ended first; decide runs on. release is called once the caller's body is no longer held: for
+// the caller that started decide, that is when decide has returned.
 func (f *orderGroup) do(ctx context.Context, digest configuration.Digest, decide func() decision, release func()) (decision, bool) {
 	one, begun := f.findOrStart(digest, decide, release)
 	if !begun {
@@ -36,6 +38,7 @@
 	}
 }
 
+// findOrStart returns the call with a digest, and reports whether it started that call.
 func (f *orderGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *orderCall, begun bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -48,6 +51,7 @@
 	return one, true
 }
 
+// run decides a change and wakes its callers.
 func (f *orderGroup) run(digest configuration.Digest, one *orderCall, decide func() decision, release func()) {
 	one.decision = decide()
 	release()
@@ -56,26 +60,3 @@
 	f.mutex.Unlock()
 	close(one.done)
 }
-
-// byteBudget bounds the bytes of bodies under way.
-type byteBudget struct {
-	mutex    sync.Mutex
-	limit    int64
-	reserved int64
-}
-
-func (b *byteBudget) reserve(bytes int64) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.reserved > 0 && b.reserved+bytes > b.limit {
-		return false
-	}
-	b.reserved += bytes
-	return true
-}
-
-func (b *byteBudget) release(bytes int64) {
-	b.mutex.Lock()
-	b.reserved -= bytes
-	b.mutex.Unlock()
-}
--- /dev/null
+++ b/internal/control/operatorapi/response.go
@@ -0,0 +1,85 @@
+package operatorapi
+
+import (
+	"errors"
+	"net/http"
+	"strconv"
+
+	"github.com/labstack/echo/v4"
+
+	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/node"
+)
+
+// writeBodyError answers a request whose body can't be read.
+func writeBodyError(c echo.Context, err error) error {
+	if errors.Is(err, errBodiesBusy) {
+		return writeUnavailable(c, err.Error())
+	}
+	c.Response().Header().Set("Connection", "close")
+	return c.JSON(http.StatusBadRequest, responseBody{Message: "the body can't be read whole: " + err.Error()})
+}
+
+// write writes the decision as the response.
+func (v decision) write(c echo.Context) error {
+	if v.status == http.StatusServiceUnavailable {
+		return writeUnavailable(c, v.reason)
+	}
+	if v.status == http.StatusGatewayTimeout {
+		c.Response().Header().Set("Connection", "close")
+		return c.JSON(v.status, responseBody{Message: v.reason})
+	}
+	if v.status == http.StatusOK {
+		c.Response().Header().Set("ETag", strconv.Quote(strconv.FormatUint(v.body.Generation, 10)))
+	}
+	return c.JSON(v.status, v.body)
+}
+
+// responseBody is the body of every response but that of GET /config.
+type responseBody struct {
+	Generation uint64        `json:"generation,omitempty"`
+	State      string        `json:"state,omitempty"`
+	Message    string        `json:"message,omitempty"`
+	Findings   []findingBody `json:"findings,omitempty"`
+}
+
+// findingBody is one finding about an invalid configuration.
+type findingBody struct {
+	Place string `json:"place,omitempty"`
+	Text  string `json:"text"`
+}
+
+func findingBodies(findings node.Findings) []findingBody {
+	list := make([]findingBody, len(findings))
+	for i, one := range findings {
+		list[i] = findingBody{Place: one.Place, Text: one.Text}
+	}
+	return list
+}
+
+// handleError answers what echo rejects by itself: unknown paths and other methods.
+func (a *API) handleError(err error, c echo.Context) {
+	if c.Response().Committed {
+		return
+	}
+	status, message := http.StatusInternalServerError, "internal error"
+	var known *echo.HTTPError
+	if errors.As(err, &known) {
+		status, message = known.Code, http.StatusText(known.Code)
+	} else {
+		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator-request-failed")
+	}
+	_ = c.JSON(status, responseBody{Message: message}) // the caller has gone
+}
+
+// writeUnavailable answers 503: the operator is to ask another control process.
+func writeUnavailable(c echo.Context, message string) error {
+	c.Response().Header().Set(echo.HeaderRetryAfter, "0.2")
+	return c.JSON(http.StatusServiceUnavailable, responseBody{Message: message})
+}
+
+// writeVersion writes a version of the configuration as the response.
+func writeVersion(c echo.Context, version *configuration.Version) error {
+	c.Response().Header().Set("ETag", strconv.Quote(strconv.FormatUint(version.Generation, 10)))
+	return c.Blob(http.StatusOK, echo.MIMEApplicationJSON, version.JSON())
+}
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"crypto/rand"
+	"encoding/hex"
 	"errors"
 	"io"
 	"net/http"
@@ -12,10 +14,11 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// retireBodyMost bounds the body of a retirement; what it holds is for people: a retirement ends when the machine is empty.
+// maxRetireBodyBytes limits the body of a retirement. Its content is ignored: a retirement ends when the machine is
+// drained, at no deadline.
 const maxRetireBodyBytes = 64 << 10
 
-// retire answers POST /retire/NODE.
+// handleRetire handles POST /retire/:node.
 func (a *API) handleRetire(c echo.Context) error {
 	arrived := time.Now()
 	if _, err := io.Copy(io.Discard, io.LimitReader(c.Request().Body, maxRetireBodyBytes)); err != nil {
@@ -36,7 +39,8 @@
 	return a.writeRetirement(c, name)
 }
 
-// retireNode proposes a retirement. It may be proposed again at will: one under way stays.
+// retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under way
+// isn't changed by it.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
 	raw, err := statemachine.Command{Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores}}.Encode()
 	if err != nil {
@@ -50,6 +54,7 @@
 	}
 }
 
+// proposeRetirement proposes a retirement once.
 func (a *API) proposeRetirement(name string, raw []byte) (statemachine.StoreOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
@@ -61,7 +66,7 @@
 	return outcome.Store, err
 }
 
-// retirement answers GET /retire/NODE.
+// handleRetirement handles GET /retire/:node.
 func (a *API) handleRetirement(c echo.Context) error {
 	if err := a.awaitReadable(c.Request().Context()); err != nil {
 		return writeUnavailable(c, "the retirement can't be told here now: "+err.Error())
@@ -69,6 +74,7 @@
 	return a.writeRetirement(c, c.Param("node"))
 }
 
+// writeRetirement writes the state of a retirement as the response.
 func (a *API) writeRetirement(c echo.Context, name string) error {
 	switch a.options.State.Retirement(name) {
 	case statemachine.RetirementActive:
@@ -80,3 +86,10 @@
 }
 
 var errNoRetirement = errors.New("no retirement of such a store machine was ordered")
+
+// newID returns an id that no other proposal has.
+func newID(kind string) string {
+	var random [8]byte
+	_, _ = rand.Read(random[:]) // never fails: it ends the process where the system has no randomness
+	return kind + "-" + hex.EncodeToString(random[:])
+}
