--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -55,9 +55,9 @@
 // API answers the operator's requests. It is safe for concurrent use.
 type API struct {
 	options      Options
-	orders       orderGroup // changes that are being decided
-	bodies       byteBudget // of those
-	maxBodyBytes int64      // of one configuration
+	changes      changeGroup // changes that are being decided
+	bodies       byteBudget  // of those
+	maxBodyBytes int64       // of one configuration
 }
 
 // New returns an API that is served by its Handler or Server.
@@ -66,7 +66,7 @@
 	if options.MaxBodyBytes > 0 {
 		limit = min(limit, int64(options.MaxBodyBytes))
 	}
-	return &API{options: options, orders: newOrderGroup(), bodies: byteBudget{limit: 2 * limit}, maxBodyBytes: limit}
+	return &API{options: options, changes: newChangeGroup(), bodies: byteBudget{limit: 2 * limit}, maxBodyBytes: limit}
 }
 
 // Handler returns the handler of all paths.
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -58,7 +58,7 @@
 	return ctx.Err()
 }
 
-func (c *fakeChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
+func (c *fakeChain) Propose(ctx context.Context, id string, change []byte) ([]byte, error) {
 	if c.blocked != nil {
 		<-c.blocked
 	}
@@ -77,7 +77,7 @@
 	}
 	if _, done := c.outcomes[id]; !done {
 		c.index++
-		c.outcomes[id] = c.machine.Apply(c.index, order)
+		c.outcomes[id] = c.machine.Apply(c.index, change)
 	}
 	if fate == acknowledgementLost {
 		return nil, errors.New("no answer")
--- a/internal/control/operatorapi/body.go
+++ b/internal/control/operatorapi/body.go
@@ -36,14 +36,14 @@
 }
 
 // readAll reads a body of a known length, or one of an unknown length up to a limit.
-func readAll(request *http.Request, most int64) ([]byte, error) {
+func readAll(request *http.Request, limit int64) ([]byte, error) {
 	if request.ContentLength >= 0 {
 		body := make([]byte, request.ContentLength)
 		_, err := io.ReadFull(request.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(request.Body, most+1))
-	if err == nil && int64(len(body)) > most {
+	body, err := io.ReadAll(io.LimitReader(request.Body, limit+1))
+	if err == nil && int64(len(body)) > limit {
 		return body, errBodyTooLarge
 	}
 	return body, err
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -28,12 +28,12 @@
 		if err != nil {
 			return writeBodyError(c, err)
 		}
-		order := configuration.ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: body}
-		verdict, finished := a.orders.do(c.Request().Context(), order.Digest(), func() decision { return a.decide(order, arrived) }, release)
+		change := configuration.ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: body}
+		decided, finished := a.changes.do(c.Request().Context(), change.Digest(), func() decision { return a.decide(change, arrived) }, release)
 		if !finished {
 			return c.Request().Context().Err()
 		}
-		return verdict.write(c)
+		return decided.write(c)
 	}
 }
 
@@ -54,9 +54,9 @@
 // accepted it earlier, so it is looked for by its digest, computed without holding the body, before it is rejected.
 func (a *API) handleTooLarge(c echo.Context, ifMatch uint64, patch bool, beginning []byte) error {
 	c.Response().Header().Set("Connection", "close")
-	refusal := responseBody{Message: errBodyTooLarge.Error()}
+	rejection := responseBody{Message: errBodyTooLarge.Error()}
 	if c.Request().ContentLength > maxBodyBytes {
-		return c.JSON(http.StatusRequestEntityTooLarge, refusal) // none takes it
+		return c.JSON(http.StatusRequestEntityTooLarge, rejection) // none takes it
 	}
 	digester := configuration.NewDigester(ifMatch, patch)
 	_, _ = digester.Write(beginning) // a hash takes all
@@ -65,7 +65,7 @@
 		return writeBodyError(c, err)
 	}
 	if int64(len(beginning))+rest > maxBodyBytes {
-		return c.JSON(http.StatusRequestEntityTooLarge, refusal)
+		return c.JSON(http.StatusRequestEntityTooLarge, rejection)
 	}
 	if err := a.awaitReadable(c.Request().Context()); err != nil {
 		return writeUnavailable(c, "it can't be told here now whether the order was taken: "+err.Error())
@@ -73,7 +73,7 @@
 	result := configuration.Result{Status: a.options.State.Remembered(digester.Digest(), ifMatch),
 		Generation: a.options.State.Configuration().Generation}
 	if result.Status == configuration.StatusStale {
-		return c.JSON(http.StatusRequestEntityTooLarge, refusal)
+		return c.JSON(http.StatusRequestEntityTooLarge, rejection)
 	}
 	return decisionOf(result).write(c)
 }
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -22,9 +22,9 @@
 
 // decide decides a change and logs the decision. It continues when its caller has gone, as a command that has been
 // proposed can't be withdrawn.
-func (a *API) decide(order configuration.ChangeRequest, arrived time.Time) decision {
-	log := a.options.Log.With().Uint64("if-match", order.IfMatch).Bool("patch", order.Patch).Int("bytes", len(order.Body)).Logger()
-	decided := a.submit(order, arrived)
+func (a *API) decide(change configuration.ChangeRequest, arrived time.Time) decision {
+	log := a.options.Log.With().Uint64("if-match", change.IfMatch).Bool("patch", change.Patch).Int("bytes", len(change.Body)).Logger()
+	decided := a.submit(change, arrived)
 	event := log.Info()
 	if decided.reason != "" {
 		event = log.Warn().Str("reason", decided.reason)
@@ -38,25 +38,25 @@
 }
 
 // submit submits a change to the chain until it is decided or its time is over.
-func (a *API) submit(order configuration.ChangeRequest, arrived time.Time) decision {
-	raw, err := statemachine.Command{Configuration: &order}.Encode()
+func (a *API) submit(change configuration.ChangeRequest, arrived time.Time) decision {
+	raw, err := statemachine.Command{Configuration: &change}.Encode()
 	if err != nil {
 		return decision{status: http.StatusServiceUnavailable, reason: err.Error()}
 	}
-	attempts := orderSubmission{api: a, order: order, raw: raw, id: proposalID(order), unavailableAt: arrived.Add(unavailableAfter),
+	attempts := changeSubmission{api: a, change: change, command: raw, id: proposalID(change), unavailableAt: arrived.Add(unavailableAfter),
 		deadline: arrived.Add(a.options.Bounds.Acknowledge * 4 / 5)}
 	return attempts.run()
 }
 
 // shapeFindings checks the shape of a change that builds on the current version. A change that was accepted earlier
 // is not checked again: the rules may have become stricter since, and it must get its 200 again.
-func shapeFindings(order configuration.ChangeRequest) []findingBody {
-	if json.Valid(order.Body) {
-		if found := schema.Check(order.Body, order.Patch); len(found) > 0 {
+func shapeFindings(change configuration.ChangeRequest) []findingBody {
+	if json.Valid(change.Body) {
+		if found := schema.Check(change.Body, change.Patch); len(found) > 0 {
 			return findingBodies(found)
 		}
 	}
-	if found := configuration.ValidateStandalone(order); len(found) > 0 {
+	if found := configuration.ValidateStandalone(change); len(found) > 0 {
 		return findingBodies(found)
 	}
 	return nil
@@ -64,16 +64,16 @@
 
 // proposalID returns the id under which a change is proposed. It is a digest of the change, so that the chain
 // executes a change once however often, and to whichever control process, it is sent.
-func proposalID(order configuration.ChangeRequest) string {
-	digest := order.Digest()
+func proposalID(change configuration.ChangeRequest) string {
+	digest := change.Digest()
 	return "configuration-" + hex.EncodeToString(digest[:])
 }
 
 // orderSubmission is the submission of one change.
-type orderSubmission struct {
+type changeSubmission struct {
 	api           *API
-	order         configuration.ChangeRequest
-	raw           []byte
+	change        configuration.ChangeRequest
+	command       []byte
 	id            string
 	unavailableAt time.Time // end of the attempts while no proposal can have been committed
 	deadline      time.Time // end of all attempts
@@ -82,7 +82,7 @@
 }
 
 // run makes attempts until one decides or the time is over.
-func (t *orderSubmission) run() decision {
+func (t *changeSubmission) run() decision {
 	for {
 		decided, err := t.attempt()
 		if err == nil {
@@ -96,7 +96,7 @@
 
 // retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed, as only
 // an answer resolves that.
-func (t *orderSubmission) retryUntil() time.Time {
+func (t *changeSubmission) retryUntil() time.Time {
 	if t.uncertain {
 		return t.deadline
 	}
@@ -104,7 +104,7 @@
 }
 
 // giveUp returns the decision when the time is over: 503 if the change was certainly not accepted, else 504.
-func (t *orderSubmission) giveUp(err error) decision {
+func (t *changeSubmission) giveUp(err error) decision {
 	if t.uncertain {
 		return decision{status: http.StatusGatewayTimeout, reason: "the order may have been taken: " + err.Error()}
 	}
@@ -114,19 +114,19 @@
 // attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the change
 // undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and the change may
 // have been accepted elsewhere.
-func (t *orderSubmission) attempt() (decision, error) {
+func (t *changeSubmission) attempt() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(t.retryUntil())))
 	err := t.api.options.Chain.Read(ctx)
 	cancel()
 	if err != nil {
 		return decision{}, err
 	}
-	result := t.api.options.State.Evaluate(t.order)
+	result := t.api.options.State.Evaluate(t.change)
 	if result.Repeated || result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
 		return decisionOf(result), nil
 	}
 	if !t.shapeChecked {
-		if findings := shapeFindings(t.order); len(findings) > 0 {
+		if findings := shapeFindings(t.change); len(findings) > 0 {
 			return decision{status: http.StatusBadRequest, body: responseBody{Message: "the configuration is invalid", Findings: findings}}, nil
 		}
 		t.shapeChecked = true
@@ -138,10 +138,10 @@
 }
 
 // propose proposes the change and decodes its outcome.
-func (t *orderSubmission) propose() (decision, error) {
+func (t *changeSubmission) propose() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(t.deadline)))
 	defer cancel()
-	raw, err := t.api.options.Chain.Propose(ctx, t.id, t.raw)
+	raw, err := t.api.options.Chain.Propose(ctx, t.id, t.command)
 	if err != nil {
 		t.uncertain = t.uncertain || !errors.Is(err, ErrUnavailable)
 		return decision{}, err
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -20,7 +20,7 @@
 )
 
 // sentOrder is an order that an operator has sent, once or more.
-type sentOrder struct {
+type sentChange struct {
 	id           string // of its digest
 	tenant       string // that marks what it brings
 	method       string
@@ -34,7 +34,7 @@
 	rejectedWith int  // status of a refusal
 }
 
-func (o *sentOrder) digest() configuration.Digest {
+func (o *sentChange) digest() configuration.Digest {
 	return configuration.ChangeRequest{IfMatch: o.ifMatch, Patch: o.method == "PATCH", Body: []byte(o.body)}.Digest()
 }
 
@@ -51,8 +51,8 @@
 	clock              atomic.Int64 // orders calls and returns
 	mutex              sync.Mutex
 	operations         []porcupine.Operation
-	orders             []*sentOrder
-	ordersByID         map[string]*sentOrder
+	changes            []*sentChange
+	changesByID        map[string]*sentChange
 	newestVersion      uint64 // version that an operator was told of last
 	padding            int
 	lastAcknowledgedAt time.Duration
@@ -61,7 +61,7 @@
 }
 
 func newHistory(w *clusterSimulation) *history {
-	h := &history{cluster: w, ordersByID: map[string]*sentOrder{}, statuses: map[int]int{}}
+	h := &history{cluster: w, changesByID: map[string]*sentChange{}, statuses: map[int]int{}}
 	if w.seed%2 == 0 {
 		h.padding = 24 << 10 // logs are cut and snapshots taken before long
 	}
@@ -86,7 +86,7 @@
 		case c.random.IntN(5) == 0:
 			c.resend()
 		default:
-			c.deliver(c.nextOrder(), 1+c.random.IntN(6))
+			c.deliver(c.nextChange(), 1+c.random.IntN(6))
 		}
 	}
 }
@@ -109,88 +109,88 @@
 // again sends an order of any age once more, as it was.
 func (c *operatorClient) resend() {
 	c.mutex.Lock()
-	var order *sentOrder
-	if len(c.orders) > 0 {
-		order = c.orders[c.random.IntN(len(c.orders))]
-		if order.futureBase {
-			order = nil
+	var change *sentChange
+	if len(c.changes) > 0 {
+		change = c.changes[c.random.IntN(len(c.changes))]
+		if change.futureBase {
+			change = nil
 		}
 	}
 	c.mutex.Unlock()
-	if order != nil {
-		c.deliver(order, 2)
+	if change != nil {
+		c.deliver(change, 2)
 	}
 }
 
 // draw makes an order.
-func (c *operatorClient) nextOrder() *sentOrder {
+func (c *operatorClient) nextChange() *sentChange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.count++
-	order := &sentOrder{tenant: fmt.Sprintf("t%d-%d", c.number, c.count), method: "PATCH", ifMatch: c.newestVersion}
+	change := &sentChange{tenant: fmt.Sprintf("t%d-%d", c.number, c.count), method: "PATCH", ifMatch: c.newestVersion}
 	if c.newestVersion == 0 || c.random.IntN(4) == 0 {
-		order.method = "PUT"
+		change.method = "PUT"
 	}
-	order.generation = order.ifMatch + 1 + uint64(c.random.IntN(2))
+	change.generation = change.ifMatch + 1 + uint64(c.random.IntN(2))
 	switch c.random.IntN(14) {
 	case 0: // another If-Match
-		order.ifMatch -= min(order.ifMatch, uint64(c.random.IntN(4)))
+		change.ifMatch -= min(change.ifMatch, uint64(c.random.IntN(4)))
 	case 1:
-		order.ifMatch += 1 + uint64(c.random.IntN(2))
-		order.generation = order.ifMatch + 1
-		order.futureBase = true
+		change.ifMatch += 1 + uint64(c.random.IntN(2))
+		change.generation = change.ifMatch + 1
+		change.futureBase = true
 	case 2:
-		order.invalid = true
+		change.invalid = true
 	case 3:
-		order.generation = order.ifMatch - min(order.ifMatch, 1)
+		change.generation = change.ifMatch - min(change.ifMatch, 1)
 	}
-	if len(c.orders) > 0 && c.random.IntN(12) == 0 { // the same bytes with another If-Match
-		earlier := c.orders[c.random.IntN(len(c.orders))]
+	if len(c.changes) > 0 && c.random.IntN(12) == 0 { // the same bytes with another If-Match
+		earlier := c.changes[c.random.IntN(len(c.changes))]
 		again := *earlier
-		again.attempts, again.acknowledged, again.rejectedWith, again.ifMatch = 0, false, 0, order.ifMatch
-		again.futureBase = order.futureBase
-		order = &again
-		return c.register(order)
+		again.attempts, again.acknowledged, again.rejectedWith, again.ifMatch = 0, false, 0, change.ifMatch
+		again.futureBase = change.futureBase
+		change = &again
+		return c.register(change)
 	}
-	c.writeBody(order)
-	return c.register(order)
+	c.writeBody(change)
+	return c.register(change)
 }
 
 // write makes the body. The second PUT that marks a tenant of the same name is the same order.
-func (c *operatorClient) writeBody(order *sentOrder) {
+func (c *operatorClient) writeBody(change *sentChange) {
 	timeout := 5
-	if order.invalid {
+	if change.invalid {
 		timeout = 0
 	}
-	tenants := fmt.Sprintf(`"tenants":[{"name":%q,"api-keys":[%q]}]`, order.tenant, order.tenant)
+	tenants := fmt.Sprintf(`"tenants":[{"name":%q,"api-keys":[%q]}]`, change.tenant, change.tenant)
 	route := fmt.Sprintf(`"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":%d,"backend":"b"}]`, timeout)
-	if order.method == "PUT" {
-		order.body = fmt.Sprintf(`{"generation":%d,%s,"backends":[{"name":"b"}],%s}`, order.generation, route, tenants)
+	if change.method == "PUT" {
+		change.body = fmt.Sprintf(`{"generation":%d,%s,"backends":[{"name":"b"}],%s}`, change.generation, route, tenants)
 	} else {
-		order.body = fmt.Sprintf(`{"generation":%d,"upsert":{%s,%s}}`, order.generation, route, tenants)
+		change.body = fmt.Sprintf(`{"generation":%d,"upsert":{%s,%s}}`, change.generation, route, tenants)
 	}
-	order.body += strings.Repeat(" ", c.padding)
+	change.body += strings.Repeat(" ", c.padding)
 }
 
 // enter notes an order, or finds that it was sent before.
-func (c *operatorClient) register(order *sentOrder) *sentOrder {
-	order.id = fmt.Sprintf("%x", order.digest())
-	if known := c.ordersByID[order.id]; known != nil {
-		known.futureBase = known.futureBase || order.futureBase
+func (c *operatorClient) register(change *sentChange) *sentChange {
+	change.id = fmt.Sprintf("%x", change.digest())
+	if known := c.changesByID[change.id]; known != nil {
+		known.futureBase = known.futureBase || change.futureBase
 		return known
 	}
-	c.ordersByID[order.id] = order
-	c.orders = append(c.orders, order)
-	return order
+	c.changesByID[change.id] = change
+	c.changes = append(c.changes, change)
+	return change
 }
 
 // deliver sends an order to one machine after the other until it has a clear answer, or the operator gives up.
-func (c *operatorClient) deliver(order *sentOrder, attempts int) {
-	if order.futureBase {
+func (c *operatorClient) deliver(change *sentChange, attempts int) {
+	if change.futureBase {
 		attempts = 1
 	}
 	for range attempts {
-		if c.send(order) {
+		if c.send(change) {
 			return
 		}
 		time.Sleep(time.Duration(c.random.Int64N(int64(300 * time.Millisecond))))
@@ -198,26 +198,26 @@
 }
 
 // send sends an order once and tells whether it got a clear answer.
-func (c *operatorClient) send(order *sentOrder) bool {
+func (c *operatorClient) send(change *sentChange) bool {
 	m := c.anyMember()
 	began := c.cluster.now()
 	call := c.clock.Add(1)
-	got := m.call(order.method, strconv.FormatUint(order.ifMatch, 10), order.body, c.callTimeout())
+	got := m.call(change.method, strconv.FormatUint(change.ifMatch, 10), change.body, c.callTimeout())
 	if c.random.IntN(5) == 0 {
 		got = callResult{} // the answer is lost
 	}
 	c.checkPartitioned(m, began, got)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	order.attempts++
-	operation := porcupine.Operation{ClientId: len(c.operations), Input: order, Call: call, Return: c.clock.Add(1), Output: observed{status: got.status}}
+	change.attempts++
+	operation := porcupine.Operation{ClientId: len(c.operations), Input: change, Call: call, Return: c.clock.Add(1), Output: observed{status: got.status}}
 	switch got.status {
 	case 200:
-		order.acknowledged = true
-		c.newestVersion = max(c.newestVersion, order.generation)
+		change.acknowledged = true
+		c.newestVersion = max(c.newestVersion, change.generation)
 		c.lastAcknowledgedAt = c.cluster.now()
 	case 400, 409, 412, 413:
-		order.rejectedWith = got.status
+		change.rejectedWith = got.status
 	case 0, 503, 504:
 		operation.Return, operation.Output = noReturn, observed{}
 	default:
@@ -280,36 +280,36 @@
 }
 
 // step tells whether a call may have gone as it did, and what it left.
-func step(state modelState, order *sentOrder, output observed) (bool, modelState) {
-	if order == nil {
+func step(state modelState, change *sentChange, output observed) (bool, modelState) {
+	if change == nil {
 		if output.status == 404 {
 			return state.version == 0, state
 		}
 		return output.version == state.version && output.tenants == state.tenants, state
 	}
-	taken := strings.Contains(state.committed, order.id+";")
-	rises := order.generation > state.version && (order.method == "PUT" || state.version > 0)
-	takes := !taken && !order.invalid && order.ifMatch == state.version && rises
+	taken := strings.Contains(state.committed, change.id+";")
+	rises := change.generation > state.version && (change.method == "PUT" || state.version > 0)
+	takes := !taken && !change.invalid && change.ifMatch == state.version && rises
 	switch output.status {
 	case 200:
-		return taken || takes, state.next(order, takes)
+		return taken || takes, state.next(change, takes)
 	case 412:
-		return !taken && order.ifMatch != state.version, state
+		return !taken && change.ifMatch != state.version, state
 	case 400:
-		return !taken && order.ifMatch == state.version && (order.invalid || !rises), state
+		return !taken && change.ifMatch == state.version && (change.invalid || !rises), state
 	case 0:
-		return true, state.next(order, takes)
+		return true, state.next(change, takes)
 	}
 	return false, state
 }
 
-func (s modelState) next(order *sentOrder, takes bool) modelState {
+func (s modelState) next(change *sentChange, takes bool) modelState {
 	if !takes {
 		return s
 	}
-	mark := order.tenant + ";"
-	next := modelState{version: order.generation, tenants: s.tenants, committed: s.committed + order.id + ";"}
-	if order.method == "PUT" {
+	mark := change.tenant + ";"
+	next := modelState{version: change.generation, tenants: s.tenants, committed: s.committed + change.id + ";"}
+	if change.method == "PUT" {
 		next.tenants = mark
 	} else if !strings.Contains(";"+s.tenants, ";"+mark) {
 		next.tenants += mark
@@ -320,7 +320,7 @@
 var configurationModel = porcupine.Model{
 	Init: func() interface{} { return modelState{} },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
-		order, _ := input.(*sentOrder)
+		order, _ := input.(*sentChange)
 		return step(state.(modelState), order, output.(observed))
 	},
 	Equal: func(a, b interface{}) bool { return a == b },
@@ -330,13 +330,13 @@
 func (h *history) check() {
 	w := h.cluster
 	for _, m := range w.members {
-		for _, order := range h.orders {
-			status := m.machine.Remembered(order.digest(), order.ifMatch)
+		for _, change := range h.changes {
+			status := m.machine.Remembered(change.digest(), change.ifMatch)
 			switch {
-			case status == configuration.StatusAccepted && order.rejectedWith != 0 && !order.futureBase && w.bug != bugSnapshotDropsOrders:
-				w.failf("order %s on %d was refused with %d and is in force on %s", order.tenant, order.ifMatch, order.rejectedWith, m.ip)
-			case status != configuration.StatusAccepted && order.acknowledged && w.bug != bugSnapshotDropsOrders:
-				w.failf("order %s on %d was acknowledged and isn't known to %s", order.tenant, order.ifMatch, m.ip)
+			case status == configuration.StatusAccepted && change.rejectedWith != 0 && !change.futureBase && w.bug != bugSnapshotDropsChanges:
+				w.failf("order %s on %d was refused with %d and is in force on %s", change.tenant, change.ifMatch, change.rejectedWith, m.ip)
+			case status != configuration.StatusAccepted && change.acknowledged && w.bug != bugSnapshotDropsChanges:
+				w.failf("order %s on %d was acknowledged and isn't known to %s", change.tenant, change.ifMatch, m.ip)
 			}
 		}
 	}
@@ -364,37 +364,37 @@
 // decisive leaves out what can't matter: calls without a clear answer of orders that were never taken, and all but
 // the first of those that were.
 func (h *history) decisive() []porcupine.Operation {
-	first := map[*sentOrder]bool{}
+	first := map[*sentChange]bool{}
 	var kept []porcupine.Operation
 	for _, operation := range h.operations {
-		order, _ := operation.Input.(*sentOrder)
+		change, _ := operation.Input.(*sentChange)
 		if operation.Return != noReturn {
 			kept = append(kept, operation)
 			continue
 		}
-		if first[order] || !h.wasCommitted(order) {
+		if first[change] || !h.wasCommitted(change) {
 			continue
 		}
-		first[order] = true
-		operation.Call = h.firstCall(order)
+		first[change] = true
+		operation.Call = h.firstCall(change)
 		kept = append(kept, operation)
 	}
 	return kept
 }
 
-func (h *history) firstCall(order *sentOrder) int64 {
+func (h *history) firstCall(change *sentChange) int64 {
 	call := noReturn
 	for _, operation := range h.operations {
-		if operation.Input == order && operation.Return == noReturn {
+		if operation.Input == change && operation.Return == noReturn {
 			call = min(call, operation.Call)
 		}
 	}
 	return call
 }
 
-func (h *history) wasCommitted(order *sentOrder) bool {
-	return order.acknowledged || slices.ContainsFunc(h.cluster.members, func(m *simulatedControl) bool {
-		return m.machine.Remembered(order.digest(), order.ifMatch) == configuration.StatusAccepted
+func (h *history) wasCommitted(change *sentChange) bool {
+	return change.acknowledged || slices.ContainsFunc(h.cluster.members, func(m *simulatedControl) bool {
+		return m.machine.Remembered(change.digest(), change.ifMatch) == configuration.StatusAccepted
 	})
 }
 
@@ -433,8 +433,8 @@
 			return
 		}
 		client.read()
-		order := client.nextOrder()
-		client.deliver(order, 8)
+		change := client.nextChange()
+		client.deliver(change, 8)
 	}
 	for _, m := range h.cluster.members {
 		for tries := 0; m.call("GET", "", "", time.Second).status != 200; tries++ {
@@ -483,7 +483,7 @@
 
 // TestPlantedBugs checks that the checks find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
-	for _, planted := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsOrders, bugBaseBeforeRepeat, bugStaleResponse} {
+	for _, planted := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
 		t.Run(string(planted), func(t *testing.T) {
 			for seed := uint64(0); seed < 40; seed++ {
 				if failures, _ := simulateHistory(t, seed, 60*time.Second, planted); len(failures) > 0 {
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/long_test.go
@@ -38,34 +38,34 @@
 }
 
 // manyOrder makes the order that leads to a version: mostly a PATCH of a route and a tenant.
-func largeOrder(version int) configuration.ChangeRequest {
-	order := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%putEvery != 1}
-	if order.Patch {
-		order.Body = fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`, version,
+func largeChange(version int) configuration.ChangeRequest {
+	change := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%putEvery != 1}
+	if change.Patch {
+		change.Body = fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`, version,
 			largeRoute(version%largeRouteCount, version), largeTenant(version%largeTenantCount, version))
-		return order
+		return change
 	}
 	backends := joined(9, func(i int) string {
 		return fmt.Sprintf(`{"name":"backend-%d","health-path":"/healthz","max-conns":190,"protocol":"h1","engine":{"slots":16,"kv-bytes":327680}}`, i)
 	})
-	order.Body = fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"backends":[%s],"tenants":[%s]}`, version,
+	change.Body = fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"backends":[%s],"tenants":[%s]}`, version,
 		joined(largeRouteCount, func(i int) string { return largeRoute(i, version) }), backends,
 		joined(largeTenantCount, func(i int) string { return largeTenant(i, version) }))
-	return order
+	return change
 }
 
 // take has the world take the orders from one version to another, through one machine after the other.
 func (w *clusterSimulation) commit(from, to int, through ...*simulatedControl) {
 	for version := from; version <= to; version++ {
-		order := largeOrder(version)
-		raw, err := statemachine.Command{Configuration: &order}.Encode()
+		change := largeChange(version)
+		raw, err := statemachine.Command{Configuration: &change}.Encode()
 		if err != nil {
 			w.t.Fatal(err)
 		}
 		m := through[version%len(through)]
 		for tries := 0; ; tries++ {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			reply, err := m.node.Propose(ctx, proposalID(order), raw)
+			reply, err := m.node.Propose(ctx, proposalID(change), raw)
 			cancel()
 			if err == nil {
 				outcome, err := statemachine.DecodeOutcome(reply)
--- a/internal/control/operatorapi/majority_test.go
+++ b/internal/control/operatorapi/majority_test.go
@@ -44,11 +44,11 @@
 
 // refusesAll checks that a machine takes and tells nothing for a while.
 func (w *clusterSimulation) checkUnavailable(m *simulatedControl, span time.Duration) {
-	order := largeOrder(21)
+	change := largeChange(21)
 	for end := w.now() + span; w.now() < end; {
 		for _, got := range []callResult{
 			m.call("GET", "", "", 5*time.Second),
-			m.call("PATCH", fmt.Sprint(order.IfMatch), string(order.Body), 5*time.Second),
+			m.call("PATCH", fmt.Sprint(change.IfMatch), string(change.Body), 5*time.Second),
 			m.call("PATCH", "3", `{"generation":4}`, 5*time.Second),
 		} {
 			if got.status != 503 && got.status != 504 {
--- a/internal/control/operatorapi/many_test.go
+++ b/internal/control/operatorapi/many_test.go
@@ -43,7 +43,7 @@
 		snapshotAfter := len(w.members[0].machine.Snapshot())
 		t.Logf("%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
 			full, orders, float64(heap)/1e6, float64(heapAfter)/1e6, float64(disk)/1e6, float64(diskAfter)/1e6, snapshot, snapshotAfter,
-			len(largeOrder(1).Body), float64((w.now()-began).Microseconds())/1e3/float64(orders))
+			len(largeChange(1).Body), float64((w.now()-began).Microseconds())/1e3/float64(orders))
 		if heapAfter > heap+heap/4+4<<20 {
 			t.Errorf("the heap grew from %d to %d", heap, heapAfter)
 		}
@@ -65,12 +65,12 @@
 // what was never taken a refusal as long as that is known.
 func (w *clusterSimulation) checkRemembered(orders int) {
 	for version := 1; version <= orders; version += 499 {
-		order := largeOrder(version)
+		change := largeChange(version)
 		method := "PUT"
-		if order.Patch {
+		if change.Patch {
 			method = "PATCH"
 		}
-		got := w.members[version%3].call(method, fmt.Sprint(order.IfMatch), string(order.Body), 2*time.Second).status
+		got := w.members[version%3].call(method, fmt.Sprint(change.IfMatch), string(change.Body), 2*time.Second).status
 		expected := 200
 		if version <= orders-remembered {
 			expected = 503
--- a/internal/control/operatorapi/ordergroup.go
+++ b/internal/control/operatorapi/ordergroup.go
@@ -9,25 +9,27 @@
 
 // orderGroup merges changes that are sent again while they are being decided, as golang.org/x/sync/singleflight
 // does, and lets a caller leave before the decision.
-type orderGroup struct {
+type changeGroup struct {
 	mutex   sync.Mutex
-	pending map[configuration.Digest]*orderCall // guarded by mutex; removed before done is closed
+	pending map[configuration.Digest]*changeCall // guarded by mutex; removed before done is closed
 }
 
 // orderCall is one change that is being decided.
-type orderCall struct {
+type changeCall struct {
 	done     chan struct{} // closed once decision is set
 	decision decision
 }
 
-func newOrderGroup() orderGroup { return orderGroup{pending: map[configuration.Digest]*orderCall{}} }
+func newChangeGroup() changeGroup {
+	return changeGroup{pending: map[configuration.Digest]*changeCall{}}
+}
 
 // do returns the decision of the change with a digest, and starts decide unless it runs for that change already. It
 // reports false if ctx ended first; decide runs on. release is called once the caller's body is no longer held: for
 // the caller that started decide, that is when decide has returned.
-func (f *orderGroup) do(ctx context.Context, digest configuration.Digest, decide func() decision, release func()) (decision, bool) {
-	one, begun := f.findOrStart(digest, decide, release)
-	if !begun {
+func (f *changeGroup) do(ctx context.Context, digest configuration.Digest, decide func() decision, release func()) (decision, bool) {
+	one, started := f.findOrStart(digest, decide, release)
+	if !started {
 		defer release()
 	}
 	select {
@@ -39,20 +41,20 @@
 }
 
 // findOrStart returns the call with a digest, and reports whether it started that call.
-func (f *orderGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *orderCall, begun bool) {
+func (f *changeGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *changeCall, started bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if one, found := f.pending[digest]; found {
 		return one, false
 	}
-	one = &orderCall{done: make(chan struct{})}
+	one = &changeCall{done: make(chan struct{})}
 	f.pending[digest] = one
 	go f.run(digest, one, decide, release)
 	return one, true
 }
 
 // run decides a change and wakes its callers.
-func (f *orderGroup) run(digest configuration.Digest, one *orderCall, decide func() decision, release func()) {
+func (f *changeGroup) run(digest configuration.Digest, one *changeCall, decide func() decision, release func()) {
 	one.decision = decide()
 	release()
 	f.mutex.Lock()
--- a/internal/control/operatorapi/plant_test.go
+++ b/internal/control/operatorapi/plant_test.go
@@ -19,13 +19,13 @@
 
 // Bugs that a world can be given.
 const (
-	bugNone                injectedBug = ""
-	bugIDIsBaseVersion     injectedBug = "an order is known by the number that it builds on alone"
-	bugUnprovenRefusal     injectedBug = "orders are refused from state that was not proven"
-	bugUnprovenGet         injectedBug = "GET answers without proof"
-	bugSnapshotDropsOrders injectedBug = "which orders were taken is forgotten at a snapshot"
-	bugBaseBeforeRepeat    injectedBug = "an order is refused before it is looked for among those taken"
-	bugStaleResponse       injectedBug = "a caller gets the answer of the one before"
+	bugNone                 injectedBug = ""
+	bugIDIsBaseVersion      injectedBug = "an order is known by the number that it builds on alone"
+	bugUnprovenRefusal      injectedBug = "orders are refused from state that was not proven"
+	bugUnprovenGet          injectedBug = "GET answers without proof"
+	bugSnapshotDropsChanges injectedBug = "which orders were taken is forgotten at a snapshot"
+	bugBaseBeforeRepeat     injectedBug = "an order is refused before it is looked for among those taken"
+	bugStaleResponse        injectedBug = "a caller gets the answer of the one before"
 )
 
 // chain spoils what the API has of the chain.
@@ -42,12 +42,12 @@
 // numberedChain takes orders that build on one version for the same.
 type baseVersionIDChain struct{ Chain }
 
-func (c baseVersionIDChain) Propose(ctx context.Context, _ string, order []byte) ([]byte, error) {
+func (c baseVersionIDChain) Propose(ctx context.Context, _ string, change []byte) ([]byte, error) {
 	var command statemachine.Command
-	if err := gob.NewDecoder(bytes.NewReader(order)).Decode(&command); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(change)).Decode(&command); err != nil {
 		return nil, err
 	}
-	return c.Chain.Propose(ctx, fmt.Sprint("configuration-", command.Configuration.IfMatch), order)
+	return c.Chain.Propose(ctx, fmt.Sprint("configuration-", command.Configuration.IfMatch), change)
 }
 
 // unprovenChain reads what is there.
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/world_test.go
@@ -26,8 +26,8 @@
 // replicaChain is the chain as package control hands it to the API.
 type replicaChain struct{ node *replica.Node }
 
-func (c replicaChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
-	result, err := c.node.Propose(ctx, id, order)
+func (c replicaChain) Propose(ctx context.Context, id string, change []byte) ([]byte, error) {
+	result, err := c.node.Propose(ctx, id, change)
 	if errors.Is(err, replica.ErrUnavailable) {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -109,7 +109,7 @@
 	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
 	var planted chain.StateMachine = state
-	if w.bug == bugSnapshotDropsOrders {
+	if w.bug == bugSnapshotDropsChanges {
 		planted = &forgetfulStateMachine{StateMachine: state}
 	}
 	started, err := replica.Start(replica.Options{
