--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -22,7 +22,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// soleChain is a chain of one process, of which tests decide what becomes of each proposal.
+// fakeChain is a chain of one process; tests decide the outcome of each proposal.
 type fakeChain struct {
 	mutex        sync.Mutex
 	machine      *statemachine.StateMachine
@@ -38,9 +38,9 @@
 
 const (
 	proposalAcknowledged proposalOutcome = iota
-	proposalLost                         // not carried out, uncertain
-	acknowledgementLost                  // carried out, uncertain
-	proposalRejected                     // not carried out, and surely so
+	proposalLost                         // not executed, outcome unknown
+	acknowledgementLost                  // executed, outcome unknown
+	proposalRejected                     // certainly not executed
 )
 
 func newFakeChain() *fakeChain {
@@ -88,8 +88,16 @@
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
 func newAPI(chain *fakeChain) http.Handler {
-	return New(Options{State: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, MaxBodyBytes: 4096,
-		MinActiveStores: 2, Log: zerolog.Nop()}).Handler()
+	return New(
+		Options{
+			State:           chain.machine,
+			Chain:           chain,
+			Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
+			MaxBodyBytes:    4096,
+			MinActiveStores: 2,
+			Log:             zerolog.Nop(),
+		},
+	).Handler()
 }
 
 func send(api http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
@@ -138,14 +146,19 @@
 			}
 		})
 		Convey("what is invalid is refused with all findings, and never proposed", func() {
-			bad := strings.NewReplacer(`"timeout-ms":5`, `"timeout-ms":0`, `"path-prefix":"/"`, `"path-prefix":"x"`).Replace(document)
+			bad := strings.NewReplacer(`"timeout-ms":5`, `"timeout-ms":0`, `"path-prefix":"/"`, `"path-prefix":"x"`).
+				Replace(document)
 			refused := send(api, "PUT", "/config", "0", bad)
 			So(refused.Code, ShouldEqual, 400)
 			var told responseBody
 			So(json.Unmarshal(refused.Body.Bytes(), &told), ShouldBeNil)
 			So(told.Findings, ShouldHaveLength, 2)
 			So(send(api, "PUT", "/config", "0", document[:40]).Code, ShouldEqual, 400)
-			So(send(api, "PUT", "/config", "0", strings.Replace(document, `"backend":"b"`, `"backend":"c"`, 1)).Code, ShouldEqual, 400)
+			So(
+				send(api, "PUT", "/config", "0", strings.Replace(document, `"backend":"b"`, `"backend":"c"`, 1)).Code,
+				ShouldEqual,
+				400,
+			)
 			So(send(api, "PATCH", "/config", "0", `{"generation":1}`).Code, ShouldEqual, 400)
 			So(chain.index, ShouldEqual, 0)
 		})
@@ -168,7 +181,7 @@
 	})
 }
 
-// inTime runs a test on a clock that runs as soon as nothing else does.
+// runInBubble runs a subtest in virtual time.
 func runInBubble(t *testing.T, name string, run func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, run) })
 }
@@ -203,7 +216,7 @@
 		checkStatus(t, send(api, "PUT", "/config", "0", document), 200)
 		chain.partitioned = true
 		for _, one := range []struct{ method, path, ifMatch, body string }{
-			{"PUT", "/config", "7", document[:40]},                              // can't be read whole
+			{"PUT", "/config", "7", document[:40]},                              // a truncated body
 			{"PUT", "/config", "7", strings.Replace(document, ":5,", ":0,", 1)}, // a fault of the shape
 			{"PUT", "/config", "7", document},                                   // a generation that doesn't rise
 			{"PATCH", "/config", "3", `{"generation":9}`},                       // another version is current here
@@ -220,7 +233,14 @@
 	})
 	runInBubble(t, "an order that is too large here, and was taken elsewhere, is acknowledged again", func(t *testing.T) {
 		chain := newFakeChain()
-		large := New(Options{State: chain.machine, Chain: chain, Bounds: node.Bounds{Acknowledge: 4 * time.Second}, Log: zerolog.Nop()}).Handler()
+		large := New(
+			Options{
+				State:  chain.machine,
+				Chain:  chain,
+				Bounds: node.Bounds{Acknowledge: 4 * time.Second},
+				Log:    zerolog.Nop(),
+			},
+		).Handler()
 		api := newAPI(chain)
 		body := document + strings.Repeat(" ", 5000)
 		checkStatus(t, send(large, "PUT", "/config", "0", body), 200)
@@ -230,7 +250,12 @@
 		checkStatus(t, sendChunked(api, body+" "), 413)
 	})
 	runInBubble(t, "an order whose outcome is unheard is proposed again under its id", func(t *testing.T) {
-		for _, fates := range [][]proposalOutcome{{acknowledgementLost}, {proposalLost}, {proposalRejected, proposalLost, acknowledgementLost}, {proposalRejected, proposalRejected}} {
+		for _, fates := range [][]proposalOutcome{
+			{acknowledgementLost},
+			{proposalLost},
+			{proposalRejected, proposalLost, acknowledgementLost},
+			{proposalRejected, proposalRejected},
+		} {
 			chain := newFakeChain()
 			chain.nextOutcomes = fates
 			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
@@ -239,7 +264,7 @@
 			}
 		}
 	})
-	runInBubble(t, "an order that was surely not taken ends with 503, one that may have been with 504 within ack-ms", func(t *testing.T) {
+	runInBubble(t, "a change that was not accepted ends with 503, one that may have been with 504, within ack-ms", func(t *testing.T) {
 		for status, fate := range map[int]proposalOutcome{503: proposalRejected, 504: proposalLost} {
 			chain := newFakeChain()
 			for range 1000 {
@@ -295,7 +320,12 @@
 		for _, padding := range []int{3700, 3701} { // of 4096 bytes, of which there may be two
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			request := httptest.NewRequestWithContext(ctx, "PUT", "/config", strings.NewReader(document+strings.Repeat(" ", padding)))
+			request := httptest.NewRequestWithContext(
+				ctx,
+				"PUT",
+				"/config",
+				strings.NewReader(document+strings.Repeat(" ", padding)),
+			)
 			request.Header.Set("If-Match", "0")
 			api.ServeHTTP(httptest.NewRecorder(), request)
 		}
@@ -327,7 +357,10 @@
 		api := newAPI(chain)
 		var processes []protocol.Process
 		for _, name := range []string{"s1", "s2", "s3"} {
-			processes = append(processes, protocol.Process{Node: name, Role: protocol.RoleBatch, IP: name, Incarnation: "a"})
+			processes = append(
+				processes,
+				protocol.Process{Node: name, Role: protocol.RoleBatch, IP: name, Incarnation: "a"},
+			)
 		}
 		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: processes}}.Encode()
 		So(err, ShouldBeNil)
@@ -339,7 +372,9 @@
 		So(send(api, "POST", "/retire/s2", "", `{"deadline-s":10}`).Code, ShouldEqual, 409)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"active"`)
 		epoch := chain.machine.Stores().Epoch
-		raw, err = statemachine.Command{Retired: &statemachine.Retired{Node: "s1", Incarnation: "a", Epoch: epoch}}.Encode()
+		raw, err = statemachine.Command{
+			Retired: &statemachine.Retired{Node: "s1", Incarnation: "a", Epoch: epoch},
+		}.Encode()
 		So(err, ShouldBeNil)
 		chain.machine.Apply(3, raw)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"completed"`)
--- a/internal/control/operatorapi/long_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -16,17 +16,29 @@
 const (
 	largeRouteCount  = 120
 	largeTenantCount = 300
-	putEvery         = 50 // orders for one that is a whole document
+	putEvery         = 50 // one change in so many is a PUT of the whole document
 )
 
-// manyRoute writes a route of a large configuration.
+// largeRoute returns a route of a large configuration.
 func largeRoute(number, version int) string {
-	return fmt.Sprintf(`{"name":"route-%04d","hostname":"host-%d.example","path-prefix":"/prefix-%04d/","route-type":"streaming","timeout-ms":%d,"target-latency-ms":300,"priority":1,"traffic-split":[{"backend":"backend-%d","weight":90},{"backend":"backend-0","weight":10}],"max-attempts":2,"public":false,"sticky":true,"resumable":true,"gap_aim_ms":300}`,
-		number, number%7, number, 3000+version%1000, number%9)
+	return fmt.Sprintf(
+		`{"name":"route-%04d","hostname":"host-%d.example","path-prefix":"/prefix-%04d/","route-type":"streaming","timeout-ms":%d,"target-latency-ms":300,"priority":1,"traffic-split":[{"backend":"backend-%d","weight":90},{"backend":"backend-0","weight":10}],"max-attempts":2,"public":false,"sticky":true,"resumable":true,"gap_aim_ms":300}`,
+		number,
+		number%7,
+		number,
+		3000+version%1000,
+		number%9,
+	)
 }
 
 func largeTenant(number, version int) string {
-	return fmt.Sprintf(`{"name":"tenant-%04d","api-keys":["key-%04d-%d","key-%04d"],"priority":1,"rate-per-s":61,"burst":61}`, number, number, version, number)
+	return fmt.Sprintf(
+		`{"name":"tenant-%04d","api-keys":["key-%04d-%d","key-%04d"],"priority":1,"rate-per-s":61,"burst":61}`,
+		number,
+		number,
+		version,
+		number,
+	)
 }
 
 func joined(count int, one func(number int) string) string {
@@ -37,16 +49,24 @@
 	return strings.Join(list, ",")
 }
 
-// manyOrder makes the order that leads to a version: mostly a PATCH of a route and a tenant.
+// largeChange returns the change that leads to a version: mostly a PATCH of a route and a tenant.
 func largeChange(version int) configuration.ChangeRequest {
 	change := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%putEvery != 1}
 	if change.Patch {
-		change.Body = fmt.Appendf(nil, `{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`, version,
-			largeRoute(version%largeRouteCount, version), largeTenant(version%largeTenantCount, version))
+		change.Body = fmt.Appendf(
+			nil,
+			`{"generation":%d,"upsert":{"routes":[%s],"tenants":[%s]},"delete":{"tenants":["tenant-none"]}}`,
+			version,
+			largeRoute(version%largeRouteCount, version),
+			largeTenant(version%largeTenantCount, version),
+		)
 		return change
 	}
 	backends := joined(9, func(i int) string {
-		return fmt.Sprintf(`{"name":"backend-%d","health-path":"/healthz","max-conns":190,"protocol":"h1","engine":{"slots":16,"kv-bytes":327680}}`, i)
+		return fmt.Sprintf(
+			`{"name":"backend-%d","health-path":"/healthz","max-conns":190,"protocol":"h1","engine":{"slots":16,"kv-bytes":327680}}`,
+			i,
+		)
 	})
 	change.Body = fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"backends":[%s],"tenants":[%s]}`, version,
 		joined(largeRouteCount, func(i int) string { return largeRoute(i, version) }), backends,
@@ -54,7 +74,7 @@
 	return change
 }
 
-// take has the world take the orders from one version to another, through one machine after the other.
+// commit has the changes from one version to another accepted, through one machine after the other.
 func (w *clusterSimulation) commit(from, to int, through ...*simulatedControl) {
 	for version := from; version <= to; version++ {
 		change := largeChange(version)
@@ -81,15 +101,15 @@
 	}
 }
 
-// Bounds of a machine that comes back after many orders.
+// Bounds of a machine that returns after it has missed many changes.
 const (
 	missedOrders    = 500
 	maxCatchUpTime  = 3 * time.Second
 	maxCatchUpBytes = 4 << 20
 )
 
-// TestCatchUp has a machine miss 500 orders, with its disk or without: it catches up in bounded time and bytes, and
-// tells nothing before.
+// TestCatchUp has a machine miss 500 changes, with its disk kept or lost. It must catch up in bounded time and
+// bytes, and answer nothing before.
 func TestCatchUp(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("wiped %t", wiped), func(t *testing.T) {
@@ -107,7 +127,12 @@
 				away.start(false)
 				early := w.awaitCaughtUp(away, 100+missedOrders)
 				took, received := w.now()-began, w.network.BytesReceived(away.ip)-before
-				t.Logf("caught up in %v with %d bytes; %d answers before, all without a configuration", took, received, early)
+				t.Logf(
+					"caught up in %v with %d bytes; %d answers before, all without a configuration",
+					took,
+					received,
+					early,
+				)
 				if took > maxCatchUpTime || received > maxCatchUpBytes {
 					t.Errorf("%v and %d bytes to catch up", took, received)
 				}
@@ -121,8 +146,8 @@
 	}
 }
 
-// servesNothingOld asks a machine until it tells the newest version, and counts the answers before. It must neither
-// be fresh nor head the chain with less.
+// awaitCaughtUp asks a machine until it returns the newest version, and counts the answers before. With less than
+// that version it must neither be fresh nor lead the chain.
 func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
 	for {
 		held := m.machine.Configuration().Generation
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -19,7 +19,10 @@
 		arrived := time.Now()
 		ifMatch, ok := parseIfMatch(c.Request().Header.Values("If-Match"))
 		if !ok {
-			return c.JSON(http.StatusBadRequest, responseBody{Message: "If-Match must hold the number of the version that the change builds on"})
+			return c.JSON(
+				http.StatusBadRequest,
+				responseBody{Message: "If-Match must hold the number of the version that the change builds on"},
+			)
 		}
 		body, release, err := a.readBody(c.Request())
 		if errors.Is(err, errBodyTooLarge) {
@@ -29,7 +32,12 @@
 			return writeBodyError(c, err)
 		}
 		change := configuration.ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: body}
-		decided, finished := a.changes.do(c.Request().Context(), change.Digest(), func() decision { return a.decide(change, arrived) }, release)
+		decided, finished := a.changes.do(
+			c.Request().Context(),
+			change.Digest(),
+			func() decision { return a.decide(change, arrived) },
+			release,
+		)
 		if !finished {
 			return c.Request().Context().Err()
 		}
--- a/internal/control/operatorapi/ordergroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -27,8 +27,13 @@
 // do returns the decision of the change with a digest, and starts decide unless it runs for that change already. It
 // reports false if ctx ended first; decide runs on. release is called once the caller's body is no longer held: for
 // the caller that started decide, that is when decide has returned.
-func (f *changeGroup) do(ctx context.Context, digest configuration.Digest, decide func() decision, release func()) (decision, bool) {
-	one, started := f.findOrStart(digest, decide, release)
+func (g *changeGroup) do(
+	ctx context.Context,
+	digest configuration.Digest,
+	decide func() decision,
+	release func(),
+) (decision, bool) {
+	one, started := g.findOrStart(digest, decide, release)
 	if !started {
 		defer release()
 	}
@@ -41,24 +46,28 @@
 }
 
 // findOrStart returns the call with a digest, and reports whether it started that call.
-func (f *changeGroup) findOrStart(digest configuration.Digest, decide func() decision, release func()) (one *changeCall, started bool) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if one, found := f.pending[digest]; found {
+func (g *changeGroup) findOrStart(
+	digest configuration.Digest,
+	decide func() decision,
+	release func(),
+) (one *changeCall, started bool) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if one, found := g.pending[digest]; found {
 		return one, false
 	}
 	one = &changeCall{done: make(chan struct{})}
-	f.pending[digest] = one
-	go f.run(digest, one, decide, release)
+	g.pending[digest] = one
+	go g.run(digest, one, decide, release)
 	return one, true
 }
 
 // run decides a change and wakes its callers.
-func (f *changeGroup) run(digest configuration.Digest, one *changeCall, decide func() decision, release func()) {
+func (g *changeGroup) run(digest configuration.Digest, one *changeCall, decide func() decision, release func()) {
 	one.decision = decide()
 	release()
-	f.mutex.Lock()
-	delete(f.pending, digest)
-	f.mutex.Unlock()
+	g.mutex.Lock()
+	delete(g.pending, digest)
+	g.mutex.Unlock()
 	close(one.done)
 }
--- a/internal/control/operatorapi/world_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// replicaChain is the chain as package control hands it to the API.
+// replicaChain adapts a replica as package control does.
 type replicaChain struct{ node *replica.Node }
 
 func (c replicaChain) Propose(ctx context.Context, id string, change []byte) ([]byte, error) {
@@ -39,13 +39,13 @@
 	return err
 }
 
-// member is a control machine of the world: the API on the state machine on a real replica.
+// simulatedControl is a control machine of the simulation: the API on the state machine on a real replica.
 type simulatedControl struct {
 	cluster     *clusterSimulation
 	ip          string
 	disk        *bubble.Disk
 	mutex       sync.Mutex
-	incarnation int // 0 while it is down: counts starts else
+	incarnation int // the number of its start; 0 while the process doesn't run
 	starts      int
 	host        *bubble.Host
 	node        *replica.Node
@@ -53,28 +53,35 @@
 	api         http.Handler
 }
 
-// world is a core of control machines in virtual time.
+// clusterSimulation is a few control machines in virtual time, with simulated network and disks.
 type clusterSimulation struct {
 	t             *testing.T
 	seed          uint64
-	random        *rand.Rand // of the troubles
+	random        *rand.Rand // of the faults
 	network       *bubble.Network
 	members       []*simulatedControl
 	seeds         []string
 	bug           injectedBug
 	began         time.Time
-	mutex         sync.Mutex // of all below
+	mutex         sync.Mutex // guards the fields below
 	events        []string
-	partitioned   *simulatedControl // cut off from all others
+	partitioned   *simulatedControl // from all others; nil: none
 	partitionedAt time.Duration
 	violations    []string
 }
 
 const simulatedTolerance = 1
 
-// newWorld starts a core. It is called in a bubble.
+// newClusterSimulation starts all machines. It must be called in a synctest bubble.
 func newClusterSimulation(t *testing.T, seed uint64, machines int, planted injectedBug) *clusterSimulation {
-	w := &clusterSimulation{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 5)), network: bubble.NewNetwork(seed), bug: planted, began: time.Now()}
+	w := &clusterSimulation{
+		t:       t,
+		seed:    seed,
+		random:  rand.New(rand.NewPCG(seed, 5)),
+		network: bubble.NewNetwork(seed),
+		bug:     planted,
+		began:   time.Now(),
+	}
 	for i := range machines {
 		ip := fmt.Sprint("10.0.0.", i+1)
 		w.members = append(w.members, &simulatedControl{cluster: w, ip: ip, disk: bubble.NewDisk(seed*31 + uint64(i))})
@@ -96,7 +103,7 @@
 	w.events = append(w.events, fmt.Sprintf("%10.3f ", w.now().Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// failf notes a broken check. The world goes on to its end.
+// failf records a violation. The simulation continues to its end.
 func (w *clusterSimulation) failf(format string, arguments ...any) {
 	w.logf("BROKEN: "+format, arguments...)
 	w.mutex.Lock()
@@ -104,7 +111,8 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
-// start starts the process. No lock is held meanwhile: who waits for one doesn't let the time of a bubble pass.
+// start starts the process. No lock is held meanwhile, since the time of a bubble stands still while a goroutine
+// waits for a mutex.
 func (m *simulatedControl) start(bootstrap bool) {
 	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
@@ -128,8 +136,16 @@
 		w.failf("start of %s: %v", m.ip, err)
 		return
 	}
-	api := New(Options{State: state, Chain: w.bug.wrapChain(replicaChain{started}), Bounds: node.Bounds{Acknowledge: 4 * time.Second},
-		MaxBodyBytes: 1 << 20, MinActiveStores: simulatedTolerance + 1, Log: zerolog.Nop()})
+	api := New(
+		Options{
+			State:           state,
+			Chain:           w.bug.wrapChain(replicaChain{started}),
+			Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
+			MaxBodyBytes:    1 << 20,
+			MinActiveStores: simulatedTolerance + 1,
+			Log:             zerolog.Nop(),
+		},
+	)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.starts++
@@ -138,7 +154,7 @@
 	w.logf("%s starts", m.ip)
 }
 
-// end ends the process: as a kill, or by a loss of power.
+// end ends the process, by a kill or by a loss of power.
 func (m *simulatedControl) end(power bool) {
 	m.mutex.Lock()
 	running := m.incarnation != 0
@@ -158,7 +174,7 @@
 	m.node.Close()
 }
 
-// answered is what a caller saw.
+// callResult is what a caller received.
 type callResult struct {
 	status int // 0: nothing
 	body   string
@@ -198,7 +214,7 @@
 	return callResult{status: recorder.Code, body: recorder.Body.String(), etag: recorder.Header().Get("ETag")}
 }
 
-// cutOff cuts a machine off from all others, in one direction or both.
+// partition partitions a machine from all others, in one direction or both.
 func (w *clusterSimulation) partition(m *simulatedControl, out, in bool, span time.Duration) {
 	w.logf("%s is cut off for %v, out %t, in %t", m.ip, span, out, in)
 	for _, other := range w.members {
@@ -226,17 +242,17 @@
 	w.logf("%s is back in touch", m.ip)
 }
 
-// outOfTouch tells whether a machine has been cut off since before a moment.
+// isPartitioned reports whether a machine has been partitioned since before a moment.
 func (w *clusterSimulation) isPartitioned(m *simulatedControl, called time.Duration) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.partitioned == m && called > w.partitionedAt
 }
 
-// settle is how long a machine that is back takes to be whole again.
+// recoveryTime is how long a machine may take to be in sync again after a fault.
 const recoveryTime = 5 * time.Second
 
-// trouble brings one trouble after the other, each within what is to be borne.
+// injectFaults injects one fault after the other, each within the tolerance.
 func (w *clusterSimulation) injectFaults(end time.Duration) {
 	time.Sleep(2*time.Second + w.randomDuration(time.Second))
 	for w.now() < end-2*time.Second {
@@ -257,7 +273,7 @@
 		m.end(kind == 1)
 		time.Sleep(span)
 		m.start(false)
-	case 2, 3: // the whole core loses power, and one its disk as well
+	case 2, 3: // all machines lose power, and one its disk as well
 		for _, one := range w.members {
 			one.end(true)
 		}
@@ -290,7 +306,7 @@
 		time.Sleep(span)
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
-	case 9: // whoever waits for the disk stands still, the API goes on
+	case 9: // whatever waits for the disk is blocked, the API isn't
 		w.logf("the disk of %s stalls for %v", m.ip, span)
 		m.disk.SetStalled(true)
 		time.Sleep(span)
@@ -311,7 +327,7 @@
 	}
 }
 
-// stop ends all processes and waits for what they left behind.
+// stop ends all processes and waits for what they leave running.
 func (w *clusterSimulation) stop() {
 	for _, m := range w.members {
 		m.end(false)
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -23,7 +23,11 @@
 // decide decides a change and logs the decision. It continues when its caller has gone, as a command that has been
 // proposed can't be withdrawn.
 func (a *API) decide(change configuration.ChangeRequest, arrived time.Time) decision {
-	log := a.options.Log.With().Uint64("if-match", change.IfMatch).Bool("patch", change.Patch).Int("bytes", len(change.Body)).Logger()
+	log := a.options.Log.With().
+		Uint64("if-match", change.IfMatch).
+		Bool("patch", change.Patch).
+		Int("bytes", len(change.Body)).
+		Logger()
 	decided := a.submit(change, arrived)
 	event := log.Info()
 	if decided.reason != "" {
@@ -32,8 +36,11 @@
 	for _, one := range decided.body.Findings {
 		log.Debug().Str("place", one.Place).Str("text", one.Text).Msg("configuration-finding")
 	}
-	event.Int("status", decided.status).Uint64("generation", decided.body.Generation).Int("findings", len(decided.body.Findings)).
-		Dur("took", time.Since(arrived)).Msg("configuration-order")
+	event.Int("status", decided.status).
+		Uint64("generation", decided.body.Generation).
+		Int("findings", len(decided.body.Findings)).
+		Dur("took", time.Since(arrived)).
+		Msg("configuration-order")
 	return decided
 }
 
@@ -43,8 +50,14 @@
 	if err != nil {
 		return decision{status: http.StatusServiceUnavailable, reason: err.Error()}
 	}
-	attempts := changeSubmission{api: a, change: change, command: raw, id: proposalID(change), unavailableAt: arrived.Add(unavailableAfter),
-		deadline: arrived.Add(a.options.Bounds.Acknowledge * 4 / 5)}
+	attempts := changeSubmission{
+		api:           a,
+		change:        change,
+		command:       raw,
+		id:            proposalID(change),
+		unavailableAt: arrived.Add(unavailableAfter),
+		deadline:      arrived.Add(a.options.Bounds.Acknowledge * 4 / 5),
+	}
 	return attempts.run()
 }
 
@@ -82,30 +95,30 @@
 }
 
 // run makes attempts until one decides or the time is over.
-func (t *changeSubmission) run() decision {
+func (s *changeSubmission) run() decision {
 	for {
-		decided, err := t.attempt()
+		decided, err := s.attempt()
 		if err == nil {
 			return decided
 		}
-		if !waitToRetry(context.Background(), t.retryUntil()) {
-			return t.giveUp(err)
+		if !waitToRetry(context.Background(), s.retryUntil()) {
+			return s.giveUp(err)
 		}
 	}
 }
 
 // retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed, as only
 // an answer resolves that.
-func (t *changeSubmission) retryUntil() time.Time {
-	if t.uncertain {
-		return t.deadline
+func (s *changeSubmission) retryUntil() time.Time {
+	if s.uncertain {
+		return s.deadline
 	}
-	return t.unavailableAt
+	return s.unavailableAt
 }
 
 // giveUp returns the decision when the time is over: 503 if the change was certainly not accepted, else 504.
-func (t *changeSubmission) giveUp(err error) decision {
-	if t.uncertain {
+func (s *changeSubmission) giveUp(err error) decision {
+	if s.uncertain {
 		return decision{status: http.StatusGatewayTimeout, reason: "the order may have been taken: " + err.Error()}
 	}
 	return decision{status: http.StatusServiceUnavailable, reason: "no order is taken here now: " + err.Error()}
@@ -114,41 +127,45 @@
 // attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the change
 // undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and the change may
 // have been accepted elsewhere.
-func (t *changeSubmission) attempt() (decision, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(t.retryUntil())))
-	err := t.api.options.Chain.Read(ctx)
+func (s *changeSubmission) attempt() (decision, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(s.retryUntil())))
+	err := s.api.options.Chain.Read(ctx)
 	cancel()
 	if err != nil {
 		return decision{}, err
 	}
-	result := t.api.options.State.Evaluate(t.change)
-	if result.Repeated || result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
+	result := s.api.options.State.Evaluate(s.change)
+	if result.Repeated ||
+		result.Status != configuration.StatusAccepted && result.Status != configuration.StatusInvalid {
 		return decisionOf(result), nil
 	}
-	if !t.shapeChecked {
-		if findings := shapeFindings(t.change); len(findings) > 0 {
-			return decision{status: http.StatusBadRequest, body: responseBody{Message: "the configuration is invalid", Findings: findings}}, nil
+	if !s.shapeChecked {
+		if findings := shapeFindings(s.change); len(findings) > 0 {
+			return decision{
+				status: http.StatusBadRequest,
+				body:   responseBody{Message: "the configuration is invalid", Findings: findings},
+			}, nil
 		}
-		t.shapeChecked = true
+		s.shapeChecked = true
 	}
 	if result.Status == configuration.StatusInvalid {
 		return decisionOf(result), nil
 	}
-	return t.propose()
+	return s.propose()
 }
 
 // propose proposes the change and decodes its outcome.
-func (t *changeSubmission) propose() (decision, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(t.deadline)))
+func (s *changeSubmission) propose() (decision, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(s.deadline)))
 	defer cancel()
-	raw, err := t.api.options.Chain.Propose(ctx, t.id, t.command)
+	raw, err := s.api.options.Chain.Propose(ctx, s.id, s.command)
 	if err != nil {
-		t.uncertain = t.uncertain || !errors.Is(err, ErrUnavailable)
+		s.uncertain = s.uncertain || !errors.Is(err, ErrUnavailable)
 		return decision{}, err
 	}
 	outcome, err := statemachine.DecodeOutcome(raw)
 	if err != nil || outcome.Configuration == nil {
-		t.uncertain = true
+		s.uncertain = true
 		return decision{}, errors.Join(errors.New("the order's outcome can't be read"), err)
 	}
 	return decisionOf(*outcome.Configuration), nil
--- a/internal/control/operatorapi/doc.go
+++ b/internal/control/operatorapi/doc.go
@@ -1,6 +1,7 @@
 // Package operatorapi is the operator's HTTP API: the configuration, and the retirement of store machines.
 //
-//	PUT   /config        replaces the configuration, PATCH /config changes it; If-Match names the generation that the change builds on
+//	PUT   /config        replaces the configuration; If-Match names the generation that it builds on
+//	PATCH /config        changes the configuration, likewise
 //	GET   /config        returns the configuration
 //	POST  /retire/NODE   begins the retirement of a store machine
 //	GET   /retire/NODE   returns its state
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -19,41 +19,42 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// sentOrder is an order that an operator has sent, once or more.
+// sentChange is a change that an operator has sent, once or more often.
 type sentChange struct {
-	id           string // of its digest
-	tenant       string // that marks what it brings
-	method       string
-	ifMatch      uint64
-	generation   uint64
-	invalid      bool
-	futureBase   bool // builds on a version that nobody was told of: refused, it may be taken when it comes again
+	id         string // of its digest
+	tenant     string // that marks what it brings
+	method     string
+	ifMatch    uint64
+	generation uint64
+	invalid    bool
+	// Builds on a version that doesn't exist yet: rejected now, it may be accepted when it is sent again.
+	futureBase   bool
 	body         string
 	attempts     int
-	acknowledged bool // told so, at least once
-	rejectedWith int  // status of a refusal
+	acknowledged bool // by a 200, at least once
+	rejectedWith int  // status of a rejection
 }
 
 func (o *sentChange) digest() configuration.Digest {
 	return configuration.ChangeRequest{IfMatch: o.ifMatch, Patch: o.method == "PATCH", Body: []byte(o.body)}.Digest()
 }
 
-// seen is what a call of the history brought.
+// observed is the response to a call of the history.
 type observed struct {
 	status  int
 	tenants string // of a GET: the tenants
 	version uint64 // of a GET
 }
 
-// history is what all operators sent and saw.
+// history is what all operators sent and received.
 type history struct {
 	cluster            *clusterSimulation
-	clock              atomic.Int64 // orders calls and returns
+	clock              atomic.Int64 // numbers calls and returns in their order
 	mutex              sync.Mutex
 	operations         []porcupine.Operation
 	changes            []*sentChange
 	changesByID        map[string]*sentChange
-	newestVersion      uint64 // version that an operator was told of last
+	newestVersion      uint64 // that an operator was sent
 	padding            int
 	lastAcknowledgedAt time.Duration
 	statuses           map[int]int // answers by status
@@ -63,7 +64,7 @@
 func newHistory(w *clusterSimulation) *history {
 	h := &history{cluster: w, changesByID: map[string]*sentChange{}, statuses: map[int]int{}}
 	if w.seed%2 == 0 {
-		h.padding = 24 << 10 // logs are cut and snapshots taken before long
+		h.padding = 24 << 10 // so that logs are soon compacted and snapshots taken
 	}
 	return h
 }
@@ -76,7 +77,7 @@
 	random *rand.Rand
 }
 
-// run sends orders and reads until a moment.
+// run sends changes and reads until a moment.
 func (c *operatorClient) run(end time.Duration) {
 	for c.cluster.now() < end {
 		time.Sleep(time.Duration(c.random.Int64N(int64(400 * time.Millisecond))))
@@ -95,7 +96,7 @@
 	return c.cluster.members[c.random.IntN(len(c.cluster.members))]
 }
 
-// patience is mostly that of an operator; some leave early, and some wait for an answer whatever it is.
+// callTimeout is mostly that of an operator; some callers leave early, and some wait for any answer.
 func (c *operatorClient) callTimeout() time.Duration {
 	switch c.random.IntN(12) {
 	case 0, 1:
@@ -106,7 +107,7 @@
 	return time.Second
 }
 
-// again sends an order of any age once more, as it was.
+// resend sends a change of any age once more, unchanged.
 func (c *operatorClient) resend() {
 	c.mutex.Lock()
 	var change *sentChange
@@ -122,7 +123,7 @@
 	}
 }
 
-// draw makes an order.
+// nextChange draws a change.
 func (c *operatorClient) nextChange() *sentChange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -156,23 +157,31 @@
 	return c.register(change)
 }
 
-// write makes the body. The second PUT that marks a tenant of the same name is the same order.
+// writeBody makes the body. A second PUT that marks a tenant of the same name is the same change.
 func (c *operatorClient) writeBody(change *sentChange) {
 	timeout := 5
 	if change.invalid {
 		timeout = 0
 	}
 	tenants := fmt.Sprintf(`"tenants":[{"name":%q,"api-keys":[%q]}]`, change.tenant, change.tenant)
-	route := fmt.Sprintf(`"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":%d,"backend":"b"}]`, timeout)
+	route := fmt.Sprintf(
+		`"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":%d,"backend":"b"}]`,
+		timeout,
+	)
 	if change.method == "PUT" {
-		change.body = fmt.Sprintf(`{"generation":%d,%s,"backends":[{"name":"b"}],%s}`, change.generation, route, tenants)
+		change.body = fmt.Sprintf(
+			`{"generation":%d,%s,"backends":[{"name":"b"}],%s}`,
+			change.generation,
+			route,
+			tenants,
+		)
 	} else {
 		change.body = fmt.Sprintf(`{"generation":%d,"upsert":{%s,%s}}`, change.generation, route, tenants)
 	}
 	change.body += strings.Repeat(" ", c.padding)
 }
 
-// enter notes an order, or finds that it was sent before.
+// register records a change, or finds that it was sent before.
 func (c *operatorClient) register(change *sentChange) *sentChange {
 	change.id = fmt.Sprintf("%x", change.digest())
 	if known := c.changesByID[change.id]; known != nil {
@@ -184,7 +193,7 @@
 	return change
 }
 
-// deliver sends an order to one machine after the other until it has a clear answer, or the operator gives up.
+// deliver sends a change to one machine after the other until it has a definite answer, or the operator gives up.
 func (c *operatorClient) deliver(change *sentChange, attempts int) {
 	if change.futureBase {
 		attempts = 1
@@ -197,20 +206,26 @@
 	}
 }
 
-// send sends an order once and tells whether it got a clear answer.
+// send sends a change once and reports whether the answer was definite.
 func (c *operatorClient) send(change *sentChange) bool {
 	m := c.anyMember()
 	began := c.cluster.now()
 	call := c.clock.Add(1)
 	got := m.call(change.method, strconv.FormatUint(change.ifMatch, 10), change.body, c.callTimeout())
 	if c.random.IntN(5) == 0 {
-		got = callResult{} // the answer is lost
+		got = callResult{} // the response is lost
 	}
 	c.checkPartitioned(m, began, got)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	change.attempts++
-	operation := porcupine.Operation{ClientId: len(c.operations), Input: change, Call: call, Return: c.clock.Add(1), Output: observed{status: got.status}}
+	operation := porcupine.Operation{
+		ClientId: len(c.operations),
+		Input:    change,
+		Call:     call,
+		Return:   c.clock.Add(1),
+		Output:   observed{status: got.status},
+	}
 	switch got.status {
 	case 200:
 		change.acknowledged = true
@@ -228,10 +243,10 @@
 	return operation.Return != noReturn
 }
 
-// openEnd is the return of a call whose effect may come any time, or never.
+// noReturn is the return of a call whose effect may come at any time, or never.
 const noReturn = int64(1) << 60
 
-// held checks that a machine that is cut off tells nothing.
+// checkPartitioned checks that a partitioned machine answers 503 or 504 only.
 func (c *operatorClient) checkPartitioned(m *simulatedControl, began time.Duration, got callResult) {
 	if got.status != 0 && got.status != 503 && got.status != 504 && c.cluster.isPartitioned(m, began) {
 		c.cluster.failf("%s is cut off and answers %d: %s", m.ip, got.status, got.body)
@@ -256,10 +271,13 @@
 		output.tenants = tenantsOf(c.cluster, got.body)
 		c.newestVersion = max(c.newestVersion, output.version)
 	}
-	c.operations = append(c.operations, porcupine.Operation{ClientId: len(c.operations), Call: call, Return: c.clock.Add(1), Output: output})
+	c.operations = append(
+		c.operations,
+		porcupine.Operation{ClientId: len(c.operations), Call: call, Return: c.clock.Add(1), Output: output},
+	)
 }
 
-// tenantsOf lists who stands in a configuration, in order.
+// tenantsOf returns the tenants of a configuration, in order.
 func tenantsOf(w *clusterSimulation, body string) string {
 	var document configuration.Document
 	if err := json.Unmarshal([]byte(body), &document); err != nil {
@@ -272,14 +290,14 @@
 	return list.String()
 }
 
-// modelState is the configuration and the orders that were taken, as the page tells it.
+// modelState is the state of the sequential model: the configuration, and the changes that were accepted.
 type modelState struct {
 	version   uint64
 	tenants   string // tenants, each with a semicolon
-	committed string // ids of orders, each with a semicolon
+	committed string // ids of changes, each with a semicolon
 }
 
-// step tells whether a call may have gone as it did, and what it left.
+// step reports whether the model allows a response in a state, and returns the state after it.
 func step(state modelState, change *sentChange, output observed) (bool, modelState) {
 	if change == nil {
 		if output.status == 404 {
@@ -326,7 +344,7 @@
 	Equal: func(a, b interface{}) bool { return a == b },
 }
 
-// judge checks the whole history once the world has come together.
+// check checks the whole history once the machines are in sync again.
 func (h *history) check() {
 	w := h.cluster
 	for _, m := range w.members {
@@ -334,7 +352,13 @@
 			status := m.machine.Remembered(change.digest(), change.ifMatch)
 			switch {
 			case status == configuration.StatusAccepted && change.rejectedWith != 0 && !change.futureBase && w.bug != bugSnapshotDropsChanges:
-				w.failf("order %s on %d was refused with %d and is in force on %s", change.tenant, change.ifMatch, change.rejectedWith, m.ip)
+				w.failf(
+					"order %s on %d was refused with %d and is in force on %s",
+					change.tenant,
+					change.ifMatch,
+					change.rejectedWith,
+					m.ip,
+				)
 			case status != configuration.StatusAccepted && change.acknowledged && w.bug != bugSnapshotDropsChanges:
 				w.failf("order %s on %d was acknowledged and isn't known to %s", change.tenant, change.ifMatch, m.ip)
 			}
@@ -343,8 +367,8 @@
 	h.decisiveOperations = h.decisive()
 }
 
-// linear checks the history with porcupine. It is called outside of the bubble, whose time doesn't pass while
-// something computes.
+// checkLinearizable checks the history with porcupine. It must be called outside of the bubble, whose time stands
+// still while a goroutine computes.
 func (h *history) checkLinearizable() {
 	w := h.cluster
 	patience := 20 * time.Second
@@ -361,8 +385,8 @@
 	}
 }
 
-// decisive leaves out what can't matter: calls without a clear answer of orders that were never taken, and all but
-// the first of those that were.
+// decisive leaves out what can't matter: calls without a definite answer of changes that were never accepted, and
+// all but the first of those that were.
 func (h *history) decisive() []porcupine.Operation {
 	first := map[*sentChange]bool{}
 	var kept []porcupine.Operation
@@ -398,8 +422,13 @@
 	})
 }
 
-// playHistory plays one world and gives what was broken.
-func simulateHistory(t *testing.T, seed uint64, span time.Duration, planted injectedBug) (failures []string, h *history) {
+// simulateHistory runs one simulation and returns its violations.
+func simulateHistory(
+	t *testing.T,
+	seed uint64,
+	span time.Duration,
+	planted injectedBug,
+) (failures []string, h *history) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := 3
 		if seed%5 == 4 {
@@ -409,7 +438,11 @@
 		h = newHistory(w)
 		var running sync.WaitGroup
 		for number := range 2 + int(seed%3) {
-			client := &operatorClient{history: h, number: number, random: rand.New(rand.NewPCG(seed, 100+uint64(number)))}
+			client := &operatorClient{
+				history: h,
+				number:  number,
+				random:  rand.New(rand.NewPCG(seed, 100+uint64(number))),
+			}
 			running.Go(func() { client.run(span) })
 		}
 		running.Go(func() { w.injectFaults(span) })
@@ -423,13 +456,13 @@
 	return h.cluster.violations, h
 }
 
-// last holds the world to taking an order once all trouble is over, and waits until every machine has it.
+// awaitRecovery checks that a change is accepted once all faults are over, and waits until every machine has it.
 func (h *history) awaitRecovery() {
 	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.cluster.seed, 99))}
 	before := h.lastAcknowledgedAt
 	for tries := 0; h.lastAcknowledgedAt == before; tries++ {
 		if tries == 40 {
-			h.cluster.failf("no order is taken once all trouble is over")
+			h.cluster.failf("no order is taken once all faults are over")
 			return
 		}
 		client.read()
@@ -439,7 +472,7 @@
 	for _, m := range h.cluster.members {
 		for tries := 0; m.call("GET", "", "", time.Second).status != 200; tries++ {
 			if tries == 40 {
-				h.cluster.failf("%s can't be read once all trouble is over", m.ip)
+				h.cluster.failf("%s can't be read once all faults are over", m.ip)
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -463,8 +496,8 @@
 	t.Fatalf("seed %d: %s\n%s", seed, strings.Join(failures, "\n"), strings.Join(tail, "\n"))
 }
 
-// TestRandomHistories checks what operators saw of real control processes in worlds with troubles. SEEDS=N plays N
-// worlds, FIRST=S begins at seed S, TRACE=1 prints a failing world whole.
+// TestRandomHistories checks what operators received from real control processes in simulations with faults.
+// SEEDS=N runs N simulations, FIRST=S begins at seed S, TRACE=1 prints all events of a failing one.
 func TestRandomHistories(t *testing.T) {
 	first, worlds := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
 	calls, told := 0, map[int]int{}
@@ -478,10 +511,10 @@
 			told[status] += count
 		}
 	}
-	t.Logf("%d worlds, %d calls, by answer %v", worlds, calls, told)
+	t.Logf("%d simulations, %d calls, by status %v", worlds, calls, told)
 }
 
-// TestPlantedBugs checks that the checks find each bug.
+// TestFindsInjectedBugs checks that the checks find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
 	for _, planted := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
 		t.Run(string(planted), func(t *testing.T) {
--- a/internal/control/operatorapi/plant_test.go
+++ b/internal/control/operatorapi/injectedbugs_test.go
@@ -14,10 +14,10 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// plant is a bug that the checks must find.
+// injectedBug is a bug that the checks must find.
 type injectedBug string
 
-// Bugs that a world can be given.
+// Bugs that can be injected into a simulation.
 const (
 	bugNone                 injectedBug = ""
 	bugIDIsBaseVersion      injectedBug = "an order is known by the number that it builds on alone"
@@ -28,7 +28,7 @@
 	bugStaleResponse        injectedBug = "a caller gets the answer of the one before"
 )
 
-// chain spoils what the API has of the chain.
+// wrapChain injects a bug into the API's view of the chain.
 func (p injectedBug) wrapChain(whole Chain) Chain {
 	switch p {
 	case bugIDIsBaseVersion:
@@ -39,7 +39,7 @@
 	return whole
 }
 
-// numberedChain takes orders that build on one version for the same.
+// baseVersionIDChain takes all changes that build on one version for the same change.
 type baseVersionIDChain struct{ Chain }
 
 func (c baseVersionIDChain) Propose(ctx context.Context, _ string, change []byte) ([]byte, error) {
@@ -50,16 +50,16 @@
 	return c.Chain.Propose(ctx, fmt.Sprint("configuration-", command.Configuration.IfMatch), change)
 }
 
-// unprovenChain reads what is there.
+// unprovenReadChain reads the local state without a proof that it is current.
 type unprovenReadChain struct{ Chain }
 
 func (c unprovenReadChain) Read(context.Context) error { return nil }
 
-// forgetfulMachine forgets which orders were taken when it is restored.
+// forgetfulStateMachine forgets which changes were accepted when it is restored from a snapshot.
 type forgetfulStateMachine struct{ *statemachine.StateMachine }
 
 func (m *forgetfulStateMachine) Restore(raw []byte) error {
-	var whole struct{ Configuration []byte } // the world has no stores and lends no quota
+	var whole struct{ Configuration []byte } // the simulation has no stores and grants no quota
 	var state struct {
 		Index    uint64
 		Document []byte
@@ -82,7 +82,7 @@
 	return out.Bytes()
 }
 
-// handler spoils the API itself.
+// wrapHandler injects a bug into the API itself.
 func (p injectedBug) wrapHandler(api *API, whole http.Handler) http.Handler {
 	switch p {
 	case bugUnprovenGet:
@@ -96,7 +96,8 @@
 	case bugBaseBeforeRepeat:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			number, _ := strconv.ParseUint(request.Header.Get("If-Match"), 10, 64)
-			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil && number < api.options.State.Configuration().Generation {
+			if request.Method != http.MethodGet && api.awaitReadable(request.Context()) == nil &&
+				number < api.options.State.Configuration().Generation {
 				response.WriteHeader(http.StatusPreconditionFailed)
 				return
 			}
@@ -117,7 +118,7 @@
 	_, _ = response.Write(version.JSON())
 }
 
-// leftOver gives the answer of each second GET to the next one as well.
+// staleResponder answers each second GET with the response to the one before.
 type staleResponder struct {
 	next  http.Handler
 	mutex sync.Mutex
--- a/internal/control/operatorapi/majority_test.go
+++ b/internal/control/operatorapi/majoritylost_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestMajorityLost checks what docs/operate/control.md says of a core that has lost more than half of its voters:
-// it takes no order and tells nothing, for good where their disks are gone, and until one is back at its address
-// with its disk where they aren't.
+// TestMajorityLost checks what docs/operate/control.md says of a control plane that has lost more than half of its
+// voters: it accepts no change and answers nothing, for good if their disks are lost, else until one of them is
+// back at its address with its disk.
 func TestMajorityLost(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("disks come back %t", disks), func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// refusesAll checks that a machine takes and tells nothing for a while.
+// checkUnavailable checks that a machine neither accepts nor returns anything for a while.
 func (w *clusterSimulation) checkUnavailable(m *simulatedControl, span time.Duration) {
 	change := largeChange(21)
 	for end := w.now() + span; w.now() < end; {
--- a/internal/control/operatorapi/norace_test.go
+++ b/internal/control/operatorapi/norace_test.go
@@ -2,5 +2,5 @@
 
 package operatorapi
 
-// plainHistories is the number of worlds that are played by default.
+// plainHistories is the number of simulations that run by default.
 const plainHistories = 10
--- a/internal/control/operatorapi/many_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	manyOrders = 5_000 // ORDERS=N takes as many
+	manyOrders = 5_000 // or ORDERS=N
 	remembered = 4096
 )
 
-// usage is what the world holds in memory and on the fullest disk.
+// usage returns the heap of the simulation, and the bytes on the fullest disk.
 func (w *clusterSimulation) usage() (heap uint64, disk int64) {
 	for _, m := range w.members {
 		held, _, _ := m.disk.Usage()
@@ -27,8 +27,8 @@
 	return stats.HeapAlloc, disk
 }
 
-// TestManyOrders takes thousands of orders, and holds memory, disk and the snapshot to standing still from the
-// moment at which as many orders are remembered as ever are.
+// TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further once as
+// many changes are remembered as ever are.
 func TestManyOrders(t *testing.T) {
 	orders := int(envNumber("ORDERS", manyOrders))
 	full := remembered + (orders-remembered)/4
@@ -41,9 +41,19 @@
 		w.commit(full+1, orders, w.members...)
 		heapAfter, diskAfter := w.usage()
 		snapshotAfter := len(w.members[0].machine.Snapshot())
-		t.Logf("%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
-			full, orders, float64(heap)/1e6, float64(heapAfter)/1e6, float64(disk)/1e6, float64(diskAfter)/1e6, snapshot, snapshotAfter,
-			len(largeChange(1).Body), float64((w.now()-began).Microseconds())/1e3/float64(orders))
+		t.Logf(
+			"%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
+			full,
+			orders,
+			float64(heap)/1e6,
+			float64(heapAfter)/1e6,
+			float64(disk)/1e6,
+			float64(diskAfter)/1e6,
+			snapshot,
+			snapshotAfter,
+			len(largeChange(1).Body),
+			float64((w.now()-began).Microseconds())/1e3/float64(orders),
+		)
 		if heapAfter > heap+heap/4+4<<20 {
 			t.Errorf("the heap grew from %d to %d", heap, heapAfter)
 		}
@@ -61,8 +71,8 @@
 	})
 }
 
-// remembers checks what orders of any age get: those remembered an acknowledgement, older ones no clear answer, and
-// what was never taken a refusal as long as that is known.
+// checkRemembered checks the answers to changes of any age that are sent again: 200 to those that are remembered,
+// 503 to older ones, and 412 to one that was never accepted, as long as that is known.
 func (w *clusterSimulation) checkRemembered(orders int) {
 	for version := 1; version <= orders; version += 499 {
 		change := largeChange(version)
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -42,7 +42,9 @@
 // retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under way
 // isn't changed by it.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
-	raw, err := statemachine.Command{Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores}}.Encode()
+	raw, err := statemachine.Command{
+		Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores},
+	}.Encode()
 	if err != nil {
 		return 0, err
 	}
