--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -10,14 +10,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// core is the chain as an abstract register: orders are committed while all of the chain of the present epoch are in touch, and an
-// epoch begins where some are not for long enough and a majority is.
+// chainModel is the chain as an abstract register: commands are committed while all members of the current epoch's chain
+// are connected, and a new epoch begins if some are not for long enough and a majority is.
 type chainModel struct {
 	world    *harness
 	controls []*simControl
 	chain    []*simControl
 	log      []configuration.ChangeRequest
-	brokenAt time.Duration // since when the chain isn't whole; 0: it is
+	brokenAt time.Duration // since when members of the chain aren't connected; 0: they are
 	patience time.Duration
 	content  int // of the platform's list
 	readAt   map[int]time.Duration
@@ -36,10 +36,10 @@
 	life      int
 	inTouchAt time.Duration
 	joinedAt  time.Duration
-	lagsUntil time.Duration // it applies orders late until then
+	lagsUntil time.Duration // it applies commands late until then
 
 	proven     bool
-	freshSince time.Duration // in the world's time
+	freshSince time.Duration // in virtual time
 	pendingAt  time.Duration
 	pendingEnd int // 0: no proof is pending
 
@@ -49,7 +49,7 @@
 	listTrue time.Duration
 }
 
-// subscriber is what a session was sent, as control keeps it.
+// subscriber is what a session was sent, as control records it.
 type subscriber struct {
 	configuration, servers uint64
 	members                bool
@@ -76,7 +76,7 @@
 	return one.runs() && other.runs() && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
-// healthy tells whether a machine is in touch with a majority.
+// healthy reports whether a machine is connected to a majority.
 func (c *chainModel) healthy(one *simControl) bool {
 	count := 0
 	for _, other := range c.controls {
@@ -87,7 +87,7 @@
 	return one.runs() && 2*count > len(c.controls)
 }
 
-// serves tells whether the chain can commit.
+// serves reports whether the chain can commit.
 func (c *chainModel) serves() bool {
 	for i, one := range c.chain {
 		if !one.synced || !c.healthy(one) {
@@ -123,7 +123,7 @@
 	c.commit()
 }
 
-// change begins an epoch with those of the chain that are whole and in touch.
+// changeView begins an epoch with those members of the chain that are synced and connected.
 func (c *chainModel) changeView() {
 	var next []*simControl
 	for _, one := range c.chain {
@@ -142,7 +142,7 @@
 	c.readmit()
 }
 
-// takeBack lets machines in that have been in touch for a while; they copy what they lack.
+// readmit adds machines that have been connected for a while; they copy what they lack.
 func (c *chainModel) readmit() {
 	for _, one := range c.controls {
 		if slices.Contains(c.chain, one) || !c.healthy(one) || c.world.Elapsed()-one.inTouchAt < 300*time.Millisecond {
@@ -164,7 +164,7 @@
 	}
 }
 
-// commit takes the operator's next order, which all of the chain have synced.
+// commit commits the operator's next command, which all of the chain have synced.
 func (c *chainModel) commit() {
 	w := c.world
 	order, due := w.operator.next(w)
@@ -200,7 +200,7 @@
 	c.pushAll()
 }
 
-// beat asks the others again and again whether the epoch stands, and takes a proof of it.
+// heartbeat asks the others periodically whether the epoch is current, and starts a proof of it.
 func (c *simControl) heartbeat(life int) {
 	w := c.core.world
 	w.AfterOn(c.name, 150*time.Millisecond+w.span(100*time.Millisecond), func() {
@@ -220,14 +220,14 @@
 	})
 }
 
-// settle completes a proof once all that had been committed by then is applied.
+// completeProof completes a proof once all that had been committed by then is applied.
 func (c *simControl) completeProof() {
 	if c.pendingEnd > 0 && c.applied+1 >= c.pendingEnd {
 		c.proven, c.freshSince, c.pendingEnd = true, max(c.freshSince, c.pendingAt), 0
 	}
 }
 
-// fresh gives the age of what is known here, and whether it can be vouched for.
+// staleness returns the age of the state here, and whether it can be confirmed.
 func (c *simControl) staleness() (age time.Duration, ok bool) {
 	w := c.core.world
 	age = w.Elapsed() - c.freshSince
@@ -240,7 +240,7 @@
 	return age, c.proven && age <= maxProofAge
 }
 
-// stop ends the process, which may have its disk wiped; what it had not heard to be committed it applies anew.
+// stop ends the process, and may wipe its disk. What it didn't know to be committed it applies again.
 func (c *simControl) stop(wiped bool) {
 	c.up, c.frozen, c.proven, c.pendingEnd = false, false, false, 0
 	c.life++
@@ -270,7 +270,7 @@
 	c.heartbeat(c.life)
 }
 
-// readPlatform has a machine in touch read the platform's list and share it.
+// readPlatform has a connected machine read the platform's list and share it.
 func (c *chainModel) readPlatform() {
 	w := c.world
 	c.content++
@@ -304,7 +304,7 @@
 	c.pushAll()
 }
 
-// handlePoll does as control's does: it looks at its proof before anything that it vouches for, and pushes ahead of the answer.
+// handlePoll does as control's does: it reads its proof before the state that it confirms, and pushes ahead of the answer.
 func (c *simControl) handlePoll(s *session, poll protocol.Poll) {
 	w := c.core.world
 	age, fresh := c.staleness()
@@ -325,7 +325,7 @@
 		proven := c.proven && age <= maxProofAge
 		s.back.send(func() { s.gateway.answered(s, update, proven) })
 	}
-	if w.random.Chance(0.002) && !w.calm { // it stands still in between
+	if w.random.Chance(0.002) && !w.calm { // it is paused in between
 		c.freeze(w.span(maxPause))
 		w.AfterOn(c.name, 0, answer)
 		return
@@ -385,7 +385,7 @@
 	})
 }
 
-// body gives a configuration as JSON.
+// body returns a configuration as JSON.
 func body(document configuration.Document) []byte {
 	raw, err := json.Marshal(document)
 	if err != nil {
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -23,12 +23,12 @@
 	s                 *Subscription
 	session           *session
 	eager             bool // clients ask often, by keys
-	wantsConfirmation bool // somebody waits for control's word
+	wantsConfirmation bool // a request waits for a confirmation
 	waiters           []*waiter
 
-	faultAt   time.Duration // in trouble last
-	confirmed bool          // in this life a control process answered whose proof was true
-	index     uint64        // of the newest configuration seen in this life
+	faultAt   time.Duration // when the last fault ended
+	confirmed bool          // in this incarnation a control process answered whose proof was true
+	index     uint64        // of the newest configuration seen in this incarnation
 	content   int           // of the list of servers in force
 	served    int
 	rejected  map[int]int // by status
@@ -48,7 +48,7 @@
 	ended       bool
 }
 
-// waiter is a request that waits for control's word.
+// waiter is a request that waits for a confirmation.
 type waiter struct {
 	since time.Time
 	then  func(vouched bool)
@@ -65,7 +65,7 @@
 	return g
 }
 
-// start begins a life that knows seeds only.
+// start begins an incarnation that knows seeds only.
 func (g *simGateway) start(seeds []string) {
 	w := g.world
 	if g.up {
@@ -113,7 +113,7 @@
 	})
 }
 
-// cutOff cuts a gateway off from all control processes.
+// partitionFromControl partitions a gateway from all control processes.
 func (g *simGateway) partitionFromControl(way int, length time.Duration) {
 	w := g.world
 	g.faultAt = w.Elapsed() + length
@@ -122,10 +122,10 @@
 	}
 }
 
-// later runs something in this life, late where the process stands still.
+// later runs something in this incarnation, late if the process is paused.
 func (g *simGateway) later(delay time.Duration, run func()) { g.world.AfterOn(g.name, delay, run) }
 
-// soon is the next step of what goes on; now and then the machine is busy in between.
+// nextStep runs the next step of an activity; now and then the machine is busy in between.
 func (g *simGateway) nextStep(run func()) {
 	delay := time.Duration(g.world.random.IntN(20)) * time.Microsecond
 	if g.world.random.Chance(g.world.busy) {
@@ -136,7 +136,7 @@
 
 func (g *simGateway) ready() bool { return g.s.Ready(g.clock.read()) }
 
-// turn connects to the control process that is to be asked.
+// connect connects to the control process that the selector chooses.
 func (g *simGateway) connect() {
 	w := g.world
 	ip := g.s.control.Next(g.clock.read())
@@ -214,7 +214,7 @@
 	g.checkProgress()
 }
 
-// answered takes an answer in. Proven: its sender's proof was true.
+// answered takes in the answer to a poll. proven means that its sender's proof was true.
 func (g *simGateway) answered(s *session, update protocol.Update, proven bool) {
 	if s.ended || g.session != s || !s.asking || update.Sequence != s.sequence {
 		return
@@ -239,7 +239,7 @@
 	g.later(s.sent.Add(pause).Sub(now), func() { g.poll(s) })
 }
 
-// release tells those that wait for control's word.
+// release notifies those that wait for a confirmation.
 func (g *simGateway) release() {
 	waiters := g.waiters
 	g.waiters = nil
@@ -256,7 +256,7 @@
 	}
 }
 
-// await has control asked at once and waits for its word, for so long.
+// await has control asked at once and waits for its confirmation, for a time.
 func (g *simGateway) await(since time.Time, length time.Duration, then func(vouched bool)) {
 	if g.s.ConfirmedSince(since) {
 		then(true)
@@ -276,7 +276,7 @@
 	})
 }
 
-// look checks what is in force now against what was before.
+// checkProgress checks the state in force now against that before.
 func (g *simGateway) checkProgress() {
 	w := g.world
 	if held := g.s.Configuration(); held != nil {
@@ -299,14 +299,14 @@
 }
 
 const (
-	// listSlack is how much older a list may be that follows another: how old a list is, is known as of the poll whose answer came
-	// last, and messages take up to longestDelay.
+	// listSlack is how much older a list may be that follows another: the age of a list is known as of the poll whose
+	// answer came last, and messages take up to maxMessageDelay.
 	listSlack = replyTimeout + maxMessageDelay
-	// listMemory is how long after it stood still a gateway may not know how new the list is that it took as it thawed.
+	// listMemory is how long after a process pause a gateway may not know the age of the list that it applied as it resumed.
 	listMemory = 2 * time.Second
 )
 
-// state tells how a gateway is, for a report.
+// state describes a gateway, for a report.
 func (g *simGateway) state() string {
 	home, sequence := "none", uint64(0)
 	if g.session != nil {
--- a/internal/gateway/subscription/harness_test.go
+++ b/internal/gateway/subscription/harness_test.go
@@ -7,22 +7,22 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// The sites' bounds, and the times of what lies around a subscription.
+// The sites' bounds, and the times of what surrounds a subscription.
 const (
 	revoke          = 5 * time.Second
 	configApply     = 2 * time.Second
-	maxProofAge     = 800 * time.Millisecond  // of control's proof, where it vouches
-	denyWait        = 400 * time.Millisecond  // that a request waits for control's word before it is refused
+	maxProofAge     = 800 * time.Millisecond  // of control's proof, if it confirms
+	denyWait        = 400 * time.Millisecond  // that a request waits for a confirmation before it is denied
 	firstWait       = 1200 * time.Millisecond // and for the first configuration
 	maxPartition    = 20 * time.Second
 	maxPause        = 20 * time.Second
-	maxMessageDelay = 900 * time.Millisecond // of a message, where the path isn't cut
+	maxMessageDelay = 900 * time.Millisecond // of a message, without a partition
 )
 
-// plant is a bug of the harness that the checks must find.
+// injectedBug is a bug of the harness that the checks must find.
 type injectedBug string
 
-// world is gateways with the real subscriptions, control processes and an operator, in virtual time.
+// harness simulates gateways with real subscriptions, control processes and an operator, in virtual time.
 type harness struct {
 	*simulation.Simulation
 	random   *simulation.Rand
@@ -53,7 +53,7 @@
 
 func (w *harness) span(most time.Duration) time.Duration { return w.random.Between(0, most) }
 
-// every runs something again and again.
+// every runs something periodically.
 func (w *harness) every(period time.Duration, run func()) {
 	w.After(period, func() {
 		run()
@@ -61,7 +61,7 @@
 	})
 }
 
-// steadyClock is a machine's: it begins anywhere and gains or loses a little.
+// steadyClock is a machine's monotonic clock: it starts anywhere and drifts a little.
 type steadyClock struct {
 	world *harness
 	base  time.Time
@@ -80,12 +80,12 @@
 	return c.base.Add(time.Duration(float64(c.world.Elapsed()) * c.pace))
 }
 
-// pipe is one direction of a connection: what is sent comes in order, late, or the connection is broken.
+// pipe is one direction of a connection: what is sent arrives in order, maybe late, or the connection is broken.
 type pipe struct {
 	world             *harness
 	from, to          string
 	queue             []func()
-	survivesPartition bool // outlives a cut
+	survivesPartition bool // the connection isn't broken by a partition
 	waits             bool
 	broken            bool
 	slowNext          time.Duration // that the next message takes
@@ -128,7 +128,7 @@
 	}
 }
 
-// slowly gives what a message takes beside the usual: mostly nothing.
+// randomDelay returns the additional delay of a message: mostly none.
 func (p *pipe) randomDelay() time.Duration {
 	if p.world.random.Chance(p.world.slow) {
 		return p.world.span(maxMessageDelay)
@@ -136,7 +136,7 @@
 	return 0
 }
 
-// carry has a message on its way for long: it comes even if the path is cut meanwhile, and what follows waits.
+// deliverLate delivers a message after a delay, even if a partition begins meanwhile; what follows waits.
 func (p *pipe) deliverLate(length time.Duration, deliver func()) {
 	p.world.AfterOn(p.to, length, func() {
 		if !p.broken {
@@ -154,7 +154,7 @@
 	})
 }
 
-// cutBetween cuts two machines, both ways or one way, for a time.
+// partitionBetween partitions two machines, in both directions or one, for a time.
 func (w *harness) partitionBetween(one, other string, way int, length time.Duration) {
 	if way != 1 {
 		w.partitionFor(one, other, length)
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -12,7 +12,7 @@
 const (
 	stableKey   = "stable"
 	volatile    = 4    // keys that are replaced, and routes that come and go
-	replaced    = 0.15 // share of the keys that an order replaces
+	replaced    = 0.15 // share of the keys that a command replaces
 	oldKeys     = 4    // that clients use still
 	orderEvery  = 600 * time.Millisecond
 	unknownKey  = "never"
@@ -29,16 +29,16 @@
 	ackedAt    time.Duration // 0: not yet
 }
 
-// truth is what the operator sent and saw acknowledged.
+// operatorModel is what the operator sent and saw acknowledged.
 type operatorModel struct {
 	versions  []*version
 	numbers   [volatile]int // of the newest key of each kind
 	dueAt     time.Duration
-	closed    bool // no more orders
-	replacing bool // the next order is the last, and replaces all keys
+	closed    bool // no more commands
+	replacing bool // the next command is the last, and replaces all keys
 }
 
-// next gives the operator's next order, if one is due.
+// next returns the operator's next command, if one is due.
 func (t *operatorModel) next(w *harness) (configuration.ChangeRequest, bool) {
 	now := w.Elapsed()
 	if t.closed || now < t.dueAt || len(t.versions) > 0 && t.versions[len(t.versions)-1].ackedAt == 0 {
@@ -63,7 +63,7 @@
 	return one.order, true
 }
 
-// replaceAll has the last order replace all keys.
+// replaceAll has the last command replace all keys.
 func (t *operatorModel) replaceAll(at time.Duration) { t.dueAt, t.replacing = at, true }
 
 func (v *version) document(generation uint64) configuration.Document {
@@ -82,7 +82,7 @@
 
 func keyName(kind, number int) string { return fmt.Sprintf("key-%d-%d", kind, number) }
 
-// someKey gives one of the newest keys, or one that was removed lately.
+// someKey returns one of the newest keys, or one that was removed lately.
 func (t *operatorModel) someKey(w *harness) string {
 	kind := w.random.IntN(volatile)
 	if t.replacing {
@@ -109,8 +109,8 @@
 
 func (t *operatorModel) acknowledged(index int, at time.Duration) { t.versions[index-1].ackedAt = at }
 
-// ended tells since when a key is in no configuration that may be in force: since the acknowledgement of the one that removed it.
-// 0: it may be in force.
+// removedAt returns since when a key is in no configuration that may be in force: since the acknowledgement of the one that
+// removed it. 0: it may be in force.
 func (t *operatorModel) removedAt(key string) time.Duration {
 	for i := len(t.versions) - 1; i >= 0; i-- {
 		if t.versions[i].keys[key] {
@@ -123,7 +123,7 @@
 	return time.Nanosecond
 }
 
-// mayLack tells whether a configuration that may have been in force at a moment or later lacks a key or a route.
+// mayLack reports whether a configuration that may have been in force at a moment or later lacks a key or a route.
 func (t *operatorModel) mayLack(since time.Duration, lacks func(*version) bool) bool {
 	for i, one := range t.versions {
 		replaced := i+1 < len(t.versions) && t.versions[i+1].ackedAt > 0 && t.versions[i+1].ackedAt+configApply < since
@@ -134,10 +134,10 @@
 	return len(t.versions) == 0 || t.versions[0].ackedAt == 0 || t.versions[0].ackedAt+configApply >= since
 }
 
-// checkVouch checks what a control process says of itself: all that was acknowledged longer than age ago is applied there.
+// checkConfirmation checks a control process's confirmation: all that was acknowledged longer than age ago is applied there.
 func (t *operatorModel) checkConfirmation(w *harness, c *simControl, age time.Duration, fresh bool) {
 	if !fresh || w.bug != noBug {
-		return // the checks at the gateways are to find it
+		return // the checks at the gateways must find it
 	}
 	for i, one := range t.versions {
 		if one.ackedAt > 0 && one.ackedAt < w.Elapsed()-age && c.applied <= i {
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -12,25 +12,26 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// An island is a gateway and a control process, the head of the chain and allocator of quota, that reach only each other for twenty
-// seconds.
+// The partition: a gateway and a control process, which is the head of the chain and the allocator of quota, reach only each
+// other for twenty seconds.
 const (
 	partitionAt     = 6 * time.Second
 	partitionLength = 20 * time.Second
 	sampleInterval  = 100 * time.Millisecond
-	leaderLease     = 800 * time.Millisecond // after the last proof of its epoch a head leads, as in coord/replica
+	leaderLease     = 800 * time.Millisecond // for which a head leads after the last proof of its epoch, as in coord/replica
 	quotaRate       = 20
 	quotaPause      = 600 * time.Millisecond // between tokens of a lease, at most
 	partitionRuns   = 2
-	controlFound    = 6 * time.Second // a gateway that reaches one control process has found it
+	controlFound    = 6 * time.Second // by when a gateway that reaches one control process has found it
 )
 
-// island is what a gateway on one does: by the kind of act, when it did it last and first again, from the beginning of the cut.
+// partition records what a gateway in a partition does: for each kind of act, when it did it last and first again, from the
+// beginning of the partition.
 type partition struct {
 	*harness
 	gateway *simGateway
 	quota   *simQuota
-	began   time.Duration // the cut
+	began   time.Duration // the partition
 	last    map[string]time.Duration
 	again   map[string]time.Duration
 	tokenAt time.Duration // a token was had
@@ -57,7 +58,7 @@
 	return q
 }
 
-// pump asks the allocator as package limits does: it answers while its process leads.
+// pump asks the allocator as package quotaclient does: it answers while its process leads.
 func (q *simQuota) pump() {
 	now := q.world.Elapsed()
 	request, due := q.client.NextRequest(now)
@@ -72,7 +73,7 @@
 	q.world.After(2*time.Millisecond, func() { q.client.HandleReply(q.world.Elapsed(), &reply) })
 }
 
-// take asks for a token, and again a little later where it has to wait.
+// take asks for a token, and again a little later if it has to wait.
 func (q *simQuota) take(then func(admitted bool)) {
 	verdict := q.client.Take(q.world.Elapsed(), q.tenant)
 	if !verdict.Wait {
@@ -101,7 +102,7 @@
 	}
 }
 
-// sample has the gateway do one of each, and notes what it did.
+// sample has the gateway do one of each act, and records the result.
 func (i *partition) sample(at time.Duration) {
 	g := i.gateway
 	row := map[string]string{"readyz": "503"}
@@ -133,8 +134,8 @@
 	}
 }
 
-// playIsland plays one; a gateway that begins does so a second after the cut. A bug is planted
-// with the cut.
+// playPartition simulates a partition. If starts is true the gateway restarts a second after it begins. A bug is injected
+// with the partition.
 func playPartition(seed uint64, begins bool, bug injectedBug) *partition {
 	w := newHarness(seed, noBug)
 	w.calm = true
@@ -153,7 +154,7 @@
 		})
 	})
 	w.Run(2 * time.Second)
-	i.gateway.session.end() // the home is the one that is cut off
+	i.gateway.session.end() // the control process in the partition becomes the home
 	for _, one := range w.chain.controls {
 		if one != c {
 			w.partitionFor(i.gateway.name, one.name, controlFound+partitionLength)
@@ -178,8 +179,8 @@
 	return i
 }
 
-// TestIsland steps a gateway that hears only a control process that is cut off through the twenty seconds, and back. The page on
-// guarantees has the table; its bounds are checked here.
+// TestPartition steps a gateway that reaches only a partitioned control process through the twenty seconds, and back.
+// docs/design/guarantees.md has the table; its bounds are checked here.
 func TestPartition(t *testing.T) {
 	latest := map[string]time.Duration{"readyz": 2500 * time.Millisecond, "keyed": revoke - KeyLeaseMargin, "unknown key": time.Second,
 		"unknown route": time.Second, "quota": leaderLease + 3*time.Second, "public": partitionLength}
@@ -202,12 +203,12 @@
 	}
 }
 
-// TestIslandBeginning does so with a gateway that begins there: it is not ready and answers 503 alone until the end.
+// TestStartDuringPartition does so with a gateway that starts there: it is not ready and answers only 503 until the end.
 func TestStartDuringPartition(t *testing.T) {
 	for seed := uint64(1); seed <= partitionRuns; seed++ {
 		i := playPartition(seed, true, noBug)
 		for what, last := range i.last {
-			if what != "quota" { // tokens of a process that has not begun
+			if what != "quota" { // tokens don't depend on a configuration
 				t.Errorf("seed %d: %s at %v", seed, what, last)
 			}
 		}
@@ -219,8 +220,8 @@
 	}
 }
 
-// TestIslandPlanted shows that a control process that vouches without a proof, and a gateway that takes what nobody vouched for, are
-// seen.
+// TestPartitionFindsBugs shows that a control process that confirms without a proof, and a gateway that applies what wasn't
+// confirmed, are found.
 func TestPartitionFindsBugs(t *testing.T) {
 	for bug, reason := range map[injectedBug]string{bugUnprovenConfirmation: "which every configuration in force has", bugUnconfirmedConfiguration: "nobody has vouched"} {
 		if failure := partitionFailure(bug); !strings.Contains(failure, reason) {
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	defaultRuns   = 5 // played where SEEDS doesn't say
+	defaultRuns   = 5 // unless SEEDS says otherwise
 	faultsUntil   = 60 * time.Second
-	runLength     = 75 * time.Second // all has healed by then
+	runLength     = 75 * time.Second // all faults have ended by then
 	faultInterval = 900 * time.Millisecond
 	settleTime    = 4 * time.Second // without slow messages and busy machines
-	racesPerRun   = 3               // short worlds for each long one
+	racesPerRun   = 3               // short simulations for each long one
 )
 
-// Bugs that the harness can plant.
+// Bugs that the harness can inject.
 const (
 	noBug                       injectedBug = ""
 	bugUnprovenConfirmation     injectedBug = "a control process vouches without a proof"
@@ -33,11 +33,11 @@
 	bugServerListGoesBack       injectedBug = "a new home may hand out an older list of servers"
 )
 
-// foundBy tells for each bug which worlds and which check find it.
+// foundBy names for each bug the simulations and the check that find it.
 var foundBy = map[injectedBug]struct {
 	play   func(seed uint64, bug injectedBug) (*harness, string)
 	reason string
-	first  uint64 // seed; saves the worlds that are known not to find it
+	first  uint64 // seed; skips simulations that are known not to find it
 }{
 	bugUnprovenConfirmation:     {playRandom, "nobody has vouched", 1},
 	bugNoAge:                    {playKeyReplacementRace, "removed for good", 40},
@@ -49,7 +49,7 @@
 	bugServerListGoesBack:       {playRandom, "takes a list read at", 1},
 }
 
-// trouble brings one about, now and then.
+// injectFault injects a random fault.
 func (w *harness) injectFault() {
 	if w.calm || w.Elapsed() < 4*time.Second {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// whole counts the other machines of the chain with a whole disk.
+// countSynced counts the other machines of the chain that are synced.
 func (c *chainModel) countSynced(than *simControl) (count int) {
 	for _, one := range c.chain {
 		if one != than && one.synced {
@@ -99,7 +99,8 @@
 	return count
 }
 
-// isolate cuts a control process off from the others; a gateway, which may begin just then, reaches only it, and others may too.
+// isolate partitions a control process from the others. A gateway, which may start just then, reaches only it, and other
+// gateways may find it, too.
 func (w *harness) isolate(c *simControl, g *simGateway) {
 	length, way := time.Second+w.span(maxPartition-time.Second), w.random.IntN(3)
 	for _, one := range w.chain.controls {
@@ -115,7 +116,7 @@
 			w.After(100*time.Millisecond, func() { g.start([]string{c.name}) })
 		})
 	}
-	if w.random.Chance(0.3) { // another loses its home and finds this one
+	if w.random.Chance(0.3) { // another gateway loses its home and finds this one
 		other := w.gateways[w.random.IntN(len(w.gateways))]
 		w.After(w.span(length), func() {
 			if other.session != nil && other.up {
@@ -125,8 +126,9 @@
 	}
 }
 
-// playAmbush plays a short world without random troubles, in which one thing goes wrong at a gateway around the moment at which all keys
-// are replaced, and it is cut off for longer than a lease lasts. Its clients keep to the old keys.
+// playKeyReplacementRace plays a short simulation without random faults, in which one thing goes wrong at a gateway around
+// the moment at which all keys are replaced, and it is partitioned for longer than a lease lasts. Its clients keep using
+// the old keys.
 func playKeyReplacementRace(seed uint64, bug injectedBug) (w *harness, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -140,21 +142,21 @@
 	g, due := w.gateways[0], 50*time.Millisecond+w.span(400*time.Millisecond)
 	w.operator.replaceAll(w.Elapsed() + due)
 	g.eager = true
-	var cutAfter time.Duration // the order
+	var cutAfter time.Duration // after the command
 	switch seed % 3 {
-	case 0: // an answer is on its way for long
+	case 0: // an answer is delayed
 		w.After(due-w.span(400*time.Millisecond), func() {
 			if g.session != nil {
 				g.session.back.slowNext = replyTimeout/2 + w.span(replyTimeout/2)
 			}
 		})
 		cutAfter = w.span(300 * time.Millisecond)
-	case 1: // the home is late to hear of the order
+	case 1: // the home applies the command late
 		if g.session != nil {
 			g.session.control.lagsUntil = w.Elapsed() + due + time.Second
 		}
 		cutAfter = 300*time.Millisecond + w.span(600*time.Millisecond)
-	case 2: // it comes back on a busy machine
+	case 2: // it is reconnected on a busy machine
 		w.busy = 0.5
 		cutAfter = -due
 	}
@@ -163,7 +165,7 @@
 	return w, ""
 }
 
-// playWorld plays a world with all troubles and tells what broke.
+// playRandom plays a simulation with all faults, and returns which check failed.
 func playRandom(seed uint64, bug injectedBug) (w *harness, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -195,7 +197,7 @@
 	return w, ""
 }
 
-// wanted reads a number from the environment.
+// environmentInt reads a number from the environment.
 func environmentInt(name string, usual int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
@@ -203,7 +205,7 @@
 	return usual
 }
 
-// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
+// TestRandomWorlds plays simulations with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
 func TestRandomWorlds(t *testing.T) {
 	first, count := environmentInt("FIRST", 1), environmentInt("SEEDS", defaultRuns)
 	var mutex sync.Mutex
@@ -245,7 +247,7 @@
 	t.Logf("%d worlds, %d troubles, %d configurations, %d requests served, refused by status: %v", count, troubles, orders, served, refused)
 }
 
-// TestPlantedBugs shows that the worlds find each bug, by the check that is meant for it.
+// TestSimulationsFindBugs shows that the simulations find each bug, by the check that is meant for it.
 func TestSimulationsFindBugs(t *testing.T) {
 	const mostWorlds = 300
 	for bug, by := range foundBy {
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -13,20 +13,20 @@
 	eagerEvery   = 6 * time.Millisecond
 )
 
-// wish is a client's request, on its way through the steps of the proxy.
+// simRequest is a client's request, as it passes through the steps of the proxy.
 type simRequest struct {
 	gateway      *simGateway
 	key          string
 	route        string
 	arrived      time.Time
-	at           time.Duration // the same in the world's time
-	lookAt       time.Duration // when the configuration was looked at
+	at           time.Duration // the same in virtual time
+	lookAt       time.Duration // when the configuration was read
 	leaseExpired bool
 	tenant       *configuration.Tenant
-	done         func(status int) // nil: nobody looks
+	done         func(status int) // may be nil
 }
 
-// ask sends requests to the gateway, in this life.
+// ask sends requests to the gateway, in this incarnation.
 func (g *simGateway) ask() {
 	w := g.world
 	pause, kinds := requestEvery/2+w.span(requestEvery), 8
@@ -50,7 +50,7 @@
 	})
 }
 
-// read is how the proxy begins with a request.
+// read is how the proxy begins a request.
 func (q *simRequest) read() {
 	g := q.gateway
 	q.arrived, q.at = g.clock.read(), g.world.Elapsed()
@@ -79,7 +79,7 @@
 	})
 }
 
-// judge looks again once control has said its word.
+// afterConfirmation resolves the request again once control has confirmed.
 func (q *simRequest) afterConfirmation(vouched bool) {
 	if !vouched {
 		q.answer(http.StatusServiceUnavailable)
@@ -94,7 +94,7 @@
 	})
 }
 
-// find looks at the lease, and then the route and the key up; 0: they are there.
+// find reads the lease, and then looks up the route and the key; 0: they exist.
 func (q *simRequest) find(then func(status int)) {
 	g := q.gateway
 	q.lookAt = g.world.Elapsed()
@@ -128,7 +128,7 @@
 	return q.tenant == nil || !q.leaseExpired && g.s.KeyLeaseValid(g.clock.read())
 }
 
-// check looks at the lease, and once more right before the first byte to a server, after a wait for a token and a place.
+// check checks the lease, and again right before the first byte to a server, after a wait for a token and a server.
 func (q *simRequest) check() {
 	w := q.gateway.world
 	if !q.keyValid() {
@@ -148,7 +148,7 @@
 	})
 }
 
-// serve passes the request on: the auditor's part.
+// serve forwards the request, and checks that it may.
 func (q *simRequest) serve() {
 	g := q.gateway
 	w := g.world
@@ -165,7 +165,7 @@
 	}
 }
 
-// answer refuses the request.
+// answer rejects the request.
 func (q *simRequest) answer(status int) {
 	g := q.gateway
 	w := g.world
--- a/internal/gateway/subscription/subscription_test.go
+++ b/internal/gateway/subscription/subscription_test.go
@@ -15,7 +15,7 @@
 
 func TestControlSelector(t *testing.T) {
 	now := time.Unix(1000, 0)
-	Convey("A listed one of the own zone goes first, and one that failed rests", t, func() {
+	Convey("A listed control process of the own zone goes first, and one that failed backs off", t, func() {
 		h := NewControlSelector("front-a-1", "a")
 		So(h.Next(now), ShouldBeEmpty)
 		h.Seed([]string{"1", "2", "3"})
@@ -32,7 +32,7 @@
 		h.Update(nil)
 		So(h.Next(now.Add(time.Minute)), ShouldEqual, "2")
 	})
-	Convey("Gateways are spread over the homes that are as good for them", t, func() {
+	Convey("Gateways are spread over equally good control processes", t, func() {
 		chosen := map[string]int{}
 		for _, node := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
 			h := NewControlSelector(node, "z")
@@ -45,7 +45,7 @@
 
 func TestKeyLease(t *testing.T) {
 	now := time.Now()
-	Convey("A lease counts from when the poll was sent, and only rises", t, func() {
+	Convey("A lease counts from when the poll was sent, and is never shortened", t, func() {
 		l := NewKeyLease(true, 5*time.Second, now)
 		So(l.Valid(now), ShouldBeFalse)
 		l.Renew(now, time.Second)
@@ -57,12 +57,12 @@
 		So(l.Valid(now.Add(5599*time.Millisecond)), ShouldBeTrue)
 		So(l.Valid(now.Add(5600*time.Millisecond)), ShouldBeFalse)
 	})
-	Convey("Where keys don't end by lease it always holds", t, func() {
+	Convey("If keys don't end by lease it is always valid", t, func() {
 		So(NewKeyLease(false, time.Second, now).Valid(now.Add(time.Hour)), ShouldBeTrue)
 	})
 }
 
-// unused is a pool of a gateway that sends nothing.
+// unused is a pool without connections.
 type unused struct{}
 
 func (unused) Apply([]pool.Change) {}
@@ -78,7 +78,7 @@
 
 func TestFirstConfiguration(t *testing.T) {
 	now := time.Now()
-	Convey("Given a process that begins and hears a control process that vouches for nothing", t, func() {
+	Convey("Given a new process and a control process that doesn't confirm its state", t, func() {
 		s := testSubscription(now)
 		polling := newPollState(now)
 		unsure := &protocol.Update{Sequence: 1, Configuration: document(3, "")}
@@ -86,14 +86,14 @@
 		_, stays := s.handlePollAnswer(&polling, now, now, unsure)
 		So(stays, ShouldBeTrue)
 
-		Convey("it has no configuration in force, and leaves", func() {
+		Convey("it has no configuration in force, and leaves that control process", func() {
 			So(s.Configuration(), ShouldBeNil)
 			So(s.buildPoll(2).Configuration, ShouldEqual, 3)
 			later := now.Add(maxUnconfirmed + time.Millisecond)
 			_, stays := s.handlePollAnswer(&polling, later, later, &protocol.Update{Sequence: 2})
 			So(stays, ShouldBeFalse)
 		})
-		Convey("what it was handed is in force once one vouches for it", func() {
+		Convey("the configuration takes effect once it is confirmed", func() {
 			s.handlePollAnswer(&polling, now, now, &protocol.Update{Sequence: 2, Fresh: true})
 			So(s.Configuration().Index, ShouldEqual, 3)
 			So(s.KeyLeaseValid(now), ShouldBeTrue)
@@ -117,7 +117,7 @@
 		So(err, ShouldBeNil)
 		l.answered(now, &protocol.Update{ListRead: true, ListAge: time.Second})
 
-		Convey("an older one of another control process isn't taken, and asked for again", func() {
+		Convey("an older one of another control process isn't applied, and a complete one is asked for", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 20 * time.Second}, now.Add(time.Second))
 			So(err, ShouldEqual, errStaleList)
 			So(l.current.Source, ShouldEqual, "a")
@@ -138,27 +138,27 @@
 			So(err, ShouldBeNil)
 			So(l.asOf, ShouldEqual, now)
 		})
-		Convey("one that may be as new is taken", func() {
+		Convey("one that may be as new is applied", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 3 * time.Second}, now.Add(2*time.Second))
 			So(err, ShouldBeNil)
 		})
-		Convey("so is one of a control process that doesn't tell", func() {
+		Convey("so is one of a control process that doesn't tell the age", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9)}, now.Add(time.Second))
 			So(err, ShouldBeNil)
 		})
 	})
 }
 
-// TestProcesses holds the list of processes to what was vouched for.
+// TestMembers checks that only confirmed lists of processes are applied.
 func TestMembers(t *testing.T) {
 	set := func(epoch uint64, settled bool) protocol.StoreView {
 		return protocol.StoreView{Epoch: epoch, Settled: settled}
 	}
-	Convey("Only a list that control vouches for is put in force, and the set of batch processes never goes back", t, func() {
+	Convey("Only a confirmed list takes effect, and the set of batch processes never goes back", t, func() {
 		s := New(Options{Settings: &node.Settings{}, Ready: func() bool { return true }})
 		s.applyMembers(&protocol.MemberList{Version: 4, Stores: set(9, false), Control: []protocol.ControlMember{{IP: "127.0.0.9", Zone: "z"}}})
 		So(s.Members(), ShouldBeNil)
-		So(s.control.Next(time.Now()), ShouldEqual, "127.0.0.9") // it may be asked nevertheless
+		So(s.control.Next(time.Now()), ShouldEqual, "127.0.0.9") // it may be subscribed to nevertheless
 		s.applyMembers(&protocol.MemberList{Version: 1, Vouched: true, Stores: set(5, true), QuotaAddress: "a"})
 		So(s.Members().Stores, ShouldResemble, set(5, true))
 		s.applyMembers(&protocol.MemberList{Version: 7, Stores: set(6, false)})
