--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -13,7 +13,7 @@
 // chainModel is the chain as an abstract register: commands are committed while all members of the current epoch's chain
 // are connected, and a new epoch begins if some are not for long enough and a majority is.
 type chainModel struct {
-	world    *harness
+	harness  *harness
 	controls []*simControl
 	chain    []*simControl
 	log      []configuration.ChangeRequest
@@ -25,7 +25,7 @@
 
 // simControl is a control process.
 type simControl struct {
-	core      *chainModel
+	chain     *chainModel
 	name      string
 	clock     steadyClock
 	state     *configuration.State
@@ -55,24 +55,24 @@
 	members                bool
 }
 
-func newChainModel(w *harness, machines int) *chainModel {
-	c := &chainModel{world: w, readAt: map[int]time.Duration{}}
+func newChainModel(h *harness, machines int) *chainModel {
+	c := &chainModel{harness: h, readAt: map[int]time.Duration{}}
 	for i := range machines {
-		one := &simControl{core: c, name: fmt.Sprintf("control-%d", i), clock: w.newClock(), synced: true, up: true,
+		one := &simControl{chain: c, name: fmt.Sprintf("control-%d", i), clock: h.newClock(), synced: true, up: true,
 			state: configuration.NewState(), sessions: map[*session]*subscriber{}}
 		c.controls = append(c.controls, one)
 		one.heartbeat(one.life)
 	}
 	c.chain = slices.Clone(c.controls)
-	w.every(10*time.Millisecond, c.tick)
-	w.every(800*time.Millisecond, c.readPlatform)
+	h.every(10*time.Millisecond, c.tick)
+	h.every(800*time.Millisecond, c.readPlatform)
 	return c
 }
 
 func (c *simControl) runs() bool { return c.up && !c.frozen }
 
 func (c *chainModel) connected(one, other *simControl) bool {
-	links := c.world.Links
+	links := c.harness.Links
 	return one.runs() && other.runs() && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
@@ -103,7 +103,7 @@
 }
 
 func (c *chainModel) tick() {
-	now := c.world.Elapsed()
+	now := c.harness.Elapsed()
 	for _, one := range c.controls {
 		if !c.healthy(one) {
 			one.inTouchAt = now
@@ -111,7 +111,7 @@
 	}
 	if !c.serves() {
 		if c.brokenAt == 0 {
-			c.brokenAt, c.patience = now, 700*time.Millisecond+c.world.span(600*time.Millisecond)
+			c.brokenAt, c.patience = now, 700*time.Millisecond+c.harness.span(600*time.Millisecond)
 		}
 		if now-c.brokenAt > c.patience {
 			c.changeView()
@@ -145,7 +145,7 @@
 // readmit adds machines that have been connected for a while; they copy what they lack.
 func (c *chainModel) readmit() {
 	for _, one := range c.controls {
-		if slices.Contains(c.chain, one) || !c.healthy(one) || c.world.Elapsed()-one.inTouchAt < 300*time.Millisecond {
+		if slices.Contains(c.chain, one) || !c.healthy(one) || c.harness.Elapsed()-one.inTouchAt < 300*time.Millisecond {
 			continue
 		}
 		if slices.ContainsFunc(c.chain, func(other *simControl) bool { return !c.connected(one, other) }) {
@@ -159,15 +159,15 @@
 func (c *chainModel) beginEpoch(chain []*simControl) {
 	c.chain, c.brokenAt = chain, 0
 	for _, one := range chain {
-		one.joinedAt = c.world.Elapsed()
+		one.joinedAt = c.harness.Elapsed()
 		one.applySoon(len(c.log))
 	}
 }
 
 // commit commits the operator's next command, which all of the chain have synced.
 func (c *chainModel) commit() {
-	w := c.world
-	order, due := w.operator.next(w)
+	h := c.harness
+	order, due := h.operator.next(h)
 	if !due {
 		return
 	}
@@ -176,16 +176,16 @@
 		one.applySoon(len(c.log))
 	}
 	index := len(c.log)
-	w.After(w.span(20*time.Millisecond), func() { w.operator.acknowledged(index, w.Elapsed()) })
+	h.After(h.span(20*time.Millisecond), func() { h.operator.acknowledged(index, h.Elapsed()) })
 }
 
 func (c *simControl) applySoon(end int) {
-	w := c.core.world
-	delay := w.span(30 * time.Millisecond)
-	if w.random.Chance(w.slow) || c.lagsUntil > w.Elapsed() {
-		delay = w.span(maxMessageDelay)
+	h := c.chain.harness
+	delay := h.span(30 * time.Millisecond)
+	if h.random.Chance(h.slow) || c.lagsUntil > h.Elapsed() {
+		delay = h.span(maxMessageDelay)
 	}
-	w.AfterOn(c.name, delay, func() { c.apply(end) })
+	h.AfterOn(c.name, delay, func() { c.apply(end) })
 }
 
 func (c *simControl) apply(end int) {
@@ -194,7 +194,7 @@
 	}
 	for c.applied < end {
 		c.applied++
-		c.state.Apply(uint64(c.applied), c.core.log[c.applied-1])
+		c.state.Apply(uint64(c.applied), c.chain.log[c.applied-1])
 	}
 	c.completeProof()
 	c.pushAll()
@@ -202,19 +202,19 @@
 
 // heartbeat asks the others periodically whether the epoch is current, and starts a proof of it.
 func (c *simControl) heartbeat(life int) {
-	w := c.core.world
-	w.AfterOn(c.name, 150*time.Millisecond+w.span(100*time.Millisecond), func() {
+	h := c.chain.harness
+	h.AfterOn(c.name, 150*time.Millisecond+h.span(100*time.Millisecond), func() {
 		if c.life != life {
 			return
 		}
-		if slices.Contains(c.core.chain, c) && c.synced && c.core.healthy(c) {
+		if slices.Contains(c.chain.chain, c) && c.synced && c.chain.healthy(c) {
 			c.apply(c.applied)
 			if c.pendingEnd == 0 {
-				c.pendingAt = max(w.Elapsed()-w.span(10*time.Millisecond), c.joinedAt)
-				c.pendingEnd = len(c.core.log) + 1
+				c.pendingAt = max(h.Elapsed()-h.span(10*time.Millisecond), c.joinedAt)
+				c.pendingEnd = len(c.chain.log) + 1
 			}
 			c.completeProof()
-			c.applySoon(len(c.core.log))
+			c.applySoon(len(c.chain.log))
 		}
 		c.heartbeat(life)
 	})
@@ -229,12 +229,12 @@
 
 // staleness returns the age of the state here, and whether it can be confirmed.
 func (c *simControl) staleness() (age time.Duration, ok bool) {
-	w := c.core.world
-	age = w.Elapsed() - c.freshSince
+	h := c.chain.harness
+	age = h.Elapsed() - c.freshSince
 	switch {
-	case w.bug == bugUnprovenConfirmation:
+	case h.bug == bugUnprovenConfirmation:
 		return 0, true
-	case w.bug == bugNoAge && c.proven:
+	case h.bug == bugNoAge && c.proven:
 		return 0, age <= maxProofAge
 	}
 	return age, c.proven && age <= maxProofAge
@@ -244,15 +244,15 @@
 func (c *simControl) stop(wiped bool) {
 	c.up, c.frozen, c.proven, c.pendingEnd = false, false, false, 0
 	c.life++
-	c.core.world.Stop(c.name)
-	for _, one := range c.core.world.gateways {
+	c.chain.harness.Stop(c.name)
+	for _, one := range c.chain.harness.gateways {
 		if one.session != nil && one.session.control == c {
 			one.session.end()
 		}
 	}
 	clear(c.sessions)
 	c.state, c.list = configuration.NewState(), nil
-	known := max(0, c.applied-c.core.world.random.IntN(3))
+	known := max(0, c.applied-c.chain.harness.random.IntN(3))
 	c.applied = 0
 	if wiped {
 		c.synced = false
@@ -266,23 +266,23 @@
 		return
 	}
 	c.up = true
-	c.core.world.Start(c.name)
+	c.chain.harness.Start(c.name)
 	c.heartbeat(c.life)
 }
 
 // readPlatform has a connected machine read the platform's list and share it.
 func (c *chainModel) readPlatform() {
-	w := c.world
+	h := c.harness
 	c.content++
-	c.readAt[c.content] = w.Elapsed()
-	content, readAt := c.content, w.Elapsed()
+	c.readAt[c.content] = h.Elapsed()
+	content, readAt := c.content, h.Elapsed()
 	for _, reader := range c.controls {
 		if !c.healthy(reader) {
 			continue
 		}
 		for _, one := range c.controls {
 			if c.connected(reader, one) {
-				w.AfterOn(one.name, w.span(30*time.Millisecond), func() { one.takeList(content, readAt) })
+				h.AfterOn(one.name, h.span(30*time.Millisecond), func() { one.takeList(content, readAt) })
 			}
 		}
 		return
@@ -298,7 +298,7 @@
 		version = c.list.Version + 1
 	}
 	c.listTrue = readAt
-	c.listAt = c.clock.read().Add(readAt - c.core.world.Elapsed())
+	c.listAt = c.clock.read().Add(readAt - c.chain.harness.Elapsed())
 	c.list = &protocol.ServerList{Version: version, Source: fmt.Sprint(c.name, c.life),
 		Servers: []protocol.Server{{ID: "i", Backend: "b", Address: "a", Slots: content}}}
 	c.pushAll()
@@ -306,9 +306,9 @@
 
 // handlePoll does as control's does: it reads its proof before the state that it confirms, and pushes ahead of the answer.
 func (c *simControl) handlePoll(s *session, poll protocol.Poll) {
-	w := c.core.world
+	h := c.chain.harness
 	age, fresh := c.staleness()
-	w.operator.checkConfirmation(w, c, age, fresh)
+	h.operator.checkConfirmation(h, c, age, fresh)
 	subscribed := c.sessions[s]
 	if subscribed == nil {
 		subscribed = &subscriber{}
@@ -325,21 +325,21 @@
 		proven := c.proven && age <= maxProofAge
 		s.back.send(func() { s.gateway.answered(s, update, proven) })
 	}
-	if w.random.Chance(0.002) && !w.calm { // it is paused in between
-		c.freeze(w.span(maxPause))
-		w.AfterOn(c.name, 0, answer)
+	if h.random.Chance(0.002) && !h.calm { // it is paused in between
+		c.freeze(h.span(maxPause))
+		h.AfterOn(c.name, 0, answer)
 		return
 	}
 	answer()
 }
 
 func (c *simControl) ageList(update *protocol.Update) {
-	update.ListRead = c.list != nil && c.core.world.bug != bugServerListGoesBack
+	update.ListRead = c.list != nil && c.chain.harness.bug != bugServerListGoesBack
 	update.ListAge = c.clock.read().Sub(c.listAt)
 }
 
 func (c *simControl) pushAll() {
-	for _, one := range c.core.world.gateways { // in order, so that a seed replays
+	for _, one := range c.chain.harness.gateways { // in order, so that a seed replays
 		if s := one.session; s != nil && s.control == c && c.sessions[s] != nil {
 			c.push(s, c.sessions[s])
 		}
@@ -355,7 +355,7 @@
 	if !subscribed.members {
 		subscribed.members = true
 		update.Members = &protocol.MemberList{Version: 1}
-		for _, one := range c.core.controls {
+		for _, one := range c.chain.controls {
 			update.Members.Control = append(update.Members.Control, protocol.ControlMember{IP: one.name, Zone: "z"})
 		}
 	}
@@ -370,17 +370,17 @@
 }
 
 func (c *simControl) freeze(length time.Duration) {
-	w := c.core.world
+	h := c.chain.harness
 	if !c.runs() {
 		return
 	}
 	c.frozen = true
 	life := c.life
-	w.Pause(c.name)
-	w.After(length, func() {
+	h.Pause(c.name)
+	h.After(length, func() {
 		if c.life == life {
 			c.frozen = false
-			w.Resume(c.name)
+			h.Resume(c.name)
 		}
 	})
 }
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -12,7 +12,7 @@
 
 // simGateway is a gateway: the real subscription, and the steps that its connection and the proxy take with it.
 type simGateway struct {
-	world             *harness
+	harness           *harness
 	name              string
 	clock             steadyClock
 	incarnation       int
@@ -55,31 +55,31 @@
 	done  bool
 }
 
-func (w *harness) addGateway() *simGateway {
-	g := &simGateway{world: w, name: fmt.Sprintf("gateway-%d", len(w.gateways)), clock: w.newClock(), rejected: map[int]int{}}
-	for _, one := range w.chain.controls[:3] {
+func (h *harness) addGateway() *simGateway {
+	g := &simGateway{harness: h, name: fmt.Sprintf("gateway-%d", len(h.gateways)), clock: h.newClock(), rejected: map[int]int{}}
+	for _, one := range h.chain.controls[:3] {
 		g.seeds = append(g.seeds, one.name)
 	}
-	w.gateways = append(w.gateways, g)
+	h.gateways = append(h.gateways, g)
 	g.start(g.seeds)
 	return g
 }
 
 // start begins an incarnation that knows seeds only.
 func (g *simGateway) start(seeds []string) {
-	w := g.world
+	h := g.harness
 	if g.up {
 		return
 	}
 	g.incarnation++
 	g.up, g.frozen, g.session, g.waiters, g.confirmed, g.index, g.content = true, false, nil, nil, false, 0, 0
-	g.faultAt = w.Elapsed()
-	w.Start(g.name)
+	g.faultAt = h.Elapsed()
+	h.Start(g.name)
 	g.table = endpoints.NewRegistry(unused{})
 	process := protocol.Process{Node: g.name, Role: protocol.RoleGateway, Zone: "z", IP: g.name, Incarnation: fmt.Sprint(g.incarnation)}
 	settings := &node.Settings{Bounds: node.Bounds{Closed: true, Revoke: revoke}}
 	g.s = newAt(Options{Settings: settings, Process: process, Servers: g.table, Ready: g.ready}, g.clock.read())
-	g.s.everConfirmed = w.bug == bugUnconfirmedConfiguration
+	g.s.everConfirmed = h.bug == bugUnconfirmedConfiguration
 	g.s.control.Seed(seeds)
 	g.later(reconnectPause, g.connect)
 	g.ask()
@@ -88,48 +88,48 @@
 func (g *simGateway) stop() {
 	if g.up {
 		g.up, g.frozen = false, false
-		g.faultAt = g.world.Elapsed()
+		g.faultAt = g.harness.Elapsed()
 		if g.session != nil {
 			g.session.end()
 		}
-		g.world.Stop(g.name)
+		g.harness.Stop(g.name)
 	}
 }
 
 func (g *simGateway) freeze(length time.Duration) {
-	w := g.world
+	h := g.harness
 	if !g.up || g.frozen {
 		return
 	}
 	life := g.incarnation
 	g.frozen = true
-	g.faultAt = w.Elapsed() + length
-	w.Pause(g.name)
-	w.After(length, func() {
+	g.faultAt = h.Elapsed() + length
+	h.Pause(g.name)
+	h.After(length, func() {
 		if g.incarnation == life && g.up {
 			g.frozen = false
-			w.Resume(g.name)
+			h.Resume(g.name)
 		}
 	})
 }
 
 // partitionFromControl partitions a gateway from all control processes.
 func (g *simGateway) partitionFromControl(way int, length time.Duration) {
-	w := g.world
-	g.faultAt = w.Elapsed() + length
-	for _, one := range w.chain.controls {
-		w.partitionBetween(g.name, one.name, way, length)
+	h := g.harness
+	g.faultAt = h.Elapsed() + length
+	for _, one := range h.chain.controls {
+		h.partitionBetween(g.name, one.name, way, length)
 	}
 }
 
 // later runs something in this incarnation, late if the process is paused.
-func (g *simGateway) later(delay time.Duration, run func()) { g.world.AfterOn(g.name, delay, run) }
+func (g *simGateway) later(delay time.Duration, run func()) { g.harness.AfterOn(g.name, delay, run) }
 
 // nextStep runs the next step of an activity; now and then the machine is busy in between.
 func (g *simGateway) nextStep(run func()) {
-	delay := time.Duration(g.world.random.IntN(20)) * time.Microsecond
-	if g.world.random.Chance(g.world.busy) {
-		delay = g.world.span(30 * time.Millisecond)
+	delay := time.Duration(g.harness.random.IntN(20)) * time.Microsecond
+	if g.harness.random.Chance(g.harness.busy) {
+		delay = g.harness.span(30 * time.Millisecond)
 	}
 	g.later(delay, run)
 }
@@ -138,12 +138,12 @@
 
 // connect connects to the control process that the selector chooses.
 func (g *simGateway) connect() {
-	w := g.world
+	h := g.harness
 	ip := g.s.control.Next(g.clock.read())
-	s := &session{gateway: g, control: w.control(ip), incarnation: g.incarnation, out: w.newPipe(g.name, ip), back: w.newPipe(ip, g.name)}
+	s := &session{gateway: g, control: h.control(ip), incarnation: g.incarnation, out: h.newPipe(g.name, ip), back: h.newPipe(ip, g.name)}
 	g.session = s
 	g.s.serverList.reconnected(g.clock.read())
-	if w.bug == bugConfigurationGoesBack {
+	if h.bug == bugConfigurationGoesBack {
 		g.s.state = configuration.NewState()
 	}
 	s.out.send(func() {
@@ -156,8 +156,8 @@
 	})
 }
 
-func (w *harness) control(ip string) *simControl {
-	for _, one := range w.chain.controls {
+func (h *harness) control(ip string) *simControl {
+	for _, one := range h.chain.controls {
 		if one.name == ip {
 			return one
 		}
@@ -222,7 +222,7 @@
 	s.asking = false
 	g.confirmed = g.confirmed || proven && update.Fresh
 	now, sent := g.clock.read(), s.sent
-	if g.world.bug == bugLeaseFromReceipt {
+	if g.harness.bug == bugLeaseFromReceipt {
 		sent = now
 	}
 	g.s.handleUpdate(&update, now)
@@ -278,23 +278,23 @@
 
 // checkProgress checks the state in force now against that before.
 func (g *simGateway) checkProgress() {
-	w := g.world
+	h := g.harness
 	if held := g.s.Configuration(); held != nil {
 		if held.Index < g.index {
-			w.failf("%s goes back from configuration %d to %d", g.name, g.index, held.Index)
+			h.failf("%s goes back from configuration %d to %d", g.name, g.index, held.Index)
 		}
 		g.index = held.Index
 	}
 	if table := g.table.Current(); table != nil {
 		content := table.ForBackend("b")[0].Slots
-		readAt, before := w.chain.readAt[content], w.chain.readAt[g.content]
-		if calm := w.Elapsed()-g.faultAt > listMemory; calm && readAt < before-listSlack {
-			w.failf("%s takes a list read at %v for one read at %v", g.name, readAt, before)
+		readAt, before := h.chain.readAt[content], h.chain.readAt[g.content]
+		if calm := h.Elapsed()-g.faultAt > listMemory; calm && readAt < before-listSlack {
+			h.failf("%s takes a list read at %v for one read at %v", g.name, readAt, before)
 		}
 		g.content = content
 	}
 	if g.ready() && !g.confirmed {
-		w.failf("%s is ready, and nobody has vouched for what it knows", g.name)
+		h.failf("%s is ready, and nobody has vouched for what it knows", g.name)
 	}
 }
 
--- a/internal/gateway/subscription/harness_test.go
+++ b/internal/gateway/subscription/harness_test.go
@@ -39,50 +39,50 @@
 func newHarness(seed uint64, bug injectedBug) *harness {
 	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond, Ordered: true}
-	w := &harness{Simulation: sim, random: sim.Random, bug: bug}
-	w.busy, w.slow = 0.05, 0.01
+	h := &harness{Simulation: sim, random: sim.Random, bug: bug}
+	h.busy, h.slow = 0.05, 0.01
 	if seed%4 == 3 {
-		w.busy, w.slow = 0.5, 0.05
+		h.busy, h.slow = 0.5, 0.05
 	}
-	w.chain = newChainModel(w, 3+2*int(seed%2))
+	h.chain = newChainModel(h, 3+2*int(seed%2))
 	for range 3 + int(seed%4) {
-		w.addGateway()
+		h.addGateway()
 	}
-	return w
+	return h
 }
 
-func (w *harness) span(most time.Duration) time.Duration { return w.random.Between(0, most) }
+func (h *harness) span(most time.Duration) time.Duration { return h.random.Between(0, most) }
 
 // every runs something periodically.
-func (w *harness) every(period time.Duration, run func()) {
-	w.After(period, func() {
+func (h *harness) every(period time.Duration, run func()) {
+	h.After(period, func() {
 		run()
-		w.every(period, run)
+		h.every(period, run)
 	})
 }
 
 // steadyClock is a machine's monotonic clock: it starts anywhere and drifts a little.
 type steadyClock struct {
-	world *harness
-	base  time.Time
-	pace  float64
+	harness *harness
+	base    time.Time
+	pace    float64
 }
 
 // clockDrift is how much a clock gains or loses at most.
 const clockDrift = 0.005
 
-func (w *harness) newClock() steadyClock {
-	offset := w.span(time.Hour)
-	return steadyClock{w, time.Unix(1e9, 0).Add(offset), 1 + clockDrift*(2*w.random.Float64()-1)}
+func (h *harness) newClock() steadyClock {
+	offset := h.span(time.Hour)
+	return steadyClock{h, time.Unix(1e9, 0).Add(offset), 1 + clockDrift*(2*h.random.Float64()-1)}
 }
 
 func (c *steadyClock) read() time.Time {
-	return c.base.Add(time.Duration(float64(c.world.Elapsed()) * c.pace))
+	return c.base.Add(time.Duration(float64(c.harness.Elapsed()) * c.pace))
 }
 
 // pipe is one direction of a connection: what is sent arrives in order, maybe late, or the connection is broken.
 type pipe struct {
-	world             *harness
+	harness           *harness
 	from, to          string
 	queue             []func()
 	survivesPartition bool // the connection isn't broken by a partition
@@ -91,8 +91,8 @@
 	slowNext          time.Duration // that the next message takes
 }
 
-func (w *harness) newPipe(from, to string) *pipe {
-	return &pipe{world: w, from: from, to: to, survivesPartition: w.random.Chance(0.5)}
+func (h *harness) newPipe(from, to string) *pipe {
+	return &pipe{harness: h, from: from, to: to, survivesPartition: h.random.Chance(0.5)}
 }
 
 func (p *pipe) send(deliver func()) {
@@ -103,13 +103,13 @@
 }
 
 func (p *pipe) flush() {
-	w := p.world
+	h := p.harness
 	for len(p.queue) > 0 && !p.broken {
-		if w.Links.Partitioned(p.from, p.to) && !p.survivesPartition {
+		if h.Links.Partitioned(p.from, p.to) && !p.survivesPartition {
 			p.broken = true
 			return
 		}
-		if w.Links.Partitioned(p.from, p.to) {
+		if h.Links.Partitioned(p.from, p.to) {
 			p.wait(100 * time.Millisecond)
 			return
 		}
@@ -120,7 +120,7 @@
 			p.deliverLate(slow, deliver)
 			return
 		}
-		w.Send(p.from, p.to, nil, func() {
+		h.Send(p.from, p.to, nil, func() {
 			if !p.broken {
 				deliver()
 			}
@@ -130,15 +130,15 @@
 
 // randomDelay returns the additional delay of a message: mostly none.
 func (p *pipe) randomDelay() time.Duration {
-	if p.world.random.Chance(p.world.slow) {
-		return p.world.span(maxMessageDelay)
+	if p.harness.random.Chance(p.harness.slow) {
+		return p.harness.span(maxMessageDelay)
 	}
 	return 0
 }
 
 // deliverLate delivers a message after a delay, even if a partition begins meanwhile; what follows waits.
 func (p *pipe) deliverLate(length time.Duration, deliver func()) {
-	p.world.AfterOn(p.to, length, func() {
+	p.harness.AfterOn(p.to, length, func() {
 		if !p.broken {
 			deliver()
 		}
@@ -148,27 +148,27 @@
 
 func (p *pipe) wait(length time.Duration) {
 	p.waits = true
-	p.world.After(length, func() {
+	p.harness.After(length, func() {
 		p.waits = false
 		p.flush()
 	})
 }
 
 // partitionBetween partitions two machines, in both directions or one, for a time.
-func (w *harness) partitionBetween(one, other string, way int, length time.Duration) {
+func (h *harness) partitionBetween(one, other string, way int, length time.Duration) {
 	if way != 1 {
-		w.partitionFor(one, other, length)
+		h.partitionFor(one, other, length)
 	}
 	if way != 2 {
-		w.partitionFor(other, one, length)
+		h.partitionFor(other, one, length)
 	}
 }
 
-func (w *harness) partitionFor(from, to string, length time.Duration) {
-	w.Links.Partition(from, to)
-	w.After(length, func() { w.Links.Heal(from, to) })
+func (h *harness) partitionFor(from, to string, length time.Duration) {
+	h.Links.Partition(from, to)
+	h.After(length, func() { h.Links.Heal(from, to) })
 }
 
-func (w *harness) failf(format string, values ...any) {
-	panic(fmt.Sprintf("at %v ", w.Elapsed()) + fmt.Sprintf(format, values...))
+func (h *harness) failf(format string, values ...any) {
+	panic(fmt.Sprintf("at %v ", h.Elapsed()) + fmt.Sprintf(format, values...))
 }
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	stableKey   = "stable"
-	volatile    = 4    // keys that are replaced, and routes that come and go
-	replaced    = 0.15 // share of the keys that a command replaces
-	oldKeys     = 4    // that clients use still
-	orderEvery  = 600 * time.Millisecond
-	unknownKey  = "never"
-	stableRoute = "stable"
-	openRoute   = "open"
+	stableKey       = "stable"
+	volatile        = 4    // keys that are replaced, and routes that come and go
+	replaced        = 0.15 // share of the keys that a command replaces
+	oldKeys         = 4    // that clients use still
+	commandInterval = 600 * time.Millisecond
+	unknownKey      = "never"
+	stableRoute     = "stable"
+	openRoute       = "open"
 )
 
 // version is a configuration that was proposed, and what of it comes and goes.
@@ -39,23 +39,23 @@
 }
 
 // next returns the operator's next command, if one is due.
-func (t *operatorModel) next(w *harness) (configuration.ChangeRequest, bool) {
-	now := w.Elapsed()
+func (t *operatorModel) next(h *harness) (configuration.ChangeRequest, bool) {
+	now := h.Elapsed()
 	if t.closed || now < t.dueAt || len(t.versions) > 0 && t.versions[len(t.versions)-1].ackedAt == 0 {
 		return configuration.ChangeRequest{}, false
 	}
-	t.dueAt = now + w.span(2*orderEvery)
+	t.dueAt = now + h.span(2*commandInterval)
 	share := replaced
 	if t.replacing {
 		t.closed, share = true, 1
 	}
 	one := &version{proposedAt: now, keys: map[string]bool{stableKey: true}, routes: map[string]bool{stableRoute: true, openRoute: true}}
 	for i := range volatile {
-		if w.random.Chance(share) {
+		if h.random.Chance(share) {
 			t.numbers[i]++
 		}
 		one.keys[keyName(i, t.numbers[i])] = true
-		one.routes[fmt.Sprint("open-", i)] = w.random.Chance(0.6)
+		one.routes[fmt.Sprint("open-", i)] = h.random.Chance(0.6)
 	}
 	generation := uint64(len(t.versions))
 	one.order = configuration.ChangeRequest{IfMatch: generation, Body: body(one.document(generation + 1))}
@@ -83,12 +83,12 @@
 func keyName(kind, number int) string { return fmt.Sprintf("key-%d-%d", kind, number) }
 
 // someKey returns one of the newest keys, or one that was removed lately.
-func (t *operatorModel) someKey(w *harness) string {
-	kind := w.random.IntN(volatile)
+func (t *operatorModel) someKey(h *harness) string {
+	kind := h.random.IntN(volatile)
 	if t.replacing {
 		return keyName(kind, t.replacedNumber(kind))
 	}
-	return keyName(kind, max(0, t.numbers[kind]-w.random.IntN(oldKeys)))
+	return keyName(kind, max(0, t.numbers[kind]-h.random.IntN(oldKeys)))
 }
 
 // replacedNumber is that of a key before all were replaced.
@@ -135,13 +135,13 @@
 }
 
 // checkConfirmation checks a control process's confirmation: all that was acknowledged longer than age ago is applied there.
-func (t *operatorModel) checkConfirmation(w *harness, c *simControl, age time.Duration, fresh bool) {
-	if !fresh || w.bug != noBug {
+func (t *operatorModel) checkConfirmation(h *harness, c *simControl, age time.Duration, fresh bool) {
+	if !fresh || h.bug != noBug {
 		return // the checks at the gateways must find it
 	}
 	for i, one := range t.versions {
-		if one.ackedAt > 0 && one.ackedAt < w.Elapsed()-age && c.applied <= i {
-			w.failf("%s vouches for all up to %v ago, and has not applied order %d, acknowledged at %v", c.name, age, i+1, one.ackedAt)
+		if one.ackedAt > 0 && one.ackedAt < h.Elapsed()-age && c.applied <= i {
+			h.failf("%s vouches for all up to %v ago, and has not applied order %d, acknowledged at %v", c.name, age, i+1, one.ackedAt)
 		}
 	}
 }
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -40,27 +40,27 @@
 
 // simQuota is a gateway's part of the quotas, and the allocator in the control process.
 type simQuota struct {
-	world     *harness
+	harness   *harness
 	control   *simControl
 	client    *quota.Client
 	allocator *quota.Allocator
 	tenant    *configuration.Tenant
 }
 
-func newSimQuota(w *harness, c *simControl) *simQuota {
+func newSimQuota(h *harness, c *simControl) *simQuota {
 	rules := quota.Rules{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
-	q := &simQuota{world: w, control: c, tenant: &configuration.Tenant{Name: "t", RatePerSec: quotaRate, Burst: quotaRate},
+	q := &simQuota{harness: h, control: c, tenant: &configuration.Tenant{Name: "t", RatePerSec: quotaRate, Burst: quotaRate},
 		client:    quota.NewClient(quota.ClientOptions{Process: protocol.Process{Node: "g", Incarnation: "1"}}),
 		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules})}
 	q.allocator.ConfigureTenants([]configuration.Tenant{*q.tenant})
 	q.allocator.Start(0, time.Hour, nil, nil)
-	w.every(10*time.Millisecond, q.pump)
+	h.every(10*time.Millisecond, q.pump)
 	return q
 }
 
 // pump asks the allocator as package quotaclient does: it answers while its process leads.
 func (q *simQuota) pump() {
-	now := q.world.Elapsed()
+	now := q.harness.Elapsed()
 	request, due := q.client.NextRequest(now)
 	if !due {
 		return
@@ -70,18 +70,18 @@
 		return
 	}
 	reply := q.allocator.Request(now, request)
-	q.world.After(2*time.Millisecond, func() { q.client.HandleReply(q.world.Elapsed(), &reply) })
+	q.harness.After(2*time.Millisecond, func() { q.client.HandleReply(q.harness.Elapsed(), &reply) })
 }
 
 // take asks for a token, and again a little later if it has to wait.
 func (q *simQuota) take(then func(admitted bool)) {
-	verdict := q.client.Take(q.world.Elapsed(), q.tenant)
+	verdict := q.client.Take(q.harness.Elapsed(), q.tenant)
 	if !verdict.Wait {
 		then(verdict.Admit)
 		return
 	}
-	q.world.After(30*time.Millisecond, func() {
-		now := q.world.Elapsed()
+	q.harness.After(30*time.Millisecond, func() {
+		now := q.harness.Elapsed()
 		if verdict := q.client.Resolve(now, q.tenant); verdict.Wait {
 			q.client.Cancel(now, q.tenant)
 			then(false)
@@ -137,44 +137,44 @@
 // playPartition simulates a partition. If starts is true the gateway restarts a second after it begins. A bug is injected
 // with the partition.
 func playPartition(seed uint64, begins bool, bug injectedBug) *partition {
-	w := newHarness(seed, noBug)
-	w.calm = true
-	w.Links.Default.Jitter = 2 * time.Millisecond
-	w.busy, w.slow = 0, 0
-	i := &partition{harness: w, gateway: w.gateways[0], last: map[string]time.Duration{}, again: map[string]time.Duration{}}
-	w.Run(partitionAt)
-	c := w.chain.controls[0]
-	i.quota = newSimQuota(w, c)
-	w.every(70*time.Millisecond, func() {
+	h := newHarness(seed, noBug)
+	h.calm = true
+	h.Links.Default.Jitter = 2 * time.Millisecond
+	h.busy, h.slow = 0, 0
+	i := &partition{harness: h, gateway: h.gateways[0], last: map[string]time.Duration{}, again: map[string]time.Duration{}}
+	h.Run(partitionAt)
+	c := h.chain.controls[0]
+	i.quota = newSimQuota(h, c)
+	h.every(70*time.Millisecond, func() {
 		i.quota.take(func(admitted bool) {
 			if admitted {
-				i.tokenAt = w.Elapsed()
+				i.tokenAt = h.Elapsed()
 				i.record("quota")
 			}
 		})
 	})
-	w.Run(2 * time.Second)
+	h.Run(2 * time.Second)
 	i.gateway.session.end() // the control process in the partition becomes the home
-	for _, one := range w.chain.controls {
+	for _, one := range h.chain.controls {
 		if one != c {
-			w.partitionFor(i.gateway.name, one.name, controlFound+partitionLength)
+			h.partitionFor(i.gateway.name, one.name, controlFound+partitionLength)
 		}
 	}
-	w.Run(controlFound)
-	for _, one := range w.chain.controls {
+	h.Run(controlFound)
+	for _, one := range h.chain.controls {
 		if one != c {
-			w.partitionBetween(c.name, one.name, 0, partitionLength)
+			h.partitionBetween(c.name, one.name, 0, partitionLength)
 		}
 	}
-	i.began, w.bug = w.Elapsed(), bug
+	i.began, h.bug = h.Elapsed(), bug
 	if begins {
-		w.Run(time.Second)
+		h.Run(time.Second)
 		i.gateway.stop()
 		i.gateway.start([]string{c.name})
 	}
-	for w.Elapsed()-i.began <= partitionLength+5*time.Second {
-		i.sample((w.Elapsed() - i.began).Round(sampleInterval))
-		w.Run(sampleInterval)
+	for h.Elapsed()-i.began <= partitionLength+5*time.Second {
+		i.sample((h.Elapsed() - i.began).Round(sampleInterval))
+		h.Run(sampleInterval)
 	}
 	return i
 }
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -50,41 +50,41 @@
 }
 
 // injectFault injects a random fault.
-func (w *harness) injectFault() {
-	if w.calm || w.Elapsed() < 4*time.Second {
+func (h *harness) injectFault() {
+	if h.calm || h.Elapsed() < 4*time.Second {
 		return
 	}
-	w.faults++
-	g := w.gateways[w.random.IntN(len(w.gateways))]
-	c := w.chain.controls[w.random.IntN(len(w.chain.controls))]
-	switch w.random.IntN(12) {
+	h.faults++
+	g := h.gateways[h.random.IntN(len(h.gateways))]
+	c := h.chain.controls[h.random.IntN(len(h.chain.controls))]
+	switch h.random.IntN(12) {
 	case 0:
 		g.stop()
-		w.After(200*time.Millisecond+w.span(2*time.Second), func() { g.start(g.seeds) })
+		h.After(200*time.Millisecond+h.span(2*time.Second), func() { g.start(g.seeds) })
 	case 1:
-		g.freeze(w.span(maxPause))
+		g.freeze(h.span(maxPause))
 	case 2:
-		g.partitionFromControl(w.random.IntN(3), w.span(maxPartition))
+		g.partitionFromControl(h.random.IntN(3), h.span(maxPartition))
 	case 3:
-		w.partitionBetween(g.name, c.name, w.random.IntN(3), w.span(maxPartition))
+		h.partitionBetween(g.name, c.name, h.random.IntN(3), h.span(maxPartition))
 	case 4:
-		c.freeze(w.span(maxPause))
+		c.freeze(h.span(maxPause))
 	case 5, 6, 7:
-		w.isolate(c, g)
+		h.isolate(c, g)
 	case 8:
 		c.stop(false)
-		w.After(100*time.Millisecond+w.span(3*time.Second), c.start)
+		h.After(100*time.Millisecond+h.span(3*time.Second), c.start)
 	case 9:
-		c.stop(w.chain.countSynced(c) > 0)
-		w.After(100*time.Millisecond+w.span(3*time.Second), c.start)
+		c.stop(h.chain.countSynced(c) > 0)
+		h.After(100*time.Millisecond+h.span(3*time.Second), c.start)
 	case 10:
-		for _, one := range w.chain.controls {
+		for _, one := range h.chain.controls {
 			one.stop(false)
-			w.After(100*time.Millisecond+w.span(time.Second), one.start)
+			h.After(100*time.Millisecond+h.span(time.Second), one.start)
 		}
 	case 11:
-		if len(w.gateways) < 10 {
-			w.addGateway()
+		if len(h.gateways) < 10 {
+			h.addGateway()
 		}
 	}
 }
@@ -101,24 +101,24 @@
 
 // isolate partitions a control process from the others. A gateway, which may start just then, reaches only it, and other
 // gateways may find it, too.
-func (w *harness) isolate(c *simControl, g *simGateway) {
-	length, way := time.Second+w.span(maxPartition-time.Second), w.random.IntN(3)
-	for _, one := range w.chain.controls {
+func (h *harness) isolate(c *simControl, g *simGateway) {
+	length, way := time.Second+h.span(maxPartition-time.Second), h.random.IntN(3)
+	for _, one := range h.chain.controls {
 		if one != c {
-			w.partitionBetween(c.name, one.name, way, length)
-			w.partitionBetween(g.name, one.name, 0, length)
+			h.partitionBetween(c.name, one.name, way, length)
+			h.partitionBetween(g.name, one.name, 0, length)
 		}
 	}
-	g.faultAt = w.Elapsed() + length
-	if w.random.Chance(0.5) {
-		w.After(w.span(2*time.Second), func() {
+	g.faultAt = h.Elapsed() + length
+	if h.random.Chance(0.5) {
+		h.After(h.span(2*time.Second), func() {
 			g.stop()
-			w.After(100*time.Millisecond, func() { g.start([]string{c.name}) })
+			h.After(100*time.Millisecond, func() { g.start([]string{c.name}) })
 		})
 	}
-	if w.random.Chance(0.3) { // another gateway loses its home and finds this one
-		other := w.gateways[w.random.IntN(len(w.gateways))]
-		w.After(w.span(length), func() {
+	if h.random.Chance(0.3) { // another gateway loses its home and finds this one
+		other := h.gateways[h.random.IntN(len(h.gateways))]
+		h.After(h.span(length), func() {
 			if other.session != nil && other.up {
 				other.session.end()
 			}
@@ -129,72 +129,72 @@
 // playKeyReplacementRace plays a short simulation without random faults, in which one thing goes wrong at a gateway around
 // the moment at which all keys are replaced, and it is partitioned for longer than a lease lasts. Its clients keep using
 // the old keys.
-func playKeyReplacementRace(seed uint64, bug injectedBug) (w *harness, broken string) {
+func playKeyReplacementRace(seed uint64, bug injectedBug) (h *harness, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
 			broken = fmt.Sprint(failure)
 		}
 	}()
 	const begin = 4 * time.Second
-	w = newHarness(seed, bug)
-	w.calm = true
-	w.Run(begin)
-	g, due := w.gateways[0], 50*time.Millisecond+w.span(400*time.Millisecond)
-	w.operator.replaceAll(w.Elapsed() + due)
+	h = newHarness(seed, bug)
+	h.calm = true
+	h.Run(begin)
+	g, due := h.gateways[0], 50*time.Millisecond+h.span(400*time.Millisecond)
+	h.operator.replaceAll(h.Elapsed() + due)
 	g.eager = true
 	var cutAfter time.Duration // after the command
 	switch seed % 3 {
 	case 0: // an answer is delayed
-		w.After(due-w.span(400*time.Millisecond), func() {
+		h.After(due-h.span(400*time.Millisecond), func() {
 			if g.session != nil {
-				g.session.back.slowNext = replyTimeout/2 + w.span(replyTimeout/2)
+				g.session.back.slowNext = replyTimeout/2 + h.span(replyTimeout/2)
 			}
 		})
-		cutAfter = w.span(300 * time.Millisecond)
+		cutAfter = h.span(300 * time.Millisecond)
 	case 1: // the home applies the command late
 		if g.session != nil {
-			g.session.control.lagsUntil = w.Elapsed() + due + time.Second
+			g.session.control.lagsUntil = h.Elapsed() + due + time.Second
 		}
-		cutAfter = 300*time.Millisecond + w.span(600*time.Millisecond)
+		cutAfter = 300*time.Millisecond + h.span(600*time.Millisecond)
 	case 2: // it is reconnected on a busy machine
-		w.busy = 0.5
+		h.busy = 0.5
 		cutAfter = -due
 	}
-	w.After(due+cutAfter, func() { g.partitionFromControl(0, revoke+time.Second+w.span(2*time.Second)) })
-	w.Run(begin + 2*revoke)
-	return w, ""
+	h.After(due+cutAfter, func() { g.partitionFromControl(0, revoke+time.Second+h.span(2*time.Second)) })
+	h.Run(begin + 2*revoke)
+	return h, ""
 }
 
 // playRandom plays a simulation with all faults, and returns which check failed.
-func playRandom(seed uint64, bug injectedBug) (w *harness, broken string) {
+func playRandom(seed uint64, bug injectedBug) (h *harness, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
 			broken = fmt.Sprint(failure)
 		}
 	}()
-	w = newHarness(seed, bug)
-	w.every(faultInterval, w.injectFault)
-	w.every(50*time.Millisecond, func() {
-		for _, g := range w.gateways {
+	h = newHarness(seed, bug)
+	h.every(faultInterval, h.injectFault)
+	h.every(50*time.Millisecond, func() {
+		for _, g := range h.gateways {
 			if g.up && !g.frozen {
 				g.checkProgress()
 			}
 		}
 	})
-	w.Run(faultsUntil)
-	w.calm = true
-	w.Run(runLength - faultsUntil + maxPartition)
-	w.operator.closed, w.slow, w.busy = true, 0, 0
-	w.Run(settleTime)
-	for _, g := range w.gateways {
+	h.Run(faultsUntil)
+	h.calm = true
+	h.Run(runLength - faultsUntil + maxPartition)
+	h.operator.closed, h.slow, h.busy = true, 0, 0
+	h.Run(settleTime)
+	for _, g := range h.gateways {
 		if g.up && !g.ready() {
-			w.failf("%s is not ready in the end: %v", g.name, g.state())
+			h.failf("%s is not ready in the end: %v", g.name, g.state())
 		}
-		if held := g.s.Configuration(); held == nil || int(held.Index) < len(w.chain.log) {
-			w.failf("%s has not the newest configuration in the end", g.name)
+		if held := g.s.Configuration(); held == nil || int(held.Index) < len(h.chain.log) {
+			h.failf("%s has not the newest configuration in the end", g.name)
 		}
 	}
-	return w, ""
+	return h, ""
 }
 
 // environmentInt reads a number from the environment.
@@ -217,7 +217,7 @@
 		wait.Go(func() {
 			for number := range numbers {
 				seed := uint64(first + number)
-				w, broken := playRandom(seed, noBug)
+				h, broken := playRandom(seed, noBug)
 				for i := range racesPerRun {
 					if broken == "" {
 						_, broken = playKeyReplacementRace(seed*racesPerRun+uint64(i), noBug)
@@ -228,8 +228,8 @@
 					continue
 				}
 				mutex.Lock()
-				troubles, orders = troubles+w.faults, orders+len(w.chain.log)
-				for _, g := range w.gateways {
+				troubles, orders = troubles+h.faults, orders+len(h.chain.log)
+				for _, g := range h.gateways {
 					served += g.served
 					for status, count := range g.rejected {
 						refused[status] += count
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -28,18 +28,18 @@
 
 // ask sends requests to the gateway, in this incarnation.
 func (g *simGateway) ask() {
-	w := g.world
-	pause, kinds := requestEvery/2+w.span(requestEvery), 8
+	h := g.harness
+	pause, kinds := requestEvery/2+h.span(requestEvery), 8
 	if g.eager {
-		pause, kinds = w.span(eagerEvery), 3
+		pause, kinds = h.span(eagerEvery), 3
 	}
 	g.later(pause, func() {
 		q := &simRequest{gateway: g, key: stableKey, route: stableRoute}
-		switch w.random.IntN(kinds) {
+		switch h.random.IntN(kinds) {
 		case 0, 1, 2:
-			q.key = w.operator.someKey(w)
+			q.key = h.operator.someKey(h)
 		case 3, 4:
-			q.key, q.route = "", fmt.Sprint("open-", w.random.IntN(volatile))
+			q.key, q.route = "", fmt.Sprint("open-", h.random.IntN(volatile))
 		case 5:
 			q.key, q.route = "", openRoute
 		case 6:
@@ -53,7 +53,7 @@
 // read is how the proxy begins a request.
 func (q *simRequest) read() {
 	g := q.gateway
-	q.arrived, q.at = g.clock.read(), g.world.Elapsed()
+	q.arrived, q.at = g.clock.read(), g.harness.Elapsed()
 	if g.s.Configuration() == nil {
 		g.await(q.arrived, firstWait, func(bool) { q.decide() })
 		return
@@ -70,7 +70,7 @@
 		case http.StatusServiceUnavailable:
 			q.answer(status)
 		default:
-			if g.world.bug == bugRejectsUnconfirmed {
+			if g.harness.bug == bugRejectsUnconfirmed {
 				q.answer(status)
 				return
 			}
@@ -97,12 +97,12 @@
 // find reads the lease, and then looks up the route and the key; 0: they exist.
 func (q *simRequest) find(then func(status int)) {
 	g := q.gateway
-	q.lookAt = g.world.Elapsed()
+	q.lookAt = g.harness.Elapsed()
 	q.leaseExpired = !g.s.KeyLeaseValid(g.clock.read())
 	g.nextStep(func() {
 		held := g.s.Configuration()
-		if g.world.bug == bugLeaseCheckedLast {
-			q.lookAt, q.leaseExpired = g.world.Elapsed(), false
+		if g.harness.bug == bugLeaseCheckedLast {
+			q.lookAt, q.leaseExpired = g.harness.Elapsed(), false
 		}
 		g.nextStep(func() { then(q.lookUp(held)) })
 	})
@@ -130,14 +130,14 @@
 
 // check checks the lease, and again right before the first byte to a server, after a wait for a token and a server.
 func (q *simRequest) check() {
-	w := q.gateway.world
+	h := q.gateway.harness
 	if !q.keyValid() {
 		q.answer(http.StatusServiceUnavailable)
 		return
 	}
-	wait := w.span(5 * time.Millisecond)
-	if w.random.Chance(0.02) {
-		wait = w.span(time.Second)
+	wait := h.span(5 * time.Millisecond)
+	if h.random.Chance(0.02) {
+		wait = h.span(time.Second)
 	}
 	q.gateway.later(wait, func() {
 		if !q.keyValid() {
@@ -151,38 +151,38 @@
 // serve forwards the request, and checks that it may.
 func (q *simRequest) serve() {
 	g := q.gateway
-	w := g.world
+	h := g.harness
 	g.served++
 	q.reportStatus(http.StatusOK)
 	if !g.confirmed {
-		w.failf("%s serves, and nobody has vouched for what it knows", g.name)
+		h.failf("%s serves, and nobody has vouched for what it knows", g.name)
 	}
 	if q.tenant == nil {
 		return
 	}
-	if ended := w.operator.removedAt(q.key); ended > 0 && q.lookAt > ended+revoke {
-		w.failf("%s serves %s, looked up at %v, removed for good at %v", g.name, q.key, q.lookAt, ended)
+	if ended := h.operator.removedAt(q.key); ended > 0 && q.lookAt > ended+revoke {
+		h.failf("%s serves %s, looked up at %v, removed for good at %v", g.name, q.key, q.lookAt, ended)
 	}
 }
 
 // answer rejects the request.
 func (q *simRequest) answer(status int) {
 	g := q.gateway
-	w := g.world
+	h := g.harness
 	g.rejected[status]++
 	q.reportStatus(status)
 	if status == http.StatusServiceUnavailable {
 		return
 	}
 	if !g.confirmed {
-		w.failf("%s answers %d, and nobody has vouched for what it knows", g.name, status)
+		h.failf("%s answers %d, and nobody has vouched for what it knows", g.name, status)
 	}
 	lacks := func(v *version) bool { return !v.routes[q.route] }
 	if status == http.StatusUnauthorized {
 		lacks = func(v *version) bool { return !v.keys[q.key] }
 	}
-	if !w.operator.mayLack(q.at, lacks) {
-		w.failf("%s answers %d for key %q and route %q, which every configuration in force has", g.name, status, q.key, q.route)
+	if !h.operator.mayLack(q.at, lacks) {
+		h.failf("%s answers %d for key %q and route %q, which every configuration in force has", g.name, status, q.key, q.route)
 	}
 }
 
