--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -294,7 +294,7 @@
 		g.content = content
 	}
 	if g.ready() && !g.confirmed {
-		h.failf("%s is ready, and nobody has vouched for what it knows", g.name)
+		h.failf("%s is ready, and nobody has confirmed what it knows", g.name)
 	}
 }
 
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -141,7 +141,7 @@
 	}
 	for i, one := range t.versions {
 		if one.ackedAt > 0 && one.ackedAt < h.Elapsed()-age && c.applied <= i {
-			h.failf("%s vouches for all up to %v ago, and has not applied order %d, acknowledged at %v", c.name, age, i+1, one.ackedAt)
+			h.failf("%s confirms all up to %v ago, and has not applied command %d, acknowledged at %v", c.name, age, i+1, one.ackedAt)
 		}
 	}
 }
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -223,7 +223,7 @@
 // TestPartitionFindsBugs shows that a control process that confirms without a proof, and a gateway that applies what wasn't
 // confirmed, are found.
 func TestPartitionFindsBugs(t *testing.T) {
-	for bug, reason := range map[injectedBug]string{bugUnprovenConfirmation: "which every configuration in force has", bugUnconfirmedConfiguration: "nobody has vouched"} {
+	for bug, reason := range map[injectedBug]string{bugUnprovenConfirmation: "which every configuration in force has", bugUnconfirmedConfiguration: "nobody has confirmed"} {
 		if failure := partitionFailure(bug); !strings.Contains(failure, reason) {
 			t.Errorf("%s: %s", bug, failure)
 		}
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -23,11 +23,11 @@
 // Bugs that the harness can inject.
 const (
 	noBug                       injectedBug = ""
-	bugUnprovenConfirmation     injectedBug = "a control process vouches without a proof"
+	bugUnprovenConfirmation     injectedBug = "a control process confirms without a proof"
 	bugNoAge                    injectedBug = "a control process doesn't tell the age of its proof"
 	bugLeaseFromReceipt         injectedBug = "a lease counts from the receipt of the answer"
 	bugLeaseCheckedLast         injectedBug = "the lease is looked at after the configuration alone"
-	bugUnconfirmedConfiguration injectedBug = "a process that begins takes a configuration that nobody vouched for"
+	bugUnconfirmedConfiguration injectedBug = "a new process applies a configuration that nobody confirmed"
 	bugConfigurationGoesBack    injectedBug = "a new home may hand out an older configuration"
 	bugRejectsUnconfirmed       injectedBug = "a request is refused without asking control"
 	bugServerListGoesBack       injectedBug = "a new home may hand out an older list of servers"
@@ -39,11 +39,11 @@
 	reason string
 	first  uint64 // seed; skips simulations that are known not to find it
 }{
-	bugUnprovenConfirmation:     {playRandom, "nobody has vouched", 1},
+	bugUnprovenConfirmation:     {playRandom, "nobody has confirmed", 1},
 	bugNoAge:                    {playKeyReplacementRace, "removed for good", 40},
 	bugLeaseFromReceipt:         {playKeyReplacementRace, "removed for good", 1},
 	bugLeaseCheckedLast:         {playKeyReplacementRace, "removed for good", 1},
-	bugUnconfirmedConfiguration: {playRandom, "nobody has vouched", 1},
+	bugUnconfirmedConfiguration: {playRandom, "nobody has confirmed", 1},
 	bugConfigurationGoesBack:    {playRandom, "goes back from configuration", 1},
 	bugRejectsUnconfirmed:       {playRandom, "which every configuration in force has", 1},
 	bugServerListGoesBack:       {playRandom, "takes a list read at", 1},
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -155,7 +155,7 @@
 	g.served++
 	q.reportStatus(http.StatusOK)
 	if !g.confirmed {
-		h.failf("%s serves, and nobody has vouched for what it knows", g.name)
+		h.failf("%s serves, and nobody has confirmed what it knows", g.name)
 	}
 	if q.tenant == nil {
 		return
@@ -175,7 +175,7 @@
 		return
 	}
 	if !g.confirmed {
-		h.failf("%s answers %d, and nobody has vouched for what it knows", g.name, status)
+		h.failf("%s answers %d, and nobody has confirmed what it knows", g.name, status)
 	}
 	lacks := func(v *version) bool { return !v.routes[q.route] }
 	if status == http.StatusUnauthorized {
