--- a/internal/gateway/quotaclient/asking.go
+++ b/internal/gateway/quotaclient/asking.go
@@ -38,7 +38,7 @@
 			l.counts.Failed++
 			l.client.RequestFailed(now)
 		} else {
-			go l.request(ctx, l.connection, request)
+			go l.sendRequest(ctx, l.connection, request)
 		}
 	}
 	return max(minStepInterval, l.client.WakeAt(now)-now)
@@ -73,7 +73,7 @@
 }
 
 // ask carries one request to the allocator.
-func (l *Limiter) request(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) {
+func (l *Limiter) sendRequest(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) {
 	reply, answered := call(ctx, link, request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/gateway/quotaclient/limits.go
+++ b/internal/gateway/quotaclient/limits.go
@@ -93,8 +93,8 @@
 }
 
 // Acquire takes a token for a request, or waits for one. A nil tenant has no limit.
-func (l *Limiter) Acquire(ctx context.Context, tenant *configuration.Tenant, patience WaitLimits) Decision {
-	decision, waits, until := l.tryAcquire(tenant, patience)
+func (l *Limiter) Acquire(ctx context.Context, tenant *configuration.Tenant, limits WaitLimits) Decision {
+	decision, waits, until := l.tryAcquire(tenant, limits)
 	if waits == nil {
 		return decision
 	}
@@ -110,7 +110,7 @@
 }
 
 // take decides at once, or gives the place in the queue and how long to stay in it.
-func (l *Limiter) tryAcquire(tenant *configuration.Tenant, patience WaitLimits) (Decision, *waiter, time.Duration) {
+func (l *Limiter) tryAcquire(tenant *configuration.Tenant, limits WaitLimits) (Decision, *waiter, time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
@@ -120,9 +120,9 @@
 		return l.count(now, tenant, verdict), nil, 0
 	}
 	l.counts.Waited++
-	until := patience.Uncertain
+	until := limits.Uncertain
 	switch {
-	case served < patience.Certain:
+	case served < limits.Certain:
 		until = max(until, served+certainMargin)
 	case l.client.AllocatorTimedOut(now):
 		return l.count(now, tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, tenant)}), nil, 0
--- a/internal/gateway/quotaclient/limits_test.go
+++ b/internal/gateway/quotaclient/limits_test.go
@@ -17,7 +17,7 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-var patience = WaitLimits{Uncertain: 2 * time.Second, Certain: 2 * time.Second}
+var testWaitLimits = WaitLimits{Uncertain: 2 * time.Second, Certain: 2 * time.Second}
 
 // control is an allocator behind a port.
 type fakeAllocator struct {
@@ -97,7 +97,7 @@
 			for range 4 {
 				wait.Go(func() {
 					for range 10 {
-						if !keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience).Admit {
+						if !keeper.Acquire(context.Background(), snapshot.TenantByName("large"), testWaitLimits).Admit {
 							refused.Add(1)
 						}
 					}
@@ -132,7 +132,7 @@
 		admitted := 0
 		var last Decision
 		for range 100 {
-			if last = keeper.Acquire(context.Background(), snapshot.TenantByName("small"), patience); last.Admit {
+			if last = keeper.Acquire(context.Background(), snapshot.TenantByName("small"), testWaitLimits); last.Admit {
 				admitted++
 			}
 		}
@@ -140,8 +140,8 @@
 		So(last.Admit, ShouldBeFalse)
 		So(last.RetryAfter, ShouldBeBetween, 100*time.Millisecond, 2*time.Second)
 		So(keeper.Counts().Rejected, ShouldEqual, 100-admitted)
-		So(keeper.Acquire(context.Background(), snapshot.TenantByName("free"), patience).Admit, ShouldBeTrue)
-		So(keeper.Acquire(context.Background(), nil, patience).Admit, ShouldBeTrue)
+		So(keeper.Acquire(context.Background(), snapshot.TenantByName("free"), testWaitLimits).Admit, ShouldBeTrue)
+		So(keeper.Acquire(context.Background(), nil, testWaitLimits).Admit, ShouldBeTrue)
 	})
 
 	Convey("Without an allocator requests are refused soon, and leases carry on", t, func() {
@@ -152,7 +152,7 @@
 		server := startAllocator(t, snapshot)
 		keeper := startLimiter(t, "front-3", server.members)
 		for range 30 {
-			keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience)
+			keeper.Acquire(context.Background(), snapshot.TenantByName("large"), testWaitLimits)
 		}
 		So(eventually(func() bool {
 			keeper.mutex.Lock()
@@ -161,14 +161,14 @@
 		}), ShouldBeTrue)
 		server.acts.Store(false)
 		So(eventually(func() bool { return keeper.Counts().Failed > 0 }), ShouldBeTrue)
-		So(keeper.Acquire(context.Background(), snapshot.TenantByName("large"), patience).Admit, ShouldBeTrue)
+		So(keeper.Acquire(context.Background(), snapshot.TenantByName("large"), testWaitLimits).Admit, ShouldBeTrue)
 	})
 
 	Convey("A request whose client leaves gives its place up", t, func() {
 		keeper := startLimiter(t, "front-4", func() *protocol.MemberList { return nil })
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		So(keeper.Acquire(ctx, snapshot.TenantByName("small"), patience).Admit, ShouldBeFalse)
+		So(keeper.Acquire(ctx, snapshot.TenantByName("small"), testWaitLimits).Admit, ShouldBeFalse)
 		keeper.mutex.Lock()
 		defer keeper.mutex.Unlock()
 		So(keeper.waiters, ShouldBeEmpty)
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -257,7 +257,7 @@
 }
 
 // await has control asked at once and waits for its confirmation, for a time.
-func (g *simGateway) await(since time.Time, length time.Duration, then func(vouched bool)) {
+func (g *simGateway) await(since time.Time, length time.Duration, then func(confirmed bool)) {
 	if g.s.ConfirmedSince(since) {
 		then(true)
 		return
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -80,8 +80,8 @@
 }
 
 // afterConfirmation resolves the request again once control has confirmed.
-func (q *simRequest) afterConfirmation(vouched bool) {
-	if !vouched {
+func (q *simRequest) afterConfirmation(confirmed bool) {
+	if !confirmed {
 		q.answer(http.StatusServiceUnavailable)
 		return
 	}
