--- a/internal/gateway/limits.go
+++ b/internal/gateway/admitter.go
@@ -13,56 +13,58 @@
 	"sprucelane.example/sprucelane/internal/gateway/admission"
 	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 	"sprucelane.example/sprucelane/internal/gateway/proxy"
-	quotas "sprucelane.example/sprucelane/internal/gateway/quotaclient"
+	"sprucelane.example/sprucelane/internal/gateway/quotaclient"
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// loadEvery is how often admission is told of a service's load, while requests for it come.
+// loadReportInterval is how often admission is told of a backend's load, while requests for it arrive.
 const loadReportInterval = 250 * time.Millisecond
 
-// How long a request may wait for a token of its tenant.
+// How long a request may wait for a token of its tenant, as a part of its route's latency target.
 const (
-	defaultTarget    = 200 * time.Millisecond // of a route that has none
-	uncertainDivisor = 5                      // of the aim, while it isn't known whether there will be one
+	defaultTarget    = 200 * time.Millisecond // of a route without one
+	uncertainDivisor = 5                      // while it isn't known whether there will be a token
 	maxUncertainWait = 100 * time.Millisecond
-	certainDivisor   = 2 // of the aim, where there surely will be
+	certainDivisor   = 2 // if there will surely be one
 	maxCertainWait   = 250 * time.Millisecond
 )
 
-// limits asks the mechanisms that refuse requests, and feeds them.
+// admitter is the proxy's Admission: it asks the two mechanisms that reject requests, the quotas and load shedding, and
+// feeds them what they observe.
 type admitter struct {
 	origin    time.Time
 	admission *admission.Admission
-	quota     *quotas.Limiter
+	quota     *quotaclient.Limiter
 	selector  *serverselection.Selector
 	servers   *endpoints.Registry
 	members   func() *protocol.MemberList
 
-	mu             sync.Mutex
-	loadReportedAt map[string]time.Time // when a service's load was told last
+	mu             sync.Mutex           // guards what follows
+	loadReportedAt map[string]time.Time // by backend
 }
 
-func newAdmitter(placer *serverselection.Selector, table *endpoints.Registry, process protocol.Process, options transport.Options,
+// newAdmitter returns an admitter. Its members must be set before it is used.
+func newAdmitter(selector *serverselection.Selector, servers *endpoints.Registry, process protocol.Process, options transport.Options,
 	log zerolog.Logger) *admitter {
-	l := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: placer, servers: table,
+	l := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector, servers: servers,
 		loadReportedAt: map[string]time.Time{}}
-	l.quota = quotas.New(quotas.Options{Process: process, Transport: options, Members: l.currentMembers, Log: log})
+	l.quota = quotaclient.New(quotaclient.Options{Process: process, Transport: options, Members: l.currentMembers, Log: log})
 	return l
 }
 
-// listed gives the list of processes, nil where it isn't known yet.
+// currentMembers returns the list of processes, or nil before the first.
 func (l *admitter) currentMembers() *protocol.MemberList { return l.members() }
 
 func (l *admitter) now() time.Duration { return time.Since(l.origin) }
 
-// Configure takes a configuration in.
+// Configure applies a configuration.
 func (l *admitter) Configure(snapshot *configuration.Snapshot) {
 	l.admission.Configure(snapshot)
 	l.quota.Configure(snapshot)
 }
 
-// Admit decides about a request. The tenant's limit goes first: what lies beyond it is not owed.
+// Admit decides about a request. The tenant's quota comes first: a request beyond it is rejected with 429 whatever the load.
 func (l *admitter) Admit(ctx context.Context, request proxy.AdmissionRequest) proxy.Rejection {
 	token := l.quota.Acquire(ctx, request.Tenant, quotaWait(request.Route, time.Until(request.Deadline)))
 	if !token.Admit {
@@ -78,18 +80,22 @@
 	return proxy.Rejection{Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter}
 }
 
-// patienceOf gives how long a request may wait for a token of its tenant: one that is refused must be so within a quarter of the
-// route's aim, one that is served has the rest of the aim for its server. None waits longer than its client.
-func quotaWait(route *configuration.Route, left time.Duration) quotas.WaitLimits {
-	aim := route.TargetLatency()
-	if aim <= 0 {
-		aim = defaultTarget
+// quotaWait returns how long a request may wait for a token of its tenant. A rejection must come within a quarter of the
+// route's latency target; a request that is admitted needs the rest of the target for its server. None waits longer than
+// its client.
+func quotaWait(route *configuration.Route, left time.Duration) quotaclient.WaitLimits {
+	target := route.TargetLatency()
+	if target <= 0 {
+		target = defaultTarget
 	}
 	left = max(left, 0)
-	return quotas.WaitLimits{Uncertain: min(aim/uncertainDivisor, maxUncertainWait, left), Certain: min(aim/certainDivisor, maxCertainWait, left)}
+	return quotaclient.WaitLimits{
+		Uncertain: min(target/uncertainDivisor, maxUncertainWait, left),
+		Certain:   min(target/certainDivisor, maxCertainWait, left),
+	}
 }
 
-// Sent counts a request that has been sent.
+// Sent counts a request that was sent to a server. A retry counts against the tenant's quota.
 func (l *admitter) Sent(request proxy.AdmissionRequest, retried bool) {
 	l.admission.Sent(l.now(), request.Route.Name)
 	if retried {
@@ -97,13 +103,13 @@
 	}
 }
 
-// Attempted counts how long an attempt took.
+// Attempted counts an attempt's latency.
 func (l *admitter) Attempted(request proxy.AdmissionRequest, took time.Duration) {
 	l.admission.Attempt(l.now(), request.Route.Name, took)
 }
 
-// tellLoad tells the share of a service's places that are taken by the servers' own word. Where they don't tell, it is estimated from
-// this gateway's own requests there, as if all gateways had as many.
+// reportLoad tells admission the utilization of a backend's slots, as its servers report it. If they don't, it is estimated
+// from this gateway's own requests there, as if all gateways had as many.
 func (l *admitter) reportLoad(backend string) {
 	now := time.Now()
 	l.mu.Lock()
@@ -117,17 +123,17 @@
 		return
 	}
 	list := table.ForBackend(backend)
-	if taken, waiting, told := l.selector.Utilization(now, list); told {
-		l.admission.ObserveLoad(l.now(), backend, min(1, taken), waiting)
+	if utilization, waiting, known := l.selector.Utilization(now, list); known {
+		l.admission.ObserveLoad(l.now(), backend, min(1, utilization), waiting)
 		return
 	}
-	places := 0
+	slots := 0
 	for _, server := range list {
-		places += server.Slots
+		slots += server.Slots
 	}
-	if places == 0 {
+	if slots == 0 {
 		return
 	}
-	taken := float64(l.selector.InFlight(list)*max(1, len(members.Gateways))) / float64(places)
-	l.admission.ObserveLoad(l.now(), backend, min(1, taken), taken > 1)
+	utilization := float64(l.selector.InFlight(list)*max(1, len(members.Gateways))) / float64(slots)
+	l.admission.ObserveLoad(l.now(), backend, min(1, utilization), utilization > 1)
 }
--- a/internal/gateway/batchproxy/busy.go
+++ b/internal/gateway/batchproxy/backlog.go
@@ -9,18 +9,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// abroadTokens is how much less must wait at a batch process of another zone for it to be asked first: its bytes cost, and it is further.
+// crossZoneTokens is how much shorter the backlog of a store in another zone must be for it to be preferred, in tokens.
 const crossZoneTokens = 100_000
 
-// leastBusyFirst puts first the one of two batch processes, drawn from those that take batch jobs, at which less waits. The drawing keeps
-// gateways, which all know the same, from handing everything to the same one. Where no backlog is told the order stays.
+// leastBacklogFirst puts first, of two stores drawn from those that accept batch jobs, the one with the shorter backlog (the
+// power of two choices). As they are drawn, gateways that all know the same don't submit everything to one store. If no
+// backlog is known the order stays.
 func (c *Caller) leastBacklogFirst(order []string, members []protocol.StoreMember) []string {
 	if ablation.Off(ablation.StoreBacklog) {
 		return order
 	}
 	now := time.Now()
 	open := make([]*protocol.StoreMember, 0, len(members))
-	told := false
+	anyKnown := false
 	c.mu.Lock()
 	for i := range members {
 		member := &members[i]
@@ -28,11 +29,11 @@
 			continue
 		}
 		_, known := c.backlogs.Backlog(now, member.Node)
-		told = told || known
+		anyKnown = anyKnown || known
 		open = append(open, member)
 	}
 	c.mu.Unlock()
-	if !told || len(open) < 2 {
+	if !anyKnown || len(open) < 2 {
 		return order
 	}
 	first := rand.IntN(len(open))
@@ -47,7 +48,8 @@
 	return append([]string{ip}, slices.DeleteFunc(slices.Clone(order), func(other string) bool { return other == ip })...)
 }
 
-// backlog gives what waits at a batch process, with what another zone costs. One that tells nothing has nothing waiting.
+// backlog returns the tokens that wait at a store, plus the cost of another zone. A store that reports nothing has nothing
+// waiting.
 func (c *Caller) backlog(member *protocol.StoreMember, now time.Time) int64 {
 	tokens, _ := c.backlogs.Backlog(now, member.Node)
 	if member.Zone != c.settings.Zone {
--- a/internal/gateway/batchproxy/busy_test.go
+++ b/internal/gateway/batchproxy/backlog_test.go
@@ -26,11 +26,11 @@
 		}
 		return count
 	}
-	Convey("The order stays where nothing is told", t, func() {
+	Convey("The order stays if no backlog is known", t, func() {
 		c, _ := caller()
 		So(firsts(c), ShouldResemble, map[string]int{"busy": 300})
 	})
-	Convey("Of two that are drawn the one at which less waits is asked first; another zone counts as some more", t, func() {
+	Convey("Of two that are drawn the one with the shorter backlog is asked first; another zone counts as some more", t, func() {
 		c, _ := caller()
 		c.backlogs.ReportBacklog("busy", 900_000)
 		c.backlogs.ReportBacklog("free", 50_000)
--- a/internal/gateway/batchproxy/batchcall.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -1,6 +1,12 @@
-// Package batchproxy hands clients' calls for batch jobs to the batch processes: to one of the agreed set, to the owner that it
-// names, and to another where one gives no answer. It must never promise more than the process that answered, and where a
-// submission may have been taken by one that fell silent it promises nothing.
+// Package batchproxy forwards clients' calls for batch jobs to the batch processes (stores). A call goes to one of the agreed
+// set; that one answers, or names the owner of the batch job; and if one doesn't answer, the call goes to another.
+//
+// Submissions differ from the other calls. They go first to the store with the shorter backlog of two that are drawn, and
+// are hedged: a store that is down or paused says nothing for seconds, so another is sent the job after a short time. That
+// is safe as the stores accept a batch job once, wherever and how often it is submitted.
+//
+// A client is promised no more than the store that answered promises. If a submission may have been accepted by a store that
+// didn't answer, another store's rejection isn't passed on: the client gets 504, which promises nothing.
 package batchproxy
 
 import (
@@ -18,48 +24,51 @@
 )
 
 const (
-	// connectWait is how long a connection may take to come up.
+	// connectTimeout bounds the establishment of a connection.
 	connectTimeout = 400 * time.Millisecond
-	// answerWait is how long a process may take for its answer, beyond the time for which it may hold it.
+	// answerTimeout is how long a store may take for its answer, in addition to the client's long poll.
 	answerTimeout = 1500 * time.Millisecond
-	// hopsMost bounds the processes that are asked for one call.
+	// maxHops bounds the stores that one call is sent to.
 	maxHops = 6
-	// idleMost is how long a connection that nobody uses is kept.
+	// idleTimeout is how long an unused connection is kept.
 	idleTimeout = 20 * time.Second
-	// retryAfter is when to come back where no batch process can be asked.
+	// retryAfter is for clients of calls that no store answered.
 	retryAfter = 300 * time.Millisecond
 )
 
-// Caller keeps the connections.
+// Caller forwards calls, and keeps connections to the stores. It is safe for concurrent use.
 type Caller struct {
 	settings *node.Settings
 	options  transport.Options
 	members  func() *protocol.MemberList
-	backlogs *serverload.Table                                                                           // what waits at batch processes
-	send     func(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) // ask, but in tests
+	backlogs *serverload.Table                                                                           // of the stores
+	send     func(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) // callProcess; tests replace it
 
-	mu          sync.Mutex
+	mu          sync.Mutex             // guards what follows
 	connections map[string]*connection // by IP
-	avoidUntil  map[string]time.Time   // by IP: until when it is asked last
-	rotation    int
+	avoidUntil  map[string]time.Time   // by IP: it timed out, and is asked last until then
+	rotation    int                    // where the next call starts among equal stores
 }
 
+// connection is a connection to a store, which reconnects by itself.
 type connection struct {
 	client   *transport.Client
 	up       chan struct{} // closed once it has been connected
 	lastUsed time.Time
-	users    int
+	users    int // calls in flight
 }
 
-// New gives a caller that takes the set of batch processes from members, and what waits there from a board.
-func New(settings *node.Settings, options transport.Options, members func() *protocol.MemberList, board *serverload.Table) *Caller {
+// New returns a caller that takes the set of stores from members, and their backlogs from a table.
+func New(settings *node.Settings, options transport.Options, members func() *protocol.MemberList,
+	backlogs *serverload.Table) *Caller {
 	options.Heartbeat = 500 * time.Millisecond
-	c := &Caller{settings: settings, options: options, members: members, backlogs: board, connections: map[string]*connection{}, avoidUntil: map[string]time.Time{}}
+	c := &Caller{settings: settings, options: options, members: members, backlogs: backlogs,
+		connections: map[string]*connection{}, avoidUntil: map[string]time.Time{}}
 	c.send = c.callProcess
 	return c
 }
 
-// Call asks until there is an answer or the context ends.
+// Call forwards a call until there is an answer or ctx ends.
 func (c *Caller) Call(ctx context.Context, call protocol.BatchCall) protocol.BatchAnswer {
 	members := c.members()
 	if members == nil {
@@ -99,22 +108,22 @@
 	return rejection(call, uncertain)
 }
 
-// second asks one more process after one that could not be sure.
+// askAnother sends a call to one more store, after one that answered 503 as it wasn't sure.
 func (c *Caller) askAnother(ctx context.Context, targets *targetList, call protocol.BatchCall) (protocol.BatchAnswer, bool) {
 	answer, err := c.send(ctx, targets.next(), call)
 	return answer, err == nil && answer.Status != 0
 }
 
-// promised takes a promise back that doesn't hold for a process that may have taken the call before.
+// withdrawPromise replaces a store's promise that a submission wasn't accepted, if another store may have accepted it.
 func withdrawPromise(call protocol.BatchCall, answer protocol.BatchAnswer, uncertain bool) protocol.BatchAnswer {
-	refused := answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests
-	if refused && uncertain && call.Operation == protocol.BatchSubmit {
+	rejected := answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests
+	if rejected && uncertain && call.Operation == protocol.BatchSubmit {
 		return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
 	}
 	return answer
 }
 
-// refusal is the answer where no process gave one.
+// rejection is the answer to a call that no store answered.
 func rejection(call protocol.BatchCall, uncertain bool) protocol.BatchAnswer {
 	if uncertain && call.Operation == protocol.BatchSubmit {
 		return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
@@ -122,19 +131,20 @@
 	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
-// order gives the processes in the order in which they are asked: those of the own zone first, the others in turn.
+// preference returns the IPs of the stores in the order in which they are asked: those of the own zone first, then the
+// others, then those that timed out lately and those that are retiring.
 func (c *Caller) preference(members []protocol.StoreMember) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rotation++
 	now := time.Now()
-	var near, far, slow, leaving []string
+	var near, far, slow, retiring []string
 	for i := range members {
 		member := &members[(i+c.rotation)%len(members)]
 		switch {
 		case member.State == protocol.StoreRetired:
 		case member.State == protocol.StoreRetiring:
-			leaving = append(leaving, member.IP)
+			retiring = append(retiring, member.IP)
 		case c.isAvoided(member.IP, now):
 			slow = append(slow, member.IP)
 		case member.Zone == c.settings.Zone:
@@ -143,10 +153,10 @@
 			far = append(far, member.IP)
 		}
 	}
-	return slices.Concat(near, far, slow, leaving)
+	return slices.Concat(near, far, slow, retiring)
 }
 
-// ask puts the call to one process.
+// callProcess sends the call to one store.
 func (c *Caller) callProcess(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) {
 	one := c.acquire(ip)
 	defer c.release(one)
@@ -172,7 +182,7 @@
 	return answer, nil
 }
 
-// link gives the connection to a process, and closes those that nobody has used for long.
+// acquire returns the connection to a store for one call, and closes those that are idle.
 func (c *Caller) acquire(ip string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,13 +209,14 @@
 	return one
 }
 
+// release ends a call's use of a connection.
 func (c *Caller) release(one *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	one.users--
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/batchproxy/batchcall_test.go
+++ b/internal/gateway/batchproxy/caller_test.go
@@ -21,7 +21,7 @@
 )
 
 func TestTargetList(t *testing.T) {
-	Convey("An owner that is named goes first, and nobody is asked twice", t, func() {
+	Convey("An owner that is named goes first, and no store is asked twice", t, func() {
 		r := newTargetList([]string{"a", "b", "c"})
 		So(r.next(), ShouldEqual, "a")
 		r.redirect("c")
@@ -32,7 +32,7 @@
 		So(r.hasNext(), ShouldBeFalse)
 		So(r.next(), ShouldBeEmpty)
 	})
-	Convey("The own zone goes first, what leaves last, what has left not at all", t, func() {
+	Convey("The own zone goes first, retiring stores last, retired ones not at all", t, func() {
 		c := &Caller{settings: &node.Settings{Zone: "z"}}
 		member := func(ip, zone string, state protocol.StoreState) protocol.StoreMember {
 			return protocol.StoreMember{Process: protocol.Process{IP: ip, Zone: zone}, State: state}
@@ -47,7 +47,7 @@
 }
 
 func TestPromises(t *testing.T) {
-	Convey("A submission that somebody may have taken is not refused with a promise", t, func() {
+	Convey("A submission that a store may have accepted is not rejected with a promise", t, func() {
 		submit, read := protocol.BatchCall{Operation: protocol.BatchSubmit}, protocol.BatchCall{Operation: protocol.BatchRead}
 		for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 			answer := protocol.BatchAnswer{Status: status}
@@ -71,7 +71,7 @@
 		return answer, decided, s
 	}
 	say := func(one attempt) func() attempt { return func() attempt { return one } }
-	Convey("Where one says nothing another is asked, and what that one says counts", t, func() {
+	Convey("If one doesn't answer another is asked, and its answer counts", t, func() {
 		silent := make(chan struct{})
 		defer close(silent)
 		answer, decided, _ := run(map[string]func() attempt{
@@ -82,7 +82,7 @@
 		So(decided, ShouldBeTrue)
 		So(answer.Status, ShouldEqual, http.StatusAccepted)
 	})
-	Convey("A refusal stands only where nobody may have taken it", t, func() {
+	Convey("A rejection stands only if no store may have accepted the submission", t, func() {
 		_, decided, s := run(map[string]func() attempt{
 			"a": say(attempt{err: transport.ErrNotConnected}), "b": say(answered(http.StatusServiceUnavailable)),
 		})
@@ -97,7 +97,7 @@
 	})
 }
 
-// store is how a batch process of a test takes a call.
+// store is how a batch process of a test answers a call.
 type store func(ctx context.Context, call protocol.BatchCall) (protocol.BatchAnswer, error)
 
 func respondsWith(status int) store {
@@ -112,7 +112,7 @@
 	}
 }
 
-// frozen says nothing until it is given up, dead can't be reached.
+// frozen doesn't answer until the call is given up.
 func frozen(ctx context.Context, _ protocol.BatchCall) (protocol.BatchAnswer, error) {
 	<-ctx.Done()
 	return protocol.BatchAnswer{}, transport.ErrUncertain
@@ -122,7 +122,7 @@
 	return protocol.BatchAnswer{}, transport.ErrNotConnected
 }
 
-// caller gives one in zone z before stores 1 (near), 2 and 3 (far), and the list of those that it asks.
+// caller returns a caller in zone z before the stores 1 (in z), 2 and 3 (in y), and the list of those that it asks.
 func caller(stores ...store) (c *Caller, asked *[]string) {
 	list := &protocol.MemberList{}
 	for i := range stores {
@@ -144,12 +144,12 @@
 	return c, asked
 }
 
-// Other clients look at batch jobs all day, through any gateway, whatever has become of some stores.
+// TestCallsOfOtherClients checks that batch jobs can be read through any gateway, whatever has become of some stores.
 func TestCallsOfOtherClients(t *testing.T) {
 	calls := []protocol.BatchOperation{protocol.BatchRead, protocol.BatchBody, protocol.BatchEnd}
 	for _, operation := range calls {
 		call := protocol.BatchCall{Operation: operation, BatchJob: "job"}
-		Convey(fmt.Sprint("Operation ", operation, " finds the owner, past stores that are dead"), t, func() {
+		Convey(fmt.Sprint("Operation ", operation, " finds the owner, past unreachable stores"), t, func() {
 			c, asked := caller(unreachable, respondsWith(http.StatusOK), redirectsTo("2"))
 			So(c.Call(context.Background(), call).Status, ShouldEqual, http.StatusOK)
 			So((*asked)[0], ShouldEqual, "1")
@@ -171,7 +171,7 @@
 			So(c.Call(context.Background(), call).Status, ShouldEqual, http.StatusNotFound)
 		})
 	}
-	Convey("One that said nothing is asked last for a moment", t, func() {
+	Convey("A store that timed out is asked last for a moment", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			c, asked := caller(frozen, respondsWith(http.StatusOK), respondsWith(http.StatusOK))
 			read := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: "job"}
@@ -189,7 +189,7 @@
 			assert.Equal(t, "1", (*asked)[len(*asked)-2])
 		})
 	})
-	Convey("A batch job that is sent again is accepted again, whichever store is asked", t, func() {
+	Convey("A batch job that is submitted again is accepted again, whichever store is asked", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			for _, stores := range [][]store{
 				{respondsWith(http.StatusAccepted), unreachable, unreachable}, {redirectsTo("2"), respondsWith(http.StatusAccepted), unreachable}, {unreachable, unreachable, respondsWith(http.StatusAccepted)},
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -11,32 +11,31 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// hedgeAfter is how long a process may take for a submission before another is asked, too: one that is down or frozen says
-// nothing for seconds, and batch processes accept a batch job once wherever and how often it is handed in.
+// hedgeAfter is how long a store may take for a submission before the submission is hedged.
 const hedgeAfter = 100 * time.Millisecond
 
-// passedOver is how long one that let a submission wait that long is asked last.
+// avoidFor is how long a store that timed out is asked last.
 const avoidFor = time.Second
 
-// attempt is what came of asking one process.
+// attempt is the result of sending the submission to one store.
 type attempt struct {
 	answer protocol.BatchAnswer
 	err    error
 }
 
-// submission is one batch job on its way in.
+// submission is the submission of one batch job.
 type submission struct {
 	send      func(ip string) attempt
 	onSlow    func(ip string)
-	last      string // asked last
+	last      string // store that was asked last
 	targets   *targetList
 	results   chan attempt
 	pending   int
-	uncertain bool // one may have taken it and didn't say so
+	uncertain bool // a store may have accepted it without saying so
 	rejected  *protocol.BatchAnswer
 }
 
-// submit hands a batch job in: to one process, to the owner that it names, and to another where none answers soon.
+// submit submits a batch job: to one store, to the owner that it names, and to another if none answers soon.
 func (c *Caller) submit(ctx context.Context, call protocol.BatchCall, order []string) protocol.BatchAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -55,7 +54,7 @@
 	return rejection(call, s.uncertain)
 }
 
-// run asks until one has decided, or none is left.
+// run sends the submission until a store has decided, or none is left.
 func (s *submission) run(ctx context.Context) (protocol.BatchAnswer, bool) {
 	s.next()
 	hedge := time.NewTimer(hedgeAfter)
@@ -82,7 +81,7 @@
 	return protocol.BatchAnswer{}, false
 }
 
-// next asks one more process.
+// next sends the submission to one more store.
 func (s *submission) next() {
 	if len(s.targets.tried) >= maxHops {
 		return
@@ -96,7 +95,7 @@
 	go func() { s.results <- s.send(ip) }()
 }
 
-// take notes an answer, and tells whether it decides.
+// handle takes in an attempt's result, and reports whether it decides.
 func (s *submission) handle(result attempt) bool {
 	switch {
 	case result.err != nil:
@@ -115,14 +114,14 @@
 	return false
 }
 
-// passOver notes a process that said nothing in time.
+// avoid has a store that didn't answer in time asked last for a while.
 func (c *Caller) avoid(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoidUntil[ip] = time.Now().Add(avoidFor)
 }
 
-// isPassedOver tells whether a process said nothing in time lately. The mutex is held.
+// isAvoided reports whether a store didn't answer in time lately. mu is held.
 func (c *Caller) isAvoided(ip string, now time.Time) bool {
 	until, slow := c.avoidUntil[ip]
 	if slow && now.After(until) {
--- a/internal/gateway/batchproxy/route.go
+++ b/internal/gateway/batchproxy/target_list.go
@@ -1,24 +1,25 @@
 package batchproxy
 
-// route is the way of one call through the batch processes.
+// targetList is the stores that one call may still be sent to, by IP.
 type targetList struct {
 	order []string
 	tried map[string]bool
-	owner string // the owner, where one has been named and not asked yet
+	owner string // of the batch job, if a store has named it and it wasn't asked yet
 }
 
+// newTargetList returns a list of stores in the order in which they are asked.
 func newTargetList(order []string) *targetList {
 	return &targetList{order: order, tried: map[string]bool{}}
 }
 
-// owner notes who owns the batch job by the word of a process.
+// redirect notes the owner of the batch job that a store has named. It is asked next.
 func (r *targetList) redirect(ip string) {
 	if ip != "" && !r.tried[ip] {
 		r.owner = ip
 	}
 }
 
-// next gives the process to ask, empty where all have been.
+// next returns the store to ask, or "" if all have been.
 func (r *targetList) next() string {
 	if ip := r.owner; ip != "" {
 		r.owner = ""
@@ -34,7 +35,7 @@
 	return ""
 }
 
-// more tells whether one is left to ask.
+// hasNext reports whether a store is left to ask.
 func (r *targetList) hasNext() bool {
 	for _, ip := range r.order {
 		if !r.tried[ip] {
--- a/internal/gateway/quotaclient/asking.go
+++ b/internal/gateway/quotaclient/allocator.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Run asks the allocator until the context ends.
+// Run requests tokens from the allocator until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
 	defer l.close()
 	timer := time.NewTimer(0)
@@ -24,7 +24,7 @@
 	}
 }
 
-// step does what is due and tells for how long nothing else is.
+// step does what is due, and returns the time until the next step.
 func (l *Limiter) step(ctx context.Context) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -44,7 +44,7 @@
 	return max(minStepInterval, l.client.WakeAt(now)-now)
 }
 
-// follow turns to the allocator that the list of processes names.
+// followAllocator connects to the allocator that the list of processes names. mutex is held.
 func (l *Limiter) followAllocator() {
 	members := l.options.Members()
 	if members == nil || members.QuotaAddress == l.address {
@@ -61,7 +61,7 @@
 	}
 }
 
-// connected has what failed for want of a connection asked again.
+// connected has requests that failed without a connection sent again.
 func (l *Limiter) connected(up bool) {
 	if !up {
 		return
@@ -72,7 +72,7 @@
 	l.wake()
 }
 
-// ask carries one request to the allocator.
+// sendRequest sends one request to the allocator and takes in the reply. One without a reply is taken as an empty reply.
 func (l *Limiter) sendRequest(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) {
 	reply, answered := call(ctx, link, request)
 	l.mutex.Lock()
@@ -87,7 +87,7 @@
 	l.wake()
 }
 
-// call waits for the reply.
+// call sends a request and waits for the reply.
 func call(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) (protocol.QuotaReply, bool) {
 	limited, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
@@ -99,7 +99,7 @@
 	return reply, ok
 }
 
-// resolve decides about the requests that wait, the oldest first.
+// resolve decides about the requests that wait, the oldest first. mutex is held.
 func (l *Limiter) resolve(now time.Duration) {
 	kept := l.waiters[:0]
 	for _, one := range l.waiters {
--- a/internal/gateway/quotaclient/limits.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -1,5 +1,9 @@
-// Package quotaclient owns the carrying of a gateway's part of the quotas: it asks the allocator over the network as package quota
-// tells it to, and has requests wait for what comes back. It must never decide about a token itself.
+// Package quotaclient holds tenants to their rate limits at a gateway. It carries the requests for leases of tokens between
+// package quota's client, which decides about every token and does no input or output, and the allocator in a control
+// process; and it has requests wait for tokens.
+//
+// A request that needs a token either has one at once, or waits: for longer if its lease will surely have a token by then,
+// else only as long as a rejection (429) is still timely. Without an allocator existing leases carry on until they expire.
 package quotaclient
 
 import (
@@ -16,32 +20,32 @@
 )
 
 const (
-	replyTimeout    = 600 * time.Millisecond // of a call to the allocator
+	replyTimeout    = 600 * time.Millisecond // of a request to the allocator
 	heartbeat       = 500 * time.Millisecond
 	minStepInterval = time.Millisecond
-	certainMargin   = 5 * time.Millisecond // beyond the moment when a lease has the token that is waited for
+	certainMargin   = 5 * time.Millisecond // added to the wait for a token that a lease will have
 )
 
-// Options are a keeper's fixed parts.
+// Options are a limiter's fixed parts.
 type Options struct {
 	Process   protocol.Process
 	Transport transport.Options
-	Members   func() *protocol.MemberList // nil list: not known yet
+	Members   func() *protocol.MemberList // may return nil: not known yet
 	Log       zerolog.Logger
 }
 
-// Patience is how long a request may wait for a token.
+// WaitLimits are how long a request may wait for a token.
 type WaitLimits struct {
-	Uncertain time.Duration // while it isn't known whether it will get one: a refusal must come soon
-	Certain   time.Duration // where its lease will have one by then
+	Uncertain time.Duration // while it isn't known whether there will be one: a rejection must come soon
+	Certain   time.Duration // if its lease will have one by then
 }
 
-// Decision is what became of a request.
+// Decision is the answer to Acquire.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // of a refused one
+	RetryAfter time.Duration // if it is rejected
 
-	takenAt time.Duration // when its token was
+	takenAt time.Duration // when its token was taken
 }
 
 // Counts are totals since the start.
@@ -50,16 +54,16 @@
 	Rejected uint64 // over the limit, or while no allocator could be reached
 	Waited   uint64 // of both, those that waited
 	Requests uint64 // requests to the allocator
-	Failed   uint64 // of these, those without an answer
+	Failed   uint64 // of these, those without a reply
 }
 
-// Keeper holds a gateway's tokens. It is safe for concurrent use.
+// Limiter holds a gateway's tokens. It is safe for concurrent use.
 type Limiter struct {
 	options Options
 	origin  time.Time
 	wakeup  chan struct{}
 
-	mutex      sync.Mutex
+	mutex      sync.Mutex // guards what follows
 	client     *quota.Client
 	waiters    []*waiter
 	address    string // of the allocator
@@ -74,7 +78,7 @@
 	decided chan Decision
 }
 
-// New gives a keeper; Run has it ask.
+// New returns a limiter without tokens. Run requests them.
 func New(options Options) *Limiter {
 	options.Transport.Heartbeat = heartbeat
 	return &Limiter{
@@ -85,54 +89,55 @@
 
 func (l *Limiter) now() time.Duration { return time.Since(l.origin) }
 
-// Configure takes a configuration in.
+// Configure applies a configuration.
 func (l *Limiter) Configure(snapshot *configuration.Snapshot) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.client.Configure(snapshot)
 }
 
-// Acquire takes a token for a request, or waits for one. A nil tenant has no limit.
+// Acquire takes a token for a request, or waits for one within limits and until ctx ends. A nil tenant has no limit.
 func (l *Limiter) Acquire(ctx context.Context, tenant *configuration.Tenant, limits WaitLimits) Decision {
-	decision, waits, until := l.tryAcquire(tenant, limits)
-	if waits == nil {
+	decision, pending, wait := l.tryAcquire(tenant, limits)
+	if pending == nil {
 		return decision
 	}
-	timer := time.NewTimer(until)
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
-	case decision = <-waits.decided:
+	case decision = <-pending.decided:
 		return decision
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return l.abandon(waits)
+	return l.abandon(pending)
 }
 
-// take decides at once, or gives the place in the queue and how long to stay in it.
+// tryAcquire decides at once, or returns a waiter and for how long to wait.
 func (l *Limiter) tryAcquire(tenant *configuration.Tenant, limits WaitLimits) (Decision, *waiter, time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
-	served := l.client.TimeToToken(now, tenant)
+	untilToken := l.client.TimeToToken(now, tenant)
 	verdict := l.client.Take(now, tenant)
 	if !verdict.Wait {
 		return l.count(now, tenant, verdict), nil, 0
 	}
 	l.counts.Waited++
-	until := limits.Uncertain
+	wait := limits.Uncertain
 	switch {
-	case served < limits.Certain:
-		until = max(until, served+certainMargin)
+	case untilToken < limits.Certain:
+		wait = max(wait, untilToken+certainMargin)
 	case l.client.AllocatorTimedOut(now):
 		return l.count(now, tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, tenant)}), nil, 0
 	}
 	one := &waiter{tenant: tenant, decided: make(chan Decision, 1)}
 	l.waiters = append(l.waiters, one)
 	l.wake()
-	return Decision{}, one, until
+	return Decision{}, one, wait
 }
 
+// count counts a decision. mutex is held.
 func (l *Limiter) count(now time.Duration, tenant *configuration.Tenant, verdict quota.Verdict) Decision {
 	if verdict.Admit {
 		l.counts.Admitted++
@@ -143,7 +148,7 @@
 	return Decision{Admit: verdict.Admit, RetryAfter: verdict.RetryAfter, takenAt: now}
 }
 
-// giveUp ends a wait, unless it has just been decided.
+// abandon ends a wait, unless it has just been decided.
 func (l *Limiter) abandon(one *waiter) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -157,27 +162,28 @@
 	return <-one.decided
 }
 
-// Charge counts a further attempt of a request that a server may have run.
+// Charge counts a retry of a request that a server may have run.
 func (l *Limiter) Charge(tenant *configuration.Tenant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.client.Charge(l.now(), tenant)
 }
 
-// Return gives back the token that a decision took, where no byte of the request went to a server.
+// Return returns the token of a decision, if no byte of the request went to a server.
 func (l *Limiter) Return(tenant *configuration.Tenant, decision Decision) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.client.Return(l.now(), decision.takenAt, tenant)
 }
 
-// Counts gives the totals.
+// Counts returns the totals.
 func (l *Limiter) Counts() Counts {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.counts
 }
 
+// wake has Run take the next step now.
 func (l *Limiter) wake() {
 	select {
 	case l.wakeup <- struct{}{}:
--- a/internal/gateway/quotaclient/limits_test.go
+++ b/internal/gateway/quotaclient/limiter_test.go
@@ -19,7 +19,7 @@
 
 var testWaitLimits = WaitLimits{Uncertain: 2 * time.Second, Certain: 2 * time.Second}
 
-// control is an allocator behind a port.
+// fakeAllocator is an allocator on loopback.
 type fakeAllocator struct {
 	mutex     sync.Mutex
 	allocator *quota.Allocator
@@ -108,7 +108,7 @@
 		So(refused.Load(), ShouldEqual, 0)
 	})
 
-	Convey("Two gateways together stay within a tenant's limit, and requests get what there is", t, func() {
+	Convey("Two gateways together stay within a tenant's limit, and requests get the tokens that there are", t, func() {
 		server := startAllocator(t, snapshot)
 		keepers := []*Limiter{startLimiter(t, "front-a", server.members), startLimiter(t, "front-b", server.members)}
 		admitted, refused := 0, 0
@@ -126,7 +126,7 @@
 		So(refused, ShouldBeGreaterThan, 0)
 	})
 
-	Convey("Beyond the limit a request is refused with the time to come back", t, func() {
+	Convey("Beyond the limit a request is rejected with a Retry-After", t, func() {
 		server := startAllocator(t, snapshot)
 		keeper := startLimiter(t, "front-1", server.members)
 		admitted := 0
@@ -144,7 +144,7 @@
 		So(keeper.Acquire(context.Background(), nil, testWaitLimits).Admit, ShouldBeTrue)
 	})
 
-	Convey("Without an allocator requests are refused soon, and leases carry on", t, func() {
+	Convey("Without an allocator requests are rejected soon, and leases carry on", t, func() {
 		nobody := startLimiter(t, "front-2", func() *protocol.MemberList { return nil })
 		short := WaitLimits{Uncertain: 30 * time.Millisecond, Certain: 60 * time.Millisecond}
 		So(nobody.Acquire(context.Background(), snapshot.TenantByName("large"), short).Admit, ShouldBeFalse)
@@ -164,7 +164,7 @@
 		So(keeper.Acquire(context.Background(), snapshot.TenantByName("large"), testWaitLimits).Admit, ShouldBeTrue)
 	})
 
-	Convey("A request whose client leaves gives its place up", t, func() {
+	Convey("A request whose client leaves stops waiting", t, func() {
 		keeper := startLimiter(t, "front-4", func() *protocol.MemberList { return nil })
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
--- a/internal/gateway/quotaclient/report.go
+++ b/internal/gateway/quotaclient/rejection_log.go
@@ -6,21 +6,22 @@
 	"github.com/rs/zerolog"
 )
 
-// reportEvery is the least time between two lines on the same tenant.
+// rejectionLogInterval is the least time between two log lines on the same tenant.
 const rejectionLogInterval = 10 * time.Second
 
-// refusals are a tenant's since the last report.
+// tenantRejections are a tenant's rejections since the last log line.
 type tenantRejections struct {
 	overLimit   int
-	unreachable int // while the allocator didn't answer
+	unreachable int // while the allocator had timed out
 }
 
-// report tells the operator which tenants were refused.
+// rejectionLog logs which tenants are rejected. The limiter's mutex guards it.
 type rejectionLog struct {
 	next    time.Duration
 	tenants map[string]tenantRejections
 }
 
+// record counts a rejection.
 func (r *rejectionLog) record(tenant string, unreachable bool) {
 	if r.tenants == nil {
 		r.tenants = map[string]tenantRejections{}
@@ -34,7 +35,7 @@
 	r.tenants[tenant] = one
 }
 
-// write logs a line a tenant that was refused.
+// write logs a line for each tenant with rejections.
 func (r *rejectionLog) write(now time.Duration, log *zerolog.Logger) {
 	if len(r.tenants) == 0 || now < r.next {
 		return
