--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -47,36 +47,36 @@
 // newAdmitter returns an admitter. Its members must be set before it is used.
 func newAdmitter(selector *serverselection.Selector, servers *endpoints.Registry, process protocol.Process, options transport.Options,
 	log zerolog.Logger) *admitter {
-	l := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector, servers: servers,
+	a := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector, servers: servers,
 		loadReportedAt: map[string]time.Time{}}
-	l.quota = quotaclient.New(quotaclient.Options{Process: process, Transport: options, Members: l.currentMembers, Log: log})
-	return l
+	a.quota = quotaclient.New(quotaclient.Options{Process: process, Transport: options, Members: a.currentMembers, Log: log})
+	return a
 }
 
 // currentMembers returns the list of processes, or nil before the first.
-func (l *admitter) currentMembers() *protocol.MemberList { return l.members() }
+func (a *admitter) currentMembers() *protocol.MemberList { return a.members() }
 
-func (l *admitter) now() time.Duration { return time.Since(l.origin) }
+func (a *admitter) now() time.Duration { return time.Since(a.origin) }
 
 // Configure applies a configuration.
-func (l *admitter) Configure(snapshot *configuration.Snapshot) {
-	l.admission.Configure(snapshot)
-	l.quota.Configure(snapshot)
+func (a *admitter) Configure(snapshot *configuration.Snapshot) {
+	a.admission.Configure(snapshot)
+	a.quota.Configure(snapshot)
 }
 
 // Admit decides about a request. The tenant's quota comes first: a request beyond it is rejected with 429 whatever the load.
-func (l *admitter) Admit(ctx context.Context, request proxy.AdmissionRequest) proxy.Rejection {
-	token := l.quota.Acquire(ctx, request.Tenant, quotaWait(request.Route, time.Until(request.Deadline)))
+func (a *admitter) Admit(ctx context.Context, request proxy.AdmissionRequest) proxy.Rejection {
+	token := a.quota.Acquire(ctx, request.Tenant, quotaWait(request.Route, time.Until(request.Deadline)))
 	if !token.Admit {
 		return proxy.Rejection{Status: http.StatusTooManyRequests, RetryAfter: token.RetryAfter}
 	}
-	l.reportLoad(request.Backend)
-	decision := l.admission.Admit(l.now(), request.Route, request.Tenant, admission.Request{
+	a.reportLoad(request.Backend)
+	decision := a.admission.Admit(a.now(), request.Route, request.Tenant, admission.Request{
 		PromptTokens: request.Workload.PromptTokens, OutputTokens: request.Workload.OutputTokens, Remaining: time.Until(request.Deadline)})
 	if decision.Admit {
 		return proxy.Rejection{}
 	}
-	l.quota.Return(request.Tenant, token)
+	a.quota.Return(request.Tenant, token)
 	return proxy.Rejection{Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter}
 }
 
@@ -96,35 +96,35 @@
 }
 
 // Sent counts a request that was sent to a server. A retry counts against the tenant's quota.
-func (l *admitter) Sent(request proxy.AdmissionRequest, retried bool) {
-	l.admission.Sent(l.now(), request.Route.Name)
+func (a *admitter) Sent(request proxy.AdmissionRequest, retried bool) {
+	a.admission.Sent(a.now(), request.Route.Name)
 	if retried {
-		l.quota.Charge(request.Tenant)
+		a.quota.Charge(request.Tenant)
 	}
 }
 
 // Attempted counts an attempt's latency.
-func (l *admitter) Attempted(request proxy.AdmissionRequest, took time.Duration) {
-	l.admission.Attempt(l.now(), request.Route.Name, took)
+func (a *admitter) Attempted(request proxy.AdmissionRequest, took time.Duration) {
+	a.admission.Attempt(a.now(), request.Route.Name, took)
 }
 
 // reportLoad tells admission the utilization of a backend's slots, as its servers report it. If they don't, it is estimated
 // from this gateway's own requests there, as if all gateways had as many.
-func (l *admitter) reportLoad(backend string) {
+func (a *admitter) reportLoad(backend string) {
 	now := time.Now()
-	l.mu.Lock()
-	due := now.Sub(l.loadReportedAt[backend]) >= loadReportInterval
+	a.mu.Lock()
+	due := now.Sub(a.loadReportedAt[backend]) >= loadReportInterval
 	if due {
-		l.loadReportedAt[backend] = now
+		a.loadReportedAt[backend] = now
 	}
-	l.mu.Unlock()
-	table, members := l.servers.Current(), l.members()
+	a.mu.Unlock()
+	table, members := a.servers.Current(), a.members()
 	if !due || table == nil || members == nil {
 		return
 	}
 	list := table.ForBackend(backend)
-	if utilization, waiting, known := l.selector.Utilization(now, list); known {
-		l.admission.ObserveLoad(l.now(), backend, min(1, utilization), waiting)
+	if utilization, waiting, known := a.selector.Utilization(now, list); known {
+		a.admission.ObserveLoad(a.now(), backend, min(1, utilization), waiting)
 		return
 	}
 	slots := 0
@@ -134,6 +134,6 @@
 	if slots == 0 {
 		return
 	}
-	utilization := float64(l.selector.InFlight(list)*max(1, len(members.Gateways))) / float64(slots)
-	l.admission.ObserveLoad(l.now(), backend, min(1, utilization), utilization > 1)
+	utilization := float64(a.selector.InFlight(list)*max(1, len(members.Gateways))) / float64(slots)
+	a.admission.ObserveLoad(a.now(), backend, min(1, utilization), utilization > 1)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -91,7 +91,7 @@
 func New(settings *node.Settings, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: settings, log: log, state: service.New()}
 	g.state.AcceptFor(acceptAfterShutdown)
-	g.pool = pool.New(pool.Options{Sockets: serverSockets(settings), ConnIdle: serverIdleTimeout, ConnectWait: connectTimeout})
+	g.pool = pool.New(pool.Options{Sockets: maxServerSockets(settings), ConnIdle: serverIdleTimeout, ConnectWait: connectTimeout})
 	g.servers = endpoints.NewRegistry(g.pool)
 	process := protocol.Process{Node: settings.NodeName, Role: protocol.RoleGateway, Zone: settings.Zone, IP: settings.IP,
 		Incarnation: incarnation()}
@@ -131,12 +131,12 @@
 	return sum.Sum64()
 }
 
-func clientSockets(settings *node.Settings) int {
+func maxClientSockets(settings *node.Settings) int {
 	return int(clientShare * float64(max(0, settings.Limits.MaxFDs-reservedFDs)))
 }
 
-func serverSockets(settings *node.Settings) int {
-	return max(0, settings.Limits.MaxFDs-reservedFDs) - clientSockets(settings)
+func maxServerSockets(settings *node.Settings) int {
+	return max(0, settings.Limits.MaxFDs-reservedFDs) - maxClientSockets(settings)
 }
 
 // Ready tells whether clients are to come here.
@@ -261,7 +261,7 @@
 	limits := g.awaitLimits()
 	server, err := front.Listen(front.Options{
 		Listener:        port,
-		Sockets:         clientSockets(g.settings),
+		Sockets:         maxClientSockets(g.settings),
 		LongestDeadline: longestDeadline,
 		State:           g.state,
 		HeaderWait:      withSlack(limits.HeaderTimeoutMs),
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -65,21 +65,21 @@
 
 // freePort gives a port that nobody listens at on loopback.
 func freePort(t *testing.T) int {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	a, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().(*net.TCPAddr).Port
+	defer a.Close()
+	return a.Addr().(*net.TCPAddr).Port
 }
 
 func startControl(t *testing.T, ip string, port int, update protocol.Update) *fakeControl {
-	l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, port))
+	a, err := net.Listen("tcp", fmt.Sprintf("%s:%d", ip, port))
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := &fakeControl{update: update}
-	h.server = transport.Serve(l, transport.Options{Identity: transport.Identity{System: protocol.System}}, h.handle)
+	h.server = transport.Serve(a, transport.Options{Identity: transport.Identity{System: protocol.System}}, h.handle)
 	t.Cleanup(func() { h.server.Close() })
 	return h
 }
