--- a/internal/configuration/change_request_test.go
+++ b/internal/configuration/change_request_test.go
@@ -16,10 +16,12 @@
  "limits":{"max-header-bytes":16384,"max-body-bytes":4194304},
  "tenants":[{"name":"t1","api-keys":["k1","k2"],"priority":1,"rate-per-s":61,"burst":61}], "novel":{"a":1.50}}`
 
+// apply applies a change request of three parts.
 func apply(s *State, index, ifMatch uint64, patch bool, body string) Result {
 	return s.Apply(index, ChangeRequest{IfMatch: ifMatch, Patch: patch, Body: []byte(body)})
 }
 
+// same asserts that two JSON texts have the same value.
 func same(t *testing.T, got []byte, want string) {
 	var a, b any
 	So(json.Unmarshal(got, &a), ShouldBeNil)
@@ -27,7 +29,8 @@
 	So(a, ShouldResemble, b)
 }
 
-func TestOrders(t *testing.T) {
+// TestChangeRequests checks what requests do, repeated and stale ones included.
+func TestChangeRequests(t *testing.T) {
 	Convey("A first document is accepted and read back as it was sent", t, func() {
 		s := NewState()
 		So(apply(s, 1, 0, false, firstDocument).Status, ShouldEqual, StatusAccepted)
@@ -90,6 +93,7 @@
 	})
 }
 
+// TestInvalid checks that each fault is found and located.
 func TestInvalid(t *testing.T) {
 	change := func(old, replacement string) string {
 		changed := strings.Replace(firstDocument, old, replacement, 1)
@@ -153,7 +157,8 @@
 	})
 }
 
-func TestQueueBound(t *testing.T) {
+// TestMaxQueuedTokens checks the notations of a whole number.
+func TestMaxQueuedTokens(t *testing.T) {
 	Convey("A limit of queued tokens may be written as any whole number, and is 0 by default", t, func() {
 		cases := map[string]int64{
 			`,"max-queued-tokens":3200000`: 3_200_000,
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -9,8 +9,8 @@
 // version and rises with each change.
 //
 // A Version is one configuration, immutable and so safe to share. It keeps each named item (a route, a backend, a
-// tenant) as the operator sent it, beside its typed value: members that this program doesn't know survive, and the
-// document that is read back has the bytes that were written.
+// tenant) as the operator sent it, beside its typed value: members that this program doesn't know survive, and items
+// are read back byte for byte.
 //
 // A ChangeRequest replaces the whole document (PUT) or patches items by name (PATCH). It names the generation that
 // it builds on (If-Match), so two operators can't overwrite each other's change unseen. Its Digest identifies it: a
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -190,7 +190,8 @@
 	}
 }
 
-func FuzzOrders(f *testing.F) {
+// FuzzChangeRequests checks that what is accepted can be parsed again, with the same content.
+func FuzzChangeRequests(f *testing.F) {
 	f.Add([]byte(firstDocument), false)
 	f.Add([]byte(`{"generation":9,"upsert":{"routes":[{"name":"r1"}],"limits":{}},"delete":{"tenants":["t1"]}}`), true)
 	f.Add([]byte(`{"generation":9e0,"upsert":{"novel":[{"name":"\u0000\\"}]},"delete":{"novel":["x"]}}`), true)
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -9,5 +9,6 @@
 // faults of a file are reported together, each with its line and key (Findings). Type Settings documents each
 // setting with its effect, unit and default.
 //
-// Settings are immutable. SIGHUP reads the file again and makes new ones; a file with faults changes nothing.
+// Settings are immutable. SIGHUP reads the file again and makes new ones, of which a running process takes over the
+// seeds alone; the others take effect at the next start. A file with faults changes nothing.
 package node
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -43,7 +43,8 @@
 	LastPort  int
 
 	// Seeds (seeds) are the control processes through which a process finds the others: a list of addresses,
-	// ip:port. Only the IP is used, with the ports of port-range.
+	// ip:port. Only the IP is used, with the ports of port-range. It is the only setting that SIGHUP changes in a
+	// running process.
 	Seeds []string
 	// Bootstrap (bootstrap) lets a control process with an empty disk found the replicated state with its seeds,
 	// instead of only joining one. Set it for the first start of a deployment alone: two foundations would be two
@@ -81,8 +82,10 @@
 
 // Tolerance is how many failures at once the system must survive.
 type Tolerance struct {
-	// Machines (fault-tolerance.machines) sets the number of replicas: one more than this, of the control state and
-	// of batch jobs. A larger value costs a write on a further disk for each change and job. Default: 1.
+	// Machines (fault-tolerance.machines) is the number of machines with a disk whose loss at once loses nothing
+	// acknowledged. The control state is in a chain of one more, out of twice as many voters and one; a batch job
+	// has one more replicas, and a batch process can be retired only while one more remain. A larger value costs
+	// more writes for each change and job. Default: 1.
 	Machines int
 	// Zones (fault-tolerance.zones). Default: 0. Not used.
 	Zones int
@@ -100,8 +103,8 @@
 	// Grace (bounds.grace-s) is the time from SIGTERM to SIGKILL. A gateway accepts requests until shortly before
 	// its end. Default: 8 s.
 	Grace time.Duration
-	// SkewMax (bounds.skew-max-ms) is the most that the wall clocks of two machines differ. Batch processes keep
-	// jobs twice as much longer than the rules ask for. Default: 5 s.
+	// SkewMax (bounds.skew-max-ms) is the most that the wall clocks of two machines differ. Batch processes add
+	// twice as much to the times for which they keep jobs (Status, and a route's retention). Default: 5 s.
 	SkewMax time.Duration
 	// Closed (bounds.closed) makes API keys fail closed: a process without contact to control for Revoke rejects
 	// all keys. Without it, such a process goes on with the keys that it has. Default: false.
@@ -117,7 +120,8 @@
 	// QuotaSlack (bounds.quota-slack) is the number of requests by which a tenant may exceed its limit in a window
 	// besides. Default: 0.
 	QuotaSlack float64
-	// Status (bounds.status-s) is the time for which a finished batch job can be read. Default: 120 s.
+	// Status (bounds.status-s) is the time for which a batch job can be read, counted from its first submission.
+	// Batch processes keep it for twice SkewMax more. A larger value fills more of the disk. Default: 120 s.
 	Status time.Duration
 
 	SeedLag            time.Duration // bounds.seed-lag-s, default 3 s; not used
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -11,7 +11,7 @@
 // Timing of the exchange with the allocator.
 const (
 	reportInterval       = 300 * time.Millisecond // between reports of changed demand and acknowledgements
-	renewInterval        = 600 * time.Millisecond // until leases are renewed: a fifth of leaseTTL
+	renewInterval        = 600 * time.Millisecond // from a request to the next one that renews leases: a fifth of leaseTTL
 	minRequestInterval   = 5 * time.Millisecond   // between requests for tokens; the allocator may ask for a longer one
 	replyTimeout         = 600 * time.Millisecond // a reply that comes later is ignored
 	minBackoff           = 60 * time.Millisecond  // after a failed request; doubled with each further one
@@ -25,7 +25,7 @@
 const (
 	minClientRetryAfter = 900 * time.Millisecond
 	maxClientRetryAfter = 1400 * time.Millisecond
-	retryJitterFrom     = 0.8 // jitter: uniform over this share of the value
+	retryJitterFrom     = 0.8 // the jitter is a factor, uniform from this
 	retryJitterSpan     = 0.4 // to this much more
 )
 
