--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -50,7 +50,8 @@
 	// instead of only joining one. Set it for the first start of a deployment alone: two foundations would be two
 	// systems. Default: false.
 	Bootstrap bool
-	// CountsForQuorum (counts-for-quorum) is the platform's word on the machine. Default: false. Not used.
+	// CountsForQuorum (counts-for-quorum) is whether the platform counts the machine for a quorum. Default: false.
+	// Not used.
 	CountsForQuorum bool
 
 	Limits Limits
