--- /dev/null
+++ b/internal/batch/replica/random_test.go
@@ -0,0 +1,69 @@
+package replica
+
+import (
+	"os"
+	"strconv"
+	"sync/atomic"
+	"testing"
+
+	"sprucelane.example/sprucelane/internal/batch/placement"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+func intFromEnvironment(name string, value int) int {
+	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
+		return number
+	}
+	return value
+}
+
+// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S, TRACE=1 prints what happens.
+func TestRandomSimulations(t *testing.T) {
+	first, count := intFromEnvironment("FIRST", 0), intFromEnvironment("SEEDS", defaultSeeds)
+	const shards = 3
+	var next, accepted, read, troubles atomic.Int64
+	t.Run("shards", func(t *testing.T) {
+		for shard := range shards {
+			t.Run(strconv.Itoa(shard), func(t *testing.T) {
+				t.Parallel()
+				for number := int(next.Add(1)) - 1; number < count; number = int(next.Add(1)) - 1 {
+					c, err := runSeed(uint64(first+number), "")
+					if err != nil {
+						t.Errorf("replay with FIRST=%d SEEDS=1: %v", first+number, err)
+						continue
+					}
+					accepted.Add(int64(c.clients.accepted))
+					read.Add(int64(c.clients.read))
+					troubles.Add(int64(c.faults))
+				}
+			})
+		}
+	})
+	t.Logf("%d worlds from %d, %d batch jobs accepted, %d results read, %d troubles", count, first, accepted.Load(), read.Load(), troubles.Load())
+}
+
+// TestReplaysExactly plays worlds twice.
+func TestReplaysExactly(t *testing.T) {
+	for seed := uint64(1); seed < 9; seed++ {
+		first, _ := runSeed(seed, "")
+		second, _ := runSeed(seed, "")
+		if first.traceHash != second.traceHash {
+			t.Errorf("seed %d played in two ways", seed)
+		}
+	}
+}
+
+func TestKeys(t *testing.T) {
+	if placement.KeyOf(protocol.Process{Node: "a", Incarnation: "1"}) == placement.KeyOf(protocol.Process{Node: "a", Incarnation: "2"}) {
+		t.Fatal("two lives of a disk have one key")
+	}
+}
+
+// TestWorldsThatPassedTheBound plays worlds in which more tokens were accepted than allowed, or room was held for ever.
+func TestSeedsThatExceededTokenLimit(t *testing.T) {
+	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
+		if _, err := runSeed(seed, ""); err != nil {
+			t.Errorf("replay with FIRST=%d SEEDS=1: %v", seed, err)
+		}
+	}
+}
