--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -10,34 +10,35 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns worlds under random load and troubles, one after the other, within what may be lost at once.
+// Campaigns of faults in a simulation under random load: one fault after the other, within what must be tolerated at
+// once.
 
 const (
-	loadDuration = 30 * time.Second // under load and troubles
+	loadDuration = 30 * time.Second // under load, with faults
 	catchUpTime  = 4800 * time.Millisecond
-	recoveryTime = 12 * time.Second // after which all must be well
+	recoveryTime = 12 * time.Second // after the last fault, in which all must recover
 	auditTime    = 6 * time.Second
 	maxStores    = 9
 )
 
-// campaign is one world.
+// campaign is a simulation with faults.
 type campaign struct {
 	*storeSimulation
 	tolerance   int
-	impatient   bool // the next trouble comes as soon as the stores stand whole
+	impatient   bool // the next fault comes as soon as the stores have reconciled
 	submitted   int
 	faults      int
 	recoveredAt time.Duration // when all that was lost is back
-	onlyFaults  []string      // troubles that come, empty: all
+	onlyFaults  []string      // faults that are injected; empty for all
 }
 
-// The troubles.
+// The faults.
 const (
 	faultKill          = "kills"
 	faultPower         = "losses of power"
 	faultWipe          = "lost disks"
 	faultReplace       = "replacements"
-	faultPause         = "freezes"
+	faultPause         = "pauses"
 	faultPartition     = "cuts"
 	faultSlowDisk      = "slow disks"
 	faultFullDisk      = "full disks"
@@ -50,18 +51,18 @@
 	faultCorruption    = "damaged logs"
 )
 
-// trouble strikes some stores, which are as many as may be lost, for a time.
+// fault is injected into some stores, which are as many as may be lost, for a time.
 type fault struct {
 	name   string
 	inject func(lost []*simulatedStore, down time.Duration)
 }
 
-func newCampaign(seed uint64, plant string) *campaign {
+func newCampaign(seed uint64, bug string) *campaign {
 	tolerance, stores := 1, 3+int(seed/4%3)
 	if seed%4 == 3 {
 		tolerance, stores = 2, 5+int(seed/4%3)
 	}
-	w := newStoreSimulation(seed, stores, tolerance+1, plant)
+	w := newStoreSimulation(seed, stores, tolerance+1, bug)
 	if seed%3 == 1 {
 		w.setRetention(20 * time.Second)
 	}
@@ -75,14 +76,14 @@
 	return &campaign{storeSimulation: w, tolerance: tolerance, impatient: seed%2 == 0}
 }
 
-// playSeed plays a world and gives what it broke. Where troubles are named, others don't come.
-func runSeed(seed uint64, plant string, focus ...string) (c *campaign, err error) {
+// runSeed runs a campaign and returns what it broke. If faults are named, only these are injected.
+func runSeed(seed uint64, bug string, focus ...string) (c *campaign, err error) {
 	defer func() {
 		if caught := recover(); caught != nil {
 			err = fmt.Errorf("at %v: panic: %v", c.now, caught)
 		}
 	}()
-	c = newCampaign(seed, plant)
+	c = newCampaign(seed, bug)
 	c.onlyFaults = focus
 	c.run()
 	return c, c.failure
@@ -96,7 +97,7 @@
 	c.finish()
 }
 
-// finish plays the world to its end, all well again, and audits it.
+// finish runs the campaign to its end, without further faults, and checks what is left.
 func (c *campaign) finish() {
 	c.runUntil(loadDuration)
 	c.heal()
@@ -104,7 +105,7 @@
 	c.audit()
 }
 
-// load submits batch jobs all the time.
+// submitJobs submits batch jobs all the time.
 func (c *campaign) submitJobs() {
 	if c.faultsEnded {
 		return
@@ -114,7 +115,7 @@
 	c.schedule(c.randomDuration(100*time.Millisecond, 2*time.Second), c.submitJobs)
 }
 
-// trouble brings one trouble, and the next when that is over.
+// injectFault injects one fault, and the next when that is over.
 func (c *campaign) injectFault() {
 	if c.faultsEnded || c.now > loadDuration-2*time.Second {
 		return
@@ -134,10 +135,10 @@
 	c.schedule(c.randomDuration(0, down), c.nextFault)
 }
 
-// lasts notes that what was lost is back only after a time.
+// extendRecovery notes that what was lost is back only after a time.
 func (c *campaign) extendRecovery(down time.Duration) { c.recoveredAt = max(c.recoveredAt, c.now+down) }
 
-// next brings the next trouble once the stores have caught up.
+// nextFault injects the next fault once it has to be tolerated.
 func (c *campaign) nextFault() {
 	if c.toleratesNextFault() {
 		c.injectFault()
@@ -146,12 +147,13 @@
 	c.schedule(20*time.Millisecond, c.nextFault)
 }
 
-// borne tells whether the next loss is to be borne: all is back, for as long as stores may take to catch up, or they have.
+// toleratesNextFault reports whether the next loss has to be tolerated: everything is back, for as long as stores may
+// take to catch up, or they have.
 func (c *campaign) toleratesNextFault() bool {
 	return c.now > c.recoveredAt && (c.now-c.recoveredAt >= catchUpTime || c.impatient && c.toleratesLoss())
 }
 
-// kinds lists the troubles. Each is over after the time that it is given.
+// faultKinds lists the faults. Each is over after the time that it is given.
 func (c *campaign) faultKinds() []fault {
 	each := func(call func(s *simulatedStore, down time.Duration)) func([]*simulatedStore, time.Duration) {
 		return func(lost []*simulatedStore, down time.Duration) {
@@ -190,13 +192,13 @@
 		{faultAllPowerDisks, c.allLosePowerDisks},
 		{faultAllPowerDisks, c.disksAfterAcceptance},
 	}
-	if slices.Contains(c.onlyFaults, faultCorruption) { // disks keep what was synced: it comes only where it is asked for
+	if slices.Contains(c.onlyFaults, faultCorruption) { // disks keep what was synced: only if it is asked for
 		kinds = append(kinds, fault{faultCorruption, each(c.corruptStore)}, fault{faultCorruption, each(c.corruptStore)})
 	}
 	return kinds
 }
 
-// replace takes a store for good; an empty one comes in its place at another address, under its name or another.
+// replace takes a store away for good. An empty one comes in its place at another address, under its name or another.
 func (c *campaign) replace(s *simulatedStore, down time.Duration) {
 	s.remove()
 	c.note("%s is taken away", s.node)
@@ -211,7 +213,7 @@
 	})
 }
 
-// cutOff cuts a store from all others, and from control in most cases.
+// partitionStore partitions a store from all others, and from control in most cases.
 func (c *campaign) partitionStore(s *simulatedStore, down time.Duration) {
 	c.note("%s is cut off", s.node)
 	for _, other := range c.peersOf(s) {
@@ -220,7 +222,7 @@
 	}
 }
 
-// cutOneWay lets nothing through from a store, or to it.
+// partitionOneWay loses all messages from a store, or all to it.
 func (c *campaign) partitionOneWay(s *simulatedStore, down time.Duration) {
 	from := c.random.IntN(2) == 0
 	c.note("%s is cut off one way, from it: %v", s.node, from)
@@ -253,7 +255,7 @@
 	c.schedule(down, func() { s.stalled, s.slowdown = false, 1 })
 }
 
-// killOften kills a store again and again, each time soon after its start.
+// killOften kills a store several times, each time soon after its start.
 func (c *campaign) killOften(s *simulatedStore, down time.Duration) {
 	for range 3 {
 		c.schedule(c.randomDuration(0, down), func() {
@@ -272,14 +274,14 @@
 	}
 }
 
-// retire empties a store; once that is done it is taken away, and right after that disks are lost.
+// retire drains a store. Once that is done it is taken away, and perhaps disks are lost right after.
 func (c *campaign) retire(lost []*simulatedStore, _ time.Duration) {
 	s := lost[0]
 	if len(c.remaining()) == c.copies {
 		return
 	}
 	outcome := c.command(statemachine.Command{Retire: &statemachine.Retire{Node: s.node, Remain: c.copies}})
-	c.note("%s is to be emptied: %d", s.node, outcome)
+	c.note("%s retires: %d", s.node, outcome)
 	if outcome == statemachine.StoreChanged {
 		c.awaitRetired(s)
 	}
@@ -291,7 +293,7 @@
 		return
 	}
 	c.schedule(c.randomDuration(0, time.Second), func() {
-		c.note("%s is emptied and taken away", s.node)
+		c.note("%s is drained and taken away", s.node)
 		borne := !c.faultsEnded && c.toleratesNextFault()
 		s.remove()
 		if borne && c.random.IntN(2) == 0 {
@@ -300,7 +302,7 @@
 	})
 }
 
-// loseDisks takes as many disks as may be lost at once.
+// loseDisks loses as many disks as may be lost at once.
 func (c *campaign) loseDisks() {
 	list := c.remaining()
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
@@ -311,7 +313,7 @@
 	}
 }
 
-// killThenAllLosePower kills stores, which start again at once, and takes all power soon after.
+// killThenAllLosePower kills stores, which start again at once, and soon after cuts the power of all.
 func (c *campaign) killThenAllLosePower(lost []*simulatedStore, down time.Duration) {
 	c.extendRecovery(down)
 	for _, s := range c.remaining() {
@@ -329,7 +331,7 @@
 	c.takePower(lost, down)
 }
 
-// disksAfterAcceptance takes all power and some disks right after an acceptance.
+// disksAfterAcceptance cuts all power and loses some disks right after an acceptance.
 func (c *campaign) disksAfterAcceptance(lost []*simulatedStore, down time.Duration) {
 	c.extendRecovery(down)
 	c.clients.onAccept = func() {
@@ -340,7 +342,7 @@
 	c.schedule(down, func() { c.clients.onAccept = nil })
 }
 
-// takePower takes the power from all stores within milliseconds, and the disks of some.
+// takePower cuts the power of all stores within milliseconds, and loses the disks of some.
 func (c *campaign) takePower(wiped []*simulatedStore, down time.Duration) {
 	c.note("all lose power, %d their disks", len(wiped))
 	c.extendRecovery(down + 10*time.Millisecond)
@@ -358,9 +360,9 @@
 	}
 }
 
-// heal ends all troubles.
+// heal ends all faults.
 func (w *storeSimulation) heal() {
-	w.note("all troubles end")
+	w.note("all faults end")
 	w.faultsEnded, w.lossRate = true, 0
 	clear(w.partitions)
 	w.clients.onAccept = nil
@@ -375,7 +377,7 @@
 	}
 }
 
-// audit holds the settled world to what must be there: all that was accepted, whole and on enough disks, and all that was
+// audit checks, after recovery, that all that was accepted is there, on enough disks, with all results that were
 // read.
 func (w *storeSimulation) audit() {
 	if w.failure != nil {
@@ -392,24 +394,24 @@
 	w.runUntil(w.now + auditTime)
 }
 
-// wellAgain wants all stores to stand whole, and none to be retiring still.
+// checkAllReconciled checks that all stores have reconciled, and that none is still retiring.
 func (w *storeSimulation) checkAllReconciled() bool {
 	view := w.view()
 	for _, member := range view.Members {
 		if member.State == protocol.StoreRetiring && !w.holdsExpired(placement.KeyOf(member.Process)) {
-			w.fail("%s is still not emptied:%s", member.Node, w.describeUndrained(member.Node))
+			w.fail("%s is still not drained:%s", member.Node, w.describeUndrained(member.Node))
 		}
 	}
 	for _, s := range w.remaining() {
 		if !s.up || w.isMember(s.key()) && s.machine.reconciledEpoch != view.Epoch {
-			w.fail("%s doesn't stand whole, up %v settled %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
+			w.fail("%s hasn't reconciled, up %v, epoch %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
 		}
 	}
 	return w.failure == nil
 }
 
-// holdsExpired tells whether a store still holds something whose time is over: its owner may have dropped it before, by another
-// clock.
+// holdsExpired reports whether a store still holds an expired batch job. Its owner may have dropped it before, by
+// another clock.
 func (w *storeSimulation) holdsExpired(key placement.Key) bool {
 	s := w.storeOf(key)
 	return s != nil && slices.ContainsFunc(s.machine.order, func(j *storedJob) bool {
@@ -437,8 +439,8 @@
 		case answer.Status != 200:
 			w.fail("%s: can't be read in calm, %d:%s", j.id, answer.Status, w.describe(j.id))
 		case !j.endRequested && !j.allRead():
-			w.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s", j.id, j.acceptedAt, len(j.seen), read, len(j.items),
-				w.describe(j.id))
+			w.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s",
+				j.id, j.acceptedAt, len(j.seen), read, len(j.items), w.describe(j.id))
 		}
 	})
 	w.schedule(auditTime-time.Second, func() {
@@ -448,7 +450,7 @@
 	})
 }
 
-// auditCopies wants a batch job's newest version on enough disks, with all that was shown.
+// auditCopies checks that a batch job's newest version is on enough disks, with all results that were read.
 func (w *storeSimulation) auditCopies(j *clientJob) {
 	newest, count := Version(0), 0
 	for _, s := range w.remaining() {
@@ -477,7 +479,7 @@
 	}
 }
 
-// describeUndrained tells what keeps a retiring store.
+// describeUndrained returns what keeps a retiring store from being drained.
 func (w *storeSimulation) describeUndrained(node string) string {
 	text := ""
 	for _, s := range w.remaining() {
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -14,13 +14,16 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// boundedTokens is the bound on waiting tokens in worlds that have one: a few batch jobs.
+// The limit of queued tokens, in simulations and step by step.
+
+// testTokenLimit is the limit of queued tokens in simulations that have one: a few batch jobs.
 const testTokenLimit = 500
 
-// itemTokens are those of a batch job's item.
+// itemTokens returns the tokens of a batch job's item.
 func itemTokens(index int) int { return 20 + 37*index%50 }
 
-// waiting sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody has asked for.
+// waitingTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody has
+// requested.
 func (c *clients) waitingTokens() int64 {
 	sum := int64(0)
 	for _, j := range c.order {
@@ -36,21 +39,24 @@
 	return sum
 }
 
-// checkBound holds an acceptance to the bound.
+// checkTokenLimit checks the limit as a batch job is accepted.
 func (c *clients) checkTokenLimit(j *clientJob) {
 	if waiting := c.waitingTokens(); c.sim.tokenLimit > 0 && waiting > c.sim.tokenLimit {
 		c.sim.fail("%s is accepted: %d tokens wait, %d may:%s", j.id, waiting, c.sim.tokenLimit, c.sim.describeClaims())
 	}
 }
 
-// auditRoom wants room for as much as the bound once all is done: nothing that was given is held for ever.
+// auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing that was
+// granted is held for ever.
 func (w *storeSimulation) auditCapacity() {
 	if w.tokenLimit == 0 || w.failure != nil || w.clients.waitingTokens() > 0 {
 		return
 	}
 	var items []job.Item
 	for left := w.tokenLimit; left > 0; left -= min(left, testTokenLimit/5) {
-		items = append(items, job.Item{ID: "room-" + strconv.FormatInt(left, 10), Path: "/p", Tokens: int(min(left, testTokenLimit/5))})
+		items = append(items, job.Item{
+			ID: "room-" + strconv.FormatInt(left, 10), Path: "/p", Tokens: int(min(left, testTokenLimit/5)),
+		})
 	}
 	status := 0
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "room", Tenant: "t", Route: "r"}
@@ -69,7 +75,8 @@
 			continue
 		}
 		m := s.machine
-		text += "\n" + string(s.key()) + " epoch " + strconv.FormatUint(m.view.Epoch, 10) + " settled " + strconv.FormatBool(m.reconciled)
+		text += "\n" + string(s.key()) + " epoch " + strconv.FormatUint(m.view.Epoch, 10) +
+			" settled " + strconv.FormatBool(m.reconciled)
 		for account, used := range m.usedTokens() {
 			text += " used " + strconv.FormatInt(used, 10) + " level " + strconv.FormatInt(m.claims.granted[account], 10)
 		}
@@ -80,7 +87,7 @@
 	return text
 }
 
-// plantInCounts breaks, now and then, what a machine knows of waiting tokens.
+// injectCounterBugs breaks, now and then, what a state machine knows of queued tokens.
 func (c *campaign) injectCounterBugs() {
 	c.schedule(c.randomDuration(time.Millisecond, 10*time.Millisecond), c.injectCounterBugs)
 	for _, s := range c.remaining() {
@@ -93,24 +100,26 @@
 			m.claims.granted[account] = max(m.claims.granted[account], c.tokenLimit)
 			continue
 		}
-		m.eachOtherMember(func(other protocol.Process) { m.claims.counter.Apply(placement.KeyOf(other), queuedtokens.Claim{}) })
+		m.eachOtherMember(func(other protocol.Process) {
+			m.claims.counter.Apply(placement.KeyOf(other), queuedtokens.Claim{})
+		})
 	}
 }
 
-// submitTokens has a batch job of one item accepted at a node.
+// submitTokens submits a batch job of one item at a node.
 func (n *clusterNode) submitTokens(id string, tokens int) int {
 	items := []job.Item{{ID: id + "-0", Path: "/p", Body: []byte("body"), Tokens: tokens}}
 	return n.call(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: id, Tenant: "t", Route: "r"}, items).Status
 }
 
-// counter gives the node that counts the tests' account.
+// counter returns the node that counts the tests' account.
 func (c *cluster) counter() *clusterNode {
 	key := c.nodes[0].machine.counterOf(queuedtokens.Account{Tenant: "t", Route: "r"})
 	return c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.key() == key })]
 }
 
 func TestWaitingTokensAreBounded(t *testing.T) {
-	Convey("Batch jobs are taken up to the bound over all stores, and again once items are done", t, func() {
+	Convey("Batch jobs are accepted up to the limit over all stores, and again once items are finished", t, func() {
 		c := newCluster(5, 2, 1)
 		c.tokenLimit = 100
 		c.quiesce()
@@ -122,20 +131,21 @@
 		c.owner("one").finish("one", 0)
 		c.quiesce()
 		So(c.nodes[1].submitTokens("large", 50), ShouldEqual, 202)
-		So(c.nodes[4].call(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "large", Tenant: "t", Route: "r"}, nil).Owner,
-			ShouldEqual, c.nodes[1].process().IP) // it is known
+		again := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "large", Tenant: "t", Route: "r"}
+		So(c.nodes[4].call(again, nil).Owner, ShouldEqual, c.nodes[1].process().IP) // it is known
 		So(c.nodes[4].submitTokens("three", 11), ShouldEqual, 429)
 	})
-	Convey("The end of a batch job makes room", t, func() {
+	Convey("The end of a batch job frees capacity", t, func() {
 		c := newCluster(3, 2, 1)
 		c.tokenLimit = 100
 		c.quiesce()
 		So(c.nodes[0].submitTokens("one", 100), ShouldEqual, 202)
-		So(c.nodes[0].call(protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "one", Tenant: "t"}, nil).Status, ShouldEqual, 200)
+		end := protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "one", Tenant: "t"}
+		So(c.nodes[0].call(end, nil).Status, ShouldEqual, 200)
 		c.quiesce()
 		So(c.nodes[1].submitTokens("two", 100), ShouldEqual, 202)
 	})
-	Convey("Whoever counts next knows what waits, after the loss of the one that counted, a restart, and of all power", t, func() {
+	Convey("The next counter knows what is queued, after a loss, a restart, and a loss of all power", t, func() {
 		c := newCluster(5, 2, 1)
 		c.tokenLimit = 100
 		c.quiesce()
@@ -171,7 +181,7 @@
 		c.quiesce()
 		So(left[2].submitTokens("d", 40), ShouldEqual, 202)
 	})
-	Convey("A lowered bound holds from then on, a lifted one for what waits as well", t, func() {
+	Convey("A lowered limit holds from then on, a lifted one for what is queued as well", t, func() {
 		c := newCluster(3, 2, 1)
 		c.quiesce()
 		So(c.nodes[0].submitTokens("free", 1000), ShouldEqual, 202)
@@ -183,7 +193,7 @@
 		c.tokenLimit = 0
 		So(c.nodes[2].submitTokens("three", 5000), ShouldEqual, 202)
 	})
-	Convey("No answer is given on a bound while a member hasn't told what it uses", t, func() {
+	Convey("No capacity is granted or denied while a member hasn't claimed", t, func() {
 		c := newCluster(5, 2, 1)
 		c.tokenLimit = 100
 		c.quiesce()
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -14,28 +14,30 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// This file owns a cluster for tests that go step by step: machines on the real log and simulated disks, messages that are
-// delivered in order when the test says so, a clock that the test moves. Nothing is left to chance but what a loss of power
-// leaves.
+// A cluster for tests that go step by step: state machines on the real log and simulated disks, messages that are
+// delivered in order when the test says so, a clock that the test moves. Only what a loss of power leaves is random.
 
+// cluster is some nodes with a view.
 type cluster struct {
 	copies      int
 	now         time.Duration
 	epoch       uint64
 	currentView protocol.StoreView // that control agreed on
-	tokenLimit  int64              // on waiting tokens, 0: none
+	tokenLimit  int64              // of queued tokens, 0 for none
 	nodes       []*clusterNode
 	messages    []clusterMessage
-	uninformed  func(*clusterNode) bool   // tells whether control tells a node nothing, nil: none
-	drops       func(clusterMessage) bool // tells of a message whether it is lost, nil: none is
+	uninformed  func(*clusterNode) bool   // reports whether control tells a node nothing; nil for none
+	drops       func(clusterMessage) bool // reports whether a message is lost; nil for none
 }
 
+// clusterMessage is a message on its way.
 type clusterMessage struct {
 	from protocol.Process
 	to   placement.Key
 	body any
 }
 
+// clusterNode is a store.
 type clusterNode struct {
 	cluster     *cluster
 	number      int
@@ -72,12 +74,14 @@
 
 func (n *clusterNode) key() placement.Key { return placement.KeyOf(n.process()) }
 
-// start reads the disk; a finding is noted.
+// start starts the process on its disk; findings are noted.
 func (n *clusterNode) start() {
 	n.life++
 	n.findings = nil
 	n.answers = map[CallID]protocol.BatchAnswer{}
-	n.machine = New(Options{Self: n.process(), ProcessIncarnation: n.life, ReplicationFactor: n.cluster.copies, Retention: time.Hour}, n)
+	n.machine = New(Options{
+		Self: n.process(), ProcessIncarnation: n.life, ReplicationFactor: n.cluster.copies, Retention: time.Hour,
+	}, n)
 	options := wal.Options{SegmentSize: 4 << 10, OnSkipped: func(at wal.Location) {
 		n.findings = append(n.findings, n.machine.ReplaySkipped(at))
 	}}
@@ -110,7 +114,7 @@
 	n.life = 0
 }
 
-// view makes a set of stores the newest view.
+// installView makes a set of stores the newest view.
 func (c *cluster) installView(members ...*clusterNode) {
 	c.epoch++
 	view := protocol.StoreView{Epoch: c.epoch}
@@ -124,7 +128,7 @@
 	}
 }
 
-// departures gives who has departed with the view after another, as control agrees on it.
+// departedAfter returns who has departed with the view after another, as control agrees on it.
 func departedAfter(last, next protocol.StoreView) (departed []protocol.Process) {
 	before := slices.Clone(last.Departed)
 	for _, member := range last.Members {
@@ -140,7 +144,7 @@
 	return departed
 }
 
-// noteSettled has control agree that all members stand whole once they have told so.
+// noteReconciled has control agree that all members have reconciled once they have told so.
 func (c *cluster) noteReconciled() {
 	if c.currentView.Settled {
 		return
@@ -148,7 +152,8 @@
 	for _, member := range c.currentView.Members {
 		n := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process().Node == member.Node })]
 		report := n.machine.Report()
-		told := n.log != nil && n.process() == member.Process && report.Settled == c.currentView.Epoch && report.Missing < c.copies
+		told := n.log != nil && n.process() == member.Process &&
+			report.Settled == c.currentView.Epoch && report.Missing < c.copies
 		if !told && member.State != protocol.StoreRetired {
 			return
 		}
@@ -163,7 +168,7 @@
 
 func (c *cluster) isUninformed(n *clusterNode) bool { return c.uninformed != nil && c.uninformed(n) }
 
-// rejoin tells a process of the newest set, and that it may act in it.
+// rejoin tells a process the newest view, and grants it a lease.
 func (c *cluster) rejoin(n *clusterNode) {
 	if n.log != nil && !c.isUninformed(n) {
 		n.machine.InstallView(c.currentView)
@@ -171,7 +176,7 @@
 	}
 }
 
-// flush makes all that a node wrote durable.
+// sync makes all that a node wrote durable.
 func (n *clusterNode) sync() (wrote bool) {
 	if n.log == nil {
 		return false
@@ -192,7 +197,7 @@
 	return wrote
 }
 
-// settle delivers messages and writes until nothing more comes of them, over some ticks.
+// quiesce delivers messages and writes until nothing more comes of them, over some ticks.
 func (c *cluster) quiesce() {
 	for range 12 {
 		c.round()
@@ -214,7 +219,7 @@
 	c.noteReconciled()
 }
 
-// checkInvariants fails the test where something that must always hold didn't.
+// checkInvariants fails the test if an invariant was violated.
 func (c *cluster) checkInvariants() {
 	for _, n := range c.nodes {
 		if violations := n.machine.Violations(); violations.Total() > 0 {
@@ -223,6 +228,7 @@
 	}
 }
 
+// deliverAll delivers messages and writes until there are none.
 func (c *cluster) deliverAll() {
 	for busy := true; busy; {
 		busy = false
@@ -249,7 +255,7 @@
 	}
 }
 
-// The machine's environment.
+// The state machine's environment.
 
 func (n *clusterNode) Now() time.Duration { return n.cluster.now }
 func (n *clusterNode) WallClock() int64   { return n.cluster.now.Milliseconds() }
@@ -267,12 +273,13 @@
 func (n *clusterNode) Read(at wal.Location) ([]byte, error) { return n.log.Read(at) }
 
 func (n *clusterNode) Send(to protocol.Process, message any) {
-	n.cluster.messages = append(n.cluster.messages, clusterMessage{from: n.process(), to: placement.KeyOf(to), body: message})
+	sent := clusterMessage{from: n.process(), to: placement.KeyOf(to), body: message}
+	n.cluster.messages = append(n.cluster.messages, sent)
 }
 
 func (n *clusterNode) Answer(token CallID, answer protocol.BatchAnswer) { n.answers[token] = answer }
 
-// call makes a call at a node and gives its answer once all is calm.
+// call makes a call at a node and returns its answer once the cluster is quiet.
 func (n *clusterNode) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	n.token++
 	token := n.token
@@ -281,7 +288,7 @@
 	return n.answers[token]
 }
 
-// submit has a batch job accepted at a node.
+// submit submits a batch job at a node.
 func (n *clusterNode) submit(id string, count int) protocol.BatchAnswer {
 	var items []job.Item
 	for i := range count {
@@ -290,7 +297,7 @@
 	return n.call(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: id, Tenant: "t", Route: "r"}, items)
 }
 
-// read gives the texts of a batch job's results, and the status.
+// read returns the texts of a batch job's results, and the status.
 func (n *clusterNode) read(id string) ([]string, int) {
 	answer := n.call(protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: id, Tenant: "t"}, nil)
 	var read page
@@ -302,7 +309,7 @@
 	return texts, answer.Status
 }
 
-// finish lists an item with its number as text.
+// finish finishes items with their numbers as texts.
 func (n *clusterNode) finish(id string, indexes ...int) {
 	for _, index := range indexes {
 		if !n.machine.Finish(id, index, job.Completed, []byte(strconv.Itoa(index))) {
@@ -311,7 +318,7 @@
 	}
 }
 
-// owner gives the node that owns a batch job.
+// owner returns the node that owns a batch job.
 func (c *cluster) owner(id string) *clusterNode {
 	index := slices.IndexFunc(c.nodes, func(n *clusterNode) bool {
 		return n.log != nil && n.machine.jobs[id] != nil && n.machine.jobs[id].owned
@@ -322,7 +329,7 @@
 	return c.nodes[index]
 }
 
-// replicaOf gives the node of the batch job's set that doesn't own it.
+// replicaOf returns the node of the batch job's set that doesn't own it.
 func (c *cluster) replicaOf(id string) *clusterNode {
 	owner := c.owner(id)
 	for _, replica := range owner.machine.jobs[id].replicas[1:] {
--- a/internal/batch/replica/concurrentclients_test.go
+++ b/internal/batch/replica/concurrentclients_test.go
@@ -9,9 +9,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file tests what other clients are told, who call at any gateway and so at any store, while stores come and go.
+// What other clients are answered, who call at any gateway and so at any store, while stores come and go.
 
-// follow makes a call at a node and goes to the owners that are named. It gives the last answer.
+// callOwner makes a call at a node and follows it to the owners that are named. It returns the last answer.
 func (n *clusterNode) callOwner(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	answer := n.call(call, items)
 	for range 3 {
@@ -27,16 +27,19 @@
 	return answer
 }
 
-// allowed tells whether an answer may be given to a caller of an accepted, open batch job; other statuses would deny it.
+// isAcceptable reports whether an answer may be given to a caller of an accepted, open batch job; other statuses
+// would deny it.
 func isAcceptable(answer protocol.BatchAnswer, good int) bool {
 	return answer.Status == good || answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
 }
 
-// askAll makes calls of each kind at a node.
+// checkCalls makes calls of each kind at a node.
 func (n *clusterNode) checkCalls(t *testing.T, random *rand.Rand, listed map[int]bool) {
 	t.Helper()
 	index := random.IntN(8)
-	body := n.callOwner(protocol.BatchCall{Operation: protocol.BatchBody, BatchJob: "job", Tenant: "t", Item: fmt.Sprintf("job-%d", index)}, nil)
+	body := n.callOwner(protocol.BatchCall{
+		Operation: protocol.BatchBody, BatchJob: "job", Tenant: "t", Item: fmt.Sprintf("job-%d", index),
+	}, nil)
 	if !isAcceptable(body, 200) && !listed[index] {
 		t.Fatalf("body of item %d, not listed: %d from %s", index, body.Status, n.key())
 	}
@@ -45,7 +48,9 @@
 	if !isAcceptable(read, 200) {
 		t.Fatalf("read from %d: %d from %s", start, read.Status, n.key())
 	}
-	again := n.callOwner(protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "job", Tenant: "t", Route: "r"}, nil)
+	again := n.callOwner(protocol.BatchCall{
+		Operation: protocol.BatchSubmit, BatchJob: "job", Tenant: "t", Route: "r",
+	}, nil)
 	if !isAcceptable(again, 202) {
 		t.Fatalf("sent again: %d from %s", again.Status, n.key())
 	}
@@ -55,8 +60,8 @@
 	}
 }
 
-// strike lets one thing happen to a cluster; no more than one store is away at a time, and the next goes only once all
-// stand whole.
+// injectFault injects one fault. No more than one store is away at a time, and the next goes only once all have
+// reconciled.
 func (c *cluster) injectFault(random *rand.Rand) {
 	n := c.nodes[random.IntN(len(c.nodes))]
 	switch random.IntN(5) {
@@ -97,7 +102,7 @@
 		listed := map[int]bool{}
 		for range 8 {
 			c.injectFault(random)
-			for _, n := range c.running() { // right after it, and when all is calm
+			for _, n := range c.running() { // right after it, and once all is quiet
 				n.checkCalls(t, random, listed)
 			}
 			c.installView(c.nodes...)
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -11,9 +11,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file tests what is due to stores that left the view, and to copies that were left behind.
+// What is answered while stores are missing, and what becomes of superseded copies.
 
-// others gives the nodes that are none of these.
+// except returns the nodes that are none of these.
 func (c *cluster) except(nodes ...*clusterNode) []*clusterNode {
 	var list []*clusterNode
 	for _, n := range c.nodes {
@@ -28,7 +28,7 @@
 	return list
 }
 
-// TestNotAcceptedWhileMissing has a batch job sent again while all stores that hold it are away.
+// TestNotAcceptedWhileMissing submits a batch job again while all stores that hold it are away.
 func TestNotAcceptedWhileMissing(t *testing.T) {
 	Convey("A batch job isn't accepted again while its copies may be on stores that are missing", t, func() {
 		c := newCluster(5, 2, 1)
@@ -49,11 +49,13 @@
 		So(rest[0].answers[77].Status, ShouldEqual, 503)      // at once
 		So(rest[1].submit("new", 4).Status, ShouldEqual, 503) // it can't be told apart
 		c.messages = nil
-		for _, n := range rest { // whoever asks: one may have forgotten who is missing
+		for _, n := range rest { // whichever store asks: one may have forgotten who is missing
 			n.machine.Receive(rest[0].process(), ReservationRequest{Stamp: n.machine.stamp(), Job: "job", Number: 1})
 		}
 		So(c.messages, ShouldBeEmpty)
-		rest[0].machine.acceptances["job"] = &acceptance{attempt: 1, votes: map[placement.Key]ReservationResponse{}, deadline: time.Hour}
+		rest[0].machine.acceptances["job"] = &acceptance{
+			attempt: 1, votes: map[placement.Key]ReservationResponse{}, deadline: time.Hour,
+		}
 		rest[0].machine.requestReservations("job", rest[0].machine.acceptances["job"])
 		So(rest[0].machine.acceptances["job"].votes, ShouldBeEmpty)
 		delete(rest[0].machine.acceptances, "job")
@@ -87,7 +89,7 @@
 			answer := n.submit("job", 4)
 			So(answer.Status, ShouldNotEqual, 202)
 			So(answer.Owner, ShouldBeIn, "", replica.process().IP)
-			So(n.machine.Report().Settled, ShouldBeLessThan, c.epoch) // a batch job stands on one disk
+			So(n.machine.Report().Settled, ShouldBeLessThan, c.epoch) // a batch job is on one disk only
 		}
 		second.start()
 		c.installView(rest...)
@@ -99,9 +101,9 @@
 	})
 }
 
-// TestLeftBehind has a copy left behind by a store that comes back after its place was taken.
+// TestSupersededReplica has a store come back with a copy after it was replaced.
 func TestSupersededReplica(t *testing.T) {
-	Convey("A copy that was left behind goes once all stand whole, and can't outlive the batch job", t, func() {
+	Convey("A superseded copy is dropped once all have reconciled, and can't outlive the batch job", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -111,20 +113,20 @@
 		So(third.machine.jobs["job"].version, ShouldEqual, owner.machine.jobs["job"].version)
 		So(replica.machine.jobs["job"].version, ShouldBeLessThan, owner.machine.jobs["job"].version)
 		c.installView(c.nodes...)
-		So(replica.machine.jobs["job"], ShouldNotBeNil) // it is there until all stand whole
+		So(replica.machine.jobs["job"], ShouldNotBeNil) // it is there until all have reconciled
 		c.quiesce()
 		So(replica.machine.jobs["job"], ShouldBeNil)
 		replica.kill()
 		replica.start()
-		So(replica.machine.jobs["job"], ShouldBeNil) // it doesn't come back with the log
+		So(replica.machine.jobs["job"], ShouldBeNil) // the log doesn't bring it back
 		So(owner.machine.jobs["job"], ShouldNotBeNil)
 		So(third.machine.jobs["job"], ShouldNotBeNil)
 	})
 }
 
-// TestExpiredWhileNotWhole lets a batch job expire that couldn't be made whole.
+// TestExpiredWhileNotWhole lets a batch job expire that couldn't be fully replicated.
 func TestExpiredWhileNotWhole(t *testing.T) {
-	Convey("A store stands whole again once what wasn't whole is dropped", t, func() {
+	Convey("A store reconciles once what wasn't fully replicated is dropped", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -135,14 +137,15 @@
 		c.installView(owner)
 		c.quiesce()
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
-		c.now += 2 * time.Minute // it is over, who is missing is still of interest
+		c.now += 2 * time.Minute // it has expired, departed stores have not
 		c.quiesce()
 		So(owner.machine.jobs["job"], ShouldBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 	})
 }
 
-// leftBehind has a store start again that was away while its batch job was closed without it; it has heard of no view yet.
+// newSupersededReplica restarts a store that was away while its batch job was closed without it; it has seen no view
+// yet.
 func newSupersededReplica() (c *cluster, owner, replica *clusterNode) {
 	c = newCluster(3, 2, 1)
 	So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
@@ -156,9 +159,9 @@
 	return c, owner, replica
 }
 
-// TestDroppedElsewhere has a copy be left behind of a batch job that its owner has dropped since.
+// TestExpiredAtOwner has a superseded copy of a batch job that its owner has dropped since.
 func TestExpiredAtOwner(t *testing.T) {
-	Convey("A copy that was left behind goes with the batch job, also where it doesn't know that it was closed", t, func() {
+	Convey("A superseded copy is dropped with the batch job, also if it doesn't know that it was closed", t, func() {
 		c, owner, replica := newSupersededReplica()
 		c.drops = func(m clusterMessage) bool {
 			_, told := m.body.(ReplicationResponse)
@@ -180,9 +183,10 @@
 	})
 }
 
-// TestDroppedWhileKept has a copy stay that could go, as not all have told that they stand whole, until the batch job's time is over.
+// TestSupersededReplicaExpires has a releasable copy stay, as not all have told that they reconciled, until the batch
+// job expires.
 func TestSupersededReplicaExpires(t *testing.T) {
-	Convey("A copy that was left behind doesn't outlive the batch job", t, func() {
+	Convey("A superseded copy doesn't outlive the batch job", t, func() {
 		c, owner, replica := newSupersededReplica()
 		c.drops = func(m clusterMessage) bool {
 			_, notice := m.body.(ReconciledNotice)
@@ -198,7 +202,7 @@
 	})
 }
 
-// TestBlankStore has a store with an empty disk be the first to come back.
+// TestEmptyDisk has a store with an empty disk be the first to come back.
 func TestEmptyDisk(t *testing.T) {
 	Convey("A store whose disk was lost denies nothing while more are missing than copies but one", t, func() {
 		c := newCluster(4, 2, 1)
@@ -219,7 +223,7 @@
 		}
 		So(deny(owner), ShouldBeFalse)
 		So(owner.machine.tooManyDeparted(), ShouldBeTrue)
-		owner.kill() // nor after a further start
+		owner.kill() // nor after another restart
 		owner.start()
 		c.installView(owner)
 		c.quiesce()
@@ -257,9 +261,9 @@
 	})
 }
 
-// TestForgottenTogether has one store miss the word that all stand whole, right before the next loss.
+// TestMissedReconciledNotice has one store miss that all have reconciled, right before the next loss.
 func TestMissedReconciledNotice(t *testing.T) {
-	Convey("A store that wasn't told that all stand whole misses nobody who left before, once the next one leaves", t, func() {
+	Convey("A store that missed a reconciled view misses no store that departed before it", t, func() {
 		c := newCluster(5, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -319,14 +323,14 @@
 	})
 }
 
-// TestMissedViews has a store be told of no view for a while.
+// TestMissedViews tells a store of no view for a while.
 func TestMissedViews(t *testing.T) {
 	Convey("A store misses whoever left in views that it was not told of, also who came in them", t, func() {
 		for copies := 2; copies <= 3; copies++ {
 			c := newCluster(2*copies, copies, 1)
 			news := c.nodes[:copies]
 			away := c.nodes[copies:]
-			for _, n := range news { // as long as nobody is a member but away, and one that stays
+			for _, n := range news { // until only the nodes of away are members
 				n.kill()
 			}
 			c.installView(away...)
@@ -403,7 +407,7 @@
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
-	Convey("And once control has agreed that all stand whole without them", t, func() {
+	Convey("And once control has agreed that all have reconciled without them", t, func() {
 		c, replica := waiting()
 		c.currentView.Settled, c.currentView.Departed = true, nil
 		for _, n := range c.nodes {
@@ -430,9 +434,9 @@
 	})
 }
 
-// TestLeavingWaitsForWholeSet has a store of the new set start again right after it was counted.
+// TestLeavingWaitsForWholeSet restarts a store of the new set right after it was counted.
 func TestLeavingWaitsForWholeSet(t *testing.T) {
-	Convey("A leaving store isn't told that a set is whole before a store that started again has told what it has", t, func() {
+	Convey("A set with a restarted store isn't fully replicated before that tells what it has", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, leaving := c.owner("job"), c.replicaOf("job")
@@ -458,7 +462,7 @@
 		So(ask(), ShouldBeTrue)
 		So(taker.machine.jobs["job"], ShouldNotBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
-		owner.wipe() // the disk that goes right after
+		owner.wipe() // a disk is lost right after
 		c.installView(c.except(owner)...)
 		c.quiesce()
 		_, status := taker.read("job")
@@ -466,9 +470,9 @@
 	})
 }
 
-// TestEmptiedIsKnown has a store leave as planned while others are away.
+// TestDrainedStoreIsNotMissed drains a store while others are away.
 func TestDrainedStoreIsNotMissed(t *testing.T) {
-	Convey("A store counts as emptied once all others have told that they stand whole, and is missed by nobody then", t, func() {
+	Convey("A store counts as drained once all others have told that they reconciled, and is not missed then", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving := c.except(c.owner("job"), c.replicaOf("job"))[0]
@@ -500,7 +504,7 @@
 		away.kill()
 		leaving.state = protocol.StoreRetiring
 		c.installView(owner, leaving, rest)
-		owner.machine.disown(owner.machine.jobs["job"]) // it is not made whole before the disk goes
+		owner.machine.disown(owner.machine.jobs["job"]) // it is not replicated again before the disk is lost
 		owner.wipe()
 		c.installView(leaving, rest)
 		c.quiesce()
@@ -517,9 +521,10 @@
 	})
 }
 
-// TestLossWhileLeaving loses a disk while another store is to be emptied, so that fewer active ones than copies are left.
+// TestLossWhileLeaving loses a disk while another store is being drained, so that fewer active ones than copies are
+// left.
 func TestLossWhileLeaving(t *testing.T) {
-	Convey("A store that is to be emptied stays in sets that too few others are left for", t, func() {
+	Convey("A retiring store stays in sets that too few others are left for", t, func() {
 		for lost := range 2 {
 			c := newCluster(3, 2, 1)
 			So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -10,13 +10,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns bugs that are planted into a world, to show that it finds them. Each stands in the harness.
+// Bugs that are injected into a simulation, to show that it finds them. Each is in the harness, not in the code under
+// test.
 
 const (
 	bugCopyOverResults        = "a copy record over results that are not durable"
 	bugAckEarly               = "acknowledged before the second disk"
 	bugShowEarly              = "shown before all replicas"
-	bugIgnoreLease            = "the lease is ignored after a thaw"
+	bugIgnoreLease            = "the lease is ignored after a pause"
 	bugRetireEarly            = "a retirement completed too early"
 	bugWipedKeepsName         = "a wiped store keeps its name and vote"
 	bugDurableEarly           = "durable before the sync"
@@ -27,7 +28,7 @@
 	bugKeepsGrantsAcrossViews = "what was given in an earlier view is not counted anew"
 )
 
-// plantedDisk gives a disk that doesn't do all that it is told, where that is the bug.
+// buggyDisk returns a disk that doesn't do all that it is told, if that is the bug.
 func (w *storeSimulation) buggyDisk(disk slots.FS) slots.FS {
 	switch w.bug {
 	case bugDurableEarly:
@@ -40,7 +41,7 @@
 	return disk
 }
 
-// lyingDisk is a folder on whose files Sync or Truncate does nothing.
+// faultyDisk is a folder on whose files Sync or Truncate does nothing.
 type faultyDisk struct {
 	slots.FS
 	opened, created, truncates bool
@@ -58,6 +59,7 @@
 	return faultyFile{File: file, noSync: l.created}, err
 }
 
+// faultyFile is a file of a faultyDisk.
 type faultyFile struct {
 	slots.File
 	noSync, noTruncate bool
@@ -79,7 +81,7 @@
 	return f.File.Truncate(size)
 }
 
-// plantAcknowledgement tells the owner, now and then, at once that what it sent is on the disk.
+// injectAcknowledgement tells the owner, now and then, at once that what it sent is on the disk.
 func (s *simulatedStore) injectAcknowledgement(owner protocol.Process, message any) {
 	replicate, ok := message.(ReplicationRequest)
 	j := s.machine.jobs[replicate.Job]
@@ -91,7 +93,7 @@
 	})
 }
 
-// plantAtRandom breaks, now and then, what a machine does.
+// injectBugs breaks, now and then, the state of a state machine.
 func (c *campaign) injectBugs() {
 	if c.bug == bugGrantBeforeAllClaims || c.bug == bugKeepsGrantsAcrossViews {
 		c.injectCounterBugs()
@@ -117,7 +119,7 @@
 	}
 }
 
-// plantCopy writes a copy with the durable results only, behind those that are on their way.
+// injectCopy writes a copy with the durable results only, behind results that are not durable yet.
 func (s *simulatedStore) injectCopy(j *storedJob) {
 	message := ReplicationRequest{}
 	if s.machine.fillFullCopy(j, &message, j.durableResults) {
@@ -126,13 +128,13 @@
 	}
 }
 
-// lost is what is told where something that was promised isn't there.
+// lossFailures are parts of failures that say that something promised is missing.
 var lossFailures = []string{
 	"404", "can't be read", "is whole on", "results were read", "position", "isn't answered",
 }
 
-// plants lists the planted bugs, with what the worlds are to tell of each, the troubles that bring it about, and the first seed,
-// which saves the worlds that are known not to find it.
+// injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the first
+// seed, which saves the runs that are known not to find it.
 var injectedBugs = []struct {
 	name  string
 	told  []string
@@ -153,19 +155,19 @@
 	{bugKeepsGrantsAcrossViews, []string{"tokens wait"}, []string{faultWipe, faultGrow, faultRetire}, 0},
 }
 
-// mostPlanted is how many worlds are searched for a planted bug.
+// maxSeedsPerBug is the number of runs in which a bug must be found.
 const maxSeedsPerBug = 1000
 
-// TestPlantedBugs shows that the worlds find what they are for: each bug breaks a world that keeps the rules without it.
+// TestInjectedBugs shows that the simulations find what they are for: each bug breaks a run that passes without it.
 func TestInjectedBugs(t *testing.T) {
-	for _, plant := range injectedBugs {
-		t.Run(plant.name, func(t *testing.T) {
-			for seed := plant.from; seed < plant.from+maxSeedsPerBug; seed++ {
-				_, err := runSeed(seed, plant.name, plant.focus...)
-				if err == nil || !tells(err, plant.told) {
+	for _, bug := range injectedBugs {
+		t.Run(bug.name, func(t *testing.T) {
+			for seed := bug.from; seed < bug.from+maxSeedsPerBug; seed++ {
+				_, err := runSeed(seed, bug.name, bug.focus...)
+				if err == nil || !tells(err, bug.told) {
 					continue
 				}
-				if _, without := runSeed(seed, "", plant.focus...); without == nil {
+				if _, without := runSeed(seed, "", bug.focus...); without == nil {
 					t.Logf("found with seed %d: %.300v", seed, err)
 					return
 				}
@@ -175,6 +177,7 @@
 	}
 }
 
+// tells reports whether an error contains one of some texts.
 func tells(err error, texts []string) bool {
 	return slices.ContainsFunc(texts, func(text string) bool { return strings.Contains(err.Error(), text) })
 }
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -11,9 +11,10 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// This file plays random histories of losses on a cluster, step by step: machines that stay away over the losses and returns of others,
-// lost disks, losses of all power, restarts, views that some are told late or not at all, added and retired stores. No more machines
-// are away or without their disks at once than may be, counted since control agreed that all stand whole.
+// Random histories of losses on a cluster, step by step: machines that stay away while others are lost and return,
+// lost disks, losses of all power, restarts, views that some are told late or not at all, added and retired stores.
+// No more machines are away or without their disks at once than may be, counted since control agreed that all have
+// reconciled.
 
 const (
 	lossSteps    = 14
@@ -27,7 +28,7 @@
 	seed     uint64
 	allowed  int // machines that may be lost at once
 	late     bool
-	lost     map[int]bool // machines that were lost or went away since all stood whole
+	lost     map[int]bool // machines that were lost or went away since all had reconciled
 	away     map[int]bool
 	removed  map[int]bool // retired and taken away
 	accepted []string
@@ -38,7 +39,8 @@
 func newLossHistory(seed uint64, late bool) *lossHistory {
 	allowed := 1 + int(seed%2)
 	h := &lossHistory{
-		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)), seed: seed, allowed: allowed, late: late,
+		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)),
+		seed: seed, allowed: allowed, late: late,
 		lost: map[int]bool{}, away: map[int]bool{}, removed: map[int]bool{},
 	}
 	h.cluster.quiesce()
@@ -55,7 +57,7 @@
 	}
 }
 
-// there gives the machines that are neither away nor gone.
+// remaining returns the machines that are neither away nor removed.
 func (h *lossHistory) remaining() (list []*clusterNode) {
 	for _, n := range h.nodes {
 		if !h.away[n.number] && !h.removed[n.number] {
@@ -67,8 +69,8 @@
 
 func (h *lossHistory) chance(one int) bool { return h.random.IntN(one) == 0 }
 
-// change has control agree on the set of those that are there; now and then a view before it was told to nobody. Late histories
-// have some of them hear of it only after the others have gone on, with messages lost meanwhile.
+// changeMembers has control agree on the set of those that remain; now and then a view before it was told to nobody.
+// In late histories some hear of it only after the others have gone on, with messages lost meanwhile.
 func (h *lossHistory) changeMembers() {
 	if h.chance(3) {
 		h.epoch++
@@ -98,7 +100,7 @@
 	}
 }
 
-// settle has all hear of the newest set and come to rest.
+// settleAll tells all of the newest view, and waits until they are quiet.
 func (h *lossHistory) settleAll() {
 	h.cluster.drops, h.uninformed = nil, nil
 	for _, n := range h.remaining() {
@@ -110,7 +112,7 @@
 	}
 }
 
-// step has the next thing happen.
+// step does the next thing.
 func (h *lossHistory) step() {
 	list := h.remaining()
 	n := list[h.random.IntN(len(list))]
@@ -162,7 +164,8 @@
 	n.start()
 }
 
-// losePower takes the power of all that are there, and some disks; they come back one by one, those that were away perhaps first.
+// losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were away
+// perhaps first.
 func (h *lossHistory) losePower(list []*clusterNode) {
 	for _, n := range list {
 		n.losePower()
@@ -173,7 +176,7 @@
 			n.wipe()
 		}
 	}
-	h.note("all lose power; lost or away since all stood whole: %v", h.lost)
+	h.note("all lose power; lost or away since all had reconciled: %v", h.lost)
 	h.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	if h.chance(2) {
 		for n := h.firstAway(); n != nil; n = h.firstAway() {
@@ -196,7 +199,7 @@
 	}
 }
 
-// askFor asks a store, which may be one of the first that are back, for a batch job that was accepted.
+// checkNotDenied asks a store, which may be one of the first that are back, for an accepted batch job.
 func (h *lossHistory) checkNotDenied(n *clusterNode) {
 	if len(h.accepted) == 0 || !h.chance(3) {
 		return
@@ -216,15 +219,15 @@
 	h.changeMembers()
 }
 
-// retire empties a store and takes it away, where all are there.
+// retire drains a store and takes it away, while all are there.
 func (h *lossHistory) retire(n *clusterNode) {
-	h.note("%s is to be emptied", n.key())
+	h.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
 	h.changeMembers()
 	h.settleAll()
 	h.settleAll()
 	if !n.machine.Report().DrainedDown {
-		h.failf("%s isn't emptied", n.key())
+		h.failf("%s isn't drained", n.key())
 		return
 	}
 	n.state = protocol.StoreRetired
@@ -247,7 +250,7 @@
 	h.note("%d batch jobs", len(h.accepted))
 }
 
-// play plays a history to its end, when all are back: all that was accepted is there, and all stand whole.
+// play runs a history to its end, when all are back: all that was accepted is there, and all have reconciled.
 func (h *lossHistory) play() {
 	for range lossSteps {
 		h.step()
@@ -272,11 +275,11 @@
 		}
 	}
 	if !h.currentView.Settled {
-		h.failf("control hasn't heard that all stand whole")
+		h.failf("control hasn't agreed that all have reconciled")
 	}
 }
 
-// TestRandomLosses plays histories; SEEDS=N plays N of each kind, FIRST=S begins at seed S.
+// TestRandomLosses runs histories; SEEDS=N runs N of each kind, FIRST=S begins at seed S.
 func TestRandomLosses(t *testing.T) {
 	seeds, first := modelSeeds(250)
 	for _, late := range []bool{false, true} {
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -13,38 +13,40 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns a world for the model of one batch job's replica set: real machines, and a fixed order of steps. A step
-// delivers a message, syncs a disk, or, where nothing of that is left, lets time pass. There is no chance in it: a run is
-// its troubles and the steps before which they come.
+// A model of one batch job's replica set: real state machines, and a fixed order of steps. A step delivers a message,
+// syncs a disk, or, if there is neither, lets time pass. There is no randomness in it: a run is determined by its
+// faults and the steps before which they are injected.
 
 const (
 	modelRound     = 300 * time.Millisecond
 	modelLease     = 2 * modelRound
-	modelTimeout   = 3 * modelRound // after which the authority evicts a store whose lease is over
+	modelTimeout   = 3 * modelRound // after which control evicts a store whose lease is over
 	modelJob       = "j"
 	modelItems     = 2
 	modelMaxSteps  = 5000
-	modelMaxRounds = 80 // after the last trouble, in which all must come to its end
+	modelMaxRounds = 80 // after the last fault, in which the run must end
 )
 
-// setBugs are planted by tests that show that the model finds them.
+// modelBugs are injected by tests that show that the model finds them.
 type modelBugs struct {
 	keepsIncarnation bool // a store whose disk was lost comes back as if it hadn't been away
 	earlyDurable     bool // records count as durable when they are written
 	fewCopies        bool // a batch job is on as many disks as may be lost
-	earlyReplicated  bool // replicas count as whole before they are
+	earlyReplicated  bool // replicas count as complete before they are
 	emptyInventories bool // inventories list nothing
-	retireEarly      bool // a store counts as emptied once it is asked to be
-	endlessLease     bool // a store that stood still never finds its lease ended
+	retireEarly      bool // a store counts as drained once it is asked to be
+	endlessLease     bool // a store that was paused never finds its lease ended
 	keepsVersion     bool // an owner that was away goes on under the version that it had
 }
 
+// modelMessage is a message on its way.
 type modelMessage struct {
 	from protocol.Process
 	to   placement.Key
 	body any
 }
 
+// modelCluster is one run.
 type modelCluster struct {
 	bugs          modelBugs
 	copies        int
@@ -53,14 +55,15 @@
 	view          protocol.StoreView
 	messages      []modelMessage
 	steps         int
-	rounds        int  // since the last trouble
+	rounds        int  // since the last fault
 	allowedLosses int  // disks that may be lost now
-	begun         bool // the client has
+	begun         bool // the client has begun
 	client        modelClient
 	failure       string
 	events        []string
 }
 
+// modelStore is a store with its disk.
 type modelStore struct {
 	model         *modelCluster
 	node          string
@@ -71,8 +74,8 @@
 	durable       int // records that a loss of power leaves
 	base          int // records at the start of the process
 	up, paused    bool
-	removed       bool          // taken away for good
-	startAt       time.Duration // where it is down
+	removed       bool          // for good
+	startAt       time.Duration // if it is down
 	resumeAt      time.Duration
 	lastContact   time.Duration
 	wipedAt       time.Duration // it lost its last disk
@@ -80,12 +83,12 @@
 	delayedInputs []func()
 	answers       map[CallID]func(protocol.BatchAnswer)
 	tokens        CallID
-	shown         int // results that were read from this life
-	audited       int // records that audit stands for
+	shown         int // results that were read from this incarnation
+	audited       int // records that audit was read from
 	audit         *diskCopy
 }
 
-// setCopy is what a disk holds of the batch job for sure.
+// diskCopy is what is durable of the batch job on a disk.
 type diskCopy struct {
 	version Version
 	results []string // by position: item and text
@@ -133,7 +136,9 @@
 	if s.model.bugs.fewCopies {
 		copies--
 	}
-	s.machine = New(Options{Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: copies, Retention: time.Hour}, s)
+	s.machine = New(Options{
+		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: copies, Retention: time.Hour,
+	}, s)
 	for i, record := range s.disk {
 		if err := s.machine.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
 			s.model.fail("%s finds its log unreadable: %v", s.node, err)
@@ -165,7 +170,7 @@
 	s.incarnation++
 }
 
-// do runs an input now, after a thaw, or never.
+// do handles an input now, when the process resumes, or never.
 func (s *modelStore) do(input func()) {
 	switch {
 	case !s.up:
@@ -185,7 +190,7 @@
 	}
 }
 
-// The machine's environment.
+// The state machine's environment.
 
 func (s *modelStore) Now() time.Duration              { return s.model.now }
 func (s *modelStore) WallClock() int64                { return s.model.now.Milliseconds() }
@@ -216,7 +221,7 @@
 		return
 	}
 	if answer.Status != 503 && answer.Owner == "" && !s.machine.MayAct() {
-		return // Allowed is asked right before an answer leaves
+		return // as the server does right before an answer leaves
 	}
 	answered(answer)
 }
@@ -229,7 +234,7 @@
 	})
 }
 
-// sync makes all durable that was written.
+// sync makes all that was written durable.
 func (s *modelStore) sync() {
 	s.durable = len(s.disk)
 	s.machine.Synced(uint64(s.durable - s.base))
@@ -285,8 +290,8 @@
 	s.do(func() { s.machine.Receive(message.from, body) })
 }
 
-// round lets time pass: processes start, the authority looks at who is there, leases are renewed, machines tick, and the
-// client goes on.
+// round lets time pass: processes start, control looks at who is there, leases are renewed, state machines tick, and
+// the client goes on.
 func (w *modelCluster) round() {
 	w.rounds++
 	w.now += modelRound
@@ -297,7 +302,7 @@
 			s.start()
 		case s.up && s.paused && w.now >= s.resumeAt:
 			s.resume()
-			continue // it hears of the view and of its lease in the next round
+			continue // it gets the view and a lease in the next round
 		}
 		if s.up && !s.paused {
 			s.lastContact = w.now
@@ -332,7 +337,7 @@
 	}
 }
 
-// authority changes the view, one change a round, as control does.
+// runControl changes the view, one change a round, as control does.
 func (w *modelCluster) runControl() {
 	members := slices.Clone(w.view.Members)
 	for i := range members {
@@ -348,7 +353,7 @@
 			return
 		case members[i].State == protocol.StoreRetiring && w.isDrained(s):
 			members[i].State = protocol.StoreRetired
-			w.changeMembers(members, "notes that "+s.node+" is emptied")
+			w.changeMembers(members, "notes that "+s.node+" is drained")
 			return
 		}
 	}
@@ -365,7 +370,7 @@
 	}
 }
 
-// allSettled tells whether all members have told that they stand whole, as control asks.
+// allReconciled reports whether all members have told that they reconciled, as control asks.
 func (w *modelCluster) allReconciled() bool {
 	for _, member := range w.view.Members {
 		s := w.storeOf(placement.KeyOf(member.Process))
@@ -387,7 +392,7 @@
 	return w.stores[slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.node == node })]
 }
 
-// heardOf tells when a life of the store's disk was heard last.
+// lastContactOf returns when an incarnation of the store's disk was last in contact.
 func (s *modelStore) lastContactOf(process protocol.Process) time.Duration {
 	if process != s.process() || s.removed {
 		return s.wipedAt
@@ -419,8 +424,8 @@
 	return nil
 }
 
-// bearsLoss is the moment from which the next loss of as many disks as may be lost is borne: all members of the newest
-// view are there, enough of them active, and control has agreed that all that they own stands whole in that view.
+// toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all members of the
+// newest view are up, enough of them active, and control has agreed that they have reconciled in that view.
 func (w *modelCluster) toleratesLoss() bool {
 	active := 0
 	for _, member := range w.view.Members {
@@ -435,7 +440,7 @@
 	return active >= w.copies
 }
 
-// setClient submits the batch job, has its items run, reads and ends it.
+// modelClient submits the batch job, runs its items, reads and ends it.
 type modelClient struct {
 	submission []byte
 	items      []job.Item
@@ -465,7 +470,7 @@
 	c.items = items
 }
 
-// act takes the next step of the client: one item a round, on every store that may run it.
+// step takes the next step of the client: one item a round, on every store that may run it.
 func (c *modelClient) step(w *modelCluster) {
 	c.stepCount++
 	switch {
@@ -482,7 +487,7 @@
 	}
 }
 
-// ask sends a call to one store after the other, and to the owner that it names.
+// call sends a call to one store after the other, and to the owner that it names.
 func (c *modelClient) call(w *modelCluster, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
 	call.BatchJob, call.Tenant, call.Route = modelJob, "t", "r"
 	s := w.stores[c.stepCount%len(w.stores)]
@@ -499,7 +504,7 @@
 	})
 }
 
-// run lists the next item wherever it may run, with a text of its own.
+// run finishes the next item wherever it may run, with a text of its own.
 func (c *modelClient) run(w *modelCluster) {
 	for _, s := range w.stores {
 		for index := range modelItems {
@@ -512,7 +517,7 @@
 	}
 }
 
-// done tells that all has been acknowledged, and that no store has yet to be emptied.
+// done reports whether everything has been acknowledged, and no store is yet to be drained.
 func (w *modelCluster) done() bool {
 	return w.client.ended && !slices.ContainsFunc(w.view.Members, func(m protocol.StoreMember) bool {
 		return m.State != protocol.StoreActive
--- a/internal/batch/replica/modelcheck_test.go
+++ b/internal/batch/replica/modelcheck_test.go
@@ -10,10 +10,11 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns what the model holds to the rules after each step.
+// What the model checks after each step.
 
 const modelDataLost = "no surviving copy of the highest version holds all that was acknowledged"
 
+// check checks all stores.
 func (w *modelCluster) check() {
 	if w.toleratesLoss() {
 		w.allowedLosses = w.copies - 1
@@ -34,13 +35,13 @@
 	w.audit()
 }
 
-// mayRun tells whether a store owns the batch job and may act on it.
+// mayRun reports whether a store owns the batch job and may act on it.
 func (w *modelCluster) mayRun(s *modelStore) bool {
 	j := s.machine.jobs[modelJob]
 	return j != nil && s.machine.MayAct() && j.owned && j.replicated && !j.ended && len(j.handoverReplicas) == 0
 }
 
-// read reads at the owner what it hasn't shown in this life yet.
+// read reads at the owner what it hasn't shown in this incarnation yet.
 func (w *modelCluster) read(s *modelStore) {
 	j := s.machine.jobs[modelJob]
 	if j == nil || !j.owned || !j.replicated || !s.machine.MayAct() {
@@ -96,12 +97,13 @@
 	w.fail(modelDataLost)
 }
 
-// held reads what the store's disk holds for sure.
+// durableCopy reads what is durable on the store's disk.
 func (s *modelStore) durableCopy() *diskCopy {
 	if s.audited == s.durable {
 		return s.audit
 	}
-	m := New(Options{Self: s.process(), ReplicationFactor: s.model.copies, Retention: time.Hour}, &modelStore{model: s.model})
+	options := Options{Self: s.process(), ReplicationFactor: s.model.copies, Retention: time.Hour}
+	m := New(options, &modelStore{model: s.model})
 	for i, record := range s.disk[:s.durable] {
 		_ = m.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
 	}
@@ -116,15 +118,15 @@
 	return s.audit
 }
 
-// checkEnd checks that all came to its end.
+// checkEnd checks that the run came to its end.
 func (w *modelCluster) checkEnd() {
 	if !w.done() {
-		w.fail("not done %d rounds after the last trouble: accepted %v, shown %d, ended %v",
+		w.fail("not done %d rounds after the last fault: accepted %v, shown %d, ended %v",
 			modelMaxRounds, w.client.accepted, len(w.client.seen), w.client.ended)
 	}
 }
 
-// retire asks for a store to be emptied, where enough others are there and remain.
+// retire asks for a store to be drained, if enough others are up and remain.
 func (w *modelCluster) retire(s *modelStore) bool {
 	members := slices.Clone(w.view.Members)
 	at := slices.IndexFunc(members, func(m protocol.StoreMember) bool { return m.Process == s.process() })
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -9,14 +9,16 @@
 	"testing"
 )
 
-// setTrouble is one thing that befalls the world, before a step.
+// The model with faults before each of its steps, in pairs, and at random.
+
+// modelFault is one fault, injected before a step.
 type modelFault struct {
 	kind  int
 	store int
 	step  int
 }
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
 	modelWipe             = iota // a disk is lost, the machine comes back empty at once
 	modelWipeLong                // ... after the others have gone on without it
@@ -24,8 +26,8 @@
 	modelKill                    // a process ends; what it wrote stays
 	modelCrash                   // a machine loses power
 	modelCrashLong               // ... until the others have gone on without it
-	modelPause                   // a process stands still until the others have gone on without it
-	modelRetire                  // a store is to be emptied
+	modelPause                   // a process is paused until the others have gone on without it
+	modelRetire                  // a store retires
 	modelPowerLoss               // all lose power
 	modelPowerLossAndWipe        // ... and one its disk
 	modelDropMessage             // the next message is lost
@@ -36,9 +38,11 @@
 	modelFirstWithoutStore = modelDropMessage // from here on no store is named
 )
 
-var modelFaultNames = [modelFaultKinds]string{"wiped", "wiped for long", "replaced", "killed", "loses power", "loses power for long",
-	"stands still", "is to be emptied", "all lose power", "all lose power, and its disk is lost", "message lost", "message late",
-	"message twice", "a store is added"}
+var modelFaultNames = [modelFaultKinds]string{
+	"wiped", "wiped for long", "replaced", "killed", "loses power", "loses power for long", "paused", "retires",
+	"all lose power", "all lose power, and its disk is lost", "message lost", "message late", "message twice",
+	"a store is added",
+}
 
 const modelLongAbsence = 2*modelTimeout + modelRound
 
@@ -49,7 +53,7 @@
 	return fmt.Sprintf("%d:s%d %s", t.step, t.store+1, modelFaultNames[t.kind])
 }
 
-// happen brings a trouble about. It tells whether it could be: no more disks go than may.
+// inject injects a fault. It reports whether it could: no more disks are lost than must be tolerated.
 func (w *modelCluster) inject(t modelFault) bool {
 	s := w.stores[t.store]
 	lost := t.kind == modelWipe || t.kind == modelWipeLong || t.kind == modelReplace || t.kind == modelPowerLossAndWipe
@@ -98,7 +102,7 @@
 	return true
 }
 
-// disturb has something become of the next message.
+// disturbMessage loses, delays or duplicates the next message.
 func (w *modelCluster) disturbMessage(kind int) bool {
 	if len(w.messages) == 0 {
 		return false
@@ -113,21 +117,22 @@
 	return true
 }
 
-// play runs a world with troubles, in the order of their steps, until the client is done. It tells how many came about.
-func (w *modelCluster) play(troubles []modelFault) (happened int) {
+// play runs the model with faults, in the order of their steps, until the client is done. It returns how many were
+// injected.
+func (w *modelCluster) play(faults []modelFault) (happened int) {
 	w.rounds = 0
-	for w.failure == "" && (len(troubles) > 0 || !w.done()) && w.rounds < modelMaxRounds {
-		for len(troubles) > 0 && troubles[0].step == w.steps {
-			if w.inject(troubles[0]) {
+	for w.failure == "" && (len(faults) > 0 || !w.done()) && w.rounds < modelMaxRounds {
+		for len(faults) > 0 && faults[0].step == w.steps {
+			if w.inject(faults[0]) {
 				happened++
 				w.rounds = 0
-				w.note("%v", troubles[0])
+				w.note("%v", faults[0])
 				w.check()
 			}
-			troubles = troubles[1:]
+			faults = faults[1:]
 		}
 		w.step()
-		if w.done() && len(troubles) > 0 && w.rounds > 20 {
+		if w.done() && len(faults) > 0 && w.rounds > 20 {
 			break
 		}
 	}
@@ -137,7 +142,7 @@
 	return happened
 }
 
-// settleSet plays until all stores are members and whole.
+// newReconciledModel returns a model in which all stores are members and have reconciled.
 func newReconciledModel(count, copies int, bugs modelBugs) *modelCluster {
 	w := newModelCluster(count, copies, bugs)
 	for w.failure == "" && (len(w.view.Members) < count || !w.toleratesLoss()) {
@@ -147,30 +152,30 @@
 	return w
 }
 
-// setLength is the number of steps that a run without trouble takes.
+// modelLength is the number of steps that a run without faults takes.
 func modelLength(t testing.TB, count, copies int) int {
 	w := newReconciledModel(count, copies, modelBugs{})
 	w.play(nil)
 	if w.failure != "" {
-		t.Fatalf("without trouble: %s\n%s", w.failure, strings.Join(w.events, "\n"))
+		t.Fatalf("without faults: %s\n%s", w.failure, strings.Join(w.events, "\n"))
 	}
 	return w.steps
 }
 
-// runSet plays one world and tells what was broken.
-func runModel(count, copies int, bugs modelBugs, troubles ...modelFault) (w *modelCluster, happened int) {
+// runModel runs the model with faults.
+func runModel(count, copies int, bugs modelBugs, faults ...modelFault) (w *modelCluster, happened int) {
 	w = newReconciledModel(count, copies, bugs)
-	happened = w.play(troubles)
+	happened = w.play(faults)
 	return w, happened
 }
 
-func describeModelFailure(w *modelCluster, troubles []modelFault) string {
-	return fmt.Sprintf("%v: %s\n%s", troubles, w.failure, strings.Join(w.events, "\n"))
+func describeModelFailure(w *modelCluster, faults []modelFault) string {
+	return fmt.Sprintf("%v: %s\n%s", faults, w.failure, strings.Join(w.events, "\n"))
 }
 
 var modelSizes = [][2]int{{3, 2}, {4, 2}, {4, 3}} // stores, copies
 
-// TestSetModel brings each trouble about before each step of a batch job's life, on real machines.
+// TestSetModel injects each fault before each step of a batch job's life.
 func TestSetModel(t *testing.T) {
 	for _, size := range modelSizes {
 		played, steps := 0, 0
@@ -181,22 +186,23 @@
 					if kind >= modelFirstWithoutStore && store > 0 {
 						break
 					}
-					troubles := []modelFault{{kind: kind, store: store, step: step}}
-					w, happened := runModel(size[0], size[1], modelBugs{}, troubles...)
+					faults := []modelFault{{kind: kind, store: store, step: step}}
+					w, happened := runModel(size[0], size[1], modelBugs{}, faults...)
 					played += happened
 					steps += w.steps
 					if w.failure != "" {
-						t.Fatal(describeModelFailure(w, troubles))
+						t.Fatal(describeModelFailure(w, faults))
 					}
 				}
 			}
 		}
-		t.Logf("%d stores, %d copies: %d runs with a trouble before each of %d steps, %d steps", size[0], size[1], played, length, steps)
+		t.Logf("%d stores, %d copies: %d runs with a fault before each of %d steps, %d steps",
+			size[0], size[1], played, length, steps)
 	}
 }
 
-// TestSetModelSecondLoss takes a disk, where one may be lost, or a message at each step after a loss, a replacement, a
-// retirement or an addition that began at each step. MODEL=full plays all pairs.
+// TestSetModelSecondLoss loses a disk, where one may be lost, or a message at each step after a loss, a replacement,
+// a retirement or an addition that began at each step. MODEL=full runs all pairs.
 func TestSetModelSecondLoss(t *testing.T) {
 	every := 61 // of the pairs is played
 	if os.Getenv("MODEL") == "full" {
@@ -211,13 +217,16 @@
 				continue
 			}
 			step := first / (stores * len(modelFirstFaults))
-			troubles := []modelFault{
+			faults := []modelFault{
 				{step: step, store: first % stores, kind: modelFirstFaults[first/stores%len(modelFirstFaults)]},
-				{step: step + second/(stores*len(modelSecondFaults)), store: second % stores, kind: modelSecondFaults[second/stores%len(modelSecondFaults)]},
+				{
+					step: step + second/(stores*len(modelSecondFaults)), store: second % stores,
+					kind: modelSecondFaults[second/stores%len(modelSecondFaults)],
+				},
 			}
-			w, happened := runModel(stores, copies, modelBugs{}, troubles...)
+			w, happened := runModel(stores, copies, modelBugs{}, faults...)
 			if w.failure != "" {
-				t.Fatal(describeModelFailure(w, troubles))
+				t.Fatal(describeModelFailure(w, faults))
 			}
 			played++
 			both += happened / 2
@@ -231,57 +240,63 @@
 	modelSecondFaults = []int{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
 )
 
-// TestSetModelVersionAfterAbsence has an owner come back to a set that stands, while another store, which is away, has
-// chosen a higher version that was never whole. A random run found it.
+// TestSetModelVersionAfterAbsence has an owner come back to a set that needs no change, while another store, which is
+// away, has chosen a higher version that was never fully replicated. A random run found it.
 func TestSetModelVersionAfterAbsence(t *testing.T) {
 	playTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
 		modelFault{modelCrashLong, 1, 72})
-	troubles := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
-	playTrace(t, 3, 2, troubles...)
-	if w, _ := runModel(3, 2, modelBugs{keepsVersion: true}, troubles...); !strings.Contains(w.failure, modelDataLost) {
+	faults := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
+	playTrace(t, 3, 2, faults...)
+	if w, _ := runModel(3, 2, modelBugs{keepsVersion: true}, faults...); !strings.Contains(w.failure, modelDataLost) {
 		t.Errorf("not found where an owner keeps its version: %q", w.failure)
 	}
 }
 
-// TestSetModelEmptiedWhileAway has a store leave as planned while others are out of the view, and a disk lost meanwhile.
-// Random runs found these: a store that came back with the only copy missed the emptied one like one that was lost.
+// TestSetModelEmptiedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. Random
+// runs found these: a store that came back with the only copy missed the drained one as if it had been lost.
 func TestSetModelEmptiedWhileAway(t *testing.T) {
-	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41}, modelFault{modelReplace, 1, 52})
-	playTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23}, modelFault{modelPause, 1, 26})
-	playTrace(t, 4, 3, modelFault{modelPause, 2, 23}, modelFault{modelPause, 1, 23}, modelFault{modelRetire, 0, 24}, modelFault{modelWipe, 3, 64},
-		modelFault{modelPowerLossAndWipe, 2, 76})
-	playTrace(t, 4, 2, modelFault{modelRetire, 0, 0}, modelFault{modelDropMessage, 0, 30}) // word that another one stands whole
+	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
+		modelFault{modelReplace, 1, 52})
+	playTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23},
+		modelFault{modelPause, 1, 26})
+	playTrace(t, 4, 3, modelFault{modelPause, 2, 23}, modelFault{modelPause, 1, 23}, modelFault{modelRetire, 0, 24},
+		modelFault{modelWipe, 3, 64}, modelFault{modelPowerLossAndWipe, 2, 76})
+	// The message says that another one has reconciled.
+	playTrace(t, 4, 2, modelFault{modelRetire, 0, 0}, modelFault{modelDropMessage, 0, 30})
 }
 
-// TestSetModelRestartWhileLeaving has a store start again while it hands over, and the successor lose its disk.
+// TestSetModelRestartWhileLeaving restarts a store while it hands over, and loses the successor's disk.
 func TestSetModelRestartWhileLeaving(t *testing.T) {
 	playTrace(t, 4, 2, modelFault{modelRetire, 1, 35}, modelFault{modelCrash, 2, 66}, modelFault{modelWipe, 3, 98})
 }
 
-// TestSetModelDense plays several troubles that follow each other closely, with the disk of one and the same machine lost; SEEDS=N
-// plays N runs of each size, FIRST=S starts at seed S.
+// TestSetModelDense injects several faults in quick succession, with the disk of one and the same machine lost;
+// SEEDS=N runs N of each size, FIRST=S starts at seed S.
 func TestSetModelDense(t *testing.T) {
 	seeds, first := modelSeeds(2000)
 	for _, size := range [][2]int{{4, 2}, {4, 3}} {
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
-			troubles := denseFaults(seed, size[0])
-			w, count := runModel(size[0], size[1], modelBugs{}, troubles...)
+			faults := denseFaults(seed, size[0])
+			w, count := runModel(size[0], size[1], modelBugs{}, faults...)
 			happened += count
 			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, troubles))
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, faults))
 			}
 		}
-		t.Logf("%d stores, %d copies: %d runs, %d troubles", size[0], size[1], seeds, happened)
+		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
 	}
 }
 
-var modelDenseFaults = []int{modelWipe, modelWipe, modelWipeLong, modelKill, modelCrash, modelPowerLoss, modelDropMessage, modelDelayMessage, modelCrashLong, modelRetire}
+var modelDenseFaults = []int{
+	modelWipe, modelWipe, modelWipeLong, modelKill, modelCrash, modelPowerLoss, modelDropMessage, modelDelayMessage,
+	modelCrashLong, modelRetire,
+}
 
-// denseTroubles draws troubles that are at most 39 steps apart.
+// denseFaults draws faults that are at most 39 steps apart.
 func denseFaults(seed uint64, stores int) []modelFault {
 	random := rand.New(rand.NewPCG(seed, 99))
-	var troubles []modelFault
+	var faults []modelFault
 	step, wiped := 0, random.IntN(stores)
 	for range 3 + random.IntN(4) {
 		step += random.IntN(40)
@@ -289,12 +304,12 @@
 		if one.kind == modelWipe || one.kind == modelWipeLong {
 			one.store = wiped
 		}
-		troubles = append(troubles, one)
+		faults = append(faults, one)
 	}
-	return troubles
+	return faults
 }
 
-// modelSeeds gives how many seeds are to be played, and the first.
+// modelSeeds returns the number of seeds to run, and the first.
 func modelSeeds(fallback uint64) (seeds, first uint64) {
 	seeds = fallback
 	if number, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64); err == nil {
@@ -306,50 +321,50 @@
 	return seeds, first
 }
 
-// playTrace plays troubles that were found to break something once.
-func playTrace(t *testing.T, stores, copies int, troubles ...modelFault) {
+// playTrace injects faults that were found to break something once.
+func playTrace(t *testing.T, stores, copies int, faults ...modelFault) {
 	t.Helper()
-	w, happened := runModel(stores, copies, modelBugs{}, troubles...)
+	w, happened := runModel(stores, copies, modelBugs{}, faults...)
 	if w.failure != "" {
-		t.Error(describeModelFailure(w, troubles))
+		t.Error(describeModelFailure(w, faults))
 	}
-	if happened != len(troubles) {
-		t.Errorf("%v: only %d of them came about", troubles, happened)
+	if happened != len(faults) {
+		t.Errorf("%v: only %d of them came about", faults, happened)
 	}
 }
 
-// TestSetModelRandom plays several troubles in one run; SEEDS=N plays N runs of each size, FIRST=S starts at seed S.
+// TestSetModelRandom injects several faults in one run; SEEDS=N runs N of each size, FIRST=S starts at seed S.
 func TestSetModelRandom(t *testing.T) {
 	seeds, first := modelSeeds(600)
 	for _, size := range modelSizes {
 		length := modelLength(t, size[0], size[1])
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
-			troubles := randomFaults(seed, size[0], length)
-			w, count := runModel(size[0], size[1], modelBugs{}, troubles...)
+			faults := randomFaults(seed, size[0], length)
+			w, count := runModel(size[0], size[1], modelBugs{}, faults...)
 			happened += count
 			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, troubles))
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, faults))
 			}
 		}
-		t.Logf("%d stores, %d copies: %d runs, %d troubles", size[0], size[1], seeds, happened)
+		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
 	}
 }
 
 func randomFaults(seed uint64, stores, length int) []modelFault {
 	random := rand.New(rand.NewPCG(seed, 17))
-	var troubles []modelFault
+	var faults []modelFault
 	step := 0
 	for range 2 + random.IntN(4) {
 		step += random.IntN(length)
-		troubles = append(troubles, modelFault{kind: random.IntN(modelFaultKinds), store: random.IntN(stores), step: step})
+		faults = append(faults, modelFault{kind: random.IntN(modelFaultKinds), store: random.IntN(stores), step: step})
 	}
-	return troubles
+	return faults
 }
 
-// TestSetModelFindsPlantedBugs checks that the troubles find what they are for.
+// TestSetModelFindsInjectedBugs checks that the faults find what they are for.
 func TestSetModelFindsInjectedBugs(t *testing.T) {
-	plants := []struct {
+	injected := []struct {
 		name   string
 		copies int
 		bugs   modelBugs
@@ -358,18 +373,18 @@
 		{"a lost disk isn't noticed", 2, modelBugs{keepsIncarnation: true}, modelDataLost},
 		{"records count as durable when written", 2, modelBugs{earlyDurable: true}, modelDataLost},
 		{"a batch job is on as many disks as may be lost", 2, modelBugs{fewCopies: true}, modelDataLost},
-		{"replicas count as whole before they are", 2, modelBugs{earlyReplicated: true}, modelDataLost},
+		{"replicas count as complete before they are", 2, modelBugs{earlyReplicated: true}, modelDataLost},
 		{"inventories list nothing", 3, modelBugs{emptyInventories: true}, "steps without end"},
-		{"a store counts as emptied when it is asked to be", 2, modelBugs{retireEarly: true}, modelDataLost},
+		{"a store counts as drained when it is asked to be", 2, modelBugs{retireEarly: true}, modelDataLost},
 		{"a lease never ends", 2, modelBugs{endlessLease: true}, "shows"},
 	}
-	for _, planted := range plants {
-		t.Run(planted.name, func(t *testing.T) {
-			length := modelLength(t, 4, planted.copies)
+	for _, bug := range injected {
+		t.Run(bug.name, func(t *testing.T) {
+			length := modelLength(t, 4, bug.copies)
 			for seed := range uint64(5000) {
-				troubles := randomFaults(seed, 4, length)
-				if w, _ := runModel(4, planted.copies, planted.bugs, troubles...); strings.Contains(w.failure, planted.broken) {
-					t.Logf("found by seed %d: %s", seed, describeModelFailure(w, troubles))
+				faults := randomFaults(seed, 4, length)
+				if w, _ := runModel(4, bug.copies, bug.bugs, faults...); strings.Contains(w.failure, bug.broken) {
+					t.Logf("found by seed %d: %s", seed, describeModelFailure(w, faults))
 					return
 				}
 			}
--- a/internal/batch/replica/norace_test.go
+++ b/internal/batch/replica/norace_test.go
@@ -2,7 +2,7 @@
 
 package replica
 
-// plainWorlds is the number of random worlds that are played by default, plainKinds that of each kind of trouble.
+// defaultSeeds is the number of random campaigns, defaultSeedsPerFault that of simulations with each kind of fault.
 const (
 	defaultSeeds         = 200
 	defaultSeedsPerFault = 10
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -10,17 +10,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file tests what an old set of stores may do that a process which has just started tells a store that has just started.
+// What a view of the past may do to a store that has just started, when a control process that lags behind hands it
+// out.
 
-// history is a cluster of three copies whose set has changed a few times, and that has lost power everywhere and two disks for good.
+// viewHistory is a cluster of three copies whose set has changed a few times, and that has lost power everywhere and
+// two disks for good.
 type viewHistory struct {
 	*cluster
 	views []protocol.StoreView // by epoch, from 1 on
 	jobs  []string
 }
 
-// newHistory has a store retire that leaves and one come back with an empty disk, each settled before the next, then takes batch
-// jobs; last, the first two stores lose their disks and all others lose power.
+// newViewHistory retires a store and has one come back with an empty disk, each reconciled before the next, then
+// submits batch jobs; last, the first two stores lose their disks and all others lose power.
 func newViewHistory(seed uint64) *viewHistory {
 	h := &viewHistory{cluster: newCluster(9, 3, seed)}
 	h.noteView()
@@ -48,10 +50,10 @@
 	return h
 }
 
-// note remembers the newest view.
+// noteView remembers the newest view.
 func (h *viewHistory) noteView() { h.views = append(h.views, h.nodes[0].machine.CurrentView()) }
 
-// change makes a set of stores the newest view, in which all settle.
+// changeMembers makes a set of stores the newest view, in which all reconcile.
 func (h *viewHistory) changeMembers(members ...*clusterNode) {
 	h.installView(members...)
 	h.quiesce()
@@ -61,12 +63,13 @@
 	}
 }
 
-// tell has a store take a view that was in force once.
+// installOldView hands a store a view that was in force once.
 func (h *viewHistory) installOldView(n *clusterNode, epoch uint64) {
 	n.machine.InstallView(h.views[epoch-1])
 }
 
-// rejoinAll tells all that ran before of the set that they are in, and all of the one that the empty disks join.
+// rejoinAll tells all that ran before of the view that they are in, and then all of the one that the empty disks
+// join.
 func (h *viewHistory) rejoinAll() {
 	for _, n := range h.nodes[2:8] {
 		h.installOldView(n, h.epoch)
@@ -76,7 +79,7 @@
 	h.quiesce()
 }
 
-// check wants all batch jobs to be there and all stores to have settled.
+// check checks that all batch jobs are there and all stores have reconciled.
 func (h *viewHistory) check() {
 	for _, n := range h.nodes[:8] {
 		So(n.machine.Status(), ShouldResemble, Status{Epoch: h.epoch, ReconciledEpoch: h.epoch})
@@ -87,7 +90,7 @@
 	}
 }
 
-// TestToldOfAnEndedView has stores that lost power be told a set that ended before they did.
+// TestPastViewIsIgnored hands stores that lost power a view that ended before they did.
 func TestPastViewIsIgnored(t *testing.T) {
 	Convey("All batch jobs are there after a loss of power with two disks", t, func() {
 		h := newViewHistory(1)
@@ -95,7 +98,7 @@
 		h.check()
 	})
 	for ended := uint64(1); ended <= 3; ended++ {
-		Convey(fmt.Sprintf("So they are where stores are told of the set of epoch %d first, which ended long ago", ended), t, func() {
+		Convey(fmt.Sprintf("So they are if stores get the view of epoch %d first, which ended long ago", ended), t, func() {
 			for _, told := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
 				h := newViewHistory(1)
 				for _, number := range told {
@@ -120,7 +123,8 @@
 	})
 }
 
-// TestGrantOfALaterView has a store that was out of the set be granted a lease before it hears of the view that it is in again.
+// TestGrantOfALaterView grants a lease to a store that was out of the set before it hears of the view that it is in
+// again.
 func TestGrantOfALaterView(t *testing.T) {
 	Convey("A lease of a later view than the one known here gives no right to act", t, func() {
 		c := newCluster(3, 2, 1)
@@ -135,7 +139,8 @@
 		if !now.machine.jobs["job"].owned {
 			now = rest[1]
 		}
-		So(now.call(protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "job", Tenant: "t"}, nil).Status, ShouldEqual, 200)
+		end := protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: "job", Tenant: "t"}
+		So(now.call(end, nil).Status, ShouldEqual, 200)
 		owner.machine.GrantLease(c.epoch+1, true, c.now+time.Second)
 		So(owner.machine.MayAct(), ShouldBeFalse)
 		So(owner.machine.MayRun("job", 0), ShouldBeFalse)
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -15,7 +15,9 @@
 		w.runUntil(2e9)
 		s := w.stores[0]
 		s.idle = true
-		content := &job.Content{ID: "job", Tenant: "t", Items: []job.Item{{ID: "a", Path: "/"}, {ID: "b", Path: "/"}, {ID: "c", Path: "/"}}}
+		content := &job.Content{ID: "job", Tenant: "t", Items: []job.Item{
+			{ID: "a", Path: "/"}, {ID: "b", Path: "/"}, {ID: "c", Path: "/"},
+		}}
 		s.machine.writeAccepted(&acceptance{content: content})
 		s.sync()
 		So(s.machine.jobs["job"].replicated, ShouldBeTrue)
--- a/internal/batch/replica/race_test.go
+++ b/internal/batch/replica/race_test.go
@@ -2,9 +2,9 @@
 
 package replica
 
-// plainWorlds is the number of random worlds that are played by default, plainKinds that of each kind of trouble: the race
-// detector slows them down several times, and each runs in one goroutine.
+// defaultSeeds is the number of random campaigns, defaultSeedsPerFault that of simulations with each kind of fault. The
+// race detector slows them down several times, and each runs in one goroutine.
 const (
-	plainWorlds = 30
-	plainKinds  = 3
+	defaultSeeds         = 30
+	defaultSeedsPerFault = 3
 )
--- a/internal/batch/replica/random_test.go
+++ b/internal/batch/replica/random_test.go
@@ -10,6 +10,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// Simulations with random faults.
+
+// intFromEnvironment returns the integer value of an environment variable, or a default.
 func intFromEnvironment(name string, value int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
@@ -17,11 +20,12 @@
 	return value
 }
 
-// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S, TRACE=1 prints what happens.
+// TestRandomSimulations runs campaigns with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S, TRACE=1
+// prints what happens.
 func TestRandomSimulations(t *testing.T) {
 	first, count := intFromEnvironment("FIRST", 0), intFromEnvironment("SEEDS", defaultSeeds)
 	const shards = 3
-	var next, accepted, read, troubles atomic.Int64
+	var next, accepted, read, faults atomic.Int64
 	t.Run("shards", func(t *testing.T) {
 		for shard := range shards {
 			t.Run(strconv.Itoa(shard), func(t *testing.T) {
@@ -34,15 +38,16 @@
 					}
 					accepted.Add(int64(c.clients.accepted))
 					read.Add(int64(c.clients.read))
-					troubles.Add(int64(c.faults))
+					faults.Add(int64(c.faults))
 				}
 			})
 		}
 	})
-	t.Logf("%d worlds from %d, %d batch jobs accepted, %d results read, %d troubles", count, first, accepted.Load(), read.Load(), troubles.Load())
+	t.Logf("%d campaigns from %d, %d batch jobs accepted, %d results read, %d faults",
+		count, first, accepted.Load(), read.Load(), faults.Load())
 }
 
-// TestReplaysExactly plays worlds twice.
+// TestReplaysExactly runs campaigns twice, and compares their traces.
 func TestReplaysExactly(t *testing.T) {
 	for seed := uint64(1); seed < 9; seed++ {
 		first, _ := runSeed(seed, "")
@@ -54,12 +59,14 @@
 }
 
 func TestKeys(t *testing.T) {
-	if placement.KeyOf(protocol.Process{Node: "a", Incarnation: "1"}) == placement.KeyOf(protocol.Process{Node: "a", Incarnation: "2"}) {
-		t.Fatal("two lives of a disk have one key")
+	first, second := protocol.Process{Node: "a", Incarnation: "1"}, protocol.Process{Node: "a", Incarnation: "2"}
+	if placement.KeyOf(first) == placement.KeyOf(second) {
+		t.Fatal("two incarnations of a disk have one key")
 	}
 }
 
-// TestWorldsThatPassedTheBound plays worlds in which more tokens were accepted than allowed, or room was held for ever.
+// TestSeedsThatExceededTokenLimit runs seeds in which more tokens were accepted than allowed, or granted capacity was
+// held for ever.
 func TestSeedsThatExceededTokenLimit(t *testing.T) {
 	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
 		if _, err := runSeed(seed, ""); err != nil {
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -13,8 +13,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestKilledThenPowerLost takes the way of the logs that contradicted themselves: results that were written and not synced
-// by a process that was killed, results behind them that were, and then a loss of power.
+// How a start deals with records that can't be used, and what becomes of corrupt copies.
+
+// TestKilledThenPowerLost repeats how logs came to contradict themselves: results that were written and not synced by
+// a process that was killed, results behind them that were, and then a loss of power.
 func TestKilledThenPowerLost(t *testing.T) {
 	Convey("What a start found and told as durable is there after a loss of power", t, func() {
 		for seed := range uint64(20) {
@@ -41,7 +43,7 @@
 	})
 }
 
-// inject writes a record to a node's log behind all that is there, and starts the node anew on it.
+// injectRecords writes records to the end of a node's log, and restarts the node on it.
 func (n *clusterNode) injectRecords(records ...[]byte) {
 	for _, record := range records {
 		n.log.Append(record)
@@ -51,11 +53,12 @@
 	n.start()
 }
 
-// gap is a result that stands behind others that are missing.
+// resultAfterGap encodes a result at a position that others before it may be missing for.
 func resultAfterGap(id string, position, item int) []byte {
 	return encodeResult(id, position, &Result{Item: item, State: byte(job.Completed), Text: []byte("lost")})
 }
 
+// TestFindings has a start find records that can't be used.
 func TestFindings(t *testing.T) {
 	Convey("A record that can't be used is told with its place, and costs no more than its own batch job", t, func() {
 		c := newCluster(1, 1, 1)
@@ -82,7 +85,7 @@
 			{ProblemContent, garbled, true},
 			{ProblemKind, job.AppendString([]byte{200}, "job"), true},
 		} {
-			n.injectRecords(test.record, resultAfterGap("job", 2, 3)) // the second may be of a copy that isn't here
+			n.injectRecords(test.record, resultAfterGap("job", 2, 3)) // the second may continue a copy that isn't here
 			So(n.findings, ShouldHaveLength, 1)
 			finding := n.findings[0]
 			So(finding.Problem, ShouldEqual, test.problem)
@@ -102,7 +105,7 @@
 			}
 			n.kill()
 			n.start()
-			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part stands behind it
+			So(n.machine.jobs["job"].corrupt, ShouldBeFalse) // a new copy of the sound part follows it
 			So(n.findings, ShouldHaveLength, 1)
 			n.disk.Wipe()
 			n.start()
@@ -129,7 +132,7 @@
 	})
 }
 
-// TestReplayNeverPanics hands altered records to a start.
+// TestReplayNeverPanics replays altered records.
 func TestReplayNeverPanics(t *testing.T) {
 	c := newCluster(1, 1, 1)
 	n := c.nodes[0]
@@ -144,7 +147,8 @@
 	}
 	whole := [][]byte{
 		encodeCopy("job", j.version, j.replicas, false, content, []Result{{Item: 1, State: 1, Text: []byte("x")}}),
-		encodeReplicas("job", j.version, j.replicas), encodeEnded("job"), resultAfterGap("job", 2, 2), n.machine.departures.encode(),
+		encodeReplicas("job", j.version, j.replicas), encodeEnded("job"), resultAfterGap("job", 2, 2),
+		n.machine.departures.encode(),
 		append(job.AppendString([]byte{recordProgress}, "job"), 2, 1, 6, 1, 1, 'x'), encodeDropped("job"),
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -158,13 +162,15 @@
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record[:1+random.IntN(len(record))])
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record)
 		_ = n.machine.Replay(wal.Location{Segment: 1}, whole[random.IntN(len(whole))])
-		if held := n.machine.jobs["job"]; held != nil && (held.durableResults != len(held.results) || len(held.results) > len(held.items)) {
-			t.Fatalf("%d results durable of %d, %d items", held.durableResults, len(held.results), len(held.items))
+		stored := n.machine.jobs["job"]
+		if stored != nil && (stored.durableResults != len(stored.results) || len(stored.results) > len(stored.items)) {
+			t.Fatalf("%d results durable of %d, %d items", stored.durableResults, len(stored.results), len(stored.items))
 		}
 	}
 }
 
-// TestDamagedOwner damages the owner's copy: the batch job goes to the store that holds a whole one, and the owner gets it.
+// TestCorruptOwner corrupts the owner's copy: the batch job goes to the store that holds a sound one, and the former
+// owner gets it.
 func TestCorruptOwner(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -176,7 +182,7 @@
 			return encodeCopy("job", j.version+1, j.replicas, false, []byte("?"), nil)
 		}},
 	} {
-		Convey("The better copy is owned, and the damaged one replaced, after "+test.name, t, func() {
+		Convey("The better copy is owned, and the corrupt one replaced, after "+test.name, t, func() {
 			for _, restart := range []string{"at once", "after it was taken out", "all at the same time"} {
 				c := newCluster(3, 2, 1)
 				So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
@@ -236,7 +242,7 @@
 	return alive
 }
 
-// readAnywhere reads at a node, or where it points to.
+// readAnywhere reads at a node, or at the owner that it names.
 func (n *clusterNode) readAnywhere(id string) ([]string, int) {
 	call := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: id, Tenant: "t"}
 	answer := n.call(call, nil)
@@ -248,11 +254,12 @@
 	return n.read(id)
 }
 
-// TestDamagedReplica damages a copy that its owner had counted on: the owner takes back that all stands whole until it has
-// replaced the copy, also where nobody left the view.
+// TestCorruptReplica corrupts a copy that its owner had counted on: the owner takes back that it has reconciled until
+// it has replaced the copy, also if nobody left the view.
 func TestCorruptReplica(t *testing.T) {
 	for _, record := range [][]byte{encodeDropped("job"), resultAfterGap("job", 5, 5)} {
-		Convey(fmt.Sprintf("A damaged replica is replaced before anything more is shown on its word: kind %d", record[0]), t, func() {
+		name := fmt.Sprintf("A corrupt replica is replaced before more results are committed: kind %d", record[0])
+		Convey(name, t, func() {
 			c := newCluster(2, 2, 1)
 			So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 			owner := c.owner("job")
@@ -262,7 +269,8 @@
 			replica.injectRecords(record)
 			So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 			c.rejoin(replica)
-			c.deliver(clusterMessage{from: replica.process(), to: owner.key(), body: InventoryRequest{Stamp: replica.machine.stamp()}})
+			request := InventoryRequest{Stamp: replica.machine.stamp()}
+			c.deliver(clusterMessage{from: replica.process(), to: owner.key(), body: request})
 			So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 			owner.finish("job", 3)
 			c.quiesce()
@@ -280,9 +288,10 @@
 	}
 }
 
-// TestOnlyDamagedCopies leaves damaged copies alone: the longest sound prefix is served, and nothing is said not to exist.
+// TestOnlyCorruptCopies leaves corrupt copies only: the longest sound prefix is served, and nothing is said not to
+// exist.
 func TestOnlyCorruptCopies(t *testing.T) {
-	Convey("The longest sound prefix is served where no whole copy is left", t, func() {
+	Convey("The longest sound prefix is served if no sound copy is left", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 8).Status, ShouldEqual, 202)
 		owner := c.owner("job")
@@ -309,7 +318,8 @@
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		_, status := c.nodes[0].read("no-such-job")
 		So(status, ShouldEqual, 404)
-		c.nodes[1].injectRecords(encodeCopy("job", c.nodes[1].machine.jobs["job"].version, nil, false, []byte("?"), nil), encodeDropped("job"))
+		version := c.nodes[1].machine.jobs["job"].version
+		c.nodes[1].injectRecords(encodeCopy("job", version, nil, false, []byte("?"), nil), encodeDropped("job"))
 		c.nodes[0].wipe()
 		c.nodes[0].start()
 		c.installView(c.nodes...)
@@ -321,9 +331,9 @@
 	})
 }
 
-// TestDamagedRetires has a store leave whose only copy is damaged: it hands over what is sound.
+// TestCorruptStoreRetires retires a store whose only copy is corrupt: it hands over what is sound.
 func TestCorruptStoreRetires(t *testing.T) {
-	Convey("A store that leaves hands over the sound part of a damaged copy", t, func() {
+	Convey("A retiring store hands over the sound part of a corrupt copy", t, func() {
 		c := newCluster(3, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner := c.owner("job")
@@ -344,7 +354,7 @@
 	})
 }
 
-// TestSegmentsKept asks which segments may go while what replaces their records isn't durable.
+// TestSegmentsKept checks which segments may be released while what replaces their records isn't durable.
 func TestSegmentsKept(t *testing.T) {
 	Convey("A copy's segment is kept until the copy that replaces it is durable", t, func() {
 		c := newCluster(2, 2, 1)
@@ -358,7 +368,9 @@
 		replica.machine.writeViewRecord() // so that only the copy is in the way
 		replica.sync()
 		owner := c.owner("job").process()
-		message := ReplicationRequest{Stamp: replica.machine.stamp(), Job: "job", Version: j.version + 1, Replicas: j.replicas, Content: content}
+		message := ReplicationRequest{
+			Stamp: replica.machine.stamp(), Job: "job", Version: j.version + 1, Replicas: j.replicas, Content: content,
+		}
 		for range 2 { // a further one, too
 			replica.machine.Receive(owner, message)
 			message.Version++
@@ -396,9 +408,9 @@
 	n.sync()
 }
 
-// TestSkippedPart damages a part of the log in which a newer copy may have stood.
+// TestSkippedPart corrupts a part of the log in which a newer copy may have been.
 func TestSkippedPart(t *testing.T) {
-	Convey("What is held where a part can't be read counts as damaged, and results behind that part count for nothing", t, func() {
+	Convey("What is before an unreadable part counts as corrupt, and results behind it are ignored", t, func() {
 		c := newCluster(2, 2, 1)
 		for _, id := range []string{"before", "across"} {
 			So(c.nodes[0].submit(id, 4).Status, ShouldEqual, 202)
@@ -429,7 +441,7 @@
 			So(texts, ShouldResemble, []string{"0", "1", "2"})
 		}
 		So(owner.machine.jobs["across"].durableResults, ShouldEqual, 3)
-		So(owner.machine.incompleteLog, ShouldBeFalse) // all stand whole again
+		So(owner.machine.incompleteLog, ShouldBeFalse) // all have reconciled again
 		_, status := owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
 		findings, damaged = owner.machine.Corruption()
@@ -438,7 +450,8 @@
 	})
 }
 
-// TestDamageInTheNewestSegment damages what an owner synced before later records of the segment that it was writing.
+// TestCorruptionInNewestSegment corrupts what an owner synced before later records of the segment that it was
+// writing.
 func TestCorruptionInNewestSegment(t *testing.T) {
 	Convey("What was shown comes back from the other copy, and isn't listed anew", t, func() {
 		c := newCluster(2, 2, 1)
@@ -468,9 +481,9 @@
 	})
 }
 
-// TestConcedeIsSentAgain loses the word that a batch job is given to a better copy.
+// TestOwnershipTransferIsResent loses the message that transfers a batch job to a better copy.
 func TestOwnershipTransferIsResent(t *testing.T) {
-	Convey("A store that concedes a batch job tells it until it stands whole at the other one", t, func() {
+	Convey("An ownership transfer is resent until the batch job is fully replicated at the other store", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -487,16 +500,16 @@
 		}
 		c.rejoin(owner)
 		c.quiesce()
-		So(lost, ShouldEqual, 4) // the third is heard, the next asks whether the set is whole
+		So(lost, ShouldEqual, 4) // the third arrives, the next asks whether the batch job is fully replicated
 		So(c.owner("job") == replica, ShouldBeTrue)
 		So(owner.machine.transfers, ShouldBeEmpty)
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 1)
 	})
 }
 
-// TestConcedeInVain has the better copy dropped, as its time is over, before it is given the batch job.
+// TestOwnershipTransferRejected has the better copy expire before the batch job is transferred to it.
 func TestOwnershipTransferRejected(t *testing.T) {
-	Convey("A store that concedes a batch job that is gone looks again, and stands whole", t, func() {
+	Convey("A store that transfers a batch job that was dropped matches inventories anew, and reconciles", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file tests processes that start again while a set isn't whole yet, followed by as many lost disks as may be.
+// Processes that restart while a set isn't fully replicated yet, followed by as many lost disks as may be.
 
-// silence loses what a node sends to bring others up to its state.
+// dropReplication loses what a node sends to bring others up to its state.
 func (c *cluster) dropReplication(n *clusterNode) {
 	c.drops = func(m clusterMessage) bool {
 		_, replicates := m.body.(ReplicationRequest)
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestRestartWhileHandingOver has a store that is to be emptied start again before its successor's set is whole.
+// TestRestartWhileHandingOver restarts a retiring store before its successor's set is fully replicated.
 func TestRestartWhileHandingOver(t *testing.T) {
-	Convey("A store that hands over keeps its copy until its successor's set is whole, also when it starts again", t, func() {
+	Convey("A store that hands over keeps its copy until the new set is fully replicated, also if it restarts", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving, successor := c.owner("job"), c.replicaOf("job")
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestRestartOfAnOwner has an owner start again, and choose its set anew, after all stood whole.
+// TestRestartOfAnOwner restarts an owner, which chooses its set anew, after all have reconciled.
 func TestRestartOfAnOwner(t *testing.T) {
-	Convey("What a former life told of standing whole counts no more", t, func() {
+	Convey("What an earlier incarnation told of having reconciled counts no more", t, func() {
 		c := newCluster(4, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner := c.owner("job")
@@ -89,9 +89,10 @@
 	})
 }
 
-// TestObscuredAndAway has one of two copies on a store that is off, and the other in a log that can't name it any more.
+// TestIncompleteLogWhileOwnerAway has one of two copies on a store that is away, and the other in a log that can't
+// name it any more.
 func TestIncompleteLogWhileOwnerAway(t *testing.T) {
-	Convey("Nobody says that there is none while the stores that may hold it are away or can't tell", t, func() {
+	Convey("No store denies it while the stores that may hold it are away or have incomplete logs", t, func() {
 		for _, noticesLost := range []bool{false, true} {
 			c := newCluster(4, 2, 1)
 			So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
@@ -121,10 +122,10 @@
 	})
 }
 
-// TestWordsOfDifferentMoments has the head hear of a successor what it told before it came to the batch job, and of the store that
-// handed it over what it tells after it has started again.
+// TestReportsOfDifferentMoments has control get a report of a successor from before it took over the batch job, and
+// of the store that handed it over from after its restart.
 func TestReportsOfDifferentMoments(t *testing.T) {
-	Convey("All stand whole only where nothing hangs on what one of them has taken back since", t, func() {
+	Convey("All have reconciled only if nothing depends on what one of them has taken back since", t, func() {
 		c := newCluster(8, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		c.quiesce()
@@ -182,7 +183,7 @@
 		So(c.currentView.Settled, ShouldBeTrue)
 		So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 	})
-	Convey("A store that gives a batch job to one with a better copy waits for its set to be whole, too", t, func() {
+	Convey("A store that transfers a batch job to a better copy waits until that is fully replicated, too", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -202,9 +203,9 @@
 	})
 }
 
-// TestConcessionStands has a batch job be given to a store with a better copy, whose disk is slow.
+// TestOwnershipTransferPending transfers a batch job to a store with a better copy, whose disk is slow.
 func TestOwnershipTransferPending(t *testing.T) {
-	// given has the owner of a batch job give it to the replica, which doesn't hear of it.
+	// given has the owner transfer a batch job to the replica, which doesn't get the message.
 	given := func() (owner, replica *clusterNode) {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 6).Status, ShouldEqual, 202)
@@ -221,16 +222,16 @@
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		return owner, replica
 	}
-	Convey("It isn't in vain where the new owner has yet to write the version that it chose", t, func() {
+	Convey("It isn't rejected if the new owner has yet to write the version that it chose", t, func() {
 		owner, replica := given()
 		version := owner.machine.transfers["job"].version
 		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version + 1})
 		So(owner.machine.transfers, ShouldHaveLength, 1)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, owner.machine.Epoch())
 		owner.machine.handleReplicationResponse(replica.key(), ReplicationResponse{Job: "job", Version: version})
-		So(owner.machine.reconciled, ShouldBeFalse) // it looks again at who holds what
+		So(owner.machine.reconciled, ShouldBeFalse) // it matches inventories anew
 	})
-	Convey("It ends where the batch job falls to this store again", t, func() {
+	Convey("It ends if the batch job falls to this store again", t, func() {
 		owner, _ := given()
 		j := owner.machine.jobs["job"]
 		j.corrupt = false
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns clients that submit, read and end batch jobs, and that hold the stores to the rules at each answer.
+// Clients of a simulation, which submit, read and end batch jobs, and check each answer.
 
 const (
 	callTimeout = 3500 * time.Millisecond
@@ -18,6 +18,7 @@
 	maxTries    = 4
 )
 
+// clients are all clients of a simulation.
 type clients struct {
 	sim      *storeSimulation
 	jobs     map[string]*clientJob
@@ -28,6 +29,7 @@
 	onAccept func()
 }
 
+// clientJob is what the clients know of a batch job.
 type clientJob struct {
 	id             string
 	body           []byte
@@ -48,15 +50,18 @@
 	ended          bool
 }
 
-// expired tells whether the batch job may be forgotten.
+// expired reports whether a batch job may be forgotten.
 func (c *clients) expired(j *clientJob) bool { return c.sim.now >= j.firstSubmitted+c.sim.retention }
 
-// whole tells whether all items were read.
+// allRead reports whether the results of all items were read.
 func (j *clientJob) allRead() bool { return len(j.seen) == len(j.items) }
 
+// submit submits a new batch job with a number of items.
 func (c *clients) submit(id string, count int) *clientJob {
-	j := &clientJob{id: id, index: map[string]int{}, seen: map[int]string{}, positions: map[string]int{}, done: map[int]bool{},
-		firstSubmitted: c.sim.now}
+	j := &clientJob{
+		id: id, firstSubmitted: c.sim.now,
+		index: map[string]int{}, seen: map[int]string{}, positions: map[string]int{}, done: map[int]bool{},
+	}
 	type request struct {
 		ID     string `json:"id"`
 		Path   string `json:"path"`
@@ -65,8 +70,9 @@
 	}
 	var requests []request
 	for i := range count {
-		requests = append(requests, request{ID: id + "-" + strconv.Itoa(i), Path: "/p", Body: []byte("body " + strconv.Itoa(i)),
-			Tokens: itemTokens(i)})
+		requests = append(requests, request{
+			ID: id + "-" + strconv.Itoa(i), Path: "/p", Body: []byte("body " + strconv.Itoa(i)), Tokens: itemTokens(i),
+		})
 	}
 	j.body, _ = json.Marshal(map[string]any{"requests": requests})
 	items, err := job.ParseSubmission(j.body)
@@ -83,7 +89,7 @@
 	return j
 }
 
-// started takes note of an item that reached a server.
+// itemStarted checks an item that was sent to a server.
 func (c *clients) itemStarted(s *simulatedStore, id string) {
 	w := c.sim
 	j := c.jobs[id]
@@ -100,14 +106,17 @@
 	c.checkPromise(j)
 }
 
+// checkPromise checks that a batch job that was only ever rejected doesn't run.
 func (c *clients) checkPromise(j *clientJob) {
 	if j.starts > 0 && j.unanswered == 0 && j.refusals == j.tries {
 		c.sim.fail("%s: an item ran though all %d tries were refused", j.id, j.tries)
 	}
 }
 
-// ask sends a call to a store and follows it to the owner.
-func (c *clients) call(s *simulatedStore, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer)) {
+// call sends a call to a store and follows it to the owner.
+func (c *clients) call(
+	s *simulatedStore, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer),
+) {
 	w := c.sim
 	answered := false
 	finish := func(answer protocol.BatchAnswer) {
@@ -121,14 +130,19 @@
 		s.do(func() {
 			s.lastToken++
 			s.answers[s.lastToken] = func(answer protocol.BatchAnswer) {
-				w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() { c.follow(answer, call, items, hops, finish) })
+				w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
+					c.follow(answer, call, items, hops, finish)
+				})
 			}
 			s.machine.Call(s.lastToken, call, items)
 		})
 	})
 }
 
-func (c *clients) follow(answer protocol.BatchAnswer, call protocol.BatchCall, items []job.Item, hops int, finish func(protocol.BatchAnswer)) {
+// follow makes a call again at the owner that its answer names.
+func (c *clients) follow(
+	answer protocol.BatchAnswer, call protocol.BatchCall, items []job.Item, hops int, finish func(protocol.BatchAnswer),
+) {
 	if answer.Owner == "" || hops == 0 {
 		finish(answer)
 		return
@@ -140,6 +154,7 @@
 	finish(protocol.BatchAnswer{Status: 504})
 }
 
+// submitOnce submits a batch job, and perhaps a duplicate elsewhere.
 func (c *clients) submitOnce(j *clientJob) {
 	w := c.sim
 	j.tries++
@@ -152,11 +167,12 @@
 			w.schedule(w.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
 		}
 	})
-	if w.random.IntN(4) == 0 && j.tries < maxTries { // a copy that goes elsewhere at the same time
+	if w.random.IntN(4) == 0 && j.tries < maxTries { // a duplicate that goes elsewhere at the same time
 		w.schedule(w.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
 	}
 }
 
+// handleSubmitAnswer checks the answer to a submission, and starts what follows an acceptance.
 func (c *clients) handleSubmitAnswer(j *clientJob, answer protocol.BatchAnswer) {
 	w := c.sim
 	w.note("%s is answered %d", j.id, answer.Status)
@@ -185,6 +201,7 @@
 	}
 }
 
+// page is the body of an answer with results.
 type page struct {
 	Total   int `json:"total"`
 	Next    int `json:"next-token"`
@@ -195,7 +212,7 @@
 	} `json:"results"`
 }
 
-// readOn reads on until all is read.
+// keepReading reads until all results were read.
 func (c *clients) keepReading(j *clientJob) {
 	w := c.sim
 	start := len(j.seen)
@@ -216,7 +233,7 @@
 	})
 }
 
-// take holds results that were read to those that were read before.
+// checkPage checks results against those that were read before.
 func (c *clients) checkPage(j *clientJob, start int, sent time.Duration, answer protocol.BatchAnswer) {
 	w := c.sim
 	if answer.Status == 404 && sent > j.acceptedAt && !c.expired(j) {
@@ -260,7 +277,7 @@
 	j.seen[position], j.positions[item] = content, position
 }
 
-// body asks for an item's body, which is there until the item is listed.
+// readBody asks for an item's body, which is there until its result is listed.
 func (c *clients) readBody(j *clientJob) {
 	w := c.sim
 	index := w.random.IntN(len(j.items))
@@ -284,7 +301,7 @@
 	}
 }
 
-// isListed tells whether a store shows an item as listed.
+// hasResult reports whether a store lists an item's result.
 func (c *clients) hasResult(j *clientJob, index int) bool {
 	if _, read := j.positions[j.items[index].ID]; read {
 		return true
@@ -297,6 +314,7 @@
 	return false
 }
 
+// end ends a batch job.
 func (c *clients) end(j *clientJob) {
 	w := c.sim
 	j.endRequested = true
--- a/internal/batch/replica/simulateditems_test.go
+++ b/internal/batch/replica/simulateditems_test.go
@@ -8,18 +8,18 @@
 	"sprucelane.example/sprucelane/internal/batch/job"
 )
 
-// This file owns the running of items at a simulated store: each gives some events, which are kept as they come, and a run
-// that starts again takes up from the last one.
+// Items that run at a simulated store. Each has some events, which are saved as they come; a run that starts again
+// resumes after the last one.
 
-// itemEvents is how many events an item has.
+// itemEvents is the number of events of an item.
 const itemEvents = 3
 
-// jobRun is what runs of a batch job, until it is stopped.
+// jobRun is the running items of a batch job, until it is stopped.
 type jobRun struct {
 	items map[int]bool
 }
 
-// Start has a batch job's items run.
+// Start runs a batch job's items.
 func (s *simulatedStore) Start(id string) {
 	if s.idle {
 		return
@@ -31,7 +31,7 @@
 	s.later(time.Millisecond, func() { s.runAll(id, run) })
 }
 
-// Stop has none of them run any more.
+// Stop ends the run of a batch job's items.
 func (s *simulatedStore) Stop(id string) { delete(s.running, id) }
 
 func (s *simulatedStore) runAll(id string, run *jobRun) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// eventsOf reads what an earlier life kept of an item.
+// eventsOf reads what an earlier incarnation of the process kept of an item.
 func (s *simulatedStore) eventsOf(id string, item JobItem) (lines []string, ok bool) {
 	encoded, err := s.Read(item.At)
 	if err != nil {
@@ -89,7 +89,7 @@
 	s.nextEvent(id, run, index, lines)
 }
 
-// nextEvent takes the item's next event, or lists it after the last one.
+// nextEvent takes the item's next event, or lists its result after the last one.
 func (s *simulatedStore) nextEvent(id string, run *jobRun, index int, lines []string) {
 	if s.running[id] != run {
 		return
@@ -120,7 +120,7 @@
 	}
 }
 
-// isWholeText tells whether a text is an item's output: each of its events once, in order.
+// isCompleteText reports whether a text is an item's output: each of its events once, in order.
 func isCompleteText(text, id string, index int) bool {
 	lines := strings.Split(text, "\n")
 	if len(lines) != itemEvents {
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -15,11 +15,12 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// This file owns a simulated store: a process with the real log on a simulated disk, whose steps take time.
+// A simulated store: a process with the real write-ahead log on a simulated disk, whose operations take time.
 
-// fullAgain is the time between tries to write to a full disk.
+// fullDiskRetry is the time between attempts to write to a full disk.
 const fullDiskRetry = 200 * time.Millisecond
 
+// simulatedStore is a store of a simulation.
 type simulatedStore struct {
 	sim           *storeSimulation
 	node, ip      string
@@ -27,7 +28,7 @@
 	incarnation   int
 	skew          time.Duration // of its time of day
 	disk          *simulation.Disk
-	corrupted     bool // bits of the disk were inverted
+	corrupted     bool // bits of its log were inverted
 	fs            slots.FS
 	life          uint64
 	up            bool
@@ -44,7 +45,7 @@
 	log             *wal.Log
 	stepping        bool
 	wakeAt          time.Duration // 0: nothing is queued
-	reportedDurable uint64        // record up to which the machine was told
+	reportedDurable uint64        // record up to which the state machine was told
 	appended        []wal.Location
 	lastDurable     wal.Location // of the last durable record
 	lastProven      wal.Location // of the last one that a later group was synced behind
@@ -69,7 +70,7 @@
 	s.incarnation = s.sim.incarnations
 }
 
-// process gives the store's identity in its present incarnation.
+// process returns the store's identity with its disk's present incarnation.
 func (s *simulatedStore) process() protocol.Process {
 	return protocol.Process{
 		Node: s.node, Role: protocol.RoleBatch, Zone: s.zone, IP: s.ip, Incarnation: strconv.Itoa(s.incarnation),
@@ -78,7 +79,7 @@
 
 func (s *simulatedStore) key() placement.Key { return placement.KeyOf(s.process()) }
 
-// start begins a life of the process on what is on the disk.
+// start starts the process on what is on the disk.
 func (s *simulatedStore) start() {
 	w := s.sim
 	s.life++
@@ -114,7 +115,8 @@
 	s.poll()
 }
 
-// journalOptions has damaged parts of the log gone over where the world damaged it; elsewhere there must be none.
+// walOptions lets the log skip unreadable parts where the simulation corrupted the disk. Elsewhere there must be
+// none.
 func (s *simulatedStore) walOptions() wal.Options {
 	options := wal.Options{SegmentSize: s.sim.segment}
 	if s.corrupted {
@@ -123,8 +125,8 @@
 	return options
 }
 
-// damage inverts some bits of the log, where they can't pass for what a loss of power left. It tells whether there is such a
-// place.
+// corruptLog inverts some bits of the log, where they can't be taken for the effect of a loss of power. It reports
+// whether there is such a place.
 func (s *simulatedStore) corruptLog() bool {
 	parts := s.provenParts()
 	if len(parts) == 0 {
@@ -146,7 +148,7 @@
 	size int64
 }
 
-// provenParts gives what the log itself tells to have been synced: all but the last group of the newest segment.
+// provenParts returns what the log itself proves to have been synced: all but the last group of the newest segment.
 func (s *simulatedStore) provenParts() []logPart {
 	names, _ := s.disk.List()
 	var parts []logPart
@@ -165,7 +167,7 @@
 	return parts
 }
 
-// do runs something in the process: at once, after a thaw, or never if it ended.
+// do runs a function in the process: at once, when it resumes, or never if it ended.
 func (s *simulatedStore) do(run func()) {
 	if !s.up {
 		return
@@ -177,6 +179,7 @@
 	run()
 }
 
+// later has a function run in the process after a delay, unless it ends before.
 func (s *simulatedStore) later(delay time.Duration, run func()) {
 	generation := s.generation
 	s.sim.schedule(delay, func() {
@@ -186,6 +189,7 @@
 	})
 }
 
+// every has a function run in the process again and again.
 func (s *simulatedStore) every(period time.Duration, run func()) {
 	s.later(period, func() {
 		run()
@@ -221,20 +225,20 @@
 	s.disk.Kill()
 }
 
-// losePower ends the process and takes what was not synced, in part or all of it.
+// losePower ends the process and loses some or all of what was not synced.
 func (s *simulatedStore) losePower() {
 	s.sim.note("%s loses power", s.node)
 	s.stop()
 	s.disk.LosePower()
 }
 
-// powerFails is a loss of power in the middle of an operation of the disk.
+// powerFails is a loss of power in the middle of a disk operation.
 func (s *simulatedStore) powerFails() {
 	s.losePower()
 	s.sim.schedule(s.sim.randomDuration(100*time.Millisecond, 2*time.Second), s.restart)
 }
 
-// wipe ends the process and takes its disk.
+// wipe ends the process and loses its disk.
 func (s *simulatedStore) wipe() {
 	s.sim.note("%s loses its disk", s.node)
 	s.stop()
@@ -249,11 +253,12 @@
 	s.removed = true
 }
 
+// pause stops scheduling the process for a while.
 func (s *simulatedStore) pause(duration time.Duration) {
 	if !s.up || s.paused {
 		return
 	}
-	s.sim.note("%s freezes", s.node)
+	s.sim.note("%s is paused", s.node)
 	s.paused = true
 	generation := s.generation
 	s.sim.schedule(duration, func() {
@@ -263,12 +268,12 @@
 	})
 }
 
-// thaw lets the process run on; what came meanwhile comes in any order.
+// resume runs a paused process on; what arrived meanwhile is handled in a random order.
 func (s *simulatedStore) resume() {
 	if !s.paused {
 		return
 	}
-	s.sim.note("%s thaws", s.node)
+	s.sim.note("%s resumes", s.node)
 	s.paused = false
 	if s.sim.bug == bugIgnoreLease {
 		s.machine.leaseUntil = s.sim.now + time.Hour
@@ -286,7 +291,7 @@
 
 // The log.
 
-// Write appends to the log, which is written after a while, or soon where the record is urgent.
+// Write appends to the log, which is written after a while, or soon if the record is urgent.
 func (s *simulatedStore) Write(record []byte, urgent bool) (uint64, wal.Location) {
 	sequence, at := s.log.Append(record)
 	s.appended = append(s.appended, at)
@@ -298,7 +303,7 @@
 	return sequence, at
 }
 
-// wake has the log written after a delay, unless it is before.
+// wake has the log written after a delay, unless it will be before.
 func (s *simulatedStore) wake(delay time.Duration) {
 	at := s.sim.now + delay
 	if s.stepping || s.wakeAt > 0 && s.wakeAt <= at {
@@ -313,7 +318,7 @@
 	})
 }
 
-// step does the log's next thing with the disk, which takes time.
+// step does the log's next disk operation, which takes time.
 func (s *simulatedStore) step() {
 	if s.stalled {
 		s.later(20*time.Millisecond, s.step)
@@ -342,7 +347,7 @@
 	})
 }
 
-// sync has all that was appended durable, at once.
+// sync makes all that was appended durable, at once.
 func (s *simulatedStore) sync() {
 	for more := true; more; {
 		var err error
@@ -354,7 +359,7 @@
 	s.reportDurable()
 }
 
-// tell tells the machine what is durable.
+// reportDurable tells the state machine what is durable.
 func (s *simulatedStore) reportDurable() {
 	durable := s.log.Durable()
 	if durable == s.reportedDurable {
@@ -386,7 +391,7 @@
 	}
 }
 
-// Read reads from the log; only what is durable may be asked for.
+// Read reads from the log; only what is durable may be read.
 func (s *simulatedStore) Read(at wal.Location) ([]byte, error) {
 	if isAfter(at, s.lastDurable) {
 		s.sim.fail("%s reads %v, durable is all up to %v", s.node, at, s.lastDurable)
@@ -394,12 +399,13 @@
 	return s.log.Read(at)
 }
 
+// isAfter reports whether a location ends after another.
 func isAfter(at, frontier wal.Location) bool {
 	return at.Segment > frontier.Segment ||
 		at.Segment == frontier.Segment && at.Offset+at.Length > frontier.Offset+frontier.Length
 }
 
-// Free tells what the disk still takes.
+// FreeBytes returns the number of bytes that the disk still takes.
 func (s *simulatedStore) FreeBytes() int64 {
 	if s.log.DiskFull() {
 		return 0
@@ -407,7 +413,7 @@
 	return 1<<30 - s.log.Size()
 }
 
-// fill leaves room for so many bytes on the disk, for a while.
+// fill leaves a number of free bytes on the disk for a while.
 func (s *simulatedStore) fill(room int64, duration time.Duration) {
 	s.sim.note("the disk of %s has room for %d bytes", s.node, room)
 	used := int64(0)
@@ -420,15 +426,15 @@
 	s.sim.schedule(duration, func() { s.disk.SetCapacity(0) })
 }
 
-// The rest of the machine's environment.
+// The rest of the state machine's environment.
 
 // QueueLimit is the same at all stores.
 func (s *simulatedStore) QueueLimit(string) (int64, bool) { return s.sim.tokenLimit, true }
 
-// Now is the steady clock.
+// Now is the simulation's monotonic clock.
 func (s *simulatedStore) Now() time.Duration { return s.sim.now }
 
-// Wall is the time of day.
+// WallClock is the store's time of day.
 func (s *simulatedStore) WallClock() int64 { return (s.sim.now + s.skew + time.Hour).Milliseconds() }
 
 // Send sends a message to another store.
@@ -451,7 +457,7 @@
 	})
 }
 
-// Answer ends a call, as the server does: only while the store may still act.
+// Answer ends a call, as the server does: a definite answer only while the store may act.
 func (s *simulatedStore) Answer(token CallID, answer protocol.BatchAnswer) {
 	answered := s.answers[token]
 	if answered == nil {
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -13,26 +13,29 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// This file owns a simulated world for machines: time, links that lose, delay and reorder, and the control side, which is
-// the real set of stores and the real judgement of who is up, in one process that never fails. All chance follows from a seed.
+// A simulation of several stores, seeded and in virtual time: links that lose, delay and reorder messages, and
+// control, which is the real state machine of the store membership and the real judgement of liveness in one process
+// that never fails. All randomness comes from the seed.
 
 const (
-	leaseMargin    = 100 * time.Millisecond // as the server has it
+	leaseMargin    = 100 * time.Millisecond // as in internal/batch/server
 	pollInterval   = 400 * time.Millisecond
 	cancelDeadline = 3 * time.Second // cancel-ms
 	maxClockSkew   = time.Second     // of a store's time of day, at most
 	controlName    = "control"
 
-	// mostEvents is how many events a world may have: more are a storm of messages. Usual are 10,000.
+	// maxEvents is the most events of a run: more are a storm of messages. Usual are 10,000.
 	maxEvents = 100_000
 )
 
+// event is something that happens at a time; order breaks ties.
 type event struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
+// storeSimulation is one run.
 type storeSimulation struct {
 	seed         uint64
 	random       *simulation.Rand
@@ -41,11 +44,11 @@
 	order        int
 	eventCount   int // events
 	copies       int
-	retention    time.Duration // for which a batch job is kept from its first send
+	retention    time.Duration // of batch jobs
 	segment      int64         // bytes
-	tokenLimit   int64         // on waiting tokens, 0: none
+	tokenLimit   int64         // of queued tokens, 0 for none
 	stores       []*simulatedStore
-	incarnations int // incarnations given out
+	incarnations int // of disks, given out so far
 	control      *statemachine.StateMachine
 	table        *liveness.Table
 	commandIndex uint64
@@ -55,15 +58,15 @@
 	faultsEnded  bool
 	bug          string
 	tracing      bool
-	traceHash    uint64 // a sum over all that was noted
+	traceHash    uint64 // over all that was noted
 	failure      error
 }
 
-func newStoreSimulation(seed uint64, count, copies int, plant string) *storeSimulation {
+func newStoreSimulation(seed uint64, count, copies int, bug string) *storeSimulation {
 	w := &storeSimulation{
 		seed: seed, random: simulation.NewRand(seed), copies: copies, retention: time.Hour, segment: 4000,
 		control: statemachine.New(), table: liveness.New(), partitions: map[[2]string]int{},
-		bug: plant, tracing: os.Getenv("TRACE") != "",
+		bug: bug, tracing: os.Getenv("TRACE") != "",
 	}
 	w.clients = &clients{sim: w, jobs: map[string]*clientJob{}}
 	w.table.SetLeadership(0, 1, true)
@@ -74,7 +77,7 @@
 	return w
 }
 
-// keepFor sets how long batch jobs are kept, for all stores as the settings of a deployment do.
+// setRetention sets for how long batch jobs are kept, at all stores, as the settings of a deployment do.
 func (w *storeSimulation) setRetention(status time.Duration) {
 	w.retention = status
 	for _, s := range w.stores {
@@ -91,6 +94,7 @@
 	return s
 }
 
+// schedule has a function called after a delay.
 func (w *storeSimulation) schedule(delay time.Duration, run func()) {
 	w.order++
 	w.events = append(w.events, event{at: w.now + delay, order: w.order, run: run})
@@ -102,6 +106,7 @@
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
 
+// siftUp restores the heap of events after one was added.
 func (w *storeSimulation) siftUp(i int) {
 	for i > 0 && w.less(i, (i-1)/2) {
 		w.events[i], w.events[(i-1)/2] = w.events[(i-1)/2], w.events[i]
@@ -109,6 +114,7 @@
 	}
 }
 
+// pop removes the earliest event from the heap.
 func (w *storeSimulation) pop() event {
 	first := w.events[0]
 	last := len(w.events) - 1
@@ -143,6 +149,7 @@
 	w.now = end
 }
 
+// fail records the first failure of the run.
 func (w *storeSimulation) fail(format string, values ...any) {
 	if w.failure == nil {
 		w.failure = fmt.Errorf("at %v: "+format, append([]any{w.now}, values...)...)
@@ -150,7 +157,7 @@
 	}
 }
 
-// note takes part of what happens into the world's sum, and prints it where TRACE is set.
+// note adds an event to the hash of the trace, and prints it if TRACE is set.
 func (w *storeSimulation) note(format string, values ...any) {
 	line := fmt.Sprintf(format, values...)
 	for i := range len(line) {
@@ -162,18 +169,19 @@
 	}
 }
 
+// randomDuration draws a duration between two, both included.
 func (w *storeSimulation) randomDuration(least, most time.Duration) time.Duration {
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
-// cut lets nothing through in one direction, for a while.
+// partition loses all messages in one direction for a while.
 func (w *storeSimulation) partition(from, to string, duration time.Duration) {
 	direction := [2]string{from, to}
 	w.partitions[direction]++
 	w.schedule(duration, func() { w.partitions[direction]-- })
 }
 
-// carry delivers a message after a delay, or not.
+// transmit delivers a message after a delay, or loses it.
 func (w *storeSimulation) transmit(from, to string, deliver func()) {
 	if w.partitions[[2]string{from, to}] > 0 || w.random.Float64() < w.lossRate {
 		return
@@ -185,7 +193,7 @@
 	w.schedule(delay, deliver)
 }
 
-// view gives the agreed set of stores.
+// view returns the agreed set of stores.
 func (w *storeSimulation) view() protocol.StoreView { return w.control.Stores() }
 
 func (w *storeSimulation) isMember(key placement.Key) bool {
@@ -211,7 +219,7 @@
 	return nil
 }
 
-// there lists the stores that are not gone for good.
+// remaining lists the stores that are not removed for good.
 func (w *storeSimulation) remaining() []*simulatedStore {
 	var list []*simulatedStore
 	for _, s := range w.stores {
@@ -227,7 +235,8 @@
 	return list[w.random.IntN(len(list))]
 }
 
-// authority is what control does: silent stores leave the set, new ones join it, emptied ones are told to be so.
+// runControl does what control does: stores that timed out are evicted, new ones join, drained ones are noted as
+// such.
 func (w *storeSimulation) runControl() {
 	w.schedule(100*time.Millisecond, w.runControl)
 	view := w.view()
@@ -241,11 +250,13 @@
 		w.command(statemachine.Command{Settle: &statemachine.Settle{Epoch: view.Epoch}})
 	}
 	for _, member := range w.drainedMembers(view) {
-		w.command(statemachine.Command{Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: view.Epoch}})
+		w.command(statemachine.Command{Retired: &statemachine.Retired{
+			Node: member.Node, Incarnation: member.Incarnation, Epoch: view.Epoch,
+		}})
 	}
 }
 
-// admission tells whether a store may join, as control does.
+// admission reports whether a store may join, as control does.
 func (w *storeSimulation) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !w.control.MayJoin(process):
@@ -256,7 +267,7 @@
 	return liveness.Admitted
 }
 
-// emptied gives the members that may be taken away.
+// drainedMembers lists the retiring members that may be taken away.
 func (w *storeSimulation) drainedMembers(view protocol.StoreView) []protocol.StoreMember {
 	if w.bug != bugRetireEarly {
 		return w.table.Drained(w.now, view)
@@ -270,7 +281,7 @@
 	return list
 }
 
-// command changes the set, and pushes the new one to those that are in touch.
+// command changes the set, and sends the new view to the stores that control reaches.
 func (w *storeSimulation) command(command statemachine.Command) statemachine.StoreOutcome {
 	order, err := command.Encode()
 	if err != nil {
@@ -307,7 +318,7 @@
 	return text
 }
 
-// poll asks control for the view and the right to act.
+// poll reports to control, and asks it for the view and a lease.
 func (s *simulatedStore) poll() {
 	w := s.sim
 	sent, generation, process := w.now, s.generation, s.process()
@@ -329,8 +340,8 @@
 	s.later(pollInterval, s.poll)
 }
 
-// settled tells whether the next loss is borne: all stores are up and members, and control has agreed that they stand whole in the
-// newest view.
+// toleratesLoss reports whether the next loss has to be tolerated: all stores are up and members, and control has
+// agreed that they have reconciled in the newest view.
 func (w *storeSimulation) toleratesLoss() bool {
 	view := w.view()
 	there := w.remaining()
@@ -343,16 +354,19 @@
 	return view.Settled && len(there) == len(view.Members)
 }
 
-// describe tells what each store knows of a batch job.
+// describe returns what each store knows of a batch job.
 func (w *storeSimulation) describe(id string) string {
 	text := fmt.Sprintf("\nepoch %d", w.view().Epoch)
 	for _, s := range w.stores {
 		m := s.machine
-		text += fmt.Sprintf("\n%s up %v frozen %v gone %v member %v epoch %d settled %v (%d) allowed %v departed %v directory %q", s.key(),
-			s.up, s.paused, s.removed, w.isMember(s.key()), m.view.Epoch, m.reconciled, m.reconciledEpoch, m.MayAct(), m.departures.stores, m.owners[id])
+		text += fmt.Sprintf("\n%s up %v paused %v removed %v member %v",
+			s.key(), s.up, s.paused, s.removed, w.isMember(s.key()))
+		text += fmt.Sprintf(" epoch %d reconciled %v (%d) may act %v departed %v owner %q",
+			m.view.Epoch, m.reconciled, m.reconciledEpoch, m.MayAct(), m.departures.stores, m.owners[id])
 		if j := m.jobs[id]; j != nil {
-			text += fmt.Sprintf(" version %x owner %v whole %v handed %v durable %d/%d shown %d of %d ended %v", uint64(j.version), j.owned, j.replicated,
-				j.handedOver, j.durableResults, len(j.results), j.committedResults, len(j.items), j.ended)
+			text += fmt.Sprintf(" version %x owned %v replicated %v handed over %v durable %d/%d committed %d of %d ended %v",
+				uint64(j.version), j.owned, j.replicated, j.handedOver, j.durableResults, len(j.results),
+				j.committedResults, len(j.items), j.ended)
 			for _, p := range j.replicas {
 				text += " " + string(placement.KeyOf(p))
 			}
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -7,9 +7,9 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// This file owns worlds of one kind of trouble each.
+// Simulations with one kind of fault each.
 
-// simulate plays worlds with one kind of trouble.
+// simulateFaults runs simulations with one kind of fault.
 func simulateFaults(t *testing.T, stores, tolerance int, strike func(c *campaign)) {
 	t.Helper()
 	first := intFromEnvironment("FIRST", 1)
@@ -35,17 +35,18 @@
 	simulateFaults(t, 3, 1, func(c *campaign) { c.lossRate = 0.1 })
 }
 
-// TestRandomOneAtATime strikes one store after the other: the next only once the last is whole again.
+// TestRandomOneFaultAtATime injects faults into one store after the other: into the next only once the last has
+// recovered.
 func TestRandomOneFaultAtATime(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) { c.faultStores(1) })
 }
 
-// TestRandomThreeCopies bears the loss of two at once.
+// TestRandomThreeCopies tolerates the loss of two at once.
 func TestRandomThreeCopies(t *testing.T) {
 	simulateFaults(t, 6, 2, func(c *campaign) { c.faultStores(2) })
 }
 
-// strikeSome strikes so many stores at once, again and again.
+// faultStores injects faults into a number of stores at once, again and again.
 func (c *campaign) faultStores(count int) {
 	c.schedule(c.randomDuration(500*time.Millisecond, 4*time.Second), func() {
 		if c.faultsEnded {
@@ -71,7 +72,7 @@
 	})
 }
 
-// TestRandomAllLosePower takes the power from all stores at once, twice.
+// TestRandomAllLosePower cuts the power of all stores at once, twice.
 func TestRandomAllLosePower(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
 		for range 2 {
@@ -80,22 +81,22 @@
 	})
 }
 
-// TestRandomAllLosePowerOneDisk wipes one disk while all others lose power.
+// TestRandomAllLosePowerOneDisk loses one disk while all others lose power.
 func TestRandomAllLosePowerOneDisk(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
 		c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.takePower(c.stores[:1], time.Second) })
 	})
 }
 
-// TestRandomRetire empties a store, takes its disk, and right after that another one's.
+// TestRandomRetire drains a store, takes its disk away, and right after that loses another one's.
 func TestRandomRetire(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.schedule(c.randomDuration(4*time.Second, 8*time.Second), func() { c.retire(c.remaining()[c.random.IntN(4):], 0) })
 	})
 }
 
-// TestRandomRetireOfLostDisk loses the disk that was emptied before its machine is taken away, with whatever is on the next one by
-// then; right after, another store's disk is lost in half of the worlds.
+// TestRandomRetireOfLostDisk loses the drained disk before its machine is taken away, with whatever is on the next
+// one by then. Right after, another store's disk is lost in half of the runs.
 func TestRandomRetireOfLostDisk(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		s := c.anyStore()
@@ -109,7 +110,7 @@
 	})
 }
 
-// onRetired calls a function as soon as a store is emptied.
+// onRetired calls a function as soon as a store is drained.
 func (c *campaign) onRetired(s *simulatedStore, then func()) {
 	if c.control.Retirement(s.node) == statemachine.RetirementCompleted {
 		then()
@@ -118,7 +119,7 @@
 	c.schedule(time.Millisecond, func() { c.onRetired(s, then) })
 }
 
-// TestRandomRetireWhileAccepting empties a store that waits for slow replicas of batch jobs that it accepts.
+// TestRandomRetireWhileAccepting drains a store that waits for slow replicas of batch jobs that it accepts.
 func TestRandomRetireWhileAccepting(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.schedule(5*time.Second, func() {
@@ -129,11 +130,13 @@
 			slow.slowdown = 100
 			c.schedule(3*time.Second, func() { slow.slowdown = 1 })
 		})
-		c.schedule(5*time.Second+c.randomDuration(0, 300*time.Millisecond), func() { c.retire(c.remaining()[c.random.IntN(4):], 0) })
+		c.schedule(5*time.Second+c.randomDuration(0, 300*time.Millisecond), func() {
+			c.retire(c.remaining()[c.random.IntN(4):], 0)
+		})
 	})
 }
 
-// TestRandomGrow adds stores while batch jobs come and others are struck.
+// TestRandomGrow adds stores while batch jobs are submitted and faults are injected into others.
 func TestRandomGrow(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
 		for range 2 {
@@ -143,10 +146,13 @@
 	})
 }
 
-// TestRandomDamage damages the logs of stores between other troubles: all that was promised is there from the other copies.
+// TestRandomCorruption corrupts the logs of stores between other faults: all that was promised is there from the
+// other copies.
 func TestRandomCorruption(t *testing.T) {
 	strike := func(c *campaign) {
-		c.onlyFaults = []string{faultCorruption, faultWipe, faultReplace, faultKill, faultAllPower, faultAllPowerDisks, faultRetire}
+		c.onlyFaults = []string{
+			faultCorruption, faultWipe, faultReplace, faultKill, faultAllPower, faultAllPowerDisks, faultRetire,
+		}
 		c.impatient = c.seed%2 == 0
 		c.schedule(c.randomDuration(time.Second, 4*time.Second), c.injectFault)
 	}
@@ -154,14 +160,15 @@
 	simulateFaults(t, 6, 2, strike)
 }
 
-// damage inverts bits of a store's log while its process is down.
+// corruptStore inverts bits of a store's log while its process is down.
 func (c *campaign) corruptStore(s *simulatedStore, down time.Duration) {
 	s.kill()
 	s.corruptLog()
 	c.schedule(down, s.restart)
 }
 
-// TestRandomChaos strikes without any limit but that disks stay: nothing may be wrong, though not all may be served.
+// TestRandomChaos injects faults without any limit except that disks stay: no answer may be wrong, though not all
+// calls may be served.
 func TestRandomChaos(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.lossRate = 0.05
--- a/internal/batch/replica/status_test.go
+++ b/internal/batch/replica/status_test.go
@@ -8,9 +8,9 @@
 	"sprucelane.example/sprucelane/internal/batch/placement"
 )
 
-// TestStanding has a store tell what it waits for.
+// TestStatus has a store tell what it waits for.
 func TestStatus(t *testing.T) {
-	Convey("A store that doesn't stand whole names the stores and the batch jobs that it waits for", t, func() {
+	Convey("A store that hasn't reconciled names the stores and the batch jobs that it waits for", t, func() {
 		c := newCluster(6, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
