--- a/cmd/sprucelane-gateway/main.go
+++ b/cmd/sprucelane-gateway/main.go
@@ -1,4 +1,4 @@
-// Command sprucelane-gateway is the system's gateway: it takes clients' requests and sends them on to servers.
+// Command sprucelane-gateway runs a gateway: it takes clients' requests and forwards them to servers.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	return program.ExitOK
 }
 
-// watchSignals ends the gateway on SIGTERM, and takes changed settings in on SIGHUP.
+// watchSignals shuts the gateway down on SIGTERM, and reloads its settings on SIGHUP.
 func watchSignals(signals *program.Signals, g *gateway.Gateway, p *program.Program) {
 	for {
 		select {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,12 +21,12 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// home is a control process of a test.
+// fakeControl is a control process of a test.
 type fakeControl struct {
 	server *transport.Server
 
 	mu     sync.Mutex
-	update protocol.Update // what a poll is answered
+	update protocol.Update // the answer to a poll
 	silent bool
 	polls  int
 }
@@ -63,7 +63,7 @@
 		`"limits":{"max-header-bytes":16384},"tenants":[{"name":"one","api-keys":["` + key + `"]}]}`
 }
 
-// freePort gives a port that nobody listens at on loopback.
+// freePort returns a port of loopback that is free.
 func freePort(t *testing.T) int {
 	a, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,7 +143,7 @@
 }
 
 func TestGateway(t *testing.T) {
-	Convey("A gateway serves what control vouches for, and ends without losing an answer", t, func() {
+	Convey("A gateway serves what control confirms, and shuts down without losing a response", t, func() {
 		port, release := freePort(t), make(chan bool)
 		server := fake.New(t, streamer(nil), streamer(release))
 		update := protocol.Update{Fresh: true,
@@ -178,7 +178,7 @@
 		So(<-answers, ShouldResemble, answer{200, "id: 1\n\nid: 2\n\n"})
 		So(<-ended, ShouldBeNil)
 	})
-	Convey("When control falls silent the right to act on keys ends, and another home renews it", t, func() {
+	Convey("When control times out the key lease expires, and another control process renews it", t, func() {
 		port := freePort(t)
 		server := fake.New(t, streamer(nil))
 		update := protocol.Update{Fresh: true,
@@ -223,7 +223,7 @@
 }
 
 func TestConfigurationReachesAdmission(t *testing.T) {
-	Convey("A head that a later configuration allows is taken, and how long clients may rest follows as well", t, func() {
+	Convey("A head that a later configuration allows is accepted, and the idle time-out follows the configuration as well", t, func() {
 		port := freePort(t)
 		server := fake.New(t, streamer(nil))
 		h := startControl(t, "127.0.0.1", port, protocol.Update{Fresh: true,
