--- a/internal/batch/runner/doc.go
+++ b/internal/batch/runner/doc.go
@@ -2,7 +2,7 @@
 // has package scheduler decide which item goes to which server next, sends it with package serverclient,
 // and submits what became of it to the Store.
 //
-// # An item's life
+// # Attempts
 //
 // Each attempt sends the item to one server and reads a stream of events. An attempt ends in one of these
 // ways:
@@ -22,6 +22,6 @@
 //   - No byte of an item is sent without the Store's consent right before it (Store.MayRun: a lease and a
 //     batch job that hasn't ended). serverclient calls the gate for that after it has a connection.
 //   - Events of different attempts are joined only if one attempt resumed where the other stopped.
-//   - An item runs at one server at a time: the scheduler has a task in one place.
+//   - An item runs at one server at a time: a task is either queued or running.
 //   - Failures count beyond a stop of the batch job at this store (failures.go).
 package runner
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// Add queues a batch job's tasks, in place of those that it may have.
+// Add queues a batch job's tasks. They replace those that it may have.
 func (p *Planner) Add(id string, deadline time.Duration, backends []string, tasks []Task) {
 	p.Remove(id)
 	job := &queuedJob{id: id, deadline: deadline, backends: backends}
--- a/internal/batch/serverclient/simulation_test.go
+++ b/internal/batch/serverclient/simulation_test.go
@@ -149,12 +149,12 @@
 // TestRandomServersFindBugs injects bugs one by one; some seed must detect each.
 func TestRandomServersFindBugs(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{
-		"a response is accepted whatever item it names":                      {acceptAnyID: true},
-		"a connection is reused on which more was received than a response":  {reuseAfterStrayInput: true},
-		"a connection is reused on which a request was sent in part":         {reuseAfterPartialSend: true},
-		"a retried item goes over the connection that it went over before":   {reuseForSameItem: true},
-		"a stream is resumed without the id of its last event, in any order": {omitLastEventID: true, acceptAnyOrder: true},
-		"a header that begins within another is accepted":                    {acceptTornHeader: true},
+		"a response is accepted whatever item it names":                     {acceptAnyID: true},
+		"a connection is reused on which more was received than a response": {reuseAfterStrayInput: true},
+		"a connection is reused on which a request was sent in part":        {reuseAfterPartialSend: true},
+		"a retried item goes over the connection that it went over before":  {reuseForSameItem: true},
+		"a stream is resumed without its last id, in any order":             {omitLastEventID: true, acceptAnyOrder: true},
+		"a header that begins within another is accepted":                   {acceptTornHeader: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= maxBugSimulations; seed++ {
