--- a/coord/membership/detect.go
+++ b/coord/membership/detect.go
@@ -50,7 +50,7 @@
 	waitedAlone := waited >= n.scaleTimeout(n.config.UnconfirmedTimeout)
 	switch {
 	case agreed || waitedAlone && !watched.replied && n.maySuspectUnconfirmed(name, now):
-		n.suspect(name, now)
+		n.declareSuspect(name, now)
 	case waitedAlone:
 		n.startIndirectProbe(name, watched, now)
 	default:
@@ -96,7 +96,7 @@
 }
 
 // suspect starts the suspicion of a machine.
-func (n *Node) suspect(name string, now time.Time) {
+func (n *Node) declareSuspect(name string, now time.Time) {
 	known := n.table.entries[name].update
 	known.State = Suspect
 	n.merge(known, now, true)
@@ -108,7 +108,7 @@
 func (n *Node) declareDead(now time.Time) {
 	for _, name := range n.table.suspectNames() {
 		suspected := n.table.entries[name]
-		if now.Sub(suspected.stateSince) < n.scaleTimeout(n.config.SuspicionTimeout) {
+		if now.Sub(suspected.since) < n.scaleTimeout(n.config.SuspicionTimeout) {
 			continue
 		}
 		dead := suspected.update
--- a/coord/membership/fleet_test.go
+++ b/coord/membership/fleet_test.go
@@ -80,7 +80,7 @@
 // handle sends messages and counts changes.
 func (f *cluster) handle(name string, output Output) {
 	for _, change := range output.Changes {
-		f.count(name, change)
+		f.countChange(name, change)
 	}
 	for _, envelope := range output.Messages {
 		f.messages++
@@ -95,7 +95,7 @@
 }
 
 // count counts false accusations and who knows of a death.
-func (f *cluster) count(observer string, change Change) {
+func (f *cluster) countChange(observer string, change Change) {
 	name := change.Member.Name
 	if change.State == Dead {
 		f.deathKnown[name]++
@@ -138,7 +138,7 @@
 }
 
 // until runs the world until a condition holds and returns how long that took.
-func (f *cluster) until(limit time.Duration, condition func() bool) time.Duration {
+func (f *cluster) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	f.t.Helper()
 	start := f.world.Elapsed()
 	for f.world.Elapsed()-start < limit {
@@ -166,7 +166,7 @@
 func (f *cluster) converge() time.Duration {
 	f.t.Helper()
 	f.world.Run(300 * time.Millisecond)
-	took := 300*time.Millisecond + f.until(30*time.Second, f.converged)
+	took := 300*time.Millisecond + f.runUntil(30*time.Second, f.converged)
 	f.world.Run(3 * time.Second)
 	f.resetCounts()
 	return took
--- a/coord/membership/health.go
+++ b/coord/membership/health.go
@@ -4,9 +4,9 @@
 
 // health counts the signs of this machine's own bad health.
 type localHealth struct {
-	score  int
-	probes [4]sentProbe // the last ones, in turn
-	turn   int
+	score     int
+	probes    [4]sentProbe // the last ones, in turn
+	nextProbe int
 }
 
 // sentProbe is a probe of a link.
@@ -26,14 +26,14 @@
 }
 
 // probed notes a probe.
-func (h *localHealth) probed(sequence uint64, now time.Time) {
-	h.probes[h.turn%len(h.probes)] = sentProbe{sequence: sequence, at: now}
-	h.turn++
+func (h *localHealth) recordProbe(sequence uint64, now time.Time) {
+	h.probes[h.nextProbe%len(h.probes)] = sentProbe{sequence: sequence, at: now}
+	h.nextProbe++
 }
 
 // answered notes the answer to a probe. A late one is a sign that this machine, or the other, is slow. One that never
 // comes says nothing of this machine: the other may be gone.
-func (h *localHealth) answered(sequence uint64, now time.Time, limit time.Duration) {
+func (h *localHealth) recordReply(sequence uint64, now time.Time, limit time.Duration) {
 	for _, probe := range h.probes {
 		if probe.sequence != sequence || sequence == 0 {
 			continue
@@ -54,7 +54,7 @@
 
 // noticePause finds out whether this machine itself stood still. Then what it hasn't heard meanwhile says nothing.
 func (n *Node) detectPause(now time.Time) {
-	late := now.Sub(n.next)
+	late := now.Sub(n.nextTick)
 	if late <= n.config.Interval {
 		return
 	}
@@ -66,6 +66,6 @@
 	}
 	for name := range n.table.suspects {
 		suspected := n.table.entries[name]
-		suspected.stateSince = suspected.stateSince.Add(late)
+		suspected.since = suspected.since.Add(late)
 	}
 }
--- a/coord/membership/member.go
+++ b/coord/membership/member.go
@@ -54,7 +54,7 @@
 }
 
 // newer tells whether an update replaces what is known.
-func (u Update) newer(incarnation uint64, state State) bool {
+func (u Update) supersedes(incarnation uint64, state State) bool {
 	if u.Incarnation != incarnation {
 		return u.Incarnation > incarnation
 	}
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -49,8 +49,8 @@
 		f.resetCounts()
 		victim := f.names[len(f.names)/2]
 		f.stop(victim)
-		first := f.until(10*time.Second, func() bool { return f.deathKnown[victim] > 0 })
-		all := first + f.until(10*time.Second, func() bool { return f.deathKnown[victim] == len(f.nodes) })
+		first := f.runUntil(10*time.Second, func() bool { return f.deathKnown[victim] > 0 })
+		all := first + f.runUntil(10*time.Second, func() bool { return f.deathKnown[victim] == len(f.nodes) })
 		t.Logf("%d machines: joined in %s; a machine sends %.1f messages/s and %.2f updates/s when quiet; a death is known first in %s, to all in %s; false suspicions %d",
 			len(f.names), joined, quiet, quietUpdates, first, all, total(f.suspicions))
 		f.noFalseDeath()
@@ -132,7 +132,7 @@
 			f.world.Resume(name)
 		}
 		f.world.Run(time.Second)
-		f.until(10*time.Second, f.converged)
+		f.runUntil(10*time.Second, f.converged)
 		f.noFalseDeath()
 		for _, name := range frozen {
 			if f.suspicions[name] > 0 {
@@ -173,7 +173,7 @@
 				f.stop(name)
 			}
 		}
-		took := f.until(30*time.Second, f.converged)
+		took := f.runUntil(30*time.Second, f.converged)
 		t.Logf("%d machines: a third lost, agreed in %s", len(f.names), took)
 		f.noFalseDeath()
 	})
@@ -187,7 +187,7 @@
 		f.world.Links.PartitionGroups(f.names[:half], f.names[half:])
 		f.world.Run(20 * time.Second)
 		f.world.Links.HealAll()
-		took := f.until(30*time.Second, f.converged)
+		took := f.runUntil(30*time.Second, f.converged)
 		t.Logf("%d machines: agreed %s after the cut", len(f.names), took)
 	})
 }
@@ -201,7 +201,7 @@
 			f.world.After(f.world.Random.Between(200*time.Millisecond, time.Second), func() { f.start(name) })
 		}
 		f.world.Run(time.Second)
-		took := f.until(30*time.Second, f.converged)
+		took := f.runUntil(30*time.Second, f.converged)
 		t.Logf("%d machines: agreed %s after the restart", len(f.names), took)
 	})
 }
@@ -214,7 +214,7 @@
 		f.handle(leaver, f.nodes[leaver].Leave(f.world.Now()))
 		f.world.Stop(leaver)
 		delete(f.nodes, leaver)
-		took := f.until(10*time.Second, f.converged)
+		took := f.runUntil(10*time.Second, f.converged)
 		t.Logf("%d machines: known to all in %s", len(f.names), took)
 		if total(f.suspicions) > 0 {
 			t.Errorf("seed %d: suspected %v", f.world.Random.Seed(), f.suspicions)
@@ -252,7 +252,7 @@
 				f.start(name)
 			}
 		}
-		f.until(60*time.Second, f.converged)
+		f.runUntil(60*time.Second, f.converged)
 	}
 }
 
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -13,8 +13,8 @@
 	left                bool
 	random              *rand.Rand
 	table               *table
-	gossip              broadcastQueue
-	next                time.Time // of Tick
+	broadcasts          broadcastQueue
+	nextTick            time.Time // of Tick
 	sequence            uint64
 	health              localHealth
 	watches             map[string]*watch // of the predecessors
@@ -38,7 +38,7 @@
 		table:       newTable(),
 		watches:     make(map[string]*watch),
 		mismatches:  make(map[string]digestMismatch),
-		next:        now,
+		nextTick:    now,
 		lastContact: now,
 	}
 	n.announce(now)
@@ -47,7 +47,7 @@
 
 // Next returns when Tick is to be called.
 func (n *Node) Next() time.Time {
-	return n.next
+	return n.nextTick
 }
 
 // Self returns this machine with its present incarnation.
@@ -72,7 +72,7 @@
 			members = append(members, known.update)
 		}
 	}
-	slices.SortFunc(members, compareNames)
+	slices.SortFunc(members, compareByName)
 	return members
 }
 
@@ -96,17 +96,17 @@
 // Tick does what is due.
 func (n *Node) Tick(now time.Time) Output {
 	if n.left {
-		n.next = now.Add(n.config.Interval)
+		n.nextTick = now.Add(n.config.Interval)
 		return n.takeOutput()
 	}
 	n.detectPause(now)
-	n.next = now.Add(n.config.Interval)
+	n.nextTick = now.Add(n.config.Interval)
 	n.rounds++
 	n.sendHeartbeats()
 	n.probe(now)
 	n.checkPredecessors(now)
 	n.declareDead(now)
-	n.table.purge(now.Add(-n.config.DeadRetention))
+	n.table.purgeDeparted(now.Add(-n.config.DeadRetention))
 	return n.takeOutput()
 }
 
@@ -144,7 +144,7 @@
 		return Output{}
 	}
 	n.left = true
-	n.gossip.add(n.Self())
+	n.broadcasts.add(n.Self())
 	n.sendHeartbeats()
 	for _, name := range n.peers().links {
 		n.send(name, Message{Kind: Heartbeat, Updates: n.piggyback()})
@@ -177,13 +177,13 @@
 
 // news returns what the next message is to spread.
 func (n *Node) piggyback() []Update {
-	return n.gossip.take(n.table.ring().Len())
+	return n.broadcasts.take(n.table.ring().Len())
 }
 
 // announce makes this machine known with its present incarnation.
 func (n *Node) announce(now time.Time) {
 	n.table.merge(n.Self(), now)
-	n.gossip.add(n.Self())
+	n.broadcasts.add(n.Self())
 }
 
 // merge takes an update in, spreads it on and reports a change of state. A machine that wasn't known is only spread
@@ -201,7 +201,7 @@
 		return
 	}
 	if news || old != 0 {
-		n.gossip.add(update)
+		n.broadcasts.add(update)
 	}
 	if update.State == Alive {
 		n.recordRefutation(update.Member.Name, now)
--- a/coord/membership/spread.go
+++ b/coord/membership/spread.go
@@ -47,7 +47,7 @@
 		return
 	}
 	n.sequence++
-	n.health.probed(n.sequence, now)
+	n.health.recordProbe(n.sequence, now)
 	target := links[n.rounds%len(links)]
 	n.send(target, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest(), Updates: n.piggyback()})
 }
@@ -103,7 +103,7 @@
 
 // probeAnswered takes in the answer to a probe.
 func (n *Node) onProbeReply(now time.Time, address string, message Message) {
-	n.health.answered(message.Sequence, now, n.config.Interval)
+	n.health.recordReply(message.Sequence, now, n.config.Interval)
 	n.compareDigests(address, message)
 }
 
@@ -118,7 +118,7 @@
 		delete(n.mismatches, message.From)
 		return
 	}
-	waiting := n.gossip.pending()
+	waiting := n.broadcasts.pending()
 	if waiting > heavyBacklog {
 		n.mismatchesUnderLoad++
 	}
@@ -157,7 +157,7 @@
 // tableReceived takes in a part of another table, whose updates are merged already.
 func (n *Node) onSync(address string, message Message) {
 	n.hasSynced = true
-	if len(message.Digests) != buckets {
+	if len(message.Digests) != digestBuckets {
 		return
 	}
 	for part := range slices.Chunk(n.table.differingFrom(message.Digests), maxSyncUpdates) {
--- a/coord/membership/table.go
+++ b/coord/membership/table.go
@@ -11,20 +11,20 @@
 )
 
 // buckets is the number of parts of a table that have a digest each.
-const buckets = 16
+const digestBuckets = 16
 
 // entry is what is known of one machine.
 type entry struct {
-	update     Update
-	stateSince time.Time // of the state
-	bucket     int
-	digest     uint64 // the share of the bucket's digest, 0 for a machine that isn't present
+	update Update
+	since  time.Time // of the state
+	bucket int
+	digest uint64 // the share of the bucket's digest, 0 for a machine that isn't present
 }
 
 // table holds all machines that are known, this one included.
 type table struct {
 	entries    map[string]*entry
-	digests    [buckets]uint64 // over the machines that are present and their incarnations
+	digests    [digestBuckets]uint64 // over the machines that are present and their incarnations
 	suspects   map[string]struct{}
 	departed   map[string]struct{} // dead and left machines
 	cachedRing *ring.Ring          // of the machines that are alive; nil if it is to be made anew
@@ -44,15 +44,15 @@
 	name := update.Member.Name
 	known, ok := t.entries[name]
 	if !ok {
-		known = &entry{bucket: int(xxhash.Sum64String(name) % buckets)}
+		known = &entry{bucket: int(xxhash.Sum64String(name) % digestBuckets)}
 		t.entries[name] = known
-	} else if !update.newer(known.update.Incarnation, known.update.State) {
+	} else if !update.supersedes(known.update.Incarnation, known.update.State) {
 		return known.update.State, false
 	}
 	old := known.update.State
 	known.update = update
 	if old != update.State {
-		known.stateSince = now
+		known.since = now
 	}
 	if (old == Alive) != (update.State == Alive) {
 		t.cachedRing = nil
@@ -105,9 +105,9 @@
 }
 
 // forget removes machines that have been gone since before a time.
-func (t *table) purge(before time.Time) {
+func (t *table) purgeDeparted(before time.Time) {
 	for name := range t.departed {
-		if t.entries[name].stateSince.Before(before) {
+		if t.entries[name].since.Before(before) {
 			delete(t.entries, name)
 			delete(t.departed, name)
 		}
@@ -138,17 +138,17 @@
 func (t *table) differingFrom(others []uint64) []Update {
 	var updates []Update
 	for _, known := range t.entries {
-		if len(others) == buckets && others[known.bucket] == t.digests[known.bucket] {
+		if len(others) == digestBuckets && others[known.bucket] == t.digests[known.bucket] {
 			continue
 		}
 		updates = append(updates, known.update)
 	}
-	slices.SortFunc(updates, compareNames)
+	slices.SortFunc(updates, compareByName)
 	return updates
 }
 
 // compareNames orders updates by the names of their machines.
-func compareNames(one, other Update) int {
+func compareByName(one, other Update) int {
 	return strings.Compare(one.Member.Name, other.Member.Name)
 }
 
