--- /dev/null
+++ b/coord/membership/cluster_test.go
@@ -0,0 +1,188 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/simulation"
+)
+
+// cluster is a simulated system of nodes.
+type cluster struct {
+	t            testing.TB
+	world        *simulation.Simulation
+	nodes        map[string]*Node
+	names        []string
+	incarnations map[string]uint64
+
+	// faulty holds machines with an injected fault, so that suspicions of them are not false.
+	faulty map[string]bool
+	// suspicions and deaths count false ones by the machine that declared them, or learnt of them.
+	suspicions, deaths map[string]int
+	// deathKnown counts, for each machine, the others that know it as Dead.
+	deathKnown map[string]int
+	// messages and updates count what was sent.
+	messages, updates int
+}
+
+// newCluster returns a cluster of machines that start within 0.3 s of each other and know three seeds.
+func newCluster(t testing.TB, seed uint64, count int) *cluster {
+	c := &cluster{
+		t:            t,
+		world:        simulation.New(seed),
+		nodes:        make(map[string]*Node),
+		incarnations: make(map[string]uint64),
+		faulty:       make(map[string]bool),
+		suspicions:   make(map[string]int),
+		deaths:       make(map[string]int),
+		deathKnown:   make(map[string]int),
+	}
+	c.world.Links.Default = simulation.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond, Loss: 0.005}
+	for i := range count {
+		c.names = append(c.names, fmt.Sprintf("m%d", i))
+	}
+	for _, name := range c.names {
+		c.world.After(c.world.Random.Between(0, 300*time.Millisecond), func() { c.start(name) })
+	}
+	return c
+}
+
+// start starts a machine's process.
+func (c *cluster) start(name string) {
+	c.incarnations[name]++
+	c.world.Start(name)
+	config := Config{
+		Self:        Member{Name: name, Address: name, Role: "gateway", Zone: "z"},
+		Incarnation: uint64(c.world.Elapsed().Milliseconds()+1)<<8 + 1,
+		Seeds:       c.names[:min(3, len(c.names))],
+		RandomSeed:  c.world.Random.Uint64(),
+	}
+	c.nodes[name] = New(config, c.world.Now())
+	c.deathKnown[name] = 0
+	c.tick(name)
+}
+
+// stop ends a machine's process.
+func (c *cluster) stop(name string) {
+	c.world.Stop(name)
+	delete(c.nodes, name)
+	c.faulty[name] = true
+}
+
+// tick runs a machine's timer, now and whenever it is due.
+func (c *cluster) tick(name string) {
+	node := c.nodes[name]
+	c.handle(name, node.Tick(c.world.Now()))
+	c.world.AfterOn(name, node.Next().Sub(c.world.Now()), func() { c.tick(name) })
+}
+
+// handle sends messages and counts changes.
+func (c *cluster) handle(name string, output Output) {
+	for _, change := range output.Changes {
+		c.countChange(name, change)
+	}
+	for _, envelope := range output.Messages {
+		c.messages++
+		c.updates += len(envelope.Message.Updates)
+		to := envelope.Address
+		c.world.Send(name, to, envelope.Message, func() {
+			if node, ok := c.nodes[to]; ok {
+				c.handle(to, node.Receive(c.world.Now(), name, envelope.Message))
+			}
+		})
+	}
+}
+
+// countChange counts false suspicions and deaths, and who knows of a death.
+func (c *cluster) countChange(observer string, change Change) {
+	name := change.Member.Name
+	if change.State == Dead {
+		c.deathKnown[name]++
+	} else if change.Old == Dead {
+		c.deathKnown[name]--
+	}
+	if c.faulty[name] {
+		return
+	}
+	switch change.State {
+	case Suspect:
+		c.suspicions[observer]++
+	case Dead:
+		c.deaths[observer]++
+	}
+}
+
+// total returns the sum of counts.
+func total(counts map[string]int) int {
+	sum := 0
+	for _, count := range counts {
+		sum += count
+	}
+	return sum
+}
+
+// converged reports whether every running machine knows exactly the running machines as present.
+func (c *cluster) converged() bool {
+	var expected uint64
+	for _, node := range c.nodes {
+		expected ^= memberDigest(node.config.Self.Name, node.incarnation)
+	}
+	for _, node := range c.nodes {
+		present := len(node.table.entries) - len(node.table.departed)
+		if present != len(c.nodes) || len(node.table.suspects) > 0 || node.table.digest() != expected {
+			return false
+		}
+	}
+	return true
+}
+
+// runUntil runs the simulation until a condition holds and returns how long that took.
+func (c *cluster) runUntil(limit time.Duration, condition func() bool) time.Duration {
+	c.t.Helper()
+	start := c.world.Elapsed()
+	for c.world.Elapsed()-start < limit {
+		if condition() {
+			return c.world.Elapsed() - start
+		}
+		c.world.Run(10 * time.Millisecond)
+	}
+	c.t.Fatalf("seed %d: not within %s: %s", c.world.Random.Seed(), limit, c.describe())
+	return 0
+}
+
+// describe returns what each machine sees, shortened.
+func (c *cluster) describe() string {
+	text := ""
+	for _, name := range c.names {
+		if node, ok := c.nodes[name]; ok && len(text) < 500 {
+			text += fmt.Sprintf("%s sees %d, health %d; ", name, node.table.ring().Len(), node.HealthScore())
+		}
+	}
+	return text
+}
+
+// converge runs the simulation until all tables agree, and resets the counts.
+func (c *cluster) converge() time.Duration {
+	c.t.Helper()
+	c.world.Run(300 * time.Millisecond)
+	took := 300*time.Millisecond + c.runUntil(30*time.Second, c.converged)
+	c.world.Run(3 * time.Second)
+	c.resetCounts()
+	return took
+}
+
+// resetCounts sets what was counted to zero.
+func (c *cluster) resetCounts() {
+	clear(c.suspicions)
+	clear(c.deaths)
+	c.messages, c.updates = 0, 0
+}
+
+// noFalseDeath fails if a machine without a fault was declared dead.
+func (c *cluster) noFalseDeath() {
+	c.t.Helper()
+	if total(c.deaths) > 0 {
+		c.t.Errorf("seed %d: false deaths by %v", c.world.Random.Seed(), c.deaths)
+	}
+}
--- a/coord/membership/config.go
+++ b/coord/membership/config.go
@@ -10,51 +10,41 @@
 	DefaultDeadRetention = 10 * time.Minute
 )
 
-const (
-	// maxUpdates bounds the news in one message.
-	maxPiggyback = 24
-	// syncUpdates bounds the part of the table in one Sync message.
-	maxSyncUpdates = 64
-	// maxHealth bounds the signs of bad health that are counted. Timeouts grow to 1 + maxHealth times their length.
-	maxHealthScore = 6
-	// remoteProbes is the number of intervals between probes of a dead machine or a seed.
-	reconnectRounds = 10
-	// eagerJoins is the number of intervals in which a machine that knows nobody asks a seed each time.
-	eagerJoinRounds = 100
-	// muchNews is the number of news on their way from which on tables are exchanged meanwhile.
-	heavyBacklog = 2 * maxPiggyback
-	// differingDigests is the number of differing digests after which tables are exchanged meanwhile.
-	mismatchesBeforeSync = 4
-	// maxDifferences bounds the machines whose digests are remembered.
-	maxMismatches = 16
-)
-
-// Config adjusts a Node. Zero values take the defaults.
+// Config configures a Node. Zero values take the defaults.
 type Config struct {
 	// Self is this machine.
 	Self Member
-	// Incarnation must be higher than in any earlier life of this machine, such as the time of its start in
-	// milliseconds shifted by some bits.
+	// Incarnation must be higher than any that this machine has used before, also for refutations. The time of its
+	// start in milliseconds, shifted by some bits, serves.
 	Incarnation uint64
-	// Seeds are addresses at which a machine may answer.
+	// Seeds are addresses of machines through which this one joins. Any that answers is enough.
 	Seeds []string
-	// Seed determines what is left to chance.
+	// RandomSeed determines what is left to chance. Machines should have different ones.
 	RandomSeed uint64
-	// Interval is the time between heartbeats.
+	// Interval is the time between heartbeats, and the unit in which the package does everything else. A shorter one
+	// detects failures sooner and costs more messages. The default is DefaultInterval.
 	Interval time.Duration
-	// Monitors is the number of machines that watch each one.
+	// Monitors is the number of machines that watch each one. More of them detect a failure while some are faulty
+	// themselves, at one heartbeat each in each interval. The default is DefaultMonitors.
 	Monitors int
-	// Links is the number of further machines that each one exchanges news with.
+	// Links is the number of further machines that each one probes by turns. More of them speed up dissemination
+	// across the ring, at no cost in messages, but with more peers to be in contact with. The default is
+	// DefaultLinks.
 	Links int
-	// MissAfter is how long a machine may be silent before its monitor asks around: 3 intervals by default.
+	// HeartbeatTimeout is the time without contact after which a monitor asks other machines about one. A longer one
+	// tolerates more lost heartbeats in a row, and delays detection. The default is 3 intervals.
 	HeartbeatTimeout time.Duration
-	// AskFor is how long the monitor waits for what others say: an interval by default.
+	// ConfirmationTimeout is how long a monitor waits, after it has asked, before it acts on another one's
+	// confirmation. It leaves those that did have contact the time to say so. The default is an interval.
 	ConfirmationTimeout time.Duration
-	// AloneAfter is how long it waits for others before it accuses alone: 3 intervals by default.
+	// UnconfirmedTimeout is how long a monitor waits for any answer before it suspects a machine without
+	// confirmation. It matters in small systems, or if several monitors fail at once. The default is 3 intervals.
 	UnconfirmedTimeout time.Duration
-	// DeadAfter is the time from suspicion to death: 3 intervals by default.
+	// SuspicionTimeout is the time from Suspect to Dead, in which the machine may refute. It must leave time for
+	// the suspicion to reach the machine and for its refutation to reach all others. The default is 3 intervals.
 	SuspicionTimeout time.Duration
-	// Retain is how long a dead machine is remembered.
+	// DeadRetention is how long a Dead or Left machine is remembered. It must be long enough that no older update of
+	// it is still on its way, which would bring it back. The default is DefaultDeadRetention.
 	DeadRetention time.Duration
 }
 
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/coord/membership"
 )
 
-// Two machines meet through a seed. The caller carries the messages and calls Tick when it is due.
+// Two machines join through a seed. The caller carries the messages and calls Tick when it is due.
 func Example() {
 	now := time.Unix(0, 0)
 	nodes := make(map[string]*membership.Node)
@@ -49,7 +49,8 @@
 			Incarnation: 1,
 			State:       membership.Alive,
 		}
-		node.Receive(now, name, membership.Message{Kind: membership.Sync, From: name, Updates: []membership.Update{update}})
+		sync := membership.Message{Kind: membership.Sync, From: name, Updates: []membership.Update{update}}
+		node.Receive(now, name, sync)
 	}
 	heartbeats := make([]membership.Message, 399)
 	for i := range heartbeats {
@@ -59,7 +60,7 @@
 	for b.Loop() {
 		now = node.Next()
 		node.Tick(now)
-		// All others are heard, so that none is silent; a machine's own share of that is three heartbeats.
+		// All others send something, so that none times out; a machine's own share of that is three heartbeats.
 		for _, heartbeat := range heartbeats {
 			node.Receive(now, "m", heartbeat)
 		}
--- a/coord/membership/member.go
+++ b/coord/membership/member.go
@@ -5,12 +5,12 @@
 // State is what is known of a machine.
 type State uint8
 
-// States, in the order in which they replace each other within an incarnation.
+// States, in the order in which they supersede each other within an incarnation. The numbers are sent in messages.
 const (
 	Alive   State = iota + 1
-	Suspect       // silent, may still refute it
-	Dead
-	Left // ended as planned
+	Suspect       // timed out at its monitors, and may still refute that
+	Dead          // didn't refute the suspicion in time
+	Left          // ended as planned
 )
 
 // String returns the name of the state.
@@ -29,23 +29,22 @@
 	}
 }
 
-// present tells whether a machine in this state may still be at work.
+// isPresent reports whether a machine in this state may still be at work.
 func (s State) isPresent() bool {
 	return s == Alive || s == Suspect
 }
 
 // Member is a machine.
 type Member struct {
-	// Name is unique in the system and stays over restarts.
+	// Name is unique in the system and stays the same over restarts.
 	Name string
-	// Address is where it is reached by the messages of this package.
+	// Address is where the machine receives this package's messages.
 	Address string
 	// Role and Zone are carried for the caller.
 	Role, Zone string
 }
 
-// Update is a machine with what is known of it. Of two updates the one with the higher incarnation is newer, or the
-// one with the later state.
+// Update is the state of a machine in one of its incarnations.
 type Update struct {
 	Member Member
 	// Incarnation grows with each start of the machine and with each suspicion that it refutes.
@@ -53,7 +52,8 @@
 	State       State
 }
 
-// newer tells whether an update replaces what is known.
+// supersedes reports whether an update replaces what is known: it has a higher incarnation, or within the same one a
+// later state. This is SWIM's order of Alive, Suspect and Confirm messages. It is total, so that all tables converge.
 func (u Update) supersedes(incarnation uint64, state State) bool {
 	if u.Incarnation != incarnation {
 		return u.Incarnation > incarnation
@@ -61,7 +61,7 @@
 	return u.State > state
 }
 
-// Change is a change of a machine's state. Old is 0 for a machine that wasn't known.
+// Change is a change of a machine's state as this node learns of it. Old is 0 for a machine that wasn't known.
 type Change struct {
 	Update
 	Old State
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -22,7 +22,7 @@
 }
 
 // eachSize runs a test with some numbers of machines, and with ten seeds for few of them.
-func eachSize(t *testing.T, counts []int, test func(t *testing.T, f *cluster)) {
+func eachSize(t *testing.T, counts []int, test func(t *testing.T, c *cluster)) {
 	for _, count := range sizes(t, counts...) {
 		t.Run(strconv.Itoa(count), func(t *testing.T) {
 			for seed := range uint64(min(10, max(1, 140/count))) {
@@ -39,23 +39,24 @@
 
 // TestDeathIsKnown measures the time from the death of a machine until all others know it.
 func TestDeathIsKnown(t *testing.T) {
-	eachSize(t, large, func(t *testing.T, f *cluster) {
-		joined := f.converge()
-		f.world.Run(10 * time.Second)
-		f.resetCounts()
-		f.world.Run(10 * time.Second)
-		quiet := float64(f.messages) / float64(len(f.names)) / 10
-		quietUpdates := float64(f.updates) / float64(len(f.names)) / 10
-		f.resetCounts()
-		victim := f.names[len(f.names)/2]
-		f.stop(victim)
-		first := f.runUntil(10*time.Second, func() bool { return f.deathKnown[victim] > 0 })
-		all := first + f.runUntil(10*time.Second, func() bool { return f.deathKnown[victim] == len(f.nodes) })
-		t.Logf("%d machines: joined in %s; a machine sends %.1f messages/s and %.2f updates/s when quiet; a death is known first in %s, to all in %s; false suspicions %d",
-			len(f.names), joined, quiet, quietUpdates, first, all, total(f.suspicions))
-		f.noFalseDeath()
+	eachSize(t, large, func(t *testing.T, c *cluster) {
+		joined := c.converge()
+		c.world.Run(10 * time.Second)
+		c.resetCounts()
+		c.world.Run(10 * time.Second)
+		quiet := float64(c.messages) / float64(len(c.names)) / 10
+		quietUpdates := float64(c.updates) / float64(len(c.names)) / 10
+		c.resetCounts()
+		victim := c.names[len(c.names)/2]
+		c.stop(victim)
+		first := c.runUntil(10*time.Second, func() bool { return c.deathKnown[victim] > 0 })
+		all := first + c.runUntil(10*time.Second, func() bool { return c.deathKnown[victim] == len(c.nodes) })
+		t.Logf("%d machines: joined in %s; a machine sends %.1f messages/s and %.2f updates/s when quiet; "+
+			"a death is known first in %s, to all in %s; false suspicions %d",
+			len(c.names), joined, quiet, quietUpdates, first, all, total(c.suspicions))
+		c.noFalseDeath()
 		if limit := 4 * time.Second; all > limit {
-			t.Errorf("seed %d: known to all in %s, over %s", f.world.Random.Seed(), all, limit)
+			t.Errorf("seed %d: known to all in %s, over %s", c.world.Random.Seed(), all, limit)
 		}
 		if quiet > 20 {
 			t.Errorf("%.1f messages/s", quiet)
@@ -63,161 +64,161 @@
 	})
 }
 
-// TestNobodyIsAccusedInQuiet runs with losses and without any fault.
+// TestNoFalseSuspicionsWithoutFaults runs with lost messages and without any other fault.
 func TestNoFalseSuspicionsWithoutFaults(t *testing.T) {
-	eachSize(t, large, func(t *testing.T, f *cluster) {
-		f.converge()
-		f.world.Links.Default.Loss = 0.02
-		f.world.Run(30 * time.Second)
-		f.noFalseDeath()
-		if count := total(f.suspicions); count > 0 {
-			t.Errorf("seed %d: %d false suspicions", f.world.Random.Seed(), count)
+	eachSize(t, large, func(t *testing.T, c *cluster) {
+		c.converge()
+		c.world.Links.Default.Loss = 0.02
+		c.world.Run(30 * time.Second)
+		c.noFalseDeath()
+		if count := total(c.suspicions); count > 0 {
+			t.Errorf("seed %d: %d false suspicions", c.world.Random.Seed(), count)
 		}
 	})
 }
 
-// TestOneWayCuts cuts single directions, also those on which heartbeats go.
+// TestOneWayPartitions partitions links in one direction, also some that carry heartbeats.
 func TestOneWayPartitions(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		victim := f.nodes[f.names[1]]
-		for _, monitor := range victim.table.ring().Successors(f.names[1], 2) {
-			f.world.Links.Partition(f.names[1], monitor)
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		victim := c.nodes[c.names[1]]
+		for _, monitor := range victim.table.ring().Successors(c.names[1], 2) {
+			c.world.Links.Partition(c.names[1], monitor)
 		}
-		for range len(f.names) {
-			from := f.names[f.world.Random.IntN(len(f.names))]
-			to := f.names[f.world.Random.IntN(len(f.names))]
-			f.world.Links.Partition(from, to)
+		for range len(c.names) {
+			from := c.names[c.world.Random.IntN(len(c.names))]
+			to := c.names[c.world.Random.IntN(len(c.names))]
+			c.world.Links.Partition(from, to)
 		}
-		f.world.Run(30 * time.Second)
-		f.noFalseDeath()
-		t.Logf("%d machines, as many cuts: %d false suspicions", len(f.names), total(f.suspicions))
-		if count := total(f.suspicions); count > len(f.names) {
-			t.Errorf("seed %d: %d false suspicions", f.world.Random.Seed(), count)
+		c.world.Run(30 * time.Second)
+		c.noFalseDeath()
+		t.Logf("%d machines, as many one-way partitions: %d false suspicions", len(c.names), total(c.suspicions))
+		if count := total(c.suspicions); count > len(c.names) {
+			t.Errorf("seed %d: %d false suspicions", c.world.Random.Seed(), count)
 		}
 	})
 }
 
-// TestDeafMachineAccusesNobody cuts all that goes to one machine, while what it sends arrives.
+// TestDeafMachineSuspectsNobody loses all that is sent to one machine, while what it sends arrives.
 func TestDeafMachineSuspectsNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		deaf := f.names[2]
-		f.faulty[deaf] = true
-		for _, name := range f.names {
-			f.world.Links.Partition(name, deaf)
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		deaf := c.names[2]
+		c.faulty[deaf] = true
+		for _, name := range c.names {
+			c.world.Links.Partition(name, deaf)
 		}
-		f.world.Run(20 * time.Second)
-		f.noFalseDeath()
-		if f.suspicions[deaf] > 0 {
-			t.Errorf("seed %d: the deaf machine suspects %d others", f.world.Random.Seed(), f.suspicions[deaf])
+		c.world.Run(20 * time.Second)
+		c.noFalseDeath()
+		if c.suspicions[deaf] > 0 {
+			t.Errorf("seed %d: the deaf machine suspects %d others", c.world.Random.Seed(), c.suspicions[deaf])
 		}
-		if !f.nodes[deaf].Isolated(f.world.Now()) {
-			t.Error("the deaf machine doesn't know")
+		if !c.nodes[deaf].Isolated(c.world.Now()) {
+			t.Error("the deaf machine doesn't know that it is isolated")
 		}
 	})
 }
 
-// TestFrozenMachineAccusesNobody freezes machines and lets them go on.
+// TestPausedMachineSuspectsNobody pauses machines and resumes them.
 func TestPausedMachineSuspectsNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		frozen := f.names[:max(1, len(f.names)/20)]
-		for _, name := range frozen {
-			f.faulty[name] = true
-			f.world.Pause(name)
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		paused := c.names[:max(1, len(c.names)/20)]
+		for _, name := range paused {
+			c.faulty[name] = true
+			c.world.Pause(name)
 		}
-		f.world.Run(8 * time.Second)
-		for _, name := range frozen {
-			f.world.Resume(name)
+		c.world.Run(8 * time.Second)
+		for _, name := range paused {
+			c.world.Resume(name)
 		}
-		f.world.Run(time.Second)
-		f.runUntil(10*time.Second, f.converged)
-		f.noFalseDeath()
-		for _, name := range frozen {
-			if f.suspicions[name] > 0 {
-				t.Errorf("seed %d: %s suspects %d others", f.world.Random.Seed(), name, f.suspicions[name])
+		c.world.Run(time.Second)
+		c.runUntil(10*time.Second, c.converged)
+		c.noFalseDeath()
+		for _, name := range paused {
+			if c.suspicions[name] > 0 {
+				t.Errorf("seed %d: %s suspects %d others", c.world.Random.Seed(), name, c.suspicions[name])
 			}
 		}
 	})
 }
 
-// TestSlowMachinesAccuseNobody slows machines so much that each timer and message is up to two seconds late.
+// TestSlowMachinesSuspectNobody slows machines so much that each timer and message is up to two seconds late.
 func TestSlowMachinesSuspectNobody(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		slow := f.names[:max(1, len(f.names)/20)]
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		slow := c.names[:max(1, len(c.names)/20)]
 		for _, name := range slow {
-			f.faulty[name] = true
-			f.world.SetLag(name, 2*time.Second)
+			c.faulty[name] = true
+			c.world.SetLag(name, 2*time.Second)
 		}
-		f.world.Run(30 * time.Second)
-		f.noFalseDeath()
-		accusations := 0
+		c.world.Run(30 * time.Second)
+		c.noFalseDeath()
+		falseSuspicions := 0
 		for _, name := range slow {
-			accusations += f.suspicions[name]
+			falseSuspicions += c.suspicions[name]
 		}
-		t.Logf("%d machines, %d slow: %d false suspicions in all", len(f.names), len(slow), total(f.suspicions))
-		if accusations > 0 {
-			t.Errorf("seed %d: slow machines suspect %d others", f.world.Random.Seed(), accusations)
+		t.Logf("%d machines, %d slow: %d false suspicions in all", len(c.names), len(slow), total(c.suspicions))
+		if falseSuspicions > 0 {
+			t.Errorf("seed %d: slow machines suspect %d others", c.world.Random.Seed(), falseSuspicions)
 		}
 	})
 }
 
 // TestLossOfAThird stops a third of the machines at once.
 func TestLossOfAThird(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		for i, name := range f.names {
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		for i, name := range c.names {
 			if i%3 == 0 {
-				f.stop(name)
+				c.stop(name)
 			}
 		}
-		took := f.runUntil(30*time.Second, f.converged)
-		t.Logf("%d machines: a third lost, agreed in %s", len(f.names), took)
-		f.noFalseDeath()
+		took := c.runUntil(30*time.Second, c.converged)
+		t.Logf("%d machines: a third lost, agreed in %s", len(c.names), took)
+		c.noFalseDeath()
 	})
 }
 
-// TestTwoHalvesFindTogether cuts the machines in two for a while.
+// TestPartitionHeals partitions the machines into two halves for a while.
 func TestPartitionHeals(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		half := len(f.names) / 2
-		f.world.Links.PartitionGroups(f.names[:half], f.names[half:])
-		f.world.Run(20 * time.Second)
-		f.world.Links.HealAll()
-		took := f.runUntil(30*time.Second, f.converged)
-		t.Logf("%d machines: agreed %s after the cut", len(f.names), took)
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		half := len(c.names) / 2
+		c.world.Links.PartitionGroups(c.names[:half], c.names[half:])
+		c.world.Run(20 * time.Second)
+		c.world.Links.HealAll()
+		took := c.runUntil(30*time.Second, c.converged)
+		t.Logf("%d machines: agreed %s after the partition", len(c.names), took)
 	})
 }
 
 // TestAllRestartAtOnce kills all processes, which are back within a second.
 func TestAllRestartAtOnce(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		for _, name := range f.names {
-			f.stop(name)
-			f.world.After(f.world.Random.Between(200*time.Millisecond, time.Second), func() { f.start(name) })
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		for _, name := range c.names {
+			c.stop(name)
+			c.world.After(c.world.Random.Between(200*time.Millisecond, time.Second), func() { c.start(name) })
 		}
-		f.world.Run(time.Second)
-		took := f.runUntil(30*time.Second, f.converged)
-		t.Logf("%d machines: agreed %s after the restart", len(f.names), took)
+		c.world.Run(time.Second)
+		took := c.runUntil(30*time.Second, c.converged)
+		t.Logf("%d machines: agreed %s after the restart", len(c.names), took)
 	})
 }
 
-// TestPlannedEnd lets a machine leave, which all know without any suspicion.
+// TestLeave lets a machine leave, which all learn of without any suspicion.
 func TestLeave(t *testing.T) {
-	eachSize(t, small, func(t *testing.T, f *cluster) {
-		f.converge()
-		leaver := f.names[len(f.names)-1]
-		f.handle(leaver, f.nodes[leaver].Leave(f.world.Now()))
-		f.world.Stop(leaver)
-		delete(f.nodes, leaver)
-		took := f.runUntil(10*time.Second, f.converged)
-		t.Logf("%d machines: known to all in %s", len(f.names), took)
-		if total(f.suspicions) > 0 {
-			t.Errorf("seed %d: suspected %v", f.world.Random.Seed(), f.suspicions)
+	eachSize(t, small, func(t *testing.T, c *cluster) {
+		c.converge()
+		leaver := c.names[len(c.names)-1]
+		c.handle(leaver, c.nodes[leaver].Leave(c.world.Now()))
+		c.world.Stop(leaver)
+		delete(c.nodes, leaver)
+		took := c.runUntil(10*time.Second, c.converged)
+		t.Logf("%d machines: known to all in %s", len(c.names), took)
+		if total(c.suspicions) > 0 {
+			t.Errorf("seed %d: suspected %v", c.world.Random.Seed(), c.suspicions)
 		}
 	})
 }
@@ -235,51 +236,52 @@
 	return count
 }
 
-// TestRandomTrouble stops, starts, freezes, slows and cuts at random. Once all is well again, all agree.
+// TestRandomFaults stops, starts, pauses, slows and partitions machines at random. Once all faults are over, all
+// tables agree.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(seeds(t, 40)) {
-		f := newCluster(t, seed+100, 12)
-		f.converge()
+		c := newCluster(t, seed+100, 12)
+		c.converge()
 		for range 40 {
-			f.injectFault()
-			f.world.Run(f.world.Random.Between(0, 2*time.Second))
+			c.injectFault()
+			c.world.Run(c.world.Random.Between(0, 2*time.Second))
 		}
-		f.world.Links.HealAll()
-		for _, name := range f.names {
-			f.world.Resume(name)
-			f.world.SetLag(name, 0)
-			if _, ok := f.nodes[name]; !ok {
-				f.start(name)
+		c.world.Links.HealAll()
+		for _, name := range c.names {
+			c.world.Resume(name)
+			c.world.SetLag(name, 0)
+			if _, ok := c.nodes[name]; !ok {
+				c.start(name)
 			}
 		}
-		f.runUntil(60*time.Second, f.converged)
+		c.runUntil(60*time.Second, c.converged)
 	}
 }
 
-// trouble does one random thing to a random machine.
-func (f *cluster) injectFault() {
-	random := f.world.Random
-	name := f.names[random.IntN(len(f.names))]
-	other := f.names[random.IntN(len(f.names))]
-	_, running := f.nodes[name]
+// injectFault does one random thing to a random machine.
+func (c *cluster) injectFault() {
+	random := c.world.Random
+	name := c.names[random.IntN(len(c.names))]
+	other := c.names[random.IntN(len(c.names))]
+	_, running := c.nodes[name]
 	switch random.IntN(7) {
 	case 0:
 		if running {
-			f.stop(name)
+			c.stop(name)
 		}
 	case 1:
 		if !running {
-			f.start(name)
+			c.start(name)
 		}
 	case 2:
-		f.world.Pause(name)
+		c.world.Pause(name)
 	case 3:
-		f.world.Resume(name)
+		c.world.Resume(name)
 	case 4:
-		f.world.SetLag(name, random.Between(0, 3*time.Second))
+		c.world.SetLag(name, random.Between(0, 3*time.Second))
 	case 5:
-		f.world.Links.Partition(name, other)
+		c.world.Links.Partition(name, other)
 	case 6:
-		f.world.Links.Heal(name, other)
+		c.world.Links.Heal(name, other)
 	}
 }
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -6,29 +6,34 @@
 	"time"
 )
 
-// Node is the view that one machine has of all. It must not be used by several goroutines at once.
+// Node is one machine's part of the protocol, with its table of all machines. It must not be used by several
+// goroutines at once. Times that are passed to it must not go back.
 type Node struct {
-	config              Config
-	incarnation         uint64
-	left                bool
-	random              *rand.Rand
-	table               *table
-	broadcasts          broadcastQueue
-	nextTick            time.Time // of Tick
-	sequence            uint64
-	health              localHealth
-	watches             map[string]*watch // of the predecessors
-	indirectProbes      []indirectProbe
-	cachedPeers         peers
-	rounds              int
-	mismatches          map[string]digestMismatch
-	mismatchesUnderLoad int       // differing digests while there was much news
-	hasSynced           bool      // a table has come from another machine
-	lastContact         time.Time // when any message came
-	output              Output
-}
-
-// New returns the node of a machine that knows nobody yet.
+	config      Config
+	incarnation uint64 // of this machine; raised to refute
+	left        bool   // Leave was called: nothing is sent or received any more
+	random      *rand.Rand
+	nextTick    time.Time
+	rounds      int            // ticks so far, SWIM's protocol periods
+	sequence    uint64         // of the last probe
+	lastContact time.Time      // when any message was received
+	output      Output         // of the current step
+	health      localHealth    // of this machine
+	table       *table         // all machines that are known
+	broadcasts  broadcastQueue // updates to be piggybacked
+
+	// Failure detection.
+	watches        map[string]*watch // by the name of a predecessor
+	indirectProbes []indirectProbe   // accepted from others and unanswered
+	cachedPeers    peers             // of the table's current ring
+
+	// Anti-entropy.
+	hasSynced           bool                      // a table was received, so that joining is over
+	mismatches          map[string]digestMismatch // the last one, by the other machine's name
+	mismatchesUnderLoad int                       // mismatches seen during a heavy backlog of updates
+}
+
+// New returns the node of a machine that knows no other yet. The first Tick is due now.
 func New(config Config, now time.Time) *Node {
 	config = config.withDefaults()
 	n := &Node{
@@ -50,7 +55,7 @@
 	return n.nextTick
 }
 
-// Self returns this machine with its present incarnation.
+// Self returns this machine with its current incarnation.
 func (n *Node) Self() Update {
 	state := Alive
 	if n.left {
@@ -59,7 +64,7 @@
 	return Update{Member: n.config.Self, Incarnation: n.incarnation, State: state}
 }
 
-// Get returns what is known of a machine.
+// Get returns what is known of a machine, and false if nothing is.
 func (n *Node) Get(name string) (Update, bool) {
 	return n.table.get(name)
 }
@@ -76,24 +81,27 @@
 	return members
 }
 
-// Health returns the number of signs of this machine's own bad health, 0 for a healthy one.
+// HealthScore returns the number of signs that this machine is unhealthy itself: 0 for a healthy one. Its timeouts
+// are 1 + HealthScore times as long as configured.
 func (n *Node) HealthScore() int {
 	return n.health.score
 }
 
-// Isolated tells whether this machine has heard nobody for so long that others must count it as dead or cut off.
-// A machine that knows nobody else is not isolated.
+// Isolated reports whether this machine has received nothing for so long that the others must have declared it
+// dead, or be partitioned from it. A machine that knows no other one is not isolated.
 func (n *Node) Isolated(now time.Time) bool {
 	limit := n.config.HeartbeatTimeout + n.config.ConfirmationTimeout + n.config.SuspicionTimeout
 	return len(n.table.entries)-len(n.table.departed) > 1 && now.Sub(n.lastContact) > limit
 }
 
-// SetSeeds replaces the addresses at which a machine may answer.
+// SetSeeds replaces Config.Seeds.
 func (n *Node) SetSeeds(seeds []string) {
 	n.config.Seeds = slices.Clone(seeds)
 }
 
-// Tick does what is due.
+// Tick runs one protocol period: it sends heartbeats and a probe, checks the machines that this one watches, and
+// declares suspects dead whose time is over. Call it at the time that Next returns; later calls count against this
+// machine's health.
 func (n *Node) Tick(now time.Time) Output {
 	if n.left {
 		n.nextTick = now.Add(n.config.Interval)
@@ -103,14 +111,18 @@
 	n.nextTick = now.Add(n.config.Interval)
 	n.rounds++
 	n.sendHeartbeats()
-	n.probe(now)
+	n.join()
+	if n.rounds%reconnectRounds == 0 {
+		n.reconnect()
+	}
+	n.probeLink(now)
 	n.checkPredecessors(now)
 	n.declareDead(now)
 	n.table.purgeDeparted(now.Add(-n.config.DeadRetention))
 	return n.takeOutput()
 }
 
-// Receive takes a message in. Address is where an answer goes.
+// Receive takes in a message. address is where answers to its sender go.
 func (n *Node) Receive(now time.Time, address string, message Message) Output {
 	if n.left || message.From == n.config.Self.Name {
 		return n.takeOutput()
@@ -138,7 +150,8 @@
 	return n.takeOutput()
 }
 
-// Leave tells the monitors and links that this machine ends as planned. Nothing else is sent afterwards.
+// Leave tells the monitors and links that this machine ends as planned, so that it is never suspected. Nothing is
+// sent or received afterwards.
 func (n *Node) Leave(now time.Time) Output {
 	if n.left {
 		return Output{}
@@ -153,14 +166,14 @@
 	return n.takeOutput()
 }
 
-// takeOutput returns what the present step led to.
+// takeOutput returns the output of the current step and begins the next one.
 func (n *Node) takeOutput() Output {
 	output := n.output
 	n.output = Output{}
 	return output
 }
 
-// send sends a message to a machine that is known.
+// send sends a message to a machine if it is known.
 func (n *Node) send(name string, message Message) {
 	known, ok := n.table.get(name)
 	if ok {
@@ -168,74 +181,13 @@
 	}
 }
 
-// sendTo sends a message to an address.
+// sendTo sends a message to an address. name may be empty.
 func (n *Node) sendTo(name, address string, message Message) {
 	message.From = n.config.Self.Name
 	message.Incarnation = n.incarnation
 	n.output.Messages = append(n.output.Messages, Envelope{Name: name, Address: address, Message: message})
 }
 
-// news returns what the next message is to spread.
-func (n *Node) piggyback() []Update {
-	return n.broadcasts.take(n.table.ring().Len())
-}
-
-// announce makes this machine known with its present incarnation.
-func (n *Node) announce(now time.Time) {
-	n.table.merge(n.Self(), now)
-	n.broadcasts.add(n.Self())
-}
-
-// merge takes an update in, spreads it on and reports a change of state. A machine that wasn't known is only spread
-// on if it is news: in a whole table it isn't, and all of it would be spread by all who receive it.
-func (n *Node) merge(update Update, now time.Time, news bool) {
-	if update.State < Alive || update.State > Left {
-		return
-	}
-	if update.Member.Name == n.config.Self.Name {
-		n.refute(update, now)
-		return
-	}
-	old, newer := n.table.merge(update, now)
-	if !newer {
-		return
-	}
-	if news || old != 0 {
-		n.broadcasts.add(update)
-	}
-	if update.State == Alive {
-		n.recordRefutation(update.Member.Name, now)
-	}
-	if old != update.State {
-		n.output.Changes = append(n.output.Changes, Change{Update: update, Old: old})
-	}
-}
-
-// refute answers news of this machine that isn't true by a higher incarnation.
-func (n *Node) refute(update Update, now time.Time) {
-	isOwn := update.Incarnation == n.incarnation && update.State == Alive
-	if update.Incarnation < n.incarnation || isOwn {
-		return
-	}
-	if update.State == Suspect {
-		n.health.worsen()
-	}
-	n.incarnation = update.Incarnation + 1
-	n.announce(now)
-}
-
-// correct tells a machine that counts as dead, or as suspect, what is known of it, so that it refutes it.
-func (n *Node) requestRefutation(address string, message Message) {
-	known, ok := n.table.get(message.From)
-	if !ok || known.State == Alive || message.Incarnation > known.Incarnation {
-		return
-	}
-	if message.Kind == ProbeReply || message.Kind == IndirectProbeReply || message.Kind == Sync {
-		return
-	}
-	n.sendTo(message.From, address, Message{Kind: ProbeReply, Digest: n.table.digest(), Updates: []Update{known}})
-}
-
 // sendHeartbeats sends a heartbeat to each monitor.
 func (n *Node) sendHeartbeats() {
 	for _, name := range n.peers().monitors {
--- a/coord/membership/table.go
+++ b/coord/membership/table.go
@@ -10,24 +10,25 @@
 	"sprucelane.example/sprucelane/coord/ring"
 )
 
-// buckets is the number of parts of a table that have a digest each.
+// digestBuckets is the number of parts of a table, by the hashes of names, that have a digest each. Two tables that
+// differ in few machines exchange few buckets.
 const digestBuckets = 16
 
 // entry is what is known of one machine.
 type entry struct {
 	update Update
-	since  time.Time // of the state
-	bucket int
-	digest uint64 // the share of the bucket's digest, 0 for a machine that isn't present
+	since  time.Time // when it came into the state of update, by this machine's clock
+	bucket int       // in table.digests, by the name
+	digest uint64    // its part of the bucket's digest, 0 if the machine isn't present
 }
 
-// table holds all machines that are known, this one included.
+// table holds all machines that are known, this one included. Its sets, digests and ring always agree with entries.
 type table struct {
-	entries    map[string]*entry
-	digests    [digestBuckets]uint64 // over the machines that are present and their incarnations
-	suspects   map[string]struct{}
-	departed   map[string]struct{} // dead and left machines
-	cachedRing *ring.Ring          // of the machines that are alive; nil if it is to be made anew
+	entries    map[string]*entry // by name
+	digests    [digestBuckets]uint64
+	suspects   map[string]struct{} // names of the entries that are Suspect
+	departed   map[string]struct{} // names of the entries that are Dead or Left
+	cachedRing *ring.Ring          // of the entries that are Alive; nil if it has to be made anew
 }
 
 // newTable returns an empty table.
@@ -39,7 +40,8 @@
 	}
 }
 
-// merge takes an update in if it is newer. It returns the state before and whether it was newer.
+// merge takes in an update that supersedes what is known. It returns the state before, 0 for an unknown machine,
+// and whether the update was merged.
 func (t *table) merge(update Update, now time.Time) (State, bool) {
 	name := update.Member.Name
 	known, ok := t.entries[name]
@@ -79,8 +81,8 @@
 	}
 }
 
-// ring returns the ring of the machines that are alive. Suspects have no place on it, so that their work as monitors
-// passes to others at once.
+// ring returns the ring of the machines that are alive. Suspects have no position on it, so that their tasks as
+// monitors pass to others at once.
 func (t *table) ring() *ring.Ring {
 	if t.cachedRing != nil {
 		return t.cachedRing
@@ -95,7 +97,7 @@
 	return t.cachedRing
 }
 
-// digest returns the digest of the whole table.
+// digest returns the digest of the present machines and their incarnations.
 func (t *table) digest() uint64 {
 	var digest uint64
 	for _, part := range t.digests {
@@ -104,7 +106,7 @@
 	return digest
 }
 
-// forget removes machines that have been gone since before a time.
+// purgeDeparted removes machines that departed before a time.
 func (t *table) purgeDeparted(before time.Time) {
 	for name := range t.departed {
 		if t.entries[name].since.Before(before) {
@@ -123,7 +125,7 @@
 	return known.update, true
 }
 
-// suspected returns the names of the machines under suspicion, in order.
+// suspectNames returns the names of the suspects in order, so that runs replay by seed.
 func (t *table) suspectNames() []string {
 	names := make([]string, 0, len(t.suspects))
 	for name := range t.suspects {
@@ -133,8 +135,9 @@
 	return names
 }
 
-// differing returns all that is known in the buckets whose digests differ from those of another table, or all there
-// is where these are not given.
+// differingFrom returns the entries in the buckets whose digests differ from those of another table, or all entries
+// if there are no such digests, in order. Departed machines are included, as the other table may still have them as
+// present.
 func (t *table) differingFrom(others []uint64) []Update {
 	var updates []Update
 	for _, known := range t.entries {
@@ -147,12 +150,13 @@
 	return updates
 }
 
-// compareNames orders updates by the names of their machines.
+// compareByName orders updates by the names of their machines.
 func compareByName(one, other Update) int {
 	return strings.Compare(one.Member.Name, other.Member.Name)
 }
 
-// sumOf returns the share of a machine in a digest.
+// memberDigest returns a present machine's part of a digest. Digests are combined by exclusive or, so that the
+// order of updates doesn't matter; states don't count, so that a suspicion on its way isn't a mismatch.
 func memberDigest(name string, incarnation uint64) uint64 {
 	return xxhash.Sum64String(name) * (2*incarnation + 1)
 }
