--- a/internal/quota/entitlement_test.go
+++ b/internal/quota/entitlement_test.go
@@ -33,58 +33,58 @@
 	return entitlement{replyTaken: true, tenants: map[string]*tenantEntitlement{}}
 }
 
-func (l *entitlement) of(tenant string) *tenantEntitlement {
-	part := l.tenants[tenant]
+func (e *entitlement) of(tenant string) *tenantEntitlement {
+	part := e.tenants[tenant]
 	if part == nil {
 		part = &tenantEntitlement{}
-		l.tenants[tenant] = part
+		e.tenants[tenant] = part
 	}
 	return part
 }
 
-func (l *entitlement) sent(now time.Duration, sequence uint64) {
-	l.sequence, l.sentAt, l.replyTaken = sequence, now, false
+func (e *entitlement) sent(now time.Duration, sequence uint64) {
+	e.sequence, e.sentAt, e.replyTaken = sequence, now, false
 }
 
 // replied applies a reply if it answers the newest request in time. Lifetimes count from when the request was sent.
-func (l *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
-	if l.replyTaken || reply.Sequence != l.sequence || reply.Term == 0 || reply.Unknown || now-l.sentAt > replyTimeout {
+func (e *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
+	if e.replyTaken || reply.Sequence != e.sequence || reply.Term == 0 || reply.Unknown || now-e.sentAt > replyTimeout {
 		return
 	}
-	l.replyTaken = true
-	l.expireLeases(now)
-	l.leaseExpiry = max(l.leaseExpiry, l.sentAt+reply.LeaseFor)
+	e.replyTaken = true
+	e.expireLeases(now)
+	e.leaseExpiry = max(e.leaseExpiry, e.sentAt+reply.LeaseFor)
 	for _, grant := range reply.Grants {
-		part := l.of(grant.Tenant)
+		part := e.of(grant.Tenant)
 		part.refill(now)
 		if grant.Change {
 			part.rate, part.depth = grant.Lease.Rate, grant.Lease.Depth
 		}
 		if grant.Tokens > 0 {
-			part.poolTokens = append(part.poolTokens, tokenBatch{grant.Tokens, l.sentAt + grant.ExpiresAfter})
+			part.poolTokens = append(part.poolTokens, tokenBatch{grant.Tokens, e.sentAt + grant.ExpiresAfter})
 		}
 	}
 }
 
 // expireLeases ends the leases when their time is over.
-func (l *entitlement) expireLeases(now time.Duration) {
-	if now < l.leaseExpiry {
+func (e *entitlement) expireLeases(now time.Duration) {
+	if now < e.leaseExpiry {
 		return
 	}
-	for _, part := range l.tenants {
+	for _, part := range e.tenants {
 		part.rate, part.depth, part.level = 0, 0, 0
 	}
 }
 
-func (c *tenantEntitlement) refill(now time.Duration) {
-	c.level = min(c.level+c.rate*(now-c.refilledAt).Seconds(), c.depth)
-	c.refilledAt = now
+func (e *tenantEntitlement) refill(now time.Duration) {
+	e.level = min(e.level+e.rate*(now-e.refilledAt).Seconds(), e.depth)
+	e.refilledAt = now
 }
 
 // spend takes a token for an admitted request, and panics if there is none.
-func (l *entitlement) spend(g *simGateway, tenant string) {
-	now, part := g.clock.read(), l.of(tenant)
-	l.expireLeases(now)
+func (e *entitlement) spend(g *simGateway, tenant string) {
+	now, part := g.clock.read(), e.of(tenant)
+	e.expireLeases(now)
 	for len(part.poolTokens) > 0 {
 		first := &part.poolTokens[0]
 		if first.expiresAt > now && first.tokens > 0 {
@@ -101,9 +101,9 @@
 }
 
 // returned takes back a token, unless it would have expired by now.
-func (l *entitlement) returned(now, taken time.Duration, tenant string) {
-	l.expireLeases(now)
-	if part := l.of(tenant); now-taken <= maxTokenTTL {
+func (e *entitlement) returned(now, taken time.Duration, tenant string) {
+	e.expireLeases(now)
+	if part := e.of(tenant); now-taken <= maxTokenTTL {
 		part.refill(now)
 		part.level = min(part.level+1, part.depth)
 	}
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -60,9 +60,9 @@
 	case 15:
 		sim.losePower()
 	case 16:
-		for _, one := range sim.gateways {
+		for _, other := range sim.gateways {
 			if sim.random.IntN(2) == 0 {
-				one.pause(sim.randomDuration(maxPause))
+				other.pause(sim.randomDuration(maxPause))
 			}
 		}
 	}
@@ -209,14 +209,14 @@
 
 // losePower ends all processes; the record survives on disks.
 func (sim *simulation) losePower() {
-	lead := sim.activeLeader()
-	if lead == nil {
+	leader := sim.activeLeader()
+	if leader == nil {
 		return
 	}
 	for index, control := range sim.controls {
 		sim.replaceAfter(index, control, 0)
 	}
-	lead.leadUntil = sim.now
+	leader.leadUntil = sim.now
 	sim.elect(sim.random.IntN(len(sim.controls)), sim.now, takeOverDelay+sim.randomDuration(second))
 	for _, g := range sim.gateways {
 		g.crash(200*millisecond + sim.randomDuration(second))
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -24,19 +24,19 @@
 
 // answered notes that an allocator answered as of a moment, and checks that no two are active at the same time. The
 // answer may be made later.
-func (a *invariantChecker) answered(at time.Duration, term uint64) {
-	if term == 0 || a.sim.windowsOnly {
+func (c *invariantChecker) answered(at time.Duration, term uint64) {
+	if term == 0 || c.sim.windowsOnly {
 		return
 	}
-	active := a.terms[term]
+	active := c.terms[term]
 	if active == nil {
 		active = &activeSpan{at, at}
-		a.terms[term] = active
+		c.terms[term] = active
 	} else if at >= active.from && at <= active.to {
 		return
 	}
 	active.from, active.to = min(active.from, at), max(active.to, at)
-	for other, span := range a.terms {
+	for other, span := range c.terms {
 		if other != term && active.from < span.to && span.from < active.to {
 			panic(fmt.Sprintf("two allocators act: one from %v to %v, one from %v to %v",
 				active.from, active.to, span.from, span.to))
@@ -52,51 +52,51 @@
 	if sim.overload[name] <= 1 && g.connectedSince <= sim.now {
 		count.expected++
 	}
-	a := &sim.checker
-	ran := append(a.ran[name], sim.now)
+	checker := &sim.checker
+	ran := append(checker.ran[name], sim.now)
 	for len(ran) > 0 && ran[0] < sim.now-testRules.Window {
 		ran = ran[1:]
 	}
-	a.ran[name] = ran
-	most := sim.maxInWindow(name)
-	if used := float64(len(ran)) / most; used > a.worst {
-		a.worst, a.worstAt = used, fmt.Sprintf("%s at %v: %d of %.1f", name, sim.now, len(ran), most)
+	checker.ran[name] = ran
+	bound := sim.maxInWindow(name)
+	if used := float64(len(ran)) / bound; used > checker.worst {
+		checker.worst, checker.worstAt = used, fmt.Sprintf("%s at %v: %d of %.1f", name, sim.now, len(ran), bound)
 	}
-	if float64(len(ran)) > most {
-		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", name, len(ran), most, sim.now))
+	if float64(len(ran)) > bound {
+		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", name, len(ran), bound, sim.now))
 	}
 }
 
 // maxInWindow is the rule's bound for the largest limit that may still apply.
 func (sim *simulation) maxInWindow(name string) float64 {
-	most := 0.0
-	list := sim.limits[name]
-	for i, one := range list {
-		if i+1 < len(list) && list[i+1].effectiveAt > 0 && sim.now >= list[i+1].effectiveAt+testRules.Window {
+	bound := 0.0
+	limits := sim.limits[name]
+	for i, limit := range limits {
+		if i+1 < len(limits) && limits[i+1].effectiveAt > 0 && sim.now >= limits[i+1].effectiveAt+testRules.Window {
 			continue
 		}
-		most = max(most, testRules.MaxInWindow(one.rate, one.burst))
+		bound = max(bound, testRules.MaxInWindow(limit.rate, limit.burst))
 	}
-	return most
+	return bound
 }
 
 // updateEffectiveLimits notes the limits that every gateway applies by now. Earlier limits don't apply any more a
 // window from then on.
 func (sim *simulation) updateEffectiveLimits() {
 	for name := range sortedNames(sim.usualRate) {
-		for _, one := range sim.limits[name] {
-			if one.effectiveAt > 0 || sim.now < one.acknowledgedAt+configApplyBound {
+		for _, limit := range sim.limits[name] {
+			if limit.effectiveAt > 0 || sim.now < limit.acknowledgedAt+configApplyBound {
 				continue
 			}
-			all := true
+			byAll := true
 			for _, g := range sim.gateways {
 				if g.alive && sim.now >= g.connectedSince {
-					one.appliedBy[g] = true
+					limit.appliedBy[g] = true
 				}
-				all = all && one.appliedBy[g]
+				byAll = byAll && limit.appliedBy[g]
 			}
-			if all {
-				one.effectiveAt = sim.now
+			if byAll {
+				limit.effectiveAt = sim.now
 			}
 		}
 	}
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -99,7 +99,7 @@
 func (sim *simulation) elect(next int, decided, wait time.Duration) {
 	sim.schedule(decided+wait, func() {
 		for range sim.controls {
-			if one := sim.controls[next]; !one.dead && sim.now >= max(one.pausedUntil, one.partition.until) {
+			if candidate := sim.controls[next]; !candidate.dead && sim.now >= max(candidate.pausedUntil, candidate.partition.until) {
 				sim.becomeGrantor(next)
 				return
 			}
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -93,9 +93,9 @@
 	g.connectedSince = max(g.connectedSince, g.pausedUntil+3*second)
 }
 
-func (g *simGateway) cutOffBy(one partition) {
-	g.partition = one
-	g.connectedSince = max(g.connectedSince, one.until+3*second)
+func (g *simGateway) cutOffBy(cut partition) {
+	g.partition = cut
+	g.connectedSince = max(g.connectedSince, cut.until+3*second)
 }
 
 // reachOnly leaves a gateway only one control process that it reaches, and restarts it in half of the cases.
@@ -268,19 +268,19 @@
 	sim := g.sim
 	waits := g.waiting
 	g.waiting = nil
-	for _, wait := range waits {
+	for _, request := range waits {
 		now := g.clock.read()
-		verdict := g.client.Resolve(now, wait.tenant)
+		verdict := g.client.Resolve(now, request.tenant)
 		switch {
 		case verdict.Admit:
-			g.admitted(wait.tenant)
+			g.admitted(request.tenant)
 		case !verdict.Wait:
-			sim.recordRejected(wait.tenant.Name, g)
-		case sim.now >= wait.deadline:
-			g.client.Cancel(now, wait.tenant)
-			sim.recordRejected(wait.tenant.Name, g)
+			sim.recordRejected(request.tenant.Name, g)
+		case sim.now >= request.deadline:
+			g.client.Cancel(now, request.tenant)
+			sim.recordRejected(request.tenant.Name, g)
 		default:
-			g.waiting = append(g.waiting, wait)
+			g.waiting = append(g.waiting, request)
 		}
 	}
 }
