--- a/cmd/sprucelanectl/config_check.go
+++ b/cmd/sprucelanectl/config_check.go
@@ -52,6 +52,7 @@
 	return configuration.NewState().Evaluate(request).Findings
 }
 
+// joinLocation puts a file's path before a location in it.
 func joinLocation(path, place string) string {
 	if place == "" {
 		return path
--- a/cmd/sprucelanectl/main_test.go
+++ b/cmd/sprucelanectl/main_test.go
@@ -28,12 +28,14 @@
 	errOut string
 }
 
+// call runs a command line.
 func call(arguments ...string) result {
 	var out, problems bytes.Buffer
 	code := run(arguments, &out, &problems)
 	return result{code, out.String(), problems.String()}
 }
 
+// file writes a temporary file and gives its path.
 func file(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -68,6 +68,7 @@
 	return err.Error()
 }
 
+// typeDescription gives the operator's word for a kind of Go type.
 func typeDescription(kind string) string {
 	switch kind {
 	case "int", "int64", "uint64":
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -18,6 +18,7 @@
 	accepted   map[string]bool
 }
 
+// patch applies a PATCH to the model.
 func (m *referenceModel) patch(generation uint64, upsert []map[string]any, remove []string) {
 	m.generation = generation
 	m.tenants = slices.DeleteFunc(slices.Clone(m.tenants), func(t map[string]any) bool {
@@ -33,6 +34,7 @@
 	}
 }
 
+// drawTenants draws some of six tenants, with random rates and a member that the program doesn't know.
 func drawTenants(t *rapid.T) []map[string]any {
 	names := rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 4, rapid.ID[int]).Draw(t, "names")
 	tenants := make([]map[string]any, 0, len(names))
@@ -84,6 +86,7 @@
 	})
 }
 
+// restored gives a copy by way of the encoded form.
 func restored(t *rapid.T, s *State) *State {
 	raw, err := s.Encode()
 	if err != nil {
@@ -96,6 +99,7 @@
 	return other
 }
 
+// follow brings a follower up to date and compares it.
 func follow(t *rapid.T, state, follower *State) {
 	update := state.UpdateSince(follower.Current().Index)
 	if update == nil {
@@ -113,6 +117,7 @@
 	}
 }
 
+// drawnBody is the body of a document or a patch.
 type drawnBody struct {
 	Generation uint64                      `json:"generation"`
 	Routes     []any                       `json:"routes,omitempty"`
@@ -122,6 +127,7 @@
 	Delete     map[string][]string         `json:"delete,omitempty"`
 }
 
+// drawRequest draws a request: valid, stale, invalid, or an earlier one again.
 func drawRequest(t *rapid.T, model *referenceModel, sent []ChangeRequest) ChangeRequest {
 	if len(sent) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "earlier")
@@ -148,6 +154,7 @@
 	return request
 }
 
+// key identifies a request without the Digest under test.
 func (m *referenceModel) key(request ChangeRequest) string {
 	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
@@ -173,6 +180,7 @@
 	return StatusAccepted
 }
 
+// compare checks a state's document against the model.
 func (m *referenceModel) compare(t *rapid.T, s *State) {
 	if s.Current().Generation != m.generation {
 		t.Fatalf("generation %d, not %d", s.Current().Generation, m.generation)
--- a/internal/configuration/jsonscan.go
+++ b/internal/configuration/jsonscan.go
@@ -23,6 +23,7 @@
 // syntaxCheck lets encoding/json check the syntax of a whole text without building values.
 type syntaxCheck struct{}
 
+// UnmarshalJSON is called with a value that encoding/json has checked already.
 func (*syntaxCheck) UnmarshalJSON([]byte) error { return nil }
 
 // checkSyntax checks that a text is exactly one JSON value.
@@ -91,6 +92,7 @@
 	return at
 }
 
+// skipSeparator skips the comma between elements, if there is one, and the space around it.
 func skipSeparator(raw []byte, at int) int {
 	at = skipSpace(raw, at)
 	if raw[at] == ',' {
@@ -113,6 +115,7 @@
 	return at
 }
 
+// stringEnd gives the offset after the string that begins at an offset.
 func stringEnd(raw []byte, at int) int {
 	for at++; raw[at] != '"'; at++ {
 		if raw[at] == '\\' {
@@ -122,6 +125,7 @@
 	return at + 1
 }
 
+// nestedEnd gives the offset after the object or array that begins at an offset.
 func nestedEnd(raw []byte, at int) int {
 	depth := 0
 	for {
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -33,6 +33,7 @@
 	return members, true
 }
 
+// checkDuplicates reports members with the same key, of which JSON implementations take different ones.
 func (p *parser) checkDuplicates(members []span) {
 	seen := make(map[string]bool, len(members))
 	for _, one := range members {
@@ -94,6 +95,7 @@
 	return items, true
 }
 
+// itemName gives the name of an element; false if it isn't an object or has no name.
 func itemName(element span) (string, bool) {
 	members, isObject := splitObject(element.raw, element.offset)
 	if !isObject {
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -102,6 +102,7 @@
 	return next, nil
 }
 
+// asFindings gives the findings in an error; any other error becomes a finding without a location.
 func asFindings(err error) node.Findings {
 	var findings node.Findings
 	if errors.As(err, &findings) {
@@ -110,6 +111,7 @@
 	return node.Findings{{Text: err.Error()}}
 }
 
+// remember adds a request to the history and drops the oldest of more than maxHistory.
 func (s *State) remember(request acceptedRequest) {
 	if len(s.history) == maxHistory {
 		delete(s.accepted, s.history[0].Digest)
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -22,6 +22,7 @@
 	baseIndex uint64 // 0: nothing is logged
 }
 
+// add logs the change to a new current version.
 func (l *changeLog) add(step protocol.ConfigurationStep) {
 	if !step.Patch { // followers get a whole document as such, so nothing before it is needed
 		*l = changeLog{baseIndex: step.Index}
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// checkRoute checks the values of one route.
 func (p *parser) checkRoute(route *Route, element span, path string) {
 	if !strings.HasPrefix(route.PathPrefix, "/") || !strings.HasSuffix(route.PathPrefix, "/") {
 		p.addf(path+".path-prefix", element.offset, "%q must begin and end with a slash", route.PathPrefix)
@@ -65,6 +66,7 @@
 	}
 }
 
+// checkWeights checks that a traffic split sends the requests somewhere.
 func (p *parser) checkWeights(route *Route, element span, path string) {
 	if len(route.TrafficSplit) == 0 {
 		return
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -79,6 +79,7 @@
 	return v, nil
 }
 
+// decodeMember adds a member to the typed document.
 func (d *Document) decodeMember(m member) {
 	if m.key == memberLimits && !m.list {
 		_ = decode(m.raw, &d.Limits) // an error was reported when the member was parsed
@@ -96,6 +97,7 @@
 	}
 }
 
+// generationMember makes the member with the number of the version.
 func generationMember(generation uint64) member {
 	return member{key: memberGeneration, raw: strconv.AppendUint(nil, generation, 10)}
 }
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -47,6 +47,7 @@
 	return lines
 }
 
+// settings converts all settings. Type Settings documents them.
 func (p *fileParser) settings() *Settings {
 	s := &Settings{
 		NodeName:        p.text("node-name", true),
@@ -123,6 +124,7 @@
 	return p.path + ": " + key
 }
 
+// text gives a value without surrounding space. A required one must not be empty.
 func (p *fileParser) text(key string, required bool) string {
 	value, found := p.values.Get(key)
 	value = strings.TrimSpace(value)
@@ -136,6 +138,7 @@
 	return value
 }
 
+// ip parses a required IP address.
 func (p *fileParser) ip(key string) string {
 	text := p.text(key, true)
 	if text != "" && net.ParseIP(text) == nil {
@@ -155,6 +158,7 @@
 	return zones
 }
 
+// checkAddress checks that a text is an address, ip:port.
 func (p *fileParser) checkAddress(key, text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
@@ -177,6 +181,7 @@
 	return text
 }
 
+// addresses parses a required list of addresses.
 func (p *fileParser) addresses(key string) []string {
 	addresses := splitList(p.text(key, true))
 	for _, address := range addresses {
@@ -185,6 +190,7 @@
 	return addresses
 }
 
+// flag parses a boolean.
 func (p *fileParser) flag(key string, defaultValue bool) bool {
 	text := p.text(key, false)
 	if text == "" {
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -65,6 +65,7 @@
 	return a
 }
 
+// forgetHolders drops all that belongs to a term.
 func (a *Allocator) forgetHolders() {
 	a.holders, a.holdersByNode = map[string]*leaseHolder{}, map[string][]*leaseHolder{}
 	a.byLastContact, a.deadProcesses = list.New(), map[string]time.Duration{}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -38,8 +38,11 @@
 	return lease{max(l.rate, other.rate), max(l.depth, other.depth)}
 }
 
+// isZero reports whether there is no lease.
 func (l lease) isZero() bool { return l == lease{} }
 
+// toMessage converts to the floating-point numbers of the wire. The client rounds down what it gets, and the
+// allocator rounds up what clients report.
 func (l lease) toMessage() protocol.QuotaLease {
 	return protocol.QuotaLease{Rate: l.rate.float(), Depth: l.depth.float()}
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -203,6 +203,7 @@
 	c.scheduleReport(t)
 }
 
+// stopWaiting counts a waiting request out.
 func (c *Client) stopWaiting(t *clientTenant) {
 	t.waiting--
 	c.waiting--
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -65,6 +65,7 @@
 	t.arrivedAt = now
 }
 
+// decayedArrivals is the decaying count of arrivals as of now.
 func (t *clientTenant) decayedArrivals(now time.Duration) float64 {
 	return t.arrivals * math.Exp(-(now-t.arrivedAt).Seconds()/demandTimeConstant.Seconds())
 }
@@ -110,6 +111,7 @@
 	return want
 }
 
+// unexpiredPoolTokens is the number of pool tokens that can still be spent.
 func (t *clientTenant) unexpiredPoolTokens(now time.Duration) (sum int) {
 	for _, batch := range t.poolTokens {
 		if batch.expiresAt > now {
@@ -132,6 +134,7 @@
 	return false
 }
 
+// refill brings the lease's bucket up to now. A change of the lease's rate is preceded by it.
 func (t *clientTenant) refill(now time.Duration) {
 	t.leaseBucket.refill(now, t.lease.rate, t.lease.depth)
 }
--- a/internal/quota/entitlement_test.go
+++ b/internal/quota/entitlement_test.go
@@ -33,6 +33,7 @@
 	return entitlement{replyTaken: true, tenants: map[string]*tenantEntitlement{}}
 }
 
+// of finds or adds a tenant's part.
 func (e *entitlement) of(tenant string) *tenantEntitlement {
 	part := e.tenants[tenant]
 	if part == nil {
@@ -42,6 +43,7 @@
 	return part
 }
 
+// sent notes the newest request.
 func (e *entitlement) sent(now time.Duration, sequence uint64) {
 	e.sequence, e.sentAt, e.replyTaken = sequence, now, false
 }
--- a/internal/quota/floor.go
+++ b/internal/quota/floor.go
@@ -54,6 +54,7 @@
 		now-q.floor.changedAt >= minRaiseInterval && steady >= q.floor.recorded+minRaise
 }
 
+// steadyFloor is the floor of a full pool.
 func (q *tenantQuota) steadyFloor() amount { return amount(steadyFloorShare * float64(q.budget.depth)) }
 
 // FloorChanges lists the floors to be changed in the record. The caller records them and then calls FloorsRecorded;
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -58,6 +58,7 @@
 	return holder
 }
 
+// recordContact notes that a request of the holder is being answered.
 func (a *Allocator) recordContact(holder *leaseHolder) {
 	holder.lastContact = a.now
 	a.byLastContact.MoveToBack(holder.contactElement)
@@ -117,6 +118,7 @@
 	a.holdersByNode[holder.node] = remaining
 }
 
+// allocationFor finds or adds the holder's allocation of a quota.
 func (h *leaseHolder) allocationFor(q *tenantQuota) *allocation {
 	part := h.allocations[q]
 	if part == nil {
--- a/internal/quota/lease_policy.go
+++ b/internal/quota/lease_policy.go
@@ -108,6 +108,7 @@
 	return l.isZero() == other.isZero() && near(l.rate, other.rate) && near(l.depth, other.depth)
 }
 
+// near reports whether a differs from b by at most minLeaseChange of b.
 func near(a, b amount) bool {
 	difference := max(a-b, b-a)
 	return difference.float() <= minLeaseChange*b.float()
--- a/internal/quota/sim_clock_test.go
+++ b/internal/quota/sim_clock_test.go
@@ -15,6 +15,7 @@
 // clockRounding is the most by which converting a reading back to simulation time exceeds the time of the reading.
 const clockRounding = 2 * time.Microsecond
 
+// newClock draws a clock's origin and rate.
 func (sim *simulation) newClock() driftingClock {
 	return driftingClock{sim, time.Hour + sim.randomDuration(time.Hour), 1 + maxClockDrift*(2*sim.random.Float64()-1)}
 }
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -20,6 +20,7 @@
 	dead        bool
 }
 
+// newControl starts a control process with an inactive allocator.
 func (sim *simulation) newControl() *simControl {
 	control := &simControl{clock: sim.newClock()}
 	control.allocator = NewAllocator(AllocatorOptions{Rules: testRules, Random: sim.random.Uint64})
@@ -88,6 +89,7 @@
 	sim.reply(control, g, incarnation, reply)
 }
 
+// reply sends a reply to one incarnation of a gateway.
 func (sim *simulation) reply(control *simControl, g *simGateway, incarnation int, reply protocol.QuotaReply) {
 	if delay := g.delay(control, inbound); delay >= 0 {
 		sim.schedule(sim.now+delay, func() { g.handleReply(incarnation, reply) })
@@ -205,6 +207,7 @@
 	})
 }
 
+// floorList gives the recorded floors.
 func (sim *simulation) floorList() (list []Floor) {
 	for name := range sortedNames(sim.floors) {
 		list = append(list, Floor{name, sim.floors[name]})
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -37,6 +37,7 @@
 	deadline time.Duration
 }
 
+// addGateway adds a gateway and starts it.
 func (sim *simulation) addGateway() *simGateway {
 	g := &simGateway{sim: sim, node: fmt.Sprintf("front-%d", len(sim.gateways)), clock: sim.newClock()}
 	g.share = 0.4 + 1.2*sim.random.Float64()
@@ -79,6 +80,7 @@
 	g.client.Configure(snapshot)
 }
 
+// crash ends the process and starts the next incarnation after downFor.
 func (g *simGateway) crash(downFor time.Duration) {
 	if !g.alive {
 		return
@@ -87,12 +89,14 @@
 	g.sim.schedule(g.sim.now+downFor, g.start)
 }
 
+// pause stops the process for a time, as SIGSTOP and SIGCONT do.
 func (g *simGateway) pause(length time.Duration) {
 	g.pausedAt = g.clock.read()
 	g.pausedUntil = g.sim.now + length
 	g.connectedSince = max(g.connectedSince, g.pausedUntil+3*second)
 }
 
+// cutOffBy puts the gateway behind a partition.
 func (g *simGateway) cutOffBy(cut partition) {
 	g.partition = cut
 	g.connectedSince = max(g.connectedSince, cut.until+3*second)
@@ -210,6 +214,7 @@
 	sim.schedule(sim.now+sim.randomDuration(soon), func() { g.returnToken(incarnation, tenant, taken) })
 }
 
+// returnToken gives a token back that was taken at a time by the gateway's clock.
 func (g *simGateway) returnToken(incarnation int, tenant *configuration.Tenant, taken time.Duration) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -264,6 +269,7 @@
 	}
 }
 
+// resolve asks again for all requests that wait.
 func (g *simGateway) resolve() {
 	sim := g.sim
 	waits := g.waiting
@@ -319,6 +325,7 @@
 	return max(g.partition.endFor(to), control.partition.endFor(other))
 }
 
+// send sends a request to the allocator, if its address is known.
 func (g *simGateway) send(request protocol.QuotaRequest) {
 	sim := g.sim
 	sim.messages++
@@ -333,6 +340,7 @@
 	}
 }
 
+// handleReply receives a reply to a request of an incarnation.
 func (g *simGateway) handleReply(incarnation int, reply protocol.QuotaReply) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
--- a/internal/quota/sim_partition_test.go
+++ b/internal/quota/sim_partition_test.go
@@ -17,6 +17,7 @@
 	inbound                  // what it is sent is lost
 )
 
+// newPartition draws the length and direction of a partition that starts now.
 func (sim *simulation) newPartition(longest time.Duration) partition {
 	return partition{sim.now + sim.randomDuration(longest), direction(sim.random.IntN(3))}
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -76,6 +76,7 @@
 // that were connected: the system should serve nearly all of them.
 type requestCounts struct{ offered, served, rejected, expected, expectedRejected int }
 
+// newSimulation creates a simulation with three control processes and a number of gateways.
 func newSimulation(seed uint64, gateways int, tenants []configuration.Tenant) *simulation {
 	sim := &simulation{
 		random: rand.New(rand.NewPCG(seed, 77)), limits: map[string][]*limitChange{}, usualRate: map[string]float64{},
--- a/internal/quota/tenant_quota.go
+++ b/internal/quota/tenant_quota.go
@@ -38,6 +38,8 @@
 	return q.leaseCount == 0 && q.outstanding.isZero() && q.demand == 0
 }
 
+// configureTenant applies one tenant's limit. A new tenant starts with a full pool, except while the allocator
+// learns: then it may have had leases under an earlier allocator.
 func (a *Allocator) configureTenant(tenant *configuration.Tenant) {
 	q := a.tenants[tenant.Name]
 	isNew := q == nil
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -5,7 +5,8 @@
 //
 // The sender computes a Delta between two versions by Diff, or combines several in a row by Compose, and sends it
 // in a protocol.ServerList with a Base. The receiver gets the new version by ApplyUpdate. Invariant: for any lists
-// a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b), Diff(b, c)), applied to a, gives c.
+// a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b), Diff(b, c)), applied to
+// a, gives c.
 package serverlist
 
 import (
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -12,6 +12,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// drawList draws a sorted list of some of 13 servers.
 func drawList(t *rapid.T) []protocol.Server {
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 12), 0, 8, rapid.ID[int]).Draw(t, "ids")
 	list := []protocol.Server{}
