--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -13,7 +13,8 @@
 	v := protocol.StoreView{Epoch: 1}
 	for i := range count {
 		v.Members = append(v.Members, protocol.StoreMember{Process: protocol.Process{
-			Node: fmt.Sprintf("store-%d", i), Zone: fmt.Sprintf("zone-%d", i%3), IP: fmt.Sprintf("10.0.0.%d", i), Incarnation: "1",
+			Node: fmt.Sprintf("store-%d", i), Zone: fmt.Sprintf("zone-%d", i%3),
+			IP: fmt.Sprintf("10.0.0.%d", i), Incarnation: "1",
 		}})
 	}
 	return v
--- a/internal/batch/runner/doc.go
+++ b/internal/batch/runner/doc.go
@@ -9,7 +9,8 @@
 //
 //   - Completed: the joined events are the item's result.
 //   - Interrupted: the stream broke. The events are kept, and the next attempt resumes after the last one
-//     (Last-Event-Id), also at another server, after a restart and at another store (Store.Progress).
+//     (Last-Event-Id), also at another server. Store.Progress saves them, so that a restart of this store
+//     resumes as well; another store that takes the batch job over begins the item anew.
 //   - Failed (500): the item is tried again, up to its route's max-attempts in all; then it is a dead letter.
 //   - Unprocessable (422): it is a dead letter at once.
 //   - Rejected, not executed, or not sent: it is tried again, without limit, until it expires: the route's
--- a/internal/batch/runner/job.go
+++ b/internal/batch/runner/job.go
@@ -88,8 +88,8 @@
 	r.planner.Add(work.ID, r.now()+time.Until(time.UnixMilli(work.FirstSent).Add(target)), backends, tasks)
 }
 
-// restoreProgress returns an item's progress with the events that the store has saved, by this or another
-// process. If they can't be read the item starts from its beginning.
+// restoreProgress returns an item's progress with the events that an earlier process of this store saved.
+// If they can't be read the item starts from its beginning.
 func (r *Runner) restoreProgress(id string, item replica.JobItem) *itemProgress {
 	progress := &itemProgress{location: item.At, lastEventID: -1}
 	if item.Last < 0 {
--- a/internal/batch/scheduler/doc.go
+++ b/internal/batch/scheduler/doc.go
@@ -13,8 +13,8 @@
 //
 // Without reported loads, an item goes to the server with the least cost (planner.go) among those below
 // their limit. The limit of each server follows what the server shows of its load: it grows by steps while
-// first events come promptly, and shrinks by a factor on late ones, rejections and failures (additive
-// increase, multiplicative decrease; Chiu and Jain, 1989). See serverstate.go.
+// first events come promptly, and shrinks by a factor on late ones, rejections and broken connections
+// (additive increase, multiplicative decrease; Chiu and Jain, 1989). See serverstate.go.
 //
 // Where servers report their loads, items go where slots are free, and leave a reserve to live requests.
 // All stores see nearly the same loads at the same time. So that they don't all pick the same server, each
--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -16,8 +16,7 @@
 // given it up by then.
 const callTimeout = 4 * time.Second
 
-// lostLeaseRetry is the Retry-After of a call that was answered after the lease had ended, by when another
-// store may act.
+// lostLeaseRetry is the Retry-After in place of an answer that is withheld because the lease has ended.
 const lostLeaseRetry = 250 * time.Millisecond
 
 var errUnknownMessage = errors.New("server: message of an unknown kind")
--- a/internal/batch/wal/doc.go
+++ b/internal/batch/wal/doc.go
@@ -16,7 +16,8 @@
 // # Guarantees
 //
 // After a kill or a loss of power, a restart replays every record that was reported as durable and, of the
-// others, a prefix: in order, without a gap, and each as it was appended.
+// others, a prefix: in order, without a gap, and each as it was appended, unless the disk has corrupted it
+// since (see below).
 //
 // # Invariants
 //
