--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -102,8 +102,11 @@
 	if c.environment.wrapReplica != nil {
 		c.replica = c.environment.wrapReplica(node)
 	}
-	c.quota = quotaservice.New(options.Settings.Bounds, c.replica, c.state, statemachine.Grantor{Member: node.Self().ID(), Process: c.incarnation},
-		func() { wake(c.wakeRoles) })
+	c.quota = quotaservice.New(quotaservice.Options{
+		Bounds: options.Settings.Bounds, Leadership: c.replica, Record: c.state,
+		Self: statemachine.Grantor{Member: node.Self().ID(), Process: c.incarnation},
+		Wake: func() { wake(c.wakeRoles) },
+	})
 	if err := c.serve(); err != nil {
 		node.Close()
 		return nil, err
--- a/internal/control/quotaservice/core_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -13,12 +13,12 @@
 
 // Times of coord/replica.
 const (
-	leaderLease   = 800 * time.Millisecond  // after the last proof of its epoch a head leads
-	leaderDelay   = 1000 * time.Millisecond // after it learnt of its view a new head waits
+	leaderLease   = 800 * time.Millisecond  // for which a head leads after the last proof of its epoch
+	leaderDelay   = 1000 * time.Millisecond // for which a new head waits after it learnt of its view
 	memberTimeout = 700 * time.Millisecond  // after which a member is replaced
 )
 
-// core is the chain as an abstract register of epochs with a log.
+// chainModel is the chain as an abstract register of epochs with a log.
 type chainModel struct {
 	simulation *quotaSimulation
 	members    []*simulatedControl
@@ -29,14 +29,14 @@
 	brokenAt   time.Duration
 }
 
-// proposal is an order on its way. One whose proposer has given it up may be taken still.
+// proposal is a command on its way. One that its proposer has given up may still be committed.
 type proposal struct {
 	raw   []byte
 	index int // 0: not committed
 	done  func(*statemachine.GrantsOutcome)
 }
 
-// member is a control process with the real service, and its view of the chain.
+// simulatedControl is a control process with the real service, and its view of the chain.
 type simulatedControl struct {
 	chainModel  *chainModel
 	name        string
@@ -46,14 +46,14 @@
 	service     *Service
 	machine     *statemachine.StateMachine
 	applied     int
-	waiting     *proposal // whose outcome it waits for
+	waiting     *proposal // whose outcome it waits for; nil: none
 	ending      bool
 
 	epoch              int // that it knows
 	chain              []*simulatedControl
 	headSince          time.Duration
 	proofAt            time.Duration // 0: none
-	lastDisconnectedAt time.Duration // out of touch last
+	lastDisconnectedAt time.Duration // when it last reached no majority
 }
 
 func newChainModel(w *quotaSimulation, machines int) *chainModel {
@@ -84,7 +84,16 @@
 	m.headSince, m.proofAt = w.Elapsed()+leaderDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
 	self := statemachine.Grantor{Member: m.name, Process: fmt.Sprint(m.name, "/", m.incarnation)}
-	m.service = newWithClock(bounds, m, m, self, func() { m.later(time.Millisecond, m.roles) }, w.Now)
+	m.service = New(
+		Options{
+			Bounds:     bounds,
+			Leadership: m,
+			Record:     m,
+			Self:       self,
+			Wake:       func() { m.later(time.Millisecond, m.roles) },
+			clock:      w.Now,
+		},
+	)
 	m.later(w.randomDuration(200*time.Millisecond), m.rolesLoop)
 	m.proveEpoch()
 }
@@ -116,15 +125,15 @@
 	m.chainModel.simulation.AfterOn(m.name, delay, run)
 }
 
-// Configuration gives the one that is in force all the time.
+// Configuration implements GrantRecord. One version is current all the time.
 func (m *simulatedControl) Configuration() *configuration.Version {
 	return m.chainModel.simulation.version
 }
 
-// Lender gives who lends, as far as is known here.
+// Grantor implements GrantRecord, with the state that is applied here.
 func (m *simulatedControl) Grantor() statemachine.Grantor { return m.machine.Grantor() }
 
-// Head is that of coord/replica.
+// Head implements Leadership as coord/replica does.
 func (m *simulatedControl) Head() (until time.Time, ok bool) {
 	w := m.chainModel.simulation
 	if m.chain == nil || m.chain[0] != m || m.ending {
@@ -137,7 +146,7 @@
 	return until, m.proofAt > 0 && w.Now().Before(until)
 }
 
-// Lead is that of coord/replica.
+// Lead implements Leadership as coord/replica does.
 func (m *simulatedControl) Lead() (epoch uint64, until time.Time, ok bool) {
 	until, ok = m.Head()
 	waited := m.chainModel.simulation.Elapsed() >= m.headSince || m.chainModel.simulation.bug == bugEarlyStart
@@ -147,7 +156,8 @@
 func (c *chainModel) connected(one, other *simulatedControl) bool {
 	links := c.simulation.Links
 	runs := one.up && !one.paused && other.up && !other.paused
-	return runs && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
+	return runs &&
+		(one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
 }
 
 func (c *chainModel) reachesMajority(m *simulatedControl) bool {
@@ -197,7 +207,7 @@
 	c.commit()
 }
 
-// repair begins an epoch with those of the chain that are in touch.
+// repair begins an epoch with those members of the chain that are connected.
 func (c *chainModel) repair() {
 	var next []*simulatedControl
 	for _, m := range c.chain {
@@ -211,10 +221,11 @@
 	}
 }
 
-// takeBack lets machines in, at the end: such a one applies all before it can become the head.
+// readmit adds machines at the end of the chain, where they apply everything before they can become the head.
 func (c *chainModel) readmit() {
 	for _, m := range c.members {
-		if slices.Contains(c.chain, m) || m.ending || c.simulation.Elapsed()-m.lastDisconnectedAt < 300*time.Millisecond {
+		if slices.Contains(c.chain, m) || m.ending ||
+			c.simulation.Elapsed()-m.lastDisconnectedAt < 300*time.Millisecond {
 			continue
 		}
 		if next := append(slices.Clone(c.chain), m); c.allConnected(next) {
@@ -241,7 +252,7 @@
 	}
 }
 
-// adopt learns of the present view.
+// learnView learns the present view.
 func (m *simulatedControl) learnView() {
 	c := m.chainModel
 	if m.epoch == c.epoch && m.chain != nil {
@@ -254,11 +265,12 @@
 	}
 }
 
-// beat proves the epoch again and again.
+// proveEpoch proves the epoch at intervals.
 func (m *simulatedControl) proveEpoch() {
 	w := m.chainModel.simulation
 	m.later(150*time.Millisecond+w.randomDuration(100*time.Millisecond), func() {
-		if m.chain != nil && m.epoch == m.chainModel.epoch && slices.Contains(m.chain, m) && m.chainModel.reachesMajority(m) {
+		if m.chain != nil && m.epoch == m.chainModel.epoch && slices.Contains(m.chain, m) &&
+			m.chainModel.reachesMajority(m) {
 			m.proofAt = w.Elapsed()
 			m.applySoon(len(m.chainModel.log))
 		}
@@ -266,7 +278,7 @@
 	})
 }
 
-// commit takes the orders that wait.
+// commit commits the pending proposals.
 func (c *chainModel) commit() {
 	pending := c.pending
 	c.pending = nil
@@ -315,7 +327,7 @@
 	m.waiting = one
 	delay := w.randomDuration(10 * time.Millisecond)
 	if w.random.Chance(0.02) {
-		delay = w.randomDuration(8 * time.Second) // held up on its way: it may come after its proposer's time
+		delay = w.randomDuration(8 * time.Second) // delayed: it may arrive after its proposer's term
 	}
 	w.After(delay, func() { m.chainModel.pending = append(m.chainModel.pending, one) })
 	m.later(2*time.Second, func() {
@@ -340,7 +352,7 @@
 	}
 }
 
-// handOver ends the process as planned: it hands its lending on and leaves the chain.
+// handOver ends the process as planned: it releases the role of grantor and leaves the chain.
 func (m *simulatedControl) handOver() {
 	if !m.up || m.paused || m.ending {
 		return
@@ -364,7 +376,7 @@
 	m.later(300*time.Millisecond, leave)
 }
 
-// depose begins an epoch with another head while all are in touch.
+// depose begins an epoch with another head while all are connected.
 func (c *chainModel) depose() {
 	if len(c.chain) > 1 && c.allConnected(c.chain) {
 		c.beginEpoch(append(slices.Clone(c.chain[1:]), c.chain[0]))
--- /dev/null
+++ b/internal/control/quotaservice/recordchanges.go
@@ -0,0 +1,98 @@
+package quotaservice
+
+import (
+	"slices"
+
+	"sprucelane.example/sprucelane/internal/control/statemachine"
+)
+
+// NextChange returns the change of the grant record that is needed now, or nil. The caller proposes it, and calls
+// ChangeDone with the outcome before the next call.
+func (s *Service) NextChange() *statemachine.GrantsChange {
+	if _, heads := s.leadership.Head(); !heads {
+		return nil
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.released {
+		return nil
+	}
+	lender := s.record.Grantor()
+	if lender != s.self || s.term == nil {
+		return s.beginTerm(lender)
+	}
+	if !s.term.started {
+		return nil
+	}
+	adds := s.allocator.MissingGrantees()
+	now := s.clock().Sub(s.origin)
+	s.term.pendingRemovals = append(s.term.pendingRemovals, s.allocator.EvictGrantees(now)...)
+	floors := s.allocator.FloorChanges(now)
+	if len(adds)+len(s.term.pendingRemovals)+len(floors) == 0 {
+		return nil
+	}
+	s.lastChange++
+	return &statemachine.GrantsChange{
+		Lender: s.self,
+		Number: s.lastChange,
+		Add:    adds,
+		Remove: without(s.term.pendingRemovals, adds),
+		Floors: floors,
+	}
+}
+
+// Release stops granting for good and returns the change that lets the next grantor begin at once; nil if this
+// process isn't the grantor.
+func (s *Service) Release() *statemachine.GrantsChange {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.released = true
+	lends := s.term != nil && s.record.Grantor() == s.self
+	s.term = nil
+	s.allocator.Stop()
+	if !lends {
+		return nil
+	}
+	return &statemachine.GrantsChange{Lender: s.self, End: true}
+}
+
+// beginTerm returns the change that makes this process the grantor, or nil while another may still act. It is
+// called with the mutex held.
+func (s *Service) beginTerm(lender statemachine.Grantor) *statemachine.GrantsChange {
+	alone := lender == statemachine.Grantor{} || lender == statemachine.ReleasedGrantor ||
+		lender.Member == s.self.Member
+	if _, _, leads := s.leadership.Lead(); !alone && !leads {
+		return nil
+	}
+	s.lastChange++
+	return &statemachine.GrantsChange{Lender: s.self, Begin: true, Before: lender, Number: s.lastChange}
+}
+
+// ChangeDone processes the outcome of a change. A nil outcome is an unknown one: the next NextChange repeats what
+// is still needed.
+func (s *Service) ChangeDone(change *statemachine.GrantsChange, outcome *statemachine.GrantsOutcome) {
+	if outcome == nil || !outcome.Taken {
+		return
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.released {
+		return
+	}
+	if change.Begin {
+		s.allocator.Stop()
+		s.term = &term{firstEver: outcome.Before == statemachine.Grantor{}, nodes: append([]string{}, outcome.Nodes...),
+			floors: outcome.Floors}
+		return
+	}
+	if s.term != nil && s.term.started {
+		s.allocator.GranteesRecorded(change.Add)
+		s.allocator.FloorsRecorded(change.Floors)
+		s.term.pendingRemovals = without(s.term.pendingRemovals, change.Remove)
+	}
+}
+
+// without returns the nodes that are not excluded.
+func without(nodes, excluded []string) []string {
+	return slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return slices.Contains(excluded, node) })
+}
--- a/internal/control/quotaservice/quotas_test.go
+++ b/internal/control/quotaservice/service_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// fakeLead is what a test says of the lead.
+// fakeLeadership is a Leadership that the test sets.
 type fakeLeadership struct {
 	until        time.Time
 	heads, alone bool
@@ -23,7 +23,7 @@
 func (f *fakeLeadership) Head() (time.Time, bool)         { return f.until, f.heads }
 func (f *fakeLeadership) Lead() (uint64, time.Time, bool) { return 1, f.until, f.heads && f.alone }
 
-// chain is one machine on which changes are carried out at once, and the configuration.
+// fakeChain is one state machine to which changes are applied at once, and a fixed configuration.
 type fakeChain struct {
 	*statemachine.StateMachine
 	index   uint64
@@ -75,11 +75,19 @@
 	Convey("Given the first process of a new system", t, func() {
 		state := &fakeChain{StateMachine: statemachine.New(), version: version}
 		lead := &fakeLeadership{heads: true, until: time.Now().Add(time.Minute)}
-		service := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p1"}, func() {})
+		service := New(
+			Options{
+				Bounds:     bounds,
+				Leadership: lead,
+				Record:     state,
+				Self:       statemachine.Grantor{Member: "m1", Process: "p1"},
+				Wake:       func() {},
+			},
+		)
 		refused(service)
 		So(state.applyNextChange(service).Taken, ShouldBeTrue)
 
-		Convey("it acts at once, with full pools, and lends once the asker is on record", func() {
+		Convey("it acts at once, with full pools, and leases once the gateway is on record", func() {
 			reply, err := ask(service, 50)
 			So(err, ShouldBeNil)
 			So(reply.Grants[0].Tokens, ShouldEqual, 50)
@@ -100,34 +108,58 @@
 			refused(service)
 			So(service.NextChange(), ShouldBeNil)
 		})
-		Convey("its next life acts at once", func() {
+		Convey("its next incarnation acts at once", func() {
 			before, err := ask(service, 1)
 			So(err, ShouldBeNil)
 			lead.alone = false
-			next := New(bounds, lead, state, statemachine.Grantor{Member: "m1", Process: "p2"}, func() {})
+			next := New(
+				Options{
+					Bounds:     bounds,
+					Leadership: lead,
+					Record:     state,
+					Self:       statemachine.Grantor{Member: "m1", Process: "p2"},
+					Wake:       func() {},
+				},
+			)
 			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(anew.Term, ShouldNotEqual, before.Term)
 			refused(service)
 		})
-		Convey("one that ends lends no more, and another begins at once", func() {
+		Convey("after a release it grants nothing, and another begins at once", func() {
 			lead.alone = false
 			end := service.Release()
 			So(end, ShouldNotBeNil)
 			refused(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
 			So(state.applyNextChange(service), ShouldBeNil)
-			next := New(bounds, lead, state, statemachine.Grantor{Member: "m2", Process: "p3"}, func() {})
+			next := New(
+				Options{
+					Bounds:     bounds,
+					Leadership: lead,
+					Record:     state,
+					Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
+					Wake:       func() {},
+				},
+			)
 			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(state.apply(end).Taken, ShouldBeFalse)
 			So(state.Grantor(), ShouldResemble, next.self)
 		})
-		Convey("another's waits until the time of the one before has passed, and ends this one's", func() {
+		Convey("another process waits until the leader lease before it has ended, and ends this one's term", func() {
 			lead.alone = false
-			next := New(bounds, lead, state, statemachine.Grantor{Member: "m2", Process: "p3"}, func() {})
+			next := New(
+				Options{
+					Bounds:     bounds,
+					Leadership: lead,
+					Record:     state,
+					Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
+					Wake:       func() {},
+				},
+			)
 			So(next.NextChange(), ShouldBeNil)
 			refused(next)
 			lead.alone = true
@@ -135,16 +167,26 @@
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			refused(service)
-			Convey("and a change of this one's that comes late has no effect", func() {
-				So(state.apply(&statemachine.GrantsChange{Lender: service.self, Number: 9, Add: []string{"late"}}).Taken, ShouldBeFalse)
+			Convey("and a late change of this one has no effect", func() {
+				So(
+					state.apply(
+						&statemachine.GrantsChange{Lender: service.self, Number: 9, Add: []string{"late"}},
+					).Taken,
+					ShouldBeFalse,
+				)
 				So(state.apply(&statemachine.GrantsChange{Lender: service.self, Begin: true}).Taken, ShouldBeFalse)
 				So(state.Grantor(), ShouldResemble, next.self)
 			})
-			Convey("nor has it where this one lends again meanwhile", func() {
+			Convey("nor has it if this one is the grantor again meanwhile", func() {
 				_, err := ask(service, 1)
 				So(err, ShouldNotBeNil)
 				service.lastChange = 9
-				late := &statemachine.GrantsChange{Lender: service.self, Number: 9, Remove: []string{"front-1"}, Floors: []quota.Floor{{Tenant: "a", Tokens: 9}}}
+				late := &statemachine.GrantsChange{
+					Lender: service.self,
+					Number: 9,
+					Remove: []string{"front-1"},
+					Floors: []quota.Floor{{Tenant: "a", Tokens: 9}},
+				}
 				So(state.applyNextChange(service).Taken, ShouldBeTrue)
 				So(state.Grantor(), ShouldResemble, service.self)
 				So(state.apply(late).Taken, ShouldBeFalse)
--- a/internal/control/quotaservice/random_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -27,10 +27,10 @@
 	maxPartition     = 20 * time.Second
 )
 
-// plant is a bug of the harness that the checks must find.
+// injectedBug is a bug of the harness that the checks must find.
 type injectedBug string
 
-// Bugs that the harness can plant.
+// Bugs that can be injected into the harness.
 const (
 	bugNone       injectedBug = ""
 	bugUnproven   injectedBug = "a head lends without a proof of its epoch"
@@ -38,7 +38,8 @@
 	bugUnapplied  injectedBug = "a machine that returns is the head before it has applied what it missed"
 )
 
-// world is control processes with the real service, gateways with real clients, and tenants at ten times their limits.
+// quotaSimulation is control processes with the real service, gateways with real clients, and tenants that send ten
+// times their limits.
 type quotaSimulation struct {
 	*simulation.Simulation
 	random      *simulation.Rand
@@ -54,13 +55,13 @@
 	faults      int
 }
 
-// span is the time over which an allocator answered.
+// termSpan is the time over which an allocator answered.
 type termSpan struct {
 	from, to time.Duration
 	member   string
 }
 
-// gateway is a gateway's process as far as quota goes.
+// simulatedGateway is a gateway's process as far as quota is concerned.
 type simulatedGateway struct {
 	simulation    *quotaSimulation
 	name          string
@@ -69,14 +70,20 @@
 	paused        bool
 	client        *quota.Client
 	allocator     *simulatedControl
-	onlyReachable *simulatedControl // the only one that it reaches, until onlyUntil
+	onlyReachable *simulatedControl // the only one that it reaches before until
 	until         time.Duration
 }
 
 func newQuotaSimulation(seed uint64, bug injectedBug) *quotaSimulation {
 	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond}
-	w := &quotaSimulation{Simulation: sim, random: sim.Random, bug: bug, admitted: map[string][]time.Duration{}, terms: map[uint64]*termSpan{}}
+	w := &quotaSimulation{
+		Simulation: sim,
+		random:     sim.Random,
+		bug:        bug,
+		admitted:   map[string][]time.Duration{},
+		terms:      map[uint64]*termSpan{},
+	}
 	const document = `{"generation":1,"routes":[],"backends":[],"tenants":[
 		{"name":"a","api-keys":["k"],"rate-per-s":40,"burst":40},{"name":"b","api-keys":["l"],"rate-per-s":8,"burst":8}]}`
 	version, err := configuration.ParseDocument([]byte(document), 1)
@@ -106,7 +113,7 @@
 	})
 }
 
-// answered takes in that an allocator answered now: no two act at the same time.
+// checkSingleAllocator records that an allocator answers now, and checks that no other acts at the same time.
 func (w *quotaSimulation) checkSingleAllocator(term uint64, name string) {
 	now := w.Elapsed()
 	if term == 0 {
@@ -120,12 +127,22 @@
 	acts.to = now
 	for other, one := range w.terms {
 		if other != term && acts.from < one.to && one.from < acts.to {
-			panic(fmt.Sprintf("two allocators act: %s from %v to %v, %s from %v to %v", acts.member, acts.from, acts.to, one.member, one.from, one.to))
+			panic(
+				fmt.Sprintf(
+					"two allocators act: %s from %v to %v, %s from %v to %v",
+					acts.member,
+					acts.from,
+					acts.to,
+					one.member,
+					one.from,
+					one.to,
+				),
+			)
 		}
 	}
 }
 
-// run counts a request and checks the rule.
+// admit counts an admitted request and checks the tenant's limit.
 func (w *quotaSimulation) admit(tenant *configuration.Tenant) {
 	ran := append(w.admitted[tenant.Name], w.Elapsed())
 	for ran[0] < w.Elapsed()-testWindow {
@@ -136,7 +153,15 @@
 	most := rules.MaxInWindow(tenant.RatePerSec, tenant.Burst)
 	w.worstWindow = max(w.worstWindow, float64(len(ran))/most)
 	if float64(len(ran)) > most {
-		panic(fmt.Sprintf("tenant %s ran %d in a window that allows %.1f, at %v", tenant.Name, len(ran), most, w.Elapsed()))
+		panic(
+			fmt.Sprintf(
+				"tenant %s ran %d in a window that allows %.1f, at %v",
+				tenant.Name,
+				len(ran),
+				most,
+				w.Elapsed(),
+			),
+		)
 	}
 }
 
@@ -148,8 +173,10 @@
 	g.incarnation++
 	g.up, g.paused, g.allocator = true, false, nil
 	w.Start(g.name)
-	g.client = quota.NewClient(quota.ClientOptions{Process: protocol.Process{Node: g.name, Incarnation: fmt.Sprint(g.incarnation)},
-		Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))})
+	g.client = quota.NewClient(
+		quota.ClientOptions{Process: protocol.Process{Node: g.name, Incarnation: fmt.Sprint(g.incarnation)},
+			Random: rand.New(rand.NewPCG(w.random.Uint64(), 1))},
+	)
 	g.followHead()
 	g.exchange()
 	for _, tenant := range w.tenants {
@@ -166,7 +193,8 @@
 	g.simulation.AfterOn(g.name, delay, run)
 }
 
-// follow turns to the head that the list of processes names, or to the only machine in reach, which names itself.
+// followHead turns to the head that the member list names, or to the only machine that can be reached, which names
+// itself.
 func (g *simulatedGateway) followHead() {
 	w := g.simulation
 	named := w.chain.chain[0]
@@ -180,7 +208,7 @@
 	g.later(200*time.Millisecond+w.randomDuration(200*time.Millisecond), g.followHead)
 }
 
-// traffic has clients send ten times a tenant's limit, in all.
+// traffic sends ten times a tenant's limit, over all gateways.
 func (g *simulatedGateway) traffic(tenant *configuration.Tenant) {
 	w := g.simulation
 	rate := 10 * tenant.RatePerSec / float64(len(w.gateways))
@@ -217,7 +245,7 @@
 	g.later(10*time.Millisecond, g.exchange)
 }
 
-// cut cuts two machines, both ways or one way, for a time.
+// cut cuts the link between two machines, in both directions or in one, for a time.
 func (w *quotaSimulation) cut(one, other string, way int, length time.Duration) {
 	for i, pair := range [][2]string{{one, other}, {other, one}} {
 		if way != i+1 {
@@ -227,7 +255,7 @@
 	}
 }
 
-// trouble brings one about, mostly to the head.
+// injectFault injects a fault, mostly into the head.
 func (w *quotaSimulation) injectFault() {
 	if w.faultsOver {
 		return
@@ -268,7 +296,7 @@
 	}
 }
 
-// isolate cuts a control process off from the others, with a gateway that reaches only it.
+// partition partitions a control process from the others, together with a gateway that reaches only it.
 func (w *quotaSimulation) partition(m *simulatedControl, g *simulatedGateway) {
 	length, way := time.Second+w.randomDuration(maxPartition-time.Second), w.random.IntN(3)
 	g.onlyReachable, g.until = m, w.Elapsed()+length
@@ -280,7 +308,7 @@
 	}
 }
 
-// playWorld plays a world with all troubles and tells what broke.
+// simulate runs a simulation with all faults and returns the violation, if any.
 func simulate(seed uint64, bug injectedBug) (w *quotaSimulation, broken string) {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -297,7 +325,7 @@
 			return w, ""
 		}
 	}
-	return w, "nobody lends in the end"
+	return w, "no allocator acts in the end"
 }
 
 func envNumber(name string, usual int) int {
@@ -307,7 +335,7 @@
 	return usual
 }
 
-// TestRandomWorlds plays worlds with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
+// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S begins at seed S.
 func TestRandomSimulations(t *testing.T) {
 	first, count := envNumber("FIRST", 1), envNumber("SEEDS", defaultSeeds)
 	var mutex sync.Mutex
@@ -334,23 +362,24 @@
 	}
 	close(numbers)
 	wait.Wait()
-	t.Logf("%d worlds, %d troubles, %d terms, worst window %.3f of the bound", count, troubles, terms, worst)
+	t.Logf("%d simulations, %d faults, %d terms, worst window %.3f of the bound", count, troubles, terms, worst)
 }
 
-// TestPlantedBugs shows that the worlds find each bug.
+// TestFindsInjectedBugs checks that the simulations find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
 	const mostWorlds = 60
-	firstSeeds := map[injectedBug]uint64{bugUnproven: 1, bugEarlyStart: 45, bugUnapplied: 1} // saves the worlds that are known not to find it
+	// Leaves out seeds that are known not to find it.
+	firstSeeds := map[injectedBug]uint64{bugUnproven: 1, bugEarlyStart: 45, bugUnapplied: 1}
 	for bug, first := range firstSeeds {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := first; seed < first+mostWorlds; seed++ {
 				if _, broken := simulate(seed, bug); strings.Contains(broken, "two allocators act") {
-					t.Logf("found in world %d: %s", seed, broken)
+					t.Logf("found with seed %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Errorf("not found in %d worlds", mostWorlds)
+			t.Errorf("not found with %d seeds", mostWorlds)
 		})
 	}
 }
