--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 const ms = time.Millisecond
 
 func TestSchedule(t *testing.T) {
-	Convey("The first by rank reads at once and then steadily", t, func() {
+	Convey("The process of rank 0 reads at once and then at intervals", t, func() {
 		var s Schedule
 		So(s.NextRead(), ShouldEqual, 0)
 		s.ReadSucceeded(10*ms, 0)
@@ -30,7 +30,7 @@
 		s.ReadSucceeded(1900*ms, 0)
 		So(s.NextRead(), ShouldEqual, 1900*ms+readInterval)
 	})
-	Convey("Another takes over after a silence, reads steadily, and stops when one before it reads again", t, func() {
+	Convey("Another takes over after a time-out, and stops when one of a lower rank reads again", t, func() {
 		var s Schedule
 		s.SetRank(2)
 		s.ListReceived(100*ms, 0, 0)
@@ -48,7 +48,7 @@
 		s.ListReceived(100*ms, 3000*ms, 0)
 		So(s.NextRead(), ShouldEqual, 3100*ms+takeoverTimeout+takeoverStagger)
 	})
-	Convey("A reader that hears one behind it goes on reading", t, func() {
+	Convey("A list from a process of a higher rank doesn't stop the reader", t, func() {
 		var s Schedule
 		s.SetRank(1)
 		s.ReadSucceeded(0, 0)
@@ -59,7 +59,12 @@
 
 func TestReader(t *testing.T) {
 	instance := func(i int, state string) string {
-		return fmt.Sprintf(`{"backend":"b","address":"10.0.0.%d:80","zone":"z","generation":"v1","slots":16,"state":%q,"cold-remaining-ms":250,"stage":"both","models":[],"id":"i-%d"}`, i, state, i)
+		return fmt.Sprintf(
+			`{"backend":"b","address":"10.0.0.%d:80","zone":"z","generation":"v1","slots":16,"state":%q,"cold-remaining-ms":250,"stage":"both","models":[],"id":"i-%d"}`,
+			i,
+			state,
+			i,
+		)
 	}
 	serve := func(handler http.HandlerFunc) *Reader {
 		server := httptest.NewServer(handler)
@@ -72,13 +77,30 @@
 			case "":
 				fmt.Fprintf(w, `{"instances":[%s,%s],"next-token":"p 2"}`, instance(2, "ready"), instance(1, "ready"))
 			case "p 2":
-				fmt.Fprintf(w, `{"instances":[%s,%s],"next-token":null}`, instance(2, "draining"), instance(3, "draining"))
+				fmt.Fprintf(
+					w,
+					`{"instances":[%s,%s],"next-token":null}`,
+					instance(2, "draining"),
+					instance(3, "draining"),
+				)
 			}
 		})
 		list, err := reader.Read(context.Background())
 		So(err, ShouldBeNil)
 		So(list.Servers, ShouldHaveLength, 3)
-		So(list.Servers[0], ShouldResemble, protocol.Server{ID: "i-1", Backend: "b", Address: "10.0.0.1:80", Zone: "z", Slots: 16, Cold: 250 * ms, Stage: "both"})
+		So(
+			list.Servers[0],
+			ShouldResemble,
+			protocol.Server{
+				ID:      "i-1",
+				Backend: "b",
+				Address: "10.0.0.1:80",
+				Zone:    "z",
+				Slots:   16,
+				Cold:    250 * ms,
+				Stage:   "both",
+			},
+		)
 		So(list.Servers[1].Draining, ShouldBeTrue)
 		again, err := reader.Read(context.Background())
 		So(err, ShouldBeNil)
@@ -97,7 +119,7 @@
 			So(err, ShouldNotBeNil)
 		}
 	})
-	Convey("A refusal for the rate is told as such", t, func() {
+	Convey("A rejection for the rate is a RateLimitError", t, func() {
 		reader := serve(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "0.5")
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -107,8 +129,10 @@
 		So(errors.As(err, &rate), ShouldBeTrue)
 		So(rate.RetryAfter, ShouldEqual, 500*ms)
 	})
-	Convey("A list that goes round ends", t, func() {
-		reader := serve(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[],"next-token":"x"}`) })
+	Convey("A list whose pages form a cycle ends with an error", t, func() {
+		reader := serve(
+			func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[],"next-token":"x"}`) },
+		)
 		_, err := reader.Read(context.Background())
 		So(err, ShouldNotBeNil)
 	})
--- /dev/null
+++ b/internal/control/discovery/page.go
@@ -0,0 +1,57 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// page is one page of the list as the platform sends it.
+type page struct {
+	Instances []instance `json:"instances"`
+	NextToken *string    `json:"next-token"`
+}
+
+// instance is one server as the platform sends it.
+type instance struct {
+	ID              string  `json:"id"`
+	Backend         string  `json:"backend"`
+	Address         string  `json:"address"`
+	Zone            string  `json:"zone"`
+	Slots           float64 `json:"slots"`
+	State           string  `json:"state"`
+	ColdRemainingMs float64 `json:"cold-remaining-ms"`
+	Stage           string  `json:"stage"`
+}
+
+// stateDraining is the state of a server that takes no new requests.
+const stateDraining = "draining"
+
+func (i *instance) server() protocol.Server {
+	return protocol.Server{
+		ID:       i.ID,
+		Backend:  i.Backend,
+		Address:  i.Address,
+		Zone:     i.Zone,
+		Slots:    int(i.Slots),
+		Draining: i.State == stateDraining,
+		Cold:     time.Duration(i.ColdRemainingMs * float64(time.Millisecond)),
+		Stage:    i.Stage,
+	}
+}
+
+// parsePage decodes a page. A response without a list of instances is an error: it must not be taken for an empty
+// list.
+func parsePage(body []byte) (*page, error) {
+	var one page
+	if err := json.Unmarshal(body, &one); err != nil {
+		return nil, fmt.Errorf("discovery: decode a page of the platform's list: %w", err)
+	}
+	if one.Instances == nil {
+		return nil, errors.New("discovery: a page of the platform's list has no instances")
+	}
+	return &one, nil
+}
--- /dev/null
+++ b/internal/control/discovery/ratelimiter.go
@@ -0,0 +1,32 @@
+package discovery
+
+import "time"
+
+// rateLimiter spaces calls by a rate, and allows a burst (the generic cell rate algorithm, GCRA). It isn't safe for
+// concurrent use.
+type rateLimiter struct {
+	interval time.Duration // between two calls
+	burst    time.Duration // by which calls may be ahead of nextAt
+	nextAt   time.Time     // of the next call without a burst: the theoretical arrival time
+}
+
+// newRateLimiter returns a limiter for rateShare of a rate in calls a second; 0 is no limit.
+func newRateLimiter(rate float64) rateLimiter {
+	if rate <= 0 {
+		return rateLimiter{}
+	}
+	return rateLimiter{
+		interval: time.Duration(float64(time.Second) / (rate * rateShare)),
+		burst:    time.Duration(burstSeconds * float64(time.Second)),
+	}
+}
+
+// reserve reserves the next call and returns how long it must wait from now.
+func (p *rateLimiter) reserve(now time.Time) time.Duration {
+	if p.nextAt.Before(now) {
+		p.nextAt = now
+	}
+	wait := max(0, p.nextAt.Sub(now)-p.burst)
+	p.nextAt = p.nextAt.Add(p.interval)
+	return wait
+}
--- a/internal/control/discovery/pace_test.go
+++ b/internal/control/discovery/ratelimiter_test.go
@@ -13,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestPace(t *testing.T) {
+func TestRateLimiter(t *testing.T) {
 	Convey("Calls go at once up to the burst, and then keep to the rate", t, func() {
 		now := time.Unix(1000, 0)
 		p := newRateLimiter(50)
@@ -30,13 +30,13 @@
 	})
 }
 
-func TestRefusedPage(t *testing.T) {
-	Convey("A page that is refused for the rate in the middle of a list is read again", t, func() {
-		refusals := 0
+func TestRejectedPage(t *testing.T) {
+	Convey("A page in the middle of a list that is rejected for the rate is read again", t, func() {
+		rejections := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			at, _ := strconv.Atoi(r.URL.Query().Get("page-token"))
-			if at == 2 && refusals < 2 {
-				refusals++
+			if at == 2 && rejections < 2 {
+				rejections++
 				w.WriteHeader(http.StatusTooManyRequests)
 				return
 			}
@@ -50,6 +50,6 @@
 		list, err := NewReader(strings.TrimPrefix(server.URL, "http://"), "", 1000).Read(context.Background())
 		So(err, ShouldBeNil)
 		So(list.Servers, ShouldHaveLength, 4)
-		So(refusals, ShouldEqual, 2)
+		So(rejections, ShouldEqual, 2)
 	})
 }
--- a/internal/control/discovery/schedule.go
+++ b/internal/control/discovery/schedule.go
@@ -1,44 +1,39 @@
-// Package discovery owns the platform's list of servers: who of the control processes reads it and when, and the reading. One
-// control process reads for all, as each call has a price and the platform's rate is shared; the others take over when they have
-// had no list for a while, without asking anyone, so that a cut core keeps reading. It must never hand on a list that was read
-// in part.
-//
-// At the size of thousands of servers a zone's control process would read its own zone (`zone` in the query), and lists would go
-// as the differences between two versions; Reader takes a zone already, and List is numbered by its content, so that differences
-// can name what they apply to.
 package discovery
 
 import "time"
 
-// The times of reading.
+// Times of reading.
 const (
-	readInterval    = 800 * time.Millisecond  // by the control process that reads for all
-	takeoverTimeout = 1600 * time.Millisecond // without a list, before another reads
-	takeoverStagger = 400 * time.Millisecond  // more for each rank
+	readInterval    = 800 * time.Millisecond  // between readings of the process that reads for all
+	takeoverTimeout = 1600 * time.Millisecond // without a list, after which another process takes over
+	takeoverStagger = 400 * time.Millisecond  // added to that for each rank
 	minRetryDelay   = 100 * time.Millisecond
 	maxRetryDelay   = 800 * time.Millisecond
 )
 
-// Schedule decides when this process reads. It is pure; times are since the process's start, by the steady clock. It isn't safe
-// for concurrent use.
+// Schedule decides when this process reads the list. It is pure: times are durations since the process's start by
+// the monotonic clock. It isn't safe for concurrent use.
 type Schedule struct {
-	rank         int
-	hasList      bool          // a list was had
-	lastReadAt   time.Duration // when the newest list was read, by whom ever
-	readHere     bool          // it was read here
-	readDuration time.Duration // to read it
-	failures     int
-	retryAt      time.Duration
+	rank       int
+	hasList    bool          // some control process has read a list
+	lastReadAt time.Duration // when the reading of the newest list began, wherever that was
+	// This process reads for all: it has read a list, and received none of a lower rank since.
+	readHere     bool
+	readDuration time.Duration // of the newest list
+	failures     int           // since the last success here
+	retryAt      time.Duration // no attempt before this
 }
 
-// Rank sets the process's place among the control processes; 0 reads for all.
+// SetRank sets this process's rank among the control processes. The one of rank 0 reads for all; the others take
+// over in the order of their ranks.
 func (s *Schedule) SetRank(rank int) { s.rank = rank }
 
-// Next gives when to read, unless something comes in before.
+// NextRead returns when to read next, unless a list is received before.
 func (s *Schedule) NextRead() time.Duration {
 	return max(s.due(), s.retryAt)
 }
 
+// due returns when the next reading is due, without regard to failed attempts.
 func (s *Schedule) due() time.Duration {
 	switch {
 	case s.rank == 0 || s.readHere:
@@ -46,28 +41,29 @@
 			return 0
 		}
 		return s.lastReadAt + readInterval
-	case !s.hasList: // at the start of the system, the first by rank is just about to read
+	case !s.hasList: // at the start of the system the process of rank 0 is about to read
 		return time.Duration(s.rank) * takeoverStagger
 	}
 	return s.lastReadAt + s.readDuration + takeoverTimeout + time.Duration(s.rank)*takeoverStagger
 }
 
-// Read notes that a list was read here, beginning at a time.
+// ReadSucceeded records that this process has read the list, from began on.
 func (s *Schedule) ReadSucceeded(began, took time.Duration) {
 	s.hasList, s.readHere, s.readDuration = true, true, took
 	s.lastReadAt = max(s.lastReadAt, began)
 	s.failures, s.retryAt = 0, 0
 }
 
-// Failed notes that reading failed. A platform that refuses for the rate of calls may ask for more patience.
+// ReadFailed records a failed attempt. The delay before the next one doubles from minRetryDelay to maxRetryDelay;
+// retryAfter is what the platform asked for, and may raise it to maxRetryDelay.
 func (s *Schedule) ReadFailed(now, retryAfter time.Duration) {
 	pause := min(minRetryDelay<<min(s.failures, 8), maxRetryDelay)
 	s.failures++
 	s.retryAt = now + max(pause, min(retryAfter, maxRetryDelay))
 }
 
-// Received notes that a control process with a rank told a list that it began to read at a time. One that goes before makes this process
-// stop reading.
+// ListReceived records a list that another control process read from a time on. If that process has a lower rank,
+// this one stops to read for all.
 func (s *Schedule) ListReceived(at, took time.Duration, rank int) {
 	if s.hasList && at <= s.lastReadAt {
 		return
@@ -78,5 +74,5 @@
 	}
 }
 
-// Took gives how long the newest list took to read.
+// ReadDuration returns how long the newest list took to read.
 func (s *Schedule) ReadDuration() time.Duration { return s.readDuration }
