--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,6 +1,3 @@
-// Package controlclient owns the caller's side of the operator's API: it finds a control process that answers, follows
-// redirections and repeats what got no clear answer. It must never repeat what was refused, nor change an order between two
-// sends.
 package controlclient
 
 import (
@@ -8,39 +5,39 @@
 	"context"
 	"io"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/joomcode/errorx"
 )
 
-// How the client calls, by the protocol's own figures.
+// Limits and times of a call, as the operator's API prescribes them.
 const (
 	maxRedirects        = 2
-	maxOtherRefusals    = 3 // of statuses of 400 to 499 that are neither final nor to be repeated
-	attemptTimeout      = time.Second
-	attemptTimeoutPerMB = time.Second // on top, for large bodies
+	maxOtherRefusals    = 3           // see call.classify
+	attemptTimeout      = time.Second // of one attempt
+	attemptTimeoutPerMB = time.Second // added for each MiB of the body
 	minBackoff          = 50 * time.Millisecond
 	maxBackoff          = 800 * time.Millisecond
 	maxResponseBytes    = 64 << 20
 )
 
-// DefaultTimeout is how long an order is repeated where Client.Timeout is 0.
+// DefaultTimeout is how long a request is repeated if Client.Timeout is 0.
 const DefaultTimeout = 10 * time.Second
 
 var errorNames = errorx.NewNamespace("control")
 
-// The kinds of errors.
+// The types of errors of Call; test for them with errorx.IsOfType.
 var (
-	// Refused is a clear refusal; StatusOf gives its HTTP status.
+	// Refused is the type of a definite rejection; StatusOf returns its HTTP status.
 	Refused = errorNames.NewType("refused")
-	// Unanswered is an order without a clear answer: it may be in force or not.
+	// Unanswered is the type of a request without a definite answer: it may have taken effect, or may yet.
 	Unanswered = errorNames.NewType("unanswered")
 )
 
+// statusProperty holds the HTTP status of a rejection.
 var statusProperty = errorx.RegisterPrintableProperty("status")
 
-// StatusOf gives the HTTP status of a refusal, 0 for other errors.
+// StatusOf returns the HTTP status of an error of type Refused, 0 for other errors.
 func StatusOf(err error) int {
 	if value, known := errorx.ExtractProperty(err, statusProperty); known {
 		return value.(int)
@@ -48,21 +45,22 @@
 	return 0
 }
 
-// Client calls whichever control process answers.
+// Client calls the control processes at some addresses. It is safe for concurrent use as long as its fields are not
+// changed.
 type Client struct {
-	Addresses []string      // of control processes, ip:port, in the order in which they are tried
-	Timeout   time.Duration // how long an order is repeated; 0: DefaultTimeout
+	Addresses []string      // of control processes, IP:port, in the order in which they are tried
+	Timeout   time.Duration // of a call with all its attempts; 0: DefaultTimeout
 }
 
-// Order is one call.
+// Request is one request to the operator's API.
 type Request struct {
 	Method  string
 	Path    string
-	IfMatch string // the version that a change builds on; empty: none
-	Body    []byte // JSON
+	IfMatch string // the generation that a change builds on; empty: none
+	Body    []byte // JSON; nil: none
 }
 
-// Answer is a success.
+// Response is a response with a status of 200 to 299.
 type Response struct {
 	Address string // of the control process that answered
 	Status  int
@@ -70,8 +68,10 @@
 	Body    []byte
 }
 
-// Call sends an order until it is answered. The error is of the types above.
-func (c *Client) Call(ctx context.Context, order Request) (*Response, error) {
+// Call sends a request to one control process after the other until one gives a definite answer, with exponential
+// backoff in between. The error is of type Refused if the request was rejected, and Unanswered if there was no
+// definite answer in time.
+func (c *Client) Call(ctx context.Context, request Request) (*Response, error) {
 	if len(c.Addresses) == 0 {
 		return nil, Unanswered.New("no address of a control process was given")
 	}
@@ -81,30 +81,30 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d := &call{request: order, backoff: minBackoff}
-	for try := 0; ; try++ {
-		answer, err := d.attempt(ctx, c.Addresses[try%len(c.Addresses)])
+	sending := &call{request: request, backoff: minBackoff}
+	for attempt := 0; ; attempt++ {
+		response, err := sending.attempt(ctx, c.Addresses[attempt%len(c.Addresses)])
 		if err == nil || errorx.IsOfType(err, Refused) {
-			return answer, err
+			return response, err
 		}
-		if !d.wait(ctx) {
-			return nil, Unanswered.Wrap(err, "%s %s got no clear answer within %v", order.Method, order.Path, timeout)
+		if !sending.wait(ctx) {
+			return nil, Unanswered.Wrap(err, "%s %s got no clear answer within %v", request.Method, request.Path, timeout)
 		}
 	}
 }
 
-// delivery is an order under way.
+// call is a request that is being sent.
 type call struct {
 	request       Request
 	backoff       time.Duration
 	otherRefusals int
 }
 
-// wait pauses before the next try, longer each time; false: the time is over.
-func (d *call) wait(ctx context.Context) bool {
-	timer := time.NewTimer(d.backoff)
+// wait waits for the backoff and doubles it. It reports false if ctx ended first.
+func (c *call) wait(ctx context.Context) bool {
+	timer := time.NewTimer(c.backoff)
 	defer timer.Stop()
-	d.backoff = min(2*d.backoff, maxBackoff)
+	c.backoff = min(2*c.backoff, maxBackoff)
 	select {
 	case <-timer.C:
 		return true
@@ -113,14 +113,14 @@
 	}
 }
 
-// once sends the order to one address and on to where that redirects.
-func (d *call) attempt(ctx context.Context, address string) (*Response, error) {
-	patience := attemptTimeout + time.Duration(len(d.request.Body)>>20)*attemptTimeoutPerMB
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// attempt sends the request to one address, and on to where that redirects.
+func (c *call) attempt(ctx context.Context, address string) (*Response, error) {
+	timeout := attemptTimeout + time.Duration(len(c.request.Body)>>20)*attemptTimeoutPerMB
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	target := "http://" + address + d.request.Path
+	target := "http://" + address + c.request.Path
 	for range maxRedirects + 1 {
-		response, err := d.send(ctx, target)
+		response, err := c.send(ctx, target)
 		if err != nil {
 			return nil, err
 		}
@@ -130,7 +130,7 @@
 			return nil, err
 		}
 		if response.StatusCode != http.StatusTemporaryRedirect {
-			return d.classify(response, body)
+			return c.classify(response, body)
 		}
 		if target = response.Header.Get("Location"); target == "" {
 			return nil, Unanswered.New("%s redirects without a location", address)
@@ -139,16 +139,17 @@
 	return nil, Unanswered.New("%s redirects more than %d times", address, maxRedirects)
 }
 
-func (d *call) send(ctx context.Context, target string) (*http.Response, error) {
-	request, err := http.NewRequestWithContext(ctx, d.request.Method, target, bytes.NewReader(d.request.Body))
+// send sends the request once.
+func (c *call) send(ctx context.Context, target string) (*http.Response, error) {
+	request, err := http.NewRequestWithContext(ctx, c.request.Method, target, bytes.NewReader(c.request.Body))
 	if err != nil {
 		return nil, err
 	}
-	if len(d.request.Body) > 0 {
+	if len(c.request.Body) > 0 {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	if d.request.IfMatch != "" {
-		request.Header.Set("If-Match", d.request.IfMatch)
+	if c.request.IfMatch != "" {
+		request.Header.Set("If-Match", c.request.IfMatch)
 	}
 	client := http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -156,25 +157,25 @@
 	return client.Do(request)
 }
 
-func (d *call) classify(response *http.Response, body []byte) (*Response, error) {
+// classify tells a success, a rejection and an answer that leaves the request open. Of the statuses from 400 to
+// 499, some are definite at once, 408 and 429 never are, and the others are once a call has met maxOtherRefusals of
+// them.
+func (c *call) classify(response *http.Response, body []byte) (*Response, error) {
 	status := response.StatusCode
 	if status >= 200 && status < 300 {
 		return &Response{Address: response.Request.URL.Host, Status: status, Header: response.Header, Body: body}, nil
 	}
-	refusal := Refused.New("%s %s: %d %s", d.request.Method, d.request.Path, status, string(bytes.TrimSpace(body))).
+	rejection := Refused.New("%s %s: %d %s", c.request.Method, c.request.Path, status, string(bytes.TrimSpace(body))).
 		WithProperty(statusProperty, status)
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 		http.StatusUnprocessableEntity:
-		return nil, refusal
+		return nil, rejection
 	}
 	if status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-		if d.otherRefusals++; d.otherRefusals >= maxOtherRefusals {
-			return nil, refusal
+		if c.otherRefusals++; c.otherRefusals >= maxOtherRefusals {
+			return nil, rejection
 		}
 	}
 	return nil, Unanswered.New("%s answers %d", response.Request.URL.Host, status)
 }
-
-// Version gives a version as If-Match holds it.
-func IfMatch(generation uint64) string { return strconv.FormatUint(generation, 10) }
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -14,7 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// control is a scripted control process: each call takes the next answer, the last one stays.
+// scriptedControl is a scripted control process: each call gets the next answer, and the last one is repeated.
 func scriptedControl(t *testing.T, answers ...http.HandlerFunc) (address string, calls *atomic.Int32) {
 	calls = &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// silent reads the order, as only then the end of the connection is seen, and answers nothing.
+// neverAnswers reads the request, since the server notices the end of the connection only then, and answers
+// nothing.
 func neverAnswers(_ http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
@@ -47,11 +48,14 @@
 
 func put(addresses ...string) (*Response, error) {
 	client := &Client{Addresses: addresses, Timeout: 3 * time.Second}
-	return client.Call(context.Background(), Request{Method: http.MethodPut, Path: "/config", IfMatch: "5", Body: []byte(`{}`)})
+	return client.Call(
+		context.Background(),
+		Request{Method: http.MethodPut, Path: "/config", IfMatch: "5", Body: []byte(`{}`)},
+	)
 }
 
 func TestCall(t *testing.T) {
-	Convey("The order arrives as it was given", t, func() {
+	Convey("The request arrives as it was given", t, func() {
 		var seen *http.Request
 		var body []byte
 		address, _ := scriptedControl(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -65,14 +69,14 @@
 		So(seen.Header.Get("Content-Type"), ShouldEqual, "application/json")
 		So(string(body), ShouldEqual, "{}")
 	})
-	Convey("A failure is repeated at another address, with the same order", t, func() {
+	Convey("A request that failed is repeated at another address", t, func() {
 		first, _ := scriptedControl(t, status(503))
 		second, _ := scriptedControl(t, status(200))
 		answer, err := put("127.0.0.1:1", first, second)
 		So(err, ShouldBeNil)
 		So(answer.Address, ShouldEqual, second)
 	})
-	Convey("Silence is a failure", t, func() {
+	Convey("A time-out is a failure", t, func() {
 		first, _ := scriptedControl(t, neverAnswers)
 		second, _ := scriptedControl(t, status(200))
 		_, err := put(first, second)
@@ -87,13 +91,13 @@
 		So(answer.Address, ShouldEqual, second)
 		So(string(body), ShouldEqual, "{}")
 	})
-	Convey("Redirections that go round end", t, func() {
+	Convey("Redirections in a cycle end", t, func() {
 		var address string
 		address, _ = scriptedControl(t, func(w http.ResponseWriter, r *http.Request) { redirect(address)(w, r) })
 		_, err := put(address)
 		So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
 	})
-	Convey("A clear refusal is not repeated", t, func() {
+	Convey("A definite rejection is not repeated", t, func() {
 		for _, code := range []int{400, 409, 412, 413, 422} {
 			address, calls := scriptedControl(t, status(code))
 			_, err := put(address)
@@ -103,13 +107,13 @@
 			So(calls.Load(), ShouldEqual, 1)
 		}
 	})
-	Convey("Another refusal counts at the third try", t, func() {
+	Convey("Another rejection is definite at the third attempt", t, func() {
 		address, calls := scriptedControl(t, status(404))
 		_, err := put(address)
 		So(StatusOf(err), ShouldEqual, 404)
 		So(calls.Load(), ShouldEqual, 3)
 	})
-	Convey("Without any answer the order is said to be open", t, func() {
+	Convey("Without any answer the request is Unanswered", t, func() {
 		_, err := put("127.0.0.1:1")
 		So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
 		So(StatusOf(err), ShouldEqual, 0)
