--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -76,8 +76,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	bodies, answers := buffers.New(cfg.Buffers/2), buffers.New(cfg.Buffers/2)
-	members := pool.New(pool.Options{Sockets: cfg.MemberSockets, Answers: answers, LoadFields: cfg.Deployment.LoadFields(),
-		ConnIdle: cfg.Deployment.ConnIdle, ConnectWait: cfg.Deployment.ConnectWait})
+	members := pool.New(pool.Options{MaxConnections: cfg.MemberSockets, ResponseMemory: answers, LoadFields: cfg.Deployment.LoadFields(),
+		IdleTimeout: cfg.Deployment.ConnIdle, ConnectTimeout: cfg.Deployment.ConnectWait})
 	defer members.Close()
 	g := &gateway{failed: make(chan error, 3), state: service.New(), cfg: cfg, members: members, bodies: bodies, answers: answers}
 	defer g.close()
@@ -104,14 +104,14 @@
 	roster := discovery.NewRoster(members, decisions.Servers, cfg.Deployment.Zones, cfg.Deployment.Kinds)
 	g.decisions, g.roster, g.settings = decisions, roster, platform.NewSettings(cfg.Deployment)
 
-	ready := func() bool { return g.state.Ready() && members.Ready() > 0 }
+	ready := func() bool { return g.state.Ready() && members.ReadyServers() > 0 }
 	if cfg.Control != "" {
-		if err := g.control(cfg.Control, func() bool { return members.Ready() > 0 }); err != nil {
+		if err := g.control(cfg.Control, func() bool { return members.ReadyServers() > 0 }); err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
 	}
-	listen := front.Options{Listen: cfg.Listen, Sockets: cfg.ClientSockets, LongestDeadline: cfg.Deployment.LongestDeadline(),
-		State: g.state, Shared: g.path != "", Listener: heir.Listener(cfg.Listen)}
+	listen := front.Options{Address: cfg.Listen, MaxConnections: cfg.ClientSockets, MaxRequestDeadline: cfg.Deployment.LongestDeadline(),
+		State: g.state, ReusePort: g.path != "", Listener: heir.Listener(cfg.Listen)}
 	if cfg.Site.Storm != nil {
 		listen.Admit = decisions.Connect
 		g.counters = append(g.counters, func() core.Counts {
@@ -126,14 +126,14 @@
 		return part("gateway", door.Malformed(), decisions.Counters())
 	})
 	g.counters = append(g.counters, func() core.Counts {
-		n := members.Counts()
+		n := members.Stats()
 		c := core.Counts{slog.String("part", "pool"), slog.Uint64("reused", n.Reused), slog.Uint64("opened", n.Opened),
-			slog.Uint64("opened_past_use", n.OpenedPastUse), slog.Uint64("opened_in_place", n.OpenedInPlace),
-			slog.Uint64("open_failed", n.OpenFailed), slog.Uint64("no_descriptor", n.NoDescriptor),
-			slog.Int("open_now", n.OpenNow), slog.Int("idle_now", n.IdleNow)}
-		for i, held := range []buffers.Counts{bodies.Counts(), answers.Counts()} {
+			slog.Uint64("opened_past_use", n.OpenedAfterStale), slog.Uint64("opened_in_place", n.OpenedByEviction),
+			slog.Uint64("open_failed", n.ConnectFailed), slog.Uint64("no_descriptor", n.LimitReached),
+			slog.Int("open_now", n.Open), slog.Int("idle_now", n.Idle)}
+		for i, held := range []buffers.Stats{bodies.Stats(), answers.Stats()} {
 			name := []string{"bodies", "answers"}[i]
-			c = append(c, slog.Int64(name+"_held", held.Held), slog.Int64(name+"_highest", held.Highest), slog.Uint64(name+"_waits", held.Waits))
+			c = append(c, slog.Int64(name+"_held", held.InUse), slog.Int64(name+"_highest", held.Peak), slog.Uint64(name+"_waits", held.Waits))
 		}
 		if link != nil {
 			l := link.Counts()
@@ -194,7 +194,7 @@
 	g.give() // before the first yes: whoever hears that may start a successor
 	g.follow(ctx, false)
 	g.knowledge(cfg, opt.program, clock, decisions, roster)
-	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen, "members", members.Ready(),
+	slog.Info("started", "name", cfg.Name, "listen", cfg.Listen, "members", members.ReadyServers(),
 		"gateways", cfg.Deployment.Gateways)
 	ended := make(chan bool)
 	for {
@@ -206,8 +206,8 @@
 			g.report("stopped")
 			return nil
 		case <-ends: // all that was taken has its answer by its own deadline, or by when this process is to be gone
-			giveUp, within := service.EndWithin(g.longest())
-			if g.state.End(time.Now(), within) {
+			giveUp, within := service.ShutdownTimes(g.longest())
+			if g.state.Shutdown(time.Now(), within) {
 				time.AfterFunc(giveUp, g.decisions.GiveUp)
 				go func() { g.end(); close(ended) }()
 			}
@@ -335,7 +335,7 @@
 		g.closers = append(g.closers, func() { link.Close() })
 		go link.Serve(checker.PeerMessage)
 	}
-	if opt.Listen, opt.Listener = conf.Listen, heir.Listener(conf.Listen); conf.CertFile != "" {
+	if opt.Address, opt.Listener = conf.Listen, heir.Listener(conf.Listen); conf.CertFile != "" {
 		cert, err := tls.LoadX509KeyPair(conf.CertFile, conf.KeyFile)
 		if err != nil {
 			return fmt.Errorf("cert_file, key_file: %w", err)
@@ -387,7 +387,7 @@
 func (g *gateway) knowledge(cfg *config.Config, program string, clock core.Clock, decisions *core.Core, roster *discovery.Roster) {
 	conf := cfg.Site.Knowledge
 	if conf == nil {
-		g.state.Started()
+		g.state.MarkStarted()
 		return
 	}
 	h := helper.Open(program, pipe.Hello{Me: knowledge.Observer{Name: cfg.Name, Birth: uint64(clock.Now() / time.Millisecond)},
@@ -400,7 +400,7 @@
 	})
 	go func() {
 		h.Learnt(conf.Wait)
-		g.state.Started()
+		g.state.MarkStarted()
 	}()
 }
 
@@ -469,7 +469,7 @@
 			return err
 		}
 		g.settings.Set(next.Deployment)
-		g.members.Times(next.Deployment.ConnIdle, next.Deployment.ConnectWait)
+		g.members.SetTimeouts(next.Deployment.ConnIdle, next.Deployment.ConnectWait)
 	}
 	g.mu.Lock()
 	g.cfg, g.took = next, max(g.took, was.Deployment.LongestDeadline())
@@ -507,11 +507,11 @@
 		other, processes = *g.other, 2
 	}
 	runtimeLimits(g.cfg, processes)
-	g.members.Limit(max(1, g.cfg.MemberSockets-other.Members))
-	g.bodies.Limit(g.cfg.Buffers / 2 / int64(processes))
-	g.answers.Limit(g.cfg.Buffers / 2 / int64(processes))
+	g.members.SetMaxConnections(max(1, g.cfg.MemberSockets-other.Members))
+	g.bodies.SetLimit(g.cfg.Buffers / 2 / int64(processes))
+	g.answers.SetLimit(g.cfg.Buffers / 2 / int64(processes))
 	for _, s := range g.servers {
-		s.Limit(max(1, g.cfg.ClientSockets-other.Clients))
+		s.SetMaxConnections(max(1, g.cfg.ClientSockets-other.Clients))
 	}
 	if g.checker != nil {
 		g.checker.Limit(g.cfg.CheckSockets / processes)
@@ -545,7 +545,7 @@
 
 // end waits until the process may end: the state of service tells when.
 func (g *gateway) end() {
-	for open := -1; !g.state.MayEnd(time.Now(), open); time.Sleep(10 * time.Millisecond) {
+	for open := -1; !g.state.MayExit(time.Now(), open); time.Sleep(10 * time.Millisecond) {
 		open = g.clients()
 	}
 }
--- a/cmd/sprucelane/upgrade.go
+++ b/cmd/sprucelane/upgrade.go
@@ -66,7 +66,7 @@
 	}
 	conf := net.ListenConfig{}
 	if g.path != "" {
-		conf.Control = front.Share
+		conf.Control = front.SetReusePort
 	}
 	conn, err := retry(func() (net.PacketConn, error) {
 		return conf.ListenPacket(context.Background(), "udp", cfg.PeerListen.String())
@@ -150,7 +150,7 @@
 // clients counts the connections of clients.
 func (g *gateway) clients() (n int) {
 	for _, s := range g.servers {
-		n += s.Open()
+		n += s.OpenConnections()
 	}
 	return n
 }
@@ -184,11 +184,11 @@
 	most := p.cfg.MemberSockets / 2 // the rest is the other's, however many clients stay
 	p.mu.Unlock()
 	clients := p.clients()
-	return handover.Use{Clients: clients, Members: max(p.members.Counts().OpenNow, min(clients, most))}
+	return handover.Use{Clients: clients, Members: max(p.members.Stats().Open, min(clients, most))}
 }
 
 func (p *predecessor) Offer() (offer handover.Offer, files []*os.File, err error) {
-	offer.Drained, offer.Use = p.state.Drained(), p.use()
+	offer.Drained, offer.Use = p.state.DrainRequested(), p.use()
 	add := func(name string, open func() (*os.File, error)) {
 		f, failed := open()
 		if err = errors.Join(err, failed); failed == nil {
--- a/internal/buffers/budget.go
+++ b/internal/buffers/budget.go
@@ -12,11 +12,11 @@
 // without limit.
 type Budget struct {
 	mu      sync.Mutex
-	most    int64
-	held    int64
-	waiting []*waiter
+	limit   int64
+	inUse   int64
+	waiters []*waiter
 	waits   uint64
-	highest int64
+	peak    int64
 }
 
 type waiter struct {
@@ -25,90 +25,90 @@
 }
 
 // New gives a budget of so many bytes.
-func New(most int64) *Budget { return &Budget{most: most} }
+func New(limit int64) *Budget { return &Budget{limit: limit} }
 
 // Limit sets the bytes from now on. What is held over it is given back in its own time.
-func (b *Budget) Limit(most int64) {
+func (b *Budget) SetLimit(limit int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.most = most
-	b.wake()
+	b.limit = limit
+	b.grantWaiting()
 }
 
 // Take draws n bytes, and waits for them until some moment. It tells whether it has them. One that holds none may always
 // draw, however little the budget is, where nobody else holds any.
-func (b *Budget) Take(n int64, until time.Time) bool {
+func (b *Budget) Acquire(n int64, deadline time.Time) bool {
 	if b == nil {
 		return true
 	}
 	b.mu.Lock()
-	if len(b.waiting) == 0 && b.fits(n) {
-		b.hold(n)
+	if len(b.waiters) == 0 && b.fits(n) {
+		b.reserve(n)
 		b.mu.Unlock()
 		return true
 	}
 	w := &waiter{n, make(chan struct{})}
-	b.waiting = append(b.waiting, w)
+	b.waiters = append(b.waiters, w)
 	b.waits++
 	b.mu.Unlock()
-	late := time.NewTimer(time.Until(until))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
 	case <-w.ready:
 		return true
-	case <-late.C:
+	case <-timer.C:
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i := range b.waiting {
-		if b.waiting[i] == w {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
-			b.wake() // those behind may want less
+	for i := range b.waiters {
+		if b.waiters[i] == w {
+			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
+			b.grantWaiting() // those behind may want less
 			return false
 		}
 	}
 	return true // it came in the same moment
 }
 
-func (b *Budget) fits(n int64) bool { return b.held == 0 || b.held+n <= b.most }
+func (b *Budget) fits(n int64) bool { return b.inUse == 0 || b.inUse+n <= b.limit }
 
-func (b *Budget) hold(n int64) {
-	b.held += n
-	b.highest = max(b.highest, b.held)
+func (b *Budget) reserve(n int64) {
+	b.inUse += n
+	b.peak = max(b.peak, b.inUse)
 }
 
 // wake hands out to those that wait, in order. The mutex is held.
-func (b *Budget) wake() {
-	for len(b.waiting) > 0 && b.fits(b.waiting[0].n) {
-		b.hold(b.waiting[0].n)
-		close(b.waiting[0].ready)
-		b.waiting = b.waiting[1:]
+func (b *Budget) grantWaiting() {
+	for len(b.waiters) > 0 && b.fits(b.waiters[0].n) {
+		b.reserve(b.waiters[0].n)
+		close(b.waiters[0].ready)
+		b.waiters = b.waiters[1:]
 	}
 }
 
 // Give gives n bytes back.
-func (b *Budget) Give(n int64) {
+func (b *Budget) Release(n int64) {
 	if b == nil {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held -= n
-	b.wake()
+	b.inUse -= n
+	b.grantWaiting()
 }
 
 // Counts are what is held now and was at most, and how often somebody had to wait.
-type Counts struct {
-	Held, Highest int64
-	Waits         uint64
+type Stats struct {
+	InUse, Peak int64
+	Waits       uint64
 }
 
 // Counts gives the counts so far.
-func (b *Budget) Counts() Counts {
+func (b *Budget) Stats() Stats {
 	if b == nil {
-		return Counts{}
+		return Stats{}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Counts{b.held, b.highest, b.waits}
+	return Stats{b.inUse, b.peak, b.waits}
 }
--- a/internal/fake/faultyserver/world.go
+++ b/internal/fake/faultyserver/world.go
@@ -105,7 +105,7 @@
 
 func newWorld(seed uint64, size Size) *world {
 	w := &world{size: size, seed: seed, fleet: NewFleet(seed, size.Servers)}
-	w.pool = pool.New(pool.Options{Sockets: sockets, ConnIdle: connLife, ConnectWait: time.Second, Dial: w.fleet.Network.Dial})
+	w.pool = pool.New(pool.Options{MaxConnections: sockets, IdleTimeout: connLife, ConnectTimeout: time.Second, Dial: w.fleet.Network.Dial})
 	w.registry = endpoints.NewRegistry(w.pool)
 	for _, s := range w.fleet.Servers {
 		w.list.Servers = append(w.list.Servers, protocol.Server{ID: s.ID, Backend: backend, Address: s.Address})
@@ -117,7 +117,7 @@
 }
 
 func (w *world) play(t *testing.T) {
-	served, err := front.Listen(front.Options{Listener: w.fleet.Network.Listen(gateway), Sockets: sockets, LongestDeadline: time.Minute},
+	served, err := front.Listen(front.Options{Listener: w.fleet.Network.Listen(gateway), MaxConnections: sockets, MaxRequestDeadline: time.Minute},
 		w.proxy)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/control/control.go
+++ b/internal/front/control/control.go
@@ -167,7 +167,7 @@
 	yes := true
 	switch r.URL.Path {
 	case "/ready":
-		yes = s.state.Serves() && s.ready()
+		yes = s.state.CanServe() && s.ready()
 	case "/drain":
 		yes = s.state.Drain(s.now())
 	case "/undrain":
--- a/internal/front/control/control_test.go
+++ b/internal/front/control/control_test.go
@@ -63,14 +63,14 @@
 		phase  service.Phase
 	}{
 		{nil, ready, 503, "starting", service.Starting},
-		{state.Started, ready, 200, "serving", service.Serving},
+		{state.MarkStarted, ready, 200, "serving", service.Serving},
 		{nil, post("/undrain"), 200, "serving", service.Serving},
 		{nil, post("/drain"), 200, "draining", service.Draining},
 		{nil, ready, 200, "draining", service.Draining},
 		{nil, post("/drain"), 200, "draining", service.Draining},
 		{nil, post("/undrain") + post("/drain"), 200, "serving", service.Serving}, // the second call is none
-		{func() { state.End(time.Now(), time.Second) }, post("/undrain"), 503, "ending", service.Ending},
-		{nil, ready, 503, "ending", service.Ending},
+		{func() { state.Shutdown(time.Now(), time.Second) }, post("/undrain"), 503, "ending", service.ShuttingDown},
+		{nil, ready, 503, "ending", service.ShuttingDown},
 	} {
 		if step.before != nil {
 			step.before()
@@ -86,7 +86,7 @@
 // Whatever is no whole call gets a clear no, or nothing where its caller has left, and changes nothing.
 func TestNoCalls(t *testing.T) {
 	s, state := open(t)
-	state.Started()
+	state.MarkStarted()
 	for text, code := range map[string]int{
 		"GET /drain HTTP/1.1\r\nHost: x\r\n\r\n":                                                      405,
 		"POST /ready HTTP/1.1\r\nHost: x\r\n\r\n":                                                     405,
@@ -110,7 +110,7 @@
 // callers that hold their connections with half a call never keep another out, and are never answered in its place.
 func TestHeldConnections(t *testing.T) {
 	s, state := open(t)
-	state.Started()
+	state.MarkStarted()
 	for range 5 * callers {
 		_, err := io.WriteString(dial(t, s), "POST /drain HTTP/1.1\r\nHost: x\r\n")
 		require.NoError(t, err)
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -43,16 +43,16 @@
 	_, err := c.in.ReadByte()
 	assert.Equal(t, io.EOF, err)
 	assert.Equal(t, 1, served)
-	require.Eventually(t, func() bool { return s.Open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
 // So it is where the idle timer ends the connection, or the one for a head that doesn't come whole.
 func TestRequestThatCrossesATimer(t *testing.T) {
 	for _, begins := range []string{"", "GET"} {
-		s, err := Listen(Options{Listen: "127.0.0.1:0", Sockets: 9, LongestDeadline: time.Minute},
+		s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 9, MaxRequestDeadline: time.Minute},
 			http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		require.NoError(t, err)
-		s.http.IdleTimeout, s.http.ReadHeaderTimeout = 50*time.Millisecond, 50*time.Millisecond
+		s.httpServer.IdleTimeout, s.httpServer.ReadHeaderTimeout = 50*time.Millisecond, 50*time.Millisecond
 		go s.Serve()
 		t.Cleanup(s.Close)
 		c := dial(t, s)
@@ -66,7 +66,7 @@
 		}
 		_, err = io.ReadAll(c.in)
 		assert.NoError(t, err)
-		require.Eventually(t, func() bool { return s.Open() == 0 }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 	}
 }
 
@@ -82,7 +82,7 @@
 	require.Eventually(t, func() bool { return s.listener.idle() == 1 }, time.Minute, time.Millisecond)
 	read, on := make(chan bool), make(chan bool)
 	s.listener.mu.Lock()
-	s.listener.crossing = func() { read <- true; <-on }
+	s.listener.onRead = func() { read <- true; <-on }
 	s.listener.mu.Unlock()
 	c.ask(t)
 	<-read
@@ -95,7 +95,7 @@
 	}()
 	_, err := c.in.ReadByte()
 	assert.Equal(t, io.EOF, err)
-	require.Eventually(t, func() bool { return s.Open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 	assert.Empty(t, served)
 }
 
@@ -153,7 +153,7 @@
 			if leaves == nil {
 				assert.Empty(t, left, name)
 				close(free)
-				assert.Equal(t, len(more) > aheadMost, c.answer(t).Close, "what was not kept can't be answered")
+				assert.Equal(t, len(more) > maxPipelinedKept, c.answer(t).Close, "what was not kept can't be answered")
 				continue
 			}
 			leaves(c.Conn)
@@ -172,7 +172,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if !c.buffered() || !c.quiet() {
+		if !c.hasPipelined() || !c.nothingUnread() {
 			return false
 		}
 	}
@@ -193,7 +193,7 @@
 	<-taken
 	c.say(t, strings.Replace(request, "/", "/b", 1)+strings.Replace(request, "/", "/c", 1))
 	require.Eventually(t, func() bool { return s.listener.readAll() }, time.Minute, time.Millisecond)
-	s.state.End(time.Now().Add(time.Minute), time.Hour) // its grace is not over, however slow this machine
+	s.state.Shutdown(time.Now().Add(time.Minute), time.Hour) // its grace is not over, however slow this machine
 	close(free)
 	for _, want := range []string{"/", "/b", "/c"} {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -220,7 +220,7 @@
 		io.WriteString(w, r.URL.Path)
 	})
 	var reads atomic.Int32
-	s.listener.crossing = func() { reads.Add(1) }
+	s.listener.onRead = func() { reads.Add(1) }
 	c := dial(t, s)
 	c.ask(t)
 	<-taken
@@ -250,16 +250,16 @@
 		c.ask(t)
 		queue = append(queue, c)
 	}
-	s.state.End(time.Now().Add(-time.Second), time.Hour)
-	require.Eventually(t, func() bool { s.listener.mu.Lock(); defer s.listener.mu.Unlock(); return s.listener.shut }, time.Minute, time.Millisecond)
-	time.Sleep(2 * queueMost) // longer than a queue that nothing holds up is read
+	s.state.Shutdown(time.Now().Add(-time.Second), time.Hour)
+	require.Eventually(t, func() bool { s.listener.mu.Lock(); defer s.listener.mu.Unlock(); return s.listener.stopping }, time.Minute, time.Millisecond)
+	time.Sleep(2 * backlogDrainTimeout) // longer than a queue that nothing holds up is read
 	assert.Empty(t, done, "the port is still open")
 	close(free)
 	for _, c := range append(queue, first) {
 		assert.True(t, c.answer(t).Close)
 	}
 	require.NoError(t, <-done)
-	require.Eventually(t, func() bool { return s.Open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
 // At the bound a connection on which a request has come, though nobody has read it, is not the one that makes room.
@@ -267,7 +267,7 @@
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer port.Close()
-	l := &listener{conns: map[*client]bool{}}
+	l := &listener{conns: map[*clientConn]bool{}}
 	var rests net.Conn
 	for i, say := range []string{request, "", ""} {
 		far, err := net.Dial("tcp", port.Addr().String())
@@ -276,12 +276,12 @@
 		near, err := port.Accept()
 		require.NoError(t, err)
 		defer near.Close()
-		l.conns[&client{Conn: near, in: l, state: http.StateIdle, since: time.Unix(int64(i), 0)}] = true
+		l.conns[&clientConn{Conn: near, listener: l, state: http.StateIdle, stateSince: time.Unix(int64(i), 0)}] = true
 		io.WriteString(far, say)
 		if i == 1 {
 			rests = near
 		}
 	}
-	require.Eventually(t, func() bool { return l.longest(http.StateIdle, 0).Conn == rests }, time.Minute, time.Millisecond,
+	require.Eventually(t, func() bool { return l.longestInState(http.StateIdle, 0).Conn == rests }, time.Minute, time.Millisecond,
 		"of those that rest the one that has for the longest")
 }
--- a/internal/front/framing_test.go
+++ b/internal/front/framing_test.go
@@ -45,14 +45,14 @@
 		"two lengths":     {get + strings.Replace(sized, "Host: x", "Content-Length: 4", 1) + get, 1, 1},
 	} {
 		for cut := range c.text {
-			f := framing{}
-			f.follow([]byte(c.text[:cut]))
-			f.follow([]byte(c.text[cut:]))
+			f := framingScanner{}
+			f.scan([]byte(c.text[:cut]))
+			f.scan([]byte(c.text[cut:]))
 			if name != "bare line ends" { // chunks with bare line ends are not net/http's either
 				assert.Equal(t, c.heads, f.heads, "%s cut at %d", name, cut)
 			}
 			for n := 1; n <= 7; n++ {
-				assert.Equal(t, n <= c.clean, f.clean(n), "%s cut at %d: request %d", name, cut, n)
+				assert.Equal(t, n <= c.clean, f.unambiguous(n), "%s cut at %d: request %d", name, cut, n)
 			}
 			if t.Failed() {
 				return
@@ -65,7 +65,7 @@
 func TestChunksAlone(t *testing.T) {
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		fmt.Fprintf(w, "%v %s", ChunksAlone(r), body)
+		fmt.Fprintf(w, "%v %s", UnambiguousFraming(r), body)
 	})
 	c := dial(t, s)
 	_, err := io.WriteString(c, chunked+sized+chunked+both)
@@ -86,14 +86,14 @@
 		f.Add([]byte(text), 7)
 	}
 	f.Fuzz(func(t *testing.T, data []byte, piece int) {
-		var fr framing
+		var fr framingScanner
 		for rest := data; len(rest) > 0; {
 			n := min(max(piece, 1), len(rest))
-			fr.follow(rest[:n])
+			fr.scan(rest[:n])
 			rest = rest[n:]
 		}
-		if len(fr.line) > mostLine || len(fr.tail) > mostTail {
-			t.Fatal(len(fr.line), len(fr.tail))
+		if len(fr.linePrefix) > maxLinePrefix || len(fr.lineSuffix) > lineSuffixSize {
+			t.Fatal(len(fr.linePrefix), len(fr.lineSuffix))
 		}
 		in := bufio.NewReader(bytes.NewReader(data))
 		for n := 1; ; n++ {
@@ -104,7 +104,7 @@
 				return
 			}
 			head, _, _ := strings.Cut(strings.ReplaceAll(strings.TrimLeft(string(rest), "\r\n"), "\r\n", "\n"), "\n\n")
-			if len(r.TransferEncoding) > 0 && fr.clean(n) && strings.Contains(strings.ToLower(head), "\ncontent-length:") {
+			if len(r.TransferEncoding) > 0 && fr.unambiguous(n) && strings.Contains(strings.ToLower(head), "\ncontent-length:") {
 				t.Fatalf("request %d of %q is vouched for", n, data)
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/front/introspect/introspect.go
+++ b/internal/front/introspect/introspect.go
@@ -56,7 +56,7 @@
 // NewChecker gives a checker for a deployment. Without tell, its quotas are each gateway's own part.
 func NewChecker(conf config.Introspection, d config.Deployment, sockets int, seed uint64, clock core.Clock,
 	tell func(int, []byte)) (*Checker, error) {
-	opt := pool.Options{Sockets: sockets, Answers: buffers.New(maxVerdicts), Whole: true, ConnIdle: d.ConnIdle, ConnectWait: min(d.ConnectWait, conf.Timeout/2)}
+	opt := pool.Options{MaxConnections: sockets, ResponseMemory: buffers.New(maxVerdicts), BufferResponses: true, IdleTimeout: d.ConnIdle, ConnectTimeout: min(d.ConnectWait, conf.Timeout/2)}
 	if conf.TLS {
 		opt.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: conf.Roots}
 	}
@@ -108,7 +108,7 @@
 func (k *Checker) Close() { k.pool.Close() }
 
 // Limit sets how many connections to endpoints may be open at once from now on.
-func (k *Checker) Limit(sockets int) { k.pool.Limit(sockets) }
+func (k *Checker) Limit(sockets int) { k.pool.SetMaxConnections(sockets) }
 
 // PeerMessage takes the checks' own peer messages in.
 func (k *Checker) PeerMessage(from int, message []byte) { k.core.PeerMessage(from, message) }
--- a/internal/front/introspect/introspect_test.go
+++ b/internal/front/introspect/introspect_test.go
@@ -47,7 +47,7 @@
 	if change != nil {
 		change(&conf)
 	}
-	p := pool.New(pool.Options{Sockets: 200, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait})
+	p := pool.New(pool.Options{MaxConnections: 200, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
 	clock := core.NewClock()
 	c, err := core.New(d.Settings, 1, clock, p, nil)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -47,7 +47,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		port := newPipes()
 		handled, left, goOn := 0, false, make(chan bool)
-		s, err := Listen(Options{Listener: port, Sockets: 9, LongestDeadline: time.Minute}, http.HandlerFunc(
+		s, err := Listen(Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute}, http.HandlerFunc(
 			func(_ http.ResponseWriter, r *http.Request) {
 				handled++
 				io.Copy(io.Discard, r.Body)
@@ -60,7 +60,7 @@
 				panic(http.ErrAbortHandler)
 			}))
 		require.NoError(t, err)
-		s.state.Started()
+		s.state.MarkStarted()
 		go s.Serve()
 		c := port.dial()
 		go io.Copy(io.Discard, c.Conn)
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -55,12 +55,12 @@
 		b.w.SetReadDeadline(time.Time{}) // a client's leaving is watched for as long as its answer takes
 		return b, nil
 	}
-	if r.ContentLength > pool.MaxLong {
+	if r.ContentLength > pool.MaxBodySize {
 		return nil, tooLong
 	}
-	most := int64(pool.MaxBody)
+	most := int64(pool.MaxBufferedBody)
 	if r.ContentLength > most {
-		most = pool.Piece
+		most = pool.StreamBufferSize
 	} else if r.ContentLength > 0 {
 		most = r.ContentLength
 	}
@@ -90,7 +90,7 @@
 
 // grow makes room for so many bytes in all.
 func (b *Body) grow(size int64, until time.Time) bool {
-	if !b.budget.Take(size-b.drawn, until) {
+	if !b.budget.Acquire(size-b.drawn, until) {
 		return false
 	}
 	b.drawn = size
@@ -138,7 +138,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked = time.Now()
-	if b.n += int64(n); b.n > pool.MaxLong && err == nil {
+	if b.n += int64(n); b.n > pool.MaxBodySize && err == nil {
 		err = errLong
 	}
 	switch {
@@ -184,7 +184,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	b.budget.Give(b.drawn)
+	b.budget.Release(b.drawn)
 	b.drawn = 0
 }
 
@@ -248,7 +248,7 @@
 	piece := a.Body
 	for {
 		if len(piece) > 0 {
-			rc.SetWriteDeadline(time.Now().Add(pool.Progress))
+			rc.SetWriteDeadline(time.Now().Add(pool.StallTimeout))
 			if _, err := w.Write(piece); err != nil || rc.Flush() != nil {
 				panic(http.ErrAbortHandler) // the client has left, or takes nothing
 			}
@@ -259,7 +259,7 @@
 		case errors.Is(err, io.EOF) && n == 0:
 			return
 		case err != nil && !errors.Is(err, io.EOF):
-			front.Break(r)
+			front.AbortResponse(r)
 		}
 	}
 }
--- a/internal/front/platform/body_test.go
+++ b/internal/front/platform/body_test.go
@@ -24,7 +24,7 @@
 func door(t *testing.T, members ...*fake.Peer) (string, *core.Core, *buffers.Budget) {
 	f := behind(t, members...)
 	f.Bodies = buffers.New(1 << 20)
-	s, err := front.Listen(front.Options{Listen: "127.0.0.1:0", Sockets: 50, LongestDeadline: f.Settings.Get().LongestDeadline()}, f)
+	s, err := front.Listen(front.Options{Address: "127.0.0.1:0", MaxConnections: 50, MaxRequestDeadline: f.Settings.Get().LongestDeadline()}, f)
 	require.NoError(t, err)
 	go s.Serve()
 	t.Cleanup(s.Close)
@@ -79,7 +79,7 @@
 	m := fake.New(t, fake.OK("done"))
 	addr, c, bodies := door(t, m)
 	client, id, served := dial(t, addr), 100, 0
-	for _, size := range []int{1, 5000, pool.MaxBody, pool.MaxBody + 1, 300 << 10, 3 << 20} {
+	for _, size := range []int{1, 5000, pool.MaxBufferedBody, pool.MaxBufferedBody + 1, 300 << 10, 3 << 20} {
 		body := strings.Repeat("0123456789abcdef!", size/17+1)[:size]
 		for name, text := range map[string]string{
 			"length": fmt.Sprintf("Content-Length: %d\r\n", size), "expected": fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", size),
@@ -113,8 +113,8 @@
 		}
 	}
 	assert.Contains(t, c.Counters().String(), "open=0")
-	require.Eventually(t, func() bool { return bodies.Counts().Held == 0 }, time.Minute, time.Millisecond)
-	assert.LessOrEqual(t, bodies.Counts().Highest, int64(pool.MaxBody))
+	require.Eventually(t, func() bool { return bodies.Stats().InUse == 0 }, time.Minute, time.Millisecond)
+	assert.LessOrEqual(t, bodies.Stats().Peak, int64(pool.MaxBufferedBody))
 }
 
 // A refusal goes out at once, while the body is still coming, and the client may finish what it sends before it reads.
@@ -162,7 +162,7 @@
 		assert.Less(t, time.Since(begun), 20*time.Second, name)
 	}
 	assert.Empty(t, m.Seen())
-	require.Eventually(t, func() bool { return bodies.Counts().Held == 0 && strings.Contains(c.Counters().String(), "open=0") }, time.Minute,
+	require.Eventually(t, func() bool { return bodies.Stats().InUse == 0 && strings.Contains(c.Counters().String(), "open=0") }, time.Minute,
 		time.Millisecond)
 }
 
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -149,7 +149,7 @@
 	if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t") {
 		return in, nil, bad(hID + ": missing or malformed")
 	}
-	if len(r.TransferEncoding) > 0 && !front.ChunksAlone(r) {
+	if len(r.TransferEncoding) > 0 && !front.UnambiguousFraming(r) {
 		return in, nil, bad("Transfer-Encoding: beside Content-Length, or it can't be told")
 	}
 	path, ok := strings.CutPrefix(r.RequestURI, "/")
@@ -212,7 +212,7 @@
 	}
 	m := &pool.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: body.Kept}
 	if in.Message = m; body.More() {
-		m.Rest, m.Length = body, r.ContentLength
+		m.Remainder, m.ContentLength = body, r.ContentLength
 		in.Coming, in.Wait = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
 	}
 	return in, body, nil
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -24,7 +24,7 @@
 // behind gives a front a core and a pool of some members; what else it needs is the test's.
 func behind(t *testing.T, members ...*fake.Peer) *platform.Front {
 	d := fake.Deployment()
-	p := pool.New(pool.Options{Sockets: 50, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait})
+	p := pool.New(pool.Options{MaxConnections: 50, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
 	require.NoError(t, err)
@@ -34,7 +34,7 @@
 		list = append(list, policy.ServerInfo{ID: policy.ServerID(i + 1), Weight: 1})
 	}
 	c.Servers(policy.ListFull, list)
-	return &platform.Front{Core: c, Settings: platform.NewSettings(d), Open: &platform.Open{}, Ready: func() bool { return p.Ready() > 0 }}
+	return &platform.Front{Core: c, Settings: platform.NewSettings(d), Open: &platform.Open{}, Ready: func() bool { return p.ReadyServers() > 0 }}
 }
 
 // gateway puts a whole gateway before some pool members and gives its address.
@@ -188,7 +188,7 @@
 		resp, _ := fake.Ask(t, base, "work-order", "utility", 20000, header[0], header[1])
 		assert.Equal(t, http.StatusBadRequest, resp.StatusCode, header)
 	}
-	long, err := http.Post(base+"/work-order", "", strings.NewReader(strings.Repeat("x", pool.MaxBody+1)))
+	long, err := http.Post(base+"/work-order", "", strings.NewReader(strings.Repeat("x", pool.MaxBufferedBody+1)))
 	require.NoError(t, err)
 	long.Body.Close()
 	assert.GreaterOrEqual(t, long.StatusCode, 400)
--- a/internal/front/rest.go
+++ b/internal/front/rest.go
@@ -9,32 +9,32 @@
 
 const (
 	// restMost is net/http's limit there.
-	restMost = 10 * time.Minute
+	maxIdleTimeout = 10 * time.Minute
 	// restLook is how often it is looked who has rested for too long.
-	restLook = 500 * time.Millisecond
+	idleCheckInterval = 500 * time.Millisecond
 )
 
 // endRests closes connections that have rested for longer than is allowed, until Close.
-func (s *Server) endRests() {
-	look := time.NewTicker(restLook)
-	defer look.Stop()
+func (s *Server) runIdleTimeout() {
+	ticker := time.NewTicker(idleCheckInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.closed:
 			return
-		case <-look.C:
-			s.listener.closeRested(time.Now().Add(-s.idleFor()))
+		case <-ticker.C:
+			s.listener.closeIdleSince(time.Now().Add(-s.idleTimeoutFunc()))
 		}
 	}
 }
 
 // closeRested closes the connections that have rested since some moment or longer, and on which nothing has come.
-func (l *listener) closeRested(since time.Time) {
+func (l *listener) closeIdleSince(cutoff time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if c.state == http.StateIdle && !c.begun && c.since.Before(since) && c.quiet() {
-			c.end()
+		if c.state == http.StateIdle && !c.requestBegun && c.stateSince.Before(cutoff) && c.nothingUnread() {
+			c.closeLocked()
 		}
 	}
 }
--- a/internal/front/rest_test.go
+++ b/internal/front/rest_test.go
@@ -52,10 +52,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		port, allowed := newPipes(), atomic.Int64{}
 		allowed.Store(int64(15 * time.Second))
-		s, err := Listen(Options{Listener: port, Sockets: 9, LongestDeadline: time.Minute, IdleWait: 15 * time.Second,
-			IdleFor: func() time.Duration { return time.Duration(allowed.Load()) }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+		s, err := Listen(Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute, IdleTimeout: 15 * time.Second,
+			IdleTimeoutFunc: func() time.Duration { return time.Duration(allowed.Load()) }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		require.NoError(t, err)
-		s.state.Started()
+		s.state.MarkStarted()
 		go s.Serve()
 		defer s.Close()
 		c := port.dial()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -23,79 +23,79 @@
 )
 
 const (
-	headerWait  = 2500 * time.Millisecond // a client that says nothing or not all is left, and owed that within 3 s
-	idleWait    = 2 * time.Minute
-	answerSlack = 5 * time.Second  // beyond the longest deadline, for a slow client to send and read
-	answerWait  = 10 * time.Second // that a client may take nothing of an answer; a long one's is set anew as it goes
-	maxHeader   = 16 << 10
+	defaultReadHeaderTimeout = 2500 * time.Millisecond // a client that says nothing or not all is left, and owed that within 3 s
+	defaultIdleTimeout       = 2 * time.Minute
+	transferSlack            = 5 * time.Second  // beyond the longest deadline, for a slow client to send and read
+	writeStallTimeout        = 10 * time.Second // that a client may take nothing of an answer; a long one's is set anew as it goes
+	defaultMaxHeaderBytes    = 16 << 10
 
 	// newGrace is how long a new connection may say nothing before it makes room for others at the bound.
-	newGrace = 250 * time.Millisecond
+	newConnGrace = 250 * time.Millisecond
 	// lookAgain is how often connections are looked at while clients are sent away.
-	lookAgain = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 	// queueWait is how long nothing has to come for a port's queue to count as empty, queueMost how long it is emptied for.
-	queueWait, queueMost = 20 * time.Millisecond, 300 * time.Millisecond
+	backlogQuietPeriod, backlogDrainTimeout = 20 * time.Millisecond, 300 * time.Millisecond
 )
 
 // Server is a virtual server.
 type Server struct {
-	http     *http.Server
-	listener *listener
-	state    *service.State
-	idleFor  func() time.Duration // nil: net/http's limit counts
-	closed   chan struct{}
+	httpServer      *http.Server
+	listener        *listener
+	state           *service.State
+	idleTimeoutFunc func() time.Duration // nil: net/http's limit counts
+	closed          chan struct{}
 }
 
 // Options are a virtual server's limits.
 type Options struct {
-	Listen          string
-	Sockets         int                  // client connections at once
-	LongestDeadline time.Duration        // of any transaction
-	TLS             *tls.Config          // nil: plain
-	Admit           func() bool          // whether one more new connection may be taken; nil: all may
-	State           *service.State       // nil: of its own, always serving
-	Listener        net.Listener         // taken over from a predecessor; nil: Listen is opened
-	Shared          bool                 // others of the same gateway may listen at the address as well
-	HeaderWait      time.Duration        // in which a head has to come; 0: the standard
-	IdleWait        time.Duration        // that a client may rest between requests; 0: the standard
-	IdleFor         func() time.Duration // the same, where it changes; nil: IdleWait counts
-	MaxHeader       int                  // bytes of a head; 0: the standard
+	Address            string
+	MaxConnections     int                  // client connections at once
+	MaxRequestDeadline time.Duration        // of any transaction
+	TLS                *tls.Config          // nil: plain
+	Admit              func() bool          // whether one more new connection may be taken; nil: all may
+	State              *service.State       // nil: of its own, always serving
+	Listener           net.Listener         // taken over from a predecessor; nil: Listen is opened
+	ReusePort          bool                 // others of the same gateway may listen at the address as well
+	ReadHeaderTimeout  time.Duration        // in which a head has to come; 0: the standard
+	IdleTimeout        time.Duration        // that a client may rest between requests; 0: the standard
+	IdleTimeoutFunc    func() time.Duration // the same, where it changes; nil: IdleWait counts
+	MaxHeaderBytes     int                  // bytes of a head; 0: the standard
 }
 
 // Listen opens the port. Nothing is taken before Serve.
-func Listen(opt Options, handler http.Handler) (*Server, error) {
-	inner := opt.Listener
+func Listen(options Options, handler http.Handler) (*Server, error) {
+	inner := options.Listener
 	if inner == nil {
 		conf := net.ListenConfig{}
-		if opt.Shared {
-			conf.Control = Share
+		if options.ReusePort {
+			conf.Control = SetReusePort
 		}
 		var err error
-		if inner, err = conf.Listen(context.Background(), "tcp", opt.Listen); err != nil {
+		if inner, err = conf.Listen(context.Background(), "tcp", options.Address); err != nil {
 			return nil, err
 		}
 	}
-	if opt.State == nil {
-		opt.State = service.New()
+	if options.State == nil {
+		options.State = service.New()
 	}
-	s := &Server{listener: &listener{Listener: inner, most: opt.Sockets, opaque: opt.TLS != nil, admit: opt.Admit, conns: map[*client]bool{}},
-		state: opt.State, idleFor: opt.IdleFor, closed: make(chan struct{})}
-	if opt.IdleFor != nil {
-		opt.IdleWait = restMost
+	s := &Server{listener: &listener{Listener: inner, maxConns: options.MaxConnections, encrypted: options.TLS != nil, admit: options.Admit, conns: map[*clientConn]bool{}},
+		state: options.State, idleTimeoutFunc: options.IdleTimeoutFunc, closed: make(chan struct{})}
+	if options.IdleTimeoutFunc != nil {
+		options.IdleTimeout = maxIdleTimeout
 	}
-	s.listener.freed = sync.NewCond(&s.listener.mu)
+	s.listener.slotFreed = sync.NewCond(&s.listener.mu)
 	// A read time-out below the longest deadline would look like a client that left in the middle of its wait.
-	limit := opt.LongestDeadline + answerSlack
-	s.http = &http.Server{ReadHeaderTimeout: cmp.Or(opt.HeaderWait, headerWait), ReadTimeout: limit, WriteTimeout: limit,
-		IdleTimeout: cmp.Or(opt.IdleWait, idleWait), MaxHeaderBytes: cmp.Or(opt.MaxHeader, maxHeader), ConnState: s.listener.follow, ConnContext: keepClient, TLSConfig: opt.TLS,
+	limit := options.MaxRequestDeadline + transferSlack
+	s.httpServer = &http.Server{ReadHeaderTimeout: cmp.Or(options.ReadHeaderTimeout, defaultReadHeaderTimeout), ReadTimeout: limit, WriteTimeout: limit,
+		IdleTimeout: cmp.Or(options.IdleTimeout, defaultIdleTimeout), MaxHeaderBytes: cmp.Or(options.MaxHeaderBytes, defaultMaxHeaderBytes), ConnState: s.listener.trackState, ConnContext: withConn, TLSConfig: options.TLS,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			a := &answer{ResponseWriter: w, state: opt.State}
-			if c, _ := r.Context().Value(clientKey{}).(*client); c != nil {
-				a.client = c
-				c.handles(true)
-				defer c.handles(false)
+			a := &responseWriter{ResponseWriter: w, state: options.State}
+			if c, _ := r.Context().Value(connKey{}).(*clientConn); c != nil {
+				a.conn = c
+				c.setHandling(true)
+				defer c.setHandling(false)
 			}
-			if handler.ServeHTTP(a, r); !a.headed {
+			if handler.ServeHTTP(a, r); !a.headerWritten {
 				a.WriteHeader(http.StatusOK)
 			}
 		}),
@@ -104,14 +104,14 @@
 }
 
 // Share lets another process of the same user listen at a socket's address.
-func Share(_, _ string, raw syscall.RawConn) error {
-	var failed error
+func SetReusePort(_, _ string, raw syscall.RawConn) error {
+	var optErr error
 	if err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}); err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
 // File gives the open port as a file of its own.
@@ -124,75 +124,75 @@
 }
 
 // Pause leaves new connections waiting in the port's queue, until Resume.
-func (s *Server) Pause() { s.listener.pause(true) }
+func (s *Server) Pause() { s.listener.setPaused(true) }
 
 // Resume takes new connections again.
-func (s *Server) Resume() { s.listener.pause(false) }
+func (s *Server) Resume() { s.listener.setPaused(false) }
 
 // answer marks an answer as its connection's last where clients are sent away by the time that it is written. For as long as
 // idle connections are left, one behind which more has come already is not: what has been read is answered as well.
-type answer struct {
+type responseWriter struct {
 	http.ResponseWriter
-	state  *service.State
-	client *client // nil: under TLS what has come can't be told
-	headed bool
+	state         *service.State
+	conn          *clientConn // nil: under TLS what has come can't be told
+	headerWritten bool
 }
 
-func (a *answer) WriteHeader(code int) {
-	if !a.headed && (a.state.Last() && !(a.client.behind() && !a.state.ClosesIdle(time.Now())) || a.client.overrun()) {
+func (a *responseWriter) WriteHeader(code int) {
+	if !a.headerWritten && (a.state.ClosesAfterResponse() && !(a.conn.moreArrived() && !a.state.ClosesIdle(time.Now())) || a.conn.overflowed()) {
 		a.Header().Set("Connection", "close")
 	}
-	if !a.headed {
-		http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(answerWait))
+	if !a.headerWritten {
+		http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
 	}
-	a.headed = a.headed || code >= http.StatusOK
+	a.headerWritten = a.headerWritten || code >= http.StatusOK
 	a.ResponseWriter.WriteHeader(code)
 }
 
-func (a *answer) Write(b []byte) (int, error) {
-	if !a.headed {
+func (a *responseWriter) Write(b []byte) (int, error) {
+	if !a.headerWritten {
 		a.WriteHeader(http.StatusOK)
 	}
 	return a.ResponseWriter.Write(b)
 }
 
 // Unwrap is net/http's way to the connection's time limits.
-func (a *answer) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
 
 // Addr is where the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Limit sets how many client connections may be open at once from now on.
-func (s *Server) Limit(sockets int) {
+func (s *Server) SetMaxConnections(maxConns int) {
 	s.listener.mu.Lock()
-	s.listener.most = sockets
-	s.listener.freed.Broadcast()
+	s.listener.maxConns = maxConns
+	s.listener.slotFreed.Broadcast()
 	s.listener.mu.Unlock()
 }
 
 // Serve takes connections until the process may end.
 func (s *Server) Serve() error {
-	go s.sendAway()
-	if s.idleFor != nil {
-		go s.endRests()
+	go s.runDrain()
+	if s.idleTimeoutFunc != nil {
+		go s.runIdleTimeout()
 	}
 	var err error
-	if s.http.TLSConfig != nil {
-		err = s.http.ServeTLS(s.listener, "", "")
+	if s.httpServer.TLSConfig != nil {
+		err = s.httpServer.ServeTLS(s.listener, "", "")
 	} else {
-		err = s.http.Serve(s.listener)
+		err = s.httpServer.Serve(s.listener)
 	}
-	if s.state.Phase() == service.Ending {
+	if s.state.Phase() == service.ShuttingDown {
 		return nil
 	}
 	return err
 }
 
 // sendAway closes connections while clients are sent away, and the port once no more are taken.
-func (s *Server) sendAway() {
+func (s *Server) runDrain() {
 	for {
 		changed := s.state.Changed()
-		if !s.state.Last() {
+		if !s.state.ClosesAfterResponse() {
 			select {
 			case <-s.closed:
 				return
@@ -210,18 +210,18 @@
 		select {
 		case <-s.closed:
 			return
-		case <-time.After(lookAgain):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
 
 // Open counts the connections, those that linger and a port whose queue is being emptied among them.
-func (s *Server) Open() int {
+func (s *Server) OpenConnections() int {
 	l := s.listener
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := len(l.conns) + len(l.lingers)
-	if l.shut && !l.closed {
+	n := len(l.conns) + len(l.lingering)
+	if l.stopping && !l.closed {
 		n++
 	}
 	return n
@@ -231,9 +231,9 @@
 func (s *Server) Close() {
 	close(s.closed)
 	s.listener.mu.Lock()
-	s.listener.dead = true
+	s.listener.aborted = true
 	s.listener.mu.Unlock()
-	s.http.Close()
+	s.httpServer.Close()
 }
 
 // listener bounds the connections open at once. At the bound the client that is idle the longest makes room, else
@@ -241,51 +241,51 @@
 // for long, and connections opened by the hundred in silence must not keep it there.
 type listener struct {
 	net.Listener
-	most    int
-	opaque  bool // under TLS
-	admit   func() bool
-	mu      sync.Mutex
-	freed   *sync.Cond
-	conns   map[*client]bool
-	lingers []*client // closed towards the client, longest first; what still comes is read and thrown away
-	shut    bool      // no more are taken but what waits in the queue,
-	until   time.Time // until then at the latest
-	closed  bool      // nor that
-	still   bool      // paused
-	dead    bool      // nothing is waited for any more
-
-	crossing func() // of tests: bytes have been read, and nothing knows of them yet
+	maxConns        int
+	encrypted       bool // under TLS
+	admit           func() bool
+	mu              sync.Mutex
+	slotFreed       *sync.Cond
+	conns           map[*clientConn]bool
+	lingering       []*clientConn // closed towards the client, longest first; what still comes is read and thrown away
+	stopping        bool          // no more are taken but what waits in the queue,
+	backlogDeadline time.Time     // until then at the latest
+	closed          bool          // nor that
+	paused          bool          // paused
+	aborted         bool          // nothing is waited for any more
+
+	onRead func() // of tests: bytes have been read, and nothing knows of them yet
 }
 
 // pause is carried out by a deadline in the past: to close the port would take what waits in its queue with it.
-func (l *listener) pause(still bool) {
+func (l *listener) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.still = still
+	l.paused = paused
 	t, ok := l.Listener.(*net.TCPListener)
 	switch {
 	case !ok:
-	case still:
+	case paused:
 		t.SetDeadline(time.Now())
 	default:
 		t.SetDeadline(time.Time{})
-		l.freed.Broadcast()
+		l.slotFreed.Broadcast()
 	}
 }
 
 // next gives the next connection from the queue. Once no more are to come it empties that, as to close the port would reset
 // what waits there.
-func (l *listener) next() (net.Conn, error) {
+func (l *listener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
 		l.mu.Lock()
-		for l.still && !l.shut {
-			l.freed.Wait()
+		for l.paused && !l.stopping {
+			l.slotFreed.Wait()
 		}
-		if l.shut {
+		if l.stopping {
 			l.closed = true
 			err = l.Listener.Close()
 			l.mu.Unlock()
@@ -296,67 +296,67 @@
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.next()
+	c, err := l.acceptNext()
 	for err == nil && l.admit != nil && !l.admit() { // closed early and cheaply, before a byte of it is read
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 		c.Close()
-		c, err = l.next()
+		c, err = l.acceptNext()
 	}
 	if err != nil {
 		return nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.conns) >= l.most && !l.dead {
-		l.until = time.Time{} // what waits in the queue has waited for this one
-		if old := l.longest(http.StateIdle, 0); old != nil {
-			old.end()
-		} else if old := l.longest(http.StateNew, newGrace); old != nil {
-			old.end()
+	for len(l.conns) >= l.maxConns && !l.aborted {
+		l.backlogDeadline = time.Time{} // what waits in the queue has waited for this one
+		if old := l.longestInState(http.StateIdle, 0); old != nil {
+			old.closeLocked()
+		} else if old := l.longestInState(http.StateNew, newConnGrace); old != nil {
+			old.closeLocked()
 		} else {
-			wake := time.AfterFunc(newGrace, l.freed.Broadcast)
-			l.freed.Wait()
+			wake := time.AfterFunc(newConnGrace, l.slotFreed.Broadcast)
+			l.slotFreed.Wait()
 			wake.Stop()
 		}
 	}
-	k := &client{Conn: c, in: l, opaque: l.opaque, state: http.StateNew, since: time.Now()}
+	k := &clientConn{Conn: c, listener: l, encrypted: l.encrypted, state: http.StateNew, stateSince: time.Now()}
 	l.conns[k] = true
-	if l.shut {
-		l.emptying()
+	if l.stopping {
+		l.extendBacklogDeadline()
 	}
 	return k, nil
 }
 
 // emptying lets the queue be read on until nothing comes for a moment. The mutex is held.
-func (l *listener) emptying() {
+func (l *listener) extendBacklogDeadline() {
 	if t, ok := l.Listener.(*net.TCPListener); ok {
-		if l.until.IsZero() {
-			l.until = time.Now().Add(queueMost)
+		if l.backlogDeadline.IsZero() {
+			l.backlogDeadline = time.Now().Add(backlogDrainTimeout)
 		}
-		by := time.Now().Add(queueWait)
-		if by.After(l.until) {
-			by = l.until
+		deadline := time.Now().Add(backlogQuietPeriod)
+		if deadline.After(l.backlogDeadline) {
+			deadline = l.backlogDeadline
 		}
-		t.SetDeadline(by)
+		t.SetDeadline(deadline)
 	}
 }
 
 func (l *listener) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut {
-		if l.dead && !l.closed {
+	if l.stopping {
+		if l.aborted && !l.closed {
 			l.closed = true
 			return l.Listener.Close()
 		}
 		return nil
 	}
-	l.shut = true
-	l.freed.Broadcast()
-	if _, ok := l.Listener.(*net.TCPListener); ok && !l.still && !l.dead { // paused, the queue is another's
-		l.emptying()
+	l.stopping = true
+	l.slotFreed.Broadcast()
+	if _, ok := l.Listener.(*net.TCPListener); ok && !l.paused && !l.aborted { // paused, the queue is another's
+		l.extendBacklogDeadline()
 		return nil
 	}
 	l.closed = true
@@ -365,19 +365,19 @@
 
 // longest gives the connection that has been in a state for the longest, if for more than some time, and on which nothing
 // has come.
-func (l *listener) longest(state http.ConnState, more time.Duration) (old *client) {
-	before, passed := time.Now().Add(-more), map[*client]bool{}
+func (l *listener) longestInState(state http.ConnState, minAge time.Duration) (oldest *clientConn) {
+	before, skipped := time.Now().Add(-minAge), map[*clientConn]bool{}
 	for {
-		old = nil
+		oldest = nil
 		for c := range l.conns {
-			if c.state == state && !c.begun && !passed[c] && c.since.Before(before) && (old == nil || c.since.Before(old.since)) {
-				old = c
+			if c.state == state && !c.requestBegun && !skipped[c] && c.stateSince.Before(before) && (oldest == nil || c.stateSince.Before(oldest.stateSince)) {
+				oldest = c
 			}
 		}
-		if old == nil || old.quiet() {
-			return old
+		if oldest == nil || oldest.nothingUnread() {
+			return oldest
 		}
-		passed[old] = true
+		skipped[oldest] = true
 	}
 }
 
@@ -386,28 +386,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if !c.begun && (c.state == http.StateIdle || c.state == http.StateNew && now.Sub(c.since) > newGrace) && c.quiet() {
-			c.end()
+		if !c.requestBegun && (c.state == http.StateIdle || c.state == http.StateNew && now.Sub(c.stateSince) > newConnGrace) && c.nothingUnread() {
+			c.closeLocked()
 		}
 	}
 }
 
 // follow takes in net/http's word on each connection.
-func (l *listener) follow(conn net.Conn, state http.ConnState) {
+func (l *listener) trackState(conn net.Conn, state http.ConnState) {
 	if t, ok := conn.(*tls.Conn); ok {
 		conn = t.NetConn()
 	}
-	c := conn.(*client)
+	c := conn.(*clientConn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case state == http.StateClosed || state == http.StateHijacked:
 		delete(l.conns, c)
-		l.freed.Signal()
+		l.slotFreed.Signal()
 	case l.conns[c]:
 		if c.state = state; state == http.StateIdle {
-			c.since, c.begun = time.Now(), c.buffered()
-			l.freed.Signal()
+			c.stateSince, c.requestBegun = time.Now(), c.hasPipelined()
+			l.slotFreed.Signal()
 		}
 	}
 }
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -14,9 +14,9 @@
 )
 
 func serve(t *testing.T, sockets int, h http.HandlerFunc) (*Server, chan error) {
-	s, err := Listen(Options{Listen: "127.0.0.1:0", Sockets: sockets, LongestDeadline: time.Minute}, h)
+	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: sockets, MaxRequestDeadline: time.Minute}, h)
 	require.NoError(t, err)
-	s.state.Started()
+	s.state.MarkStarted()
 	done := make(chan error, 1)
 	go func() { done <- s.Serve() }()
 	t.Cleanup(s.Close)
@@ -57,19 +57,19 @@
 	old := dial(t, s)
 	old.ask(t)
 	<-taken
-	s.state.End(time.Now(), time.Minute)
+	s.state.Shutdown(time.Now(), time.Minute)
 	late := dial(t, s)
 	late.ask(t)
 	<-taken
 	require.NoError(t, <-done, "the port is closed, the two requests are still open")
-	assert.Equal(t, 2, s.Open())
+	assert.Equal(t, 2, s.OpenConnections())
 	close(free)
 	for _, c := range []*caller{old, late} {
 		resp := c.answer(t)
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
 		assert.True(t, resp.Close)
 	}
-	require.Eventually(t, func() bool { return s.Open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 	_, err := net.Dial("tcp", s.Addr())
 	assert.Error(t, err)
 }
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.conns {
-		if k.begun {
+		if k.requestBegun {
 			n++
 		}
 	}
@@ -170,7 +170,7 @@
 // them is read, hold no place, and those that are get their answer.
 func TestConnectionsThatAreNotAdmitted(t *testing.T) {
 	var came, served atomic.Int32
-	s, err := Listen(Options{Listen: "127.0.0.1:0", Sockets: 64, LongestDeadline: time.Minute,
+	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 64, MaxRequestDeadline: time.Minute,
 		Admit: func() bool { return came.Add(1)%10 == 0 }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
 	require.NoError(t, err)
 	go s.Serve()
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -58,7 +58,7 @@
 type entry struct {
 	number  policy.ServerID
 	address string
-	state   pool.State
+	state   pool.ServerState
 }
 
 // NewRegistry returns a registry without a table that reports changes to a pool.
--- a/internal/gateway/front_port.go
+++ b/internal/gateway/front_port.go
@@ -41,19 +41,19 @@
 	}
 	limits := g.awaitLimits()
 	server, err := front.Listen(front.Options{
-		Listener:        port,
-		Sockets:         maxClientSockets(g.settings),
-		LongestDeadline: longestDeadline,
-		State:           g.state,
-		HeaderWait:      withSlack(limits.HeaderTimeoutMs),
-		IdleFor:         g.idleFor,
-		MaxHeader:       max(minMaxHeaderBytes, limits.MaxHeaderBytes),
+		Listener:           port,
+		MaxConnections:     maxClientSockets(g.settings),
+		MaxRequestDeadline: longestDeadline,
+		State:              g.state,
+		ReadHeaderTimeout:  withSlack(limits.HeaderTimeoutMs),
+		IdleTimeoutFunc:    g.idleFor,
+		MaxHeaderBytes:     max(minMaxHeaderBytes, limits.MaxHeaderBytes),
 	}, g.proxy)
 	if err != nil {
 		return err
 	}
 	g.clients.Store(server)
-	g.state.Started()
+	g.state.MarkStarted()
 	g.log.Info().Str("listen", server.Addr()).Msg("serving")
 	return server.Serve()
 }
@@ -81,7 +81,7 @@
 		if snapshot := g.subscription.Configuration(); snapshot != nil {
 			return snapshot.Limits
 		}
-		if time.Now().After(until) || g.state.Phase() == service.Ending {
+		if time.Now().After(until) || g.state.Phase() == service.ShuttingDown {
 			return configuration.Limits{HeaderTimeoutMs: defaultHeaderTimeoutMs}
 		}
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,8 +63,8 @@
 // New assembles a gateway. Run starts it.
 func New(settings *node.Settings, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: settings, log: log, state: service.New()}
-	g.state.AcceptFor(acceptAfterShutdown)
-	g.pool = pool.New(pool.Options{Sockets: maxServerSockets(settings), ConnIdle: serverIdleTimeout, ConnectWait: connectTimeout})
+	g.state.SetAcceptPeriod(acceptAfterShutdown)
+	g.pool = pool.New(pool.Options{MaxConnections: maxServerSockets(settings), IdleTimeout: serverIdleTimeout, ConnectTimeout: connectTimeout})
 	g.servers = endpoints.NewRegistry(g.pool)
 	process := protocol.Process{Node: settings.NodeName, Role: protocol.RoleGateway, Zone: settings.Zone, IP: settings.IP,
 		Incarnation: incarnation()}
@@ -87,7 +87,7 @@
 		Bodies:    buffers.New(int64(bodyShare * float64(settings.Limits.MemoryMB) * (1 << 20))),
 		Outcomes:  outcomes.New(),
 		Log:       log,
-		ExitTime:  g.state.Leaves,
+		ExitTime:  g.state.ExitDeadline,
 	}
 	return g
 }
@@ -143,7 +143,7 @@
 		case err := <-failed:
 			return err
 		case <-time.After(g.nextExitCheck()):
-			if g.state.Phase() == service.Ending && g.state.MayEnd(time.Now(), g.openConnections()) {
+			if g.state.Phase() == service.ShuttingDown && g.state.MayExit(time.Now(), g.openConnections()) {
 				g.log.Info().Int("open", g.openConnections()).Msg("ended")
 				return nil
 			}
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -53,9 +53,9 @@
 	server := reservation.Server
 	q.tried = append(q.tried, server.Number)
 	defer func() { reservation.Done(time.Now(), serverselection.Abandoned) }() // unless a result was reported before
-	exchange, end := q.proxy.Pool.Open(q.r.Context(), &pool.Call{Server: server.Number, Until: q.deadline, Method: q.r.Method,
-		Head: func(b *bytes.Buffer) { q.writeRequestHead(b, server.ID) }, Body: q.body.bytes,
-		Check: func() bool { return !q.clientLeft() && q.maySend(time.Now()) }})
+	exchange, end := q.proxy.Pool.Send(q.r.Context(), &pool.Request{Server: server.Number, Deadline: q.deadline, Method: q.r.Method,
+		WriteHead: func(b *bytes.Buffer) { q.writeRequestHead(b, server.ID) }, Body: q.body.bytes,
+		MaySend: func() bool { return !q.clientLeft() && q.maySend(time.Now()) }})
 	if exchange == nil {
 		return q.handleUnsent(reservation, end)
 	}
@@ -83,7 +83,7 @@
 // clientLeft reports whether the client has closed its connection. net/http's background read reports that through the
 // context, but may be behind it: at the first attempt the close may have arrived together with the request.
 func (q *request) clientLeft() bool {
-	return len(q.tried) == 1 && front.Left(q.r) || q.r.Context().Err() != nil
+	return len(q.tried) == 1 && front.ClientGone(q.r) || q.r.Context().Err() != nil
 }
 
 // observeLatency reports the attempt's latency to admission. An attempt that resumes a stream doesn't count, nor does
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -59,7 +59,7 @@
 		maxSize = r.ContentLength + 1 // EOF is read as well: net/http watches the connection only after that
 	}
 	for size := min(initialBufferSize, maxSize); ; size = min(2*size, maxSize) {
-		if !budget.Take(size-b.reserved, deadline) {
+		if !budget.Acquire(size-b.reserved, deadline) {
 			return &errorResponse{status: http.StatusServiceUnavailable, message: "body: no room for it now",
 				retryAfter: unreadyRetryAfter, closeConnection: true}
 		}
@@ -87,6 +87,6 @@
 
 // release returns the body's memory to the budget.
 func (b *body) release(budget *buffers.Budget) {
-	budget.Give(b.reserved)
+	budget.Release(b.reserved)
 	b.reserved, b.bytes = 0, nil
 }
--- a/internal/gateway/proxy/buffered.go
+++ b/internal/gateway/proxy/buffered.go
@@ -20,7 +20,7 @@
 // server's failure, can still be replaced by another server's response.
 func (q *request) forwardBuffered(a *attempt) (final bool) {
 	body, err := q.readResponseBody(a.exchange, a.response)
-	defer q.proxy.Bodies.Give(int64(cap(body)))
+	defer q.proxy.Bodies.Release(int64(cap(body)))
 	if err != nil {
 		return q.handleLost(a.reservation)
 	}
@@ -65,12 +65,12 @@
 // readResponseBody reads the complete body of a response. The body's capacity is reserved from the budget, also when an
 // error is returned; the caller returns it.
 func (q *request) readResponseBody(exchange *pool.Exchange, resp *http.Response) (body []byte, err error) {
-	exchange.ReadBy(q.deadline)
+	exchange.SetReadDeadline(q.deadline)
 	for size := int64(initialBufferSize); size <= maxResponseBytes; size *= 2 {
 		if resp.ContentLength >= 0 {
 			size = max(size, min(resp.ContentLength+1, maxResponseBytes))
 		}
-		if !q.proxy.Bodies.Take(size-int64(cap(body)), q.deadline) {
+		if !q.proxy.Bodies.Acquire(size-int64(cap(body)), q.deadline) {
 			return body, errResponseTooLarge
 		}
 		grown := make([]byte, len(body), size)
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -63,7 +63,7 @@
 // errorResponse.
 func (p *Proxy) readRequest(w http.ResponseWriter, r *http.Request) (*request, *errorResponse) {
 	q := &request{proxy: p, w: w, r: r, arrived: time.Now(), id: r.Header.Get(headerID)}
-	if len(r.TransferEncoding) > 0 && !front.ChunksAlone(r) {
+	if len(r.TransferEncoding) > 0 && !front.UnambiguousFraming(r) {
 		return nil, &errorResponse{status: http.StatusBadRequest,
 			message: "Transfer-Encoding: beside Content-Length, or it can't be told", closeConnection: true}
 	}
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -33,7 +33,7 @@
 	for {
 		n, err := 0, q.awaitData(a)
 		if err == nil {
-			a.exchange.ReadBy(q.deadline)
+			a.exchange.SetReadDeadline(q.deadline)
 			n, err = a.exchange.Read(q.scanner.Reserve(streamBufferSize / 2))
 		}
 		q.scanner.Advance(n)
--- a/internal/gateway/proxy/testgateway_test.go
+++ b/internal/gateway/proxy/testgateway_test.go
@@ -105,7 +105,7 @@
 	r := &testGateway{t: t, control: &fakeControl{}, batch: &fakeBatch{}}
 	r.control.reachable.Store(true)
 	r.control.configuration.Store(configuration.NewSnapshot(testDocument(), 1))
-	members := pool.New(pool.Options{Sockets: 99, ConnIdle: time.Minute, ConnectWait: time.Second})
+	members := pool.New(pool.Options{MaxConnections: 99, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	t.Cleanup(members.Close)
 	r.registry = endpoints.NewRegistry(members)
 	var turn atomic.Int64
@@ -121,7 +121,7 @@
 	r.registry.Apply(list)
 	r.proxy = &Proxy{Control: r.control, Servers: r.registry, Pool: members, Selector: serverselection.New("z", 1), Admission: AdmitAll{},
 		Batch: r.batch, Bodies: buffers.New(1 << 20)}
-	server, err := front.Listen(front.Options{Listen: "127.0.0.1:0", Sockets: 99, LongestDeadline: time.Minute}, r)
+	server, err := front.Listen(front.Options{Address: "127.0.0.1:0", MaxConnections: 99, MaxRequestDeadline: time.Minute}, r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/proxy/validation.go
+++ b/internal/gateway/proxy/validation.go
@@ -27,7 +27,7 @@
 		if err := q.awaitData(a); err != nil {
 			return nil, err
 		}
-		resp, err := a.exchange.Head(q.deadline)
+		resp, err := a.exchange.ReadHead(q.deadline)
 		if err != nil {
 			return nil, err
 		}
@@ -77,7 +77,7 @@
 // drain reads the rest of a response that isn't forwarded, so that its connection can be kept, and reports whether it
 // was complete.
 func drain(exchange *pool.Exchange) bool {
-	exchange.ReadBy(time.Now().Add(drainTimeout))
+	exchange.SetReadDeadline(time.Now().Add(drainTimeout))
 	_, err := io.Copy(io.Discard, io.LimitReader(exchange, maxResponseBytes))
 	return err == nil
 }
--- a/internal/gateway/proxy/virtualtime_test.go
+++ b/internal/gateway/proxy/virtualtime_test.go
@@ -81,7 +81,7 @@
 	synctest.Test(g.T, func(t *testing.T) {
 		w := &virtualTimeGateway{check: g.check, latency: timedLatency}
 		w.network = &memorynet.Network{Window: func() int { return 16 << 10 }, Latency: w.latencyNow}
-		members := pool.New(pool.Options{Sockets: 99, ConnIdle: time.Minute, ConnectWait: 400 * time.Millisecond, Dial: w.network.Dial})
+		members := pool.New(pool.Options{MaxConnections: 99, IdleTimeout: time.Minute, ConnectTimeout: 400 * time.Millisecond, Dial: w.network.Dial})
 		registry := endpoints.NewRegistry(members)
 		list := &protocol.ServerList{Version: 1}
 		for i := range count {
@@ -92,7 +92,7 @@
 			go w.serve(l, script)
 		}
 		registry.Apply(list)
-		server, err := front.Listen(front.Options{Listener: w.network.Listen("gateway"), Sockets: 99, LongestDeadline: time.Minute},
+		server, err := front.Listen(front.Options{Listener: w.network.Listen("gateway"), MaxConnections: 99, MaxRequestDeadline: time.Minute},
 			&Proxy{Control: virtualTimeControl(), Servers: registry, Pool: members, Selector: serverselection.New("z", 1), Admission: AdmitAll{},
 				Bodies: buffers.New(64 << 20), bugs: g.injected})
 		if err != nil {
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -18,14 +18,14 @@
 // when it is complete.
 func (g *Gateway) Shutdown() {
 	within := max(acceptAfterShutdown, g.settings.Bounds.Grace-killMargin)
-	if g.state.End(time.Now(), within) {
+	if g.state.Shutdown(time.Now(), within) {
 		g.log.Info().Msg("ending")
 	}
 }
 
 // nextExitCheck returns the time until Run checks whether the shutdown is complete.
 func (g *Gateway) nextExitCheck() time.Duration {
-	if g.state.Phase() == service.Ending {
+	if g.state.Phase() == service.ShuttingDown {
 		return retryInterval
 	}
 	return time.Hour
@@ -34,7 +34,7 @@
 // openConnections returns the number of clients' connections.
 func (g *Gateway) openConnections() int {
 	if server := g.clients.Load(); server != nil {
-		return server.Open()
+		return server.OpenConnections()
 	}
 	return 0
 }
--- a/internal/pool/bugs.go
+++ b/internal/pool/bugs.go
@@ -1,10 +1,10 @@
 package pool
 
 // bugs are faults that only tests can plant, to show that their checks find them.
-type bugs struct {
-	noRecheck    bool // a member that drains by the time that a connection has come up gets the request all the same
-	reuseStirred bool // a connection is used again though more has come than an answer
-	partNotSent  bool // a request whose head went out, and not all of its body, counts as not sent
-	tornHead     bool // a head that begins in the middle of another is taken
-	reuseUnsent  bool // a connection is used again though a request's body went out in part
+type injectedBugs struct {
+	skipRecheck            bool // a member that drains by the time that a connection has come up gets the request all the same
+	reuseUnread            bool // a connection is used again though more has come than an answer
+	partialIsNotSent       bool // a request whose head went out, and not all of its body, counts as not sent
+	acceptTornHead         bool // a head that begins in the middle of another is taken
+	reuseIncompleteRequest bool // a connection is used again though a request's body went out in part
 }
--- a/internal/pool/call.go
+++ b/internal/pool/call.go
@@ -20,46 +20,46 @@
 // must never read ahead of its caller, nor put a connection back on which anything of an answer may still follow.
 
 // flow is what a connection is reached for: a transaction's flow, or a call.
-type flow interface {
+type attempt interface {
 	To() policy.ServerID
 	By() time.Time                    // neither dialling nor writing takes longer
 	Begin(io.Closer) (core.End, bool) // right before the first byte: whether it may be written
 }
 
-func methodOf(f flow) string {
-	switch f := f.(type) {
-	case *Call:
-		return f.Method
+func methodOf(a attempt) string {
+	switch a := a.(type) {
+	case *Request:
+		return a.Method
 	case *core.Flow:
-		return f.Message.(*Message).Method
+		return a.Message.(*Message).Method
 	}
 	return ""
 }
 
 // Call is a request to a member, of which the caller reads the answer.
-type Call struct {
-	Server policy.ServerID
-	Until  time.Time // neither dialling nor writing takes longer
-	Method string
-	Head   func(*bytes.Buffer) // writes the head as it is to go out now
-	Body   []byte
-	Check  func() bool // right before the first byte: whether it may still go out; nil: it may
+type Request struct {
+	Server    policy.ServerID
+	Deadline  time.Time // neither dialling nor writing takes longer
+	Method    string
+	WriteHead func(*bytes.Buffer) // writes the head as it is to go out now
+	Body      []byte
+	MaySend   func() bool // right before the first byte: whether it may still go out; nil: it may
 
 	ctx context.Context
 }
 
 // To gives the member.
-func (call *Call) To() policy.ServerID { return call.Server }
+func (request *Request) To() policy.ServerID { return request.Server }
 
 // By gives the moment after which nothing more is dialled or written.
-func (call *Call) By() time.Time { return call.Until }
+func (request *Request) By() time.Time { return request.Deadline }
 
 // Begin tells whether the first byte may be written.
-func (call *Call) Begin(io.Closer) (core.End, bool) {
+func (request *Request) Begin(io.Closer) (core.End, bool) {
 	switch {
-	case call.ctx.Err() != nil || !time.Now().Before(call.Until):
+	case request.ctx.Err() != nil || !time.Now().Before(request.Deadline):
 		return core.EndOver, false
-	case call.Check != nil && !call.Check():
+	case request.MaySend != nil && !request.MaySend():
 		return core.EndDenied, false
 	}
 	return core.EndNone, true
@@ -67,35 +67,35 @@
 
 // Exchange is a request that has gone out, and its answer on the way. It belongs to one goroutine.
 type Exchange struct {
-	pool   *Pool
-	conn   *conn
-	to     policy.ServerID
-	method string
-	detach func() bool // ends the watch for the caller's leaving; false: it has left
-	idle   time.Duration
-	used   bool // the connection had carried requests before
-	sent   sent
-	heads  int // of answers that have been read
-	resp   *http.Response
-	body   io.Reader
-	ready  func() bool
-	ended  bool
+	pool            *Pool
+	conn            *conn
+	server          policy.ServerID
+	method          string
+	stopCancelWatch func() bool // ends the watch for the caller's leaving; false: it has left
+	idleBefore      time.Duration
+	reused          bool // the connection had carried requests before
+	written         writeProgress
+	responses       int // of answers that have been read
+	resp            *http.Response
+	body            io.Reader
+	ready           func() bool
+	bodyEnded       bool
 }
 
 // Open writes a request. Where not even its head goes out the end says why, and nothing has run. A member may answer before it
 // has read a long body, and then read it no further: the body ends there, and the exchange gives that answer, or the error with
 // which the connection broke. The connection is closed at once when the context ends, as the member then drops the request.
-func (p *Pool) Open(ctx context.Context, call *Call) (*Exchange, core.End) {
-	call.ctx = ctx
-	c, end := p.reach(call)
+func (p *Pool) Send(ctx context.Context, request *Request) (*Exchange, core.End) {
+	request.ctx = ctx
+	c, end := p.acquire(request)
 	if c == nil {
 		return nil, end
 	}
-	x := &Exchange{pool: p, conn: c, to: call.Server, method: call.Method, used: c.used, idle: time.Since(c.since)}
+	x := &Exchange{pool: p, conn: c, server: request.Server, method: request.Method, reused: c.used, idleBefore: time.Since(c.idleSince)}
 	c.used = true
-	c.SetDeadline(call.Until)
-	x.detach = context.AfterFunc(ctx, func() { c.Close() })
-	if x.sent = call.write(c); x.sent == sentNoHead || x.sent == sentPart && p.bugs.partNotSent {
+	c.SetDeadline(request.Deadline)
+	x.stopCancelWatch = context.AfterFunc(ctx, func() { c.Close() })
+	if x.written = request.writeTo(c); x.written == headIncomplete || x.written == bodyIncomplete && p.injected.partialIsNotSent {
 		x.Close()
 		return nil, core.EndCutShort
 	}
@@ -103,20 +103,20 @@
 }
 
 // mostInterim bounds the answers of the class 1xx before one answer.
-const mostInterim = 5
+const maxInterimResponses = 5
 
 // errInterim reports too many interim answers, or a change of the protocol that nobody asked for.
-var errInterim = errors.New("pool: no final answer")
+var errNoFinalResponse = errors.New("pool: no final answer")
 
 // errTorn reports a head that begins in the middle of another.
-var errTorn = errors.New("pool: a head that was not whole, and another behind it")
+var errTornHead = errors.New("pool: a head that was not whole, and another behind it")
 
 // statusLine is what an answer begins with, as far as a header's value may be expected not to have it.
-var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]( |$)`)
+var statusLinePattern = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]( |$)`)
 
 // torn tells whether an answer stands in the head of another that breaks off in its status line, or in the value of a header: the
 // two would be taken for one, with the first one's status and the second one's id.
-func torn(resp *http.Response) bool {
+func isTorn(resp *http.Response) bool {
 	if hasStatusLine(resp.Status) {
 		return true
 	}
@@ -129,53 +129,53 @@
 }
 
 func hasStatusLine(text string) bool {
-	return strings.Contains(text, "HTTP/1.") && statusLine.MatchString(text)
+	return strings.Contains(text, "HTTP/1.") && statusLinePattern.MatchString(text)
 }
 
 // Head reads the head of the answer, until some moment. It may be called again for the next answer on the connection once the
 // body of the last has been read to its end: one that came before the answer due belongs to nobody.
-func (x *Exchange) Head(by time.Time) (*http.Response, error) {
-	x.conn.left = maxHead
-	x.ended = false
-	x.conn.SetReadDeadline(by)
-	for range mostInterim {
-		resp, err := http.ReadResponse(x.conn.in, &http.Request{Method: x.method})
+func (x *Exchange) ReadHead(deadline time.Time) (*http.Response, error) {
+	x.conn.readLimit = maxHeadSize
+	x.bodyEnded = false
+	x.conn.SetReadDeadline(deadline)
+	for range maxInterimResponses {
+		resp, err := http.ReadResponse(x.conn.reader, &http.Request{Method: x.method})
 		if err != nil {
-			x.learn(err)
-			return nil, cut(err)
+			x.observeReuse(err)
+			return nil, unexpectedEOF(err)
 		}
-		if torn(resp) && !x.pool.bugs.tornHead {
-			return nil, errTorn
+		if isTorn(resp) && !x.pool.injected.acceptTornHead {
+			return nil, errTornHead
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errInterim
+			return nil, errNoFinalResponse
 		}
 		if resp.StatusCode >= http.StatusOK {
-			x.take(resp)
+			x.startResponse(resp)
 			return resp, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errNoFinalResponse
 }
 
 // learn notes what became of a kept connection's first use.
-func (x *Exchange) learn(err error) {
-	if x.used && x.resp == nil {
-		x.pool.ages.learn(x.idle, err != nil && broken(err) == core.EndReset)
+func (x *Exchange) observeReuse(err error) {
+	if x.reused && x.resp == nil {
+		x.pool.staleness.observe(x.idleBefore, err != nil && endOfReadError(err) == core.EndReset)
 	}
 }
 
-func (x *Exchange) take(resp *http.Response) {
-	x.learn(nil)
-	x.heads++
+func (x *Exchange) startResponse(resp *http.Response) {
+	x.observeReuse(nil)
+	x.responses++
 	x.resp = resp
-	x.conn.left = 8 * MaxLong
-	x.conn.keep = keepAlive(resp.Header.Get("Keep-Alive"))
-	x.body, x.ready = bodyOf(x.conn.in, resp)
+	x.conn.readLimit = 8 * MaxBodySize
+	x.conn.keepAlive = parseKeepAlive(resp.Header.Get("Keep-Alive"))
+	x.body, x.ready = bodyReader(x.conn.reader, resp)
 }
 
 // keepAlive reads the time for which a member leaves a connection idle; 0: it doesn't tell.
-func keepAlive(text string) time.Duration {
+func parseKeepAlive(text string) time.Duration {
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
 		if !strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -190,29 +190,29 @@
 }
 
 // Wait waits, before Head and before reads of the body, until something of the answer has come that was not read yet, until some moment. It may be called again after a time-out.
-func (x *Exchange) Wait(by time.Time) error {
-	if x.conn.in.Buffered() > 0 || x.resp != nil && !x.ended && x.resp.ContentLength == 0 {
+func (x *Exchange) Wait(deadline time.Time) error {
+	if x.conn.reader.Buffered() > 0 || x.resp != nil && !x.bodyEnded && x.resp.ContentLength == 0 {
 		return nil
 	}
 	if x.resp == nil {
-		x.conn.left = maxHead
+		x.conn.readLimit = maxHeadSize
 	}
-	x.conn.SetReadDeadline(by)
-	_, err := x.conn.in.Peek(1)
+	x.conn.SetReadDeadline(deadline)
+	_, err := x.conn.reader.Peek(1)
 	if err != nil && !TimedOut(err) {
-		x.learn(err)
+		x.observeReuse(err)
 	}
-	return cut(err)
+	return unexpectedEOF(err)
 }
 
 // ReadBy sets the moment until which reads of the body wait.
-func (x *Exchange) ReadBy(by time.Time) { x.conn.SetReadDeadline(by) }
+func (x *Exchange) SetReadDeadline(deadline time.Time) { x.conn.SetReadDeadline(deadline) }
 
 // Read gives what there is of the body. It may give nothing without an error; io.EOF is given only for one that is whole.
-func (x *Exchange) Read(piece []byte) (int, error) {
-	n, err := x.body.Read(piece)
+func (x *Exchange) Read(buf []byte) (int, error) {
+	n, err := x.body.Read(buf)
 	if errors.Is(err, io.EOF) {
-		x.ended = true
+		x.bodyEnded = true
 	}
 	return n, err
 }
@@ -227,22 +227,22 @@
 
 // Close ends the exchange: the connection is kept where nothing is due on it any more, else it is closed.
 func (x *Exchange) Close() {
-	stays := x.detach()
-	if stays && x.settled() {
-		x.pool.put(x.to, x.conn)
+	notCancelled := x.stopCancelWatch()
+	if notCancelled && x.connReusable() {
+		x.pool.release(x.server, x.conn)
 		return
 	}
-	x.pool.drop(x.conn)
+	x.pool.discard(x.conn)
 }
 
 // settled tells whether another request may follow: the member has this one whole, so that it reads nothing as the rest of it,
 // and has sent one answer, whole, and nothing more. One that sends answers that nobody asked for may go on with it.
-func (x *Exchange) settled() bool {
-	bugs := &x.pool.bugs
-	asked := x.sent == sentWhole || bugs.reuseUnsent
-	answered := x.ended && !x.resp.Close && x.heads == 1
-	return asked && answered && (x.conn.in.Buffered() == 0 || bugs.reuseStirred)
+func (x *Exchange) connReusable() bool {
+	bugs := &x.pool.injected
+	requestWritten := x.written == requestComplete || bugs.reuseIncompleteRequest
+	responseComplete := x.bodyEnded && !x.resp.Close && x.responses == 1
+	return requestWritten && responseComplete && (x.conn.reader.Buffered() == 0 || bugs.reuseUnread)
 }
 
 // TimedOut tells whether an error of Head or Read says only that nothing came in time.
-func TimedOut(err error) bool { return broken(err) == core.EndTimedOut }
+func TimedOut(err error) bool { return endOfReadError(err) == core.EndTimedOut }
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -20,7 +20,7 @@
 func TestConnectionThatComesAfterTheWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	m := fake.New(t, fake.Reset, fake.OK("again"))
-	p := New(Options{Sockets: 9, StaleWithin: time.Minute, ConnIdle: time.Minute, ConnectWait: time.Minute})
+	p := New(Options{MaxConnections: 9, StaleWindow: time.Minute, IdleTimeout: time.Minute, ConnectTimeout: time.Minute})
 	t.Cleanup(p.Close)
 	c, err := core.New(policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3,
 		Classes: []policy.Class{{Aim: time.Second, Deadline: time.Minute, Worth: 1, Effect: policy.Keyed, Window: window}},
@@ -29,7 +29,7 @@
 	p.Set(1, m.Addr, policy.Ready)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 	first, flows := time.Time{}, 0
-	p.up = func(*core.Flow) {
+	p.onConnected = func(*core.Flow) {
 		if flows++; flows == 1 {
 			first = time.Now()
 			return
@@ -62,7 +62,7 @@
 		p, ask := start(t, 9, plain, m)
 		require.Equal(t, core.Served, ask().Kind, name)
 		asks := 0
-		p.up = func(f *core.Flow) {
+		p.onConnected = func(f *core.Flow) {
 			if asks++; asks == 1 {
 				comes(<-conns)
 				// It is on loopback, and so it is there; whoever looks now would see it.
@@ -73,7 +73,7 @@
 		assert.Equal(t, "own", string(a.Body), name)
 		assert.Len(t, m.Seen(), 2, name)
 		assert.Equal(t, 2, m.Opened(), name)
-		assert.Equal(t, Counts{Opened: 2, OpenedPastUse: 1, OpenNow: 1, IdleNow: 1}, p.Counts(), name)
+		assert.Equal(t, Stats{Opened: 2, OpenedAfterStale: 1, Open: 1, Idle: 1}, p.Stats(), name)
 	}
 }
 
@@ -94,7 +94,7 @@
 	} {
 		m := fake.New(t, fake.OK("late"))
 		d := fake.Deployment()
-		p := New(Options{Sockets: 9, StaleWithin: time.Minute, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait})
+		p := New(Options{MaxConnections: 9, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 		t.Cleanup(p.Close)
 		c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
 		require.NoError(t, err)
@@ -102,7 +102,7 @@
 		c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 		ctx, leave := context.WithCancel(context.Background())
 		answered, on := make(chan bool), make(chan bool)
-		p.up = func(*core.Flow) {
+		p.onConnected = func(*core.Flow) {
 			story.happens(p, c, leave)
 			if story.kind != core.Refused { // which comes of this flow's end
 				<-answered
@@ -114,7 +114,7 @@
 		close(answered)
 		<-on
 		assert.Equal(t, story.kind, a.Kind, name)
-		require.Eventually(t, func() bool { n := p.Counts(); return n.IdleNow == story.kept && n.OpenNow == story.kept }, time.Minute,
+		require.Eventually(t, func() bool { n := p.Stats(); return n.Idle == story.kept && n.Open == story.kept }, time.Minute,
 			time.Millisecond, name)
 		assert.Empty(t, m.Seen(), name)
 		leave()
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -14,41 +14,41 @@
 
 // This file owns how a connection is opened, and how one is looked at without reading it.
 
-func (p *Pool) dial(f flow, addr string) (*conn, core.End) {
-	nc, err := p.openConn(f, addr)
+func (p *Pool) connect(a attempt, addr string) (*conn, core.End) {
+	nc, err := p.dialTransport(a, addr)
 	if err != nil {
-		p.closed()
+		p.noteClosed()
 		return nil, core.EndNoConnect
 	}
-	c := &conn{Conn: nc, to: addr, peek: peekerOf(nc)}
-	if p.opt.TLS != nil {
+	c := &conn{Conn: nc, addr: addr, peeker: newPeeker(nc)}
+	if p.options.TLS != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		conf := p.opt.TLS.Clone()
+		conf := p.options.TLS.Clone()
 		if conf.ServerName == "" {
 			conf.ServerName = host
 		}
 		t := tls.Client(nc, conf)
-		nc.SetDeadline(earliest(f.By(), time.Now().Add(time.Duration(p.connectWait.Load()))))
+		nc.SetDeadline(earliest(a.By(), time.Now().Add(time.Duration(p.connectTimeout.Load()))))
 		if t.Handshake() != nil {
-			p.drop(c)
+			p.discard(c)
 			return nil, core.EndNoConnect
 		}
 		c.Conn = t
 	}
-	c.in = bufio.NewReaderSize(c, 2048)
+	c.reader = bufio.NewReaderSize(c, 2048)
 	return c, core.EndNone
 }
 
 // openConn opens a connection within the time that one may take to come up.
-func (p *Pool) openConn(f flow, addr string) (net.Conn, error) {
-	wait := time.Duration(p.connectWait.Load())
-	if p.opt.Dial == nil {
-		d := net.Dialer{Timeout: wait, Deadline: f.By(), KeepAlive: -1}
+func (p *Pool) dialTransport(a attempt, addr string) (net.Conn, error) {
+	timeout := time.Duration(p.connectTimeout.Load())
+	if p.options.Dial == nil {
+		d := net.Dialer{Timeout: timeout, Deadline: a.By(), KeepAlive: -1}
 		return d.Dial("tcp", addr)
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), earliest(f.By(), time.Now().Add(wait)))
+	ctx, cancel := context.WithDeadline(context.Background(), earliest(a.By(), time.Now().Add(timeout)))
 	defer cancel()
-	return p.opt.Dial(ctx, addr)
+	return p.options.Dial(ctx, addr)
 }
 
 // Peeker is a connection that tells by itself whether anything has come that nobody has read, an end included, and how what
@@ -58,10 +58,10 @@
 }
 
 // socket tells what has come by the system's word, without reading it.
-type socket struct{ raw syscall.RawConn }
+type socketPeeker struct{ raw syscall.RawConn }
 
 // peekerOf gives the way to look at a connection, or nil where there is none.
-func peekerOf(nc net.Conn) Peeker {
+func newPeeker(nc net.Conn) Peeker {
 	if peek, ok := nc.(Peeker); ok {
 		return peek
 	}
@@ -73,11 +73,11 @@
 	if err != nil {
 		return nil
 	}
-	return socket{raw}
+	return socketPeeker{raw}
 }
 
 // Arrived tells whether anything has come. The system tells of a reset once.
-func (s socket) Arrived() (anything bool, end error) {
+func (s socketPeeker) Arrived() (anything bool, end error) {
 	err := s.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -90,16 +90,16 @@
 }
 
 // stirred tells whether anything has come in that nobody has read, an end included.
-func (c *conn) stirred() bool {
-	if c.in.Buffered() > 0 {
+func (c *conn) hasUnread() bool {
+	if c.reader.Buffered() > 0 {
 		return true
 	}
-	if c.peek == nil {
+	if c.peeker == nil {
 		return false
 	}
-	anything, end := c.peek.Arrived()
+	anything, end := c.peeker.Arrived()
 	if end != nil {
-		c.over = end // it is told once
+		c.readErr = end // it is told once
 	}
 	return anything
 }
--- a/internal/pool/early_tcp_test.go
+++ b/internal/pool/early_tcp_test.go
@@ -33,15 +33,15 @@
 			c.Close() // over bytes that were not read
 		}
 	}()
-	p := New(Options{Sockets: 9, ConnIdle: testLife, ConnectWait: time.Second})
+	p := New(Options{MaxConnections: 9, IdleTimeout: testLife, ConnectTimeout: time.Second})
 	defer p.Close()
 	p.Set(1, l.Addr().String(), policy.Ready)
 	body := call(8 << 20) // more than the system takes at once
 	for range 10 {
-		body.Until = time.Now().Add(2 * time.Second)
-		x, end := p.Open(context.Background(), body)
+		body.Deadline = time.Now().Add(2 * time.Second)
+		x, end := p.Send(context.Background(), body)
 		require.NotNil(t, x, "%v", end)
-		resp, err := x.Head(time.Now().Add(time.Second))
+		resp, err := x.ReadHead(time.Now().Add(time.Second))
 		if assert.NoError(t, err) {
 			text, err := io.ReadAll(x)
 			assert.NoError(t, err)
@@ -50,5 +50,5 @@
 		}
 		x.Close()
 	}
-	assert.Equal(t, 0, p.Counts().OpenNow)
+	assert.Equal(t, 0, p.Stats().Open)
 }
--- a/internal/pool/early_test.go
+++ b/internal/pool/early_test.go
@@ -41,7 +41,7 @@
 				go member(c.(*memorynet.Conn))
 			}
 		}()
-		p := New(Options{Sockets: 9, ConnIdle: testLife, ConnectWait: time.Second, Dial: network.Dial})
+		p := New(Options{MaxConnections: 9, IdleTimeout: testLife, ConnectTimeout: time.Second, Dial: network.Dial})
 		p.Set(1, "member", policy.Ready)
 		story(p)
 		p.Close()
@@ -51,9 +51,9 @@
 }
 
 // call is a request with a body of so many bytes.
-func call(length int) *Call {
-	return &Call{Server: 1, Until: time.Now().Add(2 * time.Second), Method: http.MethodPost, Body: []byte(long(length)),
-		Head: func(b *bytes.Buffer) {
+func call(length int) *Request {
+	return &Request{Server: 1, Deadline: time.Now().Add(2 * time.Second), Method: http.MethodPost, Body: []byte(long(length)),
+		WriteHead: func(b *bytes.Buffer) {
 			fmt.Fprintf(b, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", length)
 		}}
 }
@@ -94,9 +94,9 @@
 			inMemory(t, answersAfter(1000, fine, then), func(p *Pool) {
 				for range 2 {
 					began := time.Now()
-					x, end := p.Open(context.Background(), call(length))
+					x, end := p.Send(context.Background(), call(length))
 					require.NotNil(t, x, "%v", end)
-					resp, err := x.Head(time.Now().Add(time.Second))
+					resp, err := x.ReadHead(time.Now().Add(time.Second))
 					require.NoError(t, err)
 					assert.Equal(t, http.StatusOK, resp.StatusCode)
 					text, err := io.ReadAll(x)
@@ -105,7 +105,7 @@
 					assert.Less(t, time.Since(began), 200*time.Millisecond)
 					x.Close()
 				}
-				assert.Equal(t, Counts{Opened: 2}, p.Counts())
+				assert.Equal(t, Stats{Opened: 2}, p.Stats())
 				time.Sleep(3 * time.Second)
 			})
 		})
@@ -118,7 +118,7 @@
 	var whole atomic.Int64
 	member := answersAfter(1000, fine, func(c *memorynet.Conn, in *bufio.Reader) {
 		n := 0
-		for piece := make([]byte, 1024); n < length-1000; time.Sleep(bodyStall / 5) {
+		for piece := make([]byte, 1024); n < length-1000; time.Sleep(bodyStallTimeout / 5) {
 			read, err := in.Read(piece)
 			if n += read; err != nil {
 				break
@@ -127,16 +127,16 @@
 		whole.Store(int64(n) + 1000)
 	})
 	inMemory(t, member, func(p *Pool) {
-		x, end := p.Open(context.Background(), call(length))
+		x, end := p.Send(context.Background(), call(length))
 		require.NotNil(t, x, "%v", end)
-		_, err := x.Head(time.Now().Add(time.Second))
+		_, err := x.ReadHead(time.Now().Add(time.Second))
 		require.NoError(t, err)
 		_, err = io.ReadAll(x)
 		assert.NoError(t, err)
 		x.Close()
 		time.Sleep(time.Second)
 		assert.EqualValues(t, length, whole.Load())
-		assert.Equal(t, 1, p.Counts().IdleNow)
+		assert.Equal(t, 1, p.Stats().Idle)
 	})
 }
 
@@ -145,23 +145,23 @@
 	const length = 3 * testWindow
 	head := 0
 	var b bytes.Buffer
-	call(length).Head(&b)
+	call(length).WriteHead(&b)
 	head = b.Len()
 	for _, cut := range []int{0, 1, head - 1, head, head + 1, head + length/2, head + length - 1} {
 		inMemory(t, func(c *memorynet.Conn) {
 			io.CopyN(io.Discard, c, int64(cut))
 			c.Reset(false)
 		}, func(p *Pool) {
-			x, end := p.Open(context.Background(), call(length))
+			x, end := p.Send(context.Background(), call(length))
 			if x == nil {
 				assert.Equal(t, core.EndCutShort, end, cut)
 				assert.Less(t, cut, head)
 				return
 			}
-			_, err := x.Head(time.Now().Add(time.Second))
+			_, err := x.ReadHead(time.Now().Add(time.Second))
 			assert.Error(t, err, cut)
 			x.Close()
-			assert.Equal(t, 0, p.Counts().OpenNow)
+			assert.Equal(t, 0, p.Stats().Open)
 		})
 	}
 }
@@ -179,12 +179,12 @@
 	}, func(p *Pool) {
 		ask := func(check func() bool) *Exchange {
 			one := call(0)
-			one.Check = check
-			x, _ := p.Open(context.Background(), one)
+			one.MaySend = check
+			x, _ := p.Send(context.Background(), one)
 			return x
 		}
 		x := ask(nil)
-		_, err := x.Head(time.Now().Add(time.Second))
+		_, err := x.ReadHead(time.Now().Add(time.Second))
 		require.NoError(t, err)
 		io.ReadAll(x)
 		x.Close()
@@ -193,7 +193,7 @@
 			assert.Nil(t, ask(func() bool { return false }))
 		}
 		x = ask(nil)
-		assert.False(t, x.used)
+		assert.False(t, x.reused)
 		x.Close()
 	})
 }
@@ -209,18 +209,18 @@
 		time.Sleep(pause)
 		io.WriteString(c, fine)
 	}, func(p *Pool) {
-		x, _ := p.Open(context.Background(), call(0))
-		_, err := x.Head(time.Now().Add(time.Second))
+		x, _ := p.Send(context.Background(), call(0))
+		_, err := x.ReadHead(time.Now().Add(time.Second))
 		require.NoError(t, err)
 		io.ReadAll(x)
 		assert.True(t, TimedOut(x.Wait(time.Now().Add(pause/2))))
 		assert.NoError(t, x.Wait(time.Now().Add(pause)))
-		_, err = x.Head(time.Now())
+		_, err = x.ReadHead(time.Now())
 		require.NoError(t, err)
 		text, err := io.ReadAll(x)
 		assert.NoError(t, err)
 		assert.Equal(t, "ok", string(text))
 		x.Close()
-		assert.Equal(t, 0, p.Counts().OpenNow)
+		assert.Equal(t, 0, p.Stats().Open)
 	})
 }
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -24,28 +24,28 @@
 
 const (
 	// MaxBody is the longest body that is kept, and the longest answer that is read whole.
-	MaxBody = 64 << 10
+	MaxBufferedBody = 64 << 10
 	// MaxWhole is the longest answer where all are read whole.
-	MaxWhole = 1 << 20
+	MaxBufferedResponse = 1 << 20
 	// MaxLong is the longest body and answer there can be: the protocol's 32 MB, and room for what counts them otherwise.
 	// An answer may claim any length and go on for ever.
-	MaxLong = 40 << 20
+	MaxBodySize = 40 << 20
 	// Piece is the buffer through which the rest of a long body or answer passes.
-	Piece = 16 << 10
+	StreamBufferSize = 16 << 10
 	// Progress is how long one side may neither give nor take anything of a long body or answer.
-	Progress = 10 * time.Second
+	StallTimeout = 10 * time.Second
 
 	// heldBack is how long the beginning of an answer waits for more, where it is not known to be short: one that breaks
 	// at once can be tried again only while nothing of it has gone out.
-	heldBack = 100 * time.Millisecond
+	holdBackTimeout = 100 * time.Millisecond
 	// earlyWait is for what follows where all that counts is known: the body of an answer that is no good, the head of one
 	// that has come before its request was whole.
-	earlyWait = 100 * time.Millisecond
-	maxHead   = 16 << 10 // of an answer, with what stands before it
-	maxReport = 1 << 10  // of a load report
-	mostSmall = 4 << 10  // of a body that goes out with its head
-	sizeLine  = 6        // bytes that a chunk's head takes at most, for a piece
-	lastChunk = "0\r\n\r\n"
+	shortReadTimeout  = 100 * time.Millisecond
+	maxHeadSize       = 16 << 10 // of an answer, with what stands before it
+	maxLoadReportSize = 1 << 10  // of a load report
+	maxCoalescedBody  = 4 << 10  // of a body that goes out with its head
+	maxChunkSizeLine  = 6        // bytes that a chunk's head takes at most, for a piece
+	lastChunk         = "0\r\n\r\n"
 )
 
 // Message is what a front sends on. Header is ready lines, each with its line end.
@@ -53,26 +53,26 @@
 	Method, Target, Host string
 	Header               []byte
 	Body                 []byte    // all of it, or its beginning
-	Rest                 io.Reader // what follows, which can be read once; nil: nothing
-	Length               int64     // of all where there is a rest; below 0 where it is not known
+	Remainder            io.Reader // what follows, which can be read once; nil: nothing
+	ContentLength        int64     // of all where there is a rest; below 0 where it is not known
 
-	spent atomic.Bool // something of the rest has been read
+	remainderRead atomic.Bool // something of the rest has been read
 }
 
 // head writes a request's head.
-func (m *Message) head(b *bytes.Buffer, left time.Duration) {
+func (m *Message) writeHead(b *bytes.Buffer, remaining time.Duration) {
 	b.WriteString(m.Method)
 	b.WriteByte(' ')
 	b.WriteString(m.Target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(m.Host)
-	b.WriteString("\r\n" + deadlineName + ": ")
-	b.Write(strconv.AppendInt(b.AvailableBuffer(), max(1, left.Milliseconds()), 10))
+	b.WriteString("\r\n" + headerDeadline + ": ")
+	b.Write(strconv.AppendInt(b.AvailableBuffer(), max(1, remaining.Milliseconds()), 10))
 	b.WriteString("\r\n")
 	b.Write(m.Header)
 	length := int64(len(m.Body))
-	if m.Rest != nil {
-		length = m.Length
+	if m.Remainder != nil {
+		length = m.ContentLength
 	}
 	switch {
 	case length < 0:
@@ -85,26 +85,26 @@
 	b.WriteString("\r\n")
 }
 
-var heads = sync.Pool{New: func() any { return new(bytes.Buffer) }}
+var headBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
 // begin writes the head and as much of the body as is kept, and tells whether all of that went.
-func (m *Message) begin(c *conn, left time.Duration) (whole bool) {
-	b := heads.Get().(*bytes.Buffer)
-	defer heads.Put(b)
+func (m *Message) writeBeginning(c *conn, remaining time.Duration) (complete bool) {
+	b := headBuffers.Get().(*bytes.Buffer)
+	defer headBuffers.Put(b)
 	b.Reset()
-	m.head(b, left)
-	chunks := m.Rest != nil && m.Length < 0 && len(m.Body) > 0
-	if chunks {
+	m.writeHead(b, remaining)
+	chunked := m.Remainder != nil && m.ContentLength < 0 && len(m.Body) > 0
+	if chunked {
 		fmt.Fprintf(b, "%x\r\n", len(m.Body))
 	}
-	if len(m.Body) <= mostSmall {
+	if len(m.Body) <= maxCoalescedBody {
 		b.Write(m.Body)
-		if chunks {
+		if chunked {
 			b.WriteString("\r\n")
 		}
 		return c.writeAll(b.Bytes())
 	}
-	return c.writeAll(b.Bytes()) && c.writeAll(m.Body) && (!chunks || c.writeAll([]byte("\r\n")))
+	return c.writeAll(b.Bytes()) && c.writeAll(m.Body) && (!chunked || c.writeAll([]byte("\r\n")))
 }
 
 // writeAll tells whether all bytes went.
@@ -116,80 +116,80 @@
 // exchange writes the flow's request whole and reads its answer, and tells whether the connection may be used
 // again. What counts for the end is whether the last byte was written: before that nothing ran, after it, it may
 // have.
-func (c *conn) exchange(p *Pool, f *core.Flow) (end core.End, a core.Answer, reuse bool) {
-	msg := f.Message.(*Message)
-	used := c.used
+func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, a core.Answer, reuse bool) {
+	msg := flow.Message.(*Message)
+	reused := c.used
 	c.used = true
-	left := time.Until(f.Until)
-	if left <= 0 {
+	remaining := time.Until(flow.Until)
+	if remaining <= 0 {
 		return core.EndOver, a, true
 	}
-	if msg.spent.Load() {
+	if msg.remainderRead.Load() {
 		return core.EndSpent, a, true
 	}
-	c.SetDeadline(f.Until)
-	if !msg.begin(c, left) {
+	c.SetDeadline(flow.Until)
+	if !msg.writeBeginning(c, remaining) {
 		return core.EndCutShort, a, false
 	}
-	if msg.Rest != nil {
-		if end, whole := c.pass(p, f, msg); !whole {
+	if msg.Remainder != nil {
+		if end, complete := c.streamRemainder(p, flow, msg); !complete {
 			return end, a, false
 		}
-		f.Came()
-		c.SetDeadline(f.Until)
+		flow.Came()
+		c.SetDeadline(flow.Until)
 	}
-	c.left = maxHead
-	wrote := time.Now()
-	if _, err := c.in.Peek(1); err != nil {
-		if end = broken(err); end == core.EndReset && used && time.Since(wrote) < p.opt.StaleWithin {
+	c.readLimit = maxHeadSize
+	writtenAt := time.Now()
+	if _, err := c.reader.Peek(1); err != nil {
+		if end = endOfReadError(err); end == core.EndReset && reused && time.Since(writtenAt) < p.options.StaleWindow {
 			end = core.EndStale
 		}
 		return end, a, false
 	}
-	return c.answer(p, f, msg)
+	return c.readResponse(p, flow, msg)
 }
 
 // pass writes the rest of a body as it comes, and tells whether all of it went. Whatever a member says before that, the
 // request has not run.
-func (c *conn) pass(p *Pool, f *core.Flow, msg *Message) (end core.End, whole bool) {
-	const room = sizeLine + Piece + 2 + len(lastChunk) // a chunk with its head and its line end, and what ends them all
-	if !p.opt.Answers.Take(int64(room), time.Now().Add(Progress)) {
+func (c *conn) streamRemainder(p *Pool, flow *core.Flow, msg *Message) (end core.End, complete bool) {
+	const room = maxChunkSizeLine + StreamBufferSize + 2 + len(lastChunk) // a chunk with its head and its line end, and what ends them all
+	if !p.options.ResponseMemory.Acquire(int64(room), time.Now().Add(StallTimeout)) {
 		return core.EndNoMemory, false
 	}
-	defer p.opt.Answers.Give(int64(room))
-	msg.spent.Store(true)
-	f.Spent = true
+	defer p.options.ResponseMemory.Release(int64(room))
+	msg.remainderRead.Store(true)
+	flow.Spent = true
 	buf := make([]byte, room)
-	left := int64(MaxLong) // of a body whose length is known no byte too many goes out, and its last one is the end
-	if msg.Length >= 0 {
-		left = msg.Length - int64(len(msg.Body))
+	remaining := int64(MaxBodySize) // of a body whose length is known no byte too many goes out, and its last one is the end
+	if msg.ContentLength >= 0 {
+		remaining = msg.ContentLength - int64(len(msg.Body))
 	}
 	for {
-		n, err := msg.Rest.Read(buf[sizeLine : sizeLine+Piece])
-		left -= int64(n)
+		n, err := msg.Remainder.Read(buf[maxChunkSizeLine : maxChunkSizeLine+StreamBufferSize])
+		remaining -= int64(n)
 		ended := errors.Is(err, io.EOF)
-		if err != nil && !ended || left < 0 || ended && msg.Length >= 0 && left > 0 {
+		if err != nil && !ended || remaining < 0 || ended && msg.ContentLength >= 0 && remaining > 0 {
 			return core.EndBodyCut, false
 		}
-		ended = ended || msg.Length >= 0 && left == 0 // from its last byte on the member may answer
-		if c.stirred() {
-			if end, over := c.early(); over {
+		ended = ended || msg.ContentLength >= 0 && remaining == 0 // from its last byte on the member may answer
+		if c.hasUnread() {
+			if end, over := c.readEarlyResponse(); over {
 				return end, false
 			}
 		}
-		out := buf[sizeLine : sizeLine+n]
-		if msg.Length < 0 && n > 0 {
+		out := buf[maxChunkSizeLine : maxChunkSizeLine+n]
+		if msg.ContentLength < 0 && n > 0 {
 			size := fmt.Appendf(nil, "%x\r\n", n)
-			out = buf[sizeLine-len(size) : sizeLine+n]
+			out = buf[maxChunkSizeLine-len(size) : maxChunkSizeLine+n]
 			copy(out, size)
 			out = append(out, "\r\n"...)
 		}
-		if ended && msg.Length < 0 {
+		if ended && msg.ContentLength < 0 {
 			out = append(out, lastChunk...)
 		}
-		c.SetDeadline(time.Now().Add(Progress))
+		c.SetDeadline(time.Now().Add(StallTimeout))
 		if !c.writeAll(out) {
-			if end, over := c.early(); over {
+			if end, over := c.readEarlyResponse(); over {
 				return end, false
 			}
 			return core.EndCutShort, false
@@ -201,47 +201,47 @@
 }
 
 // early reads what a member says, or how it ends, before a request is whole, and tells whether that is all there will be.
-func (c *conn) early() (end core.End, over bool) {
-	c.left = maxHead
-	c.SetReadDeadline(time.Now().Add(earlyWait))
-	resp, err := http.ReadResponse(c.in, nil)
+func (c *conn) readEarlyResponse() (end core.End, over bool) {
+	c.readLimit = maxHeadSize
+	c.SetReadDeadline(time.Now().Add(shortReadTimeout))
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		return core.EndNone, false
 	}
-	if err == nil && turnedAway(resp) {
+	if err == nil && isNotRun(resp) {
 		return core.EndTurnedAway, true
 	}
 	return core.EndCutShort, true
 }
 
-func turnedAway(resp *http.Response) bool {
+func isNotRun(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get(NotRun) == "1"
+		resp.Header.Get(HeaderNotRun) == "1"
 }
 
 // report reads a load report. A field that is missing or no number is NaN, and one that nobody knows is passed over; nil:
 // nothing is known.
-func report(text string, fields map[string]int) (list []float32) {
-	if text == "" || len(fields) == 0 || len(text) > maxReport {
+func parseLoadReport(text string, fields map[string]int) (list []float32) {
+	if text == "" || len(fields) == 0 || len(text) > maxLoadReportSize {
 		return nil
 	}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(part, "=")
-		at, known := fields[strings.TrimSpace(name)]
+		index, known := fields[strings.TrimSpace(name)]
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 32)
 		if !known || err != nil || !(x >= 0 && x <= math.MaxFloat32) {
 			continue
 		}
-		for len(list) <= at {
+		for len(list) <= index {
 			list = append(list, float32(math.NaN()))
 		}
-		list[at] = float32(x)
+		list[index] = float32(x)
 	}
 	return list
 }
 
 // units reads how much a request drew; a figure that is none counts as not told.
-func units(text string) float64 {
+func parseTrueCost(text string) float64 {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(x > 0 && x <= math.MaxUint16) {
 		return 0
@@ -250,12 +250,12 @@
 }
 
 // answer reads an answer, to its end or as far as it is held back.
-func (c *conn) answer(p *Pool, f *core.Flow, msg *Message) (end core.End, a core.Answer, reuse bool) {
+func (c *conn) readResponse(p *Pool, flow *core.Flow, msg *Message) (end core.End, a core.Answer, reuse bool) {
 	var resp *http.Response
 	for interim := 0; ; interim++ {
 		var err error
-		if resp, err = http.ReadResponse(c.in, &http.Request{Method: msg.Method}); err != nil {
-			return broken(err), a, false
+		if resp, err = http.ReadResponse(c.reader, &http.Request{Method: msg.Method}); err != nil {
+			return endOfReadError(err), a, false
 		}
 		if resp.StatusCode >= 200 {
 			break
@@ -264,126 +264,126 @@
 			return core.EndReset, a, false
 		}
 	}
-	a.Report = report(resp.Header.Get(Load), p.opt.LoadFields)
-	b := &body{c: c, p: p, to: f.Server, resp: resp}
-	b.in, b.ready = bodyOf(c.in, resp)
+	a.Report = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
+	b := &responseBody{conn: c, pool: p, server: flow.Server, resp: resp}
+	b.reader, b.ready = bodyReader(c.reader, resp)
 	if resp.StatusCode != http.StatusOK { // what it says is of no use, but is read for the connection's sake
-		c.left += MaxBody
-		c.SetReadDeadline(earliest(f.Until, time.Now().Add(earlyWait)))
-		_, err := io.Copy(io.Discard, b.in)
+		c.readLimit += MaxBufferedBody
+		c.SetReadDeadline(earliest(flow.Until, time.Now().Add(shortReadTimeout)))
+		_, err := io.Copy(io.Discard, b.reader)
 		b.ended = err == nil
-		if turnedAway(resp) {
-			return core.EndTurnedAway, a, b.clean()
+		if isNotRun(resp) {
+			return core.EndTurnedAway, a, b.connReusable()
 		}
-		return core.EndErrored, a, b.clean()
+		return core.EndErrored, a, b.connReusable()
 	}
-	a.Type, a.Length, a.Units = resp.Header.Get("Content-Type"), resp.ContentLength, units(resp.Header.Get(TrueCost))
-	most := int64(MaxLong)
-	if p.opt.Whole {
-		most = MaxWhole
+	a.Type, a.Length, a.Units = resp.Header.Get("Content-Type"), resp.ContentLength, parseTrueCost(resp.Header.Get(HeaderTrueCost))
+	maxLength := int64(MaxBodySize)
+	if p.options.BufferResponses {
+		maxLength = MaxBufferedResponse
 	}
-	if resp.ContentLength > most {
+	if resp.ContentLength > maxLength {
 		return core.EndReset, a, false
 	}
-	hold := int64(Piece)
-	if p.opt.Whole {
-		hold = most
-	} else if resp.ContentLength >= 0 && resp.ContentLength <= MaxBody {
-		hold = resp.ContentLength
+	holdBack := int64(StreamBufferSize)
+	if p.options.BufferResponses {
+		holdBack = maxLength
+	} else if resp.ContentLength >= 0 && resp.ContentLength <= MaxBufferedBody {
+		holdBack = resp.ContentLength
 	}
-	c.left += 8 * most // chunks have heads; what is in them is counted on its own
-	whole, err := b.begin(hold, f.Until, !p.opt.Whole && hold != resp.ContentLength)
+	c.readLimit += 8 * maxLength // chunks have heads; what is in them is counted on its own
+	complete, err := b.bufferBeginning(holdBack, flow.Until, !p.options.BufferResponses && holdBack != resp.ContentLength)
 	if err != nil {
-		b.free()
-		return broken(err), a, false
+		b.releaseMemory()
+		return endOfReadError(err), a, false
 	}
-	a.Body, a.Free = b.held, b.free
-	if whole {
-		return core.EndServed, a, b.clean()
+	a.Body, a.Free = b.buffered, b.releaseMemory
+	if complete {
+		return core.EndServed, a, b.connReusable()
 	}
 	a.Rest = b
 	return core.EndServed, a, false
 }
 
-func broken(err error) core.End {
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
+func endOfReadError(err error) core.End {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return core.EndTimedOut
 	}
 	return core.EndReset
 }
 
 // body is an answer's body on its way. Once its beginning has gone out it owns its connection.
-type body struct {
-	c     *conn
-	p     *Pool
-	to    policy.ServerID
-	resp  *http.Response
-	in    io.Reader
-	ready func() bool // a read gives something at once
-	held  []byte
-	drawn int64 // from the budget
-	n     int64 // bytes that followed the beginning
-	ended bool
+type responseBody struct {
+	conn     *conn
+	pool     *Pool
+	server   policy.ServerID
+	resp     *http.Response
+	reader   io.Reader
+	ready    func() bool // a read gives something at once
+	buffered []byte
+	reserved int64 // from the budget
+	streamed int64 // bytes that followed the beginning
+	ended    bool
 }
 
-var errTooLong = errors.New("too long")
+var errReadLimit = errors.New("too long")
 
 // begin reads the beginning: all, where it is no longer than hold; else until so much is there, or nothing more has come
 // for a moment where back says that it is held back no longer. It tells whether that is all.
-func (b *body) begin(hold int64, until time.Time, back bool) (whole bool, err error) {
-	for size := min(hold, Piece); ; size = min(2*size, hold) { // what is claimed need not come
-		if more := size - b.drawn; more > 0 {
-			if !b.p.opt.Answers.Take(more, until) {
+func (b *responseBody) bufferBeginning(limit int64, deadline time.Time, mayReturnEarly bool) (complete bool, err error) {
+	for size := min(limit, StreamBufferSize); ; size = min(2*size, limit) { // what is claimed need not come
+		if more := size - b.reserved; more > 0 {
+			if !b.pool.options.ResponseMemory.Acquire(more, deadline) {
 				return false, os.ErrDeadlineExceeded
 			}
-			b.drawn += more
+			b.reserved += more
 		}
-		grown := make([]byte, len(b.held), max(size, 1))
-		copy(grown, b.held)
-		b.held = grown
-		whole, err = b.fill(until, back)
-		if whole || err != nil {
-			return whole, err
+		grown := make([]byte, len(b.buffered), max(size, 1))
+		copy(grown, b.buffered)
+		b.buffered = grown
+		complete, err = b.fill(deadline, mayReturnEarly)
+		if complete || err != nil {
+			return complete, err
 		}
-		if len(b.held) < cap(b.held) {
+		if len(b.buffered) < cap(b.buffered) {
 			return false, nil // held back long enough
 		}
-		if size == hold {
-			return b.atEnd(hold)
+		if size == limit {
+			return b.endsWhenFull(limit)
 		}
 	}
 }
 
 // atEnd tells whether a body that fills what was meant for it ends there.
-func (b *body) atEnd(hold int64) (bool, error) {
-	if b.resp.ContentLength == hold || hold == 0 {
+func (b *responseBody) endsWhenFull(limit int64) (bool, error) {
+	if b.resp.ContentLength == limit || limit == 0 {
 		b.ended = true
 		return true, nil
 	}
-	if b.p.opt.Whole {
-		return false, errTooLong
+	if b.pool.options.BufferResponses {
+		return false, errReadLimit
 	}
 	return false, nil
 }
 
 // fill reads until what is held is full, or the body ends, or for so long as it is held back.
-func (b *body) fill(until time.Time, back bool) (whole bool, err error) {
-	first := time.Now().Add(heldBack)
-	for len(b.held) < cap(b.held) {
-		if back && len(b.held) > 0 && !b.ready() {
-			b.c.SetReadDeadline(earliest(first, until))
-			_, err := b.c.in.Peek(b.c.in.Buffered() + 1)
-			if err != nil && broken(err) == core.EndTimedOut && time.Now().Before(until) {
+func (b *responseBody) fill(deadline time.Time, mayReturnEarly bool) (complete bool, err error) {
+	holdBackUntil := time.Now().Add(holdBackTimeout)
+	for len(b.buffered) < cap(b.buffered) {
+		if mayReturnEarly && len(b.buffered) > 0 && !b.ready() {
+			b.conn.SetReadDeadline(earliest(holdBackUntil, deadline))
+			_, err := b.conn.reader.Peek(b.conn.reader.Buffered() + 1)
+			if err != nil && endOfReadError(err) == core.EndTimedOut && time.Now().Before(deadline) {
 				return false, nil
 			}
-			b.c.SetReadDeadline(until)
+			b.conn.SetReadDeadline(deadline)
 			if err == nil {
 				continue
 			}
 		}
-		n, err := b.in.Read(b.held[len(b.held):cap(b.held)])
-		b.held = b.held[:len(b.held)+n]
+		n, err := b.reader.Read(b.buffered[len(b.buffered):cap(b.buffered)])
+		b.buffered = b.buffered[:len(b.buffered)+n]
 		if errors.Is(err, io.EOF) {
 			b.ended = true
 			return true, nil
@@ -396,11 +396,11 @@
 }
 
 // Read gives what follows the beginning.
-func (b *body) Read(piece []byte) (int, error) {
-	b.c.SetReadDeadline(time.Now().Add(Progress))
-	n, err := b.in.Read(piece)
-	if b.n += int64(n); b.n > MaxLong {
-		return n, errTooLong
+func (b *responseBody) Read(buf []byte) (int, error) {
+	b.conn.SetReadDeadline(time.Now().Add(StallTimeout))
+	n, err := b.reader.Read(buf)
+	if b.streamed += int64(n); b.streamed > MaxBodySize {
+		return n, errReadLimit
 	}
 	if errors.Is(err, io.EOF) {
 		b.ended = true
@@ -409,23 +409,25 @@
 }
 
 // Close gives the connection back where the answer has come whole, and ends it where it hasn't.
-func (b *body) Close() error {
-	if b.c == nil {
+func (b *responseBody) Close() error {
+	if b.conn == nil {
 		return nil
 	}
-	if b.clean() {
-		b.p.put(b.to, b.c)
+	if b.connReusable() {
+		b.pool.release(b.server, b.conn)
 	} else {
-		b.p.drop(b.c)
+		b.pool.discard(b.conn)
 	}
-	b.c = nil
+	b.conn = nil
 	return nil
 }
 
 // clean tells whether another flow may use the connection: the body has ended and brought nothing more.
-func (b *body) clean() bool { return b.ended && !b.resp.Close && b.c.in.Buffered() == 0 }
+func (b *responseBody) connReusable() bool {
+	return b.ended && !b.resp.Close && b.conn.reader.Buffered() == 0
+}
 
-func (b *body) free() {
-	b.p.opt.Answers.Give(b.drawn)
-	b.drawn = 0
+func (b *responseBody) releaseMemory() {
+	b.pool.options.ResponseMemory.Release(b.reserved)
+	b.reserved = 0
 }
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -115,18 +115,18 @@
 
 // So is a long one, through a small buffer. Its connection is used again where it may be, and its memory is given back.
 func TestLongAnswers(t *testing.T) {
-	for _, size := range []int{Piece, MaxBody, MaxBody + 1, 300 << 10, 3 << 20} {
+	for _, size := range []int{StreamBufferSize, MaxBufferedBody, MaxBufferedBody + 1, 300 << 10, 3 << 20} {
 		body := long(size)
 		for name, form := range forms(body) {
 			m := fake.New(t, says(form[0], func() bool { return form[1] == "" }))
 			p, ask := start(t, 9, plain, m)
-			p.opt.Answers = buffers.New(MaxBody)
+			p.options.ResponseMemory = buffers.New(MaxBufferedBody)
 			for range 2 {
 				a := ask()
 				require.Equal(t, core.Served, a.Kind, "%s of %d", name, size)
-				assert.LessOrEqual(t, cap(a.Body), MaxBody, name)
+				assert.LessOrEqual(t, cap(a.Body), MaxBufferedBody, name)
 				known := !strings.Contains(name, "chunks") && name != "end"
-				assert.Equal(t, size > MaxBody || !known && size >= Piece, a.Rest != nil, "%s of %d", name, size)
+				assert.Equal(t, size > MaxBufferedBody || !known && size >= StreamBufferSize, a.Rest != nil, "%s of %d", name, size)
 				got, err := all(a)
 				assert.NoError(t, err, name)
 				assert.True(t, body == got, "%s of %d", name, size)
@@ -138,7 +138,7 @@
 				opened = 1
 			}
 			assert.Equal(t, opened, m.Opened(), "%s of %d", name, size)
-			assert.Zero(t, p.opt.Answers.Counts().Held)
+			assert.Zero(t, p.options.ResponseMemory.Stats().InUse)
 		}
 	}
 }
@@ -200,19 +200,19 @@
 	} {
 		m := fake.New(t, c.reply)
 		p, ask := start(t, 9, plain, m)
-		p.opt.Answers = buffers.New(MaxBody)
+		p.options.ResponseMemory = buffers.New(MaxBufferedBody)
 		a := ask()
 		if c.served {
 			require.Equal(t, core.Served, a.Kind, name)
 			got, err := all(a)
 			assert.Error(t, err, name)
-			assert.LessOrEqual(t, len(got), MaxLong+2*MaxBody, name)
+			assert.LessOrEqual(t, len(got), MaxBodySize+2*MaxBufferedBody, name)
 			a.Drop()
 		} else {
 			assert.Equal(t, core.Failed, a.Kind, name)
 		}
-		assert.Equal(t, 0, p.Counts().OpenNow, name)
-		assert.Zero(t, p.opt.Answers.Counts().Held, name)
+		assert.Equal(t, 0, p.Stats().Open, name)
+		assert.Zero(t, p.options.ResponseMemory.Stats().InUse, name)
 	}
 }
 
@@ -240,7 +240,7 @@
 				a.Drop()
 			}
 		}
-		assert.Equal(t, 0, p.Counts().OpenNow, name)
+		assert.Equal(t, 0, p.Stats().Open, name)
 	}
 }
 
@@ -288,7 +288,7 @@
 func TestAnswersWaitForRoom(t *testing.T) {
 	m := fake.New(t, fake.OK(long(300<<10)))
 	p, ask := start(t, 9, plain, m)
-	p.opt.Answers = buffers.New(Piece)
+	p.options.ResponseMemory = buffers.New(StreamBufferSize)
 	first := ask()
 	require.NotNil(t, first.Rest)
 	second := make(chan core.Answer)
@@ -313,7 +313,7 @@
 	a := ask()
 	require.NotNil(t, a.Rest)
 	a.Drop()
-	assert.Equal(t, 0, p.Counts().OpenNow)
+	assert.Equal(t, 0, p.Stats().Open)
 }
 
 // pieces is a body that comes in pieces, and may break.
@@ -347,13 +347,13 @@
 	}
 	c.Servers(policy.ListFull, list)
 	return c.Serve(context.Background(), core.Request{Wait: 20 * time.Second,
-		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Rest: rest, Length: length},
+		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Remainder: rest, ContentLength: length},
 		Request: policy.Request{Class: class, Units: 1, SetSize: 1, Coming: true, Deadline: c.Now() + 20*time.Second}})
 }
 
 // A body that comes in pieces reaches the member whole, with its length or in chunks.
 func TestBodyInPieces(t *testing.T) {
-	kept, rest := long(MaxBody), []string{"a", "bc", long(Piece), long(100), "x"}
+	kept, rest := long(MaxBufferedBody), []string{"a", "bc", long(StreamBufferSize), long(100), "x"}
 	whole := kept + strings.Join(rest, "")
 	for _, length := range []int64{-1, int64(len(whole))} {
 		for _, begin := range []string{kept, ""} {
@@ -367,7 +367,7 @@
 			require.Len(t, m.Seen(), 1)
 			assert.True(t, begin+strings.Join(rest, "") == m.Seen()[0].Text)
 			assert.Equal(t, length < 0, len(m.Seen()[0].TransferEncoding) > 0)
-			assert.Equal(t, 1, p.Counts().IdleNow)
+			assert.Equal(t, 1, p.Stats().Idle)
 		}
 	}
 }
@@ -390,12 +390,12 @@
 func TestAnswerRightAfterTheLastByte(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	p, _ := start(t, 9, plain, m)
-	a := post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * Piece)}, int64(3+3*Piece))
+	a := post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * StreamBufferSize)}, int64(3+3*StreamBufferSize))
 	assert.Equal(t, core.Served, a.Kind)
 	assert.Equal(t, "done", string(a.Body))
 	require.Len(t, m.Seen(), 1)
-	for _, length := range []int64{4 + 3*Piece, 2 + 3*Piece} {
-		a = post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * Piece)}, length)
+	for _, length := range []int64{4 + 3*StreamBufferSize, 2 + 3*StreamBufferSize} {
+		a = post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * StreamBufferSize)}, length)
 		assert.Equal(t, core.Refused, a.Kind, "%d", length)
 		assert.Len(t, m.Seen(), 1, "%d", length)
 	}
@@ -409,7 +409,7 @@
 		a := post(p, []*fake.Peer{m}, 1, "abc", &pieces{list: []string{"de"}, err: errors.New("left")}, length)
 		assert.Equal(t, core.Refused, a.Kind)
 		assert.Empty(t, m.Seen())
-		assert.Equal(t, 0, p.Counts().OpenNow)
+		assert.Equal(t, 0, p.Stats().Open)
 	}
 }
 
@@ -490,7 +490,7 @@
 	} {
 		addr, _ := early(t, 300, c.text, c.goes)
 		d := fake.Deployment()
-		p := New(Options{Sockets: 9, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait})
+		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 		t.Cleanup(p.Close)
 		p.Set(1, addr, policy.Ready)
 		said := make(chan bool)
@@ -522,14 +522,14 @@
 // said before: not in the last chunk either.
 func TestBodyIsCutAtEveryByte(t *testing.T) {
 	const whole = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
-	p := New(Options{Sockets: 9})
+	p := New(Options{MaxConnections: 9})
 	t.Cleanup(p.Close)
 	for _, says := range []string{"", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\nHTTP/1.1 102 x\r\n\r\n"} {
 		for takes := range len(whole) + 1 {
-			c := &conn{Conn: &breaks{says: strings.NewReader(says), takes: takes}, left: maxHead}
-			c.in = bufio.NewReader(c)
-			c.in.Peek(1) // what it says is there already
-			end, ok := c.pass(p, &core.Flow{}, &Message{Rest: &pieces{list: []string{"abcde", "fg"}, err: io.EOF}, Length: -1})
+			c := &conn{Conn: &breaks{says: strings.NewReader(says), takes: takes}, readLimit: maxHeadSize}
+			c.reader = bufio.NewReader(c)
+			c.reader.Peek(1) // what it says is there already
+			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: &pieces{list: []string{"abcde", "fg"}, err: io.EOF}, ContentLength: -1})
 			if assert.Equal(t, takes == len(whole), ok, "%q, %d", says, takes) && !ok {
 				assert.Equal(t, core.EndCutShort, end, "%q, %d", says, takes)
 			}
@@ -548,7 +548,7 @@
 	}
 	d := fake.Deployment()
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p := New(Options{Sockets: 9, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait, Answers: buffers.New(MaxBody)})
+		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait, ResponseMemory: buffers.New(MaxBufferedBody)})
 		defer p.Close()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -579,7 +579,7 @@
 		if len(got) > len(text) {
 			t.Fatalf("%d bytes of %d", len(got), len(text))
 		}
-		if n := p.opt.Answers.Counts().Held; n != 0 {
+		if n := p.options.ResponseMemory.Stats().InUse; n != 0 {
 			t.Fatalf("%d bytes are still held", n)
 		}
 	})
@@ -602,7 +602,7 @@
 		"latency_ms":                       nil,
 		strings.Repeat("inflight=1,", 200): nil,
 	} {
-		got := report(text, fields)
+		got := parseLoadReport(text, fields)
 		assert.Len(t, got, len(want), text)
 		for i := range want {
 			if want[i] == want[i] {
@@ -612,7 +612,7 @@
 			}
 		}
 	}
-	assert.Nil(t, report("latency_ms=38.5", nil))
+	assert.Nil(t, parseLoadReport("latency_ms=38.5", nil))
 }
 
 // FuzzReport: whatever a member says of its load, no figure is negative or endless, and none has a place that there isn't.
@@ -620,12 +620,12 @@
 	f.Add("latency_ms=38.5,inflight=7")
 	f.Add("=,latency_ms=0x1p9,,inflight=1_0")
 	f.Fuzz(func(t *testing.T, text string) {
-		list := report(text, map[string]int{"inflight": 0, "latency_ms": 1})
+		list := parseLoadReport(text, map[string]int{"inflight": 0, "latency_ms": 1})
 		assert.LessOrEqual(t, len(list), 2)
 		for _, x := range list {
 			assert.False(t, x < 0 || math.IsInf(float64(x), 0))
 		}
-		assert.False(t, units(text) < 0 || units(text) > math.MaxUint16)
+		assert.False(t, parseTrueCost(text) < 0 || parseTrueCost(text) > math.MaxUint16)
 	})
 }
 
@@ -635,7 +635,7 @@
 		m := fake.New(t, fake.Says(code, "X-Load: latency_ms=38.5\r\nX-True-Cost: 2.5\r\n", "x"))
 		var got core.Answer
 		_, ask := start(t, 2, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
-			p.opt.LoadFields = map[string]int{"latency_ms": 0}
+			p.options.LoadFields = map[string]int{"latency_ms": 0}
 			end, a := p.Carry(f)
 			got = a
 			return end, a
--- a/internal/pool/export_test.go
+++ b/internal/pool/export_test.go
@@ -1,16 +1,16 @@
 package pool
 
 // Plant plants a fault for the tests outside the package.
-func (p *Pool) Plant(set func(*Bugs)) { set(&p.bugs) }
+func (p *Pool) InjectBug(set func(*Bugs)) { set(&p.injected) }
 
 // Bugs are the faults that can be planted.
-type Bugs = bugs
+type Bugs = injectedBugs
 
 // The faults.
 var (
-	NoRecheck    = func(b *Bugs) { b.noRecheck = true }
-	ReuseStirred = func(b *Bugs) { b.reuseStirred = true }
-	ReuseUnsent  = func(b *Bugs) { b.reuseUnsent = true }
-	PartNotSent  = func(b *Bugs) { b.partNotSent = true }
-	TornHead     = func(b *Bugs) { b.tornHead = true }
+	SkipRecheck            = func(b *Bugs) { b.skipRecheck = true }
+	ReuseUnread            = func(b *Bugs) { b.reuseUnread = true }
+	ReuseIncompleteRequest = func(b *Bugs) { b.reuseIncompleteRequest = true }
+	PartialIsNotSent       = func(b *Bugs) { b.partialIsNotSent = true }
+	AcceptTornHead         = func(b *Bugs) { b.acceptTornHead = true }
 )
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -23,7 +23,7 @@
 func start(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
-	p := New(Options{Sockets: sockets, StaleWithin: time.Minute, ConnIdle: d.ConnIdle, ConnectWait: d.ConnectWait})
+	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
 		carrier(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
@@ -45,7 +45,7 @@
 func (p *Pool) idle(id policy.ServerID) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]*conn(nil), p.members[id].idle...)
+	return append([]*conn(nil), p.servers[id].idle...)
 }
 
 func TestConnectionIsReused(t *testing.T) {
@@ -55,7 +55,7 @@
 		assert.Equal(t, core.Served, ask().Kind)
 	}
 	assert.Equal(t, 1, m.Opened())
-	assert.Equal(t, Counts{Reused: 4, Opened: 1, OpenNow: 1, IdleNow: 1}, p.Counts())
+	assert.Equal(t, Stats{Reused: 4, Opened: 1, Open: 1, Idle: 1}, p.Stats())
 }
 
 // A peer that closes a connection while it is idle: what is written to it afterwards would count as run.
@@ -65,7 +65,7 @@
 	require.Equal(t, core.Served, ask().Kind)
 	require.Eventually(t, func() bool {
 		idle := p.idle(1)
-		return len(idle) == 0 || !p.fresh(idle[0]) // the close has come in
+		return len(idle) == 0 || !p.reusable(idle[0]) // the close has come in
 	}, time.Minute, time.Millisecond)
 	assert.Equal(t, core.Served, ask().Kind)
 	assert.Len(t, m.Seen(), 2)
@@ -77,8 +77,8 @@
 	p, ask := start(t, 9, plain, m)
 	require.Equal(t, core.Served, ask().Kind)
 	c := p.idle(1)[0]
-	assert.True(t, p.fresh(c))
-	c.since = time.Now().Add(-p.opt.ConnIdle * 4 / 5)
+	assert.True(t, p.reusable(c))
+	c.idleSince = time.Now().Add(-p.options.IdleTimeout * 4 / 5)
 	require.Equal(t, core.Served, ask().Kind)
 	assert.Equal(t, 2, m.Opened())
 }
@@ -90,12 +90,12 @@
 	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		if drained == 0 {
 			drained = f.Server
-			c, _ := p.connect(f, false)
+			c, _ := p.idleOrDial(f, false)
 			assert.NotNil(t, c)
-			p.Set(f.Server, c.to, policy.Draining)
-			end, ok := p.begin(f, c)
+			p.Set(f.Server, c.addr, policy.Draining)
+			end, ok := p.recheck(f, c)
 			assert.False(t, ok)
-			p.drop(c)
+			p.discard(c)
 			return end, core.Answer{}
 		}
 		return p.Carry(f)
@@ -115,14 +115,14 @@
 func TestRemovalWhileDialling(t *testing.T) {
 	a := fake.New(t, fake.OK("a"))
 	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
-		c, _ := p.connect(f, false)
+		c, _ := p.idleOrDial(f, false)
 		if c == nil {
 			return core.EndDrained, core.Answer{}
 		}
 		p.Set(f.Server, "", policy.Gone)
-		end, ok := p.begin(f, c)
+		end, ok := p.recheck(f, c)
 		assert.False(t, ok)
-		p.drop(c)
+		p.discard(c)
 		return end, core.Answer{}
 	}, a)
 	assert.Equal(t, core.Refused, ask().Kind)
@@ -163,21 +163,21 @@
 // The idle time at which connections break is learnt, for requests that must not run twice at the first sign, and
 // forgotten again.
 func TestAgesAreLearnt(t *testing.T) {
-	var a ages
+	var a stalenessEstimator
 	old, young := 200*time.Millisecond, 20*time.Millisecond
 	for range 100 {
-		a.learn(young, false)
+		a.observe(young, false)
 	}
-	assert.False(t, a.doubtful(old, "POST"))
-	a.learn(old, true)
-	assert.True(t, a.doubtful(old, "POST"))
-	assert.False(t, a.doubtful(old, "GET"))
-	a.learn(old, true)
-	assert.True(t, a.doubtful(old, "GET"))
-	a.learn(young, true) // one of many
-	assert.False(t, a.doubtful(young, "POST"))
-	a.faded = a.faded.Add(-3 * agesFade)
-	assert.False(t, a.doubtful(old, "POST"))
+	assert.False(t, a.likelyStale(old, "POST"))
+	a.observe(old, true)
+	assert.True(t, a.likelyStale(old, "POST"))
+	assert.False(t, a.likelyStale(old, "GET"))
+	a.observe(old, true)
+	assert.True(t, a.likelyStale(old, "GET"))
+	a.observe(young, true) // one of many
+	assert.False(t, a.likelyStale(young, "POST"))
+	a.decayedAt = a.decayedAt.Add(-3 * decayTimeConstant)
+	assert.False(t, a.likelyStale(old, "POST"))
 }
 
 // The descriptor budget holds: an idle connection makes room for one that is needed.
--- a/internal/pool/send.go
+++ b/internal/pool/send.go
@@ -11,68 +11,68 @@
 // This file owns how a call's request goes out: a member may answer while its body is still on the way.
 
 // sent is how much of a request went out.
-type sent uint8
+type writeProgress uint8
 
 const (
-	sentNoHead sent = iota // not all of its head: it has not run
-	sentPart               // its head and not all of its body: the member may answer all the same
-	sentWhole
+	headIncomplete writeProgress = iota // not all of its head: it has not run
+	bodyIncomplete                      // its head and not all of its body: the member may answer all the same
+	requestComplete
 )
 
 const (
 	// bodyStep is how much of a long body goes out between looks at the answer, in bytes.
-	bodyStep = 64 << 10
+	bodyWriteSize = 64 << 10
 	// bodyStall is how long a member may take nothing of a body before it is looked whether its answer is there.
-	bodyStall = 50 * time.Millisecond
+	bodyStallTimeout = 50 * time.Millisecond
 )
 
 // write writes the request, and tells how much of it went.
-func (call *Call) write(c *conn) sent {
-	b := heads.Get().(*bytes.Buffer)
-	defer heads.Put(b)
+func (request *Request) writeTo(c *conn) writeProgress {
+	b := headBuffers.Get().(*bytes.Buffer)
+	defer headBuffers.Put(b)
 	b.Reset()
-	call.Head(b)
+	request.WriteHead(b)
 	head := b.Len()
-	if len(call.Body) <= mostSmall {
-		b.Write(call.Body)
+	if len(request.Body) <= maxCoalescedBody {
+		b.Write(request.Body)
 		n, _ := c.Write(b.Bytes())
-		return sentOf(n, head, b.Len())
+		return progressOf(n, head, b.Len())
 	}
 	if !c.writeAll(b.Bytes()) {
-		return sentNoHead
+		return headIncomplete
 	}
-	return sentOf(head+call.writeBody(c), head, head+len(call.Body))
+	return progressOf(head+request.writeBody(c), head, head+len(request.Body))
 }
 
-func sentOf(n, head, whole int) sent {
+func progressOf(n, head, total int) writeProgress {
 	switch {
 	case n < head:
-		return sentNoHead
-	case n < whole:
-		return sentPart
+		return headIncomplete
+	case n < total:
+		return bodyIncomplete
 	}
-	return sentWhole
+	return requestComplete
 }
 
 // writeBody writes a long body until the call's time is over, or its member takes nothing more and has answered, and gives how
 // many bytes went.
-func (call *Call) writeBody(c *conn) (all int) {
-	if _, opaque := c.Conn.(*tls.Conn); opaque { // a write whose time is over breaks it
-		all, _ = c.Write(call.Body)
-		return all
+func (request *Request) writeBody(c *conn) (written int) {
+	if _, encrypted := c.Conn.(*tls.Conn); encrypted { // a write whose time is over breaks it
+		written, _ = c.Write(request.Body)
+		return written
 	}
-	for all < len(call.Body) {
-		c.SetWriteDeadline(earliest(time.Now().Add(bodyStall), call.Until))
-		n, err := c.Write(call.Body[all:min(all+bodyStep, len(call.Body))])
-		all += n
+	for written < len(request.Body) {
+		c.SetWriteDeadline(earliest(time.Now().Add(bodyStallTimeout), request.Deadline))
+		n, err := c.Write(request.Body[written:min(written+bodyWriteSize, len(request.Body))])
+		written += n
 		if err == nil {
 			continue
 		}
-		stalled := n == 0 && c.stirred()
-		if !errors.Is(err, os.ErrDeadlineExceeded) || stalled || !time.Now().Before(call.Until) {
+		stalled := n == 0 && c.hasUnread()
+		if !errors.Is(err, os.ErrDeadlineExceeded) || stalled || !time.Now().Before(request.Deadline) {
 			break
 		}
 	}
-	c.SetWriteDeadline(call.Until)
-	return all
+	c.SetWriteDeadline(request.Deadline)
+	return written
 }
--- a/internal/pool/torn_test.go
+++ b/internal/pool/torn_test.go
@@ -35,9 +35,9 @@
 				io.WriteString(c, text)
 			}
 		}, func(p *Pool) {
-			x, end := p.Open(context.Background(), call(0))
+			x, end := p.Send(context.Background(), call(0))
 			require.NotNil(t, x, "%v", end)
-			resp, err := x.Head(time.Now().Add(time.Second))
+			resp, err := x.ReadHead(time.Now().Add(time.Second))
 			if fine {
 				require.NoError(t, err, text)
 				assert.Equal(t, "own", resp.Header.Get("X-Request-Id"))
--- a/internal/pool/world_test.go
+++ b/internal/pool/world_test.go
@@ -14,15 +14,15 @@
 // TestRandomServersFindBugs plants bugs of the pool one by one; some world of the gateway on it must show each.
 func TestRandomServersFindBugs(t *testing.T) {
 	for name, plant := range map[string]func(*pool.Bugs){
-		"a connection is used again on which more has come than an answer":     pool.ReuseStirred,
-		"a connection is used again on which a request's body is due":          pool.ReuseUnsent,
-		"a request whose body went out in part counts as not sent":             pool.PartNotSent,
-		"a head that begins in the middle of another is taken for one with it": pool.TornHead,
-		"a member that drains while a connection comes up gets the request":    pool.NoRecheck,
+		"a connection is used again on which more has come than an answer":     pool.ReuseUnread,
+		"a connection is used again on which a request's body is due":          pool.ReuseIncompleteRequest,
+		"a request whose body went out in part counts as not sent":             pool.PartialIsNotSent,
+		"a head that begins in the middle of another is taken for one with it": pool.AcceptTornHead,
+		"a member that drains while a connection comes up gets the request":    pool.SkipRecheck,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			faultyserver.Finds(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.Plant(plant) })
+			faultyserver.Finds(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.InjectBug(plant) })
 		})
 	}
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -32,28 +32,28 @@
 		{"sddu", Serving, true, true, false, false, true, false, false},
 		{"sdud", Draining, true, false, true, true, true, false, false},
 		{"dus", Serving, true, true, false, false, true, false, false},
-		{"t", Ending, false, false, true, true, false, true, true},
-		{"st", Ending, false, false, true, true, false, true, true},
-		{"sdt", Ending, false, false, true, true, false, true, true},
-		{"sdtu", Ending, false, false, true, true, false, true, true},
-		{"std", Ending, false, false, true, true, false, true, true},
-		{"stt", Ending, false, false, true, true, false, true, true},
-		{"ts", Ending, false, false, true, true, false, true, true},
+		{"t", ShuttingDown, false, false, true, true, false, true, true},
+		{"st", ShuttingDown, false, false, true, true, false, true, true},
+		{"sdt", ShuttingDown, false, false, true, true, false, true, true},
+		{"sdtu", ShuttingDown, false, false, true, true, false, true, true},
+		{"std", ShuttingDown, false, false, true, true, false, true, true},
+		{"stt", ShuttingDown, false, false, true, true, false, true, true},
+		{"ts", ShuttingDown, false, false, true, true, false, true, true},
 		{"sh", HandedOver, true, true, true, true, true, false, false},
 		{"shdu", HandedOver, true, true, true, true, true, false, false},
 		{"sdh", HandedOver, true, false, true, true, true, false, false},
 		{"shb", Serving, true, true, false, false, true, false, false},
 		{"sdhb", Draining, true, false, true, true, true, false, false},
-		{"sht", Ending, false, false, true, true, false, true, true},
-		{"sth", Ending, false, false, true, true, false, true, true},
-		{"shtb", Ending, false, false, true, true, false, true, true},
+		{"sht", ShuttingDown, false, false, true, true, false, true, true},
+		{"sth", ShuttingDown, false, false, true, true, false, true, true},
+		{"shtb", ShuttingDown, false, false, true, true, false, true, true},
 	} {
 		s, now := New(), time.Unix(1000, 0)
 		for _, call := range strings.Split(c.story, "") {
 			now = now.Add(10 * time.Second)
 			switch call {
 			case "s":
-				s.Started()
+				s.MarkStarted()
 			case "d":
 				s.Drain(now)
 			case "u":
@@ -63,13 +63,13 @@
 			case "b":
 				s.TakeBack()
 			case "t":
-				s.End(now, within)
+				s.Shutdown(now, within)
 			}
 		}
 		now = now.Add(30 * time.Second)
 		assert.Equal(t, c.phase, s.Phase(), c.story)
 		assert.Equal(t, []bool{c.serves, c.ready, c.last, c.idleCloses, c.accepts, c.mayEnd, c.mayEndOwedTo},
-			[]bool{s.Serves(), s.Ready(), s.Last(), s.ClosesIdle(now), s.Accepts(now), s.MayEnd(now, 0), s.MayEnd(now, 1)}, c.story)
+			[]bool{s.CanServe(), s.Ready(), s.ClosesAfterResponse(), s.ClosesIdle(now), s.Accepts(now), s.MayExit(now, 0), s.MayExit(now, 1)}, c.story)
 	}
 }
 
@@ -78,7 +78,7 @@
 func TestTimes(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	s := New()
-	s.Started()
+	s.MarkStarted()
 	s.Drain(at(0))
 	s.Drain(at(IdleGrace / 2))
 	assert.False(t, s.ClosesIdle(at(IdleGrace-1)))
@@ -88,22 +88,22 @@
 	s.Drain(at(time.Minute))
 	assert.False(t, s.ClosesIdle(at(time.Minute)))
 	end := time.Minute + IdleGrace/2
-	assert.True(t, s.End(at(end), within))
-	assert.False(t, s.End(at(end+1), within), "asked for twice")
+	assert.True(t, s.Shutdown(at(end), within))
+	assert.False(t, s.Shutdown(at(end+1), within), "asked for twice")
 	assert.True(t, s.ClosesIdle(at(time.Minute+IdleGrace)))
-	assert.True(t, s.Accepts(at(end+AcceptOn-1)))
-	assert.False(t, s.MayEnd(at(end+AcceptOn), 0))
-	assert.True(t, s.MayEnd(at(end+AcceptOn+settle), 0))
-	assert.False(t, s.MayEnd(at(end+within-1), 1))
-	assert.True(t, s.MayEnd(at(end+within), 1))
+	assert.True(t, s.Accepts(at(end+DefaultAcceptPeriod-1)))
+	assert.False(t, s.MayExit(at(end+DefaultAcceptPeriod), 0))
+	assert.True(t, s.MayExit(at(end+DefaultAcceptPeriod+newConnGrace), 0))
+	assert.False(t, s.MayExit(at(end+within-1), 1))
+	assert.True(t, s.MayExit(at(end+within), 1))
 
 	s = New()
-	s.Started()
+	s.MarkStarted()
 	s.HandOver(at(0))
-	s.End(at(IdleGrace/2), within)
+	s.Shutdown(at(IdleGrace/2), within)
 	assert.True(t, s.ClosesIdle(at(IdleGrace)), "from the hand-over on")
-	assert.False(t, s.MayEnd(at(IdleGrace/2), 1))
-	assert.True(t, s.MayEnd(at(IdleGrace/2), 0), "the front comes to the other process")
+	assert.False(t, s.MayExit(at(IdleGrace/2), 1))
+	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "the front comes to the other process")
 }
 
 // What is open has its answer before the platform kills the process: so much after the longest deadline, of which three
@@ -111,7 +111,7 @@
 func TestEndWithin(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
-		answers, ends := EndWithin(longest)
+		answers, ends := ShutdownTimes(longest)
 		assert.Less(t, answers, ends)
 		assert.Less(t, ends, killed)
 		assert.Greater(t, answers, min(longest, 2900*time.Millisecond)+500*time.Millisecond)
@@ -120,8 +120,8 @@
 
 func TestChangedWakes(t *testing.T) {
 	s := New()
-	for _, change := range []func(){s.Started, func() { s.Drain(time.Now()) }, func() { s.Undrain() }, func() { s.HandOver(time.Now()) }, s.TakeBack,
-		func() { s.End(time.Now(), 0) }} {
+	for _, change := range []func(){s.MarkStarted, func() { s.Drain(time.Now()) }, func() { s.Undrain() }, func() { s.HandOver(time.Now()) }, s.TakeBack,
+		func() { s.Shutdown(time.Now(), 0) }} {
 		changed := s.Changed()
 		change()
 		<-changed
@@ -131,16 +131,16 @@
 // Once no new connections are taken the end counts for each request; before that, what comes may well end in time.
 func TestLeaves(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
-	s.Started()
-	_, counts := s.Leaves(now)
+	s.MarkStarted()
+	_, counts := s.ExitDeadline(now)
 	assert.False(t, counts)
 	s.Drain(now)
-	_, counts = s.Leaves(now.Add(time.Minute))
+	_, counts = s.ExitDeadline(now.Add(time.Minute))
 	assert.False(t, counts, "the process stays")
-	s.End(now, within)
-	_, counts = s.Leaves(now.Add(AcceptOn - 1))
+	s.Shutdown(now, within)
+	_, counts = s.ExitDeadline(now.Add(DefaultAcceptPeriod - 1))
 	assert.False(t, counts)
-	at, counts := s.Leaves(now.Add(AcceptOn))
+	at, counts := s.ExitDeadline(now.Add(DefaultAcceptPeriod))
 	assert.True(t, counts)
 	assert.Equal(t, now.Add(within), at)
 }
