--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -43,42 +43,42 @@
 }
 
 // Backlog gives the tokens that wait at a batch process, by its node's name; false where it hasn't told lately.
-func (b *Table) Backlog(now time.Time, node string) (tokens int64, known bool) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	one, told := b.backlogs[xxhash.Sum64String(node)]
+func (t *Table) Backlog(now time.Time, node string) (tokens int64, known bool) {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	one, told := t.backlogs[xxhash.Sum64String(node)]
 	return one.tokens, told && now.Sub(one.receivedAt) <= backlogTTL
 }
 
 // Tell notes what a batch process told, by its node's name.
-func (b *Table) ReportBacklog(node string, tokens int64) {
-	b.receiveBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
+func (t *Table) ReportBacklog(node string, tokens int64) {
+	t.receiveBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
 }
 
-func (b *Table) receiveBacklogs(now time.Time, of kind, list []backlog) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Table) receiveBacklogs(now time.Time, datagramKind kind, list []backlog) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, one := range list {
-		known := b.backlogs[one.store]
-		if of == kindBacklog {
+		known := t.backlogs[one.store]
+		if datagramKind == kindBacklog {
 			known.directAt = now
 		}
 		known.tokens, known.receivedAt = one.tokens, now
-		b.backlogs[one.store] = known
+		t.backlogs[one.store] = known
 	}
-	for store, one := range b.backlogs {
+	for store, one := range t.backlogs {
 		if now.Sub(one.receivedAt) > backlogTTL {
-			delete(b.backlogs, store)
+			delete(t.backlogs, store)
 		}
 	}
 }
 
 // heardBacklogs lists what batch processes told this home themselves.
-func (b *Table) directBacklogs(now time.Time) []backlog {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	list := make([]backlog, 0, len(b.backlogs))
-	for store, one := range b.backlogs {
+func (t *Table) directBacklogs(now time.Time) []backlog {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	list := make([]backlog, 0, len(t.backlogs))
+	for store, one := range t.backlogs {
 		if now.Sub(one.directAt) <= backlogRelayFor {
 			list = append(list, backlog{store: store, tokens: one.tokens})
 		}
@@ -114,21 +114,21 @@
 	return list
 }
 
-func (s *Sharing) sendBacklogs(of kind, list []backlog, to []netip.AddrPort) {
+func (s *Sharing) sendBacklogs(datagramKind kind, list []backlog, to []netip.AddrPort) {
 	if len(list) == 0 {
 		return
 	}
-	s.backlogBuffer = encodeBacklogs(s.backlogBuffer, of, list)
+	s.backlogBuffer = encodeBacklogs(s.backlogBuffer, datagramKind, list)
 	for _, address := range to {
 		_, _ = s.conn.WriteToUDPAddrPort(s.backlogBuffer, address)
 	}
 }
 
 // Layout: as that of reports, and for each backlog the hash of the node's name (8) and the tokens in units of 256 (4).
-func encodeBacklogs(out []byte, of kind, list []backlog) []byte {
+func encodeBacklogs(out []byte, datagramKind kind, list []backlog) []byte {
 	list = list[:min(len(list), maxBacklogs)]
 	out = binary.BigEndian.AppendUint32(out[:0], magic)
-	out = append(out, byte(of), byte(len(list)))
+	out = append(out, byte(datagramKind), byte(len(list)))
 	for _, one := range list {
 		out = binary.BigEndian.AppendUint64(out, one.store)
 		out = binary.BigEndian.AppendUint32(out, uint32(min(max(one.tokens, 0)/backlogUnit, 1<<32-1)))
@@ -137,18 +137,18 @@
 }
 
 // decodeBacklogs reads a datagram of backlogs; false where it is none.
-func decodeBacklogs(datagram []byte) (of kind, list []backlog, ok bool) {
+func decodeBacklogs(datagram []byte) (datagramKind kind, list []backlog, ok bool) {
 	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
 	}
-	of = kind(datagram[4])
+	datagramKind = kind(datagram[4])
 	count := int(datagram[5])
-	if of != kindBacklog && of != kindBacklogRelay || count > maxBacklogs || len(datagram) != headerBytes+count*backlogBytes {
+	if datagramKind != kindBacklog && datagramKind != kindBacklogRelay || count > maxBacklogs || len(datagram) != headerBytes+count*backlogBytes {
 		return 0, nil, false
 	}
 	for at := headerBytes; at < len(datagram); at += backlogBytes {
 		one := datagram[at : at+backlogBytes]
 		list = append(list, backlog{store: binary.BigEndian.Uint64(one), tokens: backlogUnit * int64(binary.BigEndian.Uint32(one[8:]))})
 	}
-	return of, list, true
+	return datagramKind, list, true
 }
--- a/internal/serverload/datagram.go
+++ b/internal/serverload/datagram.go
@@ -28,10 +28,10 @@
 )
 
 // encode writes as many reports as fit.
-func encode(out []byte, of kind, reports []Report) []byte {
+func encode(out []byte, datagramKind kind, reports []Report) []byte {
 	reports = reports[:min(len(reports), maxReports)]
 	out = binary.BigEndian.AppendUint32(out[:0], magic)
-	out = append(out, byte(of), byte(len(reports)))
+	out = append(out, byte(datagramKind), byte(len(reports)))
 	for _, one := range reports {
 		out = binary.BigEndian.AppendUint64(out, one.Server)
 		for _, number := range []int{one.Load.Running, one.Load.Waiting, one.Load.Slots, int(one.Age.Milliseconds())} {
@@ -43,13 +43,13 @@
 }
 
 // decode reads a datagram; false where it is none.
-func decode(datagram []byte) (of kind, reports []Report, ok bool) {
+func decode(datagram []byte) (datagramKind kind, reports []Report, ok bool) {
 	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
 	}
-	of = kind(datagram[4])
+	datagramKind = kind(datagram[4])
 	count := int(datagram[5])
-	if of < kindObserved || of > kindRemote || count > maxReports || len(datagram) != headerBytes+count*reportBytes {
+	if datagramKind < kindObserved || datagramKind > kindRemote || count > maxReports || len(datagram) != headerBytes+count*reportBytes {
 		return 0, nil, false
 	}
 	reports = make([]Report, 0, count)
@@ -60,5 +60,5 @@
 			Age: time.Duration(number(14)) * time.Millisecond, Results: Results{Served: float64(one[16]), Failed: float64(one[17])}}
 		reports = append(reports, report)
 	}
-	return of, reports, true
+	return datagramKind, reports, true
 }
--- a/internal/serverload/load.go
+++ b/internal/serverload/load.go
@@ -57,7 +57,7 @@
 // Board holds the newest load of each server, by the hash of its id. It is safe for concurrent use.
 type Table struct {
 	mu      sync.RWMutex
-	entries map[uint64]entry
+	entries map[uint64]loadEntry
 	results results
 
 	backlogs           map[uint64]backlogEntry // of batch processes
@@ -69,7 +69,7 @@
 }
 
 // entry is the newest load of a server that is known here.
-type entry struct {
+type loadEntry struct {
 	load       Load
 	reportedAt time.Time // it was told
 	receivedAt time.Time // here
@@ -79,64 +79,64 @@
 
 // NewBoard gives an empty board.
 func NewTable() *Table {
-	return &Table{entries: map[uint64]entry{}, results: newResults(), prefillUntil: map[uint64]time.Time{}, backlogs: map[uint64]backlogEntry{}}
+	return &Table{entries: map[uint64]loadEntry{}, results: newResults(), prefillUntil: map[uint64]time.Time{}, backlogs: map[uint64]backlogEntry{}}
 }
 
 // Note takes in the header of an answer; an empty one tells nothing.
-func (b *Table) Observe(now time.Time, server uint64, header string) {
+func (t *Table) Observe(now time.Time, server uint64, header string) {
 	if header == "" {
 		return
 	}
 	load, ok := Parse(header)
 	if !ok {
-		b.invalid.Add(1)
+		t.invalid.Add(1)
 		return
 	}
-	b.update(server, entry{load: load, reportedAt: now, receivedAt: now, direct: true})
+	t.update(server, loadEntry{load: load, reportedAt: now, receivedAt: now, direct: true})
 }
 
 // hearsLoads tells whether servers tell their load.
-func (b *Table) receivesLoads(now time.Time) bool {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return now.Sub(b.newestAt) <= loadTTL
+func (t *Table) receivesLoads(now time.Time) bool {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	return now.Sub(t.newestAt) <= loadTTL
 }
 
 // Invalid counts the headers that could not be read.
-func (b *Table) Invalid() int64 { return b.invalid.Load() }
+func (t *Table) Invalid() int64 { return t.invalid.Load() }
 
-func (b *Table) update(server uint64, one entry) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if known, held := b.entries[server]; held && !one.reportedAt.After(known.reportedAt) {
+func (t *Table) update(server uint64, one loadEntry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if known, held := t.entries[server]; held && !one.reportedAt.After(known.reportedAt) {
 		return
 	}
-	b.entries[server] = one
-	if one.reportedAt.After(b.newestAt) {
-		b.newestAt = one.reportedAt
+	t.entries[server] = one
+	if one.reportedAt.After(t.newestAt) {
+		t.newestAt = one.reportedAt
 	}
-	b.sweep(one.reportedAt)
+	t.sweep(one.reportedAt)
 }
 
 // sweep forgets what is too old. The mutex is held.
-func (b *Table) sweep(now time.Time) {
-	if now.Sub(b.sweptAt) < loadTTL {
+func (t *Table) sweep(now time.Time) {
+	if now.Sub(t.sweptAt) < loadTTL {
 		return
 	}
-	b.sweptAt = now
-	for server, one := range b.entries {
+	t.sweptAt = now
+	for server, one := range t.entries {
 		if now.Sub(one.reportedAt) > loadTTL {
-			delete(b.entries, server)
+			delete(t.entries, server)
 		}
 	}
-	b.results.sweep(now)
+	t.results.sweep(now)
 }
 
 // Known gives a server's load and when it was told; false where nothing is known that still stands.
-func (b *Table) Lookup(now time.Time, server uint64) (load Load, at time.Time, known bool) {
-	b.mu.RLock()
-	one, held := b.entries[server]
-	b.mu.RUnlock()
+func (t *Table) Lookup(now time.Time, server uint64) (load Load, at time.Time, known bool) {
+	t.mu.RLock()
+	one, held := t.entries[server]
+	t.mu.RUnlock()
 	if !held || now.Sub(one.reportedAt) > loadTTL {
 		return Load{}, time.Time{}, false
 	}
@@ -152,11 +152,11 @@
 }
 
 // since lists what was heard after a moment and fits.
-func (b *Table) reportsSince(now, moment time.Time, fits func(entry) bool) []Report {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
+func (t *Table) reportsSince(now, moment time.Time, fits func(loadEntry) bool) []Report {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
 	var list []Report
-	for server, one := range b.entries {
+	for server, one := range t.entries {
 		if age := now.Sub(one.reportedAt); one.receivedAt.After(moment) && age <= loadTTL && fits(one) {
 			list = append(list, Report{Server: server, Load: one.load, Age: age})
 		}
--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -36,7 +36,7 @@
 		So(b.Invalid(), ShouldEqual, 1)
 		_, _, known = b.Lookup(start.Add(loadTTL+time.Millisecond), 7)
 		So(known, ShouldBeFalse)
-		b.update(7, entry{load: Load{Running: 9, Slots: 12}, reportedAt: start.Add(-time.Second)})
+		b.update(7, loadEntry{load: Load{Running: 9, Slots: 12}, reportedAt: start.Add(-time.Second)})
 		load, _, _ = b.Lookup(start, 7)
 		So(load.Running, ShouldEqual, 3)
 	})
@@ -91,9 +91,9 @@
 		}
 		datagram := encode(nil, kindZone, reports)
 		So(len(datagram), ShouldEqual, datagramBytes)
-		of, read, ok := decode(datagram)
+		datagramKind, read, ok := decode(datagram)
 		So(ok, ShouldBeTrue)
-		So(of, ShouldEqual, kindZone)
+		So(datagramKind, ShouldEqual, kindZone)
 		So(read, ShouldResemble, reports[:maxReports])
 	})
 	Convey("Anything else is dropped whole", t, func() {
@@ -110,9 +110,9 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		b := NewTable()
 		b.receiveReports(start, datagram)
-		if of, reports, ok := decode(datagram); ok {
-			again, read, ok := decode(encode(nil, of, reports))
-			if !ok || again != of || len(read) != len(reports) {
+		if datagramKind, reports, ok := decode(datagram); ok {
+			again, read, ok := decode(encode(nil, datagramKind, reports))
+			if !ok || again != datagramKind || len(read) != len(reports) {
 				t.Fatal("a datagram that was read isn't written alike")
 			}
 		}
@@ -136,11 +136,11 @@
 		So(len(b.prefillUntil), ShouldBeLessThan, 3000)
 	})
 	Convey("A datagram is read as it was written, and anything else is dropped", t, func() {
-		sent := []prefill{{server: 7, tokens: 16_000, sender: 9}, {server: 8, tokens: 32, sender: 1}}
+		sent := []pendingPrompt{{server: 7, tokens: 16_000, sender: 9}, {server: 8, tokens: 32, sender: 1}}
 		datagram := encodePrefills(nil, kindPrefillRelay, sent)
-		of, read, ok := decodePrefills(datagram)
+		datagramKind, read, ok := decodePrefills(datagram)
 		So(ok, ShouldBeTrue)
-		So(of, ShouldEqual, kindPrefillRelay)
+		So(datagramKind, ShouldEqual, kindPrefillRelay)
 		So(read, ShouldResemble, sent)
 		_, _, ok = decodePrefills(datagram[:len(datagram)-1])
 		So(ok, ShouldBeFalse)
@@ -155,13 +155,13 @@
 		home.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
 		home.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
 		So(home.directBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
-		of, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
+		datagramKind, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
 		So(ok, ShouldBeTrue)
-		gateway.receiveBacklogs(start, of, list)
+		gateway.receiveBacklogs(start, datagramKind, list)
 		So(gateway.directBacklogs(start), ShouldBeEmpty)
 		So(gateway.backlogs[1].tokens, ShouldEqual, 5120)
 		So(home.directBacklogs(start.Add(backlogRelayFor+1)), ShouldBeEmpty)
-		gateway.receiveBacklogs(start.Add(backlogTTL+1), of, nil)
+		gateway.receiveBacklogs(start.Add(backlogTTL+1), datagramKind, nil)
 		So(gateway.backlogs, ShouldBeEmpty)
 		for _, bad := range [][]byte{nil, []byte("SPL1\x06\x01"), encodePrefills(nil, kindPrefill, nil)} {
 			_, _, ok := decodeBacklogs(bad)
@@ -176,15 +176,15 @@
 		for _, node := range []string{"a", "b", "c", "d", "e"} {
 			gateways = append(gateways, protocol.Process{Node: node, Zone: "z"})
 		}
-		of := aggregatorsByZone(gateways)["z"]
-		So(of, ShouldHaveLength, aggregatorsPerZone)
+		datagramKind := aggregatorsByZone(gateways)["z"]
+		So(datagramKind, ShouldHaveLength, aggregatorsPerZone)
 		var left []protocol.Process
 		for _, one := range gateways {
-			if one.Node != of[0].Node {
+			if one.Node != datagramKind[0].Node {
 				left = append(left, one)
 			}
 		}
-		So(aggregatorsByZone(left)["z"][0], ShouldResemble, of[1])
+		So(aggregatorsByZone(left)["z"][0], ShouldResemble, datagramKind[1])
 	})
 }
 
@@ -234,11 +234,11 @@
 		var boards []*Table
 		var all []*Sharing
 		for _, one := range append(gateways, store.Process) {
-			board := NewTable()
-			sharing, err := Listen(board, one, port, func() *protocol.MemberList { return members })
+			table := NewTable()
+			sharing, err := Listen(table, one, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			go sharing.Run(t.Context())
-			boards, all = append(boards, board), append(all, sharing)
+			boards, all = append(boards, table), append(all, sharing)
 		}
 		boards[0].Observe(time.Now(), 7, "5,0,12")
 		for i := 1; i < len(boards); i++ {
--- a/internal/serverload/reading.go
+++ b/internal/serverload/reading.go
@@ -25,7 +25,7 @@
 )
 
 // reading is a prompt that a server has to read.
-type prefill struct {
+type pendingPrompt struct {
 	server uint64
 	tokens int
 	sender uint32 // of the process that sent it
@@ -42,10 +42,10 @@
 	prefillsBytes         = headerBytes + maxPrefills*prefillBytes
 )
 
-func encodePrefills(out []byte, of kind, readings []prefill) []byte {
+func encodePrefills(out []byte, datagramKind kind, readings []pendingPrompt) []byte {
 	readings = readings[:min(len(readings), maxPrefills)]
 	out = binary.BigEndian.AppendUint32(out[:0], magic)
-	out = append(out, byte(of), byte(len(readings)))
+	out = append(out, byte(datagramKind), byte(len(readings)))
 	for _, one := range readings {
 		out = binary.BigEndian.AppendUint64(out, one.server)
 		out = binary.BigEndian.AppendUint16(out, uint16(min(max(one.tokens, 0)/prefillUnit, maxCount)))
@@ -55,28 +55,28 @@
 }
 
 // decodeReadings reads a datagram of readings; false where it is none.
-func decodePrefills(datagram []byte) (of kind, readings []prefill, ok bool) {
+func decodePrefills(datagram []byte) (datagramKind kind, readings []pendingPrompt, ok bool) {
 	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
 	}
-	of = kind(datagram[4])
+	datagramKind = kind(datagram[4])
 	count := int(datagram[5])
-	if of != kindPrefill && of != kindPrefillRelay || count > maxPrefills || len(datagram) != headerBytes+count*prefillBytes {
+	if datagramKind != kindPrefill && datagramKind != kindPrefillRelay || count > maxPrefills || len(datagram) != headerBytes+count*prefillBytes {
 		return 0, nil, false
 	}
 	for at := headerBytes; at < len(datagram); at += prefillBytes {
 		one := datagram[at : at+prefillBytes]
-		readings = append(readings, prefill{server: binary.BigEndian.Uint64(one), sender: binary.BigEndian.Uint32(one[10:]),
+		readings = append(readings, pendingPrompt{server: binary.BigEndian.Uint64(one), sender: binary.BigEndian.Uint32(one[10:]),
 			tokens: prefillUnit * int(binary.BigEndian.Uint16(one[8:]))})
 	}
-	return of, readings, true
+	return datagramKind, readings, true
 }
 
 // Read takes in that another process has sent so many tokens to be read to a server.
-func (b *Table) AddPrefill(now time.Time, server uint64, tokens int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	until := b.prefillUntil[server]
+func (t *Table) AddPrefill(now time.Time, server uint64, tokens int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	until := t.prefillUntil[server]
 	if until.Before(now) {
 		until = now
 	}
@@ -84,27 +84,27 @@
 	if latest := now.Add(maxPrefillTime); until.After(latest) {
 		until = latest
 	}
-	b.prefillUntil[server] = until
-	if len(b.prefillUntil) > 2*b.prefillsAfterSweep+maxPrefills {
-		b.sweepPrefills(now)
+	t.prefillUntil[server] = until
+	if len(t.prefillUntil) > 2*t.prefillsAfterSweep+maxPrefills {
+		t.sweepPrefills(now)
 	}
 }
 
 // sweepReadings forgets what has been read. The mutex is held.
-func (b *Table) sweepPrefills(now time.Time) {
-	for server, until := range b.prefillUntil {
+func (t *Table) sweepPrefills(now time.Time) {
+	for server, until := range t.prefillUntil {
 		if until.Before(now) {
-			delete(b.prefillUntil, server)
+			delete(t.prefillUntil, server)
 		}
 	}
-	b.prefillsAfterSweep = len(b.prefillUntil)
+	t.prefillsAfterSweep = len(t.prefillUntil)
 }
 
 // Reading gives for how long a server still reads what others sent.
-func (b *Table) PrefillTime(now time.Time, server uint64) time.Duration {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return max(0, b.prefillUntil[server].Sub(now))
+func (t *Table) PrefillTime(now time.Time, server uint64) time.Duration {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	return max(0, t.prefillUntil[server].Sub(now))
 }
 
 // Tell tells others at once that this process has sent so many tokens to be read to a server.
@@ -113,21 +113,21 @@
 	if targets == nil {
 		return
 	}
-	one := prefill{server: server, tokens: tokens, sender: s.sender}
+	one := pendingPrompt{server: server, tokens: tokens, sender: s.sender}
 	var buffer [headerBytes + prefillBytes]byte
-	datagram := encodePrefills(buffer[:0], kindPrefill, []prefill{one})
+	datagram := encodePrefills(buffer[:0], kindPrefill, []pendingPrompt{one})
 	for _, homes := range targets.allAggregators {
 		_, _ = s.conn.WriteToUDPAddrPort(datagram, homes[server%uint64(len(homes))])
 	}
 }
 
 // takeReadings takes a datagram of readings in; one of a process for a home is passed on.
-func (s *Sharing) receivePrefills(now time.Time, of kind, readings []prefill) {
+func (s *Sharing) receivePrefills(now time.Time, datagramKind kind, readings []pendingPrompt) {
 	for _, one := range readings {
 		if one.sender != s.sender {
 			s.table.AddPrefill(now, one.server, one.tokens)
 		}
-		if of == kindPrefill {
+		if datagramKind == kindPrefill {
 			select {
 			case s.relayQueue <- one:
 			default: // too many: each process can do without
@@ -137,7 +137,7 @@
 }
 
 // passOn sends what was gathered to the processes of the zone.
-func (s *Sharing) relayPrefills(readings []prefill, zone []netip.AddrPort) {
+func (s *Sharing) relayPrefills(readings []pendingPrompt, zone []netip.AddrPort) {
 	for len(readings) > 0 {
 		count := min(len(readings), maxPrefills)
 		s.prefillBuffer = encodePrefills(s.prefillBuffer, kindPrefillRelay, readings[:count])
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -85,30 +85,30 @@
 }
 
 // Ended notes how a request ended at a server, where servers tell their load.
-func (b *Table) RecordResult(now time.Time, server uint64, failed bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.newestAt) > loadTTL {
+func (t *Table) RecordResult(now time.Time, server uint64, failed bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if now.Sub(t.newestAt) > loadTTL {
 		return
 	}
 	one := Results{Served: 1}
 	if failed {
 		one = Results{Failed: 1}
 	}
-	sum := b.results.unsent[server]
+	sum := t.results.unsent[server]
 	sum.add(one)
-	b.results.unsent[server] = sum
-	b.results.add(now, server, one)
+	t.results.unsent[server] = sum
+	t.results.add(now, server, one)
 }
 
 // Fails tells whether a server fails what it gets, by what the zone or this process has seen lately.
-func (b *Table) Failing(now time.Time, server uint64) bool {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	if verdict, told := b.results.verdicts[server]; told && now.Sub(verdict.updatedAt) <= verdictTTL && verdict.failing() {
+func (t *Table) Failing(now time.Time, server uint64) bool {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	if verdict, told := t.results.verdicts[server]; told && now.Sub(verdict.updatedAt) <= verdictTTL && verdict.failing() {
 		return true
 	}
-	sum := b.results.sums[server]
+	sum := t.results.sums[server]
 	if sum == nil {
 		return false
 	}
@@ -118,20 +118,20 @@
 }
 
 // takeFresh gives what is to be told to the homes, and begins anew.
-func (b *Table) drainUnsent() map[uint64]Results {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	fresh := b.results.unsent
-	b.results.unsent = make(map[uint64]Results, len(fresh))
+func (t *Table) drainUnsent() map[uint64]Results {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	fresh := t.results.unsent
+	t.results.unsent = make(map[uint64]Results, len(fresh))
 	return fresh
 }
 
 // summed gives what was counted of all servers that requests ended at lately.
-func (b *Table) decayedSums(now time.Time) map[uint64]Results {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := make(map[uint64]Results, len(b.results.sums))
-	for server, sum := range b.results.sums {
+func (t *Table) decayedSums(now time.Time) map[uint64]Results {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := make(map[uint64]Results, len(t.results.sums))
+	for server, sum := range t.results.sums {
 		if sum.decayTo(now); !sum.empty() {
 			all[server] = sum.Results
 		}
--- a/internal/serverload/sharing.go
+++ b/internal/serverload/sharing.go
@@ -37,9 +37,9 @@
 	targets         atomic.Pointer[targets]
 	membersVersion  uint64 // of the members that the targets are made of
 	lastShare       time.Time
-	relayQueue      chan prefill // to be passed on by this home
-	localBacklog    func() int64 // tokens that wait here, of a batch process; nil elsewhere
-	backlogReported bool         // something waited as it was told last
+	relayQueue      chan pendingPrompt // to be passed on by this home
+	localBacklog    func() int64       // tokens that wait here, of a batch process; nil elsewhere
+	backlogReported bool               // something waited as it was told last
 	buffer          []byte
 	prefillBuffer   []byte
 	backlogBuffer   []byte
@@ -55,13 +55,13 @@
 }
 
 // Listen opens the port that all processes use for it.
-func Listen(board *Table, self protocol.Process, port int, members func() *protocol.MemberList) (*Sharing, error) {
+func Listen(table *Table, self protocol.Process, port int, members func() *protocol.MemberList) (*Sharing, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(self.IP), Port: port})
 	if err != nil {
 		return nil, err
 	}
-	return &Sharing{table: board, conn: conn, self: self, port: uint16(port), members: members,
-		sender: uint32(xxhash.Sum64String(self.Node + "/" + self.Incarnation)), relayQueue: make(chan prefill, maxRelayQueue),
+	return &Sharing{table: table, conn: conn, self: self, port: uint16(port), members: members,
+		sender: uint32(xxhash.Sum64String(self.Node + "/" + self.Incarnation)), relayQueue: make(chan pendingPrompt, maxRelayQueue),
 		buffer: make([]byte, 0, datagramBytes), prefillBuffer: make([]byte, 0, prefillsBytes)}, nil
 }
 
@@ -74,7 +74,7 @@
 	go s.receive()
 	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
-	var gathered []prefill
+	var gathered []pendingPrompt
 	var due <-chan time.Time
 	for {
 		select {
@@ -105,12 +105,12 @@
 		if err != nil {
 			continue
 		}
-		if of, list, ok := decodeBacklogs(datagram[:n]); ok {
-			s.table.receiveBacklogs(time.Now(), of, list)
+		if datagramKind, list, ok := decodeBacklogs(datagram[:n]); ok {
+			s.table.receiveBacklogs(time.Now(), datagramKind, list)
 			continue
 		}
-		if of, readings, ok := decodePrefills(datagram[:n]); ok {
-			s.receivePrefills(time.Now(), of, readings)
+		if datagramKind, readings, ok := decodePrefills(datagram[:n]); ok {
+			s.receivePrefills(time.Now(), datagramKind, readings)
 			continue
 		}
 		s.table.receiveReports(time.Now(), datagram[:n])
@@ -118,31 +118,31 @@
 }
 
 // take takes a datagram in.
-func (b *Table) receiveReports(now time.Time, datagram []byte) {
-	of, reports, ok := decode(datagram)
+func (t *Table) receiveReports(now time.Time, datagram []byte) {
+	datagramKind, reports, ok := decode(datagram)
 	if !ok {
-		b.invalid.Add(1)
+		t.invalid.Add(1)
 		return
 	}
 	for _, one := range reports {
 		if one.Load.Slots > 0 {
-			b.update(one.Server, entry{load: one.Load, reportedAt: now.Add(-one.Age), receivedAt: now, remote: of == kindRemote})
+			t.update(one.Server, loadEntry{load: one.Load, reportedAt: now.Add(-one.Age), receivedAt: now, remote: datagramKind == kindRemote})
 		}
 	}
-	b.receiveResults(now, of, reports)
+	t.receiveResults(now, datagramKind, reports)
 }
 
 // takeResults takes in how requests ended: of a process of this zone, or all of the zone by a home's count.
-func (b *Table) receiveResults(now time.Time, of kind, reports []Report) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (t *Table) receiveResults(now time.Time, datagramKind kind, reports []Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	for _, one := range reports {
 		switch {
 		case one.Results == Results{}:
-		case of == kindObserved:
-			b.results.add(now, one.Server, one.Results)
-		case of == kindZone:
-			b.results.verdicts[one.Server] = decayingResults{Results: one.Results, updatedAt: now}
+		case datagramKind == kindObserved:
+			t.results.add(now, one.Server, one.Results)
+		case datagramKind == kindZone:
+			t.results.verdicts[one.Server] = decayingResults{Results: one.Results, updatedAt: now}
 		}
 	}
 }
@@ -157,21 +157,21 @@
 	s.shareBacklogs(now, known)
 	since := s.lastShare
 	s.lastShare = now
-	heard := s.table.reportsSince(now, since, func(e entry) bool { return e.direct })
+	heard := s.table.reportsSince(now, since, func(e loadEntry) bool { return e.direct })
 	s.send(kindObserved, mergeResults(heard, s.table.drainUnsent()), known.aggregators)
 	if len(known.zoneProcesses) == 0 && len(known.remoteAggregators) == 0 {
 		return
 	}
-	all := s.table.reportsSince(now, since, func(entry) bool { return true })
+	all := s.table.reportsSince(now, since, func(loadEntry) bool { return true })
 	s.send(kindZone, mergeResults(all, s.table.decayedSums(now)), known.zoneProcesses)
-	s.send(kindRemote, s.table.reportsSince(now, since, func(e entry) bool { return !e.remote }), known.remoteAggregators)
+	s.send(kindRemote, s.table.reportsSince(now, since, func(e loadEntry) bool { return !e.remote }), known.remoteAggregators)
 }
 
-func (s *Sharing) send(of kind, reports []Report, to []netip.AddrPort) {
+func (s *Sharing) send(datagramKind kind, reports []Report, to []netip.AddrPort) {
 	if len(reports) == 0 || len(to) == 0 {
 		return
 	}
-	s.buffer = encode(s.buffer, of, reports)
+	s.buffer = encode(s.buffer, datagramKind, reports)
 	for _, address := range to {
 		_, _ = s.conn.WriteToUDPAddrPort(s.buffer, address)
 	}
@@ -188,9 +188,9 @@
 	next := &targets{}
 	isHome := slices.ContainsFunc(homes[s.self.Zone], func(home protocol.Process) bool { return home.Node == s.self.Node })
 	for _, zone := range slices.Sorted(maps.Keys(homes)) {
-		var of []netip.AddrPort
+		var datagramKind []netip.AddrPort
 		for _, home := range homes[zone] {
-			of = s.appendAddress(of, home.IP)
+			datagramKind = s.appendAddress(datagramKind, home.IP)
 			switch {
 			case zone != s.self.Zone && isHome:
 				next.remoteAggregators = s.appendAddress(next.remoteAggregators, home.IP)
@@ -198,8 +198,8 @@
 				next.aggregators = s.appendAddress(next.aggregators, home.IP)
 			}
 		}
-		if len(of) > 0 {
-			next.allAggregators = append(next.allAggregators, of)
+		if len(datagramKind) > 0 {
+			next.allAggregators = append(next.allAggregators, datagramKind)
 		}
 	}
 	if isHome {
@@ -236,11 +236,11 @@
 func aggregatorsByZone(gateways []protocol.Process) map[string][]protocol.Process {
 	homes := map[string][]protocol.Process{}
 	for _, one := range gateways {
-		of := append(homes[one.Zone], one)
-		for i := len(of) - 1; i > 0 && weight(of[i]) > weight(of[i-1]); i-- {
-			of[i], of[i-1] = of[i-1], of[i]
+		datagramKind := append(homes[one.Zone], one)
+		for i := len(datagramKind) - 1; i > 0 && weight(datagramKind[i]) > weight(datagramKind[i-1]); i-- {
+			datagramKind[i], datagramKind[i-1] = datagramKind[i-1], datagramKind[i]
 		}
-		homes[one.Zone] = of[:min(len(of), aggregatorsPerZone)]
+		homes[one.Zone] = datagramKind[:min(len(datagramKind), aggregatorsPerZone)]
 	}
 	return homes
 }
