--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestTable(t *testing.T) {
-	Convey("The newest word stands for a while, and noise is dropped and counted", t, func() {
+	Convey("The newest load is valid for a while, and what can't be parsed is dropped and counted", t, func() {
 		b := NewTable()
 		b.Observe(start, 7, "3,0,12")
 		b.Observe(start.Add(time.Millisecond), 7, "noise")
@@ -40,7 +40,7 @@
 		load, _, _ = b.Lookup(start, 7)
 		So(load.Running, ShouldEqual, 3)
 	})
-	Convey("What is old is forgotten", t, func() {
+	Convey("Expired loads are dropped", t, func() {
 		b := NewTable()
 		for i := range 100 {
 			b.Observe(start.Add(time.Duration(i)*100*time.Millisecond), uint64(i), "1,0,12")
@@ -50,7 +50,7 @@
 }
 
 func TestResults(t *testing.T) {
-	Convey("A server that fails is told by the zone's count, and is tried again when that has faded", t, func() {
+	Convey("A failing server is known by the zone's counts, and is tried again when these have decayed", t, func() {
 		home, other := NewTable(), NewTable()
 		for _, b := range []*Table{home, other} {
 			b.Observe(start, 1, "0,0,12")
@@ -69,7 +69,7 @@
 		So(home.Failing(later, 7), ShouldBeFalse)
 		So(other.Failing(later, 7), ShouldBeFalse)
 	})
-	Convey("A server that serves most is not left alone for some failures, nor where loads aren't told", t, func() {
+	Convey("A server isn't failing for a few failures among many, nor if loads aren't reported", t, func() {
 		b := NewTable()
 		b.RecordResult(start, 7, true)
 		b.RecordResult(start, 7, true)
@@ -83,7 +83,7 @@
 }
 
 func TestDatagram(t *testing.T) {
-	Convey("What is written is read, within what a datagram holds", t, func() {
+	Convey("What is encoded is decoded, up to what a datagram holds", t, func() {
 		var reports []Report
 		for i := range 2 * maxReports {
 			reports = append(reports, Report{Server: uint64(i), Load: Load{Running: i, Waiting: 1, Slots: 12}, Age: 40 * time.Millisecond,
@@ -91,12 +91,12 @@
 		}
 		datagram := encode(nil, kindZone, reports)
 		So(len(datagram), ShouldEqual, datagramBytes)
-		datagramKind, read, ok := decode(datagram)
+		k, read, ok := decode(datagram)
 		So(ok, ShouldBeTrue)
-		So(datagramKind, ShouldEqual, kindZone)
+		So(k, ShouldEqual, kindZone)
 		So(read, ShouldResemble, reports[:maxReports])
 	})
-	Convey("Anything else is dropped whole", t, func() {
+	Convey("Anything else is dropped as a whole", t, func() {
 		good := encode(nil, kindObserved, []Report{{Server: 1, Load: Load{Slots: 12}}})
 		for _, bad := range [][]byte{nil, good[:3], good[:len(good)-1], append(append([]byte{}, good...), 0), []byte("SPL1\x09\x00"), []byte("XXXX\x01\x00")} {
 			_, _, ok := decode(bad)
@@ -110,17 +110,17 @@
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		b := NewTable()
 		b.receiveReports(start, datagram)
-		if datagramKind, reports, ok := decode(datagram); ok {
-			again, read, ok := decode(encode(nil, datagramKind, reports))
-			if !ok || again != datagramKind || len(read) != len(reports) {
-				t.Fatal("a datagram that was read isn't written alike")
+		if k, reports, ok := decode(datagram); ok {
+			again, read, ok := decode(encode(nil, k, reports))
+			if !ok || again != k || len(read) != len(reports) {
+				t.Fatal("a datagram that was decoded isn't encoded alike")
 			}
 		}
 	})
 }
 
 func TestPrefills(t *testing.T) {
-	Convey("What others sent keeps a server busy until it is read, for a bounded time", t, func() {
+	Convey("Prompts of others keep a server busy until they are read, for a bounded time", t, func() {
 		b := NewTable()
 		b.AddPrefill(start, 7, 20_000)
 		b.AddPrefill(start, 7, 20_000)
@@ -135,12 +135,12 @@
 		}
 		So(len(b.prefillUntil), ShouldBeLessThan, 3000)
 	})
-	Convey("A datagram is read as it was written, and anything else is dropped", t, func() {
+	Convey("A datagram is decoded as it was encoded, and anything else is dropped", t, func() {
 		sent := []pendingPrompt{{server: 7, tokens: 16_000, sender: 9}, {server: 8, tokens: 32, sender: 1}}
 		datagram := encodePrefills(nil, kindPrefillRelay, sent)
-		datagramKind, read, ok := decodePrefills(datagram)
+		k, read, ok := decodePrefills(datagram)
 		So(ok, ShouldBeTrue)
-		So(datagramKind, ShouldEqual, kindPrefillRelay)
+		So(k, ShouldEqual, kindPrefillRelay)
 		So(read, ShouldResemble, sent)
 		_, _, ok = decodePrefills(datagram[:len(datagram)-1])
 		So(ok, ShouldBeFalse)
@@ -150,18 +150,18 @@
 }
 
 func TestBacklogs(t *testing.T) {
-	Convey("What batch processes told stands for a while, and a home passes on only what it was told by them", t, func() {
+	Convey("Backlogs are valid for a while, and an aggregator relays only those that stores reported to it", t, func() {
 		home, gateway := NewTable(), NewTable()
 		home.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
 		home.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
 		So(home.directBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
-		datagramKind, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
+		k, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
 		So(ok, ShouldBeTrue)
-		gateway.receiveBacklogs(start, datagramKind, list)
+		gateway.receiveBacklogs(start, k, list)
 		So(gateway.directBacklogs(start), ShouldBeEmpty)
 		So(gateway.backlogs[1].tokens, ShouldEqual, 5120)
 		So(home.directBacklogs(start.Add(backlogRelayFor+1)), ShouldBeEmpty)
-		gateway.receiveBacklogs(start.Add(backlogTTL+1), datagramKind, nil)
+		gateway.receiveBacklogs(start.Add(backlogTTL+1), k, nil)
 		So(gateway.backlogs, ShouldBeEmpty)
 		for _, bad := range [][]byte{nil, []byte("SPL1\x06\x01"), encodePrefills(nil, kindPrefill, nil)} {
 			_, _, ok := decodeBacklogs(bad)
@@ -171,26 +171,26 @@
 }
 
 func TestAggregators(t *testing.T) {
-	Convey("Each zone has two homes that all find alike, and losing one leaves the other", t, func() {
+	Convey("Each zone has two aggregators that all processes find alike, and losing one leaves the other", t, func() {
 		var gateways []protocol.Process
 		for _, node := range []string{"a", "b", "c", "d", "e"} {
 			gateways = append(gateways, protocol.Process{Node: node, Zone: "z"})
 		}
-		datagramKind := aggregatorsByZone(gateways)["z"]
-		So(datagramKind, ShouldHaveLength, aggregatorsPerZone)
+		aggregators := aggregatorsByZone(gateways)["z"]
+		So(aggregators, ShouldHaveLength, aggregatorsPerZone)
 		var left []protocol.Process
 		for _, one := range gateways {
-			if one.Node != datagramKind[0].Node {
+			if one.Node != aggregators[0].Node {
 				left = append(left, one)
 			}
 		}
-		So(aggregatorsByZone(left)["z"][0], ShouldResemble, datagramKind[1])
+		So(aggregatorsByZone(left)["z"][0], ShouldResemble, aggregators[1])
 	})
 }
 
-// TestBacklogsNeedLoads has a batch process and a home on loopback.
+// TestBacklogsNeedLoads has a batch process and an aggregator on loopback.
 func TestBacklogsNeedLoads(t *testing.T) {
-	Convey("A batch process tells what waits where servers tell their load, and not elsewhere", t, func() {
+	Convey("A batch process reports its backlog if servers report their load, and not otherwise", t, func() {
 		const port = 47392
 		home := protocol.Process{Node: "home", Zone: "z", IP: "127.91.8.1"}
 		store := protocol.Process{Node: "store", Zone: "z", IP: "127.91.8.2"}
@@ -221,9 +221,9 @@
 	})
 }
 
-// TestSharing has processes of two zones on loopback pass on what they heard.
+// TestSharing has processes of two zones on loopback share what they learn.
 func TestSharing(t *testing.T) {
-	Convey("What one process hears, all learn", t, func() {
+	Convey("What one process learns, all learn", t, func() {
 		const port = 47391
 		var gateways []protocol.Process
 		for i, zone := range []string{"a", "a", "a", "a", "b", "b", "b"} {
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// This file owns how requests end at servers. A server that fails what it gets has little to do, and would draw all that goes where little
-// is done; one gateway alone would learn of it by as many failures as each other one. So the homes of a zone sum up how the requests of
-// its processes ended, and tell which servers fail. A zone judges by its own requests: a server may fail for some callers only. Servers
-// that don't tell their load are not counted: nothing is drawn to them by it.
+// A server that fails what it gets has little to do, by its reported load, and would attract requests. One gateway alone
+// would learn of it only by failures of its own. So each process sends the results of its requests to the aggregators of its
+// zone; these sum them up, and tell the zone's processes. A zone judges by its own requests, as a server may fail for some
+// callers only. Results at servers that don't report their load aren't counted: no load attracts requests to them.
 
 const (
-	// resultsFade is the time after which a third is left of what was counted.
+	// resultsDecay is the time in which counts decay to 1/e.
 	resultsDecay = time.Second
-	// A server fails that failed failedLeast requests lately, and failedShare of all.
+	// A server is failing if it failed minFailures requests lately, and minFailureShare of all.
 	minFailures, minFailureShare = 2.0, 0.25
-	// verdictFor is how long a home's count stands without another.
+	// verdictTTL is how long an aggregator's counts are valid.
 	verdictTTL = time.Second
-	// mostResults bounds the counts of one datagram.
+	// maxResults bounds the counts in a datagram.
 	maxResults = 255
 )
 
-// Results counts how requests ended at a server.
+// Results counts the requests at a server by how they ended. Counts decay, so they are no integers.
 type Results struct{ Served, Failed float64 }
 
-// fails tells whether they are those of a server that is to be left alone.
+// failing reports whether the results are those of a failing server.
 func (r Results) failing() bool {
 	return r.Failed >= minFailures && r.Failed >= minFailureShare*(r.Served+r.Failed)
 }
 
+// empty reports whether the counts round to nothing.
 func (r Results) empty() bool { return r.Served < 0.5 && r.Failed < 0.5 }
 
 func (r *Results) add(more Results) {
@@ -36,7 +37,7 @@
 	r.Failed += more.Failed
 }
 
-// fading is a sum that fades.
+// decayingResults are sums that decay exponentially.
 type decayingResults struct {
 	Results
 	updatedAt time.Time
@@ -50,17 +51,18 @@
 	f.updatedAt = now
 }
 
-// results are the counts of a process.
+// results are the counts of a process. The table's mu guards them.
 type results struct {
-	unsent   map[uint64]Results          // of this process, since it told its homes last
-	sums     map[uint64]*decayingResults // of all processes that told this one, and its own
-	verdicts map[uint64]decayingResults  // of the zone, as a home told
+	unsent   map[uint64]Results          // of this process, since it last sent them to aggregators
+	sums     map[uint64]*decayingResults // of this process, and of those that sent theirs to it
+	verdicts map[uint64]decayingResults  // of the zone, as an aggregator sent them
 }
 
 func newResults() results {
 	return results{unsent: map[uint64]Results{}, sums: map[uint64]*decayingResults{}, verdicts: map[uint64]decayingResults{}}
 }
 
+// add adds to a server's sums.
 func (r *results) add(now time.Time, server uint64, more Results) {
 	sum := r.sums[server]
 	if sum == nil {
@@ -71,6 +73,7 @@
 	sum.add(more)
 }
 
+// sweep drops what has decayed or expired.
 func (r *results) sweep(now time.Time) {
 	for server, sum := range r.sums {
 		if sum.decayTo(now); sum.empty() {
@@ -84,7 +87,7 @@
 	}
 }
 
-// Ended notes how a request ended at a server, where servers tell their load.
+// RecordResult counts how a request ended at a server, if servers report their load.
 func (t *Table) RecordResult(now time.Time, server uint64, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,32 +104,32 @@
 	t.results.add(now, server, one)
 }
 
-// Fails tells whether a server fails what it gets, by what the zone or this process has seen lately.
+// Failing reports whether a server fails the requests of the zone or of this process.
 func (t *Table) Failing(now time.Time, server uint64) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	if verdict, told := t.results.verdicts[server]; told && now.Sub(verdict.updatedAt) <= verdictTTL && verdict.failing() {
+	if verdict, found := t.results.verdicts[server]; found && now.Sub(verdict.updatedAt) <= verdictTTL && verdict.failing() {
 		return true
 	}
 	sum := t.results.sums[server]
 	if sum == nil {
 		return false
 	}
-	faded := *sum
-	faded.decayTo(now)
-	return faded.failing()
+	decayed := *sum // a copy, as only the read lock is held
+	decayed.decayTo(now)
+	return decayed.failing()
 }
 
-// takeFresh gives what is to be told to the homes, and begins anew.
+// drainUnsent returns the counts to be sent to aggregators, and resets them.
 func (t *Table) drainUnsent() map[uint64]Results {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fresh := t.results.unsent
-	t.results.unsent = make(map[uint64]Results, len(fresh))
-	return fresh
+	unsent := t.results.unsent
+	t.results.unsent = make(map[uint64]Results, len(unsent))
+	return unsent
 }
 
-// summed gives what was counted of all servers that requests ended at lately.
+// decayedSums returns the sums of all servers with recent results.
 func (t *Table) decayedSums(now time.Time) map[uint64]Results {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +142,8 @@
 	return all
 }
 
-// attach joins counts to reports; servers without a load get reports of their own.
+// mergeResults adds counts to the reports of their servers. Servers without one get a report without a load. It empties
+// counts.
 func mergeResults(reports []Report, counts map[uint64]Results) []Report {
 	for i := range reports {
 		if count, counted := counts[reports[i].Server]; counted {
@@ -152,3 +156,19 @@
 	}
 	return reports
 }
+
+// receiveResults takes in counts: of one process of this zone, or of the whole zone from an aggregator.
+func (t *Table) receiveResults(now time.Time, k kind, reports []Report) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for i := range reports {
+		report := &reports[i]
+		switch {
+		case report.Results == Results{}:
+		case k == kindObserved:
+			t.results.add(now, report.Server, report.Results)
+		case k == kindZone:
+			t.results.verdicts[report.Server] = decayingResults{Results: report.Results, updatedAt: now}
+		}
+	}
+}
--- a/internal/serverload/sharing.go
+++ b/internal/serverload/sharing.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"errors"
-	"maps"
 	"net"
 	"net/netip"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -15,86 +13,75 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-const (
-	// shareEvery is the time between datagrams to the same process.
-	shareInterval = 50 * time.Millisecond
-	// homesMost is how many gateways of a zone gather what its processes hear: one more than may be down unnoticed.
-	aggregatorsPerZone = 2
-)
+// shareInterval is the time between datagrams of reports and backlogs to the same process.
+const shareInterval = 50 * time.Millisecond
 
-// Sharing passes loads on. Each process tells the homes of its zone, two gateways that all find alike, what servers told it; a home tells
-// the processes of its zone all that it knows, and homes of other zones what was told in its own. What is lost is lost: the next
-// datagram follows soon, and each process can do without. What one sends and hears doesn't grow with the number of gateways but for
-// the homes, whose subscribers are the processes of a zone, and a datagram's reports are bounded.
+// Sharing shares a table with those of other processes. Run does so; AnnouncePrefill may be called meanwhile.
 type Sharing struct {
 	table   *Table
 	conn    *net.UDPConn
 	self    protocol.Process
-	port    uint16
+	port    uint16 // of all processes
 	members func() *protocol.MemberList
+	sender  uint32 // identifies this process in announcements of prompts
 
-	sender          uint32 // tells this process apart
-	targets         atomic.Pointer[targets]
-	membersVersion  uint64 // of the members that the targets are made of
-	lastShare       time.Time
-	relayQueue      chan pendingPrompt // to be passed on by this home
-	localBacklog    func() int64       // tokens that wait here, of a batch process; nil elsewhere
-	backlogReported bool               // something waited as it was told last
-	buffer          []byte
-	prefillBuffer   []byte
-	backlogBuffer   []byte
-}
+	targets    atomic.Pointer[targets] // nil until the processes are known
+	relayQueue chan pendingPrompt      // prompts that this aggregator has to relay
 
-// targets are the processes that one sends to. Nobody changes them.
-type targets struct {
-	aggregators       []netip.AddrPort   // of the own zone, without this process
-	allAggregators    [][]netip.AddrPort // homes of each zone
-	zoneProcesses     []netip.AddrPort   // this process is a home: the processes of its zone
-	zoneGateways      []netip.AddrPort   // ... those of them that are gateways
-	remoteAggregators []netip.AddrPort   // this process is a home: homes of other zones
+	// Run's goroutine only.
+	membersVersion  uint64 // of the list of processes that the targets were made of
+	lastShare       time.Time
+	localBacklog    func() int64 // tokens that wait at this store; nil in gateways
+	backlogReported bool         // something waited when it was last reported
+	buffer          []byte       // of datagrams of reports
+	prefillBuffer   []byte       // of datagrams of prompts
+	backlogBuffer   []byte       // of datagrams of backlogs
 }
 
-// Listen opens the port that all processes use for it.
+// Listen opens the port on which all processes share their tables.
 func Listen(table *Table, self protocol.Process, port int, members func() *protocol.MemberList) (*Sharing, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(self.IP), Port: port})
 	if err != nil {
 		return nil, err
 	}
 	return &Sharing{table: table, conn: conn, self: self, port: uint16(port), members: members,
-		sender: uint32(xxhash.Sum64String(self.Node + "/" + self.Incarnation)), relayQueue: make(chan pendingPrompt, maxRelayQueue),
-		buffer: make([]byte, 0, datagramBytes), prefillBuffer: make([]byte, 0, prefillsBytes)}, nil
+		sender:     uint32(xxhash.Sum64String(self.Node + "/" + self.Incarnation)),
+		relayQueue: make(chan pendingPrompt, maxRelayQueue),
+		buffer:     make([]byte, 0, datagramBytes), prefillBuffer: make([]byte, 0, prefillsBytes)}, nil
 }
 
-// Waiting has this process, a batch process, tell what waits here. It is called before Run.
+// SetBacklog has this process, a batch process, report the tokens that wait with it. It must be called before Run.
 func (s *Sharing) SetBacklog(tokens func() int64) { s.localBacklog = tokens }
 
-// Run sends and receives until the context ends.
+// Run sends and receives until ctx ends.
 func (s *Sharing) Run(ctx context.Context) {
 	defer s.conn.Close()
 	go s.receive()
 	ticker := time.NewTicker(shareInterval)
 	defer ticker.Stop()
 	var gathered []pendingPrompt
-	var due <-chan time.Time
+	var relayDue <-chan time.Time // nil: nothing is gathered
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 			s.share(time.Now())
-		case one := <-s.relayQueue:
-			if gathered = append(gathered, one); len(gathered) == 1 {
-				due = time.After(relayDelay)
+		case prompt := <-s.relayQueue:
+			if gathered = append(gathered, prompt); len(gathered) == 1 {
+				relayDue = time.After(relayDelay)
 			}
-		case <-due:
+		case <-relayDue:
 			if known := s.targets.Load(); known != nil {
 				s.relayPrefills(gathered, known.zoneProcesses)
 			}
-			gathered, due = gathered[:0], nil
+			gathered, relayDue = gathered[:0], nil
 		}
 	}
 }
 
+// receive takes in datagrams until the connection is closed. Its buffer is longer than any datagram may be, so that a longer
+// one is noticed and dropped.
 func (s *Sharing) receive() {
 	var datagram [max(datagramBytes, prefillsBytes, backlogsBytes) + 1]byte
 	for {
@@ -105,49 +92,19 @@
 		if err != nil {
 			continue
 		}
-		if datagramKind, list, ok := decodeBacklogs(datagram[:n]); ok {
-			s.table.receiveBacklogs(time.Now(), datagramKind, list)
+		if k, list, ok := decodeBacklogs(datagram[:n]); ok {
+			s.table.receiveBacklogs(time.Now(), k, list)
 			continue
 		}
-		if datagramKind, readings, ok := decodePrefills(datagram[:n]); ok {
-			s.receivePrefills(time.Now(), datagramKind, readings)
+		if k, prompts, ok := decodePrefills(datagram[:n]); ok {
+			s.receivePrefills(time.Now(), k, prompts)
 			continue
 		}
 		s.table.receiveReports(time.Now(), datagram[:n])
 	}
 }
 
-// take takes a datagram in.
-func (t *Table) receiveReports(now time.Time, datagram []byte) {
-	datagramKind, reports, ok := decode(datagram)
-	if !ok {
-		t.invalid.Add(1)
-		return
-	}
-	for _, one := range reports {
-		if one.Load.Slots > 0 {
-			t.update(one.Server, loadEntry{load: one.Load, reportedAt: now.Add(-one.Age), receivedAt: now, remote: datagramKind == kindRemote})
-		}
-	}
-	t.receiveResults(now, datagramKind, reports)
-}
-
-// takeResults takes in how requests ended: of a process of this zone, or all of the zone by a home's count.
-func (t *Table) receiveResults(now time.Time, datagramKind kind, reports []Report) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, one := range reports {
-		switch {
-		case one.Results == Results{}:
-		case datagramKind == kindObserved:
-			t.results.add(now, one.Server, one.Results)
-		case datagramKind == kindZone:
-			t.results.verdicts[one.Server] = decayingResults{Results: one.Results, updatedAt: now}
-		}
-	}
-}
-
-// share sends what has been heard since the last time.
+// share sends what was received since the last time.
 func (s *Sharing) share(now time.Time) {
 	s.updateTargets()
 	known := s.targets.Load()
@@ -157,92 +114,28 @@
 	s.shareBacklogs(now, known)
 	since := s.lastShare
 	s.lastShare = now
-	heard := s.table.reportsSince(now, since, func(e loadEntry) bool { return e.direct })
-	s.send(kindObserved, mergeResults(heard, s.table.drainUnsent()), known.aggregators)
+	direct := s.table.reportsSince(now, since, func(e loadEntry) bool { return e.direct })
+	s.sendReports(kindObserved, mergeResults(direct, s.table.drainUnsent()), known.aggregators)
 	if len(known.zoneProcesses) == 0 && len(known.remoteAggregators) == 0 {
 		return
 	}
 	all := s.table.reportsSince(now, since, func(loadEntry) bool { return true })
-	s.send(kindZone, mergeResults(all, s.table.decayedSums(now)), known.zoneProcesses)
-	s.send(kindRemote, s.table.reportsSince(now, since, func(e loadEntry) bool { return !e.remote }), known.remoteAggregators)
+	s.sendReports(kindZone, mergeResults(all, s.table.decayedSums(now)), known.zoneProcesses)
+	local := s.table.reportsSince(now, since, func(e loadEntry) bool { return !e.remote })
+	s.sendReports(kindRemote, local, known.remoteAggregators)
 }
 
-func (s *Sharing) send(datagramKind kind, reports []Report, to []netip.AddrPort) {
+func (s *Sharing) sendReports(k kind, reports []Report, to []netip.AddrPort) {
 	if len(reports) == 0 || len(to) == 0 {
 		return
 	}
-	s.buffer = encode(s.buffer, datagramKind, reports)
-	for _, address := range to {
-		_, _ = s.conn.WriteToUDPAddrPort(s.buffer, address)
-	}
-}
-
-// update finds out whom to send to, where the members have changed.
-func (s *Sharing) updateTargets() {
-	members := s.members()
-	if members == nil || s.targets.Load() != nil && members.Version == s.membersVersion {
-		return
-	}
-	s.membersVersion = members.Version
-	homes := aggregatorsByZone(members.Gateways)
-	next := &targets{}
-	isHome := slices.ContainsFunc(homes[s.self.Zone], func(home protocol.Process) bool { return home.Node == s.self.Node })
-	for _, zone := range slices.Sorted(maps.Keys(homes)) {
-		var datagramKind []netip.AddrPort
-		for _, home := range homes[zone] {
-			datagramKind = s.appendAddress(datagramKind, home.IP)
-			switch {
-			case zone != s.self.Zone && isHome:
-				next.remoteAggregators = s.appendAddress(next.remoteAggregators, home.IP)
-			case zone == s.self.Zone && home.Node != s.self.Node:
-				next.aggregators = s.appendAddress(next.aggregators, home.IP)
-			}
-		}
-		if len(datagramKind) > 0 {
-			next.allAggregators = append(next.allAggregators, datagramKind)
-		}
-	}
-	if isHome {
-		next.zoneGateways, next.zoneProcesses = s.zoneAddresses(members)
-	}
-	s.targets.Store(next)
+	s.buffer = encode(s.buffer, k, reports)
+	s.sendTo(s.buffer, to)
 }
 
-// inZone lists the gateways of this zone without this one, and all processes.
-func (s *Sharing) zoneAddresses(members *protocol.MemberList) (gateways, all []netip.AddrPort) {
-	for i := range members.Gateways {
-		if one := &members.Gateways[i]; one.Zone == s.self.Zone && one.Node != s.self.Node {
-			gateways = s.appendAddress(gateways, one.IP)
-		}
-	}
-	all = slices.Clone(gateways)
-	for i := range members.Stores.Members {
-		if one := &members.Stores.Members[i]; one.Zone == s.self.Zone {
-			all = s.appendAddress(all, one.IP)
-		}
-	}
-	return gateways, all
-}
-
-func (s *Sharing) appendAddress(list []netip.AddrPort, ip string) []netip.AddrPort {
-	address, err := netip.ParseAddr(ip)
-	if err != nil {
-		return list
-	}
-	return append(list, netip.AddrPortFrom(address, s.port))
-}
-
-// homesByZone gives the gateways of each zone with the highest hashes: taking one away leaves the others.
-func aggregatorsByZone(gateways []protocol.Process) map[string][]protocol.Process {
-	homes := map[string][]protocol.Process{}
-	for _, one := range gateways {
-		datagramKind := append(homes[one.Zone], one)
-		for i := len(datagramKind) - 1; i > 0 && weight(datagramKind[i]) > weight(datagramKind[i-1]); i-- {
-			datagramKind[i], datagramKind[i-1] = datagramKind[i-1], datagramKind[i]
-		}
-		homes[one.Zone] = datagramKind[:min(len(datagramKind), aggregatorsPerZone)]
+// sendTo sends a datagram to each address. What can't be sent is lost.
+func (s *Sharing) sendTo(datagram []byte, to []netip.AddrPort) {
+	for _, address := range to {
+		_, _ = s.conn.WriteToUDPAddrPort(datagram, address)
 	}
-	return homes
 }
-
-func weight(process protocol.Process) uint64 { return xxhash.Sum64String(process.Node) }
--- /dev/null
+++ b/internal/serverload/table.go
@@ -0,0 +1,141 @@
+package serverload
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// loadTTL is how long a load is valid: about as long as the requests that make it up last.
+const loadTTL = 1500 * time.Millisecond
+
+// Table is what a process knows of servers, by the hashes of their ids, and of batch processes. It is safe for concurrent
+// use.
+type Table struct {
+	mu       sync.RWMutex // guards what follows, except invalid
+	entries  map[uint64]loadEntry
+	newestAt time.Time // when any server last reported its load
+	sweptAt  time.Time
+	results  results
+
+	prefillUntil       map[uint64]time.Time // until when servers read prompts that other processes sent
+	prefillsAfterSweep int                  // their number after the last sweep
+
+	backlogs map[uint64]backlogEntry // by the hash of the batch process's node
+
+	invalid atomic.Int64
+}
+
+// loadEntry is the newest load of a server.
+type loadEntry struct {
+	load       Load
+	reportedAt time.Time // by the server, to any process
+	receivedAt time.Time // by this process
+	direct     bool      // reported to this process
+	remote     bool      // received from another zone
+}
+
+// NewTable returns an empty table.
+func NewTable() *Table {
+	return &Table{entries: map[uint64]loadEntry{}, results: newResults(), prefillUntil: map[uint64]time.Time{},
+		backlogs: map[uint64]backlogEntry{}}
+}
+
+// Observe takes in the load header of a server's response. An empty one means that the server doesn't report its load.
+func (t *Table) Observe(now time.Time, server uint64, header string) {
+	if header == "" {
+		return
+	}
+	load, ok := Parse(header)
+	if !ok {
+		t.invalid.Add(1)
+		return
+	}
+	t.update(server, loadEntry{load: load, reportedAt: now, receivedAt: now, direct: true})
+}
+
+// Invalid returns the number of headers and datagrams that could not be parsed.
+func (t *Table) Invalid() int64 { return t.invalid.Load() }
+
+// Lookup returns a server's load and when it was reported. known is false if there is none that is still valid.
+func (t *Table) Lookup(now time.Time, server uint64) (load Load, reportedAt time.Time, known bool) {
+	t.mu.RLock()
+	entry, found := t.entries[server]
+	t.mu.RUnlock()
+	if !found || now.Sub(entry.reportedAt) > loadTTL {
+		return Load{}, time.Time{}, false
+	}
+	return entry.load, entry.reportedAt, true
+}
+
+// receivesLoads reports whether servers report their load.
+func (t *Table) receivesLoads(now time.Time) bool {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	return now.Sub(t.newestAt) <= loadTTL
+}
+
+// update replaces a server's load by a newer one.
+func (t *Table) update(server uint64, entry loadEntry) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if known, found := t.entries[server]; found && !entry.reportedAt.After(known.reportedAt) {
+		return
+	}
+	t.entries[server] = entry
+	if entry.reportedAt.After(t.newestAt) {
+		t.newestAt = entry.reportedAt
+	}
+	t.sweep(entry.reportedAt)
+}
+
+// sweep drops what has expired. mu is held.
+func (t *Table) sweep(now time.Time) {
+	if now.Sub(t.sweptAt) < loadTTL {
+		return
+	}
+	t.sweptAt = now
+	for server, entry := range t.entries {
+		if now.Sub(entry.reportedAt) > loadTTL {
+			delete(t.entries, server)
+		}
+	}
+	t.results.sweep(now)
+}
+
+// Report is what one process tells another of a server.
+type Report struct {
+	Server  uint64        // hash of its id
+	Load    Load          // without slots: none is reported
+	Age     time.Duration // of the load
+	Results Results
+}
+
+// reportsSince returns reports of the loads that were received after a moment and that a filter accepts.
+func (t *Table) reportsSince(now, moment time.Time, accept func(loadEntry) bool) []Report {
+	t.mu.RLock()
+	defer t.mu.RUnlock()
+	var list []Report
+	for server, entry := range t.entries {
+		if age := now.Sub(entry.reportedAt); entry.receivedAt.After(moment) && age <= loadTTL && accept(entry) {
+			list = append(list, Report{Server: server, Load: entry.load, Age: age})
+		}
+	}
+	return list
+}
+
+// receiveReports takes in a datagram of reports.
+func (t *Table) receiveReports(now time.Time, datagram []byte) {
+	k, reports, ok := decode(datagram)
+	if !ok {
+		t.invalid.Add(1)
+		return
+	}
+	for _, report := range reports {
+		if report.Load.Slots > 0 {
+			t.update(report.Server, loadEntry{load: report.Load, reportedAt: now.Add(-report.Age), receivedAt: now,
+				remote: k == kindRemote})
+		}
+	}
+	t.receiveResults(now, k, reports)
+}
--- /dev/null
+++ b/internal/serverload/targets.go
@@ -0,0 +1,97 @@
+package serverload
+
+import (
+	"maps"
+	"net/netip"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// aggregatorsPerZone is the number of a zone's aggregators: one may be down before the list of processes shows it.
+const aggregatorsPerZone = 2
+
+// targets are the addresses of the processes that a process sends to. They are immutable.
+type targets struct {
+	aggregators    []netip.AddrPort   // of the own zone, without this process
+	allAggregators [][]netip.AddrPort // of each zone, by the zones' names
+
+	// Empty unless this process is an aggregator.
+	zoneProcesses     []netip.AddrPort // the other processes of the zone
+	zoneGateways      []netip.AddrPort // those of them that are gateways
+	remoteAggregators []netip.AddrPort // the aggregators of other zones
+}
+
+// updateTargets computes the targets anew if the list of processes has changed.
+func (s *Sharing) updateTargets() {
+	members := s.members()
+	if members == nil || s.targets.Load() != nil && members.Version == s.membersVersion {
+		return
+	}
+	s.membersVersion = members.Version
+	aggregators := aggregatorsByZone(members.Gateways)
+	next := &targets{}
+	isAggregator := slices.ContainsFunc(aggregators[s.self.Zone], func(one protocol.Process) bool { return one.Node == s.self.Node })
+	for _, zone := range slices.Sorted(maps.Keys(aggregators)) {
+		var ofZone []netip.AddrPort
+		for _, one := range aggregators[zone] {
+			ofZone = s.appendAddress(ofZone, one.IP)
+			switch {
+			case zone != s.self.Zone && isAggregator:
+				next.remoteAggregators = s.appendAddress(next.remoteAggregators, one.IP)
+			case zone == s.self.Zone && one.Node != s.self.Node:
+				next.aggregators = s.appendAddress(next.aggregators, one.IP)
+			}
+		}
+		if len(ofZone) > 0 {
+			next.allAggregators = append(next.allAggregators, ofZone)
+		}
+	}
+	if isAggregator {
+		next.zoneGateways, next.zoneProcesses = s.zoneAddresses(members)
+	}
+	s.targets.Store(next)
+}
+
+// zoneAddresses returns the other gateways of this zone, and all its other processes.
+func (s *Sharing) zoneAddresses(members *protocol.MemberList) (gateways, all []netip.AddrPort) {
+	for i := range members.Gateways {
+		if one := &members.Gateways[i]; one.Zone == s.self.Zone && one.Node != s.self.Node {
+			gateways = s.appendAddress(gateways, one.IP)
+		}
+	}
+	all = slices.Clone(gateways)
+	for i := range members.Stores.Members {
+		if one := &members.Stores.Members[i]; one.Zone == s.self.Zone {
+			all = s.appendAddress(all, one.IP)
+		}
+	}
+	return gateways, all
+}
+
+// appendAddress appends a process's address, unless its IP can't be parsed.
+func (s *Sharing) appendAddress(list []netip.AddrPort, ip string) []netip.AddrPort {
+	address, err := netip.ParseAddr(ip)
+	if err != nil {
+		return list
+	}
+	return append(list, netip.AddrPortFrom(address, s.port))
+}
+
+// aggregatorsByZone returns the gateways of each zone with the highest weights (rendezvous hashing): if one is removed, the
+// others stay.
+func aggregatorsByZone(gateways []protocol.Process) map[string][]protocol.Process {
+	aggregators := map[string][]protocol.Process{}
+	for _, gateway := range gateways {
+		ofZone := append(aggregators[gateway.Zone], gateway)
+		for i := len(ofZone) - 1; i > 0 && weight(ofZone[i]) > weight(ofZone[i-1]); i-- {
+			ofZone[i], ofZone[i-1] = ofZone[i-1], ofZone[i]
+		}
+		aggregators[gateway.Zone] = ofZone[:min(len(ofZone), aggregatorsPerZone)]
+	}
+	return aggregators
+}
+
+func weight(process protocol.Process) uint64 { return xxhash.Sum64String(process.Node) }
