--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -131,7 +131,7 @@
 }
 
 // take returns the next bytes.
-func (r *reader) take(count int) []byte {
+func (r *reader) next(count int) []byte {
 	if r.failed || count > len(r.data) {
 		r.failed = true
 		r.data = nil
@@ -142,8 +142,8 @@
 	return taken
 }
 
-func (r *reader) byte() byte     { return r.take(1)[0] }
-func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.take(8)) }
+func (r *reader) byte() byte     { return r.next(1)[0] }
+func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
 // count returns the length of a list.
 func (r *reader) listLength() int {
@@ -162,7 +162,7 @@
 		r.failed = true
 		return ""
 	}
-	return string(r.take(length))
+	return string(r.next(length))
 }
 
 // unsigned returns a varint.
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -122,7 +122,7 @@
 func (r *Runner) Leave() {
 	r.mutex.Lock()
 	if !r.closed {
-		r.handle(r.node.Leave(time.Now()))
+		r.apply(r.node.Leave(time.Now()))
 	}
 	r.mutex.Unlock()
 	r.Close()
@@ -148,7 +148,7 @@
 	if r.closed {
 		return
 	}
-	r.handle(r.node.Tick(time.Now()))
+	r.apply(r.node.Tick(time.Now()))
 	r.timer.Reset(time.Until(r.node.Next()))
 }
 
@@ -180,12 +180,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.closed {
-		r.handle(r.node.Receive(time.Now(), from.String(), message))
+		r.apply(r.node.Receive(time.Now(), from.String(), message))
 	}
 }
 
 // handle sends messages and reports changes. The caller holds the mutex.
-func (r *Runner) handle(output membership.Output) {
+func (r *Runner) apply(output membership.Output) {
 	for _, envelope := range output.Messages {
 		r.send(envelope)
 	}
--- a/coord/ring/ring.go
+++ b/coord/ring/ring.go
@@ -28,7 +28,7 @@
 }
 
 // compareNodes orders nodes by position, and by name where positions are equal.
-func compareNodes(one, other node) int {
+func compareByPosition(one, other node) int {
 	return cmp.Or(cmp.Compare(one.hash, other.hash), cmp.Compare(one.name, other.name))
 }
 
@@ -43,7 +43,7 @@
 	for _, name := range names {
 		nodes = append(nodes, makeNode(name))
 	}
-	slices.SortFunc(nodes, compareNodes)
+	slices.SortFunc(nodes, compareByPosition)
 	return &Ring{nodes: slices.Compact(nodes)}
 }
 
@@ -92,7 +92,7 @@
 
 // find returns where a name is, or where it would be.
 func (r *Ring) search(name string) (int, bool) {
-	return slices.BinarySearchFunc(r.nodes, makeNode(name), compareNodes)
+	return slices.BinarySearchFunc(r.nodes, makeNode(name), compareByPosition)
 }
 
 // Successors returns up to count other names that follow a name on the circle, the next first. The name itself need
