--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	magic = "SPM\x01" // the last byte is the version
-
-	// maxDatagram bounds what is sent in one datagram in bytes, so that it isn't split on its way.
+	// magic begins every datagram. Its last byte is the version of the format.
+	magic = "SPM\x01"
+	// maxDatagramSize bounds a datagram in bytes, so that it fits into an Ethernet frame and isn't fragmented.
 	maxDatagramSize = 1400
 	// headerSize is the size in bytes of magic and system tag.
 	headerSize = len(magic) + 8
-	// maxText bounds a string in bytes, and maxList a list in entries, in what is received.
+	// maxStringLength bounds a string in bytes: its length is sent in one byte.
 	maxStringLength = 255
-	maxListLength   = 128
+	// maxListLength bounds a list in entries, so that a malformed datagram can't cause a large allocation.
+	maxListLength = 128
 )
 
-// errMalformed reports a datagram that is no message of this system.
+// errMalformed says that a datagram isn't a message of this system.
 var errMalformed = errors.New("datagram: malformed")
 
-// encode returns the datagrams of a message. Those after the first carry nothing but the rest of the news.
+// encode returns the datagrams of a message, usually one. Those after the first carry only the rest of its updates.
 func encode(tag uint64, message membership.Message) [][]byte {
 	var datagrams [][]byte
 	rest := message.Updates
 	for {
 		message.Updates = nil
 		data := appendHeader(nil, tag, message)
-		counter := len(data)
+		countOffset := len(data)
 		data = append(data, 0)
 		count := 0
 		for len(rest) > 0 && count < maxListLength {
@@ -41,7 +42,7 @@
 			count++
 			rest = rest[1:]
 		}
-		data[counter] = byte(count)
+		data[countOffset] = byte(count)
 		datagrams = append(datagrams, data)
 		if len(rest) == 0 {
 			return datagrams
@@ -50,7 +51,8 @@
 	}
 }
 
-// continuation returns the message that carries the rest of another one's news.
+// continuation returns the message that carries the rest of another one's updates. A Heartbeat has no other effect
+// than its updates and shows the sender to be alive; of a Sync it must stay known that its updates are no news.
 func continuation(message membership.Message) membership.Message {
 	kind := membership.Heartbeat
 	if message.Kind == membership.Sync {
@@ -59,7 +61,7 @@
 	return membership.Message{Kind: kind, From: message.From, Incarnation: message.Incarnation}
 }
 
-// appendFixed appends all of a message but its news.
+// appendHeader appends all of a message but its updates.
 func appendHeader(data []byte, tag uint64, message membership.Message) []byte {
 	data = append(data, magic...)
 	data = binary.BigEndian.AppendUint64(data, tag)
@@ -77,7 +79,7 @@
 	return data
 }
 
-// appendUpdate appends one piece of news.
+// appendUpdate appends one update.
 func appendUpdate(data []byte, update membership.Update) []byte {
 	data = append(data, byte(update.State))
 	data = binary.AppendUvarint(data, update.Incarnation)
@@ -87,14 +89,14 @@
 	return appendString(data, update.Member.Zone)
 }
 
-// appendText appends a string after its length. Longer ones than a datagram may hold are cut.
+// appendString appends a string after its length. One that is too long is truncated.
 func appendString(data []byte, text string) []byte {
 	text = text[:min(len(text), maxStringLength)]
 	data = append(data, byte(len(text)))
 	return append(data, text...)
 }
 
-// decode returns the message in a datagram.
+// decode returns the message in a datagram, or errMalformed.
 func decode(tag uint64, data []byte) (membership.Message, error) {
 	if len(data) < headerSize || string(data[:len(magic)]) != magic {
 		return membership.Message{}, errMalformed
@@ -124,13 +126,14 @@
 	return message, nil
 }
 
-// reader takes fields off the front of a datagram. After a failure it returns zero values.
+// reader reads the fields of a datagram in order. After a failure it returns values of no meaning, so that failed
+// is checked once at the end.
 type reader struct {
 	data   []byte
 	failed bool
 }
 
-// take returns the next bytes.
+// next returns the next bytes. After a failure it returns at least as many zeros as a field of fixed size has.
 func (r *reader) next(count int) []byte {
 	if r.failed || count > len(r.data) {
 		r.failed = true
@@ -142,10 +145,13 @@
 	return taken
 }
 
-func (r *reader) byte() byte     { return r.next(1)[0] }
+// byte returns one byte.
+func (r *reader) byte() byte { return r.next(1)[0] }
+
+// uint64 returns an integer of eight bytes.
 func (r *reader) uint64() uint64 { return binary.BigEndian.Uint64(r.next(8)) }
 
-// count returns the length of a list.
+// listLength returns the number of entries of a list.
 func (r *reader) listLength() int {
 	count := int(r.byte())
 	if count > maxListLength {
@@ -155,7 +161,7 @@
 	return count
 }
 
-// text returns a string.
+// string returns a string after its length.
 func (r *reader) string() string {
 	length := int(r.byte())
 	if r.failed || length > len(r.data) {
@@ -165,7 +171,7 @@
 	return string(r.next(length))
 }
 
-// unsigned returns a varint.
+// uvarint returns an unsigned integer of variable length.
 func (r *reader) uvarint() uint64 {
 	value, width := binary.Uvarint(r.data)
 	if width <= 0 {
@@ -176,7 +182,7 @@
 	return value
 }
 
-// signed returns a signed varint.
+// varint returns a signed integer of variable length.
 func (r *reader) varint() int64 {
 	value, width := binary.Varint(r.data)
 	if width <= 0 {
@@ -187,7 +193,7 @@
 	return value
 }
 
-// update returns one piece of news.
+// update returns one update.
 func (r *reader) update() membership.Update {
 	return membership.Update{
 		State:       membership.State(r.byte()),
--- a/coord/membership/datagram/datagram_test.go
+++ b/coord/membership/datagram/datagram_test.go
@@ -47,7 +47,9 @@
 	r, err := Start(Options{
 		System: "test",
 		Config: membership.Config{
-			Self:        membership.Member{Name: fmt.Sprint("m", number), Address: addresses[number], Role: "gateway", Zone: "z"},
+			Self: membership.Member{
+				Name: fmt.Sprint("m", number), Address: addresses[number], Role: "gateway", Zone: "z",
+			},
 			Incarnation: incarnation,
 			Seeds:       addresses[:2],
 			Interval:    60 * time.Millisecond,
@@ -60,7 +62,7 @@
 	return r
 }
 
-// seeAll tells whether all runners know exactly this many machines as alive.
+// allSee reports whether all runners know exactly this many machines as alive.
 func allSee(runners []*Runner, count int) bool {
 	for _, r := range runners {
 		alive := 0
@@ -87,9 +89,10 @@
 		So(eventually(func() bool { return allSee(runners, count) }), ShouldBeTrue)
 		known, ok := runners[7].Members().Get("m3")
 		So(ok, ShouldBeTrue)
-		So(known.Member, ShouldResemble, membership.Member{Name: "m3", Address: addresses[3], Role: "gateway", Zone: "z"})
+		want := membership.Member{Name: "m3", Address: addresses[3], Role: "gateway", Zone: "z"}
+		So(known.Member, ShouldResemble, want)
 
-		Convey("a death, a planned end and a return become known to all", func() {
+		Convey("a failure, a planned leave and a return become known to all", func() {
 			runners[4].Close()
 			rest := append(append([]*Runner{}, runners[:4]...), runners[5:]...)
 			So(eventually(func() bool { return allSee(rest, count-1) }), ShouldBeTrue)
@@ -129,7 +132,7 @@
 	})
 }
 
-// testMessage returns a message with much news.
+// testMessage returns a message with all fields set and some updates.
 func testMessage(updates int) membership.Message {
 	message := membership.Message{
 		Kind: membership.Sync, From: "front-huron-1", Incarnation: 1 << 50, Sequence: 12345, Target: "front-erie-2",
@@ -166,11 +169,11 @@
 		}
 	})
 
-	Convey("Every cut is refused, and random changes do no harm", t, func() {
+	Convey("Every truncated datagram is rejected, and random changes do no harm", t, func() {
 		valid := encode(7, testMessage(5))[0]
 		for cut := range valid {
 			if _, err := decode(7, valid[:cut]); err == nil {
-				t.Fatalf("cut at %d is accepted", cut)
+				t.Fatalf("truncated at %d it is accepted", cut)
 			}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
--- a/coord/membership/datagram/golden_test.go
+++ b/coord/membership/datagram/golden_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds a datagram to the form that earlier versions send.
+// TestGolden checks that a datagram has the format that earlier versions send.
 func TestGolden(t *testing.T) {
 	const tag = 0x0102030405060708
 	var message membership.Message
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -14,58 +14,47 @@
 	"sprucelane.example/sprucelane/coord/membership"
 )
 
-// receiveBuffer is the size in bytes of the largest datagram that is received whole.
-const receiveBufferSize = 4096
-
-// readPause is how long a runner waits after a failed read.
-const readErrorBackoff = 50 * time.Millisecond
+const (
+	// receiveBufferSize is the size in bytes of the largest datagram that is received. Longer ones are truncated by
+	// the system, and then dropped as malformed.
+	receiveBufferSize = 4096
+	// readErrorBackoff is how long a runner waits after a failed read, so that a lasting error doesn't use up a core.
+	readErrorBackoff = 50 * time.Millisecond
+)
 
-// Options adjusts a Runner.
+// Options configures a Runner.
 type Options struct {
-	// System tells systems apart: datagrams of another one are dropped.
+	// System is the name of the system. Datagrams of systems with another name are dropped.
 	System string
-	// Config is that of the node. Its addresses are ip:port.
+	// Config configures the node. All addresses in it are ip:port, without host names.
 	Config membership.Config
-	// Listen is the ip:port of the socket, Config.Self.Address if empty.
+	// Listen is the ip:port of the socket, if it isn't Config.Self.Address, as behind address translation.
 	Listen string
-	// OnChange receives changes in order. It must return soon and must not call the Runner.
+	// OnChange receives changes in order, after Members reflects them. It must return soon, as it holds up the
+	// protocol, and must not call the Runner except for Members. If nil, changes are only reflected by Members.
 	OnChange func([]membership.Change)
-	// Log receives what goes wrong. It must not block.
+	// Log receives what goes wrong: the event, its error and the other side's address. It must return soon. If nil,
+	// nothing is logged.
 	Log func(event string, err error, remote string)
 }
 
-// Members is an immutable view of all machines.
-type Members struct {
-	list   []membership.Update
-	byName map[string]membership.Update
-}
-
-// List returns all machines that are alive or suspected, in the order of their names. It must not be changed.
-func (m *Members) List() []membership.Update {
-	return m.list
-}
-
-// Get returns a machine that is alive or suspected.
-func (m *Members) Get(name string) (membership.Update, bool) {
-	update, ok := m.byName[name]
-	return update, ok
-}
-
-// Runner runs a membership node over a UDP socket.
+// Runner runs a membership node over a UDP socket. Its methods may be called by several goroutines at once.
 type Runner struct {
 	options   Options
-	systemTag uint64
+	systemTag uint64 // hash of Options.System, sent in each datagram
 	socket    *net.UDPConn
-	members   atomic.Pointer[Members]
-	done      chan struct{} // closed once nothing is read any more
+	members   atomic.Pointer[Members] // replaced by publish
+	readDone  chan struct{}           // closed once the socket isn't read any more
 
+	// mutex guards what follows. It is held through each step of the node with the sends and OnChange that it leads
+	// to, so that messages and changes keep their order.
 	mutex  sync.Mutex
 	node   *membership.Node
-	timer  *time.Timer
-	closed bool
+	timer  *time.Timer // of the node's next tick
+	closed bool        // no step is made any more
 }
 
-// Start opens the socket and joins the system.
+// Start opens the socket and begins to join the system. The error is that of an address or of the socket.
 func Start(options Options) (*Runner, error) {
 	if options.Listen == "" {
 		options.Listen = options.Config.Self.Address
@@ -88,7 +77,7 @@
 		options:   options,
 		systemTag: xxhash.Sum64String(options.System),
 		socket:    socket,
-		done:      make(chan struct{}),
+		readDone:  make(chan struct{}),
 		node:      membership.New(options.Config, time.Now()),
 	}
 	r.publish()
@@ -99,19 +88,20 @@
 	return r, nil
 }
 
-// Members returns the present view of all machines.
+// Members returns the machines that are present now. It takes no lock.
 func (r *Runner) Members() *Members {
 	return r.members.Load()
 }
 
-// Isolated tells whether this machine has heard nobody for so long that others must count it as dead or cut off.
+// Isolated reports whether this machine has received nothing for so long that the others must have declared it
+// dead, or be partitioned from it.
 func (r *Runner) Isolated() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.node.Isolated(time.Now())
 }
 
-// SetSeeds replaces the addresses at which a machine may answer.
+// SetSeeds replaces the addresses through which this machine joins.
 func (r *Runner) SetSeeds(seeds []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -128,7 +118,7 @@
 	r.Close()
 }
 
-// Close closes the socket without a word to others.
+// Close closes the socket without telling the others, which will suspect this machine and declare it dead.
 func (r *Runner) Close() {
 	r.mutex.Lock()
 	wasClosed := r.closed
@@ -138,10 +128,10 @@
 	if !wasClosed {
 		_ = r.socket.Close()
 	}
-	<-r.done
+	<-r.readDone
 }
 
-// tick runs the node's timer and sets it anew.
+// tick lets the node tick and sets the timer for the next time.
 func (r *Runner) tick() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -152,9 +142,9 @@
 	r.timer.Reset(time.Until(r.node.Next()))
 }
 
-// read takes datagrams in until the socket is closed.
+// read receives datagrams until the socket is closed.
 func (r *Runner) read() {
-	defer close(r.done)
+	defer close(r.readDone)
 	buffer := make([]byte, receiveBufferSize)
 	for {
 		size, from, err := r.socket.ReadFromUDPAddrPort(buffer)
@@ -175,7 +165,7 @@
 	}
 }
 
-// receive hands a message to the node.
+// receive passes a message to the node.
 func (r *Runner) receive(from netip.AddrPort, message membership.Message) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -184,7 +174,7 @@
 	}
 }
 
-// handle sends messages and reports changes. The caller holds the mutex.
+// apply sends messages and reports changes. The caller holds the mutex.
 func (r *Runner) apply(output membership.Output) {
 	for _, envelope := range output.Messages {
 		r.send(envelope)
@@ -195,7 +185,7 @@
 	}
 }
 
-// send sends one message. What can't be sent is lost, as any datagram may be.
+// send sends one message. If that fails it isn't repeated: the protocol tolerates the loss of any datagram.
 func (r *Runner) send(envelope membership.Envelope) {
 	address, err := netip.ParseAddrPort(envelope.Address)
 	if err != nil {
@@ -209,12 +199,8 @@
 	}
 }
 
-// publish makes the present view the one that Members returns.
+// publish makes the node's current members those that Members returns. The caller holds the mutex, or hasn't
+// started yet.
 func (r *Runner) publish() {
-	list := r.node.Members()
-	byName := make(map[string]membership.Update, len(list))
-	for _, member := range list {
-		byName[member.Member.Name] = member
-	}
-	r.members.Store(&Members{list: list, byName: byName})
+	r.members.Store(newMembers(r.node.Members()))
 }
