--- a/coord/ring/ring_test.go
+++ b/coord/ring/ring_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// TestProperties checks what holds for any names.
+// TestProperties checks invariants for random names, keys and counts.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-z]{1,4}`), 1, 12, rapid.ID[string]).Draw(t, "names")
@@ -102,7 +102,7 @@
 	})
 }
 
-// checkNeighbours checks that whoever succeeds a name is preceded by it.
+// checkAdjacency checks that each successor of a name has it among its predecessors.
 func checkAdjacency(t *rapid.T, r *Ring, name string, count int) {
 	successors := r.Successors(name, count)
 	if len(successors) != min(count, r.Len()-1) || slices.Contains(successors, name) {
