--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -2,64 +2,67 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
+	"slices"
 	"time"
 
 	"sprucelane.example/sprucelane/coord/chain"
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Propose has an order applied, from any node, and returns its result. A nil error means that the
-// order is on the disks of the whole chain, more of them than may be lost at once. The same id again
-// returns the first outcome, as long as it is among the last few thousand; an order that got
-// ErrUncertain may be proposed again with its id anywhere. Without an id one is drawn.
+// Propose has a command applied, from any node, and returns its result. A nil error means that the command is on the
+// synced disks of the whole chain, more than Options.Tolerance of them.
 //
-// ErrUnavailable speaks of this call alone: an earlier call with the same id may have been taken.
+// The same ID proposed again returns the first outcome, as long as it is among those of the latest
+// chain.DeduplicationWindow commands; a command that got ErrUncertain may be proposed again with its ID through any
+// node. An empty ID is replaced by a unique one.
+//
+// ErrUnavailable concerns this call alone: an earlier call with the same ID may have been taken.
 func (n *Node) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
 	if id == "" {
-		id = n.drawID()
+		id = n.newCommandID()
 	}
 	if n.status.Load().diskUnhealthy {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
 	}
-	wait := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
-	err := n.enqueue(ctx, func() { n.core.submit(n.now(), id, command, wait) })
+	waiter := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
+	err := n.enqueue(ctx, func() { n.core.submit(n.now(), id, command, waiter) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	select {
-	case outcome := <-wait.outcomes:
+	case outcome := <-waiter.outcomes:
 		return outcome.Result, nil
 	case <-n.done:
 		return nil, fmt.Errorf("%w: %w", ErrUncertain, ErrClosed)
 	case <-ctx.Done():
-		return n.withdraw(id, wait, ctx.Err())
+		return n.withdraw(id, waiter, ctx.Err())
 	}
 }
 
-func (n *Node) drawID() string {
+// newCommandID returns an ID that no other call, process or machine uses.
+func (n *Node) newCommandID() string {
 	return fmt.Sprintf("%s/%x/%d", n.core.self.ID(), n.core.incarnation, n.drawnIDs.Add(1))
 }
 
-// withdrawTime bounds the wait for the loop once a caller's time is over.
+// withdrawTimeout bounds the wait for the loop once a caller's context has ended.
 const withdrawTimeout = 20 * time.Millisecond
 
-// withdraw ends the wait for an order. What is known of it is known on the loop only; a node whose
-// disk holds up the loop can't tell, and then the order counts as uncertain.
-func (n *Node) withdraw(id string, wait *outcomeWaiter, cause error) ([]byte, error) {
+// withdraw ends the wait for a command. Only the loop knows whether the command left the node; if the disk holds up the
+// loop, the outcome counts as uncertain.
+func (n *Node) withdraw(id string, waiter *outcomeWaiter, cause error) ([]byte, error) {
 	limited, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
 	sent := true
 	withdrawn := make(chan bool, 1)
-	if err := n.enqueue(limited, func() { withdrawn <- n.core.withdraw(id, wait) }); err == nil {
+	if err := n.enqueue(limited, func() { withdrawn <- n.core.withdraw(id, waiter) }); err == nil {
 		select {
 		case sent = <-withdrawn:
 		case <-limited.Done():
 		}
 	}
 	select {
-	case outcome := <-wait.outcomes:
+	case outcome := <-waiter.outcomes:
 		return outcome.Result, nil
 	default:
 	}
@@ -69,7 +72,9 @@
 	return nil, fmt.Errorf("%w: %w", ErrUnavailable, cause)
 }
 
-// Read returns once the local machine has applied every order acknowledged before the call.
+// Read is a linearizable read barrier: it returns once the local state machine has applied every command acknowledged
+// before the call, with the index applied by then. The caller then reads its own state machine. All errors wrap
+// ErrUnavailable.
 func (n *Node) Read(ctx context.Context) (index uint64, err error) {
 	if n.status.Load().diskUnhealthy {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
@@ -93,8 +98,9 @@
 	}
 }
 
-// Fresh returns the age of this node's knowledge: everything acknowledged longer ago than age is
-// applied here. It is computed from the steady clock at the call.
+// Staleness returns a bound on how stale the local state is: every command acknowledged longer ago than age is applied
+// here. It asks nobody; the age grows with the steady clock until the next proof arrives. ok is false before the first
+// one.
 func (n *Node) Staleness() (age time.Duration, ok bool) {
 	current := n.status.Load()
 	if !current.stalenessKnown {
@@ -103,79 +109,69 @@
 	return time.Since(current.currentAsOf), true
 }
 
-// errDisk says why a node refuses.
-var errDiskUnhealthy = errors.New("the disk refuses writes")
-
 // View returns the newest view that the node knows.
 func (n *Node) View() view.View { return n.status.Load().view }
 
 // Self returns the node as a member.
 func (n *Node) Self() view.Member { return n.core.self }
 
-// Members returns the core machines that the node knows.
+// Members returns the machines with a disk that the node knows, as of its last tick.
 func (n *Node) Members() []Peer { return n.status.Load().members }
 
-// Applied returns the index of the last order applied here.
+// Applied returns the index of the last command applied here.
 func (n *Node) Applied() uint64 { return n.status.Load().applied }
 
-// IsHead reports whether the node is the head of the newest view it knows.
+// IsHead reports whether the node is the head of the newest view that it knows. Another one may have replaced it.
 func (n *Node) IsHead() bool { return n.View().Head().Same(n.core.self) }
 
-// Lead returns the epoch in which this node is the chain's head and the moment until which no
-// successor acts, as long as a majority confirmed the epoch lately. Singleton roles hang on it: the
-// holder compares until with the clock right before it acts. A new head leads only once the time of
-// the one before has surely passed.
+// Lead returns the leader lease, if this node holds it: the epoch, which serves as a fencing token, and the moment until
+// which no other node has the lease. Singleton roles depend on it (see coord/leader); their holder compares the moment
+// with the clock right before each act. A new head gets the lease only once that of the one before has expired.
 func (n *Node) Lead() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
-	if !current.hasLease || !time.Now().Before(current.lease.Until) {
+	if !time.Now().Before(current.leaseExpiry) {
 		return 0, time.Time{}, false
 	}
-	return current.lease.Epoch, current.lease.Until, true
+	return current.leaseEpoch, current.leaseExpiry, true
 }
 
-// Head returns the moment until which no successor acts, where this node is the proven head of its epoch. Unlike Lead it doesn't
-// wait until the time of the head before has passed: it is for a holder that knows that no other has acted since it did itself,
-// in this life or an earlier one of its disk.
+// Head returns the moment until which no successor of this node's epoch acts, if the node is its head. Unlike Lead, it
+// doesn't wait until the lease of an earlier head has expired: it is for a holder that knows that no other has acted
+// since it did itself, in this incarnation or an earlier one of its disk.
 func (n *Node) Head() (until time.Time, ok bool) {
 	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
 }
 
-// LeadSince returns the moment from which this node may act as the holder of singleton roles.
-func (n *Node) LeadSince() (time.Time, bool) {
-	current := n.status.Load()
-	return current.lease.Since, current.hasLease
-}
-
-// OnApply has a function called after each order that is applied here, in order, on the goroutine of
-// the machine. It must be short and must not call Propose or Read. Orders that came within an image
-// of the whole state aren't told one by one.
+// OnApply registers a function that is called after each command applied here, in order, on the goroutine of the loop.
+// It must be short and must not call Propose or Read. Commands that arrive within a snapshot aren't reported, nor is a
+// repetition of a command.
 func (n *Node) OnApply(call func(index uint64, command, result []byte)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
 	next := *n.callbacks.Load()
-	next.onApply = append(append([]func(uint64, []byte, []byte){}, next.onApply...), call)
+	next.onApply = append(slices.Clone(next.onApply), call)
 	n.callbacks.Store(&next)
 }
 
-// OnView has a function called at each change of the view, on the goroutine of the machine.
+// OnView registers a function that is called after each change of the view, on the goroutine of the loop.
 func (n *Node) OnView(call func(view.View)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
 	next := *n.callbacks.Load()
-	next.onView = append(append([]func(view.View){}, next.onView...), call)
+	next.onView = append(slices.Clone(next.onView), call)
 	n.callbacks.Store(&next)
 }
 
-// SetSeeds replaces the addresses to ask when nobody of the known view answers.
+// SetSeeds replaces Options.Seeds.
 func (n *Node) SetSeeds(seeds []string) {
-	copied := append([]string(nil), seeds...)
+	copied := slices.Clone(seeds)
 	_ = n.enqueue(context.Background(), func() { n.core.seeds = copied })
 }
 
-// HandOver leaves the chain by a change of the view, where enough others stay in it. It returns once
-// the node is out, or with the error of ctx. A node that stays a member of a chain that can't spare it
-// returns ErrUnavailable.
+// HandOver takes this node out of the chain by a change of the view, before its process ends, so that the others need
+// no failure detection. It returns once the node is out and the others have the complete prefix, ErrUnavailable if the
+// chain has too few members to spare it, ErrClosed, or the error of ctx.
 func (n *Node) HandOver(ctx context.Context) error {
 	out := make(chan struct{}, 1)
 	spared := true
@@ -197,3 +193,13 @@
 		return ctx.Err()
 	}
 }
+
+// Close ends the node at once, without a change of the view: to the others it looks like a crash.
+func (n *Node) Close() {
+	n.closeOnce.Do(func() { close(n.closing) })
+	<-n.done
+	n.network.close()
+	if n.store != nil {
+		_ = n.store.Close()
+	}
+}
--- a/coord/replica/checks_test.go
+++ b/coord/replica/checks_test.go
@@ -104,7 +104,7 @@
 			sim.failf("%s and %s lead", leader.name, n.name)
 		}
 		leader = n
-		if end, least := n.core.log.LastIndex(), sim.ackedBefore(n.core.staleness.epochConfirmedAt); end < least {
+		if end, least := n.core.log.LastIndex(), sim.ackedBefore(n.core.epochConfirmedAt); end < least {
 			sim.failf("%s leads with %d of %d acknowledged orders", n.name, end, least)
 		}
 		if n.partitioned && sim.now > n.partitionedSince+leaderLeaseDuration {
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -9,135 +9,105 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Times of the protocol, all on the steady clock.
-const (
-	tickInterval          = 100 * time.Millisecond // how often a carrier calls tick
-	heartbeatInterval     = 200 * time.Millisecond
-	suspicionTimeout      = 700 * time.Millisecond  // a member not heard for this long is suspected
-	echoTimeout           = 1000 * time.Millisecond // nor one that hasn't heard this member
-	processPauseThreshold = 400 * time.Millisecond  // a gap between ticks that means: this process stood still
-	replacementTimeout    = 2 * time.Second         // a voter silent for this long may be replaced by a spare
-	retransmitInterval    = 300 * time.Millisecond  // of fetches and forwarded orders
-	viewQueryInterval     = 500 * time.Millisecond  // between questions of a node that hears nobody of its view
-	learnerPollInterval   = 250 * time.Millisecond  // of nodes outside of the chain
-	proposalTimeout       = 600 * time.Millisecond  // an attempt on a view that takes longer is given up
-	prepareGracePeriod    = 100 * time.Millisecond  // for the promises beyond a majority
-	proposerStagger       = 200 * time.Millisecond  // between possible proposers
-	rejoinDelay           = 150 * time.Millisecond  // a member must be heard this long before it is let in
-	wedgedTimeout         = 400 * time.Millisecond  // a wedged member without a decision proposes
-	leaderLeaseDuration   = 800 * time.Millisecond  // after the last proof of its epoch a head leads
-	newLeaderDelay        = 1000 * time.Millisecond // after the decision on its view a head waits
-)
-
-// Sizes of messages and of the log kept in memory for others.
-const (
-	defaultBatchBytes       = 256 << 10
-	defaultRetainedLogBytes = 256 << 10
-	defaultMaxUncommitted   = 8192
-	checkpointLogBytes      = 1 << 20
-)
-
-// limits bound what a core keeps and sends at once. All members of a system have the same.
-type limits struct {
-	batchBytes          int // orders in one message
-	retainedLogBytes    int // bytes of applied orders that the log keeps for others
-	maxUncommitted      int // orders
-	deduplicationWindow int // outcomes of the last orders
-}
-
-var defaultLimits = limits{
-	batchBytes:          defaultBatchBytes,
-	retainedLogBytes:    defaultRetainedLogBytes,
-	maxUncommitted:      defaultMaxUncommitted,
-	deduplicationWindow: chain.DeduplicationWindow,
-}
-
-// envelope is a message on its way out.
+// envelope is an outgoing message.
 type envelope struct {
-	to   view.Member // without an incarnation: whoever is at the address
+	to   view.Member // without an incarnation: any process at the address
 	body any
 }
 
-// coreOptions are what a core needs to know.
+// coreOptions configure a core.
 type coreOptions struct {
-	self          view.Member
-	hasDisk       bool
-	tolerance     int
-	limits        limits
-	seeds         []string
-	stateMachine  chain.StateMachine
-	random        *rand.Rand
-	incarnation   uint64
-	report        func(event string, fields ...any)
+	self         view.Member
+	hasDisk      bool // without a disk, the node is a learner for ever
+	tolerance    int  // number of disks that may be lost at once
+	limits       limits
+	seeds        []string // coordination addresses to query while no member of the view is reachable
+	stateMachine chain.StateMachine
+	random       *rand.Rand // of backoffs
+	incarnation  uint64     // of the process, drawn at its start; view.Member.Incarnation is that of the disk
+
+	logEvent      func(event string, fields ...any) // may be nil
 	onApply       func(entry chain.Entry, outcome chain.Outcome, repeated bool)
 	onViewAdopted func(view.View)
 }
 
-// core is the pure state machine of a node: messages and time go in, records and messages come
-// out. Its carrier makes the records durable first, then calls persisted, then sends the messages.
+// core is the pure state machine of a node: messages and time go in, records and messages come out. It has no
+// goroutines, sockets, disks or clocks. For each batch of inputs, its carrier
+//
+//  1. calls step, tick, submit, read or leave for each input,
+//  2. makes durable what takeRecords returns,
+//  3. calls persisted, and
+//  4. sends what takeMessages returns.
+//
+// The order is what makes the messages true: an acknowledgement, a prepare response or an accept response leaves
+// only after the records that it speaks of are durable. If step 2 fails, the carrier discards the messages and calls
+// reopened with what the disk holds.
 type core struct {
 	coreOptions
 	acceptor     view.Acceptor
 	log          *chain.Log
 	state        *chain.State
-	syncedEpoch  uint64 // highest epoch in which the log was whole
-	commitIndex  uint64 // last order known to be on all disks of a chain
-	durableIndex uint64 // last order on the own disk
-	now          time.Duration
+	syncedEpoch  uint64        // highest epoch in which the log had the complete prefix; claim (I) of coord/view
+	commitIndex  uint64        // last command known to be on all disks of a chain
+	durableIndex uint64        // last command on this member's disk; durableIndex <= log.LastIndex()
+	now          time.Duration // of the input under way
 
-	records       [][]byte
-	checkpointDue bool // the whole state is to be written instead of records
-	messages      []envelope
+	records       [][]byte   // decided, and not yet taken by the carrier
+	checkpointDue bool       // the next write is a checkpoint in place of records
+	messages      []envelope // decided, and not to be sent before the records are durable
 
 	replication replicationState
-	peers       map[string]*peer
 	proposer    proposerState
-	staleness   stalenessProof
 	requests    pendingRequests
 	learner     learnerState
+	learners    map[string]*learnerProgress // learners that poll this chain member, by member ID
+
+	peers            map[string]*peer // by member ID: all voters, and candidates
+	heartbeats       heartbeatRounds
+	epochConfirmedAt time.Duration // no successor of the present epoch was decided before this moment; never: unproven
+	staleness        stalenessProof
+	leaseNotBefore   time.Duration // this member, if it is the head, may hold the leader lease from here on
 
 	lastTick      time.Duration
 	lastHeartbeat time.Duration
 	lastViewQuery time.Duration
-	viewQueries   int
-	leaving       bool
-	onDeparted    func() // called once this member is out of the chain and the others know
-	departedAt    time.Duration
-	lease         leaderLease
+	viewQueries   int // sent so far; selects the next address
+
+	leaving    bool
+	onDeparted func() // called once this member is out of the chain and the others know
+	departedAt time.Duration
 }
 
-// newCore starts a member from what its disk held (nil: nothing, or no disk).
+// newCore starts a member from what its disk held, nil for an empty disk or none. genesis is the first view where this
+// start founds the system; it is ignored if the disk held something.
 func newCore(options coreOptions, found *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
 	c := &core{
-		coreOptions:   options,
-		log:           chain.NewLog(0, 0, nil),
-		state:         chain.NewState(options.stateMachine, options.limits.deduplicationWindow),
-		peers:         make(map[string]*peer),
-		now:           now,
-		lastTick:      now,
-		lastHeartbeat: now - heartbeatInterval,
-		lastViewQuery: now - time.Second,
+		coreOptions:    options,
+		log:            chain.NewLog(0, 0, nil),
+		state:          chain.NewState(options.stateMachine, options.limits.deduplicationWindow),
+		requests:       pendingRequests{proposals: make(map[string]*pendingProposal)},
+		learners:       make(map[string]*learnerProgress),
+		peers:          make(map[string]*peer),
+		now:            now,
+		lastTick:       now,
+		lastHeartbeat:  now - heartbeatInterval,
+		lastViewQuery:  now - time.Second,
+		leaseNotBefore: now + newLeaderDelay,
 	}
-	if c.report == nil {
-		c.report = func(string, ...any) {}
+	if c.logEvent == nil {
+		c.logEvent = func(string, ...any) {}
 	}
+	c.learner = newLearnerState(c.random)
 	c.acceptor.Self = options.self
-	c.requests.init()
-	c.learner.init(c)
-	c.lease.notBefore = now + newLeaderDelay
 	if found != nil {
-		c.acceptor.Self = found.self
 		c.self = found.self
-		c.acceptor.DurableState = found.durable
-		c.syncedEpoch = found.synced
-		c.log = found.log
-		if found.image != nil {
-			if err := c.state.Restore(*found.image); err != nil {
+		c.acceptor.Self = found.self
+		if found.snapshot != nil {
+			if err := c.state.Restore(*found.snapshot); err != nil {
 				return nil, err
 			}
 		}
-		c.commitIndex, _ = c.state.Applied()
-		c.durableIndex = c.log.LastIndex()
+		c.loadRecovered(found)
 	} else if genesis != nil {
 		c.acceptor.DurableState = view.DurableState{View: *genesis}
 		if genesis.InChain(c.self) {
@@ -150,22 +120,40 @@
 	return c, nil
 }
 
+// loadRecovered takes over what the disk holds, beside the state machine.
+func (c *core) loadRecovered(found *recoveredState) {
+	c.acceptor.DurableState = found.durable
+	c.syncedEpoch = found.synced
+	c.log = found.log
+	c.commitIndex, _ = c.state.Applied()
+	c.durableIndex = c.log.LastIndex()
+}
+
+// view returns the newest decided view that this node knows.
 func (c *core) view() view.View { return c.acceptor.View }
 
+// epoch returns the number of the present view; 0: none is known yet.
 func (c *core) epoch() uint64 { return c.acceptor.View.Epoch }
 
+// isVoter reports whether this member votes on the next view.
 func (c *core) isVoter() bool { return c.hasDisk && c.acceptor.View.IsVoter(c.self) }
 
+// inChain reports whether this member belongs to the present chain.
 func (c *core) inChain() bool { return c.hasDisk && c.acceptor.View.InChain(c.self) }
 
-// serving reports whether the member may order, forward and acknowledge in its epoch.
+// serving reports whether this member may append, forward and acknowledge commands in its epoch: it is in the chain, has
+// the complete prefix, and isn't wedged. A wedged member's log must not change, because its prepare response has
+// described it.
 func (c *core) serving() bool {
 	return c.inChain() && c.syncedEpoch == c.epoch() && !c.acceptor.Wedged()
 }
 
-// enough reports whether the chain may acknowledge: fewer members than this couldn't bear the losses.
+// toleratesFailures reports whether the chain is long enough to commit. A command on the disks of a shorter chain could
+// be lost with as many disks as must be tolerated.
 func (c *core) toleratesFailures() bool { return len(c.acceptor.View.Chain) > c.tolerance }
 
+// send queues a message until the records decided before it are durable. Messages to this process itself and to an
+// unknown address are dropped.
 func (c *core) send(to view.Member, body any) {
 	if to.Address == c.self.Address || to.Address == "" {
 		return
@@ -173,14 +161,15 @@
 	c.messages = append(c.messages, envelope{to: to, body: body})
 }
 
+// record queues a record for the disk.
 func (c *core) record(kind byte, value any) {
 	if c.hasDisk {
 		c.records = append(c.records, encodeRecord(kind, value))
 	}
 }
 
-// takeRecords returns what must be durable before persisted is called. When whole is set, the
-// carrier writes the snapshot in place of all that the disk held.
+// takeRecords returns what must be durable before persisted is called. If snapshot isn't nil, the carrier writes it in
+// place of all that the disk holds, and there are no records.
 func (c *core) takeRecords() (records [][]byte, snapshot []byte) {
 	if c.requests.resendDue {
 		c.retryRequests()
@@ -202,7 +191,7 @@
 	return messages
 }
 
-// step takes in a message.
+// step handles a message from a member.
 func (c *core) step(now time.Duration, from view.Member, body any) {
 	c.now = now
 	switch m := body.(type) {
@@ -217,11 +206,11 @@
 	case view.Accept:
 		c.onAccept(from, m)
 	case view.PrepareResponse:
-		c.onPromise(m)
+		c.onPrepareResponse(m)
 	case view.AcceptResponse:
-		c.onAccepted(m)
+		c.onAcceptResponse(m)
 	case view.Reject:
-		c.onRefused(m)
+		c.onReject(m)
 	case view.Decided:
 		c.adoptView(m.View)
 	case Append:
@@ -249,15 +238,11 @@
 	}
 }
 
-// reopened goes back to what the disk holds, after it refused to take what this member decided.
-// Nothing of that has left the member.
+// reopened returns to what the disk holds after it failed to take what this member had decided. None of that has left
+// the member: the carrier discarded the messages.
 func (c *core) reopened(now time.Duration, found *recoveredState) {
 	c.now = now
-	c.acceptor.DurableState = found.durable
-	c.syncedEpoch = found.synced
-	c.log = found.log
-	c.commitIndex, _ = c.state.Applied()
-	c.durableIndex = c.log.LastIndex()
+	c.loadRecovered(found)
 	c.records, c.messages, c.checkpointDue = nil, nil, false
 	c.proposer.abandon(now, 0)
 	c.lastTick = now
@@ -265,10 +250,11 @@
 	c.enterView()
 }
 
-// stoodStill reports whether this process did nothing for long, and hasn't ticked since.
+// wasPaused reports whether this process has just resumed after a pause and hasn't ticked since: what it receives may
+// be as old as the pause was long.
 func (c *core) wasPaused() bool { return c.now-c.lastTick > processPauseThreshold }
 
-// tick is called every tickInterval.
+// tick does what is due by time. It is called every tickInterval.
 func (c *core) tick(now time.Duration) {
 	c.now = now
 	if c.wasPaused() {
@@ -299,53 +285,7 @@
 	c.pushLearnerUpdates()
 }
 
-// checkpoint returns the whole durable state, and forgets what the log needn't hold any more.
-func (c *core) checkpoint() []byte {
-	c.compactLog()
-	baseIndex, baseEpoch := c.log.Base()
-	return encodeGob(checkpoint{
-		Self:      c.self,
-		Durable:   c.acceptor.DurableState,
-		Synced:    c.syncedEpoch,
-		BaseIndex: baseIndex,
-		BaseEpoch: baseEpoch,
-		Image:     c.diskSnapshot(),
-		Entries:   c.log.After(baseIndex, int(^uint(0)>>1)),
-	})
-}
-
-// compactable reports whether the machine's state stands inside of the log that the disk holds.
-func (c *core) compactable() bool {
-	applied, _ := c.state.Applied()
-	base, _ := c.log.Base()
-	return applied >= base && applied <= c.log.LastIndex()
-}
-
-// diskImage is the machine as the checkpoint holds it. A member that follows a chain from outside
-// has applied more than its own log holds; only orders of its log may be left out of it.
-func (c *core) diskSnapshot() chain.Snapshot { return c.state.Snapshot() }
-
-func (c *core) compactLog() {
-	if !c.compactable() {
-		return
-	}
-	applied, _ := c.state.Applied()
-	base, _ := c.log.Base()
-	kept := 0
-	index := applied
-	for index > base {
-		entry := c.log.Entry(index)
-		kept += len(entry.Order) + len(entry.ID)
-		if kept > c.limits.retainedLogBytes {
-			break
-		}
-		index--
-	}
-	c.log.Compact(index)
-}
-
-func (c *core) logEvent(event string, fields ...any) { c.report(event, fields...) }
-
+// invariant panics if a condition doesn't hold that the protocol guarantees: going on could lose acknowledged commands.
 func (c *core) invariant(holds bool, format string, arguments ...any) {
 	if !holds {
 		panic(fmt.Sprintf("replica %s: ", c.self.ID()) + fmt.Sprintf(format, arguments...))
--- a/coord/replica/core_discover.go
+++ b/coord/replica/discovery.go
@@ -6,13 +6,13 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// tellView answers a node that lags, at most every 50 ms.
+// sendView sends the view to a peer that has an older one, at most once in viewSendInterval.
 func (c *core) sendView(to view.Member) {
 	if c.epoch() == 0 {
 		return
 	}
 	if p := c.peers[to.ID()]; p != nil {
-		if p.viewSent && c.now-p.viewSentAt < 50*time.Millisecond {
+		if p.viewSent && c.now-p.viewSentAt < viewSendInterval {
 			return
 		}
 		p.viewSentAt, p.viewSent = c.now, true
@@ -20,7 +20,7 @@
 	c.send(to, view.Decided{View: c.acceptor.View})
 }
 
-// discover asks the seeds for the view while no one of it is heard.
+// discoverView asks seeds and voters for the newest view while none of the present one is reachable.
 func (c *core) discoverView() {
 	pause := viewQueryInterval
 	if c.epoch() == 0 {
@@ -44,8 +44,8 @@
 	}
 }
 
-// stranger takes in that another life than the one addressed is at an address: an empty machine
-// learns the view from whoever takes it for its earlier life.
+// onIncarnationMismatch handles that the process at an address isn't the member that was addressed: a machine with an
+// empty disk learns the view from those that take it for its previous incarnation.
 func (c *core) onIncarnationMismatch(now time.Duration, m view.Member) {
 	c.now = now
 	if c.hasDisk {
@@ -53,7 +53,8 @@
 	}
 }
 
-// lost reports whether the node hears nobody of the view it knows.
+// isIsolated reports whether this node has no contact with the view that it knows: a chain member with a majority of
+// the voters, another node with its upstream.
 func (c *core) isIsolated() bool {
 	if !c.inChain() {
 		return c.now-c.learner.lastContact > suspicionTimeout
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"encoding/binary"
 	"encoding/gob"
-	"errors"
 	"fmt"
 
 	"sprucelane.example/sprucelane/coord/chain"
@@ -12,49 +11,51 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// The kinds of records in the log of the disk.
+// The kinds of records in the log on disk: the first byte of a record.
 const (
-	recordView byte = iota + 1
-	recordAcceptor
-	recordEntries
-	recordInstall
-	recordProbe // says nothing: it tells whether the disk takes bytes
+	recordView     byte = iota + 1 // viewRecord
+	recordAcceptor                 // acceptorRecord
+	recordEntries                  // chain.Entry, by encodeEntries
+	recordInstall                  // installRecord
+	recordProbe                    // no content: written to see whether the disk takes bytes
 )
 
-// viewRecord says that a decided view was adopted.
+// The records and the checkpoint are encoded by gob, which matches fields by name: the fields keep their names.
+
+// viewRecord says that a decided view was adopted. It clears the acceptor's state.
 type viewRecord struct {
 	View   view.View
-	Synced uint64
+	Synced uint64 // core.syncedEpoch from here on
 }
 
-// ballotsRecord says what was promised and accepted in the instance after Epoch.
+// acceptorRecord is the acceptor's state in the instance that decides the view after Epoch.
 type acceptorRecord struct {
 	Epoch          uint64
 	Promised       view.ProposalNumber
-	AcceptedBallot view.ProposalNumber
+	AcceptedBallot view.ProposalNumber // number of the accepted value
 	Accepted       *view.View
 }
 
-// installRecord replaces what follows Common by the prefix of the view's source.
+// installRecord replaces what follows Common by the prefix of the view's source. One record does it, so that a crash
+// leaves the old log or the new one.
 type installRecord struct {
 	Synced  uint64
 	Common  uint64
 	Entries []chain.Entry
 }
 
-// checkpoint is the whole durable state of a member.
+// checkpoint is the whole durable state of a member. It replaces all records before it.
 type checkpoint struct {
 	Self      view.Member
 	Durable   view.DurableState
 	Synced    uint64
-	BaseIndex uint64
+	BaseIndex uint64 // of the log
 	BaseEpoch uint64
 	Image     chain.Snapshot // at BaseIndex or later
-	Entries   []chain.Entry
+	Entries   []chain.Entry  // all of the log
 }
 
-var errCorruptRecord = errors.New("replica: a record of the disk can't be read")
-
+// encodeGob encodes a value of a type that gob supports.
 func encodeGob(value any) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
@@ -63,15 +64,17 @@
 	return buffer.Bytes()
 }
 
+// decodeGob decodes into a pointer.
 func decodeGob(data []byte, value any) error {
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(value)
 }
 
+// encodeRecord encodes a record of a kind.
 func encodeRecord(kind byte, value any) []byte {
 	return append([]byte{kind}, encodeGob(value)...)
 }
 
-// encodeEntries writes entries without gob, whose type descriptions would weigh more than most orders.
+// encodeEntries encodes entries as lengths and bytes: gob's descriptions of types would be longer than most commands.
 func encodeEntries(entries []chain.Entry) []byte {
 	data := []byte{recordEntries}
 	data = binary.AppendUvarint(data, uint64(len(entries)))
@@ -87,7 +90,7 @@
 	return data
 }
 
-// entryReader takes entries apart.
+// entryDecoder decodes what encodeEntries encodes. After an error it returns zero values.
 type entryDecoder struct {
 	data []byte
 	err  error
@@ -115,6 +118,7 @@
 	return value
 }
 
+// decodeEntries decodes what encodeEntries encodes, without the kind. The entries don't refer to data.
 func decodeEntries(data []byte) ([]chain.Entry, error) {
 	decoder := entryDecoder{data: data}
 	count := decoder.uvarint()
@@ -128,17 +132,17 @@
 	return entries, decoder.err
 }
 
-// recovered is what a member knows after a start.
+// recoveredState is what a member finds on its disk at a start.
 type recoveredState struct {
-	self    view.Member
-	durable view.DurableState
-	synced  uint64
-	log     *chain.Log
-	image   *chain.Snapshot
-	repairs []slots.Finding // what a crash left, or damage that looks the same
+	self     view.Member
+	durable  view.DurableState
+	synced   uint64
+	log      *chain.Log
+	snapshot *chain.Snapshot // of the state machine; nil: it is empty
+	repairs  []slots.Finding // truncated tails that a crash left, or damage that looks the same
 }
 
-// recoverState replays the records of a disk on its snapshot.
+// recoverState replays the records of a disk on its checkpoint.
 func recoverState(snapshot []byte, records [][]byte) (*recoveredState, error) {
 	var saved checkpoint
 	if err := decodeGob(snapshot, &saved); err != nil {
@@ -151,7 +155,7 @@
 		log:     chain.NewLog(saved.BaseIndex, saved.BaseEpoch, saved.Entries),
 	}
 	if saved.Image.Index > 0 {
-		state.image = &saved.Image
+		state.snapshot = &saved.Image
 	}
 	for _, record := range records {
 		if err := state.replay(record); err != nil {
@@ -161,6 +165,7 @@
 	return state, nil
 }
 
+// replay applies a record, as the core did when it queued it.
 func (s *recoveredState) replay(record []byte) error {
 	if len(record) == 0 {
 		return errCorruptRecord
--- /dev/null
+++ b/coord/replica/failure_detector.go
@@ -0,0 +1,252 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/coord/view"
+)
+
+// peer is what a member knows of another one from its heartbeats.
+type peer struct {
+	member      view.Member
+	incarnation uint64 // of the peer's process
+	highestSeq  uint64 // highest heartbeat received of that incarnation
+
+	lastContact    time.Duration // when its last heartbeat came
+	lastEcho       time.Duration // when the newest of this member's heartbeats that it echoed was sent
+	reachable      bool          // both directions of the link have worked since reachableSince
+	reachableSince time.Duration
+	confirmedAt    time.Duration // it hadn't answered a prepare in the present epoch at this moment; never: unknown
+
+	// What its last heartbeat said.
+	leaving        bool
+	candidate      bool
+	epoch          uint64
+	prefixComplete bool            // in that epoch
+	reaches        map[string]bool // IDs of the members that it reaches
+
+	viewSent   bool // the view was sent to it,
+	viewSentAt time.Duration
+}
+
+// heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. At one round in
+// heartbeatInterval, and urgent ones for reads, it covers echoTimeout many times over.
+const heartbeatWindow = 64
+
+// heartbeatRounds numbers the rounds of heartbeats that this process has sent, and keeps when.
+type heartbeatRounds struct {
+	seq    uint64
+	sentAt [heartbeatWindow]time.Duration // of round n at n modulo heartbeatWindow
+}
+
+// contains reports whether the sending time of a round is still kept.
+func (r *heartbeatRounds) contains(seq uint64) bool {
+	return seq != 0 && seq <= r.seq && r.seq-seq < heartbeatWindow
+}
+
+// start begins a round.
+func (r *heartbeatRounds) start(now time.Duration) {
+	r.seq++
+	r.sentAt[r.seq%heartbeatWindow] = now
+}
+
+// resetFailureDetector counts every peer as heard from just now: at a start, and after a pause of this process, which
+// couldn't have heard them.
+func (c *core) resetFailureDetector() {
+	for _, p := range c.peers {
+		p.lastContact = c.now
+		p.lastEcho = c.now
+		p.reachable = false
+		p.reachableSince = c.now
+	}
+	for _, m := range c.acceptor.View.Voters {
+		c.peerOf(m)
+	}
+}
+
+// peerOf returns what is known of m, which counts as heard from just now if it is new.
+func (c *core) peerOf(m view.Member) *peer {
+	id := m.ID()
+	p := c.peers[id]
+	if p == nil {
+		p = &peer{member: m, lastContact: c.now, lastEcho: c.now, reachableSince: c.now, confirmedAt: never, viewSentAt: never}
+		c.peers[id] = p
+	}
+	if m.Node != "" {
+		p.member.Node = m.Node
+	}
+	return p
+}
+
+// alive reports whether m isn't suspected: its heartbeats come, and echo those of this member, within the time-outs. A
+// member that was never heard from is alive until they have passed.
+func (c *core) alive(m view.Member) bool {
+	if m.Same(c.self) {
+		return true
+	}
+	p := c.peers[m.ID()]
+	return p != nil && c.now-p.lastContact <= suspicionTimeout && c.now-p.lastEcho <= echoTimeout
+}
+
+// reachable reports whether m is alive and the link to it has worked both ways for rejoinDelay.
+func (c *core) reachable(m view.Member) bool {
+	if m.Same(c.self) {
+		return true
+	}
+	p := c.peers[m.ID()]
+	return p != nil && p.reachable && c.alive(m) && c.now-p.reachableSince >= rejoinDelay
+}
+
+// sinceContact returns the time since the last heartbeat from m.
+func (c *core) sinceContact(m view.Member) time.Duration {
+	if m.Same(c.self) {
+		return 0
+	}
+	if p := c.peers[m.ID()]; p != nil {
+		return c.now - p.lastContact
+	}
+	return 0
+}
+
+// isLeaving reports whether m has announced its departure.
+func (c *core) isLeaving(m view.Member) bool {
+	if m.Same(c.self) {
+		return c.leaving
+	}
+	p := c.peers[m.ID()]
+	return p != nil && p.leaving
+}
+
+// expireReachability notes which members have become suspected, so that rejoinDelay counts from their return.
+func (c *core) expireReachability() {
+	for _, p := range c.peers {
+		if p.reachable && !c.alive(p.member) {
+			p.reachable = false
+		}
+	}
+}
+
+// members lists the machines with a disk that this node knows: the voters, then the candidates.
+func (c *core) members() []Peer {
+	list := make([]Peer, 0, len(c.peers)+1)
+	for _, m := range c.acceptor.View.Voters {
+		list = append(list, Peer{Member: m, Voter: true, InChain: c.acceptor.View.InChain(m), Reachable: c.reachable(m)})
+	}
+	for _, id := range sortedKeys(c.peers) {
+		if p := c.peers[id]; p.candidate && !c.acceptor.View.IsVoter(p.member) {
+			list = append(list, Peer{Member: p.member, Reachable: c.reachable(p.member), Candidate: true})
+		}
+	}
+	return list
+}
+
+// sendHeartbeats starts a round of heartbeats to the voters and, unless it is urgent, from a voter to the candidates. An
+// urgent round asks for answers at once, for a read that waits.
+func (c *core) sendHeartbeats(urgent bool) {
+	if !c.hasDisk || c.epoch() == 0 {
+		return
+	}
+	c.heartbeats.start(c.now)
+	reachable := c.reachableIDs()
+	for _, m := range c.acceptor.View.Voters {
+		c.sendHeartbeat(m, urgent, reachable)
+	}
+	if urgent || !c.isVoter() {
+		return
+	}
+	for _, id := range sortedKeys(c.peers) {
+		p := c.peers[id]
+		if p.candidate && !c.acceptor.View.IsVoter(p.member) {
+			if c.now-p.lastContact > replacementTimeout {
+				delete(c.peers, id)
+				continue
+			}
+			c.sendHeartbeat(p.member, false, reachable)
+		}
+	}
+}
+
+// reachableIDs lists the voters that this member reaches.
+func (c *core) reachableIDs() []string {
+	var ids []string
+	for _, m := range c.acceptor.View.Voters {
+		if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
+			ids = append(ids, m.ID())
+		}
+	}
+	return ids
+}
+
+// sendHeartbeat sends a heartbeat of the current round.
+func (c *core) sendHeartbeat(m view.Member, urgent bool, reachable []string) {
+	if m.Same(c.self) {
+		return
+	}
+	p := c.peerOf(m)
+	c.send(m, Heartbeat{
+		Life:      c.incarnation,
+		Seq:       c.heartbeats.seq,
+		EchoLife:  p.incarnation,
+		Echo:      p.highestSeq,
+		Epoch:     c.epoch(),
+		Whole:     c.syncedEpoch == c.epoch(),
+		Wedged:    c.acceptor.Wedged(),
+		Leaving:   c.leaving,
+		Candidate: !c.isVoter(),
+		Urgent:    urgent,
+		Heard:     reachable,
+	})
+}
+
+// onHeartbeat takes in a peer's heartbeat. Only voters and candidates send any that count.
+func (c *core) onHeartbeat(from view.Member, m Heartbeat) {
+	if !c.hasDisk {
+		return
+	}
+	if m.Epoch < c.epoch() {
+		c.sendView(from)
+	}
+	if !c.acceptor.View.IsVoter(from) && !(m.Candidate && c.isVoter()) {
+		return
+	}
+	p := c.peerOf(from)
+	if p.incarnation != m.Life {
+		p.incarnation, p.highestSeq, p.reachable = m.Life, 0, false
+	}
+	p.lastContact = c.now
+	p.leaving, p.candidate = m.Leaving, m.Candidate
+	p.epoch, p.prefixComplete = m.Epoch, m.Whole
+	p.highestSeq = max(p.highestSeq, m.Seq)
+	p.reaches = make(map[string]bool, len(m.Heard))
+	for _, id := range m.Heard {
+		p.reaches[id] = true
+	}
+	c.onEcho(p, m)
+	c.checkDeparture()
+	if m.Urgent {
+		c.sendHeartbeat(from, false, c.reachableIDs())
+	}
+}
+
+// onEcho notes that the peer had received this member's round Echo when it sent m. If it was in the present epoch and not
+// wedged then, no successor that it votes on was decided before that round was sent.
+func (c *core) onEcho(p *peer, m Heartbeat) {
+	if m.EchoLife != c.incarnation || !c.heartbeats.contains(m.Echo) {
+		return
+	}
+	sentAt := c.heartbeats.sentAt[m.Echo%heartbeatWindow]
+	p.lastEcho = max(p.lastEcho, sentAt)
+	if !p.reachable || c.now-p.reachableSince > 0 && !c.alive(p.member) {
+		p.reachable = true
+		p.reachableSince = c.now
+	}
+	if m.Epoch == c.epoch() && !m.Wedged {
+		p.confirmedAt = max(p.confirmedAt, sentAt)
+		c.confirmEpoch()
+	}
+}
+
+// sortedKeys returns the keys of a map in order, so that a simulation with one seed always takes the same course.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/coord/replica/flat_test.go
+++ b/coord/replica/flat_test.go
@@ -34,7 +34,7 @@
 		usage.logBytes += len(entry.ID) + len(entry.Order)
 	}
 	usage.outcomes = len(c.state.Snapshot().Outcomes)
-	usage.pending = len(c.requests.proposals) + len(c.requests.reads) + len(c.requests.deferred) + len(c.learner.learners) + len(c.peers)
+	usage.pending = len(c.requests.proposals) + len(c.requests.reads) + len(c.requests.deferred) + len(c.learners) + len(c.peers)
 	names, _ := n.disk.files.List()
 	for _, name := range names {
 		size, _ := n.disk.files.Size(name)
--- /dev/null
+++ b/coord/replica/lease.go
@@ -0,0 +1,119 @@
+package replica
+
+import (
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/coord/view"
+)
+
+// stalenessProof bounds how stale this chain member's state is.
+type stalenessProof struct {
+	pending      bool          // a newer proof waits until this member has applied up to pendingIndex
+	pendingAsOf  time.Duration // the epoch stood at this moment,
+	pendingIndex uint64        // and all commands acknowledged before it are at or below this index
+
+	proven      bool
+	currentAsOf time.Duration // all commands acknowledged before this moment are applied here
+}
+
+// confirmEpoch finds the latest moment at which a majority of the voters was in the present epoch and not wedged. No
+// successor of the epoch was decided before it: a decision takes prepare responses of a majority, and two majorities
+// share a member. So all that was acknowledged before the moment was committed in this epoch or an earlier one, and is
+// in the log of this member, which has the complete prefix. Reads, the staleness bound and the leader lease rest on it.
+func (c *core) confirmEpoch() {
+	if c.acceptor.Wedged() || !c.inChain() || c.syncedEpoch != c.epoch() {
+		return
+	}
+	confirmations := make([]time.Duration, 0, len(c.acceptor.View.Voters))
+	for _, m := range c.acceptor.View.Voters {
+		if m.Same(c.self) {
+			confirmations = append(confirmations, c.now)
+			continue
+		}
+		if p := c.peers[m.ID()]; p != nil && p.confirmedAt != never {
+			confirmations = append(confirmations, p.confirmedAt)
+		}
+	}
+	majority := c.acceptor.View.Majority()
+	if len(confirmations) < majority {
+		return
+	}
+	slices.Sort(confirmations)
+	at := confirmations[len(confirmations)-majority]
+	c.epochConfirmedAt = max(c.epochConfirmedAt, at)
+	if !c.staleness.pending && (!c.staleness.proven || at > c.staleness.currentAsOf) {
+		c.staleness.pending, c.staleness.pendingAsOf, c.staleness.pendingIndex = true, at, c.log.LastIndex()
+	}
+	c.completeStalenessProof()
+}
+
+// resetEpochConfirmation forgets the confirmations of the epoch before.
+func (c *core) resetEpochConfirmation() {
+	c.staleness.pending = false
+	c.epochConfirmedAt = never
+	for _, p := range c.peers {
+		p.confirmedAt = never
+	}
+	if len(c.acceptor.View.Voters) == 1 {
+		c.confirmEpoch()
+	}
+}
+
+// completeStalenessProof completes the pending proof once everything up to its index is applied.
+func (c *core) completeStalenessProof() {
+	applied, _ := c.state.Applied()
+	if !c.staleness.pending || applied < c.staleness.pendingIndex {
+		return
+	}
+	c.staleness.pending = false
+	c.staleness.proven = true
+	c.staleness.currentAsOf = max(c.staleness.currentAsOf, c.staleness.pendingAsOf)
+}
+
+// currentAsOf returns the moment before which every acknowledged command is applied here: that of this member's own
+// proof, or of a learner's last update.
+func (c *core) currentAsOf() (time.Duration, bool) {
+	since := never
+	if c.staleness.proven {
+		since = c.staleness.currentAsOf
+	}
+	if c.learner.proven {
+		since = max(since, c.learner.currentAsOf)
+	}
+	return since, since != never
+}
+
+// delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over successive
+// views holds on: no other one was between.
+func (c *core) delayNewLeader(previous, v view.View) {
+	if !v.Head().Same(c.self) {
+		return
+	}
+	stays := previous.Head().Same(c.self) && v.Epoch == previous.Epoch+1
+	if !stays {
+		c.leaseNotBefore = c.now + newLeaderDelay
+	}
+}
+
+// leaderLease returns until when this member, as the head, holds the leader lease (Gray and Cheriton, 1989): no other
+// head acts before.
+//
+// It is safe because the lease counts from the sending of the heartbeats that a majority answered, at t. A successor of
+// the epoch is decided after t (see confirmEpoch), and its head waits newLeaderDelay from its adoption of the view. This
+// lease ends at t + leaderLeaseDuration, which is earlier, as long as no clock runs faster than another by the quotient
+// of the two durations. Moments of different machines are never compared.
+func (c *core) leaderLease() (until time.Duration, ok bool) {
+	until, ok = c.headLease()
+	return until, ok && c.now >= c.leaseNotBefore
+}
+
+// headLease returns until when no successor of this member's epoch acts, if this member is the head. An earlier head may
+// still hold the leader lease.
+func (c *core) headLease() (until time.Duration, ok bool) {
+	if !c.serving() || !c.isHead() || c.leaving || c.epochConfirmedAt == never {
+		return 0, false
+	}
+	until = c.epochConfirmedAt + leaderLeaseDuration
+	return until, until > c.now
+}
--- a/coord/replica/machine_test.go
+++ b/coord/replica/machine_test.go
@@ -54,7 +54,7 @@
 		incarnation:   sim.random.Uint64(),
 		onApply:       n.onApplied,
 		onViewAdopted: n.onViewAdopted,
-		report: func(event string, fields ...any) {
+		logEvent: func(event string, fields ...any) {
 			sim.tracef("%s %s %v", n.name, event, fields)
 		},
 	}
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -11,32 +11,40 @@
 )
 
 const (
-	maxFrameBytes   = 64 << 20
-	idleTimeout     = 10 * time.Second // a connection that nothing was sent on for so long is closed
-	sweepInterval   = 2 * time.Second
+	// maxFrameBytes bounds one message. A snapshot of the state machine must fit into it.
+	maxFrameBytes = 64 << 20
+	// sendQueueLength is the number of messages that wait for one connection; further ones are lost.
 	sendQueueLength = 4096
+	// idleTimeout is the time after which a connection on which nothing was sent is closed.
+	idleTimeout = 10 * time.Second
+	// sweepInterval is the time between two searches for idle connections.
+	sweepInterval = 2 * time.Second
 )
 
 func init() { transport.RegisterNamed(wireTypes()...) }
 
-// network carries a node's messages: voters are dialled; everybody else is answered over the
-// connection that it opened.
+// network carries a node's messages. Voters are dialled; all others are answered over the connection that they opened,
+// as they may be unreachable from here.
 type network struct {
-	node       *Node
-	options    transport.Options
-	server     *transport.Server
-	outbound   map[string]*outbound // by address; used on the loop only
-	sweptAt    time.Time
+	node    *Node
+	options transport.Options
+	server  *transport.Server
+
+	outbound map[string]*outbound // by address; used by the loop only
+	sweptAt  time.Time            // used by the loop only
+
 	sessionsMu sync.Mutex
-	sessions   map[string]*transport.Session // by ID of the member
+	sessions   map[string]*transport.Session // the open ones by member ID, the newest of each; guarded by sessionsMu
 }
 
+// outbound is a connection that this node opened.
 type outbound struct {
 	client *transport.Client
 	ready  chan struct{} // closed once client is set
 	usedAt time.Time
 }
 
+// newNetwork returns the network of a member. Its server starts with serve.
 func newNetwork(n *Node, member view.Member) *network {
 	identity := n.options.Identity
 	identity.Address = member.Address
@@ -55,15 +63,17 @@
 	}
 }
 
+// memberOf returns the member that an identity of the transport belongs to.
 func memberOf(identity transport.Identity) view.Member {
 	return view.Member{Node: identity.Node, Address: identity.Address, Incarnation: identity.Incarnation}
 }
 
+// serve accepts connections.
 func (n *network) serve(listener net.Listener) {
 	n.server = transport.Serve(listener, n.options, n.handle)
 }
 
-// handle takes in a message of a session.
+// handle takes in a message of a session that the other side opened.
 func (n *network) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	from := memberOf(session.Remote())
 	n.rememberSession(from, session)
@@ -71,11 +81,12 @@
 	return nil, nil
 }
 
+// receive hands a message to the loop. It blocks while the loop is behind, which slows the sender down.
 func (n *network) receive(from view.Member, message any) {
 	_ = n.node.enqueue(context.Background(), func() { n.node.core.step(n.node.now(), from, message) })
 }
 
-// keep remembers the session over which a member is answered.
+// rememberSession keeps the session over which a member is answered, until it closes.
 func (n *network) rememberSession(from view.Member, session *transport.Session) {
 	n.sessionsMu.Lock()
 	defer n.sessionsMu.Unlock()
@@ -107,6 +118,8 @@
 	n.dial(m)
 }
 
+// dial sends a message over a connection that this node opens. A message to a member whose address another incarnation
+// has taken is dropped.
 func (n *network) dial(m envelope) {
 	out := n.outbound[m.to.Address]
 	if out == nil {
@@ -127,7 +140,7 @@
 	_ = out.client.Send(m.body)
 }
 
-// pushed takes in what comes back over a connection that this node opened.
+// onPush returns the handler of messages that come back over a connection that this node opened.
 func (n *network) onPush(out *outbound) func(any) {
 	return func(message any) {
 		<-out.ready
@@ -135,7 +148,7 @@
 	}
 }
 
-// housekeep closes connections that aren't used any more.
+// closeIdle closes connections on which nothing was sent for idleTimeout.
 func (n *network) closeIdle() {
 	if time.Since(n.sweptAt) < sweepInterval {
 		return
@@ -149,6 +162,7 @@
 	}
 }
 
+// close closes all connections.
 func (n *network) close() {
 	if n.server != nil {
 		n.server.Close()
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -2,143 +2,49 @@
 
 import (
 	"context"
-	cryptorand "crypto/rand"
-	"encoding/binary"
-	"fmt"
-	"math/rand/v2"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"sprucelane.example/sprucelane/coord/chain"
-	"sprucelane.example/sprucelane/coord/view"
 )
 
 const (
-	inputQueueLength    = 1024
-	maxBatchedInputs    = 512 // inputs that share one sync
-	diskProbeInterval   = 500 * time.Millisecond
+	// inputQueueLength is the number of inputs that may wait for the loop before their senders block.
+	inputQueueLength = 1024
+	// maxBatchedInputs bounds the inputs that share one sync. A larger batch saves syncs and delays the first of it.
+	maxBatchedInputs = 512
+	// learnerTickInterval is the time between ticks of a node without a disk, which has less to do.
 	learnerTickInterval = 250 * time.Millisecond
 )
 
-// Node is one machine's part of the replicated state.
+// Node is one process's part of the replicated state: it carries a core with sockets, a disk and the steady clock. All
+// of the core runs on one goroutine, the loop; other goroutines reach it through inputs, and see the status.
 type Node struct {
-	options   Options
-	start     time.Time
-	core      *core
-	store     durableStore
-	network   *network
-	inputs    chan func()
-	drawnIDs  atomic.Uint64 // counts ids of orders that came without one
-	done      chan struct{}
-	closing   chan struct{}
+	options  Options
+	start    time.Time     // zero of the core's clock
+	inputs   chan func()   // executed by the loop
+	drawnIDs atomic.Uint64 // command IDs drawn by Propose
+
 	closeOnce sync.Once
+	closing   chan struct{} // closed by Close
+	done      chan struct{} // closed by the loop at its end
 
+	// Used by the loop only, once Start has returned.
+	core          *core
+	store         durableStore // nil: no disk
+	network       *network
 	diskUnhealthy bool // the disk refused a write
 	nextDiskProbe time.Time
 	members       []Peer // as of the last tick
-	status        atomic.Pointer[status]
-	callbacks     atomic.Pointer[callbacks]
-	callbackMu    sync.Mutex
-}
-
-// status is what a node shows of itself, swapped whole.
-type status struct {
-	view            view.View
-	applied         uint64
-	currentAsOf     time.Time
-	stalenessKnown  bool
-	lease           LeaderLease
-	hasLease        bool
-	headLeaseExpiry time.Time // zero: not the proven head
-	members         []Peer
-	diskUnhealthy   bool
-}
-
-type callbacks struct {
-	onApply []func(index uint64, order, result []byte)
-	onView  []func(view.View)
-}
-
-// Start opens the disk, listens and joins the system that the seeds belong to.
-func Start(options Options) (*Node, error) {
-	if options.Log == nil {
-		options.Log = func(string, ...any) {}
-	}
-	n := &Node{
-		options: options,
-		start:   time.Now(),
-		inputs:  make(chan func(), inputQueueLength),
-		done:    make(chan struct{}),
-		closing: make(chan struct{}),
-	}
-	n.callbacks.Store(&callbacks{})
-	found, err := n.openDisk()
-	if err != nil {
-		return nil, err
-	}
-	if err := n.openCore(found); err != nil {
-		return nil, n.abort(err)
-	}
-	n.flush()
-	if n.diskUnhealthy {
-		return nil, n.abort(fmt.Errorf("replica: the disk takes no bytes: %w", ErrUnavailable))
-	}
-	listener, err := options.listen()
-	if err != nil {
-		return nil, n.abort(fmt.Errorf("replica: %w", err))
-	}
-	n.network.serve(listener)
-	n.publish()
-	go n.run()
-	return n, nil
-}
-
-func (n *Node) abort(err error) error {
-	if n.network != nil {
-		n.network.close()
-	}
-	if n.store != nil {
-		_ = n.store.Close()
-	}
-	return err
-}
 
-func (n *Node) openCore(found *recoveredState) error {
-	member, genesis, err := newMember(&n.options)
-	if err != nil {
-		return err
-	}
-	if found != nil {
-		member = found.self
-		genesis = nil
-	}
-	var drawn [24]byte
-	if _, err := cryptorand.Read(drawn[:]); err != nil {
-		return fmt.Errorf("replica: %w", err)
-	}
-	seed := func(i int) uint64 { return binary.LittleEndian.Uint64(drawn[8*i:]) }
-	n.network = newNetwork(n, member)
-	n.core, err = newCore(coreOptions{
-		self:          member,
-		hasDisk:       n.options.filesystem() != nil,
-		tolerance:     n.options.Tolerance,
-		limits:        defaultLimits,
-		seeds:         n.options.Seeds,
-		stateMachine:  n.options.StateMachine,
-		random:        rand.New(rand.NewPCG(seed(0), seed(1))),
-		incarnation:   seed(2),
-		report:        n.options.Log,
-		onApply:       n.onApplied,
-		onViewAdopted: n.onViewAdopted,
-	}, found, genesis, n.now())
-	return err
+	status     atomic.Pointer[status]
+	callbacks  atomic.Pointer[callbacks]
+	callbackMu sync.Mutex // held to replace callbacks
 }
 
-// now is the steady clock.
+// now returns the time of the core: a steady clock that starts with the process.
 func (n *Node) now() time.Duration { return time.Since(n.start) }
 
-// run takes in messages, calls and ticks, one batch at a time.
+// run is the loop. It handles messages, calls and ticks, a batch at a time.
 func (n *Node) run() {
 	defer close(n.done)
 	interval := tickInterval
@@ -161,6 +67,7 @@
 	}
 }
 
+// tick has the core tick, unless the disk still refuses writes.
 func (n *Node) tick() {
 	if n.diskUnhealthy && !n.probeDisk() {
 		return
@@ -170,7 +77,7 @@
 	n.members = n.core.members()
 }
 
-// batch takes in everything that waits, so that it shares one sync.
+// runBatch handles an input and those that wait behind it, so that they share one sync.
 func (n *Node) runBatch(input func()) {
 	input()
 	for i := 1; i < maxBatchedInputs; i++ {
@@ -203,6 +110,7 @@
 	}
 }
 
+// write makes records durable, or a snapshot in their place.
 func (n *Node) write(records [][]byte, snapshot []byte) error {
 	if n.store == nil {
 		return nil
@@ -216,76 +124,7 @@
 	return n.store.Append(records...)
 }
 
-// diskFailed takes the member out until its disk takes bytes again: it falls silent, and nothing of
-// what it decided last leaves it.
-func (n *Node) diskFailed(err error) {
-	n.options.Log("disk failed", "error", err.Error())
-	n.diskUnhealthy = true
-	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
-	n.core.takeMessages()
-	_ = n.store.Close()
-}
-
-// probeDisk reopens the disk once it takes bytes again, and goes on from what it holds.
-func (n *Node) probeDisk() bool {
-	if time.Now().Before(n.nextDiskProbe) {
-		return false
-	}
-	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
-	store, found, err := openStore(n.options.filesystem())
-	if err != nil || found == nil {
-		return false
-	}
-	if err := store.Append([]byte{recordProbe}); err != nil {
-		_ = store.Close()
-		return false
-	}
-	n.store = store
-	n.diskUnhealthy = false
-	n.core.reopened(n.now(), found)
-	n.options.Log("disk works again")
-	return true
-}
-
-// applied tells the callbacks of an order. An order that came twice is told once.
-func (n *Node) onApplied(entry chain.Entry, outcome chain.Outcome, repeated bool) {
-	if repeated {
-		return
-	}
-	for _, call := range n.callbacks.Load().onApply {
-		call(entry.Index, entry.Order, outcome.Result)
-	}
-}
-
-func (n *Node) onViewAdopted(v view.View) {
-	for _, call := range n.callbacks.Load().onView {
-		call(v)
-	}
-}
-
-// publish swaps the status that callers see.
-func (n *Node) publish() {
-	now := time.Now()
-	elapsed := now.Sub(n.start)
-	at := func(moment time.Duration) time.Time { return now.Add(moment - elapsed) }
-	c := n.core
-	next := &status{view: c.view(), diskUnhealthy: n.diskUnhealthy}
-	next.applied, _ = c.state.Applied()
-	if since, proven := c.currentAsOf(); proven {
-		next.currentAsOf, next.stalenessKnown = at(since), true
-	}
-	if until, ok := c.headLease(); ok && !n.diskUnhealthy {
-		next.headLeaseExpiry = at(until)
-	}
-	if until, ok := c.leaderLease(); ok && !n.diskUnhealthy {
-		next.lease = LeaderLease{Epoch: c.epoch(), Since: at(c.lease.notBefore), Until: at(until)}
-		next.hasLease = true
-	}
-	next.members = n.members
-	n.status.Store(next)
-}
-
-// input has the loop run a function. It waits while the loop is held up, by its disk for instance.
+// enqueue hands an input to the loop. It blocks while the queue is full, for instance because the disk stalls.
 func (n *Node) enqueue(ctx context.Context, run func()) error {
 	select {
 	case n.inputs <- run:
@@ -297,17 +136,7 @@
 	}
 }
 
-// Close leaves without a word: as if the process had ended.
-func (n *Node) Close() {
-	n.closeOnce.Do(func() { close(n.closing) })
-	<-n.done
-	n.network.close()
-	if n.store != nil {
-		_ = n.store.Close()
-	}
-}
-
-// query runs a function on the loop and waits for it.
+// runOnLoop has the loop run a function and waits for its end.
 func (n *Node) runOnLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	if err := n.enqueue(ctx, func() { run(); close(finished) }); err != nil {
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -2,55 +2,41 @@
 
 import (
 	"context"
-	"errors"
 	"net"
-	"time"
 
 	"sprucelane.example/sprucelane/coord/chain"
 	"sprucelane.example/sprucelane/coord/slots"
 	"sprucelane.example/sprucelane/coord/transport"
-	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Errors of Propose and Read.
-var (
-	// ErrUnavailable says that the order was surely not taken and never will be, or that a read can't
-	// be answered now.
-	ErrUnavailable = errors.New("replica: unavailable")
-	// ErrUncertain says that the order may have been applied, may be applied later, or not at all.
-	ErrUncertain = errors.New("replica: outcome unknown")
-	// ErrClosed says that the node was closed.
-	ErrClosed = errors.New("replica: closed")
-	// ErrSeeds says that a founding needs at least one seed.
-	ErrNoSeeds = errors.New("replica: no seeds")
-)
-
-// Options say what a node is.
+// Options configure a Node.
 type Options struct {
-	// Identity names the machine. Address and Incarnation are set by Start.
+	// Identity names the system and the machine. Start sets its Address and Incarnation.
 	Identity transport.Identity
-	// Listen is the coordination address, "ip:port", by which the node is known to others.
+	// Listen is the coordination address, "ip:port", by which other nodes know this one.
 	Listen string
-	// Bind listens on Listen, and Dial opens a connection to another machine. Nil takes TCP.
+	// Bind listens on Listen, and Dial connects to another node. nil: TCP.
 	Bind func(address string) (net.Listener, error)
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Seeds are coordination addresses of core machines. They may be stale.
+	// Seeds are coordination addresses of machines with a disk, where a node without contact asks for the view. Some
+	// may be outdated. With Bootstrap, they are the members of the first view and must be the same on all machines.
 	Seeds []string
-	// Bootstrap says that the whole system starts for the first time. It counts only for an empty disk.
+	// Bootstrap says that the whole system starts for the first time. It is ignored if the disk isn't empty.
 	Bootstrap bool
-	// DataDir is the folder of the disk; empty for a machine without one, which only observes.
+	// DataDir is the folder of the disk. Empty: the node has no disk and is a learner.
 	DataDir string
-	// Disk is the disk itself in place of DataDir, for worlds of tests.
+	// Disk replaces the folder DataDir, for simulations.
 	Disk slots.FS
-	// Tolerance is the number of disks that may be lost at once: an acknowledged order is on more.
+	// Tolerance is the number of disks that may be lost at once: an acknowledged command is on more. A chain of
+	// Tolerance members or fewer takes no commands. A system needs 2 x Tolerance + 1 machines with a disk.
 	Tolerance int
-	// Machine is the state that orders change. It is called from one goroutine.
+	// StateMachine is what the commands change. It is called from one goroutine.
 	StateMachine chain.StateMachine
-	// Log receives what happens, as an event and pairs of keys and values. It must not block. It may be nil.
+	// Log receives events, each with pairs of keys and values. It must not block. nil: none.
 	Log func(event string, fields ...any)
 }
 
-// disk gives the folder of the disk, nil for a machine without one.
+// filesystem returns the disk, nil for a node without one.
 func (o *Options) filesystem() slots.FS {
 	if o.Disk != nil || o.DataDir == "" {
 		return o.Disk
@@ -58,26 +44,10 @@
 	return slots.Directory(o.DataDir)
 }
 
-// bind listens.
+// listen listens on the coordination address.
 func (o *Options) listen() (net.Listener, error) {
 	if o.Bind != nil {
 		return o.Bind(o.Listen)
 	}
 	return net.Listen("tcp", o.Listen)
 }
-
-// Peer is what a node knows of a core machine.
-type Peer struct {
-	Member    view.Member
-	Voter     bool
-	InChain   bool
-	Reachable bool // in touch with this node, both ways; known on core machines only
-	Candidate bool // has a disk and waits for a place
-}
-
-// Lead says until when this node holds the singleton roles.
-type LeaderLease struct {
-	Epoch uint64
-	Since time.Time
-	Until time.Time
-}
--- a/coord/replica/plants_test.go
+++ b/coord/replica/plants_test.go
@@ -54,7 +54,7 @@
 	case bugShortChain:
 		c.tolerance = 0
 	case bugUnconfirmedRead:
-		c.staleness.epochConfirmedAt = now
+		c.epochConfirmedAt = now
 	case bugStalenessUnproven:
 		if n.partitioned && c.staleness.proven {
 			c.staleness.currentAsOf = now
@@ -62,8 +62,8 @@
 	case bugAcknowledgeAlone:
 		n.acknowledgeAlone()
 	case bugEndlessLease:
-		if c.acceptor.View.Head().Same(c.self) && c.staleness.epochConfirmedAt != never {
-			c.staleness.epochConfirmedAt = max(c.staleness.epochConfirmedAt, now-leaderLeaseDuration/2)
+		if c.acceptor.View.Head().Same(c.self) && c.epochConfirmedAt != never {
+			c.epochConfirmedAt = max(c.epochConfirmedAt, now-leaderLeaseDuration/2)
 		}
 	}
 }
--- /dev/null
+++ b/coord/replica/prefix.go
@@ -0,0 +1,117 @@
+package replica
+
+import (
+	"math"
+
+	"sprucelane.example/sprucelane/coord/chain"
+	"sprucelane.example/sprucelane/coord/view"
+)
+
+// requestPrefix asks the view's source for the prefix, with a description of this log, so that only the difference is
+// sent.
+func (c *core) requestPrefix() {
+	c.replication.prefixRequestedAt = c.now
+	c.send(c.acceptor.View.Source, PrefixRequest{Epoch: c.epoch(), Runs: c.log.EpochRuns()})
+}
+
+// onPrefixRequest sends the prefix: the entries after the last common one, or a snapshot where the logs have no common
+// part that is still retained.
+func (c *core) onPrefixRequest(from view.Member, m PrefixRequest) {
+	if m.Epoch < c.epoch() {
+		c.sendView(from)
+		return
+	}
+	if m.Epoch != c.epoch() || !c.serving() {
+		return
+	}
+	end := c.prefixEnd()
+	if common, ok := c.log.LastCommonIndex(m.Runs); ok && common <= end {
+		c.send(from, PrefixTransfer{Epoch: m.Epoch, Common: common, Entries: c.entriesBetween(common, end)})
+		return
+	}
+	if applied, _ := c.state.Applied(); applied > end {
+		// A command of this epoch is applied here, so the whole chain had the prefix: the request is outdated.
+		return
+	}
+	snapshot := c.state.Snapshot()
+	c.send(from, PrefixTransfer{Epoch: m.Epoch, Common: snapshot.Index, Image: &snapshot, Entries: c.entriesBetween(snapshot.Index, end)})
+}
+
+// prefixEnd returns the index of the last command before the present epoch.
+func (c *core) prefixEnd() uint64 {
+	end := c.log.LastIndex()
+	base, _ := c.log.Base()
+	for end > base {
+		if epoch, _ := c.log.EpochAt(end); epoch < c.epoch() {
+			break
+		}
+		end--
+	}
+	return end
+}
+
+// entriesBetween returns the entries after one index, up to another.
+func (c *core) entriesBetween(after, end uint64) []chain.Entry {
+	entries := c.log.After(after, math.MaxInt)
+	if excess := after + uint64(len(entries)); excess > end {
+		entries = entries[:end-after]
+	}
+	return entries
+}
+
+// onPrefixTransfer replaces the log's end by the source's prefix. It is one record, or a checkpoint: after a crash the
+// disk holds the old log or the complete prefix, never a part of each. A wedged member refuses it, because its prepare
+// response has described its log.
+func (c *core) onPrefixTransfer(from view.Member, m PrefixTransfer) {
+	if m.Epoch != c.epoch() || !c.inChain() || c.syncedEpoch == c.epoch() || c.acceptor.Wedged() {
+		return
+	}
+	if !from.Same(c.acceptor.View.Source) {
+		return
+	}
+	if m.Image != nil {
+		c.installSnapshot(m)
+	} else {
+		c.log.Truncate(m.Common)
+		for _, entry := range m.Entries {
+			c.log.Append(entry)
+		}
+		c.record(recordInstall, installRecord{Synced: c.epoch(), Common: m.Common, Entries: m.Entries})
+	}
+	c.syncedEpoch = c.epoch()
+	c.requests.resendDue = true
+	c.replication.ackDue = true
+	c.replication.prefixComplete = c.isHead()
+	c.checkLogInvariants()
+}
+
+// installSnapshot replaces the log by one that starts after a snapshot.
+func (c *core) installSnapshot(m PrefixTransfer) {
+	c.log = chain.NewLog(m.Image.Index, m.Image.Epoch, m.Entries)
+	c.restoreSnapshot(m.Image)
+	c.checkpointDue = true
+	c.records = nil
+}
+
+// restoreSnapshot moves the state machine on to a snapshot, unless it is already there. All that a snapshot holds is
+// committed: it was taken of applied commands.
+func (c *core) restoreSnapshot(snapshot *chain.Snapshot) {
+	applied, _ := c.state.Applied()
+	if snapshot.Index <= applied {
+		return
+	}
+	if err := c.state.Restore(*snapshot); err != nil {
+		panic("replica: " + err.Error())
+	}
+	c.commitIndex = max(c.commitIndex, snapshot.Index)
+	c.completeRestored(applied)
+}
+
+// checkLogInvariants checks that a new prefix contains what is applied and committed here.
+func (c *core) checkLogInvariants() {
+	c.invariant(c.log.LastIndex() >= c.commitIndex, "log ends at %d, committed to %d", c.log.LastIndex(), c.commitIndex)
+	applied, appliedEpoch := c.state.Applied()
+	if logEpoch, ok := c.log.EpochAt(applied); ok {
+		c.invariant(logEpoch == appliedEpoch, "entry %d is of epoch %d, applied was one of %d", applied, logEpoch, appliedEpoch)
+	}
+}
--- a/coord/replica/core_agree.go
+++ b/coord/replica/proposer.go
@@ -6,44 +6,115 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// agreementState is the member's part as a proposer.
+// proposerState is this member's part as a proposer of the next view. Acceptors and the choice of the value are in
+// coord/view.
 type proposerState struct {
-	proposal     *view.Proposal
+	proposal     *view.Proposal // nil: none is under way
 	startedAt    time.Duration
-	majorityAt   time.Duration
+	majorityAt   time.Duration // when a majority had answered the prepare; zero: not yet
 	acceptSent   bool
-	backoffUntil time.Duration // after a failed attempt
-	reasonSince  time.Duration // zero: no need seen
-	highestRound uint64
+	backoffUntil time.Duration // no new proposal before this moment, after an attempt that failed
+	reasonSince  time.Duration // since when there is a reason for another view; zero: there is none
+	highestRound uint64        // seen in any message; the next proposal goes above it
 	wedgedSince  time.Duration
-	reason       string
 }
 
-func (a *proposerState) abandon(now time.Duration, backoff time.Duration) {
-	a.proposal = nil
-	a.acceptSent = false
-	a.backoffUntil = now + backoff
+// abandon gives up the proposal, if there is one, and starts no other before the backoff is over.
+func (p *proposerState) abandon(now time.Duration, backoff time.Duration) {
+	p.proposal = nil
+	p.acceptSent = false
+	p.backoffUntil = now + backoff
 }
 
-func (c *core) recordAcceptorState() {
-	c.record(recordAcceptor, acceptorRecord{
-		Epoch:          c.epoch(),
-		Promised:       c.acceptor.Promised,
-		AcceptedBallot: c.acceptor.AcceptedBallot,
-		Accepted:       c.acceptor.Accepted,
-	})
+// Backoffs of an abandoned proposal are drawn from [minimum, maximum), so that two proposers don't duel for ever.
+const (
+	minRejectedBackoff = 100 * time.Millisecond
+	maxRejectedBackoff = 300 * time.Millisecond
+	maxTimedOutBackoff = 300 * time.Millisecond
+)
+
+// considerReconfiguration starts or continues a proposal if there is a reason for another view.
+func (c *core) considerReconfiguration() {
+	c.expireReachability()
+	if !c.isVoter() {
+		return
+	}
+	if c.proposer.proposal != nil {
+		if c.now-c.proposer.startedAt > proposalTimeout {
+			c.proposer.abandon(c.now, c.randomBackoff(0, maxTimedOutBackoff))
+			return
+		}
+		c.advanceProposal()
+		return
+	}
+	reason := c.reconfigurationReason()
+	if reason == "" {
+		c.proposer.reasonSince = 0
+		return
+	}
+	if c.proposer.reasonSince == 0 {
+		c.proposer.reasonSince = c.now
+	}
+	turn := c.proposer.reasonSince + time.Duration(c.proposerRank())*proposerStagger
+	if c.now < c.proposer.backoffUntil || c.now < turn {
+		return
+	}
+	c.proposeView(reason)
 }
 
-// meet adopts a newer view that a proposer stands in, and corrects one that lags.
-func (c *core) reconcileView(from view.Member, present view.View) bool {
-	c.adoptView(present)
-	if present.Epoch < c.epoch() {
-		c.sendView(from)
-		return false
+// proposeView starts a proposal with a number above all that this member has seen.
+func (c *core) proposeView(reason string) {
+	round := max(c.proposer.highestRound, c.acceptor.Promised.Round) + 1
+	c.proposer.highestRound = round
+	number := view.ProposalNumber{Round: round, Member: c.self.ID()}
+	c.proposer.proposal = view.NewProposal(c.acceptor.View, number)
+	c.proposer.startedAt = c.now
+	c.proposer.majorityAt = 0
+	c.proposer.acceptSent = false
+	c.logEvent("proposes a view", "epoch", c.epoch()+1, "reason", reason)
+	prepare := c.proposer.proposal.Prepare()
+	for _, m := range c.acceptor.View.Voters {
+		c.send(m, prepare)
 	}
-	return c.hasDisk
+	c.onPrepare(c.self, prepare)
 }
 
+// advanceProposal sends the accept once the prepare responses allow a value and no more of them are likely to come
+// soon.
+func (c *core) advanceProposal() {
+	p := c.proposer.proposal
+	if p == nil || c.proposer.acceptSent || !p.HasMajority() {
+		return
+	}
+	if c.proposer.majorityAt == 0 {
+		c.proposer.majorityAt = c.now
+	}
+	if !c.allAlivePrepared(p) && c.now-c.proposer.majorityAt < prepareGracePeriod {
+		return
+	}
+	if !p.Choose(c.isStaying, c.planMembers) {
+		return
+	}
+	c.proposer.acceptSent = true
+	accept := p.Accept()
+	for _, m := range c.acceptor.View.Voters {
+		c.send(m, accept)
+	}
+	c.onAccept(c.self, accept)
+}
+
+// allAlivePrepared reports whether all voters that are alive have answered the prepare.
+func (c *core) allAlivePrepared(p *view.Proposal) bool {
+	for _, m := range p.View.Voters {
+		if c.alive(m) && !p.HasPromised(m) {
+			return false
+		}
+	}
+	return true
+}
+
+// onPrepare answers a proposer's prepare. A response wedges this member: from then on its log stands still, as the
+// response describes it, until it adopts the next view.
 func (c *core) onPrepare(from view.Member, m view.Prepare) {
 	if !c.reconcileView(from, m.View) {
 		return
@@ -57,11 +128,7 @@
 	c.reply(from, response)
 }
 
-func (c *core) noteWedged() {
-	c.proposer.wedgedSince = c.now
-	c.staleness.pending = false
-}
-
+// onAccept answers a proposer's accept.
 func (c *core) onAccept(from view.Member, m view.Accept) {
 	if !c.reconcileView(from, m.View) {
 		return
@@ -75,7 +142,36 @@
 	c.reply(from, response)
 }
 
-// answer sends a reply of the acceptor, or hands it to the own proposal.
+// reconcileView adopts the proposer's view if it is newer, sends it the own one if it is older, and reports whether
+// this member may answer.
+func (c *core) reconcileView(from view.Member, present view.View) bool {
+	c.adoptView(present)
+	if present.Epoch < c.epoch() {
+		c.sendView(from)
+		return false
+	}
+	return c.hasDisk
+}
+
+// noteWedged notes that this member has answered a prepare or accept. A pending proof of staleness is void: it counts
+// on the commands of this epoch, which are no longer passed on.
+func (c *core) noteWedged() {
+	c.proposer.wedgedSince = c.now
+	c.staleness.pending = false
+}
+
+// recordAcceptorState queues the acceptor's promise and accepted value, which must be durable before the response
+// leaves.
+func (c *core) recordAcceptorState() {
+	c.record(recordAcceptor, acceptorRecord{
+		Epoch:          c.epoch(),
+		Promised:       c.acceptor.Promised,
+		AcceptedBallot: c.acceptor.AcceptedBallot,
+		Accepted:       c.acceptor.Accepted,
+	})
+}
+
+// reply sends an acceptor's response, or hands it to the own proposal.
 func (c *core) reply(to view.Member, response any) {
 	if response == nil {
 		return
@@ -86,15 +182,16 @@
 	}
 	switch m := response.(type) {
 	case view.PrepareResponse:
-		c.onPromise(m)
+		c.onPrepareResponse(m)
 	case view.AcceptResponse:
-		c.onAccepted(m)
+		c.onAcceptResponse(m)
 	case view.Reject:
-		c.onRefused(m)
+		c.onReject(m)
 	}
 }
 
-func (c *core) onPromise(m view.PrepareResponse) {
+// onPrepareResponse counts a response to the own prepare.
+func (c *core) onPrepareResponse(m view.PrepareResponse) {
 	if c.proposer.proposal == nil {
 		return
 	}
@@ -102,16 +199,19 @@
 	c.advanceProposal()
 }
 
-func (c *core) onRefused(m view.Reject) {
+// onReject abandons the own proposal if a member has promised a higher number.
+func (c *core) onReject(m view.Reject) {
 	c.proposer.highestRound = max(c.proposer.highestRound, m.Promised.Round)
 	p := c.proposer.proposal
 	if p == nil || m.Epoch != c.epoch() || !p.Number.Less(m.Promised) {
 		return
 	}
-	c.proposer.abandon(c.now, c.randomBackoff(100*time.Millisecond, 300*time.Millisecond))
+	c.proposer.abandon(c.now, c.randomBackoff(minRejectedBackoff, maxRejectedBackoff))
 }
 
-func (c *core) onAccepted(m view.AcceptResponse) {
+// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and the voters of both views are
+// told.
+func (c *core) onAcceptResponse(m view.AcceptResponse) {
 	if c.proposer.proposal == nil {
 		return
 	}
@@ -119,101 +219,24 @@
 	if decided == nil {
 		return
 	}
-	before := c.acceptor.View
+	previous := c.acceptor.View
 	c.adoptView(*decided)
-	for _, m := range before.Voters {
+	for _, m := range previous.Voters {
 		c.send(m, view.Decided{View: *decided})
 	}
 	for _, m := range decided.Voters {
-		if !before.IsVoter(m) {
+		if !previous.IsVoter(m) {
 			c.send(m, view.Decided{View: *decided})
 		}
 	}
 }
 
+// randomBackoff draws a duration from [from, to).
 func (c *core) randomBackoff(from, to time.Duration) time.Duration {
 	return from + time.Duration(c.random.Int64N(int64(to-from)))
 }
 
-// considerView starts or continues an attempt on the next view where there is a need for one.
-func (c *core) considerReconfiguration() {
-	c.expireReachability()
-	if !c.isVoter() {
-		return
-	}
-	if c.proposer.proposal != nil {
-		if c.now-c.proposer.startedAt > proposalTimeout {
-			c.proposer.abandon(c.now, c.randomBackoff(0, 300*time.Millisecond))
-			return
-		}
-		c.advanceProposal()
-		return
-	}
-	reason := c.reconfigurationReason()
-	if reason == "" {
-		c.proposer.reasonSince = 0
-		return
-	}
-	if c.proposer.reasonSince == 0 {
-		c.proposer.reasonSince = c.now
-	}
-	if c.now < c.proposer.backoffUntil || c.now < c.proposer.reasonSince+time.Duration(c.proposerRank())*proposerStagger {
-		return
-	}
-	c.proposeView(reason)
-}
-
-// propose starts an attempt.
-func (c *core) proposeView(reason string) {
-	round := max(c.proposer.highestRound, c.acceptor.Promised.Round) + 1
-	c.proposer.highestRound = round
-	c.proposer.proposal = view.NewProposal(c.acceptor.View, view.ProposalNumber{Round: round, Member: c.self.ID()})
-	c.proposer.startedAt = c.now
-	c.proposer.majorityAt = 0
-	c.proposer.acceptSent = false
-	c.proposer.reason = reason
-	c.logEvent("proposes a view", "epoch", c.epoch()+1, "reason", reason)
-	prepare := c.proposer.proposal.Prepare()
-	for _, m := range c.acceptor.View.Voters {
-		c.send(m, prepare)
-	}
-	c.onPrepare(c.self, prepare)
-}
-
-// driveProposal sends the value once the promises allow one and no more are to be expected soon.
-func (c *core) advanceProposal() {
-	p := c.proposer.proposal
-	if p == nil || c.proposer.acceptSent || !p.HasMajority() {
-		return
-	}
-	if c.proposer.majorityAt == 0 {
-		c.proposer.majorityAt = c.now
-	}
-	if !c.allPromised(p) && c.now-c.proposer.majorityAt < prepareGracePeriod {
-		return
-	}
-	if !p.Choose(c.isStaying, c.planMembers) {
-		return
-	}
-	c.proposer.acceptSent = true
-	accept := p.Accept()
-	for _, m := range c.acceptor.View.Voters {
-		c.send(m, accept)
-	}
-	c.onAccept(c.self, accept)
-}
-
-func (c *core) allPromised(p *view.Proposal) bool {
-	for _, m := range p.View.Voters {
-		if c.alive(m) && !p.HasPromised(m) {
-			return false
-		}
-	}
-	return true
-}
-
-// rank is the member's place among those who may propose: the neighbours of a silent member come
-// first, because they know best and at once.
+// proposerRank returns how many members that are alive come before this one in proposerOrder.
 func (c *core) proposerRank() int {
 	rank := 0
 	for _, m := range c.proposerOrder() {
@@ -227,6 +250,8 @@
 	return rank
 }
 
+// proposerOrder lists the voters in the order in which they may propose. The neighbours of a suspected member come
+// first: they exchange heartbeats with it and need it most.
 func (c *core) proposerOrder() []view.Member {
 	var command []view.Member
 	add := func(m view.Member) {
--- a/coord/replica/core_plan.go
+++ b/coord/replica/reconfiguration.go
@@ -1,62 +1,74 @@
 package replica
 
 import (
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-func (c *core) reachesMajority() bool {
-	count := 0
-	for _, m := range c.acceptor.View.Voters {
-		if m.Same(c.self) {
-			count++
-		} else if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
-			count++
-		}
-	}
-	return count >= c.acceptor.View.Majority()
-}
+// Reasons to propose another view. They are log values, too.
+const (
+	reasonWedged    = "wedged"          // a proposer has failed, perhaps
+	reasonSuspected = "silent member"   // the chain is broken
+	reasonLeaving   = "leaving member"  // a member departs as planned
+	reasonVoters    = "voters"          // a spare or a replacement gets a vote
+	reasonReturned  = "returned member" // a voter may join the chain
+)
 
-// need tells why the view should change, or nothing.
+// reconfigurationReason returns why the view should change, or "".
 func (c *core) reconfigurationReason() string {
 	if !c.reachesMajority() {
-		return ""
+		return "" // no view can be decided
 	}
 	if c.acceptor.Wedged() {
 		if c.now-c.proposer.wedgedSince > wedgedTimeout {
-			return "wedged"
+			return reasonWedged
 		}
 		return ""
 	}
-	_, chain, possible := c.planMembers(c.expectedSource(), c.acceptor.View.Chain)
+	_, nextChain, possible := c.planMembers(c.expectedSource(), c.acceptor.View.Chain)
 	if !possible {
-		return "" // promises would wedge their members for nothing
+		return "" // a prepare would wedge the members for nothing
 	}
 	if suspected, broken := c.suspectedMembers(); broken {
-		return "silent member"
+		return reasonSuspected
 	} else if suspected {
-		return "" // a view of this member's would leave out one that the chain has a use for
+		return "" // this member's view would leave out one that the chain can still use
 	}
 	for _, m := range c.acceptor.View.Chain {
-		if c.isLeaving(m) && view.Index(chain, m) < 0 {
-			return "leaving member"
+		if c.isLeaving(m) && view.Index(nextChain, m) < 0 {
+			return reasonLeaving
 		}
 	}
 	voters := c.planVoters()
 	if !view.SameMembers(voters, c.acceptor.View.Voters) {
-		return "voters"
+		return reasonVoters
 	}
 	for _, m := range voters {
 		if !c.acceptor.View.InChain(m) && c.mayJoinChain(m) {
-			return "returned member"
+			return reasonReturned
 		}
 	}
 	return ""
 }
 
-// silentMembers reports whether members of the chain are silent here, and whether that breaks the chain.
+// reachesMajority reports whether a majority of the voters is alive and reachable, this member included.
+func (c *core) reachesMajority() bool {
+	count := 0
+	for _, m := range c.acceptor.View.Voters {
+		if m.Same(c.self) {
+			count++
+		} else if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
+			count++
+		}
+	}
+	return count >= c.acceptor.View.Majority()
+}
+
+// suspectedMembers reports whether this member suspects members of the chain, and whether that breaks the chain: a
+// suspected neighbour does, and so does a member that nobody else in the chain reaches.
 func (c *core) suspectedMembers() (suspected, broken bool) {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) {
@@ -74,8 +86,8 @@
 	return predecessor.Same(m) || successor.Same(m)
 }
 
-// heardByChain reports whether a member of the chain that is in touch with this one hears m. Then only
-// the link between m and this member is broken, which the chain doesn't use.
+// reachableFromChain reports whether another member of the chain reaches m. Then only the link between m and this member
+// is broken, which the chain doesn't use.
 func (c *core) reachableFromChain(m view.Member) bool {
 	for _, other := range c.acceptor.View.Chain {
 		if other.Same(c.self) || other.Same(m) || !c.alive(other) {
@@ -88,7 +100,7 @@
 	return false
 }
 
-// mayJoinChain reports whether m is in touch with this member and with all of the chain.
+// mayJoinChain reports whether m is reachable from this member and, as far as heartbeats tell, from the whole chain.
 func (c *core) mayJoinChain(m view.Member) bool {
 	if !c.reachable(m) || c.isLeaving(m) {
 		return false
@@ -108,7 +120,7 @@
 	return true
 }
 
-// candidates returns the machines with a disk that ask to become voters.
+// candidates returns the machines with a disk that ask to become voters, ordered by ID.
 func (c *core) candidates() []view.Member {
 	var members []view.Member
 	for _, p := range c.peers {
@@ -116,11 +128,11 @@
 			members = append(members, p.member)
 		}
 	}
-	sort.Slice(members, func(i, j int) bool { return members[i].ID() < members[j].ID() })
+	slices.SortFunc(members, func(a, b view.Member) int { return strings.Compare(a.ID(), b.ID()) })
 	return members
 }
 
-// planner tells what this member sees of the machines.
+// planner returns a planner of the next view with what this member knows of the machines.
 func (c *core) planner() view.Planner {
 	return view.Planner{
 		Current:        c.acceptor.View,
@@ -134,13 +146,15 @@
 	}
 }
 
-// planVoters returns the voters that the next view should have.
+// planVoters returns the voters that the next view should have. Voters are replaced only while enough members are known
+// to have the complete prefix: the disk of an absent voter may be the one that the next loss makes necessary.
 func (c *core) planVoters() []view.Member {
 	planner := c.planner()
 	return planner.Voters(c.knownComplete() > c.tolerance)
 }
 
-// knownWhole is the number of members of the chain that this one knows to be whole.
+// knownComplete returns the number of chain members that this one knows to have the complete prefix: its predecessors and
+// itself, and the successor if it said so.
 func (c *core) knownComplete() int {
 	if !c.serving() || !c.replication.prefixComplete {
 		return 0
@@ -152,7 +166,7 @@
 	return known
 }
 
-// knownAs returns m with the name that heartbeats brought.
+// withKnownName returns m with the node's name, if heartbeats have told it.
 func (c *core) withKnownName(m view.Member) view.Member {
 	if p := c.peers[m.ID()]; p != nil {
 		return p.member
@@ -160,7 +174,7 @@
 	return m
 }
 
-// likelySource is the source that the promises would give, as far as this member can tell.
+// expectedSource returns the source that the prepare responses would give, as far as this member can tell.
 func (c *core) expectedSource() view.Member {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) && !c.isLeaving(m) {
@@ -170,17 +184,17 @@
 	return c.self
 }
 
-// isStaying reports whether m makes a good source.
+// isStaying reports whether m is preferred as a source.
 func (c *core) isStaying(m view.Member) bool { return !c.isLeaving(m) }
 
-// plan makes the members of the next view for the source that the promises gave.
+// planMembers returns the voters and the chain of the next view for the source that the prepare responses gave.
 func (c *core) planMembers(source view.Member, holders []view.Member) (voters, members []view.Member, ok bool) {
 	planner := c.planner()
 	voters, members, ok = planner.Plan(source, holders)
 	return c.withNames(voters), c.withNames(members), ok
 }
 
-// named fills in the names that heartbeats brought.
+// withNames fills in the names of nodes that heartbeats have told, in place.
 func (c *core) withNames(members []view.Member) []view.Member {
 	for i := range members {
 		if members[i].Same(c.self) {
--- a/coord/replica/core_chain.go
+++ b/coord/replica/replication.go
@@ -7,21 +7,32 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// chainLink is the volatile state of the member's place in the chain of its epoch.
+// replicationState is the volatile state of this member's place in the chain of its epoch. Every view starts it anew.
+//
+// The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends, each member passes on what
+// is durable at itself, and what is durable at the tail is on every disk of the chain, hence committed. Commit indexes
+// travel back with the acknowledgements. It differs from the paper in who reads: any node may (reads.go), and in
+// reconfiguration, which the members agree on themselves (coord/view) instead of asking a master.
 type replicationState struct {
-	prefixComplete    bool // all predecessors' copies are whole in this epoch
-	successorKnown    bool // the successor has told its end
-	successorComplete bool // the successor knows that its predecessors are whole
-	sentIndex         uint64
-	ackedIndex        uint64 // the successor's end
-	ackedAtHeartbeat  uint64 // ... at the last beat
-	ackDue            bool
-	gapReported       bool
-	reportedCommit    uint64 // commit index last told to the predecessor
-	prefixRequestedAt time.Duration
+	// prefixComplete says that this member and all its predecessors have the complete prefix of the epoch. Only then
+	// may it pass commands on: so nothing reaches the tail, and nothing commits, before the whole chain has it.
+	prefixComplete bool
+	// successorKnown says that the successor has reported its last index in this epoch.
+	successorKnown bool
+	// successorComplete says that the successor, too, knows that all members up to itself have the prefix.
+	successorComplete bool
+
+	sentIndex        uint64 // last command sent to the successor
+	ackedIndex       uint64 // last command on the successor's disk
+	ackedAtHeartbeat uint64 // ackedIndex at the last round of heartbeats
+	reportedCommit   uint64 // commit index last reported to the predecessor
+
+	ackDue            bool          // an Ack to the predecessor is due
+	gapReported       bool          // the predecessor was told of a gap since the last round of heartbeats
+	prefixRequestedAt time.Duration // when the source was asked for the prefix last
 }
 
-// enterChain starts the member's work in the chain of a view.
+// enterChain starts this member's part in the chain of a view.
 func (c *core) enterChain() {
 	c.replication = replicationState{ackDue: true, prefixRequestedAt: never}
 	if c.inChain() && c.syncedEpoch != c.epoch() {
@@ -31,118 +42,31 @@
 	if _, successor := c.acceptor.View.Adjacent(c.self); c.inChain() && !successor.IsZero() {
 		c.send(successor, AckRequest{Epoch: c.epoch()})
 	}
-	if c.serving() && c.acceptor.View.Head().Same(c.self) {
+	if c.serving() && c.isHead() {
 		c.replication.prefixComplete = true
 	}
 }
 
-// prefixEnd returns the index of the last order from before the present epoch.
-func (c *core) prefixEnd() uint64 {
-	end := c.log.LastIndex()
-	base, _ := c.log.Base()
-	for end > base {
-		if epoch, _ := c.log.EpochAt(end); epoch < c.epoch() {
-			break
-		}
-		end--
-	}
-	return end
-}
-
-// fetch asks the source for the prefix.
-func (c *core) requestPrefix() {
-	c.replication.prefixRequestedAt = c.now
-	c.send(c.acceptor.View.Source, PrefixRequest{Epoch: c.epoch(), Runs: c.log.EpochRuns()})
-}
-
-func (c *core) onPrefixRequest(from view.Member, m PrefixRequest) {
-	if m.Epoch < c.epoch() {
-		c.sendView(from)
-		return
-	}
-	if m.Epoch != c.epoch() || !c.serving() {
-		return
-	}
-	end := c.prefixEnd()
-	if common, ok := c.log.LastCommonIndex(m.Runs); ok && common <= end {
-		c.send(from, PrefixTransfer{Epoch: m.Epoch, Common: common, Entries: c.entriesBetween(common, end)})
-		return
-	}
-	if applied, _ := c.state.Applied(); applied > end {
-		return // the chain has committed in this epoch, so all of it was whole: the asker asked before it was
-	}
-	snapshot := c.state.Snapshot()
-	c.send(from, PrefixTransfer{Epoch: m.Epoch, Common: snapshot.Index, Image: &snapshot, Entries: c.entriesBetween(snapshot.Index, end)})
-}
+// isHead reports whether this member is the head of the present chain.
+func (c *core) isHead() bool { return c.acceptor.View.Head().Same(c.self) }
 
-func (c *core) entriesBetween(after, end uint64) []chain.Entry {
-	entries := c.log.After(after, int(^uint(0)>>1))
-	if excess := after + uint64(len(entries)); excess > end {
-		entries = entries[:end-after]
-	}
-	return entries
-}
-
-// onCopy takes in the source's prefix. It is one record, or a rewrite of the disk: whole or not at all.
-func (c *core) onPrefixTransfer(from view.Member, m PrefixTransfer) {
-	if m.Epoch != c.epoch() || !c.inChain() || c.syncedEpoch == c.epoch() || c.acceptor.Wedged() {
-		return
-	}
-	if !from.Same(c.acceptor.View.Source) {
-		return
-	}
-	if m.Image != nil {
-		c.installSnapshot(m)
-	} else {
-		c.log.Truncate(m.Common)
-		for _, entry := range m.Entries {
-			c.log.Append(entry)
-		}
-		c.record(recordInstall, installRecord{Synced: c.epoch(), Common: m.Common, Entries: m.Entries})
-	}
-	c.syncedEpoch = c.epoch()
-	c.requests.resendDue = true
-	c.replication.ackDue = true
-	c.replication.prefixComplete = c.acceptor.View.Head().Same(c.self)
-	c.checkLogInvariants()
-}
-
-// checkPrefix checks that the log goes through what is applied and committed.
-func (c *core) checkLogInvariants() {
-	c.invariant(c.log.LastIndex() >= c.commitIndex, "log ends at %d, committed to %d", c.log.LastIndex(), c.commitIndex)
-	applied, appliedEpoch := c.state.Applied()
-	if logEpoch, ok := c.log.EpochAt(applied); ok {
-		c.invariant(logEpoch == appliedEpoch, "entry %d is of epoch %d, applied was one of %d", applied, logEpoch, appliedEpoch)
-	}
-}
-
-func (c *core) installSnapshot(m PrefixTransfer) {
-	applied, _ := c.state.Applied()
-	c.log = chain.NewLog(m.Image.Index, m.Image.Epoch, m.Entries)
-	if m.Image.Index > applied {
-		if err := c.state.Restore(*m.Image); err != nil {
-			panic("replica: " + err.Error())
-		}
-		c.commitIndex = max(c.commitIndex, m.Image.Index)
-		c.requests.completeRestored(c, applied)
-	}
-	c.checkpointDue = true
-	c.records = nil
-}
-
-// orderEntry gives an order the next place. Only the head does this.
+// appendCommand gives a command the next index. Only the head of an epoch does this, and only while it serves, so that
+// an index and an epoch identify one command.
 func (c *core) appendCommand(id string, command []byte) {
 	entry := chain.Entry{Index: c.log.LastIndex() + 1, Epoch: c.epoch(), ID: id, Order: command}
 	c.log.Append(entry)
 	c.recordAppended([]chain.Entry{entry})
 }
 
+// recordAppended queues the record of new entries. A checkpoint that is due contains them.
 func (c *core) recordAppended(entries []chain.Entry) {
 	if !c.checkpointDue {
 		c.records = append(c.records, encodeEntries(entries))
 	}
 }
 
+// onAppend appends what the predecessor sends. A member with the complete prefix whose predecessor sends in this epoch
+// knows by this that all its predecessors have the prefix, too.
 func (c *core) onAppend(from view.Member, m Append) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -170,7 +94,7 @@
 	c.appendNew(m.Entries)
 }
 
-// appendNew appends what the log doesn't hold yet; what it holds must be the same.
+// appendNew appends the entries that the log lacks. Those that it has must be the same commands.
 func (c *core) appendNew(entries []chain.Entry) {
 	for len(entries) > 0 && entries[0].Index <= c.log.LastIndex() {
 		if epoch, known := c.log.EpochAt(entries[0].Index); known {
@@ -187,7 +111,7 @@
 	c.recordAppended(entries)
 }
 
-// advanceChain forwards, commits and acknowledges what has become durable.
+// advanceReplication passes on, commits, applies and acknowledges what has become durable.
 func (c *core) advanceReplication() {
 	if c.serving() {
 		_, successor := c.acceptor.View.Adjacent(c.self)
@@ -203,12 +127,14 @@
 	}
 }
 
+// commitAtTail commits what is durable at the tail: its predecessors sent nothing that wasn't durable at themselves.
 func (c *core) commitAtTail() {
 	if c.replication.prefixComplete && c.toleratesFailures() {
 		c.commitIndex = max(c.commitIndex, c.durableIndex)
 	}
 }
 
+// replicateTo sends the successor what is durable here and hasn't been sent.
 func (c *core) replicateTo(successor view.Member) {
 	for c.replication.sentIndex < c.durableIndex {
 		entries := c.log.After(c.replication.sentIndex, c.limits.batchBytes)
@@ -221,17 +147,20 @@
 	}
 }
 
-// askAgain asks the successor for its end, where an Ack from long ago told one whose following orders are compacted away here.
+// requestAck asks the successor for its last index, after a delayed Ack reported one that the log here is compacted
+// beyond.
 func (c *core) requestAck(successor view.Member) {
 	c.replication.successorKnown = false
 	c.send(successor, AckRequest{Epoch: c.epoch()})
 }
 
+// sendAppend sends entries that follow the last one sent. Without entries it only confirms the prefix.
 func (c *core) sendAppend(successor view.Member, entries []chain.Entry) {
 	epoch, _ := c.log.EpochAt(c.replication.sentIndex)
 	c.send(successor, Append{Epoch: c.epoch(), Prev: c.replication.sentIndex, PrevEpoch: epoch, Entries: entries})
 }
 
+// sendAck reports to the predecessor what is durable here and what is committed.
 func (c *core) sendAck(gap bool) {
 	predecessor, _ := c.acceptor.View.Adjacent(c.self)
 	c.replication.ackDue = false
@@ -245,6 +174,7 @@
 	})
 }
 
+// onAck takes in the successor's progress. Acks may be lost, repeated and reordered, so indexes only grow.
 func (c *core) onAck(from view.Member, m Ack) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -259,7 +189,8 @@
 	c.replication.ackedIndex = max(c.replication.ackedIndex, m.End)
 	if !c.replication.successorKnown || m.Gap || c.replication.sentIndex < c.replication.ackedIndex {
 		c.replication.successorKnown = true
-		c.replication.sentIndex = c.replication.ackedIndex // an older Ack may come late, and what is acknowledged may be compacted away
+		// Not m.End: a delayed Ack may report less, and what is acknowledged may be compacted away.
+		c.replication.sentIndex = c.replication.ackedIndex
 	}
 	c.replication.successorComplete = m.Whole
 	c.commitIndex = max(c.commitIndex, m.Commit)
@@ -268,7 +199,8 @@
 	}
 }
 
-// linkBeat repeats, at each heartbeat, what a broken connection may have lost.
+// retransmit repeats, at each round of heartbeats, what a broken connection may have lost: the request for the prefix,
+// the Ack, and entries on which no progress was acknowledged since the last round.
 func (c *core) retransmit() {
 	if !c.inChain() || c.acceptor.Wedged() {
 		return
@@ -293,7 +225,7 @@
 	c.replication.ackedAtHeartbeat = c.replication.ackedIndex
 }
 
-// applyCommitted applies what is known to be on all disks of a chain.
+// applyCommitted applies what is committed.
 func (c *core) applyCommitted() {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
@@ -304,6 +236,7 @@
 	c.completeStalenessProof()
 }
 
+// applyEntry applies a committed entry and completes the proposal that waits for it.
 func (c *core) applyEntry(entry chain.Entry) {
 	outcome, repeated := c.state.Apply(entry)
 	c.requests.complete(entry.ID, outcome)
--- /dev/null
+++ b/coord/replica/status.go
@@ -0,0 +1,76 @@
+package replica
+
+import (
+	"time"
+
+	"sprucelane.example/sprucelane/coord/chain"
+	"sprucelane.example/sprucelane/coord/view"
+)
+
+// Peer is what a node knows of a machine with a disk.
+type Peer struct {
+	Member    view.Member
+	Voter     bool
+	InChain   bool
+	Reachable bool // from this node, both ways; only nodes with a disk know
+	Candidate bool // has no vote and asks for one
+}
+
+// status is what the loop publishes of the node after each batch of inputs. It is immutable.
+type status struct {
+	view          view.View
+	applied       uint64
+	members       []Peer
+	diskUnhealthy bool
+
+	stalenessKnown bool
+	currentAsOf    time.Time // all commands acknowledged before this moment are applied
+
+	leaseEpoch      uint64
+	leaseExpiry     time.Time // of the leader lease; zero: not held
+	headLeaseExpiry time.Time // zero: this node isn't the confirmed head
+}
+
+// publish replaces the status.
+func (n *Node) publish() {
+	now := time.Now()
+	elapsed := now.Sub(n.start)
+	at := func(moment time.Duration) time.Time { return now.Add(moment - elapsed) }
+	c := n.core
+	next := &status{view: c.view(), members: n.members, diskUnhealthy: n.diskUnhealthy}
+	next.applied, _ = c.state.Applied()
+	if asOf, proven := c.currentAsOf(); proven {
+		next.currentAsOf, next.stalenessKnown = at(asOf), true
+	}
+	if until, ok := c.headLease(); ok && !n.diskUnhealthy {
+		next.headLeaseExpiry = at(until)
+	}
+	if until, ok := c.leaderLease(); ok && !n.diskUnhealthy {
+		next.leaseEpoch, next.leaseExpiry = c.epoch(), at(until)
+	}
+	n.status.Store(next)
+}
+
+// callbacks are the functions registered with OnApply and OnView. They are immutable; Node.callbackMu serializes those
+// who replace them.
+type callbacks struct {
+	onApply []func(index uint64, command, result []byte)
+	onView  []func(view.View)
+}
+
+// onApplied calls the callbacks for a command. A command that has two indexes is applied, and reported, once.
+func (n *Node) onApplied(entry chain.Entry, outcome chain.Outcome, repeated bool) {
+	if repeated {
+		return
+	}
+	for _, call := range n.callbacks.Load().onApply {
+		call(entry.Index, entry.Order, outcome.Result)
+	}
+}
+
+// onViewAdopted calls the callbacks for a view.
+func (n *Node) onViewAdopted(v view.View) {
+	for _, call := range n.callbacks.Load().onView {
+		call(v)
+	}
+}
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -1,24 +1,28 @@
 package replica
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"errors"
 	"fmt"
+	"time"
 
 	"sprucelane.example/sprucelane/coord/slots"
-	"sprucelane.example/sprucelane/coord/view"
 )
 
 // durableStore is the part of slots.Store that a node uses.
 type durableStore interface {
+	// Append makes records durable.
 	Append(records ...[]byte) error
+	// Compact replaces the snapshot and all records.
 	Compact(snapshot []byte) error
+	// LogBytes returns the size of the records since the last Compact.
 	LogBytes() int64
 	Close() error
 }
 
-// openStore opens the disk and reads what it holds; found is nil for an empty one.
+// diskProbeInterval is the time between two attempts to use a disk that refused a write.
+const diskProbeInterval = 500 * time.Millisecond
+
+// openStore opens the disk and decodes what it holds; found is nil for an empty one.
 func openStore(fs slots.FS) (store durableStore, found *recoveredState, err error) {
 	opened, contents, err := slots.Open(fs, slots.Options{})
 	if err != nil {
@@ -35,8 +39,8 @@
 	return opened, found, nil
 }
 
-// openDisk opens the disk of a starting node. A disk that has lost what it acknowledged is emptied:
-// its member is gone, and another one joins in its place.
+// openDisk opens the disk of a starting node. A disk that lost data that it had acknowledged is emptied: its member is
+// lost, votes included, and a new one joins in its place. Continuing with what is left could break promises.
 func (n *Node) openDisk() (*recoveredState, error) {
 	fs := n.options.filesystem()
 	if fs == nil {
@@ -59,7 +63,7 @@
 	return found, nil
 }
 
-// tellMended logs the ends that the disk's files lost at this start.
+// logRepairs logs the truncated tails that were cut off the disk's files at this start.
 func (n *Node) logRepairs(found *recoveredState) {
 	if found == nil {
 		return
@@ -69,25 +73,33 @@
 	}
 }
 
-// newMember names a life of an empty disk, or of a process without one.
-func newMember(options *Options) (view.Member, *view.View, error) {
-	member := view.Member{Node: options.Identity.Node, Address: options.Listen}
-	var drawn [8]byte
-	if _, err := rand.Read(drawn[:]); err != nil {
-		return member, nil, fmt.Errorf("replica: draw an incarnation: %w", err)
-	}
-	member.Incarnation = hex.EncodeToString(drawn[:])
-	if !options.Bootstrap {
-		return member, nil, nil
+// diskFailed takes the member out of service until its disk takes bytes again. Nothing leaves it meanwhile: what it
+// decided last isn't durable, and its messages may speak of it.
+func (n *Node) diskFailed(err error) {
+	n.options.Log("disk failed", "error", err.Error())
+	n.diskUnhealthy = true
+	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
+	n.core.takeMessages()
+	_ = n.store.Close()
+}
+
+// probeDisk reopens the disk once it takes bytes again, and continues from what it holds.
+func (n *Node) probeDisk() bool {
+	if time.Now().Before(n.nextDiskProbe) {
+		return false
 	}
-	if len(options.Seeds) == 0 {
-		return member, nil, ErrNoSeeds
+	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
+	store, found, err := openStore(n.options.filesystem())
+	if err != nil || found == nil {
+		return false
 	}
-	genesis := view.Genesis(options.Seeds)
-	for _, seed := range options.Seeds {
-		if seed == options.Listen && options.filesystem() != nil {
-			member.Incarnation = view.GenesisIncarnation
-		}
+	if err := store.Append([]byte{recordProbe}); err != nil {
+		_ = store.Close()
+		return false
 	}
-	return member, &genesis, nil
+	n.store = store
+	n.diskUnhealthy = false
+	n.core.reopened(n.now(), found)
+	n.options.Log("disk works again")
+	return true
 }
--- a/coord/replica/core_view.go
+++ b/coord/replica/view.go
@@ -4,16 +4,20 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// adopt moves to a decided view.
+// adoptView moves to a decided view.
+//
+// It is safe at any time: a majority of the previous view's voters accepted the view, so no other one is decided for its
+// epoch. A source is complete in its new epoch at once, because it stood still, wedged, since it answered the prepare
+// on which the view rests; that it adopts the view directly from the epoch before is checked.
 func (c *core) adoptView(v view.View) {
 	if v.Epoch <= c.epoch() {
 		return
 	}
-	before := c.acceptor.View
+	previous := c.acceptor.View
 	wedged := c.acceptor.Wedged()
 	if v.Source.Same(c.self) && c.hasDisk {
-		c.invariant(v.Epoch == before.Epoch+1 && wedged,
-			"source of epoch %d without a promise (epoch %d)", v.Epoch, before.Epoch)
+		c.invariant(v.Epoch == previous.Epoch+1 && wedged,
+			"source of epoch %d without a promise (epoch %d)", v.Epoch, previous.Epoch)
 	}
 	c.acceptor.Adopt(v)
 	if v.Source.Same(c.self) {
@@ -22,12 +26,12 @@
 	c.record(recordView, viewRecord{View: v, Synced: c.syncedEpoch})
 	c.proposer.abandon(c.now, 0)
 	c.proposer.reasonSince = 0
-	if c.hasDisk && v.IsVoter(c.self) || before.IsVoter(c.self) {
+	if c.hasDisk && v.IsVoter(c.self) || previous.IsVoter(c.self) {
 		c.logEvent("view", "epoch", v.Epoch, "chain", v.String(), "voters", len(v.Voters), "source", v.Source.Node)
 	}
-	c.startLease(before, v)
+	c.delayNewLeader(previous, v)
 	c.enterView()
-	if before.InChain(c.self) && !c.inChain() {
+	if previous.InChain(c.self) && !c.inChain() {
 		c.departedAt = c.now
 	}
 	c.checkDeparture()
@@ -36,18 +40,6 @@
 	}
 }
 
-// takeLead sets when a new head may act: a head that stays goes on.
-func (c *core) startLease(before, v view.View) {
-	if !v.Head().Same(c.self) {
-		return
-	}
-	stays := before.Head().Same(c.self) && v.Epoch == before.Epoch+1
-	if !stays {
-		c.lease.notBefore = c.now + newLeaderDelay
-	}
-	c.lease.epoch = v.Epoch
-}
-
 // enterView prepares the volatile state of the present view.
 func (c *core) enterView() {
 	for _, m := range c.acceptor.View.Voters {
