--- a/coord/chain/state.go
+++ b/coord/chain/state.go
@@ -1,52 +1,59 @@
 package chain
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
-// Machine is the deterministic state that orders change. Apply gets each order once, in order.
+// StateMachine is the deterministic state that commands change (Schneider, 1990). All replicas apply the same commands in
+// the same order, so the result may depend on nothing else: not on time, randomness or the order of a map.
 type StateMachine interface {
-	Apply(index uint64, order []byte) (result []byte)
+	// Apply executes a command and returns its result. It is called once for each command, in the order of the log.
+	Apply(index uint64, command []byte) (result []byte)
+	// Snapshot encodes the whole state.
 	Snapshot() []byte
+	// Restore replaces the whole state by one that Snapshot has encoded.
 	Restore(snapshot []byte) error
 }
 
-// RememberedRequests is the number of request ids whose results are kept, so that an order that
-// was sent again over a change of the view is applied once.
+// DeduplicationWindow is the number of the latest command IDs whose outcomes are kept, so that a command that is proposed
+// again is applied once.
 const DeduplicationWindow = 4096
 
-// Outcome is what an order came to.
+// Outcome is the index and the result of a command.
 type Outcome struct {
 	ID     string
 	Index  uint64
 	Result []byte
 }
 
-// State is the machine with the requests that it has seen lately.
+// State is a state machine with the outcomes of its latest commands.
 type State struct {
 	stateMachine StateMachine
-	window       int // request ids whose results are kept
+	window       int // number of outcomes that are kept
 	appliedIndex uint64
-	appliedEpoch uint64 // of the entry last applied
-	outcomes     map[string]Outcome
-	recent       []string // ids in order of application, oldest first
+	appliedEpoch uint64
+	outcomes     map[string]Outcome // by ID: those of the last window IDs of recent
+	recent       []string           // IDs in the order of application; up to twice as many as window, trimmed at once
 }
 
-// NewState wraps an empty machine and remembers the outcomes of the last requests, as many as memory says. All members of a chain
-// must remember the same number.
+// NewState wraps an empty state machine and keeps the outcomes of the last commands, as many as window says. The window
+// is part of the replicated state: it must be the same in all replicas.
 func NewState(stateMachine StateMachine, window int) *State {
 	return &State{stateMachine: stateMachine, window: window, outcomes: make(map[string]Outcome)}
 }
 
-// Applied returns the index of the order last applied, and its epoch.
+// Applied returns the index and epoch of the last entry applied.
 func (s *State) Applied() (index, epoch uint64) { return s.appliedIndex, s.appliedEpoch }
 
-// Outcome returns what a recent request came to.
+// Outcome returns the outcome of a recent command.
 func (s *State) Outcome(id string) (Outcome, bool) {
 	outcome, known := s.outcomes[id]
 	return outcome, known
 }
 
-// Apply applies the next entry. A request that was applied before isn't applied again; its first
-// outcome is returned with repeated set.
+// Apply applies the next entry; it panics for any other. A command whose ID was applied before has no effect: its first
+// outcome is returned, with repeated set.
 func (s *State) Apply(entry Entry) (outcome Outcome, repeated bool) {
 	if entry.Index != s.appliedIndex+1 {
 		panic(fmt.Sprintf("chain: apply %d after %d", entry.Index, s.appliedIndex))
@@ -62,6 +69,7 @@
 	return outcome, false
 }
 
+// remember keeps an outcome and drops the one that leaves the window.
 func (s *State) remember(outcome Outcome) {
 	s.outcomes[outcome.ID] = outcome
 	s.recent = append(s.recent, outcome.ID)
@@ -69,19 +77,19 @@
 		delete(s.outcomes, s.recent[excess-1])
 	}
 	if len(s.recent) >= 2*s.window {
-		s.recent = append([]string(nil), s.recent[len(s.recent)-s.window:]...)
+		s.recent = slices.Clone(s.recent[len(s.recent)-s.window:])
 	}
 }
 
-// Image is a copy of a state.
+// Snapshot is a copy of a State at an index. Its fields are part of the formats on disk and on the wire.
 type Snapshot struct {
 	Index    uint64
-	Epoch    uint64
-	Machine  []byte
+	Epoch    uint64    // of the entry at Index
+	Machine  []byte    // encoded state machine
 	Outcomes []Outcome // oldest first
 }
 
-// Image copies the state.
+// Snapshot returns a copy of the state.
 func (s *State) Snapshot() Snapshot {
 	ids := s.recent
 	if excess := len(ids) - s.window; excess > 0 {
@@ -95,7 +103,7 @@
 	return snapshot
 }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot. After an error of the state machine, nothing else is changed.
 func (s *State) Restore(snapshot Snapshot) error {
 	if err := s.stateMachine.Restore(snapshot.Machine); err != nil {
 		return fmt.Errorf("chain: restore the machine at %d: %w", snapshot.Index, err)
--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -1,67 +1,109 @@
-// Package replica keeps control state by chain replication over a few machines with a disk, and
-// carries it to any number of nodes without one.
+// Package replica keeps control state by chain replication over a few machines with a disk, and carries it to any number
+// of nodes without one.
 //
 // # Use
 //
-// A Machine is the state: a deterministic type that applies orders, and that can be copied and
-// restored whole. Start gives a Node on each machine. Node.Propose has an order applied, from any
-// node; Node.Read waits until the local machine holds all that was acknowledged before; Node.Fresh
-// tells how old the local knowledge is at most, without asking anybody. Node.Lead says whether this
-// node is the chain's head and until when no other node may act as one: singleton roles hang on it
-// (see coord/leader). Node.HandOver leaves the chain as planned, before a process ends.
+// The state is a chain.StateMachine: a deterministic type that applies commands and that can be copied as a snapshot.
+// Start returns a Node in each process.
+//
+//   - Node.Propose has a command applied, from any node.
+//   - Node.Read waits until the local state machine has applied all that was acknowledged before the call. The caller
+//     then reads its own state machine.
+//   - Node.Staleness tells, without asking anybody, how stale the local state is at most.
+//   - Node.Lead tells whether this node holds the leader lease, and until when. Singleton roles depend on it; see
+//     coord/leader.
+//   - Node.HandOver leaves the chain as planned, before a process ends.
 //
 // # Guarantees
 //
-// An acknowledged order (Propose returned nil) is on the synced disks of the whole chain, which has
-// at least Tolerance+1 members. It survives the loss of Tolerance disks together with a loss of power
-// of all others. An order is applied once for each id, also when it is sent again through another
-// node over a change of the view; the outcomes of the last 4,096 orders are remembered for that. Beyond
-// them no message brings an order in again, however late it comes: only a caller can, that proposes the
-// same id itself again so late. Reads are linearizable. ErrUnavailable means that the order never
-// left this node; ErrUncertain means that it may be applied at any time.
-//
-// A chain of fewer than Tolerance+1 members takes no orders, and a minority of the voters does
-// nothing at all.
-//
-// # How it works
-//
-// The head orders writes. Each member writes what waits with one sync, and hands it on; what the tail
-// has synced is on all disks. Acknowledgements travel back, so that every member knows how far it may
-// apply. Nodes outside of the chain poll one member for committed orders, and it pushes new ones to
-// them; each node learns the outcome of its callers' orders from its own copy of the machine.
-//
-// coord/view decides who forms the chain, one view after the other; its package comment holds the
-// safety argument. A promise wedges a member in its epoch. After a decision each member of the new
-// chain copies the prefix of the view's source in one durable step, incrementally where the logs have
-// a common part, and nothing commits before the whole chain has it: an Append of an epoch is sent
-// only by a member whose own copy, and whose predecessors' copies, are whole.
-//
-// Core machines exchange heartbeats every 200 ms, with the list of those that the sender is in touch
-// with. A member that is silent for 700 ms is left out by the next view, which its neighbours propose
-// first; a member that returns is let in once all of the chain hears it. Links that are cut one way,
-// or between two members only, don't matter where the chain doesn't use them: orders go around them,
-// by a member in touch with both ends. A process that finds a gap of more than 400 ms between its ticks
-// stood still itself: it forgets all silence, drops the orders that waited for it, and listens.
-//
-// Each heartbeat echoes the last one heard from its addressee. So a member learns, without a message
-// of its own, up to when a majority of voters stood unwedged in its epoch: everything acknowledged
-// before that moment is in its log. This is what Fresh and Lead rest on. A Read asks with an urgent
-// round of heartbeats. All times are of the steady clock; the time of day plays no part.
-//
-// A machine whose disk is empty draws an incarnation and is another member than before: it has no
-// vote, asks to join, and takes the place of its earlier life, or of a voter that is long absent, or
-// of one that is missing to 2 x Tolerance + 1. Only founders, at the very first start, have the
-// incarnation "genesis". A machine without a disk only observes. A disk that refuses a write takes
-// its member out until it takes bytes again; one that has lost what it acknowledged is emptied.
+// An acknowledged command (Propose returned nil) is on the synced disks of the whole chain, which has at least
+// Tolerance + 1 members. It survives the loss of Tolerance disks together with a loss of power of all the others.
+//
+// A command is applied once for each ID, also when it is proposed again through another node over a change of the view:
+// the outcomes of the latest 4,096 commands (chain.DeduplicationWindow) are kept for that. Beyond this window no message
+// brings a command in again, however late it arrives; only a caller can, by proposing the same ID again that late.
+//
+// Reads are linearizable. ErrUnavailable means that the command never left this node; ErrUncertain means that it may be
+// applied at any time, or never.
+//
+// A chain of Tolerance members or fewer takes no commands, and a minority of the voters can do nothing: partitions and
+// losses beyond these bounds cost availability, never consistency.
+//
+// # Replication
+//
+// This is chain replication (van Renesse and Schneider, 2004). The head appends commands to its log. Each member makes
+// what waits durable with one sync, and passes it on; what is durable at the tail is on all disks, hence committed.
+// Acknowledgements travel back up the chain with the commit index, and each member applies up to it.
+//
+// Where we depart from the paper: any node may read, after a proof of its epoch, instead of the tail alone; and the
+// members agree on the next chain themselves, instead of asking a master.
+//
+// Nodes outside of the chain are learners. Each polls one chain member for committed commands, which pushes new ones
+// between the polls. Every node learns the outcomes of its callers' commands from its own state machine.
+//
+// # Views
+//
+// Package coord/view decides who forms the chain, one view after another, as Vertical Paxos does (Lamport, Malkhi and
+// Zhou, 2009): an epoch numbers a view, and the voters of one view decide on the next by single-decree Paxos. Its package
+// comment holds the safety argument. A voter that answers a prepare is wedged: it appends and acknowledges nothing more
+// in its epoch, so that the answer stays a true description of its log.
+//
+// After a decision, every member of the new chain replaces the end of its log by the prefix of the view's source, in one
+// durable step. Where the logs have a common part, only the difference is sent. Nothing commits before the whole chain
+// has the prefix, because a member passes commands of an epoch on only while it and all its predecessors have it.
+//
+// # Failure detection
+//
+// Machines with a disk exchange heartbeats every 200 ms, each with the list of those that the sender reaches. A member
+// without contact for 700 ms is suspected, and left out by the next view, which its neighbours propose first. A member
+// that returns is let in once all of the chain reaches it. A link that is broken in one direction, or between two members
+// only, matters only where the chain uses it: commands go around it, by way of a member that reaches both ends.
+//
+// A process that finds a gap of more than 400 ms between its ticks was paused itself: it suspects nobody, drops the
+// commands that waited for it, and listens first.
+//
+// # Reads, staleness and the leader lease
+//
+// Each heartbeat echoes the newest one received from its addressee. So a member learns, without further messages, up to
+// when a majority of the voters was in its epoch and not wedged. No later view was decided before that moment, hence
+// everything acknowledged before it is in the member's log. Reads, Node.Staleness and the leader lease (Gray and Cheriton,
+// 1989) rest on this; a read asks for it with an urgent round of heartbeats. All durations are of the steady clock of one
+// process; the time of day plays no part.
+//
+// # Members
+//
+// A member is an address with the incarnation of its disk. A machine with an empty disk draws a new incarnation, and is
+// another member than before: it has no vote, asks to join, and takes the place of its previous incarnation, of a voter
+// that is absent for long, or of one that is missing to 2 x Tolerance + 1. Only the founders, at the very first start,
+// have the incarnation "genesis". A node without a disk is a learner.
+//
+// A disk that refuses a write takes its member out of service until it takes bytes again. A disk that has lost data that
+// it had acknowledged is emptied.
 //
 // # Structure
 //
-// The protocol is a pure state machine (core): messages and time go in; records and messages come
-// out. Its carrier makes the records durable first, then sends the messages. Node carries it with
-// sockets (coord/transport), a disk (coord/slots) and the steady clock, on one goroutine. The tests
-// carry it through worlds in virtual time, with the real store on simulated disks. hazards_test.go lists
-// the troubles, from killed, wiped, frozen, cut-off, leaving and replaced machines to copies that are
-// interrupted and members that miss hundreds of orders; the next one may come as soon as the chain is
-// whole. checks_test.go holds what must be true at each step, plants_test.go the bugs that the worlds
-// must find. SEEDS=N plays N worlds, FIRST=S begins at seed S, and TRACE=1 prints a failing world whole.
+// The protocol is a pure state machine, core: messages and time go in, records and messages come out. Its carrier makes
+// the records durable first, and then sends the messages. Node carries it with sockets (coord/transport), a disk
+// (coord/slots) and the steady clock, on one goroutine. A file answers one question:
+//
+//   - core.go: what a core is made of, and how inputs reach its parts; timing.go and limits.go: its constants
+//   - replication.go: how commands go down the chain and commit
+//   - prefix.go: how a member gets the prefix of its epoch
+//   - view.go: what a decided view changes
+//   - reconfiguration.go: when there should be another view, and of whom
+//   - proposer.go: how one is proposed and decided
+//   - failure_detector.go: who is alive and reachable
+//   - lease.go: what a confirmed epoch proves
+//   - reads.go, proposals.go: what happens to callers' reads and commands
+//   - learner.go: how nodes outside of the chain follow
+//   - discovery.go, departure.go: how a node finds the view, and how a member leaves
+//   - checkpoint.go, disk.go, store.go: what is durable, how it is encoded, and when it is recovered
+//   - messages.go, network.go: what nodes send, and how
+//   - api.go, options.go, errors.go, start.go, node.go, status.go: the carrier and its callers' view
+//
+// The tests carry the core through a simulated cluster in virtual time, with the real store on simulated disks.
+// faults_test.go lists the faults: killed, wiped, paused, partitioned, departing and replaced machines, prefix transfers
+// that are interrupted, members that miss hundreds of commands; the next fault may come as soon as the chain is complete.
+// invariants_test.go holds what must be true at each step, and injected_bugs_test.go the bugs that the simulation must
+// find. SEEDS=N runs N seeds, FIRST=S begins at seed S, and TRACE=1 prints the whole trace of a failing run.
 package replica
