--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -135,7 +135,8 @@
 }
 
 // Admit decides about a request. The tenant is nil on a public route.
-func (a *Admission) Admit(now time.Duration, route *configuration.Route, tenant *configuration.Tenant, size Request) Decision {
+func (a *Admission) Admit(now time.Duration, route *configuration.Route, tenant *configuration.Tenant,
+	size Request) Decision {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance(now)
--- a/internal/gateway/admission/group.go
+++ b/internal/gateway/admission/group.go
@@ -52,7 +52,8 @@
 	g.rank, g.target = route.Priority, route.TargetLatency()
 	g.backends = slices.Clone(route.Backends())
 	if len(g.shed) != classes {
-		g.traffic, g.shed, g.effectiveShed = make([]float64, classes), make([]float64, classes), make([]float64, classes)
+		g.traffic = make([]float64, classes)
+		g.shed, g.effectiveShed = make([]float64, classes), make([]float64, classes)
 		g.shedCredit = nil
 	}
 }
--- a/internal/gateway/admission/report.go
+++ b/internal/gateway/admission/report.go
@@ -45,7 +45,8 @@
 				panic(fmt.Sprintf("admission: group %s refuses a share of %v", g.name, share))
 			}
 			if class > 0 && share < g.effectiveShed[class-1]-roundingSlack {
-				panic(fmt.Sprintf("admission: group %s refuses more of the more urgent tenants: %v", g.name, g.effectiveShed))
+				panic(fmt.Sprintf("admission: group %s refuses more of the more urgent tenants: %v", g.name,
+					g.effectiveShed))
 			}
 		}
 	}
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -45,11 +45,12 @@
 }
 
 // newAdmitter returns an admitter. Its members must be set before it is used.
-func newAdmitter(selector *serverselection.Selector, servers *endpoints.Registry, process protocol.Process, options transport.Options,
-	log zerolog.Logger) *admitter {
-	a := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector, servers: servers,
-		loadReportedAt: map[string]time.Time{}}
-	a.quota = quotaclient.New(quotaclient.Options{Process: process, Transport: options, Members: a.currentMembers, Log: log})
+func newAdmitter(selector *serverselection.Selector, servers *endpoints.Registry, process protocol.Process,
+	options transport.Options, log zerolog.Logger) *admitter {
+	a := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector,
+		servers: servers, loadReportedAt: map[string]time.Time{}}
+	a.quota = quotaclient.New(quotaclient.Options{
+		Process: process, Transport: options, Members: a.currentMembers, Log: log})
 	return a
 }
 
--- a/internal/gateway/batchproxy/backlog.go
+++ b/internal/gateway/batchproxy/backlog.go
@@ -45,7 +45,8 @@
 		first = second
 	}
 	ip := open[first].IP
-	return append([]string{ip}, slices.DeleteFunc(slices.Clone(order), func(other string) bool { return other == ip })...)
+	return append([]string{ip}, slices.DeleteFunc(slices.Clone(order),
+		func(other string) bool { return other == ip })...)
 }
 
 // backlog returns the tokens that wait at a store, plus the cost of another zone. A store that reports nothing has
--- a/internal/gateway/batchproxy/caller.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -42,8 +42,9 @@
 	settings *node.Settings
 	options  transport.Options
 	members  func() *protocol.MemberList
-	backlogs *serverload.Table                                                                           // of the stores
-	send     func(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) // callProcess; tests replace it
+	backlogs *serverload.Table // of the stores
+	// send sends a call to one store. It is callProcess, except in tests.
+	send func(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error)
 
 	mu          sync.Mutex             // guards what follows
 	connections map[string]*connection // by IP
@@ -110,7 +111,8 @@
 }
 
 // askAnother sends a call to one more store, after one that answered 503 as it wasn't sure.
-func (c *Caller) askAnother(ctx context.Context, targets *targetList, call protocol.BatchCall) (protocol.BatchAnswer, bool) {
+func (c *Caller) askAnother(ctx context.Context, targets *targetList, call protocol.BatchCall) (
+	protocol.BatchAnswer, bool) {
 	answer, err := c.send(ctx, targets.next(), call)
 	return answer, err == nil && answer.Status != 0
 }
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -72,7 +72,8 @@
 func (r *Registry) Apply(list *protocol.ServerList) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	table := &Table{Version: list.Version, Source: list.Source, backends: map[string][]*Server{}, numbers: map[policy.ServerID]*Server{}}
+	table := &Table{Version: list.Version, Source: list.Source, backends: map[string][]*Server{},
+		numbers: map[policy.ServerID]*Server{}}
 	next := make(map[string]entry, len(list.Servers))
 	var changes []pool.Change
 	for i := range list.Servers {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -64,13 +64,14 @@
 func New(settings *node.Settings, log zerolog.Logger) *Gateway {
 	g := &Gateway{settings: settings, log: log, state: service.New()}
 	g.state.SetAcceptPeriod(acceptAfterShutdown)
-	g.pool = pool.New(pool.Options{MaxConnections: maxServerSockets(settings), IdleTimeout: serverIdleTimeout, ConnectTimeout: connectTimeout})
+	g.pool = pool.New(pool.Options{MaxConnections: maxServerSockets(settings), IdleTimeout: serverIdleTimeout,
+		ConnectTimeout: connectTimeout})
 	g.servers = endpoints.NewRegistry(g.pool)
-	process := protocol.Process{Node: settings.NodeName, Role: protocol.RoleGateway, Zone: settings.Zone, IP: settings.IP,
-		Incarnation: incarnation()}
+	process := protocol.Process{Node: settings.NodeName, Role: protocol.RoleGateway, Zone: settings.Zone,
+		IP: settings.IP, Incarnation: incarnation()}
 	g.process = process
-	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role, Zone: process.Zone,
-		Address: process.IP, Incarnation: process.Incarnation}}
+	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node,
+		Role: process.Role, Zone: process.Zone, Address: process.IP, Incarnation: process.Incarnation}}
 	selector := serverselection.New(settings.Zone, seed(process))
 	g.admitter = newAdmitter(selector, g.servers, process, options, log)
 	g.subscription = subscription.New(subscription.Options{Settings: settings, Process: process, Transport: options,
@@ -126,7 +127,8 @@
 	defer g.pool.Close()
 	defer g.batch.Close()
 	failed := make(chan error, 2)
-	ready := &http.Server{Addr: g.settings.ListenReady, Handler: http.HandlerFunc(g.serveReady), ReadTimeout: time.Minute}
+	ready := &http.Server{Addr: g.settings.ListenReady, Handler: http.HandlerFunc(g.serveReady),
+		ReadTimeout: time.Minute}
 	go func() { failed <- fmt.Errorf("listen.ready: %w", ready.ListenAndServe()) }()
 	defer ready.Close()
 	g.shareLoads(ctx)
@@ -158,7 +160,8 @@
 	if ablation.Off(ablation.SharedLoad) {
 		return
 	}
-	sharing, err := serverload.Listen(g.proxy.Selector.Loads(), g.process, g.settings.Port(node.PortLoad), g.subscription.Members)
+	sharing, err := serverload.Listen(g.proxy.Selector.Loads(), g.process, g.settings.Port(node.PortLoad),
+		g.subscription.Members)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("shared_loads_off")
 		return
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -136,11 +136,13 @@
 // WritePrometheus writes the totals in Prometheus' text format.
 func (c *Counts) WritePrometheus(w io.Writer) error {
 	const name = "sprucelane_requests_total"
-	if _, err := fmt.Fprintf(w, "# HELP %s Clients' requests by what became of them.\n# TYPE %s counter\n", name, name); err != nil {
+	_, err := fmt.Fprintf(w, "# HELP %s Clients' requests by what became of them.\n# TYPE %s counter\n", name, name)
+	if err != nil {
 		return err
 	}
 	for _, one := range c.Totals() {
-		if _, err := fmt.Fprintf(w, "%s{route=%q,outcome=%q} %d\n", name, one.Route, one.Outcome, one.Count); err != nil {
+		_, err := fmt.Fprintf(w, "%s{route=%q,outcome=%q} %d\n", name, one.Route, one.Outcome, one.Count)
+		if err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -53,9 +53,11 @@
 	server := reservation.Server
 	q.tried = append(q.tried, server.Number)
 	defer func() { reservation.Done(time.Now(), serverselection.Abandoned) }() // unless a result was reported before
-	exchange, end := q.proxy.Pool.Send(q.r.Context(), &pool.Request{Server: server.Number, Deadline: q.deadline, Method: q.r.Method,
-		WriteHead: func(b *bytes.Buffer) { q.writeRequestHead(b, server.ID) }, Body: q.body.bytes,
-		MaySend: func() bool { return !q.clientLeft() && q.maySend(time.Now()) }})
+	exchange, end := q.proxy.Pool.Send(q.r.Context(), &pool.Request{
+		Server: server.Number, Deadline: q.deadline, Method: q.r.Method, Body: q.body.bytes,
+		WriteHead: func(b *bytes.Buffer) { q.writeRequestHead(b, server.ID) },
+		MaySend:   func() bool { return !q.clientLeft() && q.maySend(time.Now()) },
+	})
 	if exchange == nil {
 		return q.handleUnsent(reservation, end)
 	}
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -25,7 +25,8 @@
 }
 
 // read reads the complete body, until a deadline.
-func (b *body) read(w http.ResponseWriter, r *http.Request, limit int, budget *buffers.Budget, deadline time.Time) *errorResponse {
+func (b *body) read(w http.ResponseWriter, r *http.Request, limit int, budget *buffers.Budget,
+	deadline time.Time) *errorResponse {
 	defer func() { b.readAt = time.Now() }()
 	if r.ContentLength == 0 {
 		return nil
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -57,8 +57,9 @@
 func (q *request) recordAnswer(reservation *serverselection.Reservation, header http.Header) {
 	load, _ := serverload.Parse(header.Get(serverload.Header))
 	now := time.Now()
-	attempt := outcomes.Attempt{Latency: now.Sub(q.arrived), Target: q.route.TargetLatency(), EarlierAttempts: len(q.tried) - 1,
-		PrefillTokens: reservation.PrefillTokens(), InFlight: reservation.ReportedInFlight(), Queued: load.Waiting, Slots: load.Slots}
+	attempt := outcomes.Attempt{Latency: now.Sub(q.arrived), Target: q.route.TargetLatency(),
+		EarlierAttempts: len(q.tried) - 1, PrefillTokens: reservation.PrefillTokens(),
+		InFlight: reservation.ReportedInFlight(), Queued: load.Waiting, Slots: load.Slots}
 	outcome := outcomes.Classify(attempt)
 	q.count(outcome)
 	if outcome == outcomes.InTime {
@@ -70,7 +71,8 @@
 	}
 	q.proxy.Log.Info().Str("route", q.route.Name).Str("reason", string(outcome)).Dur("took", attempt.Latency).
 		Dur("read", q.body.readAt.Sub(q.arrived)).Dur("sent", q.sentAt.Sub(q.arrived)).
-		Str("server", reservation.Server.ID).Str("zone", reservation.Server.Zone).Int("earlier", attempt.EarlierAttempts).
-		Int("prompt", q.admission.Workload.PromptTokens).Int("unread", attempt.PrefillTokens).Int("present", attempt.InFlight).
+		Str("server", reservation.Server.ID).Str("zone", reservation.Server.Zone).
+		Int("earlier", attempt.EarlierAttempts).Int("prompt", q.admission.Workload.PromptTokens).
+		Int("unread", attempt.PrefillTokens).Int("present", attempt.InFlight).
 		Int("waiting", attempt.Queued).Int("places", attempt.Slots).Int64("skipped", skipped).Msg("late_answer")
 }
--- a/internal/gateway/proxy/selection.go
+++ b/internal/gateway/proxy/selection.go
@@ -18,7 +18,8 @@
 	}
 	reservation := q.proxy.Selector.Pick(time.Now(), &serverselection.Criteria{Workload: q.admission.Workload,
 		Servers: table.ForBackend(q.admission.Backend), Exclude: q.tried, MaxInFlight: q.maxInFlight()})
-	if reservation != nil && reservation.PrefillTokens() >= serverload.MinAnnouncedTokens && q.proxy.AnnouncePrefill != nil {
+	if reservation != nil && reservation.PrefillTokens() >= serverload.MinAnnouncedTokens &&
+		q.proxy.AnnouncePrefill != nil {
 		q.proxy.AnnouncePrefill(reservation.Server.Hash, reservation.PrefillTokens())
 	}
 	return reservation
--- a/internal/gateway/quotaclient/rejection_log.go
+++ b/internal/gateway/quotaclient/rejection_log.go
@@ -42,7 +42,8 @@
 	}
 	r.next = now + rejectionLogInterval
 	for tenant, one := range r.tenants {
-		log.Info().Str("tenant", tenant).Int("over_limit", one.overLimit).Int("no_allocator", one.unreachable).Msg("quota_refused")
+		log.Info().Str("tenant", tenant).Int("over_limit", one.overLimit).
+			Int("no_allocator", one.unreachable).Msg("quota_refused")
 	}
 	clear(r.tenants)
 }
--- a/internal/gateway/ready_port.go
+++ b/internal/gateway/ready_port.go
@@ -43,7 +43,8 @@
 		case <-ticker.C:
 		}
 		for _, one := range g.proxy.Outcomes.Delta() {
-			g.log.Info().Str("route", one.Route).Str("outcome", string(one.Outcome)).Uint64("requests", one.Count).Msg("outcomes")
+			g.log.Info().Str("route", one.Route).Str("outcome", string(one.Outcome)).
+				Uint64("requests", one.Count).Msg("outcomes")
 		}
 	}
 }
--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -27,7 +27,8 @@
 )
 
 // cost estimates how long a request waits for its first token at a server, in tokens. mu is held.
-func (s *Selector) cost(now time.Time, server *endpoints.Server, state *serverState, workload *Workload, preferred affinityOrder) float64 {
+func (s *Selector) cost(now time.Time, server *endpoints.Server, state *serverState, workload *Workload,
+	preferred affinityOrder) float64 {
 	cached := state.cache.cachedTokens(workload.Prefixes, now)
 	if shared := workload.shared(); len(shared) > 0 {
 		all := float64(shared[len(shared)-1].Tokens)
@@ -37,7 +38,8 @@
 	if server.Zone != s.zone && !ablation.Off(ablation.ZonePreference) {
 		cost += crossZoneCost
 	}
-	return cost + s.announcedPrefill(now, server) + state.stallPenalty(now) + s.latencyPenalty(now, state) + jitter*s.random.Float64()
+	return cost + s.announcedPrefill(now, server) + state.stallPenalty(now) + s.latencyPenalty(now, state) +
+		jitter*s.random.Float64()
 }
 
 // announcedPrefill returns the tokens of long prompts from other processes that a server is still reading.
--- a/internal/serverload/datagram.go
+++ b/internal/serverload/datagram.go
@@ -59,10 +59,12 @@
 	for i := range reports {
 		report := &reports[i]
 		out = binary.BigEndian.AppendUint64(out, report.Server)
-		for _, number := range [4]int{report.Load.Running, report.Load.Waiting, report.Load.Slots, int(report.Age.Milliseconds())} {
+		for _, number := range [4]int{report.Load.Running, report.Load.Waiting, report.Load.Slots,
+			int(report.Age.Milliseconds())} {
 			out = binary.BigEndian.AppendUint16(out, uint16(min(max(number, 0), maxCount)))
 		}
-		out = append(out, byte(min(report.Results.Served+0.5, maxResults)), byte(min(report.Results.Failed+0.5, maxResults)))
+		out = append(out, byte(min(report.Results.Served+0.5, maxResults)),
+			byte(min(report.Results.Failed+0.5, maxResults)))
 	}
 	return out
 }
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -60,7 +60,8 @@
 }
 
 func newResults() results {
-	return results{unsent: map[uint64]Results{}, sums: map[uint64]*decayingResults{}, verdicts: map[uint64]decayingResults{}}
+	return results{unsent: map[uint64]Results{}, sums: map[uint64]*decayingResults{},
+		verdicts: map[uint64]decayingResults{}}
 }
 
 // add adds to a server's sums.
@@ -109,7 +110,8 @@
 func (t *Table) Failing(now time.Time, server uint64) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	if verdict, found := t.results.verdicts[server]; found && now.Sub(verdict.updatedAt) <= verdictTTL && verdict.failing() {
+	if verdict, found := t.results.verdicts[server]; found && now.Sub(verdict.updatedAt) <= verdictTTL &&
+		verdict.failing() {
 		return true
 	}
 	sum := t.results.sums[server]
--- a/internal/serverload/targets.go
+++ b/internal/serverload/targets.go
@@ -33,7 +33,8 @@
 	s.membersVersion = members.Version
 	aggregators := aggregatorsByZone(members.Gateways)
 	next := &targets{}
-	isAggregator := slices.ContainsFunc(aggregators[s.self.Zone], func(one protocol.Process) bool { return one.Node == s.self.Node })
+	isAggregator := slices.ContainsFunc(aggregators[s.self.Zone],
+		func(one protocol.Process) bool { return one.Node == s.self.Node })
 	for _, zone := range slices.Sorted(maps.Keys(aggregators)) {
 		var ofZone []netip.AddrPort
 		for _, one := range aggregators[zone] {
