--- a/coord/replica/norace_test.go
+++ b/coord/replica/norace_test.go
@@ -2,8 +2,8 @@
 
 package replica
 
-// plainWorlds is the number of random worlds that are played by default.
+// defaultRuns is the number of random runs without SEEDS.
 const defaultRuns = 200
 
-// hazardWorlds is the number of worlds for each kind of trouble alone.
+// runsPerFault is the number of runs with each kind of fault alone.
 const runsPerFault = 5
--- a/coord/replica/race_test.go
+++ b/coord/replica/race_test.go
@@ -2,9 +2,8 @@
 
 package replica
 
-// plainWorlds is the number of random worlds that are played by default: the race detector slows
-// them down several times, and they run in one goroutine each.
-const plainWorlds = 40
+// defaultRuns is the number of random runs without SEEDS: the race detector slows each down several times.
+const defaultRuns = 40
 
-// hazardWorlds is the number of worlds for each kind of trouble alone.
-const hazardWorlds = 1
+// runsPerFault is the number of runs with each kind of fault alone.
+const runsPerFault = 1
