--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -1,5 +1,9 @@
-// Command sprucelane-control is the control plane's process: it keeps the operator's configuration with the other control
-// processes, answers the operator, reads the platform's list of servers and tells gateways and batch processes what they need.
+// Command sprucelane-control is a process of the control plane (internal/control): with the other control processes
+// it keeps the operator's configuration and the store membership, serves the operator's API, reads the platform's
+// list of servers, and sends gateways and batch processes what they need.
+//
+// The exit code is 0 after SIGTERM, 1 if the process can't start, and 2 if flags or settings are invalid. SIGHUP
+// makes it read the settings file again, as does a change of the file.
 package main
 
 import (
@@ -7,31 +11,21 @@
 	"fmt"
 	"os"
 	"runtime/debug"
-	"time"
 
 	"github.com/jessevdk/go-flags"
-	"github.com/rs/zerolog"
 
 	"sprucelane.example/sprucelane/internal/control"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/node/program"
 )
 
-// Exit codes.
+// Limits of the Go runtime's memory. The process's memory is paid for, so the heap may grow by half, not by all,
+// between two collections, and the collector works harder the closer the heap comes to the limit.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	gcPercent          = 50 // as GOGC
+	memoryLimitPercent = 60 // of limits.memory-mb, as GOMEMLIMIT
 )
 
-// Memory is priced: the heap grows by half before it is collected, and collection turns eager near the limit.
-const (
-	gcPercent          = 50 // percent
-	memoryLimitPercent = 60 // of the process's limit
-)
-
-// settingsLook is how often the settings file is looked at: it may change without a signal.
-const settingsPollInterval = 2 * time.Second
-
 // arguments are the command's flags.
 type arguments struct {
 	Settings string `long:"settings" env:"SPRUCELANE_SETTINGS" value-name:"FILE" description:"settings file"`
@@ -41,6 +35,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run runs the command and returns its exit code.
 func run(args []string) int {
 	signals := program.CatchSignals()
 	var given arguments
@@ -53,45 +48,27 @@
 	settings, err := load(given.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitSettings
+		return program.ExitUsage
 	}
 	if given.Check {
 		fmt.Println("the settings are in order")
-		return 0
+		return program.ExitOK
 	}
 	return serve(settings, given, signals)
 }
 
-// parsed ends after flags that don't ask for a start.
+// exitAfterParse returns the exit code when the flags don't ask for a start: 0 after --help.
 func exitAfterParse(err error) int {
-	var told *flags.Error
-	if errors.As(err, &told) && told.Type == flags.ErrHelp {
-		fmt.Println(told.Message)
-		return 0
+	var flagError *flags.Error
+	if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
+		fmt.Println(flagError.Message)
+		return program.ExitOK
 	}
 	fmt.Fprintln(os.Stderr, err)
-	return exitSettings
-}
-
-// load reads and checks the settings, also for what only control needs.
-func load(path string) (*node.Settings, error) {
-	if path == "" {
-		return node.Load()
-	}
-	settings, err := node.LoadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	var findings node.Findings
-	if settings.ListenControl == "" {
-		findings.Addf(path+": listen.control", "is missing: the role serves control")
-	}
-	if len(settings.Seeds) == 0 {
-		findings.Addf(path+": seeds", "names no control process")
-	}
-	return settings, findings.OrNil()
+	return program.ExitUsage
 }
 
+// serve runs the control process until it is terminated.
 func serve(settings *node.Settings, given arguments, signals *program.Signals) int {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(int64(settings.Limits.MemoryMB) << 20 * memoryLimitPercent / 100)
@@ -99,48 +76,9 @@
 	process, err := control.Start(control.Options{Settings: settings, Log: log})
 	if err != nil {
 		log.Error().Err(err).Msg("start-failed")
-		return exitFailed
+		return program.ExitFailed
 	}
 	watch(process, given.Settings, signals, log)
 	process.Stop()
-	return 0
-}
-
-// watch waits for the signal to end, and reads the settings again when told to or when the file changes.
-func watch(process *control.Control, path string, signals *program.Signals, log zerolog.Logger) {
-	look := time.NewTicker(settingsPollInterval)
-	defer look.Stop()
-	changed := modifiedAt(path)
-	for {
-		select {
-		case <-signals.Terminations():
-			return
-		case <-signals.Reloads():
-		case <-look.C:
-			newest := modifiedAt(path)
-			if newest.Equal(changed) {
-				continue
-			}
-			changed = newest
-		}
-		reload(process, path, log)
-	}
-}
-
-func modifiedAt(path string) time.Time {
-	info, err := os.Stat(path)
-	if err != nil {
-		return time.Time{}
-	}
-	return info.ModTime()
-}
-
-// reload takes new settings in. Settings with findings change nothing.
-func reload(process *control.Control, path string, log zerolog.Logger) {
-	settings, err := load(path)
-	if err != nil {
-		log.Error().Err(err).Msg("settings-not-reloaded")
-		return
-	}
-	process.Reload(settings)
+	return program.ExitOK
 }
--- a/internal/control/schema/configuration.cue
+++ b/internal/control/schema/configuration.cue
@@ -1,5 +1,6 @@
-// The shape of the operator's configuration. Definitions are open: members that are not named here are kept and passed over.
-// What spans several items (references, shared keys, one place for two routes) is checked in Go, where every replica does.
+// The shape of the operator's configuration. Definitions are open: fields that are not named here are kept and ignored.
+// What concerns several items (references, shared keys, two routes of the same address) is checked by package configuration,
+// on every replica.
 package configuration
 
 #Name: string & !=""
--- a/internal/control/schema/schema.go
+++ b/internal/control/schema/schema.go
@@ -1,6 +1,3 @@
-// Package schema checks the shape of the operator's configurations with CUE, so that everything that is wrong with one is told
-// at once, each with its path, line and column. It must never decide alone that a configuration is valid: package configuration
-// does, on every replica.
 package schema
 
 import (
@@ -18,18 +15,20 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
+// source is the CUE schema.
+//
 //go:embed configuration.cue
 var source string
 
-// findingsMost bounds how many findings of one document are told.
+// maxFindings limits the findings about one document.
 const maxFindings = 100
 
-// bytesMost bounds the texts that are checked here: CUE takes 0.35 ms and 45 KB a route. Longer ones have only the check in
-// package configuration, which names the first fault of each item in place of all.
+// maxCheckedBytes limits the documents that are checked here: CUE takes 0.35 ms and 45 KB for each route. Larger
+// ones are checked by package configuration only, which names the first fault of each item in place of all.
 const maxCheckedBytes = 512 << 10
 
-// Check gives what is wrong with the shape of a document, or of a patch. A context of CUE keeps what it has seen, so each check
-// has one of its own.
+// Check returns what is wrong with the shape of a document or, where patch is set, of a patch. Each call uses a CUE
+// context of its own, as a context keeps everything that it has compiled.
 func Check(body []byte, patch bool) node.Findings {
 	if len(body) > maxCheckedBytes {
 		return nil
@@ -45,6 +44,7 @@
 	return findings(value.Validate(cue.Concrete(true), cue.All()))
 }
 
+// definitionName returns the name of the schema's definition for a document or a patch.
 func definitionName(patch bool) string {
 	if patch {
 		return "#Patch"
@@ -52,6 +52,7 @@
 	return "#Document"
 }
 
+// findings converts the errors of CUE.
 func findings(err error) node.Findings {
 	var list node.Findings
 	for _, one := range errors.Errors(err) {
@@ -66,11 +67,13 @@
 	return list
 }
 
-// aboutAlternative tells what is said only because null would have been allowed too; the fault itself stands beside it.
+// fromNullAlternative reports whether a finding says only that null would have been allowed; the fault itself has a
+// finding of its own.
 func fromNullAlternative(text string) bool {
 	return strings.Contains(text, "errors in empty disjunction") || strings.HasSuffix(text, "and null)")
 }
 
+// finding converts one error of CUE.
 func finding(err errors.Error) node.Finding {
 	format, arguments := err.Msg()
 	place := documentPath(err.Path())
@@ -80,7 +83,7 @@
 	return node.Finding{Place: place, Text: fmt.Sprintf(format, arguments...)}
 }
 
-// bodyPosition finds the position in the operator's text among those of an error.
+// bodyPosition returns the position in the operator's text among those of an error.
 func bodyPosition(err errors.Error) (token.Pos, bool) {
 	for _, at := range errors.Positions(err) {
 		if at.Filename() == "body" {
@@ -90,7 +93,7 @@
 	return token.NoPos, false
 }
 
-// documentPath writes a path as the other findings do: routes[3].timeout-ms.
+// documentPath writes a path as package configuration does: routes[3].timeout-ms.
 func documentPath(path []string) string {
 	var out strings.Builder
 	for _, part := range path {
--- a/internal/control/schema/schema_test.go
+++ b/internal/control/schema/schema_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	Convey("What is right has no findings, members of later versions included", t, func() {
+	Convey("A valid document has no findings, also with fields of later versions", t, func() {
 		So(Check(patchOf(3), true), ShouldBeEmpty)
 		So(Check([]byte(`{"generation":3,"routes":[],"backends":[{"name":"b","later":{"a":[1]}}],"later":1}`), false), ShouldBeEmpty)
 		So(Check([]byte(`{"generation":3.0,"routes":[{"name":"r","hostname":"h","path-prefix":"/","backend":null,"traffic-split":null}],"backends":[]}`), false), ShouldBeEmpty)
@@ -61,7 +61,7 @@
 			"tenants[0].burst (line 4, column 63)",
 		})
 	})
-	Convey("What isn't there is named", t, func() {
+	Convey("A missing field is named", t, func() {
 		So(Check([]byte(`{"generation":1,"backends":[]}`), false).Error(), ShouldContainSubstring, "routes")
 	})
 }
