--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -67,7 +67,7 @@
 }
 
 // play plays a round, and tells whether all is well after it.
-func (r *faultRound) play() bool {
+func (r *faultRound) run() bool {
 	for range 2 + r.random.IntN(2) {
 		kind := deploymentFaults[r.random.IntN(len(deploymentFaults))]
 		strike := kind.prepare(r)
@@ -406,14 +406,14 @@
 	return func(down time.Duration) {
 		r.logf("%v: the disk stands still", v)
 		for _, i := range v.controls {
-			r.bubbleSystem.disks[i].SetStalled(true)
+			r.simulatedSystem.disks[i].SetStalled(true)
 		}
 		for _, s := range v.stores {
 			s.disk.SlowSyncs(40)
 		}
 		time.Sleep(down)
 		for _, i := range v.controls {
-			r.bubbleSystem.disks[i].SetStalled(false)
+			r.simulatedSystem.disks[i].SetStalled(false)
 		}
 		for _, s := range v.stores {
 			s.disk.SlowSyncs(1)
@@ -498,7 +498,7 @@
 			time.Sleep(down)
 		}
 		r.lock.Lock()
-		r.removed[spare] = false
+		r.removedControls[spare] = false
 		r.lock.Unlock()
 		r.startControl(spare)
 		if planned {
@@ -523,7 +523,7 @@
 // removeControl takes a control machine away for good.
 func (w *deployment) removeControl(i int, how func(i int)) {
 	w.lock.Lock()
-	w.removed[i] = true
+	w.removedControls[i] = true
 	w.lock.Unlock()
 	w.haltControls([]int{i}, how)
 }
@@ -549,7 +549,7 @@
 		w.logf("%d control machines, %d stores, %d disks may be lost", members, stores, tolerance)
 		well := (&faultRound{deployment: w}).checkRecovery()
 		for number := 0; well && number < deploymentRounds; number++ {
-			well = w.newRound().play()
+			well = w.newRound().run()
 		}
 		w.finalCheck()
 	})
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -39,7 +39,7 @@
 
 // deployment is one world.
 type deployment struct {
-	*bubbleSystem
+	*simulatedSystem
 	seed        uint64
 	random      *rand.Rand // of the troubles
 	began       time.Time
@@ -52,7 +52,7 @@
 	lock                 sync.Mutex // of all below
 	over                 bool
 	stores               []*deployedStore
-	removed              map[int]bool // control processes that are gone for good, or haven't come yet
+	removedControls      map[int]bool // control processes that are gone for good, or haven't come yet
 	jobs                 []*deployedJob
 	calm                 bool // no new batch jobs
 	bulk                 int  // changes of the configuration that are to come at once
@@ -95,8 +95,8 @@
 
 func newDeployment(t *testing.T, seed uint64, members, stores, tolerance int) *deployment {
 	w := &deployment{seed: seed, random: rand.New(rand.NewPCG(seed, 21)), began: time.Now(), tolerance: tolerance,
-		removed: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
-	w.bubbleSystem = newSizedSystem(t, seed, members, tolerance, func(r Replica) Replica { return &recordingReplica{Replica: r, deployment: w} }, false)
+		removedControls: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
+	w.simulatedSystem = newSystemWith(t, seed, members, tolerance, func(r Replica) Replica { return &recordingReplica{Replica: r, deployment: w} }, false)
 	if status := w.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
@@ -130,7 +130,7 @@
 	w.disks = append(w.disks, bubble.NewDisk(w.seed*8+uint64(i)))
 	w.hosts = append(w.hosts, w.network.StartHost(settings.IP))
 	w.running = append(w.running, nil)
-	w.removed[i] = true
+	w.removedControls[i] = true
 }
 
 // everyStore gives all stores, those that are gone included.
@@ -153,7 +153,7 @@
 	defer w.lock.Unlock()
 	var list []int
 	for i := range w.settings {
-		if !w.removed[i] {
+		if !w.removedControls[i] {
 			list = append(list, i)
 		}
 	}
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -12,7 +12,7 @@
 func TestEviction(t *testing.T) {
 	const within = 2900 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		s := newBubbleSystem(t, 5, nil)
+		s := newSimulatedSystem(t, 5, nil)
 		store := s.startPoller(t, 1, storeProcess(1, "a"))
 		other := s.startPoller(t, 2, storeProcess(2, "a"))
 		for range 5 {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -31,7 +31,7 @@
 
 // cutScene is a system in which one control process is cut off.
 type partitionTest struct {
-	*bubbleSystem
+	*simulatedSystem
 	victim, other int
 	gateway       *simulatedPoller // that polls the victim all the time
 	stores        []*simulatedPoller
@@ -52,7 +52,7 @@
 }
 
 func newPartitionTest(t *testing.T, one partitionCase, spoil func(Replica) Replica) *partitionTest {
-	s := &partitionTest{bubbleSystem: newBubbleSystem(t, 1, spoil)}
+	s := &partitionTest{simulatedSystem: newSimulatedSystem(t, 1, spoil)}
 	if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
@@ -121,7 +121,7 @@
 }
 
 // play cuts the victim off while the others go on, and checks what it tells meanwhile and does afterwards.
-func (s *partitionTest) play(one partitionCase) {
+func (s *partitionTest) run(one partitionCase) {
 	t := s.t
 	s.partition(s.victim, one.out, one.in)
 	cutAt := time.Now()
@@ -188,7 +188,7 @@
 // playCut plays one case and gives what was broken.
 func runPartition(t *testing.T, one partitionCase, spoil func(Replica) Replica) []string {
 	s := newPartitionTest(t, one, spoil)
-	s.play(one)
+	s.run(one)
 	s.finish()
 	return s.violations
 }
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -51,7 +51,7 @@
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newBubbleSystem(t, 3, nil)
+				s := newSimulatedSystem(t, 3, nil)
 				store := s.startPoller(t, 0, storeProcess(1, "a"))
 				eventually(t, "a lease", store.locked(func() bool { return store.grant.Lease > 0 }))
 				c := s.running[0]
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -22,7 +22,7 @@
 // serviceWorld is whole control processes with gateways, batch processes and an operator, in virtual time and under
 // random troubles.
 type serviceSimulation struct {
-	*bubbleSystem
+	*simulatedSystem
 	random *rand.Rand // of the troubles
 	began  time.Time
 	end    time.Duration
@@ -48,11 +48,11 @@
 }
 
 func newServiceSimulation(t *testing.T, seed uint64, end time.Duration, spoil func(Replica) Replica, lenient bool) *serviceSimulation {
-	return &serviceSimulation{bubbleSystem: newInjectedBugSystem(t, seed, spoil, lenient), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(), end: end,
+	return &serviceSimulation{simulatedSystem: newBuggySystem(t, seed, spoil, lenient), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(), end: end,
 		leases: map[protocol.Process]time.Time{}, newest: map[string]string{}, partitioned: -1}
 }
 
-func (w *serviceSimulation) over() bool { return time.Since(w.began) > w.end }
+func (w *serviceSimulation) isOver() bool { return time.Since(w.began) > w.end }
 
 func (w *serviceSimulation) logf(format string, arguments ...any) {
 	w.events = append(w.events, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, arguments...))
@@ -67,9 +67,9 @@
 // operate sends one change after the other.
 func (w *serviceSimulation) operate(random *rand.Rand) {
 	last := uint64(7)
-	for !w.over() {
+	for !w.isOver() {
 		order := fmt.Sprintf(`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["k%d"],"rate-per-s":10,"burst":10}]}}`, last+1, last+1)
-		for !w.over() {
+		for !w.isOver() {
 			if status, _ := w.call(random.IntN(3), "PATCH", "/config", strconv.FormatUint(last, 10), order); status == 200 {
 				last++
 				w.lock.Lock()
@@ -106,10 +106,10 @@
 
 // run polls over several lives.
 func (r *simulatedSubscriber) run() {
-	for !r.simulation.over() {
+	for !r.simulation.isOver() {
 		r.restart()
 		till := time.Now().Add(5*time.Second + time.Duration(r.random.Int64N(int64(20*time.Second))))
-		for !r.simulation.over() && time.Now().Before(till) {
+		for !r.simulation.isOver() && time.Now().Before(till) {
 			r.subscribe(r.random.IntN(3), till)
 		}
 		time.Sleep(time.Duration(r.random.Int64N(int64(4 * time.Second))))
@@ -137,7 +137,7 @@
 	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.take, nil)
 	defer client.Close()
 	vouched := time.Now()
-	for sequence := uint64(1); time.Since(vouched) < 700*time.Millisecond && time.Now().Before(till) && !w.over(); sequence++ {
+	for sequence := uint64(1); time.Since(vouched) < 700*time.Millisecond && time.Now().Before(till) && !w.isOver(); sequence++ {
 		sent := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		reply, err := client.Call(ctx, r.nextPoll(sequence))
@@ -208,7 +208,7 @@
 
 // watch holds the changes of the set to what leases say.
 func (w *serviceSimulation) watchMembers() {
-	for !w.over() {
+	for !w.isOver() {
 		w.mutex.Lock()
 		running := slices.Clone(w.running)
 		w.mutex.Unlock()
@@ -249,7 +249,7 @@
 // trouble brings one trouble after the other.
 func (w *serviceSimulation) injectFaults() {
 	time.Sleep(4 * time.Second)
-	for !w.over() {
+	for !w.isOver() {
 		victim, span := w.random.IntN(3), 200*time.Millisecond+time.Duration(w.random.Int64N(int64(3*time.Second)))
 		other := (victim + 1 + w.random.IntN(2)) % 3
 		kind := w.random.IntN(7)
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -25,7 +25,7 @@
 )
 
 // bubbleSystem is a system in memory, in virtual time, with the platform and an operator.
-type bubbleSystem struct {
+type simulatedSystem struct {
 	*system
 	t              *testing.T
 	network        *bubble.Network
@@ -39,17 +39,17 @@
 }
 
 // newBubbleSystem starts three control processes. Call it in a bubble.
-func newBubbleSystem(t *testing.T, seed uint64, spoil func(Replica) Replica) *bubbleSystem {
-	return newInjectedBugSystem(t, seed, spoil, false)
+func newSimulatedSystem(t *testing.T, seed uint64, spoil func(Replica) Replica) *simulatedSystem {
+	return newBuggySystem(t, seed, spoil, false)
 }
 
-func newInjectedBugSystem(t *testing.T, seed uint64, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
-	return newSizedSystem(t, seed, 3, 1, spoil, lenient)
+func newBuggySystem(t *testing.T, seed uint64, spoil func(Replica) Replica, lenient bool) *simulatedSystem {
+	return newSystemWith(t, seed, 3, 1, spoil, lenient)
 }
 
 // newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance says.
-func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, spoil func(Replica) Replica, lenient bool) *bubbleSystem {
-	s := &bubbleSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.NewNetwork(seed), others: map[string]*bubble.Host{}}
+func newSystemWith(t *testing.T, seed uint64, members, tolerance int, spoil func(Replica) Replica, lenient bool) *simulatedSystem {
+	s := &simulatedSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.NewNetwork(seed), others: map[string]*bubble.Host{}}
 	s.dialFrom = func(ip string) func(context.Context, string) (net.Conn, error) { return s.host(ip).Dial }
 	s.client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -77,7 +77,7 @@
 }
 
 // host gives the machine of somebody else than control.
-func (s *bubbleSystem) host(ip string) *bubble.Host {
+func (s *simulatedSystem) host(ip string) *bubble.Host {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.others[ip] == nil {
@@ -86,7 +86,7 @@
 	return s.others[ip]
 }
 
-func (s *bubbleSystem) servePlatform() {
+func (s *simulatedSystem) servePlatform() {
 	listener, err := s.host("10.0.1.1").Listen(platformAddress)
 	if err != nil {
 		s.t.Fatal(err)
@@ -101,14 +101,14 @@
 	s.t.Cleanup(func() { _ = server.Close() })
 }
 
-func (s *bubbleSystem) setServers(servers string) {
+func (s *simulatedSystem) setServers(servers string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.servers = servers
 }
 
 // begin starts a control process.
-func (s *bubbleSystem) begin(i int) {
+func (s *simulatedSystem) begin(i int) {
 	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
 	around := &environment{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), wrapReplica: s.wrapReplica, leaseSuspected: s.leaseSuspected}
 	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: around})
@@ -121,7 +121,7 @@
 }
 
 // finish ends all.
-func (s *bubbleSystem) finish() {
+func (s *simulatedSystem) finish() {
 	for i := range s.running {
 		if s.running[i] != nil {
 			s.running[i].Stop()
@@ -131,7 +131,7 @@
 }
 
 // head gives which process heads the chain.
-func (s *bubbleSystem) head() int {
+func (s *simulatedSystem) head() int {
 	for i, one := range s.running {
 		if one != nil {
 			if _, _, ok := one.replica.Lead(); ok {
@@ -143,7 +143,7 @@
 }
 
 // cut cuts a control process off from the others.
-func (s *bubbleSystem) partition(victim int, out, in bool) {
+func (s *simulatedSystem) partition(victim int, out, in bool) {
 	for i := range s.settings {
 		if i != victim && out {
 			s.network.Partition(s.settings[victim].IP, s.settings[i].IP)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s *bubbleSystem) heal(victim int) {
+func (s *simulatedSystem) heal(victim int) {
 	for i := range s.settings {
 		s.network.Heal(s.settings[victim].IP, s.settings[i].IP)
 		s.network.Heal(s.settings[i].IP, s.settings[victim].IP)
@@ -162,7 +162,7 @@
 }
 
 // askQuota asks a process for tokens and tells whether it grants any.
-func (s *bubbleSystem) askQuota(i int, sequence uint64) bool {
+func (s *simulatedSystem) askQuota(i int, sequence uint64) bool {
 	process := protocol.Process{Node: "gateway-q", Role: protocol.RoleGateway, IP: "10.0.3.99", Incarnation: "x"}
 	client := transport.NewClient(s.settings[i].Endpoint(node.PortControl),
 		transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role}, Dial: s.host(process.IP).Dial}, nil, nil)
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -20,7 +20,7 @@
 )
 
 // losePower ends a control process without a word, with what its disk hasn't synced.
-func (s *bubbleSystem) losePower(i int) {
+func (s *simulatedSystem) losePower(i int) {
 	s.hosts[i].LosePower()
 	s.disks[i].LosePower()
 	s.mutex.Lock()
@@ -41,7 +41,7 @@
 }
 
 // fillLog has the disks of all control processes take a snapshot of what is acknowledged.
-func (s *bubbleSystem) fillLog(t *testing.T) {
+func (s *simulatedSystem) fillLog(t *testing.T) {
 	const changes, bytes = 10, 150 << 10 // more than a log takes before it is compacted
 	last := uint64(7)
 	for range changes {
@@ -59,7 +59,7 @@
 // long ago.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newBubbleSystem(t, 1, nil)
+		s := newSimulatedSystem(t, 1, nil)
 		defer s.finish()
 		if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 			t.Fatal(status)
@@ -178,7 +178,7 @@
 // TestEmptiedStoreGoesOn has a batch process go on polling after its retirement was completed and it left the set.
 func TestDrainedStoreKeepsPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newBubbleSystem(t, 1, nil)
+		s := newSimulatedSystem(t, 1, nil)
 		defer s.finish()
 		var stores []*simulatedPoller
 		for i := range 4 {
@@ -210,7 +210,7 @@
 }
 
 // ordered gives how many orders the chain has taken.
-func (s *bubbleSystem) commandsApplied(t *testing.T) uint64 {
+func (s *simulatedSystem) commandsApplied(t *testing.T) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	index, err := s.running[0].replica.Read(ctx)
