--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -180,10 +180,15 @@
 // transportOptions are the settings of connections to and from gateways, batch processes and other control
 // processes.
 func (c *Control) transportOptions() transport.Options {
-	return transport.Options{Identity: c.identity(), Dial: c.environment.dial, MaxFrame: maxFrameBytes, Heartbeat: heartbeatInterval,
+	return transport.Options{
+		Identity:  c.identity(),
+		Dial:      c.environment.dial,
+		MaxFrame:  maxFrameBytes,
+		Heartbeat: heartbeatInterval,
 		Log: func(event string, err error, remote string) {
 			c.log.Debug().Err(err).Str("remote", remote).Msg(event)
-		}}
+		},
+	}
 }
 
 // serve opens the ports and starts the loops.
@@ -210,8 +215,12 @@
 	if c.settings.Cloud.Address != "" {
 		c.run(c.readLoop)
 	}
-	c.log.Info().Str("control", c.settings.ListenControl).Str("data", c.settings.DataDir).Bool("bootstrap", c.settings.Bootstrap).
-		Uint64("store_epoch", c.state.Stores().Epoch).Msg("started")
+	c.log.Info().
+		Str("control", c.settings.ListenControl).
+		Str("data", c.settings.DataDir).
+		Bool("bootstrap", c.settings.Bootstrap).
+		Uint64("store_epoch", c.state.Stores().Epoch).
+		Msg("started")
 	return nil
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,7 +15,7 @@
 
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
-// put sends a change to one process after the other until it has a clear answer.
+// put sends a change to one process after the other until it has a definite answer.
 func (s *system) put(t *testing.T, method, ifMatch, body string) int {
 	t.Helper()
 	var status int
@@ -38,14 +38,27 @@
 func TestSystem(t *testing.T) {
 	cloud := newFakePlatform(t)
 	s := newSystem(t, strings.TrimPrefix(cloud.URL, "http://"))
-	gateway := s.startPoller(t, 1, protocol.Process{Node: "front-9", Role: protocol.RoleGateway, Zone: "z1", IP: "127.0.0.9", Incarnation: "x"})
+	gateway := s.startPoller(
+		t,
+		1,
+		protocol.Process{Node: "front-9", Role: protocol.RoleGateway, Zone: "z1", IP: "127.0.0.9", Incarnation: "x"},
+	)
 	if status := s.put(t, "PUT", "0", document); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(t, "the configuration at the gateway", gateway.locked(func() bool { return gateway.configuration.Current().Generation == 7 }))
-	eventually(t, "the list of servers at the gateway", gateway.locked(func() bool { return gateway.servers != nil && len(gateway.servers.Servers) == 2 }))
+	eventually(
+		t,
+		"the configuration at the gateway",
+		gateway.locked(func() bool { return gateway.configuration.Current().Generation == 7 }),
+	)
+	eventually(
+		t,
+		"the list of servers at the gateway",
+		gateway.locked(func() bool { return gateway.servers != nil && len(gateway.servers.Servers) == 2 }),
+	)
 	eventually(t, "the list of processes at the gateway", gateway.locked(func() bool {
-		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 && gateway.members.QuotaAddress != ""
+		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 &&
+			gateway.members.QuotaAddress != ""
 	}))
 	eventually(t, "that control vouches", gateway.locked(func() bool { return gateway.fresh }))
 	for i := range s.running {
@@ -54,14 +67,20 @@
 			return status == 200 && body == document
 		})
 	}
-	cloud.set(`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`)
+	cloud.set(
+		`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`,
+	)
 	eventually(t, "the draining server at the gateway, as a difference", gateway.locked(func() bool {
 		return gateway.servers.Servers[0].Draining && !gateway.servers.Servers[1].Draining && gateway.differences > 0
 	}))
 	if status := s.put(t, "PATCH", "7", `{"generation":9}`); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(t, "the change at the gateway", gateway.locked(func() bool { return gateway.configuration.Current().Generation == 9 }))
+	eventually(
+		t,
+		"the change at the gateway",
+		gateway.locked(func() bool { return gateway.configuration.Current().Generation == 9 }),
+	)
 
 	s.stop(0)
 	if status := s.put(t, "PATCH", "9", `{"generation":10}`); status != 200 {
@@ -83,7 +102,11 @@
 	s := newSystem(t, "")
 	stores := map[string]*simulatedPoller{}
 	for i, name := range []string{"store-1", "store-2", "store-3"} {
-		stores[name] = s.startPoller(t, i, protocol.Process{Node: name, Role: protocol.RoleBatch, IP: "127.0.0." + name, Incarnation: "a"})
+		stores[name] = s.startPoller(
+			t,
+			i,
+			protocol.Process{Node: name, Role: protocol.RoleBatch, IP: "127.0.0." + name, Incarnation: "a"},
+		)
 	}
 	for name, one := range stores {
 		eventually(t, "a grant for "+name, one.locked(func() bool { return one.grant.Member && one.grant.Lease > 0 }))
@@ -108,7 +131,7 @@
 		return strings.Contains(body, "completed")
 	})
 	stores["store-3"].paused.Store(true)
-	eventually(t, "the silent store evicted", stores["store-1"].locked(func() bool {
+	eventually(t, "the store that doesn't poll evicted", stores["store-1"].locked(func() bool {
 		for _, member := range stores["store-1"].members.Stores.Members {
 			if member.Node == "store-3" {
 				return false
@@ -120,13 +143,18 @@
 	eventually(t, "the store back", stores["store-3"].locked(func() bool { return stores["store-3"].grant.Member }))
 }
 
-// TestQuota asks the allocator for tokens, over the address that the list of processes names, before and after its
-// process ends.
+// TestQuota asks the allocator for tokens at the address that the member list names, before and after the
+// allocator's process ends.
 func TestQuota(t *testing.T) {
 	s := newSystem(t, "")
 	gateway := protocol.Process{Node: "front-9", Role: protocol.RoleGateway, IP: "127.0.0.9", Incarnation: "x"}
 	f := s.startPoller(t, 1, gateway)
-	limited := strings.Replace(document, `"x":1.50`, `"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]`, 1)
+	limited := strings.Replace(
+		document,
+		`"x":1.50`,
+		`"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]`,
+		1,
+	)
 	if status := s.put(t, "PUT", "0", limited); status != 200 {
 		t.Fatal(status)
 	}
@@ -153,7 +181,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		sequence++
-		request := protocol.QuotaRequest{Process: gateway, Sequence: sequence, Whole: true, Demands: []protocol.QuotaDemand{{Tenant: "t", Rate: 3, Want: 2}}}
+		request := protocol.QuotaRequest{
+			Process:  gateway,
+			Sequence: sequence,
+			Whole:    true,
+			Demands:  []protocol.QuotaDemand{{Tenant: "t", Rate: 3, Want: 2}},
+		}
 		reply, err := client.Call(limitedTime, request)
 		if err != nil {
 			return false
@@ -166,7 +199,7 @@
 	eventually(t, "tokens of the next allocator", ask)
 }
 
-// TestHostile sends garbage to every port; the process answers others all the while.
+// TestHostile sends garbage to every port; the process must go on to answer others.
 func TestHostile(t *testing.T) {
 	s := newSystem(t, "")
 	garbage := bytes.Repeat([]byte("SPL\x01\xff\x00GET / \r\n\r\n\x00\xff"), 500)
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -13,33 +13,34 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file owns random troubles of a deployment. They come in rounds: those of one overlap, on machines of their
-// own but for those that strike all. No more disks are lost in a round than may be lost at once, and the next round
-// begins once all is well.
+// Faults come in rounds. Those of one round overlap, on machines of their own except for those that concern all
+// machines. In one round no more disks are lost than may be lost at once, and the next round begins once the system
+// has recovered.
 
 const (
 	deploymentRounds       = 3
-	roundRecoveryTimeout   = 25 * time.Second // of a round, after its last trouble
+	roundRecoveryTimeout   = 25 * time.Second // after the last fault of a round
 	maxFaultStart          = 1500 * time.Millisecond
 	maxFaultLength         = 5 * time.Second
 	acknowledgementTimeout = 3 * time.Second
 	bulkChanges            = 100
 )
 
-// round is a few troubles that overlap.
+// faultRound is a few faults that overlap.
 type faultRound struct {
 	*deployment
 	random    *rand.Rand
-	stores    []*deployedStore // that no trouble was drawn for yet
+	stores    []*deployedStore // that no fault has claimed yet
 	controls  []int
-	disksLeft int // disks that may be lost yet
+	disksLeft int // disks that may still be lost in the round
 	active    sync.WaitGroup
 }
 
-// deployedTrouble strikes from a moment on, for a time.
+// deploymentFault is a kind of fault.
 type deploymentFault struct {
-	name    string
-	prepare func(*faultRound) func(down time.Duration) // claims machines; nil: none are left
+	name string
+	// Claims machines and returns the injection; nil: too few are left.
+	prepare func(*faultRound) func(down time.Duration)
 }
 
 var deploymentFaults = []deploymentFault{
@@ -49,24 +50,30 @@
 	{"processes are killed", faultKills},
 	{"machines lose power", faultPower},
 	{"disks are lost", faultWipes},
-	{"a control machine is cut off", faultControlPartitioned},
+	{"a control machine is partitioned", faultControlPartitioned},
 	{"control is split", faultControlSplit},
-	{"stores are cut off from control machines", faultStoresPartitioned},
+	{"stores are partitioned from control machines", faultStoresPartitioned},
 	{"disks stand still", faultDiskStall},
 	{"a store retires, and disks are lost", faultRetirement},
 	{"a control machine is replaced", faultReplacement},
 	{"many changes of the configuration", faultBulk},
 }
 
-// newRound draws what comes in a round.
+// newRound draws the machines of a round in random order.
 func (w *deployment) newRound() *faultRound {
-	r := &faultRound{deployment: w, random: w.random, stores: w.presentStores(), controls: w.presentControls(), disksLeft: w.tolerance}
+	r := &faultRound{
+		deployment: w,
+		random:     w.random,
+		stores:     w.presentStores(),
+		controls:   w.presentControls(),
+		disksLeft:  w.tolerance,
+	}
 	w.random.Shuffle(len(r.stores), func(i, j int) { r.stores[i], r.stores[j] = r.stores[j], r.stores[i] })
 	w.random.Shuffle(len(r.controls), func(i, j int) { r.controls[i], r.controls[j] = r.controls[j], r.controls[i] })
 	return r
 }
 
-// play plays a round, and tells whether all is well after it.
+// run runs a round, and reports whether the system has recovered from it.
 func (r *faultRound) run() bool {
 	for range 2 + r.random.IntN(2) {
 		kind := deploymentFaults[r.random.IntN(len(deploymentFaults))]
@@ -78,7 +85,7 @@
 		after, down := r.randomDuration(0, maxFaultStart), r.randomDuration(100*time.Millisecond, maxFaultLength)
 		r.active.Go(func() {
 			time.Sleep(after)
-			r.logf("trouble: %s for %v", kind.name, down)
+			r.logf("fault: %s for %v", kind.name, down)
 			strike(down)
 		})
 	}
@@ -105,14 +112,14 @@
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
-// exclusively has nobody else start or end processes meanwhile.
+// withProcessLock runs act while no other goroutine starts or ends processes.
 func (w *deployment) withProcessLock(act func()) {
 	w.processLock <- struct{}{}
 	defer func() { <-w.processLock }()
 	act()
 }
 
-// restoreAll ends what is left of the troubles.
+// endFaults ends what is left of the faults.
 func (w *deployment) endFaults() {
 	w.lock.Lock()
 	w.onAcknowledgement = nil
@@ -130,7 +137,7 @@
 	}
 }
 
-// addresses gives those of control processes and stores.
+// addresses returns those of control processes and stores.
 func (w *deployment) addresses() []string {
 	var list []string
 	for _, i := range w.presentControls() {
@@ -142,7 +149,7 @@
 	return list
 }
 
-// bringControl starts a control process unless it runs.
+// startControl starts a control process unless it runs.
 func (w *deployment) startControl(i int) {
 	w.withProcessLock(func() {
 		w.mutex.Lock()
@@ -155,7 +162,7 @@
 	})
 }
 
-// bringStore starts a store unless it runs.
+// startStore starts a store unless it runs.
 func (w *deployment) startStore(s *deployedStore) {
 	w.withProcessLock(func() {
 		w.lock.Lock()
@@ -167,7 +174,7 @@
 	})
 }
 
-// claimStores takes up to so many stores that no trouble strikes yet.
+// claimStores claims up to so many stores that no fault has claimed yet.
 func (r *faultRound) claimStores(count int) []*deployedStore {
 	count = min(count, len(r.stores))
 	claimed := r.stores[:count]
@@ -201,7 +208,7 @@
 
 func (v victims) none() bool { return len(v.stores)+len(v.controls) == 0 }
 
-// claim takes up to so many machines, more stores than control machines.
+// claim claims up to so many machines, more stores than control machines.
 func (r *faultRound) claim(count int) victims {
 	var v victims
 	for range count {
@@ -214,14 +221,14 @@
 	return v
 }
 
-// claimDisks takes up to so many machines whose disks are to be lost.
+// claimDisks claims up to so many machines whose disks are to be lost.
 func (r *faultRound) claimDisks(most int) victims {
 	v := r.claim(min(most, r.disksLeft))
 	r.disksLeft -= len(v.stores) + len(v.controls)
 	return v
 }
 
-// wipe takes the disks of machines.
+// wipe loses the disks of machines.
 func (r *faultRound) wipe(v victims) {
 	if v.none() {
 		return
@@ -234,7 +241,7 @@
 	r.count(func(c *deploymentCounts) { c.wipes += len(v.controls) })
 }
 
-// bring starts machines again.
+// restart starts machines again.
 func (r *faultRound) restart(v victims) {
 	for _, i := range v.controls {
 		r.startControl(i)
@@ -244,7 +251,8 @@
 	}
 }
 
-// powerOfAll takes the power of all at once with some disks; each machine is back in its own time.
+// losePowerEverywhere cuts the power of all machines at once, with some disks lost; each machine restarts at a time
+// of its own.
 func (r *faultRound) losePowerEverywhere(lost victims, down time.Duration, delays *rand.Rand) {
 	r.withProcessLock(func() {
 		r.logf("all lose power")
@@ -269,7 +277,7 @@
 	starting.Wait()
 }
 
-// ownRandom gives chance to a trouble that runs beside others.
+// ownRandom returns a random source for a fault that runs beside others.
 func (r *faultRound) ownRandom() *rand.Rand { return rand.New(rand.NewPCG(r.random.Uint64(), 1)) }
 
 func faultPowerEverywhere(r *faultRound) func(time.Duration) {
@@ -334,7 +342,7 @@
 	}
 }
 
-// cutBetween cuts all links between two groups of machines, in one direction or both, for a time.
+// partitionBetween cuts all links between two groups of machines for a while, in one direction or both.
 func (r *faultRound) partitionBetween(from, to []string, both bool, down time.Duration) {
 	for _, one := range from {
 		for _, other := range to {
@@ -369,7 +377,7 @@
 	victim, direction := all[r.random.IntN(len(all))], r.random.IntN(3)
 	return func(down time.Duration) {
 		one, others := r.controlAddresses([]int{victim}), r.controlAddresses(all)
-		r.logf("%s is cut off, %d", r.settings[victim].NodeName, direction)
+		r.logf("%s is partitioned, %d", r.settings[victim].NodeName, direction)
 		if direction == 1 {
 			one, others = others, one
 		}
@@ -395,12 +403,12 @@
 	r.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	to := r.controlAddresses(all[:1+r.random.IntN(len(all)-1)])
 	return func(down time.Duration) {
-		r.logf("%v cut off from %v", from, to)
+		r.logf("%v partitioned from %v", from, to)
 		r.partitionBetween(from, to, true, down)
 	}
 }
 
-// drawStall has the disks of control machines stand still, and those of stores take forty times as long.
+// faultDiskStall stalls the disks of control machines, and slows those of stores down by a factor of forty.
 func faultDiskStall(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(2))
 	return func(down time.Duration) {
@@ -421,7 +429,7 @@
 	}
 }
 
-// drawRetirement has an operator retire a store, and takes the disks of others right after.
+// faultRetirement has the operator retire a store, and loses the disks of others right after.
 func faultRetirement(r *faultRound) func(time.Duration) {
 	one := r.claimStores(1)
 	if len(one) == 0 || len(r.presentStores()) <= r.tolerance+2 {
@@ -438,7 +446,7 @@
 	}
 }
 
-// retire orders a retirement, and tells whether that was acknowledged.
+// retire orders a retirement, and reports whether that was acknowledged.
 func (w *deployment) retire(node string, at int) bool {
 	for try := range 8 {
 		members := w.presentControls()
@@ -453,7 +461,7 @@
 	return false
 }
 
-// removeRetired takes away the stores that were emptied, and brings new ones in their places.
+// removeRetired removes the stores that were retired, and starts new ones in their place.
 func (r *faultRound) removeRetired() bool {
 	removed := false
 	newest := r.newestStoreView()
@@ -477,8 +485,9 @@
 	w.addStore()
 }
 
-// drawReplacement brings a new control machine for another: before that one ends in order, or after its disk is
-// lost. Either way a disk is gone, and counts as lost: others may be before the new machine has all.
+// faultReplacement replaces a control machine by a new one: before the old one leaves in order, or after its disk
+// is lost. Either way a disk is gone, which counts as lost: others may be lost before the new machine has
+// everything.
 func faultReplacement(r *faultRound) func(time.Duration) {
 	planned := r.random.IntN(2) == 0
 	if r.disksLeft == 0 || len(r.controls) == 0 {
@@ -508,7 +517,7 @@
 	}
 }
 
-// spare gives a control machine that hasn't come yet; -1: none.
+// spare returns a control machine that hasn't been used yet; -1: none.
 func (r *faultRound) spare() int {
 	first := len(r.settings) - spareControls
 	for i := first; i < len(r.settings); i++ {
@@ -520,7 +529,7 @@
 	return -1
 }
 
-// removeControl takes a control machine away for good.
+// removeControl removes a control machine for good.
 func (w *deployment) removeControl(i int, how func(i int)) {
 	w.lock.Lock()
 	w.removedControls[i] = true
@@ -536,7 +545,7 @@
 	}
 }
 
-// playDeployment plays a world.
+// simulateDeployment runs one simulation.
 func simulateDeployment(t *testing.T, seed uint64) *deployment {
 	var w *deployment
 	synctest.Test(t, func(t *testing.T) {
@@ -556,9 +565,9 @@
 	return w
 }
 
-// TestRandomDeployments plays worlds of control processes and stores under random troubles. SEEDS=N plays N worlds,
-// FIRST=S begins at seed S. With -parallel 1 goroutines of one world interleave more, and more is found than in
-// worlds side by side.
+// TestRandomDeployments runs simulations of control processes and stores with random faults. SEEDS=N runs N
+// simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more, and
+// more is found than with simulations side by side.
 func TestRandomDeployments(t *testing.T) {
 	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 12)
 	var lock sync.Mutex
@@ -583,7 +592,7 @@
 	}
 }
 
-// checkExercised fails where worlds did nothing of a kind.
+// checkExercised fails if the simulations did nothing of a kind.
 func checkExercised(t *testing.T, counts deploymentCounts) {
 	for what, count := range map[string]int{"accepted batch jobs": counts.accepted, "readings": counts.read,
 		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "vouches": counts.vouches, "versions": counts.versions,
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -21,50 +21,49 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// This file owns a deployment: whole control processes and batch processes in one world, in virtual time, with
-// clients, an operator, and the checks on what each plane tells the other. Its troubles follow from its seed, the
-// order in which goroutines run at one moment does not: a seed that failed may need a few runs to fail again.
-
 // Times of a deployment.
 const (
-	// settleWithin is how long after the last trouble all must be well.
+	// finalRecoveryTimeout is how long after the last fault the system may take to be healthy.
 	finalRecoveryTimeout = 20 * time.Second
-	// steadyFor is how long all must have been well before the next disk may be lost.
+	// healthyBeforeNextRound is how long the system must have been healthy before the next disk may be lost.
 	healthyBeforeNextRound = 3 * time.Second
-	// deploymentLook is the time between two looks at the whole.
+	// healthCheckInterval is the time between two checks of the system's health.
 	healthCheckInterval = 100 * time.Millisecond
-	// witnessPoll is the time between polls of who checks what control vouches for.
+	// checkerPollInterval is the time between two polls of a freshnessChecker.
 	checkerPollInterval = 250 * time.Millisecond
 )
 
-// deployment is one world.
+// deployment is whole control processes and batch processes in one simulation, in virtual time, with clients, an
+// operator, and checks on what they tell each other. Its faults follow from its seed; the order in which goroutines
+// run at one moment doesn't, so a seed that failed may need a few runs to fail again.
 type deployment struct {
 	*simulatedSystem
-	seed        uint64
-	random      *rand.Rand // of the troubles
-	began       time.Time
-	tolerance   int
-	stopping    sync.WaitGroup // lives that end
-	loops       sync.WaitGroup
-	usedSpares  map[int]bool  // spare control machines that have come
-	processLock chan struct{} // held by who starts or ends processes
-
-	lock                 sync.Mutex // of all below
+	seed       uint64
+	random     *rand.Rand // of the faults
+	began      time.Time
+	tolerance  int
+	stopping   sync.WaitGroup // incarnations that are ending
+	loops      sync.WaitGroup
+	usedSpares map[int]bool // spare control machines that have been started
+	// With a buffer of one: held while processes are started or ended; a mutex would stop the bubble's time.
+	processLock chan struct{}
+
+	lock                 sync.Mutex // guards the fields below
 	over                 bool
 	stores               []*deployedStore
-	removedControls      map[int]bool // control processes that are gone for good, or haven't come yet
+	removedControls      map[int]bool // control machines that were removed, or spares that haven't been started
 	jobs                 []*deployedJob
 	calm                 bool // no new batch jobs
-	bulk                 int  // changes of the configuration that are to come at once
+	bulk                 int  // number of large changes of the configuration that are yet to be sent
 	acknowledgedVersions []acknowledgement
-	acknowledgedEpochs   []acknowledgement // epochs of the set of stores
+	acknowledgedEpochs   []acknowledgement // epochs of the store membership
 	onAcknowledgement    func()            // called once at the next acknowledgement
 	violations           []string
 	events               []string
 	counts               deploymentCounts
 }
 
-// deploymentCounts is what a world did.
+// deploymentCounts is what happened in a simulation.
 type deploymentCounts struct {
 	accepted, read, powerLosses, wipes, views, vouches, versions, faults, recoveries, retired, replaced int
 }
@@ -96,7 +95,8 @@
 func newDeployment(t *testing.T, seed uint64, members, stores, tolerance int) *deployment {
 	w := &deployment{seed: seed, random: rand.New(rand.NewPCG(seed, 21)), began: time.Now(), tolerance: tolerance,
 		removedControls: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
-	w.simulatedSystem = newSystemWith(t, seed, members, tolerance, func(r Replica) Replica { return &recordingReplica{Replica: r, deployment: w} }, false)
+	w.simulatedSystem = newSizedSystem(t, seed, members, tolerance,
+		injectedBug{wrapReplica: func(r Replica) Replica { return &recordingReplica{Replica: r, deployment: w} }})
 	if status := w.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
@@ -117,14 +117,23 @@
 	return w
 }
 
-// spareControls is how many control machines stand ready to replace others.
+// spareControls is the number of control machines that may replace others.
 const spareControls = 2
 
-// addSpare makes a control machine whose process doesn't run yet.
+// addSpare adds a control machine whose process doesn't run yet.
 func (w *deployment) addSpare() {
 	i := len(w.settings)
 	settings := *w.settings[0]
-	settings.NodeName, settings.IP, settings.Zone = fmt.Sprint("front-", i+1), fmt.Sprint("10.0.0.", i+1), fmt.Sprint("z", i)
+	settings.NodeName, settings.IP, settings.Zone = fmt.Sprint(
+		"front-",
+		i+1,
+	), fmt.Sprint(
+		"10.0.0.",
+		i+1,
+	), fmt.Sprint(
+		"z",
+		i,
+	)
 	settings.ListenControl = settings.IP + ":8080"
 	w.settings = append(w.settings, &settings)
 	w.disks = append(w.disks, bubble.NewDisk(w.seed*8+uint64(i)))
@@ -133,21 +142,21 @@
 	w.removedControls[i] = true
 }
 
-// everyStore gives all stores, those that are gone included.
+// allStores returns all stores, including those that were removed.
 func (w *deployment) allStores() []*deployedStore {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return slices.Clone(w.stores)
 }
 
-// there gives the stores that are not gone for good.
+// presentStores returns the stores that were not removed.
 func (w *deployment) presentStores() []*deployedStore {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.stores), func(s *deployedStore) bool { return s.removed })
 }
 
-// members gives the control processes that are not gone for good.
+// presentControls returns the control processes that were not removed.
 func (w *deployment) presentControls() []int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -163,8 +172,15 @@
 // addStore starts a store on an empty disk.
 func (w *deployment) addStore() *deployedStore {
 	number := len(w.allStores()) + 1
-	s := &deployedStore{deployment: w, number: number, node: fmt.Sprint("store-", number), ip: fmt.Sprint("10.0.4.", number),
-		zone: fmt.Sprint("z", number%3), incarnation: 1, disk: bubble.NewDisk(w.seed*64 + 32 + uint64(number))}
+	s := &deployedStore{
+		deployment:  w,
+		number:      number,
+		node:        fmt.Sprint("store-", number),
+		ip:          fmt.Sprint("10.0.4.", number),
+		zone:        fmt.Sprint("z", number%3),
+		incarnation: 1,
+		disk:        bubble.NewDisk(w.seed*64 + 32 + uint64(number)),
+	}
 	w.lock.Lock()
 	w.stores = append(w.stores, s)
 	w.lock.Unlock()
@@ -195,7 +211,7 @@
 	return w.over
 }
 
-// acknowledging notes which changes of the set of stores were acknowledged, and when.
+// recordingReplica records which changes of the store membership were acknowledged, and when.
 type recordingReplica struct {
 	Replica
 	deployment *deployment
@@ -222,7 +238,7 @@
 	}
 }
 
-// acknowledged does what waits for an acknowledgement.
+// runOnAcknowledgement runs what waits for an acknowledgement.
 func (w *deployment) runOnAcknowledgement() {
 	w.lock.Lock()
 	act := w.onAcknowledgement
@@ -233,7 +249,7 @@
 	}
 }
 
-// controls gives the control processes that run.
+// runningControls returns the control processes that run.
 func (w *deployment) runningControls() []*Control {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -270,21 +286,35 @@
 	w.disks[i].LosePower()
 }
 
-// witness polls a control process over all its lives, and holds its answers to what was acknowledged.
+// addFreshnessChecker starts to poll a control process over all its incarnations.
 func (w *deployment) addFreshnessChecker(i int) {
-	process := protocol.Process{Node: fmt.Sprint("witness-", i), Role: protocol.RoleGateway, IP: fmt.Sprint("10.0.3.", 100+i), Incarnation: "x"}
-	one := &freshnessChecker{deployment: w, controlNode: w.settings[i].NodeName, process: process, state: configuration.NewState()}
-	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role}, Dial: w.host(process.IP).Dial}
+	process := protocol.Process{
+		Node:        fmt.Sprint("witness-", i),
+		Role:        protocol.RoleGateway,
+		IP:          fmt.Sprint("10.0.3.", 100+i),
+		Incarnation: "x",
+	}
+	one := &freshnessChecker{
+		deployment:  w,
+		controlNode: w.settings[i].NodeName,
+		process:     process,
+		state:       configuration.NewState(),
+	}
+	options := transport.Options{
+		Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role},
+		Dial:     w.host(process.IP).Dial,
+	}
 	one.client = transport.NewClient(w.settings[i].Endpoint(node.PortControl), options, one.take, nil)
 	w.loops.Go(one.run)
 }
 
+// freshnessChecker polls a control process and checks its answers against what was acknowledged.
 type freshnessChecker struct {
 	deployment  *deployment
 	controlNode string
 	process     protocol.Process
 	client      *transport.Client
-	lock        sync.Mutex // of all below
+	lock        sync.Mutex // guards the fields below
 	state       *configuration.State
 	epoch       uint64
 }
@@ -322,14 +352,14 @@
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	if update.Configuration != nil {
-		_, _ = o.state.ApplyUpdate(update.Configuration) // one that doesn't follow is asked for again
+		_, _ = o.state.ApplyUpdate(update.Configuration) // an update that can't be applied is asked for again
 	}
 	if update.Members != nil {
 		o.epoch = update.Members.Stores.Epoch
 	}
 }
 
-// judge holds what is known here to what was acknowledged before a moment.
+// check checks the state here against what was acknowledged before a moment.
 func (o *freshnessChecker) check(moment time.Time) {
 	o.lock.Lock()
 	generation, epoch := o.state.Current().Generation, o.epoch
@@ -371,7 +401,13 @@
 		order := fmt.Sprintf(`{"generation":%d,"x":"%s"}`, last+1, strings.Repeat("x", pad))
 		for !w.isOver() {
 			members := w.presentControls()
-			if status, _ := w.call(members[random.IntN(len(members))], "PATCH", "/config", strconv.FormatUint(last, 10), order); status == 200 {
+			if status, _ := w.call(
+				members[random.IntN(len(members))],
+				"PATCH",
+				"/config",
+				strconv.FormatUint(last, 10),
+				order,
+			); status == 200 {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -385,11 +421,10 @@
 	}
 }
 
-// bulkBytes is the size of one of many changes that come at once: the log of a disk is written anew after some
-// ninety of them.
+// bulkBytes is the size of a change of which many come at once: a log is compacted after about ninety of them.
 const bulkBytes = 12_000
 
-// load submits batch jobs and reads some all the time.
+// load submits batch jobs, and reads some, all the time.
 func (w *deployment) load() {
 	random := rand.New(rand.NewPCG(w.seed, 42))
 	for number := 1; !w.isOver(); number++ {
@@ -429,7 +464,7 @@
 	return &deployedJob{id: id, body: body, items: items, seen: map[int]string{}}
 }
 
-// ask sends a call to a store and follows it to the owner.
+// callStore sends a call to a store and follows it to the owner.
 func (w *deployment) callStore(at int, call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	for range 4 {
 		w.lock.Lock()
@@ -438,7 +473,7 @@
 		if life == nil {
 			return protocol.BatchAnswer{}
 		}
-		time.Sleep(time.Millisecond) // on its way
+		time.Sleep(time.Millisecond) // network delay
 		answer := life.call(call, items)
 		if answer.Owner == "" {
 			return answer
@@ -448,9 +483,15 @@
 	return protocol.BatchAnswer{}
 }
 
-// submit submits a batch job up to four times.
+// submit submits a batch job, with up to four attempts.
 func (w *deployment) submit(one *deployedJob, at int, ends bool) {
-	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: one.id, Tenant: "t", Route: "r", Body: one.body}
+	call := protocol.BatchCall{
+		Operation: protocol.BatchSubmit,
+		BatchJob:  one.id,
+		Tenant:    "t",
+		Route:     "r",
+		Body:      one.body,
+	}
 	for try := range 4 {
 		answer := w.callStore((at+try)%len(w.allStores()), call, one.items)
 		if answer.Status == 202 {
@@ -482,7 +523,7 @@
 	} `json:"results"`
 }
 
-// readJob reads a batch job at some store, and tells what is missing; empty: nothing.
+// readJob reads a batch job at some store and returns what is missing; empty: nothing.
 func (w *deployment) readJob(one *deployedJob) string {
 	failure := "no store is up"
 	for at, s := range w.allStores() {
@@ -503,7 +544,7 @@
 	return failure
 }
 
-// takePage holds results to those that were read before.
+// checkPage checks results against those that were read before.
 func (w *deployment) checkPage(one *deployedJob, body []byte) string {
 	var page resultPage
 	if err := json.Unmarshal(body, &page); err != nil {
@@ -530,7 +571,7 @@
 	return ""
 }
 
-// newestSet gives the newest set of stores that a control process which runs knows.
+// newestStoreView returns the newest store membership that a running control process has.
 func (w *deployment) newestStoreView() protocol.StoreView {
 	var newest protocol.StoreView
 	for _, one := range w.runningControls() {
@@ -541,8 +582,8 @@
 	return newest
 }
 
-// unwell tells what isn't as it should be; nothing: all processes run, agree on the set of stores, and have settled
-// in it.
+// unhealthy returns what isn't as it should be. It is empty if all processes run, agree on the store membership,
+// and are reconciled in it.
 func (w *deployment) unhealthy() []string {
 	var list []string
 	newest := w.newestStoreView()
@@ -554,7 +595,10 @@
 		list = append(list, w.unhealthyStore(s, newest)...)
 	}
 	if len(newest.Members) != len(there) {
-		list = append(list, fmt.Sprintf("view %d has %d members of %d stores", newest.Epoch, len(newest.Members), len(there)))
+		list = append(
+			list,
+			fmt.Sprintf("view %d has %d members of %d stores", newest.Epoch, len(newest.Members), len(there)),
+		)
 	}
 	return list
 }
@@ -592,20 +636,22 @@
 	case at < 0:
 		return []string{fmt.Sprintf("%s is no member of view %d", s.node, newest.Epoch)}
 	case newest.Members[at].State == protocol.StoreRetiring:
-		return []string{s.node + " isn't emptied"}
+		return []string{s.node + " isn't drained"}
 	case newest.Members[at].State == protocol.StoreRetired:
 		return nil
 	case view.Epoch != newest.Epoch || !slices.Equal(view.Members, newest.Members):
 		return []string{fmt.Sprintf("%s has view %d, the newest is %d", s.node, view.Epoch, newest.Epoch)}
 	case report.Settled != newest.Epoch:
-		return []string{fmt.Sprintf("%s has settled in %d, the newest view is %d", s.node, report.Settled, newest.Epoch)}
+		return []string{
+			fmt.Sprintf("%s has settled in %d, the newest view is %d", s.node, report.Settled, newest.Epoch),
+		}
 	case !allowed:
 		return []string{s.node + " has no lease"}
 	}
 	return nil
 }
 
-// recovers waits until all has been well for a time, and tells what isn't within a bound.
+// awaitHealthy waits until everything has been healthy for a while. It returns what isn't if that takes too long.
 func (w *deployment) awaitHealthy(within, steady time.Duration) []string {
 	deadline, well := time.Now().Add(within), time.Now()
 	for {
@@ -623,7 +669,7 @@
 	}
 }
 
-// audit holds the world, once its troubles are over, to what it promised.
+// finalCheck checks the guarantees once the faults are over.
 func (w *deployment) finalCheck() {
 	w.logf("the troubles are over")
 	w.lock.Lock()
@@ -631,7 +677,7 @@
 	w.lock.Unlock()
 	deadline := time.Now().Add(finalRecoveryTimeout)
 	for _, one := range w.awaitHealthy(finalRecoveryTimeout, 0) {
-		w.failf("%v after the last trouble: %s", finalRecoveryTimeout, one)
+		w.failf("%v after the last fault: %s", finalRecoveryTimeout, one)
 	}
 	w.lock.Lock()
 	known := slices.Clone(w.jobs)
@@ -646,7 +692,7 @@
 	w.counts.views = int(newestBefore(w.acknowledgedEpochs, time.Now()))
 }
 
-// auditJob reads a batch job until it is whole. One that a client wanted to end may be gone.
+// finalCheckJob reads a batch job until it is complete. One that its client has ended may be gone.
 func (w *deployment) finalCheckJob(one *deployedJob, deadline time.Time) {
 	for {
 		failure := w.readJob(one)
@@ -664,7 +710,7 @@
 	}
 }
 
-// close ends the world.
+// close ends the simulation.
 func (w *deployment) close() {
 	w.lock.Lock()
 	w.over = true
@@ -677,7 +723,7 @@
 	w.finish()
 }
 
-// verdict gives what broke, with what happened.
+// err returns the violations, with all events.
 func (w *deployment) err() error {
 	if len(w.violations) == 0 {
 		return nil
@@ -685,7 +731,7 @@
 	return fmt.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 }
 
-// sendBulk waits until so many changes of the configuration are through.
+// sendBulk waits until so many changes of the configuration are acknowledged.
 func (w *deployment) sendBulk(changes int) {
 	w.lock.Lock()
 	w.bulk += changes
@@ -697,7 +743,7 @@
 	}
 }
 
-// losePowerOfAll takes the power of all machines at one moment.
+// losePowerOfAll cuts the power of all machines at one moment.
 func (w *deployment) losePowerOfAll() {
 	w.haltControls(w.presentControls(), w.losePowerOfControl)
 	for _, s := range w.presentStores() {
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -26,9 +26,6 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// This file owns a batch process of a deployment: the real machine and log on a simulated disk, the real
-// subscription to control and the real connections to other stores, put together as internal/batch/server does.
-
 // Constants of a store, as internal/batch/server has them.
 const (
 	storeFrame       = 48 << 20
@@ -42,22 +39,23 @@
 	storeRun         = 150 * time.Millisecond // between two items that it runs
 )
 
-// deployedStore is a store machine over all lives of its process.
+// deployedStore is a store machine over all incarnations of its process.
 type deployedStore struct {
 	deployment       *deployment
 	number           int
 	node, ip         string
 	zone             string
 	disk             *bubble.Disk
-	host             *bubble.Host // of the last life
+	host             *bubble.Host // of the last incarnation
 	incarnation      int
 	starts           uint64
-	lastEpochActedIn uint64           // newest epoch that the disk's life acted in, or has on its disk
+	lastEpochActedIn uint64           // newest epoch that the present disk has acted in or has stored
 	process          *storeProcessRun // nil: the process doesn't run
-	removed          bool             // taken away for good
+	removed          bool             // for good
 }
 
-// storeLife is one life of the process.
+// storeLife is one incarnation of the process: the real state machine and log on a simulated disk, the real
+// subscription to control and the real connections to other stores, connected as internal/batch/server does it.
 type storeProcessRun struct {
 	store        *deployedStore
 	process      protocol.Process
@@ -67,12 +65,12 @@
 	server       *transport.Server
 	options      transport.Options
 	subscription *subscription.Subscription
-	random       *rand.Rand // of the items that run
+	random       *rand.Rand // chooses the items that run
 	ended        context.Context
 	end          context.CancelFunc
 	wait         sync.WaitGroup
 
-	mutex          sync.Mutex // of all below
+	mutex          sync.Mutex // guards the fields below
 	machine        *replica.StateMachine
 	waiting        map[replica.CallID]chan protocol.BatchAnswer
 	lastToken      replica.CallID
@@ -80,28 +78,40 @@
 	jobs           map[string]bool              // whose items it is to run
 	runs           int
 	controlAddress string // address of the control process that was dialled last
-	written        uint64 // number of the record queued last
-	viewEpoch      uint64 // newest view that was taken
+	written        uint64 // number of the last record that was queued
+	viewEpoch      uint64 // epoch of the newest view that was taken
 	viewRecord     uint64 // number of its record
 	closed         bool
 }
 
-// noConnections stands for the gateways' pool of connections, which a batch process doesn't have.
+// noConnections replaces the gateways' pool of connections, which a batch process doesn't have.
 type noConnections struct{}
 
 func (noConnections) Apply([]pool.Change) {}
 
-// start begins a life on what is on the disk.
+// start starts the process on what is on the disk.
 func (s *deployedStore) start() {
 	w := s.deployment
 	s.starts++
 	s.host = w.network.StartHost(s.ip)
 	ended, end := context.WithCancel(context.Background())
 	l := &storeProcessRun{
-		store: s, host: s.host, origin: time.Now(), ended: ended, end: end,
+		store:   s,
+		host:    s.host,
+		origin:  time.Now(),
+		ended:   ended,
+		end:     end,
 		random:  rand.New(rand.NewPCG(w.seed, uint64(s.number)<<32+s.starts)),
-		waiting: map[replica.CallID]chan protocol.BatchAnswer{}, peers: map[string]*transport.Client{}, jobs: map[string]bool{},
-		process: protocol.Process{Node: s.node, Role: protocol.RoleBatch, Zone: s.zone, IP: s.ip, Incarnation: strconv.Itoa(s.incarnation)},
+		waiting: map[replica.CallID]chan protocol.BatchAnswer{},
+		peers:   map[string]*transport.Client{},
+		jobs:    map[string]bool{},
+		process: protocol.Process{
+			Node:        s.node,
+			Role:        protocol.RoleBatch,
+			Zone:        s.zone,
+			IP:          s.ip,
+			Incarnation: strconv.Itoa(s.incarnation),
+		},
 	}
 	l.machine = replica.New(replica.Options{
 		Self: l.process, ProcessIncarnation: s.starts, ReplicationFactor: w.tolerance + 1, Retention: storeKeep,
@@ -118,7 +128,7 @@
 	l.serve()
 }
 
-// QueueLimit is none.
+// QueueLimit sets no limit.
 func (l *storeProcessRun) QueueLimit(string) (int64, bool) { return 0, true }
 
 func (l *storeProcessRun) open() error {
@@ -131,13 +141,28 @@
 func (l *storeProcessRun) serve() {
 	w, s := l.store.deployment, l.store
 	settings := &node.Settings{
-		NodeName: s.node, Role: "batch", IP: s.ip, Zone: s.zone, FirstPort: w.settings[0].FirstPort, LastPort: w.settings[0].LastPort,
-		Seeds: w.settings[0].Seeds, Tolerance: node.Tolerance{Machines: w.tolerance},
+		NodeName:  s.node,
+		Role:      "batch",
+		IP:        s.ip,
+		Zone:      s.zone,
+		FirstPort: w.settings[0].FirstPort,
+		LastPort:  w.settings[0].LastPort,
+		Seeds:     w.settings[0].Seeds,
+		Tolerance: node.Tolerance{Machines: w.tolerance},
 	}
 	l.options = transport.Options{
-		Identity: transport.Identity{System: protocol.System, Node: s.node, Role: protocol.RoleBatch, Zone: s.zone, Address: s.ip,
-			Incarnation: l.process.Incarnation},
-		MaxFrame: storeFrame, Heartbeat: storeHeartbeat, Queue: 1024, Dial: l.host.Dial,
+		Identity: transport.Identity{
+			System:      protocol.System,
+			Node:        s.node,
+			Role:        protocol.RoleBatch,
+			Zone:        s.zone,
+			Address:     s.ip,
+			Incarnation: l.process.Incarnation,
+		},
+		MaxFrame:  storeFrame,
+		Heartbeat: storeHeartbeat,
+		Queue:     1024,
+		Dial:      l.host.Dial,
 	}
 	listener, err := l.host.Listen(settings.Endpoint(node.PortBatch))
 	if err != nil {
@@ -148,15 +173,22 @@
 	subscribing := l.options
 	subscribing.Dial = l.dialControl
 	l.subscription = subscription.New(subscription.Options{
-		Settings: settings, Process: l.process, Transport: subscribing, Servers: endpoints.NewRegistry(noConnections{}),
-		Ready: func() bool { return true }, Report: l.report, OnGrant: l.granted, OnUpdate: l.updated, Log: zerolog.Nop(),
+		Settings:  settings,
+		Process:   l.process,
+		Transport: subscribing,
+		Servers:   endpoints.NewRegistry(noConnections{}),
+		Ready:     func() bool { return true },
+		Report:    l.report,
+		OnGrant:   l.granted,
+		OnUpdate:  l.updated,
+		Log:       zerolog.Nop(),
 	})
 	l.wait.Go(func() { l.subscription.Run(l.ended) })
 	l.wait.Go(l.tick)
 	l.wait.Go(l.run)
 }
 
-// halt ends the life at once, for its disk and connections how they end.
+// halt ends the process at once; how ends its disk and connections.
 func (s *deployedStore) halt(how func()) {
 	w := s.deployment
 	w.lock.Lock()
@@ -175,7 +207,7 @@
 	}
 }
 
-// close waits until nothing of the life runs any more.
+// close waits until nothing of the process runs.
 func (l *storeProcessRun) close() {
 	l.mutex.Lock()
 	peers := l.peers
@@ -191,7 +223,7 @@
 	l.wal.Close()
 }
 
-// kill ends the process; what it wrote stays.
+// kill ends the process; what it wrote is kept.
 func (s *deployedStore) kill() {
 	s.halt(func() {
 		s.host.Kill()
@@ -199,7 +231,7 @@
 	})
 }
 
-// losePower ends the process and takes what was not synced.
+// losePower ends the process and loses what was not synced.
 func (s *deployedStore) losePower() {
 	s.halt(func() {
 		s.host.LosePower()
@@ -220,12 +252,12 @@
 	s.deployment.counts.wipes++
 }
 
-// durable takes word of the log.
+// durable is called when the log has synced records.
 func (l *storeProcessRun) durable(sequence uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed || err != nil {
-		return // the disk's life is over
+		return // the disk was lost or detached
 	}
 	l.machine.Synced(sequence)
 	if l.viewEpoch > 0 && sequence >= l.viewRecord {
@@ -233,7 +265,7 @@
 	}
 }
 
-// acts notes the newest epoch, with the lock held.
+// markEpoch records the newest epoch that the disk has acted in, with the lock held.
 func (l *storeProcessRun) markEpoch(epoch uint64) {
 	w := l.store.deployment
 	w.lock.Lock()
@@ -248,7 +280,7 @@
 	return l.host.Dial(ctx, address)
 }
 
-// updated takes in what control sent.
+// updated processes what control has sent.
 func (l *storeProcessRun) updated() {
 	members := l.subscription.Members()
 	if members == nil {
@@ -266,16 +298,30 @@
 	}
 }
 
-// viewed holds a view that was taken to what this store did before.
+// checkView checks a view that was taken against what this store did before.
 func (l *storeProcessRun) checkView(before uint64, view protocol.StoreView) {
 	w, s := l.store.deployment, l.store
 	l.viewEpoch, l.viewRecord = view.Epoch, l.written
 	w.lock.Lock()
 	acted := s.lastEpochActedIn
 	w.lock.Unlock()
-	w.logf("%s takes view %d of %d members from %s (before %d, its disk %d)", s.node, view.Epoch, len(view.Members), l.controlAddress, before, acted)
+	w.logf(
+		"%s takes view %d of %d members from %s (before %d, its disk %d)",
+		s.node,
+		view.Epoch,
+		len(view.Members),
+		l.controlAddress,
+		before,
+		acted,
+	)
 	if view.Epoch < acted {
-		w.failf("%s works in view %d, told by %s, though it has acted in %d", s.node, view.Epoch, l.controlAddress, acted)
+		w.failf(
+			"%s works in view %d, sent by %s, though it has acted in %d",
+			s.node,
+			view.Epoch,
+			l.controlAddress,
+			acted,
+		)
 	}
 	for ip, peer := range l.peers {
 		if !slices.ContainsFunc(view.Members, func(one protocol.StoreMember) bool { return one.IP == ip }) {
@@ -317,7 +363,7 @@
 	}
 }
 
-// release removes segments of the log that nothing needs any more.
+// release removes segments of the log that are no longer needed.
 func (l *storeProcessRun) release() {
 	oldest, current := l.wal.SegmentRange()
 	l.mutex.Lock()
@@ -330,7 +376,7 @@
 	}
 }
 
-// run runs the items of batch jobs that it owns, one after the other.
+// run runs the items of batch jobs that the store owns, one after the other.
 func (l *storeProcessRun) run() {
 	for l.ended.Err() == nil {
 		time.Sleep(storeRun/2 + time.Duration(l.random.Int64N(int64(storeRun))))
@@ -352,13 +398,20 @@
 		return
 	}
 	l.runs++
-	text := fmt.Sprintf("item %d of %s by %s in life %d, run %d", index, id, placement.KeyOf(l.process), l.store.starts, l.runs)
+	text := fmt.Sprintf(
+		"item %d of %s by %s in life %d, run %d",
+		index,
+		id,
+		placement.KeyOf(l.process),
+		l.store.starts,
+		l.runs,
+	)
 	l.machine.Finish(id, index, job.Completed, []byte(text))
 }
 
 var errStoreMessage = errors.New("a message of an unknown kind")
 
-// handle takes other stores' messages.
+// handle processes other stores' messages.
 func (l *storeProcessRun) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	remote := session.Remote()
 	if remote.Role != protocol.RoleBatch {
@@ -373,7 +426,7 @@
 	return nil, nil
 }
 
-// call answers a client's call. Status 0: the process ended, or the time was over.
+// call answers a client's call. Status 0: the process ended, or the call timed out.
 func (l *storeProcessRun) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	ctx, cancel := context.WithTimeout(l.ended, storeAnswer)
 	defer cancel()
@@ -400,7 +453,7 @@
 	return protocol.BatchAnswer{}
 }
 
-// checked lets an answer go only while the store may still act.
+// withLease lets an answer out only while the store may still act.
 func (l *storeProcessRun) withLease(answer protocol.BatchAnswer) protocol.BatchAnswer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -439,10 +492,15 @@
 	}
 	peer := l.peers[to.IP]
 	if peer == nil {
-		peer = transport.NewClient(l.store.deployment.settings[0].EndpointAt(to.IP, node.PortBatch), l.options, nil, nil)
+		peer = transport.NewClient(
+			l.store.deployment.settings[0].EndpointAt(to.IP, node.PortBatch),
+			l.options,
+			nil,
+			nil,
+		)
 		l.peers[to.IP] = peer
 	}
-	_ = peer.Send(message) // what matters is sent again
+	_ = peer.Send(message) // replication sends again what matters
 }
 
 // Answer implements replica.Environment.
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -8,16 +8,18 @@
 	"sprucelane.example/sprucelane/internal/control/liveness"
 )
 
-// TestEviction checks when a batch process that falls silent leaves the set: after its lease, and soon after that.
+// TestEviction checks when a batch process that stops polling is evicted: after its lease has ended, and soon after
+// that.
 func TestEviction(t *testing.T) {
 	const within = 2900 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		s := newSimulatedSystem(t, 5, nil)
+		s := newSimulatedSystem(t, 5, injectedBug{})
 		store := s.startPoller(t, 1, storeProcess(1, "a"))
 		other := s.startPoller(t, 2, storeProcess(2, "a"))
 		for range 5 {
 			eventually(t, "leases", func() bool {
-				return store.locked(func() bool { return store.grant.Lease > 0 })() && other.locked(func() bool { return other.grant.Lease > 0 })()
+				return store.locked(func() bool { return store.grant.Lease > 0 })() &&
+					other.locked(func() bool { return other.grant.Lease > 0 })()
 			})
 			time.Sleep(5 * time.Second)
 			store.paused.Store(true)
--- a/internal/control/golden_test.go
+++ b/internal/control/golden_test.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds the message between control processes to the form that earlier versions send.
+// TestGolden checks that the reports between control processes keep the form that earlier versions send.
 func TestGolden(t *testing.T) {
 	golden.Message(t, "peer-report", peerReport{})
 }
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// platform is a stand-in for the platform's list of servers.
+// fakePlatform serves the platform's server list.
 type fakePlatform struct {
 	*httptest.Server
 	calls   atomic.Int64
@@ -40,7 +40,9 @@
 		fmt.Fprintf(w, `{"instances":[%s],"next-token":null}`, p.servers)
 	}))
 	t.Cleanup(p.Close)
-	p.set(`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`)
+	p.set(
+		`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`,
+	)
 	return p
 }
 
@@ -58,7 +60,7 @@
 	dialFrom func(ip string) func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 }
 
-// networks tells the systems of one run of tests apart: 127.7.N.x.
+// networks counts the systems of one test run, which have addresses 127.7.N.x.
 var networks atomic.Int32
 
 func newSystem(t *testing.T, cloud string) *system {
@@ -72,10 +74,28 @@
 	for i := range s.running {
 		host, _, _ := net.SplitHostPort(seeds[i])
 		s.settings = append(s.settings, &node.Settings{
-			NodeName: fmt.Sprint("front-", i+1), Role: "control", IP: host, Zone: fmt.Sprint("z", i), ListenControl: seeds[i],
-			FirstPort: first, LastPort: first + 4, Seeds: seeds, Bootstrap: true, DataDir: filepath.Join(t.TempDir(), "disk"),
-			Limits: node.Limits{MemoryMB: 284}, Tolerance: node.Tolerance{Machines: 1},
-			Bounds: node.Bounds{Acknowledge: 4 * time.Second, QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20}, Cloud: node.Cloud{Address: cloud},
+			NodeName: fmt.Sprint(
+				"front-",
+				i+1,
+			),
+			Role:          "control",
+			IP:            host,
+			Zone:          fmt.Sprint("z", i),
+			ListenControl: seeds[i],
+			FirstPort:     first,
+			LastPort:      first + 4,
+			Seeds:         seeds,
+			Bootstrap:     true,
+			DataDir:       filepath.Join(t.TempDir(), "disk"),
+			Limits:        node.Limits{MemoryMB: 284},
+			Tolerance:     node.Tolerance{Machines: 1},
+			Bounds: node.Bounds{
+				Acknowledge:    4 * time.Second,
+				QuotaWindow:    5 * time.Second,
+				QuotaOvershoot: 0.1,
+				QuotaSlack:     20,
+			},
+			Cloud: node.Cloud{Address: cloud},
 		})
 	}
 	for i := range s.running {
@@ -91,7 +111,7 @@
 	return s
 }
 
-// freePorts finds a row of ports that is free.
+// freePorts returns the first of a range of ports that are probably free.
 func freePorts(t *testing.T) int {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -115,7 +135,7 @@
 	s.running[i] = nil
 }
 
-// eventually waits for a condition.
+// eventually waits for a condition and fails the test if it isn't met in time.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
@@ -141,7 +161,7 @@
 	return response.StatusCode, string(answer)
 }
 
-// follower is a gateway or batch process that polls one control process.
+// simulatedPoller is a gateway or batch process that polls one control process.
 type simulatedPoller struct {
 	mutex         sync.Mutex
 	configuration *configuration.State
@@ -179,7 +199,12 @@
 	return f
 }
 
-func (f *simulatedPoller) poll(ctx context.Context, client *transport.Client, process protocol.Process, sequence uint64) {
+func (f *simulatedPoller) poll(
+	ctx context.Context,
+	client *transport.Client,
+	process protocol.Process,
+	sequence uint64,
+) {
 	if f.paused.Load() {
 		return
 	}
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -94,7 +94,11 @@
 	}
 	one.members = list.Version
 	if one.process.Role == protocol.RoleBatch {
-		c.log.Info().Str("to", one.process.Node).Uint64("epoch", list.Stores.Epoch).Bool("settled", list.Stores.Settled).
-			Int("departed", len(list.Stores.Departed)).Msg("store-view-told")
+		c.log.Info().
+			Str("to", one.process.Node).
+			Uint64("epoch", list.Stores.Epoch).
+			Bool("settled", list.Stores.Settled).
+			Int("departed", len(list.Stores.Departed)).
+			Msg("store-view-told")
 	}
 }
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// cutFor is how long a control machine is cut off, and settledAfter how long after the cut it may still vouch: its
-// last proof is good for freshMost, and an answer is on its way.
+// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after its begin the
+// machine may still vouch: its last proof is good for maxStaleness, and an answer may be on its way.
 const (
 	partitionLength  = 20 * time.Second
 	stalenessElapsed = maxStaleness + 50*time.Millisecond
@@ -20,7 +20,7 @@
 
 const quotaDocument = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]}`
 
-// cutCase says who is cut off and how.
+// partitionCase says which machine is partitioned, and in which directions.
 type partitionCase struct {
 	head, out, in bool
 }
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("head %t, out %t, in %t", c.head, c.out, c.in)
 }
 
-// cutScene is a system in which one control process is cut off.
+// partitionTest is a system in which one control process is partitioned from the others.
 type partitionTest struct {
 	*simulatedSystem
 	victim, other int
@@ -38,21 +38,31 @@
 	violations    []string
 }
 
-// failf notes a broken check.
+// failf records a violation.
 func (s *partitionTest) failf(format string, arguments ...any) {
 	s.violations = append(s.violations, fmt.Sprintf(format, arguments...))
 }
 
 func gatewayProcess(number int) protocol.Process {
-	return protocol.Process{Node: fmt.Sprint("gateway-", number), Role: protocol.RoleGateway, IP: fmt.Sprint("10.0.3.", number), Incarnation: "x"}
+	return protocol.Process{
+		Node:        fmt.Sprint("gateway-", number),
+		Role:        protocol.RoleGateway,
+		IP:          fmt.Sprint("10.0.3.", number),
+		Incarnation: "x",
+	}
 }
 
 func storeProcess(number int, incarnation string) protocol.Process {
-	return protocol.Process{Node: fmt.Sprint("store-", number), Role: protocol.RoleBatch, IP: fmt.Sprint("10.0.4.", number), Incarnation: incarnation}
+	return protocol.Process{
+		Node:        fmt.Sprint("store-", number),
+		Role:        protocol.RoleBatch,
+		IP:          fmt.Sprint("10.0.4.", number),
+		Incarnation: incarnation,
+	}
 }
 
-func newPartitionTest(t *testing.T, one partitionCase, spoil func(Replica) Replica) *partitionTest {
-	s := &partitionTest{simulatedSystem: newSimulatedSystem(t, 1, spoil)}
+func newPartitionTest(t *testing.T, one partitionCase, bug injectedBug) *partitionTest {
+	s := &partitionTest{simulatedSystem: newSimulatedSystem(t, 1, bug)}
 	if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 		t.Fatal(status)
 	}
@@ -71,7 +81,11 @@
 		s.stores = append(s.stores, s.startPoller(t, at, storeProcess(i, "a")))
 	}
 	for i, store := range s.stores {
-		eventually(t, fmt.Sprint("the lease of store ", i), store.locked(func() bool { return store.grant.Member && store.grant.Lease > 0 }))
+		eventually(
+			t,
+			fmt.Sprint("the lease of store ", i),
+			store.locked(func() bool { return store.grant.Member && store.grant.Lease > 0 }),
+		)
 	}
 	eventually(t, "that the gateway is served", s.gateway.locked(func() bool {
 		return s.gateway.fresh && s.gateway.configuration.Current().Generation == 7 && s.gateway.servers != nil
@@ -79,11 +93,11 @@
 	return s
 }
 
-// tellsNothing checks all that the process that is cut off could tell.
+// checkAnswersNothing checks everything that the partitioned process could answer from its state.
 func (s *partitionTest) checkAnswersNothing(sequence uint64) {
 	for _, call := range []struct{ method, path, ifMatch, body string }{
 		{"GET", "/config", "", ""},
-		{"PUT", "/config", "0", quotaDocument}, // taken before
+		{"PUT", "/config", "0", quotaDocument}, // accepted before
 		{"PUT", "/config", "7", quotaDocument}, // its generation doesn't rise here
 		{"PATCH", "/config", "7", `{"generation":8}`},
 		{"PATCH", "/config", "3", `{"generation":8}`}, // stale here
@@ -91,8 +105,22 @@
 		{"POST", "/retire/store-9", "", `{"deadline-s":10}`}, // unknown here
 		{"GET", "/retire/store-1", "", ""},
 	} {
-		if status, body := s.call(s.victim, call.method, call.path, call.ifMatch, call.body); status != 503 && status != 504 {
-			s.failf("%s %s If-Match %s at the one that is cut off: %d %s", call.method, call.path, call.ifMatch, status, body)
+		if status, body := s.call(
+			s.victim,
+			call.method,
+			call.path,
+			call.ifMatch,
+			call.body,
+		); status != 503 &&
+			status != 504 {
+			s.failf(
+				"%s %s If-Match %s at the one that is cut off: %d %s",
+				call.method,
+				call.path,
+				call.ifMatch,
+				status,
+				body,
+			)
 		}
 	}
 	if s.gateway.locked(func() bool { return s.gateway.fresh })() {
@@ -113,21 +141,22 @@
 	}
 }
 
-// reportEmpty has a batch process say that it holds nothing that others need, as of the set that it knows.
+// reportDrained makes a batch process report that it stores nothing that others need, in the epoch that it knows.
 func (s *partitionTest) reportDrained(store *simulatedPoller) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.report = protocol.BatchReport{Epoch: store.grant.Epoch, Settled: store.grant.Epoch, DrainedDown: true}
 }
 
-// play cuts the victim off while the others go on, and checks what it tells meanwhile and does afterwards.
+// run partitions the victim while the others go on, and checks what it answers meanwhile and what it does
+// afterwards.
 func (s *partitionTest) run(one partitionCase) {
 	t := s.t
 	s.partition(s.victim, one.out, one.in)
 	cutAt := time.Now()
 	time.Sleep(stalenessElapsed)
 	beginner := s.startPoller(t, s.victim, gatewayProcess(2))
-	s.startPoller(t, s.victim, storeProcess(4, "a")) // a batch process that comes
+	s.startPoller(t, s.victim, storeProcess(4, "a")) // a new batch process
 	s.reportDrained(s.stores[3])
 	status := 0
 	eventually(t, "an order that the others take", func() bool {
@@ -152,16 +181,25 @@
 	s.checkRecovery(beginner, members)
 }
 
-// comesBack checks that the process that is back takes in what the others have, and changes nothing by what it
-// held.
+// checkRecovery checks that the process catches up with the others after the partition, and changes nothing by the
+// state that it had.
 func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
-		return s.gateway.locked(func() bool { return s.gateway.fresh && s.gateway.configuration.Current().Generation == 9 })() &&
+		return s.gateway.locked(
+			func() bool { return s.gateway.fresh && s.gateway.configuration.Current().Generation == 9 },
+		)() &&
 			beginner.locked(func() bool { return beginner.fresh && beginner.configuration.Current().Generation == 9 })()
 	})
-	if status, body := s.call(s.victim, "GET", "/config", "", ""); status != 200 || !strings.Contains(body, `"generation":9`) {
-		s.failf("the newest version isn't told: %d %s", status, body)
+	if status, body := s.call(
+		s.victim,
+		"GET",
+		"/config",
+		"",
+		"",
+	); status != 200 ||
+		!strings.Contains(body, `"generation":9`) {
+		s.failf("the newest version isn't returned: %d %s", status, body)
 	}
 	if status, body := s.call(s.victim, "PUT", "/config", "0", quotaDocument); status != 200 {
 		s.failf("an order that was taken is refused: %d %s", status, body)
@@ -180,20 +218,27 @@
 	if len(now.Members) != 5 {
 		s.failf("who polls at the one that is back isn't in the set: %v", now)
 	}
-	if status, body := s.call(s.other, "GET", "/retire/store-3", "", ""); status != 200 || !strings.Contains(body, "active") {
+	if status, body := s.call(
+		s.other,
+		"GET",
+		"/retire/store-3",
+		"",
+		"",
+	); status != 200 ||
+		!strings.Contains(body, "active") {
 		s.failf("a retirement counts as completed by what was reported during the cut: %d %s", status, body)
 	}
 }
 
-// playCut plays one case and gives what was broken.
-func runPartition(t *testing.T, one partitionCase, spoil func(Replica) Replica) []string {
-	s := newPartitionTest(t, one, spoil)
+// runPartition runs one case and returns the violations.
+func runPartition(t *testing.T, one partitionCase, bug injectedBug) []string {
+	s := newPartitionTest(t, one, bug)
 	s.run(one)
 	s.finish()
 	return s.violations
 }
 
-// TestCutOff cuts one control machine off for twenty seconds, and holds it to telling nothing that may be old.
+// TestPartition partitions one control machine for twenty seconds. It must answer nothing that may be outdated.
 func TestPartition(t *testing.T) {
 	for _, one := range []partitionCase{
 		{head: true, out: true, in: true}, {head: true, out: true}, {head: true, in: true},
@@ -201,7 +246,7 @@
 	} {
 		t.Run(one.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				for _, broken := range runPartition(t, one, nil) {
+				for _, broken := range runPartition(t, one, injectedBug{}) {
 					t.Error(broken)
 				}
 			})
@@ -209,11 +254,11 @@
 	}
 }
 
-// Replicas with a planted bug.
+// Replicas with an injected bug.
 type (
-	alwaysFreshReplica   struct{ Replica } // takes what it knows for fresh
-	alwaysLeadingReplica struct{ Replica } // goes on as the head that it was
-	unprovenReadReplica  struct{ Replica } // reads what is there
+	alwaysFreshReplica   struct{ Replica } // takes its state to be fresh
+	alwaysLeadingReplica struct{ Replica } // continues as the head that it was
+	unprovenReadReplica  struct{ Replica } // reads the local state without proof
 )
 
 func (alwaysFreshReplica) Staleness() (time.Duration, bool) { return 0, true }
@@ -230,27 +275,34 @@
 
 func (unprovenReadReplica) Read(context.Context) (uint64, error) { return 0, nil }
 
-// TestCutOffPlanted checks that the checks of TestCutOff find each bug.
+// TestPartitionFindsInjectedBugs checks that the checks of TestPartition find each bug.
 func TestPartitionFindsInjectedBugs(t *testing.T) {
-	for name, bug := range map[string]struct {
-		spoil func(Replica) Replica
-		told  string // one of what is broken
+	for name, test := range map[string]struct {
+		wrapReplica func(Replica) Replica
+		violation   string // a part of the one that must be found
 	}{
-		"it vouches by what is old":         {func(r Replica) Replica { return alwaysFreshReplica{r} }, "vouches"},
-		"it hands out what is old":          {func(r Replica) Replica { return alwaysFreshReplica{r} }, "a gateway that begins got version 7"},
-		"it grants leases by what is old":   {func(r Replica) Replica { return alwaysFreshReplica{r} }, "grants a lease"},
-		"it goes on to lead":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "it leads"},
-		"it goes on to lend":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "grants quota"},
-		"it decides on batch processes":     {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "decides on the set"},
-		"its API answers from what is old":  {func(r Replica) Replica { return unprovenReadReplica{r} }, "200"},
-		"its API refuses from what is old":  {func(r Replica) Replica { return unprovenReadReplica{r} }, "412"},
-		"its API finds no store in the set": {func(r Replica) Replica { return unprovenReadReplica{r} }, "404"},
+		"it vouches for outdated state":       {func(r Replica) Replica { return alwaysFreshReplica{r} }, "vouches"},
+		"it pushes outdated state":            {func(r Replica) Replica { return alwaysFreshReplica{r} }, "a gateway that begins got version 7"},
+		"it grants leases by outdated state":  {func(r Replica) Replica { return alwaysFreshReplica{r} }, "grants a lease"},
+		"it continues to lead":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "it leads"},
+		"it continues to grant quota":         {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "grants quota"},
+		"it decides on the store membership":  {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "decides on the set"},
+		"its API answers from outdated state": {func(r Replica) Replica { return unprovenReadReplica{r} }, "200"},
+		"its API rejects by outdated state":   {func(r Replica) Replica { return unprovenReadReplica{r} }, "412"},
+		"its API finds no such member":        {func(r Replica) Replica { return unprovenReadReplica{r} }, "404"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				broken := strings.Join(runPartition(t, partitionCase{head: true, out: true, in: true}, bug.spoil), "\n")
-				if !strings.Contains(broken, bug.told) {
-					t.Errorf("not found; broken is %q", broken)
+				violations := strings.Join(
+					runPartition(
+						t,
+						partitionCase{head: true, out: true, in: true},
+						injectedBug{wrapReplica: test.wrapReplica},
+					),
+					"\n",
+				)
+				if !strings.Contains(violations, test.violation) {
+					t.Errorf("not found; the violations are %q", violations)
 				}
 			})
 		})
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -9,14 +9,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// standStill has a process find that it stood still until now.
+// simulatePause makes a process find that it was paused until now.
 func (c *Control) simulatePause(span time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.pauses.lastRanAt -= span
 }
 
-// anySession gives a session of the connections of others.
+// anySession returns a session of the connections of other processes; nil if there is none.
 func anySession[V any](c *Control, sessions map[*transport.Session]V) *transport.Session {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// awaitSession waits for a session of the connections of others: those that a process pause ends are opened again a
-// little later.
+// awaitSession waits for a session of the connections of other processes: those that a process pause ends are
+// opened again a little later.
 func awaitSession[V any](t *testing.T, c *Control, sessions map[*transport.Session]V) *transport.Session {
 	t.Helper()
 	var session *transport.Session
@@ -45,13 +45,13 @@
 	return known
 }
 
-// TestStandstill checks that what lay in the sockets of a process that stood still isn't taken for news, and that
-// the next connections bring some.
+// TestProcessPause checks that messages which were in the sockets of a paused process are not processed, and that
+// those over new connections are.
 func TestProcessPause(t *testing.T) {
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newSimulatedSystem(t, 3, nil)
+				s := newSimulatedSystem(t, 3, injectedBug{})
 				store := s.startPoller(t, 0, storeProcess(1, "a"))
 				eventually(t, "a lease", store.locked(func() bool { return store.grant.Lease > 0 }))
 				c := s.running[0]
@@ -62,7 +62,7 @@
 				c.simulatePause(span)
 				c.handlePoll(subscriber, protocol.Poll{Process: storeProcess(2, "old")})
 				if c.knows(storeProcess(2, "old")) != short {
-					t.Errorf("after %v, a poll from before was taken for news: %t", span, !short)
+					t.Errorf("after %v, a poll from before was processed: %t", span, !short)
 				}
 				synctest.Wait() // the sessions that the pause ended are gone
 				reporter := awaitSession(t, c, c.peerSessions)
@@ -70,7 +70,7 @@
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
 				c.handleReport(reporter, report)
 				if c.knows(storeProcess(3, "old")) != short {
-					t.Errorf("after %v, a report from before was taken for news: %t", span, !short)
+					t.Errorf("after %v, a report from before was processed: %t", span, !short)
 				}
 				time.Sleep(time.Second)
 				c.handleReport(awaitSession(t, c, c.peerSessions), report)
--- a/internal/control/peerreport.go
+++ b/internal/control/peerreport.go
@@ -38,5 +38,7 @@
 
 // The registered name of peerReport is a part of the wire format and stays when the type is renamed or moved.
 func init() {
-	transport.RegisterNamed(transport.NamedType{Name: "sprucelane.example/sprucelane/internal/control.peerReport", Sample: peerReport{}})
+	transport.RegisterNamed(
+		transport.NamedType{Name: "sprucelane.example/sprucelane/internal/control.peerReport", Sample: peerReport{}},
+	)
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,8 +12,9 @@
 
 // Intervals of the reports between control processes.
 const (
-	reportInterval      = 400 * time.Millisecond // of reports to the head of the chain, which keeps the store membership
-	reportsPerBroadcast = 2                      // reports to the head for each one to the others
+	// Of reports to the head of the chain, which keeps the store membership.
+	reportInterval      = 400 * time.Millisecond
+	reportsPerBroadcast = 2 // reports to the head for each one to the others
 )
 
 // peers are this process's connections to the other control processes, over which it sends its reports.
@@ -71,7 +72,12 @@
 		clear(one.gateways)
 		p.mutex.Unlock()
 	}
-	one.client = transport.NewClient(p.control.settings.EndpointAt(ip, node.PortControl), p.control.transportOptions(), nil, forget)
+	one.client = transport.NewClient(
+		p.control.settings.EndpointAt(ip, node.PortControl),
+		p.control.transportOptions(),
+		nil,
+		forget,
+	)
 	return one
 }
 
@@ -150,7 +156,12 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	table := &c.servers
-	share := &peerServers{Digest: table.list.Digest, Ago: c.now() - table.readAt, Took: c.schedule.ReadDuration(), Rank: rank}
+	share := &peerServers{
+		Digest: table.list.Digest,
+		Ago:    c.now() - table.readAt,
+		Took:   c.schedule.ReadDuration(),
+		Rank:   rank,
+	}
 	if has != table.version {
 		share.List = table.messageFrom(c.incarnation, has, c.now())
 	}
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestPresence tells random sets of gateways over a connection that ends now and then, at either side first; after
-// each report that arrives the receiver has the sender's set.
+// TestPollersDelta reports random sets of gateways over a connection that ends now and then, noticed by either side
+// first. After each report the receiver must have the sender's set.
 func TestPollersDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		receiver := &Control{liveness: liveness.New()}
@@ -33,7 +33,11 @@
 			gateways := map[string]protocol.Process{}
 			for _, id := range rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 5, rapid.ID[int]).Draw(t, "gateways") {
 				name := fmt.Sprint("front-", id)
-				gateways[name] = protocol.Process{Node: name, Role: protocol.RoleGateway, Incarnation: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "life"))}
+				gateways[name] = protocol.Process{
+					Node:        name,
+					Role:        protocol.RoleGateway,
+					Incarnation: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "life")),
+				}
 			}
 			report := sender.pollersDelta(gateways)
 			sender.markSent(&report)
--- a/internal/control/peersessions.go
+++ b/internal/control/peersessions.go
@@ -84,7 +84,12 @@
 		joined = c.liveness.Observe(liveness.Contact{Process: process, At: now}) || joined
 	}
 	for _, one := range report.Batch {
-		contact := liveness.Contact{Process: one.Process, Ready: one.Ready, Batch: one.Report, At: now - max(one.Ago, 0)}
+		contact := liveness.Contact{
+			Process: one.Process,
+			Ready:   one.Ready,
+			Batch:   one.Report,
+			At:      now - max(one.Ago, 0),
+		}
 		joined = c.liveness.Observe(contact) || joined
 	}
 	return joined
@@ -96,7 +101,8 @@
 	if shared.List != nil {
 		list, err := serverlist.ApplyUpdate(peer.servers, shared.List)
 		if err != nil {
-			peer.servers = nil // later differences can't be applied either; this process reads the list itself before long
+			// Later differences can't be applied either; this process reads the list itself before long.
+			peer.servers = nil
 			return false
 		}
 		peer.servers = list
--- a/internal/control/servertable_test.go
+++ b/internal/control/servertable_test.go
@@ -13,8 +13,8 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// TestServerTable drives a table through random lists; followers that are behind by any number of versions come to
-// the same list.
+// TestServerTable updates a table with random lists. Subscribers that are behind by any number of versions must
+// come to the same list.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
@@ -43,7 +43,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if next.Version != table.version || len(next.Servers)+len(table.list.Servers) > 0 && !reflect.DeepEqual(next.Servers, table.list.Servers) {
+			if next.Version != table.version ||
+				len(next.Servers)+len(table.list.Servers) > 0 && !reflect.DeepEqual(next.Servers, table.list.Servers) {
 				t.Fatalf("the follower has %v, not %v", next, table.list)
 			}
 			followers[one] = next
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -19,37 +19,44 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// serviceWorld is whole control processes with gateways, batch processes and an operator, in virtual time and under
-// random troubles.
+// serviceSimulation is whole control processes with gateways, batch processes and an operator, in virtual time and
+// with random faults.
 type serviceSimulation struct {
 	*simulatedSystem
-	random *rand.Rand // of the troubles
+	random *rand.Rand // of the faults
 	began  time.Time
 	end    time.Duration
 
-	lock          sync.Mutex // of all below
+	lock          sync.Mutex // guards the fields below
 	acknowledged  []acknowledgement
-	leases        map[protocol.Process]time.Time // when the right of a life ends
-	newest        map[string]string              // the newest life of each batch process
-	members       protocol.StoreView             // newest set that was seen
-	partitioned   int                            // who is cut off; -1: nobody
+	leases        map[protocol.Process]time.Time // when the lease of an incarnation ends
+	newest        map[string]string              // incarnation of each batch process
+	members       protocol.StoreView             // newest membership that was seen
+	partitioned   int                            // index of the partitioned control process; -1: none
 	partitionedAt time.Time
 	vouches       int // answers that vouched
-	grants        int // leases
-	changes       int // of the set
+	grants        int // of leases
+	changes       int // of the store membership
 	violations    []string
 	events        []string
 }
 
-// ackedVersion is a version whose acknowledgement an operator has had at a moment.
+// acknowledgement is a version that was acknowledged at a moment.
 type acknowledgement struct {
 	version uint64
 	at      time.Time
 }
 
-func newServiceSimulation(t *testing.T, seed uint64, end time.Duration, spoil func(Replica) Replica, lenient bool) *serviceSimulation {
-	return &serviceSimulation{simulatedSystem: newBuggySystem(t, seed, spoil, lenient), random: rand.New(rand.NewPCG(seed, 3)), began: time.Now(), end: end,
-		leases: map[protocol.Process]time.Time{}, newest: map[string]string{}, partitioned: -1}
+func newServiceSimulation(t *testing.T, seed uint64, end time.Duration, bug injectedBug) *serviceSimulation {
+	return &serviceSimulation{
+		simulatedSystem: newSimulatedSystem(t, seed, bug),
+		random:          rand.New(rand.NewPCG(seed, 3)),
+		began:           time.Now(),
+		end:             end,
+		leases:          map[protocol.Process]time.Time{},
+		newest:          map[string]string{},
+		partitioned:     -1,
+	}
 }
 
 func (w *serviceSimulation) isOver() bool { return time.Since(w.began) > w.end }
@@ -58,7 +65,7 @@
 	w.events = append(w.events, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// failf notes a broken check, with the lock held.
+// failf records a violation, with the lock held.
 func (w *serviceSimulation) failf(format string, arguments ...any) {
 	w.logf("BROKEN: "+format, arguments...)
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
@@ -68,9 +75,19 @@
 func (w *serviceSimulation) operate(random *rand.Rand) {
 	last := uint64(7)
 	for !w.isOver() {
-		order := fmt.Sprintf(`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["k%d"],"rate-per-s":10,"burst":10}]}}`, last+1, last+1)
+		order := fmt.Sprintf(
+			`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["k%d"],"rate-per-s":10,"burst":10}]}}`,
+			last+1,
+			last+1,
+		)
 		for !w.isOver() {
-			if status, _ := w.call(random.IntN(3), "PATCH", "/config", strconv.FormatUint(last, 10), order); status == 200 {
+			if status, _ := w.call(
+				random.IntN(3),
+				"PATCH",
+				"/config",
+				strconv.FormatUint(last, 10),
+				order,
+			); status == 200 {
 				last++
 				w.lock.Lock()
 				w.acknowledged = append(w.acknowledged, acknowledgement{version: last, at: time.Now()})
@@ -83,7 +100,7 @@
 	}
 }
 
-// ackedBefore gives the newest version that was acknowledged before a moment.
+// acknowledgedBefore returns the newest version that was acknowledged before a moment.
 func (w *serviceSimulation) acknowledgedBefore(moment time.Time) uint64 {
 	newest := uint64(0)
 	for _, one := range w.acknowledged {
@@ -94,17 +111,18 @@
 	return newest
 }
 
-// roamer is a gateway or batch process that polls one control process, and another when that doesn't vouch.
+// simulatedSubscriber is a gateway or batch process that polls one control process, and turns to another when that
+// doesn't vouch.
 type simulatedSubscriber struct {
 	simulation *serviceSimulation
 	random     *rand.Rand
 	process    protocol.Process
 	state      *configuration.State
-	lock       sync.Mutex // of state
+	lock       sync.Mutex // guards state
 	lives      int
 }
 
-// run polls over several lives.
+// run polls over several incarnations.
 func (r *simulatedSubscriber) run() {
 	for !r.simulation.isOver() {
 		r.restart()
@@ -116,7 +134,8 @@
 	}
 }
 
-// begin begins a life: a gateway knows nothing then, and half of the batch processes have lost their disks.
+// restart begins an incarnation: a gateway then knows nothing, and half of the batch processes have lost their
+// disks.
 func (r *simulatedSubscriber) restart() {
 	r.lives++
 	r.lock.Lock()
@@ -133,7 +152,10 @@
 // subscribe polls a control process until it doesn't vouch.
 func (r *simulatedSubscriber) subscribe(at int, till time.Time) {
 	w := r.simulation
-	options := transport.Options{Identity: transport.Identity{System: protocol.System, Node: r.process.Node, Role: r.process.Role}, Dial: w.host(r.process.IP).Dial}
+	options := transport.Options{
+		Identity: transport.Identity{System: protocol.System, Node: r.process.Node, Role: r.process.Role},
+		Dial:     w.host(r.process.IP).Dial,
+	}
 	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.take, nil)
 	defer client.Close()
 	vouched := time.Now()
@@ -173,10 +195,10 @@
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	_, _ = r.state.ApplyUpdate(update.Configuration) // one that doesn't follow is asked for again
+	_, _ = r.state.ApplyUpdate(update.Configuration) // an update that can't be applied is asked for again
 }
 
-// judge holds an answer to what it vouches for.
+// check checks an answer against what it vouches for, and reports whether it vouches.
 func (r *simulatedSubscriber) check(at int, sent time.Time, update protocol.Update) bool {
 	r.lock.Lock()
 	held := r.state.Current().Generation
@@ -195,7 +217,14 @@
 	}
 	w.vouches++
 	if least := w.acknowledgedBefore(sent.Add(-update.Age)); held < least {
-		w.failf("%s vouches to %s for version %d at an age of %v, %d was acknowledged", w.settings[at].NodeName, r.process.Node, held, update.Age, least)
+		w.failf(
+			"%s vouches to %s for version %d at an age of %v, %d was acknowledged",
+			w.settings[at].NodeName,
+			r.process.Node,
+			held,
+			update.Age,
+			least,
+		)
 	}
 	if w.partitioned == at && sent.Sub(w.partitionedAt) > maxStaleness {
 		w.failf("%s vouches %v after it was cut off", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
@@ -203,10 +232,10 @@
 	return true
 }
 
-// watchStep is how often the set of batch processes is looked at.
+// watchStep is how often the store membership is looked at.
 const watchStep = 5 * time.Millisecond
 
-// watch holds the changes of the set to what leases say.
+// watchMembers checks changes of the store membership against the leases.
 func (w *serviceSimulation) watchMembers() {
 	for !w.isOver() {
 		w.mutex.Lock()
@@ -229,24 +258,32 @@
 	}
 	w.changes++
 	for _, member := range w.members.Members {
-		replaced := slices.ContainsFunc(next.Members, func(other protocol.StoreMember) bool { return other.Node == member.Node })
+		replaced := slices.ContainsFunc(
+			next.Members,
+			func(other protocol.StoreMember) bool { return other.Node == member.Node },
+		)
 		if left := time.Until(w.leases[member.Process]); !replaced && left > watchStep {
 			w.failf("%s is out of the set with %v of its lease left", member.Process.Incarnation, left)
 		}
 	}
 	for _, member := range next.Members {
 		newer := slices.ContainsFunc(w.members.Members, func(other protocol.StoreMember) bool {
-			return other.Node == member.Node && other.Incarnation == w.newest[member.Node] && other.Incarnation != member.Incarnation
+			return other.Node == member.Node && other.Incarnation == w.newest[member.Node] &&
+				other.Incarnation != member.Incarnation
 		})
 		if newer {
-			w.failf("the former life %s is in the set again, in place of %s", member.Incarnation, w.newest[member.Node])
+			w.failf(
+				"the former incarnation %s is a member again, in place of %s",
+				member.Incarnation,
+				w.newest[member.Node],
+			)
 		}
 	}
 	w.logf("set %d: %d members", next.Epoch, len(next.Members))
 	w.members = next
 }
 
-// trouble brings one trouble after the other.
+// injectFaults injects one fault after the other.
 func (w *serviceSimulation) injectFaults() {
 	time.Sleep(4 * time.Second)
 	for !w.isOver() {
@@ -254,7 +291,7 @@
 		other := (victim + 1 + w.random.IntN(2)) % 3
 		kind := w.random.IntN(7)
 		w.lock.Lock()
-		w.logf("trouble %d of %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
+		w.logf("fault %d of %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
 		w.lock.Unlock()
 		switch kind {
 		case 0, 1, 2:
@@ -287,7 +324,7 @@
 	}
 }
 
-// isolate cuts a process off from the others for twenty seconds.
+// partitionControl partitions a process from the others for partitionLength.
 func (w *serviceSimulation) partitionControl(victim int, out, in bool) {
 	w.partition(victim, out, in)
 	w.lock.Lock()
@@ -300,11 +337,11 @@
 	w.heal(victim)
 }
 
-// playServices plays a world and gives it.
-func simulateServices(t *testing.T, seed uint64, span time.Duration, spoil func(Replica) Replica, lenient bool) *serviceSimulation {
+// simulateServices runs one simulation.
+func simulateServices(t *testing.T, seed uint64, span time.Duration, bug injectedBug) *serviceSimulation {
 	var w *serviceSimulation
 	synctest.Test(t, func(t *testing.T) {
-		w = newServiceSimulation(t, seed, span, spoil, lenient)
+		w = newServiceSimulation(t, seed, span, bug)
 		if status := w.put(t, "PUT", "0", quotaDocument); status != 200 {
 			t.Fatal(status)
 		}
@@ -314,7 +351,11 @@
 			if number < 3 {
 				process = storeProcess(number, "")
 			}
-			one := &simulatedSubscriber{simulation: w, process: process, random: rand.New(rand.NewPCG(seed, 50+uint64(number)))}
+			one := &simulatedSubscriber{
+				simulation: w,
+				process:    process,
+				random:     rand.New(rand.NewPCG(seed, 50+uint64(number))),
+			}
 			running.Go(one.run)
 		}
 		running.Go(func() { w.operate(rand.New(rand.NewPCG(seed, 40))) })
@@ -333,34 +374,49 @@
 	return fallback
 }
 
-// TestRandomServices holds whole control processes, in worlds with troubles, to what they vouch for, to the leases
-// that they grant and to the set of batch processes. SEEDS=N plays N worlds, FIRST=S begins at seed S.
+// TestRandomServices checks whole control processes in simulations with faults: what they vouch for, the leases
+// that they grant, and the store membership. SEEDS=N runs N simulations, FIRST=S begins at seed S.
 func TestRandomServices(t *testing.T) {
 	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
 	vouches, grants, changes, versions := 0, 0, 0, 0
 	for seed := first; seed < first+worlds; seed++ {
-		w := simulateServices(t, seed, time.Minute, nil, false)
+		w := simulateServices(t, seed, time.Minute, injectedBug{})
 		if len(w.violations) > 0 {
 			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 		}
-		vouches, grants, changes, versions = vouches+w.vouches, grants+w.grants, changes+w.changes, versions+len(w.acknowledged)
+		vouches, grants, changes, versions = vouches+w.vouches, grants+w.grants, changes+w.changes, versions+len(
+			w.acknowledged,
+		)
 	}
-	t.Logf("%d worlds: %d answers that vouch, %d leases, %d changes of the set, %d versions", worlds, vouches, grants, changes, versions)
+	t.Logf(
+		"%d simulations: %d answers that vouch, %d leases, %d changes of the membership, %d versions",
+		worlds,
+		vouches,
+		grants,
+		changes,
+		versions,
+	)
 }
 
-// TestServicesPlanted checks that the checks of the worlds find each bug.
+// TestServicesFindInjectedBugs checks that the checks of the simulations find each bug.
 func TestServicesFindInjectedBugs(t *testing.T) {
-	for name, bug := range map[string]struct {
-		spoil   func(Replica) Replica
-		lenient bool
-		told    string
+	for name, test := range map[string]struct {
+		bug       injectedBug
+		violation string // a part of the one that must be found
 	}{
-		"what is held counts as fresh":       {spoil: func(r Replica) Replica { return alwaysFreshReplica{r} }, told: "vouches to"},
-		"who is under suspicion gets leases": {lenient: true, told: "of its lease left"},
+		"any state counts as fresh": {
+			bug:       injectedBug{wrapReplica: func(r Replica) Replica { return alwaysFreshReplica{r} }},
+			violation: "vouches to",
+		},
+		"a batch process under suspicion is granted leases": {
+			bug:       injectedBug{leaseSuspected: true},
+			violation: "of its lease left",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(0); seed < 30; seed++ {
-				if w := simulateServices(t, seed, time.Minute, bug.spoil, bug.lenient); strings.Contains(strings.Join(w.violations, "; "), bug.told) {
+				w := simulateServices(t, seed, time.Minute, test.bug)
+				if strings.Contains(strings.Join(w.violations, "; "), test.violation) {
 					t.Logf("seed %d: %s", seed, w.violations[0])
 					return
 				}
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -24,36 +24,44 @@
 	operatorDial    = 5 * time.Second
 )
 
-// bubbleSystem is a system in memory, in virtual time, with the platform and an operator.
+// simulatedSystem is a system in memory, in virtual time, with the platform and an operator.
 type simulatedSystem struct {
 	*system
-	t              *testing.T
-	network        *bubble.Network
-	disks          []*bubble.Disk
-	hosts          []*bubble.Host
-	others         map[string]*bubble.Host // of the operator, of gateways and batch processes
-	mutex          sync.Mutex              // of servers
-	servers        string
-	wrapReplica    func(Replica) Replica
-	leaseSuspected bool // plants surroundings.leaseSuspects
+	t       *testing.T
+	network *bubble.Network
+	disks   []*bubble.Disk
+	hosts   []*bubble.Host
+	others  map[string]*bubble.Host // of the operator, of gateways and batch processes
+	mutex   sync.Mutex              // guards others and servers, and writes of running
+	servers string
+	bug     injectedBug
 }
 
-// newBubbleSystem starts three control processes. Call it in a bubble.
-func newSimulatedSystem(t *testing.T, seed uint64, spoil func(Replica) Replica) *simulatedSystem {
-	return newBuggySystem(t, seed, spoil, false)
+// injectedBug is a bug that the checks must find; see environment. The zero value is none.
+type injectedBug struct {
+	wrapReplica    func(Replica) Replica
+	leaseSuspected bool
 }
 
-func newBuggySystem(t *testing.T, seed uint64, spoil func(Replica) Replica, lenient bool) *simulatedSystem {
-	return newSystemWith(t, seed, 3, 1, spoil, lenient)
+// newSimulatedSystem starts three control processes, of which one may fail. It must be called in a synctest bubble.
+func newSimulatedSystem(t *testing.T, seed uint64, bug injectedBug) *simulatedSystem {
+	return newSizedSystem(t, seed, 3, 1, bug)
 }
 
 // newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance says.
-func newSystemWith(t *testing.T, seed uint64, members, tolerance int, spoil func(Replica) Replica, lenient bool) *simulatedSystem {
-	s := &simulatedSystem{system: &system{running: make([]*Control, members)}, t: t, wrapReplica: spoil, leaseSuspected: lenient, network: bubble.NewNetwork(seed), others: map[string]*bubble.Host{}}
+func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, bug injectedBug) *simulatedSystem {
+	s := &simulatedSystem{
+		system:  &system{running: make([]*Control, members)},
+		t:       t,
+		bug:     bug,
+		network: bubble.NewNetwork(seed),
+		others:  map[string]*bubble.Host{},
+	}
 	s.dialFrom = func(ip string) func(context.Context, string) (net.Conn, error) { return s.host(ip).Dial }
 	s.client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, operatorDial) // a call's own end doesn't end its dialling
+			// Independent of the call, whose end must not end the dialling.
+			ctx, cancel := context.WithTimeout(ctx, operatorDial)
 			defer cancel()
 			return s.host(operatorIP).Dial(ctx, address)
 		}}}
@@ -66,17 +74,37 @@
 		s.disks = append(s.disks, bubble.NewDisk(seed*8+uint64(i)))
 		s.hosts = append(s.hosts, nil)
 		s.settings = append(s.settings, &node.Settings{
-			NodeName: fmt.Sprint("front-", i+1), Role: "control", IP: fmt.Sprint("10.0.0.", i+1), Zone: fmt.Sprint("z", i), ListenControl: seeds[i],
-			FirstPort: 7000, LastPort: 7004, Seeds: seeds, Bootstrap: true, DataDir: "/disk",
-			Limits: node.Limits{MemoryMB: 284}, Tolerance: node.Tolerance{Machines: tolerance}, Cloud: node.Cloud{Address: platformAddress, Rate: 50},
-			Bounds: node.Bounds{Acknowledge: 4 * time.Second, QuotaWindow: 5 * time.Second, QuotaOvershoot: 0.1, QuotaSlack: 20},
+			NodeName: fmt.Sprint(
+				"front-",
+				i+1,
+			),
+			Role:          "control",
+			IP:            fmt.Sprint("10.0.0.", i+1),
+			Zone:          fmt.Sprint("z", i),
+			ListenControl: seeds[i],
+			FirstPort:     7000,
+			LastPort:      7004,
+			Seeds:         seeds,
+			Bootstrap:     true,
+			DataDir:       "/disk",
+			Limits: node.Limits{
+				MemoryMB: 284,
+			},
+			Tolerance: node.Tolerance{Machines: tolerance},
+			Cloud:     node.Cloud{Address: platformAddress, Rate: 50},
+			Bounds: node.Bounds{
+				Acknowledge:    4 * time.Second,
+				QuotaWindow:    5 * time.Second,
+				QuotaOvershoot: 0.1,
+				QuotaSlack:     20,
+			},
 		})
 		s.begin(i)
 	}
 	return s
 }
 
-// host gives the machine of somebody else than control.
+// host returns the machine of a process that is not a control process.
 func (s *simulatedSystem) host(ip string) *bubble.Host {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,7 +138,13 @@
 // begin starts a control process.
 func (s *simulatedSystem) begin(i int) {
 	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
-	around := &environment{bind: s.hosts[i].Listen, dial: s.hosts[i].Dial, disk: s.disks[i].Mount(), wrapReplica: s.wrapReplica, leaseSuspected: s.leaseSuspected}
+	around := &environment{
+		bind:           s.hosts[i].Listen,
+		dial:           s.hosts[i].Dial,
+		disk:           s.disks[i].Mount(),
+		wrapReplica:    s.bug.wrapReplica,
+		leaseSuspected: s.bug.leaseSuspected,
+	}
 	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: around})
 	if err != nil {
 		s.t.Fatal(err)
@@ -120,17 +154,17 @@
 	s.running[i] = one
 }
 
-// finish ends all.
+// finish ends all processes.
 func (s *simulatedSystem) finish() {
 	for i := range s.running {
 		if s.running[i] != nil {
 			s.running[i].Stop()
 		}
 	}
-	time.Sleep(time.Minute) // idle connections
+	time.Sleep(time.Minute) // until idle connections are closed
 }
 
-// head gives which process heads the chain.
+// head returns the process that leads the chain, -1 if there is none.
 func (s *simulatedSystem) head() int {
 	for i, one := range s.running {
 		if one != nil {
@@ -142,7 +176,7 @@
 	return -1
 }
 
-// cut cuts a control process off from the others.
+// partition partitions a control process from the others.
 func (s *simulatedSystem) partition(victim int, out, in bool) {
 	for i := range s.settings {
 		if i != victim && out {
@@ -161,11 +195,18 @@
 	}
 }
 
-// askQuota asks a process for tokens and tells whether it grants any.
+// askQuota asks a process for tokens and reports whether it grants any.
 func (s *simulatedSystem) askQuota(i int, sequence uint64) bool {
 	process := protocol.Process{Node: "gateway-q", Role: protocol.RoleGateway, IP: "10.0.3.99", Incarnation: "x"}
-	client := transport.NewClient(s.settings[i].Endpoint(node.PortControl),
-		transport.Options{Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role}, Dial: s.host(process.IP).Dial}, nil, nil)
+	client := transport.NewClient(
+		s.settings[i].Endpoint(node.PortControl),
+		transport.Options{
+			Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role},
+			Dial:     s.host(process.IP).Dial,
+		},
+		nil,
+		nil,
+	)
 	defer client.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// losePower ends a control process without a word, with what its disk hasn't synced.
+// losePower ends a control process at once, and loses what its disk hasn't synced.
 func (s *simulatedSystem) losePower(i int) {
 	s.hosts[i].LosePower()
 	s.disks[i].LosePower()
@@ -30,7 +30,7 @@
 	gone.Stop()
 }
 
-// toldSet gives the epoch of the set of batch processes that a process was told; 0: none yet.
+// storeEpoch returns the epoch of the store membership that a process was sent; 0: none yet.
 func (f *simulatedPoller) storeEpoch() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -40,13 +40,16 @@
 	return f.members.Stores.Epoch
 }
 
-// fillLog has the disks of all control processes take a snapshot of what is acknowledged.
+// fillLog makes the disks of all control processes take a snapshot of what is acknowledged.
 func (s *simulatedSystem) fillLog(t *testing.T) {
 	const changes, bytes = 10, 150 << 10 // more than a log takes before it is compacted
 	last := uint64(7)
 	for range changes {
-		order := fmt.Sprintf(`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["%s"],"rate-per-s":10,"burst":10}]}}`, last+1,
-			strings.Repeat("k", bytes))
+		order := fmt.Sprintf(
+			`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["%s"],"rate-per-s":10,"burst":10}]}}`,
+			last+1,
+			strings.Repeat("k", bytes),
+		)
 		if status, body := s.call(0, "PATCH", "/config", strconv.FormatUint(last, 10), order); status != 200 {
 			t.Fatal(status, body)
 		}
@@ -54,12 +57,12 @@
 	}
 }
 
-// TestSetNeedsProof has all control processes lose power after the set of batch processes has changed a few times.
-// What one holds that starts alone is what its disk had learnt to be acknowledged, which may be a set that ended
-// long ago.
+// TestStoresNeedProof has all control processes lose power after the store membership has changed a few times. One
+// that starts alone has what its disk knows to be acknowledged, which may be a membership that ended long ago; it
+// must not send it.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSimulatedSystem(t, 1, nil)
+		s := newSimulatedSystem(t, 1, injectedBug{})
 		defer s.finish()
 		if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
 			t.Fatal(status)
@@ -67,11 +70,19 @@
 		var stores []*simulatedPoller
 		for i := range 4 {
 			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
-			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }))
+			eventually(
+				t,
+				fmt.Sprint("the lease of store ", i),
+				stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }),
+			)
 		}
 		s.fillLog(t)
 		stores[3].paused.Store(true)
-		eventually(t, "that a silent one is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
+		eventually(
+			t,
+			"that one that doesn't poll is evicted",
+			func() bool { return len(s.running[0].state.Stores().Members) == 3 },
+		)
 		newest := s.running[0].state.Stores().Epoch
 		for i := range s.running {
 			s.losePower(i)
@@ -80,11 +91,18 @@
 			store.paused.Store(true)
 		}
 		s.begin(0)
-		beginners := []*simulatedPoller{s.startPoller(t, 0, storeProcess(2, "a")), s.startPoller(t, 0, gatewayProcess(1))}
+		beginners := []*simulatedPoller{
+			s.startPoller(t, 0, storeProcess(2, "a")),
+			s.startPoller(t, 0, gatewayProcess(1)),
+		}
 		for range 50 {
 			for _, one := range beginners {
 				if told := one.storeEpoch(); told != 0 {
-					t.Fatalf("a process without proof tells the set of epoch %d, where %d is the newest", told, newest)
+					t.Fatalf(
+						"a process without proof sends the membership of epoch %d, where %d is the newest",
+						told,
+						newest,
+					)
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -94,13 +112,13 @@
 		for _, one := range beginners {
 			eventually(t, "the set", func() bool { return one.storeEpoch() != 0 })
 			if told := one.storeEpoch(); told < newest {
-				t.Errorf("the set of epoch %d is told, where %d is the newest", told, newest)
+				t.Errorf("the membership of epoch %d is sent, where %d is the newest", told, newest)
 			}
 		}
 	})
 }
 
-// provenReplica stands for a chain whose proof the test sets.
+// fixedReplica is a chain whose proof of freshness the test sets.
 type fixedReplica struct {
 	Replica
 	proven bool
@@ -114,14 +132,20 @@
 func (r *fixedReplica) Staleness() (time.Duration, bool) { return 0, r.proven }
 func (r *fixedReplica) Self() view.Member                { return view.Member{Node: "c", Address: "127.0.0.1:1"} }
 func (r *fixedReplica) Members() []replica.Peer          { return nil }
+
 func (r *fixedReplica) View() view.View {
 	return view.View{Epoch: 1, Chain: []view.Member{{Node: "head", Address: r.head}}}
 }
 
-// newProvenControl gives a control process without ports, on a chain that is always proven.
+// newControlWithFixedReplica returns a control process without ports, on a chain that is always proven.
 func newControlWithFixedReplica() (*Control, *fixedReplica) {
-	c := newControl(Options{Settings: &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10}, Log: zerolog.Nop(),
-		environment: &environment{}})
+	c := newControl(
+		Options{
+			Settings:    &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10},
+			Log:         zerolog.Nop(),
+			environment: &environment{},
+		},
+	)
 	chain := &fixedReplica{proven: true, head: "127.0.0.1:1"}
 	c.replica = chain
 	c.peers = newPeers(c)
@@ -129,29 +153,36 @@
 	return c, chain
 }
 
-// TestJoinIsOfASet has the head let a batch process in.
+// TestJoinNamesEpoch checks that a Join names the epoch in which it was decided, and the epoch that the joining
+// process has acted in.
 func TestJoinNamesEpoch(t *testing.T) {
 	c, _ := newControlWithFixedReplica()
 	for index := uint64(1); index <= 2; index++ {
-		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(int(index), "a")}}}.Encode()
+		raw, err := statemachine.Command{
+			Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(int(index), "a")}},
+		}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.state.Apply(index, raw)
 	}
-	c.liveness.Observe(liveness.Contact{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}})
+	c.liveness.Observe(
+		liveness.Contact{Process: storeProcess(3, "b"), At: c.now(), Batch: &protocol.BatchReport{ActedIn: 40}},
+	)
 	commands := c.storeCommands()
 	if len(commands) != 1 || commands[0].Join == nil || commands[0].Join.Epoch != 2 || commands[0].Join.ActedIn != 40 {
 		t.Fatalf("the head orders %+v for one that joins the set of epoch 2, and acted in 40", commands)
 	}
 }
 
-// TestSetOfTheLease has the set of batch processes change right before a poll is answered, when the list of
-// processes that is at hand is still of the one before.
+// TestStoresMatchLease changes the store membership right before a poll is answered, when the member list that was
+// built is of the epoch before. The list that is sent must be of the lease's epoch.
 func TestStoresMatchLease(t *testing.T) {
 	c, chain := newControlWithFixedReplica()
 	for index, number := range []int{1, 2} {
-		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(number, "a")}}}.Encode()
+		raw, err := statemachine.Command{
+			Join: &statemachine.Join{Processes: []protocol.Process{storeProcess(number, "a")}},
+		}.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -164,32 +195,45 @@
 	defer c.mutex.Unlock()
 	list := c.membersFor(&subscriber{process: storeProcess(1, "a")}, true)
 	if list == nil || !list.Vouched || list.Stores.Epoch != 2 {
-		t.Fatalf("told is %+v, where the lease is of epoch 2", list)
+		t.Fatalf("sent is %+v, where the lease is of epoch 2", list)
 	}
 	chain.head = "127.0.0.2:1"
-	if list := c.membersFor(&subscriber{members: c.memberList.Version}, true); list == nil || !strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
-		t.Fatalf("told is %+v, where quotas are elsewhere by now", list)
+	if list := c.membersFor(
+		&subscriber{members: c.memberList.Version},
+		true,
+	); list == nil ||
+		!strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
+		t.Fatalf("sent is %+v, where the allocator is elsewhere by now", list)
 	}
-	if hint := c.membersFor(&subscriber{}, false); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 || hint.QuotaAddress != "" {
-		t.Fatalf("without proof told is %+v", hint)
+	if hint := c.membersFor(
+		&subscriber{},
+		false,
+	); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 ||
+		hint.QuotaAddress != "" {
+		t.Fatalf("without proof sent is %+v", hint)
 	}
 }
 
-// TestEmptiedStoreGoesOn has a batch process go on polling after its retirement was completed and it left the set.
+// TestDrainedStoreKeepsPolling has a batch process poll on after its retirement was completed and it was evicted.
+// No command must follow.
 func TestDrainedStoreKeepsPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSimulatedSystem(t, 1, nil)
+		s := newSimulatedSystem(t, 1, injectedBug{})
 		defer s.finish()
 		var stores []*simulatedPoller
 		for i := range 4 {
 			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
-			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }))
+			eventually(
+				t,
+				fmt.Sprint("the lease of store ", i),
+				stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }),
+			)
 		}
 		if status, body := s.call(0, "POST", "/retire/store-3", "", `{"deadline-s":10}`); status != 200 {
 			t.Errorf("the retirement: %d %s", status, body)
 			return
 		}
-		eventually(t, "that the store is emptied", func() bool {
+		eventually(t, "that the store is drained", func() bool {
 			for _, one := range stores {
 				one.mutex.Lock()
 				one.report = protocol.BatchReport{Epoch: one.grant.Epoch, Settled: one.grant.Epoch, DrainedDown: true}
@@ -200,7 +244,7 @@
 		stores[3].paused.Store(true)
 		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
 		stores[3].paused.Store(false)
-		time.Sleep(5 * time.Second) // longer than a lease: whatever is to be ordered has been
+		time.Sleep(5 * time.Second) // longer than a lease: all commands that are due have been proposed
 		before := s.commandsApplied(t)
 		time.Sleep(20 * time.Second)
 		if orders := s.commandsApplied(t) - before; orders > 0 {
@@ -209,7 +253,7 @@
 	})
 }
 
-// ordered gives how many orders the chain has taken.
+// commandsApplied returns how many commands the chain has applied.
 func (s *simulatedSystem) commandsApplied(t *testing.T) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
