--- a/coord/view/membership_model_test.go
+++ b/coord/view/membership_model_test.go
@@ -122,11 +122,11 @@
 func (w *membershipState) key() uint64 {
 	text := w.appendDurable(make([]byte, 0, 512))
 	for _, n := range w.nodes {
-		text = append(text, flag(n.leaving)|flag(n.prefixComplete)<<1|flag(n.partialCopy)<<2)
+		text = append(text, boolByte(n.leaving)|boolByte(n.prefixComplete)<<1|boolByte(n.partialCopy)<<2)
 	}
 	sum := uint64(0) // the order of messages doesn't matter
 	for _, m := range w.messages {
-		key := appendMember(appendMember([]byte{byte(m.epoch), flag(m.isCopy)}, m.from), m.to)
+		key := appendMember(appendMember([]byte{byte(m.epoch), boolByte(m.isCopy)}, m.from), m.to)
 		sum += maphash.Bytes(modelHash, appendCommands(key, m.log))
 	}
 	text = fmt.Appendf(text, "%x", sum)
@@ -348,7 +348,7 @@
 // step returns the state after an action.
 func (w *membershipState) step(action membershipAction) *membershipState {
 	next := w.clone()
-	next.trace = &modelStep{name: action.name, before: w.trace}
+	next.trace = &modelStep{name: action.name, previous: w.trace}
 	action.run(next)
 	next.noteRepair()
 	return next
--- a/coord/view/model_explore_test.go
+++ b/coord/view/model_explore_test.go
@@ -10,15 +10,15 @@
 )
 
 // step returns the state after an action.
-func (w *modelState) step(action modelAction) *modelState {
+func (w *agreementState) step(action agreementAction) *agreementState {
 	next := w.clone()
-	next.trace = &modelStep{name: action.name, before: w.trace}
+	next.trace = &modelStep{name: action.name, previous: w.trace}
 	action.run(next)
 	return next
 }
 
 // play runs the actions whose names begin with these texts, one each.
-func (w *modelState) play(t testing.TB, names ...string) *modelState {
+func (w *agreementState) play(t testing.TB, names ...string) *agreementState {
 	t.Helper()
 	for _, name := range names {
 		found := false
@@ -40,11 +40,11 @@
 
 // explore visits every state within a depth, breadth first, up to a number of states. It returns the
 // first broken state.
-func explore(start *modelState, depth, limit int) (broken *modelState, problem string, states, reached int) {
+func exploreAgreement(start *agreementState, depth, limit int) (broken *agreementState, problem string, states, reached int) {
 	seen := map[uint64]struct{}{start.key(): {}}
-	level := []*modelState{start}
+	level := []*agreementState{start}
 	for reached = 0; reached < depth && len(level) > 0; reached++ {
-		var next []*modelState
+		var next []*agreementState
 		for _, w := range level {
 			for _, action := range w.actions() {
 				after := w.step(action)
@@ -68,7 +68,7 @@
 }
 
 // walk takes random steps from a state, many times.
-func walk(start *modelState, seed uint64, walks, length int) (broken *modelState, problem string) {
+func walkAgreement(start *agreementState, seed uint64, walks, length int) (broken *agreementState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	for i := 0; i < walks; i++ {
 		w := start
@@ -94,47 +94,47 @@
 	return 1
 }
 
-type modelScenario struct {
+type agreementScenario struct {
 	name   string
-	config modelConfig
+	config agreementConfig
 	steps  []string
 	depth  int
 }
 
-func modelScenarios() []modelScenario {
+func agreementScenarios() []agreementScenario {
 	committed := []string{"a#genesis orders", "a#genesis forwards", "deliver b#genesis", "b#genesis forwards",
 		"deliver c#genesis", "c#genesis commits"}
-	return []modelScenario{
+	return []agreementScenario{
 		{
 			name:   "two proposers and a restart",
-			config: modelConfig{maxRound: 2, maxEpoch: 2, restarts: 1, starts: 2, proposers: "ac", agreementOnly: true},
+			config: agreementConfig{maxRound: 2, maxEpoch: 2, restarts: 1, starts: 2, proposers: "ac", agreementOnly: true},
 			depth:  15,
 		},
 		{
 			name:   "a wiped machine and two proposers",
-			config: modelConfig{maxRound: 2, maxEpoch: 2, wipes: 1, starts: 2, proposers: "ac", agreementOnly: true},
+			config: agreementConfig{maxRound: 2, maxEpoch: 2, wipes: 1, starts: 2, proposers: "ac", agreementOnly: true},
 			depth:  15,
 		},
 		{
 			name:   "orders while a view changes",
-			config: modelConfig{maxRound: 1, maxEpoch: 2, commands: 1, starts: 1, shortChain: true, proposers: "ac"},
+			config: agreementConfig{maxRound: 1, maxEpoch: 2, commands: 1, starts: 1, shortChain: true, proposers: "ac"},
 			depth:  14,
 		},
 		{
 			name:   "a head that hands over with orders on their way",
-			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, disliked: "a"},
+			config: agreementConfig{maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, disliked: "a"},
 			steps:  append(committed[:6:6], "a#genesis orders", "a#genesis forwards", "a#genesis proposes"),
 			depth:  11,
 		},
 		{
 			name:   "a view after a committed order, with a wiped machine",
-			config: modelConfig{maxRound: 1, maxEpoch: 2, commands: 1, wipes: 1, starts: 1},
+			config: agreementConfig{maxRound: 1, maxEpoch: 2, commands: 1, wipes: 1, starts: 1},
 			steps:  committed,
 			depth:  13,
 		},
 		{
 			name:   "a source that goes before its prefix is copied",
-			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 2, wipes: 1, starts: 2, shortChain: true},
+			config: agreementConfig{maxRound: 1, maxEpoch: 3, commands: 2, wipes: 1, starts: 2, shortChain: true},
 			steps: append(committed[:6:6], "a#genesis orders", "a#genesis proposes", "deliver b#genesis prepare",
 				"deliver a#genesis response to prepare b", "a#genesis chooses a short chain", "deliver b#genesis accept",
 				"deliver a#genesis response to accept"),
@@ -142,7 +142,7 @@
 		},
 		{
 			name:   "an older log that is longer",
-			config: modelConfig{maxRound: 1, maxEpoch: 3, commands: 4, starts: 2, shortChain: true},
+			config: agreementConfig{maxRound: 1, maxEpoch: 3, commands: 4, starts: 2, shortChain: true},
 			steps: append(committed[:6:6], "a#genesis orders", "a#genesis orders", "b#genesis proposes",
 				"deliver c#genesis prepare", "deliver b#genesis response to prepare c", "b#genesis chooses a short chain",
 				"deliver c#genesis accept", "deliver b#genesis response to accept", "deliver c#genesis decided",
@@ -153,23 +153,23 @@
 	}
 }
 
-func (s modelScenario) start(t testing.TB, plant func(*modelConfig)) *modelState {
+func (s agreementScenario) start(t testing.TB, plant func(*agreementConfig)) *agreementState {
 	rules := s.config
 	plant(&rules)
-	return newModelState(&rules).play(t, s.steps...)
+	return newAgreementState(&rules).play(t, s.steps...)
 }
 
 // TestModel checks the change of views in every order of messages, restarts and wiped disks, up to
 // bounds; MODEL=N explores N times as many states.
-func TestModel(t *testing.T) {
-	for _, scenario := range modelScenarios() {
+func TestAgreementModel(t *testing.T) {
+	for _, scenario := range agreementScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
-			start := scenario.start(t, func(*modelConfig) {})
+			start := scenario.start(t, func(*agreementConfig) {})
 			depth, limit := scenario.depth, 25_000*modelEffort()
 			if modelEffort() > 1 {
 				depth *= 3
 			}
-			broken, problem, states, reached := explore(start, depth, limit)
+			broken, problem, states, reached := exploreAgreement(start, depth, limit)
 			if problem != "" {
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
@@ -179,7 +179,7 @@
 			wide.shortChain, wide.agreementOnly, wide.proposers = true, false, ""
 			wide.wipes = min(1, wide.wipes)
 			start.config = &wide
-			if broken, problem := walk(start, 1, 300*modelEffort(), 80); problem != "" {
+			if broken, problem := walkAgreement(start, 1, 300*modelEffort(), 80); problem != "" {
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
 		})
@@ -187,28 +187,28 @@
 }
 
 // TestModelFindsPlantedBugs checks that the exploration finds what it is for.
-func TestModelFindsInjectedBugs(t *testing.T) {
+func TestAgreementModelFindsInjectedBugs(t *testing.T) {
 	plants := []struct {
 		name     string
 		scenario string
-		plant    func(*modelConfig)
+		plant    func(*agreementConfig)
 	}{
-		{"votes are forgotten at a restart", "two proposers and a restart", func(r *modelConfig) { r.forgetVotes = true }},
-		{"a proposer doesn't repair", "two proposers and a restart", func(r *modelConfig) { r.skipRepair = true }},
+		{"votes are forgotten at a restart", "two proposers and a restart", func(r *agreementConfig) { r.forgetVotes = true }},
+		{"a proposer doesn't repair", "two proposers and a restart", func(r *agreementConfig) { r.ignoreAccepted = true }},
 		{"a view serves before the prefix is copied", "a view after a committed order, with a wiped machine",
-			func(r *modelConfig) { r.serveEarly = true }},
-		{"a wiped machine votes", "a wiped machine and two proposers", func(r *modelConfig) { r.wipedVotes = true }},
+			func(r *agreementConfig) { r.serveEarly = true }},
+		{"a wiped machine votes", "a wiped machine and two proposers", func(r *agreementConfig) { r.wipedVotes = true }},
 		{"the source is whoever has the longest log", "an older log that is longer",
-			func(r *modelConfig) { r.longestLog = true }},
+			func(r *agreementConfig) { r.longestLog = true }},
 	}
 	for _, planted := range plants {
 		t.Run(planted.name, func(t *testing.T) {
-			for _, scenario := range modelScenarios() {
+			for _, scenario := range agreementScenarios() {
 				if scenario.name != planted.scenario {
 					continue
 				}
 				start := scenario.start(t, planted.plant)
-				broken, problem, states, _ := explore(start, scenario.depth, 100_000)
+				broken, problem, states, _ := exploreAgreement(start, scenario.depth, 100_000)
 				if problem == "" {
 					t.Fatalf("not found in %d states", states)
 				}
--- a/coord/view/model_key_test.go
+++ b/coord/view/model_key_test.go
@@ -7,7 +7,7 @@
 )
 
 // key describes the state; the order of messages doesn't matter.
-func (w *modelState) key() uint64 {
+func (w *agreementState) key() uint64 {
 	text := make([]byte, 0, 1024)
 	for _, n := range w.nodes {
 		text = n.appendKey(text)
@@ -28,10 +28,10 @@
 	return maphash.Bytes(modelHash, text)
 }
 
-func (n *modelNode) appendKey(text []byte) []byte {
+func (n *agreementNode) appendKey(text []byte) []byte {
 	d := &n.acceptor.DurableState
 	text = appendMember(text, n.acceptor.Self)
-	text = append(text, byte(d.View.Epoch), byte(n.synced), flag(n.prefixComplete), byte(len(n.log)))
+	text = append(text, byte(d.View.Epoch), byte(n.synced), boolByte(n.prefixComplete), byte(len(n.log)))
 	text = appendNumber(appendNumber(text, d.Promised), d.AcceptedBallot)
 	text = appendView(text, d.Accepted)
 	text = appendCommands(text, n.log)
@@ -50,7 +50,7 @@
 	return append(text, 1)
 }
 
-func flag(set bool) byte {
+func boolByte(set bool) byte {
 	if set {
 		return 1
 	}
@@ -112,9 +112,9 @@
 		return appendNumber(appendMember([]byte{4, byte(m.Epoch)}, m.From), m.Ballot)
 	case Decided:
 		return appendView([]byte{5}, &m.View)
-	case modelAppend:
+	case appendMessage:
 		return appendCommands(appendMember([]byte{6, byte(m.epoch)}, m.from), m.log)
-	case modelCopy:
+	case copyMessage:
 		return appendCommands(appendMember([]byte{7, byte(m.epoch)}, m.from), m.prefix)
 	}
 	panic(fmt.Sprintf("model: message %T", body))
@@ -127,7 +127,7 @@
 	return fmt.Sprintf("%d %v %v %s %d", v.Epoch, v.Voters, v.Chain, v.Source.ID(), v.SourceEpoch)
 }
 
-func messageText(m modelMessage) string {
+func messageText(m agreementMessage) string {
 	switch body := m.body.(type) {
 	case Prepare:
 		return fmt.Sprintf("%s prepare %d %v", m.to.ID(), body.View.Epoch, body.Ballot)
@@ -140,9 +140,9 @@
 		return fmt.Sprintf("%s response to accept %v", m.to.ID(), body)
 	case Decided:
 		return fmt.Sprintf("%s decided %s", m.to.ID(), viewText(&body.View))
-	case modelAppend:
+	case appendMessage:
 		return fmt.Sprintf("%s append %v", m.to.ID(), body)
-	case modelCopy:
+	case copyMessage:
 		return fmt.Sprintf("%s copy %v", m.to.ID(), body)
 	default:
 		return fmt.Sprintf("%s %T %v", m.to.ID(), body, body)
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -12,7 +12,7 @@
 }
 
 // modelNode is one address. Everything in durable survives a restart.
-type modelNode struct {
+type agreementNode struct {
 	acceptor Acceptor
 	log      []modelCommand
 	synced   uint64
@@ -23,20 +23,20 @@
 }
 
 // The messages that the view package doesn't know.
-type modelAppend struct {
+type appendMessage struct {
 	from  Member
 	epoch uint64
 	log   []modelCommand
 }
 
-type modelCopy struct {
+type copyMessage struct {
 	from   Member
 	epoch  uint64
 	prefix []modelCommand
 }
 
 // modelMessage is on its way; one that is never delivered is lost.
-type modelMessage struct {
+type agreementMessage struct {
 	to   Member
 	body any
 	key  string
@@ -49,10 +49,10 @@
 }
 
 // modelWorld is one state of the model.
-type modelState struct {
-	config    *modelConfig
-	nodes     []*modelNode
-	messages  []modelMessage
+type agreementState struct {
+	config    *agreementConfig
+	nodes     []*agreementNode
+	messages  []agreementMessage
 	commits   []modelCommit
 	views     map[uint64]string
 	commands  int
@@ -64,13 +64,13 @@
 }
 
 type modelStep struct {
-	name   func() string
-	before *modelStep
+	name     func() string
+	previous *modelStep
 }
 
 func (s *modelStep) String() string {
 	var names []string
-	for ; s != nil; s = s.before {
+	for ; s != nil; s = s.previous {
 		names = append(names, s.name())
 	}
 	for i, j := 0, len(names)-1; i < j; i, j = i+1, j-1 {
@@ -80,7 +80,7 @@
 }
 
 // modelRules bound an exploration and plant bugs.
-type modelConfig struct {
+type agreementConfig struct {
 	maxRound   uint64
 	maxEpoch   uint64
 	commands   int
@@ -94,20 +94,20 @@
 
 	agreementOnly bool // no orders and no copies
 
-	forgetVotes bool // bugs
-	skipRepair  bool
-	serveEarly  bool
-	wipedVotes  bool
-	longestLog  bool // the source is whoever has the longest log
+	forgetVotes    bool // bugs
+	ignoreAccepted bool
+	serveEarly     bool
+	wipedVotes     bool
+	longestLog     bool // the source is whoever has the longest log
 }
 
 var modelSeeds = []string{"a", "b", "c"}
 
-func newModelState(rules *modelConfig) *modelState {
-	w := &modelState{config: rules, views: map[uint64]string{}}
+func newAgreementState(rules *agreementConfig) *agreementState {
+	w := &agreementState{config: rules, views: map[uint64]string{}}
 	genesis := Genesis(modelSeeds)
 	for _, m := range genesis.Voters {
-		n := &modelNode{synced: GenesisEpoch}
+		n := &agreementNode{synced: GenesisEpoch}
 		n.acceptor.Self = m
 		n.acceptor.DurableState = DurableState{View: genesis}
 		w.nodes = append(w.nodes, n)
@@ -116,9 +116,9 @@
 	return w
 }
 
-func (w *modelState) clone() *modelState {
+func (w *agreementState) clone() *agreementState {
 	next := *w
-	next.nodes = make([]*modelNode, len(w.nodes))
+	next.nodes = make([]*agreementNode, len(w.nodes))
 	for i, n := range w.nodes {
 		copied := *n
 		if n.proposal != nil {
@@ -129,7 +129,7 @@
 		}
 		next.nodes[i] = &copied
 	}
-	next.messages = append([]modelMessage(nil), w.messages...)
+	next.messages = append([]agreementMessage(nil), w.messages...)
 	next.commits = append([]modelCommit(nil), w.commits...)
 	next.views = make(map[uint64]string, len(w.views))
 	for epoch, text := range w.views {
@@ -139,46 +139,46 @@
 }
 
 // modelAction is one thing that may happen next.
-type modelAction struct {
+type agreementAction struct {
 	name func() string
-	run  func(w *modelState)
+	run  func(w *agreementState)
 }
 
-func (w *modelState) actions() []modelAction {
-	var actions []modelAction
+func (w *agreementState) actions() []agreementAction {
+	var actions []agreementAction
 	for i := range w.messages {
 		message := w.messages[i]
-		actions = append(actions, modelAction{
+		actions = append(actions, agreementAction{
 			name: func() string { return "deliver " + messageText(message) },
-			run:  func(w *modelState) { w.deliver(i) },
+			run:  func(w *agreementState) { w.deliver(i) },
 		})
 	}
-	add := func(who Member, what string, run func(w *modelState)) {
-		actions = append(actions, modelAction{func() string { return who.ID() + what }, run})
+	add := func(who Member, what string, run func(w *agreementState)) {
+		actions = append(actions, agreementAction{func() string { return who.ID() + what }, run})
 	}
 	for i, n := range w.nodes {
 		name := n.acceptor.Self
 		if w.mayStart(n) {
-			add(name, " proposes", func(w *modelState) { w.start(w.nodes[i]) })
+			add(name, " proposes", func(w *agreementState) { w.start(w.nodes[i]) })
 		}
 		if p := n.proposal; p != nil && p.Value == nil && p.HasMajority() {
-			add(name, " chooses", func(w *modelState) { w.choose(w.nodes[i], false) })
+			add(name, " chooses", func(w *agreementState) { w.choose(w.nodes[i], false) })
 			if w.config.shortChain {
-				add(name, " chooses a short chain", func(w *modelState) { w.choose(w.nodes[i], true) })
+				add(name, " chooses a short chain", func(w *agreementState) { w.choose(w.nodes[i], true) })
 			}
 		}
 		if w.restarts < w.config.restarts {
-			add(name, " restarts", func(w *modelState) { w.restart(w.nodes[i]) })
+			add(name, " restarts", func(w *agreementState) { w.restart(w.nodes[i]) })
 		}
 		if w.wipes < w.config.wipes {
-			add(name, " is wiped", func(w *modelState) { w.wipe(w.nodes[i]) })
+			add(name, " is wiped", func(w *agreementState) { w.wipe(w.nodes[i]) })
 		}
 		w.addChainActions(i, add)
 	}
 	return actions
 }
 
-func (w *modelState) addChainActions(i int, add func(Member, string, func(*modelState))) {
+func (w *agreementState) addChainActions(i int, add func(Member, string, func(*agreementState))) {
 	n := w.nodes[i]
 	if !n.serving() || w.config.agreementOnly {
 		return
@@ -187,15 +187,15 @@
 	v := n.acceptor.View
 	_, after := v.Adjacent(n.acceptor.Self)
 	if v.Head().Same(n.acceptor.Self) && w.commands < w.config.commands {
-		add(name, " orders", func(w *modelState) { w.appendCommand(w.nodes[i]) })
+		add(name, " orders", func(w *agreementState) { w.appendCommand(w.nodes[i]) })
 	}
 	if after.IsZero() && n.prefixComplete && w.uncommitted(n) && len(v.Chain) > 1 {
-		add(name, " commits", func(w *modelState) { w.commit(w.nodes[i]) })
+		add(name, " commits", func(w *agreementState) { w.commit(w.nodes[i]) })
 	}
 	if !after.IsZero() && n.prefixComplete && w.lags(after, n) {
-		add(name, " forwards", func(w *modelState) {
+		add(name, " forwards", func(w *agreementState) {
 			n := w.nodes[i]
-			w.send(after, modelAppend{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
+			w.send(after, appendMessage{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
 		})
 	}
 	if !v.Source.Same(n.acceptor.Self) {
@@ -203,21 +203,21 @@
 	}
 	for _, m := range v.Chain {
 		if to := w.at(m); to != nil && to.synced != v.Epoch {
-			add(name, " copies to "+m.Address, func(w *modelState) {
+			add(name, " copies to "+m.Address, func(w *agreementState) {
 				n := w.nodes[i]
-				w.send(m, modelCopy{from: n.acceptor.Self, epoch: v.Epoch, prefix: n.prefix()})
+				w.send(m, copyMessage{from: n.acceptor.Self, epoch: v.Epoch, prefix: n.prefix()})
 			})
 		}
 	}
 }
 
 // lags reports whether the successor may need a message: one that wouldn't change it is left out.
-func (w *modelState) lags(after Member, n *modelNode) bool {
+func (w *agreementState) lags(after Member, n *agreementNode) bool {
 	to := w.at(after)
 	return to != nil && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
 }
 
-func (w *modelState) at(m Member) *modelNode {
+func (w *agreementState) at(m Member) *agreementNode {
 	for _, n := range w.nodes {
 		if n.acceptor.Self.Same(m) {
 			return n
@@ -226,11 +226,11 @@
 	return nil
 }
 
-func (n *modelNode) serving() bool {
+func (n *agreementNode) serving() bool {
 	return n.acceptor.View.InChain(n.acceptor.Self) && n.synced == n.acceptor.View.Epoch && !n.acceptor.Wedged()
 }
 
-func (n *modelNode) prefix() []modelCommand {
+func (n *agreementNode) prefix() []modelCommand {
 	end := len(n.log)
 	for end > 0 && n.log[end-1].epoch == n.acceptor.View.Epoch {
 		end--
@@ -238,17 +238,17 @@
 	return n.log[:end:end]
 }
 
-func (w *modelState) send(to Member, body any) {
+func (w *agreementState) send(to Member, body any) {
 	key := string(appendMember(messageKey(body), to))
 	for i := range w.messages {
 		if w.messages[i].key == key {
 			return
 		}
 	}
-	w.messages = append(w.messages, modelMessage{to: to, body: body, key: key})
+	w.messages = append(w.messages, agreementMessage{to: to, body: body, key: key})
 }
 
-func (w *modelState) mayStart(n *modelNode) bool {
+func (w *agreementState) mayStart(n *agreementNode) bool {
 	d := &n.acceptor.DurableState
 	if w.config.proposers != "" && !strings.Contains(w.config.proposers, n.acceptor.Self.Address) {
 		return false
@@ -257,7 +257,7 @@
 		d.View.IsVoter(n.acceptor.Self) && d.Promised.Round < w.config.maxRound
 }
 
-func (w *modelState) start(n *modelNode) {
+func (w *agreementState) start(n *agreementNode) {
 	w.starts++
 	d := &n.acceptor.DurableState
 	n.proposal = NewProposal(d.View, ProposalNumber{Round: d.Promised.Round + 1, Member: n.acceptor.Self.ID()})
@@ -271,9 +271,9 @@
 	w.handle(n, n.acceptor.Self, prepare)
 }
 
-func (w *modelState) choose(n *modelNode, short bool) {
+func (w *agreementState) choose(n *agreementNode, short bool) {
 	p := n.proposal
-	if w.config.skipRepair {
+	if w.config.ignoreAccepted {
 		for i := range p.prepareResponses {
 			p.prepareResponses[i].Accepted = nil
 			p.prepareResponses[i].AcceptedBallot = ProposalNumber{}
@@ -306,7 +306,7 @@
 }
 
 // plan puts wiped machines' new lives in the places of the old ones.
-func (w *modelState) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
+func (w *agreementState) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
 	for _, m := range present.Voters {
 		for _, n := range w.nodes {
 			if n.acceptor.Self.Address == m.Address {
@@ -329,7 +329,7 @@
 	return voters, chain, true
 }
 
-func (w *modelState) restart(n *modelNode) {
+func (w *agreementState) restart(n *agreementNode) {
 	w.restarts++
 	n.proposal, n.acceptSent = nil, false
 	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.acceptor.Self)
@@ -338,13 +338,13 @@
 	}
 }
 
-func (w *modelState) wipe(n *modelNode) {
+func (w *agreementState) wipe(n *agreementNode) {
 	w.wipes++
 	self := n.acceptor.Self
 	if !w.config.wipedVotes {
 		self.Incarnation = fmt.Sprintf("wiped-%d", w.wipes)
 	}
-	*n = modelNode{}
+	*n = agreementNode{}
 	n.acceptor.Self = self
 	if w.config.wipedVotes {
 		n.acceptor.DurableState = DurableState{View: Genesis(modelSeeds)}
@@ -352,14 +352,14 @@
 	}
 }
 
-func (w *modelState) appendCommand(n *modelNode) {
+func (w *agreementState) appendCommand(n *agreementNode) {
 	w.commands++
 	n.log = append(n.log[:len(n.log):len(n.log)], modelCommand{epoch: n.acceptor.View.Epoch, name: byte('0' + w.commands)})
 }
 
-func (w *modelState) uncommitted(n *modelNode) bool { return len(n.log) > len(w.commits) }
+func (w *agreementState) uncommitted(n *agreementNode) bool { return len(n.log) > len(w.commits) }
 
-func (w *modelState) commit(n *modelNode) {
+func (w *agreementState) commit(n *agreementNode) {
 	for i, order := range n.log {
 		if i < len(w.commits) {
 			if w.commits[i].command != order {
@@ -371,7 +371,7 @@
 	}
 }
 
-func (w *modelState) deliver(i int) {
+func (w *agreementState) deliver(i int) {
 	m := w.messages[i]
 	w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
 	if n := w.at(m.to); n != nil {
@@ -379,7 +379,7 @@
 	}
 }
 
-func (w *modelState) handle(n *modelNode, _ Member, body any) {
+func (w *agreementState) handle(n *agreementNode, _ Member, body any) {
 	switch m := body.(type) {
 	case Prepare:
 		w.adopt(n, m.View)
@@ -398,7 +398,7 @@
 		w.onAcceptResponse(n, m)
 	case Decided:
 		w.adopt(n, m.View)
-	case modelAppend:
+	case appendMessage:
 		before, _ := n.acceptor.View.Adjacent(n.acceptor.Self)
 		if m.epoch == n.acceptor.View.Epoch && n.serving() && before.Same(m.from) {
 			n.prefixComplete = true
@@ -406,7 +406,7 @@
 				n.log = m.log[:len(m.log):len(m.log)]
 			}
 		}
-	case modelCopy:
+	case copyMessage:
 		if m.epoch == n.acceptor.View.Epoch && !n.acceptor.Wedged() && n.synced != m.epoch &&
 			n.acceptor.View.InChain(n.acceptor.Self) {
 			n.log, n.synced = m.prefix, m.epoch
@@ -415,7 +415,7 @@
 	}
 }
 
-func (w *modelState) reply(n *modelNode, ballot ProposalNumber, answer any) {
+func (w *agreementState) reply(n *agreementNode, ballot ProposalNumber, answer any) {
 	if answer == nil {
 		return
 	}
@@ -433,7 +433,7 @@
 	}
 }
 
-func (w *modelState) onAcceptResponse(n *modelNode, m AcceptResponse) {
+func (w *agreementState) onAcceptResponse(n *agreementNode, m AcceptResponse) {
 	if n.proposal == nil {
 		return
 	}
@@ -450,7 +450,7 @@
 	}
 }
 
-func (w *modelState) adopt(n *modelNode, v View) {
+func (w *agreementState) adopt(n *agreementNode, v View) {
 	before := n.acceptor.View.Epoch
 	wedged := n.acceptor.Wedged()
 	if !n.acceptor.Adopt(v) {
@@ -475,7 +475,7 @@
 }
 
 // check returns what is wrong with the state.
-func (w *modelState) check() string {
+func (w *agreementState) check() string {
 	if w.violation != "" {
 		return w.violation
 	}
