--- /dev/null
+++ b/coord/view/agreement_explore_test.go
@@ -0,0 +1,204 @@
+package view
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// exploreAgreement visits every state within a depth, breadth first, up to a number of states. It returns the first
+// state with a problem.
+func exploreAgreement(
+	start *agreementState, depth, limit int,
+) (broken *agreementState, problem string, states, reached int) {
+	seen := map[uint64]struct{}{start.key(): {}}
+	level := []*agreementState{start}
+	for reached = 0; reached < depth && len(level) > 0; reached++ {
+		var next []*agreementState
+		for _, s := range level {
+			for _, action := range s.actions() {
+				after := s.step(action)
+				if problem := after.check(); problem != "" {
+					return after, problem, len(seen), reached + 1
+				}
+				key := after.key()
+				if _, known := seen[key]; known {
+					continue
+				}
+				seen[key] = struct{}{}
+				next = append(next, after)
+			}
+			if len(seen) > limit {
+				return nil, "", len(seen), reached
+			}
+		}
+		level = next
+	}
+	return nil, "", len(seen), reached
+}
+
+// walkAgreement takes random steps from a state, many times.
+func walkAgreement(start *agreementState, seed uint64, walks, length int) (broken *agreementState, problem string) {
+	random := rand.New(rand.NewPCG(seed, 5))
+	for i := 0; i < walks; i++ {
+		s := start
+		for j := 0; j < length; j++ {
+			actions := s.actions()
+			if len(actions) == 0 {
+				break
+			}
+			s = s.step(actions[random.IntN(len(actions))])
+			if problem := s.check(); problem != "" {
+				return s, problem
+			}
+		}
+	}
+	return nil, ""
+}
+
+// agreementScenario is a state from which the model is explored.
+type agreementScenario struct {
+	name   string
+	config agreementConfig
+	steps  []string
+	depth  int
+}
+
+func agreementScenarios() []agreementScenario {
+	committed := []string{"a#genesis appends", "a#genesis forwards", "deliver b#genesis", "b#genesis forwards",
+		"deliver c#genesis", "c#genesis commits"}
+	return []agreementScenario{
+		{
+			name: "two proposers and a restart",
+			config: agreementConfig{
+				maxRound: 2, maxEpoch: 2, restarts: 1, starts: 2, proposers: "ac", agreementOnly: true,
+			},
+			depth: 15,
+		},
+		{
+			name: "a lost disk and two proposers",
+			config: agreementConfig{
+				maxRound: 2, maxEpoch: 2, wipes: 1, starts: 2, proposers: "ac", agreementOnly: true,
+			},
+			depth: 15,
+		},
+		{
+			name: "commands while a view changes",
+			config: agreementConfig{
+				maxRound: 1, maxEpoch: 2, commands: 1, starts: 1, shortChain: true, proposers: "ac",
+			},
+			depth: 14,
+		},
+		{
+			name: "a head that hands over with commands in flight",
+			config: agreementConfig{
+				maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, disliked: "a",
+			},
+			steps: append(committed[:6:6], "a#genesis appends", "a#genesis forwards", "a#genesis proposes"),
+			depth: 11,
+		},
+		{
+			name:   "a view after a committed command, with a lost disk",
+			config: agreementConfig{maxRound: 1, maxEpoch: 2, commands: 1, wipes: 1, starts: 1},
+			steps:  committed,
+			depth:  13,
+		},
+		{
+			name:   "a source that is lost before its prefix is copied",
+			config: agreementConfig{maxRound: 1, maxEpoch: 3, commands: 2, wipes: 1, starts: 2, shortChain: true},
+			steps: append(committed[:6:6], "a#genesis appends", "a#genesis proposes", "deliver b#genesis prepare",
+				"deliver a#genesis response to prepare b", "a#genesis chooses a short chain",
+				"deliver b#genesis accept",
+				"deliver a#genesis response to accept"),
+			depth: 12,
+		},
+		{
+			name:   "an older log that is longer",
+			config: agreementConfig{maxRound: 1, maxEpoch: 3, commands: 4, starts: 2, shortChain: true},
+			steps: append(committed[:6:6], "a#genesis appends", "a#genesis appends", "b#genesis proposes",
+				"deliver c#genesis prepare", "deliver b#genesis response to prepare c",
+				"b#genesis chooses a short chain",
+				"deliver c#genesis accept", "deliver b#genesis response to accept", "deliver c#genesis decided",
+				"b#genesis copies to c", "deliver c#genesis copy", "b#genesis appends",
+				"b#genesis forwards", "deliver c#genesis append", "c#genesis commits"),
+			depth: 11,
+		},
+	}
+}
+
+// start returns the state after the steps of the scenario, with an injected bug.
+func (s agreementScenario) start(t testing.TB, inject func(*agreementConfig)) *agreementState {
+	config := s.config
+	inject(&config)
+	return play(t, newAgreementState(&config), s.steps...)
+}
+
+// TestAgreementModel checks the change of views in every order of messages, restarts and lost disks, up to bounds.
+// MODEL=N in the environment explores N times as many states.
+func TestAgreementModel(t *testing.T) {
+	for _, scenario := range agreementScenarios() {
+		t.Run(scenario.name, func(t *testing.T) {
+			start := scenario.start(t, func(*agreementConfig) {})
+			depth, limit := scenario.depth, 25_000*modelEffort()
+			if modelEffort() > 1 {
+				depth *= 3
+			}
+			broken, problem, states, reached := exploreAgreement(start, depth, limit)
+			if problem != "" {
+				t.Fatalf("%s after\n%s", problem, broken.trace)
+			}
+			t.Logf("%d states, all to depth %d", states, reached)
+			wide := *start.config
+			wide.maxEpoch, wide.maxRound, wide.starts, wide.commands, wide.restarts = 4, 3, 6, 4, 3
+			wide.shortChain, wide.agreementOnly, wide.proposers = true, false, ""
+			wide.wipes = min(1, wide.wipes)
+			start.config = &wide
+			if broken, problem := walkAgreement(start, 1, 300*modelEffort(), 80); problem != "" {
+				t.Fatalf("%s after\n%s", problem, broken.trace)
+			}
+		})
+	}
+}
+
+// TestAgreementModelFindsInjectedBugs checks that the exploration finds what it is for.
+func TestAgreementModelFindsInjectedBugs(t *testing.T) {
+	bugs := []struct {
+		name     string
+		scenario string
+		inject   func(*agreementConfig)
+	}{
+		{
+			"votes are forgotten at a restart",
+			"two proposers and a restart",
+			func(r *agreementConfig) { r.forgetVotes = true },
+		},
+		{
+			"a proposer ignores accepted values",
+			"two proposers and a restart",
+			func(r *agreementConfig) { r.ignoreAccepted = true },
+		},
+		{"a view serves before the prefix is copied", "a view after a committed command, with a lost disk",
+			func(r *agreementConfig) { r.serveEarly = true }},
+		{
+			"a lost disk keeps its vote",
+			"a lost disk and two proposers",
+			func(r *agreementConfig) { r.wipedVotes = true },
+		},
+		{"the source is the member with the longest log", "an older log that is longer",
+			func(r *agreementConfig) { r.longestLog = true }},
+	}
+	for _, injected := range bugs {
+		t.Run(injected.name, func(t *testing.T) {
+			for _, scenario := range agreementScenarios() {
+				if scenario.name != injected.scenario {
+					continue
+				}
+				start := scenario.start(t, injected.inject)
+				broken, problem, states, _ := exploreAgreement(start, scenario.depth, 100_000)
+				if problem == "" {
+					t.Fatalf("not found in %d states", states)
+				}
+				t.Logf("found after %d states: %s\n%s", states, problem, broken.trace)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/coord/view/agreement_model_test.go
@@ -0,0 +1,361 @@
+package view
+
+import (
+	"fmt"
+	"strings"
+)
+
+// agreementNode is one machine. Its acceptor, log and synced are on its disk and survive a restart.
+type agreementNode struct {
+	acceptor Acceptor
+	log      []modelCommand
+	synced   uint64
+
+	proposal       *Proposal
+	acceptSent     bool
+	prefixComplete bool // its predecessors are synced in this epoch; volatile
+}
+
+// modelCommit is a command that was acknowledged.
+type modelCommit struct {
+	command modelCommand
+	epoch   uint64 // in which it was committed
+}
+
+// agreementState is one state of the model.
+type agreementState struct {
+	config    *agreementConfig
+	nodes     []*agreementNode
+	messages  []agreementMessage
+	commits   []modelCommit
+	views     map[uint64]string
+	commands  int
+	restarts  int
+	wipes     int
+	starts    int
+	trace     *modelStep
+	violation string
+}
+
+// agreementConfig bounds an exploration and injects bugs.
+type agreementConfig struct {
+	maxRound   uint64
+	maxEpoch   uint64
+	commands   int
+	restarts   int
+	wipes      int
+	starts     int // proposals
+	shortChain bool
+	proposers  string // addresses of those who propose; empty: all
+
+	disliked string // address of a member that the proposers don't prefer as a source
+
+	agreementOnly bool // no commands and no copies
+
+	// Injected bugs.
+	forgetVotes    bool // a restart loses promises and votes
+	ignoreAccepted bool // a proposer ignores accepted values
+	serveEarly     bool // a member counts as synced before it has the prefix
+	wipedVotes     bool // a lost disk keeps its vote
+	longestLog     bool // the source is the member with the longest log
+}
+
+// newAgreementState returns the state of a system that has just been founded.
+func newAgreementState(config *agreementConfig) *agreementState {
+	s := &agreementState{config: config, views: map[uint64]string{}}
+	genesis := Genesis(modelSeeds)
+	for _, m := range genesis.Voters {
+		n := &agreementNode{synced: GenesisEpoch}
+		n.acceptor.Self = m
+		n.acceptor.DurableState = DurableState{View: genesis}
+		s.nodes = append(s.nodes, n)
+	}
+	s.nodes[0].prefixComplete = true
+	return s
+}
+
+// clone returns a copy that may be changed.
+func (s *agreementState) clone() *agreementState {
+	next := *s
+	next.nodes = make([]*agreementNode, len(s.nodes))
+	for i, n := range s.nodes {
+		copied := *n
+		if n.proposal != nil {
+			proposal := *n.proposal
+			proposal.prepareResponses = append([]PrepareResponse(nil), proposal.prepareResponses...)
+			proposal.acceptedBy = append([]Member(nil), proposal.acceptedBy...)
+			copied.proposal = &proposal
+		}
+		next.nodes[i] = &copied
+	}
+	next.messages = append([]agreementMessage(nil), s.messages...)
+	next.commits = append([]modelCommit(nil), s.commits...)
+	next.views = make(map[uint64]string, len(s.views))
+	for epoch, text := range s.views {
+		next.views[epoch] = text
+	}
+	return &next
+}
+
+// history returns the last step of the trace.
+func (s *agreementState) history() *modelStep { return s.trace }
+
+// step returns the state after an action.
+func (s *agreementState) step(action agreementAction) *agreementState {
+	next := s.clone()
+	next.trace = &modelStep{name: action.name, previous: s.trace}
+	action.run(next)
+	return next
+}
+
+// agreementAction is an action of this model.
+type agreementAction = modelAction[*agreementState]
+
+// actions returns all that may happen next.
+func (s *agreementState) actions() []agreementAction {
+	var actions []agreementAction
+	for i := range s.messages {
+		message := s.messages[i]
+		actions = append(actions, agreementAction{
+			name: func() string { return "deliver " + messageText(message) },
+			run:  func(s *agreementState) { s.deliver(i) },
+		})
+	}
+	add := func(who Member, what string, run func(s *agreementState)) {
+		actions = append(actions, agreementAction{func() string { return who.ID() + what }, run})
+	}
+	for i, n := range s.nodes {
+		name := n.acceptor.Self
+		if s.mayStart(n) {
+			add(name, " proposes", func(s *agreementState) { s.start(s.nodes[i]) })
+		}
+		if p := n.proposal; p != nil && p.Value == nil && p.HasMajority() {
+			add(name, " chooses", func(s *agreementState) { s.choose(s.nodes[i], false) })
+			if s.config.shortChain {
+				add(name, " chooses a short chain", func(s *agreementState) { s.choose(s.nodes[i], true) })
+			}
+		}
+		if s.restarts < s.config.restarts {
+			add(name, " restarts", func(s *agreementState) { s.restart(s.nodes[i]) })
+		}
+		if s.wipes < s.config.wipes {
+			add(name, " loses its disk", func(s *agreementState) { s.wipe(s.nodes[i]) })
+		}
+		s.addChainActions(i, add)
+	}
+	return actions
+}
+
+// addChainActions adds what a member of the chain may do.
+func (s *agreementState) addChainActions(i int, add func(Member, string, func(*agreementState))) {
+	n := s.nodes[i]
+	if !n.serving() || s.config.agreementOnly {
+		return
+	}
+	name := n.acceptor.Self
+	v := n.acceptor.View
+	_, after := v.Adjacent(n.acceptor.Self)
+	if v.Head().Same(n.acceptor.Self) && s.commands < s.config.commands {
+		add(name, " appends a command", func(s *agreementState) { s.appendCommand(s.nodes[i]) })
+	}
+	if after.IsZero() && n.prefixComplete && s.uncommitted(n) && len(v.Chain) > 1 {
+		add(name, " commits", func(s *agreementState) { s.commit(s.nodes[i]) })
+	}
+	if !after.IsZero() && n.prefixComplete && s.lags(after, n) {
+		add(name, " forwards", func(s *agreementState) {
+			n := s.nodes[i]
+			s.send(after, appendMessage{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
+		})
+	}
+	if !v.Source.Same(n.acceptor.Self) {
+		return
+	}
+	for _, m := range v.Chain {
+		if to := s.at(m); to != nil && to.synced != v.Epoch {
+			add(name, " copies to "+m.Address, func(s *agreementState) {
+				n := s.nodes[i]
+				s.send(m, copyMessage{from: n.acceptor.Self, epoch: v.Epoch, prefix: n.prefix()})
+			})
+		}
+	}
+}
+
+// lags reports whether the successor may need a message. One that wouldn't change it is left out.
+func (s *agreementState) lags(after Member, n *agreementNode) bool {
+	to := s.at(after)
+	return to != nil && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
+}
+
+// at returns the machine whose current incarnation a member is, or nil.
+func (s *agreementState) at(m Member) *agreementNode {
+	for _, n := range s.nodes {
+		if n.acceptor.Self.Same(m) {
+			return n
+		}
+	}
+	return nil
+}
+
+// mayStart reports whether a machine may begin a proposal within the bounds.
+func (s *agreementState) mayStart(n *agreementNode) bool {
+	d := &n.acceptor.DurableState
+	if s.config.proposers != "" && !strings.Contains(s.config.proposers, n.acceptor.Self.Address) {
+		return false
+	}
+	return n.proposal == nil && s.starts < s.config.starts && d.View.Epoch < s.config.maxEpoch &&
+		d.View.IsVoter(n.acceptor.Self) && d.Promised.Round < s.config.maxRound
+}
+
+// start begins a proposal.
+func (s *agreementState) start(n *agreementNode) {
+	s.starts++
+	d := &n.acceptor.DurableState
+	n.proposal = NewProposal(d.View, ProposalNumber{Round: d.Promised.Round + 1, Member: n.acceptor.Self.ID()})
+	n.acceptSent = false
+	prepare := n.proposal.Prepare()
+	for _, m := range d.View.Voters {
+		if !m.Same(n.acceptor.Self) {
+			s.send(m, prepare)
+		}
+	}
+	s.handle(n, n.acceptor.Self, prepare)
+}
+
+// choose lets a proposer fix its value and send it to all voters. short makes a chain of two.
+func (s *agreementState) choose(n *agreementNode, short bool) {
+	p := n.proposal
+	if s.config.ignoreAccepted {
+		for i := range p.prepareResponses {
+			p.prepareResponses[i].Accepted = nil
+			p.prepareResponses[i].AcceptedBallot = ProposalNumber{}
+		}
+	}
+	if s.config.longestLog {
+		best := p.prepareResponses[0]
+		for _, m := range p.prepareResponses {
+			if best.Log.End < m.Log.End {
+				best = m
+			}
+		}
+		if p.highestAccepted() == nil {
+			voters, chain, _ := s.plan(p.View, best.From, short)
+			p.Value = &View{
+				Epoch:       p.View.Epoch + 1,
+				Voters:      voters,
+				Chain:       chain,
+				Source:      best.From,
+				SourceEpoch: best.Log.Synced,
+			}
+		}
+	}
+	prefer := func(m Member) bool { return m.Address != s.config.disliked }
+	chosen := p.Choose(prefer, func(source Member, _ []Member) (voters, chain []Member, ok bool) {
+		return s.plan(p.View, source, short)
+	})
+	if !chosen {
+		return
+	}
+	accept := p.Accept()
+	for _, m := range p.View.Voters {
+		if !m.Same(n.acceptor.Self) {
+			s.send(m, accept)
+		}
+	}
+	s.handle(n, n.acceptor.Self, accept)
+}
+
+// plan puts the new incarnations of wiped machines in the places of the old ones.
+func (s *agreementState) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
+	for _, m := range present.Voters {
+		for _, n := range s.nodes {
+			if n.acceptor.Self.Address == m.Address {
+				voters = append(voters, n.acceptor.Self)
+			}
+		}
+	}
+	if Index(voters, source) < 0 {
+		return nil, nil, false
+	}
+	chain = []Member{source}
+	for _, m := range voters {
+		if !m.Same(source) {
+			chain = append(chain, m)
+		}
+	}
+	if short {
+		chain = []Member{source, chain[len(chain)-1]}
+	}
+	return voters, chain, true
+}
+
+// restart ends a process and starts it again.
+func (s *agreementState) restart(n *agreementNode) {
+	s.restarts++
+	n.proposal, n.acceptSent = nil, false
+	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.acceptor.Self)
+	if s.config.forgetVotes {
+		n.acceptor.DurableState = DurableState{View: n.acceptor.View}
+	}
+}
+
+// wipe replaces the disk of a machine by an empty one.
+func (s *agreementState) wipe(n *agreementNode) {
+	s.wipes++
+	self := n.acceptor.Self
+	if !s.config.wipedVotes {
+		self.Incarnation = fmt.Sprintf("wiped-%d", s.wipes)
+	}
+	*n = agreementNode{}
+	n.acceptor.Self = self
+	if s.config.wipedVotes {
+		n.acceptor.DurableState = DurableState{View: Genesis(modelSeeds)}
+		n.synced = GenesisEpoch
+	}
+}
+
+// adopt lets a machine adopt a decided view, and checks that the views of an epoch are equal.
+func (s *agreementState) adopt(n *agreementNode, v View) {
+	before := n.acceptor.View.Epoch
+	wedged := n.acceptor.Wedged()
+	if !n.acceptor.Adopt(v) {
+		return
+	}
+	text := viewText(&v)
+	if earlier, known := s.views[v.Epoch]; known && earlier != text {
+		s.violation = fmt.Sprintf("two views of epoch %d: %s and %s", v.Epoch, earlier, text)
+	}
+	s.views[v.Epoch] = text
+	n.proposal, n.acceptSent = nil, false
+	if v.Source.Same(n.acceptor.Self) {
+		if before+1 != v.Epoch || !wedged {
+			s.violation = "a source that wasn't wedged"
+		}
+		n.synced = v.Epoch
+	}
+	if s.config.serveEarly && v.InChain(n.acceptor.Self) {
+		n.synced = v.Epoch
+	}
+	n.prefixComplete = n.serving() && v.Head().Same(n.acceptor.Self)
+}
+
+// check returns what is wrong with the state: a violation that a step met, or of invariant (I).
+func (s *agreementState) check() string {
+	if s.violation != "" {
+		return s.violation
+	}
+	for _, n := range s.nodes {
+		if n.synced == 0 || n.synced != n.acceptor.View.Epoch {
+			continue
+		}
+		for i, commit := range s.commits {
+			if commit.epoch >= n.acceptor.View.Epoch {
+				continue
+			}
+			if i >= len(n.log) || n.log[i] != commit.command {
+				return fmt.Sprintf("%s is synced in epoch %d without the command committed at %d in epoch %d",
+					n.acceptor.Self.ID(), n.acceptor.View.Epoch, i, commit.epoch)
+			}
+		}
+	}
+	return ""
+}
--- a/coord/view/membership_chain_test.go
+++ b/coord/view/membership_chain_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// memberMessage is an Append or a Copy on its way. It may be delivered any number of times, or lost.
+// chainMessage is a part of the log or a copy of the prefix on its way. It may be delivered any number of times, or
+// lost.
 type chainMessage struct {
 	from, to Member
 	epoch    uint64
@@ -10,49 +11,52 @@
 	log      []modelCommand
 }
 
-// addChain adds what the members of a chain do.
-func (w *membershipState) addChain(actions []membershipAction, i int, n *membershipNode) []membershipAction {
+// addChain adds what the members of a chain may do.
+func (s *membershipState) addChain(actions []membershipAction, i int, n *membershipNode) []membershipAction {
 	if !n.serving() {
 		return actions
 	}
 	v, name := n.acceptor.View, n.self().ID()
 	_, after := v.Adjacent(n.self())
-	if v.Head().Same(n.self()) && w.commands < w.config.commands {
-		actions = append(actions, named(func(w *membershipState) { w.appendCommand(w.nodes[i]) }, "%s orders", name))
+	if v.Head().Same(n.self()) && s.commands < s.config.commands {
+		run := func(s *membershipState) { s.appendCommand(s.nodes[i]) }
+		actions = append(actions, named(run, "%s appends a command", name))
 	}
-	if after.IsZero() && n.prefixComplete && w.chainLongEnough(v) && len(n.log) > len(w.commits) {
-		actions = append(actions, named(func(w *membershipState) { w.commit(w.nodes[i]) }, "%s commits", name))
+	if after.IsZero() && n.prefixComplete && s.chainLongEnough(v) && len(n.log) > len(s.commits) {
+		actions = append(actions, named(func(s *membershipState) { s.commit(s.nodes[i]) }, "%s commits", name))
 	}
-	if !after.IsZero() && n.prefixComplete && w.lags(after, n) {
+	if !after.IsZero() && n.prefixComplete && s.lags(after, n) {
 		message := chainMessage{from: n.self(), to: after, epoch: v.Epoch, log: n.log}
-		actions = append(actions, named(func(w *membershipState) { w.send(message) }, "%s forwards", name))
+		actions = append(actions, named(func(s *membershipState) { s.send(message) }, "%s forwards", name))
 	}
 	if !v.Source.Same(n.self()) {
 		return actions
 	}
 	for _, m := range v.Chain {
-		if to := w.at(m); to != nil && to.synced != v.Epoch && to.epoch() == v.Epoch && !to.acceptor.Wedged() {
+		if to := s.at(m); to != nil && to.synced != v.Epoch && to.epoch() == v.Epoch && !to.acceptor.Wedged() {
 			message := chainMessage{from: n.self(), to: m, epoch: v.Epoch, isCopy: true, log: n.prefix()}
-			actions = append(actions, named(func(w *membershipState) { w.send(message) }, "%s copies to %s", name, m.ID()))
+			run := func(s *membershipState) { s.send(message) }
+			actions = append(actions, named(run, "%s copies to %s", name, m.ID()))
 		}
 	}
 	return actions
 }
 
-// enough is core.enough.
-func (w *membershipState) chainLongEnough(v View) bool {
-	if w.config.shortAcks {
-		return len(v.Chain) >= w.config.tolerance
+// chainLongEnough reports whether a chain has more members than disks may be lost: coord/replica has the same rule.
+func (s *membershipState) chainLongEnough(v View) bool {
+	if s.config.shortAcks {
+		return len(v.Chain) >= s.config.tolerance
 	}
-	return len(v.Chain) > w.config.tolerance
+	return len(v.Chain) > s.config.tolerance
 }
 
-// lags reports whether the successor has a use for a message.
-func (w *membershipState) lags(after Member, n *membershipNode) bool {
-	to := w.at(after)
+// lags reports whether the successor may need a message.
+func (s *membershipState) lags(after Member, n *membershipNode) bool {
+	to := s.at(after)
 	return to != nil && to.epoch() == n.epoch() && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
 }
 
+// prefix returns the log without the commands of the node's own epoch.
 func (n *membershipNode) prefix() []modelCommand {
 	end := len(n.log)
 	for end > 0 && n.log[end-1].epoch == n.epoch() {
@@ -61,33 +65,36 @@
 	return n.log[:end:end]
 }
 
-func (w *membershipState) appendCommand(n *membershipNode) {
-	w.commands++
-	n.log = append(n.log[:len(n.log):len(n.log)], modelCommand{epoch: n.epoch(), name: byte('0' + w.commands)})
+// appendCommand lets the head take a command.
+func (s *membershipState) appendCommand(n *membershipNode) {
+	s.commands++
+	n.log = append(n.log[:len(n.log):len(n.log)], modelCommand{epoch: n.epoch(), name: byte('0' + s.commands)})
 }
 
-func (w *membershipState) commit(n *membershipNode) {
+// commit lets the tail acknowledge all of its log, and checks that enough disks have it.
+func (s *membershipState) commit(n *membershipNode) {
 	for i, order := range n.log {
-		if i < len(w.commits) {
-			if w.commits[i] != order {
-				w.violation = fmt.Sprintf("two orders committed at %d", i)
+		if i < len(s.commits) {
+			if s.commits[i] != order {
+				s.violation = fmt.Sprintf("two commands committed at %d", i)
 			}
 			continue
 		}
-		w.commits = append(w.commits, order)
-		w.commitEpochs = append(w.commitEpochs, n.epoch())
+		s.commits = append(s.commits, order)
+		s.commitEpochs = append(s.commitEpochs, n.epoch())
 	}
 	copies := 0
-	for _, other := range w.nodes {
-		if holdsAll(other.log, w.commits) {
+	for _, other := range s.nodes {
+		if holdsAll(other.log, s.commits) {
 			copies++
 		}
 	}
-	if copies <= w.config.tolerance-w.lossesUnrepaired {
-		w.violation = fmt.Sprintf("an order is acknowledged on %d disks after %d losses", copies, w.lossesUnrepaired)
+	if copies <= s.config.tolerance-s.lossesUnrepaired {
+		s.violation = fmt.Sprintf("a command is acknowledged on %d disks after %d losses", copies, s.lossesUnrepaired)
 	}
 }
 
+// holdsAll reports whether a log begins with all acknowledged commands.
 func holdsAll(log, commits []modelCommand) bool {
 	if len(log) < len(commits) {
 		return false
@@ -100,26 +107,27 @@
 	return true
 }
 
-func (w *membershipState) send(m chainMessage) {
-	if w.config.inFlight == 0 {
-		w.receive(m)
-	} else if len(w.messages) < w.config.inFlight {
-		w.messages = append(w.messages, m)
+// send puts a message on its way, if the bound allows it; without messages in flight it arrives at once.
+func (s *membershipState) send(m chainMessage) {
+	if s.config.inFlight == 0 {
+		s.receive(m)
+	} else if len(s.messages) < s.config.inFlight {
+		s.messages = append(s.messages, m)
 	}
 }
 
-func (w *membershipState) drop(i int) {
-	w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+func (s *membershipState) drop(i int) {
+	s.messages = append(s.messages[:i:i], s.messages[i+1:]...)
 }
 
-// arrive is core.onAppend and core.onCopy.
-func (w *membershipState) receive(m chainMessage) {
-	n := w.at(m.to)
+// receive does what coord/replica does when a part of the log or a copy arrives.
+func (s *membershipState) receive(m chainMessage) {
+	n := s.at(m.to)
 	if n == nil || m.epoch != n.epoch() || n.acceptor.Wedged() || !n.acceptor.View.InChain(n.self()) {
 		return
 	}
 	if m.isCopy {
-		w.receiveCopy(n, m)
+		s.receiveCopy(n, m)
 		return
 	}
 	before, _ := n.acceptor.View.Adjacent(n.self())
@@ -132,14 +140,15 @@
 	}
 }
 
-func (w *membershipState) receiveCopy(n *membershipNode, m chainMessage) {
+// receiveCopy takes in a copy of the prefix, which replaces the log in one durable step.
+func (s *membershipState) receiveCopy(n *membershipNode, m chainMessage) {
 	if n.synced == m.epoch {
 		return
 	}
-	if w.config.syncedEarly {
+	if s.config.syncedEarly {
 		n.synced = m.epoch
 	}
-	if w.config.copiesInPieces && !n.partialCopy {
+	if s.config.copiesInPieces && !n.partialCopy {
 		n.partialCopy = true
 		return
 	}
--- a/coord/view/membership_explore_test.go
+++ b/coord/view/membership_explore_test.go
@@ -5,42 +5,41 @@
 	"math/rand/v2"
 	"os"
 	"strconv"
-	"strings"
 	"testing"
 )
 
-// memberSearch visits states, breadth first.
+// membershipSearch visits states.
 type membershipSearch struct {
 	states       map[uint64]struct{}
-	lossesPlayed map[uint64]struct{} // what is on the disks of states whose next losses were played
+	lossesPlayed map[uint64]struct{} // disks' contents in states whose next losses were played
 	depth        int                 // to which all states were visited
-	exhausted    bool                // there are no more
+	exhausted    bool                // there are no more states
 	last         *membershipState    // the end of a walk
 }
 
 // problem returns what is wrong with a state, or with what may follow the next losses.
-func (s *membershipSearch) problem(w *membershipState) string {
-	if problem := w.check(); problem != "" {
+func (s *membershipSearch) problem(state *membershipState) string {
+	if problem := state.check(); problem != "" {
 		return problem
 	}
-	key := maphash.Bytes(modelHash, append(w.appendDurable(make([]byte, 0, 512)), byte(w.lossesPermitted)))
+	key := maphash.Bytes(modelHash, append(state.appendDurable(make([]byte, 0, 512)), byte(state.lossesPermitted)))
 	if _, known := s.lossesPlayed[key]; known {
 		return ""
 	}
 	s.lossesPlayed[key] = struct{}{}
-	return w.unrecoverableLoss()
+	return state.unrecoverableLoss()
 }
 
-// run visits every state that follows, up to a number, and returns the first broken one.
+// run visits every state that follows, breadth first, up to a number, and returns the first one with a problem.
 func (s *membershipSearch) run(start *membershipState, limit int) (broken *membershipState, problem string) {
 	s.states = map[uint64]struct{}{start.key(): {}}
 	s.lossesPlayed = map[uint64]struct{}{}
 	level := []*membershipState{start}
 	for ; len(level) > 0; s.depth++ {
 		var next []*membershipState
-		for _, w := range level {
-			for _, action := range w.actions() {
-				after := w.step(action)
+		for _, state := range level {
+			for _, action := range state.actions() {
+				after := state.step(action)
 				key := after.key()
 				if _, known := s.states[key]; known {
 					continue
@@ -61,49 +60,34 @@
 	return nil, ""
 }
 
-// attemptEvery is the number of steps of a walk to one attempt on a view.
+// attemptEvery is the number of steps of a walk for each attempt on a view.
 const attemptEvery = 20
 
-// walk takes random steps and returns the first broken state.
-func (s *membershipSearch) walk(start *membershipState, seed uint64, steps int) (broken *membershipState, problem string) {
+// walk takes random steps and returns the first state with a problem.
+func (s *membershipSearch) walk(
+	start *membershipState, seed uint64, steps int,
+) (broken *membershipState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 11))
 	s.lossesPlayed = map[uint64]struct{}{}
-	w := start
+	state := start
 	for range steps {
-		actions := w.steps()
+		actions := state.steps()
 		if len(actions) == 0 || random.IntN(attemptEvery) == 0 {
-			actions = w.addAttempts(nil, random)
+			actions = state.addAttempts(nil, random)
 		}
 		if len(actions) == 0 {
 			break
 		}
-		w = w.step(oneOrAll(actions, random)[0])
-		s.last = w
-		if problem := s.problem(w); problem != "" {
-			return w, problem
+		state = state.step(oneOrAll(actions, random)[0])
+		s.last = state
+		if problem := s.problem(state); problem != "" {
+			return state, problem
 		}
 	}
 	return nil, ""
 }
 
-// play runs the actions whose names begin with these texts, one each.
-func (w *membershipState) play(t testing.TB, names ...string) *membershipState {
-	t.Helper()
-	for _, name := range names {
-		found := false
-		for _, action := range w.actions() {
-			if found = strings.HasPrefix(action.name(), name); found {
-				w = w.step(action)
-				break
-			}
-		}
-		if !found {
-			t.Fatalf("no action %q in the state after\n%s", name, w.trace)
-		}
-	}
-	return w
-}
-
+// membershipScenario is a state from which the model is explored.
 type membershipScenario struct {
 	name   string
 	config membershipConfig
@@ -111,8 +95,8 @@
 	limit  int // states; where it isn't reached, all are visited
 }
 
-// committedInA has the founders acknowledge an order.
-var committedInGenesis = []string{"a#genesis orders", "a#genesis forwards", "b#genesis forwards", "c#genesis commits"}
+// committedInGenesis lets the founders acknowledge a command.
+var committedInGenesis = []string{"a#genesis appends", "a#genesis forwards", "b#genesis forwards", "c#genesis commits"}
 
 func membershipScenarios() []membershipScenario {
 	return []membershipScenario{
@@ -122,9 +106,11 @@
 			limit:  100_000,
 		},
 		{
-			name:   "attempts that aren't decided, a loss and a loss of power",
-			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, undecided: 1, powerCuts: 1},
-			limit:  40_000,
+			name: "attempts that aren't decided, a loss and a loss of power",
+			config: membershipConfig{
+				tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, undecided: 1, powerCuts: 1,
+			},
+			limit: 40_000,
 		},
 		{
 			name:   "a spare and two losses",
@@ -132,29 +118,38 @@
 			limit:  80_000,
 		},
 		{
-			name:   "copies in pieces, messages lost, late and twice",
-			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, restarts: 1, inFlight: 2, copiesInPieces: true},
-			limit:  50_000,
+			name: "copies in pieces, messages lost, late and twice",
+			config: membershipConfig{
+				tolerance: 1, machines: 3, maxEpoch: 2, commands: 1, losses: 1, restarts: 1, inFlight: 2,
+				copiesInPieces: true,
+			},
+			limit: 50_000,
 		},
 		{
-			name:   "losses one after the other",
-			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 4, commands: 1, losses: 2, newAddresses: true, copiesInPieces: true},
-			steps:  append(committedInGenesis[:4:4], "c#genesis loses its disk", "c#2 learns of epoch 1"),
-			limit:  15_000,
+			name: "losses one after the other",
+			config: membershipConfig{
+				tolerance: 1, machines: 3, maxEpoch: 4, commands: 1, losses: 2, newAddresses: true,
+				copiesInPieces: true,
+			},
+			steps: append(committedInGenesis[:4:4], "c#genesis loses its disk", "c#2 learns of epoch 1"),
+			limit: 15_000,
 		},
 		{
 			name:   "an older log that is longer",
 			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 4, commands: 4, losses: 1},
-			steps: []string{"a#genesis orders", "a#genesis orders",
+			steps: []string{"a#genesis appends", "a#genesis appends",
 				"b#genesis c#genesis decide 2 [{ a genesis} { b genesis} { c genesis}] [{ b genesis} { c genesis}]",
-				"b#genesis learns", "c#genesis learns", "b#genesis copies to c", "b#genesis orders", "b#genesis forwards"},
+				"b#genesis learns", "c#genesis learns", "b#genesis copies to c", "b#genesis appends",
+				"b#genesis forwards"},
 			limit: 10_000,
 		},
 		{
-			name:   "a planned leave",
-			config: membershipConfig{tolerance: 1, machines: 3, maxEpoch: 3, commands: 2, losses: 2, leaves: 1, undecided: 1},
-			steps:  append(committedInGenesis[:4:4], "b#genesis is to leave"),
-			limit:  15_000,
+			name: "a planned leave",
+			config: membershipConfig{
+				tolerance: 1, machines: 3, maxEpoch: 3, commands: 2, losses: 2, leaves: 1, undecided: 1,
+			},
+			steps: append(committedInGenesis[:4:4], "b#genesis is leaving"),
+			limit: 15_000,
 		},
 		{
 			name:   "a spare and three changes",
@@ -169,32 +164,35 @@
 			limit:  5_000,
 		},
 		{
-			name:   "founders that are to bear two losses",
+			name:   "founders that tolerate two losses",
 			config: membershipConfig{tolerance: 2, machines: 5, maxEpoch: 4, commands: 1},
-			steps: []string{"a#genesis b#genesis decide 2 [{ a genesis} { b genesis} { c genesis}] [{ a genesis} { b genesis}]",
+			steps: []string{
+				"a#genesis b#genesis decide 2 [{ a genesis} { b genesis} { c genesis}] [{ a genesis} { b genesis}]",
 				"a#genesis learns", "b#genesis learns", "a#genesis copies to b"},
 			limit: 5_000,
 		},
 		{
-			name:   "five machines that bear two losses",
+			name:   "five machines that tolerate two losses",
 			config: membershipConfig{tolerance: 2, machines: 5, maxEpoch: 4, commands: 1, losses: 2},
 			steps: []string{"d#1 learns of epoch 1", "e#1 learns of epoch 1",
 				"a#genesis b#genesis c#genesis decide 2 [{ a genesis} { b genesis} { c genesis} {d d 1} {e e 1}] " +
 					"[{ a genesis} { b genesis} { c genesis} {d d 1} {e e 1}]",
-				"a#genesis learns", "b#genesis learns", "c#genesis learns", "a#genesis copies to b", "a#genesis copies to c"},
+				"a#genesis learns", "b#genesis learns", "c#genesis learns", "a#genesis copies to b",
+				"a#genesis copies to c"},
 			limit: 5_000,
 		},
 	}
 }
 
+// start returns the state after the steps of the scenario, with injected bugs.
 func (s membershipScenario) start(t testing.TB, bugs membershipBugs) *membershipState {
-	rules := s.config
-	rules.membershipBugs = bugs
-	return newMembershipState(&rules).play(t, s.steps...)
+	config := s.config
+	config.membershipBugs = bugs
+	return play(t, newMembershipState(&config), s.steps...)
 }
 
-// TestMembershipModel checks changes of the membership with a loss at every step, in all orders, up to
-// bounds; MODEL=N explores N times as many states.
+// TestMembershipModel checks changes of the membership with a loss at every step, in every order, up to bounds.
+// MODEL=N in the environment explores N times as many states.
 func TestMembershipModel(t *testing.T) {
 	for _, scenario := range membershipScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -209,7 +207,7 @@
 	}
 }
 
-// walkRules are wide enough for several losses and repairs.
+// walkConfig has bounds for several losses and repairs.
 func walkConfig(tolerance, machines int) *membershipConfig {
 	return &membershipConfig{
 		tolerance: tolerance, machines: machines, maxEpoch: 20, commands: 12, losses: 8, undecided: 4, restarts: 4,
@@ -217,8 +215,8 @@
 	}
 }
 
-// TestMembershipModelWalks takes random steps with three to eight machines; SEEDS=N takes N walks with each,
-// FIRST=S starts at seed S.
+// TestMembershipModelWalks takes random steps with three to eight machines. SEEDS=N in the environment takes N
+// walks with each number of machines, FIRST=S starts at seed S.
 func TestMembershipModelWalks(t *testing.T) {
 	seeds, first := 200, uint64(0)
 	if number, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -234,7 +232,8 @@
 			start := newMembershipState(walkConfig(sizes[0], sizes[1]))
 			broken, problem := search.walk(start, seed, 400)
 			if problem != "" {
-				t.Errorf("tolerance %d, %d machines, FIRST=%d SEEDS=1: %s after\n%s", sizes[0], sizes[1], seed, problem, broken.trace)
+				t.Errorf("tolerance %d, %d machines, FIRST=%d SEEDS=1: %s after\n%s", sizes[0], sizes[1], seed, problem,
+					broken.trace)
 				continue
 			}
 			changes += search.last.changes()
@@ -244,34 +243,55 @@
 	}
 }
 
-func (w *membershipState) changes() int { return len(w.decided) - 1 }
+// changes returns the number of views after the genesis view.
+func (s *membershipState) changes() int { return len(s.decided) - 1 }
 
-// TestMembershipModelFindsPlantedBugs checks that the exploration finds what it is for.
+// TestMembershipModelFindsInjectedBugs checks that the exploration finds what it is for.
 func TestMembershipModelFindsInjectedBugs(t *testing.T) {
-	plants := []struct {
+	bugs := []struct {
 		name     string
 		scenario string
 		bugs     membershipBugs
 	}{
-		{"a lost disk keeps its vote", "attempts that aren't decided, a loss and a loss of power", membershipBugs{wipedVotes: true}},
-		{"a leaving member's disk goes before the view stands", "a planned leave", membershipBugs{endsEarly: true}},
+		{
+			"a lost disk keeps its vote",
+			"attempts that aren't decided, a loss and a loss of power",
+			membershipBugs{wipedVotes: true},
+		},
+		{
+			"a leaving member's disk goes before the view is decided",
+			"a planned leave",
+			membershipBugs{endsEarly: true},
+		},
 		{"a leaving member loses its vote", "a planned leave", membershipBugs{leaverNoVote: true}},
-		{"a chain of as many as may be lost acknowledges", "founders that are to bear two losses", membershipBugs{shortAcks: true}},
+		{
+			"a chain of as many as may be lost acknowledges",
+			"founders that tolerate two losses",
+			membershipBugs{shortAcks: true},
+		},
 		{"a chain of as many as may be lost is made", "two changes and a loss", membershipBugs{shortChains: true}},
-		{"the source is whoever has the longest log", "an older log that is longer", membershipBugs{longestLog: true}},
+		{
+			"the source is the member with the longest log",
+			"an older log that is longer",
+			membershipBugs{longestLog: true},
+		},
 		{"one epoch in doubt is remembered", "two changes and a loss", membershipBugs{oneTerm: true}},
-		{"a new member is whole before the copy", "losses one after the other", membershipBugs{syncedEarly: true}},
-		{"an absent voter is replaced that is needed", "a spare and three changes", membershipBugs{replacesNeeded: true}},
+		{"a new member is synced before the copy", "losses one after the other", membershipBugs{syncedEarly: true}},
+		{
+			"an unreachable voter is replaced that is needed",
+			"a spare and three changes",
+			membershipBugs{replacesNeeded: true},
+		},
 		{"two voters are replaced at once", "two spares", membershipBugs{replacesSeveral: true}},
 	}
-	for _, planted := range plants {
-		t.Run(planted.name, func(t *testing.T) {
+	for _, injected := range bugs {
+		t.Run(injected.name, func(t *testing.T) {
 			for _, scenario := range membershipScenarios() {
-				if scenario.name != planted.scenario {
+				if scenario.name != injected.scenario {
 					continue
 				}
 				search := &membershipSearch{}
-				broken, problem := search.run(scenario.start(t, planted.bugs), scenario.limit)
+				broken, problem := search.run(scenario.start(t, injected.bugs), scenario.limit)
 				if problem == "" {
 					t.Fatalf("not found in %d states", len(search.states))
 				}
--- /dev/null
+++ b/coord/view/membership_fault_test.go
@@ -0,0 +1,97 @@
+package view
+
+import "fmt"
+
+// toleratesLoss reports whether the next loss of Tolerance disks is to be borne, with a loss of power of all
+// machines: the newest view is decided and none of its voters is wedged in it; it has as many voters as the losses
+// ask for, each with the disk that it votes with; and Tolerance+1 members of its chain are synced in its epoch.
+func (s *membershipState) toleratesLoss() bool {
+	v := s.newest()
+	if len(v.Voters) < TargetVoters(s.config.tolerance) {
+		return false
+	}
+	whole := 0
+	for _, m := range v.Voters {
+		n := s.at(m)
+		if n == nil || n.epoch() == v.Epoch && n.acceptor.Wedged() {
+			return false
+		}
+		if v.InChain(m) && n.epoch() == v.Epoch && n.synced == v.Epoch {
+			whole++
+		}
+	}
+	return whole > s.config.tolerance
+}
+
+// noteRepair permits new losses once earlier ones are repaired.
+func (s *membershipState) noteRepair() {
+	if s.toleratesLoss() {
+		s.lossesPermitted, s.lossesUnrepaired = s.config.tolerance, 0
+	}
+}
+
+// addFaults adds the faults that a machine may have.
+func (s *membershipState) addFaults(actions []membershipAction, i int, n *membershipNode) []membershipAction {
+	name := n.self().ID()
+	if s.restarts < s.config.restarts && (n.prefixComplete || n.partialCopy || n.leaving) {
+		run := func(s *membershipState) { s.restarts++; s.restart(s.nodes[i]) }
+		actions = append(actions, named(run, "%s restarts", name))
+	}
+	if s.leaves < s.config.leaves && !n.leaving && s.newest().InChain(n.self()) {
+		run := func(s *membershipState) { s.leaves++; s.nodes[i].leaving = true }
+		actions = append(actions, named(run, "%s is leaving", name))
+	}
+	if n.epoch() == 0 || s.losses == s.config.losses {
+		return actions // an empty machine has nothing to lose
+	}
+	if s.lossesPermitted > 0 || s.mayEnd(n) {
+		actions = append(actions, named(func(s *membershipState) { s.loseDisk(i, false) }, "%s loses its disk", name))
+		if s.config.newAddresses {
+			run := func(s *membershipState) { s.loseDisk(i, true) }
+			actions = append(actions, named(run, "%s is replaced elsewhere", name))
+		}
+	}
+	return actions
+}
+
+// mayEnd reports whether the disk of a leaving machine may go though no loss is permitted, which is an injected bug.
+func (s *membershipState) mayEnd(n *membershipNode) bool {
+	return s.config.endsEarly && n.leaving && n.acceptor.Accepted != nil && !n.acceptor.Accepted.InChain(n.self())
+}
+
+// restart resets what a machine keeps in memory.
+func (s *membershipState) restart(n *membershipNode) {
+	n.partialCopy, n.leaving = false, false
+	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.self())
+}
+
+// cutPower restarts all machines and loses all messages.
+func (s *membershipState) cutPower() {
+	s.powerCuts++
+	s.messages = nil
+	for _, n := range s.nodes {
+		s.restart(n)
+	}
+}
+
+// loseDisk puts an empty machine in the place of one, at its address or at another.
+func (s *membershipState) loseDisk(i int, elsewhere bool) {
+	n := s.nodes[i]
+	s.losses++
+	s.lossesUnrepaired++
+	if s.lossesPermitted > 0 && !s.mayEnd(n) {
+		s.lossesPermitted--
+	}
+	self := n.self()
+	next := &membershipNode{incarnations: n.incarnations + 1}
+	next.acceptor.Self = Member{Node: self.Node, Address: self.Address, Incarnation: fmt.Sprint(n.incarnations + 1)}
+	if elsewhere {
+		next.acceptor.Self.Address = string(rune(self.Node[0]) - 32)
+	}
+	if s.config.wipedVotes {
+		next.acceptor.Self = self
+		next.acceptor.DurableState = DurableState{View: Genesis(modelSeeds)}
+		next.synced = GenesisEpoch
+	}
+	s.nodes[i] = next
+}
