--- a/cmd/sprucelab/soak.go
+++ b/cmd/sprucelab/soak.go
@@ -15,7 +15,7 @@
 var errBroken = errors.New("rules were broken")
 
 func soakCommand() *cobra.Command {
-	plan := soak.DefaultPlan("")
+	plan := soak.DefaultOptions("")
 	var seconds float64
 	var seeds int
 	cmd := &cobra.Command{
@@ -32,15 +32,15 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := until()
 			defer stop()
-			plan.For = time.Duration(seconds * float64(time.Second))
-			plan.Out = cmd.OutOrStdout()
+			plan.FaultDuration = time.Duration(seconds * float64(time.Second))
+			plan.Output = cmd.OutOrStdout()
 			broken := false
 			for range seeds {
 				result, err := soak.Run(ctx, plan)
 				if err != nil {
 					return err
 				}
-				printSoak(plan.Out, result)
+				printSoak(plan.Output, result)
 				broken = broken || len(result.Violations) > 0
 				if ctx.Err() != nil {
 					break
@@ -55,33 +55,33 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&plan.Programs, "programs", "target/soak", "the `folder` of the system's programs, built with -tags faultinjection")
-	f.Float64Var(&seconds, "seconds", plan.For.Seconds(), "how long there are troubles")
+	f.Float64Var(&seconds, "seconds", plan.FaultDuration.Seconds(), "how long there are troubles")
 	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "what all chance follows from")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds are played, one after the other, each one more than that before")
 	f.StringSliceVar(&plan.Zones, "zones", plan.Zones, "the zones")
-	f.IntVar(&plan.Fronts, "fronts", plan.Fronts, "machines with control and gateway")
-	f.IntVar(&plan.Stores, "stores", plan.Stores, "machines with batch processes")
-	f.IntVar(&plan.Lost, "lost", plan.Lost, "disks that may be lost at once")
-	f.Float64Var(&plan.Rate, "rate", plan.Rate, "streams a second")
-	f.Float64Var(&plan.Jobs, "jobs", plan.Jobs, "batch jobs a second")
-	f.StringVar(&plan.Logs, "logs", "", "the `folder` in which those of a run with broken rules stay")
+	f.IntVar(&plan.FrontMachines, "fronts", plan.FrontMachines, "machines with control and gateway")
+	f.IntVar(&plan.StoreMachines, "stores", plan.StoreMachines, "machines with batch processes")
+	f.IntVar(&plan.MaxLostDisks, "lost", plan.MaxLostDisks, "disks that may be lost at once")
+	f.Float64Var(&plan.StreamRate, "rate", plan.StreamRate, "streams a second")
+	f.Float64Var(&plan.JobRate, "jobs", plan.JobRate, "batch jobs a second")
+	f.StringVar(&plan.LogFolder, "logs", "", "the `folder` in which those of a run with broken rules stay")
 	return cmd
 }
 
 // printSoak prints a seed's line.
 func printSoak(out io.Writer, result soak.Result) {
 	var line figures
-	line.add("seed", "%d", result.Plan.Seed)
-	for _, kind := range soak.TroubleKinds {
-		line.add(string(kind), "%d", result.Troubles[kind])
+	line.add("seed", "%d", result.Options.Seed)
+	for _, kind := range soak.FaultKinds {
+		line.add(string(kind), "%d", result.Faults[kind])
 	}
-	line.add("disks", "%d", result.Wiped)
-	line.add("requests", "%d", result.Requests)
+	line.add("disks", "%d", result.DisksWiped)
+	line.add("requests", "%d", result.Streams)
 	line.add("accepted", "%d", result.Accepted)
-	line.add("refused", "%d", result.Refused)
+	line.add("refused", "%d", result.Rejected)
 	line.add("ended", "%d", result.Ended)
-	line.add("orders", "%d", result.Orders)
-	line.add("violations", "%d", len(result.Violations)+result.More)
+	line.add("orders", "%d", result.ConfigurationChanges)
+	line.add("violations", "%d", len(result.Violations)+result.OmittedViolations)
 	if result.Folder != "" {
 		line.add("logs", "%s", result.Folder)
 	}
--- a/cmd/sprucelab/system.go
+++ b/cmd/sprucelab/system.go
@@ -25,9 +25,9 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := until()
 			defer stop()
-			d.Plan = system.DefaultPlan(programs)
-			d.For = time.Duration(seconds * float64(time.Second))
-			d.Out = cmd.OutOrStdout()
+			d.Options = system.DefaultOptions(programs)
+			d.Duration = time.Duration(seconds * float64(time.Second))
+			d.Output = cmd.OutOrStdout()
 			d.Live = term.IsTerminal(int(os.Stdout.Fd()))
 			return d.Run(ctx)
 		},
@@ -36,7 +36,7 @@
 	f.StringVar(&programs, "programs", "target", "the `folder` of the system's programs")
 	f.Float64Var(&seconds, "seconds", 0, "how long the load lasts; 0: until it is interrupted")
 	f.Float64Var(&d.Rate, "rate", 40, "requests a second")
-	f.IntVar(&d.BatchJob, "items", 20, "items of a batch job; one is submitted every 5 s")
+	f.IntVar(&d.ItemsPerJob, "items", 20, "items of a batch job; one is submitted every 5 s")
 	f.BoolVar(&d.Fault, "fault", true, "kill a control process on the way, and start it again")
 	return cmd
 }
--- a/internal/batch/serverclient/simulation_test.go
+++ b/internal/batch/serverclient/simulation_test.go
@@ -38,14 +38,14 @@
 			w := &worker{fleet: fleet, client: client, r: rand.New(rand.NewPCG(seed, 100+uint64(i)))}
 			all.Go(func() {
 				for item := range simItems {
-					w.finish(fleet.Audit.Item(w.r, fmt.Sprintf("w%d-%d", i, item)))
+					w.finish(fleet.Checker.NewItem(w.r, fmt.Sprintf("w%d-%d", i, item)))
 				}
 			})
 		}
 		all.Wait()
 		client.Sweep(func(string) bool { return false })
 		fleet.Close()
-		violations, counts = fleet.Audit.Finish(), fleet.Audit.Counts()
+		violations, counts = fleet.Checker.Finish(), fleet.Checker.Counts()
 	})
 	return violations, counts
 }
@@ -58,37 +58,37 @@
 }
 
 // finish sends an item until it is completed or unprocessable.
-func (w *worker) finish(try *faultyserver.Try) {
+func (w *worker) finish(try *faultyserver.Request) {
 	var data []string
 	last := int64(-1)
 	for attempt := range maxAttempts {
 		time.Sleep(time.Duration(w.r.Int64N(int64(100 * time.Millisecond))))
 		outcome := w.run(try, strconv.Itoa(attempt), last)
-		w.check(try, outcome, w.fleet.Audit.Runs(try, strconv.Itoa(attempt)))
+		w.check(try, outcome, w.fleet.Checker.Executions(try, strconv.Itoa(attempt)))
 		for _, event := range outcome.Events {
 			data = append(data, string(event))
 		}
 		last = outcome.LastEventID
-		w.fleet.Audit.Collected(try, data, outcome.Result == Completed)
+		w.fleet.Checker.CheckCollected(try, data, outcome.Result == Completed)
 		switch outcome.Result {
 		case Completed:
-			w.fleet.Audit.Count("completed")
+			w.fleet.Checker.Count("completed")
 			return
 		case Unprocessable:
 			return
 		}
 	}
-	w.fleet.Audit.Failf("%s: not done after %d runs", try.ID, maxAttempts)
+	w.fleet.Checker.Failf("%s: not done after %d runs", try.ID, maxAttempts)
 }
 
 // run makes one attempt at a random server. Now and then the gate is closed, or the context ends meanwhile.
-func (w *worker) run(try *faultyserver.Try, attempt string, last int64) Outcome {
+func (w *worker) run(try *faultyserver.Request, attempt string, last int64) Outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if w.r.Float64() < canceledShare {
 		time.AfterFunc(time.Duration(w.r.Int64N(int64(300*time.Millisecond))), cancel)
 	}
-	server := w.fleet.Servers[w.r.IntN(len(w.fleet.Servers))]
+	server := w.fleet.Endpoints[w.r.IntN(len(w.fleet.Endpoints))]
 	gate := w.r.Float64() >= closedGateShare
 	item := &job.Item{
 		ID: try.ID, Path: try.Path, Body: try.Body, Headers: []job.Header{{Name: "X-Attempt", Value: attempt}},
@@ -104,20 +104,20 @@
 }
 
 // check checks that the result of an attempt is what the server did.
-func (w *worker) check(try *faultyserver.Try, outcome Outcome, runs []*faultyserver.Run) {
+func (w *worker) check(try *faultyserver.Request, outcome Outcome, runs []*faultyserver.Execution) {
 	status := map[Result]int{Completed: 200, Failed: 500, Unprocessable: 422}[outcome.Result]
 	switch {
-	case status != 0 && (len(runs) != 1 || runs[0].Status != status || runs[0].Cut && status == 200):
-		w.fleet.Audit.Failf("%s: ended as %d with %d events, where the server's runs were %s",
+	case status != 0 && (len(runs) != 1 || runs[0].Status != status || runs[0].Truncated && status == 200):
+		w.fleet.Checker.Failf("%s: ended as %d with %d events, where the server's runs were %s",
 			try.ID, outcome.Result, len(outcome.Events), describe(runs))
 	case (outcome.Result == NotExecuted || outcome.Result == NotSent) && len(runs) > 0:
-		w.fleet.Audit.Failf("%s: ended as %d, and has run", try.ID, outcome.Result)
+		w.fleet.Checker.Failf("%s: ended as %d, and has run", try.ID, outcome.Result)
 	}
 }
 
-func describe(runs []*faultyserver.Run) (text string) {
+func describe(runs []*faultyserver.Execution) (text string) {
 	for _, run := range runs {
-		text += fmt.Sprintf("[%s after %d: %d, cut: %v]", run.Stamp, run.After, run.Status, run.Cut)
+		text += fmt.Sprintf("[%s after %d: %d, cut: %v]", run.Signature, run.AfterEvent, run.Status, run.Truncated)
 	}
 	return text
 }
--- a/internal/fake/faultyserver/audit.go
+++ b/internal/fake/faultyserver/audit.go
@@ -14,129 +14,131 @@
 )
 
 // Try is a request as a client sent it.
-type Try struct {
+type Request struct {
 	ID, Route, Path string
 	Header          http.Header // that reaches the server unchanged
 	Body            []byte
-	After           int // Last-Event-Id; 0: none
+	AfterEvent      int // Last-Event-Id; 0: none
 	Events          int // of its whole stream
 }
 
-func (t *Try) stream() bool {
+func (t *Request) streaming() bool {
 	return t.Route == routeStream || t.Route == routeResume || t.Route == RouteItem
 }
 
-func (t *Try) repeatable() bool { return t.Route == routeSafe || t.Route == routeResume }
+func (t *Request) idempotent() bool { return t.Route == routeSafe || t.Route == routeResume }
 
 // Run is work that a server has begun on a try.
-type Run struct {
-	Try   *Try
-	Stamp string
-	After int // Last-Event-Id that it was asked with
+type Execution struct {
+	Request    *Request
+	Signature  string
+	AfterEvent int // Last-Event-Id that it was asked with
 	// Attempt is the value of X-Attempt that it was asked with.
-	Attempt string
-	Status  int // 0: it gave no answer
-	Text    []byte
-	Cut     bool // its answer has no length, and was reset
+	Attempt   string
+	Status    int // 0: it gave no answer
+	Body      []byte
+	Truncated bool // its answer has no length, and was reset
 }
 
 // event gives an event of a run's stream.
-func (r *Run) event(id int) string {
+func (r *Execution) eventText(id int) string {
 	versions := ""
-	if (len(r.Try.ID)+id)%4 == 0 {
+	if (len(r.Request.ID)+id)%4 == 0 {
 		versions = fmt.Sprintf("versions: %d\n", id)
 	}
-	return fmt.Sprintf("%sid: %d\ndata: %s\n\n", versions, id, r.data(id))
+	return fmt.Sprintf("%sid: %d\ndata: %s\n\n", versions, id, r.eventData(id))
 }
 
 // data gives an event's data.
-func (r *Run) data(id int) string { return fmt.Sprintf("%s %d by %s", r.Try.ID, id, r.Stamp) }
+func (r *Execution) eventData(id int) string {
+	return fmt.Sprintf("%s %d by %s", r.Request.ID, id, r.Signature)
+}
 
 // Audit holds what clients sent, servers ran, and clients heard.
-type Audit struct {
-	mu       sync.Mutex
-	tries    map[string]*Try
-	runs     map[string][]*Run
-	stamps   map[string]*Run
-	heard    map[string]int // status, by id
-	failures []string
-	counts   map[string]int
-}
-
-func newAudit() *Audit {
-	return &Audit{tries: map[string]*Try{}, runs: map[string][]*Run{}, stamps: map[string]*Run{}, heard: map[string]int{},
+type Checker struct {
+	mu          sync.Mutex
+	requests    map[string]*Request
+	executions  map[string][]*Execution
+	bySignature map[string]*Execution
+	statuses    map[string]int // status, by id
+	violations  []string
+	counts      map[string]int
+}
+
+func newChecker() *Checker {
+	return &Checker{requests: map[string]*Request{}, executions: map[string][]*Execution{}, bySignature: map[string]*Execution{}, statuses: map[string]int{},
 		counts: map[string]int{}}
 }
 
-func (a *Audit) failf(format string, parts ...any) {
+func (a *Checker) failf(format string, parts ...any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fail(format, parts...)
+	a.failLocked(format, parts...)
 }
 
 // fail notes a broken rule. The mutex is held.
-func (a *Audit) fail(format string, parts ...any) {
-	a.failures = append(a.failures, fmt.Sprintf(format, parts...))
+func (a *Checker) failLocked(format string, parts ...any) {
+	a.violations = append(a.violations, fmt.Sprintf(format, parts...))
 }
 
-func (a *Audit) count(what string) {
+func (a *Checker) count(what string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.counts[what]++
 }
 
-func (a *Audit) sent(try *Try) {
+func (a *Checker) recordRequest(try *Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tries[try.ID] = try
+	a.requests[try.ID] = try
 	a.counts["tries"]++
 }
 
 // arrived checks a request's head at a server, and gives its try; nil: it is nobody's.
-func (a *Audit) arrived(r *http.Request) *Try {
+func (a *Checker) checkArrival(r *http.Request) *Request {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	try := a.tries[r.Header.Get("X-Request-Id")]
+	try := a.requests[r.Header.Get("X-Request-Id")]
 	if try == nil {
-		a.fail("a request that no client sent: %s %s", r.RequestURI, r.Header)
+		a.failLocked("a request that no client sent: %s %s", r.RequestURI, r.Header)
 		return nil
 	}
 	if r.Host != Host || r.Method != http.MethodPost || r.RequestURI != try.Path || r.ContentLength != int64(len(try.Body)) {
-		a.fail("%s: other request line or length: %s %s %d", try.ID, r.Method, r.RequestURI, r.ContentLength)
+		a.failLocked("%s: other request line or length: %s %s %d", try.ID, r.Method, r.RequestURI, r.ContentLength)
 	}
 	for name, values := range try.Header {
 		if !slices.Equal(r.Header[name], values) {
-			a.fail("%s: header %s is %q", try.ID, name, r.Header[name])
+			a.failLocked("%s: header %s is %q", try.ID, name, r.Header[name])
 		}
 	}
 	if r.Header.Get("X-Tenant") != Tenant || r.Header.Get("Api-Key") != "" || len(r.Header["X-Expect-Instance"]) != 1 {
-		a.fail("%s: with a tenant, a key or instances of others: %v", try.ID, r.Header)
+		a.failLocked("%s: with a tenant, a key or instances of others: %v", try.ID, r.Header)
 	}
 	return try
 }
 
 // bodyPart checks bytes of a body that stand at some offset.
-func (a *Audit) bodyPart(try *Try, offset int, part []byte) {
+func (a *Checker) checkBodyPart(try *Request, offset int, part []byte) {
 	if offset > len(try.Body) || !bytes.HasPrefix(try.Body[offset:], part) {
 		a.failf("%s: at %d of its body stand other bytes: %.80q", try.ID, offset, part)
 	}
 }
 
 // run notes that a server begins work.
-func (a *Audit) run(try *Try, asked http.Header, status int) *Run {
+func (a *Checker) recordExecution(try *Request, asked http.Header, status int) *Execution {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	after, _ := strconv.Atoi(asked.Get("Last-Event-Id"))
-	r := &Run{Try: try, Stamp: fmt.Sprintf("%s.%d", try.ID, len(a.runs[try.ID])+1), After: after, Status: status,
+	r := &Execution{Request: try, Signature: fmt.Sprintf("%s.%d", try.ID, len(a.executions[try.ID])+1), AfterEvent: after, Status: status,
 		Attempt: asked.Get("X-Attempt")}
-	a.runs[try.ID] = append(a.runs[try.ID], r)
-	a.stamps[r.Stamp] = r
+	a.executions[try.ID] = append(a.executions[try.ID], r)
+	a.bySignature[r.Signature] = r
 	a.counts["runs"]++
 	return r
 }
 
 // answer is what a client has heard.
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -144,30 +146,30 @@
 }
 
 // answered checks what a client has heard.
-func (a *Audit) answered(try *Try, heard answer) {
+func (a *Checker) checkResponse(try *Request, heard response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.heard[try.ID] = heard.status
+	a.statuses[try.ID] = heard.status
 	stamp := heard.header.Get("X-Response-Signature")
-	run := a.stamps[stamp]
+	run := a.bySignature[stamp]
 	success := heard.status >= 200 && heard.status < 300
 	switch {
-	case stamp != "" && (run == nil || run.Try != try):
-		a.fail("%s: answered with %d under the stamp %q of another", try.ID, heard.status, stamp)
+	case stamp != "" && (run == nil || run.Request != try):
+		a.failLocked("%s: answered with %d under the stamp %q of another", try.ID, heard.status, stamp)
 	case run != nil && run.Status != heard.status:
-		a.fail("%s: answered with %d, where the server said %d", try.ID, heard.status, run.Status)
+		a.failLocked("%s: answered with %d, where the server said %d", try.ID, heard.status, run.Status)
 	case success && run == nil:
-		a.fail("%s: a success without a stamp", try.ID)
+		a.failLocked("%s: a success without a stamp", try.ID)
 	case run != nil && heard.header.Get("X-Request-Id") != try.ID:
-		a.fail("%s: answered under the id %q", try.ID, heard.header.Get("X-Request-Id"))
+		a.failLocked("%s: answered under the id %q", try.ID, heard.header.Get("X-Request-Id"))
 	case run != nil && heard.header.Get("Versions") != versions:
-		a.fail("%s: answered with the versions %q", try.ID, heard.header["Versions"])
+		a.failLocked("%s: answered with the versions %q", try.ID, heard.header["Versions"])
 	case success && heard.header.Get("Content-Encoding") != "":
-		a.fail("%s: a success in an encoding", try.ID)
-	case success && try.stream():
-		a.streamed(try, run, heard)
-	case success && heard.err == nil && (run.Cut || !bytes.Equal(run.Text, heard.body)):
-		a.fail("%s: a success that isn't whole: %.80q, where %.80q was said (cut: %v)", try.ID, heard.body, run.Text, run.Cut)
+		a.failLocked("%s: a success in an encoding", try.ID)
+	case success && try.streaming():
+		a.checkStreamLocked(try, run, heard)
+	case success && heard.err == nil && (run.Truncated || !bytes.Equal(run.Body, heard.body)):
+		a.failLocked("%s: a success that isn't whole: %.80q, where %.80q was said (cut: %v)", try.ID, heard.body, run.Body, run.Truncated)
 	}
 	if success && heard.err == nil {
 		a.counts["successes"]++
@@ -175,33 +177,33 @@
 }
 
 // streamed checks a stream: events in order, each by a run that was asked to go on where it did. The mutex is held.
-func (a *Audit) streamed(try *Try, first *Run, heard answer) {
+func (a *Checker) checkStreamLocked(try *Request, first *Execution, heard response) {
 	text := string(heard.body)
-	last, by := try.After, first
+	last, by := try.AfterEvent, first
 	for text != "" {
 		event, rest, whole := strings.Cut(text, "\n\n")
 		if !whole {
-			a.fail("%s: a part of an event: %q", try.ID, text)
+			a.failLocked("%s: a part of an event: %q", try.ID, text)
 			return
 		}
 		event += "\n\n"
 		_, stamp, _ := strings.Cut(strings.TrimSuffix(event, "\n\n"), " by ")
-		run := a.stamps[stamp]
-		if run == nil || run.Try != try {
-			a.fail("%s: an event of another: %q", try.ID, event)
+		run := a.bySignature[stamp]
+		if run == nil || run.Request != try {
+			a.failLocked("%s: an event of another: %q", try.ID, event)
 			return
 		}
-		if run != by && run.After != last || last == try.After && run != first {
-			a.fail("%s: after event %d comes a run that was asked to go on after %d", try.ID, last, run.After)
+		if run != by && run.AfterEvent != last || last == try.AfterEvent && run != first {
+			a.failLocked("%s: after event %d comes a run that was asked to go on after %d", try.ID, last, run.AfterEvent)
 		}
-		if last++; event != run.event(last) {
-			a.fail("%s: in place of event %d stands %q", try.ID, last, event)
+		if last++; event != run.eventText(last) {
+			a.failLocked("%s: in place of event %d stands %q", try.ID, last, event)
 			return
 		}
 		text, by = rest, run
 	}
 	if heard.err == nil && last != try.Events {
-		a.fail("%s: looks complete after event %d of %d", try.ID, last, try.Events)
+		a.failLocked("%s: looks complete after event %d of %d", try.ID, last, try.Events)
 	}
 	if by != first {
 		a.counts["resumed streams"]++
@@ -209,21 +211,21 @@
 }
 
 // Finish checks what holds once all is over, and gives what was broken.
-func (a *Audit) Finish() []string {
+func (a *Checker) Finish() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for id, runs := range a.runs {
+	for id, runs := range a.executions {
 		most := 1
-		if a.tries[id].repeatable() {
+		if a.requests[id].idempotent() {
 			most = maxAttempts
 		}
-		if len(runs) > most && a.tries[id].Route != RouteItem {
-			a.fail("%s on %s: has run %d times", id, a.tries[id].Route, len(runs))
+		if len(runs) > most && a.requests[id].Route != RouteItem {
+			a.failLocked("%s on %s: has run %d times", id, a.requests[id].Route, len(runs))
 		}
-		switch status := a.heard[id]; status {
+		switch status := a.statuses[id]; status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-			a.fail("%s on %s: answered with %d, and has run", id, a.tries[id].Route, status)
+			a.failLocked("%s on %s: answered with %d, and has run", id, a.requests[id].Route, status)
 		}
 	}
-	return a.failures
+	return a.violations
 }
--- a/internal/fake/faultyserver/fleet.go
+++ b/internal/fake/faultyserver/fleet.go
@@ -11,27 +11,27 @@
 
 // Fleet is the servers of a world.
 type Fleet struct {
-	Audit   *Audit
-	Network *memorynet.Network
-	Servers []Address
+	Checker   *Checker
+	Network   *memorynet.Network
+	Endpoints []Endpoint
 
 	listeners []net.Listener
 	servers   []*server
 }
 
 // Address is where a server is, and its id.
-type Address struct{ ID, Address string }
+type Endpoint struct{ ID, Address string }
 
 // NewFleet starts so many servers.
 func NewFleet(seed uint64, count int) *Fleet {
-	f := &Fleet{Audit: newAudit(), Network: newNetwork(rand.New(rand.NewPCG(seed, 1)))}
+	f := &Fleet{Checker: newChecker(), Network: newNetwork(rand.New(rand.NewPCG(seed, 1)))}
 	for i := range count {
 		address := fmt.Sprintf("server-%d", i)
 		l := f.Network.Listen(address)
 		f.listeners = append(f.listeners, l)
-		f.Servers = append(f.Servers, Address{ID: "i-" + address, Address: address})
-		s := &server{audit: f.Audit, hazards: hazards(seed)}
-		s.begin("i-" + address)
+		f.Endpoints = append(f.Endpoints, Endpoint{ID: "i-" + address, Address: address})
+		s := &server{checker: f.Checker, faultRate: faultRate(seed)}
+		s.startIncarnation("i-" + address)
 		f.servers = append(f.servers, s)
 		go s.accept(l, seed<<8+uint64(i))
 	}
@@ -39,19 +39,19 @@
 }
 
 // script has all servers take their plans from a script. It is called before anything is sent.
-func (f *Fleet) script(s *script) {
+func (f *Fleet) useScript(s *script) {
 	for _, one := range f.servers {
 		one.script = s
 	}
 }
 
 // hazards is the share of exchanges in which something goes wrong, against the usual: worlds differ.
-func hazards(seed uint64) float64 { return [...]float64{0.3, 1, 1, 3}[seed%4] }
+func faultRate(seed uint64) float64 { return [...]float64{0.3, 1, 1, 3}[seed%4] }
 
 // Close ends the servers, and waits until all that waits on a connection has ended.
 func (f *Fleet) Close() {
 	for _, l := range f.listeners {
 		l.Close()
 	}
-	time.Sleep(2 * patience)
+	time.Sleep(2 * peerTimeout)
 }
--- a/internal/fake/faultyserver/item.go
+++ b/internal/fake/faultyserver/item.go
@@ -8,28 +8,28 @@
 )
 
 // Item makes up an item of a batch job.
-func (a *Audit) Item(r *rand.Rand, id string) *Try {
-	t := &Try{ID: id, Route: RouteItem, Path: fmt.Sprintf("/item/%x", r.Uint32()), Events: 1 + r.IntN(mostEvents)}
+func (a *Checker) NewItem(r *rand.Rand, id string) *Request {
+	t := &Request{ID: id, Route: RouteItem, Path: fmt.Sprintf("/item/%x", r.Uint32()), Events: 1 + r.IntN(maxEvents)}
 	t.Header = http.Header{"X-Model": {"m"}, "X-Prompt-Prefix": {fmt.Sprintf("%x:7", r.Uint32())}}
-	t.Body = bodyOf(id, lengthOf(r))
-	a.sent(t)
+	t.Body = requestBody(id, randomBodyLength(r))
+	a.recordRequest(t)
 	return t
 }
 
 // Count counts something that came about.
-func (a *Audit) Count(what string) { a.count(what) }
+func (a *Checker) Count(what string) { a.count(what) }
 
 // Counts gives what came about.
-func (a *Audit) Counts() map[string]int { return a.counts }
+func (a *Checker) Counts() map[string]int { return a.counts }
 
 // Failf notes a broken rule.
-func (a *Audit) Failf(format string, parts ...any) { a.failf(format, parts...) }
+func (a *Checker) Failf(format string, parts ...any) { a.failf(format, parts...) }
 
 // Runs gives the runs of a try so far that were asked for with some X-Attempt.
-func (a *Audit) Runs(t *Try, attempt string) (list []*Run) {
+func (a *Checker) Executions(t *Request, attempt string) (list []*Execution) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, run := range a.runs[t.ID] {
+	for _, run := range a.executions[t.ID] {
 		if run.Attempt == attempt {
 			list = append(list, run)
 		}
@@ -38,23 +38,23 @@
 }
 
 // Collected holds that data is that of an item's events from the first one on, each by a run that was asked to go on where it did.
-func (a *Audit) Collected(t *Try, data []string, complete bool) {
+func (a *Checker) CheckCollected(t *Request, data []string, complete bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var by *Run
+	var by *Execution
 	for i, text := range data {
 		_, stamp, _ := strings.Cut(text, " by ")
-		run := a.stamps[stamp]
-		if run == nil || run.Try != t || text != run.data(i+1) {
-			a.fail("%s: in place of event %d stands %q", t.ID, i+1, text)
+		run := a.bySignature[stamp]
+		if run == nil || run.Request != t || text != run.eventData(i+1) {
+			a.failLocked("%s: in place of event %d stands %q", t.ID, i+1, text)
 			return
 		}
-		if run != by && run.After != i {
-			a.fail("%s: after event %d comes a run that was asked to go on after %d", t.ID, i, run.After)
+		if run != by && run.AfterEvent != i {
+			a.failLocked("%s: after event %d comes a run that was asked to go on after %d", t.ID, i, run.AfterEvent)
 		}
 		by = run
 	}
 	if complete && len(data) != t.Events {
-		a.fail("%s: complete after event %d of %d", t.ID, len(data), t.Events)
+		a.failLocked("%s: complete after event %d of %d", t.ID, len(data), t.Events)
 	}
 }
--- a/internal/fake/faultyserver/network.go
+++ b/internal/fake/faultyserver/network.go
@@ -9,24 +9,24 @@
 )
 
 // conditions are what connections differ in.
-type conditions struct {
-	mu sync.Mutex
-	r  *rand.Rand
+type linkConditions struct {
+	mu     sync.Mutex
+	random *rand.Rand
 }
 
 func newNetwork(r *rand.Rand) *memorynet.Network {
-	c := &conditions{r: r}
+	c := &linkConditions{random: r}
 	return &memorynet.Network{Window: c.window, Latency: c.latency}
 }
 
-func (c *conditions) window() int {
+func (c *linkConditions) window() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return 1 << (10 + c.r.IntN(7))
+	return 1 << (10 + c.random.IntN(7))
 }
 
-func (c *conditions) latency() time.Duration {
+func (c *linkConditions) latency() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(50+c.r.Int64N(3000)) * time.Microsecond
+	return time.Duration(50+c.random.Int64N(3000)) * time.Microsecond
 }
--- a/internal/fake/faultyserver/script.go
+++ b/internal/fake/faultyserver/script.go
@@ -8,21 +8,21 @@
 
 const (
 	// answerBytes and requestBytes are beyond the end of most answers and requests that are cut at every byte.
-	answerBytes  = 400
-	requestBytes = 450
+	responseBytes = 400
+	requestBytes  = 450
 )
 
 // script is plans that all servers of a world take one after the other.
 type script struct {
 	mu    sync.Mutex
-	plans []plan
+	plans []faultPlan
 }
 
-func (s *script) next() plan {
+func (s *script) next() faultPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.plans) == 0 {
-		return plan{requestCut: -1, cut: -1, ran: true, short: true}
+		return faultPlan{breakRequestAt: -1, truncateShare: -1, executed: true, shortBody: true}
 	}
 	p := s.plans[0]
 	s.plans = s.plans[1:]
@@ -32,18 +32,18 @@
 // everyByte breaks an answer in each form at each byte in each way, and requests at each of theirs.
 func everyByte() *script {
 	s := &script{}
-	for how := closes; how <= stalls; how++ {
-		for form := byLength; form <= byClose; form++ {
+	for how := closeConn; how <= stall; how++ {
+		for form := byContentLength; form <= byClose; form++ {
 			by := how
-			if form == byClose && how == closes {
-				by = resets // a close would be its end
+			if form == byClose && how == closeConn {
+				by = resetConn // a close would be its end
 			}
-			for at := range answerBytes {
-				s.plans = append(s.plans, plan{requestCut: -1, ran: true, short: true, framing: form, cutByte: true, cutAt: at, cutBy: by})
+			for at := range responseBytes {
+				s.plans = append(s.plans, faultPlan{breakRequestAt: -1, executed: true, shortBody: true, framing: form, truncateAtByte: true, truncateAt: at, truncateBy: by})
 			}
 		}
 		for at := range requestBytes {
-			s.plans = append(s.plans, plan{requestCut: at, cut: -1, breaks: how})
+			s.plans = append(s.plans, faultPlan{breakRequestAt: at, truncateShare: -1, requestBreak: how})
 		}
 	}
 	return s
@@ -56,10 +56,10 @@
 		all := everyByte()
 		size := Size{Servers: 4, Clients: 20}
 		size.Requests = 3 * len(all.plans) / 2 / size.Clients
-		w := newWorld(1, size)
-		w.fleet.script(all)
-		w.play(t)
-		failures, left, counts = w.fleet.Audit.Finish(), len(all.plans), w.fleet.Audit.counts
+		w := newSimulation(1, size)
+		w.fleet.useScript(all)
+		w.run(t)
+		failures, left, counts = w.fleet.Checker.Finish(), len(all.plans), w.fleet.Checker.counts
 	})
 	return failures, left, counts
 }
--- a/internal/fake/faultyserver/server.go
+++ b/internal/fake/faultyserver/server.go
@@ -19,21 +19,21 @@
 
 const (
 	// patience is how long a server waits for what its peer does.
-	patience = 20 * time.Second
+	peerTimeout = 20 * time.Second
 	// cutPatience is how long it waits for a byte of a request at which it breaks; the request may be shorter.
-	cutPatience = 30 * time.Millisecond
+	breakTimeout = 30 * time.Millisecond
 )
 
 // server is one that misbehaves.
 type server struct {
-	life    // the present one
-	audit   *Audit
-	hazards float64
-	script  *script // nil: plans are drawn
+	incarnation // the present one
+	checker     *Checker
+	faultRate   float64
+	script      *script // nil: plans are drawn
 }
 
 // life is that of one incarnation.
-type life struct {
+type incarnation struct {
 	mu      sync.Mutex
 	id      string
 	conns   []*memorynet.Conn
@@ -41,7 +41,7 @@
 }
 
 // begin begins another incarnation, and resets the connections to the last one.
-func (s *server) begin(id string) {
+func (s *server) startIncarnation(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -58,7 +58,7 @@
 }
 
 // takes notes a connection, and gives the id of the incarnation that has it.
-func (s *server) takes(c *memorynet.Conn) string {
+func (s *server) addConn(c *memorynet.Conn) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns = append(s.conns, c)
@@ -66,196 +66,196 @@
 }
 
 // isDrained tells whether an incarnation got nothing new any more at some moment.
-func (s *server) isDrained(id string, at time.Time) bool {
+func (s *server) drainedBefore(id string, at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.id == id && !s.drained.IsZero() && at.After(s.drained)
 }
 
 // line is one connection to it.
-type line struct {
+type serverConn struct {
 	*server
-	of   string // the incarnation
-	conn *memorynet.Conn
-	in   *bufio.Reader
-	r    *rand.Rand
-	idle time.Duration
-	last string // the last answer that says where it ends
+	instanceID   string // the incarnation
+	conn         *memorynet.Conn
+	reader       *bufio.Reader
+	random       *rand.Rand
+	idleTimeout  time.Duration
+	lastResponse string // the last answer that says where it ends
 	// spoiled is when the peer could see that more has come than an answer; zero: it hasn't.
-	spoiled time.Time
-	over    string // why nothing may follow on this connection; "": something may
+	strayArrival time.Time
+	closedReason string // why nothing may follow on this connection; "": something may
 }
 
 func (s *server) serve(c *memorynet.Conn, r *rand.Rand) {
-	l := &line{server: s, of: s.takes(c), conn: c, in: bufio.NewReaderSize(c, 512), r: r}
+	l := &serverConn{server: s, instanceID: s.addConn(c), conn: c, reader: bufio.NewReaderSize(c, 512), random: r}
 	for l.exchange() {
 	}
 	c.Close()
 }
 
 // exchange serves one request, and tells whether the connection goes on.
-func (l *line) exchange() bool {
+func (l *serverConn) exchange() bool {
 	if !l.awaitRequest() {
 		return false
 	}
-	p := l.plan()
-	if p.requestCut >= 0 {
-		return l.cutRequest(&p)
+	p := l.nextPlan()
+	if p.breakRequestAt >= 0 {
+		return l.breakRequest(&p)
 	}
-	r, err := http.ReadRequest(l.in)
+	r, err := http.ReadRequest(l.reader)
 	if err != nil {
-		l.unreadable(err)
+		l.checkReadError(err)
 		return false
 	}
-	try := l.audit.arrived(r)
+	try := l.checker.checkArrival(r)
 	if try == nil {
 		return false
 	}
-	if r.Header.Get("X-Expect-Instance") != l.of {
-		return l.sendOn(r, try)
+	if r.Header.Get("X-Expect-Instance") != l.instanceID {
+		return l.rejectMisdirected(r, try)
 	}
 	read := len(try.Body)
-	if p.early {
-		l.audit.count("early answers")
-		read = int(p.earlyAfter * float64(read))
+	if p.respondEarly {
+		l.checker.count("early answers")
+		read = int(p.earlyBodyShare * float64(read))
 	}
 	got, err := l.readBody(r.Body, try, 0, read)
 	if got < read {
-		l.unreadable(err)
+		l.checkReadError(err)
 		return false
 	}
-	if !l.answer(&p, try, r.Header) {
+	if !l.respond(&p, try, r.Header) {
 		return false
 	}
 	if read < len(try.Body) && !l.readRest(&p, r.Body, try, read) {
 		return false
 	}
-	return l.follow(&p)
+	return l.afterResponse(&p)
 }
 
 // sendOn answers a request that is meant for another incarnation.
-func (l *line) sendOn(r *http.Request, try *Try) bool {
-	l.audit.count("misdirected")
+func (l *serverConn) rejectMisdirected(r *http.Request, try *Request) bool {
+	l.checker.count("misdirected")
 	l.readBody(r.Body, try, 0, len(try.Body))
 	_, err := fmt.Fprintf(l.conn, "HTTP/1.1 421 x\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", try.ID)
-	l.last = ""
+	l.lastResponse = ""
 	return err == nil
 }
 
-func (l *line) plan() plan {
+func (l *serverConn) nextPlan() faultPlan {
 	if l.script != nil {
 		return l.script.next()
 	}
-	return draw(l.r, l.hazards)
+	return randomPlan(l.random, l.faultRate)
 }
 
 // awaitRequest waits for the first byte of a request. None may come where the state of the connection can't be known.
-func (l *line) awaitRequest() bool {
-	l.conn.SetReadDeadline(time.Now().Add(patience))
-	if l.idle > 0 {
-		l.conn.SetReadDeadline(time.Now().Add(l.idle))
+func (l *serverConn) awaitRequest() bool {
+	l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
+	if l.idleTimeout > 0 {
+		l.conn.SetReadDeadline(time.Now().Add(l.idleTimeout))
 	}
-	if l.in.Buffered() > 0 { // behind a body that was read on
-		l.spoiled = time.Time{}
+	if l.reader.Buffered() > 0 { // behind a body that was read on
+		l.strayArrival = time.Time{}
 		return true
 	}
-	_, err := l.in.Peek(1)
-	if errors.Is(err, os.ErrDeadlineExceeded) && l.r.IntN(4) == 0 {
+	_, err := l.reader.Peek(1)
+	if errors.Is(err, os.ErrDeadlineExceeded) && l.random.IntN(4) == 0 {
 		l.conn.Reset(false)
 	}
 	if err != nil {
 		return false
 	}
-	if sent := l.conn.ReadSent(); !l.spoiled.IsZero() && sent.After(l.spoiled) {
-		l.audit.failf("a request was sent on a connection on which more had come than an answer")
+	if sent := l.conn.LastReadSentAt(); !l.strayArrival.IsZero() && sent.After(l.strayArrival) {
+		l.checker.failf("a request was sent on a connection on which more had come than an answer")
 	}
-	if l.isDrained(l.of, l.conn.ReadSent()) {
-		l.audit.failf("a request was sent to a server that gets nothing new")
+	if l.drainedBefore(l.instanceID, l.conn.LastReadSentAt()) {
+		l.checker.failf("a request was sent to a server that gets nothing new")
 	}
-	l.spoiled = time.Time{}
-	l.conn.SetReadDeadline(time.Now().Add(patience))
+	l.strayArrival = time.Time{}
+	l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
 	return true
 }
 
 // unreadable holds that a request which can't be read was cut off, and not anything else.
-func (l *line) unreadable(err error) {
+func (l *serverConn) checkReadError(err error) {
 	if err == nil || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 		return
 	}
-	l.audit.failf("bytes that are no request: %v", err)
+	l.checker.failf("bytes that are no request: %v", err)
 }
 
 // readBody reads a part of a body and holds that it is the try's.
-func (l *line) readBody(body io.Reader, try *Try, from, to int) (got int, err error) {
+func (l *serverConn) readBody(body io.Reader, try *Request, from, to int) (got int, err error) {
 	part := make([]byte, to-from)
 	n, err := io.ReadFull(body, part)
-	l.audit.bodyPart(try, from, part[:n])
+	l.checker.checkBodyPart(try, from, part[:n])
 	return from + n, err
 }
 
 // cutRequest breaks a connection before a request has come whole, or before its answer.
-func (l *line) cutRequest(p *plan) bool {
-	l.audit.count("cut requests")
-	l.conn.SetReadDeadline(time.Now().Add(cutPatience))
-	raw := make([]byte, p.requestCut)
-	n, _ := io.ReadFull(l.in, raw)
-	l.conn.SetReadDeadline(time.Now().Add(patience))
+func (l *serverConn) breakRequest(p *faultPlan) bool {
+	l.checker.count("cut requests")
+	l.conn.SetReadDeadline(time.Now().Add(breakTimeout))
+	raw := make([]byte, p.breakRequestAt)
+	n, _ := io.ReadFull(l.reader, raw)
+	l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw[:n])))
 	if err == nil { // its head is there
-		if try := l.audit.arrived(r); try != nil {
+		if try := l.checker.checkArrival(r); try != nil {
 			part, _ := io.ReadAll(r.Body)
-			l.audit.bodyPart(try, 0, part)
-			if r.Header.Get("X-Expect-Instance") == l.of && l.r.IntN(2) == 0 {
-				l.audit.run(try, r.Header, 0)
+			l.checker.checkBodyPart(try, 0, part)
+			if r.Header.Get("X-Expect-Instance") == l.instanceID && l.random.IntN(2) == 0 {
+				l.checker.recordExecution(try, r.Header, 0)
 			}
 		}
 	}
-	l.end(p.breaks)
+	l.breakConn(p.requestBreak)
 	return false
 }
 
 // answer sends what the plan says, and tells whether the connection goes on.
-func (l *line) answer(p *plan, try *Try, asked http.Header) bool {
-	var run *Run
-	status := kindOf[p.kind].status
-	if p.ran {
-		run = l.audit.run(try, asked, status)
-	}
-	if p.kind == silent {
-		run.silence()
-		l.end(p.breaks)
+func (l *serverConn) respond(p *faultPlan, try *Request, asked http.Header) bool {
+	var run *Execution
+	status := responseKinds[p.kind].status
+	if p.executed {
+		run = l.checker.recordExecution(try, asked, status)
+	}
+	if p.kind == noResponse {
+		run.markUnanswered()
+		l.breakConn(p.requestBreak)
 		return false
 	}
-	list := p.answerTo(try, run, l.r)
+	list := p.responseSegments(try, run, l.random)
 	size := 0
 	for _, one := range list {
 		size += len(one.text)
 	}
 	left := size + 1
-	if p.cut >= 0 {
-		l.audit.count("cut answers")
-		left = int(p.cut * float64(size))
-		if p.cutByte {
-			left = min(p.cutAt, size)
+	if p.truncateShare >= 0 {
+		l.checker.count("cut answers")
+		left = int(p.truncateShare * float64(size))
+		if p.truncateAtByte {
+			left = min(p.truncateAt, size)
 		}
 		if run != nil {
-			run.Cut = p.framing == byClose
+			run.Truncated = p.framing == byClose
 		}
 	}
-	if p.before != "" {
-		l.audit.count("late answers")
-		io.WriteString(l.conn, l.extra(p.before))
+	if p.leadingBytes != "" {
+		l.checker.count("late answers")
+		io.WriteString(l.conn, l.expandStray(p.leadingBytes))
 	}
 	if p.interim {
 		io.WriteString(l.conn, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n")
 	}
-	l.last = ""
+	l.lastResponse = ""
 	for _, one := range list {
 		time.Sleep(one.pause)
 		text := one.text[:min(left, len(one.text))]
 		left -= len(text)
-		l.last += text
+		l.lastResponse += text
 		if _, err := io.WriteString(l.conn, text); err != nil {
 			return false
 		}
@@ -264,85 +264,85 @@
 		}
 	}
 	switch {
-	case p.cut >= 0:
-		l.end(p.cutBy)
+	case p.truncateShare >= 0:
+		l.breakConn(p.truncateBy)
 		return false
 	case p.framing == byClose:
 		return false
-	case p.closing:
-		l.over = "it was told to be the last"
+	case p.connectionClose:
+		l.closedReason = "it was told to be the last"
 	}
 	return true
 }
 
 // silence notes that there is no answer.
-func (r *Run) silence() {
+func (r *Execution) markUnanswered() {
 	if r != nil {
 		r.Status = 0
 	}
 }
 
 // readRest does with the rest of a body what the plan says, and tells whether the connection goes on.
-func (l *line) readRest(p *plan, body io.Reader, try *Try, from int) bool {
-	time.Sleep(p.readPause)
-	switch p.readsOn {
-	case closes, resets, resetsAndForgets:
-		l.end(p.readsOn)
+func (l *serverConn) readRest(p *faultPlan, body io.Reader, try *Request, from int) bool {
+	time.Sleep(p.restOfBodyDelay)
+	switch p.restOfBody {
+	case closeConn, resetConn, resetAndDiscard:
+		l.breakConn(p.restOfBody)
 		return false
 	}
-	l.audit.count("bodies read on")
-	l.conn.SetReadDeadline(time.Now().Add(patience))
+	l.checker.count("bodies read on")
+	l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
 	got, err := l.readBody(body, try, from, len(try.Body))
 	if got < len(try.Body) {
-		l.unreadable(err)
+		l.checkReadError(err)
 		return false
 	}
 	return true
 }
 
 // follow does what the plan says after an answer.
-func (l *line) follow(p *plan) bool {
-	if l.over != "" {
-		l.nothingMore()
+func (l *serverConn) afterResponse(p *faultPlan) bool {
+	if l.closedReason != "" {
+		l.checkNothingFollows()
 		return false
 	}
-	l.idle = p.idle
-	if p.extra == "" {
+	l.idleTimeout = p.idleTimeout
+	if p.trailingBytes == "" {
 		return true
 	}
-	time.Sleep(p.extraAfter)
-	l.audit.count("extra bytes")
-	if _, err := io.WriteString(l.conn, l.extra(p.extra)); err != nil {
+	time.Sleep(p.trailingDelay)
+	l.checker.count("extra bytes")
+	if _, err := io.WriteString(l.conn, l.expandStray(p.trailingBytes)); err != nil {
 		return false
 	}
-	l.spoiled = time.Now().Add(l.conn.Latency())
+	l.strayArrival = time.Now().Add(l.conn.Latency())
 	return true
 }
 
 // extra gives the bytes of an extra.
-func (l *line) extra(text string) string {
-	if text == doubled {
-		return l.last
+func (l *serverConn) expandStray(text string) string {
+	if text == duplicateResponse {
+		return l.lastResponse
 	}
 	return text
 }
 
 // nothingMore holds that nothing follows.
-func (l *line) nothingMore() {
-	l.conn.SetReadDeadline(time.Now().Add(patience))
-	if n, _ := l.in.Read(make([]byte, 1)); n > 0 {
-		l.audit.failf("a request came on a connection of which %s", l.over)
+func (l *serverConn) checkNothingFollows() {
+	l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
+	if n, _ := l.reader.Read(make([]byte, 1)); n > 0 {
+		l.checker.failf("a request came on a connection of which %s", l.closedReason)
 	}
 }
 
 // end breaks the connection, or falls silent on it until its peer does.
-func (l *line) end(how action) {
-	l.audit.count(fmt.Sprintf("break %d", how))
+func (l *serverConn) breakConn(how breakAction) {
+	l.checker.count(fmt.Sprintf("break %d", how))
 	switch how {
-	case resets, resetsAndForgets:
-		l.conn.Reset(how == resetsAndForgets)
-	case stalls:
-		l.conn.SetReadDeadline(time.Now().Add(patience))
+	case resetConn, resetAndDiscard:
+		l.conn.Reset(how == resetAndDiscard)
+	case stall:
+		l.conn.SetReadDeadline(time.Now().Add(peerTimeout))
 		io.Copy(io.Discard, l.conn)
 	}
 }
@@ -354,7 +354,7 @@
 		if err != nil {
 			return
 		}
-		s.audit.count("connections")
+		s.checker.count("connections")
 		go s.serve(c.(*memorynet.Conn), rand.New(rand.NewPCG(seed, number)))
 	}
 }
--- a/internal/fake/faultyserver/world.go
+++ b/internal/fake/faultyserver/world.go
@@ -35,11 +35,11 @@
 
 	routeSafe, routeUnsafe, routeStream, routeResume = "safe", "unsafe", "stream", "resume"
 
-	maxAttempts = 2
-	routeTime   = 5 * time.Second
-	connLife    = 10 * time.Second // of an idle connection
-	sockets     = 500
-	bodyBudget  = 64 << 20 // bytes
+	maxAttempts     = 2
+	routeTimeout    = 5 * time.Second
+	idleConnTimeout = 10 * time.Second // of an idle connection
+	maxConnections  = 500
+	bodyBudget      = 64 << 20 // bytes
 )
 
 var routes = []string{routeSafe, routeUnsafe, routeStream, routeResume}
@@ -50,15 +50,15 @@
 }
 
 // Standard is a world of some hundred requests.
-var Standard = Size{Servers: 4, Clients: 10, Requests: 30}
+var StandardSize = Size{Servers: 4, Clients: 10, Requests: 30}
 
 // knowledge is a configuration that doesn't change.
-type knowledge struct{ snapshot *configuration.Snapshot }
+type fixedControl struct{ snapshot *configuration.Snapshot }
 
-func (k knowledge) Configuration() *configuration.Snapshot                       { return k.snapshot }
-func (k knowledge) Members() *protocol.MemberList                                { return nil }
-func (k knowledge) KeyLeaseValid(time.Time) bool                                 { return true }
-func (k knowledge) AwaitConfirmation(context.Context, time.Time, time.Time) bool { return true }
+func (k fixedControl) Configuration() *configuration.Snapshot                       { return k.snapshot }
+func (k fixedControl) Members() *protocol.MemberList                                { return nil }
+func (k fixedControl) KeyLeaseValid(time.Time) bool                                 { return true }
+func (k fixedControl) AwaitConfirmation(context.Context, time.Time, time.Time) bool { return true }
 
 func document() configuration.Document {
 	d := configuration.Document{Generation: 1, Backends: []configuration.Backend{{Name: backend}},
@@ -72,7 +72,7 @@
 			kind = configuration.RouteUnsafe
 		}
 		d.Routes = append(d.Routes, configuration.Route{Name: name, Hostname: Host, PathPrefix: "/" + name + "/", Type: kind,
-			TimeoutMs: float64(routeTime.Milliseconds()), TargetLatencyMs: 100, Backend: backend, MaxAttempts: maxAttempts,
+			TimeoutMs: float64(routeTimeout.Milliseconds()), TargetLatencyMs: 100, Backend: backend, MaxAttempts: maxAttempts,
 			Resumable: name == routeResume})
 	}
 	return d
@@ -80,44 +80,44 @@
 
 // Play plays the world of a seed and gives what was broken, and counts of what came about. Prepare, if not nil, plants what it
 // likes before anything is sent.
-func Play(t *testing.T, seed uint64, size Size, prepare func(*proxy.Proxy, *pool.Pool)) (failures []string, counts map[string]int) {
+func Simulate(t *testing.T, seed uint64, size Size, prepare func(*proxy.Proxy, *pool.Pool)) (failures []string, counts map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(seed, size)
+		w := newSimulation(seed, size)
 		if prepare != nil {
 			prepare(w.proxy, w.pool)
 		}
-		w.play(t)
-		failures, counts = w.fleet.Audit.Finish(), w.fleet.Audit.counts
+		w.run(t)
+		failures, counts = w.fleet.Checker.Finish(), w.fleet.Checker.counts
 	})
 	return failures, counts
 }
 
-type world struct {
+type simulation struct {
 	size  Size
 	seed  uint64
 	fleet *Fleet
 	pool  *pool.Pool
 	proxy *proxy.Proxy
 
-	registry *endpoints.Registry
-	list     protocol.ServerList
+	registry   *endpoints.Registry
+	serverList protocol.ServerList
 }
 
-func newWorld(seed uint64, size Size) *world {
-	w := &world{size: size, seed: seed, fleet: NewFleet(seed, size.Servers)}
-	w.pool = pool.New(pool.Options{MaxConnections: sockets, IdleTimeout: connLife, ConnectTimeout: time.Second, Dial: w.fleet.Network.Dial})
+func newSimulation(seed uint64, size Size) *simulation {
+	w := &simulation{size: size, seed: seed, fleet: NewFleet(seed, size.Servers)}
+	w.pool = pool.New(pool.Options{MaxConnections: maxConnections, IdleTimeout: idleConnTimeout, ConnectTimeout: time.Second, Dial: w.fleet.Network.Dial})
 	w.registry = endpoints.NewRegistry(w.pool)
-	for _, s := range w.fleet.Servers {
-		w.list.Servers = append(w.list.Servers, protocol.Server{ID: s.ID, Backend: backend, Address: s.Address})
+	for _, s := range w.fleet.Endpoints {
+		w.serverList.Servers = append(w.serverList.Servers, protocol.Server{ID: s.ID, Backend: backend, Address: s.Address})
 	}
-	w.tell()
-	w.proxy = &proxy.Proxy{Control: knowledge{configuration.NewSnapshot(document(), 1)}, Servers: w.registry, Pool: w.pool,
+	w.publish()
+	w.proxy = &proxy.Proxy{Control: fixedControl{configuration.NewSnapshot(document(), 1)}, Servers: w.registry, Pool: w.pool,
 		Selector: serverselection.New("z", seed), Admission: proxy.AdmitAll{}, Bodies: buffers.New(bodyBudget)}
 	return w
 }
 
-func (w *world) play(t *testing.T) {
-	served, err := front.Listen(front.Options{Listener: w.fleet.Network.Listen(gateway), MaxConnections: sockets, MaxRequestDeadline: time.Minute},
+func (w *simulation) run(t *testing.T) {
+	served, err := front.Listen(front.Options{Listener: w.fleet.Network.Listen(gateway), MaxConnections: maxConnections, MaxRequestDeadline: time.Minute},
 		w.proxy)
 	if err != nil {
 		t.Fatal(err)
@@ -125,12 +125,12 @@
 	go served.Serve()
 	var all sync.WaitGroup
 	for i := range w.size.Clients {
-		c := &client{name: fmt.Sprintf("c%d", i), audit: w.fleet.Audit, network: w.fleet.Network,
-			r: rand.New(rand.NewPCG(w.seed, 100+uint64(i)))}
+		c := &client{name: fmt.Sprintf("c%d", i), checker: w.fleet.Checker, network: w.fleet.Network,
+			random: rand.New(rand.NewPCG(w.seed, 100+uint64(i)))}
 		all.Go(func() { c.run(w.size.Requests) })
 	}
 	over, turned := make(chan struct{}), make(chan struct{})
-	go w.turnOver(over, turned)
+	go w.replaceServers(over, turned)
 	all.Wait()
 	close(over)
 	<-turned
--- a/internal/fake/memorynet/network.go
+++ b/internal/fake/memorynet/network.go
@@ -29,7 +29,7 @@
 	if n.listeners == nil {
 		n.listeners = map[string]*Listener{}
 	}
-	l := &Listener{network: n, address: address, came: make(chan *Conn), done: make(chan struct{})}
+	l := &Listener{network: n, address: address, backlog: make(chan *Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l
 }
@@ -43,21 +43,21 @@
 		return nil, syscall.ECONNREFUSED
 	}
 	latency := n.Latency()
-	near, far := newPair(address, n.Window(), latency)
-	if err := pause(ctx, 2*latency); err != nil {
+	near, far := newConnPair(address, n.Window(), latency)
+	if err := sleep(ctx, 2*latency); err != nil {
 		return nil, err
 	}
 	select {
-	case l.came <- far:
+	case l.backlog <- far:
 		return near, nil
-	case <-l.done:
+	case <-l.closed:
 		return nil, syscall.ECONNREFUSED
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) error {
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -70,26 +70,26 @@
 
 // Listener takes the connections to one address.
 type Listener struct {
-	network *Network
-	address string
-	came    chan *Conn
-	done    chan struct{}
-	once    sync.Once
+	network   *Network
+	address   string
+	backlog   chan *Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Accept gives the next connection, a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.came:
+	case c := <-l.backlog:
 		return c, nil
-	case <-l.done:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close takes no more.
 func (l *Listener) Close() error {
-	l.once.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
--- a/internal/fake/modelserver/engine.go
+++ b/internal/fake/modelserver/engine.go
@@ -17,25 +17,25 @@
 
 // The headers of the protocol that servers read and write.
 const (
-	headerRequest      = "X-Request-Id"
-	headerExpect       = "X-Expect-Instance"
-	headerInstance     = "X-Instance-Id"
-	headerNotExecuted  = "X-Not-Executed"
-	headerSignature    = "X-Response-Signature"
-	headerLoad         = "X-Server-Load"
-	headerDeadline     = "X-Deadline-Ms"
-	headerTenant       = "X-Tenant"
-	headerKey          = "Api-Key"
-	headerUsage        = "X-Token-Usage"
-	headerPrompt       = "X-Prompt-Prefix"
-	headerLastEvent    = "Last-Event-Id"
-	notExecuted        = "1"
-	defaultWait        = 10 * time.Second // of a request that names no deadline
-	mostBodyBytes      = 8 << 20
-	headerReadTimeout  = 10 * time.Second
-	idleTimeout        = 30 * time.Second
-	queuePerSlot       = 1 // requests that may wait, for each slot
-	eventsWithoutUsage = 8 // of a request that doesn't tell how much it may put out
+	headerRequest        = "X-Request-Id"
+	headerExpectInstance = "X-Expect-Instance"
+	headerInstance       = "X-Instance-Id"
+	headerNotExecuted    = "X-Not-Executed"
+	headerSignature      = "X-Response-Signature"
+	headerLoad           = "X-Server-Load"
+	headerDeadline       = "X-Deadline-Ms"
+	headerTenant         = "X-Tenant"
+	headerKey            = "Api-Key"
+	headerTokenUsage     = "X-Token-Usage"
+	headerPromptPrefix   = "X-Prompt-Prefix"
+	headerLastEvent      = "Last-Event-Id"
+	notExecuted          = "1"
+	defaultDeadline      = 10 * time.Second // of a request that names no deadline
+	maxBodyBytes         = 8 << 20
+	headerReadTimeout    = 10 * time.Second
+	idleTimeout          = 30 * time.Second
+	queuedPerSlot        = 1 // requests that may wait, for each slot
+	defaultEvents        = 8 // of a request that doesn't tell how much it may put out
 )
 
 // Options are what a server can do.
@@ -46,28 +46,28 @@
 	Slots          int
 	MaxConnections int           // 0: no bound
 	KVTokens       int           // of running requests and cached parts together
-	PromptRate     float64       // prompt tokens read in a second
-	EventEvery     time.Duration // between events of a server with one request
-	Stride         int           // output tokens of an event
-	Ledger         *Ledger       // where runs are told; shared by all servers
-	TellsLoad      bool          // answers tell the load
+	PrefillRate    float64       // prompt tokens read in a second
+	EventInterval  time.Duration // between events of a server with one request
+	TokensPerEvent int           // output tokens of an event
+	ExecutionLog   *ExecutionLog // where runs are told; shared by all servers
+	ReportLoad     bool          // answers tell the load
 
 	// Fails gives a status with which an attempt fails after it ran, or 0; nil: none fails.
-	Fails func(request string) int
+	FailStatus func(request string) int
 }
 
 // Server is a model server in one incarnation.
 type Server struct {
 	options  Options
-	listener *countedListener
+	listener *limitedListener
 	server   *http.Server
-	ended    chan struct{}
-	once     sync.Once
+	stopped  chan struct{}
+	stopOnce sync.Once
 
 	slots    chan struct{}
-	waiting  atomic.Int64
+	queued   atomic.Int64
 	draining atomic.Bool
-	cache    *cache
+	cache    *prefixCache
 }
 
 // Start starts a server.
@@ -78,15 +78,15 @@
 	}
 	s := &Server{
 		options:  options,
-		listener: &countedListener{Listener: listener, most: options.MaxConnections},
-		ended:    make(chan struct{}),
+		listener: &limitedListener{Listener: listener, limit: options.MaxConnections},
+		stopped:  make(chan struct{}),
 		slots:    make(chan struct{}, options.Slots),
-		cache:    newCache(options.KVTokens),
+		cache:    newPrefixCache(options.KVTokens),
 	}
 	routes := http.NewServeMux()
-	routes.HandleFunc("GET /report", s.report)
-	routes.HandleFunc("GET /healthz", s.health)
-	routes.HandleFunc("/", s.request)
+	routes.HandleFunc("GET /report", s.handleReport)
+	routes.HandleFunc("GET /healthz", s.handleHealth)
+	routes.HandleFunc("/", s.handleRequest)
 	s.server = &http.Server{
 		Handler:           routes,
 		ReadHeaderTimeout: headerReadTimeout,
@@ -104,9 +104,9 @@
 func (s *Server) Service() string { return s.options.Service }
 
 // tellLoad puts the load into an answer: requests running, requests waiting, slots.
-func (s *Server) tellLoad(w http.ResponseWriter) {
-	if s.options.TellsLoad {
-		w.Header().Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(s.slots), max(0, s.waiting.Load()), s.options.Slots))
+func (s *Server) setLoadHeader(w http.ResponseWriter) {
+	if s.options.ReportLoad {
+		w.Header().Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(s.slots), max(0, s.queued.Load()), s.options.Slots))
 	}
 }
 
@@ -127,20 +127,20 @@
 
 // Stop ends the server as a crash does: streams break off, connections are refused.
 func (s *Server) Stop() {
-	s.once.Do(func() {
-		close(s.ended)
+	s.stopOnce.Do(func() {
+		close(s.stopped)
 		s.server.Close()
 	})
 }
 
-func (s *Server) health(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerInstance, s.options.ID)
 	if s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !s.enter(r.Context()) {
-		s.turnAway(w, http.StatusServiceUnavailable)
+	if !s.acquireSlot(r.Context()) {
+		s.reject(w, http.StatusServiceUnavailable)
 		return
 	}
 	<-s.slots
@@ -148,30 +148,30 @@
 }
 
 // enter takes a slot, after a wait where all are taken. It fails where too many wait, or the caller's time is over.
-func (s *Server) enter(ctx context.Context) bool {
+func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
 		return true
 	default:
 	}
-	if s.waiting.Add(1) > int64(queuePerSlot*s.options.Slots) {
-		s.waiting.Add(-1)
+	if s.queued.Add(1) > int64(queuedPerSlot*s.options.Slots) {
+		s.queued.Add(-1)
 		return false
 	}
-	defer s.waiting.Add(-1)
+	defer s.queued.Add(-1)
 	select {
 	case s.slots <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
-	case <-s.ended:
+	case <-s.stopped:
 		return false
 	}
 }
 
 // turnAway answers that the request has not run here and never will.
-func (s *Server) turnAway(w http.ResponseWriter, status int) {
-	s.tellLoad(w)
+func (s *Server) reject(w http.ResponseWriter, status int) {
+	s.setLoadHeader(w)
 	w.Header().Set(headerNotExecuted, notExecuted)
 	w.Header().Set(headerInstance, s.options.ID)
 	w.Header().Set("Content-Length", "0")
@@ -179,21 +179,21 @@
 }
 
 // countedListener resets the connections over a bound.
-type countedListener struct {
+type limitedListener struct {
 	net.Listener
-	most int
-	open atomic.Int64
+	limit int
+	open  atomic.Int64
 }
 
 // Accept gives the next connection within the bound.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= int64(l.most) || l.most == 0 {
-			return &countedConnection{Conn: connection, open: &l.open}, nil
+		if l.open.Add(1) <= int64(l.limit) || l.limit == 0 {
+			return &limitedConn{Conn: connection, open: &l.open}, nil
 		}
 		l.open.Add(-1)
 		if tcp, ok := connection.(*net.TCPConn); ok {
@@ -203,13 +203,13 @@
 	}
 }
 
-type countedConnection struct {
+type limitedConn struct {
 	net.Conn
-	open *atomic.Int64
-	once sync.Once
+	open      *atomic.Int64
+	closeOnce sync.Once
 }
 
-func (c *countedConnection) Close() error {
-	c.once.Do(func() { c.open.Add(-1) })
+func (c *limitedConn) Close() error {
+	c.closeOnce.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/fake/modelserver/engine_test.go
+++ b/internal/fake/modelserver/engine_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func start(t *testing.T, change func(*Options)) (*Server, *Ledger) {
-	ledger := &Ledger{}
-	options := Options{ID: "i-1", Service: "s", Address: "127.0.0.1:0", Slots: 2, KVTokens: 1000, PromptRate: 1e6,
-		EventEvery: time.Millisecond, Stride: 10, Ledger: ledger}
+func start(t *testing.T, change func(*Options)) (*Server, *ExecutionLog) {
+	ledger := &ExecutionLog{}
+	options := Options{ID: "i-1", Service: "s", Address: "127.0.0.1:0", Slots: 2, KVTokens: 1000, PrefillRate: 1e6,
+		EventInterval: time.Millisecond, TokensPerEvent: 10, ExecutionLog: ledger}
 	if change != nil {
 		change(&options)
 	}
@@ -49,26 +49,26 @@
 func TestRequest(t *testing.T) {
 	server, ledger := start(t, nil)
 	Convey("A request gets its events with rising ids, signed, and is accounted for", t, func() {
-		response, text, err := ask(server, headerRequest, "r1", headerUsage, "20,25", headerTenant, "t")
+		response, text, err := ask(server, headerRequest, "r1", headerTokenUsage, "20,25", headerTenant, "t")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(response.Header.Get(headerRequest), ShouldEqual, "r1")
 		So(response.Header.Get(headerSignature), ShouldNotBeEmpty)
 		So(text, ShouldEqual, "id: 1\ndata: "+EventData("r1", 1)+"\n\nid: 2\ndata: "+EventData("r1", 2)+"\n\nid: 3\ndata: "+EventData("r1", 3)+"\n\n")
-		runs := ledger.Runs()
+		runs := ledger.Executions()
 		So(runs, ShouldHaveLength, 1)
 		So(runs[0].Tenant, ShouldEqual, "t")
 		So(string(runs[0].Body), ShouldEqual, "body")
 	})
 	Convey("Another run continues after an event", t, func() {
-		_, text, err := ask(server, headerRequest, "r1", headerUsage, "20,25", headerLastEvent, "2")
+		_, text, err := ask(server, headerRequest, "r1", headerTokenUsage, "20,25", headerLastEvent, "2")
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "id: 3\ndata: "+EventData("r1", 3)+"\n\n")
-		So(ledger.Twice(), ShouldEqual, 0)
+		So(ledger.Duplicates(), ShouldEqual, 0)
 	})
 	Convey("What is turned away is said not to have run, and isn't accounted", t, func() {
-		before := len(ledger.Runs())
-		response, _, err := ask(server, headerRequest, "r2", headerExpect, "i-other")
+		before := len(ledger.Executions())
+		response, _, err := ask(server, headerRequest, "r2", headerExpectInstance, "i-other")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 421)
 		So(response.Header.Get(headerInstance), ShouldEqual, "i-1")
@@ -76,7 +76,7 @@
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 400)
 		So(response.Header.Get(headerNotExecuted), ShouldEqual, "1")
-		So(ledger.Runs(), ShouldHaveLength, before)
+		So(ledger.Executions(), ShouldHaveLength, before)
 	})
 	Convey("Health follows draining", t, func() {
 		health := func() int {
@@ -93,7 +93,7 @@
 }
 
 func TestFullServer(t *testing.T) {
-	server, _ := start(t, func(o *Options) { o.Slots, o.EventEvery = 1, time.Hour })
+	server, _ := start(t, func(o *Options) { o.Slots, o.EventInterval = 1, time.Hour })
 	Convey("Over slots and queue a request is turned away, and a stop breaks streams off", t, func() {
 		running, waiting := make(chan error, 1), make(chan error, 1)
 		send := func(id string, ended chan error) {
@@ -103,7 +103,7 @@
 		go send("r1", running)
 		until(t, func() bool { return server.Running() == 1 })
 		go send("r2", waiting)
-		until(t, func() bool { return server.waiting.Load() == 1 })
+		until(t, func() bool { return server.queued.Load() == 1 })
 		response, _, err := ask(server, headerRequest, "r3")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
@@ -115,9 +115,9 @@
 }
 
 func TestDeadline(t *testing.T) {
-	server, _ := start(t, func(o *Options) { o.PromptRate = 1 })
+	server, _ := start(t, func(o *Options) { o.PrefillRate = 1 })
 	Convey("A request whose time is over before its first event gets the server's own 504", t, func() {
-		response, _, err := ask(server, headerRequest, "r1", headerPrompt, "a:100", headerDeadline, "20")
+		response, _, err := ask(server, headerRequest, "r1", headerPromptPrefix, "a:100", headerDeadline, "20")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 504)
 	})
@@ -125,19 +125,19 @@
 
 func TestCache(t *testing.T) {
 	Convey("Parts that were read aren't read again while all before them are kept", t, func() {
-		c := newCache(1000)
-		So(c.read([]part{{"a", 300}, {"b", 200}}), ShouldEqual, 500)
-		So(c.read([]part{{"a", 300}, {"c", 100}}), ShouldEqual, 100)
-		So(c.read([]part{{"c", 100}}), ShouldEqual, 100)
+		c := newPrefixCache(1000)
+		So(c.insert([]promptPart{{"a", 300}, {"b", 200}}), ShouldEqual, 500)
+		So(c.insert([]promptPart{{"a", 300}, {"c", 100}}), ShouldEqual, 100)
+		So(c.insert([]promptPart{{"c", 100}}), ShouldEqual, 100)
 		So(c.used(), ShouldEqual, 700)
 	})
 	Convey("The parts that have gone unused longest give way", t, func() {
-		c := newCache(500)
-		c.read([]part{{"a", 300}})
-		c.read([]part{{"b", 300}})
+		c := newPrefixCache(500)
+		c.insert([]promptPart{{"a", 300}})
+		c.insert([]promptPart{{"b", 300}})
 		So(c.used(), ShouldEqual, 300)
-		So(c.read([]part{{"b", 300}}), ShouldEqual, 0)
-		So(c.read([]part{{"a", 300}}), ShouldEqual, 300)
+		So(c.insert([]promptPart{{"b", 300}}), ShouldEqual, 0)
+		So(c.insert([]promptPart{{"a", 300}}), ShouldEqual, 300)
 	})
 }
 
--- a/internal/fake/modelserver/ledger.go
+++ b/internal/fake/modelserver/ledger.go
@@ -7,60 +7,60 @@
 )
 
 // Run is one request that a server began to work on.
-type Run struct {
-	At      time.Time
-	Server  string
-	Service string
-	Request string
-	Host    string
-	Path    string
-	Tenant  string
-	Key     string // a client's key, which no server is to see
-	After   int    // the event after which it continues another run; 0: from the start
-	Body    []byte
+type Execution struct {
+	Time       time.Time
+	ServerID   string
+	Service    string
+	RequestID  string
+	Host       string
+	Path       string
+	Tenant     string
+	APIKey     string // a client's key, which no server is to see
+	AfterEvent int    // the event after which it continues another run; 0: from the start
+	Body       []byte
 }
 
 // Ledger keeps the runs of all servers.
-type Ledger struct {
-	mu   sync.Mutex
-	runs []Run
+type ExecutionLog struct {
+	mu         sync.Mutex
+	executions []Execution
 }
 
-func (l *Ledger) ran(s *Server, r *http.Request, one *request) {
+func (l *ExecutionLog) record(s *Server, r *http.Request, one *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs = append(l.runs, Run{
-		At:      time.Now(),
-		Server:  s.options.ID,
-		Service: s.options.Service,
-		Request: one.id,
-		Host:    r.Host,
-		Path:    r.URL.Path,
-		Tenant:  r.Header.Get(headerTenant),
-		Key:     r.Header.Get(headerKey),
-		After:   one.after,
-		Body:    one.body,
+	l.executions = append(l.executions, Execution{
+		Time:       time.Now(),
+		ServerID:   s.options.ID,
+		Service:    s.options.Service,
+		RequestID:  one.id,
+		Host:       r.Host,
+		Path:       r.URL.Path,
+		Tenant:     r.Header.Get(headerTenant),
+		APIKey:     r.Header.Get(headerKey),
+		AfterEvent: one.afterEvent,
+		Body:       one.body,
 	})
 }
 
 // Runs gives all so far.
-func (l *Ledger) Runs() []Run {
+func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Run(nil), l.runs...)
+	return append([]Execution(nil), l.executions...)
 }
 
 // Twice counts the requests that began from the start more than once.
-func (l *Ledger) Twice() int {
+func (l *ExecutionLog) Duplicates() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	began := map[string]int{}
 	twice := 0
-	for _, run := range l.runs {
-		if run.After > 0 {
+	for _, run := range l.executions {
+		if run.AfterEvent > 0 {
 			continue
 		}
-		if began[run.Request]++; began[run.Request] == 2 {
+		if began[run.RequestID]++; began[run.RequestID] == 2 {
 			twice++
 		}
 	}
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -21,7 +21,7 @@
 const (
 	pageSize          = 50
 	tokenPrefix       = "p-"
-	historyKept       = time.Minute
+	historyRetention  = time.Minute
 	headerReadTimeout = 5 * time.Second
 )
 
@@ -47,7 +47,7 @@
 
 // version is the list from a moment on.
 type version struct {
-	from   time.Time
+	since  time.Time
 	items  map[string]instance
 	sorted []instance // by id; nil until it is first shown
 }
@@ -91,7 +91,7 @@
 		refilled: time.Now(),
 	}
 	routes := http.NewServeMux()
-	routes.HandleFunc("GET /instances", p.list)
+	routes.HandleFunc("GET /instances", p.handleInstances)
 	p.server = &http.Server{
 		Handler:           routes,
 		ReadHeaderTimeout: headerReadTimeout,
@@ -113,7 +113,7 @@
 	if s.Draining() {
 		state = "draining"
 	}
-	p.change(func(items map[string]instance) {
+	p.update(func(items map[string]instance) {
 		items[s.ID()] = instance{
 			ID:         s.ID(),
 			Service:    s.Service(),
@@ -130,10 +130,10 @@
 
 // Remove takes a server off the list.
 func (p *Platform) Remove(id string) {
-	p.change(func(items map[string]instance) { delete(items, id) })
+	p.update(func(items map[string]instance) { delete(items, id) })
 }
 
-func (p *Platform) change(by func(map[string]instance)) {
+func (p *Platform) update(by func(map[string]instance)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -142,8 +142,8 @@
 		items[id] = one
 	}
 	by(items)
-	p.versions = append(p.versions, version{from: now, items: items})
-	for len(p.versions) > 1 && now.Sub(p.versions[1].from) > historyKept {
+	p.versions = append(p.versions, version{since: now, items: items})
+	for len(p.versions) > 1 && now.Sub(p.versions[1].since) > historyRetention {
 		p.versions = p.versions[1:]
 	}
 }
@@ -170,16 +170,16 @@
 }
 
 // shown gives the list as callers see it at a moment, in the order of ids.
-func (p *Platform) shown(now time.Time, zone string) []instance {
+func (p *Platform) visible(now time.Time, zone string) []instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	newest := 0
 	for i := range p.versions {
-		if now.Sub(p.versions[i].from) >= p.options.Lag {
+		if now.Sub(p.versions[i].since) >= p.options.Lag {
 			newest = i
 		}
 	}
-	all := p.versions[newest].inOrder()
+	all := p.versions[newest].sortedItems()
 	if zone == "" {
 		return all
 	}
@@ -187,20 +187,20 @@
 }
 
 // inOrder gives the items in the order of ids. The list is sorted once: a long one is asked for page by page.
-func (v *version) inOrder() []instance {
+func (v *version) sortedItems() []instance {
 	if v.sorted == nil {
 		v.sorted = slices.SortedFunc(maps.Values(v.items), func(a, b instance) int { return strings.Compare(a.ID, b.ID) })
 	}
 	return v.sorted
 }
 
-func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleInstances(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if !p.admit(now) {
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	all := p.shown(now, r.URL.Query().Get("zone"))
+	all := p.visible(now, r.URL.Query().Get("zone"))
 	from := 0
 	if token := r.URL.Query().Get("page-token"); token != "" {
 		number, err := strconv.Atoi(strings.TrimPrefix(token, tokenPrefix))
--- a/internal/fake/platform/platform_test.go
+++ b/internal/fake/platform/platform_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Stop)
-	p.change(func(items map[string]instance) {
+	p.update(func(items map[string]instance) {
 		for i := range 60 {
 			id := fmt.Sprintf("i-%02d", i)
 			items[id] = instance{ID: id, Zone: []string{"a", "b"}[i%2]}
@@ -63,10 +63,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Stop)
-	p.change(func(items map[string]instance) { items["i-1"] = instance{ID: "i-1"} })
+	p.update(func(items map[string]instance) { items["i-1"] = instance{ID: "i-1"} })
 	Convey("A change shows once the lag is over", t, func() {
-		So(p.shown(time.Now(), ""), ShouldBeEmpty)
-		So(p.shown(time.Now().Add(time.Minute), ""), ShouldHaveLength, 1)
+		So(p.visible(time.Now(), ""), ShouldBeEmpty)
+		So(p.visible(time.Now().Add(time.Minute), ""), ShouldHaveLength, 1)
 	})
 	Convey("Calls over the rate get 429 and are counted", t, func() {
 		now := time.Now().Add(time.Hour)
--- a/internal/gateway/proxy/simulation_test.go
+++ b/internal/gateway/proxy/simulation_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestRandomServers simulates clients before faulty servers; SEEDS=N plays N simulations, FIRST=S starts at seed S.
-func TestRandomServers(t *testing.T) { faultyserver.Worlds(t, defaultSimulations) }
+func TestRandomServers(t *testing.T) { faultyserver.RunSeeds(t, defaultSimulations) }
 
 // TestBreakAtEveryByte has servers break off requests and responses at each byte, in each way.
 func TestBreakAtEveryByte(t *testing.T) {
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			faultyserver.Finds(t, maxSimulations, func(p *proxy.Proxy, _ *pool.Pool) { p.InjectBug(plant) })
+			faultyserver.RequireBugFound(t, maxSimulations, func(p *proxy.Proxy, _ *pool.Pool) { p.InjectBug(plant) })
 		})
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -23,7 +23,7 @@
 var update = flag.Bool("update-golden", false, "record the golden files of internal/golden anew")
 
 // folder is where the files are, below the folder of the package under test.
-const folder = "testdata/golden"
+const goldenDir = "testdata/golden"
 
 // Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of a value whose fields
 // are all set decode to that value. T is a struct that is encoded by itself, not as the value of an interface.
@@ -82,7 +82,7 @@
 // compare checks the form of a type, and returns the recorded bytes. With -update-golden it records both.
 func compare(t testing.TB, name, form string, encoded []byte) []byte {
 	t.Helper()
-	path := filepath.Join(folder, name+".txt")
+	path := filepath.Join(goldenDir, name+".txt")
 	if *update {
 		record(t, path, form, encoded)
 	}
@@ -105,14 +105,14 @@
 }
 
 // digitsInLine is the length of a line of hexadecimal digits in a file.
-const digitsInLine = 120
+const digitsPerLine = 120
 
 func record(t testing.TB, path, form string, encoded []byte) {
 	t.Helper()
 	var text strings.Builder
 	text.WriteString(form + "\n")
 	for digits := hex.EncodeToString(encoded); digits != ""; {
-		line := digits[:min(len(digits), digitsInLine)]
+		line := digits[:min(len(digits), digitsPerLine)]
 		digits = digits[len(line):]
 		text.WriteString(line + "\n")
 	}
@@ -202,11 +202,11 @@
 }
 
 // largestInSmall keeps the numbers within every integer kind.
-const largestInSmall = 120
+const maxScalar = 120
 
 func (f *filler) fillScalar(value reflect.Value) {
 	f.count++
-	number := 1 + f.count%largestInSmall
+	number := 1 + f.count%maxScalar
 	switch {
 	case value.CanInt():
 		value.SetInt(int64(number))
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -91,7 +91,7 @@
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		if ended, err := p.Ended(); ended {
-			return 0, fmt.Errorf("gateway %s ended: %v: %s", p.Name, err, p.LastLines()) //nolint:errorlint // nil after exit 0
+			return 0, fmt.Errorf("gateway %s ended: %v: %s", p.Name, err, p.LogTail()) //nolint:errorlint // nil after exit 0
 		}
 		resp, err := client.Get("http://" + addr + "/ready")
 		if err != nil {
@@ -102,7 +102,7 @@
 			return time.Since(p.Started), nil
 		}
 	}
-	return 0, fmt.Errorf("gateway %s is not ready after %v: %s", p.Name, within, p.LastLines())
+	return 0, fmt.Errorf("gateway %s is not ready after %v: %s", p.Name, within, p.LogTail())
 }
 
 // Sleep waits, or gives up with ctx.
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -25,17 +25,17 @@
 
 // Process is a child process.
 type Process struct {
-	Name    string
-	Started time.Time
-	cmd     *exec.Cmd
-	log     *os.File
-	exited  chan struct{}
-	err     error // once exited is closed
-	once    sync.Once
+	Name     string
+	Started  time.Time
+	cmd      *exec.Cmd
+	log      *os.File
+	exited   chan struct{}
+	err      error // once exited is closed
+	stopOnce sync.Once
 }
 
 // errKilled tells that a process didn't end when it was asked to.
-var errKilled = errors.New("killed: it did not end")
+var errStopTimeout = errors.New("killed: it did not end")
 
 // Start starts a process.
 func Start(c Command) (*Process, error) {
@@ -77,7 +77,7 @@
 }
 
 // LastLines gives the end of the log in one line.
-func (p *Process) LastLines() string {
+func (p *Process) LogTail() string {
 	lines := strings.Split(strings.TrimSpace(p.Log()), "\n")
 	return strings.Join(lines[max(0, len(lines)-3):], " | ")
 }
@@ -87,7 +87,7 @@
 
 // Stop asks the process to end, and ends it where it doesn't within a time. The error is nil where it exited with 0.
 func (p *Process) Stop(within time.Duration) error {
-	p.once.Do(func() {
+	p.stopOnce.Do(func() {
 		p.Signal(syscall.SIGTERM)
 		wait := time.NewTimer(within)
 		defer wait.Stop()
@@ -95,7 +95,7 @@
 		case <-p.exited:
 		case <-wait.C:
 			p.Kill()
-			p.err = errKilled
+			p.err = errStopTimeout
 		}
 	})
 	<-p.exited
--- a/internal/lab/programs/programs.go
+++ b/internal/lab/programs/programs.go
@@ -10,17 +10,17 @@
 )
 
 // commands is the import path of the folder of all programs.
-const commands = "sprucelane.example/sprucelane/cmd/"
+const commandsPath = "sprucelane.example/sprucelane/cmd/"
 
 // FaultInjection is the flag of go build for programs that can be cut off from each other, see coord/transport/partition.
 const FaultInjection = "-tags=faultinjection"
 
 // Tests are all tests of a package, as testing.M runs them.
-type Tests interface{ Run() int }
+type TestRunner interface{ Run() int }
 
 // Run builds programs into a folder of their own, which it tells before the tests run and removes after them. It gives the exit code.
 // Names that begin with a dash are flags of go build.
-func Run(tests Tests, tell func(folder string), names ...string) int {
+func Run(tests TestRunner, tell func(folder string), names ...string) int {
 	folder, err := os.MkdirTemp("", "sprucelane-programs-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -40,7 +40,7 @@
 	arguments := []string{"build", "-o", folder + string(filepath.Separator)}
 	for _, name := range slices.Sorted(slices.Values(names)) { // flags first
 		if name[0] != '-' {
-			name = commands + name
+			name = commandsPath + name
 		}
 		arguments = append(arguments, name)
 	}
--- a/internal/lab/soak/network.go
+++ b/internal/lab/soak/network.go
@@ -11,55 +11,55 @@
 )
 
 // network keeps which machines are cut off from which, in a file that the processes read.
-type network struct {
+type partitionSet struct {
 	path string
 
-	mu   sync.Mutex
-	next int
-	cuts map[int][]partition.Link
+	mu     sync.Mutex
+	lastID int
+	active map[int][]partition.Link
 }
 
-func newNetwork(path string) (*network, error) {
-	n := &network{path: path, cuts: map[int][]partition.Link{}}
+func newPartitionSet(path string) (*partitionSet, error) {
+	n := &partitionSet{path: path, active: map[int][]partition.Link{}}
 	return n, n.write()
 }
 
 // logLevel makes the processes tell each call.
-const logLevel = "SPRUCELANE_LOG_LEVEL=debug"
+const debugLogging = "SPRUCELANE_LOG_LEVEL=debug"
 
 // environment tells a machine's processes where the file is and who they are.
-func (n *network) environment(m system.Machine) []string {
-	return []string{partition.EnvFile + "=" + n.path, partition.EnvHost + "=" + m.IP, logLevel}
+func (n *partitionSet) environment(m system.Machine) []string {
+	return []string{partition.EnvFile + "=" + n.path, partition.EnvHost + "=" + m.IP, debugLogging}
 }
 
 // cut cuts ways off, and gives what heals them.
-func (n *network) cut(ways []partition.Link) (heal func(), err error) {
+func (n *partitionSet) add(ways []partition.Link) (heal func(), err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.next++
-	number := n.next
-	n.cuts[number] = ways
+	n.lastID++
+	number := n.lastID
+	n.active[number] = ways
 	heal = func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.cuts, number)
+		delete(n.active, number)
 		_ = n.write() // the next one mends it, heal at the latest
 	}
 	return heal, n.write()
 }
 
 // heal heals all.
-func (n *network) heal() error {
+func (n *partitionSet) healAll() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cuts)
+	clear(n.active)
 	return n.write()
 }
 
 // write replaces the file whole.
-func (n *network) write() error {
+func (n *partitionSet) write() error {
 	var text strings.Builder
-	for _, ways := range n.cuts {
+	for _, ways := range n.active {
 		for _, way := range ways {
 			fmt.Fprintln(&text, way.From, way.To)
 		}
@@ -72,7 +72,7 @@
 }
 
 // between gives the ways between two groups of machines, in one direction or both.
-func between(from, to []system.Machine, both bool) []partition.Link {
+func linksBetween(from, to []system.Machine, both bool) []partition.Link {
 	var ways []partition.Link
 	for _, a := range from {
 		for _, b := range to {
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -19,52 +19,52 @@
 
 // Figures of the operator.
 const (
-	changeInterval = 300 * time.Millisecond
-	readInterval   = 200 * time.Millisecond
-	operatorWait   = 6 * time.Second // the bound of an acknowledgement in the settings, and lateness
-	againInterval  = 100 * time.Millisecond
-	ordersKept     = 50  // that may be sent again
-	sentAgain      = 0.3 // of the orders that were acknowledged
-	operatorLoses  = 0.1 // of the answers
-	longestLoss    = 30 * time.Millisecond
-	patched        = 0.5  // of the changes
-	retention      = 3600 // seconds
-	changedTenant  = "changing"
+	changeInterval             = 300 * time.Millisecond
+	readInterval               = 200 * time.Millisecond
+	operatorTimeout            = 6 * time.Second // the bound of an acknowledgement in the settings, and lateness
+	operatorRetryInterval      = 100 * time.Millisecond
+	maxRepeatable              = 50  // that may be sent again
+	repeatProbability          = 0.3 // of the orders that were acknowledged
+	operatorAbandonProbability = 0.1 // of the answers
+	maxOperatorAbandonDelay    = 30 * time.Millisecond
+	patchProbability           = 0.5  // of the changes
+	retentionSeconds           = 3600 // seconds
+	changedTenantName          = "changing"
 )
 
 // document gives a configuration of a generation. Batch jobs live as long as a run.
-func document(generation uint64) configuration.Document {
+func documentAt(generation uint64) configuration.Document {
 	whole := system.Configuration(generation)
 	for i := range whole.Routes {
 		if whole.Routes[i].Name == system.BatchRoute {
-			whole.Routes[i].RetentionSeconds = retention
+			whole.Routes[i].RetentionSeconds = retentionSeconds
 		}
 	}
-	whole.Tenants = append(whole.Tenants, tenant(generation))
+	whole.Tenants = append(whole.Tenants, changedTenantAt(generation))
 	return whole
 }
 
 // tenant is the one that every change changes.
-func tenant(generation uint64) configuration.Tenant {
-	return configuration.Tenant{Name: changedTenant, APIKeys: []string{"key-of-" + changedTenant}, Priority: 1,
+func changedTenantAt(generation uint64) configuration.Tenant {
+	return configuration.Tenant{Name: changedTenantName, APIKeys: []string{"key-of-" + changedTenantName}, Priority: 1,
 		RatePerSec: float64(1 + generation%1000), Burst: float64(1 + generation%1000)}
 }
 
 // order is one change of the configuration.
-type order struct {
-	method     string
-	builtOn    uint64
-	generation uint64
-	body       []byte
+type configurationChange struct {
+	method         string
+	baseGeneration uint64
+	generation     uint64
+	body           []byte
 }
 
-func newOrder(builtOn uint64, patch bool) order {
-	one := order{method: http.MethodPut, builtOn: builtOn, generation: builtOn + 1}
-	var content any = document(one.generation)
+func newConfigurationChange(builtOn uint64, patch bool) configurationChange {
+	one := configurationChange{method: http.MethodPut, baseGeneration: builtOn, generation: builtOn + 1}
+	var content any = documentAt(one.generation)
 	if patch {
 		one.method = http.MethodPatch
 		content = map[string]any{"generation": one.generation,
-			"upsert": map[string]any{"tenants": []configuration.Tenant{tenant(one.generation)}}}
+			"upsert": map[string]any{"tenants": []configuration.Tenant{changedTenantAt(one.generation)}}}
 	}
 	body, err := json.Marshal(content)
 	if err != nil {
@@ -80,22 +80,22 @@
 	random *rand.Rand
 	client http.Client
 
-	mu    sync.Mutex
-	acked uint64 // the newest generation that was acknowledged
-	sent  uint64 // the newest that was sent
-	taken []order
-	count int
+	mu                     sync.Mutex
+	acknowledgedGeneration uint64 // the newest generation that was acknowledged
+	sentGeneration         uint64 // the newest that was sent
+	repeatable             []configurationChange
+	acknowledgedCount      int
 }
 
 func newOperator(r *run) *operator {
 	const stream = 101 // of the seed's random numbers
-	return &operator{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, stream)), acked: 1, sent: 1,
+	return &operator{run: r, random: rand.New(rand.NewPCG(r.plan.Seed, stream)), acknowledgedGeneration: 1, sentGeneration: 1,
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // call puts one call to one control process; status 0: no answer.
 func (o *operator) call(ctx context.Context, m system.Machine, method, path string, builtOn uint64, body []byte) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorWait)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+system.ControlAddress(m)+path, bytes.NewReader(body))
 	if err != nil {
@@ -118,99 +118,101 @@
 }
 
 // anyFront draws a machine with a control process.
-func (r *run) anyFront(random *rand.Rand) system.Machine { return r.fronts[random.IntN(len(r.fronts))] }
+func (r *run) randomFrontMachine(random *rand.Rand) system.Machine {
+	return r.frontMachines[random.IntN(len(r.frontMachines))]
+}
 
 // change makes one change after the other until the context ends.
-func (o *operator) change(ctx context.Context) {
+func (o *operator) generateChanges(ctx context.Context) {
 	for sleep(ctx, changeInterval) {
-		one := newOrder(o.newest(), o.random.Float64() < patched)
+		one := newConfigurationChange(o.newestAcknowledged(), o.random.Float64() < patchProbability)
 		o.mu.Lock()
-		o.sent = one.generation
+		o.sentGeneration = one.generation
 		o.mu.Unlock()
 		if !o.deliver(ctx, one) {
 			return
 		}
 		o.acknowledge(one)
-		if o.random.Float64() < sentAgain {
+		if o.random.Float64() < repeatProbability {
 			o.repeat(ctx)
 		}
 	}
 }
 
 // deliver sends an order until it is acknowledged, the same bytes each time. False: the context ended before.
-func (o *operator) deliver(ctx context.Context, one order) bool {
+func (o *operator) deliver(ctx context.Context, one configurationChange) bool {
 	for {
-		m := o.run.anyFront(o.random)
+		m := o.run.randomFrontMachine(o.random)
 		status, answer, _ := o.send(ctx, m, one)
 		switch status {
 		case http.StatusOK:
 			return true
 		case 0, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		default:
-			o.run.referee.broken(RuleConfiguration, "%s on %d, the only order for %d, got %d from %s: %s", one.method, one.builtOn,
+			o.run.checker.violated(RuleConfiguration, "%s on %d, the only order for %d, got %d from %s: %s", one.method, one.baseGeneration,
 				one.generation, status, m.Name, answer)
 		}
-		if !sleep(ctx, againInterval) {
+		if !sleep(ctx, operatorRetryInterval) {
 			return false
 		}
 	}
 }
 
 // send sends an order once. Now and then the operator closes the connection before the answer.
-func (o *operator) send(ctx context.Context, m system.Machine, one order) (int, []byte, error) {
-	if o.random.Float64() < operatorLoses {
+func (o *operator) send(ctx context.Context, m system.Machine, one configurationChange) (int, []byte, error) {
+	if o.random.Float64() < operatorAbandonProbability {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, drawTime(o.random, 0, longestLoss))
+		ctx, cancel = context.WithTimeout(ctx, randomDuration(o.random, 0, maxOperatorAbandonDelay))
 		defer cancel()
 	}
-	return o.call(ctx, m, one.method, "/config", one.builtOn, one.body)
+	return o.call(ctx, m, one.method, "/config", one.baseGeneration, one.body)
 }
 
-func (o *operator) acknowledge(one order) {
+func (o *operator) acknowledge(one configurationChange) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.acked = one.generation
-	o.count++
-	o.taken = append(o.taken, one)
-	if len(o.taken) > ordersKept {
-		o.taken = o.taken[1:]
+	o.acknowledgedGeneration = one.generation
+	o.acknowledgedCount++
+	o.repeatable = append(o.repeatable, one)
+	if len(o.repeatable) > maxRepeatable {
+		o.repeatable = o.repeatable[1:]
 	}
 }
 
 // repeat sends the same bytes of an order again that was acknowledged, now or some time ago.
 func (o *operator) repeat(ctx context.Context) {
-	one := o.taken[o.random.IntN(len(o.taken))]
-	m := o.run.anyFront(o.random)
+	one := o.repeatable[o.random.IntN(len(o.repeatable))]
+	m := o.run.randomFrontMachine(o.random)
 	status, answer, err := o.send(ctx, m, one)
 	if err != nil || status == http.StatusOK || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout {
 		return
 	}
-	o.run.referee.broken(RuleConfiguration, "%s on %d was acknowledged and got %d from %s when it came again: %s", one.method,
-		one.builtOn, status, m.Name, answer)
+	o.run.checker.violated(RuleConfiguration, "%s on %d was acknowledged and got %d from %s when it came again: %s", one.method,
+		one.baseGeneration, status, m.Name, answer)
 }
 
 // read reads the configuration back until the context ends.
-func (o *operator) read(ctx context.Context) {
+func (o *operator) readBack(ctx context.Context) {
 	const stream = 102
 	random := rand.New(rand.NewPCG(o.run.plan.Seed, stream))
 	for sleep(ctx, readInterval) {
-		o.readOnce(ctx, o.run.anyFront(random))
+		o.checkRead(ctx, o.run.randomFrontMachine(random))
 	}
 }
 
-func (o *operator) readOnce(ctx context.Context, m system.Machine) bool {
-	least := o.newest()
+func (o *operator) checkRead(ctx context.Context, m system.Machine) bool {
+	least := o.newestAcknowledged()
 	generation, status, err := o.get(ctx, m)
 	switch {
 	case status == http.StatusOK && err == nil:
 	case status == http.StatusServiceUnavailable, status == http.StatusGatewayTimeout, status == 0:
 		return false
 	default:
-		o.run.referee.broken(RuleConfiguration, "GET from %s: %d, %v", m.Name, status, err)
+		o.run.checker.violated(RuleConfiguration, "GET from %s: %d, %v", m.Name, status, err)
 		return false
 	}
 	if most := o.newestSent(); generation < least || generation > most {
-		o.run.referee.broken(RuleConfiguration, "%s tells generation %d, where %d was acknowledged and up to %d sent", m.Name, generation,
+		o.run.checker.violated(RuleConfiguration, "%s tells generation %d, where %d was acknowledged and up to %d sent", m.Name, generation,
 			least, most)
 	}
 	return true
@@ -226,16 +228,16 @@
 	if err := json.Unmarshal(answer, &told); err != nil {
 		return 0, status, err
 	}
-	return told.Generation, status, wrongDocument(told)
+	return told.Generation, status, checkDocument(told)
 }
 
 // wrongDocument tells what an answer lacks that every order brought.
-func wrongDocument(told configuration.Document) error {
+func checkDocument(told configuration.Document) error {
 	for _, one := range told.Tenants {
-		if one.Name != changedTenant {
+		if one.Name != changedTenantName {
 			continue
 		}
-		if want := tenant(told.Generation); one.RatePerSec != want.RatePerSec {
+		if want := changedTenantAt(told.Generation); one.RatePerSec != want.RatePerSec {
 			return fmt.Errorf("generation %d has the tenant's rate %v", told.Generation, one.RatePerSec)
 		}
 		return nil
@@ -243,20 +245,20 @@
 	return errors.New("the tenant is missing")
 }
 
-func (o *operator) newest() uint64 {
+func (o *operator) newestAcknowledged() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.acked
+	return o.acknowledgedGeneration
 }
 
 func (o *operator) newestSent() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.sent
+	return o.sentGeneration
 }
 
-func (o *operator) acknowledged() int {
+func (o *operator) changeCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.count
+	return o.acknowledgedCount
 }
--- a/internal/lab/soak/recovery.go
+++ b/internal/lab/soak/recovery.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	readersAtOnce = 16
-	wholeWithin   = 30 * time.Second // after the last trouble: all items of all batch jobs are listed
+	maxReaders      = 16
+	readBackTimeout = 30 * time.Second // after the last trouble: all items of all batch jobs are listed
 )
 
 // awaitRecovery waits until gateways are ready, stores have settled and all batch jobs answer, and enters what doesn't come in time.
 // It tells whether all came. From then on disks may be lost again.
 func (r *run) awaitRecovery(ctx context.Context) bool {
 	healed := time.Now()
-	limited, cancel := context.WithDeadline(ctx, healed.Add(RecoverWithin))
+	limited, cancel := context.WithDeadline(ctx, healed.Add(RecoveryTimeout))
 	defer cancel()
 	parts := []func() bool{
 		func() bool { return r.awaitReady(limited) },
 		func() bool { return r.awaitAnswers(limited) },
 		func() bool { return r.awaitControl(limited) },
 		func() bool { return r.awaitChain(limited) },
-		func() bool { return r.awaitSettled(ctx, healed) },
+		func() bool { return r.awaitReconciled(ctx, healed) },
 	}
 	came := make(chan bool, len(parts))
 	for _, part := range parts {
@@ -38,7 +38,7 @@
 		recovered = <-came && recovered
 	}
 	if recovered {
-		r.budget.recovered()
+		r.budget.reset()
 		r.timeline.note(kindRecovered)
 	}
 	return recovered
@@ -47,12 +47,12 @@
 // awaitReady waits for all gateways to be ready.
 func (r *run) awaitReady(ctx context.Context) bool {
 	for {
-		late := slices.DeleteFunc(slices.Clone(r.fronts), r.fleet.Ready)
+		late := slices.DeleteFunc(slices.Clone(r.frontMachines), r.fleet.Ready)
 		if len(late) == 0 {
 			return true
 		}
-		if !sleep(ctx, lookInterval) {
-			r.referee.broken(RuleRecovery, "not ready %v after the last trouble: %s", RecoverWithin, machineNames(late))
+		if !sleep(ctx, pollInterval) {
+			r.checker.violated(RuleRecovery, "not ready %v after the last trouble: %s", RecoveryTimeout, machineNames(late))
 			return false
 		}
 	}
@@ -60,14 +60,14 @@
 
 // awaitControl waits for all control processes to tell what was acknowledged last.
 func (r *run) awaitControl(ctx context.Context) bool {
-	late := slices.Clone(r.fronts)
+	late := slices.Clone(r.frontMachines)
 	for {
-		late = slices.DeleteFunc(late, func(m system.Machine) bool { return r.operator.readOnce(ctx, m) })
+		late = slices.DeleteFunc(late, func(m system.Machine) bool { return r.operator.checkRead(ctx, m) })
 		if len(late) == 0 {
 			return true
 		}
-		if !sleep(ctx, lookInterval) {
-			r.referee.broken(RuleRecovery, "no GET /config %v after the last trouble: %s", RecoverWithin, machineNames(late))
+		if !sleep(ctx, pollInterval) {
+			r.checker.violated(RuleRecovery, "no GET /config %v after the last trouble: %s", RecoveryTimeout, machineNames(late))
 			return false
 		}
 	}
@@ -75,9 +75,9 @@
 
 // awaitChain waits for all control processes to be in the chain: one that isn't holds no copy that counts.
 func (r *run) awaitChain(ctx context.Context) bool {
-	for !r.watch.chainWhole() {
-		if !sleep(ctx, lookInterval) {
-			r.referee.broken(RuleRecovery, "control's chain isn't whole %v after the last trouble: %s", RecoverWithin, r.watch.chain())
+	for !r.logs.chainComplete() {
+		if !sleep(ctx, pollInterval) {
+			r.checker.violated(RuleRecovery, "control's chain isn't whole %v after the last trouble: %s", RecoveryTimeout, r.logs.chain())
 			return false
 		}
 	}
@@ -86,12 +86,12 @@
 
 // awaitSettled waits for all stores to say that all is whole. They say something only now and then: what was settled in time is
 // known later.
-func (r *run) awaitSettled(ctx context.Context, healed time.Time) bool {
-	ctx, cancel := context.WithDeadline(ctx, healed.Add(RecoverWithin+stateInterval))
+func (r *run) awaitReconciled(ctx context.Context, healed time.Time) bool {
+	ctx, cancel := context.WithDeadline(ctx, healed.Add(RecoveryTimeout+stateInterval))
 	defer cancel()
-	for !r.watch.settled(healed) {
-		if !sleep(ctx, lookInterval) {
-			r.referee.broken(RuleRecovery, "stores haven't settled %v after the last trouble: %s", RecoverWithin+stateInterval, r.watch.told())
+	for !r.logs.reconciled(healed) {
+		if !sleep(ctx, pollInterval) {
+			r.checker.violated(RuleRecovery, "stores haven't settled %v after the last trouble: %s", RecoveryTimeout+stateInterval, r.logs.describeStores())
 			return false
 		}
 	}
@@ -100,15 +100,15 @@
 
 // awaitAnswers waits for all accepted batch jobs to be read with 200, anywhere.
 func (r *run) awaitAnswers(ctx context.Context) bool {
-	list := slices.DeleteFunc(r.jobs.all(), func(one *job) bool { return !one.kept() })
+	list := slices.DeleteFunc(r.jobs.all(), func(one *job) bool { return !one.mustExist() })
 	late := map[string]bool{}
 	var mu sync.Mutex
-	r.eachJob(list, func(i int, one *job) {
+	r.forEachJob(list, func(i int, one *job) {
 		for try := i; ; try++ {
-			if _, answered := r.readJob(ctx, r.fronts[try%len(r.fronts)], one, 0); answered || !one.kept() {
+			if _, answered := r.readJob(ctx, r.frontMachines[try%len(r.frontMachines)], one, 0); answered || !one.mustExist() {
 				return
 			}
-			if !sleep(ctx, lookInterval) {
+			if !sleep(ctx, pollInterval) {
 				break
 			}
 		}
@@ -117,15 +117,15 @@
 		late[one.name] = true
 	})
 	if len(late) > 0 {
-		r.referee.broken(RuleRecovery, "%d of %d batch jobs get no 200 %v after the last trouble: %s", len(late), len(list), RecoverWithin,
-			someOf(late))
+		r.checker.violated(RuleRecovery, "%d of %d batch jobs get no 200 %v after the last trouble: %s", len(late), len(list), RecoveryTimeout,
+			summarize(late))
 	}
 	return len(late) == 0
 }
 
 // eachJob does something to all batch jobs, a few at once.
-func (r *run) eachJob(list []*job, do func(int, *job)) {
-	open := make(chan struct{}, readersAtOnce)
+func (r *run) forEachJob(list []*job, do func(int, *job)) {
+	open := make(chan struct{}, maxReaders)
 	var all sync.WaitGroup
 	for i, one := range list {
 		open <- struct{}{}
@@ -138,7 +138,7 @@
 }
 
 // someOf names a few.
-func someOf(names map[string]bool) string {
+func summarize(names map[string]bool) string {
 	const most = 10
 	var list []string
 	for name := range names {
@@ -152,22 +152,22 @@
 }
 
 // recover reads everything back at every gateway, and looks for what should not be there.
-func (r *run) recover(ctx context.Context) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(wholeWithin))
+func (r *run) readBackAll(ctx context.Context) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(readBackTimeout))
 	defer cancel()
-	for _, m := range r.fronts {
+	for _, m := range r.frontMachines {
 		r.readAllAt(ctx, m)
 	}
-	r.judgeRuns()
+	r.checkExecutions()
 }
 
 // readAllAt reads all batch jobs whole at a gateway.
 func (r *run) readAllAt(ctx context.Context, m system.Machine) {
 	late := map[string]bool{}
 	var mu sync.Mutex
-	r.eachJob(slices.DeleteFunc(r.jobs.all(), func(one *job) bool { return !one.kept() }), func(_ int, one *job) {
-		for !r.readWhole(ctx, m, one) {
-			if !sleep(ctx, lookInterval) {
+	r.forEachJob(slices.DeleteFunc(r.jobs.all(), func(one *job) bool { return !one.mustExist() }), func(_ int, one *job) {
+		for !r.readComplete(ctx, m, one) {
+			if !sleep(ctx, pollInterval) {
 				mu.Lock()
 				defer mu.Unlock()
 				late[one.name] = true
@@ -176,34 +176,34 @@
 		}
 	})
 	if len(late) > 0 {
-		r.referee.broken(RuleAccepted, "%d batch jobs can't be read whole at %s: %s", len(late), m.Name, someOf(late))
+		r.checker.violated(RuleAccepted, "%d batch jobs can't be read whole at %s: %s", len(late), m.Name, summarize(late))
 	}
 }
 
 // readWhole reads a batch job from its start, and tells whether that gave all of its items.
-func (r *run) readWhole(ctx context.Context, m system.Machine, one *job) bool {
+func (r *run) readComplete(ctx context.Context, m system.Machine, one *job) bool {
 	listed, _ := r.readJob(ctx, m, one, 0)
 	return listed == one.items
 }
 
 // judgeRuns compares what servers ran with what clients were told: nothing of a batch job that was refused only, and each item of one
 // that was read whole.
-func (r *run) judgeRuns() {
+func (r *run) checkExecutions() {
 	runs := map[string]int{}
-	for _, ran := range r.fleet.Ledger.Runs() {
-		if name, _, found := cutLast(ran.Request, "-"); found {
+	for _, ran := range r.fleet.ExecutionLog.Executions() {
+		if name, _, found := cutLast(ran.RequestID, "-"); found {
 			runs[name]++
 		}
 	}
 	for _, one := range r.jobs.all() {
 		one.mu.Lock()
-		refused, listed := one.refused, len(one.results)
+		refused, listed := one.rejected, len(one.results)
 		one.mu.Unlock()
 		if refused && runs[one.name] > 0 {
-			r.referee.broken(RuleRefusal, "%s got refusals only, and %d of its items ran", one.name, runs[one.name])
+			r.checker.violated(RuleRejection, "%s got refusals only, and %d of its items ran", one.name, runs[one.name])
 		}
 		if runs[one.name] < listed {
-			r.referee.broken(RulePositions, "%s has %d results, and servers ran %d", one.name, listed, runs[one.name])
+			r.checker.violated(RulePositions, "%s has %d results, and servers ran %d", one.name, listed, runs[one.name])
 		}
 	}
 }
--- a/internal/lab/soak/referee.go
+++ b/internal/lab/soak/referee.go
@@ -15,7 +15,7 @@
 const (
 	RuleAccepted      Rule = "accepted"      // a batch job that got 202 can be read until it is ended, at every gateway
 	RulePositions     Rule = "positions"     // each item is listed once, whole, at one position
-	RuleRefusal       Rule = "refusal"       // what got 429 or 503 only has not run and will not
+	RuleRejection     Rule = "refusal"       // what got 429 or 503 only has not run and will not
 	RuleAnswer        Rule = "answer"        // a request gets an answer within its deadline and lateness
 	RuleBelongs       Rule = "belongs"       // an answer is the whole one of the request that asked
 	RuleConfiguration Rule = "configuration" // what was acknowledged is read back, and acknowledged again
@@ -25,11 +25,11 @@
 )
 
 const (
-	violationsKept = 40
+	maxViolations = 40
 	// toldBefore is how much of the time line is told with a violation.
-	toldBefore = 20 * time.Second
+	timelineWindow = 20 * time.Second
 	// toldAgain is the time after which it is told again with another.
-	toldAgain = 5 * time.Second
+	timelineInterval = 5 * time.Second
 )
 
 // Violation is a broken rule.
@@ -46,54 +46,54 @@
 }
 
 // referee collects broken rules.
-type referee struct {
+type checker struct {
 	timeline *timeline
 	out      io.Writer
 
-	mu    sync.Mutex
-	kept  []Violation
-	count int
-	told  time.Time // when the time line was told last
-	run   context.Context
+	mu            sync.Mutex
+	recorded      []Violation
+	total         int
+	timelineShown time.Time // when the time line was told last
+	runContext    context.Context
 }
 
 // judge lets it judge for as long as a run isn't interrupted.
-func (r *referee) judge(run context.Context) {
+func (r *checker) checkDuring(run context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.run = run
+	r.runContext = run
 }
 
-func newReferee(timeline *timeline, out io.Writer) *referee {
-	return &referee{timeline: timeline, out: out, run: context.Background()}
+func newChecker(timeline *timeline, out io.Writer) *checker {
+	return &checker{timeline: timeline, out: out, runContext: context.Background()}
 }
 
 // broken enters a violation.
-func (r *referee) broken(rule Rule, format string, arguments ...any) {
+func (r *checker) violated(rule Rule, format string, arguments ...any) {
 	now := time.Now()
 	one := Violation{Rule: rule, At: now.Sub(r.timeline.start), Text: fmt.Sprintf(format, arguments...)}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.run.Err() != nil {
+	if r.runContext.Err() != nil {
 		return
 	}
-	r.count++
-	if len(r.kept) == violationsKept {
+	r.total++
+	if len(r.recorded) == maxViolations {
 		return
 	}
-	if now.Sub(r.told) > toldAgain {
-		r.told = now
-		one.Timeline = r.timeline.words(now, toldBefore)
+	if now.Sub(r.timelineShown) > timelineInterval {
+		r.timelineShown = now
+		one.Timeline = r.timeline.render(now, timelineWindow)
 	}
-	r.kept = append(r.kept, one)
+	r.recorded = append(r.recorded, one)
 	fmt.Fprintln(r.out, "BROKEN at", one)
 }
 
 // list gives the violations that are kept, and how many more there were.
-func (r *referee) list() (kept []Violation, more int) {
+func (r *checker) violations() (kept []Violation, more int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.kept, r.count - len(r.kept)
+	return r.recorded, r.total - len(r.recorded)
 }
 
 // counter counts from several goroutines.
--- a/internal/lab/soak/retire.go
+++ b/internal/lab/soak/retire.go
@@ -10,8 +10,8 @@
 
 // Figures of retirements.
 const (
-	retireInterval = 500 * time.Millisecond
-	longestAbsence = 3 * time.Second
+	retirementPollInterval = 500 * time.Millisecond
+	maxAbsence             = 3 * time.Second
 )
 
 // retirement is how far one is.
@@ -26,32 +26,32 @@
 
 // retire orders one retirement and sees it through. Completed without having been active may be said of a former life of the store:
 // then its disk counts as lost.
-func (r *run) retire(ctx context.Context, random *rand.Rand, one *unit) {
+func (r *run) retire(ctx context.Context, random *rand.Rand, one *target) {
 	over := r.timeline.add(KindRetire, "%s", one.machine.Name)
 	defer over()
-	state, answered := r.askRetirement(ctx, random, one, http.MethodPost)
-	for !answered && sleep(ctx, retireInterval) {
-		state, answered = r.askRetirement(ctx, random, one, http.MethodPost)
+	state, answered := r.requestRetirement(ctx, random, one, http.MethodPost)
+	for !answered && sleep(ctx, retirementPollInterval) {
+		state, answered = r.requestRetirement(ctx, random, one, http.MethodPost)
 	}
 	if state == retirementNone {
 		return
 	}
 	surely := state == retirementActive
-	for state != retirementCompleted || !surely && r.budget.take(1) == 0 {
-		if !sleep(ctx, retireInterval) {
-			r.referee.broken(RuleRecovery, "the retirement of %s is not over", one.machine.Name)
+	for state != retirementCompleted || !surely && r.budget.acquire(1) == 0 {
+		if !sleep(ctx, retirementPollInterval) {
+			r.checker.violated(RuleRecovery, "the retirement of %s is not over", one.machine.Name)
 			return
 		}
-		if told, answered := r.askRetirement(ctx, random, one, http.MethodGet); answered {
+		if told, answered := r.requestRetirement(ctx, random, one, http.MethodGet); answered {
 			state = told
 		}
 	}
-	r.takeAway(ctx, random, one)
+	r.replaceStore(ctx, random, one)
 }
 
 // askRetirement orders a retirement, or asks how far it is. It tells whether the answer was clear.
-func (r *run) askRetirement(ctx context.Context, random *rand.Rand, one *unit, method string) (state retirement, answered bool) {
-	m := r.anyFront(random)
+func (r *run) requestRetirement(ctx context.Context, random *rand.Rand, one *target, method string) (state retirement, answered bool) {
+	m := r.randomFrontMachine(random)
 	var body []byte
 	if method == http.MethodPost {
 		body = []byte("{}")
@@ -69,18 +69,18 @@
 	case http.StatusNotFound, http.StatusConflict: // it is out of the set, or too few would remain
 		return retirementNone, true
 	default:
-		r.referee.broken(RuleConfiguration, "%s of the retirement of %s got %d from %s: %s", method, one.machine.Name, status, m.Name, answer)
+		r.checker.violated(RuleConfiguration, "%s of the retirement of %s got %d from %s: %s", method, one.machine.Name, status, m.Name, answer)
 		return retirementNone, true
 	}
 }
 
 // takeAway takes a store that was emptied away with its disk, which nobody needs, and brings it back.
-func (r *run) takeAway(ctx context.Context, random *rand.Rand, one *unit) {
-	after := drawTimes(random, 1, longestAbsence)
-	over := r.timeline.add(KindRetire, "%s is completed and goes away", withTimes([]*unit{one}, after))
+func (r *run) replaceStore(ctx context.Context, random *rand.Rand, one *target) {
+	after := randomDurations(random, 1, maxAbsence)
+	over := r.timeline.add(KindRetire, "%s is completed and goes away", describeRestarts([]*target{one}, after))
 	defer over()
 	if err := one.wipe(); err != nil {
-		r.referee.broken(RuleProcesses, "the disk could not be emptied: %v", err)
+		r.checker.violated(RuleProcesses, "the disk could not be emptied: %v", err)
 	}
-	r.startAgain(ctx, []*unit{one}, after)
+	r.restart(ctx, []*target{one}, after)
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,9 +25,9 @@
 
 func TestSoak(t *testing.T) {
 	Convey("A short soak breaks no rule, and played something", t, func() {
-		plan := DefaultPlan(built)
-		plan.For = shortSoak
-		plan.Out = t.Output()
+		plan := DefaultOptions(built)
+		plan.FaultDuration = shortSoak
+		plan.Output = t.Output()
 		result, err := Run(t.Context(), plan)
 		So(err, ShouldBeNil)
 		if len(result.Violations) > 0 {
@@ -35,11 +35,11 @@
 		}
 		So(result.Violations, ShouldBeEmpty)
 		So(result.Accepted, ShouldBeGreaterThan, 0)
-		So(result.Requests, ShouldBeGreaterThan, 0)
-		So(result.Orders, ShouldBeGreaterThan, 0)
+		So(result.Streams, ShouldBeGreaterThan, 0)
+		So(result.ConfigurationChanges, ShouldBeGreaterThan, 0)
 		troubles := 0
-		for _, kind := range TroubleKinds {
-			troubles += result.Troubles[kind]
+		for _, kind := range FaultKinds {
+			troubles += result.Faults[kind]
 		}
 		So(troubles, ShouldBeGreaterThan, 0)
 	})
@@ -48,23 +48,23 @@
 // TestCut shows that the programs mind the file of cuts.
 func TestCut(t *testing.T) {
 	Convey("A control process that is cut off from all others tells no configuration, and tells it again", t, func() {
-		r, err := newRun(DefaultPlan(built), t.TempDir())
+		r, err := newRun(DefaultOptions(built), t.TempDir())
 		So(err, ShouldBeNil)
 		defer r.fleet.Close()
-		So(r.begin(t.Context()), ShouldBeNil)
-		ctx, cancel := context.WithTimeout(t.Context(), RecoverWithin)
+		So(r.startSystem(t.Context()), ShouldBeNil)
+		ctx, cancel := context.WithTimeout(t.Context(), RecoveryTimeout)
 		defer cancel()
 		await := func(tells bool) {
 			for {
-				_, status, _ := r.operator.get(ctx, r.fronts[0])
+				_, status, _ := r.operator.get(ctx, r.frontMachines[0])
 				if (status == http.StatusOK) == tells {
 					return
 				}
-				So(sleep(ctx, lookInterval), ShouldBeTrue)
+				So(sleep(ctx, pollInterval), ShouldBeTrue)
 			}
 		}
 		await(true)
-		heal, err := r.network.cut(between(r.fronts[:1], r.fleet.Machines, true))
+		heal, err := r.partitions.add(linksBetween(r.frontMachines[:1], r.fleet.Machines, true))
 		So(err, ShouldBeNil)
 		await(false)
 		heal()
--- a/internal/lab/soak/tail.go
+++ b/internal/lab/soak/tail.go
@@ -7,14 +7,14 @@
 )
 
 // tail reads what is added to a log.
-type tail struct {
-	path   string
-	offset int64
-	rest   []byte // the beginning of a line
+type logTail struct {
+	path        string
+	offset      int64
+	partialLine []byte // the beginning of a line
 }
 
 // read hands over the whole lines that were added since.
-func (t *tail) read(take func(entry)) {
+func (t *logTail) read(take func(logEntry)) {
 	file, err := os.Open(t.path)
 	if err != nil {
 		return // nothing was logged yet
@@ -27,14 +27,14 @@
 	text := make([]byte, info.Size()-t.offset)
 	n, _ := file.ReadAt(text, t.offset)
 	t.offset += int64(n)
-	t.rest = append(t.rest, text[:n]...)
+	t.partialLine = append(t.partialLine, text[:n]...)
 	for {
-		line, rest, whole := bytes.Cut(t.rest, []byte("\n"))
+		line, rest, whole := bytes.Cut(t.partialLine, []byte("\n"))
 		if !whole {
 			return
 		}
-		t.rest = rest
-		var one entry
+		t.partialLine = rest
+		var one logEntry
 		if json.Unmarshal(line, &one) == nil { // else it was cut off by a kill, or is the runtime's own
 			take(one)
 		}
--- a/internal/lab/soak/timeline.go
+++ b/internal/lab/soak/timeline.go
@@ -10,53 +10,55 @@
 )
 
 // Kind is a kind of trouble, or of another event worth telling beside them.
-type Kind string
+type EventKind string
 
 // The kinds.
 const (
-	KindKill      Kind = "kill"
-	KindPause     Kind = "pause"
-	KindCut       Kind = "cut"
-	KindOneWay    Kind = "one-way-cut"
-	KindWipe      Kind = "wipe"     // a kill of one process with the loss of its disk
-	KindBlackout  Kind = "blackout" // a kill of all processes, with the loss of some disks or without
-	KindRetire    Kind = "retire"
-	kindHost      Kind = "host-stall" // the machine itself stood still
-	kindHealed    Kind = "healed"     // the last trouble of a round is over
-	kindRecovered Kind = "recovered"  // all is well after it
+	KindKill            EventKind = "kill"
+	KindPause           EventKind = "pause"
+	KindPartition       EventKind = "cut"
+	KindOneWayPartition EventKind = "one-way-cut"
+	KindWipe            EventKind = "wipe"     // a kill of one process with the loss of its disk
+	KindPowerLoss       EventKind = "blackout" // a kill of all processes, with the loss of some disks or without
+	KindRetire          EventKind = "retire"
+	kindHostStall       EventKind = "host-stall" // the machine itself stood still
+	kindHealed          EventKind = "healed"     // the last trouble of a round is over
+	kindRecovered       EventKind = "recovered"  // all is well after it
 )
 
 // TroubleKinds are those that a summary names.
-var TroubleKinds = []Kind{KindKill, KindPause, KindCut, KindOneWay, KindWipe, KindBlackout, KindRetire, kindHost}
+var FaultKinds = []EventKind{KindKill, KindPause, KindPartition, KindOneWayPartition, KindWipe, KindPowerLoss, KindRetire, kindHostStall}
 
 // event is one entry of the time line.
 type event struct {
-	kind     Kind
+	kind     EventKind
 	what     string
 	from, to time.Time // to is zero while it lasts
 }
 
 // timeline keeps what was done to the system, and when processes were not whole.
 type timeline struct {
-	mu     sync.Mutex
-	start  time.Time
-	events []*event
-	spans  map[string][]*span // by process
+	mu           sync.Mutex
+	start        time.Time
+	events       []*event
+	disturbances map[string][]*disturbance // by process
 }
 
 // span is a time in which a process was down or stood still.
-type span struct{ from, to time.Time }
+type disturbance struct{ from, to time.Time }
 
-func newTimeline() *timeline { return &timeline{start: time.Now(), spans: map[string][]*span{}} }
+func newTimeline() *timeline {
+	return &timeline{start: time.Now(), disturbances: map[string][]*disturbance{}}
+}
 
-func (t *timeline) begin() {
+func (t *timeline) restartClock() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.start = time.Now()
 }
 
 // add enters a trouble that begins, and gives what ends it.
-func (t *timeline) add(kind Kind, format string, arguments ...any) (over func()) {
+func (t *timeline) add(kind EventKind, format string, arguments ...any) (over func()) {
 	one := &event{kind: kind, what: fmt.Sprintf(format, arguments...), from: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,14 +71,14 @@
 }
 
 // note enters what has no length.
-func (t *timeline) note(kind Kind) { t.add(kind, "")() }
+func (t *timeline) note(kind EventKind) { t.add(kind, "")() }
 
 // disturb notes that a process is no longer whole, and gives what ends that.
 func (t *timeline) disturb(process string) (over func()) {
-	one := &span{from: time.Now()}
+	one := &disturbance{from: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.spans[process] = append(t.spans[process], one)
+	t.disturbances[process] = append(t.disturbances[process], one)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -90,19 +92,19 @@
 const everyProcess = ""
 
 // stood notes that all stood still from a time until now.
-func (t *timeline) stood(from time.Time) {
+func (t *timeline) hostStalled(from time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.spans[everyProcess] = append(t.spans[everyProcess], &span{from: from, to: now})
-	t.events = append(t.events, &event{kind: kindHost, from: from, to: now})
+	t.disturbances[everyProcess] = append(t.disturbances[everyProcess], &disturbance{from: from, to: now})
+	t.events = append(t.events, &event{kind: kindHostStall, from: from, to: now})
 }
 
 // disturbed tells whether a process was not whole for a part of the time from a moment until now.
 func (t *timeline) disturbed(process string, from time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, one := range slices.Concat(t.spans[process], t.spans[everyProcess]) {
+	for _, one := range slices.Concat(t.disturbances[process], t.disturbances[everyProcess]) {
 		if one.to.IsZero() || one.to.After(from) {
 			return true
 		}
@@ -113,7 +115,7 @@
 func (t *timeline) since(at time.Time) float64 { return at.Sub(t.start).Seconds() }
 
 // words gives the events of the last while before a moment, one a line.
-func (t *timeline) words(at time.Time, before time.Duration) string {
+func (t *timeline) render(at time.Time, before time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var text strings.Builder
@@ -133,15 +135,15 @@
 // write writes the whole time line to a file.
 func (t *timeline) write(path string) error {
 	now := time.Now()
-	text := fmt.Sprintf("0 is %s\n%s", t.start.UTC().Format("2006-01-02T15:04:05.000Z"), t.words(now, now.Sub(t.start)))
+	text := fmt.Sprintf("0 is %s\n%s", t.start.UTC().Format("2006-01-02T15:04:05.000Z"), t.render(now, now.Sub(t.start)))
 	return os.WriteFile(path, []byte(text), 0o600)
 }
 
 // kinds counts the troubles.
-func (t *timeline) kinds() map[Kind]int {
+func (t *timeline) countKinds() map[EventKind]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	counts := map[Kind]int{}
+	counts := map[EventKind]int{}
 	for _, one := range t.events {
 		counts[one.kind]++
 	}
--- a/internal/lab/soak/trouble.go
+++ b/internal/lab/soak/trouble.go
@@ -14,35 +14,35 @@
 
 // Figures of the troubles.
 const (
-	troubleSlots   = 3 // troubles at the same time, at most
-	shortestCalm   = 200 * time.Millisecond
-	longestCalm    = 3 * time.Second
-	mostAtOnce     = 3 // processes that one kill or pause strikes
-	longestDown    = 5 * time.Second
-	longestReturn  = 3 * time.Second // until a process is started again after a blackout
-	shortestPause  = 200 * time.Millisecond
-	usualPause     = 3 * time.Second
-	longestPause   = 20 * time.Second
-	shortestCut    = 500 * time.Millisecond
-	longestCut     = 10 * time.Second
-	acceptanceWait = 3 * time.Second // that a blackout waits for a batch job to be accepted
-	rightAfter     = 40 * time.Millisecond
-	controlDisk    = 0.2 // of the disks that are wiped
+	concurrentFaults        = 3 // troubles at the same time, at most
+	minFaultInterval        = 200 * time.Millisecond
+	maxFaultInterval        = 3 * time.Second
+	maxTargets              = 3 // processes that one kill or pause strikes
+	maxDowntime             = 5 * time.Second
+	maxRestartDelay         = 3 * time.Second // until a process is started again after a blackout
+	minPause                = 200 * time.Millisecond
+	meanPause               = 3 * time.Second
+	maxPause                = 20 * time.Second
+	minPartition            = 500 * time.Millisecond
+	maxPartition            = 10 * time.Second
+	acceptanceTimeout       = 3 * time.Second // that a blackout waits for a batch job to be accepted
+	maxDelayAfterAcceptance = 40 * time.Millisecond
+	controlDiskProbability  = 0.2 // of the disks that are wiped
 )
 
 // weights tell how often kinds are drawn.
-var weights = []struct {
-	kind   Kind
+var faultWeights = []struct {
+	kind   EventKind
 	weight int
-}{{KindKill, 30}, {KindPause, 20}, {KindCut, 20}, {KindOneWay, 10}, {KindWipe, 6}, {KindBlackout, 14}}
+}{{KindKill, 30}, {KindPause, 20}, {KindPartition, 20}, {KindOneWayPartition, 10}, {KindWipe, 6}, {KindPowerLoss, 14}}
 
-func drawKind(random *rand.Rand) Kind {
+func randomFaultKind(random *rand.Rand) EventKind {
 	sum := 0
-	for _, one := range weights {
+	for _, one := range faultWeights {
 		sum += one.weight
 	}
 	at := random.IntN(sum)
-	for _, one := range weights {
+	for _, one := range faultWeights {
 		if at < one.weight {
 			return one.kind
 		}
@@ -52,38 +52,38 @@
 }
 
 // trouble makes one trouble after the other until the context ends. What it did to the system it takes back.
-func (r *run) trouble(ctx context.Context, random *rand.Rand) {
-	for sleep(ctx, drawTime(random, shortestCalm, longestCalm)) {
-		switch drawKind(random) {
+func (r *run) injectFaults(ctx context.Context, random *rand.Rand) {
+	for sleep(ctx, randomDuration(random, minFaultInterval, maxFaultInterval)) {
+		switch randomFaultKind(random) {
 		case KindKill:
-			r.killSome(ctx, random)
+			r.killProcesses(ctx, random)
 		case KindPause:
-			r.pauseSome(ctx, random)
-		case KindCut:
-			r.cutSome(ctx, random, KindCut)
-		case KindOneWay:
-			r.cutSome(ctx, random, KindOneWay)
+			r.pauseProcesses(ctx, random)
+		case KindPartition:
+			r.partitionMachines(ctx, random, KindPartition)
+		case KindOneWayPartition:
+			r.partitionMachines(ctx, random, KindOneWayPartition)
 		case KindWipe:
-			r.wipeOne(ctx, random)
-		case KindBlackout:
-			r.blackout(ctx, random)
+			r.wipeDisk(ctx, random)
+		case KindPowerLoss:
+			r.losePower(ctx, random)
 		}
 	}
 }
 
 // drawTime draws a time between two.
-func drawTime(random *rand.Rand, least, most time.Duration) time.Duration {
+func randomDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(random.Float64()*float64(most-least))
 }
 
 // some draws a few processes.
-func (r *run) some(random *rand.Rand) []*unit {
-	list := slices.Clone(r.units)
+func (r *run) randomTargets(random *rand.Rand) []*target {
+	list := slices.Clone(r.targets)
 	random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:1+random.IntN(mostAtOnce)]
+	return list[:1+random.IntN(maxTargets)]
 }
 
-func names(units []*unit) string {
+func targetNames(units []*target) string {
 	list := make([]string, len(units))
 	for i, one := range units {
 		list[i] = one.name()
@@ -92,7 +92,7 @@
 }
 
 // eachAtOnce does something to all at once.
-func eachAtOnce(units []*unit, do func(int, *unit)) {
+func forEachConcurrently(units []*target, do func(int, *target)) {
 	var all sync.WaitGroup
 	for i, one := range units {
 		all.Go(func() { do(i, one) })
@@ -101,37 +101,37 @@
 }
 
 // startAgain starts each at a time of its own.
-func (r *run) startAgain(ctx context.Context, units []*unit, after []time.Duration) {
-	eachAtOnce(units, func(i int, one *unit) {
+func (r *run) restart(ctx context.Context, units []*target, after []time.Duration) {
+	forEachConcurrently(units, func(i int, one *target) {
 		sleep(ctx, after[i])
-		r.powered.RLock()
-		defer r.powered.RUnlock()
+		r.powerLoss.RLock()
+		defer r.powerLoss.RUnlock()
 		if err := one.start(); err != nil {
-			r.referee.broken(RuleProcesses, "%v", err)
+			r.checker.violated(RuleProcesses, "%v", err)
 		}
 	})
 }
 
-func drawTimes(random *rand.Rand, n int, most time.Duration) []time.Duration {
+func randomDurations(random *rand.Rand, n int, most time.Duration) []time.Duration {
 	list := make([]time.Duration, n)
 	for i := range list {
-		list[i] = drawTime(random, 0, most)
+		list[i] = randomDuration(random, 0, most)
 	}
 	return list
 }
 
 // killSome kills a few processes at once and starts them again.
-func (r *run) killSome(ctx context.Context, random *rand.Rand) {
-	units := r.some(random)
-	after := drawTimes(random, len(units), longestDown)
-	over := r.timeline.add(KindKill, "%s", withTimes(units, after))
+func (r *run) killProcesses(ctx context.Context, random *rand.Rand) {
+	units := r.randomTargets(random)
+	after := randomDurations(random, len(units), maxDowntime)
+	over := r.timeline.add(KindKill, "%s", describeRestarts(units, after))
 	defer over()
-	eachAtOnce(units, func(_ int, one *unit) { one.kill() })
-	r.startAgain(ctx, units, after)
+	forEachConcurrently(units, func(_ int, one *target) { one.kill() })
+	r.restart(ctx, units, after)
 }
 
 // withTimes words processes with when they are started again.
-func withTimes(units []*unit, after []time.Duration) string {
+func describeRestarts(units []*target, after []time.Duration) string {
 	list := make([]string, len(units))
 	for i, one := range units {
 		list[i] = fmt.Sprintf("%s+%.1fs", one.name(), after[i].Seconds())
@@ -140,18 +140,18 @@
 }
 
 // pauseSome lets a few processes stand still.
-func (r *run) pauseSome(ctx context.Context, random *rand.Rand) {
-	units := r.some(random)
-	length := min(longestPause, shortestPause+time.Duration(random.ExpFloat64()*float64(usualPause)))
-	over := r.timeline.add(KindPause, "%s", names(units))
+func (r *run) pauseProcesses(ctx context.Context, random *rand.Rand) {
+	units := r.randomTargets(random)
+	length := min(maxPause, minPause+time.Duration(random.ExpFloat64()*float64(meanPause)))
+	over := r.timeline.add(KindPause, "%s", targetNames(units))
 	defer over()
-	eachAtOnce(units, func(_ int, one *unit) { one.pause() })
+	forEachConcurrently(units, func(_ int, one *target) { one.pause() })
 	sleep(ctx, length)
-	eachAtOnce(units, func(_ int, one *unit) { one.resume() })
+	forEachConcurrently(units, func(_ int, one *target) { one.resume() })
 }
 
 // cutSome cuts a few machines off from the others, or from a few of them.
-func (r *run) cutSome(ctx context.Context, random *rand.Rand, kind Kind) {
+func (r *run) partitionMachines(ctx context.Context, random *rand.Rand, kind EventKind) {
 	machines := slices.Clone(r.fleet.Machines)
 	random.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	few := 1 + random.IntN(len(machines)/2)
@@ -159,16 +159,16 @@
 	if random.IntN(2) == 0 {
 		to = to[:1+random.IntN(len(to))]
 	}
-	if kind == KindOneWay && random.IntN(2) == 0 {
+	if kind == KindOneWayPartition && random.IntN(2) == 0 {
 		from, to = to, from
 	}
 	over := r.timeline.add(kind, "from %s to %s", machineNames(from), machineNames(to))
 	defer over()
-	heal, err := r.network.cut(between(from, to, kind == KindCut))
+	heal, err := r.partitions.add(linksBetween(from, to, kind == KindPartition))
 	if err != nil {
-		r.referee.broken(RuleProcesses, "the cut could not be made: %v", err)
+		r.checker.violated(RuleProcesses, "the cut could not be made: %v", err)
 	}
-	sleep(ctx, drawTime(random, shortestCut, longestCut))
+	sleep(ctx, randomDuration(random, minPartition, maxPartition))
 	heal()
 }
 
@@ -181,29 +181,29 @@
 }
 
 // wipeOne kills a process and empties its disk, where the budget allows.
-func (r *run) wipeOne(ctx context.Context, random *rand.Rand) {
-	one := r.drawDisks(random, 1)
-	after := drawTimes(random, 1, longestDown)
-	if r.budget.take(1) == 0 {
+func (r *run) wipeDisk(ctx context.Context, random *rand.Rand) {
+	one := r.randomDisks(random, 1)
+	after := randomDurations(random, 1, maxDowntime)
+	if r.budget.acquire(1) == 0 {
 		return
 	}
-	over := r.timeline.add(KindWipe, "%s", withTimes(one, after))
+	over := r.timeline.add(KindWipe, "%s", describeRestarts(one, after))
 	defer over()
 	if err := one[0].wipe(); err != nil {
-		r.referee.broken(RuleProcesses, "the disk could not be emptied: %v", err)
+		r.checker.violated(RuleProcesses, "the disk could not be emptied: %v", err)
 	}
-	r.startAgain(ctx, one, after)
+	r.restart(ctx, one, after)
 }
 
 // drawDisks draws processes whose disks are to be wiped.
-func (r *run) drawDisks(random *rand.Rand, n int) []*unit {
-	stores, controls := slices.Clone(r.unitsOf(system.RoleBatch)), slices.Clone(r.unitsOf(system.RoleControl))
-	for _, list := range [][]*unit{stores, controls} {
+func (r *run) randomDisks(random *rand.Rand, n int) []*target {
+	stores, controls := slices.Clone(r.targetsOf(system.RoleBatch)), slices.Clone(r.targetsOf(system.RoleControl))
+	for _, list := range [][]*target{stores, controls} {
 		random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	}
-	var drawn []*unit
+	var drawn []*target
 	for i := range n {
-		if random.Float64() < controlDisk {
+		if random.Float64() < controlDiskProbability {
 			drawn = append(drawn, controls[i])
 			continue
 		}
@@ -213,21 +213,21 @@
 }
 
 // blackout kills all processes at once, right after a batch job was accepted, and wipes as many disks as the budget allows.
-func (r *run) blackout(ctx context.Context, random *rand.Rand) {
-	disks := r.drawDisks(random, r.plan.Lost)
-	after := drawTimes(random, len(r.units), longestReturn)
-	r.jobs.awaitAcceptance(ctx, acceptanceWait)
-	sleep(ctx, drawTime(random, 0, rightAfter))
-	r.powered.Lock()
-	disks = disks[:r.budget.take(len(disks))]
-	over := r.timeline.add(KindBlackout, "%s; wiped: %s", withTimes(r.units, after), names(disks))
+func (r *run) losePower(ctx context.Context, random *rand.Rand) {
+	disks := r.randomDisks(random, r.plan.MaxLostDisks)
+	after := randomDurations(random, len(r.targets), maxRestartDelay)
+	r.jobs.awaitAcceptance(ctx, acceptanceTimeout)
+	sleep(ctx, randomDuration(random, 0, maxDelayAfterAcceptance))
+	r.powerLoss.Lock()
+	disks = disks[:r.budget.acquire(len(disks))]
+	over := r.timeline.add(KindPowerLoss, "%s; wiped: %s", describeRestarts(r.targets, after), targetNames(disks))
 	defer over()
-	eachAtOnce(r.units, func(_ int, one *unit) { one.kill() })
+	forEachConcurrently(r.targets, func(_ int, one *target) { one.kill() })
 	for _, one := range disks {
 		if err := one.wipe(); err != nil {
-			r.referee.broken(RuleProcesses, "the disk could not be emptied: %v", err)
+			r.checker.violated(RuleProcesses, "the disk could not be emptied: %v", err)
 		}
 	}
-	r.powered.Unlock()
-	r.startAgain(ctx, r.units, after)
+	r.powerLoss.Unlock()
+	r.restart(ctx, r.targets, after)
 }
--- a/internal/lab/soak/unit.go
+++ b/internal/lab/soak/unit.go
@@ -10,48 +10,48 @@
 
 // unit is a process of the system in all its lives. Its methods may be called from any goroutine, in any order: those that find
 // the process in the state that they would bring about do nothing.
-type unit struct {
-	fleet    *system.Fleet
+type target struct {
+	fleet    *system.Cluster
 	timeline *timeline
 	machine  system.Machine
 	role     string
 
-	mu     sync.Mutex
-	down   bool
-	lives  int
-	whole  func() // ends the disturbance by a kill
-	paused func() // ends that by a pause
+	mu          sync.Mutex
+	down        bool
+	lives       int
+	endDowntime func() // ends the disturbance by a kill
+	endPause    func() // ends that by a pause
 }
 
-func (u *unit) name() string { return u.machine.Name + "-" + u.role }
+func (u *target) name() string { return u.machine.Name + "-" + u.role }
 
 // kill ends the process at once.
-func (u *unit) kill() {
+func (u *target) kill() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.killHeld()
+	u.killLocked()
 }
 
-func (u *unit) killHeld() {
+func (u *target) killLocked() {
 	if u.down {
 		return
 	}
 	u.down = true
-	u.whole = u.timeline.disturb(u.name())
+	u.endDowntime = u.timeline.disturb(u.name())
 	u.fleet.Process(u.machine, u.role).Kill()
-	u.unpauseHeld()
+	u.clearPauseLocked()
 }
 
 // wipe ends the process at once and empties its disk.
-func (u *unit) wipe() error {
+func (u *target) wipe() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.killHeld()
+	u.killLocked()
 	return u.fleet.WipeDisk(u.machine, u.role)
 }
 
 // start starts the process again.
-func (u *unit) start() error {
+func (u *target) start() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.down {
@@ -62,51 +62,51 @@
 	}
 	u.down = false
 	u.lives++
-	u.whole()
+	u.endDowntime()
 	return nil
 }
 
 // pause lets the process stand still.
-func (u *unit) pause() {
+func (u *target) pause() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.down || u.paused != nil {
+	if u.down || u.endPause != nil {
 		return
 	}
-	u.paused = u.timeline.disturb(u.name())
+	u.endPause = u.timeline.disturb(u.name())
 	_ = u.fleet.Process(u.machine, u.role).Signal(syscall.SIGSTOP) // one that has ended by itself is told by died
 }
 
 // resume lets it go on.
-func (u *unit) resume() {
+func (u *target) resume() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.resumeHeld()
+	u.resumeLocked()
 }
 
-func (u *unit) resumeHeld() {
-	if u.paused == nil {
+func (u *target) resumeLocked() {
+	if u.endPause == nil {
 		return
 	}
 	_ = u.fleet.Process(u.machine, u.role).Signal(syscall.SIGCONT) // as above
-	u.unpauseHeld()
+	u.clearPauseLocked()
 }
 
-func (u *unit) unpauseHeld() {
-	if u.paused != nil {
-		u.paused()
-		u.paused = nil
+func (u *target) clearPauseLocked() {
+	if u.endPause != nil {
+		u.endPause()
+		u.endPause = nil
 	}
 }
 
 // revive brings it back from whatever was done to it.
-func (u *unit) revive() error {
+func (u *target) restore() error {
 	u.resume()
 	return u.start()
 }
 
 // died tells whether the process ended by itself. It counts as killed from then on.
-func (u *unit) died() (bool, string) {
+func (u *target) detectExit() (bool, string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	process := u.fleet.Process(u.machine, u.role)
@@ -115,14 +115,14 @@
 		return false, ""
 	}
 	u.down = true
-	u.whole = u.timeline.disturb(u.name())
-	u.unpauseHeld()
-	return true, fmt.Sprintf("%v: %s", err, process.LastLines())
+	u.endDowntime = u.timeline.disturb(u.name())
+	u.clearPauseLocked()
+	return true, fmt.Sprintf("%v: %s", err, process.LogTail())
 }
 
 // life counts its starts, and tells whether it is up.
-func (u *unit) life() (number int, up bool) {
+func (u *target) life() (number int, up bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.lives, !u.down && u.paused == nil
+	return u.lives, !u.down && u.endPause == nil
 }
--- a/internal/lab/system/client.go
+++ b/internal/lab/system/client.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	outTokens      = 240 // of a request: ten events
-	sharedTokens   = 800
-	ownTokens      = 200
-	clientDeadline = 5 * time.Second
-	mostAnswer     = 4 << 20
-	waitForResults = 500 // ms
-	betweenTries   = 50 * time.Millisecond
+	outputTokens     = 240 // of a request: ten events
+	sharedTokens     = 800
+	ownTokens        = 200
+	clientDeadline   = 5 * time.Second
+	maxResponseBytes = 4 << 20
+	resultsWait      = 500 // ms
+	retryInterval    = 50 * time.Millisecond
 )
 
 // Outcome is what came of a client's request.
 type Outcome struct {
 	Status     int           // 0: no answer
 	FirstEvent time.Duration // until the first byte of the stream
-	Whole      bool          // all events came, in order, signed by the server
+	Complete   bool          // all events came, in order, signed by the server
 	Problem    string        // why it isn't whole
 	Err        error         // of a connection that gave no whole answer
 }
 
 // Refused tells whether the request got the promise that it has not run.
-func (o Outcome) Refused() bool {
+func (o Outcome) Rejected() bool {
 	return o.Status == http.StatusTooManyRequests || o.Status == http.StatusServiceUnavailable
 }
 
 // Client sends requests to gateways as clients of the deployment do.
 type Client struct {
-	Key      string
-	Patience time.Duration // how long an answer may be late; 0: a client gives up with its deadline
-	http     http.Client
+	Key           string
+	ResponseSlack time.Duration // how long an answer may be late; 0: a client gives up with its deadline
+	http          http.Client
 }
 
 // NewClient gives a client with a tenant's key. It keeps no connections, so that each request may go to any gateway.
@@ -54,14 +54,14 @@
 
 // Stream sends a request on the streaming route to a machine's gateway and checks the answer against what a server puts out.
 func (c *Client) Stream(ctx context.Context, m Machine, id string, session int) Outcome {
-	ctx, cancel := context.WithTimeout(ctx, clientDeadline+c.Patience)
+	ctx, cancel := context.WithTimeout(ctx, clientDeadline+c.ResponseSlack)
 	defer cancel()
 	request, err := c.request(ctx, http.MethodPost, m, StreamHost, StreamPrefix+"2f", []byte("a log to read"))
 	if err != nil {
 		return Outcome{Problem: err.Error()}
 	}
 	request.Header.Set("X-Request-Id", id)
-	setPrompt(request.Header, id, session)
+	setPromptHeaders(request.Header, id, session)
 	began := time.Now()
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -75,22 +75,22 @@
 		return outcome
 	}
 	outcome.FirstEvent = time.Since(began)
-	rest, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	rest, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		outcome.Problem, outcome.Err = err.Error(), err
 		return outcome
 	}
-	outcome.Problem = wrongStream(response, string(first)+string(rest), id)
-	outcome.Whole = outcome.Problem == ""
+	outcome.Problem = checkStream(response, string(first)+string(rest), id)
+	outcome.Complete = outcome.Problem == ""
 	return outcome
 }
 
 // StreamUntilTaken sends a request as Stream does, and again after each refusal, as clients do: a refusal promises that the request
 // has not run. Each try has an id of its own.
-func (c *Client) StreamUntilTaken(ctx context.Context, m Machine, id string, session int) Outcome {
+func (c *Client) StreamUntilAccepted(ctx context.Context, m Machine, id string, session int) Outcome {
 	for try := 0; ; try++ {
 		outcome := c.Stream(ctx, m, fmt.Sprintf("%s-%d", id, try), session)
-		if !outcome.Refused() || !sleep(ctx, betweenTries) {
+		if !outcome.Rejected() || !sleep(ctx, retryInterval) {
 			return outcome
 		}
 	}
@@ -107,14 +107,14 @@
 	return request, nil
 }
 
-func setPrompt(header http.Header, id string, session int) {
+func setPromptHeaders(header http.Header, id string, session int) {
 	header.Set("X-Model", "m")
-	header.Set("X-Token-Usage", fmt.Sprintf("%d,%d", sharedTokens+ownTokens, outTokens))
+	header.Set("X-Token-Usage", fmt.Sprintf("%d,%d", sharedTokens+ownTokens, outputTokens))
 	header.Set("X-Prompt-Prefix", fmt.Sprintf("%x:%d,%x:%d", 1000+session, sharedTokens, id, ownTokens))
 }
 
 // wrongStream tells what is wrong with an answer; empty: nothing.
-func wrongStream(response *http.Response, text, id string) string {
+func checkStream(response *http.Response, text, id string) string {
 	if response.StatusCode != http.StatusOK {
 		return response.Status
 	}
@@ -124,11 +124,11 @@
 	if response.Header.Get("X-Request-Id") != id {
 		return "the answer is of another request"
 	}
-	return wrongEvents(text, id)
+	return checkEvents(text, id)
 }
 
-func wrongEvents(text, id string) string {
-	events := modelserver.Events(outTokens, engineStride)
+func checkEvents(text, id string) string {
+	events := modelserver.Events(outputTokens, engineTokensPerEvent)
 	var want strings.Builder
 	for n := 1; n <= events; n++ {
 		fmt.Fprintf(&want, "id: %d\ndata: %s\n\n", n, modelserver.EventData(id, n))
@@ -165,7 +165,7 @@
 	list := make([]batchItem, items)
 	for i := range list {
 		header := http.Header{}
-		setPrompt(header, ItemID(job, i), 0)
+		setPromptHeaders(header, ItemID(job, i), 0)
 		headers := map[string]string{}
 		for name := range header {
 			headers[name] = header.Get(name)
@@ -175,7 +175,7 @@
 			Path:    BatchPrefix + "3/" + strconv.Itoa(i),
 			Headers: headers,
 			Body:    base64.StdEncoding.EncodeToString(ItemBody(job, i)),
-			Tokens:  sharedTokens + ownTokens + outTokens,
+			Tokens:  sharedTokens + ownTokens + outputTokens,
 		}
 	}
 	body, err := json.Marshal(map[string][]batchItem{"requests": list})
@@ -189,9 +189,9 @@
 
 // Results is what a batch job has to read from a position on.
 type Results struct {
-	Total   int           `json:"total"`
-	Next    int           `json:"next-token"`
-	Results []BatchResult `json:"results"`
+	Total     int           `json:"total"`
+	NextToken int           `json:"next-token"`
+	Results   []BatchResult `json:"results"`
 }
 
 // BatchResult is one item's result.
@@ -202,8 +202,8 @@
 }
 
 // Whole tells whether a result is the whole output of its item.
-func (r BatchResult) Whole() bool {
-	return r.State == "completed" && r.Text == modelserver.Text(r.ID, modelserver.Events(outTokens, engineStride))
+func (r BatchResult) Complete() bool {
+	return r.State == "completed" && r.Text == modelserver.Text(r.ID, modelserver.Events(outputTokens, engineTokensPerEvent))
 }
 
 // Read reads the results of a batch job from a position on; the status is 0 without an answer.
@@ -216,7 +216,7 @@
 func (c *Client) TryRead(ctx context.Context, m Machine, job string, from int) (int, Results, error) {
 	var results Results
 	path := fmt.Sprintf("/lots/%s?start-after=%d", job, from)
-	status, body, err := c.batchCall(ctx, http.MethodGet, m, path, nil, map[string]string{"X-Wait-Ms": strconv.Itoa(waitForResults)})
+	status, body, err := c.batchCall(ctx, http.MethodGet, m, path, nil, map[string]string{"X-Wait-Ms": strconv.Itoa(resultsWait)})
 	if status != http.StatusOK || err != nil {
 		return status, results, err
 	}
@@ -245,7 +245,7 @@
 }
 
 func (c *Client) batchCall(ctx context.Context, method string, m Machine, path string, body []byte, headers map[string]string) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, clientDeadline+c.Patience)
+	ctx, cancel := context.WithTimeout(ctx, clientDeadline+c.ResponseSlack)
 	defer cancel()
 	request, err := c.request(ctx, method, m, BatchHost, path, body)
 	if err != nil {
@@ -259,7 +259,7 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/lab/system/configuration.go
+++ b/internal/lab/system/configuration.go
@@ -37,8 +37,8 @@
 				CompletionTargetMs: 10000, RetentionSeconds: 60},
 		},
 		Backends: []configuration.Backend{{Name: ServiceName, HealthPath: "/healthz", MaxConns: engineConns, Protocol: "h1",
-			Engine: configuration.Engine{Slots: engineSlots, KVTokens: engineTokens, KVBytes: 327680, LinkMbps: 2.2e6,
-				Stride: engineStride, Models: []configuration.Model{{Name: "m"}}}}},
+			Engine: configuration.Engine{Slots: engineSlots, KVTokens: engineKVTokens, KVBytes: 327680, LinkMbps: 2.2e6,
+				Stride: engineTokensPerEvent, Models: []configuration.Model{{Name: "m"}}}}},
 		Limits: configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 		Tenants: []configuration.Tenant{
 			{Name: TenantName, APIKeys: []string{TenantKey}, Priority: 1, RatePerSec: 200, Burst: 200},
@@ -48,7 +48,7 @@
 }
 
 // Put puts a whole configuration on top of a version.
-func (f *Fleet) Put(ctx context.Context, builtOn uint64, document configuration.Document) error {
+func (f *Cluster) PutConfiguration(ctx context.Context, builtOn uint64, document configuration.Document) error {
 	body, err := json.Marshal(document)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 }
 
 // Get reads the newest configuration back.
-func (f *Fleet) Get(ctx context.Context) (configuration.Document, error) {
+func (f *Cluster) Configuration(ctx context.Context) (configuration.Document, error) {
 	var document configuration.Document
 	answer, err := f.Operator().Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	if err != nil {
--- a/internal/lab/system/demonstration.go
+++ b/internal/lab/system/demonstration.go
@@ -15,31 +15,31 @@
 
 // Demonstration is a whole system under a light load, with a fault on the way.
 type Demonstration struct {
-	Plan     Plan
-	Rate     float64       // requests a second
-	For      time.Duration // how long the load lasts; 0: until the context ends
-	BatchJob int           // items of each batch job
-	Fault    bool          // kill a control process after a quarter of the time, and start it again
-	Live     bool          // draw the table anew in place; else print it every few seconds
-	Out      io.Writer
+	Options     Options
+	Rate        float64       // requests a second
+	Duration    time.Duration // how long the load lasts; 0: until the context ends
+	ItemsPerJob int           // items of each batch job
+	Fault       bool          // kill a control process after a quarter of the time, and start it again
+	Live        bool          // draw the table anew in place; else print it every few seconds
+	Output      io.Writer
 }
 
 const (
-	startWithin   = 30 * time.Second
-	batchEvery    = 5 * time.Second
-	drawEvery     = 500 * time.Millisecond
-	printEvery    = 5 * time.Second
-	faultLasts    = 3 * time.Second
-	faultWithout  = 15 * time.Second // until the fault where no length is given
-	sessions      = 8
-	mostOpen      = 200 // requests open at once
-	pollBatch     = 300 * time.Millisecond
-	longestAnswer = time.Minute
+	startTimeout      = 30 * time.Second
+	batchInterval     = 5 * time.Second
+	redrawInterval    = 500 * time.Millisecond
+	printInterval     = 5 * time.Second
+	faultDuration     = 3 * time.Second
+	defaultFaultDelay = 15 * time.Second // until the fault where no length is given
+	sessions          = 8
+	maxOpenRequests   = 200 // requests open at once
+	batchPollInterval = 300 * time.Millisecond
+	maxLatency        = time.Minute
 )
 
 // Run starts the system, puts a configuration, loads it, and ends it all.
 func (d Demonstration) Run(ctx context.Context) (err error) {
-	fleet, err := Open(d.Plan)
+	fleet, err := Open(d.Options)
 	if err != nil {
 		return err
 	}
@@ -48,30 +48,30 @@
 	if err := d.begin(ctx, fleet); err != nil {
 		return err
 	}
-	fmt.Fprintf(d.Out, "%d processes serve after %.1f s; control answers at %v\n", len(fleet.processes), time.Since(began).Seconds(),
+	fmt.Fprintf(d.Output, "%d processes serve after %.1f s; control answers at %v\n", len(fleet.processes), time.Since(began).Seconds(),
 		fleet.Operator().Addresses)
-	if d.For > 0 {
+	if d.Duration > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, d.For)
+		ctx, cancel = context.WithTimeout(ctx, d.Duration)
 		defer cancel()
 	}
 	return d.play(ctx, fleet)
 }
 
-func (d Demonstration) begin(ctx context.Context, fleet *Fleet) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+func (d Demonstration) begin(ctx context.Context, fleet *Cluster) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := fleet.StartAll(); err != nil {
 		return err
 	}
-	if err := fleet.Put(ctx, 0, Configuration(1)); err != nil {
+	if err := fleet.PutConfiguration(ctx, 0, Configuration(1)); err != nil {
 		return err
 	}
 	return fleet.WaitServing(ctx, NewClient(TenantKey))
 }
 
-func (d Demonstration) play(ctx context.Context, fleet *Fleet) error {
-	counts := newCounts(fleet)
+func (d Demonstration) play(ctx context.Context, fleet *Cluster) error {
+	counts := newClientCounts(fleet)
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { d.stream(ctx, counts) })
@@ -80,10 +80,10 @@
 	if d.Fault {
 		all.Go(func() { d.fault(ctx, fleet, news) })
 	}
-	screen := &screen{out: d.Out, live: d.Live, began: time.Now(), news: "all is well"}
-	every := printEvery
+	screen := &statusScreen{out: d.Output, live: d.Live, began: time.Now(), status: "all is well"}
+	every := printInterval
 	if d.Live {
-		every = drawEvery
+		every = redrawInterval
 	}
 	beat := time.NewTicker(every)
 	defer beat.Stop()
@@ -93,7 +93,7 @@
 			screen.draw(fleet, counts)
 			return nil
 		case text := <-news:
-			screen.tell(text)
+			screen.setStatus(text)
 		case <-beat.C:
 			screen.draw(fleet, counts)
 		}
@@ -101,9 +101,9 @@
 }
 
 // stream sends requests in an open loop, each to a gateway drawn by chance. Requests that were refused aren't sent again.
-func (d Demonstration) stream(ctx context.Context, counts *counts) {
+func (d Demonstration) stream(ctx context.Context, counts *clientCounts) {
 	client := NewClient(TenantKey)
-	open := make(chan struct{}, mostOpen)
+	open := make(chan struct{}, maxOpenRequests)
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for number := 0; ; number++ {
@@ -118,16 +118,16 @@
 		default:
 			continue // the system stands still; what comes now is not asked at all
 		}
-		m := counts.pick()
+		m := counts.randomMachine()
 		requests.Go(func() {
 			defer func() { <-open }()
-			counts.ended(m, client.Stream(context.WithoutCancel(ctx), m, fmt.Sprintf("stream-%d", number), number%sessions))
+			counts.record(m, client.Stream(context.WithoutCancel(ctx), m, fmt.Sprintf("stream-%d", number), number%sessions))
 		})
 	}
 }
 
 // batch submits a batch job every few seconds, and reads the results of each until all are there.
-func (d Demonstration) batch(ctx context.Context, counts *counts) {
+func (d Demonstration) batch(ctx context.Context, counts *clientCounts) {
 	client := NewClient(TenantKey)
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
@@ -136,44 +136,44 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(batchEvery):
+		case <-time.After(batchInterval):
 		}
 	}
 }
 
-func (d Demonstration) batchJob(ctx context.Context, client *Client, counts *counts, job string) {
-	for client.Submit(ctx, counts.pick(), job, d.BatchJob) != http.StatusAccepted {
-		if !sleep(ctx, pollBatch) {
+func (d Demonstration) batchJob(ctx context.Context, client *Client, counts *clientCounts, job string) {
+	for client.Submit(ctx, counts.randomMachine(), job, d.ItemsPerJob) != http.StatusAccepted {
+		if !sleep(ctx, batchPollInterval) {
 			return
 		}
 	}
-	counts.batchTaken(d.BatchJob)
-	for listed := 0; listed < d.BatchJob; {
-		status, results := client.Read(ctx, counts.pick(), job, listed)
+	counts.batchAccepted(d.ItemsPerJob)
+	for listed := 0; listed < d.ItemsPerJob; {
+		status, results := client.Read(ctx, counts.randomMachine(), job, listed)
 		if status == http.StatusOK {
 			counts.batchListed(results.Results)
 			listed += len(results.Results)
 			continue
 		}
-		if !sleep(ctx, pollBatch) {
+		if !sleep(ctx, batchPollInterval) {
 			return
 		}
 	}
 }
 
 // fault kills a control process and starts it again.
-func (d Demonstration) fault(ctx context.Context, fleet *Fleet, news chan<- string) {
-	wait := d.For / 4
+func (d Demonstration) fault(ctx context.Context, fleet *Cluster, news chan<- string) {
+	wait := d.Duration / 4
 	if wait == 0 {
-		wait = faultWithout
+		wait = defaultFaultDelay
 	}
-	m := fleet.Machine(RoleControl, fleet.Plan.Zones[0])
+	m := fleet.Machine(RoleControl, fleet.Options.Zones[0])
 	if !sleep(ctx, wait) {
 		return
 	}
 	fleet.Process(m, RoleControl).Kill()
 	news <- "control on " + m.Name + " is killed"
-	if !sleep(ctx, faultLasts) {
+	if !sleep(ctx, faultDuration) {
 		return
 	}
 	if err := fleet.Restart(m, RoleControl); err != nil {
@@ -193,7 +193,7 @@
 }
 
 // counts are what the clients saw.
-type counts struct {
+type clientCounts struct {
 	machines []Machine // with gateways
 
 	mu       sync.Mutex
@@ -202,58 +202,58 @@
 }
 
 type gatewayCounts struct {
-	asked, served, refused, failed int
-	first                          *hdrhistogram.Histogram // microseconds until the first event of served requests
-	problem                        string                  // of the latest that failed
+	sent, served, rejected, failed int
+	firstEvent                     *hdrhistogram.Histogram // microseconds until the first event of served requests
+	lastProblem                    string                  // of the latest that failed
 }
 
-type batchCounts struct{ taken, completed, dead, wrong int }
+type batchCounts struct{ accepted, completed, deadLettered, wrong int }
 
-func newCounts(fleet *Fleet) *counts {
-	c := &counts{gateways: map[string]*gatewayCounts{}}
+func newClientCounts(fleet *Cluster) *clientCounts {
+	c := &clientCounts{gateways: map[string]*gatewayCounts{}}
 	for _, m := range fleet.Machines {
 		if m.Class == "front" {
 			c.machines = append(c.machines, m)
-			c.gateways[m.Name] = &gatewayCounts{first: hdrhistogram.New(1, longestAnswer.Microseconds(), 3)}
+			c.gateways[m.Name] = &gatewayCounts{firstEvent: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
 		}
 	}
 	return c
 }
 
-func (c *counts) pick() Machine { return c.machines[rand.IntN(len(c.machines))] }
+func (c *clientCounts) randomMachine() Machine { return c.machines[rand.IntN(len(c.machines))] }
 
-func (c *counts) ended(m Machine, outcome Outcome) {
+func (c *clientCounts) record(m Machine, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	gateway := c.gateways[m.Name]
-	gateway.asked++
+	gateway.sent++
 	switch {
-	case outcome.Whole:
+	case outcome.Complete:
 		gateway.served++
-		_ = gateway.first.RecordValue(min(max(outcome.FirstEvent.Microseconds(), 1), longestAnswer.Microseconds()))
-	case outcome.Refused():
-		gateway.refused++
+		_ = gateway.firstEvent.RecordValue(min(max(outcome.FirstEvent.Microseconds(), 1), maxLatency.Microseconds()))
+	case outcome.Rejected():
+		gateway.rejected++
 	default:
 		gateway.failed++
-		gateway.problem = outcome.Problem
+		gateway.lastProblem = outcome.Problem
 	}
 }
 
-func (c *counts) batchTaken(items int) {
+func (c *clientCounts) batchAccepted(items int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.batch.taken += items
+	c.batch.accepted += items
 }
 
-func (c *counts) batchListed(results []BatchResult) {
+func (c *clientCounts) batchListed(results []BatchResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, one := range results {
 		switch {
-		case one.Whole():
+		case one.Complete():
 			c.batch.completed++
 		case one.State == "dead_letter":
-			c.batch.dead++
+			c.batch.deadLettered++
 		default:
 			c.batch.wrong++
 		}
--- a/internal/lab/system/fleet.go
+++ b/internal/lab/system/fleet.go
@@ -23,39 +23,39 @@
 
 // The figures of the stand-ins.
 const (
-	platformLag   = 200 * time.Millisecond
-	platformRate  = 44 // calls a second
-	engineSlots   = 16
-	engineConns   = 190
-	engineTokens  = 232000
-	enginePrompts = 128000 // tokens read in a second
-	engineStride  = 24
-	engineEvery   = 10 * time.Millisecond
-	stopWithin    = 9 * time.Second // the grace of the settings, and a second
+	platformLag          = 200 * time.Millisecond
+	platformRate         = 44 // calls a second
+	engineSlots          = 16
+	engineConns          = 190
+	engineKVTokens       = 232000
+	enginePrefillRate    = 128000 // tokens read in a second
+	engineTokensPerEvent = 24
+	engineEventInterval  = 10 * time.Millisecond
+	stopTimeout          = 9 * time.Second // the grace of the settings, and a second
 )
 
 // Plan is what stands.
-type Plan struct {
-	Programs string // the folder of the programs
-	Zones    []string
-	Engines  int                      // model servers
-	Fails    func(request string) int // of the model servers; nil: none fails
-	Fronts   int                      // front machines, in the zones in turn; 0: one in each zone
-	Stores   int                      // store machines, in the zones in turn; 0: one in each zone
-	Lost     int                      // disks that may be lost at once; 0: one
-	Status   time.Duration            // how long batch jobs are kept; 0: as usual
-	Tells    bool                     // model servers tell their load
-	Folder   string                   // of disks, settings files and logs, which stays; empty: a temporary one
+type Options struct {
+	Programs      string // the folder of the programs
+	Zones         []string
+	ModelServers  int                      // model servers
+	FailStatus    func(request string) int // of the model servers; nil: none fails
+	FrontMachines int                      // front machines, in the zones in turn; 0: one in each zone
+	StoreMachines int                      // store machines, in the zones in turn; 0: one in each zone
+	MaxLostDisks  int                      // disks that may be lost at once; 0: one
+	JobRetention  time.Duration            // how long batch jobs are kept; 0: as usual
+	ReportLoad    bool                     // model servers tell their load
+	Folder        string                   // of disks, settings files and logs, which stays; empty: a temporary one
 	// Environment gives further variables of a machine's processes, NAME=value; nil: none.
 	Environment func(Machine) []string
 }
 
 // DefaultPlan has a control process, a gateway and a batch process in each of three zones, before six servers.
-func DefaultPlan(programs string) Plan {
-	return Plan{Programs: programs, Zones: []string{"east", "west", "north"}, Engines: 6}
+func DefaultOptions(programs string) Options {
+	return Options{Programs: programs, Zones: []string{"east", "west", "north"}, ModelServers: 6}
 }
 
-func (p Plan) folder() (string, error) {
+func (p Options) folder() (string, error) {
 	if p.Folder == "" {
 		return os.MkdirTemp("", "sprucelane-system-")
 	}
@@ -63,33 +63,33 @@
 }
 
 // Fleet is a running system.
-type Fleet struct {
-	Plan     Plan
-	Machines []Machine
-	Platform *platform.Platform
-	Ledger   *modelserver.Ledger
+type Cluster struct {
+	Options      Options
+	Machines     []Machine
+	Platform     *platform.Platform
+	ExecutionLog *modelserver.ExecutionLog
 
-	settings Settings
-	network  string
+	settings      settings
+	networkPrefix string
 
-	mu        sync.Mutex
-	engines   []*modelserver.Server
-	processes map[string]*process.Process // by machine and role
+	mu           sync.Mutex
+	modelServers []*modelserver.Server
+	processes    map[string]*process.Process // by machine and role
 }
 
 // Open starts the stand-ins and writes the settings files. Start starts the processes.
-func Open(plan Plan) (*Fleet, error) {
+func Open(plan Options) (*Cluster, error) {
 	folder, err := plan.folder()
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{
-		Plan:      plan,
-		Ledger:    &modelserver.Ledger{},
-		network:   ownNetwork(),
-		processes: map[string]*process.Process{},
+	f := &Cluster{
+		Options:       plan,
+		ExecutionLog:  &modelserver.ExecutionLog{},
+		networkPrefix: uniqueNetworkPrefix(),
+		processes:     map[string]*process.Process{},
 	}
-	f.settings = Settings{Zones: plan.Zones, Bootstrap: true, Folder: folder, Lost: plan.Lost, Status: plan.Status}
+	f.settings = settings{zones: plan.Zones, bootstrap: true, folder: folder, maxLostDisks: plan.MaxLostDisks, jobRetention: plan.JobRetention}
 	if err := f.open(); err != nil {
 		f.Close()
 		return nil, err
@@ -97,20 +97,20 @@
 	return f, nil
 }
 
-func (f *Fleet) open() error {
+func (f *Cluster) open() error {
 	var err error
 	f.Platform, err = platform.Start(platform.Options{
-		Address: endpoint(f.address(1), portCloud),
+		Address: endpoint(f.ipAddress(1), portPlatform),
 		Lag:     platformLag,
 		Rate:    platformRate,
 	})
 	if err != nil {
 		return err
 	}
-	f.settings.Cloud = f.Platform.Address()
-	f.place()
-	for range f.Plan.Engines {
-		if _, err := f.AddEngine(); err != nil {
+	f.settings.platformAddress = f.Platform.Address()
+	f.placeMachines()
+	for range f.Options.ModelServers {
+		if _, err := f.AddModelServer(); err != nil {
 			return err
 		}
 	}
@@ -124,23 +124,23 @@
 	return nil
 }
 
-func (f *Fleet) address(number int) string { return fmt.Sprintf("%s.%d", f.network, number) }
+func (f *Cluster) ipAddress(number int) string { return fmt.Sprintf("%s.%d", f.networkPrefix, number) }
 
 // place puts front machines, with control and gateway, and store machines into the zones.
-func (f *Fleet) place() {
+func (f *Cluster) placeMachines() {
 	const firstFront, firstStore = 10, 30
-	zones := len(f.Plan.Zones)
-	fronts, stores := cmp.Or(f.Plan.Fronts, zones), cmp.Or(f.Plan.Stores, zones)
+	zones := len(f.Options.Zones)
+	fronts, stores := cmp.Or(f.Options.FrontMachines, zones), cmp.Or(f.Options.StoreMachines, zones)
 	for i := range max(fronts, stores) {
-		zone, number := f.Plan.Zones[i%zones], i/zones+1
+		zone, number := f.Options.Zones[i%zones], i/zones+1
 		if i < fronts {
-			front := Machine{Name: fmt.Sprintf("front-%s-%d", zone, number), Class: "front", Zone: zone, IP: f.address(firstFront + i),
+			front := Machine{Name: fmt.Sprintf("front-%s-%d", zone, number), Class: "front", Zone: zone, IP: f.ipAddress(firstFront + i),
 				Roles: []string{RoleControl, RoleGateway}}
 			f.Machines = append(f.Machines, front)
-			f.settings.Seeds = append(f.settings.Seeds, front.IP)
+			f.settings.seeds = append(f.settings.seeds, front.IP)
 		}
 		if i < stores {
-			store := Machine{Name: fmt.Sprintf("store-%s-%d", zone, number), Class: "store", Zone: zone, IP: f.address(firstStore + i),
+			store := Machine{Name: fmt.Sprintf("store-%s-%d", zone, number), Class: "store", Zone: zone, IP: f.ipAddress(firstStore + i),
 				Roles: []string{RoleBatch}}
 			f.Machines = append(f.Machines, store)
 		}
@@ -148,42 +148,42 @@
 }
 
 // AddEngine starts a model server in the next zone and lists it.
-func (f *Fleet) AddEngine() (*modelserver.Server, error) {
+func (f *Cluster) AddModelServer() (*modelserver.Server, error) {
 	const firstEngine = 50
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	number := len(f.engines)
+	number := len(f.modelServers)
 	server, err := modelserver.Start(modelserver.Options{
 		ID:             fmt.Sprintf("i-%04d", number+1),
 		Service:        ServiceName,
-		Address:        endpoint(f.address(firstEngine+number), portEngine),
+		Address:        endpoint(f.ipAddress(firstEngine+number), portModelServer),
 		Slots:          engineSlots,
 		MaxConnections: engineConns,
-		KVTokens:       engineTokens,
-		PromptRate:     enginePrompts,
-		EventEvery:     engineEvery,
-		Stride:         engineStride,
-		Ledger:         f.Ledger,
-		Fails:          f.Plan.Fails,
-		TellsLoad:      f.Plan.Tells,
+		KVTokens:       engineKVTokens,
+		PrefillRate:    enginePrefillRate,
+		EventInterval:  engineEventInterval,
+		TokensPerEvent: engineTokensPerEvent,
+		ExecutionLog:   f.ExecutionLog,
+		FailStatus:     f.Options.FailStatus,
+		ReportLoad:     f.Options.ReportLoad,
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.engines = append(f.engines, server)
-	f.Platform.Put(server, f.Plan.Zones[number%len(f.Plan.Zones)])
+	f.modelServers = append(f.modelServers, server)
+	f.Platform.Put(server, f.Options.Zones[number%len(f.Options.Zones)])
 	return server, nil
 }
 
 // Engines gives the model servers.
-func (f *Fleet) Engines() []*modelserver.Server {
+func (f *Cluster) ModelServers() []*modelserver.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*modelserver.Server(nil), f.engines...)
+	return append([]*modelserver.Server(nil), f.modelServers...)
 }
 
 // StartAll starts all processes.
-func (f *Fleet) StartAll() error {
+func (f *Cluster) StartAll() error {
 	for _, m := range f.Machines {
 		for _, role := range m.Roles {
 			if err := f.Start(m, role); err != nil {
@@ -195,16 +195,16 @@
 }
 
 // Start starts a role's process on a machine.
-func (f *Fleet) Start(m Machine, role string) error {
+func (f *Cluster) Start(m Machine, role string) error {
 	environment := []string{node.SettingsVariable + "=" + f.settings.settingsPath(m, role)}
-	if f.Plan.Environment != nil {
-		environment = append(environment, f.Plan.Environment(m)...)
+	if f.Options.Environment != nil {
+		environment = append(environment, f.Options.Environment(m)...)
 	}
 	started, err := process.Start(process.Command{
 		Name:        m.Name + "-" + role,
-		Binary:      filepath.Join(f.Plan.Programs, programPrefix+role),
+		Binary:      filepath.Join(f.Options.Programs, programPrefix+role),
 		Environment: environment,
-		Log:         filepath.Join(f.settings.Folder, m.Name+"-"+role+".log"),
+		Log:         filepath.Join(f.settings.folder, m.Name+"-"+role+".log"),
 	})
 	if err != nil {
 		return err
@@ -216,21 +216,21 @@
 }
 
 // Process gives the process of a role on a machine in its latest life; nil: it was never started.
-func (f *Fleet) Process(m Machine, role string) *process.Process {
+func (f *Cluster) Process(m Machine, role string) *process.Process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[m.Name+"-"+role]
 }
 
 // Restart starts a process again, with bootstrap false as after any first start.
-func (f *Fleet) Restart(m Machine, role string) error {
+func (f *Cluster) Restart(m Machine, role string) error {
 	if p := f.Process(m, role); p != nil {
 		if ended, _ := p.Ended(); !ended {
 			return fmt.Errorf("%s is still running", p.Name)
 		}
 	}
 	settings := f.settings
-	settings.Bootstrap = false
+	settings.bootstrap = false
 	if err := settings.write(m, role); err != nil {
 		return err
 	}
@@ -238,12 +238,12 @@
 }
 
 // WipeDisk empties the disk of a role whose process has ended.
-func (f *Fleet) WipeDisk(m Machine, role string) error {
+func (f *Cluster) WipeDisk(m Machine, role string) error {
 	return os.RemoveAll(f.settings.dataPath(m, role))
 }
 
 // Machine gives the machine of a role in a zone.
-func (f *Fleet) Machine(role, zone string) Machine {
+func (f *Cluster) Machine(role, zone string) Machine {
 	for _, m := range f.Machines {
 		for _, one := range m.Roles {
 			if one == role && m.Zone == zone {
@@ -255,9 +255,9 @@
 }
 
 // Operator gives a client of the control processes.
-func (f *Fleet) Operator() *controlclient.Client {
+func (f *Cluster) Operator() *controlclient.Client {
 	client := &controlclient.Client{}
-	for _, ip := range f.settings.Seeds {
+	for _, ip := range f.settings.seeds {
 		client.Addresses = append(client.Addresses, endpoint(ip, portControl))
 	}
 	return client
@@ -267,7 +267,7 @@
 func ControlAddress(m Machine) string { return endpoint(m.IP, portControl) }
 
 // Ready tells whether the gateway on a machine says that it is.
-func (f *Fleet) Ready(m Machine) bool {
+func (f *Cluster) Ready(m Machine) bool {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + endpoint(m.IP, portReady) + "/readyz")
 	if err != nil {
@@ -278,7 +278,7 @@
 }
 
 // WaitReady waits until all gateways are ready. It fails at once where a process has ended by itself.
-func (f *Fleet) WaitReady(ctx context.Context) error {
+func (f *Cluster) WaitReady(ctx context.Context) error {
 	for {
 		ready := true
 		for _, m := range f.Machines {
@@ -289,12 +289,12 @@
 		if ready {
 			return nil
 		}
-		if err := f.ended(); err != nil {
+		if err := f.checkRunning(); err != nil {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return errors.New("not all gateways are ready: " + f.lastLines())
+			return errors.New("not all gateways are ready: " + f.logTails())
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
@@ -302,7 +302,7 @@
 
 // WaitServing waits until each gateway is ready and has served a client's request: for a moment after the start of a fleet there
 // are no grants of quota yet.
-func (f *Fleet) WaitServing(ctx context.Context, client *Client) error {
+func (f *Cluster) WaitServing(ctx context.Context, client *Client) error {
 	if err := f.WaitReady(ctx); err != nil {
 		return err
 	}
@@ -312,12 +312,12 @@
 		}
 		for try := 0; ; try++ {
 			got := client.Stream(ctx, m, fmt.Sprintf("first-%s-%s-%d", client.Key, m.Name, try), 0)
-			if got.Whole {
+			if got.Complete {
 				break
 			}
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s serves nothing: %+v%s", m.Name, got, f.lastLines())
+				return fmt.Errorf("%s serves nothing: %+v%s", m.Name, got, f.logTails())
 			case <-time.After(50 * time.Millisecond):
 			}
 		}
@@ -325,29 +325,29 @@
 	return nil
 }
 
-func (f *Fleet) ended() error {
+func (f *Cluster) checkRunning() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, p := range f.processes {
 		if ended, err := p.Ended(); ended {
-			return fmt.Errorf("%s ended: %v: %s", name, err, p.LastLines()) //nolint:errorlint // nil after exit 0
+			return fmt.Errorf("%s ended: %v: %s", name, err, p.LogTail()) //nolint:errorlint // nil after exit 0
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) lastLines() string {
+func (f *Cluster) logTails() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	text := ""
 	for name, p := range f.processes {
-		text += "\n" + name + ": " + p.LastLines()
+		text += "\n" + name + ": " + p.LogTail()
 	}
 	return text
 }
 
 // Close ends all processes and stand-ins, and removes the disks unless their folder was given. It tells which process didn't end cleanly when it was asked to.
-func (f *Fleet) Close() error {
+func (f *Cluster) Close() error {
 	f.mu.Lock()
 	processes := f.processes
 	f.processes = map[string]*process.Process{}
@@ -359,14 +359,14 @@
 			continue
 		}
 		all.Go(func() {
-			if err := p.Stop(stopWithin); err != nil {
-				failures <- fmt.Errorf("%s: %w: %s", name, err, p.LastLines())
+			if err := p.Stop(stopTimeout); err != nil {
+				failures <- fmt.Errorf("%s: %w: %s", name, err, p.LogTail())
 			}
 		})
 	}
 	all.Wait()
 	close(failures)
-	for _, server := range f.Engines() {
+	for _, server := range f.ModelServers() {
 		server.Stop()
 	}
 	if f.Platform != nil {
@@ -376,8 +376,8 @@
 	for err := range failures {
 		list = append(list, err)
 	}
-	if f.Plan.Folder == "" {
-		list = append(list, os.RemoveAll(f.settings.Folder))
+	if f.Options.Folder == "" {
+		list = append(list, os.RemoveAll(f.settings.folder))
 	}
 	return errors.Join(list...)
 }
--- a/internal/lab/system/machine.go
+++ b/internal/lab/system/machine.go
@@ -23,17 +23,17 @@
 
 // Ports of all machines; each machine has an address of its own.
 const (
-	portFront     = 8689
-	portReady     = 8687
-	portControl   = 8683
-	portCloud     = 8688
-	portEngine    = 8080
-	portRangeFrom = 7360
-	portRangeTo   = 7375
+	portFront       = 8689
+	portReady       = 8687
+	portControl     = 8683
+	portPlatform    = 8688
+	portModelServer = 8080
+	portRangeFrom   = 7360
+	portRangeTo     = 7375
 )
 
 // usualStatus is how long batch jobs are kept.
-const usualStatus = 120 * time.Second
+const defaultJobRetention = 120 * time.Second
 
 // Machine is one machine: an address, a folder as its disk, and the processes on it.
 type Machine struct {
@@ -45,28 +45,28 @@
 }
 
 // Settings are what a machine's settings files tell beside its own place.
-type Settings struct {
-	Zones     []string
-	Seeds     []string // IPs of control machines
-	Bootstrap bool
-	Cloud     string        // ip:port
-	Folder    string        // of all machines' disks and settings files
-	Lost      int           // disks that may be lost at once; 0: one
-	Status    time.Duration // how long batch jobs are kept; 0: usualStatus
+type settings struct {
+	zones           []string
+	seeds           []string // IPs of control machines
+	bootstrap       bool
+	platformAddress string        // ip:port
+	folder          string        // of all machines' disks and settings files
+	maxLostDisks    int           // disks that may be lost at once; 0: one
+	jobRetention    time.Duration // how long batch jobs are kept; 0: usualStatus
 }
 
 // settingsPath gives the place of the settings file of a role.
-func (s Settings) settingsPath(m Machine, role string) string {
-	return filepath.Join(s.Folder, m.Name+"-"+role+".conf")
+func (s settings) settingsPath(m Machine, role string) string {
+	return filepath.Join(s.folder, m.Name+"-"+role+".conf")
 }
 
 // dataPath gives the folder of a role's disk.
-func (s Settings) dataPath(m Machine, role string) string {
-	return filepath.Join(s.Folder, m.Name+"-"+role)
+func (s settings) dataPath(m Machine, role string) string {
+	return filepath.Join(s.folder, m.Name+"-"+role)
 }
 
 // write writes the settings file of a role, and makes the folder of its disk.
-func (s Settings) write(m Machine, role string) error {
+func (s settings) write(m Machine, role string) error {
 	if err := os.MkdirAll(s.dataPath(m, role), 0o755); err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 }
 
 // text words the settings file of a role on a machine, as the platform does.
-func (s Settings) text(m Machine, role string) string {
+func (s settings) text(m Machine, role string) string {
 	var b strings.Builder
 	line := func(key string, value any) { fmt.Fprintf(&b, "%s=%v\n", key, value) }
 	line("node-name", m.Name)
@@ -84,7 +84,7 @@
 	line("ip", m.IP)
 	line("zone", m.Zone)
 	line("region", "loopback")
-	for _, zone := range s.Zones {
+	for _, zone := range s.zones {
 		line("zones."+zone, "loopback")
 	}
 	switch role {
@@ -95,19 +95,19 @@
 		line("listen.control", endpoint(m.IP, portControl))
 	}
 	line("port-range", fmt.Sprintf("%d,%d", portRangeFrom, portRangeTo))
-	seeds := make([]string, len(s.Seeds))
-	for i, ip := range s.Seeds {
+	seeds := make([]string, len(s.seeds))
+	for i, ip := range s.seeds {
 		seeds[i] = endpoint(ip, portControl)
 	}
 	line("seeds", strings.Join(seeds, ","))
-	line("bootstrap", s.Bootstrap)
+	line("bootstrap", s.bootstrap)
 	line("counts-for-quorum", role != RoleGateway)
 	if role != RoleGateway {
 		line("data-dir", s.dataPath(m, role))
 	}
-	line("cloud.address", s.Cloud)
-	line("fault-tolerance.machines", cmp.Or(s.Lost, 1))
-	line("bounds.status-s", cmp.Or(s.Status, usualStatus).Seconds())
+	line("cloud.address", s.platformAddress)
+	line("fault-tolerance.machines", cmp.Or(s.maxLostDisks, 1))
+	line("bounds.status-s", cmp.Or(s.jobRetention, defaultJobRetention).Seconds())
 	b.WriteString(fixedSettings)
 	return b.String()
 }
@@ -150,10 +150,10 @@
 
 func endpoint(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-var networks atomic.Uint32
+var networkCount atomic.Uint32
 
 // ownNetwork gives the first three numbers of loopback addresses that no other laboratory on the machine uses.
-func ownNetwork() string {
-	pid, n := uint32(os.Getpid()), networks.Add(1)
+func uniqueNetworkPrefix() string {
+	pid, n := uint32(os.Getpid()), networkCount.Add(1)
 	return fmt.Sprintf("127.%d.%d", 128+(pid>>8+n)&63, pid&255)
 }
--- a/internal/pool/world_test.go
+++ b/internal/pool/world_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			faultyserver.Finds(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.InjectBug(plant) })
+			faultyserver.RequireBugFound(t, plantedMost, func(_ *proxy.Proxy, p *pool.Pool) { p.InjectBug(plant) })
 		})
 	}
 }
--- a/internal/tools/ablate/main.go
+++ b/internal/tools/ablate/main.go
@@ -23,17 +23,17 @@
 type options struct {
 	bench, site, why string
 	days, seeds      []string
-	off              []string
-	lanes            int
+	mechanisms       []string
+	parallel         int
 }
 
 // play is one day to be played with a mechanism off, or with all on.
-type play struct{ off, day, seed string }
+type run struct{ off, day, seed string }
 
 // result is what came of it.
 type result struct {
-	play
-	worth  float64
+	run
+	score  float64
 	broken bool // a rule
 	err    error
 }
@@ -45,20 +45,20 @@
 	flag.StringVar(&o.site, "site", "", "the site file")
 	flag.StringVar(&days, "days", "scale-1", "days of the site, with commas between")
 	flag.StringVar(&seeds, "seeds", "", "seeds of the days, with commas between; empty: the days' own")
-	flag.StringVar(&off, "off", strings.Join(names(), ","), "mechanisms to switch off, one at a time")
-	flag.IntVar(&o.lanes, "lanes", 4, "plays at the same time")
+	flag.StringVar(&off, "off", strings.Join(mechanismNames(), ","), "mechanisms to switch off, one at a time")
+	flag.IntVar(&o.parallel, "lanes", 4, "plays at the same time")
 	flag.StringVar(&o.why, "why", "what is each mechanism worth?", "for the journal")
 	flag.Parse()
-	if o.bench == "" || o.site == "" || flag.NArg() > 0 || o.lanes < 1 {
+	if o.bench == "" || o.site == "" || flag.NArg() > 0 || o.parallel < 1 {
 		flag.Usage()
 		os.Exit(2)
 	}
-	o.days, o.seeds, o.off = strings.Split(days, ","), strings.Split(seeds, ","), strings.Split(off, ",")
-	if unknown := o.unknown(); len(unknown) > 0 {
-		fmt.Fprintf(os.Stderr, "-off: no mechanism is named %s; there are %s\n", strings.Join(unknown, ", "), strings.Join(names(), ", "))
+	o.days, o.seeds, o.mechanisms = strings.Split(days, ","), strings.Split(seeds, ","), strings.Split(off, ",")
+	if unknown := o.unknownMechanisms(); len(unknown) > 0 {
+		fmt.Fprintf(os.Stderr, "-off: no mechanism is named %s; there are %s\n", strings.Join(unknown, ", "), strings.Join(mechanismNames(), ", "))
 		os.Exit(2)
 	}
-	results := playAll(o)
+	results := runAll(o)
 	fmt.Print(table(o, results))
 	for _, one := range results {
 		if one.err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-func names() []string {
+func mechanismNames() []string {
 	var list []string
 	for _, one := range ablation.All() {
 		list = append(list, string(one))
@@ -76,13 +76,13 @@
 	return list
 }
 
-func (o *options) unknown() []string {
+func (o *options) unknownMechanisms() []string {
 	known := map[string]bool{}
-	for _, name := range names() {
+	for _, name := range mechanismNames() {
 		known[name] = true
 	}
 	var list []string
-	for _, name := range o.off {
+	for _, name := range o.mechanisms {
 		if !known[name] {
 			list = append(list, name)
 		}
@@ -90,12 +90,12 @@
 	return list
 }
 
-func (o *options) plays() []play {
-	var list []play
-	for _, off := range append([]string{""}, o.off...) {
+func (o *options) runs() []run {
+	var list []run
+	for _, off := range append([]string{""}, o.mechanisms...) {
 		for _, day := range o.days {
 			for _, seed := range o.seeds {
-				list = append(list, play{off: off, day: day, seed: seed})
+				list = append(list, run{off: off, day: day, seed: seed})
 			}
 		}
 	}
@@ -103,16 +103,16 @@
 }
 
 // playAll makes all plays, some at the same time.
-func playAll(o options) []result {
-	plays := o.plays()
+func runAll(o options) []result {
+	plays := o.runs()
 	results := make([]result, len(plays))
 	next := make(chan int)
 	var lanes sync.WaitGroup
-	for range o.lanes {
+	for range o.parallel {
 		lanes.Go(func() {
 			for i := range next {
-				results[i] = playOne(o, plays[i])
-				fmt.Fprintf(os.Stderr, "%s %s [%s]: %.3f %v\n", plays[i].day, plays[i].seed, plays[i].off, results[i].worth, results[i].err)
+				results[i] = runOne(o, plays[i])
+				fmt.Fprintf(os.Stderr, "%s %s [%s]: %.3f %v\n", plays[i].day, plays[i].seed, plays[i].off, results[i].score, results[i].err)
 			}
 		})
 	}
@@ -125,8 +125,8 @@
 }
 
 // playOne makes one play in a clone of its own.
-func playOne(o options, one play) result {
-	of := result{play: one}
+func runOne(o options, one run) result {
+	of := result{run: one}
 	folder, err := os.MkdirTemp("", "ablate-")
 	if err != nil {
 		of.err = err
@@ -138,7 +138,7 @@
 		of.err = fmt.Errorf("%w: %s", err, said)
 		return of
 	}
-	before, err := entries(clone)
+	before, err := journalFiles(clone)
 	if err == nil {
 		err = switchOff(filepath.Join(clone, "deploy", "system.toml"), one.off)
 	}
@@ -150,17 +150,17 @@
 	if one.seed != "" {
 		arguments = append(arguments, "--seed", one.seed)
 	}
-	report, err := benchrun.Play(o.bench, clone, o.site, one.day, arguments...)
+	report, err := benchrun.Run(o.bench, clone, o.site, one.day, arguments...)
 	if err != nil {
 		of.err = err
 		return of
 	}
-	of.worth, of.broken = report.Worth, len(report.Breaks) > 0
-	of.err = keepEntries(clone, before)
+	of.score, of.broken = report.Score, len(report.RuleViolations) > 0
+	of.err = copyNewJournalFiles(clone, before)
 	return of
 }
 
-const plainFlags = "-ldflags=-linkmode=external"
+const buildFlags = "-ldflags=-linkmode=external"
 
 // switchOff has a deploy file build with a mechanism off.
 func switchOff(deploy, off string) error {
@@ -168,15 +168,15 @@
 	if err != nil {
 		return err
 	}
-	if strings.Count(string(text), plainFlags) != 1 {
-		return fmt.Errorf("%s: the build line doesn't have %s once", deploy, plainFlags)
+	if strings.Count(string(text), buildFlags) != 1 {
+		return fmt.Errorf("%s: the build line doesn't have %s once", deploy, buildFlags)
 	}
 	flags := fmt.Sprintf("-tags ablation -ldflags='-linkmode=external -X sprucelane.example/sprucelane/internal/ablation.off=%s'", off)
-	return os.WriteFile(deploy, []byte(strings.Replace(string(text), plainFlags, flags, 1)), 0o600)
+	return os.WriteFile(deploy, []byte(strings.Replace(string(text), buildFlags, flags, 1)), 0o600)
 }
 
 // entries lists the journal's files.
-func entries(folder string) (map[string]bool, error) {
+func journalFiles(folder string) (map[string]bool, error) {
 	found := map[string]bool{}
 	for _, pattern := range []string{"journal/*.json", "journal/*/*"} {
 		paths, err := filepath.Glob(filepath.Join(folder, pattern))
@@ -191,8 +191,8 @@
 }
 
 // keepEntries copies what a play left in its journal.
-func keepEntries(clone string, before map[string]bool) error {
-	after, err := entries(clone)
+func copyNewJournalFiles(clone string, before map[string]bool) error {
+	after, err := journalFiles(clone)
 	if err != nil {
 		return err
 	}
--- a/internal/tools/ablate/main_test.go
+++ b/internal/tools/ablate/main_test.go
@@ -11,12 +11,12 @@
 
 func TestTable(t *testing.T) {
 	Convey("Each row tells what is lost without a mechanism, over seeds", t, func() {
-		o := options{days: []string{"busy", "calm"}, seeds: []string{"1", "2"}, off: []string{"affinity"}}
+		o := options{days: []string{"busy", "calm"}, seeds: []string{"1", "2"}, mechanisms: []string{"affinity"}}
 		results := []result{
-			{play: play{day: "busy", seed: "1"}, worth: 0.8}, {play: play{day: "busy", seed: "2"}, worth: 0.6},
-			{play: play{day: "calm", seed: "1"}, worth: 0.9}, {play: play{day: "calm", seed: "2"}, worth: 0.9},
-			{play: play{off: "affinity", day: "busy", seed: "1"}, worth: 0.7}, {play: play{off: "affinity", day: "busy", seed: "2"}, worth: 0.4, broken: true},
-			{play: play{off: "affinity", day: "calm", seed: "1"}, err: errors.New("it doesn't build")},
+			{run: run{day: "busy", seed: "1"}, score: 0.8}, {run: run{day: "busy", seed: "2"}, score: 0.6},
+			{run: run{day: "calm", seed: "1"}, score: 0.9}, {run: run{day: "calm", seed: "2"}, score: 0.9},
+			{run: run{off: "affinity", day: "busy", seed: "1"}, score: 0.7}, {run: run{off: "affinity", day: "busy", seed: "2"}, score: 0.4, broken: true},
+			{run: run{off: "affinity", day: "calm", seed: "1"}, err: errors.New("it doesn't build")},
 		}
 		So(table(o, results), ShouldEqual, "| switched off | busy | calm |\n|---|---|---|\n"+
 			"| nothing (worth) | 0.700 ± 0.100 | 0.900 ± 0.000 |\n| affinity | -0.150 ± 0.050, broken | not played |\n")
@@ -34,6 +34,6 @@
 		So(switchOff(path, "silence"), ShouldNotBeNil)
 	})
 	Convey("A name that is no mechanism is told", t, func() {
-		So((&options{off: []string{"affinity", "afinity"}}).unknown(), ShouldResemble, []string{"afinity"})
+		So((&options{mechanisms: []string{"affinity", "afinity"}}).unknownMechanisms(), ShouldResemble, []string{"afinity"})
 	})
 }
--- a/internal/tools/ablate/table.go
+++ b/internal/tools/ablate/table.go
@@ -9,13 +9,13 @@
 // table writes, for each mechanism and day, by how much worth falls without it: the mean over the seeds and the largest deviation of one
 // from it. The first row is the worth with all on.
 func table(o options, results []result) string {
-	worth := map[play]result{}
+	worth := map[run]result{}
 	for _, one := range results {
-		worth[one.play] = one
+		worth[one.run] = one
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "| switched off | %s |\n|---|%s\n", strings.Join(o.days, " | "), strings.Repeat("---|", len(o.days)))
-	for _, off := range append([]string{""}, o.off...) {
+	for _, off := range append([]string{""}, o.mechanisms...) {
 		name := off
 		if off == "" {
 			name = "nothing (worth)"
@@ -29,11 +29,11 @@
 	return b.String()
 }
 
-func cell(o options, worth map[play]result, off, day string) string {
+func cell(o options, worth map[run]result, off, day string) string {
 	var values []float64
 	broken := ""
 	for _, seed := range o.seeds {
-		with, without := worth[play{day: day, seed: seed}], worth[play{off: off, day: day, seed: seed}]
+		with, without := worth[run{day: day, seed: seed}], worth[run{off: off, day: day, seed: seed}]
 		if with.err != nil || without.err != nil {
 			return "not played"
 		}
@@ -41,19 +41,19 @@
 			broken = ", broken"
 		}
 		if off == "" {
-			values = append(values, with.worth)
+			values = append(values, with.score)
 		} else {
-			values = append(values, without.worth-with.worth)
+			values = append(values, without.score-with.score)
 		}
 	}
-	mean, spread := meanAndSpread(values)
+	mean, spread := meanAndDeviation(values)
 	if off == "" {
 		return fmt.Sprintf("%.3f ± %.3f%s", mean, spread, broken)
 	}
 	return fmt.Sprintf("%+.3f ± %.3f%s", mean, spread, broken)
 }
 
-func meanAndSpread(values []float64) (mean, spread float64) {
+func meanAndDeviation(values []float64) (mean, spread float64) {
 	for _, value := range values {
 		mean += value / float64(len(values))
 	}
--- a/internal/tools/benchrun/benchrun.go
+++ b/internal/tools/benchrun/benchrun.go
@@ -12,15 +12,15 @@
 
 // Report is what is read of the bench's report of a day.
 type Report struct {
-	Worth  float64                    `json:"G"`
-	Served float64                    `json:"served"`
-	Fault  any                        `json:"fault"`
-	Breaks map[string]json.RawMessage `json:"breaks"` // how often, by rule
+	Score          float64                    `json:"G"`
+	Served         float64                    `json:"served"`
+	Fault          any                        `json:"fault"`
+	RuleViolations map[string]json.RawMessage `json:"breaks"` // how often, by rule
 }
 
 // Play has the bench's program play a day of a site in a folder (empty: the present one), with further arguments. Where it leaves no report
 // the error is the last line that it said.
-func Play(program, folder, site, day string, arguments ...string) (*Report, error) {
+func Run(program, folder, site, day string, arguments ...string) (*Report, error) {
 	scratch, err := os.MkdirTemp("", "benchrun-")
 	if err != nil {
 		return nil, err
--- a/internal/tools/benchrun/benchrun_test.go
+++ b/internal/tools/benchrun/benchrun_test.go
@@ -18,16 +18,16 @@
 		return path
 	}
 	Convey("The report is read, and further arguments are handed on", t, func() {
-		report, err := Play(program(`[ "$6" = --jobs ] && pwd > where && echo '{"G":0.5,"served":0.6,"fault":null,"breaks":{"ORDER":3}}' > "$5"`),
+		report, err := Run(program(`[ "$6" = --jobs ] && pwd > where && echo '{"G":0.5,"served":0.6,"fault":null,"breaks":{"ORDER":3}}' > "$5"`),
 			folder, "site.toml", "day.toml", "--jobs", "1")
 		So(err, ShouldBeNil)
-		So(report.Worth, ShouldEqual, 0.5)
-		So(string(report.Breaks["ORDER"]), ShouldEqual, "3")
+		So(report.Score, ShouldEqual, 0.5)
+		So(string(report.RuleViolations["ORDER"]), ShouldEqual, "3")
 		_, err = os.Stat(filepath.Join(folder, "where"))
 		So(err, ShouldBeNil)
 	})
 	Convey("Without a report the last line that the bench said is given", t, func() {
-		_, err := Play(program("echo no such site; exit 2"), "", "site.toml", "day.toml")
+		_, err := Run(program("echo no such site; exit 2"), "", "site.toml", "day.toml")
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "no such site")
 	})
--- a/internal/tools/playdays/main.go
+++ b/internal/tools/playdays/main.go
@@ -35,8 +35,8 @@
 	}
 	broken := 0
 	for _, day := range flag.Args() {
-		result, err := play(o, day)
-		line, fine := describe(day, result, err)
+		result, err := runDay(o, day)
+		line, fine := summarize(day, result, err)
 		fmt.Println(line)
 		if !fine {
 			broken++
@@ -49,22 +49,22 @@
 }
 
 // play has the bench play one day.
-func play(o options, day string) (*benchrun.Report, error) {
-	return benchrun.Play(o.bench, "", o.site, day, "--jobs", strconv.Itoa(o.jobs), "--why", o.why)
+func runDay(o options, day string) (*benchrun.Report, error) {
+	return benchrun.Run(o.bench, "", o.site, day, "--jobs", strconv.Itoa(o.jobs), "--why", o.why)
 }
 
 // describe words a day in one line, and tells whether it broke nothing.
-func describe(day string, result *benchrun.Report, err error) (string, bool) {
+func summarize(day string, result *benchrun.Report, err error) (string, bool) {
 	name := strings.TrimSuffix(filepath.Base(day), filepath.Ext(day))
 	if err != nil {
 		return fmt.Sprintf("%-44s not played: %v", name, err), false
 	}
-	text := fmt.Sprintf("%-44s worth %.3f served %.3f", name, result.Worth, result.Served)
+	text := fmt.Sprintf("%-44s worth %.3f served %.3f", name, result.Score, result.Served)
 	if result.Fault != nil {
 		text += fmt.Sprintf(" fault: %v", result.Fault)
 	}
-	rules := make([]string, 0, len(result.Breaks))
-	for rule, times := range result.Breaks {
+	rules := make([]string, 0, len(result.RuleViolations))
+	for rule, times := range result.RuleViolations {
 		rules = append(rules, fmt.Sprintf("%s %s", rule, times))
 	}
 	sort.Strings(rules)
--- a/internal/tools/playdays/main_test.go
+++ b/internal/tools/playdays/main_test.go
@@ -12,18 +12,18 @@
 
 func TestDescribe(t *testing.T) {
 	Convey("A day that broke nothing is fine", t, func() {
-		line, fine := describe("bench/days/calm.toml", &benchrun.Report{Worth: 0.9, Served: 0.98}, nil)
+		line, fine := summarize("bench/days/calm.toml", &benchrun.Report{Score: 0.9, Served: 0.98}, nil)
 		So(fine, ShouldBeTrue)
 		So(line, ShouldStartWith, "calm ")
 		So(line, ShouldEndWith, "worth 0.900 served 0.980")
 	})
 	Convey("Broken rules, a fault and a day that wasn't played are not", t, func() {
-		line, fine := describe("a.toml", &benchrun.Report{Breaks: map[string]json.RawMessage{"TWICE": []byte("2"), "LOST": []byte("1")}}, nil)
+		line, fine := summarize("a.toml", &benchrun.Report{RuleViolations: map[string]json.RawMessage{"TWICE": []byte("2"), "LOST": []byte("1")}}, nil)
 		So(fine, ShouldBeFalse)
 		So(line, ShouldEndWith, "broken: LOST 1, TWICE 2")
-		_, fine = describe("a.toml", &benchrun.Report{Fault: "no request is served"}, nil)
+		_, fine = summarize("a.toml", &benchrun.Report{Fault: "no request is served"}, nil)
 		So(fine, ShouldBeFalse)
-		_, fine = describe("a.toml", nil, errors.New("it doesn't build"))
+		_, fine = summarize("a.toml", nil, errors.New("it doesn't build"))
 		So(fine, ShouldBeFalse)
 	})
 }
--- a/internal/tools/testrun/known.go
+++ b/internal/tools/testrun/known.go
@@ -14,12 +14,12 @@
 func (n testName) String() string { return n.Package + " " + n.Test }
 
 // knownRed is one line of the list.
-type knownRed struct {
+type knownFailure struct {
 	testName
 	Cause, Issue string
 }
 
-func readKnown(path string) ([]knownRed, error) {
+func readKnownFailures(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -27,16 +27,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return parseKnown(path, string(text))
+	return parseKnownFailures(path, string(text))
 }
 
-func parseKnown(path, text string) ([]knownRed, error) {
-	var list []knownRed
+func parseKnownFailures(path, text string) ([]knownFailure, error) {
+	var list []knownFailure
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		one, ok := parseKnownLine(line)
+		one, ok := parseKnownFailure(line)
 		if !ok {
 			return nil, fmt.Errorf("%s:%d: not of the form: package TestName | cause | issue", path, i+1)
 		}
@@ -45,15 +45,15 @@
 	return list, nil
 }
 
-func parseKnownLine(line string) (knownRed, bool) {
+func parseKnownFailure(line string) (knownFailure, bool) {
 	columns := strings.Split(line, "|")
 	if len(columns) != 3 {
-		return knownRed{}, false
+		return knownFailure{}, false
 	}
 	name := strings.Fields(columns[0])
 	cause, issue := strings.TrimSpace(columns[1]), strings.TrimSpace(columns[2])
 	if len(name) != 2 || strings.Contains(name[1], "/") || cause == "" || issue == "" {
-		return knownRed{}, false
+		return knownFailure{}, false
 	}
-	return knownRed{testName{name[0], name[1]}, cause, issue}, true
+	return knownFailure{testName{name[0], name[1]}, cause, issue}, true
 }
--- a/internal/tools/testrun/main.go
+++ b/internal/tools/testrun/main.go
@@ -19,10 +19,10 @@
 	"strings"
 )
 
-const listName = "KNOWN-RED.txt"
+const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
-	known, err := readKnown(listName)
+	known, err := readKnownFailures(knownFailuresFile)
 	if err == nil {
 		err = run(known, os.Args[1:])
 	}
@@ -35,7 +35,7 @@
 var errUsage = errors.New("usage: testrun [-alone PATTERN]... PATTERN [flags of go test]")
 
 // run tests all packages and judges them together.
-func run(known []knownRed, arguments []string) error {
+func run(known []knownFailure, arguments []string) error {
 	var alone []string
 	for len(arguments) >= 2 && arguments[0] == "-alone" {
 		alone = append(alone, arguments[1])
@@ -44,7 +44,7 @@
 	if len(arguments) == 0 || strings.HasPrefix(arguments[0], "-") {
 		return errUsage
 	}
-	together, one, err := divide(arguments[0], alone)
+	together, one, err := splitPackages(arguments[0], alone)
 	if err != nil {
 		return err
 	}
@@ -61,19 +61,19 @@
 }
 
 // divide gives the packages of a pattern that are tested side by side, and those that are tested alone.
-func divide(pattern string, alone []string) (together, one []string, err error) {
-	all, err := list(pattern)
+func splitPackages(pattern string, alone []string) (together, one []string, err error) {
+	all, err := listPackages(pattern)
 	if err != nil || len(alone) == 0 {
 		return all, nil, err
 	}
-	if one, err = list(alone...); err != nil {
+	if one, err = listPackages(alone...); err != nil {
 		return nil, nil, err
 	}
 	together = slices.DeleteFunc(all, func(path string) bool { return slices.Contains(one, path) })
 	return together, one, nil
 }
 
-func list(patterns ...string) ([]string, error) {
+func listPackages(patterns ...string) ([]string, error) {
 	command := exec.Command("go", append([]string{"list"}, patterns...)...)
 	command.Stderr = os.Stderr
 	text, err := command.Output()
--- a/internal/tools/testrun/results_test.go
+++ b/internal/tools/testrun/results_test.go
@@ -36,7 +36,7 @@
 `
 
 func judged(events, list string, failed bool) (string, error) {
-	known, err := parseKnown("list", list)
+	known, err := parseKnownFailures("list", list)
 	if err != nil {
 		return "", err
 	}
@@ -107,13 +107,13 @@
 func TestKnownList(t *testing.T) {
 	Convey("A line without cause or issue is named", t, func() {
 		for _, line := range []string{"b TestRed", "b TestRed | cause", "TestRed | cause | 1", "b TestRed/sub | cause | 1", "b TestRed | | 1"} {
-			_, err := parseKnown("list", "b TestFine | cause | 1\n"+line)
+			_, err := parseKnownFailures("list", "b TestFine | cause | 1\n"+line)
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldStartWith, "list:2:")
 		}
 	})
 	Convey("An absent list is an empty one", t, func() {
-		list, err := readKnown(filepath.Join(t.TempDir(), listName))
+		list, err := readKnownFailures(filepath.Join(t.TempDir(), knownFailuresFile))
 		So(err, ShouldBeNil)
 		So(list, ShouldBeEmpty)
 	})
@@ -129,14 +129,14 @@
 	t.Setenv("GOFLAGS", "-mod=mod")
 	Convey("Red fails, listed red passes", t, func() {
 		So(run(nil, []string{"./..."}), ShouldNotBeNil)
-		list, err := parseKnown("list", "example TestRed | made red | 1")
+		list, err := parseKnownFailures("list", "example TestRed | made red | 1")
 		So(err, ShouldBeNil)
 		So(run(list, []string{"./..."}), ShouldBeNil)
 	})
 	Convey("Packages that are tested alone count like the others", t, func() {
 		So(os.Mkdir(filepath.Join(folder, "y"), 0o700), ShouldBeNil)
 		write(t, folder, "y/y_test.go", "package y\n\nimport \"testing\"\n\nfunc TestAlone(t *testing.T) { t.Error(\"red\") }\n")
-		list, err := parseKnown("list", "example TestRed | made red | 1\n")
+		list, err := parseKnownFailures("list", "example TestRed | made red | 1\n")
 		So(err, ShouldBeNil)
 		err = run(list, []string{"-alone", "./y", "./...", "-count=1"})
 		So(err, ShouldNotBeNil)
