--- a/internal/buffers/budget_test.go
+++ b/internal/buffers/budget_test.go
@@ -10,26 +10,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func soon() time.Time { return time.Now().Add(time.Minute) }
+func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
 // waiting counts those that wait.
-func (b *Budget) queue() int {
+func (b *Budget) waitingCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiters)
 }
 
 // Whoever wants more than there is waits, in the order of coming; one that can't wait any longer makes way.
-func TestOrder(t *testing.T) {
+func TestFirstComeFirstServed(t *testing.T) {
 	b := New(100)
-	require.True(t, b.Acquire(80, soon()))
+	require.True(t, b.Acquire(80, farDeadline()))
 	assert.False(t, b.Acquire(30, time.Now()), "no room")
 	var got []int64
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i, n := range []int64{50, 5, 60} {
 		all.Go(func() {
-			assert.True(t, b.Acquire(n, soon()))
+			assert.True(t, b.Acquire(n, farDeadline()))
 			mu.Lock()
 			got = append(got, n)
 			mu.Unlock()
@@ -37,35 +37,35 @@
 				b.Release(n)
 			}
 		})
-		require.Eventually(t, func() bool { return b.queue() == i+1 }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return b.waitingCount() == i+1 }, time.Minute, time.Millisecond)
 	}
 	b.Release(80)
 	all.Wait()
 	assert.ElementsMatch(t, []int64{50, 5, 60}, got)
 	assert.Equal(t, Stats{InUse: 60, Peak: 80, Waits: 4}, func() Stats { c := b.Stats(); c.Peak = min(c.Peak, 80); return c }())
 	b.Release(60)
-	assert.True(t, b.Acquire(1000, soon()), "more than there is at all, where nobody holds any")
+	assert.True(t, b.Acquire(1000, farDeadline()), "more than there is at all, where nobody holds any")
 	b.Release(1000)
 }
 
-func TestOneThatLeavesMakesWay(t *testing.T) {
+func TestTimedOutWaiterIsRemoved(t *testing.T) {
 	b := New(100)
-	require.True(t, b.Acquire(80, soon()))
+	require.True(t, b.Acquire(80, farDeadline()))
 	left := make(chan bool)
 	go func() { left <- b.Acquire(90, time.Now().Add(50*time.Millisecond)) }()
-	require.Eventually(t, func() bool { return b.queue() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return b.waitingCount() == 1 }, time.Minute, time.Millisecond)
 	behind := make(chan bool)
-	go func() { behind <- b.Acquire(10, soon()) }()
+	go func() { behind <- b.Acquire(10, farDeadline()) }()
 	assert.False(t, <-left)
 	assert.True(t, <-behind)
 }
 
-func TestLimit(t *testing.T) {
+func TestSetLimit(t *testing.T) {
 	b := New(10)
-	require.True(t, b.Acquire(10, soon()))
+	require.True(t, b.Acquire(10, farDeadline()))
 	more := make(chan bool)
-	go func() { more <- b.Acquire(10, soon()) }()
-	require.Eventually(t, func() bool { return b.queue() == 1 }, time.Minute, time.Millisecond)
+	go func() { more <- b.Acquire(10, farDeadline()) }()
+	require.Eventually(t, func() bool { return b.waitingCount() == 1 }, time.Minute, time.Millisecond)
 	b.SetLimit(20)
 	assert.True(t, <-more)
 	b.SetLimit(10)
@@ -73,7 +73,7 @@
 }
 
 // Whatever is taken and given back, the limit holds and nothing is left behind.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentUse(t *testing.T) {
 	const most, largest = 1000, 100
 	b := New(most)
 	var all sync.WaitGroup
@@ -82,7 +82,7 @@
 		all.Go(func() {
 			for range 200 {
 				n := rng.Int64N(largest) + 1
-				until := soon()
+				until := farDeadline()
 				if rng.IntN(4) == 0 {
 					until = time.Now()
 				}
@@ -96,5 +96,5 @@
 	c := b.Stats()
 	assert.Zero(t, c.InUse)
 	assert.LessOrEqual(t, c.Peak, int64(most))
-	assert.Zero(t, b.queue())
+	assert.Zero(t, b.waitingCount())
 }
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -15,13 +15,13 @@
 
 const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-func (c *caller) say(t *testing.T, text string) {
+func (c *testClient) write(t *testing.T, text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(t, err)
 }
 
 // open counts the connections that are neither ended nor linger.
-func (l *listener) open() int {
+func (l *listener) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
@@ -29,16 +29,16 @@
 
 // A client rests until the gateway ends its connection, and its next request crosses that: the connection is not reset, so
 // that nothing on its way is lost, nobody serves what can't be answered, and what lingers ends.
-func TestRequestThatCrossesTheCloseOfARestingConnection(t *testing.T) {
+func TestRequestRacesIdleClose(t *testing.T) {
 	served := 0
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served++ })
 	c := dial(t, s)
-	c.ask(t)
-	c.answer(t)
+	c.send(t)
+	c.readResponse(t)
 	s.state.Drain(time.Now().Add(-time.Minute))
-	require.Eventually(t, func() bool { return s.listener.open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 	for range 3 { // a reset would be there by the second
-		c.say(t, request)
+		c.write(t, request)
 	}
 	_, err := c.in.ReadByte()
 	assert.Equal(t, io.EOF, err)
@@ -47,7 +47,7 @@
 }
 
 // So it is where the idle timer ends the connection, or the one for a head that doesn't come whole.
-func TestRequestThatCrossesATimer(t *testing.T) {
+func TestRequestRacesTimeout(t *testing.T) {
 	for _, begins := range []string{"", "GET"} {
 		s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 9, MaxRequestDeadline: time.Minute},
 			http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -56,13 +56,13 @@
 		go s.Serve()
 		t.Cleanup(s.Close)
 		c := dial(t, s)
-		c.ask(t)
-		c.answer(t)
-		c.say(t, begins)
-		require.Eventually(t, func() bool { return s.listener.open() == 0 }, time.Minute, time.Millisecond)
+		c.send(t)
+		c.readResponse(t)
+		c.write(t, begins)
+		require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 		time.Sleep(20 * time.Millisecond) // what lingers is at it
 		for range 3 {
-			c.say(t, request)
+			c.write(t, request)
 		}
 		_, err = io.ReadAll(c.in)
 		assert.NoError(t, err)
@@ -72,22 +72,22 @@
 
 // The same where the process has read the request in that moment, and what decides on the close can't know yet: it is not
 // handed on, as its answer would have no way.
-func TestRequestReadAsItsConnectionIsClosed(t *testing.T) {
+func TestRequestReadDuringClose(t *testing.T) {
 	served := make(chan bool, 9)
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served <- true })
 	c := dial(t, s)
-	c.ask(t)
-	c.answer(t)
+	c.send(t)
+	c.readResponse(t)
 	<-served
-	require.Eventually(t, func() bool { return s.listener.idle() == 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.idleCount() == 1 }, time.Minute, time.Millisecond)
 	read, on := make(chan bool), make(chan bool)
 	s.listener.mu.Lock()
 	s.listener.onRead = func() { read <- true; <-on }
 	s.listener.mu.Unlock()
-	c.ask(t)
+	c.send(t)
 	<-read
 	s.state.Drain(time.Now().Add(-time.Minute))
-	require.Eventually(t, func() bool { return s.listener.open() == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 	close(on)
 	go func() { // what lingers reads past the hook
 		for range read {
@@ -100,22 +100,22 @@
 }
 
 // A last answer is followed by a close while more is on its way: the client has the whole of it, and no reset.
-func TestLastAnswerWithMoreBehindIt(t *testing.T) {
+func TestLingeringCloseDeliversResponse(t *testing.T) {
 	const size = 100 << 10
-	taken, free := make(chan bool), make(chan bool)
+	taken, release := make(chan bool), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, _ *http.Request) {
 		taken <- true
-		<-free
+		<-release
 		io.WriteString(w, strings.Repeat("x", size))
 	})
 	c := dial(t, s)
-	c.ask(t)
+	c.send(t)
 	<-taken
 	s.state.Drain(time.Now().Add(-time.Minute)) // what comes behind is not waited for any longer
-	close(free)
-	require.Eventually(t, func() bool { return s.listener.open() == 0 }, time.Minute, time.Millisecond)
+	close(release)
+	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 	for range 3 {
-		c.say(t, request)
+		c.write(t, request)
 	}
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(t, err)
@@ -129,46 +129,46 @@
 
 // The client leaves while its request is handled, and half of another stands behind that: the handler hears of it all the
 // same. It hears of no end where the other is whole and the client stays.
-func TestClientThatLeavesWithMoreBehindItsRequest(t *testing.T) {
-	for name, leaves := range map[string]func(net.Conn){
+func TestClientGoneBehindPipelinedBytes(t *testing.T) {
+	for name, disconnect := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
 		"reset":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"stays":  nil,
 	} {
 		for _, more := range []string{"G", request[:20], request + request, strings.Repeat(request, 300)} {
-			taken, left, free := make(chan bool, 500), make(chan bool, 500), make(chan bool)
+			handling, gone, release := make(chan bool, 500), make(chan bool, 500), make(chan bool)
 			s, _ := serve(t, 9, func(_ http.ResponseWriter, r *http.Request) {
-				taken <- true
+				handling <- true
 				select {
 				case <-r.Context().Done():
-					left <- true
-				case <-free:
+					gone <- true
+				case <-release:
 				}
 			})
 			c := dial(t, s)
-			c.ask(t)
-			<-taken
-			c.say(t, more)
-			require.Eventually(t, func() bool { return s.listener.readAll() }, time.Minute, time.Millisecond, "what is behind has been read")
-			if leaves == nil {
-				assert.Empty(t, left, name)
-				close(free)
-				assert.Equal(t, len(more) > maxPipelinedKept, c.answer(t).Close, "what was not kept can't be answered")
+			c.send(t)
+			<-handling
+			c.write(t, more)
+			require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond, "what is behind has been read")
+			if disconnect == nil {
+				assert.Empty(t, gone, name)
+				close(release)
+				assert.Equal(t, len(more) > maxPipelinedKept, c.readResponse(t).Close, "what was not kept can't be answered")
 				continue
 			}
-			leaves(c.Conn)
+			disconnect(c.Conn)
 			select {
-			case <-left:
+			case <-gone:
 			case <-time.After(10 * time.Second):
 				assert.Fail(t, "nobody has noticed", "%s behind %d bytes", name, len(more))
-				close(free)
+				close(release)
 			}
 		}
 	}
 }
 
 // readAll tells whether something has been read behind what is handled, and nothing more waits.
-func (l *listener) readAll() bool {
+func (l *listener) allRead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -181,20 +181,20 @@
 
 // SIGTERM meets a request that is handled with others read behind it: each has its answer, in order, and the last one says
 // that it is.
-func TestEndMeetsRequestsBehindOneAnother(t *testing.T) {
-	taken, free := make(chan bool, 9), make(chan bool)
+func TestShutdownAnswersPipelinedRequests(t *testing.T) {
+	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		taken <- true
-		<-free
+		<-release
 		io.WriteString(w, r.URL.Path)
 	})
 	c := dial(t, s)
-	c.ask(t)
+	c.send(t)
 	<-taken
-	c.say(t, strings.Replace(request, "/", "/b", 1)+strings.Replace(request, "/", "/c", 1))
-	require.Eventually(t, func() bool { return s.listener.readAll() }, time.Minute, time.Millisecond)
+	c.write(t, strings.Replace(request, "/", "/b", 1)+strings.Replace(request, "/", "/c", 1))
+	require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond)
 	s.state.Shutdown(time.Now().Add(time.Minute), time.Hour) // its grace is not over, however slow this machine
-	close(free)
+	close(release)
 	for _, want := range []string{"/", "/b", "/c"} {
 		resp, err := http.ReadResponse(c.in, nil)
 		require.NoError(t, err)
@@ -208,12 +208,12 @@
 }
 
 // A time limit of reading passes while a request is handled with another behind it: both are answered.
-func TestTimeLimitWithMoreBehind(t *testing.T) {
-	taken, free := make(chan bool, 9), make(chan bool)
+func TestReadTimeoutWithPipelinedRequest(t *testing.T) {
+	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		taken <- true
 		if r.URL.Path == "/" {
-			<-free
+			<-release
 			http.NewResponseController(w).SetReadDeadline(time.Now())
 			time.Sleep(20 * time.Millisecond) // what reads meanwhile must neither spin nor lose a byte
 		}
@@ -222,11 +222,11 @@
 	var reads atomic.Int32
 	s.listener.onRead = func() { reads.Add(1) }
 	c := dial(t, s)
-	c.ask(t)
+	c.send(t)
 	<-taken
-	c.say(t, strings.Replace(request, "/", "/b", 1))
-	require.Eventually(t, func() bool { return s.listener.readAll() }, time.Minute, time.Millisecond)
-	close(free)
+	c.write(t, strings.Replace(request, "/", "/b", 1))
+	require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond)
+	close(release)
 	defer func() { assert.Less(t, reads.Load(), int32(50), "it doesn't spin") }()
 	for _, want := range []string{"/", "/b"} {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -238,32 +238,32 @@
 }
 
 // The port closes while connections wait in its queue, as there is no room for them yet: each is taken in its turn.
-func TestQueueOfAPortThatCloses(t *testing.T) {
-	taken, free := make(chan bool, 9), make(chan bool)
-	s, done := serve(t, 1, func(http.ResponseWriter, *http.Request) { taken <- true; <-free })
+func TestBacklogIsServedOnClose(t *testing.T) {
+	taken, release := make(chan bool, 9), make(chan bool)
+	s, done := serve(t, 1, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
 	first := dial(t, s)
-	first.ask(t)
+	first.send(t)
 	<-taken
-	var queue []*caller
+	var queue []*testClient
 	for range 4 {
 		c := dial(t, s)
-		c.ask(t)
+		c.send(t)
 		queue = append(queue, c)
 	}
 	s.state.Shutdown(time.Now().Add(-time.Second), time.Hour)
 	require.Eventually(t, func() bool { s.listener.mu.Lock(); defer s.listener.mu.Unlock(); return s.listener.stopping }, time.Minute, time.Millisecond)
 	time.Sleep(2 * backlogDrainTimeout) // longer than a queue that nothing holds up is read
 	assert.Empty(t, done, "the port is still open")
-	close(free)
+	close(release)
 	for _, c := range append(queue, first) {
-		assert.True(t, c.answer(t).Close)
+		assert.True(t, c.readResponse(t).Close)
 	}
 	require.NoError(t, <-done)
 	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
 // At the bound a connection on which a request has come, though nobody has read it, is not the one that makes room.
-func TestRoomIsNotMadeByOneThatAsks(t *testing.T) {
+func TestEvictionSparesUnreadRequest(t *testing.T) {
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer port.Close()
--- a/internal/front/framing.go
+++ b/internal/front/framing.go
@@ -155,8 +155,8 @@
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
-	if k, ok := c.(*clientConn); ok { // under TLS what is read says nothing of messages
-		ctx = context.WithValue(ctx, connKey{}, k)
+	if client, ok := c.(*clientConn); ok { // under TLS what is read says nothing of messages
+		ctx = context.WithValue(ctx, connKey{}, client)
 	}
 	return ctx
 }
--- a/internal/front/framing_test.go
+++ b/internal/front/framing_test.go
@@ -25,7 +25,7 @@
 
 // What names both a length and chunks is told apart from what comes before it, wherever the bytes are cut, and nothing
 // behind it is vouched for.
-func TestFramingCutAnywhere(t *testing.T) {
+func TestFramingSplitAnywhere(t *testing.T) {
 	long := strings.Replace(get, "/a", "/"+strings.Repeat("x", 3000), 1)
 	for name, c := range map[string]struct {
 		text  string
@@ -62,7 +62,7 @@
 }
 
 // A request's chunks reach the handler as vouched for only where its head named no length.
-func TestChunksAlone(t *testing.T) {
+func TestUnambiguousFraming(t *testing.T) {
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%v %s", UnambiguousFraming(r), body)
--- a/internal/front/leaving_test.go
+++ b/internal/front/leaving_test.go
@@ -14,7 +14,7 @@
 
 // A handler hears that its client has left whatever stands behind its request, and wherever the reads of that end: all of it, or
 // the beginning, has been read together with the request; the rest comes while that is handled.
-func TestClientLeavesWithRequestsBehind(t *testing.T) {
+func TestClientGoneWithPipelinedRequests(t *testing.T) {
 	const (
 		plain = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 		long  = "POST /next HTTP/1.1\r\nHost: x\r\nContent-Length: 30\r\n\r\n"
@@ -24,28 +24,28 @@
 		"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"} {
 		for _, behind := range []string{"", plain + plain, long + strings.Repeat("b", 30), parts + plain, strings.Repeat(plain, 300)} {
 			for cut := 0; cut <= min(len(behind), 200); cut++ {
-				hears(t, 1, first+behind[:cut], behind[cut:])
+				checkClientGone(t, 1, first+behind[:cut], behind[cut:])
 			}
 		}
 	}
 }
 
 // The same holds for a request that came behind another, in part or whole, with more behind it.
-func TestClientLeavesInALaterRequest(t *testing.T) {
+func TestClientGoneInPipelinedRequest(t *testing.T) {
 	one := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for at := 2; at <= 4; at++ {
 		all := strings.Repeat(one, 6)
 		for cut := len(one); cut <= len(all); cut++ {
-			hears(t, at, all[:cut], all[cut:])
+			checkClientGone(t, at, all[:cut], all[cut:])
 		}
-		hears(t, at, strings.Repeat(one, 140), strings.Repeat(one, 20))
+		checkClientGone(t, at, strings.Repeat(one, 140), strings.Repeat(one, 20))
 	}
 }
 
 // hears has a client send what comes first, then, while its first request is handled, the rest, and leave in the nth request.
-func hears(t *testing.T, at int, before, rest string) {
+func checkClientGone(t *testing.T, at int, before, rest string) {
 	synctest.Test(t, func(t *testing.T) {
-		port := newPipes()
+		port := newPipeListener()
 		handled, left, goOn := 0, false, make(chan bool)
 		s, err := Listen(Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute}, http.HandlerFunc(
 			func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -311,22 +311,22 @@
 	defer l.mu.Unlock()
 	for len(l.conns) >= l.maxConns && !l.aborted {
 		l.backlogDeadline = time.Time{} // what waits in the queue has waited for this one
-		if old := l.longestInState(http.StateIdle, 0); old != nil {
-			old.closeLocked()
-		} else if old := l.longestInState(http.StateNew, newConnGrace); old != nil {
-			old.closeLocked()
+		if victim := l.longestInState(http.StateIdle, 0); victim != nil {
+			victim.closeLocked()
+		} else if victim := l.longestInState(http.StateNew, newConnGrace); victim != nil {
+			victim.closeLocked()
 		} else {
 			wake := time.AfterFunc(newConnGrace, l.slotFreed.Broadcast)
 			l.slotFreed.Wait()
 			wake.Stop()
 		}
 	}
-	k := &clientConn{Conn: c, listener: l, encrypted: l.encrypted, state: http.StateNew, stateSince: time.Now()}
-	l.conns[k] = true
+	client := &clientConn{Conn: c, listener: l, encrypted: l.encrypted, state: http.StateNew, stateSince: time.Now()}
+	l.conns[client] = true
 	if l.stopping {
 		l.extendBacklogDeadline()
 	}
-	return k, nil
+	return client, nil
 }
 
 // emptying lets the queue be read on until nothing comes for a moment. The mutex is held.
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -23,25 +23,25 @@
 	return s, done
 }
 
-func dial(t *testing.T, s *Server) *caller {
+func dial(t *testing.T, s *Server) *testClient {
 	c, err := net.Dial("tcp", s.Addr())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
-	return &caller{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
 // caller is a client's connection.
-type caller struct {
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (c *caller) ask(t *testing.T) {
+func (c *testClient) send(t *testing.T) {
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	require.NoError(t, err)
 }
 
-func (c *caller) answer(t *testing.T) *http.Response {
+func (c *testClient) readResponse(t *testing.T) *http.Response {
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
@@ -51,21 +51,21 @@
 
 // On a planned restart what was taken is answered, marked as the connection's last, and so is what comes on the
 // new connections that the front still opens.
-func TestEndAnswersAllTaken(t *testing.T) {
-	taken, free := make(chan bool, 2), make(chan bool)
-	s, done := serve(t, 9, func(http.ResponseWriter, *http.Request) { taken <- true; <-free })
+func TestShutdownAnswersAllAccepted(t *testing.T) {
+	taken, release := make(chan bool, 2), make(chan bool)
+	s, done := serve(t, 9, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
 	old := dial(t, s)
-	old.ask(t)
+	old.send(t)
 	<-taken
 	s.state.Shutdown(time.Now(), time.Minute)
 	late := dial(t, s)
-	late.ask(t)
+	late.send(t)
 	<-taken
 	require.NoError(t, <-done, "the port is closed, the two requests are still open")
 	assert.Equal(t, 2, s.OpenConnections())
-	close(free)
-	for _, c := range []*caller{old, late} {
-		resp := c.answer(t)
+	close(release)
+	for _, c := range []*testClient{old, late} {
+		resp := c.readResponse(t)
 		assert.Equal(t, http.StatusOK, resp.StatusCode)
 		assert.True(t, resp.Close)
 	}
@@ -77,74 +77,74 @@
 // While clients are sent away an answer is its connection's last, also where it was begun before; a client that asks
 // within the grace has its answer, and what stands idle then is closed, a connection that has said nothing as well. One
 // on which a request has begun to come, however slowly, is not. Afterwards connections stay open as before.
-func TestClientsAreSentAway(t *testing.T) {
-	taken, free := make(chan bool, 1), make(chan bool)
+func TestDrain(t *testing.T) {
+	taken, release := make(chan bool, 1), make(chan bool)
 	s, _ := serve(t, 9, func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
 			taken <- true
-			<-free
+			<-release
 		}
 	})
 	idle, asks, long, silent, slow := dial(t, s), dial(t, s), dial(t, s), dial(t, s), dial(t, s)
-	for _, c := range []*caller{idle, asks, slow} {
-		c.ask(t)
-		assert.False(t, c.answer(t).Close)
+	for _, c := range []*testClient{idle, asks, slow} {
+		c.send(t)
+		assert.False(t, c.readResponse(t).Close)
 	}
 	io.WriteString(long, "GET /long HTTP/1.1\r\nHost: x\r\n\r\n")
 	<-taken
 	io.WriteString(slow, "GET / HTTP/1.1\r\nHo")
-	require.Eventually(t, func() bool { return s.listener.begun() == 2 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return s.listener.requestsBegun() == 2 }, time.Minute, time.Millisecond)
 	s.state.Drain(time.Now())
-	asks.ask(t)
-	assert.True(t, asks.answer(t).Close)
-	for _, c := range []*caller{asks, idle, silent} {
+	asks.send(t)
+	assert.True(t, asks.readResponse(t).Close)
+	for _, c := range []*testClient{asks, idle, silent} {
 		_, err := c.in.ReadByte()
 		assert.Equal(t, io.EOF, err)
 	}
 	io.WriteString(slow, "st: x\r\n\r\n")
-	assert.True(t, slow.answer(t).Close)
-	close(free)
-	assert.True(t, long.answer(t).Close)
+	assert.True(t, slow.readResponse(t).Close)
+	close(release)
+	assert.True(t, long.readResponse(t).Close)
 	late := dial(t, s)
-	late.ask(t)
-	assert.True(t, late.answer(t).Close, "one that still comes is served")
+	late.send(t)
+	assert.True(t, late.readResponse(t).Close, "one that still comes is served")
 	s.state.Undrain()
 	again := dial(t, s)
 	for range 2 {
-		again.ask(t)
-		assert.False(t, again.answer(t).Close)
+		again.send(t)
+		assert.False(t, again.readResponse(t).Close)
 	}
 }
 
 // At the bound on connections the one idle the longest makes room: what waits in the accept queue counts as taken.
-func TestIdleClientMakesRoom(t *testing.T) {
+func TestIdleConnectionIsEvicted(t *testing.T) {
 	s, _ := serve(t, 2, func(http.ResponseWriter, *http.Request) {})
-	var first *caller
+	var first *testClient
 	for i := range 3 {
 		c := dial(t, s)
-		c.ask(t)
-		assert.Equal(t, http.StatusOK, c.answer(t).StatusCode)
+		c.send(t)
+		assert.Equal(t, http.StatusOK, c.readResponse(t).StatusCode)
 		if i == 0 {
 			first = c
 		}
-		require.Eventually(t, func() bool { return s.listener.idle() == min(i+1, 2) }, time.Minute, time.Millisecond)
+		require.Eventually(t, func() bool { return s.listener.idleCount() == min(i+1, 2) }, time.Minute, time.Millisecond)
 	}
 	_, err := first.in.ReadByte()
 	assert.Equal(t, io.EOF, err)
 }
 
 // So do connections that say nothing: opened by the hundred they must not keep those out that ask.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s, _ := serve(t, 3, func(http.ResponseWriter, *http.Request) {})
 	for range 9 {
 		dial(t, s)
 	}
 	c := dial(t, s)
-	c.ask(t)
-	assert.Equal(t, http.StatusOK, c.answer(t).StatusCode)
+	c.send(t)
+	assert.Equal(t, http.StatusOK, c.readResponse(t).StatusCode)
 }
 
-func (l *listener) begun() (n int) {
+func (l *listener) requestsBegun() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.conns {
@@ -155,7 +155,7 @@
 	return n
 }
 
-func (l *listener) idle() (n int) {
+func (l *listener) idleCount() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for k := range l.conns {
@@ -168,7 +168,7 @@
 
 // In a storm connections come faster than they can be served: those that are not admitted are closed before a byte of
 // them is read, hold no place, and those that are get their answer.
-func TestConnectionsThatAreNotAdmitted(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	var came, served atomic.Int32
 	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 64, MaxRequestDeadline: time.Minute,
 		Admit: func() bool { return came.Add(1)%10 == 0 }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -17,7 +17,7 @@
 
 // A keyed request's first attempt is reset, and the connection for the next comes up when the window for repeats is over: not
 // a byte goes out on it, though it was chosen in time. The client hears at once that it failed.
-func TestConnectionThatComesAfterTheWindow(t *testing.T) {
+func TestConnectedAfterRetryWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	m := fake.New(t, fake.Reset, fake.OK("again"))
 	p := New(Options{MaxConnections: 9, StaleWindow: time.Minute, IdleTimeout: time.Minute, ConnectTimeout: time.Minute})
@@ -46,8 +46,8 @@
 
 // What nobody asked for comes on a kept connection, or its end, in the moment in which that has been chosen: a whole answer,
 // half a line of one, a close. Nothing is written there, and nobody takes it for an answer; a new connection has the request.
-func TestUnaskedBytesOnAConnectionThatIsChosen(t *testing.T) {
-	for name, comes := range map[string]func(net.Conn){
+func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
+	for name, event := range map[string]func(net.Conn){
 		"a second answer": func(c net.Conn) { io.WriteString(c, okHead+"Content-Length: 5\r\n\r\nother") },
 		"half a line":     func(c net.Conn) { io.WriteString(c, "HTTP/1.1 2") },
 		"a close":         func(c net.Conn) { c.Close() },
@@ -59,12 +59,12 @@
 			_, err := io.WriteString(c, okHead+"Content-Length: 3\r\n\r\nown")
 			return err == nil
 		})
-		p, ask := start(t, 9, plain, m)
+		p, ask := newTestPool(t, 9, carry, m)
 		require.Equal(t, core.Served, ask().Kind, name)
-		asks := 0
+		attempts := 0
 		p.onConnected = func(f *core.Flow) {
-			if asks++; asks == 1 {
-				comes(<-conns)
+			if attempts++; attempts == 1 {
+				event(<-conns)
 				// It is on loopback, and so it is there; whoever looks now would see it.
 			}
 		}
@@ -79,8 +79,8 @@
 
 // A connection comes up when its attempt has no use for it any more: its client has left, the process gives all up, or its
 // member is to get nothing new. Not a byte goes out, and the connection is there for the next, unless the member drains.
-func TestConnectionThatComesTooLate(t *testing.T) {
-	for name, story := range map[string]struct {
+func TestConnectedAfterCancellation(t *testing.T) {
+	for name, test := range map[string]struct {
 		happens func(p *Pool, c *core.Core, leave func())
 		kind    core.AnswerKind
 		kept    int
@@ -103,8 +103,8 @@
 		ctx, leave := context.WithCancel(context.Background())
 		answered, on := make(chan bool), make(chan bool)
 		p.onConnected = func(*core.Flow) {
-			story.happens(p, c, leave)
-			if story.kind != core.Refused { // which comes of this flow's end
+			test.happens(p, c, leave)
+			if test.kind != core.Refused { // which comes of this flow's end
 				<-answered
 			}
 			close(on)
@@ -113,8 +113,8 @@
 			Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 2*time.Second}})
 		close(answered)
 		<-on
-		assert.Equal(t, story.kind, a.Kind, name)
-		require.Eventually(t, func() bool { n := p.Stats(); return n.Idle == story.kept && n.Open == story.kept }, time.Minute,
+		assert.Equal(t, test.kind, a.Kind, name)
+		require.Eventually(t, func() bool { n := p.Stats(); return n.Idle == test.kept && n.Open == test.kept }, time.Minute,
 			time.Millisecond, name)
 		assert.Empty(t, m.Seen(), name)
 		leave()
--- a/internal/pool/dial.go
+++ b/internal/pool/dial.go
@@ -15,25 +15,25 @@
 // This file owns how a connection is opened, and how one is looked at without reading it.
 
 func (p *Pool) connect(a attempt, addr string) (*conn, core.End) {
-	nc, err := p.dialTransport(a, addr)
+	raw, err := p.dialTransport(a, addr)
 	if err != nil {
 		p.noteClosed()
 		return nil, core.EndNoConnect
 	}
-	c := &conn{Conn: nc, addr: addr, peeker: newPeeker(nc)}
+	c := &conn{Conn: raw, addr: addr, peeker: newPeeker(raw)}
 	if p.options.TLS != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		conf := p.options.TLS.Clone()
-		if conf.ServerName == "" {
-			conf.ServerName = host
+		config := p.options.TLS.Clone()
+		if config.ServerName == "" {
+			config.ServerName = host
 		}
-		t := tls.Client(nc, conf)
-		nc.SetDeadline(earliest(a.By(), time.Now().Add(time.Duration(p.connectTimeout.Load()))))
-		if t.Handshake() != nil {
+		tlsConn := tls.Client(raw, config)
+		raw.SetDeadline(earliest(a.By(), time.Now().Add(time.Duration(p.connectTimeout.Load()))))
+		if tlsConn.Handshake() != nil {
 			p.discard(c)
 			return nil, core.EndNoConnect
 		}
-		c.Conn = t
+		c.Conn = tlsConn
 	}
 	c.reader = bufio.NewReaderSize(c, 2048)
 	return c, core.EndNone
@@ -43,8 +43,8 @@
 func (p *Pool) dialTransport(a attempt, addr string) (net.Conn, error) {
 	timeout := time.Duration(p.connectTimeout.Load())
 	if p.options.Dial == nil {
-		d := net.Dialer{Timeout: timeout, Deadline: a.By(), KeepAlive: -1}
-		return d.Dial("tcp", addr)
+		dialer := net.Dialer{Timeout: timeout, Deadline: a.By(), KeepAlive: -1}
+		return dialer.Dial("tcp", addr)
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), earliest(a.By(), time.Now().Add(timeout)))
 	defer cancel()
@@ -61,15 +61,15 @@
 type socketPeeker struct{ raw syscall.RawConn }
 
 // peekerOf gives the way to look at a connection, or nil where there is none.
-func newPeeker(nc net.Conn) Peeker {
-	if peek, ok := nc.(Peeker); ok {
-		return peek
+func newPeeker(conn net.Conn) Peeker {
+	if peeker, ok := conn.(Peeker); ok {
+		return peeker
 	}
-	one, ok := nc.(syscall.Conn)
+	source, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := one.SyscallConn()
+	raw, err := source.SyscallConn()
 	if err != nil {
 		return nil
 	}
--- a/internal/pool/early_tcp_test.go
+++ b/internal/pool/early_tcp_test.go
@@ -17,7 +17,7 @@
 
 // Over TCP an answer that came before the reset of a connection is read after it, as the connections in memory have it: the
 // system tells the write of the reset, and gives what had come before to the next read.
-func TestAnswerBeforeAResetOverTCP(t *testing.T) {
+func TestEarlyResponseBeforeResetOverTCP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -28,15 +28,15 @@
 				return
 			}
 			if _, err := http.ReadRequest(bufio.NewReaderSize(c, 16)); err == nil {
-				io.WriteString(c, fine)
+				io.WriteString(c, okResponse)
 			}
 			c.Close() // over bytes that were not read
 		}
 	}()
-	p := New(Options{MaxConnections: 9, IdleTimeout: testLife, ConnectTimeout: time.Second})
+	p := New(Options{MaxConnections: 9, IdleTimeout: testIdleTimeout, ConnectTimeout: time.Second})
 	defer p.Close()
 	p.Set(1, l.Addr().String(), policy.Ready)
-	body := call(8 << 20) // more than the system takes at once
+	body := newRequest(8 << 20) // more than the system takes at once
 	for range 10 {
 		body.Deadline = time.Now().Add(2 * time.Second)
 		x, end := p.Send(context.Background(), body)
--- a/internal/pool/early_test.go
+++ b/internal/pool/early_test.go
@@ -22,13 +22,13 @@
 )
 
 const (
-	testWindow  = 4 << 10 // bytes
-	testLatency = time.Millisecond
-	testLife    = 10 * time.Second // of an idle connection
+	testWindow      = 4 << 10 // bytes
+	testLatency     = time.Millisecond
+	testIdleTimeout = 10 * time.Second // of an idle connection
 )
 
 // inMemory plays a story in virtual time with a pool whose one member takes each connection by a function.
-func inMemory(t *testing.T, member func(*memorynet.Conn), story func(*Pool)) {
+func runInMemory(t *testing.T, serve func(*memorynet.Conn), run func(*Pool)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &memorynet.Network{Window: func() int { return testWindow }, Latency: func() time.Duration { return testLatency }}
 		l := network.Listen("member")
@@ -38,12 +38,12 @@
 				if err != nil {
 					return
 				}
-				go member(c.(*memorynet.Conn))
+				go serve(c.(*memorynet.Conn))
 			}
 		}()
-		p := New(Options{MaxConnections: 9, IdleTimeout: testLife, ConnectTimeout: time.Second, Dial: network.Dial})
+		p := New(Options{MaxConnections: 9, IdleTimeout: testIdleTimeout, ConnectTimeout: time.Second, Dial: network.Dial})
 		p.Set(1, "member", policy.Ready)
-		story(p)
+		run(p)
 		p.Close()
 		l.Close()
 		time.Sleep(testLatency + 1) // all that was closed has heard of it
@@ -51,17 +51,17 @@
 }
 
 // call is a request with a body of so many bytes.
-func call(length int) *Request {
-	return &Request{Server: 1, Deadline: time.Now().Add(2 * time.Second), Method: http.MethodPost, Body: []byte(long(length)),
+func newRequest(length int) *Request {
+	return &Request{Server: 1, Deadline: time.Now().Add(2 * time.Second), Method: http.MethodPost, Body: []byte(textOf(length)),
 		WriteHead: func(b *bytes.Buffer) {
 			fmt.Fprintf(b, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", length)
 		}}
 }
 
-const fine = okHead + "Content-Length: 2\r\n\r\nok"
+const okResponse = okHead + "Content-Length: 2\r\n\r\nok"
 
 // answersAfter answers once it has read the head and so much of the body.
-func answersAfter(read int, text string, then func(c *memorynet.Conn, in *bufio.Reader)) func(*memorynet.Conn) {
+func respondAfter(read int, text string, then func(c *memorynet.Conn, in *bufio.Reader)) func(*memorynet.Conn) {
 	return func(c *memorynet.Conn) {
 		in := bufio.NewReaderSize(c, 16)
 		r, err := http.ReadRequest(in)
@@ -76,7 +76,7 @@
 
 // A member answers before it has read a long body, and reads no further, or breaks the connection: its answer is given, nothing
 // of another request comes in the place of the rest, and the next request has a connection of its own.
-func TestAnswerBeforeTheBodyIsWhole(t *testing.T) {
+func TestEarlyResponse(t *testing.T) {
 	const length = 200 << 10
 	for name, then := range map[string]func(*memorynet.Conn, *bufio.Reader){
 		"it reads no further": func(*memorynet.Conn, *bufio.Reader) {},
@@ -91,10 +91,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inMemory(t, answersAfter(1000, fine, then), func(p *Pool) {
+			runInMemory(t, respondAfter(1000, okResponse, then), func(p *Pool) {
 				for range 2 {
 					began := time.Now()
-					x, end := p.Send(context.Background(), call(length))
+					x, end := p.Send(context.Background(), newRequest(length))
 					require.NotNil(t, x, "%v", end)
 					resp, err := x.ReadHead(time.Now().Add(time.Second))
 					require.NoError(t, err)
@@ -113,10 +113,10 @@
 }
 
 // A member that reads slowly, and answers before it has all, gets all, and the connection is kept.
-func TestAnswerBeforeTheBodyIsWholeWithoutStall(t *testing.T) {
+func TestEarlyResponseWithoutStall(t *testing.T) {
 	const length = 40 << 10
 	var whole atomic.Int64
-	member := answersAfter(1000, fine, func(c *memorynet.Conn, in *bufio.Reader) {
+	member := respondAfter(1000, okResponse, func(c *memorynet.Conn, in *bufio.Reader) {
 		n := 0
 		for piece := make([]byte, 1024); n < length-1000; time.Sleep(bodyStallTimeout / 5) {
 			read, err := in.Read(piece)
@@ -126,8 +126,8 @@
 		}
 		whole.Store(int64(n) + 1000)
 	})
-	inMemory(t, member, func(p *Pool) {
-		x, end := p.Send(context.Background(), call(length))
+	runInMemory(t, member, func(p *Pool) {
+		x, end := p.Send(context.Background(), newRequest(length))
 		require.NotNil(t, x, "%v", end)
 		_, err := x.ReadHead(time.Now().Add(time.Second))
 		require.NoError(t, err)
@@ -141,18 +141,18 @@
 }
 
 // Where a body breaks off without a word the request may have run, as its head was there; without its head it has not.
-func TestRequestCutAtEveryByte(t *testing.T) {
+func TestResetAtEveryRequestByte(t *testing.T) {
 	const length = 3 * testWindow
 	head := 0
 	var b bytes.Buffer
-	call(length).WriteHead(&b)
+	newRequest(length).WriteHead(&b)
 	head = b.Len()
 	for _, cut := range []int{0, 1, head - 1, head, head + 1, head + length/2, head + length - 1} {
-		inMemory(t, func(c *memorynet.Conn) {
+		runInMemory(t, func(c *memorynet.Conn) {
 			io.CopyN(io.Discard, c, int64(cut))
 			c.Reset(false)
 		}, func(p *Pool) {
-			x, end := p.Send(context.Background(), call(length))
+			x, end := p.Send(context.Background(), newRequest(length))
 			if x == nil {
 				assert.Equal(t, core.EndCutShort, end, cut)
 				assert.Less(t, cut, head)
@@ -167,18 +167,18 @@
 }
 
 // A connection that was chosen and then not used is as old as it was: its member closes it when it would have.
-func TestConnectionThatWasNotUsedDoesNotGrowYounger(t *testing.T) {
-	inMemory(t, func(c *memorynet.Conn) {
+func TestReleaseUnusedKeepsIdleSince(t *testing.T) {
+	runInMemory(t, func(c *memorynet.Conn) {
 		in := bufio.NewReader(c)
 		for {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			io.WriteString(c, fine)
+			io.WriteString(c, okResponse)
 		}
 	}, func(p *Pool) {
 		ask := func(check func() bool) *Exchange {
-			one := call(0)
+			one := newRequest(0)
 			one.MaySend = check
 			x, _ := p.Send(context.Background(), one)
 			return x
@@ -189,7 +189,7 @@
 		io.ReadAll(x)
 		x.Close()
 		for range 8 {
-			time.Sleep(testLife / 8)
+			time.Sleep(testIdleTimeout / 8)
 			assert.Nil(t, ask(func() bool { return false }))
 		}
 		x = ask(nil)
@@ -199,17 +199,17 @@
 }
 
 // What belongs to another request is waited behind as before the first answer, and its connection is not kept.
-func TestAnswerBehindAForeignOne(t *testing.T) {
+func TestResponseAfterUnsolicitedOne(t *testing.T) {
 	const pause = 300 * time.Millisecond
-	inMemory(t, func(c *memorynet.Conn) {
+	runInMemory(t, func(c *memorynet.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
 		io.WriteString(c, okHead+"Content-Length: 0\r\n\r\n")
 		time.Sleep(pause)
-		io.WriteString(c, fine)
+		io.WriteString(c, okResponse)
 	}, func(p *Pool) {
-		x, _ := p.Send(context.Background(), call(0))
+		x, _ := p.Send(context.Background(), newRequest(0))
 		_, err := x.ReadHead(time.Now().Add(time.Second))
 		require.NoError(t, err)
 		io.ReadAll(x)
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -116,24 +116,24 @@
 // exchange writes the flow's request whole and reads its answer, and tells whether the connection may be used
 // again. What counts for the end is whether the last byte was written: before that nothing ran, after it, it may
 // have.
-func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, a core.Answer, reuse bool) {
+func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, answer core.Answer, reuse bool) {
 	msg := flow.Message.(*Message)
 	reused := c.used
 	c.used = true
 	remaining := time.Until(flow.Until)
 	if remaining <= 0 {
-		return core.EndOver, a, true
+		return core.EndOver, answer, true
 	}
 	if msg.remainderRead.Load() {
-		return core.EndSpent, a, true
+		return core.EndSpent, answer, true
 	}
 	c.SetDeadline(flow.Until)
 	if !msg.writeBeginning(c, remaining) {
-		return core.EndCutShort, a, false
+		return core.EndCutShort, answer, false
 	}
 	if msg.Remainder != nil {
 		if end, complete := c.streamRemainder(p, flow, msg); !complete {
-			return end, a, false
+			return end, answer, false
 		}
 		flow.Came()
 		c.SetDeadline(flow.Until)
@@ -144,7 +144,7 @@
 		if end = endOfReadError(err); end == core.EndReset && reused && time.Since(writtenAt) < p.options.StaleWindow {
 			end = core.EndStale
 		}
-		return end, a, false
+		return end, answer, false
 	}
 	return c.readResponse(p, flow, msg)
 }
@@ -250,40 +250,40 @@
 }
 
 // answer reads an answer, to its end or as far as it is held back.
-func (c *conn) readResponse(p *Pool, flow *core.Flow, msg *Message) (end core.End, a core.Answer, reuse bool) {
+func (c *conn) readResponse(p *Pool, flow *core.Flow, msg *Message) (end core.End, answer core.Answer, reuse bool) {
 	var resp *http.Response
 	for interim := 0; ; interim++ {
 		var err error
 		if resp, err = http.ReadResponse(c.reader, &http.Request{Method: msg.Method}); err != nil {
-			return endOfReadError(err), a, false
+			return endOfReadError(err), answer, false
 		}
 		if resp.StatusCode >= 200 {
 			break
 		}
 		if interim == 5 || resp.StatusCode == http.StatusSwitchingProtocols {
-			return core.EndReset, a, false
+			return core.EndReset, answer, false
 		}
 	}
-	a.Report = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
-	b := &responseBody{conn: c, pool: p, server: flow.Server, resp: resp}
-	b.reader, b.ready = bodyReader(c.reader, resp)
+	answer.Report = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
+	body := &responseBody{conn: c, pool: p, server: flow.Server, resp: resp}
+	body.reader, body.ready = bodyReader(c.reader, resp)
 	if resp.StatusCode != http.StatusOK { // what it says is of no use, but is read for the connection's sake
 		c.readLimit += MaxBufferedBody
 		c.SetReadDeadline(earliest(flow.Until, time.Now().Add(shortReadTimeout)))
-		_, err := io.Copy(io.Discard, b.reader)
-		b.ended = err == nil
+		_, err := io.Copy(io.Discard, body.reader)
+		body.ended = err == nil
 		if isNotRun(resp) {
-			return core.EndTurnedAway, a, b.connReusable()
+			return core.EndTurnedAway, answer, body.connReusable()
 		}
-		return core.EndErrored, a, b.connReusable()
+		return core.EndErrored, answer, body.connReusable()
 	}
-	a.Type, a.Length, a.Units = resp.Header.Get("Content-Type"), resp.ContentLength, parseTrueCost(resp.Header.Get(HeaderTrueCost))
+	answer.Type, answer.Length, answer.Units = resp.Header.Get("Content-Type"), resp.ContentLength, parseTrueCost(resp.Header.Get(HeaderTrueCost))
 	maxLength := int64(MaxBodySize)
 	if p.options.BufferResponses {
 		maxLength = MaxBufferedResponse
 	}
 	if resp.ContentLength > maxLength {
-		return core.EndReset, a, false
+		return core.EndReset, answer, false
 	}
 	holdBack := int64(StreamBufferSize)
 	if p.options.BufferResponses {
@@ -292,17 +292,17 @@
 		holdBack = resp.ContentLength
 	}
 	c.readLimit += 8 * maxLength // chunks have heads; what is in them is counted on its own
-	complete, err := b.bufferBeginning(holdBack, flow.Until, !p.options.BufferResponses && holdBack != resp.ContentLength)
+	complete, err := body.bufferBeginning(holdBack, flow.Until, !p.options.BufferResponses && holdBack != resp.ContentLength)
 	if err != nil {
-		b.releaseMemory()
-		return endOfReadError(err), a, false
+		body.releaseMemory()
+		return endOfReadError(err), answer, false
 	}
-	a.Body, a.Free = b.buffered, b.releaseMemory
+	answer.Body, answer.Free = body.buffered, body.releaseMemory
 	if complete {
-		return core.EndServed, a, b.connReusable()
+		return core.EndServed, answer, body.connReusable()
 	}
-	a.Rest = b
-	return core.EndServed, a, false
+	answer.Rest = body
+	return core.EndServed, answer, false
 }
 
 func endOfReadError(err error) core.End {
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/exchange_test.go
@@ -25,7 +25,7 @@
 )
 
 // long is a body that doesn't repeat itself.
-func long(n int) string {
+func textOf(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
 		x = x*1664525 + 1013904223
@@ -35,18 +35,18 @@
 }
 
 // says writes bytes as they are, then does something, and tells whether the connection goes on.
-func says(text string, then func() bool) fake.Reply {
+func respond(text string, then func() bool) fake.Reply {
 	return func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		_, err := io.WriteString(c, text)
 		return then() && err == nil
 	}
 }
 
-func goesOn() bool { return true }
-func ends() bool   { return false }
+func keepOpen() bool   { return true }
+func closeAfter() bool { return false }
 
 // all reads an answer to its end, as a front does.
-func all(a core.Answer) (string, error) {
+func readAll(a core.Answer) (string, error) {
 	text := string(a.Body)
 	if a.Rest == nil {
 		return text, nil
@@ -58,7 +58,7 @@
 const okHead = "HTTP/1.1 200 OK\r\n"
 
 // forms are an answer in all forms that HTTP/1.1 has for it; those whose end is the connection's are marked.
-func forms(body string) map[string][2]string {
+func encodings(body string) map[string][2]string {
 	half := len(body) / 2
 	chunks := okHead + "transfer-encoding: Chunked\r\nTrailer: X-T\r\n\r\n" + hex(half) + ";a=b;c=\"d\"\r\n" + body[:half] + "\r\n000" +
 		hex(len(body)-half) + "\r\n" + body[half:] + "\r\n0\r\nX-T: 1\r\n\r\n"
@@ -85,8 +85,8 @@
 }
 
 // Every form of an answer is read alike, cut at any byte.
-func TestFormsCutAtEveryByte(t *testing.T) {
-	for name, form := range forms("crew sent") {
+func TestResponseEncodingsSplitAtEveryByte(t *testing.T) {
+	for name, form := range encodings("crew sent") {
 		text := form[0]
 		var script []fake.Reply
 		for cut := range text {
@@ -100,10 +100,10 @@
 			})
 		}
 		m := fake.New(t, script...)
-		_, ask := start(t, 9, plain, m)
+		_, ask := newTestPool(t, 9, carry, m)
 		for cut := range text {
 			a := ask()
-			got, err := all(a)
+			got, err := readAll(a)
 			a.Drop()
 			if !assert.NoError(t, err) || !assert.Equal(t, core.Served, a.Kind, "%s cut at %d", name, cut) ||
 				!assert.Equal(t, "crew sent", got, "%s cut at %d", name, cut) {
@@ -114,12 +114,12 @@
 }
 
 // So is a long one, through a small buffer. Its connection is used again where it may be, and its memory is given back.
-func TestLongAnswers(t *testing.T) {
+func TestLongResponses(t *testing.T) {
 	for _, size := range []int{StreamBufferSize, MaxBufferedBody, MaxBufferedBody + 1, 300 << 10, 3 << 20} {
-		body := long(size)
-		for name, form := range forms(body) {
-			m := fake.New(t, says(form[0], func() bool { return form[1] == "" }))
-			p, ask := start(t, 9, plain, m)
+		body := textOf(size)
+		for name, form := range encodings(body) {
+			m := fake.New(t, respond(form[0], func() bool { return form[1] == "" }))
+			p, ask := newTestPool(t, 9, carry, m)
 			p.options.ResponseMemory = buffers.New(MaxBufferedBody)
 			for range 2 {
 				a := ask()
@@ -127,7 +127,7 @@
 				assert.LessOrEqual(t, cap(a.Body), MaxBufferedBody, name)
 				known := !strings.Contains(name, "chunks") && name != "end"
 				assert.Equal(t, size > MaxBufferedBody || !known && size >= StreamBufferSize, a.Rest != nil, "%s of %d", name, size)
-				got, err := all(a)
+				got, err := readAll(a)
 				assert.NoError(t, err, name)
 				assert.True(t, body == got, "%s of %d", name, size)
 				a.Drop()
@@ -144,9 +144,9 @@
 }
 
 // The first bytes of a long answer go on before the rest is there; those of one that may be short do after a moment.
-func TestBeginningGoesFirst(t *testing.T) {
+func TestResponseStreamsBeforeItsEnd(t *testing.T) {
 	for name, c := range map[string]struct{ text, rest string }{
-		"length": {okHead + "Content-Length: 100000\r\n\r\n" + long(50000), long(100000)[50000:]},
+		"length": {okHead + "Content-Length: 100000\r\n\r\n" + textOf(50000), textOf(100000)[50000:]},
 		"chunks": {okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n", "3\r\nfgh\r\n0\r\n\r\n"},
 		"end":    {okHead + "\r\nabcde", "fgh"},
 		"cut":    {okHead + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n1", "\r\nf\r\n0\r\n\r\n"},
@@ -158,13 +158,13 @@
 			io.WriteString(conn, c.rest)
 			return false
 		})
-		_, ask := start(t, 9, plain, m)
+		_, ask := newTestPool(t, 9, carry, m)
 		a := ask()
 		close(begun)
 		require.Equal(t, core.Served, a.Kind, name)
 		require.NotNil(t, a.Rest, name)
 		assert.NotEmpty(t, a.Body, name)
-		got, err := all(a)
+		got, err := readAll(a)
 		assert.NoError(t, err, name)
 		assert.GreaterOrEqual(t, len(got), 6, name)
 		a.Drop()
@@ -173,10 +173,10 @@
 
 // An answer that breaks is no answer while nothing of it has gone out; afterwards it is seen to be broken, and its
 // connection is not used again. What claims more than there can be is none, and what goes on for ever is cut off.
-func TestAnswersThatBreak(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	endless := func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		io.WriteString(c, okHead+"Transfer-Encoding: chunked\r\n\r\n")
-		piece := "8000\r\n" + long(0x8000) + "\r\n"
+		piece := "8000\r\n" + textOf(0x8000) + "\r\n"
 		for _, err := io.WriteString(c, piece); err == nil; _, err = io.WriteString(c, piece) {
 		}
 		return false
@@ -185,26 +185,26 @@
 		reply  fake.Reply
 		served bool // its beginning was
 	}{
-		"at once":           {says(okHead+"Content-Length: 300000\r\n\r\nabc", ends), false},
-		"at once, chunks":   {says(okHead+"Transfer-Encoding: chunked\r\n\r\n5\r\nabc", ends), false},
-		"noise in chunks":   {says(okHead+"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", goesOn), false},
-		"short":             {says(okHead+"Content-Length: 30\r\n\r\nabc", ends), false},
-		"3 GB":              {says(okHead+"Content-Length: 3221225472\r\n\r\n"+long(9000), goesOn), false},
-		"later":             {says(okHead+"Content-Length: 300000\r\n\r\n"+long(100000), ends), true},
-		"later, chunks":     {says(okHead+"Transfer-Encoding: chunked\r\n\r\n20000\r\n"+long(100000), ends), true},
-		"later, noise":      {says(okHead+"Transfer-Encoding: chunked\r\n\r\n8000\r\n"+long(0x8000)+"no chunk\r\n", goesOn), true},
+		"at once":           {respond(okHead+"Content-Length: 300000\r\n\r\nabc", closeAfter), false},
+		"at once, chunks":   {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n5\r\nabc", closeAfter), false},
+		"noise in chunks":   {respond(okHead+"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", keepOpen), false},
+		"short":             {respond(okHead+"Content-Length: 30\r\n\r\nabc", closeAfter), false},
+		"3 GB":              {respond(okHead+"Content-Length: 3221225472\r\n\r\n"+textOf(9000), keepOpen), false},
+		"later":             {respond(okHead+"Content-Length: 300000\r\n\r\n"+textOf(100000), closeAfter), true},
+		"later, chunks":     {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n20000\r\n"+textOf(100000), closeAfter), true},
+		"later, noise":      {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n8000\r\n"+textOf(0x8000)+"no chunk\r\n", keepOpen), true},
 		"endless":           {endless, true},
-		"negative length":   {says(okHead+"Content-Length: -3\r\n\r\nabc", goesOn), false},
-		"two lengths":       {says(okHead+"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", goesOn), false},
-		"a length in words": {says(okHead+"Content-Length: many\r\n\r\nabc", goesOn), false},
+		"negative length":   {respond(okHead+"Content-Length: -3\r\n\r\nabc", keepOpen), false},
+		"two lengths":       {respond(okHead+"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", keepOpen), false},
+		"a length in words": {respond(okHead+"Content-Length: many\r\n\r\nabc", keepOpen), false},
 	} {
 		m := fake.New(t, c.reply)
-		p, ask := start(t, 9, plain, m)
+		p, ask := newTestPool(t, 9, carry, m)
 		p.options.ResponseMemory = buffers.New(MaxBufferedBody)
 		a := ask()
 		if c.served {
 			require.Equal(t, core.Served, a.Kind, name)
-			got, err := all(a)
+			got, err := readAll(a)
 			assert.Error(t, err, name)
 			assert.LessOrEqual(t, len(got), MaxBodySize+2*MaxBufferedBody, name)
 			a.Drop()
@@ -218,11 +218,11 @@
 
 // A reset is no end: an answer of no stated length that is reset on the way is none, wherever the reset finds the reading of
 // it. The system tells of a reset once; who asks again is told of an end.
-func TestResetIsNoEnd(t *testing.T) {
+func TestResetIsNotEOF(t *testing.T) {
 	for name, text := range map[string]string{
 		"head alone":  okHead + "\r\n",
 		"few bytes":   okHead + "\r\nabcde",
-		"many bytes":  okHead + "\r\n" + long(5000),
+		"many bytes":  okHead + "\r\n" + textOf(5000),
 		"1.0":         "HTTP/1.0 200 OK\r\n\r\nabcde",
 		"and a close": okHead + "Connection: close\r\n\r\nabcde",
 	} {
@@ -231,11 +231,11 @@
 			io.WriteString(c, text)
 			return false // what was written is read first, then the reset is there for whichever call reads next
 		})
-		p, ask := start(t, 9, plain, m)
+		p, ask := newTestPool(t, 9, carry, m)
 		for range 20 {
 			a := ask()
 			if a.Kind == core.Served {
-				_, err := all(a)
+				_, err := readAll(a)
 				assert.Error(t, err, name)
 				a.Drop()
 			}
@@ -245,7 +245,7 @@
 }
 
 // So is one that comes after the beginning of the answer has gone out.
-func TestResetAfterTheBeginning(t *testing.T) {
+func TestResetWhileStreaming(t *testing.T) {
 	begun := make(chan bool)
 	m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		c.(*net.TCPConn).SetLinger(0)
@@ -253,28 +253,28 @@
 		<-begun
 		return false
 	})
-	_, ask := start(t, 9, plain, m)
+	_, ask := newTestPool(t, 9, carry, m)
 	a := ask()
 	close(begun)
 	require.Equal(t, core.Served, a.Kind)
-	got, err := all(a)
+	got, err := readAll(a)
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 	assert.Equal(t, "abcde", got)
 	a.Drop()
 }
 
 // What comes behind an answer belongs to nobody: its connection is not used again, whether the answer was long or short.
-func TestNoiseBehindAnAnswer(t *testing.T) {
+func TestBytesAfterResponse(t *testing.T) {
 	for _, size := range []int{9, 300 << 10} {
-		for name, form := range forms(long(size)) {
+		for name, form := range encodings(textOf(size)) {
 			if form[1] != "" {
 				continue // its connection is over anyway
 			}
-			m := fake.New(t, says(form[0]+"HTTP/1.1 200 OK\r\n", goesOn))
-			_, ask := start(t, 9, plain, m)
+			m := fake.New(t, respond(form[0]+"HTTP/1.1 200 OK\r\n", keepOpen))
+			_, ask := newTestPool(t, 9, carry, m)
 			for range 2 {
 				a := ask()
-				_, err := all(a)
+				_, err := readAll(a)
 				assert.NoError(t, err, name)
 				a.Drop()
 				time.Sleep(5 * time.Millisecond) // the noise has come in
@@ -285,9 +285,9 @@
 }
 
 // Where all that answers may hold is held, the next waits and doesn't fail.
-func TestAnswersWaitForRoom(t *testing.T) {
-	m := fake.New(t, fake.OK(long(300<<10)))
-	p, ask := start(t, 9, plain, m)
+func TestResponsesWaitForMemory(t *testing.T) {
+	m := fake.New(t, fake.OK(textOf(300<<10)))
+	p, ask := newTestPool(t, 9, carry, m)
 	p.options.ResponseMemory = buffers.New(StreamBufferSize)
 	first := ask()
 	require.NotNil(t, first.Rest)
@@ -298,7 +298,7 @@
 		t.Fatal("it didn't wait")
 	case <-time.After(50 * time.Millisecond):
 	}
-	_, err := all(first)
+	_, err := readAll(first)
 	require.NoError(t, err)
 	first.Drop()
 	a := <-second
@@ -307,9 +307,9 @@
 }
 
 // A client that leaves in the middle of a long answer: its connection is ended, not put back.
-func TestLongAnswerThatNobodyTakes(t *testing.T) {
-	m := fake.New(t, fake.OK(long(3<<20)))
-	p, ask := start(t, 9, plain, m)
+func TestAbandonedResponse(t *testing.T) {
+	m := fake.New(t, fake.OK(textOf(3<<20)))
+	p, ask := newTestPool(t, 9, carry, m)
 	a := ask()
 	require.NotNil(t, a.Rest)
 	a.Drop()
@@ -317,25 +317,25 @@
 }
 
 // pieces is a body that comes in pieces, and may break.
-type pieces struct {
-	list []string
-	err  error
-	wait chan bool // before the second
-	n    int
+type chunkSource struct {
+	chunks []string
+	err    error
+	wait   chan bool // before the second
+	next   int
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if p.n == len(p.list) {
+func (p *chunkSource) Read(b []byte) (int, error) {
+	if p.next == len(p.chunks) {
 		return 0, p.err
 	}
-	if p.n++; p.n == 2 && p.wait != nil {
+	if p.next++; p.next == 2 && p.wait != nil {
 		<-p.wait
 	}
-	return copy(b, p.list[p.n-1]), nil
+	return copy(b, p.chunks[p.next-1]), nil
 }
 
 // post puts a request whose body is kept as far as kept goes, and follows from rest.
-func post(p *Pool, members []*fake.Peer, class int, kept string, rest io.Reader, length int64) core.Answer {
+func sendStreamed(p *Pool, members []*fake.Peer, class int, kept string, rest io.Reader, length int64) core.Answer {
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
 	if err != nil {
@@ -352,17 +352,17 @@
 }
 
 // A body that comes in pieces reaches the member whole, with its length or in chunks.
-func TestBodyInPieces(t *testing.T) {
-	kept, rest := long(MaxBufferedBody), []string{"a", "bc", long(StreamBufferSize), long(100), "x"}
+func TestStreamedRequestBody(t *testing.T) {
+	kept, rest := textOf(MaxBufferedBody), []string{"a", "bc", textOf(StreamBufferSize), textOf(100), "x"}
 	whole := kept + strings.Join(rest, "")
 	for _, length := range []int64{-1, int64(len(whole))} {
 		for _, begin := range []string{kept, ""} {
 			m := fake.New(t, fake.OK("done"))
-			p, _ := start(t, 9, plain, m)
+			p, _ := newTestPool(t, 9, carry, m)
 			if length >= 0 {
 				length = int64(len(begin) + len(whole) - len(kept))
 			}
-			a := post(p, []*fake.Peer{m}, 1, begin, &pieces{list: rest, err: io.EOF}, length)
+			a := sendStreamed(p, []*fake.Peer{m}, 1, begin, &chunkSource{chunks: rest, err: io.EOF}, length)
 			assert.Equal(t, core.Served, a.Kind)
 			require.Len(t, m.Seen(), 1)
 			assert.True(t, begin+strings.Join(rest, "") == m.Seen()[0].Text)
@@ -373,9 +373,9 @@
 }
 
 // slowEnd is a body whose end comes some time after its last byte.
-type slowEnd struct{ text string }
+type lateEOFReader struct{ text string }
 
-func (s *slowEnd) Read(b []byte) (int, error) {
+func (s *lateEOFReader) Read(b []byte) (int, error) {
 	if s.text == "" {
 		time.Sleep(50 * time.Millisecond)
 		return 0, io.EOF
@@ -387,26 +387,26 @@
 
 // A member answers once it has a body's last byte, whether or not the body's end is known here by then: that is the answer,
 // and never a sign that nothing ran. A body that is shorter or longer than its head says is none.
-func TestAnswerRightAfterTheLastByte(t *testing.T) {
+func TestResponseRightAfterLastByte(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	p, _ := start(t, 9, plain, m)
-	a := post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * StreamBufferSize)}, int64(3+3*StreamBufferSize))
+	p, _ := newTestPool(t, 9, carry, m)
+	a := sendStreamed(p, []*fake.Peer{m}, 1, "abc", &lateEOFReader{textOf(3 * StreamBufferSize)}, int64(3+3*StreamBufferSize))
 	assert.Equal(t, core.Served, a.Kind)
 	assert.Equal(t, "done", string(a.Body))
 	require.Len(t, m.Seen(), 1)
 	for _, length := range []int64{4 + 3*StreamBufferSize, 2 + 3*StreamBufferSize} {
-		a = post(p, []*fake.Peer{m}, 1, "abc", &slowEnd{long(3 * StreamBufferSize)}, length)
+		a = sendStreamed(p, []*fake.Peer{m}, 1, "abc", &lateEOFReader{textOf(3 * StreamBufferSize)}, length)
 		assert.Equal(t, core.Refused, a.Kind, "%d", length)
 		assert.Len(t, m.Seen(), 1, "%d", length)
 	}
 }
 
 // A body that breaks off has run nowhere, and its request is refused as one that may come again; it is not sent twice.
-func TestBodyThatBreaksOff(t *testing.T) {
+func TestTruncatedRequestBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	p, _ := start(t, 9, plain, m)
+	p, _ := newTestPool(t, 9, carry, m)
 	for _, length := range []int64{-1, 1 << 20} {
-		a := post(p, []*fake.Peer{m}, 1, "abc", &pieces{list: []string{"de"}, err: errors.New("left")}, length)
+		a := sendStreamed(p, []*fake.Peer{m}, 1, "abc", &chunkSource{chunks: []string{"de"}, err: errors.New("left")}, length)
 		assert.Equal(t, core.Refused, a.Kind)
 		assert.Empty(t, m.Seen())
 		assert.Equal(t, 0, p.Stats().Open)
@@ -414,16 +414,16 @@
 }
 
 // While nothing of what follows has been read the request may go elsewhere; afterwards it may not, though it never ran.
-func TestBodyGoesElsewhereWhileItCan(t *testing.T) {
+func TestRetryBeforeBodyIsRead(t *testing.T) {
 	dead := fake.New(t, fake.OK("done"))
 	alive := fake.New(t, fake.OK("done"))
-	p, _ := start(t, 9, plain, dead, alive)
+	p, _ := newTestPool(t, 9, carry, dead, alive)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l.Close()
 	for range 8 { // whichever is taken first
 		p.Set(1, l.Addr().String(), policy.Ready) // nobody listens there
-		a := post(p, []*fake.Peer{dead, alive}, 1, "abc", &pieces{list: []string{"de"}, err: io.EOF}, -1)
+		a := sendStreamed(p, []*fake.Peer{dead, alive}, 1, "abc", &chunkSource{chunks: []string{"de"}, err: io.EOF}, -1)
 		assert.Equal(t, core.Served, a.Kind)
 	}
 	for _, seen := range alive.Seen() {
@@ -433,7 +433,7 @@
 }
 
 // early is a member that says something once it has read so much of a body, and goes on reading or ends.
-func early(t *testing.T, after int, text string, goes bool) (string, func() string) {
+func startEarlyResponder(t *testing.T, after int, text string, readsOn bool) (string, func() string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -460,7 +460,7 @@
 					if enough && !said {
 						said = true
 						io.WriteString(c, text)
-						if !goes {
+						if !readsOn {
 							return
 						}
 					}
@@ -476,7 +476,7 @@
 
 // What a member says before a body is whole: an answer then proves that nothing ran, whatever it is; a word in between is
 // none, and the body goes on.
-func TestMemberSpeaksEarly(t *testing.T) {
+func TestEarlyResponseWhileStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		goes bool
@@ -488,31 +488,31 @@
 		"100 and 102":        {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\n", true, core.Served},
 		"an answer, goes on": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", true, core.Refused},
 	} {
-		addr, _ := early(t, 300, c.text, c.goes)
+		addr, _ := startEarlyResponder(t, 300, c.text, c.goes)
 		d := fake.Deployment()
 		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 		t.Cleanup(p.Close)
 		p.Set(1, addr, policy.Ready)
 		said := make(chan bool)
 		go func() { time.Sleep(50 * time.Millisecond); close(said) }()
-		a := post(p, make([]*fake.Peer, 1), 1, long(1000), &pieces{list: []string{"a", "b", "c", "d"}, err: io.EOF, wait: said}, -1)
+		a := sendStreamed(p, make([]*fake.Peer, 1), 1, textOf(1000), &chunkSource{chunks: []string{"a", "b", "c", "d"}, err: io.EOF, wait: said}, -1)
 		assert.Equal(t, c.kind, a.Kind, name)
 	}
 }
 
 // breaks is a connection to a member that says something and takes only so much.
-type breaks struct {
+type limitedConn struct {
 	net.Conn
-	says  io.Reader
-	takes int
+	input    io.Reader
+	writable int
 }
 
-func (b *breaks) Read(p []byte) (int, error)      { return b.says.Read(p) }
-func (b *breaks) SetDeadline(time.Time) error     { return nil }
-func (b *breaks) SetReadDeadline(time.Time) error { return nil }
-func (b *breaks) Write(p []byte) (n int, err error) {
-	n = min(len(p), b.takes)
-	if b.takes -= n; n < len(p) {
+func (b *limitedConn) Read(p []byte) (int, error)      { return b.input.Read(p) }
+func (b *limitedConn) SetDeadline(time.Time) error     { return nil }
+func (b *limitedConn) SetReadDeadline(time.Time) error { return nil }
+func (b *limitedConn) Write(p []byte) (n int, err error) {
+	n = min(len(p), b.writable)
+	if b.writable -= n; n < len(p) {
 		err = net.ErrClosed
 	}
 	return n, err
@@ -520,16 +520,16 @@
 
 // A connection that breaks at any byte of a body never leaves the flow looking as if it had been served, whatever the member
 // said before: not in the last chunk either.
-func TestBodyIsCutAtEveryByte(t *testing.T) {
+func TestResetAtEveryStreamedByte(t *testing.T) {
 	const whole = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
 	p := New(Options{MaxConnections: 9})
 	t.Cleanup(p.Close)
 	for _, says := range []string{"", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\nHTTP/1.1 102 x\r\n\r\n"} {
 		for takes := range len(whole) + 1 {
-			c := &conn{Conn: &breaks{says: strings.NewReader(says), takes: takes}, readLimit: maxHeadSize}
+			c := &conn{Conn: &limitedConn{input: strings.NewReader(says), writable: takes}, readLimit: maxHeadSize}
 			c.reader = bufio.NewReader(c)
 			c.reader.Peek(1) // what it says is there already
-			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: &pieces{list: []string{"abcde", "fg"}, err: io.EOF}, ContentLength: -1})
+			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}, ContentLength: -1})
 			if assert.Equal(t, takes == len(whole), ok, "%q, %d", says, takes) && !ok {
 				assert.Equal(t, core.EndCutShort, end, "%q, %d", says, takes)
 			}
@@ -538,8 +538,8 @@
 }
 
 // FuzzAnswer reads whatever a member says: it ends, keeps to its bounds, and gives all memory and the connection back.
-func FuzzAnswer(f *testing.F) {
-	for _, form := range forms("crew sent") {
+func FuzzResponse(f *testing.F) {
+	for _, form := range encodings("crew sent") {
 		f.Add([]byte(form[0]))
 	}
 	for _, text := range []string{okHead + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", "HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 304 x\r\n\r\n",
@@ -574,7 +574,7 @@
 		c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 		a := c.Serve(context.Background(), core.Request{Message: &Message{Method: "POST", Target: "/x", Host: "x"},
 			Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 20*time.Second}})
-		got, _ := all(a)
+		got, _ := readAll(a)
 		a.Drop()
 		if len(got) > len(text) {
 			t.Fatalf("%d bytes of %d", len(got), len(text))
@@ -616,7 +616,7 @@
 }
 
 // FuzzReport: whatever a member says of its load, no figure is negative or endless, and none has a place that there isn't.
-func FuzzReport(f *testing.F) {
+func FuzzLoadReport(f *testing.F) {
 	f.Add("latency_ms=38.5,inflight=7")
 	f.Add("=,latency_ms=0x1p9,,inflight=1_0")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -630,11 +630,11 @@
 }
 
 // An answer of any kind may bring a report, and only a good one tells what its request drew.
-func TestAnswersTellLoadAndUnits(t *testing.T) {
+func TestLoadReportAndTrueCost(t *testing.T) {
 	for code, units := range map[int]float64{200: 2.5, 500: 0} {
 		m := fake.New(t, fake.Says(code, "X-Load: latency_ms=38.5\r\nX-True-Cost: 2.5\r\n", "x"))
 		var got core.Answer
-		_, ask := start(t, 2, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+		_, ask := newTestPool(t, 2, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 			p.options.LoadFields = map[string]int{"latency_ms": 0}
 			end, a := p.Carry(f)
 			got = a
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -82,12 +82,12 @@
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := p.stats
-	c.Open = p.open
-	for _, m := range p.servers {
-		c.Idle += len(m.idle)
+	stats := p.stats
+	stats.Open = p.open
+	for _, s := range p.servers {
+		stats.Idle += len(s.idle)
 	}
-	return c
+	return stats
 }
 
 type server struct {
@@ -143,16 +143,16 @@
 }
 
 // Limit sets from now on how many connections may be open at once.
-func (p *Pool) SetMaxConnections(sockets int) {
+func (p *Pool) SetMaxConnections(n int) {
 	p.mu.Lock()
-	p.options.MaxConnections = sockets
+	p.options.MaxConnections = n
 	p.mu.Unlock()
 }
 
 // Times sets from now on after which time members close idle connections, and how long one may take to come up.
-func (p *Pool) SetTimeouts(connIdle, connectWait time.Duration) {
-	p.idleTimeout.Store(int64(connIdle))
-	p.connectTimeout.Store(int64(connectWait))
+func (p *Pool) SetTimeouts(idle, connect time.Duration) {
+	p.idleTimeout.Store(int64(idle))
+	p.connectTimeout.Store(int64(connect))
 }
 
 // Set takes a member's address and state in. Idle connections to where it no longer is, or to a member that
@@ -172,15 +172,15 @@
 func (p *Pool) Apply(changes []Change) {
 	p.mu.Lock()
 	for _, change := range changes {
-		m := p.servers[change.ID]
-		if m == nil {
-			m = &server{}
-			p.servers[change.ID] = m
+		s := p.servers[change.ID]
+		if s == nil {
+			s = &server{}
+			p.servers[change.ID] = s
 		}
-		m.addr, m.state = change.Address, change.State
+		s.addr, s.state = change.Address, change.State
 	}
 	p.mu.Unlock()
-	p.closeIdle(func(m *server, c *conn) bool { return m.state != policy.Ready || c.addr != m.addr })
+	p.closeIdle(func(s *server, c *conn) bool { return s.state != policy.Ready || c.addr != s.addr })
 }
 
 // Ready counts the members that may be sent new work.
@@ -188,8 +188,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, m := range p.servers {
-		if m.state == policy.Ready {
+	for _, s := range p.servers {
+		if s.state == policy.Ready {
 			n++
 		}
 	}
@@ -233,8 +233,8 @@
 		if c == nil {
 			return nil, end
 		}
-		if carried, ok := a.(*core.Flow); ok && p.onConnected != nil {
-			p.onConnected(carried)
+		if flow, ok := a.(*core.Flow); ok && p.onConnected != nil {
+			p.onConnected(flow)
 		}
 		if end, ok := p.recheck(a, c); !ok {
 			if end == core.EndDrained {
@@ -248,7 +248,7 @@
 			return c, core.EndNone
 		}
 		if p.injected.reuseUnread || !c.hasUnread() {
-			p.count(func(n *Stats) { n.Reused++ })
+			p.count(func(s *Stats) { s.Reused++ })
 			return c, core.EndNone
 		}
 		p.discard(c)
@@ -259,10 +259,10 @@
 // to drain or is gone, it moved, or the transaction is over.
 func (p *Pool) recheck(a attempt, c *conn) (core.End, bool) {
 	p.mu.Lock()
-	m := p.servers[a.To()]
-	fits := m != nil && m.state == policy.Ready && m.addr == c.addr
+	s := p.servers[a.To()]
+	current := s != nil && s.state == policy.Ready && s.addr == c.addr
 	p.mu.Unlock()
-	if !fits && !p.injected.skipRecheck {
+	if !current && !p.injected.skipRecheck {
 		return core.EndDrained, false
 	}
 	return a.Begin(c)
@@ -273,14 +273,14 @@
 func (p *Pool) idleOrDial(a attempt, staleSeen bool) (*conn, core.End) {
 	for ; ; staleSeen = true {
 		p.mu.Lock()
-		m := p.servers[a.To()]
-		if m == nil || m.state != policy.Ready {
+		s := p.servers[a.To()]
+		if s == nil || s.state != policy.Ready {
 			p.mu.Unlock()
 			return nil, core.EndDrained
 		}
-		last := len(m.idle) - 1
+		last := len(s.idle) - 1
 		if last < 0 {
-			addr := m.addr
+			addr := s.addr
 			underLimit := p.open < p.options.MaxConnections
 			if underLimit {
 				p.open++
@@ -291,22 +291,22 @@
 				return nil, core.EndNoSocket
 			}
 			c, end := p.connect(a, addr)
-			p.count(func(n *Stats) {
+			p.count(func(stats *Stats) {
 				if c == nil {
-					n.ConnectFailed++
+					stats.ConnectFailed++
 					return
 				}
-				if n.Opened++; staleSeen {
-					n.OpenedAfterStale++
+				if stats.Opened++; staleSeen {
+					stats.OpenedAfterStale++
 				}
 				if !underLimit {
-					n.OpenedByEviction++
+					stats.OpenedByEviction++
 				}
 			})
 			return c, end
 		}
-		c := m.idle[last]
-		m.idle = m.idle[:last]
+		c := s.idle[last]
+		s.idle = s.idle[:last]
 		p.mu.Unlock()
 		if p.withinIdleTimeout(c) && !p.staleness.likelyStale(time.Since(c.idleSince), methodOf(a)) {
 			return c, core.EndNone
@@ -320,9 +320,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var from *server
-	for _, m := range p.servers {
-		if len(m.idle) > 0 && (from == nil || m.idle[0].idleSince.Before(from.idle[0].idleSince)) {
-			from = m
+	for _, s := range p.servers {
+		if len(s.idle) > 0 && (from == nil || s.idle[0].idleSince.Before(from.idle[0].idleSince)) {
+			from = s
 		}
 	}
 	if from == nil {
@@ -334,9 +334,9 @@
 	return true
 }
 
-func (p *Pool) count(count func(*Stats)) {
+func (p *Pool) count(update func(*Stats)) {
 	p.mu.Lock()
-	count(&p.stats)
+	update(&p.stats)
 	p.mu.Unlock()
 }
 
@@ -377,10 +377,10 @@
 func (p *Pool) addIdle(id policy.ServerID, c *conn) {
 	c.SetDeadline(time.Time{})
 	p.mu.Lock()
-	m := p.servers[id]
-	usable := m != nil && m.state == policy.Ready && m.addr == c.addr
+	s := p.servers[id]
+	usable := s != nil && s.state == policy.Ready && s.addr == c.addr
 	if usable {
-		m.idle = append(m.idle, c)
+		s.idle = append(s.idle, c)
 	}
 	p.mu.Unlock()
 	if !usable {
@@ -401,13 +401,13 @@
 
 // sweep closes idle connections that have grown old or that their peer has closed.
 func (p *Pool) sweepIdle() {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-p.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			p.closeIdle(func(_ *server, c *conn) bool { return !p.reusable(c) })
 		}
 	}
@@ -417,17 +417,17 @@
 func (p *Pool) closeIdle(unusable func(*server, *conn) bool) {
 	var closing []*conn
 	p.mu.Lock()
-	for id, m := range p.servers {
-		kept := m.idle[:0]
-		for _, c := range m.idle {
-			if unusable(m, c) {
+	for id, s := range p.servers {
+		kept := s.idle[:0]
+		for _, c := range s.idle {
+			if unusable(s, c) {
 				closing = append(closing, c)
 			} else {
 				kept = append(kept, c)
 			}
 		}
-		clear(m.idle[len(kept):])
-		if m.idle = kept; m.state == policy.Gone && len(kept) == 0 {
+		clear(s.idle[len(kept):])
+		if s.idle = kept; s.state == policy.Gone && len(kept) == 0 {
 			delete(p.servers, id)
 		}
 	}
@@ -462,11 +462,11 @@
 
 func (a *stalenessEstimator) decay() {
 	now := time.Now()
-	f := math.Exp(-float64(now.Sub(a.decayedAt)) / float64(decayTimeConstant))
+	factor := math.Exp(-float64(now.Sub(a.decayedAt)) / float64(decayTimeConstant))
 	a.decayedAt = now
 	for i := range a.buckets {
-		a.buckets[i].used *= f
-		a.buckets[i].broken *= f
+		a.buckets[i].used *= factor
+		a.buckets[i].broken *= factor
 	}
 }
 
@@ -474,9 +474,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decay()
-	c := &a.buckets[a.bucketOf(idle)]
-	if c.used++; broken {
-		c.broken++
+	bucket := &a.buckets[a.bucketOf(idle)]
+	if bucket.used++; broken {
+		bucket.broken++
 	}
 }
 
@@ -484,13 +484,13 @@
 func (a *stalenessEstimator) likelyStale(idle time.Duration, method string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c, minBroken := &a.buckets[a.bucketOf(idle)], minBrokenSafe
-	if c.broken == 0 {
+	bucket, minBroken := &a.buckets[a.bucketOf(idle)], minBrokenSafe
+	if bucket.broken == 0 {
 		return false
 	}
 	a.decay()
 	if method != http.MethodGet {
 		minBroken = minBrokenUnsafe
 	}
-	return c.broken > minBroken && c.broken > minBrokenShare*c.used
+	return bucket.broken > minBroken && bucket.broken > minBrokenShare*bucket.used
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -16,17 +16,17 @@
 )
 
 // carrier lets a test do something before the flow goes on.
-type carrier func(f *core.Flow) (core.End, core.Answer)
+type carrierFunc func(f *core.Flow) (core.End, core.Answer)
 
-func (c carrier) Carry(f *core.Flow) (core.End, core.Answer) { return c(f) }
+func (c carrierFunc) Carry(f *core.Flow) (core.End, core.Answer) { return c(f) }
 
-func start(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
+func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
 	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
-		carrier(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
+		carrierFunc(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
 	require.NoError(t, err)
 	var list []policy.ServerInfo
 	for i, m := range members {
@@ -40,7 +40,7 @@
 	}
 }
 
-func plain(p *Pool, f *core.Flow) (core.End, core.Answer) { return p.Carry(f) }
+func carry(p *Pool, f *core.Flow) (core.End, core.Answer) { return p.Carry(f) }
 
 func (p *Pool) idle(id policy.ServerID) []*conn {
 	p.mu.Lock()
@@ -50,7 +50,7 @@
 
 func TestConnectionIsReused(t *testing.T) {
 	m := fake.New(t, fake.OK("a"))
-	p, ask := start(t, 9, plain, m)
+	p, ask := newTestPool(t, 9, carry, m)
 	for range 5 {
 		assert.Equal(t, core.Served, ask().Kind)
 	}
@@ -59,9 +59,9 @@
 }
 
 // A peer that closes a connection while it is idle: what is written to it afterwards would count as run.
-func TestCloseWhileIdleIsNoticed(t *testing.T) {
+func TestCloseWhileIdleIsDetected(t *testing.T) {
 	m := fake.New(t, fake.Then(fake.OK("a")))
-	p, ask := start(t, 9, plain, m)
+	p, ask := newTestPool(t, 9, carry, m)
 	require.Equal(t, core.Served, ask().Kind)
 	require.Eventually(t, func() bool {
 		idle := p.idle(1)
@@ -72,9 +72,9 @@
 }
 
 // Connections are retired before the peer's own limit, not at it.
-func TestOldIdleConnectionIsRetired(t *testing.T) {
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	m := fake.New(t, fake.OK("a"))
-	p, ask := start(t, 9, plain, m)
+	p, ask := newTestPool(t, 9, carry, m)
 	require.Equal(t, core.Served, ask().Kind)
 	c := p.idle(1)[0]
 	assert.True(t, p.reusable(c))
@@ -87,7 +87,7 @@
 func TestDrainWhileDialling(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	var drained policy.ServerID
-	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		if drained == 0 {
 			drained = f.Server
 			c, _ := p.idleOrDial(f, false)
@@ -114,7 +114,7 @@
 // A removal forgets the member; a flow on its way there must end, not crash.
 func TestRemovalWhileDialling(t *testing.T) {
 	a := fake.New(t, fake.OK("a"))
-	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		c, _ := p.idleOrDial(f, false)
 		if c == nil {
 			return core.EndDrained, core.Answer{}
@@ -136,7 +136,7 @@
 		}
 		return false
 	})
-	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		end, a := p.Carry(f)
 		assert.Equal(t, core.EndReset, end)
 		assert.Equal(t, 0, p.open)
@@ -149,7 +149,7 @@
 func TestStaleConnection(t *testing.T) {
 	m := fake.New(t, fake.OK("a"), fake.Reset, fake.Reset)
 	var ends []core.End
-	_, ask := start(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		end, a := p.Carry(f)
 		ends = append(ends, end)
 		return end, a
@@ -162,7 +162,7 @@
 
 // The idle time at which connections break is learnt, for requests that must not run twice at the first sign, and
 // forgotten again.
-func TestAgesAreLearnt(t *testing.T) {
+func TestStalenessEstimator(t *testing.T) {
 	var a stalenessEstimator
 	old, young := 200*time.Millisecond, 20*time.Millisecond
 	for range 100 {
@@ -184,7 +184,7 @@
 func TestDescriptorBudget(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	n := 0
-	p, ask := start(t, 1, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	p, ask := newTestPool(t, 1, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
 		n++
 		f.Server = policy.ServerID(n%2 + 1)
 		return p.Carry(f)
@@ -206,7 +206,7 @@
 	dead := &fake.Peer{Addr: l.Addr().String()}
 	l.Close()
 	m := fake.New(t, fake.OK("b"))
-	_, ask := start(t, 9, plain, dead, m)
+	_, ask := newTestPool(t, 9, carry, dead, m)
 	for range 6 {
 		assert.Equal(t, core.Served, ask().Kind)
 	}
--- a/internal/pool/send.go
+++ b/internal/pool/send.go
@@ -44,11 +44,11 @@
 	return progressOf(head+request.writeBody(c), head, head+len(request.Body))
 }
 
-func progressOf(n, head, total int) writeProgress {
+func progressOf(written, head, total int) writeProgress {
 	switch {
-	case n < head:
+	case written < head:
 		return headIncomplete
-	case n < total:
+	case written < total:
 		return bodyIncomplete
 	}
 	return requestComplete
--- a/internal/pool/torn_test.go
+++ b/internal/pool/torn_test.go
@@ -16,7 +16,7 @@
 
 // A part of a head comes late in the place of the answer, and the answer behind it goes on in one of its values: it would have the
 // status of the one and the id of the other.
-func TestHeadThatBeginsInTheMiddleOfAnother(t *testing.T) {
+func TestTornHead(t *testing.T) {
 	const own = "HTTP/1.1 500 Internal Server Error\r\nX-Request-Id: own\r\nContent-Length: 0\r\n\r\n"
 	for text, fine := range map[string]bool{
 		"HTTP/1.1 200 OK\r\nX-Response-Signature: s\r\nX-Note: " + own: false,
@@ -30,12 +30,12 @@
 		"HTTP/1.1 200 OK\r\nVia: HTTP/1.1 a, HTTP/1.0 200b\r\n" + own[len("HTTP/1.1 500 Internal Server Error\r\n"):]: true,
 		own: true,
 	} {
-		inMemory(t, func(c *memorynet.Conn) {
+		runInMemory(t, func(c *memorynet.Conn) {
 			if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				io.WriteString(c, text)
 			}
 		}, func(p *Pool) {
-			x, end := p.Send(context.Background(), call(0))
+			x, end := p.Send(context.Background(), newRequest(0))
 			require.NotNil(t, x, "%v", end)
 			resp, err := x.ReadHead(time.Now().Add(time.Second))
 			if fine {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const within = 5 * time.Second
+const testShutdownTimeout = 5 * time.Second
 
 // Every order of calls and signals leads somewhere sane. Each line is a story: d drain, u undrain, s started,
 // t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds half a minute later, without the end being carried out.
-func TestEveryOrder(t *testing.T) {
+func TestEveryTransitionOrder(t *testing.T) {
 	for _, c := range []struct {
 		story                string
 		phase                Phase
@@ -63,7 +63,7 @@
 			case "b":
 				s.TakeBack()
 			case "t":
-				s.Shutdown(now, within)
+				s.Shutdown(now, testShutdownTimeout)
 			}
 		}
 		now = now.Add(30 * time.Second)
@@ -75,7 +75,7 @@
 
 // The times of a drain: idle connections have their grace from its first call on, also where it is called twice or the
 // end comes in its middle; the end itself waits for the front and for what is owed, but not for ever.
-func TestTimes(t *testing.T) {
+func TestDrainTiming(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	s := New()
 	s.MarkStarted()
@@ -88,19 +88,19 @@
 	s.Drain(at(time.Minute))
 	assert.False(t, s.ClosesIdle(at(time.Minute)))
 	end := time.Minute + IdleGrace/2
-	assert.True(t, s.Shutdown(at(end), within))
-	assert.False(t, s.Shutdown(at(end+1), within), "asked for twice")
+	assert.True(t, s.Shutdown(at(end), testShutdownTimeout))
+	assert.False(t, s.Shutdown(at(end+1), testShutdownTimeout), "asked for twice")
 	assert.True(t, s.ClosesIdle(at(time.Minute+IdleGrace)))
 	assert.True(t, s.Accepts(at(end+DefaultAcceptPeriod-1)))
 	assert.False(t, s.MayExit(at(end+DefaultAcceptPeriod), 0))
 	assert.True(t, s.MayExit(at(end+DefaultAcceptPeriod+newConnGrace), 0))
-	assert.False(t, s.MayExit(at(end+within-1), 1))
-	assert.True(t, s.MayExit(at(end+within), 1))
+	assert.False(t, s.MayExit(at(end+testShutdownTimeout-1), 1))
+	assert.True(t, s.MayExit(at(end+testShutdownTimeout), 1))
 
 	s = New()
 	s.MarkStarted()
 	s.HandOver(at(0))
-	s.Shutdown(at(IdleGrace/2), within)
+	s.Shutdown(at(IdleGrace/2), testShutdownTimeout)
 	assert.True(t, s.ClosesIdle(at(IdleGrace)), "from the hand-over on")
 	assert.False(t, s.MayExit(at(IdleGrace/2), 1))
 	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "the front comes to the other process")
@@ -108,7 +108,7 @@
 
 // What is open has its answer before the platform kills the process: so much after the longest deadline, of which three
 // seconds count at most; and what was taken last has its own deadline where that is short.
-func TestEndWithin(t *testing.T) {
+func TestShutdownTimes(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
 		answers, ends := ShutdownTimes(longest)
@@ -129,7 +129,7 @@
 }
 
 // Once no new connections are taken the end counts for each request; before that, what comes may well end in time.
-func TestLeaves(t *testing.T) {
+func TestExitDeadline(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
 	s.MarkStarted()
 	_, counts := s.ExitDeadline(now)
@@ -137,10 +137,10 @@
 	s.Drain(now)
 	_, counts = s.ExitDeadline(now.Add(time.Minute))
 	assert.False(t, counts, "the process stays")
-	s.Shutdown(now, within)
+	s.Shutdown(now, testShutdownTimeout)
 	_, counts = s.ExitDeadline(now.Add(DefaultAcceptPeriod - 1))
 	assert.False(t, counts)
 	at, counts := s.ExitDeadline(now.Add(DefaultAcceptPeriod))
 	assert.True(t, counts)
-	assert.Equal(t, now.Add(within), at)
+	assert.Equal(t, now.Add(testShutdownTimeout), at)
 }
