--- /dev/null
+++ b/internal/pool/acquire.go
@@ -0,0 +1,185 @@
+package pool
+
+import (
+	"bufio"
+	"context"
+	"crypto/tls"
+	"io"
+	"net"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/policy"
+)
+
+// attempt is what a connection is acquired for: a core.Flow, which names the methods, or a Request.
+type attempt interface {
+	// To returns the server.
+	To() policy.ServerID
+	// By returns the deadline for dialling and writing.
+	By() time.Time
+	// Begin is called right before the first byte is written. It reports whether that may still be, and if not, why.
+	// The connection is closed if the attempt is cancelled later.
+	Begin(io.Closer) (core.End, bool)
+}
+
+// methodOf returns the HTTP method of an attempt.
+func methodOf(a attempt) string {
+	switch a := a.(type) {
+	case *Request:
+		return a.Method
+	case *core.Flow:
+		return a.Message.(*Message).Method
+	}
+	return ""
+}
+
+// acquire returns a connection on which the first byte of the request may be written now, or the reason why there
+// is none. An idle connection must not have unread input: it would be taken for the beginning of the response. This
+// is tested last, after recheck, so that as little time as possible lies between the test and the write.
+func (p *Pool) acquire(a attempt) (*conn, core.End) {
+	for staleSeen := false; ; staleSeen = true {
+		c, end := p.idleOrDial(a, staleSeen)
+		if c == nil {
+			return nil, end
+		}
+		if flow, ok := a.(*core.Flow); ok && p.onConnected != nil {
+			p.onConnected(flow)
+		}
+		if end, ok := p.recheck(a, c); !ok {
+			if end == core.EndDrained {
+				p.discard(c)
+			} else {
+				p.releaseUnused(a.To(), c)
+			}
+			return nil, end
+		}
+		if c.idleSince.IsZero() {
+			return c, core.EndNone
+		}
+		if p.injected.reuseUnread || !c.hasUnread() {
+			p.count(func(s *Stats) { s.Reused++ })
+			return c, core.EndNone
+		}
+		p.discard(c)
+	}
+}
+
+// recheck tests again, right before the first byte, what may have changed while the connection was dialled: the
+// server may drain, be gone or have moved, or the attempt may no longer be wanted.
+func (p *Pool) recheck(a attempt, c *conn) (core.End, bool) {
+	p.mu.Lock()
+	s := p.servers[a.To()]
+	current := s != nil && s.state == policy.Ready && s.addr == c.addr
+	p.mu.Unlock()
+	if !current && !p.injected.skipRecheck {
+		return core.EndDrained, false
+	}
+	return a.Begin(c)
+}
+
+// idleOrDial returns the idle connection that was used last, as it is the likeliest to be alive, or else dials a
+// new one. staleSeen says that an idle one was found unusable already; it is for the statistics.
+func (p *Pool) idleOrDial(a attempt, staleSeen bool) (*conn, core.End) {
+	for ; ; staleSeen = true {
+		p.mu.Lock()
+		s := p.servers[a.To()]
+		if s == nil || s.state != policy.Ready {
+			p.mu.Unlock()
+			return nil, core.EndDrained
+		}
+		last := len(s.idle) - 1
+		if last < 0 {
+			addr := s.addr
+			underLimit := p.open < p.options.MaxConnections
+			if underLimit {
+				p.open++
+			}
+			p.mu.Unlock()
+			if !underLimit && !p.evictIdle() {
+				p.count(func(c *Stats) { c.LimitReached++ })
+				return nil, core.EndNoSocket
+			}
+			c, end := p.connect(a, addr)
+			p.count(func(stats *Stats) {
+				if c == nil {
+					stats.ConnectFailed++
+					return
+				}
+				if stats.Opened++; staleSeen {
+					stats.OpenedAfterStale++
+				}
+				if !underLimit {
+					stats.OpenedByEviction++
+				}
+			})
+			return c, end
+		}
+		c := s.idle[last]
+		s.idle = s.idle[:last]
+		p.mu.Unlock()
+		if p.withinIdleTimeout(c) && !p.staleness.likelyStale(time.Since(c.idleSince), methodOf(a)) {
+			return c, core.EndNone
+		}
+		p.discard(c)
+	}
+}
+
+// evictIdle closes the connection that is idle for the longest, over all servers, so that another may be opened in
+// its place. It reports whether there was one.
+func (p *Pool) evictIdle() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var from *server
+	for _, s := range p.servers {
+		if len(s.idle) > 0 && (from == nil || s.idle[0].idleSince.Before(from.idle[0].idleSince)) {
+			from = s
+		}
+	}
+	if from == nil {
+		return false
+	}
+	oldest := from.idle[0]
+	from.idle = from.idle[1:]
+	oldest.Close() // the new one is counted in its place
+	return true
+}
+
+// connect dials a server, with TLS if configured. The caller has counted the connection as open; connect takes that
+// back if it fails.
+func (p *Pool) connect(a attempt, addr string) (*conn, core.End) {
+	raw, err := p.dialTransport(a, addr)
+	if err != nil {
+		p.noteClosed()
+		return nil, core.EndNoConnect
+	}
+	c := &conn{Conn: raw, addr: addr, peeker: newPeeker(raw)}
+	if p.options.TLS != nil {
+		host, _, _ := net.SplitHostPort(addr)
+		config := p.options.TLS.Clone()
+		if config.ServerName == "" {
+			config.ServerName = host
+		}
+		tlsConn := tls.Client(raw, config)
+		raw.SetDeadline(earliest(a.By(), time.Now().Add(time.Duration(p.connectTimeout.Load()))))
+		if tlsConn.Handshake() != nil {
+			p.discard(c)
+			return nil, core.EndNoConnect
+		}
+		c.Conn = tlsConn
+	}
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
+	return c, core.EndNone
+}
+
+// dialTransport opens a connection within the connect timeout and the deadline of the attempt.
+func (p *Pool) dialTransport(a attempt, addr string) (net.Conn, error) {
+	timeout := time.Duration(p.connectTimeout.Load())
+	if p.options.Dial == nil {
+		dialer := net.Dialer{Timeout: timeout, Deadline: a.By(), KeepAlive: -1}
+		return dialer.Dial("tcp", addr)
+	}
+	ctx, cancel := context.WithDeadline(context.Background(), earliest(a.By(), time.Now().Add(timeout)))
+	defer cancel()
+	return p.options.Dial(ctx, addr)
+}
--- a/internal/pool/chunks.go
+++ b/internal/pool/chunked.go
@@ -10,27 +10,29 @@
 	"strings"
 )
 
-// chunks reads a body that comes in chunks, and gives what there is as soon as there is some: the standard library's reader
-// waits for a whole chunk where it has a part, and a member may pause in the middle of one.
+// chunkedReader decodes a chunked body (RFC 9112, section 7.1), and returns what has arrived as soon as there is
+// something. The standard library's reader waits for a whole chunk if it has a part of one, and a server may pause
+// within a chunk. The trailer section is read and discarded.
 type chunkedReader struct {
 	reader    *bufio.Reader
 	state     chunkState
-	remaining int64 // of a chunk
+	remaining int64 // bytes of the chunk
 }
 
+// chunkState is what is read next.
 type chunkState uint8
 
 const (
-	atSize chunkState = iota
-	atData
-	atDataEnd // the line end behind the data
-	atTrailer
-	atEnd
+	atSize    chunkState = iota // the line with a chunk's size
+	atData                      // a chunk's data
+	atDataEnd                   // the line end behind the data
+	atTrailer                   // the lines after the last chunk
+	atEnd                       // nothing more
 )
 
-var errMalformedChunk = errors.New("chunks that can't be read")
+var errMalformedChunk = errors.New("pool: malformed chunked encoding")
 
-// Read may give nothing where only the framing has come on.
+// Read may return 0 bytes and no error after it has read framing only.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for len(p) > 0 {
 		switch c.state {
@@ -54,7 +56,7 @@
 				return 0, errMalformedChunk
 			}
 			if c.reader.Buffered() == 0 {
-				return 0, nil // whoever waits for the next chunk may do so in another way
+				return 0, nil // the caller decides how to wait for the next chunk
 			}
 		case atTrailer:
 			if text == "" {
@@ -77,17 +79,10 @@
 	return 0, nil
 }
 
-func unexpectedEOF(err error) error {
-	if errors.Is(err, io.EOF) {
-		return io.ErrUnexpectedEOF
-	}
-	return err
-}
-
-// linesBefore counts the lines that stand before what a read gives next.
+// lineEndsNeeded is the number of lines, by state, that must have been received for a read to return data or the end.
 var lineEndsNeeded = [...]int{atSize: 1, atData: 0, atDataEnd: 2, atTrailer: 1}
 
-// ready tells whether a read would have something to go on with at once.
+// ready reports whether a read can make progress without waiting.
 func (c *chunkedReader) ready() bool {
 	if c.state == atEnd {
 		return true
@@ -96,7 +91,8 @@
 	return len(available) > 0 && bytes.Count(available, []byte{'\n'}) >= lineEndsNeeded[c.state]
 }
 
-// bodyOf gives an answer's body, of which a read gives what there is, and tells whether there is something.
+// bodyReader returns a reader of a response's body that returns what has arrived, and a function that reports
+// whether a read would return without waiting.
 func bodyReader(in *bufio.Reader, resp *http.Response) (body io.Reader, ready func() bool) {
 	if len(resp.TransferEncoding) > 0 {
 		c := &chunkedReader{reader: in}
--- a/internal/pool/early_tcp_test.go
+++ b/internal/pool/earlyresponse_tcp_test.go
@@ -15,8 +15,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Over TCP an answer that came before the reset of a connection is read after it, as the connections in memory have it: the
-// system tells the write of the reset, and gives what had come before to the next read.
+// Over TCP a response that arrived before a reset can still be read after it, as memorynet has it: the kernel
+// reports the reset to the write, and gives what had arrived before it to the next read.
 func TestEarlyResponseBeforeResetOverTCP(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,13 +30,13 @@
 			if _, err := http.ReadRequest(bufio.NewReaderSize(c, 16)); err == nil {
 				io.WriteString(c, okResponse)
 			}
-			c.Close() // over bytes that were not read
+			c.Close() // with unread input, so that the kernel resets
 		}
 	}()
 	p := New(Options{MaxConnections: 9, IdleTimeout: testIdleTimeout, ConnectTimeout: time.Second})
 	defer p.Close()
 	p.Set(1, l.Addr().String(), policy.Ready)
-	body := newRequest(8 << 20) // more than the system takes at once
+	body := newRequest(8 << 20) // more than the socket buffers take
 	for range 10 {
 		body.Deadline = time.Now().Add(2 * time.Second)
 		x, end := p.Send(context.Background(), body)
--- a/internal/pool/early_test.go
+++ b/internal/pool/earlyresponse_test.go
@@ -27,10 +27,13 @@
 	testIdleTimeout = 10 * time.Second // of an idle connection
 )
 
-// inMemory plays a story in virtual time with a pool whose one member takes each connection by a function.
+// runInMemory runs a test in virtual time, with a pool whose one server handles each connection by a function.
 func runInMemory(t *testing.T, serve func(*memorynet.Conn), run func(*Pool)) {
 	synctest.Test(t, func(t *testing.T) {
-		network := &memorynet.Network{Window: func() int { return testWindow }, Latency: func() time.Duration { return testLatency }}
+		network := &memorynet.Network{
+			Window:  func() int { return testWindow },
+			Latency: func() time.Duration { return testLatency },
+		}
 		l := network.Listen("member")
 		go func() {
 			for {
@@ -46,21 +49,26 @@
 		run(p)
 		p.Close()
 		l.Close()
-		time.Sleep(testLatency + 1) // all that was closed has heard of it
+		time.Sleep(testLatency + 1) // until the closes have arrived
 	})
 }
 
-// call is a request with a body of so many bytes.
+// newRequest returns a request with a body of so many bytes.
 func newRequest(length int) *Request {
-	return &Request{Server: 1, Deadline: time.Now().Add(2 * time.Second), Method: http.MethodPost, Body: []byte(textOf(length)),
+	return &Request{
+		Server:   1,
+		Deadline: time.Now().Add(2 * time.Second),
+		Method:   http.MethodPost,
 		WriteHead: func(b *bytes.Buffer) {
 			fmt.Fprintf(b, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", length)
-		}}
+		},
+		Body: []byte(textOf(length)),
+	}
 }
 
 const okResponse = okHead + "Content-Length: 2\r\n\r\nok"
 
-// answersAfter answers once it has read the head and so much of the body.
+// respondAfter responds after reading the head and so many bytes of the body.
 func respondAfter(read int, text string, then func(c *memorynet.Conn, in *bufio.Reader)) func(*memorynet.Conn) {
 	return func(c *memorynet.Conn) {
 		in := bufio.NewReaderSize(c, 16)
@@ -74,8 +82,9 @@
 	}
 }
 
-// A member answers before it has read a long body, and reads no further, or breaks the connection: its answer is given, nothing
-// of another request comes in the place of the rest, and the next request has a connection of its own.
+// A server responds before it has read a long body, and then reads no further or ends the connection: the exchange
+// returns its response, no byte of another request is sent in place of the rest, and the next request gets another
+// connection.
 func TestEarlyResponse(t *testing.T) {
 	const length = 200 << 10
 	for name, then := range map[string]func(*memorynet.Conn, *bufio.Reader){
@@ -112,7 +121,8 @@
 	}
 }
 
-// A member that reads slowly, and answers before it has all, gets all, and the connection is kept.
+// A server that reads slowly, and responds before it has read the whole body, gets the whole body, and the
+// connection is kept.
 func TestEarlyResponseWithoutStall(t *testing.T) {
 	const length = 40 << 10
 	var whole atomic.Int64
@@ -140,7 +150,8 @@
 	})
 }
 
-// Where a body breaks off without a word the request may have run, as its head was there; without its head it has not.
+// If a connection is reset within the body, without a response, the request may have been executed, as the server
+// has its head; within the head it has not been.
 func TestResetAtEveryRequestByte(t *testing.T) {
 	const length = 3 * testWindow
 	head := 0
@@ -166,7 +177,7 @@
 	}
 }
 
-// A connection that was chosen and then not used is as old as it was: its member closes it when it would have.
+// A connection that was chosen and not used keeps its idle time, as its server closes it regardless.
 func TestReleaseUnusedKeepsIdleSince(t *testing.T) {
 	runInMemory(t, func(c *memorynet.Conn) {
 		in := bufio.NewReader(c)
@@ -198,7 +209,8 @@
 	})
 }
 
-// What belongs to another request is waited behind as before the first answer, and its connection is not kept.
+// A response that belongs to another request can be skipped for the one that is due, and the connection is not
+// kept.
 func TestResponseAfterUnsolicitedOne(t *testing.T) {
 	const pause = 300 * time.Millisecond
 	runInMemory(t, func(c *memorynet.Conn) {
--- a/internal/pool/export_test.go
+++ b/internal/pool/export_test.go
@@ -1,12 +1,12 @@
 package pool
 
-// Plant plants a fault for the tests outside the package.
+// InjectBug switches a bug on for tests outside the package.
 func (p *Pool) InjectBug(set func(*Bugs)) { set(&p.injected) }
 
-// Bugs are the faults that can be planted.
+// Bugs are those that can be injected.
 type Bugs = injectedBugs
 
-// The faults.
+// Bugs to inject.
 var (
 	SkipRecheck            = func(b *Bugs) { b.skipRecheck = true }
 	ReuseUnread            = func(b *Bugs) { b.reuseUnread = true }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -15,7 +15,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// carrier lets a test do something before the flow goes on.
+// carrierFunc lets a test interfere with an attempt.
 type carrierFunc func(f *core.Flow) (core.End, core.Answer)
 
 func (c carrierFunc) Carry(f *core.Flow) (core.End, core.Answer) { return c(f) }
@@ -23,7 +23,8 @@
 func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
-	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
+	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle,
+		ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
 		carrierFunc(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
@@ -58,7 +59,8 @@
 	assert.Equal(t, Stats{Reused: 4, Opened: 1, Open: 1, Idle: 1}, p.Stats())
 }
 
-// A peer that closes a connection while it is idle: what is written to it afterwards would count as run.
+// The server closes an idle connection: a request that was written to it afterwards would count as possibly
+// executed.
 func TestCloseWhileIdleIsDetected(t *testing.T) {
 	m := fake.New(t, fake.Then(fake.OK("a")))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -71,7 +73,7 @@
 	assert.Len(t, m.Seen(), 2)
 }
 
-// Connections are retired before the peer's own limit, not at it.
+// Connections expire before the server's own timeout, not at it.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	m := fake.New(t, fake.OK("a"))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -83,7 +85,7 @@
 	assert.Equal(t, 2, m.Opened())
 }
 
-// A drain that arrives while a flow dials: not a byte may follow, and the work goes to another member.
+// A server starts to drain while a connection is dialled: not a byte follows, and the request goes to another one.
 func TestDrainWhileDialling(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	var drained policy.ServerID
@@ -111,7 +113,7 @@
 	assert.LessOrEqual(t, opened, 1)
 }
 
-// A removal forgets the member; a flow on its way there must end, not crash.
+// A server is removed while a connection is dialled: the attempt ends, and the process does not crash.
 func TestRemovalWhileDialling(t *testing.T) {
 	a := fake.New(t, fake.OK("a"))
 	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
@@ -129,10 +131,12 @@
 	assert.Empty(t, a.Seen())
 }
 
-// A head that never ends is cut off at its limit, long before the flow's time is over.
+// A head without an end is cut off at the maximum size, long before the attempt's deadline.
 func TestHeadWithoutEnd(t *testing.T) {
 	m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
-		for _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n"); err == nil; _, err = io.WriteString(c, "X-More: and more\r\n") {
+		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n")
+		for err == nil {
+			_, err = io.WriteString(c, "X-More: and more\r\n")
 		}
 		return false
 	})
@@ -145,7 +149,8 @@
 	assert.Equal(t, core.Failed, ask().Kind)
 }
 
-// A kept connection that breaks at the next request says so: that is no sign of its member's health.
+// A reused connection that breaks at the next request is reported as stale: that says nothing of the health of its
+// server.
 func TestStaleConnection(t *testing.T) {
 	m := fake.New(t, fake.OK("a"), fake.Reset, fake.Reset)
 	var ends []core.End
@@ -160,8 +165,8 @@
 	assert.Equal(t, []core.End{core.EndServed, core.EndStale, core.EndReset}, ends)
 }
 
-// The idle time at which connections break is learnt, for requests that must not run twice at the first sign, and
-// forgotten again.
+// The idle time at which connections break is learnt, for requests that are not idempotent from the first failure,
+// and forgotten again.
 func TestStalenessEstimator(t *testing.T) {
 	var a stalenessEstimator
 	old, young := 200*time.Millisecond, 20*time.Millisecond
@@ -180,7 +185,7 @@
 	assert.False(t, a.likelyStale(old, "POST"))
 }
 
-// The descriptor budget holds: an idle connection makes room for one that is needed.
+// The bound on connections holds: an idle connection is closed for one that is needed.
 func TestDescriptorBudget(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	n := 0
@@ -199,7 +204,7 @@
 	p.mu.Unlock()
 }
 
-// A connection that is refused never carried anything: unsafe classes may go elsewhere.
+// A connection that was refused carried nothing: requests that are not idempotent may go elsewhere.
 func TestRefusedConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/race_test.go
@@ -15,8 +15,9 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// A keyed request's first attempt is reset, and the connection for the next comes up when the window for repeats is over: not
-// a byte goes out on it, though it was chosen in time. The client hears at once that it failed.
+// The first attempt of a keyed request is reset, and the connection of the second is established only when the
+// window for retries has passed: not a byte is written on it, though the attempt was started in time. The request
+// fails at once.
 func TestConnectedAfterRetryWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	m := fake.New(t, fake.Reset, fake.OK("again"))
@@ -44,8 +45,9 @@
 	assert.Contains(t, c.Counters().String(), "ended_lapsed=1")
 }
 
-// What nobody asked for comes on a kept connection, or its end, in the moment in which that has been chosen: a whole answer,
-// half a line of one, a close. Nothing is written there, and nobody takes it for an answer; a new connection has the request.
+// Bytes that answer no request, or an end, arrive on an idle connection just when it has been chosen: a whole
+// response, half a status line, a close, a reset. No request is written there, nothing is taken for its response,
+// and it goes out on a new connection.
 func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	for name, event := range map[string]func(net.Conn){
 		"a second answer": func(c net.Conn) { io.WriteString(c, okHead+"Content-Length: 5\r\n\r\nother") },
@@ -65,7 +67,7 @@
 		p.onConnected = func(f *core.Flow) {
 			if attempts++; attempts == 1 {
 				event(<-conns)
-				// It is on loopback, and so it is there; whoever looks now would see it.
+				// Over loopback the event has arrived by now, and a peek would show it.
 			}
 		}
 		a := ask()
@@ -77,8 +79,9 @@
 	}
 }
 
-// A connection comes up when its attempt has no use for it any more: its client has left, the process gives all up, or its
-// member is to get nothing new. Not a byte goes out, and the connection is there for the next, unless the member drains.
+// A connection is established when its attempt is no longer wanted: the client has left, the process gives all
+// requests up, or the server drains. Not a byte is written, and the connection is kept for the next request unless
+// the server drains.
 func TestConnectedAfterCancellation(t *testing.T) {
 	for name, test := range map[string]struct {
 		happens func(p *Pool, c *core.Core, leave func())
@@ -104,7 +107,7 @@
 		answered, on := make(chan bool), make(chan bool)
 		p.onConnected = func(*core.Flow) {
 			test.happens(p, c, leave)
-			if test.kind != core.Refused { // which comes of this flow's end
+			if test.kind != core.Refused { // in which case the answer follows from this attempt's end
 				<-answered
 			}
 			close(on)
--- /dev/null
+++ b/internal/pool/roundtrip.go
@@ -0,0 +1,147 @@
+package pool
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/core"
+)
+
+// Carry sends the request of a flow to its server, and returns the response or the reason why there is none. It
+// implements core.Carrier. A response whose body is longer than what was buffered keeps its connection until its
+// Rest is closed.
+func (p *Pool) Carry(flow *core.Flow) (core.End, core.Answer) {
+	c, end := p.acquire(flow)
+	if c == nil {
+		return end, core.Answer{}
+	}
+	idle, reused := time.Since(c.idleSince), c.used
+	end, answer, reuse := c.roundTrip(p, flow)
+	if reused {
+		p.staleness.observe(idle, end == core.EndStale)
+	}
+	cancelled := flow.Finish()
+	switch {
+	case answer.Rest != nil && cancelled:
+		answer.Drop()
+		return core.EndCancelled, core.Answer{}
+	case answer.Rest != nil: // it owns the connection
+		return end, answer
+	case reuse && !cancelled:
+		p.release(flow.Server, c)
+	default:
+		p.discard(c)
+	}
+	if cancelled && end != core.EndServed {
+		end = core.EndCancelled
+	}
+	return end, answer
+}
+
+// roundTrip writes a request whole and reads the response. reuse reports whether the connection may be used again,
+// if the response has no Rest. The server can't have executed the request before its last byte was written; from
+// then on it may have, and the end says so.
+func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, answer core.Answer, reuse bool) {
+	msg := flow.Message.(*Message)
+	reused := c.used
+	c.used = true
+	remaining := time.Until(flow.Until)
+	if remaining <= 0 {
+		return core.EndOver, answer, true
+	}
+	if msg.remainderRead.Load() {
+		return core.EndSpent, answer, true
+	}
+	c.SetDeadline(flow.Until)
+	if !msg.writeBeginning(c, remaining) {
+		return core.EndCutShort, answer, false
+	}
+	if msg.Remainder != nil {
+		if end, complete := c.streamRemainder(p, flow, msg); !complete {
+			return end, answer, false
+		}
+		flow.Came()
+		c.SetDeadline(flow.Until)
+	}
+	c.readLimit = maxHeadSize
+	writtenAt := time.Now()
+	if _, err := c.reader.Peek(1); err != nil {
+		if end = endOfReadError(err); end == core.EndReset && reused && time.Since(writtenAt) < p.options.StaleWindow {
+			end = core.EndStale
+		}
+		return end, answer, false
+	}
+	return c.readResponse(p, flow, msg)
+}
+
+// streamRemainder writes the rest of a body as it arrives, and reports whether all of it was written. If not, the
+// server has not executed the request, whatever it has sent. The buffer has room for a chunk with its framing and
+// the last chunk, so that each goes out in one write.
+func (c *conn) streamRemainder(p *Pool, flow *core.Flow, msg *Message) (end core.End, complete bool) {
+	const bufferSize = maxChunkSizeLine + StreamBufferSize + len("\r\n") + len(lastChunk)
+	if !p.options.ResponseMemory.Acquire(int64(bufferSize), time.Now().Add(StallTimeout)) {
+		return core.EndNoMemory, false
+	}
+	defer p.options.ResponseMemory.Release(int64(bufferSize))
+	msg.remainderRead.Store(true)
+	flow.Spent = true
+	buf := make([]byte, bufferSize)
+	remaining := int64(MaxBodySize) // bytes of the body that may still be written
+	if msg.ContentLength >= 0 {
+		remaining = msg.ContentLength - int64(len(msg.Body))
+	}
+	for {
+		n, err := msg.Remainder.Read(buf[maxChunkSizeLine : maxChunkSizeLine+StreamBufferSize])
+		remaining -= int64(n)
+		ended := errors.Is(err, io.EOF)
+		if err != nil && !ended || remaining < 0 || ended && msg.ContentLength >= 0 && remaining > 0 {
+			return core.EndBodyCut, false
+		}
+		// A body of known length ends with its last byte, not with io.EOF, which may come later: the server may
+		// answer by then, and that would look like an early response.
+		ended = ended || msg.ContentLength >= 0 && remaining == 0
+		if c.hasUnread() {
+			if end, over := c.readEarlyResponse(); over {
+				return end, false
+			}
+		}
+		out := buf[maxChunkSizeLine : maxChunkSizeLine+n]
+		if msg.ContentLength < 0 && n > 0 {
+			size := fmt.Appendf(nil, "%x\r\n", n)
+			out = buf[maxChunkSizeLine-len(size) : maxChunkSizeLine+n]
+			copy(out, size)
+			out = append(out, "\r\n"...)
+		}
+		if ended && msg.ContentLength < 0 {
+			out = append(out, lastChunk...)
+		}
+		c.SetDeadline(time.Now().Add(StallTimeout))
+		if !c.writeAll(out) {
+			if end, over := c.readEarlyResponse(); over {
+				return end, false
+			}
+			return core.EndCutShort, false
+		}
+		if ended {
+			return core.EndNone, true
+		}
+	}
+}
+
+// readEarlyResponse reads what a server has sent, or how it has ended the connection, before the request was
+// complete. over is false after an interim response, after which the body goes on.
+func (c *conn) readEarlyResponse() (end core.End, over bool) {
+	c.readLimit = maxHeadSize
+	c.SetReadDeadline(time.Now().Add(shortReadTimeout))
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err == nil && resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
+		return core.EndNone, false
+	}
+	if err == nil && isNotRun(resp) {
+		return core.EndTurnedAway, true
+	}
+	return core.EndCutShort, true
+}
--- a/internal/pool/exchange_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -24,7 +24,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// long is a body that doesn't repeat itself.
+// textOf returns a text of n letters without repetitions.
 func textOf(n int) string {
 	b := make([]byte, n)
 	for i, x := 0, uint32(1); i < n; i++ {
@@ -34,7 +34,8 @@
 	return string(b)
 }
 
-// says writes bytes as they are, then does something, and tells whether the connection goes on.
+// respond returns a reply that writes bytes as they are, and then keeps the connection open or not, as a function
+// says.
 func respond(text string, then func() bool) fake.Reply {
 	return func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		_, err := io.WriteString(c, text)
@@ -45,7 +46,7 @@
 func keepOpen() bool   { return true }
 func closeAfter() bool { return false }
 
-// all reads an answer to its end, as a front does.
+// readAll reads an answer to its end, as a front does.
 func readAll(a core.Answer) (string, error) {
 	text := string(a.Body)
 	if a.Rest == nil {
@@ -57,11 +58,12 @@
 
 const okHead = "HTTP/1.1 200 OK\r\n"
 
-// forms are an answer in all forms that HTTP/1.1 has for it; those whose end is the connection's are marked.
+// encodings returns a response in every form of HTTP/1.1; those that end with their connection are marked "closed".
 func encodings(body string) map[string][2]string {
 	half := len(body) / 2
-	chunks := okHead + "transfer-encoding: Chunked\r\nTrailer: X-T\r\n\r\n" + hex(half) + ";a=b;c=\"d\"\r\n" + body[:half] + "\r\n000" +
-		hex(len(body)-half) + "\r\n" + body[half:] + "\r\n0\r\nX-T: 1\r\n\r\n"
+	chunks := okHead + "transfer-encoding: Chunked\r\nTrailer: X-T\r\n\r\n" +
+		hex(half) + ";a=b;c=\"d\"\r\n" + body[:half] + "\r\n000" + hex(len(body)-half) + "\r\n" +
+		body[half:] + "\r\n0\r\nX-T: 1\r\n\r\n"
 	length := okHead + "Content-Length:" + dec(len(body)) + "\r\n\r\n" + body
 	return map[string][2]string{
 		"length":      {length, ""},
@@ -84,7 +86,7 @@
 	return itoa(n/base, base) + digits[n%base:n%base+1]
 }
 
-// Every form of an answer is read alike, cut at any byte.
+// Every form of a response is read alike, wherever its bytes are split.
 func TestResponseEncodingsSplitAtEveryByte(t *testing.T) {
 	for name, form := range encodings("crew sent") {
 		text := form[0]
@@ -93,7 +95,7 @@
 			script = append(script, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 				io.WriteString(c, text[:cut])
 				if cut%8 == 1 {
-					time.Sleep(time.Millisecond) // the rest comes on its own
+					time.Sleep(time.Millisecond) // so that the rest arrives by itself
 				}
 				io.WriteString(c, text[cut:])
 				return form[1] == ""
@@ -113,7 +115,8 @@
 	}
 }
 
-// So is a long one, through a small buffer. Its connection is used again where it may be, and its memory is given back.
+// The same holds for long ones, which pass through a small buffer. The connection is reused if it may be, and the
+// memory is released.
 func TestLongResponses(t *testing.T) {
 	for _, size := range []int{StreamBufferSize, MaxBufferedBody, MaxBufferedBody + 1, 300 << 10, 3 << 20} {
 		body := textOf(size)
@@ -143,7 +146,8 @@
 	}
 }
 
-// The first bytes of a long answer go on before the rest is there; those of one that may be short do after a moment.
+// The first bytes of a long response are returned before its end has arrived; those of one that may be short are
+// after a moment.
 func TestResponseStreamsBeforeItsEnd(t *testing.T) {
 	for name, c := range map[string]struct{ text, rest string }{
 		"length": {okHead + "Content-Length: 100000\r\n\r\n" + textOf(50000), textOf(100000)[50000:]},
@@ -171,8 +175,9 @@
 	}
 }
 
-// An answer that breaks is no answer while nothing of it has gone out; afterwards it is seen to be broken, and its
-// connection is not used again. What claims more than there can be is none, and what goes on for ever is cut off.
+// A response that breaks off while nothing of it has been passed on is a failed attempt; afterwards the reader gets
+// an error. The connection is not reused either way. One that claims more than the maximum is rejected, and an
+// endless one is cut off.
 func TestTruncatedResponses(t *testing.T) {
 	endless := func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 		io.WriteString(c, okHead+"Transfer-Encoding: chunked\r\n\r\n")
@@ -185,14 +190,15 @@
 		reply  fake.Reply
 		served bool // its beginning was
 	}{
-		"at once":           {respond(okHead+"Content-Length: 300000\r\n\r\nabc", closeAfter), false},
-		"at once, chunks":   {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n5\r\nabc", closeAfter), false},
-		"noise in chunks":   {respond(okHead+"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", keepOpen), false},
-		"short":             {respond(okHead+"Content-Length: 30\r\n\r\nabc", closeAfter), false},
-		"3 GB":              {respond(okHead+"Content-Length: 3221225472\r\n\r\n"+textOf(9000), keepOpen), false},
-		"later":             {respond(okHead+"Content-Length: 300000\r\n\r\n"+textOf(100000), closeAfter), true},
-		"later, chunks":     {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n20000\r\n"+textOf(100000), closeAfter), true},
-		"later, noise":      {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n8000\r\n"+textOf(0x8000)+"no chunk\r\n", keepOpen), true},
+		"at once":         {respond(okHead+"Content-Length: 300000\r\n\r\nabc", closeAfter), false},
+		"at once, chunks": {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n5\r\nabc", closeAfter), false},
+		"noise in chunks": {respond(okHead+"Transfer-Encoding: chunked\r\n\r\nzz\r\nabc", keepOpen), false},
+		"short":           {respond(okHead+"Content-Length: 30\r\n\r\nabc", closeAfter), false},
+		"3 GB":            {respond(okHead+"Content-Length: 3221225472\r\n\r\n"+textOf(9000), keepOpen), false},
+		"later":           {respond(okHead+"Content-Length: 300000\r\n\r\n"+textOf(100000), closeAfter), true},
+		"later, chunks":   {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n20000\r\n"+textOf(100000), closeAfter), true},
+		"later, noise": {respond(okHead+"Transfer-Encoding: chunked\r\n\r\n8000\r\n"+textOf(0x8000)+"no chunk\r\n",
+			keepOpen), true},
 		"endless":           {endless, true},
 		"negative length":   {respond(okHead+"Content-Length: -3\r\n\r\nabc", keepOpen), false},
 		"two lengths":       {respond(okHead+"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", keepOpen), false},
@@ -216,8 +222,8 @@
 	}
 }
 
-// A reset is no end: an answer of no stated length that is reset on the way is none, wherever the reset finds the reading of
-// it. The system tells of a reset once; who asks again is told of an end.
+// A reset is not the end of a body: a response without a length that is reset is truncated, whichever read meets
+// the reset. The kernel reports a reset once, and an end of file afterwards.
 func TestResetIsNotEOF(t *testing.T) {
 	for name, text := range map[string]string{
 		"head alone":  okHead + "\r\n",
@@ -229,7 +235,7 @@
 		m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 			c.(*net.TCPConn).SetLinger(0)
 			io.WriteString(c, text)
-			return false // what was written is read first, then the reset is there for whichever call reads next
+			return false // the next read gets what was written, the one after that the reset
 		})
 		p, ask := newTestPool(t, 9, carry, m)
 		for range 20 {
@@ -244,7 +250,7 @@
 	}
 }
 
-// So is one that comes after the beginning of the answer has gone out.
+// The same holds for a reset after the beginning of the response was passed on.
 func TestResetWhileStreaming(t *testing.T) {
 	begun := make(chan bool)
 	m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -263,12 +269,13 @@
 	a.Drop()
 }
 
-// What comes behind an answer belongs to nobody: its connection is not used again, whether the answer was long or short.
+// Bytes after a response belong to no request: the connection is not reused, whether the response was short or
+// long.
 func TestBytesAfterResponse(t *testing.T) {
 	for _, size := range []int{9, 300 << 10} {
 		for name, form := range encodings(textOf(size)) {
 			if form[1] != "" {
-				continue // its connection is over anyway
+				continue // its connection ends with the response
 			}
 			m := fake.New(t, respond(form[0]+"HTTP/1.1 200 OK\r\n", keepOpen))
 			_, ask := newTestPool(t, 9, carry, m)
@@ -277,14 +284,14 @@
 				_, err := readAll(a)
 				assert.NoError(t, err, name)
 				a.Drop()
-				time.Sleep(5 * time.Millisecond) // the noise has come in
+				time.Sleep(5 * time.Millisecond) // until the extra bytes have arrived
 			}
 			assert.Equal(t, 2, m.Opened(), "%s of %d", name, size)
 		}
 	}
 }
 
-// Where all that answers may hold is held, the next waits and doesn't fail.
+// When the memory budget is used up a further response waits and does not fail.
 func TestResponsesWaitForMemory(t *testing.T) {
 	m := fake.New(t, fake.OK(textOf(300<<10)))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -306,7 +313,7 @@
 	a.Drop()
 }
 
-// A client that leaves in the middle of a long answer: its connection is ended, not put back.
+// When a client leaves within a long response the connection is closed, not reused.
 func TestAbandonedResponse(t *testing.T) {
 	m := fake.New(t, fake.OK(textOf(3<<20)))
 	p, ask := newTestPool(t, 9, carry, m)
@@ -316,11 +323,11 @@
 	assert.Equal(t, 0, p.Stats().Open)
 }
 
-// pieces is a body that comes in pieces, and may break.
+// chunkSource is a body that arrives in pieces, and may end with an error.
 type chunkSource struct {
 	chunks []string
 	err    error
-	wait   chan bool // before the second
+	wait   chan bool // received from before the second chunk is returned
 	next   int
 }
 
@@ -334,7 +341,7 @@
 	return copy(b, p.chunks[p.next-1]), nil
 }
 
-// post puts a request whose body is kept as far as kept goes, and follows from rest.
+// sendStreamed sends a request whose body is in memory up to some point and follows from a reader.
 func sendStreamed(p *Pool, members []*fake.Peer, class int, kept string, rest io.Reader, length int64) core.Answer {
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
@@ -347,11 +354,12 @@
 	}
 	c.Servers(policy.ListFull, list)
 	return c.Serve(context.Background(), core.Request{Wait: 20 * time.Second,
-		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Remainder: rest, ContentLength: length},
+		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Remainder: rest,
+			ContentLength: length},
 		Request: policy.Request{Class: class, Units: 1, SetSize: 1, Coming: true, Deadline: c.Now() + 20*time.Second}})
 }
 
-// A body that comes in pieces reaches the member whole, with its length or in chunks.
+// A body that arrives in pieces reaches the server complete, by its length or in chunks.
 func TestStreamedRequestBody(t *testing.T) {
 	kept, rest := textOf(MaxBufferedBody), []string{"a", "bc", textOf(StreamBufferSize), textOf(100), "x"}
 	whole := kept + strings.Join(rest, "")
@@ -372,7 +380,7 @@
 	}
 }
 
-// slowEnd is a body whose end comes some time after its last byte.
+// lateEOFReader is a body whose end of file comes some time after its last byte.
 type lateEOFReader struct{ text string }
 
 func (s *lateEOFReader) Read(b []byte) (int, error) {
@@ -385,12 +393,14 @@
 	return n, nil
 }
 
-// A member answers once it has a body's last byte, whether or not the body's end is known here by then: that is the answer,
-// and never a sign that nothing ran. A body that is shorter or longer than its head says is none.
+// A server responds once it has the last byte of a body, before the end of file may be known here: that is the
+// response, and not an early one, which would prove that the request was not executed. A body that is shorter or
+// longer than announced is not sent whole.
 func TestResponseRightAfterLastByte(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	p, _ := newTestPool(t, 9, carry, m)
-	a := sendStreamed(p, []*fake.Peer{m}, 1, "abc", &lateEOFReader{textOf(3 * StreamBufferSize)}, int64(3+3*StreamBufferSize))
+	rest := &lateEOFReader{textOf(3 * StreamBufferSize)}
+	a := sendStreamed(p, []*fake.Peer{m}, 1, "abc", rest, int64(3+3*StreamBufferSize))
 	assert.Equal(t, core.Served, a.Kind)
 	assert.Equal(t, "done", string(a.Body))
 	require.Len(t, m.Seen(), 1)
@@ -401,7 +411,8 @@
 	}
 }
 
-// A body that breaks off has run nowhere, and its request is refused as one that may come again; it is not sent twice.
+// A request whose body breaks off has not been executed anywhere, and is rejected as one that may be sent again by
+// the client; it is not retried.
 func TestTruncatedRequestBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	p, _ := newTestPool(t, 9, carry, m)
@@ -413,7 +424,8 @@
 	}
 }
 
-// While nothing of what follows has been read the request may go elsewhere; afterwards it may not, though it never ran.
+// While nothing of the streamed part of a body has been read the request may go to another server; afterwards it
+// may not, though it was not executed.
 func TestRetryBeforeBodyIsRead(t *testing.T) {
 	dead := fake.New(t, fake.OK("done"))
 	alive := fake.New(t, fake.OK("done"))
@@ -421,8 +433,8 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	l.Close()
-	for range 8 { // whichever is taken first
-		p.Set(1, l.Addr().String(), policy.Ready) // nobody listens there
+	for range 8 { // whichever server is selected first
+		p.Set(1, l.Addr().String(), policy.Ready) // refuses connections
 		a := sendStreamed(p, []*fake.Peer{dead, alive}, 1, "abc", &chunkSource{chunks: []string{"de"}, err: io.EOF}, -1)
 		assert.Equal(t, core.Served, a.Kind)
 	}
@@ -432,7 +444,8 @@
 	assert.Len(t, alive.Seen(), 8)
 }
 
-// early is a member that says something once it has read so much of a body, and goes on reading or ends.
+// startEarlyResponder is a server that writes something once it has read so many bytes, and then reads on or
+// closes.
 func startEarlyResponder(t *testing.T, after int, text string, readsOn bool) (string, func() string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -474,8 +487,8 @@
 	return l.Addr().String(), func() string { mu.Lock(); defer mu.Unlock(); return string(got) }
 }
 
-// What a member says before a body is whole: an answer then proves that nothing ran, whatever it is; a word in between is
-// none, and the body goes on.
+// A final response before the body is complete shows that the request was not executed, whatever its status; after
+// an interim one the body goes on.
 func TestEarlyResponseWhileStreaming(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -495,12 +508,13 @@
 		p.Set(1, addr, policy.Ready)
 		said := make(chan bool)
 		go func() { time.Sleep(50 * time.Millisecond); close(said) }()
-		a := sendStreamed(p, make([]*fake.Peer, 1), 1, textOf(1000), &chunkSource{chunks: []string{"a", "b", "c", "d"}, err: io.EOF, wait: said}, -1)
+		rest := &chunkSource{chunks: []string{"a", "b", "c", "d"}, err: io.EOF, wait: said}
+		a := sendStreamed(p, make([]*fake.Peer, 1), 1, textOf(1000), rest, -1)
 		assert.Equal(t, c.kind, a.Kind, name)
 	}
 }
 
-// breaks is a connection to a member that says something and takes only so much.
+// limitedConn is a connection whose peer sends some input and accepts only so many bytes.
 type limitedConn struct {
 	net.Conn
 	input    io.Reader
@@ -518,8 +532,8 @@
 	return n, err
 }
 
-// A connection that breaks at any byte of a body never leaves the flow looking as if it had been served, whatever the member
-// said before: not in the last chunk either.
+// A connection that breaks at any byte of a streamed body, the last chunk included, never looks like a complete
+// request, whatever the server has sent before.
 func TestResetAtEveryStreamedByte(t *testing.T) {
 	const whole = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
 	p := New(Options{MaxConnections: 9})
@@ -528,8 +542,9 @@
 		for takes := range len(whole) + 1 {
 			c := &conn{Conn: &limitedConn{input: strings.NewReader(says), writable: takes}, readLimit: maxHeadSize}
 			c.reader = bufio.NewReader(c)
-			c.reader.Peek(1) // what it says is there already
-			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}, ContentLength: -1})
+			c.reader.Peek(1) // the input is in the buffer already
+			rest := &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}
+			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: rest, ContentLength: -1})
 			if assert.Equal(t, takes == len(whole), ok, "%q, %d", says, takes) && !ok {
 				assert.Equal(t, core.EndCutShort, end, "%q, %d", says, takes)
 			}
@@ -537,18 +552,19 @@
 	}
 }
 
-// FuzzAnswer reads whatever a member says: it ends, keeps to its bounds, and gives all memory and the connection back.
+// FuzzResponse reads arbitrary responses: reading ends, keeps to its bounds, and releases all memory.
 func FuzzResponse(f *testing.F) {
 	for _, form := range encodings("crew sent") {
 		f.Add([]byte(form[0]))
 	}
-	for _, text := range []string{okHead + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", "HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 304 x\r\n\r\n",
-		"HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"} {
+	for _, text := range []string{okHead + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
+		"HTTP/1.1 204 x\r\n\r\n", "HTTP/1.1 304 x\r\n\r\n", "HTTP/1.1 503 x\r\nX-Not-Run: 1\r\n\r\n"} {
 		f.Add([]byte(text))
 	}
 	d := fake.Deployment()
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait, ResponseMemory: buffers.New(MaxBufferedBody)})
+		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait,
+			ResponseMemory: buffers.New(MaxBufferedBody)})
 		defer p.Close()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -585,8 +601,8 @@
 	})
 }
 
-// Load reports name their fields in any order and form; what is missing or none is no figure, and what nobody knows counts
-// for nothing.
+// Load reports name their fields in any order; missing and malformed ones have no value, and unknown ones are
+// ignored.
 func TestLoadReports(t *testing.T) {
 	fields := map[string]int{"inflight": 0, "outstanding": 0, "latency_ms": 1}
 	nan := float32(math.NaN())
@@ -615,7 +631,8 @@
 	assert.Nil(t, parseLoadReport("latency_ms=38.5", nil))
 }
 
-// FuzzReport: whatever a member says of its load, no figure is negative or endless, and none has a place that there isn't.
+// FuzzLoadReport parses arbitrary load reports: no value is negative or infinite, and none has an index out of
+// range.
 func FuzzLoadReport(f *testing.F) {
 	f.Add("latency_ms=38.5,inflight=7")
 	f.Add("=,latency_ms=0x1p9,,inflight=1_0")
@@ -629,7 +646,7 @@
 	})
 }
 
-// An answer of any kind may bring a report, and only a good one tells what its request drew.
+// Any response may carry a load report, but only a successful one the cost of its request.
 func TestLoadReportAndTrueCost(t *testing.T) {
 	for code, units := range map[int]float64{200: 2.5, 500: 0} {
 		m := fake.New(t, fake.Says(code, "X-Load: latency_ms=38.5\r\nX-True-Cost: 2.5\r\n", "x"))
--- a/internal/pool/send.go
+++ b/internal/pool/write.go
@@ -8,25 +8,23 @@
 	"time"
 )
 
-// This file owns how a call's request goes out: a member may answer while its body is still on the way.
-
-// sent is how much of a request went out.
+// writeProgress says how much of a request was handed to the kernel, and so whether the server may have executed it.
 type writeProgress uint8
 
 const (
-	headIncomplete writeProgress = iota // not all of its head: it has not run
-	bodyIncomplete                      // its head and not all of its body: the member may answer all the same
+	headIncomplete writeProgress = iota // the server can't have executed it
+	bodyIncomplete                      // the head was written: the server may have answered without reading the rest
 	requestComplete
 )
 
 const (
-	// bodyStep is how much of a long body goes out between looks at the answer, in bytes.
+	// bodyWriteSize is the number of bytes of a long body that are written between two looks at the response.
 	bodyWriteSize = 64 << 10
-	// bodyStall is how long a member may take nothing of a body before it is looked whether its answer is there.
+	// bodyStallTimeout is the time for which a server may take nothing of a body before its response is looked for.
 	bodyStallTimeout = 50 * time.Millisecond
 )
 
-// write writes the request, and tells how much of it went.
+// writeTo writes the request. A short body goes out in one write, and usually one packet, with the head.
 func (request *Request) writeTo(c *conn) writeProgress {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
@@ -44,6 +42,7 @@
 	return progressOf(head+request.writeBody(c), head, head+len(request.Body))
 }
 
+// progressOf returns the progress after so many bytes of a request with this size of the head and in total.
 func progressOf(written, head, total int) writeProgress {
 	switch {
 	case written < head:
@@ -54,8 +53,8 @@
 	return requestComplete
 }
 
-// writeBody writes a long body until the call's time is over, or its member takes nothing more and has answered, and gives how
-// many bytes went.
+// writeBody writes a long body until the deadline, or until the server takes no more of it and has answered. It
+// returns the number of bytes written.
 func (request *Request) writeBody(c *conn) (written int) {
 	if _, encrypted := c.Conn.(*tls.Conn); encrypted { // a write whose time is over breaks it
 		written, _ = c.Write(request.Body)
