--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -96,7 +96,7 @@
 	case wire.Order:
 		g.Request(now, e.Request)
 	case wire.Flowing:
-		g.Streaming(now, e.Outcome.ID, e.Outcome.Attempt)
+		g.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt)
 	case wire.OutcomeOf:
 		g.Outcome(now, e.Outcome)
 	case wire.TimedOutClient:
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -242,7 +242,7 @@
 	held := g.roster.Version()
 	ctx, cancel := context.WithCancel(ctx)
 	var done sync.WaitGroup
-	pauses := discovery.NewPauses(cfg.Seed, cfg.Deployment.MustAsk)
+	pauses := discovery.NewPauses(cfg.Seed, cfg.Deployment.ListRefreshWithin)
 	done.Go(func() {
 		if cfg.Site.Consul != nil {
 			discovery.WatchConsul(ctx, *cfg.Site.Consul, pauses, g.roster)
@@ -409,7 +409,7 @@
 func (g *gateway) datagrams(ctx context.Context, cfg *config.Config, link *peer.Link, clock core.Clock, decisions *core.Core,
 	roster *discovery.Roster) func(int, []byte) {
 	d := cfg.Deployment
-	exchange := datagram.New(&helper.Gateway{Core: decisions, Roster: roster}, link.Tell, clock.Now, d.Me, d.Gateways,
+	exchange := datagram.New(&helper.Gateway{Core: decisions, Roster: roster}, link.Tell, clock.Now, d.Self, d.Gateways,
 		helper.RoomMost(d.Gateways))
 	g.counters = append(g.counters, func() core.Counts {
 		c := exchange.Counters()
@@ -430,7 +430,7 @@
 func (g *gateway) inflight(ctx context.Context, cfg *config.Config, link *peer.Link, decisions *core.Core,
 	roster *discovery.Roster) func(int, []byte) {
 	d := cfg.Deployment
-	board := inflight.New(d.Me, d.Gateways, d.PeerIntake)
+	board := inflight.New(d.Self, d.Gateways, d.PeerMessageRate)
 	if board == nil || !d.Peers {
 		return func(int, []byte) {}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -322,7 +322,7 @@
 	c.Peers = addrs(wrong, "peers", f.Peers)
 	c.PeersAll = addr(wrong, "peers_all", f.PeersAll)
 	if c.Deployment, err = ParseSettings(f.Settings); err == nil {
-		err = c.Deployment.Check()
+		err = c.Deployment.Validate()
 	}
 	wrong.add(err)
 	if err == nil && len(f.Peers) > 0 && len(f.Peers) != c.Deployment.Gateways {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, uint64(41), c.Known.Generation)
 	assert.Equal(t, 9*time.Second, c.Deployment.ConnIdle)
 	assert.Equal(t, 250*time.Millisecond, c.Deployment.ConnectWait)
-	assert.Equal(t, time.Second, c.Deployment.MaxDelay) // though the site doesn't say that clients heed it
+	assert.Equal(t, time.Second, c.Deployment.MaxRetryAfter) // though the site doesn't say that clients heed it
 	assert.Equal(t, 4*time.Second, c.Deployment.LongestDeadline())
 	assert.LessOrEqual(t, c.ClientSockets+c.MemberSockets, 1024*9/10)
 	assert.Nil(t, c.Site.Introspection)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -92,25 +92,25 @@
 		name string
 		same bool
 	}{
-		{"settings.self_index", d.Me == start.Me}, {"settings.group_size", d.Gateways == start.Gateways},
+		{"settings.self_index", d.Self == start.Self}, {"settings.group_size", d.Gateways == start.Gateways},
 		{"settings.zone", d.Zone == start.Zone}, {"settings.zones", slices.Equal(d.Zones, start.Zones)},
 		{"settings.kinds", slices.Equal(d.Kinds, start.Kinds)}, {"settings.allowed.peers", d.Peers == start.Peers},
-		{"settings.extra.peer_intake", d.PeerIntake == start.PeerIntake}, {"settings.discovery", d.Subscribe == start.Subscribe},
-		{"settings.report.names", slices.Equal(d.Reports, start.Reports)},
+		{"settings.extra.peer_intake", d.PeerMessageRate == start.PeerMessageRate}, {"settings.discovery", d.Subscribe == start.Subscribe},
+		{"settings.report.names", slices.Equal(d.LoadReportFields, start.LoadReportFields)},
 	} {
 		if !k.same {
 			keys = append(keys, k.name)
 		}
 	}
-	d.Me, d.Gateways, d.Zone, d.Zones, d.Kinds = start.Me, start.Gateways, start.Zone, start.Zones, start.Kinds
-	d.Peers, d.PeerIntake, d.Subscribe, d.Reports = start.Peers, start.PeerIntake, start.Subscribe, start.Reports
+	d.Self, d.Gateways, d.Zone, d.Zones, d.Kinds = start.Self, start.Gateways, start.Zone, start.Zones, start.Kinds
+	d.Peers, d.PeerMessageRate, d.Subscribe, d.LoadReportFields = start.Peers, start.PeerMessageRate, start.Subscribe, start.LoadReportFields
 	return d, keys
 }
 
 // The wire's words and the field's.
 var (
-	effects = map[string]policy.Effect{"free": policy.Safe, "guarded": policy.Keyed, "single_shot": policy.Unsafe}
-	scopes  = map[string]policy.Scope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+	effects = map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotentByKey, "single_shot": policy.NotIdempotent}
+	scopes  = map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
 	reports = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 		"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 )
@@ -118,7 +118,7 @@
 // LoadFields gives the place in a load report of each field that members may name, by either of its words.
 func (d Deployment) LoadFields() map[string]int {
 	fields := map[string]int{}
-	for i, name := range d.Reports {
+	for i, name := range d.LoadReportFields {
 		fields[name] = i
 		for wire, word := range reports {
 			if word == name {
@@ -137,14 +137,14 @@
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
 	d := Deployment{Zones: b.Zones, Kinds: b.Kinds, ConnIdle: b.Allowed.ConnIdle, ConnectWait: b.Allowed.ConnectWait}
-	s := policy.Settings{Me: b.SelfIndex, Gateways: b.GroupSize, Zone: b.Zone, Tick: b.Tick,
-		Subscribe:    b.Discovery == "subscribe",
-		SecondCopies: b.Allowed.MayDuplicate, Peers: b.Allowed.Peers, Probes: b.Allowed.Probes,
-		Cancel:     b.Allowed.Cancel,
-		PeerIntake: b.Extra.PeerIntake, CrossPrice: b.Costs.CrossZone,
-		LargestUnits: b.Extra.Largest, DrainGrace: b.Rules.StopSendingWithin,
-		WarmWithin: b.Rules.WarmWithin, Fall: b.Rules.Fall, MustAsk: b.Rules.MustAskIn,
-		ColdFrom: b.Rules.ColdFrom, FallMultiple: b.Rules.FallMultiple}
+	s := policy.Settings{Self: b.SelfIndex, Gateways: b.GroupSize, Zone: b.Zone, Tick: b.Tick,
+		Subscribe: b.Discovery == "subscribe",
+		Hedging:   b.Allowed.MayDuplicate, Peers: b.Allowed.Peers, Probes: b.Allowed.Probes,
+		Cancel:          b.Allowed.Cancel,
+		PeerMessageRate: b.Extra.PeerIntake, CrossZoneCost: b.Costs.CrossZone,
+		MaxUnits: b.Extra.Largest, DrainGrace: b.Rules.StopSendingWithin,
+		WarmupTime: b.Rules.WarmWithin, ColdWindow: b.Rules.Fall, ListRefreshWithin: b.Rules.MustAskIn,
+		InitialWarmth: b.Rules.ColdFrom, ColdMultiple: b.Rules.FallMultiple}
 	if n := b.Allowed.MaxAttempts; n != nil {
 		if s.MaxAttempts = *n; *n <= 0 {
 			return d, errors.New("settings: allowed.max_attempts: must be above 0")
@@ -152,9 +152,9 @@
 	}
 	// A site that doesn't count on its clients heeding a wait still names how long one may be, and a refusal tells
 	// when to come back whether it is heeded or not.
-	s.MaxDelay = b.Allowed.MaxRetryAfter
+	s.MaxRetryAfter = b.Allowed.MaxRetryAfter
 	for _, n := range b.Report.Names {
-		s.Reports = append(s.Reports, reports[n])
+		s.LoadReportFields = append(s.LoadReportFields, reports[n])
 	}
 	for i, c := range b.Services {
 		effect, ok := effects[c.Effect]
@@ -162,17 +162,17 @@
 			return d, fmt.Errorf("settings: services[%d].effect: unknown %q", i, c.Effect)
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && effect == policy.Keyed {
+		if !ok && effect == policy.IdempotentByKey {
 			return d, fmt.Errorf("settings: services[%d].key_scope: unknown %q", i, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, Aim: c.Objective, Deadline: c.GiveUp,
-			Effect: effect, Scope: scope, Window: c.Window, Worth: c.Worth, LateWorth: c.LateWorth,
-			Stream: c.Streaming})
+		s.Classes = append(s.Classes, policy.Class{Name: c.Name, LatencyTarget: c.Objective, Deadline: c.GiveUp,
+			Idempotency: effect, DedupScope: scope, DedupWindow: c.Window, Value: c.Worth, LateValue: c.LateWorth,
+			Streaming: c.Streaming})
 	}
 	for _, p := range b.Tiers {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Depth, Open: p.MaxOut,
-			Price: p.Price, OverWorth: p.OverWorth, OverCost: p.BeyondCosts, CeilingRate: p.CapRate,
-			CeilingBurst: p.CapDepth, CeilingSlack: p.CeilingSlack})
+		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Depth, MaxInFlight: p.MaxOut,
+			ValueMultiplier: p.Price, OverQuotaValue: p.OverWorth, OverQuotaCost: p.BeyondCosts, HardLimitRate: p.CapRate,
+			HardLimitBurst: p.CapDepth, HardLimitSlack: p.CeilingSlack})
 	}
 	d.Settings = s
 	return d, nil
--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -44,7 +44,7 @@
 	EndNone:       {"none", policy.ConnectionLost, false},
 	EndServed:     {"served", policy.Served, false},
 	EndErrored:    {"errored", policy.Errored, true},
-	EndTurnedAway: {"turned_away", policy.TurnedAway, true},
+	EndTurnedAway: {"turned_away", policy.Rejected, true},
 	EndNoConnect:  {"no_connect", policy.NotConnected, true},
 	EndCutShort:   {"cut_short", policy.NotConnected, true},
 	EndReset:      {"reset", policy.ConnectionLost, true},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	c.era = first
-	c.back = recovery.New(clock.Now(), recovery.Options{Pause: set.ShortAim(), Near: len(set.NearBy())})
+	c.back = recovery.New(clock.Now(), recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
 	return c, nil
 }
 
@@ -230,7 +230,7 @@
 	c.event(func(now Time) {
 		c.over = true
 		for _, e := range append([]*era{c.era}, c.past...) {
-			e.module.GiveUp(now)
+			e.module.AnswerAll(now)
 		}
 	})
 }
@@ -254,14 +254,14 @@
 func (c *Core) Learn(weigh func(now Time, seen []policy.Observation) []policy.Prior) {
 	c.event(func(now Time) {
 		if priors := weigh(now, c.era.module.Observe(now)); len(priors) > 0 {
-			c.era.module.Learn(now, priors)
+			c.era.module.SetPriors(now, priors)
 		}
 	})
 }
 
 // Crowd shows what is out at the pool members and what failed there, and hands the module what weigh makes of others' word.
-func (c *Core) Crowd(weigh func(now Time, own map[policy.ServerID]policy.Own) []policy.Load) {
-	c.event(func(now Time) { c.era.module.Crowd(now, weigh(now, c.era.module.Own(now))) })
+func (c *Core) Crowd(weigh func(now Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load) {
+	c.event(func(now Time) { c.era.module.SetOthersLoads(now, weigh(now, c.era.module.OwnLoads(now))) })
 }
 
 // PeerMessage hands a peer's datagram in.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -22,10 +22,10 @@
 
 func start(t *testing.T, carry carrier) (*Core, func(effect int, within time.Duration) Answer) {
 	second := time.Second
-	c, err := New(policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3, MaxDelay: second,
-		Classes: []policy.Class{{Aim: second, Deadline: 20 * second, Worth: 1},
-			{Aim: second, Deadline: 20 * second, Worth: 1, Effect: policy.Unsafe}},
-		Plans: []policy.Plan{{Price: 1}}}, 1, NewClock(), carry, nil)
+	c, err := New(policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3, MaxRetryAfter: second,
+		Classes: []policy.Class{{LatencyTarget: second, Deadline: 20 * second, Value: 1},
+			{LatencyTarget: second, Deadline: 20 * second, Value: 1, Idempotency: policy.NotIdempotent}},
+		Plans: []policy.Plan{{ValueMultiplier: 1}}}, 1, NewClock(), carry, nil)
 	require.NoError(t, err)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 	return c, func(class int, within time.Duration) Answer {
@@ -36,7 +36,7 @@
 
 // Every end has a name and an ending, and only what was never written whole counts as never run.
 func TestEnds(t *testing.T) {
-	never := map[policy.Ending]bool{policy.TurnedAway: true, policy.NotConnected: true, policy.NeverSent: true}
+	never := map[policy.Ending]bool{policy.Rejected: true, policy.NotConnected: true, policy.NeverSent: true}
 	for e := range ends {
 		assert.NotEmpty(t, e.String())
 		assert.NotZero(t, endings[e].ending)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -39,7 +39,7 @@
 	for i, n := range c.counts.ended {
 		counts = append(counts, slog.Uint64("ended_"+endings[i].name, n))
 	}
-	f := c.era.module.Figures(c.Now())
-	return append(counts, slog.Int("left_out", f.LeftOut), slog.Int("customers", f.Customers), slog.Int("asked", f.Asked),
-		slog.Int("homes_silent", f.HomesSilent), slog.Int("near_heard", f.NearHeard), slog.Int("odd_messages", f.Odd), slog.Int("held", f.Held))
+	f := c.era.module.Stats(c.Now())
+	return append(counts, slog.Int("left_out", f.EjectedServers), slog.Int("customers", f.Customers), slog.Int("asked", f.OwnerQueries),
+		slog.Int("homes_silent", f.SuspectedOwners), slog.Int("near_heard", f.NearbyAlive), slog.Int("odd_messages", f.InvalidMessages), slog.Int("held", f.QueuedRequests))
 }
--- a/internal/core/era.go
+++ b/internal/core/era.go
@@ -63,7 +63,7 @@
 		}
 		old := c.era
 		c.era = next // the next one's first words to peers are the gateway's
-		if err = next.module.Follow(now, old.module.Carry(now, mostCarried)); err != nil {
+		if err = next.module.ImportState(now, old.module.ExportState(now, mostCarried)); err != nil {
 			c.era, next.over = old, true
 			return
 		}
@@ -100,7 +100,7 @@
 	if len(c.past) == 0 && c.tap == nil {
 		return
 	}
-	s := Sent{Customer: t.Customer, Plan: t.era.set.Plans[t.Plan].Name, Units: t.Units, SetSize: t.SetSize, FirstDoor: t.FirstDoor,
+	s := Sent{Customer: t.Customer, Plan: t.era.set.Plans[t.Plan].Name, Units: t.Units, SetSize: t.SetSize, FirstDoor: t.FirstGateway,
 		Server: to, First: t.sent == 1}
 	for _, e := range append([]*era{c.era}, c.past...) {
 		if e != t.era {
@@ -115,7 +115,7 @@
 // elsewhere tells a module of a flow that another has started. An era that is past draws from a store no longer.
 func (e *era) elsewhere(now Time, s Sent, draws bool) {
 	plan := slices.IndexFunc(e.set.Plans, func(p policy.Plan) bool { return p.Name == s.Plan })
-	e.module.Elsewhere(now, policy.Request{Customer: s.Customer, Plan: plan, Units: s.Units, SetSize: s.SetSize, FirstDoor: s.FirstDoor},
+	e.module.SentElsewhere(now, policy.Request{Customer: s.Customer, Plan: plan, Units: s.Units, SetSize: s.SetSize, FirstGateway: s.FirstDoor},
 		s.Server, draws && s.First && plan >= 0)
 }
 
@@ -123,7 +123,7 @@
 // that is started; it is called with the mutex held, and must only queue.
 func (c *Core) Carry(most int, tap func(Sent)) (carried []byte) {
 	c.event(func(now Time) {
-		carried = c.era.module.Carry(now, most)
+		carried = c.era.module.ExportState(now, most)
 		c.tap = tap
 	})
 	return carried
@@ -139,7 +139,7 @@
 // Follow takes over what another process of this gateway knew. It comes before anything else, and takes all or nothing.
 func (c *Core) Follow(carried []byte) (err error) {
 	c.event(func(now Time) {
-		if err = c.era.module.Follow(now, carried); err == nil {
+		if err = c.era.module.ImportState(now, carried); err == nil {
 			c.back.Heard(recovery.Predecessor)
 		}
 	})
@@ -164,14 +164,14 @@
 
 func stormClasses(set policy.Settings) (list []storm.Class) {
 	for _, class := range set.Classes {
-		list = append(list, storm.Class{Aim: class.Aim, Worth: class.Worth, Unsafe: class.Effect == policy.Unsafe})
+		list = append(list, storm.Class{Aim: class.LatencyTarget, Worth: class.Value, Unsafe: class.Idempotency == policy.NotIdempotent})
 	}
 	return list
 }
 
 func stormPrices(set policy.Settings) (list []float64) {
 	for _, p := range set.Plans {
-		list = append(list, p.Price)
+		list = append(list, p.ValueMultiplier)
 	}
 	return list
 }
--- a/internal/core/era_test.go
+++ b/internal/core/era_test.go
@@ -14,10 +14,10 @@
 
 func retuned(classes ...policy.Class) policy.Settings {
 	for i := range classes {
-		classes[i].Aim, classes[i].Deadline, classes[i].Worth = time.Second, 20*time.Second, 1
+		classes[i].LatencyTarget, classes[i].Deadline, classes[i].Value = time.Second, 20*time.Second, 1
 	}
-	return policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 2, MaxDelay: time.Second, Classes: classes,
-		Plans: []policy.Plan{{Price: 1, Name: "utility", Rate: 0.001, Burst: 4, OverCost: 1}}}
+	return policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 2, MaxRetryAfter: time.Second, Classes: classes,
+		Plans: []policy.Plan{{ValueMultiplier: 1, Name: "utility", Rate: 0.001, Burst: 4, OverQuotaCost: 1}}}
 }
 
 // era is a core whose flows end as a test says.
@@ -44,12 +44,12 @@
 // What was taken before the settings changed goes on under the old ones, to its end: a read that was safe is tried again,
 // and as often as was allowed then, though its class is now unsafe, or gone.
 func TestOpenTransactionsKeepTheirSettings(t *testing.T) {
-	before := retuned(policy.Class{Name: "read"}, policy.Class{Name: "order", Effect: policy.Unsafe})
+	before := retuned(policy.Class{Name: "read"}, policy.Class{Name: "order", Idempotency: policy.NotIdempotent})
 	before.MaxAttempts = 4
 	c, flows, ask := eraCore(t, before)
 	read, order := ask(0, 0), ask(0, 1)
 	one, two := <-flows, <-flows
-	number, err := c.Retune(retuned(policy.Class{Name: "read", Effect: policy.Unsafe}, policy.Class{Name: "new"}), 2)
+	number, err := c.Retune(retuned(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
 	require.NoError(t, err)
 	require.Equal(t, 1, number)
 	fresh := ask(1, 0)
@@ -81,7 +81,7 @@
 		(<-flows) <- EndServed
 		assert.Equal(t, Served, (<-answer).Kind)
 	}
-	set.Classes = append(set.Classes, policy.Class{Name: "new", Aim: time.Second, Deadline: 20 * time.Second, Worth: 1})
+	set.Classes = append(set.Classes, policy.Class{Name: "new", LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 1})
 	era, err := c.Retune(set, 2)
 	require.NoError(t, err)
 	late := ask(0, 0) // read under the old settings, handed in under the new ones
--- a/internal/core/flow.go
+++ b/internal/core/flow.go
@@ -59,12 +59,12 @@
 func (f *Flow) Came() {
 	f.core.event(func(now Time) {
 		t := f.tx
-		if !t.Coming || t.closed {
+		if !t.BodyPending || t.closed {
 			return
 		}
 		t.Deadline = now + t.Wait
 		f.sent, f.Until = now, f.core.At(t.Deadline)
-		t.era.module.Came(now, t.ID, t.Deadline)
+		t.era.module.BodySent(now, t.ID, t.Deadline)
 	})
 }
 
@@ -113,7 +113,7 @@
 		}
 		closed := t.closed
 		t.era.module.Outcome(now, policy.Outcome{ID: t.ID, Attempt: f.no, Server: f.Server, Elapsed: now - f.sent,
-			Ending: endings[end].ending, Closed: closed, Spent: f.Spent, Units: answer.Units, Report: answer.Report})
+			Ending: endings[end].ending, Answered: closed, BodyConsumed: f.Spent, Units: answer.Units, LoadReport: answer.Report})
 		if t.closed && len(t.flows) == 0 {
 			c.forget(t)
 		}
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -64,7 +64,7 @@
 			}
 		})
 	})
-	if t := h.c.live[policy.TimerOf(tag)]; t != nil && !t.closed {
+	if t := h.c.live[policy.TimerRequest(tag)]; t != nil && !t.closed {
 		t.timers = append(t.timers, timer)
 	}
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -20,7 +20,7 @@
 		}
 	}
 	for _, e := range append([]*era{c.era}, c.past...) {
-		e.module.Woke(now, still)
+		e.module.Resumed(now, still)
 	}
 	c.lines = append(c.lines, line{"woke", []slog.Attr{slog.Int64("stood_still_ms", still.Milliseconds()), slog.Int("open", len(c.live))}})
 }
@@ -30,11 +30,11 @@
 	if !c.back.Due(now) {
 		return
 	}
-	f := c.era.module.Figures(now)
+	f := c.era.module.Stats(now)
 	first := c.back.Took() == 0
-	if c.back.Look(now, recovery.Seen{Members: f.Listed, NearHeard: f.NearHeard, Held: f.Held}); first && c.back.Took() > 0 {
+	if c.back.Look(now, recovery.Seen{Members: f.ListedServers, NearHeard: f.NearbyAlive, Held: f.QueuedRequests}); first && c.back.Took() > 0 {
 		c.lines = append(c.lines, line{"recovered", []slog.Attr{slog.Int64("took_ms", c.back.Took().Milliseconds()),
-			slog.String("from", c.back.From()), slog.Int("members", f.Listed), slog.Int("near_heard", f.NearHeard)}})
+			slog.String("from", c.back.From()), slog.Int("members", f.ListedServers), slog.Int("near_heard", f.NearbyAlive)}})
 	}
 }
 
@@ -49,15 +49,15 @@
 }
 
 // Uses gives what is left of the accounts that were asked for since a moment, and the moment to ask from next.
-func (c *Core) Uses(since Time) (list []policy.Use, at Time) {
-	c.event(func(now Time) { list, at = c.era.module.Uses(now, since), now })
+func (c *Core) Uses(since Time) (list []policy.QuotaBalance, at Time) {
+	c.event(func(now Time) { list, at = c.era.module.QuotaBalances(now, since), now })
 	return list, at
 }
 
 // Recall hands the module what the former life of this gateway has kept. It comes before the first transaction.
-func (c *Core) Recall(list []policy.Use) {
+func (c *Core) Recall(list []policy.QuotaBalance) {
 	c.event(func(now Time) {
 		c.back.Heard(recovery.Store)
-		c.era.module.Recall(now, list)
+		c.era.module.RestoreBalances(now, list)
 	})
 }
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -21,11 +21,11 @@
 
 // Damp makes the core damp storms. It comes before the first transaction.
 func (c *Core) Damp(set policy.Settings, opt storm.Options) {
-	opt.Me, opt.Gateways = set.Me, set.Gateways
-	g := &guard{me: set.Me, gateways: set.Gateways}
+	opt.Me, opt.Gateways = set.Self, set.Gateways
+	g := &guard{me: set.Self, gateways: set.Gateways}
 	opt.Classes, opt.Prices = stormClasses(set), stormPrices(set)
-	if set.MaxDelay > 0 && (opt.MostWait <= 0 || set.MaxDelay < opt.MostWait) {
-		opt.MostWait = set.MaxDelay // the clients' own limit
+	if set.MaxRetryAfter > 0 && (opt.MostWait <= 0 || set.MaxRetryAfter < opt.MostWait) {
+		opt.MostWait = set.MaxRetryAfter // the clients' own limit
 	}
 	g.Guard = storm.New(opt)
 	c.mu.Lock()
@@ -119,7 +119,7 @@
 	if c.guard == nil {
 		return false, 0
 	}
-	t.arrival = storm.Arrival{Account: uint64(t.Customer), Class: t.Class, Plan: t.Plan, Units: t.Units, Marked: t.Repeat}
+	t.arrival = storm.Arrival{Account: uint64(t.Customer), Class: t.Class, Plan: t.Plan, Units: t.Units, Marked: t.ClientRetry}
 	v := c.guard.Arrive(c.Now(), t.arrival)
 	if !v.Admit {
 		c.close(t)
@@ -150,7 +150,7 @@
 func (g *guard) attempt(now Time, f *Flow, end End) {
 	switch {
 	case g == nil:
-	case end == EndServed && now-f.sent <= f.tx.era.set.Classes[f.tx.Class].Aim:
+	case end == EndServed && now-f.sent <= f.tx.era.set.Classes[f.tx.Class].LatencyTarget:
 		g.Attempt(now, storm.InTime)
 	case end == EndServed:
 		g.Attempt(now, storm.Late)
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -65,7 +65,7 @@
 		if a := ask(); a.Kind == core.Refused && !a.Tried {
 			refused++
 			assert.Positive(t, a.RetryAfter)
-			assert.LessOrEqual(t, a.RetryAfter, d.MaxDelay)
+			assert.LessOrEqual(t, a.RetryAfter, d.MaxRetryAfter)
 			assert.Less(t, time.Since(began), 10*time.Second) // at once, as far as the machine lets it
 		}
 	}
@@ -73,7 +73,7 @@
 	// Another gateway, just started, hears of it.
 	e, err := core.New(d.Settings, 2, core.NewClock(), members, func(int, []byte) {})
 	require.NoError(t, err)
-	e.Damp(policy.Settings{Me: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
+	e.Damp(policy.Settings{Self: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
 	go e.Beat(ctx)
 	require.Eventually(t, func() bool {
 		select {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,7 +42,7 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.ServerState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Gone}
+var lifecycles = map[string]policy.ServerState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Departed}
 
 // Pool is told of members before the module is, so that nothing is sent to where the pool knows no way.
 type Pool interface {
@@ -203,7 +203,7 @@
 	seen := make(map[string]bool, len(list))
 	for _, in := range list {
 		state, ok := lifecycles[in.Lifecycle]
-		if _, _, err := net.SplitHostPort(in.Addr); in.ID == "" || !ok || err != nil && state != policy.Gone {
+		if _, _, err := net.SplitHostPort(in.Addr); in.ID == "" || !ok || err != nil && state != policy.Departed {
 			slog.Warn("instance_left_out", "instance", in.ID, "addr", in.Addr, "lifecycle", in.Lifecycle)
 			continue
 		}
@@ -219,15 +219,15 @@
 		e.in, seen[in.ID] = in, true
 		r.pool.Set(e.id, in.Addr, state)
 		infos = append(infos, policy.ServerInfo{ID: e.id, Zone: index(r.zones, in.Zone), Kind: index(r.kinds, in.Kind),
-			Cell: in.Cell, State: state, Weight: in.Weight, Since: time.Duration(in.StartedMs) * time.Millisecond})
-		if state == policy.Gone {
+			Cell: in.Cell, State: state, Weight: in.Weight, StartedAt: time.Duration(in.StartedMs) * time.Millisecond})
+		if state == policy.Departed {
 			delete(r.known, in.ID)
 		}
 	}
 	if kind != policy.ListChanges {
 		for name, e := range r.known {
 			if !seen[name] {
-				r.pool.Set(e.id, e.in.Addr, policy.Gone)
+				r.pool.Set(e.id, e.in.Addr, policy.Departed)
 				delete(r.known, name)
 			}
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -26,7 +26,7 @@
 func (h heard) module(kind policy.ListKind, list []policy.ServerInfo) {
 	text := fmt.Sprintf("module %d:", kind)
 	for _, s := range list {
-		text += fmt.Sprintf(" %d/%d/%d/%d", s.ID, s.Zone, s.State, s.Since.Milliseconds())
+		text += fmt.Sprintf(" %d/%d/%d/%d", s.ID, s.Zone, s.State, s.StartedAt.Milliseconds())
 	}
 	h <- text
 }
--- a/internal/emulator/deployment_test.go
+++ b/internal/emulator/deployment_test.go
@@ -85,7 +85,7 @@
 // A load report is what was so some time ago.
 func TestReportsComeLate(t *testing.T) {
 	s := Platform(1, 1, 1, 0.1, second)
-	s.Settings.Reports, s.Report = []string{"inflight"}, Report{Every: 100 * time.Millisecond, Delay: 50 * time.Millisecond}
+	s.Settings.LoadReportFields, s.Report = []string{"inflight"}, Report{Every: 100 * time.Millisecond, Delay: 50 * time.Millisecond}
 	r := &run{Scenario: s, e: NewEngine(1)}
 	m := r.add(r.e.Stream("members"))
 	m.busy = 2
--- a/internal/emulator/deployments.go
+++ b/internal/emulator/deployments.go
@@ -32,12 +32,12 @@
 		Load: between(rng, 0.2, 1.1), Hot: between(rng, 0, 0.3), Rooms: 1 + rng.IntN(4), Cells: 1 + rng.IntN(4), Length: 5 * time.Second,
 		Link: spread(rng, 0.0002, 0.02), Loss: between(rng, 0, 0.06), Discovery: spread(rng, 0.1, 3), Retries: rng.IntN(3), Honour: rng.Float64()}
 	s.Accounts = 3 + rng.IntN(3*s.Members)
-	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4), SecondCopies: coin(0.4),
-		Peers: coin(0.8), Cancel: coin(0.7), MaxDelay: spread(rng, 0, 2), PeerIntake: between(rng, 20, 200), LargestUnits: 8,
-		DrainGrace: 250 * time.Millisecond, Fall: time.Second, FallMultiple: 4, MustAsk: 10 * time.Second,
-		ColdFrom: between(rng, 0.15, 0.5), WarmWithin: spread(rng, 2, 16)}
+	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4), Hedging: coin(0.4),
+		Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: spread(rng, 0, 2), PeerMessageRate: between(rng, 20, 200), MaxUnits: 8,
+		DrainGrace: 250 * time.Millisecond, ColdWindow: time.Second, ColdMultiple: 4, ListRefreshWithin: 10 * time.Second,
+		InitialWarmth: between(rng, 0.15, 0.5), WarmupTime: spread(rng, 2, 16)}
 	if coin(0.5) {
-		set.Reports = [][]string{{"latency_ms"}, {"inflight", "queue"}, {"queue", "latency_ms"}}[rng.IntN(3)]
+		set.LoadReportFields = [][]string{{"latency_ms"}, {"inflight", "queue"}, {"queue", "latency_ms"}}[rng.IntN(3)]
 	}
 	if coin(0.5) {
 		s.GuessCV = between(rng, 0.2, 0.7)
@@ -46,30 +46,30 @@
 	work := spread(rng, 0.02, 0.3)
 	for i := range 1 + rng.IntN(6) {
 		aim := max(spread(rng, 0.2, 5), 3*work)
-		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), Aim: aim, Deadline: min(time.Minute, time.Duration(float64(aim)*between(rng, 1.2, 6))),
-			Effect: policy.Effect(rng.IntN(3)), Scope: policy.Scope(rng.IntN(3)), Window: spread(rng, 0.5, 10), Worth: between(rng, 0.5, 4),
-			LateWorth: between(rng, 0, 0.3)})
+		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), LatencyTarget: aim, Deadline: min(time.Minute, time.Duration(float64(aim)*between(rng, 1.2, 6))),
+			Idempotency: policy.Idempotency(rng.IntN(3)), DedupScope: policy.DedupScope(rng.IntN(3)), DedupWindow: spread(rng, 0.5, 10), Value: between(rng, 0.5, 4),
+			LateValue: between(rng, 0, 0.3)})
 	}
 	perAccount := 2.5 * s.Load * float64(s.Members) * 4 / work.Seconds() / float64(s.Accounts)
 	for i := range 1 + rng.IntN(5) {
-		p := policy.Plan{Name: fmt.Sprint("plan-", i), Price: between(rng, 0.5, 2), OverWorth: between(rng, 0, 0.2), OverCost: between(rng, 0, 1.2)}
+		p := policy.Plan{Name: fmt.Sprint("plan-", i), ValueMultiplier: between(rng, 0.5, 2), OverQuotaValue: between(rng, 0, 0.2), OverQuotaCost: between(rng, 0, 1.2)}
 		if coin(0.8) {
 			p.Rate = perAccount * between(rng, 0.5, 4)
-			p.Burst = p.Rate*between(rng, 1, 5) + set.LargestUnits
+			p.Burst = p.Rate*between(rng, 1, 5) + set.MaxUnits
 		}
 		if coin(0.3) || p.Rate == 0 && coin(0.7) {
-			p.Open = 1 + rng.IntN(12)
+			p.MaxInFlight = 1 + rng.IntN(12)
 		}
 		if p.Rate > 0 && coin(0.5) {
 			x := between(rng, 1.4, 2.6)
-			p.CeilingRate, p.CeilingBurst = x*p.Rate, x*p.Burst
-			p.CeilingSlack = max(set.LargestUnits, p.CeilingBurst/10)
+			p.HardLimitRate, p.HardLimitBurst = x*p.Rate, x*p.Burst
+			p.HardLimitSlack = max(set.MaxUnits, p.HardLimitBurst/10)
 		}
 		set.Plans = append(set.Plans, p)
 		s.Spread = append(s.Spread, 1+rng.IntN(s.Gateways))
 	}
 	s.Spec = MemberSpec{Cores: 1 + rng.IntN(8), Speed: between(rng, 0.8, 1.2), Queue: 4 + rng.IntN(60), Work: work, Sigma: between(rng, 0.1, 0.8),
-		ColdFrom: set.ColdFrom, WarmWithin: set.WarmWithin}
+		ColdFrom: set.InitialWarmth, WarmWithin: set.WarmupTime}
 	for range rng.IntN(4) {
 		k := Kinds[rng.IntN(len(Kinds)-1)] // but for clocks that differ: every machine reads the same
 		t := Trouble{At: spread(rng, 0, 3), For: spread(rng, 0.3, 3), Kind: k, Part: between(rng, 0.05, 0.6), Size: between(rng, 1.5, 6)}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -154,7 +154,7 @@
 	ask()
 	ask() // one at work, one waits, one too many
 	e.Run(Origin + second)
-	assert.Equal(t, []policy.Ending{policy.TurnedAway, policy.Served, policy.Served}, ends)
+	assert.Equal(t, []policy.Ending{policy.Rejected, policy.Served, policy.Served}, ends)
 	assert.Equal(t, []time.Duration{0, 100 * time.Millisecond, 200 * time.Millisecond}, at)
 	m.start() // cold: four times as long
 	ask()
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -54,7 +54,7 @@
 
 func (g *gateway) boot() {
 	set := g.r.Settings
-	set.Me, set.Gateways, set.Zone = g.me, g.r.Gateways, g.room
+	set.Self, set.Gateways, set.Zone = g.me, g.r.Gateways, g.room
 	seed := g.r.Seed<<20 | uint64(g.life)<<10 | uint64(g.me)
 	var mod module
 	if g.r.Plain {
@@ -69,13 +69,13 @@
 	g.mod, g.up, g.open = mod, true, map[policy.RequestID]*live{}
 	g.life++
 	mod.Attach(g)
-	g.back = recovery.New(g.r.e.now, recovery.Options{Pause: set.ShortAim(), Near: len(set.NearBy())})
+	g.back = recovery.New(g.r.e.now, recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
 	g.idle, g.listed = map[policy.ServerID][]Time{}, map[policy.ServerID]bool{}
-	g.board = inflight.New(g.me, g.r.Gateways, set.PeerIntake)
+	g.board = inflight.New(g.me, g.r.Gateways, set.PeerMessageRate)
 	var list []policy.ServerInfo
 	for _, m := range g.r.members {
 		m.seen.Told(g.me, g.r.e.now, true) // as a new life it is told all anew
-		if m.state == policy.Gone {
+		if m.state == policy.Departed {
 			m.seen.Told(g.me, g.r.e.now, false)
 			continue
 		}
@@ -90,8 +90,8 @@
 
 // dated gives an entry as this gateway's clock has it: the model's modules all read one clock.
 func (g *gateway) dated(info policy.ServerInfo) policy.ServerInfo {
-	if info.Since != 0 {
-		info.Since = max(1, info.Since-g.ahead)
+	if info.StartedAt != 0 {
+		info.StartedAt = max(1, info.StartedAt-g.ahead)
 	}
 	return info
 }
@@ -127,12 +127,12 @@
 	if g.moved {
 		g.windows()
 	}
-	g.board.Own(g.mod.Own(now))
+	g.board.Own(g.mod.OwnLoads(now))
 	peers, m := g.board.Tell(now)
 	for _, p := range peers {
 		g.Tell(p, m)
 	}
-	g.mod.Crowd(now, g.board.Loads(now))
+	g.mod.SetOthersLoads(now, g.board.Loads(now))
 	g.later(g.board.Every(), g.round)
 }
 
@@ -214,12 +214,12 @@
 // event notes that something happens here, and that the process stood still before it where it did.
 func (g *gateway) event() {
 	if still := g.back.Event(g.r.e.now); still > 0 {
-		g.mod.Woke(g.r.e.now, still)
+		g.mod.Resumed(g.r.e.now, still)
 	}
 	if now := g.r.e.now; g.back.Due(now) {
-		f := g.mod.Figures(now)
+		f := g.mod.Stats(now)
 		first := g.back.Took() == 0
-		if g.back.Look(g.r.e.now, recovery.Seen{Members: f.Listed, NearHeard: f.NearHeard, Held: f.Held}); first && g.back.Took() > 0 && g.r.e.now > Origin+bootTime {
+		if g.back.Look(g.r.e.now, recovery.Seen{Members: f.ListedServers, NearHeard: f.NearbyAlive, Held: f.QueuedRequests}); first && g.back.Took() > 0 && g.r.e.now > Origin+bootTime {
 			g.r.Took = append(g.r.Took, g.back.Took()+g.r.Boot)
 		}
 	}
@@ -264,7 +264,7 @@
 		}
 		delete(l.flows, no)
 		g.r.referee.Holds(&l.q.Request, -1)
-		if how == policy.TurnedAway || how == policy.NotConnected {
+		if how == policy.Rejected || how == policy.NotConnected {
 			l.q.Never(no)
 		}
 		units := 0.0
@@ -275,7 +275,7 @@
 			g.final(l, "served")
 		}
 		g.r.mark('e', uint64(id), uint64(how))
-		g.mod.Outcome(g.r.e.now, policy.Outcome{ID: id, Attempt: no, Server: to, Elapsed: g.r.e.now - now, Ending: how, Closed: l.q.Final, Units: units, Report: g.r.shows(m)})
+		g.mod.Outcome(g.r.e.now, policy.Outcome{ID: id, Attempt: no, Server: to, Elapsed: g.r.e.now - now, Ending: how, Answered: l.q.Final, Units: units, LoadReport: g.r.shows(m)})
 		g.close(id, l)
 	}
 	l.flows[no] = end
@@ -322,7 +322,7 @@
 	switch how {
 	case "served":
 		g.r.Served++
-		if first := l.q.first; g.r.e.now-first.at <= g.r.Settings.Classes[l.q.Class].Aim && first.worth > 0 && !first.inTime {
+		if first := l.q.first; g.r.e.now-first.at <= g.r.Settings.Classes[l.q.Class].LatencyTarget && first.worth > 0 && !first.inTime {
 			first.inTime = true
 			g.r.InTime += first.worth
 			g.r.second(&g.r.served, first)
@@ -348,7 +348,7 @@
 func (g *gateway) Fail(id policy.RequestID) {
 	if l := g.open[id]; l != nil && !l.q.Final {
 		g.final(l, "failed")
-		if g.r.effect(l.q) == policy.Safe {
+		if g.r.effect(l.q) == policy.Idempotent {
 			g.r.comesAgain(l.q, 0)
 		}
 		g.later(0, func() { g.close(id, l) })
@@ -411,7 +411,7 @@
 	}
 	g.heard++
 	g.r.MostHeard = max(g.r.MostHeard, g.heard)
-	if most := g.r.Settings.PeerIntake; most > 0 && float64(g.heard) > most {
+	if most := g.r.Settings.PeerMessageRate; most > 0 && float64(g.heard) > most {
 		g.r.Dropped++
 		return
 	}
--- a/internal/emulator/member.go
+++ b/internal/emulator/member.go
@@ -58,7 +58,7 @@
 
 // info is the member's entry in lists.
 func (m *member) info() policy.ServerInfo {
-	return policy.ServerInfo{ID: m.id, Zone: m.room, Cell: m.cell, State: m.state, Weight: 1, Since: m.started}
+	return policy.ServerInfo{ID: m.id, Zone: m.room, Cell: m.cell, State: m.state, Weight: 1, StartedAt: m.started}
 }
 
 func (m *member) warmth() float64 {
@@ -85,7 +85,7 @@
 		done(policy.NotConnected)
 	case m.hung:
 	case m.busy >= m.spec.Cores && len(m.queue) >= m.spec.Queue:
-		done(policy.TurnedAway)
+		done(policy.Rejected)
 	default:
 		m.queue = append(m.queue, &job{work, done})
 		m.serve()
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -18,10 +18,10 @@
 	Outcome(now Time, o policy.Outcome)
 	Timer(now Time, tag uint64)
 	PeerMessage(now Time, from int, m []byte)
-	Own(now Time) map[policy.ServerID]policy.Own
-	Crowd(now Time, list []policy.Load)
-	Woke(now Time, still time.Duration)
-	Figures(now Time) policy.Figures
+	OwnLoads(now Time) map[policy.ServerID]policy.OwnLoad
+	SetOthersLoads(now Time, list []policy.Load)
+	Resumed(now Time, still time.Duration)
+	Stats(now Time) policy.Stats
 }
 
 // plain is the textbook's: of two members drawn by lot the one with less out here, an even part of each quota, cap and ceiling,
@@ -76,9 +76,9 @@
 		p.parts[in.Customer] = a
 	}
 	a.quota.Fill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.at, 0)
-	a.ceiling.Fill(ledger.Limit{Rate: plan.CeilingRate / n, Burst: plan.CeilingBurst / n}, now-a.at, 0)
-	if a.at = now; plan.Rate > 0 && a.quota.Left < in.Units || plan.CeilingRate > 0 && a.ceiling.Left < in.Units ||
-		plan.Open > 0 && !ledger.Slot(plan.Open, a.out, 0, int(n), false) {
+	a.ceiling.Fill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.at, 0)
+	if a.at = now; plan.Rate > 0 && a.quota.Left < in.Units || plan.HardLimitRate > 0 && a.ceiling.Left < in.Units ||
+		plan.MaxInFlight > 0 && !ledger.Slot(plan.MaxInFlight, a.out, 0, int(n), false) {
 		return false
 	}
 	a.quota.Left, a.ceiling.Left = a.quota.Left-in.Units, a.ceiling.Left-in.Units
@@ -87,7 +87,7 @@
 
 func (p *plain) Request(now Time, in policy.Request) {
 	if !p.inside(now, in) {
-		p.host.Refuse(in.ID, p.set.MaxDelay)
+		p.host.Refuse(in.ID, p.set.MaxRetryAfter)
 		return
 	}
 	r := &plainRequest{Request: in}
@@ -116,7 +116,7 @@
 	if r.mayHave || r.out > 0 {
 		p.host.Fail(r.ID)
 	} else {
-		p.host.Refuse(r.ID, p.set.MaxDelay)
+		p.host.Refuse(r.ID, p.set.MaxRetryAfter)
 	}
 }
 
@@ -128,9 +128,9 @@
 	}
 	r.out--
 	p.parts[r.Customer].out--
-	r.mayHave = r.mayHave || o.Ending != policy.TurnedAway && o.Ending != policy.NotConnected
+	r.mayHave = r.mayHave || o.Ending != policy.Rejected && o.Ending != policy.NotConnected
 	switch {
-	case o.Closed:
+	case o.Answered:
 		delete(p.open, r.ID)
 	case !r.mayHave && r.sent < min(2, p.set.MaxAttempts):
 		p.send(r)
@@ -146,8 +146,8 @@
 	}
 }
 
-func (p *plain) PeerMessage(Time, int, []byte)           {}
-func (p *plain) Own(Time) map[policy.ServerID]policy.Own { return nil }
-func (p *plain) Crowd(Time, []policy.Load)               {}
-func (p *plain) Woke(Time, time.Duration)                {}
-func (p *plain) Figures(Time) policy.Figures             { return policy.Figures{Listed: len(p.members)} }
+func (p *plain) PeerMessage(Time, int, []byte)                    {}
+func (p *plain) OwnLoads(Time) map[policy.ServerID]policy.OwnLoad { return nil }
+func (p *plain) SetOthersLoads(Time, []policy.Load)               {}
+func (p *plain) Resumed(Time, time.Duration)                      {}
+func (p *plain) Stats(Time) policy.Stats                          { return policy.Stats{ListedServers: len(p.members)} }
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -40,4 +40,4 @@
 	r.referee.Over(r.e.now, open)
 }
 
-func (r *run) effect(q *request) policy.Effect { return r.Settings.Classes[q.Class].Effect }
+func (r *run) effect(q *request) policy.Idempotency { return r.Settings.Classes[q.Class].Idempotency }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -100,7 +100,7 @@
 		return errors.New("classes: one for each of the settings'")
 	case s.Plans != nil && len(s.Plans) != len(s.Settings.Plans):
 		return errors.New("plans: one for each of the settings'")
-	case s.Units < 0 || s.Settings.LargestUnits > 0 && float64(s.Units) > s.Settings.LargestUnits:
+	case s.Units < 0 || s.Settings.MaxUnits > 0 && float64(s.Units) > s.Settings.MaxUnits:
 		return errors.New("units: must not be below 0 nor above the settings' largest")
 	}
 	for i, c := range s.Classes {
@@ -119,8 +119,8 @@
 		}
 	}
 	set := s.Settings
-	set.Me, set.Gateways = 0, s.Gateways
-	return set.Check()
+	set.Self, set.Gateways = 0, s.Gateways
+	return set.Validate()
 }
 
 type run struct {
@@ -203,7 +203,7 @@
 	}
 	r.Beyond, r.OverCap, r.OverCeiling, r.PeakCold = r.referee.Beyond, r.referee.OverCap, r.referee.OverCeiling, r.referee.PeakCold
 	if gateway, ok := r.gateways[0].mod.(*policy.Gateway); ok {
-		r.State = len(gateway.Carry(r.e.now, 1<<30))
+		r.State = len(gateway.ExportState(r.e.now, 1<<30))
 	}
 	for i := range r.offered {
 		r.Seconds = append(r.Seconds, r.served[i]/max(r.offered[i], 1e-9))
@@ -311,19 +311,19 @@
 		c := r.Settings.Classes[class]
 		units := 1 + float64(rng.IntN(most))
 		r.last++
-		q := &request{at: r.e.now, true: units, again: r.Retries, worth: c.Worth * plan.Price * units}
-		q.Request.Request = policy.Request{ID: r.last, Class: class, Plan: a.plan, Customer: customer, Units: units, SetSize: a.set, FirstDoor: a.first}
+		q := &request{at: r.e.now, true: units, again: r.Retries, worth: c.Value * plan.ValueMultiplier * units}
+		q.Request.Request = policy.Request{ID: r.last, Class: class, Plan: a.plan, Customer: customer, Units: units, SetSize: a.set, FirstGateway: a.first}
 		if r.Comes > 0 && r.retries.Float64() >= r.Comes {
 			q.again = 0
 		}
 		if q.first = q; r.GuessCV > 0 {
 			sigma := math.Sqrt(math.Log(1 + r.GuessCV*r.GuessCV))
-			q.Units = min(max(0.5, units*math.Exp(sigma*r.guesses.NormFloat64()-sigma*sigma/2)), max(r.Settings.LargestUnits, 0.5))
+			q.Units = min(max(0.5, units*math.Exp(sigma*r.guesses.NormFloat64()-sigma*sigma/2)), max(r.Settings.MaxUnits, 0.5))
 		}
 		q.Price, q.Deadline = q.worth, r.e.now+c.Deadline
 		r.Tries++
 		a.store, a.at = min(plan.Burst, a.store+(r.e.now-a.at).Seconds()*plan.Rate), r.e.now
-		if inside := (plan.Rate <= 0 || a.store >= units) && (plan.Open <= 0 || r.referee.Out(customer) < plan.Open); inside {
+		if inside := (plan.Rate <= 0 || a.store >= units) && (plan.MaxInFlight <= 0 || r.referee.Out(customer) < plan.MaxInFlight); inside {
 			a.store -= units
 			r.Offered += q.worth
 			r.second(&r.offered, q)
@@ -338,14 +338,14 @@
 
 // enter brings a request to one of its account's gateways; the front knows which are down.
 func (r *run) enter(q *request, at int) {
-	door := (q.FirstDoor + at) % r.Gateways
+	door := (q.FirstGateway + at) % r.Gateways
 	for k := 0; k < q.SetSize && r.knownDown(r.gateways[door]); k++ {
-		door = (q.FirstDoor + (door-q.FirstDoor+1+r.Gateways)%q.SetSize) % r.Gateways
+		door = (q.FirstGateway + (door-q.FirstGateway+1+r.Gateways)%q.SetSize) % r.Gateways
 	}
 	if !r.gateways[door].up {
 		q.Lost = true
 		r.Lost++
-		if r.effect(q) == policy.Safe {
+		if r.effect(q) == policy.Idempotent {
 			r.comesAgain(q, 0)
 		}
 		return
@@ -374,7 +374,7 @@
 		r.last++
 		next := *q
 		next.Request = referee.Request{Request: q.Request.Request, Price: q.Price}
-		next.ID, next.at, next.again, next.Deadline, next.Repeat = r.last, r.e.now, q.again-1, q.first.at+c.Deadline, true
+		next.ID, next.at, next.again, next.Deadline, next.ClientRetry = r.last, r.e.now, q.again-1, q.first.at+c.Deadline, true
 		r.Tries++
 		r.enter(&next, r.retries.IntN(q.SetSize))
 	})
@@ -402,11 +402,11 @@
 
 // report gives a member's load report, as the settings want it.
 func (r *run) report(m *member) []float32 {
-	if len(r.Settings.Reports) == 0 {
+	if len(r.Settings.LoadReportFields) == 0 {
 		return nil
 	}
-	list := make([]float32, len(r.Settings.Reports))
-	for i, name := range r.Settings.Reports {
+	list := make([]float32, len(r.Settings.LoadReportFields))
+	for i, name := range r.Settings.LoadReportFields {
 		switch name {
 		case "inflight":
 			list[i] = float32(m.busy + len(m.queue))
@@ -421,7 +421,7 @@
 
 // reports lets a member show its load now and then, late and with some noise.
 func (r *run) reports(m *member) {
-	if r.Report.Every <= 0 || len(r.Settings.Reports) == 0 {
+	if r.Report.Every <= 0 || len(r.Settings.LoadReportFields) == 0 {
 		return
 	}
 	rng := r.e.Stream(fmt.Sprintf("report %d", m.id))
--- a/internal/emulator/size_test.go
+++ b/internal/emulator/size_test.go
@@ -44,7 +44,7 @@
 			assert.GreaterOrEqual(t, after/n, day.after)
 			assert.LessOrEqual(t, r.Dials, day.dials)
 			assert.LessOrEqual(t, r.Beyond, 0.06*r.Offered)
-			assert.LessOrEqual(t, r.MostHeard, int(s.Settings.PeerIntake))
+			assert.LessOrEqual(t, r.MostHeard, int(s.Settings.PeerMessageRate))
 			assert.Equal(t, r.Tries, r.Served+r.Refused+r.Failed+r.Lost)
 		})
 	}
@@ -66,7 +66,7 @@
 			s.Accounts, s.Rooms, s.Hot, s.Spread, s.Troubles = 400, 3, 0.1, []int{250, 5}, []Trouble{trouble}
 			small, utility := &s.Settings.Plans[0], &s.Settings.Plans[1]
 			small.Rate, small.Burst = 2, 16
-			utility.Rate, utility.Burst, utility.CeilingRate, utility.CeilingBurst, utility.CeilingSlack = 16, 41, 35, 89, 9
+			utility.Rate, utility.Burst, utility.HardLimitRate, utility.HardLimitBurst, utility.HardLimitSlack = 16, 41, 35, 89, 9
 			r, err := Play(s)
 			require.NoError(t, err) // the ceiling among the rules
 			t.Logf("%.2f served, over the ceiling by %.1f", r.Seconds, r.OverCeiling)
@@ -93,7 +93,7 @@
 				s.Accounts, s.Rooms, s.Hot, s.Spread, s.Troubles = 20, 3, 0.5, []int{4, 6}, []Trouble{trouble}
 				for i := range s.Settings.Plans {
 					p := &s.Settings.Plans[i]
-					p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack = 16, 40, 27, 64, 8
+					p.Rate, p.Burst, p.HardLimitRate, p.HardLimitBurst, p.HardLimitSlack = 16, 40, 27, 64, 8
 				}
 				_, err := Play(s)
 				require.NoError(t, err)
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -266,7 +266,7 @@
 			r.e.After(time.Duration(k)*t.For/time.Duration(len(members)), func() {
 				m.state = policy.Draining
 				r.list(m)
-				r.e.After(drainWait, func() { m.state = policy.Gone; r.list(m); m.stop() })
+				r.e.After(drainWait, func() { m.state = policy.Departed; r.list(m); m.stop() })
 			})
 		case Replace:
 			r.e.After(time.Duration(k)*t.For/time.Duration(len(members)), func() { r.replace(m, rng) })
@@ -298,7 +298,7 @@
 	}
 	m.state = policy.Draining
 	r.list(m)
-	r.e.After(drainWait, func() { m.state = policy.Gone; r.list(m); m.stop() })
+	r.e.After(drainWait, func() { m.state = policy.Departed; r.list(m); m.stop() })
 	next := r.add(rng)
 	next.room, next.seen.Room = m.room, m.room
 	next.start()
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -153,14 +153,14 @@
 func Deployment() config.Deployment {
 	second := time.Second
 	return config.Deployment{Settings: policy.Settings{Gateways: 1, Tick: 2 * time.Millisecond, MaxAttempts: 4,
-		MaxDelay: second, LargestUnits: 8, Cancel: true,
+		MaxRetryAfter: second, MaxUnits: 8, Cancel: true,
 		Classes: []policy.Class{
-			{Name: "health-read", Aim: 2 * second, Deadline: 20 * second, Worth: 1},
-			{Name: "work-order", Aim: 2 * second, Deadline: 20 * second, Effect: policy.Unsafe, Worth: 3},
-			{Name: "meter-batch", Aim: 2 * second, Deadline: 20 * second, Effect: policy.Keyed, Scope: policy.ScopeCell,
-				Window: 8 * second, Worth: 2}},
-		Plans: []policy.Plan{{Name: "utility", Rate: 1e6, Burst: 1e6, Price: 1}, {Name: "tiny", Rate: 0.001, Burst: 2,
-			Price: 1, OverCost: 1}}},
+			{Name: "health-read", LatencyTarget: 2 * second, Deadline: 20 * second, Value: 1},
+			{Name: "work-order", LatencyTarget: 2 * second, Deadline: 20 * second, Idempotency: policy.NotIdempotent, Value: 3},
+			{Name: "meter-batch", LatencyTarget: 2 * second, Deadline: 20 * second, Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeCell,
+				DedupWindow: 8 * second, Value: 2}},
+		Plans: []policy.Plan{{Name: "utility", Rate: 1e6, Burst: 1e6, ValueMultiplier: 1}, {Name: "tiny", Rate: 0.001, Burst: 2,
+			ValueMultiplier: 1, OverQuotaCost: 1}}},
 		ConnIdle: 30 * second, ConnectWait: 5 * second}
 }
 
--- a/internal/front/introspect/introspect.go
+++ b/internal/front/introspect/introspect.go
@@ -90,8 +90,8 @@
 // settings are a deployment's as far as its plans go: there is one class of checks.
 func (k *Checker) settings(d config.Deployment) policy.Settings {
 	set := d.Settings
-	set.Classes = []policy.Class{{Name: "introspection", Aim: k.conf.Timeout / 2, Deadline: k.conf.Timeout,
-		Effect: policy.Safe, Worth: 1}}
+	set.Classes = []policy.Class{{Name: "introspection", LatencyTarget: k.conf.Timeout / 2, Deadline: k.conf.Timeout,
+		Idempotency: policy.Idempotent, Value: 1}}
 	return set
 }
 
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -166,7 +166,7 @@
 	}
 	in.Era = d.Era
 	class := d.Classes[in.Class]
-	if want := method(class.Effect); r.Method != want {
+	if want := method(class.Idempotency); r.Method != want {
 		w.Header().Set("Allow", want)
 		return in, nil, &Bad{Code: http.StatusMethodNotAllowed, Text: "method: this class takes " + want}
 	}
@@ -187,11 +187,11 @@
 		return in, nil, bad(hWeight + ": malformed")
 	}
 	keys := h.Values(hKey)
-	if len(keys) > 1 || class.Effect == policy.Keyed && len(keys) == 0 ||
+	if len(keys) > 1 || class.Idempotency == policy.IdempotentByKey && len(keys) == 0 ||
 		len(keys) == 1 && (keys[0] == "" || len(keys[0]) > maxKey) {
 		return in, nil, bad(hKey + ": not the one that a keyed class needs")
 	}
-	in.Repeat = h.Get(hRetry) == "1"
+	in.ClientRetry = h.Get(hRetry) == "1"
 	if body, no = ReadBody(w, r, budget, time.Now().Add(time.Duration(wait)*time.Millisecond)); no != nil {
 		return in, nil, no
 	}
@@ -213,7 +213,7 @@
 	m := &pool.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: body.Kept}
 	if in.Message = m; body.More() {
 		m.Remainder, m.ContentLength = body, r.ContentLength
-		in.Coming, in.Wait = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
+		in.BodyPending, in.Wait = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
 	}
 	return in, body, nil
 }
@@ -223,8 +223,8 @@
 	return append(append(append(append(header, name...), ": "...), value...), "\r\n"...)
 }
 
-func method(e policy.Effect) string {
-	if e == policy.Safe {
+func method(e policy.Idempotency) string {
+	if e == policy.Idempotent {
 		return http.MethodGet
 	}
 	return http.MethodPost
@@ -251,11 +251,11 @@
 			first = x
 		}
 	}
-	in.SetSize, in.FirstDoor = int(spread), int(first)
-	return in.Units > 0 && (d.LargestUnits <= 0 || in.Units <= d.LargestUnits) &&
+	in.SetSize, in.FirstGateway = int(spread), int(first)
+	return in.Units > 0 && (d.MaxUnits <= 0 || in.Units <= d.MaxUnits) &&
 		float64(in.SetSize) == spread && in.SetSize >= 1 && in.SetSize <= d.Gateways &&
-		float64(in.FirstDoor) == first && in.FirstDoor >= 0 && in.FirstDoor < d.Gateways &&
-		(d.Me-in.FirstDoor+d.Gateways)%d.Gateways < in.SetSize
+		float64(in.FirstGateway) == first && in.FirstGateway >= 0 && in.FirstGateway < d.Gateways &&
+		(d.Self-in.FirstGateway+d.Gateways)%d.Gateways < in.SetSize
 }
 
 func end(w http.ResponseWriter, code int) {
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -98,7 +98,7 @@
 	}
 	for id, old := range r.entries {
 		if _, stays := next[id]; !stays {
-			changes = append(changes, pool.Change{ID: old.number, State: policy.Gone})
+			changes = append(changes, pool.Change{ID: old.number, State: policy.Departed})
 		}
 	}
 	for _, servers := range table.backends {
--- a/internal/gateway/endpoints/registry_test.go
+++ b/internal/gateway/endpoints/registry_test.go
@@ -38,7 +38,7 @@
 		So(r.Current().ForBackend("y"), ShouldBeEmpty)
 		So(members.members[b].State, ShouldEqual, policy.Draining)
 		c := first.ForBackend("y")[0].Number
-		So(members.members[c].State, ShouldEqual, policy.Gone)
+		So(members.members[c].State, ShouldEqual, policy.Departed)
 		So(r.Current().ByNumber(b), ShouldBeNil)
 	})
 	Convey("An address that another server has got gets another number", t, func() {
--- a/internal/inflight/board.go
+++ b/internal/inflight/board.go
@@ -82,7 +82,7 @@
 
 // New gives a board, nil where the fleet is so small that all hear all and the window would be the whole pool.
 func New(me, gateways int, intake float64) *Board {
-	near := policy.Near(me, gateways)
+	near := policy.NearbyGateways(me, gateways)
 	if len(near) >= gateways-1 {
 		return nil
 	}
@@ -136,17 +136,17 @@
 }
 
 // Own takes in what this gateway has out and what failed here, where it is known which member is meant.
-func (b *Board) Own(own map[policy.ServerID]policy.Own) {
+func (b *Board) Own(own map[policy.ServerID]policy.OwnLoad) {
 	var mine word
 	for _, m := range b.members {
 		o := own[m.id]
-		if o.Failed > 0 && !m.shared && len(mine.fails) < mostFails {
+		if o.Failures > 0 && !m.shared && len(mine.fails) < mostFails {
 			steps := func(x float64) uint8 { return uint8(math.Min(math.Round(x*failSteps), math.MaxUint8)) }
-			mine.fails = append(mine.fails, fails{m.name, steps(o.Failed), steps(o.Tried)})
+			mine.fails = append(mine.fails, fails{m.name, steps(o.Failures), steps(o.Attempts)})
 		}
 	}
 	for _, m := range b.members {
-		for k := 0; k < own[m.id].Out && head+failBytes*len(mine.fails)+nameBytes*(len(mine.out)+1) <= mostBytes; k++ {
+		for k := 0; k < own[m.id].InFlight && head+failBytes*len(mine.fails)+nameBytes*(len(mine.out)+1) <= mostBytes; k++ {
 			mine.out = append(mine.out, m.name)
 		}
 	}
@@ -225,12 +225,12 @@
 	mean := float64(sum) / float64(max(n, 1))
 	loads := make([]policy.Load, len(b.members))
 	for i, m := range b.members {
-		loads[i] = policy.Load{ID: m.id, Others: mean + farther*(1+mean)}
+		loads[i] = policy.Load{ID: m.id, Attempts: mean + farther*(1+mean)}
 		if m.window {
-			loads[i].Others = float64(out[m.name])
+			loads[i].Attempts = float64(out[m.name])
 		}
 		if f := failed[m.name]; f > 0 && !m.shared {
-			loads[i].Others += failWeight * f / (math.Max(f, tried[m.name]) + failDoubt)
+			loads[i].Attempts += failWeight * f / (math.Max(f, tried[m.name]) + failDoubt)
 		}
 	}
 	return loads
--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -67,7 +67,7 @@
 			seen = m
 		}
 	}
-	a.Own(map[policy.ServerID]policy.Own{seen.id: {Out: 2}})
+	a.Own(map[policy.ServerID]policy.OwnLoad{seen.id: {InFlight: 2}})
 	peers, first := a.Tell(time.Second)
 	require.Len(t, peers, 6)
 	again, _ := a.Tell(time.Second + 10*time.Millisecond)
@@ -77,9 +77,9 @@
 	load := func(now Time) (in, out float64) {
 		for i, l := range b.Loads(now) {
 			if l.ID == seen.id {
-				in = l.Others
+				in = l.Attempts
 			} else if !b.members[i].window {
-				out = l.Others
+				out = l.Attempts
 			}
 		}
 		return in, out
@@ -118,7 +118,7 @@
 		b.Members(instances(60))
 		b.Take(time.Second, from, m)
 		for _, l := range b.Loads(time.Second) {
-			if !(l.Others >= 0 && l.Others <= mostBytes+failWeight) {
+			if !(l.Attempts >= 0 && l.Attempts <= mostBytes+failWeight) {
 				t.Fatalf("%+v of %x", l, m)
 			}
 		}
@@ -171,7 +171,7 @@
 	w.free[to][k] = done
 	w.at(done-w.now, func() {
 		w.took = append(w.took, w.now-sent)
-		h.g.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Served, Closed: true})
+		h.g.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Served, Answered: true})
 	})
 }
 func (h *host) Refuse(policy.RequestID, time.Duration) {}
@@ -196,9 +196,9 @@
 	for me := range 80 {
 		h := &host{w: w, me: me, b: New(me, 80, 100)}
 		var err error
-		h.g, err = policy.New(policy.Settings{Me: me, Gateways: 80, Tick: time.Millisecond, MaxAttempts: 1,
-			Classes: []policy.Class{{Name: "read", Aim: 1200 * time.Millisecond, Deadline: 4 * time.Second, Worth: 1}},
-			Plans:   []policy.Plan{{Name: "all", Price: 1}}}, seed<<8|uint64(me))
+		h.g, err = policy.New(policy.Settings{Self: me, Gateways: 80, Tick: time.Millisecond, MaxAttempts: 1,
+			Classes: []policy.Class{{Name: "read", LatencyTarget: 1200 * time.Millisecond, Deadline: 4 * time.Second, Value: 1}},
+			Plans:   []policy.Plan{{Name: "all", ValueMultiplier: 1}}}, seed<<8|uint64(me))
 		require.NoError(t, err)
 		h.g.Attach(h)
 		h.g.Servers(w.now, policy.ListFull, infos)
@@ -207,7 +207,7 @@
 	}
 	crowd := func(h *host) {
 		if with {
-			h.g.Crowd(w.now, h.b.Loads(w.now))
+			h.g.SetOthersLoads(w.now, h.b.Loads(w.now))
 		}
 	}
 	id := policy.RequestID(0)
@@ -218,7 +218,7 @@
 		delete(w.wheel, w.now)
 		for _, h := range w.nodes {
 			if (w.now/tick+Time(h.me))%(h.b.Every()/tick) == 0 {
-				h.b.Own(h.g.Own(w.now))
+				h.b.Own(h.g.OwnLoads(w.now))
 				peers, m := h.b.Tell(w.now)
 				for _, p := range peers {
 					if w.rng.Float64() > 0.05 {
@@ -235,7 +235,7 @@
 			id++
 			h := w.nodes[w.rng.IntN(80)]
 			h.g.Request(w.now, policy.Request{ID: id, Customer: policy.CustomerID(id), Deadline: w.now + 4*time.Second,
-				Units: 1, SetSize: 1, FirstDoor: h.me})
+				Units: 1, SetSize: 1, FirstGateway: h.me})
 		}
 	}
 	slices.Sort(w.took)
@@ -286,34 +286,34 @@
 	load := func(id policy.ServerID) float64 {
 		for _, l := range b.Loads(time.Second) {
 			if l.ID == id {
-				return l.Others
+				return l.Attempts
 			}
 		}
 		return -1
 	}
 	calm := load(out.id)
-	tell := func(me int, own map[policy.ServerID]policy.Own) {
+	tell := func(me int, own map[policy.ServerID]policy.OwnLoad) {
 		boards[me].Own(own)
 		if _, m := boards[me].Tell(time.Second); m != nil {
 			b.Take(time.Second, me, m)
 		}
 	}
-	tell(10, map[policy.ServerID]policy.Own{in.id: {Out: 1, Failed: 1, Tried: 1}})
+	tell(10, map[policy.ServerID]policy.OwnLoad{in.id: {InFlight: 1, Failures: 1, Attempts: 1}})
 	one := load(in.id)
 	assert.InDelta(t, 1+failWeight/3, one, 0.1, "one failure is little")
-	tell(12, map[policy.ServerID]policy.Own{in.id: {Failed: 3, Tried: 4}, out.id: {Failed: 2, Tried: 2}})
+	tell(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 3, Attempts: 4}, out.id: {Failures: 2, Attempts: 2}})
 	assert.InDelta(t, 1+failWeight*4/7, load(in.id), 0.1)
 	assert.Greater(t, load(out.id), calm+failWeight/3, "outside the window too")
-	b.Own(map[policy.ServerID]policy.Own{in.id: {Failed: 1, Tried: 60}})
+	b.Own(map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 1, Attempts: 60}})
 	assert.Less(t, load(in.id), 4.0, "many answers here say otherwise")
 	tell(10, nil)
-	tell(12, map[policy.ServerID]policy.Own{in.id: {Failed: 0.3, Tried: 9}})
+	tell(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 0.3, Attempts: 9}})
 	b.Own(nil)
 	assert.Less(t, load(in.id), 1.0)
 	assert.Equal(t, calm, load(out.id))
-	many := map[policy.ServerID]policy.Own{}
+	many := map[policy.ServerID]policy.OwnLoad{}
 	for _, m := range list {
-		many[m.ID] = policy.Own{Out: 9, Failed: 99, Tried: 999}
+		many[m.ID] = policy.OwnLoad{InFlight: 9, Failures: 99, Attempts: 999}
 	}
 	boards[10].Own(many)
 	_, m := boards[10].Tell(time.Second)
@@ -324,20 +324,20 @@
 
 // The carrier tells neighbours what the core shows, and hands on what they say.
 func TestCarrier(t *testing.T) {
-	core, roster := &core{own: map[policy.ServerID]policy.Own{}}, lives{}
+	core, roster := &core{own: map[policy.ServerID]policy.OwnLoad{}}, lives{}
 	for _, m := range instances(60) {
 		roster[m.ID] = discovery.Life{Instance: m.Instance}
 	}
 	told := map[int][]byte{}
 	c := Carry(New(10, 80, 0), core, roster, func(p int, m []byte) { told[p] = m })
 	c.round()
-	core.own[c.board.members[20].id] = policy.Own{Out: 1}
+	core.own[c.board.members[20].id] = policy.OwnLoad{InFlight: 1}
 	c.round()
 	assert.Len(t, told, 6)
 	other := Carry(New(11, 80, 0), core, roster, func(int, []byte) {})
 	other.round()
 	other.Take(10, told[11])
-	busy := slices.ContainsFunc(core.loads, func(l policy.Load) bool { return l.Others == 1 })
+	busy := slices.ContainsFunc(core.loads, func(l policy.Load) bool { return l.Attempts == 1 })
 	window := other.board.members[20].window
 	assert.Equal(t, window, busy)
 	assert.Len(t, core.loads, 60)
@@ -345,11 +345,11 @@
 }
 
 type core struct {
-	own   map[policy.ServerID]policy.Own
+	own   map[policy.ServerID]policy.OwnLoad
 	loads []policy.Load
 }
 
-func (c *core) Crowd(weigh func(policy.Time, map[policy.ServerID]policy.Own) []policy.Load) {
+func (c *core) Crowd(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
 	c.loads = weigh(time.Second, c.own)
 }
 
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -40,18 +40,18 @@
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
 			name, ok := names[o.ID]
-			if !ok || since(name.StartedMs) != o.Since { // listed after the names were asked for
+			if !ok || since(name.StartedMs) != o.StartedAt { // listed after the names were asked for
 				continue
 			}
 			life := knowledge.Life(name)
-			at[life] = shown{o.ID, o.Served}
-			s := knowledge.Sighting{Life: life, Stalled: o.Silent, Ejected: o.Ejected, Lost: o.Overdue, Pace: o.Pace,
-				Answers: o.Answers, Answered: -1, Room: o.Room, Warmth: o.Warmth, Cold: o.ColdSends}
-			if o.Served > 0 {
-				s.Answered = now - o.Answered
+			at[life] = shown{o.ID, o.ServedTotal}
+			s := knowledge.Sighting{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue, Pace: o.RelativeLatency,
+				Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth, Cold: o.ColdSends}
+			if o.ServedTotal > 0 {
+				s.Answered = now - o.LastServed
 			}
 			state.Own = append(state.Own, s)
-			answered, waiting = max(answered, o.Answered), max(waiting, o.Silent)
+			answered, waiting = max(answered, o.LastServed), max(waiting, o.NoResponseFor)
 		}
 		state.Blind = min(waiting, now-answered) // a gateway of which nothing is asked is not blind for want of answers
 		return nil
@@ -69,7 +69,7 @@
 	g.Core.Learn(func(_ core.Time, seen []policy.Observation) []policy.Prior {
 		served := make(map[policy.ServerID]int, len(seen))
 		for _, o := range seen {
-			served[o.ID] = o.Served
+			served[o.ID] = o.ServedTotal
 		}
 		list := make([]policy.Prior, 0, len(priors))
 		for _, p := range priors {
@@ -78,8 +78,8 @@
 				late++
 				continue
 			}
-			list = append(list, policy.Prior{ID: s.number, Since: since(p.StartedMs), Pace: p.Pace, Weight: p.Weight, Room: p.Room,
-				Cold: p.Cold})
+			list = append(list, policy.Prior{ID: s.number, StartedAt: since(p.StartedMs), RelativeLatency: p.Pace, Weight: p.Weight, Capacity: p.Room,
+				ColdBudgetTaken: p.Cold})
 		}
 		return list
 	})
--- a/internal/lab/faults/rig.go
+++ b/internal/lab/faults/rig.go
@@ -180,7 +180,7 @@
 	r.last++
 	q := &seen{door: a.Door, asked: time.Now(), out: map[int]int{}}
 	q.Request.Request = policy.Request{ID: r.last, Class: a.Class, Plan: a.Plan, Customer: policy.CustomerID(a.Account), Units: a.Units,
-		Deadline: r.now() + a.Patience, Repeat: a.Retry}
+		Deadline: r.now() + a.Patience, ClientRetry: a.Retry}
 	q.Price = a.Price
 	r.referee.Note(r.now(), &q.Request, fmt.Sprintf("%s asked of g%d, %s of account %x", a.ID, a.Door, r.set.Classes[a.Class].Name, a.Account))
 	r.requests[a.ID] = q
@@ -258,7 +258,7 @@
 	r.referee.Sent(now, &q.Request, no, who, 0)
 	r.referee.Arrived(now, &q.Request, gateway, who, warmth, m.Spec().Capacity())
 	r.referee.Holds(&q.Request, 1)
-	if len(q.out) > 0 && (!r.set.SecondCopies || r.set.Classes[q.Class].Effect == policy.Unsafe) {
+	if len(q.out) > 0 && (!r.set.Hedging || r.set.Classes[q.Class].Idempotency == policy.NotIdempotent) {
 		time.AfterFunc(r.Slack, func() { r.stillTwo(q) })
 	}
 	q.out[no] = no
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -165,16 +165,16 @@
 		r.Breaks(now, TooManyAttempts, q)
 	}
 	c := r.Set.Classes[q.Class]
-	if out > 0 && (!r.Set.SecondCopies || c.Effect == policy.Unsafe) {
+	if out > 0 && (!r.Set.Hedging || c.Idempotency == policy.NotIdempotent) {
 		r.Breaks(now, TwoAtOnce, q)
 	}
 	for _, a := range q.mayHave {
-		switch apart := c.Scope == policy.ScopeZone && a.to.Room != m.Room || c.Scope == policy.ScopeCell && a.to.Cell != m.Cell; {
-		case c.Effect == policy.Unsafe:
+		switch apart := c.DedupScope == policy.ScopeZone && a.to.Room != m.Room || c.DedupScope == policy.ScopeCell && a.to.Cell != m.Cell; {
+		case c.Idempotency == policy.NotIdempotent:
 			r.Breaks(now, UnsafeAgain, q)
-		case c.Effect == policy.Keyed && apart:
+		case c.Idempotency == policy.IdempotentByKey && apart:
 			r.Breaks(now, OutOfScope, q)
-		case c.Effect == policy.Keyed && now-a.at >= c.Window:
+		case c.Idempotency == policy.IdempotentByKey && now-a.at >= c.DedupWindow:
 			r.Breaks(now, OutOfWindow, q)
 		}
 	}
@@ -188,7 +188,7 @@
 
 // Ran checks that an unsafe request runs once. What a member turns away has not run.
 func (r *Referee) Ran(now Time, q *Request) {
-	if r.Set.Classes[q.Class].Effect != policy.Unsafe {
+	if r.Set.Classes[q.Class].Idempotency != policy.NotIdempotent {
 		return
 	}
 	if q.ran++; q.ran > 1 {
@@ -202,7 +202,7 @@
 	if told, ok := m.told[gateway]; ok && now-told > r.Set.DrainGrace+2*r.Way {
 		r.Breaks(now, DrainKept, q)
 	}
-	window, multiple := r.Set.Fall, r.Set.FallMultiple
+	window, multiple := r.Set.ColdWindow, r.Set.ColdMultiple
 	if warmth >= 1 || window <= 0 || multiple <= 0 {
 		return
 	}
@@ -225,20 +225,20 @@
 	p := r.Set.Plans[q.Plan]
 	s := r.stores[q.Customer]
 	if s == nil {
-		s = &store{p.Burst, p.CeilingBurst, now, q.Plan}
+		s = &store{p.Burst, p.HardLimitBurst, now, q.Plan}
 		r.stores[q.Customer] = s
 	}
 	passed := (now - s.at).Seconds()
-	s.quota, s.ceiling, s.at = min(p.Burst, s.quota+passed*p.Rate), min(p.CeilingBurst, s.ceiling+passed*p.CeilingRate), now
+	s.quota, s.ceiling, s.at = min(p.Burst, s.quota+passed*p.Rate), min(p.HardLimitBurst, s.ceiling+passed*p.HardLimitRate), now
 	if s.quota -= q.Units; p.Rate > 0 && s.quota < 0 {
 		s.quota += q.Units
 		r.Beyond += q.Price
 	}
-	if p.CeilingRate <= 0 {
+	if p.HardLimitRate <= 0 {
 		return
 	}
 	s.ceiling -= q.Units
-	if r.OverCeiling = max(r.OverCeiling, -s.ceiling); s.ceiling < -p.CeilingSlack-r.Slack*p.CeilingRate {
+	if r.OverCeiling = max(r.OverCeiling, -s.ceiling); s.ceiling < -p.HardLimitSlack-r.Slack*p.HardLimitRate {
 		r.Breaks(now, Ceiling, q)
 	}
 }
@@ -246,7 +246,7 @@
 // Holds counts an account's attempts out, against its cap.
 func (r *Referee) Holds(q *Request, more int) {
 	r.out[q.Customer] += more
-	if most := r.Set.Plans[q.Plan].Open; most > 0 {
+	if most := r.Set.Plans[q.Plan].MaxInFlight; most > 0 {
 		r.OverCap = max(r.OverCap, r.out[q.Customer]-most)
 	}
 	if r.out[q.Customer] == 0 {
@@ -271,7 +271,7 @@
 
 // Refused checks that what was refused was proven never to have run, unless a repeat is safe. It comes before Answered.
 func (r *Referee) Refused(now Time, q *Request) {
-	if r.Set.Classes[q.Class].Effect != policy.Safe && len(q.mayHave) > 0 {
+	if r.Set.Classes[q.Class].Idempotency != policy.Idempotent && len(q.mayHave) > 0 {
 		r.Breaks(now, RefusedRun, q)
 	}
 }
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -17,10 +17,10 @@
 
 // settings are of a class of each kind, one room's grace and a plan with all that a plan may have.
 func settings() policy.Settings {
-	return policy.Settings{MaxAttempts: 3, DrainGrace: second / 4, Fall: second, FallMultiple: 4,
-		Classes: []policy.Class{{Name: "read"}, {Name: "order", Effect: policy.Unsafe}, {Name: "batch", Effect: policy.Keyed, Scope: policy.ScopeCell, Window: 2 * second},
-			{Name: "post", Effect: policy.Keyed, Scope: policy.ScopeZone, Window: 2 * second}},
-		Plans: []policy.Plan{{Rate: 1, Burst: 5, Open: 2, CeilingRate: 2, CeilingBurst: 10, CeilingSlack: 1}}}
+	return policy.Settings{MaxAttempts: 3, DrainGrace: second / 4, ColdWindow: second, ColdMultiple: 4,
+		Classes: []policy.Class{{Name: "read"}, {Name: "order", Idempotency: policy.NotIdempotent}, {Name: "batch", Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeCell, DedupWindow: 2 * second},
+			{Name: "post", Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: 2 * second}},
+		Plans: []policy.Plan{{Rate: 1, Burst: 5, MaxInFlight: 2, HardLimitRate: 2, HardLimitBurst: 10, HardLimitSlack: 1}}}
 }
 
 // A fault planted against every rule is found, told by its name, its moment and the request's story, and nothing else is.
@@ -85,7 +85,7 @@
 // are allowed, work to a member that was listed again, work in the grace.
 func TestWhatIsAllowed(t *testing.T) {
 	r := New(settings(), 1, origin)
-	r.Set.SecondCopies = true
+	r.Set.Hedging = true
 	a, b := &Member{}, &Member{Room: 1}
 	at := origin + second
 	q := &Request{Request: policy.Request{Class: 1, Deadline: at + second}}
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -92,7 +92,7 @@
 			}
 		}
 		clear(s.idle[len(kept):])
-		if s.idle = kept; s.state == policy.Gone && len(kept) == 0 {
+		if s.idle = kept; s.state == policy.Departed && len(kept) == 0 {
 			delete(p.servers, id)
 		}
 	}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -121,7 +121,7 @@
 		if c == nil {
 			return core.EndDrained, core.Answer{}
 		}
-		p.Set(f.Server, "", policy.Gone)
+		p.Set(f.Server, "", policy.Departed)
 		end, ok := p.recheck(f, c)
 		assert.False(t, ok)
 		p.discard(c)
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -356,7 +356,7 @@
 	return c.Serve(context.Background(), core.Request{Wait: 20 * time.Second,
 		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Remainder: rest,
 			ContentLength: length},
-		Request: policy.Request{Class: class, Units: 1, SetSize: 1, Coming: true, Deadline: c.Now() + 20*time.Second}})
+		Request: policy.Request{Class: class, Units: 1, SetSize: 1, BodyPending: true, Deadline: c.Now() + 20*time.Second}})
 }
 
 // A body that arrives in pieces reaches the server complete, by its length or in chunks.
--- a/internal/store/keep/keep.go
+++ b/internal/store/keep/keep.go
@@ -40,8 +40,8 @@
 
 // Gateway is what is kept of.
 type Gateway interface {
-	Uses(since policy.Time) (list []policy.Use, now policy.Time)
-	Recall(list []policy.Use)
+	Uses(since policy.Time) (list []policy.QuotaBalance, now policy.Time)
+	Recall(list []policy.QuotaBalance)
 }
 
 // Options say where and for whom.
@@ -145,10 +145,10 @@
 // as no time at all, so nothing has filled up.
 func (k *Keeper) recall(s *store.Store, was life) {
 	now := k.opt.Now().UnixMilli()
-	var list []policy.Use
+	var list []policy.QuotaBalance
 	s.Each([]byte{accountKey}, func(key, value []byte) bool {
 		u, at, err := readUse(key, value)
-		plan := int(u.Name >> 24 & 255)
+		plan := int(u.Key >> 24 & 255)
 		if err != nil || plan >= len(was.plans) || now-at > forgetAfter.Milliseconds() {
 			return true
 		}
@@ -161,9 +161,9 @@
 		if next < 0 {
 			return true
 		}
-		u.Name = u.Name&^(255<<24) | uint64(next)<<24
-		u.Since = time.Duration(max(0, now-at)) * time.Millisecond
-		u.Away = time.Duration(max(0, now-was.alive)) * time.Millisecond
+		u.Key = u.Key&^(255<<24) | uint64(next)<<24
+		u.Age = time.Duration(max(0, now-at)) * time.Millisecond
+		u.Downtime = time.Duration(max(0, now-was.alive)) * time.Millisecond
 		list = append(list, u)
 		return true
 	})
@@ -223,11 +223,11 @@
 	return true
 }
 
-func (k *Keeper) write(s *store.Store, list []policy.Use) {
+func (k *Keeper) write(s *store.Store, list []policy.QuotaBalance) {
 	at := k.opt.Now().UnixMilli()
 	var b store.Batch
 	for _, u := range list {
-		b.Put(accountBytes(u.Name), useBytes(u, at))
+		b.Put(accountBytes(u.Key), useBytes(u, at))
 	}
 	b.Put([]byte(lifeKey), lifeBytes(life{k.opt.Name, at, k.opt.Plans}))
 	if err := s.Write(&b, store.Buffered); err != nil {
@@ -271,32 +271,32 @@
 func accountBytes(name uint64) []byte { return binary.BigEndian.AppendUint64([]byte{accountKey}, name) }
 
 // useBytes words an account's use as the message Use.
-func useBytes(u policy.Use, at int64) []byte {
+func useBytes(u policy.QuotaBalance, at int64) []byte {
 	b := protowire.AppendTag(nil, 1, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(u.Customer))
 	b = protowire.AppendTag(b, 2, protowire.Fixed64Type)
-	b = protowire.AppendFixed64(b, math.Float64bits(u.Account))
+	b = protowire.AppendFixed64(b, math.Float64bits(u.Balance))
 	b = protowire.AppendTag(b, 3, protowire.VarintType)
 	return protowire.AppendVarint(b, uint64(at))
 }
 
 // readUse reads what useBytes has written. Figures that can't be are an error.
-func readUse(key, value []byte) (u policy.Use, at int64, err error) {
+func readUse(key, value []byte) (u policy.QuotaBalance, at int64, err error) {
 	if len(key) != 9 {
 		return u, 0, errors.New("an odd key")
 	}
-	u.Name = binary.BigEndian.Uint64(key[1:])
+	u.Key = binary.BigEndian.Uint64(key[1:])
 	err = fields(value, func(n protowire.Number, number uint64, _ []byte) {
 		switch n {
 		case 1:
 			u.Customer = policy.CustomerID(number)
 		case 2:
-			u.Account = math.Float64frombits(number)
+			u.Balance = math.Float64frombits(number)
 		case 3:
 			at = int64(number)
 		}
 	})
-	if err == nil && (at <= 0 || math.IsNaN(u.Account) || math.IsInf(u.Account, 0)) {
+	if err == nil && (at <= 0 || math.IsNaN(u.Balance) || math.IsInf(u.Balance, 0)) {
 		err = errors.New("figures that can't be")
 	}
 	return u, at, err
@@ -386,7 +386,7 @@
 		return map[string]any{"kind": "life", "gateway": l.name, "alive_ms": l.alive}
 	}
 	if u, at, err := readUse(key, value); err == nil && key[0] == accountKey {
-		return map[string]any{"kind": "account", "name": fmt.Sprintf("%016x", u.Name), "left": u.Account, "at_ms": at}
+		return map[string]any{"kind": "account", "name": fmt.Sprintf("%016x", u.Key), "left": u.Balance, "at_ms": at}
 	}
 	return map[string]any{"kind": "unknown", "key": fmt.Sprintf("%x", key), "bytes": len(value)}
 }
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -20,12 +20,12 @@
 type gateway struct {
 	mu       sync.Mutex
 	now      policy.Time
-	uses     []policy.Use
-	recalled []policy.Use
+	uses     []policy.QuotaBalance
+	recalled []policy.QuotaBalance
 	asked    int
 }
 
-func (g *gateway) Uses(since policy.Time) (list []policy.Use, now policy.Time) {
+func (g *gateway) Uses(since policy.Time) (list []policy.QuotaBalance, now policy.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asked++
@@ -36,9 +36,9 @@
 	return list, g.now
 }
 
-func (g *gateway) Recall(list []policy.Use) { g.recalled = list }
+func (g *gateway) Recall(list []policy.QuotaBalance) { g.recalled = list }
 
-func (g *gateway) drew(list ...policy.Use) {
+func (g *gateway) drew(list ...policy.QuotaBalance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.uses = append(g.uses, list...)
@@ -74,29 +74,29 @@
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
 	s := begin(t, path, "g0", at)
 	assert.Empty(t, s.g.recalled)
-	s.g.drew(policy.Use{Name: name(1, 0), Customer: 1, Account: 3.5}, policy.Use{Name: name(2, 1), Customer: 2, Account: -4}, policy.Use{Name: name(3, 1), Account: 7})
+	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5}, policy.QuotaBalance{Key: name(2, 1), Customer: 2, Balance: -4}, policy.QuotaBalance{Key: name(3, 1), Balance: 7})
 	require.Eventually(t, func() bool { return s.k.Figures().Entries == 4 }, 10*time.Second, time.Millisecond)
-	s.g.drew(policy.Use{Name: name(3, 1), Account: 6})
+	s.g.drew(policy.QuotaBalance{Key: name(3, 1), Balance: 6})
 	s.stop()
 	next := begin(t, path, "g0", at.Add(5*time.Second))
 	require.Len(t, next.g.recalled, 3)
-	assert.Equal(t, policy.Use{Name: name(1, 0), Customer: 1, Account: 3.5, Since: 5 * time.Second, Away: 5 * time.Second}, next.g.recalled[0])
-	assert.Equal(t, -4.0, next.g.recalled[1].Account)
-	assert.Equal(t, 6.0, next.g.recalled[2].Account)
+	assert.Equal(t, policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second, Downtime: 5 * time.Second}, next.g.recalled[0])
+	assert.Equal(t, -4.0, next.g.recalled[1].Balance)
+	assert.Equal(t, 6.0, next.g.recalled[2].Balance)
 	assert.Equal(t, 3, next.k.Figures().Recalled)
 	assert.EqualValues(t, 2, next.k.Figures().Epoch)
 	next.stop()
 	late := begin(t, path, "g0", at.Add(-time.Hour))
 	for _, u := range late.g.recalled {
-		assert.Zero(t, u.Since, "the clock was set back: nothing has filled up")
-		assert.Zero(t, u.Away)
+		assert.Zero(t, u.Age, "the clock was set back: nothing has filled up")
+		assert.Zero(t, u.Downtime)
 	}
 	late.stop()
 	g := &gateway{}
 	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"utility"}, Now: func() time.Time { return at.Add(time.Minute) }}, g)
 	require.NoError(t, err)
 	require.Len(t, g.recalled, 2)
-	assert.Equal(t, name(2, 0), g.recalled[0].Name)
+	assert.Equal(t, name(2, 0), g.recalled[0].Key)
 	k.s.Close()
 	g = &gateway{}
 	k, err = Open(Options{Path: path, Name: "g0", Plans: []string{"farm", "utility"}, Now: func() time.Time { return at.Add(2 * time.Hour) }}, g)
@@ -110,7 +110,7 @@
 	dir, at := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	path := filepath.Join(dir, "store")
 	s := begin(t, path, "g0", at)
-	s.g.drew(policy.Use{Name: name(1, 0), Account: 1})
+	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
 	require.Eventually(t, func() bool { return s.k.Figures().Entries == 2 }, 10*time.Second, time.Millisecond)
 	s.stop()
 	other := begin(t, path, "g1", at.Add(time.Second))
@@ -145,7 +145,7 @@
 	assert.Zero(t, k.Figures().Epoch)
 	old.stop()
 	require.Eventually(t, func() bool { return k.Figures().Epoch == 2 }, 20*time.Second, 10*time.Millisecond)
-	g.drew(policy.Use{Name: name(1, 0), Account: 1})
+	g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
 	require.Eventually(t, func() bool { return k.Figures().Entries >= 2 }, 20*time.Second, 10*time.Millisecond)
 	assert.Empty(t, g.recalled)
 	cancel()
@@ -171,12 +171,12 @@
 
 // What reads values takes any bytes for what they are.
 func FuzzValues(f *testing.F) {
-	f.Add(accountBytes(7), useBytes(policy.Use{Name: 7, Customer: 9, Account: -2.5}, 1_700_000_000_000))
+	f.Add(accountBytes(7), useBytes(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
 	f.Add([]byte(lifeKey), lifeBytes(life{"g0", 5, []string{"a", "b"}}))
 	f.Fuzz(func(t *testing.T, key, value []byte) {
 		Words(key, value)
 		if u, at, err := readUse(key, value); err == nil {
-			again, at2, err := readUse(accountBytes(u.Name), useBytes(u, at))
+			again, at2, err := readUse(accountBytes(u.Key), useBytes(u, at))
 			if err != nil || again != u || at2 != at {
 				t.Fatalf("%+v became %+v", u, again)
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -160,7 +160,7 @@
 		e.Entries = make([]policy.ServerInfo, n)
 		for i := range e.Entries {
 			e.Entries[i] = policy.ServerInfo{ID: c.server(), Zone: int(c.u8()), Kind: int(c.u8()),
-				Cell: int(c.u16()), State: policy.ServerState(c.u8()), Weight: c.f32(), Since: c.time()}
+				Cell: int(c.u16()), State: policy.ServerState(c.u8()), Weight: c.f32(), StartedAt: c.time()}
 		}
 		return e, nil
 	}
@@ -176,8 +176,8 @@
 	case Order:
 		e.Request = policy.Request{ID: policy.RequestID(c.u64()), Class: int(c.u16()), Plan: int(c.u32()),
 			Customer: policy.CustomerID(c.u64()), Deadline: c.time(), Units: c.f32(),
-			SetSize: c.number(), FirstDoor: c.number()}
-		e.Request.Repeat = c.u8()&2 != 0
+			SetSize: c.number(), FirstGateway: c.number()}
+		e.Request.ClientRetry = c.u8()&2 != 0
 	case Flowing:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(c.u64()), Attempt: int(c.u8()), Server: c.server(),
 			Elapsed: c.time()}
@@ -185,18 +185,18 @@
 		e.Outcome = policy.Outcome{ID: policy.RequestID(c.u64()), Elapsed: c.time()}
 		c.u16()
 		e.Outcome.Server = c.server()
-		e.Outcome.Closed = c.u8() != 0
+		e.Outcome.Answered = c.u8() != 0
 		e.Outcome.Attempt = int(c.u8())
 		e.Outcome.Ending = policy.Ending(c.u8())
 		e.Outcome.Units = float64(c.u16())
-		e.Outcome.Report = c.report()
+		e.Outcome.LoadReport = c.report()
 	case TimedOutClient, Reminder:
 		e.Tag = c.u64()
 	case Health:
 		e.Outcome.Ending = policy.Ending(c.u8())
 		e.Outcome.Elapsed = c.time()
 		e.Outcome.Server = c.server()
-		e.Outcome.Report = c.report()
+		e.Outcome.LoadReport = c.report()
 	case NoteFrom:
 		e.From = int(c.u16())
 		e.Message = c.take(int(c.u16()))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,7 +45,7 @@
 func TestRequestRecord(t *testing.T) {
 	e := one(t, "1e 0007 000000000000002a 0001 00000002 0000000000000009 00000000b2d05e00 40400000 40000000 3f800000 06")
 	want := policy.Request{ID: 42, Class: 1, Plan: 2, Customer: 9, Deadline: 3 * time.Second, Units: 3, SetSize: 2,
-		FirstDoor: 1, Repeat: true}
+		FirstGateway: 1, ClientRetry: true}
 	if e.Instance != 7 || e.Request != want {
 		t.Fatalf("%+v", e)
 	}
@@ -54,8 +54,8 @@
 func TestOutcomeRecord(t *testing.T) {
 	e := one(t, "32 0007 000000000000002a 00000000000f4240 0056 0a000001 1f40 01 02 06 0003 02 3f000000 40000000")
 	o := e.Outcome
-	if o.ID != 42 || o.Elapsed != time.Millisecond || o.Server != 0x0a0000011f40 || !o.Closed || o.Attempt != 2 ||
-		o.Ending != policy.ConnectionLost || o.Units != 3 || len(o.Report) != 2 || o.Report[0] != 0.5 {
+	if o.ID != 42 || o.Elapsed != time.Millisecond || o.Server != 0x0a0000011f40 || !o.Answered || o.Attempt != 2 ||
+		o.Ending != policy.ConnectionLost || o.Units != 3 || len(o.LoadReport) != 2 || o.LoadReport[0] != 0.5 {
 		t.Fatalf("%+v", o)
 	}
 }
@@ -63,7 +63,7 @@
 func TestListRecord(t *testing.T) {
 	e := one(t, "78 00000003 00000001 0a000001 1f40 01 02 0004 02 3fc00000 000000003b9aca00")
 	want := policy.ServerInfo{ID: 0x0a0000011f40, Zone: 1, Kind: 2, Cell: 4, State: policy.Draining, Weight: 1.5,
-		Since: time.Second}
+		StartedAt: time.Second}
 	if e.Table != 3 || len(e.Entries) != 1 || e.Entries[0] != want {
 		t.Fatalf("%+v", e)
 	}
--- a/policy/cap_test.go
+++ b/policy/cap_test.go
@@ -10,14 +10,14 @@
 // cut off both sides keep to what is theirs.
 func TestCapOnAttemptsOutOverGateways(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-	s.Classes[0].Aim, s.Classes[0].Deadline = 2*time.Second, 10*time.Second
-	s.Plans = []Plan{{Name: "open", Open: 6, Price: 1, OverCost: 1}}
+	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = 2*time.Second, 10*time.Second
+	s.Plans = []Plan{{Name: "open", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := newFleet(t, s, 3, 12)
 	id := RequestID(0)
 	out := func() (n int) {
 		for _, n2 := range f.nodes {
-			n += len(n2.g.open)
+			n += len(n2.g.inFlight)
 		}
 		return n
 	}
@@ -65,8 +65,8 @@
 			ask(2)
 		}
 		f.run(100*ms, func() {})
-		if len(f.nodes[2].g.open) > 2 || out() > 6 {
-			t.Errorf("%d out with one of three cut off, %d of it there", out(), len(f.nodes[2].g.open))
+		if len(f.nodes[2].g.inFlight) > 2 || out() > 6 {
+			t.Errorf("%d out with one of three cut off, %d of it there", out(), len(f.nodes[2].g.inFlight))
 		}
 		most = max(most, out())
 	}
--- a/policy/carry.go
+++ b/policy/carry.go
@@ -14,95 +14,95 @@
 // What a gateway knows can go on in another: one with other settings, or in the process that follows this one. It is
 // carried as fields in a fixed order, which one listing both writes and reads; open requests are no part of it.
 
-const carryVersion = 3
+const stateVersion = 3
 
 // carrier writes or reads fields. Once it has met something odd it reads nothing more.
-type carrier struct {
-	buf  []byte
-	read bool
-	odd  bool
-	now  Time // of the writing
+type stateCodec struct {
+	buf     []byte
+	reading bool
+	invalid bool
+	now     Time // of the writing
 }
 
 // carry takes whole numbers through.
-func carry[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](x *carrier, list ...*T) {
+func integers[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](x *stateCodec, list ...*T) {
 	for _, v := range list {
-		if !x.read {
+		if !x.reading {
 			x.buf = binary.AppendVarint(x.buf, int64(*v))
 			continue
 		}
 		n, size := binary.Varint(x.buf)
 		if *v = T(n); size <= 0 || int64(*v) != n {
-			*v, x.odd, size = 0, true, len(x.buf)
+			*v, x.invalid, size = 0, true, len(x.buf)
 		}
 		x.buf = x.buf[size:]
 	}
 }
 
 // times are written as distances from the writing. What lies far ahead is odd.
-func (x *carrier) times(list ...*Time) {
+func (x *stateCodec) times(list ...*Time) {
 	for _, t := range list {
 		d := *t - x.now
-		if carry(x, &d); x.read {
+		if integers(x, &d); x.reading {
 			*t = x.now + d
-			x.odd = x.odd || d > time.Hour || *t < 0
+			x.invalid = x.invalid || d > time.Hour || *t < 0
 		}
 	}
 }
 
 // numbers keep seven digits.
-func (x *carrier) numbers(list ...*float64) {
+func (x *stateCodec) numbers(list ...*float64) {
 	for _, v := range list {
-		if !x.read {
+		if !x.reading {
 			x.buf = binary.BigEndian.AppendUint32(x.buf, math.Float32bits(float32(*v)))
 			continue
 		}
 		if len(x.buf) < 4 {
-			*v, x.odd, x.buf = 0, true, nil
+			*v, x.invalid, x.buf = 0, true, nil
 			continue
 		}
 		*v, x.buf = float64(math.Float32frombits(binary.BigEndian.Uint32(x.buf))), x.buf[4:]
 		if !(math.Abs(*v) <= math.MaxFloat32) {
-			*v, x.odd = 0, true
+			*v, x.invalid = 0, true
 		}
 	}
 }
 
-func (x *carrier) flags(list ...*bool) {
+func (x *stateCodec) flags(list ...*bool) {
 	for _, v := range list {
 		var n uint8
 		if *v {
 			n = 1
 		}
-		carry(x, &n)
+		integers(x, &n)
 		*v = n == 1
 	}
 }
 
-func (x *carrier) text(s *string) {
-	n := x.size(len(*s), 1)
-	if !x.read {
+func (x *stateCodec) text(s *string) {
+	n := x.length(len(*s), 1)
+	if !x.reading {
 		x.buf = append(x.buf, *s...)
-	} else if !x.odd {
+	} else if !x.invalid {
 		*s, x.buf = string(x.buf[:n]), x.buf[n:]
 	}
 }
 
 // size carries how many follow, each of which takes so many bytes at least.
-func (x *carrier) size(n, least int) int {
-	if carry(x, &n); x.read && (n < 0 || n > len(x.buf)/least) {
-		x.odd, x.buf = true, nil
+func (x *stateCodec) length(n, least int) int {
+	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/least) {
+		x.invalid, x.buf = true, nil
 	}
-	if x.odd {
+	if x.invalid {
 		return 0
 	}
 	return n
 }
 
 // sized carries a list.
-func sized[T any](x *carrier, list *[]T, least int, each func(*T)) {
-	n := x.size(len(*list), least)
-	if x.read {
+func listOf[T any](x *stateCodec, list *[]T, least int, each func(*T)) {
+	n := x.length(len(*list), least)
+	if x.reading {
 		*list = make([]T, n)
 	}
 	for i := range *list {
@@ -110,168 +110,168 @@
 	}
 }
 
-func (x *carrier) means(list ...*mean) {
+func (x *stateCodec) means(list ...*decayingMean) {
 	for _, m := range list {
-		x.numbers(&m.sum, &m.n)
-		x.times(&m.at)
-		x.odd = x.odd || m.n < 0
+		x.numbers(&m.sum, &m.weight)
+		x.times(&m.decayedAt)
+		x.invalid = x.invalid || m.weight < 0
 	}
 }
 
-func (x *carrier) tally(t *tally) {
-	x.numbers(&t.own[0], &t.own[1], &t.pool[0], &t.pool[1])
-	x.times(&t.at)
+func (x *stateCodec) tally(t *pushSum) {
+	x.numbers(&t.local[0], &t.local[1], &t.pooled[0], &t.pooled[1])
+	x.times(&t.decayedAt)
 }
 
-func (x *carrier) gateway(g *Gateway) {
-	carry(x, &x.now)
-	x.times(&g.born, &g.fullSince, &g.lastCut, &g.heard)
-	carry(x, &g.lastAsk)
-	x.flags(&g.elders, &g.slowOnce)
-	x.numbers(&g.retries, &g.copies, &g.perServer)
-	x.means(&g.coldPace)
-	carry(x, &g.set.Me, &g.set.Gateways)
-	sized(x, &g.set.Classes, 1, func(c *Class) { x.text(&c.Name) })
-	sized(x, &g.set.Plans, 1, func(p *Plan) { x.text(&p.Name) })
-	sized(x, &g.typical, 9, func(m *mean) { x.means(m) })
-	sized(x, &g.late, 9, func(m *mean) { x.means(m) })
-	sized(x, &g.groups, 21, func(p *group) { x.tally(&p.told); x.numbers(&p.part) })
-	for _, list := range []*[]Time{&g.peerHeard, &g.silent, &g.toldAt} {
-		sized(x, list, 1, func(t *Time) { x.times(t) })
+func (x *stateCodec) gateway(g *Gateway) {
+	integers(x, &x.now)
+	x.times(&g.startedAt, &g.unseenFillSince, &g.lastShed, &g.lastContact)
+	integers(x, &g.lastQuery)
+	x.flags(&g.olderPeerKnown, &g.slowAnswerSeen)
+	x.numbers(&g.retryBudget, &g.hedgeBudget, &g.warmThroughput)
+	x.means(&g.coldLatency)
+	integers(x, &g.cfg.Self, &g.cfg.Gateways)
+	listOf(x, &g.cfg.Classes, 1, func(c *Class) { x.text(&c.Name) })
+	listOf(x, &g.cfg.Plans, 1, func(p *Plan) { x.text(&p.Name) })
+	listOf(x, &g.classLatency, 9, func(m *decayingMean) { x.means(m) })
+	listOf(x, &g.lateness, 9, func(m *decayingMean) { x.means(m) })
+	listOf(x, &g.groups, 21, func(p *group) { x.tally(&p.latency); x.numbers(&p.capacityShare) })
+	for _, list := range []*[]Time{&g.peerLastContact, &g.suspectedUntil, &g.fullUpdateAt} {
+		listOf(x, list, 1, func(t *Time) { x.times(t) })
 	}
-	sized(x, &g.peerAge, 1, func(d *time.Duration) { carry(x, d) })
-	sized(x, &g.lives, 1, func(n *int) { carry(x, n) })
-	sized(x, &g.servers, 50, func(s **server) { x.server(fresh(x, s)) })
-	sized(x, &g.customers, 100, func(c **customer) { x.customer(fresh(x, c)) })
+	listOf(x, &g.peerAge, 1, func(d *time.Duration) { integers(x, d) })
+	listOf(x, &g.incarnations, 1, func(n *int) { integers(x, n) })
+	listOf(x, &g.servers, 50, func(s **server) { x.server(allocate(x, s)) })
+	listOf(x, &g.customers, 100, func(c **customer) { x.customer(allocate(x, c)) })
 }
 
 // fresh gives what stands at a place of a list of pointers, which is new where it is read.
-func fresh[T any](x *carrier, at **T) *T {
-	if x.read {
+func allocate[T any](x *stateCodec, at **T) *T {
+	if x.reading {
 		*at = new(T)
 	}
 	return *at
 }
 
-func (x *carrier) server(s *server) {
-	carry(x, &s.ID)
-	carry(x, &s.Zone, &s.Kind, &s.Cell, &s.ejections, &s.row, &s.served)
-	carry(x, &s.State)
-	x.times(&s.Since, &s.ejectedUntil, &s.cold.At, &s.answered)
+func (x *stateCodec) server(s *server) {
+	integers(x, &s.ID)
+	integers(x, &s.Zone, &s.Kind, &s.Cell, &s.ejections, &s.consecutiveFailures, &s.servedTotal)
+	integers(x, &s.State)
+	x.times(&s.StartedAt, &s.ejectedUntil, &s.coldBudget.At, &s.lastServed)
 	x.flags(&s.listed)
-	x.numbers(&s.Weight, &s.cold.Turn, &s.room)
-	x.means(&s.pace, &s.fails, &s.spoilt, &s.done)
-	sized(x, &s.cold.Sends, 1, func(t *Time) { x.times(t) })
+	x.numbers(&s.Weight, &s.coldBudget.Turn, &s.capacity)
+	x.means(&s.relativeLatency, &s.failures, &s.wasted, &s.answers)
+	listOf(x, &s.coldBudget.Sends, 1, func(t *Time) { x.times(t) })
 }
 
-func (x *carrier) customer(c *customer) {
-	carry(x, &c.id)
-	x.flags(&c.met, &c.inside, &c.begun)
-	carry(x, &c.plan, &c.set, &c.first, &c.question.from)
-	x.numbers(&c.account, &c.ceiling.Left, &c.used, &c.question.units)
-	x.times(&c.at, &c.lastSeen)
+func (x *stateCodec) customer(c *customer) {
+	integers(x, &c.id)
+	x.flags(&c.seenHere, &c.lastQueryAdmitted, &c.limitFilled)
+	integers(x, &c.plan, &c.setSize, &c.firstGateway, &c.lastQuery.from)
+	x.numbers(&c.balance, &c.hardLimit.Left, &c.used, &c.lastQuery.units)
+	x.times(&c.refilledAt, &c.lastSeen)
 	x.means(&c.demand)
-	x.tally(&c.told)
-	carry(x, &c.name, &c.question.customer)
-	carry(x, &c.question.token)
-	carry(x, &c.made)
-	for i := range c.heard {
-		h := &c.heard[i]
-		carry(x, &h.life)
-		carry(x, &h.made, &h.out)
-		x.numbers(&h.used, &h.told)
+	x.tally(&c.sharedDemand)
+	integers(x, &c.key, &c.lastQuery.customerKey)
+	integers(x, &c.lastQuery.token)
+	integers(x, &c.generation)
+	for i := range c.peers {
+		h := &c.peers[i]
+		integers(x, &h.incarnation)
+		integers(x, &h.generation, &h.inFlight)
+		x.numbers(&h.used, &h.ownUsedSent)
 	}
 }
 
 // Carry gives what this gateway knows, for Follow: of the customers those seen last, as many as go into so many bytes. The
 // rest will be taken for new ones, as though they had been idle.
-func (g *Gateway) Carry(now Time, most int) []byte {
-	g.tick(now)
-	all, one := *g, carrier{now: now}
+func (g *Gateway) ExportState(now Time, most int) []byte {
+	g.advance(now)
+	all, one := *g, stateCodec{now: now}
 	all.customers = nil
 	list := slices.Clone(g.customers)
 	slices.SortStableFunc(list, func(a, b *customer) int { return cmp.Compare(b.lastSeen, a.lastSeen) })
-	x := carrier{buf: []byte{carryVersion}, now: now}
+	x := stateCodec{buf: []byte{stateVersion}, now: now}
 	x.gateway(&all)
 	if len(list) > 0 {
 		one.customer(list[0])
 		all.customers = list[:min(len(list), max(0, most-len(x.buf))/len(one.buf))]
-		x = carrier{buf: []byte{carryVersion}, now: now}
+		x = stateCodec{buf: []byte{stateVersion}, now: now}
 		x.gateway(&all)
 	}
 	return x.buf
 }
 
 // Follow takes over what another gateway of the same number knew. It comes right after Attach, and takes all or nothing.
-func (g *Gateway) Follow(now Time, carried []byte) error {
+func (g *Gateway) ImportState(now Time, carried []byte) error {
 	from := &Gateway{}
-	x := carrier{buf: carried, read: true, odd: len(carried) == 0 || carried[0] != carryVersion}
-	if !x.odd {
+	x := stateCodec{buf: carried, reading: true, invalid: len(carried) == 0 || carried[0] != stateVersion}
+	if !x.invalid {
 		x.buf = carried[1:]
 		x.gateway(from)
 	}
-	if x.odd || len(x.buf) > 0 || g.started || from.set.Me != g.set.Me || from.set.Gateways != g.set.Gateways || !from.sound() {
+	if x.invalid || len(x.buf) > 0 || g.started || from.cfg.Self != g.cfg.Self || from.cfg.Gateways != g.cfg.Gateways || !from.consistent() {
 		return errors.New("carried state: odd, late, or another gateway's")
 	}
-	peers := g.set.Peers
-	g.set.Peers = false // the first word to them is to be the same gateway's
-	g.tick(now)
-	g.set.Peers = peers
-	g.born, g.fullSince, g.lastCut, g.heard, g.lastAsk = from.born, from.fullSince, from.lastCut, from.heard, from.lastAsk
-	g.slowOnce = from.slowOnce
-	g.elders, g.retries, g.copies, g.perServer, g.coldPace = from.elders, from.retries, from.copies, from.perServer, from.coldPace
-	g.peerAge, g.peerHeard, g.silent, g.lives, g.toldAt = from.peerAge, from.peerHeard, from.silent, from.lives, from.toldAt
-	for i, c := range g.set.Classes { // what is new begins without a history
-		was := slices.IndexFunc(from.set.Classes, func(o Class) bool { return o.Name == c.Name })
+	peers := g.cfg.Peers
+	g.cfg.Peers = false // the first word to them is to be the same gateway's
+	g.advance(now)
+	g.cfg.Peers = peers
+	g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact, g.lastQuery = from.startedAt, from.unseenFillSince, from.lastShed, from.lastContact, from.lastQuery
+	g.slowAnswerSeen = from.slowAnswerSeen
+	g.olderPeerKnown, g.retryBudget, g.hedgeBudget, g.warmThroughput, g.coldLatency = from.olderPeerKnown, from.retryBudget, from.hedgeBudget, from.warmThroughput, from.coldLatency
+	g.peerAge, g.peerLastContact, g.suspectedUntil, g.incarnations, g.fullUpdateAt = from.peerAge, from.peerLastContact, from.suspectedUntil, from.incarnations, from.fullUpdateAt
+	for i, c := range g.cfg.Classes { // what is new begins without a history
+		was := slices.IndexFunc(from.cfg.Classes, func(o Class) bool { return o.Name == c.Name })
 		if was < 0 {
 			continue
 		}
-		g.typical[i], g.late[i] = from.typical[was], from.late[was]
-		for j, p := range g.set.Plans {
-			if k := slices.IndexFunc(from.set.Plans, func(o Plan) bool { return o.Name == p.Name }); k >= 0 {
-				to, old := &g.groups[i*len(g.set.Plans)+j], from.groups[was*len(from.set.Plans)+k]
-				to.told, to.part = old.told, old.part
+		g.classLatency[i], g.lateness[i] = from.classLatency[was], from.lateness[was]
+		for j, p := range g.cfg.Plans {
+			if k := slices.IndexFunc(from.cfg.Plans, func(o Plan) bool { return o.Name == p.Name }); k >= 0 {
+				to, old := &g.groups[i*len(g.cfg.Plans)+j], from.groups[was*len(from.cfg.Plans)+k]
+				to.latency, to.capacityShare = old.latency, old.capacityShare
 			}
 		}
 	}
 	for _, s := range from.servers {
-		if g.byID[s.ID] == nil {
-			g.byID[s.ID], g.servers = s, append(g.servers, s)
+		if g.serversByID[s.ID] == nil {
+			g.serversByID[s.ID], g.servers = s, append(g.servers, s)
 		}
 	}
 	for _, c := range from.customers {
-		name := from.set.Plans[c.plan].Name
-		c.plan = slices.IndexFunc(g.set.Plans, func(p Plan) bool { return p.Name == name })
+		name := from.cfg.Plans[c.plan].Name
+		c.plan = slices.IndexFunc(g.cfg.Plans, func(p Plan) bool { return p.Name == name })
 		if c.plan < 0 || len(g.customers) >= maxCustomers {
 			continue
 		}
-		c.name = c.name&^(255<<24) | uint64(c.plan&255)<<24
-		c.question.customer = c.name
-		if g.byShort[c.name] == nil {
-			g.byShort[c.name] = c
+		c.key = c.key&^(255<<24) | uint64(c.plan&255)<<24
+		c.lastQuery.customerKey = c.key
+		if g.customersByKey[c.key] == nil {
+			g.customersByKey[c.key] = c
 		}
-		if c.met {
-			g.byName[c.id] = c
+		if c.seenHere {
+			g.customersByID[c.id] = c
 		}
 		g.customers = append(g.customers, c)
-		g.news(c, g.near...)
+		g.queueUpdate(c, g.nearby...)
 	}
-	if peers && g.set.Gateways > 1 {
-		g.tell()
+	if peers && g.cfg.Gateways > 1 {
+		g.sendUpdates()
 	}
 	return nil
 }
 
 // sound tells whether what was read fits together.
-func (g *Gateway) sound() bool {
-	n := g.set.Gateways
-	return len(g.typical) == len(g.set.Classes) && len(g.late) == len(g.set.Classes) &&
-		len(g.groups) == len(g.set.Classes)*len(g.set.Plans) && len(g.peerAge) == n && len(g.peerHeard) == n &&
-		len(g.silent) == n && len(g.lives) == n && len(g.toldAt) == n &&
+func (g *Gateway) consistent() bool {
+	n := g.cfg.Gateways
+	return len(g.classLatency) == len(g.cfg.Classes) && len(g.lateness) == len(g.cfg.Classes) &&
+		len(g.groups) == len(g.cfg.Classes)*len(g.cfg.Plans) && len(g.peerAge) == n && len(g.peerLastContact) == n &&
+		len(g.suspectedUntil) == n && len(g.incarnations) == n && len(g.fullUpdateAt) == n &&
 		!slices.ContainsFunc(g.customers, func(c *customer) bool {
-			return c.plan < 0 || c.plan >= len(g.set.Plans) || c.set < 1 || c.set > n || c.first < 0 || c.first >= n
+			return c.plan < 0 || c.plan >= len(g.cfg.Plans) || c.setSize < 1 || c.setSize > n || c.firstGateway < 0 || c.firstGateway >= n
 		}) &&
 		!slices.ContainsFunc(g.servers, func(s *server) bool {
-			return s.ejections < 0 || s.ejections > ejectDoubles || s.State > Draining
+			return s.ejections < 0 || s.ejections > maxEjectionDoublings || s.State > Draining
 		})
 }
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -10,7 +10,7 @@
 // next gives a gateway that follows f's, with other settings where change says so.
 func (f *fake) next(t *testing.T, change func(*Settings)) *fake {
 	t.Helper()
-	set := f.g.set
+	set := f.g.cfg
 	if change != nil {
 		change(&set)
 	}
@@ -20,7 +20,7 @@
 	}
 	n := &fake{t: t, g: g, now: f.now, ended: map[RequestID]string{}}
 	g.Attach(n)
-	if err := g.Follow(n.now, f.g.Carry(f.now, 1<<20)); err != nil {
+	if err := g.ImportState(n.now, f.g.ExportState(f.now, 1<<20)); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -28,9 +28,9 @@
 
 // left gives what is left of a customer's store and under its ceiling.
 func (f *fake) left(customer CustomerID) (account, ceiling float64) {
-	c := f.g.byName[customer]
+	c := f.g.customersByID[customer]
 	f.g.refill(c, 0)
-	return c.account, c.ceiling.Left
+	return c.balance, c.hardLimit.Left
 }
 
 func (f *fake) serve(id RequestID, took time.Duration, change func(*Request)) {
@@ -40,10 +40,10 @@
 
 func busySettings() Settings {
 	s := settings()
-	s.Classes = append(s.Classes, Class{Name: "order", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 3, Effect: Unsafe})
-	s.Plans = []Plan{{Name: "small", Rate: 0.001, Burst: 40, Price: 1, OverCost: 1},
-		{Name: "large", Rate: 0.001, Burst: 100, Price: 2, OverCost: 1, CeilingRate: 1, CeilingBurst: 60}}
-	s.SecondCopies = false
+	s.Classes = append(s.Classes, Class{Name: "order", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3, Idempotency: NotIdempotent})
+	s.Plans = []Plan{{Name: "small", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1},
+		{Name: "large", Rate: 0.001, Burst: 100, ValueMultiplier: 2, OverQuotaCost: 1, HardLimitRate: 1, HardLimitBurst: 60}}
+	s.Hedging = false
 	return s
 }
 
@@ -56,22 +56,22 @@
 		f.serve(id, 40*ms, func(r *Request) { r.Customer = 5 })
 		f.serve(100+id, 90*ms, func(r *Request) { r.Customer, r.Plan, r.Class = 6, 1, 1 })
 	}
-	cold := ServerInfo{ID: 9, Weight: 1, Since: f.now}
+	cold := ServerInfo{ID: 9, Weight: 1, StartedAt: f.now}
 	f.g.Servers(f.now, ListChanges, []ServerInfo{cold})
-	f.g.byID[9].cold.Sends = []Time{f.now, f.now}
+	f.g.serversByID[9].coldBudget.Sends = []Time{f.now, f.now}
 	for range 4 {
-		f.g.judge(f.g.byID[2], true)
+		f.g.recordHealth(f.g.serversByID[2], true)
 	}
 	for name, change := range map[string]func(*Settings){
 		"the same settings": nil,
 		"other settings": func(s *Settings) {
-			s.Classes = []Class{{Name: "new", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}, s.Classes[1]}
-			s.Plans = []Plan{s.Plans[1], {Name: "fresh", Rate: 1, Burst: 1, Price: 1}, s.Plans[0]}
+			s.Classes = []Class{{Name: "new", LatencyTarget: time.Second, Deadline: 3 * time.Second, Value: 1}, s.Classes[1]}
+			s.Plans = []Plan{s.Plans[1], {Name: "fresh", Rate: 1, Burst: 1, ValueMultiplier: 1}, s.Plans[0]}
 		},
 	} {
 		n := f.next(t, change)
 		class := func(want string) int {
-			for i, c := range n.g.set.Classes {
+			for i, c := range n.g.cfg.Classes {
 				if c.Name == want {
 					return i
 				}
@@ -79,7 +79,7 @@
 			return -1
 		}
 		plan := func(want string) int {
-			for i, p := range n.g.set.Plans {
+			for i, p := range n.g.cfg.Plans {
 				if p.Name == want {
 					return i
 				}
@@ -91,7 +91,7 @@
 			if a, c := n.left(customer); math.Abs(a-account) > 0.01 || math.Abs(c-ceiling) > 0.01 {
 				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, account, ceiling)
 			}
-			if got := n.g.byName[customer].plan; got != plan(want) || n.g.byShort[n.g.byName[customer].name] == nil {
+			if got := n.g.customersByID[customer].plan; got != plan(want) || n.g.customersByKey[n.g.customersByID[customer].key] == nil {
 				t.Errorf("%s: customer %d has plan %d", name, customer, got)
 			}
 			n.ask(1000+RequestID(customer), func(r *Request) { r.Customer, r.Plan, r.Class = customer, plan(want), class("order") })
@@ -99,28 +99,28 @@
 		if got := len(n.g.customers); got != 2 {
 			t.Errorf("%s: %d customers after they have asked again", name, got)
 		}
-		if got := n.g.typicalOf(class("order")); math.Abs(got-f.g.typicalOf(1)) > 0.02 {
-			t.Errorf("%s: orders take %v, known were %v", name, got, f.g.typicalOf(1))
+		if got := n.g.classTypicalLatency(class("order")); math.Abs(got-f.g.classTypicalLatency(1)) > 0.02 {
+			t.Errorf("%s: orders take %v, known were %v", name, got, f.g.classTypicalLatency(1))
 		}
-		if c := class("new"); c >= 0 && n.g.typicalOf(c) != 0.25 {
-			t.Errorf("%s: a new class begins with %v", name, n.g.typicalOf(c))
+		if c := class("new"); c >= 0 && n.g.classTypicalLatency(c) != 0.25 {
+			t.Errorf("%s: a new class begins with %v", name, n.g.classTypicalLatency(c))
 		}
-		if !n.g.ejected(n.g.byID[2]) || n.g.ejected(n.g.byID[1]) {
+		if !n.g.ejected(n.g.serversByID[2]) || n.g.ejected(n.g.serversByID[1]) {
 			t.Errorf("%s: the ejected server is another", name)
 		}
-		if got := len(n.g.byID[9].cold.Sends); got != 2 || n.g.warmth(n.g.byID[9]) >= 1 {
+		if got := len(n.g.serversByID[9].coldBudget.Sends); got != 2 || n.g.warmth(n.g.serversByID[9]) >= 1 {
 			t.Errorf("%s: %d sends to the cold server are known", name, got)
 		}
 	}
 	n := f.next(t, func(s *Settings) { s.Plans = s.Plans[1:] })
-	if got := len(n.g.customers); got != 1 || n.g.byName[6] == nil || n.g.byName[6].plan != 0 {
+	if got := len(n.g.customers); got != 1 || n.g.customersByID[6] == nil || n.g.customersByID[6].plan != 0 {
 		t.Errorf("%d customers, of whom one has a plan that there still is", got)
 	}
 }
 
 // To its peers the next gateway is the same one: no second life, and nothing drawn twice.
 func TestPeersDontNoticeTheNext(t *testing.T) {
-	f, peer := start(t, twoGateways(), 4), start(t, func() Settings { s := twoGateways(); s.Me = 1; return s }(), 4)
+	f, peer := start(t, twoGateways(), 4), start(t, func() Settings { s := twoGateways(); s.Self = 1; return s }(), 4)
 	pass := func(from *fake) {
 		for _, m := range from.told {
 			peer.g.PeerMessage(peer.now, 0, m)
@@ -134,16 +134,16 @@
 		peer.until(f.now)
 		pass(f)
 	}
-	left, lives := peer.g.byShort[tellName(5, 0, 0, 2)].account, peer.g.lives[0]
+	left, lives := peer.g.customersByKey[customerKey(5, 0, 0, 2)].balance, peer.g.incarnations[0]
 	n := f.next(t, nil)
 	n.until(n.now + time.Second)
 	peer.until(n.now)
 	pass(n)
-	if got := peer.g.lives[0]; got != lives {
+	if got := peer.g.incarnations[0]; got != lives {
 		t.Fatalf("%d lives, %d before", got, lives)
 	}
-	peer.g.refill(peer.g.byShort[tellName(5, 0, 0, 2)], 0)
-	if got := peer.g.byShort[tellName(5, 0, 0, 2)].account; got < left-0.01 {
+	peer.g.refill(peer.g.customersByKey[customerKey(5, 0, 0, 2)], 0)
+	if got := peer.g.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
 		t.Fatalf("%v left, %v before", got, left)
 	}
 }
@@ -152,16 +152,16 @@
 func TestElsewhere(t *testing.T) {
 	f := start(t, busySettings(), 1)
 	f.until(f.now + 100*time.Second)
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, Weight: 1, Since: f.now}})
+	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, Weight: 1, StartedAt: f.now}})
 	draw := Request{Customer: 5, Plan: 1, Units: 2, SetSize: 1}
 	for id := RequestID(1); id <= 20; id++ {
-		f.g.Elsewhere(f.now, draw, 9, id%2 == 0)
+		f.g.SentElsewhere(f.now, draw, 9, id%2 == 0)
 	}
-	f.g.Elsewhere(f.now, draw, 77, false) // a server not known here
+	f.g.SentElsewhere(f.now, draw, 77, false) // a server not known here
 	if account, ceiling := f.left(5); account != 80 || ceiling != 40 {
 		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", account, ceiling)
 	}
-	if got := len(f.g.byID[9].cold.Sends); got != 20 {
+	if got := len(f.g.serversByID[9].coldBudget.Sends); got != 20 {
 		t.Errorf("%d sends to the cold server are known, of 20", got)
 	}
 }
@@ -172,10 +172,10 @@
 	m := message(time.Second, 5, 100)
 	other := settings()
 	other.Plans[0].Name = "other"
-	means := other.meaning()
+	means := other.schema()
 	copy(m[5:], means[:])
 	f.g.PeerMessage(f.now, 1, m)
-	if f.g.peerHeard[1] != f.now {
+	if f.g.peerLastContact[1] != f.now {
 		t.Error("the peer was not heard")
 	}
 	if len(f.g.customers) != 0 {
@@ -191,9 +191,9 @@
 func TestOddStateIsDropped(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
-	whole := f.g.Carry(f.now, 1<<20)
+	whole := f.g.ExportState(f.now, 1<<20)
 	fresh := func() *fake {
-		g, err := New(f.g.set, 9)
+		g, err := New(f.g.cfg, 9)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +203,7 @@
 	}
 	for i := range whole {
 		n := fresh()
-		if n.g.Follow(n.now, whole[:i]) == nil {
+		if n.g.ImportState(n.now, whole[:i]) == nil {
 			t.Fatalf("the first %d of %d bytes were taken", i, len(whole))
 		}
 		if n.g.started || len(n.g.customers)+len(n.g.servers) > 0 {
@@ -211,25 +211,25 @@
 		}
 	}
 	n := fresh()
-	if err := n.g.Follow(n.now, whole); err != nil {
+	if err := n.g.ImportState(n.now, whole); err != nil {
 		t.Fatal(err)
 	}
-	if n.g.Follow(n.now, whole) == nil {
+	if n.g.ImportState(n.now, whole) == nil {
 		t.Error("it was taken twice")
 	}
-	if fresh().g.Follow(f.now, append(bytes.Clone(whole), 0)) == nil {
+	if fresh().g.ImportState(f.now, append(bytes.Clone(whole), 0)) == nil {
 		t.Error("a byte too many was taken")
 	}
 	other := bytes.Clone(whole)
 	other[0]++
-	if fresh().g.Follow(f.now, other) == nil {
+	if fresh().g.ImportState(f.now, other) == nil {
 		t.Error("another version was taken")
 	}
-	set := f.g.set
-	set.Gateways, set.Me = 3, 2
+	set := f.g.cfg
+	set.Gateways, set.Self = 3, 2
 	g, _ := New(set, 9)
 	g.Attach(f)
-	if g.Follow(f.now, whole) == nil {
+	if g.ImportState(f.now, whole) == nil {
 		t.Error("another gateway's was taken")
 	}
 }
@@ -242,20 +242,20 @@
 		f.serve(RequestID(i), ms, func(r *Request) { r.Customer = CustomerID(i) })
 	}
 	const most = 100 << 10
-	carried := f.g.Carry(f.now, most)
+	carried := f.g.ExportState(f.now, most)
 	if len(carried) > most+most/4 {
 		t.Fatalf("%d bytes, %d are wanted", len(carried), most)
 	}
-	g, err := New(f.g.set, 9)
+	g, err := New(f.g.cfg, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &fake{t: t, g: g, now: f.now, ended: map[RequestID]string{}}
 	g.Attach(n)
-	if err := g.Follow(n.now, carried); err != nil {
+	if err := g.ImportState(n.now, carried); err != nil {
 		t.Fatal(err)
 	}
-	if n.g.byName[3000] == nil {
+	if n.g.customersByID[3000] == nil {
 		t.Error("the customer seen last is unknown")
 	}
 }
@@ -263,7 +263,7 @@
 func FuzzFollow(f *testing.F) {
 	src := start(&testing.T{}, busySettings(), 2)
 	src.serve(1, ms, func(r *Request) { r.Customer = 5 })
-	f.Add(src.g.Carry(src.now, 1<<20))
+	f.Add(src.g.ExportState(src.now, 1<<20))
 	f.Fuzz(func(t *testing.T, carried []byte) {
 		set := busySettings()
 		g, err := New(set, 9)
@@ -272,10 +272,10 @@
 		}
 		n := &fake{t: t, g: g, now: src.now, ended: map[RequestID]string{}}
 		g.Attach(n)
-		if g.Follow(n.now, carried) != nil {
+		if g.ImportState(n.now, carried) != nil {
 			return
 		}
-		g.Servers(n.now, ListChanges, []ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1, Since: n.now}})
+		g.Servers(n.now, ListChanges, []ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1, StartedAt: n.now}})
 		for i := 1; i <= 5; i++ {
 			n.ask(RequestID(i), func(r *Request) { r.Customer, r.Plan = 5, i%2 })
 			n.until(n.now + time.Second)
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func coming(r *Request) { r.Coming = true }
+func coming(r *Request) { r.BodyPending = true }
 
 // While a body is still coming no time runs for its request: it is not given up at what was its deadline, its member is not
 // taken for slow, and no second copy is made. From its last byte on it has its deadline as any other.
@@ -17,10 +17,10 @@
 	if len(f.sent) != 1 || f.ended[1] != "" {
 		t.Fatalf("%d attempts, ended %q", len(f.sent), f.ended[1])
 	}
-	if f.g.load() != 0 || f.g.byID[to].load() != 0 {
-		t.Errorf("%v places are held, %v at its server, which has nothing to do yet", f.g.load(), f.g.byID[to].load())
+	if f.g.load() != 0 || f.g.serversByID[to].load() != 0 {
+		t.Errorf("%v places are held, %v at its server, which has nothing to do yet", f.g.load(), f.g.serversByID[to].load())
 	}
-	if f.g.pressed || f.g.roomOf(f.g.byID[to]) < f.g.roomOf(f.g.byID[to%4+1]) {
+	if f.g.overloaded || f.g.capacityOf(f.g.serversByID[to]) < f.g.capacityOf(f.g.serversByID[to%4+1]) {
 		t.Error("the time that the body took is held against its member")
 	}
 	for _, o := range f.g.Observe(f.now) {
@@ -28,9 +28,9 @@
 			t.Errorf("server %d is seen as overdue", o.ID)
 		}
 	}
-	f.g.Came(f.now, 1, f.now+2*time.Second)
-	if f.g.load() != 1 || f.g.byID[to].load() != 1 {
-		t.Errorf("%v places are held, %v at its server", f.g.load(), f.g.byID[to].load())
+	f.g.BodySent(f.now, 1, f.now+2*time.Second)
+	if f.g.load() != 1 || f.g.serversByID[to].load() != 1 {
+		t.Errorf("%v places are held, %v at its server", f.g.load(), f.g.serversByID[to].load())
 	}
 	f.until(f.now + 1900*ms)
 	if len(f.sent) != 1 || f.ended[1] != "" {
@@ -58,7 +58,7 @@
 		f := start(t, settings(), 4)
 		f.ask(1, coming)
 		s := f.sent[0]
-		f.g.Outcome(f.now, Outcome{ID: 1, Server: s.to, Ending: NotConnected, Spent: spent})
+		f.g.Outcome(f.now, Outcome{ID: 1, Server: s.to, Ending: NotConnected, BodyConsumed: spent})
 		if len(f.sent) != attempts {
 			t.Errorf("spent %v: %d attempts", spent, len(f.sent))
 		}
@@ -68,7 +68,7 @@
 	}
 	f := start(t, settings(), 4)
 	f.ask(1, coming)
-	f.g.Came(f.now, 1, f.now+2*time.Second)
+	f.g.BodySent(f.now, 1, f.now+2*time.Second)
 	f.done(f.sent[0], Errored, 10*ms)
 	if len(f.sent) != 1 || f.ended[1] == "" {
 		t.Errorf("%d attempts, ended %q: it came by once", len(f.sent), f.ended[1])
@@ -79,17 +79,17 @@
 // it, and one that never comes has drawn nothing.
 func TestUnitsOfABodyThatComes(t *testing.T) {
 	s := settings()
-	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, Price: 1, OverCost: 1, CeilingRate: 4, CeilingBurst: 20}
+	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 20}
 	f := start(t, s, 4)
 	f.until(f.now + time.Minute)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
 	f.until(f.now + 10*time.Second)
-	f.ask(2, func(r *Request) { r.Customer, r.Units, r.Coming = 5, 8, true })
+	f.ask(2, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
 	f.until(f.now + 10*time.Second)
 	if account, ceiling := f.left(5); account != 2 || ceiling != 12 {
 		t.Errorf("%v and %v are left of 10 and 20 while 8 are to come", account, ceiling)
 	}
-	f.g.Came(f.now, 2, f.now+2*time.Second)
+	f.g.BodySent(f.now, 2, f.now+2*time.Second)
 	if account, _ := f.left(5); account != 2 {
 		t.Errorf("%v are left when 8 have come", account)
 	}
@@ -98,9 +98,9 @@
 	if account, ceiling := f.left(5); account != 10 || ceiling != 20 {
 		t.Errorf("%v and %v are left of 10 and 20 at last", account, ceiling)
 	}
-	f.ask(3, func(r *Request) { r.Customer, r.Units, r.Coming = 5, 8, true })
+	f.ask(3, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
 	to := f.sent[len(f.sent)-1]
-	f.g.Outcome(f.now, Outcome{ID: 3, Server: to.to, Ending: NeverSent, Spent: true})
+	f.g.Outcome(f.now, Outcome{ID: 3, Server: to.to, Ending: NeverSent, BodyConsumed: true})
 	if account, ceiling := f.left(5); account != 10 || ceiling != 20 {
 		t.Errorf("%v and %v are left of 10 and 20 though nothing came", account, ceiling)
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -24,8 +24,8 @@
 func Example() {
 	g, err := policy.New(policy.Settings{
 		Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3,
-		Classes: []policy.Class{{Name: "read", Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 1, Price: 1, OverCost: 1}},
+		Classes: []policy.Class{{Name: "read", LatencyTarget: 500 * time.Millisecond, Deadline: 2 * time.Second, Value: 1}},
+		Plans:   []policy.Plan{{Name: "basic", Rate: 1, Burst: 1, ValueMultiplier: 1, OverQuotaCost: 1}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -36,7 +36,7 @@
 	g.Servers(now, policy.ListFull, []policy.ServerInfo{{ID: 8001, Weight: 1}})
 	g.Request(now, policy.Request{ID: 1, Customer: 7, Deadline: now + 2*time.Second, Units: 1, SetSize: 1})
 	g.Outcome(now+40*time.Millisecond, policy.Outcome{ID: 1, Server: 8001, Elapsed: 40 * time.Millisecond,
-		Ending: policy.TurnedAway})
+		Ending: policy.Rejected})
 	g.Request(now, policy.Request{ID: 2, Class: 9, Customer: 7, Deadline: now + 2*time.Second})
 	// Output:
 	// send request 1 to server 8001
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -50,7 +50,7 @@
 	life, took := n.life, max(n.took, n.f.slow[to])
 	n.f.at(took, func() {
 		if n.life == life {
-			n.g.Outcome(n.f.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served, Closed: true, Units: n.true})
+			n.g.Outcome(n.f.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served, Answered: true, Units: n.true})
 		}
 	})
 }
@@ -102,7 +102,7 @@
 func newFleet(t *testing.T, s Settings, gateways, servers int) *fleet {
 	f := &fleet{t: t, now: 100 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), loss: 0.05, wheel: map[Time][]func(){}}
 	for i := 0; i < gateways; i++ {
-		s.Me, s.Gateways = i, gateways
+		s.Self, s.Gateways = i, gateways
 		n := &node{f: f, me: i, sent: map[RequestID]bool{}, refused: map[RequestID]bool{}, took: 60 * ms}
 		f.nodes = append(f.nodes, n)
 		n.boot(s, servers)
@@ -111,7 +111,7 @@
 }
 
 func (n *node) boot(s Settings, servers int) {
-	s.Me, s.Gateways = n.me, max(len(n.f.nodes), s.Gateways)
+	s.Self, s.Gateways = n.me, max(len(n.f.nodes), s.Gateways)
 	g, err := New(s, uint64(n.me*1000+n.life))
 	if err != nil {
 		n.f.t.Fatal(err)
@@ -130,10 +130,10 @@
 // gateway sees few of its requests, messages are late and some are lost.
 func TestQuotaOverManyGateways(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake = true, 40
-	s.SecondCopies = false
-	s.Plans = []Plan{{Name: "small", Rate: 0.9, Burst: 4, Price: 1, OverCost: 1}, {Name: "mid", Rate: 4, Burst: 10, Price: 1, OverCost: 1},
-		{Name: "large", Rate: 18, Burst: 40, Price: 1, OverCost: 1}}
+	s.Peers, s.PeerMessageRate = true, 40
+	s.Hedging = false
+	s.Plans = []Plan{{Name: "small", Rate: 0.9, Burst: 4, ValueMultiplier: 1, OverQuotaCost: 1}, {Name: "mid", Rate: 4, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1},
+		{Name: "large", Rate: 18, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := newFleet(t, s, 120, 24)
 	type cust struct {
 		plan, first, set int
@@ -167,7 +167,7 @@
 			}
 			id++
 			n := f.nodes[(c.first+int(float64(c.set)*math.Pow(f.rng.Float64(), 1.7)))%120]
-			n.g.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstDoor: c.first})
+			n.g.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
 			if now := id; f.now-begin > 10*time.Second {
 				c.asked++
 				f.at(500*ms, func() { // where the customer's home had to be asked
@@ -196,7 +196,7 @@
 	}
 	busy := 0 // the homes of the large customers that ask 63 times a second take in more: each request is asked about
 	for _, n := range f.nodes {
-		if float64(n.received)/30 > s.PeerIntake*intakeShare*1.5 {
+		if float64(n.received)/30 > s.PeerMessageRate*peerRateShare*1.5 {
 			busy++
 		}
 	}
@@ -214,7 +214,7 @@
 func TestColdServersOverManyGateways(t *testing.T) {
 	for name, cold := range map[string]int{"one": 1, "two fifths": 16} {
 		s := settings()
-		s.Peers, s.PeerIntake, s.SecondCopies = true, 40, false
+		s.Peers, s.PeerMessageRate, s.Hedging = true, 40, false
 		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
 		f := newFleet(t, s, 300, 40)
 		id, begin := RequestID(0), f.now
@@ -233,7 +233,7 @@
 			}
 			var list []ServerInfo
 			for k := 1; k <= cold; k++ {
-				list = append(list, ServerInfo{ID: ServerID(k), Since: born})
+				list = append(list, ServerInfo{ID: ServerID(k), StartedAt: born})
 			}
 			n.g.Servers(f.now, ListChanges, list)
 		}
@@ -253,11 +253,11 @@
 		slices.Sort(sends)
 		for i, at := range sends {
 			from := i
-			for from > 0 && at-sends[from-1] < s.Fall {
+			for from > 0 && at-sends[from-1] < s.ColdWindow {
 				from--
 			}
-			w := s.ColdFrom + (1-s.ColdFrom)*(at-born).Seconds()/s.WarmWithin.Seconds()
-			if most := s.FallMultiple * w * 25 * s.Fall.Seconds(); float64(i-from+1) > most { // can do 25 a second
+			w := s.InitialWarmth + (1-s.InitialWarmth)*(at-born).Seconds()/s.WarmupTime.Seconds()
+			if most := s.ColdMultiple * w * 25 * s.ColdWindow.Seconds(); float64(i-from+1) > most { // can do 25 a second
 				t.Fatalf("%s: %d sent in a window ending %v after its start, at most %.0f", name, i-from+1, at-born, most)
 			}
 		}
@@ -270,8 +270,8 @@
 // One plan is turned away by a server that serves the others: that plan goes elsewhere, the server keeps the rest.
 func TestServerThatTurnsOnePlanAway(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
-	s.Plans = append(s.Plans, Plan{Name: "other", Rate: 1000, Burst: 1000, Price: 1})
+	s.Hedging = false
+	s.Plans = append(s.Plans, Plan{Name: "other", Rate: 1000, Burst: 1000, ValueMultiplier: 1})
 	f := start(t, s, 4)
 	away, kept := 0, 0
 	for i := 1; i <= 800; i++ {
@@ -283,7 +283,7 @@
 			switch {
 			case x.to == 2 && i%2 == 1:
 				away++
-				f.done(x, TurnedAway, 5*ms)
+				f.done(x, Rejected, 5*ms)
 			case f.ended[x.id] == "":
 				if x.to == 2 {
 					kept++
@@ -341,7 +341,7 @@
 	for _, size := range []int{-3, 0, 1, 7, 40, 41, 1 << 19} {
 		for _, first := range []int{-9, 0, 39, 40, 1 << 19} {
 			id++
-			f.ask(id, func(r *Request) { r.SetSize, r.FirstDoor, r.Customer = size, first, CustomerID(id%6) })
+			f.ask(id, func(r *Request) { r.SetSize, r.FirstGateway, r.Customer = size, first, CustomerID(id%6) })
 			f.until(f.now + 300*ms)
 		}
 	}
@@ -363,12 +363,12 @@
 	f := start(t, twoGateways(), 4)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
 	f.g.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
-	c := f.g.byName[5]
-	before := c.told.pool
+	c := f.g.customersByID[5]
+	before := c.sharedDemand.pooled
 	f.g.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
 	f.g.PeerMessage(f.now, 1, message(4*time.Second, 5, 20))
-	if c.told.pool != before {
-		t.Fatalf("%v -> %v", before, c.told.pool)
+	if c.sharedDemand.pooled != before {
+		t.Fatalf("%v -> %v", before, c.sharedDemand.pooled)
 	}
 }
 
@@ -417,9 +417,9 @@
 // requests come through one of them: parts of the store that the others keep would be refused to it for nothing.
 func TestOneStoreForGatewaysThatHearEachOther(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-	s.Plans = []Plan{{Name: "small", Rate: 4, Burst: 16, Price: 1, OverCost: 1},
-		{Name: "capped", Rate: 12, Burst: 30, Price: 1, OverCost: 1, CeilingRate: 24, CeilingBurst: 60, CeilingSlack: 8}}
+	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+	s.Plans = []Plan{{Name: "small", Rate: 4, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1},
+		{Name: "capped", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 24, HardLimitBurst: 60, HardLimitSlack: 8}}
 	f := newFleet(t, s, 3, 12)
 	type cust struct {
 		plan                   int
@@ -430,7 +430,7 @@
 	var list []*cust
 	for i := range 16 {
 		p := s.Plans[i%2]
-		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst, ceiling: p.CeilingBurst})
+		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst, ceiling: p.HardLimitBurst})
 	}
 	id := RequestID(0)
 	f.run(2*time.Second, func() {}) // long enough for all to have heard each other
@@ -439,7 +439,7 @@
 			p := s.Plans[c.plan]
 			c.quota = min(p.Burst, c.quota+p.Rate*fleetTick.Seconds())
 			c.one = min(p.Burst, c.one+p.Rate*fleetTick.Seconds())
-			c.ceiling = min(p.CeilingBurst, c.ceiling+p.CeilingRate*fleetTick.Seconds())
+			c.ceiling = min(p.HardLimitBurst, c.ceiling+p.HardLimitRate*fleetTick.Seconds())
 			units := float64(1 + f.rng.IntN(4))
 			if f.rng.Float64() > c.x*p.Rate*fleetTick.Seconds()/2.5 {
 				continue
@@ -455,7 +455,7 @@
 			if !n.sent[id] {
 				continue
 			}
-			if c.ceiling -= units; p.CeilingRate > 0 && c.ceiling < -p.CeilingSlack {
+			if c.ceiling -= units; p.HardLimitRate > 0 && c.ceiling < -p.HardLimitSlack {
 				t.Fatalf("customer %d: ceiling passed by %.1f", k, -c.ceiling)
 			}
 			if c.in += units; c.quota >= units {
@@ -476,8 +476,8 @@
 // spent it, nor a refusal for who has not.
 func TestRestartedGatewayLearnsWhatIsLeft(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-	s.Plans = []Plan{{Name: "p", Rate: 2, Burst: 40, Price: 1, OverCost: 1, CeilingRate: 4, CeilingBurst: 80, CeilingSlack: 8}}
+	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+	s.Plans = []Plan{{Name: "p", Rate: 2, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 80, HardLimitSlack: 8}}
 	f := newFleet(t, s, 2, 12)
 	id := RequestID(0)
 	ask := func(n *node, customer CustomerID) bool {
@@ -508,8 +508,8 @@
 func TestOneGatewayOfFourUnheard(t *testing.T) {
 	for name, down := range map[string]bool{"down": true, "cut off": false} {
 		s := settings()
-		s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, Price: 1, OverCost: 1, CeilingRate: 20, CeilingBurst: 51, CeilingSlack: 8}}
+		s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 20, HardLimitBurst: 51, HardLimitSlack: 8}}
 		f := newFleet(t, s, 4, 12)
 		id, in, ceiling := RequestID(0), 0.0, 51.0
 		ask := func() {
@@ -547,8 +547,8 @@
 // customers whom the first message has no room for: they are served at their rate at once, and not above it.
 func TestSilenceLeavesNoDebt(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, Price: 1, OverCost: 1.2}}
+	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1.2}}
 	f := newFleet(t, s, 4, 40)
 	const customers = 90 // a message has room for a fifth of them
 	id := RequestID(0)
--- a/policy/held_test.go
+++ b/policy/held_test.go
@@ -10,14 +10,14 @@
 // goes out is fresh, and by its answers the gateway finds out within seconds what cold servers can do.
 func TestNothingIsSentThatWaitedTooLong(t *testing.T) {
 	s := settings()
-	s.Gateways, s.Peers, s.SecondCopies = 5, false, false
-	s.Classes[0].Aim, s.Classes[0].Deadline = time.Second, 4*time.Second
+	s.Gateways, s.Peers, s.Hedging = 5, false, false
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = time.Second, 4*time.Second
 	f := &fake{t: t, now: time.Hour, ended: map[RequestID]string{}}
 	f.g, _ = New(s, 1)
 	f.g.Attach(f)
 	var list []ServerInfo
 	for id := range 4 {
-		list = append(list, ServerInfo{ID: ServerID(id + 1), State: Ready, Since: f.now, Weight: 1})
+		list = append(list, ServerInfo{ID: ServerID(id + 1), State: Ready, StartedAt: f.now, Weight: 1})
 	}
 	f.g.Servers(f.now, ListFull, list)
 	asked, done := map[RequestID]Time{}, map[send]bool{}
@@ -32,8 +32,8 @@
 	for id := RequestID(1); f.now < time.Hour+6*time.Second; id++ {
 		asked[id] = f.now
 		f.ask(id, func(r *Request) { r.Deadline = f.now + 4*time.Second })
-		if held, room := len(f.g.held), f.g.roomFor(); float64(held) > room+f.g.chance(room)+1 {
-			t.Fatalf("%d are held where there is room for %.1f", held, f.g.roomFor())
+		if held, room := len(f.g.queue), f.g.totalCapacity(); float64(held) > room+f.g.burstAllowance(room)+1 {
+			t.Fatalf("%d are held where there is room for %.1f", held, f.g.totalCapacity())
 		}
 		f.until(f.now + 10*ms)
 		for _, x := range f.sent {
--- a/policy/home_test.go
+++ b/policy/home_test.go
@@ -8,9 +8,9 @@
 // wideFleet is eighty gateways of one customer plan as the operators' days at size have it.
 func wideFleet(t *testing.T) (*fleet, Settings) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies = true, 100, false
-	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, Price: 1, OverCost: 1.2},
-		{Name: "utility", Rate: 13, Burst: 32, Price: 1.6, OverCost: 1.2, CeilingRate: 30, CeilingBurst: 75, CeilingSlack: 8}}
+	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
+	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1.2},
+		{Name: "utility", Rate: 13, Burst: 32, ValueMultiplier: 1.6, OverQuotaCost: 1.2, HardLimitRate: 30, HardLimitBurst: 75, HardLimitSlack: 8}}
 	return newFleet(t, s, 80, 60), s
 }
 
@@ -21,7 +21,7 @@
 	f.run(time.Duration(tries)*fleetTick, func() {
 		n := f.nodes[(first+k*7%set)%80]
 		n.g.Request(f.now, Request{ID: begin + RequestID(k), Customer: 77, Plan: plan, Deadline: f.now + 2*time.Second,
-			Units: 1, SetSize: set, FirstDoor: first})
+			Units: 1, SetSize: set, FirstGateway: first})
 		k++
 	})
 	f.run(3*time.Second, func() {})
@@ -56,17 +56,17 @@
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	f.let(1, 0, 5, 60)
-	c := f.nodes[5].g.byName[77]
+	c := f.nodes[5].g.customersByID[77]
 	if c == nil {
 		t.Fatal("gateway 5 has met the customer")
 	}
 	dead := map[int]bool{}
 	for k := 0; k < 2; k++ {
-		home := f.nodes[5].g.home(c)
+		home := f.nodes[5].g.ownerOf(c)
 		dead[home] = true
-		f.nodes[5].g.silent[home] = f.now + time.Hour
+		f.nodes[5].g.suspectedUntil[home] = f.now + time.Hour
 	}
-	f.nodes[5].g.silent = make([]Time, 80)
+	f.nodes[5].g.suspectedUntil = make([]Time, 80)
 	f.cut = func(from, to int) bool { return dead[from] || dead[to] }
 	f.let(120, 0, 5, 60) // each gateway finds out
 	f.run(8*time.Second, func() {})
@@ -86,23 +86,23 @@
 	f, s := wideFleet(t)
 	f.loss = 1 // answers are not looked at
 	g := f.nodes[7].g
-	name := tellName(77, 0, 7, 60)
-	m := packAsk(question{token: 9, customer: name, units: 2})
+	name := customerKey(77, 0, 7, 60)
+	m := packQuery(ownerQuery{token: 9, customerKey: name, units: 2})
 	told := f.told
 	g.PeerMessage(f.now, 8, m)
 	g.PeerMessage(f.now, 8, m)
-	c := g.byShort[atHome(name, 7)]
-	if c == nil || s.Plans[0].Burst-c.account > 2.01 || f.told != told+2 {
+	c := g.customersByKey[ownerKey(name, 7)]
+	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.told != told+2 {
 		t.Fatalf("two answers to one question, and its units drawn once: %+v", c)
 	}
-	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0), packAsk(question{customer: tellName(1, 9, 0, 60)}), packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
-		customers, told, odd0 := len(g.customers), f.told, g.Figures(f.now).Odd
+	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0), packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}), packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
+		customers, told, odd0 := len(g.customers), f.told, g.Stats(f.now).InvalidMessages
 		g.PeerMessage(f.now, 8, odd)
 		if len(g.customers) != customers || f.told != told {
 			t.Fatalf("%x was believed", odd)
 		}
-		if wellFormed := len(odd) == askBytes && odd[0] == askKind || len(odd) == answerBytes && odd[5] < 2; !wellFormed &&
-			g.Figures(f.now).Odd != odd0+1 {
+		if wellFormed := len(odd) == queryBytes && odd[0] == queryKind || len(odd) == answerBytes && odd[5] < 2; !wellFormed &&
+			g.Stats(f.now).InvalidMessages != odd0+1 {
 			t.Fatalf("%x was not counted", odd)
 		}
 	}
@@ -128,7 +128,7 @@
 	f, s := wideFleet(t)
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
 	for _, n := range f.nodes {
-		n.g.set.Plans = s.Plans
+		n.g.cfg.Plans = s.Plans
 	}
 	asked := 0
 	f.run(10*time.Second, func() {
@@ -139,7 +139,7 @@
 				n.took = 400 * ms
 			}
 			n.g.Request(f.now, Request{ID: RequestID(asked), Customer: CustomerID(asked), Deadline: f.now + 2*time.Second,
-				Units: 1, SetSize: 1, FirstDoor: n.me})
+				Units: 1, SetSize: 1, FirstGateway: n.me})
 		}
 	})
 	refused := 0
@@ -157,19 +157,19 @@
 	sent := func(slow time.Duration) (n int) {
 		f, s := wideFleet(t)
 		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
-		s.ColdFrom, s.WarmWithin, s.Fall, s.FallMultiple = 0.18, 16*time.Second, time.Second, 4
+		s.InitialWarmth, s.WarmupTime, s.ColdWindow, s.ColdMultiple = 0.18, 16*time.Second, time.Second, 4
 		var list []ServerInfo
 		f.slow = map[ServerID]time.Duration{}
 		for k := 1; k <= 60; k++ {
 			list = append(list, ServerInfo{ID: ServerID(k), Weight: 1})
 			if k <= 30 {
-				list[k-1].Since, f.slow[ServerID(k)] = f.now-4*time.Second, slow
+				list[k-1].StartedAt, f.slow[ServerID(k)] = f.now-4*time.Second, slow
 			}
 		}
 		for _, n := range f.nodes {
-			me := n.g.set.Me
-			n.g.set = s
-			n.g.set.Me, n.g.set.Gateways = me, 80
+			me := n.g.cfg.Self
+			n.g.cfg = s
+			n.g.cfg.Self, n.g.cfg.Gateways = me, 80
 			n.g.Servers(f.now, ListFull, list)
 		}
 		id := RequestID(0)
@@ -177,7 +177,7 @@
 			for k := f.rng.IntN(5); k > 0; k-- {
 				id++
 				n := f.nodes[f.rng.IntN(80)]
-				n.g.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstDoor: n.me})
+				n.g.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstGateway: n.me})
 			}
 		})
 		for _, node := range f.nodes {
@@ -202,7 +202,7 @@
 		s := settings()
 		s.Gateways = gateways
 		f := start(t, s, 10)
-		if got := f.g.chance(5) > 0; got != want {
+		if got := f.g.burstAllowance(5) > 0; got != want {
 			t.Errorf("%d gateways: more than the room %v", gateways, got)
 		}
 	}
--- a/policy/length_test.go
+++ b/policy/length_test.go
@@ -8,7 +8,7 @@
 
 // How long a request takes follows its units where they matter, and its class alone where they don't.
 func TestLengthByUnits(t *testing.T) {
-	var grows, same, one fit
+	var grows, same, one decayingFit
 	for i := range 200 {
 		units := 1 + float64(i%6)
 		grows.add(0.99, units, 0.05+0.15*units)
@@ -16,11 +16,11 @@
 		one.add(0.99, 2, 0.3)
 	}
 	for units := 1.0; units <= 6; units++ {
-		if got := grows.of(units); math.Abs(got-0.05-0.15*units) > 0.01 {
+		if got := grows.predict(units); math.Abs(got-0.05-0.15*units) > 0.01 {
 			t.Errorf("%v units: %v", units, got)
 		}
-		if math.Abs(same.of(units)-0.3) > 0.01 || math.Abs(one.of(units)-0.3) > 0.01 {
-			t.Errorf("%v units: %v and %v where all take 0.3", units, same.of(units), one.of(units))
+		if math.Abs(same.predict(units)-0.3) > 0.01 || math.Abs(one.predict(units)-0.3) > 0.01 {
+			t.Errorf("%v units: %v and %v where all take 0.3", units, same.predict(units), one.predict(units))
 		}
 	}
 }
@@ -29,8 +29,8 @@
 // once and leaves its room to one that won't be; before and after it is served.
 func TestWhatIsTooLongMakesRoom(t *testing.T) {
 	s := settings()
-	s.SecondCopies, s.LargestUnits = false, 6
-	s.Classes[0].Aim = time.Second
+	s.Hedging, s.MaxUnits = false, 6
+	s.Classes[0].LatencyTarget = time.Second
 	f := start(t, s, 2)
 	slow, id := 1.0, RequestID(0)
 	ask := func(units float64) bool {
@@ -42,7 +42,7 @@
 		f.until(f.now + 20*ms)
 		for _, x := range f.sent {
 			r := f.g.requests[x.id]
-			if r == nil || len(r.out) == 0 {
+			if r == nil || len(r.inFlight) == 0 {
 				continue
 			}
 			if took := time.Duration(slow * r.Units * float64(100*ms)); f.now-x.at >= took {
--- a/policy/lost_test.go
+++ b/policy/lost_test.go
@@ -10,14 +10,14 @@
 // nobody has passed: its server may only be slow. No two attempts of a request are ever out at once.
 func TestLostAttemptIsGivenUpForAnother(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect Effect
+		effect Idempotency
 		passed bool
 		again  bool
-	}{"safe": {Safe, true, true}, "keyed": {Keyed, true, true}, "unsafe": {Unsafe, true, false}, "not passed": {Safe, false, false}} {
+	}{"safe": {Idempotent, true, true}, "keyed": {IdempotentByKey, true, true}, "unsafe": {NotIdempotent, true, false}, "not passed": {Idempotent, false, false}} {
 		s := settings()
-		s.SecondCopies = false
-		s.Classes[0].Aim, s.Classes[0].Deadline, s.Classes[0].Effect = 2*time.Second, 10*time.Second, c.effect
-		s.Classes[0].Scope, s.Classes[0].Window = ScopeAll, 10*time.Second
+		s.Hedging = false
+		s.Classes[0].LatencyTarget, s.Classes[0].Deadline, s.Classes[0].Idempotency = 2*time.Second, 10*time.Second, c.effect
+		s.Classes[0].DedupScope, s.Classes[0].DedupWindow = ScopeAll, 10*time.Second
 		f := start(t, s, 3)
 		id, served := RequestID(1), map[send]bool{}
 		lost := func(x send) bool { return x.id == 100 && x.no == 0 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -107,14 +107,14 @@
 	if how == Served && f.ended[s.id] == "" {
 		f.ended[s.id] = "served"
 	}
-	f.g.Outcome(f.now, Outcome{ID: s.id, Attempt: s.no, Server: s.to, Elapsed: took, Ending: how, Closed: closed})
+	f.g.Outcome(f.now, Outcome{ID: s.id, Attempt: s.no, Server: s.to, Elapsed: took, Ending: how, Answered: closed})
 }
 
 func settings() Settings {
-	return Settings{Gateways: 1, Tick: ms, MaxAttempts: 3, SecondCopies: true, Cancel: true,
-		Classes: []Class{{Name: "read", Aim: 500 * ms, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []Plan{{Name: "basic", Rate: 1000, Burst: 1000, Price: 1}},
-		Fall:    time.Second, FallMultiple: 2, ColdFrom: 0.2, WarmWithin: 10 * time.Second, DrainGrace: time.Second}
+	return Settings{Gateways: 1, Tick: ms, MaxAttempts: 3, Hedging: true, Cancel: true,
+		Classes:    []Class{{Name: "read", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 1}},
+		Plans:      []Plan{{Name: "basic", Rate: 1000, Burst: 1000, ValueMultiplier: 1}},
+		ColdWindow: time.Second, ColdMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second, DrainGrace: time.Second}
 }
 
 func start(t *testing.T, s Settings, servers int) *fake {
@@ -137,12 +137,12 @@
 	for field, spoil := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].deadline": func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"classes[0].aim":      func(s *Settings) { s.Classes[0].Aim = 0 },
-		"classes[0].worth":    func(s *Settings) { s.Classes[0].Worth = math.NaN() },
+		"classes[0].aim":      func(s *Settings) { s.Classes[0].LatencyTarget = 0 },
+		"classes[0].worth":    func(s *Settings) { s.Classes[0].Value = math.NaN() },
 		"plans":               func(s *Settings) { s.Plans = nil },
 		"plans[0].rate":       func(s *Settings) { s.Plans[0].Rate = -1 },
-		"plans[0].ceiling":    func(s *Settings) { s.Plans[0].CeilingRate = -1 },
-		"gateways":            func(s *Settings) { s.Me = 5 },
+		"plans[0].ceiling":    func(s *Settings) { s.Plans[0].HardLimitRate = -1 },
+		"gateways":            func(s *Settings) { s.Self = 5 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -154,7 +154,7 @@
 
 func TestUtilityByHand(t *testing.T) {
 	// v 0.2, 3 of 4 s of latency, 10 of 40 requests: 1/0.2 x 0.75 x 4 = 15
-	if f := utility(0.2, 3, 4, 10, 40); math.Abs(f-15) > 1e-9 {
+	if f := rudaScore(0.2, 3, 4, 10, 40); math.Abs(f-15) > 1e-9 {
 		t.Fatalf("f = %v, want 15", f)
 	}
 }
@@ -162,8 +162,8 @@
 // jam makes every answer late for a while: the cheap plan must go first, then the next, and both come back.
 func TestCutsByFAndLifts(t *testing.T) {
 	s := settings()
-	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, Price: 1}, {Name: "mid", Rate: 1e5, Burst: 1e5, Price: 2},
-		{Name: "dear", Rate: 1e5, Burst: 1e5, Price: 8}}
+	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, ValueMultiplier: 1}, {Name: "mid", Rate: 1e5, Burst: 1e5, ValueMultiplier: 2},
+		{Name: "dear", Rate: 1e5, Burst: 1e5, ValueMultiplier: 8}}
 	f := start(t, s, 8)
 	id := RequestID(0)
 	step := func(took time.Duration) {
@@ -230,7 +230,7 @@
 // overload nor work at a server, and nothing may be refused for them.
 func TestLostAttemptsAreNoOverload(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
+	s.Hedging = false
 	f := start(t, s, 4)
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Deadline = f.now + 4*time.Second })
@@ -265,14 +265,14 @@
 	f.ask(1, nil)
 	f.until(f.now + 10*ms)
 	f.done(f.sent[0], Served, 10*ms)
-	before := f.g.roomFor()
+	before := f.g.totalCapacity()
 	for i := 2; i <= 100; i++ {
 		f.ask(RequestID(i), nil)
 		f.until(f.now + 50*ms)
 		f.done(f.sent[len(f.sent)-1], Served, 400*ms)
 	}
-	if f.g.roomFor() < before {
-		t.Fatalf("room %v -> %v", before, f.g.roomFor())
+	if f.g.totalCapacity() < before {
+		t.Fatalf("room %v -> %v", before, f.g.totalCapacity())
 	}
 }
 
@@ -294,16 +294,16 @@
 
 func twoGateways() Settings {
 	s := settings()
-	s.Gateways, s.Peers, s.PeerIntake = 2, true, 40
+	s.Gateways, s.Peers, s.PeerMessageRate = 2, true, 40
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 10
 	return s
 }
 
 // message is a peer's share that says a customer of two gateways asks so much there; repeated, the shares add up.
 func message(age time.Duration, id CustomerID, demand float64) []byte {
-	var list [sections][]entry
-	list[ofCustomers] = []entry{{name: tellName(id, 0, 0, 2), mass: [2]float64{demand / 2, 0.5}}}
-	return packMessage(age, false, settings().meaning(), list)
+	var list [sectionCount][]entry
+	list[customerSection] = []entry{{key: customerKey(id, 0, 0, 2), mass: [2]float64{demand / 2, 0.5}}}
+	return packMessage(age, false, settings().schema(), list)
 }
 
 // exchange is what a lone gateway hears from a live peer at which a customer asks so much: an honest instance
@@ -316,7 +316,7 @@
 
 func newExchange(t *testing.T, gateways int, units float64) *exchange {
 	s := twoGateways()
-	s.Me, s.Gateways = 1, gateways
+	s.Self, s.Gateways = 1, gateways
 	return &exchange{f: start(t, s, 8), units: units}
 }
 
@@ -423,12 +423,12 @@
 		if len(m) > messageBytes {
 			t.Fatalf("message of %d bytes", len(m))
 		}
-		_, _, list, ok := unpackMessage(m, settings().meaning())
+		_, _, list, ok := unpackMessage(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
 		}
-		for _, e := range list[ofCustomers] {
-			told[e.name] = true
+		for _, e := range list[customerSection] {
+			told[e.key] = true
 		}
 	}
 	if len(told) < 140 {
@@ -439,17 +439,17 @@
 // In the first moments too, when little has been asked yet, the others must hear of a draw before they draw the same.
 func TestDrawsAreToldFromTheStart(t *testing.T) {
 	s := twoGateways()
-	s.PeerIntake = 100
+	s.PeerMessageRate = 100
 	f := start(t, s, 8)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
 	f.until(f.now + 60*ms)
 	told := 0
 	for _, m := range f.told {
-		_, _, list, ok := unpackMessage(m, settings().meaning())
+		_, _, list, ok := unpackMessage(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
 		}
-		told += len(list[ofCustomers])
+		told += len(list[customerSection])
 	}
 	if told != 1 {
 		t.Fatalf("told %d times in 60 ms, once is wanted", told)
@@ -458,7 +458,7 @@
 
 func TestCeilingAfterRestart(t *testing.T) {
 	s := settings()
-	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst = 10, 20
+	s.Plans[0].HardLimitRate, s.Plans[0].HardLimitBurst = 10, 20
 	sent := 0
 	for life := 0; life < 10; life++ { // ten restarts, half a second apart
 		f := start(t, s, 30)
@@ -494,9 +494,9 @@
 }
 
 func TestAttemptOutAtTheDeadline(t *testing.T) {
-	for effect, want := range map[Effect]string{Safe: "refused", Keyed: "failed", Unsafe: "failed"} {
+	for effect, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed", NotIdempotent: "failed"} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Window = effect, ScopeCell, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = effect, ScopeCell, time.Second
 		f := start(t, s, 1)
 		f.ask(1, nil)
 		f.until(f.now + 2*time.Second)
@@ -507,13 +507,13 @@
 }
 
 func TestRepeatsKeepToTheirGroup(t *testing.T) {
-	for scope, where := range map[Scope]func(a, b ServerID) bool{
+	for scope, where := range map[DedupScope]func(a, b ServerID) bool{
 		ScopeAll:  func(a, b ServerID) bool { return true },
 		ScopeZone: func(a, b ServerID) bool { return a%2 == b%2 },
 		ScopeCell: func(a, b ServerID) bool { return a%2 == b%2 },
 	} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Window = Keyed, scope, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = IdempotentByKey, scope, time.Second
 		for seed := RequestID(1); seed < 30; seed++ {
 			f := start(t, s, 8)
 			f.ask(seed, nil)
@@ -532,10 +532,10 @@
 }
 
 func TestUnsafeGoesAgainOnlyWhereItNeverRan(t *testing.T) {
-	for how, again := range map[Ending]bool{TurnedAway: true, NotConnected: true, Errored: false, ConnectionLost: false,
+	for how, again := range map[Ending]bool{Rejected: true, NotConnected: true, Errored: false, ConnectionLost: false,
 		TimedOut: false} {
 		s := settings()
-		s.Classes[0].Effect = Unsafe
+		s.Classes[0].Idempotency = NotIdempotent
 		f := start(t, s, 4)
 		f.ask(1, nil)
 		f.now += 10 * ms
@@ -552,7 +552,7 @@
 func TestSecondCopies(t *testing.T) {
 	for allowed, want := range map[bool]int{true: 2, false: 1} {
 		s := settings()
-		s.SecondCopies = allowed
+		s.Hedging = allowed
 		f := start(t, s, 4)
 		f.ask(1, nil)
 		f.until(f.now + 400*ms)
@@ -564,7 +564,7 @@
 
 func TestDrainsAndLists(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 1, State: Draining}, {ID: 2, State: Gone}})
+	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 1, State: Draining}, {ID: 2, State: Departed}})
 	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 1, State: Draining}, {ID: 4}})
 	for i := 1; i <= 8; i++ {
 		f.ask(RequestID(i), nil)
@@ -595,13 +595,13 @@
 	for i := 0; i < 300; i++ { // 50 a second each
 		step()
 	}
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, Since: f.now}})
+	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, StartedAt: f.now}})
 	born, cold := f.now, 0
 	for i := 0; i < 100; i++ {
 		step()
 	}
 	for _, x := range f.sent {
-		if x.to == 9 && x.at < born+f.g.set.Fall {
+		if x.to == 9 && x.at < born+f.g.cfg.ColdWindow {
 			cold++
 		}
 	}
@@ -609,8 +609,8 @@
 	if cold > 28 {
 		t.Fatalf("%d sent to a cold server in its first window", cold)
 	}
-	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 9, Since: f.now}})
-	f.until(f.now + f.g.set.Fall + ms)
+	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 9, StartedAt: f.now}})
+	f.until(f.now + f.g.cfg.ColdWindow + ms)
 	before := len(f.sent)
 	for i := 0; i < 200; i++ {
 		id++
@@ -664,7 +664,7 @@
 
 func TestWatchAgainAfterAFailedCall(t *testing.T) {
 	s := settings()
-	s.Subscribe, s.MustAsk = true, 10*time.Second
+	s.Subscribe, s.ListRefreshWithin = true, 10*time.Second
 	f := start(t, s, 2)
 	f.g.Servers(f.now, ListFailed, nil)
 	f.until(f.now + 5*time.Second)
@@ -684,10 +684,10 @@
 	n := len(f.trace)
 	f.g.Outcome(f.now, Outcome{ID: 77, Ending: Errored})
 	f.g.Outcome(f.now, Outcome{ID: 1, Attempt: 9, Ending: Errored})
-	f.g.Timer(f.now, 1<<40<<tagBits|tagFinal)
+	f.g.Timer(f.now, 1<<40<<tagBits|tagDeadline)
 	f.g.Timer(f.now, 1<<tagBits|tagHedge)
 	f.g.ClientGone(f.now, 1)
-	f.g.Streaming(f.now, 5, 0)
+	f.g.ResponseStarted(f.now, 5, 0)
 	if len(f.trace) != n {
 		t.Fatalf("%v", f.trace[n:])
 	}
@@ -697,11 +697,11 @@
 func storm(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := twoGateways()
-	s.SecondCopies = seed%2 == 0
+	s.Hedging = seed%2 == 0
 	s.Classes = []Class{s.Classes[0],
-		{Name: "pay", Aim: 700 * ms, Deadline: 2 * time.Second, Worth: 4, Effect: Keyed, Scope: ScopeCell, Window: time.Second},
-		{Name: "once", Aim: 700 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Unsafe}}
-	s.Plans = append(s.Plans, Plan{Name: "top", Rate: 30, Burst: 30, Price: 2, CeilingRate: 60, CeilingBurst: 60, Open: 8})
+		{Name: "pay", LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Value: 4, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: time.Second},
+		{Name: "once", LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Value: 2, Idempotency: NotIdempotent}}
+	s.Plans = append(s.Plans, Plan{Name: "top", Rate: 30, Burst: 30, ValueMultiplier: 2, HardLimitRate: 60, HardLimitBurst: 60, MaxInFlight: 8})
 	f := start(t, s, 8)
 	type open struct {
 		send
@@ -726,8 +726,8 @@
 			i := rng.IntN(len(out))
 			o := out[i]
 			out = append(out[:i], out[i+1:]...)
-			how := []Ending{Served, Served, Served, Errored, TurnedAway, NotConnected, ConnectionLost, TimedOut}[rng.IntN(8)]
-			if how != TurnedAway && how != NotConnected {
+			how := []Ending{Served, Served, Served, Errored, Rejected, NotConnected, ConnectionLost, TimedOut}[rng.IntN(8)]
+			if how != Rejected && how != NotConnected {
 				ran[o.id] = append(ran[o.id], o.send)
 			}
 			f.done(o.send, how, f.now-o.at)
@@ -739,7 +739,7 @@
 				off[sv] = f.now
 			}
 			f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: sv, State: state, Cell: int(sv) % 2, Zone: int(sv) % 2,
-				Since: Time(rng.IntN(2)) * f.now}})
+				StartedAt: Time(rng.IntN(2)) * f.now}})
 		case k == 17:
 			m := make([]byte, rng.IntN(40))
 			for i := range m {
@@ -783,7 +783,7 @@
 					}
 				}
 			}
-			if live > 0 && !s.SecondCopies {
+			if live > 0 && !s.Hedging {
 				t.Fatalf("seed %d: two attempts of %d out", seed, x.id)
 			}
 			for _, e := range ran[x.id] {
@@ -811,8 +811,8 @@
 	for _, o := range out {
 		f.done(o.send, TimedOut, f.now-o.at)
 	}
-	if len(f.g.requests) != 0 || len(f.g.open) != 0 {
-		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.g.requests), len(f.g.open))
+	if len(f.g.requests) != 0 || len(f.g.inFlight) != 0 {
+		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.g.requests), len(f.g.inFlight))
 	}
 	return f.trace
 }
@@ -832,8 +832,8 @@
 // A fleet with little to do whose answers are late by nature must not see a group cut for it.
 func TestLatenessOfAnIdleFleetCutsNothing(t *testing.T) {
 	s := settings()
-	s.Plans = append(s.Plans, Plan{Name: "dear", Rate: 1000, Burst: 1000, Price: 5})
-	s.SecondCopies = false
+	s.Plans = append(s.Plans, Plan{Name: "dear", Rate: 1000, Burst: 1000, ValueMultiplier: 5})
+	s.Hedging = false
 	f := start(t, s, 10)
 	for i := 1; i <= 60; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Plan = i % 2 })
@@ -852,12 +852,12 @@
 	for i := time.Duration(1); i <= 8; i++ {
 		f.g.PeerMessage(f.now, 1, message(i*time.Second, 5, 60))
 	}
-	c := f.g.byName[5]
+	c := f.g.customersByID[5]
 	_, fresh := f.g.demand(c)
 	f.g.now += time.Second
-	mass := c.told.pool[0]
+	mass := c.sharedDemand.pooled[0]
 	f.g.demand(c)
-	faded := c.told.pool[0]
+	faded := c.sharedDemand.pooled[0]
 	f.g.now += 10 * time.Second
 	mine, gone := f.g.demand(c)
 	if fresh < 50 || faded > mass/2 || gone > 2*mine {
@@ -868,7 +868,7 @@
 // A sick minority must not shrink what the sound servers may take.
 func TestSickServersKeepTheirOwnRoom(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
+	s.Hedging = false
 	f := start(t, s, 10)
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), nil)
@@ -888,8 +888,8 @@
 		f.sent = rest
 	}
 	for _, x := range f.g.servers {
-		if room := f.g.roomOf(x); x.ID <= 3 && room > roomStart || x.ID > 3 && room < roomStart {
-			t.Errorf("server %d: room %v, started at %v", x.ID, room, roomStart)
+		if room := f.g.capacityOf(x); x.ID <= 3 && room > initialCapacity || x.ID > 3 && room < initialCapacity {
+			t.Errorf("server %d: room %v, started at %v", x.ID, room, initialCapacity)
 		}
 	}
 }
@@ -920,11 +920,11 @@
 	f := start(t, settings(), 2)
 	for i := 10; i < 500; i++ {
 		f.now += 5 * time.Second
-		f.g.Servers(f.now, ListFull, []ServerInfo{{ID: ServerID(i), Since: f.now}})
+		f.g.Servers(f.now, ListFull, []ServerInfo{{ID: ServerID(i), StartedAt: f.now}})
 		f.ask(RequestID(i), nil)
 		f.done(f.sent[len(f.sent)-1], Served, ms)
 	}
-	if len(f.g.servers) > 3 || len(f.g.byID) > 3 {
+	if len(f.g.servers) > 3 || len(f.g.serversByID) > 3 {
 		t.Fatalf("%d servers remembered, one is listed", len(f.g.servers))
 	}
 }
@@ -952,25 +952,25 @@
 		f.ask(i, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, 0.05 })
 		f.until(f.now + 50*ms)
 	}
-	c := f.g.byName[5]
-	f.until(f.now + heardFor + 100*ms)
+	c := f.g.customersByID[5]
+	f.until(f.now + peerAliveFor + 100*ms)
 	f.g.refill(c, 0)
-	c.account = 0
+	c.balance = 0
 	f.now += 200 * ms
 	f.ask(99, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, 0 })
-	if got := c.account; got < 1.6 || got > 2.8 { // 0.3 s of 10 less what is still known of 4; a share would be half
+	if got := c.balance; got < 1.6 || got > 2.8 { // 0.3 s of 10 less what is still known of 4; a share would be half
 		t.Fatalf("refilled %v", got)
 	}
 }
 
 func TestStreamHasNoDeadlineOnceBegun(t *testing.T) {
 	s := settings()
-	s.Classes[0].Stream = true
+	s.Classes[0].Streaming = true
 	f := start(t, s, 4)
 	f.ask(1, nil)
 	f.ask(2, nil)
 	f.until(f.now + 100*ms)
-	f.g.Streaming(f.now, 1, 0)
+	f.g.ResponseStarted(f.now, 1, 0)
 	f.until(f.now + 5*time.Second)
 	if f.ended[1] != "" || f.ended[2] == "" || len(f.sent) != 2 {
 		t.Fatalf("ended %v, sent %v", f.ended, f.sent)
@@ -980,7 +980,7 @@
 // A plan with only a cap on what is out at once: the cap is split over the gateways, and frees with each answer.
 func TestOpenCapAlone(t *testing.T) {
 	s := twoGateways()
-	s.Plans[0] = Plan{Name: "cap", Open: 6, Price: 1, OverCost: 1}
+	s.Plans[0] = Plan{Name: "cap", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}
 	f := start(t, s, 30)
 	ask := func(from RequestID) int {
 		for i := from; i < from+10; i++ {
@@ -1001,11 +1001,11 @@
 // A prior is for one life of a listed server. It moves the guesses of pace and of room and nothing else.
 func TestPriorsMoveGuessesOnly(t *testing.T) {
 	s := settings()
-	s.SecondCopies = false
+	s.Hedging = false
 	f := start(t, s, 3)
 	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 3, State: Draining, Weight: 1}})
-	f.g.Learn(f.now, []Prior{{ID: 1, Pace: 30, Weight: 4}, {ID: 2, Since: 5 * time.Second, Pace: 30, Weight: 9},
-		{ID: 3, Pace: 0.1, Weight: 9}, {ID: 9, Pace: 0.1, Weight: 9}, {ID: 2, Pace: math.NaN(), Weight: 1, Room: 7}})
+	f.g.SetPriors(f.now, []Prior{{ID: 1, RelativeLatency: 30, Weight: 4}, {ID: 2, StartedAt: 5 * time.Second, RelativeLatency: 30, Weight: 9},
+		{ID: 3, RelativeLatency: 0.1, Weight: 9}, {ID: 9, RelativeLatency: 0.1, Weight: 9}, {ID: 2, RelativeLatency: math.NaN(), Weight: 1, Capacity: 7}})
 	for id := RequestID(1); id <= 4; id++ {
 		f.ask(id, func(*Request) {})
 	}
@@ -1017,12 +1017,12 @@
 	if len(f.sent) != 4 || len(f.g.servers) != 2 {
 		t.Errorf("%d sent, %d servers known", len(f.sent), len(f.g.servers))
 	}
-	if list := f.g.Observe(f.now); len(list) != 2 || list[0].Pace != 30 || list[1].Out != 4 || list[1].Answered != 0 {
+	if list := f.g.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 || list[1].LastServed != 0 {
 		t.Errorf("observed %+v", list)
 	}
 	f.until(f.now + 10*time.Second)
-	if list := f.g.Observe(f.now); list[0].Answers > 1 { // a guess fades as what was seen does
-		t.Errorf("after 10 s the prior still counts %.1f answers", list[0].Answers)
+	if list := f.g.Observe(f.now); list[0].LatencySamples > 1 { // a guess fades as what was seen does
+		t.Errorf("after 10 s the prior still counts %.1f answers", list[0].LatencySamples)
 	}
 }
 
@@ -1039,16 +1039,16 @@
 				for s := ServerID(1); s <= 6; s++ {
 					state := ServerState(rng.IntN(3))
 					up[s] = state == Ready
-					list = append(list, ServerInfo{ID: s, Weight: 1, State: state, Since: Time(rng.IntN(2)) * f.now})
+					list = append(list, ServerInfo{ID: s, Weight: 1, State: state, StartedAt: Time(rng.IntN(2)) * f.now})
 				}
 				f.g.Servers(f.now, ListFull, list)
 			case 1:
 				var list []Prior
 				for range 6 {
-					list = append(list, Prior{ID: ServerID(rng.IntN(9)), Since: Time(rng.IntN(2)) * f.now, Pace: rng.ExpFloat64(),
-						Weight: 10 * rng.Float64(), Room: 100 * rng.Float64(), Cold: rng.IntN(2) == 0})
+					list = append(list, Prior{ID: ServerID(rng.IntN(9)), StartedAt: Time(rng.IntN(2)) * f.now, RelativeLatency: rng.ExpFloat64(),
+						Weight: 10 * rng.Float64(), Capacity: 100 * rng.Float64(), ColdBudgetTaken: rng.IntN(2) == 0})
 				}
-				f.g.Learn(f.now, list)
+				f.g.SetPriors(f.now, list)
 			case 2:
 				f.until(f.now + Time(rng.IntN(300))*ms)
 			default:
@@ -1069,7 +1069,7 @@
 // what it did before, and not the little that a gateway would send which has never seen any of them work.
 func TestAllServersColdAfterAnOutage(t *testing.T) {
 	s := settings()
-	s.SecondCopies, s.Gateways = false, 4
+	s.Hedging, s.Gateways = false, 4
 	f := start(t, s, 4)
 	id := RequestID(0)
 	step := func(answered bool) (sent int) {
@@ -1090,7 +1090,7 @@
 	f.until(f.now + 20*time.Second)
 	var list []ServerInfo
 	for i := 1; i <= 4; i++ {
-		list = append(list, ServerInfo{ID: ServerID(i), Weight: 1, Since: f.now})
+		list = append(list, ServerInfo{ID: ServerID(i), Weight: 1, StartedAt: f.now})
 	}
 	f.g.Servers(f.now, ListFull, list)
 	sent := 0
--- a/policy/recall_test.go
+++ b/policy/recall_test.go
@@ -10,8 +10,8 @@
 // is the burst again.
 func TestRecalledUseIsNotGivenTwice(t *testing.T) {
 	s := settings()
-	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 20, Price: 1, OverCost: 1},
-		{Name: "utility", Rate: 2, Burst: 20, Price: 1, CeilingRate: 4, CeilingBurst: 40, CeilingSlack: 4}}
+	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 20, ValueMultiplier: 1, OverQuotaCost: 1},
+		{Name: "utility", Rate: 2, Burst: 20, ValueMultiplier: 1, HardLimitRate: 4, HardLimitBurst: 40, HardLimitSlack: 4}}
 	spend := func(f *fake, from RequestID) (in int) {
 		for id := from; id < from+60; id++ {
 			f.ask(id, func(r *Request) { r.Customer = 7 })
@@ -39,24 +39,24 @@
 	if in := spend(f, 1); in < 20 || in > 32 { // some go by chance beyond it
 		t.Fatalf("%d let in of a burst of 20", in)
 	}
-	kept := f.g.Uses(f.now, 0)
-	if len(kept) != 1 || kept[0].Account > 0 || kept[0].Account < -12 || kept[0].Customer != 7 {
+	kept := f.g.QuotaBalances(f.now, 0)
+	if len(kept) != 1 || kept[0].Balance > 0 || kept[0].Balance < -12 || kept[0].Customer != 7 {
 		t.Fatalf("kept: %+v", kept)
 	}
-	if later := f.g.Uses(f.now+time.Minute, f.now+1); len(later) != 0 {
+	if later := f.g.QuotaBalances(f.now+time.Minute, f.now+1); len(later) != 0 {
 		t.Errorf("nothing was asked for since, and kept are %+v", later)
 	}
-	kept[0].Account, kept[0].Since, kept[0].Away = 0, 3*time.Second, 2*time.Second
+	kept[0].Balance, kept[0].Age, kept[0].Downtime = 0, 3*time.Second, 2*time.Second
 	next := begin()
-	next.g.Recall(next.now, kept)
+	next.g.RestoreBalances(next.now, kept)
 	open(next)
 	if in := spend(next, 100); in < 6 || in > 12 {
 		t.Errorf("%d let in three seconds after all was drawn, at two a second", in)
 	}
-	utility := kept[0].Name | 1<<24
+	utility := kept[0].Key | 1<<24
 	next = begin()
-	next.g.Recall(next.now, []Use{{Name: utility, Account: 20, Away: 2 * time.Second}})
-	if got := next.g.byShort[utility].ceiling.Left; got != 8 {
+	next.g.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
+	if got := next.g.customersByKey[utility].hardLimit.Left; got != 8 {
 		t.Errorf("%v left under the ceiling two seconds after the former life's end, at four a second", got)
 	}
 	blank := begin()
@@ -65,8 +65,8 @@
 		t.Errorf("%d let in by one that recalls nothing", in)
 	}
 	odd := begin()
-	odd.g.Recall(odd.now, []Use{{Name: 255 << 24}, {Name: 5}, {Name: kept[0].Name, Account: 1e300, Since: time.Hour}})
-	if got := odd.g.byShort[kept[0].Name].account; got != 20 {
+	odd.g.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300, Age: time.Hour}})
+	if got := odd.g.customersByKey[kept[0].Key].balance; got != 20 {
 		t.Errorf("%v left of a burst of 20", got)
 	}
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -13,205 +13,207 @@
 // tally holds figures that the gateways add up by push-sum: what is put in here is own until it is told; pool is
 // this gateway's part of what all put in. All fade with one memory. A weight, where there is one, is the last of
 // the pool's figures: it fills towards 1, so figure / weight is the mean over the gateways.
-type tally struct {
-	own, pool [2]float64
-	at        Time
+type pushSum struct {
+	local, pooled [2]float64
+	decayedAt     Time
 }
 
-func (t *tally) fade(now Time, memory time.Duration, weight int) {
-	if now > t.at {
-		f := fading(now-t.at, memory)
-		for i := range t.own {
-			t.own[i] *= f
-			t.pool[i] *= f
+func (t *pushSum) decay(now Time, memory time.Duration, weight int) {
+	if now > t.decayedAt {
+		f := decayFactor(now-t.decayedAt, memory)
+		for i := range t.local {
+			t.local[i] *= f
+			t.pooled[i] *= f
 		}
 		if weight > 0 {
-			t.pool[weight] += 1 - f
+			t.pooled[weight] += 1 - f
 		}
-		t.at = now
+		t.decayedAt = now
 	}
 }
 
 // all estimates what all n gateways hold of a figure together.
-func (t *tally) all(figure, n int) float64 { return t.own[figure] + float64(n)*t.pool[figure] }
+func (t *pushSum) estimate(figure, n int) float64 {
+	return t.local[figure] + float64(n)*t.pooled[figure]
+}
 
 // split takes out what one peer is told, where so many are still to be told and n gateways share the figures.
 // Of what is own each of the n should end with an equal part; the pool is split evenly with those told.
-func (t *tally) split(left, n float64) (told [2]float64) {
-	for i := range t.own {
-		own := t.own[i] / left
-		told[i] = t.pool[i]/(left+1) + own*(1-1/n)
-		t.pool[i] += own/n - t.pool[i]/(left+1)
-		t.own[i] -= own
+func (t *pushSum) split(left, n float64) (told [2]float64) {
+	for i := range t.local {
+		own := t.local[i] / left
+		told[i] = t.pooled[i]/(left+1) + own*(1-1/n)
+		t.pooled[i] += own/n - t.pooled[i]/(left+1)
+		t.local[i] -= own
 	}
 	return told
 }
 
-func (t *tally) take(now Time, memory time.Duration, weight int, told [2]float64) {
-	t.fade(now, memory, weight)
+func (t *pushSum) merge(now Time, memory time.Duration, weight int, told [2]float64) {
+	t.decay(now, memory, weight)
 	for i := range told {
-		t.pool[i] += told[i]
+		t.pooled[i] += told[i]
 	}
 }
 
 type request struct {
 	Request
-	arrived   Time
-	attempts  int // sent so far
-	out       []*attempt
-	mayHave   []*attempt // those that may have run
-	tried     []*server
-	cust      *customer
-	closed    bool
-	streaming bool
-	over      bool
-	settled   bool // its true units are known
-	drawn     bool
-	waits     bool   // it is held and was never sent
-	kept      bool   // its units come out of the ceiling that its home keeps
-	home      int    // the gateway that keeps its quota; below 0: what is known here decides
-	asked     int    // so often
-	token     uint32 // names the question
+	arrivedAt    Time
+	attempts     int // sent so far
+	inFlight     []*attempt
+	mayHaveRun   []*attempt // those that may have run
+	tried        []*server
+	customer     *customer
+	closed       bool
+	streaming    bool
+	overQuota    bool
+	reconciled   bool // its true units are known
+	charged      bool
+	queued       bool   // it is held and was never sent
+	limitAtOwner bool   // its units come out of the ceiling that its home keeps
+	owner        int    // the gateway that keeps its quota; below 0: what is known here decides
+	queries      int    // so often
+	queryToken   uint32 // names the question
 }
 
 // hold notes whether a request is drawn and not yet sent: meanwhile its customer's stores must not fill up what is meant
 // for it, or more than they hold would go out at once.
-func (r *request) hold(yes bool) {
-	if r.waits == yes {
+func (r *request) setQueued(yes bool) {
+	if r.queued == yes {
 		return
 	}
-	if r.waits = yes; yes {
-		r.cust.coming, r.cust.waiting = r.cust.coming+r.Units, r.cust.waiting+1
+	if r.queued = yes; yes {
+		r.customer.reservedUnits, r.customer.queued = r.customer.reservedUnits+r.Units, r.customer.queued+1
 	} else {
-		r.cust.coming, r.cust.waiting = r.cust.coming-r.Units, r.cust.waiting-1
+		r.customer.reservedUnits, r.customer.queued = r.customer.reservedUnits-r.Units, r.customer.queued-1
 	}
 }
 
 type attempt struct {
-	req      *request
-	no       int
-	server   *server
-	sent     Time // later by as much as nothing is held against it for
-	chosen   Time // stays: what the window for repeats is counted from
-	open     int  // place in Gateway.open
-	passed   int  // so many sent later to its server have been answered
-	suspect  bool // it is out for far too long, and nothing has come from its server for as long
-	lost     bool // it holds no place at its server: passed and late, or its body is still coming
-	slowSeen bool // counted as slow, for the room
-	lateSeen bool // counted as late, for the aim
+	request     *request
+	number      int
+	server      *server
+	sentAt      Time // later by as much as nothing is held against it for
+	chosenAt    Time // stays: what the window for repeats is counted from
+	index       int  // place in Gateway.open
+	overtakenBy int  // so many sent later to its server have been answered
+	suspected   bool // it is out for far too long, and nothing has come from its server for as long
+	lost        bool // it holds no place at its server: passed and late, or its body is still coming
+	countedSlow bool // counted as slow, for the room
+	countedLate bool // counted as late, for the aim
 }
 
 type server struct {
 	ServerInfo
-	listed       bool
-	out          int
-	others       float64 // attempts that other gateways are taken to have out there
-	lost         int     // of them lost on the way
-	service      float64 // by its own word: how long a request takes without waiting, in seconds; 0: not told
-	serviceAt    Time    // when that came
-	pace         mean    // attempt latency over what such a request typically takes
-	fails        mean    // 1 for a failed attempt, 0 for a served one
-	spoilt       mean    // the same, of those that may have run
-	done         mean    // answers, as a rate
-	ejectedUntil Time
-	ejections    int
-	away         []Time // until when each group goes elsewhere, as it was turned away here
-	cold         ledger.Cold
-	room         float64 // attempts of ours that it may hold, 0: not yet known
-	suspects     int     // attempts there that are out for far too long, while nothing at all has come from there
-	row          int     // failures since it last served
-	answered     Time    // when it last served
-	served       int     // and how often it did
+	listed              bool
+	inFlight            int
+	othersInFlight      float64      // attempts that other gateways are taken to have out there
+	lost                int          // of them lost on the way
+	reportedServiceTime float64      // by its own word: how long a request takes without waiting, in seconds; 0: not told
+	reportedAt          Time         // when that came
+	relativeLatency     decayingMean // attempt latency over what such a request typically takes
+	failures            decayingMean // 1 for a failed attempt, 0 for a served one
+	wasted              decayingMean // the same, of those that may have run
+	answers             decayingMean // answers, as a rate
+	ejectedUntil        Time
+	ejections           int
+	rejectedUntil       []Time // until when each group goes elsewhere, as it was turned away here
+	coldBudget          ledger.Cold
+	capacity            float64 // attempts of ours that it may hold, 0: not yet known
+	suspectedAttempts   int     // attempts there that are out for far too long, while nothing at all has come from there
+	consecutiveFailures int     // failures since it last served
+	lastServed          Time    // when it last served
+	servedTotal         int     // and how often it did
 }
 
 type customer struct {
-	id       CustomerID
-	met      bool // a request of its own has come in here
-	plan     int
-	account  float64 // quota units left here; below zero: let in ahead of the refill
-	ceiling  ledger.Part
-	begun    bool    // its ceiling was full when the whole fleet began
-	coming   float64 // units of requests whose bodies are still coming, or that are held and were never sent
-	at       Time    // when both were last filled
-	demand   mean
-	out      int // attempts
-	waiting  int // requests that are held and were never sent
-	set      int
-	first    int
-	told     tally // units asked, and the weight
-	name     uint64
-	lastSeen Time
-	made     byte                      // when the record was made
-	used     float64                   // units first sent on from here, which only rises
-	back     float64                   // units that were fewer than guessed, to be taken off what is used next
-	question question                  // the last that a peer asked here
-	inside   bool                      // and its answer
-	untold   uint64                    // the peers that have not been told of the last of it, as bits by slot
-	heard    [2*tellPeers + 1]heardUse // by slot
+	id                CustomerID
+	seenHere          bool // a request of its own has come in here
+	plan              int
+	balance           float64 // quota units left here; below zero: let in ahead of the refill
+	hardLimit         ledger.Part
+	limitFilled       bool    // its ceiling was full when the whole fleet began
+	reservedUnits     float64 // units of requests whose bodies are still coming, or that are held and were never sent
+	refilledAt        Time    // when both were last filled
+	demand            decayingMean
+	inFlight          int // attempts
+	queued            int // requests that are held and were never sent
+	setSize           int
+	firstGateway      int
+	sharedDemand      pushSum // units asked, and the weight
+	key               uint64
+	lastSeen          Time
+	generation        byte                            // when the record was made
+	used              float64                         // units first sent on from here, which only rises
+	refundedUnits     float64                         // units that were fewer than guessed, to be taken off what is used next
+	lastQuery         ownerQuery                      // the last that a peer asked here
+	lastQueryAdmitted bool                            // and its answer
+	pendingPeers      uint64                          // the peers that have not been told of the last of it, as bits by slot
+	peers             [2*nearbyDistance + 1]peerUsage // by slot
 }
 
 // drew counts units as used; below 0: that so many were not.
-func (c *customer) drew(units float64) {
-	c.back -= units
-	if c.back < 0 {
-		c.used, c.back = c.used-c.back, 0
+func (c *customer) addUsed(units float64) {
+	c.refundedUnits -= units
+	if c.refundedUnits < 0 {
+		c.used, c.refundedUnits = c.used-c.refundedUnits, 0
 	}
 }
 
 // under tells whether units stay below a hard ceiling.
-func (c *customer) under(p Plan, units float64) bool {
-	return p.CeilingRate <= 0 || c.ceiling.Left >= units
+func (c *customer) withinHardLimit(p Plan, units float64) bool {
+	return p.HardLimitRate <= 0 || c.hardLimit.Left >= units
 }
 
 // heardUse is what a peer has told of its draws for a customer, and been told.
-type heardUse struct {
-	life  int // of the peer
-	at    Time
-	made  byte
-	used  float64
-	told  float64
-	out   byte // attempts that it has out
-	lacks byte // of its part of the ceiling, as it last told and was not answered
+type peerUsage struct {
+	incarnation int // of the peer
+	receivedAt  Time
+	generation  byte
+	used        float64
+	ownUsedSent float64
+	inFlight    byte // attempts that it has out
+	deficit     byte // of its part of the ceiling, as it last told and was not answered
 }
 
 type group struct {
-	v    float64
-	told tally // requests sent on and their latency, over all gateways
-	cut  bool
-	part float64
+	value         float64
+	latency       pushSum // requests sent on and their latency, over all gateways
+	shed          bool
+	capacityShare float64
 }
 
 // The figures of a group's tally.
 const (
-	groupQ = iota
-	groupR
+	groupRequests = iota
+	groupSeconds
 )
 
 // mean is a sum and a weight that fade together with time.
-type mean struct {
-	sum, n float64
-	at     Time
+type decayingMean struct {
+	sum, weight float64
+	decayedAt   Time
 }
 
-func (m *mean) fade(now Time, memory time.Duration) {
-	if now > m.at {
-		f := fading(now-m.at, memory)
+func (m *decayingMean) decay(now Time, memory time.Duration) {
+	if now > m.decayedAt {
+		f := decayFactor(now-m.decayedAt, memory)
 		m.sum *= f
-		m.n *= f
-		m.at = now
+		m.weight *= f
+		m.decayedAt = now
 	}
 }
 
-func (m *mean) add(now Time, memory time.Duration, x float64) {
-	m.fade(now, memory)
+func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
+	m.decay(now, memory)
 	m.sum += x
-	m.n++
+	m.weight++
 }
 
 // above is the mean, held near one where little is counted.
-func (m *mean) above() float64 { return (m.sum + 1) / (m.n + 1) }
+func (m *decayingMean) smoothed() float64 { return (m.sum + 1) / (m.weight + 1) }
 
-func (m *mean) count(now Time, memory time.Duration, yes bool) {
+func (m *decayingMean) addBool(now Time, memory time.Duration, yes bool) {
 	m.add(now, memory, 0)
 	if yes {
 		m.sum++
@@ -219,31 +221,31 @@
 }
 
 // fit is a straight line through what was seen of how long a request takes by its units, all fading with time.
-type fit struct{ n, u, uu, t, ut float64 }
+type decayingFit struct{ weight, units, unitsSquared, seconds, unitsSeconds float64 }
 
 // add takes in that so many units took so long, in seconds, after all before has faded by a factor.
-func (f *fit) add(fade, units, took float64) {
-	f.n = f.n*fade + 1
-	f.u, f.uu = f.u*fade+units, f.uu*fade+units*units
-	f.t, f.ut = f.t*fade+took, f.ut*fade+units*took
+func (f *decayingFit) add(fade, units, took float64) {
+	f.weight = f.weight*fade + 1
+	f.units, f.unitsSquared = f.units*fade+units, f.unitsSquared*fade+units*units
+	f.seconds, f.unitsSeconds = f.seconds*fade+took, f.unitsSeconds*fade+units*took
 }
 
 // of gives what so many units take, in seconds: the mean where all have been alike, and never less than an eighth of it.
-func (f *fit) of(units float64) float64 {
-	n := math.Max(f.n, 1e-9)
-	spread, slope := f.uu-f.u*f.u/n, 0.0
-	if spread > 1e-3*f.uu {
-		slope = math.Max(0, (f.ut-f.u*f.t/n)/spread)
+func (f *decayingFit) predict(units float64) float64 {
+	n := math.Max(f.weight, 1e-9)
+	spread, slope := f.unitsSquared-f.units*f.units/n, 0.0
+	if spread > 1e-3*f.unitsSquared {
+		slope = math.Max(0, (f.unitsSeconds-f.units*f.seconds/n)/spread)
 	}
-	return math.Max(f.t/n/8, f.t/n+slope*(units-f.u/n))
+	return math.Max(f.seconds/n/8, f.seconds/n+slope*(units-f.units/n))
 }
 
-func (s *server) load() float64 { return float64(s.out - s.lost) }
+func (s *server) load() float64 { return float64(s.inFlight - s.lost) }
 
 // untimed tells whether an attempt has no time to be held against it.
-func (a *attempt) untimed() bool { return a.req.streaming || a.req.Coming }
+func (a *attempt) untimed() bool { return a.request.streaming || a.request.BodyPending }
 
-func fading(age, memory time.Duration) float64 {
+func decayFactor(age, memory time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(memory))
 }
 
--- a/policy/report.go
+++ b/policy/report.go
@@ -3,19 +3,19 @@
 // What a gateway tells of itself. Nothing here chooses.
 
 // Own gives what this gateway has out at each server, and how its latest attempts there ended, where there is any of it.
-func (g *Gateway) Own(now Time) map[ServerID]Own {
-	g.tick(now)
-	own := map[ServerID]Own{}
+func (g *Gateway) OwnLoads(now Time) map[ServerID]OwnLoad {
+	g.advance(now)
+	own := map[ServerID]OwnLoad{}
 	for _, s := range g.servers {
-		s.spoilt.fade(now, 4*paceMemory*g.shortAim())
-		if s.spoilt.sum >= leastFails {
-			own[s.ID] = Own{Failed: s.spoilt.sum, Tried: s.spoilt.n}
+		s.wasted.decay(now, 4*latencyMemory*g.shortestTarget())
+		if s.wasted.sum >= minReportedFailures {
+			own[s.ID] = OwnLoad{Failures: s.wasted.sum, Attempts: s.wasted.weight}
 		}
 	}
-	for _, a := range g.open {
+	for _, a := range g.inFlight {
 		if !a.lost {
 			o := own[a.server.ID]
-			o.Out++
+			o.InFlight++
 			own[a.server.ID] = o
 		}
 	}
@@ -23,43 +23,43 @@
 }
 
 // Figures is what a gateway tells of itself to the people on call.
-type Figures struct {
-	Asked, Odd                      int // questions to homes; messages that made no sense
-	LeftOut, HomesSilent, NearHeard int // now: servers ejected, homes that don't answer, peers near by that are heard
-	Customers                       int // remembered
-	Listed, Held                    int // servers that may be sent to; requests that none may take yet
+type Stats struct {
+	OwnerQueries, InvalidMessages                int // questions to homes; messages that made no sense
+	EjectedServers, SuspectedOwners, NearbyAlive int // now: servers ejected, homes that don't answer, peers near by that are heard
+	Customers                                    int // remembered
+	ListedServers, QueuedRequests                int // servers that may be sent to; requests that none may take yet
 }
 
 // Figures gives the figures.
-func (g *Gateway) Figures(now Time) Figures {
-	g.tick(now)
-	f := Figures{Asked: int(g.lastAsk), Odd: g.odd, LeftOut: g.listed(g.ejected), Customers: len(g.customers),
-		Listed: g.present(), Held: len(g.held)}
-	for p, until := range g.silent {
-		if until > now && p != g.set.Me {
-			f.HomesSilent++
+func (g *Gateway) Stats(now Time) Stats {
+	g.advance(now)
+	f := Stats{OwnerQueries: int(g.lastQuery), InvalidMessages: g.invalidMessages, EjectedServers: g.countListed(g.ejected), Customers: len(g.customers),
+		ListedServers: g.listedServers(), QueuedRequests: len(g.queue)}
+	for p, until := range g.suspectedUntil {
+		if until > now && p != g.cfg.Self {
+			f.SuspectedOwners++
 		}
 	}
-	f.NearHeard = g.nearHeard()
+	f.NearbyAlive = g.nearbyAlive()
 	return f
 }
 
 // Observe gives what this gateway has seen of each listed server, in the order of the list.
 func (g *Gateway) Observe(now Time) []Observation {
-	g.tick(now)
+	g.advance(now)
 	list := make([]Observation, 0, len(g.servers))
 	for _, s := range g.servers {
 		if !s.listed {
 			continue
 		}
-		s.pace.fade(now, paceMemory*g.shortAim())
-		o := Observation{ID: s.ID, Since: s.Since, Answers: s.pace.n, Answered: s.answered, Served: s.served, Out: s.out,
-			Ejected: max(0, s.ejectedUntil-now), Room: s.room, Warmth: g.warmth(s)}
-		if s.pace.n > 0 {
-			o.Pace = s.pace.sum / s.pace.n
+		s.relativeLatency.decay(now, latencyMemory*g.shortestTarget())
+		o := Observation{ID: s.ID, StartedAt: s.StartedAt, LatencySamples: s.relativeLatency.weight, LastServed: s.lastServed, ServedTotal: s.servedTotal, InFlight: s.inFlight,
+			EjectedFor: max(0, s.ejectedUntil-now), Capacity: s.capacity, Warmth: g.warmth(s)}
+		if s.relativeLatency.weight > 0 {
+			o.RelativeLatency = s.relativeLatency.sum / s.relativeLatency.weight
 		}
-		for _, t := range s.cold.Sends {
-			if now-t <= g.set.Fall {
+		for _, t := range s.coldBudget.Sends {
+			if now-t <= g.cfg.ColdWindow {
 				o.ColdSends++
 			}
 		}
@@ -67,15 +67,15 @@
 	}
 	at := make(map[*server]*Observation, len(list))
 	for i := range list {
-		at[g.byID[list[i].ID]] = &list[i]
+		at[g.serversByID[list[i].ID]] = &list[i]
 	}
-	for _, a := range g.open {
-		o, out := at[a.server], now-a.sent
-		if o == nil || a.untimed() || a.passed >= passedBy || out.Seconds() <= overdue*g.expect(a.req) {
+	for _, a := range g.inFlight {
+		o, out := at[a.server], now-a.sentAt
+		if o == nil || a.untimed() || a.overtakenBy >= overtakenLimit || out.Seconds() <= overdueFactor*g.typicalLatency(a.request) {
 			continue
 		}
-		if o.Overdue++; a.sent >= o.Answered {
-			o.Silent = max(o.Silent, out)
+		if o.Overdue++; a.sentAt >= o.LastServed {
+			o.NoResponseFor = max(o.NoResponseFor, out)
 		}
 	}
 	return list
--- a/policy/settle_test.go
+++ b/policy/settle_test.go
@@ -10,8 +10,8 @@
 // the guess.
 func TestTrueUnitsAreSettledOnce(t *testing.T) {
 	s := settings()
-	s.LargestUnits = 6
-	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, Price: 1, OverCost: 1, CeilingRate: 1, CeilingBurst: 60}}
+	s.MaxUnits = 6
+	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 1, HardLimitBurst: 60}}
 	for _, c := range []struct {
 		told []float64
 		left float64
@@ -25,9 +25,9 @@
 		if before, ceiling = f.left(5); math.Abs(before-38) > 0.01 {
 			t.Fatalf("%v left after a guess of 2", before)
 		}
-		f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Closed: true, Units: c.told[0]})
+		f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: c.told[0]})
 		for _, units := range c.told[1:] { // as a second copy's answer would
-			f.g.trueUp(r, units)
+			f.g.reconcileUnits(r, units)
 		}
 		if left, after := f.left(5); math.Abs(left-c.left) > 0.01 || after != ceiling {
 			t.Errorf("told %v: %v left, should be %v; ceiling %v, was %v", c.told, left, c.left, after, ceiling)
@@ -38,12 +38,12 @@
 // An answer that comes after its client has left settles all the same.
 func TestTrueUnitsOfALateAnswer(t *testing.T) {
 	s := settings()
-	s.LargestUnits, s.SecondCopies = 6, false
-	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, Price: 1, OverCost: 1}}
+	s.MaxUnits, s.Hedging = 6, false
+	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := start(t, s, 2)
 	f.ask(1, func(r *Request) { r.Customer, r.Units = 5, 2 })
 	f.g.ClientGone(f.now, 1)
-	f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Closed: true, Units: 5})
+	f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: 5})
 	if left, _ := f.left(5); math.Abs(left-35) > 0.01 {
 		t.Errorf("%v left of 40 where 5 were drawn", left)
 	}
@@ -53,8 +53,8 @@
 // home does.
 func TestTrueUnitsReachTheOthers(t *testing.T) {
 	s := settings()
-	s.Peers, s.PeerIntake, s.SecondCopies, s.LargestUnits = true, 100, false, 6
-	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 200, Price: 1, OverCost: 1}}
+	s.Peers, s.PeerMessageRate, s.Hedging, s.MaxUnits = true, 100, false, 6
+	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 200, ValueMultiplier: 1, OverQuotaCost: 1}}
 	for name, set := range map[string]int{"near": 2, "home": 10} {
 		for _, units := range []float64{1, 5} {
 			f := newFleet(t, s, 10, 4)
@@ -67,13 +67,13 @@
 				f.run(100*ms, func() {})
 			}
 			f.run(time.Second, func() {})
-			c := f.nodes[1].g.byShort[tellName(77, 0, 0, set)]
-			if set > tellPeers+1 {
-				home := f.nodes[0].g.byName[77]
-				c = f.nodes[f.nodes[0].g.homeOf(home, 0)].g.byShort[atHome(home.name, f.nodes[0].g.homeOf(home, 0))]
+			c := f.nodes[1].g.customersByKey[customerKey(77, 0, 0, set)]
+			if set > nearbyDistance+1 {
+				home := f.nodes[0].g.customersByID[77]
+				c = f.nodes[f.nodes[0].g.ownerCandidate(home, 0)].g.customersByKey[ownerKey(home.key, f.nodes[0].g.ownerCandidate(home, 0))]
 			}
-			if c == nil || math.Abs(c.account-(200-20*units)) > 6 {
-				t.Errorf("%s: %+v left of 200 where 20 times %v were drawn", name, c.account, units)
+			if c == nil || math.Abs(c.balance-(200-20*units)) > 6 {
+				t.Errorf("%s: %+v left of 200 where 20 times %v were drawn", name, c.balance, units)
 			}
 		}
 	}
--- a/policy/silent_test.go
+++ b/policy/silent_test.go
@@ -10,8 +10,8 @@
 // of what was lost, and a jam in which nothing comes gets no more than these.
 func TestRoomIsFoundAgainAfterASilence(t *testing.T) {
 	s := settings()
-	s.SecondCopies, s.Cancel = false, false
-	s.Classes[0].Aim, s.Classes[0].Deadline = time.Second, 20*time.Second
+	s.Hedging, s.Cancel = false, false
+	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = time.Second, 20*time.Second
 	f := start(t, s, 4)
 	id, silent, done, lost := RequestID(0), false, map[send]bool{}, map[send]bool{}
 	run := func(d time.Duration) (sent, served int) {
--- a/policy/width_test.go
+++ b/policy/width_test.go
@@ -11,9 +11,9 @@
 func TestSharedSlowdownLeavesTheCoresBusy(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		s := settings()
-		s.SecondCopies = false
-		if s.Classes[0].Aim = time.Second; reports {
-			s.Reports = []string{"inflight", "latency_ms"}
+		s.Hedging = false
+		if s.Classes[0].LatencyTarget = time.Second; reports {
+			s.LoadReportFields = []string{"inflight", "latency_ms"}
 		}
 		f := start(t, s, 3)
 		id, slow := RequestID(0), 1.0
@@ -37,8 +37,8 @@
 			for _, x := range f.sent[max(0, seen-500):] {
 				if at, out := due[x]; out && at <= f.now {
 					delete(due, x)
-					f.g.Outcome(f.now, Outcome{ID: x.id, Attempt: x.no, Server: x.to, Elapsed: f.now - x.at, Ending: Served, Closed: true,
-						Report: []float32{0, float32(slow * work.Seconds() * 1000)}})
+					f.g.Outcome(f.now, Outcome{ID: x.id, Attempt: x.no, Server: x.to, Elapsed: f.now - x.at, Ending: Served, Answered: true,
+						LoadReport: []float32{0, float32(slow * work.Seconds() * 1000)}})
 				}
 			}
 		}
@@ -50,10 +50,10 @@
 		for k := range 1000 {
 			step()
 			if k > 300 {
-				least = min(least, f.g.roomFor())
+				least = min(least, f.g.totalCapacity())
 			}
 		}
-		t.Logf("reports %v: width %.1f, room %.1f at least", reports, f.g.width, least)
+		t.Logf("reports %v: width %.1f, room %.1f at least", reports, f.g.serverConcurrency, least)
 		if got := least >= 3*3; got != reports {
 			t.Errorf("reports %v: room for %.1f at least on 12 cores", reports, least)
 		}
@@ -65,7 +65,7 @@
 func TestRoomsOpenUntilAnAnswerIsSlow(t *testing.T) {
 	grown := func(slowFirst bool) float64 {
 		s := settings()
-		s.SecondCopies = false
+		s.Hedging = false
 		f := start(t, s, 2)
 		id := RequestID(0)
 		answer := func(took time.Duration) (n int) {
@@ -84,9 +84,9 @@
 		if slowFirst {
 			answer(400 * ms)
 		}
-		was := f.g.roomFor()
+		was := f.g.totalCapacity()
 		n := answer(10 * ms)
-		return (f.g.roomFor() - was) / float64(n)
+		return (f.g.totalCapacity() - was) / float64(n)
 	}
 	if fast, slow := grown(false), grown(true); fast < 2.5*slow || slow <= 0 {
 		t.Errorf("the room grew by %.2f an answer before and by %.2f after one was slow", fast, slow)
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -11,12 +11,12 @@
 // What stood still has not moved the window in which a repeat is dropped: the members' clocks went on.
 func TestStandstillLeavesTheWindow(t *testing.T) {
 	s := settings()
-	s.Classes[0].Effect, s.Classes[0].Window, s.SecondCopies = Keyed, time.Second, false
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Hedging = IdempotentByKey, time.Second, false
 	f := start(t, s, 2)
 	f.ask(1, nil)
 	require.Len(t, f.sent, 1)
 	f.now += 1100 * ms
-	f.g.Woke(f.now, 1100*ms)
+	f.g.Resumed(f.now, 1100*ms)
 	f.done(f.sent[0], ConnectionLost, time.Second)
 	assert.Len(t, f.sent, 1)
 	assert.Equal(t, "failed", f.ended[1])
@@ -25,10 +25,10 @@
 // A client leaves while its request is held for a cold member's turn: when the turn comes it is another's.
 func TestHeldRequestWhoseClientLeft(t *testing.T) {
 	s := settings()
-	s.Gateways, s.FallMultiple, s.SecondCopies = 3, 0.001, false
+	s.Gateways, s.ColdMultiple, s.Hedging = 3, 0.001, false
 	f := start(t, s, 0)
-	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 1, Weight: 1, Since: f.now}})
-	f.g.byID[1].cold.Turn = 0
+	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 1, Weight: 1, StartedAt: f.now}})
+	f.g.serversByID[1].coldBudget.Turn = 0
 	for id := range RequestID(3) {
 		f.ask(id+1, func(r *Request) { r.Deadline = f.now + time.Minute; r.Class = 0 })
 	}
@@ -40,7 +40,7 @@
 		}
 	}
 	require.Positive(t, held, "what can't be sent yet is held")
-	f.g.byID[1].cold.Turn = 1
+	f.g.serversByID[1].coldBudget.Turn = 1
 	f.until(f.now + 100*ms)
 	assert.Empty(t, f.sent)
 }
