--- a/internal/gateway/proxy/random_test.go
+++ b/internal/gateway/proxy/random_test.go
@@ -30,21 +30,21 @@
 
 // randomExchange is one exchange.
 type randomExchange struct {
-	route       string
-	deadlineMs  time.Duration // 0: nothing
-	leavesAfter time.Duration // 0: the client stays
-	body        int
-	behind      string
-	script      []fake.Reply
-	rejections  atomic.Int64 // attempts that servers say they did not run
-	latency     time.Duration
+	route          string
+	clientDeadline time.Duration // 0: nothing
+	leavesAfter    time.Duration // 0: the client stays
+	body           int
+	behind         string
+	script         []fake.Reply
+	rejections     atomic.Int64 // attempts that servers say they did not run
+	latency        time.Duration
 }
 
 func drawExchange(seed uint64) *randomExchange {
 	r := rand.New(rand.NewPCG(seed, 7))
 	d := &randomExchange{route: []string{"safe", "unsafe", "stream", "resume"}[r.IntN(4)], body: 8, latency: time.Duration(1+r.IntN(30)) * time.Millisecond}
 	if r.IntN(2) == 0 {
-		d.deadlineMs = time.Duration(100+r.IntN(4000)) * time.Millisecond
+		d.clientDeadline = time.Duration(100+r.IntN(4000)) * time.Millisecond
 	}
 	if r.IntN(2) == 0 {
 		d.leavesAfter = time.Duration(1+r.IntN(3000)) * time.Millisecond
@@ -97,7 +97,7 @@
 }
 
 func (d *randomExchange) most() time.Duration {
-	return min(routeTimeout, cmp.Or(d.deadlineMs, routeTimeout))
+	return min(routeTimeout, cmp.Or(d.clientDeadline, routeTimeout))
 }
 
 // exchange plays one exchange and checks it.
@@ -106,13 +106,13 @@
 	g.play(6, d.script, func(w *virtualTimeGateway) {
 		w.setLatency(d.latency)
 		told := ""
-		if d.deadlineMs > 0 {
-			told = strconv.FormatInt(d.deadlineMs.Milliseconds(), 10)
+		if d.clientDeadline > 0 {
+			told = strconv.FormatInt(d.clientDeadline.Milliseconds(), 10)
 		}
 		conn := w.send(d.route, told, strings.Repeat("b", d.body), d.behind)
 		defer conn.Close()
 		w.began = time.Now()
-		what := fmt.Sprintf("FIRST=%d SEEDS=1: %s, told %v, leaves after %v", seed, d.route, d.deadlineMs, d.leavesAfter)
+		what := fmt.Sprintf("FIRST=%d SEEDS=1: %s, told %v, leaves after %v", seed, d.route, d.clientDeadline, d.leavesAfter)
 		if d.leavesAfter == 0 {
 			_, _ = io.Copy(io.Discard, throughFirstResponse(conn))
 			assert.LessOrEqual(w.check, time.Since(w.began), d.most()+ruleMargin/2, what)
