--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -57,6 +57,7 @@
 // currentMembers returns the list of processes, or nil before the first.
 func (a *admitter) currentMembers() *protocol.MemberList { return a.members() }
 
+// now returns the time since the process started, by its monotonic clock.
 func (a *admitter) now() time.Duration { return time.Since(a.origin) }
 
 // Configure applies a configuration.
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -122,6 +122,7 @@
 	return sortedTotals(delta)
 }
 
+// sortedTotals returns counts in a fixed order: by route, then by outcome.
 func sortedTotals(counts map[key]uint64) []RouteCount {
 	list := make([]RouteCount, 0, len(counts))
 	for one, count := range counts {
--- a/internal/gateway/proxy/admission.go
+++ b/internal/gateway/proxy/admission.go
@@ -38,6 +38,7 @@
 	RetryAfter time.Duration
 }
 
+// outcome returns how a rejected request is counted.
 func (r Rejection) outcome() outcomes.Outcome {
 	if r.Status == http.StatusTooManyRequests {
 		return outcomes.RejectedQuota
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -49,6 +49,7 @@
 	return nil
 }
 
+// bodyTooLarge returns the response to a request whose body exceeds the limit.
 func bodyTooLarge() *errorResponse {
 	return &errorResponse{status: http.StatusRequestEntityTooLarge, message: "body: too long", closeConnection: true}
 }
--- a/internal/gateway/proxy/gateway_responses.go
+++ b/internal/gateway/proxy/gateway_responses.go
@@ -23,6 +23,7 @@
 	closeConnection bool // the end of the request can't be relied on, or the process exits
 }
 
+// write sends the response.
 func (e *errorResponse) write(w http.ResponseWriter) {
 	if e.closeConnection {
 		w.Header().Set("Connection", "close")
--- a/internal/gateway/proxy/validation.go
+++ b/internal/gateway/proxy/validation.go
@@ -70,6 +70,7 @@
 	return resp.StatusCode >= http.StatusMultipleChoices || len(signatures) == 1 && signatures[0] != ""
 }
 
+// isEventStream reports whether a response is a stream of server-sent events.
 func isEventStream(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get(headerContentType), contentEventStream)
 }
--- a/internal/gateway/quotaclient/limiter.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -88,6 +88,7 @@
 	}
 }
 
+// now returns the time since the limiter was made, by the process's monotonic clock.
 func (l *Limiter) now() time.Duration { return time.Since(l.origin) }
 
 // Configure applies a configuration.
--- a/internal/gateway/serverselection/reservation.go
+++ b/internal/gateway/serverselection/reservation.go
@@ -66,6 +66,7 @@
 	r.state.lastProgress = now
 }
 
+// endWaiting takes the request out of those that await their first response. mu is held.
 func (r *Reservation) endWaiting() {
 	r.waiting = false
 	r.state.awaitingFirst--
--- a/internal/gateway/serverselection/workload.go
+++ b/internal/gateway/serverselection/workload.go
@@ -47,6 +47,7 @@
 	return w
 }
 
+// parseTokens parses a number of tokens; 0 if it is malformed.
 func parseTokens(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
--- a/internal/gateway/subscription/confirmation.go
+++ b/internal/gateway/subscription/confirmation.go
@@ -18,6 +18,7 @@
 	confirmedAt time.Time // when the last poll was sent whose answer confirmed the state
 }
 
+// newPollState returns the state at the beginning of a subscription, which counts as confirmed.
 func newPollState(now time.Time) pollState { return pollState{confirmedAt: now} }
 
 // handlePollAnswer takes in what the answer to a poll says of the control process's state, after its update was
--- a/internal/gateway/subscription/connection.go
+++ b/internal/gateway/subscription/connection.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// sleep waits for a time or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/gateway/subscription/subscription.go
+++ b/internal/gateway/subscription/subscription.go
@@ -62,6 +62,7 @@
 // New returns a subscription without any state. Run keeps it up to date.
 func New(opt Options) *Subscription { return newAt(opt, time.Now()) }
 
+// newAt is New at a given time, for simulations.
 func newAt(opt Options, now time.Time) *Subscription {
 	opt.Transport.Identity.System = protocol.System
 	s := &Subscription{opt: opt, origin: now, wake: make(chan struct{}, 1), confirmed: make(chan struct{}),
--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -119,6 +119,7 @@
 	return list
 }
 
+// sendBacklogs sends a datagram of backlogs, if there are any.
 func (s *Sharing) sendBacklogs(k kind, list []backlog, to []netip.AddrPort) {
 	if len(list) == 0 {
 		return
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -44,6 +44,7 @@
 	updatedAt time.Time
 }
 
+// decayTo decays the sums to a moment.
 func (f *decayingResults) decayTo(now time.Time) {
 	if left := math.Exp(-float64(now.Sub(f.updatedAt)) / float64(resultsDecay)); left < 1 {
 		f.Served *= left
--- a/internal/serverload/sharing.go
+++ b/internal/serverload/sharing.go
@@ -125,6 +125,7 @@
 	s.sendReports(kindRemote, local, known.remoteAggregators)
 }
 
+// sendReports sends a datagram of reports, if there are any.
 func (s *Sharing) sendReports(k kind, reports []Report, to []netip.AddrPort) {
 	if len(reports) == 0 || len(to) == 0 {
 		return
--- a/internal/serverload/targets.go
+++ b/internal/serverload/targets.go
@@ -95,4 +95,5 @@
 	return aggregators
 }
 
+// weight returns a gateway's weight among the gateways of its zone.
 func weight(process protocol.Process) uint64 { return xxhash.Sum64String(process.Node) }
