--- a/internal/gateway/batchproxy/caller_test.go
+++ b/internal/gateway/batchproxy/caller_test.go
@@ -72,10 +72,10 @@
 	}
 	say := func(one attempt) func() attempt { return func() attempt { return one } }
 	Convey("If one doesn't answer another is asked, and its answer counts", t, func() {
-		silent := make(chan struct{})
-		defer close(silent)
+		neverClosed := make(chan struct{})
+		defer close(neverClosed)
 		answer, decided, _ := run(map[string]func() attempt{
-			"a": func() attempt { <-silent; return attempt{} },
+			"a": func() attempt { <-neverClosed; return attempt{} },
 			"b": say(attempt{answer: protocol.BatchAnswer{Owner: "c"}}),
 			"c": say(answered(http.StatusAccepted)),
 		})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,19 +25,19 @@
 type fakeControl struct {
 	server *transport.Server
 
-	mu     sync.Mutex
-	update protocol.Update // the answer to a poll
-	silent bool
-	polls  int
+	mu       sync.Mutex
+	update   protocol.Update // the answer to a poll
+	timesOut bool
+	polls    int
 }
 
 func (h *fakeControl) handle(ctx context.Context, _ *transport.Session, message any) (any, error) {
 	poll := message.(protocol.Poll)
 	h.mu.Lock()
-	update, silent := h.update, h.silent
+	update, timesOut := h.update, h.timesOut
 	h.polls++
 	h.mu.Unlock()
-	if silent {
+	if timesOut {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -187,7 +187,7 @@
 		first := startControl(t, "127.0.0.1", port, update)
 		g, settings, ended := startGateway(t, port, 1200*time.Millisecond, "127.0.0.1", "127.0.0.2")
 		So(eventually(func() bool { return ready(settings) }), ShouldBeTrue)
-		first.set(func() { first.silent = true })
+		first.set(func() { first.timesOut = true })
 		So(eventually(func() bool { return !ready(settings) }), ShouldBeTrue)
 		status, _ := ask(settings, "k")
 		So(status, ShouldEqual, 503)
--- a/internal/gateway/proxy/authentication_test.go
+++ b/internal/gateway/proxy/authentication_test.go
@@ -17,7 +17,7 @@
 func (r *leaseRenewedAfterLookup) Configuration() *configuration.Snapshot {
 	held := r.fakeControl.Configuration()
 	if r.looks++; r.looks == 2 { // the first read only checks whether there is one
-		r.fakeControl.lapsed.Store(false)
+		r.fakeControl.leaseExpired.Store(false)
 	}
 	return held
 }
@@ -25,7 +25,7 @@
 func TestKeyLeaseBeforeConfiguration(t *testing.T) {
 	Convey("A lease that is renewed after the configuration was read doesn't cover that configuration", t, func() {
 		r := startGateway(t, 1, good)
-		r.control.lapsed.Store(true)
+		r.control.leaseExpired.Store(true)
 		r.proxy.Control = &leaseRenewedAfterLookup{fakeControl: r.control}
 		So(r.ask("POST", "/unsafe/x").status, ShouldEqual, 503)
 		So(r.seen(), ShouldBeEmpty)
--- a/internal/gateway/proxy/deadline_test.go
+++ b/internal/gateway/proxy/deadline_test.go
@@ -21,21 +21,21 @@
 )
 
 // requestWithDeadline is a request with an X-Deadline-Ms, on a route with a time-out.
-func requestWithDeadline(told string, operation protocol.BatchOperation, timeoutMs float64) *request {
+func requestWithDeadline(deadlineMs string, operation protocol.BatchOperation, timeoutMs float64) *request {
 	r, _ := http.NewRequest(http.MethodPost, "http://h.example/safe/x", nil)
 	r.RequestURI = "/safe/x"
-	if told != "" {
-		r.Header.Set(headerDeadline, told)
+	if deadlineMs != "" {
+		r.Header.Set(headerDeadline, deadlineMs)
 	}
 	return &request{r: r, route: &configuration.Route{TimeoutMs: timeoutMs}, operation: operation, arrived: time.Now(),
 		proxy: &Proxy{}, tenant: &configuration.Tenant{Name: testTenant}}
 }
 
 func TestTimeLimit(t *testing.T) {
-	for told, want := range map[string]time.Duration{
+	for deadlineMs, want := range map[string]time.Duration{
 		"": 3000, "2000": 2000, "4000": 3000, "0": 0, "5": 0, "-1": 3000, "soon": 3000, "1e3": 3000, "99999999999999999999": 3000,
 	} {
-		assert.Equal(t, max(0, want*time.Millisecond-transitMargin), requestWithDeadline(told, 0, 3000).timeLimit(), told)
+		assert.Equal(t, max(0, want*time.Millisecond-transitMargin), requestWithDeadline(deadlineMs, 0, 3000).timeLimit(), deadlineMs)
 	}
 	assert.Equal(t, time.Second-transitMargin, requestWithDeadline("1000", 0, 0).timeLimit())
 	assert.Equal(t, defaultClientTimeout-transitMargin, requestWithDeadline("", 0, 0).timeLimit(), "a route without a time-out")
@@ -47,9 +47,9 @@
 // TestForwardedDeadline checks that each attempt forwards the time that is left when it is written: never more than the
 // client waits, nor than its route allows.
 func TestForwardedDeadline(t *testing.T) {
-	for told, most := range map[string]time.Duration{"2000": 2 * time.Second, "": 3 * time.Second, "60000": 3 * time.Second} {
+	for deadlineMs, limit := range map[string]time.Duration{"2000": 2 * time.Second, "": 3 * time.Second, "60000": 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			q := requestWithDeadline(told, 0, 3000)
+			q := requestWithDeadline(deadlineMs, 0, 3000)
 			q.deadline = q.arrived.Add(q.timeLimit())
 			q.headerLines = forwardedHeaders(q.r.Header)
 			for _, later := range []time.Duration{0, 700 * time.Millisecond, 600 * time.Millisecond} {
@@ -61,7 +61,7 @@
 				require.Len(t, seen.Header[headerDeadline], 1)
 				handed, err := strconv.Atoi(seen.Header.Get(headerDeadline))
 				require.NoError(t, err)
-				assert.Equal(t, most-transitMargin-time.Since(q.arrived), time.Duration(handed)*time.Millisecond)
+				assert.Equal(t, limit-transitMargin-time.Since(q.arrived), time.Duration(handed)*time.Millisecond)
 			}
 		})
 	}
--- a/internal/gateway/proxy/disconnect_test.go
+++ b/internal/gateway/proxy/disconnect_test.go
@@ -85,13 +85,13 @@
 
 // reportsConnectionEnd reports that a request has arrived, writes a text, and then reports how the connection ended:
 // io.EOF or a reset if the gateway closed it.
-func reportsConnectionEnd(arrived chan<- bool, heard chan<- error, text string) fake.Reply {
+func reportsConnectionEnd(arrived chan<- bool, connectionEnd chan<- error, text string) fake.Reply {
 	return func(_ *fake.Peer, c net.Conn, s fake.Seen) bool {
 		io.WriteString(c, strings.ReplaceAll(text, "ID", s.Header.Get("X-Request-Id")))
 		arrived <- true
 		_, err := c.Read(make([]byte, 1))
-		if heard != nil {
-			heard <- err
+		if connectionEnd != nil {
+			connectionEnd <- err
 		}
 		return false
 	}
@@ -113,8 +113,8 @@
 		for _, route := range []string{"safe", "unsafe", "stream", "resume"} {
 			for _, behind := range []string{"", pipelined} {
 				Convey(name+" on "+route+", "+behind[:min(4, len(behind))], t, func() {
-					arrived, heard := make(chan bool), make(chan error, 1)
-					r := startGateway(t, 2, reportsConnectionEnd(arrived, heard, text), good)
+					arrived, connectionEnd := make(chan bool), make(chan error, 1)
+					r := startGateway(t, 2, reportsConnectionEnd(arrived, connectionEnd, text), good)
 					conn := r.send("POST", "/"+route+"/x", "the body")
 					<-arrived
 					if strings.Contains(text, eventText(1)) {
@@ -123,7 +123,7 @@
 					io.WriteString(conn, behind)
 					So(conn.Close(), ShouldBeNil)
 					var timeout net.Error
-					err := <-heard
+					err := <-connectionEnd
 					So(err, ShouldNotBeNil)
 					So(errors.As(err, &timeout) && timeout.Timeout(), ShouldBeFalse)
 					r.awaitHandled(1)
--- a/internal/gateway/proxy/random_test.go
+++ b/internal/gateway/proxy/random_test.go
@@ -105,11 +105,11 @@
 	d := drawExchange(seed)
 	g.play(6, d.script, func(w *virtualTimeGateway) {
 		w.setLatency(d.latency)
-		told := ""
+		deadlineMs := ""
 		if d.clientDeadline > 0 {
-			told = strconv.FormatInt(d.clientDeadline.Milliseconds(), 10)
+			deadlineMs = strconv.FormatInt(d.clientDeadline.Milliseconds(), 10)
 		}
-		conn := w.send(d.route, told, strings.Repeat("b", d.body), d.behind)
+		conn := w.send(d.route, deadlineMs, strings.Repeat("b", d.body), d.behind)
 		defer conn.Close()
 		w.began = time.Now()
 		what := fmt.Sprintf("FIRST=%d SEEDS=1: %s, told %v, leaves after %v", seed, d.route, d.clientDeadline, d.leavesAfter)
@@ -163,8 +163,8 @@
 func TestRandomExchanges(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	count := uint64(defaultExchanges)
-	if told, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64); err == nil {
-		count = told
+	if deadlineMs, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64); err == nil {
+		count = deadlineMs
 	}
 	for seed := first; seed < first+count && !t.Failed(); seed++ {
 		ruleCheck{T: t, check: t}.exchange(seed)
--- a/internal/gateway/proxy/reconfiguration_test.go
+++ b/internal/gateway/proxy/reconfiguration_test.go
@@ -83,7 +83,7 @@
 	},
 	"its server drains":          func(r *testGateway) { r.changeServers(func(one *protocol.Server) { one.Draining = true }) },
 	"its server leaves the list": func(r *testGateway) { r.registry.Apply(&protocol.ServerList{Version: 2}) },
-	"the key lease expires":      func(r *testGateway) { r.control.lapsed.Store(true) },
+	"the key lease expires":      func(r *testGateway) { r.control.leaseExpired.Store(true) },
 }
 
 // changeConfiguration puts a changed configuration in force.
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -94,7 +94,7 @@
 	})
 	Convey("Without a configuration, or once the key lease has expired, nothing goes to a server", t, func() {
 		r := startGateway(t, 1, good)
-		r.control.lapsed.Store(true)
+		r.control.leaseExpired.Store(true)
 		got := r.ask("POST", "/unsafe/x")
 		So(got.status, ShouldEqual, 503)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
@@ -105,13 +105,13 @@
 	})
 	Convey("No wait for control outlasts the client", t, func() {
 		r := startGateway(t, 1, good)
-		for told, want := range map[string]time.Duration{"60": 60 * time.Millisecond, "9000": denialWait, "": denialWait} {
-			So(r.ask("POST", "/nowhere/x", "X-Deadline-Ms", told).status, ShouldEqual, 404)
+		for deadlineMs, want := range map[string]time.Duration{"60": 60 * time.Millisecond, "9000": denialWait, "": denialWait} {
+			So(r.ask("POST", "/nowhere/x", "X-Deadline-Ms", deadlineMs).status, ShouldEqual, 404)
 			So(r.control.waited, ShouldEqual, want)
 		}
 		r.control.configuration.Store(nil)
-		for told, want := range map[string]time.Duration{"60": 60 * time.Millisecond, "9000": firstConfigurationWait, "": firstConfigurationWait} {
-			got := r.ask("POST", "/unsafe/x", "X-Deadline-Ms", told)
+		for deadlineMs, want := range map[string]time.Duration{"60": 60 * time.Millisecond, "9000": firstConfigurationWait, "": firstConfigurationWait} {
+			got := r.ask("POST", "/unsafe/x", "X-Deadline-Ms", deadlineMs)
 			So(got.status, ShouldEqual, 503)
 			So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 			So(r.control.waited, ShouldEqual, want)
@@ -137,7 +137,7 @@
 }
 
 func (l admitThenExpireLease) Admit(context.Context, AdmissionRequest) Rejection {
-	l.knowledge.lapsed.Store(true)
+	l.knowledge.leaseExpired.Store(true)
 	return Rejection{}
 }
 
@@ -183,7 +183,7 @@
 	})
 	Convey("Without a valid key lease they are rejected", t, func() {
 		r := startGateway(t, 1, good)
-		r.control.lapsed.Store(true)
+		r.control.leaseExpired.Store(true)
 		So(r.ask("POST", "/lots/abc").status, ShouldEqual, 503)
 		So(r.batch.calls, ShouldBeEmpty)
 	})
@@ -243,7 +243,7 @@
 		q.history.Idempotent = true
 		q.history.Record(retry.Lost)
 		So(q.maySend(q.admittedAt.Add(admissionTTL)), ShouldBeTrue)
-		k.lapsed.Store(true)
+		k.leaseExpired.Store(true)
 		So(q.maySend(q.admittedAt), ShouldBeFalse)
 	})
 }
--- a/internal/gateway/proxy/simulation_test.go
+++ b/internal/gateway/proxy/simulation_test.go
@@ -31,7 +31,7 @@
 
 // TestRandomServersFindBugs injects bugs one by one; some simulation must find each.
 func TestRandomServersFindBugs(t *testing.T) {
-	for name, plant := range map[string]func(*proxy.Bugs){
+	for name, injectBug := range map[string]func(*proxy.Bugs){
 		"a response is taken whatever request it names":                           proxy.AcceptAnyID,
 		"a request that may run once only is retried after it was lost":           proxy.RetryNonIdempotent,
 		"a response without a length is complete though its connection was reset": proxy.TruncatedIsComplete,
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			faultyserver.RequireBugFound(t, maxSimulations, func(p *proxy.Proxy, _ *pool.Pool) { p.InjectBug(plant) })
+			faultyserver.RequireBugFound(t, maxSimulations, func(p *proxy.Proxy, _ *pool.Pool) { p.InjectBug(injectBug) })
 		})
 	}
 }
--- a/internal/gateway/proxy/testgateway_test.go
+++ b/internal/gateway/proxy/testgateway_test.go
@@ -26,7 +26,7 @@
 // fakeControl is the ControlState of a test.
 type fakeControl struct {
 	configuration atomic.Pointer[configuration.Snapshot]
-	lapsed        atomic.Bool
+	leaseExpired  atomic.Bool
 	reachable     atomic.Bool
 	onAwait       func()
 	waited        time.Duration // that the last AwaitConfirmation was given
@@ -35,7 +35,7 @@
 
 func (k *fakeControl) Configuration() *configuration.Snapshot { return k.configuration.Load() }
 func (k *fakeControl) Members() *protocol.MemberList          { return k.members }
-func (k *fakeControl) KeyLeaseValid(time.Time) bool           { return !k.lapsed.Load() }
+func (k *fakeControl) KeyLeaseValid(time.Time) bool           { return !k.leaseExpired.Load() }
 
 func (k *fakeControl) AwaitConfirmation(_ context.Context, now, by time.Time) bool {
 	k.waited = by.Sub(now)
--- a/internal/gateway/proxy/timing_test.go
+++ b/internal/gateway/proxy/timing_test.go
@@ -36,9 +36,9 @@
 		"taken up behind a head":   {"resume", []fake.Reply{sendsEventsSlowly(0, 0, ""), goodStream}},
 		"taken up before an event": {"resume", []fake.Reply{neverResponds, goodStream}},
 	} {
-		for told, most := range map[string]time.Duration{"2500": 2500 * time.Millisecond, "60000": routeTimeout, "": routeTimeout} {
+		for deadlineMs, limit := range map[string]time.Duration{"2500": 2500 * time.Millisecond, "60000": routeTimeout, "": routeTimeout} {
 			g.play(4, one.script, func(w *virtualTimeGateway) {
-				got := readToEnd(w.send(one.route, told, "the body", ""))
+				got := readToEnd(w.send(one.route, deadlineMs, "the body", ""))
 				assert.Equal(g.check, 200, got.status, name)
 				assert.NoError(g.check, got.err, name)
 				assert.Contains(g.check, []string{"good", eventsTo(5)}, got.body, name)
@@ -47,8 +47,8 @@
 				assert.Len(g.check, w.arrivals, len(one.script), name)
 				for i, a := range w.arrivals {
 					ends := a.at.Add(a.deadline).Sub(w.began)
-					assert.LessOrEqual(g.check, ends, most+3*timedLatency, "%s, attempt %d", name, i)
-					assert.GreaterOrEqual(g.check, ends, most-2*transitMargin, "%s, attempt %d", name, i)
+					assert.LessOrEqual(g.check, ends, limit+3*timedLatency, "%s, attempt %d", name, i)
+					assert.GreaterOrEqual(g.check, ends, limit-2*transitMargin, "%s, attempt %d", name, i)
 				}
 			})
 		}
@@ -64,15 +64,15 @@
 	all["reads nothing"] = nil
 	for name, reply := range all {
 		for _, route := range []string{"safe", "unsafe", "stream", "resume"} {
-			for told, most := range map[string]time.Duration{"": routeTimeout, "1500": 1500 * time.Millisecond, "9000": routeTimeout} {
+			for deadlineMs, limit := range map[string]time.Duration{"": routeTimeout, "1500": 1500 * time.Millisecond, "9000": routeTimeout} {
 				g.play(3, []fake.Reply{reply}, func(w *virtualTimeGateway) {
-					got := readToEnd(w.send(route, told, strings.Repeat("b", 64<<10), ""))
+					got := readToEnd(w.send(route, deadlineMs, strings.Repeat("b", 64<<10), ""))
 					took := time.Since(w.began)
 					w.mu.Lock()
 					defer w.mu.Unlock()
-					what := fmt.Sprint(name, " on ", route, ", told ", told)
-					assert.LessOrEqual(g.check, took, most+ruleMargin/10, what)
-					assert.GreaterOrEqual(g.check, took, most-2*transitMargin, what)
+					what := fmt.Sprint(name, " on ", route, ", told ", deadlineMs)
+					assert.LessOrEqual(g.check, took, limit+ruleMargin/10, what)
+					assert.GreaterOrEqual(g.check, took, limit-2*transitMargin, what)
 					switch {
 					case got.err != nil: // its head had gone out
 						assert.Contains(g.check, name, "events", what)
--- a/internal/gateway/proxy/virtualtime_test.go
+++ b/internal/gateway/proxy/virtualtime_test.go
@@ -182,14 +182,14 @@
 }
 
 // send sends a request, with X-Deadline-Ms unless it is empty, and with further bytes behind it.
-func (w *virtualTimeGateway) send(route, told, body, behind string) net.Conn {
+func (w *virtualTimeGateway) send(route, deadlineMs, body, behind string) net.Conn {
 	conn, err := w.network.Dial(context.Background(), "gateway")
 	assert.NoError(w.check, err)
-	if told != "" {
-		told = headerDeadline + ": " + told + "\r\n"
+	if deadlineMs != "" {
+		deadlineMs = headerDeadline + ": " + deadlineMs + "\r\n"
 	}
 	_, err = fmt.Fprintf(conn, "POST /%s/x HTTP/1.1\r\nHost: h.example\r\nApi-Key: %s\r\nX-Request-Id: id\r\n%sContent-Length: %d\r\n\r\n%s%s",
-		route, testKey, told, len(body), body, behind)
+		route, testKey, deadlineMs, len(body), body, behind)
 	assert.NoError(w.check, err)
 	return conn
 }
--- a/internal/gateway/serverselection/selector_test.go
+++ b/internal/gateway/serverselection/selector_test.go
@@ -50,14 +50,14 @@
 		for range 2000 {
 			subject := random.IntN(48)
 			workload := ParseWorkload(fmt.Sprintf("%x:13300,%x:3720", subject, random.Uint32()), "17020,40")
-			ticket := gateways[random.IntN(len(gateways))].Pick(now, &Criteria{Workload: workload, Servers: list})
+			reservation := gateways[random.IntN(len(gateways))].Pick(now, &Criteria{Workload: workload, Servers: list})
 			if used[subject] == nil {
 				used[subject] = map[string]bool{}
 			}
-			used[subject][ticket.Server.ID] = true
+			used[subject][reservation.Server.ID] = true
 			now = now.Add(40 * time.Millisecond)
-			ticket.FirstResponse(now)
-			ticket.Done(now, Succeeded)
+			reservation.FirstResponse(now)
+			reservation.Done(now, Succeeded)
 		}
 		all := 0
 		for _, on := range used {
@@ -82,47 +82,47 @@
 			list, now, s := fleet(3, "a"), time.Unix(100, 0), New("a", 1)
 			count := func() (bad int) {
 				for range 300 {
-					ticket := s.Pick(now, &Criteria{Servers: list})
+					reservation := s.Pick(now, &Criteria{Servers: list})
 					now = now.Add(10 * time.Millisecond)
-					if ticket.Server == list[0] {
+					if reservation.Server == list[0] {
 						bad++
-						ticket.Done(now, result)
+						reservation.Done(now, result)
 						continue
 					}
-					ticket.FirstResponse(now)
-					ticket.Done(now, Succeeded)
+					reservation.FirstResponse(now)
+					reservation.Done(now, Succeeded)
 				}
 				return bad
 			}
 			So(count(), ShouldBeLessThan, 30)
 			now = now.Add(failureMemory + maxEjection)
-			ticket := s.Pick(now, &Criteria{Servers: list[:1]})
-			ticket.Done(now, Succeeded)
+			reservation := s.Pick(now, &Criteria{Servers: list[:1]})
+			reservation.Done(now, Succeeded)
 			result = Succeeded
 			So(count(), ShouldBeGreaterThan, 60)
 		}
 	})
 	Convey("A stalled server isn't selected while requests wait there", t, func() {
 		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
-		var silent []*Reservation
+		var stalled []*Reservation
 		for range 20 {
-			if ticket := s.Pick(now, &Criteria{Servers: list}); ticket.Server == list[0] {
-				silent = append(silent, ticket)
+			if reservation := s.Pick(now, &Criteria{Servers: list}); reservation.Server == list[0] {
+				stalled = append(stalled, reservation)
 			} else {
-				ticket.FirstResponse(now)
-				ticket.Done(now, Succeeded)
+				reservation.FirstResponse(now)
+				reservation.Done(now, Succeeded)
 			}
 		}
-		So(silent, ShouldNotBeEmpty)
+		So(stalled, ShouldNotBeEmpty)
 		now = now.Add(stallTimeout + time.Millisecond)
 		for range 20 {
-			ticket := s.Pick(now, &Criteria{Servers: list})
-			So(ticket.Server, ShouldEqual, list[1])
-			ticket.FirstResponse(now)
-			ticket.Done(now, Succeeded)
+			reservation := s.Pick(now, &Criteria{Servers: list})
+			So(reservation.Server, ShouldEqual, list[1])
+			reservation.FirstResponse(now)
+			reservation.Done(now, Succeeded)
 		}
-		silent[0].FirstResponse(now)
-		So(s.servers[1].awaitingFirst, ShouldEqual, len(silent)-1)
+		stalled[0].FirstResponse(now)
+		So(s.servers[1].awaitingFirst, ShouldEqual, len(stalled)-1)
 	})
 	Convey("No server is selected that is excluded or full, and all places are returned", t, func() {
 		list, now, s := fleet(3, "a", "b"), time.Unix(100, 0), New("a", 1)
@@ -133,9 +133,9 @@
 			tickets = append(tickets, s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2, Workload: Workload{PromptTokens: 7}}))
 		}
 		So(s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2}), ShouldBeNil)
-		for _, ticket := range tickets {
-			ticket.Done(now, Abandoned)
-			ticket.Done(now, Abandoned)
+		for _, reservation := range tickets {
+			reservation.Done(now, Abandoned)
+			reservation.Done(now, Abandoned)
 		}
 		for _, state := range s.servers {
 			So([]int{state.inFlight, state.awaitingFirst, state.pendingTokens}, ShouldResemble, []int{0, 0, 0})
@@ -150,12 +150,12 @@
 		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
 		count := func() (there int) {
 			for range 100 {
-				ticket := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
-				if ticket.Server == list[2] {
+				reservation := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
+				if reservation.Server == list[2] {
 					there++
 				}
-				ticket.FirstResponse(now)
-				ticket.Done(now, Succeeded)
+				reservation.FirstResponse(now)
+				reservation.Done(now, Succeeded)
 			}
 			return there
 		}
@@ -222,10 +222,10 @@
 		chain, _ := func() (uint64, bool) { d := workload(0); return d.affinityKey() }()
 		first := rendezvous(chain, list).primary
 		for i := range 8 {
-			ticket := s.Pick(now, &Criteria{Servers: list, Workload: workload(i)})
-			So(ticket.Server.Number, ShouldEqual, first)
-			ticket.FirstResponse(now)
-			ticket.Done(now, Succeeded)
+			reservation := s.Pick(now, &Criteria{Servers: list, Workload: workload(i)})
+			So(reservation.Server.Number, ShouldEqual, first)
+			reservation.FirstResponse(now)
+			reservation.Done(now, Succeeded)
 		}
 		now = now.Add(100 * time.Millisecond)
 		reportLoads(s, now, list, func(i int) string {
@@ -249,9 +249,9 @@
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		found := false
 		for range 200 {
-			ticket := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
-			found = found || ticket.Server == list[4]
-			ticket.Done(now, Abandoned)
+			reservation := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
+			found = found || reservation.Server == list[4]
+			reservation.Done(now, Abandoned)
 		}
 		So(found, ShouldBeTrue)
 	})
--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -39,9 +39,9 @@
 	if !list.Vouched {
 		return
 	}
-	if held := s.members.Load(); held != nil && held.Stores.Newer(list.Stores) {
+	if current := s.members.Load(); current != nil && current.Stores.Newer(list.Stores) {
 		next := *list
-		next.Stores = held.Stores
+		next.Stores = current.Stores
 		list = &next
 	}
 	s.members.Store(list)
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -279,11 +279,11 @@
 // checkProgress checks the state in force now against that before.
 func (g *simGateway) checkProgress() {
 	h := g.harness
-	if held := g.s.Configuration(); held != nil {
-		if held.Index < g.index {
-			h.failf("%s goes back from configuration %d to %d", g.name, g.index, held.Index)
+	if current := g.s.Configuration(); current != nil {
+		if current.Index < g.index {
+			h.failf("%s goes back from configuration %d to %d", g.name, g.index, current.Index)
 		}
-		g.index = held.Index
+		g.index = current.Index
 	}
 	if table := g.table.Current(); table != nil {
 		content := table.ForBackend("b")[0].Slots
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -190,7 +190,7 @@
 		if g.up && !g.ready() {
 			h.failf("%s is not ready in the end: %v", g.name, g.state())
 		}
-		if held := g.s.Configuration(); held == nil || int(held.Index) < len(h.chain.log) {
+		if current := g.s.Configuration(); current == nil || int(current.Index) < len(h.chain.log) {
 			h.failf("%s has not the newest configuration in the end", g.name)
 		}
 	}
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -100,23 +100,23 @@
 	q.lookAt = g.harness.Elapsed()
 	q.leaseExpired = !g.s.KeyLeaseValid(g.clock.read())
 	g.nextStep(func() {
-		held := g.s.Configuration()
+		current := g.s.Configuration()
 		if g.harness.bug == bugLeaseCheckedLast {
 			q.lookAt, q.leaseExpired = g.harness.Elapsed(), false
 		}
-		g.nextStep(func() { then(q.lookUp(held)) })
+		g.nextStep(func() { then(q.lookUp(current)) })
 	})
 }
 
-func (q *simRequest) lookUp(held *configuration.Snapshot) int {
-	if held == nil {
+func (q *simRequest) lookUp(current *configuration.Snapshot) int {
+	if current == nil {
 		return http.StatusServiceUnavailable
 	}
-	route := held.RouteFor("h", "/"+q.route+"/x")
+	route := current.RouteFor("h", "/"+q.route+"/x")
 	if route == nil {
 		return http.StatusNotFound
 	}
-	q.tenant = held.TenantByKey(q.key)
+	q.tenant = current.TenantByKey(q.key)
 	if q.tenant == nil && !route.Public {
 		return http.StatusUnauthorized
 	}
--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -51,22 +51,22 @@
 
 func TestResults(t *testing.T) {
 	Convey("A failing server is known by the zone's counts, and is tried again when these have decayed", t, func() {
-		home, other := NewTable(), NewTable()
-		for _, b := range []*Table{home, other} {
+		aggregator, other := NewTable(), NewTable()
+		for _, b := range []*Table{aggregator, other} {
 			b.Observe(start, 1, "0,0,12")
 		}
 		other.RecordResult(start, 7, true)
 		So(other.Failing(start, 7), ShouldBeFalse)
-		heard := mergeResults(nil, other.drainUnsent())
-		home.receiveReports(start, encode(nil, kindObserved, heard))
-		home.receiveReports(start, encode(nil, kindObserved, heard))
-		home.RecordResult(start, 8, false)
-		So(home.Failing(start, 7), ShouldBeTrue)
-		So(home.Failing(start, 8), ShouldBeFalse)
-		other.receiveReports(start, encode(nil, kindZone, mergeResults(nil, home.decayedSums(start))))
+		unsent := mergeResults(nil, other.drainUnsent())
+		aggregator.receiveReports(start, encode(nil, kindObserved, unsent))
+		aggregator.receiveReports(start, encode(nil, kindObserved, unsent))
+		aggregator.RecordResult(start, 8, false)
+		So(aggregator.Failing(start, 7), ShouldBeTrue)
+		So(aggregator.Failing(start, 8), ShouldBeFalse)
+		other.receiveReports(start, encode(nil, kindZone, mergeResults(nil, aggregator.decayedSums(start))))
 		So(other.Failing(start, 7), ShouldBeTrue)
 		later := start.Add(2 * resultsDecay)
-		So(home.Failing(later, 7), ShouldBeFalse)
+		So(aggregator.Failing(later, 7), ShouldBeFalse)
 		So(other.Failing(later, 7), ShouldBeFalse)
 	})
 	Convey("A server isn't failing for a few failures among many, nor if loads aren't reported", t, func() {
@@ -151,16 +151,16 @@
 
 func TestBacklogs(t *testing.T) {
 	Convey("Backlogs are valid for a while, and an aggregator relays only those that stores reported to it", t, func() {
-		home, gateway := NewTable(), NewTable()
-		home.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
-		home.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
-		So(home.directBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
-		k, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, home.directBacklogs(start)))
+		aggregator, gateway := NewTable(), NewTable()
+		aggregator.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
+		aggregator.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
+		So(aggregator.directBacklogs(start), ShouldResemble, []backlog{{store: 1, tokens: 5120}})
+		k, list, ok := decodeBacklogs(encodeBacklogs(nil, kindBacklogRelay, aggregator.directBacklogs(start)))
 		So(ok, ShouldBeTrue)
 		gateway.receiveBacklogs(start, k, list)
 		So(gateway.directBacklogs(start), ShouldBeEmpty)
 		So(gateway.backlogs[1].tokens, ShouldEqual, 5120)
-		So(home.directBacklogs(start.Add(backlogRelayFor+1)), ShouldBeEmpty)
+		So(aggregator.directBacklogs(start.Add(backlogRelayFor+1)), ShouldBeEmpty)
 		gateway.receiveBacklogs(start.Add(backlogTTL+1), k, nil)
 		So(gateway.backlogs, ShouldBeEmpty)
 		for _, bad := range [][]byte{nil, []byte("SPL1\x06\x01"), encodePrefills(nil, kindPrefill, nil)} {
@@ -192,14 +192,14 @@
 func TestBacklogsNeedLoads(t *testing.T) {
 	Convey("A batch process reports its backlog if servers report their load, and not otherwise", t, func() {
 		const port = 47392
-		home := protocol.Process{Node: "home", Zone: "z", IP: "127.91.8.1"}
+		aggregator := protocol.Process{Node: "home", Zone: "z", IP: "127.91.8.1"}
 		store := protocol.Process{Node: "store", Zone: "z", IP: "127.91.8.2"}
-		members := &protocol.MemberList{Version: 1, Gateways: []protocol.Process{home}}
-		boards := map[string]*Table{}
+		members := &protocol.MemberList{Version: 1, Gateways: []protocol.Process{aggregator}}
+		tables := map[string]*Table{}
 		sharings := map[string]*Sharing{}
-		for _, one := range []protocol.Process{home, store} {
-			boards[one.Node] = NewTable()
-			sharing, err := Listen(boards[one.Node], one, port, func() *protocol.MemberList { return members })
+		for _, one := range []protocol.Process{aggregator, store} {
+			tables[one.Node] = NewTable()
+			sharing, err := Listen(tables[one.Node], one, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			defer sharing.conn.Close()
 			sharings[one.Node] = sharing
@@ -209,7 +209,7 @@
 		known := sharings["store"].targets.Load()
 		sharings["store"].shareBacklogs(start, known)
 		So(sharings["store"].backlogReported, ShouldBeFalse)
-		boards["store"].Observe(start, 7, "1,0,12")
+		tables["store"].Observe(start, 7, "1,0,12")
 		sharings["store"].shareBacklogs(start, known)
 		So(sharings["store"].backlogReported, ShouldBeTrue)
 		var datagram [backlogsBytes]byte
@@ -231,31 +231,31 @@
 		}
 		store := protocol.StoreMember{Process: protocol.Process{Node: "store", Zone: "b", IP: "127.91.7.9"}}
 		members := &protocol.MemberList{Version: 1, Gateways: gateways, Stores: protocol.StoreView{Members: []protocol.StoreMember{store}}}
-		var boards []*Table
+		var tables []*Table
 		var all []*Sharing
 		for _, one := range append(gateways, store.Process) {
 			table := NewTable()
 			sharing, err := Listen(table, one, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			go sharing.Run(t.Context())
-			boards, all = append(boards, table), append(all, sharing)
+			tables, all = append(tables, table), append(all, sharing)
 		}
-		boards[0].Observe(time.Now(), 7, "5,0,12")
-		for i := 1; i < len(boards); i++ {
+		tables[0].Observe(time.Now(), 7, "5,0,12")
+		for i := 1; i < len(tables); i++ {
 			for until := time.Now().Add(10 * time.Second); ; {
-				if load, _, known := boards[i].Lookup(time.Now(), 7); known {
+				if load, _, known := tables[i].Lookup(time.Now(), 7); known {
 					So(load.Running, ShouldEqual, 5)
 					break
 				}
 				if time.Now().After(until) {
 					t.Fatalf("process %d learnt nothing", i)
 				}
-				boards[0].Observe(time.Now(), 7, "5,0,12")
+				tables[0].Observe(time.Now(), 7, "5,0,12")
 				<-time.After(20 * time.Millisecond)
 			}
 		}
-		for i := range boards {
-			for until := time.Now().Add(10 * time.Second); i != 3 && boards[i].PrefillTime(time.Now(), 9) == 0; {
+		for i := range tables {
+			for until := time.Now().Add(10 * time.Second); i != 3 && tables[i].PrefillTime(time.Now(), 9) == 0; {
 				if time.Now().After(until) {
 					t.Fatalf("process %d learnt of no prompt", i)
 				}
@@ -263,6 +263,6 @@
 				<-time.After(20 * time.Millisecond)
 			}
 		}
-		So(boards[3].PrefillTime(time.Now(), 9), ShouldEqual, 0) // it knows what it sent itself
+		So(tables[3].PrefillTime(time.Now(), 9), ShouldEqual, 0) // it knows what it sent itself
 	})
 }
