--- a/internal/front/leaving_test.go
+++ b/internal/front/clientgone_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A handler hears that its client has left whatever stands behind its request, and wherever the reads of that end: all of it, or
-// the beginning, has been read together with the request; the rest comes while that is handled.
+// A handler is told that its client has left whatever is pipelined behind its request, and wherever the reads of
+// that are split: some of it is read together with the request, the rest while that is handled.
 func TestClientGoneWithPipelinedRequests(t *testing.T) {
 	const (
 		plain = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -22,7 +22,8 @@
 	)
 	for _, first := range []string{plain, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab",
 		"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"} {
-		for _, behind := range []string{"", plain + plain, long + strings.Repeat("b", 30), parts + plain, strings.Repeat(plain, 300)} {
+		for _, behind := range []string{"", plain + plain, long + strings.Repeat("b", 30), parts + plain,
+			strings.Repeat(plain, 300)} {
 			for cut := 0; cut <= min(len(behind), 200); cut++ {
 				checkClientGone(t, 1, first+behind[:cut], behind[cut:])
 			}
@@ -30,7 +31,7 @@
 	}
 }
 
-// The same holds for a request that came behind another, in part or whole, with more behind it.
+// The same holds for a request that was pipelined itself, in part or whole, with more behind it.
 func TestClientGoneInPipelinedRequest(t *testing.T) {
 	one := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for at := 2; at <= 4; at++ {
@@ -42,7 +43,8 @@
 	}
 }
 
-// hears has a client send what comes first, then, while its first request is handled, the rest, and leave in the nth request.
+// checkClientGone has a client send some bytes, then the rest while its first request is handled, and leave during
+// the nth request, whose handler must be told.
 func checkClientGone(t *testing.T, at int, before, rest string) {
 	synctest.Test(t, func(t *testing.T) {
 		port := newPipeListener()
--- a/internal/front/framing.go
+++ b/internal/front/framing.go
@@ -2,48 +2,49 @@
 
 import (
 	"bytes"
-	"context"
 	"math"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 )
 
-// framing follows the messages in what a client sends, byte by byte, only to know of each head whether it names both a
-// length and chunks: net/http forgets the length then, and such a request may hide another in its body. It must never
-// change a byte, and where it can't tell it says so.
+// framingScanner follows the framing of the messages that a client sends (RFC 9112, sections 6 and 7), byte by
+// byte. It tells of each head whether it has both a Content-Length and a Transfer-Encoding: net/http drops the
+// length then, and a proxy in front that goes by the length would see another end of the body, in which a further
+// request can be hidden (request smuggling). The scanner changes nothing. What it doesn't understand, and all that
+// follows, counts as ambiguous.
 type framingScanner struct {
 	state          scanState
-	linePrefix     []byte // the beginning of the line that is read
-	lineSuffix     []byte // and its end
-	bodyLeft       int64  // bytes of a body, or of a chunk with its line end
-	contentLength  int64  // that the head names; -1: none
-	chunked        bool   // the head names an encoding
-	http10         bool   // the head is of HTTP/1.0, where an encoding means nothing
-	heads          int    // that have come whole
-	firstAmbiguous int    // the first of them that names both; 0: none
-	firstUnknown   int    // the first that can't be told of; 0: none
+	linePrefix     []byte // beginning of the current line, up to maxLinePrefix
+	lineSuffix     []byte // end of the current line so far, up to lineSuffixSize
+	bodyLeft       int64  // bytes of a body, or of a chunk and its line end
+	contentLength  int64  // of the current head; -1: none
+	chunked        bool   // the current head has a Transfer-Encoding
+	http10         bool   // the current request is HTTP/1.0, where Transfer-Encoding has no meaning
+	heads          int    // complete heads
+	firstAmbiguous int    // number of the first request with both fields; 0: none
+	firstUnknown   int    // number of the first request that was not understood; 0: none
 }
 
-// part is what a byte belongs to.
+// scanState says what the next byte belongs to.
 type scanState uint8
 
 const (
-	inStart   scanState = iota // before a request's line, which empty lines may stand before
-	inHead                     // after it
-	inBody                     // of a known length
-	inSize                     // the line before a chunk
-	inTrailer                  // the lines after the last
+	inStart   scanState = iota // a request line, or an empty line before it
+	inHead                     // the fields behind it
+	inBody                     // a body of known length, or a chunk
+	inSize                     // the line with a chunk's size
+	inTrailer                  // the lines after the last chunk
 )
 
-// How much of a line is looked at.
+// How much of a line is kept: enough for the names and values of the two fields, and for the version in a request
+// line.
 const (
 	maxLinePrefix  = 128
 	lineSuffixSize = len("HTTP/1.0\r")
 )
 
-// follow takes in what has been read.
+// scan follows the bytes that were read.
 func (f *framingScanner) scan(b []byte) {
 	for len(b) > 0 && f.firstUnknown == 0 {
 		if f.state == inBody {
@@ -72,6 +73,7 @@
 	}
 }
 
+// endLine handles a complete line.
 func (f *framingScanner) endLine() {
 	line := strings.TrimSuffix(string(f.linePrefix), "\r")
 	switch f.state {
@@ -91,7 +93,8 @@
 			f.chunked = true
 		case strings.EqualFold(name, "Content-Length"):
 			n, err := strconv.ParseInt(strings.Trim(value, " \t"), 10, 63)
-			if err != nil || n < 0 || f.contentLength >= 0 && f.contentLength != n || len(f.linePrefix) == maxLinePrefix {
+			contradicts := f.contentLength >= 0 && f.contentLength != n
+			if err != nil || n < 0 || contradicts || len(f.linePrefix) == maxLinePrefix {
 				f.giveUp()
 			}
 			f.contentLength = n
@@ -114,6 +117,7 @@
 	}
 }
 
+// endHead handles the empty line behind a head.
 func (f *framingScanner) endHead() {
 	f.heads++
 	if f.chunked && f.contentLength >= 0 && f.firstAmbiguous == 0 {
@@ -130,38 +134,32 @@
 	}
 }
 
+// giveUp records that the current request, and all that follow, are not understood.
 func (f *framingScanner) giveUp() {
 	if f.firstUnknown == 0 {
 		f.firstUnknown = f.heads + 1
 	}
 }
 
-// clean tells whether the head of the nth request is known to name no length beside chunks.
+// unambiguous reports whether the head of the nth request is known to have no length beside a Transfer-Encoding.
 func (f *framingScanner) unambiguous(n int) bool {
-	return n <= f.heads && (f.firstAmbiguous == 0 || n < f.firstAmbiguous) && (f.firstUnknown == 0 || n < f.firstUnknown)
+	return n <= f.heads && (f.firstAmbiguous == 0 || n < f.firstAmbiguous) &&
+		(f.firstUnknown == 0 || n < f.firstUnknown)
 }
 
-// between tells whether all that was read ends with a message.
+// betweenMessages reports whether all that was read ends with a message.
 func (f *framingScanner) betweenMessages() bool {
 	return f.firstUnknown == 0 && f.state == inStart && len(f.linePrefix) == 0
 }
 
-// beyond tells whether something has been read behind the nth request.
+// readBeyond reports whether something was read behind the nth request.
 func (f *framingScanner) readBeyond(n int) bool {
-	return f.firstUnknown == 0 && (f.heads > n || f.heads == n && (f.state == inHead || f.state == inStart && len(f.linePrefix) > 0))
+	inNext := f.state == inHead || f.state == inStart && len(f.linePrefix) > 0
+	return f.firstUnknown == 0 && (f.heads > n || f.heads == n && inNext)
 }
 
-// clientKey finds a client's connection in the context of its requests.
-type connKey struct{}
-
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	if client, ok := c.(*clientConn); ok { // under TLS what is read says nothing of messages
-		ctx = context.WithValue(ctx, connKey{}, client)
-	}
-	return ctx
-}
-
-// ChunksAlone tells whether a request whose body comes in chunks is known to have named no length beside them.
+// UnambiguousFraming reports whether a request with a chunked body is known to have had no Content-Length beside
+// it. It is false under TLS.
 func UnambiguousFraming(r *http.Request) bool {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	if c == nil {
--- a/internal/front/framing_test.go
+++ b/internal/front/framing_test.go
@@ -16,21 +16,22 @@
 const (
 	get     = "GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
 	sized   = "POST /a HTTP/1.1\r\nHost: x\r\ncontent-length:  5 \r\n\r\nGET /"
-	chunked = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;ext=\"a\"\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: x\r\n\r\n"
-	both    = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
-	turned  = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n"
-	old     = "POST /a HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc"
-	folded  = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n"
+	chunked = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"3;ext=\"a\"\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: x\r\n\r\n"
+	both   = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
+	turned = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 0\r\n\r\n0\r\n\r\n"
+	old    = "POST /a HTTP/1.0\r\nConnection: keep-alive\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\nabc"
+	folded = "POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n"
 )
 
-// What names both a length and chunks is told apart from what comes before it, wherever the bytes are cut, and nothing
-// behind it is vouched for.
+// A request with both a length and chunks is told apart from those before it, wherever the bytes are split, and
+// nothing behind it counts as unambiguous.
 func TestFramingSplitAnywhere(t *testing.T) {
 	long := strings.Replace(get, "/a", "/"+strings.Repeat("x", 3000), 1)
 	for name, c := range map[string]struct {
 		text  string
 		heads int
-		clean int // so many from the first are
+		clean int // so many from the first are unambiguous
 	}{
 		"plain":           {get + sized + chunked + get + long + chunked, 6, 6},
 		"both":            {get + chunked + both + get, 4, 2},
@@ -48,7 +49,7 @@
 			f := framingScanner{}
 			f.scan([]byte(c.text[:cut]))
 			f.scan([]byte(c.text[cut:]))
-			if name != "bare line ends" { // chunks with bare line ends are not net/http's either
+			if name != "bare line ends" { // net/http rejects chunks with bare line ends too
 				assert.Equal(t, c.heads, f.heads, "%s cut at %d", name, cut)
 			}
 			for n := 1; n <= 7; n++ {
@@ -61,7 +62,7 @@
 	}
 }
 
-// A request's chunks reach the handler as vouched for only where its head named no length.
+// A handler sees a chunked request as unambiguous only if its head had no length.
 func TestUnambiguousFraming(t *testing.T) {
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -79,8 +80,8 @@
 	}
 }
 
-// Whatever comes, in whatever pieces: a request with chunks that net/http reads is vouched for only if its head has no
-// length, as a second reading of the same bytes shows.
+// Whatever arrives, in whatever pieces: a chunked request that net/http reads counts as unambiguous only if its
+// head has no length, as a second parse of the same bytes shows.
 func FuzzFraming(f *testing.F) {
 	for _, text := range []string{get, sized, chunked, both, turned, old, folded, get + chunked + both} {
 		f.Add([]byte(text), 7)
--- a/internal/front/rest.go
+++ b/internal/front/idletimeout.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// This file owns how long clients may rest where that changes while the server runs: net/http's own limit is fixed.
-
 const (
-	// restMost is net/http's limit there.
+	// maxIdleTimeout is net/http's idle timeout, which is fixed, where Options.IdleTimeoutFunc has a shorter one
+	// that changes.
 	maxIdleTimeout = 10 * time.Minute
-	// restLook is how often it is looked who has rested for too long.
+	// idleCheckInterval is the time between two looks for connections that have been idle for too long.
 	idleCheckInterval = 500 * time.Millisecond
 )
 
-// endRests closes connections that have rested for longer than is allowed, until Close.
+// runIdleTimeout closes the connections that are idle for longer than the current timeout, until Close.
 func (s *Server) runIdleTimeout() {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
@@ -28,7 +27,7 @@
 	}
 }
 
-// closeRested closes the connections that have rested since some moment or longer, and on which nothing has come.
+// closeIdleSince closes the connections that have been idle since before cutoff, and on which nothing has arrived.
 func (l *listener) closeIdleSince(cutoff time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/front/rest_test.go
+++ b/internal/front/idletimeout_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pipes is a port whose clients come over pipes in memory, on the clock of a test.
+// pipeListener is a listener whose connections are pipes in memory, so that tests run in virtual time.
 type pipeListener struct {
 	conns chan net.Conn
 	ended context.Context
@@ -46,14 +46,15 @@
 	return &testClient{near, bufio.NewReader(near)}
 }
 
-// A client that rests for up to four fifths of what the operator allows now has its next request answered, on a connection from
-// before that changed as well; one that rests for longer than allowed is closed.
+// A client that is idle for up to four fifths of the current timeout has its next request answered, also on a
+// connection from before the timeout changed; one that is idle for longer than the timeout is closed.
 func TestIdleTimeoutFunc(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		port, allowed := newPipeListener(), atomic.Int64{}
 		allowed.Store(int64(15 * time.Second))
-		s, err := Listen(Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute, IdleTimeout: 15 * time.Second,
-			IdleTimeoutFunc: func() time.Duration { return time.Duration(allowed.Load()) }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+		options := Options{Listener: port, MaxConnections: 9, MaxRequestDeadline: time.Minute, IdleTimeout: 15 * time.Second,
+			IdleTimeoutFunc: func() time.Duration { return time.Duration(allowed.Load()) }}
+		s, err := Listen(options, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 		require.NoError(t, err)
 		s.state.MarkStarted()
 		go s.Serve()
--- a/internal/front/crossing_test.go
+++ b/internal/front/race_test.go
@@ -20,15 +20,15 @@
 	require.NoError(t, err)
 }
 
-// open counts the connections that are neither ended nor linger.
+// openCount counts the connections that are neither closed nor lingering.
 func (l *listener) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// A client rests until the gateway ends its connection, and its next request crosses that: the connection is not reset, so
-// that nothing on its way is lost, nobody serves what can't be answered, and what lingers ends.
+// An idle connection is closed, and the client's next request races with that: the connection is not reset, so that
+// nothing on its way to the client is lost, the request is not served, and lingering ends.
 func TestRequestRacesIdleClose(t *testing.T) {
 	served := 0
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served++ })
@@ -37,7 +37,7 @@
 	c.readResponse(t)
 	s.state.Drain(time.Now().Add(-time.Minute))
 	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
-	for range 3 { // a reset would be there by the second
+	for range 3 { // a reset would fail the second one
 		c.write(t, request)
 	}
 	_, err := c.in.ReadByte()
@@ -46,7 +46,7 @@
 	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
-// So it is where the idle timer ends the connection, or the one for a head that doesn't come whole.
+// The same holds if the idle timeout closes the connection, or the timeout for reading a head.
 func TestRequestRacesTimeout(t *testing.T) {
 	for _, begins := range []string{"", "GET"} {
 		s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 9, MaxRequestDeadline: time.Minute},
@@ -60,7 +60,7 @@
 		c.readResponse(t)
 		c.write(t, begins)
 		require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
-		time.Sleep(20 * time.Millisecond) // what lingers is at it
+		time.Sleep(20 * time.Millisecond) // until lingering has begun
 		for range 3 {
 			c.write(t, request)
 		}
@@ -70,8 +70,8 @@
 	}
 }
 
-// The same where the process has read the request in that moment, and what decides on the close can't know yet: it is not
-// handed on, as its answer would have no way.
+// The same holds if the request has just been read when the connection is closed, and the closing side could not
+// know yet: the request is not handed to a handler, as its response could not be sent.
 func TestRequestReadDuringClose(t *testing.T) {
 	served := make(chan bool, 9)
 	s, _ := serve(t, 9, func(http.ResponseWriter, *http.Request) { served <- true })
@@ -89,7 +89,7 @@
 	s.state.Drain(time.Now().Add(-time.Minute))
 	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 	close(on)
-	go func() { // what lingers reads past the hook
+	go func() { // lingering reads call the hook too
 		for range read {
 		}
 	}()
@@ -99,7 +99,8 @@
 	assert.Empty(t, served)
 }
 
-// A last answer is followed by a close while more is on its way: the client has the whole of it, and no reset.
+// The last response is followed by a close while more input arrives: the client gets all of the response, and no
+// reset.
 func TestLingeringCloseDeliversResponse(t *testing.T) {
 	const size = 100 << 10
 	taken, release := make(chan bool), make(chan bool)
@@ -111,7 +112,7 @@
 	c := dial(t, s)
 	c.send(t)
 	<-taken
-	s.state.Drain(time.Now().Add(-time.Minute)) // what comes behind is not waited for any longer
+	s.state.Drain(time.Now().Add(-time.Minute)) // so that the grace period has passed
 	close(release)
 	require.Eventually(t, func() bool { return s.listener.openCount() == 0 }, time.Minute, time.Millisecond)
 	for range 3 {
@@ -127,8 +128,8 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// The client leaves while its request is handled, and half of another stands behind that: the handler hears of it all the
-// same. It hears of no end where the other is whole and the client stays.
+// A client leaves while its request is handled, with part of another request or several behind it: the handler is
+// told. If the client stays, the handler is not told anything.
 func TestClientGoneBehindPipelinedBytes(t *testing.T) {
 	for name, disconnect := range map[string]func(net.Conn){
 		"closed": func(c net.Conn) { c.Close() },
@@ -149,7 +150,8 @@
 			c.send(t)
 			<-handling
 			c.write(t, more)
-			require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond, "what is behind has been read")
+			require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond,
+				"what is behind has been read")
 			if disconnect == nil {
 				assert.Empty(t, gone, name)
 				close(release)
@@ -160,14 +162,14 @@
 			select {
 			case <-gone:
 			case <-time.After(10 * time.Second):
-				assert.Fail(t, "nobody has noticed", "%s behind %d bytes", name, len(more))
+				assert.Fail(t, "the handler was not told", "%s behind %d bytes", name, len(more))
 				close(release)
 			}
 		}
 	}
 }
 
-// readAll tells whether something has been read behind what is handled, and nothing more waits.
+// allRead reports whether pipelined input was read on each connection, and none is unread.
 func (l *listener) allRead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,8 +181,8 @@
 	return true
 }
 
-// SIGTERM meets a request that is handled with others read behind it: each has its answer, in order, and the last one says
-// that it is.
+// Shutdown begins while a request is handled with others pipelined behind it: all are answered, in order, and only
+// the last response says that it is the last.
 func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
@@ -193,7 +195,8 @@
 	<-taken
 	c.write(t, strings.Replace(request, "/", "/b", 1)+strings.Replace(request, "/", "/c", 1))
 	require.Eventually(t, func() bool { return s.listener.allRead() }, time.Minute, time.Millisecond)
-	s.state.Shutdown(time.Now().Add(time.Minute), time.Hour) // its grace is not over, however slow this machine
+	// In the future, so that the grace period of idle connections has not passed, however slow the machine is.
+	s.state.Shutdown(time.Now().Add(time.Minute), time.Hour)
 	close(release)
 	for _, want := range []string{"/", "/b", "/c"} {
 		resp, err := http.ReadResponse(c.in, nil)
@@ -207,7 +210,7 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// A time limit of reading passes while a request is handled with another behind it: both are answered.
+// The read deadline passes while a request is handled with another pipelined behind it: both are answered.
 func TestReadTimeoutWithPipelinedRequest(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, _ := serve(t, 9, func(w http.ResponseWriter, r *http.Request) {
@@ -215,7 +218,7 @@
 		if r.URL.Path == "/" {
 			<-release
 			http.NewResponseController(w).SetReadDeadline(time.Now())
-			time.Sleep(20 * time.Millisecond) // what reads meanwhile must neither spin nor lose a byte
+			time.Sleep(20 * time.Millisecond) // the pending read must neither spin nor lose a byte
 		}
 		io.WriteString(w, r.URL.Path)
 	})
@@ -237,7 +240,7 @@
 	}
 }
 
-// The port closes while connections wait in its queue, as there is no room for them yet: each is taken in its turn.
+// The listener closes while connections wait in the backlog, as the bound is reached: each is served in its turn.
 func TestBacklogIsServedOnClose(t *testing.T) {
 	taken, release := make(chan bool, 9), make(chan bool)
 	s, done := serve(t, 1, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
@@ -251,8 +254,12 @@
 		queue = append(queue, c)
 	}
 	s.state.Shutdown(time.Now().Add(-time.Second), time.Hour)
-	require.Eventually(t, func() bool { s.listener.mu.Lock(); defer s.listener.mu.Unlock(); return s.listener.stopping }, time.Minute, time.Millisecond)
-	time.Sleep(2 * backlogDrainTimeout) // longer than a queue that nothing holds up is read
+	require.Eventually(t, func() bool {
+		s.listener.mu.Lock()
+		defer s.listener.mu.Unlock()
+		return s.listener.stopping
+	}, time.Minute, time.Millisecond)
+	time.Sleep(2 * backlogDrainTimeout) // longer than a backlog that nothing holds up is drained
 	assert.Empty(t, done, "the port is still open")
 	close(release)
 	for _, c := range append(queue, first) {
@@ -262,13 +269,13 @@
 	require.Eventually(t, func() bool { return s.OpenConnections() == 0 }, time.Minute, time.Millisecond)
 }
 
-// At the bound a connection on which a request has come, though nobody has read it, is not the one that makes room.
+// At the bound a connection with a request that was not read yet is not evicted.
 func TestEvictionSparesUnreadRequest(t *testing.T) {
 	port, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer port.Close()
 	l := &listener{conns: map[*clientConn]bool{}}
-	var rests net.Conn
+	var idle net.Conn
 	for i, say := range []string{request, "", ""} {
 		far, err := net.Dial("tcp", port.Addr().String())
 		require.NoError(t, err)
@@ -279,9 +286,9 @@
 		l.conns[&clientConn{Conn: near, listener: l, state: http.StateIdle, stateSince: time.Unix(int64(i), 0)}] = true
 		io.WriteString(far, say)
 		if i == 1 {
-			rests = near
+			idle = near
 		}
 	}
-	require.Eventually(t, func() bool { return l.longestInState(http.StateIdle, 0).Conn == rests }, time.Minute, time.Millisecond,
-		"of those that rest the one that has for the longest")
+	require.Eventually(t, func() bool { return l.longestInState(http.StateIdle, 0).Conn == idle }, time.Minute,
+		time.Millisecond, "of those that rest the one that has for the longest")
 }
--- /dev/null
+++ b/internal/front/responsewriter.go
@@ -0,0 +1,69 @@
+package front
+
+import (
+	"net/http"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/service"
+)
+
+// writeStallTimeout is the time for which a client may take nothing of a response. Handlers of long responses
+// extend the write deadline as they go.
+const writeStallTimeout = 10 * time.Second
+
+// trackRequests wraps a handler: it tells the connection when a request is being handled, and has the response
+// written by a responseWriter.
+func trackRequests(state *service.State, handler http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		a := &responseWriter{ResponseWriter: w, state: state}
+		if c, _ := r.Context().Value(connKey{}).(*clientConn); c != nil {
+			a.conn = c
+			c.setHandling(true)
+			defer c.setHandling(false)
+		}
+		if handler.ServeHTTP(a, r); !a.headerWritten {
+			a.WriteHeader(http.StatusOK)
+		}
+	})
+}
+
+// responseWriter marks a response as the last one of its connection (Connection: close) while the server drains.
+// During the grace period of idle connections a response is not the last if another request has arrived behind its
+// own, so that this is answered too.
+type responseWriter struct {
+	http.ResponseWriter
+	state         *service.State
+	conn          *clientConn // nil: under TLS
+	headerWritten bool
+}
+
+// WriteHeader writes the head, with Connection: close if need be.
+func (a *responseWriter) WriteHeader(code int) {
+	if !a.headerWritten {
+		if a.isLast() {
+			a.Header().Set("Connection", "close")
+		}
+		http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
+	}
+	a.headerWritten = a.headerWritten || code >= http.StatusOK
+	a.ResponseWriter.WriteHeader(code)
+}
+
+// isLast reports whether the response is the last one of its connection.
+func (a *responseWriter) isLast() bool {
+	if a.conn.overflowed() {
+		return true
+	}
+	return a.state.ClosesAfterResponse() && !(a.conn.moreArrived() && !a.state.ClosesIdle(time.Now()))
+}
+
+// Write writes the body, after the head.
+func (a *responseWriter) Write(b []byte) (int, error) {
+	if !a.headerWritten {
+		a.WriteHeader(http.StatusOK)
+	}
+	return a.ResponseWriter.Write(b)
+}
+
+// Unwrap is for http.ResponseController.
+func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -30,7 +30,7 @@
 	return &testClient{c, bufio.NewReader(c)}
 }
 
-// caller is a client's connection.
+// testClient is a client's connection.
 type testClient struct {
 	net.Conn
 	in *bufio.Reader
@@ -49,8 +49,8 @@
 	return resp
 }
 
-// On a planned restart what was taken is answered, marked as the connection's last, and so is what comes on the
-// new connections that the front still opens.
+// At shutdown all accepted requests are answered, marked as the last of their connection, and so are those on
+// connections that are opened shortly after.
 func TestShutdownAnswersAllAccepted(t *testing.T) {
 	taken, release := make(chan bool, 2), make(chan bool)
 	s, done := serve(t, 9, func(http.ResponseWriter, *http.Request) { taken <- true; <-release })
@@ -74,9 +74,10 @@
 	assert.Error(t, err)
 }
 
-// While clients are sent away an answer is its connection's last, also where it was begun before; a client that asks
-// within the grace has its answer, and what stands idle then is closed, a connection that has said nothing as well. One
-// on which a request has begun to come, however slowly, is not. Afterwards connections stay open as before.
+// While the server drains a response is the last of its connection, also if its request began before; a client that
+// sends a request within the grace period has its response. Then idle connections are closed, new ones without a
+// byte too, but not one on which a request has begun to arrive, however slowly. After the drain connections stay
+// open as before.
 func TestDrain(t *testing.T) {
 	taken, release := make(chan bool, 1), make(chan bool)
 	s, _ := serve(t, 9, func(_ http.ResponseWriter, r *http.Request) {
@@ -116,7 +117,8 @@
 	}
 }
 
-// At the bound on connections the one idle the longest makes room: what waits in the accept queue counts as taken.
+// At the bound on connections the one that is idle for the longest is evicted, since connections in the backlog
+// count as accepted.
 func TestIdleConnectionIsEvicted(t *testing.T) {
 	s, _ := serve(t, 2, func(http.ResponseWriter, *http.Request) {})
 	var first *testClient
@@ -133,7 +135,7 @@
 	assert.Equal(t, io.EOF, err)
 }
 
-// So do connections that say nothing: opened by the hundred they must not keep those out that ask.
+// So are connections that send nothing: opened by the hundred they must not keep requests out.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	s, _ := serve(t, 3, func(http.ResponseWriter, *http.Request) {})
 	for range 9 {
@@ -166,23 +168,24 @@
 	return n
 }
 
-// In a storm connections come faster than they can be served: those that are not admitted are closed before a byte of
-// them is read, hold no place, and those that are get their answer.
+// When connections arrive faster than they can be served, those that are not admitted are reset before a byte of
+// them is read and take no place, and the others are served.
 func TestAdmit(t *testing.T) {
 	var came, served atomic.Int32
 	s, err := Listen(Options{Address: "127.0.0.1:0", MaxConnections: 64, MaxRequestDeadline: time.Minute,
-		Admit: func() bool { return came.Add(1)%10 == 0 }}, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
+		Admit: func() bool { return came.Add(1)%10 == 0 }},
+		http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served.Add(1) }))
 	require.NoError(t, err)
 	go s.Serve()
 	t.Cleanup(s.Close)
 	answered := 0
 	for range 500 {
 		c, err := net.Dial("tcp", s.Addr())
-		if err != nil { // closed before this side knew that it was open
+		if err != nil { // reset before the dial returned
 			continue
 		}
 		c.SetDeadline(time.Now().Add(time.Minute))
-		io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n") // may break: it was closed
+		io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n") // fails if it was reset
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 			answered++
 			resp.Body.Close()
