--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -170,7 +170,7 @@
 // now returns the time since the process's start by the monotonic clock.
 func (c *Control) now() time.Duration { return time.Since(c.started) }
 
-// identity is what this process tells others when it connects.
+// identity is how this process identifies itself on connections.
 func (c *Control) identity() transport.Identity {
 	s := c.settings
 	return transport.Identity{System: protocol.System, Node: s.NodeName, Role: protocol.RoleControl, Zone: s.Zone,
--- a/internal/control/liveness/doc.go
+++ b/internal/control/liveness/doc.go
@@ -13,7 +13,7 @@
 // # Eviction
 //
 // A batch process acts under a lease of [StoreLease] that each answered poll renews. It must not be evicted while
-// it may hold one, also where a control process has granted a lease that the leader hasn't been told of yet. So the
+// it may hold one, also where a control process has granted a lease that was not reported to the leader yet. So the
 // leader evicts a member in steps, as SWIM does:
 //
 // 1. The member has not polled for [SuspectAfter], and all other control processes have reported recently: a
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -33,7 +33,7 @@
 		So(table.Joins(2*second, viewOf(1, member), admitAll), ShouldResemble, []protocol.Process{store("1", "b")})
 		So(table.Joins(5*second, viewOf(1, member), admitAll), ShouldBeEmpty)
 	})
-	Convey("A timed-out member is evicted, once a new leader has waited and while all control processes report", t, func() {
+	Convey("A timed-out member is evicted once a new leader has waited and all control processes report", t, func() {
 		table := New()
 		table.Observe(Contact{Process: store("1", "a"), At: 0})
 		table.SetLeadership(10*second, 1, true)
@@ -145,7 +145,7 @@
 }
 
 func TestSettled(t *testing.T) {
-	Convey("The members are reconciled once each says so of the newest epoch, and misses no more than may be lost at once", t, func() {
+	Convey("The members are reconciled once each says so of the newest epoch, within the tolerance", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
--- a/internal/control/operatorapi/doc.go
+++ b/internal/control/operatorapi/doc.go
@@ -10,7 +10,7 @@
 //
 // A response describes acknowledged state only. A 200 is durable. A 400, 404, 409 or 412 follows from a state that
 // was read through the chain, at or after the moment of the request, so it holds for all control processes. Where
-// the chain can't be read the answer is 503 and the operator turns to another control process. 504 tells that a
+// the chain can't be read the answer is 503 and the operator turns to another control process. 504 says that a
 // change may have been accepted or not; to send it again is safe.
 //
 // # How a change is decided
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -24,9 +24,10 @@
 type GrantsChange struct {
 	Lender Grantor // the grantor that proposes the change
 	Begin  bool    // Lender becomes the grantor
-	Before Grantor // with Begin: the grantor that Lender takes over from; the change has no effect if another one is on record
-	End    bool    // Lender stops granting for good
-	Number uint64  // from 1, rising with each change of Lender; 0 with End
+	// With Begin: the grantor that Lender takes over from; the change has no effect if another one is on record.
+	Before Grantor
+	End    bool   // Lender stops granting for good
+	Number uint64 // from 1, rising with each change of Lender; 0 with End
 	Add    []string
 	Remove []string
 	Floors []quota.Floor
@@ -73,7 +74,10 @@
 
 // withNodes returns nodes and add, without remove, sorted.
 func withNodes(nodes, add, remove []string) []string {
-	next := slices.DeleteFunc(slices.Concat(nodes, add), func(node string) bool { return slices.Contains(remove, node) })
+	next := slices.DeleteFunc(
+		slices.Concat(nodes, add),
+		func(node string) bool { return slices.Contains(remove, node) },
+	)
 	slices.Sort(next)
 	return slices.Compact(next)
 }
--- a/internal/control/statemachine/membership.go
+++ b/internal/control/statemachine/membership.go
@@ -11,13 +11,14 @@
 // A node and an address are in members once at most. epoch rises with each change of members, including that of a
 // member's state; reconciled and suspicions belong to the present epoch's members.
 type membership struct {
-	epoch         uint64
-	members       []protocol.StoreMember // in the order in which they joined; replaced, never changed in place
-	departed      []protocol.Process     // see protocol.StoreView; oldest first
-	reconciled    bool                   // all members were reconciled and fully replicated in this epoch
-	retirements   []retirement           // at most maxRetirements, oldest first; also of nodes that are no longer members
-	suspicions    []suspicion            // at most one of a member
-	lastSuspicion uint64                 // number of the last suspicion that was recorded
+	epoch      uint64
+	members    []protocol.StoreMember // in the order in which they joined; replaced, never changed in place
+	departed   []protocol.Process     // see protocol.StoreView; oldest first
+	reconciled bool                   // all members were reconciled and fully replicated in this epoch
+	// At most maxRetirements, oldest first; also of nodes that are no longer members.
+	retirements   []retirement
+	suspicions    []suspicion // at most one of a member
+	lastSuspicion uint64      // number of the last suspicion that was recorded
 }
 
 // membershipSnapshot is the encoded form of a membership.
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -15,7 +15,12 @@
 )
 
 func process(node, incarnation int) protocol.Process {
-	return protocol.Process{Node: fmt.Sprint("s", node), Role: protocol.RoleBatch, IP: fmt.Sprint("10.0.0.", node), Incarnation: fmt.Sprint(incarnation)}
+	return protocol.Process{
+		Node:        fmt.Sprint("s", node),
+		Role:        protocol.RoleBatch,
+		IP:          fmt.Sprint("10.0.0.", node),
+		Incarnation: fmt.Sprint(incarnation),
+	}
 }
 
 func drawCommand(t *rapid.T, m *StateMachine) Command {
@@ -24,21 +29,40 @@
 	case 8:
 		return Command{Settle: &Settle{Epoch: m.Stores().Epoch - rapid.Uint64Range(0, 1).Draw(t, "before")}}
 	case 6:
-		return Command{Suspect: &Suspect{Node: one.Node, Incarnation: one.Incarnation, Over: rapid.Bool().Draw(t, "over")}}
+		return Command{
+			Suspect: &Suspect{Node: one.Node, Incarnation: one.Incarnation, Over: rapid.Bool().Draw(t, "over")},
+		}
 	case 7:
 		number := m.Suspicion(one.Node, one.Incarnation)
-		return Command{Evict: &Evict{Node: one.Node, Incarnation: one.Incarnation, Suspicion: number + rapid.Uint64Range(0, 1).Draw(t, "stale")}}
+		return Command{
+			Evict: &Evict{
+				Node:        one.Node,
+				Incarnation: one.Incarnation,
+				Suspicion:   number + rapid.Uint64Range(0, 1).Draw(t, "stale"),
+			},
+		}
 	case 0, 1:
-		return Command{Join: &Join{Processes: []protocol.Process{one, process(rapid.IntRange(0, 3).Draw(t, "other"), 0)}}}
+		return Command{
+			Join: &Join{Processes: []protocol.Process{one, process(rapid.IntRange(0, 3).Draw(t, "other"), 0)}},
+		}
 	case 2:
 		return Command{Evict: &Evict{Node: one.Node, Incarnation: one.Incarnation}}
 	case 3:
 		return Command{Retire: &Retire{Node: one.Node, Remain: 2}}
 	case 4:
-		return Command{Retired: &Retired{Node: one.Node, Incarnation: one.Incarnation, Epoch: m.Stores().Epoch - rapid.Uint64Range(0, 1).Draw(t, "behind")}}
+		return Command{
+			Retired: &Retired{
+				Node:        one.Node,
+				Incarnation: one.Incarnation,
+				Epoch:       m.Stores().Epoch - rapid.Uint64Range(0, 1).Draw(t, "behind"),
+			},
+		}
 	}
 	generation := m.Configuration().Generation
-	body := fmt.Sprintf(`{"generation":%d,"routes":[],"backends":[]}`, generation+rapid.Uint64Range(0, 2).Draw(t, "rise"))
+	body := fmt.Sprintf(
+		`{"generation":%d,"routes":[],"backends":[]}`,
+		generation+rapid.Uint64Range(0, 2).Draw(t, "rise"),
+	)
 	return Command{Configuration: &configuration.ChangeRequest{IfMatch: generation, Body: []byte(body)}}
 }
 
@@ -119,9 +143,14 @@
 			checkInvariants(t, before, first.Stores(), outcome)
 			if command.Retire != nil && outcome.Store == StoreChanged {
 				if first.Retirement(command.Retire.Node) != RetirementActive {
-					t.Fatalf("%s is retiring, and its retirement is in state %d", command.Retire.Node, first.Retirement(command.Retire.Node))
+					t.Fatalf(
+						"%s is retiring, and its retirement is in state %d",
+						command.Retire.Node,
+						first.Retirement(command.Retire.Node),
+					)
 				}
-				delete(completed, command.Retire.Node) // a machine of that name that joined after the one that was drained
+				// A machine of that name that joined after the one that was drained.
+				delete(completed, command.Retire.Node)
 			}
 			for node := range completed {
 				if first.Retirement(node) != RetirementCompleted {
@@ -139,7 +168,8 @@
 					t.Fatal(err)
 				}
 			}
-			if !reflect.DeepEqual(first.Stores().Epoch, second.Stores().Epoch) || len(first.Stores().Members) != len(second.Stores().Members) {
+			if !reflect.DeepEqual(first.Stores().Epoch, second.Stores().Epoch) ||
+				len(first.Stores().Members) != len(second.Stores().Members) {
 				t.Fatal("the replicas differ")
 			}
 			for i := range 12 {
@@ -148,7 +178,11 @@
 				if number != second.Suspicion(one.Node, one.Incarnation) {
 					t.Fatal("the replicas differ in whom they suspect")
 				}
-				if number != 0 && !slices.ContainsFunc(first.Stores().Members, func(member protocol.StoreMember) bool { return member.Process == one }) {
+				if number != 0 &&
+					!slices.ContainsFunc(
+						first.Stores().Members,
+						func(member protocol.StoreMember) bool { return member.Process == one },
+					) {
 					t.Fatalf("%s/%s is under suspicion and not in the set", one.Node, one.Incarnation)
 				}
 			}
@@ -183,8 +217,16 @@
 		So(apply(m, Command{Retire: &Retire{Node: "s1", Remain: 2}}).Store, ShouldEqual, StoreChanged)
 		join(m, process(1, 1))
 		So(m.Stores().Members[2].State, ShouldEqual, protocol.StoreRetiring)
-		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}).Store, ShouldEqual, StoreUnchanged)
-		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "1", Epoch: m.Stores().Epoch}}).Store, ShouldEqual, StoreChanged)
+		So(
+			apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}).Store,
+			ShouldEqual,
+			StoreUnchanged,
+		)
+		So(
+			apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "1", Epoch: m.Stores().Epoch}}).Store,
+			ShouldEqual,
+			StoreChanged,
+		)
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "1"}}).Store, ShouldEqual, StoreChanged)
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
@@ -198,14 +240,23 @@
 		apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}})
 		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged) // repeated
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
-		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged) // its machine is about to be taken away, with its disk
+		// Its machine is about to be taken away, with its disk.
+		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}})
 		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged)
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreChanged)
 		So(apply(m, retire).Store, ShouldEqual, StoreChanged)
 		So(m.Retirement("s1"), ShouldEqual, RetirementActive)
-		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}).Store, ShouldEqual, StoreUnchanged)
-		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "1", Epoch: m.Stores().Epoch}}).Store, ShouldEqual, StoreChanged)
+		So(
+			apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}).Store,
+			ShouldEqual,
+			StoreUnchanged,
+		)
+		So(
+			apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "1", Epoch: m.Stores().Epoch}}).Store,
+			ShouldEqual,
+			StoreChanged,
+		)
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
 	})
 	Convey("A member is evicted under its present suspicion, and no other", t, func() {
@@ -215,7 +266,11 @@
 			return apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0", Suspicion: number}}).Store
 		}
 		suspect := func(over bool) {
-			So(apply(m, Command{Suspect: &Suspect{Node: "s1", Incarnation: "0", Over: over}}).Store, ShouldEqual, StoreUnchanged)
+			So(
+				apply(m, Command{Suspect: &Suspect{Node: "s1", Incarnation: "0", Over: over}}).Store,
+				ShouldEqual,
+				StoreUnchanged,
+			)
 		}
 		suspect(false)
 		So(m.Suspicion("s1", "0"), ShouldEqual, 1)
@@ -251,7 +306,7 @@
 	join := func(m *StateMachine, processes ...protocol.Process) {
 		So(apply(m, Command{Join: &Join{Processes: processes}}), ShouldEqual, StoreChanged)
 	}
-	Convey("A process that departs is listed until it returns or all members are reconciled in the present epoch", t, func() {
+	Convey("A process that departs is listed until it returns or all members are reconciled", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}), ShouldEqual, StoreChanged)
@@ -275,18 +330,34 @@
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Retire: &Retire{Node: "s1", Remain: 2}}), ShouldEqual, StoreChanged)
-		So(apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}), ShouldEqual, StoreChanged)
+		So(
+			apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}}),
+			ShouldEqual,
+			StoreChanged,
+		)
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}), ShouldEqual, StoreChanged)
 		So(m.Stores().Departed, ShouldBeEmpty)
 	})
-	Convey("Epochs continue from the highest that a joining process acted in, where control was founded anew", t, func() {
+	Convey("Epochs continue from the highest that a joining process acted in", t, func() {
 		m := New()
 		join(m, process(1, 0))
-		So(apply(m, Command{Join: &Join{Processes: []protocol.Process{process(1, 0)}, ActedIn: 40}}), ShouldEqual, StoreUnchanged)
+		So(
+			apply(m, Command{Join: &Join{Processes: []protocol.Process{process(1, 0)}, ActedIn: 40}}),
+			ShouldEqual,
+			StoreUnchanged,
+		)
 		So(m.Stores().Epoch, ShouldEqual, 1)
-		So(apply(m, Command{Join: &Join{Processes: []protocol.Process{process(2, 0)}, ActedIn: 40}}), ShouldEqual, StoreChanged)
+		So(
+			apply(m, Command{Join: &Join{Processes: []protocol.Process{process(2, 0)}, ActedIn: 40}}),
+			ShouldEqual,
+			StoreChanged,
+		)
 		So(m.Stores().Epoch, ShouldEqual, 41)
-		So(apply(m, Command{Join: &Join{Processes: []protocol.Process{process(3, 0)}, ActedIn: 12}}), ShouldEqual, StoreChanged)
+		So(
+			apply(m, Command{Join: &Join{Processes: []protocol.Process{process(3, 0)}, ActedIn: 12}}),
+			ShouldEqual,
+			StoreChanged,
+		)
 		So(m.Stores().Epoch, ShouldEqual, 42)
 	})
 	Convey("A join that was decided in an earlier epoch brings no process back", t, func() {
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -24,28 +24,16 @@
 	c.liveness.Expire(now)
 	var commands []statemachine.Command
 	if joins := c.liveness.Joins(now, stores, c.admission); len(joins) > 0 {
-		commands = append(
-			commands,
-			statemachine.Command{
-				Join: &statemachine.Join{
-					Processes: joins,
-					Epoch:     stores.Epoch,
-					ActedIn:   c.liveness.LastEpochActedIn(joins),
-				},
-			},
-		)
+		join := &statemachine.Join{Processes: joins, Epoch: stores.Epoch, ActedIn: c.liveness.LastEpochActedIn(joins)}
+		commands = append(commands, statemachine.Command{Join: join})
 	}
 	commands = append(commands, c.evictions(now, stores, others)...)
 	if c.liveness.Reconciled(now, stores, c.settings.Tolerance.Machines) {
 		commands = append(commands, statemachine.Command{Settle: &statemachine.Settle{Epoch: stores.Epoch}})
 	}
 	for _, member := range c.liveness.Drained(now, stores) {
-		commands = append(
-			commands,
-			statemachine.Command{
-				Retired: &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch},
-			},
-		)
+		retired := &statemachine.Retired{Node: member.Node, Incarnation: member.Incarnation, Epoch: stores.Epoch}
+		commands = append(commands, statemachine.Command{Retired: retired})
 	}
 	return commands
 }
@@ -79,27 +67,17 @@
 	timedOut, returned := c.liveness.Suspects(now, suspicions, others)
 	var commands []statemachine.Command
 	for _, member := range returned {
-		commands = append(
-			commands,
-			statemachine.Command{
-				Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true},
-			},
-		)
+		suspect := &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation, Over: true}
+		commands = append(commands, statemachine.Command{Suspect: suspect})
 	}
 	for _, member := range timedOut {
-		commands = append(
-			commands,
-			statemachine.Command{Suspect: &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation}},
-		)
+		suspect := &statemachine.Suspect{Node: member.Node, Incarnation: member.Incarnation}
+		commands = append(commands, statemachine.Command{Suspect: suspect})
 	}
 	for _, member := range c.liveness.Evictions(now, stores, others) {
 		if number := expired[member.Node]; number != 0 {
-			commands = append(
-				commands,
-				statemachine.Command{
-					Evict: &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number},
-				},
-			)
+			evict := &statemachine.Evict{Node: member.Node, Incarnation: member.Incarnation, Suspicion: number}
+			commands = append(commands, statemachine.Command{Evict: evict})
 		}
 	}
 	return commands
