--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -47,7 +47,7 @@
 
 // Control is a control process. Its methods are spread over files by concern; see the package comment.
 type Control struct {
-	// Set by Start and not changed after it. Each is safe for concurrent use by itself.
+	// Set by Start and not changed after it. Each but reader is safe for concurrent use by itself.
 	settings           *node.Settings
 	log                zerolog.Logger
 	incarnation        string // of this process; subscribers compare versions of the server list only within one
@@ -59,7 +59,7 @@
 	apiServer          *http.Server
 	subscriptionServer *transport.Server
 	peers              *peers
-	reader             *discovery.Reader
+	reader             *discovery.Reader // used by readLoop only
 
 	ctx    context.Context // ends with Stop
 	cancel context.CancelFunc
@@ -79,9 +79,7 @@
 	peerSessions map[*transport.Session]*peerSession // connections of other control processes
 	schedule     discovery.Schedule                  // of reading the server list
 	servers      serverTable
-	memberList   protocol.MemberList // as it was sent to subscribers last
-	// gatewaysListedAt is when the gateways in memberList were taken from liveness.
-	gatewaysListedAt time.Duration
+	members      memberTable
 }
 
 // Start starts a control process. It returns once the ports are open; the process may serve later, when it has
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -301,28 +301,26 @@
 }
 
 func faultKills(r *faultRound) func(time.Duration) {
-	v := r.claim(1 + r.random.IntN(r.tolerance+1))
-	return func(down time.Duration) {
-		r.withProcessLock(func() {
-			r.logf("%v: killed", v)
-			r.haltControls(v.controls, r.killControl)
-			for _, s := range v.stores {
-				s.kill()
-			}
-		})
-		time.Sleep(down)
-		r.restart(v)
-	}
+	return r.faultHalt("killed", r.killControl, (*deployedStore).kill)
 }
 
 func faultPower(r *faultRound) func(time.Duration) {
+	return r.faultHalt("power lost", r.losePowerOfControl, (*deployedStore).losePower)
+}
+
+// faultHalt ends the processes of some machines, and starts them again.
+func (r *faultRound) faultHalt(
+	how string,
+	haltControl func(i int),
+	haltStore func(*deployedStore),
+) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(r.tolerance+1))
 	return func(down time.Duration) {
 		r.withProcessLock(func() {
-			r.logf("%v: power lost", v)
-			r.haltControls(v.controls, r.losePowerOfControl)
+			r.logf("%v: %s", v, how)
+			r.haltControls(v.controls, haltControl)
 			for _, s := range v.stores {
-				s.losePower()
+				haltStore(s)
 			}
 		})
 		time.Sleep(down)
--- /dev/null
+++ b/internal/control/membertable.go
@@ -0,0 +1,66 @@
+package control
+
+import (
+	"reflect"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+// minGatewayListInterval is the least time between two member lists that differ in gateways only. Gateways often
+// start at the same time, and every list goes to every subscriber.
+const minGatewayListInterval = time.Second
+
+// memberTable is the member list as subscribers are sent it. list.Version rises with each change, so that a
+// subscriber lacks what is of a higher version than it was sent. It is guarded by Control.mutex.
+type memberTable struct {
+	list             protocol.MemberList
+	gatewaysListedAt time.Duration // when list.Gateways was taken from liveness
+}
+
+// update replaces the list by next if that differs. Its gateways are taken from a function, at most once in
+// minGatewayListInterval.
+func (t *memberTable) update(
+	next protocol.MemberList,
+	now time.Duration,
+	gateways func(time.Duration) []protocol.Process,
+) {
+	next.Gateways = t.list.Gateways
+	if t.list.Version == 0 || now-t.gatewaysListedAt >= minGatewayListInterval {
+		next.Gateways = gateways(now)
+		t.gatewaysListedAt = now
+	}
+	next.Version = t.list.Version
+	if next.Version > 0 && reflect.DeepEqual(next, t.list) {
+		return
+	}
+	next.Version++
+	t.list = next
+}
+
+// updateStores replaces the store membership and the quota address if they differ.
+func (t *memberTable) updateStores(stores protocol.StoreView, quotaAddress string) {
+	if !stores.Newer(t.list.Stores) && quotaAddress == t.list.QuotaAddress {
+		return
+	}
+	t.list.Stores, t.list.QuotaAddress = stores, quotaAddress
+	t.list.Version++
+}
+
+// vouchedFor returns the whole list if a subscriber lacks it, else nil. The caller vouches for it.
+func (t *memberTable) vouchedFor(one *subscriber) *protocol.MemberList {
+	if t.list.Version <= one.members {
+		return nil
+	}
+	list := t.list
+	list.Vouched = true
+	return &list
+}
+
+// controlMembersFor returns the list with nothing but the control processes if a subscriber lacks those, else nil.
+func (t *memberTable) controlMembersFor(one *subscriber) *protocol.MemberList {
+	if t.list.Version <= max(one.members, one.controlMembers) {
+		return nil
+	}
+	return &protocol.MemberList{Version: t.list.Version, Control: t.list.Control}
+}
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -199,7 +199,7 @@
 	}
 	chain.head = "127.0.0.2:1"
 	if list := c.membersFor(
-		&subscriber{members: c.memberList.Version},
+		&subscriber{members: c.members.list.Version},
 		true,
 	); list == nil ||
 		!strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
