--- a/internal/gateway/admission/shedding.go
+++ b/internal/gateway/admission/shedding.go
@@ -16,11 +16,11 @@
 			amount = steepStepShare
 		}
 	}
-	passed := map[*group]bool{}
+	skipped := map[*group]bool{}
 	for {
 		var top *group
 		for _, g := range a.order {
-			if g.score <= 0 || passed[g] || !sharesWithAny(g, overloaded) {
+			if g.score <= 0 || skipped[g] || !sharesWithAny(g, overloaded) {
 				continue
 			}
 			if top == nil || g.actions < top.actions || g.actions == top.actions && g.score > top.score {
@@ -38,7 +38,7 @@
 			a.actions = append(a.actions, shedAction{group: top, shares: shares})
 			return
 		}
-		passed[top] = true
+		skipped[top] = true
 	}
 }
 
--- a/internal/gateway/batchproxy/target_list.go
+++ b/internal/gateway/batchproxy/target_list.go
@@ -13,22 +13,22 @@
 }
 
 // redirect notes the owner of the batch job that a store has named. It is asked next.
-func (r *targetList) redirect(ip string) {
-	if ip != "" && !r.tried[ip] {
-		r.owner = ip
+func (t *targetList) redirect(ip string) {
+	if ip != "" && !t.tried[ip] {
+		t.owner = ip
 	}
 }
 
 // next returns the store to ask, or "" if all have been.
-func (r *targetList) next() string {
-	if ip := r.owner; ip != "" {
-		r.owner = ""
-		r.tried[ip] = true
+func (t *targetList) next() string {
+	if ip := t.owner; ip != "" {
+		t.owner = ""
+		t.tried[ip] = true
 		return ip
 	}
-	for _, ip := range r.order {
-		if !r.tried[ip] {
-			r.tried[ip] = true
+	for _, ip := range t.order {
+		if !t.tried[ip] {
+			t.tried[ip] = true
 			return ip
 		}
 	}
@@ -36,11 +36,11 @@
 }
 
 // hasNext reports whether a store is left to ask.
-func (r *targetList) hasNext() bool {
-	for _, ip := range r.order {
-		if !r.tried[ip] {
+func (t *targetList) hasNext() bool {
+	for _, ip := range t.order {
+		if !t.tried[ip] {
 			return true
 		}
 	}
-	return r.owner != ""
+	return t.owner != ""
 }
--- a/internal/gateway/subscription/control_selector.go
+++ b/internal/gateway/subscription/control_selector.go
@@ -35,65 +35,65 @@
 }
 
 // Seed adds candidates of which only the address is known.
-func (h *ControlSelector) Seed(ips []string) {
+func (s *ControlSelector) Seed(ips []string) {
 	for _, ip := range ips {
-		h.member(ip)
+		s.member(ip)
 	}
 }
 
 // Update takes in a newer list of control processes.
-func (h *ControlSelector) Update(list []protocol.ControlMember) {
-	for _, one := range h.members {
+func (s *ControlSelector) Update(list []protocol.ControlMember) {
+	for _, one := range s.members {
 		one.listed = false
 	}
 	for _, member := range list {
-		one := h.member(member.IP)
+		one := s.member(member.IP)
 		one.zone, one.listed = member.Zone, true
 	}
 }
 
 // member returns the candidate with an IP, which it adds if necessary.
-func (h *ControlSelector) member(ip string) *controlProcess {
-	one := h.members[ip]
+func (s *ControlSelector) member(ip string) *controlProcess {
+	one := s.members[ip]
 	if one == nil {
 		sum := fnv.New64a()
-		sum.Write([]byte(h.node + " " + ip))
+		sum.Write([]byte(s.node + " " + ip))
 		one = &controlProcess{ip: ip, weight: sum.Sum64()}
-		h.members[ip] = one
+		s.members[ip] = one
 	}
 	return one
 }
 
 // MarkFailed notes that a control process didn't serve.
-func (h *ControlSelector) MarkFailed(ip string, now time.Time) { h.member(ip).failedAt = now }
+func (s *ControlSelector) MarkFailed(ip string, now time.Time) { s.member(ip).failedAt = now }
 
 // Next returns the IP of the control process to subscribe to, or "" if none is known.
-func (h *ControlSelector) Next(now time.Time) string {
-	list := make([]*controlProcess, 0, len(h.members))
-	for _, one := range h.members {
+func (s *ControlSelector) Next(now time.Time) string {
+	list := make([]*controlProcess, 0, len(s.members))
+	for _, one := range s.members {
 		list = append(list, one)
 	}
 	if len(list) == 0 {
 		return ""
 	}
-	return slices.MinFunc(list, func(a, b *controlProcess) int { return h.compare(a, b, now) }).ip
+	return slices.MinFunc(list, func(a, b *controlProcess) int { return s.compare(a, b, now) }).ip
 }
 
 // compare orders candidates: those that have not failed lately first, then (of those that have) the one that failed
 // first, then those in the newest list, in the own zone, and by weight.
-func (h *ControlSelector) compare(a, b *controlProcess, now time.Time) int {
+func (s *ControlSelector) compare(a, b *controlProcess, now time.Time) int {
 	return cmp.Or(
 		compareBool(a.backingOff(now), b.backingOff(now)),
 		compareBackoff(a, b, now),
 		compareBool(!a.listed, !b.listed),
-		compareBool(a.zone != h.zone, b.zone != h.zone),
+		compareBool(a.zone != s.zone, b.zone != s.zone),
 		cmp.Compare(a.weight, b.weight),
 	)
 }
 
 // backingOff reports whether the control process failed lately.
-func (one *controlProcess) backingOff(now time.Time) bool {
-	return !one.failedAt.IsZero() && now.Sub(one.failedAt) < failureBackoff
+func (p *controlProcess) backingOff(now time.Time) bool {
+	return !p.failedAt.IsZero() && now.Sub(p.failedAt) < failureBackoff
 }
 
 // compareBackoff orders candidates that are backing off by when they failed.
