--- a/internal/gateway/batchproxy/caller.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -31,6 +31,8 @@
 	answerTimeout = 1500 * time.Millisecond
 	// maxHops bounds the stores that one call is sent to.
 	maxHops = 6
+	// heartbeat is the interval of heartbeats on a connection.
+	heartbeat = 500 * time.Millisecond
 	// idleTimeout is how long an unused connection is kept.
 	idleTimeout = 20 * time.Second
 	// retryAfter is for clients of calls that no store answered.
@@ -56,14 +58,14 @@
 type connection struct {
 	client   *transport.Client
 	up       chan struct{} // closed once it has been connected
-	lastUsed time.Time
-	users    int // calls in flight
+	lastUsed time.Time     // when a call last acquired it
+	users    int           // calls in flight
 }
 
 // New returns a caller that takes the set of stores from members, and their backlogs from a table.
 func New(settings *node.Settings, options transport.Options, members func() *protocol.MemberList,
 	backlogs *serverload.Table) *Caller {
-	options.Heartbeat = 500 * time.Millisecond
+	options.Heartbeat = heartbeat
 	c := &Caller{settings: settings, options: options, members: members, backlogs: backlogs,
 		connections: map[string]*connection{}, avoidUntil: map[string]time.Time{}}
 	c.send = c.callProcess
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -26,13 +26,13 @@
 // submission is the submission of one batch job.
 type submission struct {
 	send      func(ip string) attempt
-	onSlow    func(ip string)
-	last      string // store that was asked last
+	onSlow    func(ip string) // called when a store lets the submission be hedged
+	last      string          // store that was asked last
 	targets   *targetList
-	results   chan attempt
-	pending   int
-	uncertain bool // a store may have accepted it without saying so
-	rejected  *protocol.BatchAnswer
+	results   chan attempt          // holds all, so that no sender blocks
+	pending   int                   // attempts without a result
+	uncertain bool                  // a store may have accepted it without saying so
+	rejected  *protocol.BatchAnswer // the last rejection; nil: none
 }
 
 // submit submits a batch job: to one store, to the owner that it names, and to another if none answers soon.
--- a/internal/gateway/quotaclient/limiter.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -22,9 +22,9 @@
 
 const (
 	replyTimeout    = 600 * time.Millisecond // of a request to the allocator
-	heartbeat       = 500 * time.Millisecond
-	minStepInterval = time.Millisecond
-	certainMargin   = 5 * time.Millisecond // added to the wait for a token that a lease will have
+	heartbeat       = 500 * time.Millisecond // on the connection to the allocator
+	minStepInterval = time.Millisecond       // of Run
+	certainMargin   = 5 * time.Millisecond   // added to the wait for a token that a lease will have
 )
 
 // Options are a limiter's fixed parts.
@@ -62,13 +62,13 @@
 type Limiter struct {
 	options Options
 	origin  time.Time
-	wakeup  chan struct{}
+	wakeup  chan struct{} // has Run take a step now
 
 	mutex      sync.Mutex // guards what follows
 	client     *quota.Client
-	waiters    []*waiter
-	address    string // of the allocator
-	connection *transport.Client
+	waiters    []*waiter         // the oldest first
+	address    string            // of the allocator
+	connection *transport.Client // to the allocator; nil: none is known
 	counts     Counts
 	rejections rejectionLog
 }
@@ -76,7 +76,7 @@
 // waiter is a request that waits for a token.
 type waiter struct {
 	tenant  *configuration.Tenant
-	decided chan Decision
+	decided chan Decision // buffered: resolve doesn't wait for the waiter
 }
 
 // New returns a limiter without tokens. Run requests them.
--- a/internal/gateway/subscription/connection.go
+++ b/internal/gateway/subscription/connection.go
@@ -19,6 +19,16 @@
 	minPollInterval = 50 * time.Millisecond
 )
 
+// endReason is why the subscription to a control process ended, as it is logged. It may also be an error's text.
+type endReason string
+
+const (
+	endNoConnection    endReason = "no connection"
+	endConnectionEnded endReason = "connection ended"
+	endUnconfirmed     endReason = "unsure" // it didn't confirm its state
+	endShutdown        endReason = "end"    // ctx ended
+)
+
 // errNotUpdate reports that a control process answered a poll with another message.
 var errNotUpdate = errors.New("subscription: the answer to a poll is no update")
 
@@ -33,7 +43,7 @@
 			s.mu.Lock()
 			s.control.MarkFailed(ip, time.Now())
 			s.mu.Unlock()
-			s.opt.Log.Debug().Str("home", ip).Str("reason", reason).Msg("home_left")
+			s.opt.Log.Debug().Str("home", ip).Str("reason", string(reason)).Msg("home_left")
 		}
 		sleep(ctx, reconnectPause)
 	}
@@ -50,7 +60,7 @@
 }
 
 // subscribeTo subscribes to one control process for as long as that serves, and returns why it no longer does.
-func (s *Subscription) subscribeTo(ctx context.Context, ip string) (reason string) {
+func (s *Subscription) subscribeTo(ctx context.Context, ip string) endReason {
 	s.mu.Lock()
 	s.serverList.reconnected(time.Now())
 	s.mu.Unlock()
@@ -73,9 +83,9 @@
 	select {
 	case <-connected:
 	case <-timer.C:
-		return "no connection"
+		return endNoConnection
 	case <-ctx.Done():
-		return "end"
+		return endShutdown
 	}
 	s.opt.Log.Debug().Str("home", ip).Msg("home_found")
 	return s.poll(ctx, client, connected)
@@ -83,7 +93,7 @@
 
 // poll polls one control process until it fails, and returns the reason. connected reports changes of the connection:
 // the first after the connection was established is its end.
-func (s *Subscription) poll(ctx context.Context, client *transport.Client, connected <-chan bool) (reason string) {
+func (s *Subscription) poll(ctx context.Context, client *transport.Client, connected <-chan bool) endReason {
 	state := newPollState(time.Now())
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -91,11 +101,11 @@
 		sent := time.Now()
 		update, err := s.pollOnce(ctx, client, sequence, sent)
 		if err != nil {
-			return err.Error()
+			return endReason(err.Error())
 		}
 		pause, stays := s.handlePollAnswer(&state, sent, time.Now(), update)
 		if !stays {
-			return "unsure"
+			return endUnconfirmed
 		}
 		timer.Reset(time.Until(sent.Add(pause)))
 		select {
@@ -103,9 +113,9 @@
 		case <-s.wake:
 			sleep(ctx, time.Until(sent.Add(minPollInterval)))
 		case <-connected:
-			return "connection ended"
+			return endConnectionEnded
 		case <-ctx.Done():
-			return "end"
+			return endShutdown
 		}
 	}
 }
