--- a/internal/buffers/budget.go
+++ b/internal/buffers/budget.go
@@ -1,6 +1,3 @@
-// Package buffers owns the memory that bodies and answers may hold together. Where it is used up, whoever wants more
-// waits; nothing fails for want of it but what can't wait any longer. It must never be asked for more by somebody who
-// holds some that another waits for: bodies and answers have a budget each.
 package buffers
 
 import (
@@ -8,26 +5,28 @@
 	"time"
 )
 
-// Budget is a number of bytes that many draw from. It is safe for concurrent use; first come, first served. A nil one is
-// without limit.
+// Budget is a number of bytes that its users acquire and release, first come, first served. It is safe for
+// concurrent use. A nil Budget has no limit.
 type Budget struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	limit   int64
-	inUse   int64
-	waiters []*waiter
-	waits   uint64
+	inUse   int64 // at most limit, unless that was lowered or a single acquisition exceeds it
 	peak    int64
+	waiters []*waiter // in the order of arrival; the first one doesn't fit
+	waits   uint64    // acquisitions that had to wait, so far
 }
 
+// waiter is an acquisition that waits.
 type waiter struct {
 	n     int64
-	ready chan struct{}
+	ready chan struct{} // closed once the bytes are acquired
 }
 
-// New gives a budget of so many bytes.
+// New returns a budget of so many bytes.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Limit sets the bytes from now on. What is held over it is given back in its own time.
+// SetLimit changes the limit. If more is in use than a lower limit allows, further acquisitions wait until that is
+// released.
 func (b *Budget) SetLimit(limit int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,8 +34,9 @@
 	b.grantWaiting()
 }
 
-// Take draws n bytes, and waits for them until some moment. It tells whether it has them. One that holds none may always
-// draw, however little the budget is, where nobody else holds any.
+// Acquire acquires n bytes, and waits for them until a deadline. It reports whether it has them. When nothing is in
+// use any number can be acquired, however low the limit is: otherwise a request larger than the limit would never
+// be served.
 func (b *Budget) Acquire(n int64, deadline time.Time) bool {
 	if b == nil {
 		return true
@@ -63,21 +63,23 @@
 	for i := range b.waiters {
 		if b.waiters[i] == w {
 			b.waiters = append(b.waiters[:i], b.waiters[i+1:]...)
-			b.grantWaiting() // those behind may want less
+			b.grantWaiting() // those behind it may fit
 			return false
 		}
 	}
-	return true // it came in the same moment
+	return true // it was granted at the same time
 }
 
+// fits reports whether n bytes can be acquired now. The mutex is held.
 func (b *Budget) fits(n int64) bool { return b.inUse == 0 || b.inUse+n <= b.limit }
 
+// reserve counts n bytes as in use. The mutex is held.
 func (b *Budget) reserve(n int64) {
 	b.inUse += n
 	b.peak = max(b.peak, b.inUse)
 }
 
-// wake hands out to those that wait, in order. The mutex is held.
+// grantWaiting grants waiting acquisitions, in their order, as long as they fit. The mutex is held.
 func (b *Budget) grantWaiting() {
 	for len(b.waiters) > 0 && b.fits(b.waiters[0].n) {
 		b.reserve(b.waiters[0].n)
@@ -86,7 +88,7 @@
 	}
 }
 
-// Give gives n bytes back.
+// Release returns n bytes.
 func (b *Budget) Release(n int64) {
 	if b == nil {
 		return
@@ -97,13 +99,13 @@
 	b.grantWaiting()
 }
 
-// Counts are what is held now and was at most, and how often somebody had to wait.
+// Stats are the bytes in use now and at most so far, and the number of acquisitions that had to wait.
 type Stats struct {
 	InUse, Peak int64
 	Waits       uint64
 }
 
-// Counts gives the counts so far.
+// Stats returns the statistics so far.
 func (b *Budget) Stats() Stats {
 	if b == nil {
 		return Stats{}
--- a/internal/buffers/budget_test.go
+++ b/internal/buffers/budget_test.go
@@ -12,18 +12,18 @@
 
 func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
-// waiting counts those that wait.
+// waitingCount counts the waiting acquisitions.
 func (b *Budget) waitingCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.waiters)
 }
 
-// Whoever wants more than there is waits, in the order of coming; one that can't wait any longer makes way.
+// Acquisitions that don't fit wait, in the order of arrival; one whose deadline has passed is removed.
 func TestFirstComeFirstServed(t *testing.T) {
 	b := New(100)
 	require.True(t, b.Acquire(80, farDeadline()))
-	assert.False(t, b.Acquire(30, time.Now()), "no room")
+	assert.False(t, b.Acquire(30, time.Now()), "it does not fit")
 	var got []int64
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -42,9 +42,11 @@
 	b.Release(80)
 	all.Wait()
 	assert.ElementsMatch(t, []int64{50, 5, 60}, got)
-	assert.Equal(t, Stats{InUse: 60, Peak: 80, Waits: 4}, func() Stats { c := b.Stats(); c.Peak = min(c.Peak, 80); return c }())
+	stats := b.Stats()
+	stats.Peak = min(stats.Peak, 80)
+	assert.Equal(t, Stats{InUse: 60, Peak: 80, Waits: 4}, stats)
 	b.Release(60)
-	assert.True(t, b.Acquire(1000, farDeadline()), "more than there is at all, where nobody holds any")
+	assert.True(t, b.Acquire(1000, farDeadline()), "more than the limit, while nothing is in use")
 	b.Release(1000)
 }
 
@@ -72,7 +74,7 @@
 	assert.False(t, b.Acquire(1, time.Now()))
 }
 
-// Whatever is taken and given back, the limit holds and nothing is left behind.
+// Whatever is acquired and released at once, the limit holds and nothing is left over.
 func TestConcurrentUse(t *testing.T) {
 	const most, largest = 1000, 100
 	b := New(most)
--- a/internal/service/service_test.go
+++ b/internal/service/state_test.go
@@ -10,15 +10,16 @@
 
 const testShutdownTimeout = 5 * time.Second
 
-// Every order of calls and signals leads somewhere sane. Each line is a story: d drain, u undrain, s started,
-// t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds half a minute later, without the end being carried out.
+// Every order of calls and signals leads to a sane state. Each case has a sequence of calls: d drain, u undrain, s
+// started, t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds half a minute
+// later if the process has not exited.
 func TestEveryTransitionOrder(t *testing.T) {
 	for _, c := range []struct {
-		story                string
-		phase                Phase
-		serves, ready, last  bool
-		idleCloses, accepts  bool
-		mayEnd, mayEndOwedTo bool
+		calls                 string
+		phase                 Phase
+		canServe, ready, last bool
+		idleCloses, accepts   bool
+		mayExit, mayExitOpen  bool
 	}{
 		{"", Starting, false, false, false, false, true, false, false},
 		{"s", Serving, true, true, false, false, true, false, false},
@@ -49,7 +50,7 @@
 		{"shtb", ShuttingDown, false, false, true, true, false, true, true},
 	} {
 		s, now := New(), time.Unix(1000, 0)
-		for _, call := range strings.Split(c.story, "") {
+		for _, call := range strings.Split(c.calls, "") {
 			now = now.Add(10 * time.Second)
 			switch call {
 			case "s":
@@ -57,7 +58,7 @@
 			case "d":
 				s.Drain(now)
 			case "u":
-				assert.Equal(t, !strings.ContainsAny(c.story, "th"), s.Undrain(), c.story)
+				assert.Equal(t, !strings.ContainsAny(c.calls, "th"), s.Undrain(), c.calls)
 			case "h":
 				s.HandOver(now)
 			case "b":
@@ -67,14 +68,15 @@
 			}
 		}
 		now = now.Add(30 * time.Second)
-		assert.Equal(t, c.phase, s.Phase(), c.story)
-		assert.Equal(t, []bool{c.serves, c.ready, c.last, c.idleCloses, c.accepts, c.mayEnd, c.mayEndOwedTo},
-			[]bool{s.CanServe(), s.Ready(), s.ClosesAfterResponse(), s.ClosesIdle(now), s.Accepts(now), s.MayExit(now, 0), s.MayExit(now, 1)}, c.story)
+		assert.Equal(t, c.phase, s.Phase(), c.calls)
+		assert.Equal(t, []bool{c.canServe, c.ready, c.last, c.idleCloses, c.accepts, c.mayExit, c.mayExitOpen},
+			[]bool{s.CanServe(), s.Ready(), s.ClosesAfterResponse(), s.ClosesIdle(now), s.Accepts(now), s.MayExit(now, 0),
+				s.MayExit(now, 1)}, c.calls)
 	}
 }
 
-// The times of a drain: idle connections have their grace from its first call on, also where it is called twice or the
-// end comes in its middle; the end itself waits for the front and for what is owed, but not for ever.
+// Idle connections have their grace from the first call of Drain on, also if it is called twice or shutdown begins
+// meanwhile; shutdown waits for the load balancer and for open requests, but not for ever.
 func TestDrainTiming(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	s := New()
@@ -103,11 +105,11 @@
 	s.Shutdown(at(IdleGrace/2), testShutdownTimeout)
 	assert.True(t, s.ClosesIdle(at(IdleGrace)), "from the hand-over on")
 	assert.False(t, s.MayExit(at(IdleGrace/2), 1))
-	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "the front comes to the other process")
+	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "clients go to the other process")
 }
 
-// What is open has its answer before the platform kills the process: so much after the longest deadline, of which three
-// seconds count at most; and what was taken last has its own deadline where that is short.
+// Open requests have their response before the platform kills the process: so long after the longest deadline, of
+// which three seconds count at most. A request that was accepted last has its own deadline if that is short.
 func TestShutdownTimes(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
@@ -120,7 +122,8 @@
 
 func TestChangedWakes(t *testing.T) {
 	s := New()
-	for _, change := range []func(){s.MarkStarted, func() { s.Drain(time.Now()) }, func() { s.Undrain() }, func() { s.HandOver(time.Now()) }, s.TakeBack,
+	for _, change := range []func(){s.MarkStarted, func() { s.Drain(time.Now()) }, func() { s.Undrain() },
+		func() { s.HandOver(time.Now()) }, s.TakeBack,
 		func() { s.Shutdown(time.Now(), 0) }} {
 		changed := s.Changed()
 		change()
@@ -128,7 +131,8 @@
 	}
 }
 
-// Once no new connections are taken the end counts for each request; before that, what comes may well end in time.
+// After the accept period the end of the process bounds each request; before that, a request is expected to end in
+// time.
 func TestExitDeadline(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
 	s.MarkStarted()
