--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -92,13 +92,13 @@
 		defer link.Close()
 		tell, g.peers = link.Tell, link
 	}
-	clock := core.NewClock().Ahead(opt.ahead)
+	clock := core.NewClock().WithOffset(opt.ahead)
 	decisions, err := core.New(cfg.Deployment.Settings, cfg.Seed, clock, members, tell)
 	if err != nil {
 		return err
 	}
 	if conf := cfg.Site.Storm; conf != nil {
-		decisions.Damp(cfg.Deployment.Settings, storm.Options{Seed: cfg.Seed, RetryShare: conf.RetryShare, MostWait: conf.MostWait,
+		decisions.EnableStormControl(cfg.Deployment.Settings, storm.Options{Seed: cfg.Seed, RetryShare: conf.RetryShare, MostWait: conf.MostWait,
 			ConnectionsPerS: conf.ConnectionsPerS})
 	}
 	roster := discovery.NewRoster(members, decisions.Servers, cfg.Deployment.Zones, cfg.Deployment.Kinds)
@@ -113,7 +113,7 @@
 	listen := front.Options{Address: cfg.Listen, MaxConnections: cfg.ClientSockets, MaxRequestDeadline: cfg.Deployment.LongestDeadline(),
 		State: g.state, ReusePort: g.path != "", Listener: heir.Listener(cfg.Listen)}
 	if cfg.Site.Storm != nil {
-		listen.Admit = decisions.Connect
+		listen.Admit = decisions.AdmitConnection
 		g.counters = append(g.counters, func() core.Counts {
 			return append(core.Counts{slog.String("part", "storm")}, decisions.StormCounters()...)
 		})
@@ -162,7 +162,7 @@
 		}
 	}
 	if cfg.Site.Storm != nil {
-		go decisions.Beat(ctx)
+		go decisions.RunStormControl(ctx)
 	}
 	if link != nil {
 		take := decisions.PeerMessage
@@ -208,7 +208,7 @@
 		case <-ends: // all that was taken has its answer by its own deadline, or by when this process is to be gone
 			giveUp, within := service.ShutdownTimes(g.longest())
 			if g.state.Shutdown(time.Now(), within) {
-				time.AfterFunc(giveUp, g.decisions.GiveUp)
+				time.AfterFunc(giveUp, g.decisions.Shutdown)
 				go func() { g.end(); close(ended) }()
 			}
 		case s := <-signals:
@@ -465,7 +465,7 @@
 				return err
 			}
 		}
-		if next.Deployment.Era, err = g.decisions.Retune(next.Deployment.Settings, next.Seed); err != nil {
+		if next.Deployment.Era, err = g.decisions.Reconfigure(next.Deployment.Settings, next.Seed); err != nil {
 			return err
 		}
 		g.settings.Set(next.Deployment)
--- a/cmd/sprucelane/upgrade.go
+++ b/cmd/sprucelane/upgrade.go
@@ -112,7 +112,7 @@
 	var s state
 	if err == nil {
 		if err = json.Unmarshal(carried, &s); err == nil {
-			err = g.decisions.Follow(s.Module)
+			err = g.decisions.ImportState(s.Module)
 		}
 		if err == nil {
 			err = g.roster.Restore(s.List)
@@ -139,7 +139,7 @@
 				return
 			}
 			g.beside(&w.Use)
-			g.decisions.Elsewhere(w.Sent)
+			g.decisions.SentElsewhere(w.Sent)
 		})
 		g.beside(nil)
 		slog.Info("handover", "step", "alone")
@@ -215,7 +215,7 @@
 	p.mu.Lock()
 	most := int(p.cfg.MemoryBytes / carriedShare)
 	p.mu.Unlock()
-	all.Module = p.decisions.Carry(most, p.note)
+	all.Module = p.decisions.ExportState(most, p.note)
 	all.List = p.roster.Carry() // after the module: it may know more members by then, but each by its number
 	if p.checker != nil {
 		all.Checks = p.checker.Carry(most)
@@ -277,7 +277,7 @@
 		p.stop = nil
 	}
 	p.mu.Unlock()
-	p.decisions.Untap()
+	p.decisions.StopExport()
 	p.word()
 	p.state.TakeBack()
 	p.beside(nil)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,46 +17,46 @@
 
 type transaction struct {
 	Request
-	era     *era
-	arrival storm.Arrival
-	closed  bool    // has its final answer
-	flows   []*Flow // those out, by number
-	sent    int     // flows started
-	timers  []*time.Timer
-	orders  chan any // *Flow or Answer
+	generation   *generation
+	arrival      storm.Arrival
+	closed       bool    // has its final answer
+	flows        []*Flow // those out, by number
+	flowsStarted int     // flows started
+	timers       []*time.Timer
+	actions      chan any // *Flow or Answer
 }
 
 // Core runs one decision module.
 type Core struct {
 	Clock
-	carrier Carrier
-	tell    func(peer int, message []byte)
+	carrier    Carrier
+	sendToPeer func(peer int, message []byte)
 
-	mu     sync.Mutex
-	era    *era   // in force
-	past   []*era // whose transactions go on to their end
-	tap    func(Sent)
-	guard  *guard // nil: storms are not damped
-	back   *recovery.Recovery
-	live   map[policy.RequestID]*transaction
-	lastID policy.RequestID
-	over   bool // all was given up, and what still comes is
-	tells  []tell
-	lines  []line
-	counts struct {
+	mu              sync.Mutex
+	current         *generation   // in force
+	retiring        []*generation // whose transactions go on to their end
+	onSend          func(Sent)
+	storm           *stormGuard // nil: storms are not damped
+	recovery        *recovery.Recovery
+	transactions    map[policy.RequestID]*transaction
+	lastID          policy.RequestID
+	shutDown        bool // all was given up, and what still comes is
+	pendingMessages []peerMessage
+	pendingLogs     []logLine
+	counts          struct {
 		taken, sent uint64
-		answered    [answerKinds]uint64
-		ended       [ends]uint64
+		answered    [answerKindCount]uint64
+		ended       [endCount]uint64
 	}
 }
 
 // line is a line for the log that waits for the mutex to be free.
-type line struct {
+type logLine struct {
 	event string
 	attrs []slog.Attr
 }
 
-type tell struct {
+type peerMessage struct {
 	peer    int
 	message []byte
 }
@@ -64,13 +64,13 @@
 // New gives a core round a new module. Where tell is nil the gateway has no way to its peers.
 func New(set policy.Settings, seed uint64, clock Clock, carrier Carrier, toPeer func(int, []byte)) (*Core, error) {
 	set.Peers = set.Peers && toPeer != nil
-	c := &Core{Clock: clock, carrier: carrier, tell: toPeer, live: map[policy.RequestID]*transaction{}}
-	first, err := c.newEra(0, set, seed)
+	c := &Core{Clock: clock, carrier: carrier, sendToPeer: toPeer, transactions: map[policy.RequestID]*transaction{}}
+	first, err := c.newGeneration(0, set, seed)
 	if err != nil {
 		return nil, err
 	}
-	c.era = first
-	c.back = recovery.New(clock.Now(), recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
+	c.current = first
+	c.recovery = recovery.New(clock.Now(), recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
 	return c, nil
 }
 
@@ -82,19 +82,19 @@
 // ctx does: the client has left and nobody is owed an answer.
 func (c *Core) Serve(ctx context.Context, in Request) Answer {
 	t := &transaction{Request: in}
-	known, wait := c.take(t)
+	known, wait := c.register(t)
 	if !known { // nothing ran: asking again, under the settings in force, is harmless
-		return c.count(Answer{Kind: Refused})
+		return c.countAnswer(Answer{Kind: Refused})
 	}
 	if wait > 0 { // this process has just woken, and what it was told meanwhile is being read
 		time.Sleep(wait)
 	}
-	if refused, wait := c.damped(t); refused {
-		return c.count(Answer{Kind: Refused, RetryAfter: wait})
+	if refused, wait := c.stormVerdict(t); refused {
+		return c.countAnswer(Answer{Kind: Refused, RetryAfter: wait})
 	}
 	verdict, wait := Active, time.Duration(0)
-	if in.Check != nil {
-		verdict, wait = in.Check(in.Deadline - checkMargin)
+	if in.Authorize != nil {
+		verdict, wait = in.Authorize(in.Deadline - checkMargin)
 	}
 	// Without a right to go on, or a client, it is over, and the module need not hear of it: it draws nothing and takes no turn.
 	if gone := ctx.Err() != nil; gone || verdict != Active {
@@ -103,36 +103,36 @@
 		c.mu.Unlock()
 		switch {
 		case gone:
-			return c.count(Answer{Kind: Gone})
+			return c.countAnswer(Answer{Kind: ClientGone})
 		case verdict == Inactive:
-			return c.count(Answer{Kind: Denied})
+			return c.countAnswer(Answer{Kind: Unauthorized})
 		}
-		return c.count(Answer{Kind: Refused, Tried: true, RetryAfter: c.refused(t, wait)}) // nothing ran: asking again is harmless
+		return c.countAnswer(Answer{Kind: Refused, Attempted: true, RetryAfter: c.refused(t, wait)}) // nothing ran: asking again is harmless
 	}
-	c.event(func(now Time) { t.era.module.Request(now, t.Request.Request) })
-	checked := len(t.orders) > 0 // a verdict holds for what is sent on now, not for what is held or tried again
+	c.handle(func(now Time) { t.generation.module.Request(now, t.Request.Request) })
+	checked := len(t.actions) > 0 // a verdict holds for what is sent on now, not for what is held or tried again
 	for {
 		select {
-		case order := <-t.orders:
+		case order := <-t.actions:
 			switch order := order.(type) {
 			case *Flow:
-				order.recheck = in.Check != nil && !checked
+				order.recheck = in.Authorize != nil && !checked
 				checked = false
 				go c.carry(order)
 			case Answer:
-				return c.count(order)
+				return c.countAnswer(order)
 			}
 		case <-ctx.Done():
-			c.leave(t)
-			for len(t.orders) > 0 { // a flow ordered meanwhile has an end to report, though it is never sent
-				switch order := (<-t.orders).(type) {
+			c.clientLeft(t)
+			for len(t.actions) > 0 { // a flow ordered meanwhile has an end to report, though it is never sent
+				switch order := (<-t.actions).(type) {
 				case *Flow:
 					go c.carry(order)
 				case Answer:
-					order.Drop()
+					order.Discard()
 				}
 			}
-			return c.count(Answer{Kind: Gone})
+			return c.countAnswer(Answer{Kind: ClientGone})
 		}
 	}
 }
@@ -140,49 +140,49 @@
 // take numbers the transaction. The number is a counter: the module shifts it into timer tags, which a
 // client's own id would overflow. It tells whether there still is a module of the settings that it was read under, and how
 // long to wait before it is asked. What may have lain here while the process stood still has so much less time left.
-func (c *Core) take(t *transaction) (known bool, wait time.Duration) {
-	c.event(func(now Time) {
+func (c *Core) register(t *transaction) (known bool, wait time.Duration) {
+	c.handle(func(now Time) {
 		c.counts.taken++
-		if t.era = c.eraOf(t.Era); t.era == nil || c.over {
+		if t.generation = c.generationByNumber(t.Generation); t.generation == nil || c.shutDown {
 			return
 		}
-		lain, settles := c.back.Asked(now, t.Deadline-now)
+		lain, settles := c.recovery.Asked(now, t.Deadline-now)
 		t.Deadline -= lain
 		c.lastID++
 		t.ID = c.lastID
-		c.live[t.ID] = t
-		t.era.open++
-		t.orders = make(chan any, max(1, t.era.set.MaxAttempts)+2) // room for what the module may order
+		c.transactions[t.ID] = t
+		t.generation.openTransactions++
+		t.actions = make(chan any, max(1, t.generation.cfg.MaxAttempts)+2) // room for what the module may order
 		known, wait = true, settles
 	})
 	return known, wait
 }
 
 // forget drops a transaction that nothing more comes for. The mutex is held.
-func (c *Core) forget(t *transaction) {
-	if c.live[t.ID] == t {
-		delete(c.live, t.ID)
-		t.era.open--
+func (c *Core) remove(t *transaction) {
+	if c.transactions[t.ID] == t {
+		delete(c.transactions, t.ID)
+		t.generation.openTransactions--
 		c.prune()
 	}
 }
 
 // leave tells the module that the client has left, unless the final answer crossed that.
-func (c *Core) leave(t *transaction) {
-	c.event(func(now Time) {
+func (c *Core) clientLeft(t *transaction) {
+	c.handle(func(now Time) {
 		if !t.closed {
 			c.close(t)
-			c.guard.failed(now, t)
-			t.era.module.ClientGone(now, t.ID)
+			c.storm.failed(now, t)
+			t.generation.module.ClientGone(now, t.ID)
 		}
 	})
 }
 
 // event hands the module one event, and carries out what it ordered of the outside once the mutex is free.
-func (c *Core) event(happen func(now Time)) {
-	tells, lines := c.locked(happen)
+func (c *Core) handle(happen func(now Time)) {
+	tells, lines := c.handleLocked(happen)
 	for _, t := range tells {
-		c.tell(t.peer, t.message)
+		c.sendToPeer(t.peer, t.message)
 	}
 	for _, l := range lines {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, l.event, l.attrs...)
@@ -191,25 +191,25 @@
 
 // locked frees the mutex whatever happens: a panic on a virtual server's goroutine ends one connection, and must
 // not leave all others waiting.
-func (c *Core) locked(happen func(now Time)) (tells []tell, lines []line) {
+func (c *Core) handleLocked(happen func(now Time)) (tells []peerMessage, lines []logLine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	if still := c.back.Event(now); still > 0 {
-		c.woke(now, still)
+	if still := c.recovery.Event(now); still > 0 {
+		c.resumed(now, still)
 	}
 	happen(now)
-	c.look(now)
-	tells, lines = c.tells, c.lines
-	c.tells, c.lines = nil, nil
+	c.checkRecovery(now)
+	tells, lines = c.pendingMessages, c.pendingLogs
+	c.pendingMessages, c.pendingLogs = nil, nil
 	return tells, lines
 }
 
 // final queues the one final answer. The mutex is held.
-func (c *Core) final(t *transaction, a Answer) {
+func (c *Core) finish(t *transaction, a Answer) {
 	if !t.closed {
 		c.close(t)
-		t.orders <- a
+		t.actions <- a
 	}
 }
 
@@ -220,16 +220,16 @@
 	}
 	t.timers = nil
 	if len(t.flows) == 0 {
-		c.forget(t)
+		c.remove(t)
 	}
 }
 
 // GiveUp gives all open transactions the final answer that their modules permit now: the process is about to end. What is
 // taken afterwards is refused at once.
-func (c *Core) GiveUp() {
-	c.event(func(now Time) {
-		c.over = true
-		for _, e := range append([]*era{c.era}, c.past...) {
+func (c *Core) Shutdown() {
+	c.handle(func(now Time) {
+		c.shutDown = true
+		for _, e := range append([]*generation{c.current}, c.retiring...) {
 			e.module.AnswerAll(now)
 		}
 	})
@@ -237,13 +237,13 @@
 
 // Servers hands a list from discovery in.
 func (c *Core) Servers(kind policy.ListKind, list []policy.ServerInfo) {
-	c.event(func(now Time) {
+	c.handle(func(now Time) {
 		if kind == policy.ListCached {
-			c.back.Heard(recovery.Cached)
+			c.recovery.Heard(recovery.Cached)
 		} else {
-			c.back.Heard(recovery.Discovery)
+			c.recovery.Heard(recovery.Discovery)
 		}
-		for _, e := range append([]*era{c.era}, c.past...) {
+		for _, e := range append([]*generation{c.current}, c.retiring...) {
 			e.module.Servers(now, kind, list)
 		}
 	})
@@ -251,20 +251,20 @@
 
 // Learn shows what the module has seen of the pool members and hands it the priors that come back, in one step. The
 // mutex is held meanwhile: what weighs must do no input or output.
-func (c *Core) Learn(weigh func(now Time, seen []policy.Observation) []policy.Prior) {
-	c.event(func(now Time) {
-		if priors := weigh(now, c.era.module.Observe(now)); len(priors) > 0 {
-			c.era.module.SetPriors(now, priors)
+func (c *Core) UpdatePriors(weigh func(now Time, seen []policy.Observation) []policy.Prior) {
+	c.handle(func(now Time) {
+		if priors := weigh(now, c.current.module.Observe(now)); len(priors) > 0 {
+			c.current.module.SetPriors(now, priors)
 		}
 	})
 }
 
 // Crowd shows what is out at the pool members and what failed there, and hands the module what weigh makes of others' word.
-func (c *Core) Crowd(weigh func(now Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load) {
-	c.event(func(now Time) { c.era.module.SetOthersLoads(now, weigh(now, c.era.module.OwnLoads(now))) })
+func (c *Core) ExchangeLoads(weigh func(now Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load) {
+	c.handle(func(now Time) { c.current.module.SetOthersLoads(now, weigh(now, c.current.module.OwnLoads(now))) })
 }
 
 // PeerMessage hands a peer's datagram in.
 func (c *Core) PeerMessage(from int, message []byte) {
-	c.event(func(now Time) { c.era.module.PeerMessage(now, from, message) })
+	c.handle(func(now Time) { c.current.module.PeerMessage(now, from, message) })
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -37,12 +37,12 @@
 // Every end has a name and an ending, and only what was never written whole counts as never run.
 func TestEnds(t *testing.T) {
 	never := map[policy.Ending]bool{policy.Rejected: true, policy.NotConnected: true, policy.NeverSent: true}
-	for e := range ends {
+	for e := range endCount {
 		assert.NotEmpty(t, e.String())
-		assert.NotZero(t, endings[e].ending)
+		assert.NotZero(t, endTable[e].ending)
 		mayHaveRun := e == EndServed || e == EndErrored || e == EndReset || e == EndStale || e == EndTimedOut || e == EndCancelled ||
 			e == EndNone
-		assert.Equal(t, mayHaveRun, !never[endings[e].ending], e)
+		assert.Equal(t, mayHaveRun, !never[endTable[e].ending], e)
 	}
 }
 
@@ -58,8 +58,8 @@
 	})
 	assert.Equal(t, Failed, ask(1, time.Second).Kind) // it might have been sent by now
 	close(answered)
-	assert.Equal(t, EndOver, <-begun)
-	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.live) == 0 }, time.Minute,
+	assert.Equal(t, EndAlreadyAnswered, <-begun)
+	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.transactions) == 0 }, time.Minute,
 		time.Millisecond)
 }
 
@@ -70,10 +70,10 @@
 	c.carrier = carrier(func(f *Flow) (End, Answer) {
 		_, ok := f.Begin(conn)
 		assert.True(t, ok)
-		c.event(func(Time) { host{c, c.era}.Cancel(f.tx.ID, f.no) })
+		c.handle(func(Time) { host{c, c.current}.Cancel(f.tx.ID, f.number) })
 		<-conn
 		assert.True(t, f.Finish())
-		c.event(func(Time) { host{c, c.era}.Cancel(f.tx.ID, f.no) })
+		c.handle(func(Time) { host{c, c.current}.Cancel(f.tx.ID, f.number) })
 		return EndCancelled, Answer{}
 	})
 	assert.Equal(t, Failed, ask(1, 10*time.Second).Kind) // called off it may have run
@@ -90,7 +90,7 @@
 // A panic in one event must not keep the mutex.
 func TestPanicFreesTheMutex(t *testing.T) {
 	c, _ := start(t, nil)
-	assert.Panics(t, func() { c.event(func(Time) { panic("x") }) })
+	assert.Panics(t, func() { c.handle(func(Time) { panic("x") }) })
 	assert.Contains(t, c.Counters().String(), "taken=0")
 }
 
@@ -110,11 +110,11 @@
 	<-sent
 	<-sent
 	begun := time.Now()
-	c.GiveUp()
+	c.Shutdown()
 	assert.ElementsMatch(t, []AnswerKind{Refused, Failed}, []AnswerKind{(<-answers).Kind, (<-answers).Kind})
 	assert.Less(t, time.Since(begun), 10*time.Second)
 	close(on)
-	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.live) == 0 }, time.Minute,
+	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.transactions) == 0 }, time.Minute,
 		time.Millisecond)
 	assert.Contains(t, c.Counters().String(), "answered_served=0")
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-func (c *Core) count(a Answer) Answer {
+func (c *Core) countAnswer(a Answer) Answer {
 	c.mu.Lock()
 	c.counts.answered[a.Kind]++
 	c.mu.Unlock()
@@ -31,15 +31,15 @@
 func (c *Core) Counters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	counts := Counts{slog.Uint64("taken", c.counts.taken), slog.Int("open", len(c.live)),
+	counts := Counts{slog.Uint64("taken", c.counts.taken), slog.Int("open", len(c.transactions)),
 		slog.Uint64("sent", c.counts.sent)}
 	for i, n := range c.counts.answered {
 		counts = append(counts, slog.Uint64("answered_"+answerNames[i], n))
 	}
 	for i, n := range c.counts.ended {
-		counts = append(counts, slog.Uint64("ended_"+endings[i].name, n))
+		counts = append(counts, slog.Uint64("ended_"+endTable[i].name, n))
 	}
-	f := c.era.module.Stats(c.Now())
+	f := c.current.module.Stats(c.Now())
 	return append(counts, slog.Int("left_out", f.EjectedServers), slog.Int("customers", f.Customers), slog.Int("asked", f.OwnerQueries),
 		slog.Int("homes_silent", f.SuspectedOwners), slog.Int("near_heard", f.NearbyAlive), slog.Int("odd_messages", f.InvalidMessages), slog.Int("held", f.QueuedRequests))
 }
--- a/internal/core/era_test.go
+++ b/internal/core/era_test.go
@@ -34,7 +34,7 @@
 	return c, flows, func(era, class int) chan Answer {
 		answered := make(chan Answer, 1)
 		go func() {
-			answered <- c.Serve(context.Background(), Request{Era: era, Request: policy.Request{Class: class, Units: 1, SetSize: 1,
+			answered <- c.Serve(context.Background(), Request{Generation: era, Request: policy.Request{Class: class, Units: 1, SetSize: 1,
 				Customer: 5, Deadline: c.Now() + 20*time.Second}})
 		}()
 		return answered
@@ -49,7 +49,7 @@
 	c, flows, ask := eraCore(t, before)
 	read, order := ask(0, 0), ask(0, 1)
 	one, two := <-flows, <-flows
-	number, err := c.Retune(retuned(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
+	number, err := c.Reconfigure(retuned(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
 	require.NoError(t, err)
 	require.Equal(t, 1, number)
 	fresh := ask(1, 0)
@@ -82,7 +82,7 @@
 		assert.Equal(t, Served, (<-answer).Kind)
 	}
 	set.Classes = append(set.Classes, policy.Class{Name: "new", LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 1})
-	era, err := c.Retune(set, 2)
+	era, err := c.Reconfigure(set, 2)
 	require.NoError(t, err)
 	late := ask(0, 0) // read under the old settings, handed in under the new ones
 	(<-flows) <- EndServed
@@ -109,23 +109,23 @@
 	open := ask(0, 0)
 	flow := <-flows
 	for i := range 3 {
-		number, err := c.Retune(retuned(policy.Class{Name: "read"}), uint64(i))
+		number, err := c.Reconfigure(retuned(policy.Class{Name: "read"}), uint64(i))
 		require.NoError(t, err)
 		require.Equal(t, i+1, number)
 	}
 	c.mu.Lock()
-	assert.Len(t, c.past, 3)
-	for _, e := range c.past {
-		e.until -= eraKept
+	assert.Len(t, c.retiring, 3)
+	for _, e := range c.retiring {
+		e.replacedAt -= retireDelay
 	}
 	c.prune()
-	assert.Len(t, c.past, 1, "that of the open one")
+	assert.Len(t, c.retiring, 1, "that of the open one")
 	c.mu.Unlock()
 	assert.Equal(t, Refused, (<-ask(1, 0)).Kind, "nothing ran: under the settings in force it may be asked again")
 	flow <- EndServed
 	assert.Equal(t, Served, (<-open).Kind)
 	c.mu.Lock()
-	assert.Empty(t, c.past)
+	assert.Empty(t, c.retiring)
 	c.mu.Unlock()
 }
 
@@ -135,7 +135,7 @@
 	none, other := retuned(), retuned(policy.Class{Name: "read"})
 	other.Gateways = 2
 	for _, set := range []policy.Settings{none, other} {
-		_, err := c.Retune(set, 2)
+		_, err := c.Reconfigure(set, 2)
 		assert.Error(t, err)
 	}
 	answer := ask(0, 0)
@@ -151,21 +151,21 @@
 	(<-flows) <- EndServed
 	<-answer
 	var sent []Sent
-	carried := c.Carry(1<<20, func(s Sent) { sent = append(sent, s) })
+	carried := c.ExportState(1<<20, func(s Sent) { sent = append(sent, s) })
 	next, err := New(set, 3, NewClock(), carrier(func(f *Flow) (End, Answer) { return EndServed, Answer{} }), nil)
 	require.NoError(t, err)
-	require.NoError(t, next.Follow(carried))
-	assert.Error(t, next.Follow(carried), "only before anything else")
+	require.NoError(t, next.ImportState(carried))
+	assert.Error(t, next.ImportState(carried), "only before anything else")
 	answer = ask(0, 0)
 	(<-flows) <- EndServed
 	<-answer
-	c.Untap()
+	c.StopExport()
 	answer = ask(0, 0)
 	(<-flows) <- EndServed
 	<-answer
 	require.Len(t, sent, 1)
 	assert.Equal(t, Sent{Customer: 5, Plan: "utility", Units: 1, SetSize: 1, Server: sent[0].Server, First: true}, sent[0])
 	sent[0].Plan = "gone"
-	next.Elsewhere(sent)
+	next.SentElsewhere(sent)
 	assert.Contains(t, next.Counters().String(), "customers=1")
 }
--- a/internal/core/flow.go
+++ b/internal/core/flow.go
@@ -15,15 +15,15 @@
 
 // Flow is one server-side flow.
 type Flow struct {
-	Server  policy.ServerID
-	Until   time.Time
-	Message any
-	Spent   bool // the carrier's word that the message can't be sent again
+	Server       policy.ServerID
+	Until        time.Time
+	Message      any
+	BodyConsumed bool // the carrier's word that the message can't be sent again
 
 	core      *Core
 	tx        *transaction
-	no        int
-	sent      Time
+	number    int
+	sentAt    Time
 	recheck   bool
 	cancelled bool
 	conn      io.Closer
@@ -45,10 +45,10 @@
 		return EndCancelled, false
 	}
 	if f.tx.closed {
-		return EndOver, false
+		return EndAlreadyAnswered, false
 	}
-	if !f.tx.era.module.MayBegin(f.core.Now(), f.tx.ID, f.no) {
-		return EndLapsed, false
+	if !f.tx.generation.module.MayBegin(f.core.Now(), f.tx.ID, f.number) {
+		return EndRepeatUnsafe, false
 	}
 	f.conn = conn
 	return EndNone, true
@@ -56,15 +56,15 @@
 
 // Came tells that the last byte of a body that was still coming has been written: from now on the flow has as long as the
 // client waits.
-func (f *Flow) Came() {
-	f.core.event(func(now Time) {
+func (f *Flow) BodySent() {
+	f.core.handle(func(now Time) {
 		t := f.tx
 		if !t.BodyPending || t.closed {
 			return
 		}
-		t.Deadline = now + t.Wait
-		f.sent, f.Until = now, f.core.At(t.Deadline)
-		t.era.module.BodySent(now, t.ID, t.Deadline)
+		t.Deadline = now + t.BodyTimeout
+		f.sentAt, f.Until = now, f.core.At(t.Deadline)
+		t.generation.module.BodySent(now, t.ID, t.Deadline)
 	})
 }
 
@@ -80,22 +80,22 @@
 // carry takes one flow to its end, which goes to the module whether or not the client still waits: what runs on
 // after the answer still tells of its pool member.
 func (c *Core) carry(f *Flow) {
-	end, answer := EndUnchecked, Answer{}
+	end, answer := EndCheckFailed, Answer{}
 	verdict := Active
 	if f.recheck {
-		verdict, _ = f.tx.Check(f.tx.Deadline - checkMargin)
+		verdict, _ = f.tx.Authorize(f.tx.Deadline - checkMargin)
 	}
 	switch verdict {
 	case Active:
 		end, answer = c.carrier.Carry(f)
 	case Inactive:
-		end = EndDenied
+		end = EndUnauthorized
 	}
 	late := false
-	c.event(func(now Time) {
+	c.handle(func(now Time) {
 		t := f.tx
 		c.counts.ended[end]++
-		c.guard.attempt(now, f, end)
+		c.storm.attempt(now, f, end)
 		for i := range t.flows {
 			if t.flows[i] == f {
 				t.flows = append(t.flows[:i], t.flows[i+1:]...)
@@ -106,19 +106,19 @@
 		case t.closed:
 			late = true
 		case end == EndServed:
-			answer.Kind, answer.Tried = Served, true
-			c.final(t, answer)
-		case end == EndDenied:
-			c.final(t, Answer{Kind: Denied, Tried: true})
+			answer.Kind, answer.Attempted = Served, true
+			c.finish(t, answer)
+		case end == EndUnauthorized:
+			c.finish(t, Answer{Kind: Unauthorized, Attempted: true})
 		}
 		closed := t.closed
-		t.era.module.Outcome(now, policy.Outcome{ID: t.ID, Attempt: f.no, Server: f.Server, Elapsed: now - f.sent,
-			Ending: endings[end].ending, Answered: closed, BodyConsumed: f.Spent, Units: answer.Units, LoadReport: answer.Report})
+		t.generation.module.Outcome(now, policy.Outcome{ID: t.ID, Attempt: f.number, Server: f.Server, Elapsed: now - f.sentAt,
+			Ending: endTable[end].ending, Answered: closed, BodyConsumed: f.BodyConsumed, Units: answer.Units, LoadReport: answer.LoadReport})
 		if t.closed && len(t.flows) == 0 {
-			c.forget(t)
+			c.remove(t)
 		}
 	})
 	if late { // what it holds may be a connection
-		answer.Drop()
+		answer.Discard()
 	}
 }
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -19,7 +19,7 @@
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	a := c.Serve(ctx, Request{Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 10*time.Second}})
-	assert.Equal(t, Gone, a.Kind)
+	assert.Equal(t, ClientGone, a.Kind)
 	counts := c.Counters().String()
 	assert.Contains(t, counts, "taken=1 open=0 sent=0")
 	assert.Contains(t, counts, "customers=0")
@@ -28,7 +28,7 @@
 // What comes between the last answers and the end of the process is refused at once, and not left to the kill.
 func TestWhatComesAfterTheLastAnswers(t *testing.T) {
 	c, ask := start(t, func(*Flow) (End, Answer) { panic("sent on") })
-	c.GiveUp()
+	c.Shutdown()
 	begun := time.Now()
 	for class := range 2 {
 		assert.Equal(t, Refused, ask(class, time.Hour).Kind)
@@ -45,11 +45,11 @@
 	c, ask := start(t, func(f *Flow) (End, Answer) {
 		f.Begin(io.NopCloser(nil))
 		<-answered // the deadline has fired, and the flow doesn't know
-		return EndServed, Answer{Rest: closes{&closed}, Free: func() { freed.Add(1) }}
+		return EndServed, Answer{Remainder: closes{&closed}, Release: func() { freed.Add(1) }}
 	})
 	assert.Equal(t, Failed, ask(1, 300*time.Millisecond).Kind)
 	close(answered)
-	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.live) == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.transactions) == 0 }, time.Minute, time.Millisecond)
 	require.Eventually(t, func() bool { return freed.Load() == 1 && closed.Load() == 1 }, time.Minute, time.Millisecond)
 	assert.Contains(t, c.Counters().String(), "answered_served=0 answered_refused=0 answered_failed=1")
 }
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -12,45 +12,45 @@
 
 // guard is the core's side of the storm module: it is handed what happens, under the core's mutex, and what it gives
 // out is queued like the decision module's orders. A nil one lets all pass.
-type guard struct {
+type stormGuard struct {
 	*storm.Guard
 	me, gateways int
 	phase        storm.Phase
-	beats        int
+	ticks        int
 }
 
 // Damp makes the core damp storms. It comes before the first transaction.
-func (c *Core) Damp(set policy.Settings, opt storm.Options) {
+func (c *Core) EnableStormControl(set policy.Settings, opt storm.Options) {
 	opt.Me, opt.Gateways = set.Self, set.Gateways
-	g := &guard{me: set.Self, gateways: set.Gateways}
+	g := &stormGuard{me: set.Self, gateways: set.Gateways}
 	opt.Classes, opt.Prices = stormClasses(set), stormPrices(set)
 	if set.MaxRetryAfter > 0 && (opt.MostWait <= 0 || set.MaxRetryAfter < opt.MostWait) {
 		opt.MostWait = set.MaxRetryAfter // the clients' own limit
 	}
 	g.Guard = storm.New(opt)
 	c.mu.Lock()
-	c.guard = g
+	c.storm = g
 	c.mu.Unlock()
 }
 
 // Beat keeps the storm module's time until ctx ends.
-func (c *Core) Beat(ctx context.Context) {
+func (c *Core) RunStormControl(ctx context.Context) {
 	beat := time.NewTicker(storm.Tick)
 	defer beat.Stop()
 	for {
 		select {
 		case <-beat.C:
-			c.event(func(now Time) { c.beat(now) })
+			c.handle(func(now Time) { c.stormTick(now) })
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Core) beat(now Time) {
-	g := c.guard
+func (c *Core) stormTick(now Time) {
+	g := c.storm
 	var seen storm.Members
-	for _, o := range c.era.module.Observe(now) {
+	for _, o := range c.current.module.Observe(now) {
 		seen.Listed++
 		seen.Warmth += o.Warmth
 		seen.Overdue += o.Overdue
@@ -58,15 +58,15 @@
 	seen.Warmth /= math.Max(float64(seen.Listed), 1)
 	word := g.Beat(now, seen)
 	for p := range g.gateways {
-		if p != g.me && word != nil && c.tell != nil {
-			c.tells = append(c.tells, tell{p, word})
+		if p != g.me && word != nil && c.sendToPeer != nil {
+			c.pendingMessages = append(c.pendingMessages, peerMessage{p, word})
 		}
 	}
 	f := g.Figures()
-	if g.beats++; f.Phase != g.phase || f.Phase != storm.Calm && g.beats%beatsPerLine == 0 {
+	if g.ticks++; f.Phase != g.phase || f.Phase != storm.Calm && g.ticks%ticksPerLogLine == 0 {
 		g.phase = f.Phase
 		r := f.Recent
-		c.lines = append(c.lines, line{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), round("sure", f.Sure, 2),
+		c.pendingLogs = append(c.pendingLogs, logLine{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), round("sure", f.Sure, 2),
 			round("limit", f.Limit, 1), round("usual", f.Usual, 1), round("warmth", seen.Warmth, 2), round("firsts", r.Firsts, 0),
 			round("repeats", r.Repeats, 0), round("admitted", r.Admitted, 0), round("held", r.Held, 0), round("in_time", r.InTime, 0),
 			round("late", r.Late, 0), round("lost", r.Lost, 0), slog.Int("overdue", seen.Overdue)}})
@@ -74,7 +74,7 @@
 }
 
 // beatsPerLine is how many beats of a storm make a line in the log: one a second.
-const beatsPerLine = int(time.Second / storm.Tick)
+const ticksPerLogLine = int(time.Second / storm.Tick)
 
 func round(key string, x float64, digits int) slog.Attr {
 	scale := math.Pow10(digits)
@@ -85,26 +85,26 @@
 func (c *Core) StormMessage(from int, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guard != nil {
-		c.guard.Hear(c.Now(), from, message)
+	if c.storm != nil {
+		c.storm.Hear(c.Now(), from, message)
 	}
 }
 
 // Connect tells whether a new connection may be taken.
-func (c *Core) Connect() bool {
+func (c *Core) AdmitConnection() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.guard == nil || c.guard.Connect(c.Now())
+	return c.storm == nil || c.storm.Connect(c.Now())
 }
 
 // StormCounters gives what the storm module has counted.
 func (c *Core) StormCounters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guard == nil {
+	if c.storm == nil {
 		return nil
 	}
-	f := c.guard.Figures()
+	f := c.storm.Figures()
 	return Counts{slog.String("phase", f.Phase.String()), round("sure", f.Sure, 2),
 		round("limit", f.Limit, 1), round("usual", f.Usual, 1), slog.Uint64("storms", f.Storms),
 		slog.Uint64("refused", f.Refused), slog.Uint64("refused_retries", f.RefusedRetries), slog.Uint64("repeats", f.Repeats),
@@ -113,14 +113,14 @@
 
 // damped asks the storm module whether a transaction may go on. One that may not ends here: the decision module never
 // hears of it, and it draws nothing.
-func (c *Core) damped(t *transaction) (refused bool, wait time.Duration) {
+func (c *Core) stormVerdict(t *transaction) (refused bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guard == nil {
+	if c.storm == nil {
 		return false, 0
 	}
 	t.arrival = storm.Arrival{Account: uint64(t.Customer), Class: t.Class, Plan: t.Plan, Units: t.Units, Marked: t.ClientRetry}
-	v := c.guard.Arrive(c.Now(), t.arrival)
+	v := c.storm.Arrive(c.Now(), t.arrival)
 	if !v.Admit {
 		c.close(t)
 	}
@@ -131,30 +131,30 @@
 func (c *Core) refused(t *transaction, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.guard.refused(c.Now(), t, wait)
+	return c.storm.refused(c.Now(), t, wait)
 }
 
-func (g *guard) refused(now Time, t *transaction, wait time.Duration) time.Duration {
+func (g *stormGuard) refused(now Time, t *transaction, wait time.Duration) time.Duration {
 	if g == nil {
 		return wait
 	}
 	return g.Refused(now, t.arrival, wait)
 }
 
-func (g *guard) failed(now Time, t *transaction) {
+func (g *stormGuard) failed(now Time, t *transaction) {
 	if g != nil {
 		g.Failed(now, t.arrival)
 	}
 }
 
-func (g *guard) attempt(now Time, f *Flow, end End) {
+func (g *stormGuard) attempt(now Time, f *Flow, end End) {
 	switch {
 	case g == nil:
-	case end == EndServed && now-f.sent <= f.tx.era.set.Classes[f.tx.Class].LatencyTarget:
+	case end == EndServed && now-f.sentAt <= f.tx.generation.cfg.Classes[f.tx.Class].LatencyTarget:
 		g.Attempt(now, storm.InTime)
 	case end == EndServed:
 		g.Attempt(now, storm.Late)
-	case endings[end].lost:
+	case endTable[end].lost:
 		g.Attempt(now, storm.Lost)
 	}
 }
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -40,10 +40,10 @@
 		}
 	})
 	require.NoError(t, err)
-	c.Damp(d.Settings, storm.Options{})
+	c.EnableStormControl(d.Settings, storm.Options{})
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go c.Beat(ctx)
+	go c.RunStormControl(ctx)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}})
 	ask := func() core.Answer {
 		in := core.Request{}
@@ -62,7 +62,7 @@
 	refused := 0
 	for range 200 {
 		began := time.Now()
-		if a := ask(); a.Kind == core.Refused && !a.Tried {
+		if a := ask(); a.Kind == core.Refused && !a.Attempted {
 			refused++
 			assert.Positive(t, a.RetryAfter)
 			assert.LessOrEqual(t, a.RetryAfter, d.MaxRetryAfter)
@@ -73,8 +73,8 @@
 	// Another gateway, just started, hears of it.
 	e, err := core.New(d.Settings, 2, core.NewClock(), members, func(int, []byte) {})
 	require.NoError(t, err)
-	e.Damp(policy.Settings{Self: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
-	go e.Beat(ctx)
+	e.EnableStormControl(policy.Settings{Self: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
+	go e.RunStormControl(ctx)
 	require.Eventually(t, func() bool {
 		select {
 		case m := <-words:
@@ -84,7 +84,7 @@
 		return e.StormCounters()[0].Value.String() == "outage"
 	}, time.Minute, time.Millisecond)
 	e.StormMessage(0, []byte{storm.Kind, 9})
-	assert.True(t, e.Connect())
+	assert.True(t, e.AdmitConnection())
 	close(members.back)
 	served := 0
 	require.Eventually(t, func() bool {
--- a/internal/front/introspect/introspect.go
+++ b/internal/front/introspect/introspect.go
@@ -75,7 +75,7 @@
 // customers is taken over, where it is given and can be read.
 func (k *Checker) Begin(carried []byte) (err error) {
 	if carried != nil {
-		err = k.core.Follow(carried)
+		err = k.core.ImportState(carried)
 	}
 	var infos []policy.ServerInfo
 	for i, addr := range k.conf.Endpoints {
@@ -97,12 +97,12 @@
 
 // Retune puts a deployment's plans in force for all checks from now on, in step with the gateway's own settings.
 func (k *Checker) Retune(d config.Deployment, seed uint64) error {
-	_, err := k.core.Retune(k.settings(d), seed)
+	_, err := k.core.Reconfigure(k.settings(d), seed)
 	return err
 }
 
 // Carry gives what is known, for another process's Begin.
-func (k *Checker) Carry(most int) []byte { return k.core.Carry(most, nil) }
+func (k *Checker) Carry(most int) []byte { return k.core.ExportState(most, nil) }
 
 // Close ends what the checker runs.
 func (k *Checker) Close() { k.pool.Close() }
@@ -120,10 +120,10 @@
 func (k *Checker) ask(r *http.Request, era int, who policy.Request, token string, until core.Time) (v verdict, body []byte, wait time.Duration) {
 	who.Class = 0
 	who.Deadline = min(until, k.core.Now()+k.conf.Timeout)
-	a := k.core.Serve(r.Context(), core.Request{Request: who, Era: era, Message: &pool.Message{Method: http.MethodPost,
+	a := k.core.Serve(r.Context(), core.Request{Request: who, Generation: era, Message: &pool.Message{Method: http.MethodPost,
 		Target: k.conf.Path, Host: k.host, Header: k.header,
 		Body: []byte("token=" + url.QueryEscape(token) + "&token_type_hint=access_token")}})
-	defer a.Drop()
+	defer a.Discard()
 	if a.Kind != core.Served {
 		return v, nil, max(a.RetryAfter, k.conf.Timeout)
 	}
@@ -189,7 +189,7 @@
 	scope := f.Checker.conf.Scopes[settings.Classes[in.Class].Name]
 	var reason atomic.Int32
 	var asked atomic.Bool
-	in.Check = func(until core.Time) (core.Verdict, time.Duration) {
+	in.Authorize = func(until core.Time) (core.Verdict, time.Duration) {
 		who := in.Request
 		if asked.Swap(true) { // further attempts of a try draw nothing
 			who.Units = 0
@@ -210,7 +210,7 @@
 		return core.Inactive, 0
 	}
 	a := f.Core.Serve(r.Context(), in)
-	if a.Kind != core.Denied || body.Fault() != nil {
+	if a.Kind != core.Unauthorized || body.Fault() != nil {
 		if platform.Answer(w, r, body, whole(a)) {
 			f.malformed.Add(1)
 		}
@@ -327,12 +327,12 @@
 	case r.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
 	case text == nil:
-		platform.Write(w, r, whole(core.Answer{Kind: core.Refused, Tried: true, RetryAfter: wait}))
+		platform.Write(w, r, whole(core.Answer{Kind: core.Refused, Attempted: true, RetryAfter: wait}))
 		return
 	case !*v.Active: // of a token that is unknown or past, nothing else is told
 		text = []byte(`{"active":false}`)
 	}
-	platform.Write(w, r, core.Answer{Kind: core.Served, Type: "application/json", Body: text})
+	platform.Write(w, r, core.Answer{Kind: core.Served, ContentType: "application/json", Body: text})
 }
 
 // tool gives the tool whose credentials a request brings, nil where there is none.
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -206,14 +206,14 @@
 // Write gives a client the final answer. A 429 or 503 says that asking again is harmless, so nothing else may
 // use them.
 func Write(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	defer a.Drop()
+	defer a.Discard()
 	h := w.Header()
 	switch a.Kind {
 	case core.Served:
-		if a.Type != "" {
-			h.Set("Content-Type", a.Type)
+		if a.ContentType != "" {
+			h.Set("Content-Type", a.ContentType)
 		}
-		if a.Rest != nil {
+		if a.Remainder != nil {
 			pass(w, r, a)
 			return
 		}
@@ -221,28 +221,28 @@
 		w.Write(a.Body)
 	case core.Refused:
 		code := http.StatusTooManyRequests
-		if a.Tried {
+		if a.Attempted {
 			code = http.StatusServiceUnavailable
 		}
 		h.Set("Retry-After", seconds(a.RetryAfter))
 		end(w, code)
-	case core.Denied:
+	case core.Unauthorized:
 		end(w, http.StatusUnauthorized)
 	case core.Failed:
-		if a.Waiting {
+		if a.TimedOut {
 			end(w, http.StatusGatewayTimeout)
 		} else {
 			end(w, http.StatusBadGateway)
 		}
-	case core.Gone:
+	case core.ClientGone:
 		panic(http.ErrAbortHandler) // nobody to answer
 	}
 }
 
 // pass writes a long answer as it comes. One that breaks is made to look so.
 func pass(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	if a.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if a.ContentLength >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
 	}
 	rc := http.NewResponseController(w)
 	piece := a.Body
@@ -253,7 +253,7 @@
 				panic(http.ErrAbortHandler) // the client has left, or takes nothing
 			}
 		}
-		n, err := a.Rest.Read(a.Body[:cap(a.Body)])
+		n, err := a.Remainder.Read(a.Body[:cap(a.Body)])
 		piece = a.Body[:n]
 		switch {
 		case errors.Is(err, io.EOF) && n == 0:
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -102,7 +102,7 @@
 func Answer(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
 	if bad := body.Fault(); bad != nil && a.Kind != core.Served {
 		body.Close()
-		a.Drop()
+		a.Discard()
 		bad.Write(w)
 		return true
 	}
@@ -164,7 +164,7 @@
 	if in.Class = d.ClassNumber(name); in.Class < 0 {
 		return in, nil, &Bad{Code: http.StatusNotFound, Text: hClass + ": unknown class"}
 	}
-	in.Era = d.Era
+	in.Generation = d.Era
 	class := d.Classes[in.Class]
 	if want := method(class.Idempotency); r.Method != want {
 		w.Header().Set("Allow", want)
@@ -213,7 +213,7 @@
 	m := &pool.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: body.Kept}
 	if in.Message = m; body.More() {
 		m.Remainder, m.ContentLength = body, r.ContentLength
-		in.BodyPending, in.Wait = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
+		in.BodyPending, in.BodyTimeout = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
 	}
 	return in, body, nil
 }
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -99,13 +99,13 @@
 // handleUnsent ends an attempt whose request wasn't written completely: the server has not run it.
 func (q *request) handleUnsent(reservation *serverselection.Reservation, end core.End) (final bool) {
 	result := serverselection.Abandoned
-	if end == core.EndNoConnect || end == core.EndCutShort {
+	if end == core.EndNoConnect || end == core.EndWriteFailed {
 		result = serverselection.Unreachable
 	}
 	reservation.Done(time.Now(), result)
 	q.history.Record(retry.NotSent)
 	switch {
-	case end != core.EndDenied:
+	case end != core.EndUnauthorized:
 		return false
 	case q.streamStarted || q.history.MayHaveRun(): // 503 would promise that nothing has run
 		q.giveUp()
--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -349,7 +349,7 @@
 	loads []policy.Load
 }
 
-func (c *core) Crowd(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
+func (c *core) ExchangeLoads(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
 	c.loads = weigh(time.Second, c.own)
 }
 
--- a/internal/inflight/carry.go
+++ b/internal/inflight/carry.go
@@ -16,7 +16,7 @@
 
 // Core is what is asked of the gateway's core.
 type Core interface {
-	Crowd(weigh func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load)
+	ExchangeLoads(weigh func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load)
 }
 
 // Roster names what is listed, in a new map each time.
@@ -59,7 +59,7 @@
 	lives := c.roster.Lives()
 	var peers []int
 	var m []byte
-	c.core.Crowd(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
+	c.core.ExchangeLoads(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if !maps.Equal(lives, c.lives) {
@@ -82,7 +82,7 @@
 
 // Take takes a neighbour's datagram in, and hands what follows to the core.
 func (c *Carrier) Take(from int, m []byte) {
-	c.core.Crowd(func(now policy.Time, _ map[policy.ServerID]policy.OwnLoad) []policy.Load {
+	c.core.ExchangeLoads(func(now policy.Time, _ map[policy.ServerID]policy.OwnLoad) []policy.Load {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.heard++
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -36,7 +36,7 @@
 func (g *Gateway) Seen() (state pipe.State, at Snapshot) {
 	names := g.Roster.Lives()
 	at, state.Deaf = make(Snapshot, len(names)), g.Roster.Silent()
-	g.Core.Learn(func(now core.Time, seen []policy.Observation) []policy.Prior {
+	g.Core.UpdatePriors(func(now core.Time, seen []policy.Observation) []policy.Prior {
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
 			name, ok := names[o.ID]
@@ -66,7 +66,7 @@
 	if len(priors) == 0 {
 		return 0
 	}
-	g.Core.Learn(func(_ core.Time, seen []policy.Observation) []policy.Prior {
+	g.Core.UpdatePriors(func(_ core.Time, seen []policy.Observation) []policy.Prior {
 		served := make(map[policy.ServerID]int, len(seen))
 		for _, o := range seen {
 			served[o.ID] = o.ServedTotal
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -98,7 +98,7 @@
 			p.mu.Unlock()
 			if !underLimit && !p.evictIdle() {
 				p.count(func(c *Stats) { c.LimitReached++ })
-				return nil, core.EndNoSocket
+				return nil, core.EndNoDescriptor
 			}
 			c, end := p.connect(a, addr)
 			p.count(func(stats *Stats) {
--- a/internal/pool/earlyresponse_test.go
+++ b/internal/pool/earlyresponse_test.go
@@ -165,7 +165,7 @@
 		}, func(p *Pool) {
 			x, end := p.Send(context.Background(), newRequest(length))
 			if x == nil {
-				assert.Equal(t, core.EndCutShort, end, cut)
+				assert.Equal(t, core.EndWriteFailed, end, cut)
 				assert.Less(t, cut, head)
 				return
 			}
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -36,9 +36,9 @@
 func (request *Request) Begin(io.Closer) (core.End, bool) {
 	switch {
 	case request.ctx.Err() != nil || !time.Now().Before(request.Deadline):
-		return core.EndOver, false
+		return core.EndAlreadyAnswered, false
 	case request.MaySend != nil && !request.MaySend():
-		return core.EndDenied, false
+		return core.EndUnauthorized, false
 	}
 	return core.EndNone, true
 }
@@ -82,7 +82,7 @@
 	x.written = request.writeTo(c)
 	if x.written == headIncomplete || x.written == bodyIncomplete && p.injected.partialIsNotSent {
 		x.Close()
-		return nil, core.EndCutShort
+		return nil, core.EndWriteFailed
 	}
 	return x, core.EndNone
 }
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -88,8 +88,8 @@
 		kind    core.AnswerKind
 		kept    int
 	}{
-		"the client left":  {func(_ *Pool, _ *core.Core, leave func()) { leave() }, core.Gone, 1},
-		"all was given up": {func(_ *Pool, c *core.Core, _ func()) { c.GiveUp() }, core.Failed, 1},
+		"the client left":  {func(_ *Pool, _ *core.Core, leave func()) { leave() }, core.ClientGone, 1},
+		"all was given up": {func(_ *Pool, c *core.Core, _ func()) { c.Shutdown() }, core.Failed, 1},
 		"its member drains": {func(p *Pool, c *core.Core, _ func()) {
 			p.Set(1, "127.0.0.1:1", policy.Draining)
 			c.Servers(policy.ListChanges, []policy.ServerInfo{{ID: 1, State: policy.Draining}})
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -36,7 +36,7 @@
 			return core.EndReset, answer, false
 		}
 	}
-	answer.Report = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
+	answer.LoadReport = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
 	body := &responseBody{conn: c, pool: p, server: flow.Server, resp: resp}
 	body.reader, body.ready = bodyReader(c.reader, resp)
 	if resp.StatusCode != http.StatusOK {
@@ -45,11 +45,11 @@
 		_, err := io.Copy(io.Discard, body.reader)
 		body.ended = err == nil
 		if isNotRun(resp) {
-			return core.EndTurnedAway, answer, body.connReusable()
+			return core.EndRejected, answer, body.connReusable()
 		}
 		return core.EndErrored, answer, body.connReusable()
 	}
-	answer.Type, answer.Length = resp.Header.Get("Content-Type"), resp.ContentLength
+	answer.ContentType, answer.ContentLength = resp.Header.Get("Content-Type"), resp.ContentLength
 	answer.Units = parseTrueCost(resp.Header.Get(HeaderTrueCost))
 	maxLength := int64(MaxBodySize)
 	if p.options.BufferResponses {
@@ -71,11 +71,11 @@
 		body.releaseMemory()
 		return endOfReadError(err), answer, false
 	}
-	answer.Body, answer.Free = body.buffered, body.releaseMemory
+	answer.Body, answer.Release = body.buffered, body.releaseMemory
 	if complete {
 		return core.EndServed, answer, body.connReusable()
 	}
-	answer.Rest = body
+	answer.Remainder = body
 	return core.EndServed, answer, false
 }
 
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -25,10 +25,10 @@
 	}
 	cancelled := flow.Finish()
 	switch {
-	case answer.Rest != nil && cancelled:
-		answer.Drop()
+	case answer.Remainder != nil && cancelled:
+		answer.Discard()
 		return core.EndCancelled, core.Answer{}
-	case answer.Rest != nil: // it owns the connection
+	case answer.Remainder != nil: // it owns the connection
 		return end, answer
 	case reuse && !cancelled:
 		p.release(flow.Server, c)
@@ -50,20 +50,20 @@
 	c.used = true
 	remaining := time.Until(flow.Until)
 	if remaining <= 0 {
-		return core.EndOver, answer, true
+		return core.EndAlreadyAnswered, answer, true
 	}
 	if msg.remainderRead.Load() {
-		return core.EndSpent, answer, true
+		return core.EndBodyConsumed, answer, true
 	}
 	c.SetDeadline(flow.Until)
 	if !msg.writeBeginning(c, remaining) {
-		return core.EndCutShort, answer, false
+		return core.EndWriteFailed, answer, false
 	}
 	if msg.Remainder != nil {
 		if end, complete := c.streamRemainder(p, flow, msg); !complete {
 			return end, answer, false
 		}
-		flow.Came()
+		flow.BodySent()
 		c.SetDeadline(flow.Until)
 	}
 	c.readLimit = maxHeadSize
@@ -87,7 +87,7 @@
 	}
 	defer p.options.ResponseMemory.Release(int64(bufferSize))
 	msg.remainderRead.Store(true)
-	flow.Spent = true
+	flow.BodyConsumed = true
 	buf := make([]byte, bufferSize)
 	remaining := int64(MaxBodySize) // bytes of the body that may still be written
 	if msg.ContentLength >= 0 {
@@ -98,7 +98,7 @@
 		remaining -= int64(n)
 		ended := errors.Is(err, io.EOF)
 		if err != nil && !ended || remaining < 0 || ended && msg.ContentLength >= 0 && remaining > 0 {
-			return core.EndBodyCut, false
+			return core.EndBodyIncomplete, false
 		}
 		// A body of known length ends with its last byte, not with io.EOF, which may come later: the server may
 		// answer by then, and that would look like an early response.
@@ -123,7 +123,7 @@
 			if end, over := c.readEarlyResponse(); over {
 				return end, false
 			}
-			return core.EndCutShort, false
+			return core.EndWriteFailed, false
 		}
 		if ended {
 			return core.EndNone, true
@@ -141,7 +141,7 @@
 		return core.EndNone, false
 	}
 	if err == nil && isNotRun(resp) {
-		return core.EndTurnedAway, true
+		return core.EndRejected, true
 	}
-	return core.EndCutShort, true
+	return core.EndWriteFailed, true
 }
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -49,10 +49,10 @@
 // readAll reads an answer to its end, as a front does.
 func readAll(a core.Answer) (string, error) {
 	text := string(a.Body)
-	if a.Rest == nil {
+	if a.Remainder == nil {
 		return text, nil
 	}
-	rest, err := io.ReadAll(a.Rest)
+	rest, err := io.ReadAll(a.Remainder)
 	return text + string(rest), err
 }
 
@@ -106,7 +106,7 @@
 		for cut := range text {
 			a := ask()
 			got, err := readAll(a)
-			a.Drop()
+			a.Discard()
 			if !assert.NoError(t, err) || !assert.Equal(t, core.Served, a.Kind, "%s cut at %d", name, cut) ||
 				!assert.Equal(t, "crew sent", got, "%s cut at %d", name, cut) {
 				return
@@ -129,12 +129,12 @@
 				require.Equal(t, core.Served, a.Kind, "%s of %d", name, size)
 				assert.LessOrEqual(t, cap(a.Body), MaxBufferedBody, name)
 				known := !strings.Contains(name, "chunks") && name != "end"
-				assert.Equal(t, size > MaxBufferedBody || !known && size >= StreamBufferSize, a.Rest != nil, "%s of %d", name, size)
+				assert.Equal(t, size > MaxBufferedBody || !known && size >= StreamBufferSize, a.Remainder != nil, "%s of %d", name, size)
 				got, err := readAll(a)
 				assert.NoError(t, err, name)
 				assert.True(t, body == got, "%s of %d", name, size)
-				a.Drop()
-				a.Drop()
+				a.Discard()
+				a.Discard()
 			}
 			opened := 2
 			if form[1] == "" {
@@ -166,12 +166,12 @@
 		a := ask()
 		close(begun)
 		require.Equal(t, core.Served, a.Kind, name)
-		require.NotNil(t, a.Rest, name)
+		require.NotNil(t, a.Remainder, name)
 		assert.NotEmpty(t, a.Body, name)
 		got, err := readAll(a)
 		assert.NoError(t, err, name)
 		assert.GreaterOrEqual(t, len(got), 6, name)
-		a.Drop()
+		a.Discard()
 	}
 }
 
@@ -213,7 +213,7 @@
 			got, err := readAll(a)
 			assert.Error(t, err, name)
 			assert.LessOrEqual(t, len(got), MaxBodySize+2*MaxBufferedBody, name)
-			a.Drop()
+			a.Discard()
 		} else {
 			assert.Equal(t, core.Failed, a.Kind, name)
 		}
@@ -243,7 +243,7 @@
 			if a.Kind == core.Served {
 				_, err := readAll(a)
 				assert.Error(t, err, name)
-				a.Drop()
+				a.Discard()
 			}
 		}
 		assert.Equal(t, 0, p.Stats().Open, name)
@@ -266,7 +266,7 @@
 	got, err := readAll(a)
 	assert.ErrorIs(t, err, syscall.ECONNRESET)
 	assert.Equal(t, "abcde", got)
-	a.Drop()
+	a.Discard()
 }
 
 // Bytes after a response belong to no request: the connection is not reused, whether the response was short or
@@ -283,7 +283,7 @@
 				a := ask()
 				_, err := readAll(a)
 				assert.NoError(t, err, name)
-				a.Drop()
+				a.Discard()
 				time.Sleep(5 * time.Millisecond) // until the extra bytes have arrived
 			}
 			assert.Equal(t, 2, m.Opened(), "%s of %d", name, size)
@@ -297,7 +297,7 @@
 	p, ask := newTestPool(t, 9, carry, m)
 	p.options.ResponseMemory = buffers.New(StreamBufferSize)
 	first := ask()
-	require.NotNil(t, first.Rest)
+	require.NotNil(t, first.Remainder)
 	second := make(chan core.Answer)
 	go func() { second <- ask() }()
 	select {
@@ -307,10 +307,10 @@
 	}
 	_, err := readAll(first)
 	require.NoError(t, err)
-	first.Drop()
+	first.Discard()
 	a := <-second
 	assert.Equal(t, core.Served, a.Kind)
-	a.Drop()
+	a.Discard()
 }
 
 // When a client leaves within a long response the connection is closed, not reused.
@@ -318,8 +318,8 @@
 	m := fake.New(t, fake.OK(textOf(3<<20)))
 	p, ask := newTestPool(t, 9, carry, m)
 	a := ask()
-	require.NotNil(t, a.Rest)
-	a.Drop()
+	require.NotNil(t, a.Remainder)
+	a.Discard()
 	assert.Equal(t, 0, p.Stats().Open)
 }
 
@@ -353,7 +353,7 @@
 		list = append(list, policy.ServerInfo{ID: policy.ServerID(i + 1), Weight: 1})
 	}
 	c.Servers(policy.ListFull, list)
-	return c.Serve(context.Background(), core.Request{Wait: 20 * time.Second,
+	return c.Serve(context.Background(), core.Request{BodyTimeout: 20 * time.Second,
 		Message: &Message{Method: "POST", Target: "/work-order", Host: "x", Body: []byte(kept), Remainder: rest,
 			ContentLength: length},
 		Request: policy.Request{Class: class, Units: 1, SetSize: 1, BodyPending: true, Deadline: c.Now() + 20*time.Second}})
@@ -546,7 +546,7 @@
 			rest := &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}
 			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: rest, ContentLength: -1})
 			if assert.Equal(t, takes == len(whole), ok, "%q, %d", says, takes) && !ok {
-				assert.Equal(t, core.EndCutShort, end, "%q, %d", says, takes)
+				assert.Equal(t, core.EndWriteFailed, end, "%q, %d", says, takes)
 			}
 		}
 	}
@@ -591,7 +591,7 @@
 		a := c.Serve(context.Background(), core.Request{Message: &Message{Method: "POST", Target: "/x", Host: "x"},
 			Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 20*time.Second}})
 		got, _ := readAll(a)
-		a.Drop()
+		a.Discard()
 		if len(got) > len(text) {
 			t.Fatalf("%d bytes of %d", len(got), len(text))
 		}
@@ -658,7 +658,7 @@
 			return end, a
 		}, m)
 		ask()
-		assert.Equal(t, []float32{38.5}, got.Report)
+		assert.Equal(t, []float32{38.5}, got.LoadReport)
 		assert.Equal(t, units, got.Units)
 	}
 }
--- a/internal/store/keep/keep.go
+++ b/internal/store/keep/keep.go
@@ -40,8 +40,8 @@
 
 // Gateway is what is kept of.
 type Gateway interface {
-	Uses(since policy.Time) (list []policy.QuotaBalance, now policy.Time)
-	Recall(list []policy.QuotaBalance)
+	QuotaBalances(since policy.Time) (list []policy.QuotaBalance, now policy.Time)
+	RestoreBalances(list []policy.QuotaBalance)
 }
 
 // Options say where and for whom.
@@ -170,7 +170,7 @@
 	k.mu.Lock()
 	k.recalled = len(list)
 	k.mu.Unlock()
-	k.g.Recall(list)
+	k.g.RestoreBalances(list)
 }
 
 // Run writes until ctx ends, and closes the folder.
@@ -188,7 +188,7 @@
 			}
 			continue
 		}
-		list, now := k.g.Uses(since)
+		list, now := k.g.QuotaBalances(since)
 		if len(list) > 0 || k.opt.Now().Sub(alive) >= aliveEvery {
 			since, alive = now, k.opt.Now()
 			k.write(s, list)
@@ -196,7 +196,7 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			list, _ := k.g.Uses(since)
+			list, _ := k.g.QuotaBalances(since)
 			k.write(s, list)
 			s.Close()
 			return
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -25,7 +25,7 @@
 	asked    int
 }
 
-func (g *gateway) Uses(since policy.Time) (list []policy.QuotaBalance, now policy.Time) {
+func (g *gateway) QuotaBalances(since policy.Time) (list []policy.QuotaBalance, now policy.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asked++
@@ -36,7 +36,7 @@
 	return list, g.now
 }
 
-func (g *gateway) Recall(list []policy.QuotaBalance) { g.recalled = list }
+func (g *gateway) RestoreBalances(list []policy.QuotaBalance) { g.recalled = list }
 
 func (g *gateway) drew(list ...policy.QuotaBalance) {
 	g.mu.Lock()
