--- a/internal/lab/soak/tail.go
+++ b/internal/lab/soak/logtail.go
@@ -6,14 +6,15 @@
 	"os"
 )
 
-// tail reads what is added to a log.
+// logTail reads a growing log of JSON lines.
 type logTail struct {
 	path        string
-	offset      int64
-	partialLine []byte // the beginning of a line
+	offset      int64  // in bytes, of what hasn't been read
+	partialLine []byte // read, without its newline yet
 }
 
-// read hands over the whole lines that were added since.
+// read calls take for each line that was completed since the last call. Lines that aren't JSON are skipped: a
+// kill may have truncated them, or the Go runtime printed them.
 func (t *logTail) read(take func(logEntry)) {
 	file, err := os.Open(t.path)
 	if err != nil {
@@ -29,14 +30,14 @@
 	t.offset += int64(n)
 	t.partialLine = append(t.partialLine, text[:n]...)
 	for {
-		line, rest, whole := bytes.Cut(t.partialLine, []byte("\n"))
-		if !whole {
+		line, rest, complete := bytes.Cut(t.partialLine, []byte("\n"))
+		if !complete {
 			return
 		}
 		t.partialLine = rest
-		var one logEntry
-		if json.Unmarshal(line, &one) == nil { // else it was cut off by a kill, or is the runtime's own
-			take(one)
+		var entry logEntry
+		if json.Unmarshal(line, &entry) == nil {
+			take(entry)
 		}
 	}
 }
--- a/internal/lab/soak/streams.go
+++ b/internal/lab/soak/streams.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"sync"
@@ -13,51 +12,56 @@
 	"sprucelane.example/sprucelane/internal/lab/system"
 )
 
-// Figures of clients.
 const (
-	responseSlack            = 2 * time.Second // beyond its deadline, after which an answer is missing
-	maxOpenStreams           = 300             // streams at once
-	sessions                 = 8
-	streamAbandonProbability = 0.05                   // of the streams whose client closes before the answer and sends the same again
-	maxStreamAbandonDelay    = 100 * time.Millisecond // of such a client
+	// responseSlack is the time beyond a request's deadline after which its response counts as missing.
+	responseSlack = 2 * time.Second
+	// maxOpenStreams bounds the streams in flight; those that are due beyond it are not sent.
+	maxOpenStreams = 300
+	sessions       = 8
+	// streamAbandonProbability is the share of streams whose client closes the connection, after up to
+	// maxStreamAbandonDelay, and sends the same request again.
+	streamAbandonProbability = 0.05
+	maxStreamAbandonDelay    = 100 * time.Millisecond
 )
 
-// stream sends streams in an open loop until the context ends.
+// generateStreams sends streams in an open loop, with random intervals at the mean rate, until the context ends.
 func (r *run) generateStreams(ctx context.Context) {
-	const stream = 104
-	random := rand.New(rand.NewPCG(r.plan.Seed, stream))
-	open := make(chan struct{}, maxOpenStreams)
+	random := r.options.randomSource(randomStreams)
+	inFlight := make(chan struct{}, maxOpenStreams)
 	var requests sync.WaitGroup
 	defer requests.Wait()
-	for number := 0; sleep(ctx, time.Duration(random.ExpFloat64()/r.plan.StreamRate*float64(time.Second))); number++ {
+	for number := 0; sleep(ctx, randomInterval(random, r.options.StreamRate)); number++ {
 		select {
-		case open <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			continue
 		}
-		m, again, loses, heed := r.randomFrontMachine(random), r.randomFrontMachine(random), random.Float64() < streamAbandonProbability, randomDuration(random, 0, maxStreamAbandonDelay)
+		first, second := r.randomFrontMachine(random), r.randomFrontMachine(random)
+		abandons := random.Float64() < streamAbandonProbability
+		delay := randomDuration(random, 0, maxStreamAbandonDelay)
 		requests.Go(func() {
-			defer func() { <-open }()
-			id := fmt.Sprintf("stream-%d", number)
-			if loses {
-				r.abandonStream(m, id, number%sessions, heed)
-				m = again
+			defer func() { <-inFlight }()
+			id, session := fmt.Sprintf("stream-%d", number), number%sessions
+			if !abandons {
+				r.sendStream(first, id, session)
+				return
 			}
-			r.sendStream(m, id, number%sessions)
+			r.abandonStream(first, id, session, delay)
+			r.sendStream(second, id, session)
 		})
 	}
 }
 
-// streamAndLeave sends a stream and closes the connection soon.
-func (r *run) abandonStream(m system.Machine, id string, session int, heed time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), heed)
+// abandonStream sends a stream and closes the connection after a delay.
+func (r *run) abandonStream(m system.Machine, id string, session int, delay time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), delay)
 	defer cancel()
 	r.client.Stream(ctx, m, id, session)
 }
 
-// streamOnce sends a stream and judges what comes.
+// sendStream sends a stream and checks the response.
 func (r *run) sendStream(m system.Machine, id string, session int) {
-	r.requests.add()
+	r.streams.Add(1)
 	began := time.Now()
 	outcome := r.client.Stream(context.Background(), m, id, session)
 	if outcome.Err != nil {
@@ -67,12 +71,12 @@
 	if outcome.Status == http.StatusOK && !outcome.Complete {
 		r.checker.violated(RuleBelongs, "stream %s at %s: %s", id, m.Name, outcome.Problem)
 	}
-	if outcome.Status >= 400 && !allowedUnderFaults(outcome.Status) {
+	if outcome.Status >= http.StatusBadRequest && !allowedUnderFaults(outcome.Status) {
 		r.checker.violated(RuleAnswer, "stream %s at %s got %d", id, m.Name, outcome.Status)
 	}
 }
 
-// allowedStatus tells whether a gateway may answer so to a sound request in trouble.
+// allowedUnderFaults returns whether a gateway may answer a valid request with a status while there are faults.
 func allowedUnderFaults(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -81,7 +85,8 @@
 	return false
 }
 
-// unanswered judges a call that got no whole answer: that is a fault unless no connection came up, or the gateway was not whole.
+// checkUnanswered judges a call without a complete response. That is a violation unless no connection was
+// made, or the gateway was disturbed at any time since the call began.
 func (r *run) checkUnanswered(m system.Machine, what string, began time.Time, err error) {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
@@ -90,5 +95,12 @@
 	if r.timeline.disturbed(r.targetAt(m, system.RoleGateway).name(), began) {
 		return
 	}
-	r.checker.violated(RuleAnswer, "%s at %s got no whole answer in %.3f s: %v", what, m.Name, time.Since(began).Seconds(), err)
+	r.checker.violated(
+		RuleAnswer,
+		"%s at %s got no complete response in %.3f s: %v",
+		what,
+		m.Name,
+		time.Since(began).Seconds(),
+		err,
+	)
 }
--- a/internal/lab/soak/timeline.go
+++ b/internal/lab/soak/timeline.go
@@ -9,89 +9,100 @@
 	"time"
 )
 
-// Kind is a kind of trouble, or of another event worth telling beside them.
+// EventKind is the kind of an event on the timeline: a fault, or another event that matters beside them.
 type EventKind string
 
-// The kinds.
 const (
 	KindKill            EventKind = "kill"
 	KindPause           EventKind = "pause"
 	KindPartition       EventKind = "cut"
 	KindOneWayPartition EventKind = "one-way-cut"
-	KindWipe            EventKind = "wipe"     // a kill of one process with the loss of its disk
-	KindPowerLoss       EventKind = "blackout" // a kill of all processes, with the loss of some disks or without
+	KindWipe            EventKind = "wipe"     // one process is killed and loses its disk
+	KindPowerLoss       EventKind = "blackout" // all processes are killed, and some may lose their disks
 	KindRetire          EventKind = "retire"
-	kindHostStall       EventKind = "host-stall" // the machine itself stood still
-	kindHealed          EventKind = "healed"     // the last trouble of a round is over
-	kindRecovered       EventKind = "recovered"  // all is well after it
+	kindHostStall       EventKind = "host-stall" // the machine that runs the test was stalled
+	kindHealed          EventKind = "healed"     // the last fault of a round is over
+	kindRecovered       EventKind = "recovered"  // the system is well again after it
 )
 
-// TroubleKinds are those that a summary names.
-var FaultKinds = []EventKind{KindKill, KindPause, KindPartition, KindOneWayPartition, KindWipe, KindPowerLoss, KindRetire, kindHostStall}
+// FaultKinds are the kinds of faults, in the order of a summary.
+var FaultKinds = []EventKind{
+	KindKill,
+	KindPause,
+	KindPartition,
+	KindOneWayPartition,
+	KindWipe,
+	KindPowerLoss,
+	KindRetire,
+	kindHostStall,
+}
 
-// event is one entry of the time line.
+// event is one entry of the timeline.
 type event struct {
 	kind     EventKind
 	what     string
 	from, to time.Time // to is zero while it lasts
 }
 
-// timeline keeps what was done to the system, and when processes were not whole.
+// disturbance is a time in which a process was down or paused.
+type disturbance struct {
+	from, to time.Time // to is zero while it lasts
+}
+
+// timeline records what was done to the system, and when which processes were disturbed.
 type timeline struct {
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below, and the events and disturbances in them
 	start        time.Time
 	events       []*event
 	disturbances map[string][]*disturbance // by process
 }
 
-// span is a time in which a process was down or stood still.
-type disturbance struct{ from, to time.Time }
-
 func newTimeline() *timeline {
 	return &timeline{start: time.Now(), disturbances: map[string][]*disturbance{}}
 }
 
+// restartClock sets the time from which events and violations are counted. It is called before the load begins.
 func (t *timeline) restartClock() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.start = time.Now()
 }
 
-// add enters a trouble that begins, and gives what ends it.
-func (t *timeline) add(kind EventKind, format string, arguments ...any) (over func()) {
-	one := &event{kind: kind, what: fmt.Sprintf(format, arguments...), from: time.Now()}
+// add records an event that begins now, and returns the function that ends it.
+func (t *timeline) add(kind EventKind, format string, arguments ...any) (end func()) {
+	e := &event{kind: kind, what: fmt.Sprintf(format, arguments...), from: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.events = append(t.events, one)
+	t.events = append(t.events, e)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		one.to = time.Now()
+		e.to = time.Now()
 	}
 }
 
-// note enters what has no length.
+// note records an event without a duration.
 func (t *timeline) note(kind EventKind) { t.add(kind, "")() }
 
-// disturb notes that a process is no longer whole, and gives what ends that.
-func (t *timeline) disturb(process string) (over func()) {
-	one := &disturbance{from: time.Now()}
+// disturb records that a process is disturbed from now on, and returns the function that ends it.
+func (t *timeline) disturb(process string) (end func()) {
+	d := &disturbance{from: time.Now()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.disturbances[process] = append(t.disturbances[process], one)
+	t.disturbances[process] = append(t.disturbances[process], d)
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if one.to.IsZero() {
-			one.to = time.Now()
+		if d.to.IsZero() {
+			d.to = time.Now()
 		}
 	}
 }
 
-// everyProcess stands for all processes in disturb's place.
+// everyProcess is the key of disturbances of all processes.
 const everyProcess = ""
 
-// stood notes that all stood still from a time until now.
+// hostStalled records that the machine was stalled from a time until now, and with it all processes.
 func (t *timeline) hostStalled(from time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,52 +111,54 @@
 	t.events = append(t.events, &event{kind: kindHostStall, from: from, to: now})
 }
 
-// disturbed tells whether a process was not whole for a part of the time from a moment until now.
+// disturbed returns whether a process was disturbed at any time between from and now.
 func (t *timeline) disturbed(process string, from time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, one := range slices.Concat(t.disturbances[process], t.disturbances[everyProcess]) {
-		if one.to.IsZero() || one.to.After(from) {
+	for _, d := range slices.Concat(t.disturbances[process], t.disturbances[everyProcess]) {
+		if d.to.IsZero() || d.to.After(from) {
 			return true
 		}
 	}
 	return false
 }
 
+// since returns the seconds from the start to a time.
 func (t *timeline) since(at time.Time) float64 { return at.Sub(t.start).Seconds() }
 
-// words gives the events of the last while before a moment, one a line.
-func (t *timeline) render(at time.Time, before time.Duration) string {
+// render returns the events of a window before a time, one a line, in seconds since the start.
+func (t *timeline) render(at time.Time, window time.Duration) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var text strings.Builder
-	for _, one := range t.events {
-		if !one.to.IsZero() && one.to.Before(at.Add(-before)) || one.from.After(at) {
+	for _, e := range t.events {
+		if !e.to.IsZero() && e.to.Before(at.Add(-window)) || e.from.After(at) {
 			continue
 		}
 		until := "..."
-		if !one.to.IsZero() {
-			until = fmt.Sprintf("%.3f", t.since(one.to))
+		if !e.to.IsZero() {
+			until = fmt.Sprintf("%.3f", t.since(e.to))
 		}
-		fmt.Fprintf(&text, "    %9.3f to %s  %s %s\n", t.since(one.from), until, one.kind, one.what)
+		fmt.Fprintf(&text, "    %9.3f to %s  %s %s\n", t.since(e.from), until, e.kind, e.what)
 	}
 	return text.String()
 }
 
-// write writes the whole time line to a file.
+// write writes all events to a file, with the start as UTC so that they can be compared with logs.
 func (t *timeline) write(path string) error {
 	now := time.Now()
-	text := fmt.Sprintf("0 is %s\n%s", t.start.UTC().Format("2006-01-02T15:04:05.000Z"), t.render(now, now.Sub(t.start)))
+	start := t.start.UTC().Format("2006-01-02T15:04:05.000Z")
+	text := fmt.Sprintf("0 is %s\n%s", start, t.render(now, now.Sub(t.start)))
 	return os.WriteFile(path, []byte(text), 0o600)
 }
 
-// kinds counts the troubles.
+// countKinds returns the number of events of each kind.
 func (t *timeline) countKinds() map[EventKind]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	counts := map[EventKind]int{}
-	for _, one := range t.events {
-		counts[one.kind]++
+	for _, e := range t.events {
+		counts[e.kind]++
 	}
 	return counts
 }
--- a/internal/lab/system/machine.go
+++ b/internal/lab/system/machine.go
@@ -21,6 +21,12 @@
 	programPrefix = "sprucelane-"
 )
 
+// The classes of machines.
+const (
+	ClassFront = "front" // with a control process and a gateway
+	ClassStore = "store" // with a batch process and a disk
+)
+
 // Ports of all machines; each machine has an address of its own.
 const (
 	portFront       = 8689
@@ -38,7 +44,7 @@
 // Machine is one machine: an address, a folder as its disk, and the processes on it.
 type Machine struct {
 	Name  string
-	Class string // front or store
+	Class string // ClassFront or ClassStore
 	Zone  string
 	IP    string
 	Roles []string
