--- a/internal/gateway/batchproxy/caller.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -25,16 +25,8 @@
 )
 
 const (
-	// connectTimeout bounds the establishment of a connection.
-	connectTimeout = 400 * time.Millisecond
-	// answerTimeout is how long a store may take for its answer, in addition to the client's long poll.
-	answerTimeout = 1500 * time.Millisecond
 	// maxHops bounds the stores that one call is sent to.
 	maxHops = 6
-	// heartbeat is the interval of heartbeats on a connection.
-	heartbeat = 500 * time.Millisecond
-	// idleTimeout is how long an unused connection is kept.
-	idleTimeout = 20 * time.Second
 	// retryAfter is for clients of calls that no store answered.
 	retryAfter = 300 * time.Millisecond
 )
@@ -54,14 +46,6 @@
 	rotation    int                    // where the next call starts among equal stores
 }
 
-// connection is a connection to a store, which reconnects by itself.
-type connection struct {
-	client   *transport.Client
-	up       chan struct{} // closed once it has been connected
-	lastUsed time.Time     // when a call last acquired it
-	users    int           // calls in flight
-}
-
 // New returns a caller that takes the set of stores from members, and their backlogs from a table.
 func New(settings *node.Settings, options transport.Options, members func() *protocol.MemberList,
 	backlogs *serverload.Table) *Caller {
@@ -160,72 +144,3 @@
 	}
 	return slices.Concat(near, far, slow, retiring)
 }
-
-// callProcess sends the call to one store.
-func (c *Caller) callProcess(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) {
-	one := c.acquire(ip)
-	defer c.release(one)
-	wait := time.NewTimer(connectTimeout)
-	defer wait.Stop()
-	select {
-	case <-one.up:
-	case <-wait.C:
-		return protocol.BatchAnswer{}, transport.ErrNotConnected
-	case <-ctx.Done():
-		return protocol.BatchAnswer{}, transport.ErrNotConnected
-	}
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout+time.Duration(call.WaitMs)*time.Millisecond)
-	defer cancel()
-	reply, err := one.client.Call(ctx, call)
-	if err != nil {
-		return protocol.BatchAnswer{}, err
-	}
-	answer, ok := reply.(protocol.BatchAnswer)
-	if !ok {
-		return protocol.BatchAnswer{}, transport.ErrUncertain
-	}
-	return answer, nil
-}
-
-// acquire returns the connection to a store for one call, and closes those that are idle.
-func (c *Caller) acquire(ip string) *connection {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	now := time.Now()
-	for other, one := range c.connections {
-		if one.users == 0 && now.Sub(one.lastUsed) > idleTimeout {
-			one.client.Close()
-			delete(c.connections, other)
-		}
-	}
-	one := c.connections[ip]
-	if one == nil {
-		one = &connection{up: make(chan struct{})}
-		var once sync.Once
-		one.client = transport.NewClient(c.settings.EndpointAt(ip, node.PortBatch), c.options, nil, func(up bool) {
-			if up {
-				once.Do(func() { close(one.up) })
-			}
-		})
-		c.connections[ip] = one
-	}
-	one.users++
-	one.lastUsed = now
-	return one
-}
-
-// release ends a call's use of a connection.
-func (c *Caller) release(one *connection) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	one.users--
-}
-
-// Close closes all connections.
-func (c *Caller) Close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, one := range c.connections {
-		one.client.Close()
-	}
-}
--- /dev/null
+++ b/internal/gateway/batchproxy/connections.go
@@ -0,0 +1,100 @@
+package batchproxy
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"sprucelane.example/sprucelane/coord/transport"
+	"sprucelane.example/sprucelane/internal/node"
+	"sprucelane.example/sprucelane/internal/protocol"
+)
+
+const (
+	// connectTimeout bounds the establishment of a connection.
+	connectTimeout = 400 * time.Millisecond
+	// answerTimeout is how long a store may take for its answer, in addition to the client's long poll.
+	answerTimeout = 1500 * time.Millisecond
+	// heartbeat is the interval of heartbeats on a connection.
+	heartbeat = 500 * time.Millisecond
+	// idleTimeout is how long an unused connection is kept.
+	idleTimeout = 20 * time.Second
+)
+
+// connection is a connection to a store, which reconnects by itself.
+type connection struct {
+	client   *transport.Client
+	up       chan struct{} // closed once it has been connected
+	lastUsed time.Time     // when a call last acquired it
+	users    int           // calls in flight
+}
+
+// callProcess sends the call to one store. transport.ErrNotConnected means that it wasn't sent; after any other error
+// the store may have got it.
+func (c *Caller) callProcess(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) {
+	one := c.acquire(ip)
+	defer c.release(one)
+	wait := time.NewTimer(connectTimeout)
+	defer wait.Stop()
+	select {
+	case <-one.up:
+	case <-wait.C:
+		return protocol.BatchAnswer{}, transport.ErrNotConnected
+	case <-ctx.Done():
+		return protocol.BatchAnswer{}, transport.ErrNotConnected
+	}
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout+time.Duration(call.WaitMs)*time.Millisecond)
+	defer cancel()
+	reply, err := one.client.Call(ctx, call)
+	if err != nil {
+		return protocol.BatchAnswer{}, err
+	}
+	answer, ok := reply.(protocol.BatchAnswer)
+	if !ok {
+		return protocol.BatchAnswer{}, transport.ErrUncertain
+	}
+	return answer, nil
+}
+
+// acquire returns the connection to a store for one call, and closes those that are idle.
+func (c *Caller) acquire(ip string) *connection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	for other, one := range c.connections {
+		if one.users == 0 && now.Sub(one.lastUsed) > idleTimeout {
+			one.client.Close()
+			delete(c.connections, other)
+		}
+	}
+	one := c.connections[ip]
+	if one == nil {
+		one = &connection{up: make(chan struct{})}
+		var once sync.Once
+		one.client = transport.NewClient(c.settings.EndpointAt(ip, node.PortBatch), c.options, nil, func(up bool) {
+			if up {
+				once.Do(func() { close(one.up) })
+			}
+		})
+		c.connections[ip] = one
+	}
+	one.users++
+	one.lastUsed = now
+	return one
+}
+
+// release ends a call's use of a connection.
+func (c *Caller) release(one *connection) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	one.users--
+}
+
+// Close closes all connections.
+func (c *Caller) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, one := range c.connections {
+		one.client.Close()
+	}
+}
