--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -38,7 +38,7 @@
 //
 // A promise excludes all lower numbers from now on, and reports the highest that was accepted before. That is all
 // that Paxos asks of phase 1 (Lamport, "Paxos Made Simple", section 2.2).
-func (a *Acceptor) OnPrepare(p Prepare, log LogState) (answer any, changed bool) {
+func (a *Acceptor) OnPrepare(p Prepare, log LogState) (answer Response, changed bool) {
 	if p.View.Epoch != a.View.Epoch || !a.View.IsVoter(a.Self) {
 		return nil, false
 	}
@@ -63,7 +63,7 @@
 //
 // It accepts unless it has promised a higher number. Accepting raises the promise as well: the member is wedged
 // even if it never saw the prepare, and a lower proposal can't replace the value.
-func (a *Acceptor) OnAccept(m Accept) (answer any, changed bool) {
+func (a *Acceptor) OnAccept(m Accept) (answer Response, changed bool) {
 	if m.View.Epoch != a.View.Epoch || !a.View.IsVoter(a.Self) {
 		return nil, false
 	}
--- a/coord/view/agreement_model_test.go
+++ b/coord/view/agreement_model_test.go
@@ -12,7 +12,6 @@
 	synced   uint64
 
 	proposal       *Proposal
-	acceptSent     bool
 	prefixComplete bool // its predecessors are synced in this epoch; volatile
 }
 
@@ -28,19 +27,19 @@
 	nodes     []*agreementNode
 	messages  []agreementMessage
 	commits   []modelCommit
-	views     map[uint64]string
-	commands  int
+	views     map[uint64]string // the adopted view of each epoch, as viewText has it
+	commands  int               // counts of what agreementConfig bounds
 	restarts  int
 	wipes     int
 	starts    int
 	trace     *modelStep
-	violation string
+	violation string // what a step found to be wrong; empty: nothing
 }
 
 // agreementConfig bounds an exploration and injects bugs.
 type agreementConfig struct {
-	maxRound   uint64
-	maxEpoch   uint64
+	maxRound   uint64 // of proposal numbers
+	maxEpoch   uint64 // of views
 	commands   int
 	restarts   int
 	wipes      int
@@ -211,7 +210,6 @@
 	s.starts++
 	d := &n.acceptor.DurableState
 	n.proposal = NewProposal(d.View, ProposalNumber{Round: d.Promised.Round + 1, Member: n.acceptor.Self.ID()})
-	n.acceptSent = false
 	prepare := n.proposal.Prepare()
 	for _, m := range d.View.Voters {
 		if !m.Same(n.acceptor.Self) {
@@ -291,7 +289,7 @@
 // restart ends a process and starts it again.
 func (s *agreementState) restart(n *agreementNode) {
 	s.restarts++
-	n.proposal, n.acceptSent = nil, false
+	n.proposal = nil
 	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.acceptor.Self)
 	if s.config.forgetVotes {
 		n.acceptor.DurableState = DurableState{View: n.acceptor.View}
@@ -325,7 +323,7 @@
 		s.violation = fmt.Sprintf("two views of epoch %d: %s and %s", v.Epoch, earlier, text)
 	}
 	s.views[v.Epoch] = text
-	n.proposal, n.acceptSent = nil, false
+	n.proposal = nil
 	if v.Source.Same(n.acceptor.Self) {
 		if before+1 != v.Epoch || !wedged {
 			s.violation = "a source that wasn't wedged"
--- a/coord/view/messages.go
+++ b/coord/view/messages.go
@@ -42,6 +42,13 @@
 	Accepted       *View          // the last value that the sender accepted, nil if none
 }
 
+// Response is what an Acceptor answers a proposer: a PrepareResponse, an AcceptResponse or a Reject.
+type Response interface{ isResponse() }
+
+func (PrepareResponse) isResponse() {}
+func (AcceptResponse) isResponse()  {}
+func (Reject) isResponse()          {}
+
 // Accept asks the voters of View to accept Value as the view of View.Epoch+1 (phase 2a).
 type Accept struct {
 	View   View // current view, as in Prepare
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"hash/maphash"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -50,14 +51,13 @@
 	previous *modelStep
 }
 
+// String returns the names of all steps of the trace, the first first, one a line.
 func (s *modelStep) String() string {
 	var names []string
 	for ; s != nil; s = s.previous {
 		names = append(names, s.name())
 	}
-	for i, j := 0, len(names)-1; i < j; i, j = i+1, j-1 {
-		names[i], names[j] = names[j], names[i]
-	}
+	slices.Reverse(names)
 	return strings.Join(names, "\n")
 }
 
