--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -43,7 +43,7 @@
 		m.redirectToActive(p)
 		return
 	}
-	if m.tooManyDeparted() || !m.hasCapacity(p) {
+	if m.tooManyDeparted() || !m.canStore(p) {
 		m.answer(p.callID, unavailable())
 		return
 	}
@@ -66,7 +66,7 @@
 }
 
 // hasCapacity reports whether there are enough stores for a batch job, and enough disk here.
-func (m *StateMachine) hasCapacity(p parkedCall) bool {
+func (m *StateMachine) canStore(p parkedCall) bool {
 	if len(placement.ActiveMembers(m.view)) < m.options.ReplicationFactor {
 		return false
 	}
--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -158,7 +158,7 @@
 			m.rejectCalls(a)
 		}
 	}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		m.expireReads(j, now)
 	}
 }
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -414,7 +414,7 @@
 // another clock.
 func (w *storeSimulation) holdsExpired(key placement.Key) bool {
 	s := w.storeOf(key)
-	return s != nil && slices.ContainsFunc(s.machine.order, func(j *storedJob) bool {
+	return s != nil && slices.ContainsFunc(s.machine.jobsInOrder, func(j *storedJob) bool {
 		return !j.handedOver && w.clients.expired(w.clients.jobs[j.id])
 	})
 }
@@ -488,7 +488,7 @@
 		}
 		m := s.machine
 		text += fmt.Sprintf(" settled %v, %d acceptances", m.reconciled, len(m.acceptances))
-		for _, j := range m.order {
+		for _, j := range m.jobsInOrder {
 			if !j.handedOver {
 				text += "\n" + j.id + fmt.Sprintf(" handing %v", len(j.handoverReplicas)) + w.describe(j.id)
 			}
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -113,7 +113,7 @@
 // capacity granted.
 func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
 	used := map[queuedtokens.Account]int64{}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		_, transferring := m.transfers[j.id]
 		if (j.owned || transferring) && !j.ended && j.queuedTokens > 0 {
 			used[j.account()] += j.queuedTokens
@@ -278,7 +278,7 @@
 		used[account] += 0 // so that the account is looked at
 	}
 	due := map[placement.Key]bool{}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if m.awaitsCapacity(j) {
 			counter := m.counterOf(j.account())
 			last := m.claims.sent[counter]
@@ -328,7 +328,7 @@
 
 // confirmCapacity takes a counter's word that a claim's accounts are within their limits, except for some.
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		account := j.account()
 		_, unclaimed := m.claims.unclaimed[account]
 		if !j.owned || !j.capacityUnconfirmed || unclaimed {
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -39,17 +39,17 @@
 
 // clusterNode is a store.
 type clusterNode struct {
-	cluster     *cluster
-	number      int
-	incarnation int
-	life        uint64
-	state       protocol.StoreState
-	disk        *simulation.Disk
-	log         *wal.Log // nil: the process doesn't run
-	machine     *StateMachine
-	findings    []*Finding
-	answers     map[CallID]protocol.BatchAnswer
-	token       CallID
+	cluster            *cluster
+	number             int
+	incarnation        int
+	processIncarnation uint64
+	state              protocol.StoreState
+	disk               *simulation.Disk
+	log                *wal.Log // nil: the process doesn't run
+	machine            *StateMachine
+	findings           []*Finding
+	answers            map[CallID]protocol.BatchAnswer
+	token              CallID
 }
 
 func newCluster(nodes, copies int, seed uint64) *cluster {
@@ -76,11 +76,11 @@
 
 // start starts the process on its disk; findings are noted.
 func (n *clusterNode) start() {
-	n.life++
+	n.processIncarnation++
 	n.findings = nil
 	n.answers = map[CallID]protocol.BatchAnswer{}
 	n.machine = New(Options{
-		Self: n.process(), ProcessIncarnation: n.life, ReplicationFactor: n.cluster.copies, Retention: time.Hour,
+		Self: n.process(), ProcessIncarnation: n.processIncarnation, ReplicationFactor: n.cluster.copies, Retention: time.Hour,
 	}, n)
 	options := wal.Options{SegmentSize: 4 << 10, OnSkipped: func(at wal.Location) {
 		n.findings = append(n.findings, n.machine.ReplaySkipped(at))
@@ -111,7 +111,7 @@
 	n.log = nil
 	n.disk.Wipe()
 	n.incarnation++
-	n.life = 0
+	n.processIncarnation = 0
 }
 
 // installView makes a set of stores the newest view.
--- a/internal/batch/replica/departures.go
+++ b/internal/batch/replica/departures.go
@@ -111,7 +111,7 @@
 }
 
 // noteLog takes in what a store tells of its log.
-func (d *departureSet) noteLog(key placement.Key, incomplete bool, now time.Duration) {
+func (d *departureSet) noteIncompleteLog(key placement.Key, incomplete bool, now time.Duration) {
 	_, noted := d.incompleteLogs[key]
 	switch {
 	case !incomplete:
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -125,7 +125,7 @@
 }
 
 // TestExpiredWhileNotWhole lets a batch job expire that couldn't be fully replicated.
-func TestExpiredWhileNotWhole(t *testing.T) {
+func TestExpiredWhileUnderReplicated(t *testing.T) {
 	Convey("A store reconciles once what wasn't fully replicated is dropped", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
@@ -426,16 +426,16 @@
 		n.start()
 		c.installView(c.nodes...)
 		other := c.nodes[1].machine
-		other.departures.noteLog(n.key(), true, c.now)
+		other.departures.noteIncompleteLog(n.key(), true, c.now)
 		So(other.departures.stores, ShouldHaveLength, 1)
 		So(other.departures.countMissing(), ShouldEqual, 1)
-		other.departures.noteLog(c.nodes[2].key(), true, c.now)
+		other.departures.noteIncompleteLog(c.nodes[2].key(), true, c.now)
 		So(other.departures.countMissing(), ShouldEqual, 2)
 	})
 }
 
 // TestLeavingWaitsForWholeSet restarts a store of the new set right after it was counted.
-func TestLeavingWaitsForWholeSet(t *testing.T) {
+func TestRetirementWaitsForFullReplication(t *testing.T) {
 	Convey("A set with a restarted store isn't fully replicated before that tells what it has", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -110,7 +110,7 @@
 	if !m.allReconciled() || len(placement.ActiveMembers(m.view)) == 0 {
 		return false
 	}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if !j.handedOver {
 			return false
 		}
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -107,7 +107,7 @@
 	if !s.up || s.paused {
 		return
 	}
-	for _, j := range s.machine.order {
+	for _, j := range s.machine.jobsInOrder {
 		switch {
 		case !j.owned || !j.replicated || j.ended:
 		case c.bug == bugShowEarly:
@@ -164,7 +164,7 @@
 		t.Run(bug.name, func(t *testing.T) {
 			for seed := bug.from; seed < bug.from+maxSeedsPerBug; seed++ {
 				_, err := runSeed(seed, bug.name, bug.focus...)
-				if err == nil || !tells(err, bug.told) {
+				if err == nil || !containsAny(err, bug.told) {
 					continue
 				}
 				if _, without := runSeed(seed, "", bug.focus...); without == nil {
@@ -178,6 +178,6 @@
 }
 
 // tells reports whether an error contains one of some texts.
-func tells(err error, texts []string) bool {
+func containsAny(err error, texts []string) bool {
 	return slices.ContainsFunc(texts, func(text string) bool { return strings.Contains(err.Error(), text) })
 }
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -65,27 +65,27 @@
 
 // modelStore is a store with its disk.
 type modelStore struct {
-	model         *modelCluster
-	node          string
-	incarnation   int
-	life          uint64
-	machine       *StateMachine
-	disk          [][]byte
-	durable       int // records that a loss of power leaves
-	base          int // records at the start of the process
-	up, paused    bool
-	removed       bool          // for good
-	startAt       time.Duration // if it is down
-	resumeAt      time.Duration
-	lastContact   time.Duration
-	wipedAt       time.Duration // it lost its last disk
-	leaseUntil    time.Duration
-	delayedInputs []func()
-	answers       map[CallID]func(protocol.BatchAnswer)
-	tokens        CallID
-	shown         int // results that were read from this incarnation
-	audited       int // records that audit was read from
-	audit         *diskCopy
+	model              *modelCluster
+	node               string
+	incarnation        int
+	processIncarnation uint64
+	machine            *StateMachine
+	disk               [][]byte
+	durable            int // records that a loss of power leaves
+	base               int // records at the start of the process
+	up, paused         bool
+	removed            bool          // for good
+	startAt            time.Duration // if it is down
+	resumeAt           time.Duration
+	lastContact        time.Duration
+	wipedAt            time.Duration // it lost its last disk
+	leaseUntil         time.Duration
+	delayedInputs      []func()
+	answers            map[CallID]func(protocol.BatchAnswer)
+	tokens             CallID
+	shown              int // results that were read from this incarnation
+	audited            int // records that audit was read from
+	audit              *diskCopy
 }
 
 // diskCopy is what is durable of the batch job on a disk.
@@ -127,7 +127,7 @@
 func (s *modelStore) key() placement.Key { return placement.KeyOf(s.process()) }
 
 func (s *modelStore) start() {
-	s.life++
+	s.processIncarnation++
 	s.up, s.paused, s.delayedInputs, s.shown = true, false, nil, 0
 	s.lastContact = s.model.now
 	s.base, s.durable = len(s.disk), len(s.disk)
@@ -137,7 +137,7 @@
 		copies--
 	}
 	s.machine = New(Options{
-		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: copies, Retention: time.Hour,
+		Self: s.process(), ProcessIncarnation: s.processIncarnation, ReplicationFactor: copies, Retention: time.Hour,
 	}, s)
 	for i, record := range s.disk {
 		if err := s.machine.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record); err != nil {
@@ -164,7 +164,7 @@
 	s.wipedAt = s.model.now
 	s.disk, s.durable, s.audited, s.audit = nil, 0, 0, nil
 	if s.model.bugs.keepsIncarnation {
-		s.life--
+		s.processIncarnation--
 		return
 	}
 	s.incarnation++
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -254,7 +254,7 @@
 
 // TestSetModelEmptiedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. Random
 // runs found these: a store that came back with the only copy missed the drained one as if it had been lost.
-func TestSetModelEmptiedWhileAway(t *testing.T) {
+func TestSetModelDrainedWhileAway(t *testing.T) {
 	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
 		modelFault{modelReplace, 1, 52})
 	playTrace(t, 4, 2, modelFault{modelRetire, 2, 2}, modelFault{modelRetire, 0, 13}, modelFault{modelWipeLong, 3, 23},
--- a/internal/batch/replica/reconciliation.go
+++ b/internal/batch/replica/reconciliation.go
@@ -49,7 +49,7 @@
 // inventory lists all that this store holds.
 func (m *StateMachine) inventory(round uint64) InventoryResponse {
 	entries := make([]InventoryEntry, 0, len(m.jobs))
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		entries = append(entries, InventoryEntry{
 			Job: j.id, Version: j.version, Replicas: j.replicas,
 			Count: j.durableResults, Ended: j.endedDurable, Damaged: j.corrupt,
@@ -67,12 +67,12 @@
 	}
 	m.inventories[from] = inventory
 	m.departures.reconciledEpochs[from] = inventory.Settled
-	m.departures.noteLog(from, inventory.Obscured, m.env.Now())
+	m.departures.noteIncompleteLog(from, inventory.Obscured, m.env.Now())
 	m.reconcile()
 }
 
 // awaited returns the members whose inventories are missing.
-func (m *StateMachine) awaited() []placement.Key {
+func (m *StateMachine) awaitedInventories() []placement.Key {
 	var list []placement.Key
 	m.eachOtherMember(func(other protocol.Process) {
 		key := placement.KeyOf(other)
@@ -88,11 +88,11 @@
 	if m.reconciled || !m.isMember {
 		return
 	}
-	if len(m.awaited()) > 0 {
+	if len(m.awaitedInventories()) > 0 {
 		return
 	}
 	m.reconciled = true
-	m.departures.noteLog(m.self, m.incompleteLog, m.env.Now())
+	m.departures.noteIncompleteLog(m.self, m.incompleteLog, m.env.Now())
 	all := m.mergeInventories()
 	clear(m.inventories)
 	m.pruneOwners(all)
@@ -186,7 +186,7 @@
 	if !m.reconciled || !m.isMember || m.unowned > 0 || len(m.transfers) > 0 || m.reconciledEpoch == m.view.Epoch {
 		return
 	}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if j.owned && !j.isFullyReplicated() || j.awaitsRelease() {
 			return
 		}
@@ -223,7 +223,7 @@
 // awaitsAllReconciled reports whether something here waits for all members to reconcile.
 func (m *StateMachine) awaitsAllReconciled() bool {
 	return len(m.departures.incompleteLogs) > 0 || m.retiring ||
-		slices.ContainsFunc(m.order, func(j *storedJob) bool { return j.superseded })
+		slices.ContainsFunc(m.jobsInOrder, func(j *storedJob) bool { return j.superseded })
 }
 
 // checkAllReconciled drops superseded copies and forgets incomplete logs, once all members have reconciled.
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -26,7 +26,7 @@
 // ReplaySkipped says, between two records, that a part of the log between them can't be read at all. All batch jobs
 // stored so far count as corrupt, as records of each may be missing, also where none of theirs follow.
 func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		j.corrupt = true
 	}
 	finding := &Finding{Problem: ProblemSkipped, At: at}
@@ -37,7 +37,7 @@
 // Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are still
 // corrupt because of them.
 func (m *StateMachine) Corruption() (findings, corrupt int) {
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if j.corrupt {
 			corrupt++
 		}
--- a/internal/batch/replica/replication.go
+++ b/internal/batch/replica/replication.go
@@ -42,8 +42,8 @@
 		if !m.fillFullCopy(j, &message, j.durableResults) {
 			return
 		}
-	case p.results < j.durableResults || j.endedDurable && !p.ended:
-		if !m.fillResults(j, &message, p.results) {
+	case p.durableResults < j.durableResults || j.endedDurable && !p.ended:
+		if !m.fillResults(j, &message, p.durableResults) {
 			return
 		}
 		message.Ended = j.endedDurable
@@ -132,7 +132,7 @@
 	}
 	p.reported, p.awaitsResponse = true, false
 	p.hasCopy = p.hasCopy || message.Held // what is on its disk stays there: a response that says less is an earlier one
-	p.results = max(p.results, message.Count)
+	p.durableResults = max(p.durableResults, message.Count)
 	p.ended = p.ended || message.Ended
 	m.maybeCommit(j)
 	m.replicateTo(j, p)
@@ -175,7 +175,7 @@
 
 // resetPeer forgets what is known of the copies at a store that restarted: it may have found them corrupt.
 func (m *StateMachine) resetPeer(key placement.Key) {
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if p := j.peer(key); j.owned && p != nil {
 			*p = peer{process: p.process}
 			m.revokeReconciled()
--- a/internal/batch/replica/retention.go
+++ b/internal/batch/replica/retention.go
@@ -10,7 +10,7 @@
 // dropExpired drops batch jobs after Options.Retention: closed ones at once, superseded copies that may not know that
 // theirs was closed after twice that time.
 func (m *StateMachine) dropExpired() {
-	for _, j := range slices.Clone(m.order) {
+	for _, j := range slices.Clone(m.jobsInOrder) {
 		closed := j.ended || j.allFinished()
 		if !m.isExpired(j) || !closed && (j.owned || m.age(j) < 2*m.options.Retention) {
 			continue
@@ -39,7 +39,7 @@
 // OldestSegment returns the first segment of the log that something still needs, or limit if nothing does.
 func (m *StateMachine) OldestSegment(limit uint32) uint32 {
 	oldest := limit
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		oldest = min(oldest, j.oldestLocation().Segment)
 	}
 	if at := m.departures.viewRecordAt; at != nil && at.Segment < oldest {
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -22,25 +22,25 @@
 
 // simulatedStore is a store of a simulation.
 type simulatedStore struct {
-	sim           *storeSimulation
-	node, ip      string
-	zone          string
-	incarnation   int
-	skew          time.Duration // of its time of day
-	disk          *simulation.Disk
-	corrupted     bool // bits of its log were inverted
-	fs            slots.FS
-	life          uint64
-	up            bool
-	paused        bool
-	removed       bool // taken away for good
-	delayedInputs []func()
-	machine       *StateMachine
-	generation    int // of the process
-	running       map[string]*jobRun
-	idle          bool // no items are run
-	answers       map[CallID]func(protocol.BatchAnswer)
-	lastToken     CallID
+	sim                *storeSimulation
+	node, ip           string
+	zone               string
+	incarnation        int
+	skew               time.Duration // of its time of day
+	disk               *simulation.Disk
+	corrupted          bool // bits of its log were inverted
+	fs                 slots.FS
+	processIncarnation uint64
+	up                 bool
+	paused             bool
+	removed            bool // taken away for good
+	delayedInputs      []func()
+	machine            *StateMachine
+	generation         int // of the process
+	running            map[string]*jobRun
+	idle               bool // no items are run
+	answers            map[CallID]func(protocol.BatchAnswer)
+	lastToken          CallID
 
 	log             *wal.Log
 	stepping        bool
@@ -82,7 +82,7 @@
 // start starts the process on what is on the disk.
 func (s *simulatedStore) start() {
 	w := s.sim
-	s.life++
+	s.processIncarnation++
 	s.generation++
 	s.up, s.paused = true, false
 	s.delayedInputs = nil
@@ -91,7 +91,7 @@
 	s.stepping, s.wakeAt, s.reportedDurable, s.appended = false, 0, 0, nil
 	s.lastDurable, s.lastProven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
-		Self: s.process(), ProcessIncarnation: s.life, ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
+		Self: s.process(), ProcessIncarnation: s.processIncarnation, ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
 	}, s)
 	log, err := wal.OpenLog(s.fs, s.walOptions(), func(at wal.Location, record []byte) error {
 		s.lastDurable = at
@@ -108,7 +108,7 @@
 		w.fail("%s finds its own log unreadable: %v", s.node, err)
 		return
 	}
-	w.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.life, len(s.machine.jobs))
+	w.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.processIncarnation, len(s.machine.jobs))
 	s.log = log
 	s.every(100*time.Millisecond, func() { s.machine.Tick() })
 	s.every(w.randomDuration(50*time.Millisecond, 700*time.Millisecond), s.release)
--- a/internal/batch/replica/slowreplicas.go
+++ b/internal/batch/replica/slowreplicas.go
@@ -44,8 +44,8 @@
 	if len(m.acceptances) > 0 {
 		return true
 	}
-	for i := len(m.order) - 1; i >= max(0, len(m.order)-maxNewJobs); i-- {
-		if m.order[i].replaceReplicasAt > 0 {
+	for i := len(m.jobsInOrder) - 1; i >= max(0, len(m.jobsInOrder)-maxNewJobs); i-- {
+		if m.jobsInOrder[i].replaceReplicasAt > 0 {
 			return true
 		}
 	}
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -77,9 +77,9 @@
 	transfers              map[string]ownershipTransfer // batch jobs that this store would own, and transferred to others
 	reconciledEpoch        uint64                       // newest epoch in which this store had reconciled
 
-	jobs   map[string]*storedJob
-	order  []*storedJob             // the same, in the order in which they came
-	owners map[string]placement.Key // of batch jobs that this store doesn't own
+	jobs        map[string]*storedJob
+	jobsInOrder []*storedJob             // the same, in the order in which they came
+	owners      map[string]placement.Key // of batch jobs that this store doesn't own
 
 	reservations map[string]reservation // votes as arbiter, in the present epoch
 	lastAttempt  uint64                 // to accept a batch job
--- a/internal/batch/replica/status.go
+++ b/internal/batch/replica/status.go
@@ -10,15 +10,15 @@
 // Status is how far a store has reconciled in the present epoch, and what it waits for. All but the epochs is empty
 // once it has.
 type Status struct {
-	Epoch           uint64
-	ReconciledEpoch uint64          // newest epoch in which the store reconciled, 0 for none since its start
-	Awaited         []placement.Key // members whose inventories are missing
-	Missing         []placement.Key // departed stores that may hold what the members don't know of
-	IncompleteLogs  int             // stores whose logs may have held what they can't name
-	Unowned         int             // batch jobs that nobody owns until enough of the missing stores are back
-	Transferring    int             // batch jobs transferred to stores with better copies, not yet fully replicated there
-	Superseded      int             // superseded copies here that aren't releasable yet
-	UnderReplicated int             // batch jobs owned here that aren't on all disks of their sets
+	Epoch              uint64
+	ReconciledEpoch    uint64          // newest epoch in which the store reconciled, 0 for none since its start
+	AwaitedInventories []placement.Key // members whose inventories are missing
+	MissingStores      []placement.Key // departed stores that may hold what the members don't know of
+	IncompleteLogs     int             // stores whose logs may have held what they can't name
+	Unowned            int             // batch jobs that nobody owns until enough of the missing stores are back
+	Transferring       int             // batch jobs transferred to stores with better copies, not yet fully replicated there
+	Superseded         int             // superseded copies here that aren't releasable yet
+	UnderReplicated    int             // batch jobs owned here that aren't on all disks of their sets
 }
 
 // Reconciled reports whether the store has reconciled in the present epoch. One that has no view yet has not.
@@ -30,14 +30,14 @@
 	if standing.Reconciled() {
 		return standing
 	}
-	standing.Missing = m.departures.missingStores()
+	standing.MissingStores = m.departures.missingStores()
 	standing.IncompleteLogs = len(m.departures.incompleteLogs)
 	standing.Unowned = m.unowned
 	standing.Transferring = len(m.transfers)
 	if !m.reconciled && m.isMember {
-		standing.Awaited = m.awaited()
+		standing.AwaitedInventories = m.awaitedInventories()
 	}
-	for _, h := range m.order {
+	for _, h := range m.jobsInOrder {
 		switch {
 		case h.awaitsRelease():
 			standing.Superseded++
--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -100,7 +100,7 @@
 	process        protocol.Process
 	reported       bool // the next three are known; until then it is asked for them
 	hasCopy        bool // it has the present version on its disk
-	results        int  // durable there
+	durableResults int  // durable there
 	ended          bool
 	awaitsResponse bool // to the message of sentAt
 	sentAt         time.Duration
@@ -135,9 +135,9 @@
 // putJob stores a batch job, in place of an earlier copy.
 func (m *StateMachine) putJob(j *storedJob) {
 	if old := m.jobs[j.id]; old != nil {
-		m.order[slices.Index(m.order, old)] = j
+		m.jobsInOrder[slices.Index(m.jobsInOrder, old)] = j
 	} else {
-		m.order = append(m.order, j)
+		m.jobsInOrder = append(m.jobsInOrder, j)
 	}
 	m.jobs[j.id] = j
 }
@@ -149,7 +149,7 @@
 		return
 	}
 	delete(m.jobs, id)
-	m.order = slices.DeleteFunc(m.order, func(other *storedJob) bool { return other == j })
+	m.jobsInOrder = slices.DeleteFunc(m.jobsInOrder, func(other *storedJob) bool { return other == j })
 }
 
 // appendResult adds a result at the next position. An item has at most one result.
@@ -242,7 +242,7 @@
 			results, ended = 0, false
 			continue
 		}
-		results = min(results, p.results)
+		results = min(results, p.durableResults)
 		ended = ended && p.ended
 	}
 	return copied, results, ended
--- a/internal/batch/replica/superseded.go
+++ b/internal/batch/replica/superseded.go
@@ -12,7 +12,7 @@
 // copies while it retires, else of superseded ones.
 func (m *StateMachine) queryOwners() {
 	now := m.env.Now()
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		letsGo := j.awaitsRelease() || j.superseded && m.isExpired(j) || m.retiring && !j.handedOver
 		if j.owned || !letsGo || now-j.ownerQueriedAt < inventoryRetry {
 			continue
@@ -48,7 +48,7 @@
 // dropSuperseded drops releasable copies. One that is kept for longer than the newer ones could be taken for the
 // newest later, though the batch job was ended.
 func (m *StateMachine) dropSuperseded() {
-	for _, j := range slices.Clone(m.order) {
+	for _, j := range slices.Clone(m.jobsInOrder) {
 		if j.superseded && !j.owned && j.releasable {
 			m.discard(j)
 		}
--- a/internal/batch/replica/tick.go
+++ b/internal/batch/replica/tick.go
@@ -25,7 +25,7 @@
 	for _, id := range m.acceptanceIDs() {
 		m.requestReservations(id, m.acceptances[id])
 	}
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		if j.owned {
 			m.replaceSlowReplicas(j, now)
 			m.replicateJob(j)
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -50,7 +50,7 @@
 	m.isMember = present
 	m.retiring = present && member.State != protocol.StoreActive
 	consecutive := wasPresent && present && view.Epoch == last.Epoch+1
-	for _, j := range m.order {
+	for _, j := range m.jobsInOrder {
 		j.handedOver, j.releasable = false, false
 		if j.owned && !(consecutive && m.hasActiveReplicas(j)) {
 			m.disown(j)
--- a/internal/batch/server/control.go
+++ b/internal/batch/server/control.go
@@ -19,7 +19,7 @@
 		before, acted := s.stateMachine.Epoch(), s.stateMachine.ActedIn()
 		s.stateMachine.InstallView(members.Stores)
 		after := s.stateMachine.Epoch()
-		missing := s.stateMachine.Status().Missing
+		missing := s.stateMachine.Status().MissingStores
 		s.mutex.Unlock()
 		s.runner.SetStoreCount(len(placement.ActiveMembers(members.Stores)))
 		if after != before {
--- a/internal/batch/server/state.go
+++ b/internal/batch/server/state.go
@@ -48,7 +48,7 @@
 		return
 	}
 	s.log.Warn().Uint64("epoch", status.Epoch).Uint64("settled", status.ReconciledEpoch).
-		Strs("awaited", keyStrings(status.Awaited)).Strs("missing", keyStrings(status.Missing)).
+		Strs("awaited", keyStrings(status.AwaitedInventories)).Strs("missing", keyStrings(status.MissingStores)).
 		Int("obscured", status.IncompleteLogs).Int("unowned", status.Unowned).Int("conceded", status.Transferring).
 		Int("behind", status.Superseded).Int("partial", status.UnderReplicated).Msg("not_settled")
 }
