--- a/internal/batch/replica/calls.go
+++ b/internal/batch/replica/calls.go
@@ -69,20 +69,20 @@
 
 // dispatch answers a call, sends it to another store or has it wait.
 func (m *StateMachine) dispatch(p parkedCall) {
-	h := m.jobs[p.call.BatchJob]
+	j := m.jobs[p.call.BatchJob]
 	switch {
-	case h == nil:
+	case j == nil:
 		m.dispatchNotOwned(p)
-	case h.tenant != p.call.Tenant:
+	case j.tenant != p.call.Tenant:
 		m.answer(p.callID, notFound())
-	case h.handedOver || !h.owned:
+	case j.handedOver || !j.owned:
 		m.dispatchNotOwned(p)
 	case p.call.Operation == protocol.BatchSubmit:
-		m.resubmit(h, p)
-	case !h.replicated:
+		m.resubmit(j, p)
+	case !j.replicated:
 		m.park(p)
 	default:
-		m.serve(h, p)
+		m.serve(j, p)
 	}
 }
 
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -77,14 +77,14 @@
 }
 
 // runSeed runs a campaign and returns what it broke. If faults are named, only these are injected.
-func runSeed(seed uint64, bug string, focus ...string) (c *campaign, err error) {
+func runSeed(seed uint64, bug string, faults ...string) (c *campaign, err error) {
 	defer func() {
 		if caught := recover(); caught != nil {
 			err = fmt.Errorf("at %v: panic: %v", c.now, caught)
 		}
 	}()
 	c = newCampaign(seed, bug)
-	c.onlyFaults = focus
+	c.onlyFaults = faults
 	c.run()
 	return c, c.failure
 }
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -80,7 +80,8 @@
 	n.findings = nil
 	n.answers = map[CallID]protocol.BatchAnswer{}
 	n.machine = New(Options{
-		Self: n.process(), ProcessIncarnation: n.processIncarnation, ReplicationFactor: n.cluster.copies, Retention: time.Hour,
+		Self: n.process(), ProcessIncarnation: n.processIncarnation,
+		ReplicationFactor: n.cluster.copies, Retention: time.Hour,
 	}, n)
 	options := wal.Options{SegmentSize: 4 << 10, OnSkipped: func(at wal.Location) {
 		n.findings = append(n.findings, n.machine.ReplaySkipped(at))
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -17,11 +18,7 @@
 func (c *cluster) except(nodes ...*clusterNode) []*clusterNode {
 	var list []*clusterNode
 	for _, n := range c.nodes {
-		found := false
-		for _, other := range nodes {
-			found = found || other == n
-		}
-		if !found {
+		if !slices.Contains(nodes, n) {
 			list = append(list, n)
 		}
 	}
@@ -325,7 +322,7 @@
 
 // TestMissedViews tells a store of no view for a while.
 func TestMissedViews(t *testing.T) {
-	Convey("A store misses whoever left in views that it was not told of, also who came in them", t, func() {
+	Convey("A store misses all that departed in views that it didn't see, also those that joined in them", t, func() {
 		for copies := 2; copies <= 3; copies++ {
 			c := newCluster(2*copies, copies, 1)
 			news := c.nodes[:copies]
@@ -454,7 +451,7 @@
 			So(c.messages, ShouldHaveLength, 1)
 			return c.messages[0].body.(ReplicationResponse).Whole
 		}
-		So(ask(), ShouldBeTrue) // nothing was heard of it yet
+		So(ask(), ShouldBeTrue) // it hasn't sent anything yet
 		owner.machine.Receive(taker.process(), InventoryRequest{Stamp: taker.machine.stamp()})
 		So(ask(), ShouldBeFalse)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -136,10 +136,10 @@
 // injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the first
 // seed, which saves the runs that are known not to find it.
 var injectedBugs = []struct {
-	name  string
-	told  []string
-	focus []string
-	from  uint64
+	name      string
+	failures  []string
+	faults    []string
+	firstSeed uint64
 }{
 	{bugCopyOverResults, []string{"unreadable: job: corrupt encoding: result at position"}, []string{faultPower}, 0},
 	{bugAckEarly, lossFailures, []string{faultAllPower, faultAllPowerDisks}, 255},
@@ -162,12 +162,12 @@
 func TestInjectedBugs(t *testing.T) {
 	for _, bug := range injectedBugs {
 		t.Run(bug.name, func(t *testing.T) {
-			for seed := bug.from; seed < bug.from+maxSeedsPerBug; seed++ {
-				_, err := runSeed(seed, bug.name, bug.focus...)
-				if err == nil || !containsAny(err, bug.told) {
+			for seed := bug.firstSeed; seed < bug.firstSeed+maxSeedsPerBug; seed++ {
+				_, err := runSeed(seed, bug.name, bug.faults...)
+				if err == nil || !containsAny(err, bug.failures) {
 					continue
 				}
-				if _, without := runSeed(seed, "", bug.focus...); without == nil {
+				if _, without := runSeed(seed, "", bug.faults...); without == nil {
 					t.Logf("found with seed %d: %.300v", seed, err)
 					return
 				}
@@ -177,7 +177,7 @@
 	}
 }
 
-// tells reports whether an error contains one of some texts.
+// containsAny reports whether an error contains one of some texts.
 func containsAny(err error, texts []string) bool {
 	return slices.ContainsFunc(texts, func(text string) bool { return strings.Contains(err.Error(), text) })
 }
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -270,8 +270,8 @@
 		}
 	}
 	for _, n := range h.remaining() {
-		if standing := n.machine.Status(); !standing.Reconciled() {
-			h.failf("%s hasn't settled: %+v", n.key(), standing)
+		if status := n.machine.Status(); !status.Reconciled() {
+			h.failf("%s hasn't reconciled: %+v", n.key(), status)
 		}
 	}
 	if !h.currentView.Settled {
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strconv"
@@ -451,23 +450,13 @@
 	stepCount  int
 }
 
+// begin makes the submission.
 func (c *modelClient) begin() {
-	type request struct {
-		ID     string `json:"id"`
-		Path   string `json:"path"`
-		Body   []byte `json:"body"`
-		Tokens int    `json:"tokens"`
-	}
-	var requests []request
+	var requests []submittedRequest
 	for i := range modelItems {
-		requests = append(requests, request{ID: "i" + strconv.Itoa(i), Path: "/p", Body: []byte{'b'}})
-	}
-	c.submission, _ = json.Marshal(map[string]any{"requests": requests})
-	items, err := job.ParseSubmission(c.submission)
-	if err != nil {
-		panic(err)
+		requests = append(requests, submittedRequest{ID: "i" + strconv.Itoa(i), Path: "/p", Body: []byte{'b'}})
 	}
-	c.items = items
+	c.submission, c.items = encodeSubmission(requests)
 }
 
 // step takes the next step of the client: one item a round, on every store that may run it.
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -99,9 +99,9 @@
 	})
 	for ended := uint64(1); ended <= 3; ended++ {
 		Convey(fmt.Sprintf("So they are if stores get the view of epoch %d first, which ended long ago", ended), t, func() {
-			for _, told := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
+			for _, stores := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
 				h := newViewHistory(1)
-				for _, number := range told {
+				for _, number := range stores {
 					h.installOldView(h.nodes[number], ended)
 				}
 				h.deliverAll()
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -18,7 +18,7 @@
 // TestKilledThenPowerLost repeats how logs came to contradict themselves: results that were written and not synced by
 // a process that was killed, results behind them that were, and then a loss of power.
 func TestKilledThenPowerLost(t *testing.T) {
-	Convey("What a start found and told as durable is there after a loss of power", t, func() {
+	Convey("What a start found and reported as durable is there after a loss of power", t, func() {
 		for seed := range uint64(20) {
 			c := newCluster(1, 1, seed)
 			n := c.nodes[0]
@@ -60,7 +60,7 @@
 
 // TestFindings has a start find records that can't be used.
 func TestFindings(t *testing.T) {
-	Convey("A record that can't be used is told with its place, and costs no more than its own batch job", t, func() {
+	Convey("An unusable record is reported with its location, and costs no more than its own batch job", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		for _, id := range []string{"sound", "job"} {
@@ -117,7 +117,7 @@
 			c.quiesce()
 		}
 	})
-	Convey("Records of the store itself are told, too", t, func() {
+	Convey("Records of the store itself are reported, too", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		view := n.machine.departures.encode()
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := [][]byte{
+	records := [][]byte{
 		encodeCopy("job", j.version, j.replicas, false, content, []Result{{Item: 1, State: 1, Text: []byte("x")}}),
 		encodeReplicas("job", j.version, j.replicas), encodeEnded("job"), resultAfterGap("job", 2, 2),
 		n.machine.departures.encode(),
@@ -155,13 +155,13 @@
 	n.kill()
 	n.start()
 	for range 20_000 {
-		record := append([]byte(nil), whole[random.IntN(len(whole))]...)
+		record := append([]byte(nil), records[random.IntN(len(records))]...)
 		for range 1 + random.IntN(3) {
 			record[random.IntN(len(record))] = byte(random.Uint32())
 		}
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record[:1+random.IntN(len(record))])
 		_ = n.machine.Replay(wal.Location{Segment: 1}, record)
-		_ = n.machine.Replay(wal.Location{Segment: 1}, whole[random.IntN(len(whole))])
+		_ = n.machine.Replay(wal.Location{Segment: 1}, records[random.IntN(len(records))])
 		stored := n.machine.jobs["job"]
 		if stored != nil && (stored.durableResults != len(stored.results) || len(stored.results) > len(stored.items)) {
 			t.Fatalf("%d results durable of %d, %d items", stored.durableResults, len(stored.results), len(stored.items))
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -53,7 +53,7 @@
 
 // TestRestartOfAnOwner restarts an owner, which chooses its set anew, after all have reconciled.
 func TestRestartOfAnOwner(t *testing.T) {
-	Convey("What an earlier incarnation told of having reconciled counts no more", t, func() {
+	Convey("The ReconciledNotices of an earlier incarnation don't count", t, func() {
 		c := newCluster(4, 3, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		owner := c.owner("job")
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -56,32 +56,42 @@
 // allRead reports whether the results of all items were read.
 func (j *clientJob) allRead() bool { return len(j.seen) == len(j.items) }
 
+// submittedRequest is one request of a submission's body.
+type submittedRequest struct {
+	ID     string `json:"id"`
+	Path   string `json:"path"`
+	Body   []byte `json:"body"`
+	Tokens int    `json:"tokens"`
+}
+
+// encodeSubmission returns the body of a submission, and the items that it is parsed to.
+func encodeSubmission(requests []submittedRequest) (body []byte, items []job.Item) {
+	body, err := json.Marshal(map[string]any{"requests": requests})
+	if err != nil {
+		panic(err)
+	}
+	items, err = job.ParseSubmission(body)
+	if err != nil {
+		panic(err)
+	}
+	return body, items
+}
+
 // submit submits a new batch job with a number of items.
 func (c *clients) submit(id string, count int) *clientJob {
 	j := &clientJob{
 		id: id, firstSubmitted: c.sim.now,
 		index: map[string]int{}, seen: map[int]string{}, positions: map[string]int{}, done: map[int]bool{},
 	}
-	type request struct {
-		ID     string `json:"id"`
-		Path   string `json:"path"`
-		Body   []byte `json:"body"`
-		Tokens int    `json:"tokens"`
-	}
-	var requests []request
+	var requests []submittedRequest
 	for i := range count {
-		requests = append(requests, request{
+		requests = append(requests, submittedRequest{
 			ID: id + "-" + strconv.Itoa(i), Path: "/p", Body: []byte("body " + strconv.Itoa(i)), Tokens: itemTokens(i),
 		})
 	}
-	j.body, _ = json.Marshal(map[string]any{"requests": requests})
-	items, err := job.ParseSubmission(j.body)
-	if err != nil {
-		panic(err)
-	}
-	j.items = items
-	for i := range items {
-		j.index[items[i].ID] = i
+	j.body, j.items = encodeSubmission(requests)
+	for i := range j.items {
+		j.index[j.items[i].ID] = i
 	}
 	c.jobs[id] = j
 	c.order = append(c.order, j)
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -91,7 +91,8 @@
 	s.stepping, s.wakeAt, s.reportedDurable, s.appended = false, 0, 0, nil
 	s.lastDurable, s.lastProven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
-		Self: s.process(), ProcessIncarnation: s.processIncarnation, ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
+		Self: s.process(), ProcessIncarnation: s.processIncarnation,
+		ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
 	}, s)
 	log, err := wal.OpenLog(s.fs, s.walOptions(), func(at wal.Location, record []byte) error {
 		s.lastDurable = at
--- a/internal/batch/replica/status.go
+++ b/internal/batch/replica/status.go
@@ -16,7 +16,7 @@
 	MissingStores      []placement.Key // departed stores that may hold what the members don't know of
 	IncompleteLogs     int             // stores whose logs may have held what they can't name
 	Unowned            int             // batch jobs that nobody owns until enough of the missing stores are back
-	Transferring       int             // batch jobs transferred to stores with better copies, not yet fully replicated there
+	Transferring       int             // batch jobs transferred to better copies, not yet fully replicated there
 	Superseded         int             // superseded copies here that aren't releasable yet
 	UnderReplicated    int             // batch jobs owned here that aren't on all disks of their sets
 }
@@ -26,26 +26,26 @@
 
 // Status returns how far this store has reconciled.
 func (m *StateMachine) Status() Status {
-	standing := Status{Epoch: m.view.Epoch, ReconciledEpoch: m.reconciledEpoch}
-	if standing.Reconciled() {
-		return standing
+	status := Status{Epoch: m.view.Epoch, ReconciledEpoch: m.reconciledEpoch}
+	if status.Reconciled() {
+		return status
 	}
-	standing.MissingStores = m.departures.missingStores()
-	standing.IncompleteLogs = len(m.departures.incompleteLogs)
-	standing.Unowned = m.unowned
-	standing.Transferring = len(m.transfers)
+	status.MissingStores = m.departures.missingStores()
+	status.IncompleteLogs = len(m.departures.incompleteLogs)
+	status.Unowned = m.unowned
+	status.Transferring = len(m.transfers)
 	if !m.reconciled && m.isMember {
-		standing.AwaitedInventories = m.awaitedInventories()
+		status.AwaitedInventories = m.awaitedInventories()
 	}
-	for _, h := range m.jobsInOrder {
+	for _, j := range m.jobsInOrder {
 		switch {
-		case h.awaitsRelease():
-			standing.Superseded++
-		case h.owned && !h.isFullyReplicated():
-			standing.UnderReplicated++
+		case j.awaitsRelease():
+			status.Superseded++
+		case j.owned && !j.isFullyReplicated():
+			status.UnderReplicated++
 		}
 	}
-	return standing
+	return status
 }
 
 // Report returns what control is told of this store.
