--- a/policy/records.go
+++ b/policy/records.go
@@ -8,16 +8,23 @@
 	"sprucelane.example/sprucelane/internal/ledger"
 )
 
-// The structs that hold what a gateway knows, and how they fade. Nothing here chooses.
+// The records that hold a gateway's state, and the decaying sums in them. This file decides nothing.
 
-// tally holds figures that the gateways add up by push-sum: what is put in here is own until it is told; pool is
-// this gateway's part of what all put in. All fade with one memory. A weight, where there is one, is the last of
-// the pool's figures: it fills towards 1, so figure / weight is the mean over the gateways.
+// decayFactor is what is left after age of a sum that decays exponentially with the time constant memory.
+func decayFactor(age, memory time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(memory))
+}
+
+// pushSum is this gateway's part of two figures that all gateways sum up by push-sum gossip (Kempe, Dobra and Gehrke,
+// FOCS 2003). local is what was added here and not yet spread; pooled is this gateway's part of what all have spread.
+// Both decay with one time constant. Where a figure is the weight of push-sum, it is the last one; its pooled part
+// tends to 1, so that pooled figure / pooled weight estimates the mean over the gateways.
 type pushSum struct {
 	local, pooled [2]float64
 	decayedAt     Time
 }
 
+// decay brings the sums up to date. weight is the index of the figure that is the weight, 0 where there is none.
 func (t *pushSum) decay(now Time, memory time.Duration, weight int) {
 	if now > t.decayedAt {
 		f := decayFactor(now-t.decayedAt, memory)
@@ -32,52 +39,108 @@
 	}
 }
 
-// all estimates what all n gateways hold of a figure together.
+// estimate gives the sum of a figure over all n gateways, where there is no weight.
 func (t *pushSum) estimate(figure, n int) float64 {
 	return t.local[figure] + float64(n)*t.pooled[figure]
 }
 
-// split takes out what one peer is told, where so many are still to be told and n gateways share the figures.
-// Of what is own each of the n should end with an equal part; the pool is split evenly with those told.
-func (t *pushSum) split(left, n float64) (told [2]float64) {
+// split takes out the mass for one peer. left is the number of peers, this one included, that still get a part in this
+// round, and n the number of gateways that share the figures: each of them is to end with an equal part of the local
+// sums. The pooled sums are split evenly with the peers of the round.
+func (t *pushSum) split(left, n float64) (mass [2]float64) {
 	for i := range t.local {
-		own := t.local[i] / left
-		told[i] = t.pooled[i]/(left+1) + own*(1-1/n)
-		t.pooled[i] += own/n - t.pooled[i]/(left+1)
-		t.local[i] -= own
+		local := t.local[i] / left
+		mass[i] = t.pooled[i]/(left+1) + local*(1-1/n)
+		t.pooled[i] += local/n - t.pooled[i]/(left+1)
+		t.local[i] -= local
 	}
-	return told
+	return mass
 }
 
-func (t *pushSum) merge(now Time, memory time.Duration, weight int, told [2]float64) {
+// merge adds the mass that a peer has sent.
+func (t *pushSum) merge(now Time, memory time.Duration, weight int, mass [2]float64) {
 	t.decay(now, memory, weight)
-	for i := range told {
-		t.pooled[i] += told[i]
+	for i := range mass {
+		t.pooled[i] += mass[i]
+	}
+}
+
+// decayingMean is a sum and the weight of its samples, which decay together.
+type decayingMean struct {
+	sum, weight float64
+	decayedAt   Time
+}
+
+func (m *decayingMean) decay(now Time, memory time.Duration) {
+	if now > m.decayedAt {
+		f := decayFactor(now-m.decayedAt, memory)
+		m.sum *= f
+		m.weight *= f
+		m.decayedAt = now
+	}
+}
+
+func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
+	m.decay(now, memory)
+	m.sum += x
+	m.weight++
+}
+
+// addBool adds a sample of 1 or 0.
+func (m *decayingMean) addBool(now Time, memory time.Duration, yes bool) {
+	m.add(now, memory, 0)
+	if yes {
+		m.sum++
+	}
+}
+
+// smoothed gives the mean with one sample of 1 added, so that it stays near 1 while there are few samples.
+func (m *decayingMean) smoothed() float64 { return (m.sum + 1) / (m.weight + 1) }
+
+// decayingFit is a least-squares line of a request's latency over its units; its sums decay with time.
+type decayingFit struct{ weight, units, unitsSquared, seconds, unitsSeconds float64 }
+
+// add decays the sums by a factor and then adds a sample.
+func (f *decayingFit) add(decay, units, seconds float64) {
+	f.weight = f.weight*decay + 1
+	f.units, f.unitsSquared = f.units*decay+units, f.unitsSquared*decay+units*units
+	f.seconds, f.unitsSeconds = f.seconds*decay+seconds, f.unitsSeconds*decay+units*seconds
+}
+
+// predict gives the expected latency in seconds: the mean where all samples have had about the same units, and never
+// less than an eighth of the mean.
+func (f *decayingFit) predict(units float64) float64 {
+	n := math.Max(f.weight, 1e-9)
+	spread, slope := f.unitsSquared-f.units*f.units/n, 0.0
+	if spread > 1e-3*f.unitsSquared {
+		slope = math.Max(0, (f.unitsSeconds-f.units*f.seconds/n)/spread)
 	}
+	return math.Max(f.seconds/n/8, f.seconds/n+slope*(units-f.units/n))
 }
 
+// request is a request of a client that has no final answer yet, or that has attempts in flight.
 type request struct {
 	Request
 	arrivedAt    Time
-	attempts     int // sent so far
-	inFlight     []*attempt
-	mayHaveRun   []*attempt // those that may have run
+	attempts     int        // started so far, or MaxAttempts where no further one is possible
+	inFlight     []*attempt // oldest first
+	mayHaveRun   []*attempt // ended, in a way that leaves open whether they ran
 	tried        []*server
 	customer     *customer
-	closed       bool
-	streaming    bool
-	overQuota    bool
-	reconciled   bool // its true units are known
-	charged      bool
-	queued       bool   // it is held and was never sent
-	limitAtOwner bool   // its units come out of the ceiling that its home keeps
-	owner        int    // the gateway that keeps its quota; below 0: what is known here decides
-	queries      int    // so often
-	queryToken   uint32 // names the question
-}
-
-// hold notes whether a request is drawn and not yet sent: meanwhile its customer's stores must not fill up what is meant
-// for it, or more than they hold would go out at once.
+	closed       bool // it has its final answer
+	streaming    bool // its response has begun
+	overQuota    bool // admitted beyond the quota: its units are not taken from the balance
+	reconciled   bool // its units by the answer have been accounted for
+	charged      bool // its units are taken from the balance and the hard limit, where they come out of these
+	queued       bool // it waits in Gateway.queue and has had no attempt
+	limitAtOwner bool // its units come out of the part of the hard limit that its customer's owner holds
+	owner        int  // gateway that keeps the customer's bucket; below 0 this one's copy or part decides
+	queries      int  // how often the owner was asked
+	queryToken   uint32
+}
+
+// setQueued notes whether a request is charged and not yet sent. Meanwhile its units are reserved: the bucket must not
+// refill the room that they have left, or more than its burst would go out at once.
 func (r *request) setQueued(yes bool) {
 	if r.queued == yes {
 		return
@@ -89,70 +152,86 @@
 	}
 }
 
+func (r *request) wasTried(s *server) bool { return slices.Contains(r.tried, s) }
+
+// attempt is one sending of a request to a server.
 type attempt struct {
 	request     *request
-	number      int
+	number      int // among the request's attempts, from 0
 	server      *server
-	sentAt      Time // later by as much as nothing is held against it for
-	chosenAt    Time // stays: what the window for repeats is counted from
-	index       int  // place in Gateway.open
-	overtakenBy int  // so many sent later to its server have been answered
-	suspected   bool // it is out for far too long, and nothing has come from its server for as long
-	lost        bool // it holds no place at its server: passed and late, or its body is still coming
-	countedSlow bool // counted as slow, for the room
-	countedLate bool // counted as late, for the aim
+	sentAt      Time // moved on by a pause of this process, and when a pending body is complete
+	chosenAt    Time // never moved: deduplication windows are counted from it
+	index       int  // in Gateway.inFlight
+	overtakenBy int  // how many attempts that were sent later to its server have been served
+	suspected   bool // it is in flight for far too long, and nothing was served by its server meanwhile
+	lost        bool // it occupies no slot at its server: lost, suspected to be, or its body is pending
+	countedSlow bool // by learnCapacity
+	countedLate bool // by countLateness
 }
 
+// untimed tells whether the time that an attempt takes says nothing of its server.
+func (a *attempt) untimed() bool { return a.request.streaming || a.request.BodyPending }
+
+// server is a server that is listed, has attempts in flight, or was lately sent some while it warmed up.
 type server struct {
 	ServerInfo
-	listed              bool
-	inFlight            int
-	othersInFlight      float64      // attempts that other gateways are taken to have out there
-	lost                int          // of them lost on the way
-	reportedServiceTime float64      // by its own word: how long a request takes without waiting, in seconds; 0: not told
-	reportedAt          Time         // when that came
-	relativeLatency     decayingMean // attempt latency over what such a request typically takes
+	listed              bool         // it may be sent requests
+	inFlight            int          // attempts of this gateway
+	lost                int          // those of them that occupy no slot
+	suspectedAttempts   int          // those of them that are suspected to be lost
+	othersInFlight      float64      // attempts of other gateways, by SetOthersLoads
+	reportedServiceTime float64      // seconds without waiting, by the server's last load report; 0 means unknown
+	reportedAt          Time         // of that report
+	relativeLatency     decayingMean // latency over the typical one of such a request
 	failures            decayingMean // 1 for a failed attempt, 0 for a served one
-	wasted              decayingMean // the same, of those that may have run
-	answers             decayingMean // answers, as a rate
+	wasted              decayingMean // the same, over the attempts that may have run
+	answers             decayingMean // its weight counts the served attempts
+	consecutiveFailures int
 	ejectedUntil        Time
-	ejections           int
-	rejectedUntil       []Time // until when each group goes elsewhere, as it was turned away here
-	coldBudget          ledger.Cold
-	capacity            float64 // attempts of ours that it may hold, 0: not yet known
-	suspectedAttempts   int     // attempts there that are out for far too long, while nothing at all has come from there
-	consecutiveFailures int     // failures since it last served
-	lastServed          Time    // when it last served
-	servedTotal         int     // and how often it did
+	ejections           int         // doubles the next ejection; falls with served attempts
+	rejectedUntil       []Time      // by group: until when it goes elsewhere, as the server has rejected it
+	coldBudget          ledger.Cold // of attempts while it warms up
+	capacity            float64     // in attempts of this gateway; 0 means not yet known
+	lastServed          Time        // when an attempt was last served; 0 means never
+	servedTotal         int         // attempts served since its process started
 }
 
+// load gives the attempts of this gateway that occupy slots at a server.
+func (s *server) load() float64 { return float64(s.inFlight - s.lost) }
+
+// customer is what is known of a customer, or, in its owner's second record of it, of the bucket that the owner keeps
+// (ownerKey).
 type customer struct {
-	id                CustomerID
-	seenHere          bool // a request of its own has come in here
-	plan              int
-	balance           float64 // quota units left here; below zero: let in ahead of the refill
-	hardLimit         ledger.Part
-	limitFilled       bool    // its ceiling was full when the whole fleet began
-	reservedUnits     float64 // units of requests whose bodies are still coming, or that are held and were never sent
-	refilledAt        Time    // when both were last filled
-	demand            decayingMean
-	inFlight          int // attempts
-	queued            int // requests that are held and were never sent
-	setSize           int
-	firstGateway      int
-	sharedDemand      pushSum // units asked, and the weight
-	key               uint64
-	lastSeen          Time
-	generation        byte                            // when the record was made
-	used              float64                         // units first sent on from here, which only rises
-	refundedUnits     float64                         // units that were fewer than guessed, to be taken off what is used next
-	lastQuery         ownerQuery                      // the last that a peer asked here
-	lastQueryAdmitted bool                            // and its answer
-	pendingPeers      uint64                          // the peers that have not been told of the last of it, as bits by slot
-	peers             [2*nearbyDistance + 1]peerUsage // by slot
-}
-
-// drew counts units as used; below 0: that so many were not.
+	id            CustomerID
+	key           uint64 // of the customer in messages
+	seenHere      bool   // a request of its own has come in here; else only peers have named it
+	plan          int
+	setSize       int // how many gateways serve it
+	firstGateway  int
+	lastSeen      Time
+	balance       float64     // units of the quota; below 0 they were admitted ahead of the refill
+	hardLimit     ledger.Part // this gateway's part of the hard limit
+	limitFilled   bool        // that part was given its burst when the whole fleet started
+	reservedUnits float64     // of requests that are queued, or whose bodies are pending
+	refilledAt    Time        // balance and hardLimit are as of then
+	demand        decayingMean
+	sharedDemand  pushSum // units asked at all its gateways, and the weight
+	inFlight      int     // attempts
+	queued        int     // requests that wait and have had no attempt
+
+	generation    byte    // of this record; tells peers that used has started anew
+	used          float64 // units first sent on from here, which only rises
+	refundedUnits float64 // units that were fewer than estimated, to be taken off what is used next
+
+	lastQuery         ownerQuery // that a peer has asked here
+	lastQueryAdmitted bool       // the answer to it
+
+	pendingPeers uint64                          // peers that have an update to receive, as bits by peerSlot
+	peers        [2*nearbyDistance + 1]peerUsage // by peerSlot
+}
+
+// addUsed counts units as used; a negative number takes some back. The count that peers read must not fall, so what is
+// taken back is held until as much has been used again.
 func (c *customer) addUsed(units float64) {
 	c.refundedUnits -= units
 	if c.refundedUnits < 0 {
@@ -160,95 +239,35 @@
 	}
 }
 
-// under tells whether units stay below a hard ceiling.
+// withinHardLimit tells whether units stay within this gateway's part of the hard limit.
 func (c *customer) withinHardLimit(p Plan, units float64) bool {
 	return p.HardLimitRate <= 0 || c.hardLimit.Left >= units
 }
 
-// heardUse is what a peer has told of its draws for a customer, and been told.
+// peerUsage is what a peer has last said of its use of a customer's quota, and what it was sent.
 type peerUsage struct {
 	incarnation int // of the peer
 	receivedAt  Time
-	generation  byte
+	generation  byte // of the peer's record
 	used        float64
-	ownUsedSent float64
-	inFlight    byte // attempts that it has out
-	deficit     byte // of its part of the ceiling, as it last told and was not answered
+	inFlight    byte    // attempts and queued requests at the peer
+	deficit     byte    // what its part of the hard limit lacks, as ledger.Part.Take gave it; 0 once answered
+	ownUsedSent float64 // customer.used as the peer was last sent it
 }
 
+// group is the requests of one class and plan, the unit of load shedding.
 type group struct {
-	value         float64
-	latency       pushSum // requests sent on and their latency, over all gateways
-	shed          bool
-	capacityShare float64
+	value         float64 // RUDA's priority v: the share of all groups' values
+	latency       pushSum // of groupRequests and groupSeconds, over all gateways
+	shed          bool    // its requests are refused
+	capacityShare float64 // share of the gateway's capacity that it may use
 }
 
-// The figures of a group's tally.
+// The figures of a group's pushSum.
 const (
-	groupRequests = iota
-	groupSeconds
+	groupRequests = iota // attempts sent
+	groupSeconds         // their latencies
 )
 
-// mean is a sum and a weight that fade together with time.
-type decayingMean struct {
-	sum, weight float64
-	decayedAt   Time
-}
-
-func (m *decayingMean) decay(now Time, memory time.Duration) {
-	if now > m.decayedAt {
-		f := decayFactor(now-m.decayedAt, memory)
-		m.sum *= f
-		m.weight *= f
-		m.decayedAt = now
-	}
-}
-
-func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
-	m.decay(now, memory)
-	m.sum += x
-	m.weight++
-}
-
-// above is the mean, held near one where little is counted.
-func (m *decayingMean) smoothed() float64 { return (m.sum + 1) / (m.weight + 1) }
-
-func (m *decayingMean) addBool(now Time, memory time.Duration, yes bool) {
-	m.add(now, memory, 0)
-	if yes {
-		m.sum++
-	}
-}
-
-// fit is a straight line through what was seen of how long a request takes by its units, all fading with time.
-type decayingFit struct{ weight, units, unitsSquared, seconds, unitsSeconds float64 }
-
-// add takes in that so many units took so long, in seconds, after all before has faded by a factor.
-func (f *decayingFit) add(fade, units, took float64) {
-	f.weight = f.weight*fade + 1
-	f.units, f.unitsSquared = f.units*fade+units, f.unitsSquared*fade+units*units
-	f.seconds, f.unitsSeconds = f.seconds*fade+took, f.unitsSeconds*fade+units*took
-}
-
-// of gives what so many units take, in seconds: the mean where all have been alike, and never less than an eighth of it.
-func (f *decayingFit) predict(units float64) float64 {
-	n := math.Max(f.weight, 1e-9)
-	spread, slope := f.unitsSquared-f.units*f.units/n, 0.0
-	if spread > 1e-3*f.unitsSquared {
-		slope = math.Max(0, (f.unitsSeconds-f.units*f.seconds/n)/spread)
-	}
-	return math.Max(f.seconds/n/8, f.seconds/n+slope*(units-f.units/n))
-}
-
-func (s *server) load() float64 { return float64(s.inFlight - s.lost) }
-
-// untimed tells whether an attempt has no time to be held against it.
-func (a *attempt) untimed() bool { return a.request.streaming || a.request.BodyPending }
-
-func decayFactor(age, memory time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(memory))
-}
-
-func (r *request) wasTried(s *server) bool { return slices.Contains(r.tried, s) }
-
+// quota gives a plan's token bucket.
 func (p Plan) quota() ledger.Limit { return ledger.Limit{Rate: p.Rate, Burst: p.Burst} }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The settings: their check, and what follows from them alone. Nothing here chooses.
+// The checks of settings, and what follows from settings alone. This file decides nothing.
 
-// Check tells what is wrong with the settings, by key.
+// Validate returns an error that names the first setting that can't be used.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: classes: none given")
@@ -20,7 +20,7 @@
 		if c.LatencyTarget <= 0 {
 			return fmt.Errorf("settings: classes[%d].aim: must be above 0", i)
 		}
-		if !(c.Value >= 0) {
+		if !(c.Value >= 0) { // also where it is not a number
 			return fmt.Errorf("settings: classes[%d].worth: must not be negative", i)
 		}
 	}
@@ -46,16 +46,17 @@
 
 func (g *Gateway) shortestTarget() time.Duration { return g.cfg.ShortestTarget() }
 
-// ShortAim gives the shortest aim of all classes: the pace at which a gateway judges.
+// ShortestTarget gives the shortest latency target of all classes, from which the periods of a gateway's checks and
+// the memory of its measurements follow.
 func (s Settings) ShortestTarget() time.Duration {
-	aim := s.Classes[0].LatencyTarget
+	shortest := s.Classes[0].LatencyTarget
 	for _, c := range s.Classes {
-		aim = min(aim, c.LatencyTarget)
+		shortest = min(shortest, c.LatencyTarget)
 	}
-	return aim
+	return shortest
 }
 
-// NearBy gives the gateways near this one, where there is a way to them.
+// NearbyPeers gives the gateways near this one, none where there are no messages between gateways.
 func (s Settings) NearbyPeers() []int {
 	if !s.Peers {
 		return nil
@@ -63,17 +64,19 @@
 	return NearbyGateways(s.Self, s.Gateways)
 }
 
-// Near gives the gateways that stand up to tellPeers places to either side of one: they share stores with it.
-func NearbyGateways(me, gateways int) (near []int) {
+// NearbyGateways gives the gateways up to nearbyDistance places to either side of one, in the circle of their numbers.
+// Gateways that may share a customer's token bucket are near each other.
+func NearbyGateways(self, gateways int) (nearby []int) {
 	for k := 1; k < gateways; k++ {
 		if k <= nearbyDistance || k >= gateways-nearbyDistance {
-			near = append(near, (me+k)%gateways)
+			nearby = append(nearby, (self+k)%gateways)
 		}
 	}
-	return near
+	return nearby
 }
 
-// memory is how long demand counts: as long as the burst lasts at the quota's rate, a second at least.
+// demandMemory gives the time constant with which a customer's demand decays: as long as the quota's rate takes to
+// fill its burst, and at least recentWindow.
 func (g *Gateway) demandMemory(plan int) time.Duration {
 	p := g.cfg.Plans[plan]
 	if p.Rate <= 0 {
