--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,28 +5,47 @@
 	"slices"
 )
 
-// The accounts of requests' attempts, as they begin and end. Nothing here chooses.
+// The accounting of attempts as they begin and end, and of the units that they draw. This file decides nothing.
 
-// MayBegin asks of an attempt, right before its first byte, what was asked when it was chosen: its connection may have been
-// long in coming, and a repeat that was harmless then need not be so now.
-func (g *Gateway) MayBegin(now Time, id RequestID, no int) bool {
+// MayBegin tells whether an attempt may still be written to its connection, which may have taken long to come up: a
+// repeat that was harmless when the attempt was chosen need not be so now.
+func (g *Gateway) MayBegin(now Time, id RequestID, number int) bool {
 	g.advance(now)
 	r := g.requests[id]
-	i := r.indexInFlight(no)
-	return i >= 0 && g.mayRunOn(r, r.inFlight[i].server, no)
+	i := r.indexInFlight(number)
+	return i >= 0 && g.mayRunOn(r, r.inFlight[i].server, number)
 }
 
-// outAt gives the place of an open attempt among a request's, below 0 where there is none.
-func (r *request) indexInFlight(no int) int {
+// indexInFlight gives the index of an attempt among those in flight, below 0 where it is none of them. The request may
+// be nil.
+func (r *request) indexInFlight(number int) int {
 	if r == nil {
 		return -1
 	}
-	return slices.IndexFunc(r.inFlight, func(a *attempt) bool { return a.number == no })
+	return slices.IndexFunc(r.inFlight, func(a *attempt) bool { return a.number == number })
 }
 
-// takeOut removes a request's open attempt from all that counts it, nil where there is none.
-func (g *Gateway) removeAttempt(r *request, no int) *attempt {
-	i := r.indexInFlight(no)
+// addAttempt counts an attempt as in flight wherever attempts are counted.
+func (g *Gateway) addAttempt(a *attempt) {
+	r := a.request
+	a.number, a.index = r.attempts, len(g.inFlight)
+	r.attempts++
+	r.inFlight = append(r.inFlight, a)
+	r.tried = append(r.tried, a.server)
+	g.inFlight = append(g.inFlight, a)
+	a.server.inFlight++
+	r.customer.inFlight++
+	g.sentLatency.add(g.now, groupMemory, g.typicalLatency(r))
+	if r.BodyPending {
+		g.setOccupiesSlot(a, false)
+		r.customer.reservedUnits += r.Units
+	}
+	g.countColdSend(a.server)
+}
+
+// removeAttempt undoes addAttempt and gives the attempt, nil where it is not in flight.
+func (g *Gateway) removeAttempt(r *request, number int) *attempt {
+	i := r.indexInFlight(number)
 	if i < 0 {
 		return nil
 	}
@@ -49,7 +68,8 @@
 	return a
 }
 
-// draw takes a request's units off what they come out of, or gives them back.
+// charge takes a request's units off the balance and the hard limit, or gives them back where sign is -1. Units beyond
+// the quota are not taken off the balance, nor is what the owner keeps.
 func (g *Gateway) charge(r *request, sign float64) {
 	r.charged = sign > 0
 	if !r.overQuota && r.owner < 0 {
@@ -60,42 +80,25 @@
 	}
 }
 
-func (g *Gateway) addAttempt(a *attempt) {
-	r := a.request
-	a.number, a.index = r.attempts, len(g.inFlight)
-	r.attempts++
-	r.inFlight = append(r.inFlight, a)
-	r.tried = append(r.tried, a.server)
-	g.inFlight = append(g.inFlight, a)
-	a.server.inFlight++
-	r.customer.inFlight++
-	g.sentLatency.add(g.now, groupMemory, g.typicalLatency(r))
-	if r.BodyPending {
-		g.setOccupiesSlot(a, false)
-		r.customer.reservedUnits += r.Units
-	}
-	g.countColdSend(a.server)
-}
-
-// place notes whether an attempt holds a place at its server.
-func (g *Gateway) setOccupiesSlot(a *attempt, holds bool) {
-	if n := 1; a.lost == holds {
-		if a.lost = !holds; holds {
+// setOccupiesSlot notes whether an attempt occupies a slot at its server.
+func (g *Gateway) setOccupiesSlot(a *attempt, occupies bool) {
+	if n := 1; a.lost == occupies {
+		if a.lost = !occupies; occupies {
 			n = -1
 		}
 		a.server.lost, g.lostInFlight = a.server.lost+n, g.lostInFlight+n
 	}
 }
 
-// sentTo notes an attempt that counts against a cold server's budget.
+// countColdSend counts an attempt against the budget of a server that warms up.
 func (g *Gateway) countColdSend(s *server) {
 	if s != nil && g.warmth(s) < 1 {
 		s.coldBudget.Sent(g.now)
 	}
 }
 
-// suspect notes that an attempt is out for far too long and that nothing has come from its server for as long: it may be lost,
-// and holds no place while that is found out.
+// suspect notes that an attempt may be lost: it is in flight for far too long, and nothing was served by its server
+// meanwhile. It occupies no slot until that is known.
 func (g *Gateway) suspect(a *attempt) {
 	if !a.suspected && !a.lost {
 		a.suspected = true
@@ -104,7 +107,7 @@
 	}
 }
 
-// clear ends the suspicion of an attempt, which is lost, or holds its place again.
+// clearSuspicion ends the suspicion of an attempt: it is lost, or occupies its slot again.
 func (g *Gateway) clearSuspicion(a *attempt, lost bool) {
 	if a.suspected {
 		a.suspected = false
@@ -115,16 +118,17 @@
 	}
 }
 
-// lose notes that an attempt is lost, where others have passed it: what the server is at work on is the rest.
+// markLost notes that an attempt is lost where enough others have overtaken it.
 func (g *Gateway) markLost(a *attempt) {
 	if a.overtakenBy >= overtakenLimit {
 		g.setOccupiesSlot(a, false)
 	}
 }
 
+// load gives the attempts that occupy slots at servers.
 func (g *Gateway) load() float64 { return float64(len(g.inFlight) - g.lostInFlight) }
 
-// Streaming tells that a response has begun: no deadline runs any more.
+// ResponseStarted takes in that a response is being streamed: the deadline doesn't count any more.
 func (g *Gateway) ResponseStarted(now Time, id RequestID, attempt int) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil {
@@ -132,8 +136,8 @@
 	}
 }
 
-// Came tells that the last byte of a request's body has been sent on: its time runs from now on, to a later deadline. It
-// can't be sent again.
+// BodySent takes in that the last byte of a pending body has been sent on: time counts from now on, up to another
+// deadline. The request can't be sent again.
 func (g *Gateway) BodySent(now Time, id RequestID, deadline Time) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil && r.BodyPending && !r.closed {
@@ -143,11 +147,11 @@
 			g.setOccupiesSlot(a, true)
 			r.customer.reservedUnits -= r.Units
 		}
-		g.host.Timer(uint64(id)<<tagBits|tagDeadline, deadline-now-2*g.cfg.Tick)
+		g.host.Timer(requestTag(id, tagDeadline), deadline-now-2*g.cfg.Tick)
 	}
 }
 
-// GiveUp gives every open request its final answer, as at its deadline. What streams goes on.
+// AnswerAll gives every request a final answer, as at its deadline, except those whose response is being streamed.
 func (g *Gateway) AnswerAll(now Time) {
 	g.advance(now)
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
--- a/policy/known.go
+++ b/policy/known.go
@@ -1,7 +1,7 @@
 package policy
 
-// This file owns what a gateway knows of its customers and its peers: the records, how they are made and forgotten, and
-// the figures drawn from them. Nothing here may admit or refuse, send or tell.
+// The records of customers: how they are made, and what is derived from them and from what peers have said. This file
+// neither admits nor refuses a request, and sends nothing.
 
 import (
 	"math"
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// newCustomer makes the record of a customer that this life has not met. What a former life let in isn't
-// known: ceilings, and accounts too once an older peer is heard, are taken to have filled since birth.
-func (g *Gateway) newCustomer(name uint64) *customer {
-	c := &customer{key: name, refilledAt: g.now, lastSeen: g.now, sharedDemand: pushSum{decayedAt: g.now}}
-	c.plan, c.firstGateway, c.setSize = splitCustomerKey(name)
-	c.sharedDemand.pooled[1] = 1 - decayFactor(g.now-g.startedAt, g.demandMemory(c.plan)) // nothing was asked here in this life
+// newCustomer makes the record of a customer that this incarnation has not met. What an earlier incarnation admitted
+// isn't known, so the hard limit, and the balance too once an older peer is known, are taken to have filled since the
+// start only.
+func (g *Gateway) newCustomer(key uint64) *customer {
+	c := &customer{key: key, refilledAt: g.now, lastSeen: g.now, sharedDemand: pushSum{decayedAt: g.now}}
+	c.plan, c.firstGateway, c.setSize = splitCustomerKey(key)
+	c.sharedDemand.pooled[1] = 1 - decayFactor(g.now-g.startedAt, g.demandMemory(c.plan)) // no demand since the start
 	c.generation = byte((g.now-g.startedAt)/time.Second) &^ tailFlag
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)
 	if g.drawsJointly(c) {
@@ -22,88 +23,102 @@
 	}
 	c.balance = p.Burst
 	c.hardLimit.Fill(g.hardLimitPart(c), g.now-g.unseenFillSince, 0)
-	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) { // later, all that was drawn from has been heard of
+	// Where the bucket is shared and this gateway is older than peerAliveFor it has heard of all that was drawn.
+	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
 		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
 	}
-	if g.customersByKey[name] == nil {
-		g.customersByKey[name] = c
+	if g.customersByKey[key] == nil {
+		g.customersByKey[key] = c
 	}
 	g.customers = append(g.customers, c)
 	return c
 }
 
-// allNew tells whether the whole fleet has just started: no ceiling has been drawn from before this life.
-// Where not all gateways are near, word of an older one has had the time to come from some places farther.
+// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where some
+// gateways are not nearby, an older one among them has had the time to become known.
 func (g *Gateway) fleetJustStarted() bool {
-	unheard := func(p int) bool { return g.peerLastContact[p] == 0 }
+	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
 	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
 	return len(g.nearby) > 0 && !g.olderPeerKnown && g.unseenFillSince == g.startedAt && g.now-g.startedAt >= wait &&
-		!slices.ContainsFunc(g.nearby, unheard)
+		!slices.ContainsFunc(g.nearby, neverHeard)
 }
 
-// record finds or makes the record of a customer that a peer names, nil where the name makes no sense.
-func (g *Gateway) recordFor(name uint64) *customer {
-	plan, _, set := splitCustomerKey(name)
-	if c := g.customersByKey[name]; c != nil || plan >= len(g.cfg.Plans) || set < 1 || set > g.cfg.Gateways ||
+// recordFor finds or makes the record of a customer that a peer names, nil where the key is invalid or there are too
+// many records.
+func (g *Gateway) recordFor(key uint64) *customer {
+	plan, _, setSize := splitCustomerKey(key)
+	if c := g.customersByKey[key]; c != nil || plan >= len(g.cfg.Plans) || setSize < 1 || setSize > g.cfg.Gateways ||
 		len(g.customers) >= maxCustomers {
 		return c
 	}
-	return g.newCustomer(name)
+	return g.newCustomer(key)
 }
 
-// whole tells whether the store of a customer is drawn on together: all its gateways hear of each draw at
-// once, or this one and most of those near it do. Those cut off keep to their parts meanwhile: a half more
-// than the quota is drawn at the worst. Those that are down draw nothing, and theirs must not lie idle.
+// drawsJointly tells whether this gateway draws on a customer's whole bucket: it hears all of the customer's gateways,
+// or most of those nearby. Those that are partitioned from the majority draw on their parts meanwhile, which exceeds
+// the quota by half at worst. The parts of gateways that are down must not lie idle.
 func (g *Gateway) drawsJointly(c *customer) bool {
-	unheard := func(p int) bool { return g.serves(p, c) && !g.peerAlive(p) }
-	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, unheard))
+	timedOut := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
+	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, timedOut))
 }
 
+// majorityAlive tells whether this gateway and the nearby peers that it hears are a majority of them all.
 func (g *Gateway) majorityAlive() bool { return 2*g.nearbyAlive()+1 > len(g.nearby) }
 
-// demand gives what is asked here and what is asked in all. A gateway that hears nobody takes the others to
-// be asked as much as itself, which holds the customer to its rate split over them.
-func (g *Gateway) demand(c *customer) (mine, all float64) {
+// demand gives the units a second that are asked here, and at all of the customer's gateways. A gateway that hears no
+// peer takes the others' demand to be as its own, which holds the customer to an even part of its rate.
+func (g *Gateway) demand(c *customer) (here, total float64) {
 	memory, n := g.demandMemory(c.plan), float64(c.setSize)
 	c.demand.decay(g.now, memory)
-	mine = c.demand.sum / memory.Seconds()
+	here = c.demand.sum / memory.Seconds()
 	if g.isolated() || !g.sharesBucket(c) {
-		return mine, mine * n
+		return here, here * n
 	}
 	c.sharedDemand.decay(g.now, memory, 1)
-	all = (c.sharedDemand.local[0] + n*c.sharedDemand.pooled[0]/math.Max(c.sharedDemand.pooled[1], minPushSumWeight)) / memory.Seconds()
-	return mine, math.Max(mine, all)
+	pooled, weight := c.sharedDemand.pooled[0], c.sharedDemand.pooled[1]
+	total = (c.sharedDemand.local[0] + n*pooled/math.Max(weight, minPushSumWeight)) / memory.Seconds()
+	return here, math.Max(here, total)
 }
 
+// isolated tells whether no peer has been heard for longer than staleUpdates full updates.
 func (g *Gateway) isolated() bool { return g.now-g.lastContact > staleUpdates*fullUpdateInterval }
 
-// hearUse takes in what a peer has drawn for a customer since it last told. Of a record that was not known
-// here it is what its store still lacks; to a gateway that has just started an older peer tells what is left.
-// What a peer drew while it was not heard came out of its own part, whenever it tells of it.
-func (g *Gateway) applyPeerUsage(c *customer, from int, e entry, late time.Duration) {
+// applyPeerUsage takes in what a peer has drawn for a customer since its last update, and has a grant of its part of
+// the hard limit returned to it where the two parts are uneven. delay is how late the update came.
+func (g *Gateway) applyPeerUsage(c *customer, from int, e entry, delay time.Duration) {
 	if !g.sharesBucket(c) {
 		return
 	}
 	g.refill(c, 0)
-	p, h := g.cfg.Plans[c.plan], &c.peers[g.peerSlot(from)]
-	burst, stale := p.Burst, late.Seconds()*p.HardLimitRate > p.HardLimitSlack
+	plan, peer := g.cfg.Plans[c.plan], &c.peers[g.peerSlot(from)]
+	stale := delay.Seconds()*plan.HardLimitRate > plan.HardLimitSlack
 	var uneven bool
-	if h.deficit, uneven = c.hardLimit.Take(g.hardLimitPart(c), e.limitWord, c.setSize, stale); uneven {
+	if peer.deficit, uneven = c.hardLimit.Take(g.hardLimitPart(c), e.limitWord, c.setSize, stale); uneven {
 		g.queueUpdate(c, from)
 	}
-	drew := usedBetween(h.used, e.used)
-	switch known := h.incarnation == g.incarnations[from] && h.generation == e.generation; {
-	case !known && g.olderPeerKnown && g.now-g.startedAt < peerAliveFor:
-		c.balance, drew = e.balance*burst-c.used, 0
-	case h.receivedAt < g.peerResumedAt[from] && (known || g.now-g.peerResumedAt[from] < peerAliveFor):
-		drew = 0
-	case !known:
-		drew = math.Min(e.used, (1-e.balance)*burst)
+	known := peer.incarnation == g.incarnations[from] && peer.generation == e.generation
+	if !known && g.olderPeerKnown && g.now-g.startedAt < peerAliveFor { // an older peer knows what is left
+		c.balance = e.balance*plan.Burst - c.used
+	} else {
+		c.balance -= g.drawnSinceUpdate(c, from, e, known)
 	}
-	h.incarnation, h.receivedAt, h.generation, h.used, h.inFlight = g.incarnations[from], g.now, e.generation, e.used, e.inFlight
-	c.balance -= drew
-	// Views part where draws cross, and would stay apart for as long as the store is never full: the one that
-	// sees more would take all. What was not yet told there is no difference.
-	c.balance += balanceConvergence * (e.balance*burst - (c.used - h.ownUsedSent) - c.balance)
-	c.balance = math.Max(-burst, c.balance)
+	peer.incarnation, peer.receivedAt, peer.generation = g.incarnations[from], g.now, e.generation
+	peer.used, peer.inFlight = e.used, e.inFlight
+	// Copies of a bucket diverge where draws cross, and would stay so while the bucket is never full: the gateway that
+	// sees more would take all. What the peer had not been sent yet is no divergence.
+	c.balance += balanceConvergence * (e.balance*plan.Burst - (c.used - peer.ownUsedSent) - c.balance)
+	c.balance = math.Max(-plan.Burst, c.balance)
+}
+
+// drawnSinceUpdate gives the units that a peer has drawn from the bucket since its last update, by its next one. known
+// tells whether the last one was of the same record of the peer.
+func (g *Gateway) drawnSinceUpdate(c *customer, from int, e entry, known bool) float64 {
+	peer := &c.peers[g.peerSlot(from)]
+	switch {
+	case peer.receivedAt < g.peerResumedAt[from] && (known || g.now-g.peerResumedAt[from] < peerAliveFor):
+		return 0 // drawn while the peer was not heard, so from its own part
+	case !known: // what the bucket lacks by the peer
+		return math.Min(e.used, (1-e.balance)*g.cfg.Plans[c.plan].Burst)
+	}
+	return usedBetween(peer.used, e.used)
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -6,24 +6,66 @@
 	"time"
 )
 
-// What is learnt from answers: lengths, widths, paces. Nothing here chooses.
+// What is estimated from the answers of servers: latencies, concurrency, throughput, and the units that requests draw.
+// This file decides nothing.
 
-// learnLength takes in how long an answered attempt took.
+// minReportedFailures is the decayed count of failures below which a server's failures aren't reported.
+const minReportedFailures = 0.25
+
+// minLatency keeps expected latencies above 0; seconds.
+const minLatency = 1e-4
+
+// learnLatency takes in how long a served attempt took.
 func (g *Gateway) learnLatency(r *request, took time.Duration) {
-	memory, length := 10*latencyMemory*g.shortestTarget(), min(took, g.cfg.Classes[r.Class].Deadline).Seconds()
-	g.latencyByUnits[r.Class].add(decayFactor(g.now-g.classLatency[r.Class].decayedAt, memory), r.Units, length)
-	g.classLatency[r.Class].add(g.now, memory, length)
+	memory, seconds := 10*latencyMemory*g.shortestTarget(), min(took, g.cfg.Classes[r.Class].Deadline).Seconds()
+	g.latencyByUnits[r.Class].add(decayFactor(g.now-g.classLatency[r.Class].decayedAt, memory), r.Units, seconds)
+	g.classLatency[r.Class].add(g.now, memory, seconds)
 }
 
-// reported takes a server's load report in.
+// typicalLatency gives how long a request's attempts typically take, in seconds, by its class and units.
+func (g *Gateway) typicalLatency(r *request) float64 {
+	const minSamples = 5 // for a line through them
+	if f := &g.latencyByUnits[r.Class]; f.weight >= minSamples {
+		return math.Max(f.predict(r.Units), minLatency)
+	}
+	return g.classTypicalLatency(r.Class)
+}
+
+// classTypicalLatency gives the mean latency of a class, in seconds.
+func (g *Gateway) classTypicalLatency(class int) float64 {
+	t := &g.classLatency[class]
+	return math.Max(t.sum/math.Max(t.weight, 1e-9), minLatency)
+}
+
+// expectedLatency gives how long a request's attempt should take now: its typical latency, times the relative latency
+// of the fleet where that is above 1.
+func (g *Gateway) expectedLatency(r *request) time.Duration {
+	return time.Duration(g.typicalLatency(r) * math.Max(1, g.fleetLatency) * float64(time.Second))
+}
+
+// meanRelativeLatency gives the relative latency of all listed servers together.
+func (g *Gateway) meanRelativeLatency() float64 {
+	all := decayingMean{}
+	for _, s := range g.servers {
+		if s.listed {
+			s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
+			all.sum, all.weight = all.sum+s.relativeLatency.sum, all.weight+s.relativeLatency.weight
+		}
+	}
+	return all.smoothed()
+}
+
+// applyLoadReport takes in a server's load report, of which only the latency is used.
 func (s *server) applyLoadReport(g *Gateway, report []float32) {
-	if i := slices.Index(g.cfg.LoadReportFields, "latency_ms"); i >= 0 && i < len(report) && report[i] > 0 && report[i] <= 1e6 {
+	const maxReported = 1e6 // ms; more is taken for an error
+	i := slices.Index(g.cfg.LoadReportFields, "latency_ms")
+	if i >= 0 && i < len(report) && report[i] > 0 && report[i] <= maxReported {
 		s.reportedServiceTime, s.reportedAt = float64(report[i])/1000, g.now
 	}
 }
 
-// service gives how long an attempt takes at its server without waiting, in seconds, by the server's word of the requests
-// that it had lately; 0: not known.
+// serviceTime gives how long an attempt takes at its server without waiting, in seconds, 0 where that is unknown. The
+// server reports the time of the requests that it had lately; it is scaled by what is typical of this one.
 func (g *Gateway) serviceTime(a *attempt) float64 {
 	if g.now-a.server.reportedAt > workMemory || g.sentLatency.weight < 1 {
 		return 0
@@ -31,16 +73,16 @@
 	return a.server.reportedServiceTime * g.typicalLatency(a.request) * g.sentLatency.weight / g.sentLatency.sum
 }
 
-// learnWidth follows how many attempts a server was seen at work on at once: what was done in a time, by the servers' own
-// word of how long it takes, over that time. A shared slow-down leaves it as it is.
+// learnConcurrency estimates how many attempts a server works on at once, by Little's law: the work done in a time, by
+// the servers' own reports of how long it takes, over that time. A slowdown that all servers share leaves it as it is.
 func (g *Gateway) learnConcurrency() {
 	g.workDone.decay(g.now, workMemory)
 	busy := float64(g.cfg.Gateways) * g.workDone.sum / workMemory.Seconds()
 	g.serverConcurrency = math.Max(throughputDecay*g.serverConcurrency, busy/math.Max(1, float64(g.listedServers())))
 }
 
-// proven follows what a warm server answers here in a window of Fall. What was done before an outage can be
-// done after it, so it falls slowly, and it is followed whether or not a server is cold.
+// learnWarmThroughput estimates what a warm server serves for this gateway in a ColdWindow. What was possible before an
+// outage is possible after it, so the estimate falls slowly, and is kept whether or not a server warms up.
 func (g *Gateway) learnWarmThroughput() {
 	var warm decayingMean
 	for _, s := range g.servers {
@@ -50,14 +92,15 @@
 		}
 	}
 	g.warmThroughput = math.Max(throughputDecay*g.warmThroughput, warm.sum/math.Max(warm.weight, 1)/2)
-	if g.allCold = warm.weight == 0; g.allCold && g.coldServiceTime.weight > 0 { // all are cold: each does one attempt after another, at the least
-		one := g.cfg.ColdWindow.Seconds() * g.coldServiceTime.weight / math.Max(g.coldServiceTime.sum, 1e-4)
+	g.allCold = warm.weight == 0
+	if g.allCold && g.coldServiceTime.weight > 0 { // each serves one attempt after another at least
+		one := g.cfg.ColdWindow.Seconds() * g.coldServiceTime.weight / math.Max(g.coldServiceTime.sum, minLatency)
 		g.warmThroughput = math.Max(g.warmThroughput, one/float64(g.cfg.Gateways))
 	}
 }
 
-// does gives what a server was seen to answer here in a window of Fall, of late, while no listed one is warm and tells what
-// warm ones do. What it could do it still can: one that is cold only gets warmer.
+// coldThroughput gives what a server has lately served for this gateway in a ColdWindow, 0 while a listed server is
+// warm, whose throughput is the better estimate. What a server could do it still can: it only gets warmer.
 func (s *server) coldThroughput(g *Gateway) float64 {
 	if !g.allCold {
 		return 0
@@ -66,8 +109,16 @@
 	return s.answers.sum / 2
 }
 
-// trueUp settles, once and where the account is kept, what a request draws by its answer in place of the
-// guess. An answer's word that can't be is left, and the ceiling goes by the guess.
+// countWasted counts an attempt that may have run, and whether it was wasted. One that found no connection isn't
+// counted: it costs its request little.
+func (g *Gateway) countWasted(s *server, e Ending) {
+	if e == Served || e == Errored || e == ConnectionLost {
+		s.wasted.addBool(g.now, 4*latencyMemory*g.shortestTarget(), e != Served)
+	}
+}
+
+// reconcileUnits corrects, once and where the bucket is kept, the estimated units of a request by those in its answer.
+// Units that can't be are ignored. The hard limit keeps to the estimate.
 func (g *Gateway) reconcileUnits(r *request, units float64) {
 	more := units - r.Units
 	if r.reconciled || r.overQuota || !(units > 0 && units <= math.Max(g.cfg.MaxUnits, r.Units)) || more == 0 {
@@ -84,51 +135,11 @@
 	}
 }
 
-// settleAtHome takes in that a request of a customer at home here drew more, or less, than was guessed.
-func (g *Gateway) reconcileAtOwner(from int, name uint64, more float64) {
-	_, first, set := splitCustomerKey(name)
-	if c := g.recordFor(ownerKey(name, g.cfg.Self)); c != nil && g.serves(from, &customer{firstGateway: first, setSize: set}) {
+// reconcileAtOwner takes in that a request of a customer that this gateway owns drew more, or less, than was estimated.
+func (g *Gateway) reconcileAtOwner(from int, key uint64, more float64) {
+	_, first, setSize := splitCustomerKey(key)
+	c := g.recordFor(ownerKey(key, g.cfg.Self))
+	if c != nil && g.serves(from, &customer{firstGateway: first, setSize: setSize}) {
 		c.balance -= math.Max(-g.cfg.MaxUnits, math.Min(g.cfg.MaxUnits, more))
 	}
 }
-
-// need gives how long a request's attempt should take now, by its units and the pace of all servers.
-func (g *Gateway) expectedLatency(r *request) time.Duration {
-	return time.Duration(g.typicalLatency(r) * math.Max(1, g.fleetLatency) * float64(time.Second))
-}
-
-// meanPace gives the pace of all listed servers together, of late.
-func (g *Gateway) meanRelativeLatency() float64 {
-	all := decayingMean{}
-	for _, s := range g.servers {
-		if s.listed {
-			s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
-			all.sum, all.weight = all.sum+s.relativeLatency.sum, all.weight+s.relativeLatency.weight
-		}
-	}
-	return all.smoothed()
-}
-
-// noteEnd counts an attempt that may have run, and whether that was for nothing. One that found no connection costs its
-// request little: it goes elsewhere, and a room that is lost makes room so for those that are left.
-func (g *Gateway) countWasted(s *server, e Ending) {
-	if e == Served || e == Errored || e == ConnectionLost {
-		s.wasted.addBool(g.now, 4*latencyMemory*g.shortestTarget(), e != Served)
-	}
-}
-
-// leastFails is what failures fade to until they are forgotten.
-const minReportedFailures = 0.25
-
-// expect gives how long a request's attempts typically take, in seconds, by its class and units.
-func (g *Gateway) typicalLatency(r *request) float64 {
-	if f := &g.latencyByUnits[r.Class]; f.weight >= 5 {
-		return math.Max(f.predict(r.Units), 1e-4)
-	}
-	return g.classTypicalLatency(r.Class)
-}
-
-func (g *Gateway) classTypicalLatency(class int) float64 {
-	t := &g.classLatency[class]
-	return math.Max(t.sum/math.Max(t.weight, 1e-9), 1e-4)
-}
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -6,9 +6,15 @@
 	"sprucelane.example/sprucelane/internal/ledger"
 )
 
-// Which gateways share a customer, and what is known of them. Nothing here chooses.
+// Which gateways share a customer, which peers are alive, and which updates they are to receive. This file decides
+// nothing.
 
-// nearHeard counts the gateways near by that are heard.
+// peerAlive tells whether a peer was heard within peerAliveFor.
+func (g *Gateway) peerAlive(peer int) bool {
+	return g.peerLastContact[peer] != 0 && g.now-g.peerLastContact[peer] <= peerAliveFor
+}
+
+// nearbyAlive counts the nearby peers that are alive.
 func (g *Gateway) nearbyAlive() (n int) {
 	for _, p := range g.nearby {
 		if g.peerAlive(p) {
@@ -18,7 +24,28 @@
 	return n
 }
 
-// news notes that a customer's other gateways, or one of them, have something to hear of it.
+// peerSlot numbers the gateways from nearbyDistance places before this one on, so that nearby ones have the first
+// numbers.
+func (g *Gateway) peerSlot(peer int) int {
+	return (peer - g.cfg.Self + nearbyDistance + g.cfg.Gateways) % g.cfg.Gateways
+}
+
+// serves tells whether a gateway is in a customer's set.
+func (g *Gateway) serves(gateway int, c *customer) bool {
+	return ((gateway-c.firstGateway)%g.cfg.Gateways+g.cfg.Gateways)%g.cfg.Gateways < c.setSize
+}
+
+// sharesBucket tells whether a customer's set is small enough for all its gateways to be near each other.
+func (g *Gateway) sharesBucket(c *customer) bool {
+	return len(g.nearby) > 0 && c.setSize <= nearbyDistance+1
+}
+
+// ownerCandidate gives the gateway that owns a customer with a large set, or the kth that stands in for it.
+func (g *Gateway) ownerCandidate(c *customer, k int) int {
+	return (c.firstGateway + (int(c.key>>32)+k)%c.setSize) % g.cfg.Gateways
+}
+
+// queueUpdate notes that peers are to receive an update of a customer, those of them that share its bucket.
 func (g *Gateway) queueUpdate(c *customer, peers ...int) {
 	for _, p := range peers {
 		if g.sharesBucket(c) && g.serves(p, c) && g.peerSlot(p) <= 2*nearbyDistance {
@@ -30,84 +57,62 @@
 	}
 }
 
-func (g *Gateway) serves(gateway int, c *customer) bool {
-	return ((gateway-c.firstGateway)%g.cfg.Gateways+g.cfg.Gateways)%g.cfg.Gateways < c.setSize
+// refreshInFlight has a peer sent the numbers of attempts in flight again, as an update of them may have been lost.
+func (g *Gateway) refreshInFlight(to int) {
+	for _, c := range g.customers {
+		if c.inFlight+c.queued > 0 && g.cfg.Plans[c.plan].MaxInFlight > 0 {
+			g.queueUpdate(c, to)
+		}
+	}
 }
 
-// outElsewhere gives the attempts that a customer has out through its other gateways. What was last told counts for as long
-// as it would have been told again; of one that isn't heard its part is taken to be out.
+// inFlightElsewhere gives the attempts that a customer has in flight through its other gateways. What a peer has sent
+// counts for as long as it would have been sent again; of a peer that has timed out its part is assumed.
 func (g *Gateway) inFlightElsewhere(c *customer) (n int) {
 	for _, p := range g.nearby {
-		h := &c.peers[g.peerSlot(p)]
+		peer := &c.peers[g.peerSlot(p)]
 		switch {
 		case !g.serves(p, c):
 		case !g.peerAlive(p):
 			n += g.cfg.Plans[c.plan].MaxInFlight / c.setSize
-		case g.now-h.receivedAt <= peerAliveFor:
-			n += int(h.inFlight)
+		case g.now-peer.receivedAt <= peerAliveFor:
+			n += int(peer.inFlight)
 		}
 	}
 	return n
 }
 
-// renewOut has a peer told again of what customers have out, should word of it have been lost.
-func (g *Gateway) refreshInFlight(to int) {
-	for _, c := range g.customers {
-		if c.inFlight+c.queued > 0 && g.cfg.Plans[c.plan].MaxInFlight > 0 {
-			g.queueUpdate(c, to)
-		}
-	}
-}
-
-// hears tells whether a peer has lately been heard.
-func (g *Gateway) peerAlive(peer int) bool {
-	return g.peerLastContact[peer] != 0 && g.now-g.peerLastContact[peer] <= peerAliveFor
-}
-
-// slot numbers the gateways from tellPeers places before this one: those near it have the first numbers.
-func (g *Gateway) peerSlot(peer int) int {
-	return (peer - g.cfg.Self + nearbyDistance + g.cfg.Gateways) % g.cfg.Gateways
-}
-
-// shared tells whether a customer's set is small enough for its gateways to be near each other.
-func (g *Gateway) sharesBucket(c *customer) bool {
-	return len(g.nearby) > 0 && c.setSize <= nearbyDistance+1
-}
-
-// view gives how this gateway sees a customer's store.
+// quotaView gives how this gateway sees a customer's bucket.
 func (g *Gateway) quotaView(c *customer) ledger.View {
-	mine, all := g.demand(c)
-	return ledger.View{Left: c.balance, Mine: mine, All: all, N: c.setSize, Whole: g.drawsJointly(c)}
+	here, total := g.demand(c)
+	return ledger.View{Left: c.balance, Mine: here, All: total, N: c.setSize, Whole: g.drawsJointly(c)}
 }
 
-// share gives what a record's part of the ceiling is of.
+// hardLimitPart gives the part of the hard limit that a record of a customer has.
 func (g *Gateway) hardLimitPart(c *customer) ledger.Limit {
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)*g.hardLimitHolders(c)
 	return ledger.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
 }
 
-// lateBy tells how much later than the fastest one a peer's message has come, by its clock and this one's, which may
-// drift by a thousandth.
-func (g *Gateway) excessDelay(from int, age time.Duration, anew bool) time.Duration {
-	lag, most := g.now-age, g.peerClockOffset[from]+(g.now-g.peerLastContact[from])/1000
-	if anew || g.peerClockOffset[from] == 0 || lag < most {
-		most = lag
-	}
-	g.peerClockOffset[from] = most
-	return lag - most
-}
-
-// keepers is 2 where a customer's first home keeps half of the hard ceiling and all parts together the other, else 1. Half
-// must be enough for the quota.
+// hardLimitHolders is 2 where a customer's first owner holds one half of the hard limit and the parts of all its
+// gateways together the other, else 1. The limit is halved only where half of it is enough for the quota.
 func (g *Gateway) hardLimitHolders(c *customer) float64 {
-	p, own := g.cfg.Plans[c.plan], c.setSize == 1 && !c.seenHere // a home's record
-	if p.HardLimitRate >= 2*p.Rate && p.HardLimitBurst >= 2*p.Burst && len(g.nearby) > 0 && (own || !g.sharesBucket(c)) {
+	p, ownersRecord := g.cfg.Plans[c.plan], c.setSize == 1 && !c.seenHere
+	if p.HardLimitRate >= 2*p.Rate && p.HardLimitBurst >= 2*p.Burst && len(g.nearby) > 0 &&
+		(ownersRecord || !g.sharesBucket(c)) {
 		return 2
 	}
 	return 1
 }
 
-// homeOf gives a customer's first home, or the kth that stands in for it.
-func (g *Gateway) ownerCandidate(c *customer, k int) int {
-	return (c.firstGateway + (int(c.key>>32)+k)%c.setSize) % g.cfg.Gateways
+// excessDelay gives how much longer than the fastest one a peer's message took. The peer's clock is its age, which
+// may drift from the clock here by a thousandth. restarted tells that the age has started anew.
+func (g *Gateway) excessDelay(from int, age time.Duration, restarted bool) time.Duration {
+	const maxDrift = 1000 // one in this many
+	offset, least := g.now-age, g.peerClockOffset[from]+(g.now-g.peerLastContact[from])/maxDrift
+	if restarted || g.peerClockOffset[from] == 0 || offset < least {
+		least = offset
+	}
+	g.peerClockOffset[from] = least
+	return offset - least
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -70,6 +70,9 @@
 	tagBits = 3
 )
 
+// requestTag gives the tag of a request's timer.
+func requestTag(id RequestID, kind uint64) uint64 { return uint64(id)<<tagBits | kind }
+
 func (g *Gateway) advance(now Time) {
 	g.now, g.peerLastContact[g.cfg.Self] = now, now
 	if !g.started {
@@ -130,7 +133,7 @@
 		return
 	}
 	g.requests[in.ID] = r
-	g.host.Timer(uint64(in.ID)<<tagBits|tagDeadline, in.Deadline-now-2*g.cfg.Tick)
+	g.host.Timer(requestTag(in.ID, tagDeadline), in.Deadline-now-2*g.cfg.Tick)
 	if asks {
 		g.queryOwner(r)
 	} else {
@@ -237,7 +240,7 @@
 		g.pendingQueries[r.queryToken] = r
 	}
 	g.host.Tell(r.owner, packQuery(ownerQuery{token: r.queryToken, customerKey: r.customer.key, units: r.Units}))
-	g.host.Timer(uint64(r.ID)<<tagBits|tagQuery, max(g.cfg.Tick, g.shortestTarget()/queriesPerTarget))
+	g.host.Timer(requestTag(r.ID, tagQuery), max(g.cfg.Tick, g.shortestTarget()/queriesPerTarget))
 }
 
 // answer decides about a request of a customer that is at home here and gives the store's record, nil where
@@ -578,10 +581,10 @@
 	g.groups[g.groupOf(r)].latency.local[groupRequests]++
 	g.host.Send(r.ID, s.ID, r.Deadline)
 	if g.cfg.Hedging && r.attempts == 1 && !g.cfg.Classes[r.Class].Streaming {
-		g.host.Timer(uint64(r.ID)<<tagBits|tagHedge, g.cfg.Classes[r.Class].LatencyTarget/2)
+		g.host.Timer(requestTag(r.ID, tagHedge), g.cfg.Classes[r.Class].LatencyTarget/2)
 	} else if !g.cfg.Hedging && g.cfg.Cancel && !g.cfg.Classes[r.Class].Streaming &&
 		g.cfg.Classes[r.Class].Idempotency != NotIdempotent {
-		g.host.Timer(uint64(r.ID)<<tagBits|tagHedge, lostAfterFactor*g.expectedLatency(r))
+		g.host.Timer(requestTag(r.ID, tagHedge), lostAfterFactor*g.expectedLatency(r))
 	}
 }
 
@@ -740,7 +743,7 @@
 	}
 	a := r.inFlight[0]
 	if wait := a.sentAt + lostAfterFactor*g.expectedLatency(r) - g.now; wait > 0 || a.overtakenBy < overtakenLimit {
-		g.host.Timer(uint64(r.ID)<<tagBits|tagHedge, max(wait, g.expectedLatency(r)/2, g.cfg.Tick))
+		g.host.Timer(requestTag(r.ID, tagHedge), max(wait, g.expectedLatency(r)/2, g.cfg.Tick))
 	} else if s := g.pickServer(r); s != nil && !r.wasTried(s) {
 		g.host.Cancel(r.ID, a.number)
 	}
--- a/policy/recall.go
+++ b/policy/recall.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// What outlasts the process in a store, and what comes from there. Nothing here chooses.
+// The balances of quotas that outlast the process in a store, and what other processes of this gateway send. This
+// file decides nothing.
 
-// Use is what is left of a customer's quota, as a gateway keeps it for its next life.
+// QuotaBalance is what is left of a customer's quota, as it is stored for the gateway's next incarnation.
 type QuotaBalance struct {
-	Key           uint64 // in messages
-	Customer      CustomerID
-	Balance       float64       // units left, below 0 owed
-	Age, Downtime time.Duration // of what is recalled: how long ago that was, and how long ago the former life was last known to live
+	Key      uint64 // of the customer in messages
+	Customer CustomerID
+	Balance  float64 // units; below 0 they were admitted ahead of the refill
+
+	// Of a balance that is restored: how old it is, and how long ago the earlier incarnation was last known to live.
+	Age, Downtime time.Duration
 }
 
-// Uses gives what is left of the customers that were asked for since a moment.
+// QuotaBalances gives the balances of the customers that were active at or after a time.
 func (g *Gateway) QuotaBalances(now, since Time) (list []QuotaBalance) {
 	g.advance(now)
 	for _, c := range g.customers {
@@ -26,25 +29,27 @@
 	return list
 }
 
-// Recall takes over what the former life of this gateway has kept. It comes before the first request. What it drew right before
-// its end is not known: of the hard ceilings only what has filled since is taken to be there, and the fleet is not new.
+// RestoreBalances takes over the balances of an earlier incarnation. It must be called before the first request. What
+// was drawn right before that incarnation ended isn't known, so hard limits are taken to have filled since then only,
+// and the fleet not to have just started.
 func (g *Gateway) RestoreBalances(now Time, list []QuotaBalance) {
 	g.advance(now)
 	g.olderPeerKnown = true
-	for _, u := range list {
-		c := g.recordFor(u.Key)
+	for _, b := range list {
+		c := g.recordFor(b.Key)
 		if c == nil || c.seenHere {
 			continue
 		}
 		p := g.cfg.Plans[c.plan]
-		c.balance = math.Max(-p.Burst, math.Min(p.Burst, u.Balance+u.Age.Seconds()*p.Rate))
+		c.balance = math.Max(-p.Burst, math.Min(p.Burst, b.Balance+b.Age.Seconds()*p.Rate))
 		c.hardLimit.Left = 0
-		c.hardLimit.Fill(g.hardLimitPart(c), u.Downtime, 0)
+		c.hardLimit.Fill(g.hardLimitPart(c), b.Downtime, 0)
 		c.limitFilled, c.lastSeen = true, now
 	}
 }
 
-// Elsewhere notes what this gateway's other process, or its module of other settings, has sent to a server.
+// SentElsewhere takes in an attempt of the gateway's other process, or of its Gateway with other settings. Only the
+// first attempt of a request draws its units.
 func (g *Gateway) SentElsewhere(now Time, in Request, to ServerID, first bool) {
 	g.advance(now)
 	if first {
