--- a/coord/membership/cluster_test.go
+++ b/coord/membership/cluster_test.go
@@ -11,7 +11,7 @@
 // cluster is a simulated system of nodes.
 type cluster struct {
 	t            testing.TB
-	world        *simulation.Simulation
+	simulation   *simulation.Simulation
 	nodes        map[string]*Node
 	names        []string
 	incarnations map[string]uint64
@@ -30,7 +30,7 @@
 func newCluster(t testing.TB, seed uint64, count int) *cluster {
 	c := &cluster{
 		t:            t,
-		world:        simulation.New(seed),
+		simulation:   simulation.New(seed),
 		nodes:        make(map[string]*Node),
 		incarnations: make(map[string]uint64),
 		faulty:       make(map[string]bool),
@@ -38,12 +38,12 @@
 		deaths:       make(map[string]int),
 		deathKnown:   make(map[string]int),
 	}
-	c.world.Links.Default = simulation.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond, Loss: 0.005}
+	c.simulation.Links.Default = simulation.Link{Delay: time.Millisecond, Jitter: 2 * time.Millisecond, Loss: 0.005}
 	for i := range count {
 		c.names = append(c.names, fmt.Sprintf("m%d", i))
 	}
 	for _, name := range c.names {
-		c.world.After(c.world.Random.Between(0, 300*time.Millisecond), func() { c.start(name) })
+		c.simulation.After(c.simulation.Random.Between(0, 300*time.Millisecond), func() { c.start(name) })
 	}
 	return c
 }
@@ -51,21 +51,21 @@
 // start starts a machine's process.
 func (c *cluster) start(name string) {
 	c.incarnations[name]++
-	c.world.Start(name)
+	c.simulation.Start(name)
 	config := Config{
 		Self:        Member{Name: name, Address: name, Role: "gateway", Zone: "z"},
-		Incarnation: uint64(c.world.Elapsed().Milliseconds()+1)<<8 + 1,
+		Incarnation: uint64(c.simulation.Elapsed().Milliseconds()+1)<<8 + 1,
 		Seeds:       c.names[:min(3, len(c.names))],
-		RandomSeed:  c.world.Random.Uint64(),
+		RandomSeed:  c.simulation.Random.Uint64(),
 	}
-	c.nodes[name] = New(config, c.world.Now())
+	c.nodes[name] = New(config, c.simulation.Now())
 	c.deathKnown[name] = 0
 	c.tick(name)
 }
 
 // stop ends a machine's process.
 func (c *cluster) stop(name string) {
-	c.world.Stop(name)
+	c.simulation.Stop(name)
 	delete(c.nodes, name)
 	c.faulty[name] = true
 }
@@ -73,8 +73,8 @@
 // tick runs a machine's timer, now and whenever it is due.
 func (c *cluster) tick(name string) {
 	node := c.nodes[name]
-	c.handle(name, node.Tick(c.world.Now()))
-	c.world.AfterOn(name, node.Next().Sub(c.world.Now()), func() { c.tick(name) })
+	c.handle(name, node.Tick(c.simulation.Now()))
+	c.simulation.AfterOn(name, node.Next().Sub(c.simulation.Now()), func() { c.tick(name) })
 }
 
 // handle sends messages and counts changes.
@@ -86,9 +86,9 @@
 		c.messages++
 		c.updates += len(envelope.Message.Updates)
 		to := envelope.Address
-		c.world.Send(name, to, envelope.Message, func() {
+		c.simulation.Send(name, to, envelope.Message, func() {
 			if node, ok := c.nodes[to]; ok {
-				c.handle(to, node.Receive(c.world.Now(), name, envelope.Message))
+				c.handle(to, node.Receive(c.simulation.Now(), name, envelope.Message))
 			}
 		})
 	}
@@ -140,14 +140,14 @@
 // runUntil runs the simulation until a condition holds and returns how long that took.
 func (c *cluster) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	c.t.Helper()
-	start := c.world.Elapsed()
-	for c.world.Elapsed()-start < limit {
+	start := c.simulation.Elapsed()
+	for c.simulation.Elapsed()-start < limit {
 		if condition() {
-			return c.world.Elapsed() - start
+			return c.simulation.Elapsed() - start
 		}
-		c.world.Run(10 * time.Millisecond)
+		c.simulation.Run(10 * time.Millisecond)
 	}
-	c.t.Fatalf("seed %d: not within %s: %s", c.world.Random.Seed(), limit, c.describe())
+	c.t.Fatalf("seed %d: not within %s: %s", c.simulation.Random.Seed(), limit, c.describe())
 	return 0
 }
 
@@ -165,9 +165,9 @@
 // converge runs the simulation until all tables agree, and resets the counts.
 func (c *cluster) converge() time.Duration {
 	c.t.Helper()
-	c.world.Run(300 * time.Millisecond)
+	c.simulation.Run(300 * time.Millisecond)
 	took := 300*time.Millisecond + c.runUntil(30*time.Second, c.converged)
-	c.world.Run(3 * time.Second)
+	c.simulation.Run(3 * time.Second)
 	c.resetCounts()
 	return took
 }
@@ -183,6 +183,6 @@
 func (c *cluster) noFalseDeath() {
 	c.t.Helper()
 	if total(c.deaths) > 0 {
-		c.t.Errorf("seed %d: false deaths by %v", c.world.Random.Seed(), c.deaths)
+		c.t.Errorf("seed %d: false deaths by %v", c.simulation.Random.Seed(), c.deaths)
 	}
 }
--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -52,7 +52,8 @@
 }
 
 // continuation returns the message that carries the rest of another one's updates. A Heartbeat has no other effect
-// than its updates and shows the sender to be alive; of a Sync it must stay known that its updates are no news.
+// than its updates and shows the sender to be alive; of a Sync it must stay known that its updates come from
+// a whole table.
 func continuation(message membership.Message) membership.Message {
 	kind := membership.Heartbeat
 	if message.Kind == membership.Sync {
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -108,7 +108,7 @@
 	r.node.SetSeeds(seeds)
 }
 
-// Leave tells others that this machine ends as planned, and closes the runner.
+// Leave tells the others that this machine ends as planned, so that they don't suspect it, and closes the runner.
 func (r *Runner) Leave() {
 	r.mutex.Lock()
 	if !r.closed {
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -41,9 +41,9 @@
 func TestDeathIsKnown(t *testing.T) {
 	eachSize(t, large, func(t *testing.T, c *cluster) {
 		joined := c.converge()
-		c.world.Run(10 * time.Second)
+		c.simulation.Run(10 * time.Second)
 		c.resetCounts()
-		c.world.Run(10 * time.Second)
+		c.simulation.Run(10 * time.Second)
 		quiet := float64(c.messages) / float64(len(c.names)) / 10
 		quietUpdates := float64(c.updates) / float64(len(c.names)) / 10
 		c.resetCounts()
@@ -56,7 +56,7 @@
 			len(c.names), joined, quiet, quietUpdates, first, all, total(c.suspicions))
 		c.noFalseDeath()
 		if limit := 4 * time.Second; all > limit {
-			t.Errorf("seed %d: known to all in %s, over %s", c.world.Random.Seed(), all, limit)
+			t.Errorf("seed %d: known to all in %s, over %s", c.simulation.Random.Seed(), all, limit)
 		}
 		if quiet > 20 {
 			t.Errorf("%.1f messages/s", quiet)
@@ -68,11 +68,11 @@
 func TestNoFalseSuspicionsWithoutFaults(t *testing.T) {
 	eachSize(t, large, func(t *testing.T, c *cluster) {
 		c.converge()
-		c.world.Links.Default.Loss = 0.02
-		c.world.Run(30 * time.Second)
+		c.simulation.Links.Default.Loss = 0.02
+		c.simulation.Run(30 * time.Second)
 		c.noFalseDeath()
 		if count := total(c.suspicions); count > 0 {
-			t.Errorf("seed %d: %d false suspicions", c.world.Random.Seed(), count)
+			t.Errorf("seed %d: %d false suspicions", c.simulation.Random.Seed(), count)
 		}
 	})
 }
@@ -83,18 +83,18 @@
 		c.converge()
 		victim := c.nodes[c.names[1]]
 		for _, monitor := range victim.table.ring().Successors(c.names[1], 2) {
-			c.world.Links.Partition(c.names[1], monitor)
+			c.simulation.Links.Partition(c.names[1], monitor)
 		}
 		for range len(c.names) {
-			from := c.names[c.world.Random.IntN(len(c.names))]
-			to := c.names[c.world.Random.IntN(len(c.names))]
-			c.world.Links.Partition(from, to)
+			from := c.names[c.simulation.Random.IntN(len(c.names))]
+			to := c.names[c.simulation.Random.IntN(len(c.names))]
+			c.simulation.Links.Partition(from, to)
 		}
-		c.world.Run(30 * time.Second)
+		c.simulation.Run(30 * time.Second)
 		c.noFalseDeath()
 		t.Logf("%d machines, as many one-way partitions: %d false suspicions", len(c.names), total(c.suspicions))
 		if count := total(c.suspicions); count > len(c.names) {
-			t.Errorf("seed %d: %d false suspicions", c.world.Random.Seed(), count)
+			t.Errorf("seed %d: %d false suspicions", c.simulation.Random.Seed(), count)
 		}
 	})
 }
@@ -106,14 +106,14 @@
 		deaf := c.names[2]
 		c.faulty[deaf] = true
 		for _, name := range c.names {
-			c.world.Links.Partition(name, deaf)
+			c.simulation.Links.Partition(name, deaf)
 		}
-		c.world.Run(20 * time.Second)
+		c.simulation.Run(20 * time.Second)
 		c.noFalseDeath()
 		if c.suspicions[deaf] > 0 {
-			t.Errorf("seed %d: the deaf machine suspects %d others", c.world.Random.Seed(), c.suspicions[deaf])
+			t.Errorf("seed %d: the deaf machine suspects %d others", c.simulation.Random.Seed(), c.suspicions[deaf])
 		}
-		if !c.nodes[deaf].Isolated(c.world.Now()) {
+		if !c.nodes[deaf].Isolated(c.simulation.Now()) {
 			t.Error("the deaf machine doesn't know that it is isolated")
 		}
 	})
@@ -126,18 +126,18 @@
 		paused := c.names[:max(1, len(c.names)/20)]
 		for _, name := range paused {
 			c.faulty[name] = true
-			c.world.Pause(name)
+			c.simulation.Pause(name)
 		}
-		c.world.Run(8 * time.Second)
+		c.simulation.Run(8 * time.Second)
 		for _, name := range paused {
-			c.world.Resume(name)
+			c.simulation.Resume(name)
 		}
-		c.world.Run(time.Second)
+		c.simulation.Run(time.Second)
 		c.runUntil(10*time.Second, c.converged)
 		c.noFalseDeath()
 		for _, name := range paused {
 			if c.suspicions[name] > 0 {
-				t.Errorf("seed %d: %s suspects %d others", c.world.Random.Seed(), name, c.suspicions[name])
+				t.Errorf("seed %d: %s suspects %d others", c.simulation.Random.Seed(), name, c.suspicions[name])
 			}
 		}
 	})
@@ -150,9 +150,9 @@
 		slow := c.names[:max(1, len(c.names)/20)]
 		for _, name := range slow {
 			c.faulty[name] = true
-			c.world.SetLag(name, 2*time.Second)
+			c.simulation.SetLag(name, 2*time.Second)
 		}
-		c.world.Run(30 * time.Second)
+		c.simulation.Run(30 * time.Second)
 		c.noFalseDeath()
 		falseSuspicions := 0
 		for _, name := range slow {
@@ -160,7 +160,7 @@
 		}
 		t.Logf("%d machines, %d slow: %d false suspicions in all", len(c.names), len(slow), total(c.suspicions))
 		if falseSuspicions > 0 {
-			t.Errorf("seed %d: slow machines suspect %d others", c.world.Random.Seed(), falseSuspicions)
+			t.Errorf("seed %d: slow machines suspect %d others", c.simulation.Random.Seed(), falseSuspicions)
 		}
 	})
 }
@@ -185,9 +185,9 @@
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
 		half := len(c.names) / 2
-		c.world.Links.PartitionGroups(c.names[:half], c.names[half:])
-		c.world.Run(20 * time.Second)
-		c.world.Links.HealAll()
+		c.simulation.Links.PartitionGroups(c.names[:half], c.names[half:])
+		c.simulation.Run(20 * time.Second)
+		c.simulation.Links.HealAll()
 		took := c.runUntil(30*time.Second, c.converged)
 		t.Logf("%d machines: agreed %s after the partition", len(c.names), took)
 	})
@@ -199,9 +199,9 @@
 		c.converge()
 		for _, name := range c.names {
 			c.stop(name)
-			c.world.After(c.world.Random.Between(200*time.Millisecond, time.Second), func() { c.start(name) })
+			c.simulation.After(c.simulation.Random.Between(200*time.Millisecond, time.Second), func() { c.start(name) })
 		}
-		c.world.Run(time.Second)
+		c.simulation.Run(time.Second)
 		took := c.runUntil(30*time.Second, c.converged)
 		t.Logf("%d machines: agreed %s after the restart", len(c.names), took)
 	})
@@ -212,13 +212,13 @@
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
 		leaver := c.names[len(c.names)-1]
-		c.handle(leaver, c.nodes[leaver].Leave(c.world.Now()))
-		c.world.Stop(leaver)
+		c.handle(leaver, c.nodes[leaver].Leave(c.simulation.Now()))
+		c.simulation.Stop(leaver)
 		delete(c.nodes, leaver)
 		took := c.runUntil(10*time.Second, c.converged)
 		t.Logf("%d machines: known to all in %s", len(c.names), took)
 		if total(c.suspicions) > 0 {
-			t.Errorf("seed %d: suspected %v", c.world.Random.Seed(), c.suspicions)
+			t.Errorf("seed %d: suspected %v", c.simulation.Random.Seed(), c.suspicions)
 		}
 	})
 }
@@ -244,12 +244,12 @@
 		c.converge()
 		for range 40 {
 			c.injectFault()
-			c.world.Run(c.world.Random.Between(0, 2*time.Second))
+			c.simulation.Run(c.simulation.Random.Between(0, 2*time.Second))
 		}
-		c.world.Links.HealAll()
+		c.simulation.Links.HealAll()
 		for _, name := range c.names {
-			c.world.Resume(name)
-			c.world.SetLag(name, 0)
+			c.simulation.Resume(name)
+			c.simulation.SetLag(name, 0)
 			if _, ok := c.nodes[name]; !ok {
 				c.start(name)
 			}
@@ -260,7 +260,7 @@
 
 // injectFault does one random thing to a random machine.
 func (c *cluster) injectFault() {
-	random := c.world.Random
+	random := c.simulation.Random
 	name := c.names[random.IntN(len(c.names))]
 	other := c.names[random.IntN(len(c.names))]
 	_, running := c.nodes[name]
@@ -274,14 +274,14 @@
 			c.start(name)
 		}
 	case 2:
-		c.world.Pause(name)
+		c.simulation.Pause(name)
 	case 3:
-		c.world.Resume(name)
+		c.simulation.Resume(name)
 	case 4:
-		c.world.SetLag(name, random.Between(0, 3*time.Second))
+		c.simulation.SetLag(name, random.Between(0, 3*time.Second))
 	case 5:
-		c.world.Links.Partition(name, other)
+		c.simulation.Links.Partition(name, other)
 	case 6:
-		c.world.Links.Heal(name, other)
+		c.simulation.Links.Heal(name, other)
 	}
 }
--- a/coord/view/agreement_chain_test.go
+++ b/coord/view/agreement_chain_test.go
@@ -28,13 +28,13 @@
 
 // commit lets the tail acknowledge all of its log.
 func (s *agreementState) commit(n *agreementNode) {
-	for i, order := range n.log {
+	for i, command := range n.log {
 		if i < len(s.commits) {
-			if s.commits[i].command != order {
+			if s.commits[i].command != command {
 				s.violation = fmt.Sprintf("two commands committed at %d", i)
 			}
 			continue
 		}
-		s.commits = append(s.commits, modelCommit{command: order, epoch: n.acceptor.View.Epoch})
+		s.commits = append(s.commits, modelCommit{command: command, epoch: n.acceptor.View.Epoch})
 	}
 }
--- a/coord/view/agreement_explore_test.go
+++ b/coord/view/agreement_explore_test.go
@@ -5,35 +5,42 @@
 	"testing"
 )
 
-// exploreAgreement visits every state within a depth, breadth first, up to a number of states. It returns the first
-// state with a problem.
-func exploreAgreement(
-	start *agreementState, depth, limit int,
-) (broken *agreementState, problem string, states, reached int) {
-	seen := map[uint64]struct{}{start.key(): {}}
+// agreementSearch is the result of an exploration.
+type agreementSearch struct {
+	broken  *agreementState // the first state with a problem; nil: none
+	problem string          // what is wrong with it
+	states  int             // number of states visited
+	depth   int             // to which all states were visited, or at which the problem is
+}
+
+// exploreAgreement visits every state within a depth, breadth first, up to a number of states, or to the first state
+// with a problem.
+func exploreAgreement(start *agreementState, depth, limit int) agreementSearch {
+	visited := map[uint64]struct{}{start.key(): {}}
 	level := []*agreementState{start}
-	for reached = 0; reached < depth && len(level) > 0; reached++ {
+	reached := 0
+	for ; reached < depth && len(level) > 0; reached++ {
 		var next []*agreementState
 		for _, s := range level {
 			for _, action := range s.actions() {
 				after := s.step(action)
 				if problem := after.check(); problem != "" {
-					return after, problem, len(seen), reached + 1
+					return agreementSearch{broken: after, problem: problem, states: len(visited), depth: reached + 1}
 				}
 				key := after.key()
-				if _, known := seen[key]; known {
+				if _, known := visited[key]; known {
 					continue
 				}
-				seen[key] = struct{}{}
+				visited[key] = struct{}{}
 				next = append(next, after)
 			}
-			if len(seen) > limit {
-				return nil, "", len(seen), reached
+			if len(visited) > limit {
+				return agreementSearch{states: len(visited), depth: reached}
 			}
 		}
 		level = next
 	}
-	return nil, "", len(seen), reached
+	return agreementSearch{states: len(visited), depth: reached}
 }
 
 // walkAgreement takes random steps from a state, many times.
@@ -142,11 +149,11 @@
 			if modelEffort() > 1 {
 				depth *= 3
 			}
-			broken, problem, states, reached := exploreAgreement(start, depth, limit)
-			if problem != "" {
-				t.Fatalf("%s after\n%s", problem, broken.trace)
+			search := exploreAgreement(start, depth, limit)
+			if search.problem != "" {
+				t.Fatalf("%s after\n%s", search.problem, search.broken.trace)
 			}
-			t.Logf("%d states, all to depth %d", states, reached)
+			t.Logf("%d states, all to depth %d", search.states, search.depth)
 			wide := *start.config
 			wide.maxEpoch, wide.maxRound, wide.starts, wide.commands, wide.restarts = 4, 3, 6, 4, 3
 			wide.shortChain, wide.agreementOnly, wide.proposers = true, false, ""
@@ -193,11 +200,11 @@
 					continue
 				}
 				start := scenario.start(t, injected.inject)
-				broken, problem, states, _ := exploreAgreement(start, scenario.depth, 100_000)
-				if problem == "" {
-					t.Fatalf("not found in %d states", states)
+				search := exploreAgreement(start, scenario.depth, 100_000)
+				if search.problem == "" {
+					t.Fatalf("not found in %d states", search.states)
 				}
-				t.Logf("found after %d states: %s\n%s", states, problem, broken.trace)
+				t.Logf("found after %d states: %s\n%s", search.states, search.problem, search.broken.trace)
 			}
 		})
 	}
--- a/coord/view/membership_attempt_test.go
+++ b/coord/view/membership_attempt_test.go
@@ -24,8 +24,8 @@
 		if v.Epoch >= s.config.maxEpoch || v != s.newest() && s.undecided == s.config.undecided {
 			continue
 		}
-		for _, promisers := range oneOrAll(s.majorities(v), random) {
-			attempt := &viewAttempt{current: v, number: s.nextNumber(v.Epoch), responders: promisers}
+		for _, responders := range oneOrAll(s.majorities(v), random) {
+			attempt := &viewAttempt{current: v, number: s.nextNumber(v.Epoch), responders: responders}
 			s.chooseAll(attempt, random)
 			actions = s.addOutcomes(actions, attempt)
 		}
@@ -143,8 +143,8 @@
 func (s *membershipState) chooseAll(a *viewAttempt, random *rand.Rand) {
 	p := s.propose(a)
 	known := map[string]bool{}
-	for _, sight := range oneOrAll(s.observations(a), random) {
-		value := s.choose(p, sight)
+	for _, observed := range oneOrAll(s.observations(a), random) {
+		value := s.choose(p, observed)
 		if value == nil {
 			continue
 		}
@@ -157,18 +157,18 @@
 }
 
 // choose fixes the value of a proposal, as coord/replica does, and returns it, or nil if the responses don't suffice.
-func (s *membershipState) choose(promised *Proposal, sight observation) *View {
+func (s *membershipState) choose(promised *Proposal, observed observation) *View {
 	p := *promised
-	plan := s.plan(s.planner(p.View, sight))
+	plan := s.plan(s.planner(p.View, observed))
 	if s.config.longestLog && p.highestAccepted() == nil {
 		return chooseLongest(&p, plan)
 	}
 	staying := func(m Member) bool { return !s.isLeaving(m) }
-	repaired := p.highestAccepted() != nil
+	hasAccepted := p.highestAccepted() != nil
 	if !p.Choose(staying, plan) {
 		return nil
 	}
-	if s.config.oneTerm && !repaired {
+	if s.config.oneTerm && !hasAccepted {
 		p.Value.Terms = p.Value.Terms[:1]
 	}
 	return p.Value
@@ -176,11 +176,11 @@
 
 // plan returns the real Planner's plan, with the injected bugs.
 func (s *membershipState) plan(planner *Planner) PlanFunc {
-	return func(source Member, holders []Member) (voters, chain []Member, ok bool) {
+	return func(source Member, synced []Member) (voters, chain []Member, ok bool) {
 		if s.config.replacesNeeded || s.config.replacesSeveral {
-			holders = append(append([]Member(nil), planner.Current.Voters...), planner.Candidates...)
+			synced = append(append([]Member(nil), planner.Current.Voters...), planner.Candidates...)
 		}
-		voters, chain, ok = planner.Plan(source, holders)
+		voters, chain, ok = planner.Plan(source, synced)
 		if s.config.shortChains && Index(voters, source) >= 0 {
 			chain, ok = planner.nextChain(voters, source), true
 		}
@@ -237,41 +237,41 @@
 // and any one of the others may be unreachable for long.
 func (s *membershipState) observations(a *viewAttempt) []observation {
 	candidates := s.candidates(a.current)
-	var sights []observation
+	var observations []observation
 	for missing := -1; missing < len(a.responders); missing++ {
-		heard := a.responders
+		alive := a.responders
 		if missing >= 0 {
-			heard = append(append([]Member(nil), heard[:missing]...), heard[missing+1:]...)
+			alive = append(append([]Member(nil), alive[:missing]...), alive[missing+1:]...)
 		}
 		for mask := 0; mask < 1<<len(candidates); mask++ {
-			sight := observation{alive: heard, candidates: subset(candidates, mask)}
-			sights = append(sights, sight.variants(a.current, s.config.replacesSeveral)...)
+			observed := observation{alive: alive, candidates: subset(candidates, mask)}
+			observations = append(observations, observed.variants(a.current, s.config.replacesSeveral)...)
 		}
 	}
-	return sights
+	return observations
 }
 
 // variants adds which voters are unreachable, and whether the others may join.
-func (s observation) variants(present *View, anyAbsent bool) []observation {
-	absent := [][]Member{nil}
-	if len(s.candidates) > 0 {
-		for _, m := range present.Voters {
-			if Index(s.alive, m) < 0 {
-				absent = append(absent, []Member{m})
+func (o observation) variants(current *View, anyUnreachable bool) []observation {
+	unreachable := [][]Member{nil}
+	if len(o.candidates) > 0 {
+		for _, m := range current.Voters {
+			if Index(o.alive, m) < 0 {
+				unreachable = append(unreachable, []Member{m})
 			}
 		}
 	}
-	if anyAbsent {
-		absent = append(absent, present.Voters[1:], present.Voters[:2])
+	if anyUnreachable {
+		unreachable = append(unreachable, current.Voters[1:], current.Voters[:2])
 	}
-	var sights []observation
-	for _, members := range absent {
-		s.unreachable = members
-		for _, s.mayJoin = range []bool{true, false} {
-			sights = append(sights, s)
+	var observations []observation
+	for _, members := range unreachable {
+		o.unreachable = members
+		for _, o.mayJoin = range []bool{true, false} {
+			observations = append(observations, o)
 		}
 	}
-	return sights
+	return observations
 }
 
 // candidates returns the machines that know of a view and don't vote in it, as coord/replica does.
@@ -286,20 +286,21 @@
 }
 
 // planner fills in the real Planner, as coord/replica does.
-func (s *membershipState) planner(present View, sight observation) *Planner {
+func (s *membershipState) planner(current View, observed observation) *Planner {
 	return &Planner{
-		Current:     present,
+		Current:     current,
 		Tolerance:   s.config.tolerance,
-		Candidates:  sight.candidates,
+		Candidates:  observed.candidates,
 		ResolveNode: knownByAddress,
-		Alive:       func(m Member) bool { return Index(sight.alive, m) >= 0 },
+		Alive:       func(m Member) bool { return Index(observed.alive, m) >= 0 },
 		Leaving:     s.isLeaving,
 		MayJoin: func(m Member) bool {
-			return sight.mayJoin && !s.isLeaving(m) && (Index(sight.alive, m) >= 0 || Index(sight.candidates, m) >= 0)
+			inContact := Index(observed.alive, m) >= 0 || Index(observed.candidates, m) >= 0
+			return observed.mayJoin && !s.isLeaving(m) && inContact
 		},
 		UnreachableFor: func(m Member) time.Duration {
-			if position := Index(sight.unreachable, m); position >= 0 {
-				return time.Duration(len(sight.unreachable)-position) * time.Second
+			if position := Index(observed.unreachable, m); position >= 0 {
+				return time.Duration(len(observed.unreachable)-position) * time.Second
 			}
 			return 0
 		},
--- a/coord/view/membership_chain_test.go
+++ b/coord/view/membership_chain_test.go
@@ -73,14 +73,14 @@
 
 // commit lets the tail acknowledge all of its log, and checks that enough disks have it.
 func (s *membershipState) commit(n *membershipNode) {
-	for i, order := range n.log {
+	for i, command := range n.log {
 		if i < len(s.commits) {
-			if s.commits[i] != order {
+			if s.commits[i] != command {
 				s.violation = fmt.Sprintf("two commands committed at %d", i)
 			}
 			continue
 		}
-		s.commits = append(s.commits, order)
+		s.commits = append(s.commits, command)
 		s.commitEpochs = append(s.commitEpochs, n.epoch())
 	}
 	copies := 0
@@ -99,8 +99,8 @@
 	if len(log) < len(commits) {
 		return false
 	}
-	for i, order := range commits {
-		if log[i] != order {
+	for i, command := range commits {
+		if log[i] != command {
 			return false
 		}
 	}
--- a/coord/view/membership_model_test.go
+++ b/coord/view/membership_model_test.go
@@ -22,7 +22,7 @@
 // membershipBugs are injected by tests that show that the model finds them.
 type membershipBugs struct {
 	wipedVotes      bool // a lost disk keeps its vote
-	endsEarly       bool // a leaving member's disk goes before the view that doesn't need it stands
+	endsEarly       bool // a leaving member's disk goes before the view that doesn't need it is decided
 	leaverNoVote    bool // a leaving member loses its vote with its place in the chain
 	shortAcks       bool // a chain of as many members as may be lost acknowledges
 	shortChains     bool // ... is made although a longer one is possible
@@ -218,8 +218,8 @@
 		if n.synced == 0 || n.synced != n.epoch() {
 			continue
 		}
-		for i, order := range s.commits {
-			if s.commitEpochs[i] < n.epoch() && (i >= len(n.log) || n.log[i] != order) {
+		for i, command := range s.commits {
+			if s.commitEpochs[i] < n.epoch() && (i >= len(n.log) || n.log[i] != command) {
 				return fmt.Sprintf("%s is synced in epoch %d without the command committed at %d",
 					n.self().ID(), n.epoch(), i)
 			}
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -130,10 +130,10 @@
 	return text
 }
 
-func appendCommands(text []byte, orders []modelCommand) []byte {
-	text = append(text, byte(len(orders)))
-	for _, order := range orders {
-		text = append(text, byte(order.epoch), order.name)
+func appendCommands(text []byte, commands []modelCommand) []byte {
+	text = append(text, byte(len(commands)))
+	for _, command := range commands {
+		text = append(text, byte(command.epoch), command.name)
 	}
 	return text
 }
