--- a/coord/replica/availability_test.go
+++ b/coord/replica/availability_test.go
@@ -21,15 +21,15 @@
 	if c.duels || c.unordered || c.noClients {
 		return
 	}
-	lost, number := c.now, c.faults
-	c.after(0, func() { c.probe(lost) })
+	lostAt, fault := c.now, c.faults
+	c.after(0, func() { c.probe(lostAt) })
 	c.after(maxUnavailability/2, func() {
-		if c.faults == number {
-			c.probe(lost)
+		if c.faults == fault {
+			c.probe(lostAt)
 		}
 	})
 	c.after(maxUnavailability, func() {
-		if c.now < c.end && c.faults == number && c.lastAck < lost && c.withinTolerance() {
+		if c.now < c.end && c.faults == fault && c.lastAck < lostAt && c.withinTolerance() {
 			c.failf("nothing is acknowledged since %v", c.lastAck)
 		}
 	})
@@ -41,9 +41,9 @@
 	if c.duels || c.unordered || c.noClients {
 		return
 	}
-	number := c.faults
+	fault := c.faults
 	c.after(down+maxRepairTime, func() {
-		if c.now < c.end && c.faults == number && !c.chainComplete() {
+		if c.now < c.end && c.faults == fault && !c.chainComplete() {
 			c.failf("the chain isn't complete %v after the end of a loss", maxRepairTime)
 		}
 	})
@@ -51,8 +51,8 @@
 
 // probe proposes a command through each machine that reaches a majority. It must be acknowledged in time after the
 // loss.
-func (c *campaign) probe(lost time.Duration) {
-	number := c.faults
+func (c *campaign) probe(lostAt time.Duration) {
+	fault := c.faults
 	for _, n := range c.members() {
 		if !c.reachesMajority(n) {
 			continue
@@ -62,8 +62,8 @@
 		id := fmt.Sprintf("probe-%d-%s", c.probes, n.name)
 		acknowledged := false
 		n.propose(id, func(chain.Outcome) { acknowledged = true })
-		c.after(lost+maxUnavailability-c.now, func() {
-			if c.now >= c.end || c.faults != number || n.incarnation != incarnation || acknowledged {
+		c.after(lostAt+maxUnavailability-c.now, func() {
+			if c.now >= c.end || c.faults != fault || n.incarnation != incarnation || acknowledged {
 				return
 			}
 			if c.withinTolerance() && c.reachesMajority(n) {
--- a/coord/replica/campaign_test.go
+++ b/coord/replica/campaign_test.go
@@ -343,7 +343,7 @@
 		}
 	}
 	for id := range c.acked {
-		if _, held := positions[id]; !held {
+		if _, applied := positions[id]; !applied {
 			c.failf("acknowledged command %s is lost", id)
 		}
 	}
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -213,12 +213,12 @@
 	return ways
 }
 
-// releaseBuffered delivers what a partition has held up.
+// releaseBuffered delivers what a partition has delayed.
 func (sim *simulatedCluster) releaseBuffered(way link) {
 	delete(sim.partitions, way)
-	held := sim.buffered[way]
+	arrivals := sim.buffered[way]
 	delete(sim.buffered, way)
-	for _, arrive := range held {
+	for _, arrive := range arrivals {
 		sim.after(time.Millisecond/2, arrive)
 	}
 }
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -18,12 +18,12 @@
 // coreOptions configure a core.
 type coreOptions struct {
 	self         view.Member
-	hasDisk      bool // without a disk, the node is a learner for ever
+	hasDisk      bool // without a disk, the node always is a learner
 	tolerance    int  // number of disks that may be lost at once
 	limits       limits
 	seeds        []string // coordination addresses to query while no member of the view is reachable
 	stateMachine chain.StateMachine
-	random       *rand.Rand // of backoffs
+	random       *rand.Rand // of backoffs, and of a learner's first upstream
 	incarnation  uint64     // of the process, drawn at its start; view.Member.Incarnation is that of the disk
 
 	logEvent      func(event string, fields ...any) // may be nil
--- a/coord/replica/delayed_messages_test.go
+++ b/coord/replica/delayed_messages_test.go
@@ -163,8 +163,8 @@
 		sim := startSimulatedCluster(40+seed, 3, 1)
 		sim.runUntil(2*time.Second + time.Duration(seed)*20*time.Millisecond)
 		sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
-		kept, leaving, silent := sim.nodes[0], sim.nodes[1], sim.nodes[2]
-		silent.pause()
+		kept, leaving, paused := sim.nodes[0], sim.nodes[1], sim.nodes[2]
+		paused.pause()
 		sim.runUntil(sim.now + time.Duration(seed)*50*time.Millisecond)
 		leaving.handle(func() { leaving.core.leave(sim.now, func() {}) })
 		sim.runUntil(sim.now + 1500*time.Millisecond)
@@ -176,9 +176,9 @@
 		sim.runUntil(sim.now + 500*time.Millisecond)
 		leaving.start(false)
 		kept.start(false)
-		silent.resume()
+		paused.resume()
 		sim.runUntil(sim.now + 3*time.Second)
-		sim.mustAcknowledge(t, silent, "after", 2*time.Second)
+		sim.mustAcknowledge(t, paused, "after", 2*time.Second)
 	}
 }
 
@@ -199,14 +199,14 @@
 		if v.IsVoter(leaving.core.self) {
 			t.Errorf("seed %d: the departed member votes", seed)
 		}
-		whole := 0
+		complete := 0
 		for _, n := range sim.nodes {
 			if v.InChain(n.core.self) && n.disk.shadow.synced == v.Epoch {
-				whole++
+				complete++
 			}
 		}
-		if whole != len(v.Chain) || whole != 3 {
-			t.Errorf("seed %d: %d of %d members are complete when the other one leaves", seed, whole, len(v.Chain))
+		if complete != len(v.Chain) || complete != 3 {
+			t.Errorf("seed %d: %d of %d members are complete when the other one leaves", seed, complete, len(v.Chain))
 		}
 		leaving.kill()
 		leaving.removed = true
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -8,7 +8,7 @@
 // departureWait is how long a process waits for its planned departure before it ends all the same.
 const departureWait = 2 * time.Second
 
-// leave has a machine depart as planned: it leaves the chain and its process ends. done is told whether it was out by
+// leave has a machine depart as planned: it leaves the chain and its process ends. done gets whether it was out by
 // then.
 func (n *simulatedNode) leave(done func(out bool)) {
 	sim := n.sim
@@ -128,9 +128,9 @@
 		c.injectWipe(lost, down)
 		return
 	}
-	fresh := c.addNode(true)
-	c.tracef("%s is to be replaced by %s", leaving.name, fresh.name)
-	fresh.start(false)
+	replacement := c.addNode(true)
+	c.tracef("%s is to be replaced by %s", leaving.name, replacement.name)
+	replacement.start(false)
 	c.after(time.Second+c.randomDuration(2*time.Second), func() {
 		leaving.leave(func(out bool) {
 			leaving.removed = true
--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/coord/transport"
 )
 
-// greeting is a machine that holds one text. The lock is for readers outside of the node.
+// greeting is a state machine that holds one text. The lock is for readers outside of the node.
 type greeting struct {
 	mutex sync.Mutex
 	text  string
@@ -45,7 +45,7 @@
 	return g.text
 }
 
-// One machine founds a system of its own, takes two orders, and finds them again after a restart.
+// One machine founds a system, takes two commands, and recovers them after a restart.
 func Example() {
 	folder, err := os.MkdirTemp("", "replica")
 	if err != nil {
--- a/coord/replica/failover_test.go
+++ b/coord/replica/failover_test.go
@@ -74,7 +74,7 @@
 		}
 		messages := sim.messages
 		began := sim.now
-		const orders = 320
+		const commands = 320
 		var latencies []time.Duration
 		finished := 0
 		for stream := 0; stream < parallel; stream++ {
@@ -84,14 +84,14 @@
 				sim.nodes[1].propose(fmt.Sprintf("%d-%d", stream, number), func(chain.Outcome) {
 					latencies = append(latencies, sim.now-start)
 					finished++
-					if number+parallel < orders {
+					if number+parallel < commands {
 						sim.after(0, func() { next(number + parallel) })
 					}
 				})
 			}
 			next(stream)
 		}
-		if !sim.runWhile(time.Minute, func() bool { return finished < orders }) {
+		if !sim.runWhile(time.Minute, func() bool { return finished < commands }) {
 			sim.failf("%d commands finished", finished)
 		}
 		for _, n := range sim.nodes {
@@ -101,7 +101,7 @@
 		sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
 		t.Logf("%d at a time: %.2f syncs, %.0f bytes written and %.1f messages a command on 3 machines; "+
 			"p50 %v, p99 %v; %.0f commands/s",
-			parallel, float64(syncs)/orders, float64(written)/orders, float64(sim.messages-messages)/orders,
-			latencies[orders/2], latencies[orders*99/100], orders/(sim.now-began).Seconds())
+			parallel, float64(syncs)/commands, float64(written)/commands, float64(sim.messages-messages)/commands,
+			latencies[commands/2], latencies[commands*99/100], commands/(sim.now-began).Seconds())
 	}
 }
--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -27,8 +27,8 @@
 	prefixComplete bool            // in that epoch
 	reaches        map[string]bool // IDs of the members that it reaches
 
-	viewSent   bool // the view was sent to it,
-	viewSentAt time.Duration
+	viewSent   bool          // the view was sent to it
+	viewSentAt time.Duration // when it was sent last
 }
 
 // heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. At one round in
@@ -52,8 +52,8 @@
 	r.sentAt[r.seq%heartbeatWindow] = now
 }
 
-// resetFailureDetector counts every peer as heard from just now: at a start, and after a pause of this process, which
-// couldn't have heard them.
+// resetFailureDetector counts every peer as in contact now: at a start, and after a pause of this process, which
+// received nothing meanwhile.
 func (c *core) resetFailureDetector() {
 	for _, p := range c.peers {
 		p.lastContact = c.now
@@ -66,7 +66,7 @@
 	}
 }
 
-// peerOf returns what is known of m, which counts as heard from just now if it is new.
+// peerOf returns what is known of m, which counts as in contact now if it is new.
 func (c *core) peerOf(m view.Member) *peer {
 	id := m.ID()
 	p := c.peers[id]
@@ -88,7 +88,7 @@
 }
 
 // alive reports whether m isn't suspected: its heartbeats come, and echo those of this member, within the time-outs.
-// A member that was never heard from is alive until they have passed.
+// A member without any heartbeat yet is alive until they have passed.
 func (c *core) alive(m view.Member) bool {
 	if m.Same(c.self) {
 		return true
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -312,9 +312,9 @@
 	n := lost[0]
 	n.kill()
 	n.removed = true
-	fresh := c.addNode(true)
-	c.tracef("%s replaced by %s", n.name, fresh.name)
-	c.after(down, func() { fresh.start(false) })
+	added := c.addNode(true)
+	c.tracef("%s replaced by %s", n.name, added.name)
+	c.after(down, func() { added.start(false) })
 	c.faultBegan(max(down, replacementTimeout))
 }
 
@@ -324,9 +324,9 @@
 // injectAddition adds a machine, and has others lose their disks while it joins.
 func (c *campaign) injectAddition(lost []*simulatedNode, down time.Duration) {
 	if len(c.members()) < maxMachines {
-		fresh := c.addNode(true)
-		c.tracef("%s added", fresh.name)
-		fresh.start(false)
+		added := c.addNode(true)
+		c.tracef("%s added", added.name)
+		added.start(false)
 	}
 	c.after(c.randomDuration(1500*time.Millisecond), func() {
 		c.wipeAll(lost, down)
--- a/coord/replica/injected_bugs_test.go
+++ b/coord/replica/injected_bugs_test.go
@@ -123,9 +123,9 @@
 		m.body = body
 	case bugSnapshotWithoutOutcomes:
 		if body.Image != nil {
-			image := *body.Image
-			image.Outcomes = nil
-			body.Image = &image
+			snapshot := *body.Image
+			snapshot.Outcomes = nil
+			body.Image = &snapshot
 			m.body = body
 		}
 	case bugTransferStorm:
--- a/coord/replica/learner.go
+++ b/coord/replica/learner.go
@@ -68,7 +68,7 @@
 }
 
 // onLearnerUpdate applies committed commands that the learner lacks. Updates may be lost, repeated and reordered:
-// only the next command is applied, and a poll tells the upstream where to go on.
+// only the next command is applied, and the next poll tells the upstream where to continue.
 func (c *core) onLearnerUpdate(from view.Member, m LearnerUpdate) {
 	if c.inChain() {
 		return
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -10,8 +10,8 @@
 // stalenessProof bounds how stale this chain member's state is.
 type stalenessProof struct {
 	pending      bool          // a newer proof waits until this member has applied up to pendingIndex
-	pendingAsOf  time.Duration // the epoch stood at this moment,
-	pendingIndex uint64        // and all commands acknowledged before it are at or below this index
+	pendingAsOf  time.Duration // no successor of the epoch was decided before this moment
+	pendingIndex uint64        // all commands acknowledged before pendingAsOf are at or below this index
 
 	proven      bool
 	currentAsOf time.Duration // all commands acknowledged before this moment are applied here
@@ -86,7 +86,8 @@
 }
 
 // delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over successive
-// views holds on: no other one was between.
+// views keeps it: no other one was between. A process waits after its start, too (newCore), as its previous
+// incarnation may have been another head.
 func (c *core) delayNewLeader(previous, v view.View) {
 	if !v.Head().Same(c.self) {
 		return
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -6,8 +6,8 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// The messages between nodes. gob matches fields by name: the fields keep their names, also the old-fashioned ones.
-// Life is the incarnation of a process, drawn at its start.
+// The messages between nodes. gob matches fields by name: the fields keep their names, also those that the literature
+// calls otherwise. Life is the incarnation of a process, drawn at its start.
 
 // ViewQuery asks for the newest view.
 type ViewQuery struct {
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -28,7 +28,8 @@
 	closing   chan struct{} // closed by Close
 	done      chan struct{} // closed by the loop at its end
 
-	// Used by the loop only, once Start has returned.
+	// Used by the loop only, from the return of Start to the end of the loop. Any goroutine may read core.self and
+	// core.incarnation, which never change.
 	core          *core
 	store         durableStore // nil: no disk
 	network       *network
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -40,8 +40,8 @@
 func (m *lockedHistory) has(command string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, held := range m.commands {
-		if held == command {
+	for _, applied := range m.commands {
+		if applied == command {
 			return true
 		}
 	}
@@ -162,12 +162,12 @@
 				t.Errorf("%s lacks %s", m.name, id)
 			}
 		}
-		eventually(t, 3*time.Second, "freshness", func() bool {
+		eventually(t, 3*time.Second, "a staleness bound", func() bool {
 			age, ok := m.node.Staleness()
 			return ok && age < time.Second
 		})
 	}
-	eventually(t, 3*time.Second, "a head leads", func() bool {
+	eventually(t, 3*time.Second, "a head holds the leader lease", func() bool {
 		for _, m := range machines {
 			if _, _, ok := m.node.Lead(); ok {
 				return true
--- a/coord/replica/prefix.go
+++ b/coord/replica/prefix.go
@@ -64,9 +64,9 @@
 	return entries
 }
 
-// onPrefixTransfer replaces the log's end by the source's prefix. It is one record, or a checkpoint: after a crash
-// the disk holds the old log or the complete prefix, never a part of each. A wedged member refuses it, because its
-// prepare response has described its log.
+// onPrefixTransfer replaces the end of the log by the prefix of the source. It is one record, or a checkpoint: after
+// a crash the disk holds the old log or the complete prefix, never a part of each. A wedged member refuses it,
+// because its prepare response has described its log.
 func (c *core) onPrefixTransfer(from view.Member, m PrefixTransfer) {
 	if m.Epoch != c.epoch() || !c.inChain() || c.syncedEpoch == c.epoch() || c.acceptor.Wedged() {
 		return
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -209,8 +209,8 @@
 	c.proposer.abandon(c.now, c.randomBackoff(minRejectedBackoff, maxRejectedBackoff))
 }
 
-// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and the voters of both views are
-// told.
+// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and sent to the voters of both
+// views.
 func (c *core) onAcceptResponse(m view.AcceptResponse) {
 	if c.proposer.proposal == nil {
 		return
@@ -253,10 +253,10 @@
 // proposerOrder lists the voters in the order in which they may propose. The neighbours of a suspected member come
 // first: they exchange heartbeats with it and need it most.
 func (c *core) proposerOrder() []view.Member {
-	var command []view.Member
+	var members []view.Member
 	add := func(m view.Member) {
-		if !m.IsZero() && view.Index(command, m) < 0 {
-			command = append(command, m)
+		if !m.IsZero() && view.Index(members, m) < 0 {
+			members = append(members, m)
 		}
 	}
 	for _, m := range c.acceptor.View.Chain {
@@ -272,5 +272,5 @@
 	for _, m := range c.acceptor.View.Voters {
 		add(m)
 	}
-	return command
+	return members
 }
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -166,7 +166,7 @@
 	return known
 }
 
-// withKnownName returns m with the node's name, if heartbeats have told it.
+// withKnownName returns m with the node's name, if a heartbeat has brought it.
 func (c *core) withKnownName(m view.Member) view.Member {
 	if p := c.peers[m.ID()]; p != nil {
 		return p.member
@@ -194,7 +194,7 @@
 	return c.withNames(voters), c.withNames(members), ok
 }
 
-// withNames fills in the names of nodes that heartbeats have told, in place.
+// withNames fills in the names of nodes that heartbeats have brought, in place.
 func (c *core) withNames(members []view.Member) []view.Member {
 	for i := range members {
 		if members[i].Same(c.self) {
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// replicationState is the volatile state of this member's place in the chain of its epoch. Every view starts it anew.
+// replicationState is the volatile state of this member's place in the chain of its epoch. It is reset by every view.
 //
 // The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends, each member passes on what
 // is durable at itself, and what is durable at the tail is on every disk of the chain, hence committed. Commit
@@ -28,7 +28,7 @@
 	reportedCommit   uint64 // commit index last reported to the predecessor
 
 	ackDue            bool          // an Ack to the predecessor is due
-	gapReported       bool          // the predecessor was told of a gap since the last round of heartbeats
+	gapReported       bool          // a gap was reported to the predecessor since the last round of heartbeats
 	prefixRequestedAt time.Duration // when the source was asked for the prefix last
 }
 
@@ -98,7 +98,7 @@
 func (c *core) appendNew(entries []chain.Entry) {
 	for len(entries) > 0 && entries[0].Index <= c.log.LastIndex() {
 		if epoch, known := c.log.EpochAt(entries[0].Index); known {
-			c.invariant(epoch == entries[0].Epoch, "two orders at %d in one chain", entries[0].Index)
+			c.invariant(epoch == entries[0].Epoch, "two commands at %d in one epoch", entries[0].Index)
 		}
 		entries = entries[1:]
 	}
@@ -184,8 +184,8 @@
 	if m.Epoch != c.epoch() || !successor.Same(from) || c.syncedEpoch != c.epoch() {
 		return
 	}
-	c.invariant(m.End <= c.log.LastIndex(), "successor holds %d, its predecessor %d", m.End, c.log.LastIndex())
-	c.invariant(m.Commit <= c.log.LastIndex(), "committed %d, held %d", m.Commit, c.log.LastIndex())
+	c.invariant(m.End <= c.log.LastIndex(), "successor has entries to %d, its predecessor to %d", m.End, c.log.LastIndex())
+	c.invariant(m.Commit <= c.log.LastIndex(), "committed %d, log ends at %d", m.Commit, c.log.LastIndex())
 	c.replication.ackedIndex = max(c.replication.ackedIndex, m.End)
 	if !c.replication.successorKnown || m.Gap || c.replication.sentIndex < c.replication.ackedIndex {
 		c.replication.successorKnown = true
--- a/coord/replica/resource_usage_test.go
+++ b/coord/replica/resource_usage_test.go
@@ -127,8 +127,8 @@
 		if !sim.runWhile(2*time.Second, func() bool { return away.core.epoch() <= outside || !away.core.serving() }) {
 			t.Fatalf("seed %d: not complete after %v", seed, sim.now-back)
 		}
-		image := sim.nodes[0].core.state.Snapshot()
-		most := 2*transferBytes(PrefixTransfer{Image: &image}) + sim.limits.retainedLogBytes
+		snapshot := sim.nodes[0].core.state.Snapshot()
+		most := 2*transferBytes(PrefixTransfer{Image: &snapshot}) + sim.limits.retainedLogBytes
 		if copied = sim.transferredBytes - copied; copied > most {
 			t.Errorf("seed %d: %d bytes were transferred, of at most %d", seed, copied, most)
 		}
--- a/coord/replica/simulated_node_test.go
+++ b/coord/replica/simulated_node_test.go
@@ -223,7 +223,7 @@
 	sim := n.sim
 	n.core.persisted(sim.now)
 	n.notifyWaiting()
-	if records, whole := n.peekRecords(); records || whole {
+	if records, checkpoint := n.peekRecords(); records || checkpoint {
 		sim.failf("%s wants to write after its sync", n.name)
 	}
 	for _, m := range n.core.takeMessages() {
@@ -233,7 +233,7 @@
 }
 
 // peekRecords reports whether the core has decided records, or a checkpoint, that it hasn't handed over.
-func (n *simulatedNode) peekRecords() (records, whole bool) {
+func (n *simulatedNode) peekRecords() (records, checkpoint bool) {
 	return len(n.core.records) > 0 && n.disk != nil, n.core.checkpointDue && n.disk != nil
 }
 
@@ -334,5 +334,5 @@
 
 // notifyWaiting delivers outcomes to the callers of this node.
 func (n *simulatedNode) notifyWaiting() {
-	n.pendingOutcomes = slices.DeleteFunc(n.pendingOutcomes, func(told func() bool) bool { return told() })
+	n.pendingOutcomes = slices.DeleteFunc(n.pendingOutcomes, func(delivered func() bool) bool { return delivered() })
 }
--- a/coord/replica/torn_log_test.go
+++ b/coord/replica/torn_log_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole, _ := disk.Size("log-1")
+	offset, _ := disk.Size("log-1")
 	if err := store.Append([]byte{recordProbe, 1, 2, 3}); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		}
 		disk.Kill()
 	}
-	want := fmt.Sprint("disk mended", []any{"file", "log-1", "offset", whole, "problem", "torn record at the end"})
+	want := fmt.Sprint("disk mended", []any{"file", "log-1", "offset", offset, "problem", "torn record at the end"})
 	if !slices.Equal(logged, []string{want}) {
 		t.Fatalf("logged %q, want %q", logged, want)
 	}
