--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -118,7 +118,7 @@
 			return append(core.Counts{slog.String("part", "storm")}, decisions.StormCounters()...)
 		})
 	}
-	door := &platform.Front{Core: decisions, Settings: g.settings, Ready: ready, Open: &g.ids, Bodies: bodies}
+	door := &platform.Front{Core: decisions, Settings: g.settings, Ready: ready, OpenRequests: &g.ids, Bodies: bodies}
 	if err := g.open(listen, door); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
@@ -157,7 +157,7 @@
 	}
 	defer kept()
 	if g.checker != nil {
-		if err := g.checker.Begin(g.checks); err != nil {
+		if err := g.checker.Start(g.checks); err != nil {
 			slog.Warn("handover", "step", "checks", "err", err)
 		}
 	}
@@ -270,7 +270,7 @@
 	given     *handover.Giver     // nil: nobody can follow
 	peers     *peer.Link          // nil: none
 	checker   *introspect.Checker // nil: off
-	ids       platform.Open
+	ids       platform.OpenRequests
 	counters  []func() core.Counts
 	closers   []func()
 	state     *service.State
@@ -342,7 +342,7 @@
 		}
 		opt.TLS = &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
 	}
-	door := &introspect.Front{Core: decisions, Checker: checker, Settings: g.settings, Ready: ready, Open: &g.ids, Bodies: g.bodies}
+	door := &introspect.Front{Core: decisions, Checker: checker, Settings: g.settings, Ready: ready, OpenRequests: &g.ids, Bodies: g.bodies}
 	g.counters = append(g.counters, func() core.Counts {
 		return part("introspection", door.Malformed(), checker.Counters())
 	})
@@ -461,7 +461,7 @@
 	next.Deployment, _ = next.Deployment.Keep(start.Deployment)
 	if next.Deployment.Era = was.Deployment.Era; !next.Deployment.Same(was.Deployment) {
 		if g.checker != nil {
-			if err := g.checker.Retune(next.Deployment, ^next.Seed); err != nil {
+			if err := g.checker.SetDeployment(next.Deployment, ^next.Seed); err != nil {
 				return err
 			}
 		}
@@ -514,7 +514,7 @@
 		s.SetMaxConnections(max(1, g.cfg.ClientSockets-other.Clients))
 	}
 	if g.checker != nil {
-		g.checker.Limit(g.cfg.CheckSockets / processes)
+		g.checker.SetMaxConnections(g.cfg.CheckSockets / processes)
 	}
 }
 
@@ -525,15 +525,15 @@
 		return err
 	}
 	g.closers = append(g.closers, server.Close)
-	server.Says = func() string {
+	server.ReadyDetail = func() string {
 		phase, _ := g.decisions.Recovery()
 		return "recovery=" + phase.String()
 	}
 	g.counters = append(g.counters, func() core.Counts {
-		c := server.Counts()
+		c := server.Stats()
 		return core.Counts{slog.String("part", "control"), slog.String("phase", g.state.Phase().String()),
 			slog.Uint64("ready", c.Ready), slog.Uint64("drain", c.Drain), slog.Uint64("undrain", c.Undrain),
-			slog.Uint64("refused", c.Refused), slog.Uint64("crowded", c.Crowded)}
+			slog.Uint64("refused", c.Rejected), slog.Uint64("crowded", c.Evicted)}
 	})
 	go func() {
 		if err := server.Serve(); err != nil {
--- a/cmd/sprucelane/upgrade.go
+++ b/cmd/sprucelane/upgrade.go
@@ -218,7 +218,7 @@
 	all.Module = p.decisions.ExportState(most, p.note)
 	all.List = p.roster.Carry() // after the module: it may know more members by then, but each by its number
 	if p.checker != nil {
-		all.Checks = p.checker.Carry(most)
+		all.Checks = p.checker.ExportState(most)
 	}
 	if p.crowd != nil {
 		all.InFlight = p.crowd.Seq()
--- a/internal/front/control/control.go
+++ b/internal/front/control/control.go
@@ -18,28 +18,28 @@
 )
 
 const (
-	callWait = 10 * time.Second // for a whole call, where others don't need the room
-	sayWait  = time.Second      // for an answer to be taken
-	leaving  = 250 * time.Millisecond
-	mostHead = 8 << 10
-	mostBody = 4 << 10
+	callTimeout   = 10 * time.Second // for a whole call, where others don't need the room
+	writeTimeout  = time.Second      // for an answer to be taken
+	lingerTimeout = 250 * time.Millisecond
+	maxHeadSize   = 8 << 10
+	maxBodySize   = 4 << 10
 )
 
 // Server answers operators' calls.
 type Server struct {
-	Says func() string // what the answer to /ready says beside the phase; set before Serve; nil: nothing
-
-	listener net.Listener
-	state    *service.State
-	ready    func() bool
-	most     int
-	now      func() time.Time
-
-	mu      sync.Mutex
-	callers []net.Conn // in the order in which they came
-	calls   map[string]uint64
-	refused uint64
-	crowded uint64
+	ReadyDetail func() string // what the answer to /ready says beside the phase; set before Serve; nil: nothing
+
+	listener   net.Listener
+	state      *service.State
+	ready      func() bool
+	maxCallers int
+	now        func() time.Time
+
+	mu       sync.Mutex
+	callers  []net.Conn // in the order in which they came
+	calls    map[string]uint64
+	rejected uint64
+	evicted  uint64
 }
 
 // Listen opens the address, for so many callers at once. At the bound the one that has been there longest makes room.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Server{listener: l, state: state, ready: ready, most: callers, now: time.Now, calls: map[string]uint64{}}, nil
+	return &Server{listener: l, state: state, ready: ready, maxCallers: callers, now: time.Now, calls: map[string]uint64{}}, nil
 }
 
 // Addr is where the server listens.
@@ -66,15 +66,15 @@
 }
 
 // Counts are the calls so far: each by its path, those that were none, and callers closed to make room for others.
-type Counts struct {
-	Ready, Drain, Undrain, Refused, Crowded uint64
+type Stats struct {
+	Ready, Drain, Undrain, Rejected, Evicted uint64
 }
 
 // Counts gives the counts so far.
-func (s *Server) Counts() Counts {
+func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Counts{s.calls["/ready"], s.calls["/drain"], s.calls["/undrain"], s.refused, s.crowded}
+	return Stats{s.calls["/ready"], s.calls["/drain"], s.calls["/undrain"], s.rejected, s.evicted}
 }
 
 // Serve takes calls until Close.
@@ -88,25 +88,25 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		s.enter(c)
+		s.addCaller(c)
 		go s.serve(c)
 	}
 }
 
 // enter keeps a caller, in the place of the one that has been there longest where there are too many: a whole call takes
 // a moment, so that one is the least likely to be making one.
-func (s *Server) enter(c net.Conn) {
+func (s *Server) addCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.callers) >= s.most {
+	if len(s.callers) >= s.maxCallers {
 		s.callers[0].Close()
 		s.callers = s.callers[1:]
-		s.crowded++
+		s.evicted++
 	}
 	s.callers = append(s.callers, c)
 }
 
-func (s *Server) leave(c net.Conn) {
+func (s *Server) removeCaller(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,76 +119,76 @@
 }
 
 func (s *Server) serve(c net.Conn) {
-	defer s.leave(c)
-	c.SetDeadline(s.now().Add(callWait))
-	code, text := s.call(c)
+	defer s.removeCaller(c)
+	c.SetDeadline(s.now().Add(callTimeout))
+	code, text := s.handle(c)
 	if code == 0 {
 		return
 	}
-	c.SetDeadline(s.now().Add(sayWait))
+	c.SetDeadline(s.now().Add(writeTimeout))
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s\n",
 		code, http.StatusText(code), len(text)+1, text)
 	if t, ok := c.(*net.TCPConn); ok { // what is still unread must not take the answer with it
 		t.CloseWrite()
-		c.SetDeadline(s.now().Add(leaving))
-		io.Copy(io.Discard, io.LimitReader(c, mostBody))
+		c.SetDeadline(s.now().Add(lingerTimeout))
+		io.Copy(io.Discard, io.LimitReader(c, maxBodySize))
 	}
 }
 
 // call reads one call whole, and only then carries it out. Code 0: there is nobody left to answer.
-func (s *Server) call(c net.Conn) (code int, text string) {
-	head := &io.LimitedReader{R: c, N: mostHead + mostBody}
-	r, err := http.ReadRequest(bufio.NewReader(head))
-	var late net.Error
+func (s *Server) handle(c net.Conn) (code int, text string) {
+	limited := &io.LimitedReader{R: c, N: maxHeadSize + maxBodySize}
+	r, err := http.ReadRequest(bufio.NewReader(limited))
+	var netErr net.Error
 	switch {
 	case err == nil:
-	case head.N <= 0:
-		return s.no(http.StatusRequestHeaderFieldsTooLarge, "a call is shorter")
-	case errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &late):
+	case limited.N <= 0:
+		return s.reject(http.StatusRequestHeaderFieldsTooLarge, "a call is shorter")
+	case errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr):
 		return 0, ""
 	default:
-		return s.no(http.StatusBadRequest, "not a call: "+err.Error())
+		return s.reject(http.StatusBadRequest, "not a call: "+err.Error())
 	}
-	if n, err := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody+1)); n > mostBody {
-		return s.no(http.StatusRequestEntityTooLarge, "a call needs no body")
+	if n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodySize+1)); n > maxBodySize {
+		return s.reject(http.StatusRequestEntityTooLarge, "a call needs no body")
 	} else if err != nil {
-		return s.no(http.StatusBadRequest, "the body is not whole")
+		return s.reject(http.StatusBadRequest, "the body is not whole")
 	}
-	want, known := map[string]string{"/ready": http.MethodGet, "/drain": http.MethodPost, "/undrain": http.MethodPost}[r.URL.Path]
+	method, known := map[string]string{"/ready": http.MethodGet, "/drain": http.MethodPost, "/undrain": http.MethodPost}[r.URL.Path]
 	if !known {
-		return s.no(http.StatusNotFound, "calls are GET /ready, POST /drain, POST /undrain")
+		return s.reject(http.StatusNotFound, "calls are GET /ready, POST /drain, POST /undrain")
 	}
-	if r.Method != want {
-		return s.no(http.StatusMethodNotAllowed, r.URL.Path+" takes "+want)
+	if r.Method != method {
+		return s.reject(http.StatusMethodNotAllowed, r.URL.Path+" takes "+method)
 	}
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	s.mu.Unlock()
-	yes := true
+	done := true
 	switch r.URL.Path {
 	case "/ready":
-		yes = s.state.CanServe() && s.ready()
+		done = s.state.CanServe() && s.ready()
 	case "/drain":
-		yes = s.state.Drain(s.now())
+		done = s.state.Drain(s.now())
 	case "/undrain":
-		yes = s.state.Undrain()
+		done = s.state.Undrain()
 	}
 	phase := s.state.Phase().String()
-	if r.URL.Path == "/ready" && s.Says != nil {
-		phase += " " + s.Says()
+	if r.URL.Path == "/ready" && s.ReadyDetail != nil {
+		phase += " " + s.ReadyDetail()
 	}
 	if r.URL.Path != "/ready" {
-		slog.Info("operator_call", "call", r.URL.Path, "done", yes, "phase", phase)
+		slog.Info("operator_call", "call", r.URL.Path, "done", done, "phase", phase)
 	}
-	if !yes {
+	if !done {
 		return http.StatusServiceUnavailable, phase
 	}
 	return http.StatusOK, phase
 }
 
-func (s *Server) no(code int, text string) (int, string) {
+func (s *Server) reject(code int, text string) (int, string) {
 	s.mu.Lock()
-	s.refused++
+	s.rejected++
 	s.mu.Unlock()
 	return code, text
 }
--- a/internal/front/control/control_test.go
+++ b/internal/front/control/control_test.go
@@ -80,11 +80,11 @@
 		assert.Equal(t, step.says, says, step.text)
 		assert.Equal(t, step.phase, state.Phase(), step.text)
 	}
-	assert.Equal(t, Counts{Ready: 4, Drain: 2, Undrain: 3}, s.Counts())
+	assert.Equal(t, Stats{Ready: 4, Drain: 2, Undrain: 3}, s.Stats())
 }
 
 // Whatever is no whole call gets a clear no, or nothing where its caller has left, and changes nothing.
-func TestNoCalls(t *testing.T) {
+func TestMalformedCalls(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
 	for text, code := range map[string]int{
@@ -108,7 +108,7 @@
 }
 
 // callers that hold their connections with half a call never keep another out, and are never answered in its place.
-func TestHeldConnections(t *testing.T) {
+func TestIdleCallersAreEvicted(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
 	for range 5 * callers {
@@ -118,7 +118,7 @@
 	code, _ := call(t, s, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	assert.Equal(t, 200, code)
 	assert.Equal(t, service.Serving, state.Phase())
-	assert.GreaterOrEqual(t, s.Counts().Crowded, uint64(4*callers))
+	assert.GreaterOrEqual(t, s.Stats().Evicted, uint64(4*callers))
 	s.mu.Lock()
 	assert.LessOrEqual(t, len(s.callers), callers)
 	s.mu.Unlock()
--- a/internal/front/introspect/introspect.go
+++ b/internal/front/introspect/introspect.go
@@ -30,22 +30,22 @@
 )
 
 // maxVerdicts bounds the bytes that unusually long verdicts hold at once.
-const maxVerdicts = 1 << 20
+const responseMemory = 1 << 20
 
 // Checker asks the endpoints. The questions are transactions of their own core, whose pool members are the
 // endpoints: the same module admits them, holds their customers' quotas, picks the endpoint and tries again.
 type Checker struct {
-	core   *core.Core
-	pool   *pool.Pool
-	conf   config.Introspection
-	host   string
-	header []byte
-	doors  int
-	zone   int
+	core     *core.Core
+	pool     *pool.Pool
+	conf     config.Introspection
+	host     string
+	header   []byte
+	gateways int
+	zone     int
 }
 
 // verdict is what an endpoint says of a token, as far as it counts here.
-type verdict struct {
+type tokenInfo struct {
 	Active *bool    `json:"active"`
 	Exp    *float64 `json:"exp"`
 	Nbf    *float64 `json:"nbf"`
@@ -55,17 +55,17 @@
 
 // NewChecker gives a checker for a deployment. Without tell, its quotas are each gateway's own part.
 func NewChecker(conf config.Introspection, d config.Deployment, sockets int, seed uint64, clock core.Clock,
-	tell func(int, []byte)) (*Checker, error) {
-	opt := pool.Options{MaxConnections: sockets, ResponseMemory: buffers.New(maxVerdicts), BufferResponses: true, IdleTimeout: d.ConnIdle, ConnectTimeout: min(d.ConnectWait, conf.Timeout/2)}
+	send func(int, []byte)) (*Checker, error) {
+	options := pool.Options{MaxConnections: sockets, ResponseMemory: buffers.New(responseMemory), BufferResponses: true, IdleTimeout: d.ConnIdle, ConnectTimeout: min(d.ConnectWait, conf.Timeout/2)}
 	if conf.TLS {
-		opt.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: conf.Roots}
+		options.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: conf.Roots}
 	}
-	k := &Checker{pool: pool.New(opt), conf: conf, host: conf.Endpoints[0], doors: d.Gateways, zone: d.Zone}
-	login := url.QueryEscape(conf.ClientID) + ":" + url.QueryEscape(conf.ClientSecret)
-	k.header = []byte("Authorization: Basic " + base64.StdEncoding.EncodeToString([]byte(login)) +
+	k := &Checker{pool: pool.New(options), conf: conf, host: conf.Endpoints[0], gateways: d.Gateways, zone: d.Zone}
+	credentials := url.QueryEscape(conf.ClientID) + ":" + url.QueryEscape(conf.ClientSecret)
+	k.header = []byte("Authorization: Basic " + base64.StdEncoding.EncodeToString([]byte(credentials)) +
 		"\r\nContent-Type: application/x-www-form-urlencoded\r\nAccept: application/json\r\n")
 	var err error
-	if k.core, err = core.New(k.settings(d), seed, clock, k.pool, tell); err != nil {
+	if k.core, err = core.New(k.settings(d), seed, clock, k.pool, send); err != nil {
 		return nil, err
 	}
 	return k, nil
@@ -73,9 +73,9 @@
 
 // Begin lists the endpoints; nothing is asked before. What another process of this gateway knew of them and of the checks'
 // customers is taken over, where it is given and can be read.
-func (k *Checker) Begin(carried []byte) (err error) {
-	if carried != nil {
-		err = k.core.ImportState(carried)
+func (k *Checker) Start(state []byte) (err error) {
+	if state != nil {
+		err = k.core.ImportState(state)
 	}
 	var infos []policy.ServerInfo
 	for i, addr := range k.conf.Endpoints {
@@ -96,19 +96,19 @@
 }
 
 // Retune puts a deployment's plans in force for all checks from now on, in step with the gateway's own settings.
-func (k *Checker) Retune(d config.Deployment, seed uint64) error {
+func (k *Checker) SetDeployment(d config.Deployment, seed uint64) error {
 	_, err := k.core.Reconfigure(k.settings(d), seed)
 	return err
 }
 
 // Carry gives what is known, for another process's Begin.
-func (k *Checker) Carry(most int) []byte { return k.core.ExportState(most, nil) }
+func (k *Checker) ExportState(maxSize int) []byte { return k.core.ExportState(maxSize, nil) }
 
 // Close ends what the checker runs.
 func (k *Checker) Close() { k.pool.Close() }
 
 // Limit sets how many connections to endpoints may be open at once from now on.
-func (k *Checker) Limit(sockets int) { k.pool.SetMaxConnections(sockets) }
+func (k *Checker) SetMaxConnections(maxConnections int) { k.pool.SetMaxConnections(maxConnections) }
 
 // PeerMessage takes the checks' own peer messages in.
 func (k *Checker) PeerMessage(from int, message []byte) { k.core.PeerMessage(from, message) }
@@ -117,36 +117,36 @@
 func (k *Checker) Counters() core.Counts { return k.core.Counters() }
 
 // ask puts one question, answered before until. A body comes only with a verdict that parsed.
-func (k *Checker) ask(r *http.Request, era int, who policy.Request, token string, until core.Time) (v verdict, body []byte, wait time.Duration) {
-	who.Class = 0
-	who.Deadline = min(until, k.core.Now()+k.conf.Timeout)
-	a := k.core.Serve(r.Context(), core.Request{Request: who, Generation: era, Message: &pool.Message{Method: http.MethodPost,
+func (k *Checker) introspect(r *http.Request, era int, request policy.Request, token string, deadline core.Time) (info tokenInfo, body []byte, retryAfter time.Duration) {
+	request.Class = 0
+	request.Deadline = min(deadline, k.core.Now()+k.conf.Timeout)
+	answer := k.core.Serve(r.Context(), core.Request{Request: request, Generation: era, Message: &pool.Message{Method: http.MethodPost,
 		Target: k.conf.Path, Host: k.host, Header: k.header,
 		Body: []byte("token=" + url.QueryEscape(token) + "&token_type_hint=access_token")}})
-	defer a.Discard()
-	if a.Kind != core.Served {
-		return v, nil, max(a.RetryAfter, k.conf.Timeout)
+	defer answer.Discard()
+	if answer.Kind != core.Served {
+		return info, nil, max(answer.RetryAfter, k.conf.Timeout)
 	}
-	if json.Unmarshal(a.Body, &v) != nil || v.Active == nil || json.Unmarshal(a.Body, &v.claims) != nil {
-		slog.Warn("introspection_malformed", "bytes", len(a.Body))
-		return verdict{}, nil, k.conf.Timeout
+	if json.Unmarshal(answer.Body, &info) != nil || info.Active == nil || json.Unmarshal(answer.Body, &info.claims) != nil {
+		slog.Warn("introspection_malformed", "bytes", len(answer.Body))
+		return tokenInfo{}, nil, k.conf.Timeout
 	}
 	now := k.core.Now().Seconds() // an endpoint that leaves the times to us
-	if v.Exp != nil && now >= *v.Exp || v.Nbf != nil && now < *v.Nbf {
-		*v.Active = false
+	if info.Exp != nil && now >= *info.Exp || info.Nbf != nil && now < *info.Nbf {
+		*info.Active = false
 	}
-	return v, a.Body, 0
+	return info, answer.Body, 0
 }
 
 // Front is the virtual server for farm apps with bearer tokens and for the site's tools.
 type Front struct {
-	Core      *core.Core
-	Checker   *Checker
-	Settings  *platform.Settings
-	Ready     func() bool
-	Open      *platform.Open
-	Bodies    *buffers.Budget // what bodies may hold in memory; nil: as much as they like
-	malformed atomic.Uint64
+	Core         *core.Core
+	Checker      *Checker
+	Settings     *platform.Settings
+	Ready        func() bool
+	OpenRequests *platform.OpenRequests
+	Bodies       *buffers.Budget // what bodies may hold in memory; nil: as much as they like
+	malformed    atomic.Uint64
 }
 
 // Malformed counts the requests that were none.
@@ -155,9 +155,9 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/ready":
-		platform.Ready(w, f.Ready())
+		platform.WriteReady(w, f.Ready())
 	case "/introspect":
-		f.introspect(w, r)
+		f.serveIntrospection(w, r)
 	default:
 		f.forward(w, r)
 	}
@@ -173,28 +173,28 @@
 // forward takes a request on that presents a token: checked before the first flow and again before any other.
 func (f *Front) forward(w http.ResponseWriter, r *http.Request) {
 	arrived := f.Core.Now()
-	token, no := bearer(r)
-	if no != nil {
-		f.refuse(w, no.Code, no.Text)
+	token, problem := bearerToken(r)
+	if problem != nil {
+		f.rejectToken(w, problem.Code, problem.Text)
 		return
 	}
 	settings := f.Settings.Get()
-	in, body, no := platform.Read(w, r, settings, f.Open, f.Bodies, arrived)
-	if no != nil {
+	request, body, problem := platform.ReadRequest(w, r, settings, f.OpenRequests, f.Bodies, arrived)
+	if problem != nil {
 		f.malformed.Add(1)
-		no.Write(w)
+		problem.Write(w)
 		return
 	}
-	defer f.Open.Leave(r)
-	scope := f.Checker.conf.Scopes[settings.Classes[in.Class].Name]
+	defer f.OpenRequests.Remove(r)
+	scope := f.Checker.conf.Scopes[settings.Classes[request.Class].Name]
 	var reason atomic.Int32
 	var asked atomic.Bool
-	in.Authorize = func(until core.Time) (core.Verdict, time.Duration) {
-		who := in.Request
+	request.Authorize = func(until core.Time) (core.Verdict, time.Duration) {
+		who := request.Request
 		if asked.Swap(true) { // further attempts of a try draw nothing
 			who.Units = 0
 		}
-		v, body, wait := f.Checker.ask(r, settings.Era, who, token, until)
+		v, body, wait := f.Checker.introspect(r, settings.Era, who, token, until)
 		switch {
 		case body == nil:
 			return core.Unknown, wait
@@ -202,22 +202,22 @@
 			reason.Store(invalidToken)
 		case scope != "" && !slices.Contains(strings.Fields(v.Scope), scope):
 			reason.Store(insufficientScope)
-		case !f.owns(v, in.Customer):
+		case !f.ownsAccount(v, request.Customer):
 			reason.Store(otherAccount)
 		default:
 			return core.Active, 0
 		}
 		return core.Inactive, 0
 	}
-	a := f.Core.Serve(r.Context(), in)
+	a := f.Core.Serve(r.Context(), request)
 	if a.Kind != core.Unauthorized || body.Fault() != nil {
-		if platform.Answer(w, r, body, whole(a)) {
+		if platform.Respond(w, r, body, roundUpRetryAfter(a)) {
 			f.malformed.Add(1)
 		}
 		return
 	}
 	defer body.Close()
-	body.Early(w)
+	body.PrepareEarlyAnswer(w)
 	switch reason.Load() {
 	case insufficientScope:
 		f.bearerError(w, http.StatusForbidden, "insufficient_scope", "scope", scope)
@@ -229,46 +229,46 @@
 }
 
 // whole makes a wait one of whole seconds, the only ones that RFC 9110 lets Retry-After name.
-func whole(a core.Answer) core.Answer {
+func roundUpRetryAfter(a core.Answer) core.Answer {
 	a.RetryAfter = (a.RetryAfter + time.Second - 1).Truncate(time.Second)
 	return a
 }
 
 // owns tells whether a token is the request's customer's, where the site says which claim names it.
-func (f *Front) owns(v verdict, id policy.CustomerID) bool {
+func (f *Front) ownsAccount(info tokenInfo, customer policy.CustomerID) bool {
 	claim := f.Checker.conf.AccountClaim
 	if claim == "" {
 		return true
 	}
-	text, _ := v.claims[claim].(string)
+	text, _ := info.claims[claim].(string)
 	n, err := strconv.ParseUint(text, 16, 64)
-	return err == nil && policy.CustomerID(n) == id
+	return err == nil && policy.CustomerID(n) == customer
 }
 
 // bearer reads the token, which may come in the Authorization header alone.
-func bearer(r *http.Request) (string, *platform.Bad) {
+func bearerToken(r *http.Request) (string, *platform.RequestError) {
 	if r.URL.Query().Has("access_token") { // it would stand in every log that a target passes
-		return "", &platform.Bad{Code: http.StatusBadRequest, Text: "invalid_request"}
+		return "", &platform.RequestError{Code: http.StatusBadRequest, Text: "invalid_request"}
 	}
 	values := r.Header.Values("Authorization")
 	if len(values) == 0 {
-		return "", &platform.Bad{Code: http.StatusUnauthorized}
+		return "", &platform.RequestError{Code: http.StatusUnauthorized}
 	}
 	scheme, token, _ := strings.Cut(values[0], " ")
 	if len(values) == 1 && !strings.EqualFold(scheme, "Bearer") {
-		return "", &platform.Bad{Code: http.StatusUnauthorized}
+		return "", &platform.RequestError{Code: http.StatusUnauthorized}
 	}
 	plain := strings.TrimRight(token, "=")
 	if len(values) > 1 || plain == "" || strings.ContainsFunc(plain, func(c rune) bool {
 		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.ContainsRune("-._~+/", c))
 	}) {
-		return "", &platform.Bad{Code: http.StatusBadRequest, Text: "invalid_request"}
+		return "", &platform.RequestError{Code: http.StatusBadRequest, Text: "invalid_request"}
 	}
 	return token, nil
 }
 
 // refuse answers a request whose token could not be read. One that brought none is told no error code.
-func (f *Front) refuse(w http.ResponseWriter, code int, errorCode string) {
+func (f *Front) rejectToken(w http.ResponseWriter, code int, errorCode string) {
 	f.malformed.Add(1)
 	f.bearerError(w, code, errorCode, "", "")
 }
@@ -287,7 +287,7 @@
 }
 
 // introspect answers a tool about a token.
-func (f *Front) introspect(w http.ResponseWriter, r *http.Request) {
+func (f *Front) serveIntrospection(w http.ResponseWriter, r *http.Request) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
 	if r.Method != http.MethodPost {
@@ -295,48 +295,48 @@
 		f.oauthError(w, http.StatusMethodNotAllowed, "invalid_request")
 		return
 	}
-	tool := f.tool(r)
+	tool := f.authenticateTool(r)
 	if tool == nil {
 		h.Set("WWW-Authenticate", `Basic realm="`+f.Checker.conf.Realm+`"`)
 		f.oauthError(w, http.StatusUnauthorized, "invalid_client")
 		return
 	}
-	body, no := platform.ReadBody(w, r, f.Bodies, time.Now().Add(f.Checker.conf.Timeout))
-	if no == nil {
-		defer body.Leave()
+	body, problem := platform.ReadBody(w, r, f.Bodies, time.Now().Add(f.Checker.conf.Timeout))
+	if problem == nil {
+		defer body.Release()
 	}
-	if no == nil && body.More() {
-		no = &platform.Bad{Code: http.StatusRequestEntityTooLarge}
+	if problem == nil && body.Pending() {
+		problem = &platform.RequestError{Code: http.StatusRequestEntityTooLarge}
 	}
-	if no != nil {
+	if problem != nil {
 		h.Set("Connection", "close")
-		f.oauthError(w, no.Code, "invalid_request")
+		f.oauthError(w, problem.Code, "invalid_request")
 		return
 	}
-	kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
-	form, err := url.ParseQuery(string(body.Kept))
-	if err != nil || kind != "application/x-www-form-urlencoded" || len(form["token"]) != 1 || form.Get("token") == "" {
+	mediaType, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type"))
+	form, err := url.ParseQuery(string(body.Buffered))
+	if err != nil || mediaType != "application/x-www-form-urlencoded" || len(form["token"]) != 1 || form.Get("token") == "" {
 		f.oauthError(w, http.StatusBadRequest, "invalid_request")
 		return
 	}
 	settings := f.Settings.Get()
-	who := policy.Request{Plan: settings.PlanNumber(tool.Plan), Customer: policy.CustomerID(tool.Account), Units: 1,
-		SetSize: f.Checker.doors}
-	v, text, wait := f.Checker.ask(r, settings.Era, who, form.Get("token"), f.Checker.core.Now()+f.Checker.conf.Timeout)
+	request := policy.Request{Plan: settings.PlanNumber(tool.Plan), Customer: policy.CustomerID(tool.Account), Units: 1,
+		SetSize: f.Checker.gateways}
+	info, text, retryAfter := f.Checker.introspect(r, settings.Era, request, form.Get("token"), f.Checker.core.Now()+f.Checker.conf.Timeout)
 	switch {
 	case r.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
 	case text == nil:
-		platform.Write(w, r, whole(core.Answer{Kind: core.Refused, Attempted: true, RetryAfter: wait}))
+		platform.WriteAnswer(w, r, roundUpRetryAfter(core.Answer{Kind: core.Refused, Attempted: true, RetryAfter: retryAfter}))
 		return
-	case !*v.Active: // of a token that is unknown or past, nothing else is told
+	case !*info.Active: // of a token that is unknown or past, nothing else is told
 		text = []byte(`{"active":false}`)
 	}
-	platform.Write(w, r, core.Answer{Kind: core.Served, ContentType: "application/json", Body: text})
+	platform.WriteAnswer(w, r, core.Answer{Kind: core.Served, ContentType: "application/json", Body: text})
 }
 
 // tool gives the tool whose credentials a request brings, nil where there is none.
-func (f *Front) tool(r *http.Request) (found *config.Tool) {
+func (f *Front) authenticateTool(r *http.Request) (found *config.Tool) {
 	id, secret, ok := r.BasicAuth()
 	if !ok {
 		return nil
@@ -348,10 +348,10 @@
 	}
 	given := sha256.Sum256([]byte(secret)) // compared in a time that tells nothing of the secret
 	for i := range f.Checker.conf.Tools {
-		t := &f.Checker.conf.Tools[i]
-		want := sha256.Sum256([]byte(t.Secret))
-		if same := subtle.ConstantTimeCompare(given[:], want[:]) == 1; same && t.ID == id {
-			found = t
+		candidate := &f.Checker.conf.Tools[i]
+		want := sha256.Sum256([]byte(candidate.Secret))
+		if same := subtle.ConstantTimeCompare(given[:], want[:]) == 1; same && candidate.ID == id {
+			found = candidate
 		}
 	}
 	return found
--- a/internal/front/introspect/introspect_test.go
+++ b/internal/front/introspect/introspect_test.go
@@ -56,9 +56,9 @@
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 	checker, err := introspect.NewChecker(conf, d, 200, 1, clock, nil)
 	require.NoError(t, err)
-	require.NoError(t, checker.Begin(nil))
+	require.NoError(t, checker.Start(nil))
 	t.Cleanup(checker.Close)
-	s := httptest.NewServer(&introspect.Front{Core: c, Checker: checker, Settings: platform.NewSettings(d), Open: &platform.Open{},
+	s := httptest.NewServer(&introspect.Front{Core: c, Checker: checker, Settings: platform.NewSettings(d), OpenRequests: &platform.OpenRequests{},
 		Ready: func() bool { return true }})
 	t.Cleanup(s.Close)
 	return site{s.URL, func() string { return c.Counters().String() }, func() string { return checker.Counters().String() }}
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -19,69 +19,69 @@
 
 const (
 	// bodyPause is how long a client may send nothing of a body: one that never comes whole is owed an end soon.
-	bodyPause = 2500 * time.Millisecond
+	maxBodyPause = 2500 * time.Millisecond
 	// bodyRate is the least rate of a body beyond its first pause: half of what the protocol's slow clients send at.
-	bodyRate = 32 << 10 // bytes a second
+	minBodyRate = 32 << 10 // bytes a second
 	// firstStep is what a body holds at first: what a client says of its length need not come.
-	firstStep = 4 << 10
+	initialBufferSize = 4 << 10
 )
 
 // Body is a request's body: all of it, or its beginning and what follows it, which a pool member's flow reads.
 type Body struct {
-	Kept []byte
+	Buffered []byte
 
-	w      *http.ResponseController
-	r      *http.Request
-	budget *buffers.Budget
-	drawn  int64
-	begun  time.Time // later by as much as was not asked for more
+	controller *http.ResponseController
+	request    *http.Request
+	budget     *buffers.Budget
+	reserved   int64
+	paceStart  time.Time // later by as much as was not asked for more
 
-	mu     sync.Mutex // between the flow that reads and the front that ends
-	n      int64      // read so far
-	asked  time.Time  // when the last reading ended
-	ended  bool       // all has been read
-	closed bool
-	err    error
+	mu       sync.Mutex // between the flow that reads and the front that ends
+	received int64      // read so far
+	lastRead time.Time  // when the last reading ended
+	ended    bool       // all has been read
+	closed   bool
+	err      error
 }
 
-var errLeft = errors.New("its transaction is over")
+var errBodyClosed = errors.New("its transaction is over")
 
 // ReadBody reads what is kept of a body: all that is no longer than 64 KiB; of one that says it is longer, a piece. It waits
 // for room until some moment.
-func ReadBody(w http.ResponseWriter, r *http.Request, budget *buffers.Budget, until time.Time) (*Body, *Bad) {
-	b := &Body{w: http.NewResponseController(w), r: r, budget: budget, begun: time.Now()}
-	if b.asked = b.begun; r.ContentLength == 0 {
+func ReadBody(w http.ResponseWriter, r *http.Request, budget *buffers.Budget, deadline time.Time) (*Body, *RequestError) {
+	b := &Body{controller: http.NewResponseController(w), request: r, budget: budget, paceStart: time.Now()}
+	if b.lastRead = b.paceStart; r.ContentLength == 0 {
 		b.ended = true
-		b.w.SetReadDeadline(time.Time{}) // a client's leaving is watched for as long as its answer takes
+		b.controller.SetReadDeadline(time.Time{}) // a client's leaving is watched for as long as its answer takes
 		return b, nil
 	}
 	if r.ContentLength > pool.MaxBodySize {
-		return nil, tooLong
+		return nil, bodyTooLong
 	}
-	most := int64(pool.MaxBufferedBody)
-	if r.ContentLength > most {
-		most = pool.StreamBufferSize
+	limit := int64(pool.MaxBufferedBody)
+	if r.ContentLength > limit {
+		limit = pool.StreamBufferSize
 	} else if r.ContentLength > 0 {
-		most = r.ContentLength
+		limit = r.ContentLength
 	}
-	for size := min(firstStep, most); ; size = min(2*size, most) {
-		if !b.grow(size, until) {
-			b.Leave()
-			return nil, &Bad{Code: http.StatusServiceUnavailable, Text: "body: no room for it now", RetryAfter: time.Second}
+	for size := min(initialBufferSize, limit); ; size = min(2*size, limit) {
+		if !b.grow(size, deadline) {
+			b.Release()
+			return nil, &RequestError{Code: http.StatusServiceUnavailable, Text: "body: no room for it now", RetryAfter: time.Second}
 		}
-		for len(b.Kept) < cap(b.Kept) && !b.ended {
-			n, err := b.Read(b.Kept[len(b.Kept):cap(b.Kept)])
-			b.Kept = b.Kept[:len(b.Kept)+n]
+		for len(b.Buffered) < cap(b.Buffered) && !b.ended {
+			n, err := b.Read(b.Buffered[len(b.Buffered):cap(b.Buffered)])
+			b.Buffered = b.Buffered[:len(b.Buffered)+n]
 			if err != nil && !errors.Is(err, io.EOF) {
-				b.Leave()
+				b.Release()
 				return nil, b.Fault()
 			}
 		}
-		if b.ended || size == most {
+		if b.ended || size == limit {
 			break
 		}
 	}
-	if r.ContentLength == int64(len(b.Kept)) && !b.ended { // the end must be read for a client's leaving to be noticed
+	if r.ContentLength == int64(len(b.Buffered)) && !b.ended { // the end must be read for a client's leaving to be noticed
 		var one [1]byte
 		b.Read(one[:])
 	}
@@ -89,22 +89,22 @@
 }
 
 // grow makes room for so many bytes in all.
-func (b *Body) grow(size int64, until time.Time) bool {
-	if !b.budget.Acquire(size-b.drawn, until) {
+func (b *Body) grow(size int64, deadline time.Time) bool {
+	if !b.budget.Acquire(size-b.reserved, deadline) {
 		return false
 	}
-	b.drawn = size
-	grown := make([]byte, len(b.Kept), size)
-	copy(grown, b.Kept)
-	b.Kept = grown
+	b.reserved = size
+	grown := make([]byte, len(b.Buffered), size)
+	copy(grown, b.Buffered)
+	b.Buffered = grown
 	return true
 }
 
 // Empty tells whether there is no body.
-func (b *Body) Empty() bool { return len(b.Kept) == 0 && b.ended }
+func (b *Body) Empty() bool { return len(b.Buffered) == 0 && b.ended }
 
 // More tells whether something may follow what is kept.
-func (b *Body) More() bool { return !b.ended }
+func (b *Body) Pending() bool { return !b.ended }
 
 // Read gives a flow the next bytes, until its transaction has its answer.
 func (b *Body) Read(p []byte) (int, error) {
@@ -112,7 +112,7 @@
 	closed := b.closed
 	b.mu.Unlock()
 	if closed {
-		return 0, errLeft
+		return 0, errBodyClosed
 	}
 	return b.read(p)
 }
@@ -127,24 +127,24 @@
 		}
 		return 0, b.err
 	}
-	b.begun = b.begun.Add(time.Since(b.asked))
-	by := b.begun.Add(bodyPause + time.Duration(float64(b.n)/bodyRate*float64(time.Second)))
-	if pause := time.Now().Add(bodyPause); pause.Before(by) {
-		by = pause
+	b.paceStart = b.paceStart.Add(time.Since(b.lastRead))
+	deadline := b.paceStart.Add(maxBodyPause + time.Duration(float64(b.received)/minBodyRate*float64(time.Second)))
+	if pause := time.Now().Add(maxBodyPause); pause.Before(deadline) {
+		deadline = pause
 	}
-	b.w.SetReadDeadline(by)
+	b.controller.SetReadDeadline(deadline)
 	b.mu.Unlock()
-	n, err := b.r.Body.Read(p)
+	n, err := b.request.Body.Read(p)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.asked = time.Now()
-	if b.n += int64(n); b.n > pool.MaxBodySize && err == nil {
-		err = errLong
+	b.lastRead = time.Now()
+	if b.received += int64(n); b.received > pool.MaxBodySize && err == nil {
+		err = errTooLong
 	}
 	switch {
 	case errors.Is(err, io.EOF):
 		b.ended = true
-		b.w.SetReadDeadline(time.Time{}) // what comes next is an end or the next request, and may take long
+		b.controller.SetReadDeadline(time.Time{}) // what comes next is an end or the next request, and may take long
 	case err != nil:
 		b.err = err
 	}
@@ -152,60 +152,60 @@
 }
 
 var (
-	errLong = errors.New("more than there can be")
-	tooLong = &Bad{Code: http.StatusRequestEntityTooLarge, Text: "body: too long"}
+	errTooLong  = errors.New("more than there can be")
+	bodyTooLong = &RequestError{Code: http.StatusRequestEntityTooLarge, Text: "body: too long"}
 )
 
 // Fault tells what was wrong with the body, if anything was.
-func (b *Body) Fault() *Bad {
+func (b *Body) Fault() *RequestError {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case errors.Is(b.err, errLong):
-		return tooLong
+	case errors.Is(b.err, errTooLong):
+		return bodyTooLong
 	case b.err != nil:
-		return bad("body: not whole")
+		return badRequest("body: not whole")
 	}
 	return nil
 }
 
 // Early prepares an answer to a body that is still coming: it is the connection's last, and goes out at once.
-func (b *Body) Early(w http.ResponseWriter) {
+func (b *Body) PrepareEarlyAnswer(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.closed = true; !b.ended {
 		w.Header().Set("Connection", "close")
-		b.w.EnableFullDuplex()
+		b.controller.EnableFullDuplex()
 	}
 }
 
 // Leave gives the memory back.
-func (b *Body) Leave() {
+func (b *Body) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	b.budget.Release(b.drawn)
-	b.drawn = 0
+	b.budget.Release(b.reserved)
+	b.reserved = 0
 }
 
 // Close leaves the body. What still comes is read and thrown away, within the bounds of any body: a connection that
 // is closed on it would take the answer with it before the client has read that.
 func (b *Body) Close() {
-	b.Leave()
+	b.Release()
 	b.mu.Lock()
-	rest := !b.ended && b.err == nil
+	moreComes := !b.ended && b.err == nil
 	b.mu.Unlock()
-	if !rest || b.w.Flush() != nil {
+	if !moreComes || b.controller.Flush() != nil {
 		return
 	}
-	away := make([]byte, firstStep)
-	for _, err := b.read(away); err == nil; _, err = b.read(away) {
+	buf := make([]byte, initialBufferSize)
+	for _, err := b.read(buf); err == nil; _, err = b.read(buf) {
 	}
 }
 
 // Write gives a client the final answer. A 429 or 503 says that asking again is harmless, so nothing else may
 // use them.
-func Write(w http.ResponseWriter, r *http.Request, a core.Answer) {
+func WriteAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
 	defer a.Discard()
 	h := w.Header()
 	switch a.Kind {
@@ -214,7 +214,7 @@
 			h.Set("Content-Type", a.ContentType)
 		}
 		if a.Remainder != nil {
-			pass(w, r, a)
+			streamAnswer(w, r, a)
 			return
 		}
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -224,15 +224,15 @@
 		if a.Attempted {
 			code = http.StatusServiceUnavailable
 		}
-		h.Set("Retry-After", seconds(a.RetryAfter))
-		end(w, code)
+		h.Set("Retry-After", formatSeconds(a.RetryAfter))
+		writeStatus(w, code)
 	case core.Unauthorized:
-		end(w, http.StatusUnauthorized)
+		writeStatus(w, http.StatusUnauthorized)
 	case core.Failed:
 		if a.TimedOut {
-			end(w, http.StatusGatewayTimeout)
+			writeStatus(w, http.StatusGatewayTimeout)
 		} else {
-			end(w, http.StatusBadGateway)
+			writeStatus(w, http.StatusBadGateway)
 		}
 	case core.ClientGone:
 		panic(http.ErrAbortHandler) // nobody to answer
@@ -240,16 +240,16 @@
 }
 
 // pass writes a long answer as it comes. One that breaks is made to look so.
-func pass(w http.ResponseWriter, r *http.Request, a core.Answer) {
+func streamAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
 	if a.ContentLength >= 0 {
 		w.Header().Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
 	}
-	rc := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	piece := a.Body
 	for {
 		if len(piece) > 0 {
-			rc.SetWriteDeadline(time.Now().Add(pool.StallTimeout))
-			if _, err := w.Write(piece); err != nil || rc.Flush() != nil {
+			controller.SetWriteDeadline(time.Now().Add(pool.StallTimeout))
+			if _, err := w.Write(piece); err != nil || controller.Flush() != nil {
 				panic(http.ErrAbortHandler) // the client has left, or takes nothing
 			}
 		}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -23,37 +23,37 @@
 
 // The platform's headers.
 const (
-	hID       = "X-Request-Id"
-	hClass    = "X-Class"
-	hTariff   = "X-Tariff"
-	hCustomer = "X-Subscriber"
-	hDeadline = "X-Deadline-Ms"
-	hWeight   = "X-Weight"
-	hRetry    = "X-Retry"
-	hKey      = "Idempotency-Key"
+	headerRequestID      = "X-Request-Id"
+	headerClass          = "X-Class"
+	headerTariff         = "X-Tariff"
+	headerCustomer       = "X-Subscriber"
+	headerDeadline       = "X-Deadline-Ms"
+	headerWeight         = "X-Weight"
+	headerRetry          = "X-Retry"
+	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
-	maxCustomer = 1 << 33
-	maxID       = 128
-	maxKey      = 255
+	maxCustomerID           = 1 << 33
+	maxRequestIDLength      = 128
+	maxIdempotencyKeyLength = 255
 	// transit is taken off a deadline, which runs from when the client sent: the way here and back.
-	transit = 6 * time.Millisecond
+	transitTime = 6 * time.Millisecond
 )
 
 // Front is the platform's front.
 type Front struct {
-	Core      *core.Core
-	Settings  *Settings
-	Ready     func() bool
-	Open      *Open
-	Bodies    *buffers.Budget // what bodies may hold in memory; nil: as much as they like
-	malformed atomic.Uint64
+	Core         *core.Core
+	Settings     *Settings
+	Ready        func() bool
+	OpenRequests *OpenRequests
+	Bodies       *buffers.Budget // what bodies may hold in memory; nil: as much as they like
+	malformed    atomic.Uint64
 }
 
 // Settings holds those in force, which are exchanged as a whole.
 type Settings struct {
-	now atomic.Pointer[config.Deployment]
+	current atomic.Pointer[config.Deployment]
 }
 
 // NewSettings gives a holder.
@@ -64,17 +64,17 @@
 }
 
 // Set puts others in force: what is read from now on is read under them.
-func (s *Settings) Set(d config.Deployment) { s.now.Store(&d) }
+func (s *Settings) Set(d config.Deployment) { s.current.Store(&d) }
 
 // Get gives those in force, which nobody changes.
-func (s *Settings) Get() *config.Deployment { return s.now.Load() }
+func (s *Settings) Get() *config.Deployment { return s.current.Load() }
 
 // Open holds the ids of the requests that are open, whichever front they came through. A request under the id of
 // another that is open would reach a pool member as a second copy of that one.
-type Open struct{ ids sync.Map }
+type OpenRequests struct{ ids sync.Map }
 
 // Leave forgets the id of a request that Read has let in.
-func (o *Open) Leave(r *http.Request) { o.ids.Delete(r.Header.Get(hID)) }
+func (o *OpenRequests) Remove(r *http.Request) { o.ids.Delete(r.Header.Get(headerRequestID)) }
 
 // Malformed counts the requests that were none.
 func (f *Front) Malformed() uint64 { return f.malformed.Load() }
@@ -82,38 +82,38 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := f.Core.Now()
 	if r.URL.Path == "/ready" {
-		Ready(w, f.Ready())
+		WriteReady(w, f.Ready())
 		return
 	}
-	in, body, bad := Read(w, r, f.Settings.Get(), f.Open, f.Bodies, arrived)
-	if bad != nil {
+	request, body, problem := ReadRequest(w, r, f.Settings.Get(), f.OpenRequests, f.Bodies, arrived)
+	if problem != nil {
 		f.malformed.Add(1)
-		bad.Write(w)
+		problem.Write(w)
 		return
 	}
-	defer f.Open.Leave(r)
-	if bad := Answer(w, r, body, f.Core.Serve(r.Context(), in)); bad {
+	defer f.OpenRequests.Remove(r)
+	if problem := Respond(w, r, body, f.Core.Serve(r.Context(), request)); problem {
 		f.malformed.Add(1)
 	}
 }
 
 // Answer gives a client the final answer to a request with a body, and tells whether it was none: whatever the module
 // made of it, a body that didn't come whole is the client's fault.
-func Answer(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
-	if bad := body.Fault(); bad != nil && a.Kind != core.Served {
+func Respond(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
+	if problem := body.Fault(); problem != nil && a.Kind != core.Served {
 		body.Close()
 		a.Discard()
-		bad.Write(w)
+		problem.Write(w)
 		return true
 	}
 	defer body.Close()
-	body.Early(w)
-	Write(w, r, a)
+	body.PrepareEarlyAnswer(w)
+	WriteAnswer(w, r, a)
 	return false
 }
 
 // Ready answers the question whether the gateway can serve.
-func Ready(w http.ResponseWriter, ready bool) {
+func WriteReady(w http.ResponseWriter, ready bool) {
 	if !ready {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
@@ -122,7 +122,7 @@
 }
 
 // Bad says what is wrong with a request.
-type Bad struct {
+type RequestError struct {
 	Code       int
 	Text       string
 	RetryAfter time.Duration // where asking again is harmless
@@ -130,100 +130,102 @@
 
 // Write answers with it and ends the connection: where such a request ends can't be relied on, and what follows it
 // could be another hidden in its body.
-func (b *Bad) Write(w http.ResponseWriter) {
+func (b *RequestError) Write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if b.RetryAfter > 0 {
-		w.Header().Set("Retry-After", seconds(b.RetryAfter))
+		w.Header().Set("Retry-After", formatSeconds(b.RetryAfter))
 	}
 	http.Error(w, b.Text, b.Code)
 }
 
-func bad(text string) *Bad { return &Bad{Code: http.StatusBadRequest, Text: text} }
+func badRequest(text string) *RequestError {
+	return &RequestError{Code: http.StatusBadRequest, Text: text}
+}
 
 // Read checks a request and gives its transaction, whose id is open until Leave, and its body, which is to be closed once
 // the transaction has its answer.
-func Read(w http.ResponseWriter, r *http.Request, d *config.Deployment, open *Open, budget *buffers.Budget,
-	arrived core.Time) (in core.Request, body *Body, no *Bad) {
+func ReadRequest(w http.ResponseWriter, r *http.Request, d *config.Deployment, openRequests *OpenRequests, budget *buffers.Budget,
+	arrived core.Time) (request core.Request, body *Body, problem *RequestError) {
 	h := r.Header
-	id := h.Get(hID)
-	if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t") {
-		return in, nil, bad(hID + ": missing or malformed")
+	id := h.Get(headerRequestID)
+	if id == "" || len(id) > maxRequestIDLength || strings.ContainsAny(id, " \t") {
+		return request, nil, badRequest(headerRequestID + ": missing or malformed")
 	}
 	if len(r.TransferEncoding) > 0 && !front.UnambiguousFraming(r) {
-		return in, nil, bad("Transfer-Encoding: beside Content-Length, or it can't be told")
+		return request, nil, badRequest("Transfer-Encoding: beside Content-Length, or it can't be told")
 	}
 	path, ok := strings.CutPrefix(r.RequestURI, "/")
 	if !ok {
-		return in, nil, bad("target: not a path")
+		return request, nil, badRequest("target: not a path")
 	}
-	name, _, _ := strings.Cut(path, "?")
-	name, _, _ = strings.Cut(name, "/")
-	if name, _ = url.PathUnescape(name); name != h.Get(hClass) {
-		return in, nil, bad(hClass + ": not the class of the path")
+	className, _, _ := strings.Cut(path, "?")
+	className, _, _ = strings.Cut(className, "/")
+	if className, _ = url.PathUnescape(className); className != h.Get(headerClass) {
+		return request, nil, badRequest(headerClass + ": not the class of the path")
 	}
-	if in.Class = d.ClassNumber(name); in.Class < 0 {
-		return in, nil, &Bad{Code: http.StatusNotFound, Text: hClass + ": unknown class"}
+	if request.Class = d.ClassNumber(className); request.Class < 0 {
+		return request, nil, &RequestError{Code: http.StatusNotFound, Text: headerClass + ": unknown class"}
 	}
-	in.Generation = d.Era
-	class := d.Classes[in.Class]
-	if want := method(class.Idempotency); r.Method != want {
+	request.Generation = d.Era
+	class := d.Classes[request.Class]
+	if want := methodFor(class.Idempotency); r.Method != want {
 		w.Header().Set("Allow", want)
-		return in, nil, &Bad{Code: http.StatusMethodNotAllowed, Text: "method: this class takes " + want}
+		return request, nil, &RequestError{Code: http.StatusMethodNotAllowed, Text: "method: this class takes " + want}
 	}
-	if in.Plan = d.PlanNumber(h.Get(hTariff)); in.Plan < 0 {
-		return in, nil, bad(hTariff + ": unknown plan")
+	if request.Plan = d.PlanNumber(h.Get(headerTariff)); request.Plan < 0 {
+		return request, nil, badRequest(headerTariff + ": unknown plan")
 	}
-	customer, err := strconv.ParseUint(h.Get(hCustomer), 16, 64)
-	if err != nil || customer >= maxCustomer {
-		return in, nil, bad(hCustomer + ": not a customer")
+	customer, err := strconv.ParseUint(h.Get(headerCustomer), 16, 64)
+	if err != nil || customer >= maxCustomerID {
+		return request, nil, badRequest(headerCustomer + ": not a customer")
 	}
-	in.Customer = policy.CustomerID(customer)
-	wait, err := strconv.ParseUint(h.Get(hDeadline), 10, 31)
+	request.Customer = policy.CustomerID(customer)
+	wait, err := strconv.ParseUint(h.Get(headerDeadline), 10, 31)
 	if err != nil || wait == 0 {
-		return in, nil, bad(hDeadline + ": not whole milliseconds above 0")
+		return request, nil, badRequest(headerDeadline + ": not whole milliseconds above 0")
 	}
-	in.Deadline = arrived + min(time.Duration(wait)*time.Millisecond, class.Deadline) - transit
-	if !weight(h.Get(hWeight), &in, d) {
-		return in, nil, bad(hWeight + ": malformed")
+	request.Deadline = arrived + min(time.Duration(wait)*time.Millisecond, class.Deadline) - transitTime
+	if !parseWeight(h.Get(headerWeight), &request, d) {
+		return request, nil, badRequest(headerWeight + ": malformed")
 	}
-	keys := h.Values(hKey)
+	keys := h.Values(headerIdempotencyKey)
 	if len(keys) > 1 || class.Idempotency == policy.IdempotentByKey && len(keys) == 0 ||
-		len(keys) == 1 && (keys[0] == "" || len(keys[0]) > maxKey) {
-		return in, nil, bad(hKey + ": not the one that a keyed class needs")
+		len(keys) == 1 && (keys[0] == "" || len(keys[0]) > maxIdempotencyKeyLength) {
+		return request, nil, badRequest(headerIdempotencyKey + ": not the one that a keyed class needs")
 	}
-	in.ClientRetry = h.Get(hRetry) == "1"
-	if body, no = ReadBody(w, r, budget, time.Now().Add(time.Duration(wait)*time.Millisecond)); no != nil {
-		return in, nil, no
+	request.ClientRetry = h.Get(headerRetry) == "1"
+	if body, problem = ReadBody(w, r, budget, time.Now().Add(time.Duration(wait)*time.Millisecond)); problem != nil {
+		return request, nil, problem
 	}
 	if r.Method == http.MethodGet && !body.Empty() {
-		body.Leave()
-		return in, nil, bad("body: this class has none")
+		body.Release()
+		return request, nil, badRequest("body: this class has none")
 	}
-	if _, taken := open.ids.LoadOrStore(id, true); taken {
-		body.Leave()
-		return in, nil, &Bad{Code: http.StatusConflict, Text: hID + ": that of an open request"}
+	if _, taken := openRequests.ids.LoadOrStore(id, true); taken {
+		body.Release()
+		return request, nil, &RequestError{Code: http.StatusConflict, Text: headerRequestID + ": that of an open request"}
 	}
-	header := line(make([]byte, 0, 64+len(id)), hID, id)
+	header := appendHeader(make([]byte, 0, 64+len(id)), headerRequestID, id)
 	for _, key := range keys {
-		header = line(header, hKey, key)
+		header = appendHeader(header, headerIdempotencyKey, key)
 	}
 	if t := h.Get("Content-Type"); t != "" {
-		header = line(header, "Content-Type", t)
+		header = appendHeader(header, "Content-Type", t)
 	}
-	m := &pool.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: body.Kept}
-	if in.Message = m; body.More() {
-		m.Remainder, m.ContentLength = body, r.ContentLength
-		in.BodyPending, in.BodyTimeout = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transit
+	message := &pool.Message{Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: header, Body: body.Buffered}
+	if request.Message = message; body.Pending() {
+		message.Remainder, message.ContentLength = body, r.ContentLength
+		request.BodyPending, request.BodyTimeout = true, min(time.Duration(wait)*time.Millisecond, class.Deadline)-transitTime
 	}
-	return in, body, nil
+	return request, body, nil
 }
 
 // line adds a header's line.
-func line(header []byte, name, value string) []byte {
+func appendHeader(header []byte, name, value string) []byte {
 	return append(append(append(append(header, name...), ": "...), value...), "\r\n"...)
 }
 
-func method(e policy.Idempotency) string {
+func methodFor(e policy.Idempotency) string {
 	if e == policy.Idempotent {
 		return http.MethodGet
 	}
@@ -232,7 +234,7 @@
 
 // weight reads what a request draws and which gateways serve its customer, this one among them. What is out of range
 // would spoil the account of the customer it names.
-func weight(text string, in *core.Request, d *config.Deployment) bool {
+func parseWeight(text string, request *core.Request, d *config.Deployment) bool {
 	spread, first := 0.0, -1.0
 	for text != "" {
 		var part string
@@ -244,26 +246,26 @@
 		}
 		switch key {
 		case "units":
-			in.Units = x
+			request.Units = x
 		case "spread":
 			spread = x
 		case "first":
 			first = x
 		}
 	}
-	in.SetSize, in.FirstGateway = int(spread), int(first)
-	return in.Units > 0 && (d.MaxUnits <= 0 || in.Units <= d.MaxUnits) &&
-		float64(in.SetSize) == spread && in.SetSize >= 1 && in.SetSize <= d.Gateways &&
-		float64(in.FirstGateway) == first && in.FirstGateway >= 0 && in.FirstGateway < d.Gateways &&
-		(d.Self-in.FirstGateway+d.Gateways)%d.Gateways < in.SetSize
+	request.SetSize, request.FirstGateway = int(spread), int(first)
+	return request.Units > 0 && (d.MaxUnits <= 0 || request.Units <= d.MaxUnits) &&
+		float64(request.SetSize) == spread && request.SetSize >= 1 && request.SetSize <= d.Gateways &&
+		float64(request.FirstGateway) == first && request.FirstGateway >= 0 && request.FirstGateway < d.Gateways &&
+		(d.Self-request.FirstGateway+d.Gateways)%d.Gateways < request.SetSize
 }
 
-func end(w http.ResponseWriter, code int) {
+func writeStatus(w http.ResponseWriter, code int) {
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(code)
 }
 
 // seconds writes a wait as the protocol allows it, in decimals.
-func seconds(d time.Duration) string {
+func formatSeconds(d time.Duration) string {
 	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
 }
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -34,7 +34,7 @@
 		list = append(list, policy.ServerInfo{ID: policy.ServerID(i + 1), Weight: 1})
 	}
 	c.Servers(policy.ListFull, list)
-	return &platform.Front{Core: c, Settings: platform.NewSettings(d), Open: &platform.Open{}, Ready: func() bool { return p.ReadyServers() > 0 }}
+	return &platform.Front{Core: c, Settings: platform.NewSettings(d), OpenRequests: &platform.OpenRequests{}, Ready: func() bool { return p.ReadyServers() > 0 }}
 }
 
 // gateway puts a whole gateway before some pool members and gives its address.
