--- a/internal/front/control/control.go
+++ b/internal/front/control/server.go
@@ -1,6 +1,3 @@
-// Package control owns the address at which operators call a gateway: HTTP/1.1, one call to a connection. It asks and
-// moves internal/service and nothing else, so that an answer never waits for clients, members or discovery. It must
-// never change anything without a whole call.
 package control
 
 import (
@@ -18,16 +15,20 @@
 )
 
 const (
-	callTimeout   = 10 * time.Second // for a whole call, where others don't need the room
-	writeTimeout  = time.Second      // for an answer to be taken
+	callTimeout   = 10 * time.Second // for reading a call
+	writeTimeout  = time.Second      // for writing the answer
 	lingerTimeout = 250 * time.Millisecond
 	maxHeadSize   = 8 << 10
 	maxBodySize   = 4 << 10
 )
 
+// methods has the method that each call takes, by path.
+var methods = map[string]string{"/ready": http.MethodGet, "/drain": http.MethodPost, "/undrain": http.MethodPost}
+
 // Server answers operators' calls.
 type Server struct {
-	ReadyDetail func() string // what the answer to /ready says beside the phase; set before Serve; nil: nothing
+	// ReadyDetail returns what the answer to /ready has after the phase. It is set before Serve. nil: nothing.
+	ReadyDetail func() string
 
 	listener   net.Listener
 	state      *service.State
@@ -35,27 +36,28 @@
 	maxCallers int
 	now        func() time.Time
 
-	mu       sync.Mutex
-	callers  []net.Conn // in the order in which they came
-	calls    map[string]uint64
+	mu       sync.Mutex        // guards what follows
+	callers  []net.Conn        // in the order of their arrival
+	calls    map[string]uint64 // by path
 	rejected uint64
 	evicted  uint64
 }
 
-// Listen opens the address, for so many callers at once. At the bound the one that has been there longest makes room.
-// Ready tells whether there is anything to serve with; it must not wait.
+// Listen opens the address, for at most so many callers at once. ready reports whether there is anything to serve
+// with; it must not wait.
 func Listen(addr string, callers int, state *service.State, ready func() bool) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{listener: l, state: state, ready: ready, maxCallers: callers, now: time.Now, calls: map[string]uint64{}}, nil
+	return &Server{listener: l, state: state, ready: ready, maxCallers: callers, now: time.Now,
+		calls: map[string]uint64{}}, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address of the listening socket.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends Serve and what callers there are.
+// Close ends Serve and closes all connections.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -65,26 +67,27 @@
 	}
 }
 
-// Counts are the calls so far: each by its path, those that were none, and callers closed to make room for others.
+// Stats counts the calls so far: by path, those that were rejected, and callers that were closed to make room for
+// others.
 type Stats struct {
 	Ready, Drain, Undrain, Rejected, Evicted uint64
 }
 
-// Counts gives the counts so far.
+// Stats returns the counts so far.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Stats{s.calls["/ready"], s.calls["/drain"], s.calls["/undrain"], s.rejected, s.evicted}
 }
 
-// Serve takes calls until Close.
+// Serve answers calls until Close.
 func (s *Server) Serve() error {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // of one connection, or for want of a descriptor for a moment
+		if err != nil { // one connection failed, or there is no file descriptor for now
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -93,8 +96,8 @@
 	}
 }
 
-// enter keeps a caller, in the place of the one that has been there longest where there are too many: a whole call takes
-// a moment, so that one is the least likely to be making one.
+// addCaller adds a connection, in place of the oldest one if there are too many: a call takes a moment, so that one
+// is the least likely to be making a call.
 func (s *Server) addCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,6 +109,7 @@
 	s.callers = append(s.callers, c)
 }
 
+// removeCaller closes a connection and removes it.
 func (s *Server) removeCaller(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
@@ -118,6 +122,8 @@
 	}
 }
 
+// serve answers the call on a connection, with a lingering close, since closing a socket with unread input may
+// destroy the answer.
 func (s *Server) serve(c net.Conn) {
 	defer s.removeCaller(c)
 	c.SetDeadline(s.now().Add(callTimeout))
@@ -128,14 +134,14 @@
 	c.SetDeadline(s.now().Add(writeTimeout))
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s\n",
 		code, http.StatusText(code), len(text)+1, text)
-	if t, ok := c.(*net.TCPConn); ok { // what is still unread must not take the answer with it
+	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
 		c.SetDeadline(s.now().Add(lingerTimeout))
 		io.Copy(io.Discard, io.LimitReader(c, maxBodySize))
 	}
 }
 
-// call reads one call whole, and only then carries it out. Code 0: there is nobody left to answer.
+// handle reads one call completely, and only then performs it. Code 0 means that the caller has left.
 func (s *Server) handle(c net.Conn) (code int, text string) {
 	limited := &io.LimitedReader{R: c, N: maxHeadSize + maxBodySize}
 	r, err := http.ReadRequest(bufio.NewReader(limited))
@@ -154,7 +160,7 @@
 	} else if err != nil {
 		return s.reject(http.StatusBadRequest, "the body is not whole")
 	}
-	method, known := map[string]string{"/ready": http.MethodGet, "/drain": http.MethodPost, "/undrain": http.MethodPost}[r.URL.Path]
+	method, known := methods[r.URL.Path]
 	if !known {
 		return s.reject(http.StatusNotFound, "calls are GET /ready, POST /drain, POST /undrain")
 	}
@@ -186,6 +192,7 @@
 	return http.StatusOK, phase
 }
 
+// reject counts a rejected call and returns its answer.
 func (s *Server) reject(code int, text string) (int, string) {
 	s.mu.Lock()
 	s.rejected++
--- a/internal/front/control/control_test.go
+++ b/internal/front/control/server_test.go
@@ -35,7 +35,7 @@
 	return c
 }
 
-// call sends bytes and gives the code of the answer, 0 where the connection ends without one, and what it says.
+// call sends bytes and returns the status code of the answer, 0 if the connection ends without one, and its text.
 func call(t *testing.T, s *Server, text string) (int, string) {
 	c := dial(t, s)
 	_, err := io.WriteString(c, text)
@@ -68,7 +68,7 @@
 		{nil, post("/drain"), 200, "draining", service.Draining},
 		{nil, ready, 200, "draining", service.Draining},
 		{nil, post("/drain"), 200, "draining", service.Draining},
-		{nil, post("/undrain") + post("/drain"), 200, "serving", service.Serving}, // the second call is none
+		{nil, post("/undrain") + post("/drain"), 200, "serving", service.Serving}, // the second call is ignored
 		{func() { state.Shutdown(time.Now(), time.Second) }, post("/undrain"), 503, "ending", service.ShuttingDown},
 		{nil, ready, 503, "ending", service.ShuttingDown},
 	} {
@@ -83,7 +83,7 @@
 	assert.Equal(t, Stats{Ready: 4, Drain: 2, Undrain: 3}, s.Stats())
 }
 
-// Whatever is no whole call gets a clear no, or nothing where its caller has left, and changes nothing.
+// What is not a complete call gets an error, or nothing if its caller has left, and changes nothing.
 func TestMalformedCalls(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
@@ -107,7 +107,7 @@
 	}
 }
 
-// callers that hold their connections with half a call never keep another out, and are never answered in its place.
+// Callers that hold connections with half a call don't keep others out, and get no answer.
 func TestIdleCallersAreEvicted(t *testing.T) {
 	s, state := open(t)
 	state.MarkStarted()
--- /dev/null
+++ b/internal/front/introspect/front.go
@@ -0,0 +1,43 @@
+package introspect
+
+import (
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/buffers"
+	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/front/platform"
+)
+
+// Front handles the requests of clients with bearer tokens, and of the site's tools.
+type Front struct {
+	Core         *core.Core
+	Checker      *Checker
+	Settings     *platform.Settings
+	Ready        func() bool
+	OpenRequests *platform.OpenRequests
+	Bodies       *buffers.Budget // memory of request bodies; nil: no bound
+	malformed    atomic.Uint64
+}
+
+// Malformed counts the malformed requests so far.
+func (f *Front) Malformed() uint64 { return f.malformed.Load() }
+
+// ServeHTTP implements http.Handler.
+func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch r.URL.Path {
+	case "/ready":
+		platform.WriteReady(w, f.Ready())
+	case "/introspect":
+		f.serveIntrospection(w, r)
+	default:
+		f.forward(w, r)
+	}
+}
+
+// roundUpRetryAfter rounds up to whole seconds, as RFC 9110 (section 10.2.3) has no decimals in Retry-After.
+func roundUpRetryAfter(a core.Answer) core.Answer {
+	a.RetryAfter = (a.RetryAfter + time.Second - 1).Truncate(time.Second)
+	return a
+}
--- a/internal/front/introspect/introspect_test.go
+++ b/internal/front/introspect/front_test.go
@@ -26,20 +26,22 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-const stalled = 10 * time.Second
+// stallTime is the time for which a stalled endpoint does not answer.
+const stallTime = 10 * time.Second
 
 var (
 	active  = fake.OK(`{"active":true,"scope":"read orders.write","sub":"farm-9","account":"00000000b4d65521"}`)
 	revoked = fake.OK(`{"active":false}`)
 )
 
-type site struct {
+// testFront is the address of a front and the counters of its two cores.
+type testFront struct {
 	base         string
 	main, checks func() string
 }
 
-// open puts the front before one pool member and one endpoint.
-func open(t *testing.T, member, endpoint *fake.Peer, change func(*config.Introspection)) site {
+// start puts a front before one server and one endpoint.
+func start(t *testing.T, member, endpoint *fake.Peer, change func(*config.Introspection)) testFront {
 	d := fake.Deployment()
 	conf := config.Introspection{Endpoints: []string{endpoint.Addr}, Path: "/oauth/introspect", ClientID: "gate",
 		ClientSecret: "s:e", Timeout: 5 * time.Second, Realm: "farm", Scopes: map[string]string{"work-order": "orders.write"},
@@ -58,20 +60,21 @@
 	require.NoError(t, err)
 	require.NoError(t, checker.Start(nil))
 	t.Cleanup(checker.Close)
-	s := httptest.NewServer(&introspect.Front{Core: c, Checker: checker, Settings: platform.NewSettings(d), OpenRequests: &platform.OpenRequests{},
-		Ready: func() bool { return true }})
+	s := httptest.NewServer(&introspect.Front{Core: c, Checker: checker, Settings: platform.NewSettings(d),
+		OpenRequests: &platform.OpenRequests{}, Ready: func() bool { return true }})
 	t.Cleanup(s.Close)
-	return site{s.URL, func() string { return c.Counters().String() }, func() string { return checker.Counters().String() }}
+	return testFront{s.URL, func() string { return c.Counters().String() },
+		func() string { return checker.Counters().String() }}
 }
 
-func order(t *testing.T, s site, waitMs int) (*http.Response, string) {
+func send(t *testing.T, s testFront, waitMs int) (*http.Response, string) {
 	return fake.Ask(t, s.base, "work-order", "utility", waitMs, "Authorization", "Bearer tok-1.~/+=")
 }
 
-func TestActiveTokenGoesOn(t *testing.T) {
+func TestActiveTokenIsForwarded(t *testing.T) {
 	member, endpoint := fake.New(t, fake.OK("sent")), fake.New(t, active)
-	s := open(t, member, endpoint, nil)
-	resp, body := order(t, s, 20000)
+	s := start(t, member, endpoint, nil)
+	resp, body := send(t, s, 20000)
 	assert.Equal(t, http.StatusOK, resp.StatusCode)
 	assert.Equal(t, "sent", body)
 	asked := endpoint.Seen()[0]
@@ -82,28 +85,28 @@
 	assert.Empty(t, member.Seen()[0].Header.Get("Authorization"))
 }
 
-// The endpoint stalls: every request has one answer, which says when to come back, and no work-order has run. The
-// check's own time-out ends the wait, or where that is longer the client's deadline.
+// The endpoint stalls: every request has one answer, with a Retry-After, and none was executed. The check's timeout
+// ends the wait, or the client's deadline if that is earlier.
 func TestStalledEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		timeout time.Duration
 		waitMs  int
 	}{{400 * time.Millisecond, 20000}, {30 * time.Second, 1500}} {
-		member, endpoint := fake.New(t, fake.OK("sent")), fake.New(t, fake.Stall(stalled))
-		s := open(t, member, endpoint, func(in *config.Introspection) { in.Timeout = c.timeout })
+		member, endpoint := fake.New(t, fake.OK("sent")), fake.New(t, fake.Stall(stallTime))
+		s := start(t, member, endpoint, func(in *config.Introspection) { in.Timeout = c.timeout })
 		const n = 40
 		began := time.Now()
 		var answered sync.WaitGroup
 		codes := make([]int, n)
 		for i := range n {
 			answered.Go(func() {
-				resp, _ := order(t, s, c.waitMs)
+				resp, _ := send(t, s, c.waitMs)
 				codes[i] = resp.StatusCode
 				assert.NotEmpty(t, resp.Header.Get("Retry-After"))
 			})
 		}
 		answered.Wait()
-		assert.Less(t, time.Since(began), stalled)
+		assert.Less(t, time.Since(began), stallTime)
 		for _, code := range codes {
 			assert.Equal(t, http.StatusServiceUnavailable, code)
 		}
@@ -113,9 +116,9 @@
 	}
 }
 
-// Stalls, revocations, lost connections and members that turn work away, all at once: each order has one answer,
-// and the server has counted none that ran twice, nor one that the client was told had not run.
-func TestNoOrderRunsTwice(t *testing.T) {
+// Stalls, revocations, lost connections and servers that reject, all at once: each request has one answer, none was
+// executed twice, and none that the client was told had not been.
+func TestNoRequestRunsTwice(t *testing.T) {
 	var mu sync.Mutex
 	var asked, came int
 	runs := map[string]int{}
@@ -128,7 +131,7 @@
 		case 3:
 			return revoked(p, c, r)
 		case 7:
-			return fake.Stall(stalled)(p, c, r)
+			return fake.Stall(stallTime)(p, c, r)
 		}
 		return active(p, c, r)
 	})
@@ -148,7 +151,7 @@
 		}
 		return fake.OK("sent")(p, c, r)
 	})
-	s := open(t, member, endpoint, func(in *config.Introspection) { in.Timeout = 2 * time.Second })
+	s := start(t, member, endpoint, func(in *config.Introspection) { in.Timeout = 2 * time.Second })
 	const n = 120
 	var answered sync.WaitGroup
 	places := make(chan bool, 6)
@@ -173,7 +176,7 @@
 		switch code {
 		case http.StatusOK, http.StatusBadGateway:
 			assert.Equal(t, 1, ran)
-		default: // 401, 429 and 503 say that it never ran
+		default: // 401, 429 and 503 say that it was not executed
 			assert.Zero(t, ran, code)
 		}
 	}
@@ -183,7 +186,7 @@
 	assert.Contains(t, s.main(), fmt.Sprintf("taken=%d open=0 ", n))
 }
 
-// An endpoint behind TLS is asked only where its certificate holds.
+// An endpoint behind TLS is asked only if its certificate is valid.
 func TestEndpointBehindTLS(t *testing.T) {
 	as := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"active":true,"scope":"orders.write"}`)
@@ -192,69 +195,73 @@
 	as.Config.ErrorLog = log.New(io.Discard, "", 0)
 	roots := x509.NewCertPool()
 	roots.AddCert(as.Certificate())
-	for pool, code := range map[*x509.CertPool]int{roots: http.StatusOK, x509.NewCertPool(): http.StatusServiceUnavailable} {
+	for pool, code := range map[*x509.CertPool]int{
+		roots:              http.StatusOK,
+		x509.NewCertPool(): http.StatusServiceUnavailable,
+	} {
 		member := fake.New(t, fake.OK("sent"))
-		s := open(t, member, &fake.Peer{Addr: strings.TrimPrefix(as.URL, "https://")}, func(in *config.Introspection) {
+		s := start(t, member, &fake.Peer{Addr: strings.TrimPrefix(as.URL, "https://")}, func(in *config.Introspection) {
 			in.TLS, in.Roots = true, pool
 		})
 		for range 2 { // the second time on the same connection
-			resp, _ := order(t, s, 20000)
+			resp, _ := send(t, s, 20000)
 			assert.Equal(t, code, resp.StatusCode)
 		}
 	}
 }
 
-// The stall comes between a try and its retry: the first may be refused as it never ran, and it isn't tried again.
+// The endpoint stalls between an attempt and its retry: the request is rejected, as it was not executed, and not
+// retried.
 func TestStallBeforeRetry(t *testing.T) {
-	member, endpoint := fake.New(t, fake.NotRun(), fake.OK("sent")), fake.New(t, active, fake.Stall(stalled))
-	s := open(t, member, endpoint, func(c *config.Introspection) { c.Timeout = 1500 * time.Millisecond })
-	resp, _ := order(t, s, 20000)
+	member, endpoint := fake.New(t, fake.NotRun(), fake.OK("sent")), fake.New(t, active, fake.Stall(stallTime))
+	s := start(t, member, endpoint, func(c *config.Introspection) { c.Timeout = 1500 * time.Millisecond })
+	resp, _ := send(t, s, 20000)
 	assert.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	assert.NotEmpty(t, resp.Header.Get("Retry-After"))
 	assert.Len(t, member.Seen(), 1)
 	assert.Contains(t, s.main(), "answered_refused=1 ")
 }
 
-// The token is revoked between a try and its retry: the retry is never sent.
+// The token is revoked between an attempt and its retry: the retry is not sent.
 func TestRevokedBeforeRetry(t *testing.T) {
 	member, endpoint := fake.New(t, fake.NotRun(), fake.OK("sent")), fake.New(t, active, revoked)
-	s := open(t, member, endpoint, nil)
-	resp, _ := order(t, s, 20000)
+	s := start(t, member, endpoint, nil)
+	resp, _ := send(t, s, 20000)
 	assert.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 	assert.Equal(t, `Bearer realm="farm", error="invalid_token"`, resp.Header.Get("WWW-Authenticate"))
 	assert.Len(t, member.Seen(), 1)
 	assert.Len(t, endpoint.Seen(), 2)
 }
 
-// A retry that is allowed asks again, and the order runs once.
-func TestRetryAsksAgain(t *testing.T) {
+// A retry checks the token again, and the request is executed once.
+func TestRetryChecksAgain(t *testing.T) {
 	member, endpoint := fake.New(t, fake.NotRun(), fake.OK("sent")), fake.New(t, active)
-	s := open(t, member, endpoint, nil)
-	resp, _ := order(t, s, 20000)
+	s := start(t, member, endpoint, nil)
+	resp, _ := send(t, s, 20000)
 	assert.Equal(t, http.StatusOK, resp.StatusCode)
 	assert.Len(t, member.Seen(), 2)
 	assert.Len(t, endpoint.Seen(), 2)
 }
 
-// An order that may have run has one final answer, and it is no invitation to come back.
-func TestMayHaveRunIsNotRefused(t *testing.T) {
+// A request that may have been executed gets a final answer without a Retry-After.
+func TestPossiblyExecutedIsNotRejected(t *testing.T) {
 	member, endpoint := fake.New(t, fake.Reset), fake.New(t, active)
-	s := open(t, member, endpoint, nil)
-	resp, _ := order(t, s, 20000)
+	s := start(t, member, endpoint, nil)
+	resp, _ := send(t, s, 20000)
 	assert.Equal(t, http.StatusBadGateway, resp.StatusCode)
 	assert.Empty(t, resp.Header.Get("Retry-After"))
 	assert.Len(t, member.Seen(), 1)
 }
 
-// What is no verdict lets nothing pass, and whatever goes wrong, no token gets into the log.
+// Nothing passes without a valid introspection response, and whatever goes wrong, no token is logged.
 func TestFailsClosed(t *testing.T) {
 	lines := fake.Log(t)
 	for name, reply := range map[string]fake.Reply{"no JSON": fake.OK("yes"), "no active": fake.OK(`{"scope":"a"}`),
 		"active is text": fake.OK(`{"active":"true"}`), "our own login is refused": fake.Says(401, "", `{"active":true}`),
 		"error": fake.Says(500, "", `{"active":true}`), "reset": fake.Reset} {
 		member := fake.New(t, fake.OK("sent"))
-		s := open(t, member, fake.New(t, reply), nil)
-		resp, _ := order(t, s, 20000)
+		s := start(t, member, fake.New(t, reply), nil)
+		resp, _ := send(t, s, 20000)
 		assert.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, name)
 		assert.Regexp(t, `^[1-9][0-9]*$`, resp.Header.Get("Retry-After"), name) // RFC 9110: whole seconds
 		assert.Empty(t, member.Seen(), name)
@@ -281,7 +288,7 @@
 		{"account", "Bearer a", `{"active":true,"scope":"orders.write","account":"07"}`, 403,
 			`Bearer realm="farm", error="insufficient_scope"`},
 	} {
-		s := open(t, member, fake.New(t, fake.OK(c.reply)), func(c *config.Introspection) { c.AccountClaim = "account" })
+		s := start(t, member, fake.New(t, fake.OK(c.reply)), func(c *config.Introspection) { c.AccountClaim = "account" })
 		resp, _ := fake.Ask(t, s.base, "work-order", "utility", 20000, "Authorization", c.header)
 		assert.Equal(t, c.code, resp.StatusCode, c.name)
 		assert.Equal(t, c.want, resp.Header.Get("WWW-Authenticate"), c.name)
@@ -298,16 +305,17 @@
 		code             int
 		want             string
 	}{
-		{"active", "console", "tool secret", form, fake.OK(`{"active":true,"sub":"farm-9"}`), 200, `{"active":true,"sub":"farm-9"}`},
+		{"active", "console", "tool secret", form, fake.OK(`{"active":true,"sub":"farm-9"}`), 200,
+			`{"active":true,"sub":"farm-9"}`},
 		{"unknown", "console", "tool secret", form, fake.OK(`{"active":false,"sub":"farm-9"}`), 200, `{"active":false}`},
 		{"no login", "", "", form, active, 401, `{"error":"invalid_client"}`},
 		{"wrong secret", "console", "x", form, active, 401, `{"error":"invalid_client"}`},
 		{"wrong tool", "other", "tool secret", form, active, 401, `{"error":"invalid_client"}`},
 		{"no token", "console", "tool secret", url.Values{}, active, 400, `{"error":"invalid_request"}`},
-		{"no verdict", "console", "tool secret", form, fake.Stall(stalled), 503, ""},
+		{"no result", "console", "tool secret", form, fake.Stall(stallTime), 503, ""},
 	} {
 		endpoint := fake.New(t, c.reply)
-		s := open(t, fake.New(t, fake.OK("")), endpoint, func(in *config.Introspection) {
+		s := start(t, fake.New(t, fake.OK("")), endpoint, func(in *config.Introspection) {
 			if c.code == 503 {
 				in.Timeout = time.Second / 2
 			}
@@ -322,10 +330,10 @@
 	}
 }
 
-// A customer beyond its quota doesn't reach the endpoint more often than its quota allows either.
+// Checks of a customer beyond its quota don't reach the endpoint either.
 func TestChecksKeepQuotas(t *testing.T) {
 	member, endpoint := fake.New(t, fake.OK("sent")), fake.New(t, active)
-	s := open(t, member, endpoint, nil)
+	s := start(t, member, endpoint, nil)
 	for range 20 {
 		fake.Ask(t, s.base, "work-order", "tiny", 20000, "Authorization", "Bearer a")
 	}
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -4,55 +4,59 @@
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/buffers"
-	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// This file owns bodies on their way in and answers on their way out: how fast they must come and go, and what is kept of
-// them. It must never make a whole of what is none.
-
 const (
-	// bodyPause is how long a client may send nothing of a body: one that never comes whole is owed an end soon.
+	// maxBodyPause is the time for which a client may send nothing of a body.
 	maxBodyPause = 2500 * time.Millisecond
-	// bodyRate is the least rate of a body beyond its first pause: half of what the protocol's slow clients send at.
-	minBodyRate = 32 << 10 // bytes a second
-	// firstStep is what a body holds at first: what a client says of its length need not come.
+	// minBodyRate is the minimum average rate of a body after its first pause, in bytes a second: half of that of
+	// the slow clients in the protocol.
+	minBodyRate = 32 << 10
+	// initialBufferSize is what is reserved for a body at first, in bytes, as a client may send less than it
+	// announces.
 	initialBufferSize = 4 << 10
 )
 
-// Body is a request's body: all of it, or its beginning and what follows it, which a pool member's flow reads.
+var (
+	errBodyClosed = errors.New("platform: the request of the body has its answer")
+	errTooLong    = errors.New("platform: body exceeds the maximum size")
+)
+
+// bodyTooLong is the error of a body over the maximum size.
+var bodyTooLong = &RequestError{Code: http.StatusRequestEntityTooLarge, Text: "body: too long"}
+
+// Body is a request's body: all of it in Buffered, or its beginning, and Read for the rest. An attempt reads it
+// while the front may close it.
 type Body struct {
 	Buffered []byte
 
 	controller *http.ResponseController
 	request    *http.Request
 	budget     *buffers.Budget
-	reserved   int64
-	paceStart  time.Time // later by as much as was not asked for more
-
-	mu       sync.Mutex // between the flow that reads and the front that ends
-	received int64      // read so far
-	lastRead time.Time  // when the last reading ended
-	ended    bool       // all has been read
-	closed   bool
-	err      error
+	reserved   int64 // bytes of the budget
+
+	mu        sync.Mutex // guards what follows
+	paceStart time.Time  // from which the rate is measured; moved on by the time in which nobody read
+	received  int64      // bytes so far
+	lastRead  time.Time  // end of the last read
+	ended     bool       // read to its end
+	closed    bool
+	err       error // final error of reads
 }
 
-var errBodyClosed = errors.New("its transaction is over")
-
-// ReadBody reads what is kept of a body: all that is no longer than 64 KiB; of one that says it is longer, a piece. It waits
-// for room until some moment.
-func ReadBody(w http.ResponseWriter, r *http.Request, budget *buffers.Budget, deadline time.Time) (*Body, *RequestError) {
+// ReadBody reads the buffered part of a body: all if it has at most 64 KiB, or a piece if it announces more. It
+// waits for memory until a deadline.
+func ReadBody(w http.ResponseWriter, r *http.Request, budget *buffers.Budget,
+	deadline time.Time) (*Body, *RequestError) {
 	b := &Body{controller: http.NewResponseController(w), request: r, budget: budget, paceStart: time.Now()}
 	if b.lastRead = b.paceStart; r.ContentLength == 0 {
 		b.ended = true
-		b.controller.SetReadDeadline(time.Time{}) // a client's leaving is watched for as long as its answer takes
+		b.controller.SetReadDeadline(time.Time{}) // else a deadline would look like the client's disconnect
 		return b, nil
 	}
 	if r.ContentLength > pool.MaxBodySize {
@@ -67,7 +71,8 @@
 	for size := min(initialBufferSize, limit); ; size = min(2*size, limit) {
 		if !b.grow(size, deadline) {
 			b.Release()
-			return nil, &RequestError{Code: http.StatusServiceUnavailable, Text: "body: no room for it now", RetryAfter: time.Second}
+			return nil, &RequestError{Code: http.StatusServiceUnavailable, Text: "body: no room for it now",
+				RetryAfter: time.Second}
 		}
 		for len(b.Buffered) < cap(b.Buffered) && !b.ended {
 			n, err := b.Read(b.Buffered[len(b.Buffered):cap(b.Buffered)])
@@ -81,14 +86,14 @@
 			break
 		}
 	}
-	if r.ContentLength == int64(len(b.Buffered)) && !b.ended { // the end must be read for a client's leaving to be noticed
+	if r.ContentLength == int64(len(b.Buffered)) && !b.ended { // net/http watches for a disconnect only after the end
 		var one [1]byte
 		b.Read(one[:])
 	}
 	return b, nil
 }
 
-// grow makes room for so many bytes in all.
+// grow enlarges the buffer to so many bytes in total.
 func (b *Body) grow(size int64, deadline time.Time) bool {
 	if !b.budget.Acquire(size-b.reserved, deadline) {
 		return false
@@ -100,13 +105,13 @@
 	return true
 }
 
-// Empty tells whether there is no body.
+// Empty reports whether there is no body.
 func (b *Body) Empty() bool { return len(b.Buffered) == 0 && b.ended }
 
-// More tells whether something may follow what is kept.
+// Pending reports whether anything may follow the buffered part.
 func (b *Body) Pending() bool { return !b.ended }
 
-// Read gives a flow the next bytes, until its transaction has its answer.
+// Read reads the bytes after the buffered part, until the body is closed.
 func (b *Body) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	closed := b.closed
@@ -117,7 +122,8 @@
 	return b.read(p)
 }
 
-// read gives the next bytes. It waits for as long as the client may pause, and all in all for as long as its rate allows.
+// read reads the next bytes. It waits for at most maxBodyPause, and in total for as long as the minimum rate
+// allows.
 func (b *Body) read(p []byte) (int, error) {
 	b.mu.Lock()
 	if b.err != nil || b.ended {
@@ -144,19 +150,14 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		b.ended = true
-		b.controller.SetReadDeadline(time.Time{}) // what comes next is an end or the next request, and may take long
+		b.controller.SetReadDeadline(time.Time{}) // what follows is a disconnect or the next request
 	case err != nil:
 		b.err = err
 	}
 	return n, err
 }
 
-var (
-	errTooLong  = errors.New("more than there can be")
-	bodyTooLong = &RequestError{Code: http.StatusRequestEntityTooLarge, Text: "body: too long"}
-)
-
-// Fault tells what was wrong with the body, if anything was.
+// Fault returns what is wrong with the body, or nil.
 func (b *Body) Fault() *RequestError {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,7 +170,8 @@
 	return nil
 }
 
-// Early prepares an answer to a body that is still coming: it is the connection's last, and goes out at once.
+// PrepareEarlyAnswer prepares an answer while the body may still be arriving: it is the last one of the connection,
+// and can be written before the body was read.
 func (b *Body) PrepareEarlyAnswer(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,7 +181,7 @@
 	}
 }
 
-// Leave gives the memory back.
+// Release releases the memory, and ends reads by an attempt.
 func (b *Body) Release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -188,8 +190,8 @@
 	b.reserved = 0
 }
 
-// Close leaves the body. What still comes is read and thrown away, within the bounds of any body: a connection that
-// is closed on it would take the answer with it before the client has read that.
+// Close releases the body. What still arrives is read and discarded, at the rate of any body: closing the
+// connection with unread input could destroy the answer before the client has read it.
 func (b *Body) Close() {
 	b.Release()
 	b.mu.Lock()
@@ -202,64 +204,3 @@
 	for _, err := b.read(buf); err == nil; _, err = b.read(buf) {
 	}
 }
-
-// Write gives a client the final answer. A 429 or 503 says that asking again is harmless, so nothing else may
-// use them.
-func WriteAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	defer a.Discard()
-	h := w.Header()
-	switch a.Kind {
-	case core.Served:
-		if a.ContentType != "" {
-			h.Set("Content-Type", a.ContentType)
-		}
-		if a.Remainder != nil {
-			streamAnswer(w, r, a)
-			return
-		}
-		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-		w.Write(a.Body)
-	case core.Refused:
-		code := http.StatusTooManyRequests
-		if a.Attempted {
-			code = http.StatusServiceUnavailable
-		}
-		h.Set("Retry-After", formatSeconds(a.RetryAfter))
-		writeStatus(w, code)
-	case core.Unauthorized:
-		writeStatus(w, http.StatusUnauthorized)
-	case core.Failed:
-		if a.TimedOut {
-			writeStatus(w, http.StatusGatewayTimeout)
-		} else {
-			writeStatus(w, http.StatusBadGateway)
-		}
-	case core.ClientGone:
-		panic(http.ErrAbortHandler) // nobody to answer
-	}
-}
-
-// pass writes a long answer as it comes. One that breaks is made to look so.
-func streamAnswer(w http.ResponseWriter, r *http.Request, a core.Answer) {
-	if a.ContentLength >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.ContentLength, 10))
-	}
-	controller := http.NewResponseController(w)
-	piece := a.Body
-	for {
-		if len(piece) > 0 {
-			controller.SetWriteDeadline(time.Now().Add(pool.StallTimeout))
-			if _, err := w.Write(piece); err != nil || controller.Flush() != nil {
-				panic(http.ErrAbortHandler) // the client has left, or takes nothing
-			}
-		}
-		n, err := a.Remainder.Read(a.Body[:cap(a.Body)])
-		piece = a.Body[:n]
-		switch {
-		case errors.Is(err, io.EOF) && n == 0:
-			return
-		case err != nil && !errors.Is(err, io.EOF):
-			front.AbortResponse(r)
-		}
-	}
-}
--- a/internal/front/platform/body_test.go
+++ b/internal/front/platform/body_test.go
@@ -20,38 +20,39 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// door is a whole gateway behind its own virtual server, as the program has it.
-func door(t *testing.T, members ...*fake.Peer) (string, *core.Core, *buffers.Budget) {
-	f := behind(t, members...)
+// startServer starts a gateway behind its own server, as the program has it.
+func startServer(t *testing.T, members ...*fake.Peer) (string, *core.Core, *buffers.Budget) {
+	f := newFront(t, members...)
 	f.Bodies = buffers.New(1 << 20)
-	s, err := front.Listen(front.Options{Address: "127.0.0.1:0", MaxConnections: 50, MaxRequestDeadline: f.Settings.Get().LongestDeadline()}, f)
+	s, err := front.Listen(front.Options{Address: "127.0.0.1:0", MaxConnections: 50,
+		MaxRequestDeadline: f.Settings.Get().LongestDeadline()}, f)
 	require.NoError(t, err)
 	go s.Serve()
 	t.Cleanup(s.Close)
 	return s.Addr(), f.Core, f.Bodies
 }
 
-// conn is a client's connection.
-type conn struct {
+// testClient is a client's connection.
+type testClient struct {
 	net.Conn
 	in *bufio.Reader
 	t  *testing.T
 }
 
-func dial(t *testing.T, addr string) conn {
+func dial(t *testing.T, addr string) testClient {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(time.Minute))
-	return conn{c, bufio.NewReader(c), t}
+	return testClient{c, bufio.NewReader(c), t}
 }
 
-func (c conn) say(text string) {
+func (c testClient) write(text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(c.t, err)
 }
 
-func (c conn) answer() (int, string, error) {
+func (c testClient) readResponse() (int, string, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, "", err
@@ -60,11 +61,11 @@
 	return resp.StatusCode, string(body), err
 }
 
-func order(id int, header string) string {
+func requestHead(id int, header string) string {
 	return strings.Replace(head, "Id: 7", fmt.Sprintf("Id: %d", id), 1) + header + "\r\n"
 }
 
-func inChunks(pieces ...string) (text string) {
+func chunked(pieces ...string) (text string) {
 	for _, p := range pieces {
 		if p != "" {
 			text += fmt.Sprintf("%x;x=\"y\"\r\n%s\r\n", len(p), p)
@@ -73,40 +74,42 @@
 	return text + "0\r\nX-Trailer: 1\r\n\r\n"
 }
 
-// A body reaches the member as it was, short or long, with its length or in chunks, cut anywhere and asked for by Expect;
-// requests may come right behind each other.
-func TestBodiesInAllForms(t *testing.T) {
+// A body reaches the server unchanged, short or long, with a length or in chunks, split anywhere and after Expect;
+// requests may be pipelined.
+func TestBodyEncodings(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	addr, c, bodies := door(t, m)
+	addr, c, bodies := startServer(t, m)
 	client, id, served := dial(t, addr), 100, 0
 	for _, size := range []int{1, 5000, pool.MaxBufferedBody, pool.MaxBufferedBody + 1, 300 << 10, 3 << 20} {
 		body := strings.Repeat("0123456789abcdef!", size/17+1)[:size]
 		for name, text := range map[string]string{
-			"length": fmt.Sprintf("Content-Length: %d\r\n", size), "expected": fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", size),
-			"chunks": "Transfer-Encoding: chunked\r\n", "expected chunks": "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n",
+			"length":          fmt.Sprintf("Content-Length: %d\r\n", size),
+			"expected":        fmt.Sprintf("Content-Length: %d\r\nExpect: 100-continue\r\n", size),
+			"chunks":          "Transfer-Encoding: chunked\r\n",
+			"expected chunks": "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n",
 		} {
 			id += 2
-			whole := order(id, text) + body
+			whole := requestHead(id, text) + body
 			if strings.Contains(name, "chunks") {
-				whole = order(id, text) + inChunks(body[:size/3], body[size/3:])
+				whole = requestHead(id, text) + chunked(body[:size/3], body[size/3:])
 			}
 			if strings.Contains(name, "expected") {
 				at := strings.Index(whole, "\r\n\r\n") + 4
-				client.say(whole[:at])
+				client.write(whole[:at])
 				resp, err := http.ReadResponse(client.in, nil)
 				require.NoError(t, err)
 				assert.Equal(t, http.StatusContinue, resp.StatusCode)
 				whole = whole[at:]
 			}
 			cut := min(len(whole), 70000+size%977)
-			client.say(whole[:cut])
-			client.say(whole[cut:] + order(id+1, "Content-Length: 1\r\n") + "x") // another right behind
+			client.write(whole[:cut])
+			client.write(whole[cut:] + requestHead(id+1, "Content-Length: 1\r\n") + "x") // another one pipelined
 			for _, want := range []string{body, "x"} {
-				code, answer, err := client.answer()
+				code, answer, err := client.readResponse()
 				require.NoError(t, err, "%s of %d", name, size)
 				assert.Equal(t, 200, code, "%s of %d", name, size)
 				assert.Equal(t, "done", answer)
-				seen := m.Seen()[served] // the one behind may have come by now too
+				seen := m.Seen()[served] // the pipelined one may have arrived too
 				require.True(t, want == seen.Text, "%s of %d: the member saw %d bytes", name, size, len(seen.Text))
 				served++
 			}
@@ -117,44 +120,45 @@
 	assert.LessOrEqual(t, bodies.Stats().Peak, int64(pool.MaxBufferedBody))
 }
 
-// A refusal goes out at once, while the body is still coming, and the client may finish what it sends before it reads.
-func TestRefusalWhileTheBodyComes(t *testing.T) {
+// A rejection is sent at once, while the body is still arriving, and the client may finish sending before it reads.
+func TestEarlyRejection(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	addr, _, _ := door(t, m)
+	addr, _, _ := startServer(t, m)
 	tiny := func(text string) string { return strings.Replace(text, "Tariff: utility", "Tariff: tiny", 1) }
 	small := dial(t, addr)
-	for id := 1; id < 9; id++ { // the burst of its plan is gone then
-		small.say(tiny(order(id, "Content-Length: 1\r\n")) + "x")
-		_, _, err := small.answer()
+	for id := 1; id < 9; id++ { // which uses up the burst of its plan
+		small.write(tiny(requestHead(id, "Content-Length: 1\r\n")) + "x")
+		_, _, err := small.readResponse()
 		require.NoError(t, err)
 	}
 	c := dial(t, addr)
-	c.say(tiny(order(9, "Content-Length: 2000000\r\n")) + strings.Repeat("x", 100000))
-	code, _, err := c.answer()
+	c.write(tiny(requestHead(9, "Content-Length: 2000000\r\n")) + strings.Repeat("x", 100000))
+	code, _, err := c.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusTooManyRequests, code)
-	c.say(strings.Repeat("x", 1900000))
+	c.write(strings.Repeat("x", 1900000))
 	_, err = c.in.ReadByte()
 	assert.Equal(t, io.EOF, err, "the connection ends in good order")
 }
 
-// Who breaks off, trickles or sends more than there can be is told so or left soon; the member sees no request of it.
-func TestBodiesThatAreNone(t *testing.T) {
+// A client that breaks off, trickles or sends too much gets an error or is closed soon, and no server sees its
+// request.
+func TestTruncatedBodies(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	addr, c, bodies := door(t, m)
+	addr, c, bodies := startServer(t, m)
 	for name, text := range map[string]string{
-		"too long":             order(1, "Content-Length: 62914560\r\n"),
-		"a length, not all":    order(2, "Content-Length: 200000\r\n") + strings.Repeat("x", 100000),
-		"chunks, not all":      order(3, "Transfer-Encoding: chunked\r\n") + "186a0\r\n" + strings.Repeat("x", 100000),
-		"chunks, not the last": order(4, "Transfer-Encoding: chunked\r\n") + "5\r\nabcde\r\n",
-		"no chunks":            order(5, "Transfer-Encoding: chunked\r\n") + "hello there\r\n",
-		"chunks and a length":  order(6, "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n",
-		"another encoding":     order(7, "Transfer-Encoding: gzip\r\n") + "0\r\n\r\n",
+		"too long":             requestHead(1, "Content-Length: 62914560\r\n"),
+		"a length, not all":    requestHead(2, "Content-Length: 200000\r\n") + strings.Repeat("x", 100000),
+		"chunks, not all":      requestHead(3, "Transfer-Encoding: chunked\r\n") + "186a0\r\n" + strings.Repeat("x", 100000),
+		"chunks, not the last": requestHead(4, "Transfer-Encoding: chunked\r\n") + "5\r\nabcde\r\n",
+		"no chunks":            requestHead(5, "Transfer-Encoding: chunked\r\n") + "hello there\r\n",
+		"chunks and a length":  requestHead(6, "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n",
+		"another encoding":     requestHead(7, "Transfer-Encoding: gzip\r\n") + "0\r\n\r\n",
 	} {
 		client := dial(t, addr)
 		begun := time.Now()
-		client.say(text)
-		code, _, err := client.answer()
+		client.write(text)
+		code, _, err := client.readResponse()
 		if err == nil {
 			assert.GreaterOrEqual(t, code, 400, name)
 			assert.NotContains(t, []int{429, 503}, code, name)
@@ -162,30 +166,31 @@
 		assert.Less(t, time.Since(begun), 20*time.Second, name)
 	}
 	assert.Empty(t, m.Seen())
-	require.Eventually(t, func() bool { return bodies.Stats().InUse == 0 && strings.Contains(c.Counters().String(), "open=0") }, time.Minute,
-		time.Millisecond)
+	require.Eventually(t, func() bool {
+		return bodies.Stats().InUse == 0 && strings.Contains(c.Counters().String(), "open=0")
+	}, time.Minute, time.Millisecond)
 }
 
-// A slow body is waited for as long as it keeps to its rate, far beyond the deadline that its head names; the deadline runs
-// from its last byte on.
+// A slow body is waited for as long as it keeps to the minimum rate, far beyond the deadline in its head; the
+// deadline runs from its last byte on.
 func TestSlowBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
-	addr, _, _ := door(t, m)
+	addr, _, _ := startServer(t, m)
 	client := dial(t, addr)
-	client.say(strings.Replace(order(1, "Content-Length: 180000\r\n"), "Ms: 15000", "Ms: 1000", 1))
+	client.write(strings.Replace(requestHead(1, "Content-Length: 180000\r\n"), "Ms: 15000", "Ms: 1000", 1))
 	for range 18 { // at 100 kB a second
-		client.say(strings.Repeat("x", 10000))
+		client.write(strings.Repeat("x", 10000))
 		time.Sleep(100 * time.Millisecond)
 	}
-	code, body, err := client.answer()
+	code, body, err := client.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	assert.Equal(t, "done", body)
 	assert.Len(t, m.Seen()[0].Text, 180000)
 }
 
-// A long answer reaches the client as it was; its first bytes before the member has given the rest.
-func TestLongAnswerPassesThrough(t *testing.T) {
+// A long answer reaches the client unchanged, and its first bytes before the server has sent the rest.
+func TestLongAnswer(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef!", 200000)
 	begun := make(chan bool)
 	m := fake.New(t, fake.OK(long), func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -194,10 +199,10 @@
 		io.WriteString(c, "4\r\nrest\r\n0\r\n\r\n")
 		return true
 	})
-	addr, _, _ := door(t, m)
+	addr, _, _ := startServer(t, m)
 	client := dial(t, addr)
-	client.say(order(1, "Content-Length: 1\r\n") + "x" + order(2, "Content-Length: 1\r\n") + "x")
-	code, body, err := client.answer()
+	client.write(requestHead(1, "Content-Length: 1\r\n") + "x" + requestHead(2, "Content-Length: 1\r\n") + "x")
+	code, body, err := client.readResponse()
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	assert.True(t, body == long)
@@ -213,19 +218,20 @@
 	assert.Equal(t, "rest", string(rest))
 }
 
-// One that breaks off is seen to be broken, whatever its form.
-func TestLongAnswerThatBreaks(t *testing.T) {
+// The client sees that a long answer was truncated, whatever its encoding.
+func TestTruncatedLongAnswer(t *testing.T) {
 	part := strings.Repeat("x", 100000)
-	for _, text := range []string{"Content-Length: 300000\r\n\r\n" + part, "Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + part} {
+	for _, text := range []string{"Content-Length: 300000\r\n\r\n" + part,
+		"Transfer-Encoding: chunked\r\n\r\n30d40\r\n" + part} {
 		m := fake.New(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+text)
 			return false
 		})
-		addr, _, _ := door(t, m)
+		addr, _, _ := startServer(t, m)
 		for _, version := range []string{"HTTP/1.1", "HTTP/1.0"} {
 			client := dial(t, addr)
-			client.say(strings.Replace(order(1, "Content-Length: 1\r\n"), "HTTP/1.1", version, 1) + "x")
-			_, body, err := client.answer()
+			client.write(strings.Replace(requestHead(1, "Content-Length: 1\r\n"), "HTTP/1.1", version, 1) + "x")
+			_, body, err := client.readResponse()
 			assert.Error(t, err, version)
 			assert.LessOrEqual(t, len(body), len(part))
 		}
--- a/internal/front/platform/leaving_test.go
+++ b/internal/front/platform/clientgone_test.go
@@ -14,11 +14,12 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-const read = "GET /health-read HTTP/1.1\r\nHost: x\r\nX-Request-Id: 7\r\nX-Class: health-read\r\nX-Tariff: utility\r\n" +
+const idempotentRequest = "GET /health-read HTTP/1.1\r\nHost: x\r\n" +
+	"X-Request-Id: 7\r\nX-Class: health-read\r\nX-Tariff: utility\r\n" +
 	"X-Subscriber: 01\r\nX-Deadline-Ms: 15000\r\nX-Weight: units=1,spread=1,first=0\r\n\r\n"
 
-// asks sends a request and gives the connection, for its client to leave by.
-func asks(t *testing.T, base, text string) net.Conn {
+// startRequest sends a request and returns the connection.
+func startRequest(t *testing.T, base, text string) net.Conn {
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -27,26 +28,28 @@
 	return c
 }
 
-func says(t *testing.T, c *core.Core, count string) {
-	require.Eventually(t, func() bool { return strings.Contains(c.Counters().String(), count) }, time.Minute, time.Millisecond, count)
+// awaitCounter waits until the counters contain a text.
+func awaitCounter(t *testing.T, c *core.Core, count string) {
+	require.Eventually(t, func() bool { return strings.Contains(c.Counters().String(), count) }, time.Minute,
+		time.Millisecond, count)
 }
 
-// A client leaves while its first attempt is out, which then breaks: none follows, though the class may be repeated.
+// A client leaves during its first attempt, which then fails: there is no retry, though the class is idempotent.
 func TestClientLeavesBetweenAttempts(t *testing.T) {
-	out, breaks := make(chan bool), make(chan bool)
+	sent, reset := make(chan bool), make(chan bool)
 	m := fake.New(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
-		close(out)
-		<-breaks
+		close(sent)
+		<-reset
 		return fake.Reset(p, c, r)
 	}, fake.OK("again"))
 	base, c := gateway(t, m)
-	client := asks(t, base, read)
-	<-out
+	client := startRequest(t, base, idempotentRequest)
+	<-sent
 	client.Close()
-	says(t, c, "answered_gone=1")
-	close(breaks)
-	says(t, c, "open=0")
-	says(t, c, "ended_reset=1")
+	awaitCounter(t, c, "answered_gone=1")
+	close(reset)
+	awaitCounter(t, c, "open=0")
+	awaitCounter(t, c, "ended_reset=1")
 	assert.Len(t, m.Seen(), 1)
 	assert.Contains(t, c.Counters().String(), "sent=1")
 }
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -21,8 +21,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// behind gives a front a core and a pool of some members; what else it needs is the test's.
-func behind(t *testing.T, members ...*fake.Peer) *platform.Front {
+// newFront returns a front with a core and a pool of some servers.
+func newFront(t *testing.T, members ...*fake.Peer) *platform.Front {
 	d := fake.Deployment()
 	p := pool.New(pool.Options{MaxConnections: 50, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
 	t.Cleanup(p.Close)
@@ -34,12 +34,13 @@
 		list = append(list, policy.ServerInfo{ID: policy.ServerID(i + 1), Weight: 1})
 	}
 	c.Servers(policy.ListFull, list)
-	return &platform.Front{Core: c, Settings: platform.NewSettings(d), OpenRequests: &platform.OpenRequests{}, Ready: func() bool { return p.ReadyServers() > 0 }}
+	return &platform.Front{Core: c, Settings: platform.NewSettings(d), OpenRequests: &platform.OpenRequests{},
+		Ready: func() bool { return p.ReadyServers() > 0 }}
 }
 
-// gateway puts a whole gateway before some pool members and gives its address.
+// gateway starts a gateway with some servers and returns its address.
 func gateway(t *testing.T, members ...*fake.Peer) (string, *core.Core) {
-	f := behind(t, members...)
+	f := newFront(t, members...)
 	s := httptest.NewServer(f)
 	t.Cleanup(s.Close)
 	return s.URL, f.Core
@@ -58,7 +59,8 @@
 	assert.NotEmpty(t, got.Header.Get("X-Deadline-Ms"))
 }
 
-// A keyed class's key reaches each member that is tried as the client sent it; without it a member would run a repeat.
+// The idempotency key reaches each server that is tried as the client sent it; without it a server would execute a
+// retry.
 func TestKeyPassesThrough(t *testing.T) {
 	const key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	m := fake.New(t, fake.Reset, fake.OK("read"))
@@ -71,7 +73,7 @@
 	}
 }
 
-// Without its key, or with two, a keyed request is the client's fault: which repeats a member would drop can't be told.
+// A keyed request without a key, or with two, is malformed: servers could not recognize its retries.
 func TestKeyedClassNeedsOneKey(t *testing.T) {
 	m := fake.New(t, fake.OK("read"))
 	base, c := gateway(t, m)
@@ -85,8 +87,9 @@
 	assert.Empty(t, m.Seen())
 }
 
-// What was written whole and then broke may have run: an unsafe class is neither tried again nor told to come back.
-func TestUnsafeResetIsNotRepeated(t *testing.T) {
+// A request that was written whole before a reset may have been executed: if it is not idempotent it is not
+// retried, and the client is not invited to send it again.
+func TestNonIdempotentResetIsNotRetried(t *testing.T) {
 	a, b := fake.New(t, fake.Reset), fake.New(t, fake.Reset)
 	base, _ := gateway(t, a, b)
 	resp, _ := fake.Ask(t, base, "work-order", "utility", 20000)
@@ -95,8 +98,8 @@
 	assert.Equal(t, 1, len(a.Seen())+len(b.Seen()))
 }
 
-// A 500 may have run as well, and so may a 503 that doesn't prove otherwise.
-func TestUnsafeErrorIsNotRepeated(t *testing.T) {
+// The same holds after a 500, and after a 503 that doesn't say that the request was not executed.
+func TestNonIdempotentErrorIsNotRetried(t *testing.T) {
 	for _, code := range []int{500, 503} {
 		m := fake.New(t, fake.Says(code, "", ""))
 		base, _ := gateway(t, m)
@@ -106,7 +109,7 @@
 	}
 }
 
-func TestTurnedAwayIsTriedElsewhere(t *testing.T) {
+func TestRejectedByServerIsRetried(t *testing.T) {
 	m := fake.New(t, fake.NotRun(), fake.OK("done"))
 	base, _ := gateway(t, m)
 	resp, body := fake.Ask(t, base, "work-order", "utility", 20000)
@@ -115,8 +118,8 @@
 	assert.Len(t, m.Seen(), 2)
 }
 
-// A member that takes a request and says nothing: the client hears so before it gives up, and only then.
-func TestSilentMember(t *testing.T) {
+// A server accepts a request and does not answer: the client is told before its own deadline, and not earlier.
+func TestSilentServer(t *testing.T) {
 	m := fake.New(t, fake.Stall(time.Hour))
 	base, _ := gateway(t, m)
 	resp, _ := fake.Ask(t, base, "work-order", "utility", 2000)
@@ -124,9 +127,9 @@
 	assert.Len(t, m.Seen(), 1)
 }
 
-// A refusal comes at once, long before the deadline, and says when to come back: so soon that an answer can still be in
-// time then, an eighth of the aim.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+// A rejection is sent at once, long before the deadline, and says when to retry: an eighth of the latency target,
+// so that there is still time for an answer.
+func TestRejectionHasRetryAfter(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, c := gateway(t, m)
 	for range 20 {
@@ -140,8 +143,8 @@
 	assert.Contains(t, c.Counters().String(), "taken=20 open=0")
 }
 
-// What a request drew is its good answer's to tell: a quota of two units is spent by one guess of two, and not where the
-// answer says that it was less. A figure that is none counts as not told.
+// The true cost of a request is charged if a successful answer has it: a quota of two units is used up by one
+// request estimated at two, but not if the answer says that it was less. A malformed cost is ignored.
 func TestTrueCostSettlesTheQuota(t *testing.T) {
 	for told, spent := range map[string]bool{"X-True-Cost: 0.01\r\n": false, "X-True-Cost: 2\r\n": true, "": true,
 		"X-True-Cost: -7\r\n": true, "X-True-Cost: nan\r\n": true, "X-True-Cost: 1e300\r\n": true} {
@@ -176,7 +179,7 @@
 		time.Millisecond)
 }
 
-// What is malformed reaches neither the module nor a member.
+// A malformed request reaches neither the decision module nor a server.
 func TestMalformed(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, c := gateway(t, m)
@@ -197,7 +200,7 @@
 	assert.Empty(t, m.Seen())
 }
 
-// raw sends bytes on a connection of their own and reads all that comes back until its end.
+// raw sends bytes on a connection of their own, and returns all that comes back.
 func raw(t *testing.T, base, text string) string {
 	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	require.NoError(t, err)
@@ -213,20 +216,21 @@
 const head = "POST /work-order HTTP/1.1\r\nHost: x\r\nX-Request-Id: 7\r\nX-Class: work-order\r\nX-Tariff: utility\r\n" +
 	"X-Subscriber: 01\r\nX-Deadline-Ms: 15000\r\nX-Weight: units=1,spread=1,first=0\r\n"
 
-// A request with two lengths may hide another in its body: neither goes on, and the connection ends.
-func TestHiddenRequest(t *testing.T) {
+// A request with two lengths may hide another in its body: neither is forwarded, and the connection ends.
+func TestRequestSmuggling(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, c := gateway(t, m)
 	hidden := strings.Replace(head, "Id: 7", "Id: 8", 1) + "Content-Length: 0\r\n\r\n"
-	got := raw(t, base, head+fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s", 5+len(hidden), hidden))
+	length := fmt.Sprintf("Content-Length: %d\r\n", 5+len(hidden))
+	got := raw(t, base, head+length+"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+hidden)
 	assert.True(t, strings.HasPrefix(got, "HTTP/1.1 400 "), got)
 	assert.Equal(t, 1, strings.Count(got, "HTTP/1.1 "))
 	assert.Contains(t, c.Counters().String(), "taken=0 ")
 	assert.Empty(t, m.Seen())
 }
 
-// A body that never comes whole is not waited for until the deadline.
-func TestHalfABody(t *testing.T) {
+// A body that never arrives completely is not waited for until the deadline.
+func TestTruncatedBody(t *testing.T) {
 	m := fake.New(t, fake.OK("done"))
 	base, _ := gateway(t, m)
 	got := raw(t, base, head+"Content-Length: 9\r\n\r\nhalf")
@@ -234,8 +238,8 @@
 	assert.Empty(t, m.Seen())
 }
 
-// The id of an open request, brought by another, would look like a second copy of it.
-func TestIdOfAnOpenRequest(t *testing.T) {
+// A request with the id of an open one is rejected: it would look like a second copy of that.
+func TestDuplicateRequestID(t *testing.T) {
 	seen := make(chan bool)
 	m := fake.New(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
 		<-seen
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/request.go
@@ -1,16 +1,10 @@
-// Package platform is the thin front for the platform's protocol: it reads a client's request into a
-// transaction, and writes the transaction's final answer. It must never choose an answer; what is malformed gets
-// a 4xx and reaches neither the module nor a pool member.
 package platform
 
 import (
-	"io"
 	"net/http"
 	"net/url"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/buffers"
@@ -21,115 +15,35 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The platform's headers.
+// Headers of the platform's protocol.
 const (
 	headerRequestID      = "X-Request-Id"
 	headerClass          = "X-Class"
-	headerTariff         = "X-Tariff"
-	headerCustomer       = "X-Subscriber"
+	headerTariff         = "X-Tariff"     // the plan
+	headerCustomer       = "X-Subscriber" // hexadecimal
 	headerDeadline       = "X-Deadline-Ms"
-	headerWeight         = "X-Weight"
-	headerRetry          = "X-Retry"
+	headerWeight         = "X-Weight" // see parseWeight
+	headerRetry          = "X-Retry"  // "1": the client's own retry
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
 const (
 	maxCustomerID           = 1 << 33
-	maxRequestIDLength      = 128
-	maxIdempotencyKeyLength = 255
-	// transit is taken off a deadline, which runs from when the client sent: the way here and back.
+	maxRequestIDLength      = 128 // bytes
+	maxIdempotencyKeyLength = 255 // bytes
+	// transitTime is subtracted from a deadline, which runs from when the client sent: for the way here and back.
 	transitTime = 6 * time.Millisecond
 )
 
-// Front is the platform's front.
-type Front struct {
-	Core         *core.Core
-	Settings     *Settings
-	Ready        func() bool
-	OpenRequests *OpenRequests
-	Bodies       *buffers.Budget // what bodies may hold in memory; nil: as much as they like
-	malformed    atomic.Uint64
-}
-
-// Settings holds those in force, which are exchanged as a whole.
-type Settings struct {
-	current atomic.Pointer[config.Deployment]
-}
-
-// NewSettings gives a holder.
-func NewSettings(d config.Deployment) *Settings {
-	s := &Settings{}
-	s.Set(d)
-	return s
-}
-
-// Set puts others in force: what is read from now on is read under them.
-func (s *Settings) Set(d config.Deployment) { s.current.Store(&d) }
-
-// Get gives those in force, which nobody changes.
-func (s *Settings) Get() *config.Deployment { return s.current.Load() }
-
-// Open holds the ids of the requests that are open, whichever front they came through. A request under the id of
-// another that is open would reach a pool member as a second copy of that one.
-type OpenRequests struct{ ids sync.Map }
-
-// Leave forgets the id of a request that Read has let in.
-func (o *OpenRequests) Remove(r *http.Request) { o.ids.Delete(r.Header.Get(headerRequestID)) }
-
-// Malformed counts the requests that were none.
-func (f *Front) Malformed() uint64 { return f.malformed.Load() }
-
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrived := f.Core.Now()
-	if r.URL.Path == "/ready" {
-		WriteReady(w, f.Ready())
-		return
-	}
-	request, body, problem := ReadRequest(w, r, f.Settings.Get(), f.OpenRequests, f.Bodies, arrived)
-	if problem != nil {
-		f.malformed.Add(1)
-		problem.Write(w)
-		return
-	}
-	defer f.OpenRequests.Remove(r)
-	if problem := Respond(w, r, body, f.Core.Serve(r.Context(), request)); problem {
-		f.malformed.Add(1)
-	}
-}
-
-// Answer gives a client the final answer to a request with a body, and tells whether it was none: whatever the module
-// made of it, a body that didn't come whole is the client's fault.
-func Respond(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
-	if problem := body.Fault(); problem != nil && a.Kind != core.Served {
-		body.Close()
-		a.Discard()
-		problem.Write(w)
-		return true
-	}
-	defer body.Close()
-	body.PrepareEarlyAnswer(w)
-	WriteAnswer(w, r, a)
-	return false
-}
-
-// Ready answers the question whether the gateway can serve.
-func WriteReady(w http.ResponseWriter, ready bool) {
-	if !ready {
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
-		return
-	}
-	io.WriteString(w, "ready\n")
-}
-
-// Bad says what is wrong with a request.
+// RequestError says why a request is not accepted, as it is told to the client.
 type RequestError struct {
 	Code       int
 	Text       string
-	RetryAfter time.Duration // where asking again is harmless
+	RetryAfter time.Duration // if above 0 the request may be sent again after that time
 }
 
-// Write answers with it and ends the connection: where such a request ends can't be relied on, and what follows it
-// could be another hidden in its body.
+// Write writes the error and ends the connection: it is not certain where a malformed request ends, and what
+// follows it could be another request that is hidden in its body.
 func (b *RequestError) Write(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	if b.RetryAfter > 0 {
@@ -138,14 +52,23 @@
 	http.Error(w, b.Text, b.Code)
 }
 
+// badRequest returns the error of a malformed request.
 func badRequest(text string) *RequestError {
 	return &RequestError{Code: http.StatusBadRequest, Text: text}
 }
 
-// Read checks a request and gives its transaction, whose id is open until Leave, and its body, which is to be closed once
-// the transaction has its answer.
-func ReadRequest(w http.ResponseWriter, r *http.Request, d *config.Deployment, openRequests *OpenRequests, budget *buffers.Budget,
+// RequestReader reads requests into the core's form.
+type RequestReader struct {
+	Deployment   *config.Deployment
+	OpenRequests *OpenRequests
+	Bodies       *buffers.Budget // memory of request bodies; nil: no bound
+}
+
+// Read checks a request that arrived at some time. It returns the core's request, whose id is open until
+// OpenRequests.Remove, and its body, which the caller closes once there is an answer.
+func (q RequestReader) Read(w http.ResponseWriter, r *http.Request,
 	arrived core.Time) (request core.Request, body *Body, problem *RequestError) {
+	d := q.Deployment
 	h := r.Header
 	id := h.Get(headerRequestID)
 	if id == "" || len(id) > maxRequestIDLength || strings.ContainsAny(id, " \t") {
@@ -194,14 +117,14 @@
 		return request, nil, badRequest(headerIdempotencyKey + ": not the one that a keyed class needs")
 	}
 	request.ClientRetry = h.Get(headerRetry) == "1"
-	if body, problem = ReadBody(w, r, budget, time.Now().Add(time.Duration(wait)*time.Millisecond)); problem != nil {
+	if body, problem = ReadBody(w, r, q.Bodies, time.Now().Add(time.Duration(wait)*time.Millisecond)); problem != nil {
 		return request, nil, problem
 	}
 	if r.Method == http.MethodGet && !body.Empty() {
 		body.Release()
 		return request, nil, badRequest("body: this class has none")
 	}
-	if _, taken := openRequests.ids.LoadOrStore(id, true); taken {
+	if _, taken := q.OpenRequests.ids.LoadOrStore(id, true); taken {
 		body.Release()
 		return request, nil, &RequestError{Code: http.StatusConflict, Text: headerRequestID + ": that of an open request"}
 	}
@@ -220,11 +143,12 @@
 	return request, body, nil
 }
 
-// line adds a header's line.
+// appendHeader appends the line of a header field.
 func appendHeader(header []byte, name, value string) []byte {
 	return append(append(append(append(header, name...), ": "...), value...), "\r\n"...)
 }
 
+// methodFor returns the method that a class takes.
 func methodFor(e policy.Idempotency) string {
 	if e == policy.Idempotent {
 		return http.MethodGet
@@ -232,8 +156,9 @@
 	return http.MethodPost
 }
 
-// weight reads what a request draws and which gateways serve its customer, this one among them. What is out of range
-// would spoil the account of the customer it names.
+// parseWeight parses units=U,spread=S,first=F: the cost of the request in units, the number of gateways that serve
+// its customer, and the first of them. It reports whether all are in range and this gateway is one of those;
+// otherwise the customer's quota would be charged wrongly.
 func parseWeight(text string, request *core.Request, d *config.Deployment) bool {
 	spread, first := 0.0, -1.0
 	for text != "" {
@@ -259,13 +184,3 @@
 		float64(request.FirstGateway) == first && request.FirstGateway >= 0 && request.FirstGateway < d.Gateways &&
 		(d.Self-request.FirstGateway+d.Gateways)%d.Gateways < request.SetSize
 }
-
-func writeStatus(w http.ResponseWriter, code int) {
-	w.Header().Set("Content-Length", "0")
-	w.WriteHeader(code)
-}
-
-// seconds writes a wait as the protocol allows it, in decimals.
-func formatSeconds(d time.Duration) string {
-	return strconv.FormatFloat(d.Seconds(), 'f', -1, 64)
-}
