--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -65,7 +65,7 @@
 	m.requestReservations(id, a)
 }
 
-// hasCapacity reports whether there are enough stores for a batch job, and enough disk here.
+// canStore reports whether there are enough stores for a batch job, and enough disk here.
 func (m *StateMachine) canStore(p parkedCall) bool {
 	if len(placement.ActiveMembers(m.view)) < m.options.ReplicationFactor {
 		return false
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -14,10 +14,10 @@
 // An account is a tenant's batch jobs on a route; its queued tokens are limited over all stores
 // (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a batch job is written,
 // the store has capacity for it: within what the counter granted already, or by a new claim. What it inherits from
-// other stores it holds without asking; the counter hears of it and grants nothing until enough is finished. A new
-// view begins with nothing: each store claims anew once it knows what it owns, and a counter grants capacity once all
-// members have claimed. So what was granted in an earlier view is in those claims, or with a store whose lease is
-// over.
+// other stores it holds without asking; the next claim includes it, and the counter grants nothing until enough is
+// finished. A new view begins with nothing: each store claims anew once it knows what it owns, and a counter grants
+// capacity once all members have claimed. So what was granted in an earlier view is in those claims, or with a store
+// whose lease is over.
 
 const (
 	// claimRetry is the time after which claims and polls that may have been lost are sent again.
@@ -326,7 +326,7 @@
 	return !known || limit > 0
 }
 
-// confirmCapacity takes a counter's word that a claim's accounts are within their limits, except for some.
+// confirmCapacity takes a counter's confirmation that a claim's accounts are within their limits, except for some.
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
 	for _, j := range m.jobsInOrder {
 		account := j.account()
--- a/internal/batch/replica/departures.go
+++ b/internal/batch/replica/departures.go
@@ -23,7 +23,7 @@
 // other members have reconciled, which ends both.
 type departureSet struct {
 	stores           map[placement.Key]departure
-	reconciledEpochs map[placement.Key]uint64 // newest epoch in which each other member told that it had reconciled
+	reconciledEpochs map[placement.Key]uint64 // newest epoch in which each other member reported that it had reconciled
 	noticeSentAt     time.Duration
 
 	// incompleteLogs: stores that may have held batch jobs that they can't name, and since when that is known. They
@@ -110,7 +110,7 @@
 	return len(nodes)
 }
 
-// noteLog takes in what a store tells of its log.
+// noteIncompleteLog takes in whether a store's log is incomplete.
 func (d *departureSet) noteIncompleteLog(key placement.Key, incomplete bool, now time.Duration) {
 	_, noted := d.incompleteLogs[key]
 	switch {
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -121,7 +121,7 @@
 	})
 }
 
-// TestExpiredWhileNotWhole lets a batch job expire that couldn't be fully replicated.
+// TestExpiredWhileUnderReplicated lets a batch job expire that couldn't be fully replicated.
 func TestExpiredWhileUnderReplicated(t *testing.T) {
 	Convey("A store reconciles once what wasn't fully replicated is dropped", t, func() {
 		c := newCluster(2, 2, 1)
@@ -431,7 +431,7 @@
 	})
 }
 
-// TestLeavingWaitsForWholeSet restarts a store of the new set right after it was counted.
+// TestRetirementWaitsForFullReplication restarts a store of the new set right after it was counted.
 func TestRetirementWaitsForFullReplication(t *testing.T) {
 	Convey("A set with a restarted store isn't fully replicated before that tells what it has", t, func() {
 		c := newCluster(4, 2, 1)
--- a/internal/batch/replica/doc.go
+++ b/internal/batch/replica/doc.go
@@ -56,7 +56,7 @@
 // arbiter that restarted has forgotten its votes; they are discarded everywhere as soon as its new incarnation is
 // seen.
 //
-// The owner also needs room for the tokens of the batch job within the limit of its account (claims.go,
+// The owner also needs capacity for the tokens of the batch job within the limit of its account (claims.go,
 // claimcounter.go, internal/batch/queuedtokens).
 //
 // # Results
@@ -70,7 +70,7 @@
 // # Versions and reconciliation
 //
 // A replica set has a Version: the epoch in which it was chosen and a number within that epoch. Each change of the
-// set raises it, and the owner has the new version on its own disk before any other store hears of it.
+// set raises it, and the owner has the new version on its own disk before it is sent to any other store.
 //
 // In each new epoch, and when a member's process restarts, all members exchange inventories and match them
 // (reconciliation.go). Of each batch job the copies of the highest version count. The first member of that set which
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -8,7 +8,7 @@
 // How does a retiring store hand its batch jobs over?
 //
 // It copies each to the first store of a new replica set, which owns it from then on and replicates it to the rest.
-// Once that store has told that the set is fully replicated, nothing here is needed.
+// Once that store has confirmed that the set is fully replicated, nothing here is needed.
 
 // startHandover chooses the set that a batch job goes to. The copy here stays as it is, under the old version.
 func (m *StateMachine) startHandover(j *storedJob) {
--- a/internal/batch/replica/lookup.go
+++ b/internal/batch/replica/lookup.go
@@ -26,12 +26,13 @@
 	m.lastLookup++
 	l := &lookup{number: m.lastLookup, sentAt: now, unknownTo: map[placement.Key]bool{}}
 	m.lookups[id] = l
-	for _, arbiter := range placement.Arbiters(id, m.view, m.options.ReplicationFactor) {
+	arbiters := placement.Arbiters(id, m.view, m.options.ReplicationFactor)
+	for _, arbiter := range arbiters {
 		if placement.KeyOf(arbiter) != m.self {
 			m.env.Send(arbiter, LookupRequest{Stamp: m.stamp(), Job: id, Number: l.number})
 		}
 	}
-	if placement.Contains(placement.Arbiters(id, m.view, m.options.ReplicationFactor), m.self) {
+	if placement.Contains(arbiters, m.self) {
 		m.handleLookupResponse(m.self, LookupResponse{Job: id, Number: l.number, Owner: m.knownHolder(id)})
 	}
 }
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -252,7 +252,7 @@
 	}
 }
 
-// TestSetModelEmptiedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. Random
+// TestSetModelDrainedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. Random
 // runs found these: a store that came back with the only copy missed the drained one as if it had been lost.
 func TestSetModelDrainedWhileAway(t *testing.T) {
 	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
--- a/internal/batch/replica/ownership.go
+++ b/internal/batch/replica/ownership.go
@@ -70,7 +70,7 @@
 	return replicas
 }
 
-// writeReplicas makes a new version durable before others hear of it.
+// writeReplicas makes a new version durable before it is sent to others.
 func (m *StateMachine) writeReplicas(j *storedJob) {
 	if j.corrupt {
 		m.rewriteCopy(j)
--- a/internal/batch/replica/ownershiptransfer.go
+++ b/internal/batch/replica/ownershiptransfer.go
@@ -51,10 +51,10 @@
 	}
 	var longest placement.Key
 	for _, key := range candidates {
-		prefix, damaged := c.corrupt[key]
+		prefix, corrupt := c.corrupt[key]
 		switch {
 		case key == self:
-		case !damaged:
+		case !corrupt:
 			return key
 		case prefix > count:
 			longest, count = key, prefix
--- a/internal/batch/replica/reconciliation.go
+++ b/internal/batch/replica/reconciliation.go
@@ -71,7 +71,7 @@
 	m.reconcile()
 }
 
-// awaited returns the members whose inventories are missing.
+// awaitedInventories returns the members whose inventories are missing.
 func (m *StateMachine) awaitedInventories() []placement.Key {
 	var list []placement.Key
 	m.eachOtherMember(func(other protocol.Process) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// allReconciled reports whether all members have told that they reconciled in the present epoch.
+// allReconciled reports whether all members have reported that they reconciled in the present epoch.
 func (m *StateMachine) allReconciled() bool {
 	all := m.reconciledEpoch == m.view.Epoch
 	m.eachOtherMember(func(other protocol.Process) {
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -129,11 +129,10 @@
 	version, replicas := readReplicas(r)
 	ended := r.Take(1)
 	content := r.Bytes()
-	contentAt := locateRead(r, content, record, at)
 	if r.Failed {
 		return &Finding{Problem: ProblemRecord}
 	}
-	j, err := newStoredJob(content, contentAt)
+	j, err := newStoredJob(content, locateRead(r, content, record, at))
 	if err != nil || j.id != id {
 		return &Finding{Problem: ProblemContent}
 	}
--- a/internal/batch/replica/statemachine.go
+++ b/internal/batch/replica/statemachine.go
@@ -147,7 +147,7 @@
 func (m *StateMachine) Epoch() uint64 { return m.view.Epoch }
 
 // ActedIn returns the epoch of the newest view that this store acted in, in earlier incarnations as well, as far as
-// its disk tells.
+// its log shows.
 func (m *StateMachine) ActedIn() uint64 { return m.departures.actedEpoch }
 
 // Receive takes a message of another store. It drops messages of other epochs, of stores that aren't members and of
--- a/internal/batch/replica/superseded.go
+++ b/internal/batch/replica/superseded.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// noteReplicatedElsewhere takes the owner's word that a batch job is on all of its replicas: nothing of it depends on
-// this store any more. It must be the owner's own word in this epoch. The ReconciledNotices of all stores aren't of
-// one moment: an owner that has just taken over may have told before that it had reconciled.
+// noteReplicatedElsewhere takes the owner's confirmation that a batch job is on all of its replicas: nothing of it
+// depends on this store any more. It must be the owner's own, of this epoch. The ReconciledNotices of all stores
+// aren't of one moment: an owner that has just taken over may have reported before that it had reconciled.
 func (m *StateMachine) noteReplicatedElsewhere(from placement.Key, id string) {
 	if transfer, pending := m.transfers[id]; pending && transfer.to == from {
 		delete(m.transfers, id)
--- a/internal/batch/replica/tick.go
+++ b/internal/batch/replica/tick.go
@@ -1,8 +1,6 @@
 package replica
 
-import (
-	"time"
-)
+import "time"
 
 // What happens by time alone?
 
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -21,7 +21,7 @@
 	m.enterEpoch(view)
 }
 
-// viewHasEnded reports whether this store acted in a later view, as its disk tells after a restart. A control process
+// viewHasEnded reports whether this store acted in a later view, as its log shows after a restart. A control process
 // that lags behind may still hand out the earlier one.
 func (m *StateMachine) viewHasEnded(view protocol.StoreView) bool {
 	return view.Epoch < m.departures.actedEpoch
