--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -1,41 +1,43 @@
-// Package process owns the laboratory's child processes: each has a log, ends with its parent, and tells what it has used. It
-// must never end a process that it didn't start.
+// Package process starts child processes for tests and demonstrations, and measures them.
+//
+// Each child writes to a log file, and is killed by the kernel when its parent dies, so that none is left
+// behind. The package only signals processes that it has started. It needs Linux: measurements are read from
+// /proc.
 package process
 
 import (
-	"bytes"
 	"errors"
 	"os"
 	"os/exec"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// Command says what to start.
+// Command describes a process to start.
 type Command struct {
 	Name        string
 	Binary      string
 	Arguments   []string
-	Environment []string // NAME=value; nothing else of this process's own is passed on
-	Log         string   // the file that its output is added to
+	Environment []string // NAME=value; nothing of the parent's environment is inherited
+	Log         string   // path of the file to which output and errors are appended
 }
 
-// Process is a child process.
+// Process is a child process. Its methods may be called from any goroutine.
 type Process struct {
-	Name     string
-	Started  time.Time
+	Name    string
+	Started time.Time
+
 	cmd      *exec.Cmd
 	log      *os.File
-	exited   chan struct{}
-	err      error // once exited is closed
+	exited   chan struct{} // closed when the process has exited
+	err      error         // of the exit; written before exited is closed, and by Stop on a timeout
 	stopOnce sync.Once
 }
 
-// errKilled tells that a process didn't end when it was asked to.
-var errStopTimeout = errors.New("killed: it did not end")
+// errStopTimeout is returned by Stop for a process that had to be killed.
+var errStopTimeout = errors.New("process: killed, as it didn't exit when it was asked to")
 
 // Start starts a process.
 func Start(c Command) (*Process, error) {
@@ -47,7 +49,7 @@
 	p.cmd = exec.Command(c.Binary, c.Arguments...)
 	p.cmd.Env = c.Environment
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none is left behind
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		log.Close()
 		return nil, err
@@ -60,7 +62,7 @@
 	return p, nil
 }
 
-// Ended tells whether the process has ended, and how.
+// Ended returns whether the process has exited, and the error of its exit, which is nil for exit code 0.
 func (p *Process) Ended() (bool, error) {
 	select {
 	case <-p.exited:
@@ -70,30 +72,32 @@
 	}
 }
 
-// Log gives what the process has written so far.
+// Log returns what the process has written so far.
 func (p *Process) Log() string {
 	text, _ := os.ReadFile(p.log.Name())
 	return string(text)
 }
 
-// LastLines gives the end of the log in one line.
+// LogTail returns the last three lines of the log, as one line.
 func (p *Process) LogTail() string {
-	lines := strings.Split(strings.TrimSpace(p.Log()), "\n")
-	return strings.Join(lines[max(0, len(lines)-3):], " | ")
+	const lines = 3
+	list := strings.Split(strings.TrimSpace(p.Log()), "\n")
+	return strings.Join(list[max(0, len(list)-lines):], " | ")
 }
 
 // Signal sends a signal.
 func (p *Process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Stop asks the process to end, and ends it where it doesn't within a time. The error is nil where it exited with 0.
-func (p *Process) Stop(within time.Duration) error {
+// Stop sends SIGTERM, and SIGKILL where the process hasn't exited within the timeout. The error is nil for
+// exit code 0.
+func (p *Process) Stop(timeout time.Duration) error {
 	p.stopOnce.Do(func() {
 		p.Signal(syscall.SIGTERM)
-		wait := time.NewTimer(within)
-		defer wait.Stop()
+		timer := time.NewTimer(timeout)
+		defer timer.Stop()
 		select {
 		case <-p.exited:
-		case <-wait.C:
+		case <-timer.C:
 			p.Kill()
 			p.err = errStopTimeout
 		}
@@ -102,48 +106,8 @@
 	return p.err
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its exit.
 func (p *Process) Kill() {
 	p.cmd.Process.Kill()
 	<-p.exited
 }
-
-// Usage is what a process has used.
-type Usage struct {
-	CPU  time.Duration
-	RSS  int64 // bytes resident now
-	File int64 // of these, of files: the program's own text, which its processes have in common
-	Peak int64
-}
-
-// Usage reads what the process has used so far.
-func (p *Process) Usage() (u Usage, err error) {
-	dir := "/proc/" + strconv.Itoa(p.cmd.Process.Pid)
-	stat, err := os.ReadFile(dir + "/stat")
-	if err != nil {
-		return u, err
-	}
-	_, rest, ok := bytes.Cut(stat, []byte(") "))
-	fields := strings.Fields(string(rest))
-	if !ok || len(fields) < 13 {
-		return u, errors.New("no figures of the process")
-	}
-	const ticks = 100 // a second: fixed on Linux
-	for _, f := range fields[11:13] {
-		n, _ := strconv.ParseInt(f, 10, 64)
-		u.CPU += time.Duration(n) * time.Second / ticks
-	}
-	status, err := os.ReadFile(dir + "/status")
-	if err != nil {
-		return u, err
-	}
-	for line := range strings.SplitSeq(string(status), "\n") {
-		for key, to := range map[string]*int64{"VmRSS:": &u.RSS, "RssFile:": &u.File, "VmHWM:": &u.Peak} {
-			if f := strings.Fields(line); len(f) == 3 && f[0] == key {
-				n, _ := strconv.ParseInt(f[1], 10, 64)
-				*to = n << 10
-			}
-		}
-	}
-	return u, nil
-}
--- a/internal/lab/programs/programs.go
+++ b/internal/lab/programs/programs.go
@@ -1,4 +1,10 @@
 // Package programs builds programs of this module for tests that start them as processes.
+//
+// A test package builds what it needs once, in TestMain:
+//
+//	func TestMain(m *testing.M) {
+//		os.Exit(programs.Run(m, func(folder string) { built = folder }, "sprucelane-gateway"))
+//	}
 package programs
 
 import (
@@ -9,18 +15,20 @@
 	"slices"
 )
 
-// commands is the import path of the folder of all programs.
+// commandsPath is the import path under which all programs are.
 const commandsPath = "sprucelane.example/sprucelane/cmd/"
 
-// FaultInjection is the flag of go build for programs that can be cut off from each other, see coord/transport/partition.
+// FaultInjection is the flag of go build for programs that can be partitioned from each other; see
+// coord/transport/partition.
 const FaultInjection = "-tags=faultinjection"
 
-// Tests are all tests of a package, as testing.M runs them.
+// TestRunner runs all tests of a package; *testing.M is one.
 type TestRunner interface{ Run() int }
 
-// Run builds programs into a folder of their own, which it tells before the tests run and removes after them. It gives the exit code.
-// Names that begin with a dash are flags of go build.
-func Run(tests TestRunner, tell func(folder string), names ...string) int {
+// Run builds programs into a temporary folder, passes its path to setFolder, runs the tests, and removes the
+// folder. It returns the exit code: 1 where the programs can't be built. Names that begin with a dash are
+// flags of go build.
+func Run(tests TestRunner, setFolder func(folder string), names ...string) int {
 	folder, err := os.MkdirTemp("", "sprucelane-programs-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -31,7 +39,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	tell(folder)
+	setFolder(folder)
 	return tests.Run()
 }
 
@@ -44,9 +52,9 @@
 		}
 		arguments = append(arguments, name)
 	}
-	text, err := exec.Command("go", arguments...).CombinedOutput()
+	output, err := exec.Command("go", arguments...).CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("build %v: %w: %s", names, err, text)
+		return fmt.Errorf("programs: build %v: %w: %s", names, err, output)
 	}
 	return nil
 }
--- a/internal/lab/soak/jobs.go
+++ b/internal/lab/soak/jobs.go
@@ -161,14 +161,8 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if read.Total != j.items || read.NextToken != from+len(read.Results) {
-		return fmt.Sprintf(
-			"total %d of %d items, next %d after %d and %d results",
-			read.Total,
-			j.items,
-			read.NextToken,
-			from,
-			len(read.Results),
-		)
+		return fmt.Sprintf("total %d of %d items, next %d after %d and %d results", read.Total, j.items,
+			read.NextToken, from, len(read.Results))
 	}
 	for i, result := range read.Results {
 		if problem := j.checkResultLocked(from+i, result); problem != "" {
@@ -182,13 +176,8 @@
 // position.
 func (j *job) checkResultLocked(position int, result system.BatchResult) (problem string) {
 	if !result.Complete() {
-		return fmt.Sprintf(
-			"position %d has %s in state %q with %d bytes",
-			position,
-			result.ID,
-			result.State,
-			len(result.Text),
-		)
+		return fmt.Sprintf("position %d has %s in state %q with %d bytes", position, result.ID, result.State,
+			len(result.Text))
 	}
 	if known, found := j.results[position]; found && known != result {
 		return fmt.Sprintf("position %d has %s, where %s was read before", position, result.ID, known.ID)
--- a/internal/lab/soak/logwatcher.go
+++ b/internal/lab/soak/logwatcher.go
@@ -96,13 +96,8 @@
 		if !store.reportedAt.IsZero() {
 			ago = fmt.Sprintf("%.1f s ago", time.Since(store.reportedAt).Seconds())
 		}
-		text += fmt.Sprintf(
-			"; %s epoch %d reconciled %d, logged %s",
-			store.target.machine.Name,
-			store.epoch,
-			store.reconciledEpoch,
-			ago,
-		)
+		text += fmt.Sprintf("; %s epoch %d reconciled %d, logged %s", store.target.machine.Name, store.epoch,
+			store.reconciledEpoch, ago)
 	}
 	return text
 }
--- a/internal/lab/soak/logwatcher_test.go
+++ b/internal/lab/soak/logwatcher_test.go
@@ -21,11 +21,8 @@
 		}
 		w := newLogWatcher(folder, targets, nil)
 		write := func(name, text string) {
-			file, err := os.OpenFile(
-				filepath.Join(folder, name+"-batch.log"),
-				os.O_CREATE|os.O_APPEND|os.O_WRONLY,
-				0o600,
-			)
+			file, err := os.OpenFile(filepath.Join(folder, name+"-batch.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY,
+				0o600)
 			So(err, ShouldBeNil)
 			_, err = file.WriteString(text)
 			So(err, ShouldBeNil)
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -64,12 +64,8 @@
 func (o *operator) call(ctx context.Context, m system.Machine, r operatorRequest) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(
-		ctx,
-		r.method,
-		"http://"+system.ControlAddress(m)+r.path,
-		bytes.NewReader(r.body),
-	)
+	request, err := http.NewRequestWithContext(ctx, r.method, "http://"+system.ControlAddress(m)+r.path,
+		bytes.NewReader(r.body))
 	if err != nil {
 		return 0, nil, err
 	}
@@ -115,16 +111,8 @@
 			return true
 		case 0, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		default:
-			o.run.checker.violated(
-				RuleConfiguration,
-				"%s on %d, the only change to %d, got %d from %s: %s",
-				change.method,
-				change.baseGeneration,
-				change.generation,
-				status,
-				m.Name,
-				answer,
-			)
+			o.run.checker.violated(RuleConfiguration, "%s on %d, the only change to %d, got %d from %s: %s",
+				change.method, change.baseGeneration, change.generation, status, m.Name, answer)
 		}
 		if !sleep(ctx, operatorRetryInterval) {
 			return false
@@ -133,11 +121,8 @@
 }
 
 // send sends a change once. Sometimes the operator closes the connection before the response.
-func (o *operator) send(
-	ctx context.Context,
-	m system.Machine,
-	change configurationChange,
-) (status int, body []byte, err error) {
+func (o *operator) send(ctx context.Context, m system.Machine,
+	change configurationChange) (status int, body []byte, err error) {
 	if o.random.Float64() < operatorAbandonProbability {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, randomDuration(o.random, 0, maxOperatorAbandonDelay))
@@ -155,15 +140,8 @@
 		status == http.StatusGatewayTimeout {
 		return
 	}
-	o.run.checker.violated(
-		RuleConfiguration,
-		"%s on %d was acknowledged and got %d from %s when it was repeated: %s",
-		change.method,
-		change.baseGeneration,
-		status,
-		m.Name,
-		answer,
-	)
+	o.run.checker.violated(RuleConfiguration, "%s on %d was acknowledged and got %d from %s when it was repeated: %s",
+		change.method, change.baseGeneration, status, m.Name, answer)
 }
 
 // readBack reads the configuration until the context ends.
@@ -187,14 +165,8 @@
 		return false
 	}
 	if newest := o.newestSent(); generation < oldest || generation > newest {
-		o.run.checker.violated(
-			RuleConfiguration,
-			"%s has generation %d, where %d was acknowledged and up to %d sent",
-			m.Name,
-			generation,
-			oldest,
-			newest,
-		)
+		o.run.checker.violated(RuleConfiguration, "%s has generation %d, where %d was acknowledged and up to %d sent",
+			m.Name, generation, oldest, newest)
 	}
 	return true
 }
--- a/internal/lab/soak/readback.go
+++ b/internal/lab/soak/readback.go
@@ -39,13 +39,8 @@
 		return true
 	})
 	if len(late) > 0 {
-		r.checker.violated(
-			RuleAccepted,
-			"%d batch jobs can't be read completely at %s: %s",
-			len(late),
-			m.Name,
-			summarize(late),
-		)
+		r.checker.violated(RuleAccepted, "%d batch jobs can't be read completely at %s: %s", len(late), m.Name,
+			summarize(late))
 	}
 }
 
@@ -67,21 +62,12 @@
 	for _, j := range r.jobs.all() {
 		rejected, results := j.outcome()
 		if rejected && executions[j.name] > 0 {
-			r.checker.violated(
-				RuleRejection,
-				"%s got rejections only, and %d of its items ran",
-				j.name,
-				executions[j.name],
-			)
+			r.checker.violated(RuleRejection, "%s got rejections only, and %d of its items ran", j.name,
+				executions[j.name])
 		}
 		if executions[j.name] < results {
-			r.checker.violated(
-				RulePositions,
-				"%s has %d results, and servers ran %d",
-				j.name,
-				results,
-				executions[j.name],
-			)
+			r.checker.violated(RulePositions, "%s has %d results, and servers ran %d", j.name, results,
+				executions[j.name])
 		}
 	}
 }
--- a/internal/lab/soak/recovery.go
+++ b/internal/lab/soak/recovery.go
@@ -52,12 +52,8 @@
 			return true
 		}
 		if !sleep(ctx, pollInterval) {
-			r.checker.violated(
-				RuleRecovery,
-				"not ready %v after the last fault: %s",
-				RecoveryTimeout,
-				machineNames(late),
-			)
+			r.checker.violated(RuleRecovery, "not ready %v after the last fault: %s", RecoveryTimeout,
+				machineNames(late))
 			return false
 		}
 	}
@@ -72,12 +68,8 @@
 			return true
 		}
 		if !sleep(ctx, pollInterval) {
-			r.checker.violated(
-				RuleRecovery,
-				"no GET /config %v after the last fault: %s",
-				RecoveryTimeout,
-				machineNames(late),
-			)
+			r.checker.violated(RuleRecovery, "no GET /config %v after the last fault: %s", RecoveryTimeout,
+				machineNames(late))
 			return false
 		}
 	}
@@ -88,12 +80,8 @@
 func (r *run) awaitChain(ctx context.Context) bool {
 	for !r.logs.chainComplete() {
 		if !sleep(ctx, pollInterval) {
-			r.checker.violated(
-				RuleRecovery,
-				"control's chain isn't complete %v after the last fault: %s",
-				RecoveryTimeout,
-				r.logs.chain(),
-			)
+			r.checker.violated(RuleRecovery, "control's chain isn't complete %v after the last fault: %s",
+				RecoveryTimeout, r.logs.chain())
 			return false
 		}
 	}
@@ -108,12 +96,8 @@
 	defer cancel()
 	for !r.logs.reconciled(healed) {
 		if !sleep(ctx, pollInterval) {
-			r.checker.violated(
-				RuleRecovery,
-				"stores aren't reconciled %v after the last fault: %s",
-				timeout,
-				r.logs.describeStores(),
-			)
+			r.checker.violated(RuleRecovery, "stores aren't reconciled %v after the last fault: %s", timeout,
+				r.logs.describeStores())
 			return false
 		}
 	}
@@ -135,14 +119,8 @@
 		}
 	})
 	if len(late) > 0 {
-		r.checker.violated(
-			RuleRecovery,
-			"%d of %d batch jobs get no 200 %v after the last fault: %s",
-			len(late),
-			len(jobs),
-			RecoveryTimeout,
-			summarize(late),
-		)
+		r.checker.violated(RuleRecovery, "%d of %d batch jobs get no 200 %v after the last fault: %s", len(late),
+			len(jobs), RecoveryTimeout, summarize(late))
 	}
 	return len(late) == 0
 }
--- a/internal/lab/soak/retirement.go
+++ b/internal/lab/soak/retirement.go
@@ -52,12 +52,8 @@
 
 // requestRetirement orders a retirement (POST) or reads its state (GET) at a random control process. It
 // returns whether the response was conclusive.
-func (r *run) requestRetirement(
-	ctx context.Context,
-	random *rand.Rand,
-	store *target,
-	method string,
-) (state retirementState,
+func (r *run) requestRetirement(ctx context.Context, random *rand.Rand, store *target,
+	method string) (state retirementState,
 	conclusive bool) {
 	m := r.randomFrontMachine(random)
 	request := operatorRequest{method: method, path: "/retire/" + store.machine.Name}
@@ -77,15 +73,8 @@
 	case http.StatusNotFound, http.StatusConflict: // it is out of the membership, or too few stores would remain
 		return retirementNone, true
 	default:
-		r.checker.violated(
-			RuleConfiguration,
-			"%s of the retirement of %s got %d from %s: %s",
-			method,
-			store.machine.Name,
-			status,
-			m.Name,
-			answer,
-		)
+		r.checker.violated(RuleConfiguration, "%s of the retirement of %s got %d from %s: %s", method,
+			store.machine.Name, status, m.Name, answer)
 		return retirementNone, true
 	}
 }
--- a/internal/lab/soak/run.go
+++ b/internal/lab/soak/run.go
@@ -65,10 +65,8 @@
 	if err != nil {
 		return nil, err
 	}
+	r.frontMachines = r.cluster.FrontMachines()
 	for _, machine := range r.cluster.Machines {
-		if machine.Class == system.ClassFront {
-			r.frontMachines = append(r.frontMachines, machine)
-		}
 		for _, role := range machine.Roles {
 			r.targets = append(r.targets, &target{cluster: r.cluster, timeline: r.timeline, machine: machine, role: role})
 		}
@@ -132,7 +130,7 @@
 }
 
 // targetsOf returns the processes of a role.
-func (r *run) targetsOf(role string) []*target {
+func (r *run) targetsOf(role system.Role) []*target {
 	var list []*target
 	for _, t := range r.targets {
 		if t.role == role {
@@ -143,13 +141,13 @@
 }
 
 // targetAt returns the process of a role on a machine, which must have one.
-func (r *run) targetAt(machine system.Machine, role string) *target {
+func (r *run) targetAt(machine system.Machine, role system.Role) *target {
 	for _, t := range r.targets {
 		if t.machine.Name == machine.Name && t.role == role {
 			return t
 		}
 	}
-	panic("soak: " + machine.Name + " has no " + role)
+	panic("soak: " + machine.Name + " has no " + string(role))
 }
 
 // randomFrontMachine returns a random machine with a control process and a gateway.
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -12,20 +12,13 @@
 	"sprucelane.example/sprucelane/internal/lab/programs"
 )
 
-// built is the folder of the programs that the tests build.
+// built is the folder of the programs, built by TestMain.
 var built string
 
 func TestMain(m *testing.M) {
-	os.Exit(
-		programs.Run(
-			m,
-			func(folder string) { built = folder },
-			programs.FaultInjection,
-			"sprucelane-gateway",
-			"sprucelane-control",
-			"sprucelane-batch",
-		),
-	)
+	setFolder := func(folder string) { built = folder }
+	os.Exit(programs.Run(m, setFolder, programs.FaultInjection, "sprucelane-gateway", "sprucelane-control",
+		"sprucelane-batch"))
 }
 
 // shortSoak is how long faults are injected in the test.
--- a/internal/lab/soak/streams.go
+++ b/internal/lab/soak/streams.go
@@ -95,12 +95,6 @@
 	if r.timeline.disturbed(r.targetAt(m, system.RoleGateway).name(), began) {
 		return
 	}
-	r.checker.violated(
-		RuleAnswer,
-		"%s at %s got no complete response in %.3f s: %v",
-		what,
-		m.Name,
-		time.Since(began).Seconds(),
-		err,
-	)
+	r.checker.violated(RuleAnswer, "%s at %s got no complete response in %.3f s: %v", what, m.Name,
+		time.Since(began).Seconds(), err)
 }
--- a/internal/lab/soak/target.go
+++ b/internal/lab/soak/target.go
@@ -17,7 +17,7 @@
 	cluster  *system.Cluster
 	timeline *timeline
 	machine  system.Machine
-	role     string
+	role     system.Role
 
 	// mu guards the fields below and the process's state: signals, starts and wipes of one process don't overlap.
 	mu          sync.Mutex
@@ -26,7 +26,7 @@
 	endPause    func() // ends that by a pause; nil while the process isn't paused
 }
 
-func (t *target) name() string { return t.machine.Name + "-" + t.role }
+func (t *target) name() string { return t.machine.Name + "-" + string(t.role) }
 
 // kill ends the process at once.
 func (t *target) kill() {
--- a/internal/lab/system/configuration.go
+++ b/internal/lab/system/configuration.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
-// Names of the configuration that the laboratory puts.
+// Names in the configurations that Configuration returns.
 const (
 	ServiceName  = "text-lm"
 	StreamRoute  = "assist"
@@ -25,21 +25,62 @@
 	SecondKey    = "key-of-office"
 )
 
-// Configuration gives a whole configuration of a generation: a streaming route, a batch route and two tenants.
+// Configuration returns the configuration of a generation: a streaming route, a batch route and two tenants.
 func Configuration(generation uint64) configuration.Document {
 	return configuration.Document{
 		Generation: generation,
 		Routes: []configuration.Route{
-			{Name: StreamRoute, Hostname: StreamHost, PathPrefix: StreamPrefix, Type: configuration.RouteStreaming, TimeoutMs: 5000,
-				TargetLatencyMs: 400, Backend: ServiceName, MaxAttempts: 2, Sticky: true, Resumable: true, GapTargetMs: 300},
-			{Name: BatchRoute, Hostname: BatchHost, PathPrefix: BatchPrefix, Type: configuration.RouteBatch, TimeoutMs: 4000,
-				TargetLatencyMs: 400, Priority: 1, Backend: ServiceName, MaxAttempts: 3, Sticky: true, Resumable: true,
-				CompletionTargetMs: 10000, RetentionSeconds: 60},
+			{
+				Name:            StreamRoute,
+				Hostname:        StreamHost,
+				PathPrefix:      StreamPrefix,
+				Type:            configuration.RouteStreaming,
+				TimeoutMs:       5000,
+				TargetLatencyMs: 400,
+				Backend:         ServiceName,
+				MaxAttempts:     2,
+				Sticky:          true,
+				Resumable:       true,
+				GapTargetMs:     300,
+			},
+			{
+				Name:               BatchRoute,
+				Hostname:           BatchHost,
+				PathPrefix:         BatchPrefix,
+				Type:               configuration.RouteBatch,
+				TimeoutMs:          4000,
+				TargetLatencyMs:    400,
+				Priority:           1,
+				Backend:            ServiceName,
+				MaxAttempts:        3,
+				Sticky:             true,
+				Resumable:          true,
+				CompletionTargetMs: 10000,
+				RetentionSeconds:   60,
+			},
+		},
+		Backends: []configuration.Backend{
+			{
+				Name:       ServiceName,
+				HealthPath: "/healthz",
+				MaxConns:   engineConns,
+				Protocol:   "h1",
+				Engine: configuration.Engine{
+					Slots:    engineSlots,
+					KVTokens: engineKVTokens,
+					KVBytes:  327680,
+					LinkMbps: 2.2e6,
+					Stride:   engineTokensPerEvent,
+					Models:   []configuration.Model{{Name: "m"}},
+				},
+			},
+		},
+		Limits: configuration.Limits{
+			MaxHeaderBytes:  16384,
+			MaxBodyBytes:    4194304,
+			HeaderTimeoutMs: 3000,
+			IdleTimeoutMs:   15000,
 		},
-		Backends: []configuration.Backend{{Name: ServiceName, HealthPath: "/healthz", MaxConns: engineConns, Protocol: "h1",
-			Engine: configuration.Engine{Slots: engineSlots, KVTokens: engineKVTokens, KVBytes: 327680, LinkMbps: 2.2e6,
-				Stride: engineTokensPerEvent, Models: []configuration.Model{{Name: "m"}}}}},
-		Limits: configuration.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4194304, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 		Tenants: []configuration.Tenant{
 			{Name: TenantName, APIKeys: []string{TenantKey}, Priority: 1, RatePerSec: 200, Burst: 200},
 			{Name: SecondTenant, APIKeys: []string{SecondKey}, Priority: 1, RatePerSec: 200, Burst: 200},
@@ -47,25 +88,26 @@
 	}
 }
 
-// Put puts a whole configuration on top of a version.
-func (f *Cluster) PutConfiguration(ctx context.Context, builtOn uint64, document configuration.Document) error {
+// PutConfiguration puts a configuration on top of a generation (If-Match): the change fails where another is
+// in force.
+func (c *Cluster) PutConfiguration(ctx context.Context, baseGeneration uint64, document configuration.Document) error {
 	body, err := json.Marshal(document)
 	if err != nil {
 		return err
 	}
-	_, err = f.Operator().Call(ctx, controlclient.Request{
+	_, err = c.Operator().Call(ctx, controlclient.Request{
 		Method:  http.MethodPut,
 		Path:    "/config",
-		IfMatch: strconv.FormatUint(builtOn, 10),
+		IfMatch: strconv.FormatUint(baseGeneration, 10),
 		Body:    body,
 	})
 	return err
 }
 
-// Get reads the newest configuration back.
-func (f *Cluster) Configuration(ctx context.Context) (configuration.Document, error) {
+// Configuration reads the configuration in force from any control process.
+func (c *Cluster) Configuration(ctx context.Context) (configuration.Document, error) {
 	var document configuration.Document
-	answer, err := f.Operator().Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"})
+	answer, err := c.Operator().Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	if err != nil {
 		return document, err
 	}
--- a/internal/lab/system/demonstration.go
+++ b/internal/lab/system/demonstration.go
@@ -9,150 +9,154 @@
 	"net/http"
 	"sync"
 	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Demonstration is a whole system under a light load, with a fault on the way.
+// Demonstration runs a whole system under a light load, with one fault on the way.
 type Demonstration struct {
-	Options     Options
-	Rate        float64       // requests a second
-	Duration    time.Duration // how long the load lasts; 0: until the context ends
-	ItemsPerJob int           // items of each batch job
-	Fault       bool          // kill a control process after a quarter of the time, and start it again
-	Live        bool          // draw the table anew in place; else print it every few seconds
-	Output      io.Writer
+	// Options configure the cluster.
+	Options Options
+	// Rate is the mean rate of streaming requests, per second.
+	Rate float64
+	// Duration is how long the load lasts. 0: until the context ends.
+	Duration time.Duration
+	// ItemsPerJob is the number of items of each batch job. A job is submitted every five seconds.
+	ItemsPerJob int
+	// Fault has a control process killed after a quarter of the duration, and started again.
+	Fault bool
+	// Live redraws the table in place twice a second. Otherwise it is printed every five seconds.
+	Live bool
+	// Output receives the table.
+	Output io.Writer
 }
 
 const (
-	startTimeout      = 30 * time.Second
-	batchInterval     = 5 * time.Second
-	redrawInterval    = 500 * time.Millisecond
-	printInterval     = 5 * time.Second
-	faultDuration     = 3 * time.Second
-	defaultFaultDelay = 15 * time.Second // until the fault where no length is given
+	startTimeout   = 30 * time.Second
+	batchInterval  = 5 * time.Second
+	redrawInterval = 500 * time.Millisecond
+	printInterval  = 5 * time.Second
+	faultDuration  = 3 * time.Second
+	// defaultFaultDelay is the time until the fault where no duration is given.
+	defaultFaultDelay = 15 * time.Second
 	sessions          = 8
-	maxOpenRequests   = 200 // requests open at once
+	maxOpenRequests   = 200
 	batchPollInterval = 300 * time.Millisecond
-	maxLatency        = time.Minute
 )
 
-// Run starts the system, puts a configuration, loads it, and ends it all.
+// Run starts the system, puts a configuration, applies load, and stops everything.
 func (d Demonstration) Run(ctx context.Context) (err error) {
-	fleet, err := Open(d.Options)
+	cluster, err := Open(d.Options)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, fleet.Close()) }()
+	defer func() { err = errors.Join(err, cluster.Close()) }()
 	began := time.Now()
-	if err := d.begin(ctx, fleet); err != nil {
+	if err := d.start(ctx, cluster); err != nil {
 		return err
 	}
-	fmt.Fprintf(d.Output, "%d processes serve after %.1f s; control answers at %v\n", len(fleet.processes), time.Since(began).Seconds(),
-		fleet.Operator().Addresses)
+	fmt.Fprintf(d.Output, "%d processes serve after %.1f s; control answers at %v\n", len(cluster.processes),
+		time.Since(began).Seconds(), cluster.Operator().Addresses)
 	if d.Duration > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, d.Duration)
 		defer cancel()
 	}
-	return d.play(ctx, fleet)
+	return d.play(ctx, cluster)
 }
 
-func (d Demonstration) begin(ctx context.Context, fleet *Cluster) error {
+// start starts the system and waits until every gateway serves.
+func (d Demonstration) start(ctx context.Context, cluster *Cluster) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := fleet.StartAll(); err != nil {
+	if err := cluster.StartAll(); err != nil {
 		return err
 	}
-	if err := fleet.PutConfiguration(ctx, 0, Configuration(1)); err != nil {
+	if err := cluster.PutConfiguration(ctx, 0, Configuration(1)); err != nil {
 		return err
 	}
-	return fleet.WaitServing(ctx, NewClient(TenantKey))
+	return cluster.WaitServing(ctx, NewClient(TenantKey))
 }
 
-func (d Demonstration) play(ctx context.Context, fleet *Cluster) error {
-	counts := newClientCounts(fleet)
-	var all sync.WaitGroup
-	defer all.Wait()
-	all.Go(func() { d.stream(ctx, counts) })
-	all.Go(func() { d.batch(ctx, counts) })
-	news := make(chan string, 4)
+// play applies load and draws the table until the context ends.
+func (d Demonstration) play(ctx context.Context, cluster *Cluster) error {
+	counts := newClientCounts(cluster)
+	var activities sync.WaitGroup
+	defer activities.Wait()
+	activities.Go(func() { d.generateStreams(ctx, counts) })
+	activities.Go(func() { d.generateJobs(ctx, counts) })
+	statuses := make(chan string, 4) // as many as injectFault sends at most
 	if d.Fault {
-		all.Go(func() { d.fault(ctx, fleet, news) })
+		activities.Go(func() { d.injectFault(ctx, cluster, statuses) })
 	}
 	screen := &statusScreen{out: d.Output, live: d.Live, began: time.Now(), status: "all is well"}
-	every := printInterval
+	interval := printInterval
 	if d.Live {
-		every = redrawInterval
+		interval = redrawInterval
 	}
-	beat := time.NewTicker(every)
-	defer beat.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			screen.draw(fleet, counts)
+			screen.draw(cluster, counts)
 			return nil
-		case text := <-news:
-			screen.setStatus(text)
-		case <-beat.C:
-			screen.draw(fleet, counts)
+		case status := <-statuses:
+			screen.setStatus(status)
+		case <-ticker.C:
+			screen.draw(cluster, counts)
 		}
 	}
 }
 
-// stream sends requests in an open loop, each to a gateway drawn by chance. Requests that were refused aren't sent again.
-func (d Demonstration) stream(ctx context.Context, counts *clientCounts) {
+// generateStreams sends streaming requests in an open loop, each to a random gateway. Rejected requests
+// aren't sent again.
+func (d Demonstration) generateStreams(ctx context.Context, counts *clientCounts) {
 	client := NewClient(TenantKey)
-	open := make(chan struct{}, maxOpenRequests)
+	inFlight := make(chan struct{}, maxOpenRequests)
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	for number := 0; ; number++ {
-		pause := time.Duration(rand.ExpFloat64() / d.Rate * float64(time.Second))
-		select {
-		case <-ctx.Done():
+		if !sleep(ctx, time.Duration(rand.ExpFloat64()/d.Rate*float64(time.Second))) {
 			return
-		case <-time.After(pause):
 		}
 		select {
-		case open <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			continue // the system stands still; what comes now is not asked at all
+			continue // the system is stalled: requests that are due now are not sent
 		}
 		m := counts.randomMachine()
 		requests.Go(func() {
-			defer func() { <-open }()
-			counts.record(m, client.Stream(context.WithoutCancel(ctx), m, fmt.Sprintf("stream-%d", number), number%sessions))
+			defer func() { <-inFlight }()
+			id := fmt.Sprintf("stream-%d", number)
+			counts.record(m, client.Stream(context.WithoutCancel(ctx), m, id, number%sessions))
 		})
 	}
 }
 
-// batch submits a batch job every few seconds, and reads the results of each until all are there.
-func (d Demonstration) batch(ctx context.Context, counts *clientCounts) {
+// generateJobs submits a batch job every batchInterval, and reads the results of each until all are there.
+func (d Demonstration) generateJobs(ctx context.Context, counts *clientCounts) {
 	client := NewClient(TenantKey)
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
 	for number := 0; ; number++ {
-		jobs.Go(func() { d.batchJob(ctx, client, counts, fmt.Sprintf("job-%d", number)) })
-		select {
-		case <-ctx.Done():
+		jobs.Go(func() { d.runJob(ctx, client, counts, fmt.Sprintf("job-%d", number)) })
+		if !sleep(ctx, batchInterval) {
 			return
-		case <-time.After(batchInterval):
 		}
 	}
 }
 
-func (d Demonstration) batchJob(ctx context.Context, client *Client, counts *clientCounts, job string) {
+func (d Demonstration) runJob(ctx context.Context, client *Client, counts *clientCounts, job string) {
 	for client.Submit(ctx, counts.randomMachine(), job, d.ItemsPerJob) != http.StatusAccepted {
 		if !sleep(ctx, batchPollInterval) {
 			return
 		}
 	}
 	counts.batchAccepted(d.ItemsPerJob)
-	for listed := 0; listed < d.ItemsPerJob; {
-		status, results := client.Read(ctx, counts.randomMachine(), job, listed)
+	for read := 0; read < d.ItemsPerJob; {
+		status, results := client.Read(ctx, counts.randomMachine(), job, read)
 		if status == http.StatusOK {
-			counts.batchListed(results.Results)
-			listed += len(results.Results)
+			counts.batchRead(results.Results)
+			read += len(results.Results)
 			continue
 		}
 		if !sleep(ctx, batchPollInterval) {
@@ -161,101 +165,24 @@
 	}
 }
 
-// fault kills a control process and starts it again.
-func (d Demonstration) fault(ctx context.Context, fleet *Cluster, news chan<- string) {
-	wait := d.Duration / 4
-	if wait == 0 {
-		wait = defaultFaultDelay
+// injectFault kills a control process and starts it again.
+func (d Demonstration) injectFault(ctx context.Context, cluster *Cluster, statuses chan<- string) {
+	delay := d.Duration / 4
+	if delay == 0 {
+		delay = defaultFaultDelay
 	}
-	m := fleet.Machine(RoleControl, fleet.Options.Zones[0])
-	if !sleep(ctx, wait) {
+	m := cluster.Machine(RoleControl, cluster.Options.Zones[0])
+	if !sleep(ctx, delay) {
 		return
 	}
-	fleet.Process(m, RoleControl).Kill()
-	news <- "control on " + m.Name + " is killed"
+	cluster.Process(m, RoleControl).Kill()
+	statuses <- "control on " + m.Name + " is killed"
 	if !sleep(ctx, faultDuration) {
 		return
 	}
-	if err := fleet.Restart(m, RoleControl); err != nil {
-		news <- err.Error()
+	if err := cluster.Restart(m, RoleControl); err != nil {
+		statuses <- err.Error()
 		return
 	}
-	news <- "control on " + m.Name + " is started again"
-}
-
-func sleep(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(d):
-		return true
-	}
-}
-
-// counts are what the clients saw.
-type clientCounts struct {
-	machines []Machine // with gateways
-
-	mu       sync.Mutex
-	gateways map[string]*gatewayCounts
-	batch    batchCounts
-}
-
-type gatewayCounts struct {
-	sent, served, rejected, failed int
-	firstEvent                     *hdrhistogram.Histogram // microseconds until the first event of served requests
-	lastProblem                    string                  // of the latest that failed
-}
-
-type batchCounts struct{ accepted, completed, deadLettered, wrong int }
-
-func newClientCounts(fleet *Cluster) *clientCounts {
-	c := &clientCounts{gateways: map[string]*gatewayCounts{}}
-	for _, m := range fleet.Machines {
-		if m.Class == "front" {
-			c.machines = append(c.machines, m)
-			c.gateways[m.Name] = &gatewayCounts{firstEvent: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
-		}
-	}
-	return c
-}
-
-func (c *clientCounts) randomMachine() Machine { return c.machines[rand.IntN(len(c.machines))] }
-
-func (c *clientCounts) record(m Machine, outcome Outcome) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	gateway := c.gateways[m.Name]
-	gateway.sent++
-	switch {
-	case outcome.Complete:
-		gateway.served++
-		_ = gateway.firstEvent.RecordValue(min(max(outcome.FirstEvent.Microseconds(), 1), maxLatency.Microseconds()))
-	case outcome.Rejected():
-		gateway.rejected++
-	default:
-		gateway.failed++
-		gateway.lastProblem = outcome.Problem
-	}
-}
-
-func (c *clientCounts) batchAccepted(items int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.batch.accepted += items
-}
-
-func (c *clientCounts) batchListed(results []BatchResult) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, one := range results {
-		switch {
-		case one.Complete():
-			c.batch.completed++
-		case one.State == "dead_letter":
-			c.batch.deadLettered++
-		default:
-			c.batch.wrong++
-		}
-	}
+	statuses <- "control on " + m.Name + " is started again"
 }
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -16,140 +16,153 @@
 	"sprucelane.example/sprucelane/internal/lab/programs"
 )
 
-// built is the folder of the programs that the tests build.
+// built is the folder of the programs, built by TestMain.
 var built string
 
 func TestMain(m *testing.M) {
-	os.Exit(programs.Run(m, func(folder string) { built = folder }, "sprucelane-gateway", "sprucelane-control", "sprucelane-batch"))
+	setFolder := func(folder string) { built = folder }
+	os.Exit(programs.Run(m, setFolder, "sprucelane-gateway", "sprucelane-control", "sprucelane-batch"))
 }
 
-// open starts a whole system and gives it once it serves.
+// open starts a system with the default options and returns it once it serves.
 func open(t *testing.T) (*Cluster, context.Context) {
 	t.Helper()
-	return openPlan(t, DefaultOptions(built))
+	return openWith(t, DefaultOptions(built))
 }
 
-func openPlan(t *testing.T, plan Options) (*Cluster, context.Context) {
+func openWith(t *testing.T, options Options) (*Cluster, context.Context) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
-	f, err := Open(plan)
+	c, err := Open(options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := f.Close(); err != nil {
+		if err := c.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	if err := f.StartAll(); err != nil {
+	if err := c.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.PutConfiguration(ctx, 0, Configuration(1)); err != nil {
-		t.Fatal(err, f.logTails())
+	if err := c.PutConfiguration(ctx, 0, Configuration(1)); err != nil {
+		t.Fatal(err, c.logTails())
 	}
 	for _, key := range []string{TenantKey, SecondKey} {
-		if err := f.WaitServing(ctx, NewClient(key)); err != nil {
+		if err := c.WaitServing(ctx, NewClient(key)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return f, ctx
+	return c, ctx
 }
 
-// until waits for a condition.
+// until waits for a condition until the context ends.
 func until(ctx context.Context, t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			t.Fatal("it didn't come: " + what)
+			t.Fatal("timed out: " + what)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// The whole path: a configuration is taken and read back, streams are served by every gateway, once and with the tenant's name.
+// TestConfigurationAndStreams: a configuration is committed and read back; every gateway serves streams, each
+// executed once and under the tenant's name.
 func TestConfigurationAndStreams(t *testing.T) {
-	f, ctx := open(t)
-	document, err := f.Configuration(ctx)
+	c, ctx := open(t)
+	document, err := c.Configuration(ctx)
 	if err != nil || document.Generation != 1 || len(document.Routes) != 2 {
 		t.Fatalf("read back: %v, generation %d, %d routes", err, document.Generation, len(document.Routes))
 	}
 	client := NewClient(TenantKey)
 	for i := range 30 {
-		m := f.Machine(RoleGateway, f.Options.Zones[i%len(f.Options.Zones)])
+		m := c.Machine(RoleGateway, c.Options.Zones[i%len(c.Options.Zones)])
 		if got := client.StreamUntilAccepted(ctx, m, fmt.Sprintf("req-%d", i), i%4); !got.Complete {
 			t.Errorf("request %d at %s: %+v", i, m.Name, got)
 		}
 	}
-	runs := slices.DeleteFunc(runsOf(f, TenantName), func(run modelserver.Execution) bool { return !strings.HasPrefix(run.RequestID, "req-") })
-	if len(runs) != 30 || f.ExecutionLog.Duplicates() > 0 {
-		t.Errorf("%d runs of 30 requests, %d twice", len(runs), f.ExecutionLog.Duplicates())
-	}
-	for _, run := range runs {
-		if run.APIKey != "" || run.Host != StreamHost || run.Path != StreamPrefix+"2f" || string(run.Body) != "a log to read" {
-			t.Errorf("a server was sent something else: %+v", run)
+	executions := slices.DeleteFunc(
+		executionsOf(c, TenantName),
+		func(e modelserver.Execution) bool { return !strings.HasPrefix(e.RequestID, "req-") },
+	)
+	if len(executions) != 30 || c.ExecutionLog.Duplicates() > 0 {
+		t.Errorf("%d runs of 30 requests, %d twice", len(executions), c.ExecutionLog.Duplicates())
+	}
+	for _, run := range executions {
+		if run.APIKey != "" || run.Host != StreamHost || run.Path != StreamPrefix+"2f" ||
+			string(run.Body) != "a log to read" {
+			t.Errorf("a server got another request: %+v", run)
 		}
 	}
-	if got := NewClient("no-such-key").Stream(ctx, f.Machine(RoleGateway, "east"), "unknown", 0); got.Status != http.StatusUnauthorized {
+	unknown := NewClient("no-such-key")
+	if got := unknown.Stream(ctx, c.Machine(RoleGateway, "east"), "unknown", 0); got.Status != http.StatusUnauthorized {
 		t.Errorf("an unknown key: %+v", got)
 	}
 }
 
-func runsOf(f *Cluster, tenant string) []modelserver.Execution {
-	return slices.DeleteFunc(f.ExecutionLog.Executions(), func(run modelserver.Execution) bool { return run.Tenant != tenant })
+// executionsOf returns the executions of a tenant's requests.
+func executionsOf(c *Cluster, tenant string) []modelserver.Execution {
+	return slices.DeleteFunc(
+		c.ExecutionLog.Executions(),
+		func(e modelserver.Execution) bool { return e.Tenant != tenant },
+	)
 }
 
-// A key that is taken away ends everywhere within the bound, and the other tenant's goes on. What the operator sent twice is
-// acknowledged twice; what builds on an older version is refused.
+// TestKeyIsRevoked: a revoked key ends at every gateway, and the other tenant's stays valid. A change that is
+// sent twice is acknowledged twice; one on top of an older generation is rejected.
 func TestKeyIsRevoked(t *testing.T) {
-	f, ctx := open(t)
+	c, ctx := open(t)
 	document := Configuration(3)
 	document.Tenants[0].APIKeys = []string{"another-key"}
 	for range 2 {
-		if err := f.PutConfiguration(ctx, 1, document); err != nil {
+		if err := c.PutConfiguration(ctx, 1, document); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := f.PutConfiguration(ctx, 1, Configuration(5)); controlclient.StatusOf(err) != http.StatusPreconditionFailed {
+	err := c.PutConfiguration(ctx, 1, Configuration(5))
+	if controlclient.StatusOf(err) != http.StatusPreconditionFailed {
 		t.Errorf("on top of an older version: %v", err)
 	}
 	revoked, other := NewClient(TenantKey), NewClient(SecondKey)
-	for _, zone := range f.Options.Zones {
-		m := f.Machine(RoleGateway, zone)
-		number := 0
+	for _, zone := range c.Options.Zones {
+		m := c.Machine(RoleGateway, zone)
+		attempt := 0
 		until(ctx, t, "the key ends at "+m.Name, func() bool {
-			number++
-			return revoked.Stream(ctx, m, fmt.Sprintf("revoked-%s-%d", zone, number), 0).Status == http.StatusUnauthorized
+			attempt++
+			got := revoked.Stream(ctx, m, fmt.Sprintf("revoked-%s-%d", zone, attempt), 0)
+			return got.Status == http.StatusUnauthorized
 		})
 		if got := other.StreamUntilAccepted(ctx, m, "other-"+zone, 0); !got.Complete {
 			t.Errorf("the other tenant at %s: %+v", m.Name, got)
 		}
 	}
-	before := len(runsOf(f, TenantName))
-	for _, zone := range f.Options.Zones {
-		revoked.Stream(ctx, f.Machine(RoleGateway, zone), "late-"+zone, 0)
+	before := len(executionsOf(c, TenantName))
+	for _, zone := range c.Options.Zones {
+		revoked.Stream(ctx, c.Machine(RoleGateway, zone), "late-"+zone, 0)
 	}
-	if after := len(runsOf(f, TenantName)); after != before {
-		t.Errorf("%d requests ran with a key that was taken away", after-before)
+	if after := len(executionsOf(c, TenantName)); after != before {
+		t.Errorf("%d requests ran with a revoked key", after-before)
 	}
 }
 
-// A batch job is taken once, whichever gateway is asked, and all its results can be read at every gateway, each whole and at one
-// position.
+// TestBatchJob: a batch job is accepted once, whichever gateways it is submitted to, and all its results can
+// be read at every gateway, each complete and at one position.
 func TestBatchJob(t *testing.T) {
-	f, ctx := open(t)
+	c, ctx := open(t)
 	const job, items = "job-1", 20
 	client := NewClient(TenantKey)
-	for _, zone := range f.Options.Zones {
-		m := f.Machine(RoleGateway, zone)
-		until(ctx, t, "the batch job is taken at "+m.Name, func() bool {
+	for _, zone := range c.Options.Zones {
+		m := c.Machine(RoleGateway, zone)
+		until(ctx, t, "the batch job is accepted at "+m.Name, func() bool {
 			return client.Submit(ctx, m, job, items) == http.StatusAccepted
 		})
 	}
-	first := readAll(ctx, t, f, client, f.Machine(RoleGateway, "east"), job, items)
-	for _, zone := range f.Options.Zones[1:] {
-		if again := readAll(ctx, t, f, client, f.Machine(RoleGateway, zone), job, items); !slices.Equal(first, again) {
+	first := readAll(ctx, t, c, client, c.Machine(RoleGateway, "east"), job, items)
+	for _, zone := range c.Options.Zones[1:] {
+		if again := readAll(ctx, t, c, client, c.Machine(RoleGateway, zone), job, items); !slices.Equal(first, again) {
 			t.Errorf("the results differ at %s", zone)
 		}
 	}
@@ -165,45 +178,47 @@
 			t.Errorf("item %d has no result", i)
 		}
 	}
-	if status, _ := client.Read(ctx, f.Machine(RoleGateway, "east"), "no-such-job", 0); status != http.StatusNotFound {
+	if status, _ := client.Read(ctx, c.Machine(RoleGateway, "east"), "no-such-job", 0); status != http.StatusNotFound {
 		t.Errorf("a batch job that isn't there: %d", status)
 	}
-	if status := client.End(ctx, f.Machine(RoleGateway, "west"), job); status != http.StatusOK {
+	if status := client.End(ctx, c.Machine(RoleGateway, "west"), job); status != http.StatusOK {
 		t.Errorf("the end: %d", status)
 	}
 }
 
-// What waits of a tenant's batch jobs is bounded over all stores: one that is too large is refused at every gateway and never runs, those
-// that fit are taken, and with servers that tell their load all that was taken is done.
+// TestWaitingTokensAreBounded: the queued tokens of a tenant's batch jobs are bounded over all stores. A job
+// that is too large is rejected at every gateway and never runs; those that fit are accepted and completed,
+// here by servers that report their load.
 func TestWaitingTokensAreBounded(t *testing.T) {
-	plan := DefaultOptions(built)
-	plan.ReportLoad = true
-	f, ctx := openPlan(t, plan)
+	options := DefaultOptions(built)
+	options.ReportLoad = true
+	c, ctx := openWith(t, options)
 	const items = 5
 	bounded := Configuration(2)
 	bounded.Routes[1].MaxQueuedTokens = items * (sharedTokens + ownTokens + outputTokens)
-	if err := f.PutConfiguration(ctx, 1, bounded); err != nil {
+	if err := c.PutConfiguration(ctx, 1, bounded); err != nil {
 		t.Fatal(err)
 	}
 	client := NewClient(TenantKey)
-	refused, tries := map[string]bool{}, 0
-	for _, zone := range f.Options.Zones {
-		m := f.Machine(RoleGateway, zone)
-		until(ctx, t, "a batch job beyond the bound is refused at "+m.Name, func() bool {
-			tries++
-			job := fmt.Sprintf("large%d", tries) // those before the configuration is in force are taken
-			refused[job] = client.Submit(ctx, m, job, items+1) == http.StatusTooManyRequests
-			return refused[job]
+	rejected, attempts := map[string]bool{}, 0
+	for _, zone := range c.Options.Zones {
+		m := c.Machine(RoleGateway, zone)
+		until(ctx, t, "a batch job beyond the bound is rejected at "+m.Name, func() bool {
+			attempts++
+			job := fmt.Sprintf("large%d", attempts) // those before the configuration is in force are accepted
+			rejected[job] = client.Submit(ctx, m, job, items+1) == http.StatusTooManyRequests
+			return rejected[job]
 		})
 	}
 	var jobs sync.WaitGroup
 	for i := range 6 {
-		m := f.Machine(RoleGateway, f.Options.Zones[i%len(f.Options.Zones)])
+		m := c.Machine(RoleGateway, c.Options.Zones[i%len(c.Options.Zones)])
 		job := fmt.Sprintf("fits-%d", i)
 		jobs.Go(func() {
-			until(ctx, t, "a batch job that fits is taken at "+m.Name, func() bool {
+			until(ctx, t, "a batch job that fits is accepted at "+m.Name, func() bool {
 				status := client.Submit(ctx, m, job, items)
-				if status != http.StatusAccepted && status != http.StatusTooManyRequests && status < http.StatusInternalServerError {
+				if status != http.StatusAccepted && status != http.StatusTooManyRequests &&
+					status < http.StatusInternalServerError {
 					t.Errorf("%s is answered %d", job, status)
 				}
 				return status == http.StatusAccepted
@@ -212,25 +227,28 @@
 	}
 	jobs.Wait()
 	for i := range 6 {
-		readAll(ctx, t, f, client, f.Machine(RoleGateway, "east"), fmt.Sprintf("fits-%d", i), items)
+		readAll(ctx, t, c, client, c.Machine(RoleGateway, "east"), fmt.Sprintf("fits-%d", i), items)
 	}
-	for _, run := range runsOf(f, TenantName) {
-		if job, _, _ := strings.Cut(run.RequestID, "-"); refused[job] {
-			t.Errorf("%s of a refused batch job ran", run.RequestID)
+	for _, run := range executionsOf(c, TenantName) {
+		if job, _, _ := strings.Cut(run.RequestID, "-"); rejected[job] {
+			t.Errorf("%s of a rejected batch job ran", run.RequestID)
 		}
 	}
 }
 
-func readAll(ctx context.Context, t *testing.T, f *Cluster, client *Client, m Machine, job string, items int) []BatchResult {
+// readAll reads all results of a batch job at a gateway.
+func readAll(ctx context.Context, t *testing.T, c *Cluster, client *Client, m Machine, job string,
+	items int) []BatchResult {
 	t.Helper()
 	var all []BatchResult
-	until(ctx, t, "all results at "+m.Name+f.logTails(), func() bool {
+	until(ctx, t, "all results at "+m.Name+c.logTails(), func() bool {
 		status, results := client.Read(ctx, m, job, len(all))
 		if status != http.StatusOK {
 			return false
 		}
 		if results.Total != items || results.NextToken != len(all)+len(results.Results) {
-			t.Fatalf("total %d, next %d after %d and %d", results.Total, results.NextToken, len(all), len(results.Results))
+			t.Fatalf("total %d, next %d after %d and %d", results.Total, results.NextToken, len(all),
+				len(results.Results))
 		}
 		all = append(all, results.Results...)
 		return len(all) == items
@@ -238,58 +256,58 @@
 	return all
 }
 
-// A control process that is killed takes nothing with it: traffic goes on, the next configuration is taken, and the one that was
-// killed comes back.
+// TestControlIsKilled: after the kill of a control process requests are still served, the next configuration
+// is committed, and the killed process comes back with it.
 func TestControlIsKilled(t *testing.T) {
-	f, ctx := open(t)
+	c, ctx := open(t)
 	client := NewClient(TenantKey)
 	stop := make(chan struct{})
-	asked := make(chan tally)
-	go func() { asked <- askUntil(ctx, f, client, stop) }()
-	m := f.Machine(RoleControl, "east")
-	f.Process(m, RoleControl).Kill()
-	if err := f.PutConfiguration(ctx, 1, Configuration(3)); err != nil {
+	sent := make(chan tally)
+	go func() { sent <- sendUntil(ctx, c, client, stop) }()
+	m := c.Machine(RoleControl, "east")
+	c.Process(m, RoleControl).Kill()
+	if err := c.PutConfiguration(ctx, 1, Configuration(3)); err != nil {
 		t.Error(err)
 	}
-	if err := f.Restart(m, RoleControl); err != nil {
+	if err := c.Restart(m, RoleControl); err != nil {
 		t.Error(err)
 	}
-	if err := f.PutConfiguration(ctx, 3, Configuration(5)); err != nil {
+	if err := c.PutConfiguration(ctx, 3, Configuration(5)); err != nil {
 		t.Error(err)
 	}
-	alone := controlclient.Client{Addresses: []string{endpoint(m.IP, portControl)}, Timeout: 20 * time.Second}
+	alone := controlclient.Client{Addresses: []string{hostPort(m.IP, portControl)}, Timeout: 20 * time.Second}
 	if _, err := alone.Call(ctx, controlclient.Request{Method: http.MethodGet, Path: "/config"}); err != nil {
-		t.Errorf("the one that was killed doesn't tell the configuration: %v%s", err, f.logTails())
+		t.Errorf("the killed process doesn't return the configuration: %v%s", err, c.logTails())
 	}
 	close(stop)
-	during := <-asked
+	during := <-sent
 	if len(during.problems) > 0 {
 		t.Errorf("%d requests were lost meanwhile: %v", len(during.problems), during.problems)
 	}
-	t.Logf("%d requests were served meanwhile, and %d refused", during.served, during.refused)
-	for _, zone := range f.Options.Zones {
-		m, number := f.Machine(RoleGateway, zone), 0
+	t.Logf("%d requests were served meanwhile, and %d rejected", during.served, during.rejected)
+	for _, zone := range c.Options.Zones {
+		m, attempt := c.Machine(RoleGateway, zone), 0
 		until(ctx, t, "requests are served again at "+m.Name, func() bool {
-			number++
-			return client.Stream(ctx, m, fmt.Sprintf("after-%s-%d", zone, number), 0).Complete
+			attempt++
+			return client.Stream(ctx, m, fmt.Sprintf("after-%s-%d", zone, attempt), 0).Complete
 		})
 	}
-	if document, err := f.Configuration(ctx); err != nil || document.Generation != 5 {
+	if document, err := c.Configuration(ctx); err != nil || document.Generation != 5 {
 		t.Errorf("read back: %v, generation %d", err, document.Generation)
 	}
-	if f.ExecutionLog.Duplicates() > 0 {
-		t.Errorf("%d requests ran twice", f.ExecutionLog.Duplicates())
+	if c.ExecutionLog.Duplicates() > 0 {
+		t.Errorf("%d requests ran twice", c.ExecutionLog.Duplicates())
 	}
 }
 
-// tally is what came of many requests; problems are those that were neither served nor refused.
+// tally counts the outcomes of requests; problems are those that were neither served nor rejected.
 type tally struct {
-	served, refused int
-	problems        []string
+	served, rejected int
+	problems         []string
 }
 
-// askUntil asks one gateway after the other until stop.
-func askUntil(ctx context.Context, f *Cluster, client *Client, stop chan struct{}) (sum tally) {
+// sendUntil sends requests to one gateway after the other until stop is closed.
+func sendUntil(ctx context.Context, c *Cluster, client *Client, stop chan struct{}) (sum tally) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -299,13 +317,13 @@
 			return sum
 		case <-time.After(10 * time.Millisecond):
 		}
-		m := f.Machine(RoleGateway, f.Options.Zones[i%len(f.Options.Zones)])
+		m := c.Machine(RoleGateway, c.Options.Zones[i%len(c.Options.Zones)])
 		got := client.Stream(ctx, m, fmt.Sprintf("during-%d", i), i%4)
 		switch {
 		case got.Complete:
 			sum.served++
 		case got.Rejected():
-			sum.refused++
+			sum.rejected++
 		default:
 			sum.problems = append(sum.problems, fmt.Sprintf("%+v", got))
 		}
