--- a/internal/fake/memorynet/conn.go
+++ b/internal/fake/memorynet/conn.go
@@ -10,36 +10,46 @@
 	"time"
 )
 
-// pair is what the two ends of a connection share.
+// link is what the two ends of a connection share.
 type link struct {
-	mu      sync.Mutex
-	cond    *sync.Cond
+	mu      sync.Mutex // guards both pipes, and the fields of both ends
+	cond    *sync.Cond // signalled when anything changes for a blocked Read or Write
 	latency time.Duration
 }
 
-// flow is one direction.
+// pipe is one direction of a connection.
 type pipe struct {
 	window       int
-	buffered     int // bytes on the way or waiting
+	buffered     int // bytes on their way or unread; at most window
 	segments     []segment
-	finArrival   time.Time // when the end arrives; zero: none was sent
+	finArrival   time.Time // when the end of the stream arrives; zero: none was sent
 	resetArrival time.Time // when a reset arrives; zero: none was sent
-	readClosed   bool      // nobody reads it any more
+	readClosed   bool      // the reading end is closed
 }
 
+// segment is bytes that were written at once.
 type segment struct {
-	arrival time.Time // of its arrival
+	arrival time.Time
 	bytes   []byte
 }
 
-// Conn is an end of a connection.
+// direction selects one of the deadlines of a connection.
+type direction int
+
+const (
+	reads direction = iota
+	writes
+	directions
+)
+
+// Conn is an end of a connection. It implements net.Conn.
 type Conn struct {
 	link           *link
 	in, out        *pipe
 	local          address
 	closed         bool
-	deadlines      [2]time.Time // of reads, of writes
-	timers         [2]*time.Timer
+	deadlines      [directions]time.Time
+	timers         [directions]*time.Timer // wake blocked calls at the deadlines
 	lastReadSentAt time.Time
 }
 
@@ -51,41 +61,41 @@
 		&Conn{link: shared, in: there, out: back, local: address(to)}
 }
 
-// later wakes all that wait once something has arrived. The mutex is held.
-func (p *link) scheduleArrival() time.Time {
-	time.AfterFunc(p.latency, p.wake)
-	return time.Now().Add(p.latency)
+// scheduleArrival returns when what is sent now arrives, and has blocked calls wake then.
+func (l *link) scheduleArrival() time.Time {
+	time.AfterFunc(l.latency, l.wake)
+	return time.Now().Add(l.latency)
 }
 
-func (p *link) wake() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.cond.Broadcast()
+func (l *link) wake() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cond.Broadcast()
 }
 
-// Read gives what has arrived. What arrived before a reset can still be read, as on Linux.
+// Read reads what has arrived. What arrived before a reset can still be read, as on Linux.
 func (c *Conn) Read(into []byte) (int, error) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	for {
-		n, err, ready := c.readLocked(into)
-		if ready {
+		if n, err := c.readLocked(into); n > 0 || err != nil || len(into) == 0 {
 			return n, err
 		}
-		if reached(c.deadlines[0]) {
+		if reached(c.deadlines[reads]) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.link.cond.Wait()
 	}
 }
 
-// take gives what there is, and tells whether there is something. The mutex is held.
-func (c *Conn) readLocked(into []byte) (n int, err error, ready bool) {
+// readLocked reads what has arrived, or returns how the stream has ended. It returns 0 and nil where neither
+// is the case yet.
+func (c *Conn) readLocked(into []byte) (n int, err error) {
 	if c.closed {
-		return 0, net.ErrClosed, true
+		return 0, net.ErrClosed
 	}
 	if len(into) == 0 {
-		return 0, nil, true
+		return 0, nil
 	}
 	in := c.in
 	for len(in.segments) > 0 && n < len(into) && reached(in.segments[0].arrival) {
@@ -93,21 +103,21 @@
 		if n == 0 {
 			c.lastReadSentAt = first.arrival.Add(-c.link.latency)
 		}
-		moved := copy(into[n:], first.bytes)
-		n += moved
-		in.buffered -= moved
-		if first.bytes = first.bytes[moved:]; len(first.bytes) == 0 {
+		copied := copy(into[n:], first.bytes)
+		n += copied
+		in.buffered -= copied
+		if first.bytes = first.bytes[copied:]; len(first.bytes) == 0 {
 			in.segments = in.segments[1:]
 		}
 	}
 	if n > 0 {
-		c.link.cond.Broadcast()
-		return n, nil, true
+		c.link.cond.Broadcast() // the window has opened for the peer's Write
+		return n, nil
 	}
-	return 0, c.inboundErr(), c.inboundErr() != nil
+	return 0, c.inboundErr()
 }
 
-// ending tells how what comes in has ended, or nil. The mutex is held.
+// inboundErr returns how the inbound stream has ended; nil: it hasn't. The caller holds the mutex.
 func (c *Conn) inboundErr() error {
 	switch in := c.in; {
 	case reached(in.resetArrival):
@@ -118,7 +128,9 @@
 	return nil
 }
 
-// Arrived tells whether anything has come that nobody has read.
+// Arrived returns whether anything has arrived that wasn't read: bytes, the end of the stream, or a reset,
+// which is returned as the error. internal/pool looks for this method on its connections, in place of a peek
+// at a socket.
 func (c *Conn) Arrived() (anything bool, end error) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -131,54 +143,54 @@
 	return true, nil
 }
 
-// ReadSent tells when the first byte was sent that the last read gave.
+// LastReadSentAt returns when the peer sent the first byte that the last Read returned.
 func (c *Conn) LastReadSentAt() time.Time {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	return c.lastReadSentAt
 }
 
-// Latency is how long bytes are on the way.
+// Latency returns how long bytes take to arrive.
 func (c *Conn) Latency() time.Duration { return c.link.latency }
 
-// Write sends bytes as room is made for them.
-func (c *Conn) Write(bytes []byte) (all int, err error) {
+// Write sends bytes, as the window allows.
+func (c *Conn) Write(bytes []byte) (n int, err error) {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	for {
 		switch {
 		case c.closed:
-			return all, net.ErrClosed
+			return n, net.ErrClosed
 		case reached(c.in.resetArrival):
-			return all, syscall.ECONNRESET
-		case all == len(bytes):
-			return all, nil
-		case reached(c.deadlines[1]):
-			return all, os.ErrDeadlineExceeded
+			return n, syscall.ECONNRESET
+		case n == len(bytes):
+			return n, nil
+		case reached(c.deadlines[writes]):
+			return n, os.ErrDeadlineExceeded
 		}
-		room := min(c.out.window-c.out.buffered, len(bytes)-all)
+		room := min(c.out.window-c.out.buffered, len(bytes)-n)
 		if room <= 0 {
 			c.link.cond.Wait()
 			continue
 		}
-		sent := append([]byte(nil), bytes[all:all+room]...)
-		all += room
+		sent := append([]byte(nil), bytes[n:n+room]...)
+		n += room
 		c.send(sent)
 	}
 }
 
-// send puts bytes on their way. At an end that is closed they are answered with a reset. The mutex is held.
+// send sends a segment. A peer that is closed answers with a reset. The caller holds the mutex.
 func (c *Conn) send(bytes []byte) {
-	at := c.link.scheduleArrival()
+	arrival := c.link.scheduleArrival()
 	c.out.buffered += len(bytes)
 	if c.out.readClosed {
 		c.scheduleReset(2 * c.link.latency)
 		return
 	}
-	c.out.segments = append(c.out.segments, segment{arrival: at, bytes: bytes})
+	c.out.segments = append(c.out.segments, segment{arrival: arrival, bytes: bytes})
 }
 
-// answerReset has this end hear of a reset. The mutex is held.
+// scheduleReset has a reset arrive at this end after a time. The caller holds the mutex.
 func (c *Conn) scheduleReset(after time.Duration) {
 	if c.in.resetArrival.IsZero() {
 		c.in.resetArrival = time.Now().Add(after)
@@ -186,26 +198,26 @@
 	}
 }
 
-// Close ends the connection. Where something has come that was not read, or comes later, it is reset.
+// Close closes this end. Where bytes have arrived that weren't read, or arrive later, the connection is reset.
 func (c *Conn) Close() error { return c.shutdown(false, false) }
 
-// Reset ends the connection at once; forget: what the other end has not read by then is lost.
-func (c *Conn) Reset(forget bool) { _ = c.shutdown(true, forget) }
+// Reset resets the connection. With discard the peer loses what it hasn't read by then.
+func (c *Conn) Reset(discard bool) { _ = c.shutdown(true, discard) }
 
-func (c *Conn) shutdown(reset, forget bool) error {
+func (c *Conn) shutdown(reset, discard bool) error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	if c.closed {
 		return net.ErrClosed
 	}
 	c.closed = true
-	at := c.link.scheduleArrival()
+	arrival := c.link.scheduleArrival()
 	if c.out.finArrival.IsZero() {
-		c.out.finArrival = at
+		c.out.finArrival = arrival
 	}
 	if (reset || len(c.in.segments) > 0) && c.out.resetArrival.IsZero() {
-		c.out.resetArrival = at
-		if forget {
+		c.out.resetArrival = arrival
+		if discard {
 			c.out.segments, c.out.buffered = nil, 0
 		}
 	}
@@ -214,41 +226,41 @@
 	return nil
 }
 
-// LocalAddr gives a name.
+// LocalAddr returns a name of the connection.
 func (c *Conn) LocalAddr() net.Addr { return c.local }
 
-// RemoteAddr gives a name.
+// RemoteAddr returns a name of the connection.
 func (c *Conn) RemoteAddr() net.Addr { return c.local }
 
 // SetDeadline bounds reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
-	c.setDeadline(0, t)
-	return c.setDeadline(1, t)
+	c.setDeadline(reads, t)
+	return c.setDeadline(writes, t)
 }
 
 // SetReadDeadline bounds reads.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadline(0, t) }
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.setDeadline(reads, t) }
 
 // SetWriteDeadline bounds writes.
-func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(1, t) }
+func (c *Conn) SetWriteDeadline(t time.Time) error { return c.setDeadline(writes, t) }
 
-func (c *Conn) setDeadline(which int, t time.Time) error {
+func (c *Conn) setDeadline(d direction, t time.Time) error {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	if c.closed {
 		return net.ErrClosed
 	}
-	if c.timers[which] != nil {
-		c.timers[which].Stop()
-		c.timers[which] = nil
+	if c.timers[d] != nil {
+		c.timers[d].Stop()
+		c.timers[d] = nil
 	}
-	c.deadlines[which] = t
+	c.deadlines[d] = t
 	if !t.IsZero() && !reached(t) {
-		c.timers[which] = time.AfterFunc(time.Until(t), c.link.wake)
+		c.timers[d] = time.AfterFunc(time.Until(t), c.link.wake)
 	}
 	c.link.cond.Broadcast()
 	return nil
 }
 
-// past tells whether a moment was set and has come.
+// reached returns whether a time is set and has come.
 func reached(t time.Time) bool { return !t.IsZero() && !time.Now().Before(t) }
--- a/internal/fake/memorynet/conn_test.go
+++ b/internal/fake/memorynet/conn_test.go
@@ -18,22 +18,22 @@
 
 const latency = time.Millisecond
 
-// connected gives the two ends of a connection.
+// connected returns the two ends of a connection.
 func connected(t *testing.T, window int) (near, far *Conn) {
 	n := &Network{Window: func() int { return window }, Latency: func() time.Duration { return latency }}
 	l := n.Listen("there")
-	came := make(chan net.Conn)
+	accepted := make(chan net.Conn)
 	go func() {
 		c, err := l.Accept()
 		assert.NoError(t, err)
-		came <- c
+		accepted <- c
 	}()
 	c, err := n.Dial(context.Background(), "there")
 	require.NoError(t, err)
-	return c.(*Conn), (<-came).(*Conn)
+	return c.(*Conn), (<-accepted).(*Conn)
 }
 
-// What is written arrives in order after the latency, through a window that is far smaller.
+// TestBytesArrive: what is written arrives in order, after the latency, through a window that is far smaller.
 func TestBytesArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := connected(t, 7)
@@ -52,7 +52,8 @@
 	})
 }
 
-// What arrived before a reset can be read; a close over unread bytes resets, and so does what comes to a closed end.
+// TestEnds: what arrived before a reset can be read; closing over unread bytes resets, and so do bytes that
+// arrive at a closed end.
 func TestEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := connected(t, 100)
--- a/internal/fake/memorynet/network.go
+++ b/internal/fake/memorynet/network.go
@@ -1,6 +1,3 @@
-// Package memorynet owns connections in memory for tests in bubbles of testing/synctest: bytes take time and have bounded room, and
-// an end may close a connection, reset it or fall silent at any byte. Nothing in it waits on the system, so that virtual time
-// passes while all wait. It must never be linked into the program.
 package memorynet
 
 import (
@@ -11,30 +8,30 @@
 	"time"
 )
 
-// Network is addresses at which listeners wait.
+// Network connects dialers to the listeners at its addresses.
 type Network struct {
-	// Window bounds the bytes of one direction that nobody has read, in bytes.
+	// Window returns, for each new connection, how many bytes of a direction may be on their way or unread.
 	Window func() int
-	// Latency is how long bytes of one connection are on the way.
+	// Latency returns, for each new connection, how long bytes take to arrive.
 	Latency func() time.Duration
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards listeners
 	listeners map[string]*Listener
 }
 
-// Listen waits for connections to an address.
+// Listen returns a listener at an address. It replaces one that was there.
 func (n *Network) Listen(address string) *Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners == nil {
 		n.listeners = map[string]*Listener{}
 	}
-	l := &Listener{network: n, address: address, backlog: make(chan *Conn), closed: make(chan struct{})}
+	l := &Listener{address: address, backlog: make(chan *Conn), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l
 }
 
-// Dial opens a connection.
+// Dial opens a connection, after a round trip. The error is ECONNREFUSED where nothing listens at the address.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -57,8 +54,8 @@
 	}
 }
 
-func sleep(ctx context.Context, wait time.Duration) error {
-	timer := time.NewTimer(wait)
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -68,16 +65,15 @@
 	}
 }
 
-// Listener takes the connections to one address.
+// Listener accepts the connections to one address.
 type Listener struct {
-	network   *Network
 	address   string
 	backlog   chan *Conn
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// Accept gives the next connection, a *Conn.
+// Accept returns the next connection, a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.backlog:
@@ -87,15 +83,16 @@
 	}
 }
 
-// Close takes no more.
+// Close ends the listener. Connections that were accepted stay open.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
-// Addr gives the address.
+// Addr returns the address.
 func (l *Listener) Addr() net.Addr { return address(l.address) }
 
+// address is a name in a Network.
 type address string
 
 func (a address) Network() string { return "memory" }
--- a/internal/fake/modelserver/executionlog.go
+++ b/internal/fake/modelserver/executionlog.go
@@ -2,11 +2,12 @@
 
 import (
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 )
 
-// Run is one request that a server began to work on.
+// Execution is one request that a server began to work on.
 type Execution struct {
 	Time       time.Time
 	ServerID   string
@@ -15,54 +16,54 @@
 	Host       string
 	Path       string
 	Tenant     string
-	APIKey     string // a client's key, which no server is to see
-	AfterEvent int    // the event after which it continues another run; 0: from the start
+	APIKey     string // a client's key, which no server should get
+	AfterEvent int    // the event after which it resumes another execution; 0: from the start
 	Body       []byte
 }
 
-// Ledger keeps the runs of all servers.
+// ExecutionLog records the executions of all servers, in order of their start.
 type ExecutionLog struct {
-	mu         sync.Mutex
+	mu         sync.Mutex // guards executions
 	executions []Execution
 }
 
-func (l *ExecutionLog) record(s *Server, r *http.Request, one *request) {
+func (l *ExecutionLog) record(s *Server, r *http.Request, parsed *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.executions = append(l.executions, Execution{
 		Time:       time.Now(),
 		ServerID:   s.options.ID,
 		Service:    s.options.Service,
-		RequestID:  one.id,
+		RequestID:  parsed.id,
 		Host:       r.Host,
 		Path:       r.URL.Path,
 		Tenant:     r.Header.Get(headerTenant),
 		APIKey:     r.Header.Get(headerKey),
-		AfterEvent: one.afterEvent,
-		Body:       one.body,
+		AfterEvent: parsed.afterEvent,
+		Body:       parsed.body,
 	})
 }
 
-// Runs gives all so far.
+// Executions returns all executions so far.
 func (l *ExecutionLog) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Execution(nil), l.executions...)
+	return slices.Clone(l.executions)
 }
 
-// Twice counts the requests that began from the start more than once.
+// Duplicates returns the number of requests that were executed from the start more than once.
 func (l *ExecutionLog) Duplicates() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	began := map[string]int{}
-	twice := 0
-	for _, run := range l.executions {
-		if run.AfterEvent > 0 {
+	starts := map[string]int{}
+	duplicates := 0
+	for _, execution := range l.executions {
+		if execution.AfterEvent > 0 {
 			continue
 		}
-		if began[run.RequestID]++; began[run.RequestID] == 2 {
-			twice++
+		if starts[execution.RequestID]++; starts[execution.RequestID] == 2 {
+			duplicates++
 		}
 	}
-	return twice
+	return duplicates
 }
--- a/internal/fake/modelserver/prefixcache.go
+++ b/internal/fake/modelserver/prefixcache.go
@@ -5,40 +5,42 @@
 	"sync"
 )
 
-// cache keeps the parts of prompts that were read, those used last. A part counts only where all parts before it are kept.
+// prefixCache holds the parts of prompts that were read, and evicts the least recently used ones. As in an
+// engine's KV cache, a part is only usable together with all parts before it: its key is the path of ids from
+// the start of the prompt.
 type prefixCache struct {
-	mu       sync.Mutex
-	capacity int // tokens
-	tokens   int
-	recency  *list.List // of part, last used in front
+	mu       sync.Mutex // guards the fields below
+	capacity int        // tokens
+	tokens   int        // of all entries
+	recency  *list.List // of promptPart, with its path as id; the most recently used first
 	entries  map[string]*list.Element
 }
 
-func newPrefixCache(most int) *prefixCache {
-	return &prefixCache{capacity: most, recency: list.New(), entries: map[string]*list.Element{}}
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, recency: list.New(), entries: map[string]*list.Element{}}
 }
 
-// read takes the parts of a prompt in and gives how many tokens had to be read.
-func (c *prefixCache) insert(parts []promptPart) int {
+// insert adds the parts of a prompt, and returns the number of tokens that weren't cached.
+func (c *prefixCache) insert(parts []promptPart) (uncached int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	unread, kept := 0, true
+	hit := true
 	path := ""
-	for _, one := range parts {
-		path += "/" + one.id
-		place, found := c.entries[path]
-		if kept = kept && found; kept {
-			c.recency.MoveToFront(place)
+	for _, part := range parts {
+		path += "/" + part.id
+		entry, found := c.entries[path]
+		if hit = hit && found; hit {
+			c.recency.MoveToFront(entry)
 			continue
 		}
-		unread += one.tokens
-		c.add(path, one.tokens)
+		uncached += part.tokens
+		c.addLocked(path, part.tokens)
 	}
-	c.evict()
-	return unread
+	c.evictLocked()
+	return uncached
 }
 
-func (c *prefixCache) add(path string, tokens int) {
+func (c *prefixCache) addLocked(path string, tokens int) {
 	if _, found := c.entries[path]; found {
 		return
 	}
@@ -46,7 +48,7 @@
 	c.tokens += tokens
 }
 
-func (c *prefixCache) evict() {
+func (c *prefixCache) evictLocked() {
 	for c.tokens > c.capacity && c.recency.Len() > 0 {
 		oldest := c.recency.Remove(c.recency.Back()).(promptPart)
 		delete(c.entries, oldest.id)
@@ -54,6 +56,7 @@
 	}
 }
 
+// used returns the tokens of all entries.
 func (c *prefixCache) used() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/modelserver/server.go
+++ b/internal/fake/modelserver/server.go
@@ -1,6 +1,3 @@
-// Package modelserver owns stand-in model servers: they speak the protocol's "Servers", batch requests in slots, read prompts, keep
-// shared parts of them and put out streams of events, and they account for what they ran. They must never be linked into a
-// program that is deployed, nor judge what a gateway should have done.
 package modelserver
 
 import (
@@ -29,42 +26,54 @@
 	headerTokenUsage     = "X-Token-Usage"
 	headerPromptPrefix   = "X-Prompt-Prefix"
 	headerLastEvent      = "Last-Event-Id"
-	notExecuted          = "1"
-	defaultDeadline      = 10 * time.Second // of a request that names no deadline
-	maxBodyBytes         = 8 << 20
-	headerReadTimeout    = 10 * time.Second
-	idleTimeout          = 30 * time.Second
-	queuedPerSlot        = 1 // requests that may wait, for each slot
-	defaultEvents        = 8 // of a request that doesn't tell how much it may put out
+
+	notExecuted = "1" // the value of headerNotExecuted
+)
+
+const (
+	headerReadTimeout = 10 * time.Second
+	idleTimeout       = 30 * time.Second // of a connection
+	// queuedPerSlot is the number of requests that may be queued for each slot.
+	queuedPerSlot = 1
 )
 
-// Options are what a server can do.
+// Options configure a server.
 type Options struct {
-	ID             string // of this incarnation
-	Service        string
-	Address        string // ip:port; port 0 takes any
-	Slots          int
-	MaxConnections int           // 0: no bound
-	KVTokens       int           // of running requests and cached parts together
-	PrefillRate    float64       // prompt tokens read in a second
-	EventInterval  time.Duration // between events of a server with one request
-	TokensPerEvent int           // output tokens of an event
-	ExecutionLog   *ExecutionLog // where runs are told; shared by all servers
-	ReportLoad     bool          // answers tell the load
-
-	// Fails gives a status with which an attempt fails after it ran, or 0; nil: none fails.
+	// ID is the id of this incarnation, which changes with each start.
+	ID string
+	// Service is the name of the service that the server belongs to.
+	Service string
+	// Address is ip:port; port 0 takes any.
+	Address string
+	// Slots is the number of requests that run at the same time.
+	Slots int
+	// MaxConnections bounds the open connections; those beyond it are reset. 0: no bound.
+	MaxConnections int
+	// KVTokens is the capacity of the prefix cache, in tokens.
+	KVTokens int
+	// PrefillRate is the rate at which prompts are read, in tokens per second.
+	PrefillRate float64
+	// EventInterval is the time between events while one request runs. It doubles as the slots fill.
+	EventInterval time.Duration
+	// TokensPerEvent is the number of output tokens of an event.
+	TokensPerEvent int
+	// ExecutionLog records all executions; servers share it.
+	ExecutionLog *ExecutionLog
+	// ReportLoad has responses report the load (X-Server-Load).
+	ReportLoad bool
+	// FailStatus returns the status with which a request fails after its prompt was read, or 0. Nil: none fails.
 	FailStatus func(request string) int
 }
 
-// Server is a model server in one incarnation.
+// Server is one incarnation of a model server.
 type Server struct {
 	options  Options
 	listener *limitedListener
 	server   *http.Server
-	stopped  chan struct{}
+	stopped  chan struct{} // closed by Stop
 	stopOnce sync.Once
 
-	slots    chan struct{}
+	slots    chan struct{} // holds an element for each running request
 	queued   atomic.Int64
 	draining atomic.Bool
 	cache    *prefixCache
@@ -74,7 +83,7 @@
 func Start(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
-		return nil, fmt.Errorf("server %s: %w", options.ID, err)
+		return nil, fmt.Errorf("modelserver: %s: %w", options.ID, err)
 	}
 	s := &Server{
 		options:  options,
@@ -97,35 +106,28 @@
 	return s, nil
 }
 
-// ID gives the incarnation.
+// ID returns the id of this incarnation.
 func (s *Server) ID() string { return s.options.ID }
 
-// Service gives the name of the service.
+// Service returns the name of the service.
 func (s *Server) Service() string { return s.options.Service }
 
-// tellLoad puts the load into an answer: requests running, requests waiting, slots.
-func (s *Server) setLoadHeader(w http.ResponseWriter) {
-	if s.options.ReportLoad {
-		w.Header().Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(s.slots), max(0, s.queued.Load()), s.options.Slots))
-	}
-}
-
-// Slots gives how many requests run at the same time.
+// Slots returns how many requests can run at the same time.
 func (s *Server) Slots() int { return s.options.Slots }
 
-// Address gives ip:port.
+// Address returns ip:port.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Running counts the requests that hold a slot.
+// Running returns the number of requests that hold a slot.
 func (s *Server) Running() int { return len(s.slots) }
 
-// Drain makes the server say that it is leaving; it goes on serving until Stop.
+// Drain makes health checks fail, as of a server that shuts down gracefully; it goes on serving until Stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Draining tells whether it is leaving.
+// Draining returns whether Drain was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Stop ends the server as a crash does: streams break off, connections are refused.
+// Stop ends the server as a crash does: streams break off, and connections are refused.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		close(s.stopped)
@@ -133,6 +135,7 @@
 	})
 }
 
+// handleHealth answers a health check. It takes a slot for a moment, so that a saturated server fails it.
 func (s *Server) handleHealth(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerInstance, s.options.ID)
 	if s.draining.Load() {
@@ -143,11 +146,12 @@
 		s.reject(w, http.StatusServiceUnavailable)
 		return
 	}
-	<-s.slots
+	s.releaseSlot()
 	w.WriteHeader(http.StatusOK)
 }
 
-// enter takes a slot, after a wait where all are taken. It fails where too many wait, or the caller's time is over.
+// acquireSlot takes a slot, and waits for one where all are taken. It returns false where too many requests
+// are queued, the context ends, or the server is stopped.
 func (s *Server) acquireSlot(ctx context.Context) bool {
 	select {
 	case s.slots <- struct{}{}:
@@ -169,7 +173,16 @@
 	}
 }
 
-// turnAway answers that the request has not run here and never will.
+func (s *Server) releaseSlot() { <-s.slots }
+
+// setLoadHeader reports the load in a response: running requests, queued requests, slots.
+func (s *Server) setLoadHeader(w http.ResponseWriter) {
+	if s.options.ReportLoad {
+		w.Header().Set(headerLoad, fmt.Sprintf("%d,%d,%d", len(s.slots), max(0, s.queued.Load()), s.options.Slots))
+	}
+}
+
+// reject answers that the request hasn't run here and never will.
 func (s *Server) reject(w http.ResponseWriter, status int) {
 	s.setLoadHeader(w)
 	w.Header().Set(headerNotExecuted, notExecuted)
@@ -177,39 +190,3 @@
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
-
-// countedListener resets the connections over a bound.
-type limitedListener struct {
-	net.Listener
-	limit int
-	open  atomic.Int64
-}
-
-// Accept gives the next connection within the bound.
-func (l *limitedListener) Accept() (net.Conn, error) {
-	for {
-		connection, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		if l.open.Add(1) <= int64(l.limit) || l.limit == 0 {
-			return &limitedConn{Conn: connection, open: &l.open}, nil
-		}
-		l.open.Add(-1)
-		if tcp, ok := connection.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a close resets then
-		}
-		connection.Close()
-	}
-}
-
-type limitedConn struct {
-	net.Conn
-	open      *atomic.Int64
-	closeOnce sync.Once
-}
-
-func (c *limitedConn) Close() error {
-	c.closeOnce.Do(func() { c.open.Add(-1) })
-	return c.Conn.Close()
-}
--- a/internal/fake/modelserver/server_test.go
+++ b/internal/fake/modelserver/server_test.go
@@ -12,9 +12,9 @@
 )
 
 func start(t *testing.T, change func(*Options)) (*Server, *ExecutionLog) {
-	ledger := &ExecutionLog{}
+	executions := &ExecutionLog{}
 	options := Options{ID: "i-1", Service: "s", Address: "127.0.0.1:0", Slots: 2, KVTokens: 1000, PrefillRate: 1e6,
-		EventInterval: time.Millisecond, TokensPerEvent: 10, ExecutionLog: ledger}
+		EventInterval: time.Millisecond, TokensPerEvent: 10, ExecutionLog: executions}
 	if change != nil {
 		change(&options)
 	}
@@ -23,14 +23,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Stop)
-	return server, ledger
+	return server, executions
 }
 
-// ask sends a request; headers are pairs of name and value.
-func ask(s *Server, headers ...string) (*http.Response, string, error) {
+// send sends a request; headers are pairs of name and value.
+func send(s *Server, headers ...string) (*http.Response, string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address()+"/p/1", strings.NewReader("body"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.Address()+"/p/1",
+		strings.NewReader("body"))
 	if err != nil {
 		return nil, "", err
 	}
@@ -47,36 +48,43 @@
 }
 
 func TestRequest(t *testing.T) {
-	server, ledger := start(t, nil)
-	Convey("A request gets its events with rising ids, signed, and is accounted for", t, func() {
-		response, text, err := ask(server, headerRequest, "r1", headerTokenUsage, "20,25", headerTenant, "t")
+	server, executions := start(t, nil)
+	Convey("A request gets its events with rising ids, signed, and is recorded", t, func() {
+		response, text, err := send(server, headerRequest, "r1", headerTokenUsage, "20,25", headerTenant, "t")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 200)
 		So(response.Header.Get(headerRequest), ShouldEqual, "r1")
 		So(response.Header.Get(headerSignature), ShouldNotBeEmpty)
-		So(text, ShouldEqual, "id: 1\ndata: "+EventData("r1", 1)+"\n\nid: 2\ndata: "+EventData("r1", 2)+"\n\nid: 3\ndata: "+EventData("r1", 3)+"\n\n")
-		runs := ledger.Executions()
-		So(runs, ShouldHaveLength, 1)
-		So(runs[0].Tenant, ShouldEqual, "t")
-		So(string(runs[0].Body), ShouldEqual, "body")
+		So(
+			text,
+			ShouldEqual,
+			"id: 1\ndata: "+EventData("r1", 1)+"\n\nid: 2\ndata: "+EventData(
+				"r1",
+				2,
+			)+"\n\nid: 3\ndata: "+EventData("r1", 3)+"\n\n",
+		)
+		recorded := executions.Executions()
+		So(recorded, ShouldHaveLength, 1)
+		So(recorded[0].Tenant, ShouldEqual, "t")
+		So(string(recorded[0].Body), ShouldEqual, "body")
 	})
-	Convey("Another run continues after an event", t, func() {
-		_, text, err := ask(server, headerRequest, "r1", headerTokenUsage, "20,25", headerLastEvent, "2")
+	Convey("Another execution resumes after an event", t, func() {
+		_, text, err := send(server, headerRequest, "r1", headerTokenUsage, "20,25", headerLastEvent, "2")
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "id: 3\ndata: "+EventData("r1", 3)+"\n\n")
-		So(ledger.Duplicates(), ShouldEqual, 0)
+		So(executions.Duplicates(), ShouldEqual, 0)
 	})
-	Convey("What is turned away is said not to have run, and isn't accounted", t, func() {
-		before := len(ledger.Executions())
-		response, _, err := ask(server, headerRequest, "r2", headerExpectInstance, "i-other")
+	Convey("A rejection says that the request hasn't run, and nothing is recorded", t, func() {
+		before := len(executions.Executions())
+		response, _, err := send(server, headerRequest, "r2", headerExpectInstance, "i-other")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 421)
 		So(response.Header.Get(headerInstance), ShouldEqual, "i-1")
-		response, _, err = ask(server)
+		response, _, err = send(server)
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 400)
 		So(response.Header.Get(headerNotExecuted), ShouldEqual, "1")
-		So(ledger.Executions(), ShouldHaveLength, before)
+		So(executions.Executions(), ShouldHaveLength, before)
 	})
 	Convey("Health follows draining", t, func() {
 		health := func() int {
@@ -94,44 +102,44 @@
 
 func TestFullServer(t *testing.T) {
 	server, _ := start(t, func(o *Options) { o.Slots, o.EventInterval = 1, time.Hour })
-	Convey("Over slots and queue a request is turned away, and a stop breaks streams off", t, func() {
+	Convey("Beyond slots and queue a request is rejected, and a stop breaks streams off", t, func() {
 		running, waiting := make(chan error, 1), make(chan error, 1)
-		send := func(id string, ended chan error) {
-			_, _, err := ask(server, headerRequest, id)
+		sendAsync := func(id string, ended chan error) {
+			_, _, err := send(server, headerRequest, id)
 			ended <- err
 		}
-		go send("r1", running)
+		go sendAsync("r1", running)
 		until(t, func() bool { return server.Running() == 1 })
-		go send("r2", waiting)
+		go sendAsync("r2", waiting)
 		until(t, func() bool { return server.queued.Load() == 1 })
-		response, _, err := ask(server, headerRequest, "r3")
+		response, _, err := send(server, headerRequest, "r3")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 503)
 		So(response.Header.Get(headerNotExecuted), ShouldEqual, "1")
 		server.Stop()
 		So(<-running, ShouldNotBeNil)
-		<-waiting // turned away or cut
+		<-waiting // rejected or broken off
 	})
 }
 
 func TestDeadline(t *testing.T) {
 	server, _ := start(t, func(o *Options) { o.PrefillRate = 1 })
-	Convey("A request whose time is over before its first event gets the server's own 504", t, func() {
-		response, _, err := ask(server, headerRequest, "r1", headerPromptPrefix, "a:100", headerDeadline, "20")
+	Convey("A request whose deadline passes before its first event gets the server's own 504", t, func() {
+		response, _, err := send(server, headerRequest, "r1", headerPromptPrefix, "a:100", headerDeadline, "20")
 		So(err, ShouldBeNil)
 		So(response.StatusCode, ShouldEqual, 504)
 	})
 }
 
 func TestCache(t *testing.T) {
-	Convey("Parts that were read aren't read again while all before them are kept", t, func() {
+	Convey("Cached parts aren't read again while all before them are cached", t, func() {
 		c := newPrefixCache(1000)
 		So(c.insert([]promptPart{{"a", 300}, {"b", 200}}), ShouldEqual, 500)
 		So(c.insert([]promptPart{{"a", 300}, {"c", 100}}), ShouldEqual, 100)
 		So(c.insert([]promptPart{{"c", 100}}), ShouldEqual, 100)
 		So(c.used(), ShouldEqual, 700)
 	})
-	Convey("The parts that have gone unused longest give way", t, func() {
+	Convey("The least recently used parts are evicted", t, func() {
 		c := newPrefixCache(500)
 		c.insert([]promptPart{{"a", 300}})
 		c.insert([]promptPart{{"b", 300}})
@@ -145,7 +153,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !done(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("it didn't come")
+			t.Fatal("timed out")
 		}
 	}
 }
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,5 +1,8 @@
-// Package platform owns the stand-in for the platform's list of servers: GET /instances in pages, by zone, behind by a lag and
-// bounded in rate. It must never be linked into a program that is deployed.
+// Package platform is a fake of the platform's discovery API, which lists the instances of services.
+//
+// GET /instances returns them in pages, optionally of one zone. As the real one it has two weaknesses that
+// callers must bear: the list lags behind what is true, and calls beyond a rate are rejected with 429. The
+// package must not be linked into a program that is deployed.
 package platform
 
 import (
@@ -19,39 +22,45 @@
 )
 
 const (
-	pageSize          = 50
-	tokenPrefix       = "p-"
+	pageSize = 50 // instances
+	// tokenPrefix precedes the offset in a page token.
+	tokenPrefix = "p-"
+	// historyRetention is how long former versions of the list are kept; a lag may be no longer.
 	historyRetention  = time.Minute
 	headerReadTimeout = 5 * time.Second
 )
 
-// Options are the list's figures.
+// Options configure a platform.
 type Options struct {
-	Address string        // ip:port; port 0 takes any
-	Lag     time.Duration // how far the list runs behind
-	Rate    float64       // calls a second from all callers
+	// Address is ip:port; port 0 takes any.
+	Address string
+	// Lag is the time until a change is visible.
+	Lag time.Duration
+	// Rate bounds the calls of all callers together, per second, with a burst of as many.
+	Rate float64
 }
 
-// Platform is a running list.
+// Platform is a running discovery API.
 type Platform struct {
 	options  Options
 	listener net.Listener
 	server   *http.Server
 
-	mu       sync.Mutex
-	versions []version // oldest first
+	mu       sync.Mutex // guards the fields below
+	versions []version  // oldest first; never empty
 	calls    int
-	tokens   float64
+	tokens   float64 // of the token bucket that bounds the rate
 	refilled time.Time
 }
 
-// version is the list from a moment on.
+// version is the list of instances from a time until the next version's.
 type version struct {
 	since  time.Time
-	items  map[string]instance
-	sorted []instance // by id; nil until it is first shown
+	items  map[string]instance // by id
+	sorted []instance          // by id; nil until it is first read
 }
 
+// instance is an instance as the API returns it.
 type instance struct {
 	ID         string          `json:"id"`
 	Service    string          `json:"backend"`
@@ -60,7 +69,7 @@
 	Generation string          `json:"generation"`
 	Slots      int             `json:"slots"`
 	State      string          `json:"state"`
-	Cold       int             `json:"cold-remaining-ms"`
+	WarmUpMs   int             `json:"cold-remaining-ms"`
 	Stage      string          `json:"stage"`
 	Models     []instanceModel `json:"models"`
 }
@@ -71,13 +80,13 @@
 	Adapters   []string `json:"adapters"`
 }
 
-// page is an answer.
+// page is a response.
 type page struct {
 	Instances []instance `json:"instances"`
 	Next      *string    `json:"next-token"`
 }
 
-// Start starts an empty list.
+// Start starts a platform without instances.
 func Start(options Options) (*Platform, error) {
 	listener, err := net.Listen("tcp", options.Address)
 	if err != nil {
@@ -101,13 +110,13 @@
 	return p, nil
 }
 
-// Address gives ip:port.
+// Address returns ip:port.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
-// Stop ends the list.
+// Stop closes the API.
 func (p *Platform) Stop() { p.server.Close() }
 
-// Put lists a server as it is now, in a zone.
+// Put lists a server in a zone, with its present state.
 func (p *Platform) Put(s *modelserver.Server, zone string) {
 	state := "ready"
 	if s.Draining() {
@@ -128,34 +137,32 @@
 	})
 }
 
-// Remove takes a server off the list.
+// Remove removes an instance from the list.
 func (p *Platform) Remove(id string) {
 	p.update(func(items map[string]instance) { delete(items, id) })
 }
 
-func (p *Platform) update(by func(map[string]instance)) {
+// update adds a version with a change, and drops those that are older than historyRetention.
+func (p *Platform) update(change func(map[string]instance)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	items := map[string]instance{}
-	for id, one := range p.versions[len(p.versions)-1].items {
-		items[id] = one
-	}
-	by(items)
+	items := maps.Clone(p.versions[len(p.versions)-1].items)
+	change(items)
 	p.versions = append(p.versions, version{since: now, items: items})
 	for len(p.versions) > 1 && now.Sub(p.versions[1].since) > historyRetention {
 		p.versions = p.versions[1:]
 	}
 }
 
-// Calls counts the calls so far, refused ones included.
+// Calls returns the number of calls so far, with the rejected ones.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// admit counts a call, and tells whether it is within the rate.
+// admit counts a call, and returns whether it is within the rate.
 func (p *Platform) admit(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,24 +176,24 @@
 	return true
 }
 
-// shown gives the list as callers see it at a moment, in the order of ids.
+// visible returns the instances that a caller sees at a time, sorted by id.
 func (p *Platform) visible(now time.Time, zone string) []instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	newest := 0
+	visible := 0
 	for i := range p.versions {
 		if now.Sub(p.versions[i].since) >= p.options.Lag {
-			newest = i
+			visible = i
 		}
 	}
-	all := p.versions[newest].sortedItems()
+	all := p.versions[visible].sortedItems()
 	if zone == "" {
 		return all
 	}
-	return slices.DeleteFunc(slices.Clone(all), func(one instance) bool { return one.Zone != zone })
+	return slices.DeleteFunc(slices.Clone(all), func(i instance) bool { return i.Zone != zone })
 }
 
-// inOrder gives the items in the order of ids. The list is sorted once: a long one is asked for page by page.
+// sortedItems returns the items sorted by id. They are sorted once, as a long list is read page by page.
 func (v *version) sortedItems() []instance {
 	if v.sorted == nil {
 		v.sorted = slices.SortedFunc(maps.Values(v.items), func(a, b instance) int { return strings.Compare(a.ID, b.ID) })
@@ -194,6 +201,8 @@
 	return v.sorted
 }
 
+// handleInstances answers GET /instances?zone=ZONE&page-token=TOKEN. Pages of one reading may be of different
+// versions.
 func (p *Platform) handleInstances(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	if !p.admit(now) {
@@ -203,12 +212,12 @@
 	all := p.visible(now, r.URL.Query().Get("zone"))
 	from := 0
 	if token := r.URL.Query().Get("page-token"); token != "" {
-		number, err := strconv.Atoi(strings.TrimPrefix(token, tokenPrefix))
-		if err != nil || number < 0 || number > len(all) {
+		offset, err := strconv.Atoi(strings.TrimPrefix(token, tokenPrefix))
+		if err != nil || offset < 0 || offset > len(all) {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		from = number
+		from = offset
 	}
 	until := min(from+pageSize, len(all))
 	answer := page{Instances: append([]instance{}, all[from:until]...)}
@@ -217,5 +226,5 @@
 		answer.Next = &next
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // a caller that has gone needs none
+	_ = json.NewEncoder(w).Encode(answer) // fails only where the caller has closed the connection
 }
--- a/internal/fake/platform/platform_test.go
+++ b/internal/fake/platform/platform_test.go
@@ -38,7 +38,7 @@
 			items[id] = instance{ID: id, Zone: []string{"a", "b"}[i%2]}
 		}
 	})
-	Convey("Pages hold the whole list in order", t, func() {
+	Convey("Pages hold the whole list, sorted", t, func() {
 		_, first := get(t, p, "")
 		So(first.Instances, ShouldHaveLength, pageSize)
 		So(*first.Next, ShouldEqual, "p-50")
@@ -47,11 +47,11 @@
 		So(second.Instances[0].ID, ShouldEqual, "i-50")
 		So(second.Next, ShouldBeNil)
 	})
-	Convey("A zone has its own", t, func() {
+	Convey("A zone's list holds its instances only", t, func() {
 		_, zone := get(t, p, "?zone=b")
 		So(zone.Instances, ShouldHaveLength, 30)
 	})
-	Convey("A token that was never given is refused", t, func() {
+	Convey("An unknown page token is rejected", t, func() {
 		status, _ := get(t, p, "?page-token=p-x")
 		So(status, ShouldEqual, http.StatusBadRequest)
 	})
@@ -64,11 +64,11 @@
 	}
 	t.Cleanup(p.Stop)
 	p.update(func(items map[string]instance) { items["i-1"] = instance{ID: "i-1"} })
-	Convey("A change shows once the lag is over", t, func() {
+	Convey("A change is visible after the lag", t, func() {
 		So(p.visible(time.Now(), ""), ShouldBeEmpty)
 		So(p.visible(time.Now().Add(time.Minute), ""), ShouldHaveLength, 1)
 	})
-	Convey("Calls over the rate get 429 and are counted", t, func() {
+	Convey("Calls beyond the rate get 429 and are counted", t, func() {
 		now := time.Now().Add(time.Hour)
 		So([]bool{p.admit(now), p.admit(now), p.admit(now)}, ShouldResemble, []bool{true, true, false})
 		So(p.Calls(), ShouldEqual, 3)
