--- a/cmd/sprucelab/deployments.go
+++ b/cmd/sprucelab/deployments.go
@@ -29,7 +29,7 @@
   sprucelab deployments --seed 94 --count 1`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if short() && !cmd.Flags().Changed("count") {
+			if shortMode() && !cmd.Flags().Changed("count") {
 				count = 100
 			}
 			out := cmd.OutOrStdout()
--- a/cmd/sprucelab/faults.go
+++ b/cmd/sprucelab/faults.go
@@ -32,7 +32,7 @@
   sprucelab faults --script split-20 --emulator`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			list, err := faults.Find(script)
 			if err == nil {
@@ -40,7 +40,7 @@
 				err = p.Check()
 			}
 			if err != nil {
-				return cli.Coded{Code: cli.Usage, Err: err}
+				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
 			arms := []faults.Plan{p}
 			if calm {
@@ -148,7 +148,7 @@
 lost against a run without faults, on processes, and leaves out of each the faults without which it is as bad.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			p.Binary = *binary
 			found, played, err := faults.Search(ctx, p, length, worst)
@@ -198,7 +198,7 @@
 (median and worst over the seeds; -1: not within the run). It fails where a rule is broken. SHORT=1 plays the first four, once.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			p.Binary = *binary
 			names := scripts
@@ -206,7 +206,7 @@
 				for _, s := range faults.Scripts {
 					names = append(names, s.Name)
 				}
-				if short() {
+				if shortMode() {
 					names, seeds, parallel, p.Length = names[:4], 1, 5, 24*time.Second
 				}
 			}
@@ -249,13 +249,13 @@
 what it could do. It fails on a broken rule or bound. SHORT=1 plays three scripts at the smallest sizes, once.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			p.Binary = *binary
-			if short() {
+			if shortMode() {
 				seeds, parallel, p.Length = 1, 8, 18*time.Second
 			}
-			list, err := faults.Recoveries(ctx, p, seeds, parallel, short(), cmd.ErrOrStderr())
+			list, err := faults.Recoveries(ctx, p, seeds, parallel, shortMode(), cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
--- a/cmd/sprucelab/learning.go
+++ b/cmd/sprucelab/learning.go
@@ -30,11 +30,11 @@
 SHORT=1 measures 12 s instead of 60.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			l.Binary, l.Arms, l.Progress = *binary, lab.LearningArms, cmd.ErrOrStderr()
 			l.Warm, l.Lead, l.Measured, l.Hang = 8*time.Second, 3*time.Second, 62*time.Second, 20*time.Second
-			if short() {
+			if shortMode() {
 				l.Warm, l.Measured, l.Hang = 6*time.Second, 12*time.Second, 11*time.Second
 			}
 			for i := range seeds {
@@ -44,7 +44,7 @@
 			if err != nil {
 				return err
 			}
-			var out figures
+			var out resultLine
 			out.add("seeds", "%d", seeds)
 			share := map[string][]float64{}
 			for i, w := range lab.Windows {
--- a/cmd/sprucelab/load.go
+++ b/cmd/sprucelab/load.go
@@ -27,14 +27,14 @@
 		Example: "  sprucelab load --gateways 3 --members 14 --rate 96 --for 30s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			asks := lab.PlatformLoad(seed, rate, accounts, max(gateways, 1))
 			asks.Retries, asks.Heeds = retries, heeds
 			site, err := lab.Open(lab.Plan{Binary: *binary, Seed: seed, Gateways: gateways, Members: count, Spec: poolmember.Default(),
 				SlowPart: 0.4, Delay: 800 * time.Millisecond, Load: asks, Peers: gateways > 1})
 			if err != nil {
-				return cli.Coded{Code: cli.Usage, Err: err}
+				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
 			defer site.Close()
 			for n := range gateways {
--- a/cmd/sprucelab/main.go
+++ b/cmd/sprucelab/main.go
@@ -20,10 +20,10 @@
 )
 
 func main() {
-	os.Exit(cli.Main(commands(), func(err error) { fmt.Fprintln(os.Stderr, "sprucelab:", err) }))
+	os.Exit(cli.Main(newRootCommand(), func(err error) { fmt.Fprintln(os.Stderr, "sprucelab:", err) }))
 }
 
-func commands() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	var binary string
 	root := &cobra.Command{
 		Use:   "sprucelab",
@@ -31,7 +31,7 @@
 		Long: `Demonstration, load and measurements of sprucelane, on loopback. Gateways are real processes; pool members, discovery
 and clients are stand-ins in this one. Every flag has a variable: SPRUCELAB_ and the flag's name in capitals.`,
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
-		PersistentPreRunE: cli.Env("SPRUCELAB", os.Getenv),
+		PersistentPreRunE: cli.EnvFlags("SPRUCELAB", os.Getenv),
 	}
 	beside := "sprucelane"
 	if self, err := os.Executable(); err == nil {
@@ -48,7 +48,7 @@
 }
 
 // until gives a context that ends with an interrupt.
-func until() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
@@ -61,7 +61,7 @@
 member hangs, one restarts cold, a gateway is killed, a member drains and another takes its place.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			d.Binary, d.Out = *binary, cmd.OutOrStdout()
 			d.Live = term.IsTerminal(int(os.Stdout.Fd()))
@@ -87,7 +87,7 @@
 		Example: "  sprucelab cost --gateway bin/sprucelane --against old/sprucelane",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			line := "COST"
 			for _, p := range []struct{ name, path string }{{"", *binary}, {"against_", against}} {
@@ -113,11 +113,11 @@
 }
 
 // short tells whether a measurement is to keep under fifty seconds.
-func short() bool { return os.Getenv("SHORT") != "" && os.Getenv("SHORT") != "0" }
+func shortMode() bool { return os.Getenv("SHORT") != "" && os.Getenv("SHORT") != "0" }
 
 // figures words a measurement's last line.
-type figures struct{ text strings.Builder }
+type resultLine struct{ text strings.Builder }
 
-func (f *figures) add(key, format string, value any) {
+func (f *resultLine) add(key, format string, value any) {
 	fmt.Fprintf(&f.text, " %s="+format, key, value)
 }
--- a/cmd/sprucelab/sim.go
+++ b/cmd/sprucelab/sim.go
@@ -41,7 +41,7 @@
 					s, err = emulator.ReadDeployment(text, seed, length)
 				}
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: fmt.Errorf("%s: %w", deployment, err)}
+					return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("%s: %w", deployment, err)}
 				}
 			}
 			for _, f := range []struct {
@@ -56,21 +56,21 @@
 			for _, text := range troubles {
 				t, err := emulator.ParseTrouble(text)
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: fmt.Errorf("trouble: %w", err)}
+					return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("trouble: %w", err)}
 				}
 				s.Troubles = append(s.Troubles, t)
 			}
 			if script != "" {
 				list, err := faults.Find(script)
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: err}
+					return cli.ExitError{Code: cli.ExitUsage, Err: err}
 				}
 				s.Troubles = append(s.Troubles, list...)
 			}
 			began := time.Now()
 			r, err := emulator.Play(s)
 			if broken := (*emulator.Broken)(nil); err != nil && !errors.As(err, &broken) {
-				return cli.Coded{Code: cli.Usage, Err: err}
+				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
 			out := cmd.OutOrStdout()
 			if course {
--- a/cmd/sprucelab/soak.go
+++ b/cmd/sprucelab/soak.go
@@ -30,7 +30,7 @@
 		Example: "  sprucelab soak --programs target/soak --seconds 120 --seed 7",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			plan.FaultDuration = time.Duration(seconds * float64(time.Second))
 			plan.Output = cmd.OutOrStdout()
@@ -70,7 +70,7 @@
 
 // printSoak prints a seed's line.
 func printSoak(out io.Writer, result soak.Result) {
-	var line figures
+	var line resultLine
 	line.add("seed", "%d", result.Options.Seed)
 	for _, kind := range soak.FaultKinds {
 		line.add(string(kind), "%d", result.Faults[kind])
--- a/cmd/sprucelab/storm.go
+++ b/cmd/sprucelab/storm.go
@@ -38,7 +38,7 @@
 
 // stormFigures prints the last line and tells which bounds are broken.
 func stormFigures(cmd *cobra.Command, p lab.Storm, runs []lab.StormRun, seeds, alarms int) error {
-	var out figures
+	var out resultLine
 	var broken []error
 	out.add("seeds", "%d", seeds)
 	over := func(damped bool, model string, of func(lab.StormRun) float64) (mean, most float64) {
@@ -113,11 +113,11 @@
 24 s after it.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			p.Binary, p.Progress = *binary, cmd.ErrOrStderr()
 			p.Warm, p.Outage, p.After, p.Patience = 12*time.Second, 20*time.Second, 60*time.Second, 15*time.Second
-			if short() {
+			if shortMode() {
 				p.Warm, p.Outage, p.After, p.Patience = 6*time.Second, 7*time.Second, 24*time.Second, 6*time.Second
 				seeds = min(seeds, 1)
 			}
--- a/cmd/sprucelab/system.go
+++ b/cmd/sprucelab/system.go
@@ -23,7 +23,7 @@
 		Example: "  sprucelab system --programs target --seconds 60",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			d.Options = system.DefaultOptions(programs)
 			d.Duration = time.Duration(seconds * float64(time.Second))
--- a/cmd/sprucelab/upgrade.go
+++ b/cmd/sprucelab/upgrade.go
@@ -12,8 +12,8 @@
 
 // The bounds of the measurement of upgrades.
 const (
-	brokenMost = 2   // connections that may meet an end, an upgrade
-	besideMost = 1.1 // worth served beyond the quotas, over what a restart lets through
+	maxBrokenPerUpgrade = 2   // connections that may meet an end, an upgrade
+	maxOverQuotaRatio   = 1.1 // worth served beyond the quotas, over what a restart lets through
 )
 
 func upgradeCommand(binary *string) *cobra.Command {
@@ -31,10 +31,10 @@
 two upgrades of two seeds.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := until()
+			ctx, stop := interruptContext()
 			defer stop()
 			p.Binary, p.Progress = *binary, cmd.ErrOrStderr()
-			if short() {
+			if shortMode() {
 				p.Upgrades, seeds = min(p.Upgrades, 2), min(seeds, 2)
 			}
 			for i := range seeds {
@@ -71,7 +71,7 @@
 		}
 		return mean / max(n, 1), most
 	}
-	var out figures
+	var out resultLine
 	out.add("seeds", "%d", len(p.Seeds))
 	out.add("upgrades", "%d", p.Upgrades)
 	per := float64(max(p.Upgrades, 1))
@@ -99,9 +99,9 @@
 	for _, b := range []struct {
 		is   bool
 		says string
-	}{{mean["broken"][0]+mean["bulk_broken"][0] > brokenMost, "clients met ends of connections"},
+	}{{mean["broken"][0]+mean["bulk_broken"][0] > maxBrokenPerUpgrade, "clients met ends of connections"},
 		{mean["lost"][0] > mean["lost"][1], "a restart loses less"},
-		{mean["beyond"][0] > besideMost*mean["beyond"][1], "a restart lets less through beyond the quotas"},
+		{mean["beyond"][0] > maxOverQuotaRatio*mean["beyond"][1], "a restart lets less through beyond the quotas"},
 		{memory > float64(p.MemoryMB), "both processes held more than the memory limit"},
 		{twice > 0, "a work-order ran twice"}} {
 		if b.is {
--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -34,13 +34,13 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if peer == "" {
-				return cli.Coded{Code: cli.Usage, Err: fmt.Errorf("peer: not set")}
+				return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("peer: not set")}
 			}
 			var conf *link.TLS
 			if !plain {
 				server, client, err := config.MutualTLS(cert, key, ca, name)
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: err}
+					return cli.ExitError{Code: cli.ExitUsage, Err: err}
 				}
 				conf = &link.TLS{Server: server, Client: client}
 			}
@@ -53,7 +53,7 @@
 			if asJSON {
 				return printFacts(cmd.OutOrStdout(), picture)
 			}
-			return tableFacts(cmd.OutOrStdout(), picture)
+			return printFactTable(cmd.OutOrStdout(), picture)
 		},
 	}
 	f := cmd.Flags()
@@ -69,7 +69,7 @@
 }
 
 // facts gives a picture's facts by member and observer.
-func facts(p *pb.Picture) []knowledge.Fact {
+func sortedFacts(p *pb.Picture) []knowledge.Fact {
 	list := link.FromWire(p, 0)
 	slices.SortFunc(list, func(x, y knowledge.Fact) int {
 		return cmp.Or(cmp.Compare(x.Instance, y.Instance), cmp.Compare(x.Observer.Name, y.Observer.Name))
@@ -80,7 +80,7 @@
 // printFacts writes a JSON object for each fact. Durations are in seconds.
 func printFacts(to io.Writer, p *pb.Picture) error {
 	out := json.NewEncoder(to)
-	for _, f := range facts(p) {
+	for _, f := range sortedFacts(p) {
 		var answered *float64
 		if f.Served() {
 			s := f.Answered.Seconds()
@@ -96,26 +96,26 @@
 	return nil
 }
 
-func tableFacts(to io.Writer, p *pb.Picture) error {
+func printFactTable(to io.Writer, p *pb.Picture) error {
 	fmt.Fprintf(to, "%s: version %d, %.1f s without word from discovery, %.1f s without an answer, %d facts\n", p.GetTeller(),
 		p.GetVersion(), float64(p.GetDeafMs())/1000, float64(p.GetBlindMs())/1000, len(p.GetFacts()))
 	table := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "MEMBER\tSTARTED\tOBSERVER\tHOPS\tAGE\tSTALLED\tLOST\tEJECTED\tPACE\tROOM\tWARMTH\tCOLD\tANSWERED")
-	for _, f := range facts(p) {
+	for _, f := range sortedFacts(p) {
 		started, answered := "long ago", "never"
 		if f.StartedMs > 0 {
 			started = time.UnixMilli(f.StartedMs).Format(time.DateTime)
 		}
 		if f.Served() {
-			answered = short(f.Answered+f.Age) + " ago"
+			answered = formatSeconds(f.Answered+f.Age) + " ago"
 		}
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\t%.2f\t%.1f\t%.0f%%\t%d\t%s\n", f.Instance, started, f.Observer.Name,
-			f.Hops, short(f.Age), short(f.Stalled), f.Lost, short(f.Ejected), f.Pace, f.Room, 100*f.Warmth, f.Cold, answered)
+			f.Hops, formatSeconds(f.Age), formatSeconds(f.Stalled), f.Lost, formatSeconds(f.Ejected), f.Pace, f.Room, 100*f.Warmth, f.Cold, answered)
 	}
 	return table.Flush()
 }
 
-func short(d time.Duration) string {
+func formatSeconds(d time.Duration) string {
 	if d <= 0 {
 		return "-"
 	}
--- a/cmd/sprucelane-link/main.go
+++ b/cmd/sprucelane-link/main.go
@@ -26,12 +26,12 @@
 )
 
 func main() {
-	os.Exit(cli.Main(commands(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
+	os.Exit(cli.Main(newRootCommand(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
 }
 
-func commands(getenv func(string) string) *cobra.Command {
+func newRootCommand(getenv func(string) string) *cobra.Command {
 	var format, level string
-	env := cli.Env("SPRUCELANE", getenv)
+	env := cli.EnvFlags("SPRUCELANE", getenv)
 	root := &cobra.Command{Use: "sprucelane-link", Short: "A gateway's link to its peers; sprucelane starts it",
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
 		PersistentPreRunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/sprucelane-link/main_test.go
+++ b/cmd/sprucelane-link/main_test.go
@@ -78,7 +78,7 @@
 
 	run := func(args ...string) (int, string) {
 		var out bytes.Buffer
-		root := commands(func(string) string { return "" })
+		root := newRootCommand(func(string) string { return "" })
 		root.SetArgs(append([]string{"knowledge"}, args...))
 		root.SetOut(&out)
 		return cli.Main(root, func(err error) { out.WriteString(err.Error()) }), out.String()
@@ -99,7 +99,7 @@
 		args []string
 		want string
 		code int
-	}{{nil, "peer", cli.Usage}, {[]string{"--peer", addr}, "cert_file", cli.Usage}, {[]string{"--peer", "127.0.0.1:1", "--plain"}, "127.0.0.1:1", 1}} {
+	}{{nil, "peer", cli.ExitUsage}, {[]string{"--peer", addr}, "cert_file", cli.ExitUsage}, {[]string{"--peer", "127.0.0.1:1", "--plain"}, "127.0.0.1:1", 1}} {
 		code, text = run(c.args...)
 		assert.Equal(t, c.code, code, c.want)
 		assert.Contains(t, text, c.want)
--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -24,7 +24,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
-	p := &process{gateways: map[uint16]*policy.Gateway{}, lists: map[uint32][]policy.ServerInfo{}}
+	p := &simulator{gateways: map[uint16]*policy.Gateway{}, lists: map[uint32][]policy.ServerInfo{}}
 	for {
 		b, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
@@ -34,7 +34,7 @@
 			return err
 		}
 		for i := range b.Events {
-			if err := p.event(b.Now, &b.Events[i]); err != nil {
+			if err := p.handleEvent(b.Now, &b.Events[i]); err != nil {
 				return fmt.Errorf("record %d: %w", i, err)
 			}
 		}
@@ -47,21 +47,21 @@
 	}
 }
 
-type process struct {
+type simulator struct {
 	gateways map[uint16]*policy.Gateway
 	lists    map[uint32][]policy.ServerInfo
 	actions  wire.Actions
 }
 
-func (p *process) event(now policy.Time, e *wire.Event) error {
+func (p *simulator) handleEvent(now policy.Time, e *wire.Event) error {
 	switch e.Code {
-	case wire.Register:
-		if e.Table > 15 {
-			return fmt.Errorf("list number %d out of range", e.Table)
+	case wire.ListDefined:
+		if e.ListNumber > 15 {
+			return fmt.Errorf("list number %d out of range", e.ListNumber)
 		}
-		p.lists[e.Table] = e.Entries
+		p.lists[e.ListNumber] = e.Entries
 		return nil
-	case wire.Born:
+	case wire.GatewayStarted:
 		set, err := config.ParseSettings(e.Settings)
 		if err != nil {
 			return err
@@ -79,31 +79,31 @@
 		return fmt.Errorf("unknown instance %d", e.Instance)
 	}
 	switch e.Code {
-	case wire.Down:
+	case wire.GatewayStopped:
 		delete(p.gateways, e.Instance)
-	case wire.Sync:
-		list, ok := p.lists[e.Table]
-		kind := policy.ListKind(e.Kind)
+	case wire.ListReceived:
+		list, ok := p.lists[e.ListNumber]
+		kind := policy.ListKind(e.ListKind)
 		if kind > policy.ListFailed {
-			return fmt.Errorf("unknown list kind %d", e.Kind)
+			return fmt.Errorf("unknown list kind %d", e.ListKind)
 		}
 		if kind == policy.ListFailed {
 			list = nil
 		} else if !ok {
-			return fmt.Errorf("unknown list number %d", e.Table)
+			return fmt.Errorf("unknown list number %d", e.ListNumber)
 		}
 		g.Servers(now, kind, list)
-	case wire.Order:
+	case wire.RequestReceived:
 		g.Request(now, e.Request)
-	case wire.Flowing:
+	case wire.ResponseStarted:
 		g.ResponseStarted(now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.OutcomeOf:
+	case wire.AttemptEnded:
 		g.Outcome(now, e.Outcome)
-	case wire.TimedOutClient:
+	case wire.ClientGone:
 		g.ClientGone(now, policy.RequestID(e.Tag))
-	case wire.Reminder:
+	case wire.TimerFired:
 		g.Timer(now, e.Tag)
-	case wire.NoteFrom:
+	case wire.PeerMessage:
 		g.PeerMessage(now, e.From, e.Message)
 	}
 	return nil
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -20,14 +20,14 @@
 const envPrefix = "SPRUCELANE"
 
 func main() {
-	os.Exit(cli.Main(commands(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
+	os.Exit(cli.Main(newRootCommand(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
 }
 
 // commands builds the command line. A bare start serves.
-func commands(getenv func(string) string) *cobra.Command {
+func newRootCommand(getenv func(string) string) *cobra.Command {
 	var opt options
 	var format, level string
-	env := cli.Env(envPrefix, getenv)
+	env := cli.EnvFlags(envPrefix, getenv)
 	run := func(*cobra.Command, []string) error { return serve(getenv, opt) }
 	root := &cobra.Command{
 		Use:   "sprucelane",
@@ -44,22 +44,22 @@
 				return err
 			}
 			if err := logging.Set(os.Stderr, format, level); err != nil {
-				return cli.Coded{Code: cli.Usage, Err: err}
+				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
 			return nil
 		},
 		RunE: run,
 	}
 	flags := root.PersistentFlags()
-	flags.StringVar(&opt.site, "site", config.SiteFile, "the operators' own `file`; without it what it holds is off")
-	flags.BoolVar(&opt.datagrams, "learn-by-datagram", false, "ask the peers, once started, what they know of the pool members")
-	flags.DurationVar(&opt.ahead, "clock-ahead", 0, "of the laboratory: how far this clock is ahead of others'")
+	flags.StringVar(&opt.siteFile, "site", config.SiteFile, "the operators' own `file`; without it what it holds is off")
+	flags.BoolVar(&opt.learnByDatagram, "learn-by-datagram", false, "ask the peers, once started, what they know of the pool members")
+	flags.DurationVar(&opt.clockAhead, "clock-ahead", 0, "of the laboratory: how far this clock is ahead of others'")
 	flags.MarkHidden("clock-ahead")
-	flags.StringVar(&opt.program, "link-program", helper.Beside(), "the `program` that links gateways where knowledge is on")
+	flags.StringVar(&opt.linkProgram, "link-program", helper.Beside(), "the `program` that links gateways where knowledge is on")
 	flags.StringVar(&format, "log-format", "text", "`form` of log lines: text (key=value) or json")
 	flags.StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn or error")
 	root.AddCommand(
-		knowledgeCommand(&opt.program),
+		knowledgeCommand(&opt.linkProgram),
 		storeCommand(),
 		&cobra.Command{Use: "serve", Short: "Serve until SIGTERM, as a bare start does", Args: cobra.NoArgs, RunE: run},
 		&cobra.Command{
@@ -69,12 +69,12 @@
 with 2 where there is one; prints what the gateway would be and exits with 0 where there is none.`,
 			Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				cfg, err := config.Load(getenv, opt.site)
-				for _, fault := range config.Faults(err) {
+				cfg, err := config.Load(getenv, opt.siteFile)
+				for _, fault := range config.Errors(err) {
 					fmt.Fprintln(cmd.OutOrStdout(), fault)
 				}
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: fmt.Errorf("configuration: %d faults", len(config.Faults(err)))}
+					return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("configuration: %d faults", len(config.Errors(err)))}
 				}
 				fmt.Fprintln(cmd.OutOrStdout(), cfg.Summary())
 				return nil
@@ -101,7 +101,7 @@
 			run.Stdin, run.Stdout, run.Stderr = os.Stdin, cmd.OutOrStdout(), os.Stderr
 			err := run.Run()
 			if ended := (*exec.ExitError)(nil); errors.As(err, &ended) {
-				return cli.Coded{Code: ended.ExitCode(), Err: fmt.Errorf("%s: %w", *program, err)}
+				return cli.ExitError{Code: ended.ExitCode(), Err: fmt.Errorf("%s: %w", *program, err)}
 			}
 			return err
 		},
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -46,7 +46,7 @@
 	go func() {
 		ended <- serve(func(k string) string {
 			return map[string]string{"ROUTER_CONFIG": path, "ROUTER_DISCOVERY": old}[k]
-		}, options{site: site})
+		}, options{siteFile: site})
 	}()
 	for _, port := range []string{":8080", ":8443"} {
 		require.Eventually(t, func() bool {
@@ -132,7 +132,7 @@
 // execute runs one command of the program in an environment and gives its exit code and what it printed.
 func execute(env map[string]string, args ...string) (int, string) {
 	var out strings.Builder
-	root := commands(func(k string) string { return env[k] })
+	root := newRootCommand(func(k string) string { return env[k] })
 	root.SetArgs(args)
 	root.SetOut(&out)
 	return cli.Main(root, func(err error) { fmt.Fprintln(&out, "failed:", err) }), out.String()
@@ -148,7 +148,7 @@
 	require.NoError(t, os.WriteFile(site, []byte(`{"consul":{"addr":"y"}}`), 0o600))
 	env := map[string]string{"ROUTER_CONFIG": path}
 	code, text := execute(env, "check", "--site", site)
-	assert.Equal(t, cli.Usage, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	for _, key := range []string{path + ": seed:", "limits.sockets:", path + ": settings: classes", "listen:", site + ": consul.addr:",
 		site + ": consul.service:"} {
 		assert.Contains(t, text, key)
@@ -169,7 +169,7 @@
 		assert.NotZero(t, code, c.want)
 	}
 	code, text = execute(nil, "serve")
-	assert.Equal(t, cli.Usage, code)
+	assert.Equal(t, cli.ExitUsage, code)
 	assert.Contains(t, text, "ROUTER_CONFIG")
 	code, text = execute(nil, "version")
 	assert.Zero(t, code)
--- a/cmd/sprucelane/store.go
+++ b/cmd/sprucelane/store.go
@@ -26,7 +26,7 @@
 					fs, err = store.Folder(args[0])
 				}
 				if err != nil {
-					return cli.Coded{Code: cli.Usage, Err: err}
+					return cli.ExitError{Code: cli.ExitUsage, Err: err}
 				}
 				return do(cmd, fs)
 			}})
@@ -34,12 +34,12 @@
 	on("verify", "Read all of it and say what is wrong", "Reads all files without changing any. Exits with 1 where something acknowledged is lost.",
 		func(cmd *cobra.Command, fs store.FS) error {
 			list, err := store.Verify(fs)
-			return errors.Join(err, say(cmd, list, "damaged"))
+			return errors.Join(err, printFindings(cmd, list, "damaged"))
 		})
 	on("repair", "Save what can be read, and list what is given up", "Writes all records that can be read into one new segment. The files of before stay, under names that end in .damaged.",
 		func(cmd *cobra.Command, fs store.FS) error {
 			list, err := store.Repair(fs)
-			say(cmd, list, "")
+			printFindings(cmd, list, "")
 			return err
 		})
 	open := func(fs store.FS, do func(s *store.Store) error) error {
@@ -83,7 +83,7 @@
 }
 
 // say prints what was found, and is an error of some name where something was lost.
-func say(cmd *cobra.Command, list []store.Finding, name string) error {
+func printFindings(cmd *cobra.Command, list []store.Finding, name string) error {
 	bad := 0
 	for _, f := range list {
 		mark := "ok "
--- a/cmd/sprucelane/store_test.go
+++ b/cmd/sprucelane/store_test.go
@@ -25,7 +25,7 @@
 		require.NoError(t, s.Write(&b, store.Immediate))
 	}
 	call := func(args ...string) (string, error) {
-		cmd := commands(func(string) string { return "" })
+		cmd := newRootCommand(func(string) string { return "" })
 		var out bytes.Buffer
 		cmd.SetOut(&out)
 		cmd.SetErr(&out)
--- a/cmd/sprucelane/upgrade.go
+++ b/cmd/sprucelane/upgrade.go
@@ -24,62 +24,62 @@
 
 const (
 	// meetWait is how long a successor waits for a predecessor that is busy with another.
-	meetWait = 2 * time.Second
+	predecessorTimeout = 2 * time.Second
 	// portWait is how long an address that somebody else has is waited for.
-	portWait = 10 * time.Second
+	bindTimeout = 10 * time.Second
 	// wordEvery is how often a predecessor tells what it still holds.
-	wordEvery = 25 * time.Millisecond
+	updateInterval = 25 * time.Millisecond
 	// mostLate bounds what is sent on between two words, which have to fit in a frame.
-	mostLate = 4096
+	maxQueuedSends = 4096
 	// carriedShare is the part of the memory limit, as a divisor, that the carried state of customers may take.
-	carriedShare = 64
+	stateMemoryDivisor = 64
 )
 
 // meet finds the process that this one follows, nil where there is none or it can't be talked to. Without operators'
 // calls or a folder that both processes have there are no upgrades.
-func (g *gateway) meet(cfg *config.Config, getenv func(string) string) *handover.Heir {
+func (g *gateway) connectPredecessor(cfg *config.Config, getenv func(string) string) *handover.Successor {
 	dir := getenv("TMPDIR")
 	if cfg.Control == "" || dir == "" {
 		return nil
 	}
 	var err error
-	if g.path, err = handover.Path(dir, cfg.Name); err != nil {
+	if g.handoverPath, err = handover.Path(dir, cfg.Name); err != nil {
 		slog.Error("handover", "step", "off", "err", err)
 		return nil
 	}
-	heir, err := handover.Meet(g.path, cfg.Name, meetWait)
-	if err != nil && !errors.Is(err, handover.ErrNobody) {
+	heir, err := handover.Connect(g.handoverPath, cfg.Name, predecessorTimeout)
+	if err != nil && !errors.Is(err, handover.ErrNoPredecessor) {
 		slog.Warn("handover", "step", "alone", "err", err)
 	}
-	if heir != nil && heir.Offer.Drained {
-		g.state.Drain(time.Now())
+	if heir != nil && heir.Offer.DrainRequested {
+		g.phase.Drain(time.Now())
 	}
 	return heir
 }
 
 // link opens the peers' socket, or takes it over; it is silent then until the predecessor has stopped.
-func (g *gateway) link(cfg *config.Config, heir *handover.Heir) (*peer.Link, error) {
-	if conn := heir.Packet(cfg.PeerListen.String()); conn != nil {
-		link := peer.On(conn, cfg.Peers, cfg.PeersAll)
+func (g *gateway) openPeerLink(cfg *config.Config, heir *handover.Successor) (*peer.Link, error) {
+	if conn := heir.PacketConn(cfg.PeerListen.String()); conn != nil {
+		link := peer.NewLink(conn, cfg.Peers, cfg.PeerBroadcast)
 		link.Pause()
 		return link, nil
 	}
 	conf := net.ListenConfig{}
-	if g.path != "" {
+	if g.handoverPath != "" {
 		conf.Control = front.SetReusePort
 	}
-	conn, err := retry(func() (net.PacketConn, error) {
+	conn, err := retryAddressInUse(func() (net.PacketConn, error) {
 		return conf.ListenPacket(context.Background(), "udp", cfg.PeerListen.String())
 	})
 	if err != nil {
 		return nil, err
 	}
-	return peer.On(conn.(*net.UDPConn), cfg.Peers, cfg.PeersAll), nil
+	return peer.NewLink(conn.(*net.UDPConn), cfg.Peers, cfg.PeerBroadcast), nil
 }
 
 // retry waits for an address that a process which can't hand over still has.
-func retry[T any](open func() (T, error)) (T, error) {
-	for until := time.Now().Add(portWait); ; time.Sleep(50 * time.Millisecond) {
+func retryAddressInUse[T any](open func() (T, error)) (T, error) {
+	for until := time.Now().Add(bindTimeout); ; time.Sleep(50 * time.Millisecond) {
 		x, err := open()
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
 			return x, err
@@ -88,203 +88,203 @@
 }
 
 // state is what goes over beside the sockets.
-type state struct {
-	List     discovery.Carried `json:"list"`
-	Module   []byte            `json:"module"`
-	Checks   []byte            `json:"checks,omitempty"` // the module's of the introspection front
-	InFlight uint16            `json:"in_flight"`
+type handoverState struct {
+	List     discovery.State `json:"list"`
+	Module   []byte          `json:"module"`
+	Checks   []byte          `json:"checks,omitempty"` // the module's of the introspection front
+	InFlight uint16          `json:"in_flight"`
 }
 
 // words is what a predecessor tells once it has handed over.
-type words struct {
-	Use  handover.Use `json:"use"`
-	Sent []core.Sent  `json:"sent,omitempty"`
+type handoverUpdate struct {
+	Usage handover.Usage `json:"use"`
+	Sent  []core.Sent    `json:"sent,omitempty"`
 }
 
 // inherit takes over from the predecessor: what waits in the ports' queues meanwhile is this process's. It tells whether
 // the list came over too. A state that doesn't come whole is left: this process begins like after a restart.
-func (g *gateway) inherit(heir *handover.Heir) (list bool) {
+func (g *gateway) takeOver(heir *handover.Successor) (list bool) {
 	if heir == nil {
 		return false
 	}
-	g.beside(&heir.Offer.Use)
-	carried, err := heir.Take()
-	var s state
+	g.setOtherUsage(&heir.Offer.Usage)
+	carried, err := heir.ReceiveState()
+	var s handoverState
 	if err == nil {
 		if err = json.Unmarshal(carried, &s); err == nil {
-			err = g.decisions.ImportState(s.Module)
+			err = g.core.ImportState(s.Module)
 		}
 		if err == nil {
-			err = g.roster.Restore(s.List)
+			err = g.membership.ImportState(s.List)
 			list = err == nil
 		}
-		g.checks = s.Checks
-		g.seq = s.InFlight
-		if done := heir.Done(); err == nil {
+		g.checkerState = s.Checks
+		g.loadExchangeSeq = s.InFlight
+		if done := heir.Confirm(); err == nil {
 			err = done
 		}
 	}
-	for _, s := range g.servers {
+	for _, s := range g.fronts {
 		s.Resume()
 	}
-	if g.peers != nil {
-		g.peers.Resume()
+	if g.peerLink != nil {
+		g.peerLink.Resume()
 	}
-	slog.Info("handover", "step", "taken", "drained", heir.Offer.Drained, "bytes", len(carried), "err", err)
+	slog.Info("handover", "step", "taken", "drained", heir.Offer.DrainRequested, "bytes", len(carried), "err", err)
 	go func() {
-		heir.Words(func(content []byte) {
-			var w words
+		heir.ReceiveUpdates(func(content []byte) {
+			var w handoverUpdate
 			if err := json.Unmarshal(content, &w); err != nil {
 				slog.Warn("handover", "step", "word", "err", err)
 				return
 			}
-			g.beside(&w.Use)
-			g.decisions.SentElsewhere(w.Sent)
+			g.setOtherUsage(&w.Usage)
+			g.core.SentElsewhere(w.Sent)
 		})
-		g.beside(nil)
+		g.setOtherUsage(nil)
 		slog.Info("handover", "step", "alone")
 	}()
 	return list
 }
 
 // clients counts the connections of clients.
-func (g *gateway) clients() (n int) {
-	for _, s := range g.servers {
+func (g *gateway) clientConns() (n int) {
+	for _, s := range g.fronts {
 		n += s.OpenConnections()
 	}
 	return n
 }
 
 // give lets a successor find this process.
-func (g *gateway) give() {
-	if g.path == "" {
+func (g *gateway) listenForSuccessor() {
+	if g.handoverPath == "" {
 		return
 	}
-	giver, err := handover.Give(g.path, g.cfg.Name, &predecessor{gateway: g})
+	giver, err := handover.Listen(g.handoverPath, g.cfg.Name, &handoverProcess{gateway: g})
 	if err != nil {
 		slog.Error("handover", "step", "off", "err", err)
 		return
 	}
-	g.given = giver
+	g.predecessor = giver
 	g.closers = append(g.closers, giver.Close)
 }
 
 // predecessor is this process as one that hands over.
-type predecessor struct {
+type handoverProcess struct {
 	*gateway
-	stop chan struct{} // ends the telling; nil: nothing is told
+	stopUpdates chan struct{} // ends the telling; nil: nothing is told
 
-	late sync.Mutex // taken under the core's
-	sent []core.Sent
+	sentMu sync.Mutex // taken under the core's
+	sent   []core.Sent
 }
 
 // use is what this process has of the limits, and what it may still need: a client that it holds may ask once more.
-func (p *predecessor) use() handover.Use {
+func (p *handoverProcess) usage() handover.Usage {
 	p.mu.Lock()
-	most := p.cfg.MemberSockets / 2 // the rest is the other's, however many clients stay
+	most := p.cfg.ServerConns / 2 // the rest is the other's, however many clients stay
 	p.mu.Unlock()
-	clients := p.clients()
-	return handover.Use{Clients: clients, Members: max(p.members.Stats().Open, min(clients, most))}
+	clients := p.clientConns()
+	return handover.Usage{ClientConns: clients, ServerConns: max(p.servers.Stats().Open, min(clients, most))}
 }
 
-func (p *predecessor) Offer() (offer handover.Offer, files []*os.File, err error) {
-	offer.Drained, offer.Use = p.state.DrainRequested(), p.use()
+func (p *handoverProcess) Offer() (offer handover.Offer, files []*os.File, err error) {
+	offer.DrainRequested, offer.Usage = p.phase.DrainRequested(), p.usage()
 	add := func(name string, open func() (*os.File, error)) {
 		f, failed := open()
 		if err = errors.Join(err, failed); failed == nil {
 			offer.Files, files = append(offer.Files, name), append(files, f)
 		}
 	}
-	for _, s := range p.servers {
+	for _, s := range p.fronts {
 		add(handover.ListenerName(s.Addr()), s.File)
 	}
-	if p.peers != nil {
-		add(handover.PacketName(p.peers.Addr().String()), p.peers.File)
+	if p.peerLink != nil {
+		add(handover.PacketConnName(p.peerLink.Addr().String()), p.peerLink.File)
 	}
 	return offer, files, err
 }
 
-func (p *predecessor) Freeze() []byte {
-	for _, s := range p.servers {
+func (p *handoverProcess) Freeze() []byte {
+	for _, s := range p.fronts {
 		s.Pause()
 	}
-	if p.peers != nil {
-		p.peers.Pause()
+	if p.peerLink != nil {
+		p.peerLink.Pause()
 	}
-	var all state
+	var all handoverState
 	p.mu.Lock()
-	most := int(p.cfg.MemoryBytes / carriedShare)
+	most := int(p.cfg.MemoryBytes / stateMemoryDivisor)
 	p.mu.Unlock()
-	all.Module = p.decisions.ExportState(most, p.note)
-	all.List = p.roster.Carry() // after the module: it may know more members by then, but each by its number
+	all.Module = p.core.ExportState(most, p.queueSent)
+	all.List = p.membership.ExportState() // after the module: it may know more members by then, but each by its number
 	if p.checker != nil {
 		all.Checks = p.checker.ExportState(most)
 	}
-	if p.crowd != nil {
-		all.InFlight = p.crowd.Seq()
+	if p.loadExchange != nil {
+		all.InFlight = p.loadExchange.Seq()
 	}
 	carried, _ := json.Marshal(all)
 	return carried
 }
 
 // note keeps what this process still sends on, for the next word.
-func (p *predecessor) note(s core.Sent) {
-	p.late.Lock()
-	defer p.late.Unlock()
-	if len(p.sent) < mostLate {
+func (p *handoverProcess) queueSent(s core.Sent) {
+	p.sentMu.Lock()
+	defer p.sentMu.Unlock()
+	if len(p.sent) < maxQueuedSends {
 		p.sent = append(p.sent, s)
 	}
 }
 
-func (p *predecessor) word() []byte {
-	p.late.Lock()
+func (p *handoverProcess) nextUpdate() []byte {
+	p.sentMu.Lock()
 	sent := p.sent
 	p.sent = nil
-	p.late.Unlock()
-	content, _ := json.Marshal(words{Use: p.use(), Sent: sent})
+	p.sentMu.Unlock()
+	content, _ := json.Marshal(handoverUpdate{Usage: p.usage(), Sent: sent})
 	return content
 }
 
-func (p *predecessor) Given() {
-	p.state.HandOver(time.Now())
-	use := p.use() // from now on it only gets less: the rest is the other's
+func (p *handoverProcess) HandedOver() {
+	p.phase.HandOver(time.Now())
+	use := p.usage() // from now on it only gets less: the rest is the other's
 	p.mu.Lock()
-	p.other = &handover.Use{Clients: p.cfg.ClientSockets - use.Clients, Members: p.cfg.MemberSockets - use.Members}
-	p.stop = make(chan struct{})
-	go p.tell(p.stop)
+	p.otherUsage = &handover.Usage{ClientConns: p.cfg.ClientConns - use.ClientConns, ServerConns: p.cfg.ServerConns - use.ServerConns}
+	p.stopUpdates = make(chan struct{})
+	go p.sendUpdates(p.stopUpdates)
 	p.mu.Unlock()
-	p.share()
+	p.applyLimits()
 }
 
-func (p *predecessor) tell(stop chan struct{}) {
+func (p *handoverProcess) sendUpdates(stop chan struct{}) {
 	debug.FreeOSMemory()
-	tick := time.NewTicker(wordEvery)
+	tick := time.NewTicker(updateInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case <-tick.C:
-			p.given.Tell(p.word())
+			p.predecessor.SendUpdate(p.nextUpdate())
 		}
 	}
 }
 
-func (p *predecessor) Resume() {
+func (p *handoverProcess) Resume() {
 	p.mu.Lock()
-	if p.stop != nil {
-		close(p.stop)
-		p.stop = nil
+	if p.stopUpdates != nil {
+		close(p.stopUpdates)
+		p.stopUpdates = nil
 	}
 	p.mu.Unlock()
-	p.decisions.StopExport()
-	p.word()
-	p.state.TakeBack()
-	p.beside(nil)
-	for _, s := range p.servers {
+	p.core.StopExport()
+	p.nextUpdate()
+	p.phase.TakeBack()
+	p.setOtherUsage(nil)
+	for _, s := range p.fronts {
 		s.Resume()
 	}
-	if p.peers != nil {
-		p.peers.Resume()
+	if p.peerLink != nil {
+		p.peerLink.Resume()
 	}
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -13,29 +13,29 @@
 )
 
 // Coded is an error with the exit code that it ends the program with.
-type Coded struct {
+type ExitError struct {
 	Code int
 	Err  error
 }
 
-func (c Coded) Error() string { return c.Err.Error() }
-func (c Coded) Unwrap() error { return c.Err }
+func (c ExitError) Error() string { return c.Err.Error() }
+func (c ExitError) Unwrap() error { return c.Err }
 
 // Exit codes beside 0 and 1.
 const (
-	Usage = 2 // what was given can't be used: flags, environment or configuration
+	ExitUsage = 2 // what was given can't be used: flags, environment or configuration
 )
 
 // Main runs a command and gives its exit code. An error is printed in one place, by report.
 func Main(root *cobra.Command, report func(error)) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return Coded{Usage, err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return ExitError{ExitUsage, err} })
 	err := root.Execute()
 	if err == nil {
 		return 0
 	}
 	report(err)
-	if coded := (Coded{}); errors.As(err, &coded) {
+	if coded := (ExitError{}); errors.As(err, &coded) {
 		return coded.Code
 	}
 	return 1
@@ -43,14 +43,14 @@
 
 // Env lets every flag of a command and of those below it be set by the environment too: PREFIX_ and the flag's name
 // in capitals, with _ for -. A flag on the command line wins. It comes before the command runs.
-func Env(prefix string, getenv func(string) string) func(*cobra.Command, []string) error {
+func EnvFlags(prefix string, getenv func(string) string) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		var first error
 		cmd.Flags().VisitAll(func(f *pflag.Flag) {
 			name := EnvName(prefix, f.Name)
 			if text := getenv(name); text != "" && !f.Changed && first == nil {
 				if err := cmd.Flags().Set(f.Name, text); err != nil {
-					first = Coded{Usage, fmt.Errorf("%s: %w", name, err)}
+					first = ExitError{ExitUsage, fmt.Errorf("%s: %w", name, err)}
 				}
 			}
 		})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,26 +31,26 @@
 
 // Config is all that a gateway is told.
 type Config struct {
-	Name, Listen, Discovery string
-	Control                 string // where operators call; empty: nowhere
-	Seed                    uint64
-	Cores                   int
-	MemoryBytes             int64
-	ClientSockets           int   // of the descriptor limit, for the clients of each virtual server
-	MemberSockets           int   // for pool members
-	CheckSockets            int   // and for introspection endpoints
-	Buffers                 int64 // bytes of memory that bodies and answers may hold together
-	PeerListen, PeersAll    netip.AddrPort
-	Peers                   []netip.AddrPort
-	Known                   discovery.List
-	Deployment              Deployment
-	Site                    Site
+	Name, Listen, Discovery   string
+	Control                   string // where operators call; empty: nowhere
+	Seed                      uint64
+	Cores                     int
+	MemoryBytes               int64
+	ClientConns               int   // of the descriptor limit, for the clients of each virtual server
+	ServerConns               int   // for pool members
+	CheckConns                int   // and for introspection endpoints
+	BufferMemory              int64 // bytes of memory that bodies and answers may hold together
+	PeerListen, PeerBroadcast netip.AddrPort
+	Peers                     []netip.AddrPort
+	KnownServers              discovery.List
+	Deployment                Deployment
+	Site                      Site
 
 	keys []string // that the file has, of those that the program reads
 }
 
 // ControlCallers is how many operators' calls may be open at once.
-const ControlCallers = 16
+const MaxControlConns = 16
 
 // Site is what the site file holds.
 type Site struct {
@@ -60,23 +60,23 @@
 	Storm         *Storm            `json:"storm"`
 	Store         *Store            `json:"store"`
 
-	introspection, knowledge []byte // as they were read
+	introspectionJSON, knowledgeJSON []byte // as they were read
 }
 
 // Store is the folder that outlasts the process.
 type Store struct {
 	Path    string `json:"path"`     // made where it isn't there; of this gateway alone
 	FlushMs int    `json:"flush_ms"` // that changes wait for the disk at most; 0: 50
-	MostMB  int    `json:"most_mb"`  // of all files; 0: 256
+	MaxMB   int    `json:"most_mb"`  // of all files; 0: 256
 }
 
 // FlushEvery is how long changes wait for the disk at most.
-func (s Store) FlushEvery() time.Duration {
+func (s Store) FlushInterval() time.Duration {
 	return time.Duration(cmp.Or(s.FlushMs, 50)) * time.Millisecond
 }
 
 // MostBytes is how large the folder may get.
-func (s Store) MostBytes() int64 { return int64(cmp.Or(s.MostMB, 256)) << 20 }
+func (s Store) MaxBytes() int64 { return int64(cmp.Or(s.MaxMB, 256)) << 20 }
 
 // SameConsul tells whether the pool comes from the same place.
 func (s Site) SameConsul(o Site) bool { return reflect.DeepEqual(s.Consul, o.Consul) }
@@ -98,12 +98,12 @@
 	PeerListen   string            `json:"peer_listen"` // the checks' own quota messages; none: each gateway holds its part
 	Peers        []string          `json:"peers"`
 
-	Timeout time.Duration    `json:"-"`
-	Path    string           `json:"-"`
-	TLS     bool             `json:"-"`
-	Roots   *x509.CertPool   `json:"-"`
-	Link    netip.AddrPort   `json:"-"`
-	Linked  []netip.AddrPort `json:"-"`
+	Timeout   time.Duration    `json:"-"`
+	Path      string           `json:"-"`
+	TLS       bool             `json:"-"`
+	Roots     *x509.CertPool   `json:"-"`
+	PeerAddr  netip.AddrPort   `json:"-"`
+	PeerAddrs []netip.AddrPort `json:"-"`
 }
 
 // Knowledge tells where this gateway's peers may ask what it knows of pool members, and which peers it asks.
@@ -125,10 +125,10 @@
 // Storm turns the damping of retry storms on.
 type Storm struct {
 	RetryShare      float64 `json:"retry_share"`       // retries let in for each first try in a storm; 0: 0.2
-	MostWaitMs      int     `json:"most_wait_ms"`      // longest wait that a refusal may name; 0: the platform's limit, 30 s at most
+	MaxRetryAfterMs int     `json:"most_wait_ms"`      // longest wait that a refusal may name; 0: the platform's limit, 30 s at most
 	ConnectionsPerS float64 `json:"connections_per_s"` // new connections a second taken in a storm; 0: all
 
-	MostWait time.Duration `json:"-"`
+	MaxRetryAfter time.Duration `json:"-"`
 }
 
 // Tool is one of the user's tools that may ask about tokens.
@@ -164,11 +164,11 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("%s: %w", siteFile, err)
 	}
-	var all faults
-	wrong := faultsOf(&all, path)
-	c := parse(text, site, wrong, faultsOf(&all, siteFile))
+	var all errorList
+	wrong := errorsOfFile(&all, path)
+	c := parse(text, site, wrong, errorsOfFile(&all, siteFile))
 	if inForce != nil && c.keys != nil {
-		for _, err := range lacks(inForce.keys, c.keys) {
+		for _, err := range missingKeys(inForce.keys, c.keys) {
 			wrong.add(err)
 		}
 	}
@@ -183,32 +183,32 @@
 }
 
 // faults gathers all that is wrong, so that it can be mended in one go.
-type faults struct {
-	where string // the file that it stands in
-	list  []error
-	into  *faults
+type errorList struct {
+	file   string // the file that it stands in
+	errs   []error
+	parent *errorList
 }
 
-func faultsOf(all *faults, file string) *faults { return &faults{where: file, into: all} }
+func errorsOfFile(all *errorList, file string) *errorList { return &errorList{file: file, parent: all} }
 
 // add keeps a fault, whose text begins with the key; none is nil.
-func (f *faults) add(err error) {
+func (f *errorList) add(err error) {
 	switch {
 	case err == nil:
-	case f.into != nil:
-		f.into.add(fmt.Errorf("%s: %w", f.where, err))
+	case f.parent != nil:
+		f.parent.add(fmt.Errorf("%s: %w", f.file, err))
 	default:
-		f.list = append(f.list, err)
+		f.errs = append(f.errs, err)
 	}
 }
 
-func (f *faults) addf(format string, values ...any) { f.add(fmt.Errorf(format, values...)) }
+func (f *errorList) addf(format string, values ...any) { f.add(fmt.Errorf(format, values...)) }
 
-func (f *faults) err() error { return errors.Join(f.list...) }
+func (f *errorList) err() error { return errors.Join(f.errs...) }
 
 // Faults gives the faults that an error of Load, Reload or Parse holds, each beginning with its file, if it stands in
 // one, and its key.
-func Faults(err error) (list []error) {
+func Errors(err error) (list []error) {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		return joined.Unwrap()
 	}
@@ -222,7 +222,7 @@
 func (c *Config) Summary() string {
 	text := fmt.Sprintf("name=%s listen=%s discovery=%s gateways=%d classes=%d plans=%d known=%d memory_mb=%d client_sockets=%d member_sockets=%d",
 		c.Name, c.Listen, c.Discovery, c.Deployment.Gateways, len(c.Deployment.Classes), len(c.Deployment.Plans),
-		len(c.Known.Instances), c.MemoryBytes>>20, c.ClientSockets, c.MemberSockets)
+		len(c.KnownServers.Instances), c.MemoryBytes>>20, c.ClientConns, c.ServerConns)
 	if c.Control != "" {
 		text += " control=" + c.Control
 	}
@@ -245,16 +245,16 @@
 }
 
 // Fixed names the keys in which a reloaded configuration differs and that hold until the next start.
-func (c *Config) Fixed(next *Config) (keys []string) {
+func (c *Config) RestartKeys(next *Config) (keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
 	}{
 		{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"control", c.Control == next.Control},
 		{"peer_listen", c.PeerListen == next.PeerListen}, {"peers", slices.Equal(c.Peers, next.Peers)},
-		{"peers_all", c.PeersAll == next.PeersAll},
-		{"introspection", bytes.Equal(c.Site.introspection, next.Site.introspection)},
-		{"knowledge", bytes.Equal(c.Site.knowledge, next.Site.knowledge)},
+		{"peers_all", c.PeerBroadcast == next.PeerBroadcast},
+		{"introspection", bytes.Equal(c.Site.introspectionJSON, next.Site.introspectionJSON)},
+		{"knowledge", bytes.Equal(c.Site.knowledgeJSON, next.Site.knowledgeJSON)},
 		{"storm", reflect.DeepEqual(c.Site.Storm, next.Site.Storm)},
 		{"store", reflect.DeepEqual(c.Site.Store, next.Site.Store)},
 	} {
@@ -262,19 +262,19 @@
 			keys = append(keys, k.name)
 		}
 	}
-	_, settings := next.Deployment.Keep(c.Deployment)
+	_, settings := next.Deployment.WithRestartKeysOf(c.Deployment)
 	return append(keys, settings...)
 }
 
 // Parse reads the platform's configuration and the site's, which may be empty.
 func Parse(text, site []byte) (*Config, error) {
-	var all faults
-	c := parse(text, site, &all, faultsOf(&all, SiteFile))
+	var all errorList
+	c := parse(text, site, &all, errorsOfFile(&all, SiteFile))
 	return c, all.err()
 }
 
 // file is the platform's configuration file.
-type file struct {
+type platformFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -293,14 +293,14 @@
 }
 
 // parse keeps what is wrong with the platform's and with the site's configuration, and gives what could be read.
-func parse(text, site []byte, wrong, siteWrong *faults) *Config {
-	var f file
-	c := &Config{keys: keysOf(text)}
+func parse(text, site []byte, wrong, siteWrong *errorList) *Config {
+	var f platformFile
+	c := &Config{keys: fileKeys(text)}
 	if err := json.Unmarshal(text, &f); err != nil {
 		wrong.add(err)
 		return c
 	}
-	c.Name, c.Listen, c.Discovery, c.Control, c.Known = f.Name, f.Listen, f.Discovery, f.Control, f.Known
+	c.Name, c.Listen, c.Discovery, c.Control, c.KnownServers = f.Name, f.Listen, f.Discovery, f.Control, f.Known
 	var err error
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		wrong.addf("seed: not 64 bits in hex: %q", f.Seed)
@@ -308,19 +308,19 @@
 	if !(f.Limits.Cores >= 0) || !(f.Limits.MemoryMB >= 0) || f.Limits.Sockets < 0 {
 		wrong.addf("limits: cores, memory_mb and sockets must not be negative")
 	}
-	c.Cores = max(1, int(math.Ceil(orElse(f.Limits.Cores, 1))))
-	c.MemoryBytes = int64(orElse(f.Limits.MemoryMB, 192) * (1 << 20))
+	c.Cores = max(1, int(math.Ceil(positiveOr(f.Limits.Cores, 1))))
+	c.MemoryBytes = int64(positiveOr(f.Limits.MemoryMB, 192) * (1 << 20))
 	if c.MemoryBytes < 32<<20 {
 		wrong.addf("limits.memory_mb: %v is less than the 32 that the program needs", f.Limits.MemoryMB)
 	}
-	c.Buffers = c.MemoryBytes / 8
-	sockets := int(orElse(float64(f.Limits.Sockets), 1024))
+	c.BufferMemory = c.MemoryBytes / 8
+	sockets := int(positiveOr(float64(f.Limits.Sockets), 1024))
 	if sockets < 64 {
 		wrong.addf("limits.sockets: %d is less than the 64 that the program needs", sockets)
 	}
-	c.PeerListen = addr(wrong, "peer_listen", f.PeerListen)
-	c.Peers = addrs(wrong, "peers", f.Peers)
-	c.PeersAll = addr(wrong, "peers_all", f.PeersAll)
+	c.PeerListen = parseAddr(wrong, "peer_listen", f.PeerListen)
+	c.Peers = parseAddrs(wrong, "peers", f.Peers)
+	c.PeerBroadcast = parseAddr(wrong, "peers_all", f.PeersAll)
 	if c.Deployment, err = ParseSettings(f.Settings); err == nil {
 		err = c.Deployment.Validate()
 	}
@@ -328,8 +328,8 @@
 	if err == nil && len(f.Peers) > 0 && len(f.Peers) != c.Deployment.Gateways {
 		wrong.addf("peers: %d addresses for settings.group_size %d", len(f.Peers), c.Deployment.Gateways)
 	}
-	c.Deployment.ConnIdle = time.Duration(orElse(float64(c.Deployment.ConnIdle), float64(30*time.Second)))
-	c.Deployment.ConnectWait = time.Duration(orElse(float64(c.Deployment.ConnectWait), float64(250*time.Millisecond)))
+	c.Deployment.IdleTimeout = time.Duration(positiveOr(float64(c.Deployment.IdleTimeout), float64(30*time.Second)))
+	c.Deployment.ConnectTimeout = time.Duration(positiveOr(float64(c.Deployment.ConnectTimeout), float64(250*time.Millisecond)))
 	if len(site) > 0 {
 		strict := json.NewDecoder(bytes.NewReader(site)) // a key that was mistyped would be off without a word
 		strict.DisallowUnknownFields()
@@ -338,10 +338,10 @@
 			return c
 		}
 		if c.Site.Introspection != nil {
-			c.Site.introspection, _ = json.Marshal(c.Site.Introspection)
+			c.Site.introspectionJSON, _ = json.Marshal(c.Site.Introspection)
 		}
 		if c.Site.Knowledge != nil {
-			c.Site.knowledge, _ = json.Marshal(c.Site.Knowledge)
+			c.Site.knowledgeJSON, _ = json.Marshal(c.Site.Knowledge)
 			if c.Name == "" {
 				wrong.addf("name: not set, though knowledge is on")
 			}
@@ -353,7 +353,7 @@
 			if s.FlushMs < 0 || s.FlushMs > 10000 {
 				siteWrong.addf("store.flush_ms: must be 0 to 10000")
 			}
-			if s.MostMB < 0 || s.MostMB > 0 && s.MostMB < 16 {
+			if s.MaxMB < 0 || s.MaxMB > 0 && s.MaxMB < 16 {
 				siteWrong.addf("store.most_mb: must be 16 or more")
 			}
 			if c.Name == "" {
@@ -362,15 +362,15 @@
 		}
 	}
 	// What is left over is for discovery, peers and the runtime's own.
-	c.ClientSockets, c.MemberSockets = sockets*50/100, sockets*35/100
+	c.ClientConns, c.ServerConns = sockets*50/100, sockets*35/100
 	if c.Site.Introspection != nil { // two virtual servers, and the checks have connections of their own
-		c.ClientSockets, c.MemberSockets, c.CheckSockets = sockets*30/100, sockets*20/100, sockets*12/100
+		c.ClientConns, c.ServerConns, c.CheckConns = sockets*30/100, sockets*20/100, sockets*12/100
 	}
 	c.Site.check(c.Deployment, siteWrong)
 	return c
 }
 
-func orElse(x, standard float64) float64 {
+func positiveOr(x, standard float64) float64 {
 	if x > 0 {
 		return x
 	}
@@ -378,7 +378,7 @@
 }
 
 // addr reads an address, the zero value where none is given.
-func addr(wrong *faults, key, text string) (a netip.AddrPort) {
+func parseAddr(wrong *errorList, key, text string) (a netip.AddrPort) {
 	if text != "" {
 		var err error
 		if a, err = netip.ParseAddrPort(text); err != nil {
@@ -388,37 +388,37 @@
 	return a
 }
 
-func addrs(wrong *faults, key string, texts []string) (list []netip.AddrPort) {
+func parseAddrs(wrong *errorList, key string, texts []string) (list []netip.AddrPort) {
 	for i, t := range texts {
 		if t == "" {
 			t = " " // empty is no address here
 		}
-		list = append(list, addr(wrong, fmt.Sprintf("%s[%d]", key, i), t))
+		list = append(list, parseAddr(wrong, fmt.Sprintf("%s[%d]", key, i), t))
 	}
 	return list
 }
 
-func hostPort(wrong *faults, key, text string) {
+func checkHostPort(wrong *errorList, key, text string) {
 	if _, _, err := net.SplitHostPort(text); err != nil {
 		wrong.addf("%s: %w", key, err)
 	}
 }
 
 // check looks at what the environment may have changed.
-func (c *Config) check(wrong *faults) {
-	hostPort(wrong, "listen", c.Listen)
+func (c *Config) check(wrong *errorList) {
+	checkHostPort(wrong, "listen", c.Listen)
 	if c.Control != "" { // its callers have descriptors of their own, whatever clients hold
-		hostPort(wrong, "control", c.Control)
-		c.ClientSockets -= 1 + ControlCallers
+		checkHostPort(wrong, "control", c.Control)
+		c.ClientConns -= 1 + MaxControlConns
 	}
 	if c.Site.Consul == nil {
-		hostPort(wrong, "discovery", c.Discovery)
+		checkHostPort(wrong, "discovery", c.Discovery)
 	}
 }
 
-func (s *Site) check(d Deployment, wrong *faults) {
+func (s *Site) check(d Deployment, wrong *errorList) {
 	if c := s.Consul; c != nil {
-		hostPort(wrong, "consul.addr", c.Addr)
+		checkHostPort(wrong, "consul.addr", c.Addr)
 		if c.Service == "" {
 			wrong.addf("consul.service: not set")
 		}
@@ -430,7 +430,7 @@
 		s.Knowledge.check(wrong)
 	}
 	if st := s.Storm; st != nil {
-		if st.MostWait = time.Duration(st.MostWaitMs) * time.Millisecond; st.MostWaitMs < 0 || st.MostWait > 30*time.Second {
+		if st.MaxRetryAfter = time.Duration(st.MaxRetryAfterMs) * time.Millisecond; st.MaxRetryAfterMs < 0 || st.MaxRetryAfter > 30*time.Second {
 			wrong.addf("storm.most_wait_ms: must be 0 to 30000")
 		}
 		if !(st.RetryShare >= 0 && st.RetryShare <= 1) {
@@ -442,8 +442,8 @@
 	}
 }
 
-func (in *Introspection) check(d Deployment, wrong *faults) {
-	hostPort(wrong, "introspection.listen", in.Listen)
+func (in *Introspection) check(d Deployment, wrong *errorList) {
+	checkHostPort(wrong, "introspection.listen", in.Listen)
 	if (in.CertFile == "") != (in.KeyFile == "") {
 		wrong.addf("introspection.cert_file, key_file: both or none")
 	}
@@ -476,12 +476,12 @@
 	if in.TimeoutMs < 0 {
 		wrong.addf("introspection.timeout_ms: must not be negative")
 	}
-	in.Timeout = time.Duration(orElse(float64(in.TimeoutMs), 1000)) * time.Millisecond
+	in.Timeout = time.Duration(positiveOr(float64(in.TimeoutMs), 1000)) * time.Millisecond
 	if in.Realm == "" {
 		in.Realm = "sprucelane"
 	}
 	for class := range in.Scopes {
-		if d.ClassNumber(class) < 0 {
+		if d.ClassIndex(class) < 0 {
 			wrong.addf("introspection.scopes: settings know no class %q", class)
 		}
 	}
@@ -489,31 +489,31 @@
 		if t.ID == "" || t.Secret == "" {
 			wrong.addf("introspection.tools[%d].id, secret: not set", i)
 		}
-		if d.PlanNumber(t.Plan) < 0 {
+		if d.PlanIndex(t.Plan) < 0 {
 			wrong.addf("introspection.tools[%d].plan: settings know no plan %q", i, t.Plan)
 		}
 	}
 	if in.PeerListen != "" {
-		in.Link = addr(wrong, "introspection.peer_listen", in.PeerListen)
-		if in.Linked = addrs(wrong, "introspection.peers", in.Peers); len(in.Linked) != d.Gateways {
-			wrong.addf("introspection.peers: %d addresses for settings.group_size %d", len(in.Linked), d.Gateways)
+		in.PeerAddr = parseAddr(wrong, "introspection.peer_listen", in.PeerListen)
+		if in.PeerAddrs = parseAddrs(wrong, "introspection.peers", in.Peers); len(in.PeerAddrs) != d.Gateways {
+			wrong.addf("introspection.peers: %d addresses for settings.group_size %d", len(in.PeerAddrs), d.Gateways)
 		}
 	}
 }
 
-const learnWait = 300 // ms
+const defaultKnowledgeWaitMs = 300 // ms
 
-func (k *Knowledge) check(wrong *faults) {
+func (k *Knowledge) check(wrong *errorList) {
 	if k.Listen == "" && len(k.Peers) == 0 {
 		wrong.addf("knowledge.listen, peers: neither is given")
 	}
 	if k.Listen != "" {
-		hostPort(wrong, "knowledge.listen", k.Listen)
+		checkHostPort(wrong, "knowledge.listen", k.Listen)
 	}
 	for i, p := range k.Peers {
-		hostPort(wrong, fmt.Sprintf("knowledge.peers[%d]", i), p)
+		checkHostPort(wrong, fmt.Sprintf("knowledge.peers[%d]", i), p)
 	}
-	if k.Wait = learnWait * time.Millisecond; k.WaitMs != nil {
+	if k.Wait = defaultKnowledgeWaitMs * time.Millisecond; k.WaitMs != nil {
 		k.Wait = time.Duration(*k.WaitMs) * time.Millisecond
 	}
 	if k.Wait < 0 || k.Wait > 10*time.Second {
@@ -559,7 +559,7 @@
 }
 
 // ClassNumber gives the number of a class, -1 where there is none of that name.
-func (d Deployment) ClassNumber(name string) int {
+func (d Deployment) ClassIndex(name string) int {
 	for i, c := range d.Classes {
 		if c.Name == name {
 			return i
@@ -569,7 +569,7 @@
 }
 
 // PlanNumber gives the number of a plan, -1 where there is none of that name.
-func (d Deployment) PlanNumber(name string) int {
+func (d Deployment) PlanIndex(name string) int {
 	for i, p := range d.Plans {
 		if p.Name == name {
 			return i
@@ -579,7 +579,7 @@
 }
 
 // LongestDeadline is the longest that any client waits.
-func (d Deployment) LongestDeadline() time.Duration {
+func (d Deployment) MaxDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range d.Classes {
 		longest = max(longest, c.Deadline)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,12 +32,12 @@
 	assert.Equal(t, "127.0.0.9:81", c.Listen)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
 	assert.Equal(t, 1, c.Cores)
-	assert.Equal(t, uint64(41), c.Known.Generation)
-	assert.Equal(t, 9*time.Second, c.Deployment.ConnIdle)
-	assert.Equal(t, 250*time.Millisecond, c.Deployment.ConnectWait)
+	assert.Equal(t, uint64(41), c.KnownServers.Generation)
+	assert.Equal(t, 9*time.Second, c.Deployment.IdleTimeout)
+	assert.Equal(t, 250*time.Millisecond, c.Deployment.ConnectTimeout)
 	assert.Equal(t, time.Second, c.Deployment.MaxRetryAfter) // though the site doesn't say that clients heed it
-	assert.Equal(t, 4*time.Second, c.Deployment.LongestDeadline())
-	assert.LessOrEqual(t, c.ClientSockets+c.MemberSockets, 1024*9/10)
+	assert.Equal(t, 4*time.Second, c.Deployment.MaxDeadline())
+	assert.LessOrEqual(t, c.ClientConns+c.ServerConns, 1024*9/10)
 	assert.Nil(t, c.Site.Introspection)
 }
 
@@ -57,15 +57,15 @@
 	require.NoError(t, err)
 	assert.Equal(t, "127.2.0.9:8500", next.Discovery)
 	assert.Equal(t, "127.0.0.9:81", next.Listen)
-	assert.Less(t, next.MemberSockets, c.MemberSockets)
-	assert.Empty(t, c.Fixed(next))
-	assert.Empty(t, c.Fixed(c))
+	assert.Less(t, next.ServerConns, c.ServerConns)
+	assert.Empty(t, c.RestartKeys(next))
+	assert.Empty(t, c.RestartKeys(c))
 	renumbered := strings.NewReplacer(`"zones":["a","b"]`, `"zones":["b"]`, "127.0.0.4:7946", "127.0.0.5:7946").Replace(platform)
 	require.NoError(t, os.WriteFile(path, []byte(renumbered), 0o600))
 	next, err = Reload(getenv, filepath.Join(dir, "none"), c)
 	require.NoError(t, err)
-	assert.Equal(t, []string{"peer_listen", "settings.zones"}, c.Fixed(next))
-	kept, _ := next.Deployment.Keep(c.Deployment)
+	assert.Equal(t, []string{"peer_listen", "settings.zones"}, c.RestartKeys(next))
+	kept, _ := next.Deployment.WithRestartKeysOf(c.Deployment)
 	assert.Equal(t, c.Deployment.Zones, kept.Zones)
 }
 
@@ -127,13 +127,13 @@
 	assert.Equal(t, []string{"127.0.0.1:9443"}, in.Endpoints)
 	assert.Equal(t, "/introspect", in.Path)
 	assert.Equal(t, time.Second, in.Timeout)
-	assert.LessOrEqual(t, 2*c.ClientSockets+c.MemberSockets+c.CheckSockets, 1024*95/100)
+	assert.LessOrEqual(t, 2*c.ClientConns+c.ServerConns+c.CheckConns, 1024*95/100)
 	assert.Equal(t, 300*time.Millisecond, c.Site.Knowledge.Wait)
 	assert.Contains(t, c.Summary(), "knowledge=127.0.0.1:7950")
 	example, err := os.ReadFile("../../deploy/sprucelane.example.json")
 	require.NoError(t, err)
 	_, err = Parse([]byte(platform), example)
-	for _, fault := range Faults(err) { // its certificates are the reader's own
+	for _, fault := range Errors(err) { // its certificates are the reader's own
 		assert.ErrorContains(t, fault, "knowledge.cert_file, key_file: open")
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -12,14 +12,14 @@
 // the start; in a file that replaces another it is far more likely lost.
 
 // keys gives the keys of a JSON value that the program reads, as paths; of a list's entries those that all of them have.
-func keys(value any, as reflect.Type) (paths []string) {
+func keyPaths(value any, as reflect.Type) (paths []string) {
 	switch as.Kind() {
 	case reflect.Pointer:
-		return keys(value, as.Elem())
+		return keyPaths(value, as.Elem())
 	case reflect.Slice:
 		list, _ := value.([]any)
 		for i, entry := range list {
-			of := keys(entry, as.Elem())
+			of := keyPaths(entry, as.Elem())
 			if i == 0 {
 				paths = of
 			}
@@ -37,7 +37,7 @@
 				continue
 			}
 			paths = append(paths, "."+name)
-			for _, p := range keys(inner, as.Field(i).Type) {
+			for _, p := range keyPaths(inner, as.Field(i).Type) {
 				paths = append(paths, "."+name+p)
 			}
 		}
@@ -47,14 +47,14 @@
 
 // keysOf gives the keys of a configuration file. Its settings are a form of their own, and what is known of the pool is not
 // what somebody sets.
-func keysOf(text []byte) (paths []string) {
+func fileKeys(text []byte) (paths []string) {
 	var value map[string]any
 	if json.Unmarshal(text, &value) != nil {
 		return nil
 	}
-	for _, p := range append(keys(value, reflect.TypeFor[file]()), keys(map[string]any{"settings": value["settings"]},
+	for _, p := range append(keyPaths(value, reflect.TypeFor[platformFile]()), keyPaths(map[string]any{"settings": value["settings"]},
 		reflect.TypeFor[struct {
-			Settings bootInfo `json:"settings"`
+			Settings settingsObject `json:"settings"`
 		}]())...) {
 		if p = p[1:]; !strings.HasPrefix(p, "known.") && !slices.Contains(paths, p) {
 			paths = append(paths, p)
@@ -64,7 +64,7 @@
 }
 
 // lacks names the keys that a file in force has and its replacement hasn't, without those below one that is named.
-func lacks(old, next []string) (faults []error) {
+func missingKeys(old, next []string) (faults []error) {
 	var named []string
 	for _, p := range old {
 		below := func(n string) bool { return strings.HasPrefix(p, n+".") || strings.HasPrefix(p, n+"[") }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-type bootInfo struct {
+type settingsObject struct {
 	Allowed struct {
 		Cancel        bool          `json:"cancel"`
 		ConnIdle      time.Duration `json:"conn_idle"`
@@ -76,18 +76,18 @@
 // Deployment is the settings object: what the module is told, and what only the sockets need.
 type Deployment struct {
 	policy.Settings
-	Era          int           // its number, where settings are exchanged
-	Zones, Kinds []string      // the names that discovery uses, in the module's order
-	ConnIdle     time.Duration // after which a pool member's machine closes an idle connection
-	ConnectWait  time.Duration // after which a connection that isn't up never comes up
+	Generation     int           // its number, where settings are exchanged
+	Zones, Kinds   []string      // the names that discovery uses, in the module's order
+	IdleTimeout    time.Duration // after which a pool member's machine closes an idle connection
+	ConnectTimeout time.Duration // after which a connection that isn't up never comes up
 }
 
 // Same tells whether two are the same settings.
-func (d Deployment) Same(o Deployment) bool { return reflect.DeepEqual(d, o) }
+func (d Deployment) Equal(o Deployment) bool { return reflect.DeepEqual(d, o) }
 
 // Keep gives the settings with what can't change without a start as it is in those of the start, and names the keys that
 // differ in it.
-func (d Deployment) Keep(start Deployment) (kept Deployment, keys []string) {
+func (d Deployment) WithRestartKeysOf(start Deployment) (kept Deployment, keys []string) {
 	for _, k := range []struct {
 		name string
 		same bool
@@ -109,9 +109,9 @@
 
 // The wire's words and the field's.
 var (
-	effects = map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotentByKey, "single_shot": policy.NotIdempotent}
-	scopes  = map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
-	reports = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
+	idempotencies    = map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotentByKey, "single_shot": policy.NotIdempotent}
+	dedupScopes      = map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
+	loadReportFields = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 		"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 )
 
@@ -120,7 +120,7 @@
 	fields := map[string]int{}
 	for i, name := range d.LoadReportFields {
 		fields[name] = i
-		for wire, word := range reports {
+		for wire, word := range loadReportFields {
 			if word == name {
 				fields[wire] = i
 			}
@@ -132,11 +132,11 @@
 // ParseSettings maps the settings object to the module's words, for the gateway and the adapter alike. Keys it
 // does not know are ignored.
 func ParseSettings(text []byte) (Deployment, error) {
-	var b bootInfo
+	var b settingsObject
 	if err := json.Unmarshal(text, &b); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{Zones: b.Zones, Kinds: b.Kinds, ConnIdle: b.Allowed.ConnIdle, ConnectWait: b.Allowed.ConnectWait}
+	d := Deployment{Zones: b.Zones, Kinds: b.Kinds, IdleTimeout: b.Allowed.ConnIdle, ConnectTimeout: b.Allowed.ConnectWait}
 	s := policy.Settings{Self: b.SelfIndex, Gateways: b.GroupSize, Zone: b.Zone, Tick: b.Tick,
 		Subscribe: b.Discovery == "subscribe",
 		Hedging:   b.Allowed.MayDuplicate, Peers: b.Allowed.Peers, Probes: b.Allowed.Probes,
@@ -154,14 +154,14 @@
 	// when to come back whether it is heeded or not.
 	s.MaxRetryAfter = b.Allowed.MaxRetryAfter
 	for _, n := range b.Report.Names {
-		s.LoadReportFields = append(s.LoadReportFields, reports[n])
+		s.LoadReportFields = append(s.LoadReportFields, loadReportFields[n])
 	}
 	for i, c := range b.Services {
-		effect, ok := effects[c.Effect]
+		effect, ok := idempotencies[c.Effect]
 		if !ok {
 			return d, fmt.Errorf("settings: services[%d].effect: unknown %q", i, c.Effect)
 		}
-		scope, ok := scopes[c.KeyScope]
+		scope, ok := dedupScopes[c.KeyScope]
 		if !ok && effect == policy.IdempotentByKey {
 			return d, fmt.Errorf("settings: services[%d].key_scope: unknown %q", i, c.KeyScope)
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,7 +42,7 @@
 	StartedMs int64   `json:"startedAtMs"`
 }
 
-var lifecycles = map[string]policy.ServerState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Departed}
+var serverStates = map[string]policy.ServerState{"up": policy.Ready, "draining": policy.Draining, "removed": policy.Departed}
 
 // Pool is told of members before the module is, so that nothing is sent to where the pool knows no way.
 type Pool interface {
@@ -50,87 +50,87 @@
 }
 
 // Roster gives every instance its number, the same for as long as it is listed, and passes lists on.
-type Roster struct {
+type Membership struct {
 	pool         Pool
-	module       func(policy.ListKind, []policy.ServerInfo)
+	onList       func(policy.ListKind, []policy.ServerInfo)
 	zones, kinds []string
-	last         policy.ServerID
+	lastID       policy.ServerID
 
-	mu    sync.Mutex // not held while a list is passed on
-	known map[string]*entry
-	at    uint64 // the version of the list
-	heard time.Time
-	calls Calls
+	mu         sync.Mutex // not held while a list is passed on
+	instances  map[string]*numbered
+	version    uint64 // the version of the list
+	lastAnswer time.Time
+	calls      Calls
 }
 
 // Calls counts what was asked of the source and how it went.
 type Calls struct {
-	Answered, TurnedAway, Unanswered uint64 // turned away: any answer that is no list
+	Answered, Rejected, Unanswered uint64 // turned away: any answer that is no list
 }
 
 // Calls gives the counts so far.
-func (r *Roster) Calls() Calls {
+func (r *Membership) Calls() Calls {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
 // Failed notes a call that brought no list.
-func (r *Roster) Failed(err error) {
+func (r *Membership) RecordFailure(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if errors.As(err, new(statusError)) {
-		r.calls.TurnedAway++
+		r.calls.Rejected++
 	} else {
 		r.calls.Unanswered++
 	}
 }
 
-type entry struct {
-	id policy.ServerID
-	in Instance
+type numbered struct {
+	id       policy.ServerID
+	instance Instance
 }
 
 // Carried is what a roster knows, for Restore.
-type Carried struct {
-	Generation uint64          `json:"generation"`
-	Last       policy.ServerID `json:"last"`
-	Members    []CarriedMember `json:"members"`
+type State struct {
+	Generation uint64             `json:"generation"`
+	LastID     policy.ServerID    `json:"last"`
+	Instances  []NumberedInstance `json:"members"`
 }
 
 // CarriedMember is a listed instance with its number.
-type CarriedMember struct {
-	Number policy.ServerID `json:"number"`
+type NumberedInstance struct {
+	ServerID policy.ServerID `json:"number"`
 	Instance
 }
 
 // Carry gives what the roster knows.
-func (r *Roster) Carry() Carried {
+func (r *Membership) ExportState() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := Carried{Generation: r.at, Last: r.last}
-	for _, e := range r.known {
-		c.Members = append(c.Members, CarriedMember{e.id, e.in})
+	c := State{Generation: r.version, LastID: r.lastID}
+	for _, e := range r.instances {
+		c.Instances = append(c.Instances, NumberedInstance{e.id, e.instance})
 	}
-	slices.SortFunc(c.Members, func(a, b CarriedMember) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(c.Instances, func(a, b NumberedInstance) int { return cmp.Compare(a.ServerID, b.ServerID) })
 	return c
 }
 
 // Restore takes over the numbers of a roster of the same gateway, and its list, which is passed on. It comes before any
 // other list, and takes nothing where the numbers can't be such.
-func (r *Roster) Restore(c Carried) error {
+func (r *Membership) ImportState(c State) error {
 	seen := map[policy.ServerID]bool{}
-	for _, m := range c.Members {
-		if m.Number < 1 || m.Number > c.Last || seen[m.Number] || m.ID == "" {
+	for _, m := range c.Instances {
+		if m.ServerID < 1 || m.ServerID > c.LastID || seen[m.ServerID] || m.ID == "" {
 			return errors.New("carried list: odd numbers")
 		}
-		seen[m.Number] = true
+		seen[m.ServerID] = true
 	}
-	list := make([]Instance, 0, len(c.Members))
+	list := make([]Instance, 0, len(c.Instances))
 	r.mu.Lock()
-	r.last, r.at = c.Last, c.Generation
-	for _, m := range c.Members {
-		r.known[m.ID] = &entry{id: m.Number, in: m.Instance}
+	r.lastID, r.version = c.LastID, c.Generation
+	for _, m := range c.Instances {
+		r.instances[m.ID] = &numbered{id: m.ServerID, instance: m.Instance}
 		list = append(list, m.Instance)
 	}
 	r.mu.Unlock()
@@ -139,103 +139,103 @@
 }
 
 // Version is that of the list that was passed on last.
-func (r *Roster) Version() uint64 {
+func (r *Membership) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at
+	return r.version
 }
 
 // At notes which version of the list has been passed on.
-func (r *Roster) At(generation uint64) {
+func (r *Membership) SetVersion(generation uint64) {
 	r.mu.Lock()
-	r.at = generation
+	r.version = generation
 	r.mu.Unlock()
 }
 
 // Life is one listed instance in its present life.
-type Life struct {
+type Incarnation struct {
 	Instance  string
 	StartedMs int64
 }
 
 // Lives names what is listed, by number.
-func (r *Roster) Lives() map[policy.ServerID]Life {
+func (r *Membership) Incarnations() map[policy.ServerID]Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lives := make(map[policy.ServerID]Life, len(r.known))
-	for name, e := range r.known {
-		lives[e.id] = Life{name, e.in.StartedMs}
+	lives := make(map[policy.ServerID]Incarnation, len(r.instances))
+	for name, e := range r.instances {
+		lives[e.id] = Incarnation{name, e.instance.StartedMs}
 	}
 	return lives
 }
 
 // Spoke notes that the source has answered, whether it had news or none.
-func (r *Roster) Spoke() {
+func (r *Membership) RecordAnswer() {
 	r.mu.Lock()
-	r.heard = time.Now()
+	r.lastAnswer = time.Now()
 	r.calls.Answered++
 	r.mu.Unlock()
 }
 
 // Silent is how long the source has said nothing.
-func (r *Roster) Silent() time.Duration {
+func (r *Membership) SinceLastAnswer() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.heard)
+	return time.Since(r.lastAnswer)
 }
 
 // NewRoster gives an empty roster. Zones and kinds are the names in the order of the module's numbers.
-func NewRoster(pool Pool, module func(policy.ListKind, []policy.ServerInfo), zones, kinds []string) *Roster {
-	return &Roster{pool: pool, module: module, zones: zones, kinds: kinds, known: map[string]*entry{}, heard: time.Now()}
+func NewMembership(pool Pool, module func(policy.ListKind, []policy.ServerInfo), zones, kinds []string) *Membership {
+	return &Membership{pool: pool, onList: module, zones: zones, kinds: kinds, instances: map[string]*numbered{}, lastAnswer: time.Now()}
 }
 
 // Apply takes a list in. Entries that make no sense are left out and logged; the rest counts. It isn't safe for
 // concurrent use.
-func (r *Roster) Apply(kind policy.ListKind, list []Instance) {
-	r.module(kind, r.take(kind, list))
+func (r *Membership) Apply(kind policy.ListKind, list []Instance) {
+	r.onList(kind, r.update(kind, list))
 }
 
 // take brings what is known up to date and gives the list in the module's words.
-func (r *Roster) take(kind policy.ListKind, list []Instance) []policy.ServerInfo {
+func (r *Membership) update(kind policy.ListKind, list []Instance) []policy.ServerInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	infos := make([]policy.ServerInfo, 0, len(list))
 	seen := make(map[string]bool, len(list))
 	for _, in := range list {
-		state, ok := lifecycles[in.Lifecycle]
+		state, ok := serverStates[in.Lifecycle]
 		if _, _, err := net.SplitHostPort(in.Addr); in.ID == "" || !ok || err != nil && state != policy.Departed {
 			slog.Warn("instance_left_out", "instance", in.ID, "addr", in.Addr, "lifecycle", in.Lifecycle)
 			continue
 		}
-		e := r.known[in.ID]
+		e := r.instances[in.ID]
 		if e == nil {
-			r.last++
-			e = &entry{id: r.last}
-			r.known[in.ID] = e
+			r.lastID++
+			e = &numbered{id: r.lastID}
+			r.instances[in.ID] = e
 		}
 		if in.Addr == "" {
-			in.Addr = e.in.Addr
+			in.Addr = e.instance.Addr
 		}
-		e.in, seen[in.ID] = in, true
+		e.instance, seen[in.ID] = in, true
 		r.pool.Set(e.id, in.Addr, state)
-		infos = append(infos, policy.ServerInfo{ID: e.id, Zone: index(r.zones, in.Zone), Kind: index(r.kinds, in.Kind),
+		infos = append(infos, policy.ServerInfo{ID: e.id, Zone: indexOf(r.zones, in.Zone), Kind: indexOf(r.kinds, in.Kind),
 			Cell: in.Cell, State: state, Weight: in.Weight, StartedAt: time.Duration(in.StartedMs) * time.Millisecond})
 		if state == policy.Departed {
-			delete(r.known, in.ID)
+			delete(r.instances, in.ID)
 		}
 	}
 	if kind != policy.ListChanges {
-		for name, e := range r.known {
+		for name, e := range r.instances {
 			if !seen[name] {
-				r.pool.Set(e.id, e.in.Addr, policy.Departed)
-				delete(r.known, name)
+				r.pool.Set(e.id, e.instance.Addr, policy.Departed)
+				delete(r.instances, name)
 			}
 		}
 	}
 	return infos
 }
 
-func index(names []string, name string) int {
+func indexOf(names []string, name string) int {
 	for i, n := range names {
 		if n == name {
 			return i
@@ -255,11 +255,11 @@
 // and a second is left for the answer. No call is given up sooner, as a call that waits its turn at a busy source and is
 // dropped then has cost that source a turn for nothing.
 const (
-	told       = 6 * time.Second
-	watchWait  = 2500 * time.Millisecond
-	watchSlack = 500 * time.Millisecond // in which an agent that speaks answers a wait that is over
-	listWait   = time.Second            // for a connection to come up
-	mostList   = 8 << 20                // bytes of a list
+	updateDeadline = 6 * time.Second
+	longPollWait   = 2500 * time.Millisecond
+	longPollSlack  = 500 * time.Millisecond // in which an agent that speaks answers a wait that is over
+	connectTimeout = time.Second            // for a connection to come up
+	maxListSize    = 8 << 20                // bytes of a list
 )
 
 // Watch follows the platform's agent until ctx ends, from a version of the list that is already held. One call begins a watch, and
@@ -267,47 +267,47 @@
 // list for each, and then a watch, is what the source can't bear. The whole list is asked for only where anew says so,
 // as what another agent told is not to be relied on, where the versions went back, or where nobody listened: an agent that
 // starts again may count its versions from the beginning, and be past the one held here by the time that it is asked.
-func Watch(ctx context.Context, addr string, held uint64, anew bool, p *Pauses, r *Roster) {
-	c := &client{base: "http://" + addr, http: newHTTP()}
+func Watch(ctx context.Context, addr string, held uint64, anew bool, p *Backoff, r *Membership) {
+	c := &client{baseURL: "http://" + addr, http: newHTTP()}
 	defer c.http.CloseIdleConnections()
 	for after := held; ctx.Err() == nil; {
 		path := "/v1/endpoints"
 		if !anew {
-			path += fmt.Sprintf("?after=%d&wait_ms=%d", after, watchWait.Milliseconds())
+			path += fmt.Sprintf("?after=%d&wait_ms=%d", after, longPollWait.Milliseconds())
 		}
 		var l List
 		asked := time.Now()
-		_, err := c.get(ctx, path, watchWait+watchSlack, &l)
+		_, err := c.get(ctx, path, longPollWait+longPollSlack, &l)
 		if err != nil {
 			if ctx.Err() == nil {
-				r.Failed(err)
+				r.RecordFailure(err)
 				slog.Warn("discovery_failed", "anew", anew, "err", err)
 			}
 			anew = anew || errors.Is(err, syscall.ECONNREFUSED)
-			rest(ctx, p.failed(err, time.Since(asked)))
+			sleep(ctx, p.afterFailure(err, time.Since(asked)))
 			continue
 		}
 		if anew && !l.Reset {
-			rest(ctx, p.unreachable())
+			sleep(ctx, p.afterUnreachable())
 			continue
 		}
-		r.Spoke()
+		r.RecordAnswer()
 		if anew = l.Generation < after && !l.Reset; anew { // the source has lost its versions: changes would be missed
-			rest(ctx, p.unreachable())
+			sleep(ctx, p.afterUnreachable())
 			continue
 		}
-		p.answered()
+		p.reset()
 		if l.Reset {
 			r.Apply(policy.ListFull, l.Instances)
 		} else if len(l.Instances) > 0 {
 			r.Apply(policy.ListChanges, l.Instances)
 		}
 		after = l.Generation
-		r.At(after)
+		r.SetVersion(after)
 	}
 }
 
-func rest(ctx context.Context, pause time.Duration) {
+func sleep(ctx context.Context, pause time.Duration) {
 	t := time.NewTimer(pause)
 	defer t.Stop()
 	select {
@@ -322,7 +322,7 @@
 }
 
 // consulService is what /v1/health/service/ tells of one instance; /v1/catalog/service/ tells the inner part.
-type consulService struct {
+type consulHealthEntry struct {
 	Node    struct{ Node, Address, Datacenter string }
 	Service struct {
 		ID, Address string
@@ -333,7 +333,7 @@
 	Checks []struct{ Status string }
 }
 
-type consulEntry struct {
+type consulCatalogEntry struct {
 	Node, Address, Datacenter, ServiceID, ServiceAddress string
 	ServicePort                                          int
 	ServiceMeta                                          map[string]string
@@ -343,18 +343,18 @@
 // WatchConsul follows a service's health by blocking queries until ctx ends. An index that goes back starts the
 // query anew, an agent that fails is asked again after a growing pause, and where the health endpoint is refused
 // or missing the catalogue, which knows no health, stands in.
-func WatchConsul(ctx context.Context, at Consul, p *Pauses, r *Roster) {
-	c := &client{base: "http://" + at.Addr, http: newHTTP(), token: at.Token}
+func WatchConsul(ctx context.Context, at Consul, p *Backoff, r *Membership) {
+	c := &client{baseURL: "http://" + at.Addr, http: newHTTP(), token: at.Token}
 	defer c.http.CloseIdleConnections()
 	index, catalogue := uint64(0), false
 	for ctx.Err() == nil {
-		q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {watchWait.String()}}
+		q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {longPollWait.String()}}
 		if at.Tag != "" {
 			q.Set("tag", at.Tag)
 		}
-		path, wait := "/v1/health/service/", watchWait*17/16+watchSlack // an agent adds up to a sixteenth
-		var health []consulService
-		var entries []consulEntry
+		path, wait := "/v1/health/service/", longPollWait*17/16+longPollSlack // an agent adds up to a sixteenth
+		var health []consulHealthEntry
+		var entries []consulCatalogEntry
 		var into any = &health
 		if catalogue {
 			path, into = "/v1/catalog/service/", &entries
@@ -370,8 +370,8 @@
 				slog.Warn("consul_failed", "service", at.Service, "catalogue", catalogue, "err", err)
 			}
 			index = 0 // after a gap the list is asked for at once
-			r.Failed(err)
-			rest(ctx, p.failed(err, time.Since(asked)))
+			r.RecordFailure(err)
+			sleep(ctx, p.afterFailure(err, time.Since(asked)))
 			continue
 		}
 		next, err := strconv.ParseUint(head.Get("X-Consul-Index"), 10, 64)
@@ -379,36 +379,36 @@
 		case err != nil || next == 0:
 			slog.Warn("consul_failed", "service", at.Service, "err", "no X-Consul-Index")
 			index = 0
-			rest(ctx, p.unreachable())
+			sleep(ctx, p.afterUnreachable())
 		case next == index: // the wait ran out
-			r.Spoke()
-			p.answered()
+			r.RecordAnswer()
+			p.reset()
 			continue
 		case next < index: // the agent's state was lost: what it says next may be anything
 			index = 0
-			p.answered()
+			p.reset()
 		default:
 			index = next
-			p.answered()
+			p.reset()
 		}
 		list := make([]Instance, 0, len(health)+len(entries))
 		for _, h := range health {
 			list = append(list, h.instance())
 		}
 		for _, e := range entries {
-			var h consulService
+			var h consulHealthEntry
 			h.Node.Node, h.Node.Address, h.Node.Datacenter = e.Node, e.Address, e.Datacenter
 			h.Service.ID, h.Service.Address, h.Service.Port = e.ServiceID, e.ServiceAddress, e.ServicePort
 			h.Service.Meta, h.Service.Weights = e.ServiceMeta, e.ServiceWeights
 			list = append(list, h.instance())
 		}
-		r.Spoke()
+		r.RecordAnswer()
 		r.Apply(policy.ListFull, list)
 	}
 }
 
 // instance gives a service in the platform's form. A critical check, maintenance included, takes nothing new.
-func (h consulService) instance() Instance {
+func (h consulHealthEntry) instance() Instance {
 	host := h.Service.Address
 	if host == "" {
 		host = h.Node.Address
@@ -430,13 +430,13 @@
 }
 
 type client struct {
-	base, token string
-	http        *http.Client
+	baseURL, token string
+	http           *http.Client
 }
 
 func newHTTP() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxConnsPerHost: 2, IdleConnTimeout: time.Minute,
-		DialContext: (&net.Dialer{Timeout: listWait}).DialContext}}
+		DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}}
 }
 
 type statusError int
@@ -447,7 +447,7 @@
 func (c *client) get(ctx context.Context, path string, within time.Duration, into any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -463,7 +463,7 @@
 		io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 		return nil, statusError(resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListSize))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -38,9 +38,9 @@
 	}
 }
 
-func roster() (heard, *Roster) {
+func roster() (heard, *Membership) {
 	h := make(heard, 100)
-	return h, NewRoster(h, h.module, []string{"east", "west"}, nil)
+	return h, NewMembership(h, h.module, []string{"east", "west"}, nil)
 }
 
 // agent answers each request by the next step of a script; past its end it is silent.
@@ -112,7 +112,7 @@
 		says("", `{"generation":2,"reset":false,"instances":[]}`), // it has lost its versions
 		says("", `{"generation":3,"reset":true,"instances":[]}`))
 	watch(t, func(ctx context.Context) {
-		Watch(ctx, addr, 4, false, NewPauses(1, 100*time.Millisecond), r)
+		Watch(ctx, addr, 4, false, NewBackoff(1, 100*time.Millisecond), r)
 	})
 	h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0", "pool 1 h:1 1", "module 0: 1/2/1/0", "module 1:")
 	var got []string
@@ -122,7 +122,7 @@
 	assert.Equal(t, []string{"/v1/endpoints?after=4&wait_ms=2500", "/v1/endpoints?after=5&wait_ms=2500",
 		"/v1/endpoints?after=5&wait_ms=2500", "/v1/endpoints?after=6&wait_ms=2500", "/v1/endpoints?after=6&wait_ms=2500",
 		"/v1/endpoints?after=6&wait_ms=2500", "/v1/endpoints"}, got)
-	assert.Equal(t, Calls{Answered: 5, TurnedAway: 1, Unanswered: 1}, r.Calls())
+	assert.Equal(t, Calls{Answered: 5, Rejected: 1, Unanswered: 1}, r.Calls())
 }
 
 // A list from elsewhere is asked for whole, until one comes.
@@ -130,7 +130,7 @@
 	h, r := roster()
 	addr, asked := agent(t, says("", `{"generation":9,"reset":false,"instances":[]}`),
 		says("", `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`))
-	watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, true, NewPauses(1, 0), r) })
+	watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, true, NewBackoff(1, 0), r) })
 	h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0")
 	assert.Equal(t, "/v1/endpoints", asked()[0].RequestURI())
 	assert.Equal(t, "/v1/endpoints", asked()[1].RequestURI())
@@ -148,7 +148,7 @@
 		says("3", `[]`),
 		says("3", `[{`+node+`}]`))
 	watch(t, func(ctx context.Context) {
-		WatchConsul(ctx, Consul{Addr: addr, Service: "monitor node", Tag: "v2"}, NewPauses(1, 0), r)
+		WatchConsul(ctx, Consul{Addr: addr, Service: "monitor node", Tag: "v2"}, NewBackoff(1, 0), r)
 	})
 	h.expect(t, "pool 1 10.0.0.1:80 0", "module 1: 1/0/0/5", "pool 1 10.0.0.1:80 2", "module 1: 1/0/2/5",
 		"pool 1 10.0.0.1:80 1", "module 1:", "pool 2 10.0.0.1:80 0", "module 1: 2/0/0/5")
@@ -166,7 +166,7 @@
 	h, r := roster()
 	addr, asked := agent(t, fails(403),
 		says("9", `[{"Node":"n1","Address":"10.0.0.1","Datacenter":"west","ServiceID":"s1","ServiceAddress":"10.0.0.2","ServicePort":81}]`))
-	watch(t, func(ctx context.Context) { WatchConsul(ctx, Consul{Addr: addr, Service: "m"}, NewPauses(1, 0), r) })
+	watch(t, func(ctx context.Context) { WatchConsul(ctx, Consul{Addr: addr, Service: "m"}, NewBackoff(1, 0), r) })
 	h.expect(t, "pool 1 10.0.0.2:81 0", "module 1: 1/1/0/0")
 	assert.Equal(t, "/v1/catalog/service/m", asked()[1].Path)
 }
--- a/internal/discovery/pauses_test.go
+++ b/internal/discovery/pauses_test.go
@@ -61,11 +61,11 @@
 	fixed := herd(80, func(int, time.Duration) time.Duration { return time.Second })
 	assert.Less(t, len(fixed), 60, "the model shows the jam")
 	for seed := range uint64(20) {
-		all := make([]*Pauses, 80)
+		all := make([]*Backoff, 80)
 		for i := range all {
-			all[i] = NewPauses(seed<<8|uint64(i), 10*time.Second)
+			all[i] = NewBackoff(seed<<8|uint64(i), 10*time.Second)
 		}
-		got := herd(80, func(i int, took time.Duration) time.Duration { return all[i].turnedAway(took) })
+		got := herd(80, func(i int, took time.Duration) time.Duration { return all[i].afterRejection(took) })
 		if assert.Len(t, got, 80, "seed %d", seed) {
 			assert.Less(t, got[75], 20*time.Second, "seed %d", seed)
 			assert.Less(t, got[79], 30*time.Second, "seed %d", seed)
@@ -75,41 +75,41 @@
 
 // Pauses grow to their limit, each kind by itself, are spread, and start anew after an answer.
 func TestPausesGrow(t *testing.T) {
-	p, other := NewPauses(1, 8*time.Second), NewPauses(2, 8*time.Second)
-	assert.NotEqual(t, p.turnedAway(0), other.turnedAway(0))
+	p, other := NewBackoff(1, 8*time.Second), NewBackoff(2, 8*time.Second)
+	assert.NotEqual(t, p.afterRejection(0), other.afterRejection(0))
 	longest := time.Duration(0)
 	for range 200 {
-		longest = max(longest, p.turnedAway(0))
+		longest = max(longest, p.afterRejection(0))
 	}
 	assert.Greater(t, longest, 4500*time.Millisecond)
-	assert.LessOrEqual(t, longest, refusedMost)
-	assert.LessOrEqual(t, p.unreachable(), 3*firstPause/2, "an unreachable source is none that is busy")
+	assert.LessOrEqual(t, longest, maxRejectedGap)
+	assert.LessOrEqual(t, p.afterUnreachable(), 3*minBackoff/2, "an unreachable source is none that is busy")
 	for range 20 {
-		assert.LessOrEqual(t, p.unreachable(), 3*lastPause/2)
+		assert.LessOrEqual(t, p.afterUnreachable(), 3*maxUnreachableStep/2)
 	}
-	p.answered()
-	assert.LessOrEqual(t, p.turnedAway(0), 8*time.Second/busyPart+firstPause)
-	assert.LessOrEqual(t, p.failed(context.DeadlineExceeded, 0), 3*firstPause/2)
-	assert.Equal(t, defaultMust, NewPauses(1, 0).must)
+	p.reset()
+	assert.LessOrEqual(t, p.afterRejection(0), 8*time.Second/firstRejectedDivisor+minBackoff)
+	assert.LessOrEqual(t, p.afterFailure(context.DeadlineExceeded, 0), 3*minBackoff/2)
+	assert.Equal(t, defaultRetryWithin, NewBackoff(1, 0).retryWithin)
 }
 
 // Whatever one call came to, the next begins five seconds after it began at the latest, and so does the one after a call that
 // was given up and one that was refused: a second is left of the six after which what the source had counts as told.
 func TestNextCallIsInTime(t *testing.T) {
-	const most = told - time.Second
-	given, refused := watchWait+watchSlack, statusError(503)
+	const most = updateDeadline - time.Second
+	given, refused := longPollWait+longPollSlack, statusError(503)
 	for seed := range uint64(200) {
-		p := NewPauses(seed, 40*time.Second)
+		p := NewBackoff(seed, 40*time.Second)
 		for range 30 { // each kind grown as far as it goes
-			p.turnedAway(0)
-			p.unreachable()
+			p.afterRejection(0)
+			p.afterUnreachable()
 		}
 		for _, took := range []time.Duration{0, given / 2, given} {
-			assert.LessOrEqual(t, took+p.failed(refused, took), most, "refused after %v", took)
-			assert.LessOrEqual(t, took+p.failed(context.DeadlineExceeded, took), most, "given up or broken after %v", took)
-			p.failed(refused, 0) // the source has said something
+			assert.LessOrEqual(t, took+p.afterFailure(refused, took), most, "refused after %v", took)
+			assert.LessOrEqual(t, took+p.afterFailure(context.DeadlineExceeded, took), most, "given up or broken after %v", took)
+			p.afterFailure(refused, 0) // the source has said something
 		}
-		first := given + p.failed(context.DeadlineExceeded, given)
-		assert.LessOrEqual(t, first+p.failed(refused, 0), most, "given up, then refused")
+		first := given + p.afterFailure(context.DeadlineExceeded, given)
+		assert.LessOrEqual(t, first+p.afterFailure(refused, 0), most, "given up, then refused")
 	}
 }
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -161,7 +161,7 @@
 				DedupWindow: 8 * second, Value: 2}},
 		Plans: []policy.Plan{{Name: "utility", Rate: 1e6, Burst: 1e6, ValueMultiplier: 1}, {Name: "tiny", Rate: 0.001, Burst: 2,
 			ValueMultiplier: 1, OverQuotaCost: 1}}},
-		ConnIdle: 30 * second, ConnectWait: 5 * second}
+		IdleTimeout: 30 * second, ConnectTimeout: 5 * second}
 }
 
 var asked atomic.Uint64
--- a/internal/front/control/server.go
+++ b/internal/front/control/server.go
@@ -37,7 +37,7 @@
 	now        func() time.Time
 
 	mu       sync.Mutex        // guards what follows
-	callers  []net.Conn        // in the order of their arrival
+	conns    []net.Conn        // in the order of their arrival
 	calls    map[string]uint64 // by path
 	rejected uint64
 	evicted  uint64
@@ -62,7 +62,7 @@
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.callers {
+	for _, c := range s.conns {
 		c.Close()
 	}
 }
@@ -101,12 +101,12 @@
 func (s *Server) addCaller(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.callers) >= s.maxCallers {
-		s.callers[0].Close()
-		s.callers = s.callers[1:]
+	if len(s.conns) >= s.maxCallers {
+		s.conns[0].Close()
+		s.conns = s.conns[1:]
 		s.evicted++
 	}
-	s.callers = append(s.callers, c)
+	s.conns = append(s.conns, c)
 }
 
 // removeCaller closes a connection and removes it.
@@ -114,9 +114,9 @@
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.callers {
-		if s.callers[i] == c {
-			s.callers = append(s.callers[:i], s.callers[i+1:]...)
+	for i := range s.conns {
+		if s.conns[i] == c {
+			s.conns = append(s.conns[:i], s.conns[i+1:]...)
 			return
 		}
 	}
--- a/internal/front/control/server_test.go
+++ b/internal/front/control/server_test.go
@@ -120,6 +120,6 @@
 	assert.Equal(t, service.Serving, state.Phase())
 	assert.GreaterOrEqual(t, s.Stats().Evicted, uint64(4*callers))
 	s.mu.Lock()
-	assert.LessOrEqual(t, len(s.callers), callers)
+	assert.LessOrEqual(t, len(s.conns), callers)
 	s.mu.Unlock()
 }
--- a/internal/front/introspect/bearer.go
+++ b/internal/front/introspect/bearer.go
@@ -32,7 +32,7 @@
 		return
 	}
 	settings := f.Settings.Get()
-	reader := platform.RequestReader{Deployment: settings, OpenRequests: f.OpenRequests, Bodies: f.Bodies}
+	reader := platform.RequestReader{Deployment: settings, OpenRequests: f.OpenRequests, Bodies: f.BodyMemory}
 	request, body, problem := reader.Read(w, r, arrived)
 	if problem != nil {
 		f.malformed.Add(1)
@@ -48,7 +48,7 @@
 		if asked.Swap(true) { // further checks of a request cost nothing
 			who.Units = 0
 		}
-		v, body, wait := f.Checker.introspect(r, settings.Era, who, token, until)
+		v, body, wait := f.Checker.introspect(r, settings.Generation, who, token, until)
 		switch {
 		case body == nil:
 			return core.Unknown, wait
@@ -64,7 +64,7 @@
 		return core.Inactive, 0
 	}
 	a := f.Core.Serve(r.Context(), request)
-	if a.Kind != core.Unauthorized || body.Fault() != nil {
+	if a.Kind != core.Unauthorized || body.RequestError() != nil {
 		if platform.Respond(w, r, body, roundUpRetryAfter(a)) {
 			f.malformed.Add(1)
 		}
--- a/internal/front/introspect/checker.go
+++ b/internal/front/introspect/checker.go
@@ -21,13 +21,13 @@
 
 // Checker asks the introspection endpoints.
 type Checker struct {
-	core     *core.Core
-	pool     *pool.Pool
-	conf     config.Introspection
-	host     string
-	header   []byte // header lines of each introspection request
-	gateways int
-	zone     int
+	core          *core.Core
+	pool          *pool.Pool
+	conf          config.Introspection
+	hostHeader    string
+	requestHeader []byte // header lines of each introspection request
+	gateways      int
+	zone          int
 }
 
 // tokenInfo is an introspection response, as far as it counts here.
@@ -44,13 +44,13 @@
 func NewChecker(conf config.Introspection, d config.Deployment, sockets int, seed uint64, clock core.Clock,
 	send func(int, []byte)) (*Checker, error) {
 	options := pool.Options{MaxConnections: sockets, ResponseMemory: buffers.New(responseMemory), BufferResponses: true,
-		IdleTimeout: d.ConnIdle, ConnectTimeout: min(d.ConnectWait, conf.Timeout/2)}
+		IdleTimeout: d.IdleTimeout, ConnectTimeout: min(d.ConnectTimeout, conf.Timeout/2)}
 	if conf.TLS {
 		options.TLS = &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: conf.Roots}
 	}
-	k := &Checker{pool: pool.New(options), conf: conf, host: conf.Endpoints[0], gateways: d.Gateways, zone: d.Zone}
+	k := &Checker{pool: pool.New(options), conf: conf, hostHeader: conf.Endpoints[0], gateways: d.Gateways, zone: d.Zone}
 	credentials := url.QueryEscape(conf.ClientID) + ":" + url.QueryEscape(conf.ClientSecret)
-	k.header = []byte("Authorization: Basic " + base64.StdEncoding.EncodeToString([]byte(credentials)) +
+	k.requestHeader = []byte("Authorization: Basic " + base64.StdEncoding.EncodeToString([]byte(credentials)) +
 		"\r\nContent-Type: application/x-www-form-urlencoded\r\nAccept: application/json\r\n")
 	var err error
 	if k.core, err = core.New(k.settings(d), seed, clock, k.pool, send); err != nil {
@@ -111,7 +111,7 @@
 	deadline core.Time) (info tokenInfo, body []byte, retryAfter time.Duration) {
 	request.Class = 0
 	request.Deadline = min(deadline, k.core.Now()+k.conf.Timeout)
-	message := &pool.Message{Method: http.MethodPost, Target: k.conf.Path, Host: k.host, Header: k.header,
+	message := &pool.Message{Method: http.MethodPost, Target: k.conf.Path, Host: k.hostHeader, Header: k.requestHeader,
 		Body: []byte("token=" + url.QueryEscape(token) + "&token_type_hint=access_token")}
 	answer := k.core.Serve(r.Context(), core.Request{Request: request, Generation: era, Message: message})
 	defer answer.Discard()
--- a/internal/front/introspect/front.go
+++ b/internal/front/introspect/front.go
@@ -17,7 +17,7 @@
 	Settings     *platform.Settings
 	Ready        func() bool
 	OpenRequests *platform.OpenRequests
-	Bodies       *buffers.Budget // memory of request bodies; nil: no bound
+	BodyMemory   *buffers.Budget // memory of request bodies; nil: no bound
 	malformed    atomic.Uint64
 }
 
--- a/internal/front/introspect/front_test.go
+++ b/internal/front/introspect/front_test.go
@@ -49,7 +49,7 @@
 	if change != nil {
 		change(&conf)
 	}
-	p := pool.New(pool.Options{MaxConnections: 200, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
+	p := pool.New(pool.Options{MaxConnections: 200, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
 	t.Cleanup(p.Close)
 	clock := core.NewClock()
 	c, err := core.New(d.Settings, 1, clock, p, nil)
--- a/internal/front/introspect/tools.go
+++ b/internal/front/introspect/tools.go
@@ -30,7 +30,7 @@
 		f.oauthError(w, http.StatusUnauthorized, "invalid_client")
 		return
 	}
-	body, problem := platform.ReadBody(w, r, f.Bodies, time.Now().Add(f.Checker.conf.Timeout))
+	body, problem := platform.ReadBody(w, r, f.BodyMemory, time.Now().Add(f.Checker.conf.Timeout))
 	if problem == nil {
 		defer body.Release()
 	}
@@ -50,10 +50,10 @@
 		return
 	}
 	settings := f.Settings.Get()
-	request := policy.Request{Plan: settings.PlanNumber(tool.Plan), Customer: policy.CustomerID(tool.Account), Units: 1,
+	request := policy.Request{Plan: settings.PlanIndex(tool.Plan), Customer: policy.CustomerID(tool.Account), Units: 1,
 		SetSize: f.Checker.gateways}
 	deadline := f.Checker.core.Now() + f.Checker.conf.Timeout
-	info, text, retryAfter := f.Checker.introspect(r, settings.Era, request, form.Get("token"), deadline)
+	info, text, retryAfter := f.Checker.introspect(r, settings.Generation, request, form.Get("token"), deadline)
 	switch {
 	case r.Context().Err() != nil:
 		panic(http.ErrAbortHandler)
--- a/internal/front/platform/answer.go
+++ b/internal/front/platform/answer.go
@@ -15,7 +15,7 @@
 // Respond writes the final answer to a request with a body, and reports whether the request was malformed after
 // all: a body that did not arrive completely is the client's fault, whatever the core made of it.
 func Respond(w http.ResponseWriter, r *http.Request, body *Body, a core.Answer) (malformed bool) {
-	if problem := body.Fault(); problem != nil && a.Kind != core.Served {
+	if problem := body.RequestError(); problem != nil && a.Kind != core.Served {
 		body.Close()
 		a.Discard()
 		problem.Write(w)
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -44,7 +44,7 @@
 	paceStart time.Time  // from which the rate is measured; moved on by the time in which nobody read
 	received  int64      // bytes so far
 	lastRead  time.Time  // end of the last read
-	ended     bool       // read to its end
+	complete  bool       // read to its end
 	closed    bool
 	err       error // final error of reads
 }
@@ -55,7 +55,7 @@
 	deadline time.Time) (*Body, *RequestError) {
 	b := &Body{controller: http.NewResponseController(w), request: r, budget: budget, paceStart: time.Now()}
 	if b.lastRead = b.paceStart; r.ContentLength == 0 {
-		b.ended = true
+		b.complete = true
 		b.controller.SetReadDeadline(time.Time{}) // else a deadline would look like the client's disconnect
 		return b, nil
 	}
@@ -74,19 +74,19 @@
 			return nil, &RequestError{Code: http.StatusServiceUnavailable, Text: "body: no room for it now",
 				RetryAfter: time.Second}
 		}
-		for len(b.Buffered) < cap(b.Buffered) && !b.ended {
+		for len(b.Buffered) < cap(b.Buffered) && !b.complete {
 			n, err := b.Read(b.Buffered[len(b.Buffered):cap(b.Buffered)])
 			b.Buffered = b.Buffered[:len(b.Buffered)+n]
 			if err != nil && !errors.Is(err, io.EOF) {
 				b.Release()
-				return nil, b.Fault()
+				return nil, b.RequestError()
 			}
 		}
-		if b.ended || size == limit {
+		if b.complete || size == limit {
 			break
 		}
 	}
-	if r.ContentLength == int64(len(b.Buffered)) && !b.ended { // net/http watches for a disconnect only after the end
+	if r.ContentLength == int64(len(b.Buffered)) && !b.complete { // net/http watches for a disconnect only after the end
 		var one [1]byte
 		b.Read(one[:])
 	}
@@ -106,10 +106,10 @@
 }
 
 // Empty reports whether there is no body.
-func (b *Body) Empty() bool { return len(b.Buffered) == 0 && b.ended }
+func (b *Body) Empty() bool { return len(b.Buffered) == 0 && b.complete }
 
 // Pending reports whether anything may follow the buffered part.
-func (b *Body) Pending() bool { return !b.ended }
+func (b *Body) Pending() bool { return !b.complete }
 
 // Read reads the bytes after the buffered part, until the body is closed.
 func (b *Body) Read(p []byte) (int, error) {
@@ -126,9 +126,9 @@
 // allows.
 func (b *Body) read(p []byte) (int, error) {
 	b.mu.Lock()
-	if b.err != nil || b.ended {
+	if b.err != nil || b.complete {
 		defer b.mu.Unlock()
-		if b.ended {
+		if b.complete {
 			return 0, io.EOF
 		}
 		return 0, b.err
@@ -149,7 +149,7 @@
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		b.ended = true
+		b.complete = true
 		b.controller.SetReadDeadline(time.Time{}) // what follows is a disconnect or the next request
 	case err != nil:
 		b.err = err
@@ -158,7 +158,7 @@
 }
 
 // Fault returns what is wrong with the body, or nil.
-func (b *Body) Fault() *RequestError {
+func (b *Body) RequestError() *RequestError {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
@@ -175,7 +175,7 @@
 func (b *Body) PrepareEarlyAnswer(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.closed = true; !b.ended {
+	if b.closed = true; !b.complete {
 		w.Header().Set("Connection", "close")
 		b.controller.EnableFullDuplex()
 	}
@@ -195,7 +195,7 @@
 func (b *Body) Close() {
 	b.Release()
 	b.mu.Lock()
-	moreComes := !b.ended && b.err == nil
+	moreComes := !b.complete && b.err == nil
 	b.mu.Unlock()
 	if !moreComes || b.controller.Flush() != nil {
 		return
--- a/internal/front/platform/body_test.go
+++ b/internal/front/platform/body_test.go
@@ -23,13 +23,13 @@
 // startServer starts a gateway behind its own server, as the program has it.
 func startServer(t *testing.T, members ...*fake.Peer) (string, *core.Core, *buffers.Budget) {
 	f := newFront(t, members...)
-	f.Bodies = buffers.New(1 << 20)
+	f.BodyMemory = buffers.New(1 << 20)
 	s, err := front.Listen(front.Options{Address: "127.0.0.1:0", MaxConnections: 50,
-		MaxRequestDeadline: f.Settings.Get().LongestDeadline()}, f)
+		MaxRequestDeadline: f.Settings.Get().MaxDeadline()}, f)
 	require.NoError(t, err)
 	go s.Serve()
 	t.Cleanup(s.Close)
-	return s.Addr(), f.Core, f.Bodies
+	return s.Addr(), f.Core, f.BodyMemory
 }
 
 // testClient is a client's connection.
--- a/internal/front/platform/front.go
+++ b/internal/front/platform/front.go
@@ -17,7 +17,7 @@
 	Settings     *Settings
 	Ready        func() bool
 	OpenRequests *OpenRequests
-	Bodies       *buffers.Budget // memory of request bodies; nil: no bound
+	BodyMemory   *buffers.Budget // memory of request bodies; nil: no bound
 	malformed    atomic.Uint64
 }
 
@@ -56,7 +56,7 @@
 		WriteReady(w, f.Ready())
 		return
 	}
-	reader := RequestReader{Deployment: f.Settings.Get(), OpenRequests: f.OpenRequests, Bodies: f.Bodies}
+	reader := RequestReader{Deployment: f.Settings.Get(), OpenRequests: f.OpenRequests, Bodies: f.BodyMemory}
 	request, body, problem := reader.Read(w, r, arrived)
 	if problem != nil {
 		f.malformed.Add(1)
--- a/internal/front/platform/platform_test.go
+++ b/internal/front/platform/platform_test.go
@@ -24,7 +24,7 @@
 // newFront returns a front with a core and a pool of some servers.
 func newFront(t *testing.T, members ...*fake.Peer) *platform.Front {
 	d := fake.Deployment()
-	p := pool.New(pool.Options{MaxConnections: 50, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
+	p := pool.New(pool.Options{MaxConnections: 50, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
 	require.NoError(t, err)
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -86,16 +86,16 @@
 	if className, _ = url.PathUnescape(className); className != h.Get(headerClass) {
 		return request, nil, badRequest(headerClass + ": not the class of the path")
 	}
-	if request.Class = d.ClassNumber(className); request.Class < 0 {
+	if request.Class = d.ClassIndex(className); request.Class < 0 {
 		return request, nil, &RequestError{Code: http.StatusNotFound, Text: headerClass + ": unknown class"}
 	}
-	request.Generation = d.Era
+	request.Generation = d.Generation
 	class := d.Classes[request.Class]
 	if want := methodFor(class.Idempotency); r.Method != want {
 		w.Header().Set("Allow", want)
 		return request, nil, &RequestError{Code: http.StatusMethodNotAllowed, Text: "method: this class takes " + want}
 	}
-	if request.Plan = d.PlanNumber(h.Get(headerTariff)); request.Plan < 0 {
+	if request.Plan = d.PlanIndex(h.Get(headerTariff)); request.Plan < 0 {
 		return request, nil, badRequest(headerTariff + ": unknown plan")
 	}
 	customer, err := strconv.ParseUint(h.Get(headerCustomer), 16, 64)
--- a/internal/handover/giver.go
+++ b/internal/handover/giver.go
@@ -11,47 +11,47 @@
 )
 
 // Gateway is the process that may be followed by another. Its methods are called one after another.
-type Gateway interface {
+type Process interface {
 	// Offer gives the open sockets under their names, as files of their own that are closed afterwards.
 	Offer() (Offer, []*os.File, error)
 	// Freeze stops accepting and reading datagrams, and gives the state.
 	Freeze() []byte
 	// Given tells that the successor serves.
-	Given()
+	HandedOver()
 	// Resume takes all back: the successor has failed, or died before this process was told to end.
 	Resume()
 }
 
 // Giver waits for a successor.
-type Giver struct {
-	path    string
-	name    string
-	gateway Gateway
+type Predecessor struct {
+	socketPath string
+	name       string
+	process    Process
 
-	mu       sync.Mutex
-	listener *net.UnixListener
-	meets    bool  // with a successor
-	given    *link // the successor that serves
-	closed   bool
-	met      sync.WaitGroup
+	mu          sync.Mutex
+	listener    *net.UnixListener
+	connected   bool  // with a successor
+	successor   *conn // the successor that serves
+	closed      bool
+	connections sync.WaitGroup
 }
 
 // Give listens at path, in the place of whoever listened there before.
-func Give(path, name string, gateway Gateway) (*Giver, error) {
-	g := &Giver{path: path, name: name, gateway: gateway}
-	return g, g.stand()
+func Listen(path, name string, gateway Process) (*Predecessor, error) {
+	g := &Predecessor{socketPath: path, name: name, process: gateway}
+	return g, g.listen()
 }
 
 // stand listens at the path from now on.
-func (g *Giver) stand() error {
-	made := fmt.Sprintf("%s.%d", g.path, os.Getpid())
+func (g *Predecessor) listen() error {
+	made := fmt.Sprintf("%s.%d", g.socketPath, os.Getpid())
 	os.Remove(made) // of a process that was killed while it made one
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: made, Net: "unix"})
 	if err != nil {
 		return err
 	}
 	l.SetUnlinkOnClose(false) // a successor's stands there by then
-	if err = errors.Join(os.Chmod(made, 0o700), os.Rename(made, g.path)); err != nil {
+	if err = errors.Join(os.Chmod(made, 0o700), os.Rename(made, g.socketPath)); err != nil {
 		l.Close()
 		os.Remove(made)
 		return err
@@ -64,115 +64,115 @@
 	if g.listener = l; g.closed {
 		return l.Close()
 	}
-	g.met.Go(func() { g.serve(l) })
+	g.connections.Go(func() { g.acceptLoop(l) })
 	return nil
 }
 
 // Close ends all meetings. What has been given stays given.
-func (g *Giver) Close() {
+func (g *Predecessor) Close() {
 	g.mu.Lock()
 	g.closed = true
-	if g.given != nil {
-		g.given.Close()
+	if g.successor != nil {
+		g.successor.Close()
 	}
 	if g.listener != nil {
 		g.listener.Close()
 	}
 	g.mu.Unlock()
-	g.met.Wait()
+	g.connections.Wait()
 }
 
-func (g *Giver) serve(l *net.UnixListener) {
+func (g *Predecessor) acceptLoop(l *net.UnixListener) {
 	for {
 		c, err := l.AcceptUnix()
 		if err != nil {
 			return
 		}
-		g.met.Go(func() { g.meet(link{c}) })
+		g.connections.Go(func() { g.handOver(conn{c}) })
 	}
 }
 
 // Tell sends the successor word; without one it does nothing.
-func (g *Giver) Tell(content []byte) {
+func (g *Predecessor) SendUpdate(content []byte) {
 	g.mu.Lock()
-	l := g.given
+	l := g.successor
 	g.mu.Unlock()
-	if l != nil && l.send(word, content) != nil {
+	if l != nil && l.send(frameUpdate, content) != nil {
 		l.Close()
 	}
 }
 
 // enter keeps a successor, one at a time.
-func (g *Giver) enter() bool {
+func (g *Predecessor) admit() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.meets || g.closed {
+	if g.connected || g.closed {
 		return false
 	}
-	g.meets = true
+	g.connected = true
 	return true
 }
 
-func (g *Giver) leave() {
+func (g *Predecessor) release() {
 	g.mu.Lock()
-	g.meets, g.given = false, nil
+	g.connected, g.successor = false, nil
 	g.mu.Unlock()
 }
 
 // meet hands over to one successor, and stays until it or this process ends.
-func (g *Giver) meet(l link) {
+func (g *Predecessor) handOver(l conn) {
 	defer l.Close()
-	if !trusted(l.UnixConn) {
+	if !sameUser(l.UnixConn) {
 		slog.Warn("handover", "step", "turned_away", "err", "another user's process")
 		return
 	}
 	var hi greeting
-	if content, err := l.want(hello, replyWait); err != nil || decode(content, &hi) != nil || hi.Version != Version || hi.Name != g.name {
+	if content, err := l.expect(frameHello, replyTimeout); err != nil || decode(content, &hi) != nil || hi.Version != Version || hi.Name != g.name {
 		slog.Warn("handover", "step", "turned_away", "err", err, "version", hi.Version, "name", hi.Name)
 		return
 	}
-	if !g.enter() {
-		l.send(busy, nil)
+	if !g.admit() {
+		l.send(frameBusy, nil)
 		return
 	}
-	defer g.leave()
-	what, files, err := g.gateway.Offer()
+	defer g.release()
+	what, files, err := g.process.Offer()
 	if err == nil {
 		content, _ := json.Marshal(what)
-		err = l.send(offer, content, files...)
+		err = l.send(frameOffer, content, files...)
 		closeAll(files)
 	}
 	if err == nil {
-		_, err = l.want(take, takeWait)
+		_, err = l.expect(frameTake, takeTimeout)
 	}
 	if err != nil {
 		slog.Warn("handover", "step", "offer", "err", err)
 		return
 	}
-	if err = l.sendState(g.gateway.Freeze()); err == nil {
-		_, err = l.want(done, replyWait)
+	if err = l.sendState(g.process.Freeze()); err == nil {
+		_, err = l.expect(frameDone, replyTimeout)
 	}
 	g.mu.Lock()
 	closed := g.closed
 	if err == nil && !closed {
-		g.given = &l
+		g.successor = &l
 	}
 	g.mu.Unlock()
 	if err != nil || closed {
 		slog.Warn("handover", "step", "state", "err", err)
-		g.gateway.Resume()
+		g.process.Resume()
 		return
 	}
-	g.gateway.Given()
-	l.send(yours, nil)
+	g.process.HandedOver()
+	l.send(frameServe, nil)
 	slog.Info("handover", "step", "given")
-	l.want(word, 0) // nothing more comes: it ends with one of the two processes
+	l.expect(frameUpdate, 0) // nothing more comes: it ends with one of the two processes
 	g.mu.Lock()
 	closed = g.closed
 	g.mu.Unlock()
 	if !closed { // the successor's socket stands in the place of this one's
-		err := g.stand()
-		g.gateway.Resume()
+		err := g.listen()
+		g.process.Resume()
 		slog.Warn("handover", "step", "taken_back", "err", err)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -26,48 +26,48 @@
 // Version is the form's. Another one is not understood, and both sides do without.
 const Version = 1
 
-type kind byte
+type frameKind byte
 
 const (
-	hello kind = iota + 1
-	offer
-	busy
-	take
-	state
-	stateEnd
-	done
-	yours
-	word
+	frameHello frameKind = iota + 1
+	frameOffer
+	frameBusy
+	frameTake
+	frameState
+	frameStateEnd
+	frameDone
+	frameServe
+	frameUpdate
 )
 
 const (
-	mostFrame = 1 << 20
-	mostState = 16 << 20
-	mostFiles = 16
-	mostPath  = 100 // of a Unix socket, with what is appended while it is made
+	maxFrameSize  = 1 << 20
+	maxStateSize  = 16 << 20
+	maxFiles      = 16
+	maxPathLength = 100 // of a Unix socket, with what is appended while it is made
 
-	replyWait = 2 * time.Second  // for a frame that the other side has at hand
-	takeWait  = 15 * time.Second // for a successor that is still being built
-	lookWait  = time.Minute      // a read that waits for no certain time is begun anew so often
+	replyTimeout = 2 * time.Second  // for a frame that the other side has at hand
+	takeTimeout  = 15 * time.Second // for a successor that is still being built
+	readInterval = time.Minute      // a read that waits for no certain time is begun anew so often
 )
 
 // Offer is what a predecessor says of itself. Files go by these names, in this order.
 type Offer struct {
-	Files   []string `json:"files"`
-	Drained bool     `json:"drained"`
-	Use     Use      `json:"use"`
+	Files          []string `json:"files"`
+	DrainRequested bool     `json:"drained"`
+	Usage          Usage    `json:"use"`
 }
 
 // Use is what a process has open.
-type Use struct {
-	Clients int `json:"clients"`
-	Members int `json:"members"`
+type Usage struct {
+	ClientConns int `json:"clients"`
+	ServerConns int `json:"members"`
 }
 
 // Errors that a successor can do something about.
 var (
-	ErrNobody = errors.New("nobody to hand over")
-	ErrBusy   = errors.New("the predecessor hands over to another")
+	ErrNoPredecessor = errors.New("nobody to hand over")
+	ErrBusy          = errors.New("the predecessor hands over to another")
 )
 
 // Path gives where a gateway's processes meet. The name goes into the file's name as far as it can.
@@ -82,22 +82,22 @@
 		}
 	}
 	path := filepath.Join(dir, "sprucelane-"+string(safe)+".sock")
-	if len(path) > mostPath-len(".4194304") {
+	if len(path) > maxPathLength-len(".4194304") {
 		return "", fmt.Errorf("%s: too long for a socket", path)
 	}
 	return path, nil
 }
 
 // link is one side of a meeting.
-type link struct{ *net.UnixConn }
+type conn struct{ *net.UnixConn }
 
-func (l link) send(k kind, content []byte, files ...*os.File) error {
-	if len(content) > mostFrame-1 {
+func (l conn) send(k frameKind, content []byte, files ...*os.File) error {
+	if len(content) > maxFrameSize-1 {
 		return errors.New("frame too long")
 	}
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(content)+1))
 	frame = append(append(frame, byte(k)), content...)
-	l.SetWriteDeadline(time.Now().Add(replyWait))
+	l.SetWriteDeadline(time.Now().Add(replyTimeout))
 	var rights []byte
 	if len(files) > 0 {
 		fds := make([]int, len(files))
@@ -120,44 +120,44 @@
 }
 
 // receive reads one frame, and the files that came with it. Within 0 it waits for as long as the other side lives.
-func (l link) receive(within time.Duration) (k kind, content []byte, files []*os.File, err error) {
+func (l conn) receive(within time.Duration) (k frameKind, content []byte, files []*os.File, err error) {
 	defer func() {
 		if err != nil {
 			closeAll(files)
 			files = nil
 		}
 	}()
-	head, rights := make([]byte, 5), make([]byte, syscall.CmsgSpace(4*mostFiles))
-	l.SetReadDeadline(time.Now().Add(cmp.Or(within, lookWait)))
+	head, rights := make([]byte, 5), make([]byte, syscall.CmsgSpace(4*maxFiles))
+	l.SetReadDeadline(time.Now().Add(cmp.Or(within, readInterval)))
 	n, got, _, _, err := l.ReadMsgUnix(head, rights)
 	for within == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		l.SetReadDeadline(time.Now().Add(lookWait))
+		l.SetReadDeadline(time.Now().Add(readInterval))
 		n, got, _, _, err = l.ReadMsgUnix(head, rights)
 	}
-	l.SetReadDeadline(time.Now().Add(cmp.Or(within, replyWait)))
+	l.SetReadDeadline(time.Now().Add(cmp.Or(within, replyTimeout)))
 	if n == 0 && err == nil {
 		err = io.EOF
 	}
 	if err != nil {
 		return 0, nil, nil, err
 	}
-	if files, err = received(rights[:got]); err != nil {
+	if files, err = parseRights(rights[:got]); err != nil {
 		return 0, nil, files, err
 	}
 	if _, err = io.ReadFull(l, head[n:]); err != nil {
 		return 0, nil, files, err
 	}
 	size := binary.BigEndian.Uint32(head)
-	if size < 1 || size > mostFrame {
+	if size < 1 || size > maxFrameSize {
 		return 0, nil, files, fmt.Errorf("a frame of %d bytes", size)
 	}
 	content = make([]byte, size-1)
 	_, err = io.ReadFull(l, content)
-	return kind(head[4]), content, files, err
+	return frameKind(head[4]), content, files, err
 }
 
 // want reads one frame of a kind that brings no files.
-func (l link) want(want kind, within time.Duration) ([]byte, error) {
+func (l conn) expect(want frameKind, within time.Duration) ([]byte, error) {
 	k, content, files, err := l.receive(within)
 	closeAll(files)
 	if err != nil {
@@ -170,7 +170,7 @@
 }
 
 // received gives the files whose descriptors a message brought.
-func received(rights []byte) (files []*os.File, err error) {
+func parseRights(rights []byte) (files []*os.File, err error) {
 	if len(rights) == 0 {
 		return nil, nil
 	}
@@ -198,7 +198,7 @@
 }
 
 // trusted tells whether the other side is a process of the same user.
-func trusted(c *net.UnixConn) bool {
+func sameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -218,29 +218,29 @@
 }
 
 // sendState sends the state in frames, and its sum.
-func (l link) sendState(all []byte) error {
+func (l conn) sendState(all []byte) error {
 	sum := crc32.Checksum(all, crc32.MakeTable(crc32.Castagnoli))
 	for len(all) > 0 {
-		n := min(len(all), mostFrame/4)
-		if err := l.send(state, all[:n]); err != nil {
+		n := min(len(all), maxFrameSize/4)
+		if err := l.send(frameState, all[:n]); err != nil {
 			return err
 		}
 		all = all[n:]
 	}
-	return l.send(stateEnd, binary.BigEndian.AppendUint32(nil, sum))
+	return l.send(frameStateEnd, binary.BigEndian.AppendUint32(nil, sum))
 }
 
 // receiveState gives the state, if it came whole.
-func (l link) receiveState() (all []byte, err error) {
-	for until := time.Now().Add(replyWait); ; {
+func (l conn) receiveState() (all []byte, err error) {
+	for until := time.Now().Add(replyTimeout); ; {
 		k, content, files, err := l.receive(max(time.Until(until), time.Millisecond))
 		closeAll(files)
 		switch {
 		case err != nil:
 			return nil, err
-		case k == state && len(all)+len(content) <= mostState:
+		case k == frameState && len(all)+len(content) <= maxStateSize:
 			all = append(all, content...)
-		case k == stateEnd && len(content) == 4:
+		case k == frameStateEnd && len(content) == 4:
 			if crc32.Checksum(all, crc32.MakeTable(crc32.Castagnoli)) != binary.BigEndian.Uint32(content) {
 				return nil, errors.New("the state's sum is wrong")
 			}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -38,17 +38,17 @@
 		return Offer{}, nil, err
 	}
 	u, err := p.u.File()
-	return Offer{Files: []string{ListenerName(p.l.Addr().String()), PacketName(p.u.LocalAddr().String())},
-		Drained: true, Use: Use{Clients: 3, Members: 4}}, []*os.File{l, u}, err
+	return Offer{Files: []string{ListenerName(p.l.Addr().String()), PacketConnName(p.u.LocalAddr().String())},
+		DrainRequested: true, Usage: Usage{ClientConns: 3, ServerConns: 4}}, []*os.File{l, u}, err
 }
 func (p *process) Freeze() []byte { p.step <- "freeze"; return p.state }
-func (p *process) Given()         { p.step <- "given" }
+func (p *process) HandedOver()    { p.step <- "given" }
 func (p *process) Resume()        { p.step <- "resume" }
 
-func give(t *testing.T, p *process) (path string, g *Giver) {
+func give(t *testing.T, p *process) (path string, g *Predecessor) {
 	path, err := Path(t.TempDir(), "n0")
 	require.NoError(t, err)
-	g, err = Give(path, "n0", p)
+	g, err = Listen(path, "n0", p)
 	require.NoError(t, err)
 	t.Cleanup(g.Close)
 	return path, g
@@ -59,15 +59,15 @@
 func TestHandOver(t *testing.T) {
 	p := newProcess(t)
 	path, g := give(t, p)
-	h, err := Meet(path, "n0", time.Minute)
+	h, err := Connect(path, "n0", time.Minute)
 	require.NoError(t, err)
-	assert.True(t, h.Offer.Drained)
-	assert.Equal(t, Use{Clients: 3, Members: 4}, h.Offer.Use)
-	l, u := h.Listener(p.l.Addr().String()), h.Packet(p.u.LocalAddr().String())
+	assert.True(t, h.Offer.DrainRequested)
+	assert.Equal(t, Usage{ClientConns: 3, ServerConns: 4}, h.Offer.Usage)
+	l, u := h.Listener(p.l.Addr().String()), h.PacketConn(p.u.LocalAddr().String())
 	require.NotNil(t, l)
 	require.NotNil(t, u)
 	assert.Nil(t, h.Listener("127.0.0.1:1"), "nobody listens there")
-	_, err = Meet(path, "n0", 0)
+	_, err = Connect(path, "n0", 0)
 	assert.ErrorIs(t, err, ErrBusy, "one successor at a time")
 	for _, s := range []syscall.Conn{p.l, l.(*net.TCPListener), p.u, u} {
 		raw, err := s.SyscallConn()
@@ -77,14 +77,14 @@
 			assert.NotZero(t, flags&syscall.O_NONBLOCK)
 		})
 	}
-	state, err := h.Take()
+	state, err := h.ReceiveState()
 	require.NoError(t, err)
 	assert.True(t, bytes.Equal(p.state, state))
-	require.NoError(t, h.Done())
+	require.NoError(t, h.Confirm())
 	assert.Equal(t, "freeze", <-p.step)
 	assert.Equal(t, "given", <-p.step)
-	g.Tell([]byte("one"))
-	g.Tell([]byte("two"))
+	g.SendUpdate([]byte("one"))
+	g.SendUpdate([]byte("two"))
 	p.l.Close()
 	p.u.Close()
 	c, err := net.Dial("tcp", p.l.Addr().String())
@@ -94,7 +94,7 @@
 	require.NoError(t, err)
 	g.Close()
 	var heard []string
-	h.Words(func(content []byte) { heard = append(heard, string(content)) })
+	h.ReceiveUpdates(func(content []byte) { heard = append(heard, string(content)) })
 	assert.Equal(t, []string{"one", "two"}, heard)
 	assert.Empty(t, p.step, "its own end is no reason to take back")
 	h.Close()
@@ -109,16 +109,16 @@
 	path, _ := give(t, p)
 	for _, c := range []struct {
 		name  string
-		until func(h *Heir)
+		until func(h *Successor)
 		steps string
 	}{
-		{"after the offer", func(h *Heir) {}, ""},
-		{"before it is done", func(h *Heir) { h.Take() }, "freeze resume"},
-		{"in the middle of the state", func(h *Heir) { h.link.send(take, nil); h.link.receive(time.Minute) }, "freeze resume"},
-		{"when it serves", func(h *Heir) { h.Take(); h.Done(); os.Remove(path) }, "freeze given resume"},
-		{"saying something else", func(h *Heir) { h.link.send(word, []byte("x")); h.link.receive(time.Minute) }, ""},
+		{"after the offer", func(h *Successor) {}, ""},
+		{"before it is done", func(h *Successor) { h.ReceiveState() }, "freeze resume"},
+		{"in the middle of the state", func(h *Successor) { h.conn.send(frameTake, nil); h.conn.receive(time.Minute) }, "freeze resume"},
+		{"when it serves", func(h *Successor) { h.ReceiveState(); h.Confirm(); os.Remove(path) }, "freeze given resume"},
+		{"saying something else", func(h *Successor) { h.conn.send(frameUpdate, []byte("x")); h.conn.receive(time.Minute) }, ""},
 	} {
-		h, err := Meet(path, "n0", time.Minute)
+		h, err := Connect(path, "n0", time.Minute)
 		require.NoError(t, err, c.name)
 		c.until(h)
 		h.Close()
@@ -135,58 +135,61 @@
 	dir := t.TempDir()
 	path, err := Path(dir, "n0")
 	require.NoError(t, err)
-	_, err = Meet(path, "n0", 0)
-	assert.ErrorIs(t, err, ErrNobody)
+	_, err = Connect(path, "n0", 0)
+	assert.ErrorIs(t, err, ErrNoPredecessor)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
 	l.SetUnlinkOnClose(false)
 	l.Close()
-	_, err = Meet(path, "n0", 0)
-	assert.ErrorIs(t, err, ErrNobody, "a leftover of a process that was killed")
-	g, err := Give(path, "n0", newProcess(t))
+	_, err = Connect(path, "n0", 0)
+	assert.ErrorIs(t, err, ErrNoPredecessor, "a leftover of a process that was killed")
+	g, err := Listen(path, "n0", newProcess(t))
 	require.NoError(t, err, "which is no hindrance")
-	_, err = Meet(path, "n1", 0)
+	_, err = Connect(path, "n1", 0)
 	assert.Error(t, err, "another gateway's")
 	g.Close()
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
-	_, err = Meet(path, "n0", 0)
+	_, err = Connect(path, "n0", 0)
 	assert.ErrorContains(t, err, "not a socket")
 
 	p := newProcess(t)
-	for name, script := range map[string]func(l link){
-		"hung":            func(l link) { l.receive(time.Minute); l.receive(time.Minute) },
-		"gone":            func(l link) {},
-		"another kind":    func(l link) { l.send(word, nil) },
-		"no JSON":         func(l link) { l.send(offer, []byte("{")) },
-		"names, no files": func(l link) { l.send(offer, []byte(`{"files":["tcp x"]}`)) },
-		"too long":        func(l link) { l.Write(binary.BigEndian.AppendUint32(nil, mostFrame+1)); l.Write([]byte{byte(offer)}) },
-		"no length":       func(l link) { l.Write(make([]byte, 5)) },
+	for name, script := range map[string]func(l conn){
+		"hung":            func(l conn) { l.receive(time.Minute); l.receive(time.Minute) },
+		"gone":            func(l conn) {},
+		"another kind":    func(l conn) { l.send(frameUpdate, nil) },
+		"no JSON":         func(l conn) { l.send(frameOffer, []byte("{")) },
+		"names, no files": func(l conn) { l.send(frameOffer, []byte(`{"files":["tcp x"]}`)) },
+		"too long": func(l conn) {
+			l.Write(binary.BigEndian.AppendUint32(nil, maxFrameSize+1))
+			l.Write([]byte{byte(frameOffer)})
+		},
+		"no length": func(l conn) { l.Write(make([]byte, 5)) },
 	} {
-		_, err := Meet(meetScript(t, script), "n0", 0)
+		_, err := Connect(meetScript(t, script), "n0", 0)
 		assert.Error(t, err, name)
-		assert.NotErrorIs(t, err, ErrNobody, name)
+		assert.NotErrorIs(t, err, ErrNoPredecessor, name)
 	}
-	offers := func(then func(l link)) func(l link) {
-		return func(l link) {
+	offers := func(then func(l conn)) func(l conn) {
+		return func(l conn) {
 			what, files, _ := p.Offer()
 			content := []byte(`{"files":["` + what.Files[0] + `","` + what.Files[1] + `"]}`)
-			l.send(offer, content, files...)
+			l.send(frameOffer, content, files...)
 			closeAll(files)
-			l.want(take, time.Minute)
+			l.expect(frameTake, time.Minute)
 			then(l)
 		}
 	}
-	for name, script := range map[string]func(l link){
-		"cut":       func(l link) { l.send(state, []byte("half")) },
-		"wrong sum": func(l link) { l.send(state, []byte("half")); l.send(stateEnd, []byte{1, 2, 3, 4}) },
-		"odd end":   func(l link) { l.send(state, []byte("half")); l.send(stateEnd, nil) },
-		"odd frame": func(l link) { l.send(state, []byte("half")); l.send(word, nil) },
-		"late":      func(l link) { l.send(state, []byte("half")); l.receive(time.Minute) },
+	for name, script := range map[string]func(l conn){
+		"cut":       func(l conn) { l.send(frameState, []byte("half")) },
+		"wrong sum": func(l conn) { l.send(frameState, []byte("half")); l.send(frameStateEnd, []byte{1, 2, 3, 4}) },
+		"odd end":   func(l conn) { l.send(frameState, []byte("half")); l.send(frameStateEnd, nil) },
+		"odd frame": func(l conn) { l.send(frameState, []byte("half")); l.send(frameUpdate, nil) },
+		"late":      func(l conn) { l.send(frameState, []byte("half")); l.receive(time.Minute) },
 	} {
-		h, err := Meet(meetScript(t, offers(script)), "n0", 0)
+		h, err := Connect(meetScript(t, offers(script)), "n0", 0)
 		require.NoError(t, err, name)
-		all, err := h.Take()
+		all, err := h.ReceiveState()
 		assert.Error(t, err, name)
 		assert.Nil(t, all, name)
 		assert.NotNil(t, h.Listener(p.l.Addr().String()), name+": the sockets are its own all the same")
@@ -195,7 +198,7 @@
 }
 
 // meetScript stands a scripted predecessor up, which has read the greeting.
-func meetScript(t *testing.T, script func(l link)) string {
+func meetScript(t *testing.T, script func(l conn)) string {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	require.NoError(t, err)
@@ -206,8 +209,8 @@
 			return
 		}
 		defer c.Close()
-		if _, err := (link{c}).want(hello, time.Minute); err == nil {
-			script(link{c})
+		if _, err := (conn{c}).expect(frameHello, time.Minute); err == nil {
+			script(conn{c})
 		}
 	}()
 	return path
@@ -226,7 +229,7 @@
 
 // Whatever comes, reading a frame ends, keeps within its bound and leaves no descriptor open.
 func FuzzReceive(f *testing.F) {
-	f.Add([]byte{0, 0, 0, 2, byte(offer), '{'})
+	f.Add([]byte{0, 0, 0, 2, byte(frameOffer), '{'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
@@ -241,10 +244,10 @@
 		}
 		defer c.Close()
 		go func() { syscall.Write(fds[1], data); syscall.Close(fds[1]) }()
-		l := link{c.(*net.UnixConn)}
+		l := conn{c.(*net.UnixConn)}
 		for {
 			_, content, files, err := l.receive(time.Minute)
-			if len(content) > mostFrame || len(files) > 0 {
+			if len(content) > maxFrameSize || len(files) > 0 {
 				t.Fatal(len(content), len(files))
 			}
 			if err != nil {
--- a/internal/handover/heir.go
+++ b/internal/handover/heir.go
@@ -11,26 +11,26 @@
 )
 
 // Heir is a successor's side of a meeting.
-type Heir struct {
+type Successor struct {
 	Offer Offer
-	link  link
+	conn  conn
 	files map[string]*os.File
 }
 
 // Meet asks whoever listens at path for what it has. ErrNobody: there is none, or what stands there is a leftover.
-func Meet(path, name string, within time.Duration) (*Heir, error) {
+func Connect(path, name string, within time.Duration) (*Successor, error) {
 	for until := time.Now().Add(within); ; time.Sleep(20 * time.Millisecond) {
-		h, err := meet(path, name)
+		h, err := connect(path, name)
 		if !errors.Is(err, ErrBusy) || time.Now().After(until) {
 			return h, err
 		}
 	}
 }
 
-func meet(path, name string) (*Heir, error) {
+func connect(path, name string) (*Successor, error) {
 	info, err := os.Lstat(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, ErrNobody
+		return nil, ErrNoPredecessor
 	}
 	if err != nil {
 		return nil, err
@@ -40,31 +40,31 @@
 	}
 	c, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: path, Net: "unix"})
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, ErrNobody
+		return nil, ErrNoPredecessor
 	}
 	if err != nil {
 		return nil, err
 	}
-	h := &Heir{link: link{c}, files: map[string]*os.File{}}
-	if err = h.greet(name); err != nil {
+	h := &Successor{conn: conn{c}, files: map[string]*os.File{}}
+	if err = h.handshake(name); err != nil {
 		h.Close()
 		return nil, err
 	}
 	return h, nil
 }
 
-func (h *Heir) greet(name string) error {
-	if !trusted(h.link.UnixConn) {
+func (h *Successor) handshake(name string) error {
+	if !sameUser(h.conn.UnixConn) {
 		return errors.New("another user's process")
 	}
 	content, _ := json.Marshal(greeting{Version, name})
-	if err := h.link.send(hello, content); err != nil {
+	if err := h.conn.send(frameHello, content); err != nil {
 		return err
 	}
-	k, content, files, err := h.link.receive(replyWait)
-	if err == nil && k == busy {
+	k, content, files, err := h.conn.receive(replyTimeout)
+	if err == nil && k == frameBusy {
 		err = ErrBusy
-	} else if err == nil && k != offer {
+	} else if err == nil && k != frameOffer {
 		err = fmt.Errorf("a frame of kind %d, no offer", k)
 	}
 	if err == nil {
@@ -87,10 +87,10 @@
 func ListenerName(addr string) string { return "tcp " + addr }
 
 // PacketName names the packet connection that is open at an address.
-func PacketName(addr string) string { return "udp " + addr }
+func PacketConnName(addr string) string { return "udp " + addr }
 
 // Listener gives the listener at an address, nil where there is none.
-func (h *Heir) Listener(addr string) net.Listener {
+func (h *Successor) Listener(addr string) net.Listener {
 	f := h.file(ListenerName(addr))
 	if f == nil {
 		return nil
@@ -107,8 +107,8 @@
 }
 
 // Packet gives the datagram socket at an address, nil where there is none.
-func (h *Heir) Packet(addr string) *net.UDPConn {
-	f := h.file(PacketName(addr))
+func (h *Successor) PacketConn(addr string) *net.UDPConn {
+	f := h.file(PacketConnName(addr))
 	if f == nil {
 		return nil
 	}
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func (h *Heir) file(name string) *os.File {
+func (h *Successor) file(name string) *os.File {
 	if h == nil {
 		return nil
 	}
@@ -132,26 +132,26 @@
 
 // Take makes the predecessor stop, and gives its state. Where that didn't come whole there is none, and the sockets are
 // this process's all the same.
-func (h *Heir) Take() ([]byte, error) {
-	if err := h.link.send(take, nil); err != nil {
+func (h *Successor) ReceiveState() ([]byte, error) {
+	if err := h.conn.send(frameTake, nil); err != nil {
 		return nil, err
 	}
-	return h.link.receiveState()
+	return h.conn.receiveState()
 }
 
 // Done tells the predecessor that this process serves from now on.
-func (h *Heir) Done() error {
-	if err := h.link.send(done, nil); err != nil {
+func (h *Successor) Confirm() error {
+	if err := h.conn.send(frameDone, nil); err != nil {
 		return err
 	}
-	_, err := h.link.want(yours, replyWait)
+	_, err := h.conn.expect(frameServe, replyTimeout)
 	return err
 }
 
 // Words hands in what the predecessor still tells, until it has ended.
-func (h *Heir) Words(take func(content []byte)) {
+func (h *Successor) ReceiveUpdates(take func(content []byte)) {
 	for {
-		content, err := h.link.want(word, 0)
+		content, err := h.conn.expect(frameUpdate, 0)
 		if err != nil {
 			return
 		}
@@ -160,11 +160,11 @@
 }
 
 // Close ends the meeting. Sockets that were asked for stay open.
-func (h *Heir) Close() {
+func (h *Successor) Close() {
 	if h == nil {
 		return
 	}
-	h.link.Close()
+	h.conn.Close()
 	for _, f := range h.files {
 		f.Close()
 	}
--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -326,7 +326,7 @@
 func TestCarrier(t *testing.T) {
 	core, roster := &core{own: map[policy.ServerID]policy.OwnLoad{}}, lives{}
 	for _, m := range instances(60) {
-		roster[m.ID] = discovery.Life{Instance: m.Instance}
+		roster[m.ID] = discovery.Incarnation{Instance: m.Instance}
 	}
 	told := map[int][]byte{}
 	c := Carry(New(10, 80, 0), core, roster, func(p int, m []byte) { told[p] = m })
@@ -353,6 +353,6 @@
 	c.loads = weigh(time.Second, c.own)
 }
 
-type lives map[policy.ServerID]discovery.Life
+type lives map[policy.ServerID]discovery.Incarnation
 
-func (l lives) Lives() map[policy.ServerID]discovery.Life { return l }
+func (l lives) Incarnations() map[policy.ServerID]discovery.Incarnation { return l }
--- a/internal/inflight/carry.go
+++ b/internal/inflight/carry.go
@@ -20,24 +20,24 @@
 }
 
 // Roster names what is listed, in a new map each time.
-type Roster interface {
-	Lives() map[policy.ServerID]discovery.Life
+type Membership interface {
+	Incarnations() map[policy.ServerID]discovery.Incarnation
 }
 
 // Carrier keeps a board up to date.
 type Carrier struct {
 	core   Core
-	roster Roster
+	roster Membership
 	tell   func(peer int, m []byte)
 
 	mu          sync.Mutex // taken under the core's, never the other way round
 	board       *Board
-	lives       map[policy.ServerID]discovery.Life // as the board last had them
+	lives       map[policy.ServerID]discovery.Incarnation // as the board last had them
 	heard, told uint64
 }
 
 // Carry gives a carrier for a board.
-func Carry(b *Board, core Core, roster Roster, tell func(int, []byte)) *Carrier {
+func Carry(b *Board, core Core, roster Membership, tell func(int, []byte)) *Carrier {
 	return &Carrier{core: core, roster: roster, tell: tell, board: b}
 }
 
@@ -56,7 +56,7 @@
 }
 
 func (c *Carrier) round() {
-	lives := c.roster.Lives()
+	lives := c.roster.Incarnations()
 	var peers []int
 	var m []byte
 	c.core.ExchangeLoads(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -24,7 +24,7 @@
 // Gateway stands on a gateway's core and roster: it turns the module's numbers into instances and lives, and back.
 type Gateway struct {
 	Core   *core.Core
-	Roster *discovery.Roster
+	Roster *discovery.Membership
 }
 
 const roomAhead, blankRoom = 4.0, 4.0
@@ -34,8 +34,8 @@
 
 // Seen implements Teachable.
 func (g *Gateway) Seen() (state pipe.State, at Snapshot) {
-	names := g.Roster.Lives()
-	at, state.Deaf = make(Snapshot, len(names)), g.Roster.Silent()
+	names := g.Roster.Incarnations()
+	at, state.Deaf = make(Snapshot, len(names)), g.Roster.SinceLastAnswer()
 	g.Core.UpdatePriors(func(now core.Time, seen []policy.Observation) []policy.Prior {
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -126,7 +126,7 @@
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), carrier{}, nil)
 	require.NoError(t, err)
-	r := discovery.NewRoster(addresses{}, c.Servers, nil, nil)
+	r := discovery.NewMembership(addresses{}, c.Servers, nil, nil)
 	r.Apply(policy.ListFull, []discovery.Instance{{ID: "a", Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: 5},
 		{ID: "b", Addr: "127.0.0.1:2", Lifecycle: "up"}, {ID: "c", Addr: "127.0.0.1:3", Lifecycle: "draining"}})
 	g := &Gateway{Core: c, Roster: r}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,28 +17,28 @@
 const MaxMessage = 256
 
 // writeWait bounds a write: a datagram that the kernel won't take at once is as good as lost.
-const writeWait = 50 * time.Millisecond
+const writeTimeout = 50 * time.Millisecond
 
 // Link is the gateway's way to its peers.
 type Link struct {
-	conn   *net.UDPConn
-	peers  []netip.AddrPort
-	all    netip.AddrPort
-	number map[netip.AddrPort]int
+	conn      *net.UDPConn
+	peers     []netip.AddrPort
+	broadcast netip.AddrPort
+	peerIndex map[netip.AddrPort]int
 
-	heard, odd, dropped, told atomic.Uint64
+	received, invalid, dropped, sent atomic.Uint64
 
-	mu    sync.Mutex
-	still bool
-	woken chan struct{} // closed when the link goes on
+	mu       sync.Mutex
+	isPaused bool
+	resumed  chan struct{} // closed when the link goes on
 }
 
 // Counts is what came and went: odd were too long or of strangers, dropped were not sent.
-type Counts struct{ Heard, Odd, Told, Dropped uint64 }
+type Stats struct{ Received, Invalid, Sent, Dropped uint64 }
 
 // Counts gives the counts so far.
-func (l *Link) Counts() Counts {
-	return Counts{l.heard.Load(), l.odd.Load(), l.told.Load(), l.dropped.Load()}
+func (l *Link) Stats() Stats {
+	return Stats{l.received.Load(), l.invalid.Load(), l.sent.Load(), l.dropped.Load()}
 }
 
 // Listen opens the socket. The peers are ordered by their numbers; all reaches every one of them, where valid.
@@ -47,14 +47,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return On(conn, peers, all), nil
+	return NewLink(conn, peers, all), nil
 }
 
 // On gives a link on a socket that is open.
-func On(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort) *Link {
-	l := &Link{conn: conn, peers: peers, all: all, number: map[netip.AddrPort]int{}}
+func NewLink(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort) *Link {
+	l := &Link{conn: conn, peers: peers, broadcast: all, peerIndex: map[netip.AddrPort]int{}}
 	for i, p := range peers {
-		l.number[p] = i
+		l.peerIndex[p] = i
 	}
 	return l
 }
@@ -66,8 +66,8 @@
 func (l *Link) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.still {
-		l.still, l.woken = true, make(chan struct{})
+	if !l.isPaused {
+		l.isPaused, l.resumed = true, make(chan struct{})
 		l.conn.SetReadDeadline(time.Now())
 	}
 }
@@ -76,10 +76,10 @@
 func (l *Link) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.still {
-		l.still = false
+	if l.isPaused {
+		l.isPaused = false
 		l.conn.SetReadDeadline(time.Time{})
-		close(l.woken)
+		close(l.resumed)
 	}
 }
 
@@ -87,29 +87,29 @@
 func (l *Link) paused() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.still, l.woken
+	return l.isPaused, l.resumed
 }
 
 // Addr is where the link listens.
 func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Tell sends a message to one peer, or to all where peer is below 0. It may be lost, as any datagram.
-func (l *Link) Tell(peer int, message []byte) {
+func (l *Link) Send(peer int, message []byte) {
 	if len(message) > MaxMessage || peer >= len(l.peers) {
 		l.dropped.Add(1)
 		slog.Error("peer_message_dropped", "peer", peer, "bytes", len(message))
 		return
 	}
-	to := l.all
+	to := l.broadcast
 	if peer >= 0 {
 		to = l.peers[peer]
 	}
 	if still, _ := l.paused(); to.IsValid() && !still {
-		l.conn.SetWriteDeadline(time.Now().Add(writeWait))
+		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := l.conn.WriteToUDPAddrPort(message, to); err != nil { // a loss the module allows for
 			l.dropped.Add(1)
 		} else {
-			l.told.Add(1)
+			l.sent.Add(1)
 		}
 	}
 }
@@ -129,11 +129,11 @@
 		if err != nil { // an earlier datagram was refused where it went
 			continue
 		}
-		if i, ok := l.number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; ok && n <= MaxMessage {
-			l.heard.Add(1)
+		if i, ok := l.peerIndex[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; ok && n <= MaxMessage {
+			l.received.Add(1)
 			take(i, buf[:n])
 		} else {
-			l.odd.Add(1)
+			l.invalid.Add(1)
 		}
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -40,10 +40,10 @@
 	assert.Equal(t, "1 last", <-heard)
 	assert.Empty(t, heard)
 
-	l.Tell(1, bytes.Repeat([]byte("y"), MaxMessage+1))
-	l.Tell(7, []byte("nobody"))
-	l.Tell(1, []byte("one"))
-	l.Tell(-1, []byte("all"))
+	l.Send(1, bytes.Repeat([]byte("y"), MaxMessage+1))
+	l.Send(7, []byte("nobody"))
+	l.Send(1, []byte("one"))
+	l.Send(-1, []byte("all"))
 	buf := make([]byte, 1000)
 	for _, want := range []string{"one", "all"} {
 		n, from, err := one.ReadFromUDPAddrPort(buf)
@@ -51,7 +51,7 @@
 		assert.Equal(t, want, string(buf[:n]))
 		assert.Equal(t, l.Addr(), from)
 	}
-	assert.Equal(t, Counts{Heard: 1, Odd: 2, Told: 2, Dropped: 2}, l.Counts())
+	assert.Equal(t, Stats{Received: 1, Invalid: 2, Sent: 2, Dropped: 2}, l.Stats())
 	l.Close()
 	<-ended
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -23,8 +23,8 @@
 func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
-	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.ConnIdle,
-		ConnectTimeout: d.ConnectWait})
+	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.IdleTimeout,
+		ConnectTimeout: d.ConnectTimeout})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
 		carrierFunc(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -503,7 +503,7 @@
 	} {
 		addr, _ := startEarlyResponder(t, 300, c.text, c.goes)
 		d := fake.Deployment()
-		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait})
+		p := New(Options{MaxConnections: 9, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
 		t.Cleanup(p.Close)
 		p.Set(1, addr, policy.Ready)
 		said := make(chan bool)
@@ -563,7 +563,7 @@
 	}
 	d := fake.Deployment()
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p := New(Options{MaxConnections: 9, IdleTimeout: d.ConnIdle, ConnectTimeout: d.ConnectWait,
+		p := New(Options{MaxConnections: 9, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout,
 			ResponseMemory: buffers.New(MaxBufferedBody)})
 		defer p.Close()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,39 +15,39 @@
 
 // Event codes.
 const (
-	Born           = 10
-	Sync           = 20
-	Order          = 30
-	Flowing        = 40
-	OutcomeOf      = 50
-	TimedOutClient = 60
-	Reminder       = 70
-	Health         = 80
-	NoteFrom       = 90
-	Down           = 100
-	Sum            = 110
-	Register       = 120
+	GatewayStarted  = 10
+	ListReceived    = 20
+	RequestReceived = 30
+	ResponseStarted = 40
+	AttemptEnded    = 50
+	ClientGone      = 60
+	TimerFired      = 70
+	HealthChecked   = 80
+	PeerMessage     = 90
+	GatewayStopped  = 100
+	Checksum        = 110
+	ListDefined     = 120
 )
 
 // MaxBatch is the longest batch accepted, in bytes.
-const MaxBatch = 1 << 29
+const MaxBatchSize = 1 << 29
 
-const entrySize = 23
+const listEntrySize = 23
 
 // Event is one record of a batch. Which fields count depends on Code.
 type Event struct {
-	Code     byte
-	Instance uint16
-	Seed     uint64
-	Settings []byte
-	Table    uint32
-	Kind     byte
-	Entries  []policy.ServerInfo
-	Request  policy.Request
-	Outcome  policy.Outcome
-	Tag      uint64
-	From     int
-	Message  []byte
+	Code       byte
+	Instance   uint16
+	Seed       uint64
+	Settings   []byte
+	ListNumber uint32
+	ListKind   byte
+	Entries    []policy.ServerInfo
+	Request    policy.Request
+	Outcome    policy.Outcome
+	Tag        uint64
+	From       int
+	Message    []byte
 }
 
 // Batch is what arrives at one moment.
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("truncated batch header: %w", err)
 	}
 	count, size := binary.BigEndian.Uint32(head[:]), binary.BigEndian.Uint32(head[4:])
-	if size < 8 || size > MaxBatch {
+	if size < 8 || size > MaxBatchSize {
 		return nil, fmt.Errorf("impossible batch length %d", size)
 	}
 	var body bytes.Buffer // grows with what really arrives, not with what the header claims
@@ -77,14 +77,14 @@
 }
 
 func parse(data []byte, count uint32) (*Batch, error) {
-	c := &cursor{data: data}
+	c := &decoder{data: data}
 	b := &Batch{Now: c.time()}
 	for i := uint32(0); i < count; i++ {
 		e, err := c.event()
 		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", i, err)
 		}
-		if c.short {
+		if c.truncated {
 			return nil, fmt.Errorf("record %d: code %d runs past the batch", i, e.Code)
 		}
 		b.Events = append(b.Events, e)
@@ -95,14 +95,14 @@
 	return b, nil
 }
 
-type cursor struct {
-	data  []byte
-	short bool
+type decoder struct {
+	data      []byte
+	truncated bool
 }
 
-func (c *cursor) take(n int) []byte {
+func (c *decoder) take(n int) []byte {
 	if n > len(c.data) || n < 0 {
-		c.short, c.data = true, nil
+		c.truncated, c.data = true, nil
 		if n > 8 || n < 0 {
 			return nil
 		}
@@ -113,29 +113,29 @@
 	return out
 }
 
-func (c *cursor) u8() byte     { return c.take(1)[0] }
-func (c *cursor) u16() uint16  { return binary.BigEndian.Uint16(c.take(2)) }
-func (c *cursor) u32() uint32  { return binary.BigEndian.Uint32(c.take(4)) }
-func (c *cursor) u64() uint64  { return binary.BigEndian.Uint64(c.take(8)) }
-func (c *cursor) f32() float64 { return float64(math.Float32frombits(c.u32())) }
+func (c *decoder) u8() byte     { return c.take(1)[0] }
+func (c *decoder) u16() uint16  { return binary.BigEndian.Uint16(c.take(2)) }
+func (c *decoder) u32() uint32  { return binary.BigEndian.Uint32(c.take(4)) }
+func (c *decoder) u64() uint64  { return binary.BigEndian.Uint64(c.take(8)) }
+func (c *decoder) f32() float64 { return float64(math.Float32frombits(c.u32())) }
 
-func (c *cursor) time() time.Duration {
+func (c *decoder) time() time.Duration {
 	return time.Duration(min(c.u64(), math.MaxInt64))
 }
 
 // number is a float that stands for a small count.
-func (c *cursor) number() int {
+func (c *decoder) count() int {
 	if x := c.f32(); x >= 0 && x < 1<<20 {
 		return int(x)
 	}
 	return 0
 }
 
-func (c *cursor) server() policy.ServerID {
+func (c *decoder) serverID() policy.ServerID {
 	return policy.ServerID(c.u32())<<16 | policy.ServerID(c.u16())
 }
 
-func (c *cursor) report() []float32 {
+func (c *decoder) loadReport() []float32 {
 	n := int(c.u8())
 	if n == 0 || n*4 > len(c.data) {
 		c.take(n * 4)
@@ -148,60 +148,60 @@
 	return out
 }
 
-func (c *cursor) event() (Event, error) {
+func (c *decoder) event() (Event, error) {
 	e := Event{Code: c.u8()}
-	if e.Code == Register {
-		e.Table = c.u32()
+	if e.Code == ListDefined {
+		e.ListNumber = c.u32()
 		n := c.u32()
-		if uint64(n)*entrySize > uint64(len(c.data)) {
-			c.short = true
+		if uint64(n)*listEntrySize > uint64(len(c.data)) {
+			c.truncated = true
 			return e, nil
 		}
 		e.Entries = make([]policy.ServerInfo, n)
 		for i := range e.Entries {
-			e.Entries[i] = policy.ServerInfo{ID: c.server(), Zone: int(c.u8()), Kind: int(c.u8()),
+			e.Entries[i] = policy.ServerInfo{ID: c.serverID(), Zone: int(c.u8()), Kind: int(c.u8()),
 				Cell: int(c.u16()), State: policy.ServerState(c.u8()), Weight: c.f32(), StartedAt: c.time()}
 		}
 		return e, nil
 	}
 	e.Instance = c.u16()
 	switch e.Code {
-	case Born:
+	case GatewayStarted:
 		e.Seed = c.u64()
 		e.Settings = c.take(int(c.u32()))
-	case Sync:
-		e.Kind = c.u8()
+	case ListReceived:
+		e.ListKind = c.u8()
 		c.u64()
-		e.Table = c.u32()
-	case Order:
+		e.ListNumber = c.u32()
+	case RequestReceived:
 		e.Request = policy.Request{ID: policy.RequestID(c.u64()), Class: int(c.u16()), Plan: int(c.u32()),
 			Customer: policy.CustomerID(c.u64()), Deadline: c.time(), Units: c.f32(),
-			SetSize: c.number(), FirstGateway: c.number()}
+			SetSize: c.count(), FirstGateway: c.count()}
 		e.Request.ClientRetry = c.u8()&2 != 0
-	case Flowing:
-		e.Outcome = policy.Outcome{ID: policy.RequestID(c.u64()), Attempt: int(c.u8()), Server: c.server(),
+	case ResponseStarted:
+		e.Outcome = policy.Outcome{ID: policy.RequestID(c.u64()), Attempt: int(c.u8()), Server: c.serverID(),
 			Elapsed: c.time()}
-	case OutcomeOf:
+	case AttemptEnded:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(c.u64()), Elapsed: c.time()}
 		c.u16()
-		e.Outcome.Server = c.server()
+		e.Outcome.Server = c.serverID()
 		e.Outcome.Answered = c.u8() != 0
 		e.Outcome.Attempt = int(c.u8())
 		e.Outcome.Ending = policy.Ending(c.u8())
 		e.Outcome.Units = float64(c.u16())
-		e.Outcome.LoadReport = c.report()
-	case TimedOutClient, Reminder:
+		e.Outcome.LoadReport = c.loadReport()
+	case ClientGone, TimerFired:
 		e.Tag = c.u64()
-	case Health:
+	case HealthChecked:
 		e.Outcome.Ending = policy.Ending(c.u8())
 		e.Outcome.Elapsed = c.time()
-		e.Outcome.Server = c.server()
-		e.Outcome.LoadReport = c.report()
-	case NoteFrom:
+		e.Outcome.Server = c.serverID()
+		e.Outcome.LoadReport = c.loadReport()
+	case PeerMessage:
 		e.From = int(c.u16())
 		e.Message = c.take(int(c.u16()))
-	case Down:
-	case Sum:
+	case GatewayStopped:
+	case Checksum:
 		c.take(8)
 		c.take(8)
 		c.take(5)
@@ -222,14 +222,14 @@
 	return out
 }
 
-func (a *Actions) head(code byte, instance uint16) {
+func (a *Actions) appendHeader(code byte, instance uint16) {
 	a.buf = append(a.buf, code)
 	a.buf = binary.BigEndian.AppendUint16(a.buf, instance)
 }
 
-func (a *Actions) u64(x uint64) { a.buf = binary.BigEndian.AppendUint64(a.buf, x) }
+func (a *Actions) appendUint64(x uint64) { a.buf = binary.BigEndian.AppendUint64(a.buf, x) }
 
-func (a *Actions) text(p []byte) {
+func (a *Actions) appendBytes(p []byte) {
 	p = p[:min(len(p), math.MaxUint16)]
 	a.buf = binary.BigEndian.AppendUint16(a.buf, uint16(len(p)))
 	a.buf = append(a.buf, p...)
@@ -243,55 +243,55 @@
 
 // Send writes PLACE.
 func (h Host) Send(id policy.RequestID, to policy.ServerID, until policy.Time) {
-	h.Out.head(10, h.Instance)
-	h.Out.u64(uint64(id))
+	h.Out.appendHeader(10, h.Instance)
+	h.Out.appendUint64(uint64(id))
 	h.Out.buf = binary.BigEndian.AppendUint32(h.Out.buf, uint32(to>>16))
 	h.Out.buf = binary.BigEndian.AppendUint16(h.Out.buf, uint16(to))
-	h.Out.u64(uint64(max(until, 0)))
+	h.Out.appendUint64(uint64(max(until, 0)))
 }
 
 // Refuse writes PUSH_BACK.
 func (h Host) Refuse(id policy.RequestID, wait time.Duration) {
-	h.Out.head(20, h.Instance)
-	h.Out.u64(uint64(id))
-	h.Out.u64(uint64(max(wait, 0)))
+	h.Out.appendHeader(20, h.Instance)
+	h.Out.appendUint64(uint64(id))
+	h.Out.appendUint64(uint64(max(wait, 0)))
 }
 
 // Fail writes REPORT_FAILURE.
 func (h Host) Fail(id policy.RequestID) {
-	h.Out.head(30, h.Instance)
-	h.Out.u64(uint64(id))
+	h.Out.appendHeader(30, h.Instance)
+	h.Out.appendUint64(uint64(id))
 }
 
 // Cancel writes REVOKE.
 func (h Host) Cancel(id policy.RequestID, attempt int) {
-	h.Out.head(40, h.Instance)
-	h.Out.u64(uint64(id))
+	h.Out.appendHeader(40, h.Instance)
+	h.Out.appendUint64(uint64(id))
 	h.Out.buf = append(h.Out.buf, byte(attempt))
 }
 
 // Timer writes SCHEDULE.
 func (h Host) Timer(tag uint64, after time.Duration) {
-	h.Out.head(50, h.Instance)
-	h.Out.u64(tag)
-	h.Out.u64(uint64(max(after, 0)))
+	h.Out.appendHeader(50, h.Instance)
+	h.Out.appendUint64(tag)
+	h.Out.appendUint64(uint64(max(after, 0)))
 }
 
 // Tell writes SHARE.
 func (h Host) Tell(peer int, message []byte) {
-	h.Out.head(80, h.Instance)
+	h.Out.appendHeader(80, h.Instance)
 	h.Out.buf = binary.BigEndian.AppendUint32(h.Out.buf, uint32(int32(peer)))
-	h.Out.text(message)
+	h.Out.appendBytes(message)
 }
 
 // Log writes JOURNAL_LINE.
 func (h Host) Log(text string) {
-	h.Out.head(90, h.Instance)
-	h.Out.text([]byte(text))
+	h.Out.appendHeader(90, h.Instance)
+	h.Out.appendBytes([]byte(text))
 }
 
 // Watch writes TRACK.
 func (h Host) Watch() {
-	h.Out.head(110, h.Instance)
+	h.Out.appendHeader(110, h.Instance)
 	h.Out.buf = append(h.Out.buf, 1)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 	e := one(t, "78 00000003 00000001 0a000001 1f40 01 02 0004 02 3fc00000 000000003b9aca00")
 	want := policy.ServerInfo{ID: 0x0a0000011f40, Zone: 1, Kind: 2, Cell: 4, State: policy.Draining, Weight: 1.5,
 		StartedAt: time.Second}
-	if e.Table != 3 || len(e.Entries) != 1 || e.Entries[0] != want {
+	if e.ListNumber != 3 || len(e.Entries) != 1 || e.Entries[0] != want {
 		t.Fatalf("%+v", e)
 	}
 }
@@ -72,7 +72,7 @@
 func TestOtherRecords(t *testing.T) {
 	for text, ok := range map[string]func(Event) bool{
 		"0a 0001 0000000000000005 00000002 7b7d":                     func(e Event) bool { return e.Seed == 5 && string(e.Settings) == "{}" },
-		"14 0001 02 0000000000000009 00000004":                       func(e Event) bool { return e.Kind == 2 && e.Table == 4 },
+		"14 0001 02 0000000000000009 00000004":                       func(e Event) bool { return e.ListKind == 2 && e.ListNumber == 4 },
 		"5a 0001 0002 0003 616263":                                   func(e Event) bool { return e.From == 2 && string(e.Message) == "abc" },
 		"46 0001 0000000000000009":                                   func(e Event) bool { return e.Tag == 9 },
 		"3c 0001 0000000000000009":                                   func(e Event) bool { return e.Tag == 9 },
