--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -54,7 +54,7 @@
 	}
 	for _, p := range append(keyPaths(value, reflect.TypeFor[platformFile]()), keyPaths(map[string]any{"settings": value["settings"]},
 		reflect.TypeFor[struct {
-			Settings settingsObject `json:"settings"`
+			Settings settingsJSON `json:"settings"`
 		}]())...) {
 		if p = p[1:]; !strings.HasPrefix(p, "known.") && !slices.Contains(paths, p) {
 			paths = append(paths, p)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-type settingsObject struct {
+type settingsJSON struct {
 	Allowed struct {
 		Cancel        bool          `json:"cancel"`
 		ConnIdle      time.Duration `json:"conn_idle"`
@@ -132,7 +132,7 @@
 // ParseSettings maps the settings object to the module's words, for the gateway and the adapter alike. Keys it
 // does not know are ignored.
 func ParseSettings(text []byte) (Deployment, error) {
-	var b settingsObject
+	var b settingsJSON
 	if err := json.Unmarshal(text, &b); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
--- a/internal/handover/giver.go
+++ b/internal/handover/giver.go
@@ -97,7 +97,7 @@
 	g.mu.Lock()
 	l := g.successor
 	g.mu.Unlock()
-	if l != nil && l.send(frameUpdate, content) != nil {
+	if l != nil && l.writeFrame(frameUpdate, content) != nil {
 		l.Close()
 	}
 }
@@ -126,20 +126,20 @@
 		slog.Warn("handover", "step", "turned_away", "err", "another user's process")
 		return
 	}
-	var hi greeting
+	var hi hello
 	if content, err := l.expect(frameHello, replyTimeout); err != nil || decode(content, &hi) != nil || hi.Version != Version || hi.Name != g.name {
 		slog.Warn("handover", "step", "turned_away", "err", err, "version", hi.Version, "name", hi.Name)
 		return
 	}
 	if !g.admit() {
-		l.send(frameBusy, nil)
+		l.writeFrame(frameBusy, nil)
 		return
 	}
 	defer g.release()
 	what, files, err := g.process.Offer()
 	if err == nil {
 		content, _ := json.Marshal(what)
-		err = l.send(frameOffer, content, files...)
+		err = l.writeFrame(frameOffer, content, files...)
 		closeAll(files)
 	}
 	if err == nil {
@@ -149,7 +149,7 @@
 		slog.Warn("handover", "step", "offer", "err", err)
 		return
 	}
-	if err = l.sendState(g.process.Freeze()); err == nil {
+	if err = l.writeState(g.process.Freeze()); err == nil {
 		_, err = l.expect(frameDone, replyTimeout)
 	}
 	g.mu.Lock()
@@ -164,7 +164,7 @@
 		return
 	}
 	g.process.HandedOver()
-	l.send(frameServe, nil)
+	l.writeFrame(frameServe, nil)
 	slog.Info("handover", "step", "given")
 	l.expect(frameUpdate, 0) // nothing more comes: it ends with one of the two processes
 	g.mu.Lock()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -91,7 +91,7 @@
 // link is one side of a meeting.
 type conn struct{ *net.UnixConn }
 
-func (l conn) send(k frameKind, content []byte, files ...*os.File) error {
+func (l conn) writeFrame(k frameKind, content []byte, files ...*os.File) error {
 	if len(content) > maxFrameSize-1 {
 		return errors.New("frame too long")
 	}
@@ -120,7 +120,7 @@
 }
 
 // receive reads one frame, and the files that came with it. Within 0 it waits for as long as the other side lives.
-func (l conn) receive(within time.Duration) (k frameKind, content []byte, files []*os.File, err error) {
+func (l conn) readFrame(within time.Duration) (k frameKind, content []byte, files []*os.File, err error) {
 	defer func() {
 		if err != nil {
 			closeAll(files)
@@ -158,7 +158,7 @@
 
 // want reads one frame of a kind that brings no files.
 func (l conn) expect(want frameKind, within time.Duration) ([]byte, error) {
-	k, content, files, err := l.receive(within)
+	k, content, files, err := l.readFrame(within)
 	closeAll(files)
 	if err != nil {
 		return nil, err
@@ -212,28 +212,28 @@
 }
 
 // greeting is what a successor says first.
-type greeting struct {
+type hello struct {
 	Version int    `json:"version"`
 	Name    string `json:"name"`
 }
 
 // sendState sends the state in frames, and its sum.
-func (l conn) sendState(all []byte) error {
+func (l conn) writeState(all []byte) error {
 	sum := crc32.Checksum(all, crc32.MakeTable(crc32.Castagnoli))
 	for len(all) > 0 {
 		n := min(len(all), maxFrameSize/4)
-		if err := l.send(frameState, all[:n]); err != nil {
+		if err := l.writeFrame(frameState, all[:n]); err != nil {
 			return err
 		}
 		all = all[n:]
 	}
-	return l.send(frameStateEnd, binary.BigEndian.AppendUint32(nil, sum))
+	return l.writeFrame(frameStateEnd, binary.BigEndian.AppendUint32(nil, sum))
 }
 
 // receiveState gives the state, if it came whole.
-func (l conn) receiveState() (all []byte, err error) {
+func (l conn) readState() (all []byte, err error) {
 	for until := time.Now().Add(replyTimeout); ; {
-		k, content, files, err := l.receive(max(time.Until(until), time.Millisecond))
+		k, content, files, err := l.readFrame(max(time.Until(until), time.Millisecond))
 		closeAll(files)
 		switch {
 		case err != nil:
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -114,9 +114,9 @@
 	}{
 		{"after the offer", func(h *Successor) {}, ""},
 		{"before it is done", func(h *Successor) { h.ReceiveState() }, "freeze resume"},
-		{"in the middle of the state", func(h *Successor) { h.conn.send(frameTake, nil); h.conn.receive(time.Minute) }, "freeze resume"},
+		{"in the middle of the state", func(h *Successor) { h.conn.writeFrame(frameTake, nil); h.conn.readFrame(time.Minute) }, "freeze resume"},
 		{"when it serves", func(h *Successor) { h.ReceiveState(); h.Confirm(); os.Remove(path) }, "freeze given resume"},
-		{"saying something else", func(h *Successor) { h.conn.send(frameUpdate, []byte("x")); h.conn.receive(time.Minute) }, ""},
+		{"saying something else", func(h *Successor) { h.conn.writeFrame(frameUpdate, []byte("x")); h.conn.readFrame(time.Minute) }, ""},
 	} {
 		h, err := Connect(path, "n0", time.Minute)
 		require.NoError(t, err, c.name)
@@ -155,11 +155,11 @@
 
 	p := newProcess(t)
 	for name, script := range map[string]func(l conn){
-		"hung":            func(l conn) { l.receive(time.Minute); l.receive(time.Minute) },
+		"hung":            func(l conn) { l.readFrame(time.Minute); l.readFrame(time.Minute) },
 		"gone":            func(l conn) {},
-		"another kind":    func(l conn) { l.send(frameUpdate, nil) },
-		"no JSON":         func(l conn) { l.send(frameOffer, []byte("{")) },
-		"names, no files": func(l conn) { l.send(frameOffer, []byte(`{"files":["tcp x"]}`)) },
+		"another kind":    func(l conn) { l.writeFrame(frameUpdate, nil) },
+		"no JSON":         func(l conn) { l.writeFrame(frameOffer, []byte("{")) },
+		"names, no files": func(l conn) { l.writeFrame(frameOffer, []byte(`{"files":["tcp x"]}`)) },
 		"too long": func(l conn) {
 			l.Write(binary.BigEndian.AppendUint32(nil, maxFrameSize+1))
 			l.Write([]byte{byte(frameOffer)})
@@ -174,18 +174,21 @@
 		return func(l conn) {
 			what, files, _ := p.Offer()
 			content := []byte(`{"files":["` + what.Files[0] + `","` + what.Files[1] + `"]}`)
-			l.send(frameOffer, content, files...)
+			l.writeFrame(frameOffer, content, files...)
 			closeAll(files)
 			l.expect(frameTake, time.Minute)
 			then(l)
 		}
 	}
 	for name, script := range map[string]func(l conn){
-		"cut":       func(l conn) { l.send(frameState, []byte("half")) },
-		"wrong sum": func(l conn) { l.send(frameState, []byte("half")); l.send(frameStateEnd, []byte{1, 2, 3, 4}) },
-		"odd end":   func(l conn) { l.send(frameState, []byte("half")); l.send(frameStateEnd, nil) },
-		"odd frame": func(l conn) { l.send(frameState, []byte("half")); l.send(frameUpdate, nil) },
-		"late":      func(l conn) { l.send(frameState, []byte("half")); l.receive(time.Minute) },
+		"cut": func(l conn) { l.writeFrame(frameState, []byte("half")) },
+		"wrong sum": func(l conn) {
+			l.writeFrame(frameState, []byte("half"))
+			l.writeFrame(frameStateEnd, []byte{1, 2, 3, 4})
+		},
+		"odd end":   func(l conn) { l.writeFrame(frameState, []byte("half")); l.writeFrame(frameStateEnd, nil) },
+		"odd frame": func(l conn) { l.writeFrame(frameState, []byte("half")); l.writeFrame(frameUpdate, nil) },
+		"late":      func(l conn) { l.writeFrame(frameState, []byte("half")); l.readFrame(time.Minute) },
 	} {
 		h, err := Connect(meetScript(t, offers(script)), "n0", 0)
 		require.NoError(t, err, name)
@@ -246,7 +249,7 @@
 		go func() { syscall.Write(fds[1], data); syscall.Close(fds[1]) }()
 		l := conn{c.(*net.UnixConn)}
 		for {
-			_, content, files, err := l.receive(time.Minute)
+			_, content, files, err := l.readFrame(time.Minute)
 			if len(content) > maxFrameSize || len(files) > 0 {
 				t.Fatal(len(content), len(files))
 			}
--- a/internal/handover/heir.go
+++ b/internal/handover/heir.go
@@ -57,11 +57,11 @@
 	if !sameUser(h.conn.UnixConn) {
 		return errors.New("another user's process")
 	}
-	content, _ := json.Marshal(greeting{Version, name})
-	if err := h.conn.send(frameHello, content); err != nil {
+	content, _ := json.Marshal(hello{Version, name})
+	if err := h.conn.writeFrame(frameHello, content); err != nil {
 		return err
 	}
-	k, content, files, err := h.conn.receive(replyTimeout)
+	k, content, files, err := h.conn.readFrame(replyTimeout)
 	if err == nil && k == frameBusy {
 		err = ErrBusy
 	} else if err == nil && k != frameOffer {
@@ -133,15 +133,15 @@
 // Take makes the predecessor stop, and gives its state. Where that didn't come whole there is none, and the sockets are
 // this process's all the same.
 func (h *Successor) ReceiveState() ([]byte, error) {
-	if err := h.conn.send(frameTake, nil); err != nil {
+	if err := h.conn.writeFrame(frameTake, nil); err != nil {
 		return nil, err
 	}
-	return h.conn.receiveState()
+	return h.conn.readState()
 }
 
 // Done tells the predecessor that this process serves from now on.
 func (h *Successor) Confirm() error {
-	if err := h.conn.send(frameDone, nil); err != nil {
+	if err := h.conn.writeFrame(frameDone, nil); err != nil {
 		return err
 	}
 	_, err := h.conn.expect(frameServe, replyTimeout)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,7 +25,7 @@
 	HealthChecked   = 80
 	PeerMessage     = 90
 	GatewayStopped  = 100
-	Checksum        = 110
+	Summary         = 110
 	ListDefined     = 120
 )
 
@@ -201,7 +201,7 @@
 		e.From = int(c.u16())
 		e.Message = c.take(int(c.u16()))
 	case GatewayStopped:
-	case Checksum:
+	case Summary:
 		c.take(8)
 		c.take(8)
 		c.take(5)
