--- a/internal/front/control/server_test.go
+++ b/internal/front/control/server_test.go
@@ -59,7 +59,7 @@
 		before func()
 		text   string
 		code   int
-		says   string
+		answer string
 		phase  service.Phase
 	}{
 		{nil, ready, 503, "starting", service.Starting},
@@ -75,9 +75,9 @@
 		if step.before != nil {
 			step.before()
 		}
-		code, says := call(t, s, step.text)
+		code, answer := call(t, s, step.text)
 		assert.Equal(t, step.code, code, step.text)
-		assert.Equal(t, step.says, says, step.text)
+		assert.Equal(t, step.answer, answer, step.text)
 		assert.Equal(t, step.phase, state.Phase(), step.text)
 	}
 	assert.Equal(t, Stats{Ready: 4, Drain: 2, Undrain: 3}, s.Stats())
--- a/internal/front/introspect/tools.go
+++ b/internal/front/introspect/tools.go
@@ -61,7 +61,7 @@
 		rejected := core.Answer{Kind: core.Refused, Attempted: true, RetryAfter: retryAfter}
 		platform.WriteAnswer(w, r, roundUpRetryAfter(rejected))
 		return
-	case !*info.Active: // RFC 7662, section 2.2: no more is told of an inactive token
+	case !*info.Active: // RFC 7662, section 2.2: nothing else is disclosed of an inactive token
 		text = []byte(`{"active":false}`)
 	}
 	platform.WriteAnswer(w, r, core.Answer{Kind: core.Served, ContentType: "application/json", Body: text})
--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -41,7 +41,7 @@
 	reserved   int64 // bytes of the budget
 
 	mu        sync.Mutex // guards what follows
-	paceStart time.Time  // from which the rate is measured; moved on by the time in which nobody read
+	paceStart time.Time  // from which the rate is measured; moved on by the pauses between reads
 	received  int64      // bytes so far
 	lastRead  time.Time  // end of the last read
 	complete  bool       // read to its end
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -35,7 +35,7 @@
 	transitTime = 6 * time.Millisecond
 )
 
-// RequestError says why a request is not accepted, as it is told to the client.
+// RequestError says why a request is not accepted, as the client is told.
 type RequestError struct {
 	Code       int
 	Text       string
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -108,7 +108,7 @@
 	assert.True(t, long.readResponse(t).Close)
 	late := dial(t, s)
 	late.send(t)
-	assert.True(t, late.readResponse(t).Close, "one that still comes is served")
+	assert.True(t, late.readResponse(t).Close, "new connections are served")
 	s.state.Undrain()
 	again := dial(t, s)
 	for range 2 {
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -1,11 +1,7 @@
 package pool
 
 import (
-	"bufio"
-	"context"
-	"crypto/tls"
 	"io"
-	"net"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/core"
@@ -58,7 +54,7 @@
 			return c, core.EndNone
 		}
 		if p.injected.reuseUnread || !c.hasUnread() {
-			p.count(func(s *Stats) { s.Reused++ })
+			p.count(func(stats *Stats) { stats.Reused++ })
 			return c, core.EndNone
 		}
 		p.discard(c)
@@ -96,24 +92,7 @@
 				p.open++
 			}
 			p.mu.Unlock()
-			if !underLimit && !p.evictIdle() {
-				p.count(func(c *Stats) { c.LimitReached++ })
-				return nil, core.EndNoDescriptor
-			}
-			c, end := p.connect(a, addr)
-			p.count(func(stats *Stats) {
-				if c == nil {
-					stats.ConnectFailed++
-					return
-				}
-				if stats.Opened++; staleSeen {
-					stats.OpenedAfterStale++
-				}
-				if !underLimit {
-					stats.OpenedByEviction++
-				}
-			})
-			return c, end
+			return p.dialNew(a, addr, underLimit, staleSeen)
 		}
 		c := s.idle[last]
 		s.idle = s.idle[:last]
@@ -125,6 +104,29 @@
 	}
 }
 
+// dialNew dials a new connection. underLimit says that it is counted as open already; otherwise an idle one is
+// closed for it.
+func (p *Pool) dialNew(a attempt, addr string, underLimit, staleSeen bool) (*conn, core.End) {
+	if !underLimit && !p.evictIdle() {
+		p.count(func(stats *Stats) { stats.LimitReached++ })
+		return nil, core.EndNoDescriptor
+	}
+	c, end := p.connect(a, addr)
+	p.count(func(stats *Stats) {
+		if c == nil {
+			stats.ConnectFailed++
+			return
+		}
+		if stats.Opened++; staleSeen {
+			stats.OpenedAfterStale++
+		}
+		if !underLimit {
+			stats.OpenedByEviction++
+		}
+	})
+	return c, end
+}
+
 // evictIdle closes the connection that is idle for the longest, over all servers, so that another may be opened in
 // its place. It reports whether there was one.
 func (p *Pool) evictIdle() bool {
@@ -144,42 +146,3 @@
 	oldest.Close() // the new one is counted in its place
 	return true
 }
-
-// connect dials a server, with TLS if configured. The caller has counted the connection as open; connect takes that
-// back if it fails.
-func (p *Pool) connect(a attempt, addr string) (*conn, core.End) {
-	raw, err := p.dialTransport(a, addr)
-	if err != nil {
-		p.noteClosed()
-		return nil, core.EndNoConnect
-	}
-	c := &conn{Conn: raw, addr: addr, peeker: newPeeker(raw)}
-	if p.options.TLS != nil {
-		host, _, _ := net.SplitHostPort(addr)
-		config := p.options.TLS.Clone()
-		if config.ServerName == "" {
-			config.ServerName = host
-		}
-		tlsConn := tls.Client(raw, config)
-		raw.SetDeadline(earliest(a.By(), time.Now().Add(time.Duration(p.connectTimeout.Load()))))
-		if tlsConn.Handshake() != nil {
-			p.discard(c)
-			return nil, core.EndNoConnect
-		}
-		c.Conn = tlsConn
-	}
-	c.reader = bufio.NewReaderSize(c, readBufferSize)
-	return c, core.EndNone
-}
-
-// dialTransport opens a connection within the connect timeout and the deadline of the attempt.
-func (p *Pool) dialTransport(a attempt, addr string) (net.Conn, error) {
-	timeout := time.Duration(p.connectTimeout.Load())
-	if p.options.Dial == nil {
-		dialer := net.Dialer{Timeout: timeout, Deadline: a.By(), KeepAlive: -1}
-		return dialer.Dial("tcp", addr)
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), earliest(a.By(), time.Now().Add(timeout)))
-	defer cancel()
-	return p.options.Dial(ctx, addr)
-}
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -10,7 +10,7 @@
 //   - There is no goroutine per connection. A connection belongs to one request at a time, and an idle one to the
 //     pool. A response is read by the goroutine that asked for it, and at its pace.
 //
-// # Two interfaces
+// # Interfaces
 //
 // [Pool.Carry] performs an attempt of the older daemon's decision module (core.Flow with a [Message]): it writes
 // the request whole, reads the response's head, and buffers the body or the beginning of it.
@@ -46,6 +46,6 @@
 //
 // [Options.MaxConnections] bounds the open connections, dials included, as each takes a file descriptor. At the
 // bound the connection that is idle for the longest is closed for a new one; if none is idle, the attempt fails at
-// once with core.EndNoSocket. What responses may hold in memory is bounded by [Options.ResponseMemory], and each
+// once with core.EndNoDescriptor. What responses may hold in memory is bounded by [Options.ResponseMemory], and each
 // head and body has a maximum size, since a server may claim or send any amount.
 package pool
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -49,7 +49,7 @@
 	// for unread input.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// LoadFields has the index of each field of a load report in core.Answer's Report. nil: reports are ignored.
+	// LoadFields has the index of each field of a load report in core.Answer's LoadReport. nil: reports are ignored.
 	LoadFields map[string]int
 }
 
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -24,8 +24,9 @@
 	p := New(Options{MaxConnections: 9, StaleWindow: time.Minute, IdleTimeout: time.Minute, ConnectTimeout: time.Minute})
 	t.Cleanup(p.Close)
 	c, err := core.New(policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 3,
-		Classes: []policy.Class{{LatencyTarget: time.Second, Deadline: time.Minute, Value: 1, Idempotency: policy.IdempotentByKey, DedupWindow: window}},
-		Plans:   []policy.Plan{{ValueMultiplier: 1}}}, 1, core.NewClock(), p, nil)
+		Classes: []policy.Class{{LatencyTarget: time.Second, Deadline: time.Minute, Value: 1,
+			Idempotency: policy.IdempotentByKey, DedupWindow: window}},
+		Plans: []policy.Plan{{ValueMultiplier: 1}}}, 1, core.NewClock(), p, nil)
 	require.NoError(t, err)
 	p.Set(1, m.Addr, policy.Ready)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -86,7 +86,7 @@
 }
 
 // responseBody is the body of a response: its beginning in buffered, and Read for the rest. Once readResponse has
-// returned it as an answer's Rest it owns its connection, until Close.
+// returned it as an answer's Remainder it owns its connection, until Close.
 type responseBody struct {
 	conn     *conn // nil: closed
 	pool     *Pool
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -12,7 +12,7 @@
 
 // Carry sends the request of a flow to its server, and returns the response or the reason why there is none. It
 // implements core.Carrier. A response whose body is longer than what was buffered keeps its connection until its
-// Rest is closed.
+// Remainder is closed.
 func (p *Pool) Carry(flow *core.Flow) (core.End, core.Answer) {
 	c, end := p.acquire(flow)
 	if c == nil {
@@ -42,8 +42,9 @@
 }
 
 // roundTrip writes a request whole and reads the response. reuse reports whether the connection may be used again,
-// if the response has no Rest. The server can't have executed the request before its last byte was written; from
-// then on it may have, and the end says so.
+// if the response has no Remainder. Servers of the daemon's protocol execute a request only once they have its last
+// byte. So until that was written the end says that the request was not executed, and from then on that it may have
+// been.
 func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, answer core.Answer, reuse bool) {
 	msg := flow.Message.(*Message)
 	reused := c.used
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -129,7 +129,8 @@
 				require.Equal(t, core.Served, a.Kind, "%s of %d", name, size)
 				assert.LessOrEqual(t, cap(a.Body), MaxBufferedBody, name)
 				known := !strings.Contains(name, "chunks") && name != "end"
-				assert.Equal(t, size > MaxBufferedBody || !known && size >= StreamBufferSize, a.Remainder != nil, "%s of %d", name, size)
+				streamed := size > MaxBufferedBody || !known && size >= StreamBufferSize
+				assert.Equal(t, streamed, a.Remainder != nil, "%s of %d", name, size)
 				got, err := readAll(a)
 				assert.NoError(t, err, name)
 				assert.True(t, body == got, "%s of %d", name, size)
@@ -535,18 +536,18 @@
 // A connection that breaks at any byte of a streamed body, the last chunk included, never looks like a complete
 // request, whatever the server has sent before.
 func TestResetAtEveryStreamedByte(t *testing.T) {
-	const whole = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
+	const encoded = "5\r\nabcde\r\n2\r\nfg\r\n0\r\n\r\n"
 	p := New(Options{MaxConnections: 9})
 	t.Cleanup(p.Close)
-	for _, says := range []string{"", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\nHTTP/1.1 102 x\r\n\r\n"} {
-		for takes := range len(whole) + 1 {
-			c := &conn{Conn: &limitedConn{input: strings.NewReader(says), writable: takes}, readLimit: maxHeadSize}
+	for _, input := range []string{"", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 x\r\n\r\nHTTP/1.1 102 x\r\n\r\n"} {
+		for writable := range len(encoded) + 1 {
+			c := &conn{Conn: &limitedConn{input: strings.NewReader(input), writable: writable}, readLimit: maxHeadSize}
 			c.reader = bufio.NewReader(c)
 			c.reader.Peek(1) // the input is in the buffer already
 			rest := &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}
 			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: rest, ContentLength: -1})
-			if assert.Equal(t, takes == len(whole), ok, "%q, %d", says, takes) && !ok {
-				assert.Equal(t, core.EndWriteFailed, end, "%q, %d", says, takes)
+			if assert.Equal(t, writable == len(encoded), ok, "%q, %d", input, writable) && !ok {
+				assert.Equal(t, core.EndWriteFailed, end, "%q, %d", input, writable)
 			}
 		}
 	}
