--- a/policy/messages.go
+++ b/policy/messages.go
@@ -8,46 +8,57 @@
 	"time"
 )
 
-// The form of what gateways tell each other. Nothing here chooses.
+// The format of messages between gateways. This file decides nothing.
 
-// A peer message: version, the sender's age in ms, what its numbers of groups and of plans mean, then sections of
-// entries, each with its count ahead. An entry is a name and some masses, each a byte on a logarithmic scale.
+// An update has a header (the version, the sender's age in ms, and a byte for each section that tells what its numbers
+// mean) and then the sections, each a count and its entries. An entry has a key and some push-sum masses, each a byte
+// on a logarithmic scale; a customer's has its usage as well. Numbers are big-endian.
 const (
-	messageBytes  = 256
+	messageBytes  = 256 // the longest update
 	headerBytes   = 7
 	wireVersion   = 7
-	olderPeerFlag = 0x80 // on the version: the sender's fleet is older than itself
-	usedSteps     = 16   // steps of a count of units drawn
+	olderPeerFlag = 0x80 // on the version: update.olderPeer
+	usedSteps     = 16   // steps of a count of units: sixteenths
 	massSteps     = 8    // steps of a mass byte in a doubling
 )
 
+// The sections of an update, in their order.
 const (
 	groupSection = iota
 	customerSection
 	sectionCount
 )
 
-// How many bytes name an entry of a section, and how many masses follow.
+// The layout of the entries of each section: bytes of the key, number of masses, and bytes of the usage: generation
+// (1), units used (2), balance (1), limitWord (1), inFlight (1).
 var (
 	keyBytes   = [sectionCount]int{1, 6}
 	massCount  = [sectionCount]int{2, 2}
-	usageBytes = [sectionCount]int{0, 6} // when the record was made, units drawn, the store, the ledger's word, attempts out
+	usageBytes = [sectionCount]int{0, 6}
 )
 
+// limitWord and inFlight are left out where both are 0. Where they follow, tailFlag is set on the generation.
+const tailBytes, tailFlag = 2, 0x80
+
+// update is what a gateway tells a peer now and then.
+type update struct {
+	age       time.Duration // of the sender, in ms on the wire
+	olderPeer bool          // the sender knows a gateway that is much older than itself
+	entries   [sectionCount][]entry
+}
+
+// entry is what an update says of a group or a customer. A group's has only its index as the key, and masses.
 type entry struct {
 	key        uint64
 	mass       [2]float64
-	generation byte    // changes where a record is made anew, and its count of units starts anew
-	used       float64 // units drawn, as a count that wraps round
-	balance    float64 // what the sender takes to be left or owed, as a share of the burst
-	limitWord  byte    // the ledger's, of parts of the ceiling
-	inFlight   byte    // attempts out and requests that wait to be sent
+	generation byte    // of the sender's record; its count of units starts anew with it
+	used       float64 // units drawn, as a count that wraps around
+	balance    float64 // by the sender's copy of the bucket, as a share of the burst
+	limitWord  byte    // what the sender's part of the hard limit lacks and grants: ledger.Part.Word
+	inFlight   byte    // attempts and queued requests
 }
 
-// tailBytes follow the use where the ledger has a word to say or attempts are out, which the top bit of made tells.
-const tailBytes, tailFlag = 2, 0x80
-
-// bytes gives how long a customer's entry is.
+// encodedSize gives the bytes of a customer's entry.
 func (e entry) encodedSize() int {
 	if e.limitWord == 0 && e.inFlight == 0 {
 		return maxEntrySize(customerSection) - tailBytes
@@ -55,7 +66,7 @@
 	return maxEntrySize(customerSection)
 }
 
-// entryBytes gives how long an entry is at most.
+// maxEntrySize gives the most bytes that an entry has.
 func maxEntrySize(section int) int {
 	return keyBytes[section] + massCount[section] + usageBytes[section]
 }
@@ -65,122 +76,139 @@
 	return float64(uint16(int64(to*usedSteps))-uint16(int64(from*usedSteps))) / usedSteps
 }
 
-// meaning says in a byte for each section what its numbers stand for. While the gateways take new settings in one after
-// another, what a peer says of groups or plans of other names is left out.
+// schemaHash has a byte for each section: a hash of the names that the section's keys stand for. While the gateways
+// take new settings over one after another, what a peer says of plans or classes with other names is dropped.
 type schemaHash [sectionCount]byte
 
-func (s Settings) schema() (m schemaHash) {
+func (s Settings) schema() (hash schemaHash) {
 	h := fnv.New32a()
 	for _, p := range s.Plans {
 		fmt.Fprintf(h, "%q", p.Name)
 	}
-	m[customerSection] = byte(h.Sum32() ^ h.Sum32()>>16)
+	hash[customerSection] = byte(h.Sum32() ^ h.Sum32()>>16)
 	for _, c := range s.Classes {
 		fmt.Fprintf(h, "%q", c.Name)
 	}
-	m[groupSection] = byte(h.Sum32() ^ h.Sum32()>>16)
-	return m
+	hash[groupSection] = byte(h.Sum32() ^ h.Sum32()>>16)
+	return hash
 }
 
-func packMessage(age time.Duration, elders bool, means schemaHash, list [sectionCount][]entry) []byte {
+func packUpdate(u update, schema schemaHash) []byte {
 	m := make([]byte, headerBytes, messageBytes)
-	if m[0] = wireVersion; elders {
+	if m[0] = wireVersion; u.olderPeer {
 		m[0] |= olderPeerFlag
 	}
-	binary.BigEndian.PutUint32(m[1:], uint32(min(age/time.Millisecond, math.MaxUint32)))
-	copy(m[5:], means[:])
-	for k := range list {
-		m = append(m, byte(len(list[k])))
-		for _, e := range list[k] {
-			for i := keyBytes[k] - 1; i >= 0; i-- {
-				m = append(m, byte(e.key>>(8*i)))
-			}
-			for i := 0; i < massCount[k]; i++ {
-				step := math.Round(massSteps*math.Log2(math.Max(e.mass[i], 1e-9))) + 128
-				m = append(m, byte(math.Max(0, math.Min(255, step))))
-			}
-			if usageBytes[k] > 0 {
-				tail := []byte{e.limitWord, e.inFlight}
-				if e.generation &^= tailFlag; e.encodedSize() == maxEntrySize(k) {
-					e.generation |= tailFlag
-				} else {
-					tail = nil
-				}
-				m = binary.BigEndian.AppendUint16(append(m, e.generation), uint16(int64(e.used*usedSteps)))
-				m = append(append(m, byte(int8(math.Round(127*math.Max(-1, math.Min(1, e.balance)))))), tail...)
-			}
+	binary.BigEndian.PutUint32(m[1:], uint32(min(u.age/time.Millisecond, math.MaxUint32)))
+	copy(m[5:], schema[:])
+	for section, list := range u.entries {
+		m = append(m, byte(len(list)))
+		for _, e := range list {
+			m = appendEntry(m, section, e)
 		}
 	}
 	return m
 }
 
-func unpackMessage(m []byte, means schemaHash) (age time.Duration, elders bool, list [sectionCount][]entry, ok bool) {
+func appendEntry(m []byte, section int, e entry) []byte {
+	for i := keyBytes[section] - 1; i >= 0; i-- {
+		m = append(m, byte(e.key>>(8*i)))
+	}
+	for i := 0; i < massCount[section]; i++ {
+		step := math.Round(massSteps*math.Log2(math.Max(e.mass[i], 1e-9))) + 128
+		m = append(m, byte(math.Max(0, math.Min(255, step))))
+	}
+	if usageBytes[section] == 0 {
+		return m
+	}
+	withTail := e.encodedSize() == maxEntrySize(section)
+	if e.generation &^= tailFlag; withTail {
+		e.generation |= tailFlag
+	}
+	m = binary.BigEndian.AppendUint16(append(m, e.generation), uint16(int64(e.used*usedSteps)))
+	m = append(m, byte(int8(math.Round(127*math.Max(-1, math.Min(1, e.balance))))))
+	if withTail {
+		m = append(m, e.limitWord, e.inFlight)
+	}
+	return m
+}
+
+// unpackUpdate reads an update; ok tells whether it was one. Sections with another schema are dropped.
+func unpackUpdate(m []byte, schema schemaHash) (u update, ok bool) {
 	if len(m) < headerBytes || len(m) > messageBytes || m[0]&^olderPeerFlag != wireVersion {
-		return 0, false, list, false
+		return update{}, false
 	}
-	elders = m[0]&olderPeerFlag != 0
-	age = time.Duration(binary.BigEndian.Uint32(m[1:])) * time.Millisecond
+	u.olderPeer = m[0]&olderPeerFlag != 0
+	u.age = time.Duration(binary.BigEndian.Uint32(m[1:])) * time.Millisecond
 	theirs := schemaHash(m[5:headerBytes])
 	m = m[headerBytes:]
-	for k := range list {
+	for section := range u.entries {
 		if len(m) < 1 {
-			return 0, false, list, false
+			return update{}, false
 		}
 		n := int(m[0])
 		m = m[1:]
 		for ; n > 0; n-- {
-			var e entry
-			size, at := maxEntrySize(k), keyBytes[k]+massCount[k]
-			if usageBytes[k] > 0 && len(m) > at && m[at]&tailFlag == 0 {
-				size -= tailBytes
-			}
-			if len(m) < size {
-				return 0, false, list, false
-			}
-			for i := 0; i < keyBytes[k]; i++ {
-				e.key = e.key<<8 | uint64(m[i])
-			}
-			for i := 0; i < massCount[k]; i++ {
-				if b := m[keyBytes[k]+i]; b > 0 {
-					e.mass[i] = math.Exp2((float64(b) - 128) / massSteps)
-				}
-			}
-			if usageBytes[k] > 0 {
-				e.generation, e.balance = m[at]&^tailFlag, float64(int8(m[at+3]))/127
-				e.used = float64(binary.BigEndian.Uint16(m[at+1:])) / usedSteps
-				if size == maxEntrySize(k) {
-					e.limitWord, e.inFlight = m[at+4], m[at+5]
-				}
+			e, size := readEntry(m, section)
+			if size == 0 {
+				return update{}, false
 			}
 			m = m[size:]
-			list[k] = append(list[k], e)
+			u.entries[section] = append(u.entries[section], e)
 		}
-		if theirs[k] != means[k] {
-			list[k] = nil
+		if theirs[section] != schema[section] {
+			u.entries[section] = nil
 		}
 	}
-	return age, elders, list, len(m) == 0
+	return u, len(m) == 0
 }
 
-// A question about one request: kind, token, units and the customer's name. The answer: kind, token, yes or no.
-// What an answer tells in place of the guess: kind, the units more in sixteenths, signed, and the customer's name.
+// readEntry reads an entry and gives its size, 0 where the message is too short.
+func readEntry(m []byte, section int) (e entry, size int) {
+	size, usage := maxEntrySize(section), keyBytes[section]+massCount[section]
+	if usageBytes[section] > 0 && len(m) > usage && m[usage]&tailFlag == 0 {
+		size -= tailBytes
+	}
+	if len(m) < size {
+		return entry{}, 0
+	}
+	for i := 0; i < keyBytes[section]; i++ {
+		e.key = e.key<<8 | uint64(m[i])
+	}
+	for i := 0; i < massCount[section]; i++ {
+		if b := m[keyBytes[section]+i]; b > 0 {
+			e.mass[i] = math.Exp2((float64(b) - 128) / massSteps)
+		}
+	}
+	if usageBytes[section] > 0 {
+		e.generation, e.balance = m[usage]&^tailFlag, float64(int8(m[usage+3]))/127
+		e.used = float64(binary.BigEndian.Uint16(m[usage+1:])) / usedSteps
+		if size == maxEntrySize(section) {
+			e.limitWord, e.inFlight = m[usage+4], m[usage+5]
+		}
+	}
+	return e, size
+}
+
+// The messages between a gateway and a customer's owner. A query: kind, token, units in sixteenths, customer key. An
+// answer: kind, token, 1 for admitted or 0. A reconciliation of estimated units with those of the answer: kind, the
+// units more in sixteenths, signed, and the customer key.
 const (
 	queryKind, answerKind, reconcileKind    = 0x41, 0x42, 0x43
 	queryBytes, answerBytes, reconcileBytes = 13, 6, 9
 )
 
-// question is what a customer's home is asked about one request.
+// ownerQuery asks a customer's owner whether a request is within the quota.
 type ownerQuery struct {
-	from        int // of whom it came, not in the message
+	from        int // the gateway that asks; not in the message
 	token       uint32
-	customerKey uint64 // the name in messages
+	customerKey uint64
 	units       float64
 }
 
 func packQuery(q ownerQuery) []byte {
 	m := binary.BigEndian.AppendUint32([]byte{queryKind}, q.token)
 	m = binary.BigEndian.AppendUint16(m, uint16(math.Min(math.Ceil(q.units*usedSteps), math.MaxUint16)))
-	return append(m, binary.BigEndian.AppendUint64(nil, q.customerKey)[2:]...)
+	return appendKey(m, q.customerKey)
 }
 
 func unpackQuery(m []byte, from int) (q ownerQuery, ok bool) {
@@ -188,54 +216,57 @@
 		return ownerQuery{}, false
 	}
 	q.from, q.token, q.units = from, binary.BigEndian.Uint32(m[1:]), float64(binary.BigEndian.Uint16(m[5:]))/usedSteps
-	q.customerKey = binary.BigEndian.Uint64(append([]byte{0, 0}, m[7:]...))
+	q.customerKey = readKey(m[7:])
 	return q, true
 }
 
-// atHome names the record that a customer's home keeps of it: all of its set's use comes in there.
-func ownerKey(name uint64, home int) uint64 { return name>>24<<24 | uint64(home&4095)<<12 | 1 }
-
-func packAnswer(token uint32, yes bool) []byte {
+func packAnswer(token uint32, admitted bool) []byte {
 	m := append(binary.BigEndian.AppendUint32([]byte{answerKind}, token), 0)
-	if yes {
+	if admitted {
 		m[answerBytes-1] = 1
 	}
 	return m
 }
 
-func unpackAnswer(m []byte) (token uint32, yes, ok bool) {
+func unpackAnswer(m []byte) (token uint32, admitted, ok bool) {
 	if len(m) != answerBytes || m[0] != answerKind || m[answerBytes-1] > 1 {
 		return 0, false, false
 	}
 	return binary.BigEndian.Uint32(m[1:]), m[answerBytes-1] == 1, true
 }
 
-func packReconcile(name uint64, more float64) []byte {
+func packReconcile(key uint64, more float64) []byte {
 	steps := int16(math.Max(math.MinInt16, math.Min(math.MaxInt16, math.Round(more*usedSteps))))
-	return append(binary.BigEndian.AppendUint16([]byte{reconcileKind}, uint16(steps)), binary.BigEndian.AppendUint64(nil, name)[2:]...)
+	return appendKey(binary.BigEndian.AppendUint16([]byte{reconcileKind}, uint16(steps)), key)
 }
 
-func unpackReconcile(m []byte) (name uint64, more float64, ok bool) {
+func unpackReconcile(m []byte) (key uint64, more float64, ok bool) {
 	if len(m) != reconcileBytes || m[0] != reconcileKind {
 		return 0, 0, false
 	}
-	return binary.BigEndian.Uint64(append([]byte{0, 0}, m[3:]...)), float64(int16(binary.BigEndian.Uint16(m[1:]))) / usedSteps, true
+	return readKey(m[3:]), float64(int16(binary.BigEndian.Uint16(m[1:]))) / usedSteps, true
 }
 
-// unpack is unpackMessage that counts what makes no sense.
-func (g *Gateway) unpack(m []byte) (age time.Duration, elders bool, list [sectionCount][]entry, ok bool) {
-	if age, elders, list, ok = unpackMessage(m, g.schema); !ok {
-		g.invalidMessages++
-	}
-	return age, elders, list, ok
+// appendKey appends the six bytes of a customer key.
+func appendKey(m []byte, key uint64) []byte {
+	return append(m, binary.BigEndian.AppendUint64(nil, key)[2:]...)
 }
 
-// tellName names a customer in messages: 16 bits of its name, its plan and its set, so that a gateway that has not
-// met it can pass on what it hears. Where two share one, they are held to their sum.
-func customerKey(id CustomerID, plan, first, set int) uint64 {
-	return uint64(id)*0x9e3779b97f4a7c15>>48<<32 | uint64(plan&255)<<24 | uint64(first&4095)<<12 | uint64(set&4095)
+// readKey reads the six bytes of a customer key.
+func readKey(m []byte) uint64 { return binary.BigEndian.Uint64(append([]byte{0, 0}, m...)) }
+
+// customerKey names a customer in messages: 16 bits of a hash of its ID, 8 of its plan, and 12 each of the first
+// gateway and the size of its set. So a gateway that has not met the customer can pass on what it hears. Where two
+// customers share a key, their usage is added up.
+func customerKey(id CustomerID, plan, firstGateway, setSize int) uint64 {
+	const hash = 0x9e3779b97f4a7c15 // multiplicative hashing by the golden ratio; Knuth
+	return uint64(id)*hash>>48<<32 | uint64(plan&255)<<24 | uint64(firstGateway&4095)<<12 | uint64(setSize&4095)
 }
 
-func splitCustomerKey(name uint64) (plan, first, set int) {
-	return int(name >> 24 & 255), int(name >> 12 & 4095), int(name & 4095)
+func splitCustomerKey(key uint64) (plan, firstGateway, setSize int) {
+	return int(key >> 24 & 255), int(key >> 12 & 4095), int(key & 4095)
 }
+
+// ownerKey is the key of the record that a customer's owner keeps of it: as if the owner alone served the customer, as
+// all usage is counted there.
+func ownerKey(key uint64, owner int) uint64 { return key>>24<<24 | uint64(owner&4095)<<12 | 1 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,6 +1,7 @@
 package policy
 
-// This file owns every decision, in reading order: intake, quota, overload, servers, health, cold start, attempts, peers.
+// Every decision, in reading order: admission, quota, overload, servers, health, slow start, attempts, timers, updates
+// between peers.
 
 import (
 	"cmp"
@@ -13,90 +14,116 @@
 	"sprucelane.example/sprucelane/internal/ruda"
 )
 
-// The constants. None is read off a deployment; most are shares of a setting.
+// The constants of overload control. Here and below, "target" is the shortest latency target of all classes unless a
+// class is named; none of the constants depends on a deployment.
 const (
-	overloadChecksPerTarget = 2                      // overload is judged twice in the shortest aim
-	recentWindow            = time.Second            // attempts that count as recent
-	groupMemory             = 4 * recentWindow       // how long the counts behind f are remembered
-	lateShare               = 0.1                    // the 90th percentile passes the aim when a tenth is late
-	lateByChance            = 1.0                    // late attempt that is taken for chance, however few the others
-	overtakenLimit          = 3                      // one that so many sent later to its server pass is lost, or long
-	slowTargetShare         = 0.65                   // room is held where a tenth of the answers take this share of their aim
-	initialCapacity         = 4.0                    // first room: attempts at a server, over all gateways
-	initialCapacityGrowth   = 3.0                    // times as fast it grows until the first slow answer
-	minCapacity             = 2.0                    // and the least it shrinks to
-	minInitialInFlight      = 2.0                    // attempts out here that the first rooms allow, however many gateways
-	minCapacityShare        = 0.6                    // share of the room that the group with the top f may fill
-	latencyMemory           = 4                      // in shortest aims: how long a server's pace is remembered
-	overdueFactor           = 2.0                    // typical latencies until an open attempt tells of its server's pace
-	costNoise               = 0.1                    // servers whose cost differs by less are alike
-	latencyPriorWeight      = 2.0                    // attempts' worth of trust that a server is like the others
-	baseWork                = 1.0                    // work taken to be at a server beside our own, in attempts
-	failuresToEject         = 2.0                    // failures in memory
-	shareToEject            = 0.25                   // and their share
-	consecutiveToEject      = 3                      // or so many in a row, whatever was served before: a process died
-	rejectionMemory         = 20                     // in shortest aims: how long a group that was turned away goes elsewhere
-	maxEjectionDoublings    = 4                      // longest ejection: aim x 2 to this
-	throughputDecay         = 0.997                  // each beat, of what a warm server was seen to do
-	workMemory              = 2 * recentWindow       // how long work that was done counts for a server's width
-	retriesPerRequest       = 0.2                    // further attempts for each request
-	lostAfterFactor         = 5.0                    // times what it should take: by chance once in a hundred and fifty
-	hedgesPerRequest        = 0.05                   // second copies for each request: more cost a busy fleet what they win
-	retryAfterDivisor       = 8                      // of the aim: refused clients are told to ask again so soon
-	maxRetryBudget          = 10.0                   // further attempts that may be saved up
-	queueChecksPerTarget    = 32                     // a held request is tried so often in the shortest aim
-	fullUpdateInterval      = time.Second / 4        // peers are told this often at most, where each has many
-	updateInterval          = time.Second / 30       // and near ones of draws
-	peerAliveFor            = 4 * fullUpdateInterval // a peer that was told so may be taken to know, and to be known
-	nearbyDistance          = 3                      // places to either side where gateways share stores
-	maxOwnerQueries         = 2                      // times that a home is asked, and gateways that may stand in as one
-	queriesPerTarget        = 6                      // of the shortest aim: how long an answer is waited for
-	staleUpdates            = 10                     // unheard for so many times tellEvery, peers are taken to be silent
-	peerRateShare           = 0.7                    // of a peer's intake that all others together may use
-	minPushSumWeight        = 0.05                   // a sum over the gateways is not drawn up from a smaller part than this
-	maxCustomers            = 20000                  // remembered at once
-	idleAfter               = time.Minute            // a customer is forgotten
-	balanceConvergence      = 0.03                   // of the way, with each message, what two see of a store draws together
+	overloadChecksPerTarget = 2                // overload is judged this often within the target
+	recentWindow            = time.Second      // time constant of what counts as recent
+	groupMemory             = 4 * recentWindow // time constant of the groups' requests and latencies
+	lateShare               = 0.1              // the 90th percentile misses the target when this share is late
+	lateByChance            = 1.0              // late attempts that are no overload, however few there are in all
+	minCapacityShare        = 0.6              // share of the capacity that the group with the highest score may use
 )
 
+// The constants of servers' capacities, in attempts. Those that don't say otherwise are over all gateways.
+const (
+	slowTargetShare       = 0.65 // of its class's target: an attempt that takes longer shrinks the capacity
+	initialCapacity       = 4.0  // of a server
+	initialCapacityGrowth = 3.0  // times as fast a capacity grows until the first slow attempt
+	minCapacity           = 2.0  // of a server
+	minInitialInFlight    = 2.0  // of one gateway, over all servers: the initial capacities allow at least so many
+)
+
+// The constants of latencies and of the choice of a server.
+const (
+	latencyMemory      = 4                // in targets: time constant of a server's relative latency
+	overdueFactor      = 2.0              // of its typical latency: an attempt in flight for longer counts as slow
+	similarity         = 0.1              // costs and latencies that differ by less are taken to be equal
+	latencyPriorWeight = 2.0              // in attempts: the weight of the prior that a server is like the others
+	baseWork           = 1.0              // attempts of others that a server is assumed to have beside those known
+	overtakenLimit     = 3                // an attempt is lost, or far longer than others, when so many overtook it
+	lostAfterFactor    = 5.0              // of its expected latency: exceeded by chance by one attempt in 150
+	throughputDecay    = 0.997            // of servers' throughput and concurrency, with each overload check
+	workMemory         = 2 * recentWindow // time constant of the work behind a server's concurrency
+)
+
+// The constants of outlier ejection.
+const (
+	failuresToEject      = 2.0  // failures, decayed
+	shareToEject         = 0.25 // and their share of all attempts
+	consecutiveToEject   = 3    // or so many without a served attempt, whatever the share
+	maxEjectionDoublings = 4    // an ejection lasts the target, doubled up to so many times
+	rejectionMemory      = 20   // in targets: how long a group goes elsewhere after a server has rejected it
+)
+
+// The constants of retries and of waiting requests.
+const (
+	retriesPerRequest    = 0.2   // added to the retry budget with each request
+	maxRetryBudget       = 10.0  // retries that may be saved up
+	hedgesPerRequest     = 0.05  // added to the hedge budget; more would cost a busy fleet what it wins
+	retryAfterDivisor    = 8     // of its class's target: how long a refused client is told to wait
+	queueChecksPerTarget = 32    // the queue is tried this often within the target
+	maxCustomers         = 20000 // records
+	idleAfter            = time.Minute
+)
+
+// The constants of messages between gateways.
+const (
+	fullUpdateInterval = time.Second / 4        // between updates that hold the groups too, to one peer
+	updateInterval     = time.Second / 30       // between updates, while there is something to say
+	peerAliveFor       = 4 * fullUpdateInterval // a peer that was heard so lately hears this gateway, too
+	staleUpdates       = 10                     // in fullUpdateInterval: silence after which a gateway is isolated
+	nearbyDistance     = 3                      // places to either side at which gateways share customers' buckets
+	maxOwnerQueries    = 2                      // queries about a request, and gateways that stand in for an owner
+	queriesPerTarget   = 6                      // an owner is asked again after this part of the target
+	peerRateShare      = 0.7                    // of Settings.PeerMessageRate that all peers together may use
+	minPushSumWeight   = 0.05                   // a push-sum is not extrapolated from a smaller weight than this
+	balanceConvergence = 0.03                   // of the difference of two copies of a bucket, with each update
+)
+
+// Timer tags. Those of requests have the request's ID above tagBits.
 const (
 	tagOverload = iota
 	tagPeerUpdate
 	tagWatch
 	tagQueue
-	tagDeadline // with a request's id above it, as the next
-	tagHedge
-	tagQuery
-	tagBits = 3
+	tagDeadline // of a request, as the next two
+	tagHedge    // a second attempt, or the end of a lost one
+	tagQuery    // the query to the owner is unanswered
+	tagBits     = 3
 )
 
 // requestTag gives the tag of a request's timer.
 func requestTag(id RequestID, kind uint64) uint64 { return uint64(id)<<tagBits | kind }
 
+// advance sets the time; the first event starts the gateway.
 func (g *Gateway) advance(now Time) {
 	g.now, g.peerLastContact[g.cfg.Self] = now, now
-	if !g.started {
-		g.started, g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact = true, now, now, now-recentWindow, now
-		for i := range g.classLatency {
-			g.classLatency[i] = decayingMean{sum: g.cfg.Classes[i].LatencyTarget.Seconds() / 4, weight: 1, decayedAt: now}
-		}
-		if g.cfg.Subscribe {
-			g.host.Watch()
-		}
-		g.host.Timer(tagOverload, g.overloadInterval())
-		if g.cfg.Peers && g.cfg.Gateways > 1 {
-			g.sendUpdates()
-		}
+	if g.started {
+		return
+	}
+	g.started, g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact = true, now, now, now-recentWindow, now
+	for i := range g.classLatency { // a guess, until answers tell
+		g.classLatency[i] = decayingMean{sum: g.cfg.Classes[i].LatencyTarget.Seconds() / 4, weight: 1, decayedAt: now}
+	}
+	if g.cfg.Subscribe {
+		g.host.Watch()
+	}
+	g.host.Timer(tagOverload, g.overloadInterval())
+	if g.cfg.Peers && g.cfg.Gateways > 1 {
+		g.sendUpdates()
 	}
 }
 
+// overloadInterval is the time between overload checks.
 func (g *Gateway) overloadInterval() time.Duration {
 	return max(g.shortestTarget()/overloadChecksPerTarget, g.cfg.Tick)
 }
 
-// ---- Intake ----
+// ---- Admission ----
 
-// Request takes a client's try in. Order matters: what can't be served is refused before it draws anything.
+// Request takes a client's request in: it is refused, asked about at its customer's owner, or sent on. What can't be
+// served is refused before it draws anything.
 func (g *Gateway) Request(now Time, in Request) {
 	g.advance(now)
 	if g.requests[in.ID] != nil {
@@ -107,53 +134,73 @@
 		g.host.Refuse(in.ID, 0)
 		return
 	}
-	if !(in.Units >= 0 && in.Units <= math.MaxInt32) { // a number that is none must not poison an account
+	if !(in.Units >= 0 && in.Units <= math.MaxInt32) { // NaN would make a balance NaN for good
 		in.Units = 1
 	}
 	r := &request{Request: in, arrivedAt: now, customer: g.customerFor(in)}
 	g.retryBudget = math.Min(maxRetryBudget, g.retryBudget+retriesPerRequest)
 	g.hedgeBudget = math.Min(hedgesPerRequest*maxRetryBudget/retriesPerRequest, g.hedgeBudget+hedgesPerRequest)
-	grp := &g.groups[g.groupOf(r)]
 	r.owner = g.ownerOf(r.customer)
-	asks := r.owner >= 0 && r.owner != g.cfg.Self
-	within := asks || r.owner < 0 && g.withinQuota(r) ||
-		r.owner == g.cfg.Self && g.answerQuery(ownerQuery{g.cfg.Self, uint32(in.ID), r.customer.key, in.Units}).lastQueryAdmitted
-	no := grp.shed || r.owner < 0 && !r.customer.withinHardLimit(g.cfg.Plans[in.Plan], in.Units)
-	room := g.totalCapacity() * grp.capacityShare
-	left := room + g.burstAllowance(room) - g.load() - float64(len(g.queue))
-	if !no && within && left < 1 && g.rng.Float64() >= left {
-		g.capacityReached, no = g.capacityReached || grp.capacityShare >= 1 && !asks, true // what is asked about may be beyond its quota
-	}
-	// What would be late whoever takes it makes room at once. What is like its class is the cuts' affair.
-	if g.overloaded && g.expectedLatency(r) > g.cfg.Classes[in.Class].LatencyTarget {
-		no = no || g.typicalLatency(r) > (1+costNoise)*g.classTypicalLatency(in.Class)
-	}
-	if no {
+	ownerDecides := r.owner >= 0 && r.owner != g.cfg.Self
+	within := ownerDecides || g.withinQuotaHere(r)
+	if g.mustRefuse(r, within, ownerDecides) {
 		g.answerUnserved(r)
 		return
 	}
 	g.requests[in.ID] = r
 	g.host.Timer(requestTag(in.ID, tagDeadline), in.Deadline-now-2*g.cfg.Tick)
-	if asks {
+	if ownerDecides {
 		g.queryOwner(r)
 	} else {
 		g.admit(r, within)
 	}
 }
 
-// chance is how far what is out here may pass this gateway's room though the fleet has no more than its own:
-// two deviations of what comes at random, where of a server's first room less than one attempt is ours.
-func (g *Gateway) burstAllowance(room float64) float64 {
-	return 2 * math.Sqrt(room*math.Max(0, 1-initialCapacity/float64(g.cfg.Gateways)))
+// withinQuotaHere tells whether a request is within its customer's quota, by this gateway as the owner or by its copy
+// or part of the bucket.
+func (g *Gateway) withinQuotaHere(r *request) bool {
+	if r.owner == g.cfg.Self {
+		q := ownerQuery{from: g.cfg.Self, token: uint32(r.ID), customerKey: r.customer.key, units: r.Units}
+		return g.answerQuery(q).lastQueryAdmitted
+	}
+	return g.withinQuota(r)
+}
+
+// mustRefuse tells whether a request is refused whatever its quota says: its group is shed, its hard limit reached, or
+// there is no capacity. The capacity is not held against requests beyond their quota: admit judges these.
+func (g *Gateway) mustRefuse(r *request, within, ownerDecides bool) bool {
+	group := &g.groups[g.groupOf(r)]
+	refuse := group.shed || r.owner < 0 && !r.customer.withinHardLimit(g.cfg.Plans[r.Plan], r.Units)
+	capacity := g.totalCapacity() * group.capacityShare
+	free := capacity + g.burstAllowance(capacity) - g.load() - float64(len(g.queue))
+	if !refuse && within && free < 1 && g.rng.Float64() >= free {
+		refuse = true
+		// A request that the owner decides on may be beyond its quota, so it is no sign of overload.
+		g.capacityReached = g.capacityReached || group.capacityShare >= 1 && !ownerDecides
+	}
+	// Under overload a request that would be late at any server is refused, if it takes longer than its class does:
+	// where the whole class would be late, load shedding decides.
+	if g.overloaded && g.expectedLatency(r) > g.cfg.Classes[r.Class].LatencyTarget {
+		refuse = refuse || g.typicalLatency(r) > (1+similarity)*g.classTypicalLatency(r.Class)
+	}
+	return refuse
 }
 
-// settle sends on what is inside its customer's quota, and refuses what isn't where that would not pay.
-// Rule 5 is kept with no help from others: an own share of rate and store, here or at the first home, and a
-// new life starts with what has filled since its birth, as the former life may have spent all it had.
+// burstAllowance is by how much the attempts in flight here may exceed this gateway's capacity while those of the whole
+// fleet don't exceed the fleet's: two standard deviations of a Poisson number, where this gateway's part of a server's
+// initial capacity is less than one attempt.
+func (g *Gateway) burstAllowance(capacity float64) float64 {
+	return 2 * math.Sqrt(capacity*math.Max(0, 1-initialCapacity/float64(g.cfg.Gateways)))
+}
+
+// admit sends on a request that is within its customer's quota, and refuses one that isn't where it wouldn't pay. The
+// hard limit is kept without help from peers: a gateway draws on its own part of rate and burst, here or at the first
+// owner, and a new incarnation starts with what has filled since its start, as the earlier one may have used up all.
 func (g *Gateway) admit(r *request, within bool) {
 	delete(g.pendingQueries, r.queryToken)
 	p := g.cfg.Plans[r.Plan]
-	r.limitAtOwner = within && r.owner >= 0 && r.owner == g.ownerCandidate(r.customer, 0) && g.hardLimitHolders(r.customer) > 1
+	r.limitAtOwner = within && r.owner >= 0 && r.owner == g.ownerCandidate(r.customer, 0) &&
+		g.hardLimitHolders(r.customer) > 1
 	if !r.limitAtOwner && !r.customer.withinHardLimit(p, r.Units) ||
 		!within && (p.OverQuotaValue <= p.OverQuotaCost || g.overloaded || len(g.shedGroups) > 0) {
 		g.answerUnserved(r)
@@ -166,27 +213,27 @@
 
 // ---- Quota ----
 
-// customer finds or makes the record of a request's customer and counts what it asks.
+// customerFor finds or makes the record of a request's customer and adds the request to its demand.
 func (g *Gateway) customerFor(in Request) *customer {
 	c := g.customersByID[in.Customer]
-	n := max(1, min(in.SetSize, g.cfg.Gateways))
+	setSize := max(1, min(in.SetSize, g.cfg.Gateways))
 	in.FirstGateway = (in.FirstGateway%g.cfg.Gateways + g.cfg.Gateways) % g.cfg.Gateways
-	name := customerKey(in.Customer, in.Plan, in.FirstGateway, n)
+	key := customerKey(in.Customer, in.Plan, in.FirstGateway, setSize)
 	if c == nil {
 		if len(g.customers) >= maxCustomers {
 			g.unseenFillSince = g.now
 			g.evictIdle(recentWindow)
 		}
-		if c = g.customersByKey[name]; c == nil || c.seenHere {
-			c = g.newCustomer(name)
+		if c = g.customersByKey[key]; c == nil || c.seenHere {
+			c = g.newCustomer(key)
 		}
 		c.id, c.seenHere = in.Customer, true
 		g.customersByID[in.Customer] = c
-	} else if c.key != name && g.customersByKey[name] == nil { // its set or plan has changed
+	} else if c.key != key && g.customersByKey[key] == nil { // its set or plan has changed
 		delete(g.customersByKey, c.key)
-		g.customersByKey[name], c.key = c, name
+		g.customersByKey[key], c.key = c, key
 	}
-	c.setSize, c.firstGateway, c.plan, c.lastSeen = n, in.FirstGateway, in.Plan, g.now
+	c.setSize, c.firstGateway, c.plan, c.lastSeen = setSize, in.FirstGateway, in.Plan, g.now
 	g.refill(c, in.Units)
 	c.demand.add(g.now, g.demandMemory(in.Plan), 0)
 	c.demand.sum, c.sharedDemand.local[0] = c.demand.sum+in.Units, c.sharedDemand.local[0]+in.Units
@@ -194,9 +241,10 @@
 	return c
 }
 
-// refill brings the quota's store and the ceiling's part up to date. What isn't drawn on together is parts.
+// refill brings the token bucket and this gateway's part of the hard limit up to date. A gateway that is isolated may
+// save up the units of one request, though its part of the burst be less.
 func (g *Gateway) refill(c *customer, units float64) {
-	if !g.isolated() { // held to its part alone, a gateway may save up one request
+	if !g.isolated() {
 		units = 0
 	}
 	if !c.limitFilled && g.fleetJustStarted() {
@@ -207,17 +255,18 @@
 	c.refilledAt = g.now
 }
 
-// withinQuota tells whether a request is inside its customer's quota, by what is known here.
+// withinQuota tells whether a request is within its customer's quota, by what is known here.
 func (g *Gateway) withinQuota(r *request) bool {
-	c, p, v := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
-	if p.MaxInFlight > 0 && !ledger.Slot(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, v.Whole) {
+	c, p, view := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
+	if p.MaxInFlight > 0 &&
+		!ledger.Slot(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Whole) {
 		return false
 	}
-	return v.Covers(p.quota(), r.Units, g.rng.Float64)
+	return view.Covers(p.quota(), r.Units, g.rng.Float64)
 }
 
-// home gives the gateway that keeps the store of a customer whose set is too wide to share it: each request
-// is asked about there. It is the same for all until it is found silent. Below 0: there is none.
+// ownerOf gives the gateway that owns the bucket of a customer whose set is too large to share it, below 0 where the
+// set isn't. All gateways name the same owner as long as none suspects it.
 func (g *Gateway) ownerOf(c *customer) int {
 	for k := 0; k <= maxOwnerQueries && len(g.nearby) > 0 && !g.sharesBucket(c) && g.majorityAlive(); k++ {
 		if p := g.ownerCandidate(c, k); g.suspectedUntil[p] <= g.now {
@@ -227,14 +276,15 @@
 	return -1
 }
 
-// ask asks a request's home whether it is inside the quota. Where that is silent the part here decides.
+// queryOwner asks a request's owner whether the request is within the quota. An owner that doesn't answer is suspected,
+// and this gateway's part of the bucket decides.
 func (g *Gateway) queryOwner(r *request) {
 	if r.queries++; r.queries > maxOwnerQueries {
 		g.suspectedUntil[r.owner], r.owner = g.now+staleUpdates*fullUpdateInterval, -1
 		g.admit(r, g.withinQuota(r))
 		return
 	}
-	if r.queries == 1 { // a token of another life must not fit
+	if r.queries == 1 { // answers to an earlier incarnation's queries must not match
 		g.lastQuery++
 		r.queryToken = g.lastQuery + uint32(g.startedAt/time.Millisecond)<<tagBits
 		g.pendingQueries[r.queryToken] = r
@@ -243,8 +293,8 @@
 	g.host.Timer(requestTag(r.ID, tagQuery), max(g.cfg.Tick, g.shortestTarget()/queriesPerTarget))
 }
 
-// answer decides about a request of a customer that is at home here and gives the store's record, nil where
-// the question makes no sense. What is asked again has the same answer and draws nothing more.
+// answerQuery decides, as the owner, about a request and gives the customer's record with the answer, nil where the
+// query is invalid. A query that is repeated gets the same answer and draws nothing more.
 func (g *Gateway) answerQuery(q ownerQuery) *customer {
 	c := g.recordFor(ownerKey(q.customerKey, g.cfg.Self))
 	if c != nil && c.lastQuery != q {
@@ -261,38 +311,22 @@
 
 // ---- Overload ----
 
-// onBeat moves the cuts: RUDA's top group goes while a class's 90th percentile misses its aim, one more each
-// second it still does, and they come back one by one.
+// checkOverload judges the load and sheds the group with the highest RUDA score while there is overload: one more each
+// recentWindow. Without overload the groups are taken back one by one.
 func (g *Gateway) checkOverload() {
 	g.host.Timer(tagOverload, g.overloadInterval())
-	for _, a := range g.inFlight {
-		took, aim := g.now-a.sentAt, g.cfg.Classes[a.request.Class].LatencyTarget
-		if !a.untimed() && took.Seconds() > slowTargetShare*aim.Seconds() && a.overtakenBy < overtakenLimit {
-			g.learnCapacity(a, took)
-		}
-		if !a.untimed() && took > aim {
-			g.countLateness(a, true)
-			g.markLost(a)
-		}
-		if quiet := g.now - max(a.sentAt, a.server.lastServed); !a.untimed() && quiet > lostAfterFactor*g.expectedLatency(a.request) {
-			g.suspect(a)
-		}
-	}
-	f := g.sheddingScores()
+	g.checkInFlight()
+	scores := g.sheddingScores()
 	g.learnWarmThroughput()
 	g.learnConcurrency()
 	g.fleetLatency = g.meanRelativeLatency()
-	g.shareCapacity(f)
-	g.overloaded, g.capacityReached = g.capacityReached, false
-	for i := range g.lateness { // a fleet with little to do is late by its own tails: no cut can help it
-		m := &g.lateness[i]
-		m.decay(g.now, recentWindow)
-		g.overloaded = g.overloaded || m.sum > lateShare*m.weight+lateByChance && g.load() > g.totalCapacity()/2
-	}
+	g.shareCapacity(scores)
+	g.overloaded = g.checkLateness()
+	g.capacityReached = false
 	if g.overloaded {
 		g.calmChecks = 0
-		if g.now-g.lastShed >= recentWindow { // a cut gets so long to show before the next
-			g.shedTop(f)
+		if g.now-g.lastShed >= recentWindow { // shedding a group takes so long to show
+			g.shedTop(scores)
 		}
 	} else if g.calmChecks++; len(g.shedGroups) > 0 && g.calmChecks >= overloadChecksPerTarget {
 		g.calmChecks = 0
@@ -303,30 +337,66 @@
 	g.evictIdle(idleAfter)
 }
 
-// roomFor bounds the attempts out at once, so that no queue grows past what the aims allow. A server's room
-// follows the 90th percentile of its answers against a share of the aim: a late one takes what nine gave.
+// checkInFlight counts the attempts in flight that are slow, late or lost by now, as though they had ended.
+func (g *Gateway) checkInFlight() {
+	for _, a := range g.inFlight {
+		elapsed, target := g.now-a.sentAt, g.cfg.Classes[a.request.Class].LatencyTarget
+		if a.untimed() {
+			continue
+		}
+		if elapsed.Seconds() > slowTargetShare*target.Seconds() && a.overtakenBy < overtakenLimit {
+			g.learnCapacity(a, elapsed)
+		}
+		if elapsed > target {
+			g.countLateness(a, true)
+			g.markLost(a)
+		}
+		silence := g.now - max(a.sentAt, a.server.lastServed)
+		if silence > lostAfterFactor*g.expectedLatency(a.request) {
+			g.suspect(a)
+		}
+	}
+}
+
+// checkLateness tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses its
+// target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't help.
+func (g *Gateway) checkLateness() bool {
+	overloaded := g.capacityReached
+	for i := range g.lateness {
+		late := &g.lateness[i]
+		late.decay(g.now, recentWindow)
+		overloaded = overloaded || late.sum > lateShare*late.weight+lateByChance && g.load() > g.totalCapacity()/2
+	}
+	return overloaded
+}
+
+// totalCapacity bounds the attempts in flight, so that no server's queue grows past what the targets allow.
 func (g *Gateway) totalCapacity() float64 {
-	room := 0.0
+	capacity := 0.0
 	for _, s := range g.servers {
 		if s.listed {
-			room += g.capacityOf(s)
+			capacity += g.capacityOf(s)
 		}
 	}
-	return room
+	return capacity
 }
 
+// capacityOf gives a server's capacity, in attempts of this gateway, which it initialises.
 func (g *Gateway) capacityOf(s *server) float64 {
 	if s.capacity == 0 {
-		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways), minInitialInFlight/math.Max(float64(g.listedServers()), 1))
+		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways),
+			minInitialInFlight/math.Max(float64(g.listedServers()), 1))
 	}
 	s.capacity = math.Max(s.capacity, math.Max(minCapacity, g.serverConcurrency)/float64(g.cfg.Gateways))
-	if s.suspectedAttempts > 0 { // for one that finds out whether anything comes from there
+	if s.suspectedAttempts > 0 { // one attempt finds out whether the server answers at all
 		return math.Min(1, s.capacity)
 	}
 	return s.capacity
 }
 
-// learnRoom takes an answer's news in. Where a server's room is under one, all rooms move with it.
+// learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
+// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt its
+// attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't grow.
 func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
 	if a.countedSlow {
 		return
@@ -340,7 +410,7 @@
 	step := lateShare
 	if a.countedSlow {
 		step, g.slowAnswerSeen = step-1, true
-	} else if !g.slowAnswerSeen { // nothing tells yet that the first room is enough
+	} else if !g.slowAnswerSeen { // nothing says yet that the initial capacity is enough
 		step *= initialCapacityGrowth
 	}
 	part := math.Min(1, own)
@@ -350,18 +420,20 @@
 	}
 }
 
-// count adds an attempt to its class's counts when it ends, or once it is late though still out. Left out are
-// servers slow on the whole and attempts that later ones have passed: neither lateness is overload.
+// countLateness counts an attempt for its class once: when it ends, or when it is late while in flight. Left out are
+// attempts at servers that are slow on the whole, and attempts that were overtaken: neither is overload.
 func (g *Gateway) countLateness(a *attempt, late bool) {
-	sick := a.server.relativeLatency.sum > overdueFactor*(a.server.relativeLatency.weight+latencyPriorWeight)
-	if a.countedLate || sick || late && a.overtakenBy >= overtakenLimit {
+	slowServer := a.server.relativeLatency.sum > overdueFactor*(a.server.relativeLatency.weight+latencyPriorWeight)
+	if a.countedLate || slowServer || late && a.overtakenBy >= overtakenLimit {
 		return
 	}
 	a.countedLate = true
 	g.lateness[a.request.Class].addBool(g.now, recentWindow, late)
 }
 
-// score gives groups that sent requests f = 1/v x share of latency / share of requests, over all gateways.
+// sheddingScores gives the RUDA scores f of the groups that have lately sent requests, and 0 for the others. A group's
+// resource r is the latency of its attempts, its q the number of them, both over all gateways; the variables have the
+// paper's names.
 func (g *Gateway) sheddingScores() []float64 {
 	f, r := make([]float64, len(g.groups)), make([]float64, len(g.groups))
 	q, sumR, sumQ := make([]float64, len(g.groups)), 0.0, 0.0
@@ -376,30 +448,31 @@
 	}
 	for i := range g.groups {
 		if q[i] >= 0.5 {
-			f[i] = rudaScore(g.groups[i].value, r[i], sumR, q[i], sumQ)
+			f[i] = ruda.Score(g.groups[i].value, r[i], sumR, q[i], sumQ)
 		}
 	}
 	return f
 }
 
-// shareRoom gives the groups their part of the room in the order of f: the top one is refused first.
-func (g *Gateway) shareCapacity(f []float64) {
-	order := slices.Clone(f)
+// shareCapacity gives each group its share of the capacity, by the order of the scores: the group with the highest one
+// is the first to find no capacity.
+func (g *Gateway) shareCapacity(scores []float64) {
+	order := slices.Clone(scores)
 	slices.Sort(order)
 	order = slices.DeleteFunc(order, func(x float64) bool { return x <= 0 })
 	for i := range g.groups {
-		if at, known := slices.BinarySearch(order, f[i]); known && len(order) > 1 {
-			g.groups[i].capacityShare = 1 - (1-minCapacityShare)*float64(at)/float64(len(order)-1)
+		if rank, known := slices.BinarySearch(order, scores[i]); known && len(order) > 1 {
+			g.groups[i].capacityShare = 1 - (1-minCapacityShare)*float64(rank)/float64(len(order)-1)
 		}
 	}
 }
 
-// cutTop refuses the group with the top f. One group always stays.
-func (g *Gateway) shedTop(f []float64) {
+// shedTop sheds the group with the highest score, unless it is the only one left.
+func (g *Gateway) shedTop(scores []float64) {
 	best, left := -1, 0
 	for i := range g.groups {
-		if !g.groups[i].shed && f[i] > 0 {
-			if left++; best < 0 || f[i] > f[best] {
+		if !g.groups[i].shed && scores[i] > 0 {
+			if left++; best < 0 || scores[i] > scores[best] {
 				best = i
 			}
 		}
@@ -409,20 +482,17 @@
 	}
 	g.lastShed, g.groups[best].shed = g.now, true
 	g.shedGroups = append(g.shedGroups, best)
-	g.host.Log(fmt.Sprintf("cut %s f=%.2f", g.groupName(best), f[best]))
-}
-
-func rudaScore(v, r, sumR, q, sumQ float64) float64 {
-	return ruda.Score(v, r, sumR, q, sumQ)
+	g.host.Log(fmt.Sprintf("cut %s f=%.2f", g.groupName(best), scores[best]))
 }
 
 // ---- Servers ----
 
-// Servers takes news of the server list in.
+// Servers takes a server list in, or that there is none.
 func (g *Gateway) Servers(now Time, kind ListKind, list []ServerInfo) {
 	g.advance(now)
 	if kind == ListFailed {
-		g.watching, g.watchBackoff = false, min(max(2*g.watchBackoff, g.overloadInterval()), max(g.cfg.ListRefreshWithin/4, g.overloadInterval()))
+		least := g.overloadInterval()
+		g.watching, g.watchBackoff = false, min(max(2*g.watchBackoff, least), max(g.cfg.ListRefreshWithin/4, least))
 		g.host.Timer(tagWatch, g.watchBackoff)
 		return
 	}
@@ -432,21 +502,13 @@
 			s.listed = false
 		}
 	}
-	for _, in := range list {
-		s := g.serversByID[in.ID]
-		if s == nil {
-			s = &server{}
-			g.serversByID[in.ID], g.servers = s, append(g.servers, s)
-		}
-		if in.StartedAt != s.StartedAt || s.coldBudget.At == 0 { // another process now
-			*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
-				coldBudget: ledger.Cold{Sends: s.coldBudget.Sends, Turn: g.rng.Float64(), At: now}}
-		}
-		s.ServerInfo, s.listed = in, in.State == Ready
+	for _, info := range list {
+		g.updateServer(info)
 	}
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
+		// What a server was sent while it warmed up counts if it is listed again.
 		old := !s.listed && s.inFlight == 0 && !s.coldBudget.Recent(now, g.cfg.ColdWindow)
-		if old { // what a cold server was sent lately is kept, should it be listed again
+		if old {
 			delete(g.serversByID, s.ID)
 		}
 		return old
@@ -454,20 +516,36 @@
 	g.retryQueue()
 }
 
-// pick gives the usable server with the least expected wait for a request, nil where there is none.
+// updateServer takes an entry of a server list in. Of a server whose process is another one now only the accounting of
+// attempts is kept.
+func (g *Gateway) updateServer(info ServerInfo) {
+	s := g.serversByID[info.ID]
+	if s == nil {
+		s = &server{}
+		g.serversByID[info.ID], g.servers = s, append(g.servers, s)
+	}
+	if info.StartedAt != s.StartedAt || s.coldBudget.At == 0 {
+		*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
+			coldBudget: ledger.Cold{Sends: s.coldBudget.Sends, Turn: g.rng.Float64(), At: g.now}}
+	}
+	s.ServerInfo, s.listed = info, info.State == Ready
+}
+
+// pickServer gives the server with the least expected wait that a request may be sent to, nil where there is none. It
+// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more than
+// half of the servers are ejected, ejection is ignored: the fault is elsewhere (Envoy's panic threshold).
 func (g *Gateway) pickServer(r *request) *server {
-	trust := 2*g.countListed(g.ejected) <= g.listedServers() // when most look bad the fault is elsewhere: judge none
+	heedEjection := 2*g.countListed(g.ejected) <= g.listedServers()
 	best, least := (*server)(nil), 0.0
 	for round := 0; round < 2 && best == nil; round++ {
 		for _, s := range g.servers {
-			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (trust && g.ejected(s)) || !g.withinColdBudget(s) {
+			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (heedEjection && g.ejected(s)) || !g.withinColdBudget(s) {
 				continue
 			}
-			away := s.rejectedUntil != nil && s.rejectedUntil[g.groupOf(r)] > g.now
-			if round == 0 && (away || r.wasTried(s) || s.load() >= math.Max(1, g.capacityOf(s))) {
+			if round == 0 && !g.preferred(r, s) {
 				continue
 			}
-			if cost := g.expectedWait(s) * (1 + costNoise*g.rng.Float64()); best == nil || cost < least {
+			if cost := g.expectedWait(s) * (1 + similarity*g.rng.Float64()); best == nil || cost < least {
 				best, least = s, cost
 			}
 		}
@@ -475,8 +553,14 @@
 	return best
 }
 
-// cost is a server's expected wait: its pace times what is at it. The pace is its recent latency over the
-// typical one of each attempt's class; attempts out for longer than that count as far as they have come.
+// preferred tells whether a server has capacity for a request, wasn't tried for it, and hasn't rejected its group.
+func (g *Gateway) preferred(r *request, s *server) bool {
+	rejects := s.rejectedUntil != nil && s.rejectedUntil[g.groupOf(r)] > g.now
+	return !rejects && !r.wasTried(s) && s.load() < math.Max(1, g.capacityOf(s))
+}
+
+// expectedWait is a server's relative latency times the attempts at it. An attempt in flight for longer than
+// overdueFactor of its typical latency counts with the latency that it has reached.
 func (g *Gateway) expectedWait(s *server) float64 {
 	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
 	sum, n := s.relativeLatency.sum+latencyPriorWeight, s.relativeLatency.weight+latencyPriorWeight
@@ -488,28 +572,30 @@
 			}
 		}
 	}
-	if s.coldBudget.Turn >= 1 && g.warmth(s) < 1 { // some servers warm by the work they do
+	if s.coldBudget.Turn >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
 		return 0
 	}
 	return sum / n * (s.load() + s.othersInFlight + baseWork) / g.warmth(s)
 }
 
-// Learn takes priors of servers in, each for one life of its server. They move guesses, of pace and of room,
-// and may delay a cold turn.
+// SetPriors takes in estimates of servers, each for one process of its server. They replace the relative latency and
+// the capacity, and may put off the turn of a server that warms up; they change nothing else.
 func (g *Gateway) SetPriors(now Time, list []Prior) {
 	g.advance(now)
 	for _, p := range list {
-		if s := g.serversByID[p.ID]; s != nil && s.listed && s.StartedAt == p.StartedAt && p.RelativeLatency*p.Weight > 0 {
-			s.relativeLatency = decayingMean{sum: p.RelativeLatency * p.Weight, weight: p.Weight, decayedAt: now}
-			s.capacity = cmp.Or(p.Capacity, s.capacity)
-			if p.ColdBudgetTaken {
-				s.coldBudget.Turn = math.Min(s.coldBudget.Turn, 0)
-			}
+		s := g.serversByID[p.ID]
+		if s == nil || !s.listed || s.StartedAt != p.StartedAt || !(p.RelativeLatency*p.Weight > 0) {
+			continue
+		}
+		s.relativeLatency = decayingMean{sum: p.RelativeLatency * p.Weight, weight: p.Weight, decayedAt: now}
+		s.capacity = cmp.Or(p.Capacity, s.capacity)
+		if p.ColdBudgetTaken {
+			s.coldBudget.Turn = math.Min(s.coldBudget.Turn, 0)
 		}
 	}
 }
 
-// Crowd takes in what others have out at the servers. It moves the expected waits and nothing else.
+// SetOthersLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
 func (g *Gateway) SetOthersLoads(now Time, list []Load) {
 	g.advance(now)
 	for _, l := range list {
@@ -521,19 +607,23 @@
 
 // ---- Health ----
 
+// ejected tells whether a server is ejected. After an ejection it gets one attempt at a time, until one is served.
 func (g *Gateway) ejected(s *server) bool {
 	return g.now < s.ejectedUntil || (s.ejections > 0 && s.load() > 0)
 }
 
-// judge counts an attempt's end for or against its server.
+// recordHealth counts a failed or served attempt for its server and ejects the server where it has failed too often.
+// Each ejection that follows soon is twice as long; a served attempt takes one doubling back.
 func (g *Gateway) recordHealth(s *server, failed bool) {
 	s.failures.addBool(g.now, 4*latencyMemory*g.shortestTarget(), failed)
-	if s.consecutiveFailures++; !failed {
-		if s.consecutiveFailures, s.lastServed, s.servedTotal = 0, g.now, s.servedTotal+1; s.ejections > 0 && g.now >= s.ejectedUntil {
+	if !failed {
+		s.consecutiveFailures, s.lastServed, s.servedTotal = 0, g.now, s.servedTotal+1
+		if s.ejections > 0 && g.now >= s.ejectedUntil {
 			s.ejections, s.failures = s.ejections-1, decayingMean{decayedAt: g.now}
 		}
 		return
 	}
+	s.consecutiveFailures++
 	if g.now >= s.ejectedUntil && (s.ejections > 0 || s.consecutiveFailures >= consecutiveToEject ||
 		(s.failures.sum >= failuresToEject && s.failures.sum >= shareToEject*s.failures.weight)) {
 		s.ejectedUntil = g.now + g.shortestTarget()<<min(s.ejections, maxEjectionDoublings)
@@ -542,9 +632,9 @@
 	}
 }
 
-// ---- Cold start ----
+// ---- Slow start ----
 
-// warmth is the least share of its capacity that a server has after its start.
+// warmth is the least share of its full capacity that a server has, by the time since its start: 1 for a warm one.
 func (g *Gateway) warmth(s *server) float64 {
 	age := g.now - s.StartedAt
 	if s.StartedAt == 0 || age >= g.cfg.WarmupTime || g.cfg.WarmupTime <= 0 {
@@ -554,52 +644,66 @@
 	return from + (1-from)*math.Max(0, age.Seconds())/g.cfg.WarmupTime.Seconds()
 }
 
-// coldRoom keeps rule 4, by what a server was seen to answer here while cold, and what a warm one answers.
+// withinColdBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can do is
+// estimated from what it has served here while cold and from what warm servers serve.
 func (g *Gateway) withinColdBudget(s *server) bool {
-	w := g.warmth(s)
-	l := ledger.ColdLimit{Window: g.cfg.ColdWindow, Multiple: g.cfg.ColdMultiple, N: g.cfg.Gateways,
-		Does: math.Max(w*g.warmThroughput, s.coldThroughput(g)), Slower: g.coldLatency.smoothed()}
-	return w >= 1 || l.Window <= 0 || l.Multiple <= 0 || s.coldBudget.Covers(g.now, l)
+	warmth := g.warmth(s)
+	limit := ledger.ColdLimit{Window: g.cfg.ColdWindow, Multiple: g.cfg.ColdMultiple, N: g.cfg.Gateways,
+		Does: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slower: g.coldLatency.smoothed()}
+	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.coldBudget.Covers(g.now, limit)
 }
 
 // ---- Attempts ----
 
-// dispatch sends a request on, or holds it while no server may take it.
+// dispatch sends a request to a server, or queues it while there is none.
 func (g *Gateway) dispatch(r *request) {
 	s := g.pickServer(r)
-	if r.setQueued(s == nil && r.attempts == 0); s == nil {
-		if g.queue = append(g.queue, r); !g.queueTimerSet {
+	r.setQueued(s == nil && r.attempts == 0)
+	if s == nil {
+		g.queue = append(g.queue, r)
+		if !g.queueTimerSet {
 			g.queueTimerSet = true
 			g.host.Timer(tagQueue, max(g.cfg.Tick, g.shortestTarget()/queueChecksPerTarget))
 		}
 		return
 	}
-	if g.addAttempt(&attempt{request: r, server: s, sentAt: g.now, chosenAt: g.now}); r.attempts == 1 {
+	g.addAttempt(&attempt{request: r, server: s, sentAt: g.now, chosenAt: g.now})
+	if r.attempts == 1 {
 		r.customer.addUsed(r.Units)
 		g.queueUpdate(r.customer, g.nearby...)
 	}
 	g.groups[g.groupOf(r)].latency.local[groupRequests]++
 	g.host.Send(r.ID, s.ID, r.Deadline)
-	if g.cfg.Hedging && r.attempts == 1 && !g.cfg.Classes[r.Class].Streaming {
-		g.host.Timer(requestTag(r.ID, tagHedge), g.cfg.Classes[r.Class].LatencyTarget/2)
-	} else if !g.cfg.Hedging && g.cfg.Cancel && !g.cfg.Classes[r.Class].Streaming &&
-		g.cfg.Classes[r.Class].Idempotency != NotIdempotent {
+	g.setHedgeTimer(r)
+}
+
+// setHedgeTimer sets the time at which a request that has no answer gets a second attempt or, where that isn't
+// permitted, its attempt is looked at as one that may be lost.
+func (g *Gateway) setHedgeTimer(r *request) {
+	class := g.cfg.Classes[r.Class]
+	if g.cfg.Hedging && r.attempts == 1 && !class.Streaming {
+		g.host.Timer(requestTag(r.ID, tagHedge), class.LatencyTarget/2)
+	} else if !g.cfg.Hedging && g.cfg.Cancel && !class.Streaming && class.Idempotency != NotIdempotent {
 		g.host.Timer(requestTag(r.ID, tagHedge), lostAfterFactor*g.expectedLatency(r))
 	}
 }
 
-// mayRunOn keeps rule 2: once another attempt may have run or is out, one goes only where its repeat is
-// harmless.
-func (g *Gateway) mayRunOn(r *request, s *server, no int) bool {
-	c := g.cfg.Classes[r.Class]
-	return !slices.ContainsFunc(slices.Concat(r.mayHaveRun, r.inFlight), func(a *attempt) bool {
-		t, past := a.server, g.now-a.chosenAt >= c.DedupWindow-2*g.cfg.Tick
-		return a.number != no && (c.Idempotency == NotIdempotent || c.Idempotency == IdempotentByKey && (past ||
-			c.DedupScope == ScopeZone && t.Zone != s.Zone || c.DedupScope == ScopeCell && t.Cell != s.Cell))
+// mayRunOn tells whether an attempt of a request may be sent to a server: while other attempts are in flight or may
+// have run, only where the server drops a repeat, or where a repeat is harmless. number is the attempt's own.
+func (g *Gateway) mayRunOn(r *request, s *server, number int) bool {
+	class := g.cfg.Classes[r.Class]
+	return !slices.ContainsFunc(slices.Concat(r.mayHaveRun, r.inFlight), func(other *attempt) bool {
+		if other.number == number {
+			return false
+		}
+		past := g.now-other.chosenAt >= class.DedupWindow-2*g.cfg.Tick
+		return class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (past ||
+			class.DedupScope == ScopeZone && other.server.Zone != s.Zone ||
+			class.DedupScope == ScopeCell && other.server.Cell != s.Cell)
 	})
 }
 
-// Outcome takes the end of an attempt in.
+// Outcome takes the end of an attempt in, and decides what follows for its request.
 func (g *Gateway) Outcome(now Time, o Outcome) {
 	g.advance(now)
 	r := g.requests[o.ID]
@@ -607,70 +711,83 @@
 	if a == nil {
 		return
 	}
-	s, class := a.server, g.cfg.Classes[r.Class]
+	g.learnFromOutcome(a, o)
+	if o.Ending == Served {
+		g.reconcileUnits(r, o.Units)
+	}
+	if o.Answered || o.Ending == Served || r.closed {
+		g.finish(r)
+		return
+	}
+	if o.BodyConsumed { // no further attempt is possible
+		r.attempts = max(r.attempts, g.cfg.MaxAttempts)
+	}
+	if o.Ending != Rejected && o.Ending != NotConnected && o.Ending != NeverSent {
+		r.mayHaveRun = append(r.mayHaveRun, a)
+	}
+	if len(r.inFlight) == 0 && !r.streaming {
+		g.retryOrAnswer(r)
+	}
+	g.retryQueue()
+}
+
+// learnFromOutcome updates what is known of an attempt's server and of the load by how it ended.
+func (g *Gateway) learnFromOutcome(a *attempt, o Outcome) {
+	r, s, class := a.request, a.server, g.cfg.Classes[a.request.Class]
+	memory := latencyMemory * g.shortestTarget()
 	g.countWasted(s, o.Ending)
 	took := max(o.Elapsed, 0)
 	s.applyLoadReport(g, o.LoadReport)
 	ratio, late := took.Seconds()/g.typicalLatency(r), took > class.LatencyTarget
 	switch o.Ending {
 	case Served:
-		for _, b := range g.inFlight {
-			if b.server == s && b.sentAt < a.sentAt {
-				b.overtakenBy++
-			}
-			if b.server == s && b.suspected { // where a later one was quick, it is lost and not only waiting
-				g.clearSuspicion(b, b.sentAt < a.sentAt && ratio < overdueFactor)
-			}
-		}
-		g.learnCapacity(a, took)
-		g.learnLatency(r, took)
-		g.workDone.add(now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
-		s.relativeLatency.add(now, latencyMemory*g.shortestTarget(), ratio)
-		s.answers.add(now, 2*g.cfg.ColdWindow, 1)
-		if w := g.warmth(s); w < 1 { // where it is slower than that explains, its turns are too many
-			g.coldLatency.add(now, latencyMemory*g.shortestTarget(), ratio*w)
-			g.coldServiceTime.add(now, latencyMemory*g.shortestTarget(), took.Seconds()*w)
-		}
-		g.recordHealth(s, false)
+		g.learnFromServed(a, took, ratio)
 	case Errored, NotConnected, ConnectionLost:
-		g.recordHealth(s, true) // a quick failure is no sign of speed: the pace stays as it was
+		g.recordHealth(s, true) // a failure that comes quickly doesn't make the server fast: its latency isn't counted
 	case Rejected:
 		if late = g.recordRejection(s, r); late {
 			took = max(took, class.LatencyTarget)
-			s.relativeLatency.add(now, latencyMemory*g.shortestTarget(), took.Seconds()/g.typicalLatency(r))
+			s.relativeLatency.add(g.now, memory, took.Seconds()/g.typicalLatency(r))
 			g.learnCapacity(a, took)
 		}
 	case TimedOut, Cancelled:
 		if ratio > 1 && a.overtakenBy < overtakenLimit {
-			s.relativeLatency.add(now, latencyMemory*g.shortestTarget(), ratio)
+			s.relativeLatency.add(g.now, memory, ratio)
 		}
 	}
-	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // tells nothing of the load
+	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // says nothing of the load
 	if o.Ending != NeverSent && o.Ending != Cancelled && !quick {
 		g.countLateness(a, late)
 		g.groups[g.groupOf(r)].latency.local[groupSeconds] += min(took, class.Deadline).Seconds()
 	}
-	if o.Ending == Served {
-		g.reconcileUnits(r, o.Units)
-	}
-	if o.Answered || o.Ending == Served || r.closed {
-		g.finish(r)
-		return
-	}
-	if o.BodyConsumed { // there is nothing left to be sent again
-		r.attempts = max(r.attempts, g.cfg.MaxAttempts)
-	}
-	if o.Ending != Rejected && o.Ending != NotConnected && o.Ending != NeverSent {
-		r.mayHaveRun = append(r.mayHaveRun, a)
+}
+
+// learnFromServed updates what is known by a served attempt. ratio is its latency over the typical one.
+func (g *Gateway) learnFromServed(a *attempt, took time.Duration, ratio float64) {
+	s, memory := a.server, latencyMemory*g.shortestTarget()
+	for _, other := range g.inFlight {
+		if other.server == s && other.sentAt < a.sentAt {
+			other.overtakenBy++
+		}
+		if other.server == s && other.suspected { // where a later one was quick, it is lost and doesn't just wait
+			g.clearSuspicion(other, other.sentAt < a.sentAt && ratio < overdueFactor)
+		}
 	}
-	if len(r.inFlight) == 0 && !r.streaming {
-		g.retryOrAnswer(r)
+	g.learnCapacity(a, took)
+	g.learnLatency(a.request, took)
+	g.workDone.add(g.now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
+	s.relativeLatency.add(g.now, memory, ratio)
+	s.answers.add(g.now, 2*g.cfg.ColdWindow, 1)
+	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer turns
+		g.coldLatency.add(g.now, memory, ratio*warmth)
+		g.coldServiceTime.add(g.now, memory, took.Seconds()*warmth)
 	}
-	g.retryQueue()
+	g.recordHealth(s, false)
 }
 
-// turnedAway remembers that a server turned a group away, and tells whether it is full for all. Where it is
-// one plan or one class only, that is a limit on them: they go elsewhere.
+// recordRejection notes that a server has rejected a group, and tells whether the server is overloaded: it has lately
+// rejected several plans, and several classes where there are several. Else it limits one plan or class, whose
+// requests go elsewhere for a while.
 func (g *Gateway) recordRejection(s *server, r *request) bool {
 	if s.rejectedUntil == nil {
 		s.rejectedUntil = make([]Time, len(g.groups))
@@ -686,7 +803,7 @@
 	return plans && classes
 }
 
-// again decides what follows when no attempt is left: one more, or the final answer.
+// retryOrAnswer decides what follows when a request has no attempt in flight: a retry or the final answer.
 func (g *Gateway) retryOrAnswer(r *request) {
 	left := r.Deadline - g.now - 2*g.cfg.Tick
 	if r.attempts < max(1, g.cfg.MaxAttempts) && g.retryBudget >= 1 && left.Seconds() > g.typicalLatency(r) &&
@@ -700,16 +817,19 @@
 	g.answerUnserved(r)
 }
 
-// giveUp gives the final answer that rule 2 permits.
+// answerUnserved gives a request the final answer of one that wasn't served: a refusal where it hasn't run or may run
+// again, else a failure.
 func (g *Gateway) answerUnserved(r *request) {
-	if len(r.mayHaveRun) == 0 && len(r.inFlight) == 0 || g.cfg.Classes[r.Class].Idempotency == Idempotent {
-		g.host.Refuse(r.ID, min(g.cfg.MaxRetryAfter, g.cfg.Classes[r.Class].LatencyTarget/retryAfterDivisor))
+	class := g.cfg.Classes[r.Class]
+	if len(r.mayHaveRun) == 0 && len(r.inFlight) == 0 || class.Idempotency == Idempotent {
+		g.host.Refuse(r.ID, min(g.cfg.MaxRetryAfter, class.LatencyTarget/retryAfterDivisor))
 	} else {
 		g.host.Fail(r.ID)
 	}
 	g.finish(r)
 }
 
+// finish notes that a request has its final answer, and gives its units back where none were drawn.
 func (g *Gateway) finish(r *request) {
 	if !r.closed && (r.attempts == 0 || r.BodyPending) && r.charged {
 		g.charge(r, -1)
@@ -722,7 +842,8 @@
 	}
 }
 
-// hedge sends a second copy of what has waited half its aim, where that is allowed and the fleet has room.
+// hedge sends a second attempt of a request that has waited for half its target, while there is no overload and a
+// server that wasn't tried.
 func (g *Gateway) hedge(r *request) {
 	if g.hedgeBudget < 1 || g.overloaded || len(g.shedGroups) > 0 {
 		return
@@ -734,26 +855,28 @@
 	g.dispatch(r)
 }
 
-// abandon ends a request's only attempt for another elsewhere, where no second copy may be out beside it:
-// later ones have passed it and it takes far longer than it should, so its connection fell silent, or its
-// server has it no more. While nobody has passed it, it is looked at again.
+// cancelLost cancels a request's only attempt where it seems lost, so that another is sent elsewhere: later attempts
+// have overtaken it and it takes far longer than expected. This is for sites that don't permit a second attempt beside
+// the first. While too few have overtaken the attempt it is looked at again.
 func (g *Gateway) cancelLost(r *request) {
-	if left := r.arrivedAt + g.cfg.Classes[r.Class].LatencyTarget - g.now; g.retryBudget < 1 || left < g.expectedLatency(r) {
+	expected := g.expectedLatency(r)
+	if left := r.arrivedAt + g.cfg.Classes[r.Class].LatencyTarget - g.now; g.retryBudget < 1 || left < expected {
 		return
 	}
 	a := r.inFlight[0]
-	if wait := a.sentAt + lostAfterFactor*g.expectedLatency(r) - g.now; wait > 0 || a.overtakenBy < overtakenLimit {
-		g.host.Timer(requestTag(r.ID, tagHedge), max(wait, g.expectedLatency(r)/2, g.cfg.Tick))
+	if wait := a.sentAt + lostAfterFactor*expected - g.now; wait > 0 || a.overtakenBy < overtakenLimit {
+		g.host.Timer(requestTag(r.ID, tagHedge), max(wait, expected/2, g.cfg.Tick))
 	} else if s := g.pickServer(r); s != nil && !r.wasTried(s) {
 		g.host.Cancel(r.ID, a.number)
 	}
 }
 
-// pump tries held requests again, oldest first.
+// retryQueue dispatches the queued requests again, oldest first. A request that had no attempt and would be late is
+// refused.
 func (g *Gateway) retryQueue() {
-	list := g.queue
+	queue := g.queue
 	g.queue = nil
-	for _, r := range list {
+	for _, r := range queue {
 		if r.closed {
 			continue
 		}
@@ -765,7 +888,7 @@
 	}
 }
 
-// ClientGone tells that the client left: no answer is owed.
+// ClientGone takes in that a client has left: its request needs no answer.
 func (g *Gateway) ClientGone(now Time, id RequestID) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil {
@@ -773,11 +896,12 @@
 	}
 }
 
-// Timer takes a timer in. One that nothing needs any more does nothing.
+// ---- Timers ----
+
+// Timer takes a timer in that Host.Timer has set. One that is no longer needed has no effect.
 func (g *Gateway) Timer(now Time, tag uint64) {
 	g.advance(now)
-	r := g.requests[RequestID(tag>>tagBits)]
-	switch kind := tag & (1<<tagBits - 1); {
+	switch {
 	case tag == tagOverload:
 		g.checkOverload()
 	case tag == tagPeerUpdate:
@@ -787,120 +911,177 @@
 	case tag == tagQueue:
 		g.queueTimerSet = false
 		g.retryQueue()
-	case r == nil || r.closed || r.streaming:
-	case kind == tagDeadline && (r.BodyPending && len(r.inFlight) > 0 || now < r.Deadline-2*g.cfg.Tick): // put off
-	case kind == tagDeadline:
-		g.answerUnserved(r)
-	case kind == tagHedge && (r.BodyPending || len(r.inFlight) != 1 || r.attempts >= g.cfg.MaxAttempts): // too late
-	case kind == tagHedge && g.cfg.Hedging:
-		g.hedge(r)
-	case kind == tagHedge:
-		g.cancelLost(r)
-	case kind == tagQuery && g.pendingQueries[r.queryToken] == r:
-		g.queryOwner(r)
+	default:
+		if r := g.requests[TimerRequest(tag)]; r != nil && !r.closed && !r.streaming {
+			g.requestTimer(r, tag&(1<<tagBits-1))
+		}
+	}
+}
+
+// requestTimer takes a timer of a request in that has no final answer yet.
+func (g *Gateway) requestTimer(r *request, kind uint64) {
+	switch kind {
+	case tagDeadline:
+		putOff := r.BodyPending && len(r.inFlight) > 0 || g.now < r.Deadline-2*g.cfg.Tick
+		if !putOff {
+			g.answerUnserved(r)
+		}
+	case tagHedge:
+		if r.BodyPending || len(r.inFlight) != 1 || r.attempts >= g.cfg.MaxAttempts {
+			return
+		}
+		if g.cfg.Hedging {
+			g.hedge(r)
+		} else {
+			g.cancelLost(r)
+		}
+	case tagQuery:
+		if g.pendingQueries[r.queryToken] == r {
+			g.queryOwner(r)
+		}
 	}
 }
 
-// ---- Peers ----
+// ---- Updates between peers ----
 
-// tell passes news of the customers' use on to the peers near by, and now and then a share of all demand.
+// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval its
+// push-sum part of the groups' figures as well.
 func (g *Gateway) sendUpdates() {
-	every, peers := updateInterval, g.nearby
-	if most := peerRateShare * g.cfg.PeerMessageRate; most > 0 {
-		every = max(every, time.Duration(float64(len(peers))/most*float64(time.Second)))
+	every := updateInterval
+	if rate := peerRateShare * g.cfg.PeerMessageRate; rate > 0 {
+		every = max(every, time.Duration(float64(len(g.nearby))/rate*float64(time.Second)))
 	}
 	g.host.Timer(tagPeerUpdate, every)
-	for ; len(peers) > 0; peers = peers[1:] {
-		var list [sectionCount][]entry
-		to := peers[0]
-		full := g.now-g.fullUpdateAt[to] >= fullUpdateInterval
-		for i := 0; full && i < len(g.groups); i++ {
-			t := &g.groups[i].latency
-			t.decay(g.now, groupMemory, 0)
-			list[groupSection] = append(list[groupSection],
-				entry{key: uint64(i), mass: t.split(float64(len(peers)), float64(g.cfg.Gateways))})
-		}
-		if full {
-			g.refreshInFlight(to)
-		}
-		room := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection)
-		for _, c := range g.pendingUpdates { // in turn
-			if c.pendingPeers>>g.peerSlot(to)&1 == 0 || room < maxEntrySize(customerSection) {
-				continue
-			}
-			others := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
-			g.refill(c, 0)
-			c.sharedDemand.decay(g.now, g.demandMemory(c.plan), 1)
-			mass := c.sharedDemand.split(float64(len(others)), float64(c.setSize))
-			h, store := &c.peers[g.peerSlot(to)], c.balance/math.Max(g.cfg.Plans[c.plan].Burst, 1e-9)
-			word := c.hardLimit.Word(g.hardLimitPart(c), h.deficit, c.setSize)
-			e := entry{c.key, mass, c.generation, c.used, store, word, byte(min(255, c.inFlight+c.queued))}
-			list[customerSection], room = append(list[customerSection], e), room-e.encodedSize()
-			c.pendingPeers &^= 1 << g.peerSlot(to)
-			h.ownUsedSent, h.deficit = c.used, 0
-		}
-		if full || len(list[customerSection]) > 0 {
-			g.host.Tell(to, packMessage(g.now-g.startedAt, g.olderPeerKnown, g.schema, list))
-		}
-		if full {
-			g.fullUpdateAt[to] = g.now
-		}
+	for i := range g.nearby {
+		g.sendUpdate(g.nearby[i:])
 	}
 	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, func(c *customer) bool { return c.pendingPeers == 0 })
 }
 
-// PeerMessage takes a peer's shares in. Anything odd is dropped whole, and so is what comes twice or late.
-func (g *Gateway) PeerMessage(now Time, from int, m []byte) {
+// sendUpdate sends an update to the first of the peers, where there is something to say. The others are those that
+// come after it in this round, to which push-sum leaves their parts.
+func (g *Gateway) sendUpdate(peers []int) {
+	to := peers[0]
+	out := update{age: g.now - g.startedAt, olderPeer: g.olderPeerKnown}
+	full := g.now-g.fullUpdateAt[to] >= fullUpdateInterval
+	if full {
+		out.entries[groupSection] = g.groupEntries(float64(len(peers)))
+		g.refreshInFlight(to)
+	}
+	out.entries[customerSection] = g.customerEntries(peers)
+	if full || len(out.entries[customerSection]) > 0 {
+		g.host.Tell(to, packUpdate(out, g.schema))
+	}
+	if full {
+		g.fullUpdateAt[to] = g.now
+	}
+}
+
+// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are left.
+func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
+	for i := range g.groups {
+		t := &g.groups[i].latency
+		t.decay(g.now, groupMemory, 0)
+		list = append(list, entry{key: uint64(i), mass: t.split(peersLeft, float64(g.cfg.Gateways))})
+	}
+	return list
+}
+
+// customerEntries gives the entries of the customers that the first of the peers is to hear of, as many as fit into a
+// message; the rest wait for the next one, in turn.
+func (g *Gateway) customerEntries(peers []int) (list []entry) {
+	to := peers[0]
+	left := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection) // bytes
+	for _, c := range g.pendingUpdates {
+		if c.pendingPeers>>g.peerSlot(to)&1 == 0 || left < maxEntrySize(customerSection) {
+			continue
+		}
+		e := g.customerEntry(c, peers)
+		list, left = append(list, e), left-e.encodedSize()
+	}
+	return list
+}
+
+// customerEntry gives a customer's entry for the first of the peers, and takes out what it grants the peer.
+func (g *Gateway) customerEntry(c *customer, peers []int) entry {
+	to := peers[0]
+	sharing := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
+	g.refill(c, 0)
+	c.sharedDemand.decay(g.now, g.demandMemory(c.plan), 1)
+	peer := &c.peers[g.peerSlot(to)]
+	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
+		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
+		limitWord: c.hardLimit.Word(g.hardLimitPart(c), peer.deficit, c.setSize),
+		inFlight:  byte(min(255, c.inFlight+c.queued))}
+	c.pendingPeers &^= 1 << g.peerSlot(to)
+	peer.ownUsedSent, peer.deficit = c.used, 0
+	return e
+}
+
+// PeerMessage takes a peer's message in. One that can't be read is dropped whole.
+func (g *Gateway) PeerMessage(now Time, from int, message []byte) {
 	g.advance(now)
 	if from < 0 || from >= g.cfg.Gateways || from == g.cfg.Self {
 		return
 	}
-	if q, ok := unpackQuery(m, from); ok {
+	if q, ok := unpackQuery(message, from); ok {
 		if c := g.answerQuery(q); c != nil {
 			g.host.Tell(from, packAnswer(q.token, c.lastQueryAdmitted))
 		}
 		return
 	}
-	if name, units, ok := unpackReconcile(m); ok {
-		g.reconcileAtOwner(from, name, units)
+	if key, units, ok := unpackReconcile(message); ok {
+		g.reconcileAtOwner(from, key, units)
 		return
 	}
-	if token, inside, ok := unpackAnswer(m); ok {
+	if token, admitted, ok := unpackAnswer(message); ok {
 		if r := g.pendingQueries[token]; r != nil && r.owner == from {
-			g.admit(r, inside)
+			g.admit(r, admitted)
 		}
 		return
 	}
-	age, elders, list, ok := g.unpack(m)
-	last, before := g.peerAge[from], g.peerLastContact[from] != 0
-	if !ok || before && age <= last && last-age < staleUpdates*fullUpdateInterval {
+	in, ok := unpackUpdate(message, g.schema)
+	if !ok {
+		g.invalidMessages++
+		return
+	}
+	g.applyUpdate(from, in)
+}
+
+// applyUpdate takes in an update, unless it comes twice or after a later one: the peer's age tells. An age that is
+// less by staleUpdates full updates or more is that of another incarnation.
+func (g *Gateway) applyUpdate(from int, in update) {
+	last, heardBefore := g.peerAge[from], g.peerLastContact[from] != 0
+	if heardBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
 		return
 	}
-	if before && !g.peerAlive(from) {
-		g.peerResumedAt[from] = now
+	if heardBefore && !g.peerAlive(from) {
+		g.peerResumedAt[from] = g.now
 	}
-	late := g.excessDelay(from, age, age < last || !before)
-	if age < last || !before { // another life, which knows nothing yet: it hears of all
+	restarted := in.age < last || !heardBefore
+	delay := g.excessDelay(from, in.age, restarted)
+	if restarted { // it knows nothing yet
 		g.incarnations[from]++
 		for _, c := range g.customers {
 			g.queueUpdate(c, from)
 		}
 	}
-	g.peerAge[from], g.peerLastContact[from], g.lastContact = age, now, now
-	if !g.olderPeerKnown && (elders || age > now-g.startedAt+staleUpdates*fullUpdateInterval) { // those near are to know it, too
+	g.peerAge[from], g.peerLastContact[from], g.lastContact = in.age, g.now, g.now
+	muchOlder := in.age > g.now-g.startedAt+staleUpdates*fullUpdateInterval
+	if !g.olderPeerKnown && (in.olderPeer || muchOlder) { // nearby peers are to know it at once
 		g.olderPeerKnown = true
 		clear(g.fullUpdateAt)
 	}
-	for _, e := range list[groupSection] {
+	for _, e := range in.entries[groupSection] {
 		if e.key < uint64(len(g.groups)) {
-			g.groups[e.key].latency.merge(now, groupMemory, 0, e.mass)
+			g.groups[e.key].latency.merge(g.now, groupMemory, 0, e.mass)
 		}
 	}
-	for _, e := range list[customerSection] { // no peer alone may thin a sum out
+	for _, e := range in.entries[customerSection] {
 		if c := g.recordFor(e.key); c != nil && g.serves(g.cfg.Self, c) && g.serves(from, c) {
-			e.mass[1] = math.Min(e.mass[1], 1)
-			c.sharedDemand.merge(now, g.demandMemory(c.plan), 1, e.mass)
-			g.applyPeerUsage(c, from, e, late)
+			e.mass[1] = math.Min(e.mass[1], 1) // a peer's weight is bounded, or it could make the sum vanish
+			c.sharedDemand.merge(g.now, g.demandMemory(c.plan), 1, e.mass)
+			g.applyPeerUsage(c, from, e, delay)
 		}
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sprucelane.example/sprucelane/internal/ruda"
 )
 
 const ms = time.Millisecond
@@ -154,7 +156,7 @@
 
 func TestUtilityByHand(t *testing.T) {
 	// v 0.2, 3 of 4 s of latency, 10 of 40 requests: 1/0.2 x 0.75 x 4 = 15
-	if f := rudaScore(0.2, 3, 4, 10, 40); math.Abs(f-15) > 1e-9 {
+	if f := ruda.Score(0.2, 3, 4, 10, 40); math.Abs(f-15) > 1e-9 {
 		t.Fatalf("f = %v, want 15", f)
 	}
 }
@@ -301,9 +303,9 @@
 
 // message is a peer's share that says a customer of two gateways asks so much there; repeated, the shares add up.
 func message(age time.Duration, id CustomerID, demand float64) []byte {
-	var list [sectionCount][]entry
-	list[customerSection] = []entry{{key: customerKey(id, 0, 0, 2), mass: [2]float64{demand / 2, 0.5}}}
-	return packMessage(age, false, settings().schema(), list)
+	u := update{age: age}
+	u.entries[customerSection] = []entry{{key: customerKey(id, 0, 0, 2), mass: [2]float64{demand / 2, 0.5}}}
+	return packUpdate(u, settings().schema())
 }
 
 // exchange is what a lone gateway hears from a live peer at which a customer asks so much: an honest instance
@@ -423,11 +425,11 @@
 		if len(m) > messageBytes {
 			t.Fatalf("message of %d bytes", len(m))
 		}
-		_, _, list, ok := unpackMessage(m, settings().schema())
+		u, ok := unpackUpdate(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
 		}
-		for _, e := range list[customerSection] {
+		for _, e := range u.entries[customerSection] {
 			told[e.key] = true
 		}
 	}
@@ -445,11 +447,11 @@
 	f.until(f.now + 60*ms)
 	told := 0
 	for _, m := range f.told {
-		_, _, list, ok := unpackMessage(m, settings().schema())
+		u, ok := unpackUpdate(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
 		}
-		told += len(list[customerSection])
+		told += len(u.entries[customerSection])
 	}
 	if told != 1 {
 		t.Fatalf("told %d times in 60 ms, once is wanted", told)
