--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -122,7 +122,7 @@
 
 // newControl returns a control process without a replica, ports and loops.
 func newControl(options Options) *Control {
-	ended, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	c := &Control{
 		settings:      options.Settings,
 		log:           options.Log,
@@ -131,8 +131,8 @@
 		environment:   *options.environment,
 		state:         statemachine.New(),
 		reader:        discovery.NewReader(options.Settings.Cloud.Address, "", options.Settings.Cloud.Rate),
-		ctx:           ended,
-		cancel:        end,
+		ctx:           ctx,
+		cancel:        cancel,
 		wakePush:      make(chan struct{}, 1),
 		wakeRoles:     make(chan struct{}, 1),
 		wakeDiscovery: make(chan struct{}, 1),
@@ -270,8 +270,8 @@
 		defer close(handed)
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
-		lending, stop := context.WithTimeout(ctx, releaseGrantsTimeout)
-		c.releaseGrants(lending)
+		releaseCtx, stop := context.WithTimeout(ctx, releaseGrantsTimeout)
+		c.releaseGrants(releaseCtx)
 		stop()
 		if err := c.replica.HandOver(ctx); err != nil {
 			c.log.Warn().Err(err).Msg("handover-failed")
--- a/internal/control/discovery/schedule.go
+++ b/internal/control/discovery/schedule.go
@@ -57,9 +57,9 @@
 // ReadFailed records a failed attempt. The delay before the next one doubles from minRetryDelay to maxRetryDelay;
 // retryAfter is what the platform asked for, and may raise it to maxRetryDelay.
 func (s *Schedule) ReadFailed(now, retryAfter time.Duration) {
-	pause := min(minRetryDelay<<min(s.failures, 8), maxRetryDelay)
+	delay := min(minRetryDelay<<min(s.failures, 8), maxRetryDelay)
 	s.failures++
-	s.retryAt = now + max(pause, min(retryAfter, maxRetryDelay))
+	s.retryAt = now + max(delay, min(retryAfter, maxRetryDelay))
 }
 
 // ListReceived records a list that another control process read from a time on. If that process has a lower rank,
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -31,15 +31,15 @@
 // proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; the next round
 // tries again.
 func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
-	raw, err := statemachine.Command{Lending: change}.Encode()
+	encoded, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("lending-command")
 		return nil
 	}
-	if raw, err = c.replica.Propose(ctx, "lending-"+randomName(), raw); err != nil {
+	if encoded, err = c.replica.Propose(ctx, "lending-"+randomName(), encoded); err != nil {
 		return nil
 	}
-	outcome, err := statemachine.DecodeOutcome(raw)
+	outcome, err := statemachine.DecodeOutcome(encoded)
 	if err != nil {
 		c.log.Error().Err(err).Msg("lending-outcome")
 		return nil
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -166,7 +166,7 @@
 	mutex         sync.Mutex
 	configuration *configuration.State
 	servers       *protocol.ServerList
-	differences   int // lists that came as differences
+	deltas        int // lists that came as differences
 	members       *protocol.MemberList
 	grant         protocol.StoreGrant
 	report        protocol.BatchReport
@@ -238,7 +238,7 @@
 		}
 		f.servers = list
 		if update.Servers.Base > 0 {
-			f.differences++
+			f.deltas++
 		}
 	}
 	if update.Members != nil {
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -46,19 +46,19 @@
 
 // submit submits a change to the chain until it is decided or its time is over.
 func (a *API) submit(change configuration.ChangeRequest, arrived time.Time) decision {
-	raw, err := statemachine.Command{Configuration: &change}.Encode()
+	encoded, err := statemachine.Command{Configuration: &change}.Encode()
 	if err != nil {
 		return decision{status: http.StatusServiceUnavailable, reason: err.Error()}
 	}
-	attempts := changeSubmission{
+	submission := changeSubmission{
 		api:           a,
 		change:        change,
-		command:       raw,
+		command:       encoded,
 		id:            proposalID(change),
 		unavailableAt: arrived.Add(unavailableAfter),
 		deadline:      arrived.Add(a.options.Bounds.Acknowledge * 4 / 5),
 	}
-	return attempts.run()
+	return submission.run()
 }
 
 // shapeFindings checks the shape of a change that builds on the current version. A change that was accepted earlier
@@ -158,12 +158,12 @@
 func (s *changeSubmission) propose() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(s.deadline)))
 	defer cancel()
-	raw, err := s.api.options.Chain.Propose(ctx, s.id, s.command)
+	encoded, err := s.api.options.Chain.Propose(ctx, s.id, s.command)
 	if err != nil {
 		s.uncertain = s.uncertain || !errors.Is(err, ErrUnavailable)
 		return decision{}, err
 	}
-	outcome, err := statemachine.DecodeOutcome(raw)
+	outcome, err := statemachine.DecodeOutcome(encoded)
 	if err != nil || outcome.Configuration == nil {
 		s.uncertain = true
 		return decision{}, errors.Join(errors.New("the order's outcome can't be read"), err)
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -42,14 +42,14 @@
 // retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under way
 // isn't changed by it.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
-	raw, err := statemachine.Command{
+	command, err := statemachine.Command{
 		Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores},
 	}.Encode()
 	if err != nil {
 		return 0, err
 	}
 	for {
-		outcome, err := a.proposeRetirement(name, raw)
+		outcome, err := a.proposeRetirement(name, command)
 		if err == nil || !waitToRetry(context.Background(), arrived.Add(unavailableAfter)) {
 			return outcome, err
 		}
@@ -57,10 +57,10 @@
 }
 
 // proposeRetirement proposes a retirement once.
-func (a *API) proposeRetirement(name string, raw []byte) (statemachine.StoreOutcome, error) {
+func (a *API) proposeRetirement(name string, command []byte) (statemachine.StoreOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
-	reply, err := a.options.Chain.Propose(ctx, newID("retire-"+name), raw)
+	reply, err := a.options.Chain.Propose(ctx, newID("retire-"+name), command)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -65,7 +65,7 @@
 // other side has dropped what it had over the former connection.
 func (p *peers) connect(ip string) *peer {
 	one := &peer{gateways: map[string]protocol.Process{}}
-	forget := func(bool) {
+	onReconnect := func(bool) {
 		p.mutex.Lock()
 		one.serversVersion = 0
 		one.sentAll = false
@@ -76,7 +76,7 @@
 		p.control.settings.EndpointAt(ip, node.PortControl),
 		p.control.transportOptions(),
 		nil,
-		forget,
+		onReconnect,
 	)
 	return one
 }
@@ -144,8 +144,8 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, one := range p.byIP {
-		share, version := c.peerServersSince(rank, one.serversVersion)
-		if one.client.Send(peerReport{Servers: share}) == nil {
+		servers, version := c.peerServersSince(rank, one.serversVersion)
+		if one.client.Send(peerReport{Servers: servers}) == nil {
 			one.serversVersion = version
 		}
 	}
@@ -156,16 +156,16 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	table := &c.servers
-	share := &peerServers{
+	servers := &peerServers{
 		Digest: table.list.Digest,
 		Ago:    c.now() - table.readAt,
 		Took:   c.schedule.ReadDuration(),
 		Rank:   rank,
 	}
 	if has != table.version {
-		share.List = table.messageFrom(c.incarnation, has, c.now())
+		servers.List = table.messageFrom(c.incarnation, has, c.now())
 	}
-	return share, table.version
+	return servers, table.version
 }
 
 // reportLoop reports who polls here to the other control processes.
--- a/internal/control/peersessions.go
+++ b/internal/control/peersessions.go
@@ -97,9 +97,9 @@
 
 // mergeServers applies a server list that another control process has read, and reports whether it changed the one
 // held here. It is called with the mutex held.
-func (c *Control) mergeServers(peer *peerSession, shared *peerServers, now time.Duration) bool {
-	if shared.List != nil {
-		list, err := serverlist.ApplyUpdate(peer.servers, shared.List)
+func (c *Control) mergeServers(peer *peerSession, received *peerServers, now time.Duration) bool {
+	if received.List != nil {
+		list, err := serverlist.ApplyUpdate(peer.servers, received.List)
 		if err != nil {
 			// Later differences can't be applied either; this process reads the list itself before long.
 			peer.servers = nil
@@ -110,7 +110,7 @@
 	if peer.servers == nil {
 		return false
 	}
-	readAt := now - max(shared.Ago, 0)
-	c.schedule.ListReceived(readAt, shared.Took, shared.Rank)
-	return c.servers.update(discovery.List{Servers: peer.servers.Servers, Digest: shared.Digest}, readAt)
+	readAt := now - max(received.Ago, 0)
+	c.schedule.ListReceived(readAt, received.Took, received.Rank)
+	return c.servers.update(discovery.List{Servers: peer.servers.Servers, Digest: received.Digest}, readAt)
 }
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -17,9 +17,9 @@
 	if s.released {
 		return nil
 	}
-	lender := s.record.Grantor()
-	if lender != s.self || s.term == nil {
-		return s.beginTerm(lender)
+	grantor := s.record.Grantor()
+	if grantor != s.self || s.term == nil {
+		return s.beginTerm(grantor)
 	}
 	if !s.term.started {
 		return nil
@@ -47,10 +47,10 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.released = true
-	lends := s.term != nil && s.record.Grantor() == s.self
+	isGrantor := s.term != nil && s.record.Grantor() == s.self
 	s.term = nil
 	s.allocator.Stop()
-	if !lends {
+	if !isGrantor {
 		return nil
 	}
 	return &statemachine.GrantsChange{Lender: s.self, End: true}
@@ -58,14 +58,14 @@
 
 // beginTerm returns the change that makes this process the grantor, or nil while another may still act. It is
 // called with the mutex held.
-func (s *Service) beginTerm(lender statemachine.Grantor) *statemachine.GrantsChange {
-	alone := lender == statemachine.Grantor{} || lender == statemachine.ReleasedGrantor ||
-		lender.Member == s.self.Member
+func (s *Service) beginTerm(grantor statemachine.Grantor) *statemachine.GrantsChange {
+	alone := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
+		grantor.Member == s.self.Member
 	if _, _, leads := s.leadership.Lead(); !alone && !leads {
 		return nil
 	}
 	s.lastChange++
-	return &statemachine.GrantsChange{Lender: s.self, Begin: true, Before: lender, Number: s.lastChange}
+	return &statemachine.GrantsChange{Lender: s.self, Begin: true, Before: grantor, Number: s.lastChange}
 }
 
 // ChangeDone processes the outcome of a change. A nil outcome is an unknown one: the next NextChange repeats what
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -63,8 +63,8 @@
 type operatorChain struct{ replica Replica }
 
 // Propose implements operatorapi.Chain.
-func (o operatorChain) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
-	result, err := o.replica.Propose(ctx, id, order)
+func (o operatorChain) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
+	result, err := o.replica.Propose(ctx, id, command)
 	if errors.Is(err, replica.ErrUnavailable) {
 		return nil, fmt.Errorf("%w: %w", operatorapi.ErrUnavailable, err)
 	}
--- a/internal/control/serverdiscovery.go
+++ b/internal/control/serverdiscovery.go
@@ -60,12 +60,12 @@
 // readFailed schedules the next attempt, by the platform's Retry-After where it gave one.
 func (c *Control) readFailed(err error) {
 	var rate *discovery.RateLimitError
-	var patience time.Duration
+	var retryAfter time.Duration
 	if errors.As(err, &rate) {
-		patience = rate.RetryAfter
+		retryAfter = rate.RetryAfter
 	}
 	c.mutex.Lock()
-	c.schedule.ReadFailed(c.now(), patience)
+	c.schedule.ReadFailed(c.now(), retryAfter)
 	c.mutex.Unlock()
 	c.log.Warn().Err(err).Msg("servers-not-read")
 }
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -11,15 +11,15 @@
 
 // maxDifferences is the number of versions over which a difference is kept. A subscriber that is further behind
 // gets the whole list.
-const maxDifferences = 64
+const maxDeltas = 64
 
 // serverTable is the newest server list, with the versions that this process gives its changes and the differences
 // between the last of them. It is guarded by Control.mutex.
 type serverTable struct {
-	list        discovery.List
-	version     uint64 // 0: no list was had
-	readAt      time.Duration
-	differences []serverlist.Delta // the last ones; the newest led to version
+	list    discovery.List
+	version uint64 // 0: no list was had
+	readAt  time.Duration
+	deltas  []serverlist.Delta // the last ones; the newest led to version
 }
 
 // update replaces the list by a newer one and reports whether its content changed. One that was read earlier than
@@ -32,10 +32,10 @@
 	if t.version > 0 && t.list.Digest == list.Digest {
 		return false
 	}
-	if len(t.differences) == maxDifferences {
-		t.differences = slices.Delete(t.differences, 0, 1)
+	if len(t.deltas) == maxDeltas {
+		t.deltas = slices.Delete(t.deltas, 0, 1)
 	}
-	t.differences = append(t.differences, serverlist.Diff(t.list.Servers, list.Servers))
+	t.deltas = append(t.deltas, serverlist.Diff(t.list.Servers, list.Servers))
 	t.list = list
 	t.version++
 	return true
@@ -43,13 +43,13 @@
 
 // differenceFrom returns the difference from a version to the newest. It reports false if that isn't kept, or isn't
 // smaller than the whole list.
-func (t *serverTable) differenceFrom(version uint64) (serverlist.Delta, bool) {
+func (t *serverTable) deltaFrom(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
-	if version == 0 || version > t.version || behind > uint64(len(t.differences)) {
+	if version == 0 || version > t.version || behind > uint64(len(t.deltas)) {
 		return serverlist.Delta{}, false
 	}
 	var joined serverlist.Delta
-	for _, one := range t.differences[len(t.differences)-int(behind):] {
+	for _, one := range t.deltas[len(t.deltas)-int(behind):] {
 		joined = serverlist.Compose(joined, one)
 	}
 	return joined, len(joined.Changed)+len(joined.Removed) < len(t.list.Servers)
@@ -59,8 +59,8 @@
 // servers as of now.
 func (t *serverTable) messageFrom(source string, version uint64, now time.Duration) *protocol.ServerList {
 	message := &protocol.ServerList{Version: t.version, Source: source}
-	if difference, kept := t.differenceFrom(version); kept {
-		message.Base, message.Servers, message.Removed = version, difference.Changed, difference.Removed
+	if delta, kept := t.deltaFrom(version); kept {
+		message.Base, message.Servers, message.Removed = version, delta.Changed, delta.Removed
 	} else {
 		message.Servers = slices.Clone(t.list.Servers)
 	}
--- a/internal/control/servertable_test.go
+++ b/internal/control/servertable_test.go
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
 		followers := make([]*protocol.ServerList, 3)
-		for step := range 3 * maxDifferences {
+		for step := range 3 * maxDeltas {
 			var servers []protocol.Server
 			for id := range 6 {
 				if slots := rapid.IntRange(0, 2).Draw(t, "slots"); slots > 0 {
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -85,14 +85,14 @@
 
 // proposeStoreCommand proposes a command on the store membership and waits for its outcome, up to proposeTimeout.
 func (c *Control) proposeStoreCommand(command statemachine.Command) {
-	raw, err := command.Encode()
+	encoded, err := command.Encode()
 	if err != nil {
 		c.log.Error().Err(err).Msg("store-set-command")
 		return
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
-	_, err = c.replica.Propose(ctx, "stores-"+randomName(), raw)
+	_, err = c.replica.Propose(ctx, "stores-"+randomName(), encoded)
 	if err != nil && !errors.Is(err, replica.ErrClosed) {
 		c.log.Warn().Err(err).Msg("store-set-not-changed")
 		return
