--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -70,7 +70,7 @@
 	cloud.set(
 		`{"id":"i-1","backend":"b","address":"10.0.0.1:80","zone":"z","slots":4,"state":"draining"},{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`,
 	)
-	eventually(t, "the draining server at the gateway, as a difference", gateway.locked(func() bool {
+	eventually(t, "the draining server at the gateway, as a delta", gateway.locked(func() bool {
 		return gateway.servers.Servers[0].Draining && !gateway.servers.Servers[1].Draining && gateway.deltas > 0
 	}))
 	if status := s.put(t, "PATCH", "7", `{"generation":9}`); status != 200 {
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -475,7 +475,7 @@
 }
 
 func (w *deployment) replaceStore(s *deployedStore) {
-	w.logf("%s is taken away", s.node)
+	w.logf("%s is removed", s.node)
 	s.losePower()
 	w.lock.Lock()
 	s.removed = true
--- a/internal/control/discovery/ratelimiter.go
+++ b/internal/control/discovery/ratelimiter.go
@@ -22,11 +22,11 @@
 }
 
 // reserve reserves the next call and returns how long it must wait from now.
-func (p *rateLimiter) reserve(now time.Time) time.Duration {
-	if p.nextAt.Before(now) {
-		p.nextAt = now
+func (l *rateLimiter) reserve(now time.Time) time.Duration {
+	if l.nextAt.Before(now) {
+		l.nextAt = now
 	}
-	wait := max(0, p.nextAt.Sub(now)-p.burst)
-	p.nextAt = p.nextAt.Add(p.interval)
+	wait := max(0, l.nextAt.Sub(now)-l.burst)
+	l.nextAt = l.nextAt.Add(l.interval)
 	return wait
 }
--- a/internal/control/environment.go
+++ b/internal/control/environment.go
@@ -20,9 +20,9 @@
 }
 
 // listen listens on an address by bind or, where that is nil, on TCP.
-func (s *environment) listen(address string) (net.Listener, error) {
-	if s.bind != nil {
-		return s.bind(address)
+func (e *environment) listen(address string) (net.Listener, error) {
+	if e.bind != nil {
+		return e.bind(address)
 	}
 	return net.Listen("tcp", address)
 }
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -166,7 +166,7 @@
 	mutex         sync.Mutex
 	configuration *configuration.State
 	servers       *protocol.ServerList
-	deltas        int // lists that came as differences
+	deltas        int // server lists that were received as deltas
 	members       *protocol.MemberList
 	grant         protocol.StoreGrant
 	report        protocol.BatchReport
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -127,7 +127,7 @@
 		Convey("before the first configuration there is none to read", func() {
 			So(send(api, "GET", "/config", "", "").Code, ShouldEqual, 404)
 		})
-		Convey("a configuration is taken, read back, and acknowledged again", func() {
+		Convey("a configuration is accepted, read back, and acknowledged again", func() {
 			So(send(api, "PUT", "/config", "0", document).Code, ShouldEqual, 200)
 			read := send(api, "GET", "/config", "", "")
 			So(read.Code, ShouldEqual, 200)
@@ -140,12 +140,12 @@
 			So(send(api, "PATCH", "/config", "9", `{"generation":9}`).Code, ShouldEqual, 400)
 			So(chain.index, ShouldEqual, 2)
 		})
-		Convey("a base that is missing or malformed is refused", func() {
+		Convey("a missing or malformed If-Match is rejected", func() {
 			for _, ifMatch := range []string{"", "x", "-1", "1.5", `"`, "*", "99999999999999999999"} {
 				So(send(api, "PUT", "/config", ifMatch, document).Code, ShouldEqual, 400)
 			}
 		})
-		Convey("what is invalid is refused with all findings, and never proposed", func() {
+		Convey("an invalid configuration is rejected with all findings, and never proposed", func() {
 			bad := strings.NewReplacer(`"timeout-ms":5`, `"timeout-ms":0`, `"path-prefix":"/"`, `"path-prefix":"x"`).
 				Replace(document)
 			refused := send(api, "PUT", "/config", "0", bad)
@@ -162,11 +162,11 @@
 			So(send(api, "PATCH", "/config", "0", `{"generation":1}`).Code, ShouldEqual, 400)
 			So(chain.index, ShouldEqual, 0)
 		})
-		Convey("a body over the bound is refused", func() {
+		Convey("a body over the limit is rejected", func() {
 			So(send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 5000)).Code, ShouldEqual, 413)
 			So(sendChunked(api, document+strings.Repeat(" ", 5000)).Code, ShouldEqual, 413)
 		})
-		Convey("a body that is cut off is refused", func() {
+		Convey("a truncated body is rejected", func() {
 			request := httptest.NewRequest("PUT", "/config", strings.NewReader(document[:50]))
 			request.ContentLength = int64(len(document))
 			request.Header.Set("If-Match", "0")
@@ -194,7 +194,7 @@
 }
 
 func TestIndeterminate(t *testing.T) {
-	runInBubble(t, "a chain that can't be read is told soon, with when to come back", func(t *testing.T) {
+	runInBubble(t, "while the chain can't be read, 503 comes soon, with Retry-After", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.partitioned = true
 		api := newAPI(chain)
@@ -210,7 +210,7 @@
 			}
 		}
 	})
-	runInBubble(t, "a chain that can't be read refuses nothing, whatever was sent", func(t *testing.T) {
+	runInBubble(t, "while the chain can't be read, nothing is rejected, whatever was sent", func(t *testing.T) {
 		chain := newFakeChain()
 		api := newAPI(chain)
 		checkStatus(t, send(api, "PUT", "/config", "0", document), 200)
@@ -231,7 +231,7 @@
 			checkStatus(t, send(api, one.method, one.path, one.ifMatch, one.body), 503)
 		}
 	})
-	runInBubble(t, "an order that is too large here, and was taken elsewhere, is acknowledged again", func(t *testing.T) {
+	runInBubble(t, "a change that is too large here, and was accepted elsewhere, is acknowledged again", func(t *testing.T) {
 		chain := newFakeChain()
 		large := New(
 			Options{
@@ -249,7 +249,7 @@
 		checkStatus(t, send(api, "PUT", "/config", "0", body+" "), 413)
 		checkStatus(t, sendChunked(api, body+" "), 413)
 	})
-	runInBubble(t, "an order whose outcome is unheard is proposed again under its id", func(t *testing.T) {
+	runInBubble(t, "a change whose outcome is unknown is proposed again under its id", func(t *testing.T) {
 		for _, fates := range [][]proposalOutcome{
 			{acknowledgementLost},
 			{proposalLost},
@@ -277,7 +277,7 @@
 			}
 		}
 	})
-	runInBubble(t, "an order that comes again while it is under way joins the first", func(t *testing.T) {
+	runInBubble(t, "a change that is sent again while it is being decided shares the decision", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
@@ -294,7 +294,7 @@
 			t.Fatalf("ids %v", chain.proposals)
 		}
 	})
-	runInBubble(t, "an order goes on when its caller has gone", func(t *testing.T) {
+	runInBubble(t, "a change goes on when its caller has gone", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
@@ -313,7 +313,7 @@
 		synctest.Wait()
 		checkStatus(t, send(api, "GET", "/config", "", ""), 200)
 	})
-	runInBubble(t, "the body of an order whose caller has gone counts as long as it is held", func(t *testing.T) {
+	runInBubble(t, "the body of a change whose caller has gone counts as long as it is held", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
@@ -334,7 +334,7 @@
 		synctest.Wait()
 		checkStatus(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 412)
 	})
-	runInBubble(t, "of two orders on one version one wins", func(t *testing.T) {
+	runInBubble(t, "of several changes on one version one is accepted", func(t *testing.T) {
 		chain := newFakeChain()
 		api := newAPI(chain)
 		statuses := make(chan int)
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -163,7 +163,7 @@
 		case got.status == 200 && got.etag == fmt.Sprintf(`"%d"`, newest):
 			return early
 		case got.status == 200 || got.status == 404:
-			w.failf("%s tells version %s, the newest is %d", m.ip, got.etag, newest)
+			w.failf("%s answers with version %s, the newest is %d", m.ip, got.etag, newest)
 			return early
 		}
 		early++
--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -216,7 +216,7 @@
 
 // partition partitions a machine from all others, in one direction or both.
 func (w *clusterSimulation) partition(m *simulatedControl, out, in bool, span time.Duration) {
-	w.logf("%s is cut off for %v, out %t, in %t", m.ip, span, out, in)
+	w.logf("%s is partitioned for %v, out %t, in %t", m.ip, span, out, in)
 	for _, other := range w.members {
 		if other == m {
 			continue
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -249,7 +249,7 @@
 // checkPartitioned checks that a partitioned machine answers 503 or 504 only.
 func (c *operatorClient) checkPartitioned(m *simulatedControl, began time.Duration, got callResult) {
 	if got.status != 0 && got.status != 503 && got.status != 504 && c.cluster.isPartitioned(m, began) {
-		c.cluster.failf("%s is cut off and answers %d: %s", m.ip, got.status, got.body)
+		c.cluster.failf("%s is partitioned and answers %d: %s", m.ip, got.status, got.body)
 	}
 }
 
@@ -353,14 +353,14 @@
 			switch {
 			case status == configuration.StatusAccepted && change.rejectedWith != 0 && !change.futureBase && w.bug != bugSnapshotDropsChanges:
 				w.failf(
-					"order %s on %d was refused with %d and is in force on %s",
+					"change %s on %d was rejected with %d and is current on %s",
 					change.tenant,
 					change.ifMatch,
 					change.rejectedWith,
 					m.ip,
 				)
 			case status != configuration.StatusAccepted && change.acknowledged && w.bug != bugSnapshotDropsChanges:
-				w.failf("order %s on %d was acknowledged and isn't known to %s", change.tenant, change.ifMatch, m.ip)
+				w.failf("change %s on %d was acknowledged and isn't known to %s", change.tenant, change.ifMatch, m.ip)
 			}
 		}
 	}
@@ -462,7 +462,7 @@
 	before := h.lastAcknowledgedAt
 	for tries := 0; h.lastAcknowledgedAt == before; tries++ {
 		if tries == 40 {
-			h.cluster.failf("no order is taken once all faults are over")
+			h.cluster.failf("no change is accepted once all faults are over")
 			return
 		}
 		client.read()
--- a/internal/control/operatorapi/response.go
+++ b/internal/control/operatorapi/response.go
@@ -21,18 +21,18 @@
 }
 
 // write writes the decision as the response.
-func (v decision) write(c echo.Context) error {
-	if v.status == http.StatusServiceUnavailable {
-		return writeUnavailable(c, v.reason)
+func (d decision) write(c echo.Context) error {
+	if d.status == http.StatusServiceUnavailable {
+		return writeUnavailable(c, d.reason)
 	}
-	if v.status == http.StatusGatewayTimeout {
+	if d.status == http.StatusGatewayTimeout {
 		c.Response().Header().Set("Connection", "close")
-		return c.JSON(v.status, responseBody{Message: v.reason})
+		return c.JSON(d.status, responseBody{Message: d.reason})
 	}
-	if v.status == http.StatusOK {
-		c.Response().Header().Set("ETag", strconv.Quote(strconv.FormatUint(v.body.Generation, 10)))
+	if d.status == http.StatusOK {
+		c.Response().Header().Set("ETag", strconv.Quote(strconv.FormatUint(d.body.Generation, 10)))
 	}
-	return c.JSON(v.status, v.body)
+	return c.JSON(d.status, d.body)
 }
 
 // responseBody is the body of every response but that of GET /config.
@@ -49,6 +49,7 @@
 	Text  string `json:"text"`
 }
 
+// findingBodies converts findings to their form in a response.
 func findingBodies(findings node.Findings) []findingBody {
 	list := make([]findingBody, len(findings))
 	for i, one := range findings {
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -86,10 +86,10 @@
 			expected = 503
 		}
 		if got != expected {
-			w.failf("the order of version %d of %d gets %d, not %d", version, orders, got, expected)
+			w.failf("the change to version %d of %d gets %d, not %d", version, orders, got, expected)
 		}
 	}
 	if got := w.members[0].call("PATCH", fmt.Sprint(orders-10), `{"generation":1}`, 2*time.Second).status; got != 412 {
-		w.failf("a stale order gets %d", got)
+		w.failf("a stale change gets %d", got)
 	}
 }
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -202,7 +202,7 @@
 		s.failf("the newest version isn't returned: %d %s", status, body)
 	}
 	if status, body := s.call(s.victim, "PUT", "/config", "0", quotaDocument); status != 200 {
-		s.failf("an order that was taken is refused: %d %s", status, body)
+		s.failf("a change that was accepted is rejected: %d %s", status, body)
 	}
 	time.Sleep(5 * time.Second)
 	now := s.running[s.victim].state.Stores()
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,7 +12,7 @@
 
 // Intervals of the reports between control processes.
 const (
-	// Of reports to the head of the chain, which keeps the store membership.
+	// reportInterval is that of reports to the head of the chain, which keeps the store membership.
 	reportInterval      = 400 * time.Millisecond
 	reportsPerBroadcast = 2 // reports to the head for each one to the others
 )
@@ -136,8 +136,8 @@
 	}
 }
 
-// sendServers sends the server list that was just read to all others, as a difference where they have the version
-// before.
+// sendServers sends the server list that was just read to all others, as a delta where they have an earlier
+// version.
 func (p *peers) sendServers() {
 	c := p.control
 	rank := c.readerRank()
--- a/internal/control/peersessions.go
+++ b/internal/control/peersessions.go
@@ -55,7 +55,8 @@
 	if peer == nil {
 		peer = &peerSession{firstContactAt: c.now(), gateways: map[string]protocol.Process{}}
 		c.peerSessions[session] = peer
-		session.OnClose(func() { go c.removePeerSession(session) }) // not here: the mutex may be held
+		// A session that has ended calls the function at once, while the mutex is held here.
+		session.OnClose(func() { go c.removePeerSession(session) })
 	}
 	return peer
 }
@@ -101,7 +102,7 @@
 	if received.List != nil {
 		list, err := serverlist.ApplyUpdate(peer.servers, received.List)
 		if err != nil {
-			// Later differences can't be applied either; this process reads the list itself before long.
+			// Later deltas can't be applied either; this process reads the list itself before long.
 			peer.servers = nil
 			return false
 		}
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -81,8 +81,11 @@
 	}
 	if change.Begin {
 		s.allocator.Stop()
-		s.term = &term{firstEver: outcome.Before == statemachine.Grantor{}, nodes: append([]string{}, outcome.Nodes...),
-			floors: outcome.Floors}
+		s.term = &term{
+			firstEver: outcome.Before == statemachine.Grantor{},
+			nodes:     append([]string{}, outcome.Nodes...),
+			floors:    outcome.Floors,
+		}
 		return
 	}
 	if s.term != nil && s.term.started {
--- a/internal/control/quotaservice/service.go
+++ b/internal/control/quotaservice/service.go
@@ -79,9 +79,13 @@
 	bounds := &options.Bounds
 	rules := quota.Rules{Window: bounds.QuotaWindow, Overshoot: bounds.QuotaOvershoot, Slack: bounds.QuotaSlack}
 	return &Service{
-		leadership: options.Leadership, record: options.Record, self: options.Self, wake: options.Wake,
-		clock: clock, origin: clock(),
-		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules}),
+		leadership: options.Leadership,
+		record:     options.Record,
+		self:       options.Self,
+		wake:       options.Wake,
+		clock:      clock,
+		origin:     clock(),
+		allocator:  quota.NewAllocator(quota.AllocatorOptions{Rules: rules}),
 	}
 }
 
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -17,7 +17,7 @@
 // Replica is what the control plane needs of its member of the chain. *replica.Node implements it; tests wrap or
 // replace it.
 type Replica interface {
-	Propose(ctx context.Context, id string, order []byte) ([]byte, error)
+	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
 	Read(ctx context.Context) (uint64, error)
 	Staleness() (age time.Duration, ok bool)
 	View() view.View
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -9,15 +9,15 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// maxDifferences is the number of versions over which a difference is kept. A subscriber that is further behind
+// maxDeltas is the number of versions over which a delta can be sent. A subscriber that is further behind
 // gets the whole list.
 const maxDeltas = 64
 
-// serverTable is the newest server list, with the versions that this process gives its changes and the differences
+// serverTable is the newest server list, with the versions that this process gives its changes and the deltas
 // between the last of them. It is guarded by Control.mutex.
 type serverTable struct {
 	list    discovery.List
-	version uint64 // 0: no list was had
+	version uint64 // 0: there is no list yet
 	readAt  time.Duration
 	deltas  []serverlist.Delta // the last ones; the newest led to version
 }
@@ -41,7 +41,7 @@
 	return true
 }
 
-// differenceFrom returns the difference from a version to the newest. It reports false if that isn't kept, or isn't
+// deltaFrom returns the delta from a version to the newest. It reports false if that isn't kept, or isn't
 // smaller than the whole list.
 func (t *serverTable) deltaFrom(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -227,7 +227,7 @@
 		)
 	}
 	if w.partitioned == at && sent.Sub(w.partitionedAt) > maxStaleness {
-		w.failf("%s vouches %v after it was cut off", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
+		w.failf("%s vouches %v after it was partitioned", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
 	}
 	return true
 }
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -79,6 +79,7 @@
 	if !known {
 		one = &subscriber{firstContactAt: c.now()}
 		c.subscribers[session] = one
+		// A session that has ended calls the function at once, while the mutex is held here.
 		session.OnClose(func() { go c.unsubscribe(session) })
 	}
 	one.process = poll.Process
