--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -185,10 +185,10 @@
 }
 
 // peer returns what is known of a replica, or nil for a store that isn't one.
-func (h *storedJob) peer(key placement.Key) *peer {
-	for i := range h.peers {
-		if placement.KeyOf(h.peers[i].process) == key {
-			return &h.peers[i]
+func (j *storedJob) peer(key placement.Key) *peer {
+	for i := range j.peers {
+		if placement.KeyOf(j.peers[i].process) == key {
+			return &j.peers[i]
 		}
 	}
 	return nil
