--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -98,7 +98,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.conns) >= l.maxConns && !l.aborted {
-		l.backlogDeadline = time.Time{} // the connections behind this one could not be accepted: their time starts anew
+		// The connections behind this one could not be accepted meanwhile, so their time starts anew.
+		l.backlogDeadline = time.Time{}
 		l.makeRoom()
 	}
 	client := &clientConn{Conn: c, listener: l, encrypted: l.encrypted, state: http.StateNew, stateSince: time.Now()}
--- a/internal/front/responsewriter.go
+++ b/internal/front/responsewriter.go
@@ -15,14 +15,14 @@
 // written by a responseWriter.
 func trackRequests(state *service.State, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a := &responseWriter{ResponseWriter: w, state: state}
+		rw := &responseWriter{ResponseWriter: w, state: state}
 		if c, _ := r.Context().Value(connKey{}).(*clientConn); c != nil {
-			a.conn = c
+			rw.conn = c
 			c.setHandling(true)
 			defer c.setHandling(false)
 		}
-		if handler.ServeHTTP(a, r); !a.headerWritten {
-			a.WriteHeader(http.StatusOK)
+		if handler.ServeHTTP(rw, r); !rw.headerWritten {
+			rw.WriteHeader(http.StatusOK)
 		}
 	})
 }
@@ -38,32 +38,32 @@
 }
 
 // WriteHeader writes the head, with Connection: close if need be.
-func (a *responseWriter) WriteHeader(code int) {
-	if !a.headerWritten {
-		if a.isLast() {
-			a.Header().Set("Connection", "close")
+func (w *responseWriter) WriteHeader(code int) {
+	if !w.headerWritten {
+		if w.isLast() {
+			w.Header().Set("Connection", "close")
 		}
-		http.NewResponseController(a.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
+		http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
 	}
-	a.headerWritten = a.headerWritten || code >= http.StatusOK
-	a.ResponseWriter.WriteHeader(code)
+	w.headerWritten = w.headerWritten || code >= http.StatusOK
+	w.ResponseWriter.WriteHeader(code)
 }
 
 // isLast reports whether the response is the last one of its connection.
-func (a *responseWriter) isLast() bool {
-	if a.conn.overflowed() {
+func (w *responseWriter) isLast() bool {
+	if w.conn.overflowed() {
 		return true
 	}
-	return a.state.ClosesAfterResponse() && !(a.conn.moreArrived() && !a.state.ClosesIdle(time.Now()))
+	return w.state.ClosesAfterResponse() && !(w.conn.moreArrived() && !w.state.ClosesIdle(time.Now()))
 }
 
 // Write writes the body, after the head.
-func (a *responseWriter) Write(b []byte) (int, error) {
-	if !a.headerWritten {
-		a.WriteHeader(http.StatusOK)
+func (w *responseWriter) Write(b []byte) (int, error) {
+	if !w.headerWritten {
+		w.WriteHeader(http.StatusOK)
 	}
-	return a.ResponseWriter.Write(b)
+	return w.ResponseWriter.Write(b)
 }
 
 // Unwrap is for http.ResponseController.
-func (a *responseWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/pool/exchange.go
+++ b/internal/pool/exchange.go
@@ -27,17 +27,17 @@
 }
 
 // To returns the server.
-func (request *Request) To() policy.ServerID { return request.Server }
+func (r *Request) To() policy.ServerID { return r.Server }
 
 // By returns the deadline for dialling and writing.
-func (request *Request) By() time.Time { return request.Deadline }
+func (r *Request) By() time.Time { return r.Deadline }
 
 // Begin reports whether the first byte may be written.
-func (request *Request) Begin(io.Closer) (core.End, bool) {
+func (r *Request) Begin(io.Closer) (core.End, bool) {
 	switch {
-	case request.ctx.Err() != nil || !time.Now().Before(request.Deadline):
+	case r.ctx.Err() != nil || !time.Now().Before(r.Deadline):
 		return core.EndAlreadyAnswered, false
-	case request.MaySend != nil && !request.MaySend():
+	case r.MaySend != nil && !r.MaySend():
 		return core.EndUnauthorized, false
 	}
 	return core.EndNone, true
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -103,8 +103,8 @@
 // bufferBeginning buffers the body up to a limit, and reports whether that is all of it. With mayReturnEarly it
 // returns less once no more has arrived for holdBackTimeout. The buffer grows in steps, as a length that a server
 // claims may be far beyond what it sends.
-func (b *responseBody) bufferBeginning(limit int64, deadline time.Time, mayReturnEarly bool) (complete bool,
-	err error) {
+func (b *responseBody) bufferBeginning(limit int64, deadline time.Time,
+	mayReturnEarly bool) (complete bool, err error) {
 	for size := min(limit, StreamBufferSize); ; size = min(2*size, limit) {
 		if more := size - b.reserved; more > 0 {
 			if !b.pool.options.ResponseMemory.Acquire(more, deadline) {
--- a/internal/pool/staleness.go
+++ b/internal/pool/staleness.go
@@ -36,27 +36,27 @@
 )
 
 // bucketOf returns the index of the bucket of an idle time.
-func (a *stalenessEstimator) bucketOf(idle time.Duration) int {
-	return min(bits.Len64(uint64(max(idle, 0)/shortestIdle)), len(a.buckets)-1)
+func (e *stalenessEstimator) bucketOf(idle time.Duration) int {
+	return min(bits.Len64(uint64(max(idle, 0)/shortestIdle)), len(e.buckets)-1)
 }
 
 // decay lets the counts decay until now. The mutex is held.
-func (a *stalenessEstimator) decay() {
+func (e *stalenessEstimator) decay() {
 	now := time.Now()
-	factor := math.Exp(-float64(now.Sub(a.decayedAt)) / float64(decayTimeConstant))
-	a.decayedAt = now
-	for i := range a.buckets {
-		a.buckets[i].used *= factor
-		a.buckets[i].broken *= factor
+	factor := math.Exp(-float64(now.Sub(e.decayedAt)) / float64(decayTimeConstant))
+	e.decayedAt = now
+	for i := range e.buckets {
+		e.buckets[i].used *= factor
+		e.buckets[i].broken *= factor
 	}
 }
 
 // observe counts a request on a connection that had been idle for some time, and whether it was reset at once.
-func (a *stalenessEstimator) observe(idle time.Duration, broken bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.decay()
-	bucket := &a.buckets[a.bucketOf(idle)]
+func (e *stalenessEstimator) observe(idle time.Duration, broken bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.decay()
+	bucket := &e.buckets[e.bucketOf(idle)]
 	if bucket.used++; broken {
 		bucket.broken++
 	}
@@ -64,14 +64,14 @@
 
 // likelyStale reports whether connections that are idle for so long have been failing too often for a request with
 // this method.
-func (a *stalenessEstimator) likelyStale(idle time.Duration, method string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	bucket, minBroken := &a.buckets[a.bucketOf(idle)], minBrokenSafe
+func (e *stalenessEstimator) likelyStale(idle time.Duration, method string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	bucket, minBroken := &e.buckets[e.bucketOf(idle)], minBrokenSafe
 	if bucket.broken == 0 {
 		return false
 	}
-	a.decay()
+	e.decay()
 	if method != http.MethodGet {
 		minBroken = minBrokenUnsafe
 	}
--- a/internal/pool/write.go
+++ b/internal/pool/write.go
@@ -25,21 +25,21 @@
 )
 
 // writeTo writes the request. A short body goes out in one write, and usually one packet, with the head.
-func (request *Request) writeTo(c *conn) writeProgress {
+func (r *Request) writeTo(c *conn) writeProgress {
 	b := headBuffers.Get().(*bytes.Buffer)
 	defer headBuffers.Put(b)
 	b.Reset()
-	request.WriteHead(b)
+	r.WriteHead(b)
 	head := b.Len()
-	if len(request.Body) <= maxCoalescedBody {
-		b.Write(request.Body)
+	if len(r.Body) <= maxCoalescedBody {
+		b.Write(r.Body)
 		n, _ := c.Write(b.Bytes())
 		return progressOf(n, head, b.Len())
 	}
 	if !c.writeAll(b.Bytes()) {
 		return headIncomplete
 	}
-	return progressOf(head+request.writeBody(c), head, head+len(request.Body))
+	return progressOf(head+r.writeBody(c), head, head+len(r.Body))
 }
 
 // progressOf returns the progress after so many bytes of a request with this size of the head and in total.
@@ -55,23 +55,23 @@
 
 // writeBody writes a long body until the deadline, or until the server takes no more of it and has answered. It
 // returns the number of bytes written.
-func (request *Request) writeBody(c *conn) (written int) {
-	if _, encrypted := c.Conn.(*tls.Conn); encrypted { // a write whose time is over breaks it
-		written, _ = c.Write(request.Body)
+func (r *Request) writeBody(c *conn) (written int) {
+	if _, encrypted := c.Conn.(*tls.Conn); encrypted { // a write that times out corrupts a TLS connection
+		written, _ = c.Write(r.Body)
 		return written
 	}
-	for written < len(request.Body) {
-		c.SetWriteDeadline(earliest(time.Now().Add(bodyStallTimeout), request.Deadline))
-		n, err := c.Write(request.Body[written:min(written+bodyWriteSize, len(request.Body))])
+	for written < len(r.Body) {
+		c.SetWriteDeadline(earliest(time.Now().Add(bodyStallTimeout), r.Deadline))
+		n, err := c.Write(r.Body[written:min(written+bodyWriteSize, len(r.Body))])
 		written += n
 		if err == nil {
 			continue
 		}
 		stalled := n == 0 && c.hasUnread()
-		if !errors.Is(err, os.ErrDeadlineExceeded) || stalled || !time.Now().Before(request.Deadline) {
+		if !errors.Is(err, os.ErrDeadlineExceeded) || stalled || !time.Now().Before(r.Deadline) {
 			break
 		}
 	}
-	c.SetWriteDeadline(request.Deadline)
+	c.SetWriteDeadline(r.Deadline)
 	return written
 }
