--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -46,7 +46,7 @@
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), wait)
 			defer cancel()
-			picture, err := link.Picture(ctx, peer, conf, "sprucelane knowledge")
+			picture, err := link.FetchPicture(ctx, peer, conf, "sprucelane knowledge")
 			if err != nil {
 				return fmt.Errorf("%s: %w", peer, err)
 			}
--- a/cmd/sprucelane-link/main.go
+++ b/cmd/sprucelane-link/main.go
@@ -57,12 +57,12 @@
 func exchange(ctx context.Context, in io.Reader, out io.Writer) error {
 	end := pipe.New(in, out)
 	var hello pipe.Hello
-	if err := end.Hear(&hello); err != nil {
+	if err := end.Receive(&hello); err != nil {
 		return err
 	}
 	origin := time.Now()
-	opt := link.Options{Me: hello.Me, Listen: hello.Listen, Peers: hello.Peers, Now: func() knowledge.Time { return time.Hour + time.Since(origin) },
-		Book: knowledge.Options{SuspectShare: hello.SuspectShare, RoomMost: hello.RoomMost}}
+	opt := link.Options{Self: hello.Me, Listen: hello.Listen, Peers: hello.Peers, Now: func() knowledge.Time { return time.Hour + time.Since(origin) },
+		Table: knowledge.Options{MaxSuspectShare: hello.SuspectShare, MaxRoom: hello.RoomMost}}
 	if !hello.Plain {
 		server, client, err := config.MutualTLS(hello.CertFile, hello.KeyFile, hello.CAFile, hello.ServerName)
 		if err != nil {
@@ -72,7 +72,7 @@
 	}
 	// The first state says which members are listed: facts on others would be dropped.
 	var state pipe.State
-	if err := end.Hear(&state); err != nil {
+	if err := end.Receive(&state); err != nil {
 		return err
 	}
 	e, err := link.Open(opt, state.Own)
@@ -81,23 +81,23 @@
 	}
 	defer e.Close()
 	var mu sync.Mutex
-	learnt := e.Learnt()
+	learnt := e.InitialSync()
 	say := func(priors []knowledge.Prior) error {
 		mu.Lock()
 		defer mu.Unlock()
-		news := pipe.News{Priors: priors, Addr: e.Addr(), Counters: e.Counters()}
+		news := pipe.Update{Priors: priors, Addr: e.Addr(), Counters: e.Counters()}
 		select {
 		case <-learnt:
 			news.Learnt = true
 		default:
 		}
-		return end.Say(news)
+		return end.Send(news)
 	}
 	states, failed := make(chan pipe.State), make(chan error, 1)
 	go func() {
 		for {
 			var s pipe.State
-			if err := end.Hear(&s); err != nil {
+			if err := end.Receive(&s); err != nil {
 				failed <- err
 				return
 			}
--- a/cmd/sprucelane-link/main_test.go
+++ b/cmd/sprucelane-link/main_test.go
@@ -24,7 +24,7 @@
 	out io.Closer
 }
 
-func start(t *testing.T, name string, own []knowledge.Sighting, peers ...string) *gateway {
+func start(t *testing.T, name string, own []knowledge.Observation, peers ...string) *gateway {
 	in, toChild := io.Pipe()
 	fromChild, out := io.Pipe()
 	done := make(chan error, 1)
@@ -35,20 +35,20 @@
 		go io.Copy(io.Discard, fromChild)
 		assert.NoError(t, <-done)
 	})
-	require.NoError(t, g.end.Say(pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, Plain: true}))
-	require.NoError(t, g.end.Say(pipe.State{Own: own}))
+	require.NoError(t, g.end.Send(pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, Plain: true}))
+	require.NoError(t, g.end.Send(pipe.State{Own: own}))
 	return g
 }
 
-func (g *gateway) hear() (n pipe.News) {
+func (g *gateway) hear() (n pipe.Update) {
 	g.t.Helper()
-	require.NoError(g.t, g.end.Hear(&n))
+	require.NoError(g.t, g.end.Receive(&n))
 	return n
 }
 
-func sightings(stalled string) (list []knowledge.Sighting) {
+func sightings(stalled string) (list []knowledge.Observation) {
 	for _, id := range []string{"m-1", "m-2", "m-3", "m-4"} {
-		s := knowledge.Sighting{Life: knowledge.Life{Instance: id, StartedMs: 1764590400000}, Answered: -1, Warmth: 0.5}
+		s := knowledge.Observation{Life: knowledge.Life{Instance: id, StartedMs: 1764590400000}, Answered: -1, Warmth: 0.5}
 		if stalled != "" {
 			if s.Answered, s.Pace, s.Answers = 0, 1, 9; id == stalled {
 				s.Answered, s.Lost, s.Stalled = 5*time.Second, 3, 4*time.Second
@@ -65,12 +65,12 @@
 	a := start(t, "g0", sightings("m-2"))
 	addr := a.hear().Addr
 	b := start(t, "g1", sightings(""), addr)
-	var n pipe.News
+	var n pipe.Update
 	for n = b.hear(); !n.Learnt; n = b.hear() {
-		require.NoError(t, b.end.Say(pipe.State{Own: sightings("")}))
+		require.NoError(t, b.end.Send(pipe.State{Own: sightings("")}))
 	}
 	for len(n.Priors) < 4 { // a state that crossed the picture is answered first
-		require.NoError(t, b.end.Say(pipe.State{Own: sightings("")}))
+		require.NoError(t, b.end.Send(pipe.State{Own: sightings("")}))
 		n = b.hear()
 	}
 	assert.True(t, n.Priors[1].Suspect)
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -55,7 +55,7 @@
 	flags.BoolVar(&opt.learnByDatagram, "learn-by-datagram", false, "ask the peers, once started, what they know of the pool members")
 	flags.DurationVar(&opt.clockAhead, "clock-ahead", 0, "of the laboratory: how far this clock is ahead of others'")
 	flags.MarkHidden("clock-ahead")
-	flags.StringVar(&opt.linkProgram, "link-program", helper.Beside(), "the `program` that links gateways where knowledge is on")
+	flags.StringVar(&opt.linkProgram, "link-program", helper.ProgramPath(), "the `program` that links gateways where knowledge is on")
 	flags.StringVar(&format, "log-format", "text", "`form` of log lines: text (key=value) or json")
 	flags.StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn or error")
 	root.AddCommand(
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -98,8 +98,8 @@
 		return err
 	}
 	if conf := cfg.Site.Storm; conf != nil {
-		decisions.EnableStormControl(cfg.Deployment.Settings, storm.Options{Seed: cfg.Seed, RetryShare: conf.RetryShare, MostWait: conf.MaxRetryAfter,
-			ConnectionsPerS: conf.ConnectionsPerS})
+		decisions.EnableStormControl(cfg.Deployment.Settings, storm.Options{Seed: cfg.Seed, RetryRatio: conf.RetryShare, MaxRetryAfter: conf.MaxRetryAfter,
+			ConnectionRate: conf.ConnectionsPerS})
 	}
 	roster := discovery.NewMembership(members, decisions.Servers, cfg.Deployment.Zones, cfg.Deployment.Kinds)
 	g.core, g.membership, g.settings = decisions, roster, platform.NewSettings(cfg.Deployment)
@@ -261,10 +261,10 @@
 	core            *core.Core
 	membership      *discovery.Membership
 	settings        *platform.Settings
-	loadExchange    *inflight.Carrier // nil: none
-	loadExchangeSeq uint16            // of the words that a predecessor has told
-	checkerState    []byte            // what it knew of the checks
-	stopDiscovery   func()            // ends the watch of the pool's source
+	loadExchange    *inflight.Exchange // nil: none
+	loadExchangeSeq uint16             // of the words that a predecessor has told
+	checkerState    []byte             // what it knew of the checks
+	stopDiscovery   func()             // ends the watch of the pool's source
 	fronts          []*front.Server
 	handoverPath    string                // where a successor finds this process; empty: nowhere
 	predecessor     *handover.Predecessor // nil: nobody can follow
@@ -356,7 +356,7 @@
 	if conf == nil {
 		return func() {}, nil
 	}
-	opt := keep.Options{Path: conf.Path, Name: cfg.Name, Store: store.Options{FlushEvery: conf.FlushInterval(), MostBytes: conf.MaxBytes()}}
+	opt := keep.Options{Path: conf.Path, Name: cfg.Name, Store: store.Options{FlushInterval: conf.FlushInterval(), MaxBytes: conf.MaxBytes()}}
 	for _, p := range cfg.Deployment.Plans {
 		opt.Plans = append(opt.Plans, p.Name)
 	}
@@ -365,11 +365,11 @@
 		return nil, err
 	}
 	g.counters = append(g.counters, func() core.Counts {
-		f := k.Figures()
-		counts := core.Counts{slog.String("part", "store"), slog.Uint64("epoch", f.Epoch), slog.Int("recalled", f.Recalled), slog.Int("entries", f.Entries),
-			slog.Int64("bytes", f.Bytes), slog.Uint64("writes", f.Writes), slog.Uint64("syncs", f.Syncs), slog.Int64("cut", f.Cut)}
-		if f.Failed != nil {
-			counts = append(counts, slog.String("failed", f.Failed.Error()))
+		f := k.Stats()
+		counts := core.Counts{slog.String("part", "store"), slog.Uint64("epoch", f.Epoch), slog.Int("recalled", f.Restored), slog.Int("entries", f.Entries),
+			slog.Int64("bytes", f.DiskBytes), slog.Uint64("writes", f.Writes), slog.Uint64("syncs", f.Syncs), slog.Int64("cut", f.TruncatedBytes)}
+		if f.Err != nil {
+			counts = append(counts, slog.String("failed", f.Err.Error()))
 		}
 		return counts
 	})
@@ -393,13 +393,13 @@
 	h := helper.Open(program, pipe.Hello{Me: knowledge.Observer{Name: cfg.Name, Birth: uint64(clock.Now() / time.Millisecond)},
 		Listen: conf.Listen, Peers: conf.Peers, Plain: conf.Plain, CertFile: conf.CertFile, KeyFile: conf.KeyFile,
 		CAFile: conf.CAFile, ServerName: conf.ServerName, SuspectShare: conf.SuspectShare,
-		RoomMost: helper.RoomMost(cfg.Deployment.Gateways)}, &helper.Gateway{Core: decisions, Roster: roster})
+		RoomMost: helper.MaxRoom(cfg.Deployment.Gateways)}, &helper.Gateway{Core: decisions, Roster: roster})
 	g.closers = append(g.closers, h.Close)
 	g.counters = append(g.counters, func() core.Counts {
 		return append(core.Counts{slog.String("part", "knowledge")}, h.Counters()...)
 	})
 	go func() {
-		h.Learnt(conf.Wait)
+		h.AwaitInitialSync(conf.Wait)
 		g.phase.MarkStarted()
 	}()
 }
@@ -410,16 +410,16 @@
 	roster *discovery.Membership) func(int, []byte) {
 	d := cfg.Deployment
 	exchange := datagram.New(&helper.Gateway{Core: decisions, Roster: roster}, link.Send, clock.Now, d.Self, d.Gateways,
-		helper.RoomMost(d.Gateways))
+		helper.MaxRoom(d.Gateways))
 	g.counters = append(g.counters, func() core.Counts {
 		c := exchange.Counters()
-		return core.Counts{slog.String("part", "datagrams"), slog.Uint64("asked", c.Asked), slog.Uint64("answered", c.Answered),
-			slog.Uint64("heard", c.Heard), slog.Uint64("odd", c.Odd), slog.Uint64("priors", c.Priors)}
+		return core.Counts{slog.String("part", "datagrams"), slog.Uint64("asked", c.Requests), slog.Uint64("answered", c.Answers),
+			slog.Uint64("heard", c.Received), slog.Uint64("odd", c.Malformed), slog.Uint64("priors", c.Priors)}
 	})
 	go exchange.Run(ctx)
 	return func(from int, m []byte) {
-		if datagram.Is(m) {
-			exchange.Take(from, m)
+		if datagram.IsMessage(m) {
+			exchange.Receive(from, m)
 		} else {
 			decisions.PeerMessage(from, m)
 		}
@@ -434,12 +434,12 @@
 	if board == nil || !d.Peers {
 		return func(int, []byte) {}
 	}
-	c := inflight.Carry(board, decisions, roster, link.Send)
+	c := inflight.NewExchange(board, decisions, roster, link.Send)
 	c.Resume(g.loadExchangeSeq)
 	g.loadExchange = c
 	g.counters = append(g.counters, func() core.Counts { return append(core.Counts{slog.String("part", "inflight")}, c.Counters()...) })
 	go c.Run(ctx)
-	return c.Take
+	return c.Receive
 }
 
 // part names whose counters they are.
--- a/cmd/sprucelane/store.go
+++ b/cmd/sprucelane/store.go
@@ -23,7 +23,7 @@
 				_, err := os.Stat(args[0])
 				var fs store.FS
 				if err == nil { // what looks must not make
-					fs, err = store.Folder(args[0])
+					fs, err = store.OpenDir(args[0])
 				}
 				if err != nil {
 					return cli.ExitError{Code: cli.ExitUsage, Err: err}
@@ -52,22 +52,22 @@
 	on("inspect", "Say what it holds", "Opens the store and says what it holds.", func(cmd *cobra.Command, fs store.FS) error {
 		return open(fs, func(s *store.Store) error {
 			c, kinds := s.Counters(), map[string]int{}
-			if err := s.Each(nil, func(k, v []byte) bool { kinds[keep.Words(k, v)["kind"].(string)]++; return true }); err != nil {
+			if err := s.Each(nil, func(k, v []byte) bool { kinds[keep.Describe(k, v)["kind"].(string)]++; return true }); err != nil {
 				return err
 			}
 			id := s.ID()
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "id=%x epoch=%d entries=%d bytes=%d cut=%d recovery=%v kinds=%v\n", id[:], s.Epoch(), c.Entries, c.Bytes, c.Cut,
-				c.Recovery, kinds)
+			_, err := fmt.Fprintf(cmd.OutOrStdout(), "id=%x epoch=%d entries=%d bytes=%d cut=%d recovery=%v kinds=%v\n", id[:], s.Epoch(), c.Entries, c.DiskBytes, c.TruncatedBytes,
+				c.RecoveryTime, kinds)
 			return err
 		})
 	})
 	on("compact", "Free what no longer counts", "Copies what counts and removes the rest.", func(cmd *cobra.Command, fs store.FS) error {
 		return open(fs, func(s *store.Store) error {
-			before := s.Counters().Bytes
+			before := s.Counters().DiskBytes
 			if err := s.Compact(); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "bytes=%d before=%d\n", s.Counters().Bytes, before)
+			_, err := fmt.Fprintf(cmd.OutOrStdout(), "bytes=%d before=%d\n", s.Counters().DiskBytes, before)
 			return err
 		})
 	})
@@ -75,7 +75,7 @@
 		return open(fs, func(s *store.Store) error {
 			out := json.NewEncoder(cmd.OutOrStdout())
 			var failed error
-			err := s.Each(nil, func(k, v []byte) bool { failed = out.Encode(keep.Words(k, v)); return failed == nil })
+			err := s.Each(nil, func(k, v []byte) bool { failed = out.Encode(keep.Describe(k, v)); return failed == nil })
 			return errors.Join(err, failed)
 		})
 	})
@@ -87,11 +87,11 @@
 	bad := 0
 	for _, f := range list {
 		mark := "ok "
-		if f.Bad {
+		if f.DataLoss {
 			mark = "BAD"
 			bad++
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%s %s byte %d: %s\n", mark, f.File, f.At, f.What)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s %s byte %d: %s\n", mark, f.File, f.Offset, f.Description)
 	}
 	if bad > 0 && name != "" {
 		return fmt.Errorf("%s: %d findings", name, bad)
--- a/cmd/sprucelane/store_test.go
+++ b/cmd/sprucelane/store_test.go
@@ -15,7 +15,7 @@
 // Operators look at a folder, find out that it is damaged, save what can be saved, and see what is left.
 func TestStoreCalls(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
-	fs, err := store.Folder(dir)
+	fs, err := store.OpenDir(dir)
 	require.NoError(t, err)
 	s, err := store.Open(fs, store.Options{})
 	require.NoError(t, err)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	c.current = first
-	c.recovery = recovery.New(clock.Now(), recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
+	c.recovery = recovery.New(clock.Now(), recovery.Options{PauseThreshold: set.ShortestTarget(), NearbyGateways: len(set.NearbyPeers())})
 	return c, nil
 }
 
@@ -146,7 +146,7 @@
 		if t.generation = c.generationByNumber(t.Generation); t.generation == nil || c.shutDown {
 			return
 		}
-		lain, settles := c.recovery.Asked(now, t.Deadline-now)
+		lain, settles := c.recovery.RequestRead(now, t.Deadline-now)
 		t.Deadline -= lain
 		c.lastID++
 		t.ID = c.lastID
@@ -239,9 +239,9 @@
 func (c *Core) Servers(kind policy.ListKind, list []policy.ServerInfo) {
 	c.handle(func(now Time) {
 		if kind == policy.ListCached {
-			c.recovery.Heard(recovery.Cached)
+			c.recovery.Received(recovery.Cached)
 		} else {
-			c.recovery.Heard(recovery.Discovery)
+			c.recovery.Received(recovery.Discovery)
 		}
 		for _, e := range append([]*generation{c.current}, c.retiring...) {
 			e.module.Servers(now, kind, list)
--- a/internal/core/era.go
+++ b/internal/core/era.go
@@ -140,7 +140,7 @@
 func (c *Core) ImportState(carried []byte) (err error) {
 	c.handle(func(now Time) {
 		if err = c.current.module.ImportState(now, carried); err == nil {
-			c.recovery.Heard(recovery.Predecessor)
+			c.recovery.Received(recovery.Predecessor)
 		}
 	})
 	return err
@@ -158,13 +158,13 @@
 // retune gives the storm module the classes and plans that are in force.
 func (g *stormGuard) reconfigure(set policy.Settings) {
 	if g != nil {
-		g.Retune(stormClasses(set), stormPrices(set))
+		g.Configure(stormClasses(set), stormPrices(set))
 	}
 }
 
 func stormClasses(set policy.Settings) (list []storm.Class) {
 	for _, class := range set.Classes {
-		list = append(list, storm.Class{Aim: class.LatencyTarget, Worth: class.Value, Unsafe: class.Idempotency == policy.NotIdempotent})
+		list = append(list, storm.Class{LatencyTarget: class.LatencyTarget, Value: class.Value, NonIdempotent: class.Idempotency == policy.NotIdempotent})
 	}
 	return list
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -27,14 +27,14 @@
 
 // look follows how far this process has come. The mutex is held.
 func (c *Core) checkRecovery(now Time) {
-	if !c.recovery.Due(now) {
+	if !c.recovery.CheckDue(now) {
 		return
 	}
 	f := c.current.module.Stats(now)
-	first := c.recovery.Took() == 0
-	if c.recovery.Look(now, recovery.Seen{Members: f.ListedServers, NearHeard: f.NearbyAlive, Held: f.QueuedRequests}); first && c.recovery.Took() > 0 {
-		c.pendingLogs = append(c.pendingLogs, logLine{"recovered", []slog.Attr{slog.Int64("took_ms", c.recovery.Took().Milliseconds()),
-			slog.String("from", c.recovery.From()), slog.Int("members", f.ListedServers), slog.Int("near_heard", f.NearbyAlive)}})
+	first := c.recovery.TimeToFullService() == 0
+	if c.recovery.Check(now, recovery.Observation{Members: f.ListedServers, NearbyReachable: f.NearbyAlive, Queued: f.QueuedRequests}); first && c.recovery.TimeToFullService() > 0 {
+		c.pendingLogs = append(c.pendingLogs, logLine{"recovered", []slog.Attr{slog.Int64("took_ms", c.recovery.TimeToFullService().Milliseconds()),
+			slog.String("from", c.recovery.SourceNames()), slog.Int("members", f.ListedServers), slog.Int("near_heard", f.NearbyAlive)}})
 	}
 }
 
@@ -42,10 +42,10 @@
 func (c *Core) Recovery() (recovery.Phase, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.recovery.Figures()
-	return c.recovery.Phase(), Counts{slog.String("phase", c.recovery.Phase().String()), slog.Int64("took_ms", c.recovery.Took().Milliseconds()),
-		slog.String("from", c.recovery.From()), slog.Int("stalls", f.Stalls), slog.Int64("longest_ms", f.Longest.Milliseconds()),
-		slog.Int("lain", f.Lain), slog.Int("too_late", f.TooLate)}
+	f := c.recovery.Stats()
+	return c.recovery.Phase(), Counts{slog.String("phase", c.recovery.Phase().String()), slog.Int64("took_ms", c.recovery.TimeToFullService().Milliseconds()),
+		slog.String("from", c.recovery.SourceNames()), slog.Int("stalls", f.Pauses), slog.Int64("longest_ms", f.LongestPause.Milliseconds()),
+		slog.Int("lain", f.Backlogged), slog.Int("too_late", f.Expired)}
 }
 
 // Uses gives what is left of the accounts that were asked for since a moment, and the moment to ask from next.
@@ -57,7 +57,7 @@
 // Recall hands the module what the former life of this gateway has kept. It comes before the first transaction.
 func (c *Core) RestoreBalances(list []policy.QuotaBalance) {
 	c.handle(func(now Time) {
-		c.recovery.Heard(recovery.Store)
+		c.recovery.Received(recovery.Store)
 		c.current.module.RestoreBalances(now, list)
 	})
 }
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -21,11 +21,11 @@
 
 // Damp makes the core damp storms. It comes before the first transaction.
 func (c *Core) EnableStormControl(set policy.Settings, opt storm.Options) {
-	opt.Me, opt.Gateways = set.Self, set.Gateways
+	opt.Self, opt.Gateways = set.Self, set.Gateways
 	g := &stormGuard{me: set.Self, gateways: set.Gateways}
 	opt.Classes, opt.Prices = stormClasses(set), stormPrices(set)
-	if set.MaxRetryAfter > 0 && (opt.MostWait <= 0 || set.MaxRetryAfter < opt.MostWait) {
-		opt.MostWait = set.MaxRetryAfter // the clients' own limit
+	if set.MaxRetryAfter > 0 && (opt.MaxRetryAfter <= 0 || set.MaxRetryAfter < opt.MaxRetryAfter) {
+		opt.MaxRetryAfter = set.MaxRetryAfter // the clients' own limit
 	}
 	g.Guard = storm.New(opt)
 	c.mu.Lock()
@@ -35,7 +35,7 @@
 
 // Beat keeps the storm module's time until ctx ends.
 func (c *Core) RunStormControl(ctx context.Context) {
-	beat := time.NewTicker(storm.Tick)
+	beat := time.NewTicker(storm.TickInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -56,25 +56,25 @@
 		seen.Overdue += o.Overdue
 	}
 	seen.Warmth /= math.Max(float64(seen.Listed), 1)
-	word := g.Beat(now, seen)
+	word := g.Tick(now, seen)
 	for p := range g.gateways {
 		if p != g.me && word != nil && c.sendToPeer != nil {
 			c.pendingMessages = append(c.pendingMessages, peerMessage{p, word})
 		}
 	}
-	f := g.Figures()
+	f := g.Stats()
 	if g.ticks++; f.Phase != g.phase || f.Phase != storm.Calm && g.ticks%ticksPerLogLine == 0 {
 		g.phase = f.Phase
 		r := f.Recent
-		c.pendingLogs = append(c.pendingLogs, logLine{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), round("sure", f.Sure, 2),
-			round("limit", f.Limit, 1), round("usual", f.Usual, 1), round("warmth", seen.Warmth, 2), round("firsts", r.Firsts, 0),
-			round("repeats", r.Repeats, 0), round("admitted", r.Admitted, 0), round("held", r.Held, 0), round("in_time", r.InTime, 0),
-			round("late", r.Late, 0), round("lost", r.Lost, 0), slog.Int("overdue", seen.Overdue)}})
+		c.pendingLogs = append(c.pendingLogs, logLine{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), round("sure", f.Confidence, 2),
+			round("limit", f.Limit, 1), round("usual", f.Baseline, 1), round("warmth", seen.Warmth, 2), round("firsts", r.FirstAttempts, 0),
+			round("repeats", r.Retries, 0), round("admitted", r.Admitted, 0), round("held", r.Rejected, 0), round("in_time", r.InTime, 0),
+			round("late", r.Late, 0), round("lost", r.Failed, 0), slog.Int("overdue", seen.Overdue)}})
 	}
 }
 
 // beatsPerLine is how many beats of a storm make a line in the log: one a second.
-const ticksPerLogLine = int(time.Second / storm.Tick)
+const ticksPerLogLine = int(time.Second / storm.TickInterval)
 
 func round(key string, x float64, digits int) slog.Attr {
 	scale := math.Pow10(digits)
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.storm != nil {
-		c.storm.Hear(c.Now(), from, message)
+		c.storm.Receive(c.Now(), from, message)
 	}
 }
 
@@ -94,7 +94,7 @@
 func (c *Core) AdmitConnection() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storm == nil || c.storm.Connect(c.Now())
+	return c.storm == nil || c.storm.AdmitConnection(c.Now())
 }
 
 // StormCounters gives what the storm module has counted.
@@ -104,11 +104,11 @@
 	if c.storm == nil {
 		return nil
 	}
-	f := c.storm.Figures()
-	return Counts{slog.String("phase", f.Phase.String()), round("sure", f.Sure, 2),
-		round("limit", f.Limit, 1), round("usual", f.Usual, 1), slog.Uint64("storms", f.Storms),
-		slog.Uint64("refused", f.Refused), slog.Uint64("refused_retries", f.RefusedRetries), slog.Uint64("repeats", f.Repeats),
-		slog.Uint64("connections_closed", f.Connections), slog.Uint64("falls", f.Falls), slog.Uint64("heard", f.Heard), slog.Uint64("odd", f.Odd)}
+	f := c.storm.Stats()
+	return Counts{slog.String("phase", f.Phase.String()), round("sure", f.Confidence, 2),
+		round("limit", f.Limit, 1), round("usual", f.Baseline, 1), slog.Uint64("storms", f.Storms),
+		slog.Uint64("refused", f.Rejected), slog.Uint64("refused_retries", f.RejectedRetries), slog.Uint64("repeats", f.Retries),
+		slog.Uint64("connections_closed", f.RejectedConnections), slog.Uint64("falls", f.RampDecreases), slog.Uint64("heard", f.MessagesReceived), slog.Uint64("odd", f.MessagesDropped)}
 }
 
 // damped asks the storm module whether a transaction may go on. One that may not ends here: the decision module never
@@ -119,12 +119,12 @@
 	if c.storm == nil {
 		return false, 0
 	}
-	t.arrival = storm.Arrival{Account: uint64(t.Customer), Class: t.Class, Plan: t.Plan, Units: t.Units, Marked: t.ClientRetry}
-	v := c.storm.Arrive(c.Now(), t.arrival)
+	t.arrival = storm.Arrival{Account: uint64(t.Customer), Class: t.Class, Plan: t.Plan, Units: t.Units, MarkedRetry: t.ClientRetry}
+	v := c.storm.Admit(c.Now(), t.arrival)
 	if !v.Admit {
 		c.close(t)
 	}
-	return !v.Admit, v.Wait
+	return !v.Admit, v.RetryAfter
 }
 
 // refused gives the wait that a refusal names.
@@ -138,7 +138,7 @@
 	if g == nil {
 		return wait
 	}
-	return g.Refused(now, t.arrival, wait)
+	return g.Rejected(now, t.arrival, wait)
 }
 
 func (g *stormGuard) failed(now Time, t *transaction) {
@@ -151,10 +151,10 @@
 	switch {
 	case g == nil:
 	case end == EndServed && now-f.sentAt <= f.tx.generation.cfg.Classes[f.tx.Class].LatencyTarget:
-		g.Attempt(now, storm.InTime)
+		g.AttemptEnded(now, storm.InTime)
 	case end == EndServed:
-		g.Attempt(now, storm.Late)
+		g.AttemptEnded(now, storm.Late)
 	case endTable[end].lost:
-		g.Attempt(now, storm.Lost)
+		g.AttemptEnded(now, storm.Failed)
 	}
 }
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -56,7 +56,7 @@
 		assert.NotEqual(t, core.Served, a.Kind)
 		return phase() == "outage"
 	}, time.Minute, 5*time.Millisecond)
-	word, ok := storm.Unpack(<-words)
+	word, ok := storm.Decode(<-words)
 	assert.True(t, ok)
 	assert.Equal(t, storm.Outage, word.Phase)
 	refused := 0
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -24,7 +24,7 @@
 
 	room     int
 	back     *recovery.Recovery
-	board    *inflight.Board // nil: the fleet is small
+	board    *inflight.Tracker // nil: the fleet is small
 	listed   map[policy.ServerID]bool
 	moved    bool                       // the list is another than the board's
 	idle     map[policy.ServerID][]Time // kept connections, since when
@@ -69,7 +69,7 @@
 	g.mod, g.up, g.open = mod, true, map[policy.RequestID]*live{}
 	g.life++
 	mod.Attach(g)
-	g.back = recovery.New(g.r.e.now, recovery.Options{Pause: set.ShortestTarget(), Near: len(set.NearbyPeers())})
+	g.back = recovery.New(g.r.e.now, recovery.Options{PauseThreshold: set.ShortestTarget(), NearbyGateways: len(set.NearbyPeers())})
 	g.idle, g.listed = map[policy.ServerID][]Time{}, map[policy.ServerID]bool{}
 	g.board = inflight.New(g.me, g.r.Gateways, set.PeerMessageRate)
 	var list []policy.ServerInfo
@@ -84,7 +84,7 @@
 	}
 	mod.Servers(g.r.e.now, policy.ListFull, list)
 	if g.board != nil {
-		g.later(time.Duration(g.r.links.Float64()*float64(g.board.Every())), g.round)
+		g.later(time.Duration(g.r.links.Float64()*float64(g.board.Interval())), g.round)
 	}
 }
 
@@ -118,7 +118,7 @@
 			list = append(list, inflight.Member{ID: m.id, Instance: fmt.Sprintf("member-%d", m.id)})
 		}
 	}
-	g.board.Members(list)
+	g.board.SetMembers(list)
 }
 
 // round tells the neighbours what is out, and weighs what they have told.
@@ -127,13 +127,13 @@
 	if g.moved {
 		g.windows()
 	}
-	g.board.Own(g.mod.OwnLoads(now))
-	peers, m := g.board.Tell(now)
+	g.board.SetLocal(g.mod.OwnLoads(now))
+	peers, m := g.board.NextReport(now)
 	for _, p := range peers {
 		g.Tell(p, m)
 	}
 	g.mod.SetOthersLoads(now, g.board.Loads(now))
-	g.later(g.board.Every(), g.round)
+	g.later(g.board.Interval(), g.round)
 }
 
 // restart kills the gateway and starts it again so much later.
@@ -177,7 +177,7 @@
 		return
 	}
 	g.event()
-	g.back.Heard(recovery.Discovery)
+	g.back.Received(recovery.Discovery)
 	g.list(info)
 	g.mod.Servers(g.r.e.now, policy.ListChanges, []policy.ServerInfo{g.dated(info)})
 }
@@ -203,7 +203,7 @@
 	g.r.mark('a', uint64(q.ID), uint64(g.me))
 	g.event()
 	in := q.Request.Request
-	lain, wait := g.back.Asked(g.r.e.now, q.Deadline-g.r.e.now)
+	lain, wait := g.back.RequestRead(g.r.e.now, q.Deadline-g.r.e.now)
 	if in.Deadline -= lain; wait <= 0 {
 		g.mod.Request(g.r.e.now, in)
 		return
@@ -216,11 +216,11 @@
 	if still := g.back.Event(g.r.e.now); still > 0 {
 		g.mod.Resumed(g.r.e.now, still)
 	}
-	if now := g.r.e.now; g.back.Due(now) {
+	if now := g.r.e.now; g.back.CheckDue(now) {
 		f := g.mod.Stats(now)
-		first := g.back.Took() == 0
-		if g.back.Look(g.r.e.now, recovery.Seen{Members: f.ListedServers, NearHeard: f.NearbyAlive, Held: f.QueuedRequests}); first && g.back.Took() > 0 && g.r.e.now > Origin+bootTime {
-			g.r.Took = append(g.r.Took, g.back.Took()+g.r.Boot)
+		first := g.back.TimeToFullService() == 0
+		if g.back.Check(g.r.e.now, recovery.Observation{Members: f.ListedServers, NearbyReachable: f.NearbyAlive, Queued: f.QueuedRequests}); first && g.back.TimeToFullService() > 0 && g.r.e.now > Origin+bootTime {
+			g.r.Took = append(g.r.Took, g.back.TimeToFullService()+g.r.Boot)
 		}
 	}
 }
@@ -416,7 +416,7 @@
 		return
 	}
 	if len(message) > 0 && message[0] == inflight.Kind && g.board != nil {
-		g.board.Take(now, from, message)
+		g.board.Receive(now, from, message)
 	} else {
 		g.mod.PeerMessage(now, from, message)
 	}
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -43,7 +43,7 @@
 }
 
 type plainPart struct {
-	quota, ceiling ledger.Part
+	quota, ceiling ledger.BucketShare
 	at             Time
 	out            int
 }
@@ -72,16 +72,16 @@
 	plan, n := p.set.Plans[in.Plan], float64(max(1, in.SetSize))
 	a := p.parts[in.Customer]
 	if a == nil {
-		a = &plainPart{quota: ledger.Part{Left: plan.Burst / n}, at: now}
+		a = &plainPart{quota: ledger.BucketShare{Tokens: plan.Burst / n}, at: now}
 		p.parts[in.Customer] = a
 	}
-	a.quota.Fill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.at, 0)
-	a.ceiling.Fill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.at, 0)
-	if a.at = now; plan.Rate > 0 && a.quota.Left < in.Units || plan.HardLimitRate > 0 && a.ceiling.Left < in.Units ||
-		plan.MaxInFlight > 0 && !ledger.Slot(plan.MaxInFlight, a.out, 0, int(n), false) {
+	a.quota.Refill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.at, 0)
+	a.ceiling.Refill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.at, 0)
+	if a.at = now; plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.ceiling.Tokens < in.Units ||
+		plan.MaxInFlight > 0 && !ledger.SlotAvailable(plan.MaxInFlight, a.out, 0, int(n), false) {
 		return false
 	}
-	a.quota.Left, a.ceiling.Left = a.quota.Left-in.Units, a.ceiling.Left-in.Units
+	a.quota.Tokens, a.ceiling.Tokens = a.quota.Tokens-in.Units, a.ceiling.Tokens-in.Units
 	return true
 }
 
--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -28,19 +28,19 @@
 	in := map[string]int{}
 	for me := range 80 {
 		b, other := New(me, 80, 100), New(me, 80, 100)
-		b.Members(list)
+		b.SetMembers(list)
 		renamed := slices.Clone(list)
 		for i := range renamed {
 			renamed[i].ID += 1000
 		}
 		rand.New(rand.NewPCG(uint64(me), 1)).Shuffle(60, func(i, j int) { renamed[i], renamed[j] = renamed[j], renamed[i] })
-		other.Members(renamed)
+		other.SetMembers(renamed)
 		width := 0
 		for i, m := range b.members {
-			if m.window != other.members[i].window || m.name != other.members[i].name {
+			if m.inSubset != other.members[i].inSubset || m.hash != other.members[i].hash {
 				t.Fatalf("gateway %d: windows differ at %d", me, i)
 			}
-			if m.window {
+			if m.inSubset {
 				width++
 				in[list[m.id-1].Instance]++
 			}
@@ -59,66 +59,66 @@
 func TestWords(t *testing.T) {
 	a, b := New(10, 80, 100), New(11, 80, 100)
 	list := instances(60)
-	a.Members(list)
-	b.Members(list)
+	a.SetMembers(list)
+	b.SetMembers(list)
 	var seen member
 	for i, m := range a.members {
-		if m.window && b.members[i].window {
+		if m.inSubset && b.members[i].inSubset {
 			seen = m
 		}
 	}
-	a.Own(map[policy.ServerID]policy.OwnLoad{seen.id: {InFlight: 2}})
-	peers, first := a.Tell(time.Second)
+	a.SetLocal(map[policy.ServerID]policy.OwnLoad{seen.id: {InFlight: 2}})
+	peers, first := a.NextReport(time.Second)
 	require.Len(t, peers, 6)
-	again, _ := a.Tell(time.Second + 10*time.Millisecond)
+	again, _ := a.NextReport(time.Second + 10*time.Millisecond)
 	assert.Empty(t, again, "what they know is not told again at once")
-	again, _ = a.Tell(time.Second + aliveEvery)
+	again, _ = a.NextReport(time.Second + refreshInterval)
 	assert.Len(t, again, 6)
 	load := func(now Time) (in, out float64) {
 		for i, l := range b.Loads(now) {
 			if l.ID == seen.id {
 				in = l.Attempts
-			} else if !b.members[i].window {
+			} else if !b.members[i].inSubset {
 				out = l.Attempts
 			}
 		}
 		return in, out
 	}
 	now := 5 * time.Second
-	b.Take(now, 10, first)
+	b.Receive(now, 10, first)
 	in, out := load(now)
 	assert.Equal(t, 2.0, in)
-	assert.Greater(t, out, farther)
-	a.Own(nil)
-	_, second := a.Tell(2 * time.Second)
-	b.Take(now, 10, second)
-	b.Take(now, 10, first) // overtaken
+	assert.Greater(t, out, outsidePenalty)
+	a.SetLocal(nil)
+	_, second := a.NextReport(2 * time.Second)
+	b.Receive(now, 10, second)
+	b.Receive(now, 10, first) // overtaken
 	in, _ = load(now)
 	assert.Zero(t, in)
-	for _, odd := range [][]byte{nil, first[:3], append(slices.Clone(first), 1), {Kind, form + 1, 9, 9}, {Kind + 1, form, 9, 9},
+	for _, odd := range [][]byte{nil, first[:3], append(slices.Clone(first), 1), {Kind, formatVersion + 1, 9, 9}, {Kind + 1, formatVersion, 9, 9},
 		append(slices.Clone(first), make([]byte, 300)...)} {
-		b.Take(now, 10, odd)
+		b.Receive(now, 10, odd)
 	}
-	b.Take(now, 40, first) // no neighbour
+	b.Receive(now, 40, first) // no neighbour
 	assert.EqualValues(t, 7, b.Dropped())
 	in, _ = load(now)
 	assert.Zero(t, in)
-	b.Take(now+2*heardFor, 10, first) // after a silence it is another life
-	in, _ = load(now + 2*heardFor)
+	b.Receive(now+2*reportTTL, 10, first) // after a silence it is another life
+	in, _ = load(now + 2*reportTTL)
 	assert.Equal(t, 2.0, in)
-	in, _ = load(now + 4*heardFor)
+	in, _ = load(now + 4*reportTTL)
 	assert.Zero(t, in, "an old word counts no more")
 }
 
 func FuzzTake(f *testing.F) {
-	f.Add([]byte{Kind, form, 0, 1, 0, 3, 4}, 1)
-	f.Add([]byte{Kind, form, 0, 2, 1, 3, 4, 8, 9, 5, 6}, 1)
+	f.Add([]byte{Kind, formatVersion, 0, 1, 0, 3, 4}, 1)
+	f.Add([]byte{Kind, formatVersion, 0, 2, 1, 3, 4, 8, 9, 5, 6}, 1)
 	f.Fuzz(func(t *testing.T, m []byte, from int) {
 		b := New(0, 80, 100)
-		b.Members(instances(60))
-		b.Take(time.Second, from, m)
+		b.SetMembers(instances(60))
+		b.Receive(time.Second, from, m)
 		for _, l := range b.Loads(time.Second) {
-			if !(l.Attempts >= 0 && l.Attempts <= mostBytes+failWeight) {
+			if !(l.Attempts >= 0 && l.Attempts <= maxDatagramSize+failurePenalty) {
 				t.Fatalf("%+v of %x", l, m)
 			}
 		}
@@ -143,7 +143,7 @@
 	w  *world
 	me int
 	g  *policy.Gateway
-	b  *Board
+	b  *Tracker
 }
 
 const tick = 5 * time.Millisecond
@@ -202,7 +202,7 @@
 		require.NoError(t, err)
 		h.g.Attach(h)
 		h.g.Servers(w.now, policy.ListFull, infos)
-		h.b.Members(list)
+		h.b.SetMembers(list)
 		w.nodes = append(w.nodes, h)
 	}
 	crowd := func(h *host) {
@@ -217,13 +217,13 @@
 		}
 		delete(w.wheel, w.now)
 		for _, h := range w.nodes {
-			if (w.now/tick+Time(h.me))%(h.b.Every()/tick) == 0 {
-				h.b.Own(h.g.OwnLoads(w.now))
-				peers, m := h.b.Tell(w.now)
+			if (w.now/tick+Time(h.me))%(h.b.Interval()/tick) == 0 {
+				h.b.SetLocal(h.g.OwnLoads(w.now))
+				peers, m := h.b.NextReport(w.now)
 				for _, p := range peers {
 					if w.rng.Float64() > 0.05 {
 						w.at(time.Duration(1+w.rng.IntN(20))*time.Millisecond, func() {
-							w.nodes[p].b.Take(w.now, h.me, m)
+							w.nodes[p].b.Receive(w.now, h.me, m)
 							crowd(w.nodes[p])
 						})
 					}
@@ -269,17 +269,17 @@
 // as the words do, and one failure among many answers is next to nothing.
 func TestWordsOfFailures(t *testing.T) {
 	list := instances(60)
-	boards := map[int]*Board{}
+	boards := map[int]*Tracker{}
 	for me := 10; me < 13; me++ {
 		boards[me] = New(me, 80, 100)
-		boards[me].Members(list)
+		boards[me].SetMembers(list)
 	}
 	b := boards[11]
 	var in, out member
 	for _, m := range b.members {
-		if m.window && in.id == 0 {
+		if m.inSubset && in.id == 0 {
 			in = m
-		} else if !m.window && !m.shared && out.id == 0 {
+		} else if !m.inSubset && !m.ambiguous && out.id == 0 {
 			out = m
 		}
 	}
@@ -293,32 +293,32 @@
 	}
 	calm := load(out.id)
 	tell := func(me int, own map[policy.ServerID]policy.OwnLoad) {
-		boards[me].Own(own)
-		if _, m := boards[me].Tell(time.Second); m != nil {
-			b.Take(time.Second, me, m)
+		boards[me].SetLocal(own)
+		if _, m := boards[me].NextReport(time.Second); m != nil {
+			b.Receive(time.Second, me, m)
 		}
 	}
 	tell(10, map[policy.ServerID]policy.OwnLoad{in.id: {InFlight: 1, Failures: 1, Attempts: 1}})
 	one := load(in.id)
-	assert.InDelta(t, 1+failWeight/3, one, 0.1, "one failure is little")
+	assert.InDelta(t, 1+failurePenalty/3, one, 0.1, "one failure is little")
 	tell(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 3, Attempts: 4}, out.id: {Failures: 2, Attempts: 2}})
-	assert.InDelta(t, 1+failWeight*4/7, load(in.id), 0.1)
-	assert.Greater(t, load(out.id), calm+failWeight/3, "outside the window too")
-	b.Own(map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 1, Attempts: 60}})
+	assert.InDelta(t, 1+failurePenalty*4/7, load(in.id), 0.1)
+	assert.Greater(t, load(out.id), calm+failurePenalty/3, "outside the window too")
+	b.SetLocal(map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 1, Attempts: 60}})
 	assert.Less(t, load(in.id), 4.0, "many answers here say otherwise")
 	tell(10, nil)
 	tell(12, map[policy.ServerID]policy.OwnLoad{in.id: {Failures: 0.3, Attempts: 9}})
-	b.Own(nil)
+	b.SetLocal(nil)
 	assert.Less(t, load(in.id), 1.0)
 	assert.Equal(t, calm, load(out.id))
 	many := map[policy.ServerID]policy.OwnLoad{}
 	for _, m := range list {
 		many[m.ID] = policy.OwnLoad{InFlight: 9, Failures: 99, Attempts: 999}
 	}
-	boards[10].Own(many)
-	_, m := boards[10].Tell(time.Second)
-	assert.LessOrEqual(t, len(m), mostBytes)
-	b.Take(time.Second, 10, m)
+	boards[10].SetLocal(many)
+	_, m := boards[10].NextReport(time.Second)
+	assert.LessOrEqual(t, len(m), maxDatagramSize)
+	b.Receive(time.Second, 10, m)
 	assert.Zero(t, b.Dropped())
 }
 
@@ -329,16 +329,16 @@
 		roster[m.ID] = discovery.Incarnation{Instance: m.Instance}
 	}
 	told := map[int][]byte{}
-	c := Carry(New(10, 80, 0), core, roster, func(p int, m []byte) { told[p] = m })
-	c.round()
-	core.own[c.board.members[20].id] = policy.OwnLoad{InFlight: 1}
-	c.round()
+	c := NewExchange(New(10, 80, 0), core, roster, func(p int, m []byte) { told[p] = m })
+	c.exchange()
+	core.own[c.tracker.members[20].id] = policy.OwnLoad{InFlight: 1}
+	c.exchange()
 	assert.Len(t, told, 6)
-	other := Carry(New(11, 80, 0), core, roster, func(int, []byte) {})
-	other.round()
-	other.Take(10, told[11])
+	other := NewExchange(New(11, 80, 0), core, roster, func(int, []byte) {})
+	other.exchange()
+	other.Receive(10, told[11])
 	busy := slices.ContainsFunc(core.loads, func(l policy.Load) bool { return l.Attempts == 1 })
-	window := other.board.members[20].window
+	window := other.tracker.members[20].inSubset
 	assert.Equal(t, window, busy)
 	assert.Len(t, core.loads, 60)
 	assert.Equal(t, "[told=6 heard=1 dropped=0]", fmt.Sprint(other.Counters()))
--- a/internal/inflight/carry.go
+++ b/internal/inflight/carry.go
@@ -25,89 +25,89 @@
 }
 
 // Carrier keeps a board up to date.
-type Carrier struct {
-	core   Core
-	roster Membership
-	tell   func(peer int, m []byte)
+type Exchange struct {
+	balancer Core
+	roster   Membership
+	send     func(peer int, m []byte)
 
-	mu          sync.Mutex // taken under the core's, never the other way round
-	board       *Board
-	lives       map[policy.ServerID]discovery.Incarnation // as the board last had them
-	heard, told uint64
+	mu             sync.Mutex // taken under the core's, never the other way round
+	tracker        *Tracker
+	incarnations   map[policy.ServerID]discovery.Incarnation // as the board last had them
+	received, sent uint64
 }
 
 // Carry gives a carrier for a board.
-func Carry(b *Board, core Core, roster Membership, tell func(int, []byte)) *Carrier {
-	return &Carrier{core: core, roster: roster, tell: tell, board: b}
+func NewExchange(b *Tracker, core Core, roster Membership, tell func(int, []byte)) *Exchange {
+	return &Exchange{balancer: core, roster: roster, send: tell, tracker: b}
 }
 
 // Run tells the neighbours what is out until ctx ends.
-func (c *Carrier) Run(ctx context.Context) {
-	tick := time.NewTicker(c.board.Every())
+func (c *Exchange) Run(ctx context.Context) {
+	tick := time.NewTicker(c.tracker.Interval())
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			c.round()
+			c.exchange()
 		}
 	}
 }
 
-func (c *Carrier) round() {
+func (c *Exchange) exchange() {
 	lives := c.roster.Incarnations()
 	var peers []int
 	var m []byte
-	c.core.ExchangeLoads(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
+	c.balancer.ExchangeLoads(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !maps.Equal(lives, c.lives) {
-			c.lives = lives
+		if !maps.Equal(lives, c.incarnations) {
+			c.incarnations = lives
 			members := make([]Member, 0, len(lives))
 			for id, l := range lives {
 				members = append(members, Member{ID: id, Instance: l.Instance})
 			}
-			c.board.Members(members)
+			c.tracker.SetMembers(members)
 		}
-		c.board.Own(own)
-		peers, m = c.board.Tell(now)
-		c.told += uint64(len(peers))
-		return c.board.Loads(now)
+		c.tracker.SetLocal(own)
+		peers, m = c.tracker.NextReport(now)
+		c.sent += uint64(len(peers))
+		return c.tracker.Loads(now)
 	})
 	for _, p := range peers {
-		c.tell(p, m)
+		c.send(p, m)
 	}
 }
 
 // Take takes a neighbour's datagram in, and hands what follows to the core.
-func (c *Carrier) Take(from int, m []byte) {
-	c.core.ExchangeLoads(func(now policy.Time, _ map[policy.ServerID]policy.OwnLoad) []policy.Load {
+func (c *Exchange) Receive(from int, m []byte) {
+	c.balancer.ExchangeLoads(func(now policy.Time, _ map[policy.ServerID]policy.OwnLoad) []policy.Load {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.heard++
-		c.board.Take(now, from, m)
-		return c.board.Loads(now)
+		c.received++
+		c.tracker.Receive(now, from, m)
+		return c.tracker.Loads(now)
 	})
 }
 
 // Seq is the count of the word told last, for Resume.
-func (c *Carrier) Seq() uint16 {
+func (c *Exchange) Seq() uint16 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.board.Seq()
+	return c.tracker.Seq()
 }
 
 // Resume counts on from where another process of this gateway was.
-func (c *Carrier) Resume(seq uint16) {
+func (c *Exchange) Resume(seq uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.board.Resume(seq)
+	c.tracker.Resume(seq)
 }
 
 // Counters gives what was told and heard.
-func (c *Carrier) Counters() []slog.Attr {
+func (c *Exchange) Counters() []slog.Attr {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return []slog.Attr{slog.Uint64("told", c.told), slog.Uint64("heard", c.heard), slog.Uint64("dropped", c.board.Dropped())}
+	return []slog.Attr{slog.Uint64("told", c.sent), slog.Uint64("heard", c.received), slog.Uint64("dropped", c.tracker.Dropped())}
 }
--- a/internal/knowledge/datagram/datagram_test.go
+++ b/internal/knowledge/datagram/datagram_test.go
@@ -17,7 +17,7 @@
 
 func state(n int, stalled int) (s pipe.State) {
 	for i := range n {
-		x := knowledge.Sighting{Life: knowledge.Life{Instance: fmt.Sprintf("s-%d", i), StartedMs: int64(i)}, Answered: 100 * time.Millisecond,
+		x := knowledge.Observation{Life: knowledge.Life{Instance: fmt.Sprintf("s-%d", i), StartedMs: int64(i)}, Answered: 100 * time.Millisecond,
 			Pace: 1.1, Answers: float64(i), Room: 3}
 		if i < stalled {
 			x.Answered, x.Lost, x.Stalled, x.Pace = 4*time.Second, 3, 4*time.Second, 9
@@ -31,9 +31,9 @@
 	for _, n := range []int{0, 5, 14, 400} {
 		s := state(n, min(n, 2))
 		s.Deaf = 3 * time.Second
-		m := Pack(s)
-		assert.LessOrEqual(t, len(m), mostBytes)
-		facts, ok := Unpack(m, knowledge.Observer{Name: "1"}, 1, s.Own)
+		m := Encode(s)
+		assert.LessOrEqual(t, len(m), maxDatagramSize)
+		facts, ok := Decode(m, knowledge.Observer{Name: "1"}, 1, s.Own)
 		require.True(t, ok)
 		assert.Len(t, facts, min(n, 28))
 		if n > 0 {
@@ -45,10 +45,10 @@
 			assert.InDelta(t, 0.1, facts[len(facts)-1].Answered.Seconds(), 0.01)
 		}
 	}
-	facts, ok := Unpack(Pack(state(5, 1)), knowledge.Observer{}, 1, state(2, 0).Own) // three are not listed here
+	facts, ok := Decode(Encode(state(5, 1)), knowledge.Observer{}, 1, state(2, 0).Own) // three are not listed here
 	assert.True(t, ok)
 	assert.Len(t, facts, 2)
-	_, ok = Unpack([]byte{kindPicture, form, 0, 0, 1}, knowledge.Observer{}, 1, nil)
+	_, ok = Decode([]byte{kindSnapshot, formatVersion, 0, 0, 1}, knowledge.Observer{}, 1, nil)
 	assert.False(t, ok)
 }
 
@@ -59,8 +59,8 @@
 	taught []knowledge.Prior
 }
 
-func (g *gateway) Seen() (pipe.State, helper.Snapshot) { return g.state, nil }
-func (g *gateway) Teach(list []knowledge.Prior, _ helper.Snapshot) int {
+func (g *gateway) Observe() (pipe.State, helper.Snapshot) { return g.state, nil }
+func (g *gateway) ApplyPriors(list []knowledge.Prior, _ helper.Snapshot) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.taught = list
@@ -73,7 +73,7 @@
 	now := func() knowledge.Time { return time.Hour + time.Since(began) }
 	var ends [3]*Exchange
 	tell := func(me int) func(int, []byte) {
-		return func(to int, m []byte) { ends[to].Take(me, m) }
+		return func(to int, m []byte) { ends[to].Receive(me, m) }
 	}
 	old := &gateway{state: state(6, 1)}
 	blank := &gateway{state: state(6, 0)}
@@ -83,7 +83,7 @@
 	for i, g := range []*gateway{old, blank, {}} {
 		ends[i] = New(g, tell(i), now, i, 3, 5)
 	}
-	ends[0].born = 0 // long ago
+	ends[0].startedAt = 0 // long ago
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { ends[1].Run(ctx); close(done) }()
@@ -94,29 +94,29 @@
 	}, time.Minute, time.Millisecond)
 	cancel()
 	<-done
-	assert.Zero(t, ends[2].Counters().Answered)
-	assert.NotZero(t, ends[0].Counters().Answered)
-	heard := ends[1].Counters().Heard
-	for _, m := range [][]byte{nil, {kindPicture}, {kindPicture, 9, 0, 0}, make([]byte, 999), {3, 0, 0}} {
-		ends[1].Take(0, m)
+	assert.Zero(t, ends[2].Counters().Answers)
+	assert.NotZero(t, ends[0].Counters().Answers)
+	heard := ends[1].Counters().Received
+	for _, m := range [][]byte{nil, {kindSnapshot}, {kindSnapshot, 9, 0, 0}, make([]byte, 999), {3, 0, 0}} {
+		ends[1].Receive(0, m)
 	}
-	ends[1].Take(7, Pack(old.state))
-	assert.Equal(t, heard, ends[1].Counters().Heard)
-	assert.Equal(t, uint64(1), ends[1].Counters().Odd)
+	ends[1].Receive(7, Encode(old.state))
+	assert.Equal(t, heard, ends[1].Counters().Received)
+	assert.Equal(t, uint64(1), ends[1].Counters().Malformed)
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add(Pack(state(4, 1)))
+	f.Add(Encode(state(4, 1)))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		own := state(4, 0).Own
-		facts, _ := Unpack(m, knowledge.Observer{Name: "1"}, 1, own)
-		b := knowledge.New(knowledge.Options{Me: knowledge.Observer{Name: "0"}})
+		facts, _ := Decode(m, knowledge.Observer{Name: "1"}, 1, own)
+		b := knowledge.New(knowledge.Options{Self: knowledge.Observer{Name: "0"}})
 		var listed []knowledge.Life
 		for i := range own {
 			listed, own[i].Answered = append(listed, own[i].Life), -1
 		}
-		b.List(listed)
-		b.Hear(time.Hour, facts)
+		b.SetMembers(listed)
+		b.Receive(time.Hour, facts)
 		for _, p := range b.Priors(time.Hour, own) {
 			if !(p.Pace > 0 && p.Pace < 100 && p.Weight > 0 && p.Room >= 0) {
 				t.Fatalf("%+v", p)
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -14,10 +14,10 @@
 type Prior = knowledge.Prior
 
 // Snapshot tells, for each life shown, its number and how often it had answered.
-type Snapshot map[knowledge.Life]shown
+type Snapshot map[knowledge.Life]observedServer
 
-type shown struct {
-	number policy.ServerID
+type observedServer struct {
+	id     policy.ServerID
 	served int
 }
 
@@ -27,25 +27,25 @@
 	Roster *discovery.Membership
 }
 
-const roomAhead, blankRoom = 4.0, 4.0
+const roomFactor, initialRoom = 4.0, 4.0
 
 // RoomMost is the most room that a peer's word may give at one of so many gateways: some times that of a blank start.
-func RoomMost(gateways int) float64 { return roomAhead * blankRoom / float64(max(gateways, 1)) }
+func MaxRoom(gateways int) float64 { return roomFactor * initialRoom / float64(max(gateways, 1)) }
 
 // Seen implements Teachable.
-func (g *Gateway) Seen() (state pipe.State, at Snapshot) {
+func (g *Gateway) Observe() (state pipe.State, at Snapshot) {
 	names := g.Roster.Incarnations()
 	at, state.Deaf = make(Snapshot, len(names)), g.Roster.SinceLastAnswer()
 	g.Core.UpdatePriors(func(now core.Time, seen []policy.Observation) []policy.Prior {
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
 			name, ok := names[o.ID]
-			if !ok || since(name.StartedMs) != o.StartedAt { // listed after the names were asked for
+			if !ok || startTime(name.StartedMs) != o.StartedAt { // listed after the names were asked for
 				continue
 			}
 			life := knowledge.Life(name)
-			at[life] = shown{o.ID, o.ServedTotal}
-			s := knowledge.Sighting{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue, Pace: o.RelativeLatency,
+			at[life] = observedServer{o.ID, o.ServedTotal}
+			s := knowledge.Observation{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue, Pace: o.RelativeLatency,
 				Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth, Cold: o.ColdSends}
 			if o.ServedTotal > 0 {
 				s.Answered = now - o.LastServed
@@ -59,10 +59,10 @@
 	return state, at
 }
 
-func since(startedMs int64) core.Time { return time.Duration(startedMs) * time.Millisecond }
+func startTime(startedMs int64) core.Time { return time.Duration(startedMs) * time.Millisecond }
 
 // Teach implements Teachable. A prior for a member that has answered since it was shown comes too late.
-func (g *Gateway) Teach(priors []Prior, at Snapshot) (late int) {
+func (g *Gateway) ApplyPriors(priors []Prior, at Snapshot) (late int) {
 	if len(priors) == 0 {
 		return 0
 	}
@@ -74,11 +74,11 @@
 		list := make([]policy.Prior, 0, len(priors))
 		for _, p := range priors {
 			s, ok := at[p.Life]
-			if now, listed := served[s.number]; !ok || !listed || now != s.served {
+			if now, listed := served[s.id]; !ok || !listed || now != s.served {
 				late++
 				continue
 			}
-			list = append(list, policy.Prior{ID: s.number, StartedAt: since(p.StartedMs), RelativeLatency: p.Pace, Weight: p.Weight, Capacity: p.Room,
+			list = append(list, policy.Prior{ID: s.id, StartedAt: startTime(p.StartedMs), RelativeLatency: p.Pace, Weight: p.Weight, Capacity: p.Room,
 				ColdBudgetTaken: p.Cold})
 		}
 		return list
--- a/internal/knowledge/helper/helper.go
+++ b/internal/knowledge/helper/helper.go
@@ -22,7 +22,7 @@
 const Program = "sprucelane-link"
 
 // Beside gives the path of the link program.
-func Beside() string {
+func ProgramPath() string {
 	self, err := os.Executable()
 	if err != nil {
 		return Program
@@ -31,40 +31,40 @@
 }
 
 const (
-	cadence    = 250 * time.Millisecond
-	answerWait = 5 * time.Second // for the news that a state brings
-	endWait    = time.Second     // for the child to end by itself
-	firstPause = 500 * time.Millisecond
-	lastPause  = 30 * time.Second
+	stateInterval = 250 * time.Millisecond
+	answerTimeout = 5 * time.Second // for the news that a state brings
+	exitTimeout   = time.Second     // for the child to end by itself
+	minBackoff    = 500 * time.Millisecond
+	maxBackoff    = 30 * time.Second
 )
 
 // Helper runs the link program for as long as it is open.
 type Helper struct {
-	program string
-	hello   pipe.Hello
-	gateway Teachable
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	learnt  chan struct{}
-	once    sync.Once
-
-	mu     sync.Mutex
-	last   pipe.News
-	starts uint64
-	drops  uint64 // priors that came too late
+	program     string
+	hello       pipe.Hello
+	gateway     PriorConsumer
+	cancel      context.CancelFunc
+	done        sync.WaitGroup
+	initialSync chan struct{}
+	syncOnce    sync.Once
+
+	mu         sync.Mutex
+	lastUpdate pipe.Update
+	starts     uint64
+	latePriors uint64 // priors that came too late
 }
 
 // Teachable is what is shown and taught.
-type Teachable interface {
-	Seen() (pipe.State, Snapshot)
-	Teach(priors []Prior, at Snapshot) (late int)
+type PriorConsumer interface {
+	Observe() (pipe.State, Snapshot)
+	ApplyPriors(priors []Prior, at Snapshot) (late int)
 }
 
 // Open starts the link program and keeps it running.
-func Open(program string, hello pipe.Hello, gateway Teachable) *Helper {
+func Open(program string, hello pipe.Hello, gateway PriorConsumer) *Helper {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &Helper{program: program, hello: hello, gateway: gateway, cancel: cancel, learnt: make(chan struct{})}
-	h.done.Go(func() { h.keep(ctx) })
+	h := &Helper{program: program, hello: hello, gateway: gateway, cancel: cancel, initialSync: make(chan struct{})}
+	h.done.Go(func() { h.supervise(ctx) })
 	return h
 }
 
@@ -75,30 +75,30 @@
 }
 
 // Learnt waits until the peers' pictures have come, or so long.
-func (h *Helper) Learnt(most time.Duration) {
+func (h *Helper) AwaitInitialSync(most time.Duration) {
 	wait := time.NewTimer(most)
 	defer wait.Stop()
 	select {
-	case <-h.learnt:
+	case <-h.initialSync:
 	case <-wait.C:
 	}
 }
 
 // keep starts the child anew whenever it has ended.
-func (h *Helper) keep(ctx context.Context) {
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, lastPause) {
+func (h *Helper) supervise(ctx context.Context) {
+	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
 		h.mu.Lock()
 		h.starts++
 		h.mu.Unlock()
 		began := time.Now()
-		err := h.run(ctx)
+		err := h.runChild(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		slog.Warn("link_program_ended", "program", h.program, "err", err)
-		h.once.Do(func() { close(h.learnt) }) // nothing is learnt from it: the start needn't wait
-		if time.Since(began) > lastPause {
-			pause = firstPause
+		h.syncOnce.Do(func() { close(h.initialSync) }) // nothing is learnt from it: the start needn't wait
+		if time.Since(began) > maxBackoff {
+			pause = minBackoff
 		}
 		wait := time.NewTimer(pause)
 		select {
@@ -110,7 +110,7 @@
 }
 
 // run is one life of the child.
-func (h *Helper) run(ctx context.Context) error {
+func (h *Helper) runChild(ctx context.Context) error {
 	cmd := exec.Command(h.program, "exchange")
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM} // it never outlives the gateway
@@ -125,11 +125,11 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	slow := time.AfterFunc(answerWait, func() { cmd.Process.Kill() })
-	err = h.talk(ctx, pipe.New(out, in), slow)
+	slow := time.AfterFunc(answerTimeout, func() { cmd.Process.Kill() })
+	err = h.exchange(ctx, pipe.New(out, in), slow)
 	slow.Stop()
 	in.Close() // which ends it
-	end := time.AfterFunc(endWait, func() { cmd.Process.Kill() })
+	end := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
 	defer end.Stop()
 	io.Copy(io.Discard, out)
 	if ended := cmd.Wait(); ended != nil && err == nil {
@@ -140,16 +140,16 @@
 
 // talk shows the child what was seen and takes its news, until either ends. A child that leaves a state unanswered is
 // killed by slow.
-func (h *Helper) talk(ctx context.Context, end *pipe.End, slow *time.Timer) error {
-	if err := end.Say(h.hello); err != nil {
+func (h *Helper) exchange(ctx context.Context, end *pipe.End, slow *time.Timer) error {
+	if err := end.Send(h.hello); err != nil {
 		return err
 	}
-	news, failed, over := make(chan pipe.News), make(chan error, 1), make(chan struct{})
+	news, failed, over := make(chan pipe.Update), make(chan error, 1), make(chan struct{})
 	defer close(over)
 	go func() {
 		for {
-			var n pipe.News
-			if err := end.Hear(&n); err != nil {
+			var n pipe.Update
+			if err := end.Receive(&n); err != nil {
 				failed <- err
 				return
 			}
@@ -160,13 +160,13 @@
 			}
 		}
 	}()
-	beat := time.NewTicker(cadence)
+	beat := time.NewTicker(stateInterval)
 	defer beat.Stop()
-	state, at := h.gateway.Seen()
+	state, at := h.gateway.Observe()
 	for asked := true; ; {
 		if asked {
-			slow.Reset(answerWait)
-			if err := end.Say(state); err != nil {
+			slow.Reset(answerTimeout)
+			if err := end.Send(state); err != nil {
 				return err
 			}
 			asked = false
@@ -174,15 +174,15 @@
 		select {
 		case n := <-news:
 			slow.Stop()
-			late := h.gateway.Teach(n.Priors, at)
+			late := h.gateway.ApplyPriors(n.Priors, at)
 			h.mu.Lock()
-			h.last, h.drops = n, h.drops+uint64(late)
+			h.lastUpdate, h.latePriors = n, h.latePriors+uint64(late)
 			h.mu.Unlock()
 			if n.Learnt {
-				h.once.Do(func() { close(h.learnt) })
+				h.syncOnce.Do(func() { close(h.initialSync) })
 			}
 		case <-beat.C:
-			state, at = h.gateway.Seen()
+			state, at = h.gateway.Observe()
 			asked = true
 		case err := <-failed:
 			return fmt.Errorf("it says nothing more: %w", err)
@@ -196,15 +196,15 @@
 func (h *Helper) Addr() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.last.Addr
+	return h.lastUpdate.Addr
 }
 
 // Counters tells of the exchange, as the child last did.
 func (h *Helper) Counters() []slog.Attr {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	list := []slog.Attr{slog.Uint64("link_starts", h.starts), slog.Uint64("priors_late", h.drops)}
-	for _, c := range h.last.Counters {
+	list := []slog.Attr{slog.Uint64("link_starts", h.starts), slog.Uint64("priors_late", h.latePriors)}
+	for _, c := range h.lastUpdate.Counters {
 		list = append(list, slog.Uint64(c.Name, c.Value))
 	}
 	return list
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -31,12 +31,12 @@
 func child() {
 	end := pipe.New(os.Stdin, os.Stdout)
 	var hello pipe.Hello
-	if end.Hear(&hello) != nil {
+	if end.Receive(&hello) != nil {
 		return
 	}
 	for {
 		var s pipe.State
-		if end.Hear(&s) != nil {
+		if end.Receive(&s) != nil {
 			return
 		}
 		switch hello.Me.Name {
@@ -49,11 +49,11 @@
 			io.Copy(io.Discard, os.Stdin)
 			return
 		}
-		news := pipe.News{Learnt: true, Addr: "here", Counters: []pipe.Counter{{Name: "facts", Value: uint64(len(s.Own))}}}
+		news := pipe.Update{Learnt: true, Addr: "here", Counters: []pipe.Counter{{Name: "facts", Value: uint64(len(s.Own))}}}
 		for _, o := range s.Own {
 			news.Priors = append(news.Priors, knowledge.Prior{Life: o.Life, Pace: 5, Weight: 3, Room: 2})
 		}
-		if end.Say(news) != nil {
+		if end.Send(news) != nil {
 			return
 		}
 	}
@@ -65,11 +65,11 @@
 	times int
 }
 
-func (g *taught) Seen() (pipe.State, Snapshot) {
-	return pipe.State{Own: []knowledge.Sighting{{Life: knowledge.Life{Instance: "a"}, Answered: -1}}}, Snapshot{}
+func (g *taught) Observe() (pipe.State, Snapshot) {
+	return pipe.State{Own: []knowledge.Observation{{Life: knowledge.Life{Instance: "a"}, Answered: -1}}}, Snapshot{}
 }
 
-func (g *taught) Teach(list []Prior, _ Snapshot) int {
+func (g *taught) ApplyPriors(list []Prior, _ Snapshot) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(list) > 0 {
@@ -84,7 +84,7 @@
 	return g.times
 }
 
-func open(t *testing.T, program, name string, g Teachable) *Helper {
+func open(t *testing.T, program, name string, g PriorConsumer) *Helper {
 	h := Open(program, pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}}, g)
 	t.Cleanup(h.Close)
 	return h
@@ -93,7 +93,7 @@
 func TestStatesGoOutAndPriorsComeBack(t *testing.T) {
 	g := &taught{}
 	h := open(t, os.Args[0], "good", g)
-	h.Learnt(time.Minute)
+	h.AwaitInitialSync(time.Minute)
 	require.Eventually(t, func() bool { return g.count() >= 2 }, time.Minute, time.Millisecond)
 	assert.Equal(t, "here", h.Addr())
 	assert.Contains(t, fmt.Sprint(h.Counters()), "facts=1")
@@ -108,7 +108,7 @@
 		}
 		g := &taught{}
 		h := open(t, program, name, g)
-		h.Learnt(time.Hour) // ends as soon as it is known that nothing comes
+		h.AwaitInitialSync(time.Hour) // ends as soon as it is known that nothing comes
 		require.Eventually(t, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -117,7 +117,7 @@
 		assert.Zero(t, g.count(), name)
 	}
 	h := open(t, os.Args[0], "silent", &taught{})
-	h.Learnt(time.Millisecond)
+	h.AwaitInitialSync(time.Millisecond)
 	h.Close() // and it ends though it says nothing
 }
 
@@ -130,19 +130,19 @@
 	r.Apply(policy.ListFull, []discovery.Instance{{ID: "a", Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: 5},
 		{ID: "b", Addr: "127.0.0.1:2", Lifecycle: "up"}, {ID: "c", Addr: "127.0.0.1:3", Lifecycle: "draining"}})
 	g := &Gateway{Core: c, Roster: r}
-	state, at := g.Seen()
+	state, at := g.Observe()
 	require.Len(t, state.Own, 2)
 	a, b := knowledge.Life{Instance: "a", StartedMs: 5}, knowledge.Life{Instance: "b"}
 	assert.Equal(t, a, state.Own[0].Life)
 	assert.Equal(t, time.Duration(-1), state.Own[1].Answered)
 	assert.Zero(t, state.Blind)
-	late := g.Teach([]Prior{{Life: a, Pace: 7, Weight: 2}, {Life: knowledge.Life{Instance: "a"}, Pace: 9, Weight: 9},
+	late := g.ApplyPriors([]Prior{{Life: a, Pace: 7, Weight: 2}, {Life: knowledge.Life{Instance: "a"}, Pace: 9, Weight: 9},
 		{Life: knowledge.Life{Instance: "c"}, Pace: 9, Weight: 9}}, at)
 	assert.Equal(t, 2, late)
-	state, _ = g.Seen()
+	state, _ = g.Observe()
 	assert.InDelta(t, 7, state.Own[0].Pace, 0.01)
-	at[b] = shown{at[b].number, 3} // it has answered since
-	assert.Equal(t, 1, g.Teach([]Prior{{Life: b, Pace: 9, Weight: 9}}, at))
+	at[b] = observedServer{at[b].id, 3} // it has answered since
+	assert.Equal(t, 1, g.ApplyPriors([]Prior{{Life: b, Pace: 9, Weight: 9}}, at))
 }
 
 type carrier struct{}
--- a/internal/knowledge/knowledge.go
+++ b/internal/knowledge/knowledge.go
@@ -56,26 +56,26 @@
 
 // Options are the constants of a book. Each zero value stands for its default.
 type Options struct {
-	Me Observer
-
-	StallHalf time.Duration // half-life of a stall: the news of seconds, as members hang for 8 to 25 s
-	PaceHalf  time.Duration // of a pace or a room: they follow the machine and its neighbours, for minutes
-	ColdHalf  time.Duration // of cold work sent: the window of the cold rule is a second
-	DeafHalf  time.Duration // of trust in an observer that hears nothing from discovery
-	BlindHalf time.Duration // of trust in what an observer without answers says is bad
-
-	MostAge      time.Duration // older facts are dropped
-	MostHops     int           // facts through more hands are dropped, and not passed on at so many
-	MostMembers  int
-	MostPeers    int           // observers held
-	SuspectShare float64       // of the listed members that peers' word may make suspects
-	OddShare     float64       // an observer that finds more than this share bad has a fault of its own
-	OwnHolds     time.Duration // an answer or a loss of one's own counts for so long against all that peers say
-	RoomMost     float64       // room that a peer's word may give
-	PriorFades   time.Duration // after which a prior has left the figures that this gateway tells
+	Self Observer
+
+	StallHalfLife time.Duration // half-life of a stall: the news of seconds, as members hang for 8 to 25 s
+	PaceHalfLife  time.Duration // of a pace or a room: they follow the machine and its neighbours, for minutes
+	ColdHalfLife  time.Duration // of cold work sent: the window of the cold rule is a second
+	DeafHalfLife  time.Duration // of trust in an observer that hears nothing from discovery
+	BlindHalfLife time.Duration // of trust in what an observer without answers says is bad
+
+	MaxAge          time.Duration // older facts are dropped
+	MaxHops         int           // facts through more hands are dropped, and not passed on at so many
+	MaxMembers      int
+	MaxObservers    int           // observers held
+	MaxSuspectShare float64       // of the listed members that peers' word may make suspects
+	FaultyShare     float64       // an observer that finds more than this share bad has a fault of its own
+	OwnEvidenceTTL  time.Duration // an answer or a loss of one's own counts for so long against all that peers say
+	MaxRoom         float64       // room that a peer's word may give
+	PriorEchoTime   time.Duration // after which a prior has left the figures that this gateway tells
 }
 
-func orElse[T cmp.Ordered](x *T, standard T) {
+func setDefault[T cmp.Ordered](x *T, standard T) {
 	var zero T
 	if *x <= zero {
 		*x = standard
@@ -83,50 +83,50 @@
 }
 
 func (o *Options) defaults() {
-	orElse(&o.StallHalf, 4*time.Second)
-	orElse(&o.PaceHalf, time.Minute)
-	orElse(&o.ColdHalf, 500*time.Millisecond)
-	orElse(&o.DeafHalf, 30*time.Second)
-	orElse(&o.BlindHalf, 500*time.Millisecond)
-	orElse(&o.MostAge, 2*time.Minute)
-	orElse(&o.MostHops, 3)
-	orElse(&o.MostMembers, 10000)
-	orElse(&o.MostPeers, 64)
-	orElse(&o.SuspectShare, 1.0/3)
-	orElse(&o.OddShare, 0.5)
-	orElse(&o.OwnHolds, 10*time.Second)
-	orElse(&o.RoomMost, 16)
-	orElse(&o.PriorFades, 15*time.Second)
+	setDefault(&o.StallHalfLife, 4*time.Second)
+	setDefault(&o.PaceHalfLife, time.Minute)
+	setDefault(&o.ColdHalfLife, 500*time.Millisecond)
+	setDefault(&o.DeafHalfLife, 30*time.Second)
+	setDefault(&o.BlindHalfLife, 500*time.Millisecond)
+	setDefault(&o.MaxAge, 2*time.Minute)
+	setDefault(&o.MaxHops, 3)
+	setDefault(&o.MaxMembers, 10000)
+	setDefault(&o.MaxObservers, 64)
+	setDefault(&o.MaxSuspectShare, 1.0/3)
+	setDefault(&o.FaultyShare, 0.5)
+	setDefault(&o.OwnEvidenceTTL, 10*time.Second)
+	setDefault(&o.MaxRoom, 16)
+	setDefault(&o.PriorEchoTime, 15*time.Second)
 }
 
 // Drop says why a fact was not taken.
-type Drop uint8
+type DropReason uint8
 
 // The reasons.
 const (
-	Taken     Drop = iota
-	OldNews        // no later than what is held
-	Own            // this gateway's own word come back
-	Unknown        // of a member that is not listed here
-	OtherLife      // of a listed member in another life
-	Malformed      // not a number, negative, out of all bounds, without a name
-	TooOld         // seen too long ago
-	TooFar         // through too many hands
-	NoRoom         // more observers than are held
-	drops
+	Accepted         DropReason = iota
+	Stale                       // no later than what is held
+	OwnFact                     // this gateway's own word come back
+	UnknownMember               // of a member that is not listed here
+	OtherIncarnation            // of a listed member in another life
+	Malformed                   // not a number, negative, out of all bounds, without a name
+	TooOld                      // seen too long ago
+	TooManyHops                 // through too many hands
+	TooManyObservers            // more observers than are held
+	dropReasons
 )
 
-var dropNames = [drops]string{"taken", "old_news", "own", "unknown_member", "other_life", "malformed", "too_old", "too_far", "no_room"}
+var dropNames = [dropReasons]string{"taken", "old_news", "own", "unknown_member", "other_life", "malformed", "too_old", "too_far", "no_room"}
 
-func (d Drop) String() string { return dropNames[d] }
+func (d DropReason) String() string { return dropNames[d] }
 
 // Counts tells how many facts were dropped for each reason, or taken.
-type Counts [drops]uint64
+type Counts [dropReasons]uint64
 
-type held struct {
+type record struct {
 	Fact
-	seen    Time   // when it was seen, by this gateway's clock; Fact.Age is not kept
-	version uint64 // of the book when it came in
+	observedAt Time   // when it was seen, by this gateway's clock; Fact.Age is not kept
+	version    uint64 // of the book when it came in
 }
 
 type key struct {
@@ -135,11 +135,11 @@
 }
 
 // Book holds what is known of the members that are listed. It is not safe for concurrent use.
-type Book struct {
-	opt     Options
+type Table struct {
+	options Options
 	listed  map[string]int64 // instance: the life that discovery lists as up
-	facts   map[key]*held
-	peers   map[string]int // observers: facts held of each
+	facts   map[key]*record
+	factsOf map[string]int // observers: facts held of each
 	version uint64
 	seq     uint64
 	priors  map[Life]Time // when a prior was last given
@@ -148,16 +148,16 @@
 }
 
 // New gives an empty book.
-func New(opt Options) *Book {
+func New(opt Options) *Table {
 	opt.defaults()
-	return &Book{opt: opt, listed: map[string]int64{}, facts: map[key]*held{}, peers: map[string]int{},
+	return &Table{options: opt, listed: map[string]int64{}, facts: map[key]*record{}, factsOf: map[string]int{},
 		priors: map[Life]Time{}, lost: map[Life]Time{}}
 }
 
 // List takes in which members discovery lists as up. What is known of any other, or of another life, is forgotten.
-func (b *Book) List(lives []Life) {
+func (b *Table) SetMembers(lives []Life) {
 	clear(b.listed)
-	for _, l := range lives[:min(len(lives), b.opt.MostMembers)] {
+	for _, l := range lives[:min(len(lives), b.options.MaxMembers)] {
 		b.listed[l.Instance] = l.StartedMs
 	}
 	for k := range b.facts {
@@ -170,53 +170,53 @@
 	maps.DeleteFunc(b.lost, gone)
 }
 
-func (b *Book) forget(k key) {
+func (b *Table) forget(k key) {
 	delete(b.facts, k)
-	if b.peers[k.observer]--; b.peers[k.observer] == 0 {
-		delete(b.peers, k.observer)
+	if b.factsOf[k.observer]--; b.factsOf[k.observer] == 0 {
+		delete(b.factsOf, k.observer)
 	}
 }
 
 // Hear takes peers' facts in. Each is judged alone: what is odd is dropped and counted, and hurts nothing.
-func (b *Book) Hear(now Time, list []Fact) {
+func (b *Table) Receive(now Time, list []Fact) {
 	for i := range list {
-		b.counts[b.hear(now, list[i])]++
+		b.counts[b.receive(now, list[i])]++
 	}
 }
 
 const (
-	longestName = 128
-	mostFigure  = 1e6 // of what is counted, or in seconds
+	maxNameLength = 128
+	maxNumber     = 1e6 // of what is counted, or in seconds
 )
 
-func (b *Book) hear(now Time, f Fact) Drop {
+func (b *Table) receive(now Time, f Fact) DropReason {
 	switch {
-	case !f.sound():
+	case !f.valid():
 		return Malformed
-	case f.Age > b.opt.MostAge:
+	case f.Age > b.options.MaxAge:
 		return TooOld
-	case f.Hops > b.opt.MostHops:
-		return TooFar
-	case f.Observer.Name == b.opt.Me.Name:
-		return Own
+	case f.Hops > b.options.MaxHops:
+		return TooManyHops
+	case f.Observer.Name == b.options.Self.Name:
+		return OwnFact
 	}
 	started, ok := b.listed[f.Instance]
 	if !ok {
-		return Unknown
+		return UnknownMember
 	}
 	if started != f.StartedMs {
-		return OtherLife
+		return OtherIncarnation
 	}
-	return b.hold(now, f)
+	return b.store(now, f)
 }
 
 // sound tells whether a fact's figures are such as an observer can have seen.
-func (f *Fact) sound() bool {
-	if f.Instance == "" || len(f.Instance) > longestName || f.Observer.Name == "" || len(f.Observer.Name) > longestName {
+func (f *Fact) valid() bool {
+	if f.Instance == "" || len(f.Instance) > maxNameLength || f.Observer.Name == "" || len(f.Observer.Name) > maxNameLength {
 		return false
 	}
-	for _, x := range f.figures() {
-		if !(x >= 0 && x <= mostFigure) {
+	for _, x := range f.numbers() {
+		if !(x >= 0 && x <= maxNumber) {
 			return false
 		}
 	}
@@ -225,40 +225,40 @@
 
 // later tells whether a fact comes after another of its observer. The same sighting through different hands differs in
 // what the ways cost it: the older reading is the true one, and stays.
-func (h *held) later(o *held) bool {
+func (h *record) newer(o *record) bool {
 	if c := cmp.Or(cmp.Compare(h.Birth, o.Birth), cmp.Compare(h.Seq, o.Seq)); c != 0 {
 		return c > 0
 	}
-	return cmp.Or(cmp.Compare(o.seen, h.seen), cmp.Compare(o.Hops, h.Hops), slices.Compare(h.figures(), o.figures())) > 0
+	return cmp.Or(cmp.Compare(o.observedAt, h.observedAt), cmp.Compare(o.Hops, h.Hops), slices.Compare(h.numbers(), o.numbers())) > 0
 }
 
 // figures are all that is counted or compared in a fact, for checks and for a total order.
-func (f *Fact) figures() []float64 {
+func (f *Fact) numbers() []float64 {
 	return []float64{f.Pace, f.Answers, f.Room, f.Warmth, float64(f.Lost), float64(f.Cold), f.Stalled.Seconds(),
 		f.Ejected.Seconds(), f.Deaf.Seconds(), f.Blind.Seconds(), max(0, f.Answered.Seconds())}
 }
 
-func (b *Book) hold(now Time, f Fact) Drop {
+func (b *Table) store(now Time, f Fact) DropReason {
 	k := key{f.Life, f.Observer.Name}
-	h := &held{Fact: f, seen: now - f.Age}
+	h := &record{Fact: f, observedAt: now - f.Age}
 	h.Age = 0
 	old := b.facts[k]
 	switch {
-	case old != nil && !h.later(old):
-		return OldNews
-	case old == nil && b.peers[k.observer] == 0 && len(b.peers) >= b.opt.MostPeers:
-		return NoRoom
+	case old != nil && !h.newer(old):
+		return Stale
+	case old == nil && b.factsOf[k.observer] == 0 && len(b.factsOf) >= b.options.MaxObservers:
+		return TooManyObservers
 	case old == nil:
-		b.peers[k.observer]++
+		b.factsOf[k.observer]++
 	}
 	b.version++
 	h.version = b.version
 	b.facts[k] = h
-	return Taken
+	return Accepted
 }
 
 // Sighting is what this gateway itself saw of a listed member.
-type Sighting struct {
+type Observation struct {
 	Life
 	Stalled, Ejected time.Duration
 	Lost             int
@@ -270,7 +270,7 @@
 
 // Saw takes this gateway's own sightings in, which its peers are told. Deaf and blind are as in Fact. A sighting that
 // differs little from the last one told is told again only after a while.
-func (b *Book) Saw(now Time, list []Sighting, deaf, blind time.Duration) {
+func (b *Table) Observe(now Time, list []Observation, deaf, blind time.Duration) {
 	for _, s := range list {
 		if started, ok := b.listed[s.Instance]; !ok || started != s.StartedMs {
 			continue
@@ -278,22 +278,22 @@
 		if s.Lost > 0 {
 			b.lost[s.Life] = now
 		}
-		f := Fact{Life: s.Life, Observer: b.opt.Me, Stalled: s.Stalled, Lost: s.Lost, Ejected: s.Ejected, Warmth: s.Warmth,
+		f := Fact{Life: s.Life, Observer: b.options.Self, Stalled: s.Stalled, Lost: s.Lost, Ejected: s.Ejected, Warmth: s.Warmth,
 			Cold: s.Cold, Answered: -1, Deaf: deaf, Blind: blind}
 		if s.Answered >= 0 {
 			f.Answered = s.Answered
 		}
 		// What a peer's word has moved is not this gateway's to tell.
-		if at, guessed := b.priors[s.Life]; s.Answered >= 0 && (!guessed || now-at > b.opt.PriorFades) {
+		if at, guessed := b.priors[s.Life]; s.Answered >= 0 && (!guessed || now-at > b.options.PriorEchoTime) {
 			f.Pace, f.Answers, f.Room = s.Pace, s.Answers, s.Room
 		}
-		if old := b.facts[key{s.Life, b.opt.Me.Name}]; old != nil && !b.news(now, old, &f) {
+		if old := b.facts[key{s.Life, b.options.Self.Name}]; old != nil && !b.changed(now, old, &f) {
 			continue
 		}
 		if f.Served() || f.Lost > 0 || f.Cold > 0 || f.Ejected > 0 {
 			b.seq++
 			f.Seq = b.seq
-			b.hold(now, f)
+			b.store(now, f)
 		}
 	}
 }
@@ -302,31 +302,31 @@
 func (f *Fact) Served() bool { return f.Answered >= 0 }
 
 // renewAfter is how soon an unchanged sighting is told anew: well within the shortest half-life that weighs it.
-const renewAfter = time.Second
+const refreshInterval = time.Second
 
 // news tells whether a sighting says more than one that was told.
-func (b *Book) news(now Time, old *held, f *Fact) bool {
+func (b *Table) changed(now Time, old *record, f *Fact) bool {
 	quiet := f.Lost == 0 && f.Ejected == 0 && f.Cold == 0
-	switch since := now - old.seen; {
+	switch since := now - old.observedAt; {
 	case (old.Lost > 0) != (f.Lost > 0) || (old.Ejected > 0) != (f.Ejected > 0) || (old.Cold > 0) != (f.Cold > 0):
 		return true
 	case !quiet:
-		return since >= renewAfter
+		return since >= refreshInterval
 	default: // paces matter for minutes, so that hundreds of quiet members cost next to nothing
-		return since >= 4*renewAfter && f.Answered < since || math.Abs(f.Pace-old.Pace) > 0.25*math.Max(old.Pace, 0.1) && since >= renewAfter
+		return since >= 4*refreshInterval && f.Answered < since || math.Abs(f.Pace-old.Pace) > 0.25*math.Max(old.Pace, 0.1) && since >= refreshInterval
 	}
 }
 
 // Tell gives the facts that came in after a version and may be passed on, the earliest first and so many at most, with
 // their ages, and the version that they bring up to. From 0 on they are the whole picture.
-func (b *Book) Tell(now Time, after uint64, most int) ([]Fact, uint64) {
-	var news []*held
+func (b *Table) FactsSince(now Time, after uint64, most int) ([]Fact, uint64) {
+	var news []*record
 	for _, h := range b.facts {
-		if h.version > after && h.hands(b.opt.Me) <= b.opt.MostHops && now-h.seen <= b.opt.MostAge {
+		if h.version > after && h.onwardHops(b.options.Self) <= b.options.MaxHops && now-h.observedAt <= b.options.MaxAge {
 			news = append(news, h)
 		}
 	}
-	slices.SortFunc(news, func(x, y *held) int { return cmp.Compare(x.version, y.version) })
+	slices.SortFunc(news, func(x, y *record) int { return cmp.Compare(x.version, y.version) })
 	version := b.version
 	if len(news) > most {
 		news = news[:most]
@@ -335,13 +335,13 @@
 	list := make([]Fact, len(news))
 	for i, h := range news {
 		list[i] = h.Fact
-		list[i].Age, list[i].Hops = max(0, now-h.seen), h.hands(b.opt.Me)
+		list[i].Age, list[i].Hops = max(0, now-h.observedAt), h.onwardHops(b.options.Self)
 	}
 	return list, version
 }
 
 // hands is how many a fact has come through once it leaves here.
-func (h *held) hands(me Observer) int {
+func (h *record) onwardHops(me Observer) int {
 	if h.Observer == me {
 		return 0
 	}
@@ -349,7 +349,7 @@
 }
 
 // Counts gives what became of the facts heard.
-func (b *Book) Counts() Counts { return b.counts }
+func (b *Table) Counts() Counts { return b.counts }
 
 // Size tells how many facts are held, of how many observers.
-func (b *Book) Size() (facts, observers int) { return len(b.facts), len(b.peers) }
+func (b *Table) Size() (facts, observers int) { return len(b.facts), len(b.factsOf) }
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -24,16 +24,16 @@
 }
 
 // blank is a gateway's book before ten members of which it has seen nothing.
-func blank(me string) *Book {
-	b := New(Options{Me: Observer{Name: me, Birth: 1}})
-	b.List(lives(10))
+func blank(me string) *Table {
+	b := New(Options{Self: Observer{Name: me, Birth: 1}})
+	b.SetMembers(lives(10))
 	return b
 }
 
 // unseen are sightings of members that have not been tried.
-func unseen(n int) (list []Sighting) {
+func unseen(n int) (list []Observation) {
 	for _, l := range lives(n) {
-		list = append(list, Sighting{Life: l, Answered: -1, Warmth: 1})
+		list = append(list, Observation{Life: l, Answered: -1, Warmth: 1})
 	}
 	return list
 }
@@ -74,7 +74,7 @@
 
 func TestStallsArePassedOnWhileTheyAreNews(t *testing.T) {
 	b := blank("g2")
-	b.Hear(start, told("g0", 3, 7))
+	b.Receive(start, told("g0", 3, 7))
 	priors := b.Priors(start, unseen(10))
 	assert.Len(t, priors, 10)
 	assert.Equal(t, []string{"m-03", "m-07"}, suspects(priors))
@@ -91,24 +91,24 @@
 	for i := range old {
 		old[i].Age, old[i].Deaf = 30*second, 30*second
 	}
-	b.Hear(start, old)
+	b.Receive(start, old)
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
 	// It goes on and finds all its attempts lost, at four members so far.
 	blind := told("g0", 0, 1, 2, 4)
 	for i := range blind {
 		blind[i].Seq, blind[i].Blind, blind[i].Deaf = blind[i].Seq+100, 4*second, 30*second
 	}
-	b.Hear(start, blind)
+	b.Receive(start, blind)
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
 }
 
 // All members look bad to a peer whose own network is bad. Where more than half do, its word on stalls is not taken.
 func TestPeerToWhichAllLookBad(t *testing.T) {
 	b := blank("g2")
-	b.Hear(start, told("g0", 0, 1, 2, 3, 4, 5, 6, 8))
+	b.Receive(start, told("g0", 0, 1, 2, 3, 4, 5, 6, 8))
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
 	b = blank("g2")
-	b.Hear(start, told("g0", 0, 1, 2, 3, 4)) // half: more than may be suspects
+	b.Receive(start, told("g0", 0, 1, 2, 3, 4)) // half: more than may be suspects
 	assert.Len(t, suspects(b.Priors(start, unseen(10))), 3)
 }
 
@@ -116,12 +116,12 @@
 	b := blank("g2")
 	list := lives(10)
 	list[3].StartedMs = 77000 // at the same address or at another: its life is another
-	b.List(list)
-	b.Hear(start, told("g0", 3, 7))
+	b.SetMembers(list)
+	b.Receive(start, told("g0", 3, 7))
 	assert.Equal(t, []string{"m-07"}, suspects(b.Priors(start, unseen(10))))
-	assert.Equal(t, uint64(1), b.Counts()[OtherLife])
+	assert.Equal(t, uint64(1), b.Counts()[OtherIncarnation])
 	list[7].StartedMs = 78000 // while its facts are held
-	b.List(list)
+	b.SetMembers(list)
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
 	facts, _ := b.Size()
 	assert.Equal(t, 8, facts)
@@ -129,9 +129,9 @@
 
 func TestMemberThatIsNotListed(t *testing.T) {
 	b := blank("g2")
-	b.List(lives(5)) // the others drain or are gone
-	b.Hear(start, told("g0"))
-	assert.Equal(t, uint64(5), b.Counts()[Unknown])
+	b.SetMembers(lives(5)) // the others drain or are gone
+	b.Receive(start, told("g0"))
+	assert.Equal(t, uint64(5), b.Counts()[UnknownMember])
 	for _, p := range b.Priors(start, unseen(10)) {
 		assert.Less(t, p.Instance, "m-05")
 	}
@@ -141,41 +141,41 @@
 	b := blank("g2")
 	once := stalled("g0", 1, 3)
 	once.Lost = 1
-	b.Hear(start, []Fact{once, well("g1", 1, 3), well("g0", 2, 4)})
+	b.Receive(start, []Fact{once, well("g1", 1, 3), well("g0", 2, 4)})
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))), "one attempt lost against an answer just now")
 	earlier := well("g1", 2, 3)
 	earlier.Answered = 5 * second
-	b.Hear(start, []Fact{stalled("g0", 3, 3), earlier})
+	b.Receive(start, []Fact{stalled("g0", 3, 3), earlier})
 	assert.Equal(t, []string{"m-03"}, suspects(b.Priors(start, unseen(10))), "three lost against an answer of long ago")
 }
 
 // Own sightings come first: an answer, or an attempt lost, ends what peers may say for a while.
 func TestOwnSightingsComeFirst(t *testing.T) {
 	b := blank("g2")
-	b.Hear(start, told("g0", 3, 7))
+	b.Receive(start, told("g0", 3, 7))
 	own := unseen(10)
 	own[3].Answered = second
 	own[5].Lost, own[5].Stalled = 1, second
-	b.Saw(start, own, 0, 0)
+	b.Observe(start, own, 0, 0)
 	own[5].Lost = 0 // the attempt is over; that it was lost is still known
 	priors := b.Priors(start+2*second, own)
 	assert.Equal(t, []string{"m-07"}, suspects(priors))
 	assert.Len(t, priors, 8)
 	own[3].Answered = 11 * second
-	b.Hear(start+11*second, []Fact{stalled("g0", 99, 3), well("g0", 100, 1)})
+	b.Receive(start+11*second, []Fact{stalled("g0", 99, 3), well("g0", 100, 1)})
 	assert.Contains(t, suspects(b.Priors(start+11*second, own)), "m-03")
 }
 
 // What a peer's word has moved is not told on as this gateway's own.
 func TestGuessesAreNotToldOn(t *testing.T) {
 	b := blank("g2")
-	b.Hear(start, told("g0"))
+	b.Receive(start, told("g0"))
 	require.Len(t, b.Priors(start, unseen(10)), 10)
 	own := unseen(10)
 	own[1].Answered, own[1].Pace, own[1].Answers, own[1].Room = 0, 1.5, 4, 3
-	b.Saw(start+second, own, 0, 0)
+	b.Observe(start+second, own, 0, 0)
 	mine := func(now Time) (f Fact) {
-		list, _ := b.Tell(now, 0, 100)
+		list, _ := b.FactsSince(now, 0, 100)
 		for _, x := range list {
 			if x.Observer.Name == "g2" {
 				f = x
@@ -185,29 +185,29 @@
 	}
 	assert.Equal(t, "m-01", mine(start+second).Instance)
 	assert.Zero(t, mine(start+second).Pace)
-	b.Saw(start+20*second, own, 0, 0)
+	b.Observe(start+20*second, own, 0, 0)
 	assert.Equal(t, 1.5, mine(start+20*second).Pace)
 }
 
 // Three gateways tell each other all they hold, over ways whose time nobody counts. What went round is the same
 // sighting still and no younger than the ways took.
 func TestFactsThatGoInACircle(t *testing.T) {
-	books := []*Book{blank("g0"), blank("g1"), blank("g2")}
+	books := []*Table{blank("g0"), blank("g1"), blank("g2")}
 	seen := unseen(10)
 	seen[3].Lost, seen[3].Stalled = 2, 2*second
-	books[0].Saw(start, seen, 0, 0) // once, and never again
+	books[0].Observe(start, seen, 0, 0) // once, and never again
 	const way = 5 * time.Millisecond
 	now := start
 	for range 400 {
 		for i, b := range books {
-			facts, _ := b.Tell(now, 0, 100)
+			facts, _ := b.FactsSince(now, 0, 100)
 			now += way
-			books[(i+1)%3].Hear(now, facts)
-			books[(i+2)%3].Hear(now, facts)
+			books[(i+1)%3].Receive(now, facts)
+			books[(i+2)%3].Receive(now, facts)
 		}
 	}
 	for i, b := range books {
-		list, _ := b.Tell(now, 0, 100)
+		list, _ := b.FactsSince(now, 0, 100)
 		require.Len(t, list, 1, "book %d", i)
 		assert.Equal(t, "g0", list[0].Observer.Name)
 		assert.InDelta(t, (now - start).Seconds(), list[0].Age.Seconds(), (4 * way).Seconds())
@@ -218,13 +218,13 @@
 
 func TestOddFactsAreDropped(t *testing.T) {
 	b := blank("g2")
-	for reason, spoil := range map[Drop]func(*Fact){
-		TooOld: func(f *Fact) { f.Age = time.Hour }, TooFar: func(f *Fact) { f.Hops = 9 }, Own: func(f *Fact) { f.Observer.Name = "g2" },
-		Unknown: func(f *Fact) { f.Instance = "x" }, OtherLife: func(f *Fact) { f.StartedMs = 1 },
+	for reason, spoil := range map[DropReason]func(*Fact){
+		TooOld: func(f *Fact) { f.Age = time.Hour }, TooManyHops: func(f *Fact) { f.Hops = 9 }, OwnFact: func(f *Fact) { f.Observer.Name = "g2" },
+		UnknownMember: func(f *Fact) { f.Instance = "x" }, OtherIncarnation: func(f *Fact) { f.StartedMs = 1 },
 	} {
 		f := well("g0", 1, 1)
 		spoil(&f)
-		assert.Equal(t, reason, b.hear(start, f), reason.String())
+		assert.Equal(t, reason, b.receive(start, f), reason.String())
 	}
 	for name, spoil := range map[string]func(*Fact){
 		"not a number": func(f *Fact) { f.Pace = math.NaN() }, "infinite": func(f *Fact) { f.Room = math.Inf(1) },
@@ -235,7 +235,7 @@
 	} {
 		f := well("g0", 1, 1)
 		spoil(&f)
-		assert.Equal(t, Malformed, b.hear(start, f), name)
+		assert.Equal(t, Malformed, b.receive(start, f), name)
 	}
 	facts, _ := b.Size()
 	assert.Zero(t, facts)
@@ -243,35 +243,35 @@
 
 // A million facts leave no more than the bounds allow.
 func TestHoldsNoMoreThanItsBounds(t *testing.T) {
-	b := New(Options{Me: Observer{Name: "g2", Birth: 1}, MostPeers: 4})
-	b.List(lives(10))
+	b := New(Options{Self: Observer{Name: "g2", Birth: 1}, MaxObservers: 4})
+	b.SetMembers(lives(10))
 	for i := range 1000000 {
-		b.hear(start, well(fmt.Sprintf("g%d", 10+i%1000), uint64(i), i%10))
+		b.receive(start, well(fmt.Sprintf("g%d", 10+i%1000), uint64(i), i%10))
 	}
 	facts, observers := b.Size()
 	assert.LessOrEqual(t, facts, 40)
 	assert.Equal(t, 4, observers)
-	b.Hear(start+time.Minute, told("g10", 2))
-	list, _ := b.Tell(start+time.Minute, 0, 7)
+	b.Receive(start+time.Minute, told("g10", 2))
+	list, _ := b.FactsSince(start+time.Minute, 0, 7)
 	assert.Len(t, list, 7)
 }
 
 // Tell in parts gives each fact once, and after that only what is new.
 func TestTellInParts(t *testing.T) {
 	b := blank("g2")
-	b.Hear(start, told("g0"))
-	b.Hear(start, told("g1"))
+	b.Receive(start, told("g0"))
+	b.Receive(start, told("g1"))
 	seen, after := 0, uint64(0)
 	for {
-		list, version := b.Tell(start, after, 3)
+		list, version := b.FactsSince(start, after, 3)
 		if after = version; len(list) == 0 {
 			break
 		}
 		seen += len(list)
 	}
 	assert.Equal(t, 20, seen)
-	b.Hear(start, []Fact{well("g1", 99, 4)})
-	list, _ := b.Tell(start, after, 100)
+	b.Receive(start, []Fact{well("g1", 99, 4)})
+	list, _ := b.FactsSince(start, after, 100)
 	assert.Len(t, list, 1)
 }
 
@@ -296,14 +296,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawFacts(t)
 		a, b := blank("g9"), blank("g9")
-		a.Hear(start, list)
+		a.Receive(start, list)
 		shuffled := rapid.Permutation(list).Draw(t, "order")
 		cut := rapid.IntRange(0, len(list)).Draw(t, "cut")
-		b.Hear(start, shuffled[cut:])
-		b.Hear(start, shuffled[:cut])
-		b.Hear(start, shuffled) // once more
-		holds := func(x *Book) map[key]held {
-			m := map[key]held{}
+		b.Receive(start, shuffled[cut:])
+		b.Receive(start, shuffled[:cut])
+		b.Receive(start, shuffled) // once more
+		holds := func(x *Table) map[key]record {
+			m := map[key]record{}
 			for k, h := range x.facts {
 				v := *h
 				v.version = 0
@@ -332,15 +332,15 @@
 			for i := range listed {
 				listed[i].StartedMs = int64(rapid.IntRange(0, 1).Draw(t, "life"))
 			}
-			b.List(listed)
-			b.Hear(now, drawFacts(t))
+			b.SetMembers(listed)
+			b.Receive(now, drawFacts(t))
 			own := unseen(12)
 			for i := range own {
 				if rapid.Bool().Draw(t, "answered") {
 					own[i].Answered = second
 				}
 			}
-			b.Saw(now, own, 0, 0)
+			b.Observe(now, own, 0, 0)
 			priors := b.Priors(now, own)
 			if most := n / 3; len(suspects(priors)) > most {
 				t.Fatalf("%d suspects of %d", len(suspects(priors)), n)
@@ -353,7 +353,7 @@
 				if started, ok := b.listed[p.Instance]; !ok || started != p.StartedMs || seen[p.Life] {
 					t.Fatalf("a prior for %+v, which is not listed or was seen", p)
 				}
-				if !(p.Pace > 0 && p.Pace <= stallPace && p.Weight > 0 && p.Weight <= stallWeight && p.Room >= 0 && p.Room <= b.opt.RoomMost) {
+				if !(p.Pace > 0 && p.Pace <= suspectPace && p.Weight > 0 && p.Weight <= suspectWeight && p.Room >= 0 && p.Room <= b.options.MaxRoom) {
 					t.Fatalf("out of bounds: %+v", p)
 				}
 			}
--- a/internal/knowledge/link/convert.go
+++ b/internal/knowledge/link/convert.go
@@ -11,8 +11,8 @@
 // Version is the form of messages that this program speaks, and oldest the oldest reader that understands it. A newer
 // form may add fields, which older readers skip; one that they would misread raises oldest.
 const (
-	Version = 1
-	oldest  = 1
+	Version       = 1
+	oldestVersion = 1
 )
 
 func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
--- a/internal/knowledge/link/link.go
+++ b/internal/knowledge/link/link.go
@@ -27,21 +27,21 @@
 
 // The bounds of the wire.
 const (
-	MostFacts   = 20000   // in a message
-	mostBytes   = 4 << 20 // of a message
-	mostCalls   = 32      // readers at once
-	cadence     = 250 * time.Millisecond
-	heartbeat   = time.Second     // a message comes this often at least
-	silentAfter = 4 * heartbeat   // a teller that says nothing for so long is called anew
-	sendWait    = 5 * time.Second // for a reader that takes nothing
-	firstPause  = 100 * time.Millisecond
-	lastPause   = 5 * time.Second
+	MaxFacts          = 20000   // in a message
+	maxMessageSize    = 4 << 20 // of a message
+	maxCalls          = 32      // readers at once
+	updateInterval    = 250 * time.Millisecond
+	heartbeatInterval = time.Second           // a message comes this often at least
+	receiveTimeout    = 4 * heartbeatInterval // a teller that says nothing for so long is called anew
+	sendTimeout       = 5 * time.Second       // for a reader that takes nothing
+	minBackoff        = 100 * time.Millisecond
+	maxBackoff        = 5 * time.Second
 )
 
 // Options are an exchange's settings.
 type Options struct {
-	Me     knowledge.Observer
-	Book   knowledge.Options
+	Self   knowledge.Observer
+	Table  knowledge.Options
 	Listen string   // where peers ask; empty: they can't
 	Peers  []string // whom to ask; empty: nobody
 	TLS    *TLS     // nil: plain
@@ -54,44 +54,44 @@
 // Exchange is one gateway's part in the exchange of knowledge.
 type Exchange struct {
 	pb.UnimplementedKnowledgeServer
-	opt      Options
-	listener net.Listener
-	server   *grpc.Server
-	stop     context.CancelFunc
-	ctx      context.Context
-	done     sync.WaitGroup
-	first    chan struct{} // closed when every peer has told its picture or failed
-	calls    chan struct{}
+	opt         Options
+	listener    net.Listener
+	server      *grpc.Server
+	stop        context.CancelFunc
+	ctx         context.Context
+	done        sync.WaitGroup
+	initialSync chan struct{} // closed when every peer has told its picture or failed
+	callSlots   chan struct{}
 
-	mu      sync.Mutex
-	book    *knowledge.Book
-	own     []knowledge.Sighting // as last updated
-	deaf    time.Duration
-	blind   time.Duration
-	priors  uint64
-	suspect uint64
-	heard   uint64 // messages
-	broken  uint64 // calls that ended in an error
-	refused uint64 // messages of a form that this program doesn't read, or out of bounds
-	waiting int    // peers of which nothing has come yet
+	mu            sync.Mutex
+	table         *knowledge.Table
+	observations  []knowledge.Observation // as last updated
+	deaf          time.Duration
+	blind         time.Duration
+	priors        uint64
+	suspect       uint64
+	messages      uint64 // messages
+	callErrors    uint64 // calls that ended in an error
+	rejected      uint64 // messages of a form that this program doesn't read, or out of bounds
+	unsyncedPeers int    // peers of which nothing has come yet
 }
 
 // Open starts the exchange for a gateway that has seen this much: it listens where it is told to, and asks its peers.
-func Open(opt Options, own []knowledge.Sighting) (*Exchange, error) {
-	opt.Book.Me = opt.Me
-	e := &Exchange{opt: opt, book: knowledge.New(opt.Book), first: make(chan struct{}),
-		calls: make(chan struct{}, mostCalls), waiting: len(opt.Peers)}
+func Open(opt Options, own []knowledge.Observation) (*Exchange, error) {
+	opt.Table.Self = opt.Self
+	e := &Exchange{opt: opt, table: knowledge.New(opt.Table), initialSync: make(chan struct{}),
+		callSlots: make(chan struct{}, maxCalls), unsyncedPeers: len(opt.Peers)}
 	e.ctx, e.stop = context.WithCancel(context.Background())
 	if len(opt.Peers) == 0 {
-		close(e.first)
+		close(e.initialSync)
 	}
 	if opt.Listen != "" {
 		var err error
 		if e.listener, err = net.Listen("tcp", opt.Listen); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
-		server := []grpc.ServerOption{grpc.MaxRecvMsgSize(1 << 12), grpc.MaxConcurrentStreams(mostCalls),
-			grpc.ConnectionTimeout(sendWait), grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: sendWait})}
+		server := []grpc.ServerOption{grpc.MaxRecvMsgSize(1 << 12), grpc.MaxConcurrentStreams(maxCalls),
+			grpc.ConnectionTimeout(sendTimeout), grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: sendTimeout})}
 		if opt.TLS != nil {
 			server = append(server, grpc.Creds(credentials.NewTLS(opt.TLS.Server)))
 		}
@@ -101,7 +101,7 @@
 	}
 	e.Update(own, 0, 0)
 	for _, p := range opt.Peers {
-		e.done.Go(func() { e.ask(p) })
+		e.done.Go(func() { e.watchPeer(p) })
 	}
 	return e, nil
 }
@@ -124,27 +124,27 @@
 }
 
 // Learnt is closed once each peer has told its picture or failed once.
-func (e *Exchange) Learnt() <-chan struct{} { return e.first }
+func (e *Exchange) InitialSync() <-chan struct{} { return e.initialSync }
 
 // Update takes in what the gateway itself has seen of the members that are listed, and gives the priors that follow.
 // Deaf and blind are how long it has been without word from discovery and without an answer.
-func (e *Exchange) Update(own []knowledge.Sighting, deaf, blind time.Duration) []knowledge.Prior {
+func (e *Exchange) Update(own []knowledge.Observation, deaf, blind time.Duration) []knowledge.Prior {
 	now := e.opt.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.own, e.deaf, e.blind = own, deaf, blind
-	return e.given(e.book.Update(now, own, deaf, blind))
+	e.observations, e.deaf, e.blind = own, deaf, blind
+	return e.countPriors(e.table.Update(now, own, deaf, blind))
 }
 
 // Priors gives the priors that follow from what has been heard since the last Update.
 func (e *Exchange) Priors() []knowledge.Prior {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.given(e.book.Priors(e.opt.Now(), e.own))
+	return e.countPriors(e.table.Priors(e.opt.Now(), e.observations))
 }
 
 // given counts priors that are handed on.
-func (e *Exchange) given(list []knowledge.Prior) []knowledge.Prior {
+func (e *Exchange) countPriors(list []knowledge.Prior) []knowledge.Prior {
 	e.priors += uint64(len(list))
 	for _, p := range list {
 		if p.Suspect {
@@ -157,32 +157,32 @@
 // Watch tells a peer what is known, and what changes.
 func (e *Exchange) Watch(req *pb.WatchRequest, to grpc.ServerStreamingServer[pb.Picture]) error {
 	select {
-	case e.calls <- struct{}{}:
-		defer func() { <-e.calls }()
+	case e.callSlots <- struct{}{}:
+		defer func() { <-e.callSlots }()
 	default:
 		return status.Error(codes.ResourceExhausted, "too many readers")
 	}
-	if req.GetVersion() < oldest {
-		return status.Errorf(codes.FailedPrecondition, "version: %d is older than %d", req.GetVersion(), oldest)
+	if req.GetVersion() < oldestVersion {
+		return status.Errorf(codes.FailedPrecondition, "version: %d is older than %d", req.GetVersion(), oldestVersion)
 	}
-	most := MostFacts
+	most := MaxFacts
 	if n := int(req.GetMostFacts()); n > 0 && n < most {
 		most = n
 	}
 	began, told := time.Now(), time.Time{}
 	after, whole := uint64(0), true
-	beat := time.NewTicker(cadence)
+	beat := time.NewTicker(updateInterval)
 	defer beat.Stop()
 	for {
 		e.mu.Lock()
-		facts, version := e.book.Tell(e.opt.Now(), after, most)
-		p := &pb.Picture{Version: Version, Oldest: oldest, Teller: e.opt.Me.Name, TellerLife: e.opt.Me.Birth, Whole: whole,
+		facts, version := e.table.FactsSince(e.opt.Now(), after, most)
+		p := &pb.Picture{Version: Version, Oldest: oldestVersion, Teller: e.opt.Self.Name, TellerLife: e.opt.Self.Birth, Whole: whole,
 			ElapsedMs: ms(time.Since(began)), DeafMs: ms(e.deaf), BlindMs: ms(e.blind)}
 		e.mu.Unlock()
 		for i := range facts {
 			p.Facts = append(p.Facts, toWire(&facts[i]))
 		}
-		if whole || len(p.Facts) > 0 || time.Since(told) >= heartbeat {
+		if whole || len(p.Facts) > 0 || time.Since(told) >= heartbeatInterval {
 			if err := e.send(to, p); err != nil {
 				return err
 			}
@@ -202,7 +202,7 @@
 func (e *Exchange) send(to grpc.ServerStreamingServer[pb.Picture], p *pb.Picture) error {
 	sent := make(chan error, 1)
 	go func() { sent <- to.Send(p) }()
-	wait := time.NewTimer(sendWait)
+	wait := time.NewTimer(sendTimeout)
 	defer wait.Stop()
 	select {
 	case err := <-sent:
@@ -221,26 +221,26 @@
 		creds = credentials.NewTLS(conf.Client)
 	}
 	return grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(creds), grpc.WithDisableRetry(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(mostBytes)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: sendWait}))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: sendTimeout}))
 }
 
 // ask hears one peer until the exchange ends, over one call after another.
-func (e *Exchange) ask(peer string) {
-	pause, once := firstPause, sync.OnceFunc(e.came)
+func (e *Exchange) watchPeer(peer string) {
+	pause, once := minBackoff, sync.OnceFunc(e.peerSynced)
 	for e.ctx.Err() == nil {
 		began := time.Now()
-		err := e.hear(peer, once)
+		err := e.watchOnce(peer, once)
 		once()
 		if e.ctx.Err() != nil {
 			return
 		}
 		e.mu.Lock()
-		e.broken++
+		e.callErrors++
 		e.mu.Unlock()
 		slog.Debug("knowledge_call_ended", "peer", peer, "err", err)
-		if time.Since(began) > lastPause {
-			pause = firstPause
+		if time.Since(began) > maxBackoff {
+			pause = minBackoff
 		}
 		wait := time.NewTimer(pause/2 + rand.N(pause))
 		select {
@@ -249,23 +249,23 @@
 			wait.Stop()
 			return
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
 // came notes that a peer has told its picture, or failed.
-func (e *Exchange) came() {
+func (e *Exchange) peerSynced() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.waiting--; e.waiting == 0 {
-		close(e.first)
+	if e.unsyncedPeers--; e.unsyncedPeers == 0 {
+		close(e.initialSync)
 	}
 }
 
-var errSilent = errors.New("the peer says nothing")
+var errReceiveTimeout = errors.New("the peer says nothing")
 
 // hear makes one call, until it ends or the peer falls silent.
-func (e *Exchange) hear(peer string, first func()) error {
+func (e *Exchange) watchOnce(peer string, first func()) error {
 	conn, err := Dial(peer, e.opt.TLS)
 	if err != nil {
 		return err
@@ -273,21 +273,21 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(e.ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(silentAfter, func() { cancel(errSilent) })
+	silence := time.AfterFunc(receiveTimeout, func() { cancel(errReceiveTimeout) })
 	defer silence.Stop()
 	began := time.Now()
-	call, err := pb.NewKnowledgeClient(conn).Watch(ctx, &pb.WatchRequest{Version: Version, Reader: e.opt.Me.Name, MostFacts: MostFacts})
+	call, err := pb.NewKnowledgeClient(conn).Watch(ctx, &pb.WatchRequest{Version: Version, Reader: e.opt.Self.Name, MostFacts: MaxFacts})
 	if err != nil {
 		return err
 	}
-	var lag lag
+	var lag delayEstimator
 	for {
 		p, err := call.Recv()
 		if err != nil {
 			return cmpErr(context.Cause(ctx), err)
 		}
-		silence.Reset(silentAfter)
-		e.take(p, lag.of(time.Since(began), duration(p.GetElapsedMs())))
+		silence.Reset(receiveTimeout)
+		e.receive(p, lag.delay(time.Since(began), duration(p.GetElapsedMs())))
 		if p.GetWhole() {
 			first()
 		}
@@ -303,12 +303,12 @@
 
 // lag tells how late messages of one call come: what has piled up on the way would else pass for fresh. The way's
 // shortest time is taken for none.
-type lag struct {
+type delayEstimator struct {
 	least time.Duration
 	known bool
 }
 
-func (l *lag) of(here, there time.Duration) time.Duration {
+func (l *delayEstimator) delay(here, there time.Duration) time.Duration {
 	way := here - there
 	if !l.known || way < l.least {
 		l.least, l.known = way, true
@@ -317,33 +317,33 @@
 }
 
 // take hands a message's facts to the book.
-func (e *Exchange) take(p *pb.Picture, late time.Duration) {
+func (e *Exchange) receive(p *pb.Picture, late time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.heard++
-	if p.GetOldest() > Version || p.GetVersion() < oldest || len(p.GetFacts()) > MostFacts {
-		e.refused++
+	e.messages++
+	if p.GetOldest() > Version || p.GetVersion() < oldestVersion || len(p.GetFacts()) > MaxFacts {
+		e.rejected++
 		return
 	}
-	e.book.Hear(e.opt.Now(), FromWire(p, late))
+	e.table.Receive(e.opt.Now(), FromWire(p, late))
 }
 
 // Counters tells of the exchange.
 func (e *Exchange) Counters() []pipe.Counter {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	facts, observers := e.book.Size()
+	facts, observers := e.table.Size()
 	list := []pipe.Counter{{Name: "facts", Value: uint64(facts)}, {Name: "observers", Value: uint64(observers)},
-		{Name: "messages", Value: e.heard}, {Name: "messages_refused", Value: e.refused}, {Name: "calls_broken", Value: e.broken},
+		{Name: "messages", Value: e.messages}, {Name: "messages_refused", Value: e.rejected}, {Name: "calls_broken", Value: e.callErrors},
 		{Name: "priors", Value: e.priors}, {Name: "priors_suspect", Value: e.suspect}}
-	for i, n := range e.book.Counts() {
-		list = append(list, pipe.Counter{Name: "facts_" + knowledge.Drop(i).String(), Value: n})
+	for i, n := range e.table.Counts() {
+		list = append(list, pipe.Counter{Name: "facts_" + knowledge.DropReason(i).String(), Value: n})
 	}
 	return list
 }
 
 // Picture asks a gateway once for all that it knows.
-func Picture(ctx context.Context, addr string, conf *TLS, reader string) (*pb.Picture, error) {
+func FetchPicture(ctx context.Context, addr string, conf *TLS, reader string) (*pb.Picture, error) {
 	conn, err := Dial(addr, conf)
 	if err != nil {
 		return nil, err
--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -28,16 +28,16 @@
 
 func now() knowledge.Time { return time.Hour + time.Since(origin) }
 
-func unseen() []knowledge.Sighting {
-	var list []knowledge.Sighting
+func unseen() []knowledge.Observation {
+	var list []knowledge.Observation
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
-		list = append(list, knowledge.Sighting{Life: knowledge.Life{Instance: id}, Answered: -1, Warmth: 1})
+		list = append(list, knowledge.Observation{Life: knowledge.Life{Instance: id}, Answered: -1, Warmth: 1})
 	}
 	return list
 }
 
-func open(t *testing.T, name string, own []knowledge.Sighting, conf *link.TLS, peers ...string) *link.Exchange {
-	e, err := link.Open(link.Options{Me: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, TLS: conf, Now: now}, own)
+func open(t *testing.T, name string, own []knowledge.Observation, conf *link.TLS, peers ...string) *link.Exchange {
+	e, err := link.Open(link.Options{Self: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, TLS: conf, Now: now}, own)
 	require.NoError(t, err)
 	t.Cleanup(e.Close)
 	return e
@@ -68,7 +68,7 @@
 }
 
 // seen are sightings of a gateway at which b stalls.
-func seen() []knowledge.Sighting {
+func seen() []knowledge.Observation {
 	list := unseen()
 	for i := range list {
 		list[i].Answered, list[i].Pace, list[i].Answers, list[i].Room = 100*time.Millisecond, 1, 9, 3
@@ -81,7 +81,7 @@
 func TestPictureThenChanges(t *testing.T) {
 	a := open(t, "g0", seen(), nil)
 	b := open(t, "g1", unseen(), nil, a.Addr())
-	<-b.Learnt()
+	<-b.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(b.Priors()))
 	assert.Len(t, b.Priors(), 5)
 	next := seen()
@@ -91,7 +91,7 @@
 	next[3].Answered, next[3].Lost, next[3].Stalled = 5*time.Second, 3, 4*time.Second
 	a.Update(next, 0, 0)
 	eventually(t, func() bool { s := suspects(b.Priors()); return len(s) == 1 && s[0] == "d" })
-	p, err := link.Picture(context.Background(), b.Addr(), nil, "test") // and is told on, with the hands it came through
+	p, err := link.FetchPicture(context.Background(), b.Addr(), nil, "test") // and is told on, with the hands it came through
 	require.NoError(t, err)
 	require.Len(t, p.GetFacts(), 5)
 	assert.Equal(t, "g0", p.GetFacts()[0].GetObserver())
@@ -126,7 +126,7 @@
 	require.NoError(t, err)
 	t.Cleanup(peer.Stop)
 	e := open(t, "g1", unseen(), nil, peer.Addr())
-	<-e.Learnt()
+	<-e.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(e.Priors()))
 	eventually(t, func() bool { return calls.Load() >= 3 })
 	assert.Equal(t, []string{"b"}, suspects(e.Priors()))
@@ -147,7 +147,7 @@
 		})
 		require.NoError(t, err)
 		e := open(t, "g1", unseen(), nil, peer.Addr())
-		<-e.Learnt()
+		<-e.InitialSync()
 		assert.Equal(t, c.taken, len(e.Priors()) > 0, name)
 		assert.Equal(t, !c.taken, counter(e, "messages_refused") > 0, name)
 		peer.Stop()
@@ -190,7 +190,7 @@
 	e := open(t, "g1", unseen(), nil, l.Addr().String(), a.Addr())
 	eventually(t, func() bool { return len(suspects(e.Priors())) == 1 })
 	eventually(t, func() bool { return counter(e, "calls_broken") > 0 })
-	<-e.Learnt() // it has failed by then
+	<-e.InitialSync() // it has failed by then
 }
 
 // authority makes certificates for tests.
@@ -238,11 +238,11 @@
 	fleet, stranger := newAuthority(t), newAuthority(t)
 	a := open(t, "g0", seen(), fleet.identity(fleet))
 	b := open(t, "g1", unseen(), fleet.identity(fleet), a.Addr())
-	<-b.Learnt()
+	<-b.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(b.Priors()))
 	for name, conf := range map[string]*link.TLS{"plain": nil, "certificate of another": stranger.identity(fleet), "other roots": fleet.identity(stranger)} {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
-		_, err := link.Picture(ctx, a.Addr(), conf, "test")
+		_, err := link.FetchPicture(ctx, a.Addr(), conf, "test")
 		assert.Error(t, err, name)
 		cancel()
 	}
@@ -257,10 +257,10 @@
 		if proto.Unmarshal(text, &p) != nil {
 			return
 		}
-		b := knowledge.New(knowledge.Options{Me: knowledge.Observer{Name: "me"}})
-		b.List([]knowledge.Life{{Instance: "b"}, {Instance: "a"}, {Instance: "c"}, {Instance: "d"}})
-		b.Hear(now(), link.FromWire(&p, time.Duration(late&0xffffffffff)))
-		for _, prior := range b.Priors(now(), []knowledge.Sighting{{Life: knowledge.Life{Instance: "b"}, Answered: -1}}) {
+		b := knowledge.New(knowledge.Options{Self: knowledge.Observer{Name: "me"}})
+		b.SetMembers([]knowledge.Life{{Instance: "b"}, {Instance: "a"}, {Instance: "c"}, {Instance: "d"}})
+		b.Receive(now(), link.FromWire(&p, time.Duration(late&0xffffffffff)))
+		for _, prior := range b.Priors(now(), []knowledge.Observation{{Life: knowledge.Life{Instance: "b"}, Answered: -1}}) {
 			if !(prior.Pace > 0 && prior.Pace < 100 && prior.Weight > 0 && prior.Room >= 0) {
 				t.Fatalf("%+v", prior)
 			}
--- a/internal/knowledge/pipe/pipe.go
+++ b/internal/knowledge/pipe/pipe.go
@@ -23,12 +23,12 @@
 
 // State is what the gateway has seen of all members that are listed. One follows another for as long as it runs.
 type State struct {
-	Own         []knowledge.Sighting
+	Own         []knowledge.Observation
 	Deaf, Blind time.Duration
 }
 
 // News is what the link program says: after each State, and once the peers have told their pictures.
-type News struct {
+type Update struct {
 	Priors   []knowledge.Prior
 	Learnt   bool // each peer has told its picture or failed once
 	Addr     string
@@ -51,7 +51,7 @@
 func New(in io.Reader, out io.Writer) *End { return &End{gob.NewDecoder(in), gob.NewEncoder(out)} }
 
 // Say writes a message.
-func (e *End) Say(message any) error { return e.out.Encode(message) }
+func (e *End) Send(message any) error { return e.out.Encode(message) }
 
 // Hear reads one into what it points to.
-func (e *End) Hear(into any) error { return e.in.Decode(into) }
+func (e *End) Receive(into any) error { return e.in.Decode(into) }
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -303,7 +303,7 @@
 	p.Gateways, p.Store, p.Dir, p.Heavy = 1, true, t.TempDir(), 0.3
 	kills, accounts := 0, 0
 	end, err := play(t.Context(), p, func(r *rig, n int) {
-		fs, err := store.Folder(r.folder(n))
+		fs, err := store.OpenDir(r.folder(n))
 		require.NoError(t, err)
 		s, err := store.Open(fs, store.Options{})
 		require.NoError(t, err, "kill %d", kills)
@@ -313,7 +313,7 @@
 		defer r.mu.Unlock()
 		lost := 0.0
 		require.NoError(t, s.Each([]byte("a"), func(k, v []byte) bool {
-			w := keep.Words(k, v)
+			w := keep.Describe(k, v)
 			at := time.UnixMilli(w["at_ms"].(int64)).Sub(r.began) + emulator.Origin
 			now := r.now()
 			plan := r.set.Plans[binary.BigEndian.Uint64(k[1:])>>24&255]
--- a/internal/lab/learning.go
+++ b/internal/lab/learning.go
@@ -266,12 +266,12 @@
 func LearningCost(n, times int) (Cost, error) {
 	began := time.Now()
 	now := func() knowledge.Time { return time.Hour + time.Since(began) }
-	var own []knowledge.Sighting
+	var own []knowledge.Observation
 	for i := range n {
-		own = append(own, knowledge.Sighting{Life: knowledge.Life{Instance: fmt.Sprintf("m-%05d", i)}, Pace: 1.1, Answers: 6,
+		own = append(own, knowledge.Observation{Life: knowledge.Life{Instance: fmt.Sprintf("m-%05d", i)}, Pace: 1.1, Answers: 6,
 			Answered: time.Second, Room: 3.4, Warmth: 1})
 	}
-	exchange, err := learning.Open(learning.Options{Me: knowledge.Observer{Name: "g0", Birth: 1}, Listen: "127.0.0.1:0", Now: now}, own)
+	exchange, err := learning.Open(learning.Options{Self: knowledge.Observer{Name: "g0", Birth: 1}, Listen: "127.0.0.1:0", Now: now}, own)
 	if err != nil {
 		return Cost{}, err
 	}
@@ -280,7 +280,7 @@
 	defer cancel()
 	bytes, before := 0, cpu()
 	for range times {
-		p, err := learning.Picture(ctx, exchange.Addr(), nil, "cost")
+		p, err := learning.FetchPicture(ctx, exchange.Addr(), nil, "cost")
 		if err != nil {
 			return Cost{}, err
 		}
--- a/internal/ledger/ceiling.go
+++ b/internal/ledger/ceiling.go
@@ -13,48 +13,48 @@
 // gateways together never hold more than the ceiling's burst, whoever hears whom and whatever is lost: a grant that is
 // lost is lost to all. What is under way is counted nowhere while its giver fills up again: a taker leaves what comes too
 // late (Take), and the sum is passed by the ceiling's rate over that time at most.
-type Part struct {
-	Left float64 // units; below 0 while a body that was counted is drawn
+type BucketShare struct {
+	Tokens float64 // units; below 0 while a body that was counted is drawn
 }
 
 // Limit is what an account, or one part of it, is given: units a second, and the most units stored.
 type Limit struct{ Rate, Burst float64 }
 
 // Fill lets a part fill for some time. What is held back of the burst is for units that count as drawn later.
-func (p *Part) Fill(s Limit, d time.Duration, back float64) {
-	p.Left = math.Min(s.Burst-back, p.Left+math.Max(0, d.Seconds())*s.Rate)
+func (p *BucketShare) Refill(s Limit, d time.Duration, back float64) {
+	p.Tokens = math.Min(s.Burst-back, p.Tokens+math.Max(0, d.Seconds())*s.Rate)
 }
 
 // Steps of a word: a byte that holds what a part lacks of its burst and what is granted with it, in sixteenths of a
 // part's burst. All parts of an account are alike.
-const steps = 16
+const grantSteps = 16
 
 // Word says what a part lacks, and grants some of it to a peer that has last told what it lacks itself. The difference
 // is split over all n parts, so that any number of givers even the parts out and none gives what it is short of. What is
 // granted is drawn here.
-func (p *Part) Word(s Limit, lacks byte, n int) byte {
+func (p *BucketShare) Grant(s Limit, lacks byte, n int) byte {
 	if s.Burst <= 0 {
 		return 0
 	}
-	mine := math.Max(0, math.Min(1, 1-p.Left/s.Burst))
+	mine := math.Max(0, math.Min(1, 1-p.Tokens/s.Burst))
 	grant := 0.0
-	if gap := float64(lacks)/steps - mine; gap > 0 && n > 1 {
-		grant = math.Floor(gap * steps / float64(n))
-		p.Left -= grant / steps * s.Burst
-		mine += grant / steps
+	if gap := float64(lacks)/grantSteps - mine; gap > 0 && n > 1 {
+		grant = math.Floor(gap * grantSteps / float64(n))
+		p.Tokens -= grant / grantSteps * s.Burst
+		mine += grant / grantSteps
 	}
-	return byte(math.Min(steps-1, math.Floor(mine*steps)))<<4 | byte(grant)
+	return byte(math.Min(grantSteps-1, math.Floor(mine*grantSteps)))<<4 | byte(grant)
 }
 
 // Take adds what a peer's word grants, unless it came too late, and tells what the peer lacks, and whether one of the two
 // should grant the other something: then this part is to be told of.
-func (p *Part) Take(s Limit, word byte, n int, late bool) (lacks byte, uneven bool) {
+func (p *BucketShare) Receive(s Limit, word byte, n int, late bool) (lacks byte, uneven bool) {
 	lacks = word >> 4
 	if s.Burst <= 0 {
 		return 0, false
 	}
 	if !late {
-		p.Left = math.Max(p.Left, math.Min(s.Burst, p.Left+float64(word&(steps-1))/steps*s.Burst))
+		p.Tokens = math.Max(p.Tokens, math.Min(s.Burst, p.Tokens+float64(word&(grantSteps-1))/grantSteps*s.Burst))
 	}
-	return lacks, math.Abs(float64(lacks)/steps-math.Max(0, 1-p.Left/s.Burst)) >= float64(n)/steps
+	return lacks, math.Abs(float64(lacks)/grantSteps-math.Max(0, 1-p.Tokens/s.Burst)) >= float64(n)/grantSteps
 }
--- a/internal/ledger/ceiling_test.go
+++ b/internal/ledger/ceiling_test.go
@@ -22,14 +22,14 @@
 			word byte
 			sent float64
 		}
-		parts, lacks, at := make([]Part, n), make([][]byte, n), make([]float64, n)
+		parts, lacks, at := make([]BucketShare, n), make([][]byte, n), make([]float64, n)
 		for i := range parts {
-			parts[i].Left, lacks[i] = s.Burst, make([]byte, n)
+			parts[i].Tokens, lacks[i] = s.Burst, make([]byte, n)
 		}
 		var under []word
 		now, left := 0.0, burst+rate*late+1e-6 // as the rule counts it, from the outside
 		fill := func(i int) {
-			parts[i].Fill(s, time.Duration((now-at[i])*1e9), 0)
+			parts[i].Refill(s, time.Duration((now-at[i])*1e9), 0)
 			at[i] = now
 		}
 		for range 300 {
@@ -39,15 +39,15 @@
 			fill(i)
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what < 4:
-				if units := rapid.Float64Range(0, s.Burst).Draw(t, "units"); parts[i].Left >= units {
-					parts[i].Left -= units
+				if units := rapid.Float64Range(0, s.Burst).Draw(t, "units"); parts[i].Tokens >= units {
+					parts[i].Tokens -= units
 					left -= units
 					if left < 0 {
 						t.Fatalf("%.2f units beyond the ceiling at %.2f s", -left, now)
 					}
 				}
 			case what < 7 && i != j:
-				under = append(under, word{j, parts[i].Word(s, lacks[i][j], n), now})
+				under = append(under, word{j, parts[i].Grant(s, lacks[i][j], n), now})
 				lacks[i][j] = 0
 			case what < 9 && len(under) > 0:
 				k := rapid.IntRange(0, len(under)-1).Draw(t, "comes")
@@ -55,9 +55,9 @@
 				under = append(under[:k], under[k+1:]...)
 				fill(w.to)
 				from := rapid.IntRange(0, n-1).Draw(t, "of")
-				lacks[w.to][from], _ = parts[w.to].Take(s, w.word, n, now-w.sent > late)
+				lacks[w.to][from], _ = parts[w.to].Receive(s, w.word, n, now-w.sent > late)
 			case what == 9: // another life, which begins with nothing
-				parts[i].Left = 0
+				parts[i].Tokens = 0
 			}
 		}
 	})
@@ -68,24 +68,24 @@
 func TestGrantsFollowTheAsking(t *testing.T) {
 	const n = 4
 	s := Limit{Rate: 27.0 / n, Burst: 60.0 / n}
-	var parts [n]Part
+	var parts [n]BucketShare
 	for i := range parts {
-		parts[i].Left = s.Burst
+		parts[i].Tokens = s.Burst
 	}
 	in := 0
 	for range 100 { // rounds of a tenth of a second: one tells, the others answer
 		for i := range parts {
-			parts[i].Fill(s, 100*time.Millisecond, 0)
+			parts[i].Refill(s, 100*time.Millisecond, 0)
 		}
-		for k := 0; k < 3 && parts[0].Left >= 1; k++ {
-			parts[0].Left--
+		for k := 0; k < 3 && parts[0].Tokens >= 1; k++ {
+			parts[0].Tokens--
 			in++
 		}
-		told := parts[0].Word(s, 0, n)
+		told := parts[0].Grant(s, 0, n)
 		for i := 1; i < n; i++ {
-			lacks, uneven := parts[i].Take(s, told, n, false)
+			lacks, uneven := parts[i].Receive(s, told, n, false)
 			if uneven {
-				parts[0].Take(s, parts[i].Word(s, lacks, n), n, false)
+				parts[0].Receive(s, parts[i].Grant(s, lacks, n), n, false)
 			}
 		}
 	}
@@ -98,15 +98,15 @@
 func TestAnyWord(t *testing.T) {
 	s := Limit{Rate: 1, Burst: 16}
 	for w := range 256 {
-		full, empty := Part{Left: 16}, Part{}
-		full.Take(s, byte(w), 2, false)
-		empty.Take(s, byte(w), 2, true)
-		assert.Equal(t, 16.0, full.Left)
-		assert.Equal(t, 0.0, empty.Left)
+		full, empty := BucketShare{Tokens: 16}, BucketShare{}
+		full.Receive(s, byte(w), 2, false)
+		empty.Receive(s, byte(w), 2, true)
+		assert.Equal(t, 16.0, full.Tokens)
+		assert.Equal(t, 0.0, empty.Tokens)
 	}
-	none := Part{}
-	lacks, uneven := none.Take(Limit{}, 255, 2, false)
-	assert.Equal(t, Part{}, none)
+	none := BucketShare{}
+	lacks, uneven := none.Receive(Limit{}, 255, 2, false)
+	assert.Equal(t, BucketShare{}, none)
 	assert.Zero(t, lacks)
 	assert.False(t, uneven)
 }
--- a/internal/ledger/cold_test.go
+++ b/internal/ledger/cold_test.go
@@ -26,11 +26,11 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const step = 5 * time.Millisecond
 	s := &server{per: time.Duration(float64(time.Second) / rate)}
-	parts, does, due := make([]Cold, n), make([]float64, n), make([][]time.Duration, n)
+	parts, does, due := make([]SlowStartBudget, n), make([]float64, n), make([][]time.Duration, n)
 	for i := range parts {
-		parts[i].Turn = rng.Float64()
+		parts[i].Credit = rng.Float64()
 	}
-	l := ColdLimit{Window: time.Second, Multiple: 4, N: n}
+	l := SlowStartLimit{Window: time.Second, Multiple: 4, Gateways: n}
 	for now := step; now < length; now += step {
 		for i := range parts {
 			does[i] *= 1 - step.Seconds()/2 // answers of late, as the policy counts them: over two windows
@@ -38,8 +38,8 @@
 				does[i]++
 				due[i] = due[i][1:]
 			}
-			if l.Does = does[i] / 2; parts[i].Covers(now, l) {
-				parts[i].Sent(now)
+			if l.Capacity = does[i] / 2; parts[i].Allows(now, l) {
+				parts[i].RecordSend(now)
 				sends = append(sends, now)
 				due[i] = append(due[i], s.answers(now))
 			}
@@ -74,22 +74,22 @@
 // A member that answers nothing is sent one attempt in a window by all together, and less where turns wait for each other.
 func TestSilentColdMember(t *testing.T) {
 	for _, n := range []int{1, 5, 50} {
-		parts := make([]Cold, n)
+		parts := make([]SlowStartBudget, n)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
 		for i := range parts {
-			parts[i].Turn = rng.Float64()
+			parts[i].Credit = rng.Float64()
 		}
 		sent := 0
 		for now := time.Millisecond; now < 60*time.Second; now += 10 * time.Millisecond {
 			for i := range parts {
-				if parts[i].Covers(now, ColdLimit{Window: time.Second, Multiple: 4, N: n}) {
-					parts[i].Sent(now)
+				if parts[i].Allows(now, SlowStartLimit{Window: time.Second, Multiple: 4, Gateways: n}) {
+					parts[i].RecordSend(now)
 					sent++
 				}
 			}
 		}
 		assert.True(t, sent >= 10 && sent <= 75, "%d gateways: %d in a minute", n, sent)
-		assert.True(t, parts[0].Recent(2*time.Second, time.Minute) || n > 1)
+		assert.True(t, parts[0].SentWithin(2*time.Second, time.Minute) || n > 1)
 	}
-	assert.False(t, (&Cold{}).Recent(time.Hour, time.Hour))
+	assert.False(t, (&SlowStartBudget{}).SentWithin(time.Hour, time.Hour))
 }
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -8,11 +8,11 @@
 )
 
 // worn gives the closed segments of which less than half counts still, the oldest first, and none unless they are worth it.
-func (s *Store) worn() (list []uint64) {
+func (s *Store) compactionCandidates() (list []uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, g := range s.man.segments[:len(s.man.segments)-1] {
-		if 2*s.live[g.number] < s.sizes[g.number] {
+	for _, g := range s.manifest.segments[:len(s.manifest.segments)-1] {
+		if 2*s.liveBytes[g.number] < s.segmentSizes[g.number] {
 			list = append(list, g.number)
 		}
 	}
@@ -21,14 +21,14 @@
 
 // Compact copies what counts out of all closed segments and frees the rest.
 func (s *Store) Compact() error {
-	s.io.Lock()
-	defer s.io.Unlock()
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	if err := s.rotate(); err != nil {
 		return err
 	}
 	s.mu.RLock()
 	var all []uint64
-	for _, g := range s.man.segments[:len(s.man.segments)-1] {
+	for _, g := range s.manifest.segments[:len(s.manifest.segments)-1] {
 		all = append(all, g.number)
 	}
 	s.mu.RUnlock()
@@ -45,44 +45,44 @@
 		return err
 	}
 	type moved struct {
-		e  *entry
-		to place
+		e  *indexEntry
+		to location
 	}
 	s.mu.RLock()
 	var list []moved
-	oldest := !slices.ContainsFunc(s.man.segments, func(g segment) bool { return g.number < slices.Max(from) && !slices.Contains(from, g.number) })
+	oldest := !slices.ContainsFunc(s.manifest.segments, func(g segmentInfo) bool { return g.number < slices.Max(from) && !slices.Contains(from, g.number) })
 	for _, e := range s.index {
-		if e = e.on(s.durable); e != nil && slices.Contains(from, e.where.segment) && !(e.gone && oldest) { // a deletion is kept while an older put may be
+		if e = e.durableVersion(s.durableSeq); e != nil && slices.Contains(from, e.location.segment) && !(e.tombstone && oldest) { // a deletion is kept while an older put may be
 			list = append(list, moved{e: e})
 		}
 	}
-	first := s.seq + 1
+	first := s.lastSeq + 1
 	s.mu.RUnlock()
 	slices.SortFunc(list, func(a, b moved) int { return int(int64(a.e.seq) - int64(b.e.seq)) })
-	number := s.next
-	s.next++
+	number := s.nextFileNumber
+	s.nextFileNumber++
 	f, err := s.fs.Open(segmentName(number), true)
 	if err != nil {
 		return err
 	}
-	out, at, size := segmentBytes(s.man.id, s.man.epoch, number), int64(0), int64(segmentHead)
+	out, at, size := encodeSegmentHeader(s.manifest.id, s.manifest.epoch, number), int64(0), int64(segmentHeaderSize)
 	for i := range list {
 		m := &list[i]
-		b := make([]byte, m.e.where.size)
-		if _, err := s.files[m.e.where.segment].ReadAt(b, m.e.where.at); err != nil && !errors.Is(err, io.EOF) {
+		b := make([]byte, m.e.location.size)
+		if _, err := s.segmentFiles[m.e.location.segment].ReadAt(b, m.e.location.offset); err != nil && !errors.Is(err, io.EOF) {
 			f.Close()
 			return err
 		}
-		r, _, ok := readRecord(b)
+		r, _, ok := decodeRecord(b)
 		if !ok {
 			f.Close()
-			return &Damage{segmentName(m.e.where.segment), m.e.where.at, "a record can't be read"}
+			return &CorruptionError{segmentName(m.e.location.segment), m.e.location.offset, "a record can't be read"}
 		}
-		r.last = true // its batch counted long ago
+		r.batchEnd = true // its batch counted long ago
 		first = min(first, r.seq)
-		m.to = place{number, size, uint32(r.size())}
-		out, size = r.append(out), size+int64(r.size())
-		if len(out) >= copyBytes || i == len(list)-1 {
+		m.to = location{number, size, uint32(r.size())}
+		out, size = r.appendTo(out), size+int64(r.size())
+		if len(out) >= compactionWriteSize || i == len(list)-1 {
 			if _, err := f.WriteAt(out, at); err != nil {
 				f.Close()
 				return err
@@ -102,35 +102,35 @@
 	}
 	s.mu.Lock()
 	for _, m := range list {
-		m.e.where = m.to
-		s.live[number] += int64(m.to.size)
+		m.e.location = m.to
+		s.liveBytes[number] += int64(m.to.size)
 	}
 	if oldest {
 		for k, e := range s.index {
-			if e.gone && slices.Contains(from, e.where.segment) {
+			if e.tombstone && slices.Contains(from, e.location.segment) {
 				delete(s.index, k)
 			}
 		}
 	}
-	s.files[number], s.sizes[number] = f, size
-	m := s.man
-	m.segments = slices.DeleteFunc(slices.Clone(m.segments), func(g segment) bool { return slices.Contains(from, g.number) })
-	m.segments = append([]segment{{number, size, first}}, m.segments...)
+	s.segmentFiles[number], s.segmentSizes[number] = f, size
+	m := s.manifest
+	m.segments = slices.DeleteFunc(slices.Clone(m.segments), func(g segmentInfo) bool { return slices.Contains(from, g.number) })
+	m.segments = append([]segmentInfo{{number, size, first}}, m.segments...)
 	s.counters.Compactions++
-	s.counters.Written += uint64(size)
+	s.counters.BytesWritten += uint64(size)
 	s.mu.Unlock()
-	if err := s.checkpointOf(m); err != nil {
+	if err := s.writeCheckpoint(m); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	var old []File
 	for _, n := range from {
-		old = append(old, s.files[n])
-		delete(s.files, n)
-		delete(s.sizes, n)
-		delete(s.live, n)
+		old = append(old, s.segmentFiles[n])
+		delete(s.segmentFiles, n)
+		delete(s.segmentSizes, n)
+		delete(s.liveBytes, n)
 	}
-	s.count()
+	s.recountBytes()
 	s.mu.Unlock()
 	for i, n := range from {
 		old[i].Close()
@@ -145,55 +145,55 @@
 		return err
 	}
 	s.mu.RLock()
-	m := s.man
+	m := s.manifest
 	s.mu.RUnlock()
-	return s.checkpointOf(m)
+	return s.writeCheckpoint(m)
 }
 
 // checkpointOf writes the index down and puts a manifest in place that names it.
-func (s *Store) checkpointOf(m manifest) error {
+func (s *Store) writeCheckpoint(m manifest) error {
 	s.mu.RLock()
-	last := s.man.segments[len(s.man.segments)-1].number
-	upTo, seq := s.began, s.durable
+	last := s.manifest.segments[len(s.manifest.segments)-1].number
+	upTo, seq := s.pendingOffset, s.durableSeq
 	body, n := []byte(nil), 0
 	for k, e := range s.index {
-		if e = e.on(seq); e == nil {
+		if e = e.durableVersion(seq); e == nil {
 			continue // it is read again from the segment
 		}
-		kind := byte(typePut)
-		if e.gone {
-			kind = typeDelete
+		kind := byte(kindPut)
+		if e.tombstone {
+			kind = kindDelete
 		}
 		body = binary.BigEndian.AppendUint16(append(body, kind), uint16(len(k)))
 		body = append(body, k...)
-		body = binary.BigEndian.AppendUint64(body, e.where.segment)
-		body = binary.BigEndian.AppendUint64(body, uint64(e.where.at))
-		body = binary.BigEndian.AppendUint32(body, e.where.size)
+		body = binary.BigEndian.AppendUint64(body, e.location.segment)
+		body = binary.BigEndian.AppendUint64(body, uint64(e.location.offset))
+		body = binary.BigEndian.AppendUint32(body, e.location.size)
 		body = binary.BigEndian.AppendUint64(body, e.seq)
 		n++
 	}
 	s.mu.RUnlock()
-	number := s.next
-	s.next++
-	b := binary.BigEndian.AppendUint64(head("SPLC", m.id), last)
+	number := s.nextFileNumber
+	s.nextFileNumber++
+	b := binary.BigEndian.AppendUint64(header("SPLC", m.id), last)
 	b = binary.BigEndian.AppendUint64(b, uint64(upTo))
 	b = binary.BigEndian.AppendUint64(b, seq)
 	b = binary.BigEndian.AppendUint64(b, uint64(n))
 	b = binary.BigEndian.AppendUint32(b, crc(b))
 	b = append(b, body...)
 	b = binary.BigEndian.AppendUint32(b, crc(body))
-	if err := s.whole(checkpointName(number), b); err != nil {
+	if err := s.writeFile(checkpointName(number), b); err != nil {
 		return err
 	}
 	old := m.checkpoint
 	m.checkpoint = number
-	if err := s.install(m); err != nil {
+	if err := s.installManifest(m); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.man, s.since = m, 0
+	s.manifest, s.bytesSinceCheckpoint = m, 0
 	s.counters.Checkpoints++
-	s.counters.Written += uint64(len(b))
+	s.counters.BytesWritten += uint64(len(b))
 	s.mu.Unlock()
 	if old != 0 {
 		s.fs.Remove(checkpointName(old))
--- a/internal/store/crossing_test.go
+++ b/internal/store/crossing_test.go
@@ -37,7 +37,7 @@
 // was on the way is in the checkpoint, and there after a power cut.
 func TestWriteWhileItsLastValueIsOnItsWay(t *testing.T) {
 	disk := &hooked{FS: faultfs.New(), syncs: func() {}}
-	s, err := store.Open(disk, store.Options{FlushEvery: time.Hour, CheckpointBytes: 1})
+	s, err := store.Open(disk, store.Options{FlushInterval: time.Hour, CheckpointBytes: 1})
 	require.NoError(t, err)
 	write := func(value string, d store.Durability) {
 		var b store.Batch
@@ -50,7 +50,7 @@
 			write([]string{"second", "third"}[syncs-1], store.Buffered)
 		}
 	}
-	write("first", store.Grouped)
+	write("first", store.GroupCommit)
 	require.Eventually(t, func() bool { return s.Counters().Checkpoints > made }, time.Minute, time.Millisecond)
 	left := disk.Crash(1)
 	again, err := store.Open(left, quiet)
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/store/faultfs/faultfs.go
@@ -19,41 +19,41 @@
 
 // ErrFull and ErrSync are what a disk says that is full, or whose fsync fails.
 var (
-	ErrFull = errors.New("faultfs: no space left on the device")
-	ErrSync = errors.New("faultfs: input/output error")
+	ErrNoSpace = errors.New("faultfs: no space left on the device")
+	ErrIO      = errors.New("faultfs: input/output error")
 )
 
 // sector is what a disk writes at once.
-const sector = 512
+const sectorSize = 512
 
 // FS is a folder.
 type FS struct {
-	mu     sync.Mutex
-	files  map[string]*inode // as the running system sees it
-	synced map[string]*inode // as the folder was when it was last synced
-	ops    int               // changes so far
-	locked bool
-	dead   bool
+	mu           sync.Mutex
+	files        map[string]*inode // as the running system sees it
+	durableNames map[string]*inode // as the folder was when it was last synced
+	ops          int               // changes so far
+	locked       bool
+	poweredOff   bool
 
 	// CutAt cuts the power at that change, from 1 on; FullAt and SyncFailsAt let that change fail, and all later writes or the
 	// one fsync. 0: never.
-	CutAt, FullAt, SyncFailsAt int
-	Lies                       bool // fsyncs say yes and do nothing
+	PowerCutAt, DiskFullAt, SyncErrorAt int
+	IgnoreSync                          bool // fsyncs say yes and do nothing
 }
 
 type inode struct {
-	now     []byte // as the running system sees it
-	durable []byte // as of its last sync
-	writes  []write
+	current  []byte // as the running system sees it
+	durable  []byte // as of its last sync
+	unsynced []write
 }
 
 type write struct {
-	at   int64
-	data []byte // nil: a truncation to at
+	offset int64
+	data   []byte // nil: a truncation to at
 }
 
 // New gives an empty folder.
-func New() *FS { return &FS{files: map[string]*inode{}, synced: map[string]*inode{}} }
+func New() *FS { return &FS{files: map[string]*inode{}, durableNames: map[string]*inode{}} }
 
 // Ops counts the changes so far.
 func (f *FS) Ops() int {
@@ -63,12 +63,12 @@
 }
 
 // change counts one change and tells what becomes of it. The mutex is held.
-func (f *FS) change() error {
-	if f.dead {
+func (f *FS) countOp() error {
+	if f.poweredOff {
 		return ErrPowerCut
 	}
-	if f.ops++; f.CutAt > 0 && f.ops >= f.CutAt {
-		f.dead = true
+	if f.ops++; f.PowerCutAt > 0 && f.ops >= f.PowerCutAt {
+		f.poweredOff = true
 		return ErrPowerCut
 	}
 	return nil
@@ -82,12 +82,12 @@
 	rng := rand.New(rand.NewPCG(seed, 7))
 	next := New()
 	names := map[string]*inode{}
-	for name, n := range f.synced {
+	for name, n := range f.durableNames {
 		names[name] = n
 	}
-	for _, name := range sorted(f.files, f.synced) { // renames, creations and removals that were not synced
+	for _, name := range sortedNames(f.files, f.durableNames) { // renames, creations and removals that were not synced
 		n, is := f.files[name]
-		if old, was := f.synced[name]; is == was && n == old || rng.IntN(2) == 0 {
+		if old, was := f.durableNames[name]; is == was && n == old || rng.IntN(2) == 0 {
 			continue
 		}
 		if is {
@@ -96,18 +96,18 @@
 			delete(names, name)
 		}
 	}
-	for _, name := range sorted(names, nil) {
+	for _, name := range sortedNames(names, nil) {
 		n := names[name]
 		data := slices.Clone(n.durable)
-		for _, w := range n.writes {
+		for _, w := range n.unsynced {
 			if w.data == nil {
-				if rng.IntN(2) == 0 && int64(len(data)) > w.at {
-					data = data[:w.at]
+				if rng.IntN(2) == 0 && int64(len(data)) > w.offset {
+					data = data[:w.offset]
 				}
 				continue
 			}
 			for at := 0; at < len(w.data); {
-				end := min(len(w.data), at+sector-int((w.at+int64(at))%sector))
+				end := min(len(w.data), at+sectorSize-int((w.offset+int64(at))%sectorSize))
 				keep := end
 				switch rng.IntN(4) {
 				case 0:
@@ -116,17 +116,17 @@
 				case 1:
 					keep = at + rng.IntN(end-at+1)
 				}
-				data = put(data, w.data[at:keep], w.at+int64(at))
+				data = writeAt(data, w.data[at:keep], w.offset+int64(at))
 				at = end
 			}
 		}
-		next.files[name] = &inode{now: data, durable: slices.Clone(data)}
-		next.synced[name] = next.files[name]
+		next.files[name] = &inode{current: data, durable: slices.Clone(data)}
+		next.durableNames[name] = next.files[name]
 	}
 	return next
 }
 
-func sorted(a, b map[string]*inode) (names []string) {
+func sortedNames(a, b map[string]*inode) (names []string) {
 	for n := range a {
 		names = append(names, n)
 	}
@@ -137,7 +137,7 @@
 	return slices.Compact(names)
 }
 
-func put(to, data []byte, at int64) []byte {
+func writeAt(to, data []byte, at int64) []byte {
 	if need := at + int64(len(data)); int64(len(to)) < need && len(data) > 0 {
 		to = append(to, make([]byte, need-int64(len(to)))...)
 	}
@@ -151,8 +151,8 @@
 	defer f.mu.Unlock()
 	next := New()
 	for name, n := range f.files {
-		next.files[name] = &inode{now: slices.Clone(n.now), durable: slices.Clone(n.now)}
-		next.synced[name] = next.files[name]
+		next.files[name] = &inode{current: slices.Clone(n.current), durable: slices.Clone(n.current)}
+		next.durableNames[name] = next.files[name]
 	}
 	return next
 }
@@ -162,7 +162,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n := f.files[name]; n != nil {
-		return slices.Clone(n.now)
+		return slices.Clone(n.current)
 	}
 	return nil
 }
@@ -172,10 +172,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.files, name)
-	delete(f.synced, name)
+	delete(f.durableNames, name)
 	if b != nil {
-		f.files[name] = &inode{now: slices.Clone(b), durable: slices.Clone(b)}
-		f.synced[name] = f.files[name]
+		f.files[name] = &inode{current: slices.Clone(b), durable: slices.Clone(b)}
+		f.durableNames[name] = f.files[name]
 	}
 }
 
@@ -188,14 +188,14 @@
 		if n != nil {
 			return nil, os.ErrExist
 		}
-		if err := f.change(); err != nil {
+		if err := f.countOp(); err != nil {
 			return nil, err
 		}
 		n = &inode{}
 		f.files[name] = n
 	}
 	switch {
-	case f.dead:
+	case f.poweredOff:
 		return nil, ErrPowerCut
 	case n == nil:
 		return nil, os.ErrNotExist
@@ -211,7 +211,7 @@
 	if n == nil {
 		return os.ErrNotExist
 	}
-	if err := f.change(); err != nil {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	delete(f.files, from)
@@ -226,7 +226,7 @@
 	if f.files[name] == nil {
 		return os.ErrNotExist
 	}
-	if err := f.change(); err != nil {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	delete(f.files, name)
@@ -237,26 +237,26 @@
 func (f *FS) List() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead {
+	if f.poweredOff {
 		return nil, ErrPowerCut
 	}
-	return sorted(f.files, nil), nil
+	return sortedNames(f.files, nil), nil
 }
 
 // Sync implements store.FS.
 func (f *FS) Sync() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.change(); err != nil {
+	if err := f.countOp(); err != nil {
 		return err
 	}
-	if f.SyncFailsAt > 0 && f.ops == f.SyncFailsAt {
-		return ErrSync
+	if f.SyncErrorAt > 0 && f.ops == f.SyncErrorAt {
+		return ErrIO
 	}
-	if !f.Lies {
-		f.synced = map[string]*inode{}
+	if !f.IgnoreSync {
+		f.durableNames = map[string]*inode{}
 		for name, n := range f.files {
-			f.synced[name] = n
+			f.durableNames[name] = n
 		}
 	}
 	return nil
@@ -278,20 +278,20 @@
 }
 
 type file struct {
-	f *FS
-	n *inode
+	fs    *FS
+	inode *inode
 }
 
 func (x *file) ReadAt(p []byte, at int64) (int, error) {
-	x.f.mu.Lock()
-	defer x.f.mu.Unlock()
-	if x.f.dead {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if x.fs.poweredOff {
 		return 0, ErrPowerCut
 	}
-	if at >= int64(len(x.n.now)) {
+	if at >= int64(len(x.inode.current)) {
 		return 0, io.EOF
 	}
-	n := copy(p, x.n.now[at:])
+	n := copy(p, x.inode.current[at:])
 	if n < len(p) {
 		return n, io.EOF
 	}
@@ -299,59 +299,59 @@
 }
 
 func (x *file) WriteAt(p []byte, at int64) (int, error) {
-	x.f.mu.Lock()
-	defer x.f.mu.Unlock()
-	err := x.f.change()
-	if errors.Is(err, ErrPowerCut) && x.f.ops == x.f.CutAt { // the power went during this one
-		x.n.writes = append(x.n.writes, write{at, slices.Clone(p)})
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	err := x.fs.countOp()
+	if errors.Is(err, ErrPowerCut) && x.fs.ops == x.fs.PowerCutAt { // the power went during this one
+		x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p)})
 	}
 	if err != nil {
 		return 0, err
 	}
-	if x.f.FullAt > 0 && x.f.ops >= x.f.FullAt {
+	if x.fs.DiskFullAt > 0 && x.fs.ops >= x.fs.DiskFullAt {
 		half := len(p) / 2
-		x.n.now = put(x.n.now, p[:half], at)
-		x.n.writes = append(x.n.writes, write{at, slices.Clone(p[:half])})
-		return half, ErrFull
+		x.inode.current = writeAt(x.inode.current, p[:half], at)
+		x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p[:half])})
+		return half, ErrNoSpace
 	}
-	x.n.now = put(x.n.now, p, at)
-	x.n.writes = append(x.n.writes, write{at, slices.Clone(p)})
+	x.inode.current = writeAt(x.inode.current, p, at)
+	x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p)})
 	return len(p), nil
 }
 
 func (x *file) Truncate(size int64) error {
-	x.f.mu.Lock()
-	defer x.f.mu.Unlock()
-	if err := x.f.change(); err != nil {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if err := x.fs.countOp(); err != nil {
 		return err
 	}
-	if int64(len(x.n.now)) > size {
-		x.n.now = x.n.now[:size]
+	if int64(len(x.inode.current)) > size {
+		x.inode.current = x.inode.current[:size]
 	}
-	x.n.writes = append(x.n.writes, write{at: size})
+	x.inode.unsynced = append(x.inode.unsynced, write{offset: size})
 	return nil
 }
 
 func (x *file) Size() (int64, error) {
-	x.f.mu.Lock()
-	defer x.f.mu.Unlock()
-	if x.f.dead {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if x.fs.poweredOff {
 		return 0, ErrPowerCut
 	}
-	return int64(len(x.n.now)), nil
+	return int64(len(x.inode.current)), nil
 }
 
 func (x *file) Sync() error {
-	x.f.mu.Lock()
-	defer x.f.mu.Unlock()
-	if err := x.f.change(); err != nil {
+	x.fs.mu.Lock()
+	defer x.fs.mu.Unlock()
+	if err := x.fs.countOp(); err != nil {
 		return err
 	}
-	if x.f.SyncFailsAt > 0 && x.f.ops == x.f.SyncFailsAt {
-		return ErrSync
+	if x.fs.SyncErrorAt > 0 && x.fs.ops == x.fs.SyncErrorAt {
+		return ErrIO
 	}
-	if !x.f.Lies {
-		x.n.durable, x.n.writes = slices.Clone(x.n.now), nil
+	if !x.fs.IgnoreSync {
+		x.inode.durable, x.inode.unsynced = slices.Clone(x.inode.current), nil
 	}
 	return nil
 }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -36,23 +36,23 @@
 )
 
 const (
-	version      = 1
-	manifestName = "MANIFEST"
-	lockName     = "LOCK"
+	formatVersion = 1
+	manifestName  = "MANIFEST"
+	lockName      = "LOCK"
 
-	segmentHead    = 44
-	checkpointHead = 60
-	recordHead     = 8  // length and CRC
-	recordFixed    = 20 // type, flags, sequence number, durable number, length of the key
-	manifestFixed  = 44 // and its CRC
+	segmentHeaderSize    = 44
+	checkpointHeaderSize = 60
+	recordPrefixSize     = 8  // length and CRC
+	recordHeaderSize     = 20 // type, flags, sequence number, durable number, length of the key
+	manifestHeaderSize   = 44 // and its CRC
 
 	// MostKey bounds the key of a record, in bytes.
-	MostKey = 1 << 10
+	MaxKeySize = 1 << 10
 	// MostValue bounds the value of a record, in bytes.
-	MostValue = 1 << 20
+	MaxValueSize = 1 << 20
 
-	typePut, typeDelete = 1, 2
-	flagLast            = 1
+	kindPut, kindDelete = 1, 2
+	flagBatchEnd        = 1
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -69,49 +69,49 @@
 
 // record is one change.
 type record struct {
-	kind    byte
-	last    bool // of its batch
-	seq     uint64
-	durable uint64
-	key     []byte
-	value   []byte
+	kind       byte
+	batchEnd   bool // of its batch
+	seq        uint64
+	durableSeq uint64
+	key        []byte
+	value      []byte
 }
 
-func (r record) size() int { return recordHead + recordFixed + len(r.key) + len(r.value) }
+func (r record) size() int { return recordPrefixSize + recordHeaderSize + len(r.key) + len(r.value) }
 
 // append adds the record's bytes.
-func (r record) append(to []byte) []byte {
+func (r record) appendTo(to []byte) []byte {
 	at := len(to)
-	to = binary.BigEndian.AppendUint32(to, uint32(r.size()-recordHead))
+	to = binary.BigEndian.AppendUint32(to, uint32(r.size()-recordPrefixSize))
 	to = append(to, 0, 0, 0, 0, r.kind, 0)
-	if r.last {
-		to[at+recordHead+1] = flagLast
+	if r.batchEnd {
+		to[at+recordPrefixSize+1] = flagBatchEnd
 	}
 	to = binary.BigEndian.AppendUint64(to, r.seq)
-	to = binary.BigEndian.AppendUint64(to, r.durable)
+	to = binary.BigEndian.AppendUint64(to, r.durableSeq)
 	to = binary.BigEndian.AppendUint16(to, uint16(len(r.key)))
 	to = append(append(to, r.key...), r.value...)
-	binary.BigEndian.PutUint32(to[at+4:], crc(to[at:at+4], to[at+recordHead:]))
+	binary.BigEndian.PutUint32(to[at+4:], crc(to[at:at+4], to[at+recordPrefixSize:]))
 	return to
 }
 
 // readRecord reads the record at the beginning of some bytes. What it gives back shares their memory.
-func readRecord(b []byte) (r record, size int, ok bool) {
-	if len(b) < recordHead+recordFixed {
+func decodeRecord(b []byte) (r record, size int, ok bool) {
+	if len(b) < recordPrefixSize+recordHeaderSize {
 		return r, 0, false
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n < recordFixed || n > recordFixed+MostKey+MostValue || uint64(len(b)) < uint64(n)+recordHead {
+	if n < recordHeaderSize || n > recordHeaderSize+MaxKeySize+MaxValueSize || uint64(len(b)) < uint64(n)+recordPrefixSize {
 		return r, 0, false
 	}
-	size = recordHead + int(n)
-	if crc(b[:4], b[recordHead:size]) != binary.BigEndian.Uint32(b[4:]) {
+	size = recordPrefixSize + int(n)
+	if crc(b[:4], b[recordPrefixSize:size]) != binary.BigEndian.Uint32(b[4:]) {
 		return r, 0, false
 	}
-	r.kind, r.last = b[8], b[9] == flagLast
-	r.seq, r.durable = binary.BigEndian.Uint64(b[10:]), binary.BigEndian.Uint64(b[18:])
+	r.kind, r.batchEnd = b[8], b[9] == flagBatchEnd
+	r.seq, r.durableSeq = binary.BigEndian.Uint64(b[10:]), binary.BigEndian.Uint64(b[18:])
 	key := int(binary.BigEndian.Uint16(b[26:]))
-	if key > size-recordHead-recordFixed || key > MostKey || b[9] > flagLast || r.kind != typePut && r.kind != typeDelete || r.durable >= r.seq {
+	if key > size-recordPrefixSize-recordHeaderSize || key > MaxKeySize || b[9] > flagBatchEnd || r.kind != kindPut && r.kind != kindDelete || r.durableSeq >= r.seq {
 		return r, 0, false
 	}
 	r.key, r.value = b[28:28+key], b[28+key:size]
@@ -119,34 +119,34 @@
 }
 
 // head gives the beginning that segments and checkpoints have in common.
-func head(magic string, id ID) []byte {
-	b := append([]byte(magic), version>>8, version&255, 0, 0)
+func header(magic string, id ID) []byte {
+	b := append([]byte(magic), formatVersion>>8, formatVersion&255, 0, 0)
 	return append(b, id[:]...)
 }
 
 // checkHead tells whether some bytes begin as a file of this store does.
-func checkHead(b []byte, magic string, id ID) error {
+func checkHeader(b []byte, magic string, id ID) error {
 	switch {
 	case len(b) < 24 || string(b[:4]) != magic:
 		return fmt.Errorf("not a file of a store: no %q at its beginning", magic)
-	case binary.BigEndian.Uint16(b[4:]) != version:
-		return fmt.Errorf("form %d, of which this program knows only %d", binary.BigEndian.Uint16(b[4:]), version)
+	case binary.BigEndian.Uint16(b[4:]) != formatVersion:
+		return fmt.Errorf("form %d, of which this program knows only %d", binary.BigEndian.Uint16(b[4:]), formatVersion)
 	case ID(b[8:24]) != id:
 		return fmt.Errorf("of another store: %x, not %x", b[8:24], id[:])
 	}
 	return nil
 }
 
-func segmentBytes(id ID, epoch, number uint64) []byte {
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(head("SPLS", id), epoch), number)
+func encodeSegmentHeader(id ID, epoch, number uint64) []byte {
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(header("SPLS", id), epoch), number)
 	return binary.BigEndian.AppendUint32(b, crc(b))
 }
 
-func checkSegment(b []byte, id ID, number uint64) error {
-	if err := checkHead(b, "SPLS", id); err != nil {
+func checkSegmentHeader(b []byte, id ID, number uint64) error {
+	if err := checkHeader(b, "SPLS", id); err != nil {
 		return err
 	}
-	if len(b) < segmentHead || crc(b[:segmentHead-4]) != binary.BigEndian.Uint32(b[segmentHead-4:]) {
+	if len(b) < segmentHeaderSize || crc(b[:segmentHeaderSize-4]) != binary.BigEndian.Uint32(b[segmentHeaderSize-4:]) {
 		return fmt.Errorf("its head is damaged")
 	}
 	if n := binary.BigEndian.Uint64(b[32:]); n != number {
@@ -160,46 +160,46 @@
 	id         ID
 	epoch      uint64
 	checkpoint uint64 // 0: none
-	segments   []segment
+	segments   []segmentInfo
 }
 
-type segment struct {
-	number uint64
-	length int64 // bytes that count; 0: it is written to
-	first  uint64
+type segmentInfo struct {
+	number     uint64
+	sealedSize int64 // bytes that count; 0: it is written to
+	firstSeq   uint64
 }
 
-func (m manifest) bytes() []byte {
-	b := head("SPLM", m.id)
+func (m manifest) encode() []byte {
+	b := header("SPLM", m.id)
 	b = binary.BigEndian.AppendUint64(b, m.epoch)
 	b = binary.BigEndian.AppendUint64(b, m.checkpoint)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(m.segments)))
 	for _, s := range m.segments {
 		b = binary.BigEndian.AppendUint64(b, s.number)
-		b = binary.BigEndian.AppendUint64(b, uint64(s.length))
-		b = binary.BigEndian.AppendUint64(b, s.first)
+		b = binary.BigEndian.AppendUint64(b, uint64(s.sealedSize))
+		b = binary.BigEndian.AppendUint64(b, s.firstSeq)
 	}
 	return binary.BigEndian.AppendUint32(b, crc(b))
 }
 
-func readManifest(b []byte) (m manifest, err error) {
-	if len(b) < manifestFixed+4 || string(b[:4]) != "SPLM" {
+func decodeManifest(b []byte) (m manifest, err error) {
+	if len(b) < manifestHeaderSize+4 || string(b[:4]) != "SPLM" {
 		return m, fmt.Errorf("not the list of a store's files")
 	}
-	if v := binary.BigEndian.Uint16(b[4:]); v != version {
-		return m, fmt.Errorf("form %d, of which this program knows only %d", v, version)
+	if v := binary.BigEndian.Uint16(b[4:]); v != formatVersion {
+		return m, fmt.Errorf("form %d, of which this program knows only %d", v, formatVersion)
 	}
 	if crc(b[:len(b)-4]) != binary.BigEndian.Uint32(b[len(b)-4:]) {
 		return m, fmt.Errorf("damaged: its checksum doesn't fit")
 	}
 	m.id, m.epoch, m.checkpoint = ID(b[8:24]), binary.BigEndian.Uint64(b[24:]), binary.BigEndian.Uint64(b[32:])
 	n := binary.BigEndian.Uint32(b[40:])
-	if uint64(len(b)) != manifestFixed+4+24*uint64(n) {
+	if uint64(len(b)) != manifestHeaderSize+4+24*uint64(n) {
 		return m, fmt.Errorf("damaged: %d bytes for %d segments", len(b), n)
 	}
 	for i := range int(n) {
-		at := b[manifestFixed+24*i:]
-		m.segments = append(m.segments, segment{binary.BigEndian.Uint64(at), int64(binary.BigEndian.Uint64(at[8:])), binary.BigEndian.Uint64(at[16:])})
+		at := b[manifestHeaderSize+24*i:]
+		m.segments = append(m.segments, segmentInfo{binary.BigEndian.Uint64(at), int64(binary.BigEndian.Uint64(at[8:])), binary.BigEndian.Uint64(at[16:])})
 	}
 	return m, nil
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -36,16 +36,16 @@
 var ErrLocked = errors.New("another process has this store open")
 
 // Folder is a folder of the operating system's, made where it isn't there.
-func Folder(path string) (FS, error) {
+func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	return folder(path), nil
+	return dirFS(path), nil
 }
 
-type folder string
+type dirFS string
 
-func (f folder) Open(name string, create bool) (File, error) {
+func (f dirFS) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
 		flags |= os.O_CREATE | os.O_EXCL
@@ -57,13 +57,13 @@
 	return osFile{file}, nil
 }
 
-func (f folder) Rename(from, to string) error {
+func (f dirFS) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
 }
 
-func (f folder) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+func (f dirFS) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
 
-func (f folder) List() (names []string, err error) {
+func (f dirFS) List() (names []string, err error) {
 	list, err := os.ReadDir(string(f))
 	for _, e := range list {
 		names = append(names, e.Name())
@@ -71,7 +71,7 @@
 	return names, err
 }
 
-func (f folder) Sync() error {
+func (f dirFS) Sync() error {
 	d, err := os.Open(string(f))
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 	return d.Sync()
 }
 
-func (f folder) Lock(name string) (func(), error) {
+func (f dirFS) Lock(name string) (func(), error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
--- a/internal/store/keep/keep.go
+++ b/internal/store/keep/keep.go
@@ -23,19 +23,19 @@
 // The keys: a letter, and for accounts the name that gateways have for them in messages. Values are protocol buffers; the
 // messages stand in api/sprucelane/v1/keep.proto.
 const (
-	accountKey = 'a'
-	lifeKey    = "l"
+	accountKey     = 'a'
+	incarnationKey = "l"
 )
 
 const (
 	// Every is how often changes are written; with the store's FlushEvery it bounds what a crash takes.
-	Every = 100 * time.Millisecond
+	WriteInterval = 100 * time.Millisecond
 	// aliveEvery is how often a gateway of which nothing is asked says that it lives.
-	aliveEvery = time.Second
+	heartbeatInterval = time.Second
 	// lockWait is how often a folder is tried again that another process has open: a predecessor that is ending.
-	lockWait = 500 * time.Millisecond
+	lockRetryInterval = 500 * time.Millisecond
 	// forgetAfter is how long an account's use is kept that nobody has asked for: longer than any burst takes to fill.
-	forgetAfter = time.Hour
+	balanceTTL = time.Hour
 )
 
 // Gateway is what is kept of.
@@ -46,31 +46,31 @@
 
 // Options say where and for whom.
 type Options struct {
-	Path    string
-	Name    string // the gateway's
-	Plans   []string
-	Store   store.Options
-	Now     func() time.Time
-	Waiting func() // of tests: called before a folder is tried again
+	Path        string
+	Name        string // the gateway's
+	Plans       []string
+	Store       store.Options
+	Now         func() time.Time
+	OnLockRetry func() // of tests: called before a folder is tried again
 }
 
 // Keeper writes what a gateway is to know after its next start.
 type Keeper struct {
-	opt Options
-	g   Gateway
+	opt     Options
+	gateway Gateway
 
-	mu       sync.Mutex
-	s        *store.Store // nil: not open
-	recalled int
-	aside    string
-	err      error
+	mu             sync.Mutex
+	store          *store.Store // nil: not open
+	restored       int
+	quarantinePath string
+	err            error
 }
 
 // life is what a gateway says of itself.
-type life struct {
-	name  string
-	alive int64 // Unix ms
-	plans []string
+type incarnation struct {
+	name        string
+	lastAliveMs int64 // Unix ms
+	plans       []string
 }
 
 // Open opens the folder, hands the gateway what the former life has kept, and gives a keeper for this one. A folder that another
@@ -80,7 +80,7 @@
 	if opt.Now == nil {
 		opt.Now = time.Now
 	}
-	k := &Keeper{opt: opt, g: g}
+	k := &Keeper{opt: opt, gateway: g}
 	err := k.open(true)
 	if errors.Is(err, store.ErrLocked) {
 		return k, nil
@@ -89,52 +89,52 @@
 }
 
 func (k *Keeper) open(recall bool) error {
-	fs, err := store.Folder(k.opt.Path)
+	fs, err := store.OpenDir(k.opt.Path)
 	if err != nil {
 		return err
 	}
 	s, err := store.Open(fs, k.opt.Store)
-	var damage *store.Damage
+	var damage *store.CorruptionError
 	if errors.As(err, &damage) {
-		if s, err = k.setAside(err.Error()); err != nil {
+		if s, err = k.quarantine(err.Error()); err != nil {
 			return err
 		}
 	}
 	if err != nil {
 		return err
 	}
-	was, known, err := readLife(s)
+	was, known, err := loadIncarnation(s)
 	if err != nil || known && was.name != k.opt.Name {
 		why := fmt.Sprintf("of gateway %q", was.name)
 		if err != nil {
 			why = err.Error()
 		}
 		s.Close()
-		if s, err = k.setAside(why); err != nil {
+		if s, err = k.quarantine(why); err != nil {
 			return err
 		}
 		known = false
 	}
 	if known && recall {
-		k.recall(s, was)
+		k.restore(s, was)
 	}
 	k.mu.Lock()
-	k.s = s
+	k.store = s
 	k.mu.Unlock()
 	return nil
 }
 
 // setAside keeps a folder that can't be used, for people to look at, and begins another.
-func (k *Keeper) setAside(why string) (*store.Store, error) {
+func (k *Keeper) quarantine(why string) (*store.Store, error) {
 	to := fmt.Sprintf("%s.aside-%d", k.opt.Path, k.opt.Now().UnixMilli())
 	if err := os.Rename(k.opt.Path, to); err != nil {
 		return nil, err
 	}
 	slog.Warn("store_set_aside", "path", k.opt.Path, "to", to, "why", why)
 	k.mu.Lock()
-	k.aside = to
+	k.quarantinePath = to
 	k.mu.Unlock()
-	fs, err := store.Folder(k.opt.Path)
+	fs, err := store.OpenDir(k.opt.Path)
 	if err != nil {
 		return nil, err
 	}
@@ -143,13 +143,13 @@
 
 // recall hands the gateway the use that it had. How long ago that was goes by the clock of both lives; one that was set back counts
 // as no time at all, so nothing has filled up.
-func (k *Keeper) recall(s *store.Store, was life) {
+func (k *Keeper) restore(s *store.Store, was incarnation) {
 	now := k.opt.Now().UnixMilli()
 	var list []policy.QuotaBalance
 	s.Each([]byte{accountKey}, func(key, value []byte) bool {
-		u, at, err := readUse(key, value)
+		u, at, err := decodeBalance(key, value)
 		plan := int(u.Key >> 24 & 255)
-		if err != nil || plan >= len(was.plans) || now-at > forgetAfter.Milliseconds() {
+		if err != nil || plan >= len(was.plans) || now-at > balanceTTL.Milliseconds() {
 			return true
 		}
 		next := -1
@@ -163,40 +163,40 @@
 		}
 		u.Key = u.Key&^(255<<24) | uint64(next)<<24
 		u.Age = time.Duration(max(0, now-at)) * time.Millisecond
-		u.Downtime = time.Duration(max(0, now-was.alive)) * time.Millisecond
+		u.Downtime = time.Duration(max(0, now-was.lastAliveMs)) * time.Millisecond
 		list = append(list, u)
 		return true
 	})
 	k.mu.Lock()
-	k.recalled = len(list)
+	k.restored = len(list)
 	k.mu.Unlock()
-	k.g.RestoreBalances(list)
+	k.gateway.RestoreBalances(list)
 }
 
 // Run writes until ctx ends, and closes the folder.
 func (k *Keeper) Run(ctx context.Context) {
 	since, alive := policy.Time(0), time.Time{}
-	tick := time.NewTicker(Every)
+	tick := time.NewTicker(WriteInterval)
 	defer tick.Stop()
 	for {
 		k.mu.Lock()
-		s := k.s
+		s := k.store
 		k.mu.Unlock()
 		if s == nil {
-			if !k.again(ctx) {
+			if !k.retryOpen(ctx) {
 				return
 			}
 			continue
 		}
-		list, now := k.g.QuotaBalances(since)
-		if len(list) > 0 || k.opt.Now().Sub(alive) >= aliveEvery {
+		list, now := k.gateway.QuotaBalances(since)
+		if len(list) > 0 || k.opt.Now().Sub(alive) >= heartbeatInterval {
 			since, alive = now, k.opt.Now()
 			k.write(s, list)
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			list, _ := k.g.QuotaBalances(since)
+			list, _ := k.gateway.QuotaBalances(since)
 			k.write(s, list)
 			s.Close()
 			return
@@ -205,11 +205,11 @@
 }
 
 // again tries a folder that was locked, and tells whether to go on.
-func (k *Keeper) again(ctx context.Context) bool {
-	if k.opt.Waiting != nil {
-		k.opt.Waiting()
+func (k *Keeper) retryOpen(ctx context.Context) bool {
+	if k.opt.OnLockRetry != nil {
+		k.opt.OnLockRetry()
 	}
-	wait := time.NewTimer(lockWait)
+	wait := time.NewTimer(lockRetryInterval)
 	defer wait.Stop()
 	select {
 	case <-wait.C:
@@ -217,7 +217,7 @@
 		return false
 	}
 	if err := k.open(false); err != nil && !errors.Is(err, store.ErrLocked) {
-		k.failed(err)
+		k.recordFailure(err)
 		return false
 	}
 	return true
@@ -227,16 +227,16 @@
 	at := k.opt.Now().UnixMilli()
 	var b store.Batch
 	for _, u := range list {
-		b.Put(accountBytes(u.Key), useBytes(u, at))
+		b.Put(encodeAccountKey(u.Key), encodeBalance(u, at))
 	}
-	b.Put([]byte(lifeKey), lifeBytes(life{k.opt.Name, at, k.opt.Plans}))
+	b.Put([]byte(incarnationKey), encodeIncarnation(incarnation{k.opt.Name, at, k.opt.Plans}))
 	if err := s.Write(&b, store.Buffered); err != nil {
-		k.failed(err)
+		k.recordFailure(err)
 	}
 }
 
 // failed says so once.
-func (k *Keeper) failed(err error) {
+func (k *Keeper) recordFailure(err error) {
 	k.mu.Lock()
 	first := k.err == nil
 	k.err = err
@@ -247,31 +247,33 @@
 }
 
 // Figures are counters for the people on call.
-type Figures struct {
+type Stats struct {
 	store.Counters
-	Recalled int    // accounts whose use came back
-	Aside    string // where a folder was set aside; empty: none was
-	Failed   error  // why nothing more is kept
-	Epoch    uint64
+	Restored       int    // accounts whose use came back
+	QuarantinePath string // where a folder was set aside; empty: none was
+	Err            error  // why nothing more is kept
+	Epoch          uint64
 }
 
 // Figures gives the counters.
-func (k *Keeper) Figures() Figures {
+func (k *Keeper) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	f := Figures{Recalled: k.recalled, Aside: k.aside, Failed: k.err}
-	if k.s != nil {
-		if f.Counters, f.Epoch = k.s.Counters(), k.s.Epoch(); f.Failed == nil {
-			f.Failed = k.s.Err()
+	f := Stats{Restored: k.restored, QuarantinePath: k.quarantinePath, Err: k.err}
+	if k.store != nil {
+		if f.Counters, f.Epoch = k.store.Counters(), k.store.Epoch(); f.Err == nil {
+			f.Err = k.store.Err()
 		}
 	}
 	return f
 }
 
-func accountBytes(name uint64) []byte { return binary.BigEndian.AppendUint64([]byte{accountKey}, name) }
+func encodeAccountKey(name uint64) []byte {
+	return binary.BigEndian.AppendUint64([]byte{accountKey}, name)
+}
 
 // useBytes words an account's use as the message Use.
-func useBytes(u policy.QuotaBalance, at int64) []byte {
+func encodeBalance(u policy.QuotaBalance, at int64) []byte {
 	b := protowire.AppendTag(nil, 1, protowire.VarintType)
 	b = protowire.AppendVarint(b, uint64(u.Customer))
 	b = protowire.AppendTag(b, 2, protowire.Fixed64Type)
@@ -281,12 +283,12 @@
 }
 
 // readUse reads what useBytes has written. Figures that can't be are an error.
-func readUse(key, value []byte) (u policy.QuotaBalance, at int64, err error) {
+func decodeBalance(key, value []byte) (u policy.QuotaBalance, at int64, err error) {
 	if len(key) != 9 {
 		return u, 0, errors.New("an odd key")
 	}
 	u.Key = binary.BigEndian.Uint64(key[1:])
-	err = fields(value, func(n protowire.Number, number uint64, _ []byte) {
+	err = visitFields(value, func(n protowire.Number, number uint64, _ []byte) {
 		switch n {
 		case 1:
 			u.Customer = policy.CustomerID(number)
@@ -303,11 +305,11 @@
 }
 
 // lifeBytes words a life as the message Life.
-func lifeBytes(l life) []byte {
+func encodeIncarnation(l incarnation) []byte {
 	b := protowire.AppendTag(nil, 1, protowire.BytesType)
 	b = protowire.AppendString(b, l.name)
 	b = protowire.AppendTag(b, 2, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(l.alive))
+	b = protowire.AppendVarint(b, uint64(l.lastAliveMs))
 	for _, p := range l.plans {
 		b = protowire.AppendTag(b, 3, protowire.BytesType)
 		b = protowire.AppendString(b, p)
@@ -315,23 +317,23 @@
 	return b
 }
 
-func readLife(s *store.Store) (l life, known bool, err error) {
-	value, known, err := s.Get([]byte(lifeKey))
+func loadIncarnation(s *store.Store) (l incarnation, known bool, err error) {
+	value, known, err := s.Get([]byte(incarnationKey))
 	if err != nil || !known {
 		return l, false, err
 	}
-	l, err = parseLife(value)
+	l, err = decodeIncarnation(value)
 	return l, true, err
 }
 
 // parseLife reads what lifeBytes has written.
-func parseLife(value []byte) (l life, err error) {
-	err = fields(value, func(n protowire.Number, number uint64, text []byte) {
+func decodeIncarnation(value []byte) (l incarnation, err error) {
+	err = visitFields(value, func(n protowire.Number, number uint64, text []byte) {
 		switch n {
 		case 1:
 			l.name = string(text)
 		case 2:
-			l.alive = int64(number)
+			l.lastAliveMs = int64(number)
 		case 3:
 			l.plans = append(l.plans, string(text))
 		}
@@ -340,7 +342,7 @@
 }
 
 // fields shows a message's fields, one after another; what it doesn't know is left out.
-func fields(b []byte, show func(n protowire.Number, number uint64, text []byte)) error {
+func visitFields(b []byte, show func(n protowire.Number, number uint64, text []byte)) error {
 	for len(b) > 0 {
 		n, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
@@ -381,11 +383,11 @@
 }
 
 // Words gives a record as text, for dumps.
-func Words(key, value []byte) map[string]any {
-	if l, err := parseLife(value); err == nil && string(key) == lifeKey {
-		return map[string]any{"kind": "life", "gateway": l.name, "alive_ms": l.alive}
+func Describe(key, value []byte) map[string]any {
+	if l, err := decodeIncarnation(value); err == nil && string(key) == incarnationKey {
+		return map[string]any{"kind": "life", "gateway": l.name, "alive_ms": l.lastAliveMs}
 	}
-	if u, at, err := readUse(key, value); err == nil && key[0] == accountKey {
+	if u, at, err := decodeBalance(key, value); err == nil && key[0] == accountKey {
 		return map[string]any{"kind": "account", "name": fmt.Sprintf("%016x", u.Key), "left": u.Balance, "at_ms": at}
 	}
 	return map[string]any{"kind": "unknown", "key": fmt.Sprintf("%x", key), "bytes": len(value)}
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -75,7 +75,7 @@
 	s := begin(t, path, "g0", at)
 	assert.Empty(t, s.g.recalled)
 	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5}, policy.QuotaBalance{Key: name(2, 1), Customer: 2, Balance: -4}, policy.QuotaBalance{Key: name(3, 1), Balance: 7})
-	require.Eventually(t, func() bool { return s.k.Figures().Entries == 4 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.k.Stats().Entries == 4 }, 10*time.Second, time.Millisecond)
 	s.g.drew(policy.QuotaBalance{Key: name(3, 1), Balance: 6})
 	s.stop()
 	next := begin(t, path, "g0", at.Add(5*time.Second))
@@ -83,8 +83,8 @@
 	assert.Equal(t, policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second, Downtime: 5 * time.Second}, next.g.recalled[0])
 	assert.Equal(t, -4.0, next.g.recalled[1].Balance)
 	assert.Equal(t, 6.0, next.g.recalled[2].Balance)
-	assert.Equal(t, 3, next.k.Figures().Recalled)
-	assert.EqualValues(t, 2, next.k.Figures().Epoch)
+	assert.Equal(t, 3, next.k.Stats().Restored)
+	assert.EqualValues(t, 2, next.k.Stats().Epoch)
 	next.stop()
 	late := begin(t, path, "g0", at.Add(-time.Hour))
 	for _, u := range late.g.recalled {
@@ -97,12 +97,12 @@
 	require.NoError(t, err)
 	require.Len(t, g.recalled, 2)
 	assert.Equal(t, name(2, 0), g.recalled[0].Key)
-	k.s.Close()
+	k.store.Close()
 	g = &gateway{}
 	k, err = Open(Options{Path: path, Name: "g0", Plans: []string{"farm", "utility"}, Now: func() time.Time { return at.Add(2 * time.Hour) }}, g)
 	require.NoError(t, err)
 	assert.Empty(t, g.recalled)
-	k.s.Close()
+	k.store.Close()
 }
 
 // A folder of another gateway, and one that is damaged, are set aside, whole, and the gateway goes on as with none.
@@ -111,18 +111,18 @@
 	path := filepath.Join(dir, "store")
 	s := begin(t, path, "g0", at)
 	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
-	require.Eventually(t, func() bool { return s.k.Figures().Entries == 2 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return s.k.Stats().Entries == 2 }, 10*time.Second, time.Millisecond)
 	s.stop()
 	other := begin(t, path, "g1", at.Add(time.Second))
 	assert.Empty(t, other.g.recalled)
-	assert.DirExists(t, other.k.Figures().Aside)
+	assert.DirExists(t, other.k.Stats().QuarantinePath)
 	other.stop()
 	require.NoError(t, os.Remove(filepath.Join(path, "MANIFEST")))
 	again := begin(t, path, "g1", at.Add(2*time.Second))
 	assert.Empty(t, again.g.recalled)
-	assert.NotEqual(t, other.k.Figures().Aside, again.k.Figures().Aside)
+	assert.NotEqual(t, other.k.Stats().QuarantinePath, again.k.Stats().QuarantinePath)
 	again.stop()
-	fs, err := store.Folder(other.k.Figures().Aside)
+	fs, err := store.OpenDir(other.k.Stats().QuarantinePath)
 	require.NoError(t, err)
 	kept, err := store.Open(fs, store.Options{})
 	require.NoError(t, err)
@@ -136,17 +136,17 @@
 	old := begin(t, path, "g0", at)
 	waits := make(chan struct{}, 100)
 	g := &gateway{}
-	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"farm"}, Waiting: func() { waits <- struct{}{} }}, g)
+	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"farm"}, OnLockRetry: func() { waits <- struct{}{} }}, g)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
 	<-waits
-	assert.Zero(t, k.Figures().Epoch)
+	assert.Zero(t, k.Stats().Epoch)
 	old.stop()
-	require.Eventually(t, func() bool { return k.Figures().Epoch == 2 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return k.Stats().Epoch == 2 }, 20*time.Second, 10*time.Millisecond)
 	g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
-	require.Eventually(t, func() bool { return k.Figures().Entries >= 2 }, 20*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return k.Stats().Entries >= 2 }, 20*time.Second, 10*time.Millisecond)
 	assert.Empty(t, g.recalled)
 	cancel()
 	<-done
@@ -159,24 +159,24 @@
 	_, err := Open(Options{Path: filepath.Join(file, "store"), Name: "g0"}, &gateway{})
 	assert.Error(t, err)
 	g := &gateway{}
-	k, err := Open(Options{Path: filepath.Join(t.TempDir(), "store"), Name: "g0", Store: store.Options{MostBytes: 60}}, g)
+	k, err := Open(Options{Path: filepath.Join(t.TempDir(), "store"), Name: "g0", Store: store.Options{MaxBytes: 60}}, g)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
-	require.Eventually(t, func() bool { return errors.Is(k.Figures().Failed, store.ErrTooMuch) }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return errors.Is(k.Stats().Err, store.ErrLimitExceeded) }, 10*time.Second, time.Millisecond)
 	cancel()
 	<-done
 }
 
 // What reads values takes any bytes for what they are.
 func FuzzValues(f *testing.F) {
-	f.Add(accountBytes(7), useBytes(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
-	f.Add([]byte(lifeKey), lifeBytes(life{"g0", 5, []string{"a", "b"}}))
+	f.Add(encodeAccountKey(7), encodeBalance(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
+	f.Add([]byte(incarnationKey), encodeIncarnation(incarnation{"g0", 5, []string{"a", "b"}}))
 	f.Fuzz(func(t *testing.T, key, value []byte) {
-		Words(key, value)
-		if u, at, err := readUse(key, value); err == nil {
-			again, at2, err := readUse(accountBytes(u.Key), useBytes(u, at))
+		Describe(key, value)
+		if u, at, err := decodeBalance(key, value); err == nil {
+			again, at2, err := decodeBalance(encodeAccountKey(u.Key), encodeBalance(u, at))
 			if err != nil || again != u || at2 != at {
 				t.Fatalf("%+v became %+v", u, again)
 			}
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -11,9 +11,9 @@
 }
 
 // install puts a manifest in place. The io mutex is held.
-func (s *Store) install(m manifest) error {
+func (s *Store) installManifest(m manifest) error {
 	name := manifestName + ".tmp"
-	if err := s.whole(name, m.bytes()); err != nil {
+	if err := s.writeFile(name, m.encode()); err != nil {
 		return err
 	}
 	if err := s.fs.Sync(); err != nil { // the files that it names are there before it names them
@@ -26,7 +26,7 @@
 }
 
 // whole makes a file with some bytes, and waits for the disk.
-func (s *Store) whole(name string, b []byte) error {
+func (s *Store) writeFile(name string, b []byte) error {
 	s.fs.Remove(name) // what a crash has left
 	f, err := s.fs.Open(name, true)
 	if err != nil {
@@ -41,47 +41,47 @@
 
 // begin opens a further segment for writing and puts it in the manifest, with what else changes there. The io mutex is held, and
 // nothing is pending.
-func (s *Store) begin(m manifest) error {
-	number := s.next
-	s.next++
+func (s *Store) startSegment(m manifest) error {
+	number := s.nextFileNumber
+	s.nextFileNumber++
 	f, err := s.fs.Open(segmentName(number), true)
 	if err != nil {
 		return err
 	}
-	if _, err = f.WriteAt(segmentBytes(m.id, m.epoch, number), 0); err == nil {
+	if _, err = f.WriteAt(encodeSegmentHeader(m.id, m.epoch, number), 0); err == nil {
 		err = f.Sync()
 	}
 	if err != nil {
 		f.Close()
 		return err
 	}
-	m.segments = append(slices.Clone(m.segments), segment{number: number, first: s.seq + 1})
-	if err := s.install(m); err != nil {
+	m.segments = append(slices.Clone(m.segments), segmentInfo{number: number, firstSeq: s.lastSeq + 1})
+	if err := s.installManifest(m); err != nil {
 		f.Close()
 		return err
 	}
-	s.man, s.files[number], s.sizes[number], s.began = m, f, segmentHead, segmentHead
-	s.count()
+	s.manifest, s.segmentFiles[number], s.segmentSizes[number], s.pendingOffset = m, f, segmentHeaderSize, segmentHeaderSize
+	s.recountBytes()
 	return nil
 }
 
 // sealed gives the manifest with all segments closed. The mutex is held, and nothing is pending.
-func (s *Store) sealed() manifest {
-	m := s.man
+func (s *Store) sealedManifest() manifest {
+	m := s.manifest
 	m.segments = slices.Clone(m.segments)
 	for i, g := range m.segments {
-		m.segments[i].length = s.sizes[g.number]
+		m.segments[i].sealedSize = s.segmentSizes[g.number]
 	}
 	return m
 }
 
 // tidy closes a segment that is large enough, compacts and makes checkpoints, where it is time.
-func (s *Store) tidy() {
-	s.io.Lock()
-	defer s.io.Unlock()
+func (s *Store) maintain() {
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
 	s.mu.RLock()
-	last := s.man.segments[len(s.man.segments)-1].number
-	large, old, failed := s.sizes[last] >= s.opt.SegmentBytes, s.since >= s.opt.CheckpointBytes, s.failed
+	last := s.manifest.segments[len(s.manifest.segments)-1].number
+	large, old, failed := s.segmentSizes[last] >= s.opt.SegmentBytes, s.bytesSinceCheckpoint >= s.opt.CheckpointBytes, s.writeErr
 	s.mu.RUnlock()
 	if failed != nil {
 		return
@@ -90,7 +90,7 @@
 	if large {
 		err = s.rotate()
 	}
-	if worn := s.worn(); err == nil && large && len(worn) > 0 {
+	if worn := s.compactionCandidates(); err == nil && large && len(worn) > 0 {
 		err = s.compact(worn)
 	} else if err == nil && old {
 		err = s.checkpoint()
@@ -110,19 +110,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.pending) > 0 { // written meanwhile: it belongs to the segment that its places name
-		last := s.man.segments[len(s.man.segments)-1].number
-		_, err := s.files[last].WriteAt(s.pending, s.began)
+		last := s.manifest.segments[len(s.manifest.segments)-1].number
+		_, err := s.segmentFiles[last].WriteAt(s.pending, s.pendingOffset)
 		if err == nil {
-			err = s.files[last].Sync()
+			err = s.segmentFiles[last].Sync()
 		}
 		if err != nil {
 			return s.fail(err)
 		}
-		s.flushed(int64(len(s.pending)), s.seq, s.waiting)
-		s.round.end(nil)
-		s.round = newRound()
-		s.began += int64(len(s.pending))
-		s.pending, s.waiting, s.sizes[last] = nil, nil, s.began
+		s.markDurable(int64(len(s.pending)), s.lastSeq, s.pendingEntries)
+		s.group.finish(nil)
+		s.group = newCommitGroup()
+		s.pendingOffset += int64(len(s.pending))
+		s.pending, s.pendingEntries, s.segmentSizes[last] = nil, nil, s.pendingOffset
 	}
-	return s.begin(s.sealed())
+	return s.startSegment(s.sealedManifest())
 }
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -12,7 +12,7 @@
 	for range 2 { // a compaction may take the segment away meanwhile, and has put the record elsewhere then
 		s.mu.RLock()
 		e := s.index[string(key)]
-		if e == nil || e.gone {
+		if e == nil || e.tombstone {
 			s.mu.RUnlock()
 			return nil, false, nil
 		}
@@ -21,7 +21,7 @@
 			s.mu.RUnlock()
 			return value, true, nil
 		}
-		where, file := e.where, s.files[e.where.segment]
+		where, file := e.location, s.segmentFiles[e.location.segment]
 		s.mu.RUnlock()
 		if value, err = readValue(file, where, key); err == nil {
 			return value, true, nil
@@ -30,14 +30,14 @@
 	return nil, false, err
 }
 
-func readValue(file File, where place, key []byte) ([]byte, error) {
+func readValue(file File, where location, key []byte) ([]byte, error) {
 	b := make([]byte, where.size)
-	if _, err := file.ReadAt(b, where.at); err != nil && !errors.Is(err, io.EOF) {
+	if _, err := file.ReadAt(b, where.offset); err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
-	r, _, ok := readRecord(b)
+	r, _, ok := decodeRecord(b)
 	if !ok || !bytes.Equal(r.key, key) {
-		return nil, &Damage{segmentName(where.segment), where.at, "a record can't be read"}
+		return nil, &CorruptionError{segmentName(where.segment), where.offset, "a record can't be read"}
 	}
 	return r.value, nil
 }
@@ -47,7 +47,7 @@
 	s.mu.RLock()
 	var keys []string
 	for k, e := range s.index {
-		if !e.gone && len(k) >= len(prefix) && k[:len(prefix)] == string(prefix) {
+		if !e.tombstone && len(k) >= len(prefix) && k[:len(prefix)] == string(prefix) {
 			keys = append(keys, k)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -16,28 +16,28 @@
 
 // The kinds.
 const (
-	Buffered  Durability = iota // it is in memory, and on disk FlushEvery later at most: a crash may take the latest of these
-	Grouped                     // it is on disk, with all others that were written meanwhile, by one fsync for all
-	Immediate                   // it is on disk by an fsync of its own
+	Buffered    Durability = iota // it is in memory, and on disk FlushEvery later at most: a crash may take the latest of these
+	GroupCommit                   // it is on disk, with all others that were written meanwhile, by one fsync for all
+	Immediate                     // it is on disk by an fsync of its own
 )
 
 // Options are a store's limits. Zero values are replaced by those of the comments.
 type Options struct {
-	FlushEvery      time.Duration // 50 ms; how long buffered writes wait for a disk at most
+	FlushInterval   time.Duration // 50 ms; how long buffered writes wait for a disk at most
 	SegmentBytes    int64         // 16 MiB; a segment that is larger is closed and the next begun
 	CheckpointBytes int64         // 64 MiB; of records, after which a checkpoint is made: what is read again after a crash
-	MostBytes       int64         // 4 GiB; of all files: beyond it writes fail
-	MostEntries     int           // 4,000,000; beyond it new keys fail: the index is in memory
+	MaxBytes        int64         // 4 GiB; of all files: beyond it writes fail
+	MaxEntries      int           // 4,000,000; beyond it new keys fail: the index is in memory
 }
 
 const (
-	inline      = 64       // values up to so many bytes stay in memory
-	mostPending = 4 << 20  // bytes written and not yet on disk; writers wait beyond it
-	copyBytes   = 1 << 20  // of a compaction, written at once
-	scanBytes   = 64 << 20 // most of a segment that is looked through for what comes after damage
+	maxInlineValue      = 64       // values up to so many bytes stay in memory
+	maxPendingBytes     = 4 << 20  // bytes written and not yet on disk; writers wait beyond it
+	compactionWriteSize = 1 << 20  // of a compaction, written at once
+	maxCorruptionScan   = 64 << 20 // most of a segment that is looked through for what comes after damage
 )
 
-func (o Options) filled() Options {
+func (o Options) withDefaults() Options {
 	or := func(v *int64, d int64) {
 		if *v <= 0 {
 			*v = d
@@ -45,30 +45,32 @@
 	}
 	or(&o.SegmentBytes, 16<<20)
 	or(&o.CheckpointBytes, 64<<20)
-	or(&o.MostBytes, 4<<30)
-	if o.FlushEvery <= 0 {
-		o.FlushEvery = 50 * time.Millisecond
+	or(&o.MaxBytes, 4<<30)
+	if o.FlushInterval <= 0 {
+		o.FlushInterval = 50 * time.Millisecond
 	}
-	if o.MostEntries <= 0 {
-		o.MostEntries = 4_000_000
+	if o.MaxEntries <= 0 {
+		o.MaxEntries = 4_000_000
 	}
 	return o
 }
 
 // Errors of a store that works.
 var (
-	ErrClosed  = errors.New("store: closed")
-	ErrTooMuch = errors.New("store: over its limit")
+	ErrClosed        = errors.New("store: closed")
+	ErrLimitExceeded = errors.New("store: over its limit")
 )
 
 // Damage is why a folder is not opened: something acknowledged is missing or can't be read.
-type Damage struct {
-	File string
-	At   int64 // byte
-	What string
+type CorruptionError struct {
+	File   string
+	Offset int64 // byte
+	Reason string
 }
 
-func (d *Damage) Error() string { return fmt.Sprintf("store: %s, byte %d: %s", d.File, d.At, d.What) }
+func (d *CorruptionError) Error() string {
+	return fmt.Sprintf("store: %s, byte %d: %s", d.File, d.Offset, d.Reason)
+}
 
 // Store is an open one. It is safe for concurrent use.
 type Store struct {
@@ -76,40 +78,40 @@
 	opt    Options
 	unlock func()
 
-	io sync.Mutex // held while files are written or exchanged; comes before mu
-
-	mu       sync.RWMutex
-	man      manifest
-	files    map[uint64]File
-	sizes    map[uint64]int64 // bytes that count, written ones included
-	live     map[uint64]int64 // of them in records that are the newest of their keys
-	index    map[string]*entry
-	seq      uint64 // newest given out
-	durable  uint64 // newest on disk
-	flushing uint64 // newest that a flush has taken along
-	pending  []byte // to be written at the end of the last segment
-	waiting  []*entry
-	round    *round // that will write what is pending
-	began    int64  // where pending begins in the last segment
-	next     uint64 // number of the next file
-	since    int64  // bytes since the last checkpoint
-	total    int64  // bytes of all segments, pending ones included
-	failed   error
-	closed   bool
-	synced   *sync.Cond // of mu's write half: durable or failed has changed
-	wake     chan struct{}
-	done     chan struct{}
-	counters Counters
+	ioMu sync.Mutex // held while files are written or exchanged; comes before mu
+
+	mu                   sync.RWMutex
+	manifest             manifest
+	segmentFiles         map[uint64]File
+	segmentSizes         map[uint64]int64 // bytes that count, written ones included
+	liveBytes            map[uint64]int64 // of them in records that are the newest of their keys
+	index                map[string]*indexEntry
+	lastSeq              uint64 // newest given out
+	durableSeq           uint64 // newest on disk
+	flushingSeq          uint64 // newest that a flush has taken along
+	pending              []byte // to be written at the end of the last segment
+	pendingEntries       []*indexEntry
+	group                *commitGroup // that will write what is pending
+	pendingOffset        int64        // where pending begins in the last segment
+	nextFileNumber       uint64       // number of the next file
+	bytesSinceCheckpoint int64        // bytes since the last checkpoint
+	totalBytes           int64        // bytes of all segments, pending ones included
+	writeErr             error
+	closed               bool
+	flushDone            *sync.Cond // of mu's write half: durable or failed has changed
+	wake                 chan struct{}
+	flusherDone          chan struct{}
+	counters             Counters
 }
 
 // Counters are what a store has done.
 type Counters struct {
 	Writes, Syncs, Compactions, Checkpoints uint64
-	Written, Asked                          uint64 // bytes to disk, and of keys and values
-	Cut                                     int64  // bytes that a crash had left of unacknowledged records, cut off at the opening
+	BytesWritten, UserBytes                 uint64 // bytes to disk, and of keys and values
+	TruncatedBytes                          int64  // bytes that a crash had left of unacknowledged records, cut off at the opening
 	Entries                                 int
-	Bytes                                   int64 // of all segments
-	Recovery                                time.Duration
+	DiskBytes                               int64 // of all segments
+	RecoveryTime                            time.Duration
 }
 
 // Open opens a folder, and makes it a store where it is empty. It takes the folder's lock, raises the epoch, and gives back
@@ -119,34 +121,34 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{fs: fs, opt: opt.filled(), unlock: unlock, files: map[uint64]File{}, sizes: map[uint64]int64{}, live: map[uint64]int64{},
-		index: map[string]*entry{}, wake: make(chan struct{}, 1), done: make(chan struct{}), round: newRound()}
-	s.synced = sync.NewCond(&s.mu)
+	s := &Store{fs: fs, opt: opt.withDefaults(), unlock: unlock, segmentFiles: map[uint64]File{}, segmentSizes: map[uint64]int64{}, liveBytes: map[uint64]int64{},
+		index: map[string]*indexEntry{}, wake: make(chan struct{}, 1), flusherDone: make(chan struct{}), group: newCommitGroup()}
+	s.flushDone = sync.NewCond(&s.mu)
 	began := time.Now()
 	if err := s.recover(true); err != nil {
-		for _, f := range s.files {
+		for _, f := range s.segmentFiles {
 			f.Close()
 		}
 		unlock()
 		return nil, err
 	}
-	s.counters.Recovery = time.Since(began)
-	go s.flusher()
+	s.counters.RecoveryTime = time.Since(began)
+	go s.flushLoop()
 	return s, nil
 }
 
 // ID names the store, Epoch counts how often it has been opened.
-func (s *Store) ID() ID { return s.man.id }
+func (s *Store) ID() ID { return s.manifest.id }
 
 // Epoch counts the openings of this store; a copy of an older folder has an older one.
-func (s *Store) Epoch() uint64 { return s.man.epoch }
+func (s *Store) Epoch() uint64 { return s.manifest.epoch }
 
 // Counters gives the counters.
 func (s *Store) Counters() Counters {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	c := s.counters
-	c.Entries, c.Bytes = len(s.index), s.total
+	c.Entries, c.DiskBytes = len(s.index), s.totalBytes
 	return c
 }
 
@@ -160,22 +162,22 @@
 	s.closed = true
 	s.mu.Unlock()
 	close(s.wake)
-	<-s.done
+	<-s.flusherDone
 	err := s.flush()
 	if err == nil {
-		s.io.Lock()
+		s.ioMu.Lock()
 		s.mu.Lock()
-		s.man = s.sealed() // whoever cuts a file off from now on is found out
+		s.manifest = s.sealedManifest() // whoever cuts a file off from now on is found out
 		s.mu.Unlock()
 		err = s.checkpoint()
-		s.io.Unlock()
+		s.ioMu.Unlock()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, f := range s.files {
+	for _, f := range s.segmentFiles {
 		f.Close()
 	}
-	s.synced.Broadcast()
+	s.flushDone.Broadcast()
 	s.unlock()
 	return err
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,7 @@
 )
 
 // quiet is a store that writes nothing by itself.
-var quiet = store.Options{FlushEvery: time.Hour}
+var quiet = store.Options{FlushInterval: time.Hour}
 
 func open(t testing.TB, fs store.FS, opt store.Options) *store.Store {
 	s, err := store.Open(fs, opt)
@@ -48,7 +48,7 @@
 	want := map[string]string{}
 	var id store.ID
 	for life := range 4 {
-		fs, err := store.Folder(dir)
+		fs, err := store.OpenDir(dir)
 		require.NoError(t, err)
 		s := open(t, fs, store.Options{SegmentBytes: 2000, CheckpointBytes: 3000})
 		if life == 0 {
@@ -64,7 +64,7 @@
 		}
 		var b store.Batch
 		b.Delete([]byte("key-3"))
-		require.NoError(t, s.Write(&b, store.Grouped))
+		require.NoError(t, s.Write(&b, store.GroupCommit))
 		delete(want, "key-3")
 		assert.Equal(t, want, all(t, s))
 		_, ok, err := s.Get([]byte("key-3"))
@@ -80,7 +80,7 @@
 
 // A second process is kept out.
 func TestOneProcess(t *testing.T) {
-	fs, err := store.Folder(t.TempDir())
+	fs, err := store.OpenDir(t.TempDir())
 	require.NoError(t, err)
 	s := open(t, fs, quiet)
 	_, err = store.Open(fs, quiet)
@@ -93,20 +93,20 @@
 
 // Limits hold: of keys, values, bytes and entries.
 func TestLimits(t *testing.T) {
-	s := open(t, faultfs.New(), store.Options{MostBytes: 3000, MostEntries: 3, FlushEvery: time.Hour})
+	s := open(t, faultfs.New(), store.Options{MaxBytes: 3000, MaxEntries: 3, FlushInterval: time.Hour})
 	write := func(key, value string) error {
 		var b store.Batch
 		b.Put([]byte(key), []byte(value))
 		return s.Write(&b, store.Buffered)
 	}
 	assert.Error(t, write("", "x"))
-	assert.Error(t, write(strings.Repeat("k", store.MostKey+1), "x"))
-	assert.Error(t, write("k", strings.Repeat("v", store.MostValue+1)))
-	assert.ErrorIs(t, write("k", strings.Repeat("v", 3000)), store.ErrTooMuch)
+	assert.Error(t, write(strings.Repeat("k", store.MaxKeySize+1), "x"))
+	assert.Error(t, write("k", strings.Repeat("v", store.MaxValueSize+1)))
+	assert.ErrorIs(t, write("k", strings.Repeat("v", 3000)), store.ErrLimitExceeded)
 	for i := range 3 {
 		require.NoError(t, write(fmt.Sprint(i), "x"))
 	}
-	assert.ErrorIs(t, write("4", "x"), store.ErrTooMuch)
+	assert.ErrorIs(t, write("4", "x"), store.ErrLimitExceeded)
 	require.NoError(t, s.Write(&store.Batch{}, store.Immediate))
 }
 
@@ -127,10 +127,10 @@
 			delete(want, fmt.Sprint(i))
 		}
 		require.NoError(t, s.Write(&b, store.Buffered))
-		before := s.Counters().Bytes
+		before := s.Counters().DiskBytes
 		require.NoError(t, s.Compact())
 		if round > 0 {
-			assert.Less(t, s.Counters().Bytes, before)
+			assert.Less(t, s.Counters().DiskBytes, before)
 		}
 		assert.Equal(t, want, all(t, s))
 	}
@@ -202,10 +202,10 @@
 // The power is cut at every change of the disk, while batches are written, segments closed, checkpoints made and compactions done,
 // and again at every change of the recovery from that. No promised write is lost, none half there, none invented.
 func TestPowerCutAtEveryChange(t *testing.T) {
-	small := store.Options{FlushEvery: time.Hour, SegmentBytes: 1200, CheckpointBytes: 2500}
+	small := store.Options{FlushInterval: time.Hour, SegmentBytes: 1200, CheckpointBytes: 2500}
 	run := func(cut int, seed uint64) (*faultfs.FS, story, int) {
 		fs, st := faultfs.New(), story{}
-		fs.CutAt = cut
+		fs.PowerCutAt = cut
 		s, err := store.Open(fs, small)
 		if err != nil {
 			st.states = []map[string]string{{}}
@@ -230,7 +230,7 @@
 			}
 			for again := 1; again < 30; again++ { // the recovery is cut, too
 				twice := left.Clone()
-				twice.CutAt = again
+				twice.PowerCutAt = again
 				s, err := store.Open(twice, small)
 				if err == nil {
 					s.Close()
@@ -247,8 +247,8 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		fs, st := faultfs.New(), story{states: []map[string]string{{}}}
 		for life := range 20 {
-			fs.CutAt = 1 + rng.IntN(80)
-			s, err := store.Open(fs, store.Options{FlushEvery: time.Hour, SegmentBytes: 700, CheckpointBytes: 1500})
+			fs.PowerCutAt = 1 + rng.IntN(80)
+			s, err := store.Open(fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 700, CheckpointBytes: 1500})
 			if err == nil {
 				play(s, rng, 1+rng.IntN(25), &st)
 				if s.Close() == nil {
@@ -268,7 +268,7 @@
 	fs := faultfs.New()
 	var st story
 	for life := range uint64(2) {
-		s := open(t, fs, store.Options{FlushEvery: time.Hour, SegmentBytes: 500, CheckpointBytes: 900})
+		s := open(t, fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 500, CheckpointBytes: 900})
 		play(s, rand.New(rand.NewPCG(life, 3)), 12, &st)
 		require.NoError(t, s.Close())
 	}
@@ -286,14 +286,14 @@
 	check := func(bad *faultfs.FS, where string, repair bool) {
 		s, err := store.Open(bad.Clone(), quiet)
 		if err != nil {
-			var damage *store.Damage
+			var damage *store.CorruptionError
 			require.ErrorAs(t, err, &damage, where)
 			refused++
 			findings, err := store.Verify(bad)
 			require.NoError(t, err, where)
 			require.True(t, func() bool {
 				for _, f := range findings {
-					if f.Bad {
+					if f.DataLoss {
 						return true
 					}
 				}
@@ -370,7 +370,7 @@
 		bad.SetBytes(last, flipped)
 		s, err := store.Open(bad, quiet)
 		if err != nil {
-			var damage *store.Damage
+			var damage *store.CorruptionError
 			require.ErrorAs(t, err, &damage)
 			continue
 		}
@@ -385,12 +385,12 @@
 		for at := 1; at < 60; at++ {
 			fs := faultfs.New()
 			if kind == "full" {
-				fs.FullAt = at
+				fs.DiskFullAt = at
 			} else {
-				fs.SyncFailsAt = at
+				fs.SyncErrorAt = at
 			}
 			var st story
-			s, err := store.Open(fs, store.Options{FlushEvery: time.Hour, SegmentBytes: 600})
+			s, err := store.Open(fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 600})
 			if err == nil {
 				play(s, rand.New(rand.NewPCG(uint64(at), 4)), 20, &st)
 				if s.Err() != nil {
@@ -412,9 +412,9 @@
 func TestDiskThatLies(t *testing.T) {
 	for seed := uint64(1); seed < 40; seed++ {
 		fs := faultfs.New()
-		fs.Lies = true
+		fs.IgnoreSync = true
 		var st story
-		s := open(t, fs, store.Options{FlushEvery: time.Hour, SegmentBytes: 600})
+		s := open(t, fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 600})
 		play(s, rand.New(rand.NewPCG(seed, 5)), 20, &st)
 		left, err := store.Open(fs.Crash(seed), quiet)
 		if err != nil {
@@ -490,7 +490,7 @@
 			return out.(string) == state.(string), state
 		},
 	}
-	s := open(t, faultfs.New(), store.Options{FlushEvery: time.Millisecond, SegmentBytes: 3000, CheckpointBytes: 5000})
+	s := open(t, faultfs.New(), store.Options{FlushInterval: time.Millisecond, SegmentBytes: 3000, CheckpointBytes: 5000})
 	began := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -538,7 +538,7 @@
 // What buffered writes may lose is what was written within FlushEvery.
 func TestBufferedWritesReachTheDisk(t *testing.T) {
 	fs := faultfs.New()
-	s := open(t, fs, store.Options{FlushEvery: 5 * time.Millisecond})
+	s := open(t, fs, store.Options{FlushInterval: 5 * time.Millisecond})
 	put(t, s, store.Buffered, "k1", "v")
 	require.Eventually(t, func() bool { return s.Counters().Syncs > 0 }, 10*time.Second, time.Millisecond)
 	left := open(t, fs.Crash(3), quiet)
--- a/internal/storm/promise.go
+++ b/internal/storm/promise.go
@@ -9,43 +9,43 @@
 // moment is remembered here and told to peers, so that those who heed it come back at a rate that the fleet can take.
 
 // forgetPromises drops the slots that have passed.
-func (g *Guard) forgetPromises(now Time) {
-	for first := int64(now / slotLength); g.slot < first; g.slot++ {
-		g.promised[g.slot%int64(slots)] = 0
-		if first-g.slot > int64(slots) {
-			g.slot = first - int64(slots)
+func (g *Guard) advanceSlots(now Time) {
+	for first := int64(now / slotDuration); g.firstSlot < first; g.firstSlot++ {
+		g.scheduled[g.firstSlot%int64(slotCount)] = 0
+		if first-g.firstSlot > int64(slotCount) {
+			g.firstSlot = first - int64(slotCount)
 		}
 	}
 }
 
 // returns is how many of those who were told to come back this gateway can take in a slot that lies so far ahead: what
 // the ramp will let in by then beside first tries.
-func (g *Guard) returns(ahead time.Duration) float64 {
+func (g *Guard) returnCapacity(ahead time.Duration) float64 {
 	rate := g.limit
 	switch g.phase {
 	case Outage: // its end is not known; once it is over, the members are cold
-		rate = startShare * g.rate()
+		rate = rampStartRatio * g.baselineRate()
 	case Recovery:
-		rate = math.Min(g.limit*math.Pow(riseFactor, ahead.Seconds()/Tick.Seconds()), capShare*g.rate())
+		rate = math.Min(g.limit*math.Pow(rampIncreaseFactor, ahead.Seconds()/TickInterval.Seconds()), rampMaxRatio*g.baselineRate())
 	}
-	firsts := math.Min(g.recent().Firsts, g.usual)
-	return math.Max(0.2*rate, rate-firsts) * slotLength.Seconds()
+	firsts := math.Min(g.recent().FirstAttempts, g.baselineArrivals)
+	return math.Max(0.2*rate, rate-firsts) * slotDuration.Seconds()
 }
 
 // promise gives a wait: to the first slot with room, or where all are full to the one that is least so. It is never
 // longer than the clients' own limit.
-func (g *Guard) promise(now Time) time.Duration {
-	g.forgetPromises(now)
-	least := leastWait
+func (g *Guard) scheduleReturn(now Time) time.Duration {
+	g.advanceSlots(now)
+	least := minRetryAfter
 	if g.phase == Outage {
-		least = outageWait
+		least = outageMinRetryAfter
 	}
-	least = min(least, g.opt.MostWait)
-	from, to := int64((now+least)/slotLength), int64((now+g.opt.MostWait)/slotLength)
+	least = min(least, g.opt.MaxRetryAfter)
+	from, to := int64((now+least)/slotDuration), int64((now+g.opt.MaxRetryAfter)/slotDuration)
 	best, fullest := to, math.Inf(1)
-	for s := max(from, g.slot); s <= min(to, g.slot+int64(slots)-1); s++ {
-		there := g.promised[s%int64(slots)] + g.promisedByPeers(now, s)
-		full := there / math.Max(g.returns(time.Duration(s)*slotLength-now)*g.shares(now), 1e-9)
+	for s := max(from, g.firstSlot); s <= min(to, g.firstSlot+int64(slotCount)-1); s++ {
+		there := g.scheduled[s%int64(slotCount)] + g.scheduledByPeers(now, s)
+		full := there / math.Max(g.returnCapacity(time.Duration(s)*slotDuration-now)*g.activeGateways(now), 1e-9)
 		if full < fullest {
 			best, fullest = s, full
 		}
@@ -53,15 +53,15 @@
 			break
 		}
 	}
-	if best >= g.slot && best < g.slot+int64(slots) {
-		g.promised[best%int64(slots)]++
+	if best >= g.firstSlot && best < g.firstSlot+int64(slotCount) {
+		g.scheduled[best%int64(slotCount)]++
 	}
-	within := time.Duration(g.rng.Float64() * float64(slotLength))
-	return min(max(time.Duration(best)*slotLength+within-now, least), g.opt.MostWait)
+	within := time.Duration(g.rng.Float64() * float64(slotDuration))
+	return min(max(time.Duration(best)*slotDuration+within-now, least), g.opt.MaxRetryAfter)
 }
 
 // shares is how many gateways like this one promise to the same moments.
-func (g *Guard) shares(now Time) float64 {
+func (g *Guard) activeGateways(now Time) float64 {
 	n := 1.0
 	for i := range g.peers {
 		if g.peers[i].fresh(now) {
@@ -72,15 +72,15 @@
 }
 
 // promisedByPeers is what peers have told of their promises to a slot. They tell of whole seconds from when they told.
-func (g *Guard) promisedByPeers(now Time, slot int64) (sum float64) {
+func (g *Guard) scheduledByPeers(now Time, slot int64) (sum float64) {
 	for i := range g.peers {
 		p := &g.peers[i]
 		if !p.fresh(now) {
 			continue
 		}
-		second := int((time.Duration(slot)*slotLength - p.at) / time.Second)
-		if second >= 0 && second < toldSeconds {
-			sum += p.said.Promised[second] / slotsPerS
+		second := int((time.Duration(slot)*slotDuration - p.receivedAt) / time.Second)
+		if second >= 0 && second < scheduleSeconds {
+			sum += p.message.Scheduled[second] / slotsPerSecond
 		}
 	}
 	return sum
