--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -12,7 +12,7 @@
 
 // outage stops all members for a while and gives when service was back for good after they were, and the share of what
 // was asked for in the minute after that was served in time.
-func (w *world) outage() (back time.Duration, share float64) {
+func (w *simulation) outage() (back time.Duration, share float64) {
 	w.play(20*second, 1)
 	usual := w.share(worldFrom+5*second, w.now)
 	w.stop(w.all()...)
@@ -24,8 +24,8 @@
 }
 
 // stormy plays an outage of all members, damped or not.
-func stormy(name string, seed uint64, damped bool, heeds float64) (*world, time.Duration) {
-	w := newWorld(seed, 3, 12, 0.6)
+func stormy(name string, seed uint64, damped bool, heeds float64) (*simulation, time.Duration) {
+	w := newSimulation(seed, 3, 12, 0.6)
 	w.damped, w.model, w.heeds = damped, models[name], heeds
 	back, _ := w.outage()
 	return w, back
@@ -51,7 +51,7 @@
 }
 
 func TestOutageThatComesBack(t *testing.T) {
-	w := newWorld(1, 3, 12, 0.6)
+	w := newSimulation(1, 3, 12, 0.6)
 	w.play(20*second, 1)
 	usual := w.share(worldFrom+5*second, w.now)
 	w.stop(w.all()...)
@@ -69,7 +69,7 @@
 
 // One gateway of which little is asked sees the end of an outage too, though it lets in one try a second.
 func TestOutageOfAQuietGateway(t *testing.T) {
-	w := newWorld(9, 1, 3, 0.2)
+	w := newSimulation(9, 1, 3, 0.2)
 	w.model = models["immediate"]
 	w.play(30*second, 1)
 	w.stop(w.all()...)
@@ -83,23 +83,23 @@
 
 // Discovery lists all members as up, and all of them take work and answer nothing: the attempts that are out tell.
 func TestMembersThatAnswerNothing(t *testing.T) {
-	w := newWorld(1, 3, 12, 0.6)
+	w := newSimulation(1, 3, 12, 0.6)
 	w.play(20*second, 1)
 	for i := range w.members {
 		w.members[i].hung = true
 	}
 	w.play(5*second, 1)
-	p, sure := w.guards[1].Now()
+	p, sure := w.guards[1].State()
 	assert.Equal(t, Outage, p)
 	assert.Greater(t, sure, 0.5)
-	assert.Less(t, w.guards[1].Figures().Limit, 0.2*w.usual/3)
+	assert.Less(t, w.guards[1].Stats().Limit, 0.2*w.usual/3)
 }
 
 // One room of two is gone: what is left is served, and that is no outage.
 func TestOutageOfOneRoom(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, damped := range []bool{true, false} {
-		w := newWorld(2, 3, 12, 0.6)
+		w := newSimulation(2, 3, 12, 0.6)
 		w.damped, w.model = damped, models["immediate"]
 		w.play(20*second, 1)
 		w.stop(0, 1, 2, 3, 4, 5)
@@ -122,7 +122,7 @@
 // A gateway started in the middle of the storm knows of it from its peers, and one that hears nobody finds it out.
 func TestGatewayRestartedInTheStorm(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		w := newWorld(3, 3, 12, 0.6)
+		w := newSimulation(3, 3, 12, 0.6)
 		w.play(20*second, 1)
 		w.stop(w.all()...)
 		w.play(10*second, 1)
@@ -131,14 +131,14 @@
 		w.cut = cut
 		w.boot(2)
 		w.play(second, 1)
-		p, _ := w.guards[2].Now()
+		p, _ := w.guards[2].State()
 		if !cut {
 			assert.NotEqual(t, Calm, p)
-			assert.Greater(t, w.guards[2].rate(), 5.0) // and what is usual
+			assert.Greater(t, w.guards[2].baselineRate(), 5.0) // and what is usual
 		}
 		w.play(40*second, 1)
-		p, _ = w.guards[2].Now()
-		assert.Equal(t, Calm, p, "%+v %+v", w.guards[2].Figures(), w.guards[2].recent())
+		p, _ = w.guards[2].State()
+		assert.Equal(t, Calm, p, "%+v %+v", w.guards[2].Stats(), w.guards[2].recent())
 		assert.Greater(t, w.share(w.now-15*second, w.now-3*second), 0.9)
 	}
 }
@@ -146,7 +146,7 @@
 // Retries come through another gateway than the first try, under a fresh id and without a mark: account, class and
 // units tell them, as peers say what has failed.
 func TestRetriesThroughAnotherGateway(t *testing.T) {
-	w := newWorld(4, 3, 12, 0.6)
+	w := newSimulation(4, 3, 12, 0.6)
 	w.marks, w.accounts = false, 2000
 	w.play(20*second, 1)
 	before := w.repeats
@@ -161,46 +161,46 @@
 
 // What is usual on busy days is no storm.
 func TestNoFalseAlarms(t *testing.T) {
-	for name, day := range map[string]func(*world){
-		"a peak":        func(w *world) { w.play(20*second, 1.6) },
-		"a long peak":   func(w *world) { w.play(10*second, 1.2); w.play(30*second, 1.55); w.play(10*second, 0.4) },
-		"nothing asked": func(w *world) { w.play(20*second, 0.01); w.play(20*second, 1) },
-		"a hot customer": func(w *world) { // whose tries beyond the quota are refused, and come again at once
+	for name, day := range map[string]func(*simulation){
+		"a peak":        func(w *simulation) { w.play(20*second, 1.6) },
+		"a long peak":   func(w *simulation) { w.play(10*second, 1.2); w.play(30*second, 1.55); w.play(10*second, 0.4) },
+		"nothing asked": func(w *simulation) { w.play(20*second, 0.01); w.play(20*second, 1) },
+		"a hot customer": func(w *simulation) { // whose tries beyond the quota are refused, and come again at once
 			w.play(20*second, 1)
 			for range 4000 {
 				w.run(w.now + 3*time.Millisecond)
-				a := Arrival{Account: 7, Class: 1, Plan: 1, Units: 2, Marked: w.rng.IntN(2) == 0}
+				a := Arrival{Account: 7, Class: 1, Plan: 1, Units: 2, MarkedRetry: w.rng.IntN(2) == 0}
 				g := w.guards[w.rng.IntN(3)]
-				if g.Arrive(w.now, a).Admit {
-					g.Refused(w.now, a, second)
+				if g.Admit(w.now, a).Admit {
+					g.Rejected(w.now, a, second)
 				}
 			}
 			w.play(10*second, 1)
 		},
-		"a deploy of the clients": func(w *world) { // all connect anew at once, and what was open is asked for again
+		"a deploy of the clients": func(w *simulation) { // all connect anew at once, and what was open is asked for again
 			w.play(20*second, 1)
 			for range 2000 {
-				assert.True(w.test(), w.guards[w.rng.IntN(3)].Connect(w.now))
+				assert.True(w.test(), w.guards[w.rng.IntN(3)].AdmitConnection(w.now))
 			}
 			for range 40 {
 				w.ask(Arrival{Account: w.rng.Uint64N(60), Class: 1, Units: 1})
 			}
 			w.play(20*second, 1)
 		},
-		"one slow member": func(w *world) {
+		"one slow member": func(w *simulation) {
 			w.play(20*second, 1)
 			w.members[3].free = w.now + 10*second
 			w.play(20*second, 1)
 		},
-		"a member just started at the peak": func(w *world) {
+		"a member just started at the peak": func(w *simulation) {
 			w.play(20*second, 1)
 			w.play(2*second, 1.4)
 			w.restore(5)
 			w.play(20*second, 1.4)
 			assert.Less(w.test(), w.coldPeak, 4.0)
 		},
-		"two members gone": func(w *world) { w.play(20*second, 1); w.stop(1, 2); w.play(20*second, 1) },
-		"pauses": func(w *world) {
+		"two members gone": func(w *simulation) { w.play(20*second, 1); w.stop(1, 2); w.play(20*second, 1) },
+		"pauses": func(w *simulation) {
 			for range 20 {
 				for i := range 4 {
 					w.members[i].free = max(w.members[i].free, w.now) + 400*time.Millisecond
@@ -210,12 +210,12 @@
 		},
 	} {
 		for seed := range uint64(4) {
-			w := newWorld(seed, 3, 12, 0.6)
+			w := newSimulation(seed, 3, 12, 0.6)
 			w.t = t
 			w.play(5*second, 1)
 			day(w)
 			for _, g := range w.guards {
-				assert.Zero(t, g.Figures().Storms, "%s, seed %d", name, seed)
+				assert.Zero(t, g.Stats().Storms, "%s, seed %d", name, seed)
 			}
 		}
 	}
@@ -225,32 +225,32 @@
 // but with so many new connections, more asked than is usual and much that ends badly it is a storm all the same.
 func TestRushOfConnections(t *testing.T) {
 	for _, rush := range []bool{true, false} {
-		w := newWorld(11, 1, 12, 0.6)
+		w := newSimulation(11, 1, 12, 0.6)
 		w.play(20*second, 1)
 		w.stop(0, 1, 2, 3, 4, 5, 6)
 		for range 4000 {
 			if rush {
-				w.guards[0].Connect(w.now)
+				w.guards[0].AdmitConnection(w.now)
 			}
-			if v := w.guards[0].Arrive(w.now, Arrival{Account: w.rng.Uint64(), Class: 1, Units: 1}); v.Admit {
-				w.guards[0].Attempt(w.now, map[bool]End{true: Lost, false: InTime}[w.rng.IntN(2) == 0])
+			if v := w.guards[0].Admit(w.now, Arrival{Account: w.rng.Uint64(), Class: 1, Units: 1}); v.Admit {
+				w.guards[0].AttemptEnded(w.now, map[bool]Outcome{true: Failed, false: InTime}[w.rng.IntN(2) == 0])
 			}
 			w.run(w.now + second/1000)
 		}
-		assert.Equal(t, rush, w.guards[0].Figures().Storms > 0)
+		assert.Equal(t, rush, w.guards[0].Stats().Storms > 0)
 	}
 }
 
 // A clock that stood still for 3 s, or a process that did, is no outage, and ends none.
 func TestClockThatStandsStill(t *testing.T) {
-	w := newWorld(5, 1, 12, 0.6)
+	w := newSimulation(5, 1, 12, 0.6)
 	w.play(20*second, 1)
 	g := w.guards[0]
 	for range 30 {
-		g.Attempt(w.now, Lost) // what all ended when the process went on
+		g.AttemptEnded(w.now, Failed) // what all ended when the process went on
 	}
-	g.Beat(w.now+3*second, Members{Listed: 12, Warmth: 1, Overdue: 40})
-	p, _ := g.Now()
+	g.Tick(w.now+3*second, Members{Listed: 12, Warmth: 1, Overdue: 40})
+	p, _ := g.State()
 	assert.Equal(t, Calm, p)
 }
 
@@ -259,7 +259,7 @@
 func TestHotAccountInTheStorm(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, hot := range []bool{false, true} {
-		w := newWorld(6, 3, 12, 0.6)
+		w := newSimulation(6, 3, 12, 0.6)
 		w.play(20*second, 1)
 		w.stop(w.all()...)
 		w.play(10*second, 1)
@@ -270,8 +270,8 @@
 			ask = func() {
 				a := Arrival{Account: 9999, Class: 1, Plan: 1, Units: 4}
 				g := w.guards[w.rng.IntN(3)]
-				if g.Arrive(w.now, a).Admit {
-					g.Refused(w.now, a, second) // its quota is spent
+				if g.Admit(w.now, a).Admit {
+					g.Rejected(w.now, a, second) // its quota is spent
 				}
 				if w.now < restored+30*second {
 					w.after(20*time.Millisecond, ask)
@@ -287,35 +287,35 @@
 
 // Five thousand connections in one second: no more are taken than a second's worth and what may come at once.
 func TestConnectionsInAStorm(t *testing.T) {
-	w := newWorld(7, 1, 12, 0.6)
+	w := newSimulation(7, 1, 12, 0.6)
 	w.play(20*second, 1)
 	w.stop(w.all()...)
 	w.play(5*second, 1)
 	taken := 0
 	for range 5000 {
 		w.run(w.now + second/5000)
-		if w.guards[0].Connect(w.now) {
+		if w.guards[0].AdmitConnection(w.now) {
 			taken++
 		}
 	}
 	assert.InDelta(t, 200, taken, 60)
-	assert.NotZero(t, w.guards[0].Figures().Connections)
+	assert.NotZero(t, w.guards[0].Stats().RejectedConnections)
 }
 
 // Those who heed what they are told come back spread over the time there is, and none is told to wait longer than the
 // clients' limit or less than a moment.
 func TestPromisesAreSpread(t *testing.T) {
-	w := newWorld(8, 3, 12, 0.6)
+	w := newSimulation(8, 3, 12, 0.6)
 	w.play(20*second, 1)
 	w.stop(w.all()...)
 	w.play(4*second, 1)
 	slot := map[int64]int{}
 	for range 600 {
 		g := w.guards[w.rng.IntN(3)]
-		wait := g.Refused(w.now, Arrival{Account: w.rng.Uint64(), Class: 1}, second)
-		assert.GreaterOrEqual(t, wait, leastWait)
+		wait := g.Rejected(w.now, Arrival{Account: w.rng.Uint64(), Class: 1}, second)
+		assert.GreaterOrEqual(t, wait, minRetryAfter)
 		assert.LessOrEqual(t, wait, 8*second)
-		slot[int64((w.now+wait)/slotLength)]++
+		slot[int64((w.now+wait)/slotDuration)]++
 		w.run(w.now + 2*time.Millisecond)
 	}
 	most := 0
@@ -324,11 +324,11 @@
 	}
 	assert.Less(t, float64(most), 3*600/float64(len(slot)))
 	assert.Greater(t, len(slot), 20)
-	g := New(Options{MostWait: 300 * time.Millisecond})
-	g.begin(worldFrom)
-	g.enter(worldFrom, Outage)
+	g := New(Options{MaxRetryAfter: 300 * time.Millisecond})
+	g.start(worldFrom)
+	g.enterPhase(worldFrom, Outage)
 	for range 100 {
-		assert.LessOrEqual(t, g.promise(worldFrom), 300*time.Millisecond)
+		assert.LessOrEqual(t, g.scheduleReturn(worldFrom), 300*time.Millisecond)
 	}
 }
 
@@ -349,36 +349,36 @@
 }
 
 func TestWordsRoundTrip(t *testing.T) {
-	w := Word{Phase: Recovery, Sure: 0.5, Seq: 9, Firsts: 30, Repeats: 300, InTime: 12, Bad: 1, Limit: 17, Usual: 33}
-	w.Promised[3] = 21
-	w.Failed.put(12345678901234567)
-	got, ok := Unpack(w.Pack())
+	w := Message{Phase: Recovery, Confidence: 0.5, Seq: 9, FirstAttempts: 30, Retries: 300, InTime: 12, Failed: 1, Limit: 17, Baseline: 33}
+	w.Scheduled[3] = 21
+	w.FailedWork.add(12345678901234567)
+	got, ok := Decode(w.Encode())
 	assert.True(t, ok)
 	assert.Equal(t, Recovery, got.Phase)
-	assert.InDelta(t, 300, got.Repeats, 15)
-	assert.InDelta(t, 21, got.Promised[3], 1)
-	assert.True(t, got.Failed.has(12345678901234567))
-	assert.False(t, got.Failed.has(76543210987654321))
+	assert.InDelta(t, 300, got.Retries, 15)
+	assert.InDelta(t, 21, got.Scheduled[3], 1)
+	assert.True(t, got.FailedWork.contains(12345678901234567))
+	assert.False(t, got.FailedWork.contains(76543210987654321))
 	for range 1000 {
-		w.Failed.put(rand.Uint64())
+		w.FailedWork.add(rand.Uint64())
 	}
-	assert.False(t, w.Failed.has(12345678901234567)) // full: it says nothing
-	assert.LessOrEqual(t, len(w.Pack()), 128)
+	assert.False(t, w.FailedWork.contains(12345678901234567)) // full: it says nothing
+	assert.LessOrEqual(t, len(w.Encode()), 128)
 }
 
 func FuzzHear(f *testing.F) {
-	w := Word{Phase: Outage, Sure: 1}
-	f.Add(w.Pack())
+	w := Message{Phase: Outage, Confidence: 1}
+	f.Add(w.Encode())
 	f.Fuzz(func(t *testing.T, m []byte) {
 		g := New(Options{Gateways: 2, Classes: classes, Prices: []float64{1}})
-		g.Hear(worldFrom, 1, m)
+		g.Receive(worldFrom, 1, m)
 		for i := range 40 {
-			now := worldFrom + Time(i)*Tick
-			v := g.Arrive(now, Arrival{Account: 1})
-			if v.Wait < 0 || v.Wait > longestWait {
-				t.Fatal(v.Wait)
+			now := worldFrom + Time(i)*TickInterval
+			v := g.Admit(now, Arrival{Account: 1})
+			if v.RetryAfter < 0 || v.RetryAfter > maxRetryAfter {
+				t.Fatal(v.RetryAfter)
 			}
-			g.Beat(now, Members{Listed: 1, Warmth: 1})
+			g.Tick(now, Members{Listed: 1, Warmth: 1})
 			if !(g.limit >= 0 && g.limit < 1e9) {
 				t.Fatal(g.limit)
 			}
@@ -396,7 +396,7 @@
 			var back time.Duration
 			peak, share := 0.0, 0.0
 			for seed := range uint64(seeds) {
-				w := newWorld(seed, 3, 12, 0.6)
+				w := newSimulation(seed, 3, 12, 0.6)
 				w.damped, w.model = way == "ramp", models[name]
 				for range w.guards {
 					switch way {
--- a/internal/storm/word.go
+++ b/internal/storm/word.go
@@ -6,153 +6,153 @@
 const Kind = 0x72
 
 const (
-	form        = 1
-	toldSeconds = 16
-	sketchBytes = 64
-	wordBytes   = 4 + 6 + toldSeconds + sketchBytes
-	toldSteps   = 8    // of a byte in a doubling
-	leastTold   = 0.25 // the smallest figure that is told
-	tellSure    = 0.25 // a storm that is less sure is not told of
+	formatVersion    = 1
+	scheduleSeconds  = 16
+	bloomBytes       = 64
+	messageSize      = 4 + 6 + scheduleSeconds + bloomBytes
+	stepsPerDoubling = 8    // of a byte in a doubling
+	minEncoded       = 0.25 // the smallest figure that is told
+	minConfidence    = 0.25 // a storm that is less sure is not told of
 )
 
 // Word is what a gateway tells its peers in a storm, some ninety bytes four times a second; in calm it says nothing.
-type Word struct {
-	Phase           Phase
-	Sure            float64
-	Seq             uint8
-	Firsts, Repeats float64 // that came in the last second
-	InTime, Bad     float64 // attempts that ended so
-	Limit, Usual    float64
-	Promised        [toldSeconds]float64 // returns promised to the seconds ahead
-	Failed          Sketch               // of the work that failed lately
+type Message struct {
+	Phase                  Phase
+	Confidence             float64
+	Seq                    uint8
+	FirstAttempts, Retries float64 // that came in the last second
+	InTime, Failed         float64 // attempts that ended so
+	Limit, Baseline        float64
+	Scheduled              [scheduleSeconds]float64 // returns promised to the seconds ahead
+	FailedWork             BloomFilter              // of the work that failed lately
 }
 
 // Sketch tells roughly which keys were put in: a Bloom filter with two hashes. One that is half full says nothing.
-type Sketch [sketchBytes]byte
+type BloomFilter [bloomBytes]byte
 
-func (s *Sketch) put(k uint64) {
+func (s *BloomFilter) add(k uint64) {
 	for _, h := range [...]uint64{k, k >> 24} {
-		s[h/8%sketchBytes] |= 1 << (h % 8)
+		s[h/8%bloomBytes] |= 1 << (h % 8)
 	}
 }
 
-func (s *Sketch) has(k uint64) bool {
+func (s *BloomFilter) contains(k uint64) bool {
 	for _, h := range [...]uint64{k, k >> 24} {
-		if s[h/8%sketchBytes]>>(h%8)&1 == 0 {
+		if s[h/8%bloomBytes]>>(h%8)&1 == 0 {
 			return false
 		}
 	}
-	return !s.full()
+	return !s.saturated()
 }
 
-func (s *Sketch) full() bool {
+func (s *BloomFilter) saturated() bool {
 	n := 0
 	for _, b := range s {
 		for ; b > 0; b &= b - 1 {
 			n++
 		}
 	}
-	return n > sketchBytes*8/2
+	return n > bloomBytes*8/2
 }
 
-func toByte(x float64) byte {
-	if !(x >= leastTold) {
+func encodeLog(x float64) byte {
+	if !(x >= minEncoded) {
 		return 0
 	}
-	return byte(math.Min(255, 1+math.Round(toldSteps*math.Log2(x/leastTold))))
+	return byte(math.Min(255, 1+math.Round(stepsPerDoubling*math.Log2(x/minEncoded))))
 }
 
-func fromByte(b byte) float64 {
+func decodeLog(b byte) float64 {
 	if b == 0 {
 		return 0
 	}
-	return leastTold * math.Exp2(float64(b-1)/toldSteps)
+	return minEncoded * math.Exp2(float64(b-1)/stepsPerDoubling)
 }
 
 // Pack words it for the wire.
-func (w *Word) Pack() []byte {
-	m := append(make([]byte, 0, wordBytes), Kind, form, byte(w.Phase)<<6|byte(math.Round(63*math.Max(0, math.Min(1, w.Sure)))), w.Seq)
-	for _, x := range [...]float64{w.Firsts, w.Repeats, w.InTime, w.Bad, w.Limit, w.Usual} {
-		m = append(m, toByte(x))
+func (w *Message) Encode() []byte {
+	m := append(make([]byte, 0, messageSize), Kind, formatVersion, byte(w.Phase)<<6|byte(math.Round(63*math.Max(0, math.Min(1, w.Confidence)))), w.Seq)
+	for _, x := range [...]float64{w.FirstAttempts, w.Retries, w.InTime, w.Failed, w.Limit, w.Baseline} {
+		m = append(m, encodeLog(x))
 	}
-	for _, x := range w.Promised {
-		m = append(m, toByte(x))
+	for _, x := range w.Scheduled {
+		m = append(m, encodeLog(x))
 	}
-	return append(m, w.Failed[:]...)
+	return append(m, w.FailedWork[:]...)
 }
 
 // Unpack reads one; ok tells whether it is one.
-func Unpack(m []byte) (w Word, ok bool) {
-	if len(m) != wordBytes || m[0] != Kind || m[1] != form || m[2]>>6 > byte(Recovery) {
+func Decode(m []byte) (w Message, ok bool) {
+	if len(m) != messageSize || m[0] != Kind || m[1] != formatVersion || m[2]>>6 > byte(Recovery) {
 		return w, false
 	}
-	w.Phase, w.Sure, w.Seq = Phase(m[2]>>6), float64(m[2]&63)/63, m[3]
-	for i, to := range [...]*float64{&w.Firsts, &w.Repeats, &w.InTime, &w.Bad, &w.Limit, &w.Usual} {
-		*to = fromByte(m[4+i])
+	w.Phase, w.Confidence, w.Seq = Phase(m[2]>>6), float64(m[2]&63)/63, m[3]
+	for i, to := range [...]*float64{&w.FirstAttempts, &w.Retries, &w.InTime, &w.Failed, &w.Limit, &w.Baseline} {
+		*to = decodeLog(m[4+i])
 	}
-	for i := range w.Promised {
-		w.Promised[i] = fromByte(m[10+i])
+	for i := range w.Scheduled {
+		w.Scheduled[i] = decodeLog(m[10+i])
 	}
-	copy(w.Failed[:], m[10+toldSeconds:])
+	copy(w.FailedWork[:], m[10+scheduleSeconds:])
 	return w, true
 }
 
 type peer struct {
-	at    Time // when it was last heard
-	heard bool
-	said  Word
+	receivedAt Time // when it was last heard
+	known      bool
+	message    Message
 }
 
-func (p *peer) fresh(now Time) bool { return p.heard && now-p.at <= freshFor }
+func (p *peer) fresh(now Time) bool { return p.known && now-p.receivedAt <= peerTTL }
 
 // Hear takes a peer's word in. What is odd, old or no word at all is dropped.
-func (g *Guard) Hear(now Time, from int, m []byte) {
-	g.begin(now)
-	w, ok := Unpack(m)
-	if !ok || from < 0 || from >= len(g.peers) || from == g.opt.Me {
-		g.figures.Odd++
+func (g *Guard) Receive(now Time, from int, m []byte) {
+	g.start(now)
+	w, ok := Decode(m)
+	if !ok || from < 0 || from >= len(g.peers) || from == g.opt.Self {
+		g.stats.MessagesDropped++
 		return
 	}
 	p := &g.peers[from]
-	if p.fresh(now) && int8(w.Seq-p.said.Seq) <= 0 { // came twice, or late
-		g.figures.Odd++
+	if p.fresh(now) && int8(w.Seq-p.message.Seq) <= 0 { // came twice, or late
+		g.stats.MessagesDropped++
 		return
 	}
-	g.figures.Heard++
+	g.stats.MessagesReceived++
 	*p = peer{now, true, w}
 }
 
 // tell gives this gateway's word; nil in calm.
-func (g *Guard) tell(now Time) []byte {
-	if g.phase == Calm || g.sure < tellSure && now-g.since > window {
+func (g *Guard) message(now Time) []byte {
+	if g.phase == Calm || g.confidence < minConfidence && now-g.phaseSince > window {
 		return nil
 	}
 	here := g.recent()
 	g.seq++
-	w := Word{Phase: g.phase, Sure: math.Max(g.sure, tellSure), Seq: g.seq, Firsts: here.Firsts, Repeats: here.Repeats, InTime: here.InTime,
-		Bad: here.Late + here.Lost, Limit: g.limit, Usual: g.rate()}
-	for s := g.slot; s < g.slot+int64(slots); s++ {
-		second := int((Time(s)*slotLength - now).Seconds())
-		if second >= 0 && second < toldSeconds {
-			w.Promised[second] += g.promised[s%int64(slots)]
+	w := Message{Phase: g.phase, Confidence: math.Max(g.confidence, minConfidence), Seq: g.seq, FirstAttempts: here.FirstAttempts, Retries: here.Retries, InTime: here.InTime,
+		Failed: here.Late + here.Failed, Limit: g.limit, Baseline: g.baselineRate()}
+	for s := g.firstSlot; s < g.firstSlot+int64(slotCount); s++ {
+		second := int((Time(s)*slotDuration - now).Seconds())
+		if second >= 0 && second < scheduleSeconds {
+			w.Scheduled[second] += g.scheduled[s%int64(slotCount)]
 		}
 	}
-	for i := len(g.queue) - 1; i >= 0 && i >= len(g.queue)-sketchBytes*2; i-- { // the latest, as far as they can be told apart
-		if f := g.failed[g.queue[i]]; f != nil && f.n > 0 {
-			w.Failed.put(g.queue[i])
+	for i := len(g.failedOrder) - 1; i >= 0 && i >= len(g.failedOrder)-bloomBytes*2; i-- { // the latest, as far as they can be told apart
+		if f := g.failedWork[g.failedOrder[i]]; f != nil && f.count > 0 {
+			w.FailedWork.add(g.failedOrder[i])
 		}
 	}
-	return w.Pack()
+	return w.Encode()
 }
 
 // told gives the phase that most fresh peers are in, and what they find usual.
-func (g *Guard) told(now Time) (Phase, float64) {
+func (g *Guard) peerPhase(now Time) (Phase, float64) {
 	var n [Recovery + 1]int
 	usual := 0.0
 	for i := range g.peers {
 		if p := &g.peers[i]; p.fresh(now) {
-			n[p.said.Phase]++
-			usual = math.Max(usual, p.said.Usual)
+			n[p.message.Phase]++
+			usual = math.Max(usual, p.message.Baseline)
 		}
 	}
 	switch {
--- a/internal/storm/world_test.go
+++ b/internal/storm/world_test.go
@@ -10,7 +10,7 @@
 
 // world plays gateways with guards before members, in virtual time: each member is one queue that serves in turn, and a
 // gateway sends what its guard lets in to the shorter of two queues. What a decision module would add is left out.
-type world struct {
+type simulation struct {
 	now     Time
 	rng     *rand.Rand
 	events  events
@@ -36,7 +36,7 @@
 	t             *testing.T
 }
 
-func (w *world) test() *testing.T { return w.t }
+func (w *simulation) test() *testing.T { return w.t }
 
 type member struct {
 	up, hung bool
@@ -66,10 +66,10 @@
 	worldFrom = time.Hour
 )
 
-var classes = []Class{{Aim: aim, Worth: 1}, {Aim: aim, Worth: 3, Unsafe: true}}
+var classes = []Class{{LatencyTarget: aim, Value: 1}, {LatencyTarget: aim, Value: 3, NonIdempotent: true}}
 
-func newWorld(seed uint64, gateways, members int, load float64) *world {
-	w := &world{now: worldFrom, rng: rand.New(rand.NewPCG(seed, 1)), usual: load * float64(members) * capacity, damped: true,
+func newSimulation(seed uint64, gateways, members int, load float64) *simulation {
+	w := &simulation{now: worldFrom, rng: rand.New(rand.NewPCG(seed, 1)), usual: load * float64(members) * capacity, damped: true,
 		model: models["fixed"], heeds: 0.5, marks: true, patience: 15 * time.Second, accounts: 60}
 	for range members {
 		w.members = append(w.members, member{up: true})
@@ -82,17 +82,17 @@
 }
 
 // boot starts a gateway's guard, or starts it anew.
-func (w *world) boot(i int) {
+func (w *simulation) boot(i int) {
 	w.life[i]++
 	life := w.life[i]
-	w.guards[i] = New(Options{Me: i, Gateways: len(w.guards), Seed: uint64(i), Classes: classes, Prices: []float64{1.2, 1.6},
-		MostWait: 8 * time.Second, ConnectionsPerS: 200})
+	w.guards[i] = New(Options{Self: i, Gateways: len(w.guards), Seed: uint64(i), Classes: classes, Prices: []float64{1.2, 1.6},
+		MaxRetryAfter: 8 * time.Second, ConnectionRate: 200})
 	var beat func()
 	beat = func() {
 		if w.life[i] != life {
 			return
 		}
-		w.after(Tick, beat)
+		w.after(TickInterval, beat)
 		seen := Members{}
 		for k := range w.members {
 			m := &w.members[k]
@@ -103,20 +103,20 @@
 			}
 		}
 		seen.Warmth /= float64(max(seen.Listed, 1))
-		word := w.guards[i].Beat(w.now, seen)
-		if p, _ := w.guards[i].Now(); i == 0 && (len(w.phases) == 0 || w.phases[len(w.phases)-1] != p) {
+		word := w.guards[i].Tick(w.now, seen)
+		if p, _ := w.guards[i].State(); i == 0 && (len(w.phases) == 0 || w.phases[len(w.phases)-1] != p) {
 			w.phases = append(w.phases, p)
 		}
 		for to := range w.guards {
 			if to != i && word != nil && !w.cut {
-				w.after(5*time.Millisecond, func() { w.guards[to].Hear(w.now, i, word) })
+				w.after(5*time.Millisecond, func() { w.guards[to].Receive(w.now, i, word) })
 			}
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(Tick))), beat)
+	w.after(time.Duration(w.rng.Int64N(int64(TickInterval))), beat)
 }
 
-func (w *world) warmth(m *member) float64 {
+func (w *simulation) warmth(m *member) float64 {
 	if m.started == 0 || w.now-m.started >= warmIn {
 		return 1
 	}
@@ -133,7 +133,7 @@
 }
 
 // play lets first tries come for so long, at a multiple of what is usual.
-func (w *world) play(length time.Duration, times float64) {
+func (w *simulation) play(length time.Duration, times float64) {
 	end := w.now + length
 	var next func()
 	next = func() {
@@ -147,7 +147,7 @@
 	w.run(end)
 }
 
-func (w *world) run(until Time) {
+func (w *simulation) run(until Time) {
 	for len(w.events) > 0 && w.events[0].at < until {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -156,49 +156,49 @@
 	w.now = until
 }
 
-func (w *world) ask(a Arrival) {
+func (w *simulation) ask(a Arrival) {
 	c := &client{arrival: a, at: w.now, heeds: w.rng.Float64() < w.heeds, gateway: w.rng.IntN(len(w.guards))}
 	w.worth(&w.asked, c)
 	w.try(c)
 }
 
-func (w *world) worth(to *[]float64, c *client) {
+func (w *simulation) worth(to *[]float64, c *client) {
 	s := int((c.at - worldFrom) / time.Second)
 	for len(*to) <= s {
 		*to = append(*to, 0)
 	}
-	(*to)[s] += classes[c.arrival.Class].Worth * []float64{1.2, 1.6}[c.arrival.Plan]
+	(*to)[s] += classes[c.arrival.Class].Value * []float64{1.2, 1.6}[c.arrival.Plan]
 }
 
-func (w *world) try(c *client) {
+func (w *simulation) try(c *client) {
 	c.tries++
-	c.arrival.Marked = w.marks && c.tries > 1
-	g, life, v := w.guards[c.gateway], w.life[c.gateway], Verdict{Admit: true}
+	c.arrival.MarkedRetry = w.marks && c.tries > 1
+	g, life, v := w.guards[c.gateway], w.life[c.gateway], Decision{Admit: true}
 	if w.other != nil {
-		v = Verdict{Admit: w.other[c.gateway].admit(c.arrival.Marked), Wait: time.Second}
+		v = Decision{Admit: w.other[c.gateway].admit(c.arrival.MarkedRetry), RetryAfter: time.Second}
 	}
 	if w.damped {
-		v = g.Arrive(w.now, c.arrival)
+		v = g.Admit(w.now, c.arrival)
 		if c.tries > 1 {
 			w.repeats[map[bool]int{true: 0, false: 1}[v.Retry]]++
 		}
 	}
 	if !v.Admit {
-		w.again(c, v.Wait)
+		w.again(c, v.RetryAfter)
 		return
 	}
-	done := func(end End) {
+	done := func(end Outcome) {
 		if w.other != nil {
 			w.other[c.gateway].ended(end)
 		}
 		if w.damped && w.life[c.gateway] == life {
-			g.Attempt(w.now, end)
-			if end == Lost {
-				v.Wait = g.Refused(w.now, c.arrival, time.Second)
+			g.AttemptEnded(w.now, end)
+			if end == Failed {
+				v.RetryAfter = g.Rejected(w.now, c.arrival, time.Second)
 			}
 		}
-		if end == Lost {
-			w.again(c, v.Wait)
+		if end == Failed {
+			w.again(c, v.RetryAfter)
 			return
 		}
 		if w.now-c.at <= aim {
@@ -208,10 +208,10 @@
 	m := w.pick()
 	switch {
 	case m == nil || !m.up:
-		w.after(time.Millisecond, func() { done(Lost) })
+		w.after(time.Millisecond, func() { done(Failed) })
 	case m.hung:
 		m.sends = append(m.sends, w.now)
-		w.after(deadline, func() { m.sends = m.sends[1:]; done(Lost) })
+		w.after(deadline, func() { m.sends = m.sends[1:]; done(Failed) })
 	default:
 		if u := w.warmth(m); u < 1 {
 			m.sends = append(m.sends, w.now)
@@ -224,7 +224,7 @@
 		took := m.free - w.now
 		switch {
 		case took > deadline: // the work is done all the same, for nobody
-			w.after(deadline, func() { done(Lost) })
+			w.after(deadline, func() { done(Failed) })
 		case took > aim:
 			w.after(took, func() { done(Late) })
 		default:
@@ -234,7 +234,7 @@
 }
 
 // pick gives the shorter queue of two that are up, as far as a few tries find one.
-func (w *world) pick() (best *member) {
+func (w *simulation) pick() (best *member) {
 	for range 3 {
 		m := &w.members[w.rng.IntN(len(w.members))]
 		if best == nil || !best.up || m.up && m.free < best.free {
@@ -244,7 +244,7 @@
 	return best
 }
 
-func (w *world) again(c *client, wait time.Duration) {
+func (w *simulation) again(c *client, wait time.Duration) {
 	pause := time.Duration(math.Min(w.model.first.Seconds()*math.Pow(w.model.factor, float64(c.tries-1)), w.model.most.Seconds()) *
 		(1 - w.model.jitter*w.rng.Float64()) * float64(time.Second))
 	heeded := c.heeds && wait > 0
@@ -260,20 +260,20 @@
 	})
 }
 
-func (w *world) stop(members ...int) {
+func (w *simulation) stop(members ...int) {
 	for _, i := range members {
 		w.members[i].up = false
 	}
 }
 
 // restore brings members back, cold and with empty queues.
-func (w *world) restore(members ...int) {
+func (w *simulation) restore(members ...int) {
 	for _, i := range members {
 		w.members[i] = member{up: true, started: w.now, free: w.now}
 	}
 }
 
-func (w *world) all() (list []int) {
+func (w *simulation) all() (list []int) {
 	for i := range w.members {
 		list = append(list, i)
 	}
@@ -281,7 +281,7 @@
 }
 
 // share is the part of the worth meant for a stretch of time that was served in time.
-func (w *world) share(from, to Time) float64 {
+func (w *simulation) share(from, to Time) float64 {
 	asked, served := 0.0, 0.0
 	for s := int((from - worldFrom) / time.Second); s < int((to-worldFrom)/time.Second) && s < len(w.asked); s++ {
 		asked += w.asked[s]
@@ -293,7 +293,7 @@
 }
 
 // back is how long after a moment the share served in time is back for good at 0.95 of what it was.
-func (w *world) back(from, to Time, usual float64) time.Duration {
+func (w *simulation) back(from, to Time, usual float64) time.Duration {
 	back := time.Duration(0)
 	for at := from; at+4*time.Second <= to; at += time.Second {
 		if w.share(at, at+4*time.Second) < 0.95*usual {
@@ -324,7 +324,7 @@
 	return x
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now + d, w.serial, do})
 }
@@ -332,7 +332,7 @@
 // damper is one of the ways that were considered.
 type damper interface {
 	admit(retry bool) bool
-	ended(End)
+	ended(Outcome)
 }
 
 // budget lets retries in for a share of the first tries, and all of those (Finagle's and Envoy's retry budgets).
@@ -349,7 +349,7 @@
 	b.tokens--
 	return true
 }
-func (b *budget) ended(End) {}
+func (b *budget) ended(Outcome) {}
 
 // concurrency bounds what is out at once, one more for as many in time and a tenth less for each that is not (adaptive
 // concurrency, by additive increase and multiplicative decrease).
@@ -363,7 +363,7 @@
 	return true
 }
 
-func (c *concurrency) ended(end End) {
+func (c *concurrency) ended(end Outcome) {
 	if c.out--; end == InTime {
 		c.limit += 1 / math.Max(1, c.limit)
 	} else {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -76,7 +76,7 @@
 		r.customer.balance -= sign * r.Units
 	}
 	if !r.limitAtOwner {
-		r.customer.hardLimit.Left -= sign * r.Units
+		r.customer.hardLimit.Tokens -= sign * r.Units
 	}
 }
 
@@ -93,7 +93,7 @@
 // countColdSend counts an attempt against the budget of a server that warms up.
 func (g *Gateway) countColdSend(s *server) {
 	if s != nil && g.warmth(s) < 1 {
-		s.coldBudget.Sent(g.now)
+		s.coldBudget.RecordSend(g.now)
 	}
 }
 
--- a/policy/carry.go
+++ b/policy/carry.go
@@ -157,18 +157,18 @@
 	integers(x, &s.ID)
 	integers(x, &s.Zone, &s.Kind, &s.Cell, &s.ejections, &s.consecutiveFailures, &s.servedTotal)
 	integers(x, &s.State)
-	x.times(&s.StartedAt, &s.ejectedUntil, &s.coldBudget.At, &s.lastServed)
+	x.times(&s.StartedAt, &s.ejectedUntil, &s.coldBudget.CreditedAt, &s.lastServed)
 	x.flags(&s.listed)
-	x.numbers(&s.Weight, &s.coldBudget.Turn, &s.capacity)
+	x.numbers(&s.Weight, &s.coldBudget.Credit, &s.capacity)
 	x.means(&s.relativeLatency, &s.failures, &s.wasted, &s.answers)
-	listOf(x, &s.coldBudget.Sends, 1, func(t *Time) { x.times(t) })
+	listOf(x, &s.coldBudget.Sent, 1, func(t *Time) { x.times(t) })
 }
 
 func (x *stateCodec) customer(c *customer) {
 	integers(x, &c.id)
 	x.flags(&c.seenHere, &c.lastQueryAdmitted, &c.limitFilled)
 	integers(x, &c.plan, &c.setSize, &c.firstGateway, &c.lastQuery.from)
-	x.numbers(&c.balance, &c.hardLimit.Left, &c.used, &c.lastQuery.units)
+	x.numbers(&c.balance, &c.hardLimit.Tokens, &c.used, &c.lastQuery.units)
 	x.times(&c.refilledAt, &c.lastSeen)
 	x.means(&c.demand)
 	x.tally(&c.sharedDemand)
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -30,7 +30,7 @@
 func (f *fake) left(customer CustomerID) (account, ceiling float64) {
 	c := f.g.customersByID[customer]
 	f.g.refill(c, 0)
-	return c.balance, c.hardLimit.Left
+	return c.balance, c.hardLimit.Tokens
 }
 
 func (f *fake) serve(id RequestID, took time.Duration, change func(*Request)) {
@@ -58,7 +58,7 @@
 	}
 	cold := ServerInfo{ID: 9, Weight: 1, StartedAt: f.now}
 	f.g.Servers(f.now, ListChanges, []ServerInfo{cold})
-	f.g.serversByID[9].coldBudget.Sends = []Time{f.now, f.now}
+	f.g.serversByID[9].coldBudget.Sent = []Time{f.now, f.now}
 	for range 4 {
 		f.g.recordHealth(f.g.serversByID[2], true)
 	}
@@ -108,7 +108,7 @@
 		if !n.g.ejected(n.g.serversByID[2]) || n.g.ejected(n.g.serversByID[1]) {
 			t.Errorf("%s: the ejected server is another", name)
 		}
-		if got := len(n.g.serversByID[9].coldBudget.Sends); got != 2 || n.g.warmth(n.g.serversByID[9]) >= 1 {
+		if got := len(n.g.serversByID[9].coldBudget.Sent); got != 2 || n.g.warmth(n.g.serversByID[9]) >= 1 {
 			t.Errorf("%s: %d sends to the cold server are known", name, got)
 		}
 	}
@@ -161,7 +161,7 @@
 	if account, ceiling := f.left(5); account != 80 || ceiling != 40 {
 		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", account, ceiling)
 	}
-	if got := len(f.g.serversByID[9].coldBudget.Sends); got != 20 {
+	if got := len(f.g.serversByID[9].coldBudget.Sent); got != 20 {
 		t.Errorf("%d sends to the cold server are known, of 20", got)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -248,10 +248,10 @@
 		units = 0
 	}
 	if !c.limitFilled && g.fleetJustStarted() {
-		c.limitFilled, c.hardLimit.Left = true, c.hardLimit.Left+g.hardLimitPart(c).Burst
+		c.limitFilled, c.hardLimit.Tokens = true, c.hardLimit.Tokens+g.hardLimitPart(c).Burst
 	}
-	c.balance = g.quotaView(c).Fill(g.cfg.Plans[c.plan].quota(), g.now-c.refilledAt, c.reservedUnits, units)
-	c.hardLimit.Fill(g.hardLimitPart(c), g.now-c.refilledAt, c.reservedUnits)
+	c.balance = g.quotaView(c).Refill(g.cfg.Plans[c.plan].quota(), g.now-c.refilledAt, c.reservedUnits, units)
+	c.hardLimit.Refill(g.hardLimitPart(c), g.now-c.refilledAt, c.reservedUnits)
 	c.refilledAt = g.now
 }
 
@@ -259,10 +259,10 @@
 func (g *Gateway) withinQuota(r *request) bool {
 	c, p, view := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
 	if p.MaxInFlight > 0 &&
-		!ledger.Slot(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Whole) {
+		!ledger.SlotAvailable(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Shared) {
 		return false
 	}
-	return view.Covers(p.quota(), r.Units, g.rng.Float64)
+	return view.Allows(p.quota(), r.Units, g.rng.Float64)
 }
 
 // ownerOf gives the gateway that owns the bucket of a customer whose set is too large to share it, below 0 where the
@@ -303,7 +303,7 @@
 		c.lastQueryAdmitted = c.withinHardLimit(g.cfg.Plans[c.plan], q.units) &&
 			g.withinQuota(&request{Request: Request{Plan: c.plan, Units: q.units}, customer: c})
 		if c.lastQueryAdmitted {
-			c.balance, c.hardLimit.Left = c.balance-q.units, c.hardLimit.Left-q.units
+			c.balance, c.hardLimit.Tokens = c.balance-q.units, c.hardLimit.Tokens-q.units
 		}
 	}
 	return c
@@ -507,7 +507,7 @@
 	}
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
 		// What a server was sent while it warmed up counts if it is listed again.
-		old := !s.listed && s.inFlight == 0 && !s.coldBudget.Recent(now, g.cfg.ColdWindow)
+		old := !s.listed && s.inFlight == 0 && !s.coldBudget.SentWithin(now, g.cfg.ColdWindow)
 		if old {
 			delete(g.serversByID, s.ID)
 		}
@@ -524,9 +524,9 @@
 		s = &server{}
 		g.serversByID[info.ID], g.servers = s, append(g.servers, s)
 	}
-	if info.StartedAt != s.StartedAt || s.coldBudget.At == 0 {
+	if info.StartedAt != s.StartedAt || s.coldBudget.CreditedAt == 0 {
 		*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
-			coldBudget: ledger.Cold{Sends: s.coldBudget.Sends, Turn: g.rng.Float64(), At: g.now}}
+			coldBudget: ledger.SlowStartBudget{Sent: s.coldBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
 	}
 	s.ServerInfo, s.listed = info, info.State == Ready
 }
@@ -572,7 +572,7 @@
 			}
 		}
 	}
-	if s.coldBudget.Turn >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
+	if s.coldBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
 		return 0
 	}
 	return sum / n * (s.load() + s.othersInFlight + baseWork) / g.warmth(s)
@@ -590,7 +590,7 @@
 		s.relativeLatency = decayingMean{sum: p.RelativeLatency * p.Weight, weight: p.Weight, decayedAt: now}
 		s.capacity = cmp.Or(p.Capacity, s.capacity)
 		if p.ColdBudgetTaken {
-			s.coldBudget.Turn = math.Min(s.coldBudget.Turn, 0)
+			s.coldBudget.Credit = math.Min(s.coldBudget.Credit, 0)
 		}
 	}
 }
@@ -648,9 +648,9 @@
 // estimated from what it has served here while cold and from what warm servers serve.
 func (g *Gateway) withinColdBudget(s *server) bool {
 	warmth := g.warmth(s)
-	limit := ledger.ColdLimit{Window: g.cfg.ColdWindow, Multiple: g.cfg.ColdMultiple, N: g.cfg.Gateways,
-		Does: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slower: g.coldLatency.smoothed()}
-	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.coldBudget.Covers(g.now, limit)
+	limit := ledger.SlowStartLimit{Window: g.cfg.ColdWindow, Multiple: g.cfg.ColdMultiple, Gateways: g.cfg.Gateways,
+		Capacity: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slowdown: g.coldLatency.smoothed()}
+	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.coldBudget.Allows(g.now, limit)
 }
 
 // ---- Attempts ----
@@ -1011,7 +1011,7 @@
 	peer := &c.peers[g.peerSlot(to)]
 	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
 		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
-		limitWord: c.hardLimit.Word(g.hardLimitPart(c), peer.deficit, c.setSize),
+		limitWord: c.hardLimit.Grant(g.hardLimitPart(c), peer.deficit, c.setSize),
 		inFlight:  byte(min(255, c.inFlight+c.queued))}
 	c.pendingPeers &^= 1 << g.peerSlot(to)
 	peer.ownUsedSent, peer.deficit = c.used, 0
--- a/policy/recall.go
+++ b/policy/recall.go
@@ -42,8 +42,8 @@
 		}
 		p := g.cfg.Plans[c.plan]
 		c.balance = math.Max(-p.Burst, math.Min(p.Burst, b.Balance+b.Age.Seconds()*p.Rate))
-		c.hardLimit.Left = 0
-		c.hardLimit.Fill(g.hardLimitPart(c), b.Downtime, 0)
+		c.hardLimit.Tokens = 0
+		c.hardLimit.Refill(g.hardLimitPart(c), b.Downtime, 0)
 		c.limitFilled, c.lastSeen = true, now
 	}
 }
--- a/policy/recall_test.go
+++ b/policy/recall_test.go
@@ -56,7 +56,7 @@
 	utility := kept[0].Key | 1<<24
 	next = begin()
 	next.g.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
-	if got := next.g.customersByKey[utility].hardLimit.Left; got != 8 {
+	if got := next.g.customersByKey[utility].hardLimit.Tokens; got != 8 {
 		t.Errorf("%v left under the ceiling two seconds after the former life's end, at four a second", got)
 	}
 	blank := begin()
--- a/policy/records.go
+++ b/policy/records.go
@@ -188,12 +188,12 @@
 	answers             decayingMean // its weight counts the served attempts
 	consecutiveFailures int
 	ejectedUntil        Time
-	ejections           int         // doubles the next ejection; falls with served attempts
-	rejectedUntil       []Time      // by group: until when it goes elsewhere, as the server has rejected it
-	coldBudget          ledger.Cold // of attempts while it warms up
-	capacity            float64     // in attempts of this gateway; 0 means not yet known
-	lastServed          Time        // when an attempt was last served; 0 means never
-	servedTotal         int         // attempts served since its process started
+	ejections           int                    // doubles the next ejection; falls with served attempts
+	rejectedUntil       []Time                 // by group: until when it goes elsewhere, as the server has rejected it
+	coldBudget          ledger.SlowStartBudget // of attempts while it warms up
+	capacity            float64                // in attempts of this gateway; 0 means not yet known
+	lastServed          Time                   // when an attempt was last served; 0 means never
+	servedTotal         int                    // attempts served since its process started
 }
 
 // load gives the attempts of this gateway that occupy slots at a server.
@@ -209,11 +209,11 @@
 	setSize       int // how many gateways serve it
 	firstGateway  int
 	lastSeen      Time
-	balance       float64     // units of the quota; below 0 they were admitted ahead of the refill
-	hardLimit     ledger.Part // this gateway's part of the hard limit
-	limitFilled   bool        // that part was given its burst when the whole fleet started
-	reservedUnits float64     // of requests that are queued, or whose bodies are pending
-	refilledAt    Time        // balance and hardLimit are as of then
+	balance       float64            // units of the quota; below 0 they were admitted ahead of the refill
+	hardLimit     ledger.BucketShare // this gateway's part of the hard limit
+	limitFilled   bool               // that part was given its burst when the whole fleet started
+	reservedUnits float64            // of requests that are queued, or whose bodies are pending
+	refilledAt    Time               // balance and hardLimit are as of then
 	demand        decayingMean
 	sharedDemand  pushSum // units asked at all its gateways, and the weight
 	inFlight      int     // attempts
@@ -241,7 +241,7 @@
 
 // withinHardLimit tells whether units stay within this gateway's part of the hard limit.
 func (c *customer) withinHardLimit(p Plan, units float64) bool {
-	return p.HardLimitRate <= 0 || c.hardLimit.Left >= units
+	return p.HardLimitRate <= 0 || c.hardLimit.Tokens >= units
 }
 
 // peerUsage is what a peer has last said of its use of a customer's quota, and what it was sent.
--- a/policy/report.go
+++ b/policy/report.go
@@ -84,7 +84,7 @@
 	if s.relativeLatency.weight > 0 {
 		o.RelativeLatency = s.relativeLatency.sum / s.relativeLatency.weight
 	}
-	for _, t := range s.coldBudget.Sends {
+	for _, t := range s.coldBudget.Sent {
 		if g.now-t <= g.cfg.ColdWindow {
 			o.ColdSends++
 		}
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -28,7 +28,7 @@
 	s.Gateways, s.ColdMultiple, s.Hedging = 3, 0.001, false
 	f := start(t, s, 0)
 	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 1, Weight: 1, StartedAt: f.now}})
-	f.g.serversByID[1].coldBudget.Turn = 0
+	f.g.serversByID[1].coldBudget.Credit = 0
 	for id := range RequestID(3) {
 		f.ask(id+1, func(r *Request) { r.Deadline = f.now + time.Minute; r.Class = 0 })
 	}
@@ -40,7 +40,7 @@
 		}
 	}
 	require.Positive(t, held, "what can't be sent yet is held")
-	f.g.serversByID[1].coldBudget.Turn = 1
+	f.g.serversByID[1].coldBudget.Credit = 1
 	f.until(f.now + 100*ms)
 	assert.Empty(t, f.sent)
 }
