--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,10 +1,11 @@
-// Package golden compares what a test encodes with bytes that were recorded by an earlier version, so that data on disk and
-// messages of running processes stay readable when the code changes.
+// Package golden compares what a test encodes with bytes that were recorded by an earlier version, so that
+// data on disk and messages of running processes stay readable when the code changes.
 //
-// encoding/gob matches fields by name and passes over those that it doesn't know: a renamed field is lost without an error, and
-// a moved type can no longer be decoded from an interface. A test that encodes and decodes with the same code sees neither.
-// Each function here therefore keeps a file below testdata/golden of the calling package. Run the tests of a package with
-// -update-golden to record anew, which is right only where the format was meant to change.
+// encoding/gob matches fields by name and passes over those that it doesn't know: a renamed field is lost
+// without an error, and a moved type can no longer be decoded from an interface. A test that encodes and
+// decodes with the same code sees neither. Each function here therefore keeps a file below testdata/golden of
+// the calling package. Run the tests of a package with -update-golden to record anew, which is right only
+// where the format was meant to change.
 package golden
 
 import (
@@ -25,8 +26,9 @@
 // folder is where the files are, below the folder of the package under test.
 const goldenDir = "testdata/golden"
 
-// Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of a value whose fields
-// are all set decode to that value. T is a struct that is encoded by itself, not as the value of an interface.
+// Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of
+// a value whose fields are all set decode to that value. T is a struct that is encoded by itself, not as the
+// value of an interface.
 func Gob[T any](t testing.TB, name string) {
 	t.Helper()
 	var want T
@@ -46,8 +48,8 @@
 	}
 }
 
-// Message checks a type that is sent as the value of an interface: as Gob does, and that its registered name is the recorded one.
-// The type of sample must be registered; its fields are filled here.
+// Message checks a type that is sent as the value of an interface: as Gob does, and that its registered name
+// is the recorded one. The type of sample must be registered; its fields are filled here.
 func Message(t testing.TB, name string, sample any) {
 	t.Helper()
 	kind := reflect.TypeOf(sample)
@@ -124,8 +126,8 @@
 	}
 }
 
-// Form describes how gob sees a type: the names of fields in their order, with the kinds of their values. Names of types are
-// left out, as gob passes over them.
+// Form describes how gob sees a type: the names of fields in their order, with the kinds of their values.
+// Names of types are left out, as gob passes over them.
 func Form(kind reflect.Type) string {
 	switch kind.Kind() {
 	case reflect.Pointer:
@@ -153,8 +155,9 @@
 	return forms
 }
 
-// Fill sets every exported field that the value points to, and every element of it, to a value of its own that isn't zero, the same
-// at each call. Slices get two elements and maps one. Fields of interface type stay nil.
+// Fill sets every exported field that the value points to, and every element of it, to a value of its own
+// that isn't zero, the same at each call. Slices get two elements and maps one. Fields of interface type stay
+// nil.
 func Fill(pointer any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
--- a/internal/protocol/batch.go
+++ b/internal/protocol/batch.go
@@ -1,7 +1,7 @@
 package protocol
 
-// BatchCall is a client's call of the batch interface. A gateway sends it to a batch process after it has checked route and key.
-// Any batch process may be asked: it answers, or names the owner of the batch job.
+// BatchCall is a client's call of the batch interface. A gateway sends it to a batch process after it has
+// checked route and key. Any batch process may be asked: it answers, or names the owner of the batch job.
 type BatchCall struct {
 	Operation BatchOperation
 	BatchJob  string // ID
@@ -27,7 +27,8 @@
 
 // BatchAnswer is the answer for the client, or the process to ask instead.
 type BatchAnswer struct {
-	// Status is the HTTP status: 200, 202, 400, 404, 429; 503, which says that nothing was done; or 504, which leaves it open.
+	// Status is the HTTP status: 200, 202, 400, 404, 429; 503, which says that nothing was done; or 504, which
+	// leaves it open.
 	Status       int
 	Body         []byte
 	ContentType  string
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -9,10 +9,12 @@
 //   - Quota. A gateway sends a QuotaRequest to the allocator, at MemberList.QuotaAddress, and gets a QuotaReply.
 //   - Batch calls. A gateway passes a client's call to any batch process as a BatchCall, and gets a BatchAnswer.
 //
-// Two rules keep processes of different versions compatible. The names of types and fields are part of the format: gob passes
-// over a field that it doesn't know, so that a renamed field is lost without an error. And a new field must mean, where it is
-// zero, what its absence meant before. The names on the wire are in wire.go; the golden test checks both.
+// Two rules keep processes of different versions compatible. The names of types and fields are part of the
+// format: gob passes over a field that it doesn't know, so that a renamed field is lost without an error. And
+// a new field must mean, where it is zero, what its absence meant before. The names on the wire are in
+// wire.go; the golden test checks both.
 //
-// Durations in messages are lengths, never moments: clocks of machines aren't compared. Where a length says how long something
-// holds, it counts from when the receiver sent its request, by the receiver's own steady clock.
+// Durations in messages are lengths, never moments: clocks of machines aren't compared. Where a length says
+// how long something holds, it counts from when the receiver sent its request, by the receiver's own steady
+// clock.
 package protocol
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// ServerList is the platform's list of servers, or a delta to it. Version rises with each change of content and can be compared
-// only under the same Source. Package serverlist applies deltas.
+// ServerList is the platform's list of servers, or a delta to it. Version rises with each change of content
+// and can be compared only under the same Source. Package serverlist applies deltas.
 type ServerList struct {
 	Version uint64
-	Source  string   // the control process that numbers the versions
-	Base    uint64   // 0: Servers is the complete list; else the version, of the same source, that Servers and Removed apply to
+	Source  string // the control process that numbers the versions
+	// 0: Servers is the complete list; else the version, of the same source, that Servers and Removed apply to
+	Base    uint64
 	Servers []Server // sorted by ID; with a Base: those that were added or changed
 	Removed []string // IDs; with a Base only
 }
--- a/internal/protocol/identity.go
+++ b/internal/protocol/identity.go
@@ -9,8 +9,8 @@
 	Role string // RoleGateway, RoleBatch or RoleControl
 	Zone string
 	IP   string
-	// Incarnation of a gateway is drawn at each start of its process. That of a batch process is drawn when its disk is empty
-	// and kept on the disk, as what matters of it is what it has stored.
+	// Incarnation of a gateway is drawn at each start of its process. That of a batch process is drawn when its
+	// disk is empty and kept on the disk, as what matters of it is what it has stored.
 	Incarnation string
 }
 
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -5,8 +5,8 @@
 // MemberList is the membership of the system as a control process sees it.
 type MemberList struct {
 	Version uint64
-	// Vouched says that Stores is at least as new as what the sender has proof of. Where it isn't set, only Control is filled in:
-	// it tells where else to ask.
+	// Vouched says that Stores is at least as new as what the sender has proof of. Where it isn't set, only
+	// Control is filled in: it tells where else to ask.
 	Vouched  bool
 	Control  []ControlMember
 	Gateways []Process
@@ -20,15 +20,16 @@
 	Node, Zone, IP string
 }
 
-// StoreView is the agreed membership of the batch processes, the stores. It is part of the replicated state of control. Epoch
-// rises with each change of Members.
+// StoreView is the agreed membership of the batch processes, the stores. It is part of the replicated state
+// of control. Epoch rises with each change of Members.
 type StoreView struct {
 	Epoch   uint64
 	Members []StoreMember
-	// Departed are the stores that left since all members of one epoch were reconciled: they may have batch jobs that no member
-	// knows of. A store that was emptied before it left isn't among them.
+	// Departed are the stores that left since all members of one epoch were reconciled: they may have batch jobs
+	// that no member knows of. A store that was emptied before it left isn't among them.
 	Departed []Process
-	// Settled says that all members were reconciled in this epoch. No store that left before is needed then, and Departed is empty.
+	// Settled says that all members were reconciled in this epoch. No store that left before is needed then, and
+	// Departed is empty.
 	Settled bool
 }
 
@@ -65,10 +66,11 @@
 
 // BatchReport is what a store reports of itself with each Poll.
 type BatchReport struct {
-	Epoch       uint64 // of the view that it works in
-	ActedIn     uint64 // the highest epoch that it worked in, over all incarnations of its process on this disk
-	Settled     uint64 // the highest epoch in which it was reconciled
-	Missing     int    // machines that may have what the members don't know of: departed ones, and those with incomplete logs
+	Epoch   uint64 // of the view that it works in
+	ActedIn uint64 // the highest epoch that it worked in, over all incarnations of its process on this disk
+	Settled uint64 // the highest epoch in which it was reconciled
+	// machines that may have what the members don't know of: departed ones, and those with incomplete logs
+	Missing     int
 	BatchJobs   int
 	FreeBytes   int64
 	DrainedDown bool // retiring: everything that it has is on f + 1 other disks
--- a/internal/protocol/quota.go
+++ b/internal/protocol/quota.go
@@ -28,9 +28,10 @@
 
 // QuotaReply grants tokens and leases. It renews every lease of the receiver; leases that change are in Grants.
 type QuotaReply struct {
-	Term     uint64        // of the allocator; 0: the process isn't the allocator now, and grants nothing
-	Sequence uint64        // of the request
-	Unknown  bool          // the allocator doesn't know the sender, or its leases are of another term: a request with Whole is wanted
+	Term     uint64 // of the allocator; 0: the process isn't the allocator now, and grants nothing
+	Sequence uint64 // of the request
+	// the allocator doesn't know the sender, or its leases are of another term: a request with Whole is wanted
+	Unknown  bool
 	LeaseFor time.Duration // from when the request was sent, by the receiver's clock
 	AskGap   time.Duration // least time between requests
 	Grants   []QuotaGrant
--- a/internal/protocol/subscription.go
+++ b/internal/protocol/subscription.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PollInterval is the time between the polls of a gateway or batch process. It bounds for how long the loss of a push goes
-// unnoticed; a shorter one costs messages at control in proportion to the number of processes.
+// PollInterval is the time between the polls of a gateway or batch process. It bounds for how long the loss
+// of a push goes unnoticed; a shorter one costs messages at control in proportion to the number of processes.
 const PollInterval = 400 * time.Millisecond
 
 // Poll is what a gateway or batch process sends to its home: that it is alive, and which versions it has.
@@ -22,13 +22,14 @@
 type Update struct {
 	Sequence uint64 // of the Poll that is answered; 0: a push, which renews no lease
 
-	// Fresh says that everything acknowledged more than Age before control answered the Poll is in Configuration, or in what the
-	// receiver already has. Leases of keys count from it. Without a recent proof from a majority control doesn't set it.
+	// Fresh says that everything acknowledged more than Age before control answered the Poll is in
+	// Configuration, or in what the receiver already has. Leases of keys count from it. Without a recent proof
+	// from a majority control doesn't set it.
 	Fresh bool
 	Age   time.Duration
 
-	// ListRead says that control has an endpoint list. ListAge is the time since the newest reading of the platform's list began,
-	// as of when this message was sent.
+	// ListRead says that control has an endpoint list. ListAge is the time since the newest reading of the
+	// platform's list began, as of when this message was sent.
 	ListRead bool
 	ListAge  time.Duration
 
