--- a/policy/carry.go
+++ b/policy/carry.go
@@ -9,22 +9,35 @@
 	"time"
 )
 
-// What a successor is handed. Nothing here chooses.
+// The export of a gateway's state to its successor: a Gateway with other settings, or one in the process that replaces
+// this one. This file decides nothing.
 
-// What a gateway knows can go on in another: one with other settings, or in the process that follows this one. It is
-// carried as fields in a fixed order, which one listing both writes and reads; open requests are no part of it.
+// The format is a version byte and then fields in a fixed order, without names; one list of the fields both writes and
+// reads them. Requests and attempts in flight are no part of it.
 
 const stateVersion = 3
 
-// carrier writes or reads fields. Once it has met something odd it reads nothing more.
+// The least bytes that the items of lists take: stateCodec.length.
+const (
+	minMeanBytes     = 9
+	minGroupBytes    = 21
+	minServerBytes   = 50
+	minCustomerBytes = 100
+)
+
+// ErrState is the error for state that can't be imported: it can't be read, is another gateway's, or comes after the
+// first event.
+var ErrState = errors.New("policy: state is invalid, late, or another gateway's")
+
+// stateCodec writes fields, or reads them. Once a field was invalid, what is read must not be used.
 type stateCodec struct {
-	buf     []byte
+	buf     []byte // written so far, or still to be read
 	reading bool
 	invalid bool
-	now     Time // of the writing
+	now     Time // of the export; times are encoded as distances from it
 }
 
-// carry takes whole numbers through.
+// integers encodes whole numbers as signed varints.
 func integers[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](x *stateCodec, list ...*T) {
 	for _, v := range list {
 		if !x.reading {
@@ -39,7 +52,7 @@
 	}
 }
 
-// times are written as distances from the writing. What lies far ahead is odd.
+// times encodes times. One that is more than an hour ahead of the export is invalid.
 func (x *stateCodec) times(list ...*Time) {
 	for _, t := range list {
 		d := *t - x.now
@@ -50,7 +63,7 @@
 	}
 }
 
-// numbers keep seven digits.
+// numbers encodes numbers as float32, with seven digits. One that is NaN or infinite is invalid.
 func (x *stateCodec) numbers(list ...*float64) {
 	for _, v := range list {
 		if !x.reading {
@@ -88,7 +101,8 @@
 	}
 }
 
-// size carries how many follow, each of which takes so many bytes at least.
+// length encodes a number of items, each of which takes at least so many bytes, so that invalid input can't cause a
+// large allocation.
 func (x *stateCodec) length(n, least int) int {
 	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/least) {
 		x.invalid, x.buf = true, nil
@@ -99,7 +113,7 @@
 	return n
 }
 
-// sized carries a list.
+// listOf encodes a list: its length, and each item. An item takes at least so many bytes.
 func listOf[T any](x *stateCodec, list *[]T, least int, each func(*T)) {
 	n := x.length(len(*list), least)
 	if x.reading {
@@ -118,11 +132,12 @@
 	}
 }
 
-func (x *stateCodec) tally(t *pushSum) {
+func (x *stateCodec) pushSum(t *pushSum) {
 	x.numbers(&t.local[0], &t.local[1], &t.pooled[0], &t.pooled[1])
 	x.times(&t.decayedAt)
 }
 
+// gateway encodes a gateway and all that belongs to it.
 func (x *stateCodec) gateway(g *Gateway) {
 	integers(x, &x.now)
 	x.times(&g.startedAt, &g.unseenFillSince, &g.lastShed, &g.lastContact)
@@ -133,19 +148,19 @@
 	integers(x, &g.cfg.Self, &g.cfg.Gateways)
 	listOf(x, &g.cfg.Classes, 1, func(c *Class) { x.text(&c.Name) })
 	listOf(x, &g.cfg.Plans, 1, func(p *Plan) { x.text(&p.Name) })
-	listOf(x, &g.classLatency, 9, func(m *decayingMean) { x.means(m) })
-	listOf(x, &g.lateness, 9, func(m *decayingMean) { x.means(m) })
-	listOf(x, &g.groups, 21, func(p *group) { x.tally(&p.latency); x.numbers(&p.capacityShare) })
+	listOf(x, &g.classLatency, minMeanBytes, func(m *decayingMean) { x.means(m) })
+	listOf(x, &g.lateness, minMeanBytes, func(m *decayingMean) { x.means(m) })
+	listOf(x, &g.groups, minGroupBytes, func(one *group) { x.pushSum(&one.latency); x.numbers(&one.capacityShare) })
 	for _, list := range []*[]Time{&g.peerLastContact, &g.suspectedUntil, &g.fullUpdateAt} {
 		listOf(x, list, 1, func(t *Time) { x.times(t) })
 	}
 	listOf(x, &g.peerAge, 1, func(d *time.Duration) { integers(x, d) })
 	listOf(x, &g.incarnations, 1, func(n *int) { integers(x, n) })
-	listOf(x, &g.servers, 50, func(s **server) { x.server(allocate(x, s)) })
-	listOf(x, &g.customers, 100, func(c **customer) { x.customer(allocate(x, c)) })
+	listOf(x, &g.servers, minServerBytes, func(s **server) { x.server(allocate(x, s)) })
+	listOf(x, &g.customers, minCustomerBytes, func(c **customer) { x.customer(allocate(x, c)) })
 }
 
-// fresh gives what stands at a place of a list of pointers, which is new where it is read.
+// allocate gives the item of a list of pointers, a new one while reading.
 func allocate[T any](x *stateCodec, at **T) *T {
 	if x.reading {
 		*at = new(T)
@@ -171,21 +186,21 @@
 	x.numbers(&c.balance, &c.hardLimit.Tokens, &c.used, &c.lastQuery.units)
 	x.times(&c.refilledAt, &c.lastSeen)
 	x.means(&c.demand)
-	x.tally(&c.sharedDemand)
+	x.pushSum(&c.sharedDemand)
 	integers(x, &c.key, &c.lastQuery.customerKey)
 	integers(x, &c.lastQuery.token)
 	integers(x, &c.generation)
 	for i := range c.peers {
-		h := &c.peers[i]
-		integers(x, &h.incarnation)
-		integers(x, &h.generation, &h.inFlight)
-		x.numbers(&h.used, &h.ownUsedSent)
+		peer := &c.peers[i]
+		integers(x, &peer.incarnation)
+		integers(x, &peer.generation, &peer.inFlight)
+		x.numbers(&peer.used, &peer.ownUsedSent)
 	}
 }
 
-// Carry gives what this gateway knows, for Follow: of the customers those seen last, as many as go into so many bytes. The
-// rest will be taken for new ones, as though they had been idle.
-func (g *Gateway) ExportState(now Time, most int) []byte {
+// ExportState gives the state for ImportState, in about maxBytes at most: the customers seen last are kept, and the
+// others are to their successor as though they had been idle.
+func (g *Gateway) ExportState(now Time, maxBytes int) []byte {
 	g.advance(now)
 	all, one := *g, stateCodec{now: now}
 	all.customers = nil
@@ -194,51 +209,76 @@
 	x := stateCodec{buf: []byte{stateVersion}, now: now}
 	x.gateway(&all)
 	if len(list) > 0 {
-		one.customer(list[0])
-		all.customers = list[:min(len(list), max(0, most-len(x.buf))/len(one.buf))]
+		one.customer(list[0]) // the others take about as many bytes
+		all.customers = list[:min(len(list), max(0, maxBytes-len(x.buf))/len(one.buf))]
 		x = stateCodec{buf: []byte{stateVersion}, now: now}
 		x.gateway(&all)
 	}
 	return x.buf
 }
 
-// Follow takes over what another gateway of the same number knew. It comes right after Attach, and takes all or nothing.
-func (g *Gateway) ImportState(now Time, carried []byte) error {
+// ImportState takes over the state of another Gateway with the same number, wholly or not at all, and else returns
+// ErrState. It must be called right after Attach.
+func (g *Gateway) ImportState(now Time, state []byte) error {
 	from := &Gateway{}
-	x := stateCodec{buf: carried, reading: true, invalid: len(carried) == 0 || carried[0] != stateVersion}
+	x := stateCodec{buf: state, reading: true, invalid: len(state) == 0 || state[0] != stateVersion}
 	if !x.invalid {
-		x.buf = carried[1:]
+		x.buf = state[1:]
 		x.gateway(from)
 	}
-	if x.invalid || len(x.buf) > 0 || g.started || from.cfg.Self != g.cfg.Self || from.cfg.Gateways != g.cfg.Gateways || !from.consistent() {
-		return errors.New("carried state: odd, late, or another gateway's")
+	if x.invalid || len(x.buf) > 0 || g.started || from.cfg.Self != g.cfg.Self ||
+		from.cfg.Gateways != g.cfg.Gateways || !from.consistent() {
+		return ErrState
 	}
 	peers := g.cfg.Peers
-	g.cfg.Peers = false // the first word to them is to be the same gateway's
+	g.cfg.Peers = false // the first update must be of the imported state: to peers this is the same gateway
 	g.advance(now)
 	g.cfg.Peers = peers
-	g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact, g.lastQuery = from.startedAt, from.unseenFillSince, from.lastShed, from.lastContact, from.lastQuery
-	g.slowAnswerSeen = from.slowAnswerSeen
-	g.olderPeerKnown, g.retryBudget, g.hedgeBudget, g.warmThroughput, g.coldLatency = from.olderPeerKnown, from.retryBudget, from.hedgeBudget, from.warmThroughput, from.coldLatency
-	g.peerAge, g.peerLastContact, g.suspectedUntil, g.incarnations, g.fullUpdateAt = from.peerAge, from.peerLastContact, from.suspectedUntil, from.incarnations, from.fullUpdateAt
-	for i, c := range g.cfg.Classes { // what is new begins without a history
-		was := slices.IndexFunc(from.cfg.Classes, func(o Class) bool { return o.Name == c.Name })
-		if was < 0 {
+	g.importFigures(from)
+	g.importGroups(from)
+	for _, s := range from.servers {
+		if g.serversByID[s.ID] == nil {
+			g.serversByID[s.ID], g.servers = s, append(g.servers, s)
+		}
+	}
+	g.importCustomers(from)
+	if peers && g.cfg.Gateways > 1 {
+		g.sendUpdates()
+	}
+	return nil
+}
+
+// importFigures takes over what depends on neither classes nor plans.
+func (g *Gateway) importFigures(from *Gateway) {
+	g.startedAt, g.unseenFillSince, g.lastShed = from.startedAt, from.unseenFillSince, from.lastShed
+	g.lastContact, g.lastQuery, g.olderPeerKnown = from.lastContact, from.lastQuery, from.olderPeerKnown
+	g.retryBudget, g.hedgeBudget = from.retryBudget, from.hedgeBudget
+	g.slowAnswerSeen, g.warmThroughput, g.coldLatency = from.slowAnswerSeen, from.warmThroughput, from.coldLatency
+	g.peerAge, g.peerLastContact, g.suspectedUntil = from.peerAge, from.peerLastContact, from.suspectedUntil
+	g.incarnations, g.fullUpdateAt = from.incarnations, from.fullUpdateAt
+}
+
+// importGroups takes over what is known of classes and groups, by their names. Those that are new begin without.
+func (g *Gateway) importGroups(from *Gateway) {
+	for i, class := range g.cfg.Classes {
+		oldClass := slices.IndexFunc(from.cfg.Classes, func(c Class) bool { return c.Name == class.Name })
+		if oldClass < 0 {
 			continue
 		}
-		g.classLatency[i], g.lateness[i] = from.classLatency[was], from.lateness[was]
-		for j, p := range g.cfg.Plans {
-			if k := slices.IndexFunc(from.cfg.Plans, func(o Plan) bool { return o.Name == p.Name }); k >= 0 {
-				to, old := &g.groups[i*len(g.cfg.Plans)+j], from.groups[was*len(from.cfg.Plans)+k]
+		g.classLatency[i], g.lateness[i] = from.classLatency[oldClass], from.lateness[oldClass]
+		for j, plan := range g.cfg.Plans {
+			oldPlan := slices.IndexFunc(from.cfg.Plans, func(p Plan) bool { return p.Name == plan.Name })
+			if oldPlan >= 0 {
+				to, old := &g.groups[i*len(g.cfg.Plans)+j], from.groups[oldClass*len(from.cfg.Plans)+oldPlan]
 				to.latency, to.capacityShare = old.latency, old.capacityShare
 			}
 		}
 	}
-	for _, s := range from.servers {
-		if g.serversByID[s.ID] == nil {
-			g.serversByID[s.ID], g.servers = s, append(g.servers, s)
-		}
-	}
+}
+
+// importCustomers takes over the customers whose plans still exist. A plan's number may have changed, which is part of
+// a customer's key.
+func (g *Gateway) importCustomers(from *Gateway) {
 	for _, c := range from.customers {
 		name := from.cfg.Plans[c.plan].Name
 		c.plan = slices.IndexFunc(g.cfg.Plans, func(p Plan) bool { return p.Name == name })
@@ -256,20 +296,18 @@
 		g.customers = append(g.customers, c)
 		g.queueUpdate(c, g.nearby...)
 	}
-	if peers && g.cfg.Gateways > 1 {
-		g.sendUpdates()
-	}
-	return nil
 }
 
-// sound tells whether what was read fits together.
+// consistent tells whether the parts of a state that was read fit together.
 func (g *Gateway) consistent() bool {
-	n := g.cfg.Gateways
-	return len(g.classLatency) == len(g.cfg.Classes) && len(g.lateness) == len(g.cfg.Classes) &&
-		len(g.groups) == len(g.cfg.Classes)*len(g.cfg.Plans) && len(g.peerAge) == n && len(g.peerLastContact) == n &&
-		len(g.suspectedUntil) == n && len(g.incarnations) == n && len(g.fullUpdateAt) == n &&
+	classes, gateways := len(g.cfg.Classes), g.cfg.Gateways
+	return len(g.classLatency) == classes && len(g.lateness) == classes &&
+		len(g.groups) == classes*len(g.cfg.Plans) && len(g.peerAge) == gateways &&
+		len(g.peerLastContact) == gateways && len(g.suspectedUntil) == gateways &&
+		len(g.incarnations) == gateways && len(g.fullUpdateAt) == gateways &&
 		!slices.ContainsFunc(g.customers, func(c *customer) bool {
-			return c.plan < 0 || c.plan >= len(g.cfg.Plans) || c.setSize < 1 || c.setSize > n || c.firstGateway < 0 || c.firstGateway >= n
+			return c.plan < 0 || c.plan >= len(g.cfg.Plans) || c.setSize < 1 || c.setSize > gateways ||
+				c.firstGateway < 0 || c.firstGateway >= gateways
 		}) &&
 		!slices.ContainsFunc(g.servers, func(s *server) bool {
 			return s.ejections < 0 || s.ejections > maxEjectionDoublings || s.State > Draining
