--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -98,7 +98,8 @@
 	} {
 		m := fake.New(t, fake.OK("late"))
 		d := fake.Deployment()
-		p := New(Options{MaxConnections: 9, StaleWindow: time.Minute, IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
+		p := New(Options{MaxConnections: 9, StaleWindow: time.Minute,
+			IdleTimeout: d.IdleTimeout, ConnectTimeout: d.ConnectTimeout})
 		t.Cleanup(p.Close)
 		c, err := core.New(d.Settings, 1, core.NewClock(), p, nil)
 		require.NoError(t, err)
