--- /dev/null
+++ b/cmd/sprucelane/gateway.go
@@ -0,0 +1,271 @@
+package main
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"net/http"
+	"net/netip"
+	"sync"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/buffers"
+	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/front"
+	"sprucelane.example/sprucelane/internal/front/control"
+	"sprucelane.example/sprucelane/internal/front/introspect"
+	"sprucelane.example/sprucelane/internal/front/platform"
+	"sprucelane.example/sprucelane/internal/handover"
+	"sprucelane.example/sprucelane/internal/inflight"
+	"sprucelane.example/sprucelane/internal/peer"
+	"sprucelane.example/sprucelane/internal/pool"
+	"sprucelane.example/sprucelane/internal/service"
+	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/store/keep"
+	"sprucelane.example/sprucelane/internal/storm"
+)
+
+// gateway holds the parts of one process of a gateway. What stands before mu is set while the process starts and is
+// not changed later, but for stopDiscovery, which only the goroutine of serve uses.
+type gateway struct {
+	start          *config.Config // the configuration that the process was started with
+	clock          core.Clock
+	phase          *service.State
+	requestMemory  *buffers.Budget // for bodies of requests
+	responseMemory *buffers.Budget // for bodies of responses
+	pool           *pool.Pool
+	core           *core.Core
+	membership     *discovery.Membership
+	settings       *platform.Settings
+	openRequests   platform.OpenRequests // of all fronts
+	fronts         []*front.Server
+	peerLink       *peer.Link          // nil: there are no peers
+	checker        *introspect.Checker // nil: token introspection is off
+	loadExchange   *inflight.Exchange  // nil: off
+	stopDiscovery  func()              // ends the watch of the source of server lists, and waits for its end
+
+	handoverPath    string                // socket path at which a successor finds this process; empty: no upgrades
+	asPredecessor   *handover.Predecessor // nil: no successor can follow
+	loadExchangeSeq uint16                // of the predecessor's last message of the load exchange
+	checkerState    []byte                // the predecessor's, for checker; nil: none
+
+	counters []func() core.Counts // of each part, in the order in which they are logged
+	closers  []func()             // called at the end, in this order
+	failed   chan error           // of a listener; has room for one error of each
+
+	mu                sync.Mutex      // guards what follows
+	cfg               *config.Config  // in force
+	otherUsage        *handover.Usage // what another process of this gateway uses; nil: there is none
+	maxDeadlineBefore time.Duration   // longest deadline in configurations that were in force before cfg
+}
+
+// listeners is the number of listeners that may fail: two fronts and the operators' address.
+const listeners = 3
+
+// newGateway returns a gateway that has a pool without servers and no open socket.
+func newGateway(cfg *config.Config, clock core.Clock) *gateway {
+	g := &gateway{
+		start:          cfg,
+		cfg:            cfg,
+		clock:          clock,
+		phase:          service.New(),
+		requestMemory:  buffers.New(cfg.BufferMemory / 2),
+		responseMemory: buffers.New(cfg.BufferMemory / 2),
+		failed:         make(chan error, listeners),
+	}
+	g.pool = pool.New(pool.Options{
+		MaxConnections: cfg.ServerConns,
+		ResponseMemory: g.responseMemory,
+		LoadFields:     cfg.Deployment.LoadFields(),
+		IdleTimeout:    cfg.Deployment.IdleTimeout,
+		ConnectTimeout: cfg.Deployment.ConnectTimeout,
+	})
+	return g
+}
+
+// close closes the fronts and then the other parts that have been opened.
+func (g *gateway) close() {
+	for _, s := range g.fronts {
+		s.Close()
+	}
+	for _, c := range g.closers {
+		c()
+	}
+}
+
+// openCore makes the core and what passes server lists and settings to it.
+func (g *gateway) openCore() error {
+	var sendToPeer func(int, []byte) // nil: there are no peers
+	if g.peerLink != nil {
+		sendToPeer = g.peerLink.Send
+	}
+	d := g.start.Deployment
+	var err error
+	if g.core, err = core.New(d.Settings, g.start.Seed, g.clock, g.pool, sendToPeer); err != nil {
+		return err
+	}
+	if s := g.start.Site.Storm; s != nil {
+		g.core.EnableStormControl(d.Settings, storm.Options{Seed: g.start.Seed, RetryRatio: s.RetryShare,
+			MaxRetryAfter: s.MaxRetryAfter, ConnectionRate: s.ConnectionsPerS})
+	}
+	g.membership = discovery.NewMembership(g.pool, g.core.Servers, d.Zones, d.Kinds)
+	g.settings = platform.NewSettings(d)
+	return nil
+}
+
+// ready tells whether clients should come: whether the process may serve and has a server to forward to.
+func (g *gateway) ready() bool { return g.phase.Ready() && g.hasServers() }
+
+func (g *gateway) hasServers() bool { return g.pool.ReadyServers() > 0 }
+
+// openControl opens the address at which operators call.
+func (g *gateway) openControl() error {
+	server, err := control.Listen(g.start.Control, config.MaxControlConns, g.phase, g.hasServers)
+	if err != nil {
+		return err
+	}
+	g.closers = append(g.closers, server.Close)
+	server.ReadyDetail = func() string {
+		phase, _ := g.core.Recovery()
+		return "recovery=" + phase.String()
+	}
+	g.addCounters(func() core.Counts { return g.controlCounts(server) })
+	go g.serveUntilFailure(server.Serve)
+	return nil
+}
+
+// serveUntilFailure runs a listener's Serve, whose error ends the process.
+func (g *gateway) serveUntilFailure(serve func() error) {
+	if err := serve(); err != nil {
+		g.failed <- err
+	}
+}
+
+// openFronts opens the front for the platform's protocol and, where the site file has it, the one with token
+// introspection.
+func (g *gateway) openFronts(asSuccessor *handover.Successor) error {
+	opt := front.Options{
+		Address:            g.start.Listen,
+		MaxConnections:     g.start.ClientConns,
+		MaxRequestDeadline: g.start.Deployment.MaxDeadline(),
+		State:              g.phase,
+		ReusePort:          g.handoverPath != "",
+		Listener:           asSuccessor.Listener(g.start.Listen),
+	}
+	if g.start.Site.Storm != nil {
+		opt.Admit = g.core.AdmitConnection
+		g.addCounters(g.stormCounts)
+	}
+	handler := &platform.Front{Core: g.core, Settings: g.settings, Ready: g.ready, OpenRequests: &g.openRequests,
+		BodyMemory: g.requestMemory}
+	if err := g.openFront(opt, handler); err != nil {
+		return fmt.Errorf("listen: %w", err)
+	}
+	g.addCounters(func() core.Counts {
+		return partCounts("gateway", handler.Malformed(), g.core.Counters())
+	}, g.poolCounts)
+	if g.start.Site.Introspection != nil {
+		opt.Listener = asSuccessor.Listener(g.start.Site.Introspection.Listen)
+		if err := g.openIntrospection(opt); err != nil {
+			return fmt.Errorf("introspection: %w", err)
+		}
+	}
+	return nil
+}
+
+// openFront listens, or goes on with a predecessor's listener: paused until the predecessor has stopped (takeOver).
+func (g *gateway) openFront(opt front.Options, handler http.Handler) error {
+	listen := func() (*front.Server, error) { return front.Listen(opt, handler) }
+	server, err := listen()
+	if g.handoverPath != "" && err != nil {
+		server, err = retryAddressInUse(listen)
+	}
+	if err != nil {
+		return err
+	}
+	if opt.Listener != nil {
+		server.Pause()
+	}
+	g.fronts = append(g.fronts, server)
+	go g.serveUntilFailure(server.Serve)
+	return nil
+}
+
+// openIntrospection opens the front with token introspection. Its checks of tokens have a core and a pool of their
+// own, with the endpoints as servers.
+func (g *gateway) openIntrospection(opt front.Options) error {
+	conf := *g.start.Site.Introspection
+	var link *peer.Link
+	var sendToPeer func(int, []byte)
+	var err error
+	if conf.PeerAddr.IsValid() {
+		if link, err = peer.Listen(conf.PeerAddr, conf.PeerAddrs, netip.AddrPort{}); err != nil {
+			return fmt.Errorf("peer_listen: %w", err)
+		}
+		sendToPeer = link.Send
+	}
+	checker, err := introspect.NewChecker(conf, g.start.Deployment, g.start.CheckConns, checkerSeed(g.start), g.clock,
+		sendToPeer)
+	if err != nil {
+		return err
+	}
+	g.checker = checker
+	g.closers = append(g.closers, checker.Close)
+	if link != nil {
+		g.closers = append(g.closers, func() { link.Close() })
+		go link.Serve(checker.PeerMessage)
+	}
+	if opt.Address = conf.Listen; conf.CertFile != "" {
+		cert, err := tls.LoadX509KeyPair(conf.CertFile, conf.KeyFile)
+		if err != nil {
+			return fmt.Errorf("cert_file, key_file: %w", err)
+		}
+		opt.TLS = &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
+	}
+	handler := &introspect.Front{Core: g.core, Checker: checker, Settings: g.settings, Ready: g.ready,
+		OpenRequests: &g.openRequests, BodyMemory: g.requestMemory}
+	g.addCounters(func() core.Counts {
+		return partCounts("introspection", handler.Malformed(), checker.Counters())
+	})
+	return g.openFront(opt, handler)
+}
+
+// checkerSeed is the seed of the checks' core, which must draw other random numbers than the gateway's.
+func checkerSeed(cfg *config.Config) uint64 { return ^cfg.Seed }
+
+// openStore restores the quota balances that an earlier process of this gateway has stored, where the site file has a
+// store, and goes on storing them. The function that it returns ends that. A predecessor that still runs has the
+// folder open; then its state, which was handed over, is known already.
+func (g *gateway) openStore() (closeStore func(), err error) {
+	conf := g.start.Site.Store
+	if conf == nil {
+		return func() {}, nil
+	}
+	opt := keep.Options{Path: conf.Path, Name: g.start.Name,
+		Store: store.Options{FlushInterval: conf.FlushInterval(), MaxBytes: conf.MaxBytes()}}
+	for _, p := range g.start.Deployment.Plans {
+		opt.Plans = append(opt.Plans, p.Name)
+	}
+	keeper, err := keep.Open(opt, g.core)
+	if err != nil {
+		return nil, err
+	}
+	g.addCounters(func() core.Counts { return storeCounts(keeper) })
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		keeper.Run(ctx)
+	}()
+	return func() { cancel(); <-done }, nil
+}
+
+// clientConns returns the number of open connections of clients.
+func (g *gateway) clientConns() (n int) {
+	for _, s := range g.fronts {
+		n += s.OpenConnections()
+	}
+	return n
+}
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -1,5 +1,3 @@
-// Command sprucelane is one gateway of the fleet, and its operators' commands. This file owns the commands and their
-// flags; it must never do their work.
 package main
 
 import (
@@ -17,13 +15,14 @@
 	"sprucelane.example/sprucelane/internal/logging"
 )
 
+// envPrefix begins the environment variables that set flags; see cli.EnvFlags.
 const envPrefix = "SPRUCELANE"
 
 func main() {
 	os.Exit(cli.Main(newRootCommand(os.Getenv), func(err error) { slog.Error("failed", "err", err) }))
 }
 
-// commands builds the command line. A bare start serves.
+// newRootCommand returns the command line. Without a command the program serves.
 func newRootCommand(getenv func(string) string) *cobra.Command {
 	var opt options
 	var format, level string
@@ -52,56 +51,70 @@
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&opt.siteFile, "site", config.SiteFile, "the operators' own `file`; without it what it holds is off")
-	flags.BoolVar(&opt.learnByDatagram, "learn-by-datagram", false, "ask the peers, once started, what they know of the pool members")
+	flags.BoolVar(&opt.learnByDatagram, "learn-by-datagram", false,
+		"ask the peers, once started, what they know of the pool members")
 	flags.DurationVar(&opt.clockAhead, "clock-ahead", 0, "of the laboratory: how far this clock is ahead of others'")
 	flags.MarkHidden("clock-ahead")
-	flags.StringVar(&opt.linkProgram, "link-program", helper.ProgramPath(), "the `program` that links gateways where knowledge is on")
+	flags.StringVar(&opt.linkProgram, "link-program", helper.ProgramPath(),
+		"the `program` that links gateways where knowledge is on")
 	flags.StringVar(&format, "log-format", "text", "`form` of log lines: text (key=value) or json")
 	flags.StringVar(&level, "log-level", "info", "least `level` that is logged: debug, info, warn or error")
 	root.AddCommand(
+		&cobra.Command{Use: "serve", Short: "Serve until SIGTERM, as a bare start does", Args: cobra.NoArgs, RunE: run},
+		checkCommand(getenv, &opt.siteFile),
 		knowledgeCommand(&opt.linkProgram),
 		storeCommand(),
-		&cobra.Command{Use: "serve", Short: "Serve until SIGTERM, as a bare start does", Args: cobra.NoArgs, RunE: run},
-		&cobra.Command{
-			Use:   "check",
-			Short: "Read all configuration and say what is wrong with it, by key",
-			Long: `Reads all configuration as serve would and opens nothing. Prints a line for every fault, with the key, and exits
+		versionCommand(),
+	)
+	return root
+}
+
+// checkCommand prints each error of the configuration on a line of its own.
+func checkCommand(getenv func(string) string, siteFile *string) *cobra.Command {
+	return &cobra.Command{
+		Use:   "check",
+		Short: "Read all configuration and say what is wrong with it, by key",
+		Long: `Reads all configuration as serve would and opens nothing. Prints a line for every fault, with the key, and exits
 with 2 where there is one; prints what the gateway would be and exits with 0 where there is none.`,
-			Args: cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				cfg, err := config.Load(getenv, opt.siteFile)
-				for _, fault := range config.Errors(err) {
-					fmt.Fprintln(cmd.OutOrStdout(), fault)
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			cfg, err := config.Load(getenv, *siteFile)
+			if err != nil {
+				errs := config.Errors(err)
+				for _, err := range errs {
+					fmt.Fprintln(cmd.OutOrStdout(), err)
 				}
-				if err != nil {
-					return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("configuration: %d faults", len(config.Errors(err)))}
-				}
-				fmt.Fprintln(cmd.OutOrStdout(), cfg.Summary())
-				return nil
-			},
+				return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("configuration: %d faults", len(errs))}
+			}
+			fmt.Fprintln(cmd.OutOrStdout(), cfg.Summary())
+			return nil
 		},
-		&cobra.Command{Use: "version", Short: "Print the program's version", Args: cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				_, err := fmt.Fprintln(cmd.OutOrStdout(), "sprucelane", cli.Version())
-				return err
-			}},
-	)
-	return root
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{Use: "version", Short: "Print the program's version", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "sprucelane", cli.Version())
+			return err
+		}}
 }
 
-// knowledgeCommand hands over to the link program, which speaks the peers' wire.
+// knowledgeCommand runs the link program, which speaks the protocol of the exchange and prints the answer. It exits
+// with that program's exit code.
 func knowledgeCommand(program *string) *cobra.Command {
 	return &cobra.Command{
-		Use:                "knowledge --peer ADDR",
-		Short:              "Print what a gateway knows of the pool members",
-		Long:               "Prints what a gateway knows of the pool members. The link program does it: --help tells its flags.",
+		Use:   "knowledge --peer ADDR",
+		Short: "Print what a gateway knows of the pool members",
+		Long: "Prints what a gateway knows of the pool members. " +
+			"The link program does it: --help tells its flags.",
 		DisableFlagParsing: true,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			run := exec.Command(*program, append([]string{"knowledge"}, args...)...)
-			run.Stdin, run.Stdout, run.Stderr = os.Stdin, cmd.OutOrStdout(), os.Stderr
-			err := run.Run()
-			if ended := (*exec.ExitError)(nil); errors.As(err, &ended) {
-				return cli.ExitError{Code: ended.ExitCode(), Err: fmt.Errorf("%s: %w", *program, err)}
+			child := exec.Command(*program, append([]string{"knowledge"}, args...)...)
+			child.Stdin, child.Stdout, child.Stderr = os.Stdin, cmd.OutOrStdout(), os.Stderr
+			err := child.Run()
+			if exitErr := (*exec.ExitError)(nil); errors.As(err, &exitErr) {
+				return cli.ExitError{Code: exitErr.ExitCode(), Err: fmt.Errorf("%s: %w", *program, err)}
 			}
 			return err
 		},
