--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -398,7 +398,7 @@
 			pad, pause = bulkBytes, 0
 		}
 		w.lock.Unlock()
-		order := fmt.Sprintf(`{"generation":%d,"x":"%s"}`, last+1, strings.Repeat("x", pad))
+		change := fmt.Sprintf(`{"generation":%d,"x":"%s"}`, last+1, strings.Repeat("x", pad))
 		for !w.isOver() {
 			members := w.presentControls()
 			if status, _ := w.call(
@@ -406,7 +406,7 @@
 				"PATCH",
 				"/config",
 				strconv.FormatUint(last, 10),
-				order,
+				change,
 			); status == 200 {
 				break
 			}
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -25,7 +25,7 @@
 // fakeChain is a chain of one process; tests decide the outcome of each proposal.
 type fakeChain struct {
 	mutex        sync.Mutex
-	machine      *statemachine.StateMachine
+	state        *statemachine.StateMachine
 	index        uint64
 	outcomes     map[string][]byte
 	partitioned  bool              // nothing can be read or proposed
@@ -44,7 +44,7 @@
 )
 
 func newFakeChain() *fakeChain {
-	return &fakeChain{machine: statemachine.New(), outcomes: map[string][]byte{}, proposals: map[string]int{}}
+	return &fakeChain{state: statemachine.New(), outcomes: map[string][]byte{}, proposals: map[string]int{}}
 }
 
 func (c *fakeChain) Read(ctx context.Context) error {
@@ -65,11 +65,11 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.proposals[id]++
-	fate := proposalAcknowledged
+	outcome := proposalAcknowledged
 	if len(c.nextOutcomes) > 0 {
-		fate, c.nextOutcomes = c.nextOutcomes[0], c.nextOutcomes[1:]
+		outcome, c.nextOutcomes = c.nextOutcomes[0], c.nextOutcomes[1:]
 	}
-	switch fate {
+	switch outcome {
 	case proposalLost:
 		return nil, errors.New("no answer")
 	case proposalRejected:
@@ -77,9 +77,9 @@
 	}
 	if _, done := c.outcomes[id]; !done {
 		c.index++
-		c.outcomes[id] = c.machine.Apply(c.index, change)
+		c.outcomes[id] = c.state.Apply(c.index, change)
 	}
-	if fate == acknowledgementLost {
+	if outcome == acknowledgementLost {
 		return nil, errors.New("no answer")
 	}
 	return c.outcomes[id], nil
@@ -90,7 +90,7 @@
 func newAPI(chain *fakeChain) http.Handler {
 	return New(
 		Options{
-			State:           chain.machine,
+			State:           chain.state,
 			Chain:           chain,
 			Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
 			MaxBodyBytes:    4096,
@@ -235,7 +235,7 @@
 		chain := newFakeChain()
 		large := New(
 			Options{
-				State:  chain.machine,
+				State:  chain.state,
 				Chain:  chain,
 				Bounds: node.Bounds{Acknowledge: 4 * time.Second},
 				Log:    zerolog.Nop(),
@@ -250,14 +250,14 @@
 		checkStatus(t, sendChunked(api, body+" "), 413)
 	})
 	runInBubble(t, "a change whose outcome is unknown is proposed again under its id", func(t *testing.T) {
-		for _, fates := range [][]proposalOutcome{
+		for _, outcomes := range [][]proposalOutcome{
 			{acknowledgementLost},
 			{proposalLost},
 			{proposalRejected, proposalLost, acknowledgementLost},
 			{proposalRejected, proposalRejected},
 		} {
 			chain := newFakeChain()
-			chain.nextOutcomes = fates
+			chain.nextOutcomes = outcomes
 			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
 			if chain.index != 1 || len(chain.proposals) != 1 {
 				t.Fatalf("%d orders, ids %v", chain.index, chain.proposals)
@@ -265,10 +265,10 @@
 		}
 	})
 	runInBubble(t, "a change that was not accepted ends with 503, one that may have been with 504, within ack-ms", func(t *testing.T) {
-		for status, fate := range map[int]proposalOutcome{503: proposalRejected, 504: proposalLost} {
+		for status, outcome := range map[int]proposalOutcome{503: proposalRejected, 504: proposalLost} {
 			chain := newFakeChain()
 			for range 1000 {
-				chain.nextOutcomes = append(chain.nextOutcomes, fate)
+				chain.nextOutcomes = append(chain.nextOutcomes, outcome)
 			}
 			began := time.Now()
 			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), status)
@@ -364,19 +364,19 @@
 		}
 		raw, err := statemachine.Command{Join: &statemachine.Join{Processes: processes}}.Encode()
 		So(err, ShouldBeNil)
-		chain.machine.Apply(1, raw)
+		chain.state.Apply(1, raw)
 		So(send(api, "POST", "/retire/s9", "", `{"deadline-s":10}`).Code, ShouldEqual, 404)
 		So(send(api, "GET", "/retire/s1", "", "").Code, ShouldEqual, 404)
 		So(send(api, "POST", "/retire/s1", "", `{"deadline-s":10}`).Body.String(), ShouldContainSubstring, `"active"`)
 		So(send(api, "POST", "/retire/s1", "", `{"deadline-s":10}`).Code, ShouldEqual, 200)
 		So(send(api, "POST", "/retire/s2", "", `{"deadline-s":10}`).Code, ShouldEqual, 409)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"active"`)
-		epoch := chain.machine.Stores().Epoch
+		epoch := chain.state.Stores().Epoch
 		raw, err = statemachine.Command{
 			Retired: &statemachine.Retired{Node: "s1", Incarnation: "a", Epoch: epoch},
 		}.Encode()
 		So(err, ShouldBeNil)
-		chain.machine.Apply(3, raw)
+		chain.state.Apply(3, raw)
 		So(send(api, "GET", "/retire/s1", "", "").Body.String(), ShouldContainSubstring, `"completed"`)
 	})
 }
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -103,7 +103,7 @@
 
 // Bounds of a machine that returns after it has missed many changes.
 const (
-	missedOrders    = 500
+	missedChanges   = 500
 	maxCatchUpTime  = 3 * time.Second
 	maxCatchUpBytes = 4 << 20
 )
@@ -122,10 +122,10 @@
 					away.disk.Wipe()
 				}
 				time.Sleep(2 * time.Second)
-				w.commit(101, 100+missedOrders, w.members[:2]...)
+				w.commit(101, 100+missedChanges, w.members[:2]...)
 				before, began := w.network.BytesReceived(away.ip), w.now()
 				away.start(false)
-				early := w.awaitCaughtUp(away, 100+missedOrders)
+				early := w.awaitCaughtUp(away, 100+missedChanges)
 				took, received := w.now()-began, w.network.BytesReceived(away.ip)-before
 				t.Logf(
 					"caught up in %v with %d bytes; %d answers before, all without a configuration",
@@ -136,7 +136,7 @@
 				if took > maxCatchUpTime || received > maxCatchUpBytes {
 					t.Errorf("%v and %d bytes to catch up", took, received)
 				}
-				w.commit(101+missedOrders, 110+missedOrders, away)
+				w.commit(101+missedChanges, 110+missedChanges, away)
 				w.stop()
 				for _, failure := range w.violations {
 					t.Error(failure)
@@ -150,7 +150,7 @@
 // that version it must neither be fresh nor lead the chain.
 func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
 	for {
-		held := m.machine.Configuration().Generation
+		held := m.state.Configuration().Generation
 		age, fresh := m.node.Staleness()
 		if held < uint64(newest) && fresh && age < time.Second {
 			w.failf("%s is fresh with version %d", m.ip, held)
--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -49,7 +49,7 @@
 	starts      int
 	host        *bubble.Host
 	node        *replica.Node
-	machine     *statemachine.StateMachine
+	state       *statemachine.StateMachine
 	api         http.Handler
 }
 
@@ -73,13 +73,13 @@
 const simulatedTolerance = 1
 
 // newClusterSimulation starts all machines. It must be called in a synctest bubble.
-func newClusterSimulation(t *testing.T, seed uint64, machines int, planted injectedBug) *clusterSimulation {
+func newClusterSimulation(t *testing.T, seed uint64, machines int, bug injectedBug) *clusterSimulation {
 	w := &clusterSimulation{
 		t:       t,
 		seed:    seed,
 		random:  rand.New(rand.NewPCG(seed, 5)),
 		network: bubble.NewNetwork(seed),
-		bug:     planted,
+		bug:     bug,
 		began:   time.Now(),
 	}
 	for i := range machines {
@@ -116,9 +116,9 @@
 func (m *simulatedControl) start(bootstrap bool) {
 	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
-	var planted chain.StateMachine = state
+	var machine chain.StateMachine = state
 	if w.bug == bugSnapshotDropsChanges {
-		planted = &forgetfulStateMachine{StateMachine: state}
+		machine = &forgetfulStateMachine{StateMachine: state}
 	}
 	started, err := replica.Start(replica.Options{
 		Identity:     transport.Identity{System: "world", Node: m.ip, Role: "control"},
@@ -129,7 +129,7 @@
 		Bootstrap:    bootstrap,
 		Disk:         m.disk.Mount(),
 		Tolerance:    simulatedTolerance,
-		StateMachine: planted,
+		StateMachine: machine,
 		Log:          func(event string, fields ...any) { w.logf("%s %s %v", m.ip, event, fields) },
 	})
 	if err != nil {
@@ -149,7 +149,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.starts++
-	m.host, m.machine, m.node, m.incarnation = host, state, started, m.starts
+	m.host, m.state, m.node, m.incarnation = host, state, started, m.starts
 	m.api = w.bug.wrapHandler(api, api.Handler())
 	w.logf("%s starts", m.ip)
 }
@@ -184,9 +184,9 @@
 // call sends one request to a machine and waits as long as an operator does.
 func (m *simulatedControl) call(method, ifMatch, body string, patience time.Duration) callResult {
 	m.mutex.Lock()
-	life, api := m.incarnation, m.api
+	incarnation, api := m.incarnation, m.api
 	m.mutex.Unlock()
-	if life == 0 {
+	if incarnation == 0 {
 		return callResult{}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
@@ -208,7 +208,7 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.incarnation != life || ctx.Err() != nil {
+	if m.incarnation != incarnation || ctx.Err() != nil {
 		return callResult{}
 	}
 	return callResult{status: recorder.Code, body: recorder.Body.String(), etag: recorder.Header().Get("ETag")}
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -349,7 +349,7 @@
 	w := h.cluster
 	for _, m := range w.members {
 		for _, change := range h.changes {
-			status := m.machine.Remembered(change.digest(), change.ifMatch)
+			status := m.state.Remembered(change.digest(), change.ifMatch)
 			switch {
 			case status == configuration.StatusAccepted && change.rejectedWith != 0 && !change.futureBase && w.bug != bugSnapshotDropsChanges:
 				w.failf(
@@ -418,7 +418,7 @@
 
 func (h *history) wasCommitted(change *sentChange) bool {
 	return change.acknowledged || slices.ContainsFunc(h.cluster.members, func(m *simulatedControl) bool {
-		return m.machine.Remembered(change.digest(), change.ifMatch) == configuration.StatusAccepted
+		return m.state.Remembered(change.digest(), change.ifMatch) == configuration.StatusAccepted
 	})
 }
 
@@ -427,14 +427,14 @@
 	t *testing.T,
 	seed uint64,
 	span time.Duration,
-	planted injectedBug,
+	bug injectedBug,
 ) (failures []string, h *history) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := 3
 		if seed%5 == 4 {
 			machines = 4
 		}
-		w := newClusterSimulation(t, seed, machines, planted)
+		w := newClusterSimulation(t, seed, machines, bug)
 		h = newHistory(w)
 		var running sync.WaitGroup
 		for number := range 2 + int(seed%3) {
@@ -516,10 +516,10 @@
 
 // TestFindsInjectedBugs checks that the checks find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
-	for _, planted := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
-		t.Run(string(planted), func(t *testing.T) {
+	for _, bug := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
+		t.Run(string(bug), func(t *testing.T) {
 			for seed := uint64(0); seed < 40; seed++ {
-				if failures, _ := simulateHistory(t, seed, 60*time.Second, planted); len(failures) > 0 {
+				if failures, _ := simulateHistory(t, seed, 60*time.Second, bug); len(failures) > 0 {
 					t.Logf("seed %d: %s", seed, failures[0])
 					return
 				}
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	manyOrders = 5_000 // or ORDERS=N
-	remembered = 4096
+	manyChanges = 5_000 // or ORDERS=N
+	remembered  = 4096
 )
 
 // usage returns the heap of the simulation, and the bytes on the fullest disk.
@@ -29,18 +29,18 @@
 
 // TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further once as
 // many changes are remembered as ever are.
-func TestManyOrders(t *testing.T) {
-	orders := int(envNumber("ORDERS", manyOrders))
+func TestManyChanges(t *testing.T) {
+	orders := int(envNumber("ORDERS", manyChanges))
 	full := remembered + (orders-remembered)/4
 	synctest.Test(t, func(t *testing.T) {
 		w := newClusterSimulation(t, 1, 3, bugNone)
 		began := w.now()
 		w.commit(1, full, w.members...)
 		heap, disk := w.usage()
-		snapshot := len(w.members[0].machine.Snapshot())
+		snapshot := len(w.members[0].state.Snapshot())
 		w.commit(full+1, orders, w.members...)
 		heapAfter, diskAfter := w.usage()
-		snapshotAfter := len(w.members[0].machine.Snapshot())
+		snapshotAfter := len(w.members[0].state.Snapshot())
 		t.Logf(
 			"%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
 			full,
--- a/internal/control/quotaservice/chainmodel_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -31,9 +31,9 @@
 
 // proposal is a command on its way. One that its proposer has given up may still be committed.
 type proposal struct {
-	raw   []byte
-	index int // 0: not committed
-	done  func(*statemachine.GrantsOutcome)
+	command []byte
+	index   int // 0: not committed
+	done    func(*statemachine.GrantsOutcome)
 }
 
 // simulatedControl is a control process with the real service, and its view of the chain.
@@ -44,7 +44,7 @@
 	up          bool
 	paused      bool
 	service     *Service
-	machine     *statemachine.StateMachine
+	state       *statemachine.StateMachine
 	applied     int
 	waiting     *proposal // whose outcome it waits for; nil: none
 	ending      bool
@@ -79,7 +79,7 @@
 	m.up, m.paused, m.ending, m.waiting = true, false, false, nil
 	w.Start(m.name)
 	known := max(0, m.applied-w.random.IntN(3))
-	m.machine, m.applied = statemachine.New(), 0
+	m.state, m.applied = statemachine.New(), 0
 	m.apply(known)
 	m.headSince, m.proofAt = w.Elapsed()+leaderDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
@@ -110,11 +110,11 @@
 	if !m.up || m.paused {
 		return
 	}
-	life := m.incarnation
+	incarnation := m.incarnation
 	m.paused = true
 	w.Pause(m.name)
 	w.After(length, func() {
-		if m.incarnation == life && m.up {
+		if m.incarnation == incarnation && m.up {
 			m.paused = false
 			w.Resume(m.name)
 		}
@@ -131,7 +131,7 @@
 }
 
 // Grantor implements GrantRecord, with the state that is applied here.
-func (m *simulatedControl) Grantor() statemachine.Grantor { return m.machine.Grantor() }
+func (m *simulatedControl) Grantor() statemachine.Grantor { return m.state.Grantor() }
 
 // Head implements Leadership as coord/replica does.
 func (m *simulatedControl) Head() (until time.Time, ok bool) {
@@ -283,7 +283,7 @@
 	pending := c.pending
 	c.pending = nil
 	for _, one := range pending {
-		c.log = append(c.log, one.raw)
+		c.log = append(c.log, one.command)
 		one.index = len(c.log)
 	}
 	for _, m := range c.chain {
@@ -304,7 +304,7 @@
 func (m *simulatedControl) apply(end int) {
 	for m.applied < end {
 		m.applied++
-		raw := m.machine.Apply(uint64(m.applied), m.chainModel.log[m.applied-1])
+		raw := m.state.Apply(uint64(m.applied), m.chainModel.log[m.applied-1])
 		if one := m.waiting; one != nil && one.index == m.applied {
 			m.waiting = nil
 			outcome, err := statemachine.DecodeOutcome(raw)
@@ -323,7 +323,7 @@
 	if err != nil {
 		panic(err)
 	}
-	one := &proposal{raw: raw, done: done}
+	one := &proposal{command: raw, done: done}
 	m.waiting = one
 	delay := w.randomDuration(10 * time.Millisecond)
 	if w.random.Chance(0.02) {
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -75,7 +75,7 @@
 func (w *serviceSimulation) operate(random *rand.Rand) {
 	last := uint64(7)
 	for !w.isOver() {
-		order := fmt.Sprintf(
+		change := fmt.Sprintf(
 			`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["k%d"],"rate-per-s":10,"burst":10}]}}`,
 			last+1,
 			last+1,
@@ -86,7 +86,7 @@
 				"PATCH",
 				"/config",
 				strconv.FormatUint(last, 10),
-				order,
+				change,
 			); status == 200 {
 				last++
 				w.lock.Lock()
@@ -119,7 +119,7 @@
 	process    protocol.Process
 	state      *configuration.State
 	lock       sync.Mutex // guards state
-	lives      int
+	starts     int
 }
 
 // run polls over several incarnations.
@@ -137,12 +137,12 @@
 // restart begins an incarnation: a gateway then knows nothing, and half of the batch processes have lost their
 // disks.
 func (r *simulatedSubscriber) restart() {
-	r.lives++
+	r.starts++
 	r.lock.Lock()
 	r.state = configuration.NewState()
 	r.lock.Unlock()
-	if r.process.Role == protocol.RoleGateway || r.lives == 1 || r.random.IntN(2) == 0 {
-		r.process.Incarnation = fmt.Sprint(r.process.Node, "/", r.lives)
+	if r.process.Role == protocol.RoleGateway || r.starts == 1 || r.random.IntN(2) == 0 {
+		r.process.Incarnation = fmt.Sprint(r.process.Node, "/", r.starts)
 	}
 	r.simulation.lock.Lock()
 	defer r.simulation.lock.Unlock()
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -82,11 +82,11 @@
 func (m *StateMachine) Snapshot() []byte {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	configuration, err := m.configuration.Encode()
+	encodedConfiguration, err := m.configuration.Encode()
 	if err != nil {
 		return nil
 	}
-	encoded, err := encode(snapshot{Configuration: configuration, Stores: m.stores.snapshot(), Lending: m.grants})
+	encoded, err := encode(snapshot{Configuration: encodedConfiguration, Stores: m.stores.snapshot(), Lending: m.grants})
 	if err != nil {
 		return nil
 	}
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -45,12 +45,12 @@
 	const changes, bytes = 10, 150 << 10 // more than a log takes before it is compacted
 	last := uint64(7)
 	for range changes {
-		order := fmt.Sprintf(
+		change := fmt.Sprintf(
 			`{"generation":%d,"upsert":{"tenants":[{"name":"t","api-keys":["%s"],"rate-per-s":10,"burst":10}]}}`,
 			last+1,
 			strings.Repeat("k", bytes),
 		)
-		if status, body := s.call(0, "PATCH", "/config", strconv.FormatUint(last, 10), order); status != 200 {
+		if status, body := s.call(0, "PATCH", "/config", strconv.FormatUint(last, 10), change); status != 200 {
 			t.Fatal(status, body)
 		}
 		last++
