--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -46,16 +46,12 @@
 	if status := s.put(t, "PUT", "0", document); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(
-		t,
-		"the configuration at the gateway",
-		gateway.locked(func() bool { return gateway.configuration.Current().Generation == 7 }),
-	)
-	eventually(
-		t,
-		"the list of servers at the gateway",
-		gateway.locked(func() bool { return gateway.servers != nil && len(gateway.servers.Servers) == 2 }),
-	)
+	eventually(t, "the configuration at the gateway", gateway.locked(func() bool {
+		return gateway.configuration.Current().Generation == 7
+	}))
+	eventually(t, "the list of servers at the gateway", gateway.locked(func() bool {
+		return gateway.servers != nil && len(gateway.servers.Servers) == 2
+	}))
 	eventually(t, "the list of processes at the gateway", gateway.locked(func() bool {
 		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 &&
 			gateway.members.QuotaAddress != ""
@@ -76,11 +72,9 @@
 	if status := s.put(t, "PATCH", "7", `{"generation":9}`); status != 200 {
 		t.Fatal(status)
 	}
-	eventually(
-		t,
-		"the change at the gateway",
-		gateway.locked(func() bool { return gateway.configuration.Current().Generation == 9 }),
-	)
+	eventually(t, "the change at the gateway", gateway.locked(func() bool {
+		return gateway.configuration.Current().Generation == 9
+	}))
 
 	s.stop(0)
 	if status := s.put(t, "PATCH", "9", `{"generation":10}`); status != 200 {
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -45,7 +45,8 @@
 	stopping   sync.WaitGroup // incarnations that are ending
 	loops      sync.WaitGroup
 	usedSpares map[int]bool // spare control machines that have been started
-	// With a buffer of one: held while processes are started or ended; a mutex would stop the bubble's time.
+	// processLock, with a buffer of one, is held while processes are started or ended. A mutex would stop the bubble's
+	// time.
 	processLock chan struct{}
 
 	lock                 sync.Mutex // guards the fields below
@@ -124,16 +125,9 @@
 func (w *deployment) addSpare() {
 	i := len(w.settings)
 	settings := *w.settings[0]
-	settings.NodeName, settings.IP, settings.Zone = fmt.Sprint(
-		"front-",
-		i+1,
-	), fmt.Sprint(
-		"10.0.0.",
-		i+1,
-	), fmt.Sprint(
-		"z",
-		i,
-	)
+	settings.NodeName = fmt.Sprint("front-", i+1)
+	settings.IP = fmt.Sprint("10.0.0.", i+1)
+	settings.Zone = fmt.Sprint("z", i)
 	settings.ListenControl = settings.IP + ":8080"
 	w.settings = append(w.settings, &settings)
 	w.disks = append(w.disks, bubble.NewDisk(w.seed*8+uint64(i)))
@@ -401,13 +395,8 @@
 		change := fmt.Sprintf(`{"generation":%d,"x":"%s"}`, last+1, strings.Repeat("x", pad))
 		for !w.isOver() {
 			members := w.presentControls()
-			if status, _ := w.call(
-				members[random.IntN(len(members))],
-				"PATCH",
-				"/config",
-				strconv.FormatUint(last, 10),
-				change,
-			); status == 200 {
+			member := members[random.IntN(len(members))]
+			if status, _ := w.call(member, "PATCH", "/config", strconv.FormatUint(last, 10), change); status == 200 {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -74,10 +74,7 @@
 	for i := range s.running {
 		host, _, _ := net.SplitHostPort(seeds[i])
 		s.settings = append(s.settings, &node.Settings{
-			NodeName: fmt.Sprint(
-				"front-",
-				i+1,
-			),
+			NodeName:      fmt.Sprint("front-", i+1),
 			Role:          "control",
 			IP:            host,
 			Zone:          fmt.Sprint("z", i),
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -185,12 +185,10 @@
 	Convey("Gateways that polled recently are listed by name", t, func() {
 		table := New()
 		for i, name := range []string{"b", "a", "c"} {
-			table.Observe(
-				Contact{
-					Process: protocol.Process{Node: name, Role: protocol.RoleGateway},
-					At:      time.Duration(i) * second,
-				},
-			)
+			table.Observe(Contact{
+				Process: protocol.Process{Node: name, Role: protocol.RoleGateway},
+				At:      time.Duration(i) * second,
+			})
 		}
 		names := []string{}
 		for _, one := range table.Gateways(4 * second) {
--- a/internal/control/liveness/reconciliation.go
+++ b/internal/control/liveness/reconciliation.go
@@ -36,10 +36,7 @@
 		if member.State != protocol.StoreRetiring {
 			continue
 		}
-		if report := t.recentReport(
-			now,
-			member.Process,
-		); report != nil && report.Epoch == view.Epoch &&
+		if report := t.recentReport(now, member.Process); report != nil && report.Epoch == view.Epoch &&
 			report.DrainedDown {
 			list = append(list, member)
 		}
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -88,16 +88,14 @@
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
 func newAPI(chain *fakeChain) http.Handler {
-	return New(
-		Options{
-			State:           chain.state,
-			Chain:           chain,
-			Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
-			MaxBodyBytes:    4096,
-			MinActiveStores: 2,
-			Log:             zerolog.Nop(),
-		},
-	).Handler()
+	return New(Options{
+		State:           chain.state,
+		Chain:           chain,
+		Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
+		MaxBodyBytes:    4096,
+		MinActiveStores: 2,
+		Log:             zerolog.Nop(),
+	}).Handler()
 }
 
 func send(api http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
@@ -233,14 +231,12 @@
 	})
 	runInBubble(t, "a change that is too large here, and was accepted elsewhere, is acknowledged again", func(t *testing.T) {
 		chain := newFakeChain()
-		large := New(
-			Options{
-				State:  chain.state,
-				Chain:  chain,
-				Bounds: node.Bounds{Acknowledge: 4 * time.Second},
-				Log:    zerolog.Nop(),
-			},
-		).Handler()
+		large := New(Options{
+			State:  chain.state,
+			Chain:  chain,
+			Bounds: node.Bounds{Acknowledge: 4 * time.Second},
+			Log:    zerolog.Nop(),
+		}).Handler()
 		api := newAPI(chain)
 		body := document + strings.Repeat(" ", 5000)
 		checkStatus(t, send(large, "PUT", "/config", "0", body), 200)
--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -136,16 +136,14 @@
 		w.failf("start of %s: %v", m.ip, err)
 		return
 	}
-	api := New(
-		Options{
-			State:           state,
-			Chain:           w.bug.wrapChain(replicaChain{started}),
-			Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
-			MaxBodyBytes:    1 << 20,
-			MinActiveStores: simulatedTolerance + 1,
-			Log:             zerolog.Nop(),
-		},
-	)
+	api := New(Options{
+		State:           state,
+		Chain:           w.bug.wrapChain(replicaChain{started}),
+		Bounds:          node.Bounds{Acknowledge: 4 * time.Second},
+		MaxBodyBytes:    1 << 20,
+		MinActiveStores: simulatedTolerance + 1,
+		Log:             zerolog.Nop(),
+	})
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.starts++
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -423,12 +423,7 @@
 }
 
 // simulateHistory runs one simulation and returns its violations.
-func simulateHistory(
-	t *testing.T,
-	seed uint64,
-	span time.Duration,
-	bug injectedBug,
-) (failures []string, h *history) {
+func simulateHistory(t *testing.T, seed uint64, span time.Duration, bug injectedBug) (failures []string, h *history) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := 3
 		if seed%5 == 4 {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -81,11 +81,9 @@
 		s.stores = append(s.stores, s.startPoller(t, at, storeProcess(i, "a")))
 	}
 	for i, store := range s.stores {
-		eventually(
-			t,
-			fmt.Sprint("the lease of store ", i),
-			store.locked(func() bool { return store.grant.Member && store.grant.Lease > 0 }),
-		)
+		eventually(t, fmt.Sprint("the lease of store ", i), store.locked(func() bool {
+			return store.grant.Member && store.grant.Lease > 0
+		}))
 	}
 	eventually(t, "that the gateway is served", s.gateway.locked(func() bool {
 		return s.gateway.fresh && s.gateway.configuration.Current().Generation == 7 && s.gateway.servers != nil
@@ -105,16 +103,10 @@
 		{"POST", "/retire/store-9", "", `{"deadline-s":10}`}, // unknown here
 		{"GET", "/retire/store-1", "", ""},
 	} {
-		if status, body := s.call(
-			s.victim,
-			call.method,
-			call.path,
-			call.ifMatch,
-			call.body,
-		); status != 503 &&
-			status != 504 {
+		status, body := s.call(s.victim, call.method, call.path, call.ifMatch, call.body)
+		if status != 503 && status != 504 {
 			s.failf(
-				"%s %s If-Match %s at the one that is cut off: %d %s",
+				"%s %s If-Match %s at the partitioned process: %d %s",
 				call.method,
 				call.path,
 				call.ifMatch,
@@ -186,19 +178,18 @@
 func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
-		return s.gateway.locked(
-			func() bool { return s.gateway.fresh && s.gateway.configuration.Current().Generation == 9 },
-		)() &&
-			beginner.locked(func() bool { return beginner.fresh && beginner.configuration.Current().Generation == 9 })()
+		for _, gateway := range []*simulatedPoller{s.gateway, beginner} {
+			current := gateway.locked(func() bool {
+				return gateway.fresh && gateway.configuration.Current().Generation == 9
+			})
+			if !current() {
+				return false
+			}
+		}
+		return true
 	})
-	if status, body := s.call(
-		s.victim,
-		"GET",
-		"/config",
-		"",
-		"",
-	); status != 200 ||
-		!strings.Contains(body, `"generation":9`) {
+	status, body := s.call(s.victim, "GET", "/config", "", "")
+	if status != 200 || !strings.Contains(body, `"generation":9`) {
 		s.failf("the newest version isn't returned: %d %s", status, body)
 	}
 	if status, body := s.call(s.victim, "PUT", "/config", "0", quotaDocument); status != 200 {
@@ -216,17 +207,11 @@
 		}
 	}
 	if len(now.Members) != 5 {
-		s.failf("who polls at the one that is back isn't in the set: %v", now)
+		s.failf("a process that polls at the recovered one is no member: %v", now)
 	}
-	if status, body := s.call(
-		s.other,
-		"GET",
-		"/retire/store-3",
-		"",
-		"",
-	); status != 200 ||
-		!strings.Contains(body, "active") {
-		s.failf("a retirement counts as completed by what was reported during the cut: %d %s", status, body)
+	status, body = s.call(s.other, "GET", "/retire/store-3", "", "")
+	if status != 200 || !strings.Contains(body, "active") {
+		s.failf("a retirement counts as completed by what was reported during the partition: %d %s", status, body)
 	}
 }
 
@@ -293,14 +278,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				violations := strings.Join(
-					runPartition(
-						t,
-						partitionCase{head: true, out: true, in: true},
-						injectedBug{wrapReplica: test.wrapReplica},
-					),
-					"\n",
-				)
+				bug := injectedBug{wrapReplica: test.wrapReplica}
+				violations := strings.Join(runPartition(t, partitionCase{head: true, out: true, in: true}, bug), "\n")
 				if !strings.Contains(violations, test.violation) {
 					t.Errorf("not found; the violations are %q", violations)
 				}
--- a/internal/control/quotaservice/chainmodel_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -84,16 +84,14 @@
 	m.headSince, m.proofAt = w.Elapsed()+leaderDelay, 0
 	bounds := node.Bounds{QuotaWindow: testWindow, QuotaOvershoot: testOvershoot, QuotaSlack: testSlack}
 	self := statemachine.Grantor{Member: m.name, Process: fmt.Sprint(m.name, "/", m.incarnation)}
-	m.service = New(
-		Options{
-			Bounds:     bounds,
-			Leadership: m,
-			Record:     m,
-			Self:       self,
-			Wake:       func() { m.later(time.Millisecond, m.roles) },
-			clock:      w.Now,
-		},
-	)
+	m.service = New(Options{
+		Bounds:     bounds,
+		Leadership: m,
+		Record:     m,
+		Self:       self,
+		Wake:       func() { m.later(time.Millisecond, m.roles) },
+		clock:      w.Now,
+	})
 	m.later(w.randomDuration(200*time.Millisecond), m.rolesLoop)
 	m.proveEpoch()
 }
--- a/internal/control/quotaservice/service_test.go
+++ b/internal/control/quotaservice/service_test.go
@@ -75,15 +75,13 @@
 	Convey("Given the first process of a new system", t, func() {
 		state := &fakeChain{StateMachine: statemachine.New(), version: version}
 		lead := &fakeLeadership{heads: true, until: time.Now().Add(time.Minute)}
-		service := New(
-			Options{
-				Bounds:     bounds,
-				Leadership: lead,
-				Record:     state,
-				Self:       statemachine.Grantor{Member: "m1", Process: "p1"},
-				Wake:       func() {},
-			},
-		)
+		service := New(Options{
+			Bounds:     bounds,
+			Leadership: lead,
+			Record:     state,
+			Self:       statemachine.Grantor{Member: "m1", Process: "p1"},
+			Wake:       func() {},
+		})
 		refused(service)
 		So(state.applyNextChange(service).Taken, ShouldBeTrue)
 
@@ -112,15 +110,13 @@
 			before, err := ask(service, 1)
 			So(err, ShouldBeNil)
 			lead.alone = false
-			next := New(
-				Options{
-					Bounds:     bounds,
-					Leadership: lead,
-					Record:     state,
-					Self:       statemachine.Grantor{Member: "m1", Process: "p2"},
-					Wake:       func() {},
-				},
-			)
+			next := New(Options{
+				Bounds:     bounds,
+				Leadership: lead,
+				Record:     state,
+				Self:       statemachine.Grantor{Member: "m1", Process: "p2"},
+				Wake:       func() {},
+			})
 			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
@@ -134,15 +130,13 @@
 			refused(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
 			So(state.applyNextChange(service), ShouldBeNil)
-			next := New(
-				Options{
-					Bounds:     bounds,
-					Leadership: lead,
-					Record:     state,
-					Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
-					Wake:       func() {},
-				},
-			)
+			next := New(Options{
+				Bounds:     bounds,
+				Leadership: lead,
+				Record:     state,
+				Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
+				Wake:       func() {},
+			})
 			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
@@ -151,15 +145,13 @@
 		})
 		Convey("another process waits until the leader lease before it has ended, and ends this one's term", func() {
 			lead.alone = false
-			next := New(
-				Options{
-					Bounds:     bounds,
-					Leadership: lead,
-					Record:     state,
-					Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
-					Wake:       func() {},
-				},
-			)
+			next := New(Options{
+				Bounds:     bounds,
+				Leadership: lead,
+				Record:     state,
+				Self:       statemachine.Grantor{Member: "m2", Process: "p3"},
+				Wake:       func() {},
+			})
 			So(next.NextChange(), ShouldBeNil)
 			refused(next)
 			lead.alone = true
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -81,13 +81,8 @@
 			last+1,
 		)
 		for !w.isOver() {
-			if status, _ := w.call(
-				random.IntN(3),
-				"PATCH",
-				"/config",
-				strconv.FormatUint(last, 10),
-				change,
-			); status == 200 {
+			ifMatch := strconv.FormatUint(last, 10)
+			if status, _ := w.call(random.IntN(3), "PATCH", "/config", ifMatch, change); status == 200 {
 				last++
 				w.lock.Lock()
 				w.acknowledged = append(w.acknowledged, acknowledgement{version: last, at: time.Now()})
@@ -258,10 +253,9 @@
 	}
 	w.changes++
 	for _, member := range w.members.Members {
-		replaced := slices.ContainsFunc(
-			next.Members,
-			func(other protocol.StoreMember) bool { return other.Node == member.Node },
-		)
+		replaced := slices.ContainsFunc(next.Members, func(other protocol.StoreMember) bool {
+			return other.Node == member.Node
+		})
 		if left := time.Until(w.leases[member.Process]); !replaced && left > watchStep {
 			w.failf("%s is out of the set with %v of its lease left", member.Process.Incarnation, left)
 		}
@@ -384,9 +378,10 @@
 		if len(w.violations) > 0 {
 			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 		}
-		vouches, grants, changes, versions = vouches+w.vouches, grants+w.grants, changes+w.changes, versions+len(
-			w.acknowledged,
-		)
+		vouches += w.vouches
+		grants += w.grants
+		changes += w.changes
+		versions += len(w.acknowledged)
 	}
 	t.Logf(
 		"%d simulations: %d answers that vouch, %d leases, %d changes of the membership, %d versions",
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -74,10 +74,7 @@
 		s.disks = append(s.disks, bubble.NewDisk(seed*8+uint64(i)))
 		s.hosts = append(s.hosts, nil)
 		s.settings = append(s.settings, &node.Settings{
-			NodeName: fmt.Sprint(
-				"front-",
-				i+1,
-			),
+			NodeName:      fmt.Sprint("front-", i+1),
 			Role:          "control",
 			IP:            fmt.Sprint("10.0.0.", i+1),
 			Zone:          fmt.Sprint("z", i),
@@ -87,11 +84,9 @@
 			Seeds:         seeds,
 			Bootstrap:     true,
 			DataDir:       "/disk",
-			Limits: node.Limits{
-				MemoryMB: 284,
-			},
-			Tolerance: node.Tolerance{Machines: tolerance},
-			Cloud:     node.Cloud{Address: platformAddress, Rate: 50},
+			Limits:        node.Limits{MemoryMB: 284},
+			Tolerance:     node.Tolerance{Machines: tolerance},
+			Cloud:         node.Cloud{Address: platformAddress, Rate: 50},
 			Bounds: node.Bounds{
 				Acknowledge:    4 * time.Second,
 				QuotaWindow:    5 * time.Second,
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -74,10 +74,9 @@
 
 // withNodes returns nodes and add, without remove, sorted.
 func withNodes(nodes, add, remove []string) []string {
-	next := slices.DeleteFunc(
-		slices.Concat(nodes, add),
-		func(node string) bool { return slices.Contains(remove, node) },
-	)
+	next := slices.DeleteFunc(slices.Concat(nodes, add), func(node string) bool {
+		return slices.Contains(remove, node)
+	})
 	slices.Sort(next)
 	return slices.Compact(next)
 }
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -179,10 +179,9 @@
 					t.Fatal("the replicas differ in whom they suspect")
 				}
 				if number != 0 &&
-					!slices.ContainsFunc(
-						first.Stores().Members,
-						func(member protocol.StoreMember) bool { return member.Process == one },
-					) {
+					!slices.ContainsFunc(first.Stores().Members, func(member protocol.StoreMember) bool {
+						return member.Process == one
+					}) {
 					t.Fatalf("%s/%s is under suspicion and not in the set", one.Node, one.Incarnation)
 				}
 			}
--- a/internal/control/statemachine/suspicion.go
+++ b/internal/control/statemachine/suspicion.go
@@ -16,10 +16,9 @@
 	if s.indexOf(command.Node, command.Incarnation) < 0 {
 		return StoreUnknown
 	}
-	others := slices.DeleteFunc(
-		slices.Clone(s.suspicions),
-		func(one suspicion) bool { return one.Node == command.Node },
-	)
+	others := slices.DeleteFunc(slices.Clone(s.suspicions), func(one suspicion) bool {
+		return one.Node == command.Node
+	})
 	switch known := len(others) < len(s.suspicions); {
 	case command.Over:
 		s.suspicions = others
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -70,19 +70,15 @@
 		var stores []*simulatedPoller
 		for i := range 4 {
 			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
-			eventually(
-				t,
-				fmt.Sprint("the lease of store ", i),
-				stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }),
-			)
+			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool {
+				return stores[i].grant.Lease > 0
+			}))
 		}
 		s.fillLog(t)
 		stores[3].paused.Store(true)
-		eventually(
-			t,
-			"that one that doesn't poll is evicted",
-			func() bool { return len(s.running[0].state.Stores().Members) == 3 },
-		)
+		eventually(t, "that one that doesn't poll is evicted", func() bool {
+			return len(s.running[0].state.Stores().Members) == 3
+		})
 		newest := s.running[0].state.Stores().Epoch
 		for i := range s.running {
 			s.losePower(i)
@@ -139,13 +135,11 @@
 
 // newControlWithFixedReplica returns a control process without ports, on a chain that is always proven.
 func newControlWithFixedReplica() (*Control, *fixedReplica) {
-	c := newControl(
-		Options{
-			Settings:    &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10},
-			Log:         zerolog.Nop(),
-			environment: &environment{},
-		},
-	)
+	c := newControl(Options{
+		Settings:    &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10},
+		Log:         zerolog.Nop(),
+		environment: &environment{},
+	})
 	chain := &fixedReplica{proven: true, head: "127.0.0.1:1"}
 	c.replica = chain
 	c.peers = newPeers(c)
@@ -198,17 +192,11 @@
 		t.Fatalf("sent is %+v, where the lease is of epoch 2", list)
 	}
 	chain.head = "127.0.0.2:1"
-	if list := c.membersFor(
-		&subscriber{members: c.members.list.Version},
-		true,
-	); list == nil ||
+	if list := c.membersFor(&subscriber{members: c.members.list.Version}, true); list == nil ||
 		!strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
 		t.Fatalf("sent is %+v, where the allocator is elsewhere by now", list)
 	}
-	if hint := c.membersFor(
-		&subscriber{},
-		false,
-	); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 ||
+	if hint := c.membersFor(&subscriber{}, false); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 ||
 		hint.QuotaAddress != "" {
 		t.Fatalf("without proof sent is %+v", hint)
 	}
@@ -223,11 +211,9 @@
 		var stores []*simulatedPoller
 		for i := range 4 {
 			stores = append(stores, s.startPoller(t, i%3, storeProcess(i, "a")))
-			eventually(
-				t,
-				fmt.Sprint("the lease of store ", i),
-				stores[i].locked(func() bool { return stores[i].grant.Lease > 0 }),
-			)
+			eventually(t, fmt.Sprint("the lease of store ", i), stores[i].locked(func() bool {
+				return stores[i].grant.Lease > 0
+			}))
 		}
 		if status, body := s.call(0, "POST", "/retire/store-3", "", `{"deadline-s":10}`); status != 200 {
 			t.Errorf("the retirement: %d %s", status, body)
