--- a/internal/fake/faultyserver/fleet.go
+++ b/internal/fake/faultyserver/fleet.go
@@ -9,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/fake/memorynet"
 )
 
-// Fleet is the servers of a world.
+// Fleet is the servers of a simulation, with the network that reaches them and the checker that they report to.
 type Fleet struct {
 	Checker   *Checker
 	Network   *memorynet.Network
@@ -19,10 +19,10 @@
 	servers   []*server
 }
 
-// Address is where a server is, and its id.
+// Endpoint is the address of a server, and the id of its first incarnation.
 type Endpoint struct{ ID, Address string }
 
-// NewFleet starts so many servers.
+// NewFleet starts a number of servers. It must be called in a bubble of testing/synctest.
 func NewFleet(seed uint64, count int) *Fleet {
 	f := &Fleet{Checker: newChecker(), Network: newNetwork(rand.New(rand.NewPCG(seed, 1)))}
 	for i := range count {
@@ -38,17 +38,17 @@
 	return f
 }
 
-// script has all servers take their plans from a script. It is called before anything is sent.
+// useScript has all servers take their plans from a script. It is called before anything is sent.
 func (f *Fleet) useScript(s *script) {
 	for _, one := range f.servers {
 		one.script = s
 	}
 }
 
-// hazards is the share of exchanges in which something goes wrong, against the usual: worlds differ.
+// faultRate returns the fault rate of a seed: some simulations have few faults, some many.
 func faultRate(seed uint64) float64 { return [...]float64{0.3, 1, 1, 3}[seed%4] }
 
-// Close ends the servers, and waits until all that waits on a connection has ended.
+// Close ends the servers, and waits until everything that waits for a peer has timed out.
 func (f *Fleet) Close() {
 	for _, l := range f.listeners {
 		l.Close()
--- a/internal/fake/faultyserver/script.go
+++ b/internal/fake/faultyserver/script.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// answerBytes and requestBytes are beyond the end of most answers and requests that are cut at every byte.
+	// responseBytes and requestBytes are more than most responses and requests of EveryByte have.
 	responseBytes = 400
 	requestBytes  = 450
 )
 
-// script is plans that all servers of a world take one after the other.
+// script is a list of plans that all servers of a simulation take one after the other. When it is used up, no
+// faults follow.
 type script struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards plans
 	plans []faultPlan
 }
 
@@ -29,37 +30,38 @@
 	return p
 }
 
-// everyByte breaks an answer in each form at each byte in each way, and requests at each of theirs.
+// everyByte breaks responses in each framing, and requests, at each byte in each way.
 func everyByte() *script {
 	s := &script{}
-	for how := closeConn; how <= stall; how++ {
+	for action := closeConn; action <= stall; action++ {
 		for form := byContentLength; form <= byClose; form++ {
-			by := how
-			if form == byClose && how == closeConn {
-				by = resetConn // a close would be its end
+			truncateBy := action
+			if form == byClose && action == closeConn {
+				truncateBy = resetConn // a close would be the regular end of the response
 			}
 			for at := range responseBytes {
-				s.plans = append(s.plans, faultPlan{breakRequestAt: -1, executed: true, shortBody: true, framing: form, truncateAtByte: true, truncateAt: at, truncateBy: by})
+				s.plans = append(s.plans, faultPlan{breakRequestAt: -1, executed: true, shortBody: true, framing: form,
+					truncateAtByte: true, truncateAt: at, truncateBy: truncateBy})
 			}
 		}
 		for at := range requestBytes {
-			s.plans = append(s.plans, faultPlan{breakRequestAt: at, truncateShare: -1, requestBreak: how})
+			s.plans = append(s.plans, faultPlan{breakRequestAt: at, truncateShare: -1, requestBreak: action})
 		}
 	}
 	return s
 }
 
-// EveryByte plays a world in which requests and answers break at each of their first some hundred bytes, in each way, and gives
-// what was broken, how many breaks were left over, and counts.
-func EveryByte(t *testing.T) (failures []string, left int, counts map[string]int) {
+// EveryByte runs a simulation in which requests and responses break at each of their first few hundred bytes,
+// in each way. It returns the violations, the number of breaks that were not made, and the counts of events.
+func EveryByte(t *testing.T) (violations []string, remaining int, counts map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
-		all := everyByte()
+		breaks := everyByte()
 		size := Size{Servers: 4, Clients: 20}
-		size.Requests = 3 * len(all.plans) / 2 / size.Clients
-		w := newSimulation(1, size)
-		w.fleet.useScript(all)
-		w.run(t)
-		failures, left, counts = w.fleet.Checker.Finish(), len(all.plans), w.fleet.Checker.counts
+		size.Requests = 3 * len(breaks.plans) / 2 / size.Clients // more than breaks: some requests don't reach a server
+		s := newSimulation(1, size)
+		s.fleet.useScript(breaks)
+		s.run(t)
+		violations, remaining, counts = s.fleet.Checker.Finish(), len(breaks.plans), s.fleet.Checker.Counts()
 	})
-	return failures, left, counts
+	return violations, remaining, counts
 }
--- a/internal/fake/faultyserver/seeds.go
+++ b/internal/fake/faultyserver/seeds.go
@@ -12,63 +12,63 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// together is how many worlds are played at once.
-const concurrentSimulations = 3
+const (
+	// concurrentSimulations is the number of simulations that run at the same time.
+	concurrentSimulations = 3
+	// seedsForAllEvents is a number of simulations in which each of requiredEvents occurs.
+	seedsForAllEvents = 12
+)
 
-// Worlds plays worlds with the seeds that the environment names, as FIRST=S SEEDS=N, or so many from the first one; it holds that
-// nothing is broken in them, and that each hazard came about.
+// RunSeeds runs a number of simulations, with the seeds from 0 on. The environment can select others: FIRST
+// is the first seed, SEEDS the number. The test fails on any violation, on too few successes, and where an
+// event of requiredEvents never occurred.
 func RunSeeds(t *testing.T, count int) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		count = n
 	}
-	var mu sync.Mutex
-	all := map[string]int{}
+	var mu sync.Mutex // guards total
+	total := map[string]int{}
 	t.Run("worlds", func(t *testing.T) {
 		for lane := range concurrentSimulations {
 			t.Run(fmt.Sprint(lane), func(t *testing.T) {
 				t.Parallel()
-				for at := lane; at < count; at += concurrentSimulations {
-					seed := first + uint64(at)
-					broken, counts := Simulate(t, seed, StandardSize, nil)
-					for _, one := range broken {
-						t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, one)
+				for i := lane; i < count; i += concurrentSimulations {
+					seed := first + uint64(i)
+					violations, counts := Simulate(t, seed, StandardSize, nil)
+					for _, violation := range violations {
+						t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, violation)
 					}
 					mu.Lock()
 					for name, n := range counts {
-						all[name] += n
+						total[name] += n
 					}
 					mu.Unlock()
 				}
 			})
 		}
 	})
-	t.Log(count, "worlds from", first, all)
-	if all["successes"] < all["tries"]/3 {
-		t.Errorf("of %d tries only %d were a success", all["tries"], all["successes"])
+	t.Log(count, "simulations from", first, total)
+	if total[countSuccesses] < total[countRequests]/3 {
+		t.Errorf("of %d requests only %d were a success", total[countRequests], total[countSuccesses])
 	}
 	for _, name := range requiredEvents {
-		if count >= seedsForAllEvents && all[name] == 0 {
-			t.Errorf("never came about: %s", name)
+		if count >= seedsForAllEvents && total[name] == 0 {
+			t.Errorf("never occurred: %s", name)
 		}
 	}
 }
 
-// enough is in how many worlds each hazard comes about.
-const seedsForAllEvents = 12
-
-var requiredEvents = []string{"early answers", "bodies read on", "cut requests", "cut answers", "late answers", "extra bytes",
-	"clients that left", "resumed streams", "misdirected", "drained servers", "server restarts", "break 1", "break 2", "break 3", "break 4"}
-
-// Finds plays worlds from a seed with a bug planted, and holds that one of them shows it.
-func RequireBugFound(t *testing.T, most int, plant func(*proxy.Proxy, *pool.Pool)) {
-	for seed := uint64(1); seed <= uint64(most); seed++ {
-		broken, _ := Simulate(t, seed, StandardSize, plant)
-		if len(broken) > 0 {
-			slices.Sort(broken)
-			t.Logf("seed %d: %s", seed, broken[0])
+// RequireBugFound runs simulations with an injected bug until one has a violation. The test fails where none
+// of maxSeeds has.
+func RequireBugFound(t *testing.T, maxSeeds int, inject func(*proxy.Proxy, *pool.Pool)) {
+	for seed := uint64(1); seed <= uint64(maxSeeds); seed++ {
+		violations, _ := Simulate(t, seed, StandardSize, inject)
+		if len(violations) > 0 {
+			slices.Sort(violations)
+			t.Logf("seed %d: %s", seed, violations[0])
 			return
 		}
 	}
-	t.Errorf("%d worlds didn't show it", most)
+	t.Errorf("%d simulations didn't find it", maxSeeds)
 }
