--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -96,7 +96,7 @@
 
 // Before the process is gone every open transaction gets the answer that its module permits: a refusal where asking again is
 // harmless, a failure where it may have run. What the members answer afterwards changes nothing.
-func TestGiveUpAnswersAll(t *testing.T) {
+func TestShutdownAnswersAll(t *testing.T) {
 	sent, on := make(chan bool, 2), make(chan bool)
 	c, ask := start(t, func(f *Flow) (End, Answer) {
 		sent <- true
--- a/internal/core/era_test.go
+++ b/internal/core/era_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-func retuned(classes ...policy.Class) policy.Settings {
+func settings(classes ...policy.Class) policy.Settings {
 	for i := range classes {
 		classes[i].LatencyTarget, classes[i].Deadline, classes[i].Value = time.Second, 20*time.Second, 1
 	}
@@ -21,7 +21,7 @@
 }
 
 // era is a core whose flows end as a test says.
-func eraCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(era, class int) chan Answer) {
+func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(era, class int) chan Answer) {
 	flows := make(chan chan End, 16)
 	c, err := New(set, 1, NewClock(), carrier(func(f *Flow) (End, Answer) {
 		end := make(chan End)
@@ -44,12 +44,12 @@
 // What was taken before the settings changed goes on under the old ones, to its end: a read that was safe is tried again,
 // and as often as was allowed then, though its class is now unsafe, or gone.
 func TestOpenTransactionsKeepTheirSettings(t *testing.T) {
-	before := retuned(policy.Class{Name: "read"}, policy.Class{Name: "order", Idempotency: policy.NotIdempotent})
+	before := settings(policy.Class{Name: "read"}, policy.Class{Name: "order", Idempotency: policy.NotIdempotent})
 	before.MaxAttempts = 4
-	c, flows, ask := eraCore(t, before)
+	c, flows, ask := reconfigurableCore(t, before)
 	read, order := ask(0, 0), ask(0, 1)
 	one, two := <-flows, <-flows
-	number, err := c.Reconfigure(retuned(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
+	number, err := c.Reconfigure(settings(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
 	require.NoError(t, err)
 	require.Equal(t, 1, number)
 	fresh := ask(1, 0)
@@ -74,8 +74,8 @@
 // Quotas count over the change: what the old module has let in and what its open requests draw is gone from the new one's
 // stores too.
 func TestQuotasGoOn(t *testing.T) {
-	set := retuned(policy.Class{Name: "read"})
-	c, flows, ask := eraCore(t, set)
+	set := settings(policy.Class{Name: "read"})
+	c, flows, ask := reconfigurableCore(t, set)
 	for range 2 {
 		answer := ask(0, 0)
 		(<-flows) <- EndServed
@@ -104,12 +104,12 @@
 }
 
 // An era ends with its last transaction, and not before what fronts had begun to read under it has come.
-func TestErasEnd(t *testing.T) {
-	c, flows, ask := eraCore(t, retuned(policy.Class{Name: "read"}))
+func TestGenerationsRetire(t *testing.T) {
+	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
 	open := ask(0, 0)
 	flow := <-flows
 	for i := range 3 {
-		number, err := c.Reconfigure(retuned(policy.Class{Name: "read"}), uint64(i))
+		number, err := c.Reconfigure(settings(policy.Class{Name: "read"}), uint64(i))
 		require.NoError(t, err)
 		require.Equal(t, i+1, number)
 	}
@@ -130,9 +130,9 @@
 }
 
 // Settings that can't be used change nothing.
-func TestRetuneRefuses(t *testing.T) {
-	c, flows, ask := eraCore(t, retuned(policy.Class{Name: "read"}))
-	none, other := retuned(), retuned(policy.Class{Name: "read"})
+func TestReconfigureRejectsInvalidSettings(t *testing.T) {
+	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
+	none, other := settings(), settings(policy.Class{Name: "read"})
 	other.Gateways = 2
 	for _, set := range []policy.Settings{none, other} {
 		_, err := c.Reconfigure(set, 2)
@@ -144,9 +144,9 @@
 }
 
 // To another process goes what is known, and word of each flow that is started afterwards.
-func TestCarryAndTap(t *testing.T) {
-	set := retuned(policy.Class{Name: "read"})
-	c, flows, ask := eraCore(t, set)
+func TestStateAndSendsGoToAnotherProcess(t *testing.T) {
+	set := settings(policy.Class{Name: "read"})
+	c, flows, ask := reconfigurableCore(t, set)
 	answer := ask(0, 0)
 	(<-flows) <- EndServed
 	<-answer
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -14,7 +14,7 @@
 )
 
 // Of a client that left before its request is decided about the module doesn't hear: nothing is drawn and no turn taken.
-func TestClientThatLeftIsNotAskedFor(t *testing.T) {
+func TestClientThatLeftDrawsNothing(t *testing.T) {
 	c, _ := start(t, func(*Flow) (End, Answer) { panic("sent on") })
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
@@ -26,7 +26,7 @@
 }
 
 // What comes between the last answers and the end of the process is refused at once, and not left to the kill.
-func TestWhatComesAfterTheLastAnswers(t *testing.T) {
+func TestRequestsAfterShutdownAreRefused(t *testing.T) {
 	c, ask := start(t, func(*Flow) (End, Answer) { panic("sent on") })
 	c.Shutdown()
 	begun := time.Now()
@@ -39,13 +39,13 @@
 
 // An answer comes as the deadline fires: the client has one outcome, decided in one place, and what the other holds is given
 // back once.
-func TestAnswerThatComesAsTheDeadlineFires(t *testing.T) {
+func TestAnswerAtTheDeadline(t *testing.T) {
 	answered := make(chan bool)
 	var freed, closed atomic.Int32
 	c, ask := start(t, func(f *Flow) (End, Answer) {
 		f.Begin(io.NopCloser(nil))
 		<-answered // the deadline has fired, and the flow doesn't know
-		return EndServed, Answer{Remainder: closes{&closed}, Release: func() { freed.Add(1) }}
+		return EndServed, Answer{Remainder: countingCloser{&closed}, Release: func() { freed.Add(1) }}
 	})
 	assert.Equal(t, Failed, ask(1, 300*time.Millisecond).Kind)
 	close(answered)
@@ -54,7 +54,7 @@
 	assert.Contains(t, c.Counters().String(), "answered_served=0 answered_refused=0 answered_failed=1")
 }
 
-type closes struct{ n *atomic.Int32 }
+type countingCloser struct{ n *atomic.Int32 }
 
-func (closes) Read([]byte) (int, error) { return 0, io.EOF }
-func (c closes) Close() error           { c.n.Add(1); return nil }
+func (countingCloser) Read([]byte) (int, error) { return 0, io.EOF }
+func (c countingCloser) Close() error           { c.n.Add(1); return nil }
--- a/policy/cap_test.go
+++ b/policy/cap_test.go
@@ -8,7 +8,7 @@
 // A plan with no rate and a cap on attempts out at once: what the gateways of a customer have out together is what counts,
 // through whichever of them it asks. Lost words neither keep a place nor free one for long, and where a gateway is down or
 // cut off both sides keep to what is theirs.
-func TestCapOnAttemptsOutOverGateways(t *testing.T) {
+func TestMaxInFlightOverGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = 2*time.Second, 10*time.Second
@@ -17,15 +17,15 @@
 	id := RequestID(0)
 	out := func() (n int) {
 		for _, n2 := range f.nodes {
-			n += len(n2.g.inFlight)
+			n += len(n2.gateway.inFlight)
 		}
 		return n
 	}
 	ask := func(node int) bool {
 		id++
 		n := f.nodes[node]
-		n.took = 400 * ms
-		n.g.Request(f.now, Request{ID: id, Customer: 7, Deadline: f.now + 9*time.Second, Units: 1, SetSize: 3})
+		n.latency = 400 * ms
+		n.gateway.Request(f.now, Request{ID: id, Customer: 7, Deadline: f.now + 9*time.Second, Units: 1, SetSize: 3})
 		return n.sent[id]
 	}
 	f.run(2*time.Second, func() {})
@@ -55,7 +55,7 @@
 		t.Fatalf("%d out at rest", out())
 	}
 
-	f.cut = func(from, to int) bool { return from == 2 || to == 2 }
+	f.partitioned = func(from, to int) bool { return from == 2 || to == 2 }
 	f.run(2*time.Second, func() {})
 	most = 0
 	for range 20 { // one that is cut off has its part, and the others leave that alone
@@ -65,15 +65,15 @@
 			ask(2)
 		}
 		f.run(100*ms, func() {})
-		if len(f.nodes[2].g.inFlight) > 2 || out() > 6 {
-			t.Errorf("%d out with one of three cut off, %d of it there", out(), len(f.nodes[2].g.inFlight))
+		if len(f.nodes[2].gateway.inFlight) > 2 || out() > 6 {
+			t.Errorf("%d out with one of three cut off, %d of it there", out(), len(f.nodes[2].gateway.inFlight))
 		}
 		most = max(most, out())
 	}
 	if most < 6 {
 		t.Errorf("%d out at most while more is asked, the cap is 6", most)
 	}
-	f.cut = nil
+	f.partitioned = nil
 	f.run(3*time.Second, func() {})
 	in := 0
 	f.run(50*ms, func() {
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -8,9 +8,9 @@
 )
 
 // next gives a gateway that follows f's, with other settings where change says so.
-func (f *fake) next(t *testing.T, change func(*Settings)) *fake {
+func (f *fakeHost) successor(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
-	set := f.g.cfg
+	set := f.gateway.cfg
 	if change != nil {
 		change(&set)
 	}
@@ -18,22 +18,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &fake{t: t, g: g, now: f.now, ended: map[RequestID]string{}}
+	n := &fakeHost{t: t, gateway: g, now: f.now, ended: map[RequestID]string{}}
 	g.Attach(n)
-	if err := g.ImportState(n.now, f.g.ExportState(f.now, 1<<20)); err != nil {
+	if err := g.ImportState(n.now, f.gateway.ExportState(f.now, 1<<20)); err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
 // left gives what is left of a customer's store and under its ceiling.
-func (f *fake) left(customer CustomerID) (account, ceiling float64) {
-	c := f.g.customersByID[customer]
-	f.g.refill(c, 0)
+func (f *fakeHost) remaining(customer CustomerID) (account, ceiling float64) {
+	c := f.gateway.customersByID[customer]
+	f.gateway.refill(c, 0)
 	return c.balance, c.hardLimit.Tokens
 }
 
-func (f *fake) serve(id RequestID, took time.Duration, change func(*Request)) {
+func (f *fakeHost) serve(id RequestID, took time.Duration, change func(*Request)) {
 	f.ask(id, change)
 	f.done(f.sent[len(f.sent)-1], Served, took)
 }
@@ -49,18 +49,18 @@
 
 // What a gateway knows goes on in the next: what is left of stores and ceilings, who is ejected, how long attempts take,
 // how much cold servers were sent. So it does with other settings, by the names of classes and plans.
-func TestWhatIsKnownGoesOn(t *testing.T) {
+func TestStateGoesToTheSuccessor(t *testing.T) {
 	f := start(t, busySettings(), 4)
-	f.until(f.now + 100*time.Second) // a ceiling fills from the start on
+	f.runUntil(f.now + 100*time.Second) // a ceiling fills from the start on
 	for id := RequestID(1); id <= 30; id++ {
 		f.serve(id, 40*ms, func(r *Request) { r.Customer = 5 })
 		f.serve(100+id, 90*ms, func(r *Request) { r.Customer, r.Plan, r.Class = 6, 1, 1 })
 	}
 	cold := ServerInfo{ID: 9, Weight: 1, StartedAt: f.now}
-	f.g.Servers(f.now, ListChanges, []ServerInfo{cold})
-	f.g.serversByID[9].coldBudget.Sent = []Time{f.now, f.now}
+	f.gateway.Servers(f.now, ListChanges, []ServerInfo{cold})
+	f.gateway.serversByID[9].coldBudget.Sent = []Time{f.now, f.now}
 	for range 4 {
-		f.g.recordHealth(f.g.serversByID[2], true)
+		f.gateway.recordHealth(f.gateway.serversByID[2], true)
 	}
 	for name, change := range map[string]func(*Settings){
 		"the same settings": nil,
@@ -69,9 +69,9 @@
 			s.Plans = []Plan{s.Plans[1], {Name: "fresh", Rate: 1, Burst: 1, ValueMultiplier: 1}, s.Plans[0]}
 		},
 	} {
-		n := f.next(t, change)
+		n := f.successor(t, change)
 		class := func(want string) int {
-			for i, c := range n.g.cfg.Classes {
+			for i, c := range n.gateway.cfg.Classes {
 				if c.Name == want {
 					return i
 				}
@@ -79,7 +79,7 @@
 			return -1
 		}
 		plan := func(want string) int {
-			for i, p := range n.g.cfg.Plans {
+			for i, p := range n.gateway.cfg.Plans {
 				if p.Name == want {
 					return i
 				}
@@ -87,145 +87,145 @@
 			return -1
 		}
 		for customer, want := range map[CustomerID]string{5: "small", 6: "large"} {
-			account, ceiling := f.left(customer)
-			if a, c := n.left(customer); math.Abs(a-account) > 0.01 || math.Abs(c-ceiling) > 0.01 {
+			account, ceiling := f.remaining(customer)
+			if a, c := n.remaining(customer); math.Abs(a-account) > 0.01 || math.Abs(c-ceiling) > 0.01 {
 				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, account, ceiling)
 			}
-			if got := n.g.customersByID[customer].plan; got != plan(want) || n.g.customersByKey[n.g.customersByID[customer].key] == nil {
+			if got := n.gateway.customersByID[customer].plan; got != plan(want) || n.gateway.customersByKey[n.gateway.customersByID[customer].key] == nil {
 				t.Errorf("%s: customer %d has plan %d", name, customer, got)
 			}
 			n.ask(1000+RequestID(customer), func(r *Request) { r.Customer, r.Plan, r.Class = customer, plan(want), class("order") })
 		}
-		if got := len(n.g.customers); got != 2 {
+		if got := len(n.gateway.customers); got != 2 {
 			t.Errorf("%s: %d customers after they have asked again", name, got)
 		}
-		if got := n.g.classTypicalLatency(class("order")); math.Abs(got-f.g.classTypicalLatency(1)) > 0.02 {
-			t.Errorf("%s: orders take %v, known were %v", name, got, f.g.classTypicalLatency(1))
+		if got := n.gateway.classTypicalLatency(class("order")); math.Abs(got-f.gateway.classTypicalLatency(1)) > 0.02 {
+			t.Errorf("%s: orders take %v, known were %v", name, got, f.gateway.classTypicalLatency(1))
 		}
-		if c := class("new"); c >= 0 && n.g.classTypicalLatency(c) != 0.25 {
-			t.Errorf("%s: a new class begins with %v", name, n.g.classTypicalLatency(c))
+		if c := class("new"); c >= 0 && n.gateway.classTypicalLatency(c) != 0.25 {
+			t.Errorf("%s: a new class begins with %v", name, n.gateway.classTypicalLatency(c))
 		}
-		if !n.g.ejected(n.g.serversByID[2]) || n.g.ejected(n.g.serversByID[1]) {
+		if !n.gateway.ejected(n.gateway.serversByID[2]) || n.gateway.ejected(n.gateway.serversByID[1]) {
 			t.Errorf("%s: the ejected server is another", name)
 		}
-		if got := len(n.g.serversByID[9].coldBudget.Sent); got != 2 || n.g.warmth(n.g.serversByID[9]) >= 1 {
+		if got := len(n.gateway.serversByID[9].coldBudget.Sent); got != 2 || n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
 			t.Errorf("%s: %d sends to the cold server are known", name, got)
 		}
 	}
-	n := f.next(t, func(s *Settings) { s.Plans = s.Plans[1:] })
-	if got := len(n.g.customers); got != 1 || n.g.customersByID[6] == nil || n.g.customersByID[6].plan != 0 {
+	n := f.successor(t, func(s *Settings) { s.Plans = s.Plans[1:] })
+	if got := len(n.gateway.customers); got != 1 || n.gateway.customersByID[6] == nil || n.gateway.customersByID[6].plan != 0 {
 		t.Errorf("%d customers, of whom one has a plan that there still is", got)
 	}
 }
 
 // To its peers the next gateway is the same one: no second life, and nothing drawn twice.
-func TestPeersDontNoticeTheNext(t *testing.T) {
+func TestPeersDoNotNoticeASuccessor(t *testing.T) {
 	f, peer := start(t, twoGateways(), 4), start(t, func() Settings { s := twoGateways(); s.Self = 1; return s }(), 4)
-	pass := func(from *fake) {
-		for _, m := range from.told {
-			peer.g.PeerMessage(peer.now, 0, m)
+	pass := func(from *fakeHost) {
+		for _, m := range from.messages {
+			peer.gateway.PeerMessage(peer.now, 0, m)
 		}
-		from.told = nil
+		from.messages = nil
 	}
 	pair := func(r *Request) { r.Customer, r.SetSize = 5, 2 }
 	for id := RequestID(1); id <= 4; id++ {
 		f.ask(id, pair)
-		f.until(f.now + 100*ms)
-		peer.until(f.now)
+		f.runUntil(f.now + 100*ms)
+		peer.runUntil(f.now)
 		pass(f)
 	}
-	left, lives := peer.g.customersByKey[customerKey(5, 0, 0, 2)].balance, peer.g.incarnations[0]
-	n := f.next(t, nil)
-	n.until(n.now + time.Second)
-	peer.until(n.now)
+	left, lives := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance, peer.gateway.incarnations[0]
+	n := f.successor(t, nil)
+	n.runUntil(n.now + time.Second)
+	peer.runUntil(n.now)
 	pass(n)
-	if got := peer.g.incarnations[0]; got != lives {
+	if got := peer.gateway.incarnations[0]; got != lives {
 		t.Fatalf("%d lives, %d before", got, lives)
 	}
-	peer.g.refill(peer.g.customersByKey[customerKey(5, 0, 0, 2)], 0)
-	if got := peer.g.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
+	peer.gateway.refill(peer.gateway.customersByKey[customerKey(5, 0, 0, 2)], 0)
+	if got := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
 		t.Fatalf("%v left, %v before", got, left)
 	}
 }
 
 // What the other process sends counts here: units and ceiling, and cold budgets.
-func TestElsewhere(t *testing.T) {
+func TestSentElsewhere(t *testing.T) {
 	f := start(t, busySettings(), 1)
-	f.until(f.now + 100*time.Second)
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, Weight: 1, StartedAt: f.now}})
+	f.runUntil(f.now + 100*time.Second)
+	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, Weight: 1, StartedAt: f.now}})
 	draw := Request{Customer: 5, Plan: 1, Units: 2, SetSize: 1}
 	for id := RequestID(1); id <= 20; id++ {
-		f.g.SentElsewhere(f.now, draw, 9, id%2 == 0)
+		f.gateway.SentElsewhere(f.now, draw, 9, id%2 == 0)
 	}
-	f.g.SentElsewhere(f.now, draw, 77, false) // a server not known here
-	if account, ceiling := f.left(5); account != 80 || ceiling != 40 {
+	f.gateway.SentElsewhere(f.now, draw, 77, false) // a server not known here
+	if account, ceiling := f.remaining(5); account != 80 || ceiling != 40 {
 		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", account, ceiling)
 	}
-	if got := len(f.g.serversByID[9].coldBudget.Sent); got != 20 {
+	if got := len(f.gateway.serversByID[9].coldBudget.Sent); got != 20 {
 		t.Errorf("%d sends to the cold server are known, of 20", got)
 	}
 }
 
 // A peer that has not yet the same settings is heard, but its numbers of other groups and plans count for nothing.
-func TestPeersOfOtherSettings(t *testing.T) {
+func TestUpdatesOfOtherSettings(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	m := message(time.Second, 5, 100)
 	other := settings()
 	other.Plans[0].Name = "other"
 	means := other.schema()
 	copy(m[5:], means[:])
-	f.g.PeerMessage(f.now, 1, m)
-	if f.g.peerLastContact[1] != f.now {
+	f.gateway.PeerMessage(f.now, 1, m)
+	if f.gateway.peerLastContact[1] != f.now {
 		t.Error("the peer was not heard")
 	}
-	if len(f.g.customers) != 0 {
+	if len(f.gateway.customers) != 0 {
 		t.Error("a customer of another plan was made")
 	}
-	f.g.PeerMessage(f.now, 1, message(2*time.Second, 5, 100))
-	if len(f.g.customers) != 1 {
+	f.gateway.PeerMessage(f.now, 1, message(2*time.Second, 5, 100))
+	if len(f.gateway.customers) != 1 {
 		t.Error("the customer of the same plan was not")
 	}
 }
 
 // Carried state is taken whole or not at all: cut at any byte, of another gateway, or of another form it changes nothing.
-func TestOddStateIsDropped(t *testing.T) {
+func TestInvalidStateIsRejected(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
-	whole := f.g.ExportState(f.now, 1<<20)
-	fresh := func() *fake {
-		g, err := New(f.g.cfg, 9)
+	whole := f.gateway.ExportState(f.now, 1<<20)
+	fresh := func() *fakeHost {
+		g, err := New(f.gateway.cfg, 9)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := &fake{t: t, g: g, now: f.now, ended: map[RequestID]string{}}
+		n := &fakeHost{t: t, gateway: g, now: f.now, ended: map[RequestID]string{}}
 		g.Attach(n)
 		return n
 	}
 	for i := range whole {
 		n := fresh()
-		if n.g.ImportState(n.now, whole[:i]) == nil {
+		if n.gateway.ImportState(n.now, whole[:i]) == nil {
 			t.Fatalf("the first %d of %d bytes were taken", i, len(whole))
 		}
-		if n.g.started || len(n.g.customers)+len(n.g.servers) > 0 {
+		if n.gateway.started || len(n.gateway.customers)+len(n.gateway.servers) > 0 {
 			t.Fatalf("%d bytes have left something behind", i)
 		}
 	}
 	n := fresh()
-	if err := n.g.ImportState(n.now, whole); err != nil {
+	if err := n.gateway.ImportState(n.now, whole); err != nil {
 		t.Fatal(err)
 	}
-	if n.g.ImportState(n.now, whole) == nil {
+	if n.gateway.ImportState(n.now, whole) == nil {
 		t.Error("it was taken twice")
 	}
-	if fresh().g.ImportState(f.now, append(bytes.Clone(whole), 0)) == nil {
+	if fresh().gateway.ImportState(f.now, append(bytes.Clone(whole), 0)) == nil {
 		t.Error("a byte too many was taken")
 	}
 	other := bytes.Clone(whole)
 	other[0]++
-	if fresh().g.ImportState(f.now, other) == nil {
+	if fresh().gateway.ImportState(f.now, other) == nil {
 		t.Error("another version was taken")
 	}
-	set := f.g.cfg
+	set := f.gateway.cfg
 	set.Gateways, set.Self = 3, 2
 	g, _ := New(set, 9)
 	g.Attach(f)
@@ -235,42 +235,42 @@
 }
 
 // However many customers there are, what is carried keeps to its bytes, and those seen last are in it.
-func TestCarriedStateIsBounded(t *testing.T) {
+func TestExportedStateIsBounded(t *testing.T) {
 	f := start(t, settings(), 4)
 	for i := 1; i <= 3000; i++ {
 		f.now += ms
 		f.serve(RequestID(i), ms, func(r *Request) { r.Customer = CustomerID(i) })
 	}
 	const most = 100 << 10
-	carried := f.g.ExportState(f.now, most)
+	carried := f.gateway.ExportState(f.now, most)
 	if len(carried) > most+most/4 {
 		t.Fatalf("%d bytes, %d are wanted", len(carried), most)
 	}
-	g, err := New(f.g.cfg, 9)
+	g, err := New(f.gateway.cfg, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &fake{t: t, g: g, now: f.now, ended: map[RequestID]string{}}
+	n := &fakeHost{t: t, gateway: g, now: f.now, ended: map[RequestID]string{}}
 	g.Attach(n)
 	if err := g.ImportState(n.now, carried); err != nil {
 		t.Fatal(err)
 	}
-	if n.g.customersByID[3000] == nil {
+	if n.gateway.customersByID[3000] == nil {
 		t.Error("the customer seen last is unknown")
 	}
 }
 
-func FuzzFollow(f *testing.F) {
+func FuzzImportState(f *testing.F) {
 	src := start(&testing.T{}, busySettings(), 2)
 	src.serve(1, ms, func(r *Request) { r.Customer = 5 })
-	f.Add(src.g.ExportState(src.now, 1<<20))
+	f.Add(src.gateway.ExportState(src.now, 1<<20))
 	f.Fuzz(func(t *testing.T, carried []byte) {
 		set := busySettings()
 		g, err := New(set, 9)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := &fake{t: t, g: g, now: src.now, ended: map[RequestID]string{}}
+		n := &fakeHost{t: t, gateway: g, now: src.now, ended: map[RequestID]string{}}
 		g.Attach(n)
 		if g.ImportState(n.now, carried) != nil {
 			return
@@ -278,7 +278,7 @@
 		g.Servers(n.now, ListChanges, []ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1, StartedAt: n.now}})
 		for i := 1; i <= 5; i++ {
 			n.ask(RequestID(i), func(r *Request) { r.Customer, r.Plan = 5, i%2 })
-			n.until(n.now + time.Second)
+			n.runUntil(n.now + time.Second)
 		}
 	})
 }
--- a/policy/coming_test.go
+++ b/policy/coming_test.go
@@ -5,60 +5,60 @@
 	"time"
 )
 
-func coming(r *Request) { r.BodyPending = true }
+func bodyPending(r *Request) { r.BodyPending = true }
 
 // While a body is still coming no time runs for its request: it is not given up at what was its deadline, its member is not
 // taken for slow, and no second copy is made. From its last byte on it has its deadline as any other.
-func TestNoTimeRunsWhileABodyComes(t *testing.T) {
+func TestNoTimeCountsWhileABodyIsPending(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.ask(1, coming)
+	f.ask(1, bodyPending)
 	to := f.sent[0].to
-	f.until(f.now + 10*time.Second)
+	f.runUntil(f.now + 10*time.Second)
 	if len(f.sent) != 1 || f.ended[1] != "" {
 		t.Fatalf("%d attempts, ended %q", len(f.sent), f.ended[1])
 	}
-	if f.g.load() != 0 || f.g.serversByID[to].load() != 0 {
-		t.Errorf("%v places are held, %v at its server, which has nothing to do yet", f.g.load(), f.g.serversByID[to].load())
+	if f.gateway.load() != 0 || f.gateway.serversByID[to].load() != 0 {
+		t.Errorf("%v places are held, %v at its server, which has nothing to do yet", f.gateway.load(), f.gateway.serversByID[to].load())
 	}
-	if f.g.overloaded || f.g.capacityOf(f.g.serversByID[to]) < f.g.capacityOf(f.g.serversByID[to%4+1]) {
+	if f.gateway.overloaded || f.gateway.capacityOf(f.gateway.serversByID[to]) < f.gateway.capacityOf(f.gateway.serversByID[to%4+1]) {
 		t.Error("the time that the body took is held against its member")
 	}
-	for _, o := range f.g.Observe(f.now) {
+	for _, o := range f.gateway.Observe(f.now) {
 		if o.Overdue > 0 {
 			t.Errorf("server %d is seen as overdue", o.ID)
 		}
 	}
-	f.g.BodySent(f.now, 1, f.now+2*time.Second)
-	if f.g.load() != 1 || f.g.serversByID[to].load() != 1 {
-		t.Errorf("%v places are held, %v at its server", f.g.load(), f.g.serversByID[to].load())
+	f.gateway.BodySent(f.now, 1, f.now+2*time.Second)
+	if f.gateway.load() != 1 || f.gateway.serversByID[to].load() != 1 {
+		t.Errorf("%v places are held, %v at its server", f.gateway.load(), f.gateway.serversByID[to].load())
 	}
-	f.until(f.now + 1900*ms)
+	f.runUntil(f.now + 1900*ms)
 	if len(f.sent) != 1 || f.ended[1] != "" {
 		t.Fatalf("%d attempts, ended %q before its time was over", len(f.sent), f.ended[1])
 	}
-	f.until(f.now + 200*ms)
+	f.runUntil(f.now + 200*ms)
 	if f.ended[1] != "refused" {
 		t.Errorf("ended %q after its time", f.ended[1])
 	}
 }
 
 // One that no member can take has its first deadline: a client is not kept waiting with half its body sent.
-func TestHeldWhileABodyComes(t *testing.T) {
+func TestQueuedWhileABodyIsPending(t *testing.T) {
 	f := start(t, settings(), 0)
-	f.ask(1, coming)
-	f.until(f.now + 3*time.Second)
+	f.ask(1, bodyPending)
+	f.runUntil(f.now + 3*time.Second)
 	if f.ended[1] != "refused" {
 		t.Errorf("ended %q", f.ended[1])
 	}
 }
 
 // What took nothing of a body that comes by once may be followed by another attempt; what did may not, whatever the class.
-func TestBodyThatIsSpent(t *testing.T) {
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	for spent, attempts := range map[bool]int{false: 2, true: 1} {
 		f := start(t, settings(), 4)
-		f.ask(1, coming)
+		f.ask(1, bodyPending)
 		s := f.sent[0]
-		f.g.Outcome(f.now, Outcome{ID: 1, Server: s.to, Ending: NotConnected, BodyConsumed: spent})
+		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: s.to, Ending: NotConnected, BodyConsumed: spent})
 		if len(f.sent) != attempts {
 			t.Errorf("spent %v: %d attempts", spent, len(f.sent))
 		}
@@ -67,8 +67,8 @@
 		}
 	}
 	f := start(t, settings(), 4)
-	f.ask(1, coming)
-	f.g.BodySent(f.now, 1, f.now+2*time.Second)
+	f.ask(1, bodyPending)
+	f.gateway.BodySent(f.now, 1, f.now+2*time.Second)
 	f.done(f.sent[0], Errored, 10*ms)
 	if len(f.sent) != 1 || f.ended[1] == "" {
 		t.Errorf("%d attempts, ended %q: it came by once", len(f.sent), f.ended[1])
@@ -77,31 +77,31 @@
 
 // The units of a request count as drawn when its last byte has come: until then the store doesn't fill up what is meant for
 // it, and one that never comes has drawn nothing.
-func TestUnitsOfABodyThatComes(t *testing.T) {
+func TestUnitsOfAPendingBody(t *testing.T) {
 	s := settings()
 	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 20}
 	f := start(t, s, 4)
-	f.until(f.now + time.Minute)
+	f.runUntil(f.now + time.Minute)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
-	f.until(f.now + 10*time.Second)
+	f.runUntil(f.now + 10*time.Second)
 	f.ask(2, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
-	f.until(f.now + 10*time.Second)
-	if account, ceiling := f.left(5); account != 2 || ceiling != 12 {
+	f.runUntil(f.now + 10*time.Second)
+	if account, ceiling := f.remaining(5); account != 2 || ceiling != 12 {
 		t.Errorf("%v and %v are left of 10 and 20 while 8 are to come", account, ceiling)
 	}
-	f.g.BodySent(f.now, 2, f.now+2*time.Second)
-	if account, _ := f.left(5); account != 2 {
+	f.gateway.BodySent(f.now, 2, f.now+2*time.Second)
+	if account, _ := f.remaining(5); account != 2 {
 		t.Errorf("%v are left when 8 have come", account)
 	}
 	f.done(f.sent[len(f.sent)-1], Served, 10*ms)
-	f.until(f.now + 10*time.Second)
-	if account, ceiling := f.left(5); account != 10 || ceiling != 20 {
+	f.runUntil(f.now + 10*time.Second)
+	if account, ceiling := f.remaining(5); account != 10 || ceiling != 20 {
 		t.Errorf("%v and %v are left of 10 and 20 at last", account, ceiling)
 	}
 	f.ask(3, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
 	to := f.sent[len(f.sent)-1]
-	f.g.Outcome(f.now, Outcome{ID: 3, Server: to.to, Ending: NeverSent, BodyConsumed: true})
-	if account, ceiling := f.left(5); account != 10 || ceiling != 20 {
+	f.gateway.Outcome(f.now, Outcome{ID: 3, Server: to.to, Ending: NeverSent, BodyConsumed: true})
+	if account, ceiling := f.remaining(5); account != 10 || ceiling != 20 {
 		t.Errorf("%v and %v are left of 10 and 20 though nothing came", account, ceiling)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -10,30 +10,30 @@
 
 // fleet runs many gateways of the real module; messages between them are late and some are lost.
 type fleet struct {
-	t     *testing.T
-	now   Time
-	rng   *rand.Rand
-	loss  float64
-	nodes []*node
-	wheel map[Time][]func()
-	bytes int
-	told  int
-	cut   func(from, to int) bool // nil: no link is
-	slow  map[ServerID]time.Duration
+	t           *testing.T
+	now         Time
+	rng         *rand.Rand
+	loss        float64
+	nodes       []*node
+	wheel       map[Time][]func()
+	bytes       int
+	messages    int
+	partitioned func(from, to int) bool // nil: no link is
+	latencies   map[ServerID]time.Duration
 }
 
 type node struct {
-	f        *fleet
-	me       int
-	g        *Gateway
-	sent     map[RequestID]bool
-	refused  map[RequestID]bool
-	took     time.Duration
-	sends    []send
-	log      []string
-	received int
-	life     int
-	true     float64 // units that answers tell
+	fleet       *fleet
+	number      int
+	gateway     *Gateway
+	sent        map[RequestID]bool
+	refused     map[RequestID]bool
+	latency     time.Duration
+	sends       []send
+	log         []string
+	received    int
+	incarnation int
+	trueUnits   float64 // units that answers tell
 }
 
 const fleetTick = 5 * ms
@@ -46,11 +46,11 @@
 		}
 	}
 	n.sent[id] = true
-	n.sends = append(n.sends, send{id, to, n.f.now, no})
-	life, took := n.life, max(n.took, n.f.slow[to])
-	n.f.at(took, func() {
-		if n.life == life {
-			n.g.Outcome(n.f.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served, Answered: true, Units: n.true})
+	n.sends = append(n.sends, send{id, to, n.fleet.now, no})
+	life, took := n.incarnation, max(n.latency, n.fleet.latencies[to])
+	n.fleet.at(took, func() {
+		if n.incarnation == life {
+			n.gateway.Outcome(n.fleet.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served, Answered: true, Units: n.trueUnits})
 		}
 	})
 }
@@ -58,26 +58,26 @@
 func (n *node) Fail(id RequestID)                    { n.refused[id] = true }
 func (n *node) Cancel(RequestID, int)                {}
 func (n *node) Timer(tag uint64, d time.Duration) {
-	life := n.life
-	n.f.at(d, func() {
-		if n.life == life {
-			n.g.Timer(n.f.now, tag)
+	life := n.incarnation
+	n.fleet.at(d, func() {
+		if n.incarnation == life {
+			n.gateway.Timer(n.fleet.now, tag)
 		}
 	})
 }
 func (n *node) Watch()       {}
 func (n *node) Log(s string) { n.log = append(n.log, s) }
 func (n *node) Tell(peer int, m []byte) {
-	n.f.told++
-	n.f.bytes += len(m)
-	if n.f.rng.Float64() < n.f.loss || n.f.cut != nil && n.f.cut(n.me, peer) {
+	n.fleet.messages++
+	n.fleet.bytes += len(m)
+	if n.fleet.rng.Float64() < n.fleet.loss || n.fleet.partitioned != nil && n.fleet.partitioned(n.number, peer) {
 		return
 	}
 	m = append([]byte(nil), m...)
-	n.f.at(time.Duration(1+n.f.rng.IntN(30))*ms, func() {
-		p := n.f.nodes[peer]
+	n.fleet.at(time.Duration(1+n.fleet.rng.IntN(30))*ms, func() {
+		p := n.fleet.nodes[peer]
 		p.received++
-		p.g.PeerMessage(n.f.now, n.me, m)
+		p.gateway.PeerMessage(n.fleet.now, n.number, m)
 	})
 }
 
@@ -103,27 +103,27 @@
 	f := &fleet{t: t, now: 100 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), loss: 0.05, wheel: map[Time][]func(){}}
 	for i := 0; i < gateways; i++ {
 		s.Self, s.Gateways = i, gateways
-		n := &node{f: f, me: i, sent: map[RequestID]bool{}, refused: map[RequestID]bool{}, took: 60 * ms}
+		n := &node{fleet: f, number: i, sent: map[RequestID]bool{}, refused: map[RequestID]bool{}, latency: 60 * ms}
 		f.nodes = append(f.nodes, n)
-		n.boot(s, servers)
+		n.restart(s, servers)
 	}
 	return f
 }
 
-func (n *node) boot(s Settings, servers int) {
-	s.Self, s.Gateways = n.me, max(len(n.f.nodes), s.Gateways)
-	g, err := New(s, uint64(n.me*1000+n.life))
+func (n *node) restart(s Settings, servers int) {
+	s.Self, s.Gateways = n.number, max(len(n.fleet.nodes), s.Gateways)
+	g, err := New(s, uint64(n.number*1000+n.incarnation))
 	if err != nil {
-		n.f.t.Fatal(err)
+		n.fleet.t.Fatal(err)
 	}
-	n.life++
-	n.g = g
+	n.incarnation++
+	n.gateway = g
 	g.Attach(n)
 	var list []ServerInfo
 	for k := 1; k <= servers; k++ {
 		list = append(list, ServerInfo{ID: ServerID(k), Weight: 1})
 	}
-	g.Servers(n.f.now, ListCached, list)
+	g.Servers(n.fleet.now, ListCached, list)
 }
 
 // Over many gateways a heavy customer must get about its rate in all and a calm one must not be refused, though each
@@ -167,7 +167,7 @@
 			}
 			id++
 			n := f.nodes[(c.first+int(float64(c.set)*math.Pow(f.rng.Float64(), 1.7)))%120]
-			n.g.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
+			n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
 			if now := id; f.now-begin > 10*time.Second {
 				c.asked++
 				f.at(500*ms, func() { // where the customer's home had to be asked
@@ -222,20 +222,20 @@
 			for k := 0; k < 4; k++ { // 800 a second, 20 a server
 				id++
 				n := f.nodes[f.rng.IntN(300)]
-				n.g.Request(f.now, Request{ID: id, Customer: CustomerID(id % 900), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 300})
+				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id % 900), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 300})
 			}
 		}
 		f.run(4*time.Second, ask)
 		born := f.now
 		for i, n := range f.nodes {
 			if i%3 == 0 {
-				n.boot(s, 40)
+				n.restart(s, 40)
 			}
 			var list []ServerInfo
 			for k := 1; k <= cold; k++ {
 				list = append(list, ServerInfo{ID: ServerID(k), StartedAt: born})
 			}
-			n.g.Servers(f.now, ListChanges, list)
+			n.gateway.Servers(f.now, ListChanges, list)
 		}
 		f.run(5*time.Second, ask)
 		var sends []Time
@@ -268,7 +268,7 @@
 }
 
 // One plan is turned away by a server that serves the others: that plan goes elsewhere, the server keeps the rest.
-func TestServerThatTurnsOnePlanAway(t *testing.T) {
+func TestServerThatRejectsOnePlan(t *testing.T) {
 	s := settings()
 	s.Hedging = false
 	s.Plans = append(s.Plans, Plan{Name: "other", Rate: 1000, Burst: 1000, ValueMultiplier: 1})
@@ -277,7 +277,7 @@
 	for i := 1; i <= 800; i++ {
 		from := len(f.sent)
 		f.ask(RequestID(i), func(r *Request) { r.Plan = i % 2 })
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		for j := from; j < len(f.sent); j++ {
 			x := f.sent[j]
 			switch {
@@ -303,7 +303,7 @@
 	f := start(t, settings(), 10)
 	for i := 1; i <= 100; i++ {
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		f.done(f.sent[len(f.sent)-1], Served, 10*ms)
 	}
 	deadlines := map[RequestID]Time{}
@@ -315,13 +315,13 @@
 	for i := RequestID(101); i <= 250; i++ {
 		f.ask(i, func(r *Request) { r.Deadline = deadlines[i] })
 	}
-	f.until(f.now + 20*ms)
+	f.runUntil(f.now + 20*ms)
 	for _, x := range f.sent[from:] {
 		if f.ended[x.id] == "" {
 			f.done(x, Served, 20*ms)
 		}
 	}
-	f.until(f.now + 3*time.Second)
+	f.runUntil(f.now + 3*time.Second)
 	for i := RequestID(101); i <= 250; i++ {
 		if f.ended[i] == "" {
 			t.Fatalf("request %d has no answer", i)
@@ -333,7 +333,7 @@
 }
 
 // Sets that can't be must still get an answer and no panic.
-func TestSetsThatCannotBe(t *testing.T) {
+func TestInvalidSets(t *testing.T) {
 	s := twoGateways()
 	s.Gateways = 40
 	f := start(t, s, 4)
@@ -342,10 +342,10 @@
 		for _, first := range []int{-9, 0, 39, 40, 1 << 19} {
 			id++
 			f.ask(id, func(r *Request) { r.SetSize, r.FirstGateway, r.Customer = size, first, CustomerID(id%6) })
-			f.until(f.now + 300*ms)
+			f.runUntil(f.now + 300*ms)
 		}
 	}
-	f.until(f.now + 5*time.Second)
+	f.runUntil(f.now + 5*time.Second)
 	for _, x := range f.sent {
 		if f.ended[x.id] == "" {
 			f.done(x, Served, ms)
@@ -359,14 +359,14 @@
 }
 
 // A message that comes twice or late adds nothing.
-func TestMessagesTwiceOrLate(t *testing.T) {
+func TestDuplicateAndLateUpdates(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-	f.g.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
-	c := f.g.customersByID[5]
+	f.gateway.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
+	c := f.gateway.customersByID[5]
 	before := c.sharedDemand.pooled
-	f.g.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
-	f.g.PeerMessage(f.now, 1, message(4*time.Second, 5, 20))
+	f.gateway.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
+	f.gateway.PeerMessage(f.now, 1, message(4*time.Second, 5, 20))
 	if c.sharedDemand.pooled != before {
 		t.Fatalf("%v -> %v", before, c.sharedDemand.pooled)
 	}
@@ -382,9 +382,9 @@
 			if len(m) > 5 {
 				m[4]++ // a new age each time
 			}
-			f.g.PeerMessage(f.now, 1, m)
+			f.gateway.PeerMessage(f.now, 1, m)
 			f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-			f.until(f.now + 10*ms)
+			f.runUntil(f.now + 10*ms)
 			if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 				f.done(f.sent[n-1], Served, 5*ms)
 			}
@@ -396,14 +396,14 @@
 }
 
 // A calm customer of many gateways that don't hear each other must not be refused for want of news.
-func TestCalmCustomerUnheard(t *testing.T) {
+func TestCalmCustomerOfAnIsolatedGateway(t *testing.T) {
 	s := twoGateways()
 	s.Gateways = 100
 	f := start(t, s, 8)
 	for i := 1; i <= 20; i++ { // a twentieth a second here, of a rate of 10 split over 100
-		f.until(f.now + 20*time.Second)
+		f.runUntil(f.now + 20*time.Second)
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 100 })
-		f.until(f.now + 200*ms) // for the home's answer, in vain
+		f.runUntil(f.now + 200*ms) // for the home's answer, in vain
 		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 			f.done(f.sent[n-1], Served, 5*ms)
 		}
@@ -415,7 +415,7 @@
 
 // Gateways that hear each other hold a customer to its quota and its ceiling as one would, though most of its
 // requests come through one of them: parts of the store that the others keep would be refused to it for nothing.
-func TestOneStoreForGatewaysThatHearEachOther(t *testing.T) {
+func TestGatewaysShareABucket(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Plans = []Plan{{Name: "small", Rate: 4, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1},
@@ -446,7 +446,7 @@
 			}
 			id++
 			n := f.nodes[[]int{0, 0, 0, 0, 0, 0, 1, 2}[f.rng.IntN(8)]]
-			n.g.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second,
+			n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second,
 				Units: units, SetSize: 3})
 			if c.one >= units {
 				c.one -= units
@@ -474,7 +474,7 @@
 
 // A gateway that starts again among others learns what they know of each store: neither a new burst for who has
 // spent it, nor a refusal for who has not.
-func TestRestartedGatewayLearnsWhatIsLeft(t *testing.T) {
+func TestRestartedGatewayLearnsTheBalance(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Plans = []Plan{{Name: "p", Rate: 2, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 80, HardLimitSlack: 8}}
@@ -482,12 +482,12 @@
 	id := RequestID(0)
 	ask := func(n *node, customer CustomerID) bool {
 		id++
-		n.g.Request(f.now, Request{ID: id, Customer: customer, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 2})
+		n.gateway.Request(f.now, Request{ID: id, Customer: customer, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 2})
 		return n.sent[id]
 	}
 	f.run(6*time.Second, func() { ask(f.nodes[0], 1); ask(f.nodes[1], 1) })
 	ask(f.nodes[0], 2)
-	f.nodes[1].boot(s, 12)
+	f.nodes[1].restart(s, 12)
 	f.run(500*ms, func() {})
 	spent, spared := 0, 0
 	for range 10 {
@@ -505,7 +505,7 @@
 
 // While one gateway of four is down the others use all of the quota, its part too. Should it only be cut off, both
 // sides together stay under one and a half of the quota, and so under any ceiling that the site has.
-func TestOneGatewayOfFourUnheard(t *testing.T) {
+func TestOneGatewayOfFourDownOrPartitioned(t *testing.T) {
 	for name, down := range map[string]bool{"down": true, "cut off": false} {
 		s := settings()
 		s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -518,10 +518,10 @@
 				return
 			}
 			n := f.nodes[f.rng.IntN(4)]
-			if id++; down && f.cut != nil && n.me == 3 {
+			if id++; down && f.partitioned != nil && n.number == 3 {
 				return
 			}
-			n.g.Request(f.now, Request{ID: id, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 4})
+			n.gateway.Request(f.now, Request{ID: id, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 4})
 			if n.sent[id] {
 				in++
 				if ceiling--; ceiling < -8 {
@@ -530,9 +530,9 @@
 			}
 		}
 		f.run(6*time.Second, ask)
-		f.cut = func(from, to int) bool { return from == 3 || to == 3 }
+		f.partitioned = func(from, to int) bool { return from == 3 || to == 3 }
 		if down {
-			f.nodes[3].life++
+			f.nodes[3].incarnation++
 		}
 		f.run(2*time.Second, ask)
 		in = 0
@@ -545,7 +545,7 @@
 
 // What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed, also for
 // customers whom the first message has no room for: they are served at their rate at once, and not above it.
-func TestSilenceLeavesNoDebt(t *testing.T) {
+func TestPartitionLeavesNoDebt(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1.2}}
@@ -560,7 +560,7 @@
 		f.run(d, func() {
 			for k := 0; k < 2; k++ {
 				id++
-				f.nodes[f.rng.IntN(4)].g.Request(f.now, Request{ID: id, Customer: CustomerID(1 + f.rng.IntN(customers)),
+				f.nodes[f.rng.IntN(4)].gateway.Request(f.now, Request{ID: id, Customer: CustomerID(1 + f.rng.IntN(customers)),
 					Deadline: f.now + 2*time.Second, Units: 1, SetSize: 4})
 			}
 		})
@@ -571,9 +571,9 @@
 	}
 	let(12 * time.Second) // the bursts are gone
 	usual := let(4 * time.Second)
-	f.cut = func(int, int) bool { return true }
+	f.partitioned = func(int, int) bool { return true }
 	let(5 * time.Second)
-	f.cut = nil
+	f.partitioned = nil
 	if first, then := let(3*time.Second), let(3*time.Second); first < 0.85*usual || first > 1.7*usual ||
 		then < 0.85*usual || then > 1.15*usual {
 		t.Fatalf("%.2f and %.2f of the rate are let in after a silence, %.2f before", first, then, usual)
--- a/policy/held_test.go
+++ b/policy/held_test.go
@@ -8,18 +8,18 @@
 // A gateway that knows nothing yet stands before servers that have all just started. What it may not send it holds, as much
 // as there is room for, and refuses the rest at once; what is held and can't be in time any more is refused, not sent. So what
 // goes out is fresh, and by its answers the gateway finds out within seconds what cold servers can do.
-func TestNothingIsSentThatWaitedTooLong(t *testing.T) {
+func TestQueuedRequestThatWouldBeLateIsRefused(t *testing.T) {
 	s := settings()
 	s.Gateways, s.Peers, s.Hedging = 5, false, false
 	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = time.Second, 4*time.Second
-	f := &fake{t: t, now: time.Hour, ended: map[RequestID]string{}}
-	f.g, _ = New(s, 1)
-	f.g.Attach(f)
+	f := &fakeHost{t: t, now: time.Hour, ended: map[RequestID]string{}}
+	f.gateway, _ = New(s, 1)
+	f.gateway.Attach(f)
 	var list []ServerInfo
 	for id := range 4 {
 		list = append(list, ServerInfo{ID: ServerID(id + 1), State: Ready, StartedAt: f.now, Weight: 1})
 	}
-	f.g.Servers(f.now, ListFull, list)
+	f.gateway.Servers(f.now, ListFull, list)
 	asked, done := map[RequestID]Time{}, map[send]bool{}
 	sent := func(from Time) (n int) {
 		for _, x := range f.sent {
@@ -32,10 +32,10 @@
 	for id := RequestID(1); f.now < time.Hour+6*time.Second; id++ {
 		asked[id] = f.now
 		f.ask(id, func(r *Request) { r.Deadline = f.now + 4*time.Second })
-		if held, room := len(f.g.queue), f.g.totalCapacity(); float64(held) > room+f.g.burstAllowance(room)+1 {
-			t.Fatalf("%d are held where there is room for %.1f", held, f.g.totalCapacity())
+		if held, room := len(f.gateway.queue), f.gateway.totalCapacity(); float64(held) > room+f.gateway.burstAllowance(room)+1 {
+			t.Fatalf("%d are held where there is room for %.1f", held, f.gateway.totalCapacity())
 		}
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		for _, x := range f.sent {
 			if !done[x] && f.now-x.at >= 150*ms {
 				done[x] = true
--- a/policy/home_test.go
+++ b/policy/home_test.go
@@ -15,12 +15,12 @@
 }
 
 // let asks one gateway after the other, a tick apart, and counts what is let in and what has no answer in the end.
-func (f *fleet) let(tries, plan, first, set int) (in, open int) {
+func (f *fleet) admitted(tries, plan, first, set int) (in, open int) {
 	begin := RequestID(f.now)
 	k := 0
 	f.run(time.Duration(tries)*fleetTick, func() {
 		n := f.nodes[(first+k*7%set)%80]
-		n.g.Request(f.now, Request{ID: begin + RequestID(k), Customer: 77, Plan: plan, Deadline: f.now + 2*time.Second,
+		n.gateway.Request(f.now, Request{ID: begin + RequestID(k), Customer: 77, Plan: plan, Deadline: f.now + 2*time.Second,
 			Units: 1, SetSize: set, FirstGateway: first})
 		k++
 	})
@@ -31,74 +31,74 @@
 				in++
 			}
 		}
-		open += len(n.g.requests)
+		open += len(n.gateway.requests)
 	}
 	return in, open
 }
 
 // A customer whose sixty gateways each see one request a minute has one store all the same: its burst is let in, on
 // whichever gateways it comes, and what is asked beyond is refused. Parts of a sixtieth would hold less than a request.
-func TestWideCustomerHasOneStore(t *testing.T) {
+func TestOwnerKeepsOneBucket(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
-	if in, open := f.let(12, 0, 5, 60); in < 11 || open > 0 {
+	if in, open := f.admitted(12, 0, 5, 60); in < 11 || open > 0 {
 		t.Fatalf("%d of 12 let in where the burst is 16, %d without an answer", in, open)
 	}
 	f.run(10*time.Second, func() {}) // full again
-	if in, open := f.let(100, 0, 5, 60); in < 14 || in > 19 || open > 0 {
+	if in, open := f.admitted(100, 0, 5, 60); in < 14 || in > 19 || open > 0 {
 		t.Fatalf("%d of 100 let in, the burst is 16, %d without an answer", in, open)
 	}
 }
 
 // Where the home is dead and the next is, too, requests wait for two questions at the most; a third keeps the store
 // then. With nobody left to ask a gateway keeps to its part.
-func TestHomeFallsSilent(t *testing.T) {
+func TestOwnerTimesOut(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
-	f.let(1, 0, 5, 60)
-	c := f.nodes[5].g.customersByID[77]
+	f.admitted(1, 0, 5, 60)
+	c := f.nodes[5].gateway.customersByID[77]
 	if c == nil {
 		t.Fatal("gateway 5 has met the customer")
 	}
 	dead := map[int]bool{}
 	for k := 0; k < 2; k++ {
-		home := f.nodes[5].g.ownerOf(c)
+		home := f.nodes[5].gateway.ownerOf(c)
 		dead[home] = true
-		f.nodes[5].g.suspectedUntil[home] = f.now + time.Hour
+		f.nodes[5].gateway.suspectedUntil[home] = f.now + time.Hour
 	}
-	f.nodes[5].g.suspectedUntil = make([]Time, 80)
-	f.cut = func(from, to int) bool { return dead[from] || dead[to] }
-	f.let(120, 0, 5, 60) // each gateway finds out
+	f.nodes[5].gateway.suspectedUntil = make([]Time, 80)
+	f.partitioned = func(from, to int) bool { return dead[from] || dead[to] }
+	f.admitted(120, 0, 5, 60) // each gateway finds out
 	f.run(8*time.Second, func() {})
-	if in, open := f.let(100, 0, 5, 60); in < 8 || in > 24 || open > 0 {
+	if in, open := f.admitted(100, 0, 5, 60); in < 8 || in > 24 || open > 0 {
 		t.Fatalf("%d of 100 let in by the third home, %d without an answer", in, open)
 	}
-	f.cut = func(int, int) bool { return true }
+	f.partitioned = func(int, int) bool { return true }
 	f.run(2*time.Second, func() {})
-	if in, open := f.let(100, 0, 5, 60); in > 40 || open > 0 {
+	if in, open := f.admitted(100, 0, 5, 60); in > 40 || open > 0 {
 		t.Fatalf("%d of 100 let in where nobody hears anybody, %d without an answer", in, open)
 	}
 }
 
 // A question that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that
 // there isn't, cut off or too long, changes nothing.
-func TestQuestions(t *testing.T) {
+func TestOwnerQueries(t *testing.T) {
 	f, s := wideFleet(t)
 	f.loss = 1 // answers are not looked at
-	g := f.nodes[7].g
+	g := f.nodes[7].gateway
 	name := customerKey(77, 0, 7, 60)
 	m := packQuery(ownerQuery{token: 9, customerKey: name, units: 2})
-	told := f.told
+	told := f.messages
 	g.PeerMessage(f.now, 8, m)
 	g.PeerMessage(f.now, 8, m)
 	c := g.customersByKey[ownerKey(name, 7)]
-	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.told != told+2 {
+	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.messages != told+2 {
 		t.Fatalf("two answers to one question, and its units drawn once: %+v", c)
 	}
 	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0), packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}), packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
-		customers, told, odd0 := len(g.customers), f.told, g.Stats(f.now).InvalidMessages
+		customers, told, odd0 := len(g.customers), f.messages, g.Stats(f.now).InvalidMessages
 		g.PeerMessage(f.now, 8, odd)
-		if len(g.customers) != customers || f.told != told {
+		if len(g.customers) != customers || f.messages != told {
 			t.Fatalf("%x was believed", odd)
 		}
 		if wellFormed := len(odd) == queryBytes && odd[0] == queryKind || len(odd) == answerBytes && odd[5] < 2; !wellFormed &&
@@ -110,36 +110,36 @@
 
 // At the start of the whole fleet a ceiling is full, though the fleet is larger than its gateways can all hear: each
 // hears those that share a customer with it.
-func TestCeilingIsFullWhereAllHaveJustStarted(t *testing.T) {
+func TestHardLimitIsFullWhenTheFleetHasJustStarted(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
-	if in, _ := f.let(12, 1, 30, 4); in < 11 {
+	if in, _ := f.admitted(12, 1, 30, 4); in < 11 {
 		t.Fatalf("%d of 12 let in of a burst of 32", in)
 	}
 	f.run(5*time.Second, func() {})
-	if in, _ := f.let(200, 1, 30, 4); in > 52 { // in a second
+	if in, _ := f.admitted(200, 1, 30, 4); in > 52 { // in a second
 		t.Fatalf("%d let in of a burst of 32 and 13 a second", in)
 	}
 }
 
 // Where eighty gateways each have one or two attempts out on average, some have four or five by chance alone. That is
 // no sign of a full fleet, and their requests are not to be refused for it.
-func TestThinTrafficHasRoomForChance(t *testing.T) {
+func TestSparseTrafficHasABurstAllowance(t *testing.T) {
 	f, s := wideFleet(t)
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
 	for _, n := range f.nodes {
-		n.g.cfg.Plans = s.Plans
+		n.gateway.cfg.Plans = s.Plans
 	}
 	asked := 0
 	f.run(10*time.Second, func() {
 		for k := f.rng.IntN(5); k > 0; k-- { // 400 a second: 80 out at 60 servers
 			asked++
 			n := f.nodes[f.rng.IntN(80)]
-			if n.took = 200 * ms; asked%20 == 0 { // some are slow, as some members are
-				n.took = 400 * ms
+			if n.latency = 200 * ms; asked%20 == 0 { // some are slow, as some members are
+				n.latency = 400 * ms
 			}
-			n.g.Request(f.now, Request{ID: RequestID(asked), Customer: CustomerID(asked), Deadline: f.now + 2*time.Second,
-				Units: 1, SetSize: 1, FirstGateway: n.me})
+			n.gateway.Request(f.now, Request{ID: RequestID(asked), Customer: CustomerID(asked), Deadline: f.now + 2*time.Second,
+				Units: 1, SetSize: 1, FirstGateway: n.number})
 		}
 	})
 	refused := 0
@@ -159,25 +159,25 @@
 		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
 		s.InitialWarmth, s.WarmupTime, s.ColdWindow, s.ColdMultiple = 0.18, 16*time.Second, time.Second, 4
 		var list []ServerInfo
-		f.slow = map[ServerID]time.Duration{}
+		f.latencies = map[ServerID]time.Duration{}
 		for k := 1; k <= 60; k++ {
 			list = append(list, ServerInfo{ID: ServerID(k), Weight: 1})
 			if k <= 30 {
-				list[k-1].StartedAt, f.slow[ServerID(k)] = f.now-4*time.Second, slow
+				list[k-1].StartedAt, f.latencies[ServerID(k)] = f.now-4*time.Second, slow
 			}
 		}
 		for _, n := range f.nodes {
-			me := n.g.cfg.Self
-			n.g.cfg = s
-			n.g.cfg.Self, n.g.cfg.Gateways = me, 80
-			n.g.Servers(f.now, ListFull, list)
+			me := n.gateway.cfg.Self
+			n.gateway.cfg = s
+			n.gateway.cfg.Self, n.gateway.cfg.Gateways = me, 80
+			n.gateway.Servers(f.now, ListFull, list)
 		}
 		id := RequestID(0)
 		f.run(10*time.Second, func() {
 			for k := f.rng.IntN(5); k > 0; k-- {
 				id++
 				n := f.nodes[f.rng.IntN(80)]
-				n.g.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstGateway: n.me})
+				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstGateway: n.number})
 			}
 		})
 		for _, node := range f.nodes {
@@ -197,12 +197,12 @@
 }
 
 // Four gateways know their members well enough: what their rooms allow is not passed, however trouble has shrunk them.
-func TestSmallFleetKeepsToItsRoom(t *testing.T) {
+func TestSmallFleetKeepsToItsCapacity(t *testing.T) {
 	for gateways, want := range map[int]bool{1: false, 4: false, 80: true} {
 		s := settings()
 		s.Gateways = gateways
 		f := start(t, s, 10)
-		if got := f.g.burstAllowance(5) > 0; got != want {
+		if got := f.gateway.burstAllowance(5) > 0; got != want {
 			t.Errorf("%d gateways: more than the room %v", gateways, got)
 		}
 	}
--- a/policy/length_test.go
+++ b/policy/length_test.go
@@ -7,7 +7,7 @@
 )
 
 // How long a request takes follows its units where they matter, and its class alone where they don't.
-func TestLengthByUnits(t *testing.T) {
+func TestLatencyByUnits(t *testing.T) {
 	var grows, same, one decayingFit
 	for i := range 200 {
 		units := 1 + float64(i%6)
@@ -27,7 +27,7 @@
 
 // While a fleet is pressed as all its servers have become slower, a request that would be late on any of them is refused at
 // once and leaves its room to one that won't be; before and after it is served.
-func TestWhatIsTooLongMakesRoom(t *testing.T) {
+func TestLongRequestsAreRefusedUnderOverload(t *testing.T) {
 	s := settings()
 	s.Hedging, s.MaxUnits = false, 6
 	s.Classes[0].LatencyTarget = time.Second
@@ -39,9 +39,9 @@
 		return f.ended[id] == ""
 	}
 	step := func() {
-		f.until(f.now + 20*ms)
+		f.runUntil(f.now + 20*ms)
 		for _, x := range f.sent {
-			r := f.g.requests[x.id]
+			r := f.gateway.requests[x.id]
 			if r == nil || len(r.inFlight) == 0 {
 				continue
 			}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,25 +15,25 @@
 const ms = time.Millisecond
 
 // fake records what a gateway does and delivers its timers.
-type fake struct {
-	t      *testing.T
-	g      *Gateway
-	now    Time
-	sent   []send
-	ended  map[RequestID]string
-	timers []timer
-	told   [][]byte
-	log    []string
-	trace  []string
-	watch  int
-	gaveUp []send // attempts cancelled
+type fakeHost struct {
+	t         *testing.T
+	gateway   *Gateway
+	now       Time
+	sent      []send
+	ended     map[RequestID]string
+	timers    []timer
+	messages  [][]byte
+	log       []string
+	trace     []string
+	watches   int
+	cancelled []send // attempts cancelled
 }
 
 type send struct {
-	id RequestID
-	to ServerID
-	at Time
-	no int
+	id      RequestID
+	to      ServerID
+	at      Time
+	attempt int
 }
 
 type timer struct {
@@ -41,8 +41,8 @@
 	at  Time
 }
 
-func (f *fake) note(s string) { f.trace = append(f.trace, fmt.Sprint(f.now, " ", s)) }
-func (f *fake) Send(id RequestID, to ServerID, _ Time) {
+func (f *fakeHost) record(s string) { f.trace = append(f.trace, fmt.Sprint(f.now, " ", s)) }
+func (f *fakeHost) Send(id RequestID, to ServerID, _ Time) {
 	if f.ended[id] != "" {
 		f.t.Fatalf("sent %d after its final answer", id)
 	}
@@ -53,31 +53,36 @@
 		}
 	}
 	f.sent = append(f.sent, send{id, to, f.now, no})
-	f.note(fmt.Sprint("send ", id, to))
+	f.record(fmt.Sprint("send ", id, to))
 }
-func (f *fake) end(id RequestID, how string) {
+func (f *fakeHost) end(id RequestID, how string) {
 	if f.ended[id] != "" {
 		f.t.Fatalf("request %d answered twice: %s, %s", id, f.ended[id], how)
 	}
 	f.ended[id] = how
-	f.note(fmt.Sprint(how, id))
+	f.record(fmt.Sprint(how, id))
 }
-func (f *fake) Refuse(id RequestID, _ time.Duration) { f.end(id, "refused") }
-func (f *fake) Fail(id RequestID)                    { f.end(id, "failed") }
-func (f *fake) Cancel(id RequestID, no int) {
+func (f *fakeHost) Refuse(id RequestID, _ time.Duration) { f.end(id, "refused") }
+func (f *fakeHost) Fail(id RequestID)                    { f.end(id, "failed") }
+func (f *fakeHost) Cancel(id RequestID, no int) {
 	for _, s := range f.sent {
-		if s.id == id && s.no == no {
-			f.gaveUp = append(f.gaveUp, s)
+		if s.id == id && s.attempt == no {
+			f.cancelled = append(f.cancelled, s)
 		}
 	}
 }
-func (f *fake) Timer(tag uint64, d time.Duration) { f.timers = append(f.timers, timer{tag, f.now + d}) }
-func (f *fake) Tell(_ int, m []byte)              { f.told = append(f.told, m); f.note(fmt.Sprint("tell ", m)) }
-func (f *fake) Watch()                            { f.watch++ }
-func (f *fake) Log(s string)                      { f.log = append(f.log, s) }
+func (f *fakeHost) Timer(tag uint64, d time.Duration) {
+	f.timers = append(f.timers, timer{tag, f.now + d})
+}
+func (f *fakeHost) Tell(_ int, m []byte) {
+	f.messages = append(f.messages, m)
+	f.record(fmt.Sprint("tell ", m))
+}
+func (f *fakeHost) Watch()       { f.watches++ }
+func (f *fakeHost) Log(s string) { f.log = append(f.log, s) }
 
 // until lets time pass, timers firing on the way.
-func (f *fake) until(at Time) {
+func (f *fakeHost) runUntil(at Time) {
 	for {
 		next := -1
 		for i, t := range f.timers {
@@ -92,24 +97,24 @@
 		t := f.timers[next]
 		f.timers = append(f.timers[:next], f.timers[next+1:]...)
 		f.now = max(f.now, t.at)
-		f.g.Timer(f.now, t.tag)
+		f.gateway.Timer(f.now, t.tag)
 	}
 }
 
-func (f *fake) ask(id RequestID, change func(*Request)) {
+func (f *fakeHost) ask(id RequestID, change func(*Request)) {
 	r := Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1}
 	if change != nil {
 		change(&r)
 	}
-	f.g.Request(f.now, r)
+	f.gateway.Request(f.now, r)
 }
 
-func (f *fake) done(s send, how Ending, took time.Duration) {
+func (f *fakeHost) done(s send, how Ending, took time.Duration) {
 	closed := how == Served || f.ended[s.id] != ""
 	if how == Served && f.ended[s.id] == "" {
 		f.ended[s.id] = "served"
 	}
-	f.g.Outcome(f.now, Outcome{ID: s.id, Attempt: s.no, Server: s.to, Elapsed: took, Ending: how, Answered: closed})
+	f.gateway.Outcome(f.now, Outcome{ID: s.id, Attempt: s.attempt, Server: s.to, Elapsed: took, Ending: how, Answered: closed})
 }
 
 func settings() Settings {
@@ -119,13 +124,13 @@
 		ColdWindow: time.Second, ColdMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second, DrainGrace: time.Second}
 }
 
-func start(t *testing.T, s Settings, servers int) *fake {
+func start(t *testing.T, s Settings, servers int) *fakeHost {
 	t.Helper()
 	g, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{t: t, g: g, now: 100 * time.Second, ended: map[RequestID]string{}}
+	f := &fakeHost{t: t, gateway: g, now: 100 * time.Second, ended: map[RequestID]string{}}
 	g.Attach(f)
 	var list []ServerInfo
 	for i := 1; i <= servers; i++ {
@@ -135,7 +140,7 @@
 	return f
 }
 
-func TestSettingsThatCannotBeUsed(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].deadline": func(s *Settings) { s.Classes[0].Deadline = 0 },
@@ -154,7 +159,7 @@
 	}
 }
 
-func TestUtilityByHand(t *testing.T) {
+func TestScoreByHand(t *testing.T) {
 	// v 0.2, 3 of 4 s of latency, 10 of 40 requests: 1/0.2 x 0.75 x 4 = 15
 	if f := ruda.Score(0.2, 3, 4, 10, 40); math.Abs(f-15) > 1e-9 {
 		t.Fatalf("f = %v, want 15", f)
@@ -162,7 +167,7 @@
 }
 
 // jam makes every answer late for a while: the cheap plan must go first, then the next, and both come back.
-func TestCutsByFAndLifts(t *testing.T) {
+func TestGroupsAreShedByScoreAndTakenBack(t *testing.T) {
 	s := settings()
 	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, ValueMultiplier: 1}, {Name: "mid", Rate: 1e5, Burst: 1e5, ValueMultiplier: 2},
 		{Name: "dear", Rate: 1e5, Burst: 1e5, ValueMultiplier: 8}}
@@ -173,7 +178,7 @@
 			id++
 			f.ask(id, func(r *Request) { r.Plan = p })
 		}
-		f.until(f.now + 20*ms)
+		f.runUntil(f.now + 20*ms)
 		for len(f.sent) > 0 && f.now-f.sent[0].at >= took {
 			if f.ended[f.sent[0].id] == "" {
 				f.done(f.sent[0], Served, took)
@@ -203,7 +208,7 @@
 	f := start(t, settings(), 8)
 	for i := 1; i <= 200; i++ {
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		x := f.sent[len(f.sent)-1]
 		if x.to == 3 {
 			f.done(x, Served, 900*ms)
@@ -217,11 +222,11 @@
 }
 
 // A jam in which nothing finishes must show from the age of what is out, and new work must stop.
-func TestJamInWhichNothingFinishes(t *testing.T) {
+func TestOverloadInWhichNothingFinishes(t *testing.T) {
 	f := start(t, settings(), 4)
 	for i := 1; i <= 400; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Deadline = f.now + 20*time.Second })
-		f.until(f.now + 5*ms)
+		f.runUntil(f.now + 5*ms)
 	}
 	if n := len(f.sent); n > 4*4*2 {
 		t.Fatalf("%d attempts went into a fleet of 4 that answers nothing", n)
@@ -236,7 +241,7 @@
 	f := start(t, s, 4)
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Deadline = f.now + 4*time.Second })
-		f.until(f.now + 20*ms)
+		f.runUntil(f.now + 20*ms)
 		rest := f.sent[:0]
 		for _, x := range f.sent {
 			switch took := f.now - x.at; {
@@ -262,29 +267,29 @@
 }
 
 // Ordinary tails while little is used must not shrink the room.
-func TestTailsWithoutLoadKeepTheRoom(t *testing.T) {
+func TestTailsWithoutLoadKeepTheCapacity(t *testing.T) {
 	f := start(t, settings(), 10)
 	f.ask(1, nil)
-	f.until(f.now + 10*ms)
+	f.runUntil(f.now + 10*ms)
 	f.done(f.sent[0], Served, 10*ms)
-	before := f.g.totalCapacity()
+	before := f.gateway.totalCapacity()
 	for i := 2; i <= 100; i++ {
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 50*ms)
+		f.runUntil(f.now + 50*ms)
 		f.done(f.sent[len(f.sent)-1], Served, 400*ms)
 	}
-	if f.g.totalCapacity() < before {
-		t.Fatalf("room %v -> %v", before, f.g.totalCapacity())
+	if f.gateway.totalCapacity() < before {
+		t.Fatalf("room %v -> %v", before, f.gateway.totalCapacity())
 	}
 }
 
-func TestQuotaHoldsDemandBeyondTheRate(t *testing.T) {
+func TestQuotaBoundsDemandBeyondTheRate(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
 	f := start(t, s, 8)
 	for i := 1; i <= 2000; i++ { // 100 a second for 20 s
 		f.ask(RequestID(i), func(r *Request) { r.Customer = 5 })
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 			f.done(f.sent[n-1], Served, 5*ms)
 		}
@@ -311,7 +316,7 @@
 // exchange is what a lone gateway hears from a live peer at which a customer asks so much: an honest instance
 // of the module runs on the other side, and gets what the first tells.
 type exchange struct {
-	f     *fake
+	peer  *fakeHost
 	units float64
 	id    RequestID
 }
@@ -319,36 +324,36 @@
 func newExchange(t *testing.T, gateways int, units float64) *exchange {
 	s := twoGateways()
 	s.Self, s.Gateways = 1, gateways
-	return &exchange{f: start(t, s, 8), units: units}
+	return &exchange{peer: start(t, s, 8), units: units}
 }
 
-func (x *exchange) step(near *fake, every time.Duration) {
-	x.f.until(near.now)
+func (x *exchange) step(near *fakeHost, every time.Duration) {
+	x.peer.runUntil(near.now)
 	for left := x.units * every.Seconds(); left > 0; left-- {
 		x.id++
-		x.f.ask(x.id, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, math.Min(left, 1) })
+		x.peer.ask(x.id, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, math.Min(left, 1) })
 	}
-	for _, s := range x.f.sent {
-		x.f.done(s, Served, ms)
+	for _, s := range x.peer.sent {
+		x.peer.done(s, Served, ms)
 	}
-	x.f.sent = nil
-	for _, m := range near.told {
-		x.f.g.PeerMessage(x.f.now, 0, m)
+	x.peer.sent = nil
+	for _, m := range near.messages {
+		x.peer.gateway.PeerMessage(x.peer.now, 0, m)
 	}
-	near.told = nil
-	for _, m := range x.f.told {
-		near.g.PeerMessage(near.now, 1, m)
+	near.messages = nil
+	for _, m := range x.peer.messages {
+		near.gateway.PeerMessage(near.now, 1, m)
 	}
-	x.f.told = nil
+	x.peer.messages = nil
 }
 
 // admitted counts what is let in for one customer who asks 20 units a second, over 30 s.
-func admitted(t *testing.T, peer func(f *fake, i int)) int {
+func admitted(t *testing.T, peer func(f *fakeHost, i int)) int {
 	f := start(t, twoGateways(), 8)
 	for i := 1; i <= 600; i++ {
 		peer(f, i)
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-		f.until(f.now + 50*ms)
+		f.runUntil(f.now + 50*ms)
 		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 			f.done(f.sent[n-1], Served, 5*ms)
 		}
@@ -359,13 +364,13 @@
 func TestPeersShareAQuota(t *testing.T) {
 	with := func(units float64, until int) int {
 		x := newExchange(t, 2, units)
-		return admitted(t, func(f *fake, i int) {
+		return admitted(t, func(f *fakeHost, i int) {
 			if i < until {
 				x.step(f, 50*ms)
 			}
 		})
 	}
-	unheard := admitted(t, func(*fake, int) {})
+	unheard := admitted(t, func(*fakeHost, int) {})
 	idle, busy, lapsed := with(0, 1000), with(60, 1000), with(60, 20)
 	if math.Abs(float64(unheard)-155) > 45 || math.Abs(float64(idle)-305) > 45 || math.Abs(float64(busy)-80) > 30 {
 		t.Fatalf("unheard %d (want about half the rate), idle peer %d (all of it), busy peer %d (a quarter)",
@@ -376,16 +381,16 @@
 	}
 }
 
-func TestOddPeerMessagesChangeNothing(t *testing.T) {
+func TestInvalidMessagesChangeNothing(t *testing.T) {
 	good := message(time.Second, 5, 60)
 	odd := [][]byte{nil, {1}, good[:8], append([]byte{99}, good[1:]...), append([]byte{1}, good[1:]...),
 		make([]byte, 300), append(good, 1)}
-	plain := admitted(t, func(*fake, int) {})
-	if got := admitted(t, func(f *fake, i int) {
-		f.g.PeerMessage(f.now, 1, odd[i%len(odd)])
-		f.g.PeerMessage(f.now, i%5+2, good)
-		f.g.PeerMessage(f.now, -1, good)
-		f.g.PeerMessage(f.now, 0, good)
+	plain := admitted(t, func(*fakeHost, int) {})
+	if got := admitted(t, func(f *fakeHost, i int) {
+		f.gateway.PeerMessage(f.now, 1, odd[i%len(odd)])
+		f.gateway.PeerMessage(f.now, i%5+2, good)
+		f.gateway.PeerMessage(f.now, -1, good)
+		f.gateway.PeerMessage(f.now, 0, good)
 	}); got != plain {
 		t.Fatalf("%d let in, %d without them", got, plain)
 	}
@@ -397,7 +402,7 @@
 		s := twoGateways()
 		s.Plans[0].Rate, s.Plans[0].Burst = 1, 40
 		f := start(t, s, 30)
-		f.g.PeerMessage(f.now, 1, message(age, 9, 1))
+		f.gateway.PeerMessage(f.now, 1, message(age, 9, 1))
 		for i := 1; i <= 20; i++ {
 			f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 2 })
 		}
@@ -408,12 +413,12 @@
 	}
 }
 
-func TestMessagesHoldManyBusyCustomersInTurn(t *testing.T) {
+func TestUpdatesHoldManyBusyCustomersInTurn(t *testing.T) {
 	f := start(t, twoGateways(), 8)
 	told := map[uint64]bool{}
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize, r.Units = CustomerID(i%150+1), 2, 20 })
-		f.until(f.now + ms)
+		f.runUntil(f.now + ms)
 		for _, x := range f.sent {
 			if f.ended[x.id] == "" {
 				f.done(x, Served, ms)
@@ -421,7 +426,7 @@
 		}
 		f.sent = nil
 	}
-	for _, m := range f.told[len(f.told)-8:] {
+	for _, m := range f.messages[len(f.messages)-8:] {
 		if len(m) > messageBytes {
 			t.Fatalf("message of %d bytes", len(m))
 		}
@@ -439,14 +444,14 @@
 }
 
 // In the first moments too, when little has been asked yet, the others must hear of a draw before they draw the same.
-func TestDrawsAreToldFromTheStart(t *testing.T) {
+func TestUsageIsSentFromTheStart(t *testing.T) {
 	s := twoGateways()
 	s.PeerMessageRate = 100
 	f := start(t, s, 8)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-	f.until(f.now + 60*ms)
+	f.runUntil(f.now + 60*ms)
 	told := 0
-	for _, m := range f.told {
+	for _, m := range f.messages {
 		u, ok := unpackUpdate(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
@@ -458,7 +463,7 @@
 	}
 }
 
-func TestCeilingAfterRestart(t *testing.T) {
+func TestHardLimitAfterRestart(t *testing.T) {
 	s := settings()
 	s.Plans[0].HardLimitRate, s.Plans[0].HardLimitBurst = 10, 20
 	sent := 0
@@ -466,7 +471,7 @@
 		f := start(t, s, 30)
 		for i := 1; i <= 50; i++ {
 			f.ask(RequestID(i), func(r *Request) { r.Customer = 5 })
-			f.until(f.now + 10*ms)
+			f.runUntil(f.now + 10*ms)
 			f.done(send{RequestID(i), 1, 0, 0}, Served, ms)
 		}
 		sent += len(f.sent)
@@ -486,29 +491,29 @@
 	}
 }
 
-func TestNoServerIsAnsweredInTime(t *testing.T) {
+func TestRequestWithoutServerIsAnsweredInTime(t *testing.T) {
 	f := start(t, settings(), 0)
 	f.ask(1, nil)
-	f.until(f.now + 2*time.Second)
+	f.runUntil(f.now + 2*time.Second)
 	if f.ended[1] != "refused" {
 		t.Fatalf("%v", f.ended)
 	}
 }
 
-func TestAttemptOutAtTheDeadline(t *testing.T) {
+func TestAttemptInFlightAtTheDeadline(t *testing.T) {
 	for effect, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed", NotIdempotent: "failed"} {
 		s := settings()
 		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = effect, ScopeCell, time.Second
 		f := start(t, s, 1)
 		f.ask(1, nil)
-		f.until(f.now + 2*time.Second)
+		f.runUntil(f.now + 2*time.Second)
 		if f.ended[1] != want {
 			t.Errorf("effect %d: %v, want %s", effect, f.ended, want)
 		}
 	}
 }
 
-func TestRepeatsKeepToTheirGroup(t *testing.T) {
+func TestRepeatsKeepToTheirDedupScope(t *testing.T) {
 	for scope, where := range map[DedupScope]func(a, b ServerID) bool{
 		ScopeAll:  func(a, b ServerID) bool { return true },
 		ScopeZone: func(a, b ServerID) bool { return a%2 == b%2 },
@@ -533,7 +538,7 @@
 	}
 }
 
-func TestUnsafeGoesAgainOnlyWhereItNeverRan(t *testing.T) {
+func TestNotIdempotentIsRetriedOnlyWhereItNeverRan(t *testing.T) {
 	for how, again := range map[Ending]bool{Rejected: true, NotConnected: true, Errored: false, ConnectionLost: false,
 		TimedOut: false} {
 		s := settings()
@@ -551,13 +556,13 @@
 	}
 }
 
-func TestSecondCopies(t *testing.T) {
+func TestHedging(t *testing.T) {
 	for allowed, want := range map[bool]int{true: 2, false: 1} {
 		s := settings()
 		s.Hedging = allowed
 		f := start(t, s, 4)
 		f.ask(1, nil)
-		f.until(f.now + 400*ms)
+		f.runUntil(f.now + 400*ms)
 		if len(f.sent) != want {
 			t.Errorf("allowed %v: %v", allowed, f.sent)
 		}
@@ -566,8 +571,8 @@
 
 func TestDrainsAndLists(t *testing.T) {
 	f := start(t, settings(), 4)
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 1, State: Draining}, {ID: 2, State: Departed}})
-	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 1, State: Draining}, {ID: 4}})
+	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 1, State: Draining}, {ID: 2, State: Departed}})
+	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 1, State: Draining}, {ID: 4}})
 	for i := 1; i <= 8; i++ {
 		f.ask(RequestID(i), nil)
 	}
@@ -589,7 +594,7 @@
 		id++
 		from := len(f.sent)
 		f.ask(id, nil)
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		for _, x := range f.sent[from:] {
 			f.done(x, Served, 10*ms)
 		}
@@ -597,13 +602,13 @@
 	for i := 0; i < 300; i++ { // 50 a second each
 		step()
 	}
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, StartedAt: f.now}})
+	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, StartedAt: f.now}})
 	born, cold := f.now, 0
 	for i := 0; i < 100; i++ {
 		step()
 	}
 	for _, x := range f.sent {
-		if x.to == 9 && x.at < born+f.g.cfg.ColdWindow {
+		if x.to == 9 && x.at < born+f.gateway.cfg.ColdWindow {
 			cold++
 		}
 	}
@@ -611,8 +616,8 @@
 	if cold > 28 {
 		t.Fatalf("%d sent to a cold server in its first window", cold)
 	}
-	f.g.Servers(f.now, ListFull, []ServerInfo{{ID: 9, StartedAt: f.now}})
-	f.until(f.now + f.g.cfg.ColdWindow + ms)
+	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 9, StartedAt: f.now}})
+	f.runUntil(f.now + f.gateway.cfg.ColdWindow + ms)
 	before := len(f.sent)
 	for i := 0; i < 200; i++ {
 		id++
@@ -623,13 +628,13 @@
 	}
 }
 
-func TestFastFailingServerIsLeft(t *testing.T) {
+func TestFastFailingServerIsEjected(t *testing.T) {
 	f := start(t, settings(), 6)
 	bad := 0
 	for i := 1; i <= 600; i++ {
 		from := len(f.sent)
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		for j := from; j < len(f.sent); j++ {
 			if x := f.sent[j]; x.to == 2 {
 				bad++
@@ -645,13 +650,13 @@
 }
 
 // When most servers fail, none is trusted to be worse than the others and work goes on.
-func TestMostServersFailing(t *testing.T) {
+func TestEjectionIsIgnoredWhenMostServersFail(t *testing.T) {
 	f := start(t, settings(), 4)
 	used := map[ServerID]bool{}
 	for i := 1; i <= 200; i++ {
 		from := len(f.sent)
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 20*ms)
+		f.runUntil(f.now + 20*ms)
 		for j := from; j < len(f.sent); j++ {
 			if i > 100 {
 				used[f.sent[j].to] = true
@@ -668,10 +673,10 @@
 	s := settings()
 	s.Subscribe, s.ListRefreshWithin = true, 10*time.Second
 	f := start(t, s, 2)
-	f.g.Servers(f.now, ListFailed, nil)
-	f.until(f.now + 5*time.Second)
-	if f.watch < 2 {
-		t.Fatalf("%d calls", f.watch)
+	f.gateway.Servers(f.now, ListFailed, nil)
+	f.runUntil(f.now + 5*time.Second)
+	if f.watches < 2 {
+		t.Fatalf("%d calls", f.watches)
 	}
 	f.ask(1, nil)
 	if len(f.sent) != 1 {
@@ -684,19 +689,19 @@
 	f.ask(1, nil)
 	f.done(f.sent[0], Served, ms)
 	n := len(f.trace)
-	f.g.Outcome(f.now, Outcome{ID: 77, Ending: Errored})
-	f.g.Outcome(f.now, Outcome{ID: 1, Attempt: 9, Ending: Errored})
-	f.g.Timer(f.now, 1<<40<<tagBits|tagDeadline)
-	f.g.Timer(f.now, 1<<tagBits|tagHedge)
-	f.g.ClientGone(f.now, 1)
-	f.g.ResponseStarted(f.now, 5, 0)
+	f.gateway.Outcome(f.now, Outcome{ID: 77, Ending: Errored})
+	f.gateway.Outcome(f.now, Outcome{ID: 1, Attempt: 9, Ending: Errored})
+	f.gateway.Timer(f.now, 1<<40<<tagBits|tagDeadline)
+	f.gateway.Timer(f.now, 1<<tagBits|tagHedge)
+	f.gateway.ClientGone(f.now, 1)
+	f.gateway.ResponseStarted(f.now, 5, 0)
 	if len(f.trace) != n {
 		t.Fatalf("%v", f.trace[n:])
 	}
 }
 
 // storm drives a gateway with random events and checks the rules on everything it does.
-func storm(t *testing.T, seed uint64) []string {
+func randomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := twoGateways()
 	s.Hedging = seed%2 == 0
@@ -740,14 +745,14 @@
 			if state != Ready {
 				off[sv] = f.now
 			}
-			f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: sv, State: state, Cell: int(sv) % 2, Zone: int(sv) % 2,
+			f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: sv, State: state, Cell: int(sv) % 2, Zone: int(sv) % 2,
 				StartedAt: Time(rng.IntN(2)) * f.now}})
 		case k == 17:
 			m := make([]byte, rng.IntN(40))
 			for i := range m {
 				m[i] = byte(rng.IntN(256))
 			}
-			f.g.PeerMessage(f.now, rng.IntN(4)-1, m)
+			f.gateway.PeerMessage(f.now, rng.IntN(4)-1, m)
 		case k == 18 && rng.IntN(40) == 0: // killed and born again: what it held is void, it knows its last list only
 			for i := RequestID(1); i <= id; i++ {
 				if f.ended[i] == "" {
@@ -759,7 +764,7 @@
 				t.Fatal(err)
 			}
 			g.Attach(f)
-			f.g, f.timers, out = g, nil, nil
+			f.gateway, f.timers, out = g, nil, nil
 			var list []ServerInfo
 			for sv := ServerID(1); sv <= 8; sv++ {
 				state := Ready
@@ -770,7 +775,7 @@
 			}
 			g.Servers(f.now, ListCached, list)
 		default:
-			f.until(f.now + time.Duration(rng.IntN(60))*ms)
+			f.runUntil(f.now + time.Duration(rng.IntN(60))*ms)
 		}
 		for _, x := range f.sent[from:] {
 			if at, gone := off[x.to]; gone && x.at > at {
@@ -806,40 +811,40 @@
 		}
 	}
 	from := len(f.sent)
-	f.until(f.now + 5*time.Second)
+	f.runUntil(f.now + 5*time.Second)
 	for _, x := range f.sent[from:] {
 		out = append(out, open{x, 0})
 	}
 	for _, o := range out {
 		f.done(o.send, TimedOut, f.now-o.at)
 	}
-	if len(f.g.requests) != 0 || len(f.g.inFlight) != 0 {
-		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.g.requests), len(f.g.inFlight))
+	if len(f.gateway.requests) != 0 || len(f.gateway.inFlight) != 0 {
+		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.gateway.requests), len(f.gateway.inFlight))
 	}
 	return f.trace
 }
 
-func TestRulesInAStorm(t *testing.T) {
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		storm(t, seed)
+		randomEvents(t, seed)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	if !reflect.DeepEqual(storm(t, 3), storm(t, 3)) {
+	if !reflect.DeepEqual(randomEvents(t, 3), randomEvents(t, 3)) {
 		t.Fatal("two runs differ")
 	}
 }
 
 // A fleet with little to do whose answers are late by nature must not see a group cut for it.
-func TestLatenessOfAnIdleFleetCutsNothing(t *testing.T) {
+func TestLatenessOfAnIdleFleetShedsNothing(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, Plan{Name: "dear", Rate: 1000, Burst: 1000, ValueMultiplier: 5})
 	s.Hedging = false
 	f := start(t, s, 10)
 	for i := 1; i <= 60; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Plan = i % 2 })
-		f.until(f.now + 600*ms)
+		f.runUntil(f.now + 600*ms)
 		f.done(f.sent[len(f.sent)-1], Served, 600*ms)
 	}
 	if len(f.log) > 0 || len(f.sent) != 60 {
@@ -848,33 +853,33 @@
 }
 
 // A peer's share must count for less as it ages, and lapse.
-func TestPeerReportsFade(t *testing.T) {
+func TestPeersDemandDecays(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
 	for i := time.Duration(1); i <= 8; i++ {
-		f.g.PeerMessage(f.now, 1, message(i*time.Second, 5, 60))
+		f.gateway.PeerMessage(f.now, 1, message(i*time.Second, 5, 60))
 	}
-	c := f.g.customersByID[5]
-	_, fresh := f.g.demand(c)
-	f.g.now += time.Second
+	c := f.gateway.customersByID[5]
+	_, fresh := f.gateway.demand(c)
+	f.gateway.now += time.Second
 	mass := c.sharedDemand.pooled[0]
-	f.g.demand(c)
+	f.gateway.demand(c)
 	faded := c.sharedDemand.pooled[0]
-	f.g.now += 10 * time.Second
-	mine, gone := f.g.demand(c)
+	f.gateway.now += 10 * time.Second
+	mine, gone := f.gateway.demand(c)
 	if fresh < 50 || faded > mass/2 || gone > 2*mine {
 		t.Fatalf("demand %v; mass %v, %v a second later; %v long after", fresh, mass, faded, gone)
 	}
 }
 
 // A sick minority must not shrink what the sound servers may take.
-func TestSickServersKeepTheirOwnRoom(t *testing.T) {
+func TestUnhealthyServersKeepTheirOwnCapacity(t *testing.T) {
 	s := settings()
 	s.Hedging = false
 	f := start(t, s, 10)
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 5*ms)
+		f.runUntil(f.now + 5*ms)
 		rest := f.sent[:0]
 		for _, x := range f.sent {
 			took := 100 * ms
@@ -889,21 +894,21 @@
 		}
 		f.sent = rest
 	}
-	for _, x := range f.g.servers {
-		if room := f.g.capacityOf(x); x.ID <= 3 && room > initialCapacity || x.ID > 3 && room < initialCapacity {
+	for _, x := range f.gateway.servers {
+		if room := f.gateway.capacityOf(x); x.ID <= 3 && room > initialCapacity || x.ID > 3 && room < initialCapacity {
 			t.Errorf("server %d: room %v, started at %v", x.ID, room, initialCapacity)
 		}
 	}
 }
 
 // A server that served for long and then dies, unlisted yet, must be left after a few failed connects.
-func TestServerThatDiesIsLeft(t *testing.T) {
+func TestServerThatDiesIsEjected(t *testing.T) {
 	f := start(t, settings(), 6)
 	bad := 0
 	for i := 1; i <= 1500; i++ {
 		from := len(f.sent)
 		f.ask(RequestID(i), nil)
-		f.until(f.now + 10*ms)
+		f.runUntil(f.now + 10*ms)
 		for j := from; j < len(f.sent); j++ {
 			if x := f.sent[j]; x.to == 2 && i > 1200 {
 				bad++
@@ -918,20 +923,20 @@
 	}
 }
 
-func TestServersThatLeftAreForgotten(t *testing.T) {
+func TestDepartedServersAreForgotten(t *testing.T) {
 	f := start(t, settings(), 2)
 	for i := 10; i < 500; i++ {
 		f.now += 5 * time.Second
-		f.g.Servers(f.now, ListFull, []ServerInfo{{ID: ServerID(i), StartedAt: f.now}})
+		f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: ServerID(i), StartedAt: f.now}})
 		f.ask(RequestID(i), nil)
 		f.done(f.sent[len(f.sent)-1], Served, ms)
 	}
-	if len(f.g.servers) > 3 || len(f.g.serversByID) > 3 {
-		t.Fatalf("%d servers remembered, one is listed", len(f.g.servers))
+	if len(f.gateway.servers) > 3 || len(f.gateway.serversByID) > 3 {
+		t.Fatalf("%d servers remembered, one is listed", len(f.gateway.servers))
 	}
 }
 
-func TestUnitsThatAreNoNumber(t *testing.T) {
+func TestUnitsThatAreNotANumber(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1, 5
 	f := start(t, s, 20)
@@ -952,11 +957,11 @@
 	for i := RequestID(1); i <= 60; i++ {
 		x.step(f, 50*ms)
 		f.ask(i, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, 0.05 })
-		f.until(f.now + 50*ms)
+		f.runUntil(f.now + 50*ms)
 	}
-	c := f.g.customersByID[5]
-	f.until(f.now + peerAliveFor + 100*ms)
-	f.g.refill(c, 0)
+	c := f.gateway.customersByID[5]
+	f.runUntil(f.now + peerAliveFor + 100*ms)
+	f.gateway.refill(c, 0)
 	c.balance = 0
 	f.now += 200 * ms
 	f.ask(99, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, 0 })
@@ -965,22 +970,22 @@
 	}
 }
 
-func TestStreamHasNoDeadlineOnceBegun(t *testing.T) {
+func TestStreamHasNoDeadlineOnceStarted(t *testing.T) {
 	s := settings()
 	s.Classes[0].Streaming = true
 	f := start(t, s, 4)
 	f.ask(1, nil)
 	f.ask(2, nil)
-	f.until(f.now + 100*ms)
-	f.g.ResponseStarted(f.now, 1, 0)
-	f.until(f.now + 5*time.Second)
+	f.runUntil(f.now + 100*ms)
+	f.gateway.ResponseStarted(f.now, 1, 0)
+	f.runUntil(f.now + 5*time.Second)
 	if f.ended[1] != "" || f.ended[2] == "" || len(f.sent) != 2 {
 		t.Fatalf("ended %v, sent %v", f.ended, f.sent)
 	}
 }
 
 // A plan with only a cap on what is out at once: the cap is split over the gateways, and frees with each answer.
-func TestOpenCapAlone(t *testing.T) {
+func TestMaxInFlightAlone(t *testing.T) {
 	s := twoGateways()
 	s.Plans[0] = Plan{Name: "cap", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}
 	f := start(t, s, 30)
@@ -1001,12 +1006,12 @@
 }
 
 // A prior is for one life of a listed server. It moves the guesses of pace and of room and nothing else.
-func TestPriorsMoveGuessesOnly(t *testing.T) {
+func TestPriorsChangeEstimatesOnly(t *testing.T) {
 	s := settings()
 	s.Hedging = false
 	f := start(t, s, 3)
-	f.g.Servers(f.now, ListChanges, []ServerInfo{{ID: 3, State: Draining, Weight: 1}})
-	f.g.SetPriors(f.now, []Prior{{ID: 1, RelativeLatency: 30, Weight: 4}, {ID: 2, StartedAt: 5 * time.Second, RelativeLatency: 30, Weight: 9},
+	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 3, State: Draining, Weight: 1}})
+	f.gateway.SetPriors(f.now, []Prior{{ID: 1, RelativeLatency: 30, Weight: 4}, {ID: 2, StartedAt: 5 * time.Second, RelativeLatency: 30, Weight: 9},
 		{ID: 3, RelativeLatency: 0.1, Weight: 9}, {ID: 9, RelativeLatency: 0.1, Weight: 9}, {ID: 2, RelativeLatency: math.NaN(), Weight: 1, Capacity: 7}})
 	for id := RequestID(1); id <= 4; id++ {
 		f.ask(id, func(*Request) {})
@@ -1016,14 +1021,14 @@
 			t.Errorf("request %d went to server %d", x.id, x.to)
 		}
 	}
-	if len(f.sent) != 4 || len(f.g.servers) != 2 {
-		t.Errorf("%d sent, %d servers known", len(f.sent), len(f.g.servers))
+	if len(f.sent) != 4 || len(f.gateway.servers) != 2 {
+		t.Errorf("%d sent, %d servers known", len(f.sent), len(f.gateway.servers))
 	}
-	if list := f.g.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 || list[1].LastServed != 0 {
+	if list := f.gateway.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 || list[1].LastServed != 0 {
 		t.Errorf("observed %+v", list)
 	}
-	f.until(f.now + 10*time.Second)
-	if list := f.g.Observe(f.now); list[0].LatencySamples > 1 { // a guess fades as what was seen does
+	f.runUntil(f.now + 10*time.Second)
+	if list := f.gateway.Observe(f.now); list[0].LatencySamples > 1 { // a guess fades as what was seen does
 		t.Errorf("after 10 s the prior still counts %.1f answers", list[0].LatencySamples)
 	}
 }
@@ -1043,16 +1048,16 @@
 					up[s] = state == Ready
 					list = append(list, ServerInfo{ID: s, Weight: 1, State: state, StartedAt: Time(rng.IntN(2)) * f.now})
 				}
-				f.g.Servers(f.now, ListFull, list)
+				f.gateway.Servers(f.now, ListFull, list)
 			case 1:
 				var list []Prior
 				for range 6 {
 					list = append(list, Prior{ID: ServerID(rng.IntN(9)), StartedAt: Time(rng.IntN(2)) * f.now, RelativeLatency: rng.ExpFloat64(),
 						Weight: 10 * rng.Float64(), Capacity: 100 * rng.Float64(), ColdBudgetTaken: rng.IntN(2) == 0})
 				}
-				f.g.SetPriors(f.now, list)
+				f.gateway.SetPriors(f.now, list)
 			case 2:
-				f.until(f.now + Time(rng.IntN(300))*ms)
+				f.runUntil(f.now + Time(rng.IntN(300))*ms)
 			default:
 				sent := len(f.sent)
 				id++
@@ -1078,7 +1083,7 @@
 		before := len(f.sent)
 		id++
 		f.ask(id, func(r *Request) { r.SetSize = 4 })
-		f.until(f.now + 50*ms)
+		f.runUntil(f.now + 50*ms)
 		for _, x := range f.sent[before:] {
 			if answered {
 				f.done(x, Served, 50*ms)
@@ -1089,12 +1094,12 @@
 	for range 200 { // ten seconds, five a second at each server
 		step(true)
 	}
-	f.until(f.now + 20*time.Second)
+	f.runUntil(f.now + 20*time.Second)
 	var list []ServerInfo
 	for i := 1; i <= 4; i++ {
 		list = append(list, ServerInfo{ID: ServerID(i), Weight: 1, StartedAt: f.now})
 	}
-	f.g.Servers(f.now, ListFull, list)
+	f.gateway.Servers(f.now, ListFull, list)
 	sent := 0
 	for range 100 {
 		sent += step(true)
--- a/policy/recall_test.go
+++ b/policy/recall_test.go
@@ -8,11 +8,11 @@
 // What a gateway's former life has drawn is drawn still after its start: the account has what has filled since, not its burst a
 // second time; of its hard ceiling there is what has filled since the former life was last known to live. Without word of it there
 // is the burst again.
-func TestRecalledUseIsNotGivenTwice(t *testing.T) {
+func TestRestoredBalanceIsNotGivenTwice(t *testing.T) {
 	s := settings()
 	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 20, ValueMultiplier: 1, OverQuotaCost: 1},
 		{Name: "utility", Rate: 2, Burst: 20, ValueMultiplier: 1, HardLimitRate: 4, HardLimitBurst: 40, HardLimitSlack: 4}}
-	spend := func(f *fake, from RequestID) (in int) {
+	spend := func(f *fakeHost, from RequestID) (in int) {
 		for id := from; id < from+60; id++ {
 			f.ask(id, func(r *Request) { r.Customer = 7 })
 			if f.ended[id] == "" {
@@ -21,42 +21,42 @@
 		}
 		return in
 	}
-	begin := func() *fake {
-		f := &fake{t: t, now: time.Hour, ended: map[RequestID]string{}}
-		f.g, _ = New(s, 1)
-		f.g.Attach(f)
+	begin := func() *fakeHost {
+		f := &fakeHost{t: t, now: time.Hour, ended: map[RequestID]string{}}
+		f.gateway, _ = New(s, 1)
+		f.gateway.Attach(f)
 		return f
 	}
-	open := func(f *fake) {
+	open := func(f *fakeHost) {
 		var list []ServerInfo
 		for id := range 30 {
 			list = append(list, ServerInfo{ID: ServerID(id + 1), State: Ready, Weight: 1})
 		}
-		f.g.Servers(f.now, ListFull, list)
+		f.gateway.Servers(f.now, ListFull, list)
 	}
 	f := begin()
 	open(f)
 	if in := spend(f, 1); in < 20 || in > 32 { // some go by chance beyond it
 		t.Fatalf("%d let in of a burst of 20", in)
 	}
-	kept := f.g.QuotaBalances(f.now, 0)
+	kept := f.gateway.QuotaBalances(f.now, 0)
 	if len(kept) != 1 || kept[0].Balance > 0 || kept[0].Balance < -12 || kept[0].Customer != 7 {
 		t.Fatalf("kept: %+v", kept)
 	}
-	if later := f.g.QuotaBalances(f.now+time.Minute, f.now+1); len(later) != 0 {
+	if later := f.gateway.QuotaBalances(f.now+time.Minute, f.now+1); len(later) != 0 {
 		t.Errorf("nothing was asked for since, and kept are %+v", later)
 	}
 	kept[0].Balance, kept[0].Age, kept[0].Downtime = 0, 3*time.Second, 2*time.Second
 	next := begin()
-	next.g.RestoreBalances(next.now, kept)
+	next.gateway.RestoreBalances(next.now, kept)
 	open(next)
 	if in := spend(next, 100); in < 6 || in > 12 {
 		t.Errorf("%d let in three seconds after all was drawn, at two a second", in)
 	}
 	utility := kept[0].Key | 1<<24
 	next = begin()
-	next.g.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
-	if got := next.g.customersByKey[utility].hardLimit.Tokens; got != 8 {
+	next.gateway.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
+	if got := next.gateway.customersByKey[utility].hardLimit.Tokens; got != 8 {
 		t.Errorf("%v left under the ceiling two seconds after the former life's end, at four a second", got)
 	}
 	blank := begin()
@@ -65,8 +65,8 @@
 		t.Errorf("%d let in by one that recalls nothing", in)
 	}
 	odd := begin()
-	odd.g.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300, Age: time.Hour}})
-	if got := odd.g.customersByKey[kept[0].Key].balance; got != 20 {
+	odd.gateway.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300, Age: time.Hour}})
+	if got := odd.gateway.customersByKey[kept[0].Key].balance; got != 20 {
 		t.Errorf("%v left of a burst of 20", got)
 	}
 }
--- a/policy/settle_test.go
+++ b/policy/settle_test.go
@@ -8,7 +8,7 @@
 
 // The quota counts in the end what a request's first good answer tells, once, and only where it can be. The ceiling goes by
 // the guess.
-func TestTrueUnitsAreSettledOnce(t *testing.T) {
+func TestUnitsAreReconciledOnce(t *testing.T) {
 	s := settings()
 	s.MaxUnits = 6
 	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 1, HardLimitBurst: 60}}
@@ -18,40 +18,40 @@
 	}{{[]float64{5}, 35}, {[]float64{1}, 39}, {[]float64{0}, 38}, {[]float64{5, 5}, 35}, {[]float64{math.NaN()}, 38},
 		{[]float64{-4}, 38}, {[]float64{math.Inf(1)}, 38}, {[]float64{1e6}, 38}} {
 		f := start(t, s, 2)
-		f.until(f.now + 100*time.Second)
+		f.runUntil(f.now + 100*time.Second)
 		f.ask(1, func(r *Request) { r.Customer, r.Units = 5, 2 })
-		r := f.g.requests[1]
+		r := f.gateway.requests[1]
 		var before, ceiling float64
-		if before, ceiling = f.left(5); math.Abs(before-38) > 0.01 {
+		if before, ceiling = f.remaining(5); math.Abs(before-38) > 0.01 {
 			t.Fatalf("%v left after a guess of 2", before)
 		}
-		f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: c.told[0]})
+		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: c.told[0]})
 		for _, units := range c.told[1:] { // as a second copy's answer would
-			f.g.reconcileUnits(r, units)
+			f.gateway.reconcileUnits(r, units)
 		}
-		if left, after := f.left(5); math.Abs(left-c.left) > 0.01 || after != ceiling {
+		if left, after := f.remaining(5); math.Abs(left-c.left) > 0.01 || after != ceiling {
 			t.Errorf("told %v: %v left, should be %v; ceiling %v, was %v", c.told, left, c.left, after, ceiling)
 		}
 	}
 }
 
 // An answer that comes after its client has left settles all the same.
-func TestTrueUnitsOfALateAnswer(t *testing.T) {
+func TestUnitsOfALateAnswerAreReconciled(t *testing.T) {
 	s := settings()
 	s.MaxUnits, s.Hedging = 6, false
 	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := start(t, s, 2)
 	f.ask(1, func(r *Request) { r.Customer, r.Units = 5, 2 })
-	f.g.ClientGone(f.now, 1)
-	f.g.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: 5})
-	if left, _ := f.left(5); math.Abs(left-35) > 0.01 {
+	f.gateway.ClientGone(f.now, 1)
+	f.gateway.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: 5})
+	if left, _ := f.remaining(5); math.Abs(left-35) > 0.01 {
 		t.Errorf("%v left of 40 where 5 were drawn", left)
 	}
 }
 
 // Where gateways share a store the others hear of what was settled, in both directions; where the account has a home, the
 // home does.
-func TestTrueUnitsReachTheOthers(t *testing.T) {
+func TestReconciledUnitsReachPeers(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging, s.MaxUnits = true, 100, false, 6
 	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 200, ValueMultiplier: 1, OverQuotaCost: 1}}
@@ -62,15 +62,15 @@
 			f.run(time.Second, func() {})
 			for id := RequestID(1); id <= 20; id++ {
 				n := f.nodes[0]
-				n.true = units
-				n.g.Request(f.now, Request{ID: id, Customer: 77, Deadline: f.now + 2*time.Second, Units: 3, SetSize: set})
+				n.trueUnits = units
+				n.gateway.Request(f.now, Request{ID: id, Customer: 77, Deadline: f.now + 2*time.Second, Units: 3, SetSize: set})
 				f.run(100*ms, func() {})
 			}
 			f.run(time.Second, func() {})
-			c := f.nodes[1].g.customersByKey[customerKey(77, 0, 0, set)]
+			c := f.nodes[1].gateway.customersByKey[customerKey(77, 0, 0, set)]
 			if set > nearbyDistance+1 {
-				home := f.nodes[0].g.customersByID[77]
-				c = f.nodes[f.nodes[0].g.ownerCandidate(home, 0)].g.customersByKey[ownerKey(home.key, f.nodes[0].g.ownerCandidate(home, 0))]
+				home := f.nodes[0].gateway.customersByID[77]
+				c = f.nodes[f.nodes[0].gateway.ownerCandidate(home, 0)].gateway.customersByKey[ownerKey(home.key, f.nodes[0].gateway.ownerCandidate(home, 0))]
 			}
 			if c == nil || math.Abs(c.balance-(200-20*units)) > 6 {
 				t.Errorf("%s: %+v left of 200 where 20 times %v were drawn", name, c.balance, units)
--- a/policy/silent_test.go
+++ b/policy/silent_test.go
@@ -8,7 +8,7 @@
 // The way to all servers is cut for a moment: what is out then is lost, its connections silent, and nothing says so. All of the
 // room is taken by it. Once servers answer again the gateway finds out with one attempt at each, long before the deadlines
 // of what was lost, and a jam in which nothing comes gets no more than these.
-func TestRoomIsFoundAgainAfterASilence(t *testing.T) {
+func TestCapacityIsFoundAgainAfterASilence(t *testing.T) {
 	s := settings()
 	s.Hedging, s.Cancel = false, false
 	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = time.Second, 20*time.Second
@@ -21,7 +21,7 @@
 				id++
 				f.ask(id, func(r *Request) { r.Deadline = f.now + 19*time.Second })
 			}
-			f.until(f.now + 10*ms)
+			f.runUntil(f.now + 10*ms)
 			for _, x := range f.sent {
 				if lost[x] = lost[x] || silent && !done[x]; !done[x] && !lost[x] && f.now-x.at >= 50*ms {
 					done[x] = true
--- a/policy/width_test.go
+++ b/policy/width_test.go
@@ -8,7 +8,7 @@
 // Servers that tell how long they work on a request are known to work on four at once. Where something they all depend on
 // makes them several times slower, answers are late however few are out; the room must not shrink below the four, or cores
 // stand idle on top of it. Without reports nobody can know that.
-func TestSharedSlowdownLeavesTheCoresBusy(t *testing.T) {
+func TestSharedSlowdownKeepsServersBusy(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		s := settings()
 		s.Hedging = false
@@ -23,7 +23,7 @@
 		step := func() {
 			id++
 			f.ask(id, nil)
-			f.until(f.now + 10*ms)
+			f.runUntil(f.now + 10*ms)
 			for ; seen < len(f.sent); seen++ { // the first free core takes it
 				x, best := f.sent[seen], 0
 				for k, at := range free[x.to] {
@@ -37,7 +37,7 @@
 			for _, x := range f.sent[max(0, seen-500):] {
 				if at, out := due[x]; out && at <= f.now {
 					delete(due, x)
-					f.g.Outcome(f.now, Outcome{ID: x.id, Attempt: x.no, Server: x.to, Elapsed: f.now - x.at, Ending: Served, Answered: true,
+					f.gateway.Outcome(f.now, Outcome{ID: x.id, Attempt: x.attempt, Server: x.to, Elapsed: f.now - x.at, Ending: Served, Answered: true,
 						LoadReport: []float32{0, float32(slow * work.Seconds() * 1000)}})
 				}
 			}
@@ -50,10 +50,10 @@
 		for k := range 1000 {
 			step()
 			if k > 300 {
-				least = min(least, f.g.totalCapacity())
+				least = min(least, f.gateway.totalCapacity())
 			}
 		}
-		t.Logf("reports %v: width %.1f, room %.1f at least", reports, f.g.serverConcurrency, least)
+		t.Logf("reports %v: width %.1f, room %.1f at least", reports, f.gateway.serverConcurrency, least)
 		if got := least >= 3*3; got != reports {
 			t.Errorf("reports %v: room for %.1f at least on 12 cores", reports, least)
 		}
@@ -62,7 +62,7 @@
 
 // Members of many cores: as long as no answer has been slow nothing tells that the first room is all they can do, and it grows
 // three times as fast as afterwards.
-func TestRoomsOpenUntilAnAnswerIsSlow(t *testing.T) {
+func TestCapacityGrowsFasterUntilAnAnswerIsSlow(t *testing.T) {
 	grown := func(slowFirst bool) float64 {
 		s := settings()
 		s.Hedging = false
@@ -73,7 +73,7 @@
 				id++
 				f.ask(id, nil)
 			}
-			f.until(f.now + 10*ms)
+			f.runUntil(f.now + 10*ms)
 			list := f.sent
 			f.sent = nil
 			for _, x := range list {
@@ -84,9 +84,9 @@
 		if slowFirst {
 			answer(400 * ms)
 		}
-		was := f.g.totalCapacity()
+		was := f.gateway.totalCapacity()
 		n := answer(10 * ms)
-		return (f.g.totalCapacity() - was) / float64(n)
+		return (f.gateway.totalCapacity() - was) / float64(n)
 	}
 	if fast, slow := grown(false), grown(true); fast < 2.5*slow || slow <= 0 {
 		t.Errorf("the room grew by %.2f an answer before and by %.2f after one was slow", fast, slow)
