--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -7,37 +7,6 @@
 	"time"
 )
 
-// next gives a gateway that follows f's, with other settings where change says so.
-func (f *fakeHost) successor(t *testing.T, change func(*Settings)) *fakeHost {
-	t.Helper()
-	set := f.gateway.cfg
-	if change != nil {
-		change(&set)
-	}
-	g, err := New(set, 9)
-	if err != nil {
-		t.Fatal(err)
-	}
-	n := &fakeHost{t: t, gateway: g, now: f.now, ended: map[RequestID]string{}}
-	g.Attach(n)
-	if err := g.ImportState(n.now, f.gateway.ExportState(f.now, 1<<20)); err != nil {
-		t.Fatal(err)
-	}
-	return n
-}
-
-// left gives what is left of a customer's store and under its ceiling.
-func (f *fakeHost) remaining(customer CustomerID) (account, ceiling float64) {
-	c := f.gateway.customersByID[customer]
-	f.gateway.refill(c, 0)
-	return c.balance, c.hardLimit.Tokens
-}
-
-func (f *fakeHost) serve(id RequestID, took time.Duration, change func(*Request)) {
-	f.ask(id, change)
-	f.done(f.sent[len(f.sent)-1], Served, took)
-}
-
 func busySettings() Settings {
 	s := settings()
 	s.Classes = append(s.Classes, Class{Name: "order", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3, Idempotency: NotIdempotent})
@@ -47,8 +16,8 @@
 	return s
 }
 
-// What a gateway knows goes on in the next: what is left of stores and ceilings, who is ejected, how long attempts take,
-// how much cold servers were sent. So it does with other settings, by the names of classes and plans.
+// A successor knows what its predecessor knew: balances and hard limits, which servers are ejected, latencies, and what
+// cold servers were sent. With other settings it does so by the names of classes and plans.
 func TestStateGoesToTheSuccessor(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.runUntil(f.now + 100*time.Second) // a ceiling fills from the start on
@@ -118,7 +87,7 @@
 	}
 }
 
-// To its peers the next gateway is the same one: no second life, and nothing drawn twice.
+// To its peers a successor is the same gateway: no other incarnation, and nothing drawn twice.
 func TestPeersDoNotNoticeASuccessor(t *testing.T) {
 	f, peer := start(t, twoGateways(), 4), start(t, func() Settings { s := twoGateways(); s.Self = 1; return s }(), 4)
 	pass := func(from *fakeHost) {
@@ -148,7 +117,7 @@
 	}
 }
 
-// What the other process sends counts here: units and ceiling, and cold budgets.
+// What the other process of a gateway sends counts here: units, hard limit and cold budgets.
 func TestSentElsewhere(t *testing.T) {
 	f := start(t, busySettings(), 1)
 	f.runUntil(f.now + 100*time.Second)
@@ -166,7 +135,7 @@
 	}
 }
 
-// A peer that has not yet the same settings is heard, but its numbers of other groups and plans count for nothing.
+// A peer with other settings is alive, but what it says of groups and plans with other names is dropped.
 func TestUpdatesOfOtherSettings(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	m := message(time.Second, 5, 100)
@@ -187,7 +156,8 @@
 	}
 }
 
-// Carried state is taken whole or not at all: cut at any byte, of another gateway, or of another form it changes nothing.
+// State is imported wholly or not at all: cut at any byte, of another gateway, or in another version it changes
+// nothing.
 func TestInvalidStateIsRejected(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
@@ -234,7 +204,7 @@
 	}
 }
 
-// However many customers there are, what is carried keeps to its bytes, and those seen last are in it.
+// However many customers there are, exported state keeps to its bytes, and the customers seen last are in it.
 func TestExportedStateIsBounded(t *testing.T) {
 	f := start(t, settings(), 4)
 	for i := 1; i <= 3000; i++ {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -3,12 +3,11 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 	"testing"
 	"time"
 )
 
-// fleet runs many gateways of the real module; messages between them are late and some are lost.
+// fleet runs many gateways; messages between them are delayed and some are lost.
 type fleet struct {
 	t           *testing.T
 	now         Time
@@ -22,6 +21,7 @@
 	latencies   map[ServerID]time.Duration
 }
 
+// node is the host of one gateway of a fleet.
 type node struct {
 	fleet       *fleet
 	number      int
@@ -54,9 +54,11 @@
 		}
 	})
 }
+
 func (n *node) Refuse(id RequestID, _ time.Duration) { n.refused[id] = true }
 func (n *node) Fail(id RequestID)                    { n.refused[id] = true }
 func (n *node) Cancel(RequestID, int)                {}
+
 func (n *node) Timer(tag uint64, d time.Duration) {
 	life := n.incarnation
 	n.fleet.at(d, func() {
@@ -65,8 +67,10 @@
 		}
 	})
 }
+
 func (n *node) Watch()       {}
 func (n *node) Log(s string) { n.log = append(n.log, s) }
+
 func (n *node) Tell(peer int, m []byte) {
 	n.fleet.messages++
 	n.fleet.bytes += len(m)
@@ -126,8 +130,8 @@
 	g.Servers(n.fleet.now, ListCached, list)
 }
 
-// Over many gateways a heavy customer must get about its rate in all and a calm one must not be refused, though each
-// gateway sees few of its requests, messages are late and some are lost.
+// Over many gateways a heavy customer gets about its rate in all and a calm one isn't refused, though each gateway sees few
+// of its requests, messages are delayed and some are lost.
 func TestQuotaOverManyGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate = true, 40
@@ -209,212 +213,8 @@
 	}
 }
 
-// Hundreds of gateways, a third of them just restarted, meet one cold server, then a fleet of which 40% is cold at
-// once: what all send it in any window must stay within its multiple, and the rest must go on being served.
-func TestColdServersOverManyGateways(t *testing.T) {
-	for name, cold := range map[string]int{"one": 1, "two fifths": 16} {
-		s := settings()
-		s.Peers, s.PeerMessageRate, s.Hedging = true, 40, false
-		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
-		f := newFleet(t, s, 300, 40)
-		id, begin := RequestID(0), f.now
-		ask := func() {
-			for k := 0; k < 4; k++ { // 800 a second, 20 a server
-				id++
-				n := f.nodes[f.rng.IntN(300)]
-				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id % 900), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 300})
-			}
-		}
-		f.run(4*time.Second, ask)
-		born := f.now
-		for i, n := range f.nodes {
-			if i%3 == 0 {
-				n.restart(s, 40)
-			}
-			var list []ServerInfo
-			for k := 1; k <= cold; k++ {
-				list = append(list, ServerInfo{ID: ServerID(k), StartedAt: born})
-			}
-			n.gateway.Servers(f.now, ListChanges, list)
-		}
-		f.run(5*time.Second, ask)
-		var sends []Time
-		served := 0
-		for _, n := range f.nodes {
-			for _, x := range n.sends {
-				if x.to == 1 && x.at >= born {
-					sends = append(sends, x.at)
-				}
-				if x.at >= born {
-					served++
-				}
-			}
-		}
-		slices.Sort(sends)
-		for i, at := range sends {
-			from := i
-			for from > 0 && at-sends[from-1] < s.ColdWindow {
-				from--
-			}
-			w := s.InitialWarmth + (1-s.InitialWarmth)*(at-born).Seconds()/s.WarmupTime.Seconds()
-			if most := s.ColdMultiple * w * 25 * s.ColdWindow.Seconds(); float64(i-from+1) > most { // can do 25 a second
-				t.Fatalf("%s: %d sent in a window ending %v after its start, at most %.0f", name, i-from+1, at-born, most)
-			}
-		}
-		if len(sends) == 0 || served < 3600 {
-			t.Errorf("%s: %d to the cold server, %d sent in 5 s of 4000 asked (%v)", name, len(sends), served, f.now-begin)
-		}
-	}
-}
-
-// One plan is turned away by a server that serves the others: that plan goes elsewhere, the server keeps the rest.
-func TestServerThatRejectsOnePlan(t *testing.T) {
-	s := settings()
-	s.Hedging = false
-	s.Plans = append(s.Plans, Plan{Name: "other", Rate: 1000, Burst: 1000, ValueMultiplier: 1})
-	f := start(t, s, 4)
-	away, kept := 0, 0
-	for i := 1; i <= 800; i++ {
-		from := len(f.sent)
-		f.ask(RequestID(i), func(r *Request) { r.Plan = i % 2 })
-		f.runUntil(f.now + 10*ms)
-		for j := from; j < len(f.sent); j++ {
-			x := f.sent[j]
-			switch {
-			case x.to == 2 && i%2 == 1:
-				away++
-				f.done(x, Rejected, 5*ms)
-			case f.ended[x.id] == "":
-				if x.to == 2 {
-					kept++
-				}
-				f.done(x, Served, 10*ms)
-			}
-		}
-	}
-	if away > 10 || kept < 25 || len(f.log) > 0 {
-		t.Fatalf("%d of the plan turned away, %d of the other served there, log %v", away, kept, f.log)
-	}
-}
-
-// After a gap in a gateway's turns all that came meanwhile must have one answer each, in time, and the gap must cut
-// nothing once it is over.
-func TestBacklogAfterAStall(t *testing.T) {
-	f := start(t, settings(), 10)
-	for i := 1; i <= 100; i++ {
-		f.ask(RequestID(i), nil)
-		f.runUntil(f.now + 10*ms)
-		f.done(f.sent[len(f.sent)-1], Served, 10*ms)
-	}
-	deadlines := map[RequestID]Time{}
-	for i := RequestID(101); i <= 250; i++ {
-		deadlines[i] = f.now + time.Duration(i*10)*ms
-	}
-	f.now += 1500 * ms // no turn meanwhile
-	from := len(f.sent)
-	for i := RequestID(101); i <= 250; i++ {
-		f.ask(i, func(r *Request) { r.Deadline = deadlines[i] })
-	}
-	f.runUntil(f.now + 20*ms)
-	for _, x := range f.sent[from:] {
-		if f.ended[x.id] == "" {
-			f.done(x, Served, 20*ms)
-		}
-	}
-	f.runUntil(f.now + 3*time.Second)
-	for i := RequestID(101); i <= 250; i++ {
-		if f.ended[i] == "" {
-			t.Fatalf("request %d has no answer", i)
-		}
-	}
-	if len(f.log) > 0 {
-		t.Fatalf("log %v", f.log)
-	}
-}
-
-// Sets that can't be must still get an answer and no panic.
-func TestInvalidSets(t *testing.T) {
-	s := twoGateways()
-	s.Gateways = 40
-	f := start(t, s, 4)
-	id := RequestID(0)
-	for _, size := range []int{-3, 0, 1, 7, 40, 41, 1 << 19} {
-		for _, first := range []int{-9, 0, 39, 40, 1 << 19} {
-			id++
-			f.ask(id, func(r *Request) { r.SetSize, r.FirstGateway, r.Customer = size, first, CustomerID(id%6) })
-			f.runUntil(f.now + 300*ms)
-		}
-	}
-	f.runUntil(f.now + 5*time.Second)
-	for _, x := range f.sent {
-		if f.ended[x.id] == "" {
-			f.done(x, Served, ms)
-		}
-	}
-	for i := RequestID(1); i <= id; i++ {
-		if f.ended[i] == "" {
-			t.Fatalf("request %d has no answer", i)
-		}
-	}
-}
-
-// A message that comes twice or late adds nothing.
-func TestDuplicateAndLateUpdates(t *testing.T) {
-	f := start(t, twoGateways(), 4)
-	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-	f.gateway.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
-	c := f.gateway.customersByID[5]
-	before := c.sharedDemand.pooled
-	f.gateway.PeerMessage(f.now, 1, message(5*time.Second, 5, 20))
-	f.gateway.PeerMessage(f.now, 1, message(4*time.Second, 5, 20))
-	if c.sharedDemand.pooled != before {
-		t.Fatalf("%v -> %v", before, c.sharedDemand.pooled)
-	}
-}
-
-// Whatever a peer says, no quota is passed and nothing is cut by it alone.
-func FuzzPeerMessage(f *testing.F) {
-	f.Add(message(time.Second, 5, 60))
-	f.Add([]byte{1, 0, 0, 0, 0, 1, 9})
-	f.Fuzz(func(t *testing.T, m []byte) {
-		f := start(t, twoGateways(), 8)
-		for i := 1; i <= 200; i++ {
-			if len(m) > 5 {
-				m[4]++ // a new age each time
-			}
-			f.gateway.PeerMessage(f.now, 1, m)
-			f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 2 })
-			f.runUntil(f.now + 10*ms)
-			if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
-				f.done(f.sent[n-1], Served, 5*ms)
-			}
-		}
-		if len(f.sent) > 60 || len(f.log) > 0 { // the whole quota lets in 10 and 10 a second, for 2 s
-			t.Fatalf("%d let in, log %v", len(f.sent), f.log)
-		}
-	})
-}
-
-// A calm customer of many gateways that don't hear each other must not be refused for want of news.
-func TestCalmCustomerOfAnIsolatedGateway(t *testing.T) {
-	s := twoGateways()
-	s.Gateways = 100
-	f := start(t, s, 8)
-	for i := 1; i <= 20; i++ { // a twentieth a second here, of a rate of 10 split over 100
-		f.runUntil(f.now + 20*time.Second)
-		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 100 })
-		f.runUntil(f.now + 200*ms) // for the home's answer, in vain
-		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
-			f.done(f.sent[n-1], Served, 5*ms)
-		}
-	}
-	if len(f.sent) < 17 {
-		t.Fatalf("%d of 20 let in", len(f.sent))
-	}
-}
-
-// Gateways that hear each other hold a customer to its quota and its ceiling as one would, though most of its
-// requests come through one of them: parts of the store that the others keep would be refused to it for nothing.
+// Gateways that hear each other hold a customer to its quota and its hard limit as one would, though most of its requests
+// come in at one of them: parts of the bucket at the others would be refused to it for nothing.
 func TestGatewaysShareABucket(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -472,8 +272,8 @@
 	}
 }
 
-// A gateway that starts again among others learns what they know of each store: neither a new burst for who has
-// spent it, nor a refusal for who has not.
+// A gateway that restarts among others learns the balances that they know: no new burst for a customer that has spent it,
+// and no refusal for one that has not.
 func TestRestartedGatewayLearnsTheBalance(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -503,8 +303,8 @@
 	}
 }
 
-// While one gateway of four is down the others use all of the quota, its part too. Should it only be cut off, both
-// sides together stay under one and a half of the quota, and so under any ceiling that the site has.
+// While one gateway of four is down the others use all of the quota, its part too. Where it is only partitioned, both sides
+// together stay below one and a half of the quota, and so below any hard limit that the site has.
 func TestOneGatewayOfFourDownOrPartitioned(t *testing.T) {
 	for name, down := range map[string]bool{"down": true, "cut off": false} {
 		s := settings()
@@ -543,8 +343,8 @@
 	}
 }
 
-// What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed, also for
-// customers whom the first message has no room for: they are served at their rate at once, and not above it.
+// What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed, also
+// for customers that the first update has no room for: they are served at their rate at once, and not above it.
 func TestPartitionLeavesNoDebt(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
--- a/policy/home_test.go
+++ b/policy/owner_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// wideFleet is eighty gateways of one customer plan as the operators' days at size have it.
+// wideFleet gives eighty gateways with two plans.
 func wideFleet(t *testing.T) (*fleet, Settings) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -14,7 +14,8 @@
 	return newFleet(t, s, 80, 60), s
 }
 
-// let asks one gateway after the other, a tick apart, and counts what is let in and what has no answer in the end.
+// admitted sends requests of one customer to one of its gateways after the other, a tick apart, and gives how many were
+// admitted and how many have no answer in the end.
 func (f *fleet) admitted(tries, plan, first, set int) (in, open int) {
 	begin := RequestID(f.now)
 	k := 0
@@ -36,8 +37,8 @@
 	return in, open
 }
 
-// A customer whose sixty gateways each see one request a minute has one store all the same: its burst is let in, on
-// whichever gateways it comes, and what is asked beyond is refused. Parts of a sixtieth would hold less than a request.
+// A customer whose sixty gateways each see one request a minute has one bucket all the same: its burst is admitted, at
+// whichever gateways it asks, and what it asks beyond is refused. Parts of a sixtieth would hold less than a request.
 func TestOwnerKeepsOneBucket(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
@@ -50,7 +51,7 @@
 	}
 }
 
-// Where the home is dead and the next is, too, requests wait for two questions at the most; a third keeps the store
+// Where the owner is dead and the next one is, too, requests wait for two queries at most; a third one keeps the bucket
 // then. With nobody left to ask a gateway keeps to its part.
 func TestOwnerTimesOut(t *testing.T) {
 	f, _ := wideFleet(t)
@@ -80,8 +81,8 @@
 	}
 }
 
-// A question that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that
-// there isn't, cut off or too long, changes nothing.
+// A query that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that doesn't
+// exist, too short or too long, changes nothing.
 func TestOwnerQueries(t *testing.T) {
 	f, s := wideFleet(t)
 	f.loss = 1 // answers are not looked at
@@ -108,8 +109,8 @@
 	}
 }
 
-// At the start of the whole fleet a ceiling is full, though the fleet is larger than its gateways can all hear: each
-// hears those that share a customer with it.
+// When the whole fleet has just started a hard limit is full, though the fleet is larger than its gateways can all hear:
+// each hears those that share a customer with it.
 func TestHardLimitIsFullWhenTheFleetHasJustStarted(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
@@ -121,89 +122,3 @@
 		t.Fatalf("%d let in of a burst of 32 and 13 a second", in)
 	}
 }
-
-// Where eighty gateways each have one or two attempts out on average, some have four or five by chance alone. That is
-// no sign of a full fleet, and their requests are not to be refused for it.
-func TestSparseTrafficHasABurstAllowance(t *testing.T) {
-	f, s := wideFleet(t)
-	s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
-	for _, n := range f.nodes {
-		n.gateway.cfg.Plans = s.Plans
-	}
-	asked := 0
-	f.run(10*time.Second, func() {
-		for k := f.rng.IntN(5); k > 0; k-- { // 400 a second: 80 out at 60 servers
-			asked++
-			n := f.nodes[f.rng.IntN(80)]
-			if n.latency = 200 * ms; asked%20 == 0 { // some are slow, as some members are
-				n.latency = 400 * ms
-			}
-			n.gateway.Request(f.now, Request{ID: RequestID(asked), Customer: CustomerID(asked), Deadline: f.now + 2*time.Second,
-				Units: 1, SetSize: 1, FirstGateway: n.number})
-		}
-	})
-	refused := 0
-	for _, n := range f.nodes {
-		refused += len(n.refused)
-	}
-	if refused*50 > asked {
-		t.Fatalf("%d of %d refused", refused, asked)
-	}
-}
-
-// Each of eighty gateways sends a starting server its turns and none sees more than one answer of it in seconds. Where
-// these take longer than its warmth explains, all send less; where they don't, it gets what it can do.
-func TestSlowColdServersGetFewerTurns(t *testing.T) {
-	sent := func(slow time.Duration) (n int) {
-		f, s := wideFleet(t)
-		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
-		s.InitialWarmth, s.WarmupTime, s.ColdWindow, s.ColdMultiple = 0.18, 16*time.Second, time.Second, 4
-		var list []ServerInfo
-		f.latencies = map[ServerID]time.Duration{}
-		for k := 1; k <= 60; k++ {
-			list = append(list, ServerInfo{ID: ServerID(k), Weight: 1})
-			if k <= 30 {
-				list[k-1].StartedAt, f.latencies[ServerID(k)] = f.now-4*time.Second, slow
-			}
-		}
-		for _, n := range f.nodes {
-			me := n.gateway.cfg.Self
-			n.gateway.cfg = s
-			n.gateway.cfg.Self, n.gateway.cfg.Gateways = me, 80
-			n.gateway.Servers(f.now, ListFull, list)
-		}
-		id := RequestID(0)
-		f.run(10*time.Second, func() {
-			for k := f.rng.IntN(5); k > 0; k-- {
-				id++
-				n := f.nodes[f.rng.IntN(80)]
-				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstGateway: n.number})
-			}
-		})
-		for _, node := range f.nodes {
-			for _, s := range node.sends {
-				if s.to <= 30 && s.at > f.now-5*time.Second {
-					n++
-				}
-			}
-		}
-		return n
-	}
-	quick, slow := sent(0), sent(420*ms)
-	t.Logf("%d sent to quick cold servers, %d to slow ones", quick, slow)
-	if quick < 150 || float64(slow) > 0.75*float64(quick) {
-		t.Fatalf("%d sent to quick cold servers, %d to slow ones", quick, slow)
-	}
-}
-
-// Four gateways know their members well enough: what their rooms allow is not passed, however trouble has shrunk them.
-func TestSmallFleetKeepsToItsCapacity(t *testing.T) {
-	for gateways, want := range map[int]bool{1: false, 4: false, 80: true} {
-		s := settings()
-		s.Gateways = gateways
-		f := start(t, s, 10)
-		if got := f.gateway.burstAllowance(5) > 0; got != want {
-			t.Errorf("%d gateways: more than the room %v", gateways, got)
-		}
-	}
-}
--- a/policy/coming_test.go
+++ b/policy/pending_body_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
+// bodyPending makes a request one whose body is still being received.
 func bodyPending(r *Request) { r.BodyPending = true }
 
-// While a body is still coming no time runs for its request: it is not given up at what was its deadline, its member is not
-// taken for slow, and no second copy is made. From its last byte on it has its deadline as any other.
+// While a body is pending no time counts for its request: it isn't answered at its first deadline, its server isn't
+// taken for slow, and it isn't hedged. From its last byte on it has a deadline as any other.
 func TestNoTimeCountsWhileABodyIsPending(t *testing.T) {
 	f := start(t, settings(), 4)
 	f.ask(1, bodyPending)
@@ -42,7 +43,7 @@
 	}
 }
 
-// One that no member can take has its first deadline: a client is not kept waiting with half its body sent.
+// A request that no server can take keeps its first deadline: a client isn't kept waiting with half its body sent.
 func TestQueuedWhileABodyIsPending(t *testing.T) {
 	f := start(t, settings(), 0)
 	f.ask(1, bodyPending)
@@ -52,7 +53,8 @@
 	}
 }
 
-// What took nothing of a body that comes by once may be followed by another attempt; what did may not, whatever the class.
+// An attempt that consumed nothing of its body may be followed by another one; one that did may not, whatever the
+// class.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	for spent, attempts := range map[bool]int{false: 2, true: 1} {
 		f := start(t, settings(), 4)
@@ -75,8 +77,8 @@
 	}
 }
 
-// The units of a request count as drawn when its last byte has come: until then the store doesn't fill up what is meant for
-// it, and one that never comes has drawn nothing.
+// The units of a request count as drawn when its last byte has come. Until then the bucket doesn't refill what is
+// reserved for them, and a request whose body never comes has drawn nothing.
 func TestUnitsOfAPendingBody(t *testing.T) {
 	s := settings()
 	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 20}
--- a/policy/held_test.go
+++ b/policy/queue_test.go
@@ -3,11 +3,14 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
-// A gateway that knows nothing yet stands before servers that have all just started. What it may not send it holds, as much
-// as there is room for, and refuses the rest at once; what is held and can't be in time any more is refused, not sent. So what
-// goes out is fresh, and by its answers the gateway finds out within seconds what cold servers can do.
+// A gateway that knows nothing yet has servers that have all just started. What it may not send it queues, up to its
+// capacity, and refuses the rest at once; what is queued and can't be in time any more is refused, not sent. So what is
+// sent is recent, and by its answers the gateway learns within seconds what cold servers can do.
 func TestQueuedRequestThatWouldBeLateIsRefused(t *testing.T) {
 	s := settings()
 	s.Gateways, s.Peers, s.Hedging = 5, false, false
@@ -57,3 +60,26 @@
 		t.Errorf("%d sent in the sixth second", n)
 	}
 }
+
+// A client leaves while its request waits for a cold server's turn: the turn is not used for it.
+func TestQueuedRequestWhoseClientLeft(t *testing.T) {
+	s := settings()
+	s.Gateways, s.ColdMultiple, s.Hedging = 3, 0.001, false
+	f := start(t, s, 0)
+	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 1, Weight: 1, StartedAt: f.now}})
+	f.gateway.serversByID[1].coldBudget.Credit = 0
+	for id := range RequestID(3) {
+		f.ask(id+1, func(r *Request) { r.Deadline = f.now + time.Minute; r.Class = 0 })
+	}
+	held := 0
+	for id := RequestID(1); id <= 3; id++ {
+		if f.ended[id] == "" {
+			held++
+			f.gateway.ClientGone(f.now, id)
+		}
+	}
+	require.Positive(t, held, "what can't be sent yet is held")
+	f.gateway.serversByID[1].coldBudget.Credit = 1
+	f.runUntil(f.now + 100*ms)
+	assert.Empty(t, f.sent)
+}
--- a/policy/settle_test.go
+++ b/policy/reconcile_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The quota counts in the end what a request's first good answer tells, once, and only where it can be. The ceiling goes by
-// the guess.
+// The quota counts the units that a request's first good answer gives, once, and only where they can be. The hard limit
+// keeps to the estimate.
 func TestUnitsAreReconciledOnce(t *testing.T) {
 	s := settings()
 	s.MaxUnits = 6
@@ -35,7 +35,7 @@
 	}
 }
 
-// An answer that comes after its client has left settles all the same.
+// An answer that comes after its client has left is reconciled all the same.
 func TestUnitsOfALateAnswerAreReconciled(t *testing.T) {
 	s := settings()
 	s.MaxUnits, s.Hedging = 6, false
@@ -49,8 +49,8 @@
 	}
 }
 
-// Where gateways share a store the others hear of what was settled, in both directions; where the account has a home, the
-// home does.
+// Where gateways share a bucket the others hear of reconciled units, whether they are more or less; where a customer has
+// an owner, the owner does.
 func TestReconciledUnitsReachPeers(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging, s.MaxUnits = true, 100, false, 6
