--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -16,7 +16,8 @@
 		effect Idempotency
 		passed bool
 		again  bool
-	}{"safe": {Idempotent, true, true}, "keyed": {IdempotentByKey, true, true}, "unsafe": {NotIdempotent, true, false}, "not passed": {Idempotent, false, false}} {
+	}{"safe": {Idempotent, true, true}, "keyed": {IdempotentByKey, true, true}, "unsafe": {NotIdempotent, true, false},
+		"not passed": {Idempotent, false, false}} {
 		s := settings()
 		s.Hedging = false
 		s.Classes[0].LatencyTarget, s.Classes[0].Deadline, s.Classes[0].Idempotency = 2*time.Second, 10*time.Second, c.effect
@@ -81,7 +82,8 @@
 }
 
 func TestAttemptInFlightAtTheDeadline(t *testing.T) {
-	for effect, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed", NotIdempotent: "failed"} {
+	for effect, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed",
+		NotIdempotent: "failed"} {
 		s := settings()
 		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = effect, ScopeCell, time.Second
 		f := start(t, s, 1)
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -41,7 +41,7 @@
 		s.Gateways = gateways
 		f := start(t, s, 10)
 		if got := f.gateway.burstAllowance(5) > 0; got != want {
-			t.Errorf("%d gateways: more than the room %v", gateways, got)
+			t.Errorf("%d gateways: more than the capacity %v", gateways, got)
 		}
 	}
 }
@@ -118,7 +118,8 @@
 			for _, x := range f.sent[max(0, seen-500):] {
 				if at, out := due[x]; out && at <= f.now {
 					delete(due, x)
-					f.gateway.Outcome(f.now, Outcome{ID: x.id, Attempt: x.attempt, Server: x.to, Elapsed: f.now - x.at, Ending: Served, Answered: true,
+					f.gateway.Outcome(f.now, Outcome{ID: x.id, Attempt: x.attempt, Server: x.to, Elapsed: f.now - x.at,
+						Ending: Served, Answered: true,
 						LoadReport: []float32{0, float32(slow * work.Seconds() * 1000)}})
 				}
 			}
@@ -134,9 +135,9 @@
 				least = min(least, f.gateway.totalCapacity())
 			}
 		}
-		t.Logf("reports %v: width %.1f, room %.1f at least", reports, f.gateway.serverConcurrency, least)
+		t.Logf("reports %v: concurrency %.1f, capacity %.1f at least", reports, f.gateway.serverConcurrency, least)
 		if got := least >= 3*3; got != reports {
-			t.Errorf("reports %v: room for %.1f at least on 12 cores", reports, least)
+			t.Errorf("reports %v: capacity for %.1f at least on 12 cores", reports, least)
 		}
 	}
 }
@@ -170,6 +171,6 @@
 		return (f.gateway.totalCapacity() - was) / float64(n)
 	}
 	if fast, slow := grown(false), grown(true); fast < 2.5*slow || slow <= 0 {
-		t.Errorf("the room grew by %.2f an answer before and by %.2f after one was slow", fast, slow)
+		t.Errorf("the capacity grew by %.2f an answer before and by %.2f after one was slow", fast, slow)
 	}
 }
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -9,7 +9,8 @@
 
 func busySettings() Settings {
 	s := settings()
-	s.Classes = append(s.Classes, Class{Name: "order", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3, Idempotency: NotIdempotent})
+	s.Classes = append(s.Classes, Class{Name: "order", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 3,
+		Idempotency: NotIdempotent})
 	s.Plans = []Plan{{Name: "small", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1},
 		{Name: "large", Rate: 0.001, Burst: 100, ValueMultiplier: 2, OverQuotaCost: 1, HardLimitRate: 1, HardLimitBurst: 60}}
 	s.Hedging = false
@@ -60,10 +61,14 @@
 			if a, c := n.remaining(customer); math.Abs(a-account) > 0.01 || math.Abs(c-ceiling) > 0.01 {
 				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, account, ceiling)
 			}
-			if got := n.gateway.customersByID[customer].plan; got != plan(want) || n.gateway.customersByKey[n.gateway.customersByID[customer].key] == nil {
+			if got := n.gateway.customersByID[customer].plan; got != plan(want) ||
+				n.gateway.customersByKey[n.gateway.customersByID[customer].key] == nil {
 				t.Errorf("%s: customer %d has plan %d", name, customer, got)
 			}
-			n.ask(1000+RequestID(customer), func(r *Request) { r.Customer, r.Plan, r.Class = customer, plan(want), class("order") })
+			n.ask(1000+RequestID(customer), func(r *Request) {
+				r.Customer, r.Plan, r.Class = customer, plan(want),
+					class("order")
+			})
 		}
 		if got := len(n.gateway.customers); got != 2 {
 			t.Errorf("%s: %d customers after they have asked again", name, got)
@@ -82,7 +87,8 @@
 		}
 	}
 	n := f.successor(t, func(s *Settings) { s.Plans = s.Plans[1:] })
-	if got := len(n.gateway.customers); got != 1 || n.gateway.customersByID[6] == nil || n.gateway.customersByID[6].plan != 0 {
+	if got := len(n.gateway.customers); got != 1 || n.gateway.customersByID[6] == nil ||
+		n.gateway.customersByID[6].plan != 0 {
 		t.Errorf("%d customers, of whom one has a plan that there still is", got)
 	}
 }
@@ -109,7 +115,7 @@
 	peer.runUntil(n.now)
 	pass(n)
 	if got := peer.gateway.incarnations[0]; got != lives {
-		t.Fatalf("%d lives, %d before", got, lives)
+		t.Fatalf("%d incarnations, %d before", got, lives)
 	}
 	peer.gateway.refill(peer.gateway.customersByKey[customerKey(5, 0, 0, 2)], 0)
 	if got := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -50,7 +50,8 @@
 	life, took := n.incarnation, max(n.latency, n.fleet.latencies[to])
 	n.fleet.at(took, func() {
 		if n.incarnation == life {
-			n.gateway.Outcome(n.fleet.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served, Answered: true, Units: n.trueUnits})
+			n.gateway.Outcome(n.fleet.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served,
+				Answered: true, Units: n.trueUnits})
 		}
 	})
 }
@@ -136,7 +137,8 @@
 	s := settings()
 	s.Peers, s.PeerMessageRate = true, 40
 	s.Hedging = false
-	s.Plans = []Plan{{Name: "small", Rate: 0.9, Burst: 4, ValueMultiplier: 1, OverQuotaCost: 1}, {Name: "mid", Rate: 4, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1},
+	s.Plans = []Plan{{Name: "small", Rate: 0.9, Burst: 4, ValueMultiplier: 1, OverQuotaCost: 1},
+		{Name: "mid", Rate: 4, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1},
 		{Name: "large", Rate: 18, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := newFleet(t, s, 120, 24)
 	type cust struct {
@@ -171,7 +173,8 @@
 			}
 			id++
 			n := f.nodes[(c.first+int(float64(c.set)*math.Pow(f.rng.Float64(), 1.7)))%120]
-			n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
+			n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan,
+				Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
 			if now := id; f.now-begin > 10*time.Second {
 				c.asked++
 				f.at(500*ms, func() { // where the customer's home had to be asked
@@ -194,7 +197,7 @@
 				}
 			}
 			if x > 1 && (in < 0.75*rate || in > 1.45*rate) || x < 0.5 && in < 0.9*asked || x == 0.9 && in < 0.7*asked {
-				t.Errorf("plan %d asking %.2f of its rate: %.0f of %.0f let in, the rate allows %.0f", plan, x, in, asked, rate)
+				t.Errorf("plan %d asking %.2f of its rate: %.0f of %.0f admitted, the rate allows %.0f", plan, x, in, asked, rate)
 			}
 		}
 	}
@@ -219,7 +222,8 @@
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Plans = []Plan{{Name: "small", Rate: 4, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1},
-		{Name: "capped", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 24, HardLimitBurst: 60, HardLimitSlack: 8}}
+		{Name: "capped", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 24, HardLimitBurst: 60,
+			HardLimitSlack: 8}}
 	f := newFleet(t, s, 3, 12)
 	type cust struct {
 		plan                   int
@@ -230,7 +234,8 @@
 	var list []*cust
 	for i := range 16 {
 		p := s.Plans[i%2]
-		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst, ceiling: p.HardLimitBurst})
+		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst,
+			ceiling: p.HardLimitBurst})
 	}
 	id := RequestID(0)
 	f.run(2*time.Second, func() {}) // long enough for all to have heard each other
@@ -256,7 +261,7 @@
 				continue
 			}
 			if c.ceiling -= units; p.HardLimitRate > 0 && c.ceiling < -p.HardLimitSlack {
-				t.Fatalf("customer %d: ceiling passed by %.1f", k, -c.ceiling)
+				t.Fatalf("customer %d: hard limit exceeded by %.1f", k, -c.ceiling)
 			}
 			if c.in += units; c.quota >= units {
 				c.quota -= units
@@ -266,7 +271,7 @@
 	})
 	for k, c := range list {
 		if c.inside < 0.95*c.allowed || c.in > 1.1*c.allowed {
-			t.Errorf("customer %d of plan %d asking %.1f of its rate: %.0f units let in, %.0f of them inside the quota, one gateway allows %.0f",
+			t.Errorf("customer %d of plan %d asking %.1f of its rate: %.0f units admitted, %.0f of them inside the quota, one gateway allows %.0f",
 				k, c.plan, c.x, c.in, c.inside, c.allowed)
 		}
 	}
@@ -277,7 +282,8 @@
 func TestRestartedGatewayLearnsTheBalance(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
-	s.Plans = []Plan{{Name: "p", Rate: 2, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 80, HardLimitSlack: 8}}
+	s.Plans = []Plan{{Name: "p", Rate: 2, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4,
+		HardLimitBurst: 80, HardLimitSlack: 8}}
 	f := newFleet(t, s, 2, 12)
 	id := RequestID(0)
 	ask := func(n *node, customer CustomerID) bool {
@@ -309,7 +315,8 @@
 	for name, down := range map[string]bool{"down": true, "cut off": false} {
 		s := settings()
 		s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
-		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 20, HardLimitBurst: 51, HardLimitSlack: 8}}
+		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 20,
+			HardLimitBurst: 51, HardLimitSlack: 8}}
 		f := newFleet(t, s, 4, 12)
 		id, in, ceiling := RequestID(0), 0.0, 51.0
 		ask := func() {
@@ -325,7 +332,7 @@
 			if n.sent[id] {
 				in++
 				if ceiling--; ceiling < -8 {
-					t.Fatalf("%s: the ceiling is passed by %.0f", name, -ceiling)
+					t.Fatalf("%s: the hard limit is exceeded by %.0f", name, -ceiling)
 				}
 			}
 		}
@@ -338,7 +345,7 @@
 		in = 0
 		f.run(20*time.Second, ask)
 		if most := map[bool]float64{true: 1.1, false: 1.5}[down]; in < 0.95*240 || in > most*240 {
-			t.Errorf("%s: %.0f units let in, the quota allows 240", name, in)
+			t.Errorf("%s: %.0f units admitted, the quota allows 240", name, in)
 		}
 	}
 }
@@ -376,6 +383,6 @@
 	f.partitioned = nil
 	if first, then := let(3*time.Second), let(3*time.Second); first < 0.85*usual || first > 1.7*usual ||
 		then < 0.85*usual || then > 1.15*usual {
-		t.Fatalf("%.2f and %.2f of the rate are let in after a silence, %.2f before", first, then, usual)
+		t.Fatalf("%.2f and %.2f of the rate are admitted after a partition, %.2f before", first, then, usual)
 	}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if away > 10 || kept < 25 || len(f.log) > 0 {
-		t.Fatalf("%d of the plan turned away, %d of the other served there, log %v", away, kept, f.log)
+		t.Fatalf("%d of the plan rejected, %d of the other served there, log %v", away, kept, f.log)
 	}
 }
 
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -149,7 +149,8 @@
 	if how == Served && f.ended[s.id] == "" {
 		f.ended[s.id] = "served"
 	}
-	f.gateway.Outcome(f.now, Outcome{ID: s.id, Attempt: s.attempt, Server: s.to, Elapsed: took, Ending: how, Answered: closed})
+	f.gateway.Outcome(f.now, Outcome{ID: s.id, Attempt: s.attempt, Server: s.to, Elapsed: took, Ending: how,
+		Answered: closed})
 }
 
 // settings are those of one gateway with one class and one plan whose quota no test reaches.
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -82,13 +82,13 @@
 	}
 	_, in, _, _ := run(5 * time.Second)
 	if in < 10 {
-		t.Fatalf("%d large requests let in while they can be in time", in)
+		t.Fatalf("%d large requests admitted while they can be in time", in)
 	}
 	slow = 4
 	run(5 * time.Second)
 	_, in, _, small := run(5 * time.Second)
 	if in > 8 || small < 20 {
-		t.Errorf("%d large requests let in that take 2.4 s where 1 s is wanted, and %d small ones", in, small)
+		t.Errorf("%d large requests admitted that take 2.4 s where 1 s is wanted, and %d small ones", in, small)
 	}
 }
 
@@ -102,7 +102,8 @@
 // Every answer is late for a while: the cheap plan is shed first, then the next one, and both are taken back.
 func TestGroupsAreShedByScoreAndTakenBack(t *testing.T) {
 	s := settings()
-	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, ValueMultiplier: 1}, {Name: "mid", Rate: 1e5, Burst: 1e5, ValueMultiplier: 2},
+	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, ValueMultiplier: 1},
+		{Name: "mid", Rate: 1e5, Burst: 1e5, ValueMultiplier: 2},
 		{Name: "dear", Rate: 1e5, Burst: 1e5, ValueMultiplier: 8}}
 	f := start(t, s, 8)
 	id := RequestID(0)
@@ -212,7 +213,7 @@
 		f.done(f.sent[len(f.sent)-1], Served, 400*ms)
 	}
 	if f.gateway.totalCapacity() < before {
-		t.Fatalf("room %v -> %v", before, f.gateway.totalCapacity())
+		t.Fatalf("capacity %v -> %v", before, f.gateway.totalCapacity())
 	}
 }
 
@@ -256,7 +257,7 @@
 	}
 	for _, x := range f.gateway.servers {
 		if room := f.gateway.capacityOf(x); x.ID <= 3 && room > initialCapacity || x.ID > 3 && room < initialCapacity {
-			t.Errorf("server %d: room %v, started at %v", x.ID, room, initialCapacity)
+			t.Errorf("server %d: capacity %v, started at %v", x.ID, room, initialCapacity)
 		}
 	}
 }
--- a/policy/owner_test.go
+++ b/policy/owner_test.go
@@ -10,7 +10,8 @@
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 16, ValueMultiplier: 1, OverQuotaCost: 1.2},
-		{Name: "utility", Rate: 13, Burst: 32, ValueMultiplier: 1.6, OverQuotaCost: 1.2, HardLimitRate: 30, HardLimitBurst: 75, HardLimitSlack: 8}}
+		{Name: "utility", Rate: 13, Burst: 32, ValueMultiplier: 1.6, OverQuotaCost: 1.2, HardLimitRate: 30,
+			HardLimitBurst: 75, HardLimitSlack: 8}}
 	return newFleet(t, s, 80, 60), s
 }
 
@@ -43,11 +44,11 @@
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	if in, open := f.admitted(12, 0, 5, 60); in < 11 || open > 0 {
-		t.Fatalf("%d of 12 let in where the burst is 16, %d without an answer", in, open)
+		t.Fatalf("%d of 12 admitted where the burst is 16, %d without an answer", in, open)
 	}
 	f.run(10*time.Second, func() {}) // full again
 	if in, open := f.admitted(100, 0, 5, 60); in < 14 || in > 19 || open > 0 {
-		t.Fatalf("%d of 100 let in, the burst is 16, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted, the burst is 16, %d without an answer", in, open)
 	}
 }
 
@@ -72,12 +73,12 @@
 	f.admitted(120, 0, 5, 60) // each gateway finds out
 	f.run(8*time.Second, func() {})
 	if in, open := f.admitted(100, 0, 5, 60); in < 8 || in > 24 || open > 0 {
-		t.Fatalf("%d of 100 let in by the third home, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted by the third owner, %d without an answer", in, open)
 	}
 	f.partitioned = func(int, int) bool { return true }
 	f.run(2*time.Second, func() {})
 	if in, open := f.admitted(100, 0, 5, 60); in > 40 || open > 0 {
-		t.Fatalf("%d of 100 let in where nobody hears anybody, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted where nobody hears anybody, %d without an answer", in, open)
 	}
 }
 
@@ -96,13 +97,16 @@
 	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.messages != told+2 {
 		t.Fatalf("two answers to one question, and its units drawn once: %+v", c)
 	}
-	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0), packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}), packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
+	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0),
+		packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}),
+		packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
 		customers, told, odd0 := len(g.customers), f.messages, g.Stats(f.now).InvalidMessages
 		g.PeerMessage(f.now, 8, odd)
 		if len(g.customers) != customers || f.messages != told {
 			t.Fatalf("%x was believed", odd)
 		}
-		if wellFormed := len(odd) == queryBytes && odd[0] == queryKind || len(odd) == answerBytes && odd[5] < 2; !wellFormed &&
+		if wellFormed := len(odd) == queryBytes && odd[0] == queryKind || len(odd) == answerBytes &&
+			odd[5] < 2; !wellFormed &&
 			g.Stats(f.now).InvalidMessages != odd0+1 {
 			t.Fatalf("%x was not counted", odd)
 		}
@@ -115,10 +119,10 @@
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	if in, _ := f.admitted(12, 1, 30, 4); in < 11 {
-		t.Fatalf("%d of 12 let in of a burst of 32", in)
+		t.Fatalf("%d of 12 admitted of a burst of 32", in)
 	}
 	f.run(5*time.Second, func() {})
 	if in, _ := f.admitted(200, 1, 30, 4); in > 52 { // in a second
-		t.Fatalf("%d let in of a burst of 32 and 13 a second", in)
+		t.Fatalf("%d admitted of a burst of 32 and 13 a second", in)
 	}
 }
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -85,7 +85,8 @@
 // quotaView gives how this gateway sees a customer's bucket.
 func (g *Gateway) quotaView(c *customer) ledger.QuotaView {
 	here, total := g.demand(c)
-	return ledger.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize, Shared: g.drawsJointly(c)}
+	return ledger.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize,
+		Shared: g.drawsJointly(c)}
 }
 
 // hardLimitPart gives the part of the hard limit that a record of a customer has.
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -64,7 +64,7 @@
 			}
 		}
 		if len(f.sent) > 60 || len(f.log) > 0 { // the whole quota lets in 10 and 10 a second, for 2 s
-			t.Fatalf("%d let in, log %v", len(f.sent), f.log)
+			t.Fatalf("%d admitted, log %v", len(f.sent), f.log)
 		}
 	})
 }
@@ -83,7 +83,7 @@
 		}
 	}
 	if len(f.sent) < 17 {
-		t.Fatalf("%d of 20 let in", len(f.sent))
+		t.Fatalf("%d of 20 admitted", len(f.sent))
 	}
 }
 
@@ -161,7 +161,7 @@
 	unheard := admitted(t, func(*fakeHost, int) {})
 	idle, busy, lapsed := with(0, 1000), with(60, 1000), with(60, 20)
 	if math.Abs(float64(unheard)-155) > 45 || math.Abs(float64(idle)-305) > 45 || math.Abs(float64(busy)-80) > 30 {
-		t.Fatalf("unheard %d (want about half the rate), idle peer %d (all of it), busy peer %d (a quarter)",
+		t.Fatalf("isolated %d (want about half the rate), idle peer %d (all of it), busy peer %d (a quarter)",
 			unheard, idle, busy)
 	}
 	if math.Abs(float64(lapsed-unheard)) > 40 {
@@ -180,7 +180,7 @@
 		f.gateway.PeerMessage(f.now, -1, good)
 		f.gateway.PeerMessage(f.now, 0, good)
 	}); got != plain {
-		t.Fatalf("%d let in, %d without them", got, plain)
+		t.Fatalf("%d admitted, %d without them", got, plain)
 	}
 }
 
@@ -247,7 +247,7 @@
 		told += len(u.entries[customerSection])
 	}
 	if told != 1 {
-		t.Fatalf("told %d times in 60 ms, once is wanted", told)
+		t.Fatalf("sent %d times in 60 ms, once is wanted", told)
 	}
 }
 
--- a/policy/pending_body_test.go
+++ b/policy/pending_body_test.go
@@ -19,10 +19,12 @@
 		t.Fatalf("%d attempts, ended %q", len(f.sent), f.ended[1])
 	}
 	if f.gateway.load() != 0 || f.gateway.serversByID[to].load() != 0 {
-		t.Errorf("%v places are held, %v at its server, which has nothing to do yet", f.gateway.load(), f.gateway.serversByID[to].load())
+		t.Errorf("%v slots are occupied, %v at its server, which has nothing to do yet", f.gateway.load(),
+			f.gateway.serversByID[to].load())
 	}
-	if f.gateway.overloaded || f.gateway.capacityOf(f.gateway.serversByID[to]) < f.gateway.capacityOf(f.gateway.serversByID[to%4+1]) {
-		t.Error("the time that the body took is held against its member")
+	if f.gateway.overloaded ||
+		f.gateway.capacityOf(f.gateway.serversByID[to]) < f.gateway.capacityOf(f.gateway.serversByID[to%4+1]) {
+		t.Error("the time that the body took is held against its server")
 	}
 	for _, o := range f.gateway.Observe(f.now) {
 		if o.Overdue > 0 {
@@ -31,7 +33,7 @@
 	}
 	f.gateway.BodySent(f.now, 1, f.now+2*time.Second)
 	if f.gateway.load() != 1 || f.gateway.serversByID[to].load() != 1 {
-		t.Errorf("%v places are held, %v at its server", f.gateway.load(), f.gateway.serversByID[to].load())
+		t.Errorf("%v slots are occupied, %v at its server", f.gateway.load(), f.gateway.serversByID[to].load())
 	}
 	f.runUntil(f.now + 1900*ms)
 	if len(f.sent) != 1 || f.ended[1] != "" {
@@ -62,7 +64,7 @@
 		s := f.sent[0]
 		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: s.to, Ending: NotConnected, BodyConsumed: spent})
 		if len(f.sent) != attempts {
-			t.Errorf("spent %v: %d attempts", spent, len(f.sent))
+			t.Errorf("consumed %v: %d attempts", spent, len(f.sent))
 		}
 		if spent && f.ended[1] != "refused" {
 			t.Errorf("ended %q, though nothing ran", f.ended[1])
@@ -81,7 +83,8 @@
 // reserved for them, and a request whose body never comes has drawn nothing.
 func TestUnitsOfAPendingBody(t *testing.T) {
 	s := settings()
-	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4, HardLimitBurst: 20}
+	s.Plans[0] = Plan{Name: "basic", Rate: 2, Burst: 10, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 4,
+		HardLimitBurst: 20}
 	f := start(t, s, 4)
 	f.runUntil(f.now + time.Minute)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -35,8 +35,9 @@
 	for id := RequestID(1); f.now < time.Hour+6*time.Second; id++ {
 		asked[id] = f.now
 		f.ask(id, func(r *Request) { r.Deadline = f.now + 4*time.Second })
-		if held, room := len(f.gateway.queue), f.gateway.totalCapacity(); float64(held) > room+f.gateway.burstAllowance(room)+1 {
-			t.Fatalf("%d are held where there is room for %.1f", held, f.gateway.totalCapacity())
+		queued, capacity := len(f.gateway.queue), f.gateway.totalCapacity()
+		if float64(queued) > capacity+f.gateway.burstAllowance(capacity)+1 {
+			t.Fatalf("%d are queued where there is capacity for %.1f", queued, f.gateway.totalCapacity())
 		}
 		f.runUntil(f.now + 10*ms)
 		for _, x := range f.sent {
@@ -48,7 +49,7 @@
 	}
 	for _, x := range f.sent {
 		if waited := x.at - asked[x.id]; waited > time.Second {
-			t.Errorf("request %d was sent after it had waited %v of an aim of 1s", x.id, waited)
+			t.Errorf("request %d was sent after it had waited %v of a target of 1s", x.id, waited)
 		}
 	}
 	for id, how := range f.ended {
@@ -56,7 +57,8 @@
 			t.Errorf("request %d ended as %q", id, how)
 		}
 	}
-	if n := sent(time.Hour + 5*time.Second); n < 10 { // each does some seven a second; without word of that there was one in five seconds
+	// each does some seven a second; without word of that there was one in five seconds
+	if n := sent(time.Hour + 5*time.Second); n < 10 {
 		t.Errorf("%d sent in the sixth second", n)
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -33,7 +33,7 @@
 	most := 0
 	f.run(3*time.Second, func() { ask(0); most = max(most, out()) })
 	if most != 6 {
-		t.Errorf("one gateway that is asked alone had %d out at most, the cap is 6", most)
+		t.Errorf("one gateway that is asked alone had %d in flight at most, the limit is 6", most)
 	}
 	f.run(2*time.Second, func() {})
 
@@ -48,11 +48,11 @@
 		sum += max(0, out()-6)
 	})
 	if mean := float64(sum) / float64(ticks); mean > 0.3 {
-		t.Errorf("%.2f beyond the cap in the mean, more than crossing words explain", mean)
+		t.Errorf("%.2f beyond the limit in the mean, more than crossing updates explain", mean)
 	}
 	f.run(3*time.Second, func() {})
 	if out() != 0 {
-		t.Fatalf("%d out at rest", out())
+		t.Fatalf("%d in flight at rest", out())
 	}
 
 	f.partitioned = func(from, to int) bool { return from == 2 || to == 2 }
@@ -66,12 +66,12 @@
 		}
 		f.run(100*ms, func() {})
 		if len(f.nodes[2].gateway.inFlight) > 2 || out() > 6 {
-			t.Errorf("%d out with one of three cut off, %d of it there", out(), len(f.nodes[2].gateway.inFlight))
+			t.Errorf("%d in flight with one of three partitioned, %d of it there", out(), len(f.nodes[2].gateway.inFlight))
 		}
 		most = max(most, out())
 	}
 	if most < 6 {
-		t.Errorf("%d out at most while more is asked, the cap is 6", most)
+		t.Errorf("%d in flight at most while more is asked, the limit is 6", most)
 	}
 	f.partitioned = nil
 	f.run(3*time.Second, func() {})
@@ -82,7 +82,7 @@
 		}
 	})
 	if in != 6 {
-		t.Errorf("%d of 6 are let in at once after all is heard again: a place was kept or freed", in)
+		t.Errorf("%d of 6 are admitted at once after all hear each other again: a slot was kept or freed", in)
 	}
 }
 
@@ -116,7 +116,7 @@
 		sent += len(f.sent)
 	}
 	if sent > 60 || sent < 20 {
-		t.Fatalf("%d units in 5 s and ten lives, the ceiling fills 10 a second", sent)
+		t.Fatalf("%d units in 5 s and ten incarnations, the hard limit fills 10 a second", sent)
 	}
 }
 
@@ -128,7 +128,7 @@
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.Units = 5, []float64{math.NaN(), math.Inf(1), -3, 1}[i%4] })
 	}
 	if n := len(f.sent); n < 3 || n > 12 {
-		t.Fatalf("%d of 40 let in at once, the burst holds 5", n)
+		t.Fatalf("%d of 40 admitted at once, the burst holds 5", n)
 	}
 }
 
@@ -166,11 +166,11 @@
 		return len(f.sent)
 	}
 	if n := ask(1); n != 3 {
-		t.Fatalf("%d out at once under a cap of 6", n)
+		t.Fatalf("%d in flight at once under a limit of 6", n)
 	}
 	before := len(f.sent)
 	f.done(f.sent[0], Served, ms)
 	if n := ask(100) - before; n != 1 {
-		t.Fatalf("%d let in after one answer", n)
+		t.Fatalf("%d admitted after one answer", n)
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -13,9 +13,11 @@
 	s := twoGateways()
 	s.Hedging = seed%2 == 0
 	s.Classes = []Class{s.Classes[0],
-		{Name: "pay", LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Value: 4, Idempotency: IdempotentByKey, DedupScope: ScopeCell, DedupWindow: time.Second},
+		{Name: "pay", LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Value: 4, Idempotency: IdempotentByKey,
+			DedupScope: ScopeCell, DedupWindow: time.Second},
 		{Name: "once", LatencyTarget: 700 * ms, Deadline: 2 * time.Second, Value: 2, Idempotency: NotIdempotent}}
-	s.Plans = append(s.Plans, Plan{Name: "top", Rate: 30, Burst: 30, ValueMultiplier: 2, HardLimitRate: 60, HardLimitBurst: 60, MaxInFlight: 8})
+	s.Plans = append(s.Plans, Plan{Name: "top", Rate: 30, Burst: 30, ValueMultiplier: 2, HardLimitRate: 60,
+		HardLimitBurst: 60, MaxInFlight: 8})
 	f := start(t, s, 8)
 	type open struct {
 		send
@@ -98,7 +100,7 @@
 				}
 			}
 			if live > 0 && !s.Hedging {
-				t.Fatalf("seed %d: two attempts of %d out", seed, x.id)
+				t.Fatalf("seed %d: two attempts of %d in flight", seed, x.id)
 			}
 			for _, e := range ran[x.id] {
 				if class[x.id] == 2 || class[x.id] == 1 && ((e.to+x.to)%2 != 0 || x.at-e.at > time.Second) {
@@ -126,7 +128,8 @@
 		f.done(o.send, TimedOut, f.now-o.at)
 	}
 	if len(f.gateway.requests) != 0 || len(f.gateway.inFlight) != 0 {
-		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.gateway.requests), len(f.gateway.inFlight))
+		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.gateway.requests),
+			len(f.gateway.inFlight))
 	}
 	return f.trace
 }
--- a/policy/recall_test.go
+++ b/policy/recall_test.go
@@ -37,7 +37,7 @@
 	f := begin()
 	open(f)
 	if in := spend(f, 1); in < 20 || in > 32 { // some go by chance beyond it
-		t.Fatalf("%d let in of a burst of 20", in)
+		t.Fatalf("%d admitted of a burst of 20", in)
 	}
 	kept := f.gateway.QuotaBalances(f.now, 0)
 	if len(kept) != 1 || kept[0].Balance > 0 || kept[0].Balance < -12 || kept[0].Customer != 7 {
@@ -51,21 +51,22 @@
 	next.gateway.RestoreBalances(next.now, kept)
 	open(next)
 	if in := spend(next, 100); in < 6 || in > 12 {
-		t.Errorf("%d let in three seconds after all was drawn, at two a second", in)
+		t.Errorf("%d admitted three seconds after all was drawn, at two a second", in)
 	}
 	utility := kept[0].Key | 1<<24
 	next = begin()
 	next.gateway.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
 	if got := next.gateway.customersByKey[utility].hardLimit.Tokens; got != 8 {
-		t.Errorf("%v left under the ceiling two seconds after the former life's end, at four a second", got)
+		t.Errorf("%v left under the hard limit two seconds after the former incarnation's end, at four a second", got)
 	}
 	blank := begin()
 	open(blank)
 	if in := spend(blank, 100); in < 20 {
-		t.Errorf("%d let in by one that recalls nothing", in)
+		t.Errorf("%d admitted by one that recalls nothing", in)
 	}
 	odd := begin()
-	odd.gateway.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300, Age: time.Hour}})
+	odd.gateway.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300,
+		Age: time.Hour}})
 	if got := odd.gateway.customersByKey[kept[0].Key].balance; got != 20 {
 		t.Errorf("%v left of a burst of 20", got)
 	}
--- a/policy/reconcile_test.go
+++ b/policy/reconcile_test.go
@@ -11,7 +11,8 @@
 func TestUnitsAreReconciledOnce(t *testing.T) {
 	s := settings()
 	s.MaxUnits = 6
-	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 1, HardLimitBurst: 60}}
+	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 1,
+		HardLimitBurst: 60}}
 	for _, c := range []struct {
 		told []float64
 		left float64
@@ -25,12 +26,13 @@
 		if before, ceiling = f.remaining(5); math.Abs(before-38) > 0.01 {
 			t.Fatalf("%v left after a guess of 2", before)
 		}
-		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true, Units: c.told[0]})
+		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true,
+			Units: c.told[0]})
 		for _, units := range c.told[1:] { // as a second copy's answer would
 			f.gateway.reconcileUnits(r, units)
 		}
 		if left, after := f.remaining(5); math.Abs(left-c.left) > 0.01 || after != ceiling {
-			t.Errorf("told %v: %v left, should be %v; ceiling %v, was %v", c.told, left, c.left, after, ceiling)
+			t.Errorf("told %v: %v left, should be %v; hard limit %v, was %v", c.told, left, c.left, after, ceiling)
 		}
 	}
 }
@@ -70,7 +72,8 @@
 			c := f.nodes[1].gateway.customersByKey[customerKey(77, 0, 0, set)]
 			if set > nearbyDistance+1 {
 				home := f.nodes[0].gateway.customersByID[77]
-				c = f.nodes[f.nodes[0].gateway.ownerCandidate(home, 0)].gateway.customersByKey[ownerKey(home.key, f.nodes[0].gateway.ownerCandidate(home, 0))]
+				c = f.nodes[f.nodes[0].gateway.ownerCandidate(home, 0)].gateway.customersByKey[ownerKey(home.key,
+					f.nodes[0].gateway.ownerCandidate(home, 0))]
 			}
 			if c == nil || math.Abs(c.balance-(200-20*units)) > 6 {
 				t.Errorf("%s: %+v left of 200 where 20 times %v were drawn", name, c.balance, units)
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -58,8 +58,10 @@
 	s.Hedging = false
 	f := start(t, s, 3)
 	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 3, State: Draining, Weight: 1}})
-	f.gateway.SetPriors(f.now, []Prior{{ID: 1, RelativeLatency: 30, Weight: 4}, {ID: 2, StartedAt: 5 * time.Second, RelativeLatency: 30, Weight: 9},
-		{ID: 3, RelativeLatency: 0.1, Weight: 9}, {ID: 9, RelativeLatency: 0.1, Weight: 9}, {ID: 2, RelativeLatency: math.NaN(), Weight: 1, Capacity: 7}})
+	f.gateway.SetPriors(f.now, []Prior{{ID: 1, RelativeLatency: 30, Weight: 4}, {ID: 2, StartedAt: 5 * time.Second,
+		RelativeLatency: 30, Weight: 9},
+		{ID: 3, RelativeLatency: 0.1, Weight: 9}, {ID: 9, RelativeLatency: 0.1, Weight: 9}, {ID: 2,
+			RelativeLatency: math.NaN(), Weight: 1, Capacity: 7}})
 	for id := RequestID(1); id <= 4; id++ {
 		f.ask(id, func(*Request) {})
 	}
@@ -71,7 +73,8 @@
 	if len(f.sent) != 4 || len(f.gateway.servers) != 2 {
 		t.Errorf("%d sent, %d servers known", len(f.sent), len(f.gateway.servers))
 	}
-	if list := f.gateway.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 || list[1].LastServed != 0 {
+	if list := f.gateway.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 ||
+		list[1].LastServed != 0 {
 		t.Errorf("observed %+v", list)
 	}
 	f.runUntil(f.now + 10*time.Second)
@@ -99,8 +102,9 @@
 			case 1:
 				var list []Prior
 				for range 6 {
-					list = append(list, Prior{ID: ServerID(rng.IntN(9)), StartedAt: Time(rng.IntN(2)) * f.now, RelativeLatency: rng.ExpFloat64(),
-						Weight: 10 * rng.Float64(), Capacity: 100 * rng.Float64(), ColdBudgetTaken: rng.IntN(2) == 0})
+					list = append(list, Prior{ID: ServerID(rng.IntN(9)), StartedAt: Time(rng.IntN(2)) * f.now,
+						RelativeLatency: rng.ExpFloat64(),
+						Weight:          10 * rng.Float64(), Capacity: 100 * rng.Float64(), ColdBudgetTaken: rng.IntN(2) == 0})
 				}
 				f.gateway.SetPriors(f.now, list)
 			case 2:
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -19,7 +19,8 @@
 			for k := 0; k < 4; k++ { // 800 a second, 20 a server
 				id++
 				n := f.nodes[f.rng.IntN(300)]
-				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id % 900), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 300})
+				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id % 900), Deadline: f.now + 2*time.Second,
+					Units: 1, SetSize: 300})
 			}
 		}
 		f.run(4*time.Second, ask)
@@ -90,7 +91,8 @@
 			for k := f.rng.IntN(5); k > 0; k-- {
 				id++
 				n := f.nodes[f.rng.IntN(80)]
-				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1, FirstGateway: n.number})
+				n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1,
+					SetSize: 1, FirstGateway: n.number})
 			}
 		})
 		for _, node := range f.nodes {
