--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -4,21 +4,22 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"reflect"
-	"slices"
 	"time"
 
 	"sprucelane.example/sprucelane/policy"
 )
 
+// settingsJSON is the platform's settings object. Durations are in ns, shares from 0 to 1. policy.Settings,
+// policy.Class and policy.Plan document what the values mean; the comments here name their fields where the names
+// differ. Absent keys are 0, which turns off what they are about.
 type settingsJSON struct {
 	Allowed struct {
 		Cancel        bool          `json:"cancel"`
-		ConnIdle      time.Duration `json:"conn_idle"`
-		ConnectWait   time.Duration `json:"connect_timeout"`
-		MaxAttempts   *int          `json:"max_attempts"`
+		ConnIdle      time.Duration `json:"conn_idle"`       // Deployment.IdleTimeout
+		ConnectWait   time.Duration `json:"connect_timeout"` // Deployment.ConnectTimeout
+		MaxAttempts   *int          `json:"max_attempts"`    // must be positive; absent means 1
 		MaxRetryAfter time.Duration `json:"max_retry_after"`
-		MayDuplicate  bool          `json:"may_duplicate"`
+		MayDuplicate  bool          `json:"may_duplicate"` // Hedging
 		Peers         bool          `json:"peers"`
 		Probes        bool          `json:"probes"`
 	} `json:"allowed"`
@@ -26,153 +27,151 @@
 		CrossZone float64 `json:"cross_zone"`
 		Peer      float64 `json:"peer"`
 	} `json:"costs"`
-	Discovery string `json:"discovery"`
+	Discovery string `json:"discovery"` // "subscribe": Settings.Subscribe
 	Extra     struct {
-		Largest    float64 `json:"largest"`
-		PeerIntake float64 `json:"peer_intake"`
+		Largest    float64 `json:"largest"`     // MaxUnits
+		PeerIntake float64 `json:"peer_intake"` // PeerMessageRate
 	} `json:"extra"`
-	GroupSize int      `json:"group_size"`
-	Kinds     []string `json:"kinds"`
+	GroupSize int      `json:"group_size"` // Gateways
+	Kinds     []string `json:"kinds"`      // names of machine types
 	Report    struct {
-		Names []string `json:"names"`
+		Names []string `json:"names"` // keys of loadReportFields, in the order of a load report
 	} `json:"report"`
 	Rules struct {
-		ColdFrom          float64       `json:"cold_from"`
-		Fall              time.Duration `json:"fall"`
-		FallMultiple      float64       `json:"fall_multiple"`
-		MustAskIn         time.Duration `json:"must_ask_in"`
-		StopSendingWithin time.Duration `json:"stop_sending_within"`
-		WarmWithin        time.Duration `json:"warm_within"`
+		ColdFrom          float64       `json:"cold_from"`           // InitialWarmth
+		Fall              time.Duration `json:"fall"`                // ColdWindow
+		FallMultiple      float64       `json:"fall_multiple"`       // ColdMultiple
+		MustAskIn         time.Duration `json:"must_ask_in"`         // ListRefreshWithin
+		StopSendingWithin time.Duration `json:"stop_sending_within"` // DrainGrace
+		WarmWithin        time.Duration `json:"warm_within"`         // WarmupTime
 	} `json:"rules"`
-	SelfIndex int `json:"self_index"`
+	SelfIndex int `json:"self_index"` // Self
 	Services  []struct {
-		Effect    string        `json:"effect"`
-		GiveUp    time.Duration `json:"give_up"`
-		KeyScope  string        `json:"key_scope"`
+		Effect    string        `json:"effect"`    // a key of idempotencies
+		GiveUp    time.Duration `json:"give_up"`   // Deadline
+		KeyScope  string        `json:"key_scope"` // a key of dedupScopes, where the effect is "guarded"
 		LateWorth float64       `json:"late_worth"`
 		Name      string        `json:"name"`
-		Objective time.Duration `json:"objective"`
+		Objective time.Duration `json:"objective"` // LatencyTarget
 		Streaming bool          `json:"streaming"`
-		Window    time.Duration `json:"window"`
-		Worth     float64       `json:"worth"`
-	} `json:"services"`
+		Window    time.Duration `json:"window"` // DedupWindow
+		Worth     float64       `json:"worth"`  // Value
+	} `json:"services"` // Classes
 	Tick  time.Duration `json:"tick"`
 	Tiers []struct {
-		BeyondCosts  float64 `json:"beyond_costs"`
-		CapDepth     float64 `json:"cap_depth"`
-		CapRate      float64 `json:"cap_rate"`
-		CeilingSlack float64 `json:"ceiling_slack"`
-		Depth        float64 `json:"depth"`
-		MaxOut       int     `json:"max_out"`
+		BeyondCosts  float64 `json:"beyond_costs"`  // OverQuotaCost
+		CapDepth     float64 `json:"cap_depth"`     // HardLimitBurst
+		CapRate      float64 `json:"cap_rate"`      // HardLimitRate
+		CeilingSlack float64 `json:"ceiling_slack"` // HardLimitSlack
+		Depth        float64 `json:"depth"`         // Burst
+		MaxOut       int     `json:"max_out"`       // MaxInFlight
 		Name         string  `json:"name"`
-		OverWorth    float64 `json:"over_worth"`
-		Price        float64 `json:"price"`
+		OverWorth    float64 `json:"over_worth"` // OverQuotaValue
+		Price        float64 `json:"price"`      // ValueMultiplier
 		Rate         float64 `json:"rate"`
-	} `json:"tiers_of_service"`
+	} `json:"tiers_of_service"` // Plans
 	Zone  int      `json:"zone"`
-	Zones []string `json:"zones"`
+	Zones []string `json:"zones"` // names
 }
 
-// Deployment is the settings object: what the module is told, and what only the sockets need.
-type Deployment struct {
-	policy.Settings
-	Generation     int           // its number, where settings are exchanged
-	Zones, Kinds   []string      // the names that discovery uses, in the module's order
-	IdleTimeout    time.Duration // after which a pool member's machine closes an idle connection
-	ConnectTimeout time.Duration // after which a connection that isn't up never comes up
-}
-
-// Same tells whether two are the same settings.
-func (d Deployment) Equal(o Deployment) bool { return reflect.DeepEqual(d, o) }
-
-// Keep gives the settings with what can't change without a start as it is in those of the start, and names the keys that
-// differ in it.
-func (d Deployment) WithRestartKeysOf(start Deployment) (kept Deployment, keys []string) {
-	for _, k := range []struct {
-		name string
-		same bool
-	}{
-		{"settings.self_index", d.Self == start.Self}, {"settings.group_size", d.Gateways == start.Gateways},
-		{"settings.zone", d.Zone == start.Zone}, {"settings.zones", slices.Equal(d.Zones, start.Zones)},
-		{"settings.kinds", slices.Equal(d.Kinds, start.Kinds)}, {"settings.allowed.peers", d.Peers == start.Peers},
-		{"settings.extra.peer_intake", d.PeerMessageRate == start.PeerMessageRate}, {"settings.discovery", d.Subscribe == start.Subscribe},
-		{"settings.report.names", slices.Equal(d.LoadReportFields, start.LoadReportFields)},
-	} {
-		if !k.same {
-			keys = append(keys, k.name)
-		}
-	}
-	d.Self, d.Gateways, d.Zone, d.Zones, d.Kinds = start.Self, start.Gateways, start.Zone, start.Zones, start.Kinds
-	d.Peers, d.PeerMessageRate, d.Subscribe, d.LoadReportFields = start.Peers, start.PeerMessageRate, start.Subscribe, start.LoadReportFields
-	return d, keys
-}
-
-// The wire's words and the field's.
+// The platform's names of values, and the policy's.
 var (
-	idempotencies    = map[string]policy.Idempotency{"free": policy.Idempotent, "guarded": policy.IdempotentByKey, "single_shot": policy.NotIdempotent}
-	dedupScopes      = map[string]policy.DedupScope{"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell}
-	loadReportFields = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
-		"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
-)
-
-// LoadFields gives the place in a load report of each field that members may name, by either of its words.
-func (d Deployment) LoadFields() map[string]int {
-	fields := map[string]int{}
-	for i, name := range d.LoadReportFields {
-		fields[name] = i
-		for wire, word := range loadReportFields {
-			if word == name {
-				fields[wire] = i
-			}
-		}
+	idempotencies = map[string]policy.Idempotency{
+		"free":        policy.Idempotent,
+		"guarded":     policy.IdempotentByKey,
+		"single_shot": policy.NotIdempotent,
 	}
-	return fields
-}
+	dedupScopes = map[string]policy.DedupScope{
+		"all":  policy.ScopeAll,
+		"zone": policy.ScopeZone,
+		"cell": policy.ScopeCell,
+	}
+	loadReportFields = map[string]string{
+		"outstanding":  "inflight",
+		"backlog":      "queue",
+		"utilization":  "util",
+		"recent_ms":    "latency_ms",
+		"throughput":   "qps",
+		"errors_per_s": "eps",
+	}
+)
 
-// ParseSettings maps the settings object to the module's words, for the gateway and the adapter alike. Keys it
-// does not know are ignored.
+// ParseSettings translates the settings object, for gateways and for the simulator's adapter alike. Keys that it
+// doesn't know are ignored. It checks only what it needs to; Deployment.Validate checks the rest.
 func ParseSettings(text []byte) (Deployment, error) {
-	var b settingsJSON
-	if err := json.Unmarshal(text, &b); err != nil {
+	var j settingsJSON
+	if err := json.Unmarshal(text, &j); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	d := Deployment{Zones: b.Zones, Kinds: b.Kinds, IdleTimeout: b.Allowed.ConnIdle, ConnectTimeout: b.Allowed.ConnectWait}
-	s := policy.Settings{Self: b.SelfIndex, Gateways: b.GroupSize, Zone: b.Zone, Tick: b.Tick,
-		Subscribe: b.Discovery == "subscribe",
-		Hedging:   b.Allowed.MayDuplicate, Peers: b.Allowed.Peers, Probes: b.Allowed.Probes,
-		Cancel:          b.Allowed.Cancel,
-		PeerMessageRate: b.Extra.PeerIntake, CrossZoneCost: b.Costs.CrossZone,
-		MaxUnits: b.Extra.Largest, DrainGrace: b.Rules.StopSendingWithin,
-		WarmupTime: b.Rules.WarmWithin, ColdWindow: b.Rules.Fall, ListRefreshWithin: b.Rules.MustAskIn,
-		InitialWarmth: b.Rules.ColdFrom, ColdMultiple: b.Rules.FallMultiple}
-	if n := b.Allowed.MaxAttempts; n != nil {
+	d := Deployment{
+		Zones:          j.Zones,
+		Kinds:          j.Kinds,
+		IdleTimeout:    j.Allowed.ConnIdle,
+		ConnectTimeout: j.Allowed.ConnectWait,
+	}
+	s := policy.Settings{
+		Self:              j.SelfIndex,
+		Gateways:          j.GroupSize,
+		Zone:              j.Zone,
+		Tick:              j.Tick,
+		Subscribe:         j.Discovery == "subscribe",
+		Hedging:           j.Allowed.MayDuplicate,
+		Peers:             j.Allowed.Peers,
+		Probes:            j.Allowed.Probes,
+		Cancel:            j.Allowed.Cancel,
+		MaxRetryAfter:     j.Allowed.MaxRetryAfter, // also where clients aren't counted on to wait that long
+		PeerMessageRate:   j.Extra.PeerIntake,
+		CrossZoneCost:     j.Costs.CrossZone,
+		MaxUnits:          j.Extra.Largest,
+		DrainGrace:        j.Rules.StopSendingWithin,
+		WarmupTime:        j.Rules.WarmWithin,
+		ColdWindow:        j.Rules.Fall,
+		ListRefreshWithin: j.Rules.MustAskIn,
+		InitialWarmth:     j.Rules.ColdFrom,
+		ColdMultiple:      j.Rules.FallMultiple,
+	}
+	if n := j.Allowed.MaxAttempts; n != nil {
 		if s.MaxAttempts = *n; *n <= 0 {
 			return d, errors.New("settings: allowed.max_attempts: must be above 0")
 		}
 	}
-	// A site that doesn't count on its clients heeding a wait still names how long one may be, and a refusal tells
-	// when to come back whether it is heeded or not.
-	s.MaxRetryAfter = b.Allowed.MaxRetryAfter
-	for _, n := range b.Report.Names {
-		s.LoadReportFields = append(s.LoadReportFields, loadReportFields[n])
+	for _, name := range j.Report.Names {
+		s.LoadReportFields = append(s.LoadReportFields, loadReportFields[name])
 	}
-	for i, c := range b.Services {
-		effect, ok := idempotencies[c.Effect]
+	for i, c := range j.Services {
+		idempotency, ok := idempotencies[c.Effect]
 		if !ok {
 			return d, fmt.Errorf("settings: services[%d].effect: unknown %q", i, c.Effect)
 		}
 		scope, ok := dedupScopes[c.KeyScope]
-		if !ok && effect == policy.IdempotentByKey {
+		if !ok && idempotency == policy.IdempotentByKey {
 			return d, fmt.Errorf("settings: services[%d].key_scope: unknown %q", i, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, policy.Class{Name: c.Name, LatencyTarget: c.Objective, Deadline: c.GiveUp,
-			Idempotency: effect, DedupScope: scope, DedupWindow: c.Window, Value: c.Worth, LateValue: c.LateWorth,
-			Streaming: c.Streaming})
+		s.Classes = append(s.Classes, policy.Class{
+			Name:          c.Name,
+			LatencyTarget: c.Objective,
+			Deadline:      c.GiveUp,
+			Idempotency:   idempotency,
+			DedupScope:    scope,
+			DedupWindow:   c.Window,
+			Value:         c.Worth,
+			LateValue:     c.LateWorth,
+			Streaming:     c.Streaming,
+		})
 	}
-	for _, p := range b.Tiers {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Depth, MaxInFlight: p.MaxOut,
-			ValueMultiplier: p.Price, OverQuotaValue: p.OverWorth, OverQuotaCost: p.BeyondCosts, HardLimitRate: p.CapRate,
-			HardLimitBurst: p.CapDepth, HardLimitSlack: p.CeilingSlack})
+	for _, p := range j.Tiers {
+		s.Plans = append(s.Plans, policy.Plan{
+			Name:            p.Name,
+			Rate:            p.Rate,
+			Burst:           p.Depth,
+			MaxInFlight:     p.MaxOut,
+			ValueMultiplier: p.Price,
+			OverQuotaValue:  p.OverWorth,
+			OverQuotaCost:   p.BeyondCosts,
+			HardLimitRate:   p.CapRate,
+			HardLimitBurst:  p.CapDepth,
+			HardLimitSlack:  p.CeilingSlack,
+		})
 	}
 	d.Settings = s
 	return d, nil
