--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,11 +1,15 @@
-// Package golden compares what a test encodes with bytes that were recorded by an earlier version, so that
-// data on disk and messages of running processes stay readable when the code changes.
+// Package golden compares what a test encodes with bytes that an earlier version recorded, so that data on
+// disk and messages of running processes stay readable when the code changes.
 //
-// encoding/gob matches fields by name and passes over those that it doesn't know: a renamed field is lost
-// without an error, and a moved type can no longer be decoded from an interface. A test that encodes and
-// decodes with the same code sees neither. Each function here therefore keeps a file below testdata/golden of
-// the calling package. Run the tests of a package with -update-golden to record anew, which is right only
-// where the format was meant to change.
+// encoding/gob matches fields by name and skips those that it doesn't know: a renamed field is lost without
+// an error, and a type that was registered under another name can't be decoded as the value of an interface.
+// A test that encodes and decodes with the same code detects neither. Each check here therefore keeps a file
+// in testdata/golden of the calling package. It has the form of the type on its first line (see [Form]) and
+// the encoded bytes, in hexadecimal, on the others.
+//
+// Use [Gob] for a struct that is encoded by itself, [Message] for one that is sent as the value of an
+// interface, and [Bytes] for encodings without gob. The flag -update-golden records the files of a package
+// anew, which is right only where a format is meant to change.
 package golden
 
 import (
@@ -23,7 +27,7 @@
 
 var update = flag.Bool("update-golden", false, "record the golden files of internal/golden anew")
 
-// folder is where the files are, below the folder of the package under test.
+// goldenDir is the folder of the files, in the folder of the package under test.
 const goldenDir = "testdata/golden"
 
 // Gob checks that values of T are encoded with the recorded fields and types, and that the recorded bytes of
@@ -31,47 +35,49 @@
 // value of an interface.
 func Gob[T any](t testing.TB, name string) {
 	t.Helper()
-	var want T
+	var want, got T
 	Fill(&want)
-	var out bytes.Buffer
-	if err := gob.NewEncoder(&out).Encode(&want); err != nil {
-		t.Fatalf("%s: encode: %v", name, err)
-	}
-	recorded := compare(t, name, Form(reflect.TypeFor[T]()), out.Bytes())
-	var got T
-	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(&got); err != nil {
-		t.Errorf("%s: the recorded bytes can't be decoded: %v", name, err)
-		return
-	}
-	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, got, want)
-	}
+	recorded := compare(t, name, Form(reflect.TypeFor[T]()), encode(t, name, &want))
+	checkDecode(t, name, recorded, &got, &want)
 }
 
-// Message checks a type that is sent as the value of an interface: as Gob does, and that its registered name
-// is the recorded one. The type of sample must be registered; its fields are filled here.
+// Message checks a type that is sent as the value of an interface: as Gob does, and that it is registered
+// under the recorded name. The sample only gives the type, which must be registered.
 func Message(t testing.TB, name string, sample any) {
 	t.Helper()
-	kind := reflect.TypeOf(sample)
-	filled := reflect.New(kind)
+	typ := reflect.TypeOf(sample)
+	filled := reflect.New(typ)
 	Fill(filled.Interface())
 	want := filled.Elem().Interface()
+	recorded := compare(t, name, Form(typ), encode(t, name, &want))
+	var got any
+	checkDecode(t, name, recorded, &got, &want)
+}
+
+func encode(t testing.TB, name string, pointer any) []byte {
+	t.Helper()
 	var out bytes.Buffer
-	if err := gob.NewEncoder(&out).Encode(&want); err != nil {
+	if err := gob.NewEncoder(&out).Encode(pointer); err != nil {
 		t.Fatalf("%s: encode: %v", name, err)
 	}
-	recorded := compare(t, name, Form(kind), out.Bytes())
-	var got any
-	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(&got); err != nil {
+	return out.Bytes()
+}
+
+// checkDecode checks that the recorded bytes decode, into got, to what want points to.
+func checkDecode(t testing.TB, name string, recorded []byte, got, want any) {
+	t.Helper()
+	if err := gob.NewDecoder(bytes.NewReader(recorded)).Decode(got); err != nil {
 		t.Errorf("%s: the recorded bytes can't be decoded: %v", name, err)
 		return
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, got, want)
+		t.Errorf("%s: the recorded bytes decode to\n%+v\nwant\n%+v", name, reflect.ValueOf(got).Elem(),
+			reflect.ValueOf(want).Elem())
 	}
 }
 
-// Bytes checks that an encoding without gob gives exactly the recorded bytes. It returns those, for the test to decode.
+// Bytes checks that an encoding without gob is exactly the recorded bytes. It returns those, for the test to
+// decode.
 func Bytes(t testing.TB, name string, encoded []byte) []byte {
 	t.Helper()
 	recorded := compare(t, name, "bytes", encoded)
@@ -106,9 +112,10 @@
 	return recorded
 }
 
-// digitsInLine is the length of a line of hexadecimal digits in a file.
+// digitsPerLine is the number of hexadecimal digits on a line of a file.
 const digitsPerLine = 120
 
+// record writes a golden file.
 func record(t testing.TB, path, form string, encoded []byte) {
 	t.Helper()
 	var text strings.Builder
@@ -128,27 +135,27 @@
 
 // Form describes how gob sees a type: the names of fields in their order, with the kinds of their values.
 // Names of types are left out, as gob passes over them.
-func Form(kind reflect.Type) string {
-	switch kind.Kind() {
+func Form(typ reflect.Type) string {
+	switch typ.Kind() {
 	case reflect.Pointer:
-		return "*" + Form(kind.Elem())
+		return "*" + Form(typ.Elem())
 	case reflect.Slice:
-		return "[]" + Form(kind.Elem())
+		return "[]" + Form(typ.Elem())
 	case reflect.Array:
-		return fmt.Sprintf("[%d]%s", kind.Len(), Form(kind.Elem()))
+		return fmt.Sprintf("[%d]%s", typ.Len(), Form(typ.Elem()))
 	case reflect.Map:
-		return "map[" + Form(kind.Key()) + "]" + Form(kind.Elem())
+		return "map[" + Form(typ.Key()) + "]" + Form(typ.Elem())
 	case reflect.Struct:
-		return "{" + strings.Join(fieldForms(kind), " ") + "}"
+		return "{" + strings.Join(fieldForms(typ), " ") + "}"
 	default:
-		return kind.Kind().String()
+		return typ.Kind().String()
 	}
 }
 
-func fieldForms(kind reflect.Type) []string {
+func fieldForms(typ reflect.Type) []string {
 	var forms []string
-	for i := range kind.NumField() {
-		if field := kind.Field(i); field.IsExported() {
+	for i := range typ.NumField() {
+		if field := typ.Field(i); field.IsExported() {
 			forms = append(forms, field.Name+":"+Form(field.Type))
 		}
 	}
@@ -163,7 +170,7 @@
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler counts the values that were set.
+// filler numbers the scalars that it sets, so that they differ.
 type filler struct{ count int }
 
 func (f *filler) fill(value reflect.Value) {
@@ -204,7 +211,7 @@
 	value.SetMapIndex(key, element)
 }
 
-// largestInSmall keeps the numbers within every integer kind.
+// maxScalar keeps numbers within the range of every integer kind.
 const maxScalar = 120
 
 func (f *filler) fillScalar(value reflect.Value) {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestFill(t *testing.T) {
-	Convey("Fill sets all that is exported, each time alike", t, func() {
+	Convey("Fill sets all exported fields, to the same values each time", t, func() {
 		var one, other outer
 		Fill(&one)
 		Fill(&other)
@@ -38,13 +38,13 @@
 }
 
 func TestForm(t *testing.T) {
-	Convey("Form names the fields that gob sees", t, func() {
+	Convey("Form names the fields that gob encodes", t, func() {
 		So(Form(reflect.TypeFor[outer]()), ShouldEqual,
 			"{Inner:*{Number:int8 Flags:[]bool} Names:map[string]uint16 Digest:[2]uint8 Share:float64 Message:interface}")
 	})
 }
 
-// TestRename is the fault that the package is for.
+// TestRename shows the fault that the package detects.
 func TestRename(t *testing.T) {
 	type before struct{ Life uint64 }
 	type after struct{ Incarnation uint64 }
