--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -280,11 +280,13 @@
 // ownRandom returns a random source for a fault that runs beside others.
 func (r *faultRound) ownRandom() *rand.Rand { return rand.New(rand.NewPCG(r.random.Uint64(), 1)) }
 
+// faultPowerEverywhere cuts the power of all machines.
 func faultPowerEverywhere(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
 	return func(down time.Duration) { r.losePowerEverywhere(lost, down, delays) }
 }
 
+// faultPowerAfterAcknowledgement cuts the power of all machines right after an acknowledgement.
 func faultPowerAfterAcknowledgement(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
 	return func(down time.Duration) {
@@ -300,10 +302,12 @@
 	}
 }
 
+// faultKills kills processes; their disks keep what was written.
 func faultKills(r *faultRound) func(time.Duration) {
 	return r.faultHalt("killed", r.killControl, (*deployedStore).kill)
 }
 
+// faultPower cuts the power of some machines; their disks lose what was not synced.
 func faultPower(r *faultRound) func(time.Duration) {
 	return r.faultHalt("power lost", r.losePowerOfControl, (*deployedStore).losePower)
 }
@@ -328,6 +332,7 @@
 	}
 }
 
+// faultWipes loses disks.
 func faultWipes(r *faultRound) func(time.Duration) {
 	v := r.claimDisks(1 + r.random.IntN(r.tolerance))
 	if v.none() {
@@ -370,6 +375,7 @@
 	return list
 }
 
+// faultControlPartitioned partitions one control machine, in one direction or both.
 func faultControlPartitioned(r *faultRound) func(time.Duration) {
 	all := r.presentControls()
 	victim, direction := all[r.random.IntN(len(all))], r.random.IntN(3)
@@ -383,6 +389,7 @@
 	}
 }
 
+// faultControlSplit splits the control machines into two groups.
 func faultControlSplit(r *faultRound) func(time.Duration) {
 	all := r.presentControls()
 	at := 1 + r.random.IntN(len(all)-1)
@@ -392,6 +399,7 @@
 	}
 }
 
+// faultStoresPartitioned partitions stores from some control machines.
 func faultStoresPartitioned(r *faultRound) func(time.Duration) {
 	stores, all := r.presentStores(), r.presentControls()
 	var from []string
@@ -535,6 +543,7 @@
 	w.haltControls([]int{i}, how)
 }
 
+// faultBulk sends many large changes of the configuration.
 func faultBulk(r *faultRound) func(time.Duration) {
 	return func(time.Duration) {
 		r.lock.Lock()
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -45,8 +45,8 @@
 	stopping   sync.WaitGroup // incarnations that are ending
 	loops      sync.WaitGroup
 	usedSpares map[int]bool // spare control machines that have been started
-	// processLock, with a buffer of one, is held while processes are started or ended. A mutex would stop the bubble's
-	// time.
+	// processLock, with a buffer of one, is held while processes are started or ended. A mutex would stop the
+	// bubble's time.
 	processLock chan struct{}
 
 	lock                 sync.Mutex // guards the fields below
@@ -93,6 +93,7 @@
 	seen     map[int]string // results by position
 }
 
+// newDeployment starts all processes and loads. It must be called in a synctest bubble.
 func newDeployment(t *testing.T, seed uint64, members, stores, tolerance int) *deployment {
 	w := &deployment{seed: seed, random: rand.New(rand.NewPCG(seed, 21)), began: time.Now(), tolerance: tolerance,
 		removedControls: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
@@ -371,6 +372,7 @@
 	}
 }
 
+// newestBefore returns the newest version that was acknowledged before a moment.
 func newestBefore(list []acknowledgement, moment time.Time) uint64 {
 	newest := uint64(0)
 	for _, one := range list {
@@ -432,6 +434,7 @@
 	}
 }
 
+// newDeployedJob returns a batch job of so many items.
 func newDeployedJob(id string, count int) *deployedJob {
 	type request struct {
 		ID   string `json:"id"`
@@ -504,6 +507,7 @@
 	w.callStore(at, protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: one.id, Tenant: "t"}, nil)
 }
 
+// resultPage is the body of a read of results.
 type resultPage struct {
 	Total   int `json:"total"`
 	Results []struct {
--- a/internal/control/discovery/page.go
+++ b/internal/control/discovery/page.go
@@ -30,6 +30,7 @@
 // stateDraining is the state of a server that takes no new requests.
 const stateDraining = "draining"
 
+// server converts an instance to the form that subscribers are sent.
 func (i *instance) server() protocol.Server {
 	return protocol.Server{
 		ID:       i.ID,
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -31,6 +31,7 @@
 	servers string
 }
 
+// newFakePlatform serves a list of two servers.
 func newFakePlatform(t *testing.T) *fakePlatform {
 	p := &fakePlatform{}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -63,6 +64,7 @@
 // networks counts the systems of one test run, which have addresses 127.7.N.x.
 var networks atomic.Int32
 
+// newSystem starts three control processes.
 func newSystem(t *testing.T, cloud string) *system {
 	s := &system{running: make([]*Control, 3), client: http.DefaultClient}
 	first := freePorts(t)
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -9,6 +9,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// store returns an incarnation of a batch process.
 func store(node, incarnation string) protocol.Process {
 	return protocol.Process{Node: node, Role: protocol.RoleBatch, IP: "10.0.0." + node, Incarnation: incarnation}
 }
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -34,6 +34,7 @@
 	proposals    map[string]int    // proposals by id
 }
 
+// proposalOutcome is what becomes of a proposal, and what its proposer learns.
 type proposalOutcome int
 
 const (
@@ -87,6 +88,7 @@
 
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
+// newAPI returns an API with a limit of 4096 bytes for a configuration.
 func newAPI(chain *fakeChain) http.Handler {
 	return New(Options{
 		State:           chain.state,
@@ -98,6 +100,7 @@
 	}).Handler()
 }
 
+// send sends one request.
 func send(api http.Handler, method, path, ifMatch, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	if ifMatch != "" {
@@ -184,6 +187,7 @@
 	t.Run(name, func(t *testing.T) { synctest.Test(t, run) })
 }
 
+// checkStatus fails the test if a response has another status.
 func checkStatus(t *testing.T, recorder *httptest.ResponseRecorder, status int) {
 	t.Helper()
 	if recorder.Code != status {
--- a/internal/control/operatorapi/body.go
+++ b/internal/control/operatorapi/body.go
@@ -7,6 +7,7 @@
 	"sync"
 )
 
+// Errors of reading a body.
 var (
 	errBodyTooLarge = errors.New("the body is too large")
 	errBodiesBusy   = errors.New("other large configurations are under way") // their bodies use the byteBudget up
--- a/internal/control/operatorapi/changegroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -20,6 +20,7 @@
 	decision decision
 }
 
+// newChangeGroup returns an empty group.
 func newChangeGroup() changeGroup {
 	return changeGroup{pending: map[configuration.Digest]*changeCall{}}
 }
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -475,6 +475,7 @@
 	}
 }
 
+// envNumber returns a number from the environment.
 func envNumber(name string, fallback uint64) uint64 {
 	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return value
@@ -482,6 +483,7 @@
 	return fallback
 }
 
+// failWithEvents fails the test with the last events of the simulation.
 func failWithEvents(t *testing.T, seed uint64, failures []string, h *history) {
 	t.Helper()
 	tail := h.cluster.events
--- a/internal/control/operatorapi/injectedbugs_test.go
+++ b/internal/control/operatorapi/injectedbugs_test.go
@@ -109,6 +109,7 @@
 	return whole
 }
 
+// writeUnprovenVersion writes the local version as a response.
 func writeUnprovenVersion(response http.ResponseWriter, version *configuration.Version) {
 	if version.Generation == 0 {
 		response.WriteHeader(http.StatusNotFound)
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -87,6 +87,7 @@
 	return c.JSON(http.StatusNotFound, responseBody{Message: errNoRetirement.Error()})
 }
 
+// errNoRetirement is the message of a 404: no retirement of the node is remembered.
 var errNoRetirement = errors.New("no retirement of such a store machine was ordered")
 
 // newID returns an id that no other proposal has.
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// newPartitionTest starts a system with a configuration, a gateway and four stores, all served.
 func newPartitionTest(t *testing.T, one partitionCase, bug injectedBug) *partitionTest {
 	s := &partitionTest{simulatedSystem: newSimulatedSystem(t, 1, bug)}
 	if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
--- a/internal/control/quotaservice/chainmodel_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -56,6 +56,7 @@
 	lastDisconnectedAt time.Duration // when it last reached no majority
 }
 
+// newChainModel starts all machines, in one chain.
 func newChainModel(w *quotaSimulation, machines int) *chainModel {
 	c := &chainModel{simulation: w}
 	for i := range machines {
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -74,6 +74,7 @@
 	until         time.Duration
 }
 
+// newQuotaSimulation starts all processes and the load.
 func newQuotaSimulation(seed uint64, bug injectedBug) *quotaSimulation {
 	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond}
@@ -328,6 +329,7 @@
 	return w, "no allocator acts in the end"
 }
 
+// envNumber returns a number from the environment.
 func envNumber(name string, usual int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -14,8 +14,8 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Replica is what the control plane needs of its member of the chain. *replica.Node implements it; tests wrap or
-// replace it.
+// Replica is what the control plane needs of its member of the chain. *replica.Node implements it, and documents
+// the methods; tests wrap or replace it.
 type Replica interface {
 	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
 	Read(ctx context.Context) (uint64, error)
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -47,6 +47,7 @@
 	at      time.Time
 }
 
+// newServiceSimulation starts the control processes. It must be called in a synctest bubble.
 func newServiceSimulation(t *testing.T, seed uint64, end time.Duration, bug injectedBug) *serviceSimulation {
 	return &serviceSimulation{
 		simulatedSystem: newSimulatedSystem(t, seed, bug),
@@ -361,6 +362,7 @@
 	return w
 }
 
+// seedNumber returns a number from the environment.
 func seedNumber(name string, fallback uint64) uint64 {
 	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return value
--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -99,6 +99,7 @@
 	return outcome, err
 }
 
+// encode encodes a value by itself, with the definitions of its types.
 func encode(value any) ([]byte, error) {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(value); err != nil {
@@ -107,6 +108,7 @@
 	return out.Bytes(), nil
 }
 
+// decode decodes what encode returned.
 func decode(encoded []byte, into any) error {
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(into); err != nil {
 		return fmt.Errorf("statemachine: decode %T: %w", into, err)
--- a/internal/control/statemachine/membership.go
+++ b/internal/control/statemachine/membership.go
@@ -32,13 +32,16 @@
 	Suspected   uint64 // membership.lastSuspicion
 }
 
+// newMembership returns the membership before the first Join: no members, in epoch 0.
 func newMembership() *membership { return &membership{} }
 
+// snapshot returns the form for a snapshot. It shares the slices and must be encoded before the next command.
 func (s *membership) snapshot() membershipSnapshot {
 	return membershipSnapshot{Epoch: s.epoch, Members: s.members, Departed: s.departed, Settled: s.reconciled,
 		Retirements: s.retirements, Suspicions: s.suspicions, Suspected: s.lastSuspicion}
 }
 
+// restoreMembership returns the membership of a snapshot.
 func restoreMembership(from membershipSnapshot) *membership {
 	return &membership{epoch: from.Epoch, members: from.Members, departed: from.Departed, reconciled: from.Settled,
 		retirements: from.Retirements, suspicions: from.Suspicions, lastSuspicion: from.Suspected}
--- a/internal/control/statemachine/retirement.go
+++ b/internal/control/statemachine/retirement.go
@@ -56,6 +56,7 @@
 	return s.setState(at, protocol.StoreRetired)
 }
 
+// retirementState returns the state of a node's last retirement.
 func (s *membership) retirementState(node string) Retirement {
 	record := s.retirementOf(node)
 	switch {
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// drawCommand draws a command, some of which no longer fit the state.
 func drawCommand(t *rapid.T, m *StateMachine) Command {
 	one := process(rapid.IntRange(0, 3).Draw(t, "node"), rapid.IntRange(0, 2).Draw(t, "incarnation"))
 	switch rapid.IntRange(0, 8).Draw(t, "kind") {
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -24,6 +24,7 @@
 // DefaultTimeout is how long a request is repeated if Client.Timeout is 0.
 const DefaultTimeout = 10 * time.Second
 
+// errorNames is the namespace of the types of errors; their names begin with it.
 var errorNames = errorx.NewNamespace("control")
 
 // The types of errors of Call; test for them with errorx.IsOfType.
