--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,13 +17,13 @@
 
 type transaction struct {
 	Request
-	generation   *generation
-	arrival      storm.Arrival
-	closed       bool    // has its final answer
-	flows        []*Flow // those out, by number
-	flowsStarted int     // flows started
-	timers       []*time.Timer
-	actions      chan any // *Flow or Answer
+	generation      *generation
+	arrival         storm.Arrival
+	answered        bool       // has its final answer
+	inFlight        []*Attempt // those out, by number
+	attemptsStarted int        // flows started
+	timers          []*time.Timer
+	actions         chan any // *Flow or Answer
 }
 
 // Core runs one decision module.
@@ -76,30 +76,30 @@
 
 // checkMargin is how long before the deadline a check has to end. A flow that still waits for its verdict when the
 // module's time is over looks as if it may have run, and its client could not be told that it may come back.
-const checkMargin = 25 * time.Millisecond
+const authorizeMargin = 25 * time.Millisecond
 
 // Serve is the life of a transaction, from when a front has read it to its one final answer. It ends early when
 // ctx does: the client has left and nobody is owed an answer.
 func (c *Core) Serve(ctx context.Context, in Request) Answer {
-	t := &transaction{Request: in}
-	known, wait := c.register(t)
+	tx := &transaction{Request: in}
+	known, wait := c.register(tx)
 	if !known { // nothing ran: asking again, under the settings in force, is harmless
 		return c.countAnswer(Answer{Kind: Refused})
 	}
 	if wait > 0 { // this process has just woken, and what it was told meanwhile is being read
 		time.Sleep(wait)
 	}
-	if refused, wait := c.stormVerdict(t); refused {
+	if refused, wait := c.stormVerdict(tx); refused {
 		return c.countAnswer(Answer{Kind: Refused, RetryAfter: wait})
 	}
 	verdict, wait := Active, time.Duration(0)
 	if in.Authorize != nil {
-		verdict, wait = in.Authorize(in.Deadline - checkMargin)
+		verdict, wait = in.Authorize(in.Deadline - authorizeMargin)
 	}
 	// Without a right to go on, or a client, it is over, and the module need not hear of it: it draws nothing and takes no turn.
 	if gone := ctx.Err() != nil; gone || verdict != Active {
 		c.mu.Lock()
-		c.close(t)
+		c.close(tx)
 		c.mu.Unlock()
 		switch {
 		case gone:
@@ -107,27 +107,27 @@
 		case verdict == Inactive:
 			return c.countAnswer(Answer{Kind: Unauthorized})
 		}
-		return c.countAnswer(Answer{Kind: Refused, Attempted: true, RetryAfter: c.refused(t, wait)}) // nothing ran: asking again is harmless
+		return c.countAnswer(Answer{Kind: Refused, Attempted: true, RetryAfter: c.refusalWait(tx, wait)}) // nothing ran: asking again is harmless
 	}
-	c.handle(func(now Time) { t.generation.module.Request(now, t.Request.Request) })
-	checked := len(t.actions) > 0 // a verdict holds for what is sent on now, not for what is held or tried again
+	c.handle(func(now Time) { tx.generation.module.Request(now, tx.Request.Request) })
+	checked := len(tx.actions) > 0 // a verdict holds for what is sent on now, not for what is held or tried again
 	for {
 		select {
-		case order := <-t.actions:
+		case order := <-tx.actions:
 			switch order := order.(type) {
-			case *Flow:
+			case *Attempt:
 				order.recheck = in.Authorize != nil && !checked
 				checked = false
-				go c.carry(order)
+				go c.carryAttempt(order)
 			case Answer:
 				return c.countAnswer(order)
 			}
 		case <-ctx.Done():
-			c.clientLeft(t)
-			for len(t.actions) > 0 { // a flow ordered meanwhile has an end to report, though it is never sent
-				switch order := (<-t.actions).(type) {
-				case *Flow:
-					go c.carry(order)
+			c.clientLeft(tx)
+			for len(tx.actions) > 0 { // a flow ordered meanwhile has an end to report, though it is never sent
+				switch order := (<-tx.actions).(type) {
+				case *Attempt:
+					go c.carryAttempt(order)
 				case Answer:
 					order.Discard()
 				}
@@ -140,40 +140,40 @@
 // take numbers the transaction. The number is a counter: the module shifts it into timer tags, which a
 // client's own id would overflow. It tells whether there still is a module of the settings that it was read under, and how
 // long to wait before it is asked. What may have lain here while the process stood still has so much less time left.
-func (c *Core) register(t *transaction) (known bool, wait time.Duration) {
+func (c *Core) register(tx *transaction) (known bool, wait time.Duration) {
 	c.handle(func(now Time) {
 		c.counts.taken++
-		if t.generation = c.generationByNumber(t.Generation); t.generation == nil || c.shutDown {
+		if tx.generation = c.generationByNumber(tx.Generation); tx.generation == nil || c.shutDown {
 			return
 		}
-		lain, settles := c.recovery.RequestRead(now, t.Deadline-now)
-		t.Deadline -= lain
+		lain, settles := c.recovery.RequestRead(now, tx.Deadline-now)
+		tx.Deadline -= lain
 		c.lastID++
-		t.ID = c.lastID
-		c.transactions[t.ID] = t
-		t.generation.openTransactions++
-		t.actions = make(chan any, max(1, t.generation.cfg.MaxAttempts)+2) // room for what the module may order
+		tx.ID = c.lastID
+		c.transactions[tx.ID] = tx
+		tx.generation.openTransactions++
+		tx.actions = make(chan any, max(1, tx.generation.cfg.MaxAttempts)+2) // room for what the module may order
 		known, wait = true, settles
 	})
 	return known, wait
 }
 
 // forget drops a transaction that nothing more comes for. The mutex is held.
-func (c *Core) remove(t *transaction) {
-	if c.transactions[t.ID] == t {
-		delete(c.transactions, t.ID)
-		t.generation.openTransactions--
+func (c *Core) remove(tx *transaction) {
+	if c.transactions[tx.ID] == tx {
+		delete(c.transactions, tx.ID)
+		tx.generation.openTransactions--
 		c.prune()
 	}
 }
 
 // leave tells the module that the client has left, unless the final answer crossed that.
-func (c *Core) clientLeft(t *transaction) {
+func (c *Core) clientLeft(tx *transaction) {
 	c.handle(func(now Time) {
-		if !t.closed {
-			c.close(t)
-			c.storm.failed(now, t)
-			t.generation.module.ClientGone(now, t.ID)
+		if !tx.answered {
+			c.close(tx)
+			c.storm.recordFailed(now, tx)
+			tx.generation.module.ClientGone(now, tx.ID)
 		}
 	})
 }
@@ -206,21 +206,21 @@
 }
 
 // final queues the one final answer. The mutex is held.
-func (c *Core) finish(t *transaction, a Answer) {
-	if !t.closed {
-		c.close(t)
-		t.actions <- a
+func (c *Core) finish(tx *transaction, a Answer) {
+	if !tx.answered {
+		c.close(tx)
+		tx.actions <- a
 	}
 }
 
-func (c *Core) close(t *transaction) {
-	t.closed = true
-	for _, timer := range t.timers { // each that runs out wakes the process for nothing
+func (c *Core) close(tx *transaction) {
+	tx.answered = true
+	for _, timer := range tx.timers { // each that runs out wakes the process for nothing
 		timer.Stop()
 	}
-	t.timers = nil
-	if len(t.flows) == 0 {
-		c.remove(t)
+	tx.timers = nil
+	if len(tx.inFlight) == 0 {
+		c.remove(tx)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-type carrier func(*Flow) (End, Answer)
+type carrier func(*Attempt) (End, Answer)
 
-func (c carrier) Carry(f *Flow) (End, Answer) { return c(f) }
+func (c carrier) Carry(f *Attempt) (End, Answer) { return c(f) }
 
 type closer chan bool
 
@@ -49,7 +49,7 @@
 // A flow that still dials when its transaction is answered must not write a byte.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
 	answered, begun := make(chan bool), make(chan End)
-	c, ask := start(t, func(f *Flow) (End, Answer) {
+	c, ask := start(t, func(f *Attempt) (End, Answer) {
 		<-answered
 		end, ok := f.Begin(io.NopCloser(nil))
 		assert.False(t, ok)
@@ -67,13 +67,13 @@
 func TestCancel(t *testing.T) {
 	conn := make(closer)
 	c, ask := start(t, nil)
-	c.carrier = carrier(func(f *Flow) (End, Answer) {
+	c.carrier = carrier(func(f *Attempt) (End, Answer) {
 		_, ok := f.Begin(conn)
 		assert.True(t, ok)
-		c.handle(func(Time) { host{c, c.current}.Cancel(f.tx.ID, f.number) })
+		c.handle(func(Time) { host{c, c.current}.Cancel(f.transaction.ID, f.number) })
 		<-conn
 		assert.True(t, f.Finish())
-		c.handle(func(Time) { host{c, c.current}.Cancel(f.tx.ID, f.number) })
+		c.handle(func(Time) { host{c, c.current}.Cancel(f.transaction.ID, f.number) })
 		return EndCancelled, Answer{}
 	})
 	assert.Equal(t, Failed, ask(1, 10*time.Second).Kind) // called off it may have run
@@ -98,7 +98,7 @@
 // harmless, a failure where it may have run. What the members answer afterwards changes nothing.
 func TestShutdownAnswersAll(t *testing.T) {
 	sent, on := make(chan bool, 2), make(chan bool)
-	c, ask := start(t, func(f *Flow) (End, Answer) {
+	c, ask := start(t, func(f *Attempt) (End, Answer) {
 		sent <- true
 		<-on
 		return EndServed, Answer{}
--- a/internal/core/era.go
+++ b/internal/core/era.go
@@ -101,7 +101,7 @@
 		return
 	}
 	s := Sent{Customer: t.Customer, Plan: t.generation.cfg.Plans[t.Plan].Name, Units: t.Units, SetSize: t.SetSize, FirstDoor: t.FirstGateway,
-		Server: to, First: t.flowsStarted == 1}
+		Server: to, First: t.attemptsStarted == 1}
 	for _, e := range append([]*generation{c.current}, c.retiring...) {
 		if e != t.generation {
 			e.sentElsewhere(c.Now(), s, e == c.current)
--- a/internal/core/era_test.go
+++ b/internal/core/era_test.go
@@ -23,7 +23,7 @@
 // era is a core whose flows end as a test says.
 func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(era, class int) chan Answer) {
 	flows := make(chan chan End, 16)
-	c, err := New(set, 1, NewClock(), carrier(func(f *Flow) (End, Answer) {
+	c, err := New(set, 1, NewClock(), carrier(func(f *Attempt) (End, Answer) {
 		end := make(chan End)
 		flows <- end
 		f.Begin(io.NopCloser(nil))
@@ -152,7 +152,7 @@
 	<-answer
 	var sent []Sent
 	carried := c.ExportState(1<<20, func(s Sent) { sent = append(sent, s) })
-	next, err := New(set, 3, NewClock(), carrier(func(f *Flow) (End, Answer) { return EndServed, Answer{} }), nil)
+	next, err := New(set, 3, NewClock(), carrier(func(f *Attempt) (End, Answer) { return EndServed, Answer{} }), nil)
 	require.NoError(t, err)
 	require.NoError(t, next.ImportState(carried))
 	assert.Error(t, next.ImportState(carried), "only before anything else")
--- a/internal/core/flow.go
+++ b/internal/core/flow.go
@@ -10,44 +10,44 @@
 // Carrier takes a server-side flow to its pool member and back. It calls Flow.Begin right before the first byte
 // and ends when Flow.Until is reached at the latest.
 type Carrier interface {
-	Carry(f *Flow) (End, Answer)
+	Carry(f *Attempt) (End, Answer)
 }
 
 // Flow is one server-side flow.
-type Flow struct {
+type Attempt struct {
 	Server       policy.ServerID
 	Until        time.Time
 	Message      any
 	BodyConsumed bool // the carrier's word that the message can't be sent again
 
-	core      *Core
-	tx        *transaction
-	number    int
-	sentAt    Time
-	recheck   bool
-	cancelled bool
-	conn      io.Closer
+	core        *Core
+	transaction *transaction
+	number      int
+	sentAt      Time
+	recheck     bool
+	cancelled   bool
+	conn        io.Closer
 }
 
 // To gives the pool member that the flow goes to.
-func (f *Flow) To() policy.ServerID { return f.Server }
+func (f *Attempt) To() policy.ServerID { return f.Server }
 
 // By gives the moment at which the flow ends at the latest.
-func (f *Flow) By() time.Time { return f.Until }
+func (f *Attempt) By() time.Time { return f.Until }
 
 // Begin tells whether the first byte may still be written to a connection, which it remembers for a cancel. A
 // flow whose transaction was answered while it dialled must not reach a server, nor may one that the module would no longer
 // send.
-func (f *Flow) Begin(conn io.Closer) (End, bool) {
+func (f *Attempt) Begin(conn io.Closer) (End, bool) {
 	f.core.mu.Lock()
 	defer f.core.mu.Unlock()
 	if f.cancelled {
 		return EndCancelled, false
 	}
-	if f.tx.closed {
+	if f.transaction.answered {
 		return EndAlreadyAnswered, false
 	}
-	if !f.tx.generation.module.MayBegin(f.core.Now(), f.tx.ID, f.number) {
+	if !f.transaction.generation.module.MayBegin(f.core.Now(), f.transaction.ID, f.number) {
 		return EndRepeatUnsafe, false
 	}
 	f.conn = conn
@@ -56,10 +56,10 @@
 
 // Came tells that the last byte of a body that was still coming has been written: from now on the flow has as long as the
 // client waits.
-func (f *Flow) BodySent() {
+func (f *Attempt) BodySent() {
 	f.core.handle(func(now Time) {
-		t := f.tx
-		if !t.BodyPending || t.closed {
+		t := f.transaction
+		if !t.BodyPending || t.answered {
 			return
 		}
 		t.Deadline = now + t.BodyTimeout
@@ -70,7 +70,7 @@
 
 // Finish gives the connection back, so that a late cancel can't close what another flow uses. It tells
 // whether the flow was cancelled.
-func (f *Flow) Finish() bool {
+func (f *Attempt) Finish() bool {
 	f.core.mu.Lock()
 	defer f.core.mu.Unlock()
 	f.conn = nil
@@ -79,11 +79,11 @@
 
 // carry takes one flow to its end, which goes to the module whether or not the client still waits: what runs on
 // after the answer still tells of its pool member.
-func (c *Core) carry(f *Flow) {
+func (c *Core) carryAttempt(f *Attempt) {
 	end, answer := EndCheckFailed, Answer{}
 	verdict := Active
 	if f.recheck {
-		verdict, _ = f.tx.Authorize(f.tx.Deadline - checkMargin)
+		verdict, _ = f.transaction.Authorize(f.transaction.Deadline - authorizeMargin)
 	}
 	switch verdict {
 	case Active:
@@ -93,17 +93,17 @@
 	}
 	late := false
 	c.handle(func(now Time) {
-		t := f.tx
+		t := f.transaction
 		c.counts.ended[end]++
-		c.storm.attempt(now, f, end)
-		for i := range t.flows {
-			if t.flows[i] == f {
-				t.flows = append(t.flows[:i], t.flows[i+1:]...)
+		c.storm.recordAttempt(now, f, end)
+		for i := range t.inFlight {
+			if t.inFlight[i] == f {
+				t.inFlight = append(t.inFlight[:i], t.inFlight[i+1:]...)
 				break
 			}
 		}
 		switch {
-		case t.closed:
+		case t.answered:
 			late = true
 		case end == EndServed:
 			answer.Kind, answer.Attempted = Served, true
@@ -111,10 +111,10 @@
 		case end == EndUnauthorized:
 			c.finish(t, Answer{Kind: Unauthorized, Attempted: true})
 		}
-		closed := t.closed
+		closed := t.answered
 		t.generation.module.Outcome(now, policy.Outcome{ID: t.ID, Attempt: f.number, Server: f.Server, Elapsed: now - f.sentAt,
 			Ending: endTable[end].ending, Answered: closed, BodyConsumed: f.BodyConsumed, Units: answer.Units, LoadReport: answer.LoadReport})
-		if t.closed && len(t.flows) == 0 {
+		if t.answered && len(t.inFlight) == 0 {
 			c.remove(t)
 		}
 	})
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -15,7 +15,7 @@
 
 // Of a client that left before its request is decided about the module doesn't hear: nothing is drawn and no turn taken.
 func TestClientThatLeftDrawsNothing(t *testing.T) {
-	c, _ := start(t, func(*Flow) (End, Answer) { panic("sent on") })
+	c, _ := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	a := c.Serve(ctx, Request{Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 10*time.Second}})
@@ -27,7 +27,7 @@
 
 // What comes between the last answers and the end of the process is refused at once, and not left to the kill.
 func TestRequestsAfterShutdownAreRefused(t *testing.T) {
-	c, ask := start(t, func(*Flow) (End, Answer) { panic("sent on") })
+	c, ask := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
 	c.Shutdown()
 	begun := time.Now()
 	for class := range 2 {
@@ -42,7 +42,7 @@
 func TestAnswerAtTheDeadline(t *testing.T) {
 	answered := make(chan bool)
 	var freed, closed atomic.Int32
-	c, ask := start(t, func(f *Flow) (End, Answer) {
+	c, ask := start(t, func(f *Attempt) (End, Answer) {
 		f.Begin(io.NopCloser(nil))
 		<-answered // the deadline has fired, and the flow doesn't know
 		return EndServed, Answer{Remainder: countingCloser{&closed}, Release: func() { freed.Add(1) }}
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -15,7 +15,7 @@
 // woke lets the standstill of this process be nobody's slowness. The mutex is held.
 func (c *Core) resumed(now Time, still time.Duration) {
 	for _, t := range c.transactions {
-		for _, f := range t.flows {
+		for _, f := range t.inFlight {
 			f.sentAt = min(now, f.sentAt+still)
 		}
 	}
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -14,15 +14,15 @@
 // out is queued like the decision module's orders. A nil one lets all pass.
 type stormGuard struct {
 	*storm.Guard
-	me, gateways int
-	phase        storm.Phase
-	ticks        int
+	self, gateways int
+	phase          storm.Phase
+	ticks          int
 }
 
 // Damp makes the core damp storms. It comes before the first transaction.
 func (c *Core) EnableStormControl(set policy.Settings, opt storm.Options) {
 	opt.Self, opt.Gateways = set.Self, set.Gateways
-	g := &stormGuard{me: set.Self, gateways: set.Gateways}
+	g := &stormGuard{self: set.Self, gateways: set.Gateways}
 	opt.Classes, opt.Prices = stormClasses(set), stormPrices(set)
 	if set.MaxRetryAfter > 0 && (opt.MaxRetryAfter <= 0 || set.MaxRetryAfter < opt.MaxRetryAfter) {
 		opt.MaxRetryAfter = set.MaxRetryAfter // the clients' own limit
@@ -58,7 +58,7 @@
 	seen.Warmth /= math.Max(float64(seen.Listed), 1)
 	word := g.Tick(now, seen)
 	for p := range g.gateways {
-		if p != g.me && word != nil && c.sendToPeer != nil {
+		if p != g.self && word != nil && c.sendToPeer != nil {
 			c.pendingMessages = append(c.pendingMessages, peerMessage{p, word})
 		}
 	}
@@ -66,17 +66,17 @@
 	if g.ticks++; f.Phase != g.phase || f.Phase != storm.Calm && g.ticks%ticksPerLogLine == 0 {
 		g.phase = f.Phase
 		r := f.Recent
-		c.pendingLogs = append(c.pendingLogs, logLine{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), round("sure", f.Confidence, 2),
-			round("limit", f.Limit, 1), round("usual", f.Baseline, 1), round("warmth", seen.Warmth, 2), round("firsts", r.FirstAttempts, 0),
-			round("repeats", r.Retries, 0), round("admitted", r.Admitted, 0), round("held", r.Rejected, 0), round("in_time", r.InTime, 0),
-			round("late", r.Late, 0), round("lost", r.Failed, 0), slog.Int("overdue", seen.Overdue)}})
+		c.pendingLogs = append(c.pendingLogs, logLine{"storm", []slog.Attr{slog.String("phase", f.Phase.String()), rounded("sure", f.Confidence, 2),
+			rounded("limit", f.Limit, 1), rounded("usual", f.Baseline, 1), rounded("warmth", seen.Warmth, 2), rounded("firsts", r.FirstAttempts, 0),
+			rounded("repeats", r.Retries, 0), rounded("admitted", r.Admitted, 0), rounded("held", r.Rejected, 0), rounded("in_time", r.InTime, 0),
+			rounded("late", r.Late, 0), rounded("lost", r.Failed, 0), slog.Int("overdue", seen.Overdue)}})
 	}
 }
 
 // beatsPerLine is how many beats of a storm make a line in the log: one a second.
 const ticksPerLogLine = int(time.Second / storm.TickInterval)
 
-func round(key string, x float64, digits int) slog.Attr {
+func rounded(key string, x float64, digits int) slog.Attr {
 	scale := math.Pow10(digits)
 	return slog.Float64(key, math.Round(scale*x)/scale)
 }
@@ -105,8 +105,8 @@
 		return nil
 	}
 	f := c.storm.Stats()
-	return Counts{slog.String("phase", f.Phase.String()), round("sure", f.Confidence, 2),
-		round("limit", f.Limit, 1), round("usual", f.Baseline, 1), slog.Uint64("storms", f.Storms),
+	return Counts{slog.String("phase", f.Phase.String()), rounded("sure", f.Confidence, 2),
+		rounded("limit", f.Limit, 1), rounded("usual", f.Baseline, 1), slog.Uint64("storms", f.Storms),
 		slog.Uint64("refused", f.Rejected), slog.Uint64("refused_retries", f.RejectedRetries), slog.Uint64("repeats", f.Retries),
 		slog.Uint64("connections_closed", f.RejectedConnections), slog.Uint64("falls", f.RampDecreases), slog.Uint64("heard", f.MessagesReceived), slog.Uint64("odd", f.MessagesDropped)}
 }
@@ -128,29 +128,29 @@
 }
 
 // refused gives the wait that a refusal names.
-func (c *Core) refused(t *transaction, wait time.Duration) time.Duration {
+func (c *Core) refusalWait(t *transaction, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storm.refused(c.Now(), t, wait)
+	return c.storm.refusalWait(c.Now(), t, wait)
 }
 
-func (g *stormGuard) refused(now Time, t *transaction, wait time.Duration) time.Duration {
+func (g *stormGuard) refusalWait(now Time, t *transaction, wait time.Duration) time.Duration {
 	if g == nil {
 		return wait
 	}
 	return g.Rejected(now, t.arrival, wait)
 }
 
-func (g *stormGuard) failed(now Time, t *transaction) {
+func (g *stormGuard) recordFailed(now Time, t *transaction) {
 	if g != nil {
 		g.Failed(now, t.arrival)
 	}
 }
 
-func (g *stormGuard) attempt(now Time, f *Flow, end End) {
+func (g *stormGuard) recordAttempt(now Time, f *Attempt, end End) {
 	switch {
 	case g == nil:
-	case end == EndServed && now-f.sentAt <= f.tx.generation.cfg.Classes[f.tx.Class].LatencyTarget:
+	case end == EndServed && now-f.sentAt <= f.transaction.generation.cfg.Classes[f.transaction.Class].LatencyTarget:
 		g.AttemptEnded(now, storm.InTime)
 	case end == EndServed:
 		g.AttemptEnded(now, storm.Late)
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -17,7 +17,7 @@
 // gone is a member that is not there, until it is.
 type gone struct{ back chan struct{} }
 
-func (g gone) Carry(f *core.Flow) (core.End, core.Answer) {
+func (g gone) Carry(f *core.Attempt) (core.End, core.Answer) {
 	select {
 	case <-g.back:
 		return core.EndServed, core.Answer{Body: []byte("done")}
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -147,7 +147,7 @@
 
 type carrier struct{}
 
-func (carrier) Carry(*core.Flow) (core.End, core.Answer) { return core.EndReset, core.Answer{} }
+func (carrier) Carry(*core.Attempt) (core.End, core.Answer) { return core.EndReset, core.Answer{} }
 
 type addresses struct{}
 
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -24,7 +24,7 @@
 	switch a := a.(type) {
 	case *Request:
 		return a.Method
-	case *core.Flow:
+	case *core.Attempt:
 		return a.Message.(*Message).Method
 	}
 	return ""
@@ -39,7 +39,7 @@
 		if c == nil {
 			return nil, end
 		}
-		if flow, ok := a.(*core.Flow); ok && p.onConnected != nil {
+		if flow, ok := a.(*core.Attempt); ok && p.onConnected != nil {
 			p.onConnected(flow)
 		}
 		if end, ok := p.recheck(a, c); !ok {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -57,8 +57,8 @@
 type Pool struct {
 	options     Options // MaxConnections is guarded by mu; the timeouts are in the atomics below
 	injected    injectedBugs
-	stop        chan struct{}    // closed by Close; ends sweepIdle
-	onConnected func(*core.Flow) // set by tests, to force races: there is a connection, and nothing was rechecked yet
+	stop        chan struct{}       // closed by Close; ends sweepIdle
+	onConnected func(*core.Attempt) // set by tests, to force races: there is a connection, and nothing was rechecked yet
 
 	idleTimeout, connectTimeout atomic.Int64 // time.Duration
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -16,18 +16,18 @@
 )
 
 // carrierFunc lets a test interfere with an attempt.
-type carrierFunc func(f *core.Flow) (core.End, core.Answer)
+type carrierFunc func(f *core.Attempt) (core.End, core.Answer)
 
-func (c carrierFunc) Carry(f *core.Flow) (core.End, core.Answer) { return c(f) }
+func (c carrierFunc) Carry(f *core.Attempt) (core.End, core.Answer) { return c(f) }
 
-func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Flow) (core.End, core.Answer),
+func newTestPool(t *testing.T, sockets int, through func(*Pool, *core.Attempt) (core.End, core.Answer),
 	members ...*fake.Peer) (*Pool, func() core.Answer) {
 	d := fake.Deployment()
 	p := New(Options{MaxConnections: sockets, StaleWindow: time.Minute, IdleTimeout: d.IdleTimeout,
 		ConnectTimeout: d.ConnectTimeout})
 	t.Cleanup(p.Close)
 	c, err := core.New(d.Settings, 1, core.NewClock(),
-		carrierFunc(func(f *core.Flow) (core.End, core.Answer) { return through(p, f) }), nil)
+		carrierFunc(func(f *core.Attempt) (core.End, core.Answer) { return through(p, f) }), nil)
 	require.NoError(t, err)
 	var list []policy.ServerInfo
 	for i, m := range members {
@@ -41,7 +41,7 @@
 	}
 }
 
-func carry(p *Pool, f *core.Flow) (core.End, core.Answer) { return p.Carry(f) }
+func carry(p *Pool, f *core.Attempt) (core.End, core.Answer) { return p.Carry(f) }
 
 func (p *Pool) idle(id policy.ServerID) []*conn {
 	p.mu.Lock()
@@ -89,7 +89,7 @@
 func TestDrainWhileDialling(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	var drained policy.ServerID
-	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 		if drained == 0 {
 			drained = f.Server
 			c, _ := p.idleOrDial(f, false)
@@ -116,7 +116,7 @@
 // A server is removed while a connection is dialled: the attempt ends, and the process does not crash.
 func TestRemovalWhileDialling(t *testing.T) {
 	a := fake.New(t, fake.OK("a"))
-	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 		c, _ := p.idleOrDial(f, false)
 		if c == nil {
 			return core.EndDrained, core.Answer{}
@@ -140,7 +140,7 @@
 		}
 		return false
 	})
-	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 		end, a := p.Carry(f)
 		assert.Equal(t, core.EndReset, end)
 		assert.Equal(t, 0, p.open)
@@ -154,7 +154,7 @@
 func TestStaleConnection(t *testing.T) {
 	m := fake.New(t, fake.OK("a"), fake.Reset, fake.Reset)
 	var ends []core.End
-	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	_, ask := newTestPool(t, 9, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 		end, a := p.Carry(f)
 		ends = append(ends, end)
 		return end, a
@@ -189,7 +189,7 @@
 func TestDescriptorBudget(t *testing.T) {
 	a, b := fake.New(t, fake.OK("a")), fake.New(t, fake.OK("b"))
 	n := 0
-	p, ask := newTestPool(t, 1, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+	p, ask := newTestPool(t, 1, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 		n++
 		f.Server = policy.ServerID(n%2 + 1)
 		return p.Carry(f)
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -31,7 +31,7 @@
 	p.Set(1, m.Addr, policy.Ready)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 	first, flows := time.Time{}, 0
-	p.onConnected = func(*core.Flow) {
+	p.onConnected = func(*core.Attempt) {
 		if flows++; flows == 1 {
 			first = time.Now()
 			return
@@ -65,7 +65,7 @@
 		p, ask := newTestPool(t, 9, carry, m)
 		require.Equal(t, core.Served, ask().Kind, name)
 		attempts := 0
-		p.onConnected = func(f *core.Flow) {
+		p.onConnected = func(f *core.Attempt) {
 			if attempts++; attempts == 1 {
 				event(<-conns)
 				// Over loopback the event has arrived by now, and a peek would show it.
@@ -107,7 +107,7 @@
 		c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
 		ctx, leave := context.WithCancel(context.Background())
 		answered, on := make(chan bool), make(chan bool)
-		p.onConnected = func(*core.Flow) {
+		p.onConnected = func(*core.Attempt) {
 			test.happens(p, c, leave)
 			if test.kind != core.Refused { // in which case the answer follows from this attempt's end
 				<-answered
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -13,7 +13,7 @@
 // Carry sends the request of a flow to its server, and returns the response or the reason why there is none. It
 // implements core.Carrier. A response whose body is longer than what was buffered keeps its connection until its
 // Remainder is closed.
-func (p *Pool) Carry(flow *core.Flow) (core.End, core.Answer) {
+func (p *Pool) Carry(flow *core.Attempt) (core.End, core.Answer) {
 	c, end := p.acquire(flow)
 	if c == nil {
 		return end, core.Answer{}
@@ -45,7 +45,7 @@
 // if the response has no Remainder. Servers of the daemon's protocol execute a request only once they have its last
 // byte. So until that was written the end says that the request was not executed, and from then on that it may have
 // been.
-func (c *conn) roundTrip(p *Pool, flow *core.Flow) (end core.End, answer core.Answer, reuse bool) {
+func (c *conn) roundTrip(p *Pool, flow *core.Attempt) (end core.End, answer core.Answer, reuse bool) {
 	msg := flow.Message.(*Message)
 	reused := c.used
 	c.used = true
@@ -81,7 +81,7 @@
 // streamRemainder writes the rest of a body as it arrives, and reports whether all of it was written. If not, the
 // server has not executed the request, whatever it has sent. The buffer has room for a chunk with its framing and
 // the last chunk, so that each goes out in one write.
-func (c *conn) streamRemainder(p *Pool, flow *core.Flow, msg *Message) (end core.End, complete bool) {
+func (c *conn) streamRemainder(p *Pool, flow *core.Attempt, msg *Message) (end core.End, complete bool) {
 	const bufferSize = maxChunkSizeLine + StreamBufferSize + len("\r\n") + len(lastChunk)
 	if !p.options.ResponseMemory.Acquire(int64(bufferSize), time.Now().Add(StallTimeout)) {
 		return core.EndNoMemory, false
--- a/internal/pool/roundtrip_test.go
+++ b/internal/pool/roundtrip_test.go
@@ -545,7 +545,7 @@
 			c.reader = bufio.NewReader(c)
 			c.reader.Peek(1) // the input is in the buffer already
 			rest := &chunkSource{chunks: []string{"abcde", "fg"}, err: io.EOF}
-			end, ok := c.streamRemainder(p, &core.Flow{}, &Message{Remainder: rest, ContentLength: -1})
+			end, ok := c.streamRemainder(p, &core.Attempt{}, &Message{Remainder: rest, ContentLength: -1})
 			if assert.Equal(t, writable == len(encoded), ok, "%q, %d", input, writable) && !ok {
 				assert.Equal(t, core.EndWriteFailed, end, "%q, %d", input, writable)
 			}
@@ -652,7 +652,7 @@
 	for code, units := range map[int]float64{200: 2.5, 500: 0} {
 		m := fake.New(t, fake.Says(code, "X-Load: latency_ms=38.5\r\nX-True-Cost: 2.5\r\n", "x"))
 		var got core.Answer
-		_, ask := newTestPool(t, 2, func(p *Pool, f *core.Flow) (core.End, core.Answer) {
+		_, ask := newTestPool(t, 2, func(p *Pool, f *core.Attempt) (core.End, core.Answer) {
 			p.options.LoadFields = map[string]int{"latency_ms": 0}
 			end, a := p.Carry(f)
 			got = a
