--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -1,17 +1,49 @@
 package store
 
+// This file has the maintenance of segments: when they are sealed and compacted, and compaction itself.
+
 import (
-	"encoding/binary"
+	"cmp"
 	"errors"
 	"io"
 	"slices"
 )
 
-// worn gives the closed segments of which less than half counts still, the oldest first, and none unless they are worth it.
+// maintain rotates the active segment, compacts and writes a checkpoint, each when it is due. An error ends all
+// writing.
+func (s *Store) maintain() {
+	s.ioMu.Lock()
+	defer s.ioMu.Unlock()
+	s.mu.RLock()
+	large := s.segmentSizes[s.manifest.active()] >= s.opt.SegmentBytes
+	checkpointDue := s.bytesSinceCheckpoint >= s.opt.CheckpointBytes
+	failed := s.writeErr != nil
+	s.mu.RUnlock()
+	if failed {
+		return
+	}
+	var err error
+	if large {
+		err = s.rotate()
+	}
+	if candidates := s.compactionCandidates(); err == nil && large && len(candidates) > 0 {
+		err = s.compact(candidates) // which writes a checkpoint, too
+	} else if err == nil && checkpointDue {
+		err = s.checkpoint()
+	}
+	if err != nil {
+		s.mu.Lock()
+		s.fail(err)
+		s.mu.Unlock()
+	}
+}
+
+// compactionCandidates returns the numbers of the sealed segments of which less than half is live, in the order of
+// replay. Compacting these alone bounds the space amplification at two, and rewrites a byte for each that it frees.
 func (s *Store) compactionCandidates() (list []uint64) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, g := range s.manifest.segments[:len(s.manifest.segments)-1] {
+	for _, g := range s.manifest.segments[:len(s.manifest.segments)-1] { // all but the active one
 		if 2*s.liveBytes[g.number] < s.segmentSizes[g.number] {
 			list = append(list, g.number)
 		}
@@ -19,7 +51,7 @@
 	return list
 }
 
-// Compact copies what counts out of all closed segments and frees the rest.
+// Compact compacts all sealed segments, the active one included, which it seals first.
 func (s *Store) Compact() error {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
@@ -38,61 +70,39 @@
 	return s.compact(all)
 }
 
-// compact copies what counts of some closed segments into a new one, and makes it take their place in one step, with a
-// checkpoint that knows the new places. The io mutex is held.
+// compactionWriteSize is how many bytes a compaction buffers before it writes them.
+const compactionWriteSize = 1 << 20
+
+// relocation is a live record that compaction moves.
+type relocation struct {
+	entry *indexEntry
+	to    location
+}
+
+// compact copies the live records of some sealed segments into a new segment, which takes their place in the manifest
+// together with a checkpoint that has the new locations. A crash before the manifest is installed leaves the old
+// segments in use. ioMu is held.
 func (s *Store) compact(from []uint64) error {
 	if err := s.flushLocked(); err != nil {
 		return err
 	}
-	type moved struct {
-		e  *indexEntry
-		to location
-	}
 	s.mu.RLock()
-	var list []moved
-	oldest := !slices.ContainsFunc(s.manifest.segments, func(g segmentInfo) bool { return g.number < slices.Max(from) && !slices.Contains(from, g.number) })
-	for _, e := range s.index {
-		if e = e.durableVersion(s.durableSeq); e != nil && slices.Contains(from, e.location.segment) && !(e.tombstone && oldest) { // a deletion is kept while an older put may be
-			list = append(list, moved{e: e})
-		}
-	}
-	first := s.lastSeq + 1
+	oldest := !slices.ContainsFunc(s.manifest.segments, func(g segmentInfo) bool {
+		return g.number < slices.Max(from) && !slices.Contains(from, g.number)
+	})
+	live := s.liveRecords(from, oldest)
+	firstSeq := s.lastSeq + 1
 	s.mu.RUnlock()
-	slices.SortFunc(list, func(a, b moved) int { return int(int64(a.e.seq) - int64(b.e.seq)) })
+	if len(live) > 0 {
+		firstSeq = min(firstSeq, live[0].entry.seq)
+	}
 	number := s.nextFileNumber
 	s.nextFileNumber++
 	f, err := s.fs.Open(segmentName(number), true)
 	if err != nil {
 		return err
 	}
-	out, at, size := encodeSegmentHeader(s.manifest.id, s.manifest.epoch, number), int64(0), int64(segmentHeaderSize)
-	for i := range list {
-		m := &list[i]
-		b := make([]byte, m.e.location.size)
-		if _, err := s.segmentFiles[m.e.location.segment].ReadAt(b, m.e.location.offset); err != nil && !errors.Is(err, io.EOF) {
-			f.Close()
-			return err
-		}
-		r, _, ok := decodeRecord(b)
-		if !ok {
-			f.Close()
-			return &CorruptionError{segmentName(m.e.location.segment), m.e.location.offset, "a record can't be read"}
-		}
-		r.batchEnd = true // its batch counted long ago
-		first = min(first, r.seq)
-		m.to = location{number, size, uint32(r.size())}
-		out, size = r.appendTo(out), size+int64(r.size())
-		if len(out) >= compactionWriteSize || i == len(list)-1 {
-			if _, err := f.WriteAt(out, at); err != nil {
-				f.Close()
-				return err
-			}
-			at, out = size, out[:0]
-		}
-	}
-	if len(list) == 0 {
-		_, err = f.WriteAt(out, 0)
-	}
+	size, err := s.copyRecords(f, number, live)
 	if err == nil {
 		err = f.Sync()
 	}
@@ -100,10 +110,11 @@
 		f.Close()
 		return err
 	}
+
 	s.mu.Lock()
-	for _, m := range list {
-		m.e.location = m.to
-		s.liveBytes[number] += int64(m.to.size)
+	for _, r := range live {
+		r.entry.location = r.to
+		s.liveBytes[number] += int64(r.to.size)
 	}
 	if oldest {
 		for k, e := range s.index {
@@ -114,89 +125,80 @@
 	}
 	s.segmentFiles[number], s.segmentSizes[number] = f, size
 	m := s.manifest
-	m.segments = slices.DeleteFunc(slices.Clone(m.segments), func(g segmentInfo) bool { return slices.Contains(from, g.number) })
-	m.segments = append([]segmentInfo{{number, size, first}}, m.segments...)
+	m.segments = slices.DeleteFunc(slices.Clone(m.segments), func(g segmentInfo) bool {
+		return slices.Contains(from, g.number)
+	})
+	m.segments = slices.Insert(m.segments, 0, segmentInfo{number, size, firstSeq})
 	s.counters.Compactions++
 	s.counters.BytesWritten += uint64(size)
 	s.mu.Unlock()
 	if err := s.writeCheckpoint(m); err != nil {
 		return err
 	}
-	s.mu.Lock()
-	var old []File
-	for _, n := range from {
-		old = append(old, s.segmentFiles[n])
-		delete(s.segmentFiles, n)
-		delete(s.segmentSizes, n)
-		delete(s.liveBytes, n)
-	}
-	s.recountBytes()
-	s.mu.Unlock()
-	for i, n := range from {
-		old[i].Close()
-		s.fs.Remove(segmentName(n))
-	}
+	s.removeSegments(from)
 	return nil
 }
 
-// checkpoint writes the index down. The io mutex is held.
-func (s *Store) checkpoint() error {
-	if err := s.flushLocked(); err != nil {
-		return err
+// liveRecords returns the newest durable record of each key that is in one of the segments, by sequence number.
+// Tombstones are left out if no older segment remains that may hold a value of their key. mu is held for reading.
+func (s *Store) liveRecords(from []uint64, oldest bool) []relocation {
+	var list []relocation
+	for _, e := range s.index {
+		e = e.durableVersion(s.durableSeq)
+		if e != nil && slices.Contains(from, e.location.segment) && !(e.tombstone && oldest) {
+			list = append(list, relocation{entry: e})
+		}
 	}
-	s.mu.RLock()
-	m := s.manifest
-	s.mu.RUnlock()
-	return s.writeCheckpoint(m)
+	slices.SortFunc(list, func(a, b relocation) int { return cmp.Compare(a.entry.seq, b.entry.seq) })
+	return list
 }
 
-// checkpointOf writes the index down and puts a manifest in place that names it.
-func (s *Store) writeCheckpoint(m manifest) error {
-	s.mu.RLock()
-	last := s.manifest.segments[len(s.manifest.segments)-1].number
-	upTo, seq := s.pendingOffset, s.durableSeq
-	body, n := []byte(nil), 0
-	for k, e := range s.index {
-		if e = e.durableVersion(seq); e == nil {
-			continue // it is read again from the segment
+// copyRecords writes a segment with the records, sets their new locations and returns the size of the segment. ioMu is
+// held.
+func (s *Store) copyRecords(f File, number uint64, list []relocation) (size int64, err error) {
+	buffer := encodeSegmentHeader(s.manifest.id, s.manifest.epoch, number)
+	size = int64(len(buffer))
+	written := int64(0)
+	for i := range list {
+		from := list[i].entry.location
+		b := make([]byte, from.size)
+		if _, err := s.segmentFiles[from.segment].ReadAt(b, from.offset); err != nil && !errors.Is(err, io.EOF) {
+			return 0, err
 		}
-		kind := byte(kindPut)
-		if e.tombstone {
-			kind = kindDelete
+		r, _, ok := decodeRecord(b)
+		if !ok {
+			return 0, &CorruptionError{segmentName(from.segment), from.offset, "a record can't be read"}
+		}
+		r.batchEnd = true // the batch that it was part of is complete, else it would not be in the index
+		list[i].to = location{number, size, uint32(r.size())}
+		buffer, size = r.appendTo(buffer), size+int64(r.size())
+		if len(buffer) >= compactionWriteSize {
+			if _, err := f.WriteAt(buffer, written); err != nil {
+				return 0, err
+			}
+			written, buffer = size, buffer[:0]
 		}
-		body = binary.BigEndian.AppendUint16(append(body, kind), uint16(len(k)))
-		body = append(body, k...)
-		body = binary.BigEndian.AppendUint64(body, e.location.segment)
-		body = binary.BigEndian.AppendUint64(body, uint64(e.location.offset))
-		body = binary.BigEndian.AppendUint32(body, e.location.size)
-		body = binary.BigEndian.AppendUint64(body, e.seq)
-		n++
-	}
-	s.mu.RUnlock()
-	number := s.nextFileNumber
-	s.nextFileNumber++
-	b := binary.BigEndian.AppendUint64(header("SPLC", m.id), last)
-	b = binary.BigEndian.AppendUint64(b, uint64(upTo))
-	b = binary.BigEndian.AppendUint64(b, seq)
-	b = binary.BigEndian.AppendUint64(b, uint64(n))
-	b = binary.BigEndian.AppendUint32(b, crc(b))
-	b = append(b, body...)
-	b = binary.BigEndian.AppendUint32(b, crc(body))
-	if err := s.writeFile(checkpointName(number), b); err != nil {
-		return err
 	}
-	old := m.checkpoint
-	m.checkpoint = number
-	if err := s.installManifest(m); err != nil {
-		return err
+	if len(buffer) > 0 {
+		_, err = f.WriteAt(buffer, written)
 	}
+	return size, err
+}
+
+// removeSegments closes and removes segments that the manifest no longer names. ioMu is held.
+func (s *Store) removeSegments(numbers []uint64) {
 	s.mu.Lock()
-	s.manifest, s.bytesSinceCheckpoint = m, 0
-	s.counters.Checkpoints++
-	s.counters.BytesWritten += uint64(len(b))
+	var files []File
+	for _, n := range numbers {
+		files = append(files, s.segmentFiles[n])
+		delete(s.segmentFiles, n)
+		delete(s.segmentSizes, n)
+		delete(s.liveBytes, n)
+	}
+	s.recountBytes()
 	s.mu.Unlock()
-	if old != 0 {
-		s.fs.Remove(checkpointName(old))
+	for i, n := range numbers {
+		files[i].Close()
+		s.fs.Remove(segmentName(n)) // a file that stays is removed by the next Open
 	}
-	return nil
 }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -1,54 +1,69 @@
 package store
 
-// The form of a store's folder. All numbers are big endian; CRC is CRC-32C (Castagnoli).
+// The files of a store. All numbers are big endian; CRC is CRC-32C (Castagnoli).
 //
-//	LOCK         held (flock) by the one process that has the folder open
-//	MANIFEST     which files make the store; put in place by a rename, so it is always whole
-//	NNNNNNNN.seg segments: the log, by number; the last one is written to
-//	NNNNNNNN.ckp a checkpoint: the index as of a moment, so that only what came later is read again
-//	*.tmp        what a crash has left of a file that was being made; removed
+//	LOCK         locked (flock) by the one process that has the directory open
+//	MANIFEST     names the files of the store; replaced by rename, hence atomically
+//	NNNNNNNN.seg segments of the log, by number; the last one in the manifest is the active one
+//	NNNNNNNN.ckp checkpoint: the index at a position of the log, where replay starts
+//	*.tmp        unfinished files that a crash has left; removed by Open
 //
-// MANIFEST: 4 bytes "SPLM", version (2), 2 of 0, store id (16), epoch (8), the checkpoint's number (8; 0: none), segments (4), then
-// for each its number (8), the bytes of it that count (8; 0: it is the one written to) and its first sequence number (8); CRC (4) of all before.
+// MANIFEST: 4 bytes "SPLM", version (2), 2 bytes 0, store ID (16), epoch (8), number of the checkpoint (8; 0: none),
+// number of segments (4), then for each segment: number (8), size in bytes (8; 0: it is the active one), first sequence
+// number (8); CRC (4) of all that precedes it.
 //
-// A segment: 4 bytes "SPLS", version (2), 2 of 0, store id (16), epoch (8), number (8), CRC (4) of all before. Then records:
+// Segment: 4 bytes "SPLS", version (2), 2 bytes 0, store ID (16), epoch (8), number (8), CRC (4) of all that precedes
+// it. Then records:
 //
-//	length (4) of all that follows but the CRC, CRC (4) over length and what follows,
-//	type (1): 1 put, 2 delete; flags (1): 1 the last of its batch; sequence number (8); the newest number that was durable
-//	when it was written (8); length of the key (2); key; value
+//	length (4) of all that follows the CRC, CRC (4) of the length and of all that follows the CRC,
+//	kind (1): 1 put, 2 delete; flags (1): 1 the last record of its batch; sequence number (8);
+//	highest sequence number that was durable when the record was written (8); length of the key (2); key; value
 //
-// A batch is records in a row, the last of them flagged, and counts whole or not at all. Sequence numbers rise by one from
-// record to record over all segments that were not compacted; a compaction keeps them.
+// A batch is a run of records, the last of which has the flag. It is applied as a whole or not at all. Sequence numbers
+// rise by one from record to record, over all segments that compaction has not written; compaction keeps them.
 //
-// A checkpoint: 4 bytes "SPLC", version (2), 2 of 0, store id (16), the segment (8) and place in it (8) that it goes up to, the newest sequence
-// number (8), entries (8), CRC (4) of all before; then for each entry type (1), length of the key (2), key, segment (8), place (8),
-// length of the record (4), sequence number (8); then CRC (4) of all entries.
+// Checkpoint: 4 bytes "SPLC", version (2), 2 bytes 0, store ID (16), segment (8) and offset in it (8) up to which it
+// holds the index, highest sequence number (8), number of entries (8), CRC (4) of all that precedes it; then for each
+// entry: kind (1), length of the key (2), key, segment (8), offset (8), length of the record (4), sequence number (8);
+// then CRC (4) of all entries.
 //
-// A reader of another version refuses: it can't tell what it would lose. A record that can't be read at the end of the segment
-// that was written to is what a crash left of records that nobody was told of, and is cut off; unless a whole record that
-// comes later says that it was durable. Then, and anywhere else, something was lost that had been acknowledged: the store
-// does not open, and says where.
+// A reader rejects every version but its own, because it can't tell what it would lose. See the package documentation
+// for how torn writes are told from corruption.
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
+	"strings"
 )
 
 const (
 	formatVersion = 1
-	manifestName  = "MANIFEST"
-	lockName      = "LOCK"
 
+	manifestName     = "MANIFEST"
+	lockName         = "LOCK"
+	segmentSuffix    = ".seg"
+	checkpointSuffix = ".ckp"
+	tempSuffix       = ".tmp"
+
+	manifestMagic   = "SPLM"
+	segmentMagic    = "SPLS"
+	checkpointMagic = "SPLC"
+
+	// Sizes in bytes of what precedes the variable part of each structure.
+	commonHeaderSize     = 24 // magic, version, store ID: of segments and checkpoints
 	segmentHeaderSize    = 44
 	checkpointHeaderSize = 60
 	recordPrefixSize     = 8  // length and CRC
-	recordHeaderSize     = 20 // type, flags, sequence number, durable number, length of the key
-	manifestHeaderSize   = 44 // and its CRC
+	recordHeaderSize     = 20 // kind, flags, sequence number, durable sequence number, length of the key
+	manifestHeaderSize   = 44 // without the CRC at the end
+	manifestEntrySize    = 24 // of one segment
+	crcSize              = 4
 
-	// MostKey bounds the key of a record, in bytes.
+	// MaxKeySize bounds the key of a record, in bytes.
 	MaxKeySize = 1 << 10
-	// MostValue bounds the value of a record, in bytes.
+	// MaxValueSize bounds the value of a record, in bytes.
 	MaxValueSize = 1 << 20
 
 	kindPut, kindDelete = 1, 2
@@ -57,6 +72,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// crc returns the CRC-32C of the concatenated parts.
 func crc(parts ...[]byte) (sum uint32) {
 	for _, p := range parts {
 		sum = crc32.Update(sum, castagnoli, p)
@@ -64,22 +80,23 @@
 	return sum
 }
 
-// ID names a store: one folder and its copies.
+// ID identifies a store: a directory and its copies.
 type ID [16]byte
 
-// record is one change.
+// record is one change of a key.
 type record struct {
-	kind       byte
-	batchEnd   bool // of its batch
-	seq        uint64
-	durableSeq uint64
+	kind       byte   // kindPut or kindDelete
+	batchEnd   bool   // the last record of its batch
+	seq        uint64 // sequence number
+	durableSeq uint64 // highest sequence number that was durable when the record was written
 	key        []byte
 	value      []byte
 }
 
+// size returns the size of the encoded record, in bytes.
 func (r record) size() int { return recordPrefixSize + recordHeaderSize + len(r.key) + len(r.value) }
 
-// append adds the record's bytes.
+// appendTo appends the encoded record.
 func (r record) appendTo(to []byte) []byte {
 	at := len(to)
 	to = binary.BigEndian.AppendUint32(to, uint32(r.size()-recordPrefixSize))
@@ -95,7 +112,8 @@
 	return to
 }
 
-// readRecord reads the record at the beginning of some bytes. What it gives back shares their memory.
+// decodeRecord decodes the record that b starts with and returns its encoded size; ok is false if it is incomplete or
+// invalid. Key and value share the memory of b.
 func decodeRecord(b []byte) (r record, size int, ok bool) {
 	if len(b) < recordPrefixSize+recordHeaderSize {
 		return r, 0, false
@@ -110,24 +128,25 @@
 	}
 	r.kind, r.batchEnd = b[8], b[9] == flagBatchEnd
 	r.seq, r.durableSeq = binary.BigEndian.Uint64(b[10:]), binary.BigEndian.Uint64(b[18:])
-	key := int(binary.BigEndian.Uint16(b[26:]))
-	if key > size-recordPrefixSize-recordHeaderSize || key > MaxKeySize || b[9] > flagBatchEnd || r.kind != kindPut && r.kind != kindDelete || r.durableSeq >= r.seq {
+	keySize := int(binary.BigEndian.Uint16(b[26:]))
+	if keySize > size-recordPrefixSize-recordHeaderSize || keySize > MaxKeySize || b[9] > flagBatchEnd ||
+		r.kind != kindPut && r.kind != kindDelete || r.durableSeq >= r.seq {
 		return r, 0, false
 	}
-	r.key, r.value = b[28:28+key], b[28+key:size]
+	r.key, r.value = b[28:28+keySize], b[28+keySize:size]
 	return r, size, true
 }
 
-// head gives the beginning that segments and checkpoints have in common.
+// header encodes the start that segments and checkpoints have in common.
 func header(magic string, id ID) []byte {
 	b := append([]byte(magic), formatVersion>>8, formatVersion&255, 0, 0)
 	return append(b, id[:]...)
 }
 
-// checkHead tells whether some bytes begin as a file of this store does.
+// checkHeader checks that b starts with the header of a file of this store.
 func checkHeader(b []byte, magic string, id ID) error {
 	switch {
-	case len(b) < 24 || string(b[:4]) != magic:
+	case len(b) < commonHeaderSize || string(b[:4]) != magic:
 		return fmt.Errorf("not a file of a store: no %q at its beginning", magic)
 	case binary.BigEndian.Uint16(b[4:]) != formatVersion:
 		return fmt.Errorf("form %d, of which this program knows only %d", binary.BigEndian.Uint16(b[4:]), formatVersion)
@@ -137,17 +156,20 @@
 	return nil
 }
 
+// encodeSegmentHeader encodes the header of a segment.
 func encodeSegmentHeader(id ID, epoch, number uint64) []byte {
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(header("SPLS", id), epoch), number)
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(header(segmentMagic, id), epoch), number)
 	return binary.BigEndian.AppendUint32(b, crc(b))
 }
 
+// checkSegmentHeader checks that b starts with the header of this segment of this store.
 func checkSegmentHeader(b []byte, id ID, number uint64) error {
-	if err := checkHeader(b, "SPLS", id); err != nil {
+	if err := checkHeader(b, segmentMagic, id); err != nil {
 		return err
 	}
-	if len(b) < segmentHeaderSize || crc(b[:segmentHeaderSize-4]) != binary.BigEndian.Uint32(b[segmentHeaderSize-4:]) {
-		return fmt.Errorf("its head is damaged")
+	if len(b) < segmentHeaderSize ||
+		crc(b[:segmentHeaderSize-crcSize]) != binary.BigEndian.Uint32(b[segmentHeaderSize-crcSize:]) {
+		return errors.New("its head is damaged")
 	}
 	if n := binary.BigEndian.Uint64(b[32:]); n != number {
 		return fmt.Errorf("it is segment %d by its head", n)
@@ -155,54 +177,20 @@
 	return nil
 }
 
-// manifest says which files make the store.
-type manifest struct {
-	id         ID
-	epoch      uint64
-	checkpoint uint64 // 0: none
-	segments   []segmentInfo
-}
+// segmentName returns the file name of a segment.
+func segmentName(number uint64) string { return fmt.Sprintf("%08d%s", number, segmentSuffix) }
 
-type segmentInfo struct {
-	number     uint64
-	sealedSize int64 // bytes that count; 0: it is written to
-	firstSeq   uint64
-}
+// checkpointName returns the file name of a checkpoint.
+func checkpointName(number uint64) string { return fmt.Sprintf("%08d%s", number, checkpointSuffix) }
 
-func (m manifest) encode() []byte {
-	b := header("SPLM", m.id)
-	b = binary.BigEndian.AppendUint64(b, m.epoch)
-	b = binary.BigEndian.AppendUint64(b, m.checkpoint)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(m.segments)))
-	for _, s := range m.segments {
-		b = binary.BigEndian.AppendUint64(b, s.number)
-		b = binary.BigEndian.AppendUint64(b, uint64(s.sealedSize))
-		b = binary.BigEndian.AppendUint64(b, s.firstSeq)
-	}
-	return binary.BigEndian.AppendUint32(b, crc(b))
-}
+// isSegment reports whether a file name is that of a segment.
+func isSegment(name string) bool { return strings.HasSuffix(name, segmentSuffix) }
 
-func decodeManifest(b []byte) (m manifest, err error) {
-	if len(b) < manifestHeaderSize+4 || string(b[:4]) != "SPLM" {
-		return m, fmt.Errorf("not the list of a store's files")
-	}
-	if v := binary.BigEndian.Uint16(b[4:]); v != formatVersion {
-		return m, fmt.Errorf("form %d, of which this program knows only %d", v, formatVersion)
-	}
-	if crc(b[:len(b)-4]) != binary.BigEndian.Uint32(b[len(b)-4:]) {
-		return m, fmt.Errorf("damaged: its checksum doesn't fit")
-	}
-	m.id, m.epoch, m.checkpoint = ID(b[8:24]), binary.BigEndian.Uint64(b[24:]), binary.BigEndian.Uint64(b[32:])
-	n := binary.BigEndian.Uint32(b[40:])
-	if uint64(len(b)) != manifestHeaderSize+4+24*uint64(n) {
-		return m, fmt.Errorf("damaged: %d bytes for %d segments", len(b), n)
-	}
-	for i := range int(n) {
-		at := b[manifestHeaderSize+24*i:]
-		m.segments = append(m.segments, segmentInfo{binary.BigEndian.Uint64(at), int64(binary.BigEndian.Uint64(at[8:])), binary.BigEndian.Uint64(at[16:])})
-	}
-	return m, nil
-}
+// isCheckpoint reports whether a file name is that of a checkpoint.
+func isCheckpoint(name string) bool { return strings.HasSuffix(name, checkpointSuffix) }
 
-func segmentName(number uint64) string    { return fmt.Sprintf("%08d.seg", number) }
-func checkpointName(number uint64) string { return fmt.Sprintf("%08d.ckp", number) }
+// fileNumber returns the number that the name of a segment or checkpoint starts with.
+func fileNumber(name string) (number uint64, ok bool) {
+	_, err := fmt.Sscanf(name, "%d.", &number)
+	return number, err == nil
+}
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -1,24 +1,29 @@
 package store
 
+// This file has the interface to the disk, and its implementation for a directory of the operating system.
+
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"syscall"
 )
 
-// FS is a folder. What a store does to its disk goes through it alone, so that tests can have a disk that fails.
+// FS is a directory. A store accesses its disk only through it, so that tests can inject faults.
 type FS interface {
-	// Open opens a file for reading and writing; create makes one that must not be there.
+	// Open opens a file for reading and writing. With create, it creates the file, which must not exist.
 	Open(name string, create bool) (File, error)
-	// Rename puts a file in another's place, which lasts once the folder is synced.
+	// Rename renames a file, and replaces one that has the new name. It is durable once the directory is synced.
 	Rename(from, to string) error
+	// Remove removes a file. It is durable once the directory is synced.
 	Remove(name string) error
+	// List returns the names of all files, in any order.
 	List() ([]string, error)
-	// Sync makes what was created, renamed and removed last.
+	// Sync makes creations, renames and removals durable.
 	Sync() error
-	// Lock keeps other processes out until Unlock.
+	// Lock locks the directory against other processes until unlock is called. It returns ErrLocked if it is locked.
 	Lock(name string) (unlock func(), err error)
 }
 
@@ -28,14 +33,15 @@
 	WriteAt(p []byte, at int64) (int, error)
 	Truncate(size int64) error
 	Size() (int64, error)
+	// Sync makes the content durable (fsync).
 	Sync() error
 	Close() error
 }
 
-// ErrLocked says that another process has the folder open.
+// ErrLocked reports that another process has the directory open.
 var ErrLocked = errors.New("another process has this store open")
 
-// Folder is a folder of the operating system's, made where it isn't there.
+// OpenDir returns a directory of the operating system, and creates it if it doesn't exist.
 func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -43,6 +49,7 @@
 	return dirFS(path), nil
 }
 
+// dirFS is a directory of the operating system, by its path.
 type dirFS string
 
 func (f dirFS) Open(name string, create bool) (File, error) {
@@ -95,6 +102,7 @@
 	return func() { file.Close() }, nil // the lock goes with the file, and with the process
 }
 
+// osFile adds Size to an os.File.
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
@@ -104,3 +112,26 @@
 	}
 	return info.Size(), nil
 }
+
+// readAll returns the content of a file.
+func readAll(f File) ([]byte, error) {
+	size, err := f.Size()
+	if err != nil {
+		return nil, err
+	}
+	b := make([]byte, size)
+	if n, err := f.ReadAt(b, 0); err != nil && (!errors.Is(err, io.EOF) || n != len(b)) {
+		return nil, err
+	}
+	return b, nil
+}
+
+// readFile returns the content of a file, by its name.
+func readFile(fs FS, name string) ([]byte, error) {
+	f, err := fs.Open(name, false)
+	if err != nil {
+		return nil, err
+	}
+	defer f.Close()
+	return readAll(f)
+}
--- a/internal/store/manifest.go
+++ b/internal/store/manifest.go
@@ -1,22 +1,89 @@
 package store
 
+// This file has the manifest, which names the files of a store, and its atomic replacement.
+
 import (
 	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"fmt"
 	"slices"
 )
 
+// manifest names the files that make up a store. It is immutable: a change is made on a copy.
+type manifest struct {
+	id         ID
+	epoch      uint64        // how often the store has been opened
+	checkpoint uint64        // number of the checkpoint; 0: none
+	segments   []segmentInfo // in the order of replay; the last one is the active segment
+}
+
+// segmentInfo is a segment's entry in the manifest.
+type segmentInfo struct {
+	number     uint64
+	sealedSize int64  // in bytes; 0: the segment is not sealed, and all intact records count
+	firstSeq   uint64 // lower bound of its sequence numbers
+}
+
+// active returns the number of the segment that is appended to.
+func (m manifest) active() uint64 { return m.segments[len(m.segments)-1].number }
+
+// position returns a segment's position in the order of replay; -1: the manifest doesn't name it.
+func (m manifest) position(number uint64) int {
+	return slices.IndexFunc(m.segments, func(g segmentInfo) bool { return g.number == number })
+}
+
+// encode encodes the manifest as format.go describes.
+func (m manifest) encode() []byte {
+	b := header(manifestMagic, m.id)
+	b = binary.BigEndian.AppendUint64(b, m.epoch)
+	b = binary.BigEndian.AppendUint64(b, m.checkpoint)
+	b = binary.BigEndian.AppendUint32(b, uint32(len(m.segments)))
+	for _, s := range m.segments {
+		b = binary.BigEndian.AppendUint64(b, s.number)
+		b = binary.BigEndian.AppendUint64(b, uint64(s.sealedSize))
+		b = binary.BigEndian.AppendUint64(b, s.firstSeq)
+	}
+	return binary.BigEndian.AppendUint32(b, crc(b))
+}
+
+// decodeManifest decodes a manifest.
+func decodeManifest(b []byte) (m manifest, err error) {
+	if len(b) < manifestHeaderSize+crcSize || string(b[:4]) != manifestMagic {
+		return m, errors.New("not the list of a store's files")
+	}
+	if v := binary.BigEndian.Uint16(b[4:]); v != formatVersion {
+		return m, fmt.Errorf("form %d, of which this program knows only %d", v, formatVersion)
+	}
+	if crc(b[:len(b)-crcSize]) != binary.BigEndian.Uint32(b[len(b)-crcSize:]) {
+		return m, errors.New("damaged: its checksum doesn't fit")
+	}
+	m.id, m.epoch, m.checkpoint = ID(b[8:24]), binary.BigEndian.Uint64(b[24:]), binary.BigEndian.Uint64(b[32:])
+	n := binary.BigEndian.Uint32(b[40:])
+	if uint64(len(b)) != manifestHeaderSize+crcSize+manifestEntrySize*uint64(n) {
+		return m, fmt.Errorf("damaged: %d bytes for %d segments", len(b), n)
+	}
+	for i := range int(n) {
+		entry := b[manifestHeaderSize+manifestEntrySize*i:]
+		m.segments = append(m.segments, segmentInfo{number: binary.BigEndian.Uint64(entry),
+			sealedSize: int64(binary.BigEndian.Uint64(entry[8:])), firstSeq: binary.BigEndian.Uint64(entry[16:])})
+	}
+	return m, nil
+}
+
+// newID draws a random ID.
 func newID() (id ID) {
 	rand.Read(id[:])
 	return id
 }
 
-// install puts a manifest in place. The io mutex is held.
+// installManifest makes a manifest the current one on disk, atomically. ioMu is held.
 func (s *Store) installManifest(m manifest) error {
-	name := manifestName + ".tmp"
+	name := manifestName + tempSuffix
 	if err := s.writeFile(name, m.encode()); err != nil {
 		return err
 	}
-	if err := s.fs.Sync(); err != nil { // the files that it names are there before it names them
+	if err := s.fs.Sync(); err != nil { // the files that it names are durable before it is
 		return err
 	}
 	if err := s.fs.Rename(name, manifestName); err != nil {
@@ -25,9 +92,9 @@
 	return s.fs.Sync()
 }
 
-// whole makes a file with some bytes, and waits for the disk.
+// writeFile creates a file with the given content and syncs it. The caller syncs the directory.
 func (s *Store) writeFile(name string, b []byte) error {
-	s.fs.Remove(name) // what a crash has left
+	s.fs.Remove(name) // a crash may have left one
 	f, err := s.fs.Open(name, true)
 	if err != nil {
 		return err
@@ -38,91 +105,3 @@
 	}
 	return f.Sync()
 }
-
-// begin opens a further segment for writing and puts it in the manifest, with what else changes there. The io mutex is held, and
-// nothing is pending.
-func (s *Store) startSegment(m manifest) error {
-	number := s.nextFileNumber
-	s.nextFileNumber++
-	f, err := s.fs.Open(segmentName(number), true)
-	if err != nil {
-		return err
-	}
-	if _, err = f.WriteAt(encodeSegmentHeader(m.id, m.epoch, number), 0); err == nil {
-		err = f.Sync()
-	}
-	if err != nil {
-		f.Close()
-		return err
-	}
-	m.segments = append(slices.Clone(m.segments), segmentInfo{number: number, firstSeq: s.lastSeq + 1})
-	if err := s.installManifest(m); err != nil {
-		f.Close()
-		return err
-	}
-	s.manifest, s.segmentFiles[number], s.segmentSizes[number], s.pendingOffset = m, f, segmentHeaderSize, segmentHeaderSize
-	s.recountBytes()
-	return nil
-}
-
-// sealed gives the manifest with all segments closed. The mutex is held, and nothing is pending.
-func (s *Store) sealedManifest() manifest {
-	m := s.manifest
-	m.segments = slices.Clone(m.segments)
-	for i, g := range m.segments {
-		m.segments[i].sealedSize = s.segmentSizes[g.number]
-	}
-	return m
-}
-
-// tidy closes a segment that is large enough, compacts and makes checkpoints, where it is time.
-func (s *Store) maintain() {
-	s.ioMu.Lock()
-	defer s.ioMu.Unlock()
-	s.mu.RLock()
-	last := s.manifest.segments[len(s.manifest.segments)-1].number
-	large, old, failed := s.segmentSizes[last] >= s.opt.SegmentBytes, s.bytesSinceCheckpoint >= s.opt.CheckpointBytes, s.writeErr
-	s.mu.RUnlock()
-	if failed != nil {
-		return
-	}
-	var err error
-	if large {
-		err = s.rotate()
-	}
-	if worn := s.compactionCandidates(); err == nil && large && len(worn) > 0 {
-		err = s.compact(worn)
-	} else if err == nil && old {
-		err = s.checkpoint()
-	}
-	if err != nil {
-		s.mu.Lock()
-		s.fail(err)
-		s.mu.Unlock()
-	}
-}
-
-// rotate closes the segment that is written to and begins another. The io mutex is held.
-func (s *Store) rotate() error {
-	if err := s.flushLocked(); err != nil {
-		return err
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.pending) > 0 { // written meanwhile: it belongs to the segment that its places name
-		last := s.manifest.segments[len(s.manifest.segments)-1].number
-		_, err := s.segmentFiles[last].WriteAt(s.pending, s.pendingOffset)
-		if err == nil {
-			err = s.segmentFiles[last].Sync()
-		}
-		if err != nil {
-			return s.fail(err)
-		}
-		s.markDurable(int64(len(s.pending)), s.lastSeq, s.pendingEntries)
-		s.group.finish(nil)
-		s.group = newCommitGroup()
-		s.pendingOffset += int64(len(s.pending))
-		s.pending, s.pendingEntries, s.segmentSizes[last] = nil, nil, s.pendingOffset
-	}
-	return s.startSegment(s.sealedManifest())
-}
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Get gives a key's value; ok is false where there is none.
+// Get returns a key's value; ok is false if the key does not exist.
 func (s *Store) Get(key []byte) (value []byte, ok bool, err error) {
-	for range 2 { // a compaction may take the segment away meanwhile, and has put the record elsewhere then
+	for range 2 { // a compaction may remove the segment meanwhile, and has moved the record then
 		s.mu.RLock()
 		e := s.index[string(key)]
 		if e == nil || e.tombstone {
@@ -30,6 +30,7 @@
 	return nil, false, err
 }
 
+// readValue reads a value from disk, and checks that the record is intact and the key's.
 func readValue(file File, where location, key []byte) ([]byte, error) {
 	b := make([]byte, where.size)
 	if _, err := file.ReadAt(b, where.offset); err != nil && !errors.Is(err, io.EOF) {
@@ -42,8 +43,9 @@
 	return r.value, nil
 }
 
-// Each shows all keys with their values, in the order of the keys, until show says no. What is written meanwhile may show or not.
-func (s *Store) Each(prefix []byte, show func(key, value []byte) bool) error {
+// Each calls visit with each key that has the prefix and its value, in the order of the keys, until visit returns
+// false. It is no snapshot: what is written meanwhile may or may not be visited.
+func (s *Store) Each(prefix []byte, visit func(key, value []byte) bool) error {
 	s.mu.RLock()
 	var keys []string
 	for k, e := range s.index {
@@ -58,7 +60,7 @@
 		if err != nil {
 			return err
 		}
-		if ok && !show([]byte(k), value) {
+		if ok && !visit([]byte(k), value) {
 			return nil
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,3 @@
-// Package store owns a small log-structured store on a folder: what outlasts a process. Its form on disk stands in format.go. A
-// write is acknowledged once it is as durable as it asked to be, and what was acknowledged as durable is there after any
-// crash; a disk that fails once is trusted no more. It must never give back what was not written, nor open a folder from
-// which something acknowledged is missing.
 package store
 
 import (
@@ -11,32 +7,37 @@
 	"time"
 )
 
-// Durability is what an acknowledgement means.
+// Durability is how durable a batch is once Write has acknowledged it.
 type Durability uint8
 
-// The kinds.
+// The levels of durability.
 const (
-	Buffered    Durability = iota // it is in memory, and on disk FlushEvery later at most: a crash may take the latest of these
-	GroupCommit                   // it is on disk, with all others that were written meanwhile, by one fsync for all
-	Immediate                     // it is on disk by an fsync of its own
+	// Buffered: in memory, and on disk after Options.FlushInterval at most. A crash loses the latest such batches.
+	Buffered Durability = iota
+	// GroupCommit: on disk, by one fsync for all batches that were written in the meantime.
+	GroupCommit
+	// Immediate: on disk, by an fsync that starts at once.
+	Immediate
 )
 
-// Options are a store's limits. Zero values are replaced by those of the comments.
+// Options are the limits of a store. A zero value is replaced by the default.
 type Options struct {
-	FlushInterval   time.Duration // 50 ms; how long buffered writes wait for a disk at most
-	SegmentBytes    int64         // 16 MiB; a segment that is larger is closed and the next begun
-	CheckpointBytes int64         // 64 MiB; of records, after which a checkpoint is made: what is read again after a crash
-	MaxBytes        int64         // 4 GiB; of all files: beyond it writes fail
-	MaxEntries      int           // 4,000,000; beyond it new keys fail: the index is in memory
+	// FlushInterval bounds how long a buffered batch waits for the disk. Default: 50 ms.
+	FlushInterval time.Duration
+	// SegmentBytes is the size at which the active segment is sealed and a new one started. Default: 16 MiB. Smaller
+	// segments are compacted earlier, and cost more files.
+	SegmentBytes int64
+	// CheckpointBytes is how much is written between two checkpoints. It bounds what is replayed after a crash.
+	// Default: 64 MiB.
+	CheckpointBytes int64
+	// MaxBytes limits the size of all segments. Write fails with ErrLimitExceeded beyond it. Default: 4 GiB.
+	MaxBytes int64
+	// MaxEntries limits the keys, tombstones included, as the index is in memory. Write fails with ErrLimitExceeded
+	// beyond it. Default: 4,000,000.
+	MaxEntries int
 }
 
-const (
-	maxInlineValue      = 64       // values up to so many bytes stay in memory
-	maxPendingBytes     = 4 << 20  // bytes written and not yet on disk; writers wait beyond it
-	compactionWriteSize = 1 << 20  // of a compaction, written at once
-	maxCorruptionScan   = 64 << 20 // most of a segment that is looked through for what comes after damage
-)
-
+// withDefaults replaces zero and negative values.
 func (o Options) withDefaults() Options {
 	or := func(v *int64, d int64) {
 		if *v <= 0 {
@@ -55,77 +56,92 @@
 	return o
 }
 
-// Errors of a store that works.
+// Errors of Write that don't concern the disk.
 var (
 	ErrClosed        = errors.New("store: closed")
 	ErrLimitExceeded = errors.New("store: over its limit")
 )
 
-// Damage is why a folder is not opened: something acknowledged is missing or can't be read.
+// CorruptionError reports that acknowledged data is missing or unreadable.
 type CorruptionError struct {
 	File   string
-	Offset int64 // byte
+	Offset int64 // in bytes
 	Reason string
 }
 
+// Error implements error.
 func (d *CorruptionError) Error() string {
 	return fmt.Sprintf("store: %s, byte %d: %s", d.File, d.Offset, d.Reason)
 }
 
-// Store is an open one. It is safe for concurrent use.
+// Store is an open store. It is safe for concurrent use, but for Close.
 type Store struct {
 	fs     FS
 	opt    Options
-	unlock func()
-
-	ioMu sync.Mutex // held while files are written or exchanged; comes before mu
-
-	mu                   sync.RWMutex
-	manifest             manifest
-	segmentFiles         map[uint64]File
-	segmentSizes         map[uint64]int64 // bytes that count, written ones included
-	liveBytes            map[uint64]int64 // of them in records that are the newest of their keys
-	index                map[string]*indexEntry
-	lastSeq              uint64 // newest given out
-	durableSeq           uint64 // newest on disk
-	flushingSeq          uint64 // newest that a flush has taken along
-	pending              []byte // to be written at the end of the last segment
-	pendingEntries       []*indexEntry
-	group                *commitGroup // that will write what is pending
-	pendingOffset        int64        // where pending begins in the last segment
-	nextFileNumber       uint64       // number of the next file
-	bytesSinceCheckpoint int64        // bytes since the last checkpoint
-	totalBytes           int64        // bytes of all segments, pending ones included
-	writeErr             error
+	unlock func() // releases the lock of the directory
+
+	// ioMu serializes all writing of files: flushes, rotation, compaction and checkpoints. It is locked before mu, and
+	// guards nextFileNumber.
+	ioMu           sync.Mutex
+	nextFileNumber uint64
+
+	// mu guards the fields below. It is held while memory is changed, and, but for rotate, not during disk access.
+	// The manifest and segmentFiles are changed only while ioMu is held too, so holding either lock suffices to read
+	// them.
+	mu           sync.RWMutex
+	manifest     manifest
+	segmentFiles map[uint64]File
+	segmentSizes map[uint64]int64 // bytes that are written or being written
+	liveBytes    map[uint64]int64 // bytes in records that are the newest of their key, pending ones included
+	index        map[string]*indexEntry
+
+	lastSeq     uint64 // of the newest record
+	flushingSeq uint64 // of the newest record that the latest flush has taken from pending
+	durableSeq  uint64 // of the newest record on disk; at most lastSeq
+
+	pending        []byte        // encoded records that follow pendingOffset in the active segment
+	pendingOffset  int64         // end of the active segment without them
+	pendingEntries []*indexEntry // index entries of the pending records
+	group          *commitGroup  // of the pending records
+
+	bytesSinceCheckpoint int64
+	totalBytes           int64 // of all segments, pending records included
+	writeErr             error // first error of the disk; nothing is written after it
 	closed               bool
-	flushDone            *sync.Cond // of mu's write half: durable or failed has changed
-	wake                 chan struct{}
-	flusherDone          chan struct{}
 	counters             Counters
+
+	flushDone   *sync.Cond    // on mu; durableSeq, writeErr or closed has changed
+	wake        chan struct{} // capacity 1; asks flushLoop for a flush; closed by Close
+	flusherDone chan struct{} // closed when flushLoop has returned
 }
 
-// Counters are what a store has done.
+// Counters count what a store has done since it was opened.
 type Counters struct {
 	Writes, Syncs, Compactions, Checkpoints uint64
-	BytesWritten, UserBytes                 uint64 // bytes to disk, and of keys and values
-	TruncatedBytes                          int64  // bytes that a crash had left of unacknowledged records, cut off at the opening
-	Entries                                 int
-	DiskBytes                               int64 // of all segments
-	RecoveryTime                            time.Duration
+
+	BytesWritten   uint64 // to files; divided by UserBytes it is the write amplification
+	UserBytes      uint64 // of keys and values that were passed to Write
+	TruncatedBytes int64  // of torn writes, removed by Open
+	Entries        int    // keys in the index, tombstones included
+	DiskBytes      int64  // size of all segments, pending records included
+	RecoveryTime   time.Duration
 }
 
-// Open opens a folder, and makes it a store where it is empty. It takes the folder's lock, raises the epoch, and gives back
-// what was acknowledged; a Damage error says what is missing.
+// Open opens the store in a directory, and creates it in an empty one. It locks the directory (ErrLocked), recovers the
+// index and increments the epoch. It returns a *CorruptionError if acknowledged data is missing; Verify tells more, and
+// Repair salvages the rest.
 func Open(fs FS, opt Options) (*Store, error) {
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{fs: fs, opt: opt.withDefaults(), unlock: unlock, segmentFiles: map[uint64]File{}, segmentSizes: map[uint64]int64{}, liveBytes: map[uint64]int64{},
-		index: map[string]*indexEntry{}, wake: make(chan struct{}, 1), flusherDone: make(chan struct{}), group: newCommitGroup()}
+	s := &Store{fs: fs, opt: opt.withDefaults(), unlock: unlock,
+		segmentFiles: map[uint64]File{}, segmentSizes: map[uint64]int64{}, liveBytes: map[uint64]int64{},
+		index: map[string]*indexEntry{}, group: newCommitGroup(),
+		wake: make(chan struct{}, 1), flusherDone: make(chan struct{})}
 	s.flushDone = sync.NewCond(&s.mu)
 	began := time.Now()
-	if err := s.recover(true); err != nil {
+	if err := s.recover(); err != nil {
 		for _, f := range s.segmentFiles {
 			f.Close()
 		}
@@ -137,13 +153,13 @@
 	return s, nil
 }
 
-// ID names the store, Epoch counts how often it has been opened.
+// ID returns the identity of the store, which all copies of its directory share.
 func (s *Store) ID() ID { return s.manifest.id }
 
-// Epoch counts the openings of this store; a copy of an older folder has an older one.
+// Epoch counts how often the store has been opened. An older copy of a directory has a smaller epoch.
 func (s *Store) Epoch() uint64 { return s.manifest.epoch }
 
-// Counters gives the counters.
+// Counters returns the counters.
 func (s *Store) Counters() Counters {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -152,7 +168,8 @@
 	return c
 }
 
-// Close writes what is buffered, makes a checkpoint and frees the folder.
+// Close flushes what is pending, seals the segments, writes a checkpoint and unlocks the directory. No call of Write may
+// be in progress. A second call does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -167,7 +184,7 @@
 	if err == nil {
 		s.ioMu.Lock()
 		s.mu.Lock()
-		s.manifest = s.sealedManifest() // whoever cuts a file off from now on is found out
+		s.manifest = s.sealedManifest() // with the sizes, a truncation of a closed store is detected
 		s.mu.Unlock()
 		err = s.checkpoint()
 		s.ioMu.Unlock()
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -1,11 +1,18 @@
 package store
 
+// This file has the write path: batches are appended to a buffer, and flushed to the active segment by group commit.
+
 import (
 	"fmt"
 	"time"
 )
 
-// Write applies a batch and gives back once it is as durable as asked.
+// maxPendingBytes is how much may wait for the disk before Write blocks.
+const maxPendingBytes = 4 << 20
+
+// Write applies a batch and returns once it is as durable as asked. It blocks while too much is pending. It returns
+// ErrClosed, ErrLimitExceeded, or the error of the disk that has ended all writing (see Err); after the latter it is
+// unknown whether the batch is on disk.
 func (s *Store) Write(b *Batch, d Durability) error {
 	if len(b.records) == 0 {
 		return nil
@@ -33,15 +40,16 @@
 		defer s.mu.Unlock()
 		return ErrLimitExceeded
 	}
-	last := s.manifest.segments[len(s.manifest.segments)-1].number
+	segment := s.manifest.active()
 	for i, r := range b.records {
 		s.lastSeq++
 		r.seq, r.durableSeq, r.batchEnd = s.lastSeq, s.durableSeq, i == len(b.records)-1
-		at := s.pendingOffset + int64(len(s.pending))
+		offset := s.pendingOffset + int64(len(s.pending))
 		s.pending = r.appendTo(s.pending)
-		e := &indexEntry{seq: r.seq, value: r.value, location: location{last, at, uint32(r.size())}, tombstone: r.kind == kindDelete}
+		e := &indexEntry{seq: r.seq, value: r.value, location: location{segment, offset, uint32(r.size())},
+			tombstone: r.kind == kindDelete}
 		if e.value == nil {
-			e.value = []byte{}
+			e.value = []byte{} // nil would mean that it has to be read from disk
 		}
 		s.indexPut(string(r.key), e)
 		s.pendingEntries = append(s.pendingEntries, e)
@@ -49,7 +57,7 @@
 		s.counters.UserBytes += uint64(len(r.key) + len(r.value))
 	}
 	s.counters.Writes++
-	mine := s.group
+	group := s.group
 	s.mu.Unlock()
 	switch d {
 	case Buffered:
@@ -58,26 +66,25 @@
 		return s.flush()
 	}
 	s.wakeFlusher()
-	<-mine.done
-	return mine.err
+	<-group.done
+	return group.err
 }
 
-// put makes an entry its key's newest. The mutex is held.
-func (s *Store) indexPut(key string, e *indexEntry) {
-	if old := s.index[key]; old != nil {
-		if old.seq > e.seq {
-			return
-		}
-		s.liveBytes[old.location.segment] -= int64(old.location.size)
-		if e.prev = old; old.seq > max(s.durableSeq, s.flushingSeq) { // neither is on disk or on its way: the older one never matters
-			e.prev = old.prev
-		}
-	}
-	s.liveBytes[e.location.segment] += int64(e.location.size)
-	s.index[key] = e
+// commitGroup is the set of batches that one flush writes. Their writers wait for it.
+type commitGroup struct {
+	done chan struct{} // closed when the flush has ended
+	err  error         // of the flush; written before done is closed
+}
+
+func newCommitGroup() *commitGroup { return &commitGroup{done: make(chan struct{})} }
+
+// finish records the result of the flush and wakes the writers. It is called once.
+func (r *commitGroup) finish(err error) {
+	r.err = err
+	close(r.done)
 }
 
-// count works out anew how many bytes all segments have. The mutex is held.
+// recountBytes recomputes totalBytes. mu is held.
 func (s *Store) recountBytes() {
 	s.totalBytes = int64(len(s.pending))
 	for _, size := range s.segmentSizes {
@@ -85,7 +92,7 @@
 	}
 }
 
-// nudge has the flusher work now.
+// wakeFlusher asks for a flush without waiting for it. It must not be called after Close.
 func (s *Store) wakeFlusher() {
 	select {
 	case s.wake <- struct{}{}:
@@ -93,7 +100,8 @@
 	}
 }
 
-// flusher writes what is buffered, at once for those who wait and now and then for the others.
+// flushLoop flushes when a writer waits for it, and every FlushInterval otherwise, and does the maintenance that
+// follows. It ends when wake is closed.
 func (s *Store) flushLoop() {
 	defer close(s.flusherDone)
 	tick := time.NewTicker(s.opt.FlushInterval)
@@ -112,49 +120,50 @@
 	}
 }
 
-// flush writes what is buffered and waits for the disk. Its error is the store's from then on.
+// flush writes what is pending to the active segment and syncs it.
 func (s *Store) flush() error {
 	s.ioMu.Lock()
 	defer s.ioMu.Unlock()
 	return s.flushLocked()
 }
 
+// flushLocked is flush with ioMu held. An error is final: the store accepts no more writes.
 func (s *Store) flushLocked() error {
 	s.mu.Lock()
 	if s.writeErr != nil || len(s.pending) == 0 {
 		defer s.mu.Unlock()
 		return s.writeErr
 	}
-	pending, waiting, at, seq, mine := s.pending, s.pendingEntries, s.pendingOffset, s.lastSeq, s.group
+	pending, entries, offset, seq, group := s.pending, s.pendingEntries, s.pendingOffset, s.lastSeq, s.group
 	s.group = newCommitGroup()
-	last := s.manifest.segments[len(s.manifest.segments)-1].number
-	file := s.segmentFiles[last]
-	s.pending, s.pendingEntries, s.pendingOffset, s.flushingSeq = nil, nil, at+int64(len(pending)), seq
-	s.segmentSizes[last] = s.pendingOffset
+	segment := s.manifest.active()
+	file := s.segmentFiles[segment]
+	s.pending, s.pendingEntries, s.pendingOffset, s.flushingSeq = nil, nil, offset+int64(len(pending)), seq
+	s.segmentSizes[segment] = s.pendingOffset
 	s.mu.Unlock()
-	_, err := file.WriteAt(pending, at)
+	_, err := file.WriteAt(pending, offset)
 	if err == nil {
 		err = file.Sync()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err != nil { // what of it is on the disk nobody knows, nor whether a later fsync would tell
+	if err != nil { // it is unknown what of it is on disk, and a later fsync would not tell
 		err = s.fail(err)
-		mine.finish(err)
+		group.finish(err)
 		return err
 	}
-	s.markDurable(int64(len(pending)), seq, waiting)
-	mine.finish(nil)
+	s.markDurable(int64(len(pending)), seq, entries)
+	group.finish(nil)
 	return nil
 }
 
-// flushed notes that all up to a number is on disk. The mutex is held.
-func (s *Store) markDurable(bytes int64, seq uint64, waiting []*indexEntry) {
+// markDurable records that everything up to a sequence number is on disk. mu is held.
+func (s *Store) markDurable(bytes int64, seq uint64, entries []*indexEntry) {
 	s.counters.Syncs++
 	s.counters.BytesWritten += uint64(bytes)
 	s.durableSeq = seq
 	s.bytesSinceCheckpoint += bytes
-	for _, e := range waiting {
+	for _, e := range entries {
 		if e.prev = nil; len(e.value) > maxInlineValue {
 			e.value = nil
 		}
@@ -162,7 +171,7 @@
 	s.flushDone.Broadcast()
 }
 
-// fail ends all writing. The mutex is held.
+// fail ends all writing and fails the pending commit group. mu is held.
 func (s *Store) fail(err error) error {
 	if s.writeErr == nil {
 		s.writeErr = fmt.Errorf("store: the disk failed, nothing more is acknowledged: %w", err)
@@ -173,7 +182,7 @@
 	return s.writeErr
 }
 
-// Err is why nothing more is acknowledged; nil: the store works.
+// Err returns the error that has ended all writing; nil: the store works.
 func (s *Store) Err() error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
