--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -23,7 +23,7 @@
 
 // Gateways number the members as they hear of them; the windows are the same all the same, and over the fleet each
 // member is in about as many as any other.
-func TestWindowsCoverTheMembersEvenly(t *testing.T) {
+func TestSubsetsCoverMembersEvenly(t *testing.T) {
 	list := instances(60)
 	in := map[string]int{}
 	for me := range 80 {
@@ -56,7 +56,7 @@
 
 // What the neighbours say counts for the window; outside it is the mean and more. A word holds for a second, a later
 // one replaces it, one that was overtaken and one that is odd change nothing.
-func TestWords(t *testing.T) {
+func TestReports(t *testing.T) {
 	a, b := New(10, 80, 100), New(11, 80, 100)
 	list := instances(60)
 	a.SetMembers(list)
@@ -110,7 +110,7 @@
 	assert.Zero(t, in, "an old word counts no more")
 }
 
-func FuzzTake(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	f.Add([]byte{Kind, formatVersion, 0, 1, 0, 3, 4}, 1)
 	f.Add([]byte{Kind, formatVersion, 0, 2, 1, 3, 4, 8, 9, 5, 6}, 1)
 	f.Fuzz(func(t *testing.T, m []byte, from int) {
@@ -127,7 +127,7 @@
 
 // world is a fleet in virtual time: real decision modules, members with two workers each and a line in front, and
 // neighbours that hear each other late or not at all.
-type world struct {
+type simulation struct {
 	now    Time
 	rng    *rand.Rand
 	nodes  []*host
@@ -140,7 +140,7 @@
 }
 
 type host struct {
-	w  *world
+	w  *simulation
 	me int
 	g  *policy.Gateway
 	b  *Tracker
@@ -148,7 +148,7 @@
 
 const tick = 5 * time.Millisecond
 
-func (w *world) at(d time.Duration, do func()) {
+func (w *simulation) at(d time.Duration, do func()) {
 	at := (w.now + d + tick) / tick * tick
 	w.wheel[at] = append(w.wheel[at], do)
 }
@@ -185,8 +185,8 @@
 func (h *host) Log(string)       {}
 
 // play runs eighty gateways and sixty members at seven tenths of what these can do.
-func play(t *testing.T, seed uint64, bad int, with bool) *world {
-	w := &world{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 7)), free: make([][2]Time, 61), wheel: map[Time][]func(){},
+func simulate(t *testing.T, seed uint64, bad int, with bool) *simulation {
+	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 7)), free: make([][2]Time, 61), wheel: map[Time][]func(){},
 		pairs: map[[2]int]bool{}, bad: bad}
 	list := instances(60)
 	var infos []policy.ServerInfo
@@ -244,10 +244,10 @@
 
 // Among eighty gateways that choose each for itself a tenth of the answers take long though the fleet has room. With
 // the neighbours' words the tail is shorter, and fewer connections are made.
-func TestTailIsShorterWithWords(t *testing.T) {
+func TestReportsShortenTail(t *testing.T) {
 	for seed := range uint64(2) {
-		alone, together := play(t, seed, 0, false), play(t, seed, 0, true)
-		p90 := func(w *world) time.Duration { return w.took[len(w.took)*9/10] }
+		alone, together := simulate(t, seed, 0, false), simulate(t, seed, 0, true)
+		p90 := func(w *simulation) time.Duration { return w.took[len(w.took)*9/10] }
 		t.Logf("seed %d: p90 %v alone, %v together; %d and %d connections", seed, p90(alone), p90(together),
 			len(alone.pairs), len(together.pairs))
 		assert.Less(t, float64(p90(together)), 0.93*float64(p90(alone)))
@@ -258,8 +258,8 @@
 
 // Five of sixty members fail half of what they are sent, at once, and so look idle. With the neighbours' words far fewer
 // attempts find that out, and these members are still tried now and then.
-func TestFailuresAreToldOn(t *testing.T) {
-	alone, together := play(t, 1, 5, false), play(t, 1, 5, true)
+func TestFailuresAreReported(t *testing.T) {
+	alone, together := simulate(t, 1, 5, false), simulate(t, 1, 5, true)
 	t.Logf("%d attempts failed alone, %d together", alone.failed, together.failed)
 	assert.Less(t, together.failed, alone.failed/3)
 	assert.Greater(t, together.failed, 5)
@@ -267,7 +267,7 @@
 
 // What failed counts by its share, from all neighbours together, and only of members that their name tells apart; it fades
 // as the words do, and one failure among many answers is next to nothing.
-func TestWordsOfFailures(t *testing.T) {
+func TestReportsOfFailures(t *testing.T) {
 	list := instances(60)
 	boards := map[int]*Tracker{}
 	for me := 10; me < 13; me++ {
@@ -323,8 +323,8 @@
 }
 
 // The carrier tells neighbours what the core shows, and hands on what they say.
-func TestCarrier(t *testing.T) {
-	core, roster := &core{own: map[policy.ServerID]policy.OwnLoad{}}, lives{}
+func TestExchange(t *testing.T) {
+	core, roster := &fakeBalancer{own: map[policy.ServerID]policy.OwnLoad{}}, fakeMembership{}
 	for _, m := range instances(60) {
 		roster[m.ID] = discovery.Incarnation{Instance: m.Instance}
 	}
@@ -344,15 +344,15 @@
 	assert.Equal(t, "[told=6 heard=1 dropped=0]", fmt.Sprint(other.Counters()))
 }
 
-type core struct {
+type fakeBalancer struct {
 	own   map[policy.ServerID]policy.OwnLoad
 	loads []policy.Load
 }
 
-func (c *core) ExchangeLoads(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
+func (c *fakeBalancer) ExchangeLoads(weigh func(policy.Time, map[policy.ServerID]policy.OwnLoad) []policy.Load) {
 	c.loads = weigh(time.Second, c.own)
 }
 
-type lives map[policy.ServerID]discovery.Incarnation
+type fakeMembership map[policy.ServerID]discovery.Incarnation
 
-func (l lives) Incarnations() map[policy.ServerID]discovery.Incarnation { return l }
+func (l fakeMembership) Incarnations() map[policy.ServerID]discovery.Incarnation { return l }
--- a/internal/knowledge/datagram/datagram_test.go
+++ b/internal/knowledge/datagram/datagram_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-func TestPicturesRoundTripAsFarAsTheyFit(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 5, 14, 400} {
 		s := state(n, min(n, 2))
 		s.Deaf = 3 * time.Second
@@ -68,7 +68,7 @@
 }
 
 // A gateway that has just started asks, one that has run answers, and one that has just started too has nothing to say.
-func TestNewGatewayAsks(t *testing.T) {
+func TestNewGatewayRequestsSnapshots(t *testing.T) {
 	began := time.Now()
 	now := func() knowledge.Time { return time.Hour + time.Since(began) }
 	var ends [3]*Exchange
@@ -105,7 +105,7 @@
 	assert.Equal(t, uint64(1), ends[1].Counters().Malformed)
 }
 
-func FuzzUnpack(f *testing.F) {
+func FuzzDecode(f *testing.F) {
 	f.Add(Encode(state(4, 1)))
 	f.Fuzz(func(t *testing.T, m []byte) {
 		own := state(4, 0).Own
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -60,16 +60,16 @@
 }
 
 // taught is a gateway that notes what it is taught.
-type taught struct {
+type fakeGateway struct {
 	mu    sync.Mutex
 	times int
 }
 
-func (g *taught) Observe() (pipe.State, Snapshot) {
+func (g *fakeGateway) Observe() (pipe.State, Snapshot) {
 	return pipe.State{Own: []knowledge.Observation{{Life: knowledge.Life{Instance: "a"}, Answered: -1}}}, Snapshot{}
 }
 
-func (g *taught) ApplyPriors(list []Prior, _ Snapshot) int {
+func (g *fakeGateway) ApplyPriors(list []Prior, _ Snapshot) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(list) > 0 {
@@ -78,7 +78,7 @@
 	return 0
 }
 
-func (g *taught) count() int {
+func (g *fakeGateway) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.times
@@ -90,8 +90,8 @@
 	return h
 }
 
-func TestStatesGoOutAndPriorsComeBack(t *testing.T) {
-	g := &taught{}
+func TestStatesAndPriors(t *testing.T) {
+	g := &fakeGateway{}
 	h := open(t, os.Args[0], "good", g)
 	h.AwaitInitialSync(time.Minute)
 	require.Eventually(t, func() bool { return g.count() >= 2 }, time.Minute, time.Millisecond)
@@ -100,13 +100,13 @@
 }
 
 // Whatever the child does, nothing is taught and the start waits no longer than it is told to.
-func TestChildrenThatFail(t *testing.T) {
+func TestFailingChildren(t *testing.T) {
 	for _, name := range []string{"garbage", "dies", "missing"} {
 		program := os.Args[0]
 		if name == "missing" {
 			program = "/no/such/program"
 		}
-		g := &taught{}
+		g := &fakeGateway{}
 		h := open(t, program, name, g)
 		h.AwaitInitialSync(time.Hour) // ends as soon as it is known that nothing comes
 		require.Eventually(t, func() bool {
@@ -116,13 +116,13 @@
 		}, time.Minute, time.Millisecond, name)
 		assert.Zero(t, g.count(), name)
 	}
-	h := open(t, os.Args[0], "silent", &taught{})
+	h := open(t, os.Args[0], "silent", &fakeGateway{})
 	h.AwaitInitialSync(time.Millisecond)
 	h.Close() // and it ends though it says nothing
 }
 
 // A gateway shows what it has seen by instance and life, and takes priors for what it has not seen since.
-func TestNumbersAndLives(t *testing.T) {
+func TestServerIDsAndIncarnations(t *testing.T) {
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), carrier{}, nil)
 	require.NoError(t, err)
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -72,7 +72,7 @@
 	return names
 }
 
-func TestStallsArePassedOnWhileTheyAreNews(t *testing.T) {
+func TestRecentStallsMakeSuspects(t *testing.T) {
 	b := blank("g2")
 	b.Receive(start, told("g0", 3, 7))
 	priors := b.Priors(start, unseen(10))
@@ -85,7 +85,7 @@
 }
 
 // The peer has been cut off for half a minute: what it holds is old, and what it sees since then is its own fault.
-func TestPeerThatWasCutOff(t *testing.T) {
+func TestPartitionedObserver(t *testing.T) {
 	b := blank("g2")
 	old := told("g0", 3, 7)
 	for i := range old {
@@ -103,7 +103,7 @@
 }
 
 // All members look bad to a peer whose own network is bad. Where more than half do, its word on stalls is not taken.
-func TestPeerToWhichAllLookBad(t *testing.T) {
+func TestFaultyObserver(t *testing.T) {
 	b := blank("g2")
 	b.Receive(start, told("g0", 0, 1, 2, 3, 4, 5, 6, 8))
 	assert.Empty(t, suspects(b.Priors(start, unseen(10))))
@@ -112,7 +112,7 @@
 	assert.Len(t, suspects(b.Priors(start, unseen(10))), 3)
 }
 
-func TestMemberThatHasRestarted(t *testing.T) {
+func TestRestartedMember(t *testing.T) {
 	b := blank("g2")
 	list := lives(10)
 	list[3].StartedMs = 77000 // at the same address or at another: its life is another
@@ -127,7 +127,7 @@
 	assert.Equal(t, 8, facts)
 }
 
-func TestMemberThatIsNotListed(t *testing.T) {
+func TestUnlistedMember(t *testing.T) {
 	b := blank("g2")
 	b.SetMembers(lives(5)) // the others drain or are gone
 	b.Receive(start, told("g0"))
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestPeersThatContradict(t *testing.T) {
+func TestContradictingPeers(t *testing.T) {
 	b := blank("g2")
 	once := stalled("g0", 1, 3)
 	once.Lost = 1
@@ -150,7 +150,7 @@
 }
 
 // Own sightings come first: an answer, or an attempt lost, ends what peers may say for a while.
-func TestOwnSightingsComeFirst(t *testing.T) {
+func TestOwnObservationsComeFirst(t *testing.T) {
 	b := blank("g2")
 	b.Receive(start, told("g0", 3, 7))
 	own := unseen(10)
@@ -167,7 +167,7 @@
 }
 
 // What a peer's word has moved is not told on as this gateway's own.
-func TestGuessesAreNotToldOn(t *testing.T) {
+func TestPriorsAreNotPropagated(t *testing.T) {
 	b := blank("g2")
 	b.Receive(start, told("g0"))
 	require.Len(t, b.Priors(start, unseen(10)), 10)
@@ -191,7 +191,7 @@
 
 // Three gateways tell each other all they hold, over ways whose time nobody counts. What went round is the same
 // sighting still and no younger than the ways took.
-func TestFactsThatGoInACircle(t *testing.T) {
+func TestFactsInACycle(t *testing.T) {
 	books := []*Table{blank("g0"), blank("g1"), blank("g2")}
 	seen := unseen(10)
 	seen[3].Lost, seen[3].Stalled = 2, 2*second
@@ -216,7 +216,7 @@
 	assert.Empty(t, suspects(books[2].Priors(now+20*second, unseen(10))))
 }
 
-func TestOddFactsAreDropped(t *testing.T) {
+func TestMalformedFactsAreDropped(t *testing.T) {
 	b := blank("g2")
 	for reason, spoil := range map[DropReason]func(*Fact){
 		TooOld: func(f *Fact) { f.Age = time.Hour }, TooManyHops: func(f *Fact) { f.Hops = 9 }, OwnFact: func(f *Fact) { f.Observer.Name = "g2" },
@@ -242,7 +242,7 @@
 }
 
 // A million facts leave no more than the bounds allow.
-func TestHoldsNoMoreThanItsBounds(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	b := New(Options{Self: Observer{Name: "g2", Birth: 1}, MaxObservers: 4})
 	b.SetMembers(lives(10))
 	for i := range 1000000 {
@@ -257,7 +257,7 @@
 }
 
 // Tell in parts gives each fact once, and after that only what is new.
-func TestTellInParts(t *testing.T) {
+func TestFactsSinceInParts(t *testing.T) {
 	b := blank("g2")
 	b.Receive(start, told("g0"))
 	b.Receive(start, told("g1"))
@@ -292,7 +292,7 @@
 }
 
 // In whatever order, however often and however grouped facts come, the same ones are held.
-func TestHearingIsASemilattice(t *testing.T) {
+func TestReceiveIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := drawFacts(t)
 		a, b := blank("g9"), blank("g9")
--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -78,7 +78,7 @@
 }
 
 // A new gateway has the picture of one that runs as soon as it has asked, and what changes follows.
-func TestPictureThenChanges(t *testing.T) {
+func TestSnapshotThenUpdates(t *testing.T) {
 	a := open(t, "g0", seen(), nil)
 	b := open(t, "g1", unseen(), nil, a.Addr())
 	<-b.InitialSync()
@@ -114,7 +114,7 @@
 }
 
 // The peer dies in the middle of its stream: what came counts, and it is asked again.
-func TestPeerThatDies(t *testing.T) {
+func TestPeerDies(t *testing.T) {
 	var calls atomic.Int32
 	peer, err := knowledgepeer.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
 		if n == 1 {
@@ -155,7 +155,7 @@
 }
 
 // What piles up on the way is not younger for it: a message that comes late by its own clock is older by so much.
-func TestMessagesThatComeLate(t *testing.T) {
+func TestDelayedMessages(t *testing.T) {
 	picture := func(elapsed time.Duration) *pb.Picture {
 		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", ElapsedMs: uint64(elapsed.Milliseconds()), Facts: []*pb.Fact{fact(1, true)}}
 	}
@@ -172,7 +172,7 @@
 
 // A peer that takes the connection, sends one byte and stalls holds nothing up for longer than the caller waits, and
 // does no harm to the others.
-func TestPeerThatStallsAfterOneByte(t *testing.T) {
+func TestPeerStallsAfterOneByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -234,7 +234,7 @@
 }
 
 // Without a certificate of the fleet nothing is told, and none of another is believed.
-func TestBothSidesShowACertificate(t *testing.T) {
+func TestMutualTLS(t *testing.T) {
 	fleet, stranger := newAuthority(t), newAuthority(t)
 	a := open(t, "g0", seen(), fleet.identity(fleet))
 	b := open(t, "g1", unseen(), fleet.identity(fleet), a.Addr())
--- a/internal/ledger/ceiling_test.go
+++ b/internal/ledger/ceiling_test.go
@@ -11,7 +11,7 @@
 
 // Whatever is asked at which gateway, whichever words are lost or come late, and whoever starts again: in no window do the
 // parts let in more than the ceiling's burst, what it fills in the window, and what it fills while a grant is under way.
-func TestPartsNeverPassTheWhole(t *testing.T) {
+func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "gateways")
 		rate, burst := rapid.Float64Range(0.5, 50).Draw(t, "rate"), rapid.Float64Range(1, 120).Draw(t, "burst")
@@ -65,7 +65,7 @@
 
 // A gateway that is asked for all of an account gets what the others don't need, in a few words, though its own part holds
 // a quarter.
-func TestGrantsFollowTheAsking(t *testing.T) {
+func TestGrantsFollowDemand(t *testing.T) {
 	const n = 4
 	s := Limit{Rate: 27.0 / n, Burst: 60.0 / n}
 	var parts [n]BucketShare
@@ -95,7 +95,7 @@
 
 // Words that can't be read as such change nothing that matters: any byte grants a part's burst at the most, and none to who
 // has one already.
-func TestAnyWord(t *testing.T) {
+func TestAnyGrantByte(t *testing.T) {
 	s := Limit{Rate: 1, Burst: 16}
 	for w := range 256 {
 		full, empty := BucketShare{Tokens: 16}, BucketShare{}
--- a/internal/ledger/cold_test.go
+++ b/internal/ledger/cold_test.go
@@ -10,22 +10,22 @@
 )
 
 // server answers what it is sent, so many a second, in the order in which it comes.
-type server struct {
+type warmingServer struct {
 	per  time.Duration
 	free time.Duration
 }
 
-func (s *server) answers(now time.Duration) time.Duration {
+func (s *warmingServer) answers(now time.Duration) time.Duration {
 	s.free = max(s.free, now) + s.per
 	return s.free
 }
 
 // colds plays a member that has just started before so many gateways, all of which send it what their parts allow and know
 // nothing but what it answers them. It gives the sends of all.
-func colds(seed uint64, n int, rate float64, length time.Duration) (sends []time.Duration) {
+func simulateSlowStart(seed uint64, n int, rate float64, length time.Duration) (sends []time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const step = 5 * time.Millisecond
-	s := &server{per: time.Duration(float64(time.Second) / rate)}
+	s := &warmingServer{per: time.Duration(float64(time.Second) / rate)}
 	parts, does, due := make([]SlowStartBudget, n), make([]float64, n), make([][]time.Duration, n)
 	for i := range parts {
 		parts[i].Credit = rng.Float64()
@@ -49,7 +49,7 @@
 }
 
 // most gives the most sends within a window.
-func most(sends []time.Duration, window time.Duration) (n int) {
+func maxInWindow(sends []time.Duration, window time.Duration) (n int) {
 	for i, at := range sends {
 		from, _ := slices.BinarySearch(sends[:i], at-window)
 		n = max(n, i-from+1)
@@ -59,11 +59,11 @@
 
 // However many gateways send a member all that their parts allow, and though none knows what it can do: together they stay
 // within four times that and one for chance, and come to all that it can do within seconds.
-func TestPartsOfAColdMember(t *testing.T) {
+func TestSharesOfAWarmingServer(t *testing.T) {
 	for _, n := range []int{1, 3, 10, 100} {
 		for _, rate := range []float64{3, 12, 40} {
-			sends := colds(1, n, rate, 12*time.Second)
-			got := most(sends, time.Second)
+			sends := simulateSlowStart(1, n, rate, 12*time.Second)
+			got := maxInWindow(sends, time.Second)
 			assert.LessOrEqual(t, float64(got), 4*rate+1, "%d gateways, %v a second", n, rate)
 			after, _ := slices.BinarySearch(sends, 8*time.Second)
 			assert.GreaterOrEqual(t, float64(len(sends)-after), 0.8*4*rate, "%d gateways, %v a second", n, rate)
@@ -72,7 +72,7 @@
 }
 
 // A member that answers nothing is sent one attempt in a window by all together, and less where turns wait for each other.
-func TestSilentColdMember(t *testing.T) {
+func TestWarmingServerWithoutAnswers(t *testing.T) {
 	for _, n := range []int{1, 5, 50} {
 		parts := make([]SlowStartBudget, n)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -40,7 +40,7 @@
 }
 
 // Peers that don't speak are waited for no longer than the bound, and where there are none not at all.
-func TestSilentSourcesAreNotWaitedForForEver(t *testing.T) {
+func TestWaitForPeersIsBounded(t *testing.T) {
 	r := New(born, Options{PauseThreshold: pause, NearbyGateways: 4})
 	r.Check(born+peerWaitPauses*pause-1, Observation{Members: 1})
 	assert.Equal(t, AwaitingPeers, r.Phase())
@@ -55,7 +55,7 @@
 
 // A process that stood still takes what it finds in its sockets for as old as it can be, and waits a moment for discovery's word;
 // what comes later is what it is.
-func TestAfterAStandstill(t *testing.T) {
+func TestResumeAfterPause(t *testing.T) {
 	r := New(born, Options{PauseThreshold: pause})
 	r.Received(Discovery)
 	assert.Zero(t, r.Event(born), "nothing was to happen before the first event")
--- a/internal/store/crossing_test.go
+++ b/internal/store/crossing_test.go
@@ -13,30 +13,30 @@
 )
 
 // hooked is a folder that lets a test do something while a segment's sync is under way.
-type hooked struct {
+type hookedFS struct {
 	*faultfs.FS
-	syncs func()
+	beforeSync func()
 }
 
 type hookedFile struct {
 	store.File
-	syncs func()
+	beforeSync func()
 }
 
-func (h *hooked) Open(name string, create bool) (store.File, error) {
+func (h *hookedFS) Open(name string, create bool) (store.File, error) {
 	f, err := h.FS.Open(name, create)
 	if err == nil && strings.HasSuffix(name, ".seg") {
-		f = hookedFile{f, func() { h.syncs() }}
+		f = hookedFile{f, func() { h.beforeSync() }}
 	}
 	return f, err
 }
 
-func (f hookedFile) Sync() error { f.syncs(); return f.File.Sync() }
+func (f hookedFile) Sync() error { f.beforeSync(); return f.File.Sync() }
 
 // A key is written again while its last value is on the way to the disk, and a checkpoint is made before the new one follows: what
 // was on the way is in the checkpoint, and there after a power cut.
-func TestWriteWhileItsLastValueIsOnItsWay(t *testing.T) {
-	disk := &hooked{FS: faultfs.New(), syncs: func() {}}
+func TestWriteDuringFlushOfSameKey(t *testing.T) {
+	disk := &hookedFS{FS: faultfs.New(), beforeSync: func() {}}
 	s, err := store.Open(disk, store.Options{FlushInterval: time.Hour, CheckpointBytes: 1})
 	require.NoError(t, err)
 	write := func(value string, d store.Durability) {
@@ -45,7 +45,7 @@
 		assert.NoError(t, s.Write(&b, d))
 	}
 	syncs, made := 0, s.Counters().Checkpoints
-	disk.syncs = func() { // under way: the first value's, then, as a checkpoint is to be made, the second's
+	disk.beforeSync = func() { // under way: the first value's, then, as a checkpoint is to be made, the second's
 		if syncs++; syncs <= 2 {
 			write([]string{"second", "third"}[syncs-1], store.Buffered)
 		}
@@ -53,7 +53,7 @@
 	write("first", store.GroupCommit)
 	require.Eventually(t, func() bool { return s.Counters().Checkpoints > made }, time.Minute, time.Millisecond)
 	left := disk.Crash(1)
-	again, err := store.Open(left, quiet)
+	again, err := store.Open(left, noBackgroundFlush)
 	require.NoError(t, err)
 	value, ok, err := again.Get([]byte("k"))
 	require.NoError(t, err)
--- a/internal/store/keep/keep.go
+++ b/internal/store/keep/keep.go
@@ -23,7 +23,7 @@
 // The keys: a letter, and for accounts the name that gateways have for them in messages. Values are protocol buffers; the
 // messages stand in api/sprucelane/v1/keep.proto.
 const (
-	accountKey     = 'a'
+	accountPrefix  = 'a'
 	incarnationKey = "l"
 )
 
@@ -146,7 +146,7 @@
 func (k *Keeper) restore(s *store.Store, was incarnation) {
 	now := k.opt.Now().UnixMilli()
 	var list []policy.QuotaBalance
-	s.Each([]byte{accountKey}, func(key, value []byte) bool {
+	s.Each([]byte{accountPrefix}, func(key, value []byte) bool {
 		u, at, err := decodeBalance(key, value)
 		plan := int(u.Key >> 24 & 255)
 		if err != nil || plan >= len(was.plans) || now-at > balanceTTL.Milliseconds() {
@@ -269,7 +269,7 @@
 }
 
 func encodeAccountKey(name uint64) []byte {
-	return binary.BigEndian.AppendUint64([]byte{accountKey}, name)
+	return binary.BigEndian.AppendUint64([]byte{accountPrefix}, name)
 }
 
 // useBytes words an account's use as the message Use.
@@ -387,7 +387,7 @@
 	if l, err := decodeIncarnation(value); err == nil && string(key) == incarnationKey {
 		return map[string]any{"kind": "life", "gateway": l.name, "alive_ms": l.lastAliveMs}
 	}
-	if u, at, err := decodeBalance(key, value); err == nil && key[0] == accountKey {
+	if u, at, err := decodeBalance(key, value); err == nil && key[0] == accountPrefix {
 		return map[string]any{"kind": "account", "name": fmt.Sprintf("%016x", u.Key), "left": u.Balance, "at_ms": at}
 	}
 	return map[string]any{"kind": "unknown", "key": fmt.Sprintf("%x", key), "bytes": len(value)}
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -20,49 +20,49 @@
 type gateway struct {
 	mu       sync.Mutex
 	now      policy.Time
-	uses     []policy.QuotaBalance
-	recalled []policy.QuotaBalance
-	asked    int
+	changed  []policy.QuotaBalance
+	restored []policy.QuotaBalance
+	calls    int
 }
 
 func (g *gateway) QuotaBalances(since policy.Time) (list []policy.QuotaBalance, now policy.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.asked++
+	g.calls++
 	g.now++
-	if since == 0 || len(g.uses) > 0 {
-		list, g.uses = g.uses, nil
+	if since == 0 || len(g.changed) > 0 {
+		list, g.changed = g.changed, nil
 	}
 	return list, g.now
 }
 
-func (g *gateway) RestoreBalances(list []policy.QuotaBalance) { g.recalled = list }
+func (g *gateway) RestoreBalances(list []policy.QuotaBalance) { g.restored = list }
 
-func (g *gateway) drew(list ...policy.QuotaBalance) {
+func (g *gateway) consume(list ...policy.QuotaBalance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.uses = append(g.uses, list...)
+	g.changed = append(g.changed, list...)
 }
 
 // name gives an account's name in messages, of a plan.
-func name(account, plan uint64) uint64 { return account<<32 | plan<<24 | 2 }
+func accountKeyFor(account, plan uint64) uint64 { return account<<32 | plan<<24 | 2 }
 
-type site struct {
-	opt  Options
-	g    *gateway
-	k    *Keeper
-	stop func()
+type fixture struct {
+	opt     Options
+	gateway *gateway
+	keeper  *Keeper
+	stop    func()
 }
 
 // begin begins a life of a gateway on a folder, at some moment.
-func begin(t *testing.T, path, gatewayName string, at time.Time) *site {
-	s := &site{opt: Options{Path: path, Name: gatewayName, Plans: []string{"farm", "utility"}, Now: func() time.Time { return at }}, g: &gateway{}}
+func startKeeper(t *testing.T, path, gatewayName string, at time.Time) *fixture {
+	s := &fixture{opt: Options{Path: path, Name: gatewayName, Plans: []string{"farm", "utility"}, Now: func() time.Time { return at }}, gateway: &gateway{}}
 	var err error
-	s.k, err = Open(s.opt, s.g)
+	s.keeper, err = Open(s.opt, s.gateway)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); s.k.Run(ctx) }()
+	go func() { defer close(done); s.keeper.Run(ctx) }()
 	s.stop = sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(s.stop)
 	return s
@@ -70,24 +70,24 @@
 
 // What a life has drawn the next one recalls, with how long ago that was by the clock of both; plans that have another number now go by
 // their names, and what is of a plan that is gone, or an hour old, is left.
-func TestTheNextLifeRecalls(t *testing.T) {
+func TestRestoreAfterRestart(t *testing.T) {
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
-	s := begin(t, path, "g0", at)
-	assert.Empty(t, s.g.recalled)
-	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5}, policy.QuotaBalance{Key: name(2, 1), Customer: 2, Balance: -4}, policy.QuotaBalance{Key: name(3, 1), Balance: 7})
-	require.Eventually(t, func() bool { return s.k.Stats().Entries == 4 }, 10*time.Second, time.Millisecond)
-	s.g.drew(policy.QuotaBalance{Key: name(3, 1), Balance: 6})
+	s := startKeeper(t, path, "g0", at)
+	assert.Empty(t, s.gateway.restored)
+	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5}, policy.QuotaBalance{Key: accountKeyFor(2, 1), Customer: 2, Balance: -4}, policy.QuotaBalance{Key: accountKeyFor(3, 1), Balance: 7})
+	require.Eventually(t, func() bool { return s.keeper.Stats().Entries == 4 }, 10*time.Second, time.Millisecond)
+	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(3, 1), Balance: 6})
 	s.stop()
-	next := begin(t, path, "g0", at.Add(5*time.Second))
-	require.Len(t, next.g.recalled, 3)
-	assert.Equal(t, policy.QuotaBalance{Key: name(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second, Downtime: 5 * time.Second}, next.g.recalled[0])
-	assert.Equal(t, -4.0, next.g.recalled[1].Balance)
-	assert.Equal(t, 6.0, next.g.recalled[2].Balance)
-	assert.Equal(t, 3, next.k.Stats().Restored)
-	assert.EqualValues(t, 2, next.k.Stats().Epoch)
+	next := startKeeper(t, path, "g0", at.Add(5*time.Second))
+	require.Len(t, next.gateway.restored, 3)
+	assert.Equal(t, policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second, Downtime: 5 * time.Second}, next.gateway.restored[0])
+	assert.Equal(t, -4.0, next.gateway.restored[1].Balance)
+	assert.Equal(t, 6.0, next.gateway.restored[2].Balance)
+	assert.Equal(t, 3, next.keeper.Stats().Restored)
+	assert.EqualValues(t, 2, next.keeper.Stats().Epoch)
 	next.stop()
-	late := begin(t, path, "g0", at.Add(-time.Hour))
-	for _, u := range late.g.recalled {
+	late := startKeeper(t, path, "g0", at.Add(-time.Hour))
+	for _, u := range late.gateway.restored {
 		assert.Zero(t, u.Age, "the clock was set back: nothing has filled up")
 		assert.Zero(t, u.Downtime)
 	}
@@ -95,34 +95,34 @@
 	g := &gateway{}
 	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"utility"}, Now: func() time.Time { return at.Add(time.Minute) }}, g)
 	require.NoError(t, err)
-	require.Len(t, g.recalled, 2)
-	assert.Equal(t, name(2, 0), g.recalled[0].Key)
+	require.Len(t, g.restored, 2)
+	assert.Equal(t, accountKeyFor(2, 0), g.restored[0].Key)
 	k.store.Close()
 	g = &gateway{}
 	k, err = Open(Options{Path: path, Name: "g0", Plans: []string{"farm", "utility"}, Now: func() time.Time { return at.Add(2 * time.Hour) }}, g)
 	require.NoError(t, err)
-	assert.Empty(t, g.recalled)
+	assert.Empty(t, g.restored)
 	k.store.Close()
 }
 
 // A folder of another gateway, and one that is damaged, are set aside, whole, and the gateway goes on as with none.
-func TestWhatCannotBeUsedIsSetAside(t *testing.T) {
+func TestUnusableStoreIsQuarantined(t *testing.T) {
 	dir, at := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	path := filepath.Join(dir, "store")
-	s := begin(t, path, "g0", at)
-	s.g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
-	require.Eventually(t, func() bool { return s.k.Stats().Entries == 2 }, 10*time.Second, time.Millisecond)
+	s := startKeeper(t, path, "g0", at)
+	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(1, 0), Balance: 1})
+	require.Eventually(t, func() bool { return s.keeper.Stats().Entries == 2 }, 10*time.Second, time.Millisecond)
 	s.stop()
-	other := begin(t, path, "g1", at.Add(time.Second))
-	assert.Empty(t, other.g.recalled)
-	assert.DirExists(t, other.k.Stats().QuarantinePath)
+	other := startKeeper(t, path, "g1", at.Add(time.Second))
+	assert.Empty(t, other.gateway.restored)
+	assert.DirExists(t, other.keeper.Stats().QuarantinePath)
 	other.stop()
 	require.NoError(t, os.Remove(filepath.Join(path, "MANIFEST")))
-	again := begin(t, path, "g1", at.Add(2*time.Second))
-	assert.Empty(t, again.g.recalled)
-	assert.NotEqual(t, other.k.Stats().QuarantinePath, again.k.Stats().QuarantinePath)
+	again := startKeeper(t, path, "g1", at.Add(2*time.Second))
+	assert.Empty(t, again.gateway.restored)
+	assert.NotEqual(t, other.keeper.Stats().QuarantinePath, again.keeper.Stats().QuarantinePath)
 	again.stop()
-	fs, err := store.OpenDir(other.k.Stats().QuarantinePath)
+	fs, err := store.OpenDir(other.keeper.Stats().QuarantinePath)
 	require.NoError(t, err)
 	kept, err := store.Open(fs, store.Options{})
 	require.NoError(t, err)
@@ -131,9 +131,9 @@
 }
 
 // A folder that a predecessor still has open is waited for beside the work, and kept in from then on; nothing is recalled of it.
-func TestPredecessorHasTheFolder(t *testing.T) {
+func TestWaitsForPredecessorsLock(t *testing.T) {
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
-	old := begin(t, path, "g0", at)
+	old := startKeeper(t, path, "g0", at)
 	waits := make(chan struct{}, 100)
 	g := &gateway{}
 	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"farm"}, OnLockRetry: func() { waits <- struct{}{} }}, g)
@@ -145,15 +145,15 @@
 	assert.Zero(t, k.Stats().Epoch)
 	old.stop()
 	require.Eventually(t, func() bool { return k.Stats().Epoch == 2 }, 20*time.Second, 10*time.Millisecond)
-	g.drew(policy.QuotaBalance{Key: name(1, 0), Balance: 1})
+	g.consume(policy.QuotaBalance{Key: accountKeyFor(1, 0), Balance: 1})
 	require.Eventually(t, func() bool { return k.Stats().Entries >= 2 }, 20*time.Second, 10*time.Millisecond)
-	assert.Empty(t, g.recalled)
+	assert.Empty(t, g.restored)
 	cancel()
 	<-done
 }
 
 // A folder that can't be made is an error at the start; one that is too small ends the keeping, once and in the figures.
-func TestDiskThatIsOver(t *testing.T) {
+func TestStoreErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
 	_, err := Open(Options{Path: filepath.Join(file, "store"), Name: "g0"}, &gateway{})
@@ -170,7 +170,7 @@
 }
 
 // What reads values takes any bytes for what they are.
-func FuzzValues(f *testing.F) {
+func FuzzDecodeValues(f *testing.F) {
 	f.Add(encodeAccountKey(7), encodeBalance(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
 	f.Add([]byte(incarnationKey), encodeIncarnation(incarnation{"g0", 5, []string{"a", "b"}}))
 	f.Fuzz(func(t *testing.T, key, value []byte) {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -20,7 +20,7 @@
 )
 
 // quiet is a store that writes nothing by itself.
-var quiet = store.Options{FlushInterval: time.Hour}
+var noBackgroundFlush = store.Options{FlushInterval: time.Hour}
 
 func open(t testing.TB, fs store.FS, opt store.Options) *store.Store {
 	s, err := store.Open(fs, opt)
@@ -43,7 +43,7 @@
 }
 
 // What was written is there, newest last, after each opening, from a folder of the operating system's.
-func TestWhatIsWrittenIsThere(t *testing.T) {
+func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	want := map[string]string{}
 	var id store.ID
@@ -79,16 +79,16 @@
 }
 
 // A second process is kept out.
-func TestOneProcess(t *testing.T) {
+func TestLockExcludesOtherProcesses(t *testing.T) {
 	fs, err := store.OpenDir(t.TempDir())
 	require.NoError(t, err)
-	s := open(t, fs, quiet)
-	_, err = store.Open(fs, quiet)
+	s := open(t, fs, noBackgroundFlush)
+	_, err = store.Open(fs, noBackgroundFlush)
 	assert.ErrorIs(t, err, store.ErrLocked)
 	_, err = store.Verify(fs)
 	assert.ErrorIs(t, err, store.ErrLocked)
 	require.NoError(t, s.Close())
-	require.NoError(t, open(t, fs, quiet).Close())
+	require.NoError(t, open(t, fs, noBackgroundFlush).Close())
 }
 
 // Limits hold: of keys, values, bytes and entries.
@@ -113,7 +113,7 @@
 // A compaction keeps what counts, frees the rest, and what was deleted stays so.
 func TestCompaction(t *testing.T) {
 	fs := faultfs.New()
-	s := open(t, fs, quiet)
+	s := open(t, fs, noBackgroundFlush)
 	want := map[string]string{}
 	for round := range 6 {
 		for i := range 40 {
@@ -138,20 +138,20 @@
 	crashed := fs.Crash(1)
 	require.NoError(t, s.Close())
 	for _, left := range []*faultfs.FS{fs, crashed} {
-		s := open(t, left, quiet)
+		s := open(t, left, noBackgroundFlush)
 		assert.Equal(t, want, all(t, s))
 		require.NoError(t, s.Close())
 	}
 }
 
 // story is a run of writes with what was promised of each.
-type story struct {
-	states []map[string]string // after so many batches
-	acked  int                 // batches that are promised to be there
+type history struct {
+	states  []map[string]string // after so many batches
+	durable int                 // batches that are promised to be there
 }
 
 // play writes batches until the disk ends it.
-func play(s *store.Store, rng *rand.Rand, batches int, st *story) {
+func runWorkload(s *store.Store, rng *rand.Rand, batches int, st *history) {
 	if len(st.states) == 0 {
 		st.states = []map[string]string{{}}
 	}
@@ -175,7 +175,7 @@
 			return
 		}
 		if d != store.Buffered {
-			st.acked = len(st.states) - 1
+			st.durable = len(st.states) - 1
 		}
 		if rng.IntN(20) == 0 && s.Compact() != nil {
 			return
@@ -185,35 +185,35 @@
 
 // held checks that a folder opens with what some of the batches left, in their order, all promised ones among them, and gives the story as
 // it goes on from there.
-func held(t testing.TB, fs *faultfs.FS, st story, where string) story {
-	s, err := store.Open(fs, quiet)
+func checkPrefix(t testing.TB, fs *faultfs.FS, st history, where string) history {
+	s, err := store.Open(fs, noBackgroundFlush)
 	require.NoError(t, err, where)
 	got := all(t, s)
 	require.NoError(t, s.Close(), where)
-	for n := len(st.states) - 1; n >= st.acked; n-- {
+	for n := len(st.states) - 1; n >= st.durable; n-- {
 		if maps.Equal(got, st.states[n]) {
-			return story{states: st.states[:n+1], acked: n}
+			return history{states: st.states[:n+1], durable: n}
 		}
 	}
-	require.Failf(t, "not what was written", "%s: %d of %d batches were promised, there is %v", where, st.acked, len(st.states)-1, got)
+	require.Failf(t, "not what was written", "%s: %d of %d batches were promised, there is %v", where, st.durable, len(st.states)-1, got)
 	return st
 }
 
 // The power is cut at every change of the disk, while batches are written, segments closed, checkpoints made and compactions done,
 // and again at every change of the recovery from that. No promised write is lost, none half there, none invented.
-func TestPowerCutAtEveryChange(t *testing.T) {
+func TestPowerCutAtEveryOperation(t *testing.T) {
 	small := store.Options{FlushInterval: time.Hour, SegmentBytes: 1200, CheckpointBytes: 2500}
-	run := func(cut int, seed uint64) (*faultfs.FS, story, int) {
-		fs, st := faultfs.New(), story{}
+	run := func(cut int, seed uint64) (*faultfs.FS, history, int) {
+		fs, st := faultfs.New(), history{}
 		fs.PowerCutAt = cut
 		s, err := store.Open(fs, small)
 		if err != nil {
 			st.states = []map[string]string{{}}
 			return fs, st, fs.Ops()
 		}
-		play(s, rand.New(rand.NewPCG(seed, 1)), 30, &st)
+		runWorkload(s, rand.New(rand.NewPCG(seed, 1)), 30, &st)
 		if s.Close() == nil {
-			st.acked = len(st.states) - 1
+			st.durable = len(st.states) - 1
 		}
 		return fs, st, fs.Ops()
 	}
@@ -224,7 +224,7 @@
 		for seed := range uint64(3) {
 			where := fmt.Sprintf("cut at %d of %d, crash %d", cut, ops, seed)
 			left := fs.Crash(seed)
-			held(t, left.Clone(), st, where)
+			checkPrefix(t, left.Clone(), st, where)
 			if cut%7 != 0 {
 				continue
 			}
@@ -235,7 +235,7 @@
 				if err == nil {
 					s.Close()
 				}
-				held(t, twice.Crash(seed), st, fmt.Sprintf("%s, again at %d", where, again))
+				checkPrefix(t, twice.Crash(seed), st, fmt.Sprintf("%s, again at %d", where, again))
 			}
 		}
 	}
@@ -245,31 +245,31 @@
 func TestRandomCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		fs, st := faultfs.New(), story{states: []map[string]string{{}}}
+		fs, st := faultfs.New(), history{states: []map[string]string{{}}}
 		for life := range 20 {
 			fs.PowerCutAt = 1 + rng.IntN(80)
 			s, err := store.Open(fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 700, CheckpointBytes: 1500})
 			if err == nil {
-				play(s, rng, 1+rng.IntN(25), &st)
+				runWorkload(s, rng, 1+rng.IntN(25), &st)
 				if s.Close() == nil {
-					st.acked = len(st.states) - 1
+					st.durable = len(st.states) - 1
 				}
 			}
 			fs = fs.Crash(rng.Uint64())
 			next := fs.Clone()
-			st = held(t, next, st, fmt.Sprintf("seed %d, life %d", seed, life))
+			st = checkPrefix(t, next, st, fmt.Sprintf("seed %d, life %d", seed, life))
 			fs = next
 		}
 	}
 }
 
 // whole gives a folder after a clean end, with a checkpoint, a compaction and several segments, and what is in it.
-func whole(t testing.TB) (*faultfs.FS, map[string]string) {
+func closedStore(t testing.TB) (*faultfs.FS, map[string]string) {
 	fs := faultfs.New()
-	var st story
+	var st history
 	for life := range uint64(2) {
 		s := open(t, fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 500, CheckpointBytes: 900})
-		play(s, rand.New(rand.NewPCG(life, 3)), 12, &st)
+		runWorkload(s, rand.New(rand.NewPCG(life, 3)), 12, &st)
 		require.NoError(t, s.Close())
 	}
 	return fs, st.states[len(st.states)-1]
@@ -278,13 +278,13 @@
 // Every file of a folder that was closed well is cut at every byte, and every byte of it flipped. It opens with all that was written,
 // or says which file is damaged; never with less, nor with anything else. Verify finds the same, and Repair makes a folder that
 // opens, with no key that was never written.
-func TestEveryByteCutAndFlipped(t *testing.T) {
-	fs, want := whole(t)
+func TestTruncationAndBitFlipAtEveryByte(t *testing.T) {
+	fs, want := closedStore(t)
 	names, err := fs.List()
 	require.NoError(t, err)
 	refused, opened := 0, 0
 	check := func(bad *faultfs.FS, where string, repair bool) {
-		s, err := store.Open(bad.Clone(), quiet)
+		s, err := store.Open(bad.Clone(), noBackgroundFlush)
 		if err != nil {
 			var damage *store.CorruptionError
 			require.ErrorAs(t, err, &damage, where)
@@ -317,7 +317,7 @@
 		if _, err := store.Repair(bad); err != nil {
 			return // nothing could be read
 		}
-		s, err = store.Open(bad, quiet)
+		s, err = store.Open(bad, noBackgroundFlush)
 		require.NoError(t, err, where)
 		for k := range all(t, s) {
 			require.True(t, strings.HasPrefix(k, "k"), where)
@@ -339,7 +339,7 @@
 		if strings.HasSuffix(name, ".seg") {
 			bad := fs.Clone()
 			bad.SetBytes(name, nil)
-			_, err := store.Open(bad, quiet)
+			_, err := store.Open(bad, noBackgroundFlush)
 			assert.ErrorContains(t, err, "missing", name)
 		}
 	}
@@ -349,9 +349,9 @@
 
 // Of a store that was killed, every byte of the segment that was written to is flipped: what had been acknowledged and was followed by
 // anything is missed, what was last can't be told from a torn write.
-func TestFlipsAfterAKill(t *testing.T) {
+func TestBitFlipsAfterCrash(t *testing.T) {
 	fs := faultfs.New()
-	s := open(t, fs, quiet)
+	s := open(t, fs, noBackgroundFlush)
 	for i := range 8 {
 		put(t, s, store.Immediate, fmt.Sprint("k", i), strings.Repeat("v", 20))
 	}
@@ -368,7 +368,7 @@
 		flipped := append([]byte(nil), b...)
 		flipped[at] ^= 1
 		bad.SetBytes(last, flipped)
-		s, err := store.Open(bad, quiet)
+		s, err := store.Open(bad, noBackgroundFlush)
 		if err != nil {
 			var damage *store.CorruptionError
 			require.ErrorAs(t, err, &damage)
@@ -380,7 +380,7 @@
 }
 
 // A disk that is full, or whose fsync fails, ends all acknowledging for good; what was acknowledged before is there.
-func TestDiskThatFails(t *testing.T) {
+func TestDiskErrors(t *testing.T) {
 	for _, kind := range []string{"full", "sync"} {
 		for at := 1; at < 60; at++ {
 			fs := faultfs.New()
@@ -389,10 +389,10 @@
 			} else {
 				fs.SyncErrorAt = at
 			}
-			var st story
+			var st history
 			s, err := store.Open(fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 600})
 			if err == nil {
-				play(s, rand.New(rand.NewPCG(uint64(at), 4)), 20, &st)
+				runWorkload(s, rand.New(rand.NewPCG(uint64(at), 4)), 20, &st)
 				if s.Err() != nil {
 					var b store.Batch
 					b.Put([]byte("later"), nil)
@@ -403,20 +403,20 @@
 				st.states = []map[string]string{{}}
 			}
 			left := fs.Crash(uint64(at))
-			held(t, left, st, fmt.Sprint(kind, " at ", at))
+			checkPrefix(t, left, st, fmt.Sprint(kind, " at ", at))
 		}
 	}
 }
 
 // A disk whose fsync lies loses what it promised; nothing is invented all the same.
-func TestDiskThatLies(t *testing.T) {
+func TestIgnoredSyncs(t *testing.T) {
 	for seed := uint64(1); seed < 40; seed++ {
 		fs := faultfs.New()
 		fs.IgnoreSync = true
-		var st story
+		var st history
 		s := open(t, fs, store.Options{FlushInterval: time.Hour, SegmentBytes: 600})
-		play(s, rand.New(rand.NewPCG(seed, 5)), 20, &st)
-		left, err := store.Open(fs.Crash(seed), quiet)
+		runWorkload(s, rand.New(rand.NewPCG(seed, 5)), 20, &st)
+		left, err := store.Open(fs.Crash(seed), noBackgroundFlush)
 		if err != nil {
 			continue // it says so
 		}
@@ -432,8 +432,8 @@
 }
 
 // The form of another version is refused by name, and so is a folder of another store's segments, or one whose list is lost.
-func TestOtherFolders(t *testing.T) {
-	fs, _ := whole(t)
+func TestForeignAndIncompleteDirectories(t *testing.T) {
+	fs, _ := closedStore(t)
 	names, _ := fs.List()
 	for _, name := range names {
 		b := fs.Bytes(name)
@@ -443,20 +443,20 @@
 		later := fs.Clone()
 		binary.BigEndian.PutUint16(b[4:], 2)
 		later.SetBytes(name, b)
-		_, err := store.Open(later, quiet)
+		_, err := store.Open(later, noBackgroundFlush)
 		assert.ErrorContains(t, err, "form 2", name)
 		assert.ErrorContains(t, err, name)
 	}
 	lost := fs.Clone()
 	lost.SetBytes("MANIFEST", nil)
-	_, err := store.Open(lost, quiet)
+	_, err := store.Open(lost, noBackgroundFlush)
 	assert.ErrorContains(t, err, "MANIFEST")
-	other, _ := whole(t)
+	other, _ := closedStore(t)
 	for _, name := range names {
 		if strings.HasSuffix(name, ".seg") && other.Bytes(name) != nil {
 			mixed := fs.Clone()
 			mixed.SetBytes(name, other.Bytes(name))
-			_, err := store.Open(mixed, quiet)
+			_, err := store.Open(mixed, noBackgroundFlush)
 			assert.ErrorContains(t, err, "another store", name)
 		}
 	}
@@ -541,7 +541,7 @@
 	s := open(t, fs, store.Options{FlushInterval: 5 * time.Millisecond})
 	put(t, s, store.Buffered, "k1", "v")
 	require.Eventually(t, func() bool { return s.Counters().Syncs > 0 }, 10*time.Second, time.Millisecond)
-	left := open(t, fs.Crash(3), quiet)
+	left := open(t, fs.Crash(3), noBackgroundFlush)
 	assert.Equal(t, map[string]string{"k1": "v"}, all(t, left))
 	require.NoError(t, left.Close())
 	require.NoError(t, s.Close())
@@ -549,7 +549,7 @@
 
 // Each stops when it is told to, and shows a prefix alone.
 func TestEach(t *testing.T) {
-	s := open(t, faultfs.New(), quiet)
+	s := open(t, faultfs.New(), noBackgroundFlush)
 	put(t, s, store.Buffered, "a1", "", "a2", "", "b1", "")
 	var keys []string
 	require.NoError(t, s.Each([]byte("a"), func(k, _ []byte) bool { keys = append(keys, string(k)); return true }))
@@ -562,7 +562,7 @@
 
 // What reads files takes any bytes for what they are.
 func FuzzOpen(f *testing.F) {
-	fs, _ := whole(f)
+	fs, _ := closedStore(f)
 	names, _ := fs.List()
 	for _, name := range names {
 		f.Add(name, fs.Bytes(name))
@@ -571,7 +571,7 @@
 		bad := fs.Clone()
 		bad.SetBytes(name, b)
 		store.Verify(bad)
-		if s, err := store.Open(bad, quiet); err == nil {
+		if s, err := store.Open(bad, noBackgroundFlush); err == nil {
 			s.Each(nil, func([]byte, []byte) bool { return true })
 			s.Close()
 		}
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -24,7 +24,7 @@
 }
 
 // stormy plays an outage of all members, damped or not.
-func stormy(name string, seed uint64, damped bool, heeds float64) (*simulation, time.Duration) {
+func runStorm(name string, seed uint64, damped bool, heeds float64) (*simulation, time.Duration) {
 	w := newSimulation(seed, 3, 12, 0.6)
 	w.damped, w.model, w.heeds = damped, models[name], heeds
 	back, _ := w.outage()
@@ -32,13 +32,13 @@
 }
 
 // Whatever the clients do, service is back within one and a half times the members' warm-up, and no later than without.
-func TestComesBackForEveryClientModel(t *testing.T) {
+func TestRecoversForEveryClientModel(t *testing.T) {
 	for name := range models {
 		for _, heeds := range []float64{0, 0.5, 1} { // clients that ignore Retry-After, and that honour it all together
 			var damped, undamped time.Duration
 			for seed := range uint64(3) {
-				w, back := stormy(name, seed, true, heeds)
-				_, without := stormy(name, seed, false, heeds)
+				w, back := runStorm(name, seed, true, heeds)
+				_, without := runStorm(name, seed, false, heeds)
 				damped, undamped = damped+back/3, undamped+without/3
 				assert.LessOrEqual(t, back, warmIn*3/2, "%s, %.1f heed, seed %d", name, heeds, seed)
 				assert.Less(t, w.coldPeak, 4.0, name)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestOutageThatComesBack(t *testing.T) {
+func TestRepeatedOutage(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
 	w.play(20*second, 1)
 	usual := w.share(worldFrom+5*second, w.now)
@@ -68,7 +68,7 @@
 }
 
 // One gateway of which little is asked sees the end of an outage too, though it lets in one try a second.
-func TestOutageOfAQuietGateway(t *testing.T) {
+func TestOutageOfALightlyLoadedGateway(t *testing.T) {
 	w := newSimulation(9, 1, 3, 0.2)
 	w.model = models["immediate"]
 	w.play(30*second, 1)
@@ -82,7 +82,7 @@
 }
 
 // Discovery lists all members as up, and all of them take work and answer nothing: the attempts that are out tell.
-func TestMembersThatAnswerNothing(t *testing.T) {
+func TestUnresponsiveMembers(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
 	w.play(20*second, 1)
 	for i := range w.members {
@@ -96,7 +96,7 @@
 }
 
 // One room of two is gone: what is left is served, and that is no outage.
-func TestOutageOfOneRoom(t *testing.T) {
+func TestOutageOfOneZone(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, damped := range []bool{true, false} {
 		w := newSimulation(2, 3, 12, 0.6)
@@ -223,7 +223,7 @@
 
 // Controllers that all connect anew and mark nothing, each under an account of its own: no try can be told for a retry,
 // but with so many new connections, more asked than is usual and much that ends badly it is a storm all the same.
-func TestRushOfConnections(t *testing.T) {
+func TestConnectionSurge(t *testing.T) {
 	for _, rush := range []bool{true, false} {
 		w := newSimulation(11, 1, 12, 0.6)
 		w.play(20*second, 1)
@@ -242,7 +242,7 @@
 }
 
 // A clock that stood still for 3 s, or a process that did, is no outage, and ends none.
-func TestClockThatStandsStill(t *testing.T) {
+func TestProcessPause(t *testing.T) {
 	w := newSimulation(5, 1, 12, 0.6)
 	w.play(20*second, 1)
 	g := w.guards[0]
@@ -304,7 +304,7 @@
 
 // Those who heed what they are told come back spread over the time there is, and none is told to wait longer than the
 // clients' limit or less than a moment.
-func TestPromisesAreSpread(t *testing.T) {
+func TestScheduledReturnsAreSpread(t *testing.T) {
 	w := newSimulation(8, 3, 12, 0.6)
 	w.play(20*second, 1)
 	w.stop(w.all()...)
@@ -333,7 +333,7 @@
 }
 
 // First tries come before retries, dear ones before cheap ones, and what must not run twice before what may.
-func TestWhoComesFirst(t *testing.T) {
+func TestAdmissionPriority(t *testing.T) {
 	g := New(Options{Classes: classes, Prices: []float64{1.2, 1.6}})
 	last := -1.0
 	for _, c := range []struct {
@@ -348,7 +348,7 @@
 	assert.NotPanics(t, func() { g.reserve(Arrival{Class: 9, Plan: -1}, false) })
 }
 
-func TestWordsRoundTrip(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	w := Message{Phase: Recovery, Confidence: 0.5, Seq: 9, FirstAttempts: 30, Retries: 300, InTime: 12, Failed: 1, Limit: 17, Baseline: 33}
 	w.Scheduled[3] = 21
 	w.FailedWork.add(12345678901234567)
@@ -366,7 +366,7 @@
 	assert.LessOrEqual(t, len(w.Encode()), 128)
 }
 
-func FuzzHear(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	w := Message{Phase: Outage, Confidence: 1}
 	f.Add(w.Encode())
 	f.Fuzz(func(t *testing.T, m []byte) {
@@ -388,7 +388,7 @@
 
 // The ways considered, on the same storms: mean time until service is back, and the most that a cold member was sent over
 // what it could do. The design page has the table.
-func TestWaysCompared(t *testing.T) {
+func TestCompareStrategies(t *testing.T) {
 	const seeds = 3
 	mean := map[string]time.Duration{}
 	for _, way := range []string{"none", "budget", "concurrency", "ramp"} {
