--- a/internal/store/crossing_test.go
+++ b/internal/store/concurrent_write_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/store/faultfs"
 )
 
-// hooked is a folder that lets a test do something while a segment's sync is under way.
+// hookedFS calls beforeSync at the start of every sync of a segment.
 type hookedFS struct {
 	*faultfs.FS
 	beforeSync func()
@@ -33,8 +33,8 @@
 
 func (f hookedFile) Sync() error { f.beforeSync(); return f.File.Sync() }
 
-// A key is written again while its last value is on the way to the disk, and a checkpoint is made before the new one follows: what
-// was on the way is in the checkpoint, and there after a power cut.
+// A key is written again while its previous value is being flushed, and a checkpoint is written before the new value is
+// flushed: the checkpoint has the previous value, which is there after a power failure.
 func TestWriteDuringFlushOfSameKey(t *testing.T) {
 	disk := &hookedFS{FS: faultfs.New(), beforeSync: func() {}}
 	s, err := store.Open(disk, store.Options{FlushInterval: time.Hour, CheckpointBytes: 1})
@@ -45,7 +45,7 @@
 		assert.NoError(t, s.Write(&b, d))
 	}
 	syncs, made := 0, s.Counters().Checkpoints
-	disk.beforeSync = func() { // under way: the first value's, then, as a checkpoint is to be made, the second's
+	disk.beforeSync = func() { // of the first value, then of the second, before the checkpoint
 		if syncs++; syncs <= 2 {
 			write([]string{"second", "third"}[syncs-1], store.Buffered)
 		}
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/store/faultfs/faultfs.go
@@ -1,12 +1,14 @@
-// Package faultfs owns a folder in memory that fails as disks do: what was not synced may be gone after a power cut, or there in
-// part and out of order; writes and fsyncs fail, or lie; bits flip. All chance follows from a seed. It is for tests, and must
-// never be linked into a gateway.
+// Package faultfs is a store.FS in memory that injects the faults of disks, for tests only.
+//
+// It models what the operating system guarantees and no more: until a file is synced, each sector that was written
+// may be on disk after a power failure, in any order, and in part; until the directory is synced, each creation,
+// rename and removal may have happened or not. Other faults are writes that find the disk full, an fsync that
+// returns an error, and disks that acknowledge an fsync and ignore it. All random choices follow from the seed that
+// Crash is given.
 package faultfs
 
 import (
 	"errors"
-	"io"
-	"math/rand/v2"
 	"os"
 	"slices"
 	"sync"
@@ -14,55 +16,59 @@
 	"sprucelane.example/sprucelane/internal/store"
 )
 
-// ErrPowerCut is what every call gives after the power is cut.
+// ErrPowerCut is the error of every operation after the power was cut.
 var ErrPowerCut = errors.New("faultfs: the power is cut")
 
-// ErrFull and ErrSync are what a disk says that is full, or whose fsync fails.
+// The errors of a full disk, and of a failed fsync.
 var (
 	ErrNoSpace = errors.New("faultfs: no space left on the device")
 	ErrIO      = errors.New("faultfs: input/output error")
 )
 
-// sector is what a disk writes at once.
-const sectorSize = 512
-
-// FS is a folder.
+// FS is a directory. Its fields are set before it is used.
 type FS struct {
-	mu           sync.Mutex
-	files        map[string]*inode // as the running system sees it
-	durableNames map[string]*inode // as the folder was when it was last synced
-	ops          int               // changes so far
+	// PowerCutAt cuts the power during the operation with this number; 0: never. Operations are counted from 1; reads
+	// don't count.
+	PowerCutAt int
+	// DiskFullAt makes all writes from this operation on fail, after half of their bytes; 0: never.
+	DiskFullAt int
+	// SyncErrorAt makes this operation fail if it is a sync; 0: never.
+	SyncErrorAt int
+	// IgnoreSync makes all syncs succeed without any effect.
+	IgnoreSync bool
+
+	mu           sync.Mutex        // guards all that follows, and the content of all files
+	files        map[string]*inode // what the running system sees
+	durableNames map[string]*inode // the directory as of its last sync
+	ops          int               // operations so far
 	locked       bool
 	poweredOff   bool
-
-	// CutAt cuts the power at that change, from 1 on; FullAt and SyncFailsAt let that change fail, and all later writes or the
-	// one fsync. 0: never.
-	PowerCutAt, DiskFullAt, SyncErrorAt int
-	IgnoreSync                          bool // fsyncs say yes and do nothing
 }
 
+// inode is the content of a file.
 type inode struct {
-	current  []byte // as the running system sees it
-	durable  []byte // as of its last sync
-	unsynced []write
+	current  []byte  // what the running system sees
+	durable  []byte  // as of the last sync
+	unsynced []write // since then
 }
 
+// write is a write or a truncation that has not been synced.
 type write struct {
 	offset int64
-	data   []byte // nil: a truncation to at
+	data   []byte // nil: a truncation to offset
 }
 
-// New gives an empty folder.
+// New returns an empty directory.
 func New() *FS { return &FS{files: map[string]*inode{}, durableNames: map[string]*inode{}} }
 
-// Ops counts the changes so far.
+// Ops returns the number of operations so far.
 func (f *FS) Ops() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.ops
 }
 
-// change counts one change and tells what becomes of it. The mutex is held.
+// countOp counts an operation, and returns ErrPowerCut if the power is cut by it or was before. mu is held.
 func (f *FS) countOp() error {
 	if f.poweredOff {
 		return ErrPowerCut
@@ -74,78 +80,7 @@
 	return nil
 }
 
-// Crash gives the folder as a power cut now leaves it: of what was not synced each sector that was written is there or not, the one
-// that was being written may be torn, and each change of the folder's names has happened or not.
-func (f *FS) Crash(seed uint64) *FS {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	rng := rand.New(rand.NewPCG(seed, 7))
-	next := New()
-	names := map[string]*inode{}
-	for name, n := range f.durableNames {
-		names[name] = n
-	}
-	for _, name := range sortedNames(f.files, f.durableNames) { // renames, creations and removals that were not synced
-		n, is := f.files[name]
-		if old, was := f.durableNames[name]; is == was && n == old || rng.IntN(2) == 0 {
-			continue
-		}
-		if is {
-			names[name] = n
-		} else {
-			delete(names, name)
-		}
-	}
-	for _, name := range sortedNames(names, nil) {
-		n := names[name]
-		data := slices.Clone(n.durable)
-		for _, w := range n.unsynced {
-			if w.data == nil {
-				if rng.IntN(2) == 0 && int64(len(data)) > w.offset {
-					data = data[:w.offset]
-				}
-				continue
-			}
-			for at := 0; at < len(w.data); {
-				end := min(len(w.data), at+sectorSize-int((w.offset+int64(at))%sectorSize))
-				keep := end
-				switch rng.IntN(4) {
-				case 0:
-					at = end
-					continue
-				case 1:
-					keep = at + rng.IntN(end-at+1)
-				}
-				data = writeAt(data, w.data[at:keep], w.offset+int64(at))
-				at = end
-			}
-		}
-		next.files[name] = &inode{current: data, durable: slices.Clone(data)}
-		next.durableNames[name] = next.files[name]
-	}
-	return next
-}
-
-func sortedNames(a, b map[string]*inode) (names []string) {
-	for n := range a {
-		names = append(names, n)
-	}
-	for n := range b {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	return slices.Compact(names)
-}
-
-func writeAt(to, data []byte, at int64) []byte {
-	if need := at + int64(len(data)); int64(len(to)) < need && len(data) > 0 {
-		to = append(to, make([]byte, need-int64(len(to)))...)
-	}
-	copy(to[min(at, int64(len(to))):], data)
-	return to
-}
-
-// Clone gives a copy of the folder as it is, with nothing pending.
+// Clone returns a copy of the directory in which everything is synced.
 func (f *FS) Clone() *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +92,7 @@
 	return next
 }
 
-// Bytes gives a file's bytes, to be changed by SetBytes: a cut, a flipped bit.
+// Bytes returns a copy of a file's content; nil: there is no such file.
 func (f *FS) Bytes(name string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,7 +102,7 @@
 	return nil
 }
 
-// SetBytes changes a file behind everybody's back; nil takes it away.
+// SetBytes replaces a file's content, on disk too, to simulate damage; nil removes the file.
 func (f *FS) SetBytes(name string, b []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -277,83 +212,23 @@
 	}, nil
 }
 
-type file struct {
-	fs    *FS
-	inode *inode
-}
-
-func (x *file) ReadAt(p []byte, at int64) (int, error) {
-	x.fs.mu.Lock()
-	defer x.fs.mu.Unlock()
-	if x.fs.poweredOff {
-		return 0, ErrPowerCut
-	}
-	if at >= int64(len(x.inode.current)) {
-		return 0, io.EOF
-	}
-	n := copy(p, x.inode.current[at:])
-	if n < len(p) {
-		return n, io.EOF
-	}
-	return n, nil
-}
-
-func (x *file) WriteAt(p []byte, at int64) (int, error) {
-	x.fs.mu.Lock()
-	defer x.fs.mu.Unlock()
-	err := x.fs.countOp()
-	if errors.Is(err, ErrPowerCut) && x.fs.ops == x.fs.PowerCutAt { // the power went during this one
-		x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p)})
-	}
-	if err != nil {
-		return 0, err
-	}
-	if x.fs.DiskFullAt > 0 && x.fs.ops >= x.fs.DiskFullAt {
-		half := len(p) / 2
-		x.inode.current = writeAt(x.inode.current, p[:half], at)
-		x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p[:half])})
-		return half, ErrNoSpace
-	}
-	x.inode.current = writeAt(x.inode.current, p, at)
-	x.inode.unsynced = append(x.inode.unsynced, write{at, slices.Clone(p)})
-	return len(p), nil
-}
-
-func (x *file) Truncate(size int64) error {
-	x.fs.mu.Lock()
-	defer x.fs.mu.Unlock()
-	if err := x.fs.countOp(); err != nil {
-		return err
-	}
-	if int64(len(x.inode.current)) > size {
-		x.inode.current = x.inode.current[:size]
+// sortedNames returns the names in either map, in order.
+func sortedNames(a, b map[string]*inode) (names []string) {
+	for n := range a {
+		names = append(names, n)
 	}
-	x.inode.unsynced = append(x.inode.unsynced, write{offset: size})
-	return nil
-}
-
-func (x *file) Size() (int64, error) {
-	x.fs.mu.Lock()
-	defer x.fs.mu.Unlock()
-	if x.fs.poweredOff {
-		return 0, ErrPowerCut
+	for n := range b {
+		names = append(names, n)
 	}
-	return int64(len(x.inode.current)), nil
+	slices.Sort(names)
+	return slices.Compact(names)
 }
 
-func (x *file) Sync() error {
-	x.fs.mu.Lock()
-	defer x.fs.mu.Unlock()
-	if err := x.fs.countOp(); err != nil {
-		return err
-	}
-	if x.fs.SyncErrorAt > 0 && x.fs.ops == x.fs.SyncErrorAt {
-		return ErrIO
-	}
-	if !x.fs.IgnoreSync {
-		x.inode.durable, x.inode.unsynced = slices.Clone(x.inode.current), nil
+// writeAt writes data into a file's content, and grows it if need be.
+func writeAt(to, data []byte, at int64) []byte {
+	if need := at + int64(len(data)); int64(len(to)) < need && len(data) > 0 {
+		to = append(to, make([]byte, need-int64(len(to)))...)
 	}
-	return nil
+	copy(to[min(at, int64(len(to))):], data)
+	return to
 }
-
-func (x *file) Close() error { return nil }
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -119,7 +119,8 @@
 		return r, 0, false
 	}
 	n := binary.BigEndian.Uint32(b)
-	if n < recordHeaderSize || n > recordHeaderSize+MaxKeySize+MaxValueSize || uint64(len(b)) < uint64(n)+recordPrefixSize {
+	if n < recordHeaderSize || n > recordHeaderSize+MaxKeySize+MaxValueSize ||
+		uint64(len(b)) < uint64(n)+recordPrefixSize {
 		return r, 0, false
 	}
 	size = recordPrefixSize + int(n)
--- a/internal/store/keep/keep.go
+++ b/internal/store/keep/keep.go
@@ -1,81 +1,76 @@
-// Package keep owns what a gateway keeps in its store: how much each account has drawn, and that it lives. It writes beside the
-// gateway's work, never in its way; a disk that is slow, full or gone costs what is kept, nothing else. It must never give back use
-// that was not there, nor that of another gateway.
+// Package keep persists what a gateway has to know after a restart: how much of its quota each account has used. The
+// Keeper writes the balances that have changed to the gateway's store (package store) every WriteInterval, and gives
+// them back to the gateway when the next process opens the store. Together with the store's FlushInterval, that bounds
+// what a crash loses.
+//
+// It never delays the gateway: it works in a goroutine of its own, and a slow, full or failed disk only ends the
+// persisting. It never restores balances of another gateway: a store that is damaged or belongs to another gateway is
+// quarantined (renamed, for inspection), and the gateway starts with an empty one.
+//
+// The database has one record per account, and one record of the process that wrote it, its incarnation. Values are
+// protocol buffers; their messages are in api/sprucelane/v1/keep.proto.
 package keep
 
 import (
 	"context"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"log/slog"
-	"math"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
-	"google.golang.org/protobuf/encoding/protowire"
-
 	"sprucelane.example/sprucelane/internal/store"
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The keys: a letter, and for accounts the name that gateways have for them in messages. Values are protocol buffers; the
-// messages stand in api/sprucelane/v1/keep.proto.
-const (
-	accountPrefix  = 'a'
-	incarnationKey = "l"
-)
-
 const (
-	// Every is how often changes are written; with the store's FlushEvery it bounds what a crash takes.
+	// WriteInterval is how often changed balances are written.
 	WriteInterval = 100 * time.Millisecond
-	// aliveEvery is how often a gateway of which nothing is asked says that it lives.
+	// heartbeatInterval is how often the incarnation is written when no balance changes. Its time tells the next
+	// process since when the gateway has not been running.
 	heartbeatInterval = time.Second
-	// lockWait is how often a folder is tried again that another process has open: a predecessor that is ending.
+	// lockRetryInterval is how often Run tries to open a store that another process has locked: a predecessor that is
+	// shutting down.
 	lockRetryInterval = 500 * time.Millisecond
-	// forgetAfter is how long an account's use is kept that nobody has asked for: longer than any burst takes to fill.
+	// balanceTTL is the age at which a balance is no longer restored. Every quota has been refilled by then.
 	balanceTTL = time.Hour
 )
 
-// Gateway is what is kept of.
+// Gateway is what the Keeper needs of the gateway.
 type Gateway interface {
+	// QuotaBalances returns the balances that changed since a time, and the time to pass to the next call.
 	QuotaBalances(since policy.Time) (list []policy.QuotaBalance, now policy.Time)
+	// RestoreBalances takes the balances that the predecessor persisted.
 	RestoreBalances(list []policy.QuotaBalance)
 }
 
-// Options say where and for whom.
+// Options are the settings of a Keeper.
 type Options struct {
-	Path        string
-	Name        string // the gateway's
-	Plans       []string
-	Store       store.Options
-	Now         func() time.Time
-	OnLockRetry func() // of tests: called before a folder is tried again
+	Path        string           // of the store's directory
+	Name        string           // the gateway's; a store of another name is quarantined
+	Plans       []string         // names by number; balances are matched by the name, as numbers may change
+	Store       store.Options    // limits of the store
+	Now         func() time.Time // wall clock; nil: time.Now
+	OnLockRetry func()           // of tests; nil or called before each attempt to open a locked store
 }
 
-// Keeper writes what a gateway is to know after its next start.
+// Keeper persists the quota balances of one gateway.
 type Keeper struct {
 	opt     Options
 	gateway Gateway
 
+	// mu guards the fields below. It is not held while the disk is accessed.
 	mu             sync.Mutex
-	store          *store.Store // nil: not open
-	restored       int
-	quarantinePath string
-	err            error
-}
-
-// life is what a gateway says of itself.
-type incarnation struct {
-	name        string
-	lastAliveMs int64 // Unix ms
-	plans       []string
+	store          *store.Store // nil: not open yet, another process has locked it
+	restored       int          // accounts
+	quarantinePath string       // where the last unusable store was moved to; empty: there was none
+	err            error        // the latest error; nothing is written after the store's first one
 }
 
-// Open opens the folder, hands the gateway what the former life has kept, and gives a keeper for this one. A folder that another
-// process has open is tried again by Run, and nothing is recalled of it. What can't be used is set aside under another
-// name, and the gateway goes on as with none.
+// Open opens the store, gives the gateway what its predecessor persisted, and returns a Keeper that Run has to be
+// called on. If another process has the store locked, Run opens it later, and nothing is restored.
 func Open(opt Options, g Gateway) (*Keeper, error) {
 	if opt.Now == nil {
 		opt.Now = time.Now
@@ -88,14 +83,15 @@
 	return k, err
 }
 
-func (k *Keeper) open(recall bool) error {
+// open opens the store, quarantines one that is unusable, and, with restore, restores the balances.
+func (k *Keeper) open(restore bool) error {
 	fs, err := store.OpenDir(k.opt.Path)
 	if err != nil {
 		return err
 	}
 	s, err := store.Open(fs, k.opt.Store)
-	var damage *store.CorruptionError
-	if errors.As(err, &damage) {
+	var corruption *store.CorruptionError
+	if errors.As(err, &corruption) {
 		if s, err = k.quarantine(err.Error()); err != nil {
 			return err
 		}
@@ -103,20 +99,20 @@
 	if err != nil {
 		return err
 	}
-	was, known, err := loadIncarnation(s)
-	if err != nil || known && was.name != k.opt.Name {
-		why := fmt.Sprintf("of gateway %q", was.name)
+	last, found, err := loadIncarnation(s)
+	if err != nil || found && last.name != k.opt.Name {
+		reason := fmt.Sprintf("of gateway %q", last.name)
 		if err != nil {
-			why = err.Error()
+			reason = err.Error()
 		}
 		s.Close()
-		if s, err = k.quarantine(why); err != nil {
+		if s, err = k.quarantine(reason); err != nil {
 			return err
 		}
-		known = false
+		found = false
 	}
-	if known && recall {
-		k.restore(s, was)
+	if found && restore {
+		k.restore(s, last)
 	}
 	k.mu.Lock()
 	k.store = s
@@ -124,13 +120,13 @@
 	return nil
 }
 
-// setAside keeps a folder that can't be used, for people to look at, and begins another.
-func (k *Keeper) quarantine(why string) (*store.Store, error) {
+// quarantine renames the directory of an unusable store, and opens an empty store in its place.
+func (k *Keeper) quarantine(reason string) (*store.Store, error) {
 	to := fmt.Sprintf("%s.aside-%d", k.opt.Path, k.opt.Now().UnixMilli())
 	if err := os.Rename(k.opt.Path, to); err != nil {
 		return nil, err
 	}
-	slog.Warn("store_set_aside", "path", k.opt.Path, "to", to, "why", why)
+	slog.Warn("store_set_aside", "path", k.opt.Path, "to", to, "why", reason)
 	k.mu.Lock()
 	k.quarantinePath = to
 	k.mu.Unlock()
@@ -141,30 +137,25 @@
 	return store.Open(fs, k.opt.Store)
 }
 
-// recall hands the gateway the use that it had. How long ago that was goes by the clock of both lives; one that was set back counts
-// as no time at all, so nothing has filled up.
-func (k *Keeper) restore(s *store.Store, was incarnation) {
+// restore gives the gateway the balances that its last incarnation wrote, with their age by the wall clocks of both. If
+// the clock was set back, the age is 0, so that no quota counts as refilled.
+func (k *Keeper) restore(s *store.Store, last incarnation) {
 	now := k.opt.Now().UnixMilli()
 	var list []policy.QuotaBalance
 	s.Each([]byte{accountPrefix}, func(key, value []byte) bool {
-		u, at, err := decodeBalance(key, value)
-		plan := int(u.Key >> 24 & 255)
-		if err != nil || plan >= len(was.plans) || now-at > balanceTTL.Milliseconds() {
+		balance, at, err := decodeBalance(key, value)
+		plan := planOf(balance.Key)
+		if err != nil || plan >= len(last.plans) || now-at > balanceTTL.Milliseconds() {
 			return true
 		}
-		next := -1
-		for i, name := range k.opt.Plans { // numbers of plans may have changed
-			if name == was.plans[plan] {
-				next = i
-			}
-		}
-		if next < 0 {
-			return true
+		current := slices.Index(k.opt.Plans, last.plans[plan])
+		if current < 0 {
+			return true // the plan no longer exists
 		}
-		u.Key = u.Key&^(255<<24) | uint64(next)<<24
-		u.Age = time.Duration(max(0, now-at)) * time.Millisecond
-		u.Downtime = time.Duration(max(0, now-was.lastAliveMs)) * time.Millisecond
-		list = append(list, u)
+		balance.Key = withPlan(balance.Key, current)
+		balance.Age = time.Duration(max(0, now-at)) * time.Millisecond
+		balance.Downtime = time.Duration(max(0, now-last.lastAliveMs)) * time.Millisecond
+		list = append(list, balance)
 		return true
 	})
 	k.mu.Lock()
@@ -173,9 +164,9 @@
 	k.gateway.RestoreBalances(list)
 }
 
-// Run writes until ctx ends, and closes the folder.
+// Run persists balances until ctx ends, and closes the store.
 func (k *Keeper) Run(ctx context.Context) {
-	since, alive := policy.Time(0), time.Time{}
+	since, lastWrite := policy.Time(0), time.Time{}
 	tick := time.NewTicker(WriteInterval)
 	defer tick.Stop()
 	for {
@@ -189,8 +180,8 @@
 			continue
 		}
 		list, now := k.gateway.QuotaBalances(since)
-		if len(list) > 0 || k.opt.Now().Sub(alive) >= heartbeatInterval {
-			since, alive = now, k.opt.Now()
+		if len(list) > 0 || k.opt.Now().Sub(lastWrite) >= heartbeatInterval {
+			since, lastWrite = now, k.opt.Now()
 			k.write(s, list)
 		}
 		select {
@@ -204,7 +195,8 @@
 	}
 }
 
-// again tries a folder that was locked, and tells whether to go on.
+// retryOpen waits lockRetryInterval and tries to open the store that was locked. It returns false if ctx has ended or
+// the store can't be opened.
 func (k *Keeper) retryOpen(ctx context.Context) bool {
 	if k.opt.OnLockRetry != nil {
 		k.opt.OnLockRetry()
@@ -223,19 +215,20 @@
 	return true
 }
 
+// write persists some balances and the time at which the gateway was running.
 func (k *Keeper) write(s *store.Store, list []policy.QuotaBalance) {
-	at := k.opt.Now().UnixMilli()
+	now := k.opt.Now().UnixMilli()
 	var b store.Batch
-	for _, u := range list {
-		b.Put(encodeAccountKey(u.Key), encodeBalance(u, at))
+	for _, balance := range list {
+		b.Put(encodeAccountKey(balance.Key), encodeBalance(balance, now))
 	}
-	b.Put([]byte(incarnationKey), encodeIncarnation(incarnation{k.opt.Name, at, k.opt.Plans}))
+	b.Put([]byte(incarnationKey), encodeIncarnation(incarnation{k.opt.Name, now, k.opt.Plans}))
 	if err := s.Write(&b, store.Buffered); err != nil {
 		k.recordFailure(err)
 	}
 }
 
-// failed says so once.
+// recordFailure keeps an error for Stats, and logs the first one.
 func (k *Keeper) recordFailure(err error) {
 	k.mu.Lock()
 	first := k.err == nil
@@ -246,16 +239,16 @@
 	}
 }
 
-// Figures are counters for the people on call.
+// Stats are counters for operators.
 type Stats struct {
 	store.Counters
-	Restored       int    // accounts whose use came back
-	QuarantinePath string // where a folder was set aside; empty: none was
-	Err            error  // why nothing more is kept
-	Epoch          uint64
+	Restored       int    // accounts whose balance was restored
+	QuarantinePath string // where an unusable store was moved to; empty: there was none
+	Err            error  // why nothing more is persisted; nil: all is well
+	Epoch          uint64 // how often the store has been opened; 0: it is not open
 }
 
-// Figures gives the counters.
+// Stats returns the counters.
 func (k *Keeper) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -267,128 +260,3 @@
 	}
 	return f
 }
-
-func encodeAccountKey(name uint64) []byte {
-	return binary.BigEndian.AppendUint64([]byte{accountPrefix}, name)
-}
-
-// useBytes words an account's use as the message Use.
-func encodeBalance(u policy.QuotaBalance, at int64) []byte {
-	b := protowire.AppendTag(nil, 1, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(u.Customer))
-	b = protowire.AppendTag(b, 2, protowire.Fixed64Type)
-	b = protowire.AppendFixed64(b, math.Float64bits(u.Balance))
-	b = protowire.AppendTag(b, 3, protowire.VarintType)
-	return protowire.AppendVarint(b, uint64(at))
-}
-
-// readUse reads what useBytes has written. Figures that can't be are an error.
-func decodeBalance(key, value []byte) (u policy.QuotaBalance, at int64, err error) {
-	if len(key) != 9 {
-		return u, 0, errors.New("an odd key")
-	}
-	u.Key = binary.BigEndian.Uint64(key[1:])
-	err = visitFields(value, func(n protowire.Number, number uint64, _ []byte) {
-		switch n {
-		case 1:
-			u.Customer = policy.CustomerID(number)
-		case 2:
-			u.Balance = math.Float64frombits(number)
-		case 3:
-			at = int64(number)
-		}
-	})
-	if err == nil && (at <= 0 || math.IsNaN(u.Balance) || math.IsInf(u.Balance, 0)) {
-		err = errors.New("figures that can't be")
-	}
-	return u, at, err
-}
-
-// lifeBytes words a life as the message Life.
-func encodeIncarnation(l incarnation) []byte {
-	b := protowire.AppendTag(nil, 1, protowire.BytesType)
-	b = protowire.AppendString(b, l.name)
-	b = protowire.AppendTag(b, 2, protowire.VarintType)
-	b = protowire.AppendVarint(b, uint64(l.lastAliveMs))
-	for _, p := range l.plans {
-		b = protowire.AppendTag(b, 3, protowire.BytesType)
-		b = protowire.AppendString(b, p)
-	}
-	return b
-}
-
-func loadIncarnation(s *store.Store) (l incarnation, known bool, err error) {
-	value, known, err := s.Get([]byte(incarnationKey))
-	if err != nil || !known {
-		return l, false, err
-	}
-	l, err = decodeIncarnation(value)
-	return l, true, err
-}
-
-// parseLife reads what lifeBytes has written.
-func decodeIncarnation(value []byte) (l incarnation, err error) {
-	err = visitFields(value, func(n protowire.Number, number uint64, text []byte) {
-		switch n {
-		case 1:
-			l.name = string(text)
-		case 2:
-			l.lastAliveMs = int64(number)
-		case 3:
-			l.plans = append(l.plans, string(text))
-		}
-	})
-	return l, err
-}
-
-// fields shows a message's fields, one after another; what it doesn't know is left out.
-func visitFields(b []byte, show func(n protowire.Number, number uint64, text []byte)) error {
-	for len(b) > 0 {
-		n, kind, size := protowire.ConsumeTag(b)
-		if size < 0 {
-			return protowire.ParseError(size)
-		}
-		b = b[size:]
-		switch kind {
-		case protowire.VarintType:
-			v, size := protowire.ConsumeVarint(b)
-			if size < 0 {
-				return protowire.ParseError(size)
-			}
-			show(n, v, nil)
-			b = b[size:]
-		case protowire.Fixed64Type:
-			v, size := protowire.ConsumeFixed64(b)
-			if size < 0 {
-				return protowire.ParseError(size)
-			}
-			show(n, v, nil)
-			b = b[size:]
-		case protowire.BytesType:
-			v, size := protowire.ConsumeBytes(b)
-			if size < 0 {
-				return protowire.ParseError(size)
-			}
-			show(n, 0, v)
-			b = b[size:]
-		default:
-			size := protowire.ConsumeFieldValue(n, kind, b)
-			if size < 0 {
-				return protowire.ParseError(size)
-			}
-			b = b[size:]
-		}
-	}
-	return nil
-}
-
-// Words gives a record as text, for dumps.
-func Describe(key, value []byte) map[string]any {
-	if l, err := decodeIncarnation(value); err == nil && string(key) == incarnationKey {
-		return map[string]any{"kind": "life", "gateway": l.name, "alive_ms": l.lastAliveMs}
-	}
-	if u, at, err := decodeBalance(key, value); err == nil && key[0] == accountPrefix {
-		return map[string]any{"kind": "account", "name": fmt.Sprintf("%016x", u.Key), "left": u.Balance, "at_ms": at}
-	}
-	return map[string]any{"kind": "unknown", "key": fmt.Sprintf("%x", key), "bytes": len(value)}
-}
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -16,7 +16,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// gateway is one of which a test says what it has drawn.
+// gateway is a fake whose balances a test changes.
 type gateway struct {
 	mu       sync.Mutex
 	now      policy.Time
@@ -44,7 +44,7 @@
 	g.changed = append(g.changed, list...)
 }
 
-// name gives an account's name in messages, of a plan.
+// accountKeyFor returns an account's key with a plan.
 func accountKeyFor(account, plan uint64) uint64 { return account<<32 | plan<<24 | 2 }
 
 type fixture struct {
@@ -54,9 +54,10 @@
 	stop    func()
 }
 
-// begin begins a life of a gateway on a folder, at some moment.
+// startKeeper starts a process of a gateway on a directory, at some time.
 func startKeeper(t *testing.T, path, gatewayName string, at time.Time) *fixture {
-	s := &fixture{opt: Options{Path: path, Name: gatewayName, Plans: []string{"farm", "utility"}, Now: func() time.Time { return at }}, gateway: &gateway{}}
+	s := &fixture{gateway: &gateway{}, opt: Options{Path: path, Name: gatewayName, Plans: []string{"farm", "utility"},
+		Now: func() time.Time { return at }}}
 	var err error
 	s.keeper, err = Open(s.opt, s.gateway)
 	require.NoError(t, err)
@@ -68,19 +69,22 @@
 	return s
 }
 
-// What a life has drawn the next one recalls, with how long ago that was by the clock of both; plans that have another number now go by
-// their names, and what is of a plan that is gone, or an hour old, is left.
+// The next process restores the balances of the last one, with their age by the wall clocks of both. Plans are
+// matched by name. Balances of a plan that no longer exists, or older than balanceTTL, are left out.
 func TestRestoreAfterRestart(t *testing.T) {
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
 	s := startKeeper(t, path, "g0", at)
 	assert.Empty(t, s.gateway.restored)
-	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5}, policy.QuotaBalance{Key: accountKeyFor(2, 1), Customer: 2, Balance: -4}, policy.QuotaBalance{Key: accountKeyFor(3, 1), Balance: 7})
+	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5},
+		policy.QuotaBalance{Key: accountKeyFor(2, 1), Customer: 2, Balance: -4},
+		policy.QuotaBalance{Key: accountKeyFor(3, 1), Balance: 7})
 	require.Eventually(t, func() bool { return s.keeper.Stats().Entries == 4 }, 10*time.Second, time.Millisecond)
 	s.gateway.consume(policy.QuotaBalance{Key: accountKeyFor(3, 1), Balance: 6})
 	s.stop()
 	next := startKeeper(t, path, "g0", at.Add(5*time.Second))
 	require.Len(t, next.gateway.restored, 3)
-	assert.Equal(t, policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second, Downtime: 5 * time.Second}, next.gateway.restored[0])
+	assert.Equal(t, policy.QuotaBalance{Key: accountKeyFor(1, 0), Customer: 1, Balance: 3.5, Age: 5 * time.Second,
+		Downtime: 5 * time.Second}, next.gateway.restored[0])
 	assert.Equal(t, -4.0, next.gateway.restored[1].Balance)
 	assert.Equal(t, 6.0, next.gateway.restored[2].Balance)
 	assert.Equal(t, 3, next.keeper.Stats().Restored)
@@ -88,24 +92,26 @@
 	next.stop()
 	late := startKeeper(t, path, "g0", at.Add(-time.Hour))
 	for _, u := range late.gateway.restored {
-		assert.Zero(t, u.Age, "the clock was set back: nothing has filled up")
+		assert.Zero(t, u.Age, "the clock was set back: nothing counts as refilled")
 		assert.Zero(t, u.Downtime)
 	}
 	late.stop()
 	g := &gateway{}
-	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"utility"}, Now: func() time.Time { return at.Add(time.Minute) }}, g)
+	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"utility"},
+		Now: func() time.Time { return at.Add(time.Minute) }}, g)
 	require.NoError(t, err)
 	require.Len(t, g.restored, 2)
 	assert.Equal(t, accountKeyFor(2, 0), g.restored[0].Key)
 	k.store.Close()
 	g = &gateway{}
-	k, err = Open(Options{Path: path, Name: "g0", Plans: []string{"farm", "utility"}, Now: func() time.Time { return at.Add(2 * time.Hour) }}, g)
+	k, err = Open(Options{Path: path, Name: "g0", Plans: []string{"farm", "utility"},
+		Now: func() time.Time { return at.Add(2 * time.Hour) }}, g)
 	require.NoError(t, err)
 	assert.Empty(t, g.restored)
 	k.store.Close()
 }
 
-// A folder of another gateway, and one that is damaged, are set aside, whole, and the gateway goes on as with none.
+// The store of another gateway, and a damaged one, are quarantined unchanged, and the gateway starts with an empty one.
 func TestUnusableStoreIsQuarantined(t *testing.T) {
 	dir, at := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	path := filepath.Join(dir, "store")
@@ -130,13 +136,14 @@
 	kept.Close()
 }
 
-// A folder that a predecessor still has open is waited for beside the work, and kept in from then on; nothing is recalled of it.
+// While a predecessor has the store locked, Run waits for it, and persists from then on; nothing is restored.
 func TestWaitsForPredecessorsLock(t *testing.T) {
 	path, at := filepath.Join(t.TempDir(), "store"), time.UnixMilli(1_700_000_000_000)
 	old := startKeeper(t, path, "g0", at)
 	waits := make(chan struct{}, 100)
 	g := &gateway{}
-	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"farm"}, OnLockRetry: func() { waits <- struct{}{} }}, g)
+	k, err := Open(Options{Path: path, Name: "g0", Plans: []string{"farm"},
+		OnLockRetry: func() { waits <- struct{}{} }}, g)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -152,7 +159,7 @@
 	<-done
 }
 
-// A folder that can't be made is an error at the start; one that is too small ends the keeping, once and in the figures.
+// A directory that can't be created fails Open. A store that is full ends the persisting, and Stats says so.
 func TestStoreErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
@@ -164,12 +171,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); k.Run(ctx) }()
-	require.Eventually(t, func() bool { return errors.Is(k.Stats().Err, store.ErrLimitExceeded) }, 10*time.Second, time.Millisecond)
+	limited := func() bool { return errors.Is(k.Stats().Err, store.ErrLimitExceeded) }
+	require.Eventually(t, limited, 10*time.Second, time.Millisecond)
 	cancel()
 	<-done
 }
 
-// What reads values takes any bytes for what they are.
+// No bytes make the decoders panic, and what they accept survives a round trip.
 func FuzzDecodeValues(f *testing.F) {
 	f.Add(encodeAccountKey(7), encodeBalance(policy.QuotaBalance{Key: 7, Customer: 9, Balance: -2.5}, 1_700_000_000_000))
 	f.Add([]byte(incarnationKey), encodeIncarnation(incarnation{"g0", 5, []string{"a", "b"}}))
--- a/internal/store/repair.go
+++ b/internal/store/repair.go
@@ -47,7 +47,8 @@
 			}
 		}
 	}
-	list = append(list, Finding{File: segmentName(number), Description: fmt.Sprintf("%d records saved", len(found.records))})
+	list = append(list, Finding{File: segmentName(number),
+		Description: fmt.Sprintf("%d records saved", len(found.records))})
 	return list, fs.Sync()
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -168,8 +168,8 @@
 	return c
 }
 
-// Close flushes what is pending, seals the segments, writes a checkpoint and unlocks the directory. No call of Write may
-// be in progress. A second call does nothing.
+// Close flushes what is pending, seals the segments, writes a checkpoint and unlocks the directory. No call of Write
+// may be in progress. A second call does nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/internal/store/faultfs"
 )
 
-// quiet is a store that writes nothing by itself.
+// noBackgroundFlush are options with which nothing is flushed unless a writer waits for it.
 var noBackgroundFlush = store.Options{FlushInterval: time.Hour}
 
 func open(t testing.TB, fs store.FS, opt store.Options) *store.Store {
@@ -42,7 +42,7 @@
 	return m
 }
 
-// What was written is there, newest last, after each opening, from a folder of the operating system's.
+// After each reopening of a directory of the operating system, every key has the value that was written last.
 func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	want := map[string]string{}
@@ -71,14 +71,14 @@
 		require.NoError(t, err)
 		assert.False(t, ok)
 		require.NoError(t, s.Close())
-		require.NoError(t, s.Close(), "once is as good as twice")
+		require.NoError(t, s.Close(), "a second Close does nothing")
 		var none store.Batch
 		none.Put([]byte("x"), nil)
 		assert.ErrorIs(t, s.Write(&none, store.Buffered), store.ErrClosed)
 	}
 }
 
-// A second process is kept out.
+// A second opener gets ErrLocked.
 func TestLockExcludesOtherProcesses(t *testing.T) {
 	fs, err := store.OpenDir(t.TempDir())
 	require.NoError(t, err)
@@ -91,7 +91,7 @@
 	require.NoError(t, open(t, fs, noBackgroundFlush).Close())
 }
 
-// Limits hold: of keys, values, bytes and entries.
+// The limits of keys, values, bytes and entries hold.
 func TestLimits(t *testing.T) {
 	s := open(t, faultfs.New(), store.Options{MaxBytes: 3000, MaxEntries: 3, FlushInterval: time.Hour})
 	write := func(key, value string) error {
@@ -110,7 +110,7 @@
 	require.NoError(t, s.Write(&store.Batch{}, store.Immediate))
 }
 
-// A compaction keeps what counts, frees the rest, and what was deleted stays so.
+// Compaction keeps live records, frees the rest, and deleted keys stay deleted.
 func TestCompaction(t *testing.T) {
 	fs := faultfs.New()
 	s := open(t, fs, noBackgroundFlush)
@@ -144,13 +144,13 @@
 	}
 }
 
-// story is a run of writes with what was promised of each.
+// history is a sequence of batches, and how many of them were acknowledged as durable.
 type history struct {
-	states  []map[string]string // after so many batches
-	durable int                 // batches that are promised to be there
+	states  []map[string]string // states[n]: after n batches
+	durable int                 // batches that were acknowledged as durable
 }
 
-// play writes batches until the disk ends it.
+// runWorkload writes random batches, and compacts now and then, until the disk fails.
 func runWorkload(s *store.Store, rng *rand.Rand, batches int, st *history) {
 	if len(st.states) == 0 {
 		st.states = []map[string]string{{}}
@@ -183,8 +183,8 @@
 	}
 }
 
-// held checks that a folder opens with what some of the batches left, in their order, all promised ones among them, and gives the story as
-// it goes on from there.
+// checkPrefix checks that a store opens with the state after a prefix of the batches that includes all durable ones. It
+// returns the history up to that state.
 func checkPrefix(t testing.TB, fs *faultfs.FS, st history, where string) history {
 	s, err := store.Open(fs, noBackgroundFlush)
 	require.NoError(t, err, where)
@@ -195,12 +195,14 @@
 			return history{states: st.states[:n+1], durable: n}
 		}
 	}
-	require.Failf(t, "not what was written", "%s: %d of %d batches were promised, there is %v", where, st.durable, len(st.states)-1, got)
+	require.Failf(t, "not what was written", "%s: %d of %d batches were durable, there is %v", where, st.durable,
+		len(st.states)-1, got)
 	return st
 }
 
-// The power is cut at every change of the disk, while batches are written, segments closed, checkpoints made and compactions done,
-// and again at every change of the recovery from that. No promised write is lost, none half there, none invented.
+// The power is cut at every operation on the disk, while batches are written, segments sealed, checkpoints written and
+// segments compacted, and again at every operation of the recovery from that. No durable batch is lost, none is applied
+// in part, and none is invented.
 func TestPowerCutAtEveryOperation(t *testing.T) {
 	small := store.Options{FlushInterval: time.Hour, SegmentBytes: 1200, CheckpointBytes: 2500}
 	run := func(cut int, seed uint64) (*faultfs.FS, history, int) {
@@ -228,7 +230,7 @@
 			if cut%7 != 0 {
 				continue
 			}
-			for again := 1; again < 30; again++ { // the recovery is cut, too
+			for again := 1; again < 30; again++ { // the power is cut during recovery, too
 				twice := left.Clone()
 				twice.PowerCutAt = again
 				s, err := store.Open(twice, small)
@@ -241,7 +243,7 @@
 	}
 }
 
-// A thousand lives that end in power cuts at random: each goes on from what the one before left.
+// A thousand processes that end in power cuts at random: each continues from what the one before has left.
 func TestRandomCrashes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -263,7 +265,8 @@
 	}
 }
 
-// whole gives a folder after a clean end, with a checkpoint, a compaction and several segments, and what is in it.
+// closedStore returns the directory of a store that was closed, with a checkpoint, a compacted segment and several
+// others, and its content.
 func closedStore(t testing.TB) (*faultfs.FS, map[string]string) {
 	fs := faultfs.New()
 	var st history
@@ -275,9 +278,9 @@
 	return fs, st.states[len(st.states)-1]
 }
 
-// Every file of a folder that was closed well is cut at every byte, and every byte of it flipped. It opens with all that was written,
-// or says which file is damaged; never with less, nor with anything else. Verify finds the same, and Repair makes a folder that
-// opens, with no key that was never written.
+// Every file of a closed store is truncated at every byte, and a bit of every byte flipped. The store opens with all
+// that was written, or reports which file is corrupt; never with less, nor with anything else. Verify reports the
+// same, and after Repair the store opens, with no key that was never written.
 func TestTruncationAndBitFlipAtEveryByte(t *testing.T) {
 	fs, want := closedStore(t)
 	names, err := fs.List()
@@ -306,7 +309,7 @@
 			if err == nil {
 				require.Equal(t, want, got, where)
 				opened++
-			} else { // the index is right and the record it names isn't
+			} else { // the index is intact, and a record that it names is not
 				require.ErrorContains(t, err, "can't be read", where)
 				refused++
 			}
@@ -315,7 +318,7 @@
 			return
 		}
 		if _, err := store.Repair(bad); err != nil {
-			return // nothing could be read
+			return // nothing was readable
 		}
 		s, err = store.Open(bad, noBackgroundFlush)
 		require.NoError(t, err, where)
@@ -344,11 +347,11 @@
 		}
 	}
 	assert.NotZero(t, refused)
-	assert.NotZero(t, opened, "a checkpoint can be done without")
+	assert.NotZero(t, opened, "a checkpoint is dispensable")
 }
 
-// Of a store that was killed, every byte of the segment that was written to is flipped: what had been acknowledged and was followed by
-// anything is missed, what was last can't be told from a torn write.
+// After a crash, a bit of every byte of the active segment is flipped. A flipped record that others follow is
+// detected as lost; the last one can't be told from a torn write.
 func TestBitFlipsAfterCrash(t *testing.T) {
 	fs := faultfs.New()
 	s := open(t, fs, noBackgroundFlush)
@@ -379,7 +382,7 @@
 	}
 }
 
-// A disk that is full, or whose fsync fails, ends all acknowledging for good; what was acknowledged before is there.
+// After a write or fsync has failed nothing more is acknowledged; what was acknowledged before is there.
 func TestDiskErrors(t *testing.T) {
 	for _, kind := range []string{"full", "sync"} {
 		for at := 1; at < 60; at++ {
@@ -396,7 +399,7 @@
 				if s.Err() != nil {
 					var b store.Batch
 					b.Put([]byte("later"), nil)
-					assert.Error(t, s.Write(&b, store.Immediate), "nothing later is trusted")
+					assert.Error(t, s.Write(&b, store.Immediate), "writes after a failure")
 				}
 				s.Close()
 			} else {
@@ -408,7 +411,7 @@
 	}
 }
 
-// A disk whose fsync lies loses what it promised; nothing is invented all the same.
+// A disk that ignores syncs loses durable batches, but what is there is still a prefix of the batches.
 func TestIgnoredSyncs(t *testing.T) {
 	for seed := uint64(1); seed < 40; seed++ {
 		fs := faultfs.New()
@@ -418,7 +421,7 @@
 		runWorkload(s, rand.New(rand.NewPCG(seed, 5)), 20, &st)
 		left, err := store.Open(fs.Crash(seed), noBackgroundFlush)
 		if err != nil {
-			continue // it says so
+			continue // the loss was detected
 		}
 		got := all(t, left)
 		known := false
@@ -431,7 +434,8 @@
 	}
 }
 
-// The form of another version is refused by name, and so is a folder of another store's segments, or one whose list is lost.
+// Files of another format version, segments of another store, and a directory whose manifest is lost are rejected
+// with an error that names the file.
 func TestForeignAndIncompleteDirectories(t *testing.T) {
 	fs, _ := closedStore(t)
 	names, _ := fs.List()
@@ -462,7 +466,7 @@
 	}
 }
 
-// Writers and readers side by side see one register for each key, whatever is compacted meanwhile.
+// With concurrent readers, writers and compactions, each key is a linearizable register.
 func TestLinearizable(t *testing.T) {
 	type op struct {
 		write bool
@@ -518,7 +522,8 @@
 					out = string(v)
 				}
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: client, Input: o, Call: call, Output: out, Return: time.Since(began).Nanoseconds()})
+				history = append(history, porcupine.Operation{ClientId: client, Input: o, Call: call, Output: out,
+					Return: time.Since(began).Nanoseconds()})
 				mu.Unlock()
 			}
 		})
@@ -535,7 +540,7 @@
 	require.NoError(t, s.Close())
 }
 
-// What buffered writes may lose is what was written within FlushEvery.
+// Buffered writes are flushed after FlushInterval.
 func TestBufferedWritesReachTheDisk(t *testing.T) {
 	fs := faultfs.New()
 	s := open(t, fs, store.Options{FlushInterval: 5 * time.Millisecond})
@@ -547,7 +552,7 @@
 	require.NoError(t, s.Close())
 }
 
-// Each stops when it is told to, and shows a prefix alone.
+// Each visits only keys with the prefix, and stops when visit returns false.
 func TestEach(t *testing.T) {
 	s := open(t, faultfs.New(), noBackgroundFlush)
 	put(t, s, store.Buffered, "a1", "", "a2", "", "b1", "")
@@ -560,7 +565,7 @@
 	assert.False(t, errors.Is(s.Err(), store.ErrClosed))
 }
 
-// What reads files takes any bytes for what they are.
+// No content of a file makes Open or Verify panic.
 func FuzzOpen(f *testing.F) {
 	fs, _ := closedStore(f)
 	names, _ := fs.List()
