--- a/cmd/sprucelane/ending_test.go
+++ b/cmd/sprucelane/ending_test.go
@@ -19,8 +19,8 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-// SIGTERM comes twice, amid more other signals than there is room for while the process reads a configuration that nobody
-// has written yet: it ends all the same, and what it holds is answered first.
+// SIGTERM comes twice, amid more other signals than there is room for while the process reads a configuration that
+// nobody has written yet: it ends all the same, and what it holds is answered first.
 func TestEndAmidOtherSignals(t *testing.T) {
 	taken, free := make(chan bool), make(chan bool)
 	s := newSite(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -69,8 +69,8 @@
 	p.says("event=reload_failed")
 }
 
-// Idle clients hold all descriptors that clients may have while discovery is silent: what comes back when it speaks again is
-// noticed in time, and acted on, and a client that asks is served.
+// Idle clients hold all descriptors that clients may have while discovery is silent: what comes back when it speaks
+// again is noticed in time, and acted on, and a client that asks is served.
 func TestIdleClientsHoldTheDescriptors(t *testing.T) {
 	s := newSite(t, fake.OK("old"))
 	next := fake.New(t, fake.OK("new"))
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -20,8 +20,9 @@
 	"sprucelane.example/sprucelane/internal/logging"
 )
 
-// The whole program: it starts from its last known list, serves both fronts, and on SIGTERM answers what it took
-// and ends without an error. On SIGHUP it reads its configuration again and serves on. Counters are printed on request and at the exit.
+// The whole program: it starts from its last known list, serves both fronts, and on SIGTERM answers what it took and
+// ends without an error. On SIGHUP it reads its configuration again and serves on. Counters are printed on request
+// and at the exit.
 func TestWholeLife(t *testing.T) {
 	lines := fake.Log(t)
 	member := fake.New(t, fake.OK("sent"))
--- a/cmd/sprucelane/upgrade_test.go
+++ b/cmd/sprucelane/upgrade_test.go
@@ -231,8 +231,8 @@
 	fourth.term()
 }
 
-// A successor that is killed, before or after it has taken over, leaves the gateway to the process before it, and the next
-// one takes over all the same. Two at once come one after the other.
+// A successor that is killed, before or after it has taken over, leaves the gateway to the process before it, and the
+// next one takes over all the same. Two at once come one after the other.
 func TestSuccessorsThatDie(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
@@ -310,8 +310,8 @@
 	second.term()
 }
 
-// A process that has handed over still has the descriptors that its clients' last requests need, though it had no connection
-// to a member open when it did.
+// A process that has handed over still has the descriptors that its clients' last requests need, though it had no
+// connection to a member open when it did.
 func TestLastRequestsFindDescriptors(t *testing.T) {
 	s := newSite(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
 		time.Sleep(200 * time.Millisecond) // all are out at once
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -13,7 +13,8 @@
 
 	// Generation is the number of the settings in a process that reloads them; see core.Core.Reconfigure.
 	Generation int
-	// Zones and Kinds are the names that discovery uses for zones and machine types. The policy knows each by its index.
+	// Zones and Kinds are the names that discovery uses for zones and machine types. The policy knows each by its
+	// index.
 	Zones, Kinds []string
 	// IdleTimeout is how long a connection to a server may be idle before the server's side closes it. Default 30 s.
 	IdleTimeout time.Duration
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -54,8 +54,8 @@
 
 // Storm is the configuration of storm control (package storm).
 type Storm struct {
-	// RetryShare is the number of retries that the fleet lets in for each first try during a storm: 0 to 1; 0 means 0.2.
-	// More lets clients succeed sooner, and a storm last longer.
+	// RetryShare is the number of retries that the fleet lets in for each first try during a storm: 0 to 1; 0 means
+	// 0.2. More lets clients succeed sooner, and a storm last longer.
 	RetryShare float64 `json:"retry_share"`
 	// MaxRetryAfterMs is the longest Retry-After in ms that a rejection names: 0 to 30000. 0 means the platform's limit
 	// (settings.allowed.max_retry_after), and 30 s if it has none.
--- a/internal/discovery/pauses_test.go
+++ b/internal/discovery/backoff_test.go
@@ -9,27 +9,26 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// busySource is a source in virtual time: one line, so many calls a second, and it works through calls whose callers
-// have left, too.
+// busySource is a source in virtual time with one queue. It also works on calls whose callers have given up.
 type busySource struct {
 	perCall, patience, longest time.Duration
-	free                       time.Duration // when all that stands in line is done
+	idleAt                     time.Duration // when all that is queued is done
 }
 
-// call tells when the caller hears and whether it gets its list.
-func (s *busySource) call(now time.Duration) (heard time.Duration, ok bool) {
-	begin := max(now, s.free)
+// call returns when a call ends, and whether it brings the list.
+func (s *busySource) call(now time.Duration) (end time.Duration, ok bool) {
+	begin := max(now, s.idleAt)
 	if begin-now > s.longest {
 		return now + 3*time.Millisecond, false
 	}
-	s.free = begin + s.perCall
+	s.idleAt = begin + s.perCall
 	if begin-now > s.patience {
 		return now + s.patience, false
 	}
-	return s.free, true
+	return s.idleAt, true
 }
 
-// herd lets so many callers ask at once and again after each refusal, and tells when each got its list.
+// herd lets callers call at once and again after each failure, and returns when each got its list, sorted.
 func herd(callers int, pause func(caller int, took time.Duration) time.Duration) (got []time.Duration) {
 	s := &busySource{perCall: time.Second / 15, patience: 2 * time.Second, longest: 4 * time.Second}
 	next := make([]time.Duration, callers)
@@ -44,19 +43,19 @@
 		if now > time.Minute {
 			break
 		}
-		heard, ok := s.call(now)
+		end, ok := s.call(now)
 		if next[i] = time.Hour; ok {
-			got = append(got, heard)
+			got = append(got, end)
 		} else {
-			next[i] = heard + pause(i, heard-now)
+			next[i] = end + pause(i, end-now)
 		}
 	}
 	slices.Sort(got)
 	return got
 }
 
-// Eighty gateways start at once and their source can answer fifteen a second. Pauses of a second keep the line longer
-// than any caller's patience for ever; pauses that grow and spread bring all of them in.
+// Eighty gateways start at once, and their source answers fifteen calls a second. With pauses of a second the queue
+// stays longer than any caller waits; with backoff and jitter all of them get their lists.
 func TestHerdGetsItsLists(t *testing.T) {
 	fixed := herd(80, func(int, time.Duration) time.Duration { return time.Second })
 	assert.Less(t, len(fixed), 60, "the model shows the jam")
@@ -73,7 +72,7 @@
 	}
 }
 
-// Pauses grow to their limit, each kind by itself, are spread, and start anew after an answer.
+// Pauses grow to their limit, separately for both kinds of failure, are spread, and start over after an answer.
 func TestPausesGrow(t *testing.T) {
 	p, other := NewBackoff(1, 8*time.Second), NewBackoff(2, 8*time.Second)
 	assert.NotEqual(t, p.afterRejection(0), other.afterRejection(0))
@@ -93,21 +92,21 @@
 	assert.Equal(t, defaultRetryWithin, NewBackoff(1, 0).retryWithin)
 }
 
-// Whatever one call came to, the next begins five seconds after it began at the latest, and so does the one after a call that
-// was given up and one that was refused: a second is left of the six after which what the source had counts as told.
+// After any one failure, and after a call that timed out and one that was rejected, the next call begins within five
+// seconds of the first: a second before updateDeadline.
 func TestNextCallIsInTime(t *testing.T) {
 	const most = updateDeadline - time.Second
 	given, refused := longPollWait+longPollSlack, statusError(503)
 	for seed := range uint64(200) {
 		p := NewBackoff(seed, 40*time.Second)
-		for range 30 { // each kind grown as far as it goes
+		for range 30 { // until both steps are at their limits
 			p.afterRejection(0)
 			p.afterUnreachable()
 		}
 		for _, took := range []time.Duration{0, given / 2, given} {
 			assert.LessOrEqual(t, took+p.afterFailure(refused, took), most, "refused after %v", took)
 			assert.LessOrEqual(t, took+p.afterFailure(context.DeadlineExceeded, took), most, "given up or broken after %v", took)
-			p.afterFailure(refused, 0) // the source has said something
+			p.afterFailure(refused, 0) // the source has answered
 		}
 		first := given + p.afterFailure(context.DeadlineExceeded, given)
 		assert.LessOrEqual(t, first+p.afterFailure(refused, 0), most, "given up, then refused")
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,14 +16,14 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// heard notes what the pool and the module are told, in order.
-type heard chan string
+// recorder records the calls of the pool and the policy in their order.
+type recorder chan string
 
-func (h heard) Set(id policy.ServerID, addr string, state policy.ServerState) {
+func (h recorder) Set(id policy.ServerID, addr string, state policy.ServerState) {
 	h <- fmt.Sprintf("pool %d %s %d", id, addr, state)
 }
 
-func (h heard) module(kind policy.ListKind, list []policy.ServerInfo) {
+func (h recorder) onList(kind policy.ListKind, list []policy.ServerInfo) {
 	text := fmt.Sprintf("module %d:", kind)
 	for _, s := range list {
 		text += fmt.Sprintf(" %d/%d/%d/%d", s.ID, s.Zone, s.State, s.StartedAt.Milliseconds())
@@ -31,20 +31,21 @@
 	h <- text
 }
 
-func (h heard) expect(t *testing.T, want ...string) {
+func (h recorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
 		assert.Equal(t, w, <-h)
 	}
 }
 
-func roster() (heard, *Membership) {
-	h := make(heard, 100)
-	return h, NewMembership(h, h.module, []string{"east", "west"}, nil)
+func recordedMembership() (recorder, *Membership) {
+	h := make(recorder, 100)
+	return h, NewMembership(h, h.onList, []string{"east", "west"}, nil)
 }
 
-// agent answers each request by the next step of a script; past its end it is silent.
-func agent(t *testing.T, steps ...http.HandlerFunc) (addr string, asked func() []*url.URL) {
+// agent is a fake agent that answers each request with the next step of a script, and after its end not at all.
+// requests returns what it was asked.
+func agent(t *testing.T, steps ...http.HandlerFunc) (addr string, requests func() []*url.URL) {
 	var mu sync.Mutex
 	var urls []*url.URL
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -86,30 +87,29 @@
 	t.Cleanup(func() { stop(); done.Wait() })
 }
 
-// The number of an instance stays when its address moves, and another process under the same name shows by its
-// start.
+// An instance keeps its server ID when its address changes; another process of it shows by its time of start.
 func TestRosterKeepsNumbers(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	r.Apply(policy.ListCached, []Instance{{ID: "a", Addr: "h:1", Zone: "west", Lifecycle: "up"}, {ID: "b", Addr: "h:2", Lifecycle: "up"}})
 	r.Apply(policy.ListChanges, []Instance{{ID: "a", Addr: "h:9", Zone: "west", Lifecycle: "draining", StartedMs: 7},
 		{ID: "odd", Addr: "nowhere", Lifecycle: "up"}, {ID: "odd", Addr: "h:3", Lifecycle: "asleep"}})
 	r.Apply(policy.ListFull, []Instance{{ID: "a", Addr: "h:9", Zone: "west", Lifecycle: "up"}})
 	h.expect(t, "pool 1 h:1 0", "pool 2 h:2 0", "module 2: 1/1/0/0 2/2/0/0",
 		"pool 1 h:9 2", "module 0: 1/1/2/7",
-		"pool 1 h:9 0", "pool 2 h:2 1", "module 1: 1/1/0/0") // who is missing from a whole list is gone
+		"pool 1 h:9 0", "pool 2 h:2 1", "module 1: 1/1/0/0") // what a whole list lacks has departed
 }
 
-// One call begins the watch from the list that is held. After a silence or a refusal it goes on from the last version,
-// whole or in changes as the agent likes.
+// The watch begins at the held version. After a time-out or a rejection it goes on from the last version; the agent
+// decides whether it sends the whole list or changes.
 func TestWatchGoesOn(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	addr, asked := agent(t,
 		says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 		silent,
 		says("", `{"generation":6,"reset":false,"instances":[{"instanceId":"a","lifecycle":"removed"}]}`),
 		fails(503),
 		says("", `{"generation":6,"reset":false,"instances":[]}`),
-		says("", `{"generation":2,"reset":false,"instances":[]}`), // it has lost its versions
+		says("", `{"generation":2,"reset":false,"instances":[]}`), // it has lost its state
 		says("", `{"generation":3,"reset":true,"instances":[]}`))
 	watch(t, func(ctx context.Context) {
 		Watch(ctx, addr, 4, false, NewBackoff(1, 100*time.Millisecond), r)
@@ -125,9 +125,9 @@
 	assert.Equal(t, Calls{Answered: 5, Rejected: 1, Unanswered: 1}, r.Calls())
 }
 
-// A list from elsewhere is asked for whole, until one comes.
+// Of another source the whole list is requested, until it comes.
 func TestWatchAnew(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	addr, asked := agent(t, says("", `{"generation":9,"reset":false,"instances":[]}`),
 		says("", `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`))
 	watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, true, NewBackoff(1, 0), r) })
@@ -138,12 +138,12 @@
 
 const node = `"Node":{"Node":"n1","Address":"10.0.0.1","Datacenter":"east"},"Service":{"ID":"s1","Port":80,"Meta":{"started_at_ms":"5"}}`
 
-// Consul: blocking queries go on from the index, an index that goes back starts anew, a failing check drains.
+// Blocking queries go on from the index, an index that goes back restarts them, and a critical check means draining.
 func TestConsulHealth(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	addr, asked := agent(t,
 		says("40", `[{`+node+`,"Checks":[{"Status":"passing"}]}]`),
-		says("40", `[{`+node+`,"Checks":[{"Status":"critical"}]}]`), // the wait ran out: nothing new
+		says("40", `[{`+node+`,"Checks":[{"Status":"critical"}]}]`), // the wait ended without a change
 		says("41", `[{`+node+`,"Checks":[{"Status":"passing"},{"Status":"critical"}]}]`),
 		says("3", `[]`),
 		says("3", `[{`+node+`}]`))
@@ -161,9 +161,9 @@
 	assert.Equal(t, []string{"0", "40", "40", "41", "0"}, got)
 }
 
-// Where the health endpoint is not to be had the catalogue stands in.
+// Where the health endpoint is rejected or missing, the catalogue is asked.
 func TestConsulCatalogue(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	addr, asked := agent(t, fails(403),
 		says("9", `[{"Node":"n1","Address":"10.0.0.1","Datacenter":"west","ServiceID":"s1","ServiceAddress":"10.0.0.2","ServicePort":81}]`))
 	watch(t, func(ctx context.Context) { WatchConsul(ctx, Consul{Addr: addr, Service: "m"}, NewBackoff(1, 0), r) })
--- a/internal/discovery/crossing_test.go
+++ b/internal/discovery/watchfaults_test.go
@@ -17,8 +17,8 @@
 
 const drains = `{"generation":6,"reset":false,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"draining"}]}`
 
-// A member begins to drain in the moment in which the call that would tell of it goes wrong, whichever way: the module knows
-// within the six seconds after which it counts as told.
+// A server begins to drain at the moment at which the call that would report it fails, in any way: the policy knows
+// within updateDeadline.
 func TestDrainIsToldThoughTheCallGoesWrong(t *testing.T) {
 	for name, wrong := range map[string]http.HandlerFunc{
 		"silent": silent,
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h, r := roster()
+			h, r := recordedMembership()
 			had := make(chan time.Time, 1)
 			addr, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 				func(w http.ResponseWriter, r *http.Request) { had <- time.Now(); wrong(w, r) },
@@ -52,17 +52,17 @@
 	}
 }
 
-// The agent ends and another begins in its place, which counts from the beginning and is past the version held here by the
-// time that it is asked: its whole list is asked for, as its changes since then are not those since the list that is known.
+// The agent restarts, counts its versions from the beginning, and is past the held version by the time that it is
+// called: its whole list is requested, as its changes since that version are not those since the held list.
 func TestAgentThatStartsAgain(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	ends := make(chan bool)
 	first, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 		func(_ http.ResponseWriter, r *http.Request) { close(ends); <-r.Context().Done() })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr, broken := l.Addr().String(), make(chan bool)
-	go func() { // the first agent stands behind the address until it ends
+	go func() { // the first agent is reached at the address until it ends
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -93,7 +93,7 @@
 	assert.Equal(t, "/v1/endpoints", <-asked)
 }
 
-// relay carries a connection to and fro until it is broken.
+// relay forwards a connection in both directions until broken is closed.
 func relay(c net.Conn, to string, broken chan bool) {
 	up, err := net.Dial("tcp", to)
 	if err != nil {
@@ -105,9 +105,9 @@
 	io.Copy(up, c)
 }
 
-// A call that was under way when its source was left, as SIGHUP named another, is answered late: that changes nothing.
+// A call that was in flight when a reload named another source is answered late: that changes nothing.
 func TestLateAnswerOfASourceThatWasLeft(t *testing.T) {
-	h, r := roster()
+	h, r := recordedMembership()
 	asked, late, answered := make(chan bool), make(chan bool), make(chan bool)
 	addr, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[]}`),
 		func(w http.ResponseWriter, _ *http.Request) {
