--- a/internal/tools/ablate/table.go
+++ b/internal/tools/ablate/table.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// table writes, for each mechanism and day, by how much worth falls without it: the mean over the seeds and the largest deviation of one
-// from it. The first row is the worth with all on.
+// table returns a Markdown table. Its first row has the scores with all mechanisms on; each further row tells
+// by how much the score changes without one mechanism. A cell is the mean over the seeds, and the largest
+// deviation of a seed from it.
 func table(o options, results []result) string {
-	worth := map[run]result{}
-	for _, one := range results {
-		worth[one.run] = one
+	byRun := map[run]result{}
+	for _, r := range results {
+		byRun[r.run] = r
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "| switched off | %s |\n|---|%s\n", strings.Join(o.days, " | "), strings.Repeat("---|", len(o.days)))
@@ -22,23 +23,24 @@
 		}
 		fmt.Fprintf(&b, "| %s |", name)
 		for _, day := range o.days {
-			fmt.Fprintf(&b, " %s |", cell(o, worth, off, day))
+			fmt.Fprintf(&b, " %s |", cell(o, byRun, off, day))
 		}
 		b.WriteString("\n")
 	}
 	return b.String()
 }
 
-func cell(o options, worth map[run]result, off, day string) string {
+// cell returns the cell of a mechanism and a day.
+func cell(o options, byRun map[run]result, off, day string) string {
 	var values []float64
-	broken := ""
+	suffix := ""
 	for _, seed := range o.seeds {
-		with, without := worth[run{day: day, seed: seed}], worth[run{off: off, day: day, seed: seed}]
+		with, without := byRun[run{day: day, seed: seed}], byRun[run{off: off, day: day, seed: seed}]
 		if with.err != nil || without.err != nil {
 			return "not played"
 		}
 		if without.broken {
-			broken = ", broken"
+			suffix = ", broken"
 		}
 		if off == "" {
 			values = append(values, with.score)
@@ -46,19 +48,21 @@
 			values = append(values, without.score-with.score)
 		}
 	}
-	mean, spread := meanAndDeviation(values)
+	mean, deviation := meanAndDeviation(values)
+	format := "%+.3f ± %.3f%s"
 	if off == "" {
-		return fmt.Sprintf("%.3f ± %.3f%s", mean, spread, broken)
+		format = "%.3f ± %.3f%s"
 	}
-	return fmt.Sprintf("%+.3f ± %.3f%s", mean, spread, broken)
+	return fmt.Sprintf(format, mean, deviation, suffix)
 }
 
-func meanAndDeviation(values []float64) (mean, spread float64) {
+// meanAndDeviation returns the mean, and the largest deviation of a value from it.
+func meanAndDeviation(values []float64) (mean, deviation float64) {
 	for _, value := range values {
 		mean += value / float64(len(values))
 	}
 	for _, value := range values {
-		spread = max(spread, math.Abs(value-mean))
+		deviation = max(deviation, math.Abs(value-mean))
 	}
-	return mean, spread
+	return mean, deviation
 }
--- a/internal/tools/benchrun/benchrun.go
+++ b/internal/tools/benchrun/benchrun.go
@@ -1,4 +1,4 @@
-// Package benchrun has the bench play a day and reads its report.
+// Package benchrun runs the bench's program on a day of a site, and reads its report.
 package benchrun
 
 import (
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// Report is what is read of the bench's report of a day.
+// Report holds the fields of the bench's report of a day that are used here.
 type Report struct {
-	Score          float64                    `json:"G"`
-	Served         float64                    `json:"served"`
-	Fault          any                        `json:"fault"`
+	Score          float64                    `json:"G"`      // the bench's score of the day
+	Served         float64                    `json:"served"` // the share of the requests
+	Fault          any                        `json:"fault"`  // nil: none
 	RuleViolations map[string]json.RawMessage `json:"breaks"` // how often, by rule
 }
 
-// Play has the bench's program play a day of a site in a folder (empty: the present one), with further arguments. Where it leaves no report
-// the error is the last line that it said.
+// Run runs a day of a site in a folder (empty: the current one), with further arguments of the bench. Where
+// the bench leaves no report the error has the last line of its output.
 func Run(program, folder, site, day string, arguments ...string) (*Report, error) {
 	scratch, err := os.MkdirTemp("", "benchrun-")
 	if err != nil {
@@ -29,11 +29,11 @@
 	path := filepath.Join(scratch, "report.json")
 	command := exec.Command(program, append([]string{"run", site, day, "--report", path}, arguments...)...)
 	command.Dir = folder
-	said, playError := command.CombinedOutput()
+	output, runErr := command.CombinedOutput()
 	text, err := os.ReadFile(path)
 	if err != nil {
-		lines := strings.Split(strings.TrimSpace(string(said)), "\n")
-		return nil, errors.Join(playError, errors.New(lines[len(lines)-1]))
+		lines := strings.Split(strings.TrimSpace(string(output)), "\n")
+		return nil, errors.Join(runErr, errors.New(lines[len(lines)-1]))
 	}
 	var report Report
 	return &report, json.Unmarshal(text, &report)
--- a/internal/tools/testrun/known.go
+++ b/internal/tools/testrun/knownfailures.go
@@ -8,17 +8,18 @@
 	"strings"
 )
 
-// testName names a top-level test; its subtests count as it.
+// testName names a top-level test. Its subtests count as part of it.
 type testName struct{ Package, Test string }
 
 func (n testName) String() string { return n.Package + " " + n.Test }
 
-// knownRed is one line of the list.
+// knownFailure is a line of knownFailuresFile: a test that may fail, and why.
 type knownFailure struct {
 	testName
 	Cause, Issue string
 }
 
+// readKnownFailures reads the list. A missing file is an empty list.
 func readKnownFailures(path string) ([]knownFailure, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -36,15 +37,16 @@
 		if strings.TrimSpace(line) == "" {
 			continue
 		}
-		one, ok := parseKnownFailure(line)
+		failure, ok := parseKnownFailure(line)
 		if !ok {
 			return nil, fmt.Errorf("%s:%d: not of the form: package TestName | cause | issue", path, i+1)
 		}
-		list = append(list, one)
+		list = append(list, failure)
 	}
 	return list, nil
 }
 
+// parseKnownFailure parses a line. All three columns must be there, and a subtest can't be named.
 func parseKnownFailure(line string) (knownFailure, bool) {
 	columns := strings.Split(line, "|")
 	if len(columns) != 3 {
--- a/internal/tools/testrun/main.go
+++ b/internal/tools/testrun/main.go
@@ -1,13 +1,19 @@
-// Command testrun runs go test and tells its result, and knows the tests that are known to be red.
+// Command testrun runs go test on packages and reports the result, with an exception for tests that are known
+// to fail.
 //
-//	go run ./internal/tools/testrun [-alone PATTERN]... PATTERN -race -timeout 10m
+//	go run ./internal/tools/testrun [-alone PATTERN]... PATTERN [flags of go test]
+//	go run ./internal/tools/testrun -alone ./internal/lab/... ./... -race -timeout 10m
 //
-// The packages of PATTERN are tested side by side, but for those that match an -alone PATTERN: these start processes and are
-// held to the clock, so they follow, one at a time. What comes after the patterns goes to go test as it is.
+// The packages of PATTERN are tested in parallel, except for those that match an -alone PATTERN: these start
+// processes and have bounds in real time, so they follow one at a time. Everything after PATTERN is passed to
+// go test.
 //
-// KNOWN-RED.txt in the current folder, which may be absent or empty, lists tests that may fail, one a line:
-// "package TestName | cause | issue". Exit 0: every package passed, or only listed tests failed. Exit 1: anything else failed, or
-// the list names a test that didn't run. A listed test that passes is named, for its line is to go.
+// KNOWN-RED.txt in the current folder, which may be missing or empty, lists tests that may fail, one a line:
+// "package TestName | cause | issue". A listed test that fails is printed, and one that passes is printed
+// too, as its line can go.
+//
+// Exit code 0: every package passed, or only listed tests failed. Exit code 1: anything else failed, a
+// package didn't build or run to its end, or the list names a test that didn't run.
 package main
 
 import (
@@ -19,6 +25,7 @@
 	"strings"
 )
 
+// knownFailuresFile lists the tests that may fail.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -34,60 +41,63 @@
 
 var errUsage = errors.New("usage: testrun [-alone PATTERN]... PATTERN [flags of go test]")
 
-// run tests all packages and judges them together.
+// run tests all packages and returns an error where the result isn't acceptable.
 func run(known []knownFailure, arguments []string) error {
-	var alone []string
+	var alonePatterns []string
 	for len(arguments) >= 2 && arguments[0] == "-alone" {
-		alone = append(alone, arguments[1])
+		alonePatterns = append(alonePatterns, arguments[1])
 		arguments = arguments[2:]
 	}
 	if len(arguments) == 0 || strings.HasPrefix(arguments[0], "-") {
 		return errUsage
 	}
-	together, one, err := splitPackages(arguments[0], alone)
+	pattern, flags := arguments[0], arguments[1:]
+	parallel, alone, err := splitPackages(pattern, alonePatterns)
 	if err != nil {
 		return err
 	}
 	results := newResults()
-	if err := results.test(append(arguments[1:], together...)); err != nil {
+	if err := results.test(slices.Concat(flags, parallel)); err != nil {
 		return err
 	}
-	if len(one) > 0 {
-		if err := results.test(append(append([]string{"-p", "1"}, arguments[1:]...), one...)); err != nil {
+	if len(alone) > 0 {
+		if err := results.test(slices.Concat([]string{"-p", "1"}, flags, alone)); err != nil {
 			return err
 		}
 	}
 	return results.judge(known, os.Stdout)
 }
 
-// divide gives the packages of a pattern that are tested side by side, and those that are tested alone.
-func splitPackages(pattern string, alone []string) (together, one []string, err error) {
+// splitPackages returns the packages of a pattern that are tested in parallel, and those that are tested alone.
+func splitPackages(pattern string, alonePatterns []string) (parallel, alone []string, err error) {
 	all, err := listPackages(pattern)
-	if err != nil || len(alone) == 0 {
+	if err != nil || len(alonePatterns) == 0 {
 		return all, nil, err
 	}
-	if one, err = listPackages(alone...); err != nil {
+	if alone, err = listPackages(alonePatterns...); err != nil {
 		return nil, nil, err
 	}
-	together = slices.DeleteFunc(all, func(path string) bool { return slices.Contains(one, path) })
-	return together, one, nil
+	parallel = slices.DeleteFunc(all, func(path string) bool { return slices.Contains(alone, path) })
+	return parallel, alone, nil
 }
 
+// listPackages returns the import paths that match patterns. It is an error if none does.
 func listPackages(patterns ...string) ([]string, error) {
 	command := exec.Command("go", append([]string{"list"}, patterns...)...)
 	command.Stderr = os.Stderr
-	text, err := command.Output()
+	output, err := command.Output()
 	if err != nil {
 		return nil, fmt.Errorf("go list: %w", err)
 	}
-	paths := strings.Fields(string(text))
+	paths := strings.Fields(string(output))
 	if len(paths) == 0 {
 		return nil, fmt.Errorf("no package matches %v", patterns)
 	}
 	return paths, nil
 }
 
-// test runs go test once and takes its results in.
+// test runs go test once and records its results. The error is of the run itself; that tests failed is in the
+// results.
 func (r *results) test(arguments []string) error {
 	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
 	command.Stderr = os.Stderr
