--- a/coord/replica/example_test.go
+++ b/coord/replica/example_test.go
@@ -78,7 +78,7 @@
 		return
 	}
 	for i, text := range []string{"hello", "good morning"} {
-		before, err := node.Propose(ctx, fmt.Sprint("order-", i), []byte(text))
+		before, err := node.Propose(ctx, fmt.Sprint("command-", i), []byte(text))
 		fmt.Printf("%q %v\n", before, err)
 	}
 	node.Close()
--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -97,13 +97,23 @@
 	return p != nil && c.now-p.lastContact <= suspicionTimeout && c.now-p.lastEcho <= echoTimeout
 }
 
-// reachable reports whether m is alive and the link to it has worked both ways for rejoinDelay.
+// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes a member
+// without any heartbeat yet, and this member itself.
+func (c *core) contact(m view.Member) *peer {
+	p := c.peers[m.ID()]
+	if p == nil || !p.reachable || !c.alive(m) {
+		return nil
+	}
+	return p
+}
+
+// reachable reports whether the link to m has worked both ways for rejoinDelay.
 func (c *core) reachable(m view.Member) bool {
 	if m.Same(c.self) {
 		return true
 	}
-	p := c.peers[m.ID()]
-	return p != nil && p.reachable && c.alive(m) && c.now-p.reachableSince >= rejoinDelay
+	p := c.contact(m)
+	return p != nil && c.now-p.reachableSince >= rejoinDelay
 }
 
 // sinceContact returns the time since the last heartbeat from m.
@@ -179,7 +189,7 @@
 func (c *core) reachableIDs() []string {
 	var ids []string
 	for _, m := range c.acceptor.View.Voters {
-		if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
+		if c.contact(m) != nil {
 			ids = append(ids, m.ID())
 		}
 	}
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -121,11 +121,7 @@
 	}
 	c.proposer.highestRound = max(c.proposer.highestRound, m.Ballot.Round)
 	response, changed := c.acceptor.OnPrepare(m, view.LogState{Synced: c.syncedEpoch, End: c.log.LastIndex()})
-	if changed {
-		c.noteWedged()
-		c.recordAcceptorState()
-	}
-	c.reply(from, response)
+	c.respond(from, response, changed)
 }
 
 // onAccept answers a proposer's accept.
@@ -135,11 +131,7 @@
 	}
 	c.proposer.highestRound = max(c.proposer.highestRound, m.Ballot.Round)
 	response, changed := c.acceptor.OnAccept(m)
-	if changed {
-		c.noteWedged()
-		c.recordAcceptorState()
-	}
-	c.reply(from, response)
+	c.respond(from, response, changed)
 }
 
 // reconcileView adopts the proposer's view if it is newer, sends it the own one if it is older, and reports whether
@@ -153,26 +145,20 @@
 	return c.hasDisk
 }
 
-// noteWedged notes that this member has answered a prepare or accept. A pending proof of staleness is void: it counts
-// on the commands of this epoch, which are no longer passed on.
-func (c *core) noteWedged() {
-	c.proposer.wedgedSince = c.now
-	c.staleness.pending = false
-}
-
-// recordAcceptorState queues the acceptor's promise and accepted value, which must be durable before the response
-// leaves.
-func (c *core) recordAcceptorState() {
-	c.record(recordAcceptor, acceptorRecord{
-		Epoch:          c.epoch(),
-		Promised:       c.acceptor.Promised,
-		AcceptedBallot: c.acceptor.AcceptedBallot,
-		Accepted:       c.acceptor.Accepted,
-	})
-}
-
-// reply sends an acceptor's response, or hands it to the own proposal.
-func (c *core) reply(to view.Member, response any) {
+// respond sends an acceptor's response, or hands it to the own proposal. If the acceptor's state has changed, it must
+// be durable before the response leaves, and this member is wedged. A pending proof of staleness is void then: it
+// counts on the commands of this epoch, which are no longer passed on.
+func (c *core) respond(to view.Member, response any, changed bool) {
+	if changed {
+		c.proposer.wedgedSince = c.now
+		c.staleness.pending = false
+		c.record(recordAcceptor, acceptorRecord{
+			Epoch:          c.epoch(),
+			Promised:       c.acceptor.Promised,
+			AcceptedBallot: c.acceptor.AcceptedBallot,
+			Accepted:       c.acceptor.Accepted,
+		})
+	}
 	if response == nil {
 		return
 	}
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -58,9 +58,7 @@
 func (c *core) reachesMajority() bool {
 	count := 0
 	for _, m := range c.acceptor.View.Voters {
-		if m.Same(c.self) {
-			count++
-		} else if p := c.peers[m.ID()]; p != nil && p.reachable && c.alive(m) {
+		if m.Same(c.self) || c.contact(m) != nil {
 			count++
 		}
 	}
@@ -90,10 +88,10 @@
 // member is broken, which the chain doesn't use.
 func (c *core) reachableFromChain(m view.Member) bool {
 	for _, other := range c.acceptor.View.Chain {
-		if other.Same(c.self) || other.Same(m) || !c.alive(other) {
+		if other.Same(c.self) || other.Same(m) {
 			continue
 		}
-		if p := c.peers[other.ID()]; p != nil && p.reachable && p.reaches[m.ID()] {
+		if p := c.contact(other); p != nil && p.reaches[m.ID()] {
 			return true
 		}
 	}
