--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -7,39 +7,39 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// End tells how a server-side flow ended: every way in which a connection can end is one of these.
+// End says how an attempt ended.
 type End uint8
 
-// The ends of a flow.
+// The ends of an attempt: every way in which a connection can end is one of them.
 const (
-	EndNone            End = iota // none yet; where it is given as one all the same, the request may have run
-	EndServed                     // a whole 200 answer
-	EndErrored                    // any other answer: it may have run
-	EndRejected                   // an answer that proves it never ran
-	EndNoConnect                  // no connection came up
+	EndNone            End = iota // it goes on; where a carrier returns it all the same, the request may have run
+	EndServed                     // a complete answer with status 200
+	EndErrored                    // any other answer: the request may have run
+	EndRejected                   // an answer that says that the request has not run
+	EndNoConnect                  // no connection was established
 	EndWriteFailed                // the connection broke before the last byte was written
-	EndReset                      // it broke after that, or the answer was not whole
-	EndStale                      // a kept connection broke at once: it had been gone, which tells nothing of the member
-	EndTimedOut                   // nothing came before the flow's time was over
-	EndCancelled                  // called off by the module
-	EndDrained                    // the pool member was told to drain or is gone: not a byte was written
-	EndAlreadyAnswered            // the transaction had its answer already: not a byte was written
-	EndNoDescriptor               // the descriptor budget is spent: not a byte was written
-	EndUnauthorized               // the transaction's check says no: not a byte was written
-	EndCheckFailed                // the check gave no verdict: not a byte was written
-	EndBodyIncomplete             // the client's body didn't come whole: the last byte was not written
-	EndNoMemory                   // the budget for bodies is spent: the last byte was not written
-	EndBodyConsumed               // an earlier flow has taken of a body that comes by once: not a byte was written
-	EndRepeatUnsafe               // its connection came when a repeat was no longer harmless: not a byte was written
+	EndReset                      // it broke after that, or the answer was incomplete
+	EndStale                      // a kept connection had been closed by the server, which says nothing of it
+	EndTimedOut                   // there was no answer when the attempt's time was over
+	EndCancelled                  // policy has cancelled it
+	EndDrained                    // the server drains or has departed: nothing was written
+	EndAlreadyAnswered            // the transaction had its final answer: nothing was written
+	EndNoDescriptor               // the budget for file descriptors is used up: nothing was written
+	EndUnauthorized               // Request.Authorize said no: nothing was written
+	EndCheckFailed                // Request.Authorize gave no verdict: nothing was written
+	EndBodyIncomplete             // the client's body didn't come completely: the last byte was not written
+	EndNoMemory                   // the budget for bodies is used up: the last byte was not written
+	EndBodyConsumed               // an earlier attempt has consumed the body: nothing was written
+	EndRepeatUnsafe               // it got a connection when a repeat was no longer harmless: nothing was written
 	endCount
 )
 
-// For each end its name in logs and counters, and what the module is told. This is the only place where ends
-// become the module's endings. What was never written whole never ran; what was written whole may have.
+// endTable has each end's name in logs and counters, and what it means to policy and to the storm control. What was
+// never written completely has not run; what was written completely may have.
 var endTable = [endCount]struct {
 	name   string
 	ending policy.Ending
-	lost   bool // the member is to blame, or the way there
+	lost   bool // a failure of the server, or of the way there
 }{
 	EndNone:            {"none", policy.ConnectionLost, false},
 	EndServed:          {"served", policy.Served, false},
@@ -48,7 +48,7 @@
 	EndNoConnect:       {"no_connect", policy.NotConnected, true},
 	EndWriteFailed:     {"cut_short", policy.NotConnected, true},
 	EndReset:           {"reset", policy.ConnectionLost, true},
-	EndStale:           {"stale", policy.Cancelled, false}, // it may have run
+	EndStale:           {"stale", policy.Cancelled, false}, // the request may have run
 	EndTimedOut:        {"timed_out", policy.TimedOut, true},
 	EndCancelled:       {"cancelled", policy.Cancelled, false},
 	EndDrained:         {"drained", policy.NeverSent, false},
@@ -62,24 +62,30 @@
 	EndRepeatUnsafe:    {"lapsed", policy.NeverSent, false},
 }
 
+// String gives the name in logs and counters.
 func (e End) String() string { return endTable[e].name }
 
 // Answer is a transaction's final answer.
 type Answer struct {
-	Kind          AnswerKind
-	Attempted     bool          // a flow had been started, or a check
-	TimedOut      bool          // of a failed one: a flow was still out, the time was over
-	RetryAfter    time.Duration // of a refusal: when to come back
-	Body          []byte        // of a served one, as the pool member made it: all of it, or its beginning
-	Remainder     io.ReadCloser // what follows; nil: Body is all. An error but the end means that the answer is broken
-	ContentLength int64         // of all where there is a rest, -1 where nobody knows yet
-	ContentType   string        // and its content type
-	Units         float64       // of a served one: what it drew by the member's word; 0: not told
-	LoadReport    []float32     // the member's load, by the settings' fields, NaN where not told; nil: none came
-	Release       func()        // where not nil, gives the body's memory back once it is written or dropped
+	Kind       AnswerKind
+	Attempted  bool          // an attempt was started, or Request.Authorize gave no verdict
+	TimedOut   bool          // of a failure: an attempt was in flight when the time was over
+	RetryAfter time.Duration // of a refusal: the wait before a repeat; 0 names none
+
+	// Of a served transaction: the body as the server made it, wholly or its beginning; what follows, nil where nothing
+	// does, in which an error other than io.EOF means that the answer is incomplete; the length of both together where
+	// there is a remainder, -1 if unknown; and the content type.
+	Body          []byte
+	Remainder     io.ReadCloser
+	ContentLength int64
+	ContentType   string
+
+	Units      float64   // drawn, by the server; 0 where it didn't say
+	LoadReport []float32 // by policy.Settings.LoadReportFields, with NaN for those not given; nil where none came
+	Release    func()    // nil, or gives the body's memory back once the answer is written or discarded
 }
 
-// Drop gives back what the answer holds.
+// Discard releases what the answer holds.
 func (a Answer) Discard() {
 	if a.Remainder != nil {
 		a.Remainder.Close()
@@ -89,42 +95,18 @@
 	}
 }
 
-// AnswerKind tells final answers apart.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
 // The kinds of answer.
 const (
 	Served       AnswerKind = iota
-	Refused                 // trying again is harmless
-	Failed                  // nothing is promised
-	Unauthorized            // the check says no
-	ClientGone              // the client left: nobody to answer
+	Refused                 // it has not run or may run again: a repeat is harmless
+	Failed                  // it may have run
+	Unauthorized            // Request.Authorize said no
+	ClientGone              // the client has left: nobody waits for an answer
 	answerKindCount
 )
 
+// answerNames are the names in logs and counters.
 var answerNames = [answerKindCount]string{"served", "refused", "failed", "denied", "gone"}
-
-// Verdict is what a check says of a transaction's right to go on.
-type Verdict uint8
-
-// The verdicts.
-const (
-	Unknown Verdict = iota
-	Active
-	Inactive
-)
-
-// Request is what a front hands in. ID and Deadline of the embedded request are the core's to number and the
-// front's to set.
-type Request struct {
-	policy.Request
-	Generation int // of the settings that Class and Plan are numbers in
-	Message    any // for the Carrier
-
-	// Wait is how long the client waits from the last byte of its body on, where Coming says that it is still to come.
-	BodyTimeout time.Duration
-
-	// Check is asked before the first flow and again before any other, and tells how long to wait where it gives no
-	// verdict. Nil: no check.
-	Authorize func(until Time) (Verdict, time.Duration)
-}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -2,123 +2,126 @@
 
 import (
 	"io"
+	"slices"
 	"time"
 
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Carrier takes a server-side flow to its pool member and back. It calls Flow.Begin right before the first byte
-// and ends when Flow.Until is reached at the latest.
+// Carrier takes an attempt to its server and back. It must call Attempt.Begin right before the first byte, and return at
+// Attempt.Until at the latest.
 type Carrier interface {
-	Carry(f *Attempt) (End, Answer)
+	Carry(a *Attempt) (End, Answer)
 }
 
-// Flow is one server-side flow.
+// Attempt is one sending of a transaction to a server.
 type Attempt struct {
 	Server       policy.ServerID
-	Until        time.Time
-	Message      any
-	BodyConsumed bool // the carrier's word that the message can't be sent again
+	Until        time.Time // when it ends at the latest
+	Message      any       // Request.Message
+	BodyConsumed bool      // set by the carrier: the message can't be sent again
 
 	core        *Core
 	transaction *transaction
-	number      int
-	sentAt      Time
-	recheck     bool
+	number      int  // among the transaction's, from 0
+	sentAt      Time // moved on by a pause of this process, and when a pending body is complete
+	recheck     bool // Request.Authorize is to be called before it is carried
 	cancelled   bool
-	conn        io.Closer
+	conn        io.Closer // from Begin to Finish; closed to cancel the attempt
 }
 
-// To gives the pool member that the flow goes to.
-func (f *Attempt) To() policy.ServerID { return f.Server }
+// To gives the server that the attempt goes to.
+func (a *Attempt) To() policy.ServerID { return a.Server }
 
-// By gives the moment at which the flow ends at the latest.
-func (f *Attempt) By() time.Time { return f.Until }
+// By gives the time at which the attempt ends at the latest.
+func (a *Attempt) By() time.Time { return a.Until }
 
-// Begin tells whether the first byte may still be written to a connection, which it remembers for a cancel. A
-// flow whose transaction was answered while it dialled must not reach a server, nor may one that the module would no longer
-// send.
-func (f *Attempt) Begin(conn io.Closer) (End, bool) {
-	f.core.mu.Lock()
-	defer f.core.mu.Unlock()
-	if f.cancelled {
+// Begin tells whether the first byte may be written to a connection, which is closed if the attempt is cancelled before
+// Finish. It may not where the transaction was answered while the connection was set up, or where policy would no
+// longer send the attempt; the End tells why.
+func (a *Attempt) Begin(conn io.Closer) (End, bool) {
+	a.core.mu.Lock()
+	defer a.core.mu.Unlock()
+	tx := a.transaction
+	if a.cancelled {
 		return EndCancelled, false
 	}
-	if f.transaction.answered {
+	if tx.answered {
 		return EndAlreadyAnswered, false
 	}
-	if !f.transaction.generation.module.MayBegin(f.core.Now(), f.transaction.ID, f.number) {
+	if !tx.generation.gateway.MayBegin(a.core.Now(), tx.ID, a.number) {
 		return EndRepeatUnsafe, false
 	}
-	f.conn = conn
+	a.conn = conn
 	return EndNone, true
 }
 
-// Came tells that the last byte of a body that was still coming has been written: from now on the flow has as long as the
-// client waits.
-func (f *Attempt) BodySent() {
-	f.core.handle(func(now Time) {
-		t := f.transaction
-		if !t.BodyPending || t.answered {
+// BodySent takes in that the last byte of a pending body has been written: from now on the attempt has
+// Request.BodyTimeout.
+func (a *Attempt) BodySent() {
+	a.core.handle(func(now Time) {
+		tx := a.transaction
+		if !tx.BodyPending || tx.answered {
 			return
 		}
-		t.Deadline = now + t.BodyTimeout
-		f.sentAt, f.Until = now, f.core.At(t.Deadline)
-		t.generation.module.BodySent(now, t.ID, t.Deadline)
+		tx.Deadline = now + tx.BodyTimeout
+		a.sentAt, a.Until = now, a.core.At(tx.Deadline)
+		tx.generation.gateway.BodySent(now, tx.ID, tx.Deadline)
 	})
 }
 
-// Finish gives the connection back, so that a late cancel can't close what another flow uses. It tells
-// whether the flow was cancelled.
-func (f *Attempt) Finish() bool {
-	f.core.mu.Lock()
-	defer f.core.mu.Unlock()
-	f.conn = nil
-	return f.cancelled
+// Finish gives the connection back, so that a late cancel can't close it under another attempt. It tells whether the
+// attempt was cancelled.
+func (a *Attempt) Finish() (cancelled bool) {
+	a.core.mu.Lock()
+	defer a.core.mu.Unlock()
+	a.conn = nil
+	return a.cancelled
 }
 
-// carry takes one flow to its end, which goes to the module whether or not the client still waits: what runs on
-// after the answer still tells of its pool member.
-func (c *Core) carryAttempt(f *Attempt) {
+// carryAttempt takes an attempt to its end, which goes to policy whether or not the client still waits: it says
+// something of its server.
+func (c *Core) carryAttempt(a *Attempt) {
 	end, answer := EndCheckFailed, Answer{}
 	verdict := Active
-	if f.recheck {
-		verdict, _ = f.transaction.Authorize(f.transaction.Deadline - authorizeMargin)
+	if a.recheck {
+		verdict, _ = a.transaction.Authorize(a.transaction.Deadline - authorizeMargin)
 	}
 	switch verdict {
 	case Active:
-		end, answer = c.carrier.Carry(f)
+		end, answer = c.carrier.Carry(a)
 	case Inactive:
 		end = EndUnauthorized
 	}
 	late := false
-	c.handle(func(now Time) {
-		t := f.transaction
-		c.counts.ended[end]++
-		c.storm.recordAttempt(now, f, end)
-		for i := range t.inFlight {
-			if t.inFlight[i] == f {
-				t.inFlight = append(t.inFlight[:i], t.inFlight[i+1:]...)
-				break
-			}
-		}
-		switch {
-		case t.answered:
-			late = true
-		case end == EndServed:
-			answer.Kind, answer.Attempted = Served, true
-			c.finish(t, answer)
-		case end == EndUnauthorized:
-			c.finish(t, Answer{Kind: Unauthorized, Attempted: true})
-		}
-		closed := t.answered
-		t.generation.module.Outcome(now, policy.Outcome{ID: t.ID, Attempt: f.number, Server: f.Server, Elapsed: now - f.sentAt,
-			Ending: endTable[end].ending, Answered: closed, BodyConsumed: f.BodyConsumed, Units: answer.Units, LoadReport: answer.LoadReport})
-		if t.answered && len(t.inFlight) == 0 {
-			c.remove(t)
-		}
-	})
-	if late { // what it holds may be a connection
+	c.handle(func(now Time) { late = c.attemptEnded(now, a, end, answer) })
+	if late { // what the answer holds may be a connection
 		answer.Discard()
 	}
 }
+
+// attemptEnded takes the end of an attempt in. It tells whether it came after the final answer. The mutex is held.
+func (c *Core) attemptEnded(now Time, a *Attempt, end End, answer Answer) (late bool) {
+	tx := a.transaction
+	c.counts.ended[end]++
+	c.storm.recordAttempt(now, a, end)
+	if i := slices.Index(tx.inFlight, a); i >= 0 {
+		tx.inFlight = slices.Delete(tx.inFlight, i, i+1)
+	}
+	switch {
+	case tx.answered:
+		late = true
+	case end == EndServed:
+		answer.Kind, answer.Attempted = Served, true
+		c.finish(tx, answer)
+	case end == EndUnauthorized:
+		c.finish(tx, Answer{Kind: Unauthorized, Attempted: true})
+	}
+	tx.generation.gateway.Outcome(now, policy.Outcome{ID: tx.ID, Attempt: a.number, Server: a.Server,
+		Elapsed: now - a.sentAt, Ending: endTable[end].ending, Answered: tx.answered, BodyConsumed: a.BodyConsumed,
+		Units: answer.Units, LoadReport: answer.LoadReport})
+	if tx.answered && len(tx.inFlight) == 0 {
+		c.remove(tx)
+	}
+	return late
+}
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -5,6 +5,7 @@
 	"strings"
 )
 
+// countAnswer counts a final answer and gives it back.
 func (c *Core) countAnswer(a Answer) Answer {
 	c.mu.Lock()
 	c.counts.answered[a.Kind]++
@@ -27,7 +28,7 @@
 	return text.String()
 }
 
-// Counters gives what was taken, sent and answered so far.
+// Counters gives the transactions taken in and answered, the attempts started and ended, and the gateway's statistics.
 func (c *Core) Counters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +40,9 @@
 	for i, n := range c.counts.ended {
 		counts = append(counts, slog.Uint64("ended_"+endTable[i].name, n))
 	}
-	f := c.current.module.Stats(c.Now())
-	return append(counts, slog.Int("left_out", f.EjectedServers), slog.Int("customers", f.Customers), slog.Int("asked", f.OwnerQueries),
-		slog.Int("homes_silent", f.SuspectedOwners), slog.Int("near_heard", f.NearbyAlive), slog.Int("odd_messages", f.InvalidMessages), slog.Int("held", f.QueuedRequests))
+	stats := c.current.gateway.Stats(c.Now())
+	return append(counts, slog.Int("left_out", stats.EjectedServers), slog.Int("customers", stats.Customers),
+		slog.Int("asked", stats.OwnerQueries), slog.Int("homes_silent", stats.SuspectedOwners),
+		slog.Int("near_heard", stats.NearbyAlive), slog.Int("odd_messages", stats.InvalidMessages),
+		slog.Int("held", stats.QueuedRequests))
 }
--- a/internal/core/generation.go
+++ b/internal/core/generation.go
@@ -5,106 +5,110 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/recovery"
-	"sprucelane.example/sprucelane/internal/storm"
 	"sprucelane.example/sprucelane/policy"
 )
 
-// This file owns the eras of a gateway's settings: each has a module of its own, which keeps the transactions that it has
-// taken to their end. It must never carry a transaction from one to another.
-
-// era is the time in which some settings are in force.
+// generation is the time in which one version of the settings is in force, and the gateway that decides by it. Its
+// transactions stay with it to their end.
 type generation struct {
 	number           int
 	cfg              policy.Settings
-	module           *policy.Gateway
+	gateway          *policy.Gateway
 	openTransactions int  // transactions that something may still come for
 	retired          bool // nothing more comes for it
-	replacedAt       Time // when it was followed by another
+	replacedAt       Time // when the next one came into force; 0 for the current one
 }
 
-// eraKept is how long after its end an era takes what a front had begun to read under its settings.
+// retireDelay is how long after its replacement a generation takes transactions that a front had begun to read.
 const retireDelay = 5 * time.Second
 
-// mostCarried bounds the bytes in which a module's knowledge goes to the next.
+// maxStateBytes bounds the state that a gateway exports to the next generation's.
 const maxStateBytes = 4 << 20
 
-// newEra makes a module of settings.
-func (c *Core) newGeneration(number int, set policy.Settings, seed uint64) (*generation, error) {
-	module, err := policy.New(set, seed)
+// newGeneration makes a generation with a new gateway. The error is that of policy.New.
+func (c *Core) newGeneration(number int, cfg policy.Settings, seed uint64) (*generation, error) {
+	gateway, err := policy.New(cfg, seed)
 	if err != nil {
 		return nil, err
 	}
-	e := &generation{number: number, cfg: set, module: module}
-	module.Attach(host{c, e})
-	return e, nil
+	g := &generation{number: number, cfg: cfg, gateway: gateway}
+	gateway.Attach(host{c, g})
+	return g, nil
+}
+
+// generations gives the current generation and the retiring ones, in a new slice. The mutex is held.
+func (c *Core) generations() []*generation {
+	return append([]*generation{c.current}, c.retiring...)
 }
 
-// eraOf gives the era of a number, nil where it is over. The mutex is held.
+// generationByNumber gives a generation, nil where it is retired or unknown. The mutex is held.
 func (c *Core) generationByNumber(number int) *generation {
 	if number == c.current.number {
 		return c.current
 	}
-	for _, e := range c.retiring {
-		if e.number == number {
-			return e
+	for _, g := range c.retiring {
+		if g.number == number {
+			return g
 		}
 	}
 	return nil
 }
 
-// Retune puts other settings in force for all that is taken from now on, and gives the number of their era. What is open
-// keeps the settings that it was taken under. Settings that can't be used change nothing.
-func (c *Core) Reconfigure(set policy.Settings, seed uint64) (number int, err error) {
-	set.Peers = set.Peers && c.sendToPeer != nil
+// Reconfigure puts other settings in force for transactions that come in from now on, and gives the number of their
+// generation. Open transactions keep the settings that they came in under. On an error, that of policy.New or
+// policy.ErrState, the settings stay as they were.
+func (c *Core) Reconfigure(cfg policy.Settings, seed uint64) (number int, err error) {
+	cfg.Peers = cfg.Peers && c.sendToPeer != nil
 	c.handle(func(now Time) {
-		next, failed := c.newGeneration(c.current.number+1, set, seed)
-		if err = failed; err != nil {
+		var next *generation
+		if next, err = c.newGeneration(c.current.number+1, cfg, seed); err != nil {
 			return
 		}
 		old := c.current
-		c.current = next // the next one's first words to peers are the gateway's
-		if err = next.module.ImportState(now, old.module.ExportState(now, maxStateBytes)); err != nil {
+		c.current = next // before the import, in which its gateway sends its first messages to peers
+		if err = next.gateway.ImportState(now, old.gateway.ExportState(now, maxStateBytes)); err != nil {
 			c.current, next.retired = old, true
 			return
 		}
 		old.replacedAt = now
 		c.retiring = append(c.retiring, old)
-		c.storm.reconfigure(set)
+		c.storm.reconfigure(cfg)
 		number = next.number
 		time.AfterFunc(retireDelay, func() { c.handle(func(Time) { c.prune() }) })
 	})
 	return number, err
 }
 
-// prune drops the eras that nothing more comes for. The mutex is held.
+// prune retires the generations that nothing more comes for. The mutex is held.
 func (c *Core) prune() {
-	c.retiring = slices.DeleteFunc(c.retiring, func(e *generation) bool {
-		e.retired = e.openTransactions == 0 && c.Now()-e.replacedAt >= retireDelay
-		return e.retired
+	c.retiring = slices.DeleteFunc(c.retiring, func(g *generation) bool {
+		g.retired = g.openTransactions == 0 && c.Now()-g.replacedAt >= retireDelay
+		return g.retired
 	})
 }
 
-// Sent is a flow that was started, as another of the gateway's modules is told of it.
+// Sent is an attempt that was started, as other gateways of this process, or of one that hands over, are told of it.
+// Processes exchange it as JSON.
 type Sent struct {
 	Customer  policy.CustomerID `json:"customer"`
-	Plan      string            `json:"plan"`
+	Plan      string            `json:"plan"` // its name: numbers differ between settings
 	Units     float64           `json:"units"`
 	SetSize   int               `json:"set"`
-	FirstDoor int               `json:"door"`
+	FirstDoor int               `json:"door"` // policy.Request.FirstGateway
 	Server    policy.ServerID   `json:"server"`
-	First     bool              `json:"first"` // of its transaction: its units are drawn
+	First     bool              `json:"first"` // of its transaction, whose units it draws
 }
 
-// sent tells the gateway's other modules of a flow. The mutex is held.
-func (c *Core) announceSend(t *transaction, to policy.ServerID) {
+// announceSend tells the other generations' gateways, and a process that takes over, of an attempt. The mutex is held.
+func (c *Core) announceSend(tx *transaction, to policy.ServerID) {
 	if len(c.retiring) == 0 && c.onSend == nil {
 		return
 	}
-	s := Sent{Customer: t.Customer, Plan: t.generation.cfg.Plans[t.Plan].Name, Units: t.Units, SetSize: t.SetSize, FirstDoor: t.FirstGateway,
-		Server: to, First: t.attemptsStarted == 1}
-	for _, e := range append([]*generation{c.current}, c.retiring...) {
-		if e != t.generation {
-			e.sentElsewhere(c.Now(), s, e == c.current)
+	s := Sent{Customer: tx.Customer, Plan: tx.generation.cfg.Plans[tx.Plan].Name, Units: tx.Units,
+		SetSize: tx.SetSize, FirstDoor: tx.FirstGateway, Server: to, First: tx.attemptsStarted == 1}
+	for _, g := range c.generations() {
+		if g != tx.generation {
+			g.sentElsewhere(c.Now(), s, g == c.current)
 		}
 	}
 	if c.onSend != nil {
@@ -112,41 +116,44 @@
 	}
 }
 
-// elsewhere tells a module of a flow that another has started. An era that is past draws from a store no longer.
-func (e *generation) sentElsewhere(now Time, s Sent, draws bool) {
-	plan := slices.IndexFunc(e.cfg.Plans, func(p policy.Plan) bool { return p.Name == s.Plan })
-	e.module.SentElsewhere(now, policy.Request{Customer: s.Customer, Plan: plan, Units: s.Units, SetSize: s.SetSize, FirstGateway: s.FirstDoor},
-		s.Server, draws && s.First && plan >= 0)
+// sentElsewhere takes in an attempt that another gateway has started. A retiring generation's gateway draws no units
+// for it: it admits nothing any more.
+func (g *generation) sentElsewhere(now Time, s Sent, draws bool) {
+	plan := slices.IndexFunc(g.cfg.Plans, func(p policy.Plan) bool { return p.Name == s.Plan })
+	request := policy.Request{Customer: s.Customer, Plan: plan, Units: s.Units, SetSize: s.SetSize,
+		FirstGateway: s.FirstDoor}
+	g.gateway.SentElsewhere(now, request, s.Server, draws && s.First && plan >= 0)
 }
 
-// Carry gives what the gateway knows, for Follow, in about so many bytes at most. From then on tap is told of each flow
-// that is started; it is called with the mutex held, and must only queue.
-func (c *Core) ExportState(most int, tap func(Sent)) (carried []byte) {
+// ExportState gives the gateway's state for ImportState, in about maxBytes at most. From then on onSend is called for
+// each attempt that is started, with the mutex held: it must only queue.
+func (c *Core) ExportState(maxBytes int, onSend func(Sent)) (state []byte) {
 	c.handle(func(now Time) {
-		carried = c.current.module.ExportState(now, most)
-		c.onSend = tap
+		state = c.current.gateway.ExportState(now, maxBytes)
+		c.onSend = onSend
 	})
-	return carried
+	return state
 }
 
-// Untap ends what Carry began.
+// StopExport ends the calls that ExportState began.
 func (c *Core) StopExport() {
 	c.mu.Lock()
 	c.onSend = nil
 	c.mu.Unlock()
 }
 
-// Follow takes over what another process of this gateway knew. It comes before anything else, and takes all or nothing.
-func (c *Core) ImportState(carried []byte) (err error) {
+// ImportState takes over the state that another process of this gateway has exported, wholly or not at all. It must be
+// called before anything else. The error is policy.ErrState.
+func (c *Core) ImportState(state []byte) (err error) {
 	c.handle(func(now Time) {
-		if err = c.current.module.ImportState(now, carried); err == nil {
+		if err = c.current.gateway.ImportState(now, state); err == nil {
 			c.recovery.Received(recovery.Predecessor)
 		}
 	})
 	return err
 }
 
-// Elsewhere takes in what another process of this gateway has started.
+// SentElsewhere takes in attempts that another process of this gateway has started.
 func (c *Core) SentElsewhere(list []Sent) {
 	c.handle(func(now Time) {
 		for _, s := range list {
@@ -154,24 +161,3 @@
 		}
 	})
 }
-
-// retune gives the storm module the classes and plans that are in force.
-func (g *stormGuard) reconfigure(set policy.Settings) {
-	if g != nil {
-		g.Configure(stormClasses(set), stormPrices(set))
-	}
-}
-
-func stormClasses(set policy.Settings) (list []storm.Class) {
-	for _, class := range set.Classes {
-		list = append(list, storm.Class{LatencyTarget: class.LatencyTarget, Value: class.Value, NonIdempotent: class.Idempotency == policy.NotIdempotent})
-	}
-	return list
-}
-
-func stormPrices(set policy.Settings) (list []float64) {
-	for _, p := range set.Plans {
-		list = append(list, p.ValueMultiplier)
-	}
-	return list
-}
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -7,76 +7,87 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// host carries out the choices of an era's module. Its methods are called inside the module's, with the mutex held: they
-// queue and return.
+// host is the policy.Host of a generation's gateway. Its methods are called within the gateway's, with the mutex held:
+// they queue and return.
 type host struct {
 	core       *Core
 	generation *generation
 }
 
+var _ policy.Host = host{}
+
+// Send starts an attempt; Core.Serve has it carried.
 func (h host) Send(id policy.RequestID, to policy.ServerID, until Time) {
-	t := h.core.transactions[id]
-	if t == nil || t.answered {
+	tx := h.core.transactions[id]
+	if tx == nil || tx.answered {
 		return
 	}
-	f := &Attempt{Server: to, Until: h.core.At(min(until, t.Deadline)), Message: t.Message, core: h.core, transaction: t, number: t.attemptsStarted,
-		sentAt: h.core.Now()}
-	t.attemptsStarted++
+	a := &Attempt{Server: to, Until: h.core.At(min(until, tx.Deadline)), Message: tx.Message,
+		core: h.core, transaction: tx, number: tx.attemptsStarted, sentAt: h.core.Now()}
+	tx.attemptsStarted++
 	h.core.counts.sent++
-	t.inFlight = append(t.inFlight, f)
-	t.actions <- f
-	h.core.announceSend(t, to)
+	tx.inFlight = append(tx.inFlight, a)
+	tx.actions <- a
+	h.core.announceSend(tx, to)
 }
 
+// Refuse gives the final answer of a transaction that has not run, or may run again.
 func (h host) Refuse(id policy.RequestID, wait time.Duration) {
-	if t := h.core.transactions[id]; t != nil {
-		h.core.finish(t, Answer{Kind: Refused, Attempted: t.attemptsStarted > 0, RetryAfter: h.core.storm.refusalWait(h.core.Now(), t, wait)})
+	if tx := h.core.transactions[id]; tx != nil {
+		h.core.finish(tx, Answer{Kind: Refused, Attempted: tx.attemptsStarted > 0,
+			RetryAfter: h.core.storm.refusalWait(h.core.Now(), tx, wait)})
 	}
 }
 
+// Fail gives the final answer of a transaction that may have run.
 func (h host) Fail(id policy.RequestID) {
-	if t := h.core.transactions[id]; t != nil {
-		h.core.storm.recordFailed(h.core.Now(), t)
-		h.core.finish(t, Answer{Kind: Failed, Attempted: t.attemptsStarted > 0, TimedOut: len(t.inFlight) > 0})
+	if tx := h.core.transactions[id]; tx != nil {
+		h.core.storm.recordFailed(h.core.Now(), tx)
+		h.core.finish(tx, Answer{Kind: Failed, Attempted: tx.attemptsStarted > 0, TimedOut: len(tx.inFlight) > 0})
 	}
 }
 
+// Cancel closes the connection of an attempt, or keeps it from getting one.
 func (h host) Cancel(id policy.RequestID, attempt int) {
-	t := h.core.transactions[id]
-	if t == nil {
+	tx := h.core.transactions[id]
+	if tx == nil {
 		return
 	}
-	for _, f := range t.inFlight {
-		if f.number == attempt && !f.cancelled {
-			f.cancelled = true
-			if f.conn != nil {
-				go f.conn.Close() // not under the mutex
+	for _, a := range tx.inFlight {
+		if a.number == attempt && !a.cancelled {
+			a.cancelled = true
+			if a.conn != nil {
+				go a.conn.Close() // not under the mutex
 			}
 		}
 	}
 }
 
+// Timer has the gateway's Timer called later, unless the generation is retired or the transaction answered by then.
 func (h host) Timer(tag uint64, after time.Duration) {
 	timer := time.AfterFunc(after, func() {
 		h.core.handle(func(now Time) {
 			if !h.generation.retired {
-				h.generation.module.Timer(now, tag)
+				h.generation.gateway.Timer(now, tag)
 			}
 		})
 	})
-	if t := h.core.transactions[policy.TimerRequest(tag)]; t != nil && !t.answered {
-		t.timers = append(t.timers, timer)
+	if tx := h.core.transactions[policy.TimerRequest(tag)]; tx != nil && !tx.answered {
+		tx.timers = append(tx.timers, timer)
 	}
 }
 
+// Tell queues a message to a peer. Only the current generation's gateway speaks for this process.
 func (h host) Tell(peer int, message []byte) {
-	if h.generation == h.core.current { // the gateway speaks with one voice
+	if h.generation == h.core.current {
 		h.core.pendingMessages = append(h.core.pendingMessages, peerMessage{peer, message})
 	}
 }
 
-func (h host) Watch() {} // discovery is always watched
+// Watch does nothing: discovery is always watched.
+func (h host) Watch() {}
 
+// Log queues a log line.
 func (h host) Log(text string) {
 	h.core.pendingLogs = append(h.core.pendingLogs, logLine{"module", []slog.Attr{slog.String("text", text)}})
 }
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -8,56 +8,64 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// This file owns the core's side of coming back: it hands internal/recovery what happens, under the core's mutex, and does what
-// follows from a standstill. It must never decide what that is. Overload is judged twice in the shortest aim, so a process that runs
-// has an event as often: a pause of all of it is none of a running process.
-
-// woke lets the standstill of this process be nobody's slowness. The mutex is held.
-func (c *Core) resumed(now Time, still time.Duration) {
-	for _, t := range c.transactions {
-		for _, f := range t.inFlight {
-			f.sentAt = min(now, f.sentAt+still)
+// The tie to internal/recovery, which is given the events under the core's mutex and detects pauses of this process by
+// the gaps between them: while it runs, overload checks alone are events more often than its threshold.
+
+// resumed takes in that this process was paused until now: attempts aren't held to the time of the pause. The mutex is
+// held.
+func (c *Core) resumed(now Time, pause time.Duration) {
+	for _, tx := range c.transactions {
+		for _, a := range tx.inFlight {
+			a.sentAt = min(now, a.sentAt+pause)
 		}
 	}
-	for _, e := range append([]*generation{c.current}, c.retiring...) {
-		e.module.Resumed(now, still)
+	for _, g := range c.generations() {
+		g.gateway.Resumed(now, pause)
 	}
-	c.pendingLogs = append(c.pendingLogs, logLine{"woke", []slog.Attr{slog.Int64("stood_still_ms", still.Milliseconds()), slog.Int("open", len(c.transactions))}})
+	c.pendingLogs = append(c.pendingLogs, logLine{"woke", []slog.Attr{
+		slog.Int64("stood_still_ms", pause.Milliseconds()), slog.Int("open", len(c.transactions))}})
 }
 
-// look follows how far this process has come. The mutex is held.
+// checkRecovery gives recovery what is known of servers and peers, and logs when full service is reached. The mutex is
+// held.
 func (c *Core) checkRecovery(now Time) {
 	if !c.recovery.CheckDue(now) {
 		return
 	}
-	f := c.current.module.Stats(now)
-	first := c.recovery.TimeToFullService() == 0
-	if c.recovery.Check(now, recovery.Observation{Members: f.ListedServers, NearbyReachable: f.NearbyAlive, Queued: f.QueuedRequests}); first && c.recovery.TimeToFullService() > 0 {
-		c.pendingLogs = append(c.pendingLogs, logLine{"recovered", []slog.Attr{slog.Int64("took_ms", c.recovery.TimeToFullService().Milliseconds()),
-			slog.String("from", c.recovery.SourceNames()), slog.Int("members", f.ListedServers), slog.Int("near_heard", f.NearbyAlive)}})
+	stats := c.current.gateway.Stats(now)
+	recovering := c.recovery.TimeToFullService() == 0
+	c.recovery.Check(now, recovery.Observation{Members: stats.ListedServers, NearbyReachable: stats.NearbyAlive,
+		Queued: stats.QueuedRequests})
+	if took := c.recovery.TimeToFullService(); recovering && took > 0 {
+		c.pendingLogs = append(c.pendingLogs, logLine{"recovered", []slog.Attr{
+			slog.Int64("took_ms", took.Milliseconds()), slog.String("from", c.recovery.SourceNames()),
+			slog.Int("members", stats.ListedServers), slog.Int("near_heard", stats.NearbyAlive)}})
 	}
 }
 
-// Recovery gives how far this process has come, and counters.
+// Recovery gives how far this process has come to full service, and its counters.
 func (c *Core) Recovery() (recovery.Phase, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.recovery.Stats()
-	return c.recovery.Phase(), Counts{slog.String("phase", c.recovery.Phase().String()), slog.Int64("took_ms", c.recovery.TimeToFullService().Milliseconds()),
-		slog.String("from", c.recovery.SourceNames()), slog.Int("stalls", f.Pauses), slog.Int64("longest_ms", f.LongestPause.Milliseconds()),
-		slog.Int("lain", f.Backlogged), slog.Int("too_late", f.Expired)}
+	phase, stats := c.recovery.Phase(), c.recovery.Stats()
+	return phase, Counts{slog.String("phase", phase.String()),
+		slog.Int64("took_ms", c.recovery.TimeToFullService().Milliseconds()),
+		slog.String("from", c.recovery.SourceNames()), slog.Int("stalls", stats.Pauses),
+		slog.Int64("longest_ms", stats.LongestPause.Milliseconds()), slog.Int("lain", stats.Backlogged),
+		slog.Int("too_late", stats.Expired)}
 }
 
-// Uses gives what is left of the accounts that were asked for since a moment, and the moment to ask from next.
-func (c *Core) QuotaBalances(since Time) (list []policy.QuotaBalance, at Time) {
-	c.handle(func(now Time) { list, at = c.current.module.QuotaBalances(now, since), now })
-	return list, at
+// QuotaBalances gives the balances of the customers that were active at or after a time, and the time to ask from next.
+func (c *Core) QuotaBalances(since Time) (list []policy.QuotaBalance, now Time) {
+	c.handle(func(t Time) { list, now = c.current.gateway.QuotaBalances(t, since), t })
+	return list, now
 }
 
-// Recall hands the module what the former life of this gateway has kept. It comes before the first transaction.
+// RestoreBalances takes over the balances that an earlier incarnation of this gateway has stored. It must be called
+// before the first transaction.
 func (c *Core) RestoreBalances(list []policy.QuotaBalance) {
 	c.handle(func(now Time) {
 		c.recovery.Received(recovery.Store)
-		c.current.module.RestoreBalances(now, list)
+		c.current.gateway.RestoreBalances(now, list)
 	})
 }
