--- a/coord/leader/example_test.go
+++ b/coord/leader/example_test.go
@@ -11,7 +11,7 @@
 // alwaysLeader is a source that leads in epoch 7 until it hands over.
 type alwaysLeader struct{ handedOver chan struct{} }
 
-func (a *alwaysLeader) Lead() (uint64, time.Time, bool) {
+func (a *alwaysLeader) LeaderLease() (uint64, time.Time, bool) {
 	select {
 	case <-a.handedOver:
 		return 0, time.Time{}, false
--- a/coord/leader/leader_test.go
+++ b/coord/leader/leader_test.go
@@ -89,7 +89,7 @@
 	s.epoch, s.until, s.leads = epoch, until, leads
 }
 
-func (s *fakeSource) Lead() (uint64, time.Time, bool) {
+func (s *fakeSource) LeaderLease() (uint64, time.Time, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.epoch, s.until, s.leads
--- a/coord/leader/role.go
+++ b/coord/leader/role.go
@@ -10,7 +10,7 @@
 type Source interface {
 	// Lead returns the epoch of this node's leadership and the moment until which no other node can be leader; ok is
 	// false if this node isn't the leader. It must return soon: Term.Valid calls it.
-	Lead() (epoch uint64, until time.Time, ok bool)
+	LeaderLease() (epoch uint64, until time.Time, ok bool)
 	// HandOver gives the leadership to another node. It returns once that is done, or with an error.
 	HandOver(ctx context.Context) error
 }
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -70,7 +70,7 @@
 
 // leaderLease returns what the source says, in the election's time.
 func (r *Runner) leaderLease() LeaderLease {
-	epoch, until, leads := r.source.Lead()
+	epoch, until, leads := r.source.LeaderLease()
 	return LeaderLease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
 }
 
--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -128,7 +128,7 @@
 // until which no other node has the lease. Singleton roles depend on it (see coord/leader); their holder compares the
 // moment with the clock right before each act. A new head gets the lease only once that of the one before has
 // expired.
-func (n *Node) Lead() (epoch uint64, until time.Time, ok bool) {
+func (n *Node) LeaderLease() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
 	if !time.Now().Before(current.leaseExpiry) {
 		return 0, time.Time{}, false
@@ -139,7 +139,7 @@
 // Head returns the moment until which no successor of this node's epoch acts, if the node is its head. Unlike Lead,
 // it doesn't wait until the lease of an earlier head has expired: it is for a holder that knows that no other has
 // acted since it did itself, in this incarnation or an earlier one of its disk.
-func (n *Node) Head() (until time.Time, ok bool) {
+func (n *Node) HeadLease() (until time.Time, ok bool) {
 	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
 }
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -169,7 +169,7 @@
 	}
 	eventually(t, 3*time.Second, "a head holds the leader lease", func() bool {
 		for _, m := range machines {
-			if _, _, ok := m.node.Lead(); ok {
+			if _, _, ok := m.node.LeaderLease(); ok {
 				return true
 			}
 		}
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -155,7 +155,7 @@
 		if held < uint64(newest) && fresh && age < time.Second {
 			w.failf("%s is fresh with version %d", m.ip, held)
 		}
-		if _, _, leads := m.node.Lead(); leads && held < uint64(newest) {
+		if _, _, leads := m.node.LeaderLease(); leads && held < uint64(newest) {
 			w.failf("%s leads with version %d", m.ip, held)
 		}
 		got := m.call("GET", "", "", 20*time.Millisecond)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -126,7 +126,7 @@
 	if s.askQuota(s.victim, sequence) {
 		s.failf("it grants quota")
 	}
-	if _, _, leads := s.running[s.victim].replica.Lead(); leads {
+	if _, _, leads := s.running[s.victim].replica.LeaderLease(); leads {
 		s.failf("it leads")
 	}
 	if commands := s.running[s.victim].storeCommands(); len(commands) > 0 {
@@ -249,13 +249,13 @@
 
 func (alwaysFreshReplica) Staleness() (time.Duration, bool) { return 0, true }
 
-func (r alwaysLeadingReplica) Lead() (uint64, time.Time, bool) {
+func (r alwaysLeadingReplica) LeaderLease() (uint64, time.Time, bool) {
 	heads := r.View().Head().Same(r.Self())
 	return r.View().Epoch, time.Now().Add(time.Second), heads
 }
 
-func (r alwaysLeadingReplica) Head() (time.Time, bool) {
-	_, until, heads := r.Lead()
+func (r alwaysLeadingReplica) HeadLease() (time.Time, bool) {
+	_, until, heads := r.LeaderLease()
 	return until, heads
 }
 
--- a/internal/control/quotaservice/chainmodel_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -133,7 +133,7 @@
 func (m *simulatedControl) Grantor() statemachine.Grantor { return m.state.Grantor() }
 
 // Head implements Leadership as coord/replica does.
-func (m *simulatedControl) Head() (until time.Time, ok bool) {
+func (m *simulatedControl) HeadLease() (until time.Time, ok bool) {
 	w := m.chainModel.simulation
 	if m.chain == nil || m.chain[0] != m || m.ending {
 		return time.Time{}, false
@@ -146,8 +146,8 @@
 }
 
 // Lead implements Leadership as coord/replica does.
-func (m *simulatedControl) Lead() (epoch uint64, until time.Time, ok bool) {
-	until, ok = m.Head()
+func (m *simulatedControl) LeaderLease() (epoch uint64, until time.Time, ok bool) {
+	until, ok = m.HeadLease()
 	waited := m.chainModel.simulation.Elapsed() >= m.headSince || m.chainModel.simulation.bug == bugEarlyStart
 	return uint64(m.epoch), until, ok && waited
 }
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -9,7 +9,7 @@
 // NextChange returns the change of the grant record that is needed now, or nil. The caller proposes it, and calls
 // ChangeDone with the outcome before the next call.
 func (s *Service) NextChange() *statemachine.GrantsChange {
-	if _, heads := s.leadership.Head(); !heads {
+	if _, heads := s.leadership.HeadLease(); !heads {
 		return nil
 	}
 	s.mutex.Lock()
@@ -61,7 +61,7 @@
 func (s *Service) beginTerm(grantor statemachine.Grantor) *statemachine.GrantsChange {
 	alone := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
 		grantor.Member == s.self.Member
-	if _, _, leads := s.leadership.Lead(); !alone && !leads {
+	if _, _, leads := s.leadership.LeaderLease(); !alone && !leads {
 		return nil
 	}
 	s.lastChange++
--- a/internal/control/quotaservice/service.go
+++ b/internal/control/quotaservice/service.go
@@ -20,9 +20,9 @@
 type Leadership interface {
 	// Head reports whether the process is the chain's proven head, and the time until which no successor acts as
 	// one.
-	Head() (until time.Time, ok bool)
+	HeadLease() (until time.Time, ok bool)
 	// Lead is as Head, but true only once the leader lease of the head before has ended.
-	Lead() (epoch uint64, until time.Time, ok bool)
+	LeaderLease() (epoch uint64, until time.Time, ok bool)
 }
 
 // GrantRecord is the agreed state that the service needs. *statemachine.StateMachine implements it.
@@ -119,7 +119,7 @@
 	if s.record.Grantor() != s.self {
 		s.term = nil // another process is the grantor, or was one meanwhile
 	}
-	until, heads := s.leadership.Head()
+	until, heads := s.leadership.HeadLease()
 	return s.term != nil && heads && now.Before(until)
 }
 
--- a/internal/control/quotaservice/service_test.go
+++ b/internal/control/quotaservice/service_test.go
@@ -20,8 +20,10 @@
 	heads, alone bool
 }
 
-func (f *fakeLeadership) Head() (time.Time, bool)         { return f.until, f.heads }
-func (f *fakeLeadership) Lead() (uint64, time.Time, bool) { return 1, f.until, f.heads && f.alone }
+func (f *fakeLeadership) HeadLease() (time.Time, bool) { return f.until, f.heads }
+func (f *fakeLeadership) LeaderLease() (uint64, time.Time, bool) {
+	return 1, f.until, f.heads && f.alone
+}
 
 // fakeChain is one state machine to which changes are applied at once, and a fixed configuration.
 type fakeChain struct {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -23,8 +23,8 @@
 	View() view.View
 	Self() view.Member
 	Members() []replica.Peer
-	Lead() (epoch uint64, until time.Time, ok bool)
-	Head() (until time.Time, ok bool)
+	LeaderLease() (epoch uint64, until time.Time, ok bool)
+	HeadLease() (until time.Time, ok bool)
 	OnView(call func(view.View))
 	SetSeeds(seeds []string)
 	HandOver(ctx context.Context) error
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -163,7 +163,7 @@
 func (s *simulatedSystem) head() int {
 	for i, one := range s.running {
 		if one != nil {
-			if _, _, ok := one.replica.Lead(); ok {
+			if _, _, ok := one.replica.LeaderLease(); ok {
 				return i
 			}
 		}
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -14,7 +14,7 @@
 // storeCommands returns the commands that the store membership needs now. There are none unless this process leads
 // the chain.
 func (c *Control) storeCommands() []statemachine.Command {
-	epoch, _, leads := c.replica.Lead()
+	epoch, _, leads := c.replica.LeaderLease()
 	stores := c.state.Stores()
 	others := c.otherControls()
 	now := c.now()
--- a/internal/control/vouching_test.go
+++ b/internal/control/vouching_test.go
@@ -121,7 +121,7 @@
 	head   string // its address
 }
 
-func (r *fixedReplica) Lead() (uint64, time.Time, bool) {
+func (r *fixedReplica) LeaderLease() (uint64, time.Time, bool) {
 	return 1, time.Now().Add(time.Second), true
 }
 
