--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -124,10 +124,10 @@
 // IsHead reports whether the node is the head of the newest view that it knows. Another one may have replaced it.
 func (n *Node) IsHead() bool { return n.View().Head().Same(n.core.self) }
 
-// Lead returns the leader lease, if this node holds it: the epoch, which serves as a fencing token, and the moment
-// until which no other node has the lease. Singleton roles depend on it (see coord/leader); their holder compares the
-// moment with the clock right before each act. A new head gets the lease only once that of the one before has
-// expired.
+// LeaderLease returns the leader lease, if this node holds it: the epoch, which serves as a fencing token, and the
+// moment until which no other node has the lease. Singleton roles depend on it (see coord/leader); their holder
+// compares the moment with the clock right before each act. A new head gets the lease only once that of the one
+// before has expired.
 func (n *Node) LeaderLease() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
 	if !time.Now().Before(current.leaseExpiry) {
@@ -136,9 +136,9 @@
 	return current.leaseEpoch, current.leaseExpiry, true
 }
 
-// Head returns the moment until which no successor of this node's epoch acts, if the node is its head. Unlike Lead,
-// it doesn't wait until the lease of an earlier head has expired: it is for a holder that knows that no other has
-// acted since it did itself, in this incarnation or an earlier one of its disk.
+// HeadLease returns the moment until which no successor of this node's epoch acts, if the node is its head. Unlike
+// LeaderLease, it doesn't wait until the lease of an earlier head has expired: it is for a holder that knows that no
+// other has acted since it did itself, in this incarnation or an earlier one of its disk.
 func (n *Node) HeadLease() (until time.Time, ok bool) {
 	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -10,8 +10,8 @@
 //   - Node.Read waits until the local state machine has applied all that was acknowledged before the call. The caller
 //     then reads its own state machine.
 //   - Node.Staleness tells, without asking anybody, how stale the local state is at most.
-//   - Node.Lead tells whether this node holds the leader lease, and until when. Singleton roles depend on it; see
-//     coord/leader.
+//   - Node.LeaderLease tells whether this node holds the leader lease, and until when. Singleton roles depend on it;
+//     see coord/leader.
 //   - Node.HandOver leaves the chain as planned, before a process ends.
 //
 // # Guarantees
