--- /dev/null
+++ b/internal/handover/conn.go
@@ -0,0 +1,190 @@
+package handover
+
+import (
+	"cmp"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// conn is one side of a connection between the two processes.
+type conn struct{ *net.UnixConn }
+
+const (
+	frameLengthSize = 4
+	frameHeaderSize = frameLengthSize + 1 // with the kind
+)
+
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
+
+// writeFrame writes a frame, and sends duplicates of the files' descriptors with it.
+func (c conn) writeFrame(kind frameKind, content []byte, files ...*os.File) error {
+	if len(content) > maxFrameSize-1 {
+		return errors.New("handover: frame too long")
+	}
+	frame := binary.BigEndian.AppendUint32(nil, uint32(len(content)+1))
+	frame = append(append(frame, byte(kind)), content...)
+	c.SetWriteDeadline(time.Now().Add(replyTimeout))
+	rights, err := encodeRights(files)
+	if err != nil {
+		return err
+	}
+	n, _, err := c.WriteMsgUnix(frame, rights, nil)
+	for err == nil && n < len(frame) {
+		var more int
+		more, err = c.Write(frame[n:])
+		n += more
+	}
+	return err
+}
+
+// readFrame reads one frame, and the files that came with it. A timeout of 0 waits for as long as the other side lives.
+// With an error it returns no files.
+func (c conn) readFrame(timeout time.Duration) (kind frameKind, content []byte, files []*os.File, err error) {
+	defer func() {
+		if err != nil {
+			closeAll(files)
+			files = nil
+		}
+	}()
+	// The descriptors come with the first byte of the frame.
+	header, rights := make([]byte, frameHeaderSize), make([]byte, syscall.CmsgSpace(4*maxFiles))
+	c.SetReadDeadline(time.Now().Add(cmp.Or(timeout, readInterval)))
+	n, rightsLen, _, _, err := c.ReadMsgUnix(header, rights)
+	for timeout == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+		c.SetReadDeadline(time.Now().Add(readInterval))
+		n, rightsLen, _, _, err = c.ReadMsgUnix(header, rights)
+	}
+	c.SetReadDeadline(time.Now().Add(cmp.Or(timeout, replyTimeout))) // for the rest of the frame
+	if n == 0 && err == nil {
+		err = io.EOF
+	}
+	if err != nil {
+		return 0, nil, nil, err
+	}
+	if files, err = parseRights(rights[:rightsLen]); err != nil {
+		return 0, nil, files, err
+	}
+	if _, err = io.ReadFull(c, header[n:]); err != nil {
+		return 0, nil, files, err
+	}
+	size := binary.BigEndian.Uint32(header)
+	if size < 1 || size > maxFrameSize {
+		return 0, nil, files, fmt.Errorf("handover: a frame of %d bytes", size)
+	}
+	content = make([]byte, size-1)
+	_, err = io.ReadFull(c, content)
+	return frameKind(header[frameLengthSize]), content, files, err
+}
+
+// expect reads one frame of a kind that has no files.
+func (c conn) expect(want frameKind, timeout time.Duration) ([]byte, error) {
+	kind, content, files, err := c.readFrame(timeout)
+	closeAll(files)
+	if err != nil {
+		return nil, err
+	}
+	if kind != want {
+		return nil, fmt.Errorf("handover: a frame of kind %d, not %d", kind, want)
+	}
+	return content, nil
+}
+
+// writeState writes the state in several frames, and its checksum.
+func (c conn) writeState(state []byte) error {
+	sum := crc32.Checksum(state, crcTable)
+	for len(state) > 0 {
+		n := min(len(state), stateFrameLen)
+		if err := c.writeFrame(frameState, state[:n]); err != nil {
+			return err
+		}
+		state = state[n:]
+	}
+	return c.writeFrame(frameStateEnd, binary.BigEndian.AppendUint32(nil, sum))
+}
+
+// readState returns the state if it arrives complete within replyTimeout; otherwise an error.
+func (c conn) readState() (state []byte, err error) {
+	for until := time.Now().Add(replyTimeout); ; {
+		kind, content, files, err := c.readFrame(max(time.Until(until), time.Millisecond))
+		closeAll(files)
+		switch {
+		case err != nil:
+			return nil, err
+		case kind == frameState && len(state)+len(content) <= maxStateSize:
+			state = append(state, content...)
+		case kind == frameStateEnd && len(content) == crc32.Size:
+			if crc32.Checksum(state, crcTable) != binary.BigEndian.Uint32(content) {
+				return nil, errors.New("handover: the state's checksum is wrong")
+			}
+			return state, nil
+		default:
+			return nil, fmt.Errorf("handover: a frame of kind %d in the state", kind)
+		}
+	}
+}
+
+// encodeRights encodes the files' descriptors as ancillary data (SCM_RIGHTS); nil without files. os.File.Fd would make
+// the sockets blocking, and with them the ones that they are duplicates of.
+func encodeRights(files []*os.File) ([]byte, error) {
+	if len(files) == 0 {
+		return nil, nil
+	}
+	fds := make([]int, len(files))
+	for i, f := range files {
+		raw, err := f.SyscallConn()
+		if err != nil {
+			return nil, err
+		}
+		raw.Control(func(fd uintptr) { fds[i] = int(fd) })
+	}
+	return syscall.UnixRights(fds...), nil
+}
+
+// parseRights returns the files whose descriptors came as ancillary data, some also with an error.
+func parseRights(rights []byte) (files []*os.File, err error) {
+	if len(rights) == 0 {
+		return nil, nil
+	}
+	messages, err := syscall.ParseSocketControlMessage(rights)
+	if err != nil {
+		return nil, err
+	}
+	for i := range messages {
+		fds, err := syscall.ParseUnixRights(&messages[i])
+		if err != nil {
+			continue // another kind of ancillary data
+		}
+		for _, fd := range fds {
+			syscall.CloseOnExec(fd)
+			files = append(files, os.NewFile(uintptr(fd), "handed-over"))
+		}
+	}
+	return files, nil
+}
+
+func closeAll(files []*os.File) {
+	for _, f := range files {
+		f.Close()
+	}
+}
+
+// sameUser tells whether the other side is a process of this process's user.
+func sameUser(c *net.UnixConn) bool {
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return false
+	}
+	same := false
+	raw.Control(func(fd uintptr) {
+		cred, err := syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
+		same = err == nil && int(cred.Uid) == os.Geteuid()
+	})
+	return same
+}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// process is a scripted gateway with one listener and one datagram socket.
+// process is a fake process with one listener and one datagram socket, which records the calls of its methods.
 type process struct {
 	l     *net.TCPListener
 	u     *net.UDPConn
@@ -45,7 +45,7 @@
 func (p *process) HandedOver()    { p.step <- "given" }
 func (p *process) Resume()        { p.step <- "resume" }
 
-func give(t *testing.T, p *process) (path string, g *Predecessor) {
+func listen(t *testing.T, p *process) (path string, g *Predecessor) {
 	path, err := Path(t.TempDir(), "n0")
 	require.NoError(t, err)
 	g, err = Listen(path, "n0", p)
@@ -54,11 +54,11 @@
 	return path, g
 }
 
-// Everything goes over: open sockets that still work, on both sides and without blocking either, the state whole, and
-// words afterwards.
+// All is handed over: open sockets, which still work on both sides and block neither, the complete state, and updates
+// afterwards.
 func TestHandOver(t *testing.T) {
 	p := newProcess(t)
-	path, g := give(t, p)
+	path, g := listen(t, p)
 	h, err := Connect(path, "n0", time.Minute)
 	require.NoError(t, err)
 	assert.True(t, h.Offer.DrainRequested)
@@ -102,11 +102,11 @@
 	u.Close()
 }
 
-// A successor that ends at any step leaves the gateway to its predecessor, and the next one may come, also where the one
-// that has ended had put a socket of its own in the place.
+// If a successor ends at any step, its predecessor serves again and can be followed by another, also if the one that
+// has ended had put a socket of its own at the path.
 func TestSuccessorEnds(t *testing.T) {
 	p := newProcess(t)
-	path, _ := give(t, p)
+	path, _ := listen(t, p)
 	for _, c := range []struct {
 		name  string
 		until func(h *Successor)
@@ -129,8 +129,8 @@
 	assert.Empty(t, p.step)
 }
 
-// Whom a successor can't talk to it does without: nobody, a leftover, a file, one that is hung, and one that sends
-// anything else, the state of which is dropped whole.
+// A successor starts without a predecessor that it can't talk to: none, a socket file that is left, another file, a
+// process that hangs, and one that sends anything else, whose state is dropped as a whole.
 func TestNoPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	path, err := Path(dir, "n0")
@@ -142,7 +142,7 @@
 	l.SetUnlinkOnClose(false)
 	l.Close()
 	_, err = Connect(path, "n0", 0)
-	assert.ErrorIs(t, err, ErrNoPredecessor, "a leftover of a process that was killed")
+	assert.ErrorIs(t, err, ErrNoPredecessor, "the socket file of a process that was killed")
 	g, err := Listen(path, "n0", newProcess(t))
 	require.NoError(t, err, "which is no hindrance")
 	_, err = Connect(path, "n1", 0)
@@ -200,7 +200,7 @@
 	}
 }
 
-// meetScript stands a scripted predecessor up, which has read the greeting.
+// meetScript starts a scripted predecessor, which has read the hello, and returns its path.
 func meetScript(t *testing.T, script func(l conn)) string {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -230,7 +230,7 @@
 	assert.Error(t, err)
 }
 
-// Whatever comes, reading a frame ends, keeps within its bound and leaves no descriptor open.
+// For any input, reading a frame ends, keeps within its bound and leaves no descriptor open.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, byte(frameOffer), '{'})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
