--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -1,4 +1,6 @@
-// Command drill runs the decision module on the simulator's wire: many gateways that share nothing.
+// Command sprucelane-sim runs the policy of many gateways under a simulator, which it is connected to by standard input
+// and output (package internal/wire). The gateways share nothing but server lists; they only learn from each other by
+// the messages that the simulator delivers.
 package main
 
 import (
@@ -20,25 +22,29 @@
 	}
 }
 
-// run answers each batch with one reply until the input ends between two batches.
+// bufferSize of input and output, in bytes.
+const bufferSize = 1 << 16
+
+// run answers each batch with one reply until the input ends between two batches. A malformed batch ends it with an
+// error that names the event.
 func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	w := bufio.NewWriterSize(out, 1<<16)
-	p := &simulator{gateways: map[uint16]*policy.Gateway{}, lists: map[uint32][]policy.ServerInfo{}}
+	r := bufio.NewReaderSize(in, bufferSize)
+	w := bufio.NewWriterSize(out, bufferSize)
+	a := &adapter{gateways: map[uint16]*policy.Gateway{}, lists: map[uint32][]policy.ServerInfo{}}
 	for {
-		b, err := wire.ReadBatch(r)
+		batch, err := wire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := range b.Events {
-			if err := p.handleEvent(b.Now, &b.Events[i]); err != nil {
+		for i := range batch.Events {
+			if err := a.handleEvent(batch.Now, &batch.Events[i]); err != nil {
 				return fmt.Errorf("record %d: %w", i, err)
 			}
 		}
-		if _, err := w.Write(p.actions.Frame()); err != nil {
+		if _, err := w.Write(a.actions.Frame()); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -47,52 +53,37 @@
 	}
 }
 
-type simulator struct {
+// maxListNumber is the highest number of a server list.
+const maxListNumber = 15
+
+// adapter holds the gateways of a simulation, and the actions of the batch that is being handled.
+type adapter struct {
 	gateways map[uint16]*policy.Gateway
-	lists    map[uint32][]policy.ServerInfo
+	lists    map[uint32][]policy.ServerInfo // by their numbers
 	actions  wire.Actions
 }
 
-func (p *simulator) handleEvent(now policy.Time, e *wire.Event) error {
+// handleEvent passes an event to the gateway that it is for. Events that the policy has no use for are skipped.
+func (a *adapter) handleEvent(now policy.Time, e *wire.Event) error {
 	switch e.Code {
 	case wire.ListDefined:
-		if e.ListNumber > 15 {
+		if e.ListNumber > maxListNumber {
 			return fmt.Errorf("list number %d out of range", e.ListNumber)
 		}
-		p.lists[e.ListNumber] = e.Entries
+		a.lists[e.ListNumber] = e.Entries
 		return nil
 	case wire.GatewayStarted:
-		set, err := config.ParseSettings(e.Settings)
-		if err != nil {
-			return err
-		}
-		g, err := policy.New(set.Settings, e.Seed)
-		if err != nil {
-			return err
-		}
-		g.Attach(wire.Host{Out: &p.actions, Instance: e.Instance})
-		p.gateways[e.Instance] = g
-		return nil
+		return a.startGateway(e)
 	}
-	g := p.gateways[e.Instance]
+	g := a.gateways[e.Instance]
 	if g == nil {
 		return fmt.Errorf("unknown instance %d", e.Instance)
 	}
 	switch e.Code {
 	case wire.GatewayStopped:
-		delete(p.gateways, e.Instance)
+		delete(a.gateways, e.Instance)
 	case wire.ListReceived:
-		list, ok := p.lists[e.ListNumber]
-		kind := policy.ListKind(e.ListKind)
-		if kind > policy.ListFailed {
-			return fmt.Errorf("unknown list kind %d", e.ListKind)
-		}
-		if kind == policy.ListFailed {
-			list = nil
-		} else if !ok {
-			return fmt.Errorf("unknown list number %d", e.ListNumber)
-		}
-		g.Servers(now, kind, list)
+		return a.receiveList(g, now, e)
 	case wire.RequestReceived:
 		g.Request(now, e.Request)
 	case wire.ResponseStarted:
@@ -108,3 +99,34 @@
 	}
 	return nil
 }
+
+// startGateway starts a gateway, in the place of an earlier one of the same number.
+func (a *adapter) startGateway(e *wire.Event) error {
+	deployment, err := config.ParseSettings(e.Settings)
+	if err != nil {
+		return err
+	}
+	g, err := policy.New(deployment.Settings, e.Seed)
+	if err != nil {
+		return err
+	}
+	g.Attach(wire.Host{Out: &a.actions, Instance: e.Instance})
+	a.gateways[e.Instance] = g
+	return nil
+}
+
+// receiveList passes a server list to a gateway, or that none could be had.
+func (a *adapter) receiveList(g *policy.Gateway, now policy.Time, e *wire.Event) error {
+	kind := policy.ListKind(e.ListKind)
+	if kind > policy.ListFailed {
+		return fmt.Errorf("unknown list kind %d", e.ListKind)
+	}
+	list, ok := a.lists[e.ListNumber]
+	if kind == policy.ListFailed {
+		list = nil
+	} else if !ok {
+		return fmt.Errorf("unknown list number %d", e.ListNumber)
+	}
+	g.Servers(now, kind, list)
+	return nil
+}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli owns what the project's commands share: flags that environment variables may set, exit codes, and the
-// program's version. It must never do a command's work.
+// Package cli has what the project's commands share: flags that environment variables set, exit codes, and the
+// program's version.
 package cli
 
 import (
@@ -12,21 +12,19 @@
 	"github.com/spf13/pflag"
 )
 
-// Coded is an error with the exit code that it ends the program with.
+// ExitUsage is the exit code for flags, environment or configuration that can't be used. Other failures exit with 1.
+const ExitUsage = 2
+
+// ExitError is an error that ends the program with a code of its own.
 type ExitError struct {
 	Code int
 	Err  error
 }
 
-func (c ExitError) Error() string { return c.Err.Error() }
-func (c ExitError) Unwrap() error { return c.Err }
-
-// Exit codes beside 0 and 1.
-const (
-	ExitUsage = 2 // what was given can't be used: flags, environment or configuration
-)
+func (e ExitError) Error() string { return e.Err.Error() }
+func (e ExitError) Unwrap() error { return e.Err }
 
-// Main runs a command and gives its exit code. An error is printed in one place, by report.
+// Main runs a command and returns its exit code: 0, the code of an [ExitError], or 1. report prints the error.
 func Main(root *cobra.Command, report func(error)) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return ExitError{ExitUsage, err} })
@@ -35,14 +33,15 @@
 		return 0
 	}
 	report(err)
-	if coded := (ExitError{}); errors.As(err, &coded) {
-		return coded.Code
+	var exit ExitError
+	if errors.As(err, &exit) {
+		return exit.Code
 	}
 	return 1
 }
 
-// Env lets every flag of a command and of those below it be set by the environment too: PREFIX_ and the flag's name
-// in capitals, with _ for -. A flag on the command line wins. It comes before the command runs.
+// EnvFlags returns a PersistentPreRunE that sets each flag of a command, inherited ones included, that is not given
+// on the command line from its environment variable ([EnvName]), if that is not empty.
 func EnvFlags(prefix string, getenv func(string) string) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		var first error
@@ -58,12 +57,12 @@
 	}
 }
 
-// EnvName names the variable of a flag.
+// EnvName returns the variable of a flag: PREFIX_ and the flag's name in capitals, with _ for -.
 func EnvName(prefix, flag string) string {
 	return prefix + "_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Version tells the module's version and, where the build knew it, its revision.
+// Version returns the module's version, the revision if the build recorded it, and Go's version.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,8 @@
-// Package peer owns the datagrams between gateways: one UDP socket on the peer address, to and from the listed
-// peers alone. It must never read or change what a message says: that is the module's.
+// Package peer carries datagrams between the gateways of a fleet: one UDP socket, by which a gateway sends to and
+// receives from the listed peers only. What the datagrams say is others' concern (package policy above all).
+//
+// Datagrams may be lost, repeated and reordered, and are neither encrypted nor authenticated beyond their source
+// address: the peers' network has to be trusted.
 package peer
 
 import (
@@ -13,66 +16,76 @@
 	"time"
 )
 
-// MaxMessage is the longest datagram allowed, in bytes.
+// MaxMessage is the longest message in bytes that the platform permits.
 const MaxMessage = 256
 
-// writeWait bounds a write: a datagram that the kernel won't take at once is as good as lost.
+// writeTimeout bounds a write. A datagram that the kernel doesn't take within it counts as lost.
 const writeTimeout = 50 * time.Millisecond
 
-// Link is the gateway's way to its peers.
+// Link is a gateway's socket to its peers. It is safe for concurrent use.
 type Link struct {
 	conn      *net.UDPConn
-	peers     []netip.AddrPort
-	broadcast netip.AddrPort
+	peers     []netip.AddrPort // by the peers' numbers
+	broadcast netip.AddrPort   // reaches all peers; zero value: there is none
 	peerIndex map[netip.AddrPort]int
 
 	received, invalid, dropped, sent atomic.Uint64
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards what follows
 	isPaused bool
-	resumed  chan struct{} // closed when the link goes on
+	resumed  chan struct{} // of the pause that began last; closed when it ends
 }
 
-// Counts is what came and went: odd were too long or of strangers, dropped were not sent.
-type Stats struct{ Received, Invalid, Sent, Dropped uint64 }
+// Stats counts datagrams.
+type Stats struct {
+	Received uint64 // from peers
+	Invalid  uint64 // too long, or from an address that is no peer's
+	Sent     uint64
+	Dropped  uint64 // not sent: too long, to an unknown peer, or the write failed
+}
 
-// Counts gives the counts so far.
+// Stats returns the counts so far.
 func (l *Link) Stats() Stats {
-	return Stats{l.received.Load(), l.invalid.Load(), l.sent.Load(), l.dropped.Load()}
+	return Stats{Received: l.received.Load(), Invalid: l.invalid.Load(), Sent: l.sent.Load(), Dropped: l.dropped.Load()}
 }
 
-// Listen opens the socket. The peers are ordered by their numbers; all reaches every one of them, where valid.
-func Listen(addr netip.AddrPort, peers []netip.AddrPort, all netip.AddrPort) (*Link, error) {
+// Listen opens a socket at addr. The peers are in the order of their numbers. broadcast is an address that reaches all
+// of them; its zero value means that there is none.
+func Listen(addr netip.AddrPort, peers []netip.AddrPort, broadcast netip.AddrPort) (*Link, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, err
 	}
-	return NewLink(conn, peers, all), nil
+	return NewLink(conn, peers, broadcast), nil
 }
 
-// On gives a link on a socket that is open.
-func NewLink(conn *net.UDPConn, peers []netip.AddrPort, all netip.AddrPort) *Link {
-	l := &Link{conn: conn, peers: peers, broadcast: all, peerIndex: map[netip.AddrPort]int{}}
+// NewLink is like Listen, for a socket that is open already.
+func NewLink(conn *net.UDPConn, peers []netip.AddrPort, broadcast netip.AddrPort) *Link {
+	l := &Link{conn: conn, peers: peers, broadcast: broadcast, peerIndex: map[netip.AddrPort]int{}}
 	for i, p := range peers {
 		l.peerIndex[p] = i
 	}
 	return l
 }
 
-// File gives the socket as a file of its own.
+// File returns a duplicate of the socket, for a process that takes it over.
 func (l *Link) File() (*os.File, error) { return l.conn.File() }
 
-// Pause neither hears nor tells anything, until Resume: another process has the gateway's words.
+// Addr returns the local address.
+func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+
+// Pause stops sending and receiving until Resume, as another process has the gateway's socket. Datagrams that arrive
+// meanwhile are that process's.
 func (l *Link) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.isPaused {
 		l.isPaused, l.resumed = true, make(chan struct{})
-		l.conn.SetReadDeadline(time.Now())
+		l.conn.SetReadDeadline(time.Now()) // interrupts Serve
 	}
 }
 
-// Resume hears and tells again.
+// Resume ends a pause.
 func (l *Link) Resume() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,17 +96,15 @@
 	}
 }
 
-// paused tells whether the link is paused, and gives what is closed when it goes on.
+// paused tells whether the link is paused, and returns a channel that is closed when it is resumed.
 func (l *Link) paused() (bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.isPaused, l.resumed
 }
 
-// Addr is where the link listens.
-func (l *Link) Addr() netip.AddrPort { return l.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-
-// Tell sends a message to one peer, or to all where peer is below 0. It may be lost, as any datagram.
+// Send sends a message to a peer, or to all if peer is negative. It reports no failure: what uses datagrams allows for
+// their loss.
 func (l *Link) Send(peer int, message []byte) {
 	if len(message) > MaxMessage || peer >= len(l.peers) {
 		l.dropped.Add(1)
@@ -104,9 +115,9 @@
 	if peer >= 0 {
 		to = l.peers[peer]
 	}
-	if still, _ := l.paused(); to.IsValid() && !still {
+	if paused, _ := l.paused(); to.IsValid() && !paused {
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := l.conn.WriteToUDPAddrPort(message, to); err != nil { // a loss the module allows for
+		if _, err := l.conn.WriteToUDPAddrPort(message, to); err != nil {
 			l.dropped.Add(1)
 		} else {
 			l.sent.Add(1)
@@ -114,31 +125,32 @@
 	}
 }
 
-// Serve hands in what listed peers send, until Close. A datagram that is too long is not theirs.
-func (l *Link) Serve(take func(from int, message []byte)) {
-	buf := make([]byte, MaxMessage+1)
+// Serve calls receive for each message of a listed peer, with the peer's number, until Close. receive must not keep
+// the message.
+func (l *Link) Serve(receive func(from int, message []byte)) {
+	buf := make([]byte, MaxMessage+1) // one more than the longest, to tell a longer one
 	for {
 		n, from, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if still, woken := l.paused(); still && errors.Is(err, os.ErrDeadlineExceeded) {
-			<-woken
+		if paused, resumed := l.paused(); paused && errors.Is(err, os.ErrDeadlineExceeded) {
+			<-resumed
 			continue
 		}
-		if err != nil { // an earlier datagram was refused where it went
+		if err != nil { // such as an ICMP error in answer to a datagram that was sent
 			continue
 		}
 		if i, ok := l.peerIndex[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]; ok && n <= MaxMessage {
 			l.received.Add(1)
-			take(i, buf[:n])
+			receive(i, buf[:n])
 		} else {
 			l.invalid.Add(1)
 		}
 	}
 }
 
-// Close ends Serve.
+// Close closes the socket and ends Serve, also during a pause.
 func (l *Link) Close() error {
 	l.Resume()
 	return l.conn.Close()
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,16 +18,16 @@
 	return c, c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Datagrams leave from the listed address, at most 256 bytes long, and only those of listed peers count.
+// Datagrams are sent from the local address, at most MaxMessage bytes long, and only those of listed peers are received.
 func TestOnlyListedPeersCount(t *testing.T) {
 	one, oneAddr := socket(t)
 	stranger, _ := socket(t)
 	l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"), []netip.AddrPort{{}, oneAddr}, oneAddr)
 	require.NoError(t, err)
 	to := net.UDPAddrFromAddrPort(l.Addr())
-	heard, ended := make(chan string, 9), make(chan bool)
+	received, ended := make(chan string, 9), make(chan bool)
 	go func() {
-		l.Serve(func(from int, m []byte) { heard <- fmt.Sprintf("%d %s", from, m) })
+		l.Serve(func(from int, m []byte) { received <- fmt.Sprintf("%d %s", from, m) })
 		close(ended)
 	}()
 	for _, d := range []struct {
@@ -37,8 +37,8 @@
 		_, err := d.from.WriteTo(d.text, to)
 		require.NoError(t, err)
 	}
-	assert.Equal(t, "1 last", <-heard)
-	assert.Empty(t, heard)
+	assert.Equal(t, "1 last", <-received)
+	assert.Empty(t, received)
 
 	l.Send(1, bytes.Repeat([]byte("y"), MaxMessage+1))
 	l.Send(7, []byte("nobody"))
