--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -347,7 +347,6 @@
 	c.note("all lose power, %d their disks", len(wiped))
 	c.extendRecovery(down + 10*time.Millisecond)
 	for _, s := range c.remaining() {
-		s := s
 		c.schedule(c.randomDuration(0, 3*time.Millisecond), func() {
 			s.losePower()
 			for _, other := range wiped {
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -299,7 +299,6 @@
 	}
 	w.note("view %d: %s", view.Epoch, describeView(view))
 	for _, s := range w.remaining() {
-		s := s
 		generation := s.generation
 		w.transmit(controlName, s.node, func() {
 			if s.generation == generation {
--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -106,7 +106,7 @@
 		So(err, ShouldBeNil)
 		So(again.Digest, ShouldEqual, list.Digest)
 	})
-	Convey("A page that fails fails the whole", t, func() {
+	Convey("One failing page fails the whole read", t, func() {
 		for _, answer := range []string{"", "{}", `{"instances":null}`, `{"instances":[`, `[]`} {
 			reader := serve(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.Query().Get("page-token") == "" {
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -113,7 +113,7 @@
 
 // sendChunked sends a first configuration without its length.
 func sendChunked(api http.Handler, body string) *httptest.ResponseRecorder {
-	request := httptest.NewRequest("PUT", "/config", io.MultiReader(strings.NewReader(body)))
+	request := httptest.NewRequest(http.MethodPut, "/config", io.MultiReader(strings.NewReader(body)))
 	request.ContentLength = -1
 	request.Header.Set("If-Match", "0")
 	recorder := httptest.NewRecorder()
@@ -168,7 +168,7 @@
 			So(sendChunked(api, document+strings.Repeat(" ", 5000)).Code, ShouldEqual, 413)
 		})
 		Convey("a truncated body is rejected", func() {
-			request := httptest.NewRequest("PUT", "/config", strings.NewReader(document[:50]))
+			request := httptest.NewRequest(http.MethodPut, "/config", strings.NewReader(document[:50]))
 			request.ContentLength = int64(len(document))
 			request.Header.Set("If-Match", "0")
 			recorder := httptest.NewRecorder()
--- a/internal/gateway/proxy/batch.go
+++ b/internal/gateway/proxy/batch.go
@@ -120,5 +120,5 @@
 	}
 	header.Set(headerContentLength, strconv.Itoa(len(answer.Body)))
 	q.w.WriteHeader(answer.Status)
-	q.w.Write(answer.Body)
+	_, _ = q.w.Write(answer.Body) // nobody is left to tell where it fails
 }
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -38,14 +38,14 @@
 		return bodyTooLarge()
 	}
 	controller := http.NewResponseController(w)
-	controller.SetReadDeadline(deadline)
+	_ = controller.SetReadDeadline(deadline) // fails only on a closed connection, as the reads then do
 	failure := b.fill(r, limit, budget, deadline)
 	if failure != nil {
 		b.release(budget)
 		return failure
 	}
 	// net/http goes on reading, to notice when the client disconnects; that has no deadline.
-	controller.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	return nil
 }
 
--- a/internal/gateway/proxy/buffered.go
+++ b/internal/gateway/proxy/buffered.go
@@ -55,7 +55,7 @@
 		q.w.Header().Del(headerContentLength)
 	}
 	q.w.WriteHeader(status)
-	q.w.Write(body)
+	_, _ = q.w.Write(body) // nobody is left to tell where it fails
 	return true
 }
 
--- a/internal/gateway/proxy/gateway_responses.go
+++ b/internal/gateway/proxy/gateway_responses.go
@@ -42,7 +42,7 @@
 	}
 	w.Header().Set(headerContentLength, strconv.Itoa(len(message)))
 	w.WriteHeader(status)
-	w.Write([]byte(message))
+	_, _ = w.Write([]byte(message)) // nobody is left to tell where it fails
 }
 
 // formatSeconds formats a Retry-After, in seconds with up to three decimals.
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -96,7 +96,7 @@
 	if q.proxy.bugs.longWriteDeadline {
 		grace = time.Minute
 	}
-	http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(grace))
+	_ = http.NewResponseController(q.w).SetWriteDeadline(q.deadline.Add(grace))
 }
 
 // finishStream ends a stream that is complete. Bytes after its last event are forwarded as they came, except by a
@@ -106,7 +106,7 @@
 	resumed := q.streamStarted && q.history.MayHaveRun()
 	q.startStream(a.response)
 	if rest := q.scanner.Partial(); len(rest) > 0 && !resumed {
-		q.w.Write(rest)
+		_, _ = q.w.Write(rest) // nobody is left to tell where it fails
 	}
 	return true
 }
--- a/internal/gateway/sse/scanner.go
+++ b/internal/gateway/sse/scanner.go
@@ -44,7 +44,7 @@
 	*s = Scanner{buffer: s.buffer[:0], resuming: true, resumeAfter: after, lastID: after, hasLastID: true}
 }
 
-// Reserve returns at least least bytes of free space for what arrives next.
+// Reserve returns least bytes or more of free space for what arrives next.
 func (s *Scanner) Reserve(least int) []byte {
 	if cap(s.buffer)-len(s.buffer) < least {
 		grown := make([]byte, len(s.buffer), max(2*cap(s.buffer), len(s.buffer)+least))
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -58,9 +58,9 @@
 		Zone:            p.text("zone", true),
 		Region:          p.text("region", false),
 		Zones:           p.zones(),
-		ListenFront:     p.address("listen.front", false),
-		ListenReady:     p.address("listen.ready", false),
-		ListenControl:   p.address("listen.control", false),
+		ListenFront:     p.address("listen.front"),
+		ListenReady:     p.address("listen.ready"),
+		ListenControl:   p.address("listen.control"),
 		Seeds:           p.addresses("seeds"),
 		Bootstrap:       p.flag("bootstrap", false),
 		CountsForQuorum: p.flag("counts-for-quorum", false),
@@ -82,7 +82,7 @@
 	}
 	s.Bounds = p.bounds()
 	s.Cloud = Cloud{
-		Address: p.address("cloud.address", false),
+		Address: p.address("cloud.address"),
 		Rate:    p.nonNegative("cloud.rate-per-s", 10),
 		MaxLag:  p.milliseconds("cloud.max-lag-ms", 1000),
 	}
@@ -159,22 +159,21 @@
 }
 
 // checkAddress checks that a text is an address, ip:port.
-func (p *fileParser) checkAddress(key, text string) bool {
+func (p *fileParser) checkAddress(key, text string) {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
 		p.findings.Addf(p.location(key), "%q is no address of the form ip:port", text)
-		return false
+		return
 	}
 	number, err := strconv.ParseUint(port, 10, 16)
 	if net.ParseIP(host) == nil || err != nil || number == 0 {
 		p.findings.Addf(p.location(key), "%q is no address of the form ip:port", text)
-		return false
 	}
-	return true
 }
 
-func (p *fileParser) address(key string, required bool) string {
-	text := p.text(key, required)
+// address parses an address that may be missing.
+func (p *fileParser) address(key string) string {
+	text := p.text(key, false)
 	if text != "" {
 		p.checkAddress(key, text)
 	}
