--- a/coord/leader/election.go
+++ b/coord/leader/election.go
@@ -3,7 +3,7 @@
 import "time"
 
 // LeaderLease is what a Source says of this node's leadership.
-type LeaderLease struct {
+type Lease struct {
 	Epoch   uint64
 	Expires time.Duration // by the monotonic clock that Election's callers use
 	Held    bool          // this node is the leader; if false the other fields mean nothing
@@ -38,7 +38,7 @@
 // A term lasts to the end of the latest lease of its epoch, also when the source doesn't hold it any more: until
 // then no other node acts. A lease of another epoch ends the term at once, and the next call starts the role in the
 // new epoch, so that two terms never overlap.
-func (e *Election) Observe(now time.Duration, lease LeaderLease) Action {
+func (e *Election) Observe(now time.Duration, lease Lease) Action {
 	leads := lease.Held && !e.resigned && now < lease.Expires-e.margin
 	if e.running {
 		if leads && lease.Epoch == e.epoch {
--- a/coord/leader/leader_test.go
+++ b/coord/leader/leader_test.go
@@ -13,7 +13,7 @@
 func TestElection(t *testing.T) {
 	Convey("An election", t, func() {
 		e := NewElection(10 * time.Millisecond)
-		lease := LeaderLease{Epoch: 4, Expires: time.Second, Held: true}
+		lease := Lease{Epoch: 4, Expires: time.Second, Held: true}
 		So(e.Observe(0, lease), ShouldEqual, StartRole)
 		So(e.Valid(989*time.Millisecond, 4), ShouldBeTrue)
 		So(e.Valid(990*time.Millisecond, 4), ShouldBeFalse)
@@ -24,12 +24,12 @@
 			So(e.Valid(1900*time.Millisecond, 4), ShouldBeTrue)
 		})
 		Convey("stops when the lease has ended", func() {
-			So(e.Observe(500*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
-			So(e.Observe(990*time.Millisecond, LeaderLease{}), ShouldEqual, StopRole)
-			So(e.Observe(991*time.Millisecond, LeaderLease{}), ShouldEqual, NoAction)
+			So(e.Observe(500*time.Millisecond, Lease{}), ShouldEqual, NoAction)
+			So(e.Observe(990*time.Millisecond, Lease{}), ShouldEqual, StopRole)
+			So(e.Observe(991*time.Millisecond, Lease{}), ShouldEqual, NoAction)
 		})
 		Convey("starts anew under another epoch", func() {
-			next := LeaderLease{Epoch: 5, Expires: 3 * time.Second, Held: true}
+			next := Lease{Epoch: 5, Expires: 3 * time.Second, Held: true}
 			So(e.Observe(500*time.Millisecond, next), ShouldEqual, StopRole)
 			So(e.Observe(500*time.Millisecond, next), ShouldEqual, StartRole)
 			So(e.Valid(time.Second, 4), ShouldBeFalse)
@@ -59,7 +59,7 @@
 		for i := 0; i < 100; i++ {
 			now += time.Duration(rapid.IntRange(0, 5e8).Draw(t, "pause"))
 			epoch += uint64(rapid.IntRange(0, 1).Draw(t, "epoch"))
-			lease := LeaderLease{Epoch: epoch, Expires: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
+			lease := Lease{Epoch: epoch, Expires: now + time.Duration(rapid.IntRange(-1e9, 1e9).Draw(t, "until"))}
 			lease.Held = rapid.Bool().Draw(t, "leads")
 			if lease.Held {
 				ends[epoch] = max(ends[epoch], lease.Expires)
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -69,9 +69,9 @@
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
 // leaderLease returns what the source says, in the election's time.
-func (r *Runner) leaderLease() LeaderLease {
+func (r *Runner) leaderLease() Lease {
 	epoch, until, leads := r.source.LeaderLease()
-	return LeaderLease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
+	return Lease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
 }
 
 // run polls the source until Close.
