--- a/coord/leader/election.go
+++ b/coord/leader/election.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// LeaderLease is what a Source says of this node's leadership.
+// Lease is what a Source says of this node's leadership.
 type Lease struct {
 	Epoch   uint64
 	Expires time.Duration // by the monotonic clock that Election's callers use
