--- /dev/null
+++ b/internal/ledger/hard_limit.go
@@ -0,0 +1,63 @@
+package ledger
+
+import (
+	"math"
+	"time"
+)
+
+// BucketShare is one gateway's share of a customer's hard rate limit: a token bucket with the share's rate and
+// burst. A gateway admits from its own share only. Tokens move between gateways by grants: the giver subtracts them
+// before it sends the message, and the receiver adds them, up to its own burst. Hence the shares of n gateways
+// together never hold more than the limit's burst, whichever messages are lost; a lost grant is lost to all.
+//
+// Tokens under way are counted nowhere while the giver's bucket refills. The receiver therefore ignores a grant that
+// comes late (Receive), and the limit is exceeded at most by its rate times the time that a grant may be under way.
+type BucketShare struct {
+	Tokens float64 // in units; negative while a request whose body turned out larger is paid for
+}
+
+// Limit is a token bucket's rate, in units a second, and its burst, in units: of a customer, or of one share.
+type Limit struct{ Rate, Burst float64 }
+
+// Refill refills the bucket for the time that has passed. It holds at most the burst less what is reserved, which are
+// units that requests in progress will draw later.
+func (p *BucketShare) Refill(l Limit, elapsed time.Duration, reserved float64) {
+	p.Tokens = math.Min(l.Burst-reserved, p.Tokens+math.Max(0, elapsed.Seconds())*l.Rate)
+}
+
+// grantSteps is the resolution of a grant message, one byte: the upper four bits are the sender's deficit, which is
+// what its share lacks of its burst, and the lower four the tokens that it grants, both in sixteenths of a share's
+// burst. All shares of a customer are equal.
+const grantSteps = 16
+
+// Grant returns the grant message to a peer that has last reported peerDeficit. It grants the difference of the two
+// deficits, divided by the n shares, so that any number of givers level the shares and none gives away more than it has
+// in excess. The granted tokens are subtracted here.
+func (p *BucketShare) Grant(l Limit, peerDeficit byte, n int) byte {
+	if l.Burst <= 0 {
+		return 0
+	}
+	deficit := math.Max(0, math.Min(1, 1-p.Tokens/l.Burst))
+	grant := 0.0
+	if gap := float64(peerDeficit)/grantSteps - deficit; gap > 0 && n > 1 {
+		grant = math.Floor(gap * grantSteps / float64(n))
+		p.Tokens -= grant / grantSteps * l.Burst
+		deficit += grant / grantSteps
+	}
+	return byte(math.Min(grantSteps-1, math.Floor(deficit*grantSteps)))<<4 | byte(grant)
+}
+
+// Receive adds the tokens that a peer's grant message brings, unless it is late. It returns the peer's deficit, and
+// whether the two shares are so uneven that one should grant the other some: a message to the peer is due then.
+func (p *BucketShare) Receive(l Limit, message byte, n int, late bool) (peerDeficit byte, uneven bool) {
+	peerDeficit = message >> 4
+	if l.Burst <= 0 {
+		return 0, false
+	}
+	if !late {
+		granted := float64(message&(grantSteps-1)) / grantSteps * l.Burst
+		p.Tokens = math.Max(p.Tokens, math.Min(l.Burst, p.Tokens+granted))
+	}
+	difference := float64(peerDeficit)/grantSteps - math.Max(0, 1-p.Tokens/l.Burst)
+	return peerDeficit, math.Abs(difference) >= float64(n)/grantSteps
+}
--- a/internal/ledger/quota.go
+++ b/internal/ledger/quota.go
@@ -6,42 +6,45 @@
 )
 
 const (
-	randomizedTail = 0.1 // of a store drawn on together goes by chance, as draws cross
-	maxDebtShare   = 0.3 // of the local burst that chance may let in ahead of the refill
+	// randomizedTail is the part of a shared bucket's burst whose tokens are given out by chance: gateways that draw at
+	// the same moment would overdraw it otherwise.
+	randomizedTail = 0.1
+	// maxDebtShare is the part of a share's burst that requests admitted by chance may draw ahead of the refill.
+	maxDebtShare = 0.3
 )
 
-// View is how one of n gateways sees an account's store: what is left by what it knows, what is asked here and in all, in
-// units a second, and whether the store is drawn on together. Else each has a part.
+// QuotaView is how one gateway sees the token bucket of a customer's quota.
 type QuotaView struct {
-	Balance                  float64
-	LocalDemand, TotalDemand float64
+	Balance                  float64 // units left, as far as this gateway knows; negative: debt
+	LocalDemand, TotalDemand float64 // units a second asked for here, and at all gateways
 	Gateways                 int
-	Shared                   bool
+	Shared                   bool // the gateways know each other's draws and use one bucket; else each has a share
 }
 
-// Fill gives what is left after some time. A part fills by what is asked here of all that is asked, and holds a part of the
-// burst, but no less than atLeast; what is held back is for units that are counted later.
-func (v QuotaView) Refill(q Limit, d time.Duration, back, atLeast float64) float64 {
-	fill := math.Max(q.Rate*v.LocalDemand/math.Max(v.TotalDemand, 1e-9), q.Rate-v.TotalDemand+v.LocalDemand)
-	most := math.Max(q.Burst/float64(v.Gateways), atLeast)
+// Refill returns the balance after the time that has passed. A share is refilled in proportion to the demand here,
+// or with what the demand of the others leaves, and holds its part of the burst, but at least minBurst. What is
+// reserved is for units that requests in progress will draw later.
+func (v QuotaView) Refill(l Limit, elapsed time.Duration, reserved, minBurst float64) float64 {
+	rate := math.Max(l.Rate*v.LocalDemand/math.Max(v.TotalDemand, 1e-9), l.Rate-v.TotalDemand+v.LocalDemand)
+	burst := math.Max(l.Burst/float64(v.Gateways), minBurst)
 	if v.Shared {
-		fill, most = q.Rate, q.Burst
+		rate, burst = l.Rate, l.Burst
 	}
-	return math.Max(-q.Burst, math.Min(most-back, v.Balance+math.Max(0, d.Seconds())*fill))
+	return math.Max(-l.Burst, math.Min(burst-reserved, v.Balance+math.Max(0, elapsed.Seconds())*rate))
 }
 
-// Covers tells whether units are inside the quota, by the design's rule: the burst first; beyond it a refusal with chance
-// 1 - rate / summed demand. Of a store drawn on together the last part goes by that chance. Of a part alone it shrinks
-// with the account's debt, so that refill and chance don't give the same rate out twice. The dice give numbers below 1.
-func (v QuotaView) Allows(q Limit, units float64, dice func() float64) bool {
-	last := randomizedTail * q.Burst
-	if q.Rate <= 0 || v.Shared && v.Balance >= units+last || !v.Shared && v.Balance >= units*dice() {
+// Allows reports whether units are within the quota: the burst first, and beyond it with probability rate / total
+// demand. The last part of a shared bucket is given out with that probability, too. For a share, it falls with the
+// debt, so that refill and chance don't give out the same rate twice. random returns numbers in [0, 1).
+func (v QuotaView) Allows(l Limit, units float64, random func() float64) bool {
+	tail := randomizedTail * l.Burst
+	if l.Rate <= 0 || v.Shared && v.Balance >= units+tail || !v.Shared && v.Balance >= units*random() {
 		return true
 	}
-	chance := math.Min(1, q.Rate/math.Max(v.TotalDemand, 1e-9))
-	if v.Shared { // as much again as the middle of the last part would give, where the store holds it at all
-		return v.Balance >= units && dice() < chance*2*v.Balance/last
+	probability := math.Min(1, l.Rate/math.Max(v.TotalDemand, 1e-9))
+	if v.Shared { // in the middle of the tail it is the probability, and rises with the balance
+		return v.Balance >= units && random() < probability*2*v.Balance/tail
 	}
-	debt := math.Max(0, -v.Balance) / math.Max(maxDebtShare*q.Burst/float64(v.Gateways), units)
-	return dice() < chance*(1-math.Min(1, debt))
+	debt := math.Max(0, -v.Balance) / math.Max(maxDebtShare*l.Burst/float64(v.Gateways), units)
+	return random() < probability*(1-math.Min(1, debt))
 }
--- a/internal/ledger/cold_test.go
+++ b/internal/ledger/slow_start_test.go
@@ -9,46 +9,46 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// server answers what it is sent, so many a second, in the order in which it comes.
+// warmingServer answers requests one after another, each after a fixed time.
 type warmingServer struct {
-	per  time.Duration
-	free time.Duration
+	serviceTime time.Duration
+	freeAt      time.Duration
 }
 
-func (s *warmingServer) answers(now time.Duration) time.Duration {
-	s.free = max(s.free, now) + s.per
-	return s.free
+func (s *warmingServer) answerAt(now time.Duration) time.Duration {
+	s.freeAt = max(s.freeAt, now) + s.serviceTime
+	return s.freeAt
 }
 
-// colds plays a member that has just started before so many gateways, all of which send it what their parts allow and know
-// nothing but what it answers them. It gives the sends of all.
+// simulateSlowStart simulates a server that has just started and n gateways, which send all that their budgets allow
+// and know of it only its answers. It returns when attempts were sent.
 func simulateSlowStart(seed uint64, n int, rate float64, length time.Duration) (sends []time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const step = 5 * time.Millisecond
-	s := &warmingServer{per: time.Duration(float64(time.Second) / rate)}
-	parts, does, due := make([]SlowStartBudget, n), make([]float64, n), make([][]time.Duration, n)
-	for i := range parts {
-		parts[i].Credit = rng.Float64()
+	s := &warmingServer{serviceTime: time.Duration(float64(time.Second) / rate)}
+	shares, answered, due := make([]SlowStartBudget, n), make([]float64, n), make([][]time.Duration, n)
+	for i := range shares {
+		shares[i].Credit = rng.Float64()
 	}
 	l := SlowStartLimit{Window: time.Second, Multiple: 4, Gateways: n}
 	for now := step; now < length; now += step {
-		for i := range parts {
-			does[i] *= 1 - step.Seconds()/2 // answers of late, as the policy counts them: over two windows
+		for i := range shares {
+			answered[i] *= 1 - step.Seconds()/2 // decays over two windows, as package policy counts answers
 			for len(due[i]) > 0 && due[i][0] <= now {
-				does[i]++
+				answered[i]++
 				due[i] = due[i][1:]
 			}
-			if l.Capacity = does[i] / 2; parts[i].Allows(now, l) {
-				parts[i].RecordSend(now)
+			if l.Capacity = answered[i] / 2; shares[i].Allows(now, l) {
+				shares[i].RecordSend(now)
 				sends = append(sends, now)
-				due[i] = append(due[i], s.answers(now))
+				due[i] = append(due[i], s.answerAt(now))
 			}
 		}
 	}
 	return sends
 }
 
-// most gives the most sends within a window.
+// maxInWindow returns the highest number of attempts within a window.
 func maxInWindow(sends []time.Duration, window time.Duration) (n int) {
 	for i, at := range sends {
 		from, _ := slices.BinarySearch(sends[:i], at-window)
@@ -57,8 +57,8 @@
 	return n
 }
 
-// However many gateways send a member all that their parts allow, and though none knows what it can do: together they stay
-// within four times that and one for chance, and come to all that it can do within seconds.
+// For any number of gateways that don't know what a server can do, their shares together stay within four times that
+// and one for chance, and reach what it can do within seconds.
 func TestSharesOfAWarmingServer(t *testing.T) {
 	for _, n := range []int{1, 3, 10, 100} {
 		for _, rate := range []float64{3, 12, 40} {
@@ -71,25 +71,26 @@
 	}
 }
 
-// A member that answers nothing is sent one attempt in a window by all together, and less where turns wait for each other.
+// A member that answers nothing is sent one attempt in a window by all together, and less where turns wait for each
+// other.
 func TestWarmingServerWithoutAnswers(t *testing.T) {
 	for _, n := range []int{1, 5, 50} {
-		parts := make([]SlowStartBudget, n)
+		shares := make([]SlowStartBudget, n)
 		rng := rand.New(rand.NewPCG(uint64(n), 1))
-		for i := range parts {
-			parts[i].Credit = rng.Float64()
+		for i := range shares {
+			shares[i].Credit = rng.Float64()
 		}
 		sent := 0
 		for now := time.Millisecond; now < 60*time.Second; now += 10 * time.Millisecond {
-			for i := range parts {
-				if parts[i].Allows(now, SlowStartLimit{Window: time.Second, Multiple: 4, Gateways: n}) {
-					parts[i].RecordSend(now)
+			for i := range shares {
+				if shares[i].Allows(now, SlowStartLimit{Window: time.Second, Multiple: 4, Gateways: n}) {
+					shares[i].RecordSend(now)
 					sent++
 				}
 			}
 		}
 		assert.True(t, sent >= 10 && sent <= 75, "%d gateways: %d in a minute", n, sent)
-		assert.True(t, parts[0].SentWithin(2*time.Second, time.Minute) || n > 1)
+		assert.True(t, shares[0].SentWithin(2*time.Second, time.Minute) || n > 1)
 	}
 	assert.False(t, (&SlowStartBudget{}).SentWithin(time.Hour, time.Hour))
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,143 +1,84 @@
-// Package recovery owns how a gateway comes back: from its process's start to full service, and from a time in which the
-// process stood still. It decides what is believed of the time that went by and what may be decided yet; internal/service says
-// whether clients are taken at all. It is pure: time is an argument, nothing is read or sent. It must never let a request pass
-// for younger than it can be, nor hold one for longer than its bound.
 package recovery
 
 import (
-	"strings"
 	"time"
 )
 
-// Time is a reading of the gateway's clock.
+// Time is a reading of the gateway's monotonic clock.
 type Time = time.Duration
 
-// Phase is how far a gateway has come.
+// Phase is how far a gateway has come to full service.
 type Phase uint8
 
-// The phases.
+// The phases, in the order in which they are passed.
 const (
-	NoMembers     Phase = iota // it has no list of members
-	AwaitingPeers              // it has one, and waits for most of its peers near by
-	Resuming                   // it stood still, and waits for what it was told meanwhile
-	Ramping                    // it knows whom to ask; what members can do is being found out
-	FullService                // it refuses nothing for not knowing
+	NoMembers     Phase = iota // the list of servers is empty
+	AwaitingPeers              // waits for most of the nearby gateways
+	Resuming                   // after a pause, waits for updates that were sent meanwhile
+	Ramping                    // has servers, but requests wait, as it is not known yet what the servers can do
+	FullService                // no request is rejected or queued for lack of knowledge
 )
 
 var phaseNames = [...]string{"blank", "gathering", "careful", "ramping", "full"}
 
+// String returns the phase's name in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Source is where something known came from.
-type Source uint8
+// peerWaitPauses bounds the wait for peers after the start, in multiples of Options.PauseThreshold.
+const peerWaitPauses = 3
 
-// The sources.
-const (
-	Cached      Source = iota // the last list, as the configuration gives it
-	Predecessor               // another process of this gateway
-	Store                     // its own folder
-	Discovery
-	Peers
-	sourceCount
-)
-
-var sourceNames = [sourceCount]string{"list", "predecessor", "store", "discovery", "peers"}
-
-const (
-	resumeWaitDivisor    = 32 // of the pause: a process that woke waits so long for what it was told meanwhile, at most
-	backlogWindowDivisor = 4  // of the pause: what a process reads within so long of its waking may have lain there
-	peerWaitPauses       = 3  // pauses: as long is waited for peers that don't speak
-)
-
-// lookEvery is how often a gateway that is not at full service looks at what it sees.
+// checkInterval is how often a gateway below full service checks its phase.
 const checkInterval = 10 * time.Millisecond
 
-// Options say what can't be seen.
+// Options are the settings of a Recovery.
 type Options struct {
-	PauseThreshold time.Duration // between two events; a process that runs has none so long: twice the time in which overload is judged
-	NearbyGateways int           // gateways near by that are to be heard; 0: none
+	// PauseThreshold is the time without any event after which the process counts as having been paused. It is twice
+	// the interval of the gateway's overload checks, which are events. 0: pauses are not detected.
+	PauseThreshold time.Duration
+	// NearbyGateways is the number of gateways of which half have to be reachable; 0: there are none.
+	NearbyGateways int
 }
 
-// Seen is what the gateway sees of itself now.
+// Observation is what a gateway observes of itself.
 type Observation struct {
-	Members         int // listed
-	NearbyReachable int // gateways near by that are heard
-	Queued          int // requests that no member may take yet
+	Members         int // servers in its list
+	NearbyReachable int // nearby gateways that it receives messages from
+	Queued          int // requests that no server may be sent yet
 }
 
-// Recovery is one process's. It is not safe for concurrent use.
+// Recovery is the state of one process. It is not safe for concurrent use.
 type Recovery struct {
-	opt              Options
-	startedAt        Time
-	lastEventAt      Time // event; 0: none yet
-	lastCheckAt      Time // when Due last said yes
-	resumedAt        Time // 0: it never stood still
-	pauseLength      time.Duration
-	discoveryUpdated bool // discovery has spoken since then, or since the start
-	received         [sourceCount]bool
-	phase            Phase
-	fullServiceAt    Time // when it was at full service first; 0: not yet
-	pauses           int
-	longestPause     time.Duration
-	backlogged       int // requests that were taken for older than their reading
-	expired          int // and those of them that were refused at once
+	opt           Options
+	startedAt     Time
+	lastEventAt   Time // 0: there was no event yet
+	lastCheckAt   Time // when CheckDue last returned true
+	received      [sourceCount]bool
+	phase         Phase
+	fullServiceAt Time // when it was first reached; 0: not yet
+
+	resumedAt        Time          // end of the latest pause; 0: there was none
+	pauseLength      time.Duration // of the latest pause
+	discoveryUpdated bool          // discovery has sent an update since the latest pause, or since the start
+
+	pauses       int
+	longestPause time.Duration
+	backlogged   int // requests that were taken for older than their reading
+	expired      int // those of them that were past their deadline
 }
 
-// New gives the state of a process that begins now.
+// New returns the state of a process that starts now.
 func New(born Time, opt Options) *Recovery {
 	return &Recovery{opt: opt, startedAt: born}
 }
 
-// Event notes that something happens, and tells for how long the process stood still before it; 0: it ran. Where nothing
-// may happen for as long as the pause, the gateway's own timers are missing, and so the process was.
-func (r *Recovery) Event(now Time) (still time.Duration) {
-	gap, first := now-r.lastEventAt, r.lastEventAt == 0
-	r.lastEventAt = now
-	if first || r.opt.PauseThreshold <= 0 || gap <= r.opt.PauseThreshold {
-		return 0
-	}
-	r.resumedAt, r.pauseLength, r.discoveryUpdated = now, gap, false
-	r.pauses++
-	r.longestPause = max(r.longestPause, gap)
-	r.phase = min(r.phase, Resuming)
-	return gap
-}
-
-// Heard notes that a source has given what it knows.
+// Received records that a source has delivered data.
 func (r *Recovery) Received(s Source) {
 	if r.received[s] = true; s == Discovery {
 		r.discoveryUpdated = true
 	}
 }
 
-// Asked tells how long a request that is read now may have lain in the process's sockets, and how long to wait before it is
-// decided. After a standstill that is all of the time for which the process stood: who asks for less has gone, or
-// will have. What is read later than a moment after the waking has come since.
-func (r *Recovery) RequestRead(now Time, patience time.Duration) (lain, wait time.Duration) {
-	if r.resumedAt == 0 || now-r.resumedAt > r.backlogWindow() {
-		return 0, 0
-	}
-	r.backlogged++
-	if patience <= r.pauseLength { // it is refused, and nobody waits for that
-		r.expired++
-		return r.pauseLength, 0
-	}
-	return r.pauseLength, min(r.resumeWait(now), patience-r.pauseLength)
-}
-
-func (r *Recovery) backlogWindow() time.Duration {
-	return min(r.pauseLength, r.opt.PauseThreshold/backlogWindowDivisor)
-}
-
-// settles gives how long a process that woke waits for discovery's word.
-func (r *Recovery) resumeWait(now Time) time.Duration {
-	if r.resumedAt == 0 || r.discoveryUpdated {
-		return 0
-	}
-	return max(0, r.resumedAt+r.opt.PauseThreshold/resumeWaitDivisor-now)
-}
-
-// Due tells whether to look at what the gateway sees of itself now; to find that out costs something.
+// CheckDue reports whether to call Check now. The observation that it needs is costly.
 func (r *Recovery) CheckDue(now Time) bool {
 	if r.phase == FullService || now-r.lastCheckAt < checkInterval {
 		return false
@@ -146,33 +87,33 @@
 	return true
 }
 
-// Look takes in what the gateway sees of itself, and tells whether the phase is another now.
-func (r *Recovery) Check(now Time, s Observation) (changed bool) {
-	if s.NearbyReachable > 0 {
+// Check updates the phase, and reports whether it has changed.
+func (r *Recovery) Check(now Time, o Observation) (changed bool) {
+	if o.NearbyReachable > 0 {
 		r.received[Peers] = true
 	}
-	was, waited := r.phase, now-r.startedAt >= peerWaitPauses*r.opt.PauseThreshold
+	old, waitedForPeers := r.phase, now-r.startedAt >= peerWaitPauses*r.opt.PauseThreshold
 	switch {
-	case s.Members == 0 && r.fullServiceAt == 0:
+	case o.Members == 0 && r.fullServiceAt == 0:
 		r.phase = NoMembers
 	case r.resumeWait(now) > 0:
 		r.phase = Resuming
-	case r.fullServiceAt == 0 && !waited && 2*s.NearbyReachable < r.opt.NearbyGateways:
+	case r.fullServiceAt == 0 && !waitedForPeers && 2*o.NearbyReachable < r.opt.NearbyGateways:
 		r.phase = AwaitingPeers
-	case s.Queued > 0 && r.phase != FullService: // one that is full holds requests as members come and go
+	case o.Queued > 0 && r.phase != FullService: // at full service, a queue only shows that servers come and go
 		r.phase = Ramping
 	default:
 		if r.phase = FullService; r.fullServiceAt == 0 {
 			r.fullServiceAt = now
 		}
 	}
-	return r.phase != was
+	return r.phase != old
 }
 
-// Phase gives the phase.
+// Phase returns the current phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
-// Took gives how long the process took to full service; 0: it is not there yet.
+// TimeToFullService returns how long the process took from its start to full service; 0: it has not reached it yet.
 func (r *Recovery) TimeToFullService() time.Duration {
 	if r.fullServiceAt == 0 {
 		return 0
@@ -180,23 +121,13 @@
 	return max(r.fullServiceAt-r.startedAt, 1)
 }
 
-// From names the sources that were heard, in the order of their trust.
-func (r *Recovery) SourceNames() string {
-	var names []string
-	for s := sourceCount; s > 0; s-- {
-		if r.received[s-1] {
-			names = append(names, sourceNames[s-1])
-		}
-	}
-	return strings.Join(names, ",")
-}
-
-// Figures are counters for the people on call.
+// Stats are counters for operators.
 type Stats struct {
-	Pauses              int           // times that the process stood still
-	LongestPause        time.Duration // and the longest
-	Backlogged, Expired int           // requests that may have lain in its sockets meanwhile, and those refused for that
+	Pauses       int // process pauses
+	LongestPause time.Duration
+	Backlogged   int // requests that may have waited in sockets during a pause
+	Expired      int // those of them that were past their deadline
 }
 
-// Figures gives the counters.
+// Stats returns the counters.
 func (r *Recovery) Stats() Stats { return Stats{r.pauses, r.longestPause, r.backlogged, r.expired} }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -9,100 +9,103 @@
 )
 
 const (
-	born  = time.Hour
-	pause = 1200 * time.Millisecond
+	startedAt = time.Hour
+	pause     = 1200 * time.Millisecond
 )
 
-// A process begins blank, gathers its list, discovery's word and most of its peers, and is full once nothing is held any more;
-// it says how long that took and by whose word.
+// A process starts without members, waits for most of its peers, and is at full service once no request is queued. It
+// reports how long that took and which sources it had.
 func TestFromStartToFullService(t *testing.T) {
-	r := New(born, Options{PauseThreshold: pause, NearbyGateways: 4})
-	now := born
-	look := func(s Observation) Phase {
+	r := New(startedAt, Options{PauseThreshold: pause, NearbyGateways: 4})
+	now := startedAt
+	check := func(s Observation) Phase {
 		now += 10 * time.Millisecond
 		r.Event(now)
 		r.Check(now, s)
 		return r.Phase()
 	}
-	assert.Equal(t, NoMembers, look(Observation{}))
+	assert.Equal(t, NoMembers, check(Observation{}))
 	r.Received(Cached)
-	assert.Equal(t, AwaitingPeers, look(Observation{Members: 3}))
-	r.Received(Discovery) // nothing is waited for of it: it speaks when there is news
-	assert.Equal(t, AwaitingPeers, look(Observation{Members: 3, NearbyReachable: 1}))
-	assert.Equal(t, Ramping, look(Observation{Members: 3, NearbyReachable: 2, Queued: 1}))
+	assert.Equal(t, AwaitingPeers, check(Observation{Members: 3}))
+	r.Received(Discovery) // it is not waited for, as it sends updates only when something changes
+	assert.Equal(t, AwaitingPeers, check(Observation{Members: 3, NearbyReachable: 1}))
+	assert.Equal(t, Ramping, check(Observation{Members: 3, NearbyReachable: 2, Queued: 1}))
 	assert.Zero(t, r.TimeToFullService())
-	assert.Equal(t, FullService, look(Observation{Members: 3, NearbyReachable: 4}))
+	assert.Equal(t, FullService, check(Observation{Members: 3, NearbyReachable: 4}))
 	assert.Equal(t, 50*time.Millisecond, r.TimeToFullService())
 	assert.Equal(t, "peers,discovery,list", r.SourceNames())
-	assert.Equal(t, FullService, look(Observation{Members: 3, Queued: 9}), "members come and go")
-	assert.Equal(t, FullService, look(Observation{}), "and all of them may be gone")
+	assert.Equal(t, FullService, check(Observation{Members: 3, Queued: 9}), "a queue alone doesn't end full service")
+	assert.Equal(t, FullService, check(Observation{}), "nor does an empty list")
 	assert.Equal(t, 50*time.Millisecond, r.TimeToFullService())
 }
 
-// Peers that don't speak are waited for no longer than the bound, and where there are none not at all.
+// The wait for peers is bounded, and a gateway without peers doesn't wait.
 func TestWaitForPeersIsBounded(t *testing.T) {
-	r := New(born, Options{PauseThreshold: pause, NearbyGateways: 4})
-	r.Check(born+peerWaitPauses*pause-1, Observation{Members: 1})
+	r := New(startedAt, Options{PauseThreshold: pause, NearbyGateways: 4})
+	r.Check(startedAt+peerWaitPauses*pause-1, Observation{Members: 1})
 	assert.Equal(t, AwaitingPeers, r.Phase())
-	r.Check(born+peerWaitPauses*pause, Observation{Members: 1})
+	r.Check(startedAt+peerWaitPauses*pause, Observation{Members: 1})
 	assert.Equal(t, FullService, r.Phase())
-	alone := New(born, Options{PauseThreshold: pause})
+	alone := New(startedAt, Options{PauseThreshold: pause})
 	alone.Received(Discovery)
-	alone.Check(born+1, Observation{Members: 1})
+	alone.Check(startedAt+1, Observation{Members: 1})
 	assert.Equal(t, FullService, alone.Phase())
 	assert.Equal(t, time.Duration(1), alone.TimeToFullService())
 }
 
-// A process that stood still takes what it finds in its sockets for as old as it can be, and waits a moment for discovery's word;
-// what comes later is what it is.
+// Shortly after a pause, requests are taken for as old as the pause was long, and wait for an update of discovery.
+// Later requests are not.
 func TestResumeAfterPause(t *testing.T) {
-	r := New(born, Options{PauseThreshold: pause})
+	r := New(startedAt, Options{PauseThreshold: pause})
 	r.Received(Discovery)
-	assert.Zero(t, r.Event(born), "nothing was to happen before the first event")
-	assert.Zero(t, r.Event(born+pause), "a busy machine is no standstill")
-	lain, wait := r.RequestRead(born+pause, time.Second)
-	assert.Zero(t, lain+wait)
-	woke := born + pause + 5*time.Second
-	assert.Equal(t, 5*time.Second, r.Event(woke))
-	r.Check(woke, Observation{Members: 1})
+	assert.Zero(t, r.Event(startedAt), "there is no gap before the first event")
+	assert.Zero(t, r.Event(startedAt+pause), "a short delay is no pause")
+	age, wait := r.RequestRead(startedAt+pause, time.Second)
+	assert.Zero(t, age+wait)
+	resumed := startedAt + pause + 5*time.Second
+	assert.Equal(t, 5*time.Second, r.Event(resumed))
+	r.Check(resumed, Observation{Members: 1})
 	assert.Equal(t, Resuming, r.Phase())
-	lain, wait = r.RequestRead(woke+time.Millisecond, 4*time.Second)
-	assert.Equal(t, 5*time.Second, lain)
-	assert.Zero(t, wait, "it is over, and so told at once")
-	lain, wait = r.RequestRead(woke+time.Millisecond, 8*time.Second)
-	assert.Equal(t, 5*time.Second, lain)
+	age, wait = r.RequestRead(resumed+time.Millisecond, 4*time.Second)
+	assert.Equal(t, 5*time.Second, age)
+	assert.Zero(t, wait, "its client has given up, so it is decided at once")
+	age, wait = r.RequestRead(resumed+time.Millisecond, 8*time.Second)
+	assert.Equal(t, 5*time.Second, age)
 	assert.Equal(t, pause/resumeWaitDivisor-time.Millisecond, wait)
 	r.Received(Discovery)
-	lain, wait = r.RequestRead(woke+2*time.Millisecond, 8*time.Second)
-	assert.Equal(t, 5*time.Second, lain)
+	age, wait = r.RequestRead(resumed+2*time.Millisecond, 8*time.Second)
+	assert.Equal(t, 5*time.Second, age)
 	assert.Zero(t, wait)
-	lain, wait = r.RequestRead(woke+pause/backlogWindowDivisor+1, time.Second)
-	assert.Zero(t, lain+wait)
-	r.Check(woke+time.Second, Observation{Members: 1})
+	age, wait = r.RequestRead(resumed+pause/backlogWindowDivisor+1, time.Second)
+	assert.Zero(t, age+wait)
+	r.Check(resumed+time.Second, Observation{Members: 1})
 	assert.Equal(t, FullService, r.Phase())
 	assert.Equal(t, Stats{Pauses: 1, LongestPause: 5 * time.Second, Backlogged: 3, Expired: 1}, r.Stats())
 }
 
-// Whatever happens in whatever order: no request passes for younger than its longest time in the sockets, none waits longer than
-// the bound, and full service is reached once and never taken back.
+// For all sequences of events: no request is taken for younger than it can be, none waits longer than the bound, and
+// the time to full service, once known, doesn't change.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := New(born, Options{PauseThreshold: pause, NearbyGateways: rapid.IntRange(0, 6).Draw(t, "near")})
-		now, woke, still, took := born, Time(0), time.Duration(0), time.Duration(0)
+		r := New(startedAt, Options{PauseThreshold: pause, NearbyGateways: rapid.IntRange(0, 6).Draw(t, "near")})
+		now, resumed, length, took := startedAt, Time(0), time.Duration(0), time.Duration(0)
 		for range 60 {
-			gap := rapid.SampledFrom([]time.Duration{0, time.Millisecond, 40 * time.Millisecond, pause, pause + 1, 30 * time.Second}).Draw(t, "gap")
+			gaps := []time.Duration{0, time.Millisecond, 40 * time.Millisecond, pause, pause + 1, 30 * time.Second}
+			gap := rapid.SampledFrom(gaps).Draw(t, "gap")
 			if now += gap; r.Event(now) > 0 {
-				woke, still = now, gap
+				resumed, length = now, gap
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				r.Received(Source(rapid.IntRange(0, int(sourceCount)-1).Draw(t, "source")))
 			case 1:
-				r.Check(now, Observation{rapid.IntRange(0, 2).Draw(t, "members"), rapid.IntRange(0, 6).Draw(t, "heard"), rapid.IntRange(0, 2).Draw(t, "held")})
+				r.Check(now, Observation{Members: rapid.IntRange(0, 2).Draw(t, "members"),
+					NearbyReachable: rapid.IntRange(0, 6).Draw(t, "reachable"), Queued: rapid.IntRange(0, 2).Draw(t, "queued")})
 			default:
-				lain, wait := r.RequestRead(now, time.Second)
-				if found := woke > 0 && now-woke <= min(still, pause/backlogWindowDivisor); found != (lain == still && still > 0) || !found && lain > 0 {
-					t.Fatalf("read %v after a standstill of %v: taken to have lain for %v", now-woke, still, lain)
+				age, wait := r.RequestRead(now, time.Second)
+				backlog := resumed > 0 && now-resumed <= min(length, pause/backlogWindowDivisor)
+				if backlog != (age == length && length > 0) || !backlog && age > 0 {
+					t.Fatalf("read %v after a pause of %v: taken for %v old", now-resumed, length, age)
 				}
 				if wait > pause/resumeWaitDivisor {
 					t.Fatalf("waits %v", wait)
