--- a/internal/inflight/board_test.go
+++ b/internal/inflight/board_test.go
@@ -128,103 +128,103 @@
 // world is a fleet in virtual time: real decision modules, members with two workers each and a line in front, and
 // neighbours that hear each other late or not at all.
 type simulation struct {
-	now    Time
-	rng    *rand.Rand
-	nodes  []*host
-	free   [][2]Time // of each member's workers
-	wheel  map[Time][]func()
-	took   []time.Duration
-	pairs  map[[2]int]bool // gateway and member that met
-	bad    int             // so many members from the first fail half
-	failed int
+	now            Time
+	rng            *rand.Rand
+	hosts          []*host
+	workersFreeAt  [][2]Time // of each member's workers
+	timers         map[Time][]func()
+	latencies      []time.Duration
+	connections    map[[2]int]bool // gateway and member that met
+	failingMembers int             // so many members from the first fail half
+	failed         int
 }
 
 type host struct {
-	w  *simulation
-	me int
-	g  *policy.Gateway
-	b  *Tracker
+	sim     *simulation
+	number  int
+	gateway *policy.Gateway
+	tracker *Tracker
 }
 
 const tick = 5 * time.Millisecond
 
-func (w *simulation) at(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	at := (w.now + d + tick) / tick * tick
-	w.wheel[at] = append(w.wheel[at], do)
+	w.timers[at] = append(w.timers[at], do)
 }
 
 func (h *host) Send(id policy.RequestID, to policy.ServerID, _ policy.Time) {
-	w, sent := h.w, h.w.now
-	w.pairs[[2]int{h.me, int(to)}] = true
+	w, sent := h.sim, h.sim.now
+	w.connections[[2]int{h.number, int(to)}] = true
 	k := 0
-	if w.free[to][1] < w.free[to][0] {
+	if w.workersFreeAt[to][1] < w.workersFreeAt[to][0] {
 		k = 1
 	}
-	if int(to) <= w.bad && w.rng.IntN(2) == 0 { // at once, as what fails often does
-		w.at(2*time.Millisecond, func() {
+	if int(to) <= w.failingMembers && w.rng.IntN(2) == 0 { // at once, as what fails often does
+		w.after(2*time.Millisecond, func() {
 			w.failed++
-			h.g.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Errored})
+			h.gateway.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Errored})
 		})
 		return
 	}
-	done := max(w.now, w.free[to][k]) + time.Duration(100+w.rng.IntN(100))*time.Millisecond
-	w.free[to][k] = done
-	w.at(done-w.now, func() {
-		w.took = append(w.took, w.now-sent)
-		h.g.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Served, Answered: true})
+	done := max(w.now, w.workersFreeAt[to][k]) + time.Duration(100+w.rng.IntN(100))*time.Millisecond
+	w.workersFreeAt[to][k] = done
+	w.after(done-w.now, func() {
+		w.latencies = append(w.latencies, w.now-sent)
+		h.gateway.Outcome(w.now, policy.Outcome{ID: id, Server: to, Elapsed: w.now - sent, Ending: policy.Served, Answered: true})
 	})
 }
 func (h *host) Refuse(policy.RequestID, time.Duration) {}
 func (h *host) Fail(policy.RequestID)                  {}
 func (h *host) Cancel(policy.RequestID, int)           {}
 func (h *host) Timer(tag uint64, after time.Duration) {
-	h.w.at(after, func() { h.g.Timer(h.w.now, tag) })
+	h.sim.after(after, func() { h.gateway.Timer(h.sim.now, tag) })
 }
 func (h *host) Tell(int, []byte) {}
 func (h *host) Watch()           {}
 func (h *host) Log(string)       {}
 
 // play runs eighty gateways and sixty members at seven tenths of what these can do.
-func simulate(t *testing.T, seed uint64, bad int, with bool) *simulation {
-	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 7)), free: make([][2]Time, 61), wheel: map[Time][]func(){},
-		pairs: map[[2]int]bool{}, bad: bad}
+func simulate(t *testing.T, seed uint64, failingMembers int, withReports bool) *simulation {
+	w := &simulation{now: time.Hour, rng: rand.New(rand.NewPCG(seed, 7)), workersFreeAt: make([][2]Time, 61), timers: map[Time][]func(){},
+		connections: map[[2]int]bool{}, failingMembers: failingMembers}
 	list := instances(60)
 	var infos []policy.ServerInfo
 	for _, m := range list {
 		infos = append(infos, policy.ServerInfo{ID: m.ID, Weight: 1})
 	}
 	for me := range 80 {
-		h := &host{w: w, me: me, b: New(me, 80, 100)}
+		h := &host{sim: w, number: me, tracker: New(me, 80, 100)}
 		var err error
-		h.g, err = policy.New(policy.Settings{Self: me, Gateways: 80, Tick: time.Millisecond, MaxAttempts: 1,
+		h.gateway, err = policy.New(policy.Settings{Self: me, Gateways: 80, Tick: time.Millisecond, MaxAttempts: 1,
 			Classes: []policy.Class{{Name: "read", LatencyTarget: 1200 * time.Millisecond, Deadline: 4 * time.Second, Value: 1}},
 			Plans:   []policy.Plan{{Name: "all", ValueMultiplier: 1}}}, seed<<8|uint64(me))
 		require.NoError(t, err)
-		h.g.Attach(h)
-		h.g.Servers(w.now, policy.ListFull, infos)
-		h.b.SetMembers(list)
-		w.nodes = append(w.nodes, h)
+		h.gateway.Attach(h)
+		h.gateway.Servers(w.now, policy.ListFull, infos)
+		h.tracker.SetMembers(list)
+		w.hosts = append(w.hosts, h)
 	}
 	crowd := func(h *host) {
-		if with {
-			h.g.SetOthersLoads(w.now, h.b.Loads(w.now))
+		if withReports {
+			h.gateway.SetOthersLoads(w.now, h.tracker.Loads(w.now))
 		}
 	}
 	id := policy.RequestID(0)
 	for end := w.now + 20*time.Second; w.now < end; w.now += tick {
-		for _, do := range w.wheel[w.now] {
+		for _, do := range w.timers[w.now] {
 			do()
 		}
-		delete(w.wheel, w.now)
-		for _, h := range w.nodes {
-			if (w.now/tick+Time(h.me))%(h.b.Interval()/tick) == 0 {
-				h.b.SetLocal(h.g.OwnLoads(w.now))
-				peers, m := h.b.NextReport(w.now)
+		delete(w.timers, w.now)
+		for _, h := range w.hosts {
+			if (w.now/tick+Time(h.number))%(h.tracker.Interval()/tick) == 0 {
+				h.tracker.SetLocal(h.gateway.OwnLoads(w.now))
+				peers, m := h.tracker.NextReport(w.now)
 				for _, p := range peers {
 					if w.rng.Float64() > 0.05 {
-						w.at(time.Duration(1+w.rng.IntN(20))*time.Millisecond, func() {
-							w.nodes[p].b.Receive(w.now, h.me, m)
-							crowd(w.nodes[p])
+						w.after(time.Duration(1+w.rng.IntN(20))*time.Millisecond, func() {
+							w.hosts[p].tracker.Receive(w.now, h.number, m)
+							crowd(w.hosts[p])
 						})
 					}
 				}
@@ -233,12 +233,12 @@
 		}
 		for k := w.rng.IntN(6); k > 0; k-- { // 500 a second of the 800 that the members can do
 			id++
-			h := w.nodes[w.rng.IntN(80)]
-			h.g.Request(w.now, policy.Request{ID: id, Customer: policy.CustomerID(id), Deadline: w.now + 4*time.Second,
-				Units: 1, SetSize: 1, FirstGateway: h.me})
+			h := w.hosts[w.rng.IntN(80)]
+			h.gateway.Request(w.now, policy.Request{ID: id, Customer: policy.CustomerID(id), Deadline: w.now + 4*time.Second,
+				Units: 1, SetSize: 1, FirstGateway: h.number})
 		}
 	}
-	slices.Sort(w.took)
+	slices.Sort(w.latencies)
 	return w
 }
 
@@ -247,12 +247,12 @@
 func TestReportsShortenTail(t *testing.T) {
 	for seed := range uint64(2) {
 		alone, together := simulate(t, seed, 0, false), simulate(t, seed, 0, true)
-		p90 := func(w *simulation) time.Duration { return w.took[len(w.took)*9/10] }
+		p90 := func(w *simulation) time.Duration { return w.latencies[len(w.latencies)*9/10] }
 		t.Logf("seed %d: p90 %v alone, %v together; %d and %d connections", seed, p90(alone), p90(together),
-			len(alone.pairs), len(together.pairs))
+			len(alone.connections), len(together.connections))
 		assert.Less(t, float64(p90(together)), 0.93*float64(p90(alone)))
-		assert.Less(t, float64(len(together.pairs)), 0.8*float64(len(alone.pairs)))
-		assert.Greater(t, float64(len(together.took)), 0.95*float64(len(alone.took)))
+		assert.Less(t, float64(len(together.connections)), 0.8*float64(len(alone.connections)))
+		assert.Greater(t, float64(len(together.latencies)), 0.95*float64(len(alone.latencies)))
 	}
 }
 
--- a/internal/inflight/carry.go
+++ b/internal/inflight/carry.go
@@ -15,7 +15,7 @@
 // never decide what a word means.
 
 // Core is what is asked of the gateway's core.
-type Core interface {
+type Balancer interface {
 	ExchangeLoads(weigh func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load)
 }
 
@@ -26,9 +26,9 @@
 
 // Carrier keeps a board up to date.
 type Exchange struct {
-	balancer Core
-	roster   Membership
-	send     func(peer int, m []byte)
+	balancer   Balancer
+	membership Membership
+	send       func(peer int, m []byte)
 
 	mu             sync.Mutex // taken under the core's, never the other way round
 	tracker        *Tracker
@@ -37,8 +37,8 @@
 }
 
 // Carry gives a carrier for a board.
-func NewExchange(b *Tracker, core Core, roster Membership, tell func(int, []byte)) *Exchange {
-	return &Exchange{balancer: core, roster: roster, send: tell, tracker: b}
+func NewExchange(b *Tracker, core Balancer, roster Membership, tell func(int, []byte)) *Exchange {
+	return &Exchange{balancer: core, membership: roster, send: tell, tracker: b}
 }
 
 // Run tells the neighbours what is out until ctx ends.
@@ -56,7 +56,7 @@
 }
 
 func (c *Exchange) exchange() {
-	lives := c.roster.Incarnations()
+	lives := c.membership.Incarnations()
 	var peers []int
 	var m []byte
 	c.balancer.ExchangeLoads(func(now policy.Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load {
