--- /dev/null
+++ b/internal/inflight/subset.go
@@ -0,0 +1,47 @@
+package inflight
+
+// This file has deterministic subsetting: which members a gateway prefers.
+
+import (
+	"hash/fnv"
+	"math"
+	"slices"
+
+	"sprucelane.example/sprucelane/policy"
+)
+
+// subsetMargin is how many gateways' positions the subset reaches beyond the neighbors on either side.
+const subsetMargin = 1
+
+// Member is a pool member in the list of servers.
+type Member struct {
+	ID       policy.ServerID // differs from gateway to gateway
+	Instance string          // the name that all gateways know it by
+}
+
+// SetMembers sets the list of members and computes the subset. Members are spread evenly on the ring in the order of
+// their hashes, gateways in the order of their numbers; the subset is the members within a number of gateways'
+// positions. All gateways compute it from the same data, so neighbors' subsets overlap, and every member is in about
+// as many of them.
+func (t *Tracker) SetMembers(list []Member) {
+	t.members = t.members[:0]
+	for _, m := range list {
+		t.members = append(t.members, member{id: m.ID, hash: instanceHash(m.Instance)})
+	}
+	slices.SortFunc(t.members, func(x, y member) int { return int(x.hash) - int(y.hash) })
+	reach := float64(len(t.neighbors)/2 + subsetMargin)
+	for i := range t.members {
+		m := &t.members[i]
+		m.ambiguous = i > 0 && t.members[i-1].hash == m.hash || i+1 < len(t.members) && t.members[i+1].hash == m.hash
+		distance := math.Abs(float64(i)/float64(len(t.members)) - float64(t.self)/float64(t.gateways))
+		m.inSubset = !m.ambiguous && min(distance, 1-distance)*float64(t.gateways) <= reach
+	}
+}
+
+// instanceHash returns the two bytes that identify a member in reports: FNV-1a, folded.
+func instanceHash(instance string) uint16 {
+	h := fnv.New32a()
+	h.Write([]byte(instance))
+	sum := h.Sum32()
+	return uint16(sum>>16) ^ uint16(sum)
+}
