--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/internal/knowledge/link"
 )
 
-// knowledgeCommand asks a gateway what it knows of the pool members.
+// knowledgeCommand asks a gateway what it knows of the servers, and prints it.
 func knowledgeCommand() *cobra.Command {
 	var peer, cert, key, ca, name string
 	var plain, asJSON bool
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-// facts gives a picture's facts by member and observer.
+// sortedFacts returns a picture's facts, by server and observer.
 func sortedFacts(p *pb.Picture) []knowledge.Fact {
 	list := link.FromWire(p, 0)
 	slices.SortFunc(list, func(x, y knowledge.Fact) int {
@@ -77,30 +77,70 @@
 	return list
 }
 
-// printFacts writes a JSON object for each fact. Durations are in seconds.
+// factJSON is a fact as --json prints it, with the keys in alphabetical order. Durations are in seconds. See
+// knowledge.Fact.
+type factJSON struct {
+	Age          float64  `json:"age_s"`
+	Answered     *float64 `json:"answered_s"` // null: the observer has had no answer
+	Answers      float64  `json:"answers"`
+	Blind        float64  `json:"blind_s"`
+	Cold         int      `json:"cold"`
+	Deaf         float64  `json:"deaf_s"`
+	Ejected      float64  `json:"ejected_s"`
+	Hops         int      `json:"hops"`
+	Instance     string   `json:"instance"`
+	Lost         int      `json:"lost"`
+	Observer     string   `json:"observer"`
+	ObserverLife uint64   `json:"observer_life"`
+	Pace         float64  `json:"pace"`
+	Room         float64  `json:"room"`
+	Seq          uint64   `json:"seq"`
+	Stalled      float64  `json:"stalled_s"`
+	StartedMs    int64    `json:"started_ms"`
+	Warmth       float64  `json:"warmth"`
+}
+
+// printFacts prints a JSON object for each fact.
 func printFacts(to io.Writer, p *pb.Picture) error {
 	out := json.NewEncoder(to)
 	for _, f := range sortedFacts(p) {
-		var answered *float64
+		object := factJSON{
+			Age:          f.Age.Seconds(),
+			Answers:      f.Answers,
+			Blind:        f.Blind.Seconds(),
+			Cold:         f.Cold,
+			Deaf:         f.Deaf.Seconds(),
+			Ejected:      f.Ejected.Seconds(),
+			Hops:         f.Hops,
+			Instance:     f.Instance,
+			Lost:         f.Lost,
+			Observer:     f.Observer.Name,
+			ObserverLife: f.Birth,
+			Pace:         f.Pace,
+			Room:         f.Room,
+			Seq:          f.Seq,
+			Stalled:      f.Stalled.Seconds(),
+			StartedMs:    f.StartedMs,
+			Warmth:       f.Warmth,
+		}
 		if f.Served() {
-			s := f.Answered.Seconds()
-			answered = &s
+			answered := f.Answered.Seconds()
+			object.Answered = &answered
 		}
-		if err := out.Encode(map[string]any{"instance": f.Instance, "started_ms": f.StartedMs, "observer": f.Observer.Name,
-			"observer_life": f.Birth, "seq": f.Seq, "hops": f.Hops, "age_s": f.Age.Seconds(), "stalled_s": f.Stalled.Seconds(),
-			"lost": f.Lost, "ejected_s": f.Ejected.Seconds(), "pace": f.Pace, "answers": f.Answers, "answered_s": answered,
-			"room": f.Room, "warmth": f.Warmth, "cold": f.Cold, "deaf_s": f.Deaf.Seconds(), "blind_s": f.Blind.Seconds()}); err != nil {
+		if err := out.Encode(object); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// printFactTable prints a line about the gateway, and a table with a row for each fact.
 func printFactTable(to io.Writer, p *pb.Picture) error {
-	fmt.Fprintf(to, "%s: version %d, %.1f s without word from discovery, %.1f s without an answer, %d facts\n", p.GetTeller(),
-		p.GetVersion(), float64(p.GetDeafMs())/1000, float64(p.GetBlindMs())/1000, len(p.GetFacts()))
+	fmt.Fprintf(to, "%s: version %d, %.1f s without word from discovery, %.1f s without an answer, %d facts\n",
+		p.GetTeller(), p.GetVersion(), float64(p.GetDeafMs())/1000, float64(p.GetBlindMs())/1000, len(p.GetFacts()))
 	table := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(table, "MEMBER\tSTARTED\tOBSERVER\tHOPS\tAGE\tSTALLED\tLOST\tEJECTED\tPACE\tROOM\tWARMTH\tCOLD\tANSWERED")
+	fmt.Fprintln(table,
+		"MEMBER\tSTARTED\tOBSERVER\tHOPS\tAGE\tSTALLED\tLOST\tEJECTED\tPACE\tROOM\tWARMTH\tCOLD\tANSWERED")
 	for _, f := range sortedFacts(p) {
 		started, answered := "long ago", "never"
 		if f.StartedMs > 0 {
@@ -109,12 +149,14 @@
 		if f.Served() {
 			answered = formatSeconds(f.Answered+f.Age) + " ago"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\t%.2f\t%.1f\t%.0f%%\t%d\t%s\n", f.Instance, started, f.Observer.Name,
-			f.Hops, formatSeconds(f.Age), formatSeconds(f.Stalled), f.Lost, formatSeconds(f.Ejected), f.Pace, f.Room, 100*f.Warmth, f.Cold, answered)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\t%.2f\t%.1f\t%.0f%%\t%d\t%s\n", f.Instance, started,
+			f.Observer.Name, f.Hops, formatSeconds(f.Age), formatSeconds(f.Stalled), f.Lost, formatSeconds(f.Ejected),
+			f.Pace, f.Room, 100*f.Warmth, f.Cold, answered)
 	}
 	return table.Flush()
 }
 
+// formatSeconds formats a duration; - means none.
 func formatSeconds(d time.Duration) string {
 	if d <= 0 {
 		return "-"
