--- a/internal/core/answer_test.go
+++ b/internal/core/answer_test.go
@@ -13,7 +13,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Of a client that left before its request is decided about the module doesn't hear: nothing is drawn and no turn taken.
+// Policy doesn't hear of a client that left before its request is decided on: no units are drawn.
 func TestClientThatLeftDrawsNothing(t *testing.T) {
 	c, _ := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
 	ctx, leave := context.WithCancel(context.Background())
@@ -25,7 +25,7 @@
 	assert.Contains(t, counts, "customers=0")
 }
 
-// What comes between the last answers and the end of the process is refused at once, and not left to the kill.
+// What comes between shutdown and the end of the process is refused at once, and not left unanswered.
 func TestRequestsAfterShutdownAreRefused(t *testing.T) {
 	c, ask := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
 	c.Shutdown()
@@ -37,8 +37,7 @@
 	assert.Contains(t, c.Counters().String(), "open=0")
 }
 
-// An answer comes as the deadline fires: the client has one outcome, decided in one place, and what the other holds is given
-// back once.
+// An answer comes as the deadline passes: the client gets one answer, and what the other one holds is released once.
 func TestAnswerAtTheDeadline(t *testing.T) {
 	answered := make(chan bool)
 	var freed, closed atomic.Int32
@@ -49,11 +48,13 @@
 	})
 	assert.Equal(t, Failed, ask(1, 300*time.Millisecond).Kind)
 	close(answered)
-	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.transactions) == 0 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.transactions) == 0 }, time.Minute,
+		time.Millisecond)
 	require.Eventually(t, func() bool { return freed.Load() == 1 && closed.Load() == 1 }, time.Minute, time.Millisecond)
 	assert.Contains(t, c.Counters().String(), "answered_served=0 answered_refused=0 answered_failed=1")
 }
 
+// countingCloser is a body that counts how often it is closed.
 type countingCloser struct{ n *atomic.Int32 }
 
 func (countingCloser) Read([]byte) (int, error) { return 0, io.EOF }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,10 +12,12 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
+// carrier is a Carrier that a test scripts.
 type carrier func(*Attempt) (End, Answer)
 
 func (c carrier) Carry(f *Attempt) (End, Answer) { return c(f) }
 
+// closer is a connection that is closed once closed.
 type closer chan bool
 
 func (c closer) Close() error { close(c); return nil }
@@ -34,19 +36,20 @@
 	}
 }
 
-// Every end has a name and an ending, and only what was never written whole counts as never run.
+// Every end has a name and an ending, and only what was never written completely counts as not run.
 func TestEnds(t *testing.T) {
 	never := map[policy.Ending]bool{policy.Rejected: true, policy.NotConnected: true, policy.NeverSent: true}
 	for e := range endCount {
 		assert.NotEmpty(t, e.String())
 		assert.NotZero(t, endTable[e].ending)
-		mayHaveRun := e == EndServed || e == EndErrored || e == EndReset || e == EndStale || e == EndTimedOut || e == EndCancelled ||
+		mayHaveRun := e == EndServed || e == EndErrored || e == EndReset || e == EndStale || e == EndTimedOut ||
+			e == EndCancelled ||
 			e == EndNone
 		assert.Equal(t, mayHaveRun, !never[endTable[e].ending], e)
 	}
 }
 
-// A flow that still dials when its transaction is answered must not write a byte.
+// An attempt that still connects when its transaction is answered must not write a byte.
 func TestNothingIsSentAfterTheAnswer(t *testing.T) {
 	answered, begun := make(chan bool), make(chan End)
 	c, ask := start(t, func(f *Attempt) (End, Answer) {
@@ -63,7 +66,7 @@
 		time.Millisecond)
 }
 
-// A cancel closes the connection of the flow it names; once the flow has given the connection back it must not.
+// A cancel closes the connection of the attempt that it names, but not once the attempt has given the connection back.
 func TestCancel(t *testing.T) {
 	conn := make(closer)
 	c, ask := start(t, nil)
@@ -79,7 +82,7 @@
 	assert.Equal(t, Failed, ask(1, 10*time.Second).Kind) // called off it may have run
 }
 
-// Readings count from the Unix epoch, as discovery's times do, and lead back to moments.
+// Readings count from the Unix epoch, as discovery's times do, and convert back to times.
 func TestClock(t *testing.T) {
 	c := NewClock()
 	now := c.Now()
@@ -94,8 +97,8 @@
 	assert.Contains(t, c.Counters().String(), "taken=0")
 }
 
-// Before the process is gone every open transaction gets the answer that its module permits: a refusal where asking again is
-// harmless, a failure where it may have run. What the members answer afterwards changes nothing.
+// At shutdown every open transaction gets the answer that policy permits: a refusal where a repeat is harmless, a
+// failure where it may have run. What the servers answer afterwards changes nothing.
 func TestShutdownAnswersAll(t *testing.T) {
 	sent, on := make(chan bool, 2), make(chan bool)
 	c, ask := start(t, func(f *Attempt) (End, Answer) {
--- a/internal/core/generation_test.go
+++ b/internal/core/generation_test.go
@@ -16,12 +16,13 @@
 	for i := range classes {
 		classes[i].LatencyTarget, classes[i].Deadline, classes[i].Value = time.Second, 20*time.Second, 1
 	}
-	return policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 2, MaxRetryAfter: time.Second, Classes: classes,
-		Plans: []policy.Plan{{ValueMultiplier: 1, Name: "utility", Rate: 0.001, Burst: 4, OverQuotaCost: 1}}}
+	return policy.Settings{Gateways: 1, Tick: time.Millisecond, MaxAttempts: 2, MaxRetryAfter: time.Second,
+		Classes: classes,
+		Plans:   []policy.Plan{{ValueMultiplier: 1, Name: "utility", Rate: 0.001, Burst: 4, OverQuotaCost: 1}}}
 }
 
-// era is a core whose flows end as a test says.
-func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(era, class int) chan Answer) {
+// reconfigurableCore gives a core whose attempts end as a test says, and a function that sends a transaction in.
+func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(generation, class int) chan Answer) {
 	flows := make(chan chan End, 16)
 	c, err := New(set, 1, NewClock(), carrier(func(f *Attempt) (End, Answer) {
 		end := make(chan End)
@@ -30,26 +31,29 @@
 		return <-end, Answer{Body: []byte("x")}
 	}), nil)
 	require.NoError(t, err)
-	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Weight: 1}, {ID: 4, Weight: 1}})
-	return c, flows, func(era, class int) chan Answer {
+	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Weight: 1}, {ID: 4,
+		Weight: 1}})
+	return c, flows, func(generation, class int) chan Answer {
 		answered := make(chan Answer, 1)
 		go func() {
-			answered <- c.Serve(context.Background(), Request{Generation: era, Request: policy.Request{Class: class, Units: 1, SetSize: 1,
+			answered <- c.Serve(context.Background(), Request{Generation: generation, Request: policy.Request{Class: class, Units: 1,
+				SetSize:  1,
 				Customer: 5, Deadline: c.Now() + 20*time.Second}})
 		}()
 		return answered
 	}
 }
 
-// What was taken before the settings changed goes on under the old ones, to its end: a read that was safe is tried again,
-// and as often as was allowed then, though its class is now unsafe, or gone.
+// What came in before the settings changed goes on under the old ones, to its end: an idempotent read is retried, as
+// often as was allowed then, though its class is not idempotent now, or no longer exists.
 func TestOpenTransactionsKeepTheirSettings(t *testing.T) {
 	before := settings(policy.Class{Name: "read"}, policy.Class{Name: "order", Idempotency: policy.NotIdempotent})
 	before.MaxAttempts = 4
 	c, flows, ask := reconfigurableCore(t, before)
 	read, order := ask(0, 0), ask(0, 1)
 	one, two := <-flows, <-flows
-	number, err := c.Reconfigure(settings(policy.Class{Name: "read", Idempotency: policy.NotIdempotent}, policy.Class{Name: "new"}), 2)
+	number, err := c.Reconfigure(settings(policy.Class{Name: "read", Idempotency: policy.NotIdempotent},
+		policy.Class{Name: "new"}), 2)
 	require.NoError(t, err)
 	require.Equal(t, 1, number)
 	fresh := ask(1, 0)
@@ -71,8 +75,8 @@
 	assert.Empty(t, flows)
 }
 
-// Quotas count over the change: what the old module has let in and what its open requests draw is gone from the new one's
-// stores too.
+// Quotas go on over a change of settings: what the old gateway has admitted and what its open requests draw is taken off
+// the new one's balances, too.
 func TestQuotasGoOn(t *testing.T) {
 	set := settings(policy.Class{Name: "read"})
 	c, flows, ask := reconfigurableCore(t, set)
@@ -81,15 +85,16 @@
 		(<-flows) <- EndServed
 		assert.Equal(t, Served, (<-answer).Kind)
 	}
-	set.Classes = append(set.Classes, policy.Class{Name: "new", LatencyTarget: time.Second, Deadline: 20 * time.Second, Value: 1})
-	era, err := c.Reconfigure(set, 2)
+	set.Classes = append(set.Classes, policy.Class{Name: "new", LatencyTarget: time.Second, Deadline: 20 * time.Second,
+		Value: 1})
+	generation, err := c.Reconfigure(set, 2)
 	require.NoError(t, err)
 	late := ask(0, 0) // read under the old settings, handed in under the new ones
 	(<-flows) <- EndServed
 	assert.Equal(t, Served, (<-late).Kind)
 	served := 0
 	for range 20 {
-		answer := ask(era, 1)
+		answer := ask(generation, 1)
 		select {
 		case f := <-flows:
 			f <- EndServed
@@ -103,7 +108,7 @@
 	assert.LessOrEqual(t, served, 3, "of a burst of four, three drawn before; a part goes by chance")
 }
 
-// An era ends with its last transaction, and not before what fronts had begun to read under it has come.
+// A generation retires with its last transaction, and not before what fronts had begun to read under it has come in.
 func TestGenerationsRetire(t *testing.T) {
 	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
 	open := ask(0, 0)
@@ -129,7 +134,7 @@
 	c.mu.Unlock()
 }
 
-// Settings that can't be used change nothing.
+// Invalid settings change nothing.
 func TestReconfigureRejectsInvalidSettings(t *testing.T) {
 	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
 	none, other := settings(), settings(policy.Class{Name: "read"})
@@ -143,7 +148,7 @@
 	assert.Equal(t, Served, (<-answer).Kind)
 }
 
-// To another process goes what is known, and word of each flow that is started afterwards.
+// Another process gets the state, and each attempt that is started afterwards.
 func TestStateAndSendsGoToAnotherProcess(t *testing.T) {
 	set := settings(policy.Class{Name: "read"})
 	c, flows, ask := reconfigurableCore(t, set)
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// gone is a member that is not there, until it is.
+// gone is a carrier that finds no server, until back is closed.
 type gone struct{ back chan struct{} }
 
 func (g gone) Carry(f *core.Attempt) (core.End, core.Answer) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// In an outage what is refused is refused at once and names a wait, the decision module hears of a few tries only, and
-// peers are told; when the members are back all is let in again.
+// In an outage requests are refused at once with a wait, policy hears of a few only, and peers are sent messages; when
+// the servers are back all requests are admitted again.
 func TestOutageIsDamped(t *testing.T) {
 	fake.Log(t)
 	d := fake.Deployment()
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -18,7 +18,7 @@
 		for k := f.rng.IntN(5); k > 0; k-- { // 400 a second: 80 out at 60 servers
 			asked++
 			n := f.nodes[f.rng.IntN(80)]
-			if n.latency = 200 * ms; asked%20 == 0 { // some are slow, as some members are
+			if n.latency = 200 * ms; asked%20 == 0 { // some are slow, as some servers are
 				n.latency = 400 * ms
 			}
 			n.gateway.Request(f.now, Request{ID: RequestID(asked), Customer: CustomerID(asked), Deadline: f.now + 2*time.Second,
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -21,7 +21,7 @@
 // cold servers were sent. With other settings it does so by the names of classes and plans.
 func TestStateGoesToTheSuccessor(t *testing.T) {
 	f := start(t, busySettings(), 4)
-	f.runUntil(f.now + 100*time.Second) // a ceiling fills from the start on
+	f.runUntil(f.now + 100*time.Second) // a hard limit fills from the start on
 	for id := RequestID(1); id <= 30; id++ {
 		f.serve(id, 40*ms, func(r *Request) { r.Customer = 5 })
 		f.serve(100+id, 90*ms, func(r *Request) { r.Customer, r.Plan, r.Class = 6, 1, 1 })
@@ -57,9 +57,9 @@
 			return -1
 		}
 		for customer, want := range map[CustomerID]string{5: "small", 6: "large"} {
-			account, ceiling := f.remaining(customer)
-			if a, c := n.remaining(customer); math.Abs(a-account) > 0.01 || math.Abs(c-ceiling) > 0.01 {
-				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, account, ceiling)
+			balance, hardLimit := f.remaining(customer)
+			if a, c := n.remaining(customer); math.Abs(a-balance) > 0.01 || math.Abs(c-hardLimit) > 0.01 {
+				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, balance, hardLimit)
 			}
 			if got := n.gateway.customersByID[customer].plan; got != plan(want) ||
 				n.gateway.customersByKey[n.gateway.customersByID[customer].key] == nil {
@@ -109,13 +109,13 @@
 		peer.runUntil(f.now)
 		pass(f)
 	}
-	left, lives := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance, peer.gateway.incarnations[0]
+	left, incarnations := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance, peer.gateway.incarnations[0]
 	n := f.successor(t, nil)
 	n.runUntil(n.now + time.Second)
 	peer.runUntil(n.now)
 	pass(n)
-	if got := peer.gateway.incarnations[0]; got != lives {
-		t.Fatalf("%d incarnations, %d before", got, lives)
+	if got := peer.gateway.incarnations[0]; got != incarnations {
+		t.Fatalf("%d incarnations, %d before", got, incarnations)
 	}
 	peer.gateway.refill(peer.gateway.customersByKey[customerKey(5, 0, 0, 2)], 0)
 	if got := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
@@ -133,8 +133,8 @@
 		f.gateway.SentElsewhere(f.now, draw, 9, id%2 == 0)
 	}
 	f.gateway.SentElsewhere(f.now, draw, 77, false) // a server not known here
-	if account, ceiling := f.remaining(5); account != 80 || ceiling != 40 {
-		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", account, ceiling)
+	if balance, hardLimit := f.remaining(5); balance != 80 || hardLimit != 40 {
+		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", balance, hardLimit)
 	}
 	if got := len(f.gateway.serversByID[9].coldBudget.Sent); got != 20 {
 		t.Errorf("%d sends to the cold server are known, of 20", got)
@@ -218,9 +218,9 @@
 		f.serve(RequestID(i), ms, func(r *Request) { r.Customer = CustomerID(i) })
 	}
 	const most = 100 << 10
-	carried := f.gateway.ExportState(f.now, most)
-	if len(carried) > most+most/4 {
-		t.Fatalf("%d bytes, %d are wanted", len(carried), most)
+	state := f.gateway.ExportState(f.now, most)
+	if len(state) > most+most/4 {
+		t.Fatalf("%d bytes, %d are wanted", len(state), most)
 	}
 	g, err := New(f.gateway.cfg, 9)
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 	n := &fakeHost{t: t, gateway: g, now: f.now, ended: map[RequestID]string{}}
 	g.Attach(n)
-	if err := g.ImportState(n.now, carried); err != nil {
+	if err := g.ImportState(n.now, state); err != nil {
 		t.Fatal(err)
 	}
 	if n.gateway.customersByID[3000] == nil {
@@ -240,7 +240,7 @@
 	src := start(&testing.T{}, busySettings(), 2)
 	src.serve(1, ms, func(r *Request) { r.Customer = 5 })
 	f.Add(src.gateway.ExportState(src.now, 1<<20))
-	f.Fuzz(func(t *testing.T, carried []byte) {
+	f.Fuzz(func(t *testing.T, state []byte) {
 		set := busySettings()
 		g, err := New(set, 9)
 		if err != nil {
@@ -248,7 +248,7 @@
 		}
 		n := &fakeHost{t: t, gateway: g, now: src.now, ended: map[RequestID]string{}}
 		g.Attach(n)
-		if g.ImportState(n.now, carried) != nil {
+		if g.ImportState(n.now, state) != nil {
 			return
 		}
 		g.Servers(n.now, ListChanges, []ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1, StartedAt: n.now}})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -47,9 +47,9 @@
 	}
 	n.sent[id] = true
 	n.sends = append(n.sends, send{id, to, n.fleet.now, no})
-	life, took := n.incarnation, max(n.latency, n.fleet.latencies[to])
+	incarnation, took := n.incarnation, max(n.latency, n.fleet.latencies[to])
 	n.fleet.at(took, func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			n.gateway.Outcome(n.fleet.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served,
 				Answered: true, Units: n.trueUnits})
 		}
@@ -61,9 +61,9 @@
 func (n *node) Cancel(RequestID, int)                {}
 
 func (n *node) Timer(tag uint64, d time.Duration) {
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.fleet.at(d, func() {
-		if n.incarnation == life {
+		if n.incarnation == incarnation {
 			n.gateway.Timer(n.fleet.now, tag)
 		}
 	})
@@ -177,7 +177,7 @@
 				Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
 			if now := id; f.now-begin > 10*time.Second {
 				c.asked++
-				f.at(500*ms, func() { // where the customer's home had to be asked
+				f.at(500*ms, func() { // where the customer's owner had to be asked
 					if n.sent[now] {
 						c.in++
 					}
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	busy := 0 // the homes of the large customers that ask 63 times a second take in more: each request is asked about
+	busy := 0 // the owners of the large customers that ask 63 times a second take in more: each request is asked about
 	for _, n := range f.nodes {
 		if float64(n.received)/30 > s.PeerMessageRate*peerRateShare*1.5 {
 			busy++
@@ -227,7 +227,7 @@
 	f := newFleet(t, s, 3, 12)
 	type cust struct {
 		plan                   int
-		x, in, ceiling         float64
+		x, in, hardLimit       float64
 		quota, inside, allowed float64 // the true store, what was sent on inside it, and what one gateway would have
 		one                    float64
 	}
@@ -235,7 +235,7 @@
 	for i := range 16 {
 		p := s.Plans[i%2]
 		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst,
-			ceiling: p.HardLimitBurst})
+			hardLimit: p.HardLimitBurst})
 	}
 	id := RequestID(0)
 	f.run(2*time.Second, func() {}) // long enough for all to have heard each other
@@ -244,7 +244,7 @@
 			p := s.Plans[c.plan]
 			c.quota = min(p.Burst, c.quota+p.Rate*fleetTick.Seconds())
 			c.one = min(p.Burst, c.one+p.Rate*fleetTick.Seconds())
-			c.ceiling = min(p.HardLimitBurst, c.ceiling+p.HardLimitRate*fleetTick.Seconds())
+			c.hardLimit = min(p.HardLimitBurst, c.hardLimit+p.HardLimitRate*fleetTick.Seconds())
 			units := float64(1 + f.rng.IntN(4))
 			if f.rng.Float64() > c.x*p.Rate*fleetTick.Seconds()/2.5 {
 				continue
@@ -260,8 +260,8 @@
 			if !n.sent[id] {
 				continue
 			}
-			if c.ceiling -= units; p.HardLimitRate > 0 && c.ceiling < -p.HardLimitSlack {
-				t.Fatalf("customer %d: hard limit exceeded by %.1f", k, -c.ceiling)
+			if c.hardLimit -= units; p.HardLimitRate > 0 && c.hardLimit < -p.HardLimitSlack {
+				t.Fatalf("customer %d: hard limit exceeded by %.1f", k, -c.hardLimit)
 			}
 			if c.in += units; c.quota >= units {
 				c.quota -= units
@@ -318,9 +318,9 @@
 		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 20,
 			HardLimitBurst: 51, HardLimitSlack: 8}}
 		f := newFleet(t, s, 4, 12)
-		id, in, ceiling := RequestID(0), 0.0, 51.0
+		id, in, hardLimit := RequestID(0), 0.0, 51.0
 		ask := func() {
-			ceiling = min(51, ceiling+20*fleetTick.Seconds())
+			hardLimit = min(51, hardLimit+20*fleetTick.Seconds())
 			if f.rng.Float64() > 36*fleetTick.Seconds() {
 				return
 			}
@@ -331,8 +331,8 @@
 			n.gateway.Request(f.now, Request{ID: id, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 4})
 			if n.sent[id] {
 				in++
-				if ceiling--; ceiling < -8 {
-					t.Fatalf("%s: the hard limit is exceeded by %.0f", name, -ceiling)
+				if hardLimit--; hardLimit < -8 {
+					t.Fatalf("%s: the hard limit is exceeded by %.0f", name, -hardLimit)
 				}
 			}
 		}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -26,7 +26,7 @@
 }
 
 // remaining gives a customer's balance and what is left of its hard limit.
-func (f *fakeHost) remaining(customer CustomerID) (account, ceiling float64) {
+func (f *fakeHost) remaining(customer CustomerID) (balance, hardLimit float64) {
 	c := f.gateway.customersByID[customer]
 	f.gateway.refill(c, 0)
 	return c.balance, c.hardLimit.Tokens
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -256,8 +256,9 @@
 		f.sent = rest
 	}
 	for _, x := range f.gateway.servers {
-		if room := f.gateway.capacityOf(x); x.ID <= 3 && room > initialCapacity || x.ID > 3 && room < initialCapacity {
-			t.Errorf("server %d: capacity %v, started at %v", x.ID, room, initialCapacity)
+		if capacity := f.gateway.capacityOf(x); x.ID <= 3 && capacity > initialCapacity || x.ID > 3 &&
+			capacity < initialCapacity {
+			t.Errorf("server %d: capacity %v, started at %v", x.ID, capacity, initialCapacity)
 		}
 	}
 }
--- a/policy/owner_test.go
+++ b/policy/owner_test.go
@@ -64,9 +64,9 @@
 	}
 	dead := map[int]bool{}
 	for k := 0; k < 2; k++ {
-		home := f.nodes[5].gateway.ownerOf(c)
-		dead[home] = true
-		f.nodes[5].gateway.suspectedUntil[home] = f.now + time.Hour
+		owner := f.nodes[5].gateway.ownerOf(c)
+		dead[owner] = true
+		f.nodes[5].gateway.suspectedUntil[owner] = f.now + time.Hour
 	}
 	f.nodes[5].gateway.suspectedUntil = make([]Time, 80)
 	f.partitioned = func(from, to int) bool { return dead[from] || dead[to] }
@@ -90,25 +90,25 @@
 	g := f.nodes[7].gateway
 	name := customerKey(77, 0, 7, 60)
 	m := packQuery(ownerQuery{token: 9, customerKey: name, units: 2})
-	told := f.messages
+	messages := f.messages
 	g.PeerMessage(f.now, 8, m)
 	g.PeerMessage(f.now, 8, m)
 	c := g.customersByKey[ownerKey(name, 7)]
-	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.messages != told+2 {
+	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.messages != messages+2 {
 		t.Fatalf("two answers to one question, and its units drawn once: %+v", c)
 	}
-	for _, odd := range [][]byte{m[:12], append(m[:13:13], 0),
+	for _, invalid := range [][]byte{m[:12], append(m[:13:13], 0),
 		packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}),
 		packAnswer(9, true), packAnswer(9, true)[:5], {answerKind, 0, 0, 0, 9, 7}} {
-		customers, told, odd0 := len(g.customers), f.messages, g.Stats(f.now).InvalidMessages
-		g.PeerMessage(f.now, 8, odd)
-		if len(g.customers) != customers || f.messages != told {
-			t.Fatalf("%x was believed", odd)
+		customers, messages, invalidBefore := len(g.customers), f.messages, g.Stats(f.now).InvalidMessages
+		g.PeerMessage(f.now, 8, invalid)
+		if len(g.customers) != customers || f.messages != messages {
+			t.Fatalf("%x was believed", invalid)
 		}
-		if wellFormed := len(odd) == queryBytes && odd[0] == queryKind || len(odd) == answerBytes &&
-			odd[5] < 2; !wellFormed &&
-			g.Stats(f.now).InvalidMessages != odd0+1 {
-			t.Fatalf("%x was not counted", odd)
+		wellFormed := len(invalid) == queryBytes && invalid[0] == queryKind ||
+			len(invalid) == answerBytes && invalid[5] < 2
+		if !wellFormed && g.Stats(f.now).InvalidMessages != invalidBefore+1 {
+			t.Fatalf("%x was not counted", invalid)
 		}
 	}
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -77,7 +77,7 @@
 	for i := 1; i <= 20; i++ { // a twentieth a second here, of a rate of 10 split over 100
 		f.runUntil(f.now + 20*time.Second)
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 100 })
-		f.runUntil(f.now + 200*ms) // for the home's answer, in vain
+		f.runUntil(f.now + 200*ms) // for the owner's answer, in vain
 		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 			f.done(f.sent[n-1], Served, 5*ms)
 		}
@@ -171,11 +171,11 @@
 
 func TestInvalidMessagesChangeNothing(t *testing.T) {
 	good := message(time.Second, 5, 60)
-	odd := [][]byte{nil, {1}, good[:8], append([]byte{99}, good[1:]...), append([]byte{1}, good[1:]...),
+	invalid := [][]byte{nil, {1}, good[:8], append([]byte{99}, good[1:]...), append([]byte{1}, good[1:]...),
 		make([]byte, 300), append(good, 1)}
 	plain := admitted(t, func(*fakeHost, int) {})
 	if got := admitted(t, func(f *fakeHost, i int) {
-		f.gateway.PeerMessage(f.now, 1, odd[i%len(odd)])
+		f.gateway.PeerMessage(f.now, 1, invalid[i%len(invalid)])
 		f.gateway.PeerMessage(f.now, i%5+2, good)
 		f.gateway.PeerMessage(f.now, -1, good)
 		f.gateway.PeerMessage(f.now, 0, good)
@@ -203,7 +203,7 @@
 
 func TestUpdatesHoldManyBusyCustomersInTurn(t *testing.T) {
 	f := start(t, twoGateways(), 8)
-	told := map[uint64]bool{}
+	seen := map[uint64]bool{}
 	for i := 1; i <= 3000; i++ {
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize, r.Units = CustomerID(i%150+1), 2, 20 })
 		f.runUntil(f.now + ms)
@@ -223,11 +223,11 @@
 			t.Fatal("a message that can't be read")
 		}
 		for _, e := range u.entries[customerSection] {
-			told[e.key] = true
+			seen[e.key] = true
 		}
 	}
-	if len(told) < 140 {
-		t.Fatalf("%d of 150 busy customers told in 2 s", len(told))
+	if len(seen) < 140 {
+		t.Fatalf("%d of 150 busy customers told in 2 s", len(seen))
 	}
 }
 
@@ -238,16 +238,16 @@
 	f := start(t, s, 8)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
 	f.runUntil(f.now + 60*ms)
-	told := 0
+	seen := 0
 	for _, m := range f.messages {
 		u, ok := unpackUpdate(m, settings().schema())
 		if !ok {
 			t.Fatal("a message that can't be read")
 		}
-		told += len(u.entries[customerSection])
+		seen += len(u.entries[customerSection])
 	}
-	if told != 1 {
-		t.Fatalf("sent %d times in 60 ms, once is wanted", told)
+	if seen != 1 {
+		t.Fatalf("sent %d times in 60 ms, once is wanted", seen)
 	}
 }
 
--- a/policy/pending_body_test.go
+++ b/policy/pending_body_test.go
@@ -91,22 +91,22 @@
 	f.runUntil(f.now + 10*time.Second)
 	f.ask(2, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
 	f.runUntil(f.now + 10*time.Second)
-	if account, ceiling := f.remaining(5); account != 2 || ceiling != 12 {
-		t.Errorf("%v and %v are left of 10 and 20 while 8 are to come", account, ceiling)
+	if balance, hardLimit := f.remaining(5); balance != 2 || hardLimit != 12 {
+		t.Errorf("%v and %v are left of 10 and 20 while 8 are to come", balance, hardLimit)
 	}
 	f.gateway.BodySent(f.now, 2, f.now+2*time.Second)
-	if account, _ := f.remaining(5); account != 2 {
-		t.Errorf("%v are left when 8 have come", account)
+	if balance, _ := f.remaining(5); balance != 2 {
+		t.Errorf("%v are left when 8 have come", balance)
 	}
 	f.done(f.sent[len(f.sent)-1], Served, 10*ms)
 	f.runUntil(f.now + 10*time.Second)
-	if account, ceiling := f.remaining(5); account != 10 || ceiling != 20 {
-		t.Errorf("%v and %v are left of 10 and 20 at last", account, ceiling)
+	if balance, hardLimit := f.remaining(5); balance != 10 || hardLimit != 20 {
+		t.Errorf("%v and %v are left of 10 and 20 at last", balance, hardLimit)
 	}
 	f.ask(3, func(r *Request) { r.Customer, r.Units, r.BodyPending = 5, 8, true })
 	to := f.sent[len(f.sent)-1]
 	f.gateway.Outcome(f.now, Outcome{ID: 3, Server: to.to, Ending: NeverSent, BodyConsumed: true})
-	if account, ceiling := f.remaining(5); account != 10 || ceiling != 20 {
-		t.Errorf("%v and %v are left of 10 and 20 though nothing came", account, ceiling)
+	if balance, hardLimit := f.remaining(5); balance != 10 || hardLimit != 20 {
+		t.Errorf("%v and %v are left of 10 and 20 though nothing came", balance, hardLimit)
 	}
 }
--- a/policy/reconcile_test.go
+++ b/policy/reconcile_test.go
@@ -14,25 +14,25 @@
 	s.Plans = []Plan{{Name: "club", Rate: 0.001, Burst: 40, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 1,
 		HardLimitBurst: 60}}
 	for _, c := range []struct {
-		told []float64
-		left float64
+		units []float64
+		left  float64
 	}{{[]float64{5}, 35}, {[]float64{1}, 39}, {[]float64{0}, 38}, {[]float64{5, 5}, 35}, {[]float64{math.NaN()}, 38},
 		{[]float64{-4}, 38}, {[]float64{math.Inf(1)}, 38}, {[]float64{1e6}, 38}} {
 		f := start(t, s, 2)
 		f.runUntil(f.now + 100*time.Second)
 		f.ask(1, func(r *Request) { r.Customer, r.Units = 5, 2 })
 		r := f.gateway.requests[1]
-		var before, ceiling float64
-		if before, ceiling = f.remaining(5); math.Abs(before-38) > 0.01 {
+		var before, hardLimit float64
+		if before, hardLimit = f.remaining(5); math.Abs(before-38) > 0.01 {
 			t.Fatalf("%v left after a guess of 2", before)
 		}
 		f.gateway.Outcome(f.now, Outcome{ID: 1, Server: f.sent[0].to, Elapsed: ms, Ending: Served, Answered: true,
-			Units: c.told[0]})
-		for _, units := range c.told[1:] { // as a second copy's answer would
+			Units: c.units[0]})
+		for _, units := range c.units[1:] { // as a second copy's answer would
 			f.gateway.reconcileUnits(r, units)
 		}
-		if left, after := f.remaining(5); math.Abs(left-c.left) > 0.01 || after != ceiling {
-			t.Errorf("told %v: %v left, should be %v; hard limit %v, was %v", c.told, left, c.left, after, ceiling)
+		if left, after := f.remaining(5); math.Abs(left-c.left) > 0.01 || after != hardLimit {
+			t.Errorf("told %v: %v left, should be %v; hard limit %v, was %v", c.units, left, c.left, after, hardLimit)
 		}
 	}
 }
@@ -71,9 +71,9 @@
 			f.run(time.Second, func() {})
 			c := f.nodes[1].gateway.customersByKey[customerKey(77, 0, 0, set)]
 			if set > nearbyDistance+1 {
-				home := f.nodes[0].gateway.customersByID[77]
-				c = f.nodes[f.nodes[0].gateway.ownerCandidate(home, 0)].gateway.customersByKey[ownerKey(home.key,
-					f.nodes[0].gateway.ownerCandidate(home, 0))]
+				owner := f.nodes[0].gateway.customersByID[77]
+				c = f.nodes[f.nodes[0].gateway.ownerCandidate(owner, 0)].gateway.customersByKey[ownerKey(owner.key,
+					f.nodes[0].gateway.ownerCandidate(owner, 0))]
 			}
 			if c == nil || math.Abs(c.balance-(200-20*units)) > 6 {
 				t.Errorf("%s: %+v left of 200 where 20 times %v were drawn", name, c.balance, units)
