--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -160,9 +160,10 @@
 			return client.Submit(ctx, m, job, items) == http.StatusAccepted
 		})
 	}
-	first := readAll(ctx, t, c, client, c.Machine(RoleGateway, "east"), job, items)
+	reader := jobReader{cluster: c, job: job, items: items}
+	first := reader.readAll(ctx, t, c.Machine(RoleGateway, "east"))
 	for _, zone := range c.Options.Zones[1:] {
-		if again := readAll(ctx, t, c, client, c.Machine(RoleGateway, zone), job, items); !slices.Equal(first, again) {
+		if again := reader.readAll(ctx, t, c.Machine(RoleGateway, zone)); !slices.Equal(first, again) {
 			t.Errorf("the results differ at %s", zone)
 		}
 	}
@@ -227,7 +228,8 @@
 	}
 	jobs.Wait()
 	for i := range 6 {
-		readAll(ctx, t, c, client, c.Machine(RoleGateway, "east"), fmt.Sprintf("fits-%d", i), items)
+		reader := jobReader{cluster: c, job: fmt.Sprintf("fits-%d", i), items: items}
+		reader.readAll(ctx, t, c.Machine(RoleGateway, "east"))
 	}
 	for _, run := range executionsOf(c, TenantName) {
 		if job, _, _ := strings.Cut(run.RequestID, "-"); rejected[job] {
@@ -236,28 +238,35 @@
 	}
 }
 
-// readAll reads all results of a batch job at a gateway.
-func readAll(ctx context.Context, t *testing.T, c *Cluster, client *Client, m Machine, job string,
-	items int) []BatchResult {
+// jobReader reads a batch job of the first tenant.
+type jobReader struct {
+	cluster *Cluster
+	job     string
+	items   int
+}
+
+// readAll reads all results at a gateway.
+func (r jobReader) readAll(ctx context.Context, t *testing.T, m Machine) []BatchResult {
 	t.Helper()
+	client := NewClient(TenantKey)
 	var all []BatchResult
-	until(ctx, t, "all results at "+m.Name+c.logTails(), func() bool {
-		status, results := client.Read(ctx, m, job, len(all))
+	until(ctx, t, "all results at "+m.Name+r.cluster.logTails(), func() bool {
+		status, results := client.Read(ctx, m, r.job, len(all))
 		if status != http.StatusOK {
 			return false
 		}
-		if results.Total != items || results.NextToken != len(all)+len(results.Results) {
+		if results.Total != r.items || results.NextToken != len(all)+len(results.Results) {
 			t.Fatalf("total %d, next %d after %d and %d", results.Total, results.NextToken, len(all),
 				len(results.Results))
 		}
 		all = append(all, results.Results...)
-		return len(all) == items
+		return len(all) == r.items
 	})
 	return all
 }
 
-// TestControlIsKilled: after the kill of a control process requests are still served, the next configuration
-// is committed, and the killed process comes back with it.
+// TestControlIsKilled: while a control process is killed and restarted no request is lost: each is served or
+// rejected. Changes of the configuration are committed meanwhile, and the restarted process returns the latest.
 func TestControlIsKilled(t *testing.T) {
 	c, ctx := open(t)
 	client := NewClient(TenantKey)
