--- a/internal/fake/modelserver/server_test.go
+++ b/internal/fake/modelserver/server_test.go
@@ -55,14 +55,9 @@
 		So(response.StatusCode, ShouldEqual, 200)
 		So(response.Header.Get(headerRequest), ShouldEqual, "r1")
 		So(response.Header.Get(headerSignature), ShouldNotBeEmpty)
-		So(
-			text,
-			ShouldEqual,
-			"id: 1\ndata: "+EventData("r1", 1)+"\n\nid: 2\ndata: "+EventData(
-				"r1",
-				2,
-			)+"\n\nid: 3\ndata: "+EventData("r1", 3)+"\n\n",
-		)
+		So(text, ShouldEqual, "id: 1\ndata: "+EventData("r1", 1)+"\n\n"+
+			"id: 2\ndata: "+EventData("r1", 2)+"\n\n"+
+			"id: 3\ndata: "+EventData("r1", 3)+"\n\n")
 		recorded := executions.Executions()
 		So(recorded, ShouldHaveLength, 1)
 		So(recorded[0].Tenant, ShouldEqual, "t")
--- a/internal/lab/soak/operator.go
+++ b/internal/lab/soak/operator.go
@@ -37,20 +37,27 @@
 // changes it, so that it knows which generations may be read.
 type operator struct {
 	run    *run
-	random *rand.Rand // of generateChanges
 	client http.Client
 
+	// Of generateChanges only.
+	random     *rand.Rand
+	repeatable []configurationChange // the last that were acknowledged
+
 	// mu guards the fields below. At any time acknowledgedGeneration <= generation in force <= sentGeneration.
 	mu                     sync.Mutex
 	acknowledgedGeneration uint64
 	sentGeneration         uint64
-	repeatable             []configurationChange // the last that were acknowledged
 	acknowledgedCount      int
 }
 
 func newOperator(r *run) *operator {
-	return &operator{run: r, random: r.options.randomSource(randomChanges), acknowledgedGeneration: 1, sentGeneration: 1,
-		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &operator{
+		run:                    r,
+		client:                 http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		random:                 r.options.randomSource(randomChanges),
+		acknowledgedGeneration: 1,
+		sentGeneration:         1,
+	}
 }
 
 // operatorRequest is a call of the operator's API.
@@ -191,14 +198,14 @@
 }
 
 func (o *operator) markAcknowledged(change configurationChange) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.acknowledgedGeneration = change.generation
-	o.acknowledgedCount++
 	o.repeatable = append(o.repeatable, change)
 	if len(o.repeatable) > maxRepeatable {
 		o.repeatable = o.repeatable[1:]
 	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.acknowledgedGeneration = change.generation
+	o.acknowledgedCount++
 }
 
 func (o *operator) newestAcknowledged() uint64 {
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -48,31 +48,27 @@
 
 // TestPartition shows that the programs obey the file of partitions.
 func TestPartition(t *testing.T) {
-	Convey(
-		"A control process that is partitioned from all others returns no configuration, and returns it again once healed",
-		t,
-		func() {
-			r, err := newRun(DefaultOptions(built), t.TempDir())
-			So(err, ShouldBeNil)
-			defer r.cluster.Close()
-			So(r.startSystem(t.Context()), ShouldBeNil)
-			ctx, cancel := context.WithTimeout(t.Context(), RecoveryTimeout)
-			defer cancel()
-			await := func(returns bool) {
-				for {
-					_, status, _ := r.operator.get(ctx, r.frontMachines[0])
-					if (status == http.StatusOK) == returns {
-						return
-					}
-					So(sleep(ctx, pollInterval), ShouldBeTrue)
+	Convey("A partitioned control process returns no configuration, and returns it again once healed", t, func() {
+		r, err := newRun(DefaultOptions(built), t.TempDir())
+		So(err, ShouldBeNil)
+		defer r.cluster.Close()
+		So(r.startSystem(t.Context()), ShouldBeNil)
+		ctx, cancel := context.WithTimeout(t.Context(), RecoveryTimeout)
+		defer cancel()
+		await := func(returns bool) {
+			for {
+				_, status, _ := r.operator.get(ctx, r.frontMachines[0])
+				if (status == http.StatusOK) == returns {
+					return
 				}
+				So(sleep(ctx, pollInterval), ShouldBeTrue)
 			}
-			await(true)
-			heal, err := r.partitions.add(linksBetween(r.frontMachines[:1], r.cluster.Machines, true))
-			So(err, ShouldBeNil)
-			await(false)
-			heal()
-			await(true)
-		},
-	)
+		}
+		await(true)
+		heal, err := r.partitions.add(linksBetween(r.frontMachines[:1], r.cluster.Machines, true))
+		So(err, ShouldBeNil)
+		await(false)
+		heal()
+		await(true)
+	})
 }
--- a/internal/lab/system/streamclient.go
+++ b/internal/lab/system/streamclient.go
@@ -33,12 +33,13 @@
 	defer cancel()
 	headers := promptHeaders(id, session)
 	headers["X-Request-Id"] = id
-	request, err := c.httpRequest(
-		ctx,
-		m,
-		clientRequest{method: http.MethodPost, host: StreamHost, path: StreamPrefix + "2f",
-			headers: headers, body: []byte("a log to read")},
-	)
+	request, err := c.httpRequest(ctx, m, clientRequest{
+		method:  http.MethodPost,
+		host:    StreamHost,
+		path:    StreamPrefix + "2f",
+		headers: headers,
+		body:    []byte("a log to read"),
+	})
 	if err != nil {
 		return Outcome{Problem: err.Error()}
 	}
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -84,10 +84,9 @@
 			t.Errorf("request %d at %s: %+v", i, m.Name, got)
 		}
 	}
-	executions := slices.DeleteFunc(
-		executionsOf(c, TenantName),
-		func(e modelserver.Execution) bool { return !strings.HasPrefix(e.RequestID, "req-") },
-	)
+	executions := slices.DeleteFunc(executionsOf(c, TenantName), func(e modelserver.Execution) bool {
+		return !strings.HasPrefix(e.RequestID, "req-")
+	})
 	if len(executions) != 30 || c.ExecutionLog.Duplicates() > 0 {
 		t.Errorf("%d runs of 30 requests, %d twice", len(executions), c.ExecutionLog.Duplicates())
 	}
@@ -105,10 +104,9 @@
 
 // executionsOf returns the executions of a tenant's requests.
 func executionsOf(c *Cluster, tenant string) []modelserver.Execution {
-	return slices.DeleteFunc(
-		c.ExecutionLog.Executions(),
-		func(e modelserver.Execution) bool { return e.Tenant != tenant },
-	)
+	return slices.DeleteFunc(c.ExecutionLog.Executions(), func(e modelserver.Execution) bool {
+		return e.Tenant != tenant
+	})
 }
 
 // TestKeyIsRevoked: a revoked key ends at every gateway, and the other tenant's stays valid. A change that is
--- a/internal/tools/ablate/main_test.go
+++ b/internal/tools/ablate/main_test.go
@@ -40,10 +40,7 @@
 		So(switchOff(path, "silence"), ShouldNotBeNil)
 	})
 	Convey("A name that is no mechanism is reported", t, func() {
-		So(
-			(&options{mechanisms: []string{"affinity", "afinity"}}).unknownMechanisms(),
-			ShouldResemble,
-			[]string{"afinity"},
-		)
+		o := &options{mechanisms: []string{"affinity", "afinity"}}
+		So(o.unknownMechanisms(), ShouldResemble, []string{"afinity"})
 	})
 }
--- a/internal/tools/benchrun/benchrun_test.go
+++ b/internal/tools/benchrun/benchrun_test.go
@@ -18,15 +18,9 @@
 		return path
 	}
 	Convey("The report is read, and further arguments are passed on", t, func() {
-		report, err := Run(
-			program(
-				`[ "$6" = --jobs ] && pwd > where && echo '{"G":0.5,"served":0.6,"fault":null,"breaks":{"ORDER":3}}' > "$5"`),
-			folder,
-			"site.toml",
-			"day.toml",
-			"--jobs",
-			"1",
-		)
+		bench := program(`[ "$6" = --jobs ] && pwd > where &&
+			echo '{"G":0.5,"served":0.6,"fault":null,"breaks":{"ORDER":3}}' > "$5"`)
+		report, err := Run(bench, folder, "site.toml", "day.toml", "--jobs", "1")
 		So(err, ShouldBeNil)
 		So(report.Score, ShouldEqual, 0.5)
 		So(string(report.RuleViolations["ORDER"]), ShouldEqual, "3")
--- a/internal/tools/playdays/main_test.go
+++ b/internal/tools/playdays/main_test.go
@@ -18,11 +18,8 @@
 		So(line, ShouldEndWith, "worth 0.900 served 0.980")
 	})
 	Convey("Violated rules, a fault and a day that wasn't played are not", t, func() {
-		line, ok := summarize(
-			"a.toml",
-			&benchrun.Report{RuleViolations: map[string]json.RawMessage{"TWICE": []byte("2"), "LOST": []byte("1")}},
-			nil,
-		)
+		violations := map[string]json.RawMessage{"TWICE": []byte("2"), "LOST": []byte("1")}
+		line, ok := summarize("a.toml", &benchrun.Report{RuleViolations: violations}, nil)
 		So(ok, ShouldBeFalse)
 		So(line, ShouldEndWith, "broken: LOST 1, TWICE 2")
 		_, ok = summarize("a.toml", &benchrun.Report{Fault: "no request is served"}, nil)
