--- a/cmd/sprucelab/faults.go
+++ b/cmd/sprucelab/faults.go
@@ -68,8 +68,8 @@
 			}
 			if calm {
 				over := faults.Over(list)
-				fmt.Fprintf(out, "FAULTS share=%.3f calm=%.3f worst_second=%.2f back_s=%.0f rules_broken=%d\n", ends[0].Share, ends[1].Share,
-					ends[0].Worst(list), ends[0].Back(ends[1], over, backLess).Seconds(), len(broken))
+				fmt.Fprintf(out, "FAULTS share=%.3f calm=%.3f worst_second=%.2f back_s=%.0f rules_broken=%d\n",
+					ends[0].Share, ends[1].Share, ends[0].Worst(list), ends[0].Back(ends[1], over, normalMargin).Seconds(), len(broken))
 			}
 			if report != "" {
 				if err := faults.WriteReport(report, []faults.Shown{{Name: script, Ends: ends, Script: list}}); err != nil {
@@ -90,9 +90,10 @@
 	return cmd
 }
 
-// backLess is how far below an undisturbed run a second may be and count as normal.
-const backLess = 0.1
+// normalMargin is how far below an undisturbed run the share served in time of a second may be and count as normal.
+const normalMargin = 0.1
 
+// planFlags adds the flags that all measurements of faults have.
 func planFlags(cmd *cobra.Command, p *faults.Plan) {
 	f := cmd.Flags()
 	f.Uint64Var(&p.Seed, "seed", p.Seed, "what all chance follows from")
@@ -109,6 +110,7 @@
 	f.StringVar(&p.Dir, "keep", "", "`folder` to leave the gateways' files and logs in")
 }
 
+// playOn plays a plan in the emulator or on processes.
 func playOn(ctx context.Context, p faults.Plan, onEmulator bool) (faults.End, error) {
 	if onEmulator {
 		return faults.Emulate(p)
@@ -116,12 +118,14 @@
 	return faults.Play(ctx, p)
 }
 
+// printEnd prints how a run ended, as a line for people or as JSON.
 func printEnd(out io.Writer, e faults.End, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(out).Encode(e)
 	}
-	_, err := fmt.Fprintf(out, "on=%s seed=%d share=%.3f tries=%d ends=%v beyond=%.3f over_ceiling=%.1f peak_cold=%.2f peaks=%v totals=%v rules_broken=%d script=%q\nseconds=%.2f\n",
-		e.On, e.Seed, e.Share, e.Tries, e.Ends, e.Beyond, e.Ceiling, e.PeakCold, e.Peaks, e.Totals, len(e.Broken), e.Script, e.Seconds)
+	_, err := fmt.Fprintf(out, "on=%s seed=%d share=%.3f tries=%d ends=%v beyond=%.3f over_ceiling=%.1f peak_cold=%.2f "+
+		"peaks=%v totals=%v rules_broken=%d script=%q\nseconds=%.2f\n", e.On, e.Seed, e.Share, e.Tries, e.Ends, e.Beyond,
+		e.Ceiling, e.PeakCold, e.Peaks, e.Totals, len(e.Broken), e.Script, e.Seconds)
 	return err
 }
 
@@ -158,13 +162,14 @@
 			out, broken := cmd.OutOrStdout(), 0
 			var shown []faults.Shown
 			for _, f := range found {
-				fmt.Fprintf(out, "lost=%.3f emulator=%.3f processes=%.3f rules_broken=%d script=%q\n", f.Lost, f.Emulated.Share, f.Played.Share,
-					len(f.Emulated.Broken)+len(f.Played.Broken), faults.Words(f.Script))
+				fmt.Fprintf(out, "lost=%.3f emulator=%.3f processes=%.3f rules_broken=%d script=%q\n", f.Lost,
+					f.Emulated.Share, f.Played.Share, len(f.Emulated.Broken)+len(f.Played.Broken), faults.Words(f.Script))
 				for _, b := range slices.Concat(f.Emulated.Broken, f.Played.Broken) {
 					broken++
 					fmt.Fprintln(out, b)
 				}
-				shown = append(shown, faults.Shown{Name: faults.Words(f.Script), Ends: []faults.End{f.Played, f.Emulated}, Script: f.Script})
+				shown = append(shown, faults.Shown{Name: faults.Words(f.Script), Ends: []faults.End{f.Played, f.Emulated},
+					Script: f.Script})
 			}
 			if report != "" {
 				if err := faults.WriteReport(report, shown); err != nil {
@@ -219,7 +224,7 @@
 					return err
 				}
 			}
-			line, broken := faults.Figures(shown, backLess)
+			line, broken := faults.Figures(shown, normalMargin)
 			fmt.Fprintln(cmd.OutOrStdout(), "FAULTS "+line)
 			if broken > 0 {
 				return errors.New("a rule was broken")
@@ -235,40 +240,3 @@
 	f.StringVar(&report, "html", "", "write a report to a `file`")
 	return cmd
 }
-
-func recoveryCommand(binary *string) *cobra.Command {
-	p := faults.Default()
-	p.Length = 26 * time.Second
-	var seeds, parallel int
-	cmd := &cobra.Command{
-		Use:   "recovery",
-		Short: "Measure how a fleet comes back, at several sizes, with a store and without",
-		Long: `Plays scripts of restarts and standstills at 20, 100 and 300 gateways in the emulator and at 3 and 10 on processes, there with a
-store and without, each beside an undisturbed run. The last line gives, for each case, the worth in the first 2, 10 and all seconds
-over that of the undisturbed run, the seconds until normal, the slowest start to full service, and the most at a cold member over
-what it could do. It fails on a broken rule or bound. SHORT=1 plays three scripts at the smallest sizes, once.`,
-		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := interruptContext()
-			defer stop()
-			p.Binary = *binary
-			if shortMode() {
-				seeds, parallel, p.Length = 1, 8, 18*time.Second
-			}
-			list, err := faults.Recoveries(ctx, p, seeds, parallel, shortMode(), cmd.ErrOrStderr())
-			if err != nil {
-				return err
-			}
-			line, failed := faults.BackFigures(list)
-			fmt.Fprintln(cmd.OutOrStdout(), "RECOVERY "+line)
-			if len(failed) > 0 {
-				return errors.New(strings.Join(failed, "; "))
-			}
-			return nil
-		},
-	}
-	planFlags(cmd, &p)
-	cmd.Flags().IntVar(&seeds, "seeds", 2, "seeds")
-	cmd.Flags().IntVar(&parallel, "parallel", 4, "runs at once")
-	return cmd
-}
--- a/cmd/sprucelab/learning.go
+++ b/cmd/sprucelab/learning.go
@@ -12,8 +12,8 @@
 
 // The bounds of the measurement of learning.
 const (
-	savedLeast = 0.5  // of what a blank start loses against a warmed gateway in 10 s
-	harmMost   = 0.01 // of worth that a stale or wrong peer may cost against a blank start
+	minSavedShare = 0.5  // of what a blank start loses against a warmed gateway in 10 s
+	maxHarm       = 0.01 // of worth that a stale or wrong peer may cost against a blank start
 )
 
 func learningCommand(binary *string) *cobra.Command {
@@ -44,62 +44,7 @@
 			if err != nil {
 				return err
 			}
-			var out resultLine
-			out.add("seeds", "%d", seeds)
-			share := map[string][]float64{}
-			for i, w := range lab.Windows {
-				if w > l.Measured {
-					continue
-				}
-				means := lab.Means(runs, func(r lab.LearningRun) float64 { return r.Share[i] })
-				for _, arm := range l.Arms {
-					share[arm] = append(share[arm], means[arm])
-					out.add(fmt.Sprintf("%s_%ds", arm, int(w.Seconds())), "%.4f", means[arm])
-				}
-			}
-			var broken []error
-			lost := lab.Means(runs, func(r lab.LearningRun) float64 { return float64(r.Lost) })
-			for _, arm := range l.Arms {
-				out.add("lost_"+arm, "%.1f", lost[arm])
-			}
-			late, cold, twice := uint64(0), uint64(0), uint64(0)
-			for _, r := range runs {
-				late, cold, twice = late+r.Late, cold+r.ColdBroken, twice+r.Twice
-			}
-			out.add("late", "%d", late)
-			out.add("cold_broken", "%d", cold)
-			out.add("twice", "%d", twice)
-			if late+cold+twice > 0 {
-				broken = append(broken, fmt.Errorf("a rule is broken: late=%d cold_broken=%d twice=%d", late, cold, twice))
-			}
-			const ten = 2 // place of the first 10 s among the windows
-			saved := (share[lab.ArmOn][ten] - share[lab.ArmOff][ten]) / max(share[lab.ArmWarm][ten]-share[lab.ArmOff][ten], 1e-9)
-			out.add("saved", "%.2f", saved)
-			if saved < savedLeast {
-				broken = append(broken, fmt.Errorf("learning saves %.2f of what a blank start loses, less than %.2f", saved, savedLeast))
-			}
-			for _, arm := range []string{lab.ArmStale, lab.ArmLying} {
-				harm := 0.0
-				for i := range share[arm] {
-					if i >= ten { // shorter windows hold a few dozen requests
-						harm = max(harm, share[lab.ArmOff][i]-share[arm][i])
-					}
-				}
-				out.add("harm_"+arm, "%.4f", harm)
-				if harm > harmMost {
-					broken = append(broken, fmt.Errorf("a %s peer costs %.4f of the worth, more than %.2f", arm, harm, harmMost))
-				}
-			}
-			for _, n := range []int{40, 2000} {
-				c, err := lab.LearningCost(n, 20)
-				if err != nil {
-					return err
-				}
-				out.add(fmt.Sprintf("bytes_%d", n), "%.1f", c.Bytes)
-				out.add(fmt.Sprintf("cpu_us_%d", n), "%.2f", c.CPUMicros)
-			}
-			fmt.Fprintln(cmd.OutOrStdout(), "LEARNING"+out.text.String())
-			return errors.Join(broken...)
+			return learningFigures(cmd, l, runs)
 		},
 	}
 	f := cmd.Flags()
@@ -110,3 +55,64 @@
 	f.Float64Var(&l.Rate, "rate", 90, "first tries a second, over three gateways")
 	return cmd
 }
+
+// learningFigures prints the last line. The error joins the bounds that are broken.
+func learningFigures(cmd *cobra.Command, l lab.Learning, runs []lab.LearningRun) error {
+	var out resultLine
+	out.add("seeds", "%d", len(l.Seeds))
+	share := map[string][]float64{}
+	for i, w := range lab.Windows {
+		if w > l.Measured {
+			continue
+		}
+		means := lab.Means(runs, func(r lab.LearningRun) float64 { return r.Share[i] })
+		for _, arm := range l.Arms {
+			share[arm] = append(share[arm], means[arm])
+			out.add(fmt.Sprintf("%s_%ds", arm, int(w.Seconds())), "%.4f", means[arm])
+		}
+	}
+	var broken []error
+	lost := lab.Means(runs, func(r lab.LearningRun) float64 { return float64(r.Lost) })
+	for _, arm := range l.Arms {
+		out.add("lost_"+arm, "%.1f", lost[arm])
+	}
+	late, cold, twice := uint64(0), uint64(0), uint64(0)
+	for _, r := range runs {
+		late, cold, twice = late+r.Late, cold+r.ColdBroken, twice+r.Twice
+	}
+	out.add("late", "%d", late)
+	out.add("cold_broken", "%d", cold)
+	out.add("twice", "%d", twice)
+	if late+cold+twice > 0 {
+		broken = append(broken, fmt.Errorf("a rule is broken: late=%d cold_broken=%d twice=%d", late, cold, twice))
+	}
+	const ten = 2 // index of the first 10 s in lab.Windows
+	saved := (share[lab.ArmOn][ten] - share[lab.ArmOff][ten]) / max(share[lab.ArmWarm][ten]-share[lab.ArmOff][ten], 1e-9)
+	out.add("saved", "%.2f", saved)
+	if saved < minSavedShare {
+		broken = append(broken,
+			fmt.Errorf("learning saves %.2f of what a blank start loses, less than %.2f", saved, minSavedShare))
+	}
+	for _, arm := range []string{lab.ArmStale, lab.ArmLying} {
+		harm := 0.0
+		for i := range share[arm] {
+			if i >= ten { // shorter windows hold a few dozen requests
+				harm = max(harm, share[lab.ArmOff][i]-share[arm][i])
+			}
+		}
+		out.add("harm_"+arm, "%.4f", harm)
+		if harm > maxHarm {
+			broken = append(broken, fmt.Errorf("a %s peer costs %.4f of the worth, more than %.2f", arm, harm, maxHarm))
+		}
+	}
+	for _, n := range []int{40, 2000} {
+		c, err := lab.LearningCost(n, 20)
+		if err != nil {
+			return err
+		}
+		out.add(fmt.Sprintf("bytes_%d", n), "%.1f", c.Bytes)
+		out.add(fmt.Sprintf("cpu_us_%d", n), "%.2f", c.CPUMicros)
+	}
+	fmt.Fprintln(cmd.OutOrStdout(), "LEARNING"+out.text.String())
+	return errors.Join(broken...)
+}
--- a/cmd/sprucelab/load.go
+++ b/cmd/sprucelab/load.go
@@ -31,8 +31,8 @@
 			defer stop()
 			asks := lab.PlatformLoad(seed, rate, accounts, max(gateways, 1))
 			asks.Retries, asks.Heeds = retries, heeds
-			site, err := lab.Open(lab.Plan{Binary: *binary, Seed: seed, Gateways: gateways, Members: count, Spec: poolmember.Default(),
-				SlowPart: 0.4, Delay: 800 * time.Millisecond, Load: asks, Peers: gateways > 1})
+			site, err := lab.Open(lab.Plan{Binary: *binary, Seed: seed, Gateways: gateways, Members: count,
+				Spec: poolmember.Default(), SlowPart: 0.4, Delay: 800 * time.Millisecond, Load: asks, Peers: gateways > 1})
 			if err != nil {
 				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
@@ -65,11 +65,12 @@
 	t := table.NewWriter()
 	t.SetOutputMirror(to)
 	t.SetStyle(table.StyleLight)
-	t.AppendHeader(table.Row{"class", "first tries", "worth in time", "served", "refused", "failed", "broken", "given up", "retried", "p50", "p90", "p99", "p99.9"})
+	t.AppendHeader(table.Row{"class", "first tries", "worth in time", "served", "refused", "failed", "broken",
+		"given up", "retried", "p50", "p90", "p99", "p99.9"})
 	row := func(name string, want func(load.Record) bool) {
 		s := load.Summarise(records, site.Load.Classes, want)
-		cells := table.Row{name, s.Tries, fmt.Sprintf("%.2f%%", 100*s.Share()), s.Ends[load.Served], s.Ends[load.Refused], s.Ends[load.Failed],
-			s.Ends[load.Broken], s.Ends[load.GivenUp], s.Retried}
+		cells := table.Row{name, s.Tries, fmt.Sprintf("%.2f%%", 100*s.Share()), s.Ends[load.Served], s.Ends[load.Refused],
+			s.Ends[load.Failed], s.Ends[load.Broken], s.Ends[load.GivenUp], s.Retried}
 		for _, q := range []float64{50, 90, 99, 99.9} {
 			cells = append(cells, s.Quantile(q).Round(time.Millisecond))
 		}
@@ -81,6 +82,6 @@
 	row("all", nil)
 	t.Render()
 	a := site.Audit()
-	fmt.Fprintf(to, "members: sent=%d served=%d turned_away=%d ran_twice=%d late_to_draining=%d cold_broken=%d\n", a.Sent, a.Served,
-		a.TurnedAway, a.Twice, a.Late, a.ColdBroken)
+	fmt.Fprintf(to, "members: sent=%d served=%d turned_away=%d ran_twice=%d late_to_draining=%d cold_broken=%d\n",
+		a.Sent, a.Served, a.TurnedAway, a.Twice, a.Late, a.ColdBroken)
 }
--- a/cmd/sprucelab/main.go
+++ b/cmd/sprucelab/main.go
@@ -1,5 +1,10 @@
-// Command sprucelab is the laboratory: a demonstration, load, and the project's measurements, all on loopback. This
-// file owns the commands and their flags; it must never do their work.
+// Command sprucelab is the laboratory: demonstrations, load and the project's measurements, all on loopback or in
+// virtual time. Each command has a file of its own with its flags, the bounds that it checks, and the last line that
+// it prints; the work is done by internal/lab and internal/emulator.
+//
+// A measurement ends with one line of key=value pairs after a word in capitals, such as "STORM seeds=5 ...", which
+// scripts and the journal of figures read. It exits with 1 if a bound is broken. With SHORT=1 in the environment it
+// takes less than fifty seconds.
 package main
 
 import (
@@ -8,15 +13,11 @@
 	"os"
 	"os/signal"
 	"path/filepath"
-	"strings"
 	"syscall"
-	"time"
 
 	"github.com/spf13/cobra"
-	"golang.org/x/term"
 
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/lab"
 )
 
 func main() {
@@ -33,91 +34,34 @@
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
 		PersistentPreRunE: cli.EnvFlags("SPRUCELAB", os.Getenv),
 	}
-	beside := "sprucelane"
-	if self, err := os.Executable(); err == nil {
-		beside = filepath.Join(filepath.Dir(self), beside)
+	gateway := "sprucelane"
+	if self, err := os.Executable(); err == nil { // the one that was built with this program
+		gateway = filepath.Join(filepath.Dir(self), gateway)
 	}
-	root.PersistentFlags().StringVar(&binary, "gateway", beside, "the gateway's `program`")
-	root.AddCommand(demoCommand(&binary), loadCommand(&binary), costCommand(&binary), learningCommand(&binary), stormCommand(&binary), upgradeCommand(&binary), faultsCommand(&binary), recoveryCommand(&binary), simCommand(), deploymentsCommand(), systemCommand(), soakCommand(),
+	root.PersistentFlags().StringVar(&binary, "gateway", gateway, "the gateway's `program`")
+	root.AddCommand(
+		demoCommand(&binary),
+		loadCommand(&binary),
+		costCommand(&binary),
+		learningCommand(&binary),
+		stormCommand(&binary),
+		upgradeCommand(&binary),
+		faultsCommand(&binary),
+		recoveryCommand(&binary),
+		simCommand(),
+		deploymentsCommand(),
+		systemCommand(),
+		soakCommand(),
 		&cobra.Command{Use: "version", Short: "Print the program's version", Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				_, err := fmt.Fprintln(cmd.OutOrStdout(), "sprucelab", cli.Version())
 				return err
-			}})
+			}},
+	)
 	return root
 }
 
-// until gives a context that ends with an interrupt.
+// interruptContext returns a context that ends with SIGINT or SIGTERM.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
-
-func demoCommand(binary *string) *cobra.Command {
-	d := lab.Demo{}
-	cmd := &cobra.Command{
-		Use:   "demo",
-		Short: "Three gateways and eight members under a light load, with a live table",
-		Long: `Starts three gateways before eight stand-in members under a light load, and lets something go wrong every few seconds: a
-member hangs, one restarts cold, a gateway is killed, a member drains and another takes its place.`,
-		Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := interruptContext()
-			defer stop()
-			d.Binary, d.Out = *binary, cmd.OutOrStdout()
-			d.Live = term.IsTerminal(int(os.Stdout.Fd()))
-			return d.Run(ctx)
-		},
-	}
-	cmd.Flags().Uint64Var(&d.Seed, "seed", 1, "what all chance follows from")
-	cmd.Flags().Float64Var(&d.Rate, "rate", 60, "first tries a second")
-	cmd.Flags().DurationVar(&d.For, "for", 30*time.Second, "how long, 10 minutes at most")
-	return cmd
-}
-
-func costCommand(binary *string) *cobra.Command {
-	var against string
-	var starts int
-	var rate float64
-	var length time.Duration
-	cmd := &cobra.Command{
-		Use:   "cost",
-		Short: "Measure what a gateway takes to start, to stand and to serve",
-		Long: `Starts a gateway some times over and loads it; with --against another program too, in turns. The last line gives medians:
-ready_ms, idle_mb, peak_mb and cpu_us for each request.`,
-		Example: "  sprucelab cost --gateway bin/sprucelane --against old/sprucelane",
-		Args:    cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, stop := interruptContext()
-			defer stop()
-			line := "COST"
-			for _, p := range []struct{ name, path string }{{"", *binary}, {"against_", against}} {
-				if p.path == "" {
-					continue
-				}
-				c, err := lab.MeasureCost(ctx, p.path, starts, rate, length, cmd.ErrOrStderr())
-				if err != nil {
-					return err
-				}
-				line += fmt.Sprintf(" %sready_ms=%.1f %sidle_mb=%.1f %speak_mb=%.1f %scpu_us=%d", p.name, c.Ready.Seconds()*1000, p.name,
-					float64(c.Idle)/(1<<20), p.name, float64(c.Loaded)/(1<<20), p.name, c.CPU.Microseconds())
-			}
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), line)
-			return err
-		},
-	}
-	cmd.Flags().StringVar(&against, "against", "", "another `program` to compare with")
-	cmd.Flags().IntVar(&starts, "starts", 9, "starts of each")
-	cmd.Flags().Float64Var(&rate, "rate", 300, "requests a second")
-	cmd.Flags().DurationVar(&length, "for", 10*time.Second, "how long the load lasts")
-	return cmd
-}
-
-// short tells whether a measurement is to keep under fifty seconds.
-func shortMode() bool { return os.Getenv("SHORT") != "" && os.Getenv("SHORT") != "0" }
-
-// figures words a measurement's last line.
-type resultLine struct{ text strings.Builder }
-
-func (f *resultLine) add(key, format string, value any) {
-	fmt.Fprintf(&f.text, " %s="+format, key, value)
-}
--- a/cmd/sprucelab/sim.go
+++ b/cmd/sprucelab/sim.go
@@ -47,27 +47,21 @@
 			for _, f := range []struct {
 				name string
 				set  func()
-			}{{"gateways", func() { s.Gateways = gateways }}, {"members", func() { s.Members = members }}, {"load", func() { s.Load = load }},
-				{"rooms", func() { s.Rooms = rooms }}, {"once", func() { s.Once = once }}} {
-				if deployment == "" || cmd.Flags().Changed(f.name) { // what a file says goes before what flags are without being given
+			}{
+				{"gateways", func() { s.Gateways = gateways }},
+				{"members", func() { s.Members = members }},
+				{"load", func() { s.Load = load }},
+				{"rooms", func() { s.Rooms = rooms }},
+				{"once", func() { s.Once = once }},
+			} {
+				if deployment == "" || cmd.Flags().Changed(f.name) { // a deployment overrides defaults, not flags that were given
 					f.set()
 				}
 			}
-			for _, text := range troubles {
-				t, err := emulator.ParseTrouble(text)
-				if err != nil {
-					return cli.ExitError{Code: cli.ExitUsage, Err: fmt.Errorf("trouble: %w", err)}
-				}
-				s.Troubles = append(s.Troubles, t)
-			}
-			if script != "" {
-				list, err := faults.Find(script)
-				if err != nil {
-					return cli.ExitError{Code: cli.ExitUsage, Err: err}
-				}
-				s.Troubles = append(s.Troubles, list...)
+			if err := addTroubles(&s, troubles, script); err != nil {
+				return cli.ExitError{Code: cli.ExitUsage, Err: err}
 			}
-			began := time.Now()
+			start := time.Now()
 			r, err := emulator.Play(s)
 			if broken := (*emulator.Broken)(nil); err != nil && !errors.As(err, &broken) {
 				return cli.ExitError{Code: cli.ExitUsage, Err: err}
@@ -78,10 +72,10 @@
 					fmt.Fprintf(out, "second=%d share=%.3f\n", i, share)
 				}
 			}
-			fmt.Fprintf(out, "SIM seed=%d share=%.4f tries=%d served=%d refused=%d failed=%d lost=%d sends=%d beyond=%.4f dials=%d told=%d most_heard=%d peak_cold=%.2f digest=%s\n",
-				seed, r.Share(), r.Tries, r.Served, r.Refused, r.Failed, r.Lost, r.Sends, r.Beyond/max(r.Offered, 1e-9), r.Dials, r.Told,
-				r.MostHeard, r.PeakCold, r.Digest)
-			fmt.Fprintf(cmd.ErrOrStderr(), "%v of virtual time in %v\n", length, time.Since(began).Round(time.Millisecond))
+			fmt.Fprintf(out, "SIM seed=%d share=%.4f tries=%d served=%d refused=%d failed=%d lost=%d sends=%d "+
+				"beyond=%.4f dials=%d told=%d most_heard=%d peak_cold=%.2f digest=%s\n", seed, r.Share(), r.Tries, r.Served,
+				r.Refused, r.Failed, r.Lost, r.Sends, r.Beyond/max(r.Offered, 1e-9), r.Dials, r.Told, r.MostHeard, r.PeakCold, r.Digest)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%v of virtual time in %v\n", length, time.Since(start).Round(time.Millisecond))
 			return err
 		},
 	}
@@ -99,3 +93,22 @@
 	f.BoolVar(&course, "course", false, "print the share served in time in each second too")
 	return cmd
 }
+
+// addTroubles adds single faults and those of a script to a scenario.
+func addTroubles(s *emulator.Scenario, troubles []string, script string) error {
+	for _, text := range troubles {
+		t, err := emulator.ParseTrouble(text)
+		if err != nil {
+			return fmt.Errorf("trouble: %w", err)
+		}
+		s.Troubles = append(s.Troubles, t)
+	}
+	if script != "" {
+		list, err := faults.Find(script)
+		if err != nil {
+			return err
+		}
+		s.Troubles = append(s.Troubles, list...)
+	}
+	return nil
+}
--- a/cmd/sprucelab/soak.go
+++ b/cmd/sprucelab/soak.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/internal/lab/soak"
 )
 
-// errBroken tells that a rule was broken; what and when stands before it.
+// errBroken means that a rule was broken. The output says which and when.
 var errBroken = errors.New("rules were broken")
 
 func soakCommand() *cobra.Command {
@@ -68,7 +68,7 @@
 	return cmd
 }
 
-// printSoak prints a seed's line.
+// printSoak prints the line of a seed.
 func printSoak(out io.Writer, result soak.Result) {
 	var line resultLine
 	line.add("seed", "%d", result.Options.Seed)
--- a/cmd/sprucelab/storm.go
+++ b/cmd/sprucelab/storm.go
@@ -15,11 +15,11 @@
 
 // The bounds of the measurement of storms.
 const (
-	backMost = 1.5 * 16 // seconds: one and a half times the members' warm-up
-	coldMost = 4.0      // over what a cold member could do, for a second
+	maxRecoverySeconds = 1.5 * 16 // one and a half times the servers' warm-up
+	maxColdOverload    = 4.0      // requests to a cold server over what it can do, in one second
 )
 
-// calmDays plays the days without a storm side by side and counts the alarms.
+// calmDays plays the days without a storm concurrently, and counts the storms that were seen all the same.
 func calmDays(ctx context.Context, p lab.Storm) (alarms int, err error) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -36,7 +36,7 @@
 	return alarms, err
 }
 
-// stormFigures prints the last line and tells which bounds are broken.
+// stormFigures prints the last line. The error joins the bounds that are broken.
 func stormFigures(cmd *cobra.Command, p lab.Storm, runs []lab.StormRun, seeds, alarms int) error {
 	var out resultLine
 	var broken []error
@@ -56,8 +56,8 @@
 		off, _ := over(false, m.Name, back)
 		out.add("back_"+m.Name, "%.1f", on)
 		out.add("back_off_"+m.Name, "%.1f", off)
-		if on > backMost {
-			broken = append(broken, fmt.Errorf("%s: back after %.1f s, later than %.0f", m.Name, on, backMost))
+		if on > maxRecoverySeconds {
+			broken = append(broken, fmt.Errorf("%s: back after %.1f s, later than %.0f", m.Name, on, maxRecoverySeconds))
 		}
 		if on > off {
 			broken = append(broken, fmt.Errorf("%s: back after %.1f s, without damping %.1f", m.Name, on, off))
@@ -71,9 +71,13 @@
 	for _, c := range []struct {
 		key string
 		of  func(lab.StormRun) float64
-	}{{"fell", func(r lab.StormRun) float64 { return float64(r.Fell) }}, {"worth", func(r lab.StormRun) float64 { return r.Worth }},
-		{"in_time", func(r lab.StormRun) float64 { return r.InTime }}, {"refused", func(r lab.StormRun) float64 { return r.Refused }},
-		{"spread", func(r lab.StormRun) float64 { return r.Spread }}} {
+	}{
+		{"fell", func(r lab.StormRun) float64 { return float64(r.Fell) }},
+		{"worth", func(r lab.StormRun) float64 { return r.Worth }},
+		{"in_time", func(r lab.StormRun) float64 { return r.InTime }},
+		{"refused", func(r lab.StormRun) float64 { return r.Refused }},
+		{"spread", func(r lab.StormRun) float64 { return r.Spread }},
+	} {
 		on, _ := over(true, "", c.of)
 		off, _ := over(false, "", c.of)
 		out.add(c.key, "%.3f", on)
@@ -85,7 +89,7 @@
 	out.add("unanswered", "%.1f", unanswered)
 	out.add("alarms", "%d", alarms)
 	fmt.Fprintln(cmd.OutOrStdout(), "STORM"+out.text.String())
-	if cold > coldMost {
+	if cold > maxColdOverload {
 		broken = append(broken, fmt.Errorf("a cold member was sent %.1f times what it could do", cold))
 	}
 	if twice > 0 {
--- a/cmd/sprucelab/upgrade.go
+++ b/cmd/sprucelab/upgrade.go
@@ -12,8 +12,8 @@
 
 // The bounds of the measurement of upgrades.
 const (
-	maxBrokenPerUpgrade = 2   // connections that may meet an end, an upgrade
-	maxOverQuotaRatio   = 1.1 // worth served beyond the quotas, over what a restart lets through
+	maxBrokenPerUpgrade = 2   // connections of clients that are refused or reset, per upgrade
+	maxOverQuotaRatio   = 1.1 // value served beyond the quotas, over that of a restart
 )
 
 func upgradeCommand(binary *string) *cobra.Command {
@@ -60,7 +60,7 @@
 	return cmd
 }
 
-// upgradeFigures prints the last line and tells which bounds are broken.
+// upgradeFigures prints the last line. The error joins the bounds that are broken.
 func upgradeFigures(cmd *cobra.Command, p lab.Upgrade, runs []lab.UpgradeRun) error {
 	over := func(beside bool, of func(lab.UpgradeRun) float64) (mean, most float64) {
 		n := 0.0
@@ -79,9 +79,13 @@
 	for _, c := range []struct {
 		key string
 		of  func(lab.UpgradeRun) float64
-	}{{"lost", func(r lab.UpgradeRun) float64 { return float64(r.Lost) / per }}, {"broken", func(r lab.UpgradeRun) float64 { return float64(r.Broken) / per }},
+	}{
+		{"lost", func(r lab.UpgradeRun) float64 { return float64(r.Lost) / per }},
+		{"broken", func(r lab.UpgradeRun) float64 { return float64(r.Broken) / per }},
 		{"bulk_broken", func(r lab.UpgradeRun) float64 { return float64(r.BulkBroken) / per }},
-		{"in_time", func(r lab.UpgradeRun) float64 { return r.InTime }}, {"beyond", func(r lab.UpgradeRun) float64 { return r.Beyond }}} {
+		{"in_time", func(r lab.UpgradeRun) float64 { return r.InTime }},
+		{"beyond", func(r lab.UpgradeRun) float64 { return r.Beyond }},
+	} {
 		on, _ := over(true, c.of)
 		off, _ := over(false, c.of)
 		mean[c.key] = [2]float64{on, off}
