--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -31,8 +31,9 @@
 	viewSentAt time.Duration // when it was sent last
 }
 
-// heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. At one round in
-// heartbeatInterval, and urgent ones for reads, it covers echoTimeout many times over.
+// heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. Without reads they
+// span 12.8 s; each urgent round, which serves all reads that wait, takes one place. An echo of an older round is
+// ignored.
 const heartbeatWindow = 64
 
 // heartbeatRounds numbers the rounds of heartbeats that this process has sent, and keeps when.
@@ -97,8 +98,8 @@
 	return p != nil && c.now-p.lastContact <= suspicionTimeout && c.now-p.lastEcho <= echoTimeout
 }
 
-// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes a member
-// without any heartbeat yet, and this member itself.
+// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes a
+// member without any heartbeat yet, and this member itself.
 func (c *core) contact(m view.Member) *peer {
 	p := c.peers[m.ID()]
 	if p == nil || !p.reachable || !c.alive(m) {
--- a/coord/replica/timing.go
+++ b/coord/replica/timing.go
@@ -9,7 +9,8 @@
 // processes of a system: the safety of the leader lease depends on newLeaderDelay being longer than
 // leaderLeaseDuration on every machine.
 const (
-	// tickInterval is how often a carrier calls core.tick. All other durations take effect at the next tick.
+	// tickInterval is how often a carrier calls core.tick; a node without a disk ticks every learnerTickInterval. All
+	// other durations take effect at a tick.
 	tickInterval = 100 * time.Millisecond
 
 	// heartbeatInterval is the time between two rounds of heartbeats to the voters. It bounds how fast failures are
@@ -60,7 +61,7 @@
 	prepareGracePeriod = 100 * time.Millisecond
 
 	// proposerStagger is the time by which proposers of successive rank start after each other. It is longer than an
-	// undisturbed proposal takes, so that proposers rarely duel.
+	// undisturbed proposal usually takes, so that proposers rarely duel.
 	proposerStagger = 200 * time.Millisecond
 
 	// rejoinDelay is how long a member must have been reachable without a break before a view lets it in, so that a
