--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -132,7 +132,7 @@
 // returns, in one event. The mutex is held: weigh must do no input or output.
 func (c *Core) ExchangeLoads(weigh func(now Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load) {
 	c.handle(func(now Time) {
-		c.current.gateway.SetOthersLoads(now, weigh(now, c.current.gateway.OwnLoads(now)))
+		c.current.gateway.SetPeerLoads(now, weigh(now, c.current.gateway.OwnLoads(now)))
 	})
 }
 
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -130,9 +130,9 @@
 	g.board.SetLocal(g.mod.OwnLoads(now))
 	peers, m := g.board.NextReport(now)
 	for _, p := range peers {
-		g.Tell(p, m)
+		g.SendToPeer(p, m)
 	}
-	g.mod.SetOthersLoads(now, g.board.Loads(now))
+	g.mod.SetPeerLoads(now, g.board.Loads(now))
 	g.later(g.board.Interval(), g.round)
 }
 
@@ -370,7 +370,7 @@
 }
 
 // Tell implements policy.Host.
-func (g *gateway) Tell(peer int, message []byte) {
+func (g *gateway) SendToPeer(peer int, message []byte) {
 	if peer >= 0 {
 		g.tell(g.r.gateways[peer], message)
 		return
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -19,7 +19,7 @@
 	Timer(now Time, tag uint64)
 	PeerMessage(now Time, from int, m []byte)
 	OwnLoads(now Time) map[policy.ServerID]policy.OwnLoad
-	SetOthersLoads(now Time, list []policy.Load)
+	SetPeerLoads(now Time, list []policy.Load)
 	Resumed(now Time, still time.Duration)
 	Stats(now Time) policy.Stats
 }
@@ -148,6 +148,6 @@
 
 func (p *plain) PeerMessage(Time, int, []byte)                    {}
 func (p *plain) OwnLoads(Time) map[policy.ServerID]policy.OwnLoad { return nil }
-func (p *plain) SetOthersLoads(Time, []policy.Load)               {}
+func (p *plain) SetPeerLoads(Time, []policy.Load)                 {}
 func (p *plain) Resumed(Time, time.Duration)                      {}
 func (p *plain) Stats(Time) policy.Stats                          { return policy.Stats{ListedServers: len(p.members)} }
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -68,9 +68,9 @@
 func (h *host) Timer(tag uint64, after time.Duration) {
 	h.sim.after(after, func() { h.gateway.Timer(h.sim.now, tag) })
 }
-func (h *host) Tell(int, []byte) {}
-func (h *host) Watch()           {}
-func (h *host) Log(string)       {}
+func (h *host) SendToPeer(int, []byte) {}
+func (h *host) Watch()                 {}
+func (h *host) Log(string)             {}
 
 // simulate runs 80 gateways and 60 members for 20 s, at 0.7 of the members' capacity.
 func simulate(t *testing.T, seed uint64, failingMembers int, withReports bool) *simulation {
@@ -95,7 +95,7 @@
 	}
 	updateLoads := func(h *host) {
 		if withReports {
-			h.gateway.SetOthersLoads(w.now, h.tracker.Loads(w.now))
+			h.gateway.SetPeerLoads(w.now, h.tracker.Loads(w.now))
 		}
 	}
 	id := policy.RequestID(0)
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -91,7 +91,7 @@
 }
 
 // Tell implements policy.Host.
-func (h Host) Tell(peer int, message []byte) {
+func (h Host) SendToPeer(peer int, message []byte) {
 	h.Out.appendHeader(actionTell, h.Instance)
 	h.Out.buf = binary.BigEndian.AppendUint32(h.Out.buf, uint32(int32(peer)))
 	h.Out.appendBytes(message)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -95,7 +95,7 @@
 	h.Fail(0x21)
 	h.Cancel(0x21, 2)
 	h.Timer(9, time.Second)
-	h.Tell(-1, []byte("hi"))
+	h.SendToPeer(-1, []byte("hi"))
 	h.Log("x")
 	h.Watch()
 	want := raw(t, `0a 0003 0000000000000021 0a000001 1f40 0000000000000007
--- a/policy/api.go
+++ b/policy/api.go
@@ -270,7 +270,7 @@
 	Fail(id RequestID)                          // final answer: it may have run
 	Cancel(id RequestID, attempt int)           // stop waiting for an attempt; its Outcome follows
 	Timer(tag uint64, after time.Duration)      // call Gateway.Timer with this tag, later
-	Tell(peer int, message []byte)              // send a message to one peer, or to all where peer is negative
+	SendToPeer(peer int, message []byte)        // send a message to one peer, or to all where peer is negative
 	Watch()                                     // ask for server lists from now on
 	Log(text string)                            // write a log line
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -17,7 +17,7 @@
 func (printer) Fail(id policy.RequestID)                       { fmt.Printf("fail request %d\n", id) }
 func (printer) Cancel(id policy.RequestID, attempt int)        {}
 func (printer) Timer(tag uint64, after time.Duration)          {}
-func (printer) Tell(peer int, message []byte)                  {}
+func (printer) SendToPeer(peer int, message []byte)            {}
 func (printer) Watch()                                         {}
 func (printer) Log(text string)                                { fmt.Println(text) }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -72,7 +72,7 @@
 func (n *node) Watch()       {}
 func (n *node) Log(s string) { n.log = append(n.log, s) }
 
-func (n *node) Tell(peer int, m []byte) {
+func (n *node) SendToPeer(peer int, m []byte) {
 	n.fleet.messages++
 	n.fleet.bytes += len(m)
 	if n.fleet.rng.Float64() < n.fleet.loss || n.fleet.partitioned != nil && n.fleet.partitioned(n.number, peer) {
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -106,7 +106,7 @@
 	f.timers = append(f.timers, timer{tag, f.now + d})
 }
 
-func (f *fakeHost) Tell(_ int, m []byte) {
+func (f *fakeHost) SendToPeer(_ int, m []byte) {
 	f.messages = append(f.messages, m)
 	f.record(fmt.Sprint("tell ", m))
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -131,7 +131,7 @@
 	} else if r.owner == g.cfg.Self {
 		g.reconcileAtOwner(g.cfg.Self, r.customer.key, more)
 	} else {
-		g.host.Tell(r.owner, packReconcile(r.customer.key, more))
+		g.host.SendToPeer(r.owner, packReconcile(r.customer.key, more))
 	}
 }
 
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -289,7 +289,7 @@
 		r.queryToken = g.lastQuery + uint32(g.startedAt/time.Millisecond)<<tagBits
 		g.pendingQueries[r.queryToken] = r
 	}
-	g.host.Tell(r.owner, packQuery(ownerQuery{token: r.queryToken, customerKey: r.customer.key, units: r.Units}))
+	g.host.SendToPeer(r.owner, packQuery(ownerQuery{token: r.queryToken, customerKey: r.customer.key, units: r.Units}))
 	g.host.Timer(requestTag(r.ID, tagQuery), max(g.cfg.Tick, g.shortestTarget()/queriesPerTarget))
 }
 
@@ -321,7 +321,7 @@
 	g.learnConcurrency()
 	g.fleetLatency = g.meanRelativeLatency()
 	g.shareCapacity(scores)
-	g.overloaded = g.checkLateness()
+	g.overloaded = g.overloadedNow()
 	g.capacityReached = false
 	if g.overloaded {
 		g.calmChecks = 0
@@ -360,7 +360,7 @@
 
 // checkLateness tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses its
 // target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't help.
-func (g *Gateway) checkLateness() bool {
+func (g *Gateway) overloadedNow() bool {
 	overloaded := g.capacityReached
 	for i := range g.lateness {
 		late := &g.lateness[i]
@@ -443,7 +443,7 @@
 	for i := range g.groups {
 		t := &g.groups[i].latency
 		t.decay(g.now, groupMemory, 0)
-		q[i], r[i] = t.estimate(groupRequests, g.cfg.Gateways), r[i]+t.estimate(groupSeconds, g.cfg.Gateways)
+		q[i], r[i] = t.total(groupRequests, g.cfg.Gateways), r[i]+t.total(groupSeconds, g.cfg.Gateways)
 		sumQ, sumR = sumQ+q[i], sumR+r[i]
 	}
 	for i := range g.groups {
@@ -575,7 +575,7 @@
 	if s.coldBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
 		return 0
 	}
-	return sum / n * (s.load() + s.othersInFlight + baseWork) / g.warmth(s)
+	return sum / n * (s.load() + s.peersInFlight + baseWork) / g.warmth(s)
 }
 
 // SetPriors takes in estimates of servers, each for one process of its server. They replace the relative latency and
@@ -596,11 +596,11 @@
 }
 
 // SetOthersLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
-func (g *Gateway) SetOthersLoads(now Time, list []Load) {
+func (g *Gateway) SetPeerLoads(now Time, list []Load) {
 	g.advance(now)
 	for _, l := range list {
 		if s := g.serversByID[l.ID]; s != nil {
-			s.othersInFlight = math.Max(0, l.Attempts)
+			s.peersInFlight = math.Max(0, l.Attempts)
 		}
 	}
 }
@@ -966,11 +966,11 @@
 	full := g.now-g.fullUpdateAt[to] >= fullUpdateInterval
 	if full {
 		out.entries[groupSection] = g.groupEntries(float64(len(peers)))
-		g.refreshInFlight(to)
+		g.resendInFlight(to)
 	}
 	out.entries[customerSection] = g.customerEntries(peers)
 	if full || len(out.entries[customerSection]) > 0 {
-		g.host.Tell(to, packUpdate(out, g.schema))
+		g.host.SendToPeer(to, packUpdate(out, g.schema))
 	}
 	if full {
 		g.fullUpdateAt[to] = g.now
@@ -1026,7 +1026,7 @@
 	}
 	if q, ok := unpackQuery(message, from); ok {
 		if c := g.answerQuery(q); c != nil {
-			g.host.Tell(from, packAnswer(q.token, c.lastQueryAdmitted))
+			g.host.SendToPeer(from, packAnswer(q.token, c.lastQueryAdmitted))
 		}
 		return
 	}
