--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// Tell queues a message to a peer. Only the current generation's gateway speaks for this process.
+// SendToPeer queues a message to a peer. Only the current generation's gateway speaks for this process.
 func (h host) SendToPeer(peer int, message []byte) {
 	if h.generation == h.core.current {
 		h.core.pendingMessages = append(h.core.pendingMessages, peerMessage{peer, message})
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// refreshInFlight has a peer sent the numbers of attempts in flight again, as an update of them may have been lost.
+// resendInFlight has a peer sent the numbers of attempts in flight again, as an update of them may have been lost.
 func (g *Gateway) resendInFlight(to int) {
 	for _, c := range g.customers {
 		if c.inFlight+c.queued > 0 && g.cfg.Plans[c.plan].MaxInFlight > 0 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -358,7 +358,7 @@
 	}
 }
 
-// checkLateness tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses its
+// overloadedNow tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses its
 // target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't help.
 func (g *Gateway) overloadedNow() bool {
 	overloaded := g.capacityReached
@@ -595,7 +595,7 @@
 	}
 }
 
-// SetOthersLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
+// SetPeerLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
 func (g *Gateway) SetPeerLoads(now Time, list []Load) {
 	g.advance(now)
 	for _, l := range list {
--- a/policy/records.go
+++ b/policy/records.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// estimate gives the sum of a figure over all n gateways, where there is no weight.
+// total gives the sum of a figure over all n gateways, where there is no weight.
 func (t *pushSum) total(figure, n int) float64 {
 	return t.local[figure] + float64(n)*t.pooled[figure]
 }
@@ -179,7 +179,7 @@
 	inFlight            int          // attempts of this gateway
 	lost                int          // those of them that occupy no slot
 	suspectedAttempts   int          // those of them that are suspected to be lost
-	peersInFlight       float64      // attempts of other gateways, by SetOthersLoads
+	peersInFlight       float64      // attempts of other gateways, by SetPeerLoads
 	reportedServiceTime float64      // seconds without waiting, by the server's last load report; 0 means unknown
 	reportedAt          Time         // of that report
 	relativeLatency     decayingMean // latency over the typical one of such a request
