--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -75,7 +75,7 @@
 	log := node.NewLogger(settings, given.LogLevel)
 	process, err := control.Start(control.Options{Settings: settings, Log: log})
 	if err != nil {
-		log.Error().Err(err).Msg("start-failed")
+		log.Error().Err(err).Msg("start_failed")
 		return program.ExitFailed
 	}
 	watch(process, given.Settings, signals, log)
--- a/cmd/sprucelane-control/settings.go
+++ b/cmd/sprucelane-control/settings.go
@@ -68,7 +68,7 @@
 func reload(process *control.Control, path string, log zerolog.Logger) {
 	settings, err := load(path)
 	if err != nil {
-		log.Error().Err(err).Msg("settings-not-reloaded")
+		log.Error().Err(err).Msg("settings_reload_failed")
 		return
 	}
 	process.Reload(settings)
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -152,13 +152,13 @@
 			return
 		}
 		if err != nil {
-			r.options.Log("read failed", err, "")
+			r.options.Log("read_failed", err, "")
 			time.Sleep(readErrorBackoff)
 			continue
 		}
 		message, err := decode(r.systemTag, buffer[:size])
 		if err != nil {
-			r.options.Log("datagram dropped", err, from.String())
+			r.options.Log("datagram_dropped", err, from.String())
 			continue
 		}
 		r.receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), message)
@@ -189,12 +189,12 @@
 func (r *Runner) send(envelope membership.Envelope) {
 	address, err := netip.ParseAddrPort(envelope.Address)
 	if err != nil {
-		r.options.Log("bad address", err, envelope.Address)
+		r.options.Log("address_invalid", err, envelope.Address)
 		return
 	}
 	for _, data := range encode(r.systemTag, envelope.Message) {
 		if _, err := r.socket.WriteToUDPAddrPort(data, address); err != nil {
-			r.options.Log("datagram not sent", err, envelope.Address)
+			r.options.Log("datagram_not_sent", err, envelope.Address)
 		}
 	}
 }
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -258,7 +258,7 @@
 func (c *core) tick(now time.Duration) {
 	c.now = now
 	if c.wasPaused() {
-		c.logEvent("stood still", "for", now-c.lastTick)
+		c.logEvent("process_paused", "for", now-c.lastTick)
 		c.resetFailureDetector()
 		c.proposer.abandon(now, 0)
 		c.proposer.reasonSince = 0
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -71,7 +71,7 @@
 	c.proposer.startedAt = c.now
 	c.proposer.majorityAt = 0
 	c.proposer.acceptSent = false
-	c.logEvent("proposes a view", "epoch", c.epoch()+1, "reason", reason)
+	c.logEvent("view_proposed", "epoch", c.epoch()+1, "reason", reason)
 	prepare := c.proposer.proposal.Prepare()
 	for _, m := range c.acceptor.View.Voters {
 		c.send(m, prepare)
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -10,11 +10,11 @@
 
 // Reasons to propose another view. They are log values, too.
 const (
-	reasonWedged    = "wedged"          // a proposer has failed, perhaps
-	reasonSuspected = "silent member"   // the chain is broken
-	reasonLeaving   = "leaving member"  // a member departs as planned
-	reasonVoters    = "voters"          // a spare or a replacement gets a vote
-	reasonReturned  = "returned member" // a voter may join the chain
+	reasonWedged    = "wedged"           // a proposer has failed, perhaps
+	reasonSuspected = "suspected member" // the chain is broken
+	reasonLeaving   = "leaving member"   // a member departs as planned
+	reasonVoters    = "voters"           // a spare or a replacement gets a vote
+	reasonReturned  = "returned member"  // a voter may join the chain
 )
 
 // reconfigurationReason returns why the view should change, or "".
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -48,7 +48,7 @@
 	}
 	store, found, err := openStore(fs)
 	if errors.Is(err, slots.ErrCorrupt) || errors.Is(err, errCorruptRecord) {
-		n.options.Log("disk damaged, joining anew", "error", err.Error())
+		n.options.Log("disk_corrupt", "error", err.Error())
 		n.options.Bootstrap = false
 		if err := slots.Wipe(fs, slots.Options{}); err != nil {
 			return nil, fmt.Errorf("replica: empty the damaged disk: %w", err)
@@ -69,14 +69,14 @@
 		return
 	}
 	for _, finding := range found.repairs {
-		n.options.Log("disk mended", "file", finding.File, "offset", finding.Offset, "problem", finding.Problem)
+		n.options.Log("disk_repaired", "file", finding.File, "offset", finding.Offset, "problem", finding.Problem)
 	}
 }
 
 // diskFailed takes the member out of service until its disk takes bytes again. Nothing leaves it meanwhile: what it
 // decided last isn't durable, and its messages may speak of it.
 func (n *Node) diskFailed(err error) {
-	n.options.Log("disk failed", "error", err.Error())
+	n.options.Log("disk_write_failed", "error", err.Error())
 	n.diskUnhealthy = true
 	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
 	n.core.takeMessages()
@@ -100,6 +100,6 @@
 	n.store = store
 	n.diskUnhealthy = false
 	n.core.reopened(n.now(), found)
-	n.options.Log("disk works again")
+	n.options.Log("disk_recovered")
 	return true
 }
--- a/coord/replica/torn_log_test.go
+++ b/coord/replica/torn_log_test.go
@@ -38,7 +38,7 @@
 		}
 		disk.Kill()
 	}
-	want := fmt.Sprint("disk mended", []any{"file", "log-1", "offset", offset, "problem", "torn record at the end"})
+	want := fmt.Sprint("disk_repaired", []any{"file", "log-1", "offset", offset, "problem", "torn record at the end"})
 	if !slices.Equal(logged, []string{want}) {
 		t.Fatalf("logged %q, want %q", logged, want)
 	}
--- a/coord/replica/view.go
+++ b/coord/replica/view.go
@@ -27,7 +27,8 @@
 	c.proposer.abandon(c.now, 0)
 	c.proposer.reasonSince = 0
 	if c.hasDisk && v.IsVoter(c.self) || previous.IsVoter(c.self) {
-		c.logEvent("view", "epoch", v.Epoch, "chain", v.String(), "voters", len(v.Voters), "source", v.Source.Node)
+		c.logEvent("view_adopted", "epoch", v.Epoch, "chain", v.String(), "voters", len(v.Voters),
+			"source", v.Source.Node)
 	}
 	c.delayNewLeader(previous, v)
 	c.enterView()
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -108,7 +108,7 @@
 	for c.ctx.Err() == nil {
 		start := time.Now()
 		err := c.dialAndServe()
-		c.options.Log("connection ended", err, c.address)
+		c.options.Log("connection_ended", err, c.address)
 		if time.Since(start) > maxBackoff && !errors.Is(err, errDial) {
 			backoff = initialBackoff
 		}
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -94,7 +94,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		s.options.Log("accept failed", err, "")
+		s.options.Log("accept_failed", err, "")
 		select {
 		case <-time.After(acceptBackoff):
 		case <-s.done:
@@ -116,7 +116,7 @@
 	if err != nil {
 		s.untrackHandshake(connection)
 		_ = connection.Close()
-		s.options.Log("handshake refused", err, remote)
+		s.options.Log("handshake_rejected", err, remote)
 		return
 	}
 	session := newSession(newLink(connection, in, &s.options, peer))
@@ -125,14 +125,14 @@
 		session.link.end(ErrClosed)
 		return
 	}
-	s.options.Log("session opened", nil, remote)
+	s.options.Log("session_opened", nil, remote)
 	err = session.readLoop(s.handler)
 	session.link.end(err)
 	session.runOnClose()
 	s.mutex.Lock()
 	delete(s.sessions, session)
 	s.mutex.Unlock()
-	s.options.Log("session ended", session.link.endCause(), remote)
+	s.options.Log("session_ended", session.link.endCause(), remote)
 }
 
 // trackHandshake notes a connection in its handshake. It returns false if the server is closed.
--- a/coord/transport/session.go
+++ b/coord/transport/session.go
@@ -85,7 +85,7 @@
 			s.handleRequest(handler, received.call, message)
 		case frameOneWay:
 			if _, err := handler(s.ctx, s, message); err != nil {
-				s.link.options.Log("one-way message failed", err, s.link.remote.Node)
+				s.link.options.Log("one_way_message_failed", err, s.link.remote.Node)
 			}
 		default:
 			return fmt.Errorf("%w: kind %d from a client", ErrCorrupt, received.kind)
--- a/internal/batch/runner/outcome.go
+++ b/internal/batch/runner/outcome.go
@@ -90,8 +90,8 @@
 		r.planner.Requeue(assignment.Task, now+longRetryDelay, instance)
 	case serverclient.Interrupted:
 		r.counts.Interrupted++
-		r.log.Debug().Err(outcome.Cause).Str("item", batch.ID).Int("index", assignment.Index).Str("server", instance).
-			Int("events", len(outcome.Events)).Msg("stream_cut")
+		r.log.Debug().Err(outcome.Cause).Str("batch_job", batch.ID).Int("index", assignment.Index).
+			Str("server", instance).Int("events", len(outcome.Events)).Msg("stream_interrupted")
 		if len(progress.events) > 0 {
 			r.counts.Resumed++
 		}
--- a/internal/batch/server/control.go
+++ b/internal/batch/server/control.go
@@ -23,8 +23,8 @@
 		s.mutex.Unlock()
 		s.runner.SetStoreCount(len(placement.ActiveMembers(members.Stores)))
 		if after != before {
-			s.log.Info().Uint64("epoch", after).Uint64("acted_in", acted).Int("stores", len(members.Stores.Members)).
-				Strs("missing", keyStrings(missing)).Msg("store_view")
+			s.log.Info().Uint64("epoch", after).Uint64("acted_in_epoch", acted).
+				Int("stores", len(members.Stores.Members)).Strs("missing_stores", keyStrings(missing)).Msg("store_view")
 			s.closeDepartedPeers(members.Stores)
 		}
 	}
--- a/internal/batch/server/corruption_test.go
+++ b/internal/batch/server/corruption_test.go
@@ -108,7 +108,7 @@
 			findings, damaged := s.corruptionCounts()
 			So(findings, ShouldEqual, len(junk))
 			So(damaged, ShouldEqual, 0)
-			lines := logLines(&log, "record_unreadable")
+			lines := logLines(&log, "record_corrupt")
 			So(lines, ShouldHaveLength, len(junk))
 			for _, line := range lines {
 				So(line["segment"], ShouldEqual, 1)
@@ -136,7 +136,7 @@
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
 		So(s.report().BatchJobs, ShouldEqual, 2)
-		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
+		So(logLines(&log, "record_corrupt"), ShouldHaveLength, 1)
 		So(readFiles(directory)["segment-00000001"] == string(text), ShouldBeTrue)
 	})
 	Convey("So is one in the last segment with records that were synced later; nothing is truncated", t, func() {
@@ -156,8 +156,8 @@
 		So(findings, ShouldEqual, 1)
 		So(damaged, ShouldEqual, 2) // all that the log held before that part
 		So(s.report().BatchJobs, ShouldEqual, 3)
-		So(logLines(&log, "record_unreadable"), ShouldHaveLength, 1)
-		So(logLines(&log, "log_end_cut_off"), ShouldBeEmpty)
+		So(logLines(&log, "record_corrupt"), ShouldHaveLength, 1)
+		So(logLines(&log, "log_tail_truncated"), ShouldBeEmpty)
 		So(readFiles(directory)["segment-00000002"] == before, ShouldBeTrue)
 	})
 	Convey("A tail that may be a torn write is truncated, and logged with its location and size", t, func() {
@@ -174,13 +174,13 @@
 		So(s.report().BatchJobs, ShouldEqual, 1)
 		findings, damaged := s.corruptionCounts()
 		So(findings+damaged, ShouldEqual, 0)
-		lines := logLines(&log, "log_end_cut_off")
+		lines := logLines(&log, "log_tail_truncated")
 		So(lines, ShouldHaveLength, 1)
 		So(lines[0]["segment"], ShouldEqual, 1)
 		So(lines[0]["offset"], ShouldEqual, len(text)/2)
 		So(lines[0]["length"], ShouldEqual, len(text)/2-3)
 		s.logState()
-		So(logLines(&log, "state")[0]["cut_off"], ShouldEqual, len(text)/2-3)
+		So(logLines(&log, "state")[0]["truncated_bytes"], ShouldEqual, len(text)/2-3)
 	})
 	Convey("A corrupt incarnation file begins another incarnation, with all that the log has", t, func() {
 		for _, corrupt := range []string{"?", "", "0123456789abcdef", "0123456789abcdef x\n"} {
@@ -196,7 +196,7 @@
 			So(s.process.Incarnation, ShouldNotEqual, first.id)
 			So(s.process.Incarnation, ShouldHaveLength, len(first.id))
 			So(s.report().BatchJobs, ShouldEqual, 1)
-			So(logLines(&log, "life_unreadable"), ShouldHaveLength, 1)
+			So(logLines(&log, "incarnation_unreadable"), ShouldHaveLength, 1)
 			again, err := openIncarnation(directory)
 			So(err, ShouldBeNil)
 			So(again.id, ShouldEqual, s.process.Incarnation)
--- a/internal/batch/server/disk.go
+++ b/internal/batch/server/disk.go
@@ -42,7 +42,7 @@
 	}, s)
 	s.disk = &disk{capacity: capacity}
 	if opened.unreadable {
-		s.log.Error().Str("incarnation", opened.id).Msg("life_unreadable")
+		s.log.Error().Str("incarnation", opened.id).Msg("incarnation_unreadable")
 	}
 	options := wal.Options{
 		OnSkipped:   func(at wal.Location) { s.logFinding(s.stateMachine.ReplaySkipped(at)) },
@@ -67,7 +67,7 @@
 	s.log.Error().Str("problem", string(finding.Problem)).
 		Uint32("segment", finding.At.Segment).Uint32("offset", finding.At.Offset).Uint32("length", finding.At.Length).
 		Uint8("kind", finding.Kind).Str("batch_job", finding.Job).
-		Int("position", finding.Position).Int("sound", finding.SoundResults).Msg("record_unreadable")
+		Int("position", finding.Position).Int("sound_results", finding.SoundResults).Msg("record_corrupt")
 }
 
 // logTruncation logs the tail of the log that was truncated. That is a warning, not an error: a kill or a
@@ -76,7 +76,7 @@
 func (s *Server) logTruncation(at wal.Location) {
 	s.truncatedBytes += int64(at.Length)
 	s.log.Warn().Uint32("segment", at.Segment).Uint32("offset", at.Offset).Uint32("length", at.Length).
-		Msg("log_end_cut_off")
+		Msg("log_tail_truncated")
 }
 
 // onDurable is called by the log's goroutine.
@@ -102,7 +102,7 @@
 	s.mutex.Unlock()
 	for ; oldest < needed; oldest++ {
 		if err := s.disk.wal.RemoveSegment(oldest); err != nil {
-			s.log.Warn().Err(err).Msg("segment_not_released")
+			s.log.Warn().Err(err).Msg("segment_not_removed")
 			return
 		}
 	}
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -133,7 +133,7 @@
 	loadPort := s.settings.Port(node.PortLoad)
 	sharing, err := serverload.Listen(s.runner.Loads(), s.process, loadPort, s.subscription.Members)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("shared_loads_off")
+		s.log.Warn().Err(err).Msg("load_sharing_disabled")
 		return
 	}
 	sharing.SetBacklog(s.queuedTokens)
--- a/internal/batch/server/state.go
+++ b/internal/batch/server/state.go
@@ -13,12 +13,12 @@
 	findings, damaged := s.corruptionCounts()
 	s.logUnreconciled()
 	s.logViolations()
-	s.log.Info().Int("waiting", waiting).Int("running", running).Int("allowed", allowed).
-		Uint64("epoch", report.Epoch).Uint64("settled", report.Settled).Int("batch_jobs", report.BatchJobs).
-		Int("findings", findings).Int("damaged", damaged).Int64("cut_off", s.truncatedBytes).
+	s.log.Info().Int("waiting", waiting).Int("running", running).Int("server_limits", allowed).
+		Uint64("epoch", report.Epoch).Uint64("reconciled_epoch", report.Settled).Int("batch_jobs", report.BatchJobs).
+		Int("findings", findings).Int("corrupt_jobs", damaged).Int64("truncated_bytes", s.truncatedBytes).
 		Int64("free", report.FreeBytes).Int64("runs", counts.Attempts).Int64("completed", counts.Completed).
 		Int64("dead_letter", counts.DeadLetter).Int64("resumed", counts.Resumed).Int64("rejected", counts.Rejected).
-		Int64("cut", counts.Interrupted).Int64("failed", counts.Failed).Int64("connections", counts.Dials).Msg("state")
+		Int64("interrupted", counts.Interrupted).Int64("failed", counts.Failed).Int64("dials", counts.Dials).Msg("state")
 }
 
 // corruptionCounts returns the number of parts of the log that this start couldn't use, and of the batch
@@ -47,10 +47,12 @@
 	if status.Reconciled() {
 		return
 	}
-	s.log.Warn().Uint64("epoch", status.Epoch).Uint64("settled", status.ReconciledEpoch).
-		Strs("awaited", keyStrings(status.AwaitedInventories)).Strs("missing", keyStrings(status.MissingStores)).
-		Int("obscured", status.IncompleteLogs).Int("unowned", status.Unowned).Int("conceded", status.Transferring).
-		Int("behind", status.Superseded).Int("partial", status.UnderReplicated).Msg("not_settled")
+	s.log.Warn().Uint64("epoch", status.Epoch).Uint64("reconciled_epoch", status.ReconciledEpoch).
+		Strs("awaited_inventories", keyStrings(status.AwaitedInventories)).
+		Strs("missing_stores", keyStrings(status.MissingStores)).
+		Int("incomplete_logs", status.IncompleteLogs).Int("unowned", status.Unowned).
+		Int("transferring", status.Transferring).Int("superseded", status.Superseded).
+		Int("under_replicated", status.UnderReplicated).Msg("not_reconciled")
 }
 
 func keyStrings(keys []placement.Key) []string {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -250,14 +250,14 @@
 // serveAPI serves the operator's API until Stop.
 func (c *Control) serveAPI(listener net.Listener) {
 	if err := c.apiServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		c.log.Error().Err(err).Msg("operator-api-ended")
+		c.log.Error().Err(err).Msg("operator_api_ended")
 	}
 }
 
 // Reload applies settings that were read again. Only the seeds take effect; all others need a restart.
 func (c *Control) Reload(settings *node.Settings) {
 	c.replica.SetSeeds(settings.SeedEndpoints(node.PortCoordination))
-	c.log.Info().Strs("seeds", settings.Seeds).Msg("settings-reloaded")
+	c.log.Info().Strs("seeds", settings.Seeds).Msg("settings_reloaded")
 }
 
 // Stop ends the process in order: it releases its roles and its place in the chain, so that its successors needn't
@@ -274,7 +274,7 @@
 		c.releaseGrants(releaseCtx)
 		stop()
 		if err := c.replica.HandOver(ctx); err != nil {
-			c.log.Warn().Err(err).Msg("handover-failed")
+			c.log.Warn().Err(err).Msg("handover_failed")
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -17,7 +17,8 @@
 	outcome := c.proposeGrants(ctx, change)
 	c.quota.ChangeDone(change, outcome)
 	if outcome != nil && outcome.Taken && change.Begin {
-		c.log.Info().Str("before", outcome.Before.Member).Int("nodes", len(outcome.Nodes)).Msg("lends-quota")
+		c.log.Info().Str("previous_grantor", outcome.Before.Member).Int("nodes", len(outcome.Nodes)).
+			Msg("quota_grantor_started")
 	}
 }
 
@@ -33,7 +34,7 @@
 func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	encoded, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
-		c.log.Error().Err(err).Msg("lending-command")
+		c.log.Error().Err(err).Msg("grant_command_not_encoded")
 		return nil
 	}
 	if encoded, err = c.replica.Propose(ctx, "lending-"+randomName(), encoded); err != nil {
@@ -41,7 +42,7 @@
 	}
 	outcome, err := statemachine.DecodeOutcome(encoded)
 	if err != nil {
-		c.log.Error().Err(err).Msg("lending-outcome")
+		c.log.Error().Err(err).Msg("grant_outcome_not_decoded")
 		return nil
 	}
 	return outcome.Lending
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -62,8 +62,8 @@
 		c.log.Info().
 			Str("to", one.process.Node).
 			Uint64("epoch", list.Stores.Epoch).
-			Bool("settled", list.Stores.Settled).
+			Bool("reconciled", list.Stores.Settled).
 			Int("departed", len(list.Stores.Departed)).
-			Msg("store-view-told")
+			Msg("store_view_sent")
 	}
 }
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -34,13 +34,13 @@
 		event = log.Warn().Str("reason", decided.reason)
 	}
 	for _, one := range decided.body.Findings {
-		log.Debug().Str("place", one.Place).Str("text", one.Text).Msg("configuration-finding")
+		log.Debug().Str("place", one.Place).Str("text", one.Text).Msg("configuration_finding")
 	}
 	event.Int("status", decided.status).
 		Uint64("generation", decided.body.Generation).
 		Int("findings", len(decided.body.Findings)).
 		Dur("took", time.Since(arrived)).
-		Msg("configuration-order")
+		Msg("configuration_change")
 	return decided
 }
 
--- a/internal/control/operatorapi/response.go
+++ b/internal/control/operatorapi/response.go
@@ -68,7 +68,7 @@
 	if errors.As(err, &known) {
 		status, message = known.Code, http.StatusText(known.Code)
 	} else {
-		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator-request-failed")
+		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator_request_failed")
 	}
 	_ = c.JSON(status, responseBody{Message: message}) // the caller has gone
 }
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return writeUnavailable(c, "the retirement can't be ordered here now: "+err.Error())
 	}
-	a.options.Log.Info().Str("store", name).Int("outcome", int(outcome)).Msg("retire-order")
+	a.options.Log.Info().Str("store", name).Int("outcome", int(outcome)).Msg("store_retirement_requested")
 	switch outcome {
 	case statemachine.StoreUnknown:
 		return c.JSON(http.StatusNotFound, responseBody{Message: "no such store machine"})
--- a/internal/control/pause.go
+++ b/internal/control/pause.go
@@ -63,7 +63,7 @@
 	if !c.pauses.ran(c.now()) {
 		return
 	}
-	c.log.Warn().Msg("stood-still")
+	c.log.Warn().Msg("process_paused")
 	for session := range c.subscribers {
 		session.Close()
 	}
--- a/internal/control/serverdiscovery.go
+++ b/internal/control/serverdiscovery.go
@@ -52,7 +52,7 @@
 	c.mutex.Unlock()
 	c.peers.sendServers()
 	if changed {
-		c.log.Info().Int("servers", len(list.Servers)).Msg("servers-changed")
+		c.log.Info().Int("servers", len(list.Servers)).Msg("server_list_changed")
 		wake(c.wakePush)
 	}
 }
@@ -67,5 +67,5 @@
 	c.mutex.Lock()
 	c.schedule.ReadFailed(c.now(), retryAfter)
 	c.mutex.Unlock()
-	c.log.Warn().Err(err).Msg("servers-not-read")
+	c.log.Warn().Err(err).Msg("server_list_read_failed")
 }
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -87,14 +87,14 @@
 func (c *Control) proposeStoreCommand(command statemachine.Command) {
 	encoded, err := command.Encode()
 	if err != nil {
-		c.log.Error().Err(err).Msg("store-set-command")
+		c.log.Error().Err(err).Msg("store_command_not_encoded")
 		return
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
 	defer cancel()
 	_, err = c.replica.Propose(ctx, "stores-"+randomName(), encoded)
 	if err != nil && !errors.Is(err, replica.ErrClosed) {
-		c.log.Warn().Err(err).Msg("store-set-not-changed")
+		c.log.Warn().Err(err).Msg("store_command_not_committed")
 		return
 	}
 	event := c.log.Info()
@@ -110,7 +110,7 @@
 	case command.Retired != nil:
 		event = event.Str("retired", command.Retired.Node)
 	case command.Settle != nil:
-		event = event.Uint64("settled", command.Settle.Epoch)
+		event = event.Uint64("reconciled", command.Settle.Epoch)
 	}
-	event.Uint64("epoch", c.state.Stores().Epoch).Msg("store-set")
+	event.Uint64("epoch", c.state.Stores().Epoch).Msg("store_membership_changed")
 }
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -141,7 +141,7 @@
 	c.setListAge(&update)
 	if err := session.Push(update); err != nil {
 		if !errors.Is(err, transport.ErrNotConnected) {
-			c.log.Warn().Err(err).Str("to", one.process.Node).Msg("push-failed")
+			c.log.Warn().Err(err).Str("to", one.process.Node).Msg("push_failed")
 		}
 		return
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,7 +146,7 @@
 			return err
 		case <-time.After(g.nextExitCheck()):
 			if g.state.Phase() == service.ShuttingDown && g.state.MayExit(time.Now(), g.openConnections()) {
-				g.log.Info().Int("open", g.openConnections()).Msg("ended")
+				g.log.Info().Int("open", g.openConnections()).Msg("shutdown_complete")
 				return nil
 			}
 		case <-g.state.Changed():
@@ -163,7 +163,7 @@
 	sharing, err := serverload.Listen(g.proxy.Selector.Loads(), g.process, g.settings.Port(node.PortLoad),
 		g.subscription.Members)
 	if err != nil {
-		g.log.Warn().Err(err).Msg("shared_loads_off")
+		g.log.Warn().Err(err).Msg("load_sharing_disabled")
 		return
 	}
 	g.proxy.AnnouncePrefill = sharing.AnnouncePrefill
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -69,10 +69,10 @@
 	if !taken {
 		return
 	}
-	q.proxy.Log.Info().Str("route", q.route.Name).Str("reason", string(outcome)).Dur("took", attempt.Latency).
+	q.proxy.Log.Info().Str("route", q.route.Name).Str("reason", string(outcome)).Dur("latency", attempt.Latency).
 		Dur("read", q.body.readAt.Sub(q.arrived)).Dur("sent", q.sentAt.Sub(q.arrived)).
 		Str("server", reservation.Server.ID).Str("zone", reservation.Server.Zone).
-		Int("earlier", attempt.EarlierAttempts).Int("prompt", q.admission.Workload.PromptTokens).
-		Int("unread", attempt.PrefillTokens).Int("present", attempt.InFlight).
-		Int("waiting", attempt.Queued).Int("places", attempt.Slots).Int64("skipped", skipped).Msg("late_answer")
+		Int("earlier_attempts", attempt.EarlierAttempts).Int("prompt", q.admission.Workload.PromptTokens).
+		Int("prefill_tokens", attempt.PrefillTokens).Int("in_flight", attempt.InFlight).
+		Int("queued", attempt.Queued).Int("slots", attempt.Slots).Int64("skipped", skipped).Msg("late_response")
 }
--- a/internal/gateway/quotaclient/rejection_log.go
+++ b/internal/gateway/quotaclient/rejection_log.go
@@ -43,7 +43,7 @@
 	r.next = now + rejectionLogInterval
 	for tenant, one := range r.tenants {
 		log.Info().Str("tenant", tenant).Int("over_limit", one.overLimit).
-			Int("no_allocator", one.unreachable).Msg("quota_refused")
+			Int("no_allocator", one.unreachable).Msg("quota_rejected")
 	}
 	clear(r.tenants)
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -19,7 +19,7 @@
 func (g *Gateway) Shutdown() {
 	within := max(acceptAfterShutdown, g.settings.Bounds.Grace-killMargin)
 	if g.state.Shutdown(time.Now(), within) {
-		g.log.Info().Msg("ending")
+		g.log.Info().Msg("shutdown_started")
 	}
 }
 
--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -51,7 +51,7 @@
 func (s *Subscription) applyServers(update *protocol.Update, now time.Time) {
 	next, err := s.serverList.apply(update, now)
 	if err != nil {
-		s.opt.Log.Warn().Err(err).Uint64("version", update.Servers.Version).Msg("servers_not_taken")
+		s.opt.Log.Warn().Err(err).Uint64("version", update.Servers.Version).Msg("server_list_rejected")
 		return
 	}
 	s.opt.Servers.Apply(next)
@@ -74,7 +74,7 @@
 	if err != nil {
 		s.behind = true
 		s.requestFull = !errors.Is(err, configuration.ErrGap)
-		s.opt.Log.Warn().Err(err).Uint64("index", update.Index).Msg("configuration_not_taken")
+		s.opt.Log.Warn().Err(err).Uint64("index", update.Index).Msg("configuration_rejected")
 		return
 	}
 	s.behind, s.requestFull = false, false
@@ -91,5 +91,5 @@
 	if s.opt.OnConfiguration != nil {
 		s.opt.OnConfiguration(next)
 	}
-	s.opt.Log.Info().Uint64("index", next.Index).Uint64("generation", next.Generation).Msg("configuration_in_force")
+	s.opt.Log.Info().Uint64("index", next.Index).Uint64("generation", next.Generation).Msg("configuration_applied")
 }
--- a/internal/gateway/subscription/connection.go
+++ b/internal/gateway/subscription/connection.go
@@ -25,8 +25,8 @@
 const (
 	endNoConnection    endReason = "no connection"
 	endConnectionEnded endReason = "connection ended"
-	endUnconfirmed     endReason = "unsure" // it didn't confirm its state
-	endShutdown        endReason = "end"    // ctx ended
+	endUnconfirmed     endReason = "unconfirmed" // it didn't confirm its state
+	endShutdown        endReason = "shutdown"    // ctx ended
 )
 
 // errNotUpdate reports that a control process answered a poll with another message.
@@ -43,7 +43,7 @@
 			s.mu.Lock()
 			s.control.MarkFailed(ip, time.Now())
 			s.mu.Unlock()
-			s.opt.Log.Debug().Str("home", ip).Str("reason", string(reason)).Msg("home_left")
+			s.opt.Log.Debug().Str("control", ip).Str("reason", string(reason)).Msg("control_disconnected")
 		}
 		sleep(ctx, reconnectPause)
 	}
@@ -87,7 +87,7 @@
 	case <-ctx.Done():
 		return endShutdown
 	}
-	s.opt.Log.Debug().Str("home", ip).Msg("home_found")
+	s.opt.Log.Debug().Str("control", ip).Msg("control_connected")
 	return s.poll(ctx, client, connected)
 }
 
--- a/internal/lab/soak/logwatcher.go
+++ b/internal/lab/soak/logwatcher.go
@@ -123,7 +123,7 @@
 	eventServing   = "serving"
 	eventState     = "state"
 	eventStoreView = "store_view"
-	eventView      = "view"
+	eventView      = "view_adopted"
 	eventInvariant = "invariant_violated"
 )
 
@@ -131,7 +131,7 @@
 type logEntry struct {
 	Event     string `json:"event"`
 	Epoch     uint64 `json:"epoch"`
-	Settled   uint64 `json:"settled"`
+	Settled   uint64 `json:"reconciled_epoch"`
 	Chain     string `json:"chain"`
 	Invariant string `json:"invariant"` // the violated one
 }
--- a/internal/lab/soak/logwatcher_test.go
+++ b/internal/lab/soak/logwatcher_test.go
@@ -30,7 +30,7 @@
 			w.poll()
 		}
 		state := func(epoch, settled int) string {
-			return fmt.Sprintf(`{"event":"state","epoch":%d,"settled":%d}`+"\n", epoch, settled)
+			return fmt.Sprintf(`{"event":"state","epoch":%d,"reconciled_epoch":%d}`+"\n", epoch, settled)
 		}
 		began := time.Now()
 		write("a", state(3, 3))
@@ -77,9 +77,9 @@
 			So(os.WriteFile(filepath.Join(folder, name+"-control.log"), []byte(text), 0o600), ShouldBeNil)
 			w.poll()
 		}
-		write("a", `{"event":"view","epoch":2,"chain":"a>b"}`+"\n")
+		write("a", `{"event":"view_adopted","epoch":2,"chain":"a>b"}`+"\n")
 		So(w.chainComplete(), ShouldBeTrue)
-		write("b", `{"event":"view","epoch":3,"chain":"b"}`+"\n")
+		write("b", `{"event":"view_adopted","epoch":3,"chain":"b"}`+"\n")
 		So(w.chainComplete(), ShouldBeFalse)
 	})
 }
