--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -186,7 +186,7 @@
 	baselineConnections float64 // connections a second in calm
 	baselineTime        Time    // how long calm has taught what is usual
 	members             Members
-	streak              [3]int  // ticks that pointed to outage, storm and calm
+	streaks             [3]int  // ticks that pointed to outage, storm and calm
 	successStreak       float64 // attempts in a row that ended in time
 	limit               float64
 	lastDecreaseAt      Time
@@ -205,8 +205,8 @@
 }
 
 type failure struct {
-	count int
-	until Time
+	count     int
+	expiresAt Time
 }
 
 // New gives a guard that knows nothing yet.
@@ -370,7 +370,7 @@
 	k := a.key()
 	f := g.failedWork[k]
 	if f == nil {
-		for len(g.failedOrder) > 0 && (len(g.failedWork) >= maxFailedKeys || g.failedWork[g.failedOrder[0]] == nil || now > g.failedWork[g.failedOrder[0]].until) {
+		for len(g.failedOrder) > 0 && (len(g.failedWork) >= maxFailedKeys || g.failedWork[g.failedOrder[0]] == nil || now > g.failedWork[g.failedOrder[0]].expiresAt) {
 			delete(g.failedWork, g.failedOrder[0])
 			g.failedOrder = g.failedOrder[1:]
 		}
@@ -379,7 +379,7 @@
 		g.failedOrder = append(g.failedOrder, k)
 	}
 	f.count++
-	f.until = now + max(failureTTL, g.opt.MaxRetryAfter)
+	f.expiresAt = now + max(failureTTL, g.opt.MaxRetryAfter)
 }
 
 // retry tells whether a try is likely a retry: as its client says, where the account's clients say so at all, else by
@@ -397,7 +397,7 @@
 
 // failedBefore tells whether a try is likely one that failed a moment ago here, or at a peer that says so.
 func (g *Guard) failedRecently(now Time, k uint64) bool {
-	if f := g.failedWork[k]; f != nil && f.count > 0 && now <= f.until {
+	if f := g.failedWork[k]; f != nil && f.count > 0 && now <= f.expiresAt {
 		f.count--
 		return true
 	}
@@ -440,7 +440,7 @@
 	g.advanceSlots(now)
 	if gap > pauseThreshold { // what did not come to pass meanwhile tells nothing
 		clear(g.history[:])
-		g.streak = [3]int{}
+		g.streaks = [3]int{}
 		return g.message(now)
 	}
 	g.updatePhase(now)
@@ -452,10 +452,10 @@
 
 // count lengthens a streak, or ends it.
 func (g *Guard) extendStreak(streak int, yes bool) int {
-	if g.streak[streak]++; !yes {
-		g.streak[streak] = 0
+	if g.streaks[streak]++; !yes {
+		g.streaks[streak] = 0
 	}
-	return g.streak[streak]
+	return g.streaks[streak]
 }
 
 // judge moves the phase.
@@ -520,7 +520,7 @@
 	if g.phase == Calm {
 		g.stats.Storms++
 	}
-	g.phase, g.phaseSince, g.streak, g.successStreak = p, now, [3]int{}, 0
+	g.phase, g.phaseSince, g.streaks, g.successStreak = p, now, [3]int{}, 0
 	switch p {
 	case Outage:
 		g.limit = math.Max(minRate, outageProbeRatio*g.baselineRate())
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -12,36 +12,36 @@
 
 // outage stops all members for a while and gives when service was back for good after they were, and the share of what
 // was asked for in the minute after that was served in time.
-func (w *simulation) outage() (back time.Duration, share float64) {
-	w.play(20*second, 1)
-	usual := w.share(worldFrom+5*second, w.now)
-	w.stop(w.all()...)
-	w.play(20*second, 1)
-	w.restore(w.all()...)
+func (w *simulation) runOutage() (back time.Duration, share float64) {
+	w.runLoad(20*second, 1)
+	usual := w.goodput(simulationStart+5*second, w.now)
+	w.stop(w.allMembers()...)
+	w.runLoad(20*second, 1)
+	w.restore(w.allMembers()...)
 	restored := w.now
-	w.play(70*second, 1)
-	return w.back(restored, restored+60*second, usual), w.share(restored, restored+60*second)
+	w.runLoad(70*second, 1)
+	return w.timeToRecover(restored, restored+60*second, usual), w.goodput(restored, restored+60*second)
 }
 
 // stormy plays an outage of all members, damped or not.
-func runStorm(name string, seed uint64, damped bool, heeds float64) (*simulation, time.Duration) {
+func runStorm(policy string, seed uint64, guarded bool, honorRatio float64) (*simulation, time.Duration) {
 	w := newSimulation(seed, 3, 12, 0.6)
-	w.damped, w.model, w.heeds = damped, models[name], heeds
-	back, _ := w.outage()
+	w.guarded, w.retryPolicy, w.honorRatio = guarded, retryPolicies[policy], honorRatio
+	back, _ := w.runOutage()
 	return w, back
 }
 
 // Whatever the clients do, service is back within one and a half times the members' warm-up, and no later than without.
 func TestRecoversForEveryClientModel(t *testing.T) {
-	for name := range models {
+	for name := range retryPolicies {
 		for _, heeds := range []float64{0, 0.5, 1} { // clients that ignore Retry-After, and that honour it all together
 			var damped, undamped time.Duration
 			for seed := range uint64(3) {
 				w, back := runStorm(name, seed, true, heeds)
 				_, without := runStorm(name, seed, false, heeds)
 				damped, undamped = damped+back/3, undamped+without/3
-				assert.LessOrEqual(t, back, warmIn*3/2, "%s, %.1f heed, seed %d", name, heeds, seed)
-				assert.Less(t, w.coldPeak, 4.0, name)
+				assert.LessOrEqual(t, back, warmUpTime*3/2, "%s, %.1f heed, seed %d", name, heeds, seed)
+				assert.Less(t, w.peakOverload, 4.0, name)
 				assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):], "%s, %.1f heed, seed %d", name, heeds, seed)
 			}
 			assert.LessOrEqual(t, damped, undamped+2*second, "%s, %.1f heed", name, heeds)
@@ -52,47 +52,47 @@
 
 func TestRepeatedOutage(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
-	w.play(20*second, 1)
-	usual := w.share(worldFrom+5*second, w.now)
-	w.stop(w.all()...)
-	w.play(15*second, 1)
-	w.restore(w.all()...)
-	w.play(5*second, 1)
-	w.stop(w.all()...)
-	w.play(10*second, 1)
-	w.restore(w.all()...)
+	w.runLoad(20*second, 1)
+	usual := w.goodput(simulationStart+5*second, w.now)
+	w.stop(w.allMembers()...)
+	w.runLoad(15*second, 1)
+	w.restore(w.allMembers()...)
+	w.runLoad(5*second, 1)
+	w.stop(w.allMembers()...)
+	w.runLoad(10*second, 1)
+	w.restore(w.allMembers()...)
 	restored := w.now
-	w.play(50*second, 1)
+	w.runLoad(50*second, 1)
 	assert.Equal(t, []Phase{Outage, Recovery, Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-5):])
-	assert.LessOrEqual(t, w.back(restored, restored+45*second, usual), warmIn*3/2)
+	assert.LessOrEqual(t, w.timeToRecover(restored, restored+45*second, usual), warmUpTime*3/2)
 }
 
 // One gateway of which little is asked sees the end of an outage too, though it lets in one try a second.
 func TestOutageOfALightlyLoadedGateway(t *testing.T) {
 	w := newSimulation(9, 1, 3, 0.2)
-	w.model = models["immediate"]
-	w.play(30*second, 1)
-	w.stop(w.all()...)
-	w.play(20*second, 1)
+	w.retryPolicy = retryPolicies["immediate"]
+	w.runLoad(30*second, 1)
+	w.stop(w.allMembers()...)
+	w.runLoad(20*second, 1)
 	assert.Equal(t, Outage, w.phases[len(w.phases)-1])
-	w.restore(w.all()...)
-	w.play(40*second, 1)
+	w.restore(w.allMembers()...)
+	w.runLoad(40*second, 1)
 	assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):])
-	assert.Greater(t, w.share(w.now-15*second, w.now-3*second), 0.95)
+	assert.Greater(t, w.goodput(w.now-15*second, w.now-3*second), 0.95)
 }
 
 // Discovery lists all members as up, and all of them take work and answer nothing: the attempts that are out tell.
 func TestUnresponsiveMembers(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
-	w.play(20*second, 1)
+	w.runLoad(20*second, 1)
 	for i := range w.members {
 		w.members[i].hung = true
 	}
-	w.play(5*second, 1)
+	w.runLoad(5*second, 1)
 	p, sure := w.guards[1].State()
 	assert.Equal(t, Outage, p)
 	assert.Greater(t, sure, 0.5)
-	assert.Less(t, w.guards[1].Stats().Limit, 0.2*w.usual/3)
+	assert.Less(t, w.guards[1].Stats().Limit, 0.2*w.arrivalRate/3)
 }
 
 // One room of two is gone: what is left is served, and that is no outage.
@@ -100,20 +100,20 @@
 	shares := map[bool]float64{}
 	for _, damped := range []bool{true, false} {
 		w := newSimulation(2, 3, 12, 0.6)
-		w.damped, w.model = damped, models["immediate"]
-		w.play(20*second, 1)
+		w.guarded, w.retryPolicy = damped, retryPolicies["immediate"]
+		w.runLoad(20*second, 1)
 		w.stop(0, 1, 2, 3, 4, 5)
 		gone := w.now
-		w.play(20*second, 1)
-		shares[damped] = w.share(gone+5*second, w.now-2*second)
+		w.runLoad(20*second, 1)
+		shares[damped] = w.goodput(gone+5*second, w.now-2*second)
 		if damped {
 			assert.NotContains(t, w.phases, Outage)
 		}
 		w.restore(0, 1, 2, 3, 4, 5)
 		restored := w.now
-		w.play(40*second, 1)
+		w.runLoad(40*second, 1)
 		if damped {
-			assert.Greater(t, w.share(restored+25*second, w.now-3*second), 0.95)
+			assert.Greater(t, w.goodput(restored+25*second, w.now-3*second), 0.95)
 		}
 	}
 	assert.GreaterOrEqual(t, shares[true], shares[false]-0.02) // half the members can do 0.83 of what is asked
@@ -123,23 +123,23 @@
 func TestGatewayRestartedInTheStorm(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		w := newSimulation(3, 3, 12, 0.6)
-		w.play(20*second, 1)
-		w.stop(w.all()...)
-		w.play(10*second, 1)
-		w.restore(w.all()...)
-		w.play(2*second, 1)
-		w.cut = cut
-		w.boot(2)
-		w.play(second, 1)
+		w.runLoad(20*second, 1)
+		w.stop(w.allMembers()...)
+		w.runLoad(10*second, 1)
+		w.restore(w.allMembers()...)
+		w.runLoad(2*second, 1)
+		w.partitioned = cut
+		w.restartGuard(2)
+		w.runLoad(second, 1)
 		p, _ := w.guards[2].State()
 		if !cut {
 			assert.NotEqual(t, Calm, p)
 			assert.Greater(t, w.guards[2].baselineRate(), 5.0) // and what is usual
 		}
-		w.play(40*second, 1)
+		w.runLoad(40*second, 1)
 		p, _ = w.guards[2].State()
 		assert.Equal(t, Calm, p, "%+v %+v", w.guards[2].Stats(), w.guards[2].recent())
-		assert.Greater(t, w.share(w.now-15*second, w.now-3*second), 0.9)
+		assert.Greater(t, w.goodput(w.now-15*second, w.now-3*second), 0.9)
 	}
 }
 
@@ -147,14 +147,14 @@
 // units tell them, as peers say what has failed.
 func TestRetriesThroughAnotherGateway(t *testing.T) {
 	w := newSimulation(4, 3, 12, 0.6)
-	w.marks, w.accounts = false, 2000
-	w.play(20*second, 1)
-	before := w.repeats
-	w.stop(w.all()...)
-	w.play(10*second, 1)
-	w.restore(w.all()...)
-	w.play(10*second, 1)
-	known, missed := w.repeats[0]-before[0], w.repeats[1]-before[1]
+	w.markRetries, w.accounts = false, 2000
+	w.runLoad(20*second, 1)
+	before := w.retries
+	w.stop(w.allMembers()...)
+	w.runLoad(10*second, 1)
+	w.restore(w.allMembers()...)
+	w.runLoad(10*second, 1)
+	known, missed := w.retries[0]-before[0], w.retries[1]-before[1]
 	assert.Greater(t, float64(known), 0.6*float64(known+missed))
 	assert.NotZero(t, missed)
 }
@@ -162,11 +162,11 @@
 // What is usual on busy days is no storm.
 func TestNoFalseAlarms(t *testing.T) {
 	for name, day := range map[string]func(*simulation){
-		"a peak":        func(w *simulation) { w.play(20*second, 1.6) },
-		"a long peak":   func(w *simulation) { w.play(10*second, 1.2); w.play(30*second, 1.55); w.play(10*second, 0.4) },
-		"nothing asked": func(w *simulation) { w.play(20*second, 0.01); w.play(20*second, 1) },
+		"a peak":        func(w *simulation) { w.runLoad(20*second, 1.6) },
+		"a long peak":   func(w *simulation) { w.runLoad(10*second, 1.2); w.runLoad(30*second, 1.55); w.runLoad(10*second, 0.4) },
+		"nothing asked": func(w *simulation) { w.runLoad(20*second, 0.01); w.runLoad(20*second, 1) },
 		"a hot customer": func(w *simulation) { // whose tries beyond the quota are refused, and come again at once
-			w.play(20*second, 1)
+			w.runLoad(20*second, 1)
 			for range 4000 {
 				w.run(w.now + 3*time.Millisecond)
 				a := Arrival{Account: 7, Class: 1, Plan: 1, Units: 2, MarkedRetry: w.rng.IntN(2) == 0}
@@ -175,44 +175,44 @@
 					g.Rejected(w.now, a, second)
 				}
 			}
-			w.play(10*second, 1)
+			w.runLoad(10*second, 1)
 		},
 		"a deploy of the clients": func(w *simulation) { // all connect anew at once, and what was open is asked for again
-			w.play(20*second, 1)
+			w.runLoad(20*second, 1)
 			for range 2000 {
 				assert.True(w.test(), w.guards[w.rng.IntN(3)].AdmitConnection(w.now))
 			}
 			for range 40 {
-				w.ask(Arrival{Account: w.rng.Uint64N(60), Class: 1, Units: 1})
+				w.firstAttempt(Arrival{Account: w.rng.Uint64N(60), Class: 1, Units: 1})
 			}
-			w.play(20*second, 1)
+			w.runLoad(20*second, 1)
 		},
 		"one slow member": func(w *simulation) {
-			w.play(20*second, 1)
-			w.members[3].free = w.now + 10*second
-			w.play(20*second, 1)
+			w.runLoad(20*second, 1)
+			w.members[3].freeAt = w.now + 10*second
+			w.runLoad(20*second, 1)
 		},
 		"a member just started at the peak": func(w *simulation) {
-			w.play(20*second, 1)
-			w.play(2*second, 1.4)
+			w.runLoad(20*second, 1)
+			w.runLoad(2*second, 1.4)
 			w.restore(5)
-			w.play(20*second, 1.4)
-			assert.Less(w.test(), w.coldPeak, 4.0)
+			w.runLoad(20*second, 1.4)
+			assert.Less(w.test(), w.peakOverload, 4.0)
 		},
-		"two members gone": func(w *simulation) { w.play(20*second, 1); w.stop(1, 2); w.play(20*second, 1) },
+		"two members gone": func(w *simulation) { w.runLoad(20*second, 1); w.stop(1, 2); w.runLoad(20*second, 1) },
 		"pauses": func(w *simulation) {
 			for range 20 {
 				for i := range 4 {
-					w.members[i].free = max(w.members[i].free, w.now) + 400*time.Millisecond
+					w.members[i].freeAt = max(w.members[i].freeAt, w.now) + 400*time.Millisecond
 				}
-				w.play(2*second, 1)
+				w.runLoad(2*second, 1)
 			}
 		},
 	} {
 		for seed := range uint64(4) {
 			w := newSimulation(seed, 3, 12, 0.6)
 			w.t = t
-			w.play(5*second, 1)
+			w.runLoad(5*second, 1)
 			day(w)
 			for _, g := range w.guards {
 				assert.Zero(t, g.Stats().Storms, "%s, seed %d", name, seed)
@@ -226,7 +226,7 @@
 func TestConnectionSurge(t *testing.T) {
 	for _, rush := range []bool{true, false} {
 		w := newSimulation(11, 1, 12, 0.6)
-		w.play(20*second, 1)
+		w.runLoad(20*second, 1)
 		w.stop(0, 1, 2, 3, 4, 5, 6)
 		for range 4000 {
 			if rush {
@@ -244,7 +244,7 @@
 // A clock that stood still for 3 s, or a process that did, is no outage, and ends none.
 func TestProcessPause(t *testing.T) {
 	w := newSimulation(5, 1, 12, 0.6)
-	w.play(20*second, 1)
+	w.runLoad(20*second, 1)
 	g := w.guards[0]
 	for range 30 {
 		g.AttemptEnded(w.now, Failed) // what all ended when the process went on
@@ -260,10 +260,10 @@
 	shares := map[bool]float64{}
 	for _, hot := range []bool{false, true} {
 		w := newSimulation(6, 3, 12, 0.6)
-		w.play(20*second, 1)
-		w.stop(w.all()...)
-		w.play(10*second, 1)
-		w.restore(w.all()...)
+		w.runLoad(20*second, 1)
+		w.stop(w.allMembers()...)
+		w.runLoad(10*second, 1)
+		w.restore(w.allMembers()...)
 		restored := w.now
 		if hot {
 			var ask func()
@@ -279,8 +279,8 @@
 			}
 			w.after(0, ask)
 		}
-		w.play(40*second, 1)
-		shares[hot] = w.share(restored+10*second, restored+35*second)
+		w.runLoad(40*second, 1)
+		shares[hot] = w.goodput(restored+10*second, restored+35*second)
 	}
 	assert.Greater(t, shares[true], shares[false]-0.1)
 }
@@ -288,9 +288,9 @@
 // Five thousand connections in one second: no more are taken than a second's worth and what may come at once.
 func TestConnectionsInAStorm(t *testing.T) {
 	w := newSimulation(7, 1, 12, 0.6)
-	w.play(20*second, 1)
-	w.stop(w.all()...)
-	w.play(5*second, 1)
+	w.runLoad(20*second, 1)
+	w.stop(w.allMembers()...)
+	w.runLoad(5*second, 1)
 	taken := 0
 	for range 5000 {
 		w.run(w.now + second/5000)
@@ -306,9 +306,9 @@
 // clients' limit or less than a moment.
 func TestScheduledReturnsAreSpread(t *testing.T) {
 	w := newSimulation(8, 3, 12, 0.6)
-	w.play(20*second, 1)
-	w.stop(w.all()...)
-	w.play(4*second, 1)
+	w.runLoad(20*second, 1)
+	w.stop(w.allMembers()...)
+	w.runLoad(4*second, 1)
 	slot := map[int64]int{}
 	for range 600 {
 		g := w.guards[w.rng.IntN(3)]
@@ -325,10 +325,10 @@
 	assert.Less(t, float64(most), 3*600/float64(len(slot)))
 	assert.Greater(t, len(slot), 20)
 	g := New(Options{MaxRetryAfter: 300 * time.Millisecond})
-	g.start(worldFrom)
-	g.enterPhase(worldFrom, Outage)
+	g.start(simulationStart)
+	g.enterPhase(simulationStart, Outage)
 	for range 100 {
-		assert.LessOrEqual(t, g.scheduleReturn(worldFrom), 300*time.Millisecond)
+		assert.LessOrEqual(t, g.scheduleReturn(simulationStart), 300*time.Millisecond)
 	}
 }
 
@@ -371,9 +371,9 @@
 	f.Add(w.Encode())
 	f.Fuzz(func(t *testing.T, m []byte) {
 		g := New(Options{Gateways: 2, Classes: classes, Prices: []float64{1}})
-		g.Receive(worldFrom, 1, m)
+		g.Receive(simulationStart, 1, m)
 		for i := range 40 {
-			now := worldFrom + Time(i)*TickInterval
+			now := simulationStart + Time(i)*TickInterval
 			v := g.Admit(now, Arrival{Account: 1})
 			if v.RetryAfter < 0 || v.RetryAfter > maxRetryAfter {
 				t.Fatal(v.RetryAfter)
@@ -392,26 +392,26 @@
 	const seeds = 3
 	mean := map[string]time.Duration{}
 	for _, way := range []string{"none", "budget", "concurrency", "ramp"} {
-		for name := range models {
+		for name := range retryPolicies {
 			var back time.Duration
 			peak, share := 0.0, 0.0
 			for seed := range uint64(seeds) {
 				w := newSimulation(seed, 3, 12, 0.6)
-				w.damped, w.model = way == "ramp", models[name]
+				w.guarded, w.retryPolicy = way == "ramp", retryPolicies[name]
 				for range w.guards {
 					switch way {
 					case "budget":
-						w.other = append(w.other, &budget{})
+						w.alternatives = append(w.alternatives, &retryBudget{})
 					case "concurrency":
-						w.other = append(w.other, &concurrency{limit: 20})
+						w.alternatives = append(w.alternatives, &adaptiveConcurrency{limit: 20})
 					}
 				}
-				took, served := w.outage()
+				took, served := w.runOutage()
 				back += took / seeds
-				peak, share = max(peak, w.coldPeak), share+served/seeds
+				peak, share = max(peak, w.peakOverload), share+served/seeds
 			}
 			t.Logf("%-11s %-9s back after %4.0f s, served in time in 60 s %.2f, peak at a cold member %.1f", way, name, back.Seconds(), share, peak)
-			mean[way] += back / time.Duration(len(models))
+			mean[way] += back / time.Duration(len(retryPolicies))
 		}
 	}
 	assert.Less(t, mean["ramp"], mean["none"]/2)
