--- a/internal/storm/storm_test.go
+++ b/internal/storm/guard_test.go
@@ -1,7 +1,6 @@
 package storm
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -10,46 +9,28 @@
 
 const second = time.Second
 
-// outage stops all members for a while and gives when service was back for good after they were, and the share of what
-// was asked for in the minute after that was served in time.
-func (w *simulation) runOutage() (back time.Duration, share float64) {
-	w.runLoad(20*second, 1)
-	usual := w.goodput(simulationStart+5*second, w.now)
-	w.stop(w.allMembers()...)
-	w.runLoad(20*second, 1)
-	w.restore(w.allMembers()...)
-	restored := w.now
-	w.runLoad(70*second, 1)
-	return w.timeToRecover(restored, restored+60*second, usual), w.goodput(restored, restored+60*second)
-}
-
-// stormy plays an outage of all members, damped or not.
-func runStorm(policy string, seed uint64, guarded bool, honorRatio float64) (*simulation, time.Duration) {
-	w := newSimulation(seed, 3, 12, 0.6)
-	w.guarded, w.retryPolicy, w.honorRatio = guarded, retryPolicies[policy], honorRatio
-	back, _ := w.runOutage()
-	return w, back
-}
-
-// Whatever the clients do, service is back within one and a half times the members' warm-up, and no later than without.
+// For every retry policy of the clients the service recovers within one and a half times the members' warm-up, and
+// no later than without guards.
 func TestRecoversForEveryClientModel(t *testing.T) {
 	for name := range retryPolicies {
-		for _, heeds := range []float64{0, 0.5, 1} { // clients that ignore Retry-After, and that honour it all together
+		for _, honor := range []float64{0, 0.5, 1} { // clients that ignore Retry-After, to clients that all honor it
 			var damped, undamped time.Duration
 			for seed := range uint64(3) {
-				w, back := runStorm(name, seed, true, heeds)
-				_, without := runStorm(name, seed, false, heeds)
+				w, back := runStorm(name, seed, true, honor)
+				_, without := runStorm(name, seed, false, honor)
 				damped, undamped = damped+back/3, undamped+without/3
-				assert.LessOrEqual(t, back, warmUpTime*3/2, "%s, %.1f heed, seed %d", name, heeds, seed)
+				assert.LessOrEqual(t, back, warmUpTime*3/2, "%s, %.1f honor, seed %d", name, honor, seed)
 				assert.Less(t, w.peakOverload, 4.0, name)
-				assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):], "%s, %.1f heed, seed %d", name, heeds, seed)
+				assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):],
+					"%s, %.1f honor, seed %d", name, honor, seed)
 			}
-			assert.LessOrEqual(t, damped, undamped+2*second, "%s, %.1f heed", name, heeds)
-			t.Logf("%s, %.1f heed: back after %v, without %v", name, heeds, damped, undamped)
+			assert.LessOrEqual(t, damped, undamped+2*second, "%s, %.1f honor", name, honor)
+			t.Logf("%s, %.1f honor: back after %v, without %v", name, honor, damped, undamped)
 		}
 	}
 }
 
+// The members fail again during the recovery.
 func TestRepeatedOutage(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
 	w.runLoad(20*second, 1)
@@ -67,7 +48,7 @@
 	assert.LessOrEqual(t, w.timeToRecover(restored, restored+45*second, usual), warmUpTime*3/2)
 }
 
-// One gateway of which little is asked sees the end of an outage too, though it lets in one try a second.
+// A gateway with little load, whose limit in an outage is one request a second, detects the end of the outage.
 func TestOutageOfALightlyLoadedGateway(t *testing.T) {
 	w := newSimulation(9, 1, 3, 0.2)
 	w.retryPolicy = retryPolicies["immediate"]
@@ -81,7 +62,8 @@
 	assert.Greater(t, w.goodput(w.now-15*second, w.now-3*second), 0.95)
 }
 
-// Discovery lists all members as up, and all of them take work and answer nothing: the attempts that are out tell.
+// All members accept requests and answer nothing, while discovery lists them as up: the overdue attempts show the
+// outage.
 func TestUnresponsiveMembers(t *testing.T) {
 	w := newSimulation(1, 3, 12, 0.6)
 	w.runLoad(20*second, 1)
@@ -95,7 +77,7 @@
 	assert.Less(t, w.guards[1].Stats().Limit, 0.2*w.arrivalRate/3)
 }
 
-// One room of two is gone: what is left is served, and that is no outage.
+// Half of the members fail: the other half is used, and that is no outage.
 func TestOutageOfOneZone(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, damped := range []bool{true, false} {
@@ -116,10 +98,10 @@
 			assert.Greater(t, w.goodput(restored+25*second, w.now-3*second), 0.95)
 		}
 	}
-	assert.GreaterOrEqual(t, shares[true], shares[false]-0.02) // half the members can do 0.83 of what is asked
+	assert.GreaterOrEqual(t, shares[true], shares[false]-0.02) // half the members can serve 0.83 of the load
 }
 
-// A gateway started in the middle of the storm knows of it from its peers, and one that hears nobody finds it out.
+// A gateway that starts during a storm learns of it from its peers; one without peers detects it.
 func TestGatewayRestartedInTheStorm(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		w := newSimulation(3, 3, 12, 0.6)
@@ -134,7 +116,7 @@
 		p, _ := w.guards[2].State()
 		if !cut {
 			assert.NotEqual(t, Calm, p)
-			assert.Greater(t, w.guards[2].baselineRate(), 5.0) // and what is usual
+			assert.Greater(t, w.guards[2].baselineRate(), 5.0) // the baseline, too
 		}
 		w.runLoad(40*second, 1)
 		p, _ = w.guards[2].State()
@@ -143,8 +125,8 @@
 	}
 }
 
-// Retries come through another gateway than the first try, under a fresh id and without a mark: account, class and
-// units tell them, as peers say what has failed.
+// Retries arrive at another gateway than the first attempt, unmarked: they are recognized by account, class and
+// units, as peers report what has failed.
 func TestRetriesThroughAnotherGateway(t *testing.T) {
 	w := newSimulation(4, 3, 12, 0.6)
 	w.markRetries, w.accounts = false, 2000
@@ -159,13 +141,17 @@
 	assert.NotZero(t, missed)
 }
 
-// What is usual on busy days is no storm.
+// Busy days are no storms.
 func TestNoFalseAlarms(t *testing.T) {
 	for name, day := range map[string]func(*simulation){
-		"a peak":        func(w *simulation) { w.runLoad(20*second, 1.6) },
-		"a long peak":   func(w *simulation) { w.runLoad(10*second, 1.2); w.runLoad(30*second, 1.55); w.runLoad(10*second, 0.4) },
-		"nothing asked": func(w *simulation) { w.runLoad(20*second, 0.01); w.runLoad(20*second, 1) },
-		"a hot customer": func(w *simulation) { // whose tries beyond the quota are refused, and come again at once
+		"a peak": func(w *simulation) { w.runLoad(20*second, 1.6) },
+		"a long peak": func(w *simulation) {
+			w.runLoad(10*second, 1.2)
+			w.runLoad(30*second, 1.55)
+			w.runLoad(10*second, 0.4)
+		},
+		"no load": func(w *simulation) { w.runLoad(20*second, 0.01); w.runLoad(20*second, 1) },
+		"a hot customer": func(w *simulation) { // its requests beyond the quota are rejected, and retried at once
 			w.runLoad(20*second, 1)
 			for range 4000 {
 				w.run(w.now + 3*time.Millisecond)
@@ -177,7 +163,7 @@
 			}
 			w.runLoad(10*second, 1)
 		},
-		"a deploy of the clients": func(w *simulation) { // all connect anew at once, and what was open is asked for again
+		"a deploy of the clients": func(w *simulation) { // all reconnect at once, and send again what was in flight
 			w.runLoad(20*second, 1)
 			for range 2000 {
 				assert.True(w.test(), w.guards[w.rng.IntN(3)].AdmitConnection(w.now))
@@ -199,7 +185,7 @@
 			w.runLoad(20*second, 1.4)
 			assert.Less(w.test(), w.peakOverload, 4.0)
 		},
-		"two members gone": func(w *simulation) { w.runLoad(20*second, 1); w.stop(1, 2); w.runLoad(20*second, 1) },
+		"two members stopped": func(w *simulation) { w.runLoad(20*second, 1); w.stop(1, 2); w.runLoad(20*second, 1) },
 		"pauses": func(w *simulation) {
 			for range 20 {
 				for i := range 4 {
@@ -221,15 +207,15 @@
 	}
 }
 
-// Controllers that all connect anew and mark nothing, each under an account of its own: no try can be told for a retry,
-// but with so many new connections, more asked than is usual and much that ends badly it is a storm all the same.
+// Clients that all reconnect, mark no retries and have an account each: no retry is recognized, but with so many new
+// connections, a load above the baseline and many failures it is a storm.
 func TestConnectionSurge(t *testing.T) {
-	for _, rush := range []bool{true, false} {
+	for _, surge := range []bool{true, false} {
 		w := newSimulation(11, 1, 12, 0.6)
 		w.runLoad(20*second, 1)
 		w.stop(0, 1, 2, 3, 4, 5, 6)
 		for range 4000 {
-			if rush {
+			if surge {
 				w.guards[0].AdmitConnection(w.now)
 			}
 			if v := w.guards[0].Admit(w.now, Arrival{Account: w.rng.Uint64(), Class: 1, Units: 1}); v.Admit {
@@ -237,25 +223,25 @@
 			}
 			w.run(w.now + second/1000)
 		}
-		assert.Equal(t, rush, w.guards[0].Stats().Storms > 0)
+		assert.Equal(t, surge, w.guards[0].Stats().Storms > 0)
 	}
 }
 
-// A clock that stood still for 3 s, or a process that did, is no outage, and ends none.
+// A process pause of 3 s is no outage.
 func TestProcessPause(t *testing.T) {
 	w := newSimulation(5, 1, 12, 0.6)
 	w.runLoad(20*second, 1)
 	g := w.guards[0]
 	for range 30 {
-		g.AttemptEnded(w.now, Failed) // what all ended when the process went on
+		g.AttemptEnded(w.now, Failed) // all that had timed out when the process resumed
 	}
 	g.Tick(w.now+3*second, Members{Listed: 12, Warmth: 1, Overdue: 40})
 	p, _ := g.State()
 	assert.Equal(t, Calm, p)
 }
 
-// A utility account that asks for five times its quota in the storm takes no more than its like: what it asks beyond is
-// refused by quota and, coming again, counts as a retry.
+// An account that sends five times its quota in a storm takes no more than others: what exceeds its quota is
+// rejected, and its retries count as such.
 func TestHotAccountInTheStorm(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, hot := range []bool{false, true} {
@@ -271,7 +257,7 @@
 				a := Arrival{Account: 9999, Class: 1, Plan: 1, Units: 4}
 				g := w.guards[w.rng.IntN(3)]
 				if g.Admit(w.now, a).Admit {
-					g.Rejected(w.now, a, second) // its quota is spent
+					g.Rejected(w.now, a, second) // beyond its quota
 				}
 				if w.now < restored+30*second {
 					w.after(20*time.Millisecond, ask)
@@ -285,7 +271,7 @@
 	assert.Greater(t, shares[true], shares[false]-0.1)
 }
 
-// Five thousand connections in one second: no more are taken than a second's worth and what may come at once.
+// Of 5,000 connections in a second no more are accepted than a second's worth and the burst.
 func TestConnectionsInAStorm(t *testing.T) {
 	w := newSimulation(7, 1, 12, 0.6)
 	w.runLoad(20*second, 1)
@@ -302,8 +288,8 @@
 	assert.NotZero(t, w.guards[0].Stats().RejectedConnections)
 }
 
-// Those who heed what they are told come back spread over the time there is, and none is told to wait longer than the
-// clients' limit or less than a moment.
+// Clients that honor Retry-After return spread over the time there is, and it is between minRetryAfter and the clients'
+// limit.
 func TestScheduledReturnsAreSpread(t *testing.T) {
 	w := newSimulation(8, 3, 12, 0.6)
 	w.runLoad(20*second, 1)
@@ -332,7 +318,7 @@
 	}
 }
 
-// First tries come before retries, dear ones before cheap ones, and what must not run twice before what may.
+// First attempts pass before retries, valuable requests before cheap ones, and non-idempotent before idempotent ones.
 func TestAdmissionPriority(t *testing.T) {
 	g := New(Options{Classes: classes, Prices: []float64{1.2, 1.6}})
 	last := -1.0
@@ -347,74 +333,3 @@
 	}
 	assert.NotPanics(t, func() { g.reserve(Arrival{Class: 9, Plan: -1}, false) })
 }
-
-func TestMessageRoundTrip(t *testing.T) {
-	w := Message{Phase: Recovery, Confidence: 0.5, Seq: 9, FirstAttempts: 30, Retries: 300, InTime: 12, Failed: 1, Limit: 17, Baseline: 33}
-	w.Scheduled[3] = 21
-	w.FailedWork.add(12345678901234567)
-	got, ok := Decode(w.Encode())
-	assert.True(t, ok)
-	assert.Equal(t, Recovery, got.Phase)
-	assert.InDelta(t, 300, got.Retries, 15)
-	assert.InDelta(t, 21, got.Scheduled[3], 1)
-	assert.True(t, got.FailedWork.contains(12345678901234567))
-	assert.False(t, got.FailedWork.contains(76543210987654321))
-	for range 1000 {
-		w.FailedWork.add(rand.Uint64())
-	}
-	assert.False(t, w.FailedWork.contains(12345678901234567)) // full: it says nothing
-	assert.LessOrEqual(t, len(w.Encode()), 128)
-}
-
-func FuzzReceive(f *testing.F) {
-	w := Message{Phase: Outage, Confidence: 1}
-	f.Add(w.Encode())
-	f.Fuzz(func(t *testing.T, m []byte) {
-		g := New(Options{Gateways: 2, Classes: classes, Prices: []float64{1}})
-		g.Receive(simulationStart, 1, m)
-		for i := range 40 {
-			now := simulationStart + Time(i)*TickInterval
-			v := g.Admit(now, Arrival{Account: 1})
-			if v.RetryAfter < 0 || v.RetryAfter > maxRetryAfter {
-				t.Fatal(v.RetryAfter)
-			}
-			g.Tick(now, Members{Listed: 1, Warmth: 1})
-			if !(g.limit >= 0 && g.limit < 1e9) {
-				t.Fatal(g.limit)
-			}
-		}
-	})
-}
-
-// The ways considered, on the same storms: mean time until service is back, and the most that a cold member was sent over
-// what it could do. The design page has the table.
-func TestCompareStrategies(t *testing.T) {
-	const seeds = 3
-	mean := map[string]time.Duration{}
-	for _, way := range []string{"none", "budget", "concurrency", "ramp"} {
-		for name := range retryPolicies {
-			var back time.Duration
-			peak, share := 0.0, 0.0
-			for seed := range uint64(seeds) {
-				w := newSimulation(seed, 3, 12, 0.6)
-				w.guarded, w.retryPolicy = way == "ramp", retryPolicies[name]
-				for range w.guards {
-					switch way {
-					case "budget":
-						w.alternatives = append(w.alternatives, &retryBudget{})
-					case "concurrency":
-						w.alternatives = append(w.alternatives, &adaptiveConcurrency{limit: 20})
-					}
-				}
-				took, served := w.runOutage()
-				back += took / seeds
-				peak, share = max(peak, w.peakOverload), share+served/seeds
-			}
-			t.Logf("%-11s %-9s back after %4.0f s, served in time in 60 s %.2f, peak at a cold member %.1f", way, name, back.Seconds(), share, peak)
-			mean[way] += back / time.Duration(len(retryPolicies))
-		}
-	}
-	assert.Less(t, mean["ramp"], mean["none"]/2)
-	assert.LessOrEqual(t, mean["ramp"], mean["budget"]+second)
-	assert.LessOrEqual(t, mean["ramp"], mean["concurrency"]+second)
-}
--- a/internal/storm/world_test.go
+++ b/internal/storm/simulation_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// world plays gateways with guards before members, in virtual time: each member is one queue that serves in turn, and a
-// gateway sends what its guard lets in to the shorter of two queues. What a decision module would add is left out.
+// simulation simulates gateways with guards, and members, in virtual time: each member is a queue with one server,
+// and a gateway sends what its guard admits to the shortest queue of a few. All else that a gateway does is left
+// out.
 type simulation struct {
 	now          Time
 	rng          *rand.Rand
@@ -18,10 +19,10 @@
 	guards       []*Guard
 	generation   []int
 	guarded      bool
-	alternatives []admissionControl // another way of damping, for each gateway; nil: the guards
+	alternatives []admissionControl // of each gateway, instead of guards; nil: none
 	members      []member
-	arrivalRate  float64 // first tries a second
-	partitioned  bool    // gateways don't hear each other
+	arrivalRate  float64 // first attempts a second
+	partitioned  bool    // gateways receive no messages of each other
 
 	retryPolicy retryPolicy
 	honorRatio  float64
@@ -29,15 +30,16 @@
 	patience    time.Duration
 	accounts    int
 
-	offered, inTime []float64 // worth of first tries, by the second that they were meant for
-	phases          []Phase   // of the first guard, as they came
-	retries         [2]int    // retries that guards took for such, and did not
+	offered, inTime []float64 // value of first attempts, by the second in which they were made
+	phases          []Phase   // of the first guard
+	retries         [2]int    // retries that guards recognized, and that they didn't
 	peakOverload    float64
 	t               *testing.T
 }
 
 func (w *simulation) test() *testing.T { return w.t }
 
+// member is a pool member.
 type member struct {
 	up, hung bool
 	started  Time
@@ -45,6 +47,7 @@
 	sends    []Time
 }
 
+// retryPolicy is how clients retry: exponential backoff with jitter.
 type retryPolicy struct {
 	first  time.Duration
 	factor float64
@@ -53,8 +56,10 @@
 }
 
 var retryPolicies = map[string]retryPolicy{
-	"immediate": {100 * time.Millisecond, 1, 100 * time.Millisecond, 0}, "fixed": {time.Second, 1, time.Second, 0},
-	"doubling": {200 * time.Millisecond, 2, 5 * time.Second, 0}, "jittered": {200 * time.Millisecond, 2, 5 * time.Second, 1},
+	"immediate": {100 * time.Millisecond, 1, 100 * time.Millisecond, 0},
+	"fixed":     {time.Second, 1, time.Second, 0},
+	"doubling":  {200 * time.Millisecond, 2, 5 * time.Second, 0},
+	"jittered":  {200 * time.Millisecond, 2, 5 * time.Second, 1},
 }
 
 const (
@@ -66,10 +71,14 @@
 	simulationStart = time.Hour
 )
 
-var classes = []Class{{LatencyTarget: latencyTarget, Value: 1}, {LatencyTarget: latencyTarget, Value: 3, NonIdempotent: true}}
+var classes = []Class{
+	{LatencyTarget: latencyTarget, Value: 1},
+	{LatencyTarget: latencyTarget, Value: 3, NonIdempotent: true},
+}
 
 func newSimulation(seed uint64, gateways, members int, load float64) *simulation {
-	w := &simulation{now: simulationStart, rng: rand.New(rand.NewPCG(seed, 1)), arrivalRate: load * float64(members) * capacity, guarded: true,
+	w := &simulation{now: simulationStart, rng: rand.New(rand.NewPCG(seed, 1)),
+		arrivalRate: load * float64(members) * capacity, guarded: true,
 		retryPolicy: retryPolicies["fixed"], honorRatio: 0.5, markRetries: true, patience: 15 * time.Second, accounts: 60}
 	for range members {
 		w.members = append(w.members, member{up: true})
@@ -81,18 +90,18 @@
 	return w
 }
 
-// boot starts a gateway's guard, or starts it anew.
+// restartGuard starts a gateway's guard, or replaces it by a new one.
 func (w *simulation) restartGuard(i int) {
 	w.generation[i]++
 	life := w.generation[i]
-	w.guards[i] = New(Options{Self: i, Gateways: len(w.guards), Seed: uint64(i), Classes: classes, Prices: []float64{1.2, 1.6},
-		MaxRetryAfter: 8 * time.Second, ConnectionRate: 200})
-	var beat func()
-	beat = func() {
+	w.guards[i] = New(Options{Self: i, Gateways: len(w.guards), Seed: uint64(i), Classes: classes,
+		Prices: []float64{1.2, 1.6}, MaxRetryAfter: 8 * time.Second, ConnectionRate: 200})
+	var tick func()
+	tick = func() {
 		if w.generation[i] != life {
 			return
 		}
-		w.after(TickInterval, beat)
+		w.after(TickInterval, tick)
 		seen := Members{}
 		for k := range w.members {
 			m := &w.members[k]
@@ -103,19 +112,20 @@
 			}
 		}
 		seen.Warmth /= float64(max(seen.Listed, 1))
-		word := w.guards[i].Tick(w.now, seen)
+		message := w.guards[i].Tick(w.now, seen)
 		if p, _ := w.guards[i].State(); i == 0 && (len(w.phases) == 0 || w.phases[len(w.phases)-1] != p) {
 			w.phases = append(w.phases, p)
 		}
 		for to := range w.guards {
-			if to != i && word != nil && !w.partitioned {
-				w.after(5*time.Millisecond, func() { w.guards[to].Receive(w.now, i, word) })
+			if to != i && message != nil && !w.partitioned {
+				w.after(5*time.Millisecond, func() { w.guards[to].Receive(w.now, i, message) })
 			}
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(TickInterval))), beat)
+	w.after(time.Duration(w.rng.Int64N(int64(TickInterval))), tick)
 }
 
+// warmth returns the fraction of its capacity that a member has.
 func (w *simulation) warmth(m *member) float64 {
 	if m.started == 0 || w.now-m.started >= warmUpTime {
 		return 1
@@ -123,7 +133,7 @@
 	return initialWarmth + (1-initialWarmth)*(w.now-m.started).Seconds()/warmUpTime.Seconds()
 }
 
-// client is one piece of work with all its tries.
+// client is one piece of work with all its attempts.
 type client struct {
 	arrival          Arrival
 	startedAt        Time
@@ -132,7 +142,7 @@
 	gateway          int
 }
 
-// play lets first tries come for so long, at a multiple of what is usual.
+// runLoad runs the simulation for some time with first attempts at a multiple of the usual rate.
 func (w *simulation) runLoad(length time.Duration, times float64) {
 	end := w.now + length
 	var next func()
@@ -140,13 +150,15 @@
 		if w.now >= end {
 			return
 		}
-		w.firstAttempt(Arrival{Account: uint64(w.rng.IntN(w.accounts)), Class: w.rng.IntN(2), Plan: w.rng.IntN(2), Units: float64(1 + w.rng.IntN(4))})
+		w.firstAttempt(Arrival{Account: uint64(w.rng.IntN(w.accounts)), Class: w.rng.IntN(2), Plan: w.rng.IntN(2),
+			Units: float64(1 + w.rng.IntN(4))})
 		w.after(time.Duration(w.rng.ExpFloat64()/(times*w.arrivalRate)*float64(time.Second)), next)
 	}
 	w.after(0, next)
 	w.run(end)
 }
 
+// run executes the events before a time.
 func (w *simulation) run(until Time) {
 	for len(w.events) > 0 && w.events[0].at < until {
 		e := heap.Pop(&w.events).(event)
@@ -156,12 +168,15 @@
 	w.now = until
 }
 
+// firstAttempt starts a client.
 func (w *simulation) firstAttempt(a Arrival) {
-	c := &client{arrival: a, startedAt: w.now, honorsRetryAfter: w.rng.Float64() < w.honorRatio, gateway: w.rng.IntN(len(w.guards))}
+	c := &client{arrival: a, startedAt: w.now, honorsRetryAfter: w.rng.Float64() < w.honorRatio,
+		gateway: w.rng.IntN(len(w.guards))}
 	w.addValue(&w.offered, c)
 	w.attempt(c)
 }
 
+// addValue adds a client's value to the second in which it started.
 func (w *simulation) addValue(to *[]float64, c *client) {
 	s := int((c.startedAt - simulationStart) / time.Second)
 	for len(*to) <= s {
@@ -170,6 +185,7 @@
 	(*to)[s] += classes[c.arrival.Class].Value * []float64{1.2, 1.6}[c.arrival.Plan]
 }
 
+// attempt makes an attempt of a client's, and retries it if it fails.
 func (w *simulation) attempt(c *client) {
 	c.attempts++
 	c.arrival.MarkedRetry = w.markRetries && c.attempts > 1
@@ -223,7 +239,7 @@
 		m.freeAt = max(m.freeAt, w.now) + time.Duration(w.rng.ExpFloat64()/(capacity*w.warmth(m))*float64(time.Second))
 		took := m.freeAt - w.now
 		switch {
-		case took > deadline: // the work is done all the same, for nobody
+		case took > deadline: // the member does the work although nobody waits for it
 			w.after(deadline, func() { done(Failed) })
 		case took > latencyTarget:
 			w.after(took, func() { done(Late) })
@@ -233,7 +249,7 @@
 	}
 }
 
-// pick gives the shorter queue of two that are up, as far as a few tries find one.
+// pickMember returns the shortest queue of three, preferring members that are up.
 func (w *simulation) pickMember() (best *member) {
 	for range 3 {
 		m := &w.members[w.rng.IntN(len(w.members))]
@@ -244,11 +260,12 @@
 	return best
 }
 
+// retry makes the client's next attempt after its backoff or the Retry-After that it was given, while it has patience.
 func (w *simulation) retry(c *client, wait time.Duration) {
-	pause := time.Duration(math.Min(w.retryPolicy.first.Seconds()*math.Pow(w.retryPolicy.factor, float64(c.attempts-1)), w.retryPolicy.max.Seconds()) *
-		(1 - w.retryPolicy.jitter*w.rng.Float64()) * float64(time.Second))
-	heeded := c.honorsRetryAfter && wait > 0
-	if heeded {
+	p := w.retryPolicy
+	pause := time.Duration(math.Min(p.first.Seconds()*math.Pow(p.factor, float64(c.attempts-1)), p.max.Seconds()) *
+		(1 - p.jitter*w.rng.Float64()) * float64(time.Second))
+	if c.honorsRetryAfter && wait > 0 {
 		pause = wait
 	}
 	if w.now+pause-c.startedAt > w.patience {
@@ -260,13 +277,14 @@
 	})
 }
 
+// stop stops members.
 func (w *simulation) stop(members ...int) {
 	for _, i := range members {
 		w.members[i].up = false
 	}
 }
 
-// restore brings members back, cold and with empty queues.
+// restore restarts members, with empty queues and warming up.
 func (w *simulation) restore(members ...int) {
 	for _, i := range members {
 		w.members[i] = member{up: true, started: w.now, freeAt: w.now}
@@ -280,10 +298,11 @@
 	return list
 }
 
-// share is the part of the worth meant for a stretch of time that was served in time.
+// goodput returns the fraction of the value offered in a time that was served within the latency target.
 func (w *simulation) goodput(from, to Time) float64 {
 	asked, served := 0.0, 0.0
-	for s := int((from - simulationStart) / time.Second); s < int((to-simulationStart)/time.Second) && s < len(w.offered); s++ {
+	first, end := int((from-simulationStart)/time.Second), int((to-simulationStart)/time.Second)
+	for s := first; s < min(end, len(w.offered)); s++ {
 		asked += w.offered[s]
 		if s < len(w.inTime) {
 			served += w.inTime[s]
@@ -292,7 +311,7 @@
 	return served / math.Max(asked, 1e-9)
 }
 
-// back is how long after a moment the share served in time is back for good at 0.95 of what it was.
+// timeToRecover returns how long after a time the goodput stays above 0.95 of what it was.
 func (w *simulation) timeToRecover(from, to Time, usual float64) time.Duration {
 	back := time.Duration(0)
 	for at := from; at+4*time.Second <= to; at += time.Second {
@@ -303,12 +322,14 @@
 	return back
 }
 
+// event is something that happens at a time.
 type event struct {
 	at     Time
 	serial int
 	do     func()
 }
 
+// events is a priority queue of events, by time and then in the order of their scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -324,49 +345,29 @@
 	return x
 }
 
+// after schedules an event.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.serial++
 	heap.Push(&w.events, event{w.now + d, w.serial, do})
 }
 
-// damper is one of the ways that were considered.
-type admissionControl interface {
-	admit(retry bool) bool
-	attemptEnded(Outcome)
-}
-
-// budget lets retries in for a share of the first tries, and all of those (Finagle's and Envoy's retry budgets).
-type retryBudget struct{ tokens float64 }
-
-func (b *retryBudget) admit(retry bool) bool {
-	if !retry {
-		b.tokens = math.Min(10, b.tokens+0.2)
-		return true
-	}
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
+// runOutage stops all members for 20 s and restores them. It returns how long after that the service had recovered
+// for good, and the goodput of the minute after that.
+func (w *simulation) runOutage() (back time.Duration, share float64) {
+	w.runLoad(20*second, 1)
+	usual := w.goodput(simulationStart+5*second, w.now)
+	w.stop(w.allMembers()...)
+	w.runLoad(20*second, 1)
+	w.restore(w.allMembers()...)
+	restored := w.now
+	w.runLoad(70*second, 1)
+	return w.timeToRecover(restored, restored+60*second, usual), w.goodput(restored, restored+60*second)
 }
-func (b *retryBudget) attemptEnded(Outcome) {}
 
-// concurrency bounds what is out at once, one more for as many in time and a tenth less for each that is not (adaptive
-// concurrency, by additive increase and multiplicative decrease).
-type adaptiveConcurrency struct{ limit, inFlight float64 }
-
-func (c *adaptiveConcurrency) admit(bool) bool {
-	if c.inFlight >= math.Max(1, c.limit) {
-		return false
-	}
-	c.inFlight++
-	return true
-}
-
-func (c *adaptiveConcurrency) attemptEnded(end Outcome) {
-	if c.inFlight--; end == InTime {
-		c.limit += 1 / math.Max(1, c.limit)
-	} else {
-		c.limit = math.Max(1, 0.9*c.limit)
-	}
+// runStorm runs an outage of all members with a policy of the clients, with guards or without.
+func runStorm(policy string, seed uint64, guarded bool, honorRatio float64) (*simulation, time.Duration) {
+	w := newSimulation(seed, 3, 12, 0.6)
+	w.guarded, w.retryPolicy, w.honorRatio = guarded, retryPolicies[policy], honorRatio
+	back, _ := w.runOutage()
+	return w, back
 }
