--- a/cmd/sprucelab/learning.go
+++ b/cmd/sprucelab/learning.go
@@ -37,9 +37,7 @@
 			if shortMode() {
 				l.Warm, l.Measured, l.Hang = 6*time.Second, 12*time.Second, 11*time.Second
 			}
-			for i := range seeds {
-				l.Seeds = append(l.Seeds, first+uint64(i))
-			}
+			l.Seeds = seedsFrom(first, seeds)
 			runs, err := l.Run(ctx)
 			if err != nil {
 				return err
--- a/cmd/sprucelab/result.go
+++ b/cmd/sprucelab/measurement.go
@@ -9,6 +9,14 @@
 // shortMode tells whether a measurement is to take less than fifty seconds.
 func shortMode() bool { return os.Getenv("SHORT") != "" && os.Getenv("SHORT") != "0" }
 
+// seedsFrom returns count seeds from first on.
+func seedsFrom(first uint64, count int) (seeds []uint64) {
+	for i := range count {
+		seeds = append(seeds, first+uint64(i))
+	}
+	return seeds
+}
+
 // resultLine builds the last line of a measurement.
 type resultLine struct{ text strings.Builder }
 
--- a/cmd/sprucelab/storm.go
+++ b/cmd/sprucelab/storm.go
@@ -125,9 +125,7 @@
 				p.Warm, p.Outage, p.After, p.Patience = 6*time.Second, 7*time.Second, 24*time.Second, 6*time.Second
 				seeds = min(seeds, 1)
 			}
-			for i := range seeds {
-				p.Seeds = append(p.Seeds, first+uint64(i))
-			}
+			p.Seeds = seedsFrom(first, seeds)
 			for _, m := range load.Models {
 				if only == "" || only == m.Name {
 					p.Models = append(p.Models, m)
--- a/cmd/sprucelab/upgrade.go
+++ b/cmd/sprucelab/upgrade.go
@@ -37,9 +37,7 @@
 			if shortMode() {
 				p.Upgrades, seeds = min(p.Upgrades, 2), min(seeds, 2)
 			}
-			for i := range seeds {
-				p.Seeds = append(p.Seeds, first+uint64(i))
-			}
+			p.Seeds = seedsFrom(first, seeds)
 			runs, err := p.Run(ctx)
 			if err != nil {
 				return err
--- a/cmd/sprucelane/ending_test.go
+++ b/cmd/sprucelane/ending_test.go
@@ -19,8 +19,8 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-// SIGTERM comes twice, amid more other signals than there is room for while the process reads a configuration that
-// nobody has written yet: it ends all the same, and what it holds is answered first.
+// SIGTERM arrives twice among more other signals than their channel has room for, while the process blocks in reading a
+// configuration from a pipe without a writer: it shuts down all the same, and open requests are answered first.
 func TestEndAmidOtherSignals(t *testing.T) {
 	taken, free := make(chan bool), make(chan bool)
 	s := newSite(t, func(_ *fake.Peer, c net.Conn, _ fake.Seen) bool {
@@ -40,9 +40,9 @@
 	pipe := filepath.Join(s.dir, "pipe")
 	require.NoError(t, syscall.Mkfifo(pipe, 0o600))
 	require.NoError(t, os.Rename(s.config, s.config+".old"))
-	require.NoError(t, os.Rename(pipe, s.config)) // to read it is to wait for who writes it
+	require.NoError(t, os.Rename(pipe, s.config)) // reading it blocks until something opens it for writing
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { // it waits there
+	require.Eventually(t, func() bool { // it blocks there
 		f, err := os.OpenFile(s.config, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		if err != nil {
 			return false
@@ -50,12 +50,12 @@
 		for range 20 {
 			p.Process.Signal(syscall.SIGUSR1)
 			p.Process.Signal(syscall.SIGHUP)
-			time.Sleep(time.Millisecond) // each is to be delivered, and not to be one with the next
+			time.Sleep(time.Millisecond) // so that each is delivered, and not merged with the next
 		}
 		p.Process.Signal(syscall.SIGTERM)
 		p.Process.Signal(syscall.SIGTERM)
 		time.Sleep(50 * time.Millisecond)
-		require.NoError(t, os.Rename(s.config+".old", s.config)) // for those to come
+		require.NoError(t, os.Rename(s.config+".old", s.config)) // for later reloads
 		return f.Close() == nil
 	}, time.Minute, time.Millisecond)
 	close(free)
@@ -69,8 +69,8 @@
 	p.says("event=reload_failed")
 }
 
-// Idle clients hold all descriptors that clients may have while discovery is silent: what comes back when it speaks
-// again is noticed in time, and acted on, and a client that asks is served.
+// Idle clients have all connections that clients may have, and discovery doesn't answer. Once it answers again its
+// update takes effect in time, and a client's request is served.
 func TestIdleClientsHoldTheDescriptors(t *testing.T) {
 	s := newSite(t, fake.OK("old"))
 	next := fake.New(t, fake.OK("new"))
@@ -95,7 +95,7 @@
 	p := s.start()
 	p.ready()
 	limit := fmt.Sprintf("/proc/%d/fd", p.Process.Pid)
-	for range 200 { // some are closed to make room
+	for range 200 { // some are evicted for others
 		c, err := net.Dial("tcp", s.host+":8080")
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -20,9 +20,9 @@
 	"sprucelane.example/sprucelane/internal/logging"
 )
 
-// The whole program: it starts from its last known list, serves both fronts, and on SIGTERM answers what it took and
-// ends without an error. On SIGHUP it reads its configuration again and serves on. Counters are printed on request
-// and at the exit.
+// The whole program: it starts with its cached server list, serves both fronts, and on SIGTERM answers what it has
+// accepted and exits without an error. On SIGHUP it reloads its configuration. Counters are logged on SIGUSR1 and at
+// the exit.
 func TestWholeLife(t *testing.T) {
 	lines := fake.Log(t)
 	member := fake.New(t, fake.OK("sent"))
@@ -66,7 +66,7 @@
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGUSR1))
 	require.Eventually(t, func() bool { return strings.Contains(lines.String(), "event=counters part=introspection") },
 		time.Minute, time.Millisecond)
-	// A broken file changes nothing; a good one moves discovery, though the environment still names the old agent.
+	// A malformed file changes nothing; a good one moves discovery, though the environment still names the old agent.
 	next := fake.New(t, fake.OK("moved"))
 	mover := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -85,7 +85,7 @@
 		_, body := fake.Ask(t, "http://"+host+":8080", "work-order", "utility", 20000)
 		return body == "moved"
 	}, time.Minute, 5*time.Millisecond)
-	// New settings count for what is taken from then on: a class more. A file that is broken leaves them as they are.
+	// New settings, here another class, apply to requests from then on. A malformed file changes nothing.
 	moved := strings.Replace(text, old, strings.TrimPrefix(mover.URL, "http://"), 1)
 	more := strings.Replace(moved, `"services":[`, `"services":[{"name":"health-read","objective":1200000000,"give_up":20000000000,"effect":"free","worth":1},`, 1)
 	for _, reload := range [][2]string{{more, "era=1 classes=2"}, {strings.Replace(moved, `"max_attempts":4`, `"max_attempts":0`, 1), "allowed.max_attempts"},
@@ -105,7 +105,7 @@
 	said.Body.Close()
 	require.NoError(t, err)
 	assert.Equal(t, "serving recovery=full\n", string(text2))
-	// Drained, it sends clients away and answers those that come all the same; undrained, it takes them again.
+	// While drained it closes connections after each response, and still answers; undrained it keeps them again.
 	for _, step := range []struct {
 		call  string
 		ready int
@@ -130,7 +130,7 @@
 	assert.NotContains(t, lines.String(), "tok-1")
 }
 
-// execute runs one command of the program in an environment and gives its exit code and what it printed.
+// execute runs one command of the program in an environment, and returns its exit code and output.
 func execute(env map[string]string, args ...string) (int, string) {
 	var out strings.Builder
 	root := newRootCommand(func(k string) string { return env[k] })
@@ -139,7 +139,8 @@
 	return cli.Main(root, func(err error) { fmt.Fprintln(&out, "failed:", err) }), out.String()
 }
 
-// What can't be used ends the program with 2 and names the flag, the variable or the key; check names every fault.
+// Unusable flags, environment or configuration end the program with code 2 and an error that names the flag, the
+// variable or the key; check names every error.
 func TestCommandsNameWhatIsWrong(t *testing.T) {
 	t.Cleanup(func() { logging.Set(os.Stderr, "text", "info") })
 	dir := t.TempDir()
--- a/cmd/sprucelane/store_test.go
+++ b/cmd/sprucelane/store_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/store"
 )
 
-// Operators look at a folder, find out that it is damaged, save what can be saved, and see what is left.
+// Operators inspect a folder, find it damaged, repair it, and see what is left.
 func TestStoreCalls(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "store")
 	fs, err := store.OpenDir(dir)
--- a/cmd/sprucelane/upgrade_test.go
+++ b/cmd/sprucelane/upgrade_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/fake"
 )
 
-// The test's own program is the gateway where it is started so.
+// TestMain makes the test's own program a gateway if the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("SPRUCELANE_TEST_SERVE") != "" {
 		main()
@@ -31,7 +31,8 @@
 	os.Exit(m.Run())
 }
 
-// site is where the processes of one gateway run: real ones, with a folder in common.
+// site runs the processes of one gateway: real ones, with a shared folder, one fake server and an agent that never
+// answers.
 type site struct {
 	t      *testing.T
 	dir    string
@@ -86,7 +87,7 @@
 	return p
 }
 
-// ready waits until the process says yes to operators.
+// ready waits until the process is ready, as operators see it.
 func (p *process) ready() {
 	require.Eventually(p.t, func() bool {
 		c, err := net.Dial("tcp", p.control)
@@ -115,14 +116,15 @@
 	}
 }
 
-// client asks without a pause on a connection that it keeps until an answer is the last, as the platform's do.
+// client sends requests without a pause, on a connection that it keeps until a response closes it, as the platform's
+// clients do.
 type client struct {
 	site     *site
 	conn     net.Conn
 	in       *bufio.Reader
 	n        int
-	asked    map[string]int // by what came of it
-	refused  int            // connections that didn't come up, or ended under a request
+	asked    map[string]int // by result
+	refused  int            // connections that were refused, or closed with a request open
 	customer int
 }
 
@@ -160,7 +162,7 @@
 	}
 }
 
-// load runs clients until the function it gives back is called, which gives what came of their requests.
+// load runs clients until the function that it returns is called, which returns their results.
 func (s *site) load(clients int) func() (map[string]int, int) {
 	stop, all := make(chan bool), sync.WaitGroup{}
 	list := make([]*client, clients)
@@ -193,14 +195,14 @@
 	}
 }
 
-// A new version takes over under load: no connection is refused, no request is left without its answer, and the old one
-// ends as soon as what it took is answered. Drained, the gateway stays drained.
+// A successor takes over under load: no connection is refused, each request is answered, and the predecessor exits once
+// all that it has accepted is answered. A drain outlives the upgrade.
 func TestUpgradeUnderLoad(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
 	first.ready()
 	begun, end := time.Now(), s.load(8)
-	time.Sleep(400 * time.Millisecond) // the burst of a customer is gone
+	time.Sleep(400 * time.Millisecond) // until the customers' bursts are used up
 	second := s.start()
 	second.ready()
 	first.says("step=given")
@@ -216,7 +218,7 @@
 	for code := range answers {
 		assert.Contains(t, []string{"200", "429"}, code)
 	}
-	most := 8 * (40 + time.Since(begun).Seconds()) // of a burst of 40 and 1 a second each; a little goes by chance
+	most := 8 * (40 + time.Since(begun).Seconds()) // customers with a burst of 40 and a rate of 1 a second
 	assert.Less(t, float64(answers["200"]), 1.3*most, "the three processes together keep to the quotas")
 	resp, err := http.Post("http://"+third.control+"/drain", "", nil)
 	require.NoError(t, err)
@@ -231,8 +233,8 @@
 	fourth.term()
 }
 
-// A successor that is killed, before or after it has taken over, leaves the gateway to the process before it, and the
-// next one takes over all the same. Two at once come one after the other.
+// If a successor is killed, before or after it has taken over, the predecessor serves again, and the next successor
+// takes over all the same. Two at once take over one after the other.
 func TestSuccessorsThatDie(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
@@ -262,7 +264,7 @@
 	last.term()
 }
 
-// A predecessor that is hung, or was killed and left its socket behind, doesn't keep a successor from serving.
+// A predecessor that hangs, or that was killed and left its socket file, doesn't keep a successor from serving.
 func TestPredecessorsThatDontAnswer(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	first := s.start()
@@ -284,7 +286,8 @@
 	third.term()
 }
 
-// SIGTERM may come before the hand-over: what the old process took is answered, and what comes waits for the new one.
+// SIGTERM may arrive before the handover: the predecessor answers what it has accepted, and later connections wait
+// for the successor.
 func TestSuccessorOfOneThatEnds(t *testing.T) {
 	s := newSite(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
 		time.Sleep(time.Second)
@@ -311,27 +314,27 @@
 }
 
 // A process that has handed over still has the descriptors that its clients' last requests need, though it had no
-// connection to a member open when it did.
+// connection to a server open then.
 func TestLastRequestsFindDescriptors(t *testing.T) {
 	s := newSite(t, func(p *fake.Peer, c net.Conn, r fake.Seen) bool {
-		time.Sleep(200 * time.Millisecond) // all are out at once
+		time.Sleep(200 * time.Millisecond) // all requests are in flight
 		return fake.OK("slow")(p, c, r)
 	})
 	first := s.start()
 	first.ready()
 	var clients []net.Conn
 	var in []*bufio.Reader
-	for i := range 4 { // as many as the member is first thought to bear
+	for i := range 4 { // the initial estimate of a server's capacity
 		c, err := net.Dial("tcp", s.host+":8080")
 		require.NoError(t, err)
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(time.Minute))
 		clients, in = append(clients, c), append(in, bufio.NewReader(c))
-		fmt.Fprint(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // so it is this process's
+		fmt.Fprint(c, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n") // so that the connection is this process's
 		resp, err := http.ReadResponse(in[i], nil)
 		require.NoError(t, err)
 		io.Copy(io.Discard, resp.Body)
-		fmt.Fprint(c, "POST /work-order/x HTTP/1.1\r\n") // begun: it is no idle one
+		fmt.Fprint(c, "POST /work-order/x HTTP/1.1\r\n") // a request has begun, so the connection is not idle
 	}
 	second := s.start()
 	second.ready()
@@ -350,7 +353,7 @@
 	second.term()
 }
 
-// Without the operators' address, or without a folder in common, nothing is opened for a successor.
+// Without the operators' address or a shared folder no socket for successors is opened.
 func TestNoUpgradesWithoutControl(t *testing.T) {
 	s := newSite(t, fake.OK("done"))
 	for _, env := range []string{"ROUTER_CONTROL=", "TMPDIR="} {
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Deployment is the platform's settings object: what the policy is told, and what only discovery and the pool need.
+// Deployment is the platform's settings object: what the policy gets, and what only discovery and the pool need.
 type Deployment struct {
 	policy.Settings
 
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -11,7 +11,7 @@
 //
 // # Invariants
 //
-//   - An instance keeps its server ID for as long as it is listed. An ID is never used again, so whoever keeps one
+//   - An instance keeps its server ID for as long as it is listed. An ID is never used again, so what keeps one
 //     after its instance has left the list refers to no other.
 //   - Lists and changes are applied in the order in which the source sent them; after a gap, the whole list is.
 //   - A change is known updateDeadline after the source could have sent it, although any one call fails in any way.
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -46,7 +46,7 @@
 }
 
 // listen makes a socket at a path of its own and renames it to socketPath, so that a successor finds either the old
-// socket or the new one. It closes the listener of before.
+// socket or the new one. It closes the earlier listener.
 func (p *Predecessor) listen() error {
 	temporary := fmt.Sprintf("%s.%d", p.socketPath, os.Getpid())
 	os.Remove(temporary) // left by a process that was killed here
