--- a/cmd/sprucelane/upgrade_test.go
+++ b/cmd/sprucelane/upgrade_test.go
@@ -218,7 +218,7 @@
 	for code := range answers {
 		assert.Contains(t, []string{"200", "429"}, code)
 	}
-	most := 8 * (40 + time.Since(begun).Seconds()) // customers with a burst of 40 and a rate of 1 a second
+	most := 8 * (40 + time.Since(begun).Seconds()) // a burst of 40 and 1 a second of each customer; a few more are admitted by chance
 	assert.Less(t, float64(answers["200"]), 1.3*most, "the three processes together keep to the quotas")
 	resp, err := http.Post("http://"+third.control+"/drain", "", nil)
 	require.NoError(t, err)
