--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -74,6 +74,7 @@
 // ticksPerLogLine is how many ticks of a storm make a log line: one a second.
 const ticksPerLogLine = int(time.Second / storm.TickInterval)
 
+// stormLogLine gives the log line of a storm.
 func stormLogLine(stats storm.Stats, seen storm.Members) logLine {
 	recent := stats.Recent
 	return logLine{"storm", []slog.Attr{slog.String("phase", stats.Phase.String()),
@@ -146,6 +147,7 @@
 	return c.storm.refusalWait(c.Now(), tx, wait)
 }
 
+// refusalWait gives the wait that a refusal names, where wait is the one without a storm.
 func (g *stormGuard) refusalWait(now Time, tx *transaction, wait time.Duration) time.Duration {
 	if g == nil {
 		return wait
@@ -153,6 +155,7 @@
 	return g.Rejected(now, tx.arrival, wait)
 }
 
+// recordFailed takes in that a transaction was not served.
 func (g *stormGuard) recordFailed(now Time, tx *transaction) {
 	if g != nil {
 		g.Failed(now, tx.arrival)
@@ -182,6 +185,7 @@
 	}
 }
 
+// stormClasses gives what the storm control needs of the classes.
 func stormClasses(cfg policy.Settings) (list []storm.Class) {
 	for _, class := range cfg.Classes {
 		list = append(list, storm.Class{LatencyTarget: class.LatencyTarget, Value: class.Value,
@@ -190,6 +194,7 @@
 	return list
 }
 
+// stormPrices gives the plans' value multipliers.
 func stormPrices(cfg policy.Settings) (list []float64) {
 	for _, p := range cfg.Plans {
 		list = append(list, p.ValueMultiplier)
--- a/policy/api.go
+++ b/policy/api.go
@@ -20,9 +20,9 @@
 //     they do (Gateway.mayRunOn).
 //   - Host.Refuse is called only where no attempt may have run, or where a repeat is harmless.
 //   - Within any window all gateways together send a server that has just started no more than a multiple of what it
-//     can do (Gateway.withinColdBudget, ledger.Cold).
+//     can do (Gateway.withinSlowStartBudget, ledger.SlowStartBudget).
 //   - All gateways together admit no more of a customer than its hard limit, whichever messages are lost and whoever
-//     restarts (ledger.Part). The quota below the hard limit is kept as closely as peers' updates allow.
+//     restarts (ledger.BucketShare). The quota below the hard limit is kept as closely as peers' updates allow.
 //
 // # Quotas
 //
--- a/policy/carry.go
+++ b/policy/carry.go
@@ -81,6 +81,7 @@
 	}
 }
 
+// flags encodes booleans as 0 or 1.
 func (x *stateCodec) flags(list ...*bool) {
 	for _, v := range list {
 		var n uint8
@@ -92,6 +93,7 @@
 	}
 }
 
+// text encodes a string: its length, and its bytes.
 func (x *stateCodec) text(s *string) {
 	n := x.length(len(*s), 1)
 	if !x.reading {
@@ -124,6 +126,7 @@
 	}
 }
 
+// means encodes decaying means.
 func (x *stateCodec) means(list ...*decayingMean) {
 	for _, m := range list {
 		x.numbers(&m.sum, &m.weight)
@@ -132,6 +135,7 @@
 	}
 }
 
+// pushSum encodes this gateway's part of push-sum figures.
 func (x *stateCodec) pushSum(t *pushSum) {
 	x.numbers(&t.local[0], &t.local[1], &t.pooled[0], &t.pooled[1])
 	x.times(&t.decayedAt)
@@ -168,6 +172,7 @@
 	return *at
 }
 
+// server encodes a server, without its attempts in flight.
 func (x *stateCodec) server(s *server) {
 	integers(x, &s.ID)
 	integers(x, &s.Zone, &s.Kind, &s.Cell, &s.ejections, &s.consecutiveFailures, &s.servedTotal)
@@ -179,6 +184,7 @@
 	listOf(x, &s.coldBudget.Sent, 1, func(t *Time) { x.times(t) })
 }
 
+// customer encodes a customer, without its requests and attempts.
 func (x *stateCodec) customer(c *customer) {
 	integers(x, &c.id)
 	x.flags(&c.seenHere, &c.lastQueryAdmitted, &c.limitFilled)
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -54,7 +54,7 @@
 	generation byte    // of the sender's record; its count of units starts anew with it
 	used       float64 // units drawn, as a count that wraps around
 	balance    float64 // by the sender's copy of the bucket, as a share of the burst
-	limitWord  byte    // what the sender's part of the hard limit lacks and grants: ledger.Part.Word
+	limitWord  byte    // what the sender's part of the hard limit lacks and grants: ledger.BucketShare.Grant
 	inFlight   byte    // attempts and queued requests
 }
 
@@ -80,6 +80,7 @@
 // take new settings over one after another, what a peer says of plans or classes with other names is dropped.
 type schemaHash [sectionCount]byte
 
+// schema gives the hash of the names of plans and classes.
 func (s Settings) schema() (hash schemaHash) {
 	h := fnv.New32a()
 	for _, p := range s.Plans {
@@ -93,6 +94,7 @@
 	return hash
 }
 
+// packUpdate gives the message of an update. Its entries must fit into messageBytes.
 func packUpdate(u update, schema schemaHash) []byte {
 	m := make([]byte, headerBytes, messageBytes)
 	if m[0] = wireVersion; u.olderPeer {
@@ -109,6 +111,7 @@
 	return m
 }
 
+// appendEntry appends an entry of a section.
 func appendEntry(m []byte, section int, e entry) []byte {
 	for i := keyBytes[section] - 1; i >= 0; i-- {
 		m = append(m, byte(e.key>>(8*i)))
@@ -205,12 +208,14 @@
 	units       float64
 }
 
+// packQuery gives the message of a query, with the units rounded up.
 func packQuery(q ownerQuery) []byte {
 	m := binary.BigEndian.AppendUint32([]byte{queryKind}, q.token)
 	m = binary.BigEndian.AppendUint16(m, uint16(math.Min(math.Ceil(q.units*usedSteps), math.MaxUint16)))
 	return appendKey(m, q.customerKey)
 }
 
+// unpackQuery reads a query; ok tells whether the message is one.
 func unpackQuery(m []byte, from int) (q ownerQuery, ok bool) {
 	if len(m) != queryBytes || m[0] != queryKind {
 		return ownerQuery{}, false
@@ -220,6 +225,7 @@
 	return q, true
 }
 
+// packAnswer gives an owner's answer to the query with a token.
 func packAnswer(token uint32, admitted bool) []byte {
 	m := append(binary.BigEndian.AppendUint32([]byte{answerKind}, token), 0)
 	if admitted {
@@ -228,6 +234,7 @@
 	return m
 }
 
+// unpackAnswer reads an answer; ok tells whether the message is one.
 func unpackAnswer(m []byte) (token uint32, admitted, ok bool) {
 	if len(m) != answerBytes || m[0] != answerKind || m[answerBytes-1] > 1 {
 		return 0, false, false
@@ -235,11 +242,13 @@
 	return binary.BigEndian.Uint32(m[1:]), m[answerBytes-1] == 1, true
 }
 
+// packReconcile gives the message that a customer's request drew so many units more than was estimated.
 func packReconcile(key uint64, more float64) []byte {
 	steps := int16(math.Max(math.MinInt16, math.Min(math.MaxInt16, math.Round(more*usedSteps))))
 	return appendKey(binary.BigEndian.AppendUint16([]byte{reconcileKind}, uint16(steps)), key)
 }
 
+// unpackReconcile reads a reconciliation; ok tells whether the message is one.
 func unpackReconcile(m []byte) (key uint64, more float64, ok bool) {
 	if len(m) != reconcileBytes || m[0] != reconcileKind {
 		return 0, 0, false
@@ -263,6 +272,7 @@
 	return uint64(id)*hash>>48<<32 | uint64(plan&255)<<24 | uint64(firstGateway&4095)<<12 | uint64(setSize&4095)
 }
 
+// splitCustomerKey gives the parts of a customer key that can be read from it.
 func splitCustomerKey(key uint64) (plan, firstGateway, setSize int) {
 	return int(key >> 24 & 255), int(key >> 12 & 4095), int(key & 4095)
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -71,6 +71,7 @@
 	decayedAt   Time
 }
 
+// decay brings the sums up to date.
 func (m *decayingMean) decay(now Time, memory time.Duration) {
 	if now > m.decayedAt {
 		f := decayFactor(now-m.decayedAt, memory)
@@ -80,6 +81,7 @@
 	}
 }
 
+// add brings the sums up to date and adds a sample.
 func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
 	m.decay(now, memory)
 	m.sum += x
@@ -152,6 +154,7 @@
 	}
 }
 
+// wasTried tells whether an attempt of the request was sent to a server.
 func (r *request) wasTried(s *server) bool { return slices.Contains(r.tried, s) }
 
 // attempt is one sending of a request to a server.
@@ -210,7 +213,7 @@
 	firstGateway  int
 	lastSeen      Time
 	balance       float64            // units of the quota; below 0 they were admitted ahead of the refill
-	hardLimit     ledger.BucketShare // this gateway's part of the hard limit
+	hardLimit     ledger.BucketShare // this gateway's share of the hard limit
 	limitFilled   bool               // that part was given its burst when the whole fleet started
 	reservedUnits float64            // of requests that are queued, or whose bodies are pending
 	refilledAt    Time               // balance and hardLimit are as of then
@@ -251,7 +254,7 @@
 	generation  byte // of the peer's record
 	used        float64
 	inFlight    byte    // attempts and queued requests at the peer
-	deficit     byte    // what its part of the hard limit lacks, as ledger.Part.Take gave it; 0 once answered
+	deficit     byte    // what its part of the hard limit lacks, as ledger.BucketShare.Receive gave it; 0 once answered
 	ownUsedSent float64 // customer.used as the peer was last sent it
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -44,6 +44,7 @@
 	return nil
 }
 
+// shortestTarget is Settings.ShortestTarget.
 func (g *Gateway) shortestTarget() time.Duration { return g.cfg.ShortestTarget() }
 
 // ShortestTarget gives the shortest latency target of all classes, from which the periods of a gateway's checks and
--- a/policy/state.go
+++ b/policy/state.go
@@ -113,6 +113,7 @@
 	return g, nil
 }
 
+// newGatewayPeers gives the state of a gateway that has heard no peer.
 func newGatewayPeers(cfg Settings) gatewayPeers {
 	times := func() []Time { return make([]Time, cfg.Gateways) }
 	return gatewayPeers{nearby: cfg.NearbyPeers(), peerAge: times(), peerLastContact: times(), peerResumedAt: times(),
@@ -180,4 +181,5 @@
 	return n
 }
 
+// listedServers counts the listed servers.
 func (g *Gateway) listedServers() int { return g.countListed(func(*server) bool { return true }) }
