--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -125,10 +125,10 @@
 		MaxUnits:          j.Extra.Largest,
 		DrainGrace:        j.Rules.StopSendingWithin,
 		WarmupTime:        j.Rules.WarmWithin,
-		ColdWindow:        j.Rules.Fall,
+		SlowStartWindow:   j.Rules.Fall,
 		ListRefreshWithin: j.Rules.MustAskIn,
 		InitialWarmth:     j.Rules.ColdFrom,
-		ColdMultiple:      j.Rules.FallMultiple,
+		SlowStartMultiple: j.Rules.FallMultiple,
 	}
 	if n := j.Allowed.MaxAttempts; n != nil {
 		if s.MaxAttempts = *n; *n <= 0 {
--- a/internal/emulator/deployments.go
+++ b/internal/emulator/deployments.go
@@ -34,7 +34,7 @@
 	s.Accounts = 3 + rng.IntN(3*s.Members)
 	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4), Hedging: coin(0.4),
 		Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: spread(rng, 0, 2), PeerMessageRate: between(rng, 20, 200), MaxUnits: 8,
-		DrainGrace: 250 * time.Millisecond, ColdWindow: time.Second, ColdMultiple: 4, ListRefreshWithin: 10 * time.Second,
+		DrainGrace: 250 * time.Millisecond, SlowStartWindow: time.Second, SlowStartMultiple: 4, ListRefreshWithin: 10 * time.Second,
 		InitialWarmth: between(rng, 0.15, 0.5), WarmupTime: spread(rng, 2, 16)}
 	if coin(0.5) {
 		set.LoadReportFields = [][]string{{"latency_ms"}, {"inflight", "queue"}, {"queue", "latency_ms"}}[rng.IntN(3)]
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -14,7 +14,7 @@
 		Link: time.Millisecond, Loss: 0.03, Discovery: 1500 * time.Millisecond,
 		Settings: policy.Settings{Tick: time.Millisecond, MaxAttempts: 4, Hedging: true, Peers: true, Cancel: true, MaxRetryAfter: time.Second,
 			PeerMessageRate: 100, MaxUnits: 8, DrainGrace: 250 * time.Millisecond, WarmupTime: 16 * time.Second,
-			ColdWindow: time.Second, ListRefreshWithin: 10 * time.Second, InitialWarmth: 0.18, ColdMultiple: 4,
+			SlowStartWindow: time.Second, ListRefreshWithin: 10 * time.Second, InitialWarmth: 0.18, SlowStartMultiple: 4,
 			Classes: []policy.Class{{Name: "health-read", LatencyTarget: aim, Deadline: deadline, Value: 1},
 				{Name: "work-order", LatencyTarget: aim, Deadline: deadline, Value: 3, Idempotency: policy.NotIdempotent}},
 			Plans: []policy.Plan{{Name: "small-farm", Rate: 8, Burst: 30, ValueMultiplier: 1.2, OverQuotaCost: 1.2},
--- a/internal/emulator/ramp_test.go
+++ b/internal/emulator/ramp_test.go
@@ -30,7 +30,7 @@
 				s.Accounts, s.Troubles, s.Discovery = 300, troubles, 20*time.Millisecond
 				r, err := Play(s)
 				require.NoError(t, err)
-				assert.LessOrEqual(t, r.PeakCold, s.Settings.ColdMultiple)
+				assert.LessOrEqual(t, r.PeakCold, s.Settings.SlowStartMultiple)
 				assert.Positive(t, r.PeakCold, "cold members were sent something")
 			})
 		}
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -46,7 +46,7 @@
 			life := knowledge.Life(name)
 			at[life] = observedServer{o.ID, o.ServedTotal}
 			s := knowledge.Observation{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue, Pace: o.RelativeLatency,
-				Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth, Cold: o.ColdSends}
+				Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth, Cold: o.SlowStartSends}
 			if o.ServedTotal > 0 {
 				s.Answered = now - o.LastServed
 			}
@@ -79,7 +79,7 @@
 				continue
 			}
 			list = append(list, policy.Prior{ID: s.id, StartedAt: startTime(p.StartedMs), RelativeLatency: p.Pace, Weight: p.Weight, Capacity: p.Room,
-				ColdBudgetTaken: p.Cold})
+				SlowStartBudgetTaken: p.Cold})
 		}
 		return list
 	})
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -202,7 +202,7 @@
 	if told, ok := m.told[gateway]; ok && now-told > r.Set.DrainGrace+2*r.Way {
 		r.Breaks(now, DrainKept, q)
 	}
-	window, multiple := r.Set.ColdWindow, r.Set.ColdMultiple
+	window, multiple := r.Set.SlowStartWindow, r.Set.SlowStartMultiple
 	if warmth >= 1 || window <= 0 || multiple <= 0 {
 		return
 	}
--- a/internal/lab/referee/referee_test.go
+++ b/internal/lab/referee/referee_test.go
@@ -17,7 +17,7 @@
 
 // settings are of a class of each kind, one room's grace and a plan with all that a plan may have.
 func settings() policy.Settings {
-	return policy.Settings{MaxAttempts: 3, DrainGrace: second / 4, ColdWindow: second, ColdMultiple: 4,
+	return policy.Settings{MaxAttempts: 3, DrainGrace: second / 4, SlowStartWindow: second, SlowStartMultiple: 4,
 		Classes: []policy.Class{{Name: "read"}, {Name: "order", Idempotency: policy.NotIdempotent}, {Name: "batch", Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeCell, DedupWindow: 2 * second},
 			{Name: "post", Idempotency: policy.IdempotentByKey, DedupScope: policy.ScopeZone, DedupWindow: 2 * second}},
 		Plans: []policy.Plan{{Rate: 1, Burst: 5, MaxInFlight: 2, HardLimitRate: 2, HardLimitBurst: 10, HardLimitSlack: 1}}}
--- a/policy/api.go
+++ b/policy/api.go
@@ -142,10 +142,10 @@
 
 	DrainGrace        time.Duration // how long a draining server may still be sent requests; not used here
 	WarmupTime        time.Duration // how long after its start a server may be slow; 0 means no warm-up
-	ColdWindow        time.Duration // over which the budget of a server that warms up is counted
+	SlowStartWindow   time.Duration // over which the budget of a server that warms up is counted
 	ListRefreshWithin time.Duration // bounds the backoff after a failed watch of the server list: a quarter of it here
 	InitialWarmth     float64       // share of its full capacity that a server has right after its start
-	ColdMultiple      float64       // a server that warms up is sent at most this multiple of what it can do
+	SlowStartMultiple float64       // a server that warms up is sent at most this multiple of what it can do
 }
 
 // Request is one request of a client.
@@ -213,12 +213,12 @@
 // Prior is an estimate of a server that stands in until this gateway has seen it answer. It changes no decision on
 // whether a server is usable.
 type Prior struct {
-	ID              ServerID
-	StartedAt       Time    // the server process that the estimate is of
-	RelativeLatency float64 // latency over the typical one of its class: 1 is like the others
-	Weight          float64 // in attempts: how many observed ones the estimate counts for
-	Capacity        float64 // in attempts of this gateway; 0 means unknown
-	ColdBudgetTaken bool    // other gateways are using the server's warm-up budget
+	ID                   ServerID
+	StartedAt            Time    // the server process that the estimate is of
+	RelativeLatency      float64 // latency over the typical one of its class: 1 is like the others
+	Weight               float64 // in attempts: how many observed ones the estimate counts for
+	Capacity             float64 // in attempts of this gateway; 0 means unknown
+	SlowStartBudgetTaken bool    // other gateways are using the server's warm-up budget
 }
 
 // Load is the load that other gateways are assumed to put on a server.
@@ -247,7 +247,7 @@
 	EjectedFor      time.Duration // how long it stays ejected
 	Capacity        float64       // in attempts of this gateway; 0 means unknown
 	Warmth          float64       // least share of its full capacity that it has, by the time since its start
-	ColdSends       int           // attempts sent in the last ColdWindow while it warmed up
+	SlowStartSends  int           // attempts sent in the last ColdWindow while it warmed up
 }
 
 // Outcome is the end of one attempt.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -40,7 +40,7 @@
 		g.setOccupiesSlot(a, false)
 		r.customer.reservedUnits += r.Units
 	}
-	g.countColdSend(a.server)
+	g.countSlowStartSend(a.server)
 }
 
 // removeAttempt undoes addAttempt and gives the attempt, nil where it is not in flight.
@@ -91,9 +91,9 @@
 }
 
 // countColdSend counts an attempt against the budget of a server that warms up.
-func (g *Gateway) countColdSend(s *server) {
+func (g *Gateway) countSlowStartSend(s *server) {
 	if s != nil && g.warmth(s) < 1 {
-		s.coldBudget.RecordSend(g.now)
+		s.slowStartBudget.RecordSend(g.now)
 	}
 }
 
--- a/policy/carry.go
+++ b/policy/carry.go
@@ -177,11 +177,11 @@
 	integers(x, &s.ID)
 	integers(x, &s.Zone, &s.Kind, &s.Cell, &s.ejections, &s.consecutiveFailures, &s.servedTotal)
 	integers(x, &s.State)
-	x.times(&s.StartedAt, &s.ejectedUntil, &s.coldBudget.CreditedAt, &s.lastServed)
+	x.times(&s.StartedAt, &s.ejectedUntil, &s.slowStartBudget.CreditedAt, &s.lastServed)
 	x.flags(&s.listed)
-	x.numbers(&s.Weight, &s.coldBudget.Credit, &s.capacity)
+	x.numbers(&s.Weight, &s.slowStartBudget.Credit, &s.capacity)
 	x.means(&s.relativeLatency, &s.failures, &s.wasted, &s.answers)
-	listOf(x, &s.coldBudget.Sent, 1, func(t *Time) { x.times(t) })
+	listOf(x, &s.slowStartBudget.Sent, 1, func(t *Time) { x.times(t) })
 }
 
 // customer encodes a customer, without its requests and attempts.
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -28,7 +28,7 @@
 	}
 	cold := ServerInfo{ID: 9, Weight: 1, StartedAt: f.now}
 	f.gateway.Servers(f.now, ListChanges, []ServerInfo{cold})
-	f.gateway.serversByID[9].coldBudget.Sent = []Time{f.now, f.now}
+	f.gateway.serversByID[9].slowStartBudget.Sent = []Time{f.now, f.now}
 	for range 4 {
 		f.gateway.recordHealth(f.gateway.serversByID[2], true)
 	}
@@ -82,7 +82,7 @@
 		if !n.gateway.ejected(n.gateway.serversByID[2]) || n.gateway.ejected(n.gateway.serversByID[1]) {
 			t.Errorf("%s: the ejected server is another", name)
 		}
-		if got := len(n.gateway.serversByID[9].coldBudget.Sent); got != 2 || n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
+		if got := len(n.gateway.serversByID[9].slowStartBudget.Sent); got != 2 || n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
 			t.Errorf("%s: %d sends to the cold server are known", name, got)
 		}
 	}
@@ -136,7 +136,7 @@
 	if balance, hardLimit := f.remaining(5); balance != 80 || hardLimit != 40 {
 		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", balance, hardLimit)
 	}
-	if got := len(f.gateway.serversByID[9].coldBudget.Sent); got != 20 {
+	if got := len(f.gateway.serversByID[9].slowStartBudget.Sent); got != 20 {
 		t.Errorf("%d sends to the cold server are known, of 20", got)
 	}
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -156,9 +156,9 @@
 // settings are those of one gateway with one class and one plan whose quota no test reaches.
 func settings() Settings {
 	return Settings{Gateways: 1, Tick: ms, MaxAttempts: 3, Hedging: true, Cancel: true,
-		Classes:    []Class{{Name: "read", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 1}},
-		Plans:      []Plan{{Name: "basic", Rate: 1000, Burst: 1000, ValueMultiplier: 1}},
-		ColdWindow: time.Second, ColdMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second, DrainGrace: time.Second}
+		Classes:         []Class{{Name: "read", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 1}},
+		Plans:           []Plan{{Name: "basic", Rate: 1000, Burst: 1000, ValueMultiplier: 1}},
+		SlowStartWindow: time.Second, SlowStartMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second, DrainGrace: time.Second}
 }
 
 // start gives a host with a gateway that has servers from 1 on.
--- a/policy/known.go
+++ b/policy/known.go
@@ -22,7 +22,7 @@
 		n = 1
 	}
 	c.balance = p.Burst
-	c.hardLimit.Refill(g.hardLimitPart(c), g.now-g.unseenFillSince, 0)
+	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.unseenFillSince, 0)
 	// Where the bucket is shared and this gateway is older than peerAliveFor it has heard of all that was drawn.
 	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
 		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
@@ -93,7 +93,7 @@
 	plan, peer := g.cfg.Plans[c.plan], &c.peers[g.peerSlot(from)]
 	stale := delay.Seconds()*plan.HardLimitRate > plan.HardLimitSlack
 	var uneven bool
-	if peer.deficit, uneven = c.hardLimit.Receive(g.hardLimitPart(c), e.limitWord, c.setSize, stale); uneven {
+	if peer.deficit, uneven = c.hardLimit.Receive(g.hardLimitShare(c), e.grant, c.setSize, stale); uneven {
 		g.queueUpdate(c, from)
 	}
 	known := peer.incarnation == g.incarnations[from] && peer.generation == e.generation
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -87,14 +87,14 @@
 	var warm decayingMean
 	for _, s := range g.servers {
 		if s.listed && g.warmth(s) >= 1 {
-			s.answers.decay(g.now, 2*g.cfg.ColdWindow)
+			s.answers.decay(g.now, 2*g.cfg.SlowStartWindow)
 			warm.sum, warm.weight = warm.sum+s.answers.sum, warm.weight+1
 		}
 	}
 	g.warmThroughput = math.Max(throughputDecay*g.warmThroughput, warm.sum/math.Max(warm.weight, 1)/2)
 	g.allCold = warm.weight == 0
 	if g.allCold && g.coldServiceTime.weight > 0 { // each serves one attempt after another at least
-		one := g.cfg.ColdWindow.Seconds() * g.coldServiceTime.weight / math.Max(g.coldServiceTime.sum, minLatency)
+		one := g.cfg.SlowStartWindow.Seconds() * g.coldServiceTime.weight / math.Max(g.coldServiceTime.sum, minLatency)
 		g.warmThroughput = math.Max(g.warmThroughput, one/float64(g.cfg.Gateways))
 	}
 }
@@ -105,7 +105,7 @@
 	if !g.allCold {
 		return 0
 	}
-	s.answers.decay(g.now, 2*g.cfg.ColdWindow)
+	s.answers.decay(g.now, 2*g.cfg.SlowStartWindow)
 	return s.answers.sum / 2
 }
 
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -54,13 +54,13 @@
 	generation byte    // of the sender's record; its count of units starts anew with it
 	used       float64 // units drawn, as a count that wraps around
 	balance    float64 // by the sender's copy of the bucket, as a share of the burst
-	limitWord  byte    // what the sender's part of the hard limit lacks and grants: ledger.BucketShare.Grant
+	grant      byte    // what the sender's part of the hard limit lacks and grants: ledger.BucketShare.Grant
 	inFlight   byte    // attempts and queued requests
 }
 
 // encodedSize gives the bytes of a customer's entry.
 func (e entry) encodedSize() int {
-	if e.limitWord == 0 && e.inFlight == 0 {
+	if e.grant == 0 && e.inFlight == 0 {
 		return maxEntrySize(customerSection) - tailBytes
 	}
 	return maxEntrySize(customerSection)
@@ -130,7 +130,7 @@
 	m = binary.BigEndian.AppendUint16(append(m, e.generation), uint16(int64(e.used*usedSteps)))
 	m = append(m, byte(int8(math.Round(127*math.Max(-1, math.Min(1, e.balance))))))
 	if withTail {
-		m = append(m, e.limitWord, e.inFlight)
+		m = append(m, e.grant, e.inFlight)
 	}
 	return m
 }
@@ -186,7 +186,7 @@
 		e.generation, e.balance = m[usage]&^tailFlag, float64(int8(m[usage+3]))/127
 		e.used = float64(binary.BigEndian.Uint16(m[usage+1:])) / usedSteps
 		if size == maxEntrySize(section) {
-			e.limitWord, e.inFlight = m[usage+4], m[usage+5]
+			e.grant, e.inFlight = m[usage+4], m[usage+5]
 		}
 	}
 	return e, size
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -90,7 +90,7 @@
 }
 
 // hardLimitPart gives the part of the hard limit that a record of a customer has.
-func (g *Gateway) hardLimitPart(c *customer) ledger.Limit {
+func (g *Gateway) hardLimitShare(c *customer) ledger.Limit {
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)*g.hardLimitHolders(c)
 	return ledger.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -248,10 +248,10 @@
 		units = 0
 	}
 	if !c.limitFilled && g.fleetJustStarted() {
-		c.limitFilled, c.hardLimit.Tokens = true, c.hardLimit.Tokens+g.hardLimitPart(c).Burst
+		c.limitFilled, c.hardLimit.Tokens = true, c.hardLimit.Tokens+g.hardLimitShare(c).Burst
 	}
 	c.balance = g.quotaView(c).Refill(g.cfg.Plans[c.plan].quota(), g.now-c.refilledAt, c.reservedUnits, units)
-	c.hardLimit.Refill(g.hardLimitPart(c), g.now-c.refilledAt, c.reservedUnits)
+	c.hardLimit.Refill(g.hardLimitShare(c), g.now-c.refilledAt, c.reservedUnits)
 	c.refilledAt = g.now
 }
 
@@ -507,7 +507,7 @@
 	}
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
 		// What a server was sent while it warmed up counts if it is listed again.
-		old := !s.listed && s.inFlight == 0 && !s.coldBudget.SentWithin(now, g.cfg.ColdWindow)
+		old := !s.listed && s.inFlight == 0 && !s.slowStartBudget.SentWithin(now, g.cfg.SlowStartWindow)
 		if old {
 			delete(g.serversByID, s.ID)
 		}
@@ -524,9 +524,9 @@
 		s = &server{}
 		g.serversByID[info.ID], g.servers = s, append(g.servers, s)
 	}
-	if info.StartedAt != s.StartedAt || s.coldBudget.CreditedAt == 0 {
+	if info.StartedAt != s.StartedAt || s.slowStartBudget.CreditedAt == 0 {
 		*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
-			coldBudget: ledger.SlowStartBudget{Sent: s.coldBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
+			slowStartBudget: ledger.SlowStartBudget{Sent: s.slowStartBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
 	}
 	s.ServerInfo, s.listed = info, info.State == Ready
 }
@@ -539,7 +539,7 @@
 	best, least := (*server)(nil), 0.0
 	for round := 0; round < 2 && best == nil; round++ {
 		for _, s := range g.servers {
-			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (heedEjection && g.ejected(s)) || !g.withinColdBudget(s) {
+			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (heedEjection && g.ejected(s)) || !g.withinSlowStartBudget(s) {
 				continue
 			}
 			if round == 0 && !g.preferred(r, s) {
@@ -572,7 +572,7 @@
 			}
 		}
 	}
-	if s.coldBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
+	if s.slowStartBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
 		return 0
 	}
 	return sum / n * (s.load() + s.peersInFlight + baseWork) / g.warmth(s)
@@ -589,8 +589,8 @@
 		}
 		s.relativeLatency = decayingMean{sum: p.RelativeLatency * p.Weight, weight: p.Weight, decayedAt: now}
 		s.capacity = cmp.Or(p.Capacity, s.capacity)
-		if p.ColdBudgetTaken {
-			s.coldBudget.Credit = math.Min(s.coldBudget.Credit, 0)
+		if p.SlowStartBudgetTaken {
+			s.slowStartBudget.Credit = math.Min(s.slowStartBudget.Credit, 0)
 		}
 	}
 }
@@ -646,11 +646,11 @@
 
 // withinColdBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can do is
 // estimated from what it has served here while cold and from what warm servers serve.
-func (g *Gateway) withinColdBudget(s *server) bool {
+func (g *Gateway) withinSlowStartBudget(s *server) bool {
 	warmth := g.warmth(s)
-	limit := ledger.SlowStartLimit{Window: g.cfg.ColdWindow, Multiple: g.cfg.ColdMultiple, Gateways: g.cfg.Gateways,
+	limit := ledger.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple, Gateways: g.cfg.Gateways,
 		Capacity: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slowdown: g.coldLatency.smoothed()}
-	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.coldBudget.Allows(g.now, limit)
+	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.slowStartBudget.Allows(g.now, limit)
 }
 
 // ---- Attempts ----
@@ -777,7 +777,7 @@
 	g.learnLatency(a.request, took)
 	g.workDone.add(g.now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
 	s.relativeLatency.add(g.now, memory, ratio)
-	s.answers.add(g.now, 2*g.cfg.ColdWindow, 1)
+	s.answers.add(g.now, 2*g.cfg.SlowStartWindow, 1)
 	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer turns
 		g.coldLatency.add(g.now, memory, ratio*warmth)
 		g.coldServiceTime.add(g.now, memory, took.Seconds()*warmth)
@@ -1011,8 +1011,8 @@
 	peer := &c.peers[g.peerSlot(to)]
 	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
 		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
-		limitWord: c.hardLimit.Grant(g.hardLimitPart(c), peer.deficit, c.setSize),
-		inFlight:  byte(min(255, c.inFlight+c.queued))}
+		grant:    c.hardLimit.Grant(g.hardLimitShare(c), peer.deficit, c.setSize),
+		inFlight: byte(min(255, c.inFlight+c.queued))}
 	c.pendingPeers &^= 1 << g.peerSlot(to)
 	peer.ownUsedSent, peer.deficit = c.used, 0
 	return e
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -66,10 +66,10 @@
 // A client leaves while its request waits for a cold server's turn: the turn is not used for it.
 func TestQueuedRequestWhoseClientLeft(t *testing.T) {
 	s := settings()
-	s.Gateways, s.ColdMultiple, s.Hedging = 3, 0.001, false
+	s.Gateways, s.SlowStartMultiple, s.Hedging = 3, 0.001, false
 	f := start(t, s, 0)
 	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 1, Weight: 1, StartedAt: f.now}})
-	f.gateway.serversByID[1].coldBudget.Credit = 0
+	f.gateway.serversByID[1].slowStartBudget.Credit = 0
 	for id := range RequestID(3) {
 		f.ask(id+1, func(r *Request) { r.Deadline = f.now + time.Minute; r.Class = 0 })
 	}
@@ -81,7 +81,7 @@
 		}
 	}
 	require.Positive(t, held, "what can't be sent yet is held")
-	f.gateway.serversByID[1].coldBudget.Credit = 1
+	f.gateway.serversByID[1].slowStartBudget.Credit = 1
 	f.runUntil(f.now + 100*ms)
 	assert.Empty(t, f.sent)
 }
--- a/policy/recall.go
+++ b/policy/recall.go
@@ -43,7 +43,7 @@
 		p := g.cfg.Plans[c.plan]
 		c.balance = math.Max(-p.Burst, math.Min(p.Burst, b.Balance+b.Age.Seconds()*p.Rate))
 		c.hardLimit.Tokens = 0
-		c.hardLimit.Refill(g.hardLimitPart(c), b.Downtime, 0)
+		c.hardLimit.Refill(g.hardLimitShare(c), b.Downtime, 0)
 		c.limitFilled, c.lastSeen = true, now
 	}
 }
@@ -57,5 +57,5 @@
 		c.addUsed(in.Units)
 		g.charge(&request{Request: in, customer: c, owner: g.ownerOf(c)}, 1)
 	}
-	g.countColdSend(g.serversByID[to])
+	g.countSlowStartSend(g.serversByID[to])
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -193,7 +193,7 @@
 	ejectedUntil        Time
 	ejections           int                    // doubles the next ejection; falls with served attempts
 	rejectedUntil       []Time                 // by group: until when it goes elsewhere, as the server has rejected it
-	coldBudget          ledger.SlowStartBudget // of attempts while it warms up
+	slowStartBudget     ledger.SlowStartBudget // of attempts while it warms up
 	capacity            float64                // in attempts of this gateway; 0 means not yet known
 	lastServed          Time                   // when an attempt was last served; 0 means never
 	servedTotal         int                    // attempts served since its process started
--- a/policy/report.go
+++ b/policy/report.go
@@ -84,9 +84,9 @@
 	if s.relativeLatency.weight > 0 {
 		o.RelativeLatency = s.relativeLatency.sum / s.relativeLatency.weight
 	}
-	for _, t := range s.coldBudget.Sent {
-		if g.now-t <= g.cfg.ColdWindow {
-			o.ColdSends++
+	for _, t := range s.slowStartBudget.Sent {
+		if g.now-t <= g.cfg.SlowStartWindow {
+			o.SlowStartSends++
 		}
 	}
 	return o
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -104,7 +104,7 @@
 				for range 6 {
 					list = append(list, Prior{ID: ServerID(rng.IntN(9)), StartedAt: Time(rng.IntN(2)) * f.now,
 						RelativeLatency: rng.ExpFloat64(),
-						Weight:          10 * rng.Float64(), Capacity: 100 * rng.Float64(), ColdBudgetTaken: rng.IntN(2) == 0})
+						Weight:          10 * rng.Float64(), Capacity: 100 * rng.Float64(), SlowStartBudgetTaken: rng.IntN(2) == 0})
 				}
 				f.gateway.SetPriors(f.now, list)
 			case 2:
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -51,11 +51,11 @@
 		slices.Sort(sends)
 		for i, at := range sends {
 			from := i
-			for from > 0 && at-sends[from-1] < s.ColdWindow {
+			for from > 0 && at-sends[from-1] < s.SlowStartWindow {
 				from--
 			}
 			w := s.InitialWarmth + (1-s.InitialWarmth)*(at-born).Seconds()/s.WarmupTime.Seconds()
-			if most := s.ColdMultiple * w * 25 * s.ColdWindow.Seconds(); float64(i-from+1) > most { // can do 25 a second
+			if most := s.SlowStartMultiple * w * 25 * s.SlowStartWindow.Seconds(); float64(i-from+1) > most { // can do 25 a second
 				t.Fatalf("%s: %d sent in a window ending %v after its start, at most %.0f", name, i-from+1, at-born, most)
 			}
 		}
@@ -71,7 +71,7 @@
 	sent := func(slow time.Duration) (n int) {
 		f, s := wideFleet(t)
 		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
-		s.InitialWarmth, s.WarmupTime, s.ColdWindow, s.ColdMultiple = 0.18, 16*time.Second, time.Second, 4
+		s.InitialWarmth, s.WarmupTime, s.SlowStartWindow, s.SlowStartMultiple = 0.18, 16*time.Second, time.Second, 4
 		var list []ServerInfo
 		f.latencies = map[ServerID]time.Duration{}
 		for k := 1; k <= 60; k++ {
@@ -133,7 +133,7 @@
 		step()
 	}
 	for _, x := range f.sent {
-		if x.to == 9 && x.at < born+f.gateway.cfg.ColdWindow {
+		if x.to == 9 && x.at < born+f.gateway.cfg.SlowStartWindow {
 			cold++
 		}
 	}
@@ -142,7 +142,7 @@
 		t.Fatalf("%d sent to a cold server in its first window", cold)
 	}
 	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 9, StartedAt: f.now}})
-	f.runUntil(f.now + f.gateway.cfg.ColdWindow + ms)
+	f.runUntil(f.now + f.gateway.cfg.SlowStartWindow + ms)
 	before := len(f.sent)
 	for i := 0; i < 200; i++ {
 		id++
