--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Carrier takes an attempt to its server and back. It must call Attempt.Begin right before the first byte, and return at
-// Attempt.Until at the latest.
+// Carrier takes an attempt to its server and back. It must call Attempt.Begin right before the first byte, and return
+// at Attempt.Until at the latest.
 type Carrier interface {
 	Carry(a *Attempt) (End, Answer)
 }
@@ -36,9 +36,9 @@
 // By gives the time at which the attempt ends at the latest.
 func (a *Attempt) By() time.Time { return a.Until }
 
-// Begin tells whether the first byte may be written to a connection, which is closed if the attempt is cancelled before
-// Finish. It may not where the transaction was answered while the connection was set up, or where policy would no
-// longer send the attempt; the End tells why.
+// Begin tells whether the first byte may be written to a connection, which is closed if the attempt is cancelled
+// before Finish. It may not where the transaction was answered while the connection was set up, or where policy would
+// no longer send the attempt; the End tells why.
 func (a *Attempt) Begin(conn io.Closer) (End, bool) {
 	a.core.mu.Lock()
 	defer a.core.mu.Unlock()
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// handleLocked takes one event in under the mutex, which a panic must free, too: it ends one connection of a front and
-// must not leave all others waiting.
+// handleLocked takes one event in under the mutex, which a panic must free, too: it ends one connection of a front
+// and must not leave all others waiting.
 func (c *Core) handleLocked(event func(now Time)) (messages []peerMessage, logs []logLine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,8 +118,8 @@
 	})
 }
 
-// UpdatePriors gives estimate what the gateway has measured of its servers, and takes in the priors that it returns, in
-// one event. The mutex is held: estimate must do no input or output.
+// UpdatePriors gives estimate what the gateway has measured of its servers, and takes in the priors that it returns,
+// in one event. The mutex is held: estimate must do no input or output.
 func (c *Core) UpdatePriors(estimate func(now Time, measured []policy.Observation) []policy.Prior) {
 	c.handle(func(now Time) {
 		if priors := estimate(now, c.current.gateway.Observe(now)); len(priors) > 0 {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -66,7 +66,8 @@
 		time.Millisecond)
 }
 
-// A cancel closes the connection of the attempt that it names, but not once the attempt has given the connection back.
+// A cancel closes the connection of the attempt that it names, but not once the attempt has given the connection
+// back.
 func TestCancel(t *testing.T) {
 	conn := make(closer)
 	c, ask := start(t, nil)
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -28,7 +28,8 @@
 	return text.String()
 }
 
-// Counters gives the transactions taken in and answered, the attempts started and ended, and the gateway's statistics.
+// Counters gives the transactions taken in and answered, the attempts started and ended, and the gateway's
+// statistics.
 func (c *Core) Counters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,5 +1,5 @@
-// Package core carries the decisions of package policy out: it owns the life of each transaction, from when a front has
-// read a request to its one final answer.
+// Package core carries the decisions of package policy out: it owns the life of each transaction, from when a front
+// has read a request to its one final answer.
 //
 // # Concepts
 //
@@ -21,7 +21,8 @@
 //
 // # Files
 //
-// core.go has the mutex and the events, transaction.go the life of a transaction, attempt.go that of an attempt, host.go
-// the actions of policy, generation.go changes of settings and the hand-over to another process, recovery.go and
-// storm.go the ties to these packages, answer.go the ends and answers, clock.go the clock, counters.go the counters.
+// core.go has the mutex and the events, transaction.go the life of a transaction, attempt.go that of an attempt,
+// host.go the actions of policy, generation.go changes of settings and the hand-over to another process, recovery.go
+// and storm.go the ties to these packages, answer.go the ends and answers, clock.go the clock, counters.go the
+// counters.
 package core
--- a/internal/core/generation.go
+++ b/internal/core/generation.go
@@ -99,7 +99,8 @@
 	First     bool              `json:"first"` // of its transaction, whose units it draws
 }
 
-// announceSend tells the other generations' gateways, and a process that takes over, of an attempt. The mutex is held.
+// announceSend tells the other generations' gateways, and a process that takes over, of an attempt. The mutex is
+// held.
 func (c *Core) announceSend(tx *transaction, to policy.ServerID) {
 	if len(c.retiring) == 0 && c.onSend == nil {
 		return
@@ -142,8 +143,8 @@
 	c.mu.Unlock()
 }
 
-// ImportState takes over the state that another process of this gateway has exported, wholly or not at all. It must be
-// called before anything else. The error is policy.ErrState.
+// ImportState takes over the state that another process of this gateway has exported, wholly or not at all. It must
+// be called before anything else. The error is policy.ErrState.
 func (c *Core) ImportState(state []byte) (err error) {
 	c.handle(func(now Time) {
 		if err = c.current.gateway.ImportState(now, state); err == nil {
--- a/internal/core/generation_test.go
+++ b/internal/core/generation_test.go
@@ -22,7 +22,8 @@
 }
 
 // reconfigurableCore gives a core whose attempts end as a test says, and a function that sends a transaction in.
-func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(generation, class int) chan Answer) {
+func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(generation,
+	class int) chan Answer) {
 	flows := make(chan chan End, 16)
 	c, err := New(set, 1, NewClock(), carrier(func(f *Attempt) (End, Answer) {
 		end := make(chan End)
@@ -36,7 +37,8 @@
 	return c, flows, func(generation, class int) chan Answer {
 		answered := make(chan Answer, 1)
 		go func() {
-			answered <- c.Serve(context.Background(), Request{Generation: generation, Request: policy.Request{Class: class, Units: 1,
+			answered <- c.Serve(context.Background(), Request{Generation: generation, Request: policy.Request{Class: class,
+				Units:    1,
 				SetSize:  1,
 				Customer: 5, Deadline: c.Now() + 20*time.Second}})
 		}()
@@ -75,8 +77,8 @@
 	assert.Empty(t, flows)
 }
 
-// Quotas go on over a change of settings: what the old gateway has admitted and what its open requests draw is taken off
-// the new one's balances, too.
+// Quotas go on over a change of settings: what the old gateway has admitted and what its open requests draw is taken
+// off the new one's balances, too.
 func TestQuotasGoOn(t *testing.T) {
 	set := settings(policy.Class{Name: "read"})
 	c, flows, ask := reconfigurableCore(t, set)
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// host is the policy.Host of a generation's gateway. Its methods are called within the gateway's, with the mutex held:
-// they queue and return.
+// host is the policy.Host of a generation's gateway. Its methods are called within the gateway's, with the mutex
+// held: they queue and return.
 type host struct {
 	core       *Core
 	generation *generation
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -8,11 +8,11 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The tie to internal/recovery, which is given the events under the core's mutex and detects pauses of this process by
-// the gaps between them: while it runs, overload checks alone are events more often than its threshold.
+// The tie to internal/recovery, which is given the events under the core's mutex and detects pauses of this process
+// by the gaps between them: while it runs, overload checks alone are events more often than its threshold.
 
-// resumed takes in that this process was paused until now: attempts aren't held to the time of the pause. The mutex is
-// held.
+// resumed takes in that this process was paused until now: attempts aren't held to the time of the pause. The mutex
+// is held.
 func (c *Core) resumed(now Time, pause time.Duration) {
 	for _, tx := range c.transactions {
 		for _, a := range tx.inFlight {
@@ -26,8 +26,8 @@
 		slog.Int64("stood_still_ms", pause.Milliseconds()), slog.Int("open", len(c.transactions))}})
 }
 
-// checkRecovery gives recovery what is known of servers and peers, and logs when full service is reached. The mutex is
-// held.
+// checkRecovery gives recovery what is known of servers and peers, and logs when full service is reached. The mutex
+// is held.
 func (c *Core) checkRecovery(now Time) {
 	if !c.recovery.CheckDue(now) {
 		return
@@ -55,7 +55,8 @@
 		slog.Int("too_late", stats.Expired)}
 }
 
-// QuotaBalances gives the balances of the customers that were active at or after a time, and the time to ask from next.
+// QuotaBalances gives the balances of the customers that were active at or after a time, and the time to ask from
+// next.
 func (c *Core) QuotaBalances(since Time) (list []policy.QuotaBalance, now Time) {
 	c.handle(func(t Time) { list, now = c.current.gateway.QuotaBalances(t, since), t })
 	return list, now
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// stormGuard ties internal/storm to the core: it is given events under the core's mutex, and what it sends is queued as
-// the actions of policy are. A nil one admits everything.
+// stormGuard ties internal/storm to the core: it is given events under the core's mutex, and what it sends is queued
+// as the actions of policy are. A nil one admits everything.
 type stormGuard struct {
 	*storm.Guard
 	self, gateways int
@@ -123,8 +123,8 @@
 		slog.Uint64("odd", stats.MessagesDropped)}
 }
 
-// stormVerdict tells whether the storm control refuses a transaction, and the wait to name. A refused transaction ends
-// here: policy doesn't hear of it, and it draws no units.
+// stormVerdict tells whether the storm control refuses a transaction, and the wait to name. A refused transaction
+// ends here: policy doesn't hear of it, and it draws no units.
 func (c *Core) stormVerdict(tx *transaction) (refused bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// In an outage requests are refused at once with a wait, policy hears of a few only, and peers are sent messages; when
-// the servers are back all requests are admitted again.
+// In an outage requests are refused at once with a wait, policy hears of a few only, and peers are sent messages;
+// when the servers are back all requests are admitted again.
 func TestOutageIsDamped(t *testing.T) {
 	fake.Log(t)
 	d := fake.Deployment()
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -48,8 +48,8 @@
 // verdict at the deadline looks as if it may have run, and its client could not be told that it may repeat it.
 const authorizeMargin = 25 * time.Millisecond
 
-// Serve takes a transaction to its final answer. It ends early when ctx does: the client has left and nobody waits for
-// an answer.
+// Serve takes a transaction to its final answer. It ends early when ctx does: the client has left and nobody waits
+// for an answer.
 func (c *Core) Serve(ctx context.Context, in Request) Answer {
 	tx := &transaction{Request: in}
 	known, wait := c.register(tx)
@@ -111,9 +111,9 @@
 }
 
 // register numbers a transaction: with a counter, as policy shifts the number into the tags of timers. known is false
-// where the settings that the front has read it under are no longer kept, or the process ends. wait is how long to wait
-// before policy is asked. The time that a request may have lain unread while the process was paused is taken off its
-// deadline.
+// where the settings that the front has read it under are no longer kept, or the process ends. wait is how long to
+// wait before policy is asked. The time that a request may have lain unread while the process was paused is taken off
+// its deadline.
 func (c *Core) register(tx *transaction) (known bool, wait time.Duration) {
 	c.handle(func(now Time) {
 		c.counts.taken++
--- a/policy/api.go
+++ b/policy/api.go
@@ -37,16 +37,16 @@
 //
 // Each server has a capacity, in attempts of this gateway, that grows while the 90th percentile of its latency stays
 // below a share of the target and shrinks when it doesn't. While requests are late and the fleet is loaded, or while
-// the capacity is used up, groups of requests (one for each class and plan) are shed in the order of their RUDA scores
-// (internal/ruda), and groups with a high score have less of the capacity. A group's resource, which the paper leaves
-// to its users, is the latency of its attempts, summed up over all gateways.
+// the capacity is used up, groups of requests (one for each class and plan) are shed in the order of their RUDA
+// scores (internal/ruda), and groups with a high score have less of the capacity. A group's resource, which the paper
+// leaves to its users, is the latency of its attempts, summed up over all gateways.
 //
 // # Servers
 //
 // An attempt goes to the server with the least expected wait. Servers are ejected after consecutive failures or by
 // their share of failures, for a time that doubles (outlier ejection, as in Envoy), unless most servers look
-// unhealthy. Servers that have just started warm up under a budget (slow start). Retries and hedged requests (Dean and
-// Barroso, "The Tail at Scale", CACM 2013) are bounded by budgets that fill with each request.
+// unhealthy. Servers that have just started warm up under a budget (slow start). Retries and hedged requests (Dean
+// and Barroso, "The Tail at Scale", CACM 2013) are bounded by budgets that fill with each request.
 //
 // # Files
 //
@@ -247,7 +247,7 @@
 	EjectedFor      time.Duration // how long it stays ejected
 	Capacity        float64       // in attempts of this gateway; 0 means unknown
 	Warmth          float64       // least share of its full capacity that it has, by the time since its start
-	SlowStartSends  int           // attempts sent in the last ColdWindow while it warmed up
+	SlowStartSends  int           // attempts sent in the last SlowStartWindow while it warmed up
 }
 
 // Outcome is the end of one attempt.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -16,8 +16,8 @@
 	return i >= 0 && g.mayRunOn(r, r.inFlight[i].server, number)
 }
 
-// indexInFlight gives the index of an attempt among those in flight, below 0 where it is none of them. The request may
-// be nil.
+// indexInFlight gives the index of an attempt among those in flight, below 0 where it is none of them. The request
+// may be nil.
 func (r *request) indexInFlight(number int) int {
 	if r == nil {
 		return -1
@@ -68,8 +68,8 @@
 	return a
 }
 
-// charge takes a request's units off the balance and the hard limit, or gives them back where sign is -1. Units beyond
-// the quota are not taken off the balance, nor is what the owner keeps.
+// charge takes a request's units off the balance and the hard limit, or gives them back where sign is -1. Units
+// beyond the quota are not taken off the balance, nor is what the owner keeps.
 func (g *Gateway) charge(r *request, sign float64) {
 	r.charged = sign > 0
 	if !r.overQuota && r.owner < 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// countColdSend counts an attempt against the budget of a server that warms up.
+// countSlowStartSend counts an attempt against the budget of a server that warms up.
 func (g *Gateway) countSlowStartSend(s *server) {
 	if s != nil && g.warmth(s) < 1 {
 		s.slowStartBudget.RecordSend(g.now)
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection transmits nothing more under a request while its server answers all else. Where hedging isn't permitted the
-// attempt is cancelled and the request sent elsewhere, in time. A request that must not run twice stays, and so does one
-// that was not overtaken: its server may only be slow. No two attempts of a request are ever in flight at once.
+// A connection transmits nothing more under a request while its server answers all else. Where hedging isn't
+// permitted the attempt is cancelled and the request sent elsewhere, in time. A request that must not run twice
+// stays, and so does one that was not overtaken: its server may only be slow. No two attempts of a request are ever
+// in flight at once.
 func TestLostAttemptIsCancelled(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect Idempotency
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where eighty gateways each have one or two attempts in flight on average, some have four or five by chance. That is no
-// sign of a full fleet, and their requests are not refused for it.
+// Where eighty gateways each have one or two attempts in flight on average, some have four or five by chance. That is
+// no sign of a full fleet, and their requests are not refused for it.
 func TestSparseTrafficHasABurstAllowance(t *testing.T) {
 	f, s := wideFleet(t)
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
@@ -46,9 +46,9 @@
 	}
 }
 
-// All servers are unreachable for a moment: what is in flight then is lost, its connections transmit nothing, and nothing
-// tells so. It occupies all of the capacity. Once servers answer again the gateway finds out with one attempt at each,
-// long before the deadlines of what was lost; while nothing is answered no more than these are sent.
+// All servers are unreachable for a moment: what is in flight then is lost, its connections transmit nothing, and
+// nothing tells so. It occupies all of the capacity. Once servers answer again the gateway finds out with one attempt
+// at each, long before the deadlines of what was lost; while nothing is answered no more than these are sent.
 func TestCapacityIsFoundAgainAfterASilence(t *testing.T) {
 	s := settings()
 	s.Hedging, s.Cancel = false, false
@@ -86,9 +86,9 @@
 	}
 }
 
-// Servers that report their service time are known to work on four attempts at once. Where something that all depend on
-// makes them several times slower, answers are late however few are in flight; the capacity must not shrink below the
-// four, or cores would idle on top of it. Without reports nobody can know that.
+// Servers that report their service time are known to work on four attempts at once. Where something that all depend
+// on makes them several times slower, answers are late however few are in flight; the capacity must not shrink below
+// the four, or cores would idle on top of it. Without reports nobody can know that.
 func TestSharedSlowdownKeepsServersBusy(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		s := settings()
@@ -142,8 +142,8 @@
 	}
 }
 
-// As long as no answer has been slow nothing says that the initial capacity is all that servers can do, and it grows three
-// times as fast as afterwards.
+// As long as no answer has been slow nothing says that the initial capacity is all that servers can do, and it grows
+// three times as fast as afterwards.
 func TestCapacityGrowsFasterUntilAnAnswerIsSlow(t *testing.T) {
 	grown := func(slowFirst bool) float64 {
 		s := settings()
--- a/policy/carry.go
+++ b/policy/carry.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// The export of a gateway's state to its successor: a Gateway with other settings, or one in the process that replaces
-// this one. This file decides nothing.
+// The export of a gateway's state to its successor: a Gateway with other settings, or one in the process that
+// replaces this one. This file decides nothing.
 
-// The format is a version byte and then fields in a fixed order, without names; one list of the fields both writes and
-// reads them. Requests and attempts in flight are no part of it.
+// The format is a version byte and then fields in a fixed order, without names; one list of the fields both writes
+// and reads them. Requests and attempts in flight are no part of it.
 
 const stateVersion = 3
 
@@ -282,8 +282,8 @@
 	}
 }
 
-// importCustomers takes over the customers whose plans still exist. A plan's number may have changed, which is part of
-// a customer's key.
+// importCustomers takes over the customers whose plans still exist. A plan's number may have changed, which is part
+// of a customer's key.
 func (g *Gateway) importCustomers(from *Gateway) {
 	for _, c := range from.customers {
 		name := from.cfg.Plans[c.plan].Name
--- a/policy/carry_test.go
+++ b/policy/carry_test.go
@@ -17,8 +17,8 @@
 	return s
 }
 
-// A successor knows what its predecessor knew: balances and hard limits, which servers are ejected, latencies, and what
-// cold servers were sent. With other settings it does so by the names of classes and plans.
+// A successor knows what its predecessor knew: balances and hard limits, which servers are ejected, latencies, and
+// what cold servers were sent. With other settings it does so by the names of classes and plans.
 func TestStateGoesToTheSuccessor(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.runUntil(f.now + 100*time.Second) // a hard limit fills from the start on
@@ -82,7 +82,8 @@
 		if !n.gateway.ejected(n.gateway.serversByID[2]) || n.gateway.ejected(n.gateway.serversByID[1]) {
 			t.Errorf("%s: the ejected server is another", name)
 		}
-		if got := len(n.gateway.serversByID[9].slowStartBudget.Sent); got != 2 || n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
+		if got := len(n.gateway.serversByID[9].slowStartBudget.Sent); got != 2 ||
+			n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
 			t.Errorf("%s: %d sends to the cold server are known", name, got)
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -131,8 +131,8 @@
 	g.Servers(n.fleet.now, ListCached, list)
 }
 
-// Over many gateways a heavy customer gets about its rate in all and a calm one isn't refused, though each gateway sees few
-// of its requests, messages are delayed and some are lost.
+// Over many gateways a heavy customer gets about its rate in all and a calm one isn't refused, though each gateway
+// sees few of its requests, messages are delayed and some are lost.
 func TestQuotaOverManyGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate = true, 40
@@ -216,8 +216,8 @@
 	}
 }
 
-// Gateways that hear each other hold a customer to its quota and its hard limit as one would, though most of its requests
-// come in at one of them: parts of the bucket at the others would be refused to it for nothing.
+// Gateways that hear each other hold a customer to its quota and its hard limit as one would, though most of its
+// requests come in at one of them: parts of the bucket at the others would be refused to it for nothing.
 func TestGatewaysShareABucket(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -277,8 +277,8 @@
 	}
 }
 
-// A gateway that restarts among others learns the balances that they know: no new burst for a customer that has spent it,
-// and no refusal for one that has not.
+// A gateway that restarts among others learns the balances that they know: no new burst for a customer that has spent
+// it, and no refusal for one that has not.
 func TestRestartedGatewayLearnsTheBalance(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -309,8 +309,8 @@
 	}
 }
 
-// While one gateway of four is down the others use all of the quota, its part too. Where it is only partitioned, both sides
-// together stay below one and a half of the quota, and so below any hard limit that the site has.
+// While one gateway of four is down the others use all of the quota, its part too. Where it is only partitioned, both
+// sides together stay below one and a half of the quota, and so below any hard limit that the site has.
 func TestOneGatewayOfFourDownOrPartitioned(t *testing.T) {
 	for name, down := range map[string]bool{"down": true, "cut off": false} {
 		s := settings()
@@ -350,8 +350,8 @@
 	}
 }
 
-// What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed, also
-// for customers that the first update has no room for: they are served at their rate at once, and not above it.
+// What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed,
+// also for customers that the first update has no room for: they are served at their rate at once, and not above it.
 func TestPartitionLeavesNoDebt(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// successor gives a host with a gateway that has imported the state of this one's, with other settings where change is not nil.
+// successor gives a host with a gateway that has imported the state of this one's, with other settings where change
+// is not nil.
 func (f *fakeHost) successor(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
 	set := f.gateway.cfg
@@ -158,7 +159,8 @@
 	return Settings{Gateways: 1, Tick: ms, MaxAttempts: 3, Hedging: true, Cancel: true,
 		Classes:         []Class{{Name: "read", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 1}},
 		Plans:           []Plan{{Name: "basic", Rate: 1000, Burst: 1000, ValueMultiplier: 1}},
-		SlowStartWindow: time.Second, SlowStartMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second, DrainGrace: time.Second}
+		SlowStartWindow: time.Second, SlowStartMultiple: 2, InitialWarmth: 0.2, WarmupTime: 10 * time.Second,
+		DrainGrace: time.Second}
 }
 
 // start gives a host with a gateway that has servers from 1 on.
--- a/policy/known.go
+++ b/policy/known.go
@@ -34,8 +34,8 @@
 	return c
 }
 
-// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where some
-// gateways are not nearby, an older one among them has had the time to become known.
+// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where
+// some gateways are not nearby, an older one among them has had the time to become known.
 func (g *Gateway) fleetJustStarted() bool {
 	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
 	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
@@ -54,9 +54,9 @@
 	return g.newCustomer(key)
 }
 
-// drawsJointly tells whether this gateway draws on a customer's whole bucket: it hears all of the customer's gateways,
-// or most of those nearby. Those that are partitioned from the majority draw on their parts meanwhile, which exceeds
-// the quota by half at worst. The parts of gateways that are down must not lie idle.
+// drawsJointly tells whether this gateway draws on a customer's whole bucket: it hears all of the customer's
+// gateways, or most of those nearby. Those that are partitioned from the majority draw on their parts meanwhile,
+// which exceeds the quota by half at worst. The parts of gateways that are down must not lie idle.
 func (g *Gateway) drawsJointly(c *customer) bool {
 	timedOut := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
 	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, timedOut))
@@ -110,8 +110,8 @@
 	c.balance = math.Max(-plan.Burst, c.balance)
 }
 
-// drawnSinceUpdate gives the units that a peer has drawn from the bucket since its last update, by its next one. known
-// tells whether the last one was of the same record of the peer.
+// drawnSinceUpdate gives the units that a peer has drawn from the bucket since its last update, by its next one.
+// known tells whether the last one was of the same record of the peer.
 func (g *Gateway) drawnSinceUpdate(c *customer, from int, e entry, known bool) float64 {
 	peer := &c.peers[g.peerSlot(from)]
 	switch {
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What is estimated from the answers of servers: latencies, concurrency, throughput, and the units that requests draw.
-// This file decides nothing.
+// What is estimated from the answers of servers: latencies, concurrency, throughput, and the units that requests
+// draw. This file decides nothing.
 
 // minReportedFailures is the decayed count of failures below which a server's failures aren't reported.
 const minReportedFailures = 0.25
@@ -73,16 +73,17 @@
 	return a.server.reportedServiceTime * g.typicalLatency(a.request) * g.sentLatency.weight / g.sentLatency.sum
 }
 
-// learnConcurrency estimates how many attempts a server works on at once, by Little's law: the work done in a time, by
-// the servers' own reports of how long it takes, over that time. A slowdown that all servers share leaves it as it is.
+// learnConcurrency estimates how many attempts a server works on at once, by Little's law: the work done in a time,
+// by the servers' own reports of how long it takes, over that time. A slowdown that all servers share leaves it as it
+// is.
 func (g *Gateway) learnConcurrency() {
 	g.workDone.decay(g.now, workMemory)
 	busy := float64(g.cfg.Gateways) * g.workDone.sum / workMemory.Seconds()
 	g.serverConcurrency = math.Max(throughputDecay*g.serverConcurrency, busy/math.Max(1, float64(g.listedServers())))
 }
 
-// learnWarmThroughput estimates what a warm server serves for this gateway in a ColdWindow. What was possible before an
-// outage is possible after it, so the estimate falls slowly, and is kept whether or not a server warms up.
+// learnWarmThroughput estimates what a warm server serves for this gateway in a SlowStartWindow. What was possible
+// before an outage is possible after it, so the estimate falls slowly, and is kept whether or not a server warms up.
 func (g *Gateway) learnWarmThroughput() {
 	var warm decayingMean
 	for _, s := range g.servers {
@@ -99,8 +100,8 @@
 	}
 }
 
-// coldThroughput gives what a server has lately served for this gateway in a ColdWindow, 0 while a listed server is
-// warm, whose throughput is the better estimate. What a server could do it still can: it only gets warmer.
+// coldThroughput gives what a server has lately served for this gateway in a SlowStartWindow, 0 while a listed server
+// is warm, whose throughput is the better estimate. What a server could do it still can: it only gets warmer.
 func (s *server) coldThroughput(g *Gateway) float64 {
 	if !g.allCold {
 		return 0
@@ -117,8 +118,8 @@
 	}
 }
 
-// reconcileUnits corrects, once and where the bucket is kept, the estimated units of a request by those in its answer.
-// Units that can't be are ignored. The hard limit keeps to the estimate.
+// reconcileUnits corrects, once and where the bucket is kept, the estimated units of a request by those in its
+// answer. Units that can't be are ignored. The hard limit keeps to the estimate.
 func (g *Gateway) reconcileUnits(r *request, units float64) {
 	more := units - r.Units
 	if r.reconciled || r.overQuota || !(units > 0 && units <= math.Max(g.cfg.MaxUnits, r.Units)) || more == 0 {
@@ -135,7 +136,8 @@
 	}
 }
 
-// reconcileAtOwner takes in that a request of a customer that this gateway owns drew more, or less, than was estimated.
+// reconcileAtOwner takes in that a request of a customer that this gateway owns drew more, or less, than was
+// estimated.
 func (g *Gateway) reconcileAtOwner(from int, key uint64, more float64) {
 	_, first, setSize := splitCustomerKey(key)
 	c := g.recordFor(ownerKey(key, g.cfg.Self))
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -10,9 +10,9 @@
 
 // The format of messages between gateways. This file decides nothing.
 
-// An update has a header (the version, the sender's age in ms, and a byte for each section that tells what its numbers
-// mean) and then the sections, each a count and its entries. An entry has a key and some push-sum masses, each a byte
-// on a logarithmic scale; a customer's has its usage as well. Numbers are big-endian.
+// An update has a header (the version, the sender's age in ms, and a byte for each section that tells what its
+// numbers mean) and then the sections, each a count and its entries. An entry has a key and some push-sum masses,
+// each a byte on a logarithmic scale; a customer's has its usage as well. Numbers are big-endian.
 const (
 	messageBytes  = 256 // the longest update
 	headerBytes   = 7
@@ -30,14 +30,14 @@
 )
 
 // The layout of the entries of each section: bytes of the key, number of masses, and bytes of the usage: generation
-// (1), units used (2), balance (1), limitWord (1), inFlight (1).
+// (1), units used (2), balance (1), grant (1), inFlight (1).
 var (
 	keyBytes   = [sectionCount]int{1, 6}
 	massCount  = [sectionCount]int{2, 2}
 	usageBytes = [sectionCount]int{0, 6}
 )
 
-// limitWord and inFlight are left out where both are 0. Where they follow, tailFlag is set on the generation.
+// grant and inFlight are left out where both are 0. Where they follow, tailFlag is set on the generation.
 const tailBytes, tailFlag = 2, 0x80
 
 // update is what a gateway tells a peer now and then.
@@ -54,7 +54,7 @@
 	generation byte    // of the sender's record; its count of units starts anew with it
 	used       float64 // units drawn, as a count that wraps around
 	balance    float64 // by the sender's copy of the bucket, as a share of the burst
-	grant      byte    // what the sender's part of the hard limit lacks and grants: ledger.BucketShare.Grant
+	grant      byte    // what the sender's share of the hard limit lacks and grants: ledger.BucketShare.Grant
 	inFlight   byte    // attempts and queued requests
 }
 
@@ -277,6 +277,6 @@
 	return int(key >> 24 & 255), int(key >> 12 & 4095), int(key & 4095)
 }
 
-// ownerKey is the key of the record that a customer's owner keeps of it: as if the owner alone served the customer, as
-// all usage is counted there.
+// ownerKey is the key of the record that a customer's owner keeps of it: as if the owner alone served the customer,
+// as all usage is counted there.
 func ownerKey(key uint64, owner int) uint64 { return key>>24<<24 | uint64(owner&4095)<<12 | 1 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -9,8 +9,8 @@
 	"sprucelane.example/sprucelane/internal/ruda"
 )
 
-// After a stall of a gateway all that came meanwhile has one answer each, in time, and the stall sheds nothing once it is
-// over.
+// After a stall of a gateway all that came meanwhile has one answer each, in time, and the stall sheds nothing once
+// it is over.
 func TestBacklogAfterAStall(t *testing.T) {
 	f := start(t, settings(), 10)
 	for i := 1; i <= 100; i++ {
@@ -44,8 +44,8 @@
 	}
 }
 
-// While all servers have become slower and there is overload, a request that would be late at any of them is refused at
-// once and leaves its capacity to one that won't be; before and after it is served.
+// While all servers have become slower and there is overload, a request that would be late at any of them is refused
+// at once and leaves its capacity to one that won't be; before and after it is served.
 func TestLongRequestsAreRefusedUnderOverload(t *testing.T) {
 	s := settings()
 	s.Hedging, s.MaxUnits = false, 6
@@ -167,8 +167,8 @@
 	}
 }
 
-// Attempts are lost on their connections while what is sent later to the same servers is served in time. They are neither
-// overload nor load of a server, and nothing is refused for them.
+// Attempts are lost on their connections while what is sent later to the same servers is served in time. They are
+// neither overload nor load of a server, and nothing is refused for them.
 func TestLostAttemptsAreNoOverload(t *testing.T) {
 	s := settings()
 	s.Hedging = false
--- a/policy/owner_test.go
+++ b/policy/owner_test.go
@@ -15,8 +15,8 @@
 	return newFleet(t, s, 80, 60), s
 }
 
-// admitted sends requests of one customer to one of its gateways after the other, a tick apart, and gives how many were
-// admitted and how many have no answer in the end.
+// admitted sends requests of one customer to one of its gateways after the other, a tick apart, and gives how many
+// were admitted and how many have no answer in the end.
 func (f *fleet) admitted(tries, plan, first, set int) (in, open int) {
 	begin := RequestID(f.now)
 	k := 0
@@ -38,8 +38,9 @@
 	return in, open
 }
 
-// A customer whose sixty gateways each see one request a minute has one bucket all the same: its burst is admitted, at
-// whichever gateways it asks, and what it asks beyond is refused. Parts of a sixtieth would hold less than a request.
+// A customer whose sixty gateways each see one request a minute has one bucket all the same: its burst is admitted,
+// at whichever gateways it asks, and what it asks beyond is refused. Parts of a sixtieth would hold less than a
+// request.
 func TestOwnerKeepsOneBucket(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
@@ -52,8 +53,8 @@
 	}
 }
 
-// Where the owner is dead and the next one is, too, requests wait for two queries at most; a third one keeps the bucket
-// then. With nobody left to ask a gateway keeps to its part.
+// Where the owner is dead and the next one is, too, requests wait for two queries at most; a third one keeps the
+// bucket then. With nobody left to ask a gateway keeps to its part.
 func TestOwnerTimesOut(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
@@ -82,8 +83,8 @@
 	}
 }
 
-// A query that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that doesn't
-// exist, too short or too long, changes nothing.
+// A query that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that
+// doesn't exist, too short or too long, changes nothing.
 func TestOwnerQueries(t *testing.T) {
 	f, s := wideFleet(t)
 	f.loss = 1 // answers are not looked at
@@ -113,8 +114,8 @@
 	}
 }
 
-// When the whole fleet has just started a hard limit is full, though the fleet is larger than its gateways can all hear:
-// each hears those that share a customer with it.
+// When the whole fleet has just started a hard limit is full, though the fleet is larger than its gateways can all
+// hear: each hears those that share a customer with it.
 func TestHardLimitIsFullWhenTheFleetHasJustStarted(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -89,7 +89,7 @@
 		Shared: g.drawsJointly(c)}
 }
 
-// hardLimitPart gives the part of the hard limit that a record of a customer has.
+// hardLimitShare gives the share of the hard limit that a record of a customer has.
 func (g *Gateway) hardLimitShare(c *customer) ledger.Limit {
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)*g.hardLimitHolders(c)
 	return ledger.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
 package policy
 
-// Every decision, in reading order: admission, quota, overload, servers, health, slow start, attempts, timers, updates
-// between peers.
+// Every decision, in reading order: admission, quota, overload, servers, health, slow start, attempts, timers,
+// updates between peers.
 
 import (
 	"cmp"
@@ -166,8 +166,8 @@
 	return g.withinQuota(r)
 }
 
-// mustRefuse tells whether a request is refused whatever its quota says: its group is shed, its hard limit reached, or
-// there is no capacity. The capacity is not held against requests beyond their quota: admit judges these.
+// mustRefuse tells whether a request is refused whatever its quota says: its group is shed, its hard limit reached,
+// or there is no capacity. The capacity is not held against requests beyond their quota: admit judges these.
 func (g *Gateway) mustRefuse(r *request, within, ownerDecides bool) bool {
 	group := &g.groups[g.groupOf(r)]
 	refuse := group.shed || r.owner < 0 && !r.customer.withinHardLimit(g.cfg.Plans[r.Plan], r.Units)
@@ -186,9 +186,9 @@
 	return refuse
 }
 
-// burstAllowance is by how much the attempts in flight here may exceed this gateway's capacity while those of the whole
-// fleet don't exceed the fleet's: two standard deviations of a Poisson number, where this gateway's part of a server's
-// initial capacity is less than one attempt.
+// burstAllowance is by how much the attempts in flight here may exceed this gateway's capacity while those of the
+// whole fleet don't exceed the fleet's: two standard deviations of a Poisson number, where this gateway's part of a
+// server's initial capacity is less than one attempt.
 func (g *Gateway) burstAllowance(capacity float64) float64 {
 	return 2 * math.Sqrt(capacity*math.Max(0, 1-initialCapacity/float64(g.cfg.Gateways)))
 }
@@ -241,7 +241,7 @@
 	return c
 }
 
-// refill brings the token bucket and this gateway's part of the hard limit up to date. A gateway that is isolated may
+// refill brings the token bucket and this gateway's share of the hard limit up to date. A gateway that is isolated may
 // save up the units of one request, though its part of the burst be less.
 func (g *Gateway) refill(c *customer, units float64) {
 	if !g.isolated() {
@@ -276,8 +276,8 @@
 	return -1
 }
 
-// queryOwner asks a request's owner whether the request is within the quota. An owner that doesn't answer is suspected,
-// and this gateway's part of the bucket decides.
+// queryOwner asks a request's owner whether the request is within the quota. An owner that doesn't answer is
+// suspected, and this gateway's part of the bucket decides.
 func (g *Gateway) queryOwner(r *request) {
 	if r.queries++; r.queries > maxOwnerQueries {
 		g.suspectedUntil[r.owner], r.owner = g.now+staleUpdates*fullUpdateInterval, -1
@@ -311,8 +311,8 @@
 
 // ---- Overload ----
 
-// checkOverload judges the load and sheds the group with the highest RUDA score while there is overload: one more each
-// recentWindow. Without overload the groups are taken back one by one.
+// checkOverload judges the load and sheds the group with the highest RUDA score while there is overload: one more
+// each recentWindow. Without overload the groups are taken back one by one.
 func (g *Gateway) checkOverload() {
 	g.host.Timer(tagOverload, g.overloadInterval())
 	g.checkInFlight()
@@ -358,8 +358,9 @@
 	}
 }
 
-// overloadedNow tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses its
-// target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't help.
+// overloadedNow tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses
+// its target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't
+// help.
 func (g *Gateway) overloadedNow() bool {
 	overloaded := g.capacityReached
 	for i := range g.lateness {
@@ -395,8 +396,9 @@
 }
 
 // learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
-// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt its
-// attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't grow.
+// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt
+// its attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't
+// grow.
 func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
 	if a.countedSlow {
 		return
@@ -431,9 +433,9 @@
 	g.lateness[a.request.Class].addBool(g.now, recentWindow, late)
 }
 
-// sheddingScores gives the RUDA scores f of the groups that have lately sent requests, and 0 for the others. A group's
-// resource r is the latency of its attempts, its q the number of them, both over all gateways; the variables have the
-// paper's names.
+// sheddingScores gives the RUDA scores f of the groups that have lately sent requests, and 0 for the others. A
+// group's resource r is the latency of its attempts, its q the number of them, both over all gateways; the variables
+// have the paper's names.
 func (g *Gateway) sheddingScores() []float64 {
 	f, r := make([]float64, len(g.groups)), make([]float64, len(g.groups))
 	q, sumR, sumQ := make([]float64, len(g.groups)), 0.0, 0.0
@@ -454,8 +456,8 @@
 	return f
 }
 
-// shareCapacity gives each group its share of the capacity, by the order of the scores: the group with the highest one
-// is the first to find no capacity.
+// shareCapacity gives each group its share of the capacity, by the order of the scores: the group with the highest
+// one is the first to find no capacity.
 func (g *Gateway) shareCapacity(scores []float64) {
 	order := slices.Clone(scores)
 	slices.Sort(order)
@@ -516,8 +518,8 @@
 	g.retryQueue()
 }
 
-// updateServer takes an entry of a server list in. Of a server whose process is another one now only the accounting of
-// attempts is kept.
+// updateServer takes an entry of a server list in. Of a server whose process is another one now only the accounting
+// of attempts is kept.
 func (g *Gateway) updateServer(info ServerInfo) {
 	s := g.serversByID[info.ID]
 	if s == nil {
@@ -532,8 +534,8 @@
 }
 
 // pickServer gives the server with the least expected wait that a request may be sent to, nil where there is none. It
-// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more than
-// half of the servers are ejected, ejection is ignored: the fault is elsewhere (Envoy's panic threshold).
+// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more
+// than half of the servers are ejected, ejection is ignored: the fault is elsewhere (Envoy's panic threshold).
 func (g *Gateway) pickServer(r *request) *server {
 	heedEjection := 2*g.countListed(g.ejected) <= g.listedServers()
 	best, least := (*server)(nil), 0.0
@@ -644,11 +646,12 @@
 	return from + (1-from)*math.Max(0, age.Seconds())/g.cfg.WarmupTime.Seconds()
 }
 
-// withinColdBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can do is
-// estimated from what it has served here while cold and from what warm servers serve.
+// withinSlowStartBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can
+// do is estimated from what it has served here while cold and from what warm servers serve.
 func (g *Gateway) withinSlowStartBudget(s *server) bool {
 	warmth := g.warmth(s)
-	limit := ledger.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple, Gateways: g.cfg.Gateways,
+	limit := ledger.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple,
+		Gateways: g.cfg.Gateways,
 		Capacity: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slowdown: g.coldLatency.smoothed()}
 	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.slowStartBudget.Allows(g.now, limit)
 }
@@ -856,8 +859,8 @@
 }
 
 // cancelLost cancels a request's only attempt where it seems lost, so that another is sent elsewhere: later attempts
-// have overtaken it and it takes far longer than expected. This is for sites that don't permit a second attempt beside
-// the first. While too few have overtaken the attempt it is looked at again.
+// have overtaken it and it takes far longer than expected. This is for sites that don't permit a second attempt
+// beside the first. While too few have overtaken the attempt it is looked at again.
 func (g *Gateway) cancelLost(r *request) {
 	expected := g.expectedLatency(r)
 	if left := r.arrivedAt + g.cfg.Classes[r.Class].LatencyTarget - g.now; g.retryBudget < 1 || left < expected {
@@ -944,8 +947,8 @@
 
 // ---- Updates between peers ----
 
-// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval its
-// push-sum part of the groups' figures as well.
+// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval
+// its push-sum part of the groups' figures as well.
 func (g *Gateway) sendUpdates() {
 	every := updateInterval
 	if rate := peerRateShare * g.cfg.PeerMessageRate; rate > 0 {
@@ -977,7 +980,8 @@
 	}
 }
 
-// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are left.
+// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are
+// left.
 func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
 	for i := range g.groups {
 		t := &g.groups[i].latency
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -9,8 +9,8 @@
 )
 
 // A gateway that knows nothing yet has servers that have all just started. What it may not send it queues, up to its
-// capacity, and refuses the rest at once; what is queued and can't be in time any more is refused, not sent. So what is
-// sent is recent, and by its answers the gateway learns within seconds what cold servers can do.
+// capacity, and refuses the rest at once; what is queued and can't be in time any more is refused, not sent. So what
+// is sent is recent, and by its answers the gateway learns within seconds what cold servers can do.
 func TestQueuedRequestThatWouldBeLateIsRefused(t *testing.T) {
 	s := settings()
 	s.Gateways, s.Peers, s.Hedging = 5, false, false
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -7,7 +7,8 @@
 )
 
 // The limit on attempts in flight holds over all of a customer's gateways, whichever of them it asks. Lost updates
-// neither keep a slot nor free one for long, and while a gateway is down or partitioned both sides keep to their parts.
+// neither keep a slot nor free one for long, and while a gateway is down or partitioned both sides keep to their
+// parts.
 func TestMaxInFlightOverGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -132,8 +133,8 @@
 	}
 }
 
-// Where all gateways ask less than the rate, a bucket refills with what the others leave, not with a part of the rate. So
-// it does while the gateway that shares the bucket has just timed out.
+// Where all gateways ask less than the rate, a bucket refills with what the others leave, not with a part of the
+// rate. So it does while the gateway that shares the bucket has just timed out.
 func TestRefillWithWhatOthersLeave(t *testing.T) {
 	x := newExchange(t, 2, 4) // of a rate of 10
 	s := twoGateways()
@@ -154,7 +155,8 @@
 	}
 }
 
-// A plan with only a limit on attempts in flight: the limit is split over the gateways, and a slot frees with each answer.
+// A plan with only a limit on attempts in flight: the limit is split over the gateways, and a slot frees with each
+// answer.
 func TestMaxInFlightAlone(t *testing.T) {
 	s := twoGateways()
 	s.Plans[0] = Plan{Name: "cap", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}
--- a/policy/recall_test.go
+++ b/policy/recall_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// What a gateway's earlier incarnation has drawn stays drawn after a restart: the balance has what has filled since, not
-// the burst a second time. The hard limit has what has filled since that incarnation was last known to live. Without a
-// stored balance there is the burst again.
+// What a gateway's earlier incarnation has drawn stays drawn after a restart: the balance has what has filled since,
+// not the burst a second time. The hard limit has what has filled since that incarnation was last known to live.
+// Without a stored balance there is the burst again.
 func TestRestoredBalanceIsNotGivenTwice(t *testing.T) {
 	s := settings()
 	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 20, ValueMultiplier: 1, OverQuotaCost: 1},
--- a/policy/reconcile_test.go
+++ b/policy/reconcile_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The quota counts the units that a request's first good answer gives, once, and only where they can be. The hard limit
-// keeps to the estimate.
+// The quota counts the units that a request's first good answer gives, once, and only where they can be. The hard
+// limit keeps to the estimate.
 func TestUnitsAreReconciledOnce(t *testing.T) {
 	s := settings()
 	s.MaxUnits = 6
@@ -51,8 +51,8 @@
 	}
 }
 
-// Where gateways share a bucket the others hear of reconciled units, whether they are more or less; where a customer has
-// an owner, the owner does.
+// Where gateways share a bucket the others hear of reconciled units, whether they are more or less; where a customer
+// has an owner, the owner does.
 func TestReconciledUnitsReachPeers(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging, s.MaxUnits = true, 100, false, 6
--- a/policy/records.go
+++ b/policy/records.go
@@ -44,9 +44,9 @@
 	return t.local[figure] + float64(n)*t.pooled[figure]
 }
 
-// split takes out the mass for one peer. left is the number of peers, this one included, that still get a part in this
-// round, and n the number of gateways that share the figures: each of them is to end with an equal part of the local
-// sums. The pooled sums are split evenly with the peers of the round.
+// split takes out the mass for one peer. left is the number of peers, this one included, that still get a part in
+// this round, and n the number of gateways that share the figures: each of them is to end with an equal part of the
+// local sums. The pooled sums are split evenly with the peers of the round.
 func (t *pushSum) split(left, n float64) (mass [2]float64) {
 	for i := range t.local {
 		local := t.local[i] / left
@@ -135,14 +135,14 @@
 	reconciled   bool // its units by the answer have been accounted for
 	charged      bool // its units are taken from the balance and the hard limit, where they come out of these
 	queued       bool // it waits in Gateway.queue and has had no attempt
-	limitAtOwner bool // its units come out of the part of the hard limit that its customer's owner holds
+	limitAtOwner bool // its units come out of the share of the hard limit that its customer's owner holds
 	owner        int  // gateway that keeps the customer's bucket; below 0 this one's copy or part decides
 	queries      int  // how often the owner was asked
 	queryToken   uint32
 }
 
-// setQueued notes whether a request is charged and not yet sent. Meanwhile its units are reserved: the bucket must not
-// refill the room that they have left, or more than its burst would go out at once.
+// setQueued notes whether a request is charged and not yet sent. Meanwhile its units are reserved: the bucket must
+// not refill the room that they have left, or more than its burst would go out at once.
 func (r *request) setQueued(yes bool) {
 	if r.queued == yes {
 		return
@@ -233,8 +233,8 @@
 	peers        [2*nearbyDistance + 1]peerUsage // by peerSlot
 }
 
-// addUsed counts units as used; a negative number takes some back. The count that peers read must not fall, so what is
-// taken back is held until as much has been used again.
+// addUsed counts units as used; a negative number takes some back. The count that peers read must not fall, so what
+// is taken back is held until as much has been used again.
 func (c *customer) addUsed(units float64) {
 	c.refundedUnits -= units
 	if c.refundedUnits < 0 {
@@ -242,7 +242,7 @@
 	}
 }
 
-// withinHardLimit tells whether units stay within this gateway's part of the hard limit.
+// withinHardLimit tells whether units stay within this gateway's share of the hard limit.
 func (c *customer) withinHardLimit(p Plan, units float64) bool {
 	return p.HardLimitRate <= 0 || c.hardLimit.Tokens >= units
 }
@@ -254,7 +254,7 @@
 	generation  byte // of the peer's record
 	used        float64
 	inFlight    byte    // attempts and queued requests at the peer
-	deficit     byte    // what its part of the hard limit lacks, as ledger.BucketShare.Receive gave it; 0 once answered
+	deficit     byte    // what its share of the hard limit lacks, as ledger.BucketShare.Receive gave it; 0 once answered
 	ownUsedSent float64 // customer.used as the peer was last sent it
 }
 
--- a/policy/servers_test.go
+++ b/policy/servers_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// A prior is for one process of a listed server. It changes the estimates of its latency and capacity and nothing else.
+// A prior is for one process of a listed server. It changes the estimates of its latency and capacity and nothing
+// else.
 func TestPriorsChangeEstimatesOnly(t *testing.T) {
 	s := settings()
 	s.Hedging = false
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -65,8 +65,8 @@
 	return NearbyGateways(s.Self, s.Gateways)
 }
 
-// NearbyGateways gives the gateways up to nearbyDistance places to either side of one, in the circle of their numbers.
-// Gateways that may share a customer's token bucket are near each other.
+// NearbyGateways gives the gateways up to nearbyDistance places to either side of one, in the circle of their
+// numbers. Gateways that may share a customer's token bucket are near each other.
 func NearbyGateways(self, gateways int) (nearby []int) {
 	for k := 1; k < gateways; k++ {
 		if k <= nearbyDistance || k >= gateways-nearbyDistance {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Hundreds of gateways, a third of them just restarted, have one cold server, then a fleet of which 40% is cold at once:
-// what all send it in any window stays within its multiple, and the rest is served.
+// Hundreds of gateways, a third of them just restarted, have one cold server, then a fleet of which 40% is cold at
+// once: what all send it in any window stays within its multiple, and the rest is served.
 func TestColdServersOverManyGateways(t *testing.T) {
 	for name, cold := range map[string]int{"one": 1, "two fifths": 16} {
 		s := settings()
@@ -55,7 +55,8 @@
 				from--
 			}
 			w := s.InitialWarmth + (1-s.InitialWarmth)*(at-born).Seconds()/s.WarmupTime.Seconds()
-			if most := s.SlowStartMultiple * w * 25 * s.SlowStartWindow.Seconds(); float64(i-from+1) > most { // can do 25 a second
+			// can do 25 a second
+			if most := s.SlowStartMultiple * w * 25 * s.SlowStartWindow.Seconds(); float64(i-from+1) > most {
 				t.Fatalf("%s: %d sent in a window ending %v after its start, at most %.0f", name, i-from+1, at-born, most)
 			}
 		}
@@ -65,8 +66,8 @@
 	}
 }
 
-// Each of eighty gateways sends a starting server its turns and sees no more than one answer of it in seconds. Where these
-// take longer than its warmth explains, all send less; where they don't, it gets what it can do.
+// Each of eighty gateways sends a starting server its turns and sees no more than one answer of it in seconds. Where
+// these take longer than its warmth explains, all send less; where they don't, it gets what it can do.
 func TestSlowColdServersGetFewerTurns(t *testing.T) {
 	sent := func(slow time.Duration) (n int) {
 		f, s := wideFleet(t)
@@ -153,8 +154,8 @@
 	}
 }
 
-// All servers restart at once, after an outage in which nothing was answered: each is sent what its warmth allows by what
-// it did before, and not the little that a gateway sends which has never seen any of them work.
+// All servers restart at once, after an outage in which nothing was answered: each is sent what its warmth allows by
+// what it did before, and not the little that a gateway sends which has never seen any of them work.
 func TestAllServersColdAfterAnOutage(t *testing.T) {
 	s := settings()
 	s.Hedging, s.Gateways = false, 4
--- a/policy/state.go
+++ b/policy/state.go
@@ -49,7 +49,7 @@
 	coldLatency     decayingMean // relative latency of servers that warm up, times their warmth
 	coldServiceTime decayingMean // seconds that a warm server would have taken for what they served
 	allCold         bool         // no listed server is warm, as of the last overload check
-	warmThroughput  float64      // attempts that a warm server serves for this gateway in a ColdWindow
+	warmThroughput  float64      // attempts that a warm server serves for this gateway in a SlowStartWindow
 }
 
 // gatewayOverload is what a Gateway measures of the load, and the load shedding that follows.
