--- a/internal/knowledge/priors.go
+++ b/internal/knowledge/priors.go
@@ -1,5 +1,7 @@
 package knowledge
 
+// This file has the derivation of priors from facts.
+
 import (
 	"cmp"
 	"math"
@@ -7,92 +9,80 @@
 	"time"
 )
 
-// Prior is a guess of a member for the decision module.
+// Prior is a prior estimate of a member, from what peers report.
 type Prior struct {
 	Life
-	Pace    float64 // latency over what is typical: 1 is like the others
-	Weight  float64 // answers that the guess counts for
-	Room    float64 // attempts it may hold; 0: no guess
-	Cold    bool    // peers are at work on its cold budget
-	Suspect bool    // peers lose attempts there
+	Pace    float64 // latency relative to what is typical; 1: typical
+	Weight  float64 // number of answers that the estimate counts for
+	Room    float64 // attempts that it can hold; 0: unknown
+	Cold    bool    // peers use its slow-start budget
+	Suspect bool    // it is probably stuck: peers have overdue attempts there
 }
 
 const (
-	suspectPace      = 12.0 // pace of a suspect: as of attempts that are out for so many typical times
-	suspectWeight    = 6.0  // answers that it counts for, so that a guess outlasts the first seconds
-	maxPaceWeight    = 3.0  // most that a pace of peers counts for: a few answers of one's own outweigh it
-	maxPace          = 3.0  // a pace alone is no stall
-	suspectThreshold = 0.5  // share of the evidence that makes a suspect
-	maxLostCounted   = 3    // attempts lost at a member that count, at most
-	answerWeight     = 2.0  // a fresh answer speaks for a member as so many lost attempts speak against it
-	minWeight        = 0.05 // lighter facts say nothing
+	suspectPace      = 12.0 // Pace of a suspect: as if its attempts took so many times as long as is typical
+	suspectWeight    = 6.0  // Weight of a suspect: it outlasts the first few answers
+	suspectThreshold = 0.5  // strength of the evidence that makes a suspect
+	maxPaceWeight    = 3.0  // highest Weight of a Pace that peers report: a few answers of one's own outweigh it
+	maxPace          = 3.0  // highest Pace that counts: a high latency alone is no stall
+	maxLostCounted   = 3    // overdue attempts that count at most
+	answerWeight     = 2.0  // a fresh answer counts as much as so many overdue attempts
 	answerHalfLife   = time.Second
+	minWeight        = 0.05 // facts that weigh less are ignored
 )
 
+// decay returns the weight of something of this age with a half-life.
 func decay(age, half time.Duration) float64 { return math.Exp2(-age.Seconds() / half.Seconds()) }
 
-// trust is how far an observer's word counts for a fact: less the longer it hears nothing from discovery.
-func (b *Table) trust(h *record) float64 { return decay(h.Deaf, b.options.DeafHalfLife) }
+// trust returns how far to trust the observer of a fact: less the longer it has received no update of discovery.
+func (t *Table) trust(r *record) float64 { return decay(r.Deaf, t.options.DeafHalfLife) }
 
-// odd gives the observers that find so many members bad that the fault is likely their own.
-func (b *Table) faultyObservers(now Time) map[string]bool {
-	type tally struct{ bad, all int }
+// faultyObservers returns the observers that find so many members unhealthy that the fault is probably their own.
+func (t *Table) faultyObservers(now Time) map[string]bool {
+	type tally struct{ unhealthy, all int }
 	tallies := map[string]tally{}
-	for k, h := range b.facts {
-		t := tallies[k.observer]
-		if t.all++; h.unhealthy() && now-h.observedAt <= 2*b.options.StallHalfLife {
-			t.bad++
+	for k, r := range t.facts {
+		n := tallies[k.observer]
+		if n.all++; r.unhealthy() && now-r.observedAt <= 2*t.options.StallHalfLife {
+			n.unhealthy++
 		}
-		tallies[k.observer] = t
+		tallies[k.observer] = n
 	}
-	odd := map[string]bool{}
-	for name, t := range tallies {
-		odd[name] = float64(t.bad) > b.options.FaultyShare*float64(t.all) && t.bad > 1
+	faulty := map[string]bool{}
+	for name, n := range tallies {
+		faulty[name] = float64(n.unhealthy) > t.options.FaultyShare*float64(n.all) && n.unhealthy > 1
 	}
-	return odd
+	return faulty
 }
 
-func (f *Fact) unhealthy() bool { return f.Stalled > 0 && f.Lost > 0 || f.Ejected > 0 }
-
-// Update takes in what this gateway itself has seen of the members that are listed, as List and Saw do, and gives the
-// priors that follow.
-func (b *Table) Update(now Time, own []Observation, deaf, blind time.Duration) []Prior {
+// Update sets the listed members and stores the gateway's observations of them, as SetMembers and Observe do, and
+// returns the priors that follow.
+func (t *Table) Update(now Time, own []Observation, deaf, blind time.Duration) []Prior {
 	listed := make([]Life, len(own))
-	for i, s := range own {
-		listed[i] = s.Life
+	for i, o := range own {
+		listed[i] = o.Life
 	}
-	b.SetMembers(listed)
-	b.Observe(now, own, deaf, blind)
-	return b.Priors(now, own)
+	t.SetMembers(listed)
+	t.Observe(now, own, deaf, blind)
+	return t.Priors(now, own)
 }
 
-// Priors gives the guesses for members that this gateway has not lately seen answer or stall itself. Own sightings
-// come first: a member of which there is one is left to them.
-func (b *Table) Priors(now Time, own []Observation) []Prior {
-	byLife := map[Life][]*record{}
-	for k, h := range b.facts {
-		if k.observer != b.options.Self.Name && now-h.observedAt <= b.options.MaxAge {
-			byLife[k.Life] = append(byLife[k.Life], h)
+// Priors returns priors for the members that this gateway has not itself seen answer, or hang, a short time ago.
+func (t *Table) Priors(now Time, own []Observation) []Prior {
+	facts := map[Life][]*record{}
+	for k, r := range t.facts {
+		if k.observer != t.options.Self.Name && now-r.observedAt <= t.options.MaxAge {
+			facts[k.Life] = append(facts[k.Life], r)
 		}
 	}
-	odd := b.faultyObservers(now)
+	faulty := t.faultyObservers(now)
 	var list []Prior
-	type suspect struct {
-		at       int // in list
-		strength float64
-	}
 	var suspects []suspect
-	for _, s := range own {
-		if started, ok := b.listed[s.Instance]; !ok || started != s.StartedMs {
-			continue
-		}
-		facts := byLife[s.Life]
-		lost, ever := b.lost[s.Life]
-		if len(facts) == 0 || ever && now-lost <= b.options.OwnEvidenceTTL || s.Answered >= 0 && s.Answered <= b.options.OwnEvidenceTTL {
+	for _, o := range own {
+		if !t.isListed(o.Life) || len(facts[o.Life]) == 0 || t.hasOwnEvidence(now, &o) {
 			continue
 		}
-		slices.SortFunc(facts, func(x, y *record) int { return cmp.Compare(x.Observer.Name, y.Observer.Name) }) // sums don't depend on order
-		p, strength := b.weigh(now, s, facts, odd)
+		p, strength := t.weigh(now, o.Life, facts[o.Life], faulty)
 		if p.Weight <= 0 {
 			continue
 		}
@@ -101,62 +91,82 @@
 		}
 		list = append(list, p)
 	}
-	// Only so many may be suspects that the rest can carry the load, the surest first.
+	t.markSuspects(list, suspects)
+	for _, p := range list {
+		t.priors[p.Life] = now
+	}
+	return list
+}
+
+// hasOwnEvidence reports whether this gateway has itself seen a member answer, or fail to, a short time ago.
+func (t *Table) hasOwnEvidence(now Time, o *Observation) bool {
+	lost, ever := t.lost[o.Life]
+	return ever && now-lost <= t.options.OwnEvidenceTTL || o.Answered >= 0 && o.Answered <= t.options.OwnEvidenceTTL
+}
+
+// markSuspects turns the priors of the surest suspects into those of a suspect, of as many as the options allow.
+func (t *Table) markSuspects(list []Prior, suspects []suspect) {
 	slices.SortStableFunc(suspects, func(x, y suspect) int {
-		return cmp.Or(cmp.Compare(y.strength, x.strength), cmp.Compare(list[x.at].Instance, list[y.at].Instance))
+		return cmp.Or(cmp.Compare(y.strength, x.strength), cmp.Compare(list[x.index].Instance, list[y.index].Instance))
 	})
-	for _, s := range suspects[:min(len(suspects), int(b.options.MaxSuspectShare*float64(len(b.listed))))] {
-		p := &list[s.at]
+	most := int(t.options.MaxSuspectShare * float64(len(t.listed)))
+	for _, s := range suspects[:min(len(suspects), most)] {
+		p := &list[s.index]
 		p.Suspect, p.Pace, p.Weight, p.Room = true, suspectPace, suspectWeight, 0
 	}
-	for _, p := range list {
-		b.priors[p.Life] = now
-	}
-	return list
 }
 
-// weigh adds up what is said of a member: its prior where it is no suspect, and how sure it is one.
-func (b *Table) weigh(now Time, s Observation, facts []*record, odd map[string]bool) (p Prior, strength float64) {
-	p = Prior{Life: s.Life}
-	var bad, good, pace, paces, room, rooms float64
-	for _, h := range facts {
-		age := max(0, now-h.observedAt)
-		trust := b.trust(h)
-		if h.Served() {
-			good += trust * decay(age+h.Answered, answerHalfLife)
+// suspect is a prior that may become one of a suspect.
+type suspect struct {
+	index    int // in the list of priors
+	strength float64
+}
+
+// weigh combines the facts on a member: it returns its prior as far as it is no suspect, and how strong the evidence is
+// that it is one, 0 to 1.
+func (t *Table) weigh(now Time, member Life, facts []*record, faulty map[string]bool) (p Prior, strength float64) {
+	// In a fixed order, as the sums depend on it in their last bits.
+	slices.SortFunc(facts, func(x, y *record) int { return cmp.Compare(x.Observer.Name, y.Observer.Name) })
+	p = Prior{Life: member}
+	var unhealthy, healthy, pace, paceWeight, room, roomWeight float64
+	for _, r := range facts {
+		age := max(0, now-r.observedAt)
+		trust := t.trust(r)
+		if r.Served() {
+			healthy += trust * decay(age+r.Answered, answerHalfLife)
 		}
-		if h.unhealthy() && !odd[h.Observer.Name] {
-			w := trust * decay(age, b.options.StallHalfLife) * decay(h.Blind, b.options.BlindHalfLife)
-			if left := h.Ejected - age; h.Ejected > 0 && left <= 0 && h.Lost == 0 {
+		if r.unhealthy() && !faulty[r.Observer.Name] {
+			w := trust * decay(age, t.options.StallHalfLife) * decay(r.Blind, t.options.BlindHalfLife)
+			if ejectionEnded := r.Ejected > 0 && r.Ejected <= age; ejectionEnded && r.Lost == 0 {
 				w = 0
 			}
 			if w >= minWeight {
-				bad += w * float64(max(1, min(h.Lost, maxLostCounted)))
+				unhealthy += w * float64(max(1, min(r.Lost, maxLostCounted)))
 			}
 		}
-		w := trust * decay(age, b.options.PaceHalfLife) * decay(h.Blind, b.options.BlindHalfLife)
-		// What a member's pace was while it stalled is no pace, and its room was none.
-		if n := w * math.Min(h.Answers, maxPaceWeight); h.Pace > 0 && !h.unhealthy() && n >= minWeight {
-			pace, paces = pace+n*math.Min(h.Pace, maxPace), paces+n
-			if h.Room > 0 {
-				room, rooms = room+w*h.Room, rooms+w
+		w := trust * decay(age, t.options.PaceHalfLife) * decay(r.Blind, t.options.BlindHalfLife)
+		// The latency and room that a member had while it was stalled tell nothing of it otherwise.
+		if n := w * math.Min(r.Answers, maxPaceWeight); r.Pace > 0 && !r.unhealthy() && n >= minWeight {
+			pace, paceWeight = pace+n*math.Min(r.Pace, maxPace), paceWeight+n
+			if r.Room > 0 {
+				room, roomWeight = room+w*r.Room, roomWeight+w
 			}
 		}
-		if float64(h.Cold)*trust*decay(age, b.options.ColdHalfLife) >= 0.5 && h.Warmth < 1 {
+		if float64(r.Cold)*trust*decay(age, t.options.ColdHalfLife) >= 0.5 && r.Warmth < 1 {
 			p.Cold = true
 		}
 	}
-	if bad > 0 {
-		strength = bad / (bad + answerWeight*good) * math.Min(1, bad)
+	if unhealthy > 0 {
+		strength = unhealthy / (unhealthy + answerWeight*healthy) * math.Min(1, unhealthy)
 	}
 	switch {
-	case paces > 0:
-		p.Pace, p.Weight = pace/paces, math.Min(paces, maxPaceWeight)
+	case paceWeight > 0:
+		p.Pace, p.Weight = pace/paceWeight, math.Min(paceWeight, maxPaceWeight)
 	case strength >= suspectThreshold || p.Cold:
-		p.Pace, p.Weight = 1, minWeight // nothing is known of its pace
+		p.Pace, p.Weight = 1, minWeight // its latency is unknown
 	}
-	if rooms > 0 {
-		p.Room = math.Min(room/rooms, b.options.MaxRoom)
+	if roomWeight > 0 {
+		p.Room = math.Min(room/roomWeight, t.options.MaxRoom)
 	}
 	return p, strength
 }
