--- a/cmd/sprucelane/reload.go
+++ b/cmd/sprucelane/reload.go
@@ -55,16 +55,16 @@
 }
 
 // startDiscovery watches the source of server lists, after it has ended the watch of an earlier source: the
-// membership takes one at a time. Where anew is set, the source is first asked for its whole list, as changes that an
-// earlier source held back would be missed otherwise.
-func (g *gateway) startDiscovery(ctx context.Context, anew bool) {
+// membership takes one at a time. Where wholeList is set, the source is first asked for its whole list, as changes
+// that an earlier source held back would be missed otherwise.
+func (g *gateway) startDiscovery(ctx context.Context, wholeList bool) {
 	if g.stopDiscovery != nil {
 		g.stopDiscovery()
 	}
 	g.mu.Lock()
 	cfg := g.cfg
 	g.mu.Unlock()
-	version := g.membership.Version()
+	start := discovery.WatchStart{Addr: cfg.Discovery, Version: g.membership.Version(), WholeList: wholeList}
 	ctx, cancel := context.WithCancel(ctx)
 	var done sync.WaitGroup
 	backoff := discovery.NewBackoff(cfg.Seed, cfg.Deployment.ListRefreshWithin)
@@ -72,7 +72,7 @@
 		if cfg.Site.Consul != nil {
 			discovery.WatchConsul(ctx, *cfg.Site.Consul, backoff, g.membership)
 		} else {
-			discovery.Watch(ctx, cfg.Discovery, version, anew, backoff, g.membership)
+			discovery.Watch(ctx, start, backoff, g.membership)
 		}
 	})
 	g.stopDiscovery = func() { cancel(); done.Wait() }
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -32,21 +32,21 @@
 	clockAhead      time.Duration // how far this process's clock is ahead of the others'; in the laboratory only
 }
 
-// signals are the channels of the signals that a gateway handles. Shutdown has a channel of its own, as a signal that
-// finds its channel full is dropped.
-type signals struct {
+// signalChannels are the channels of the signals that a gateway handles. Shutdown has a channel of its own, as a
+// signal that finds its channel full is dropped.
+type signalChannels struct {
 	operator chan os.Signal // SIGUSR1, SIGHUP
 	shutdown chan os.Signal // SIGTERM, SIGINT
 }
 
-func notifySignals() signals {
-	s := signals{operator: make(chan os.Signal, 4), shutdown: make(chan os.Signal, 1)}
+func notifySignals() signalChannels {
+	s := signalChannels{operator: make(chan os.Signal, 4), shutdown: make(chan os.Signal, 1)}
 	signal.Notify(s.operator, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(s.shutdown, syscall.SIGTERM, os.Interrupt)
 	return s
 }
 
-func (s signals) stop() {
+func (s signalChannels) stop() {
 	signal.Stop(s.operator)
 	signal.Stop(s.shutdown)
 }
@@ -125,7 +125,7 @@
 }
 
 // handleSignals returns once a graceful shutdown has ended, with nil, or once a listener has failed.
-func (g *gateway) handleSignals(signals signals, reload func() error) error {
+func (g *gateway) handleSignals(signals signalChannels, reload func() error) error {
 	idle := make(chan struct{}) // closed when a shutdown has ended
 	for {
 		select {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -27,26 +27,34 @@
 	longPollSlack  = 500 * time.Millisecond  // for that answer to arrive
 )
 
-// Watch follows the platform's agent at addr with long polls until ctx ends, from the version of the list that is held
-// already. After a failure it goes on from the last version that it received: where many gateways start at once, a
-// whole list for each and then a long poll is more than the source can bear.
+// WatchStart says where a watch begins.
+type WatchStart struct {
+	Addr    string // host:port of the platform's agent
+	Version uint64 // of the list that is held already
+	// WholeList requests the whole list first, as what another agent sent can't be relied on.
+	WholeList bool
+}
+
+// Watch follows the platform's agent with long polls until ctx ends, from the held version of the list. After a
+// failure it goes on from the last version that it received: where many gateways start at once, a whole list for each
+// and then a long poll is more than the source can bear.
 //
 // The whole list is requested only
-//   - if wholeFirst is set, as what another agent sent can't be relied on;
+//   - if the watch is to start with it;
 //   - if the source's version goes back: it has lost its state, and changes would be missed;
 //   - if nothing listened at the address: an agent that restarts may count its versions from the beginning, and be
 //     past the held one by the time it is called.
-func Watch(ctx context.Context, addr string, held uint64, wholeFirst bool, backoff *Backoff, m *Membership) {
-	c := &client{baseURL: "http://" + addr, http: newHTTP()}
+func Watch(ctx context.Context, start WatchStart, backoff *Backoff, m *Membership) {
+	c := &client{baseURL: "http://" + start.Addr, http: newHTTP()}
 	defer c.http.CloseIdleConnections()
-	whole := wholeFirst // whether the next call requests the whole list
-	for after := held; ctx.Err() == nil; {
+	whole := start.WholeList // whether the next call requests the whole list
+	for after := start.Version; ctx.Err() == nil; {
 		path := "/v1/endpoints"
 		if !whole {
 			path += fmt.Sprintf("?after=%d&wait_ms=%d", after, longPollWait.Milliseconds())
 		}
 		var list List
-		start := time.Now()
+		called := time.Now()
 		_, err := c.get(ctx, path, longPollWait+longPollSlack, &list)
 		if err != nil {
 			if ctx.Err() == nil {
@@ -54,7 +62,7 @@
 				slog.Warn("discovery_failed", "anew", whole, "err", err)
 			}
 			whole = whole || errors.Is(err, syscall.ECONNREFUSED)
-			sleep(ctx, backoff.afterFailure(err, time.Since(start)))
+			sleep(ctx, backoff.afterFailure(err, time.Since(called)))
 			continue
 		}
 		if whole && !list.Reset {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -112,7 +112,7 @@
 		says("", `{"generation":2,"reset":false,"instances":[]}`), // it has lost its state
 		says("", `{"generation":3,"reset":true,"instances":[]}`))
 	watch(t, func(ctx context.Context) {
-		Watch(ctx, addr, 4, false, NewBackoff(1, 100*time.Millisecond), r)
+		Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 100*time.Millisecond), r)
 	})
 	h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0", "pool 1 h:1 1", "module 0: 1/2/1/0", "module 1:")
 	var got []string
@@ -130,7 +130,9 @@
 	h, r := recordedMembership()
 	addr, asked := agent(t, says("", `{"generation":9,"reset":false,"instances":[]}`),
 		says("", `{"generation":9,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`))
-	watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, true, NewBackoff(1, 0), r) })
+	watch(t, func(ctx context.Context) {
+		Watch(ctx, WatchStart{Addr: addr, Version: 4, WholeList: true}, NewBackoff(1, 0), r)
+	})
 	h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0")
 	assert.Equal(t, "/v1/endpoints", asked()[0].RequestURI())
 	assert.Equal(t, "/v1/endpoints", asked()[1].RequestURI())
--- a/internal/discovery/watchfaults_test.go
+++ b/internal/discovery/watchfaults_test.go
@@ -45,7 +45,9 @@
 			addr, _ := agent(t, says("", `{"generation":5,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`),
 				func(w http.ResponseWriter, r *http.Request) { had <- time.Now(); wrong(w, r) },
 				says("", drains))
-			watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, false, NewBackoff(1, 40*time.Second), r) })
+			watch(t, func(ctx context.Context) {
+				Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 40*time.Second), r)
+			})
 			h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0", "pool 1 h:1 2", "module 0: 1/2/2/0")
 			assert.Less(t, time.Since(<-had), updateDeadline)
 		})
@@ -71,7 +73,7 @@
 			go relay(c, first, broken)
 		}
 	}()
-	watch(t, func(ctx context.Context) { Watch(ctx, addr, 4, false, NewBackoff(1, 0), r) })
+	watch(t, func(ctx context.Context) { Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 0), r) })
 	h.expect(t, "pool 1 h:1 0", "module 1: 1/2/0/0")
 	<-ends
 	l.Close()
@@ -118,7 +120,7 @@
 		})
 	ctx, leave := context.WithCancel(context.Background())
 	ended := make(chan bool)
-	go func() { Watch(ctx, addr, 4, false, NewBackoff(1, 0), r); close(ended) }()
+	go func() { Watch(ctx, WatchStart{Addr: addr, Version: 4}, NewBackoff(1, 0), r); close(ended) }()
 	h.expect(t, "module 1:")
 	<-asked
 	leave()
--- a/internal/handover/conn.go
+++ b/internal/handover/conn.go
@@ -16,6 +16,13 @@
 // conn is one side of a connection between the two processes.
 type conn struct{ *net.UnixConn }
 
+// frame is a frame that was read. Its reader closes the files.
+type frame struct {
+	kind    frameKind
+	content []byte
+	files   []*os.File // whose descriptors came with it
+}
+
 const (
 	frameLengthSize = 4
 	frameHeaderSize = frameLengthSize + 1 // with the kind
@@ -28,29 +35,29 @@
 	if len(content) > maxFrameSize-1 {
 		return errors.New("handover: frame too long")
 	}
-	frame := binary.BigEndian.AppendUint32(nil, uint32(len(content)+1))
-	frame = append(append(frame, byte(kind)), content...)
+	encoded := binary.BigEndian.AppendUint32(nil, uint32(len(content)+1))
+	encoded = append(append(encoded, byte(kind)), content...)
 	c.SetWriteDeadline(time.Now().Add(replyTimeout))
 	rights, err := encodeRights(files)
 	if err != nil {
 		return err
 	}
-	n, _, err := c.WriteMsgUnix(frame, rights, nil)
-	for err == nil && n < len(frame) {
+	n, _, err := c.WriteMsgUnix(encoded, rights, nil)
+	for err == nil && n < len(encoded) {
 		var more int
-		more, err = c.Write(frame[n:])
+		more, err = c.Write(encoded[n:])
 		n += more
 	}
 	return err
 }
 
-// readFrame reads one frame, and the files that came with it. A timeout of 0 waits for as long as the other side lives.
-// With an error it returns no files.
-func (c conn) readFrame(timeout time.Duration) (kind frameKind, content []byte, files []*os.File, err error) {
+// readFrame reads one frame. A timeout of 0 waits for as long as the other side lives. With an error the frame has no
+// files.
+func (c conn) readFrame(timeout time.Duration) (f frame, err error) {
 	defer func() {
 		if err != nil {
-			closeAll(files)
-			files = nil
+			closeAll(f.files)
+			f.files = nil
 		}
 	}()
 	// The descriptors come with the first byte of the frame.
@@ -66,34 +73,34 @@
 		err = io.EOF
 	}
 	if err != nil {
-		return 0, nil, nil, err
+		return f, err
 	}
-	if files, err = parseRights(rights[:rightsLen]); err != nil {
-		return 0, nil, files, err
+	if f.files, err = parseRights(rights[:rightsLen]); err != nil {
+		return f, err
 	}
 	if _, err = io.ReadFull(c, header[n:]); err != nil {
-		return 0, nil, files, err
+		return f, err
 	}
 	size := binary.BigEndian.Uint32(header)
 	if size < 1 || size > maxFrameSize {
-		return 0, nil, files, fmt.Errorf("handover: a frame of %d bytes", size)
+		return f, fmt.Errorf("handover: a frame of %d bytes", size)
 	}
-	content = make([]byte, size-1)
-	_, err = io.ReadFull(c, content)
-	return frameKind(header[frameLengthSize]), content, files, err
+	f.kind, f.content = frameKind(header[frameLengthSize]), make([]byte, size-1)
+	_, err = io.ReadFull(c, f.content)
+	return f, err
 }
 
 // expect reads one frame of a kind that has no files.
 func (c conn) expect(want frameKind, timeout time.Duration) ([]byte, error) {
-	kind, content, files, err := c.readFrame(timeout)
-	closeAll(files)
+	f, err := c.readFrame(timeout)
+	closeAll(f.files)
 	if err != nil {
 		return nil, err
 	}
-	if kind != want {
-		return nil, fmt.Errorf("handover: a frame of kind %d, not %d", kind, want)
+	if f.kind != want {
+		return nil, fmt.Errorf("handover: a frame of kind %d, not %d", f.kind, want)
 	}
-	return content, nil
+	return f.content, nil
 }
 
 // writeState writes the state in several frames, and its checksum.
@@ -112,20 +119,20 @@
 // readState returns the state if it arrives complete within replyTimeout; otherwise an error.
 func (c conn) readState() (state []byte, err error) {
 	for until := time.Now().Add(replyTimeout); ; {
-		kind, content, files, err := c.readFrame(max(time.Until(until), time.Millisecond))
-		closeAll(files)
+		f, err := c.readFrame(max(time.Until(until), time.Millisecond))
+		closeAll(f.files)
 		switch {
 		case err != nil:
 			return nil, err
-		case kind == frameState && len(state)+len(content) <= maxStateSize:
-			state = append(state, content...)
-		case kind == frameStateEnd && len(content) == crc32.Size:
-			if crc32.Checksum(state, crcTable) != binary.BigEndian.Uint32(content) {
+		case f.kind == frameState && len(state)+len(f.content) <= maxStateSize:
+			state = append(state, f.content...)
+		case f.kind == frameStateEnd && len(f.content) == crc32.Size:
+			if crc32.Checksum(state, crcTable) != binary.BigEndian.Uint32(f.content) {
 				return nil, errors.New("handover: the state's checksum is wrong")
 			}
 			return state, nil
 		default:
-			return nil, fmt.Errorf("handover: a frame of kind %d in the state", kind)
+			return nil, fmt.Errorf("handover: a frame of kind %d in the state", f.kind)
 		}
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -249,9 +249,9 @@
 		go func() { syscall.Write(fds[1], data); syscall.Close(fds[1]) }()
 		l := conn{c.(*net.UnixConn)}
 		for {
-			_, content, files, err := l.readFrame(time.Minute)
-			if len(content) > maxFrameSize || len(files) > 0 {
-				t.Fatal(len(content), len(files))
+			got, err := l.readFrame(time.Minute)
+			if len(got.content) > maxFrameSize || len(got.files) > 0 {
+				t.Fatal(len(got.content), len(got.files))
 			}
 			if err != nil {
 				return
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -69,24 +69,24 @@
 	if err := s.conn.writeFrame(frameHello, content); err != nil {
 		return err
 	}
-	kind, content, files, err := s.conn.readFrame(replyTimeout)
-	if err == nil && kind == frameBusy {
+	f, err := s.conn.readFrame(replyTimeout)
+	if err == nil && f.kind == frameBusy {
 		err = ErrBusy
-	} else if err == nil && kind != frameOffer {
-		err = fmt.Errorf("handover: a frame of kind %d, no offer", kind)
+	} else if err == nil && f.kind != frameOffer {
+		err = fmt.Errorf("handover: a frame of kind %d, no offer", f.kind)
 	}
 	if err == nil {
-		err = decode(content, &s.Offer)
+		err = decode(f.content, &s.Offer)
 	}
-	if err == nil && len(files) != len(s.Offer.Files) {
-		err = fmt.Errorf("handover: %d files under %d names", len(files), len(s.Offer.Files))
+	if err == nil && len(f.files) != len(s.Offer.Files) {
+		err = fmt.Errorf("handover: %d files under %d names", len(f.files), len(s.Offer.Files))
 	}
 	if err != nil {
-		closeAll(files)
+		closeAll(f.files)
 		return err
 	}
 	for i, name := range s.Offer.Files {
-		s.files[name] = files[i]
+		s.files[name] = f.files[i]
 	}
 	return nil
 }
