--- a/policy/learned.go
+++ b/policy/learned.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What is estimated from the answers of servers: latencies, concurrency, throughput, and the units that requests
-// draw. This file decides nothing.
+// What is estimated from the answers of servers: latencies, concurrency, throughput, capacities, and the units that
+// requests draw. This file decides nothing.
 
 // minReportedFailures is the decayed count of failures below which a server's failures aren't reported.
 const minReportedFailures = 0.25
@@ -110,6 +110,68 @@
 	return s.answers.sum / 2
 }
 
+// totalCapacity bounds the attempts in flight, so that no server's queue grows past what the targets allow.
+func (g *Gateway) totalCapacity() float64 {
+	capacity := 0.0
+	for _, s := range g.servers {
+		if s.listed {
+			capacity += g.capacityOf(s)
+		}
+	}
+	return capacity
+}
+
+// capacityOf gives a server's capacity, in attempts of this gateway, which it initialises.
+func (g *Gateway) capacityOf(s *server) float64 {
+	if s.capacity == 0 {
+		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways),
+			minInitialInFlight/math.Max(float64(g.listedServers()), 1))
+	}
+	s.capacity = math.Max(s.capacity, math.Max(minCapacity, g.serverConcurrency)/float64(g.cfg.Gateways))
+	if s.suspectedAttempts > 0 { // one attempt finds out whether the server answers at all
+		return math.Min(1, s.capacity)
+	}
+	return s.capacity
+}
+
+// learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
+// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt
+// its attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't
+// grow.
+func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
+	if a.countedSlow {
+		return
+	}
+	a.countedSlow = took.Seconds() > slowTargetShare*g.cfg.Classes[a.request.Class].LatencyTarget.Seconds()
+	own, all := g.capacityOf(a.server), g.totalCapacity()
+	if half := g.load()+1 <= all/2; half && (!a.countedSlow || all > 2*minInitialInFlight) ||
+		!a.countedSlow && a.server.load()+1 <= own/2 {
+		return
+	}
+	step := lateShare
+	if a.countedSlow {
+		step, g.slowAnswerSeen = step-1, true
+	} else if !g.slowAnswerSeen { // nothing says yet that the initial capacity is enough
+		step *= initialCapacityGrowth
+	}
+	part := math.Min(1, own)
+	a.server.capacity += step * part
+	for _, s := range g.servers {
+		s.capacity += step * (1 - part) * g.capacityOf(s) / math.Max(all, 1e-9)
+	}
+}
+
+// countLateness counts an attempt for its class once: when it ends, or when it is late while in flight. Left out are
+// attempts at servers that are slow on the whole, and attempts that were overtaken: neither is overload.
+func (g *Gateway) countLateness(a *attempt, late bool) {
+	slowServer := a.server.relativeLatency.sum > overdueFactor*(a.server.relativeLatency.weight+latencyPriorWeight)
+	if a.countedLate || slowServer || late && a.overtakenBy >= overtakenLimit {
+		return
+	}
+	a.countedLate = true
+	g.lateness[a.request.Class].addBool(g.now, recentWindow, late)
+}
+
 // countWasted counts an attempt that may have run, and whether it was wasted. One that found no connection isn't
 // counted: it costs its request little.
 func (g *Gateway) countWasted(s *server, e Ending) {
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -1,12 +1,14 @@
 package policy
 
 import (
+	"math"
+	"slices"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/ledger"
 )
 
-// Which gateways share a customer, which peers are alive, and which updates they are to receive. This file decides
+// Which gateways share a customer, which peers are alive, and the updates that they exchange. This file decides
 // nothing.
 
 // peerAlive tells whether a peer was heard within peerAliveFor.
@@ -117,3 +119,116 @@
 	g.peerClockOffset[from] = least
 	return offset - least
 }
+
+// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval
+// its push-sum part of the groups' figures as well.
+func (g *Gateway) sendUpdates() {
+	every := updateInterval
+	if rate := peerRateShare * g.cfg.PeerMessageRate; rate > 0 {
+		every = max(every, time.Duration(float64(len(g.nearby))/rate*float64(time.Second)))
+	}
+	g.host.Timer(tagPeerUpdate, every)
+	for i := range g.nearby {
+		g.sendUpdate(g.nearby[i:])
+	}
+	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, func(c *customer) bool { return c.pendingPeers == 0 })
+}
+
+// sendUpdate sends an update to the first of the peers, where there is something to say. The others are those that
+// come after it in this round, to which push-sum leaves their parts.
+func (g *Gateway) sendUpdate(peers []int) {
+	to := peers[0]
+	out := update{age: g.now - g.startedAt, olderPeer: g.olderPeerKnown}
+	full := g.now-g.fullUpdateAt[to] >= fullUpdateInterval
+	if full {
+		out.entries[groupSection] = g.groupEntries(float64(len(peers)))
+		g.resendInFlight(to)
+	}
+	out.entries[customerSection] = g.customerEntries(peers)
+	if full || len(out.entries[customerSection]) > 0 {
+		g.host.SendToPeer(to, packUpdate(out, g.schema))
+	}
+	if full {
+		g.fullUpdateAt[to] = g.now
+	}
+}
+
+// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are
+// left.
+func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
+	for i := range g.groups {
+		t := &g.groups[i].latency
+		t.decay(g.now, groupMemory, 0)
+		list = append(list, entry{key: uint64(i), mass: t.split(peersLeft, float64(g.cfg.Gateways))})
+	}
+	return list
+}
+
+// customerEntries gives the entries of the customers that the first of the peers is to hear of, as many as fit into a
+// message; the rest wait for the next one, in turn.
+func (g *Gateway) customerEntries(peers []int) (list []entry) {
+	to := peers[0]
+	left := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection) // bytes
+	for _, c := range g.pendingUpdates {
+		if c.pendingPeers>>g.peerSlot(to)&1 == 0 || left < maxEntrySize(customerSection) {
+			continue
+		}
+		e := g.customerEntry(c, peers)
+		list, left = append(list, e), left-e.encodedSize()
+	}
+	return list
+}
+
+// customerEntry gives a customer's entry for the first of the peers, and takes out what it grants the peer.
+func (g *Gateway) customerEntry(c *customer, peers []int) entry {
+	to := peers[0]
+	sharing := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
+	g.refill(c, 0)
+	c.sharedDemand.decay(g.now, g.demandMemory(c.plan), 1)
+	peer := &c.peers[g.peerSlot(to)]
+	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
+		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
+		grant:    c.hardLimit.Grant(g.hardLimitShare(c), peer.deficit, c.setSize),
+		inFlight: byte(min(255, c.inFlight+c.queued))}
+	c.pendingPeers &^= 1 << g.peerSlot(to)
+	peer.ownUsedSent, peer.deficit = c.used, 0
+	return e
+}
+
+// applyUpdate takes in an update, unless it comes twice or after a later one: the peer's age tells. An age that is
+// less by staleUpdates full updates or more is that of another incarnation.
+func (g *Gateway) applyUpdate(from int, in update) {
+	last, heardBefore := g.peerAge[from], g.peerLastContact[from] != 0
+	if heardBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
+		return
+	}
+	if heardBefore && !g.peerAlive(from) {
+		g.peerResumedAt[from] = g.now
+	}
+	restarted := in.age < last || !heardBefore
+	delay := g.excessDelay(from, in.age, restarted)
+	if restarted { // it knows nothing yet
+		g.incarnations[from]++
+		for _, c := range g.customers {
+			g.queueUpdate(c, from)
+		}
+	}
+	g.peerAge[from], g.peerLastContact[from], g.lastContact = in.age, g.now, g.now
+	muchOlder := in.age > g.now-g.startedAt+staleUpdates*fullUpdateInterval
+	if !g.olderPeerKnown && (in.olderPeer || muchOlder) { // nearby peers are to know it at once
+		g.olderPeerKnown = true
+		clear(g.fullUpdateAt)
+	}
+	for _, e := range in.entries[groupSection] {
+		if e.key < uint64(len(g.groups)) {
+			g.groups[e.key].latency.merge(g.now, groupMemory, 0, e.mass)
+		}
+	}
+	for _, e := range in.entries[customerSection] {
+		if c := g.recordFor(e.key); c != nil && g.serves(g.cfg.Self, c) && g.serves(from, c) {
+			e.mass[1] = math.Min(e.mass[1], 1) // a peer's weight is bounded, or it could make the sum vanish
+			c.sharedDemand.merge(g.now, g.demandMemory(c.plan), 1, e.mass)
+			g.applyPeerUsage(c, from, e, delay)
+		}
+	}
+}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,7 +1,7 @@
 package policy
 
 // Every decision, in reading order: admission, quota, overload, servers, health, slow start, attempts, timers,
-// updates between peers.
+// messages of peers.
 
 import (
 	"cmp"
@@ -371,68 +371,6 @@
 	return overloaded
 }
 
-// totalCapacity bounds the attempts in flight, so that no server's queue grows past what the targets allow.
-func (g *Gateway) totalCapacity() float64 {
-	capacity := 0.0
-	for _, s := range g.servers {
-		if s.listed {
-			capacity += g.capacityOf(s)
-		}
-	}
-	return capacity
-}
-
-// capacityOf gives a server's capacity, in attempts of this gateway, which it initialises.
-func (g *Gateway) capacityOf(s *server) float64 {
-	if s.capacity == 0 {
-		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways),
-			minInitialInFlight/math.Max(float64(g.listedServers()), 1))
-	}
-	s.capacity = math.Max(s.capacity, math.Max(minCapacity, g.serverConcurrency)/float64(g.cfg.Gateways))
-	if s.suspectedAttempts > 0 { // one attempt finds out whether the server answers at all
-		return math.Min(1, s.capacity)
-	}
-	return s.capacity
-}
-
-// learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
-// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt
-// its attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't
-// grow.
-func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
-	if a.countedSlow {
-		return
-	}
-	a.countedSlow = took.Seconds() > slowTargetShare*g.cfg.Classes[a.request.Class].LatencyTarget.Seconds()
-	own, all := g.capacityOf(a.server), g.totalCapacity()
-	if half := g.load()+1 <= all/2; half && (!a.countedSlow || all > 2*minInitialInFlight) ||
-		!a.countedSlow && a.server.load()+1 <= own/2 {
-		return
-	}
-	step := lateShare
-	if a.countedSlow {
-		step, g.slowAnswerSeen = step-1, true
-	} else if !g.slowAnswerSeen { // nothing says yet that the initial capacity is enough
-		step *= initialCapacityGrowth
-	}
-	part := math.Min(1, own)
-	a.server.capacity += step * part
-	for _, s := range g.servers {
-		s.capacity += step * (1 - part) * g.capacityOf(s) / math.Max(all, 1e-9)
-	}
-}
-
-// countLateness counts an attempt for its class once: when it ends, or when it is late while in flight. Left out are
-// attempts at servers that are slow on the whole, and attempts that were overtaken: neither is overload.
-func (g *Gateway) countLateness(a *attempt, late bool) {
-	slowServer := a.server.relativeLatency.sum > overdueFactor*(a.server.relativeLatency.weight+latencyPriorWeight)
-	if a.countedLate || slowServer || late && a.overtakenBy >= overtakenLimit {
-		return
-	}
-	a.countedLate = true
-	g.lateness[a.request.Class].addBool(g.now, recentWindow, late)
-}
-
 // sheddingScores gives the RUDA scores f of the groups that have lately sent requests, and 0 for the others. A
 // group's resource r is the latency of its attempts, its q the number of them, both over all gateways; the variables
 // have the paper's names.
@@ -945,82 +883,7 @@
 	}
 }
 
-// ---- Updates between peers ----
-
-// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval
-// its push-sum part of the groups' figures as well.
-func (g *Gateway) sendUpdates() {
-	every := updateInterval
-	if rate := peerRateShare * g.cfg.PeerMessageRate; rate > 0 {
-		every = max(every, time.Duration(float64(len(g.nearby))/rate*float64(time.Second)))
-	}
-	g.host.Timer(tagPeerUpdate, every)
-	for i := range g.nearby {
-		g.sendUpdate(g.nearby[i:])
-	}
-	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, func(c *customer) bool { return c.pendingPeers == 0 })
-}
-
-// sendUpdate sends an update to the first of the peers, where there is something to say. The others are those that
-// come after it in this round, to which push-sum leaves their parts.
-func (g *Gateway) sendUpdate(peers []int) {
-	to := peers[0]
-	out := update{age: g.now - g.startedAt, olderPeer: g.olderPeerKnown}
-	full := g.now-g.fullUpdateAt[to] >= fullUpdateInterval
-	if full {
-		out.entries[groupSection] = g.groupEntries(float64(len(peers)))
-		g.resendInFlight(to)
-	}
-	out.entries[customerSection] = g.customerEntries(peers)
-	if full || len(out.entries[customerSection]) > 0 {
-		g.host.SendToPeer(to, packUpdate(out, g.schema))
-	}
-	if full {
-		g.fullUpdateAt[to] = g.now
-	}
-}
-
-// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are
-// left.
-func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
-	for i := range g.groups {
-		t := &g.groups[i].latency
-		t.decay(g.now, groupMemory, 0)
-		list = append(list, entry{key: uint64(i), mass: t.split(peersLeft, float64(g.cfg.Gateways))})
-	}
-	return list
-}
-
-// customerEntries gives the entries of the customers that the first of the peers is to hear of, as many as fit into a
-// message; the rest wait for the next one, in turn.
-func (g *Gateway) customerEntries(peers []int) (list []entry) {
-	to := peers[0]
-	left := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection) // bytes
-	for _, c := range g.pendingUpdates {
-		if c.pendingPeers>>g.peerSlot(to)&1 == 0 || left < maxEntrySize(customerSection) {
-			continue
-		}
-		e := g.customerEntry(c, peers)
-		list, left = append(list, e), left-e.encodedSize()
-	}
-	return list
-}
-
-// customerEntry gives a customer's entry for the first of the peers, and takes out what it grants the peer.
-func (g *Gateway) customerEntry(c *customer, peers []int) entry {
-	to := peers[0]
-	sharing := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
-	g.refill(c, 0)
-	c.sharedDemand.decay(g.now, g.demandMemory(c.plan), 1)
-	peer := &c.peers[g.peerSlot(to)]
-	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
-		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
-		grant:    c.hardLimit.Grant(g.hardLimitShare(c), peer.deficit, c.setSize),
-		inFlight: byte(min(255, c.inFlight+c.queued))}
-	c.pendingPeers &^= 1 << g.peerSlot(to)
-	peer.ownUsedSent, peer.deficit = c.used, 0
-	return e
-}
+// ---- Messages of peers ----
 
 // PeerMessage takes a peer's message in. One that can't be read is dropped whole.
 func (g *Gateway) PeerMessage(now Time, from int, message []byte) {
@@ -1051,41 +914,3 @@
 	}
 	g.applyUpdate(from, in)
 }
-
-// applyUpdate takes in an update, unless it comes twice or after a later one: the peer's age tells. An age that is
-// less by staleUpdates full updates or more is that of another incarnation.
-func (g *Gateway) applyUpdate(from int, in update) {
-	last, heardBefore := g.peerAge[from], g.peerLastContact[from] != 0
-	if heardBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
-		return
-	}
-	if heardBefore && !g.peerAlive(from) {
-		g.peerResumedAt[from] = g.now
-	}
-	restarted := in.age < last || !heardBefore
-	delay := g.excessDelay(from, in.age, restarted)
-	if restarted { // it knows nothing yet
-		g.incarnations[from]++
-		for _, c := range g.customers {
-			g.queueUpdate(c, from)
-		}
-	}
-	g.peerAge[from], g.peerLastContact[from], g.lastContact = in.age, g.now, g.now
-	muchOlder := in.age > g.now-g.startedAt+staleUpdates*fullUpdateInterval
-	if !g.olderPeerKnown && (in.olderPeer || muchOlder) { // nearby peers are to know it at once
-		g.olderPeerKnown = true
-		clear(g.fullUpdateAt)
-	}
-	for _, e := range in.entries[groupSection] {
-		if e.key < uint64(len(g.groups)) {
-			g.groups[e.key].latency.merge(g.now, groupMemory, 0, e.mass)
-		}
-	}
-	for _, e := range in.entries[customerSection] {
-		if c := g.recordFor(e.key); c != nil && g.serves(g.cfg.Self, c) && g.serves(from, c) {
-			e.mass[1] = math.Min(e.mass[1], 1) // a peer's weight is bounded, or it could make the sum vanish
-			c.sharedDemand.merge(g.now, g.demandMemory(c.plan), 1, e.mass)
-			g.applyPeerUsage(c, from, e, delay)
-		}
-	}
-}
