--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"sprucelane.example/sprucelane/coord/view"
 )
 
 // departureWait is how long a process waits for its planned departure before it ends all the same.
@@ -13,14 +15,14 @@
 func (n *simulatedNode) leave(done func(out bool)) {
 	sim := n.sim
 	incarnation, ended := n.incarnation, false
-	end := func(out bool) {
+	end := func(out bool, departedIn view.View) {
 		if ended || n.incarnation != incarnation {
 			return
 		}
 		ended = true
 		sim.tracef("%s has departed: %v", n.name, out)
 		if out {
-			n.checkLeave()
+			n.checkLeave(departedIn)
 		}
 		n.kill()
 		done(out)
@@ -34,39 +36,44 @@
 		if sim.bug == bugDepartEarly {
 			sim.after(0, func() { n.endEarly(incarnation, end) })
 		}
-		if !n.core.leave(sim.now, func() { sim.after(0, func() { end(true) }) }) {
-			sim.after(0, func() { end(false) })
+		onDeparted := func() {
+			departedIn := n.core.view()
+			sim.after(0, func() { end(true, departedIn) })
+		}
+		if !n.core.leave(sim.now, onDeparted) {
+			sim.after(0, func() { end(false, view.View{}) })
 		}
 	})
-	sim.after(departureWait, func() { end(false) })
+	sim.after(departureWait, func() { end(false, view.View{}) })
 }
 
-// checkLeave checks that a member that ends as planned isn't needed any more: it is out of the chain, all of which
-// has the complete prefix, unless the member has waited departureTimeout.
-func (n *simulatedNode) checkLeave() {
+// checkLeave checks that a member that ends as planned isn't needed any more: it is out of the chain, and all of the
+// chain of the view in which it found that it may end has the complete prefix, unless the member has waited
+// departureTimeout. A message that the member handled right after may have brought a later view, whose chain need not
+// have completed its prefix yet.
+func (n *simulatedNode) checkLeave(departedIn view.View) {
 	sim, c := n.sim, n.core
 	if c.departedAt > 0 && sim.now-c.departedAt > departureTimeout {
 		return
 	}
-	v := c.view()
-	if v.InChain(c.self) {
+	if v := c.view(); v.InChain(c.self) {
 		sim.failf("%s ends as planned in the chain of epoch %d", n.name, v.Epoch)
 	}
-	for _, m := range v.Chain {
-		if holder := sim.ownerOf(m); holder != nil && holder.disk.shadow.synced < v.Epoch {
-			sim.failf("%s ends as planned, and %s isn't complete in epoch %d", n.name, holder.name, v.Epoch)
+	for _, m := range departedIn.Chain {
+		if holder := sim.ownerOf(m); holder != nil && holder.disk.shadow.synced < departedIn.Epoch {
+			sim.failf("%s ends as planned, and %s isn't complete in epoch %d", n.name, holder.name, departedIn.Epoch)
 		}
 	}
 }
 
 // endEarly is an injected bug: it ends a member as soon as it is out of the chain.
-func (n *simulatedNode) endEarly(incarnation int, end func(out bool)) {
+func (n *simulatedNode) endEarly(incarnation int, end func(out bool, departedIn view.View)) {
 	switch {
 	case n.incarnation != incarnation:
 	case n.core.inChain():
 		n.sim.after(time.Millisecond/2, func() { n.endEarly(incarnation, end) })
 	default:
-		end(true)
+		end(true, n.core.view())
 	}
 }
 
