--- a/cmd/sprucelane-link/exchange.go
+++ b/cmd/sprucelane-link/exchange.go
@@ -95,7 +95,7 @@
 }
 
 // receiveStates receives the gateway's states in a goroutine of its own, until one fails or ctx ends.
-func receiveStates(ctx context.Context, end *pipe.End) (<-chan pipe.State, <-chan error) {
+func receiveStates(ctx context.Context, end *pipe.Conn) (<-chan pipe.State, <-chan error) {
 	states, failed := make(chan pipe.State), make(chan error, 1)
 	go func() {
 		for {
--- a/cmd/sprucelane-link/main_test.go
+++ b/cmd/sprucelane-link/main_test.go
@@ -20,7 +20,7 @@
 // gateway is the other end of an exchange.
 type gateway struct {
 	t   *testing.T
-	end *pipe.End
+	end *pipe.Conn
 	out io.Closer
 }
 
--- a/cmd/sprucelane/exchange.go
+++ b/cmd/sprucelane/exchange.go
@@ -38,7 +38,7 @@
 // what takes in the exchange's and the policy's datagrams.
 func (g *gateway) startDatagramExchange(ctx context.Context) func(from int, message []byte) {
 	d := g.start.Deployment
-	exchange := datagram.New(&helper.Gateway{Core: g.core, Roster: g.membership}, g.peerLink.Send, g.clock.Now, d.Self,
+	exchange := datagram.New(&helper.Gateway{Core: g.core, Membership: g.membership}, g.peerLink.Send, g.clock.Now, d.Self,
 		d.Gateways, helper.MaxRoom(d.Gateways))
 	g.addCounters(func() core.Counts { return datagramCounts(exchange) })
 	go exchange.Run(ctx)
@@ -79,7 +79,7 @@
 		Listen: conf.Listen, Peers: conf.Peers,
 		Plain: conf.Plain, CertFile: conf.CertFile, KeyFile: conf.KeyFile, CAFile: conf.CAFile, ServerName: conf.ServerName,
 		SuspectShare: conf.SuspectShare, RoomMost: helper.MaxRoom(g.start.Deployment.Gateways),
-	}, &helper.Gateway{Core: g.core, Roster: g.membership})
+	}, &helper.Gateway{Core: g.core, Membership: g.membership})
 	g.closers = append(g.closers, link.Close)
 	g.addCounters(func() core.Counts { return append(core.Counts{slog.String("part", "knowledge")}, link.Counters()...) })
 	go func() {
--- a/internal/knowledge/datagram/datagram_test.go
+++ b/internal/knowledge/datagram/datagram_test.go
@@ -56,14 +56,14 @@
 type gateway struct {
 	mu     sync.Mutex
 	state  pipe.State
-	taught []knowledge.Prior
+	priors []knowledge.Prior
 }
 
 func (g *gateway) Observe() (pipe.State, helper.Snapshot) { return g.state, nil }
 func (g *gateway) ApplyPriors(list []knowledge.Prior, _ helper.Snapshot) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.taught = list
+	g.priors = list
 	return 0
 }
 
@@ -90,7 +90,7 @@
 	require.Eventually(t, func() bool {
 		blank.mu.Lock()
 		defer blank.mu.Unlock()
-		return len(blank.taught) == 6 && blank.taught[0].Suspect && !blank.taught[1].Suspect
+		return len(blank.priors) == 6 && blank.priors[0].Suspect && !blank.priors[1].Suspect
 	}, time.Minute, time.Millisecond)
 	cancel()
 	<-done
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -17,14 +17,14 @@
 type Snapshot map[knowledge.Life]observedServer
 
 type observedServer struct {
-	id     policy.ServerID
-	served int
+	id          policy.ServerID
+	servedTotal int
 }
 
 // Gateway stands on a gateway's core and roster: it turns the module's numbers into instances and lives, and back.
 type Gateway struct {
-	Core   *core.Core
-	Roster *discovery.Membership
+	Core       *core.Core
+	Membership *discovery.Membership
 }
 
 const roomFactor, initialRoom = 4.0, 4.0
@@ -34,8 +34,8 @@
 
 // Seen implements Teachable.
 func (g *Gateway) Observe() (state pipe.State, at Snapshot) {
-	names := g.Roster.Incarnations()
-	at, state.Deaf = make(Snapshot, len(names)), g.Roster.SinceLastAnswer()
+	names := g.Membership.Incarnations()
+	at, state.Deaf = make(Snapshot, len(names)), g.Membership.SinceLastAnswer()
 	g.Core.UpdatePriors(func(now core.Time, seen []policy.Observation) []policy.Prior {
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
@@ -74,7 +74,7 @@
 		list := make([]policy.Prior, 0, len(priors))
 		for _, p := range priors {
 			s, ok := at[p.Life]
-			if now, listed := served[s.id]; !ok || !listed || now != s.served {
+			if now, listed := served[s.id]; !ok || !listed || now != s.servedTotal {
 				late++
 				continue
 			}
--- a/internal/knowledge/helper/helper.go
+++ b/internal/knowledge/helper/helper.go
@@ -140,7 +140,7 @@
 
 // talk shows the child what was seen and takes its news, until either ends. A child that leaves a state unanswered is
 // killed by slow.
-func (h *Helper) exchange(ctx context.Context, end *pipe.End, slow *time.Timer) error {
+func (h *Helper) exchange(ctx context.Context, end *pipe.Conn, slow *time.Timer) error {
 	if err := end.Send(h.hello); err != nil {
 		return err
 	}
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -22,13 +22,13 @@
 // The test's own program stands in for the link program: what it does follows from the name it was given in Hello.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "exchange" {
-		child()
+		childMain()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-func child() {
+func childMain() {
 	end := pipe.New(os.Stdin, os.Stdout)
 	var hello pipe.Hello
 	if end.Receive(&hello) != nil {
@@ -61,8 +61,8 @@
 
 // taught is a gateway that notes what it is taught.
 type fakeGateway struct {
-	mu    sync.Mutex
-	times int
+	mu      sync.Mutex
+	applied int
 }
 
 func (g *fakeGateway) Observe() (pipe.State, Snapshot) {
@@ -73,7 +73,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(list) > 0 {
-		g.times++
+		g.applied++
 	}
 	return 0
 }
@@ -81,7 +81,7 @@
 func (g *fakeGateway) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.times
+	return g.applied
 }
 
 func open(t *testing.T, program, name string, g PriorConsumer) *Helper {
@@ -129,7 +129,7 @@
 	r := discovery.NewMembership(addresses{}, c.Servers, nil, nil)
 	r.Apply(policy.ListFull, []discovery.Instance{{ID: "a", Addr: "127.0.0.1:1", Lifecycle: "up", StartedMs: 5},
 		{ID: "b", Addr: "127.0.0.1:2", Lifecycle: "up"}, {ID: "c", Addr: "127.0.0.1:3", Lifecycle: "draining"}})
-	g := &Gateway{Core: c, Roster: r}
+	g := &Gateway{Core: c, Membership: r}
 	state, at := g.Observe()
 	require.Len(t, state.Own, 2)
 	a, b := knowledge.Life{Instance: "a", StartedMs: 5}, knowledge.Life{Instance: "b"}
--- a/internal/knowledge/link/convert.go
+++ b/internal/knowledge/link/convert.go
@@ -15,10 +15,10 @@
 	oldestVersion = 1
 )
 
-func ms(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
+func milliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
 // duration reads milliseconds; what is too long to be one is below 0, which no fact survives.
-func duration(ms uint64) time.Duration {
+func fromMilliseconds(ms uint64) time.Duration {
 	if ms > math.MaxInt64/uint64(time.Millisecond) {
 		return -1
 	}
@@ -27,11 +27,11 @@
 
 func toWire(f *knowledge.Fact) *pb.Fact {
 	w := &pb.Fact{Instance: f.Instance, StartedMs: f.StartedMs, Observer: f.Observer.Name, ObserverLife: f.Birth, Seq: f.Seq,
-		Hops: uint32(f.Hops), AgeMs: ms(f.Age), StalledMs: ms(f.Stalled), Lost: uint32(f.Lost), EjectedMs: ms(f.Ejected),
+		Hops: uint32(f.Hops), AgeMs: milliseconds(f.Age), StalledMs: milliseconds(f.Stalled), Lost: uint32(f.Lost), EjectedMs: milliseconds(f.Ejected),
 		Pace: float32(f.Pace), Answers: float32(f.Answers), Room: float32(f.Room), Warmth: float32(f.Warmth),
-		Cold: uint32(f.Cold), DeafMs: ms(f.Deaf), BlindMs: ms(f.Blind)}
+		Cold: uint32(f.Cold), DeafMs: milliseconds(f.Deaf), BlindMs: milliseconds(f.Blind)}
 	if f.Served() {
-		answered := ms(f.Answered)
+		answered := milliseconds(f.Answered)
 		w.AnsweredMs = &answered
 	}
 	return w
@@ -42,12 +42,12 @@
 func fromWire(w *pb.Fact, late time.Duration) knowledge.Fact {
 	f := knowledge.Fact{Life: knowledge.Life{Instance: w.GetInstance(), StartedMs: w.GetStartedMs()},
 		Observer: knowledge.Observer{Name: w.GetObserver(), Birth: w.GetObserverLife()}, Seq: w.GetSeq(), Hops: int(w.GetHops()),
-		Age: duration(w.GetAgeMs()), Stalled: duration(w.GetStalledMs()), Lost: int(w.GetLost()),
-		Ejected: duration(w.GetEjectedMs()), Pace: float64(w.GetPace()), Answers: float64(w.GetAnswers()), Answered: -1,
-		Room: float64(w.GetRoom()), Warmth: float64(w.GetWarmth()), Cold: int(w.GetCold()), Deaf: duration(w.GetDeafMs()),
-		Blind: duration(w.GetBlindMs())}
+		Age: fromMilliseconds(w.GetAgeMs()), Stalled: fromMilliseconds(w.GetStalledMs()), Lost: int(w.GetLost()),
+		Ejected: fromMilliseconds(w.GetEjectedMs()), Pace: float64(w.GetPace()), Answers: float64(w.GetAnswers()), Answered: -1,
+		Room: float64(w.GetRoom()), Warmth: float64(w.GetWarmth()), Cold: int(w.GetCold()), Deaf: fromMilliseconds(w.GetDeafMs()),
+		Blind: fromMilliseconds(w.GetBlindMs())}
 	if w.AnsweredMs != nil {
-		if f.Answered = duration(w.GetAnsweredMs()); f.Answered < 0 {
+		if f.Answered = fromMilliseconds(w.GetAnsweredMs()); f.Answered < 0 {
 			f.Age = -1 // malformed, which is not the same as never
 		}
 	}
@@ -63,7 +63,7 @@
 	for _, w := range p.GetFacts() {
 		f := fromWire(w, late)
 		if f.Observer.Name == p.GetTeller() { // of its own word a teller knows best how it was itself
-			f.Deaf, f.Blind = max(f.Deaf, duration(p.GetDeafMs())), max(f.Blind, duration(p.GetBlindMs())-f.Age)
+			f.Deaf, f.Blind = max(f.Deaf, fromMilliseconds(p.GetDeafMs())), max(f.Blind, fromMilliseconds(p.GetBlindMs())-f.Age)
 		}
 		list = append(list, f)
 	}
--- a/internal/knowledge/link/link.go
+++ b/internal/knowledge/link/link.go
@@ -177,7 +177,7 @@
 		e.mu.Lock()
 		facts, version := e.table.FactsSince(e.opt.Now(), after, most)
 		p := &pb.Picture{Version: Version, Oldest: oldestVersion, Teller: e.opt.Self.Name, TellerLife: e.opt.Self.Birth, Whole: whole,
-			ElapsedMs: ms(time.Since(began)), DeafMs: ms(e.deaf), BlindMs: ms(e.blind)}
+			ElapsedMs: milliseconds(time.Since(began)), DeafMs: milliseconds(e.deaf), BlindMs: milliseconds(e.blind)}
 		e.mu.Unlock()
 		for i := range facts {
 			p.Facts = append(p.Facts, toWire(&facts[i]))
@@ -287,7 +287,7 @@
 			return cmpErr(context.Cause(ctx), err)
 		}
 		silence.Reset(receiveTimeout)
-		e.receive(p, lag.delay(time.Since(began), duration(p.GetElapsedMs())))
+		e.receive(p, lag.delay(time.Since(began), fromMilliseconds(p.GetElapsedMs())))
 		if p.GetWhole() {
 			first()
 		}
--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -68,7 +68,7 @@
 }
 
 // seen are sightings of a gateway at which b stalls.
-func seen() []knowledge.Observation {
+func observedStall() []knowledge.Observation {
 	list := unseen()
 	for i := range list {
 		list[i].Answered, list[i].Pace, list[i].Answers, list[i].Room = 100*time.Millisecond, 1, 9, 3
@@ -79,12 +79,12 @@
 
 // A new gateway has the picture of one that runs as soon as it has asked, and what changes follows.
 func TestSnapshotThenUpdates(t *testing.T) {
-	a := open(t, "g0", seen(), nil)
+	a := open(t, "g0", observedStall(), nil)
 	b := open(t, "g1", unseen(), nil, a.Addr())
 	<-b.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(b.Priors()))
 	assert.Len(t, b.Priors(), 5)
-	next := seen()
+	next := observedStall()
 	next[1], next[3] = next[3], next[1]
 	next[1].Life, next[3].Life = next[3].Life, next[1].Life // now d stalls and b answers
 	next[1].Answered, next[1].Lost, next[1].Stalled = 0, 0, 0
@@ -107,7 +107,7 @@
 	return f
 }
 
-func quiet(seq uint64) *pb.Fact {
+func healthyFact(seq uint64) *pb.Fact {
 	f := fact(seq, false)
 	f.Instance = "a"
 	return f
@@ -121,7 +121,7 @@
 			return nil, 0
 		}
 		calls.Add(1)
-		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Whole: true, Facts: []*pb.Fact{fact(uint64(calls.Load()), true), quiet(1)}}, time.Millisecond
+		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Whole: true, Facts: []*pb.Fact{fact(uint64(calls.Load()), true), healthyFact(1)}}, time.Millisecond
 	})
 	require.NoError(t, err)
 	t.Cleanup(peer.Stop)
@@ -140,7 +140,7 @@
 		version, oldest uint32
 		taken           bool
 	}{"newer, compatible": {9, 1, true}, "newer": {9, 9, false}, "older than any": {0, 0, false}} {
-		facts := []*pb.Fact{fact(1, true), quiet(1)}
+		facts := []*pb.Fact{fact(1, true), healthyFact(1)}
 		facts[0].ProtoReflect().SetUnknown([]byte{0xf8, 0x07, 0x05}) // a field that this program doesn't know
 		peer, err := knowledgepeer.Start(func(int, time.Duration) (*pb.Picture, time.Duration) {
 			return &pb.Picture{Version: c.version, Oldest: c.oldest, Teller: "peer", Whole: true, Facts: facts}, -1
@@ -186,7 +186,7 @@
 			t.Cleanup(func() { c.Close() })
 		}
 	}()
-	a := open(t, "g0", seen(), nil)
+	a := open(t, "g0", observedStall(), nil)
 	e := open(t, "g1", unseen(), nil, l.Addr().String(), a.Addr())
 	eventually(t, func() bool { return len(suspects(e.Priors())) == 1 })
 	eventually(t, func() bool { return counter(e, "calls_broken") > 0 })
@@ -236,7 +236,7 @@
 // Without a certificate of the fleet nothing is told, and none of another is believed.
 func TestMutualTLS(t *testing.T) {
 	fleet, stranger := newAuthority(t), newAuthority(t)
-	a := open(t, "g0", seen(), fleet.identity(fleet))
+	a := open(t, "g0", observedStall(), fleet.identity(fleet))
 	b := open(t, "g1", unseen(), fleet.identity(fleet), a.Addr())
 	<-b.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(b.Priors()))
--- a/internal/knowledge/pipe/pipe.go
+++ b/internal/knowledge/pipe/pipe.go
@@ -42,16 +42,16 @@
 }
 
 // End is one end of the pipe. Its two directions may be used at once, each by one goroutine.
-type End struct {
+type Conn struct {
 	in  *gob.Decoder
 	out *gob.Encoder
 }
 
 // New gives an end that reads from one side and writes to the other.
-func New(in io.Reader, out io.Writer) *End { return &End{gob.NewDecoder(in), gob.NewEncoder(out)} }
+func New(in io.Reader, out io.Writer) *Conn { return &Conn{gob.NewDecoder(in), gob.NewEncoder(out)} }
 
 // Say writes a message.
-func (e *End) Send(message any) error { return e.out.Encode(message) }
+func (e *Conn) Send(message any) error { return e.out.Encode(message) }
 
 // Hear reads one into what it points to.
-func (e *End) Receive(into any) error { return e.in.Decode(into) }
+func (e *Conn) Receive(into any) error { return e.in.Decode(into) }
