--- a/internal/knowledge/datagram/datagram_test.go
+++ b/internal/knowledge/datagram/datagram_test.go
@@ -15,10 +15,11 @@
 	"sprucelane.example/sprucelane/internal/knowledge/pipe"
 )
 
+// state returns a state of n members of which the first are stalled.
 func state(n int, stalled int) (s pipe.State) {
 	for i := range n {
-		x := knowledge.Observation{Life: knowledge.Life{Instance: fmt.Sprintf("s-%d", i), StartedMs: int64(i)}, Answered: 100 * time.Millisecond,
-			Pace: 1.1, Answers: float64(i), Room: 3}
+		x := knowledge.Observation{Life: knowledge.Life{Instance: fmt.Sprintf("s-%d", i), StartedMs: int64(i)},
+			Answered: 100 * time.Millisecond, Pace: 1.1, Answers: float64(i), Room: 3}
 		if i < stalled {
 			x.Answered, x.Lost, x.Stalled, x.Pace = 4*time.Second, 3, 4*time.Second, 9
 		}
@@ -27,6 +28,8 @@
 	return s
 }
 
+// Encoding and decoding keep what fits of a snapshot, up to the precision of the scale, the most unhealthy members
+// first.
 func TestSnapshotRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 5, 14, 400} {
 		s := state(n, min(n, 2))
@@ -37,7 +40,7 @@
 		require.True(t, ok)
 		assert.Len(t, facts, min(n, 28))
 		if n > 0 {
-			assert.Equal(t, 3, facts[0].Lost) // the worst first
+			assert.Equal(t, 3, facts[0].Lost) // the most unhealthy first
 			assert.InDelta(t, 4, facts[0].Stalled.Seconds(), 0.2)
 			assert.InDelta(t, 3, facts[0].Deaf.Seconds(), 0.2)
 			assert.InDelta(t, 1.1, facts[len(facts)-1].Pace, 0.06)
@@ -52,7 +55,7 @@
 	assert.False(t, ok)
 }
 
-// gateway is shown and taught.
+// gateway is a fake that keeps the priors that are applied.
 type gateway struct {
 	mu     sync.Mutex
 	state  pipe.State
@@ -67,13 +70,14 @@
 	return 0
 }
 
-// A gateway that has just started asks, one that has run answers, and one that has just started too has nothing to say.
+// A gateway that has just started requests snapshots; one that has run for a while answers, and one that has just
+// started doesn't.
 func TestNewGatewayRequestsSnapshots(t *testing.T) {
 	began := time.Now()
 	now := func() knowledge.Time { return time.Hour + time.Since(began) }
-	var ends [3]*Exchange
-	tell := func(me int) func(int, []byte) {
-		return func(to int, m []byte) { ends[to].Receive(me, m) }
+	var exchanges [3]*Exchange
+	send := func(from int) func(int, []byte) {
+		return func(to int, m []byte) { exchanges[to].Receive(from, m) }
 	}
 	old := &gateway{state: state(6, 1)}
 	blank := &gateway{state: state(6, 0)}
@@ -81,12 +85,12 @@
 		blank.state.Own[i].Answered, blank.state.Own[i].Pace = -1, 0
 	}
 	for i, g := range []*gateway{old, blank, {}} {
-		ends[i] = New(g, tell(i), now, i, 3, 5)
+		exchanges[i] = New(g, send(i), now, i, 3, 5)
 	}
-	ends[0].startedAt = 0 // long ago
+	exchanges[0].startedAt = 0 // long ago
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { ends[1].Run(ctx); close(done) }()
+	go func() { exchanges[1].Run(ctx); close(done) }()
 	require.Eventually(t, func() bool {
 		blank.mu.Lock()
 		defer blank.mu.Unlock()
@@ -94,17 +98,18 @@
 	}, time.Minute, time.Millisecond)
 	cancel()
 	<-done
-	assert.Zero(t, ends[2].Counters().Answers)
-	assert.NotZero(t, ends[0].Counters().Answers)
-	heard := ends[1].Counters().Received
+	assert.Zero(t, exchanges[2].Counters().Answers)
+	assert.NotZero(t, exchanges[0].Counters().Answers)
+	received := exchanges[1].Counters().Received
 	for _, m := range [][]byte{nil, {kindSnapshot}, {kindSnapshot, 9, 0, 0}, make([]byte, 999), {3, 0, 0}} {
-		ends[1].Receive(0, m)
+		exchanges[1].Receive(0, m)
 	}
-	ends[1].Receive(7, Encode(old.state))
-	assert.Equal(t, heard, ends[1].Counters().Received)
-	assert.Equal(t, uint64(1), ends[1].Counters().Malformed)
+	exchanges[1].Receive(7, Encode(old.state))
+	assert.Equal(t, received, exchanges[1].Counters().Received)
+	assert.Equal(t, uint64(1), exchanges[1].Counters().Malformed)
 }
 
+// No datagram makes the exchange panic, or leads to a prior out of bounds.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode(state(4, 1)))
 	f.Fuzz(func(t *testing.T, m []byte) {
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -1,5 +1,7 @@
 package helper
 
+// This file connects the exchange with the gateway's core and its list of servers.
+
 import (
 	"time"
 
@@ -10,58 +12,66 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Prior is what the link program guesses of a member.
+// Prior is a prior estimate of a member.
 type Prior = knowledge.Prior
 
-// Snapshot tells, for each life shown, its number and how often it had answered.
+// Snapshot has the members as of an observation, by incarnation.
 type Snapshot map[knowledge.Life]observedServer
 
+// observedServer is a member as of an observation.
 type observedServer struct {
 	id          policy.ServerID
-	servedTotal int
+	servedTotal int // answers of its, ever
 }
 
-// Gateway stands on a gateway's core and roster: it turns the module's numbers into instances and lives, and back.
+// Gateway implements PriorConsumer for a gateway's core. It translates between the core's server IDs and the
+// incarnations that all gateways know.
 type Gateway struct {
 	Core       *core.Core
 	Membership *discovery.Membership
 }
 
-const roomFactor, initialRoom = 4.0, 4.0
+const (
+	initialRoom = 4.0 // attempts that a gateway takes a member to hold when it knows nothing of it
+	roomFactor  = 4.0 // by which reports of peers may raise that
+)
 
-// RoomMost is the most room that a peer's word may give at one of so many gateways: some times that of a blank start.
+// MaxRoom returns the highest room, in attempts, that peers' reports may give a member at one of so many gateways.
 func MaxRoom(gateways int) float64 { return roomFactor * initialRoom / float64(max(gateways, 1)) }
 
-// Seen implements Teachable.
+// Observe implements PriorConsumer.
 func (g *Gateway) Observe() (state pipe.State, at Snapshot) {
-	names := g.Membership.Incarnations()
-	at, state.Deaf = make(Snapshot, len(names)), g.Membership.SinceLastAnswer()
+	incarnations := g.Membership.Incarnations()
+	at, state.Deaf = make(Snapshot, len(incarnations)), g.Membership.SinceLastAnswer()
 	g.Core.UpdatePriors(func(now core.Time, seen []policy.Observation) []policy.Prior {
 		answered, waiting := core.Time(0), time.Duration(0)
 		for _, o := range seen {
-			name, ok := names[o.ID]
-			if !ok || startTime(name.StartedMs) != o.StartedAt { // listed after the names were asked for
+			incarnation, ok := incarnations[o.ID]
+			if !ok || startTime(incarnation.StartedMs) != o.StartedAt { // it was listed after Incarnations returned
 				continue
 			}
-			life := knowledge.Life(name)
+			life := knowledge.Life(incarnation)
 			at[life] = observedServer{o.ID, o.ServedTotal}
-			s := knowledge.Observation{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue, Pace: o.RelativeLatency,
-				Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth, Cold: o.SlowStartSends}
+			s := knowledge.Observation{Life: life, Stalled: o.NoResponseFor, Ejected: o.EjectedFor, Lost: o.Overdue,
+				Pace: o.RelativeLatency, Answers: o.LatencySamples, Answered: -1, Room: o.Capacity, Warmth: o.Warmth,
+				Cold: o.SlowStartSends}
 			if o.ServedTotal > 0 {
 				s.Answered = now - o.LastServed
 			}
 			state.Own = append(state.Own, s)
 			answered, waiting = max(answered, o.LastServed), max(waiting, o.NoResponseFor)
 		}
-		state.Blind = min(waiting, now-answered) // a gateway of which nothing is asked is not blind for want of answers
+		// A gateway without traffic receives no answers, and is not blind for that.
+		state.Blind = min(waiting, now-answered)
 		return nil
 	})
 	return state, at
 }
 
+// startTime converts the start of a member from Unix ms to the core's representation.
 func startTime(startedMs int64) core.Time { return time.Duration(startedMs) * time.Millisecond }
 
-// Teach implements Teachable. A prior for a member that has answered since it was shown comes too late.
+// ApplyPriors implements PriorConsumer.
 func (g *Gateway) ApplyPriors(priors []Prior, at Snapshot) (late int) {
 	if len(priors) == 0 {
 		return 0
@@ -78,8 +88,8 @@
 				late++
 				continue
 			}
-			list = append(list, policy.Prior{ID: s.id, StartedAt: startTime(p.StartedMs), RelativeLatency: p.Pace, Weight: p.Weight, Capacity: p.Room,
-				SlowStartBudgetTaken: p.Cold})
+			list = append(list, policy.Prior{ID: s.id, StartedAt: startTime(p.StartedMs), RelativeLatency: p.Pace,
+				Weight: p.Weight, Capacity: p.Room, SlowStartBudgetTaken: p.Cold})
 		}
 		return list
 	})
--- a/internal/knowledge/helper/helper.go
+++ b/internal/knowledge/helper/helper.go
@@ -1,8 +1,7 @@
-// Package helper owns the gateway's side of the exchange of knowledge: it runs the link program as a child, shows it
-// what the gateway has seen, and hands the priors that come back to the decision module. It must never hold serving
-// up: a child that is missing, slow, wrong or dead leaves the gateway as it would be without one.
 package helper
 
+// This file has the life of the child process and the conversation with it.
+
 import (
 	"context"
 	"fmt"
@@ -18,10 +17,10 @@
 	"sprucelane.example/sprucelane/internal/knowledge/pipe"
 )
 
-// Program is the link program's name; it stands beside the gateway's own.
+// Program is the file name of the helper program.
 const Program = "sprucelane-link"
 
-// Beside gives the path of the link program.
+// ProgramPath returns the path of the helper program, which is installed beside the gateway's.
 func ProgramPath() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -31,36 +30,40 @@
 }
 
 const (
-	stateInterval = 250 * time.Millisecond
-	answerTimeout = 5 * time.Second // for the news that a state brings
-	exitTimeout   = time.Second     // for the child to end by itself
-	minBackoff    = 500 * time.Millisecond
-	maxBackoff    = 30 * time.Second
+	stateInterval = 250 * time.Millisecond // between two states
+	answerTimeout = 5 * time.Second        // for the update that answers a state; the child is killed then
+	exitTimeout   = time.Second            // for the child to exit once its input is closed; it is killed then
+	minBackoff    = 500 * time.Millisecond // before a restart of the child
+	maxBackoff    = 30 * time.Second       // likewise; a child that has run for longer resets the backoff
 )
 
-// Helper runs the link program for as long as it is open.
+// Helper runs the helper program until it is closed.
 type Helper struct {
-	program     string
-	hello       pipe.Hello
-	gateway     PriorConsumer
-	cancel      context.CancelFunc
-	done        sync.WaitGroup
+	program  string
+	hello    pipe.Hello
+	gateway  PriorConsumer
+	cancel   context.CancelFunc
+	done     sync.WaitGroup
+	syncOnce sync.Once
+	// initialSync is closed, by syncOnce, when all peers have sent their snapshots or the child has ended.
 	initialSync chan struct{}
-	syncOnce    sync.Once
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	lastUpdate pipe.Update
-	starts     uint64
-	latePriors uint64 // priors that came too late
+	starts     uint64 // of the child
+	latePriors uint64 // priors for members that had answered meanwhile
 }
 
-// Teachable is what is shown and taught.
+// PriorConsumer is the gateway.
 type PriorConsumer interface {
+	// Observe returns what the gateway observes, and a snapshot of it that ApplyPriors compares with.
 	Observe() (pipe.State, Snapshot)
+	// ApplyPriors applies priors that follow from the observation that the snapshot is of. It returns how many came too
+	// late, because the member has answered since.
 	ApplyPriors(priors []Prior, at Snapshot) (late int)
 }
 
-// Open starts the link program and keeps it running.
+// Open starts the helper program, and restarts it when it ends, until Close.
 func Open(program string, hello pipe.Hello, gateway PriorConsumer) *Helper {
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &Helper{program: program, hello: hello, gateway: gateway, cancel: cancel, initialSync: make(chan struct{})}
@@ -68,25 +71,26 @@
 	return h
 }
 
-// Close ends the child.
+// Close ends the child and waits for it.
 func (h *Helper) Close() {
 	h.cancel()
 	h.done.Wait()
 }
 
-// Learnt waits until the peers' pictures have come, or so long.
-func (h *Helper) AwaitInitialSync(most time.Duration) {
-	wait := time.NewTimer(most)
-	defer wait.Stop()
+// AwaitInitialSync waits until all peers have sent their snapshots, or it is known that they won't, but no longer
+// than the given time.
+func (h *Helper) AwaitInitialSync(timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case <-h.initialSync:
-	case <-wait.C:
+	case <-timer.C:
 	}
 }
 
-// keep starts the child anew whenever it has ended.
+// supervise runs the child, and restarts it with backoff, until ctx ends.
 func (h *Helper) supervise(ctx context.Context) {
-	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
+	for backoff := minBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		h.mu.Lock()
 		h.starts++
 		h.mu.Unlock()
@@ -96,24 +100,24 @@
 			return
 		}
 		slog.Warn("link_program_ended", "program", h.program, "err", err)
-		h.syncOnce.Do(func() { close(h.initialSync) }) // nothing is learnt from it: the start needn't wait
+		h.syncOnce.Do(func() { close(h.initialSync) }) // the gateway's start needn't wait for a child that fails
 		if time.Since(began) > maxBackoff {
-			pause = minBackoff
+			backoff = minBackoff
 		}
-		wait := time.NewTimer(pause)
+		timer := time.NewTimer(backoff)
 		select {
-		case <-wait.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 		}
 	}
 }
 
-// run is one life of the child.
+// runChild runs one child process until it, the conversation with it, or ctx ends.
 func (h *Helper) runChild(ctx context.Context) error {
 	cmd := exec.Command(h.program, "exchange")
 	cmd.Stderr = os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM} // it never outlives the gateway
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM} // so that it doesn't outlive the gateway
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return err
@@ -128,62 +132,62 @@
 	slow := time.AfterFunc(answerTimeout, func() { cmd.Process.Kill() })
 	err = h.exchange(ctx, pipe.New(out, in), slow)
 	slow.Stop()
-	in.Close() // which ends it
-	end := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
-	defer end.Stop()
+	in.Close() // the child exits at the end of its input
+	hung := time.AfterFunc(exitTimeout, func() { cmd.Process.Kill() })
+	defer hung.Stop()
 	io.Copy(io.Discard, out)
-	if ended := cmd.Wait(); ended != nil && err == nil {
-		err = ended
+	if exit := cmd.Wait(); exit != nil && err == nil {
+		err = exit
 	}
 	return err
 }
 
-// talk shows the child what was seen and takes its news, until either ends. A child that leaves a state unanswered is
-// killed by slow.
-func (h *Helper) exchange(ctx context.Context, end *pipe.Conn, slow *time.Timer) error {
-	if err := end.Send(h.hello); err != nil {
+// exchange sends the child states and applies its updates, until either ends. It resets the timer slow with each
+// state and stops it with each update; the timer kills the child.
+func (h *Helper) exchange(ctx context.Context, conn *pipe.Conn, slow *time.Timer) error {
+	if err := conn.Send(h.hello); err != nil {
 		return err
 	}
-	news, failed, over := make(chan pipe.Update), make(chan error, 1), make(chan struct{})
+	updates, failed, over := make(chan pipe.Update), make(chan error, 1), make(chan struct{})
 	defer close(over)
 	go func() {
 		for {
-			var n pipe.Update
-			if err := end.Receive(&n); err != nil {
+			var u pipe.Update
+			if err := conn.Receive(&u); err != nil {
 				failed <- err
 				return
 			}
 			select {
-			case news <- n:
+			case updates <- u:
 			case <-over:
 				return
 			}
 		}
 	}()
-	beat := time.NewTicker(stateInterval)
-	defer beat.Stop()
+	tick := time.NewTicker(stateInterval)
+	defer tick.Stop()
 	state, at := h.gateway.Observe()
-	for asked := true; ; {
-		if asked {
+	for due := true; ; {
+		if due {
 			slow.Reset(answerTimeout)
-			if err := end.Send(state); err != nil {
+			if err := conn.Send(state); err != nil {
 				return err
 			}
-			asked = false
+			due = false
 		}
 		select {
-		case n := <-news:
+		case u := <-updates:
 			slow.Stop()
-			late := h.gateway.ApplyPriors(n.Priors, at)
+			late := h.gateway.ApplyPriors(u.Priors, at)
 			h.mu.Lock()
-			h.lastUpdate, h.latePriors = n, h.latePriors+uint64(late)
+			h.lastUpdate, h.latePriors = u, h.latePriors+uint64(late)
 			h.mu.Unlock()
-			if n.Learnt {
+			if u.Learnt {
 				h.syncOnce.Do(func() { close(h.initialSync) })
 			}
-		case <-beat.C:
+		case <-tick.C:
 			state, at = h.gateway.Observe()
-			asked = true
+			due = true
 		case err := <-failed:
 			return fmt.Errorf("it says nothing more: %w", err)
 		case <-ctx.Done():
@@ -192,14 +196,14 @@
 	}
 }
 
-// Addr is where the child listens, once it has said so.
+// Addr returns the address that the child listens on; empty: it has not reported one.
 func (h *Helper) Addr() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lastUpdate.Addr
 }
 
-// Counters tells of the exchange, as the child last did.
+// Counters returns the counters of the exchange, as the child last reported them.
 func (h *Helper) Counters() []slog.Attr {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -19,7 +19,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The test's own program stands in for the link program: what it does follows from the name it was given in Hello.
+// The test binary is also a fake of the helper program. How it behaves follows from the name in Hello.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "exchange" {
 		childMain()
@@ -28,15 +28,16 @@
 	os.Exit(m.Run())
 }
 
+// childMain is the main function of the fake.
 func childMain() {
-	end := pipe.New(os.Stdin, os.Stdout)
+	conn := pipe.New(os.Stdin, os.Stdout)
 	var hello pipe.Hello
-	if end.Receive(&hello) != nil {
+	if conn.Receive(&hello) != nil {
 		return
 	}
 	for {
 		var s pipe.State
-		if end.Receive(&s) != nil {
+		if conn.Receive(&s) != nil {
 			return
 		}
 		switch hello.Me.Name {
@@ -49,17 +50,18 @@
 			io.Copy(io.Discard, os.Stdin)
 			return
 		}
-		news := pipe.Update{Learnt: true, Addr: "here", Counters: []pipe.Counter{{Name: "facts", Value: uint64(len(s.Own))}}}
+		update := pipe.Update{Learnt: true, Addr: "here",
+			Counters: []pipe.Counter{{Name: "facts", Value: uint64(len(s.Own))}}}
 		for _, o := range s.Own {
-			news.Priors = append(news.Priors, knowledge.Prior{Life: o.Life, Pace: 5, Weight: 3, Room: 2})
+			update.Priors = append(update.Priors, knowledge.Prior{Life: o.Life, Pace: 5, Weight: 3, Room: 2})
 		}
-		if end.Send(news) != nil {
+		if conn.Send(update) != nil {
 			return
 		}
 	}
 }
 
-// taught is a gateway that notes what it is taught.
+// fakeGateway counts how often priors are applied.
 type fakeGateway struct {
 	mu      sync.Mutex
 	applied int
@@ -90,6 +92,7 @@
 	return h
 }
 
+// The helper's child receives states, and its priors are applied.
 func TestStatesAndPriors(t *testing.T) {
 	g := &fakeGateway{}
 	h := open(t, os.Args[0], "good", g)
@@ -99,7 +102,7 @@
 	assert.Contains(t, fmt.Sprint(h.Counters()), "facts=1")
 }
 
-// Whatever the child does, nothing is taught and the start waits no longer than it is told to.
+// A child that fails leads to no priors, is restarted, and doesn't delay the start; a silent one can be closed.
 func TestFailingChildren(t *testing.T) {
 	for _, name := range []string{"garbage", "dies", "missing"} {
 		program := os.Args[0]
@@ -108,7 +111,7 @@
 		}
 		g := &fakeGateway{}
 		h := open(t, program, name, g)
-		h.AwaitInitialSync(time.Hour) // ends as soon as it is known that nothing comes
+		h.AwaitInitialSync(time.Hour) // ends as soon as the child has failed
 		require.Eventually(t, func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -118,10 +121,10 @@
 	}
 	h := open(t, os.Args[0], "silent", &fakeGateway{})
 	h.AwaitInitialSync(time.Millisecond)
-	h.Close() // and it ends though it says nothing
+	h.Close() // returns although the child is silent
 }
 
-// A gateway shows what it has seen by instance and life, and takes priors for what it has not seen since.
+// A gateway reports observations by incarnation, and applies priors only for members that haven't answered since.
 func TestServerIDsAndIncarnations(t *testing.T) {
 	d := fake.Deployment()
 	c, err := core.New(d.Settings, 1, core.NewClock(), carrier{}, nil)
@@ -141,7 +144,7 @@
 	assert.Equal(t, 2, late)
 	state, _ = g.Observe()
 	assert.InDelta(t, 7, state.Own[0].Pace, 0.01)
-	at[b] = observedServer{at[b].id, 3} // it has answered since
+	at[b] = observedServer{at[b].id, 3} // it has answered since then
 	assert.Equal(t, 1, g.ApplyPriors([]Prior{{Life: b, Pace: 9, Weight: 9}}, at))
 }
 
--- a/internal/knowledge/link/convert.go
+++ b/internal/knowledge/link/convert.go
@@ -1,5 +1,7 @@
 package link
 
+// This file converts between facts and their protocol buffers.
+
 import (
 	"math"
 	"time"
@@ -8,16 +10,18 @@
 	"sprucelane.example/sprucelane/internal/knowledge"
 )
 
-// Version is the form of messages that this program speaks, and oldest the oldest reader that understands it. A newer
-// form may add fields, which older readers skip; one that they would misread raises oldest.
+// Version is the version of the messages of this program, and oldestVersion the oldest reader that can use them. A
+// newer version may add fields, which older readers skip; one that they would misread raises oldestVersion.
 const (
 	Version       = 1
 	oldestVersion = 1
 )
 
+// milliseconds converts a duration; a negative one is 0.
 func milliseconds(d time.Duration) uint64 { return uint64(max(d, 0) / time.Millisecond) }
 
-// duration reads milliseconds; what is too long to be one is below 0, which no fact survives.
+// fromMilliseconds converts milliseconds. A number that is too large becomes negative, and the fact is dropped as
+// malformed.
 func fromMilliseconds(ms uint64) time.Duration {
 	if ms > math.MaxInt64/uint64(time.Millisecond) {
 		return -1
@@ -25,11 +29,13 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
+// toWire converts a fact to its message.
 func toWire(f *knowledge.Fact) *pb.Fact {
-	w := &pb.Fact{Instance: f.Instance, StartedMs: f.StartedMs, Observer: f.Observer.Name, ObserverLife: f.Birth, Seq: f.Seq,
-		Hops: uint32(f.Hops), AgeMs: milliseconds(f.Age), StalledMs: milliseconds(f.Stalled), Lost: uint32(f.Lost), EjectedMs: milliseconds(f.Ejected),
-		Pace: float32(f.Pace), Answers: float32(f.Answers), Room: float32(f.Room), Warmth: float32(f.Warmth),
-		Cold: uint32(f.Cold), DeafMs: milliseconds(f.Deaf), BlindMs: milliseconds(f.Blind)}
+	w := &pb.Fact{Instance: f.Instance, StartedMs: f.StartedMs, Observer: f.Observer.Name, ObserverLife: f.Birth,
+		Seq: f.Seq, Hops: uint32(f.Hops), AgeMs: milliseconds(f.Age), StalledMs: milliseconds(f.Stalled),
+		Lost: uint32(f.Lost), EjectedMs: milliseconds(f.Ejected), Pace: float32(f.Pace), Answers: float32(f.Answers),
+		Room: float32(f.Room), Warmth: float32(f.Warmth), Cold: uint32(f.Cold), DeafMs: milliseconds(f.Deaf),
+		BlindMs: milliseconds(f.Blind)}
 	if f.Served() {
 		answered := milliseconds(f.Answered)
 		w.AnsweredMs = &answered
@@ -37,33 +43,33 @@
 	return w
 }
 
-// fromWire reads a fact as a message of this age holds it. The observer's blindness is at least the teller's own where
-// it is the teller's word.
-func fromWire(w *pb.Fact, late time.Duration) knowledge.Fact {
+// fromWire converts a fact of a message that was under way for a delay.
+func fromWire(w *pb.Fact, delay time.Duration) knowledge.Fact {
 	f := knowledge.Fact{Life: knowledge.Life{Instance: w.GetInstance(), StartedMs: w.GetStartedMs()},
-		Observer: knowledge.Observer{Name: w.GetObserver(), Birth: w.GetObserverLife()}, Seq: w.GetSeq(), Hops: int(w.GetHops()),
-		Age: fromMilliseconds(w.GetAgeMs()), Stalled: fromMilliseconds(w.GetStalledMs()), Lost: int(w.GetLost()),
-		Ejected: fromMilliseconds(w.GetEjectedMs()), Pace: float64(w.GetPace()), Answers: float64(w.GetAnswers()), Answered: -1,
-		Room: float64(w.GetRoom()), Warmth: float64(w.GetWarmth()), Cold: int(w.GetCold()), Deaf: fromMilliseconds(w.GetDeafMs()),
-		Blind: fromMilliseconds(w.GetBlindMs())}
+		Observer: knowledge.Observer{Name: w.GetObserver(), Birth: w.GetObserverLife()}, Seq: w.GetSeq(),
+		Hops: int(w.GetHops()), Age: fromMilliseconds(w.GetAgeMs()), Stalled: fromMilliseconds(w.GetStalledMs()),
+		Lost: int(w.GetLost()), Ejected: fromMilliseconds(w.GetEjectedMs()), Pace: float64(w.GetPace()),
+		Answers: float64(w.GetAnswers()), Answered: -1, Room: float64(w.GetRoom()), Warmth: float64(w.GetWarmth()),
+		Cold: int(w.GetCold()), Deaf: fromMilliseconds(w.GetDeafMs()), Blind: fromMilliseconds(w.GetBlindMs())}
 	if w.AnsweredMs != nil {
 		if f.Answered = fromMilliseconds(w.GetAnsweredMs()); f.Answered < 0 {
-			f.Age = -1 // malformed, which is not the same as never
+			f.Age = -1 // malformed; a negative Answered alone would mean never
 		}
 	}
 	if f.Age >= 0 {
-		f.Age += late
+		f.Age += delay
 	}
 	return f
 }
 
-// FromWire reads the facts of a picture that came late by so much.
-func FromWire(p *pb.Picture, late time.Duration) []knowledge.Fact {
+// FromWire converts the facts of a message that was under way for a delay.
+func FromWire(p *pb.Picture, delay time.Duration) []knowledge.Fact {
 	list := make([]knowledge.Fact, 0, len(p.GetFacts()))
 	for _, w := range p.GetFacts() {
-		f := fromWire(w, late)
-		if f.Observer.Name == p.GetTeller() { // of its own word a teller knows best how it was itself
-			f.Deaf, f.Blind = max(f.Deaf, fromMilliseconds(p.GetDeafMs())), max(f.Blind, fromMilliseconds(p.GetBlindMs())-f.Age)
+		f := fromWire(w, delay)
+		if f.Observer.Name == p.GetTeller() { // the sender knows best how long it has been deaf and blind itself
+			f.Deaf = max(f.Deaf, fromMilliseconds(p.GetDeafMs()))
+			f.Blind = max(f.Blind, fromMilliseconds(p.GetBlindMs())-f.Age)
 		}
 		list = append(list, f)
 	}
--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -26,8 +26,10 @@
 
 var origin = time.Now()
 
+// now is the clock of all exchanges.
 func now() knowledge.Time { return time.Hour + time.Since(origin) }
 
+// unseen returns observations of members that the gateway has sent nothing.
 func unseen() []knowledge.Observation {
 	var list []knowledge.Observation
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -37,7 +39,8 @@
 }
 
 func open(t *testing.T, name string, own []knowledge.Observation, conf *link.TLS, peers ...string) *link.Exchange {
-	e, err := link.Open(link.Options{Self: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers, TLS: conf, Now: now}, own)
+	e, err := link.Open(link.Options{Self: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers,
+		TLS: conf, Now: now}, own)
 	require.NoError(t, err)
 	t.Cleanup(e.Close)
 	return e
@@ -61,13 +64,13 @@
 	return names
 }
 
-// eventually waits for long: how long a machine takes is not what is tested.
+// eventually waits for a condition. The timeout is long, as the speed of the machine is not tested.
 func eventually(t *testing.T, is func() bool) {
 	t.Helper()
 	require.Eventually(t, is, time.Minute, 5*time.Millisecond)
 }
 
-// seen are sightings of a gateway at which b stalls.
+// observedStall returns observations of members of which b is stalled.
 func observedStall() []knowledge.Observation {
 	list := unseen()
 	for i := range list {
@@ -77,7 +80,7 @@
 	return list
 }
 
-// A new gateway has the picture of one that runs as soon as it has asked, and what changes follows.
+// A new gateway has a peer's snapshot once InitialSync is closed, and receives what changes.
 func TestSnapshotThenUpdates(t *testing.T) {
 	a := open(t, "g0", observedStall(), nil)
 	b := open(t, "g1", unseen(), nil, a.Addr())
@@ -86,12 +89,12 @@
 	assert.Len(t, b.Priors(), 5)
 	next := observedStall()
 	next[1], next[3] = next[3], next[1]
-	next[1].Life, next[3].Life = next[3].Life, next[1].Life // now d stalls and b answers
+	next[1].Life, next[3].Life = next[3].Life, next[1].Life // now d is stalled and b answers
 	next[1].Answered, next[1].Lost, next[1].Stalled = 0, 0, 0
 	next[3].Answered, next[3].Lost, next[3].Stalled = 5*time.Second, 3, 4*time.Second
 	a.Update(next, 0, 0)
 	eventually(t, func() bool { s := suspects(b.Priors()); return len(s) == 1 && s[0] == "d" })
-	p, err := link.FetchPicture(context.Background(), b.Addr(), nil, "test") // and is told on, with the hands it came through
+	p, err := link.FetchPicture(context.Background(), b.Addr(), nil, "test") // it is forwarded, with its hops
 	require.NoError(t, err)
 	require.Len(t, p.GetFacts(), 5)
 	assert.Equal(t, "g0", p.GetFacts()[0].GetObserver())
@@ -99,21 +102,24 @@
 	assert.Equal(t, uint32(link.Version), p.GetVersion())
 }
 
+// fact returns a fact on member b.
 func fact(seq uint64, stalled bool) *pb.Fact {
-	f := &pb.Fact{Instance: "b", Observer: "peer", ObserverLife: 1, Seq: seq, Pace: 1, Answers: 9, Warmth: 1, AnsweredMs: proto.Uint64(10)}
+	f := &pb.Fact{Instance: "b", Observer: "peer", ObserverLife: 1, Seq: seq, Pace: 1, Answers: 9, Warmth: 1,
+		AnsweredMs: proto.Uint64(10)}
 	if stalled {
 		f.StalledMs, f.Lost, f.AnsweredMs = 3000, 3, proto.Uint64(4000)
 	}
 	return f
 }
 
+// healthyFact returns a fact on member a.
 func healthyFact(seq uint64) *pb.Fact {
 	f := fact(seq, false)
 	f.Instance = "a"
 	return f
 }
 
-// The peer dies in the middle of its stream: what came counts, and it is asked again.
+// A peer's call breaks off: what was received counts, and the call is repeated.
 func TestPeerDies(t *testing.T) {
 	var calls atomic.Int32
 	peer, err := knowledgepeer.Start(func(n int, _ time.Duration) (*pb.Picture, time.Duration) {
@@ -121,7 +127,8 @@
 			return nil, 0
 		}
 		calls.Add(1)
-		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Whole: true, Facts: []*pb.Fact{fact(uint64(calls.Load()), true), healthyFact(1)}}, time.Millisecond
+		facts := []*pb.Fact{fact(uint64(calls.Load()), true), healthyFact(1)}
+		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Whole: true, Facts: facts}, time.Millisecond
 	})
 	require.NoError(t, err)
 	t.Cleanup(peer.Stop)
@@ -133,8 +140,7 @@
 	assert.GreaterOrEqual(t, counter(e, "calls_broken"), uint64(2))
 }
 
-// A message of a newer form counts where an older reader may use it, and is dropped whole where it may not; so is one
-// of no form at all.
+// A message of a newer version is used if older readers may, and rejected if not; so is one without a version.
 func TestOtherVersions(t *testing.T) {
 	for name, c := range map[string]struct {
 		version, oldest uint32
@@ -154,10 +160,12 @@
 	}
 }
 
-// What piles up on the way is not younger for it: a message that comes late by its own clock is older by so much.
+// The age of a fact includes the delay of its message; ages out of range are malformed, and a sender's deaf and
+// blind times apply to its own facts.
 func TestDelayedMessages(t *testing.T) {
 	picture := func(elapsed time.Duration) *pb.Picture {
-		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", ElapsedMs: uint64(elapsed.Milliseconds()), Facts: []*pb.Fact{fact(1, true)}}
+		return &pb.Picture{Version: 1, Oldest: 1, Teller: "peer", ElapsedMs: uint64(elapsed.Milliseconds()),
+			Facts: []*pb.Fact{fact(1, true)}}
 	}
 	assert.Equal(t, 30*time.Second, link.FromWire(picture(0), 30*time.Second)[0].Age)
 	broken := picture(0)
@@ -165,13 +173,13 @@
 	assert.Negative(t, link.FromWire(broken, 0)[0].Age)
 	broken.Facts[0].AgeMs, broken.Facts[0].AnsweredMs = 0, proto.Uint64(1<<63)
 	assert.Negative(t, link.FromWire(broken, 0)[0].Age)
-	broken.DeafMs, broken.BlindMs = 9000, 7000 // a teller's word on itself holds for what it sees
+	broken.DeafMs, broken.BlindMs = 9000, 7000 // they apply to what the sender has observed
 	broken.Facts[0].Observer = "peer"
 	assert.Equal(t, 9*time.Second, link.FromWire(broken, 0)[0].Deaf)
 }
 
-// A peer that takes the connection, sends one byte and stalls holds nothing up for longer than the caller waits, and
-// does no harm to the others.
+// A peer that accepts the connection, sends one byte and hangs delays nothing for longer than the timeout, and doesn't
+// affect the other peers.
 func TestPeerStallsAfterOneByte(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -193,22 +201,24 @@
 	<-e.InitialSync() // it has failed by then
 }
 
-// authority makes certificates for tests.
+// authority issues certificates.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
+// newAuthority returns an authority with a root certificate.
 func newAuthority(t *testing.T) *authority {
 	a := &authority{t: t}
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "fleet"}, NotAfter: time.Now().Add(time.Hour),
-		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "fleet"},
+		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
 	a.cert, a.key = template, nil
 	a.cert, a.key = a.issue(template)
 	return a
 }
 
+// issue issues a certificate.
 func (a *authority) issue(template *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(a.t, err)
@@ -223,9 +233,11 @@
 	return cert, key
 }
 
+// identity returns a configuration with a certificate of the authority that trusts those of another.
 func (a *authority) identity(trust *authority) *link.TLS {
-	cert, key := a.issue(&x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "gateway"}, NotAfter: time.Now().Add(time.Hour),
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
+	cert, key := a.issue(&x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "gateway"},
+		NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}})
 	roots := x509.NewCertPool()
 	roots.AddCert(trust.cert)
 	pair := []tls.Certificate{{Certificate: [][]byte{cert.Raw}, PrivateKey: key}}
@@ -233,14 +245,15 @@
 		Client: &tls.Config{Certificates: pair, RootCAs: roots}}
 }
 
-// Without a certificate of the fleet nothing is told, and none of another is believed.
+// Calls without a certificate of the fleet, and to a server without one, fail.
 func TestMutualTLS(t *testing.T) {
 	fleet, stranger := newAuthority(t), newAuthority(t)
 	a := open(t, "g0", observedStall(), fleet.identity(fleet))
 	b := open(t, "g1", unseen(), fleet.identity(fleet), a.Addr())
 	<-b.InitialSync()
 	assert.Equal(t, []string{"b"}, suspects(b.Priors()))
-	for name, conf := range map[string]*link.TLS{"plain": nil, "certificate of another": stranger.identity(fleet), "other roots": fleet.identity(stranger)} {
+	for name, conf := range map[string]*link.TLS{"plain": nil, "certificate of another": stranger.identity(fleet),
+		"other roots": fleet.identity(stranger)} {
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		_, err := link.FetchPicture(ctx, a.Addr(), conf, "test")
 		assert.Error(t, err, name)
@@ -248,6 +261,7 @@
 	}
 }
 
+// No message makes the exchange panic, or leads to a prior out of bounds.
 func FuzzFromWire(f *testing.F) {
 	good, _ := proto.Marshal(&pb.Picture{Version: 1, Oldest: 1, Teller: "peer", Facts: []*pb.Fact{fact(1, true)}})
 	f.Add(good, int64(0))
--- a/internal/knowledge/pipe/pipe.go
+++ b/internal/knowledge/pipe/pipe.go
@@ -1,6 +1,10 @@
-// Package pipe owns what a gateway and its link program say to each other over the program's standard input and output.
-// The link program holds the book and speaks gRPC, so that a gateway that exchanges nothing carries neither library
-// nor their memory. It must never be spoken by anything but these two, which are built together.
+// Package pipe has the messages between a gateway and its helper process, sprucelane-link, and their transport: gob
+// over the standard input and output of the helper. The helper holds the knowledge.Table and speaks gRPC, so that a
+// gateway that exchanges no knowledge links neither gRPC nor its memory.
+//
+// The gateway sends a Hello and then States; the helper answers each State with an Update. Both programs are built
+// together, so the messages have no versions. But gob matches fields by name, and drops what it doesn't find without an
+// error: fields of these types, and of the types of package knowledge in them, keep their names.
 package pipe
 
 import (
@@ -11,47 +15,47 @@
 	"sprucelane.example/sprucelane/internal/knowledge"
 )
 
-// Hello is the gateway's first word: the settings of the exchange.
+// Hello is the gateway's first message: the settings of the exchange. Package link describes them.
 type Hello struct {
-	Me                                    knowledge.Observer
-	Listen                                string
-	Peers                                 []string
-	Plain                                 bool
-	CertFile, KeyFile, CAFile, ServerName string
-	SuspectShare, RoomMost                float64
+	Me                                    knowledge.Observer // this gateway
+	Listen                                string             // address for peers; empty: none
+	Peers                                 []string           // addresses
+	Plain                                 bool               // no TLS
+	CertFile, KeyFile, CAFile, ServerName string             // of mutual TLS
+	SuspectShare, RoomMost                float64            // Options.MaxSuspectShare and Options.MaxRoom of the table
 }
 
-// State is what the gateway has seen of all members that are listed. One follows another for as long as it runs.
+// State is what the gateway observes of all listed members. It is sent again and again while the gateway runs.
 type State struct {
 	Own         []knowledge.Observation
-	Deaf, Blind time.Duration
+	Deaf, Blind time.Duration // as in knowledge.Fact
 }
 
-// News is what the link program says: after each State, and once the peers have told their pictures.
+// Update is the helper's answer to a State. One more is sent when all peers have sent their snapshots.
 type Update struct {
 	Priors   []knowledge.Prior
-	Learnt   bool // each peer has told its picture or failed once
-	Addr     string
+	Learnt   bool   // each peer has sent its snapshot, or failed once
+	Addr     string // where the helper listens
 	Counters []Counter
 }
 
-// Counter is one counter of the exchange.
+// Counter is a counter of the exchange.
 type Counter struct {
 	Name  string
 	Value uint64
 }
 
-// End is one end of the pipe. Its two directions may be used at once, each by one goroutine.
+// Conn is one end of the connection. One goroutine may send while another receives.
 type Conn struct {
 	in  *gob.Decoder
 	out *gob.Encoder
 }
 
-// New gives an end that reads from one side and writes to the other.
+// New returns the end that reads from in and writes to out.
 func New(in io.Reader, out io.Writer) *Conn { return &Conn{gob.NewDecoder(in), gob.NewEncoder(out)} }
 
-// Say writes a message.
-func (e *Conn) Send(message any) error { return e.out.Encode(message) }
+// Send sends a message.
+func (c *Conn) Send(message any) error { return c.out.Encode(message) }
 
-// Hear reads one into what it points to.
-func (e *Conn) Receive(into any) error { return e.in.Decode(into) }
+// Receive receives a message into what the argument points to.
+func (c *Conn) Receive(message any) error { return c.in.Decode(message) }
