--- a/policy/api.go
+++ b/policy/api.go
@@ -50,11 +50,23 @@
 //
 // # Files
 //
-// This file is the interface. policy.go has the decisions, known.go the records of customers and what follows from
-// them. The other files decide nothing: state.go and records.go hold the state, attempts.go its changes as attempts
-// begin and end, learned.go what is estimated from answers, peers.go and messages.go how gateways see each other and
-// the format of their messages, carry.go the export of state to a successor, recall.go the balances that outlast a
-// process, report.go statistics, settings.go the checks of settings.
+// This file is the interface; read it first. Then the files that decide, in this order, each of which begins with the
+// question that it answers:
+//
+//   - admission.go, quota.go, customers.go, bucket_sharing.go, owner.go: is a request taken in, and charged to whom?
+//   - overload.go, capacity.go: is there overload, which groups are shed, how many attempts may be in flight?
+//   - server_list.go, selection.go, ejection.go, slow_start.go: which server does an attempt go to?
+//   - dispatch.go, outcomes.go, retries.go, answers.go: what follows for a request, up to its final answer?
+//   - timers.go, peer_messages.go: what do timers and the messages of peers set off?
+//
+// The other files decide nothing: state.go and records.go hold the state, decay.go the decaying sums in it, attempts.go
+// its changes as attempts begin and end, estimates.go what is estimated from answers, reconcile.go the correction of
+// estimated units, peers.go and messages.go how gateways see each other and the format of their messages,
+// state_transfer.go the export of state to a successor, balances.go the balances that outlast a process, report.go
+// statistics, settings.go the checks of settings.
+//
+// The constants that tune a decision stand at the top of its file. None of them depends on a deployment. In their
+// comments "target" is the shortest latency target of all classes, unless a class is named.
 package policy
 
 import "time"
--- a/policy/known.go
+++ b/policy/bucket_sharing.go
@@ -1,58 +1,19 @@
 package policy
 
-// The records of customers: how they are made, and what is derived from them and from what peers have said. This file
-// neither admits nor refuses a request, and sends nothing.
-
 import (
 	"math"
 	"slices"
 	"time"
 )
 
-// newCustomer makes the record of a customer that this incarnation has not met. What an earlier incarnation admitted
-// isn't known, so the hard limit, and the balance too once an older peer is known, are taken to have filled since the
-// start only.
-func (g *Gateway) newCustomer(key uint64) *customer {
-	c := &customer{key: key, refilledAt: g.now, lastSeen: g.now, sharedDemand: pushSum{decayedAt: g.now}}
-	c.plan, c.firstGateway, c.setSize = splitCustomerKey(key)
-	c.sharedDemand.pooled[1] = 1 - decayFactor(g.now-g.startedAt, g.demandMemory(c.plan)) // no demand since the start
-	c.generation = byte((g.now-g.startedAt)/time.Second) &^ tailFlag
-	p, n := g.cfg.Plans[c.plan], float64(c.setSize)
-	if g.drawsJointly(c) {
-		n = 1
-	}
-	c.balance = p.Burst
-	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.unseenFillSince, 0)
-	// Where the bucket is shared and this gateway is older than peerAliveFor it has heard of all that was drawn.
-	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
-		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
-	}
-	if g.customersByKey[key] == nil {
-		g.customersByKey[key] = c
-	}
-	g.customers = append(g.customers, c)
-	return c
-}
-
-// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where
-// some gateways are not nearby, an older one among them has had the time to become known.
-func (g *Gateway) fleetJustStarted() bool {
-	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
-	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
-	return len(g.nearby) > 0 && !g.olderPeerKnown && g.unseenFillSince == g.startedAt && g.now-g.startedAt >= wait &&
-		!slices.ContainsFunc(g.nearby, neverHeard)
-}
+// Does this gateway draw on a customer's whole bucket or on a part of it, and what have its peers drawn? Read after
+// quota.go; peers.go tells which gateways share a bucket.
 
-// recordFor finds or makes the record of a customer that a peer names, nil where the key is invalid or there are too
-// many records.
-func (g *Gateway) recordFor(key uint64) *customer {
-	plan, _, setSize := splitCustomerKey(key)
-	if c := g.customersByKey[key]; c != nil || plan >= len(g.cfg.Plans) || setSize < 1 || setSize > g.cfg.Gateways ||
-		len(g.customers) >= maxCustomers {
-		return c
-	}
-	return g.newCustomer(key)
-}
+// The constants of what gateways know of each other's draws.
+const (
+	minPushSumWeight   = 0.05 // a push-sum is not extrapolated from a smaller weight than this
+	balanceConvergence = 0.03 // of the difference of two copies of a bucket, with each update
+)
 
 // drawsJointly tells whether this gateway draws on a customer's whole bucket: it hears all of the customer's
 // gateways, or most of those nearby. Those that are partitioned from the majority draw on their parts meanwhile,
@@ -65,6 +26,9 @@
 // majorityAlive tells whether this gateway and the nearby peers that it hears are a majority of them all.
 func (g *Gateway) majorityAlive() bool { return 2*g.nearbyAlive()+1 > len(g.nearby) }
 
+// isolated tells whether no peer has been heard for longer than staleUpdates full updates.
+func (g *Gateway) isolated() bool { return g.now-g.lastContact > staleUpdates*fullUpdateInterval }
+
 // demand gives the units a second that are asked here, and at all of the customer's gateways. A gateway that hears no
 // peer takes the others' demand to be as its own, which holds the customer to an even part of its rate.
 func (g *Gateway) demand(c *customer) (here, total float64) {
@@ -80,9 +44,6 @@
 	return here, math.Max(here, total)
 }
 
-// isolated tells whether no peer has been heard for longer than staleUpdates full updates.
-func (g *Gateway) isolated() bool { return g.now-g.lastContact > staleUpdates*fullUpdateInterval }
-
 // applyPeerUsage takes in what a peer has drawn for a customer since its last update, and has a grant of its part of
 // the hard limit returned to it where the two parts are uneven. delay is how late the update came.
 func (g *Gateway) applyPeerUsage(c *customer, from int, e entry, delay time.Duration) {
--- a/policy/learned.go
+++ b/policy/estimates.go
@@ -6,8 +6,18 @@
 	"time"
 )
 
-// What is estimated from the answers of servers: latencies, concurrency, throughput, capacities, and the units that
-// requests draw. This file decides nothing.
+// What is estimated from the answers of servers: latencies, lateness, concurrency and throughput? This file decides
+// nothing.
+
+// The constants of latencies, throughput and concurrency.
+const (
+	latencyMemory      = 4                // in targets: time constant of a server's relative latency
+	overdueFactor      = 2.0              // of its typical latency: an attempt in flight for longer counts as slow
+	latencyPriorWeight = 2.0              // in attempts: the weight of the prior that a server is like the others
+	overtakenLimit     = 3                // an attempt is lost, or far longer than others, when so many overtook it
+	throughputDecay    = 0.997            // of servers' throughput and concurrency, with each overload check
+	workMemory         = 2 * recentWindow // time constant of the work behind a server's concurrency
+)
 
 // minReportedFailures is the decayed count of failures below which a server's failures aren't reported.
 const minReportedFailures = 0.25
@@ -110,57 +120,6 @@
 	return s.answers.sum / 2
 }
 
-// totalCapacity bounds the attempts in flight, so that no server's queue grows past what the targets allow.
-func (g *Gateway) totalCapacity() float64 {
-	capacity := 0.0
-	for _, s := range g.servers {
-		if s.listed {
-			capacity += g.capacityOf(s)
-		}
-	}
-	return capacity
-}
-
-// capacityOf gives a server's capacity, in attempts of this gateway, which it initialises.
-func (g *Gateway) capacityOf(s *server) float64 {
-	if s.capacity == 0 {
-		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways),
-			minInitialInFlight/math.Max(float64(g.listedServers()), 1))
-	}
-	s.capacity = math.Max(s.capacity, math.Max(minCapacity, g.serverConcurrency)/float64(g.cfg.Gateways))
-	if s.suspectedAttempts > 0 { // one attempt finds out whether the server answers at all
-		return math.Min(1, s.capacity)
-	}
-	return s.capacity
-}
-
-// learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
-// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt
-// its attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't
-// grow.
-func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
-	if a.countedSlow {
-		return
-	}
-	a.countedSlow = took.Seconds() > slowTargetShare*g.cfg.Classes[a.request.Class].LatencyTarget.Seconds()
-	own, all := g.capacityOf(a.server), g.totalCapacity()
-	if half := g.load()+1 <= all/2; half && (!a.countedSlow || all > 2*minInitialInFlight) ||
-		!a.countedSlow && a.server.load()+1 <= own/2 {
-		return
-	}
-	step := lateShare
-	if a.countedSlow {
-		step, g.slowAnswerSeen = step-1, true
-	} else if !g.slowAnswerSeen { // nothing says yet that the initial capacity is enough
-		step *= initialCapacityGrowth
-	}
-	part := math.Min(1, own)
-	a.server.capacity += step * part
-	for _, s := range g.servers {
-		s.capacity += step * (1 - part) * g.capacityOf(s) / math.Max(all, 1e-9)
-	}
-}
-
 // countLateness counts an attempt for its class once: when it ends, or when it is late while in flight. Left out are
 // attempts at servers that are slow on the whole, and attempts that were overtaken: neither is overload.
 func (g *Gateway) countLateness(a *attempt, late bool) {
@@ -179,31 +138,3 @@
 		s.wasted.addBool(g.now, 4*latencyMemory*g.shortestTarget(), e != Served)
 	}
 }
-
-// reconcileUnits corrects, once and where the bucket is kept, the estimated units of a request by those in its
-// answer. Units that can't be are ignored. The hard limit keeps to the estimate.
-func (g *Gateway) reconcileUnits(r *request, units float64) {
-	more := units - r.Units
-	if r.reconciled || r.overQuota || !(units > 0 && units <= math.Max(g.cfg.MaxUnits, r.Units)) || more == 0 {
-		return
-	}
-	if r.reconciled = true; r.owner < 0 {
-		r.customer.balance -= more
-		r.customer.addUsed(more)
-		g.queueUpdate(r.customer, g.nearby...)
-	} else if r.owner == g.cfg.Self {
-		g.reconcileAtOwner(g.cfg.Self, r.customer.key, more)
-	} else {
-		g.host.SendToPeer(r.owner, packReconcile(r.customer.key, more))
-	}
-}
-
-// reconcileAtOwner takes in that a request of a customer that this gateway owns drew more, or less, than was
-// estimated.
-func (g *Gateway) reconcileAtOwner(from int, key uint64, more float64) {
-	_, first, setSize := splitCustomerKey(key)
-	c := g.recordFor(ownerKey(key, g.cfg.Self))
-	if c != nil && g.serves(from, &customer{firstGateway: first, setSize: setSize}) {
-		c.balance -= math.Max(-g.cfg.MaxUnits, math.Min(g.cfg.MaxUnits, more))
-	}
-}
--- /dev/null
+++ b/policy/outcomes.go
@@ -0,0 +1,90 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// What does the end of an attempt change? Read after dispatch.go.
+
+// Outcome takes the end of an attempt in, and decides what follows for its request.
+func (g *Gateway) Outcome(now Time, o Outcome) {
+	g.advance(now)
+	r := g.requests[o.ID]
+	a := g.removeAttempt(r, o.Attempt)
+	if a == nil {
+		return
+	}
+	g.learnFromOutcome(a, o)
+	if o.Ending == Served {
+		g.reconcileUnits(r, o.Units)
+	}
+	if o.Answered || o.Ending == Served || r.closed {
+		g.finish(r)
+		return
+	}
+	if o.BodyConsumed { // no further attempt is possible
+		r.attempts = max(r.attempts, g.cfg.MaxAttempts)
+	}
+	if o.Ending != Rejected && o.Ending != NotConnected && o.Ending != NeverSent {
+		r.mayHaveRun = append(r.mayHaveRun, a)
+	}
+	if len(r.inFlight) == 0 && !r.streaming {
+		g.retryOrAnswer(r)
+	}
+	g.retryQueue()
+}
+
+// learnFromOutcome updates what is known of an attempt's server and of the load by how it ended.
+func (g *Gateway) learnFromOutcome(a *attempt, o Outcome) {
+	r, s, class := a.request, a.server, g.cfg.Classes[a.request.Class]
+	memory := latencyMemory * g.shortestTarget()
+	g.countWasted(s, o.Ending)
+	took := max(o.Elapsed, 0)
+	s.applyLoadReport(g, o.LoadReport)
+	ratio, late := took.Seconds()/g.typicalLatency(r), took > class.LatencyTarget
+	switch o.Ending {
+	case Served:
+		g.learnFromServed(a, took, ratio)
+	case Errored, NotConnected, ConnectionLost:
+		g.recordHealth(s, true) // a failure that comes quickly doesn't make the server fast: its latency isn't counted
+	case Rejected:
+		if late = g.recordRejection(s, r); late {
+			took = max(took, class.LatencyTarget)
+			s.relativeLatency.add(g.now, memory, took.Seconds()/g.typicalLatency(r))
+			g.learnCapacity(a, took)
+		}
+	case TimedOut, Cancelled:
+		if ratio > 1 && a.overtakenBy < overtakenLimit {
+			s.relativeLatency.add(g.now, memory, ratio)
+		}
+	}
+	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // says nothing of the load
+	if o.Ending != NeverSent && o.Ending != Cancelled && !quick {
+		g.countLateness(a, late)
+		g.groups[g.groupOf(r)].latency.local[groupSeconds] += min(took, class.Deadline).Seconds()
+	}
+}
+
+// learnFromServed updates what is known by a served attempt. ratio is its latency over the typical one.
+func (g *Gateway) learnFromServed(a *attempt, took time.Duration, ratio float64) {
+	s, memory := a.server, latencyMemory*g.shortestTarget()
+	for _, other := range g.inFlight {
+		if other.server == s && other.sentAt < a.sentAt {
+			other.overtakenBy++
+		}
+		if other.server == s && other.suspected { // where a later one was quick, it is lost and doesn't just wait
+			g.clearSuspicion(other, other.sentAt < a.sentAt && ratio < overdueFactor)
+		}
+	}
+	g.learnCapacity(a, took)
+	g.learnLatency(a.request, took)
+	g.workDone.add(g.now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
+	s.relativeLatency.add(g.now, memory, ratio)
+	s.answers.add(g.now, 2*g.cfg.SlowStartWindow, 1)
+	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer turns
+		g.coldLatency.add(g.now, memory, ratio*warmth)
+		g.coldServiceTime.add(g.now, memory, took.Seconds()*warmth)
+	}
+	g.recordHealth(s, false)
+}
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -11,6 +11,16 @@
 // Which gateways share a customer, which peers are alive, and the updates that they exchange. This file decides
 // nothing.
 
+// The constants of updates between gateways.
+const (
+	fullUpdateInterval = time.Second / 4        // between updates that hold the groups too, to one peer
+	updateInterval     = time.Second / 30       // between updates, while there is something to say
+	peerAliveFor       = 4 * fullUpdateInterval // a peer that was heard so lately hears this gateway, too
+	staleUpdates       = 10                     // in fullUpdateInterval: silence after which a gateway is isolated
+	nearbyDistance     = 3                      // places to either side at which gateways share customers' buckets
+	peerRateShare      = 0.7                    // of Settings.PeerMessageRate that all peers together may use
+)
+
 // peerAlive tells whether a peer was heard within peerAliveFor.
 func (g *Gateway) peerAlive(peer int) bool {
 	return g.peerLastContact[peer] != 0 && g.now-g.peerLastContact[peer] <= peerAliveFor
--- /dev/null
+++ b/policy/quota.go
@@ -0,0 +1,44 @@
+package policy
+
+import (
+	"slices"
+	"time"
+
+	"sprucelane.example/sprucelane/internal/ledger"
+)
+
+// Is a request within its customer's quota, by what this gateway knows? Read after admission.go. Which part of the
+// quota this gateway may draw on is in bucket_sharing.go; the arithmetic of buckets is in internal/ledger.
+
+// refill brings the token bucket and this gateway's share of the hard limit up to date. A gateway that is isolated may
+// save up the units of one request, though its part of the burst be less.
+func (g *Gateway) refill(c *customer, units float64) {
+	if !g.isolated() {
+		units = 0
+	}
+	if !c.limitFilled && g.fleetJustStarted() {
+		c.limitFilled, c.hardLimit.Tokens = true, c.hardLimit.Tokens+g.hardLimitShare(c).Burst
+	}
+	c.balance = g.quotaView(c).Refill(g.cfg.Plans[c.plan].quota(), g.now-c.refilledAt, c.reservedUnits, units)
+	c.hardLimit.Refill(g.hardLimitShare(c), g.now-c.refilledAt, c.reservedUnits)
+	c.refilledAt = g.now
+}
+
+// withinQuota tells whether a request is within its customer's quota, by what is known here.
+func (g *Gateway) withinQuota(r *request) bool {
+	c, p, view := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
+	if p.MaxInFlight > 0 &&
+		!ledger.SlotAvailable(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Shared) {
+		return false
+	}
+	return view.Allows(p.quota(), r.Units, g.rng.Float64)
+}
+
+// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where
+// some gateways are not nearby, an older one among them has had the time to become known.
+func (g *Gateway) fleetJustStarted() bool {
+	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
+	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
+	return len(g.nearby) > 0 && !g.olderPeerKnown && g.unseenFillSince == g.startedAt && g.now-g.startedAt >= wait &&
+		!slices.ContainsFunc(g.nearby, neverHeard)
+}
--- /dev/null
+++ b/policy/selection.go
@@ -0,0 +1,89 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+)
+
+// Which server does an attempt go to? Read after server_list.go; ejection.go and slow_start.go tell which servers are
+// left out.
+
+// The constants of the choice of a server.
+const (
+	similarity = 0.1 // costs and latencies that differ by less are taken to be equal
+	baseWork   = 1.0 // attempts of others that a server is assumed to have beside those known
+)
+
+// pickServer gives the server with the least expected wait that a request may be sent to, nil where there is none. It
+// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more
+// than half of the servers are ejected, ejection is ignored: the fault is elsewhere (Envoy's panic threshold).
+func (g *Gateway) pickServer(r *request) *server {
+	heedEjection := 2*g.countListed(g.ejected) <= g.listedServers()
+	best, least := (*server)(nil), 0.0
+	for round := 0; round < 2 && best == nil; round++ {
+		for _, s := range g.servers {
+			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (heedEjection && g.ejected(s)) || !g.withinSlowStartBudget(s) {
+				continue
+			}
+			if round == 0 && !g.preferred(r, s) {
+				continue
+			}
+			if cost := g.expectedWait(s) * (1 + similarity*g.rng.Float64()); best == nil || cost < least {
+				best, least = s, cost
+			}
+		}
+	}
+	return best
+}
+
+// preferred tells whether a server has capacity for a request, wasn't tried for it, and hasn't rejected its group.
+func (g *Gateway) preferred(r *request, s *server) bool {
+	rejects := s.rejectedUntil != nil && s.rejectedUntil[g.groupOf(r)] > g.now
+	return !rejects && !r.wasTried(s) && s.load() < math.Max(1, g.capacityOf(s))
+}
+
+// expectedWait is a server's relative latency times the attempts at it. An attempt in flight for longer than
+// overdueFactor of its typical latency counts with the latency that it has reached.
+func (g *Gateway) expectedWait(s *server) float64 {
+	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
+	sum, n := s.relativeLatency.sum+latencyPriorWeight, s.relativeLatency.weight+latencyPriorWeight
+	for _, a := range g.inFlight {
+		if a.server == s && a.overtakenBy < overtakenLimit && !a.untimed() {
+			if x := (g.now - a.sentAt).Seconds() / g.typicalLatency(a.request); x > overdueFactor {
+				sum += x
+				n++
+			}
+		}
+	}
+	if s.slowStartBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
+		return 0
+	}
+	return sum / n * (s.load() + s.peersInFlight + baseWork) / g.warmth(s)
+}
+
+// SetPriors takes in estimates of servers, each for one process of its server. They replace the relative latency and
+// the capacity, and may put off the turn of a server that warms up; they change nothing else.
+func (g *Gateway) SetPriors(now Time, list []Prior) {
+	g.advance(now)
+	for _, p := range list {
+		s := g.serversByID[p.ID]
+		if s == nil || !s.listed || s.StartedAt != p.StartedAt || !(p.RelativeLatency*p.Weight > 0) {
+			continue
+		}
+		s.relativeLatency = decayingMean{sum: p.RelativeLatency * p.Weight, weight: p.Weight, decayedAt: now}
+		s.capacity = cmp.Or(p.Capacity, s.capacity)
+		if p.SlowStartBudgetTaken {
+			s.slowStartBudget.Credit = math.Min(s.slowStartBudget.Credit, 0)
+		}
+	}
+}
+
+// SetPeerLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
+func (g *Gateway) SetPeerLoads(now Time, list []Load) {
+	g.advance(now)
+	for _, l := range list {
+		if s := g.serversByID[l.ID]; s != nil {
+			s.peersInFlight = math.Max(0, l.Attempts)
+		}
+	}
+}
--- /dev/null
+++ b/policy/slow_start.go
@@ -0,0 +1,29 @@
+package policy
+
+import (
+	"math"
+
+	"sprucelane.example/sprucelane/internal/ledger"
+)
+
+// How much may a server be sent that has just started? Read after selection.go.
+
+// warmth is the least share of its full capacity that a server has, by the time since its start: 1 for a warm one.
+func (g *Gateway) warmth(s *server) float64 {
+	age := g.now - s.StartedAt
+	if s.StartedAt == 0 || age >= g.cfg.WarmupTime || g.cfg.WarmupTime <= 0 {
+		return 1
+	}
+	from := math.Max(0.01, g.cfg.InitialWarmth)
+	return from + (1-from)*math.Max(0, age.Seconds())/g.cfg.WarmupTime.Seconds()
+}
+
+// withinSlowStartBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can
+// do is estimated from what it has served here while cold and from what warm servers serve.
+func (g *Gateway) withinSlowStartBudget(s *server) bool {
+	warmth := g.warmth(s)
+	limit := ledger.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple,
+		Gateways: g.cfg.Gateways,
+		Capacity: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slowdown: g.coldLatency.smoothed()}
+	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.slowStartBudget.Allows(g.now, limit)
+}
--- a/policy/state.go
+++ b/policy/state.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
@@ -147,20 +146,6 @@
 	g.advance(now)
 }
 
-// evictIdle drops the records of customers without attempts in flight that have asked nothing for longer than idle.
-func (g *Gateway) evictIdle(idle time.Duration) {
-	g.customers = slices.DeleteFunc(g.customers, func(c *customer) bool {
-		old := c.inFlight == 0 && g.now-c.lastSeen > idle
-		if old && c.seenHere {
-			delete(g.customersByID, c.id)
-		}
-		if old && g.customersByKey[c.key] == c {
-			delete(g.customersByKey, c.key)
-		}
-		return old
-	})
-}
-
 // groupOf gives the index of a request's group.
 func (g *Gateway) groupOf(r *request) int { return r.Class*len(g.cfg.Plans) + r.Plan }
 
