--- a/internal/batch/replica/claimcounter.go
+++ b/internal/batch/replica/claimcounter.go
@@ -72,13 +72,13 @@
 	}
 	all := true
 	now := m.env.Now()
-	ask := m.claims.polledAt == 0 || now-m.claims.polledAt >= claimRetry
+	pollDue := m.claims.polledAt == 0 || now-m.claims.polledAt >= claimRetry
 	m.eachOtherMember(func(other protocol.Process) {
 		if m.claims.counter.HasClaimed(placement.KeyOf(other)) {
 			return
 		}
 		all = false
-		if ask {
+		if pollDue {
 			m.claims.polledAt = max(now, 1)
 			m.env.Send(other, ClaimPoll{Stamp: m.stamp()})
 		}
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -60,7 +60,7 @@
 	}
 	status := 0
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "room", Tenant: "t", Route: "r"}
-	w.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, unanswered: 1, tries: 1}
+	w.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, unanswered: 1, attempts: 1}
 	w.clients.call(w.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
 	w.runUntil(w.now + 4*time.Second)
 	if status != 202 {
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -325,9 +325,9 @@
 	Convey("A store misses all that departed in views that it didn't see, also those that joined in them", t, func() {
 		for copies := 2; copies <= 3; copies++ {
 			c := newCluster(2*copies, copies, 1)
-			news := c.nodes[:copies]
+			newNodes := c.nodes[:copies]
 			away := c.nodes[copies:]
-			for _, n := range news { // until only the nodes of away are members
+			for _, n := range newNodes { // until only the nodes of away are members
 				n.kill()
 			}
 			c.installView(away...)
@@ -335,13 +335,13 @@
 			for _, n := range away[1:] {
 				n.losePower()
 			}
-			for _, n := range news {
+			for _, n := range newNodes {
 				n.wipe()
 				n.start()
 			}
-			c.installView(append(news, away[0])...)
+			c.installView(append(newNodes, away[0])...)
 			c.quiesce()
-			for _, n := range append(news, away[0]) {
+			for _, n := range append(newNodes, away[0]) {
 				n.losePower()
 			}
 			for _, n := range away[1:] {
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -428,9 +428,9 @@
 		So(owner.findings, ShouldHaveLength, 1)
 		So(owner.findings[0].Problem, ShouldEqual, ProblemSkipped)
 		So(owner.machine.incompleteLog, ShouldBeTrue)
-		findings, damaged := owner.machine.Corruption()
+		findings, corruptJobs := owner.machine.Corruption()
 		So(findings, ShouldEqual, 1)
-		So(damaged, ShouldEqual, 2)
+		So(corruptJobs, ShouldEqual, 2)
 		So(owner.machine.jobs["before"].results, ShouldHaveLength, 2)
 		So(owner.machine.jobs["across"].results, ShouldHaveLength, 2)
 		c.rejoin(owner)
@@ -444,9 +444,9 @@
 		So(owner.machine.incompleteLog, ShouldBeFalse) // all have reconciled again
 		_, status := owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
-		findings, damaged = owner.machine.Corruption()
+		findings, corruptJobs = owner.machine.Corruption()
 		So(findings, ShouldEqual, 1)
-		So(damaged, ShouldEqual, 0)
+		So(corruptJobs, ShouldEqual, 0)
 	})
 }
 
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -15,7 +15,7 @@
 const (
 	callTimeout = 3500 * time.Millisecond
 	callHops    = 3
-	maxTries    = 4
+	maxAttempts = 4
 )
 
 // clients are all clients of a simulation.
@@ -36,8 +36,8 @@
 	items          []job.Item
 	index          map[string]int // of items by id
 	firstSubmitted time.Duration
-	tries          int
-	refusals       int // tries answered with 503
+	attempts       int
+	rejections     int // tries answered with 503
 	unanswered     int // tries without an answer yet
 	acceptedAt     time.Duration
 	accepted       bool
@@ -118,8 +118,8 @@
 
 // checkPromise checks that a batch job that was only ever rejected doesn't run.
 func (c *clients) checkPromise(j *clientJob) {
-	if j.starts > 0 && j.unanswered == 0 && j.refusals == j.tries {
-		c.sim.fail("%s: an item ran though all %d tries were refused", j.id, j.tries)
+	if j.starts > 0 && j.unanswered == 0 && j.rejections == j.attempts {
+		c.sim.fail("%s: an item ran though all %d tries were refused", j.id, j.attempts)
 	}
 }
 
@@ -167,17 +167,17 @@
 // submitOnce submits a batch job, and perhaps a duplicate elsewhere.
 func (c *clients) submitOnce(j *clientJob) {
 	w := c.sim
-	j.tries++
+	j.attempts++
 	j.unanswered++
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: j.id, Tenant: "t", Route: "r", Body: j.body}
 	c.call(w.anyStore(), call, j.items, callHops, func(answer protocol.BatchAnswer) {
 		j.unanswered--
 		c.handleSubmitAnswer(j, answer)
-		if j.tries < maxTries && !j.accepted {
+		if j.attempts < maxAttempts && !j.accepted {
 			w.schedule(w.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
 		}
 	})
-	if w.random.IntN(4) == 0 && j.tries < maxTries { // a duplicate that goes elsewhere at the same time
+	if w.random.IntN(4) == 0 && j.attempts < maxAttempts { // a duplicate that goes elsewhere at the same time
 		w.schedule(w.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
 	}
 }
@@ -204,7 +204,7 @@
 			act()
 		}
 	case answer.Status == 503 || answer.Status == 429 && w.tokenLimit > 0:
-		j.refusals++
+		j.rejections++
 		c.checkPromise(j)
 	case answer.Status >= 400 && answer.Status < 500 && !c.expired(j):
 		w.fail("%s: a submission is answered %d", j.id, answer.Status)
--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -218,11 +218,11 @@
 func (j *storedJob) awaitsRelease() bool { return j.superseded && !j.owned && !j.releasable }
 
 // oldestLocation returns the first location in the log that this copy, or the one that it replaces, needs.
-func (h *storedJob) oldestLocation() *wal.Location {
-	if h.previousAt != nil {
-		return h.previousAt
+func (j *storedJob) oldestLocation() *wal.Location {
+	if j.previousAt != nil {
+		return j.previousAt
 	}
-	at := h.contentAt
+	at := j.contentAt
 	return &at
 }
 
--- a/internal/batch/server/corruption_test.go
+++ b/internal/batch/server/corruption_test.go
@@ -105,9 +105,9 @@
 			s.disk.wal.Close()
 			So(s.process.Incarnation, ShouldEqual, first.id)
 			So(s.report().BatchJobs, ShouldEqual, 2)
-			findings, damaged := s.corruptionCounts()
+			findings, corruptJobs := s.corruptionCounts()
 			So(findings, ShouldEqual, len(junk))
-			So(damaged, ShouldEqual, 0)
+			So(corruptJobs, ShouldEqual, 0)
 			lines := logLines(&log, "record_corrupt")
 			So(lines, ShouldHaveLength, len(junk))
 			for _, line := range lines {
@@ -152,9 +152,9 @@
 		s, err := New(testSettings("127.0.0.1", "store-1", directory), zerolog.New(&log))
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
-		findings, damaged := s.corruptionCounts()
+		findings, corruptJobs := s.corruptionCounts()
 		So(findings, ShouldEqual, 1)
-		So(damaged, ShouldEqual, 2) // all that the log held before that part
+		So(corruptJobs, ShouldEqual, 2) // all that the log held before that part
 		So(s.report().BatchJobs, ShouldEqual, 3)
 		So(logLines(&log, "record_corrupt"), ShouldHaveLength, 1)
 		So(logLines(&log, "log_tail_truncated"), ShouldBeEmpty)
@@ -172,8 +172,8 @@
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
 		So(s.report().BatchJobs, ShouldEqual, 1)
-		findings, damaged := s.corruptionCounts()
-		So(findings+damaged, ShouldEqual, 0)
+		findings, corruptJobs := s.corruptionCounts()
+		So(findings+corruptJobs, ShouldEqual, 0)
 		lines := logLines(&log, "log_tail_truncated")
 		So(lines, ShouldHaveLength, 1)
 		So(lines[0]["segment"], ShouldEqual, 1)
@@ -213,11 +213,11 @@
 		So(os.Rename(path, path+".kept"), ShouldBeNil)
 		So(os.Mkdir(path, 0o755), ShouldBeNil) // reading it gives an error
 		var log bytes.Buffer
-		tries := 0
+		attempts := 0
 		settings := testSettings("127.0.0.1", "store-1", directory)
 		s, err := openWithRetry(context.Background(), settings, zerolog.New(&log), func(context.Context) error {
-			tries++
-			if tries == 3 {
+			attempts++
+			if attempts == 3 {
 				So(os.Remove(path), ShouldBeNil)
 				So(os.Rename(path+".kept", path), ShouldBeNil)
 			}
@@ -225,7 +225,7 @@
 		})
 		So(err, ShouldBeNil)
 		s.disk.wal.Close()
-		So(tries, ShouldEqual, 3)
+		So(attempts, ShouldEqual, 3)
 		So(s.report().BatchJobs, ShouldEqual, 1)
 		So(logLines(&log, "disk_unreadable"), ShouldHaveLength, 3)
 	})
--- a/internal/batch/server/state.go
+++ b/internal/batch/server/state.go
@@ -10,12 +10,12 @@
 func (s *Server) logState() {
 	report, counts := s.report(), s.runner.Counts()
 	waiting, running, allowed := s.runner.Load()
-	findings, damaged := s.corruptionCounts()
+	findings, corruptJobs := s.corruptionCounts()
 	s.logUnreconciled()
 	s.logViolations()
 	s.log.Info().Int("waiting", waiting).Int("running", running).Int("server_limits", allowed).
 		Uint64("epoch", report.Epoch).Uint64("reconciled_epoch", report.Settled).Int("batch_jobs", report.BatchJobs).
-		Int("findings", findings).Int("corrupt_jobs", damaged).Int64("truncated_bytes", s.truncatedBytes).
+		Int("findings", findings).Int("corrupt_jobs", corruptJobs).Int64("truncated_bytes", s.truncatedBytes).
 		Int64("free", report.FreeBytes).Int64("runs", counts.Attempts).Int64("completed", counts.Completed).
 		Int64("dead_letter", counts.DeadLetter).Int64("resumed", counts.Resumed).Int64("rejected", counts.Rejected).
 		Int64("interrupted", counts.Interrupted).Int64("failed", counts.Failed).Int64("dials", counts.Dials).Msg("state")
@@ -23,7 +23,7 @@
 
 // corruptionCounts returns the number of parts of the log that this start couldn't use, and of the batch
 // jobs that are still damaged because of them.
-func (s *Server) corruptionCounts() (findings, damaged int) {
+func (s *Server) corruptionCounts() (findings, corruptJobs int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.stateMachine.Corruption()
--- a/internal/batch/serverclient/simulation_test.go
+++ b/internal/batch/serverclient/simulation_test.go
@@ -58,18 +58,18 @@
 }
 
 // finish sends an item until it is completed or unprocessable.
-func (w *worker) finish(try *faultyserver.Request) {
+func (w *worker) finish(request *faultyserver.Request) {
 	var data []string
 	last := int64(-1)
 	for attempt := range maxAttempts {
 		time.Sleep(time.Duration(w.r.Int64N(int64(100 * time.Millisecond))))
-		outcome := w.run(try, strconv.Itoa(attempt), last)
-		w.check(try, outcome, w.fleet.Checker.Executions(try, strconv.Itoa(attempt)))
+		outcome := w.run(request, strconv.Itoa(attempt), last)
+		w.check(request, outcome, w.fleet.Checker.Executions(request, strconv.Itoa(attempt)))
 		for _, event := range outcome.Events {
 			data = append(data, string(event))
 		}
 		last = outcome.LastEventID
-		w.fleet.Checker.CheckCollected(try, data, outcome.Result == Completed)
+		w.fleet.Checker.CheckCollected(request, data, outcome.Result == Completed)
 		switch outcome.Result {
 		case Completed:
 			w.fleet.Checker.Count("completed")
@@ -78,11 +78,11 @@
 			return
 		}
 	}
-	w.fleet.Checker.Failf("%s: not done after %d runs", try.ID, maxAttempts)
+	w.fleet.Checker.Failf("%s: not done after %d runs", request.ID, maxAttempts)
 }
 
 // run makes one attempt at a random server. Now and then the gate is closed, or the context ends meanwhile.
-func (w *worker) run(try *faultyserver.Request, attempt string, last int64) Outcome {
+func (w *worker) run(request *faultyserver.Request, attempt string, last int64) Outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if w.r.Float64() < canceledShare {
@@ -91,9 +91,9 @@
 	server := w.fleet.Endpoints[w.r.IntN(len(w.fleet.Endpoints))]
 	gate := w.r.Float64() >= closedGateShare
 	item := &job.Item{
-		ID: try.ID, Path: try.Path, Body: try.Body, Headers: []job.Header{{Name: "X-Attempt", Value: attempt}},
+		ID: request.ID, Path: request.Path, Body: request.Body, Headers: []job.Header{{Name: "X-Attempt", Value: attempt}},
 	}
-	for name, values := range try.Header {
+	for name, values := range request.Header {
 		item.Headers = append(item.Headers, job.Header{Name: name, Value: values[0]})
 	}
 	return w.client.Run(ctx, &Request{
@@ -104,14 +104,14 @@
 }
 
 // check checks that the result of an attempt is what the server did.
-func (w *worker) check(try *faultyserver.Request, outcome Outcome, runs []*faultyserver.Execution) {
+func (w *worker) check(request *faultyserver.Request, outcome Outcome, runs []*faultyserver.Execution) {
 	status := map[Result]int{Completed: 200, Failed: 500, Unprocessable: 422}[outcome.Result]
 	switch {
 	case status != 0 && (len(runs) != 1 || runs[0].Status != status || runs[0].Truncated && status == 200):
 		w.fleet.Checker.Failf("%s: ended as %d with %d events, where the server's runs were %s",
-			try.ID, outcome.Result, len(outcome.Events), describe(runs))
+			request.ID, outcome.Result, len(outcome.Events), describe(runs))
 	case (outcome.Result == NotExecuted || outcome.Result == NotSent) && len(runs) > 0:
-		w.fleet.Checker.Failf("%s: ended as %d, and has run", try.ID, outcome.Result)
+		w.fleet.Checker.Failf("%s: ended as %d, and has run", request.ID, outcome.Result)
 	}
 }
 
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -315,7 +315,7 @@
 	})
 }
 
-func TestDamagedMiddle(t *testing.T) {
+func TestCorruptionBeforeTheLastSegment(t *testing.T) {
 	Convey("A corrupt record that can't be a torn write is reported, and the log stays as it is", t, func() {
 		disk := simulation.NewDisk(simulation.NewRand(1))
 		log, err := OpenLog(disk, Options{SegmentSize: 10}, nil)
--- a/internal/batch/wal/marker_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -91,7 +91,7 @@
 	return s
 }
 
-func TestDamageInTheLastSegment(t *testing.T) {
+func TestCorruptionInTheLastSegment(t *testing.T) {
 	const record = headerSize + 1
 	Convey("What was synced before later records is corrupt if it can't be read, and isn't truncated", t, func() {
 		for _, test := range []struct {
@@ -198,16 +198,16 @@
 
 // TestRandomDamage inverts a bit in logs of random groups: each record is replayed as it was written, or
 // lies in a part that was reported, and only the last group is ever truncated.
-func TestRandomDamage(t *testing.T) {
+func TestRandomCorruption(t *testing.T) {
 	first := envInt("FIRST", 0)
 	for seed := first; seed < first+envInt("SEEDS", defaultHistories); seed++ {
-		if err := checkDamage(simulation.NewRand(uint64(seed))); err != nil {
+		if err := checkRandomCorruption(simulation.NewRand(uint64(seed))); err != nil {
 			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, err)
 		}
 	}
 }
 
-func checkDamage(random *simulation.Rand) error {
+func checkRandomCorruption(random *simulation.Rand) error {
 	var groups [][]string
 	for range 2 + random.IntN(8) {
 		var group []string
