--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -325,9 +325,9 @@
 	Convey("A store misses all that departed in views that it didn't see, also those that joined in them", t, func() {
 		for copies := 2; copies <= 3; copies++ {
 			c := newCluster(2*copies, copies, 1)
-			newNodes := c.nodes[:copies]
+			replaced := c.nodes[:copies]
 			away := c.nodes[copies:]
-			for _, n := range newNodes { // until only the nodes of away are members
+			for _, n := range replaced { // until only the nodes of away are members
 				n.kill()
 			}
 			c.installView(away...)
@@ -335,13 +335,13 @@
 			for _, n := range away[1:] {
 				n.losePower()
 			}
-			for _, n := range newNodes {
+			for _, n := range replaced {
 				n.wipe()
 				n.start()
 			}
-			c.installView(append(newNodes, away[0])...)
+			c.installView(append(replaced, away[0])...)
 			c.quiesce()
-			for _, n := range append(newNodes, away[0]) {
+			for _, n := range append(replaced, away[0]) {
 				n.losePower()
 			}
 			for _, n := range away[1:] {
