--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -62,18 +62,18 @@
 	if seed%4 == 3 {
 		tolerance, stores = 2, 5+int(seed/4%3)
 	}
-	w := newStoreSimulation(seed, stores, tolerance+1, bug)
+	sim := newStoreSimulation(seed, stores, tolerance+1, bug)
 	if seed%3 == 1 {
-		w.setRetention(20 * time.Second)
+		sim.setRetention(20 * time.Second)
 	}
 	if seed%5 == 2 {
-		w.lossRate = 0.03
+		sim.lossRate = 0.03
 	}
-	w.segment = int64(300 + w.random.IntN(6000))
+	sim.segmentSize = int64(300 + sim.random.IntN(6000))
 	if seed%6 == 4 {
-		w.tokenLimit = testTokenLimit
+		sim.tokenLimit = testTokenLimit
 	}
-	return &campaign{storeSimulation: w, tolerance: tolerance, impatient: seed%2 == 0}
+	return &campaign{storeSimulation: sim, tolerance: tolerance, impatient: seed%2 == 0}
 }
 
 // runSeed runs a campaign and returns what it broke. If faults are named, only these are injected.
@@ -277,10 +277,10 @@
 // retire drains a store. Once that is done it is taken away, and perhaps disks are lost right after.
 func (c *campaign) retire(lost []*simulatedStore, _ time.Duration) {
 	s := lost[0]
-	if len(c.remaining()) == c.copies {
+	if len(c.remaining()) == c.replicationFactor {
 		return
 	}
-	outcome := c.command(statemachine.Command{Retire: &statemachine.Retire{Node: s.node, Remain: c.copies}})
+	outcome := c.command(statemachine.Command{Retire: &statemachine.Retire{Node: s.node, Remain: c.replicationFactor}})
 	c.note("%s retires: %d", s.node, outcome)
 	if outcome == statemachine.StoreChanged {
 		c.awaitRetired(s)
@@ -360,12 +360,12 @@
 }
 
 // heal ends all faults.
-func (w *storeSimulation) heal() {
-	w.note("all faults end")
-	w.faultsEnded, w.lossRate = true, 0
-	clear(w.partitions)
-	w.clients.onAccept = nil
-	for _, s := range w.remaining() {
+func (sim *storeSimulation) heal() {
+	sim.note("all faults end")
+	sim.faultsEnded, sim.lossRate = true, 0
+	clear(sim.partitions)
+	sim.clients.onAccept = nil
+	for _, s := range sim.remaining() {
 		s.resume()
 		s.stalled, s.slowdown = false, 1
 		s.disk.SetCapacity(0)
@@ -378,110 +378,110 @@
 
 // audit checks, after recovery, that all that was accepted is there, on enough disks, with all results that were
 // read.
-func (w *storeSimulation) audit() {
-	if w.failure != nil {
+func (sim *storeSimulation) audit() {
+	if sim.failure != nil {
 		return
 	}
-	if !w.checkAllReconciled() {
+	if !sim.checkAllReconciled() {
 		return
 	}
-	w.auditCapacity()
-	w.clients.quiet = true
-	for _, j := range w.clients.order {
-		w.auditJob(j)
+	sim.auditCapacity()
+	sim.clients.quiet = true
+	for _, j := range sim.clients.order {
+		sim.auditJob(j)
 	}
-	w.runUntil(w.now + auditTime)
+	sim.runUntil(sim.now + auditTime)
 }
 
 // checkAllReconciled checks that all stores have reconciled, and that none is still retiring.
-func (w *storeSimulation) checkAllReconciled() bool {
-	view := w.view()
+func (sim *storeSimulation) checkAllReconciled() bool {
+	view := sim.view()
 	for _, member := range view.Members {
-		if member.State == protocol.StoreRetiring && !w.holdsExpired(placement.KeyOf(member.Process)) {
-			w.fail("%s is still not drained:%s", member.Node, w.describeUndrained(member.Node))
+		if member.State == protocol.StoreRetiring && !sim.holdsExpired(placement.KeyOf(member.Process)) {
+			sim.fail("%s is still not drained:%s", member.Node, sim.describeUndrained(member.Node))
 		}
 	}
-	for _, s := range w.remaining() {
-		if !s.up || w.isMember(s.key()) && s.machine.reconciledEpoch != view.Epoch {
-			w.fail("%s hasn't reconciled, up %v, epoch %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
+	for _, s := range sim.remaining() {
+		if !s.up || sim.isMember(s.key()) && s.machine.reconciledEpoch != view.Epoch {
+			sim.fail("%s hasn't reconciled, up %v, epoch %d of %d", s.node, s.up, s.machine.reconciledEpoch, view.Epoch)
 		}
 	}
-	return w.failure == nil
+	return sim.failure == nil
 }
 
 // holdsExpired reports whether a store still holds an expired batch job. Its owner may have dropped it before, by
 // another clock.
-func (w *storeSimulation) holdsExpired(key placement.Key) bool {
-	s := w.storeOf(key)
+func (sim *storeSimulation) holdsExpired(key placement.Key) bool {
+	s := sim.storeOf(key)
 	return s != nil && slices.ContainsFunc(s.machine.jobsInOrder, func(j *storedJob) bool {
-		return !j.handedOver && w.clients.expired(w.clients.jobs[j.id])
+		return !j.handedOver && sim.clients.expired(sim.clients.jobs[j.id])
 	})
 }
 
-func (w *storeSimulation) auditJob(j *clientJob) {
-	if w.clients.expired(j) {
+func (sim *storeSimulation) auditJob(j *clientJob) {
+	if sim.clients.expired(j) {
 		return
 	}
-	w.clients.checkPromise(j)
+	sim.clients.checkPromise(j)
 	if !j.accepted {
 		return
 	}
-	w.auditCopies(j)
-	sent, answered := w.now, false
+	sim.auditCopies(j)
+	sent, answered := sim.now, false
 	call := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: j.id, Tenant: "t"}
-	w.clients.call(w.someMember(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	sim.clients.call(sim.someMember(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		answered = true
 		read := len(j.seen)
-		w.clients.checkPage(j, 0, sent, answer)
+		sim.clients.checkPage(j, 0, sent, answer)
 		switch {
-		case w.clients.expired(j):
+		case sim.clients.expired(j):
 		case answer.Status != 200:
-			w.fail("%s: can't be read in calm, %d:%s", j.id, answer.Status, w.describe(j.id))
+			sim.fail("%s: can't be read in calm, %d:%s", j.id, answer.Status, sim.describe(j.id))
 		case !j.endRequested && !j.allRead():
-			w.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s",
-				j.id, j.acceptedAt, len(j.seen), read, len(j.items), w.describe(j.id))
+			sim.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s",
+				j.id, j.acceptedAt, len(j.seen), read, len(j.items), sim.describe(j.id))
 		}
 	})
-	w.schedule(auditTime-time.Second, func() {
+	sim.schedule(auditTime-time.Second, func() {
 		if !answered {
-			w.fail("%s: isn't answered in calm:%s", j.id, w.describe(j.id))
+			sim.fail("%s: isn't answered in calm:%s", j.id, sim.describe(j.id))
 		}
 	})
 }
 
 // auditCopies checks that a batch job's newest version is on enough disks, with all results that were read.
-func (w *storeSimulation) auditCopies(j *clientJob) {
+func (sim *storeSimulation) auditCopies(j *clientJob) {
 	newest, count := Version(0), 0
-	for _, s := range w.remaining() {
-		h := s.machine.jobs[j.id]
+	for _, s := range sim.remaining() {
+		stored := s.machine.jobs[j.id]
 		switch {
-		case h == nil || h.version < newest || !h.versionDurable:
-		case h.version > newest:
-			newest, count = h.version, 0
+		case stored == nil || stored.version < newest || !stored.versionDurable:
+		case stored.version > newest:
+			newest, count = stored.version, 0
 			fallthrough
 		default:
-			if h.durableResults >= len(j.seen) || j.endRequested {
+			if stored.durableResults >= len(j.seen) || j.endRequested {
 				count++
 			}
 		}
 	}
-	if count < w.copies {
-		w.fail("%s: is whole on %d stores:%s", j.id, count, w.describe(j.id))
+	if count < sim.replicationFactor {
+		sim.fail("%s: is whole on %d stores:%s", j.id, count, sim.describe(j.id))
 	}
 }
 
-func (w *storeSimulation) someMember() *simulatedStore {
+func (sim *storeSimulation) someMember() *simulatedStore {
 	for {
-		if s := w.anyStore(); s.up && w.isMember(s.key()) {
+		if s := sim.anyStore(); s.up && sim.isMember(s.key()) {
 			return s
 		}
 	}
 }
 
 // describeUndrained returns what keeps a retiring store from being drained.
-func (w *storeSimulation) describeUndrained(node string) string {
+func (sim *storeSimulation) describeUndrained(node string) string {
 	text := ""
-	for _, s := range w.remaining() {
+	for _, s := range sim.remaining() {
 		if s.node != node {
 			continue
 		}
@@ -489,7 +489,7 @@
 		text += fmt.Sprintf(" settled %v, %d acceptances", m.reconciled, len(m.acceptances))
 		for _, j := range m.jobsInOrder {
 			if !j.handedOver {
-				text += "\n" + j.id + fmt.Sprintf(" handing %v", len(j.handoverReplicas)) + w.describe(j.id)
+				text += "\n" + j.id + fmt.Sprintf(" handing %v", len(j.handoverReplicas)) + sim.describe(j.id)
 			}
 		}
 	}
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -48,29 +48,29 @@
 
 // auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing that was
 // granted is held for ever.
-func (w *storeSimulation) auditCapacity() {
-	if w.tokenLimit == 0 || w.failure != nil || w.clients.waitingTokens() > 0 {
+func (sim *storeSimulation) auditCapacity() {
+	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.waitingTokens() > 0 {
 		return
 	}
 	var items []job.Item
-	for left := w.tokenLimit; left > 0; left -= min(left, testTokenLimit/5) {
+	for left := sim.tokenLimit; left > 0; left -= min(left, testTokenLimit/5) {
 		items = append(items, job.Item{
 			ID: "room-" + strconv.FormatInt(left, 10), Path: "/p", Tokens: int(min(left, testTokenLimit/5)),
 		})
 	}
 	status := 0
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: "room", Tenant: "t", Route: "r"}
-	w.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, unanswered: 1, attempts: 1}
-	w.clients.call(w.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
-	w.runUntil(w.now + 4*time.Second)
+	sim.clients.jobs["room"] = &clientJob{id: "room", items: items, done: map[int]bool{}, unanswered: 1, attempts: 1}
+	sim.clients.call(sim.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
+	sim.runUntil(sim.now + 4*time.Second)
 	if status != 202 {
-		w.fail("a batch job as large as the bound is answered %d though nothing waits:%s", status, w.describeClaims())
+		sim.fail("a batch job as large as the bound is answered %d though nothing waits:%s", status, sim.describeClaims())
 	}
 }
 
-func (w *storeSimulation) describeClaims() string {
+func (sim *storeSimulation) describeClaims() string {
 	text := ""
-	for _, s := range w.remaining() {
+	for _, s := range sim.remaining() {
 		if !s.up {
 			continue
 		}
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -19,15 +19,15 @@
 
 // cluster is some nodes with a view.
 type cluster struct {
-	copies      int
-	now         time.Duration
-	epoch       uint64
-	currentView protocol.StoreView // that control agreed on
-	tokenLimit  int64              // of queued tokens, 0 for none
-	nodes       []*clusterNode
-	messages    []clusterMessage
-	uninformed  func(*clusterNode) bool   // reports whether control tells a node nothing; nil for none
-	drops       func(clusterMessage) bool // reports whether a message is lost; nil for none
+	replicationFactor int
+	now               time.Duration
+	epoch             uint64
+	currentView       protocol.StoreView // that control agreed on
+	tokenLimit        int64              // of queued tokens, 0 for none
+	nodes             []*clusterNode
+	messages          []clusterMessage
+	uninformed        func(*clusterNode) bool   // reports whether control tells a node nothing; nil for none
+	drops             func(clusterMessage) bool // reports whether a message is lost; nil for none
 }
 
 // clusterMessage is a message on its way.
@@ -49,11 +49,11 @@
 	machine            *StateMachine
 	findings           []*Finding
 	answers            map[CallID]protocol.BatchAnswer
-	token              CallID
+	lastCall           CallID
 }
 
 func newCluster(nodes, copies int, seed uint64) *cluster {
-	c := &cluster{copies: copies, now: time.Second}
+	c := &cluster{replicationFactor: copies, now: time.Second}
 	for i := range nodes {
 		c.nodes = append(c.nodes, &clusterNode{
 			cluster: c, number: i, incarnation: 1, disk: simulation.NewDisk(simulation.NewRand(seed + uint64(i))),
@@ -81,7 +81,7 @@
 	n.answers = map[CallID]protocol.BatchAnswer{}
 	n.machine = New(Options{
 		Self: n.process(), ProcessIncarnation: n.processIncarnation,
-		ReplicationFactor: n.cluster.copies, Retention: time.Hour,
+		ReplicationFactor: n.cluster.replicationFactor, Retention: time.Hour,
 	}, n)
 	options := wal.Options{SegmentSize: 4 << 10, OnSkipped: func(at wal.Location) {
 		n.findings = append(n.findings, n.machine.ReplaySkipped(at))
@@ -154,7 +154,7 @@
 		n := c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.process().Node == member.Node })]
 		report := n.machine.Report()
 		told := n.log != nil && n.process() == member.Process &&
-			report.Settled == c.currentView.Epoch && report.Missing < c.copies
+			report.Settled == c.currentView.Epoch && report.Missing < c.replicationFactor
 		if !told && member.State != protocol.StoreRetired {
 			return
 		}
@@ -282,8 +282,8 @@
 
 // call makes a call at a node and returns its answer once the cluster is quiet.
 func (n *clusterNode) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
-	n.token++
-	token := n.token
+	n.lastCall++
+	token := n.lastCall
 	n.machine.Call(token, call, items)
 	n.cluster.quiesce()
 	return n.answers[token]
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -29,8 +29,8 @@
 )
 
 // buggyDisk returns a disk that doesn't do all that it is told, if that is the bug.
-func (w *storeSimulation) buggyDisk(disk slots.FS) slots.FS {
-	switch w.bug {
+func (sim *storeSimulation) buggyDisk(disk slots.FS) slots.FS {
+	switch sim.bug {
 	case bugDurableEarly:
 		return faultyDisk{FS: disk, created: true}
 	case bugNoTruncation:
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -38,244 +38,244 @@
 
 func newLossHistory(seed uint64, late bool) *lossHistory {
 	allowed := 1 + int(seed%2)
-	h := &lossHistory{
+	stored := &lossHistory{
 		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)),
 		seed: seed, allowed: allowed, late: late,
 		lost: map[int]bool{}, away: map[int]bool{}, removed: map[int]bool{},
 	}
-	h.cluster.quiesce()
-	return h
+	stored.cluster.quiesce()
+	return stored
 }
 
-func (h *lossHistory) note(format string, arguments ...any) {
-	h.events = append(h.events, fmt.Sprintf(format, arguments...))
+func (stored *lossHistory) note(format string, arguments ...any) {
+	stored.events = append(stored.events, fmt.Sprintf(format, arguments...))
 }
 
-func (h *lossHistory) failf(format string, arguments ...any) {
-	if h.failure == "" {
-		h.failure = fmt.Sprintf(format, arguments...)
+func (stored *lossHistory) failf(format string, arguments ...any) {
+	if stored.failure == "" {
+		stored.failure = fmt.Sprintf(format, arguments...)
 	}
 }
 
 // remaining returns the machines that are neither away nor removed.
-func (h *lossHistory) remaining() (list []*clusterNode) {
-	for _, n := range h.nodes {
-		if !h.away[n.number] && !h.removed[n.number] {
+func (stored *lossHistory) remaining() (list []*clusterNode) {
+	for _, n := range stored.nodes {
+		if !stored.away[n.number] && !stored.removed[n.number] {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-func (h *lossHistory) chance(one int) bool { return h.random.IntN(one) == 0 }
+func (stored *lossHistory) chance(one int) bool { return stored.random.IntN(one) == 0 }
 
 // changeMembers has control agree on the set of those that remain; now and then a view before it was told to nobody.
 // In late histories some hear of it only after the others have gone on, with messages lost meanwhile.
-func (h *lossHistory) changeMembers() {
-	if h.chance(3) {
-		h.epoch++
+func (stored *lossHistory) changeMembers() {
+	if stored.chance(3) {
+		stored.epoch++
 	}
-	list := h.remaining()
-	if !h.late {
-		h.cluster.installView(list...)
+	list := stored.remaining()
+	if !stored.late {
+		stored.cluster.installView(list...)
 		return
 	}
 	var unaware []*clusterNode
 	for i, n := range list {
-		if i > 0 && h.chance(3) {
+		if i > 0 && stored.chance(3) {
 			unaware = append(unaware, n)
 		}
 	}
-	h.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
-	h.cluster.installView(list...)
-	h.cluster.drops = func(clusterMessage) bool { return h.chance(8) }
-	for range h.random.IntN(4) {
-		h.round()
+	stored.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
+	stored.cluster.installView(list...)
+	stored.cluster.drops = func(clusterMessage) bool { return stored.chance(8) }
+	for range stored.random.IntN(4) {
+		stored.round()
 	}
-	h.uninformed = nil
+	stored.uninformed = nil
 	for _, n := range unaware {
-		if !h.chance(3) {
-			h.rejoin(n)
+		if !stored.chance(3) {
+			stored.rejoin(n)
 		}
 	}
 }
 
 // settleAll tells all of the newest view, and waits until they are quiet.
-func (h *lossHistory) settleAll() {
-	h.cluster.drops, h.uninformed = nil, nil
-	for _, n := range h.remaining() {
-		h.rejoin(n)
+func (stored *lossHistory) settleAll() {
+	stored.cluster.drops, stored.uninformed = nil, nil
+	for _, n := range stored.remaining() {
+		stored.rejoin(n)
 	}
-	h.cluster.quiesce()
-	if h.currentView.Settled && len(h.currentView.Members) == len(h.remaining()) {
-		clear(h.lost)
+	stored.cluster.quiesce()
+	if stored.currentView.Settled && len(stored.currentView.Members) == len(stored.remaining()) {
+		clear(stored.lost)
 	}
 }
 
 // step does the next thing.
-func (h *lossHistory) step() {
-	list := h.remaining()
-	n := list[h.random.IntN(len(list))]
-	switch kind := h.random.IntN(11); {
-	case kind <= 1 && len(h.lost) < h.allowed && len(list) > h.allowed+1:
-		h.note("%s goes away", n.key())
+func (stored *lossHistory) step() {
+	list := stored.remaining()
+	n := list[stored.random.IntN(len(list))]
+	switch kind := stored.random.IntN(11); {
+	case kind <= 1 && len(stored.lost) < stored.allowed && len(list) > stored.allowed+1:
+		stored.note("%s goes away", n.key())
 		n.kill()
-		h.away[n.number], h.lost[n.number] = true, true
-		h.changeMembers()
-	case kind == 2 && len(h.lost) < h.allowed:
-		h.note("%s loses its disk", n.key())
-		h.lost[n.number] = true
+		stored.away[n.number], stored.lost[n.number] = true, true
+		stored.changeMembers()
+	case kind == 2 && len(stored.lost) < stored.allowed:
+		stored.note("%s loses its disk", n.key())
+		stored.lost[n.number] = true
 		n.wipe()
 		n.start()
-		h.changeMembers()
-	case kind == 3 && len(h.away) > 0:
-		h.returns(h.firstAway())
-		h.changeMembers()
+		stored.changeMembers()
+	case kind == 3 && len(stored.away) > 0:
+		stored.returns(stored.firstAway())
+		stored.changeMembers()
 	case kind == 4:
-		h.note("all processes start again")
+		stored.note("all processes start again")
 		for _, n := range list {
 			n.kill()
 			n.start()
-			h.rejoin(n)
+			stored.rejoin(n)
 		}
 	case kind <= 6:
-		h.losePower(list)
-	case kind == 7 && len(h.nodes) < 2*h.allowed+5:
-		h.add()
-	case kind == 8 && len(list) > h.allowed+2 && len(h.lost) == 0:
-		h.retire(n)
+		stored.losePower(list)
+	case kind == 7 && len(stored.nodes) < 2*stored.allowed+5:
+		stored.add()
+	case kind == 8 && len(list) > stored.allowed+2 && len(stored.lost) == 0:
+		stored.retire(n)
 	default:
-		h.submit(n)
+		stored.submit(n)
 	}
 }
 
-func (h *lossHistory) firstAway() *clusterNode {
-	for _, n := range h.nodes {
-		if h.away[n.number] {
+func (stored *lossHistory) firstAway() *clusterNode {
+	for _, n := range stored.nodes {
+		if stored.away[n.number] {
 			return n
 		}
 	}
 	return nil
 }
 
-func (h *lossHistory) returns(n *clusterNode) {
-	h.note("%s comes back", n.key())
-	delete(h.away, n.number)
+func (stored *lossHistory) returns(n *clusterNode) {
+	stored.note("%s comes back", n.key())
+	delete(stored.away, n.number)
 	n.start()
 }
 
 // losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were away
 // perhaps first.
-func (h *lossHistory) losePower(list []*clusterNode) {
+func (stored *lossHistory) losePower(list []*clusterNode) {
 	for _, n := range list {
 		n.losePower()
 	}
 	for _, n := range list {
-		if len(h.lost) < h.allowed && !h.lost[n.number] && h.chance(2) {
-			h.lost[n.number] = true
+		if len(stored.lost) < stored.allowed && !stored.lost[n.number] && stored.chance(2) {
+			stored.lost[n.number] = true
 			n.wipe()
 		}
 	}
-	h.note("all lose power; lost or away since all had reconciled: %v", h.lost)
-	h.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if h.chance(2) {
-		for n := h.firstAway(); n != nil; n = h.firstAway() {
-			delete(h.away, n.number)
+	stored.note("all lose power; lost or away since all had reconciled: %v", stored.lost)
+	stored.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	if stored.chance(2) {
+		for n := stored.firstAway(); n != nil; n = stored.firstAway() {
+			delete(stored.away, n.number)
 			list = append([]*clusterNode{n}, list...)
 		}
 	}
 	for _, n := range list {
-		h.away[n.number] = true
+		stored.away[n.number] = true
 	}
 	for i, n := range list {
-		h.returns(n)
-		if i == len(list)-1 || h.chance(2) {
-			h.changeMembers()
+		stored.returns(n)
+		if i == len(list)-1 || stored.chance(2) {
+			stored.changeMembers()
 		}
-		if h.chance(3) {
-			h.cluster.quiesce()
+		if stored.chance(3) {
+			stored.cluster.quiesce()
 		}
-		h.checkNotDenied(n)
+		stored.checkNotDenied(n)
 	}
 }
 
 // checkNotDenied asks a store, which may be one of the first that are back, for an accepted batch job.
-func (h *lossHistory) checkNotDenied(n *clusterNode) {
-	if len(h.accepted) == 0 || !h.chance(3) {
+func (stored *lossHistory) checkNotDenied(n *clusterNode) {
+	if len(stored.accepted) == 0 || !stored.chance(3) {
 		return
 	}
-	id := h.accepted[h.random.IntN(len(h.accepted))]
+	id := stored.accepted[stored.random.IntN(len(stored.accepted))]
 	if _, status := n.read(id); status == 404 {
-		h.failf("%s denies %s", n.key(), id)
+		stored.failf("%s denies %s", n.key(), id)
 	}
 }
 
-func (h *lossHistory) add() {
-	n := &clusterNode{cluster: h.cluster, number: len(h.nodes), incarnation: 1,
-		disk: simulation.NewDisk(simulation.NewRand(h.seed + uint64(100*len(h.nodes))))}
-	h.note("%s is added", n.key())
-	h.nodes = append(h.nodes, n)
+func (stored *lossHistory) add() {
+	n := &clusterNode{cluster: stored.cluster, number: len(stored.nodes), incarnation: 1,
+		disk: simulation.NewDisk(simulation.NewRand(stored.seed + uint64(100*len(stored.nodes))))}
+	stored.note("%s is added", n.key())
+	stored.nodes = append(stored.nodes, n)
 	n.start()
-	h.changeMembers()
+	stored.changeMembers()
 }
 
 // retire drains a store and takes it away, while all are there.
-func (h *lossHistory) retire(n *clusterNode) {
-	h.note("%s retires", n.key())
+func (stored *lossHistory) retire(n *clusterNode) {
+	stored.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
-	h.changeMembers()
-	h.settleAll()
-	h.settleAll()
+	stored.changeMembers()
+	stored.settleAll()
+	stored.settleAll()
 	if !n.machine.Report().DrainedDown {
-		h.failf("%s isn't drained", n.key())
+		stored.failf("%s isn't drained", n.key())
 		return
 	}
 	n.state = protocol.StoreRetired
-	h.changeMembers()
-	if h.chance(2) {
-		h.cluster.quiesce()
+	stored.changeMembers()
+	if stored.chance(2) {
+		stored.cluster.quiesce()
 	}
 	n.wipe()
-	h.removed[n.number] = true
-	h.changeMembers()
+	stored.removed[n.number] = true
+	stored.changeMembers()
 }
 
-func (h *lossHistory) submit(n *clusterNode) {
+func (stored *lossHistory) submit(n *clusterNode) {
 	for range lossJobsStep {
-		id := fmt.Sprint("job-", len(h.accepted))
+		id := fmt.Sprint("job-", len(stored.accepted))
 		if n.submit(id, 1).Status == 202 {
-			h.accepted = append(h.accepted, id)
+			stored.accepted = append(stored.accepted, id)
 		}
 	}
-	h.note("%d batch jobs", len(h.accepted))
+	stored.note("%d batch jobs", len(stored.accepted))
 }
 
 // play runs a history to its end, when all are back: all that was accepted is there, and all have reconciled.
-func (h *lossHistory) play() {
+func (stored *lossHistory) play() {
 	for range lossSteps {
-		h.step()
-		if !h.chance(4) {
-			h.settleAll()
+		stored.step()
+		if !stored.chance(4) {
+			stored.settleAll()
 		}
 	}
-	for n := h.firstAway(); n != nil; n = h.firstAway() {
-		h.returns(n)
+	for n := stored.firstAway(); n != nil; n = stored.firstAway() {
+		stored.returns(n)
 	}
-	h.changeMembers()
-	h.settleAll()
-	h.settleAll()
-	for _, id := range h.accepted {
-		if _, status := h.remaining()[0].readAnywhere(id); status != 200 {
-			h.failf("%s is answered with %d", id, status)
+	stored.changeMembers()
+	stored.settleAll()
+	stored.settleAll()
+	for _, id := range stored.accepted {
+		if _, status := stored.remaining()[0].readAnywhere(id); status != 200 {
+			stored.failf("%s is answered with %d", id, status)
 		}
 	}
-	for _, n := range h.remaining() {
+	for _, n := range stored.remaining() {
 		if status := n.machine.Status(); !status.Reconciled() {
-			h.failf("%s hasn't reconciled: %+v", n.key(), status)
+			stored.failf("%s hasn't reconciled: %+v", n.key(), status)
 		}
 	}
-	if !h.currentView.Settled {
-		h.failf("control hasn't agreed that all have reconciled")
+	if !stored.currentView.Settled {
+		stored.failf("control hasn't agreed that all have reconciled")
 	}
 }
 
@@ -285,11 +285,11 @@
 	for _, late := range []bool{false, true} {
 		accepted := 0
 		for seed := first; seed < first+seeds; seed++ {
-			h := newLossHistory(seed, late)
-			h.play()
-			accepted += len(h.accepted)
-			if h.failure != "" {
-				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", late, seed, h.failure, strings.Join(h.events, "\n"))
+			stored := newLossHistory(seed, late)
+			stored.play()
+			accepted += len(stored.accepted)
+			if stored.failure != "" {
+				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", late, seed, stored.failure, strings.Join(stored.events, "\n"))
 			}
 		}
 		t.Logf("late %t: %d histories, %d batch jobs accepted", late, seeds, accepted)
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -95,27 +95,27 @@
 }
 
 func newModelCluster(count, copies int, bugs modelBugs) *modelCluster {
-	w := &modelCluster{bugs: bugs, copies: copies}
-	w.client.begin()
+	sim := &modelCluster{bugs: bugs, copies: copies}
+	sim.client.begin()
 	for range count {
-		w.add()
+		sim.add()
 	}
-	return w
+	return sim
 }
 
-func (w *modelCluster) fail(format string, values ...any) {
-	if w.failure == "" {
-		w.failure = fmt.Sprintf("step %d at %v: ", w.steps, w.now) + fmt.Sprintf(format, values...)
+func (sim *modelCluster) fail(format string, values ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf("step %d at %v: ", sim.steps, sim.now) + fmt.Sprintf(format, values...)
 	}
 }
 
-func (w *modelCluster) note(format string, values ...any) {
-	w.events = append(w.events, fmt.Sprintf("%4d %6v ", w.steps, w.now)+fmt.Sprintf(format, values...))
+func (sim *modelCluster) note(format string, values ...any) {
+	sim.events = append(sim.events, fmt.Sprintf("%4d %6v ", sim.steps, sim.now)+fmt.Sprintf(format, values...))
 }
 
-func (w *modelCluster) add() {
-	s := &modelStore{model: w, node: "s" + strconv.Itoa(len(w.stores)+1), incarnation: 1}
-	w.stores = append(w.stores, s)
+func (sim *modelCluster) add() {
+	s := &modelStore{model: sim, node: "s" + strconv.Itoa(len(sim.stores)+1), incarnation: 1}
+	sim.stores = append(sim.stores, s)
 	s.start()
 }
 
@@ -242,45 +242,45 @@
 func (s *modelStore) unsynced() bool { return s.up && !s.paused && s.durable < len(s.disk) }
 
 // step does the next thing.
-func (w *modelCluster) step() {
-	w.steps++
-	if w.steps > modelMaxSteps {
-		w.fail("steps without end")
+func (sim *modelCluster) step() {
+	sim.steps++
+	if sim.steps > modelMaxSteps {
+		sim.fail("steps without end")
 	}
-	if len(w.messages) > 0 {
-		message := w.messages[0]
-		w.messages = w.messages[1:]
-		w.deliver(message)
-	} else if at := slices.IndexFunc(w.stores, (*modelStore).unsynced); at >= 0 {
-		w.stores[at].sync()
+	if len(sim.messages) > 0 {
+		message := sim.messages[0]
+		sim.messages = sim.messages[1:]
+		sim.deliver(message)
+	} else if at := slices.IndexFunc(sim.stores, (*modelStore).unsynced); at >= 0 {
+		sim.stores[at].sync()
 	} else {
-		w.round()
+		sim.round()
 	}
-	if w.bugs.earlyDurable {
-		for _, s := range w.stores {
+	if sim.bugs.earlyDurable {
+		for _, s := range sim.stores {
 			if s.up && !s.paused && len(s.machine.pendingWrites) > 0 {
 				s.machine.Synced(uint64(len(s.disk) - s.base))
 			}
 		}
 	}
-	w.check()
+	sim.check()
 }
 
-func (w *modelCluster) deliver(message modelMessage) {
-	at := slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.key() == message.to })
+func (sim *modelCluster) deliver(message modelMessage) {
+	at := slices.IndexFunc(sim.stores, func(s *modelStore) bool { return s.key() == message.to })
 	if at < 0 {
 		return
 	}
-	s := w.stores[at]
+	s := sim.stores[at]
 	body := message.body
 	switch body := message.body.(type) {
 	case ReplicationResponse:
-		if w.bugs.earlyReplicated {
+		if sim.bugs.earlyReplicated {
 			body.Held, body.Count, body.Ended = true, modelItems, true
 			message.body = body
 		}
 	case InventoryResponse:
-		if w.bugs.emptyInventories {
+		if sim.bugs.emptyInventories {
 			body.Entries = nil
 			message.body = body
 		}
@@ -291,104 +291,104 @@
 
 // round lets time pass: processes start, control looks at who is there, leases are renewed, state machines tick, and
 // the client goes on.
-func (w *modelCluster) round() {
-	w.rounds++
-	w.now += modelRound
-	for _, s := range w.stores {
+func (sim *modelCluster) round() {
+	sim.rounds++
+	sim.now += modelRound
+	for _, s := range sim.stores {
 		switch {
 		case s.removed:
-		case !s.up && w.now >= s.startAt:
+		case !s.up && sim.now >= s.startAt:
 			s.start()
-		case s.up && s.paused && w.now >= s.resumeAt:
+		case s.up && s.paused && sim.now >= s.resumeAt:
 			s.resume()
 			continue // it gets the view and a lease in the next round
 		}
 		if s.up && !s.paused {
-			s.lastContact = w.now
+			s.lastContact = sim.now
 		}
 	}
-	w.runControl()
-	for _, s := range w.stores {
+	sim.runControl()
+	for _, s := range sim.stores {
 		if !s.up || s.paused {
 			continue
 		}
-		if s.lastContact < w.now {
+		if s.lastContact < sim.now {
 			s.machine.Tick()
 			continue
 		}
-		_, member := placement.MemberOf(w.view, s.key())
-		s.machine.InstallView(w.view)
-		if w.bugs.keepsVersion {
+		_, member := placement.MemberOf(sim.view, s.key())
+		s.machine.InstallView(sim.view)
+		if sim.bugs.keepsVersion {
 			s.machine.departures.memberSince = 1
 		}
 		if member {
-			s.leaseUntil = w.now + modelLease
+			s.leaseUntil = sim.now + modelLease
 		}
 		until := s.leaseUntil
-		if w.bugs.endlessLease {
+		if sim.bugs.endlessLease {
 			until += time.Hour
 		}
-		s.machine.GrantLease(w.view.Epoch, member, until)
+		s.machine.GrantLease(sim.view.Epoch, member, until)
 		s.machine.Tick()
 	}
-	if w.begun {
-		w.client.step(w)
+	if sim.begun {
+		sim.client.step(sim)
 	}
 }
 
 // runControl changes the view, one change a round, as control does.
-func (w *modelCluster) runControl() {
-	members := slices.Clone(w.view.Members)
+func (sim *modelCluster) runControl() {
+	members := slices.Clone(sim.view.Members)
 	for i := range members {
-		s := w.byNode(members[i].Node)
+		s := sim.byNode(members[i].Node)
 		switch {
-		case w.now-s.lastContactOf(members[i].Process) >= modelTimeout && w.now >= s.leaseUntil:
-			w.changeMembers(slices.Delete(members, i, i+1), "evicts "+s.node)
+		case sim.now-s.lastContactOf(members[i].Process) >= modelTimeout && sim.now >= s.leaseUntil:
+			sim.changeMembers(slices.Delete(members, i, i+1), "evicts "+s.node)
 			return
 		case members[i].State == protocol.StoreRetired && !s.removed:
-			w.changeMembers(slices.Delete(members, i, i+1), "takes "+s.node+" away")
+			sim.changeMembers(slices.Delete(members, i, i+1), "takes "+s.node+" away")
 			s.wipe(0)
 			s.removed = true
 			return
-		case members[i].State == protocol.StoreRetiring && w.isDrained(s):
+		case members[i].State == protocol.StoreRetiring && sim.isDrained(s):
 			members[i].State = protocol.StoreRetired
-			w.changeMembers(members, "notes that "+s.node+" is drained")
+			sim.changeMembers(members, "notes that "+s.node+" is drained")
 			return
 		}
 	}
-	if !w.view.Settled && w.allReconciled() {
-		w.view.Settled, w.view.Departed = true, nil
+	if !sim.view.Settled && sim.allReconciled() {
+		sim.view.Settled, sim.view.Departed = true, nil
 	}
-	for _, s := range w.stores {
-		if _, member := placement.MemberOf(w.view, s.key()); member || !s.up || s.paused || s.removed {
+	for _, s := range sim.stores {
+		if _, member := placement.MemberOf(sim.view, s.key()); member || !s.up || s.paused || s.removed {
 			continue
 		}
 		members = slices.DeleteFunc(members, func(m protocol.StoreMember) bool { return m.Node == s.node })
-		w.changeMembers(append(members, protocol.StoreMember{Process: s.process()}), "lets "+s.node+" in")
+		sim.changeMembers(append(members, protocol.StoreMember{Process: s.process()}), "lets "+s.node+" in")
 		return
 	}
 }
 
 // allReconciled reports whether all members have told that they reconciled, as control asks.
-func (w *modelCluster) allReconciled() bool {
-	for _, member := range w.view.Members {
-		s := w.storeOf(placement.KeyOf(member.Process))
+func (sim *modelCluster) allReconciled() bool {
+	for _, member := range sim.view.Members {
+		s := sim.storeOf(placement.KeyOf(member.Process))
 		switch {
 		case member.State == protocol.StoreRetired:
 		case s == nil || !s.up || s.paused:
 			return false
 		default:
 			report := s.machine.Report()
-			if report.Settled != w.view.Epoch || report.Missing >= w.copies {
+			if report.Settled != sim.view.Epoch || report.Missing >= sim.copies {
 				return false
 			}
 		}
 	}
-	return len(w.view.Members) > 0
+	return len(sim.view.Members) > 0
 }
 
-func (w *modelCluster) byNode(node string) *modelStore {
-	return w.stores[slices.IndexFunc(w.stores, func(s *modelStore) bool { return s.node == node })]
+func (sim *modelCluster) byNode(node string) *modelStore {
+	return sim.stores[slices.IndexFunc(sim.stores, func(s *modelStore) bool { return s.node == node })]
 }
 
 // lastContactOf returns when an incarnation of the store's disk was last in contact.
@@ -399,23 +399,23 @@
 	return s.lastContact
 }
 
-func (w *modelCluster) isDrained(s *modelStore) bool {
-	if w.bugs.retireEarly {
+func (sim *modelCluster) isDrained(s *modelStore) bool {
+	if sim.bugs.retireEarly {
 		return true
 	}
 	report := s.machine.Report()
-	return s.up && !s.paused && report.DrainedDown && report.Epoch == w.view.Epoch
+	return s.up && !s.paused && report.DrainedDown && report.Epoch == sim.view.Epoch
 }
 
-func (w *modelCluster) changeMembers(members []protocol.StoreMember, why string) {
-	before := w.view
-	w.view = protocol.StoreView{Epoch: before.Epoch + 1, Members: members}
-	w.view.Departed = departedAfter(before, w.view)
-	w.note("control %s: epoch %d", why, w.view.Epoch)
+func (sim *modelCluster) changeMembers(members []protocol.StoreMember, why string) {
+	before := sim.view
+	sim.view = protocol.StoreView{Epoch: before.Epoch + 1, Members: members}
+	sim.view.Departed = departedAfter(before, sim.view)
+	sim.note("control %s: epoch %d", why, sim.view.Epoch)
 }
 
-func (w *modelCluster) storeOf(key placement.Key) *modelStore {
-	for _, s := range w.stores {
+func (sim *modelCluster) storeOf(key placement.Key) *modelStore {
+	for _, s := range sim.stores {
 		if s.key() == key {
 			return s
 		}
@@ -425,18 +425,18 @@
 
 // toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all members of the
 // newest view are up, enough of them active, and control has agreed that they have reconciled in that view.
-func (w *modelCluster) toleratesLoss() bool {
+func (sim *modelCluster) toleratesLoss() bool {
 	active := 0
-	for _, member := range w.view.Members {
-		s := w.storeOf(placement.KeyOf(member.Process))
-		if s == nil || !s.up || s.paused || !w.view.Settled {
+	for _, member := range sim.view.Members {
+		s := sim.storeOf(placement.KeyOf(member.Process))
+		if s == nil || !s.up || s.paused || !sim.view.Settled {
 			return false
 		}
 		if member.State == protocol.StoreActive {
 			active++
 		}
 	}
-	return active >= w.copies
+	return active >= sim.copies
 }
 
 // modelClient submits the batch job, runs its items, reads and ends it.
@@ -460,32 +460,32 @@
 }
 
 // step takes the next step of the client: one item a round, on every store that may run it.
-func (c *modelClient) step(w *modelCluster) {
+func (c *modelClient) step(sim *modelCluster) {
 	c.stepCount++
 	switch {
 	case !c.accepted:
-		c.call(w, protocol.BatchCall{Operation: protocol.BatchSubmit, Body: c.submission}, func(answer protocol.BatchAnswer) {
+		c.call(sim, protocol.BatchCall{Operation: protocol.BatchSubmit, Body: c.submission}, func(answer protocol.BatchAnswer) {
 			c.accepted = c.accepted || answer.Status == 202
 		})
 	case len(c.seen) < modelItems:
-		c.run(w)
+		c.run(sim)
 	case !c.ended:
-		c.call(w, protocol.BatchCall{Operation: protocol.BatchEnd}, func(answer protocol.BatchAnswer) {
+		c.call(sim, protocol.BatchCall{Operation: protocol.BatchEnd}, func(answer protocol.BatchAnswer) {
 			c.ended = c.ended || answer.Status == 200
 		})
 	}
 }
 
 // call sends a call to one store after the other, and to the owner that it names.
-func (c *modelClient) call(w *modelCluster, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
+func (c *modelClient) call(sim *modelCluster, call protocol.BatchCall, done func(protocol.BatchAnswer)) {
 	call.BatchJob, call.Tenant, call.Route = modelJob, "t", "r"
-	s := w.stores[c.stepCount%len(w.stores)]
+	s := sim.stores[c.stepCount%len(sim.stores)]
 	s.call(call, c.items, func(answer protocol.BatchAnswer) {
 		if answer.Owner == "" {
 			done(answer)
 			return
 		}
-		for _, other := range w.stores {
+		for _, other := range sim.stores {
 			if other.node == answer.Owner {
 				other.call(call, c.items, done)
 			}
@@ -494,8 +494,8 @@
 }
 
 // run finishes the next item wherever it may run, with a text of its own.
-func (c *modelClient) run(w *modelCluster) {
-	for _, s := range w.stores {
+func (c *modelClient) run(sim *modelCluster) {
+	for _, s := range sim.stores {
 		for index := range modelItems {
 			if s.up && !s.paused && index <= len(c.seen) && s.machine.MayRun(modelJob, index) {
 				c.texts++
@@ -507,8 +507,8 @@
 }
 
 // done reports whether everything has been acknowledged, and no store is yet to be drained.
-func (w *modelCluster) done() bool {
-	return w.client.ended && !slices.ContainsFunc(w.view.Members, func(m protocol.StoreMember) bool {
+func (sim *modelCluster) done() bool {
+	return sim.client.ended && !slices.ContainsFunc(sim.view.Members, func(m protocol.StoreMember) bool {
 		return m.State != protocol.StoreActive
 	})
 }
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -54,14 +54,14 @@
 }
 
 // inject injects a fault. It reports whether it could: no more disks are lost than must be tolerated.
-func (w *modelCluster) inject(t modelFault) bool {
-	s := w.stores[t.store]
+func (sim *modelCluster) inject(t modelFault) bool {
+	s := sim.stores[t.store]
 	lost := t.kind == modelWipe || t.kind == modelWipeLong || t.kind == modelReplace || t.kind == modelPowerLossAndWipe
-	if lost && w.allowedLosses == 0 || s.removed || t.kind < modelFirstWithoutStore && !s.up {
+	if lost && sim.allowedLosses == 0 || s.removed || t.kind < modelFirstWithoutStore && !s.up {
 		return false
 	}
 	if lost {
-		w.allowedLosses--
+		sim.allowedLosses--
 	}
 	switch t.kind {
 	case modelWipe:
@@ -71,7 +71,7 @@
 	case modelReplace:
 		s.wipe(0)
 		s.removed = true
-		w.add()
+		sim.add()
 	case modelKill:
 		s.stop(true, 0)
 	case modelCrash:
@@ -79,14 +79,14 @@
 	case modelCrashLong:
 		s.stop(false, modelLongAbsence)
 	case modelPause:
-		s.paused, s.resumeAt = true, w.now+modelLongAbsence
+		s.paused, s.resumeAt = true, sim.now+modelLongAbsence
 	case modelRetire:
-		if !w.retire(s) {
+		if !sim.retire(s) {
 			return false
 		}
 	case modelPowerLoss, modelPowerLossAndWipe:
-		w.messages = nil
-		for _, other := range w.stores {
+		sim.messages = nil
+		for _, other := range sim.stores {
 			if other.up {
 				other.stop(false, 0)
 			}
@@ -95,82 +95,82 @@
 			s.wipe(modelRound)
 		}
 	case modelAddStore:
-		w.add()
+		sim.add()
 	default:
-		return w.disturbMessage(t.kind)
+		return sim.disturbMessage(t.kind)
 	}
 	return true
 }
 
 // disturbMessage loses, delays or duplicates the next message.
-func (w *modelCluster) disturbMessage(kind int) bool {
-	if len(w.messages) == 0 {
+func (sim *modelCluster) disturbMessage(kind int) bool {
+	if len(sim.messages) == 0 {
 		return false
 	}
-	next := w.messages[0]
+	next := sim.messages[0]
 	if kind != modelDuplicateMessage {
-		w.messages = w.messages[1:]
+		sim.messages = sim.messages[1:]
 	}
 	if kind != modelDropMessage {
-		w.messages = append(w.messages, next)
+		sim.messages = append(sim.messages, next)
 	}
 	return true
 }
 
 // play runs the model with faults, in the order of their steps, until the client is done. It returns how many were
 // injected.
-func (w *modelCluster) play(faults []modelFault) (happened int) {
-	w.rounds = 0
-	for w.failure == "" && (len(faults) > 0 || !w.done()) && w.rounds < modelMaxRounds {
-		for len(faults) > 0 && faults[0].step == w.steps {
-			if w.inject(faults[0]) {
+func (sim *modelCluster) play(faults []modelFault) (happened int) {
+	sim.rounds = 0
+	for sim.failure == "" && (len(faults) > 0 || !sim.done()) && sim.rounds < modelMaxRounds {
+		for len(faults) > 0 && faults[0].step == sim.steps {
+			if sim.inject(faults[0]) {
 				happened++
-				w.rounds = 0
-				w.note("%v", faults[0])
-				w.check()
+				sim.rounds = 0
+				sim.note("%v", faults[0])
+				sim.check()
 			}
 			faults = faults[1:]
 		}
-		w.step()
-		if w.done() && len(faults) > 0 && w.rounds > 20 {
+		sim.step()
+		if sim.done() && len(faults) > 0 && sim.rounds > 20 {
 			break
 		}
 	}
-	if w.failure == "" {
-		w.checkEnd()
+	if sim.failure == "" {
+		sim.checkEnd()
 	}
 	return happened
 }
 
 // newReconciledModel returns a model in which all stores are members and have reconciled.
 func newReconciledModel(count, copies int, bugs modelBugs) *modelCluster {
-	w := newModelCluster(count, copies, bugs)
-	for w.failure == "" && (len(w.view.Members) < count || !w.toleratesLoss()) {
-		w.step()
+	sim := newModelCluster(count, copies, bugs)
+	for sim.failure == "" && (len(sim.view.Members) < count || !sim.toleratesLoss()) {
+		sim.step()
 	}
-	w.steps, w.rounds, w.begun = 0, 0, true
-	return w
+	sim.steps, sim.rounds, sim.begun = 0, 0, true
+	return sim
 }
 
 // modelLength is the number of steps that a run without faults takes.
 func modelLength(t testing.TB, count, copies int) int {
-	w := newReconciledModel(count, copies, modelBugs{})
-	w.play(nil)
-	if w.failure != "" {
-		t.Fatalf("without faults: %s\n%s", w.failure, strings.Join(w.events, "\n"))
+	sim := newReconciledModel(count, copies, modelBugs{})
+	sim.play(nil)
+	if sim.failure != "" {
+		t.Fatalf("without faults: %s\n%s", sim.failure, strings.Join(sim.events, "\n"))
 	}
-	return w.steps
+	return sim.steps
 }
 
 // runModel runs the model with faults.
-func runModel(count, copies int, bugs modelBugs, faults ...modelFault) (w *modelCluster, happened int) {
-	w = newReconciledModel(count, copies, bugs)
-	happened = w.play(faults)
-	return w, happened
+func runModel(count, copies int, bugs modelBugs, faults ...modelFault) (sim *modelCluster, happened int) {
+	sim = newReconciledModel(count, copies, bugs)
+	happened = sim.play(faults)
+	return sim, happened
 }
 
-func describeModelFailure(w *modelCluster, faults []modelFault) string {
-	return fmt.Sprintf("%v: %s\n%s", faults, w.failure, strings.Join(w.events, "\n"))
+func describeModelFailure(sim *modelCluster, faults []modelFault) string {
+	return fmt.Sprintf("%v: %s\n%s", faults, sim.failure, strings.Join(sim.events, "\n"))
 }
 
 var modelSizes = [][2]int{{3, 2}, {4, 2}, {4, 3}} // stores, copies
@@ -187,11 +187,11 @@
 						break
 					}
 					faults := []modelFault{{kind: kind, store: store, step: step}}
-					w, happened := runModel(size[0], size[1], modelBugs{}, faults...)
+					sim, happened := runModel(size[0], size[1], modelBugs{}, faults...)
 					played += happened
-					steps += w.steps
-					if w.failure != "" {
-						t.Fatal(describeModelFailure(w, faults))
+					steps += sim.steps
+					if sim.failure != "" {
+						t.Fatal(describeModelFailure(sim, faults))
 					}
 				}
 			}
@@ -224,9 +224,9 @@
 					kind: modelSecondFaults[second/stores%len(modelSecondFaults)],
 				},
 			}
-			w, happened := runModel(stores, copies, modelBugs{}, faults...)
-			if w.failure != "" {
-				t.Fatal(describeModelFailure(w, faults))
+			sim, happened := runModel(stores, copies, modelBugs{}, faults...)
+			if sim.failure != "" {
+				t.Fatal(describeModelFailure(sim, faults))
 			}
 			played++
 			both += happened / 2
@@ -247,8 +247,8 @@
 		modelFault{modelCrashLong, 1, 72})
 	faults := []modelFault{{modelPause, 1, 15}, {modelCrashLong, 2, 28}, {modelCrashLong, 0, 41}, {modelCrashLong, 1, 51}}
 	playTrace(t, 3, 2, faults...)
-	if w, _ := runModel(3, 2, modelBugs{keepsVersion: true}, faults...); !strings.Contains(w.failure, modelDataLost) {
-		t.Errorf("not found where an owner keeps its version: %q", w.failure)
+	if sim, _ := runModel(3, 2, modelBugs{keepsVersion: true}, faults...); !strings.Contains(sim.failure, modelDataLost) {
+		t.Errorf("not found where an owner keeps its version: %q", sim.failure)
 	}
 }
 
@@ -278,10 +278,10 @@
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
 			faults := denseFaults(seed, size[0])
-			w, count := runModel(size[0], size[1], modelBugs{}, faults...)
+			sim, count := runModel(size[0], size[1], modelBugs{}, faults...)
 			happened += count
-			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, faults))
+			if sim.failure != "" {
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(sim, faults))
 			}
 		}
 		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
@@ -324,9 +324,9 @@
 // playTrace injects faults that were found to break something once.
 func playTrace(t *testing.T, stores, copies int, faults ...modelFault) {
 	t.Helper()
-	w, happened := runModel(stores, copies, modelBugs{}, faults...)
-	if w.failure != "" {
-		t.Error(describeModelFailure(w, faults))
+	sim, happened := runModel(stores, copies, modelBugs{}, faults...)
+	if sim.failure != "" {
+		t.Error(describeModelFailure(sim, faults))
 	}
 	if happened != len(faults) {
 		t.Errorf("%v: only %d of them came about", faults, happened)
@@ -341,10 +341,10 @@
 		happened := 0
 		for seed := first; seed < first+seeds; seed++ {
 			faults := randomFaults(seed, size[0], length)
-			w, count := runModel(size[0], size[1], modelBugs{}, faults...)
+			sim, count := runModel(size[0], size[1], modelBugs{}, faults...)
 			happened += count
-			if w.failure != "" {
-				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(w, faults))
+			if sim.failure != "" {
+				t.Errorf("%d stores, %d copies, FIRST=%d SEEDS=1: %s", size[0], size[1], seed, describeModelFailure(sim, faults))
 			}
 		}
 		t.Logf("%d stores, %d copies: %d runs, %d faults", size[0], size[1], seeds, happened)
@@ -383,8 +383,8 @@
 			length := modelLength(t, 4, bug.copies)
 			for seed := range uint64(5000) {
 				faults := randomFaults(seed, 4, length)
-				if w, _ := runModel(4, bug.copies, bug.bugs, faults...); strings.Contains(w.failure, bug.broken) {
-					t.Logf("found by seed %d: %s", seed, describeModelFailure(w, faults))
+				if sim, _ := runModel(4, bug.copies, bug.bugs, faults...); strings.Contains(sim.failure, bug.broken) {
+					t.Logf("found by seed %d: %s", seed, describeModelFailure(sim, faults))
 					return
 				}
 			}
--- a/internal/batch/replica/progress_test.go
+++ b/internal/batch/replica/progress_test.go
@@ -11,9 +11,9 @@
 
 func TestProgress(t *testing.T) {
 	Convey("Events of running items are there after a start, only in an unbroken row, and not of listed items", t, func() {
-		w := newStoreSimulation(1, 1, 1, "")
-		w.runUntil(2e9)
-		s := w.stores[0]
+		sim := newStoreSimulation(1, 1, 1, "")
+		sim.runUntil(2e9)
+		s := sim.stores[0]
 		s.idle = true
 		content := &job.Content{ID: "job", Tenant: "t", Items: []job.Item{
 			{ID: "a", Path: "/"}, {ID: "b", Path: "/"}, {ID: "c", Path: "/"},
@@ -37,7 +37,7 @@
 		s.sync()
 		s.kill()
 		s.start()
-		w.runUntil(4e9)
+		sim.runUntil(4e9)
 		work, ok := s.machine.Work("job")
 		So(ok, ShouldBeTrue)
 		So(work.Items, ShouldHaveLength, 2)
@@ -55,13 +55,13 @@
 		So(text(work.Items[1]), ShouldEqual, "again ")
 	})
 	Convey("A single store, where none may be lost, accepts by itself", t, func() {
-		w := newStoreSimulation(2, 1, 1, "")
-		w.runUntil(2e9)
-		j := w.clients.submit("job", 3)
-		w.runUntil(8e9)
+		sim := newStoreSimulation(2, 1, 1, "")
+		sim.runUntil(2e9)
+		j := sim.clients.submit("job", 3)
+		sim.runUntil(8e9)
 		So(j.accepted, ShouldBeTrue)
 		So(j.seen, ShouldHaveLength, 3)
-		So(w.failure, ShouldBeNil)
+		So(sim.failure, ShouldBeNil)
 	})
 }
 
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -101,16 +101,16 @@
 
 // itemStarted checks an item that was sent to a server.
 func (c *clients) itemStarted(s *simulatedStore, id string) {
-	w := c.sim
+	sim := c.sim
 	j := c.jobs[id]
 	j.starts++
-	if j.ended && w.now > j.endedAt+cancelDeadline {
-		w.fail("%s: an item starts at %s %v after the end:%s", id, s.node, w.now-j.endedAt, w.describe(id))
+	if j.ended && sim.now > j.endedAt+cancelDeadline {
+		sim.fail("%s: an item starts at %s %v after the end:%s", id, s.node, sim.now-j.endedAt, sim.describe(id))
 	}
-	for _, other := range w.stores {
-		h := other.machine.jobs[id]
-		if other != s && other.up && h != nil && h.owned && h.replicated && other.machine.MayAct() {
-			w.fail("%s: runs at %s, and %s owns it, too:%s", id, s.node, other.node, w.describe(id))
+	for _, other := range sim.stores {
+		stored := other.machine.jobs[id]
+		if other != s && other.up && stored != nil && stored.owned && stored.replicated && other.machine.MayAct() {
+			sim.fail("%s: runs at %s, and %s owns it, too:%s", id, s.node, other.node, sim.describe(id))
 		}
 	}
 	c.checkPromise(j)
@@ -127,7 +127,7 @@
 func (c *clients) call(
 	s *simulatedStore, call protocol.BatchCall, items []job.Item, hops int, done func(protocol.BatchAnswer),
 ) {
-	w := c.sim
+	sim := c.sim
 	answered := false
 	finish := func(answer protocol.BatchAnswer) {
 		if !answered {
@@ -135,16 +135,16 @@
 			done(answer)
 		}
 	}
-	w.schedule(callTimeout, func() { finish(protocol.BatchAnswer{}) })
-	w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
+	sim.schedule(callTimeout, func() { finish(protocol.BatchAnswer{}) })
+	sim.schedule(sim.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
 		s.do(func() {
-			s.lastToken++
-			s.answers[s.lastToken] = func(answer protocol.BatchAnswer) {
-				w.schedule(w.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
+			s.lastCall++
+			s.answers[s.lastCall] = func(answer protocol.BatchAnswer) {
+				sim.schedule(sim.randomDuration(time.Millisecond, 3*time.Millisecond), func() {
 					c.follow(answer, call, items, hops, finish)
 				})
 			}
-			s.machine.Call(s.lastToken, call, items)
+			s.machine.Call(s.lastCall, call, items)
 		})
 	})
 }
@@ -166,48 +166,48 @@
 
 // submitOnce submits a batch job, and perhaps a duplicate elsewhere.
 func (c *clients) submitOnce(j *clientJob) {
-	w := c.sim
+	sim := c.sim
 	j.attempts++
 	j.unanswered++
 	call := protocol.BatchCall{Operation: protocol.BatchSubmit, BatchJob: j.id, Tenant: "t", Route: "r", Body: j.body}
-	c.call(w.anyStore(), call, j.items, callHops, func(answer protocol.BatchAnswer) {
+	c.call(sim.anyStore(), call, j.items, callHops, func(answer protocol.BatchAnswer) {
 		j.unanswered--
 		c.handleSubmitAnswer(j, answer)
 		if j.attempts < maxAttempts && !j.accepted {
-			w.schedule(w.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
+			sim.schedule(sim.randomDuration(0, 800*time.Millisecond), func() { c.submitOnce(j) })
 		}
 	})
-	if w.random.IntN(4) == 0 && j.attempts < maxAttempts { // a duplicate that goes elsewhere at the same time
-		w.schedule(w.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
+	if sim.random.IntN(4) == 0 && j.attempts < maxAttempts { // a duplicate that goes elsewhere at the same time
+		sim.schedule(sim.randomDuration(0, 20*time.Millisecond), func() { c.submitOnce(j) })
 	}
 }
 
 // handleSubmitAnswer checks the answer to a submission, and starts what follows an acceptance.
 func (c *clients) handleSubmitAnswer(j *clientJob, answer protocol.BatchAnswer) {
-	w := c.sim
-	w.note("%s is answered %d", j.id, answer.Status)
+	sim := c.sim
+	sim.note("%s is answered %d", j.id, answer.Status)
 	switch {
 	case answer.Status == 202 && !j.accepted:
-		j.accepted, j.acceptedAt = true, w.now
+		j.accepted, j.acceptedAt = true, sim.now
 		c.accepted++
 		c.checkTokenLimit(j)
 		c.keepReading(j)
-		w.schedule(w.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
-		if w.random.IntN(3) == 0 {
-			w.schedule(w.randomDuration(0, 6*time.Second), func() { c.submitOnce(j) }) // another client sends it once more
+		sim.schedule(sim.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
+		if sim.random.IntN(3) == 0 {
+			sim.schedule(sim.randomDuration(0, 6*time.Second), func() { c.submitOnce(j) }) // another client sends it once more
 		}
-		if w.random.IntN(6) == 0 {
-			w.schedule(w.randomDuration(0, 5*time.Second), func() { c.end(j) })
+		if sim.random.IntN(6) == 0 {
+			sim.schedule(sim.randomDuration(0, 5*time.Second), func() { c.end(j) })
 		}
 		if act := c.onAccept; act != nil {
 			c.onAccept = nil
 			act()
 		}
-	case answer.Status == 503 || answer.Status == 429 && w.tokenLimit > 0:
+	case answer.Status == 503 || answer.Status == 429 && sim.tokenLimit > 0:
 		j.rejections++
 		c.checkPromise(j)
 	case answer.Status >= 400 && answer.Status < 500 && !c.expired(j):
-		w.fail("%s: a submission is answered %d", j.id, answer.Status)
+		sim.fail("%s: a submission is answered %d", j.id, answer.Status)
 	}
 }
 
@@ -224,44 +224,44 @@
 
 // keepReading reads until all results were read.
 func (c *clients) keepReading(j *clientJob) {
-	w := c.sim
+	sim := c.sim
 	start := len(j.seen)
-	if w.random.IntN(3) == 0 {
-		start = w.random.IntN(start + 1)
+	if sim.random.IntN(3) == 0 {
+		start = sim.random.IntN(start + 1)
 	}
-	sent := w.now
+	sent := sim.now
 	call := protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: j.id, Tenant: "t", Start: start, WaitMs: 1000}
-	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	c.call(sim.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		c.checkPage(j, start, sent, answer)
 		switch {
 		case c.expired(j) || c.quiet:
 		case !j.allRead() && !j.ended:
-			w.schedule(w.randomDuration(0, 600*time.Millisecond), func() { c.keepReading(j) })
-		case w.random.IntN(2) == 0: // somebody looks again later
-			w.schedule(w.randomDuration(0, 6*time.Second), func() { c.keepReading(j) })
+			sim.schedule(sim.randomDuration(0, 600*time.Millisecond), func() { c.keepReading(j) })
+		case sim.random.IntN(2) == 0: // somebody looks again later
+			sim.schedule(sim.randomDuration(0, 6*time.Second), func() { c.keepReading(j) })
 		}
 	})
 }
 
 // checkPage checks results against those that were read before.
 func (c *clients) checkPage(j *clientJob, start int, sent time.Duration, answer protocol.BatchAnswer) {
-	w := c.sim
+	sim := c.sim
 	if answer.Status == 404 && sent > j.acceptedAt && !c.expired(j) {
-		w.fail("%s: 404 though it was accepted at %v:%s", j.id, j.acceptedAt, w.describe(j.id))
+		sim.fail("%s: 404 though it was accepted at %v:%s", j.id, j.acceptedAt, sim.describe(j.id))
 	}
 	if answer.Status != 200 {
 		return
 	}
 	var read page
 	if err := json.Unmarshal(answer.Body, &read); err != nil {
-		w.fail("%s: %v", j.id, err)
+		sim.fail("%s: %v", j.id, err)
 		return
 	}
 	if read.Total != len(j.items) || read.Next != start+len(read.Results) {
-		w.fail("%s: total %d, next %d after %d from %d", j.id, read.Total, read.Next, len(read.Results), start)
+		sim.fail("%s: total %d, next %d after %d from %d", j.id, read.Total, read.Next, len(read.Results), start)
 	}
 	if len(read.Results) == 0 && start < len(j.seen) {
-		w.fail("%s: nothing at position %d, which was read, asked at %v:%s", j.id, start, sent, w.describe(j.id))
+		sim.fail("%s: nothing at position %d, which was read, asked at %v:%s", j.id, start, sent, sim.describe(j.id))
 	}
 	for i, result := range read.Results {
 		c.checkResult(j, start+i, result.ID, result.Text)
@@ -269,17 +269,17 @@
 }
 
 func (c *clients) checkResult(j *clientJob, position int, item, text string) {
-	w := c.sim
+	sim := c.sim
 	index, known := j.index[item]
 	if !known || !isCompleteText(text, j.id, index) {
-		w.fail("%s: position %d holds %q of item %q", j.id, position, text, item)
+		sim.fail("%s: position %d holds %q of item %q", j.id, position, text, item)
 	}
 	if place, read := j.positions[item]; read && place != position {
-		w.fail("%s: item %s at positions %d and %d:%s", j.id, item, place, position, w.describe(j.id))
+		sim.fail("%s: item %s at positions %d and %d:%s", j.id, item, place, position, sim.describe(j.id))
 	}
 	content := item + " " + text
 	if earlier, read := j.seen[position]; read && earlier != content {
-		w.fail("%s: position %d held %q, now %q:%s", j.id, position, earlier, content, w.describe(j.id))
+		sim.fail("%s: position %d held %q, now %q:%s", j.id, position, earlier, content, sim.describe(j.id))
 	}
 	if _, read := j.seen[position]; !read {
 		c.read++
@@ -289,25 +289,25 @@
 
 // readBody asks for an item's body, which is there until its result is listed.
 func (c *clients) readBody(j *clientJob) {
-	w := c.sim
-	index := w.random.IntN(len(j.items))
-	sent := w.now
+	sim := c.sim
+	index := sim.random.IntN(len(j.items))
+	sent := sim.now
 	call := protocol.BatchCall{Operation: protocol.BatchBody, BatchJob: j.id, Tenant: "t", Item: j.items[index].ID}
-	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	c.call(sim.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		c.takeBody(j, index, sent, answer)
 		if !j.allRead() && !j.endRequested && !c.quiet {
-			w.schedule(w.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
+			sim.schedule(sim.randomDuration(0, 3*time.Second), func() { c.readBody(j) })
 		}
 	})
 }
 
 func (c *clients) takeBody(j *clientJob, index int, sent time.Duration, answer protocol.BatchAnswer) {
-	w := c.sim
+	sim := c.sim
 	switch {
 	case answer.Status == 200 && !bytes.Equal(answer.Body, j.items[index].Body):
-		w.fail("%s: the body of item %d is %q", j.id, index, answer.Body)
+		sim.fail("%s: the body of item %d is %q", j.id, index, answer.Body)
 	case answer.Status == 404 && sent > j.acceptedAt && !j.endRequested && !c.expired(j) && !c.hasResult(j, index):
-		w.fail("%s: 404 for the body of item %d, which isn't listed:%s", j.id, index, w.describe(j.id))
+		sim.fail("%s: 404 for the body of item %d, which isn't listed:%s", j.id, index, sim.describe(j.id))
 	}
 }
 
@@ -317,7 +317,7 @@
 		return true
 	}
 	for _, s := range c.sim.stores {
-		if h := s.machine.jobs[j.id]; h != nil && h.items[index].finished {
+		if stored := s.machine.jobs[j.id]; stored != nil && stored.items[index].finished {
 			return true
 		}
 	}
@@ -326,22 +326,22 @@
 
 // end ends a batch job.
 func (c *clients) end(j *clientJob) {
-	w := c.sim
+	sim := c.sim
 	j.endRequested = true
 	call := protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: j.id, Tenant: "t"}
-	sent := w.now
-	c.call(w.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
+	sent := sim.now
+	c.call(sim.anyStore(), call, nil, callHops, func(answer protocol.BatchAnswer) {
 		switch {
 		case answer.Status == 200 && !j.ended:
-			w.note("%s is ended", j.id)
-			j.ended, j.endedAt = true, w.now
-			if w.random.IntN(3) == 0 {
-				w.schedule(w.randomDuration(0, 5*time.Second), func() { c.end(j) })
+			sim.note("%s is ended", j.id)
+			j.ended, j.endedAt = true, sim.now
+			if sim.random.IntN(3) == 0 {
+				sim.schedule(sim.randomDuration(0, 5*time.Second), func() { c.end(j) })
 			}
 		case answer.Status == 404 && sent > j.acceptedAt && !c.expired(j):
-			w.fail("%s: 404 to the end of an accepted batch job:%s", j.id, w.describe(j.id))
+			sim.fail("%s: 404 to the end of an accepted batch job:%s", j.id, sim.describe(j.id))
 		case answer.Status != 200 && !c.expired(j):
-			w.schedule(w.randomDuration(0, 500*time.Millisecond), func() { c.end(j) })
+			sim.schedule(sim.randomDuration(0, 500*time.Millisecond), func() { c.end(j) })
 		}
 	})
 }
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -40,7 +40,7 @@
 	running            map[string]*jobRun
 	idle               bool // no items are run
 	answers            map[CallID]func(protocol.BatchAnswer)
-	lastToken          CallID
+	lastCall           CallID
 
 	log             *wal.Log
 	stepping        bool
@@ -53,11 +53,11 @@
 	slowdown        int // what the disk's time is multiplied by
 }
 
-func newSimulatedStore(w *storeSimulation, node, ip, zone string) *simulatedStore {
-	s := &simulatedStore{sim: w, node: node, ip: ip, zone: zone, slowdown: 1}
-	s.disk = simulation.NewDisk(w.random.Fork(node + ip))
-	s.fs = w.buggyDisk(s.disk)
-	s.skew = w.randomDuration(-maxClockSkew, maxClockSkew)
+func newSimulatedStore(sim *storeSimulation, node, ip, zone string) *simulatedStore {
+	s := &simulatedStore{sim: sim, node: node, ip: ip, zone: zone, slowdown: 1}
+	s.disk = simulation.NewDisk(sim.random.Fork(node + ip))
+	s.fs = sim.buggyDisk(s.disk)
+	s.skew = sim.randomDuration(-maxClockSkew, maxClockSkew)
 	s.newIncarnation()
 	return s
 }
@@ -81,7 +81,7 @@
 
 // start starts the process on what is on the disk.
 func (s *simulatedStore) start() {
-	w := s.sim
+	sim := s.sim
 	s.processIncarnation++
 	s.generation++
 	s.up, s.paused = true, false
@@ -92,7 +92,7 @@
 	s.lastDurable, s.lastProven = wal.Location{}, wal.Location{}
 	s.machine = New(Options{
 		Self: s.process(), ProcessIncarnation: s.processIncarnation,
-		ReplicationFactor: w.copies, Retention: w.retention + 2*maxClockSkew,
+		ReplicationFactor: sim.replicationFactor, Retention: sim.retention + 2*maxClockSkew,
 	}, s)
 	log, err := wal.OpenLog(s.fs, s.walOptions(), func(at wal.Location, record []byte) error {
 		s.lastDurable = at
@@ -106,20 +106,20 @@
 		s.powerFails()
 		return
 	case err != nil:
-		w.fail("%s finds its own log unreadable: %v", s.node, err)
+		sim.fail("%s finds its own log unreadable: %v", s.node, err)
 		return
 	}
-	w.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.processIncarnation, len(s.machine.jobs))
+	sim.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.processIncarnation, len(s.machine.jobs))
 	s.log = log
 	s.every(100*time.Millisecond, func() { s.machine.Tick() })
-	s.every(w.randomDuration(50*time.Millisecond, 700*time.Millisecond), s.release)
+	s.every(sim.randomDuration(50*time.Millisecond, 700*time.Millisecond), s.release)
 	s.poll()
 }
 
 // walOptions lets the log skip unreadable parts where the simulation corrupted the disk. Elsewhere there must be
 // none.
 func (s *simulatedStore) walOptions() wal.Options {
-	options := wal.Options{SegmentSize: s.sim.segment}
+	options := wal.Options{SegmentSize: s.sim.segmentSize}
 	if s.corrupted {
 		options.OnSkipped = func(at wal.Location) { s.sim.note("%s: %v", s.node, s.machine.ReplaySkipped(at)) }
 	}
@@ -440,14 +440,14 @@
 
 // Send sends a message to another store.
 func (s *simulatedStore) Send(to protocol.Process, message any) {
-	w := s.sim
-	target := w.storeOf(placement.KeyOf(to))
+	sim := s.sim
+	target := sim.storeOf(placement.KeyOf(to))
 	if target == nil || target.removed {
 		return
 	}
 	sender := s.process()
 	incarnation := target.incarnation
-	w.transmit(s.node, target.node, func() {
+	sim.transmit(s.node, target.node, func() {
 		if target.incarnation != incarnation {
 			return
 		}
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -14,9 +14,9 @@
 	t.Helper()
 	first := intFromEnvironment("FIRST", 1)
 	for seed := first; seed < first+intFromEnvironment("SEEDS", defaultSeedsPerFault); seed++ {
-		w := newStoreSimulation(uint64(seed), stores, tolerance+1, "")
-		w.segment = int64(300 + w.random.IntN(6000))
-		c := &campaign{storeSimulation: w, tolerance: tolerance}
+		sim := newStoreSimulation(uint64(seed), stores, tolerance+1, "")
+		sim.segmentSize = int64(300 + sim.random.IntN(6000))
+		c := &campaign{storeSimulation: sim, tolerance: tolerance}
 		c.runUntil(1500 * time.Millisecond)
 		c.submitJobs()
 		strike(c)
@@ -176,7 +176,7 @@
 			c.schedule(c.randomDuration(0, 18*time.Second), c.injectAnyFault)
 		}
 		c.schedule(c.randomDuration(2*time.Second, 15*time.Second), func() {
-			c.command(statemachine.Command{Retire: &statemachine.Retire{Node: c.anyStore().node, Remain: c.copies}})
+			c.command(statemachine.Command{Retire: &statemachine.Retire{Node: c.anyStore().node, Remain: c.replicationFactor}})
 		})
 	})
 }
