--- a/internal/batch/replica/claimcounter.go
+++ b/internal/batch/replica/claimcounter.go
@@ -35,12 +35,12 @@
 		return
 	}
 	for _, store := range waiting {
-		number, verdicts := m.claims.counter.Decide(store, m.queueLimit)
-		if len(verdicts) == 0 {
+		number, decisions := m.claims.counter.Decide(store, m.queueLimit)
+		if len(decisions) == 0 {
 			continue
 		}
 		m.sendClaimResponse(store, ClaimResponse{
-			Stamp: m.stamp(), Number: number, Verdicts: verdicts, Over: m.accountsOverLimit(store),
+			Stamp: m.stamp(), Number: number, Verdicts: decisions, Over: m.accountsOverLimit(store),
 		})
 	}
 }
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -234,18 +234,18 @@
 		return
 	}
 	last.awaitsResponse = false
-	for _, verdict := range message.Verdicts {
-		a := m.acceptances[verdict.Job]
+	for _, decision := range message.Verdicts {
+		a := m.acceptances[decision.Job]
 		switch {
 		case a == nil || a.capacity != capacityUnknown:
-			last.outdated = last.outdated || verdict.Fits // it isn't wanted any more
-		case verdict.Fits:
+			last.outdated = last.outdated || decision.Fits // it isn't wanted any more
+		case decision.Fits:
 			a.capacity = capacityGranted
 			m.claims.granted[a.account()] += a.tokens
 		default:
 			a.capacity = capacityDenied
 		}
-		m.countVotes(verdict.Job)
+		m.countVotes(decision.Job)
 	}
 	m.confirmCapacity(from, message.Over)
 	if last.outdated {
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -30,7 +30,7 @@
 type modelBugs struct {
 	keepsIncarnation bool // a store whose disk was lost comes back as if it hadn't been away
 	earlyDurable     bool // records count as durable when they are written
-	fewCopies        bool // a batch job is on as many disks as may be lost
+	underReplicated  bool // a batch job is on as many disks as may be lost
 	earlyReplicated  bool // replicas count as complete before they are
 	emptyInventories bool // inventories list nothing
 	retireEarly      bool // a store counts as drained once it is asked to be
@@ -47,19 +47,19 @@
 
 // modelCluster is one run.
 type modelCluster struct {
-	bugs          modelBugs
-	copies        int
-	now           time.Duration
-	stores        []*modelStore
-	view          protocol.StoreView
-	messages      []modelMessage
-	steps         int
-	rounds        int  // since the last fault
-	allowedLosses int  // disks that may be lost now
-	begun         bool // the client has begun
-	client        modelClient
-	failure       string
-	events        []string
+	bugs              modelBugs
+	replicationFactor int
+	now               time.Duration
+	stores            []*modelStore
+	view              protocol.StoreView
+	messages          []modelMessage
+	steps             int
+	rounds            int  // since the last fault
+	allowedLosses     int  // disks that may be lost now
+	begun             bool // the client has begun
+	client            modelClient
+	failure           string
+	events            []string
 }
 
 // modelStore is a store with its disk.
@@ -81,7 +81,7 @@
 	leaseUntil         time.Duration
 	delayedInputs      []func()
 	answers            map[CallID]func(protocol.BatchAnswer)
-	tokens             CallID
+	lastCall           CallID
 	shown              int // results that were read from this incarnation
 	audited            int // records that audit was read from
 	audit              *diskCopy
@@ -95,7 +95,7 @@
 }
 
 func newModelCluster(count, copies int, bugs modelBugs) *modelCluster {
-	sim := &modelCluster{bugs: bugs, copies: copies}
+	sim := &modelCluster{bugs: bugs, replicationFactor: copies}
 	sim.client.begin()
 	for range count {
 		sim.add()
@@ -131,8 +131,8 @@
 	s.lastContact = s.model.now
 	s.base, s.durable = len(s.disk), len(s.disk)
 	s.answers = map[CallID]func(protocol.BatchAnswer){}
-	copies := s.model.copies
-	if s.model.bugs.fewCopies {
+	copies := s.model.replicationFactor
+	if s.model.bugs.underReplicated {
 		copies--
 	}
 	s.machine = New(Options{
@@ -227,9 +227,9 @@
 
 func (s *modelStore) call(call protocol.BatchCall, items []job.Item, done func(protocol.BatchAnswer)) {
 	s.do(func() {
-		s.tokens++
-		s.answers[s.tokens] = done
-		s.machine.Call(s.tokens, call, items)
+		s.lastCall++
+		s.answers[s.lastCall] = done
+		s.machine.Call(s.lastCall, call, items)
 	})
 }
 
@@ -379,7 +379,7 @@
 			return false
 		default:
 			report := s.machine.Report()
-			if report.Settled != sim.view.Epoch || report.Missing >= sim.copies {
+			if report.Settled != sim.view.Epoch || report.Missing >= sim.replicationFactor {
 				return false
 			}
 		}
@@ -436,7 +436,7 @@
 			active++
 		}
 	}
-	return active >= sim.copies
+	return active >= sim.replicationFactor
 }
 
 // modelClient submits the batch job, runs its items, reads and ends it.
--- a/internal/batch/replica/modelcheck_test.go
+++ b/internal/batch/replica/modelcheck_test.go
@@ -17,7 +17,7 @@
 // check checks all stores.
 func (sim *modelCluster) check() {
 	if sim.toleratesLoss() {
-		sim.allowedLosses = sim.copies - 1
+		sim.allowedLosses = sim.replicationFactor - 1
 	}
 	runs := ""
 	for _, s := range sim.stores {
@@ -102,7 +102,7 @@
 	if s.audited == s.durable {
 		return s.audit
 	}
-	options := Options{Self: s.process(), ReplicationFactor: s.model.copies, Retention: time.Hour}
+	options := Options{Self: s.process(), ReplicationFactor: s.model.replicationFactor, Retention: time.Hour}
 	m := New(options, &modelStore{model: s.model})
 	for i, record := range s.disk[:s.durable] {
 		_ = m.Replay(wal.Location{Segment: uint32(i), Length: uint32(len(record))}, record)
@@ -136,7 +136,7 @@
 			active++
 		}
 	}
-	if at < 0 || members[at].State != protocol.StoreActive || active <= sim.copies {
+	if at < 0 || members[at].State != protocol.StoreActive || active <= sim.replicationFactor {
 		return false
 	}
 	members[at].State = protocol.StoreRetiring
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -46,24 +46,24 @@
 
 const modelLongAbsence = 2*modelTimeout + modelRound
 
-func (t modelFault) String() string {
-	if t.kind >= modelFirstWithoutStore {
-		return fmt.Sprintf("%d:%s", t.step, modelFaultNames[t.kind])
+func (f modelFault) String() string {
+	if f.kind >= modelFirstWithoutStore {
+		return fmt.Sprintf("%d:%s", f.step, modelFaultNames[f.kind])
 	}
-	return fmt.Sprintf("%d:s%d %s", t.step, t.store+1, modelFaultNames[t.kind])
+	return fmt.Sprintf("%d:s%d %s", f.step, f.store+1, modelFaultNames[f.kind])
 }
 
 // inject injects a fault. It reports whether it could: no more disks are lost than must be tolerated.
-func (sim *modelCluster) inject(t modelFault) bool {
-	s := sim.stores[t.store]
-	lost := t.kind == modelWipe || t.kind == modelWipeLong || t.kind == modelReplace || t.kind == modelPowerLossAndWipe
-	if lost && sim.allowedLosses == 0 || s.removed || t.kind < modelFirstWithoutStore && !s.up {
+func (sim *modelCluster) inject(fault modelFault) bool {
+	s := sim.stores[fault.store]
+	lost := fault.kind == modelWipe || fault.kind == modelWipeLong || fault.kind == modelReplace || fault.kind == modelPowerLossAndWipe
+	if lost && sim.allowedLosses == 0 || s.removed || fault.kind < modelFirstWithoutStore && !s.up {
 		return false
 	}
 	if lost {
 		sim.allowedLosses--
 	}
-	switch t.kind {
+	switch fault.kind {
 	case modelWipe:
 		s.wipe(0)
 	case modelWipeLong:
@@ -91,13 +91,13 @@
 				other.stop(false, 0)
 			}
 		}
-		if t.kind == modelPowerLossAndWipe {
+		if fault.kind == modelPowerLossAndWipe {
 			s.wipe(modelRound)
 		}
 	case modelAddStore:
 		sim.add()
 	default:
-		return sim.disturbMessage(t.kind)
+		return sim.disturbMessage(fault.kind)
 	}
 	return true
 }
@@ -372,7 +372,7 @@
 	}{
 		{"a lost disk isn't noticed", 2, modelBugs{keepsIncarnation: true}, modelDataLost},
 		{"records count as durable when written", 2, modelBugs{earlyDurable: true}, modelDataLost},
-		{"a batch job is on as many disks as may be lost", 2, modelBugs{fewCopies: true}, modelDataLost},
+		{"a batch job is on as many disks as may be lost", 2, modelBugs{underReplicated: true}, modelDataLost},
 		{"replicas count as complete before they are", 2, modelBugs{earlyReplicated: true}, modelDataLost},
 		{"inventories list nothing", 3, modelBugs{emptyInventories: true}, "steps without end"},
 		{"a store counts as drained when it is asked to be", 2, modelBugs{retireEarly: true}, modelDataLost},
--- a/internal/batch/replica/superseded.go
+++ b/internal/batch/replica/superseded.go
@@ -13,8 +13,8 @@
 func (m *StateMachine) queryOwners() {
 	now := m.env.Now()
 	for _, j := range m.jobsInOrder {
-		letsGo := j.awaitsRelease() || j.superseded && m.isExpired(j) || m.retiring && !j.handedOver
-		if j.owned || !letsGo || now-j.ownerQueriedAt < inventoryRetry {
+		releasing := j.awaitsRelease() || j.superseded && m.isExpired(j) || m.retiring && !j.handedOver
+		if j.owned || !releasing || now-j.ownerQueriedAt < inventoryRetry {
 			continue
 		}
 		j.ownerQueriedAt = now
