--- a/internal/batch/replica/accept.go
+++ b/internal/batch/replica/accept.go
@@ -12,8 +12,8 @@
 
 // How is a batch job accepted?
 
-// acceptTimeout is for how long a submission waits for a majority of the arbiters and for capacity. Clients try
-// elsewhere after it.
+// acceptTimeout is for how long a submission waits for a majority of the arbiters and for capacity. Clients
+// try elsewhere after it.
 const acceptTimeout = 2500 * time.Millisecond
 
 // acceptance is a batch job that is about to be accepted. Nothing of it is written yet.
@@ -87,8 +87,8 @@
 	m.answer(p.callID, unavailable())
 }
 
-// finishAccepting writes a batch job that no other store holds, or rejects it if its account has no capacity for it.
-// It waits until that is known.
+// finishAccepting writes a batch job that no other store holds, or rejects it if its account has no capacity
+// for it. It waits until that is known.
 func (m *StateMachine) finishAccepting(a *acceptance) {
 	id := a.content.ID
 	switch a.capacity {
@@ -105,8 +105,8 @@
 	}
 }
 
-// writeAccepted writes a batch job here and to the other replicas. From here on a failure doesn't promise that it
-// wasn't accepted.
+// writeAccepted writes a batch job here and to the other replicas. From here on a failure doesn't promise
+// that it wasn't accepted.
 func (m *StateMachine) writeAccepted(a *acceptance) {
 	id := a.content.ID
 	kept := []protocol.Process{m.options.Self}
@@ -144,8 +144,8 @@
 	m.announceOwner(id, m.self)
 }
 
-// yieldAcceptance gives up an acceptance, and sends its calls to the store that holds the batch job or continues to
-// accept it.
+// yieldAcceptance gives up an acceptance, and sends its calls to the store that holds the batch job or
+// continues to accept it.
 func (m *StateMachine) yieldAcceptance(owner placement.Key, id string, a *acceptance) {
 	delete(m.acceptances, id)
 	m.releaseReservations(id, a.attempt)
@@ -175,8 +175,8 @@
 	m.acknowledgeSubmissions(j)
 }
 
-// acknowledgeSubmissions answers 202 once a batch job is on all disks of its set and its tokens are within the
-// account's limit.
+// acknowledgeSubmissions answers 202 once a batch job is on all disks of its set and its tokens are within
+// the account's limit.
 func (m *StateMachine) acknowledgeSubmissions(j *storedJob) {
 	if !j.replicated || m.mayExceedLimit(j) {
 		return
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Campaigns of faults in a simulation under random load: one fault after the other, within what must be tolerated at
-// once.
+// Campaigns of faults in a simulation under random load: one fault after the other, within what must be
+// tolerated at once.
 
 const (
 	loadDuration = 30 * time.Second // under load, with faults
@@ -39,16 +39,16 @@
 	faultWipe          = "lost disks"
 	faultReplace       = "replacements"
 	faultPause         = "pauses"
-	faultPartition     = "cuts"
+	faultPartition     = "partitions"
 	faultSlowDisk      = "slow disks"
 	faultFullDisk      = "full disks"
 	faultTornOperation = "a loss of power within an operation"
 	faultGrow          = "an addition"
-	faultRetire        = "a planned leave"
+	faultRetire        = "a planned departure"
 	faultKillThenPower = "kills, then all lose power"
 	faultAllPower      = "all lose power"
 	faultAllPowerDisks = "all lose power, some their disks"
-	faultCorruption    = "damaged logs"
+	faultCorruption    = "corrupt logs"
 )
 
 // fault is injected into some stores, which are as many as may be lost, for a time.
@@ -147,8 +147,8 @@
 	c.schedule(20*time.Millisecond, c.nextFault)
 }
 
-// toleratesNextFault reports whether the next loss has to be tolerated: everything is back, for as long as stores may
-// take to catch up, or they have.
+// toleratesNextFault reports whether the next loss has to be tolerated: everything is back, for as long as
+// stores may take to catch up, or they have.
 func (c *campaign) toleratesNextFault() bool {
 	return c.now > c.recoveredAt && (c.now-c.recoveredAt >= catchUpTime || c.impatient && c.toleratesLoss())
 }
@@ -198,7 +198,8 @@
 	return kinds
 }
 
-// replace takes a store away for good. An empty one comes in its place at another address, under its name or another.
+// replace takes a store away for good. An empty one comes in its place at another address, under its name or
+// another.
 func (c *campaign) replace(s *simulatedStore, down time.Duration) {
 	s.remove()
 	c.note("%s is taken away", s.node)
@@ -376,8 +377,8 @@
 	}
 }
 
-// audit checks, after recovery, that all that was accepted is there, on enough disks, with all results that were
-// read.
+// audit checks, after recovery, that all that was accepted is there, on enough disks, with all results that
+// were read.
 func (sim *storeSimulation) audit() {
 	if sim.failure != nil {
 		return
@@ -409,8 +410,8 @@
 	return sim.failure == nil
 }
 
-// holdsExpired reports whether a store still holds an expired batch job. Its owner may have dropped it before, by
-// another clock.
+// holdsExpired reports whether a store still holds an expired batch job. Its owner may have dropped it
+// before, by another clock.
 func (sim *storeSimulation) holdsExpired(key placement.Key) bool {
 	s := sim.storeOf(key)
 	return s != nil && slices.ContainsFunc(s.machine.jobsInOrder, func(j *storedJob) bool {
--- a/internal/batch/replica/claimcounter.go
+++ b/internal/batch/replica/claimcounter.go
@@ -8,7 +8,7 @@
 
 // Has an account capacity for a batch job? The counter's side.
 
-// handleClaim takes in, as counter, what a store uses and wants.
+// handleClaim applies, as counter, a store's claim.
 func (m *StateMachine) handleClaim(from placement.Key, message Claim) {
 	m.claims.counter.Apply(from, message.Claim)
 	if !message.Wants() {
@@ -28,7 +28,8 @@
 	}
 }
 
-// answerWaitingClaims answers what stores want of the accounts that are counted here, once all members have claimed.
+// answerWaitingClaims answers what stores want of the accounts that are counted here, once all members have
+// claimed.
 func (m *StateMachine) answerWaitingClaims() {
 	waiting := m.claims.counter.Pending()
 	if len(waiting) == 0 || !m.allMembersClaimed() || !m.MayAct() {
@@ -45,8 +46,8 @@
 	}
 }
 
-// accountsOverLimit lists the accounts that a store uses and that are over their limits. Until all members have
-// claimed, every account may be.
+// accountsOverLimit lists the accounts that a store uses and that are over their limits. Until all members
+// have claimed, every account may be.
 func (m *StateMachine) accountsOverLimit(store placement.Key) []queuedtokens.Account {
 	uncertain := !m.allMembersClaimed()
 	var list []queuedtokens.Account
--- a/internal/batch/replica/claims.go
+++ b/internal/batch/replica/claims.go
@@ -12,20 +12,20 @@
 // Has an account capacity for a batch job? The store's side.
 //
 // An account is a tenant's batch jobs on a route; its queued tokens are limited over all stores
-// (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a batch job is written,
-// the store has capacity for it: within what the counter granted already, or by a new claim. What it inherits from
-// other stores it holds without asking; the next claim includes it, and the counter grants nothing until enough is
-// finished. A new view begins with nothing: each store claims anew once it knows what it owns, and a counter grants
-// capacity once all members have claimed. So what was granted in an earlier view is in those claims, or with a store
-// whose lease is over.
+// (internal/batch/queuedtokens). One store, the account's counter, grants capacity. Before a batch job is
+// written, the store has capacity for it: within what the counter granted already, or by a new claim. What it
+// inherits from other stores it uses without asking; the next claim includes it, and the counter grants
+// nothing until enough is finished. A new view begins with nothing: each store claims anew once it knows what
+// it owns, and a counter grants capacity once all members have claimed. So what was granted in an earlier
+// view is in those claims, or with a store whose lease is over.
 
 const (
 	// claimRetry is the time after which claims and polls that may have been lost are sent again.
 	claimRetry = 200 * time.Millisecond
-	// decreaseInterval is the least time between claims that only tell that less is used.
+	// decreaseInterval is the least time between claims that only report that less is used.
 	decreaseInterval = 150 * time.Millisecond
-	// overLimitRetry is the Retry-After for a batch job over the limit: a good part of a limit is worked off in that
-	// time.
+	// overLimitRetry is the Retry-After for a batch job over the limit: a good part of a limit is worked off in
+	// that time.
 	overLimitRetry = time.Second
 )
 
@@ -67,8 +67,9 @@
 	}
 }
 
-// resetClaims begins with nothing in a new view. Batch jobs that are being accepted claim anew, as nothing of them
-// was written: the counter that granted them capacity may not have known of batch jobs whose stores were away.
+// resetClaims begins with nothing in a new view. Batch jobs that are being accepted claim anew, as nothing of
+// them was written: the counter that granted them capacity may not have known of batch jobs whose stores were
+// away.
 func (m *StateMachine) resetClaims() {
 	clear(m.claims.granted)
 	clear(m.claims.sent)
@@ -81,7 +82,8 @@
 	}
 }
 
-// noteClaimantRestart notes that another store's process restarted: it counts anew, and numbers its claims anew.
+// noteClaimantRestart notes that another store's process restarted: it counts anew, and numbers its claims
+// anew.
 func (m *StateMachine) noteClaimantRestart(store placement.Key) {
 	m.claims.counter.Restarted(store)
 	if last := m.claims.sent[store]; last != nil {
@@ -108,9 +110,9 @@
 	return key
 }
 
-// usedTokens sums, by account, the tokens of unfinished items of the batch jobs that this store answers for: those
-// that it owns, those that it transferred to a store that has yet to take over, and those that it is accepting with
-// capacity granted.
+// usedTokens sums, by account, the tokens of unfinished items of the batch jobs that this store answers for:
+// those that it owns, those that it transferred to a store that has yet to take over, and those that it is
+// accepting with capacity granted.
 func (m *StateMachine) usedTokens() map[queuedtokens.Account]int64 {
 	used := map[queuedtokens.Account]int64{}
 	for _, j := range m.jobsInOrder {
@@ -136,8 +138,8 @@
 	return sum
 }
 
-// knowsOwnJobs reports whether this store knows all batch jobs that it answers for: none is held only by stores that
-// are away.
+// knowsOwnJobs reports whether this store knows all batch jobs that it answers for: none is held only by
+// stores that are away.
 func (m *StateMachine) knowsOwnJobs() bool {
 	return m.reconciled && m.unowned == 0 && !m.tooManyDeparted()
 }
@@ -172,7 +174,8 @@
 	m.assert(m.usedTokens()[account] <= m.claims.granted[account]+m.claims.unclaimed[account], InvariantWithinClaim)
 }
 
-// sendClaim tells a counter what this store uses and wants, unless an answer of it is awaited.
+// sendClaim claims from a counter what this store uses and wants. While a response is awaited, it only notes
+// that a newer claim is due.
 func (m *StateMachine) sendClaim(counter placement.Key) {
 	if counter == "" || !m.knowsOwnJobs() || !m.MayAct() {
 		return
@@ -199,8 +202,8 @@
 	}
 }
 
-// claimEntries lists what this store uses and wants of a counter's accounts. From here on, what is used counts as
-// granted.
+// claimEntries lists what this store uses and wants of a counter's accounts. From here on, what is used
+// counts as granted.
 func (m *StateMachine) claimEntries(counter placement.Key) []queuedtokens.Entry {
 	used := m.usedTokens()
 	wants := map[queuedtokens.Account][]queuedtokens.Want{}
@@ -253,7 +256,7 @@
 	}
 }
 
-// tickClaims sends claims again that were not answered, and tells counters what has changed.
+// tickClaims sends claims again that were not answered, and claims anew where the usage has changed.
 func (m *StateMachine) tickClaims(now time.Duration) {
 	m.answerWaitingClaims()
 	for _, id := range m.acceptanceIDs() {
@@ -267,15 +270,15 @@
 	}
 }
 
-// countersToUpdate lists the counters of limited accounts that hold another number of tokens for this store than it
-// uses: at once if that is less than it uses, otherwise after decreaseInterval.
+// countersToUpdate lists the counters of limited accounts that hold another number of tokens for this store
+// than it uses: at once if that is less than it uses, otherwise after decreaseInterval.
 func (m *StateMachine) countersToUpdate(now time.Duration) []placement.Key {
 	if !m.reconciled {
 		return nil
 	}
 	used := m.usedTokens()
 	for account := range m.claims.granted {
-		used[account] += 0 // so that the account is looked at
+		used[account] += 0 // adds the key, so that accounts of which nothing is used any more are compared, too
 	}
 	due := map[placement.Key]bool{}
 	for _, j := range m.jobsInOrder {
@@ -309,15 +312,16 @@
 	return slices.Sorted(maps.Keys(due))
 }
 
-// noteInheritedTokens notes that ownership of a batch job fell to this store, which has no capacity granted for it.
+// noteInheritedTokens notes that ownership of a batch job fell to this store, which has no capacity granted
+// for it.
 func (m *StateMachine) noteInheritedTokens(j *storedJob) {
 	m.claims.unclaimed[j.account()] += j.queuedTokens
 	j.capacityUnconfirmed = true
 }
 
-// mayExceedLimit reports whether a batch job may not be acknowledged yet. Its ownership fell to this store, and
-// perhaps nobody ever acknowledged it, as when all power was lost while it was written; its capacity may have been
-// granted to others meanwhile.
+// mayExceedLimit reports whether a batch job may not be acknowledged yet. Its ownership fell to this store,
+// and perhaps nobody ever acknowledged it, as when all power was lost while it was written; its capacity may
+// have been granted to others meanwhile.
 func (m *StateMachine) mayExceedLimit(j *storedJob) bool {
 	if !j.capacityUnconfirmed || j.queuedTokens == 0 || j.ended {
 		return false
@@ -326,7 +330,8 @@
 	return !known || limit > 0
 }
 
-// confirmCapacity takes a counter's confirmation that a claim's accounts are within their limits, except for some.
+// confirmCapacity takes a counter's confirmation that a claim's accounts are within their limits, except for
+// some.
 func (m *StateMachine) confirmCapacity(counter placement.Key, over []queuedtokens.Account) {
 	for _, j := range m.jobsInOrder {
 		account := j.account()
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -22,8 +22,8 @@
 // itemTokens returns the tokens of a batch job's item.
 func itemTokens(index int) int { return 20 + 37*index%50 }
 
-// waitingTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody has
-// requested.
+// waitingTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody
+// has requested.
 func (c *clients) waitingTokens() int64 {
 	sum := int64(0)
 	for _, j := range c.order {
@@ -46,8 +46,8 @@
 	}
 }
 
-// auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing that was
-// granted is held for ever.
+// auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing
+// that was granted is held for ever.
 func (sim *storeSimulation) auditCapacity() {
 	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.waitingTokens() > 0 {
 		return
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -14,8 +15,9 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// A cluster for tests that go step by step: state machines on the real log and simulated disks, messages that are
-// delivered in order when the test says so, a clock that the test moves. Only what a loss of power leaves is random.
+// A cluster for tests that go step by step: state machines on the real log and simulated disks, messages that
+// are delivered in order when the test says so, a clock that the test moves. Only what a loss of power leaves
+// is random.
 
 // cluster is some nodes with a view.
 type cluster struct {
@@ -88,7 +90,11 @@
 	}}
 	log, err := wal.OpenLog(n.disk, options, func(at wal.Location, record []byte) error {
 		if err := n.machine.Replay(at, record); err != nil {
-			n.findings = append(n.findings, err.(*Finding))
+			var finding *Finding
+			if !errors.As(err, &finding) {
+				return err
+			}
+			n.findings = append(n.findings, finding)
 		}
 		return nil
 	})
@@ -145,7 +151,7 @@
 	return departed
 }
 
-// noteReconciled has control agree that all members have reconciled once they have told so.
+// noteReconciled has control agree that all members have reconciled once they have reported it.
 func (c *cluster) noteReconciled() {
 	if c.currentView.Settled {
 		return
--- a/internal/batch/replica/concurrentclients_test.go
+++ b/internal/batch/replica/concurrentclients_test.go
@@ -27,8 +27,8 @@
 	return answer
 }
 
-// isAcceptable reports whether an answer may be given to a caller of an accepted, open batch job; other statuses
-// would deny it.
+// isAcceptable reports whether an answer may be given to a caller of an accepted, open batch job; other
+// statuses would deny it.
 func isAcceptable(answer protocol.BatchAnswer, good int) bool {
 	return answer.Status == good || answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// injectFault injects one fault. No more than one store is away at a time, and the next goes only once all have
-// reconciled.
+// injectFault injects one fault. No more than one store is away at a time, and the next goes only once all
+// have reconciled.
 func (c *cluster) injectFault(random *rand.Rand) {
 	n := c.nodes[random.IntN(len(c.nodes))]
 	switch random.IntN(5) {
--- a/internal/batch/replica/departures.go
+++ b/internal/batch/replica/departures.go
@@ -14,23 +14,24 @@
 //
 // They do as long as fewer than ReplicationFactor machines are missing, counted since all members had last
 // reconciled: then one copy of each batch job is among them. When more are missing, as after a loss of power
-// everywhere, what isn't known here may still come back; nobody may be told that it doesn't exist, and nobody may
-// accept it again. The list of departed stores is part of the agreed view, and so is that all members have reconciled
-// without them: no store concludes it from the views that it happened to see. Machines are counted, not disks: the
-// members of one replica set were in one view, and a view has one disk of each machine.
-
-// departureSet is who departed since all members had last reconciled, whose logs are incomplete, and how far the
-// other members have reconciled, which ends both.
+// everywhere, what isn't known here may still come back; nobody may be told that it doesn't exist, and nobody
+// may accept it again. The list of departed stores is part of the agreed view, and so is that all members
+// have reconciled without them: no store concludes it from the views that it happened to see. Machines are
+// counted, not disks: the members of one replica set were in one view, and a view has one disk of each
+// machine.
+
+// departureSet is who departed since all members had last reconciled, whose logs are incomplete, and how far
+// the other members have reconciled, which ends both.
 type departureSet struct {
 	stores           map[placement.Key]departure
 	reconciledEpochs map[placement.Key]uint64 // newest epoch in which each other member reported that it had reconciled
 	noticeSentAt     time.Duration
 
-	// incompleteLogs: stores that may have held batch jobs that they can't name, and since when that is known. They
-	// count like departed ones.
+	// incompleteLogs: stores that may have held batch jobs that they can't name, and since when that is known.
+	// They count like departed ones.
 	incompleteLogs map[placement.Key]time.Duration
-	// uncertainUntil: too many of both were missing for ever. Until then, clients may still ask for batch jobs that
-	// were lost.
+	// uncertainUntil: departed stores and incomplete logs together were too many when the latter were given up,
+	// so that batch jobs may be lost. Clients may ask for these until then, and are not answered 404.
 	uncertainUntil time.Duration
 
 	viewRecordAt *wal.Location // of the newest durable record of the view
@@ -45,7 +46,8 @@
 	expired bool          // it has been missing for longer than batch jobs are kept
 }
 
-// enterEpoch notes since when this store has been a member without a gap. A view that it may have missed is a gap.
+// enterEpoch notes since when this store has been a member without a gap. A view that it may have missed is a
+// gap.
 func (d *departureSet) enterEpoch(epoch uint64, present bool) {
 	switch {
 	case !present:
@@ -100,8 +102,8 @@
 	return nodes
 }
 
-// countMissing returns the number of machines that may have held what the others don't know of: departed ones and
-// those with incomplete logs.
+// countMissing returns the number of machines that may have held what the others don't know of: departed ones
+// and those with incomplete logs.
 func (d *departureSet) countMissing() int {
 	nodes := d.departedNodes()
 	for key := range d.incompleteLogs {
@@ -122,8 +124,8 @@
 	}
 }
 
-// knowsEveryJob reports whether the members of the view together know of every batch job, and this store knows what
-// they know.
+// knowsEveryJob reports whether the members of the view together know of every batch job, and this store
+// knows what they know.
 func (m *StateMachine) knowsEveryJob() bool {
 	return m.reconciled && !m.tooManyMissing() && m.env.Now() >= m.departures.uncertainUntil
 }
@@ -133,7 +135,8 @@
 	return m.departures.countMissing() >= m.options.ReplicationFactor
 }
 
-// tooManyDeparted reports whether all copies of a batch job may be on departed stores, and may come back with them.
+// tooManyDeparted reports whether all copies of a batch job may be on departed stores, and may come back with
+// them.
 func (m *StateMachine) tooManyDeparted() bool {
 	return m.departures.countDeparted() >= m.options.ReplicationFactor
 }
@@ -154,8 +157,8 @@
 	m.incompleteLog = m.incompleteLog && noted
 }
 
-// forgetIncompleteLogs stops counting incomplete logs: all members have reconciled, so what those held is known again
-// or lost.
+// forgetIncompleteLogs stops counting incomplete logs: all members have reconciled, so what those held is
+// known again or lost.
 func (m *StateMachine) forgetIncompleteLogs() {
 	if m.tooManyMissing() {
 		m.departures.uncertainUntil = m.env.Now() + m.options.Retention
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// newSupersededReplica restarts a store that was away while its batch job was closed without it; it has seen no view
-// yet.
+// newSupersededReplica restarts a store that was away while its batch job was closed without it; it has seen
+// no view yet.
 func newSupersededReplica() (c *cluster, owner, replica *clusterNode) {
 	c = newCluster(3, 2, 1)
 	So(c.nodes[0].submit("job", 1).Status, ShouldEqual, 202)
@@ -180,8 +180,8 @@
 	})
 }
 
-// TestSupersededReplicaExpires has a releasable copy stay, as not all have told that they reconciled, until the batch
-// job expires.
+// TestSupersededReplicaExpires has a releasable copy stay, as not all have reported that they reconciled,
+// until the batch job expires.
 func TestSupersededReplicaExpires(t *testing.T) {
 	Convey("A superseded copy doesn't outlive the batch job", t, func() {
 		c, owner, replica := newSupersededReplica()
@@ -469,7 +469,7 @@
 
 // TestDrainedStoreIsNotMissed drains a store while others are away.
 func TestDrainedStoreIsNotMissed(t *testing.T) {
-	Convey("A store counts as drained once all others have told that they reconciled, and is not missed then", t, func() {
+	Convey("A store counts as drained once all others have reported that they reconciled, and isn't missed", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 2).Status, ShouldEqual, 202)
 		leaving := c.except(c.owner("job"), c.replicaOf("job"))[0]
@@ -518,8 +518,8 @@
 	})
 }
 
-// TestLossWhileLeaving loses a disk while another store is being drained, so that fewer active ones than copies are
-// left.
+// TestLossWhileLeaving loses a disk while another store is being drained, so that fewer active ones than
+// copies are left.
 func TestLossWhileLeaving(t *testing.T) {
 	Convey("A retiring store stays in sets that too few others are left for", t, func() {
 		for lost := range 2 {
@@ -550,7 +550,7 @@
 			c.quiesce()
 			So(leaving.machine.Report().DrainedDown, ShouldBeTrue)
 			c.installView(c.nodes...)
-			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // what the others told in the last epoch counts no more
+			So(leaving.machine.Report().DrainedDown, ShouldBeFalse) // reports of the last epoch count no more
 			c.drops = func(m clusterMessage) bool {
 				_, notice := m.body.(ReconciledNotice)
 				return notice && m.to == leaving.key()
--- a/internal/batch/replica/handover.go
+++ b/internal/batch/replica/handover.go
@@ -7,10 +7,11 @@
 
 // How does a retiring store hand its batch jobs over?
 //
-// It copies each to the first store of a new replica set, which owns it from then on and replicates it to the rest.
-// Once that store has confirmed that the set is fully replicated, nothing here is needed.
+// It copies each to the first store of a new replica set, which owns it from then on and replicates it to the
+// rest. Once that store has confirmed that the set is fully replicated, nothing here is needed.
 
-// startHandover chooses the set that a batch job goes to. The copy here stays as it is, under the old version.
+// startHandover chooses the set that a batch job goes to. The copy here stays as it is, under the old
+// version.
 func (m *StateMachine) startHandover(j *storedJob) {
 	j.peers = nil
 	j.replicated = false
@@ -101,8 +102,8 @@
 	m.maybeCommit(j)
 }
 
-// drained reports whether a retiring store holds nothing that other stores don't. It waits until all members have
-// reconciled, so that none has yet to choose sets in this epoch, and until there is an active member.
+// drained reports whether a retiring store holds nothing that other stores don't. It waits until all members
+// have reconciled, so that none has yet to choose sets in this epoch, and until there is an active member.
 func (m *StateMachine) drained() bool {
 	if !m.retiring || !m.reconciled || len(m.acceptances) > 0 {
 		return false
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Bugs that are injected into a simulation, to show that it finds them. Each is in the harness, not in the code under
-// test.
+// Bugs that are injected into a simulation, to show that it finds them. Each is in the harness, not in the
+// code under test.
 
 const (
 	bugCopyOverResults        = "a copy record over results that are not durable"
@@ -21,14 +21,14 @@
 	bugRetireEarly            = "a retirement completed too early"
 	bugWipedKeepsName         = "a wiped store keeps its name and vote"
 	bugDurableEarly           = "durable before the sync"
-	bugNoTruncation           = "a torn tail is not cut"
+	bugNoTruncation           = "a torn tail is not truncated"
 	bugNoSyncAtStart          = "a start does not sync what it found"
 	bugReleaseNeeded          = "a segment is released that is needed"
-	bugGrantBeforeAllClaims   = "room is given before all stores were heard"
-	bugKeepsGrantsAcrossViews = "what was given in an earlier view is not counted anew"
+	bugGrantBeforeAllClaims   = "capacity is granted before all stores have claimed"
+	bugKeepsGrantsAcrossViews = "what was granted in an earlier view is not counted anew"
 )
 
-// buggyDisk returns a disk that doesn't do all that it is told, if that is the bug.
+// buggyDisk returns a disk on whose files an operation does nothing, if the run's bug is one of the disk.
 func (sim *storeSimulation) buggyDisk(disk slots.FS) slots.FS {
 	switch sim.bug {
 	case bugDurableEarly:
@@ -81,12 +81,12 @@
 	return f.File.Truncate(size)
 }
 
-// injectAcknowledgement tells the owner, now and then, at once that what it sent is on the disk.
+// injectAcknowledgement answers the owner, now and then, at once that what it sent is durable, before it is.
 func (s *simulatedStore) injectAcknowledgement(owner protocol.Process, message any) {
 	replicate, ok := message.(ReplicationRequest)
 	j := s.machine.jobs[replicate.Job]
 	if s.sim.bug != bugAckEarly || !ok || j == nil || j.version != replicate.Version || s.sim.random.IntN(3) > 0 {
-		return // not always: two answers to each message would be a storm
+		return // not always: two answers to each message would multiply the messages without end
 	}
 	s.Send(owner, ReplicationResponse{
 		Stamp: s.machine.stamp(), Job: j.id, Held: true, Version: j.version, Count: len(j.results), Ended: j.ended,
@@ -133,8 +133,8 @@
 	"404", "can't be read", "is whole on", "results were read", "position", "isn't answered",
 }
 
-// injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the first
-// seed, which saves the runs that are known not to find it.
+// injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the
+// first seed, which saves the runs that are known not to find it.
 var injectedBugs = []struct {
 	name      string
 	failures  []string
@@ -158,7 +158,8 @@
 // maxSeedsPerBug is the number of runs in which a bug must be found.
 const maxSeedsPerBug = 1000
 
-// TestInjectedBugs shows that the simulations find what they are for: each bug breaks a run that passes without it.
+// TestInjectedBugs shows that the simulations find what they are for: each bug breaks a run that passes
+// without it.
 func TestInjectedBugs(t *testing.T) {
 	for _, bug := range injectedBugs {
 		t.Run(bug.name, func(t *testing.T) {
--- a/internal/batch/replica/invariants.go
+++ b/internal/batch/replica/invariants.go
@@ -15,16 +15,18 @@
 
 // The invariants.
 const (
-	// InvariantEpochRises: a store never acts in a view of an epoch below one that it acted in, earlier incarnations
-	// included.
+	// InvariantEpochRises: a store never acts in a view of an epoch below one that it acted in, earlier
+	// incarnations included.
 	InvariantEpochRises Invariant = "a store goes back to a view that ended"
 	// InvariantOneViewPerEpoch: all views of one epoch have the same members.
 	InvariantOneViewPerEpoch Invariant = "two views of one epoch differ"
 	// InvariantDepartedNotMember: a departed store isn't a member.
 	InvariantDepartedNotMember Invariant = "a member counts as departed"
-	// InvariantReconciledNoneDeparted: once all members have reconciled, no store that departed before is missed.
+	// InvariantReconciledNoneDeparted: once all members have reconciled, no store that departed before is
+	// missed.
 	InvariantReconciledNoneDeparted Invariant = "all stood whole and somebody is missed"
-	// InvariantWithinClaim: a batch job is written only within what the counter of its account holds for this store.
+	// InvariantWithinClaim: a batch job is written only within what the counter of its account holds for this
+	// store.
 	InvariantWithinClaim Invariant = "a batch job is written without room for it"
 )
 
--- a/internal/batch/replica/items.go
+++ b/internal/batch/replica/items.go
@@ -21,9 +21,9 @@
 	Progress
 }
 
-// Progress is the output of an unfinished item that this store kept, on its own disk only. After a restart the
-// streams are resumed from there; otherwise a server that didn't notice the restart would have run the item for
-// nothing.
+// Progress is the output of an unfinished item that this store kept, on its own disk only. After a restart
+// the streams are resumed from there; otherwise a server that didn't notice the restart would have run the
+// item for nothing.
 type Progress struct {
 	Last   int64          // id of the last event, -1 for none
 	Events []wal.Location // data of the events, in order
@@ -51,8 +51,8 @@
 		len(j.handoverReplicas) == 0 && !j.items[index].finished
 }
 
-// SaveProgress keeps events of a running item: those that follow the event with the id after (-1 for the first), up
-// to the one with the id last.
+// SaveProgress keeps events of a running item: those that follow the event with the id after (-1 for the
+// first), up to the one with the id last.
 func (m *StateMachine) SaveProgress(id string, index int, after, last int64, events [][]byte) {
 	j := m.jobs[id]
 	if j == nil || !j.owned || j.ended || j.items[index].finished {
@@ -61,8 +61,8 @@
 	m.write(encodeProgress(id, index, after, last, events), false, func() {})
 }
 
-// Finish lists an item's result at the next position. It reports whether the result was taken; if it wasn't, the
-// caller tries again unless the batch job was stopped.
+// Finish lists an item's result at the next position. It reports whether the result was taken; if it wasn't,
+// the caller tries again unless the batch job was stopped.
 func (m *StateMachine) Finish(id string, index int, state job.State, text []byte) bool {
 	j := m.jobs[id]
 	if j == nil || !j.owned || !j.replicated || j.ended || !m.isMember {
--- a/internal/batch/replica/lookup.go
+++ b/internal/batch/replica/lookup.go
@@ -16,8 +16,8 @@
 	unknownTo map[placement.Key]bool // arbiters that know of no holder
 }
 
-// startLookup finds out who holds a batch job that isn't known here. If it was accepted, a majority of its arbiters
-// voted for it in this epoch, or knows of it from the inventories.
+// startLookup finds out who holds a batch job that isn't known here. If it was accepted, a majority of its
+// arbiters voted for it in this epoch, or knows of it from the inventories.
 func (m *StateMachine) startLookup(id string) {
 	now := m.env.Now()
 	if asked := m.lookups[id]; !m.reconciled || asked != nil && now-asked.sentAt < inventoryRetry {
@@ -61,8 +61,8 @@
 	return m.reservations[id].store
 }
 
-// handleLookupResponse takes an arbiter's answer. If it names this store, a batch job was about to be accepted here,
-// and wasn't.
+// handleLookupResponse takes an arbiter's answer. If it names this store, a batch job was about to be
+// accepted here, and wasn't.
 func (m *StateMachine) handleLookupResponse(from placement.Key, message LookupResponse) {
 	l := m.lookups[message.Job]
 	if l == nil || l.number != message.Number || !m.reconciled {
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -11,10 +11,10 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// Random histories of losses on a cluster, step by step: machines that stay away while others are lost and return,
-// lost disks, losses of all power, restarts, views that some are told late or not at all, added and retired stores.
-// No more machines are away or without their disks at once than may be, counted since control agreed that all have
-// reconciled.
+// Random histories of losses on a cluster, step by step: machines that stay away while others are lost and
+// return, lost disks, losses of all power, restarts, views that some learn of late or not at all, added and
+// retired stores. No more machines are away or without their disks at once than may be, counted since control
+// agreed that all have reconciled.
 
 const (
 	lossSteps    = 14
@@ -69,8 +69,9 @@
 
 func (stored *lossHistory) chance(one int) bool { return stored.random.IntN(one) == 0 }
 
-// changeMembers has control agree on the set of those that remain; now and then a view before it was told to nobody.
-// In late histories some hear of it only after the others have gone on, with messages lost meanwhile.
+// changeMembers has control agree on the set of those that remain; now and then a view before it reached
+// nobody. In late histories some learn of it only after the others have gone on, with messages lost
+// meanwhile.
 func (stored *lossHistory) changeMembers() {
 	if stored.chance(3) {
 		stored.epoch++
@@ -164,8 +165,8 @@
 	n.start()
 }
 
-// losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were away
-// perhaps first.
+// losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were
+// away perhaps first.
 func (stored *lossHistory) losePower(list []*clusterNode) {
 	for _, n := range list {
 		n.losePower()
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -9,11 +9,11 @@
 
 // What do stores send to each other?
 
-// The gob encoding matches fields by name: the fields of all types here keep their names (testdata/golden), as
-// running processes of earlier versions send them. The types' own names on the wire are in wireTypes.
+// The gob encoding matches fields by name: the fields of all types here keep their names (testdata/golden),
+// as running processes of earlier versions send them. The types' own names on the wire are in wireTypes.
 
-// Stamp heads every message between stores. A message of another epoch than the receiver's is dropped: what matters
-// is sent again.
+// Stamp heads every message between stores. A message of another epoch than the receiver's is dropped: what
+// matters is sent again.
 type Stamp struct {
 	Epoch uint64 // of the sender's view
 	Life  uint64 // the sender's Options.ProcessIncarnation
@@ -52,8 +52,8 @@
 	Damaged  bool // the copy is corrupt: its results are a sound prefix
 }
 
-// OwnershipTransfer makes a store with a better copy of a version own the batch job. The sender is its designated
-// owner in this epoch. A ReplicationResponse or an OwnerNotice answers it.
+// OwnershipTransfer makes a store with a better copy of a version own the batch job. The sender is its
+// designated owner in this epoch. A ReplicationResponse or an OwnerNotice answers it.
 type OwnershipTransfer struct {
 	Stamp
 	Job     string
@@ -76,8 +76,8 @@
 	Held   bool // Owner holds the batch job, as opposed to the vote
 }
 
-// ReservationRelease gives a vote back: the sender has not accepted the batch job in that attempt nor in an earlier
-// one.
+// ReservationRelease gives a vote back: the sender has not accepted the batch job in that attempt nor in an
+// earlier one.
 type ReservationRelease struct {
 	Stamp
 	Job    string
@@ -106,8 +106,8 @@
 	Owner placement.Key
 }
 
-// ReplicationRequest brings a replica up to the owner's state. Without Content, Results and Ended it asks for the
-// replica's state. A store that lets a copy go sends such a question to the owner, too.
+// ReplicationRequest brings a replica up to the owner's state. Without Content, Results and Ended it asks for
+// the replica's state. A store that is to release a copy sends such a question to the owner, too.
 type ReplicationRequest struct {
 	Stamp
 	Job      string
@@ -139,7 +139,7 @@
 	Whole   bool // Stands, and the receiver isn't one of the replicas
 }
 
-// ReconciledNotice tells the newest epoch in which the sender had reconciled.
+// ReconciledNotice reports the newest epoch in which the sender had reconciled.
 type ReconciledNotice struct {
 	Stamp
 	Settled uint64
@@ -163,7 +163,8 @@
 // ClaimPoll asks a store for its claim: the sender counts accounts and has no claim of it in this epoch.
 type ClaimPoll struct{ Stamp }
 
-// wireTypes lists all types of messages with their names on the wire, which stay when a type is renamed or moved.
+// wireTypes lists all types of messages with their names on the wire, which stay when a type is renamed or
+// moved.
 func wireTypes() []transport.NamedType {
 	const here = "sprucelane.example/sprucelane/internal/batch/replica."
 	return []transport.NamedType{
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -12,9 +12,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// A model of one batch job's replica set: real state machines, and a fixed order of steps. A step delivers a message,
-// syncs a disk, or, if there is neither, lets time pass. There is no randomness in it: a run is determined by its
-// faults and the steps before which they are injected.
+// A model of one batch job's replica set: real state machines, and a fixed order of steps. A step delivers a
+// message, syncs a disk, or, if there is neither, lets time pass. There is no randomness in it: a run is
+// determined by its faults and the steps before which they are injected.
 
 const (
 	modelRound     = 300 * time.Millisecond
@@ -289,8 +289,8 @@
 	s.do(func() { s.machine.Receive(message.from, body) })
 }
 
-// round lets time pass: processes start, control looks at who is there, leases are renewed, state machines tick, and
-// the client goes on.
+// round lets time pass: processes start, control looks at who is there, leases are renewed, state machines
+// tick, and the client goes on.
 func (sim *modelCluster) round() {
 	sim.rounds++
 	sim.now += modelRound
@@ -369,7 +369,7 @@
 	}
 }
 
-// allReconciled reports whether all members have told that they reconciled, as control asks.
+// allReconciled reports whether all members have reported that they reconciled, as control asks.
 func (sim *modelCluster) allReconciled() bool {
 	for _, member := range sim.view.Members {
 		s := sim.storeOf(placement.KeyOf(member.Process))
@@ -423,8 +423,9 @@
 	return nil
 }
 
-// toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all members of the
-// newest view are up, enough of them active, and control has agreed that they have reconciled in that view.
+// toleratesLoss reports whether the next loss of as many disks as may be lost has to be tolerated: all
+// members of the newest view are up, enough of them active, and control has agreed that they have reconciled
+// in that view.
 func (sim *modelCluster) toleratesLoss() bool {
 	active := 0
 	for _, member := range sim.view.Members {
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -117,8 +117,8 @@
 	return true
 }
 
-// play runs the model with faults, in the order of their steps, until the client is done. It returns how many were
-// injected.
+// play runs the model with faults, in the order of their steps, until the client is done. It returns how many
+// were injected.
 func (sim *modelCluster) play(faults []modelFault) (happened int) {
 	sim.rounds = 0
 	for sim.failure == "" && (len(faults) > 0 || !sim.done()) && sim.rounds < modelMaxRounds {
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestSetModelSecondLoss loses a disk, where one may be lost, or a message at each step after a loss, a replacement,
-// a retirement or an addition that began at each step. MODEL=full runs all pairs.
+// TestSetModelSecondLoss loses a disk, where one may be lost, or a message at each step after a loss, a
+// replacement, a retirement or an addition that began at each step. MODEL=full runs all pairs.
 func TestSetModelSecondLoss(t *testing.T) {
 	every := 61 // of the pairs is played
 	if os.Getenv("MODEL") == "full" {
@@ -240,8 +240,8 @@
 	modelSecondFaults = []int{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
 )
 
-// TestSetModelVersionAfterAbsence has an owner come back to a set that needs no change, while another store, which is
-// away, has chosen a higher version that was never fully replicated. A random run found it.
+// TestSetModelVersionAfterAbsence has an owner come back to a set that needs no change, while another store,
+// which is away, has chosen a higher version that was never fully replicated. A random run found it.
 func TestSetModelVersionAfterAbsence(t *testing.T) {
 	playTrace(t, 3, 2, modelFault{modelPause, 1, 17}, modelFault{modelCrashLong, 0, 30}, modelFault{modelCrashLong, 2, 49},
 		modelFault{modelCrashLong, 1, 72})
@@ -252,8 +252,9 @@
 	}
 }
 
-// TestSetModelDrainedWhileAway drains a store while others are out of the view, and loses a disk meanwhile. Random
-// runs found these: a store that came back with the only copy missed the drained one as if it had been lost.
+// TestSetModelDrainedWhileAway drains a store while others are out of the view, and loses a disk meanwhile.
+// Random runs found these: a store that came back with the only copy missed the drained one as if it had been
+// lost.
 func TestSetModelDrainedWhileAway(t *testing.T) {
 	playTrace(t, 3, 2, modelFault{modelKill, 0, 17}, modelFault{modelPause, 2, 34}, modelFault{modelRetire, 0, 41},
 		modelFault{modelReplace, 1, 52})
@@ -270,8 +271,8 @@
 	playTrace(t, 4, 2, modelFault{modelRetire, 1, 35}, modelFault{modelCrash, 2, 66}, modelFault{modelWipe, 3, 98})
 }
 
-// TestSetModelDense injects several faults in quick succession, with the disk of one and the same machine lost;
-// SEEDS=N runs N of each size, FIRST=S starts at seed S.
+// TestSetModelDense injects several faults in quick succession, with the disk of one and the same machine
+// lost; SEEDS=N runs N of each size, FIRST=S starts at seed S.
 func TestSetModelDense(t *testing.T) {
 	seeds, first := modelSeeds(2000)
 	for _, size := range [][2]int{{4, 2}, {4, 3}} {
@@ -333,7 +334,8 @@
 	}
 }
 
-// TestSetModelRandom injects several faults in one run; SEEDS=N runs N of each size, FIRST=S starts at seed S.
+// TestSetModelRandom injects several faults in one run; SEEDS=N runs N of each size, FIRST=S starts at seed
+// S.
 func TestSetModelRandom(t *testing.T) {
 	seeds, first := modelSeeds(600)
 	for _, size := range modelSizes {
--- a/internal/batch/replica/ownership.go
+++ b/internal/batch/replica/ownership.go
@@ -5,7 +5,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What does it take to become the owner of a batch job, and who is told?
+// How does a store become the owner of a batch job, and how do the others learn of it?
 
 // takeOwnership owns a batch job, with a replica set that is right for the present view.
 func (m *StateMachine) takeOwnership(j *storedJob) {
@@ -34,16 +34,16 @@
 	m.maybeCommit(j)
 }
 
-// soleOwnerSince reports whether nobody else can have owned a batch job since a version was made here. In a view
-// without this store another one may have chosen a higher version, and departed before it showed anything: to
-// continue under the present version would show what that store doesn't hold when it is back.
+// soleOwnerSince reports whether nobody else can have owned a batch job since a version was made here. In a
+// view without this store another one may have chosen a higher version, and departed before it showed
+// anything: to continue under the present version would show what that store doesn't hold when it is back.
 func (m *StateMachine) soleOwnerSince(version Version) bool {
 	since := m.departures.memberSince
 	return since > 0 && version >= versionOf(since, 0)
 }
 
-// reconfigure gives a batch job a new replica set: this store, the active members of the old set, and others up to
-// ReplicationFactor.
+// reconfigure gives a batch job a new replica set: this store, the active members of the old set, and others
+// up to ReplicationFactor.
 func (m *StateMachine) reconfigure(j *storedJob) {
 	kept := []protocol.Process{m.options.Self}
 	for _, replica := range j.replicas {
@@ -58,8 +58,8 @@
 	m.writeReplicas(j)
 }
 
-// addRetiring adds retiring stores to a set that too few active ones are left for: they leave once others have
-// joined.
+// addRetiring adds retiring stores to a set that too few active ones are left for: they leave once others
+// have joined.
 func (m *StateMachine) addRetiring(replicas []protocol.Process) []protocol.Process {
 	for _, member := range m.view.Members {
 		needed := len(replicas) < m.options.ReplicationFactor && member.State == protocol.StoreRetiring
@@ -87,7 +87,8 @@
 	})
 }
 
-// followOwner leaves a batch job to its owner. Items that run here are stopped, and waiting calls are sent there.
+// followOwner leaves a batch job to its owner. Items that run here are stopped, and waiting calls are sent
+// there.
 func (m *StateMachine) followOwner(j *storedJob) {
 	j.owned, j.replicated = false, false
 	j.peers = nil
--- a/internal/batch/replica/ownershiptransfer.go
+++ b/internal/batch/replica/ownershiptransfer.go
@@ -18,8 +18,8 @@
 	sentAt  time.Duration
 }
 
-// ownOrTransfer owns a batch job that falls to this store, or transfers it to a store with a better copy of the
-// newest version. Only the designated owner calls it, so there is one decision in an epoch.
+// ownOrTransfer owns a batch job that falls to this store, or transfers it to a store with a better copy of
+// the newest version. Only the designated owner calls it, so there is one decision in an epoch.
 func (m *StateMachine) ownOrTransfer(id string, newest *newestCopies) {
 	j := m.jobs[id]
 	hasNewest := j != nil && j.version == newest.version
@@ -40,8 +40,8 @@
 	}
 }
 
-// betterHolder returns the store with a sound copy, the first of the replica set if there are several; else the one
-// with the longest sound prefix that is longer than count results.
+// betterHolder returns the store with a sound copy, the first of the replica set if there are several; else
+// the one with the longest sound prefix that is longer than count results.
 func (c *newestCopies) betterHolder(self placement.Key, count int) placement.Key {
 	candidates := slices.Sorted(slices.Values(c.holders))
 	for _, replica := range slices.Backward(c.replicas) {
@@ -63,8 +63,8 @@
 	return longest
 }
 
-// transferOwnership sends a batch job's ownership to another store, and keeps sending until the batch job is fully
-// replicated there.
+// transferOwnership sends a batch job's ownership to another store, and keeps sending until the batch job is
+// fully replicated there.
 func (m *StateMachine) transferOwnership(id string, transfer ownershipTransfer) {
 	member, present := placement.MemberOf(m.view, transfer.to)
 	if !present {
@@ -79,8 +79,8 @@
 	m.env.Send(member.Process, OwnershipTransfer{Stamp: m.stamp(), Job: id, Version: transfer.version})
 }
 
-// resendTransfers sends transfers again that may have been lost. To one that has taken over it is a question whether
-// the batch job is fully replicated there.
+// resendTransfers sends transfers again that may have been lost. To one that has taken over it is a question
+// whether the batch job is fully replicated there.
 func (m *StateMachine) resendTransfers(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(m.transfers)) {
 		transfer := m.transfers[id]
@@ -114,8 +114,8 @@
 	m.retryParkedCalls()
 }
 
-// checkTransferRejected matches inventories anew if the store that a batch job was transferred to doesn't hold the
-// version any more. One that has taken over may have yet to write a newer version.
+// checkTransferRejected matches inventories anew if the store that a batch job was transferred to doesn't
+// hold the version any more. One that has taken over may have yet to write a newer version.
 func (m *StateMachine) checkTransferRejected(from placement.Key, message ReplicationResponse) {
 	transfer, pending := m.transfers[message.Job]
 	if pending && transfer.to == from && !message.Held && message.Version == transfer.version {
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -10,19 +10,19 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What a view of the past may do to a store that has just started, when a control process that lags behind hands it
-// out.
+// What a view of the past may do to a store that has just started, when a control process that lags behind
+// hands it out.
 
-// viewHistory is a cluster of three copies whose set has changed a few times, and that has lost power everywhere and
-// two disks for good.
+// viewHistory is a cluster of three copies whose set has changed a few times, and that has lost power
+// everywhere and two disks for good.
 type viewHistory struct {
 	*cluster
 	views []protocol.StoreView // by epoch, from 1 on
 	jobs  []string
 }
 
-// newViewHistory retires a store and has one come back with an empty disk, each reconciled before the next, then
-// submits batch jobs; last, the first two stores lose their disks and all others lose power.
+// newViewHistory retires a store and has one come back with an empty disk, each reconciled before the next,
+// then submits batch jobs; last, the first two stores lose their disks and all others lose power.
 func newViewHistory(seed uint64) *viewHistory {
 	stored := &viewHistory{cluster: newCluster(9, 3, seed)}
 	stored.noteView()
@@ -70,8 +70,8 @@
 	n.machine.InstallView(stored.views[epoch-1])
 }
 
-// rejoinAll tells all that ran before of the view that they are in, and then all of the one that the empty disks
-// join.
+// rejoinAll tells all that ran before of the view that they are in, and then all of the one that the empty
+// disks join.
 func (stored *viewHistory) rejoinAll() {
 	for _, n := range stored.nodes[2:8] {
 		stored.installOldView(n, stored.epoch)
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestGrantOfALaterView grants a lease to a store that was out of the set before it hears of the view that it is in
-// again.
+// TestGrantOfALaterView grants a lease to a store that was out of the set before it hears of the view that it
+// is in again.
 func TestGrantOfALaterView(t *testing.T) {
 	Convey("A lease of a later view than the one known here gives no right to act", t, func() {
 		c := newCluster(3, 2, 1)
--- a/internal/batch/replica/random_test.go
+++ b/internal/batch/replica/random_test.go
@@ -20,8 +20,8 @@
 	return value
 }
 
-// TestRandomSimulations runs campaigns with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S, TRACE=1
-// prints what happens.
+// TestRandomSimulations runs campaigns with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S,
+// TRACE=1 prints what happens.
 func TestRandomSimulations(t *testing.T) {
 	first, count := intFromEnvironment("FIRST", 0), intFromEnvironment("SEEDS", defaultSeeds)
 	const shards = 3
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestSeedsThatExceededTokenLimit runs seeds in which more tokens were accepted than allowed, or granted capacity was
-// held for ever.
+// TestSeedsThatExceededTokenLimit runs seeds in which more tokens were accepted than allowed, or granted
+// capacity was held for ever.
 func TestSeedsThatExceededTokenLimit(t *testing.T) {
 	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
 		if _, err := runSeed(seed, ""); err != nil {
--- a/internal/batch/replica/reconciliation.go
+++ b/internal/batch/replica/reconciliation.go
@@ -19,7 +19,7 @@
 // noticeInterval is the time between ReconciledNotices while something waits for all members to reconcile.
 const noticeInterval = time.Second
 
-// newestCopies is what the inventories tell of a batch job's copies of the highest version.
+// newestCopies is what the inventories list of a batch job's copies of the highest version.
 type newestCopies struct {
 	version  Version
 	replicas []protocol.Process
@@ -149,7 +149,8 @@
 	}
 }
 
-// pruneOwners forgets the owners of batch jobs that nobody holds, except for those that have a vote of this epoch.
+// pruneOwners forgets the owners of batch jobs that nobody holds, except for those that have a vote of this
+// epoch.
 func (m *StateMachine) pruneOwners(all map[string]*newestCopies) {
 	for id := range m.owners {
 		if _, reserved := m.reservations[id]; all[id] == nil && !reserved {
@@ -158,17 +159,17 @@
 	}
 }
 
-// isNewestVersion reports whether the highest version that members hold is the highest there is, though too many
-// stores departed. The owner's disk holds a new version first, and the owner is one of the set before it: if that
-// whole set is present without a higher version, there is none.
+// isNewestVersion reports whether the highest version that members hold is the highest there is, though too
+// many stores departed. The owner's disk holds a new version first, and the owner is one of the set before
+// it: if that whole set is present without a higher version, there is none.
 func (m *StateMachine) isNewestVersion(newest *newestCopies) bool {
 	return !m.tooManyDeparted() || m.allActive(newest.replicas)
 }
 
-// designatedOwner returns the owner of the highest version: the first of its replica set if that is a member, as it
-// had its copy on disk before it sent one; else the first that is a member and listed a copy. All stores of an epoch
-// come to the same answer, though their inventories aren't of one moment: within an epoch only the owner raises the
-// version, and its new set begins with itself.
+// designatedOwner returns the owner of the highest version: the first of its replica set if that is a member,
+// as it had its copy on disk before it sent one; else the first that is a member and listed a copy. All
+// stores of an epoch come to the same answer, though their inventories aren't of one moment: within an epoch
+// only the owner raises the version, and its new set begins with itself.
 func (m *StateMachine) designatedOwner(newest *newestCopies) placement.Key {
 	for i, replica := range newest.replicas {
 		key := placement.KeyOf(replica)
@@ -180,8 +181,8 @@
 	return slices.Min(newest.holders)
 }
 
-// checkReconciled records that this store has reconciled, once all that it owns is fully replicated in the present
-// epoch.
+// checkReconciled records that this store has reconciled, once all that it owns is fully replicated in the
+// present epoch.
 func (m *StateMachine) checkReconciled() {
 	if !m.reconciled || !m.isMember || m.unowned > 0 || len(m.transfers) > 0 || m.reconciledEpoch == m.view.Epoch {
 		return
@@ -203,8 +204,8 @@
 	}
 }
 
-// sendReconciledNotice tells the others how far this store has reconciled, and asks them where something here waits
-// for that.
+// sendReconciledNotice reports to the others how far this store has reconciled, and asks them the same if
+// something here waits for all members to reconcile.
 func (m *StateMachine) sendReconciledNotice() {
 	m.departures.noticeSentAt = m.env.Now()
 	notice := ReconciledNotice{Stamp: m.stamp(), Settled: m.reconciledEpoch, Ask: m.awaitsAllReconciled()}
--- a/internal/batch/replica/record.go
+++ b/internal/batch/replica/record.go
@@ -63,8 +63,8 @@
 	return appendReplicas(job.AppendString([]byte{recordReplicas}, id), version, replicas)
 }
 
-// encodeProgress encodes events of an unfinished item: those that follow the event with the id after, up to the one
-// with the id last.
+// encodeProgress encodes events of an unfinished item: those that follow the event with the id after, up to
+// the one with the id last.
 func encodeProgress(id string, index int, after, last int64, events [][]byte) []byte {
 	record := job.AppendString([]byte{recordProgress}, id)
 	record = binary.AppendUvarint(record, uint64(index))
@@ -78,8 +78,8 @@
 	return record
 }
 
-// encode encodes the record of the view: the epoch acted in, and since when this store has been a member. Earlier
-// versions wrote the departed stores, too, in what is empty here.
+// encode encodes the record of the view: the epoch acted in, and since when this store has been a member.
+// Earlier versions wrote the departed stores, too, in what is empty here.
 func (d *departureSet) encode() []byte {
 	out := binary.AppendUvarint([]byte{recordView}, 0)
 	out = append(out, 0)
@@ -142,7 +142,8 @@
 	return result
 }
 
-// locateCopy returns the locations of the content and of the results within a copy record that is being written.
+// locateCopy returns the locations of the content and of the results within a copy record that is being
+// written.
 func locateCopy(record []byte, at wal.Location) (wal.Location, []storedResult) {
 	r := &job.Decoder{Remaining: record[1:]}
 	_ = r.Text()
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -5,14 +5,14 @@
 	"sprucelane.example/sprucelane/internal/batch/wal"
 )
 
-// How does a start rebuild the state from the records of earlier incarnations, and what follows from records that
-// can't be used?
+// How does a start rebuild the state from the records of earlier incarnations, and what follows from records
+// that can't be used?
 //
-// An unusable record never costs more than its own batch job: the sound prefix of its results stays, and the copy
-// counts as corrupt until a new one is written.
+// An unusable record never costs more than its own batch job: the sound prefix of its results stays, and the
+// copy counts as corrupt until a new one is written.
 
-// Replay applies a record of the log of earlier incarnations, in order. An error is a *Finding: the record can't be
-// used. It has been dealt with, and Replay goes on with the next record.
+// Replay applies a record of the log of earlier incarnations, in order. An error is a *Finding: the record
+// can't be used. It has been dealt with, and Replay goes on with the next record.
 func (m *StateMachine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
@@ -23,8 +23,9 @@
 	return finding
 }
 
-// ReplaySkipped says, between two records, that a part of the log between them can't be read at all. All batch jobs
-// stored so far count as corrupt, as records of each may be missing, also where none of theirs follow.
+// ReplaySkipped says, between two records, that a part of the log between them can't be read at all. All
+// batch jobs stored so far count as corrupt, as records of each may be missing, also where none of theirs
+// follow.
 func (m *StateMachine) ReplaySkipped(at wal.Location) *Finding {
 	for _, j := range m.jobsInOrder {
 		j.corrupt = true
@@ -34,8 +35,8 @@
 	return finding
 }
 
-// Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are still
-// corrupt because of them.
+// Corruption returns the number of parts of the log that this start could not use, and of batch jobs that are
+// still corrupt because of them.
 func (m *StateMachine) Corruption() (findings, corrupt int) {
 	for _, j := range m.jobsInOrder {
 		if j.corrupt {
@@ -172,7 +173,8 @@
 	return nil
 }
 
-// replayProgress adds events that follow the known ones. Others are of a run that was given up, and are ignored.
+// replayProgress adds events that follow the known ones. Others are of a run that was given up, and are
+// ignored.
 func (j *storedJob) replayProgress(r *job.Decoder, at wal.Location, record []byte) *Finding {
 	item := r.Uvarint()
 	after, last := r.Varint(), r.Varint()
--- a/internal/batch/replica/recovery_test.go
+++ b/internal/batch/replica/recovery_test.go
@@ -15,8 +15,8 @@
 
 // How a start deals with records that can't be used, and what becomes of corrupt copies.
 
-// TestKilledThenPowerLost repeats how logs came to contradict themselves: results that were written and not synced by
-// a process that was killed, results behind them that were, and then a loss of power.
+// TestKilledThenPowerLost repeats how logs came to contradict themselves: results that were written and not
+// synced by a process that was killed, results behind them that were, and then a loss of power.
 func TestKilledThenPowerLost(t *testing.T) {
 	Convey("What a start found and reported as durable is there after a loss of power", t, func() {
 		for seed := range uint64(20) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestCorruptOwner corrupts the owner's copy: the batch job goes to the store that holds a sound one, and the former
-// owner gets it.
+// TestCorruptOwner corrupts the owner's copy: the batch job goes to the store that holds a sound one, and the
+// former owner gets it.
 func TestCorruptOwner(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -254,8 +254,8 @@
 	return n.read(id)
 }
 
-// TestCorruptReplica corrupts a copy that its owner had counted on: the owner takes back that it has reconciled until
-// it has replaced the copy, also if nobody left the view.
+// TestCorruptReplica corrupts a copy that its owner had counted on: the owner takes back that it has
+// reconciled until it has replaced the copy, also if nobody left the view.
 func TestCorruptReplica(t *testing.T) {
 	for _, record := range [][]byte{encodeDropped("job"), resultAfterGap("job", 5, 5)} {
 		name := fmt.Sprintf("A corrupt replica is replaced before more results are committed: kind %d", record[0])
@@ -288,8 +288,8 @@
 	}
 }
 
-// TestOnlyCorruptCopies leaves corrupt copies only: the longest sound prefix is served, and nothing is said not to
-// exist.
+// TestOnlyCorruptCopies leaves corrupt copies only: the longest sound prefix is served, and nothing is said
+// not to exist.
 func TestOnlyCorruptCopies(t *testing.T) {
 	Convey("The longest sound prefix is served if no sound copy is left", t, func() {
 		c := newCluster(2, 2, 1)
@@ -313,7 +313,7 @@
 		c.quiesce()
 		So(owner.machine.jobs["job"].durableResults, ShouldEqual, 4)
 	})
-	Convey("A batch job that may have been lost with a damaged log and a disk is refused for now, not denied", t, func() {
+	Convey("A batch job that may be lost with an incomplete log and a disk is refused for now, not denied", t, func() {
 		c := newCluster(2, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		_, status := c.nodes[0].read("no-such-job")
--- a/internal/batch/replica/replication.go
+++ b/internal/batch/replica/replication.go
@@ -54,7 +54,8 @@
 	m.env.Send(p.process, message)
 }
 
-// fillFullCopy adds the content and the first count results to a request. It reports whether they could be read.
+// fillFullCopy adds the content and the first count results to a request. It reports whether they could be
+// read.
 func (m *StateMachine) fillFullCopy(j *storedJob, message *ReplicationRequest, count int) bool {
 	content := j.content
 	if content == nil {
@@ -75,7 +76,8 @@
 	return true
 }
 
-// fillResults adds durable results from a position on, up to maxResultBytes. It reports whether they could be read.
+// fillResults adds durable results from a position on, up to maxResultBytes. It reports whether they could be
+// read.
 func (m *StateMachine) fillResults(j *storedJob, message *ReplicationRequest, start int) bool {
 	message.Start = start
 	size := 0
@@ -138,7 +140,8 @@
 	m.replicateTo(j, p)
 }
 
-// maybeCommit advances what is committed to what is on all replicas, and answers the calls that waited for it.
+// maybeCommit advances what is committed to what is on all replicas, and answers the calls that waited for
+// it.
 func (m *StateMachine) maybeCommit(j *storedJob) {
 	if !j.owned || len(j.handoverReplicas) > 0 || len(j.replicas) < m.options.ReplicationFactor {
 		return
--- a/internal/batch/replica/replicationmember.go
+++ b/internal/batch/replica/replicationmember.go
@@ -8,12 +8,12 @@
 
 // What does a replica do with what the owner sends?
 
-// handleReplicationRequest does what the owner sends, or answers a question of a store that takes this one for the
-// owner.
+// handleReplicationRequest does what the owner sends, or answers a question of a store that takes this one
+// for the owner.
 func (m *StateMachine) handleReplicationRequest(from protocol.Process, message ReplicationRequest) {
 	j := m.jobs[message.Job]
 	switch {
-	case j != nil && j.owned: // a store that lets its copy go asks whether the batch job is fully replicated
+	case j != nil && j.owned: // a store that is to release its copy asks whether the batch job is fully replicated
 		m.sendReplicationResponse(j, from)
 	case j != nil && j.version == message.Version && !j.corrupt:
 		m.appendResults(j, from, message)
--- a/internal/batch/replica/reservation.go
+++ b/internal/batch/replica/reservation.go
@@ -38,8 +38,8 @@
 	m.countVotes(id)
 }
 
-// vote answers, as an arbiter, who may accept a batch job: always the same store in one epoch, unless that one gives
-// the vote back.
+// vote answers, as an arbiter, who may accept a batch job: always the same store in one epoch, unless that
+// one gives the vote back.
 func (m *StateMachine) vote(id string, requester placement.Key, number uint64) ReservationResponse {
 	answer := ReservationResponse{Stamp: m.stamp(), Job: id, Number: number, Owner: m.knownHolder(id)}
 	given, voted := m.reservations[id]
@@ -72,8 +72,8 @@
 	}
 }
 
-// handleReservationResponse takes a vote for the present attempt. One for an earlier attempt may have been given
-// back.
+// handleReservationResponse takes a vote for the present attempt. One for an earlier attempt may have been
+// given back.
 func (m *StateMachine) handleReservationResponse(from placement.Key, message ReservationResponse) {
 	if a := m.acceptances[message.Job]; a != nil && a.attempt == message.Number {
 		a.votes[from] = message
@@ -81,8 +81,8 @@
 	}
 }
 
-// countVotes decides about an acceptance once the votes allow it. If several stores want to accept a batch job at the
-// same time, the one with the lowest key keeps asking, and the others give their votes back.
+// countVotes decides about an acceptance once the votes allow it. If several stores want to accept a batch
+// job at the same time, the one with the lowest key keeps asking, and the others give their votes back.
 func (m *StateMachine) countVotes(id string) {
 	a := m.acceptances[id]
 	if a == nil || !m.MayAct() {
--- a/internal/batch/replica/restart_test.go
+++ b/internal/batch/replica/restart_test.go
@@ -89,8 +89,8 @@
 	})
 }
 
-// TestIncompleteLogWhileOwnerAway has one of two copies on a store that is away, and the other in a log that can't
-// name it any more.
+// TestIncompleteLogWhileOwnerAway has one of two copies on a store that is away, and the other in a log that
+// can't name it any more.
 func TestIncompleteLogWhileOwnerAway(t *testing.T) {
 	Convey("No store denies it while the stores that may hold it are away or have incomplete logs", t, func() {
 		for _, noticesLost := range []bool{false, true} {
@@ -122,8 +122,8 @@
 	})
 }
 
-// TestReportsOfDifferentMoments has control get a report of a successor from before it took over the batch job, and
-// of the store that handed it over from after its restart.
+// TestReportsOfDifferentMoments has control get a report of a successor from before it took over the batch
+// job, and of the store that handed it over from after its restart.
 func TestReportsOfDifferentMoments(t *testing.T) {
 	Convey("All have reconciled only if nothing depends on what one of them has taken back since", t, func() {
 		c := newCluster(8, 3, 1)
--- a/internal/batch/replica/serve.go
+++ b/internal/batch/replica/serve.go
@@ -165,7 +165,8 @@
 	return false
 }
 
-// serveEnd ends a batch job: no further item starts here, and the call is answered once the end is on all replicas.
+// serveEnd ends a batch job: no further item starts here, and the call is answered once the end is on all
+// replicas.
 func (m *StateMachine) serveEnd(j *storedJob, id CallID) {
 	j.pendingEnds = append(j.pendingEnds, id)
 	if j.ended {
--- a/internal/batch/replica/simulatedclients_test.go
+++ b/internal/batch/replica/simulatedclients_test.go
@@ -37,8 +37,8 @@
 	index          map[string]int // of items by id
 	firstSubmitted time.Duration
 	attempts       int
-	rejections     int // tries answered with 503
-	unanswered     int // tries without an answer yet
+	rejections     int // attempts answered with 503
+	unanswered     int // attempts without an answer yet
 	acceptedAt     time.Duration
 	accepted       bool
 	starts         int
@@ -119,7 +119,7 @@
 // checkPromise checks that a batch job that was only ever rejected doesn't run.
 func (c *clients) checkPromise(j *clientJob) {
 	if j.starts > 0 && j.unanswered == 0 && j.rejections == j.attempts {
-		c.sim.fail("%s: an item ran though all %d tries were refused", j.id, j.attempts)
+		c.sim.fail("%s: an item ran though all %d attempts were rejected", j.id, j.attempts)
 	}
 }
 
--- a/internal/batch/replica/simulateditems_test.go
+++ b/internal/batch/replica/simulateditems_test.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/internal/batch/job"
 )
 
-// Items that run at a simulated store. Each has some events, which are saved as they come; a run that starts again
-// resumes after the last one.
+// Items that run at a simulated store. Each has some events, which are saved as they come; a run that starts
+// again resumes after the last one.
 
 // itemEvents is the number of events of an item.
 const itemEvents = 3
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -45,7 +45,7 @@
 	log             *wal.Log
 	stepping        bool
 	wakeAt          time.Duration // 0: nothing is queued
-	reportedDurable uint64        // record up to which the state machine was told
+	reportedDurable uint64        // last record that was reported to the state machine as durable
 	appended        []wal.Location
 	lastDurable     wal.Location // of the last durable record
 	lastProven      wal.Location // of the last one that a later group was synced behind
@@ -109,15 +109,16 @@
 		sim.fail("%s finds its own log unreadable: %v", s.node, err)
 		return
 	}
-	sim.note("%s starts as %s, life %d, with %d batch jobs", s.node, s.key(), s.processIncarnation, len(s.machine.jobs))
+	sim.note("%s starts as %s, incarnation %d, with %d batch jobs",
+		s.node, s.key(), s.processIncarnation, len(s.machine.jobs))
 	s.log = log
 	s.every(100*time.Millisecond, func() { s.machine.Tick() })
 	s.every(sim.randomDuration(50*time.Millisecond, 700*time.Millisecond), s.release)
 	s.poll()
 }
 
-// walOptions lets the log skip unreadable parts where the simulation corrupted the disk. Elsewhere there must be
-// none.
+// walOptions lets the log skip unreadable parts where the simulation corrupted the disk. Elsewhere there must
+// be none.
 func (s *simulatedStore) walOptions() wal.Options {
 	options := wal.Options{SegmentSize: s.sim.segmentSize}
 	if s.corrupted {
@@ -126,8 +127,8 @@
 	return options
 }
 
-// corruptLog inverts some bits of the log, where they can't be taken for the effect of a loss of power. It reports
-// whether there is such a place.
+// corruptLog inverts some bits of the log, where they can't be taken for the effect of a loss of power. It
+// reports whether there is such a place.
 func (s *simulatedStore) corruptLog() bool {
 	parts := s.provenParts()
 	if len(parts) == 0 {
@@ -136,7 +137,7 @@
 	for range 1 + s.sim.random.IntN(3) {
 		part := parts[s.sim.random.IntN(len(parts))]
 		offset := s.sim.random.Int64N(part.size)
-		s.sim.note("%s: byte %d of %s of %d is damaged", s.node, offset, part.name, part.size)
+		s.sim.note("%s: byte %d of %s of %d is corrupt", s.node, offset, part.name, part.size)
 		s.disk.FlipBit(part.name, offset, s.sim.random.IntN(8))
 	}
 	s.corrupted = true
@@ -149,7 +150,8 @@
 	size int64
 }
 
-// provenParts returns what the log itself proves to have been synced: all but the last group of the newest segment.
+// provenParts returns what the log itself proves to have been synced: all but the last group of the newest
+// segment.
 func (s *simulatedStore) provenParts() []logPart {
 	names, _ := s.disk.List()
 	var parts []logPart
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -13,9 +13,9 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// A simulation of several stores, seeded and in virtual time: links that lose, delay and reorder messages, and
-// control, which is the real state machine of the store membership and the real judgement of liveness in one process
-// that never fails. All randomness comes from the seed.
+// A simulation of several stores, seeded and in virtual time: links that lose, delay and reorder messages,
+// and control, which is the real state machine of the store membership and the real judgement of liveness in
+// one process that never fails. All randomness comes from the seed.
 
 const (
 	leaseMargin    = 100 * time.Millisecond // as in internal/batch/server
@@ -235,8 +235,8 @@
 	return list[sim.random.IntN(len(list))]
 }
 
-// runControl does what control does: stores that timed out are evicted, new ones join, drained ones are noted as
-// such.
+// runControl does what control does: stores that timed out are evicted, new ones join, drained ones are noted
+// as such.
 func (sim *storeSimulation) runControl() {
 	sim.schedule(100*time.Millisecond, sim.runControl)
 	view := sim.view()
@@ -339,8 +339,8 @@
 	s.later(pollInterval, s.poll)
 }
 
-// toleratesLoss reports whether the next loss has to be tolerated: all stores are up and members, and control has
-// agreed that they have reconciled in the newest view.
+// toleratesLoss reports whether the next loss has to be tolerated: all stores are up and members, and control
+// has agreed that they have reconciled in the newest view.
 func (sim *storeSimulation) toleratesLoss() bool {
 	view := sim.view()
 	there := sim.remaining()
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -35,8 +35,8 @@
 	simulateFaults(t, 3, 1, func(c *campaign) { c.lossRate = 0.1 })
 }
 
-// TestRandomOneFaultAtATime injects faults into one store after the other: into the next only once the last has
-// recovered.
+// TestRandomOneFaultAtATime injects faults into one store after the other: into the next only once the last
+// has recovered.
 func TestRandomOneFaultAtATime(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) { c.faultStores(1) })
 }
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestRandomRetireOfLostDisk loses the drained disk before its machine is taken away, with whatever is on the next
-// one by then. Right after, another store's disk is lost in half of the runs.
+// TestRandomRetireOfLostDisk loses the drained disk before its machine is taken away, with whatever is on the
+// next one by then. Right after, another store's disk is lost in half of the runs.
 func TestRandomRetireOfLostDisk(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		s := c.anyStore()
@@ -146,8 +146,8 @@
 	})
 }
 
-// TestRandomCorruption corrupts the logs of stores between other faults: all that was promised is there from the
-// other copies.
+// TestRandomCorruption corrupts the logs of stores between other faults: all that was promised is there from
+// the other copies.
 func TestRandomCorruption(t *testing.T) {
 	strike := func(c *campaign) {
 		c.onlyFaults = []string{
@@ -167,8 +167,8 @@
 	c.schedule(down, s.restart)
 }
 
-// TestRandomChaos injects faults without any limit except that disks stay: no answer may be wrong, though not all
-// calls may be served.
+// TestRandomChaos injects faults without any limit except that disks stay: no answer may be wrong, though not
+// all calls may be served.
 func TestRandomChaos(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.lossRate = 0.05
--- a/internal/batch/replica/slowreplicas.go
+++ b/internal/batch/replica/slowreplicas.go
@@ -12,11 +12,13 @@
 // They may be down, partitioned or paused and still in the view, or have slow disks, while a client waits.
 
 const (
-	// replaceReplicasAfter is the time within which each replica must confirm a new batch job before it is replaced.
+	// replaceReplicasAfter is the time within which each replica must confirm a new batch job before it is
+	// replaced.
 	replaceReplicasAfter = 80 * time.Millisecond
 	// slowPenalty is for how long a store that was replaced isn't chosen for new batch jobs.
 	slowPenalty = 1500 * time.Millisecond
-	// maxNewJobs is how many of the newest batch jobs may still be waiting for replicas, as NeedsFastTick assumes.
+	// maxNewJobs is how many of the newest batch jobs may still be waiting for replicas, as NeedsFastTick
+	// assumes.
 	maxNewJobs = 32
 	// maxDiskLag is the time a record may wait for this store's own disk before it accepts no new batch jobs.
 	maxDiskLag = 150 * time.Millisecond
@@ -53,8 +55,8 @@
 }
 
 // replaceSlowReplicas chooses another replica set for a batch job that is being accepted, if members have not
-// confirmed it in time and there are others. The version rises: what the replaced ones may still write counts for
-// nothing.
+// confirmed it in time and there are others. The version rises: what the replaced ones may still write counts
+// for nothing.
 func (m *StateMachine) replaceSlowReplicas(j *storedJob, now time.Duration) {
 	if j.replaceReplicasAt == 0 || now < j.replaceReplicasAt {
 		return
--- a/internal/batch/replica/status.go
+++ b/internal/batch/replica/status.go
@@ -7,14 +7,14 @@
 
 // How far has a store reconciled, and what does it wait for?
 
-// Status is how far a store has reconciled in the present epoch, and what it waits for. All but the epochs is empty
-// once it has.
+// Status is how far a store has reconciled in the present epoch, and what it waits for. All but the epochs is
+// empty once it has.
 type Status struct {
 	Epoch              uint64
 	ReconciledEpoch    uint64          // newest epoch in which the store reconciled, 0 for none since its start
 	AwaitedInventories []placement.Key // members whose inventories are missing
 	MissingStores      []placement.Key // departed stores that may hold what the members don't know of
-	IncompleteLogs     int             // stores whose logs may have held what they can't name
+	IncompleteLogs     int             // stores whose logs may have held batch jobs that they can't name
 	Unowned            int             // batch jobs that nobody owns until enough of the missing stores are back
 	Transferring       int             // batch jobs transferred to better copies, not yet fully replicated there
 	Superseded         int             // superseded copies here that aren't releasable yet
@@ -48,7 +48,7 @@
 	return status
 }
 
-// Report returns what control is told of this store.
+// Report returns what this store reports to control with each poll.
 func (m *StateMachine) Report() protocol.BatchReport {
 	return protocol.BatchReport{
 		Epoch:       m.view.Epoch,
--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -13,8 +13,8 @@
 
 // What does a store hold of a batch job?
 
-// Version orders the replica sets of a batch job. Its high bits are the epoch in which the set was chosen, its low
-// versionBits a number within that epoch.
+// Version orders the replica sets of a batch job. Its high bits are the epoch in which the set was chosen,
+// its low versionBits a number within that epoch.
 type Version uint64
 
 // versionBits is the number of low bits that count replica sets within an epoch.
@@ -34,8 +34,8 @@
 	return versionOf(epoch, 0)
 }
 
-// storedJob is a batch job that this store holds. Request bodies and result texts are in its log; the memory has
-// their locations.
+// storedJob is a batch job that this store holds. Request bodies and result texts are in its log; the memory
+// has their locations.
 type storedJob struct {
 	id, tenant, route string
 	firstSent         int64 // Unix milliseconds of its first submission
@@ -57,9 +57,9 @@
 
 	// What an owner knows and does. Owned tells whether this store is the owner in the present epoch.
 	owned bool
-	// replicated: all replicas have reported a copy of the present version. Clients are served and items run from
-	// then on. It stays set while a replica whose process restarted has yet to report again; isFullyReplicated is
-	// exact.
+	// replicated: all replicas have reported a copy of the present version. Clients are served and items run
+	// from then on. It stays set while a replica whose process restarted has yet to report again;
+	// isFullyReplicated is exact.
 	replicated        bool
 	committedResults  int // of results, durable on all replicas; only these are shown
 	peers             []peer
@@ -67,8 +67,8 @@
 	uncommitted       map[int]*Result    // by position, in memory until they are committed
 	handoverReplicas  []protocol.Process // the set to hand over to, while this store retires
 	replaceReplicasAt time.Duration      // when replicas that haven't confirmed a new batch job are replaced; 0 for never
-	// capacityUnconfirmed: ownership fell to this store, and the account's counter has not confirmed since that the
-	// account is within its limit.
+	// capacityUnconfirmed: ownership fell to this store, and the account's counter has not confirmed since that
+	// the account is within its limit.
 	capacityUnconfirmed bool
 
 	handedOver bool // this store retires, and the successor's set is fully replicated
@@ -213,8 +213,8 @@
 	}
 }
 
-// awaitsRelease reports whether this copy is superseded, and its owner has not confirmed yet that the newer version
-// is fully replicated.
+// awaitsRelease reports whether this copy is superseded, and its owner has not confirmed yet that the newer
+// version is fully replicated.
 func (j *storedJob) awaitsRelease() bool { return j.superseded && !j.owned && !j.releasable }
 
 // oldestLocation returns the first location in the log that this copy, or the one that it replaces, needs.
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -7,8 +7,8 @@
 
 // What follows when the agreed set of stores changes?
 
-// InstallView enters a newer view, or takes in that all members have reconciled in the present one. Older views are
-// ignored.
+// InstallView enters a newer view, or takes in that all members have reconciled in the present one. Older
+// views are ignored.
 func (m *StateMachine) InstallView(view protocol.StoreView) {
 	if !view.Newer(m.view) || m.viewHasEnded(view) {
 		return
@@ -21,14 +21,14 @@
 	m.enterEpoch(view)
 }
 
-// viewHasEnded reports whether this store acted in a later view, as its log shows after a restart. A control process
-// that lags behind may still hand out the earlier one.
+// viewHasEnded reports whether this store acted in a later view, as its log shows after a restart. A control
+// process that lags behind may still hand out the earlier one.
 func (m *StateMachine) viewHasEnded(view protocol.StoreView) bool {
 	return view.Epoch < m.departures.actedEpoch
 }
 
-// noteAllReconciled takes in that all members have reconciled in the present epoch, so that no store that departed
-// before is missed.
+// noteAllReconciled takes in that all members have reconciled in the present epoch, so that no store that
+// departed before is missed.
 func (m *StateMachine) noteAllReconciled(view protocol.StoreView) {
 	tooMany := m.tooManyDeparted()
 	m.view = view
@@ -38,8 +38,8 @@
 	}
 }
 
-// enterEpoch goes on in the view of another epoch. Ownership carries over only from the epoch right before, and only
-// where all replicas are still active members; everything else waits for reconciliation.
+// enterEpoch goes on in the view of another epoch. Ownership carries over only from the epoch right before,
+// and only where all replicas are still active members; everything else waits for reconciliation.
 func (m *StateMachine) enterEpoch(view protocol.StoreView) {
 	last, wasPresent := m.view, m.isMember
 	m.view = view
@@ -96,8 +96,8 @@
 	return true
 }
 
-// disown gives up a batch job until its owner is known. Items that run may end, and are taken if this store becomes
-// its owner again.
+// disown gives up a batch job until its owner is known. Items that run may end, and are taken if this store
+// becomes its owner again.
 func (m *StateMachine) disown(j *storedJob) {
 	j.owned, j.replicated = false, false
 	j.handoverReplicas = nil
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -23,7 +23,9 @@
 type Store interface {
 	// Work returns the items of a batch job that have no result yet; false if this store may not run it.
 	Work(id string) (replica.Job, bool)
+	// ReadItem reads an item at the location that Work returned.
 	ReadItem(at wal.Location) (job.Item, error)
+	// ReadEvents reads the saved events of an item, in order.
 	ReadEvents(at []wal.Location) ([][]byte, error)
 	// MayRun reports whether an item may be sent to a server now. It is asked right before the first byte.
 	MayRun(id string, index int) bool
@@ -38,6 +40,7 @@
 type Discovery interface {
 	// Configuration returns the configuration in force, nil while none is known.
 	Configuration() *configuration.Snapshot
+	// Servers returns the servers of a service, draining ones included.
 	Servers(backend string) []protocol.Server
 }
 
@@ -152,7 +155,7 @@
 	}
 }
 
-// Wake makes the loop look at once at what has changed: configuration, servers or room for items.
+// Wake makes the loop look at once at what has changed: configuration, servers or free capacity.
 func (r *Runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
--- a/internal/batch/server/incarnation.go
+++ b/internal/batch/server/incarnation.go
@@ -10,8 +10,8 @@
 )
 
 // incarnation identifies the life of a disk, from empty to lost, and counts the starts of the process on
-// it. A store that lost its disk comes back with another id, so that nobody takes it for the one that held
-// its batch jobs.
+// it. A store that lost its disk comes back with another id, so that other stores don't take it for the one that
+// stored its batch jobs.
 type incarnation struct {
 	id         string // 16 hexadecimal digits
 	starts     uint64 // this one included; the state machine's process incarnation
--- a/internal/batch/server/open.go
+++ b/internal/batch/server/open.go
@@ -20,6 +20,7 @@
 	return openWithRetry(ctx, settings, log, waitToRetry)
 }
 
+// openWithRetry is Open with the pause between attempts as a parameter, for tests.
 func openWithRetry(
 	ctx context.Context, settings *node.Settings, log zerolog.Logger, wait func(context.Context) error,
 ) (*Server, error) {
@@ -35,6 +36,7 @@
 	}
 }
 
+// waitToRetry waits for openRetryInterval; an error says that the context has ended.
 func waitToRetry(ctx context.Context) error {
 	timer := time.NewTimer(openRetryInterval)
 	defer timer.Stop()
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -23,7 +23,7 @@
 // Connections between stores.
 const (
 	maxFrameSize      = 48 << 20 // bytes of a message: a batch job with all its results
-	maxQueuedMessages = 1024     // on one connection, beyond which messages are dropped; calls of a session at work
+	maxQueuedMessages = 1024     // on one connection, beyond which messages are dropped; also calls in progress
 	heartbeatInterval = 500 * time.Millisecond
 )
 
@@ -44,7 +44,7 @@
 
 	mutex        sync.Mutex // guards this block; the state machine isn't safe for concurrent use
 	stateMachine *replica.StateMachine
-	pendingCalls map[replica.CallID]chan protocol.BatchAnswer // channels have room for the answer
+	pendingCalls map[replica.CallID]chan protocol.BatchAnswer // channels are buffered for the one answer
 	lastCall     replica.CallID
 	peers        map[string]*transport.Client // by IP; nil once closed
 	closed       bool
@@ -177,6 +177,7 @@
 	}
 }
 
+// close closes the connections to other stores and the log, after everything that writes has ended.
 func (s *Server) close() {
 	s.mutex.Lock()
 	s.closed = true
--- a/internal/batch/server/state.go
+++ b/internal/batch/server/state.go
@@ -22,7 +22,7 @@
 }
 
 // corruptionCounts returns the number of parts of the log that this start couldn't use, and of the batch
-// jobs that are still damaged because of them.
+// jobs that are still corrupt because of them.
 func (s *Server) corruptionCounts() (findings, corruptJobs int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/batch/serverclient/body.go
+++ b/internal/batch/serverclient/body.go
@@ -17,6 +17,7 @@
 	complete  bool  // the end of the body was seen, with the trailer
 }
 
+// newBodyReader returns a reader of the body that follows a header.
 func newBodyReader(in *bufio.Reader, response responseHeader) *bodyReader {
 	b := &bodyReader{in: in, chunked: response.chunked, remaining: response.length}
 	if response.chunked {
@@ -90,6 +91,7 @@
 	return b.skipTrailer()
 }
 
+// skipTrailer reads the trailer, which nothing is needed of, up to the empty line after it.
 func (b *bodyReader) skipTrailer() error {
 	for range maxHeaderLines {
 		line, err := readLine(b.in)
--- a/internal/batch/serverclient/client.go
+++ b/internal/batch/serverclient/client.go
@@ -41,8 +41,8 @@
 		outcome.Result = NotSent
 		return outcome
 	}
-	// A deadline in the past ends what the connection is waiting for. Whoever sets a later deadline must
-	// look at the context afterwards.
+	// A deadline in the past ends what the connection is waiting for. Code that sets a later deadline must
+	// check the context afterwards, as that deadline replaces this one.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if ctx.Err() != nil || !request.Gate() {
 		stop()
--- a/internal/batch/serverclient/dial.go
+++ b/internal/batch/serverclient/dial.go
@@ -18,11 +18,13 @@
 // optionTCPUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 const optionTCPUserTimeout = 18
 
+// dialTCP is the Client's dial, except in simulations.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
+// setUserTimeout sets unackedTimeout on a socket before it connects.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/batch/serverclient/exchange.go
+++ b/internal/batch/serverclient/exchange.go
@@ -21,7 +21,7 @@
 var (
 	errProtocol       = errors.New("serverclient: the server's bytes are no HTTP/1.1 response")
 	errWrongRequestID = errors.New("serverclient: the response belongs to another request")
-	errNoFraming      = errors.New("serverclient: the response has no signature, or its end can't be told")
+	errNoFraming      = errors.New("serverclient: a response without signature, or without Content-Length and chunks")
 	errEventOrder     = errors.New("serverclient: an event is malformed, missing or repeated")
 )
 
--- a/internal/batch/serverclient/simulation_test.go
+++ b/internal/batch/serverclient/simulation_test.go
@@ -117,7 +117,7 @@
 
 func describe(runs []*faultyserver.Execution) (text string) {
 	for _, run := range runs {
-		text += fmt.Sprintf("[%s after %d: %d, cut: %v]", run.Signature, run.AfterEvent, run.Status, run.Truncated)
+		text += fmt.Sprintf("[%s after %d: %d, truncated: %v]", run.Signature, run.AfterEvent, run.Status, run.Truncated)
 	}
 	return text
 }
--- a/internal/batch/wal/marker_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -196,7 +196,7 @@
 	})
 }
 
-// TestRandomDamage inverts a bit in logs of random groups: each record is replayed as it was written, or
+// TestRandomCorruption inverts a bit in logs of random groups: each record is replayed as it was written, or
 // lies in a part that was reported, and only the last group is ever truncated.
 func TestRandomCorruption(t *testing.T) {
 	first := envInt("FIRST", 0)
@@ -207,6 +207,7 @@
 	}
 }
 
+// checkRandomCorruption inverts one bit of a log and checks what a start makes of it.
 func checkRandomCorruption(random *simulation.Rand) error {
 	var groups [][]string
 	for range 2 + random.IntN(8) {
--- a/internal/batch/wal/wal.go
+++ b/internal/batch/wal/wal.go
@@ -14,7 +14,7 @@
 // ReplayFunc takes a record that a start found. The payload is the callee's to keep. An error ends the start.
 type ReplayFunc func(at Location, payload []byte) error
 
-// DurableFunc is told the sequence number of the last record that is synced. With an error the log has
+// DurableFunc is called with the sequence number of the last record that is synced. With an error the log has
 // failed: nothing that was appended after that record is known to be durable, and no call follows.
 type DurableFunc func(sequence uint64, err error)
 
@@ -70,6 +70,7 @@
 	return sequence, location
 }
 
+// notify leaves a signal in a channel that holds one.
 func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/batch/wal/wal_test.go
+++ b/internal/batch/wal/wal_test.go
@@ -133,8 +133,8 @@
 	log.closeFiles()
 }
 
-// tearGroup damages the only segment with records, which is one group, from a random point on as a loss of
-// power may. It returns the number of records before that point.
+// tearGroup leaves of the only segment with records, which is one group, what a loss of power may: from a
+// random point on it is missing, zeroed or changed. It returns the number of records before that point.
 func tearGroup(t *testing.T, directory string, random *rand.Rand) int {
 	path := filepath.Join(directory, segmentName(1))
 	data, err := os.ReadFile(path)
