--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -16,19 +16,19 @@
 // beside it the world that the settings don't tell. A deployment has no name in here, and nothing may ask for one.
 
 // span is a duration that a file words as "150ms".
-type span time.Duration
+type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *span) UnmarshalText(text []byte) error {
+func (s *duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
-	if *s = span(d); err == nil && d < 0 {
+	if *s = duration(d); err == nil && d < 0 {
 		return errors.New("must not be below 0")
 	}
 	return err
 }
 
 // world is the file's second part. All that is left out is 0, or one where there has to be one.
-type world struct {
+type environment struct {
 	Gateways int     `json:"gateways"`
 	Members  int     `json:"members"`
 	Rooms    int     `json:"rooms"` // that both stand in by turns
@@ -36,15 +36,15 @@
 	Load     float64 `json:"load"`  // first tries, of what all members can do
 	Hot      float64 `json:"hot"`   // share of the accounts that ask ten times as much
 	Member   struct {
-		Cores      int     `json:"cores"`
-		Speed      float64 `json:"speed"`
-		SlowPart   float64 `json:"slow_part"` // share of them at three quarters of the speed
-		Queue      int     `json:"queue"`
-		Work       span    `json:"work"`  // mean
-		Sigma      float64 `json:"sigma"` // of its logarithm
-		ColdFrom   float64 `json:"cold_from"`
-		WarmWithin span    `json:"warm_within"`
-		WarmWork   span    `json:"warm_work"`
+		Cores      int      `json:"cores"`
+		Speed      float64  `json:"speed"`
+		SlowPart   float64  `json:"slow_part"` // share of them at three quarters of the speed
+		Queue      int      `json:"queue"`
+		Work       duration `json:"work"`  // mean
+		Sigma      float64  `json:"sigma"` // of its logarithm
+		ColdFrom   float64  `json:"cold_from"`
+		WarmWithin duration `json:"warm_within"`
+		WarmWork   duration `json:"warm_work"`
 	} `json:"member"`
 	Classes []struct { // one for each of the settings' classes
 		Share float64 `json:"share"` // of the requests
@@ -55,18 +55,18 @@
 		Accounts int     `json:"accounts"`
 		Spread   int     `json:"spread"` // gateways of an account's set
 	} `json:"plans"`
-	Units     int     `json:"units"`    // most of a request
-	BySize    bool    `json:"by_size"`  // work grows with them
-	GuessCV   float64 `json:"guess_cv"` // spread of what requests say round what they draw
-	Retries   int     `json:"retries"`
-	Honour    float64 `json:"honour"` // share of the clients that heed what refusals name
-	Link      span    `json:"link"`
-	Loss      float64 `json:"loss"`
-	Discovery span    `json:"discovery"`
+	Units     int      `json:"units"`    // most of a request
+	BySize    bool     `json:"by_size"`  // work grows with them
+	GuessCV   float64  `json:"guess_cv"` // spread of what requests say round what they draw
+	Retries   int      `json:"retries"`
+	Honour    float64  `json:"honour"` // share of the clients that heed what refusals name
+	Link      duration `json:"link"`
+	Loss      float64  `json:"loss"`
+	Discovery duration `json:"discovery"`
 	Report    struct {
-		Every span    `json:"every"`
-		Delay span    `json:"delay"`
-		Noise float64 `json:"noise"`
+		Every duration `json:"every"`
+		Delay duration `json:"delay"`
+		Noise float64  `json:"noise"`
 	} `json:"report"`
 }
 
@@ -74,7 +74,7 @@
 func ReadDeployment(text []byte, seed uint64, length time.Duration) (Scenario, error) {
 	var file struct {
 		Settings json.RawMessage `json:"settings"`
-		World    world           `json:"world"`
+		World    environment     `json:"world"`
 	}
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
--- a/internal/emulator/deployment_test.go
+++ b/internal/emulator/deployment_test.go
@@ -68,11 +68,11 @@
 // Where members warm by work, one that is asked nothing stays cold for as long as time takes.
 func TestMembersWarmByWork(t *testing.T) {
 	e := NewEngine(1)
-	m := &member{e: e, id: 1, rng: e.Stream("m"), spec: MemberSpec{Cores: 1, Speed: 1, Queue: 9, Work: 100 * time.Millisecond, ColdFrom: 0.5,
+	m := &member{engine: e, id: 1, rng: e.Stream("m"), spec: MemberSpec{Cores: 1, Speed: 1, Queue: 9, Work: 100 * time.Millisecond, ColdFrom: 0.5,
 		WarmWithin: 10 * second, WarmWork: second}}
 	m.start()
 	for range 5 {
-		m.take(1, func(policy.Ending) {})
+		m.accept(1, func(policy.Ending) {})
 	}
 	e.Run(Origin + 900*time.Millisecond)
 	assert.InDelta(t, 0.75, m.warmth(), 0.01)
@@ -86,15 +86,15 @@
 func TestReportsComeLate(t *testing.T) {
 	s := Platform(1, 1, 1, 0.1, second)
 	s.Settings.LoadReportFields, s.Report = []string{"inflight"}, Report{Every: 100 * time.Millisecond, Delay: 50 * time.Millisecond}
-	r := &run{Scenario: s, e: NewEngine(1)}
-	m := r.add(r.e.Stream("members"))
+	r := &run{Scenario: s, engine: NewEngine(1)}
+	m := r.addMember(r.engine.Stream("members"))
 	m.busy = 2
-	assert.Empty(t, r.shows(m))
-	r.e.Run(Origin + 200*time.Millisecond)
+	assert.Empty(t, r.reportedLoad(m))
+	r.engine.Run(Origin + 200*time.Millisecond)
 	m.busy = 0
-	assert.Equal(t, []float32{2}, r.shows(m))
-	r.e.Run(Origin + 400*time.Millisecond)
-	assert.Equal(t, []float32{0}, r.shows(m))
+	assert.Equal(t, []float32{2}, r.reportedLoad(m))
+	r.engine.Run(Origin + 400*time.Millisecond)
+	assert.Equal(t, []float32{0}, r.reportedLoad(m))
 }
 
 // What is left of a scenario that fails is what it takes to fail.
--- a/internal/emulator/deployments.go
+++ b/internal/emulator/deployments.go
@@ -20,7 +20,7 @@
 	return low + rng.Float64()*(high-low)
 }
 
-func spread(rng *rand.Rand, low, high float64) time.Duration {
+func betweenSeconds(rng *rand.Rand, low, high float64) time.Duration {
 	return time.Duration(between(rng, low, high) * float64(time.Second))
 }
 
@@ -30,12 +30,12 @@
 	coin := func(p float64) bool { return rng.Float64() < p }
 	s := Scenario{Seed: seed, Gateways: 1 + rng.IntN(gateways), Members: 3 + rng.IntN(18), SlowPart: between(rng, 0, 0.5),
 		Load: between(rng, 0.2, 1.1), Hot: between(rng, 0, 0.3), Rooms: 1 + rng.IntN(4), Cells: 1 + rng.IntN(4), Length: 5 * time.Second,
-		Link: spread(rng, 0.0002, 0.02), Loss: between(rng, 0, 0.06), Discovery: spread(rng, 0.1, 3), Retries: rng.IntN(3), Honour: rng.Float64()}
+		Link: betweenSeconds(rng, 0.0002, 0.02), Loss: between(rng, 0, 0.06), Discovery: betweenSeconds(rng, 0.1, 3), Retries: rng.IntN(3), Honour: rng.Float64()}
 	s.Accounts = 3 + rng.IntN(3*s.Members)
 	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4), Hedging: coin(0.4),
-		Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: spread(rng, 0, 2), PeerMessageRate: between(rng, 20, 200), MaxUnits: 8,
+		Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: betweenSeconds(rng, 0, 2), PeerMessageRate: between(rng, 20, 200), MaxUnits: 8,
 		DrainGrace: 250 * time.Millisecond, SlowStartWindow: time.Second, SlowStartMultiple: 4, ListRefreshWithin: 10 * time.Second,
-		InitialWarmth: between(rng, 0.15, 0.5), WarmupTime: spread(rng, 2, 16)}
+		InitialWarmth: between(rng, 0.15, 0.5), WarmupTime: betweenSeconds(rng, 2, 16)}
 	if coin(0.5) {
 		set.LoadReportFields = [][]string{{"latency_ms"}, {"inflight", "queue"}, {"queue", "latency_ms"}}[rng.IntN(3)]
 	}
@@ -43,11 +43,11 @@
 		s.GuessCV = between(rng, 0.2, 0.7)
 	}
 	s.BySize = coin(0.5)
-	work := spread(rng, 0.02, 0.3)
+	work := betweenSeconds(rng, 0.02, 0.3)
 	for i := range 1 + rng.IntN(6) {
-		aim := max(spread(rng, 0.2, 5), 3*work)
-		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), LatencyTarget: aim, Deadline: min(time.Minute, time.Duration(float64(aim)*between(rng, 1.2, 6))),
-			Idempotency: policy.Idempotency(rng.IntN(3)), DedupScope: policy.DedupScope(rng.IntN(3)), DedupWindow: spread(rng, 0.5, 10), Value: between(rng, 0.5, 4),
+		target := max(betweenSeconds(rng, 0.2, 5), 3*work)
+		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), LatencyTarget: target, Deadline: min(time.Minute, time.Duration(float64(target)*between(rng, 1.2, 6))),
+			Idempotency: policy.Idempotency(rng.IntN(3)), DedupScope: policy.DedupScope(rng.IntN(3)), DedupWindow: betweenSeconds(rng, 0.5, 10), Value: between(rng, 0.5, 4),
 			LateValue: between(rng, 0, 0.3)})
 	}
 	perAccount := 2.5 * s.Load * float64(s.Members) * 4 / work.Seconds() / float64(s.Accounts)
@@ -72,7 +72,7 @@
 		ColdFrom: set.InitialWarmth, WarmWithin: set.WarmupTime}
 	for range rng.IntN(4) {
 		k := Kinds[rng.IntN(len(Kinds)-1)] // but for clocks that differ: every machine reads the same
-		t := Trouble{At: spread(rng, 0, 3), For: spread(rng, 0.3, 3), Kind: k, Part: between(rng, 0.05, 0.6), Size: between(rng, 1.5, 6)}
+		t := Trouble{At: betweenSeconds(rng, 0, 3), For: betweenSeconds(rng, 0.3, 3), Kind: k, Part: between(rng, 0.05, 0.6), Size: between(rng, 1.5, 6)}
 		if k == Shrink {
 			t.Part = min(t.Part, 0.5)
 		}
--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -34,31 +34,31 @@
 // twice. The model was at fault: one that a full member turned away counted as run.
 func TestTurnedAwayHasNotRun(t *testing.T) {
 	r := bare(1)
-	full, free := &member{e: r.e, up: true, spec: r.Spec}, &member{e: r.e, up: true, spec: r.Spec}
+	full, free := &member{engine: r.engine, up: true, spec: r.Spec}, &member{engine: r.engine, up: true, spec: r.Spec}
 	full.busy = full.spec.Cores
 	for range full.spec.Queue {
 		full.queue = append(full.queue, &job{})
 	}
 	q := &request{}
 	q.Class = 1 // work-order
-	g := &gateway{r: r}
-	r.arrives(g, full, q)
-	r.arrives(g, free, q)
-	assert.NoError(t, r.referee.Err())
-	r.arrives(g, free, q)
-	assert.ErrorContains(t, r.referee.Err(), referee.UnsafeTwice)
+	g := &gateway{run: r}
+	r.arriveAtMember(g, full, q)
+	r.arriveAtMember(g, free, q)
+	assert.NoError(t, r.checker.Err())
+	r.arriveAtMember(g, free, q)
+	assert.ErrorContains(t, r.checker.Err(), referee.UnsafeTwice)
 }
 
 // With a gateway its connections end, and so do its attempts, whether or not their requests had been answered.
 func TestNothingIsOutOfAGatewayThatDied(t *testing.T) {
 	r := bare(1)
-	g := &gateway{r: r, up: true, open: map[policy.RequestID]*live{}}
+	g := &gateway{run: r, up: true, pending: map[policy.RequestID]*pendingRequest{}}
 	for id, answered := range []bool{false, true} {
 		q := &request{}
 		q.Customer, q.Final = 7, answered
-		g.open[policy.RequestID(id)] = &live{q: q, flows: map[int]func(policy.Ending){0: nil}}
-		r.referee.Holds(&q.Request, 1)
+		g.pending[policy.RequestID(id)] = &pendingRequest{request: q, attempts: map[int]func(policy.Ending){0: nil}}
+		r.checker.Holds(&q.Request, 1)
 	}
 	g.restart(second)
-	assert.Zero(t, r.referee.Out(7))
+	assert.Zero(t, r.checker.Out(7))
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -91,65 +91,67 @@
 // bare is a run in which nothing happens by itself.
 func bare(seed uint64) *run {
 	s := Platform(seed, 1, 2, 0.1, second)
-	return &run{Scenario: s, e: NewEngine(seed), all: map[policy.RequestID]*request{}, cut: -1, digest: sha256.New(),
-		referee: referee.New(s.Settings, seed, Origin)}
+	return &run{Scenario: s, engine: NewEngine(seed), requests: map[policy.RequestID]*request{}, partitionedRoom: -1, digest: sha256.New(),
+		checker: referee.New(s.Settings, seed, Origin)}
 }
 
 // What happens in a run comes to the referee, with the request's story, whatever the module says.
 func TestBrokenRulesAreFound(t *testing.T) {
 	for rule, do := range map[string]func(r *run, g *gateway, q *request){
 		referee.TwoAnswers: func(_ *run, g *gateway, q *request) {
-			l := &live{q: q}
-			g.final(l, "served")
-			g.final(l, "refused")
+			l := &pendingRequest{request: q}
+			g.answer(l, "served")
+			g.answer(l, "refused")
 		},
 		referee.LateAnswer: func(r *run, g *gateway, q *request) {
-			r.e.now = q.Deadline + second
-			g.final(&live{q: q}, "failed")
+			r.engine.now = q.Deadline + second
+			g.answer(&pendingRequest{request: q}, "failed")
 		},
-		referee.NoAnswer: func(r *run, _ *gateway, q *request) { r.all[q.ID] = q; r.over() },
+		referee.NoAnswer: func(r *run, _ *gateway, q *request) { r.requests[q.ID] = q; r.checkEnd() },
 		referee.UnsafeTwice: func(r *run, g *gateway, q *request) {
 			q.Class = 1
-			r.arrives(g, r.members[0], q)
-			r.arrives(g, r.members[1], q)
+			r.arriveAtMember(g, r.members[0], q)
+			r.arriveAtMember(g, r.members[1], q)
 		},
 		referee.DrainKept: func(r *run, g *gateway, q *request) {
 			info := r.members[0].info()
 			info.State = policy.Draining
-			g.listed, g.idle = map[policy.ServerID]bool{}, map[policy.ServerID][]Time{}
-			g.list(info)
-			r.e.now += second
-			r.arrives(g, r.members[0], q)
+			g.listed, g.idleConns = map[policy.ServerID]bool{}, map[policy.ServerID][]Time{}
+			g.noteListed(info)
+			r.engine.now += second
+			r.arriveAtMember(g, r.members[0], q)
 		},
 		referee.ColdBudget: func(r *run, g *gateway, q *request) {
 			r.members[0].start()
 			for range 40 {
-				r.arrives(g, r.members[0], q)
+				r.arriveAtMember(g, r.members[0], q)
 			}
 		},
 	} {
 		r := bare(5)
 		for i := range 2 {
-			r.members = append(r.members, &member{e: r.e, spec: r.Spec, id: policy.ServerID(i + 1), up: true, rng: r.e.Stream("m")})
+			r.members = append(r.members, &member{engine: r.engine, spec: r.Spec, id: policy.ServerID(i + 1), up: true, rng: r.engine.Stream("m")})
 		}
-		q := &request{at: r.e.now}
-		q.first, q.ID, q.Deadline = q, 1, r.e.now+second
-		r.referee.Note(r.e.now, &q.Request, "taken")
-		do(r, &gateway{r: r}, q)
-		require.Error(t, r.referee.Err(), rule)
-		assert.ErrorContains(t, r.referee.Err(), rule)
-		assert.ErrorContains(t, r.referee.Err(), "seed 5")
-		assert.ErrorContains(t, r.referee.Err(), "taken")
+		q := &request{arrivedAt: r.engine.now}
+		q.first, q.ID, q.Deadline = q, 1, r.engine.now+second
+		r.checker.Note(r.engine.now, &q.Request, "taken")
+		do(r, &gateway{run: r}, q)
+		require.Error(t, r.checker.Err(), rule)
+		assert.ErrorContains(t, r.checker.Err(), rule)
+		assert.ErrorContains(t, r.checker.Err(), "seed 5")
+		assert.ErrorContains(t, r.checker.Err(), "taken")
 	}
 }
 
 func TestMembers(t *testing.T) {
 	e := NewEngine(1)
 	spec := MemberSpec{Cores: 1, Speed: 1, Queue: 1, Work: 100 * time.Millisecond, ColdFrom: 0.25, WarmWithin: 10 * second}
-	m := &member{e: e, spec: spec, id: 1, up: true, rng: e.Stream("m")}
+	m := &member{engine: e, spec: spec, id: 1, up: true, rng: e.Stream("m")}
 	var ends []policy.Ending
 	var at []time.Duration
-	ask := func() { m.take(1, func(how policy.Ending) { ends, at = append(ends, how), append(at, e.now-Origin) }) }
+	ask := func() {
+		m.accept(1, func(how policy.Ending) { ends, at = append(ends, how), append(at, e.now-Origin) })
+	}
 	ask()
 	ask()
 	ask() // one at work, one waits, one too many
@@ -163,7 +165,7 @@
 	m.started = 0
 	ask()
 	e.Run(Origin + 2*second + 50*time.Millisecond)
-	m.paused = e.now + 200*time.Millisecond
+	m.pausedUntil = e.now + 200*time.Millisecond
 	e.Run(Origin + 3*second)
 	assert.Equal(t, 2250*time.Millisecond, at[4])
 	m.hang()
--- a/internal/emulator/member.go
+++ b/internal/emulator/member.go
@@ -14,26 +14,26 @@
 // which requests came; a pause holds all that is at work; a hang swallows what is there and what comes; what a gateway
 // gives up is worked on all the same.
 type member struct {
-	e       *Engine
-	spec    MemberSpec
-	id      policy.ServerID
-	room    int
-	rng     *rand.Rand
-	life    int
-	up      bool
-	hung    bool
-	started Time // of a cold start; 0: long ago
-	state   policy.ServerState
-	busy    int
-	queue   []*job
-	paused  Time    // until then
-	slower  float64 // how many times slower all of it is now; 0: not at all
-	cell    int
-	recent  float64       // mean of its latest services, in seconds, without waiting
-	shown   []float32     // its load as answers tell it, where that is old
-	worked  time.Duration // since its start
-
-	seen referee.Member // what the rules look at
+	engine       *Engine
+	spec         MemberSpec
+	id           policy.ServerID
+	room         int
+	rng          *rand.Rand
+	incarnation  int
+	up           bool
+	hung         bool
+	started      Time // of a cold start; 0: long ago
+	state        policy.ServerState
+	busy         int
+	queue        []*job
+	pausedUntil  Time    // until then
+	slowdown     float64 // how many times slower all of it is now; 0: not at all
+	cell         int
+	meanService  float64       // mean of its latest services, in seconds, without waiting
+	reportedLoad []float32     // its load as answers tell it, where that is old
+	workDone     time.Duration // since its start
+
+	checked referee.Member // what the rules look at
 }
 
 // MemberSpec is what a member can do.
@@ -62,23 +62,23 @@
 }
 
 func (m *member) warmth() float64 {
-	if m.started == 0 || m.e.now-m.started >= m.spec.WarmWithin {
+	if m.started == 0 || m.engine.now-m.started >= m.spec.WarmWithin {
 		return 1
 	}
-	way := (m.e.now - m.started).Seconds() / m.spec.WarmWithin.Seconds()
+	progress := (m.engine.now - m.started).Seconds() / m.spec.WarmWithin.Seconds()
 	if m.spec.WarmWork > 0 {
-		way = min(1, max(way, m.worked.Seconds()/m.spec.WarmWork.Seconds()))
+		progress = min(1, max(progress, m.workDone.Seconds()/m.spec.WarmWork.Seconds()))
 	}
-	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*way
+	return m.spec.ColdFrom + (1-m.spec.ColdFrom)*progress
 }
 
 // takes tells whether a request that comes now would be let in.
-func (m *member) takes() bool {
+func (m *member) accepts() bool {
 	return m.up && (m.hung || m.busy < m.spec.Cores || len(m.queue) < m.spec.Queue)
 }
 
 // take lets a request in at its last byte, whose work is so many times the mean. Done is called when its answer leaves, never where it is swallowed.
-func (m *member) take(size float64, done func(policy.Ending)) {
+func (m *member) accept(size float64, done func(policy.Ending)) {
 	work := time.Duration(size * m.spec.Work.Seconds() * math.Exp(m.spec.Sigma*m.rng.NormFloat64()-m.spec.Sigma*m.spec.Sigma/2) * float64(time.Second))
 	switch {
 	case !m.up:
@@ -98,22 +98,22 @@
 		j := m.queue[0]
 		m.queue = m.queue[1:]
 		m.busy++
-		took := time.Duration(float64(j.work) / (m.spec.Speed * m.warmth()) * max(1, m.slower))
-		m.recent += (took.Seconds() - m.recent) / 8
-		m.worked += j.work
-		m.finish(j, m.life, took+max(0, m.paused-m.e.now))
+		took := time.Duration(float64(j.work) / (m.spec.Speed * m.warmth()) * max(1, m.slowdown))
+		m.meanService += (took.Seconds() - m.meanService) / 8
+		m.workDone += j.work
+		m.finish(j, m.incarnation, took+max(0, m.pausedUntil-m.engine.now))
 	}
 }
 
 // finish ends a request's work, later by the pauses that came meanwhile.
-func (m *member) finish(j *job, life int, left time.Duration) {
-	began := m.e.now
-	m.e.After(left, func() {
-		if m.life != life || m.hung {
+func (m *member) finish(j *job, incarnation int, left time.Duration) {
+	began := m.engine.now
+	m.engine.After(left, func() {
+		if m.incarnation != incarnation || m.hung {
 			return
 		}
-		if late := m.paused - m.e.now; late > 0 && m.paused > began+left {
-			m.finish(j, life, late)
+		if late := m.pausedUntil - m.engine.now; late > 0 && m.pausedUntil > began+left {
+			m.finish(j, incarnation, late)
 			return
 		}
 		m.busy--
@@ -125,15 +125,15 @@
 // stop ends the member's process; what it held is reset.
 func (m *member) stop() {
 	m.up, m.busy = false, 0
-	m.life++
+	m.incarnation++
 	m.queue = nil
 }
 
 // start begins another life, cold.
 func (m *member) start() {
-	m.life++
-	m.up, m.hung, m.busy, m.started, m.queue, m.worked = true, false, 0, m.e.now, nil, 0
-	m.seen.Restart()
+	m.incarnation++
+	m.up, m.hung, m.busy, m.started, m.queue, m.workDone = true, false, 0, m.engine.now, nil, 0
+	m.checked.Restart()
 }
 
 // hang lets the member swallow all until resume, which begins with empty hands.
@@ -141,6 +141,6 @@
 
 func (m *member) resume() {
 	m.hung, m.busy = false, 0
-	m.life++
+	m.incarnation++
 	m.queue = nil
 }
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -11,7 +11,7 @@
 )
 
 // module is what decides for a gateway: the real one, or the plain policy that it is held against.
-type module interface {
+type balancer interface {
 	Attach(policy.Host)
 	Servers(now Time, kind policy.ListKind, list []policy.ServerInfo)
 	Request(now Time, in policy.Request)
@@ -27,30 +27,30 @@
 // plain is the textbook's: of two members drawn by lot the one with less out here, an even part of each quota, cap and ceiling,
 // one attempt and another where it never ran, and no word to anybody.
 type plain struct {
-	set     policy.Settings
-	host    policy.Host
-	rng     *rand.Rand
-	members []policy.ServerID
-	out     map[policy.ServerID]int
-	open    map[policy.RequestID]*plainRequest
-	parts   map[policy.CustomerID]*plainPart
+	settings policy.Settings
+	host     policy.Host
+	rng      *rand.Rand
+	members  []policy.ServerID
+	inFlight map[policy.ServerID]int
+	pending  map[policy.RequestID]*plainRequest
+	shares   map[policy.CustomerID]*plainShare
 }
 
 type plainRequest struct {
 	policy.Request
-	sent, out int
-	mayHave   bool
+	sent, inFlight int
+	mayHaveRun     bool
 }
 
-type plainPart struct {
-	quota, ceiling ledger.BucketShare
-	at             Time
-	out            int
+type plainShare struct {
+	quota, hardLimit ledger.BucketShare
+	refilledAt       Time
+	inFlight         int
 }
 
 func newPlain(set policy.Settings, seed uint64) *plain {
-	return &plain{set: set, rng: rand.New(rand.NewPCG(seed, 1)), out: map[policy.ServerID]int{},
-		open: map[policy.RequestID]*plainRequest{}, parts: map[policy.CustomerID]*plainPart{}}
+	return &plain{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), inFlight: map[policy.ServerID]int{},
+		pending: map[policy.RequestID]*plainRequest{}, shares: map[policy.CustomerID]*plainShare{}}
 }
 
 func (p *plain) Attach(h policy.Host) { p.host = h }
@@ -68,31 +68,31 @@
 }
 
 // inside draws a request from its account's part, where that holds it.
-func (p *plain) inside(now Time, in policy.Request) bool {
-	plan, n := p.set.Plans[in.Plan], float64(max(1, in.SetSize))
-	a := p.parts[in.Customer]
+func (p *plain) withinQuota(now Time, in policy.Request) bool {
+	plan, n := p.settings.Plans[in.Plan], float64(max(1, in.SetSize))
+	a := p.shares[in.Customer]
 	if a == nil {
-		a = &plainPart{quota: ledger.BucketShare{Tokens: plan.Burst / n}, at: now}
-		p.parts[in.Customer] = a
+		a = &plainShare{quota: ledger.BucketShare{Tokens: plan.Burst / n}, refilledAt: now}
+		p.shares[in.Customer] = a
 	}
-	a.quota.Refill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.at, 0)
-	a.ceiling.Refill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.at, 0)
-	if a.at = now; plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.ceiling.Tokens < in.Units ||
-		plan.MaxInFlight > 0 && !ledger.SlotAvailable(plan.MaxInFlight, a.out, 0, int(n), false) {
+	a.quota.Refill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.refilledAt, 0)
+	a.hardLimit.Refill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.refilledAt, 0)
+	if a.refilledAt = now; plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.hardLimit.Tokens < in.Units ||
+		plan.MaxInFlight > 0 && !ledger.SlotAvailable(plan.MaxInFlight, a.inFlight, 0, int(n), false) {
 		return false
 	}
-	a.quota.Tokens, a.ceiling.Tokens = a.quota.Tokens-in.Units, a.ceiling.Tokens-in.Units
+	a.quota.Tokens, a.hardLimit.Tokens = a.quota.Tokens-in.Units, a.hardLimit.Tokens-in.Units
 	return true
 }
 
 func (p *plain) Request(now Time, in policy.Request) {
-	if !p.inside(now, in) {
-		p.host.Refuse(in.ID, p.set.MaxRetryAfter)
+	if !p.withinQuota(now, in) {
+		p.host.Refuse(in.ID, p.settings.MaxRetryAfter)
 		return
 	}
 	r := &plainRequest{Request: in}
-	p.open[in.ID] = r
-	p.host.Timer(uint64(in.ID), in.Deadline-now-2*p.set.Tick)
+	p.pending[in.ID] = r
+	p.host.Timer(uint64(in.ID), in.Deadline-now-2*p.settings.Tick)
 	p.send(r)
 }
 
@@ -102,37 +102,37 @@
 		return
 	}
 	s := p.members[p.rng.IntN(len(p.members))]
-	if t := p.members[p.rng.IntN(len(p.members))]; p.out[t] < p.out[s] {
+	if t := p.members[p.rng.IntN(len(p.members))]; p.inFlight[t] < p.inFlight[s] {
 		s = t
 	}
-	r.sent, r.out = r.sent+1, r.out+1
-	p.out[s]++
-	p.parts[r.Customer].out++
+	r.sent, r.inFlight = r.sent+1, r.inFlight+1
+	p.inFlight[s]++
+	p.shares[r.Customer].inFlight++
 	p.host.Send(r.ID, s, r.Deadline)
 }
 
 func (p *plain) end(r *plainRequest) {
-	delete(p.open, r.ID)
-	if r.mayHave || r.out > 0 {
+	delete(p.pending, r.ID)
+	if r.mayHaveRun || r.inFlight > 0 {
 		p.host.Fail(r.ID)
 	} else {
-		p.host.Refuse(r.ID, p.set.MaxRetryAfter)
+		p.host.Refuse(r.ID, p.settings.MaxRetryAfter)
 	}
 }
 
 func (p *plain) Outcome(_ Time, o policy.Outcome) {
-	p.out[o.Server]--
-	r := p.open[o.ID]
+	p.inFlight[o.Server]--
+	r := p.pending[o.ID]
 	if r == nil {
 		return
 	}
-	r.out--
-	p.parts[r.Customer].out--
-	r.mayHave = r.mayHave || o.Ending != policy.Rejected && o.Ending != policy.NotConnected
+	r.inFlight--
+	p.shares[r.Customer].inFlight--
+	r.mayHaveRun = r.mayHaveRun || o.Ending != policy.Rejected && o.Ending != policy.NotConnected
 	switch {
 	case o.Answered:
-		delete(p.open, r.ID)
-	case !r.mayHave && r.sent < min(2, p.set.MaxAttempts):
+		delete(p.pending, r.ID)
+	case !r.mayHaveRun && r.sent < min(2, p.settings.MaxAttempts):
 		p.send(r)
 	default:
 		p.end(r)
@@ -140,8 +140,8 @@
 }
 
 func (p *plain) Timer(_ Time, tag uint64) {
-	if r := p.open[policy.RequestID(tag)]; r != nil {
-		p.parts[r.Customer].out -= r.out
+	if r := p.pending[policy.RequestID(tag)]; r != nil {
+		p.shares[r.Customer].inFlight -= r.inFlight
 		p.end(r)
 	}
 }
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -11,33 +11,35 @@
 // request is a client's try in the model: what the referee knows of it, and what the client does.
 type request struct {
 	referee.Request
-	at     Time
-	first  *request // the client's first try, which its retries belong to; itself
-	again  int      // times that the client may still come again
-	inTime bool
-	true   float64 // units that it draws in the end
-	worth  float64 // 0 where it is beyond its account's quota
+	arrivedAt   Time
+	first       *request // the client's first try, which its retries belong to; itself
+	retriesLeft int      // times that the client may still come again
+	inTime      bool
+	actualUnits float64 // units that it draws in the end
+	value       float64 // 0 where it is beyond its account's quota
 }
 
 // arrives tells the referee of what comes to a member.
-func (r *run) arrives(g *gateway, m *member, q *request) {
+func (r *run) arriveAtMember(g *gateway, m *member, q *request) {
 	warmth := 1.0
 	if m.up {
 		warmth = m.warmth()
 	}
-	r.referee.Arrived(r.e.now, &q.Request, g.me, &m.seen, warmth, m.spec.Capacity())
-	if m.takes() {
-		r.referee.Ran(r.e.now, &q.Request)
+	r.checker.Arrived(r.engine.now, &q.Request, g.index, &m.checked, warmth, m.spec.Capacity())
+	if m.accepts() {
+		r.checker.Ran(r.engine.now, &q.Request)
 	}
 }
 
 // over tells the referee what is still open at a run's end.
-func (r *run) over() {
+func (r *run) checkEnd() {
 	var open []*referee.Request
-	for _, q := range r.all {
+	for _, q := range r.requests {
 		open = append(open, &q.Request)
 	}
-	r.referee.Over(r.e.now, open)
+	r.checker.Over(r.engine.now, open)
 }
 
-func (r *run) effect(q *request) policy.Idempotency { return r.Settings.Classes[q.Class].Idempotency }
+func (r *run) idempotency(q *request) policy.Idempotency {
+	return r.Settings.Classes[q.Class].Idempotency
+}
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -126,31 +126,31 @@
 type run struct {
 	Scenario
 	Result
-	e        *Engine
-	members  []*member
-	gateways []*gateway
-	all      map[policy.RequestID]*request
-	served   []float64 // by second
-	offered  []float64
-	last     policy.RequestID
-	referee  *referee.Referee
-	digest   hash.Hash
-	links    *rand.Rand
-	cut      int        // the room that is cut off; below 0: none
-	lateTo   Time       // lists are held back until then
-	tenth    [2]counted // of dials and datagrams
-	unheard  []*mute
-	severed  []*severed
-	once     policy.CustomerID
-	guesses  *rand.Rand
-	retries  *rand.Rand
+	engine           *Engine
+	members          []*member
+	gateways         []*gateway
+	requests         map[policy.RequestID]*request
+	served           []float64 // by second
+	offered          []float64
+	lastRequest      policy.RequestID
+	checker          *referee.Referee
+	digest           hash.Hash
+	links            *rand.Rand
+	partitionedRoom  int            // the room that is cut off; below 0: none
+	listsHeldUntil   Time           // lists are held back until then
+	peaks            [2]peakCounter // of dials and datagrams
+	messageFaults    []*messageFault
+	brokenLinks      []*linkFault
+	oneTimeCustomers policy.CustomerID
+	guesses          *rand.Rand
+	retries          *rand.Rand
 }
 
 // counted counts what happens in a tenth of a second.
-type counted struct{ at, n int }
+type peakCounter struct{ at, n int }
 
 // count adds one, and gives the most that a tenth has had.
-func (c *counted) count(now Time, most int) int {
+func (c *peakCounter) count(now Time, most int) int {
 	if at := int(now / (100 * time.Millisecond)); at != c.at {
 		c.at, c.n = at, 0
 	}
@@ -159,28 +159,30 @@
 }
 
 // apart tells whether two rooms are cut off from each other.
-func (r *run) apart(a, b int) bool { return r.cut >= 0 && (a == r.cut) != (b == r.cut) }
+func (r *run) partitioned(a, b int) bool {
+	return r.partitionedRoom >= 0 && (a == r.partitionedRoom) != (b == r.partitionedRoom)
+}
 
 // Play plays a scenario to its end, or to the first broken rule.
 func Play(s Scenario) (Result, error) {
 	if err := s.Check(); err != nil {
 		return Result{}, err
 	}
-	r := &run{Scenario: s, e: NewEngine(s.Seed), all: map[policy.RequestID]*request{},
-		referee: referee.New(s.Settings, s.Seed, Origin), digest: sha256.New(), cut: -1}
-	r.referee.Way = s.Link
-	r.links, r.guesses, r.retries = r.e.Stream("links"), r.e.Stream("guesses"), r.e.Stream("retries")
-	slow := r.e.Stream("members")
+	r := &run{Scenario: s, engine: NewEngine(s.Seed), requests: map[policy.RequestID]*request{},
+		checker: referee.New(s.Settings, s.Seed, Origin), digest: sha256.New(), partitionedRoom: -1}
+	r.checker.Way = s.Link
+	r.links, r.guesses, r.retries = r.engine.Stream("links"), r.engine.Stream("guesses"), r.engine.Stream("retries")
+	slow := r.engine.Stream("members")
 	for range s.Members {
-		r.add(slow)
+		r.addMember(slow)
 	}
 	for i := range s.Gateways {
-		r.gateways = append(r.gateways, &gateway{r: r, me: i, room: i % max(1, s.Rooms)})
+		r.gateways = append(r.gateways, &gateway{run: r, index: i, room: i % max(1, s.Rooms)})
 	}
 	for i, t := range s.Troubles {
 		if t.Kind == Clock {
 			for _, k := range Struck(s.Seed, i, s.Gateways, t.Part) {
-				r.gateways[k].ahead = time.Duration(cmp.Or(t.Size, 10) * float64(time.Second))
+				r.gateways[k].clockOffset = time.Duration(cmp.Or(t.Size, 10) * float64(time.Second))
 			}
 		}
 	}
@@ -188,49 +190,49 @@
 		g.boot()
 	}
 	for i, t := range s.Troubles {
-		r.e.After(t.At, func() { r.begin(t, r.e.Stream(fmt.Sprintf("trouble %d", i))) })
+		r.engine.After(t.At, func() { r.beginFault(t, r.engine.Stream(fmt.Sprintf("trouble %d", i))) })
 	}
 	r.clients()
 	longest := time.Duration(0)
 	for _, c := range s.Settings.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	for end := Origin + s.Length + longest + time.Second; r.e.now < end && r.referee.Err() == nil; {
-		r.e.Run(min(r.e.now+time.Second, end))
+	for end := Origin + s.Length + longest + time.Second; r.engine.now < end && r.checker.Err() == nil; {
+		r.engine.Run(min(r.engine.now+time.Second, end))
 	}
-	if r.referee.Err() == nil {
-		r.over()
+	if r.checker.Err() == nil {
+		r.checkEnd()
 	}
-	r.Beyond, r.OverCap, r.OverCeiling, r.PeakCold = r.referee.Beyond, r.referee.OverCap, r.referee.OverCeiling, r.referee.PeakCold
-	if gateway, ok := r.gateways[0].mod.(*policy.Gateway); ok {
-		r.State = len(gateway.ExportState(r.e.now, 1<<30))
+	r.Beyond, r.OverCap, r.OverCeiling, r.PeakCold = r.checker.Beyond, r.checker.OverCap, r.checker.OverCeiling, r.checker.PeakCold
+	if gateway, ok := r.gateways[0].balancer.(*policy.Gateway); ok {
+		r.State = len(gateway.ExportState(r.engine.now, 1<<30))
 	}
 	for i := range r.offered {
 		r.Seconds = append(r.Seconds, r.served[i]/max(r.offered[i], 1e-9))
 	}
 	r.Digest = fmt.Sprintf("%x", r.digest.Sum(nil)[:8])
-	return r.Result, r.referee.Err()
+	return r.Result, r.checker.Err()
 }
 
 // add lets one more member begin, long ago as far as anybody knows.
-func (r *run) add(slow *rand.Rand) *member {
+func (r *run) addMember(slow *rand.Rand) *member {
 	spec, i := r.Spec, len(r.members)
 	if slow.Float64() < r.SlowPart {
 		spec.Speed *= 0.75
 	}
-	m := &member{e: r.e, spec: spec, id: policy.ServerID(i + 1), room: i % max(1, r.Rooms), cell: i % max(1, r.Cells), up: true, recent: spec.Work.Seconds() / spec.Speed,
-		rng: r.e.Stream(fmt.Sprintf("member %d", i))}
-	m.seen.Room, m.seen.Cell = m.room, m.cell
+	m := &member{engine: r.engine, spec: spec, id: policy.ServerID(i + 1), room: i % max(1, r.Rooms), cell: i % max(1, r.Cells), up: true, meanService: spec.Work.Seconds() / spec.Speed,
+		rng: r.engine.Stream(fmt.Sprintf("member %d", i))}
+	m.checked.Room, m.checked.Cell = m.room, m.cell
 	r.members = append(r.members, m)
-	r.reports(m)
+	r.reportLoads(m)
 	return m
 }
 
 // mark puts what happened into the digest.
-func (r *run) mark(kind byte, who uint64, what uint64) {
+func (r *run) record(kind byte, who uint64, what uint64) {
 	var b [25]byte
 	b[0] = kind
-	binary.BigEndian.PutUint64(b[1:], uint64(r.e.now))
+	binary.BigEndian.PutUint64(b[1:], uint64(r.engine.now))
 	binary.BigEndian.PutUint64(b[9:], who)
 	binary.BigEndian.PutUint64(b[17:], what)
 	r.digest.Write(b[:])
@@ -238,7 +240,7 @@
 
 // clients lets first tries come as a Poisson process, each to a gateway of its account's set.
 func (r *run) clients() {
-	rng := r.e.Stream("clients")
+	rng := r.engine.Stream("clients")
 	rate := 0.0
 	for _, m := range r.members {
 		rate += r.Load * m.spec.Capacity()
@@ -251,7 +253,7 @@
 	}
 	accounts := make([]account, r.Accounts)
 	begin := func(plan int) account {
-		a := account{plan: plan, first: rng.IntN(r.Gateways), set: min(r.Gateways, 4), at: r.e.now, store: r.Settings.Plans[plan].Burst}
+		a := account{plan: plan, first: rng.IntN(r.Gateways), set: min(r.Gateways, 4), at: r.engine.now, store: r.Settings.Plans[plan].Burst}
 		if r.Spread != nil {
 			a.set = max(1, min(r.Gateways, r.Spread[plan]))
 		}
@@ -269,7 +271,7 @@
 		accounts[i] = begin(plan)
 	}
 	// who draws an account, of some in a row of which the hot ones ask ten times as much.
-	who := func(n int) int {
+	drawAccount := func(n int) int {
 		hot := int(r.Hot * float64(n))
 		id := rng.IntN(n + (cmp.Or(r.HotX, 10)-1)*hot)
 		if id >= n {
@@ -277,27 +279,27 @@
 		}
 		return id
 	}
-	most := 4
+	maxUnits := 4
 	if r.Units > 0 {
-		most = r.Units
+		maxUnits = r.Units
 	}
 	var next func()
 	next = func() {
-		if r.e.now >= Origin+r.Length {
+		if r.engine.now >= Origin+r.Length {
 			return
 		}
-		r.e.After(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
+		r.engine.After(time.Duration(rng.ExpFloat64()/rate*float64(time.Second)), next)
 		var id int
 		if r.Plans == nil {
-			id = who(len(accounts))
+			id = drawAccount(len(accounts))
 		} else {
 			plan := byShare(rng, r.Plans, func(p PlanUse) float64 { return p.Share })
-			id = firsts[plan] + who(r.Plans[plan].Accounts)
+			id = firsts[plan] + drawAccount(r.Plans[plan].Accounts)
 		}
 		a, customer := &accounts[id], policy.CustomerID(id+1)
 		if r.Once > 0 && rng.Float64() < r.Once {
-			r.once++
-			customer = policy.CustomerID(len(accounts)) + r.once
+			r.oneTimeCustomers++
+			customer = policy.CustomerID(len(accounts)) + r.oneTimeCustomers
 			once := begin(a.plan)
 			a = &once
 		}
@@ -309,99 +311,99 @@
 			class = byShare(rng, r.Classes, func(c ClassUse) float64 { return c.Share })
 		}
 		c := r.Settings.Classes[class]
-		units := 1 + float64(rng.IntN(most))
-		r.last++
-		q := &request{at: r.e.now, true: units, again: r.Retries, worth: c.Value * plan.ValueMultiplier * units}
-		q.Request.Request = policy.Request{ID: r.last, Class: class, Plan: a.plan, Customer: customer, Units: units, SetSize: a.set, FirstGateway: a.first}
+		units := 1 + float64(rng.IntN(maxUnits))
+		r.lastRequest++
+		q := &request{arrivedAt: r.engine.now, actualUnits: units, retriesLeft: r.Retries, value: c.Value * plan.ValueMultiplier * units}
+		q.Request.Request = policy.Request{ID: r.lastRequest, Class: class, Plan: a.plan, Customer: customer, Units: units, SetSize: a.set, FirstGateway: a.first}
 		if r.Comes > 0 && r.retries.Float64() >= r.Comes {
-			q.again = 0
+			q.retriesLeft = 0
 		}
 		if q.first = q; r.GuessCV > 0 {
 			sigma := math.Sqrt(math.Log(1 + r.GuessCV*r.GuessCV))
 			q.Units = min(max(0.5, units*math.Exp(sigma*r.guesses.NormFloat64()-sigma*sigma/2)), max(r.Settings.MaxUnits, 0.5))
 		}
-		q.Price, q.Deadline = q.worth, r.e.now+c.Deadline
+		q.Price, q.Deadline = q.value, r.engine.now+c.Deadline
 		r.Tries++
-		a.store, a.at = min(plan.Burst, a.store+(r.e.now-a.at).Seconds()*plan.Rate), r.e.now
-		if inside := (plan.Rate <= 0 || a.store >= units) && (plan.MaxInFlight <= 0 || r.referee.Out(customer) < plan.MaxInFlight); inside {
+		a.store, a.at = min(plan.Burst, a.store+(r.engine.now-a.at).Seconds()*plan.Rate), r.engine.now
+		if withinQuota := (plan.Rate <= 0 || a.store >= units) && (plan.MaxInFlight <= 0 || r.checker.Out(customer) < plan.MaxInFlight); withinQuota {
 			a.store -= units
-			r.Offered += q.worth
-			r.second(&r.offered, q)
-			r.second(&r.served, nil)
+			r.Offered += q.value
+			r.addToSecond(&r.offered, q)
+			r.addToSecond(&r.served, nil)
 		} else {
-			q.worth = 0
+			q.value = 0
 		}
-		r.enter(q, rng.IntN(a.set))
+		r.route(q, rng.IntN(a.set))
 	}
-	r.e.After(0, next)
+	r.engine.After(0, next)
 }
 
 // enter brings a request to one of its account's gateways; the front knows which are down.
-func (r *run) enter(q *request, at int) {
-	door := (q.FirstGateway + at) % r.Gateways
-	for k := 0; k < q.SetSize && r.knownDown(r.gateways[door]); k++ {
-		door = (q.FirstGateway + (door-q.FirstGateway+1+r.Gateways)%q.SetSize) % r.Gateways
+func (r *run) route(q *request, at int) {
+	index := (q.FirstGateway + at) % r.Gateways
+	for k := 0; k < q.SetSize && r.knownDown(r.gateways[index]); k++ {
+		index = (q.FirstGateway + (index-q.FirstGateway+1+r.Gateways)%q.SetSize) % r.Gateways
 	}
-	if !r.gateways[door].up {
+	if !r.gateways[index].up {
 		q.Lost = true
 		r.Lost++
-		if r.effect(q) == policy.Idempotent {
-			r.comesAgain(q, 0)
+		if r.idempotency(q) == policy.Idempotent {
+			r.retry(q, 0)
 		}
 		return
 	}
-	r.all[q.ID] = q
-	r.gateways[door].ask(q)
+	r.requests[q.ID] = q
+	r.gateways[index].receiveRequest(q)
 }
 
 // knownDown tells whether the front sends nothing to a gateway.
 func (r *run) knownDown(g *gateway) bool {
-	return !g.up && r.e.now >= g.down+r.Notice || r.e.now < g.shutTo
+	return !g.up && r.engine.now >= g.downSince+r.Notice || r.engine.now < g.unroutedUntil
 }
 
 // comesAgain lets a client come again after a while, with a request of its own that belongs to its first one.
-func (r *run) comesAgain(q *request, wait time.Duration) {
+func (r *run) retry(q *request, wait time.Duration) {
 	c := r.Settings.Classes[q.Class]
-	back := time.Duration((0.05 + 0.2*r.retries.Float64()) * float64(time.Second))
+	backoff := time.Duration((0.05 + 0.2*r.retries.Float64()) * float64(time.Second))
 	if r.retries.Float64() >= r.Honour {
 		wait = 0
 	}
-	back = max(back, wait)
-	if q.again <= 0 || r.e.now+back >= q.first.at+c.Deadline {
+	backoff = max(backoff, wait)
+	if q.retriesLeft <= 0 || r.engine.now+backoff >= q.first.arrivedAt+c.Deadline {
 		return
 	}
-	r.e.After(back, func() {
-		r.last++
+	r.engine.After(backoff, func() {
+		r.lastRequest++
 		next := *q
 		next.Request = referee.Request{Request: q.Request.Request, Price: q.Price}
-		next.ID, next.at, next.again, next.Deadline, next.ClientRetry = r.last, r.e.now, q.again-1, q.first.at+c.Deadline, true
+		next.ID, next.arrivedAt, next.retriesLeft, next.Deadline, next.ClientRetry = r.lastRequest, r.engine.now, q.retriesLeft-1, q.first.arrivedAt+c.Deadline, true
 		r.Tries++
-		r.enter(&next, r.retries.IntN(q.SetSize))
+		r.route(&next, r.retries.IntN(q.SetSize))
 	})
 }
 
 // size gives a request's work over the mean, by its class and where they matter by its units, which are drawn evenly.
-func (r *run) size(q *request) float64 {
+func (r *run) workSize(q *request) float64 {
 	size := 1.0
 	if r.Classes != nil {
 		size = r.Classes[q.Class].Work
 	}
 	if r.BySize {
-		size *= q.true / (1 + float64(cmp.Or(r.Units, 4))) * 2
+		size *= q.actualUnits / (1 + float64(cmp.Or(r.Units, 4))) * 2
 	}
 	return size
 }
 
 // told gives what a good answer says that a request drew, 0 where that was known before.
-func (q *request) told() float64 {
-	if q.true == q.Units {
+func (q *request) reportedUnits() float64 {
+	if q.actualUnits == q.Units {
 		return 0
 	}
-	return q.true
+	return q.actualUnits
 }
 
 // report gives a member's load report, as the settings want it.
-func (r *run) report(m *member) []float32 {
+func (r *run) currentLoad(m *member) []float32 {
 	if len(r.Settings.LoadReportFields) == 0 {
 		return nil
 	}
@@ -413,48 +415,48 @@
 		case "queue":
 			list[i] = float32(len(m.queue))
 		case "latency_ms":
-			list[i] = float32(1000 * m.recent)
+			list[i] = float32(1000 * m.meanService)
 		}
 	}
 	return list
 }
 
 // reports lets a member show its load now and then, late and with some noise.
-func (r *run) reports(m *member) {
+func (r *run) reportLoads(m *member) {
 	if r.Report.Every <= 0 || len(r.Settings.LoadReportFields) == 0 {
 		return
 	}
-	rng := r.e.Stream(fmt.Sprintf("report %d", m.id))
+	rng := r.engine.Stream(fmt.Sprintf("report %d", m.id))
 	var next func()
 	next = func() {
-		shown := r.report(m)
+		shown := r.currentLoad(m)
 		for i := range shown {
 			shown[i] *= float32(math.Exp(r.Report.Noise * rng.NormFloat64()))
 		}
-		r.e.After(r.Report.Delay, func() { m.shown = shown })
-		r.e.After(r.Report.Every, next)
+		r.engine.After(r.Report.Delay, func() { m.reportedLoad = shown })
+		r.engine.After(r.Report.Every, next)
 	}
-	r.e.After(time.Duration(rng.Float64()*float64(r.Report.Every)), next)
+	r.engine.After(time.Duration(rng.Float64()*float64(r.Report.Every)), next)
 }
 
 // shows gives what a member's answer says of its load.
-func (r *run) shows(m *member) []float32 {
+func (r *run) reportedLoad(m *member) []float32 {
 	if r.Report.Every > 0 {
-		return m.shown
+		return m.reportedLoad
 	}
-	return r.report(m)
+	return r.currentLoad(m)
 }
 
 // second adds a request's worth to the second that it was asked in.
-func (r *run) second(to *[]float64, q *request) {
-	at := int((r.e.now - Origin) / time.Second)
+func (r *run) addToSecond(to *[]float64, q *request) {
+	at := int((r.engine.now - Origin) / time.Second)
 	if q != nil {
-		at = int((q.at - Origin) / time.Second)
+		at = int((q.arrivedAt - Origin) / time.Second)
 	}
 	for len(*to) <= at {
 		*to = append(*to, 0)
 	}
 	if q != nil {
-		(*to)[at] += q.worth
+		(*to)[at] += q.value
 	}
 }
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -109,35 +109,37 @@
 }
 
 // mute says what becomes of the messages from one gateway to another, and to whom it happens.
-type mute struct {
-	lost  func(from, to int) float64 // a share; nil: none
-	kind  Kind                       // else late, twice or spoilt
-	size  float64
-	whose func(to int) bool
+type messageFault struct {
+	lost    func(from, to int) float64 // a share; nil: none
+	kind    Kind                       // else late, twice or spoilt
+	size    float64
+	affects func(to int) bool
 }
 
 // severed says which gateways have lost the way to which members.
-type severed struct {
+type linkFault struct {
 	gateways, members []int
 }
 
 // mutes lets messages be lost for a while.
-func (r *run) mutes(d time.Duration, lost func(from, to int) float64) {
-	r.bends(d, &mute{lost: lost})
+func (r *run) loseMessages(d time.Duration, lost func(from, to int) float64) {
+	r.addMessageFault(d, &messageFault{lost: lost})
 }
 
-func (r *run) bends(d time.Duration, m *mute) {
-	r.unheard = append(r.unheard, m)
-	r.e.After(d, func() { r.unheard = slices.DeleteFunc(r.unheard, func(x *mute) bool { return x == m }) })
+func (r *run) addMessageFault(d time.Duration, m *messageFault) {
+	r.messageFaults = append(r.messageFaults, m)
+	r.engine.After(d, func() {
+		r.messageFaults = slices.DeleteFunc(r.messageFaults, func(x *messageFault) bool { return x == m })
+	})
 }
 
 // loses tells whether a message between two gateways is lost.
-func (r *run) loses(from, to int) bool {
+func (r *run) losesMessage(from, to int) bool {
 	lost := r.links.Float64()
 	if lost < r.Loss {
 		return true
 	}
-	for _, m := range r.unheard {
+	for _, m := range r.messageFaults {
 		if m.lost == nil {
 			continue
 		}
@@ -149,43 +151,43 @@
 }
 
 // bent gives what comes of a message that isn't lost: how much later it is, what it has become, and how often it comes.
-func (r *run) bent(to int, message []byte) (later time.Duration, became []byte, times int) {
-	times = 1
-	for _, m := range r.unheard {
-		if m.lost != nil || !m.whose(to) {
+func (r *run) disturb(to int, message []byte) (delay time.Duration, changed []byte, copies int) {
+	copies = 1
+	for _, m := range r.messageFaults {
+		if m.lost != nil || !m.affects(to) {
 			continue
 		}
 		switch hit := r.links.Float64(); {
 		case m.kind == Late:
-			later += time.Duration(hit * cmp.Or(m.size, 0.2) * float64(time.Second))
+			delay += time.Duration(hit * cmp.Or(m.size, 0.2) * float64(time.Second))
 		case hit >= cmp.Or(m.size, 0.3) || len(message) == 0:
 		case m.kind == Twice:
-			times = 2
+			copies = 2
 		case m.kind == Spoilt:
 			message = slices.Clone(message)
 			message[r.links.IntN(len(message))] ^= 1 << r.links.IntN(8)
 		}
 	}
-	return later, message, times
+	return delay, message, copies
 }
 
 // parted tells whether the way between a gateway and a member is cut.
-func (r *run) parted(g *gateway, m *member) bool {
-	for _, s := range r.severed {
-		if slices.Contains(s.gateways, g.me) && slices.Contains(s.members, int(m.id)-1) {
+func (r *run) unreachable(g *gateway, m *member) bool {
+	for _, s := range r.brokenLinks {
+		if slices.Contains(s.gateways, g.index) && slices.Contains(s.members, int(m.id)-1) {
 			return true
 		}
 	}
-	return r.apart(g.room, m.room)
+	return r.partitioned(g.room, m.room)
 }
 
 // strike lets a trouble of gateways begin, and end.
-func (r *run) strike(t Trouble, who []int, rng *rand.Rand) {
+func (r *run) beginGatewayFault(t Trouble, who []int, rng *rand.Rand) {
 	is := func(g int) bool { return slices.Contains(who, g) }
 	switch t.Kind {
 	case Restart:
 		for k, i := range who {
-			r.e.After(time.Duration(k)*t.For/time.Duration(r.Gateways), func() { r.gateways[i].restart(500 * time.Millisecond) })
+			r.engine.After(time.Duration(k)*t.For/time.Duration(r.Gateways), func() { r.gateways[i].restart(500 * time.Millisecond) })
 		}
 	case Kill:
 		for _, i := range who {
@@ -196,26 +198,26 @@
 			r.gateways[i].stall(t.For)
 		}
 	case Deaf:
-		r.mutes(t.For, func(from, to int) float64 { return share(is(from) || is(to), 1) })
+		r.loseMessages(t.For, func(from, to int) float64 { return share(is(from) || is(to), 1) })
 	case Halves:
-		r.mutes(t.For, func(from, to int) float64 { return share(is(from) != is(to), 1) })
+		r.loseMessages(t.For, func(from, to int) float64 { return share(is(from) != is(to), 1) })
 	case OneWay:
-		r.mutes(t.For, func(_, to int) float64 { return share(is(to), 1) })
+		r.loseMessages(t.For, func(_, to int) float64 { return share(is(to), 1) })
 	case Lossy:
-		r.mutes(t.For, func(_, to int) float64 { return share(is(to), cmp.Or(t.Size, 0.3)) })
+		r.loseMessages(t.For, func(_, to int) float64 { return share(is(to), cmp.Or(t.Size, 0.3)) })
 	case Late, Twice, Spoilt:
-		r.bends(t.For, &mute{kind: t.Kind, size: t.Size, whose: is})
+		r.addMessageFault(t.For, &messageFault{kind: t.Kind, size: t.Size, affects: is})
 	case Sever:
-		s := &severed{who, struck(rng, r.Members, cmp.Or(t.Size, 1.0/3))}
-		r.severed = append(r.severed, s)
-		r.e.After(t.For, func() { r.severed = slices.DeleteFunc(r.severed, func(x *severed) bool { return x == s }) })
+		s := &linkFault{who, struck(rng, r.Members, cmp.Or(t.Size, 1.0/3))}
+		r.brokenLinks = append(r.brokenLinks, s)
+		r.engine.After(t.For, func() { r.brokenLinks = slices.DeleteFunc(r.brokenLinks, func(x *linkFault) bool { return x == s }) })
 	case Silent:
 		for _, i := range who {
-			r.gateways[i].silentTo = r.e.now + t.For
+			r.gateways[i].noListsUntil = r.engine.now + t.For
 		}
 	case Shut:
 		for _, i := range who {
-			r.gateways[i].shutTo = r.e.now + t.For
+			r.gateways[i].unroutedUntil = r.engine.now + t.For
 		}
 	}
 }
@@ -233,63 +235,65 @@
 }
 
 // begin lets a trouble begin, and end.
-func (r *run) begin(t Trouble, rng *rand.Rand) {
+func (r *run) beginFault(t Trouble, rng *rand.Rand) {
 	if t.Kind.ofGateways() {
-		r.strike(t, struck(rng, r.Gateways, t.Part), rng)
+		r.beginGatewayFault(t, struck(rng, r.Gateways, t.Part), rng)
 		return
 	}
 	members := slices.DeleteFunc(slices.Clone(r.members), func(m *member) bool {
 		return m.state != policy.Ready || t.Kind == Room && m.room != 0
 	})
-	end := r.e.now + t.For
+	end := r.engine.now + t.For
 	switch t.Kind {
 	case Room:
-		r.cut, t.Part = 0, 1
-		r.e.After(t.For, func() { r.cut = -1 })
+		r.partitionedRoom, t.Part = 0, 1
+		r.engine.After(t.For, func() { r.partitionedRoom = -1 })
 	case Split:
-		r.lateTo = end
-		r.mutes(t.For, func(from, to int) float64 { return 1 })
+		r.listsHeldUntil = end
+		r.loseMessages(t.For, func(from, to int) float64 { return 1 })
 	}
 	for k, i := range struck(rng, len(members), t.Part) {
 		m := members[i]
 		switch t.Kind {
 		case Room:
 			m.stop()
-			r.e.After(t.For, func() { m.start(); r.list(m) })
+			r.engine.After(t.For, func() { m.start(); r.announce(m) })
 		case Split:
 			m.hang()
-			r.e.After(t.For, m.resume)
+			r.engine.After(t.For, m.resume)
 		case Slow:
-			m.slower = cmp.Or(t.Size, 3)
-			r.e.After(t.For, func() { m.slower = 0 })
+			m.slowdown = cmp.Or(t.Size, 3)
+			r.engine.After(t.For, func() { m.slowdown = 0 })
 		case Shrink:
-			r.e.After(time.Duration(k)*t.For/time.Duration(len(members)), func() {
+			r.engine.After(time.Duration(k)*t.For/time.Duration(len(members)), func() {
 				m.state = policy.Draining
-				r.list(m)
-				r.e.After(drainWait, func() { m.state = policy.Departed; r.list(m); m.stop() })
+				r.announce(m)
+				r.engine.After(drainTime, func() { m.state = policy.Departed; r.announce(m); m.stop() })
 			})
 		case Replace:
-			r.e.After(time.Duration(k)*t.For/time.Duration(len(members)), func() { r.replace(m, rng) })
+			r.engine.After(time.Duration(k)*t.For/time.Duration(len(members)), func() { r.replace(m, rng) })
 		case Hang:
 			m.hang()
-			r.e.After(t.For, m.resume)
+			r.engine.After(t.For, m.resume)
 		case Stop:
 			m.stop()
-			r.e.After(t.For, func() { m.start(); r.list(m) })
+			r.engine.After(t.For, func() { m.start(); r.announce(m) })
 		case Pause:
 			for at := time.Duration(0); at < t.For; at += time.Second {
-				r.e.After(at, func() { m.paused = r.e.now + 200*time.Millisecond + time.Duration(rng.IntN(300))*time.Millisecond })
+				r.engine.After(at, func() {
+					m.pausedUntil = r.engine.now + 200*time.Millisecond + time.Duration(rng.IntN(300))*time.Millisecond
+				})
 			}
 		case Drain:
 			m.state = policy.Draining
-			r.list(m)
-			r.e.After(t.For, func() { m.state = policy.Ready; r.list(m) })
+			r.announce(m)
+			r.engine.After(t.For, func() { m.state = policy.Ready; r.announce(m) })
 		}
 	}
 }
 
 // drainWait is how long a member that is replaced drains.
-const drainWait = 4 * time.Second
+const drainTime = 4 * time.Second
 
 // replace lets a new member take another's place.
 func (r *run) replace(m *member, rng *rand.Rand) {
@@ -297,22 +301,22 @@
 		return
 	}
 	m.state = policy.Draining
-	r.list(m)
-	r.e.After(drainWait, func() { m.state = policy.Departed; r.list(m); m.stop() })
-	next := r.add(rng)
-	next.room, next.seen.Room = m.room, m.room
+	r.announce(m)
+	r.engine.After(drainTime, func() { m.state = policy.Departed; r.announce(m); m.stop() })
+	next := r.addMember(rng)
+	next.room, next.checked.Room = m.room, m.room
 	next.start()
-	r.list(next)
+	r.announce(next)
 }
 
 // list tells every gateway of a member's entry, late.
-func (r *run) list(m *member) {
+func (r *run) announce(m *member) {
 	info := m.info()
 	for _, g := range r.gateways {
-		life := g.life
-		r.e.After(max(r.Discovery, max(r.lateTo, g.silentTo)-r.e.now), func() {
-			if g.up && g.life == life {
-				g.told1(info)
+		incarnation := g.incarnation
+		r.engine.After(max(r.Discovery, max(r.listsHeldUntil, g.noListsUntil)-r.engine.now), func() {
+			if g.up && g.incarnation == incarnation {
+				g.receiveList(info)
 			}
 		})
 	}
