--- a/internal/inflight/exchange_test.go
+++ b/internal/inflight/exchange_test.go
@@ -34,6 +34,7 @@
 	assert.Equal(t, "[told=6 heard=1 dropped=0]", fmt.Sprint(other.Counters()))
 }
 
+// fakeBalancer keeps the loads that it is given.
 type fakeBalancer struct {
 	own   map[policy.ServerID]policy.OwnLoad
 	loads []policy.Load
@@ -43,6 +44,7 @@
 	c.loads = weigh(time.Second, c.own)
 }
 
+// fakeMembership is a list of servers.
 type fakeMembership map[policy.ServerID]discovery.Incarnation
 
 func (l fakeMembership) Incarnations() map[policy.ServerID]discovery.Incarnation { return l }
--- a/internal/inflight/simulation_test.go
+++ b/internal/inflight/simulation_test.go
@@ -26,6 +26,7 @@
 	failed         int
 }
 
+// host is one gateway with its tracker.
 type host struct {
 	sim     *simulation
 	number  int
@@ -35,11 +36,13 @@
 
 const tick = 5 * time.Millisecond
 
+// after schedules an event, at a multiple of tick.
 func (w *simulation) after(d time.Duration, do func()) {
 	at := (w.now + d + tick) / tick * tick
 	w.timers[at] = append(w.timers[at], do)
 }
 
+// Send implements policy.Host: the member fails the request or serves it in its queue.
 func (h *host) Send(id policy.RequestID, to policy.ServerID, _ policy.Time) {
 	w, sent := h.sim, h.sim.now
 	w.connections[[2]int{h.number, int(to)}] = true
--- a/internal/inflight/tracker_test.go
+++ b/internal/inflight/tracker_test.go
@@ -112,6 +112,7 @@
 	assert.Zero(t, in, "the report has expired")
 }
 
+// No report makes a tracker panic, or leads to a load out of bounds.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{Kind, formatVersion, 0, 1, 0, 3, 4}, 1)
 	f.Add([]byte{Kind, formatVersion, 0, 2, 1, 3, 4, 8, 9, 5, 6}, 1)
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -80,12 +80,14 @@
 	return 0
 }
 
+// count returns how often priors were applied.
 func (g *fakeGateway) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.applied
 }
 
+// open starts a helper program for a gateway of a name.
 func open(t *testing.T, program, name string, g PriorConsumer) *Helper {
 	h := Open(program, pipe.Hello{Me: knowledge.Observer{Name: name, Birth: 1}}, g)
 	t.Cleanup(h.Close)
@@ -148,10 +150,12 @@
 	assert.Equal(t, 1, g.ApplyPriors([]Prior{{Life: b, Pace: 9, Weight: 9}}, at))
 }
 
+// carrier fails all attempts.
 type carrier struct{}
 
 func (carrier) Carry(*core.Attempt) (core.End, core.Answer) { return core.EndReset, core.Answer{} }
 
+// addresses ignores the servers' addresses.
 type addresses struct{}
 
 func (addresses) Set(policy.ServerID, string, policy.ServerState) {}
--- a/internal/knowledge/link/link_test.go
+++ b/internal/knowledge/link/link_test.go
@@ -38,6 +38,7 @@
 	return list
 }
 
+// open opens an exchange for a gateway of a name.
 func open(t *testing.T, name string, own []knowledge.Observation, conf *link.TLS, peers ...string) *link.Exchange {
 	e, err := link.Open(link.Options{Self: knowledge.Observer{Name: name, Birth: 1}, Listen: "127.0.0.1:0", Peers: peers,
 		TLS: conf, Now: now}, own)
@@ -46,6 +47,7 @@
 	return e
 }
 
+// counter returns a counter of an exchange.
 func counter(e *link.Exchange, name string) uint64 {
 	for _, c := range e.Counters() {
 		if c.Name == name {
@@ -55,6 +57,7 @@
 	return 0
 }
 
+// suspects returns the names of the suspects.
 func suspects(list []knowledge.Prior) (names []string) {
 	for _, p := range list {
 		if p.Suspect {
--- a/internal/knowledge/priors_test.go
+++ b/internal/knowledge/priors_test.go
@@ -113,7 +113,7 @@
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "passes")) * time.Millisecond
 			n := rapid.IntRange(0, 10).Draw(t, "listed")
-			listed := lives(n)
+			listed := memberList(n)
 			for i := range listed {
 				listed[i].StartedMs = int64(rapid.IntRange(0, 1).Draw(t, "life"))
 			}
--- a/internal/knowledge/table_test.go
+++ b/internal/knowledge/table_test.go
@@ -16,8 +16,8 @@
 	start  = time.Hour
 )
 
-// lives returns n members.
-func lives(n int) (list []Life) {
+// memberList returns n members.
+func memberList(n int) (list []Life) {
 	for i := range n {
 		list = append(list, Life{Instance: fmt.Sprintf("m-%02d", i)})
 	}
@@ -27,13 +27,13 @@
 // blank returns the table of a gateway that lists ten members and has no facts.
 func blank(me string) *Table {
 	b := New(Options{Self: Observer{Name: me, Birth: 1}})
-	b.SetMembers(lives(10))
+	b.SetMembers(memberList(10))
 	return b
 }
 
 // unseen returns observations of members that the gateway has sent nothing.
 func unseen(n int) (list []Observation) {
-	for _, l := range lives(n) {
+	for _, l := range memberList(n) {
 		list = append(list, Observation{Life: l, Answered: -1, Warmth: 1})
 	}
 	return list
@@ -41,7 +41,7 @@
 
 // well returns the fact of a healthy member.
 func well(by string, seq uint64, member int) Fact {
-	return Fact{Life: lives(member + 1)[member], Observer: Observer{Name: by, Birth: 1}, Seq: seq, Pace: 1, Answers: 8,
+	return Fact{Life: memberList(member + 1)[member], Observer: Observer{Name: by, Birth: 1}, Seq: seq, Pace: 1, Answers: 8,
 		Room: 3, Warmth: 1, Answered: 50 * time.Millisecond}
 }
 
@@ -79,7 +79,7 @@
 // Facts on another incarnation of a member are dropped, and removed when it restarts.
 func TestRestartedMember(t *testing.T) {
 	b := blank("g2")
-	list := lives(10)
+	list := memberList(10)
 	list[3].StartedMs = 77000 // restarted, whether or not at the same address
 	b.SetMembers(list)
 	b.Receive(start, factsOf("g0", 3, 7))
@@ -95,7 +95,7 @@
 // Facts on members that are not listed are dropped.
 func TestUnlistedMember(t *testing.T) {
 	b := blank("g2")
-	b.SetMembers(lives(5)) // the others are draining or have departed
+	b.SetMembers(memberList(5)) // the others are draining or have departed
 	b.Receive(start, factsOf("g0"))
 	assert.Equal(t, uint64(5), b.Counts()[UnknownMember])
 	for _, p := range b.Priors(start, unseen(10)) {
@@ -169,7 +169,7 @@
 // After a million facts the table is within its bounds.
 func TestTableIsBounded(t *testing.T) {
 	b := New(Options{Self: Observer{Name: "g2", Birth: 1}, MaxObservers: 4})
-	b.SetMembers(lives(10))
+	b.SetMembers(memberList(10))
 	for i := range 1000000 {
 		b.receive(start, well(fmt.Sprintf("g%d", 10+i%1000), uint64(i), i%10))
 	}
--- a/internal/ledger/concurrency.go
+++ b/internal/ledger/concurrency.go
@@ -1,7 +1,7 @@
 package ledger
 
 // SlotAvailable reports whether a customer may have one more request in flight, of limit over all n gateways, with
-// so many in flight from here and, as far as is known, from the others. Gateways that don't hear each other
+// so many in flight from here and, as far as is known, from the others. Gateways that receive no messages of each other
 // (connected is false) use equal shares of at least one slot, so that n gateways together have at most limit or n
 // requests in flight, whichever is more.
 func SlotAvailable(limit, local, remote, n int, connected bool) bool {
--- a/internal/ledger/hard_limit.go
+++ b/internal/ledger/hard_limit.go
@@ -21,8 +21,8 @@
 
 // Refill refills the bucket for the time that has passed. It holds at most the burst less what is reserved, which are
 // units that requests in progress will draw later.
-func (p *BucketShare) Refill(l Limit, elapsed time.Duration, reserved float64) {
-	p.Tokens = math.Min(l.Burst-reserved, p.Tokens+math.Max(0, elapsed.Seconds())*l.Rate)
+func (b *BucketShare) Refill(l Limit, elapsed time.Duration, reserved float64) {
+	b.Tokens = math.Min(l.Burst-reserved, b.Tokens+math.Max(0, elapsed.Seconds())*l.Rate)
 }
 
 // grantSteps is the resolution of a grant message, one byte: the upper four bits are the sender's deficit, which is
@@ -33,15 +33,15 @@
 // Grant returns the grant message to a peer that has last reported peerDeficit. It grants the difference of the two
 // deficits, divided by the n shares, so that any number of givers level the shares and none gives away more than it has
 // in excess. The granted tokens are subtracted here.
-func (p *BucketShare) Grant(l Limit, peerDeficit byte, n int) byte {
+func (b *BucketShare) Grant(l Limit, peerDeficit byte, n int) byte {
 	if l.Burst <= 0 {
 		return 0
 	}
-	deficit := math.Max(0, math.Min(1, 1-p.Tokens/l.Burst))
+	deficit := math.Max(0, math.Min(1, 1-b.Tokens/l.Burst))
 	grant := 0.0
 	if gap := float64(peerDeficit)/grantSteps - deficit; gap > 0 && n > 1 {
 		grant = math.Floor(gap * grantSteps / float64(n))
-		p.Tokens -= grant / grantSteps * l.Burst
+		b.Tokens -= grant / grantSteps * l.Burst
 		deficit += grant / grantSteps
 	}
 	return byte(math.Min(grantSteps-1, math.Floor(deficit*grantSteps)))<<4 | byte(grant)
@@ -49,15 +49,15 @@
 
 // Receive adds the tokens that a peer's grant message brings, unless it is late. It returns the peer's deficit, and
 // whether the two shares are so uneven that one should grant the other some: a message to the peer is due then.
-func (p *BucketShare) Receive(l Limit, message byte, n int, late bool) (peerDeficit byte, uneven bool) {
+func (b *BucketShare) Receive(l Limit, message byte, n int, late bool) (peerDeficit byte, uneven bool) {
 	peerDeficit = message >> 4
 	if l.Burst <= 0 {
 		return 0, false
 	}
 	if !late {
 		granted := float64(message&(grantSteps-1)) / grantSteps * l.Burst
-		p.Tokens = math.Max(p.Tokens, math.Min(l.Burst, p.Tokens+granted))
+		b.Tokens = math.Max(b.Tokens, math.Min(l.Burst, b.Tokens+granted))
 	}
-	difference := float64(peerDeficit)/grantSteps - math.Max(0, 1-p.Tokens/l.Burst)
+	difference := float64(peerDeficit)/grantSteps - math.Max(0, 1-b.Tokens/l.Burst)
 	return peerDeficit, math.Abs(difference) >= float64(n)/grantSteps
 }
--- a/internal/ledger/slow_start.go
+++ b/internal/ledger/slow_start.go
@@ -32,28 +32,28 @@
 // Allows reports whether the share has room for one attempt now. A share below one attempt accrues as credit. Credit
 // is used at a random time, that of the next request, as there may be hundreds of gateways, and expires after half a
 // window.
-func (c *SlowStartBudget) Allows(now time.Duration, l SlowStartLimit) bool {
-	for len(c.Sent) > 0 && now-c.Sent[0] > l.Window {
-		c.Sent = c.Sent[1:]
+func (b *SlowStartBudget) Allows(now time.Duration, l SlowStartLimit) bool {
+	for len(b.Sent) > 0 && now-b.Sent[0] > l.Window {
+		b.Sent = b.Sent[1:]
 	}
 	budget := math.Max(slowStartMargin*l.Multiple*l.Capacity, 1/float64(l.Gateways))
 	if budget < 1 {
 		// Every gateway that has credit uses it, so these shares add up to what the server can do, not to the multiple.
 		budget /= math.Max(1, slowStartMargin*l.Multiple) * math.Max(1, l.Slowdown)
 	}
-	c.Credit += budget * (now - c.CreditedAt).Seconds() / l.Window.Seconds()
-	c.Credit -= math.Max(0, math.Ceil(c.Credit-1-budget/2))
-	c.CreditedAt = now
-	return float64(len(c.Sent))+1 <= budget || len(c.Sent) == 0 && c.Credit >= 1
+	b.Credit += budget * (now - b.CreditedAt).Seconds() / l.Window.Seconds()
+	b.Credit -= math.Max(0, math.Ceil(b.Credit-1-budget/2))
+	b.CreditedAt = now
+	return float64(len(b.Sent))+1 <= budget || len(b.Sent) == 0 && b.Credit >= 1
 }
 
 // RecordSend counts an attempt that was sent.
-func (c *SlowStartBudget) RecordSend(now time.Duration) {
-	c.Sent = append(c.Sent, now)
-	c.Credit--
+func (b *SlowStartBudget) RecordSend(now time.Duration) {
+	b.Sent = append(b.Sent, now)
+	b.Credit--
 }
 
 // SentWithin reports whether an attempt was sent within the window before now.
-func (c *SlowStartBudget) SentWithin(now, window time.Duration) bool {
-	return len(c.Sent) > 0 && now-c.Sent[len(c.Sent)-1] <= window
+func (b *SlowStartBudget) SentWithin(now, window time.Duration) bool {
+	return len(b.Sent) > 0 && now-b.Sent[len(b.Sent)-1] <= window
 }
--- a/internal/ledger/slow_start_test.go
+++ b/internal/ledger/slow_start_test.go
@@ -15,6 +15,7 @@
 	freeAt      time.Duration
 }
 
+// answerAt returns when a request that arrives now will be answered.
 func (s *warmingServer) answerAt(now time.Duration) time.Duration {
 	s.freeAt = max(s.freeAt, now) + s.serviceTime
 	return s.freeAt
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -13,6 +13,7 @@
 // Delete deletes a key. It copies it.
 func (b *Batch) Delete(key []byte) { b.add(kindDelete, key, nil) }
 
+// add appends a record.
 func (b *Batch) add(kind byte, key, value []byte) {
 	b.records = append(b.records, record{kind: kind, key: bytes.Clone(key), value: bytes.Clone(value)})
 }
--- a/internal/store/concurrent_write_test.go
+++ b/internal/store/concurrent_write_test.go
@@ -18,11 +18,13 @@
 	beforeSync func()
 }
 
+// hookedFile is a segment of a hookedFS.
 type hookedFile struct {
 	store.File
 	beforeSync func()
 }
 
+// Open implements store.FS.
 func (h *hookedFS) Open(name string, create bool) (store.File, error) {
 	f, err := h.FS.Open(name, create)
 	if err == nil && strings.HasSuffix(name, ".seg") {
@@ -31,6 +33,7 @@
 	return f, err
 }
 
+// Sync implements store.File.
 func (f hookedFile) Sync() error { f.beforeSync(); return f.File.Sync() }
 
 // A key is written again while its previous value is being flushed, and a checkpoint is written before the new value is
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -7,7 +7,7 @@
 // in memory maps each key to the location of its newest record. It departs from Bitcask in four points. Records of
 // several keys form atomic batches. A manifest names the files that make up the store, and is replaced atomically, as
 // in LevelDB and Pebble. Checkpoints of the index take the place of hint files. And every record carries the sequence
-// number that was durable when it was written, which tells a torn write from lost data (see Recovery).
+// number that was durable when it was written, which distinguishes a torn write from lost data (see Recovery).
 //
 // # Durability
 //
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -52,6 +52,7 @@
 // dirFS is a directory of the operating system, by its path.
 type dirFS string
 
+// Open implements FS.
 func (f dirFS) Open(name string, create bool) (File, error) {
 	flags := os.O_RDWR
 	if create {
@@ -64,12 +65,15 @@
 	return osFile{file}, nil
 }
 
+// Rename implements FS.
 func (f dirFS) Rename(from, to string) error {
 	return os.Rename(filepath.Join(string(f), from), filepath.Join(string(f), to))
 }
 
+// Remove implements FS.
 func (f dirFS) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
 
+// List implements FS.
 func (f dirFS) List() (names []string, err error) {
 	list, err := os.ReadDir(string(f))
 	for _, e := range list {
@@ -78,6 +82,7 @@
 	return names, err
 }
 
+// Sync implements FS.
 func (f dirFS) Sync() error {
 	d, err := os.Open(string(f))
 	if err != nil {
@@ -87,6 +92,7 @@
 	return d.Sync()
 }
 
+// Lock implements FS.
 func (f dirFS) Lock(name string) (func(), error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -105,6 +111,7 @@
 // osFile adds Size to an os.File.
 type osFile struct{ *os.File }
 
+// Size implements File.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/keep/keep_test.go
@@ -38,6 +38,7 @@
 
 func (g *gateway) RestoreBalances(list []policy.QuotaBalance) { g.restored = list }
 
+// consume changes balances.
 func (g *gateway) consume(list ...policy.QuotaBalance) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,6 +48,7 @@
 // accountKeyFor returns an account's key with a plan.
 func accountKeyFor(account, plan uint64) uint64 { return account<<32 | plan<<24 | 2 }
 
+// fixture is a Keeper that runs, and its gateway.
 type fixture struct {
 	opt     Options
 	gateway *gateway
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -127,9 +127,9 @@
 	RecoveryTime   time.Duration
 }
 
-// Open opens the store in a directory, and creates it in an empty one. It locks the directory (ErrLocked), recovers the
-// index and increments the epoch. It returns a *CorruptionError if acknowledged data is missing; Verify tells more, and
-// Repair salvages the rest.
+// Open opens the store in a directory, and creates it in an empty one. It locks the directory (ErrLocked), recovers
+// the index and increments the epoch. It returns a *CorruptionError if acknowledged data is missing; Verify reports
+// more, and Repair salvages the rest.
 func Open(fs FS, opt Options) (*Store, error) {
 	unlock, err := fs.Lock(lockName)
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -22,12 +22,14 @@
 // noBackgroundFlush are options with which nothing is flushed unless a writer waits for it.
 var noBackgroundFlush = store.Options{FlushInterval: time.Hour}
 
+// open opens a store that must open.
 func open(t testing.TB, fs store.FS, opt store.Options) *store.Store {
 	s, err := store.Open(fs, opt)
 	require.NoError(t, err)
 	return s
 }
 
+// put writes pairs of keys and values as one batch.
 func put(t testing.TB, s *store.Store, d store.Durability, pairs ...string) {
 	var b store.Batch
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -36,6 +38,7 @@
 	require.NoError(t, s.Write(&b, d))
 }
 
+// all returns the content of a store.
 func all(t testing.TB, s *store.Store) map[string]string {
 	m := map[string]string{}
 	require.NoError(t, s.Each(nil, func(k, v []byte) bool { m[string(k)] = string(v); return true }))
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -76,6 +76,7 @@
 	err  error         // of the flush; written before done is closed
 }
 
+// newCommitGroup returns an empty group.
 func newCommitGroup() *commitGroup { return &commitGroup{done: make(chan struct{})} }
 
 // finish records the result of the flush and wakes the writers. It is called once.
--- a/internal/storm/bloom.go
+++ b/internal/storm/bloom.go
@@ -8,27 +8,27 @@
 type BloomFilter [bloomBytes]byte
 
 // add adds a key.
-func (s *BloomFilter) add(k uint64) {
+func (f *BloomFilter) add(k uint64) {
 	for _, h := range [...]uint64{k, k >> 24} {
-		s[h/8%bloomBytes] |= 1 << (h % 8)
+		f[h/8%bloomBytes] |= 1 << (h % 8)
 	}
 }
 
 // contains reports whether a key is probably in the set. A filter of which more than half the bits are set would
 // have too many false positives, and contains nothing.
-func (s *BloomFilter) contains(k uint64) bool {
+func (f *BloomFilter) contains(k uint64) bool {
 	for _, h := range [...]uint64{k, k >> 24} {
-		if s[h/8%bloomBytes]>>(h%8)&1 == 0 {
+		if f[h/8%bloomBytes]>>(h%8)&1 == 0 {
 			return false
 		}
 	}
-	return !s.saturated()
+	return !f.saturated()
 }
 
 // saturated reports whether more than half of the bits are set.
-func (s *BloomFilter) saturated() bool {
+func (f *BloomFilter) saturated() bool {
 	n := 0
-	for _, b := range s {
+	for _, b := range f {
 		n += bits.OnesCount8(b)
 	}
 	return n > bloomBytes*8/2
--- a/internal/storm/simulation_test.go
+++ b/internal/storm/simulation_test.go
@@ -37,6 +37,7 @@
 	t               *testing.T
 }
 
+// test returns the test that the simulation is of, if it was set.
 func (w *simulation) test() *testing.T { return w.t }
 
 // member is a pool member.
@@ -76,6 +77,7 @@
 	{LatencyTarget: latencyTarget, Value: 3, NonIdempotent: true},
 }
 
+// newSimulation returns a simulation with a load that is a ratio of the members' capacity.
 func newSimulation(seed uint64, gateways, members int, load float64) *simulation {
 	w := &simulation{now: simulationStart, rng: rand.New(rand.NewPCG(seed, 1)),
 		arrivalRate: load * float64(members) * capacity, guarded: true,
@@ -291,6 +293,7 @@
 	}
 }
 
+// allMembers returns the indices of all members.
 func (w *simulation) allMembers() (list []int) {
 	for i := range w.members {
 		list = append(list, i)
