--- a/internal/front/clientgone_test.go
+++ b/internal/front/clientgone_test.go
@@ -33,13 +33,13 @@
 
 // The same holds for a request that was pipelined itself, in part or whole, with more behind it.
 func TestClientGoneInPipelinedRequest(t *testing.T) {
-	one := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+	request := "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 	for at := 2; at <= 4; at++ {
-		all := strings.Repeat(one, 6)
-		for cut := len(one); cut <= len(all); cut++ {
+		all := strings.Repeat(request, 6)
+		for cut := len(request); cut <= len(all); cut++ {
 			checkClientGone(t, at, all[:cut], all[cut:])
 		}
-		checkClientGone(t, at, strings.Repeat(one, 140), strings.Repeat(one, 20))
+		checkClientGone(t, at, strings.Repeat(request, 140), strings.Repeat(request, 20))
 	}
 }
 
--- a/internal/gateway/admission/load_test.go
+++ b/internal/gateway/admission/load_test.go
@@ -76,19 +76,19 @@
 					i--
 				}
 			}
-			for _, one := range due {
+			for _, request := range due {
 				gateway := w.gateways[w.random.IntN(gateways)]
-				route := &snapshot.Routes[one.route]
+				route := &snapshot.Routes[request.route]
 				backlog := max(0, w.queue.free-now)
 				gateway.ObserveLoad(now, backendName, min(1, backlog.Seconds()/0.1), false)
 				decision := Decision{Admit: true}
 				if admit {
-					decision = gateway.Admit(now, route, &snapshot.Tenants[one.tenant],
-						Request{PromptTokens: int(one.cost), Remaining: deadline - (now - one.first)})
+					decision = gateway.Admit(now, route, &snapshot.Tenants[request.tenant],
+						Request{PromptTokens: int(request.cost), Remaining: deadline - (now - request.first)})
 				}
-				back := one.first != one.at
-				counts := []*outcome{&routes[one.route], &tenants[one.tenant], &all}
-				if one.cost > 2.3*meanCost {
+				back := request.first != request.at
+				counts := []*outcome{&routes[request.route], &tenants[request.tenant], &all}
+				if request.cost > 2.3*meanCost {
 					counts = append(counts, &largest)
 				}
 				for _, count := range counts {
@@ -98,17 +98,17 @@
 				}
 				if !decision.Admit {
 					if !back {
-						one.at = now + decision.RetryAfter
-						w.returning = append(w.returning, one)
+						request.at = now + decision.RetryAfter
+						w.returning = append(w.returning, request)
 					}
 					continue
 				}
-				latency := w.queue.serve(now, one.cost)
+				latency := w.queue.serve(now, request.cost)
 				gateway.Sent(now, route.Name)
 				gateway.Attempt(now, route.Name, latency)
 				for _, count := range counts {
 					count.served++
-					if now+latency-one.first <= target {
+					if now+latency-request.first <= target {
 						count.inTime++
 					}
 				}
--- a/internal/gateway/admission/shedding.go
+++ b/internal/gateway/admission/shedding.go
@@ -152,9 +152,9 @@
 // forgetRemoved drops the steps of groups that were removed.
 func (a *Admission) forgetRemoved() {
 	kept := a.actions[:0]
-	for _, one := range a.actions {
-		if a.groups[one.group.name] == one.group {
-			kept = append(kept, one)
+	for _, action := range a.actions {
+		if a.groups[action.group.name] == action.group {
+			kept = append(kept, action)
 		}
 	}
 	a.actions = kept
--- a/internal/gateway/admission/window.go
+++ b/internal/gateway/admission/window.go
@@ -50,10 +50,10 @@
 // recent sums the newest slots, as many as needed for minSamples.
 func (g *group) recent() (sum slot) {
 	for back := 0; back < windowSlots && sum.count < minSamples; back++ {
-		one := &g.window[(g.current-back+windowSlots)%windowSlots]
-		sum.count += one.count
-		sum.late += one.late
-		for i, n := range one.buckets {
+		past := &g.window[(g.current-back+windowSlots)%windowSlots]
+		sum.count += past.count
+		sum.late += past.late
+		for i, n := range past.buckets {
 			sum.buckets[i] += n
 		}
 	}
@@ -84,8 +84,8 @@
 func (g *group) stillLate() bool {
 	count, late := uint32(0), uint32(0)
 	for back := range recentSlots {
-		one := &g.window[(g.current-back+windowSlots)%windowSlots]
-		count, late = count+one.count, late+one.late
+		past := &g.window[(g.current-back+windowSlots)%windowSlots]
+		count, late = count+past.count, late+past.late
 	}
 	return late > 0 && float64(late) > lateShare*float64(count)
 }
--- a/internal/gateway/batchproxy/caller_test.go
+++ b/internal/gateway/batchproxy/caller_test.go
@@ -70,7 +70,7 @@
 		answer, decided := s.run(context.Background())
 		return answer, decided, s
 	}
-	say := func(one attempt) func() attempt { return func() attempt { return one } }
+	say := func(result attempt) func() attempt { return func() attempt { return result } }
 	Convey("If one doesn't answer another is asked, and its answer counts", t, func() {
 		neverClosed := make(chan struct{})
 		defer close(neverClosed)
--- a/internal/gateway/batchproxy/connections.go
+++ b/internal/gateway/batchproxy/connections.go
@@ -32,12 +32,12 @@
 // callProcess sends the call to one store. transport.ErrNotConnected means that it wasn't sent; after any other error
 // the store may have got it.
 func (c *Caller) callProcess(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) {
-	one := c.acquire(ip)
-	defer c.release(one)
+	conn := c.acquire(ip)
+	defer c.release(conn)
 	wait := time.NewTimer(connectTimeout)
 	defer wait.Stop()
 	select {
-	case <-one.up:
+	case <-conn.up:
 	case <-wait.C:
 		return protocol.BatchAnswer{}, transport.ErrNotConnected
 	case <-ctx.Done():
@@ -45,7 +45,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout+time.Duration(call.WaitMs)*time.Millisecond)
 	defer cancel()
-	reply, err := one.client.Call(ctx, call)
+	reply, err := conn.client.Call(ctx, call)
 	if err != nil {
 		return protocol.BatchAnswer{}, err
 	}
@@ -61,40 +61,40 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	for other, one := range c.connections {
-		if one.users == 0 && now.Sub(one.lastUsed) > idleTimeout {
-			one.client.Close()
+	for other, conn := range c.connections {
+		if conn.users == 0 && now.Sub(conn.lastUsed) > idleTimeout {
+			conn.client.Close()
 			delete(c.connections, other)
 		}
 	}
-	one := c.connections[ip]
-	if one == nil {
-		one = &connection{up: make(chan struct{})}
+	conn := c.connections[ip]
+	if conn == nil {
+		conn = &connection{up: make(chan struct{})}
 		var once sync.Once
-		one.client = transport.NewClient(c.settings.EndpointAt(ip, node.PortBatch), c.options, nil, func(up bool) {
+		conn.client = transport.NewClient(c.settings.EndpointAt(ip, node.PortBatch), c.options, nil, func(up bool) {
 			if up {
-				once.Do(func() { close(one.up) })
+				once.Do(func() { close(conn.up) })
 			}
 		})
-		c.connections[ip] = one
+		c.connections[ip] = conn
 	}
-	one.users++
-	one.lastUsed = now
-	return one
+	conn.users++
+	conn.lastUsed = now
+	return conn
 }
 
 // release ends a call's use of a connection.
-func (c *Caller) release(one *connection) {
+func (c *Caller) release(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one.users--
+	conn.users--
 }
 
 // Close closes all connections.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, one := range c.connections {
-		one.client.Close()
+	for _, conn := range c.connections {
+		conn.client.Close()
 	}
 }
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -79,21 +79,21 @@
 	for i := range list.Servers {
 		server := &list.Servers[i]
 		previous, known := r.entries[server.ID]
-		now := entry{number: previous.number, address: server.Address, state: policy.Ready}
+		current := entry{number: previous.number, address: server.Address, state: policy.Ready}
 		if !known {
 			r.lastNumber++
-			now.number = r.lastNumber
+			current.number = r.lastNumber
 		}
 		if server.Draining {
-			now.state = policy.Draining
+			current.state = policy.Draining
 		} else {
-			one := &Server{Server: *server, Number: now.number, Hash: xxhash.Sum64String(server.ID)}
-			table.backends[server.Backend] = append(table.backends[server.Backend], one)
-			table.numbers[now.number] = one
+			selectable := &Server{Server: *server, Number: current.number, Hash: xxhash.Sum64String(server.ID)}
+			table.backends[server.Backend] = append(table.backends[server.Backend], selectable)
+			table.numbers[current.number] = selectable
 		}
-		next[server.ID] = now
-		if !known || now != previous {
-			changes = append(changes, pool.Change{ID: now.number, Address: now.address, State: now.state})
+		next[server.ID] = current
+		if !known || current != previous {
+			changes = append(changes, pool.Change{ID: current.number, Address: current.address, State: current.state})
 		}
 	}
 	for id, old := range r.entries {
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -87,11 +87,11 @@
 func (c *Counts) Add(route string, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one := key{Route: route, Outcome: outcome}
-	if _, known := c.totals[one]; !known && len(c.totals) >= maxKeys {
-		one.Route = ""
+	labels := key{Route: route, Outcome: outcome}
+	if _, known := c.totals[labels]; !known && len(c.totals) >= maxKeys {
+		labels.Route = ""
 	}
-	c.totals[one]++
+	c.totals[labels]++
 }
 
 // RouteCount is the number of a route's requests with one outcome.
@@ -113,9 +113,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delta := map[key]uint64{}
-	for one, count := range c.totals {
-		if count > c.reported[one] {
-			delta[one] = count - c.reported[one]
+	for labels, count := range c.totals {
+		if count > c.reported[labels] {
+			delta[labels] = count - c.reported[labels]
 		}
 	}
 	c.reported = maps.Clone(c.totals)
@@ -125,8 +125,8 @@
 // sortedTotals returns counts in a fixed order: by route, then by outcome.
 func sortedTotals(counts map[key]uint64) []RouteCount {
 	list := make([]RouteCount, 0, len(counts))
-	for one, count := range counts {
-		list = append(list, RouteCount{Route: one.Route, Outcome: one.Outcome, Count: count})
+	for labels, count := range counts {
+		list = append(list, RouteCount{Route: labels.Route, Outcome: labels.Outcome, Count: count})
 	}
 	slices.SortFunc(list, func(a, b RouteCount) int {
 		return cmp.Or(cmp.Compare(a.Route, b.Route), cmp.Compare(a.Outcome, b.Outcome))
@@ -141,8 +141,8 @@
 	if err != nil {
 		return err
 	}
-	for _, one := range c.Totals() {
-		_, err := fmt.Fprintf(w, "%s{route=%q,outcome=%q} %d\n", name, one.Route, one.Outcome, one.Count)
+	for _, total := range c.Totals() {
+		_, err := fmt.Fprintf(w, "%s{route=%q,outcome=%q} %d\n", name, total.Route, total.Outcome, total.Count)
 		if err != nil {
 			return err
 		}
--- a/internal/gateway/proxy/deadline_test.go
+++ b/internal/gateway/proxy/deadline_test.go
@@ -75,7 +75,7 @@
 		fmt.Sscan(s.Header.Get(headerLastEventID), &after)
 		return streams(after+1, "", false)(p, c, s)
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		route string
 		reply fake.Reply
 		most  int // overrides what the route allows; 0: as the route does
@@ -88,18 +88,18 @@
 		"unsafe":       {"unsafe", fake.Reset, 1},
 	} {
 		for allowed := 1; allowed <= 4; allowed++ {
-			r := startGateway(t, 6, one.reply)
+			r := startGateway(t, 6, test.reply)
 			r.changeConfiguration(func(d *configuration.Document) {
 				for i := range d.Routes {
 					d.Routes[i].MaxAttempts = allowed
 				}
 			})
-			r.ask(http.MethodPost, "/"+one.route+"/x")
+			r.ask(http.MethodPost, "/"+test.route+"/x")
 			reached := 0
 			for _, peer := range r.servers {
 				reached += min(1, len(peer.Seen()))
 			}
-			assert.Equal(t, cmp.Or(one.most, allowed), reached, "%s: %d allowed", name, allowed)
+			assert.Equal(t, cmp.Or(test.most, allowed), reached, "%s: %d allowed", name, allowed)
 			assert.Len(t, r.seen(), reached, "%s: a server twice", name)
 		}
 	}
--- a/internal/gateway/proxy/random_test.go
+++ b/internal/gateway/proxy/random_test.go
@@ -145,13 +145,13 @@
 		servers = 2
 	}
 	arrivals := 0
-	for _, one := range w.arrivals {
-		if one.id != "id" {
+	for _, arrival := range w.arrivals {
+		if arrival.id != "id" {
 			continue // of a request that follows it
 		}
 		arrivals++
-		assert.LessOrEqual(w.check, one.at.Add(one.deadline).Sub(w.began), d.most()+4*d.latency, what)
-		assert.LessOrEqual(w.check, one.at.Sub(over), 6*d.latency, what)
+		assert.LessOrEqual(w.check, arrival.at.Add(arrival.deadline).Sub(w.began), d.most()+4*d.latency, what)
+		assert.LessOrEqual(w.check, arrival.at.Sub(over), 6*d.latency, what)
 	}
 	assert.LessOrEqual(w.check, arrivals-int(d.rejections.Load()), servers, what)
 	if d.leavesAfter > 0 {
--- a/internal/gateway/proxy/reconfiguration_test.go
+++ b/internal/gateway/proxy/reconfiguration_test.go
@@ -96,8 +96,8 @@
 // changeServers puts a changed list of servers in force.
 func (r *testGateway) changeServers(change func(*protocol.Server)) {
 	list := &protocol.ServerList{Version: 2}
-	for _, one := range r.registry.Current().ForBackend("b") {
-		changed := one.Server
+	for _, server := range r.registry.Current().ForBackend("b") {
+		changed := server.Server
 		change(&changed)
 		list.Servers = append(list.Servers, changed)
 	}
--- a/internal/gateway/proxy/request_test.go
+++ b/internal/gateway/proxy/request_test.go
@@ -68,19 +68,19 @@
 		"too long":          {"/safe/x", []string{"Content-Length", "10001"}, 413},
 		"length and chunks": {"/safe/x", []string{"Transfer-Encoding", "chunked", "Content-Length", "8"}, 400},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		Convey(name, t, func() {
 			r := startGateway(t, 1, good)
-			got := r.ask("POST", one.path, one.header...)
-			So(got.status, ShouldEqual, one.status)
+			got := r.ask("POST", test.path, test.header...)
+			So(got.status, ShouldEqual, test.status)
 			So(r.seen(), ShouldBeEmpty)
 		})
 	}
 	Convey("A request with an unknown route or key is denied only after control has confirmed that", t, func() {
 		r := startGateway(t, 1, good)
 		r.control.reachable.Store(false)
-		for _, one := range []string{"no route", "unknown key"} {
-			got := r.ask("POST", cases[one].path, cases[one].header...)
+		for _, test := range []string{"no route", "unknown key"} {
+			got := r.ask("POST", cases[test].path, cases[test].header...)
 			So(got.status, ShouldEqual, 503)
 			So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 		}
--- a/internal/gateway/proxy/stream_test.go
+++ b/internal/gateway/proxy/stream_test.go
@@ -103,8 +103,8 @@
 
 func lastEvents(r *testGateway) map[string]int {
 	all := map[string]int{}
-	for _, one := range r.seen() {
-		all[one.Header.Get("Last-Event-Id")]++
+	for _, request := range r.seen() {
+		all[request.Header.Get("Last-Event-Id")]++
 	}
 	return all
 }
--- a/internal/gateway/proxy/timing_test.go
+++ b/internal/gateway/proxy/timing_test.go
@@ -22,7 +22,7 @@
 
 func checkForwardedDeadlines(g ruleCheck) {
 	refuses := responds(503, "X-Not-Executed: 1\r\n", "")
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		route  string
 		script []fake.Reply
 	}{
@@ -37,14 +37,14 @@
 		"taken up before an event": {"resume", []fake.Reply{neverResponds, goodStream}},
 	} {
 		for deadlineMs, limit := range map[string]time.Duration{"2500": 2500 * time.Millisecond, "60000": routeTimeout, "": routeTimeout} {
-			g.play(4, one.script, func(w *virtualTimeGateway) {
-				got := readToEnd(w.send(one.route, deadlineMs, "the body", ""))
+			g.play(4, test.script, func(w *virtualTimeGateway) {
+				got := readToEnd(w.send(test.route, deadlineMs, "the body", ""))
 				assert.Equal(g.check, 200, got.status, name)
 				assert.NoError(g.check, got.err, name)
 				assert.Contains(g.check, []string{"good", eventsTo(5)}, got.body, name)
 				w.mu.Lock()
 				defer w.mu.Unlock()
-				assert.Len(g.check, w.arrivals, len(one.script), name)
+				assert.Len(g.check, w.arrivals, len(test.script), name)
 				for i, a := range w.arrivals {
 					ends := a.at.Add(a.deadline).Sub(w.began)
 					assert.LessOrEqual(g.check, ends, limit+3*timedLatency, "%s, attempt %d", name, i)
@@ -143,8 +143,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	assert.Len(w.check, w.ends, len(w.arrivals), what)
-	for _, one := range w.arrivals {
-		assert.LessOrEqual(w.check, one.at.Sub(left), soon, what)
+	for _, arrival := range w.arrivals {
+		assert.LessOrEqual(w.check, arrival.at.Sub(left), soon, what)
 	}
 	for _, end := range w.ends {
 		assert.LessOrEqual(w.check, end.Sub(left), soon, what)
@@ -173,7 +173,7 @@
 
 // TestRulesFindBugs shows that each rule is violated without the mechanism that keeps it.
 func TestRulesFindBugs(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		planted injectedBugs
 		rule    func(ruleCheck)
 	}{
@@ -183,6 +183,6 @@
 		"servers don't learn that a client has left":      {injectedBugs{ignoreDisconnect: true}, checkDisconnectPropagation},
 		"a request is written though its client has left": {injectedBugs{ignoreDisconnect: true}, checkDisconnectWhileDialling},
 	} {
-		assert.True(t, violates(t, one.planted, one.rule), name)
+		assert.True(t, violates(t, test.planted, test.rule), name)
 	}
 }
--- a/internal/gateway/quotaclient/allocator.go
+++ b/internal/gateway/quotaclient/allocator.go
@@ -103,13 +103,13 @@
 // resolve decides about the requests that wait, the oldest first. mutex is held.
 func (l *Limiter) resolve(now time.Duration) {
 	kept := l.waiters[:0]
-	for _, one := range l.waiters {
-		verdict := l.client.Resolve(now, one.tenant)
+	for _, pending := range l.waiters {
+		verdict := l.client.Resolve(now, pending.tenant)
 		if verdict.Wait {
-			kept = append(kept, one)
+			kept = append(kept, pending)
 			continue
 		}
-		one.decided <- l.count(now, one.tenant, verdict)
+		pending.decided <- l.count(now, pending.tenant, verdict)
 	}
 	clear(l.waiters[len(kept):])
 	l.waiters = kept
--- a/internal/gateway/quotaclient/limiter.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -133,10 +133,10 @@
 	case l.client.AllocatorTimedOut(now):
 		return l.count(now, tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, tenant)}), nil, 0
 	}
-	one := &waiter{tenant: tenant, decided: make(chan Decision, 1)}
-	l.waiters = append(l.waiters, one)
+	pending := &waiter{tenant: tenant, decided: make(chan Decision, 1)}
+	l.waiters = append(l.waiters, pending)
 	l.wake()
-	return Decision{}, one, wait
+	return Decision{}, pending, wait
 }
 
 // count counts a decision. mutex is held.
@@ -151,17 +151,17 @@
 }
 
 // abandon ends a wait, unless it has just been decided.
-func (l *Limiter) abandon(one *waiter) Decision {
+func (l *Limiter) abandon(pending *waiter) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for i, other := range l.waiters {
-		if other == one {
+		if other == pending {
 			l.waiters = append(l.waiters[:i], l.waiters[i+1:]...)
 			now := l.now()
-			return l.count(now, one.tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, one.tenant)})
+			return l.count(now, pending.tenant, quota.Verdict{RetryAfter: l.client.Cancel(now, pending.tenant)})
 		}
 	}
-	return <-one.decided
+	return <-pending.decided
 }
 
 // Charge counts a retry of a request that a server may have run.
--- a/internal/gateway/quotaclient/rejection_log.go
+++ b/internal/gateway/quotaclient/rejection_log.go
@@ -26,13 +26,13 @@
 	if r.tenants == nil {
 		r.tenants = map[string]tenantRejections{}
 	}
-	one := r.tenants[tenant]
+	rejections := r.tenants[tenant]
 	if unreachable {
-		one.unreachable++
+		rejections.unreachable++
 	} else {
-		one.overLimit++
+		rejections.overLimit++
 	}
-	r.tenants[tenant] = one
+	r.tenants[tenant] = rejections
 }
 
 // write logs a line for each tenant with rejections.
@@ -41,9 +41,9 @@
 		return
 	}
 	r.next = now + rejectionLogInterval
-	for tenant, one := range r.tenants {
-		log.Info().Str("tenant", tenant).Int("over_limit", one.overLimit).
-			Int("no_allocator", one.unreachable).Msg("quota_rejected")
+	for tenant, rejections := range r.tenants {
+		log.Info().Str("tenant", tenant).Int("over_limit", rejections.overLimit).
+			Int("no_allocator", rejections.unreachable).Msg("quota_rejected")
 	}
 	clear(r.tenants)
 }
--- a/internal/gateway/ready_port.go
+++ b/internal/gateway/ready_port.go
@@ -42,9 +42,9 @@
 			return
 		case <-ticker.C:
 		}
-		for _, one := range g.proxy.Outcomes.Delta() {
-			g.log.Info().Str("route", one.Route).Str("outcome", string(one.Outcome)).
-				Uint64("requests", one.Count).Msg("outcomes")
+		for _, delta := range g.proxy.Outcomes.Delta() {
+			g.log.Info().Str("route", delta.Route).Str("outcome", string(delta.Outcome)).
+				Uint64("requests", delta.Count).Msg("outcomes")
 		}
 	}
 }
--- a/internal/gateway/serverselection/affinity.go
+++ b/internal/gateway/serverselection/affinity.go
@@ -59,9 +59,9 @@
 	if all < minAffinityTokens {
 		return 0, false
 	}
-	for _, one := range shared {
-		if 2*one.Tokens >= all {
-			return one.Hash, true
+	for _, part := range shared {
+		if 2*part.Tokens >= all {
+			return part.Hash, true
 		}
 	}
 	return 0, false
--- a/internal/gateway/serverselection/reported_load.go
+++ b/internal/gateway/serverselection/reported_load.go
@@ -28,11 +28,11 @@
 	drawn := make([]*endpoints.Server, 0, sampleSize+2)
 	reported := false
 	for range maxDraws {
-		one := list[s.random.IntN(len(list))]
-		_, _, known := s.loads.Lookup(now, one.Hash)
+		server := list[s.random.IntN(len(list))]
+		_, _, known := s.loads.Lookup(now, server.Hash)
 		reported = reported || known
-		if !s.failing(now, one) {
-			drawn = append(drawn, one)
+		if !s.failing(now, server) {
+			drawn = append(drawn, server)
 		}
 		if len(drawn) == sampleSize {
 			break
@@ -43,9 +43,9 @@
 	}
 	s.lastReport[list[0].Backend] = now
 	if preferred.primary != 0 {
-		for _, one := range list {
-			if (one.Number == preferred.primary || one.Number == preferred.secondary) && !s.failing(now, one) {
-				drawn = append(drawn, one)
+		for _, server := range list {
+			if (server.Number == preferred.primary || server.Number == preferred.secondary) && !s.failing(now, server) {
+				drawn = append(drawn, server)
 			}
 		}
 	}
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -100,12 +100,12 @@
 		if criteria.MaxInFlight > 0 && state.inFlight >= criteria.MaxInFlight {
 			continue
 		}
-		one := candidate{server: server, state: state, cost: s.cost(now, server, state, &criteria.Workload, preferred)}
+		current := candidate{server: server, state: state, cost: s.cost(now, server, state, &criteria.Workload, preferred)}
 		if state.ejection.available(now, state.inFlight) {
-			best = cheaper(best, one)
+			best = cheaper(best, current)
 		} else {
-			one.cost = float64(state.ejection.ejectedUntil.Sub(now))
-			ejected = cheaper(ejected, one)
+			current.cost = float64(state.ejection.ejectedUntil.Sub(now))
+			ejected = cheaper(ejected, current)
 		}
 	}
 	return best, ejected
--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -58,10 +58,10 @@
 }
 
 // noteListAge takes in how old the server list is, by the answer to a poll.
-func (s *Subscription) noteListAge(sent time.Time, update *protocol.Update) {
+func (s *Subscription) observeListAge(sent time.Time, update *protocol.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.serverList.answered(sent, update)
+	s.serverList.observeAnswer(sent, update)
 }
 
 // applyConfiguration applies a newer configuration. If the update doesn't apply to the configuration held, the next
--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -25,18 +25,18 @@
 
 // simControl is a control process.
 type simControl struct {
-	chain     *chainModel
-	name      string
-	clock     steadyClock
-	state     *configuration.State
-	applied   int
-	synced    bool // has a disk with all that its epoch began with
-	up        bool
-	frozen    bool
-	life      int
-	inTouchAt time.Duration
-	joinedAt  time.Duration
-	lagsUntil time.Duration // it applies commands late until then
+	chain       *chainModel
+	name        string
+	clock       steadyClock
+	state       *configuration.State
+	applied     int
+	synced      bool // has a disk with all that its epoch began with
+	up          bool
+	frozen      bool
+	incarnation int
+	inTouchAt   time.Duration
+	joinedAt    time.Duration
+	lagsUntil   time.Duration // it applies commands late until then
 
 	proven     bool
 	freshSince time.Duration // in virtual time
@@ -58,10 +58,10 @@
 func newChainModel(h *harness, machines int) *chainModel {
 	c := &chainModel{harness: h, readAt: map[int]time.Duration{}}
 	for i := range machines {
-		one := &simControl{chain: c, name: fmt.Sprintf("control-%d", i), clock: h.newClock(), synced: true, up: true,
+		control := &simControl{chain: c, name: fmt.Sprintf("control-%d", i), clock: h.newClock(), synced: true, up: true,
 			state: configuration.NewState(), sessions: map[*session]*subscriber{}}
-		c.controls = append(c.controls, one)
-		one.heartbeat(one.life)
+		c.controls = append(c.controls, control)
+		control.heartbeat(control.incarnation)
 	}
 	c.chain = slices.Clone(c.controls)
 	h.every(10*time.Millisecond, c.tick)
@@ -71,30 +71,30 @@
 
 func (c *simControl) runs() bool { return c.up && !c.frozen }
 
-func (c *chainModel) connected(one, other *simControl) bool {
+func (c *chainModel) connected(a, b *simControl) bool {
 	links := c.harness.Links
-	return one.runs() && other.runs() && (one == other || !links.Partitioned(one.name, other.name) && !links.Partitioned(other.name, one.name))
+	return a.runs() && b.runs() && (a == b || !links.Partitioned(a.name, b.name) && !links.Partitioned(b.name, a.name))
 }
 
 // healthy reports whether a machine is connected to a majority.
-func (c *chainModel) healthy(one *simControl) bool {
+func (c *chainModel) healthy(control *simControl) bool {
 	count := 0
 	for _, other := range c.controls {
-		if c.connected(one, other) {
+		if c.connected(control, other) {
 			count++
 		}
 	}
-	return one.runs() && 2*count > len(c.controls)
+	return control.runs() && 2*count > len(c.controls)
 }
 
 // serves reports whether the chain can commit.
 func (c *chainModel) serves() bool {
-	for i, one := range c.chain {
-		if !one.synced || !c.healthy(one) {
+	for i, member := range c.chain {
+		if !member.synced || !c.healthy(member) {
 			return false
 		}
 		for _, other := range c.chain[:i] {
-			if !c.connected(one, other) {
+			if !c.connected(member, other) {
 				return false
 			}
 		}
@@ -104,9 +104,9 @@
 
 func (c *chainModel) tick() {
 	now := c.harness.Elapsed()
-	for _, one := range c.controls {
-		if !c.healthy(one) {
-			one.inTouchAt = now
+	for _, control := range c.controls {
+		if !c.healthy(control) {
+			control.inTouchAt = now
 		}
 	}
 	if !c.serves() {
@@ -126,13 +126,13 @@
 // changeView begins an epoch with those members of the chain that are synced and connected.
 func (c *chainModel) changeView() {
 	var next []*simControl
-	for _, one := range c.chain {
-		fits := one.synced && c.healthy(one)
+	for _, member := range c.chain {
+		fits := member.synced && c.healthy(member)
 		for _, other := range next {
-			fits = fits && c.connected(one, other)
+			fits = fits && c.connected(member, other)
 		}
 		if fits {
-			next = append(next, one)
+			next = append(next, member)
 		}
 	}
 	if len(next) == 0 {
@@ -144,36 +144,36 @@
 
 // readmit adds machines that have been connected for a while; they copy what they lack.
 func (c *chainModel) readmit() {
-	for _, one := range c.controls {
-		if slices.Contains(c.chain, one) || !c.healthy(one) || c.harness.Elapsed()-one.inTouchAt < 300*time.Millisecond {
+	for _, control := range c.controls {
+		if slices.Contains(c.chain, control) || !c.healthy(control) || c.harness.Elapsed()-control.inTouchAt < 300*time.Millisecond {
 			continue
 		}
-		if slices.ContainsFunc(c.chain, func(other *simControl) bool { return !c.connected(one, other) }) {
+		if slices.ContainsFunc(c.chain, func(other *simControl) bool { return !c.connected(control, other) }) {
 			continue
 		}
-		one.synced = true
-		c.beginEpoch(append(slices.Clone(c.chain), one))
+		control.synced = true
+		c.beginEpoch(append(slices.Clone(c.chain), control))
 	}
 }
 
 func (c *chainModel) beginEpoch(chain []*simControl) {
 	c.chain, c.brokenAt = chain, 0
-	for _, one := range chain {
-		one.joinedAt = c.harness.Elapsed()
-		one.applySoon(len(c.log))
+	for _, member := range chain {
+		member.joinedAt = c.harness.Elapsed()
+		member.applySoon(len(c.log))
 	}
 }
 
 // commit commits the operator's next command, which all of the chain have synced.
 func (c *chainModel) commit() {
 	h := c.harness
-	order, due := h.operator.next(h)
+	command, due := h.operator.next(h)
 	if !due {
 		return
 	}
-	c.log = append(c.log, order)
-	for _, one := range c.chain {
-		one.applySoon(len(c.log))
+	c.log = append(c.log, command)
+	for _, member := range c.chain {
+		member.applySoon(len(c.log))
 	}
 	index := len(c.log)
 	h.After(h.span(20*time.Millisecond), func() { h.operator.acknowledged(index, h.Elapsed()) })
@@ -204,7 +204,7 @@
 func (c *simControl) heartbeat(life int) {
 	h := c.chain.harness
 	h.AfterOn(c.name, 150*time.Millisecond+h.span(100*time.Millisecond), func() {
-		if c.life != life {
+		if c.incarnation != life {
 			return
 		}
 		if slices.Contains(c.chain.chain, c) && c.synced && c.chain.healthy(c) {
@@ -243,11 +243,11 @@
 // stop ends the process, and may wipe its disk. What it didn't know to be committed it applies again.
 func (c *simControl) stop(wiped bool) {
 	c.up, c.frozen, c.proven, c.pendingEnd = false, false, false, 0
-	c.life++
+	c.incarnation++
 	c.chain.harness.Stop(c.name)
-	for _, one := range c.chain.harness.gateways {
-		if one.session != nil && one.session.control == c {
-			one.session.end()
+	for _, gateway := range c.chain.harness.gateways {
+		if gateway.session != nil && gateway.session.control == c {
+			gateway.session.end()
 		}
 	}
 	clear(c.sessions)
@@ -267,7 +267,7 @@
 	}
 	c.up = true
 	c.chain.harness.Start(c.name)
-	c.heartbeat(c.life)
+	c.heartbeat(c.incarnation)
 }
 
 // readPlatform has a connected machine read the platform's list and share it.
@@ -280,9 +280,9 @@
 		if !c.healthy(reader) {
 			continue
 		}
-		for _, one := range c.controls {
-			if c.connected(reader, one) {
-				h.AfterOn(one.name, h.span(30*time.Millisecond), func() { one.takeList(content, readAt) })
+		for _, control := range c.controls {
+			if c.connected(reader, control) {
+				h.AfterOn(control.name, h.span(30*time.Millisecond), func() { control.takeList(content, readAt) })
 			}
 		}
 		return
@@ -299,7 +299,7 @@
 	}
 	c.listTrue = readAt
 	c.listAt = c.clock.read().Add(readAt - c.chain.harness.Elapsed())
-	c.list = &protocol.ServerList{Version: version, Source: fmt.Sprint(c.name, c.life),
+	c.list = &protocol.ServerList{Version: version, Source: fmt.Sprint(c.name, c.incarnation),
 		Servers: []protocol.Server{{ID: "i", Backend: "b", Address: "a", Slots: content}}}
 	c.pushAll()
 }
@@ -340,8 +340,8 @@
 }
 
 func (c *simControl) pushAll() {
-	for _, one := range c.chain.harness.gateways { // in order, so that a seed replays
-		if s := one.session; s != nil && s.control == c && c.sessions[s] != nil {
+	for _, gateway := range c.chain.harness.gateways { // in order, so that a seed replays
+		if s := gateway.session; s != nil && s.control == c && c.sessions[s] != nil {
 			c.push(s, c.sessions[s])
 		}
 	}
@@ -356,8 +356,8 @@
 	if !subscribed.members {
 		subscribed.members = true
 		update.Members = &protocol.MemberList{Version: 1}
-		for _, one := range c.chain.controls {
-			update.Members.Control = append(update.Members.Control, protocol.ControlMember{IP: one.name, Zone: "z"})
+		for _, control := range c.chain.controls {
+			update.Members.Control = append(update.Members.Control, protocol.ControlMember{IP: control.name, Zone: "z"})
 		}
 	}
 	if update.Configuration == nil && update.Servers == nil && update.Members == nil {
@@ -376,10 +376,10 @@
 		return
 	}
 	c.frozen = true
-	life := c.life
+	life := c.incarnation
 	h.Pause(c.name)
 	h.After(length, func() {
-		if c.life == life {
+		if c.incarnation == life {
 			c.frozen = false
 			h.Resume(c.name)
 		}
--- a/internal/gateway/subscription/confirmation.go
+++ b/internal/gateway/subscription/confirmation.go
@@ -26,7 +26,7 @@
 // control process.
 func (s *Subscription) handlePollAnswer(p *pollState, sent, now time.Time, update *protocol.Update) (
 	pause time.Duration, stays bool) {
-	s.noteListAge(sent, update)
+	s.observeListAge(sent, update)
 	pause = protocol.PollInterval
 	if update.Fresh {
 		p.confirmedAt = sent
--- a/internal/gateway/subscription/control_selector.go
+++ b/internal/gateway/subscription/control_selector.go
@@ -15,9 +15,9 @@
 // ControlSelector chooses the control process to subscribe to. It never forgets one: a control process that the newest
 // list lacks may be the only one that a partitioned gateway can reach. It isn't safe for concurrent use.
 type ControlSelector struct {
-	zone    string
-	node    string
-	members map[string]*controlProcess // by IP
+	zone       string
+	node       string
+	candidates map[string]*controlProcess // by IP
 }
 
 // controlProcess is a candidate.
@@ -31,47 +31,47 @@
 
 // NewControlSelector returns the selector of a process on a node in a zone.
 func NewControlSelector(node, zone string) *ControlSelector {
-	return &ControlSelector{zone: zone, node: node, members: map[string]*controlProcess{}}
+	return &ControlSelector{zone: zone, node: node, candidates: map[string]*controlProcess{}}
 }
 
 // Seed adds candidates of which only the address is known.
 func (s *ControlSelector) Seed(ips []string) {
 	for _, ip := range ips {
-		s.member(ip)
+		s.candidate(ip)
 	}
 }
 
 // Update takes in a newer list of control processes.
 func (s *ControlSelector) Update(list []protocol.ControlMember) {
-	for _, one := range s.members {
-		one.listed = false
+	for _, candidate := range s.candidates {
+		candidate.listed = false
 	}
 	for _, member := range list {
-		one := s.member(member.IP)
-		one.zone, one.listed = member.Zone, true
+		candidate := s.candidate(member.IP)
+		candidate.zone, candidate.listed = member.Zone, true
 	}
 }
 
 // member returns the candidate with an IP, which it adds if necessary.
-func (s *ControlSelector) member(ip string) *controlProcess {
-	one := s.members[ip]
-	if one == nil {
+func (s *ControlSelector) candidate(ip string) *controlProcess {
+	candidate := s.candidates[ip]
+	if candidate == nil {
 		sum := fnv.New64a()
 		sum.Write([]byte(s.node + " " + ip))
-		one = &controlProcess{ip: ip, weight: sum.Sum64()}
-		s.members[ip] = one
+		candidate = &controlProcess{ip: ip, weight: sum.Sum64()}
+		s.candidates[ip] = candidate
 	}
-	return one
+	return candidate
 }
 
 // MarkFailed notes that a control process didn't serve.
-func (s *ControlSelector) MarkFailed(ip string, now time.Time) { s.member(ip).failedAt = now }
+func (s *ControlSelector) MarkFailed(ip string, now time.Time) { s.candidate(ip).failedAt = now }
 
 // Next returns the IP of the control process to subscribe to, or "" if none is known.
 func (s *ControlSelector) Next(now time.Time) string {
-	list := make([]*controlProcess, 0, len(s.members))
-	for _, one := range s.members {
-		list = append(list, one)
+	list := make([]*controlProcess, 0, len(s.candidates))
+	for _, candidate := range s.candidates {
+		list = append(list, candidate)
 	}
 	if len(list) == 0 {
 		return ""
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -57,8 +57,8 @@
 
 func (h *harness) addGateway() *simGateway {
 	g := &simGateway{harness: h, name: fmt.Sprintf("gateway-%d", len(h.gateways)), clock: h.newClock(), rejected: map[int]int{}}
-	for _, one := range h.chain.controls[:3] {
-		g.seeds = append(g.seeds, one.name)
+	for _, control := range h.chain.controls[:3] {
+		g.seeds = append(g.seeds, control.name)
 	}
 	h.gateways = append(h.gateways, g)
 	g.start(g.seeds)
@@ -117,8 +117,8 @@
 func (g *simGateway) partitionFromControl(way int, length time.Duration) {
 	h := g.harness
 	g.faultAt = h.Elapsed() + length
-	for _, one := range h.chain.controls {
-		h.partitionBetween(g.name, one.name, way, length)
+	for _, control := range h.chain.controls {
+		h.partitionBetween(g.name, control.name, way, length)
 	}
 }
 
@@ -243,14 +243,14 @@
 func (g *simGateway) release() {
 	waiters := g.waiters
 	g.waiters = nil
-	for _, one := range waiters {
+	for _, waiting := range waiters {
 		switch {
-		case one.done:
-		case g.s.ConfirmedSince(one.since):
-			one.done = true
-			g.nextStep(func() { one.then(true) })
+		case waiting.done:
+		case g.s.ConfirmedSince(waiting.since):
+			waiting.done = true
+			g.nextStep(func() { waiting.then(true) })
 		default:
-			g.waiters = append(g.waiters, one)
+			g.waiters = append(g.waiters, waiting)
 			g.wantsConfirmation = true
 		}
 	}
@@ -262,15 +262,15 @@
 		then(true)
 		return
 	}
-	one := &waiter{since: since, then: then}
-	g.waiters = append(g.waiters, one)
+	waiting := &waiter{since: since, then: then}
+	g.waiters = append(g.waiters, waiting)
 	g.wantsConfirmation = true
 	if s := g.session; s != nil && s.sequence > 0 && !s.asking {
 		g.later(s.sent.Add(minPollInterval).Sub(g.clock.read()), func() { g.poll(s) })
 	}
 	g.later(length, func() {
-		if !one.done {
-			one.done = true
+		if !waiting.done {
+			waiting.done = true
 			then(false)
 		}
 	})
--- a/internal/gateway/subscription/harness_test.go
+++ b/internal/gateway/subscription/harness_test.go
@@ -155,12 +155,12 @@
 }
 
 // partitionBetween partitions two machines, in both directions or one, for a time.
-func (h *harness) partitionBetween(one, other string, way int, length time.Duration) {
+func (h *harness) partitionBetween(a, b string, way int, length time.Duration) {
 	if way != 1 {
-		h.partitionFor(one, other, length)
+		h.partitionFor(a, b, length)
 	}
 	if way != 2 {
-		h.partitionFor(other, one, length)
+		h.partitionFor(b, a, length)
 	}
 }
 
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -22,7 +22,7 @@
 
 // version is a configuration that was proposed, and what of it comes and goes.
 type version struct {
-	order      configuration.ChangeRequest
+	request    configuration.ChangeRequest
 	keys       map[string]bool
 	routes     map[string]bool
 	proposedAt time.Duration
@@ -49,18 +49,18 @@
 	if t.replacing {
 		t.closed, share = true, 1
 	}
-	one := &version{proposedAt: now, keys: map[string]bool{stableKey: true}, routes: map[string]bool{stableRoute: true, openRoute: true}}
+	proposed := &version{proposedAt: now, keys: map[string]bool{stableKey: true}, routes: map[string]bool{stableRoute: true, openRoute: true}}
 	for i := range volatile {
 		if h.random.Chance(share) {
 			t.numbers[i]++
 		}
-		one.keys[keyName(i, t.numbers[i])] = true
-		one.routes[fmt.Sprint("open-", i)] = h.random.Chance(0.6)
+		proposed.keys[keyName(i, t.numbers[i])] = true
+		proposed.routes[fmt.Sprint("open-", i)] = h.random.Chance(0.6)
 	}
 	generation := uint64(len(t.versions))
-	one.order = configuration.ChangeRequest{IfMatch: generation, Body: body(one.document(generation + 1))}
-	t.versions = append(t.versions, one)
-	return one.order, true
+	proposed.request = configuration.ChangeRequest{IfMatch: generation, Body: body(proposed.document(generation + 1))}
+	t.versions = append(t.versions, proposed)
+	return proposed.request, true
 }
 
 // replaceAll has the last command replace all keys.
@@ -140,9 +140,9 @@
 	if !fresh || h.bug != noBug {
 		return // the checks at the gateways must find it
 	}
-	for i, one := range t.versions {
-		if one.ackedAt > 0 && one.ackedAt < h.Elapsed()-age && c.applied <= i {
-			h.failf("%s confirms all up to %v ago, and has not applied command %d, acknowledged at %v", c.name, age, i+1, one.ackedAt)
+	for i, version := range t.versions {
+		if version.ackedAt > 0 && version.ackedAt < h.Elapsed()-age && c.applied <= i {
+			h.failf("%s confirms all up to %v ago, and has not applied command %d, acknowledged at %v", c.name, age, i+1, version.ackedAt)
 		}
 	}
 }
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -155,15 +155,15 @@
 	})
 	h.Run(2 * time.Second)
 	i.gateway.session.end() // the control process in the partition becomes the home
-	for _, one := range h.chain.controls {
-		if one != c {
-			h.partitionFor(i.gateway.name, one.name, controlFound+partitionLength)
+	for _, control := range h.chain.controls {
+		if control != c {
+			h.partitionFor(i.gateway.name, control.name, controlFound+partitionLength)
 		}
 	}
 	h.Run(controlFound)
-	for _, one := range h.chain.controls {
-		if one != c {
-			h.partitionBetween(c.name, one.name, 0, partitionLength)
+	for _, control := range h.chain.controls {
+		if control != c {
+			h.partitionBetween(c.name, control.name, 0, partitionLength)
 		}
 	}
 	i.began, h.bug = h.Elapsed(), bug
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -78,9 +78,9 @@
 		c.stop(h.chain.countSynced(c) > 0)
 		h.After(100*time.Millisecond+h.span(3*time.Second), c.start)
 	case 10:
-		for _, one := range h.chain.controls {
-			one.stop(false)
-			h.After(100*time.Millisecond+h.span(time.Second), one.start)
+		for _, control := range h.chain.controls {
+			control.stop(false)
+			h.After(100*time.Millisecond+h.span(time.Second), control.start)
 		}
 	case 11:
 		if len(h.gateways) < 10 {
@@ -91,8 +91,8 @@
 
 // countSynced counts the other machines of the chain that are synced.
 func (c *chainModel) countSynced(than *simControl) (count int) {
-	for _, one := range c.chain {
-		if one != than && one.synced {
+	for _, member := range c.chain {
+		if member != than && member.synced {
 			count++
 		}
 	}
@@ -206,11 +206,11 @@
 }
 
 // TestRandomWorlds plays simulations with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
-func TestRandomWorlds(t *testing.T) {
+func TestRandomSimulations(t *testing.T) {
 	first, count := environmentInt("FIRST", 1), environmentInt("SEEDS", defaultRuns)
 	var mutex sync.Mutex
-	var served, troubles, orders int
-	refused := map[int]int{}
+	var served, faults, commands int
+	rejected := map[int]int{}
 	numbers := make(chan int)
 	var wait sync.WaitGroup
 	for range min(4, runtime.GOMAXPROCS(0)) {
@@ -228,11 +228,11 @@
 					continue
 				}
 				mutex.Lock()
-				troubles, orders = troubles+h.faults, orders+len(h.chain.log)
+				faults, commands = faults+h.faults, commands+len(h.chain.log)
 				for _, g := range h.gateways {
 					served += g.served
 					for status, count := range g.rejected {
-						refused[status] += count
+						rejected[status] += count
 					}
 				}
 				mutex.Unlock()
@@ -244,7 +244,7 @@
 	}
 	close(numbers)
 	wait.Wait()
-	t.Logf("%d worlds, %d troubles, %d configurations, %d requests served, refused by status: %v", count, troubles, orders, served, refused)
+	t.Logf("%d worlds, %d troubles, %d configurations, %d requests served, refused by status: %v", count, faults, commands, served, rejected)
 }
 
 // TestSimulationsFindBugs shows that the simulations find each bug, by the check that is meant for it.
--- a/internal/gateway/subscription/server_list.go
+++ b/internal/gateway/subscription/server_list.go
@@ -44,7 +44,7 @@
 
 // answered takes in the answer to a poll, which tells the age of the control process's newest list. That is the list
 // held, unless its update wasn't applied.
-func (l *serverListState) answered(sent time.Time, update *protocol.Update) {
+func (l *serverListState) observeAnswer(sent time.Time, update *protocol.Update) {
 	l.sentAfter = sent
 	if !l.incomplete && l.current != nil {
 		l.noteAge(update)
--- a/internal/gateway/subscription/subscription_test.go
+++ b/internal/gateway/subscription/subscription_test.go
@@ -115,7 +115,7 @@
 		l.reconnected(now.Add(-time.Minute))
 		_, err := l.apply(&protocol.Update{Servers: list("a", 7), ListRead: true, ListAge: time.Second}, now)
 		So(err, ShouldBeNil)
-		l.answered(now, &protocol.Update{ListRead: true, ListAge: time.Second})
+		l.observeAnswer(now, &protocol.Update{ListRead: true, ListAge: time.Second})
 
 		Convey("an older one of another control process isn't applied, and a complete one is asked for", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 20 * time.Second}, now.Add(time.Second))
@@ -123,7 +123,7 @@
 			So(l.current.Source, ShouldEqual, "a")
 			So(l.incomplete, ShouldBeTrue)
 			Convey("nor do its answers make the list held any newer", func() {
-				l.answered(now.Add(time.Minute), &protocol.Update{ListRead: true})
+				l.observeAnswer(now.Add(time.Minute), &protocol.Update{ListRead: true})
 				So(l.asOf, ShouldEqual, now.Add(-time.Second))
 			})
 			Convey("until it has read the platform", func() {
--- a/internal/pool/earlyresponse_test.go
+++ b/internal/pool/earlyresponse_test.go
@@ -189,9 +189,9 @@
 		}
 	}, func(p *Pool) {
 		ask := func(check func() bool) *Exchange {
-			one := newRequest(0)
-			one.MaySend = check
-			x, _ := p.Send(context.Background(), one)
+			request := newRequest(0)
+			request.MaySend = check
+			x, _ := p.Send(context.Background(), request)
 			return x
 		}
 		x := ask(nil)
--- a/internal/pool/race_test.go
+++ b/internal/pool/race_test.go
@@ -30,9 +30,9 @@
 	require.NoError(t, err)
 	p.Set(1, m.Addr, policy.Ready)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}})
-	first, flows := time.Time{}, 0
+	first, attempts := time.Time{}, 0
 	p.onConnected = func(*core.Attempt) {
-		if flows++; flows == 1 {
+		if attempts++; attempts == 1 {
 			first = time.Now()
 			return
 		}
@@ -41,7 +41,7 @@
 	a := c.Serve(context.Background(), core.Request{Message: &Message{Method: "POST", Target: "/set", Host: "x"},
 		Request: policy.Request{Units: 1, SetSize: 1, Deadline: c.Now() + 20*time.Second}})
 	assert.Equal(t, core.Failed, a.Kind)
-	assert.Equal(t, 2, flows)
+	assert.Equal(t, 2, attempts)
 	assert.Len(t, m.Seen(), 1)
 	assert.Contains(t, c.Counters().String(), "ended_lapsed=1")
 }
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -22,7 +22,7 @@
 
 // readResponse reads a response, to its end or as far as it is held back. Only 200 counts as success; the body of
 // another status is discarded, for the sake of reusing the connection.
-func (c *conn) readResponse(p *Pool, flow *core.Attempt, msg *Message) (end core.End, answer core.Answer, reuse bool) {
+func (c *conn) readResponse(p *Pool, attempt *core.Attempt, msg *Message) (end core.End, answer core.Answer, reuse bool) {
 	var resp *http.Response
 	for interim := 0; ; interim++ {
 		var err error
@@ -37,11 +37,11 @@
 		}
 	}
 	answer.LoadReport = parseLoadReport(resp.Header.Get(HeaderLoad), p.options.LoadFields)
-	body := &responseBody{conn: c, pool: p, server: flow.Server, resp: resp}
+	body := &responseBody{conn: c, pool: p, server: attempt.Server, resp: resp}
 	body.reader, body.ready = bodyReader(c.reader, resp)
 	if resp.StatusCode != http.StatusOK {
 		c.readLimit += MaxBufferedBody
-		c.SetReadDeadline(earliest(flow.Until, time.Now().Add(shortReadTimeout)))
+		c.SetReadDeadline(earliest(attempt.Until, time.Now().Add(shortReadTimeout)))
 		_, err := io.Copy(io.Discard, body.reader)
 		body.ended = err == nil
 		if isNotRun(resp) {
@@ -66,7 +66,7 @@
 	}
 	c.readLimit += maxFramingFactor * maxLength
 	mayReturnEarly := !p.options.BufferResponses && holdBack != resp.ContentLength
-	complete, err := body.bufferBeginning(holdBack, flow.Until, mayReturnEarly)
+	complete, err := body.bufferBeginning(holdBack, attempt.Until, mayReturnEarly)
 	if err != nil {
 		body.releaseMemory()
 		return endOfReadError(err), answer, false
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -13,17 +13,17 @@
 // Carry sends the request of a flow to its server, and returns the response or the reason why there is none. It
 // implements core.Carrier. A response whose body is longer than what was buffered keeps its connection until its
 // Remainder is closed.
-func (p *Pool) Carry(flow *core.Attempt) (core.End, core.Answer) {
-	c, end := p.acquire(flow)
+func (p *Pool) Carry(attempt *core.Attempt) (core.End, core.Answer) {
+	c, end := p.acquire(attempt)
 	if c == nil {
 		return end, core.Answer{}
 	}
 	idle, reused := time.Since(c.idleSince), c.used
-	end, answer, reuse := c.roundTrip(p, flow)
+	end, answer, reuse := c.roundTrip(p, attempt)
 	if reused {
 		p.staleness.observe(idle, end == core.EndStale)
 	}
-	cancelled := flow.Finish()
+	cancelled := attempt.Finish()
 	switch {
 	case answer.Remainder != nil && cancelled:
 		answer.Discard()
@@ -31,7 +31,7 @@
 	case answer.Remainder != nil: // it owns the connection
 		return end, answer
 	case reuse && !cancelled:
-		p.release(flow.Server, c)
+		p.release(attempt.Server, c)
 	default:
 		p.discard(c)
 	}
@@ -45,27 +45,27 @@
 // if the response has no Remainder. Servers of the daemon's protocol execute a request only once they have its last
 // byte. So until that was written the end says that the request was not executed, and from then on that it may have
 // been.
-func (c *conn) roundTrip(p *Pool, flow *core.Attempt) (end core.End, answer core.Answer, reuse bool) {
-	msg := flow.Message.(*Message)
+func (c *conn) roundTrip(p *Pool, attempt *core.Attempt) (end core.End, answer core.Answer, reuse bool) {
+	msg := attempt.Message.(*Message)
 	reused := c.used
 	c.used = true
-	remaining := time.Until(flow.Until)
+	remaining := time.Until(attempt.Until)
 	if remaining <= 0 {
 		return core.EndAlreadyAnswered, answer, true
 	}
 	if msg.remainderRead.Load() {
 		return core.EndBodyConsumed, answer, true
 	}
-	c.SetDeadline(flow.Until)
+	c.SetDeadline(attempt.Until)
 	if !msg.writeBeginning(c, remaining) {
 		return core.EndWriteFailed, answer, false
 	}
 	if msg.Remainder != nil {
-		if end, complete := c.streamRemainder(p, flow, msg); !complete {
+		if end, complete := c.streamRemainder(p, attempt, msg); !complete {
 			return end, answer, false
 		}
-		flow.BodySent()
-		c.SetDeadline(flow.Until)
+		attempt.BodySent()
+		c.SetDeadline(attempt.Until)
 	}
 	c.readLimit = maxHeadSize
 	writtenAt := time.Now()
@@ -75,20 +75,20 @@
 		}
 		return end, answer, false
 	}
-	return c.readResponse(p, flow, msg)
+	return c.readResponse(p, attempt, msg)
 }
 
 // streamRemainder writes the rest of a body as it arrives, and reports whether all of it was written. If not, the
 // server has not executed the request, whatever it has sent. The buffer has room for a chunk with its framing and
 // the last chunk, so that each goes out in one write.
-func (c *conn) streamRemainder(p *Pool, flow *core.Attempt, msg *Message) (end core.End, complete bool) {
+func (c *conn) streamRemainder(p *Pool, attempt *core.Attempt, msg *Message) (end core.End, complete bool) {
 	const bufferSize = maxChunkSizeLine + StreamBufferSize + len("\r\n") + len(lastChunk)
 	if !p.options.ResponseMemory.Acquire(int64(bufferSize), time.Now().Add(StallTimeout)) {
 		return core.EndNoMemory, false
 	}
 	defer p.options.ResponseMemory.Release(int64(bufferSize))
 	msg.remainderRead.Store(true)
-	flow.BodyConsumed = true
+	attempt.BodyConsumed = true
 	buf := make([]byte, bufferSize)
 	remaining := int64(MaxBodySize) // bytes of the body that may still be written
 	if msg.ContentLength >= 0 {
--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -62,13 +62,13 @@
 func (t *Table) receiveBacklogs(now time.Time, k kind, list []backlog) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, one := range list {
-		entry := t.backlogs[one.store]
+	for _, reported := range list {
+		entry := t.backlogs[reported.store]
 		if k == kindBacklog {
 			entry.directAt = now
 		}
-		entry.tokens, entry.receivedAt = one.tokens, now
-		t.backlogs[one.store] = entry
+		entry.tokens, entry.receivedAt = reported.tokens, now
+		t.backlogs[reported.store] = entry
 	}
 	for store, entry := range t.backlogs {
 		if now.Sub(entry.receivedAt) > backlogTTL {
@@ -98,10 +98,10 @@
 		if !s.table.receivesLoads(now) {
 			return
 		}
-		one := backlog{store: xxhash.Sum64String(s.self.Node), tokens: s.localBacklog()}
-		if one.tokens > 0 || s.backlogReported {
-			s.backlogReported = one.tokens > 0
-			s.sendBacklogs(kindBacklog, []backlog{one}, aggregatorsFor(known.allAggregators, one.store))
+		own := backlog{store: xxhash.Sum64String(s.self.Node), tokens: s.localBacklog()}
+		if own.tokens > 0 || s.backlogReported {
+			s.backlogReported = own.tokens > 0
+			s.sendBacklogs(kindBacklog, []backlog{own}, aggregatorsFor(known.allAggregators, own.store))
 		}
 		return
 	}
@@ -132,9 +132,9 @@
 func encodeBacklogs(buffer []byte, k kind, list []backlog) []byte {
 	list = list[:min(len(list), maxBacklogs)]
 	out := appendHeader(buffer, k, len(list))
-	for _, one := range list {
-		out = binary.BigEndian.AppendUint64(out, one.store)
-		out = binary.BigEndian.AppendUint32(out, uint32(min(max(one.tokens, 0)/backlogUnit, 1<<32-1)))
+	for _, entry := range list {
+		out = binary.BigEndian.AppendUint64(out, entry.store)
+		out = binary.BigEndian.AppendUint32(out, uint32(min(max(entry.tokens, 0)/backlogUnit, 1<<32-1)))
 	}
 	return out
 }
--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -179,9 +179,9 @@
 		aggregators := aggregatorsByZone(gateways)["z"]
 		So(aggregators, ShouldHaveLength, aggregatorsPerZone)
 		var left []protocol.Process
-		for _, one := range gateways {
-			if one.Node != aggregators[0].Node {
-				left = append(left, one)
+		for _, gateway := range gateways {
+			if gateway.Node != aggregators[0].Node {
+				left = append(left, gateway)
 			}
 		}
 		So(aggregatorsByZone(left)["z"][0], ShouldResemble, aggregators[1])
@@ -197,12 +197,12 @@
 		members := &protocol.MemberList{Version: 1, Gateways: []protocol.Process{aggregator}}
 		tables := map[string]*Table{}
 		sharings := map[string]*Sharing{}
-		for _, one := range []protocol.Process{aggregator, store} {
-			tables[one.Node] = NewTable()
-			sharing, err := Listen(tables[one.Node], one, port, func() *protocol.MemberList { return members })
+		for _, process := range []protocol.Process{aggregator, store} {
+			tables[process.Node] = NewTable()
+			sharing, err := Listen(tables[process.Node], process, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			defer sharing.conn.Close()
-			sharings[one.Node] = sharing
+			sharings[process.Node] = sharing
 		}
 		sharings["store"].SetBacklog(func() int64 { return 5120 })
 		sharings["store"].updateTargets()
@@ -233,9 +233,9 @@
 		members := &protocol.MemberList{Version: 1, Gateways: gateways, Stores: protocol.StoreView{Members: []protocol.StoreMember{store}}}
 		var tables []*Table
 		var all []*Sharing
-		for _, one := range append(gateways, store.Process) {
+		for _, process := range append(gateways, store.Process) {
 			table := NewTable()
-			sharing, err := Listen(table, one, port, func() *protocol.MemberList { return members })
+			sharing, err := Listen(table, process, port, func() *protocol.MemberList { return members })
 			So(err, ShouldBeNil)
 			go sharing.Run(t.Context())
 			tables, all = append(tables, table), append(all, sharing)
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -45,12 +45,12 @@
 }
 
 // decayTo decays the sums to a moment.
-func (f *decayingResults) decayTo(now time.Time) {
-	if left := math.Exp(-float64(now.Sub(f.updatedAt)) / float64(resultsDecay)); left < 1 {
-		f.Served *= left
-		f.Failed *= left
+func (d *decayingResults) decayTo(now time.Time) {
+	if left := math.Exp(-float64(now.Sub(d.updatedAt)) / float64(resultsDecay)); left < 1 {
+		d.Served *= left
+		d.Failed *= left
 	}
-	f.updatedAt = now
+	d.updatedAt = now
 }
 
 // results are the counts of a process. The table's mu guards them.
@@ -97,14 +97,14 @@
 	if now.Sub(t.newestAt) > loadTTL {
 		return
 	}
-	one := Results{Served: 1}
+	result := Results{Served: 1}
 	if failed {
-		one = Results{Failed: 1}
+		result = Results{Failed: 1}
 	}
 	sum := t.results.unsent[server]
-	sum.add(one)
+	sum.add(result)
 	t.results.unsent[server] = sum
-	t.results.add(now, server, one)
+	t.results.add(now, server, result)
 }
 
 // Failing reports whether a server fails the requests of the zone or of this process.
--- a/internal/serverload/targets.go
+++ b/internal/serverload/targets.go
@@ -34,16 +34,16 @@
 	aggregators := aggregatorsByZone(members.Gateways)
 	next := &targets{}
 	isAggregator := slices.ContainsFunc(aggregators[s.self.Zone],
-		func(one protocol.Process) bool { return one.Node == s.self.Node })
+		func(aggregator protocol.Process) bool { return aggregator.Node == s.self.Node })
 	for _, zone := range slices.Sorted(maps.Keys(aggregators)) {
 		var ofZone []netip.AddrPort
-		for _, one := range aggregators[zone] {
-			ofZone = s.appendAddress(ofZone, one.IP)
+		for _, aggregator := range aggregators[zone] {
+			ofZone = s.appendAddress(ofZone, aggregator.IP)
 			switch {
 			case zone != s.self.Zone && isAggregator:
-				next.remoteAggregators = s.appendAddress(next.remoteAggregators, one.IP)
-			case zone == s.self.Zone && one.Node != s.self.Node:
-				next.aggregators = s.appendAddress(next.aggregators, one.IP)
+				next.remoteAggregators = s.appendAddress(next.remoteAggregators, aggregator.IP)
+			case zone == s.self.Zone && aggregator.Node != s.self.Node:
+				next.aggregators = s.appendAddress(next.aggregators, aggregator.IP)
 			}
 		}
 		if len(ofZone) > 0 {
@@ -59,14 +59,14 @@
 // zoneAddresses returns the other gateways of this zone, and all its other processes.
 func (s *Sharing) zoneAddresses(members *protocol.MemberList) (gateways, all []netip.AddrPort) {
 	for i := range members.Gateways {
-		if one := &members.Gateways[i]; one.Zone == s.self.Zone && one.Node != s.self.Node {
-			gateways = s.appendAddress(gateways, one.IP)
+		if member := &members.Gateways[i]; member.Zone == s.self.Zone && member.Node != s.self.Node {
+			gateways = s.appendAddress(gateways, member.IP)
 		}
 	}
 	all = slices.Clone(gateways)
 	for i := range members.Stores.Members {
-		if one := &members.Stores.Members[i]; one.Zone == s.self.Zone {
-			all = s.appendAddress(all, one.IP)
+		if member := &members.Stores.Members[i]; member.Zone == s.self.Zone {
+			all = s.appendAddress(all, member.IP)
 		}
 	}
 	return gateways, all
