--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -27,7 +27,7 @@
 type submission struct {
 	send      func(ip string) attempt
 	onSlow    func(ip string) // called when a store lets the submission be hedged
-	last      string          // store that was asked last
+	lastAsked string          // store that was asked last
 	targets   *targetList
 	results   chan attempt          // holds all, so that no sender blocks
 	pending   int                   // attempts without a result
@@ -70,7 +70,7 @@
 			if ablation.Off(ablation.HedgedSubmit) {
 				continue
 			}
-			s.onSlow(s.last)
+			s.onSlow(s.lastAsked)
 			s.next()
 			hedge.Reset(hedgeAfter)
 		case <-ctx.Done():
@@ -91,7 +91,7 @@
 		return
 	}
 	s.pending++
-	s.last = ip
+	s.lastAsked = ip
 	go func() { s.results <- s.send(ip) }()
 }
 
--- a/internal/gateway/front_port.go
+++ b/internal/gateway/front_port.go
@@ -16,7 +16,7 @@
 	longestDeadline = 60 * time.Second
 	// retryInterval is the time between checks for a free port, for the first configuration, and for the end of a
 	// shutdown.
-	retryInterval = 25 * time.Millisecond
+	pollInterval = 25 * time.Millisecond
 	// listenRetryFor is how long opening the front port is retried while another process has it.
 	listenRetryFor = 3 * time.Second
 	// configurationWait is how long clients wait in the front port's queue for the first configuration. After that
@@ -79,7 +79,7 @@
 
 // awaitLimits waits for the limits of the first configuration, for at most configurationWait.
 func (g *Gateway) awaitLimits() configuration.Limits {
-	for until := time.Now().Add(configurationWait); ; time.Sleep(retryInterval) {
+	for until := time.Now().Add(configurationWait); ; time.Sleep(pollInterval) {
 		if snapshot := g.subscription.Configuration(); snapshot != nil {
 			return snapshot.Limits
 		}
@@ -91,7 +91,7 @@
 
 // listen opens the front port. For a while the previous incarnation of the process may still have it.
 func (g *Gateway) listen() (net.Listener, error) {
-	for until := time.Now().Add(listenRetryFor); ; time.Sleep(retryInterval) {
+	for until := time.Now().Add(listenRetryFor); ; time.Sleep(pollInterval) {
 		port, err := net.Listen("tcp", g.settings.ListenFront)
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(until) {
 			return port, err
--- a/internal/gateway/proxy/buffered.go
+++ b/internal/gateway/proxy/buffered.go
@@ -47,7 +47,7 @@
 	if failed {
 		q.count(outcomes.ServerFailed)
 	} else {
-		q.recordAnswer(a.reservation, a.response.Header)
+		q.recordResponse(a.reservation, a.response.Header)
 	}
 	copyResponseHeaders(q.w.Header(), a.response.Header)
 	q.w.Header().Set(headerContentLength, strconv.Itoa(len(body)))
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -54,7 +54,7 @@
 
 // recordAnswer counts a request when its response is complete or its stream's first event has arrived, and logs a
 // sample of the late ones.
-func (q *request) recordAnswer(reservation *serverselection.Reservation, header http.Header) {
+func (q *request) recordResponse(reservation *serverselection.Reservation, header http.Header) {
 	load, _ := serverload.Parse(header.Get(serverload.Header))
 	now := time.Now()
 	attempt := outcomes.Attempt{Latency: now.Sub(q.arrived), Target: q.route.TargetLatency(),
@@ -65,7 +65,7 @@
 	if outcome == outcomes.InTime {
 		return
 	}
-	skipped, taken := q.proxy.lateAnswers.take(now)
+	skipped, taken := q.proxy.lateResponses.take(now)
 	if !taken {
 		return
 	}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -52,8 +52,8 @@
 	// AnnouncePrefill tells other gateways that a server has this many prompt tokens to read. Nil: they aren't told.
 	AnnouncePrefill func(server uint64, tokens int)
 
-	lateAnswers logSampler
-	bugs        injectedBugs
+	lateResponses logSampler
+	bugs          injectedBugs
 }
 
 // ServeHTTP serves one request of a client.
--- a/internal/gateway/proxy/simulation_test.go
+++ b/internal/gateway/proxy/simulation_test.go
@@ -20,8 +20,8 @@
 func TestBreakAtEveryByte(t *testing.T) {
 	t.Parallel()
 	broken, left, counts := faultyserver.EveryByte(t)
-	for _, one := range broken {
-		t.Error(one)
+	for _, violation := range broken {
+		t.Error(violation)
 	}
 	t.Log(counts)
 	if left > 0 {
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -68,7 +68,7 @@
 	a.reservation.FirstResponse(time.Now())
 	q.observeLatency(a)
 	if !q.streamStarted {
-		q.recordAnswer(a.reservation, a.response.Header)
+		q.recordResponse(a.reservation, a.response.Header)
 	}
 }
 
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -26,7 +26,7 @@
 // nextExitCheck returns the time until Run checks whether the shutdown is complete.
 func (g *Gateway) nextExitCheck() time.Duration {
 	if g.state.Phase() == service.ShuttingDown {
-		return retryInterval
+		return pollInterval
 	}
 	return time.Hour
 }
--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -13,14 +13,14 @@
 // chainModel is the chain as an abstract register: commands are committed while all members of the current epoch's
 // chain are connected, and a new epoch begins if some are not for long enough and a majority is.
 type chainModel struct {
-	harness  *harness
-	controls []*simControl
-	chain    []*simControl
-	log      []configuration.ChangeRequest
-	brokenAt time.Duration // since when members of the chain aren't connected; 0: they are
-	patience time.Duration
-	content  int // of the platform's list
-	readAt   map[int]time.Duration
+	harness           *harness
+	controls          []*simControl
+	chain             []*simControl
+	log               []configuration.ChangeRequest
+	brokenAt          time.Duration // since when members of the chain aren't connected; 0: they are
+	viewChangeTimeout time.Duration
+	content           int // of the platform's list
+	readAt            map[int]time.Duration
 }
 
 // simControl is a control process.
@@ -34,7 +34,7 @@
 	up          bool
 	frozen      bool
 	incarnation int
-	inTouchAt   time.Duration
+	unhealthyAt time.Duration
 	joinedAt    time.Duration
 	lagsUntil   time.Duration // it applies commands late until then
 
@@ -43,10 +43,10 @@
 	pendingAt  time.Duration
 	pendingEnd int // 0: no proof is pending
 
-	sessions map[*session]*subscriber
-	list     *protocol.ServerList
-	listAt   time.Time // by its clock
-	listTrue time.Duration
+	sessions   map[*session]*subscriber
+	list       *protocol.ServerList
+	listAt     time.Time // by its clock
+	listReadAt time.Duration
 }
 
 // subscriber is what a session was sent, as control records it.
@@ -106,14 +106,14 @@
 	now := c.harness.Elapsed()
 	for _, control := range c.controls {
 		if !c.healthy(control) {
-			control.inTouchAt = now
+			control.unhealthyAt = now
 		}
 	}
 	if !c.serves() {
 		if c.brokenAt == 0 {
-			c.brokenAt, c.patience = now, 700*time.Millisecond+c.harness.span(600*time.Millisecond)
+			c.brokenAt, c.viewChangeTimeout = now, 700*time.Millisecond+c.harness.span(600*time.Millisecond)
 		}
-		if now-c.brokenAt > c.patience {
+		if now-c.brokenAt > c.viewChangeTimeout {
 			c.changeView()
 		}
 		return
@@ -145,7 +145,7 @@
 // readmit adds machines that have been connected for a while; they copy what they lack.
 func (c *chainModel) readmit() {
 	for _, control := range c.controls {
-		if slices.Contains(c.chain, control) || !c.healthy(control) || c.harness.Elapsed()-control.inTouchAt < 300*time.Millisecond {
+		if slices.Contains(c.chain, control) || !c.healthy(control) || c.harness.Elapsed()-control.unhealthyAt < 300*time.Millisecond {
 			continue
 		}
 		if slices.ContainsFunc(c.chain, func(other *simControl) bool { return !c.connected(control, other) }) {
@@ -201,10 +201,10 @@
 }
 
 // heartbeat asks the others periodically whether the epoch is current, and starts a proof of it.
-func (c *simControl) heartbeat(life int) {
+func (c *simControl) heartbeat(incarnation int) {
 	h := c.chain.harness
 	h.AfterOn(c.name, 150*time.Millisecond+h.span(100*time.Millisecond), func() {
-		if c.incarnation != life {
+		if c.incarnation != incarnation {
 			return
 		}
 		if slices.Contains(c.chain.chain, c) && c.synced && c.chain.healthy(c) {
@@ -216,7 +216,7 @@
 			c.completeProof()
 			c.applySoon(len(c.chain.log))
 		}
-		c.heartbeat(life)
+		c.heartbeat(incarnation)
 	})
 }
 
@@ -290,14 +290,14 @@
 }
 
 func (c *simControl) takeList(content int, readAt time.Duration) {
-	if c.list != nil && readAt < c.listTrue {
+	if c.list != nil && readAt < c.listReadAt {
 		return
 	}
 	version := uint64(1)
 	if c.list != nil {
 		version = c.list.Version + 1
 	}
-	c.listTrue = readAt
+	c.listReadAt = readAt
 	c.listAt = c.clock.read().Add(readAt - c.chain.harness.Elapsed())
 	c.list = &protocol.ServerList{Version: version, Source: fmt.Sprint(c.name, c.incarnation),
 		Servers: []protocol.Server{{ID: "i", Backend: "b", Address: "a", Slots: content}}}
@@ -376,10 +376,10 @@
 		return
 	}
 	c.frozen = true
-	life := c.incarnation
+	incarnation := c.incarnation
 	h.Pause(c.name)
 	h.After(length, func() {
-		if c.incarnation == life {
+		if c.incarnation == incarnation {
 			c.frozen = false
 			h.Resume(c.name)
 		}
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -101,12 +101,12 @@
 	if !g.up || g.frozen {
 		return
 	}
-	life := g.incarnation
+	incarnation := g.incarnation
 	g.frozen = true
 	g.faultAt = h.Elapsed() + length
 	h.Pause(g.name)
 	h.After(length, func() {
-		if g.incarnation == life && g.up {
+		if g.incarnation == incarnation && g.up {
 			g.frozen = false
 			h.Resume(g.name)
 		}
@@ -157,9 +157,9 @@
 }
 
 func (h *harness) control(ip string) *simControl {
-	for _, one := range h.chain.controls {
-		if one.name == ip {
-			return one
+	for _, candidate := range h.chain.controls {
+		if candidate.name == ip {
+			return candidate
 		}
 	}
 	return nil
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -125,9 +125,9 @@
 
 // mayLack reports whether a configuration that may have been in force at a moment or later lacks a key or a route.
 func (t *operatorModel) mayLack(since time.Duration, lacks func(*version) bool) bool {
-	for i, one := range t.versions {
+	for i, proposed := range t.versions {
 		replaced := i+1 < len(t.versions) && t.versions[i+1].ackedAt > 0 && t.versions[i+1].ackedAt+configApply < since
-		if !replaced && lacks(one) {
+		if !replaced && lacks(proposed) {
 			return true
 		}
 	}
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -103,10 +103,10 @@
 // other gateways may find it, too.
 func (h *harness) isolate(c *simControl, g *simGateway) {
 	length, way := time.Second+h.span(maxPartition-time.Second), h.random.IntN(3)
-	for _, one := range h.chain.controls {
-		if one != c {
-			h.partitionBetween(c.name, one.name, way, length)
-			h.partitionBetween(g.name, one.name, 0, length)
+	for _, peer := range h.chain.controls {
+		if peer != c {
+			h.partitionBetween(c.name, peer.name, way, length)
+			h.partitionBetween(g.name, peer.name, 0, length)
 		}
 	}
 	g.faultAt = h.Elapsed() + length
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -39,8 +39,8 @@
 		if c == nil {
 			return nil, end
 		}
-		if flow, ok := a.(*core.Attempt); ok && p.onConnected != nil {
-			p.onConnected(flow)
+		if carried, ok := a.(*core.Attempt); ok && p.onConnected != nil {
+			p.onConnected(carried)
 		}
 		if end, ok := p.recheck(a, c); !ok {
 			if end == core.EndDrained {
