--- a/internal/gateway/subscription/apply.go
+++ b/internal/gateway/subscription/apply.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// apply applies the parts of an update.
+// apply applies the parts that an update has; nil parts are unchanged.
 func (s *Subscription) apply(update *protocol.Update, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,9 +31,9 @@
 	}
 }
 
-// applyMembers applies a list of processes. The control processes in it are taken as candidates to subscribe to from
-// any list. All else is taken only from a list that control confirms, and the set of batch processes never goes back
-// to an older epoch. mu is held.
+// applyMembers applies a list of processes. Its control processes become candidates to subscribe to, also if it isn't
+// confirmed: at worst a poll to one of them fails. All else is used only of a list that control confirms (Vouched), and
+// the set of batch processes never goes back to an older epoch. mu is held.
 func (s *Subscription) applyMembers(list *protocol.MemberList) {
 	s.control.Update(list.Control)
 	if !list.Vouched {
@@ -57,15 +57,16 @@
 	s.opt.Servers.Apply(next)
 }
 
-// noteListAge takes in how old the server list is, by the answer to a poll.
+// observeListAge updates the bound on the server list's age from the answer to a poll that was sent at that time.
 func (s *Subscription) observeListAge(sent time.Time, update *protocol.Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serverList.observeAnswer(sent, update)
 }
 
-// applyConfiguration applies a newer configuration. If the update doesn't apply to the configuration held, the next
-// poll asks again: for an update from that one after a gap, else for the complete configuration. mu is held.
+// applyConfiguration applies a newer configuration; an older one, or the same, is ignored. An update may be a delta to
+// a configuration that isn't the one held. The next poll, which follows after minPollInterval, then asks again: after a gap for a
+// delta to the one held, after any other error for the complete configuration. mu is held.
 func (s *Subscription) applyConfiguration(update *protocol.ConfigurationUpdate) {
 	if update.Index <= s.state.Current().Index {
 		return
--- a/internal/gateway/subscription/confirmation.go
+++ b/internal/gateway/subscription/confirmation.go
@@ -13,7 +13,8 @@
 	unconfirmedPollInterval = 120 * time.Millisecond
 )
 
-// pollState is how one control process has answered since the subscription to it began.
+// pollState is how the control process has answered since the subscription to it began. It belongs to poll's
+// goroutine.
 type pollState struct {
 	confirmedAt time.Time // when the last poll was sent whose answer confirmed the state
 }
@@ -21,9 +22,9 @@
 // newPollState returns the state at the beginning of a subscription, which counts as confirmed.
 func newPollState(now time.Time) pollState { return pollState{confirmedAt: now} }
 
-// handlePollAnswer takes in what the answer to a poll says of the control process's state, after its update was
-// applied. It returns how long after the poll the next one is due, and whether the subscription stays with that
-// control process.
+// handlePollAnswer evaluates what the answer to a poll says of the control process's state, after its update was
+// applied. It returns how long after the poll the next one is due, and whether the subscription stays with this control
+// process.
 func (s *Subscription) handlePollAnswer(p *pollState, sent, now time.Time, update *protocol.Update) (
 	pause time.Duration, stays bool) {
 	s.observeListAge(sent, update)
@@ -43,8 +44,9 @@
 	return pause, true
 }
 
-// confirm takes in that the state held has all that was acknowledged longer than age before the poll was sent. A
-// configuration that waits for it takes effect before the lease is renewed, as the lease is for that configuration.
+// confirm handles a confirmation: the state held has all that was acknowledged longer than age before the poll was
+// sent. A configuration that waits for it takes effect before the lease is renewed, as the lease is for that
+// configuration.
 func (s *Subscription) confirm(sent time.Time, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/subscription/connection.go
+++ b/internal/gateway/subscription/connection.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for a duration or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -59,12 +59,13 @@
 	}
 }
 
-// subscribeTo subscribes to one control process for as long as that serves, and returns why it no longer does.
+// subscribeTo subscribes to one control process, until the connection ends or the control process doesn't answer or
+// confirm its state in time, and returns why it ended.
 func (s *Subscription) subscribeTo(ctx context.Context, ip string) endReason {
 	s.mu.Lock()
 	s.serverList.reconnected(time.Now())
 	s.mu.Unlock()
-	connected := make(chan bool, 16)
+	connected := make(chan bool, 16) // further changes are dropped: poll ends at the second one
 	client := transport.NewClient(s.opt.Settings.EndpointAt(ip, node.PortControl), s.opt.Transport,
 		func(message any) {
 			if update, ok := message.(protocol.Update); ok {
@@ -120,7 +121,7 @@
 	}
 }
 
-// pollOnce sends a poll and applies the answer.
+// pollOnce sends a poll and applies the update in its answer.
 func (s *Subscription) pollOnce(ctx context.Context, client *transport.Client, sequence uint64, sent time.Time) (
 	*protocol.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
@@ -140,7 +141,8 @@
 	return &update, nil
 }
 
-// buildPoll returns a poll with the versions held, so that the answer has only what is newer.
+// buildPoll returns a poll with the versions held, so that the answer has only what is newer. Configuration 0 asks for
+// the complete configuration, WholeServers for the complete list of servers.
 func (s *Subscription) buildPoll(sequence uint64) protocol.Poll {
 	poll := protocol.Poll{Process: s.opt.Process, Sequence: sequence, Ready: s.opt.Ready()}
 	s.mu.Lock()
--- a/internal/gateway/subscription/control_selector.go
+++ b/internal/gateway/subscription/control_selector.go
@@ -20,7 +20,7 @@
 	candidates map[string]*controlProcess // by IP
 }
 
-// controlProcess is a candidate.
+// controlProcess is a candidate to subscribe to.
 type controlProcess struct {
 	ip       string
 	zone     string // empty: not known
@@ -41,7 +41,7 @@
 	}
 }
 
-// Update takes in a newer list of control processes.
+// Update applies a list of control processes. Candidates that it lacks stay, after those that it names.
 func (s *ControlSelector) Update(list []protocol.ControlMember) {
 	for _, candidate := range s.candidates {
 		candidate.listed = false
@@ -64,7 +64,7 @@
 	return candidate
 }
 
-// MarkFailed notes that a control process didn't serve.
+// MarkFailed notes that the subscription to a control process has ended; it is chosen last for failureBackoff.
 func (s *ControlSelector) MarkFailed(ip string, now time.Time) { s.candidate(ip).failedAt = now }
 
 // Next returns the IP of the control process to subscribe to, or "" if none is known.
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -309,11 +309,11 @@
 
 // state describes a gateway, for a report.
 func (g *simGateway) state() string {
-	home, sequence := "none", uint64(0)
+	control, sequence := "none", uint64(0)
 	if g.session != nil {
-		home, sequence = g.session.control.name, g.session.sequence
+		control, sequence = g.session.control.name, g.session.sequence
 	}
 	now := g.clock.read()
-	return fmt.Sprintf("home %s after %d polls, lease %t, fresh %t, behind %t, configuration %d", home, sequence, g.s.KeyLeaseValid(now),
+	return fmt.Sprintf("control process %s after %d polls, lease %t, fresh %t, behind %t, configuration %d", control, sequence, g.s.KeyLeaseValid(now),
 		g.s.ConfirmedSince(now.Add(-maxReadyStaleness)), g.s.isBehind(), g.index)
 }
--- a/internal/gateway/subscription/key_lease.go
+++ b/internal/gateway/subscription/key_lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// KeyLeaseMargin is subtracted from a lease: the time between the last check of the lease and the first byte at the
-// server.
+// KeyLeaseMargin is subtracted from a lease's term. It covers the time between the last check of the lease and the first
+// byte at the server, and the drift of the clocks over the term.
 const KeyLeaseMargin = 400 * time.Millisecond
 
 // KeyLease is the right to act on the API keys of the configuration in force. Control confirms the configuration in
@@ -14,7 +14,7 @@
 // So no key is acted on later than the time to revoke after the acknowledgement of the configuration that removed it.
 // It is safe for concurrent use.
 type KeyLease struct {
-	failClosed bool // false: keys don't end by lease, and it is always valid
+	failClosed bool // false: it is always valid
 	term       time.Duration
 	origin     time.Time
 	expiry     atomic.Int64 // nanoseconds after origin; never decreases
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -154,7 +154,7 @@
 		})
 	})
 	h.Run(2 * time.Second)
-	i.gateway.session.end() // the control process in the partition becomes the home
+	i.gateway.session.end() // it then subscribes to the control process in the partition
 	for _, control := range h.chain.controls {
 		if control != c {
 			h.partitionFor(i.gateway.name, control.name, controlFound+partitionLength)
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -116,7 +116,7 @@
 			h.After(100*time.Millisecond, func() { g.start([]string{c.name}) })
 		})
 	}
-	if h.random.Chance(0.3) { // another gateway loses its home and finds this one
+	if h.random.Chance(0.3) { // another gateway loses its connection and may find this control process
 		other := h.gateways[h.random.IntN(len(h.gateways))]
 		h.After(h.span(length), func() {
 			if other.session != nil && other.up {
@@ -151,7 +151,7 @@
 			}
 		})
 		cutAfter = h.span(300 * time.Millisecond)
-	case 1: // the home applies the command late
+	case 1: // its control process applies the command late
 		if g.session != nil {
 			g.session.control.lagsUntil = h.Elapsed() + due + time.Second
 		}
@@ -205,7 +205,7 @@
 	return usual
 }
 
-// TestRandomWorlds plays simulations with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
+// TestRandomSimulations plays simulations with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed S.
 func TestRandomSimulations(t *testing.T) {
 	first, count := environmentInt("FIRST", 1), environmentInt("SEEDS", defaultRuns)
 	var mutex sync.Mutex
@@ -244,22 +244,22 @@
 	}
 	close(numbers)
 	wait.Wait()
-	t.Logf("%d worlds, %d troubles, %d configurations, %d requests served, refused by status: %v", count, faults, commands, served, rejected)
+	t.Logf("%d simulations, %d faults, %d configurations, %d requests served, rejected by status: %v", count, faults, commands, served, rejected)
 }
 
 // TestSimulationsFindBugs shows that the simulations find each bug, by the check that is meant for it.
 func TestSimulationsFindBugs(t *testing.T) {
-	const mostWorlds = 300
+	const maxSimulations = 300
 	for bug, by := range foundBy {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
-			for seed := by.first; seed < by.first+mostWorlds; seed++ {
+			for seed := by.first; seed < by.first+maxSimulations; seed++ {
 				if _, broken := by.play(seed, bug); strings.Contains(broken, by.reason) {
-					t.Logf("found in world %d: %s", seed, broken)
+					t.Logf("found in simulation %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Errorf("not found in %d worlds", mostWorlds)
+			t.Errorf("not found in %d simulations", maxSimulations)
 		})
 	}
 }
--- a/internal/gateway/subscription/subscription.go
+++ b/internal/gateway/subscription/subscription.go
@@ -15,12 +15,12 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Options are a subscription's fixed parts.
+// Options are the settings of a subscription, and the parts of the process that it works with.
 type Options struct {
 	Settings  *node.Settings
 	Process   protocol.Process
 	Transport transport.Options
-	Servers   *endpoints.Registry // is given each list of servers
+	Servers   *endpoints.Registry // Run applies each list of servers to it
 	Ready     func() bool         // sent with each poll
 	Log       zerolog.Logger
 	// OnConfiguration is called with each configuration that takes effect, in order. May be nil.
@@ -36,7 +36,7 @@
 	OnUpdate func()
 }
 
-// Subscription holds the state that control has sent. It is safe for concurrent use.
+// Subscription holds the state that control processes have sent. It is safe for concurrent use.
 type Subscription struct {
 	opt    Options
 	origin time.Time
@@ -95,7 +95,8 @@
 	return s.confirmedAt.Load() >= int64(moment.Sub(s.origin))
 }
 
-// Complete reports whether all is there that is needed to serve requests.
+// Complete reports whether the process has what serving takes: a configuration in force, a list of servers and a valid
+// key lease.
 func (s *Subscription) Complete(now time.Time) bool {
 	return s.Configuration() != nil && s.opt.Servers.Current() != nil && s.KeyLeaseValid(now)
 }
--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Batch processes (stores) report the work that waits with them, so that gateways submit batch jobs where least
-// waits: each store runs the jobs that it owns, and all compete alike for the servers' free slots, so a store with
-// more work than the others is late with it. They report it only where servers report their load. Elsewhere stores
-// don't know which slots are free, and more stores with work at a time would take more from live requests.
+// Batch processes (stores) report their backlogs, so that gateways submit batch jobs to the store with the shorter
+// one: each store runs the jobs that it owns, and all have the same chance at the servers' free slots, so a store with
+// more work than the others finishes it later. They report only while servers report their load. Otherwise stores
+// don't know which slots are free, and spreading jobs over more stores would take more capacity from live requests.
 
 const (
 	// backlogTTL is how long a backlog is valid.
@@ -53,12 +53,12 @@
 	return entry.tokens, found && now.Sub(entry.receivedAt) <= backlogTTL
 }
 
-// ReportBacklog takes in what a store has reported, by its node's name.
+// ReportBacklog records the backlog of the store on a node, in tokens, as if the store had reported it to this process.
 func (t *Table) ReportBacklog(node string, tokens int64) {
 	t.receiveBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
 }
 
-// receiveBacklogs takes in a datagram of backlogs, and drops those that have expired.
+// receiveBacklogs records a datagram of backlogs, and drops those that have expired.
 func (t *Table) receiveBacklogs(now time.Time, k kind, list []backlog) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// directBacklogs returns what stores have reported to this process themselves.
+// directBacklogs returns the backlogs that stores have reported to this process themselves, not through a relay.
 func (t *Table) directBacklogs(now time.Time) []backlog {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/serverload/load.go
+++ b/internal/serverload/load.go
@@ -12,7 +12,7 @@
 // maxCount bounds each number of a load. It is what a datagram can hold.
 const maxCount = 1<<16 - 1
 
-// Load is a server's load, as it reported it.
+// Load is the load that a server reported of itself, in requests.
 type Load struct {
 	Running int // requests in a slot
 	Waiting int // requests that wait for one
--- a/internal/serverload/prefill.go
+++ b/internal/serverload/prefill.go
@@ -68,7 +68,7 @@
 	return k, prompts, true
 }
 
-// AddPrefill takes in that another process has sent a server a prompt with this many tokens to be read.
+// AddPrefill records that another process has sent a server a prompt of which it has to read this many tokens.
 func (t *Table) AddPrefill(now time.Time, server uint64, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,8 +103,8 @@
 	return max(0, t.prefillUntil[server].Sub(now))
 }
 
-// AnnouncePrefill tells other processes at once that this process has sent a server a prompt with this many tokens to
-// be read. It is safe for concurrent use.
+// AnnouncePrefill announces to other processes that this process sends a server a prompt of which it has to read this
+// many tokens. It doesn't wait, and is safe for concurrent use.
 func (s *Sharing) AnnouncePrefill(server uint64, tokens int) {
 	targets := s.targets.Load()
 	if targets == nil {
@@ -118,7 +118,8 @@
 	}
 }
 
-// receivePrefills takes in a datagram of prompts. One that a process sent to this aggregator is relayed.
+// receivePrefills records a datagram of prompts. Those that a process sent to this aggregator (kindPrefill) are
+// relayed; relayed ones aren't relayed again.
 func (s *Sharing) receivePrefills(now time.Time, k kind, prompts []pendingPrompt) {
 	for _, prompt := range prompts {
 		if prompt.sender != s.sender {
@@ -127,7 +128,7 @@
 		if k == kindPrefill {
 			select {
 			case s.relayQueue <- prompt:
-			default: // the queue is full: processes can do without
+			default: // the queue is full; a prompt that isn't announced only makes the cost estimate less exact
 			}
 		}
 	}
--- a/internal/serverload/results.go
+++ b/internal/serverload/results.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// A server that fails what it gets has little to do, by its reported load, and would attract requests. One gateway
-// alone would learn of it only by failures of its own. So each process sends the results of its requests to the
-// aggregators of its zone; these sum them up, and tell the zone's processes. A zone judges by its own requests, as a
-// server may fail for some callers only. Results at servers that don't report their load aren't counted: no load
+// A server that fails its requests quickly has little load to report, and would attract more requests. A gateway alone
+// would find that out only by failures of its own. So each process sends the results of its requests to the
+// aggregators of its zone; these add them up, and send the sums to the zone's processes. A zone judges by its own
+// requests only, as a server may fail for the callers of one zone and not of another. Results at servers that don't report their load aren't counted: no load
 // attracts requests to them.
 
 const (
 	// resultsDecay is the time in which counts decay to 1/e.
 	resultsDecay = time.Second
-	// A server is failing if it failed minFailures requests lately, and minFailureShare of all.
+	// A server is failing if it failed at least minFailures of the recent requests, and minFailureShare of all (as
+	// decayed counts).
 	minFailures, minFailureShare = 2.0, 0.25
-	// verdictTTL is how long an aggregator's counts are valid.
+	// verdictTTL is how long counts are valid that an aggregator sent.
 	verdictTTL = time.Second
 	// maxResults bounds the counts in a datagram.
 	maxResults = 255
@@ -161,7 +162,8 @@
 	return reports
 }
 
-// receiveResults takes in counts: of one process of this zone, or of the whole zone from an aggregator.
+// receiveResults records the counts in reports: of one process of this zone (kindObserved), or of the whole zone from
+// an aggregator (kindZone).
 func (t *Table) receiveResults(now time.Time, k kind, reports []Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/serverload/table.go
+++ b/internal/serverload/table.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// loadTTL is how long a load is valid: about as long as the requests that make it up last.
+// loadTTL is how long a load is valid: about as long as the requests take that it consists of.
 const loadTTL = 1500 * time.Millisecond
 
-// Table is what a process knows of servers, by the hashes of their ids, and of batch processes. It is safe for
-// concurrent use.
+// Table is what a process knows of the load of servers, by the hashes of their ids, and of batch processes. It is safe
+// for concurrent use.
 type Table struct {
 	mu       sync.RWMutex // guards what follows, except invalid
 	entries  map[uint64]loadEntry
@@ -23,7 +23,7 @@
 
 	backlogs map[uint64]backlogEntry // by the hash of the batch process's node
 
-	invalid atomic.Int64
+	invalid atomic.Int64 // headers and datagrams that could not be parsed
 }
 
 // loadEntry is the newest load of a server.
@@ -41,7 +41,8 @@
 		backlogs: map[uint64]backlogEntry{}}
 }
 
-// Observe takes in the load header of a server's response. An empty one means that the server doesn't report its load.
+// Observe records the load in the header of a server's response. An empty header means that the server doesn't report
+// its load; one that can't be parsed is counted (Invalid).
 func (t *Table) Observe(now time.Time, server uint64, header string) {
 	if header == "" {
 		return
@@ -103,7 +104,7 @@
 	t.results.sweep(now)
 }
 
-// Report is what one process tells another of a server.
+// Report is what one process sends another about a server.
 type Report struct {
 	Server  uint64        // hash of its id
 	Load    Load          // without slots: none is reported
@@ -124,7 +125,7 @@
 	return list
 }
 
-// receiveReports takes in a datagram of reports.
+// receiveReports records a datagram of reports.
 func (t *Table) receiveReports(now time.Time, datagram []byte) {
 	k, reports, ok := decode(datagram)
 	if !ok {
--- a/internal/serverload/targets.go
+++ b/internal/serverload/targets.go
@@ -72,7 +72,7 @@
 	return gateways, all
 }
 
-// appendAddress appends a process's address, unless its IP can't be parsed.
+// appendAddress appends a process's address. It leaves out one whose IP can't be parsed: hints are sent to the others.
 func (s *Sharing) appendAddress(list []netip.AddrPort, ip string) []netip.AddrPort {
 	address, err := netip.ParseAddr(ip)
 	if err != nil {
