--- a/internal/gateway/admission/doc.go
+++ b/internal/gateway/admission/doc.go
@@ -5,8 +5,8 @@
 //
 // The mechanism is RUDA ("Towards a degradation-based mechanism for adaptive overload control"; its score is package
 // ruda). Requests are grouped by route. At the end of each interval every group gets a score: its share of the
-// attempts' latency, set against its share of the requests and its priority. The group with the highest score costs
-// most for what it is worth.
+// attempts' latency, set against its share of the requests and its priority. The group with the highest score takes
+// most of the servers' time in proportion to its priority.
 //
 // A route is overloaded when the 90th percentile of its attempts' latency misses the route's target while its servers
 // are known to be loaded. While one is, each interval sheds a step more: of the group with the highest score first,
--- a/internal/gateway/admission/group.go
+++ b/internal/gateway/admission/group.go
@@ -14,7 +14,7 @@
 	sizeClasses      = 32   // powers of two of a request's cost
 	trafficDecay     = 0.75 // factor on the offered requests each interval
 	minTraffic       = 1.0  // decayed requests of a tenant priority that count as traffic
-	returnerBelow    = 0.97 // of the longest remaining time: with less, a client was rejected before
+	returnerBelow    = 0.97 // of the longest remaining time: a client with less is taken to have been rejected before
 	maxReturnerShare = 0.5  // of requests; if more look like returners, none is believed to be one
 	remainingDecay   = 0.98 // factor on the longest remaining time each interval
 	returnerDecay    = 0.98 // factor on the share of returners each request
--- a/internal/gateway/admission/report.go
+++ b/internal/gateway/admission/report.go
@@ -42,10 +42,10 @@
 	for _, g := range a.order {
 		for class, share := range g.effectiveShed {
 			if share < 0 || share > maxShed+roundingSlack {
-				panic(fmt.Sprintf("admission: group %s refuses a share of %v", g.name, share))
+				panic(fmt.Sprintf("admission: group %s sheds a share of %v", g.name, share))
 			}
 			if class > 0 && share < g.effectiveShed[class-1]-roundingSlack {
-				panic(fmt.Sprintf("admission: group %s refuses more of the more urgent tenants: %v", g.name,
+				panic(fmt.Sprintf("admission: group %s sheds more of the more urgent tenants: %v", g.name,
 					g.effectiveShed))
 			}
 		}
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -18,7 +18,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// loadReportInterval is how often admission is told of a backend's load, while requests for it arrive.
+// loadReportInterval is the time between reports of a backend's load to admission, while requests for it arrive.
 const loadReportInterval = 250 * time.Millisecond
 
 // How long a request may wait for a token of its tenant, as a part of its route's latency target.
@@ -66,8 +66,8 @@
 	a.quota.Configure(snapshot)
 }
 
-// Admit decides about a request. The tenant's quota comes first: a request beyond it is rejected with 429 whatever
-// the load.
+// Admit decides about a request. The tenant's quota comes first: a request beyond it is rejected with 429 at
+// any load.
 func (a *admitter) Admit(ctx context.Context, request proxy.AdmissionRequest) proxy.Rejection {
 	token := a.quota.Acquire(ctx, request.Tenant, quotaWait(request.Route, time.Until(request.Deadline)))
 	if !token.Admit {
@@ -84,7 +84,7 @@
 }
 
 // quotaWait returns how long a request may wait for a token of its tenant. A rejection must come within a quarter of
-// the route's latency target; a request that is admitted needs the rest of the target for its server. None waits
+// the route's latency target (a fifth is waited for); a request that is admitted needs the rest of the target for its server. None waits
 // longer than its client.
 func quotaWait(route *configuration.Route, left time.Duration) quotaclient.WaitLimits {
 	target := route.TargetLatency()
--- a/internal/gateway/batchproxy/caller.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -3,8 +3,8 @@
 // another.
 //
 // Submissions differ from the other calls. They go first to the store with the shorter backlog of two that are drawn,
-// and are hedged: a store that is down or paused says nothing for seconds, so another is sent the job after a short
-// time. That is safe as the stores accept a batch job once, wherever and how often it is submitted.
+// and are hedged: a store that is down or paused doesn't answer for seconds, so the job is sent to another
+// after hedgeAfter. That is safe as the stores accept a batch job once, wherever and how often it is submitted.
 //
 // A client is promised no more than the store that answered promises. If a submission may have been accepted by a
 // store that didn't answer, another store's rejection isn't passed on: the client gets 504, which promises nothing.
@@ -96,7 +96,7 @@
 	return rejection(call, uncertain)
 }
 
-// askAnother sends a call to one more store, after one that answered 503 as it wasn't sure.
+// askAnother sends a call to one more store, after one that answered 503 because it couldn't confirm its state.
 func (c *Caller) askAnother(ctx context.Context, targets *targetList, call protocol.BatchCall) (
 	protocol.BatchAnswer, bool) {
 	answer, err := c.send(ctx, targets.next(), call)
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -27,7 +27,7 @@
 type submission struct {
 	send      func(ip string) attempt
 	onSlow    func(ip string) // called when a store lets the submission be hedged
-	lastAsked string          // store that was asked last
+	lastAsked string          // store that the latest attempt was sent to
 	targets   *targetList
 	results   chan attempt          // holds all, so that no sender blocks
 	pending   int                   // attempts without a result
@@ -95,7 +95,7 @@
 	go func() { s.results <- s.send(ip) }()
 }
 
-// handle takes in an attempt's result, and reports whether it decides.
+// handle evaluates an attempt's result, and reports whether that is the final answer.
 func (s *submission) handle(result attempt) bool {
 	switch {
 	case result.err != nil:
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -1,9 +1,9 @@
 // Package endpoints holds the list of servers as a process uses it: an immutable Table that is replaced as a whole with
 // each new list, so that a request sees one list from its selection of a server to its end.
 //
-// The Registry also numbers the servers. The connection pool knows them by these numbers, and is told of each server
-// that is added, drained or removed. A server is identified by its id, not its address: an address that another
-// server has got gets another number, and connections to the former server aren't used for it.
+// The Registry also numbers the servers. The connection pool knows them by these numbers, and the Registry reports to
+// it each server that is added, drained or removed. A server is identified by its id, not its address: if another server
+// gets its address, that one has another number, and connections to the former server aren't used for it.
 package endpoints
 
 import (
@@ -40,7 +40,7 @@
 // ByNumber returns the server with a number, or nil if it was removed or is draining.
 func (t *Table) ByNumber(number policy.ServerID) *Server { return t.numbers[number] }
 
-// Pool is told of changes of the servers; pool.Pool implements it.
+// Pool is where a Registry reports changes of the servers; pool.Pool implements it.
 type Pool interface{ Apply([]pool.Change) }
 
 // Registry holds the current table. It is safe for concurrent use.
@@ -54,7 +54,7 @@
 	entries    map[string]entry // by server id
 }
 
-// entry is what the pool was last told of a server.
+// entry is what was last reported to the pool about a server.
 type entry struct {
 	number  policy.ServerID
 	address string
@@ -67,8 +67,8 @@
 // Current returns the current table, or nil before the first.
 func (r *Registry) Current() *Table { return r.current.Load() }
 
-// Apply replaces the table by one of a new list. The pool is told before the table is visible: a server that can be
-// selected is known to the pool.
+// Apply replaces the table by one of a new list. Changes are reported to the pool before the table is visible, so that
+// the pool knows each server that can be selected.
 func (r *Registry) Apply(list *protocol.ServerList) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gateway/front_port.go
+++ b/internal/gateway/front_port.go
@@ -14,7 +14,7 @@
 const (
 	// longestDeadline bounds how long a request and its response may take on a client's connection.
 	longestDeadline = 60 * time.Second
-	// retryInterval is the time between checks for a free port, for the first configuration, and for the end of a
+	// pollInterval is the time between checks for a free port, for the first configuration, and for the end of a
 	// shutdown.
 	pollInterval = 25 * time.Millisecond
 	// listenRetryFor is how long opening the front port is retried while another process has it.
@@ -34,8 +34,8 @@
 )
 
 // serveClients serves the front port. The port is open from the start, so that clients that connect while the process
-// starts wait in its queue; they are served once there is a configuration, as it has the port's limits, or it is
-// late.
+// starts wait in its queue; they are served once there is a configuration, which has the port's limits, or after
+// configurationWait without one.
 func (g *Gateway) serveClients() error {
 	port, err := g.listen()
 	if err != nil {
--- a/internal/gateway/proxy/admission.go
+++ b/internal/gateway/proxy/admission.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/gateway/serverselection"
 )
 
-// Admission decides which requests are forwarded at all, by quota and by load. It is told of every attempt, as attempts
-// are what its decisions rest on.
+// Admission decides which requests are forwarded at all, by quota and by load. The proxy reports each attempt to it, as
+// it measures load by the attempts' latency. The gateway's admitter implements it.
 type Admission interface {
 	// Admit decides about a request whose body has been read. It may wait, for as long as ctx lasts.
 	Admit(ctx context.Context, request AdmissionRequest) Rejection
@@ -22,7 +22,7 @@
 	Attempted(request AdmissionRequest, took time.Duration)
 }
 
-// AdmissionRequest is what admission knows of a request.
+// AdmissionRequest is the part of a request that admission decides by.
 type AdmissionRequest struct {
 	Route    *configuration.Route
 	Tenant   *configuration.Tenant // nil on a public route
@@ -46,7 +46,7 @@
 	return outcomes.RejectedOverload
 }
 
-// AdmitAll is an Admission that admits every request.
+// AdmitAll is an Admission that admits every request. Tests use it.
 type AdmitAll struct{}
 
 // Admit admits the request.
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -22,7 +22,7 @@
 	response    *http.Response // its head
 }
 
-// prepare computes, before admission, what admission and the attempts need.
+// prepare sets, before admission, the fields of the request that admission and the attempts use.
 func (q *request) prepare() {
 	idempotent := q.route.Idempotent() && !ablation.Off(ablation.Retries) || q.proxy.bugs.retryNonIdempotent
 	q.history = retry.History{Idempotent: idempotent, MaxServers: q.route.MaxAttempts}
@@ -47,7 +47,7 @@
 }
 
 // send makes an attempt at the server of a reservation. It reports whether the client has its final response; if not,
-// the request's history has the attempt's outcome.
+// the attempt's outcome is recorded in the request's history, which decides whether another may follow.
 func (q *request) send(reservation *serverselection.Reservation) (final bool) {
 	a := attempt{reservation: reservation, startedAt: time.Now()}
 	server := reservation.Server
@@ -127,7 +127,7 @@
 	return false
 }
 
-// handleLost ends an attempt that may have run the request and gave no usable response.
+// handleLost ends an attempt without a usable response whose server may have run the request.
 func (q *request) handleLost(reservation *serverselection.Reservation) (final bool) {
 	result := serverselection.Broken
 	if q.r.Context().Err() != nil {
@@ -139,7 +139,8 @@
 }
 
 const (
-	// minStallWait is how long a server may send nothing at least before an idempotent request goes to another.
+	// minStallWait is the least time for which a server must have sent nothing before an idempotent request goes to
+	// another.
 	minStallWait = 1200 * time.Millisecond
 	// stallCheckInterval is the time between checks whether the server has stalled for all its requests.
 	stallCheckInterval = 150 * time.Millisecond
--- a/internal/gateway/proxy/batch.go
+++ b/internal/gateway/proxy/batch.go
@@ -21,7 +21,7 @@
 	longPollMargin = 1300 * time.Millisecond
 )
 
-// removedRoute stands for the route of a batch job whose own is no longer configured: its tenant can read it for as
+// removedRoute takes the place of a batch job's route that is no longer configured: the job's tenant can read it for as
 // long as it is stored.
 var removedRoute = &configuration.Route{Type: configuration.RouteBatch}
 
@@ -120,5 +120,5 @@
 	}
 	header.Set(headerContentLength, strconv.Itoa(len(answer.Body)))
 	q.w.WriteHeader(answer.Status)
-	_, _ = q.w.Write(answer.Body) // nobody is left to tell where it fails
+	_, _ = q.w.Write(answer.Body) // fails only if the client has left
 }
--- a/internal/gateway/proxy/body.go
+++ b/internal/gateway/proxy/body.go
@@ -17,7 +17,7 @@
 // defaultMaxBodyBytes bounds bodies if the configuration doesn't.
 const defaultMaxBodyBytes = 4 << 20
 
-// body is a request's complete body. It is held in memory as it may be sent to more than one server.
+// body is a request's complete body. It is kept in memory, as it may be sent to more than one server.
 type body struct {
 	bytes    []byte
 	readAt   time.Time // when it was complete, or given up
@@ -44,7 +44,7 @@
 		b.release(budget)
 		return failure
 	}
-	// net/http goes on reading, to notice when the client disconnects; that has no deadline.
+	// net/http goes on reading, so that it notices when the client disconnects. That read must have no deadline.
 	_ = controller.SetReadDeadline(time.Time{})
 	return nil
 }
--- a/internal/gateway/proxy/buffered.go
+++ b/internal/gateway/proxy/buffered.go
@@ -55,12 +55,12 @@
 		q.w.Header().Del(headerContentLength)
 	}
 	q.w.WriteHeader(status)
-	_, _ = q.w.Write(body) // nobody is left to tell where it fails
+	_, _ = q.w.Write(body) // fails only if the client has left: there is no one to report it to
 	return true
 }
 
 // errResponseTooLarge reports a response above maxResponseBytes, or one that the budget has no room for.
-var errResponseTooLarge = errors.New("proxy: answer too long")
+var errResponseTooLarge = errors.New("proxy: response too long, or no memory for it")
 
 // readResponseBody reads the complete body of a response. The body's capacity is reserved from the budget, also when an
 // error is returned; the caller returns it.
--- a/internal/gateway/proxy/doc.go
+++ b/internal/gateway/proxy/doc.go
@@ -9,7 +9,7 @@
 //  2. routing.go finds the route in the configuration in force, authentication.go finds the tenant by its API key and
 //     checks the key lease.
 //  3. admission.go has the request admitted or rejected, by its tenant's quota and by the load of the servers.
-//  4. selection.go selects a server (package serverselection) among those not tried yet.
+//  4. selection.go reserves a place at a server that the request wasn't sent to yet (package serverselection).
 //  5. attempt.go sends the request to it and validation.go decides whether what comes back is the server's response to
 //     this request. Package retry decides whether another attempt may follow.
 //  6. buffered.go forwards a complete response, stream.go an event stream as it arrives. A stream that breaks off is
@@ -30,7 +30,7 @@
 //   - A request reaches no server twice, and at most the route's max-attempts servers may run it; at most one if the
 //     route isn't idempotent.
 //
-// The transactions of internal/core, and with them the retry module of package policy, aren't used here: a transaction
-// has one response, which is complete or has begun, and its servers differ in load alone. Here a stream may continue at
-// another server, and servers also differ in what their prefix caches hold.
+// The transactions of internal/core, on which the daemon runs, aren't used here, nor is package policy's choice of
+// retries: a transaction has one response, from one server, and its servers differ in load alone. Here a stream may
+// continue at another server, and servers also differ in what their prefix caches hold.
 package proxy
--- a/internal/gateway/proxy/gateway_responses.go
+++ b/internal/gateway/proxy/gateway_responses.go
@@ -15,12 +15,12 @@
 	noServerRetryAfter = 150 * time.Millisecond
 )
 
-// errorResponse is the gateway's own response to a request that no server was sent.
+// errorResponse is the gateway's own response to a request that wasn't sent to any server.
 type errorResponse struct {
 	status          int
 	message         string
 	retryAfter      time.Duration
-	closeConnection bool // the end of the request can't be relied on, or the process exits
+	closeConnection bool // where the next request begins isn't certain, or the process exits
 }
 
 // write sends the response.
@@ -42,7 +42,7 @@
 	}
 	w.Header().Set(headerContentLength, strconv.Itoa(len(message)))
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(message)) // nobody is left to tell where it fails
+	_, _ = w.Write([]byte(message)) // fails only if the client has left
 }
 
 // formatSeconds formats a Retry-After, in seconds with up to three decimals.
--- a/internal/gateway/proxy/headers.go
+++ b/internal/gateway/proxy/headers.go
@@ -14,7 +14,7 @@
 	headerDeadline        = "X-Deadline-Ms"        // how long the sender waits for the response
 	headerAPIKey          = "Api-Key"              // of a tenant; never forwarded
 	headerTenant          = "X-Tenant"             // for the server, instead of the key
-	headerInstance        = "X-Expect-Instance"    // the server that is meant: another at its address answers 421
+	headerInstance        = "X-Expect-Instance"    // id of the addressed server: another one at its address answers 421
 	headerSignature       = "X-Response-Signature" // of a server's successful response
 	headerNotExecuted     = "X-Not-Executed"       // the server promises not to have run the request
 	headerPromptPrefix    = "X-Prompt-Prefix"
--- a/internal/gateway/proxy/injected_bugs.go
+++ b/internal/gateway/proxy/injected_bugs.go
@@ -3,7 +3,7 @@
 // injectedBugs switches off mechanisms, one by one. Tests set them to show that their checks find such a bug; they are
 // all false otherwise.
 type injectedBugs struct {
-	acceptAnyID           bool // a response is taken whatever request it names
+	acceptAnyID           bool // a response is accepted although it names another request
 	retryNonIdempotent    bool // a request that may run once only is retried after it was lost
 	truncatedIsComplete   bool // a response without a length is complete though its connection was reset
 	omitLastEventID       bool // a stream is resumed without the id of its last event
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -30,7 +30,7 @@
 	return l.skipped.Swap(0), true
 }
 
-// count counts the request's outcome. Only the first counts.
+// count counts the request's outcome. Only the first call has an effect.
 func (q *request) count(outcome outcomes.Outcome) {
 	if q.proxy.Outcomes != nil && !q.counted {
 		q.counted = true
@@ -52,7 +52,7 @@
 	}
 }
 
-// recordAnswer counts a request when its response is complete or its stream's first event has arrived, and logs a
+// recordResponse counts a request when its response is complete or its stream's first event has arrived, and logs a
 // sample of the late ones.
 func (q *request) recordResponse(reservation *serverselection.Reservation, header http.Header) {
 	load, _ := serverload.Parse(header.Get(serverload.Header))
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -46,10 +46,11 @@
 	Bodies *buffers.Budget
 	Log    zerolog.Logger
 	// ExitTime returns when the process exits, and whether that limits a request that is read now. Nil: it never exits.
-	ExitTime func(now time.Time) (at time.Time, counts bool)
+	ExitTime func(now time.Time) (at time.Time, applies bool)
 	// Outcomes counts how requests end. Nil: they aren't counted.
 	Outcomes *outcomes.Counts
-	// AnnouncePrefill tells other gateways that a server has this many prompt tokens to read. Nil: they aren't told.
+	// AnnouncePrefill announces to other gateways that a server has this many prompt tokens to read. Nil: nothing is
+	// announced.
 	AnnouncePrefill func(server uint64, tokens int)
 
 	lateResponses logSampler
@@ -85,11 +86,12 @@
 // exitMargin is how long before the process exits a response must be out.
 const exitMargin = 100 * time.Millisecond
 
-// runsUntil reports whether the process will still run at a moment, as far as a request that is read now is concerned.
+// runsUntil reports whether a request that is read now can be served until a moment, which it can't if the process
+// exits before.
 func (p *Proxy) runsUntil(now, moment time.Time) bool {
 	if p.ExitTime == nil {
 		return true
 	}
-	at, counts := p.ExitTime(now)
-	return !counts || moment.Before(at.Add(-exitMargin))
+	at, applies := p.ExitTime(now)
+	return !applies || moment.Before(at.Add(-exitMargin))
 }
--- a/internal/gateway/proxy/routing.go
+++ b/internal/gateway/proxy/routing.go
@@ -33,8 +33,8 @@
 
 // resolve finds the route and the tenant in the configuration in force.
 //
-// The key lease is read before the configuration: a lease that is renewed in between belongs to a newer configuration,
-// which may have removed the key that the older one still has.
+// The key lease is checked before the configuration is loaded. In the other order the lease could be renewed in
+// between, for a newer configuration that has removed the key, and the older one would still have the key.
 func (q *request) resolve() *errorResponse {
 	q.leaseExpired = !q.proxy.Control.KeyLeaseValid(time.Now())
 	q.configuration = q.proxy.Control.Configuration()
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -17,8 +17,8 @@
 	maxUnflushedBytes = 32 << 10
 	// maxPooledBytes is the largest buffer that is kept for another stream.
 	maxPooledBytes = 64 << 10
-	// writeGrace is how long after its deadline a client may still take to read a stream. Its server works for it until
-	// then.
+	// writeGrace is how long after its deadline a client may still take to read a stream. The server is kept busy with
+	// it for as long.
 	writeGrace = 250 * time.Millisecond
 )
 
@@ -50,7 +50,7 @@
 			}
 			if q.scanner.Gap() {
 				q.handleLost(a.reservation)
-				panic(http.ErrAbortHandler) // the missing events can't be had any more
+				panic(http.ErrAbortHandler) // events are missing that no server will send again
 			}
 			q.flushEvents(a.response)
 		}
@@ -106,7 +106,7 @@
 	resumed := q.streamStarted && q.history.MayHaveRun()
 	q.startStream(a.response)
 	if rest := q.scanner.Partial(); len(rest) > 0 && !resumed {
-		_, _ = q.w.Write(rest) // nobody is left to tell where it fails
+		_, _ = q.w.Write(rest) // fails only if the client has left
 	}
 	return true
 }
--- a/internal/gateway/proxy/timing_test.go
+++ b/internal/gateway/proxy/timing_test.go
@@ -174,8 +174,8 @@
 // TestRulesFindBugs shows that each rule is violated without the mechanism that keeps it.
 func TestRulesFindBugs(t *testing.T) {
 	for name, test := range map[string]struct {
-		planted injectedBugs
-		rule    func(ruleCheck)
+		bugs injectedBugs
+		rule func(ruleCheck)
 	}{
 		"each attempt forwards the first one's deadline":  {injectedBugs{keepFirstDeadline: true}, checkForwardedDeadlines},
 		"a stalled server ends a stream that has started": {injectedBugs{abandonStartedStreams: true}, checkAnswerAtTimeout},
@@ -183,6 +183,6 @@
 		"servers don't learn that a client has left":      {injectedBugs{ignoreDisconnect: true}, checkDisconnectPropagation},
 		"a request is written though its client has left": {injectedBugs{ignoreDisconnect: true}, checkDisconnectWhileDialling},
 	} {
-		assert.True(t, violates(t, test.planted, test.rule), name)
+		assert.True(t, violates(t, test.bugs, test.rule), name)
 	}
 }
--- a/internal/gateway/proxy/validation.go
+++ b/internal/gateway/proxy/validation.go
@@ -13,12 +13,12 @@
 const (
 	// drainTimeout is how long the rest of a response that isn't forwarded may take to arrive.
 	drainTimeout = 50 * time.Millisecond
-	// maxMismatched bounds the responses that are read until one has the request's id.
+	// maxMismatched bounds the responses that are read in search of the one with the request's id.
 	maxMismatched = 2
 )
 
 // errMismatchedID reports that a server sent responses to other requests only.
-var errMismatchedID = errors.New("proxy: an answer to another request")
+var errMismatchedID = errors.New("proxy: responses to other requests only")
 
 // readResponseHead reads the head of the response to this request. A response with another id came late, for an earlier
 // request on the connection; it is skipped together with its body.
@@ -52,9 +52,10 @@
 	return resp.Header.Get(headerNotExecuted) != "" || resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-// credible reports whether a response can be the server's own to this request. Success bears the server's signature.
-// The statuses that promise that nothing ran count only with X-Not-Executed (see notExecuted, which comes first):
-// without it they may come from something between gateway and server. No content encoding is ever asked for.
+// credible reports whether a response can be the server's own answer to this request. A success has the server's
+// signature. The statuses that promise that nothing ran count only with X-Not-Executed (notExecuted is checked first):
+// without it they may come from an intermediary between gateway and server. A content encoding is never requested, so
+// a response with one isn't the server's.
 func credible(resp *http.Response) bool {
 	switch resp.StatusCode {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/gateway/quotaclient/limiter.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -1,6 +1,6 @@
-// Package quotaclient holds tenants to their rate limits at a gateway. It carries the requests for leases of tokens
-// between package quota's client, which decides about every token and does no input or output, and the allocator in a
-// control process; and it has requests wait for tokens.
+// Package quotaclient enforces tenants' rate limits at a gateway. Package quota's client decides about each token and
+// does no input or output; this package sends the client's requests for leases of tokens to the allocator, in a control
+// process, and lets clients' requests wait for tokens.
 //
 // A request that needs a token either has one at once, or waits: for longer if its lease will surely have a token by
 // then, else only as long as a rejection (429) is still timely. Without an allocator existing leases carry on until
--- a/internal/gateway/retry/history.go
+++ b/internal/gateway/retry/history.go
@@ -10,9 +10,8 @@
 //
 // Attempts that can't have run don't count against the first promise, and have bounds of their own.
 //
-// The retry module of internal/core isn't used: there a transaction has one response, which is read completely or
-// copied to its end. Here a stream may continue at another server in the middle of the response, and servers are
-// selected by what their prefix caches hold.
+// Package policy decides on retries for the daemon, in whose transactions (internal/core) a response comes from one
+// server. That isn't used here: a stream may continue at another server in the middle of the response.
 package retry
 
 import (
@@ -61,7 +60,7 @@
 		h.possibleRuns++
 	}
 	if h.possibleRuns > 1 && !h.Idempotent {
-		panic("attempts: a request that may run once was sent to a second server")
+		panic("retry: a request that may run once was sent to a second server")
 	}
 }
 
--- a/internal/gateway/serverselection/doc.go
+++ b/internal/gateway/serverselection/doc.go
@@ -1,5 +1,5 @@
-// Package serverselection selects the server for each attempt of a request. It does no input or output, and is told the
-// time.
+// Package serverselection selects the server for each attempt of a request. It does no input or output, and reads no
+// clock: callers pass the time.
 //
 // # Cost
 //
--- a/internal/gateway/serverselection/ejection.go
+++ b/internal/gateway/serverselection/ejection.go
@@ -33,13 +33,14 @@
 // ejection is a server's outlier ejection, by what this gateway has seen of it. The selector's mu guards it.
 type ejection struct {
 	rejections int // in a row
-	// failures counts lately. A success doesn't reset it, as a faulty server may fail some requests and serve others.
+	// failures counts failed requests. A success resets it only after failureMemory without a failure, as a faulty
+	// server may fail some requests and serve others.
 	failures     int
 	lastFailure  time.Time
 	ejectedUntil time.Time
 }
 
-// record takes in how an attempt ended.
+// record updates the ejection by how an attempt ended.
 func (e *ejection) record(result Result, now time.Time) {
 	switch result {
 	case Succeeded:
--- a/internal/gateway/serverselection/latency.go
+++ b/internal/gateway/serverselection/latency.go
@@ -15,7 +15,7 @@
 	latencyDecay = 3 * time.Second
 )
 
-// observeLatency takes in how long a request waited for its first response. mu is held.
+// observeLatency updates the averages by how long a request waited for its first response. mu is held.
 func (s *Selector) observeLatency(now time.Time, state *serverState, latency time.Duration) {
 	ms := float64(latency) / float64(time.Millisecond)
 	if s.meanLatency == 0 {
--- a/internal/pool/acquire.go
+++ b/internal/pool/acquire.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// attempt is what a connection is acquired for: a core.Flow, which names the methods, or a Request.
+// attempt is what a connection is acquired for: a *core.Attempt, whose method names these are, or a *Request.
 type attempt interface {
 	// To returns the server.
 	To() policy.ServerID
@@ -62,7 +62,7 @@
 }
 
 // recheck tests again, right before the first byte, what may have changed while the connection was dialled: the
-// server may drain, be gone or have moved, or the attempt may no longer be wanted.
+// server may drain, have departed or have moved, or the attempt may no longer be wanted.
 func (p *Pool) recheck(a attempt, c *conn) (core.End, bool) {
 	p.mu.Lock()
 	s := p.servers[a.To()]
--- a/internal/pool/doc.go
+++ b/internal/pool/doc.go
@@ -6,14 +6,14 @@
 //     a core.End, which says whether the server can have executed the request; the caller decides on a retry.
 //     (http.Transport resends idempotent requests by itself.)
 //   - The caller names the servers: [Pool.Apply] and [Pool.Set] give the address and the state of each. A server
-//     that drains or is gone gets nothing new.
+//     that drains or has departed gets no new request.
 //   - There is no goroutine per connection. A connection belongs to one request at a time, and an idle one to the
 //     pool. A response is read by the goroutine that asked for it, and at its pace.
 //
 // # Interfaces
 //
-// [Pool.Carry] performs an attempt of the older daemon's decision module (core.Flow with a [Message]): it writes
-// the request whole, reads the response's head, and buffers the body or the beginning of it.
+// [Pool.Carry] performs an attempt of the daemon's transactions (a [core.Attempt] with a [Message]; package core): it
+// writes the complete request, reads the response's head, and buffers the body or the beginning of it.
 //
 // [Pool.Send] writes a [Request] and returns an [Exchange], from which the caller itself reads the response as it
 // arrives. Gateways use this one.
@@ -34,7 +34,8 @@
 //   - Neither an end nor a byte has arrived on it, which is tested without reading, right before the first byte of
 //     the request is written ([Peeker]).
 //
-// What remains is the race with a close that is on its way; the caller learns of it as core.EndStale or as a reset.
+// What remains is the race with a close that is in transit. The caller then gets core.EndStale (Carry), or the error of a
+// reset (Exchange).
 //
 // # Right before the first byte
 //
--- a/internal/pool/idle.go
+++ b/internal/pool/idle.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// closeIdle closes the idle connections that are unusable, and forgets servers that are gone. The function is
+// closeIdle closes the idle connections that are unusable, and forgets servers that have departed. The function is
 // called with the mutex held.
 func (p *Pool) closeIdle(unusable func(*server, *conn) bool) {
 	var closing []*conn
--- a/internal/pool/message.go
+++ b/internal/pool/message.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Headers of the older daemon's protocol with servers.
+// Headers of the daemon's protocol with servers.
 const (
 	HeaderTrueCost = "X-True-Cost" // of a 200 response: the request's cost in units, if that is settled afterwards
 	HeaderLoad     = "X-Load"      // a load report: name=value, separated by commas, in any order
@@ -43,7 +43,7 @@
 	lastChunk        = "0\r\n\r\n"
 )
 
-// Message is a request of a core.Flow, as its front hands it over.
+// Message is the request of a core.Attempt, as the daemon passes it on.
 type Message struct {
 	Method, Target, Host string
 	Header               []byte    // complete lines, each with its line end
@@ -54,7 +54,7 @@
 	remainderRead atomic.Bool // something of Remainder was read: the message can't be sent again
 }
 
-// writeHead writes the head. remaining is the time until the deadline, which the server is told.
+// writeHead writes the head. remaining is the time until the deadline, which goes to the server in X-Deadline-Ms.
 func (m *Message) writeHead(b *bytes.Buffer, remaining time.Duration) {
 	b.WriteString(m.Method)
 	b.WriteByte(' ')
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -65,8 +65,8 @@
 	staleness stalenessEstimator // has a mutex of its own
 
 	// mu guards what follows, the idle lists included. A connection is either in exactly one idle list or owned by
-	// the goroutine that took it from there or dialled it. Under it sockets are only
-	// peeked at and closed.
+	// the goroutine that took it from there or dialled it. While mu is held sockets are only peeked at and closed,
+	// which doesn't block.
 	mu      sync.Mutex
 	servers map[policy.ServerID]*server
 	open    int // connections: idle, in use and being dialled; over MaxConnections only after that was lowered
@@ -112,7 +112,7 @@
 }
 
 // Set adds or changes a server. Idle connections to its former address are closed, and all of them if it is no
-// longer ready. One that is gone is forgotten.
+// longer ready. One that has departed is forgotten.
 func (p *Pool) Set(id policy.ServerID, addr string, state ServerState) {
 	p.Apply([]Change{{ID: id, Address: addr, State: state}})
 }
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/core"
 )
 
-// Carry sends the request of a flow to its server, and returns the response or the reason why there is none. It
+// Carry sends the request of an attempt to its server, and returns the response or the reason why there is none. It
 // implements core.Carrier. A response whose body is longer than what was buffered keeps its connection until its
 // Remainder is closed.
 func (p *Pool) Carry(attempt *core.Attempt) (core.End, core.Answer) {
