--- a/internal/service/state.go
+++ b/internal/service/state.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// DefaultAcceptPeriod is the time for which new connections are accepted after Shutdown. Load balancers go on
-	// sending for up to 0.4 s.
+	// DefaultAcceptPeriod is the time for which new connections are accepted after Shutdown. Load balancers
+	// go on sending for up to 0.4 s.
 	DefaultAcceptPeriod = 600 * time.Millisecond
-	// IdleGrace is the time for which idle connections stay open once clients are to leave. A client that sends
-	// another request within it learns from the response that it must use another connection; otherwise its request
-	// may race with the close.
+	// IdleGrace is the time for which idle connections stay open once clients are to leave. A client that
+	// sends another request within it learns from the response that it must use another connection; otherwise
+	// its request may race with the close.
 	IdleGrace = 500 * time.Millisecond
-	// newConnGrace is the time for which a connection that was accepted at the end of the accept period may send
-	// nothing before the process may exit.
+	// newConnGrace is the time for which a connection that was accepted at the end of the accept period may
+	// send nothing before the process may exit.
 	newConnGrace = 100 * time.Millisecond
 )
 
@@ -95,15 +95,16 @@
 	return true
 }
 
-// noteDraining records the time from which clients are to leave, if they were not to before. The mutex is held.
+// noteDraining records the time from which clients are to leave, if they were not to before. The mutex is
+// held.
 func (s *State) noteDraining(now time.Time) {
 	if !s.drainRequested && !s.handedOver && !s.shuttingDown {
 		s.drainingSince = now
 	}
 }
 
-// Undrain ends a drain. It returns false if this process can't serve clients again, because it shuts down or has
-// handed over.
+// Undrain ends a drain. It returns false if this process can't serve clients again, because it shuts down or
+// has handed over.
 func (s *State) Undrain() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +116,8 @@
 	return true
 }
 
-// HandOver records that another process of the gateway serves from now on. A drain that was requested applies to
-// that one.
+// HandOver records that another process of the gateway serves from now on. A drain that was requested applies
+// to that one.
 func (s *State) HandOver(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +141,8 @@
 	return s.drainRequested
 }
 
-// Shutdown begins the graceful shutdown; the process exits within the timeout. It returns false if it was called
-// before, and then changes nothing.
+// Shutdown begins the graceful shutdown; the process exits within the timeout. It returns false if it was
+// called before, and then changes nothing.
 func (s *State) Shutdown(now time.Time, timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +155,8 @@
 	return true
 }
 
-// CanServe reports whether this process can serve. Neither a drain nor another process that serves in its place
-// changes that: if the latter dies, this one serves again.
+// CanServe reports whether this process can serve. Neither a drain nor another process that serves in its
+// place changes that: if the latter dies, this one serves again.
 func (s *State) CanServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,17 +191,17 @@
 	return !s.shuttingDown || now.Sub(s.shutdownAt) < s.acceptPeriod
 }
 
-// ExitDeadline returns the time at which the process exits at the latest, and whether it applies to requests that
-// arrive now. It does after the accept period: such a request, on a connection that is still open, may have less
-// time than its deadline. One that arrives earlier is expected to end in time.
+// ExitDeadline returns the time at which the process exits at the latest, and whether it applies to requests
+// that arrive now. It does after the accept period: such a request, on a connection that is still open, may
+// have less time than its deadline. One that arrives earlier is expected to end in time.
 func (s *State) ExitDeadline(now time.Time) (at time.Time, applies bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shutdownAt.Add(s.shutdownTimeout), s.shuttingDown && now.Sub(s.shutdownAt) >= s.acceptPeriod
 }
 
-// MayExit reports whether the process may exit now, with so many client connections open. After a hand-over no new
-// ones arrive, so that there is no accept period to wait for.
+// MayExit reports whether the process may exit now, with so many client connections open. After a hand-over
+// no new ones arrive, so that there is no accept period to wait for.
 func (s *State) MayExit(now time.Time, open int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/service/state_test.go
+++ b/internal/service/state_test.go
@@ -10,9 +10,9 @@
 
 const testShutdownTimeout = 5 * time.Second
 
-// Every order of calls and signals leads to a sane state. Each case has a sequence of calls: d drain, u undrain, s
-// started, t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds half a minute
-// later if the process has not exited.
+// Every order of calls and signals leads to a sane state. Each case has a sequence of calls: d drain, u
+// undrain, s started, t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds
+// half a minute later if the process has not exited.
 func TestEveryTransitionOrder(t *testing.T) {
 	for _, c := range []struct {
 		calls                 string
@@ -75,8 +75,8 @@
 	}
 }
 
-// Idle connections have their grace from the first call of Drain on, also if it is called twice or shutdown begins
-// meanwhile; shutdown waits for the load balancer and for open requests, but not for ever.
+// Idle connections have their grace from the first call of Drain on, also if it is called twice or shutdown
+// begins meanwhile; shutdown waits for the load balancer and for open requests, but not for ever.
 func TestDrainTiming(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	s := New()
@@ -108,8 +108,9 @@
 	assert.True(t, s.MayExit(at(IdleGrace/2), 0), "clients go to the other process")
 }
 
-// Open requests have their response before the platform kills the process: so long after the longest deadline, of
-// which three seconds count at most. A request that was accepted last has its own deadline if that is short.
+// Open requests have their response before the platform kills the process: so long after the longest
+// deadline, of which three seconds count at most. A request that was accepted last has its own deadline if
+// that is short.
 func TestShutdownTimes(t *testing.T) {
 	for longest, killed := range map[time.Duration]time.Duration{time.Second: 1700 * time.Millisecond,
 		3 * time.Second: 3700 * time.Millisecond, 10 * time.Second: 3700 * time.Millisecond} {
@@ -131,8 +132,8 @@
 	}
 }
 
-// After the accept period the end of the process bounds each request; before that, a request is expected to end in
-// time.
+// After the accept period the end of the process bounds each request; before that, a request is expected to
+// end in time.
 func TestExitDeadline(t *testing.T) {
 	s, now := New(), time.Unix(1000, 0)
 	s.MarkStarted()
