--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -21,14 +21,14 @@
 
 // verifyResult is the output of the command.
 type verifyResult struct {
-	Whole         bool      `json:"whole"`
+	Intact        bool      `json:"whole"`
 	SnapshotBytes int       `json:"snapshot-bytes"`
 	Records       int       `json:"records"` // appended since the snapshot
 	Findings      []finding `json:"findings"`
 }
 
 // errDamaged gives the exit code of findings, which have been printed by then.
-var errDamaged = errors.New("acknowledged state is missing from the disk")
+var errCorrupt = errors.New("acknowledged state is missing from the disk")
 
 // Execute reports each corruption by file and offset. It changes nothing on the disk.
 func (c *diskVerify) Execute([]string) error {
@@ -43,7 +43,7 @@
 		return fmt.Errorf("%s holds no store of a control process", c.Arguments.Folder)
 	}
 	result := verifyResult{
-		Whole:         err == nil,
+		Intact:        err == nil,
 		SnapshotBytes: len(found.Snapshot),
 		Records:       len(found.Records),
 		Findings:      []finding{},
@@ -57,8 +57,8 @@
 	if printError := c.printer.print(result, result.write); printError != nil {
 		return printError
 	}
-	if !result.Whole {
-		return errDamaged
+	if !result.Intact {
+		return errCorrupt
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 	for _, one := range v.Findings {
 		fmt.Fprintf(out, "%s: %s\n", one.Place, one.Text)
 	}
-	if v.Whole {
+	if v.Intact {
 		fmt.Fprintf(out, "whole: a snapshot of %d bytes and %d records since\n", v.SnapshotBytes, v.Records)
 	}
 }
--- a/cmd/sprucelanectl/main.go
+++ b/cmd/sprucelanectl/main.go
@@ -71,7 +71,7 @@
 		return exitFindings
 	}
 	fmt.Fprintln(printer.errOut, err)
-	if errors.Is(err, errDamaged) {
+	if errors.Is(err, errCorrupt) {
 		return exitFindings
 	}
 	return exitFailed
--- a/cmd/sprucelanectl/main_test.go
+++ b/cmd/sprucelanectl/main_test.go
@@ -89,7 +89,7 @@
 		So(got.code, ShouldEqual, exitFindings)
 		var result verifyResult
 		So(json.Unmarshal([]byte(got.out), &result), ShouldBeNil)
-		So(result.Whole, ShouldBeFalse)
+		So(result.Intact, ShouldBeFalse)
 		So(result.Findings, ShouldNotBeEmpty)
 		So(result.Findings[0].Place, ShouldContainSubstring, "log-")
 	})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -265,9 +265,9 @@
 func (c *Control) Stop() {
 	c.log.Info().Msg("stopping")
 	c.cancel()
-	handed := make(chan struct{})
+	handedOver := make(chan struct{})
 	go func() {
-		defer close(handed)
+		defer close(handedOver)
 		ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 		defer cancel()
 		releaseCtx, stop := context.WithTimeout(ctx, releaseGrantsTimeout)
@@ -282,7 +282,7 @@
 	if err := c.apiServer.Shutdown(ctx); err != nil {
 		_ = c.apiServer.Close()
 	}
-	<-handed
+	<-handedOver
 	c.subscriptionServer.Close()
 	c.peers.close()
 	c.replica.Close()
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -576,11 +576,11 @@
 // simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more, and
 // more is found than with simulations side by side.
 func TestRandomDeployments(t *testing.T) {
-	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 12)
+	first, simulations := seedNumber("FIRST", 0), seedNumber("SEEDS", 12)
 	var lock sync.Mutex
 	var counts deploymentCounts
 	t.Run("worlds", func(t *testing.T) {
-		for seed := first; seed < first+worlds; seed++ {
+		for seed := first; seed < first+simulations; seed++ {
 			t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 				t.Parallel()
 				w := simulateDeployment(t, seed)
@@ -593,8 +593,8 @@
 			})
 		}
 	})
-	t.Logf("%d worlds: %+v", worlds, counts)
-	if worlds >= 8 {
+	t.Logf("%d worlds: %+v", simulations, counts)
+	if simulations >= 8 {
 		checkExercised(t, counts)
 	}
 }
@@ -602,7 +602,7 @@
 // checkExercised fails if the simulations did nothing of a kind.
 func checkExercised(t *testing.T, counts deploymentCounts) {
 	for what, count := range map[string]int{"accepted batch jobs": counts.accepted, "readings": counts.read,
-		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "vouches": counts.vouches, "versions": counts.versions,
+		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "vouches": counts.confirmations, "versions": counts.versions,
 		"recoveries": counts.recoveries, "retirements": counts.retired, "replacements": counts.replaced} {
 		if count == 0 {
 			t.Errorf("the worlds had no %s", what)
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -66,7 +66,7 @@
 
 // deploymentCounts is what happened in a simulation.
 type deploymentCounts struct {
-	accepted, read, powerLosses, wipes, views, vouches, versions, faults, recoveries, retired, replaced int
+	accepted, read, powerLosses, wipes, views, confirmations, versions, faults, recoveries, retired, replaced int
 }
 
 func (c *deploymentCounts) add(other deploymentCounts) {
@@ -75,7 +75,7 @@
 	c.powerLosses += other.powerLosses
 	c.wipes += other.wipes
 	c.views += other.views
-	c.vouches += other.vouches
+	c.confirmations += other.confirmations
 	c.versions += other.versions
 	c.faults += other.faults
 	c.recoveries += other.recoveries
@@ -361,7 +361,7 @@
 	o.lock.Unlock()
 	w := o.deployment
 	w.lock.Lock()
-	w.counts.vouches++
+	w.counts.confirmations++
 	version, set := newestBefore(w.acknowledgedVersions, moment), newestBefore(w.acknowledgedEpochs, moment)
 	w.lock.Unlock()
 	if generation < version {
--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -37,7 +37,7 @@
 			time.Sleep(400 * time.Millisecond)
 		}
 		w.finalCheck()
-		if w.counts.accepted == 0 || w.counts.read == 0 || w.counts.vouches == 0 {
+		if w.counts.accepted == 0 || w.counts.read == 0 || w.counts.confirmations == 0 {
 			t.Errorf("nothing was played: %+v", w.counts)
 		}
 		if err := w.err(); err != nil {
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -89,13 +89,13 @@
 // readPageLimited reads a page when the rate limit allows it. Pages after the first are read again when the
 // platform rejects a call for its rate, so that what was read so far isn't wasted.
 func (r *Reader) readPageLimited(ctx context.Context, token string) (*page, error) {
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		if err := sleep(ctx, r.limiter.reserve(time.Now())); err != nil {
 			return nil, err
 		}
 		one, err := r.readPage(ctx, token)
 		var rate *RateLimitError
-		if token == "" || try == maxPageAttempts || !errors.As(err, &rate) {
+		if token == "" || attempt == maxPageAttempts || !errors.As(err, &rate) {
 			return one, err // there is nothing to keep before the first page; Schedule decides on the next attempt
 		}
 		if err := sleep(ctx, max(rate.RetryAfter, minPageRetryDelay)); err != nil {
--- a/internal/control/liveness/joins.go
+++ b/internal/control/liveness/joins.go
@@ -32,8 +32,8 @@
 		if one.Process.Role != protocol.RoleBatch || contains(view, one.Process) {
 			continue
 		}
-		verdict := admission(one.Process)
-		if verdict == Admitted || verdict == AdmittedAfterDelay && now-one.since >= RejoinAfter {
+		decision := admission(one.Process)
+		if decision == Admitted || decision == AdmittedAfterDelay && now-one.firstPollAt >= RejoinAfter {
 			list = append(list, one.Process)
 		}
 	}
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestSettled(t *testing.T) {
+func TestReconciled(t *testing.T) {
 	Convey("The members are reconciled once each says so of the newest epoch, within the tolerance", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
--- a/internal/control/liveness/table.go
+++ b/internal/control/liveness/table.go
@@ -35,11 +35,11 @@
 
 // Contact is the newest poll of a process.
 type Contact struct {
-	Process protocol.Process
-	Ready   bool
-	Batch   *protocol.BatchReport
-	At      time.Duration // of the poll; since the control process's start, as are all times here
-	since   time.Duration // of the first poll of this incarnation that is known
+	Process     protocol.Process
+	Ready       bool
+	Batch       *protocol.BatchReport
+	At          time.Duration // of the poll; since the control process's start, as are all times here
+	firstPollAt time.Duration // of the first poll of this incarnation that is known
 }
 
 // Table is what one control process knows of the liveness of gateways and batch processes. It isn't safe for
@@ -74,9 +74,9 @@
 		return false
 	}
 	same := known && old.Process == one.Process
-	one.since = one.At
+	one.firstPollAt = one.At
 	if same {
-		one.since = old.since
+		one.firstPollAt = old.firstPollAt
 	}
 	t.contacts[id] = one
 	return !same
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -48,7 +48,7 @@
 	}
 	// The list may have been built before the proof that fresh relies on.
 	c.members.updateStores(c.state.Stores(), c.quotaAddress())
-	return c.members.vouchedFor(one)
+	return c.members.confirmedFor(one)
 }
 
 // noteMembersSent records that a member list was pushed to a subscriber.
--- a/internal/control/membertable.go
+++ b/internal/control/membertable.go
@@ -48,7 +48,7 @@
 }
 
 // vouchedFor returns the whole list if a subscriber lacks it, else nil. The caller vouches for it.
-func (t *memberTable) vouchedFor(one *subscriber) *protocol.MemberList {
+func (t *memberTable) confirmedFor(one *subscriber) *protocol.MemberList {
 	if t.list.Version <= one.members {
 		return nil
 	}
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -496,9 +496,9 @@
 // TestRandomHistories checks what operators received from real control processes in simulations with faults.
 // SEEDS=N runs N simulations, FIRST=S begins at seed S, TRACE=1 prints all events of a failing one.
 func TestRandomHistories(t *testing.T) {
-	first, worlds := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
+	first, simulations := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
 	calls, told := 0, map[int]int{}
-	for seed := first; seed < first+worlds; seed++ {
+	for seed := first; seed < first+simulations; seed++ {
 		failures, h := simulateHistory(t, seed, 60*time.Second, bugNone)
 		if len(failures) > 0 {
 			failWithEvents(t, seed, failures, h)
@@ -508,7 +508,7 @@
 			told[status] += count
 		}
 	}
-	t.Logf("%d simulations, %d calls, by status %v", worlds, calls, told)
+	t.Logf("%d simulations, %d calls, by status %v", simulations, calls, told)
 }
 
 // TestFindsInjectedBugs checks that the checks find each bug.
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -48,11 +48,11 @@
 	if version == 0 || version > t.version || behind > uint64(len(t.deltas)) {
 		return serverlist.Delta{}, false
 	}
-	var joined serverlist.Delta
+	var composed serverlist.Delta
 	for _, one := range t.deltas[len(t.deltas)-int(behind):] {
-		joined = serverlist.Compose(joined, one)
+		composed = serverlist.Compose(composed, one)
 	}
-	return joined, len(joined.Changed)+len(joined.Removed) < len(t.list.Servers)
+	return composed, len(composed.Changed)+len(composed.Removed) < len(t.list.Servers)
 }
 
 // messageFrom returns the message that leads from a version to the newest one, with the remaining warm-up time of
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -34,7 +34,7 @@
 	members       protocol.StoreView             // newest membership that was seen
 	partitioned   int                            // index of the partitioned control process; -1: none
 	partitionedAt time.Time
-	vouches       int // answers that vouched
+	confirmations int // answers that vouched
 	grants        int // of leases
 	changes       int // of the store membership
 	violations    []string
@@ -154,8 +154,8 @@
 	}
 	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.take, nil)
 	defer client.Close()
-	vouched := time.Now()
-	for sequence := uint64(1); time.Since(vouched) < 700*time.Millisecond && time.Now().Before(till) && !w.isOver(); sequence++ {
+	confirmedAt := time.Now()
+	for sequence := uint64(1); time.Since(confirmedAt) < 700*time.Millisecond && time.Now().Before(till) && !w.isOver(); sequence++ {
 		sent := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		reply, err := client.Call(ctx, r.nextPoll(sequence))
@@ -163,10 +163,10 @@
 		if err == nil {
 			r.take(reply)
 			if r.check(at, sent, reply.(protocol.Update)) {
-				vouched = sent
+				confirmedAt = sent
 			}
 		}
-		if vouched == sent {
+		if confirmedAt == sent {
 			time.Sleep(protocol.PollInterval)
 		} else {
 			time.Sleep(100 * time.Millisecond)
@@ -211,7 +211,7 @@
 	if !update.Fresh {
 		return false
 	}
-	w.vouches++
+	w.confirmations++
 	if least := w.acknowledgedBefore(sent.Add(-update.Age)); held < least {
 		w.failf(
 			"%s vouches to %s for version %d at an age of %v, %d was acknowledged",
@@ -373,22 +373,22 @@
 // TestRandomServices checks whole control processes in simulations with faults: what they vouch for, the leases
 // that they grant, and the store membership. SEEDS=N runs N simulations, FIRST=S begins at seed S.
 func TestRandomServices(t *testing.T) {
-	first, worlds := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
-	vouches, grants, changes, versions := 0, 0, 0, 0
-	for seed := first; seed < first+worlds; seed++ {
+	first, simulations := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
+	confirmations, grants, changes, versions := 0, 0, 0, 0
+	for seed := first; seed < first+simulations; seed++ {
 		w := simulateServices(t, seed, time.Minute, injectedBug{})
 		if len(w.violations) > 0 {
 			t.Fatalf("seed %d: %s\n%s", seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 		}
-		vouches += w.vouches
+		confirmations += w.confirmations
 		grants += w.grants
 		changes += w.changes
 		versions += len(w.acknowledged)
 	}
 	t.Logf(
 		"%d simulations: %d answers that vouch, %d leases, %d changes of the membership, %d versions",
-		worlds,
-		vouches,
+		simulations,
+		confirmations,
 		grants,
 		changes,
 		versions,
