--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -454,9 +454,9 @@
 
 // retire orders a retirement, and reports whether that was acknowledged.
 func (w *deployment) retire(node string, at int) bool {
-	for try := range 8 {
+	for attempt := range 8 {
 		members := w.presentControls()
-		status, answer := w.call(members[(at+try)%len(members)], "POST", "/retire/"+node, "", `{"deadline-s":10}`)
+		status, answer := w.call(members[(at+attempt)%len(members)], "POST", "/retire/"+node, "", `{"deadline-s":10}`)
 		if status == 200 {
 			w.logf("%s is to retire", node)
 			w.count(func(c *deploymentCounts) { c.retired++ })
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -484,8 +484,8 @@
 		Route:     "r",
 		Body:      one.body,
 	}
-	for try := range 4 {
-		answer := w.callStore((at+try)%len(w.allStores()), call, one.items)
+	for attempt := range 4 {
+		answer := w.callStore((at+attempt)%len(w.allStores()), call, one.items)
 		if answer.Status == 202 {
 			w.lock.Lock()
 			one.accepted = true
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -83,7 +83,7 @@
 			w.t.Fatal(err)
 		}
 		m := through[version%len(through)]
-		for tries := 0; ; tries++ {
+		for attempts := 0; ; attempts++ {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			reply, err := m.node.Propose(ctx, proposalID(change), raw)
 			cancel()
@@ -94,7 +94,7 @@
 				}
 				break
 			}
-			if tries == 20 {
+			if attempts == 20 {
 				w.t.Fatal(version, err)
 			}
 		}
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -305,24 +305,24 @@
 		}
 		return output.version == state.version && output.tenants == state.tenants, state
 	}
-	taken := strings.Contains(state.committed, change.id+";")
+	accepted := strings.Contains(state.committed, change.id+";")
 	rises := change.generation > state.version && (change.method == "PUT" || state.version > 0)
-	takes := !taken && !change.invalid && change.ifMatch == state.version && rises
+	accepts := !accepted && !change.invalid && change.ifMatch == state.version && rises
 	switch output.status {
 	case 200:
-		return taken || takes, state.next(change, takes)
+		return accepted || accepts, state.next(change, accepts)
 	case 412:
-		return !taken && change.ifMatch != state.version, state
+		return !accepted && change.ifMatch != state.version, state
 	case 400:
-		return !taken && change.ifMatch == state.version && (change.invalid || !rises), state
+		return !accepted && change.ifMatch == state.version && (change.invalid || !rises), state
 	case 0:
-		return true, state.next(change, takes)
+		return true, state.next(change, accepts)
 	}
 	return false, state
 }
 
-func (s modelState) next(change *sentChange, takes bool) modelState {
-	if !takes {
+func (s modelState) next(change *sentChange, accepts bool) modelState {
+	if !accepts {
 		return s
 	}
 	mark := change.tenant + ";"
@@ -455,8 +455,8 @@
 func (h *history) awaitRecovery() {
 	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.cluster.seed, 99))}
 	before := h.lastAcknowledgedAt
-	for tries := 0; h.lastAcknowledgedAt == before; tries++ {
-		if tries == 40 {
+	for attempts := 0; h.lastAcknowledgedAt == before; attempts++ {
+		if attempts == 40 {
 			h.cluster.failf("no change is accepted once all faults are over")
 			return
 		}
@@ -465,8 +465,8 @@
 		client.deliver(change, 8)
 	}
 	for _, m := range h.cluster.members {
-		for tries := 0; m.call("GET", "", "", time.Second).status != 200; tries++ {
-			if tries == 40 {
+		for attempts := 0; m.call("GET", "", "", time.Second).status != 200; attempts++ {
+			if attempts == 40 {
 				h.cluster.failf("%s can't be read once all faults are over", m.ip)
 				return
 			}
@@ -497,7 +497,7 @@
 // SEEDS=N runs N simulations, FIRST=S begins at seed S, TRACE=1 prints all events of a failing one.
 func TestRandomHistories(t *testing.T) {
 	first, simulations := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
-	calls, told := 0, map[int]int{}
+	calls, byStatus := 0, map[int]int{}
 	for seed := first; seed < first+simulations; seed++ {
 		failures, h := simulateHistory(t, seed, 60*time.Second, bugNone)
 		if len(failures) > 0 {
@@ -505,10 +505,10 @@
 		}
 		calls += len(h.operations)
 		for status, count := range h.statuses {
-			told[status] += count
+			byStatus[status] += count
 		}
 	}
-	t.Logf("%d simulations, %d calls, by status %v", simulations, calls, told)
+	t.Logf("%d simulations, %d calls, by status %v", simulations, calls, byStatus)
 }
 
 // TestFindsInjectedBugs checks that the checks find each bug.
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -59,9 +59,9 @@
 // beginTerm returns the change that makes this process the grantor, or nil while another may still act. It is
 // called with the mutex held.
 func (s *Service) beginTerm(grantor statemachine.Grantor) *statemachine.GrantsChange {
-	alone := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
+	vacant := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
 		grantor.Member == s.self.Member
-	if _, _, leads := s.leadership.LeaderLease(); !alone && !leads {
+	if _, _, leads := s.leadership.LeaderLease(); !vacant && !leads {
 		return nil
 	}
 	s.lastChange++
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -341,7 +341,7 @@
 func TestRandomSimulations(t *testing.T) {
 	first, count := envNumber("FIRST", 1), envNumber("SEEDS", defaultSeeds)
 	var mutex sync.Mutex
-	var troubles, terms int
+	var faults, terms int
 	worst := 0.0
 	numbers := make(chan int)
 	var wait sync.WaitGroup
@@ -354,7 +354,7 @@
 					continue
 				}
 				mutex.Lock()
-				troubles, terms, worst = troubles+w.faults, terms+len(w.terms), max(worst, w.worstWindow)
+				faults, terms, worst = faults+w.faults, terms+len(w.terms), max(worst, w.worstWindow)
 				mutex.Unlock()
 			}
 		})
@@ -364,7 +364,7 @@
 	}
 	close(numbers)
 	wait.Wait()
-	t.Logf("%d simulations, %d faults, %d terms, worst window %.3f of the bound", count, troubles, terms, worst)
+	t.Logf("%d simulations, %d faults, %d terms, worst window %.3f of the bound", count, faults, terms, worst)
 }
 
 // TestFindsInjectedBugs checks that the simulations find each bug.
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -53,23 +53,23 @@
 // apply applies a change. Only the grantor on record can change the nodes and floors, and only by a number that
 // rises.
 func (r *grantRecord) apply(change *GrantsChange) *GrantsOutcome {
-	taken := change.Lender == r.Lender
+	accepted := change.Lender == r.Lender
 	switch {
-	case change.Begin && !taken && change.Before == r.Lender:
+	case change.Begin && !accepted && change.Before == r.Lender:
 		r.Lender, r.Before, r.Number = change.Lender, r.Lender, change.Number
-		taken = true
-	case change.Begin && taken:
+		accepted = true
+	case change.Begin && accepted:
 		r.Number = max(r.Number, change.Number)
-	case change.End && taken:
+	case change.End && accepted:
 		r.Lender, r.Before = ReleasedGrantor, r.Lender
-	case !change.Begin && taken && change.Number > r.Number:
+	case !change.Begin && accepted && change.Number > r.Number:
 		r.Number = change.Number
 		r.Nodes = withNodes(r.Nodes, change.Add, change.Remove)
 		r.Floors = withFloors(r.Floors, change.Floors)
 	case !change.Begin:
-		taken = false
+		accepted = false
 	}
-	return &GrantsOutcome{Taken: taken, Before: r.Before, Nodes: r.Nodes, Floors: r.Floors}
+	return &GrantsOutcome{Taken: accepted, Before: r.Before, Nodes: r.Nodes, Floors: r.Floors}
 }
 
 // withNodes returns nodes and add, without remove, sorted.
