--- a/internal/control/vouching.go
+++ b/internal/control/confirmation.go
@@ -7,13 +7,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// maxStaleness is the greatest age of this process's proof of freshness with which it vouches for what it knows. A
-// process that is partitioned from the others exceeds it within that time, and its subscribers turn to another;
-// heartbeats of the chain otherwise keep the age at a third of it.
+// maxStaleness is the greatest age of this process's proof of freshness with which it confirms its state to
+// subscribers. A process that is partitioned from the others exceeds it within that time, and its subscribers turn
+// to another; otherwise heartbeats of the chain keep the age at a third of it.
 const maxStaleness = 800 * time.Millisecond
 
 // staleness returns the staleness bound of the state here: everything acknowledged longer ago is applied. It
-// reports false if the bound is too high to vouch for the state.
+// reports false if the bound is too high to confirm the state.
 func (c *Control) staleness() (time.Duration, bool) {
 	age, proven := c.replica.Staleness()
 	return age, proven && age <= maxStaleness
@@ -25,9 +25,9 @@
 // for its reports.
 func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
 
-// storeGrant returns a batch process's membership and lease. The lease is granted only by a process that can vouch
-// for the membership, and is shortened by the staleness of that: a member under suspicion has no lease left
-// StoreLease after the suspicion was acknowledged.
+// storeGrant returns a batch process's membership and lease. The lease is granted only by a process that can
+// confirm the membership, and is shortened by the staleness of that: StoreLease after a suspicion was acknowledged,
+// the member under suspicion has no lease left.
 func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
 	view := c.state.Stores()
 	grant := &protocol.StoreGrant{Epoch: view.Epoch}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -56,7 +56,7 @@
 		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 &&
 			gateway.members.QuotaAddress != ""
 	}))
-	eventually(t, "that control vouches", gateway.locked(func() bool { return gateway.fresh }))
+	eventually(t, "that control confirms its state", gateway.locked(func() bool { return gateway.fresh }))
 	for i := range s.running {
 		eventually(t, "the configuration read back", func() bool {
 			status, body := s.call(i, "GET", "/config", "", "")
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/protocol"
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 // Faults come in rounds. Those of one round overlap, on machines of their own except for those that concern all
@@ -576,10 +577,10 @@
 // simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more, and
 // more is found than with simulations side by side.
 func TestRandomDeployments(t *testing.T) {
-	first, simulations := seedNumber("FIRST", 0), seedNumber("SEEDS", 12)
+	first, simulations := seeds.Range(0, 12)
 	var lock sync.Mutex
 	var counts deploymentCounts
-	t.Run("worlds", func(t *testing.T) {
+	t.Run("simulations", func(t *testing.T) {
 		for seed := first; seed < first+simulations; seed++ {
 			t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 				t.Parallel()
@@ -593,7 +594,7 @@
 			})
 		}
 	})
-	t.Logf("%d worlds: %+v", simulations, counts)
+	t.Logf("%d simulations: %+v", simulations, counts)
 	if simulations >= 8 {
 		checkExercised(t, counts)
 	}
@@ -602,10 +603,10 @@
 // checkExercised fails if the simulations did nothing of a kind.
 func checkExercised(t *testing.T, counts deploymentCounts) {
 	for what, count := range map[string]int{"accepted batch jobs": counts.accepted, "readings": counts.read,
-		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "vouches": counts.confirmations, "versions": counts.versions,
+		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "confirmations": counts.confirmations, "versions": counts.versions,
 		"recoveries": counts.recoveries, "retirements": counts.retired, "replacements": counts.replaced} {
 		if count == 0 {
-			t.Errorf("the worlds had no %s", what)
+			t.Errorf("the simulations had no %s", what)
 		}
 	}
 	if counts.views < 2*counts.recoveries/3 {
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -365,10 +365,10 @@
 	version, set := newestBefore(w.acknowledgedVersions, moment), newestBefore(w.acknowledgedEpochs, moment)
 	w.lock.Unlock()
 	if generation < version {
-		w.failf("%s vouches for version %d, %d was acknowledged", o.controlNode, generation, version)
+		w.failf("%s confirms version %d, %d was acknowledged", o.controlNode, generation, version)
 	}
 	if epoch < set {
-		w.failf("%s vouches for view %d, %d was acknowledged", o.controlNode, epoch, set)
+		w.failf("%s confirms view %d, %d was acknowledged", o.controlNode, epoch, set)
 	}
 }
 
@@ -606,7 +606,7 @@
 	}
 	var list []string
 	if _, fresh := one.staleness(); !fresh {
-		list = append(list, name+" doesn't vouch")
+		list = append(list, name+" doesn't confirm its state")
 	}
 	if set := one.state.Stores(); set.Epoch != newest.Epoch || !slices.Equal(set.Members, newest.Members) {
 		list = append(list, fmt.Sprintf("%s has view %d, the newest is %d", name, set.Epoch, newest.Epoch))
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -20,7 +20,7 @@
 //
 // Gateways and batch processes keep a connection to one control process and poll it every protocol.PollInterval.
 // What a subscriber lacks is pushed: the configuration, the server list, the member list. The answer to a poll says
-// whether the control process vouches for its state, and up to which age (vouching.go). A subscriber that gets no
+// whether the control process confirms its state, and up to which age (confirmation.go). A subscriber that gets no
 // such answer turns to another control process. For batch processes the answer carries the lease under which they
 // may act.
 //
@@ -37,7 +37,7 @@
 //
 // # Invariants
 //
-//   - Nothing is vouched for that is older than the chain's last proof of freshness says (maxStaleness).
+//   - State is confirmed to subscribers only while the chain's last proof of freshness is at most maxStaleness old.
 //   - No batch process leaves the store membership while it may hold a lease.
 //   - After a process pause, nothing that was sent before it is processed (pause.go).
 package control
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -152,17 +152,17 @@
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
 		retired := protocol.StoreMember{Process: store("2", "a"), State: protocol.StoreRetired}
 		view := viewOf(7, retiring, retired, protocol.StoreMember{Process: store("3", "a")})
-		tell := func(node, incarnation string, report protocol.BatchReport) {
+		observe := func(node, incarnation string, report protocol.BatchReport) {
 			table.Observe(Contact{Process: store(node, incarnation), Batch: &report, At: second})
 		}
-		tell("1", "a", protocol.BatchReport{Settled: 7})
+		observe("1", "a", protocol.BatchReport{Settled: 7})
 		So(table.Reconciled(second, view, 1), ShouldBeFalse) // one has not reported
-		tell("3", "a", protocol.BatchReport{Settled: 6})
+		observe("3", "a", protocol.BatchReport{Settled: 6})
 		So(table.Reconciled(second, view, 1), ShouldBeFalse)
-		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
+		observe("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
 		So(table.Reconciled(second, view, 1), ShouldBeFalse)
 		So(table.Reconciled(second, view, 2), ShouldBeTrue)
-		tell("3", "a", protocol.BatchReport{Settled: 7, Missing: 1})
+		observe("3", "a", protocol.BatchReport{Settled: 7, Missing: 1})
 		So(table.Reconciled(second, view, 1), ShouldBeTrue)
 		So(table.Reconciled(5*second, view, 1), ShouldBeFalse) // the reports are too old
 		So(table.Reconciled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
@@ -172,7 +172,7 @@
 		table.SetLeadership(second, 1, false)
 		So(table.Reconciled(second, view, 1), ShouldBeFalse)
 		table.SetLeadership(second, 2, true)
-		tell("3", "b", protocol.BatchReport{Settled: 7})
+		observe("3", "b", protocol.BatchReport{Settled: 7})
 		So(table.Reconciled(second, view, 1), ShouldBeFalse) // another disk
 	})
 	Convey("An empty membership is never reconciled", t, func() {
--- a/internal/control/liveness/reconciliation.go
+++ b/internal/control/liveness/reconciliation.go
@@ -7,8 +7,8 @@
 )
 
 // Reconciled reports whether all members that may store something have reported that they are reconciled in the
-// view's epoch, and miss the replicas of at most tolerance machines, as many as may be lost at once. It is false
-// once the view says so itself.
+// view's epoch, and that at most tolerance machines, as many as may be lost at once, may have batch jobs that the
+// members don't know of. It is false once the view is recorded as reconciled (Settled).
 func (t *Table) Reconciled(now time.Duration, view protocol.StoreView, tolerance int) bool {
 	if !t.leads || view.Settled || len(view.Members) == 0 {
 		return false
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -39,7 +39,7 @@
 }
 
 // membersFor returns what a subscriber lacks of the member list; nil: nothing. The store membership and the quota
-// address are sent only if this process vouches for its state: those of a process that has just started, or is
+// address are sent only if this process confirms its state: those of a process that has just started, or is
 // partitioned, may be of an epoch that ended long ago. Without that only the control processes are sent. It is
 // called with the mutex held.
 func (c *Control) membersFor(one *subscriber, fresh bool) *protocol.MemberList {
--- a/internal/control/membertable.go
+++ b/internal/control/membertable.go
@@ -47,7 +47,8 @@
 	t.list.Version++
 }
 
-// vouchedFor returns the whole list if a subscriber lacks it, else nil. The caller vouches for it.
+// confirmedFor returns the whole list, marked as confirmed (Vouched), if a subscriber lacks it, else nil. The caller
+// has checked that this process may confirm its state.
 func (t *memberTable) confirmedFor(one *subscriber) *protocol.MemberList {
 	if t.list.Version <= one.members {
 		return nil
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -64,10 +64,10 @@
 	c.Response().Header().Set("Connection", "close")
 	rejection := responseBody{Message: errBodyTooLarge.Error()}
 	if c.Request().ContentLength > maxBodyBytes {
-		return c.JSON(http.StatusRequestEntityTooLarge, rejection) // none takes it
+		return c.JSON(http.StatusRequestEntityTooLarge, rejection) // above the limit of every process
 	}
 	digester := configuration.NewDigester(ifMatch, patch)
-	_, _ = digester.Write(beginning) // a hash takes all
+	_, _ = digester.Write(beginning) // a hash never returns an error
 	rest, err := io.Copy(digester, io.LimitReader(c.Request().Body, maxBodyBytes+1))
 	if err != nil {
 		return writeBodyError(c, err)
--- a/internal/control/operatorapi/changegroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -7,14 +7,14 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// orderGroup merges changes that are sent again while they are being decided, as golang.org/x/sync/singleflight
+// changeGroup merges changes that are sent again while they are being decided, as golang.org/x/sync/singleflight
 // does, and lets a caller leave before the decision.
 type changeGroup struct {
 	mutex   sync.Mutex
 	pending map[configuration.Digest]*changeCall // guarded by mutex; removed before done is closed
 }
 
-// orderCall is one change that is being decided.
+// changeCall is one change that is being decided.
 type changeCall struct {
 	done     chan struct{} // closed once decision is set
 	decision decision
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -20,7 +20,7 @@
 	reason string // why the change is undecided; empty with other statuses than 503 and 504
 }
 
-// decide decides a change and logs the decision. It continues when its caller has gone, as a command that has been
+// decide decides a change and logs the decision. It continues when its caller disconnects, as a command that has been
 // proposed can't be withdrawn.
 func (a *API) decide(change configuration.ChangeRequest, arrived time.Time) decision {
 	log := a.options.Log.With().
@@ -82,7 +82,7 @@
 	return "configuration-" + hex.EncodeToString(digest[:])
 }
 
-// orderSubmission is the submission of one change.
+// changeSubmission is the submission of one change.
 type changeSubmission struct {
 	api           *API
 	change        configuration.ChangeRequest
--- a/internal/control/operatorapi/doc.go
+++ b/internal/control/operatorapi/doc.go
@@ -16,10 +16,10 @@
 // # How a change is decided
 //
 // The body is read within the limits on memory (body.go). Changes are identified by a digest of If-Match, method
-// and body: the same change sent again while it is being decided shares the decision (ordergroup.go), and one that
+// and body: the same change sent again while it is being decided shares the decision (changegroup.go), and one that
 // was accepted before is answered 200 again. Otherwise the acknowledged state is read, the change is evaluated
 // against it, and is proposed to the chain if it would be accepted (decision.go). The state machine evaluates it
-// once more where the chain has put it, and that decides: what is valid isn't up to this package.
+// once more where the chain has put it, and its outcome is the answer: this package doesn't decide what is valid.
 //
-// A change goes on when its caller has gone, since what was proposed can't be withdrawn.
+// A change is decided also if its caller disconnects, since what was proposed can't be withdrawn.
 package operatorapi
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -17,6 +17,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 // sentChange is a change that an operator has sent, once or more often.
@@ -475,14 +476,6 @@
 	}
 }
 
-// envNumber returns a number from the environment.
-func envNumber(name string, fallback uint64) uint64 {
-	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
-		return value
-	}
-	return fallback
-}
-
 // failWithEvents fails the test with the last events of the simulation.
 func failWithEvents(t *testing.T, seed uint64, failures []string, h *history) {
 	t.Helper()
@@ -496,7 +489,7 @@
 // TestRandomHistories checks what operators received from real control processes in simulations with faults.
 // SEEDS=N runs N simulations, FIRST=S begins at seed S, TRACE=1 prints all events of a failing one.
 func TestRandomHistories(t *testing.T) {
-	first, simulations := envNumber("FIRST", 0), envNumber("SEEDS", plainHistories)
+	first, simulations := seeds.Range(0, plainHistories)
 	calls, byStatus := 0, map[int]int{}
 	for seed := first; seed < first+simulations; seed++ {
 		failures, h := simulateHistory(t, seed, 60*time.Second, bugNone)
--- a/internal/control/operatorapi/response.go
+++ b/internal/control/operatorapi/response.go
@@ -70,7 +70,7 @@
 	} else {
 		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator_request_failed")
 	}
-	_ = c.JSON(status, responseBody{Message: message}) // the caller has gone
+	_ = c.JSON(status, responseBody{Message: message}) // fails only if the caller has disconnected
 }
 
 // writeUnavailable answers 503: the operator is to ask another control process.
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -8,6 +8,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 const (
@@ -30,7 +32,7 @@
 // TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further once as
 // many changes are remembered as ever are.
 func TestManyChanges(t *testing.T) {
-	orders := int(envNumber("ORDERS", manyChanges))
+	orders := int(seeds.Number("ORDERS", manyChanges))
 	full := remembered + (orders-remembered)/4
 	synctest.Test(t, func(t *testing.T) {
 		w := newClusterSimulation(t, 1, 3, bugNone)
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after its begin the
-// machine may still vouch: its last proof is good for maxStaleness, and an answer may be on its way.
+// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after the partition
+// began the process may still confirm its state: its last proof is good for maxStaleness, and an answer may be on its way.
 const (
 	partitionLength  = 20 * time.Second
 	stalenessElapsed = maxStaleness + 50*time.Millisecond
@@ -117,7 +117,7 @@
 		}
 	}
 	if s.gateway.locked(func() bool { return s.gateway.fresh })() {
-		s.failf("it vouches for what it knows")
+		s.failf("it confirms its state")
 	}
 	store := s.stores[3]
 	if store.locked(func() bool { return store.grant.Member })() {
@@ -267,7 +267,7 @@
 		wrapReplica func(Replica) Replica
 		violation   string // a part of the one that must be found
 	}{
-		"it vouches for outdated state":       {func(r Replica) Replica { return alwaysFreshReplica{r} }, "vouches"},
+		"it confirms outdated state":          {func(r Replica) Replica { return alwaysFreshReplica{r} }, "confirms its state"},
 		"it pushes outdated state":            {func(r Replica) Replica { return alwaysFreshReplica{r} }, "a gateway that begins got version 7"},
 		"it grants leases by outdated state":  {func(r Replica) Replica { return alwaysFreshReplica{r} }, "grants a lease"},
 		"it continues to lead":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "it leads"},
--- a/internal/control/pause.go
+++ b/internal/control/pause.go
@@ -17,7 +17,7 @@
 
 // pauseDetector detects that this process was paused (SIGSTOP, a frozen machine, starvation). After a pause the
 // sockets hold messages that were sent before or during it; to process them as if they were current would make this
-// process act on what is long past, such as a poll of a batch process that has lost its lease since. It is guarded
+// process act on what is outdated, such as a poll of a batch process that has lost its lease since. It is guarded
 // by Control.mutex.
 type pauseDetector struct {
 	lastRanAt time.Duration // when this process is last known to have run
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -207,6 +207,6 @@
 	return gateways, batch
 }
 
-// gatewayPollTimeout is how long a connected gateway may go without a poll before the other control processes are
-// told that it is gone.
+// gatewayPollTimeout is how long a connected gateway may go without a poll before it is reported to the other
+// control processes as departed (peerReport.Gone).
 const gatewayPollTimeout = 4 * protocol.PollInterval
--- a/internal/control/quotaservice/chainmodel_test.go
+++ b/internal/control/quotaservice/chainmodel_test.go
@@ -132,7 +132,7 @@
 // Grantor implements GrantRecord, with the state that is applied here.
 func (m *simulatedControl) Grantor() statemachine.Grantor { return m.state.Grantor() }
 
-// Head implements Leadership as coord/replica does.
+// HeadLease implements Leadership as coord/replica does.
 func (m *simulatedControl) HeadLease() (until time.Time, ok bool) {
 	w := m.chainModel.simulation
 	if m.chain == nil || m.chain[0] != m || m.ending {
@@ -145,7 +145,7 @@
 	return until, m.proofAt > 0 && w.Now().Before(until)
 }
 
-// Lead implements Leadership as coord/replica does.
+// LeaderLease implements Leadership as coord/replica does.
 func (m *simulatedControl) LeaderLease() (epoch uint64, until time.Time, ok bool) {
 	until, ok = m.HeadLease()
 	waited := m.chainModel.simulation.Elapsed() >= m.headSince || m.chainModel.simulation.bug == bugEarlyStart
--- a/internal/control/quotaservice/doc.go
+++ b/internal/control/quotaservice/doc.go
@@ -1,5 +1,5 @@
-// Package quotaservice runs the quota allocator (package quota) in a control process, and sees to it that at most
-// one allocator grants quota at a time in the whole system.
+// Package quotaservice runs the quota allocator (package quota) in a control process, and ensures that at most one
+// allocator in the system grants quota at a time.
 //
 // # When a process may grant
 //
@@ -10,7 +10,7 @@
 // To become the grantor a head proposes a change of the record ([Service.NextChange]). It may do so at once if no
 // other process can be acting: the grantor on record has released its role, there was none, or it was an earlier
 // incarnation on the same disk. Else it waits until the leader lease of the head before has ended
-// ([Leadership].Lead). The change names the grantor that it takes over from and has no effect if the record names
+// ([Leadership].LeaderLease). The change names the grantor that it takes over from and has no effect if the record names
 // another one by then.
 //
 // A gateway's node is put on record before the allocator leases any rate to it, so that the next grantor can count
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -56,8 +56,9 @@
 	return &statemachine.GrantsChange{Lender: s.self, End: true}
 }
 
-// beginTerm returns the change that makes this process the grantor, or nil while another may still act. It is
-// called with the mutex held.
+// beginTerm returns the change that makes this process the grantor, or nil while another may still act. The role is
+// vacant if nobody held it before, its holder released it, or its holder was an earlier process on the same disk.
+// It is called with the mutex held.
 func (s *Service) beginTerm(grantor statemachine.Grantor) *statemachine.GrantsChange {
 	vacant := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
 		grantor.Member == s.self.Member
--- a/internal/control/quotaservice/service.go
+++ b/internal/control/quotaservice/service.go
@@ -18,10 +18,11 @@
 
 // Leadership is what the service needs of the chain. *replica.Node implements it.
 type Leadership interface {
-	// Head reports whether the process is the chain's proven head, and the time until which no successor acts as
-	// one.
+	// HeadLease reports whether the process is the chain's proven head, and the time until which no successor acts
+	// as one.
 	HeadLease() (until time.Time, ok bool)
-	// Lead is as Head, but true only once the leader lease of the head before has ended.
+	// LeaderLease is as HeadLease, but true only once the leader lease of the head before has ended. epoch is that
+	// of the view in which the process leads.
 	LeaderLease() (epoch uint64, until time.Time, ok bool)
 }
 
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"runtime"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -15,6 +13,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 	"sprucelane.example/sprucelane/internal/quota"
 	"sprucelane.example/sprucelane/internal/simulation"
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 const (
@@ -329,26 +328,18 @@
 	return w, "no allocator acts in the end"
 }
 
-// envNumber returns a number from the environment.
-func envNumber(name string, usual int) int {
-	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return number
-	}
-	return usual
-}
-
 // TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S begins at seed S.
 func TestRandomSimulations(t *testing.T) {
-	first, count := envNumber("FIRST", 1), envNumber("SEEDS", defaultSeeds)
+	first, count := seeds.Range(1, defaultSeeds)
 	var mutex sync.Mutex
 	var faults, terms int
 	worst := 0.0
-	numbers := make(chan int)
+	numbers := make(chan uint64)
 	var wait sync.WaitGroup
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wait.Go(func() {
 			for number := range numbers {
-				w, broken := simulate(uint64(first+number), bugNone)
+				w, broken := simulate(first+number, bugNone)
 				if broken != "" {
 					t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, broken)
 					continue
@@ -369,19 +360,19 @@
 
 // TestFindsInjectedBugs checks that the simulations find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
-	const mostWorlds = 60
+	const maxSeeds = 60
 	// Leaves out seeds that are known not to find it.
 	firstSeeds := map[injectedBug]uint64{bugUnproven: 1, bugEarlyStart: 45, bugUnapplied: 1}
 	for bug, first := range firstSeeds {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
-			for seed := first; seed < first+mostWorlds; seed++ {
+			for seed := first; seed < first+maxSeeds; seed++ {
 				if _, broken := simulate(seed, bug); strings.Contains(broken, "two allocators act") {
 					t.Logf("found with seed %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Errorf("not found with %d seeds", mostWorlds)
+			t.Errorf("not found with %d seeds", maxSeeds)
 		})
 	}
 }
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -10,7 +10,7 @@
 )
 
 // maxDeltas is the number of versions over which a delta can be sent. A subscriber that is further behind
-// gets the whole list.
+// is sent the whole list.
 const maxDeltas = 64
 
 // serverTable is the newest server list, with the versions that this process gives its changes and the deltas
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"strconv"
 	"strings"
@@ -17,6 +16,7 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 	"sprucelane.example/sprucelane/internal/node"
 	"sprucelane.example/sprucelane/internal/protocol"
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 // serviceSimulation is whole control processes with gateways, batch processes and an operator, in virtual time and
@@ -34,7 +34,7 @@
 	members       protocol.StoreView             // newest membership that was seen
 	partitioned   int                            // index of the partitioned control process; -1: none
 	partitionedAt time.Time
-	confirmations int // answers that vouched
+	confirmations int // answers that confirmed the state
 	grants        int // of leases
 	changes       int // of the store membership
 	violations    []string
@@ -108,7 +108,7 @@
 }
 
 // simulatedSubscriber is a gateway or batch process that polls one control process, and turns to another when that
-// doesn't vouch.
+// no longer confirms its state.
 type simulatedSubscriber struct {
 	simulation *serviceSimulation
 	random     *rand.Rand
@@ -145,7 +145,7 @@
 	r.simulation.newest[r.process.Node] = r.process.Incarnation
 }
 
-// subscribe polls a control process until it doesn't vouch.
+// subscribe polls a control process until it no longer confirms its state.
 func (r *simulatedSubscriber) subscribe(at int, till time.Time) {
 	w := r.simulation
 	options := transport.Options{
@@ -194,7 +194,7 @@
 	_, _ = r.state.ApplyUpdate(update.Configuration) // an update that can't be applied is asked for again
 }
 
-// check checks an answer against what it vouches for, and reports whether it vouches.
+// check checks an answer against what it confirms, and reports whether it confirms anything.
 func (r *simulatedSubscriber) check(at int, sent time.Time, update protocol.Update) bool {
 	r.lock.Lock()
 	held := r.state.Current().Generation
@@ -214,16 +214,16 @@
 	w.confirmations++
 	if least := w.acknowledgedBefore(sent.Add(-update.Age)); held < least {
 		w.failf(
-			"%s vouches to %s for version %d at an age of %v, %d was acknowledged",
+			"%s confirms version %d to %s at an age of %v, %d was acknowledged",
 			w.settings[at].NodeName,
-			r.process.Node,
 			held,
+			r.process.Node,
 			update.Age,
 			least,
 		)
 	}
 	if w.partitioned == at && sent.Sub(w.partitionedAt) > maxStaleness {
-		w.failf("%s vouches %v after it was partitioned", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
+		w.failf("%s confirms its state %v after it was partitioned", w.settings[at].NodeName, sent.Sub(w.partitionedAt))
 	}
 	return true
 }
@@ -362,18 +362,10 @@
 	return w
 }
 
-// seedNumber returns a number from the environment.
-func seedNumber(name string, fallback uint64) uint64 {
-	if value, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
-		return value
-	}
-	return fallback
-}
-
-// TestRandomServices checks whole control processes in simulations with faults: what they vouch for, the leases
+// TestRandomServices checks whole control processes in simulations with faults: what they confirm, the leases
 // that they grant, and the store membership. SEEDS=N runs N simulations, FIRST=S begins at seed S.
 func TestRandomServices(t *testing.T) {
-	first, simulations := seedNumber("FIRST", 0), seedNumber("SEEDS", 4)
+	first, simulations := seeds.Range(0, 4)
 	confirmations, grants, changes, versions := 0, 0, 0, 0
 	for seed := first; seed < first+simulations; seed++ {
 		w := simulateServices(t, seed, time.Minute, injectedBug{})
@@ -386,7 +378,7 @@
 		versions += len(w.acknowledged)
 	}
 	t.Logf(
-		"%d simulations: %d answers that vouch, %d leases, %d changes of the membership, %d versions",
+		"%d simulations: %d answers that confirm, %d leases, %d changes of the membership, %d versions",
 		simulations,
 		confirmations,
 		grants,
@@ -403,7 +395,7 @@
 	}{
 		"any state counts as fresh": {
 			bug:       injectedBug{wrapReplica: func(r Replica) Replica { return alwaysFreshReplica{r} }},
-			violation: "vouches to",
+			violation: "confirms version",
 		},
 		"a batch process under suspicion is granted leases": {
 			bug:       injectedBug{leaseSuspected: true},
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -44,9 +44,9 @@
 }
 
 // handlePoll answers a poll. What the subscriber lacks is pushed ahead of the answer, so that the answer can't
-// overtake a push that it depends on: once the answer vouches for the state, the subscriber has that state.
+// overtake a push that it depends on: once the answer confirms the state, the subscriber has that state.
 func (c *Control) handlePoll(session *transport.Session, poll protocol.Poll) protocol.Update {
-	age, fresh := c.staleness() // before any state is read that the answer vouches for
+	age, fresh := c.staleness() // before any state is read that the answer confirms
 	if poll.Process.Role == protocol.RoleBatch && !c.mayGrantLeases() {
 		fresh = false
 	}
@@ -123,7 +123,7 @@
 	update.ListAge = c.now() - c.servers.readAt
 }
 
-// push queues what a subscriber lacks. One without a configuration gets one only if this process vouches for its
+// push queues what a subscriber lacks. One without a configuration gets one only if this process confirms its
 // state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by it.
 // It is called with the mutex held.
 func (c *Control) push(session *transport.Session, one *subscriber, fresh bool) {
--- a/internal/quota/random_simulations_test.go
+++ b/internal/quota/random_simulations_test.go
@@ -2,18 +2,17 @@
 
 import (
 	"fmt"
-	"os"
 	"runtime"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
 
 	"sprucelane.example/sprucelane/internal/configuration"
+	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
 const (
-	defaultSimulations = 12 // played where SEEDS doesn't say
+	defaultSimulations = 12 // run unless SEEDS says otherwise
 	faultsUntil        = 60 * second
 	steadyFrom         = 80 * second // all has healed by then
 	simulationLength   = 90 * second
@@ -73,14 +72,6 @@
 	return rejected, expected
 }
 
-// envInt reads a number from the environment.
-func envInt(name string, defaultValue int) int {
-	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return number
-	}
-	return defaultValue
-}
-
 // totals are the results of several simulations.
 type totals struct {
 	mutex                             sync.Mutex
@@ -101,10 +92,10 @@
 // any faults no tenant exceeds its bound, and without further faults nearly all requests within limits are served
 // again.
 func TestRandomSimulations(t *testing.T) {
-	first, count := envInt("FIRST", 1), envInt("SEEDS", defaultSimulations)
+	first, count := seeds.Range(1, defaultSimulations)
 	var all totals
-	eachSimulation(count, func(number int) {
-		sim, violation := runSimulation(uint64(first+number), bugNone, false)
+	eachSimulation(count, func(number uint64) {
+		sim, violation := runSimulation(first+number, bugNone, false)
 		if violation != "" {
 			t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, violation)
 			return
@@ -124,8 +115,8 @@
 }
 
 // eachSimulation calls run for the numbers below count, a few at a time.
-func eachSimulation(count int, run func(number int)) {
-	numbers := make(chan int)
+func eachSimulation(count uint64, run func(number uint64)) {
+	numbers := make(chan uint64)
 	var wait sync.WaitGroup
 	for range min(4, runtime.GOMAXPROCS(0)) {
 		wait.Go(func() {
