--- a/cmd/sprucelane-control/main.go
+++ b/cmd/sprucelane-control/main.go
@@ -1,9 +1,9 @@
-// Command sprucelane-control is a process of the control plane (internal/control): with the other control processes
-// it keeps the operator's configuration and the store membership, serves the operator's API, reads the platform's
-// list of servers, and sends gateways and batch processes what they need.
+// Command sprucelane-control is a process of the control plane (internal/control): with the other control
+// processes it keeps the operator's configuration and the store membership, serves the operator's API, reads
+// the platform's list of servers, and sends gateways and batch processes what they need.
 //
-// The exit code is 0 after SIGTERM, 1 if the process can't start, and 2 if flags or settings are invalid. SIGHUP
-// makes it read the settings file again, as does a change of the file.
+// The exit code is 0 after SIGTERM, 1 if the process can't start, and 2 if flags or settings are invalid.
+// SIGHUP makes it read the settings file again, as does a change of the file.
 package main
 
 import (
@@ -19,8 +19,8 @@
 	"sprucelane.example/sprucelane/internal/node/program"
 )
 
-// Limits of the Go runtime's memory. The process's memory is paid for, so the heap may grow by half, not by all,
-// between two collections, and the collector works harder the closer the heap comes to the limit.
+// Limits of the Go runtime's memory. The process's memory is paid for, so the heap may grow by half, not by
+// all, between two collections, and the collector works harder the closer the heap comes to the limit.
 const (
 	gcPercent          = 50 // as GOGC
 	memoryLimitPercent = 60 // of limits.memory-mb, as GOMEMLIMIT
@@ -40,7 +40,8 @@
 	signals := program.CatchSignals()
 	var given arguments
 	parser := flags.NewParser(&given, flags.HelpFlag|flags.PassDoubleDash)
-	parser.LongDescription = "Keeps the configuration of a sprucelane system and tells its gateways and batch processes what they need.\n" +
+	parser.LongDescription = "Keeps the configuration of a sprucelane system " +
+		"and tells its gateways and batch processes what they need.\n" +
 		"SIGTERM hands over and ends; SIGHUP reads the settings file again."
 	if _, err := parser.ParseArgs(args); err != nil {
 		return exitAfterParse(err)
--- a/cmd/sprucelane-control/settings.go
+++ b/cmd/sprucelane-control/settings.go
@@ -14,8 +14,8 @@
 // settingsPollInterval is how often the settings file is looked at: it may be replaced without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// load reads and checks the settings, including what only a control process needs. Without a path they come from
-// the environment.
+// load reads and checks the settings, including what only a control process needs. Without a path they come
+// from the environment.
 func load(path string) (*node.Settings, error) {
 	if path == "" {
 		return node.Load()
@@ -34,7 +34,8 @@
 	return settings, findings.OrNil()
 }
 
-// watch returns when the process is to terminate, and reloads the settings on SIGHUP and when the file has changed.
+// watch returns when the process is to terminate, and reloads the settings on SIGHUP and when the file has
+// changed.
 func watch(process *control.Control, path string, signals *program.Signals, log zerolog.Logger) {
 	poll := time.NewTicker(settingsPollInterval)
 	defer poll.Stop()
--- a/cmd/sprucelanectl/config.go
+++ b/cmd/sprucelanectl/config.go
@@ -16,6 +16,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
+// addConfig adds the commands of the group "config".
 func addConfig(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "config", "the operator's configuration", &struct{}{})
 	add(group, "check", "check a configuration offline and name every finding by its place",
@@ -64,8 +65,8 @@
 	By           string `json:"by"` // address of the control process that answered
 }
 
-// Execute sends the change until there is a clear answer. Without one it returns an error, and the change may be in
-// force or not.
+// Execute sends the change until there is a clear answer. Without one it returns an error, and the change may
+// be in force or not.
 func (c *configChange) Execute([]string) error {
 	body, err := readFile(c.Arguments.File)
 	if err != nil {
@@ -90,7 +91,7 @@
 	})
 }
 
-// baseVersion gives the version that the change builds on.
+// baseVersion returns the version that the change builds on.
 func (c *configChange) baseVersion() (uint64, error) {
 	if c.IfMatch != nil {
 		return *c.IfMatch, nil
@@ -99,8 +100,8 @@
 	return version, err
 }
 
-// currentConfiguration gives the newest configuration and its version. Version 0 is none: there is no configuration
-// yet.
+// currentConfiguration returns the newest configuration and its version. Version 0 is none: there is no
+// configuration yet.
 func (o *controlOptions) currentConfiguration() (version uint64, document []byte, err error) {
 	response, err := o.call(controlclient.Request{Method: http.MethodGet, Path: "/config"})
 	if controlclient.StatusOf(err) == http.StatusNotFound {
@@ -121,7 +122,8 @@
 	Generation uint64 `json:"generation"`
 }
 
-// generationOf gives the version of a document or patch that control or a check has accepted, and so can be parsed.
+// generationOf returns the version of a document or patch that control or a check has accepted, and so can be
+// parsed.
 func generationOf(body []byte) uint64 {
 	var head documentHead
 	_ = json.Unmarshal(body, &head)
--- a/cmd/sprucelanectl/config_check.go
+++ b/cmd/sprucelanectl/config_check.go
@@ -29,8 +29,8 @@
 	return c.printer.valid(fmt.Sprintf("%s: valid, generation %d", c.Arguments.File, generationOf(body)))
 }
 
-// checkConfiguration gives the findings of the schema, or, if there are none, of the checks in Go, which need a
-// document of the right shape.
+// checkConfiguration returns the findings of the schema, or, if there are none, of the checks in Go, which
+// need a document of the right shape.
 func checkConfiguration(path string, body []byte, patch bool) node.Findings {
 	findings := schema.Check(body, patch)
 	if len(findings) == 0 {
@@ -42,8 +42,8 @@
 	return findings
 }
 
-// checkReferences makes the checks that span items. Of a patch only what doesn't depend on the version that it
-// changes can be checked.
+// checkReferences makes the checks that span items. Of a patch only what doesn't depend on the version that
+// it changes can be checked.
 func checkReferences(body []byte, patch bool) node.Findings {
 	request := configuration.ChangeRequest{Patch: patch, Body: body}
 	if patch {
--- a/cmd/sprucelanectl/control.go
+++ b/cmd/sprucelanectl/control.go
@@ -17,8 +17,10 @@
 	Timeout time.Duration `long:"timeout" env:"SPRUCELANECTL_TIMEOUT" default:"10s" description:"how long a call is repeated until it is answered"`
 }
 
+// errNoControl is an error of the command line: no control process is named.
 var errNoControl = errors.New("--control (or SPRUCELANECTL_CONTROL) must name a control process")
 
+// addresses returns the control processes that are named, by several options or by lists.
 func (o *controlOptions) addresses() []string {
 	var addresses []string
 	for _, text := range o.Control {
--- a/cmd/sprucelanectl/disk.go
+++ b/cmd/sprucelanectl/disk.go
@@ -11,7 +11,8 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// diskVerify is the command "disk verify": it reads the log and snapshots in the data folder of a control process.
+// diskVerify is the command "disk verify": it reads the log and snapshots in the data folder of a control
+// process.
 type diskVerify struct {
 	Arguments struct {
 		Folder string `positional-arg-name:"DIR" description:"the data folder of a control process (data-dir of its settings)"`
@@ -27,7 +28,8 @@
 	Findings      []finding `json:"findings"`
 }
 
-// errDamaged gives the exit code of findings, which have been printed by then.
+// errCorrupt is the error after corruption was found. Its findings have been printed by then, so only the
+// exit code is left to set.
 var errCorrupt = errors.New("acknowledged state is missing from the disk")
 
 // Execute reports each corruption by file and offset. It changes nothing on the disk.
@@ -73,6 +75,7 @@
 	}
 }
 
+// addDisk adds the commands of the group "disk".
 func addDisk(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "disk", "disks of control processes", &struct{}{})
 	add(group, "verify", "read the store on a disk and name every damage, changing nothing", &diskVerify{printer: printer})
--- a/cmd/sprucelanectl/main.go
+++ b/cmd/sprucelanectl/main.go
@@ -1,9 +1,9 @@
-// Command sprucelanectl is the operators' command line: it checks settings files, configurations and disks offline,
-// and reads and changes the configuration and retires store machines through control processes. sprucelanectl
-// --help lists the commands, and each has --help.
+// Command sprucelanectl is the operators' command line: it checks settings files, configurations and disks
+// offline, and reads and changes the configuration and retires store machines through control processes.
+// sprucelanectl --help lists the commands, and each has --help.
 //
-// Exit codes: 0, done and nothing found; 1, failed (no answer, rejected); 2, the command line is invalid, or what
-// was checked has findings.
+// Exit codes: 0, done and nothing found; 1, failed (no answer, rejected); 2, the command line is invalid, or
+// what was checked has findings.
 package main
 
 import (
@@ -77,7 +77,7 @@
 	return exitFailed
 }
 
-// add adds a command. An error is a programming error: wrong tags of data, or a name twice.
+// add adds a command under a parent. An error is a programming error: wrong tags of data, or a name twice.
 func add(parent *flags.Command, name, short string, data any) *flags.Command {
 	command, err := parent.AddCommand(name, short, short, data)
 	if err != nil {
--- a/cmd/sprucelanectl/retire.go
+++ b/cmd/sprucelanectl/retire.go
@@ -12,6 +12,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
+// addRetire adds the commands of the group "retire".
 func addRetire(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "retire", "emptying of store machines", &struct{}{})
 	add(group, "start", "ask for a store machine to be emptied", &retireStart{printer: printer})
@@ -28,7 +29,8 @@
 	printer *printer
 }
 
-// Execute asks for a store machine to be emptied.
+// Execute asks for a store machine to be drained. Control ignores the deadline: the retirement ends when the
+// machine holds nothing that others need.
 func (c *retireStart) Execute([]string) error {
 	body, err := json.Marshal(map[string]float64{"deadline-s": c.Deadline})
 	if err != nil {
--- a/cmd/sprucelanectl/settings.go
+++ b/cmd/sprucelanectl/settings.go
@@ -26,6 +26,7 @@
 		c.Arguments.File, settings.NodeName, settings.Role))
 }
 
+// addSettings adds the commands of the group "settings".
 func addSettings(parser *flags.Parser, printer *printer) {
 	group := add(parser.Command, "settings", "settings files of processes", &struct{}{})
 	add(group, "check", "check a settings file and name every fault by line and key", &settingsCheck{printer: printer})
--- a/cmd/sprucelanectl/status.go
+++ b/cmd/sprucelanectl/status.go
@@ -12,6 +12,7 @@
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
+// addStatus adds the command "status".
 func addStatus(parser *flags.Parser, printer *printer) {
 	add(parser.Command, "status", "ask each control process for the version that it knows", &status{printer: printer})
 }
@@ -77,6 +78,7 @@
 	return one
 }
 
+// writeStatus prints one line for each control process.
 func writeStatus(out io.Writer, list []controlStatus) {
 	for _, one := range list {
 		switch {
--- a/internal/ablation/ablation.go
+++ b/internal/ablation/ablation.go
@@ -1,6 +1,6 @@
-// Package ablation names the mechanisms that a build for ablation studies can switch off one by one, to measure
-// what each is worth. Such a build has the build tag ablation and names the mechanisms by a linker flag
-// (off_ablation.go). In any other build all are on, and the compiler removes the question.
+// Package ablation names the mechanisms that a build for ablation studies can switch off one by one, to
+// measure what each is worth. Such a build has the build tag ablation and names the mechanisms by a linker
+// flag (off_ablation.go). In any other build all are on, and the compiler removes the question.
 package ablation
 
 // Mechanism is a mechanism that can be switched off. Its value is its name in the linker flag.
--- a/internal/ablation/off_ablation.go
+++ b/internal/ablation/off_ablation.go
@@ -11,6 +11,7 @@
 // switchedOff is read-only after initialization.
 var switchedOff = parse(off)
 
+// parse returns the mechanisms of a list as a set.
 func parse(list string) map[Mechanism]bool {
 	names := map[Mechanism]bool{}
 	for name := range strings.SplitSeq(list, ",") {
--- a/internal/configuration/change_request.go
+++ b/internal/configuration/change_request.go
@@ -16,18 +16,19 @@
 	Body    []byte // JSON as received; it isn't modified
 }
 
-// Digest identifies a change request: two have the same digest if and only if their base generation, method and
-// bytes are the same (up to collisions of SHA-256 cut to 128 bits).
+// Digest identifies a change request: two have the same digest if and only if their base generation, method
+// and bytes are the same (up to collisions of SHA-256 cut to 128 bits).
 type Digest [16]byte
 
-// Digest gives the digest of the request.
+// Digest returns the digest of the request.
 func (r ChangeRequest) Digest() Digest {
 	digester := NewDigester(r.IfMatch, r.Patch)
 	_, _ = digester.Write(r.Body) // a hash never returns an error
 	return digester.Digest()
 }
 
-// Digester computes the digest of a request whose body is written to it, for bodies that are too large to keep.
+// Digester computes the digest of a request whose body is written to it, for bodies that are too large to
+// keep.
 type Digester struct {
 	io.Writer
 	sum func() []byte
@@ -45,7 +46,7 @@
 	return Digester{Writer: hash, sum: func() []byte { return hash.Sum(nil) }}
 }
 
-// Digest gives the digest of the request with the body that was written.
+// Digest returns the digest of the request with the body that was written.
 func (d Digester) Digest() Digest { return Digest(d.sum()[:len(Digest{})]) }
 
 // Status is the outcome of a change request. The values are the HTTP statuses that the operator gets.
@@ -59,8 +60,8 @@
 	StatusUnknown  Status = 503 // it builds on a generation so old that whether it was accepted is no longer remembered
 )
 
-// Result is the outcome of a change request. It is part of the replicated log's outcomes (gob): the names of the
-// fields are fixed.
+// Result is the outcome of a change request. It is part of the replicated log's outcomes (gob): the names of
+// the fields are fixed.
 type Result struct {
 	Status     Status
 	Generation uint64        // the current one after the request
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// decode decodes a value. An integer may be written with a fraction of zero or an exponent (190.0, 3.2e6), which
-// encoding/json rejects for integer fields: JSON has only one kind of number. Marshaling a float64 writes such
-// numbers as integers.
+// decode decodes a value. An integer may be written with a fraction of zero or an exponent (190.0, 3.2e6),
+// which encoding/json rejects for integer fields: JSON has only one kind of number. Marshaling a float64
+// writes such numbers as integers.
 func decode(raw []byte, into any) error {
 	err := json.Unmarshal(raw, into)
 	if err == nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// parseWholeNumber parses an integer of 1 or more, in any of JSON's notations. Other notations than plain digits
-// are exact up to 2^53.
+// parseWholeNumber parses an integer of 1 or more, in any of JSON's notations. Other notations than plain
+// digits are exact up to 2^53.
 func parseWholeNumber(raw []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(raw), 10, 64); err == nil {
 		return number, number > 0
@@ -68,7 +68,7 @@
 	return err.Error()
 }
 
-// typeDescription gives the operator's word for a kind of Go type.
+// typeDescription returns the operator's word for a kind of Go type.
 func typeDescription(kind string) string {
 	switch kind {
 	case "int", "int64", "uint64":
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -54,8 +54,8 @@
 	return raw
 }
 
-// TestHistories applies random change requests to a state, a replica that is restored now and then, and a follower
-// that misses updates, and compares all three with the reference model.
+// TestHistories applies random change requests to a state, a replica that is restored now and then, and a
+// follower that misses updates, and compares all three with the reference model.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &referenceModel{accepted: map[string]bool{}}
@@ -86,7 +86,7 @@
 	})
 }
 
-// restored gives a copy by way of the encoded form.
+// restored returns a copy by way of the encoded form.
 func restored(t *rapid.T, s *State) *State {
 	raw, err := s.Encode()
 	if err != nil {
@@ -159,7 +159,7 @@
 	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
 
-// verdict gives the status that a request must get, and applies it to the model if it is accepted.
+// verdict returns the status that a request must get, and applies it to the model if it is accepted.
 func (m *referenceModel) verdict(request ChangeRequest) Status {
 	if m.accepted[m.key(request)] {
 		return StatusAccepted
--- a/internal/configuration/jsonscan.go
+++ b/internal/configuration/jsonscan.go
@@ -9,9 +9,9 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// This file splits JSON texts into their parts without decoding them, so that a document can keep its items' bytes
-// and findings can name lines and columns. The split functions need well-formed input; checkSyntax establishes
-// that.
+// This file splits JSON texts into their parts without decoding them, so that a document can keep its items'
+// bytes and findings can name lines and columns. The split functions need well-formed input; checkSyntax
+// establishes that.
 
 // span is one value in a well-formed JSON text.
 type span struct {
@@ -41,7 +41,7 @@
 	return false
 }
 
-// position gives the line and column (in bytes) of an offset, both counted from 1.
+// position returns the line and column (in bytes) of an offset, both counted from 1.
 func position(text []byte, offset int) string {
 	offset = min(max(offset, 0), len(text))
 	line := 1 + bytes.Count(text[:offset], []byte("\n"))
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// splitObject gives the members of an object in order; false if the value isn't one.
+// splitObject returns the members of an object in order; false if the value isn't one.
 func splitObject(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '{' {
@@ -70,7 +70,7 @@
 	return members, true
 }
 
-// splitArray gives the elements of an array; false if the value isn't one.
+// splitArray returns the elements of an array; false if the value isn't one.
 func splitArray(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '[' {
@@ -85,6 +85,7 @@
 	return elements, true
 }
 
+// skipSpace returns the offset of the first character from an offset on that is no space.
 func skipSpace(raw []byte, at int) int {
 	for at < len(raw) && (raw[at] == ' ' || raw[at] == '\t' || raw[at] == '\n' || raw[at] == '\r') {
 		at++
@@ -101,7 +102,7 @@
 	return at
 }
 
-// valueEnd gives the offset after the value that begins at an offset.
+// valueEnd returns the offset after the value that begins at an offset.
 func valueEnd(raw []byte, at int) int {
 	switch raw[at] {
 	case '"':
@@ -115,7 +116,7 @@
 	return at
 }
 
-// stringEnd gives the offset after the string that begins at an offset.
+// stringEnd returns the offset after the string that begins at an offset.
 func stringEnd(raw []byte, at int) int {
 	for at++; raw[at] != '"'; at++ {
 		if raw[at] == '\\' {
@@ -125,7 +126,7 @@
 	return at + 1
 }
 
-// nestedEnd gives the offset after the object or array that begins at an offset.
+// nestedEnd returns the offset after the object or array that begins at an offset.
 func nestedEnd(raw []byte, at int) int {
 	depth := 0
 	for {
--- a/internal/configuration/member.go
+++ b/internal/configuration/member.go
@@ -108,6 +108,7 @@
 	return out.Bytes()
 }
 
+// renderItems writes a list of items.
 func renderItems(out *bytes.Buffer, items []item) {
 	out.WriteByte('[')
 	for i, one := range items {
--- a/internal/configuration/model.go
+++ b/internal/configuration/model.go
@@ -22,8 +22,8 @@
 	Tenants    []Tenant  `json:"tenants"`
 }
 
-// Route says which requests go to which backends, and how. A request takes the route of its host with the longest
-// matching prefix.
+// Route says which requests go to which backends, and how. A request takes the route of its host with the
+// longest matching prefix.
 type Route struct {
 	Name               string    `json:"name"`
 	Hostname           string    `json:"hostname"`
@@ -36,9 +36,9 @@
 	TrafficSplit       []Split   `json:"traffic-split,omitempty"` // several, with weights
 	MaxAttempts        int       `json:"max-attempts"`            // servers that a request is sent to at most
 	Public             bool      `json:"public"`                  // accepts requests without an API key
-	Sticky             bool      `json:"sticky"`
+	Sticky             bool      `json:"sticky"`                  // not used
 	Resumable          bool      `json:"resumable"`
-	GapTargetMs        float64   `json:"gap_aim_ms,omitempty"` // target for the time between events of a stream
+	GapTargetMs        float64   `json:"gap_aim_ms,omitempty"` // target for the time between events of a stream; not used
 	CompletionTargetMs float64   `json:"completion-target-ms,omitempty"`
 	RetentionSeconds   float64   `json:"retention-s,omitempty"`
 	MaxQueuedTokens    int64     `json:"max-queued-tokens,omitempty"` // of a tenant's batch jobs; 0: no limit
@@ -56,7 +56,8 @@
 // TargetLatency is the latency target: a response within it has its full value.
 func (r *Route) TargetLatency() time.Duration { return milliseconds(r.TargetLatencyMs) }
 
-// CompletionTarget is the time within which a batch job's results are due, counted from when it was first sent.
+// CompletionTarget is the time within which a batch job's results are due, counted from when it was first
+// sent.
 func (r *Route) CompletionTarget() time.Duration { return milliseconds(r.CompletionTargetMs) }
 
 // Retention is the time after which an item of a batch job may be given up.
@@ -67,7 +68,7 @@
 	return r.Type == RouteSafe || r.Type == RouteStreaming && r.Resumable
 }
 
-// Backends gives the names of the backends that the route may send to.
+// Backends returns the names of the backends that the route may send to.
 func (r *Route) Backends() []string {
 	if len(r.TrafficSplit) == 0 {
 		return []string{r.Backend}
@@ -81,23 +82,24 @@
 	return names
 }
 
-// Backend is a service: a set of servers that serve the same requests.
+// Backend is a service: a set of servers that serve the same requests. Its servers are in the platform's
+// list; of what is configured here only Name and MaxConns have an effect.
 type Backend struct {
 	Name       string `json:"name"`
-	HealthPath string `json:"health-path"`
-	MaxConns   int    `json:"max-conns"` // of one server, from all gateways together; 0: unknown
-	Protocol   string `json:"protocol"`
-	TLS        bool   `json:"tls"`
-	Engine     Engine `json:"engine"`
+	HealthPath string `json:"health-path"` // not used
+	MaxConns   int    `json:"max-conns"`   // of one server, from all gateways together; 0: unknown
+	Protocol   string `json:"protocol"`    // not used
+	TLS        bool   `json:"tls"`         // not used
+	Engine     Engine `json:"engine"`      // not used
 }
 
-// Engine describes the servers of a backend.
+// Engine describes the servers of a backend. It is checked and kept, and not used.
 type Engine struct {
 	Slots    int     `json:"slots"`     // requests that a server runs at a time
 	KVTokens int     `json:"kv-tokens"` // size of a server's KV cache, in tokens
 	KVBytes  float64 `json:"kv-bytes"`  // of the KV cache, per token
-	LinkMbps float64 `json:"link-mbps"`
-	Stride   int     `json:"stride"` // the most tokens of one event
+	LinkMbps float64 `json:"link-mbps"` // of a server's network link, in Mbit/s
+	Stride   int     `json:"stride"`    // the most tokens of one event
 	Models   []Model `json:"models"`
 }
 
@@ -123,4 +125,5 @@
 	Burst      float64  `json:"burst"`      // requests
 }
 
+// milliseconds converts a number of milliseconds, which may have a fraction.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -68,8 +68,8 @@
 	return member{key: s.key, list: true, items: p.items(s, s.key)}
 }
 
-// otherMember keeps a member that isn't a typed list. A list of named objects becomes a list of items, so that it
-// can be patched by name though its items aren't interpreted.
+// otherMember keeps a member that isn't a typed list. A list of named objects becomes a list of items, so
+// that it can be patched by name though its items aren't interpreted.
 func (p *parser) otherMember(s span) member {
 	if s.key == memberLimits {
 		p.checkLimits(s, memberLimits)
@@ -95,7 +95,7 @@
 	return items, true
 }
 
-// itemName gives the name of an element; false if it isn't an object or has no name.
+// itemName returns the name of an element; false if it isn't an object or has no name.
 func itemName(element span) (string, bool) {
 	members, isObject := splitObject(element.raw, element.offset)
 	if !isObject {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Snapshot is a version with the indexes that requests are routed by. It is immutable and safe for concurrent use:
-// what its methods return must not be changed.
+// Snapshot is a version with the indexes that requests are routed by. It is immutable and safe for concurrent
+// use: what its methods return must not be changed.
 type Snapshot struct {
 	Document
 	Index uint64 // of the change request that made the version, in the replicated log
@@ -53,8 +53,8 @@
 	return s
 }
 
-// RouteFor gives the route for a request: of those of its host, the one with the longest prefix of its path; nil if
-// there is none.
+// RouteFor returns the route for a request: of those of its host, the one with the longest prefix of its
+// path; nil if there is none.
 func (s *Snapshot) RouteFor(host, path string) *Route {
 	for _, route := range s.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -64,22 +64,22 @@
 	return nil
 }
 
-// RoutesForHost gives the routes of a host, those with the longest prefixes first.
+// RoutesForHost returns the routes of a host, those with the longest prefixes first.
 func (s *Snapshot) RoutesForHost(host string) []*Route { return s.hosts[normalizeHost(host)] }
 
-// RouteByName gives a route, or nil.
+// RouteByName returns a route, or nil.
 func (s *Snapshot) RouteByName(name string) *Route { return s.routes[name] }
 
-// BackendByName gives a backend, or nil.
+// BackendByName returns a backend, or nil.
 func (s *Snapshot) BackendByName(name string) *Backend { return s.backends[name] }
 
-// TenantByName gives a tenant, or nil.
+// TenantByName returns a tenant, or nil.
 func (s *Snapshot) TenantByName(name string) *Tenant { return s.tenants[name] }
 
-// TenantByKey gives the tenant with an API key, or nil.
+// TenantByKey returns the tenant with an API key, or nil.
 func (s *Snapshot) TenantByKey(key string) *Tenant { return s.keys[key] }
 
-// normalizeHost gives a host name without port and in lower case.
+// normalizeHost returns a host name without port and in lower case.
 func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -10,12 +10,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// maxHistory is the number of accepted requests that are remembered, so that one that is sent again gets the same
-// answer.
+// maxHistory is the number of accepted requests that are remembered, so that one that is sent again gets the
+// same answer.
 const maxHistory = 4096
 
-// State is the configuration in force and the requests that were accepted last. It is a deterministic function of
-// the requests applied, so that replicas agree. It isn't safe for concurrent use; the Versions that it returns are.
+// State is the configuration in force and the requests that were accepted last. It is a deterministic
+// function of the requests applied, so that replicas agree. It isn't safe for concurrent use; the Versions
+// that it returns are.
 type State struct {
 	current *Version
 
@@ -33,16 +34,16 @@
 	IfMatch uint64
 }
 
-// NewState gives the state before the first configuration.
+// NewState returns the state before the first configuration.
 func NewState() *State {
 	return &State{current: &Version{}, accepted: map[Digest]bool{}}
 }
 
-// Current gives the version in force. Its Generation is 0 before the first.
+// Current returns the version in force. Its Generation is 0 before the first.
 func (s *State) Current() *Version { return s.current }
 
-// StatusOf gives what is remembered of the request with a digest: StatusAccepted; StatusUnknown for one that is too
-// old to tell; or StatusStale, which means that it was not accepted.
+// StatusOf returns what is remembered of the request with a digest: StatusAccepted; StatusUnknown for one
+// that is too old to tell; or StatusStale, which means that it was not accepted.
 func (s *State) StatusOf(digest Digest, ifMatch uint64) Status {
 	if s.accepted[digest] {
 		return StatusAccepted
@@ -53,8 +54,8 @@
 	return StatusStale
 }
 
-// Apply executes a request that has an index in the replicated log. The caller must not change the request's body
-// afterwards.
+// Apply executes a request that has an index in the replicated log. The caller must not change the request's
+// body afterwards.
 func (s *State) Apply(index uint64, request ChangeRequest) Result {
 	result, next := s.evaluate(index, request)
 	if next == nil {
@@ -66,13 +67,13 @@
 	return result
 }
 
-// Evaluate gives the result that Apply would have now, and changes nothing.
+// Evaluate returns the result that Apply would have now, and changes nothing.
 func (s *State) Evaluate(request ChangeRequest) Result {
 	result, _ := s.evaluate(s.current.Index+1, request)
 	return result
 }
 
-// evaluate gives the result of a request and the version that it makes; nil where it changes nothing.
+// evaluate returns the result of a request and the version that it makes; nil where it changes nothing.
 func (s *State) evaluate(index uint64, request ChangeRequest) (Result, *Version) {
 	generation := s.current.Generation
 	switch status := s.StatusOf(request.Digest(), request.IfMatch); {
@@ -102,7 +103,7 @@
 	return next, nil
 }
 
-// asFindings gives the findings in an error; any other error becomes a finding without a location.
+// asFindings returns the findings in an error; any other error becomes a finding without a location.
 func asFindings(err error) node.Findings {
 	var findings node.Findings
 	if errors.As(err, &findings) {
@@ -121,15 +122,16 @@
 	s.accepted[request.Digest] = true
 }
 
-// encodedState is a State in a snapshot of the replicated state machine (gob): the names of the fields are fixed.
+// encodedState is a State in a snapshot of the replicated state machine (gob): the names of the fields are
+// fixed.
 type encodedState struct {
 	Index    uint64
 	Document []byte // empty: there is no configuration yet
 	Taken    []acceptedRequest
 }
 
-// Encode gives the state's form for a snapshot. The change log isn't part of it: after a restore, followers get the
-// whole document.
+// Encode returns the state's form for a snapshot. The change log isn't part of it: after a restore, followers
+// get the whole document.
 func (s *State) Encode() ([]byte, error) {
 	encoded := encodedState{Index: s.current.Index, Taken: s.history}
 	if s.current.Generation > 0 {
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// since gives the steps that lead from the version at an index to the current one, if they are logged.
+// since returns the steps that lead from the version at an index to the current one, if they are logged.
 func (l *changeLog) since(index uint64) (steps []protocol.ConfigurationStep, found bool) {
 	if l.baseIndex == 0 || index < l.baseIndex {
 		return nil, false
@@ -52,8 +52,8 @@
 	return slices.Clone(l.steps[at+1:]), true
 }
 
-// UpdateSince gives the update from the version at an index to the current one: nil if there is none, the logged
-// steps if they reach back so far, and else the whole document.
+// UpdateSince returns the update from the version at an index to the current one: nil if there is none, the
+// logged steps if they reach back so far, and else the whole document.
 func (s *State) UpdateSince(index uint64) *protocol.ConfigurationUpdate {
 	if index >= s.current.Index {
 		return nil
@@ -64,13 +64,13 @@
 	return &protocol.ConfigurationUpdate{Index: s.current.Index, Whole: s.current.JSON()}
 }
 
-// ErrGap says that the steps of an update don't start at the current version or before. Ask again with the current
-// version's index.
+// ErrGap says that the steps of an update don't start at the current version or before. Ask again with the
+// current version's index.
 var ErrGap = errors.New("configuration: the update does not follow the version held")
 
 // ApplyUpdate applies an update from control, in a gateway or batch process. Updates to older versions change
-// nothing. After an error the state is unchanged: after ErrGap ask for an update from the current version, after
-// any other error for the whole document (Poll.Configuration 0).
+// nothing. After an error the state is unchanged: after ErrGap ask for an update from the current version,
+// after any other error for the whole document (Poll.Configuration 0).
 func (s *State) ApplyUpdate(update *protocol.ConfigurationUpdate) (*Version, error) {
 	if update.Index <= s.current.Index {
 		return s.current, nil
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -44,8 +44,8 @@
 	p.checkWeights(route, element, path)
 }
 
-// maxQueuedTokensBound is the largest max-queued-tokens: sums of such numbers stay far from overflowing an int64,
-// and a float64, as JSON implementations use, has them exactly.
+// maxQueuedTokensBound is the largest max-queued-tokens: sums of such numbers stay far from overflowing an
+// int64, and a float64, as JSON implementations use, has them exactly.
 const maxQueuedTokensBound = 1 << 50
 
 // hasMember tells an explicit zero from an absent member.
@@ -128,7 +128,8 @@
 	}
 }
 
-// checkSharedKeys finds tenants that share an API key. Findings don't contain the key itself, as they go to logs.
+// checkSharedKeys finds tenants that share an API key. Findings don't contain the key itself, as they go to
+// logs.
 func checkSharedKeys(document *Document, findings *node.Findings) {
 	owners := make(map[string]string, 2*len(document.Tenants))
 	for i := range document.Tenants {
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Version is one version of the configuration. It is immutable and safe to share; versions share the items that
-// they have in common.
+// Version is one version of the configuration. It is immutable and safe to share; versions share the items
+// that they have in common.
 type Version struct {
 	Generation uint64 // the operator's number of the version; 0: the empty version before the first
 	Index      uint64 // of the change request that made it, in the replicated log; 0: the empty version
@@ -16,17 +16,18 @@
 	document   Document // decoded from members
 }
 
-// JSON gives the whole document. Items are as the operator sent them, with members that this program doesn't know.
+// JSON returns the whole document. Items are as the operator sent them, with members that this program
+// doesn't know.
 func (v *Version) JSON() []byte { return renderMembers(v.members) }
 
-// Document gives the typed content. The caller must not change what it points to.
+// Document returns the typed content. The caller must not change what it points to.
 func (v *Version) Document() Document { return v.document }
 
-// Snapshot gives the version with the indexes that requests are routed by.
+// Snapshot returns the version with the indexes that requests are routed by.
 func (v *Version) Snapshot() *Snapshot { return NewSnapshot(v.document, v.Index) }
 
-// next gives the version that a change makes of this one, in the form of a patch or a whole document. The error is
-// of type node.Findings.
+// next returns the version that a change makes of this one, in the form of a patch or a whole document. The
+// error is of type node.Findings.
 func (v *Version) next(index uint64, patch bool, body []byte) (*Version, error) {
 	if !patch {
 		return ParseDocument(body, index)
@@ -65,8 +66,8 @@
 	}
 }
 
-// finish decodes the members into the typed document and validates it as a whole. It adds to findings; the error
-// has all of them.
+// finish decodes the members into the typed document and validates it as a whole. It adds to findings; the
+// error has all of them.
 func (v *Version) finish(findings *node.Findings) (*Version, error) {
 	v.document = Document{Generation: v.Generation}
 	for _, one := range v.members {
--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -8,8 +8,8 @@
 )
 
 // maxStaleness is the greatest age of this process's proof of freshness with which it confirms its state to
-// subscribers. A process that is partitioned from the others exceeds it within that time, and its subscribers turn
-// to another; otherwise heartbeats of the chain keep the age at a third of it.
+// subscribers. A process that is partitioned from the others exceeds it within that time, and its subscribers
+// turn to another; otherwise heartbeats of the chain keep the age at a third of it.
 const maxStaleness = 800 * time.Millisecond
 
 // staleness returns the staleness bound of the state here: everything acknowledged longer ago is applied. It
@@ -19,15 +19,15 @@
 	return age, proven && age <= maxStaleness
 }
 
-// mayGrantLeases reports whether this process may grant leases to batch processes. Only members of the chain may:
-// the head evicts a batch process only while it receives the reports of all other members, so that a lease that a
-// member grants is known to it. A process outside of the chain is fresh through a member, and the head doesn't wait
-// for its reports.
+// mayGrantLeases reports whether this process may grant leases to batch processes. Only members of the chain
+// may: the head evicts a batch process only while it receives the reports of all other members, so that a
+// lease that a member grants is known to it. A process outside of the chain is fresh through a member, and
+// the head doesn't wait for its reports.
 func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
 
 // storeGrant returns a batch process's membership and lease. The lease is granted only by a process that can
-// confirm the membership, and is shortened by the staleness of that: StoreLease after a suspicion was acknowledged,
-// the member under suspicion has no lease left.
+// confirm the membership, and is shortened by the staleness of that: StoreLease after a suspicion was
+// acknowledged, the member under suspicion has no lease left.
 func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
 	view := c.state.Stores()
 	grant := &protocol.StoreGrant{Epoch: view.Epoch}
--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestStoresNeedProof has all control processes lose power after the store membership has changed a few times. One
-// that starts alone has what its disk knows to be acknowledged, which may be a membership that ended long ago; it
-// must not send it.
+// TestStoresNeedProof has all control processes lose power after the store membership has changed a few
+// times. One that starts alone has what its disk knows to be acknowledged, which may be a membership that
+// ended long ago; it must not send it.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 1, injectedBug{})
@@ -147,8 +147,8 @@
 	return c, chain
 }
 
-// TestJoinNamesEpoch checks that a Join names the epoch in which it was decided, and the epoch that the joining
-// process has acted in.
+// TestJoinNamesEpoch checks that a Join names the epoch in which it was decided, and the epoch that the
+// joining process has acted in.
 func TestJoinNamesEpoch(t *testing.T) {
 	c, _ := newControlWithFixedReplica()
 	for index := uint64(1); index <= 2; index++ {
@@ -169,8 +169,8 @@
 	}
 }
 
-// TestStoresMatchLease changes the store membership right before a poll is answered, when the member list that was
-// built is of the epoch before. The list that is sent must be of the lease's epoch.
+// TestStoresMatchLease changes the store membership right before a poll is answered, when the member list
+// that was built is of the epoch before. The list that is sent must be of the lease's epoch.
 func TestStoresMatchLease(t *testing.T) {
 	c, chain := newControlWithFixedReplica()
 	for index, number := range []int{1, 2} {
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestDrainedStoreKeepsPolling has a batch process poll on after its retirement was completed and it was evicted.
-// No command must follow.
+// TestDrainedStoreKeepsPolling has a batch process poll on after its retirement was completed and it was
+// evicted. No command must follow.
 func TestDrainedStoreKeepsPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 1, injectedBug{})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,8 +32,8 @@
 	maxFrameBytes       = 64 << 20
 	httpShutdownTimeout = 1200 * time.Millisecond // for the operator's requests in flight
 	handOverTimeout     = 1500 * time.Millisecond // for the roles and the place in the chain
-	// releaseGrantsTimeout bounds the release of the role of grantor. Without the release a successor waits for a
-	// second.
+	// releaseGrantsTimeout bounds the release of the role of grantor. Without the release a successor waits for
+	// a second.
 	releaseGrantsTimeout = 300 * time.Millisecond
 )
 
@@ -82,8 +82,9 @@
 	members      memberTable
 }
 
-// Start starts a control process. It returns once the ports are open; the process may serve later, when it has
-// reached a majority of the chain's voters. Errors are of the disk, of the replica's start and of the ports.
+// Start starts a control process. It returns once the ports are open; the process may serve later, when it
+// has reached a majority of the chain's voters. Errors are of the disk, of the replica's start and of the
+// ports.
 func Start(options Options) (*Control, error) {
 	if options.environment == nil {
 		options.environment = &environment{}
@@ -243,8 +244,8 @@
 	})
 }
 
-// bodyMemoryFraction: one configuration may take 1/16 of the process's memory, as several copies of it exist while
-// it is committed.
+// bodyMemoryFraction: one configuration may take 1/16 of the process's memory, as several copies of it exist
+// while it is committed.
 const bodyMemoryFraction = 16
 
 // serveAPI serves the operator's API until Stop.
@@ -260,8 +261,8 @@
 	c.log.Info().Strs("seeds", settings.Seeds).Msg("settings_reloaded")
 }
 
-// Stop ends the process in order: it releases its roles and its place in the chain, so that its successors needn't
-// wait for its leases to end, answers the requests in flight, and closes its connections.
+// Stop ends the process in order: it releases its roles and its place in the chain, so that its successors
+// needn't wait for its leases to end, answers the requests in flight, and closes its connections.
 func (c *Control) Stop() {
 	c.log.Info().Msg("stopping")
 	c.cancel()
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -14,9 +14,9 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
-// Faults come in rounds. Those of one round overlap, on machines of their own except for those that concern all
-// machines. In one round no more disks are lost than may be lost at once, and the next round begins once the system
-// has recovered.
+// Faults come in rounds. Those of one round overlap, on machines of their own except for those that concern
+// all machines. In one round no more disks are lost than may be lost at once, and the next round begins once
+// the system has recovered.
 
 const (
 	deploymentRounds       = 3
@@ -252,8 +252,8 @@
 	}
 }
 
-// losePowerEverywhere cuts the power of all machines at once, with some disks lost; each machine restarts at a time
-// of its own.
+// losePowerEverywhere cuts the power of all machines at once, with some disks lost; each machine restarts at
+// a time of its own.
 func (r *faultRound) losePowerEverywhere(lost victims, down time.Duration, delays *rand.Rand) {
 	r.withProcessLock(func() {
 		r.logf("all lose power")
@@ -492,9 +492,9 @@
 	w.addStore()
 }
 
-// faultReplacement replaces a control machine by a new one: before the old one leaves in order, or after its disk
-// is lost. Either way a disk is gone, which counts as lost: others may be lost before the new machine has
-// everything.
+// faultReplacement replaces a control machine by a new one: before the old one leaves in order, or after its
+// disk is lost. Either way a disk is gone, which counts as lost: others may be lost before the new machine
+// has everything.
 func faultReplacement(r *faultRound) func(time.Duration) {
 	planned := r.random.IntN(2) == 0
 	if r.disksLeft == 0 || len(r.controls) == 0 {
@@ -574,8 +574,8 @@
 }
 
 // TestRandomDeployments runs simulations of control processes and stores with random faults. SEEDS=N runs N
-// simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more, and
-// more is found than with simulations side by side.
+// simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more,
+// and more is found than with simulations side by side.
 func TestRandomDeployments(t *testing.T) {
 	first, simulations := seeds.Range(0, 12)
 	var lock sync.Mutex
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -33,9 +33,9 @@
 	checkerPollInterval = 250 * time.Millisecond
 )
 
-// deployment is whole control processes and batch processes in one simulation, in virtual time, with clients, an
-// operator, and checks on what they tell each other. Its faults follow from its seed; the order in which goroutines
-// run at one moment doesn't, so a seed that failed may need a few runs to fail again.
+// deployment is whole control processes and batch processes in one simulation, in virtual time, with clients,
+// an operator, and checks on what they tell each other. Its faults follow from its seed; the order in which
+// goroutines run at one moment doesn't, so a seed that failed may need a few runs to fail again.
 type deployment struct {
 	*simulatedSystem
 	seed       uint64
@@ -412,7 +412,8 @@
 	}
 }
 
-// bulkBytes is the size of a change of which many come at once: a log is compacted after about ninety of them.
+// bulkBytes is the size of a change of which many come at once: a log is compacted after about ninety of
+// them.
 const bulkBytes = 12_000
 
 // load submits batch jobs, and reads some, all the time.
@@ -575,8 +576,8 @@
 	return newest
 }
 
-// unhealthy returns what isn't as it should be. It is empty if all processes run, agree on the store membership,
-// and are reconciled in it.
+// unhealthy returns what isn't as it should be. It is empty if all processes run, agree on the store
+// membership, and are reconciled in it.
 func (w *deployment) unhealthy() []string {
 	var list []string
 	newest := w.newestStoreView()
@@ -644,7 +645,8 @@
 	return nil
 }
 
-// awaitHealthy waits until everything has been healthy for a while. It returns what isn't if that takes too long.
+// awaitHealthy waits until everything has been healthy for a while. It returns what isn't if that takes too
+// long.
 func (w *deployment) awaitHealthy(within, steady time.Duration) []string {
 	deadline, well := time.Now().Add(within), time.Now()
 	for {
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -55,7 +55,8 @@
 }
 
 // storeLife is one incarnation of the process: the real state machine and log on a simulated disk, the real
-// subscription to control and the real connections to other stores, connected as internal/batch/server does it.
+// subscription to control and the real connections to other stores, connected as internal/batch/server does
+// it.
 type storeProcessRun struct {
 	store        *deployedStore
 	process      protocol.Process
--- a/internal/control/deployment_test.go
+++ b/internal/control/deployment_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestOldStoresAfterPowerLoss plays one history: a store loses its disk and is replaced, all machines lose power,
-// two more disks are lost, and the first control process to restart has the store membership of its last snapshot.
-// No store may act in that membership, and no batch job may be lost.
+// TestOldStoresAfterPowerLoss plays one history: a store loses its disk and is replaced, all machines lose
+// power, two more disks are lost, and the first control process to restart has the store membership of its
+// last snapshot. No store may act in that membership, and no batch job may be lost.
 func TestOldStoresAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newDeployment(t, 1, 6, 10, 2)
--- a/internal/control/discovery/list.go
+++ b/internal/control/discovery/list.go
@@ -16,8 +16,8 @@
 	Digest  uint64            // of the content, without the remaining warm-up time, which changes by itself
 }
 
-// NewList sorts servers by id and computes their digest. It changes its argument. A server that is listed twice, as
-// pages may shift while they are read, is kept once, and as draining if one of its entries says so.
+// NewList sorts servers by id and computes their digest. It changes its argument. A server that is listed
+// twice, as pages may shift while they are read, is kept once, and as draining if one of its entries says so.
 func NewList(servers []protocol.Server) List {
 	slices.SortStableFunc(servers, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
 	unique := servers[:0]
--- a/internal/control/discovery/page.go
+++ b/internal/control/discovery/page.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// parsePage decodes a page. A response without a list of instances is an error: it must not be taken for an empty
-// list.
+// parsePage decodes a page. A response without a list of instances is an error: it must not be taken for an
+// empty list.
 func parsePage(body []byte) (*page, error) {
 	var one page
 	if err := json.Unmarshal(body, &one); err != nil {
--- a/internal/control/discovery/ratelimiter.go
+++ b/internal/control/discovery/ratelimiter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// rateLimiter spaces calls by a rate, and allows a burst (the generic cell rate algorithm, GCRA). It isn't safe for
-// concurrent use.
+// rateLimiter spaces calls by a rate, and allows a burst (the generic cell rate algorithm, GCRA). It isn't
+// safe for concurrent use.
 type rateLimiter struct {
 	interval time.Duration // between two calls
 	burst    time.Duration // by which calls may be ahead of nextAt
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -34,8 +34,8 @@
 	limiter rateLimiter
 }
 
-// NewReader returns a reader of the list at an address (IP:port), of one zone or, with "", of all. rate is the
-// platform's limit in calls a second over all readers; 0 is none.
+// NewReader returns a reader of the list at an address (IP:port), of one zone or, with "", of all. rate is
+// the platform's limit in calls a second over all readers; 0 is none.
 func NewReader(address, zone string, rate float64) *Reader {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 	return &Reader{
--- a/internal/control/discovery/schedule.go
+++ b/internal/control/discovery/schedule.go
@@ -11,8 +11,8 @@
 	maxRetryDelay   = 800 * time.Millisecond
 )
 
-// Schedule decides when this process reads the list. It is pure: times are durations since the process's start by
-// the monotonic clock. It isn't safe for concurrent use.
+// Schedule decides when this process reads the list. It is pure: times are durations since the process's
+// start by the monotonic clock. It isn't safe for concurrent use.
 type Schedule struct {
 	rank       int
 	hasList    bool          // some control process has read a list
@@ -24,8 +24,8 @@
 	retryAt      time.Duration // no attempt before this
 }
 
-// SetRank sets this process's rank among the control processes. The one of rank 0 reads for all; the others take
-// over in the order of their ranks.
+// SetRank sets this process's rank among the control processes. The one of rank 0 reads for all; the others
+// take over in the order of their ranks.
 func (s *Schedule) SetRank(rank int) { s.rank = rank }
 
 // NextRead returns when to read next, unless a list is received before.
@@ -54,16 +54,16 @@
 	s.failures, s.retryAt = 0, 0
 }
 
-// ReadFailed records a failed attempt. The delay before the next one doubles from minRetryDelay to maxRetryDelay;
-// retryAfter is what the platform asked for, and may raise it to maxRetryDelay.
+// ReadFailed records a failed attempt. The delay before the next one doubles from minRetryDelay to
+// maxRetryDelay; retryAfter is what the platform asked for, and may raise it to maxRetryDelay.
 func (s *Schedule) ReadFailed(now, retryAfter time.Duration) {
 	delay := min(minRetryDelay<<min(s.failures, 8), maxRetryDelay)
 	s.failures++
 	s.retryAt = now + max(delay, min(retryAfter, maxRetryDelay))
 }
 
-// ListReceived records a list that another control process read from a time on. If that process has a lower rank,
-// this one stops to read for all.
+// ListReceived records a list that another control process read from a time on. If that process has a lower
+// rank, this one stops to read for all.
 func (s *Schedule) ListReceived(at, took time.Duration, rank int) {
 	if s.hasList && at <= s.lastReadAt {
 		return
--- a/internal/control/environment.go
+++ b/internal/control/environment.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// environment replaces a process's connections and disk in simulations, and injects bugs that tests must find. The
-// zero value is TCP and the folder of the settings.
+// environment replaces a process's connections and disk in simulations, and injects bugs that tests must
+// find. The zero value is TCP and the folder of the settings.
 type environment struct {
 	bind func(address string) (net.Listener, error)
 	dial func(ctx context.Context, address string) (net.Conn, error)
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/internal/control/liveness"
 )
 
-// TestEviction checks when a batch process that stops polling is evicted: after its lease has ended, and soon after
-// that.
+// TestEviction checks when a batch process that stops polling is evicted: after its lease has ended, and soon
+// after that.
 func TestEviction(t *testing.T) {
 	const within = 2900 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; the next round
-// tries again.
+// proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; the next
+// round tries again.
 func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	encoded, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
--- a/internal/control/liveness/evictions.go
+++ b/internal/control/liveness/evictions.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Evictions returns the members that have polled at no control process for so long that their lease has ended.
-// otherControls are the addresses of the chain's other members: while one of them doesn't report, a batch process
-// may be polling there, and none is evicted.
+// Evictions returns the members that have polled at no control process for so long that their lease has
+// ended. otherControls are the addresses of the chain's other members: while one of them doesn't report, a
+// batch process may be polling there, and none is evicted.
 func (t *Table) Evictions(now time.Duration, view protocol.StoreView, otherControls []string) []protocol.StoreMember {
 	if !t.leads || now-t.leadsSince < EvictAfter || !t.reportsCurrent(now, otherControls) {
 		return nil
@@ -51,9 +51,9 @@
 	return timedOut, returned
 }
 
-// SuspicionExpired reports whether a suspicion has stood for as long as a lease that was granted before it may
-// last. The time counts from the first call with the suspicion's number in this leadership, so it must be called
-// regularly for every suspicion.
+// SuspicionExpired reports whether a suspicion has stood for as long as a lease that was granted before it
+// may last. The time counts from the first call with the suspicion's number in this leadership, so it must be
+// called regularly for every suspicion.
 func (t *Table) SuspicionExpired(now time.Duration, suspicion uint64) bool {
 	if suspicion == 0 {
 		return false
@@ -66,8 +66,8 @@
 	return now-since >= StoreLease
 }
 
-// reportsCurrent reports whether the newest report of every other control process is recent enough to conclude from
-// it that a batch process doesn't poll there.
+// reportsCurrent reports whether the newest report of every other control process is recent enough to
+// conclude from it that a batch process doesn't poll there.
 func (t *Table) reportsCurrent(now time.Duration, otherControls []string) bool {
 	for _, address := range otherControls {
 		at, known := t.reportsAt[address]
@@ -78,8 +78,8 @@
 	return true
 }
 
-// lastContactAt returns when an incarnation of a process polled last. It is at least the start of this leadership,
-// since polls before it may not have been reported here.
+// lastContactAt returns when an incarnation of a process polled last. It is at least the start of this
+// leadership, since polls before it may not have been reported here.
 func (t *Table) lastContactAt(process protocol.Process) time.Duration {
 	one, known := t.contacts[processKey{process.Node, process.Role}]
 	if !known || one.Process.Incarnation != process.Incarnation {
--- a/internal/control/liveness/joins.go
+++ b/internal/control/liveness/joins.go
@@ -17,8 +17,8 @@
 	NotAdmitted
 )
 
-// Joins returns the batch processes that poll, are no members, and may join. There are none unless this process
-// leads.
+// Joins returns the batch processes that poll, are no members, and may join. There are none unless this
+// process leads.
 func (t *Table) Joins(
 	now time.Duration,
 	view protocol.StoreView,
@@ -40,7 +40,8 @@
 	return list
 }
 
-// LastEpochActedIn returns the highest epoch that one of some batch processes has acted in, by their last reports.
+// LastEpochActedIn returns the highest epoch that one of some batch processes has acted in, by their last
+// reports.
 func (t *Table) LastEpochActedIn(processes []protocol.Process) uint64 {
 	highest := uint64(0)
 	for _, process := range processes {
--- a/internal/control/liveness/reconciliation.go
+++ b/internal/control/liveness/reconciliation.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Reconciled reports whether all members that may store something have reported that they are reconciled in the
-// view's epoch, and that at most tolerance machines, as many as may be lost at once, may have batch jobs that the
-// members don't know of. It is false once the view is recorded as reconciled (Settled).
+// Reconciled reports whether all members that may store something have reported that they are reconciled in
+// the view's epoch, and that at most tolerance machines, as many as may be lost at once, may have batch jobs
+// that the members don't know of. It is false once the view is recorded as reconciled (Settled).
 func (t *Table) Reconciled(now time.Duration, view protocol.StoreView, tolerance int) bool {
 	if !t.leads || view.Settled || len(view.Members) == 0 {
 		return false
@@ -25,8 +25,8 @@
 	return true
 }
 
-// Drained returns the retiring members that store nothing that others need: they report so themselves in the view's
-// epoch, and all active members are reconciled in it.
+// Drained returns the retiring members that store nothing that others need: they report so themselves in the
+// view's epoch, and all active members are reconciled in it.
 func (t *Table) Drained(now time.Duration, view protocol.StoreView) []protocol.StoreMember {
 	if !t.leads || !t.activeReconciled(now, view) {
 		return nil
@@ -44,7 +44,8 @@
 	return list
 }
 
-// activeReconciled reports whether all active members have reported that they are reconciled in the view's epoch.
+// activeReconciled reports whether all active members have reported that they are reconciled in the view's
+// epoch.
 func (t *Table) activeReconciled(now time.Duration, view protocol.StoreView) bool {
 	for _, member := range view.Members {
 		if member.State != protocol.StoreActive {
--- a/internal/control/liveness/table.go
+++ b/internal/control/liveness/table.go
@@ -13,21 +13,21 @@
 	// StoreLease is the length of a batch process's lease. It counts from when the process sent its poll, by its
 	// own clock.
 	StoreLease = 1500 * time.Millisecond
-	// SuspectAfter is the time without a poll after which a batch process comes under suspicion, and is granted no
-	// lease any more. It is above 0.8 s, the longest time between two polls as the head of the chain sees them:
-	// protocol.PollInterval, and the interval of the control processes' reports.
+	// SuspectAfter is the time without a poll after which a batch process comes under suspicion, and is granted
+	// no lease any more. It is above 0.8 s, the longest time between two polls as the head of the chain sees
+	// them: protocol.PollInterval, and the interval of the control processes' reports.
 	SuspectAfter = time.Second
-	// EvictAfter is the time without a poll after which a batch process is evicted. Its lease has certainly ended
-	// by then.
+	// EvictAfter is the time without a poll after which a batch process is evicted. Its lease has certainly
+	// ended by then.
 	EvictAfter = 2200 * time.Millisecond
 	// GatewayTimeout is how long a gateway that doesn't poll stays in the member list.
 	GatewayTimeout = 3 * time.Second
 	// MaxReportAge is the greatest age of a control process's report from which it may be concluded that a batch
 	// process doesn't poll there.
 	MaxReportAge = time.Second
-	// RejoinAfter is how long a machine whose retirement was completed must poll before it joins again with another
-	// disk. The retired machine is removed at once, and what it stored after a join would be lost; one that stays
-	// this long is another machine with the same name.
+	// RejoinAfter is how long a machine whose retirement was completed must poll before it joins again with
+	// another disk. The retired machine is removed at once, and what it stored after a join would be lost; one
+	// that stays this long is another machine with the same name.
 	RejoinAfter = 10 * time.Second
 	// ForgetAfter is how long a process that doesn't poll stays in the table.
 	ForgetAfter = 30 * time.Second
@@ -65,8 +65,8 @@
 	}
 }
 
-// Observe records a poll, received here or reported by another control process; one that is older than the newest
-// known one is ignored. It reports whether the process or its incarnation is new.
+// Observe records a poll, received here or reported by another control process; one that is older than the
+// newest known one is ignored. It reports whether the process or its incarnation is new.
 func (t *Table) Observe(one Contact) bool {
 	id := processKey{one.Process.Node, one.Process.Role}
 	old, known := t.contacts[id]
@@ -88,14 +88,15 @@
 	return one, known && one.Process == process
 }
 
-// ReportReceived records that a report of another control process was received at a time, and processed whole.
+// ReportReceived records that a report of another control process was received at a time, and processed
+// whole.
 func (t *Table) ReportReceived(address string, at time.Duration) {
 	t.reportsAt[address] = max(at, t.reportsAt[address])
 }
 
-// SetLeadership records whether this process leads the chain, and in which epoch. All waiting begins anew with each
-// epoch: a control process that the epoch leaves out may have granted leases that were never reported here, up to
-// the decision on the epoch.
+// SetLeadership records whether this process leads the chain, and in which epoch. All waiting begins anew
+// with each epoch: a control process that the epoch leaves out may have granted leases that were never
+// reported here, up to the decision on the epoch.
 func (t *Table) SetLeadership(now time.Duration, epoch uint64, lead bool) {
 	if lead && (!t.leads || epoch != t.epoch) {
 		t.leadsSince = now
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -4,7 +4,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// member returns what is known of the control process at an IP. The zone is known only of those that are connected.
+// member returns what is known of the control process at an IP. The zone is known only of those that are
+// connected.
 func (p *peers) member(ip string) protocol.ControlMember {
 	s := p.control.settings
 	if ip == s.IP {
@@ -38,10 +39,10 @@
 	return list
 }
 
-// membersFor returns what a subscriber lacks of the member list; nil: nothing. The store membership and the quota
-// address are sent only if this process confirms its state: those of a process that has just started, or is
-// partitioned, may be of an epoch that ended long ago. Without that only the control processes are sent. It is
-// called with the mutex held.
+// membersFor returns what a subscriber lacks of the member list; nil: nothing. The store membership and the
+// quota address are sent only if this process confirms its state: those of a process that has just started,
+// or is partitioned, may be of an epoch that ended long ago. Without that only the control processes are
+// sent. It is called with the mutex held.
 func (c *Control) membersFor(one *subscriber, fresh bool) *protocol.MemberList {
 	if !fresh {
 		return c.members.controlMembersFor(one)
--- a/internal/control/membertable.go
+++ b/internal/control/membertable.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// minGatewayListInterval is the least time between two member lists that differ in gateways only. Gateways often
-// start at the same time, and every list goes to every subscriber.
+// minGatewayListInterval is the least time between two member lists that differ in gateways only. Gateways
+// often start at the same time, and every list goes to every subscriber.
 const minGatewayListInterval = time.Second
 
 // memberTable is the member list as subscribers are sent it. list.Version rises with each change, so that a
@@ -47,8 +47,8 @@
 	t.list.Version++
 }
 
-// confirmedFor returns the whole list, marked as confirmed (Vouched), if a subscriber lacks it, else nil. The caller
-// has checked that this process may confirm its state.
+// confirmedFor returns the whole list, marked as confirmed (Vouched), if a subscriber lacks it, else nil. The
+// caller has checked that this process may confirm its state.
 func (t *memberTable) confirmedFor(one *subscriber) *protocol.MemberList {
 	if t.list.Version <= one.members {
 		return nil
@@ -58,7 +58,8 @@
 	return &list
 }
 
-// controlMembersFor returns the list with nothing but the control processes if a subscriber lacks those, else nil.
+// controlMembersFor returns the list with nothing but the control processes if a subscriber lacks those, else
+// nil.
 func (t *memberTable) controlMembersFor(one *subscriber) *protocol.MemberList {
 	if t.list.Version <= max(one.members, one.controlMembers) {
 		return nil
--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -16,8 +16,8 @@
 // Chain is what the API needs of the chain.
 type Chain interface {
 	// Propose returns the state machine's outcome once the command is durable. ErrUnavailable tells that the
-	// command was not committed and never will be; any other error leaves that open. Commands with the same id are
-	// executed once.
+	// command was not committed and never will be; any other error leaves that open. Commands with the same id
+	// are executed once.
 	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
 	// Read returns once everything that was acknowledged before the call is applied here.
 	Read(ctx context.Context) error
@@ -29,7 +29,7 @@
 // Limits of the API.
 const (
 	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must hold two
-	unavailableAfter = 900 * time.Millisecond  // until 503 while the chain is unavailable; operators give up after 1 s
+	unavailableAfter = 900 * time.Millisecond  // until 503 while the chain is unavailable; clients wait for 1 s
 	retryInterval    = 60 * time.Millisecond   // between attempts
 	readTimeout      = 400 * time.Millisecond  // of one read of the chain
 	proposeTimeout   = 1500 * time.Millisecond // of one proposal
@@ -46,8 +46,8 @@
 	// MaxBodyBytes limits one configuration; all that are held at a time may take twice that. 0: 24 MB, which is
 	// also the highest limit.
 	MaxBodyBytes int
-	// MinActiveStores is the least number of active store machines that must remain when one retires: the number of
-	// replicas of a batch job, f + 1.
+	// MinActiveStores is the least number of active store machines that must remain when one retires: the number
+	// of replicas of a batch job, f + 1.
 	MinActiveStores int
 	Log             zerolog.Logger
 }
--- a/internal/control/operatorapi/body.go
+++ b/internal/control/operatorapi/body.go
@@ -13,9 +13,9 @@
 	errBodiesBusy   = errors.New("other large configurations are under way") // their bodies use the byteBudget up
 )
 
-// readBody reads a request's body within the limits on its size and on all bodies together. The returned function
-// gives the body's part of the latter back. With errBodyTooLarge the returned bytes are the beginning of the body,
-// which was read.
+// readBody reads a request's body within the limits on its size and on all bodies together. The returned
+// function gives the body's part of the latter back. With errBodyTooLarge the returned bytes are the
+// beginning of the body, which was read.
 func (a *API) readBody(request *http.Request) ([]byte, func(), error) {
 	if request.ContentLength > a.maxBodyBytes {
 		return nil, nil, errBodyTooLarge
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -108,8 +108,8 @@
 	maxCatchUpBytes = 4 << 20
 )
 
-// TestCatchUp has a machine miss 500 changes, with its disk kept or lost. It must catch up in bounded time and
-// bytes, and answer nothing before.
+// TestCatchUp has a machine miss 500 changes, with its disk kept or lost. It must catch up in bounded time
+// and bytes, and answer nothing before.
 func TestCatchUp(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("wiped %t", wiped), func(t *testing.T) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// awaitCaughtUp asks a machine until it returns the newest version, and counts the answers before. With less than
-// that version it must neither be fresh nor lead the chain.
+// awaitCaughtUp asks a machine until it returns the newest version, and counts the answers before. With less
+// than that version it must neither be fresh nor lead the chain.
 func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
 	for {
 		held := m.state.Configuration().Generation
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -58,8 +58,9 @@
 	return number, err == nil
 }
 
-// handleTooLarge answers a change whose body exceeds this process's limit. A process with more memory may have
-// accepted it earlier, so it is looked for by its digest, computed without holding the body, before it is rejected.
+// handleTooLarge answers a change whose body exceeds this process's limit. A process with more memory may
+// have accepted it earlier, so it is looked for by its digest, computed without holding the body, before it
+// is rejected.
 func (a *API) handleTooLarge(c echo.Context, ifMatch uint64, patch bool, beginning []byte) error {
 	c.Response().Header().Set("Connection", "close")
 	rejection := responseBody{Message: errBodyTooLarge.Error()}
--- a/internal/control/operatorapi/changegroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// changeGroup merges changes that are sent again while they are being decided, as golang.org/x/sync/singleflight
-// does, and lets a caller leave before the decision.
+// changeGroup merges changes that are sent again while they are being decided, as
+// golang.org/x/sync/singleflight does, and lets a caller leave before the decision.
 type changeGroup struct {
 	mutex   sync.Mutex
 	pending map[configuration.Digest]*changeCall // guarded by mutex; removed before done is closed
@@ -25,9 +25,9 @@
 	return changeGroup{pending: map[configuration.Digest]*changeCall{}}
 }
 
-// do returns the decision of the change with a digest, and starts decide unless it runs for that change already. It
-// reports false if ctx ended first; decide runs on. release is called once the caller's body is no longer held: for
-// the caller that started decide, that is when decide has returned.
+// do returns the decision of the change with a digest, and starts decide unless it runs for that change
+// already. It reports false if ctx ended first; decide runs on. release is called once the caller's body is
+// no longer held: for the caller that started decide, that is when decide has returned.
 func (g *changeGroup) do(
 	ctx context.Context,
 	digest configuration.Digest,
--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -111,8 +111,8 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
-// start starts the process. No lock is held meanwhile, since the time of a bubble stands still while a goroutine
-// waits for a mutex.
+// start starts the process. No lock is held meanwhile, since the time of a bubble stands still while a
+// goroutine waits for a mutex.
 func (m *simulatedControl) start(bootstrap bool) {
 	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -20,8 +20,8 @@
 	reason string // why the change is undecided; empty with other statuses than 503 and 504
 }
 
-// decide decides a change and logs the decision. It continues when its caller disconnects, as a command that has been
-// proposed can't be withdrawn.
+// decide decides a change and logs the decision. It continues when its caller disconnects, as a command that
+// has been proposed can't be withdrawn.
 func (a *API) decide(change configuration.ChangeRequest, arrived time.Time) decision {
 	log := a.options.Log.With().
 		Uint64("if-match", change.IfMatch).
@@ -61,8 +61,8 @@
 	return submission.run()
 }
 
-// shapeFindings checks the shape of a change that builds on the current version. A change that was accepted earlier
-// is not checked again: the rules may have become stricter since, and it must get its 200 again.
+// shapeFindings checks the shape of a change that builds on the current version. A change that was accepted
+// earlier is not checked again: the rules may have become stricter since, and it must get its 200 again.
 func shapeFindings(change configuration.ChangeRequest) []findingBody {
 	if json.Valid(change.Body) {
 		if found := schema.Check(change.Body, change.Patch); len(found) > 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed, as only
-// an answer resolves that.
+// retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed,
+// as only an answer resolves that.
 func (s *changeSubmission) retryUntil() time.Time {
 	if s.uncertain {
 		return s.deadline
@@ -124,9 +124,9 @@
 	return decision{status: http.StatusServiceUnavailable, reason: "no order is taken here now: " + err.Error()}
 }
 
-// attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the change
-// undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and the change may
-// have been accepted elsewhere.
+// attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the
+// change undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and
+// the change may have been accepted elsewhere.
 func (s *changeSubmission) attempt() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(s.retryUntil())))
 	err := s.api.options.Chain.Read(ctx)
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -194,7 +194,8 @@
 	return change
 }
 
-// deliver sends a change to one machine after the other until it has a definite answer, or the operator gives up.
+// deliver sends a change to one machine after the other until it has a definite answer, or the operator gives
+// up.
 func (c *operatorClient) deliver(change *sentChange, attempts int) {
 	if change.futureBase {
 		attempts = 1
@@ -368,8 +369,8 @@
 	h.decisiveOperations = h.decisive()
 }
 
-// checkLinearizable checks the history with porcupine. It must be called outside of the bubble, whose time stands
-// still while a goroutine computes.
+// checkLinearizable checks the history with porcupine. It must be called outside of the bubble, whose time
+// stands still while a goroutine computes.
 func (h *history) checkLinearizable() {
 	w := h.cluster
 	patience := 20 * time.Second
@@ -386,8 +387,8 @@
 	}
 }
 
-// decisive leaves out what can't matter: calls without a definite answer of changes that were never accepted, and
-// all but the first of those that were.
+// decisive leaves out what can't matter: calls without a definite answer of changes that were never accepted,
+// and all but the first of those that were.
 func (h *history) decisive() []porcupine.Operation {
 	first := map[*sentChange]bool{}
 	var kept []porcupine.Operation
@@ -452,7 +453,8 @@
 	return h.cluster.violations, h
 }
 
-// awaitRecovery checks that a change is accepted once all faults are over, and waits until every machine has it.
+// awaitRecovery checks that a change is accepted once all faults are over, and waits until every machine has
+// it.
 func (h *history) awaitRecovery() {
 	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.cluster.seed, 99))}
 	before := h.lastAcknowledgedAt
--- a/internal/control/operatorapi/majoritylost_test.go
+++ b/internal/control/operatorapi/majoritylost_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestMajorityLost checks what docs/operate/control.md says of a control plane that has lost more than half of its
-// voters: it accepts no change and answers nothing, for good if their disks are lost, else until one of them is
-// back at its address with its disk.
+// TestMajorityLost checks what docs/operate/control.md says of a control plane that has lost more than half
+// of its voters: it accepts no change and answers nothing, for good if their disks are lost, else until one
+// of them is back at its address with its disk.
 func TestMajorityLost(t *testing.T) {
 	for _, disks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("disks come back %t", disks), func(t *testing.T) {
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -29,8 +29,8 @@
 	return stats.HeapAlloc, disk
 }
 
-// TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further once as
-// many changes are remembered as ever are.
+// TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further
+// once as many changes are remembered as ever are.
 func TestManyChanges(t *testing.T) {
 	orders := int(seeds.Number("ORDERS", manyChanges))
 	full := remembered + (orders-remembered)/4
@@ -73,8 +73,8 @@
 	})
 }
 
-// checkRemembered checks the answers to changes of any age that are sent again: 200 to those that are remembered,
-// 503 to older ones, and 412 to one that was never accepted, as long as that is known.
+// checkRemembered checks the answers to changes of any age that are sent again: 200 to those that are
+// remembered, 503 to older ones, and 412 to one that was never accepted, as long as that is known.
 func (w *clusterSimulation) checkRemembered(orders int) {
 	for version := 1; version <= orders; version += 499 {
 		change := largeChange(version)
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -14,8 +14,8 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// maxRetireBodyBytes limits the body of a retirement. Its content is ignored: a retirement ends when the machine is
-// drained, at no deadline.
+// maxRetireBodyBytes limits the body of a retirement. Its content is ignored: a retirement ends when the
+// machine is drained, at no deadline.
 const maxRetireBodyBytes = 64 << 10
 
 // handleRetire handles POST /retire/:node.
@@ -39,8 +39,8 @@
 	return a.writeRetirement(c, name)
 }
 
-// retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under way
-// isn't changed by it.
+// retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under
+// way isn't changed by it.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
 	command, err := statemachine.Command{
 		Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores},
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -11,8 +11,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after the partition
-// began the process may still confirm its state: its last proof is good for maxStaleness, and an answer may be on its way.
+// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after the
+// partition began the process may still confirm its state: its last proof is good for maxStaleness, and an
+// answer may be on its way.
 const (
 	partitionLength  = 20 * time.Second
 	stalenessElapsed = maxStaleness + 50*time.Millisecond
@@ -134,7 +135,8 @@
 	}
 }
 
-// reportDrained makes a batch process report that it stores nothing that others need, in the epoch that it knows.
+// reportDrained makes a batch process report that it stores nothing that others need, in the epoch that it
+// knows.
 func (s *partitionTest) reportDrained(store *simulatedPoller) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
@@ -174,8 +176,8 @@
 	s.checkRecovery(beginner, members)
 }
 
-// checkRecovery checks that the process catches up with the others after the partition, and changes nothing by the
-// state that it had.
+// checkRecovery checks that the process catches up with the others after the partition, and changes nothing
+// by the state that it had.
 func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
@@ -224,7 +226,8 @@
 	return s.violations
 }
 
-// TestPartition partitions one control machine for twenty seconds. It must answer nothing that may be outdated.
+// TestPartition partitions one control machine for twenty seconds. It must answer nothing that may be
+// outdated.
 func TestPartition(t *testing.T) {
 	for _, one := range []partitionCase{
 		{head: true, out: true, in: true}, {head: true, out: true}, {head: true, in: true},
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -45,8 +45,8 @@
 	return known
 }
 
-// TestProcessPause checks that messages which were in the sockets of a paused process are not processed, and that
-// those over new connections are.
+// TestProcessPause checks that messages which were in the sockets of a paused process are not processed, and
+// that those over new connections are.
 func TestProcessPause(t *testing.T) {
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
--- a/internal/control/peerreport.go
+++ b/internal/control/peerreport.go
@@ -8,8 +8,8 @@
 )
 
 // peerReport is what a control process reports to another. Ages are as of when it was sent. Reports over one
-// connection build on each other: a gateway that was named polls at the sender until a report names it in Gone, and
-// a server list may be a delta to the one before.
+// connection build on each other: a gateway that was named polls at the sender until a report names it in
+// Gone, and a server list may be a delta to the one before.
 type peerReport struct {
 	Presence bool               // Gateways, Gone and Batch are set; else the report is of Servers only
 	All      bool               // Gateways are all, whatever was reported before
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// connect opens a connection with peers.mutex held. Whenever it is opened anew, everything is sent again, since the
-// other side has dropped what it had over the former connection.
+// connect opens a connection with peers.mutex held. Whenever it is opened anew, everything is sent again,
+// since the other side has dropped what it had over the former connection.
 func (p *peers) connect(ip string) *peer {
 	one := &peer{gateways: map[string]protocol.Process{}}
 	onReconnect := func(bool) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// report sends the gateways that poll here to the head of the chain and, where toAll is set, to every other control
-// process. The head gets the batch processes as well, since it keeps the store membership.
+// report sends the gateways that poll here to the head of the chain and, where toAll is set, to every other
+// control process. The head gets the batch processes as well, since it keeps the store membership.
 func (p *peers) report(head string, toAll bool, gateways map[string]protocol.Process, batch []peerBatch) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -151,7 +151,8 @@
 	}
 }
 
-// peerServersSince returns the server list for a peer that has a version of it, and the version that it then has.
+// peerServersSince returns the server list for a peer that has a version of it, and the version that it then
+// has.
 func (c *Control) peerServersSince(rank int, has uint64) (*peerServers, uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -186,7 +187,8 @@
 	}
 }
 
-// pollers returns the gateways that poll here, by node, and the batch processes that do, with their newest reports.
+// pollers returns the gateways that poll here, by node, and the batch processes that do, with their newest
+// reports.
 func (c *Control) pollers() (map[string]protocol.Process, []peerBatch) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestPollersDelta reports random sets of gateways over a connection that ends now and then, noticed by either side
-// first. After each report the receiver must have the sender's set.
+// TestPollersDelta reports random sets of gateways over a connection that ends now and then, noticed by
+// either side first. After each report the receiver must have the sender's set.
 func TestPollersDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		receiver := &Control{liveness: liveness.New()}
--- a/internal/control/peersessions.go
+++ b/internal/control/peersessions.go
@@ -10,7 +10,8 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// peerSession is what another control process has reported over one connection. It is guarded by Control.mutex.
+// peerSession is what another control process has reported over one connection. It is guarded by
+// Control.mutex.
 type peerSession struct {
 	firstContactAt time.Duration               // when its first message was received
 	gateways       map[string]protocol.Process // that poll there, by node
@@ -48,8 +49,8 @@
 	}
 }
 
-// peerSessionOf returns the state of a session, and creates it with the first report. It is called with the mutex
-// held.
+// peerSessionOf returns the state of a session, and creates it with the first report. It is called with the
+// mutex held.
 func (c *Control) peerSessionOf(session *transport.Session) *peerSession {
 	peer := c.peerSessions[session]
 	if peer == nil {
@@ -68,8 +69,8 @@
 	delete(c.peerSessions, session)
 }
 
-// mergePollers records who polls at another control process, and reports whether a process or incarnation among
-// them is new. It is called with the mutex held.
+// mergePollers records who polls at another control process, and reports whether a process or incarnation
+// among them is new. It is called with the mutex held.
 func (c *Control) mergePollers(peer *peerSession, report *peerReport, now time.Duration) bool {
 	if report.All {
 		clear(peer.gateways)
@@ -96,8 +97,8 @@
 	return joined
 }
 
-// mergeServers applies a server list that another control process has read, and reports whether it changed the one
-// held here. It is called with the mutex held.
+// mergeServers applies a server list that another control process has read, and reports whether it changed
+// the one held here. It is called with the mutex held.
 func (c *Control) mergeServers(peer *peerSession, received *peerServers, now time.Duration) bool {
 	if received.List != nil {
 		list, err := serverlist.ApplyUpdate(peer.servers, received.List)
--- a/internal/control/quotaservice/recordchanges.go
+++ b/internal/control/quotaservice/recordchanges.go
@@ -6,8 +6,8 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// NextChange returns the change of the grant record that is needed now, or nil. The caller proposes it, and calls
-// ChangeDone with the outcome before the next call.
+// NextChange returns the change of the grant record that is needed now, or nil. The caller proposes it, and
+// calls ChangeDone with the outcome before the next call.
 func (s *Service) NextChange() *statemachine.GrantsChange {
 	if _, heads := s.leadership.HeadLease(); !heads {
 		return nil
@@ -41,8 +41,8 @@
 	}
 }
 
-// Release stops granting for good and returns the change that lets the next grantor begin at once; nil if this
-// process isn't the grantor.
+// Release stops granting for good and returns the change that lets the next grantor begin at once; nil if
+// this process isn't the grantor.
 func (s *Service) Release() *statemachine.GrantsChange {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,9 +56,9 @@
 	return &statemachine.GrantsChange{Lender: s.self, End: true}
 }
 
-// beginTerm returns the change that makes this process the grantor, or nil while another may still act. The role is
-// vacant if nobody held it before, its holder released it, or its holder was an earlier process on the same disk.
-// It is called with the mutex held.
+// beginTerm returns the change that makes this process the grantor, or nil while another may still act. The
+// role is vacant if nobody held it before, its holder released it, or its holder was an earlier process on
+// the same disk. It is called with the mutex held.
 func (s *Service) beginTerm(grantor statemachine.Grantor) *statemachine.GrantsChange {
 	vacant := grantor == statemachine.Grantor{} || grantor == statemachine.ReleasedGrantor ||
 		grantor.Member == s.self.Member
@@ -69,8 +69,8 @@
 	return &statemachine.GrantsChange{Lender: s.self, Begin: true, Before: grantor, Number: s.lastChange}
 }
 
-// ChangeDone processes the outcome of a change. A nil outcome is an unknown one: the next NextChange repeats what
-// is still needed.
+// ChangeDone processes the outcome of a change. A nil outcome is an unknown one: the next NextChange repeats
+// what is still needed.
 func (s *Service) ChangeDone(change *statemachine.GrantsChange, outcome *statemachine.GrantsOutcome) {
 	if outcome == nil || !outcome.Taken {
 		return
--- a/internal/control/quotaservice/service.go
+++ b/internal/control/quotaservice/service.go
@@ -12,17 +12,17 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// CodeNotLeader is the code of the error when this process isn't the acting allocator. Its value is part of the
-// protocol.
+// CodeNotLeader is the code of the error when this process isn't the acting allocator. Its value is part of
+// the protocol.
 const CodeNotLeader = "not-lead"
 
 // Leadership is what the service needs of the chain. *replica.Node implements it.
 type Leadership interface {
-	// HeadLease reports whether the process is the chain's proven head, and the time until which no successor acts
-	// as one.
+	// HeadLease reports whether the process is the chain's proven head, and the time until which no successor
+	// acts as one.
 	HeadLease() (until time.Time, ok bool)
-	// LeaderLease is as HeadLease, but true only once the leader lease of the head before has ended. epoch is that
-	// of the view in which the process leads.
+	// LeaderLease is as HeadLease, but true only once the leader lease of the head before has ended. epoch is
+	// that of the view in which the process leads.
 	LeaderLease() (epoch uint64, until time.Time, ok bool)
 }
 
@@ -90,9 +90,9 @@
 	}
 }
 
-// Request answers a gateway. The error has CodeNotLeader while this process doesn't act. The clock is read before
-// the leadership: if the process is paused in between, it answers as of a moment at which it still led, or not at
-// all.
+// Request answers a gateway. The error has CodeNotLeader while this process doesn't act. The clock is read
+// before the leadership: if the process is paused in between, it answers as of a moment at which it still
+// led, or not at all.
 func (s *Service) Request(request protocol.QuotaRequest) (protocol.QuotaReply, error) {
 	now := s.clock()
 	s.mutex.Lock()
@@ -115,7 +115,8 @@
 	return reply, nil
 }
 
-// mayGrant reports whether this process is the only one that may grant quota now. It is called with the mutex held.
+// mayGrant reports whether this process is the only one that may grant quota now. It is called with the mutex
+// held.
 func (s *Service) mayGrant(now time.Time) bool {
 	if s.record.Grantor() != s.self {
 		s.term = nil // another process is the grantor, or was one meanwhile
@@ -124,8 +125,8 @@
 	return s.term != nil && heads && now.Before(until)
 }
 
-// idleFor returns for how long at least no allocator has acted; with it full pools can be granted at once to a
-// system without a history.
+// idleFor returns for how long at least no allocator has acted; with it full pools can be granted at once to
+// a system without a history.
 func (s *Service) idleFor(now time.Time) time.Duration {
 	if s.term.firstEver {
 		return now.Sub(s.origin) + time.Hour
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -37,8 +37,8 @@
 	bugUnapplied  injectedBug = "a machine that returns is the head before it has applied what it missed"
 )
 
-// quotaSimulation is control processes with the real service, gateways with real clients, and tenants that send ten
-// times their limits.
+// quotaSimulation is control processes with the real service, gateways with real clients, and tenants that
+// send ten times their limits.
 type quotaSimulation struct {
 	*simulation.Simulation
 	random      *simulation.Rand
@@ -193,8 +193,8 @@
 	g.simulation.AfterOn(g.name, delay, run)
 }
 
-// followHead turns to the head that the member list names, or to the only machine that can be reached, which names
-// itself.
+// followHead turns to the head that the member list names, or to the only machine that can be reached, which
+// names itself.
 func (g *simulatedGateway) followHead() {
 	w := g.simulation
 	named := w.chain.chain[0]
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -14,8 +14,8 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Replica is what the control plane needs of its member of the chain. *replica.Node implements it, and documents
-// the methods; tests wrap or replace it.
+// Replica is what the control plane needs of its member of the chain. *replica.Node implements it, and
+// documents the methods; tests wrap or replace it.
 type Replica interface {
 	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
 	Read(ctx context.Context) (uint64, error)
@@ -51,8 +51,8 @@
 	}
 }
 
-// viewChanged is called when the chain's view has changed: the roles, the reader of the server list and the member
-// list depend on it.
+// viewChanged is called when the chain's view has changed: the roles, the reader of the server list and the
+// member list depend on it.
 func (c *Control) viewChanged() {
 	wake(c.wakeRoles)
 	wake(c.wakeDiscovery)
@@ -77,8 +77,8 @@
 	return err
 }
 
-// controlIPs returns the addresses of all known control processes: the members of the chain and the others that the
-// replica has met.
+// controlIPs returns the addresses of all known control processes: the members of the chain and the others
+// that the replica has met.
 func (c *Control) controlIPs() []string {
 	seen := map[string]bool{}
 	var list []string
@@ -97,8 +97,8 @@
 	return list
 }
 
-// otherControls returns the addresses of the chain's other members. They are named by address, as the names of the
-// processes that founded the chain aren't known to all at first.
+// otherControls returns the addresses of the chain's other members. They are named by address, as the names
+// of the processes that founded the chain aren't known to all at first.
 func (c *Control) otherControls() []string {
 	self := c.replica.Self()
 	var list []string
@@ -110,8 +110,8 @@
 	return list
 }
 
-// readerRank returns this process's rank among the chain's members by address; the one of rank 0 reads the server
-// list for all.
+// readerRank returns this process's rank among the chain's members by address; the one of rank 0 reads the
+// server list for all.
 func (c *Control) readerRank() int {
 	self := c.replica.Self()
 	rank := 0
@@ -132,8 +132,8 @@
 	return host
 }
 
-// quotaAddress returns the address of the quota allocator, which is at the head of the chain; "" if there is no
-// head.
+// quotaAddress returns the address of the quota allocator, which is at the head of the chain; "" if there is
+// no head.
 func (c *Control) quotaAddress() string {
 	ip := hostOf(c.replica.View().Head().Address)
 	if ip == "" {
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -10,9 +10,9 @@
 	proposeTimeout = 2 * time.Second        // of one command
 )
 
-// rolesLoop performs the singleton roles while they fall to this process: keeping the store membership and the
-// grant record. Each round decides anew from the present state, so a command whose outcome is unknown needs no
-// further care.
+// rolesLoop performs the singleton roles while they fall to this process: keeping the store membership and
+// the grant record. Each round decides anew from the present state, so a command whose outcome is unknown
+// needs no further care.
 func (c *Control) rolesLoop() {
 	ticker := time.NewTicker(rolesInterval)
 	defer ticker.Stop()
--- a/internal/control/schema/schema.go
+++ b/internal/control/schema/schema.go
@@ -23,12 +23,13 @@
 // maxFindings limits the findings about one document.
 const maxFindings = 100
 
-// maxCheckedBytes limits the documents that are checked here: CUE takes 0.35 ms and 45 KB for each route. Larger
-// ones are checked by package configuration only, which names the first fault of each item in place of all.
+// maxCheckedBytes limits the documents that are checked here: CUE takes 0.35 ms and 45 KB for each route.
+// Larger ones are checked by package configuration only, which names the first fault of each item in place of
+// all.
 const maxCheckedBytes = 512 << 10
 
-// Check returns what is wrong with the shape of a document or, where patch is set, of a patch. Each call uses a CUE
-// context of its own, as a context keeps everything that it has compiled.
+// Check returns what is wrong with the shape of a document or, where patch is set, of a patch. Each call uses
+// a CUE context of its own, as a context keeps everything that it has compiled.
 func Check(body []byte, patch bool) node.Findings {
 	if len(body) > maxCheckedBytes {
 		return nil
@@ -67,8 +68,8 @@
 	return list
 }
 
-// fromNullAlternative reports whether a finding says only that null would have been allowed; the fault itself has a
-// finding of its own.
+// fromNullAlternative reports whether a finding says only that null would have been allowed; the fault itself
+// has a finding of its own.
 func fromNullAlternative(text string) bool {
 	return strings.Contains(text, "errors in empty disjunction") || strings.HasSuffix(text, "and null)")
 }
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -22,8 +22,8 @@
 	deltas  []serverlist.Delta // the last ones; the newest led to version
 }
 
-// update replaces the list by a newer one and reports whether its content changed. One that was read earlier than
-// the present one is ignored.
+// update replaces the list by a newer one and reports whether its content changed. One that was read earlier
+// than the present one is ignored.
 func (t *serverTable) update(list discovery.List, readAt time.Duration) bool {
 	if t.version > 0 && readAt < t.readAt {
 		return false
@@ -55,8 +55,8 @@
 	return composed, len(composed.Changed)+len(composed.Removed) < len(t.list.Servers)
 }
 
-// messageFrom returns the message that leads from a version to the newest one, with the remaining warm-up time of
-// servers as of now.
+// messageFrom returns the message that leads from a version to the newest one, with the remaining warm-up
+// time of servers as of now.
 func (t *serverTable) messageFrom(source string, version uint64, now time.Duration) *protocol.ServerList {
 	message := &protocol.ServerList{Version: t.version, Source: source}
 	if delta, kept := t.deltaFrom(version); kept {
--- a/internal/control/servertable_test.go
+++ b/internal/control/servertable_test.go
@@ -13,8 +13,8 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// TestServerTable updates a table with random lists. Subscribers that are behind by any number of versions must
-// come to the same list.
+// TestServerTable updates a table with random lists. Subscribers that are behind by any number of versions
+// must come to the same list.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -19,8 +19,8 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
-// serviceSimulation is whole control processes with gateways, batch processes and an operator, in virtual time and
-// with random faults.
+// serviceSimulation is whole control processes with gateways, batch processes and an operator, in virtual
+// time and with random faults.
 type serviceSimulation struct {
 	*simulatedSystem
 	random *rand.Rand // of the faults
@@ -107,8 +107,8 @@
 	return newest
 }
 
-// simulatedSubscriber is a gateway or batch process that polls one control process, and turns to another when that
-// no longer confirms its state.
+// simulatedSubscriber is a gateway or batch process that polls one control process, and turns to another when
+// that no longer confirms its state.
 type simulatedSubscriber struct {
 	simulation *serviceSimulation
 	random     *rand.Rand
@@ -130,8 +130,8 @@
 	}
 }
 
-// restart begins an incarnation: a gateway then knows nothing, and half of the batch processes have lost their
-// disks.
+// restart begins an incarnation: a gateway then knows nothing, and half of the batch processes have lost
+// their disks.
 func (r *simulatedSubscriber) restart() {
 	r.starts++
 	r.lock.Lock()
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -43,12 +43,14 @@
 	leaseSuspected bool
 }
 
-// newSimulatedSystem starts three control processes, of which one may fail. It must be called in a synctest bubble.
+// newSimulatedSystem starts three control processes, of which one may fail. It must be called in a synctest
+// bubble.
 func newSimulatedSystem(t *testing.T, seed uint64, bug injectedBug) *simulatedSystem {
 	return newSizedSystem(t, seed, 3, 1, bug)
 }
 
-// newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance says.
+// newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance
+// says.
 func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, bug injectedBug) *simulatedSystem {
 	s := &simulatedSystem{
 		system:  &system{running: make([]*Control, members)},
--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -21,34 +21,35 @@
 	Lending       *GrantsChange
 }
 
-// Join adds batch processes to the store membership. Each replaces members that have its node or its address: the
-// disk of such a member was lost, or its machine was replaced.
+// Join adds batch processes to the store membership. Each replaces members that have its node or its address:
+// the disk of such a member was lost, or its machine was replaced.
 type Join struct {
 	Processes []protocol.Process
 	// Epoch is that of the membership in which the processes were found missing. The command has no effect in
 	// another one, so that a late command can't bring back a process that has been replaced since. 0 fits every
 	// epoch.
 	Epoch uint64
-	// ActedIn is the highest epoch that one of Processes has acted in. It is above the membership's epoch where the
-	// control state was founded anew; the epochs then continue from ActedIn, as a batch process never returns to an
-	// earlier epoch.
+	// ActedIn is the highest epoch that one of Processes has acted in. It is above the membership's epoch where
+	// the control state was founded anew; the epochs then continue from ActedIn, as a batch process never
+	// returns to an earlier epoch.
 	ActedIn uint64
 }
 
-// Suspect records that a batch process has timed out or, where Over is set, that it polls again. A member under
-// suspicion is granted no lease, so that the lease that it has runs out.
+// Suspect records that a batch process has timed out or, where Over is set, that it polls again. A member
+// under suspicion is granted no lease, so that the lease that it has runs out.
 type Suspect struct {
 	Node        string
 	Incarnation string
 	Over        bool
 }
 
-// Evict removes a batch process whose lease has certainly ended, because its suspicion is older than a lease lasts.
+// Evict removes a batch process whose lease has certainly ended, because its suspicion is older than a lease
+// lasts.
 type Evict struct {
 	Node        string
 	Incarnation string
-	// Suspicion is the number of the suspicion that the eviction relies on; the command has no effect once that is
-	// over. 0 is met in logs from before suspicions were recorded, and stands for no such condition.
+	// Suspicion is the number of the suspicion that the eviction relies on; the command has no effect once that
+	// is over. 0 is met in logs from before suspicions were recorded, and stands for no such condition.
 	Suspicion uint64
 }
 
@@ -65,8 +66,8 @@
 	Epoch       uint64
 }
 
-// Settle records that all members were reconciled and fully replicated in Epoch. Processes that departed earlier
-// hold nothing that is still needed.
+// Settle records that all members were reconciled and fully replicated in Epoch. Processes that departed
+// earlier hold nothing that is still needed.
 type Settle struct {
 	Epoch uint64
 }
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -7,20 +7,21 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// Grantor identifies a process that may grant quota: one incarnation of a control process. The zero value stands
-// for a system in which no process has granted quota yet.
+// Grantor identifies a process that may grant quota: one incarnation of a control process. The zero value
+// stands for a system in which no process has granted quota yet.
 type Grantor struct {
 	Member  string // name of the member of the chain, which is one life of a disk
 	Process string // incarnation of the process
 }
 
-// ReleasedGrantor is recorded as the grantor once the last one has handed its role on: no process grants quota
+// ReleasedGrantor is recorded as the grantor once the last one has released its role: no process grants quota
 // then.
 var ReleasedGrantor = Grantor{Process: "released"}
 
-// GrantsChange changes the grant record. A process is recorded as the grantor (Begin) before it grants anything;
-// changes of the grantor before it have no effect from then on. All changes but End are numbered, so that one that
-// arrives late neither undoes a later one nor has any effect on a later term of the same grantor.
+// GrantsChange changes the grant record. A process is recorded as the grantor (Begin) before it grants
+// anything; changes of the grantor before it have no effect from then on. All changes but End are numbered,
+// so that one that arrives late neither undoes a later one nor has any effect on a later term of the same
+// grantor.
 type GrantsChange struct {
 	Lender Grantor // the grantor that proposes the change
 	Begin  bool    // Lender becomes the grantor
@@ -50,8 +51,8 @@
 	Floors []quota.Floor // sorted by tenant, without those of 0 tokens; never changed in place
 }
 
-// apply applies a change. Only the grantor on record can change the nodes and floors, and only by a number that
-// rises.
+// apply applies a change. Only the grantor on record can change the nodes and floors, and only by a number
+// that rises.
 func (r *grantRecord) apply(change *GrantsChange) *GrantsOutcome {
 	accepted := change.Lender == r.Lender
 	switch {
--- a/internal/control/statemachine/membership.go
+++ b/internal/control/statemachine/membership.go
@@ -8,8 +8,8 @@
 
 // membership is the store membership: the agreed set of batch processes. [StateMachine] guards it.
 //
-// A node and an address are in members once at most. epoch rises with each change of members, including that of a
-// member's state; reconciled and suspicions belong to the present epoch's members.
+// A node and an address are in members once at most. epoch rises with each change of members, including that
+// of a member's state; reconciled and suspicions belong to the present epoch's members.
 type membership struct {
 	epoch      uint64
 	members    []protocol.StoreMember // in the order in which they joined; replaced, never changed in place
@@ -64,8 +64,8 @@
 	return StoreChanged
 }
 
-// departedAfter returns the departed processes after a change of the members: those that had departed and have not
-// returned, and those that depart by the change without having completed their retirement.
+// departedAfter returns the departed processes after a change of the members: those that had departed and
+// have not returned, and those that depart by the change without having completed their retirement.
 func departedAfter(departed []protocol.Process, before, after []protocol.StoreMember) []protocol.Process {
 	var list []protocol.Process
 	for _, process := range departed {
@@ -108,8 +108,8 @@
 	return s.setMembers(members)
 }
 
-// mayJoin reports whether a process may be added to members. A member may not, nor may an incarnation that has
-// completed its retirement: that runs, or restarts, until the operator takes its machine away.
+// mayJoin reports whether a process may be added to members. A member may not, nor may an incarnation that
+// has completed its retirement: that runs, or restarts, until the operator takes its machine away.
 func (s *membership) mayJoin(members []protocol.StoreMember, process protocol.Process) bool {
 	for i := range members {
 		member := &members[i]
@@ -121,8 +121,8 @@
 	return record == nil || !record.Completed || record.Incarnation != process.Incarnation
 }
 
-// joinState returns the state in which a process joins. A retirement that is not completed goes on over a restart
-// and over the loss of the disk.
+// joinState returns the state in which a process joins. A retirement that is not completed goes on over a
+// restart and over the loss of the disk.
 func (s *membership) joinState(process protocol.Process) protocol.StoreState {
 	if record := s.retirementOf(process.Node); record != nil && !record.Completed {
 		record.Incarnation = process.Incarnation
--- a/internal/control/statemachine/retirement.go
+++ b/internal/control/statemachine/retirement.go
@@ -26,8 +26,8 @@
 	Completed   bool
 }
 
-// retire applies a Retire. A completed retirement belongs to an earlier incarnation and doesn't stand in the way of
-// retiring a machine that has joined under the same name since.
+// retire applies a Retire. A completed retirement belongs to an earlier incarnation and doesn't stand in the
+// way of retiring a machine that has joined under the same name since.
 func (s *membership) retire(command *Retire) StoreOutcome {
 	at := slices.IndexFunc(s.members, func(member protocol.StoreMember) bool { return member.Node == command.Node })
 	active := at >= 0 && s.members[at].State == protocol.StoreActive
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// StateMachine is the control plane's replicated state machine. It is safe for concurrent use: the chain applies
-// commands while others read.
+// StateMachine is the control plane's replicated state machine. It is safe for concurrent use: the chain
+// applies commands while others read.
 type StateMachine struct {
 	onChange func() // set before the first command, and not changed after it; called without mutex held
 
@@ -25,12 +25,12 @@
 	return &StateMachine{configuration: configuration.NewState(), stores: newMembership(), onChange: func() {}}
 }
 
-// OnChange sets a function that is called after each command and after each Restore. It must be set before the
-// first of them, and must not block: the chain's next command waits for it.
+// OnChange sets a function that is called after each command and after each Restore. It must be set before
+// the first of them, and must not block: the chain's next command waits for it.
 func (m *StateMachine) OnChange(call func()) { m.onChange = call }
 
-// Apply applies the encoded command at an index of the log and returns the encoded [Outcome]. A command that can't
-// be decoded changes nothing and returns nil; all members agree on that, as they decode the same bytes.
+// Apply applies the encoded command at an index of the log and returns the encoded [Outcome]. A command that
+// can't be decoded changes nothing and returns nil; all members agree on that, as they decode the same bytes.
 func (m *StateMachine) Apply(index uint64, encoded []byte) []byte {
 	var command Command
 	if decode(encoded, &command) != nil {
@@ -119,22 +119,24 @@
 	return m.configuration.Current()
 }
 
-// ConfigurationSince returns the update that leads from the version at an index to the current one; nil if that is
-// the current one.
+// ConfigurationSince returns the update that leads from the version at an index to the current one; nil if
+// that is the current one.
 func (m *StateMachine) ConfigurationSince(index uint64) *protocol.ConfigurationUpdate {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.UpdateSince(index)
 }
 
-// Evaluate returns what Apply would return for an operator's change of the configuration now, without applying it.
+// Evaluate returns what Apply would return for an operator's change of the configuration now, without
+// applying it.
 func (m *StateMachine) Evaluate(change configuration.ChangeRequest) configuration.Result {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Evaluate(change)
 }
 
-// Remembered returns what is known of an operator's earlier change by its digest and the version that it builds on.
+// Remembered returns what is known of an operator's earlier change by its digest and the version that it
+// builds on.
 func (m *StateMachine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -93,8 +93,8 @@
 	checkDeparted(t, before, after)
 }
 
-// checkDeparted checks that the departed processes are those that were members, are not now, and were not drained
-// first.
+// checkDeparted checks that the departed processes are those that were members, are not now, and were not
+// drained first.
 func checkDeparted(t *rapid.T, before, after protocol.StoreView) {
 	want := map[protocol.Process]bool{}
 	for _, process := range before.Departed {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestReplicas applies the same random commands to two replicas, one of which is restored from a snapshot now and
-// then.
+// TestReplicas applies the same random commands to two replicas, one of which is restored from a snapshot now
+// and then.
 func TestReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(), New()
--- a/internal/control/statemachine/suspicion.go
+++ b/internal/control/statemachine/suspicion.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// suspicion records that a member has timed out, as in SWIM's suspicion mechanism. Its number tells it from earlier
-// suspicions of the same member, so that an eviction can name the one that it relies on.
+// suspicion records that a member has timed out, as in SWIM's suspicion mechanism. Its number tells it from
+// earlier suspicions of the same member, so that an eviction can name the one that it relies on.
 type suspicion struct {
 	Node        string
 	Incarnation string
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// storeCommands returns the commands that the store membership needs now. There are none unless this process leads
-// the chain.
+// storeCommands returns the commands that the store membership needs now. There are none unless this process
+// leads the chain.
 func (c *Control) storeCommands() []statemachine.Command {
 	epoch, _, leads := c.replica.LeaderLease()
 	stores := c.state.Stores()
@@ -38,8 +38,8 @@
 	return commands
 }
 
-// admission tells whether a batch process may join the membership. A Join that has no effect must not be proposed:
-// it would be proposed again in every round.
+// admission tells whether a batch process may join the membership. A Join that has no effect must not be
+// proposed: it would be proposed again in every round.
 func (c *Control) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !c.state.MayJoin(process):
@@ -50,10 +50,11 @@
 	return liveness.Admitted
 }
 
-// evictions returns the commands for members that have timed out, and for those that poll again. An eviction takes
-// two steps: a suspicion is committed first, and the member is evicted once that has stood for as long as a lease.
-// In between, no control process that knows the suspicion grants the member a lease; a lease granted without
-// knowledge of it is shortened by the granter's staleness, and so ends within StoreLease of the suspicion too.
+// evictions returns the commands for members that have timed out, and for those that poll again. An eviction
+// takes two steps: a suspicion is committed first, and the member is evicted once that has stood for as long
+// as a lease. In between, no control process that knows the suspicion grants the member a lease; a lease
+// granted without knowledge of it is shortened by the granter's staleness, and so ends within StoreLease of
+// the suspicion too.
 func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []statemachine.Command {
 	var suspicions []liveness.Suspicion
 	expired := map[string]uint64{} // numbers of suspicions that allow an eviction, by node
@@ -83,7 +84,8 @@
 	return commands
 }
 
-// proposeStoreCommand proposes a command on the store membership and waits for its outcome, up to proposeTimeout.
+// proposeStoreCommand proposes a command on the store membership and waits for its outcome, up to
+// proposeTimeout.
 func (c *Control) proposeStoreCommand(command statemachine.Command) {
 	encoded, err := command.Encode()
 	if err != nil {
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -16,9 +16,9 @@
 	CodeUnknownMessage = "unknown-message"
 )
 
-// subscriber is a gateway or batch process that is connected to this process, with the versions that it has been
-// sent. Messages on a connection arrive in order or the connection ends, so what was sent is what the subscriber
-// has. Its fields are guarded by Control.mutex.
+// subscriber is a gateway or batch process that is connected to this process, with the versions that it has
+// been sent. Messages on a connection arrive in order or the connection ends, so what was sent is what the
+// subscriber has. Its fields are guarded by Control.mutex.
 type subscriber struct {
 	process        protocol.Process
 	firstContactAt time.Duration // when its first message was received
@@ -43,8 +43,9 @@
 	return nil, transport.NewError(CodeUnknownMessage, "control doesn't handle this message")
 }
 
-// handlePoll answers a poll. What the subscriber lacks is pushed ahead of the answer, so that the answer can't
-// overtake a push that it depends on: once the answer confirms the state, the subscriber has that state.
+// handlePoll answers a poll. What the subscriber lacks is pushed ahead of the answer, so that the answer
+// can't overtake a push that it depends on: once the answer confirms the state, the subscriber has that
+// state.
 func (c *Control) handlePoll(session *transport.Session, poll protocol.Poll) protocol.Update {
 	age, fresh := c.staleness() // before any state is read that the answer confirms
 	if poll.Process.Role == protocol.RoleBatch && !c.mayGrantLeases() {
@@ -72,8 +73,8 @@
 	return update
 }
 
-// subscribe returns the subscriber of a session, and creates it with the first poll. It is called with the mutex
-// held.
+// subscribe returns the subscriber of a session, and creates it with the first poll. It is called with the
+// mutex held.
 func (c *Control) subscribe(session *transport.Session, poll protocol.Poll) *subscriber {
 	one, known := c.subscribers[session]
 	if !known {
@@ -124,8 +125,8 @@
 }
 
 // push queues what a subscriber lacks. One without a configuration gets one only if this process confirms its
-// state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by it.
-// It is called with the mutex held.
+// state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by
+// it. It is called with the mutex held.
 func (c *Control) push(session *transport.Session, one *subscriber, fresh bool) {
 	update := protocol.Update{}
 	if fresh || one.configuration > 0 {
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// Client calls the control processes at some addresses. It is safe for concurrent use as long as its fields are not
-// changed.
+// Client calls the control processes at some addresses. It is safe for concurrent use as long as its fields
+// are not changed.
 type Client struct {
 	Addresses []string      // of control processes, IP:port, in the order in which they are tried
 	Timeout   time.Duration // of a call with all its attempts; 0: DefaultTimeout
@@ -69,9 +69,9 @@
 	Body    []byte
 }
 
-// Call sends a request to one control process after the other until one gives a definite answer, with exponential
-// backoff in between. The error is of type Refused if the request was rejected, and Unanswered if there was no
-// definite answer in time.
+// Call sends a request to one control process after the other until one gives a definite answer, with
+// exponential backoff in between. The error is of type Refused if the request was rejected, and Unanswered if
+// there was no definite answer in time.
 func (c *Client) Call(ctx context.Context, request Request) (*Response, error) {
 	if len(c.Addresses) == 0 {
 		return nil, Unanswered.New("no address of a control process was given")
@@ -158,9 +158,9 @@
 	return client.Do(request)
 }
 
-// classify tells a success, a rejection and an answer that leaves the request open. Of the statuses from 400 to
-// 499, some are definite at once, 408 and 429 never are, and the others are once a call has met maxOtherRefusals of
-// them.
+// classify tells a success, a rejection and an answer that leaves the request open. Of the statuses from 400
+// to 499, some are definite at once, 408 and 429 never are, and the others are once a call has met
+// maxOtherRefusals of them.
 func (c *call) classify(response *http.Response, body []byte) (*Response, error) {
 	status := response.StatusCode
 	if status >= 200 && status < 300 {
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -14,7 +14,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// scriptedControl is a scripted control process: each call gets the next answer, and the last one is repeated.
+// scriptedControl is a scripted control process: each call gets the next answer, and the last one is
+// repeated.
 func scriptedControl(t *testing.T, answers ...http.HandlerFunc) (address string, calls *atomic.Int32) {
 	calls = &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/findings.go
+++ b/internal/node/findings.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Finding is one fault of something that was read, with its location. It is part of replicated outcomes (gob): the
-// names of the fields are fixed.
+// Finding is one fault of something that was read, with its location. It is part of replicated outcomes
+// (gob): the names of the fields are fixed.
 type Finding struct {
 	Place string // a line of a file, a key, a path in a document
 	Text  string
@@ -15,7 +15,7 @@
 // Findings are all faults of one thing that was read. They are one error, so that all are reported together.
 type Findings []Finding
 
-// Error gives one line for each finding.
+// Error returns one line for each finding.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -24,7 +24,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil gives the findings as an error, or a nil error if there are none.
+// OrNil returns the findings as an error, or a nil error if there are none.
 func (f Findings) OrNil() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/node/logging.go
+++ b/internal/node/logging.go
@@ -7,12 +7,14 @@
 	"github.com/rs/zerolog"
 )
 
-// NewLogger gives a logger to standard error. Lines are JSON objects with the time in milliseconds, the node's
-// name, its role and the event (the message). An unknown level is info. It sets global options of zerolog.
+// NewLogger returns a logger to standard error. Lines are JSON objects with the time in milliseconds, the
+// node's name, its role and the event (the message). An unknown level is info. It sets global options of
+// zerolog.
 func NewLogger(s *Settings, level string) zerolog.Logger {
 	return newLogger(os.Stderr, s, level)
 }
 
+// newLogger is NewLogger with another output.
 func newLogger(out io.Writer, s *Settings, level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/internal/node/parse.go
+++ b/internal/node/parse.go
@@ -11,8 +11,8 @@
 	"github.com/magiconair/properties"
 )
 
-// fileParser converts the values of a settings file and collects what is wrong with them. Its methods for values
-// return the zero value for one that is wrong, and the default for one that is absent.
+// fileParser converts the values of a settings file and collects what is wrong with them. Its methods for
+// values return the zero value for one that is wrong, and the default for one that is absent.
 type fileParser struct {
 	path     string
 	lines    map[string]int // line of each key, from 1
@@ -20,8 +20,8 @@
 	findings Findings
 }
 
-// Parse parses the text of a settings file; findings name the path. The error is of type Findings. Unknown keys are
-// ignored, as the platform may add some.
+// Parse parses the text of a settings file; findings name the path. The error is of type Findings. Unknown
+// keys are ignored, as the platform may add some.
 func Parse(path string, text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(text)
@@ -36,7 +36,7 @@
 	return s, nil
 }
 
-// lineNumbers gives the line of each key, for findings: the properties package doesn't keep it.
+// lineNumbers returns the line of each key, for findings: the properties package doesn't keep it.
 func lineNumbers(text []byte) map[string]int {
 	lines := map[string]int{}
 	for i, line := range bytes.Split(text, []byte("\n")) {
@@ -89,6 +89,7 @@
 	return s
 }
 
+// bounds converts the settings bounds.*.
 func (p *fileParser) bounds() Bounds {
 	return Bounds{
 		SeedLag:            p.seconds("bounds.seed-lag-s", 3),
@@ -116,7 +117,7 @@
 	}
 }
 
-// location gives the place of a finding about a key.
+// location returns the place of a finding about a key.
 func (p *fileParser) location(key string) string {
 	if line, known := p.lines[key]; known {
 		return fmt.Sprintf("%s:%d: %s", p.path, line, key)
@@ -124,7 +125,7 @@
 	return p.path + ": " + key
 }
 
-// text gives a value without surrounding space. A required one must not be empty.
+// text returns a value without surrounding space. A required one must not be empty.
 func (p *fileParser) text(key string, required bool) string {
 	value, found := p.values.Get(key)
 	value = strings.TrimSpace(value)
@@ -215,10 +216,12 @@
 	return value
 }
 
+// seconds parses a duration in seconds.
 func (p *fileParser) seconds(key string, defaultValue float64) time.Duration {
 	return time.Duration(p.nonNegative(key, defaultValue) * float64(time.Second))
 }
 
+// milliseconds parses a duration in milliseconds.
 func (p *fileParser) milliseconds(key string, defaultValue float64) time.Duration {
 	return time.Duration(p.nonNegative(key, defaultValue) * float64(time.Millisecond))
 }
--- a/internal/node/ports.go
+++ b/internal/node/ports.go
@@ -9,7 +9,8 @@
 // port-range).
 type PortUse int
 
-// The uses of ports between machines. All machines have the same range, and the processes of one machine share it.
+// The uses of ports between machines. All machines have the same range, and the processes of one machine
+// share it.
 const (
 	PortCoordination PortUse = iota // control processes with each other: membership, views and replication
 	PortControl                     // gateways and batch processes to control: subscriptions and quota
@@ -19,18 +20,18 @@
 	numPorts                        // the least size of a range
 )
 
-// Port gives the port of a use.
+// Port returns the port of a use.
 func (s *Settings) Port(use PortUse) int { return s.FirstPort + int(use) }
 
-// Endpoint gives the address, host:port, of a use on this machine.
+// Endpoint returns the address, host:port, of a use on this machine.
 func (s *Settings) Endpoint(use PortUse) string { return s.EndpointAt(s.IP, use) }
 
-// EndpointAt gives the address, host:port, of a use on another machine.
+// EndpointAt returns the address, host:port, of a use on another machine.
 func (s *Settings) EndpointAt(ip string, use PortUse) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.Port(use)))
 }
 
-// SeedHosts gives the IP addresses of the seeds.
+// SeedHosts returns the IP addresses of the seeds.
 func (s *Settings) SeedHosts() []string {
 	hosts := make([]string, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
@@ -43,7 +44,7 @@
 	return hosts
 }
 
-// SeedEndpoints gives the addresses, host:port, of a use on the seeds' machines.
+// SeedEndpoints returns the addresses, host:port, of a use on the seeds' machines.
 func (s *Settings) SeedEndpoints(use PortUse) []string {
 	endpoints := s.SeedHosts()
 	for i, host := range endpoints {
--- a/internal/node/program/program.go
+++ b/internal/node/program/program.go
@@ -1,6 +1,7 @@
-// Package program starts the programs of gateways and batch processes: signals, flags, the settings file, the log
-// and the bounds of the heap. It doesn't know what a role does. A main calls CatchSignals first, then Begin, and
-// Reload on SIGHUP.
+// Package program starts the programs of gateways and batch processes: signals, flags, the settings file, the
+// log and the bounds of the heap. It doesn't know what a role does. A main calls CatchSignals first, then
+// Begin, and Reload on SIGHUP. Command sprucelane-control has flags of its own, and uses only the signals and
+// exit codes.
 package program
 
 import (
@@ -18,16 +19,16 @@
 // Exit codes of a program.
 const (
 	ExitOK     = 0
-	ExitFailed = 1
+	ExitFailed = 1 // the process can't start or serve
 	ExitUsage  = 2 // flags or settings are invalid
 )
 
 const (
-	// gcPercent is GOGC: the growth of the heap, in percent, after which it is collected. It is below Go's default
-	// of 100, as memory is scarcer on these machines than processor time.
+	// gcPercent is GOGC: the growth of the heap, in percent, after which it is collected. It is below Go's
+	// default of 100, as memory is scarcer on these machines than processor time.
 	gcPercent = 50
-	// memoryShare is the part of limits.memory-mb that is the heap's soft limit (GOMEMLIMIT). The rest is for what
-	// the limit doesn't cover.
+	// memoryShare is the part of limits.memory-mb that is the heap's soft limit (GOMEMLIMIT). The rest is for
+	// what the limit doesn't cover.
 	memoryShare = 0.7
 )
 
@@ -45,8 +46,8 @@
 	check func(*node.Settings) error // what the role requires of its settings
 }
 
-// Begin parses flags and loads the settings, which check validates for the role. If the program is not to run,
-// because of invalid input, --help or --check, it returns nil and the exit code.
+// Begin parses flags and loads the settings, which check validates for the role. If the program is not to
+// run, because of invalid input, --help or --check, it returns nil and the exit code.
 func Begin(arguments []string, check func(*node.Settings) error) (*Program, int) {
 	var opt options
 	parser := flags.NewParser(&opt, flags.HelpFlag|flags.PassDoubleDash)
@@ -90,7 +91,8 @@
 	return settings, p.check(settings)
 }
 
-// Reload loads the settings again and calls apply with them. A file with faults is logged and changes nothing.
+// Reload loads the settings again and calls apply with them. A file with faults is logged and changes
+// nothing.
 func (p *Program) Reload(apply func(*node.Settings)) {
 	settings, err := p.Load()
 	if err != nil {
--- a/internal/node/program/programtest/programtest.go
+++ b/internal/node/program/programtest/programtest.go
@@ -1,4 +1,5 @@
-// Package programtest runs programs in processes of their own, for the tests of their mains. Only tests import it.
+// Package programtest runs programs in processes of their own, for the tests of their mains. Only tests
+// import it.
 package programtest
 
 import (
@@ -14,7 +15,8 @@
 // runVariable is set in the environment of a test binary that is to run the program instead of the tests.
 const runVariable = "SPRUCELANE_TEST_RUNS_MAIN"
 
-// Main runs a package's tests, or its program if ExitAfterEarlySignals started this process. A TestMain calls it.
+// Main runs a package's tests, or its program if ExitAfterEarlySignals started this process. A TestMain calls
+// it.
 func Main(m *testing.M, run func(arguments []string) int) {
 	if os.Getenv(runVariable) != "" {
 		os.Exit(run(nil))
@@ -22,10 +24,10 @@
 	os.Exit(m.Run())
 }
 
-// ExitAfterEarlySignals starts the program with invalid settings, sends it signals while it reads them, and gives
-// its exit code, or -1 if a signal has killed it. The settings file is a named pipe, which orders the events
-// without sleeps: opening it for writing blocks until the program has opened it for reading, and the program then
-// blocks until something is written.
+// ExitAfterEarlySignals starts the program with invalid settings, sends it signals while it reads them, and
+// gives its exit code, or -1 if a signal has killed it. The settings file is a named pipe, which orders the
+// events without sleeps: opening it for writing blocks until the program has opened it for reading, and the
+// program then blocks until something is written.
 func ExitAfterEarlySignals(t *testing.T, signals ...syscall.Signal) int {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "settings.conf")
--- a/internal/node/program/signals.go
+++ b/internal/node/program/signals.go
@@ -13,8 +13,8 @@
 	terminations, reloads chan os.Signal
 }
 
-// CatchSignals starts to catch signals. A main calls it before anything else. It also ignores SIGPIPE, so that the
-// process survives the reader of its log.
+// CatchSignals starts to catch signals. A main calls it before anything else. It also ignores SIGPIPE, so
+// that the process survives the reader of its log.
 func CatchSignals() *Signals {
 	s := &Signals{terminations: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.terminations, syscall.SIGTERM, os.Interrupt)
@@ -23,7 +23,8 @@
 	return s
 }
 
-// Terminations receives a value for SIGTERM or an interrupt. Several that arrive before one is received count as one.
+// Terminations receives a value for SIGTERM or an interrupt. Several that arrive before one is received count
+// as one.
 func (s *Signals) Terminations() <-chan os.Signal { return s.terminations }
 
 // Reloads receives a value for SIGHUP. Several that arrive before one is received count as one.
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Settings are the settings of a process. They are immutable: SIGHUP makes new ones. The key of each setting in the
-// file is named with its field. A setting without a default is required, unless it says otherwise. "Not used" marks
-// what the platform's files have and this program only checks.
+// Settings are the settings of a process. They are immutable: SIGHUP makes new ones. The key of each setting
+// in the file is named with its field. A setting without a default is required, unless it says otherwise.
+// "Not used" marks what the platform's files have and this program only checks.
 type Settings struct {
-	// NodeName (node-name) is the machine's name, unique in the deployment. It identifies the process to others and
-	// is in each log line.
+	// NodeName (node-name) is the machine's name, unique in the deployment. It identifies the process to others
+	// and is in each log line.
 	NodeName string
 	// Role (role) is what the process is: gateway, control or batch. It is in each log line.
 	Role string
 	// MachineClass (machine-class) is the platform's class of the machine. Not used.
 	MachineClass string
-	// Serves (serves) are the kinds of callers that the role serves, a list of front, control and store. Default:
-	// none. A batch process must have store.
+	// Serves (serves) are the kinds of callers that the role serves, a list of front, control and store.
+	// Default: none. A batch process must have store.
 	Serves []string
 	// IP (ip) is the machine's address, on which the ports between machines are served.
 	IP string
-	// Zone (zone) is the machine's failure domain. Processes prefer control processes, batch processes and servers
-	// of their zone.
+	// Zone (zone) is the machine's failure domain. Processes prefer control processes, batch processes and
+	// servers of their zone.
 	Zone string
 	// Region (region) is the zone's region. Default: empty. Not used.
 	Region string
@@ -35,27 +35,28 @@
 	// ListenReady (listen.ready) is the address, host:port, of a gateway's readiness check. Default: none; a
 	// gateway needs it.
 	ListenReady string
-	// ListenControl (listen.control) is the address, host:port, of a control process's API for operators. Default:
-	// none; a control process needs it.
+	// ListenControl (listen.control) is the address, host:port, of a control process's API for operators.
+	// Default: none; a control process needs it.
 	ListenControl string
 	// FirstPort and LastPort (port-range, "FIRST,LAST") are the ports between machines; PortUse divides them.
 	FirstPort int
 	LastPort  int
 
 	// Seeds (seeds) are the control processes through which a process finds the others: a list of addresses,
-	// ip:port. Only the IP is used, with the ports of port-range. It is the only setting that SIGHUP changes in a
-	// running process.
+	// ip:port. Only the IP is used, with the ports of port-range. It is the only setting that SIGHUP changes in
+	// a running process.
 	Seeds []string
 	// Bootstrap (bootstrap) lets a control process with an empty disk found the replicated state with its seeds,
-	// instead of only joining one. Set it for the first start of a deployment alone: two foundations would be two
-	// systems. Default: false.
+	// instead of only joining one. Set it for the first start of a deployment alone: two foundations would be
+	// two systems. Default: false.
 	Bootstrap bool
-	// CountsForQuorum (counts-for-quorum) is whether the platform counts the machine for a quorum. Default: false.
-	// Not used.
+	// CountsForQuorum (counts-for-quorum) is whether the platform counts the machine for a quorum. Default:
+	// false. Not used.
 	CountsForQuorum bool
 
 	Limits Limits
-	// DataDir (data-dir) is the folder on the process's disk. Default: none; control and batch processes need it.
+	// DataDir (data-dir) is the folder on the process's disk. Default: none; control and batch processes need
+	// it.
 	DataDir   string
 	Tolerance Tolerance
 	Bounds    Bounds
@@ -84,9 +85,9 @@
 // Tolerance is how many failures at once the system must survive.
 type Tolerance struct {
 	// Machines (fault-tolerance.machines) is the number of machines with a disk whose loss at once loses nothing
-	// acknowledged. The control state is in a chain of one more, out of twice as many voters and one; a batch job
-	// has one more replicas, and a batch process can be retired only while one more remain. A larger value costs
-	// more writes for each change and job. Default: 1.
+	// acknowledged. The control state is in a chain of one more, out of twice as many voters and one; a batch
+	// job has one more replicas, and a batch process can be retired only while one more remain. A larger value
+	// costs more writes for each change and job. Default: 1.
 	Machines int
 	// Zones (fault-tolerance.zones). Default: 0. Not used.
 	Zones int
@@ -94,15 +95,15 @@
 	Regions int
 }
 
-// Bounds are the limits that the platform's rules set. Durations ending in -s are in seconds in the file, those
-// ending in -ms in milliseconds. Those that aren't used describe what the rules measure from outside; the program's
-// own timing is fixed to meet them.
+// Bounds are the limits that the platform's rules set. Durations ending in -s are in seconds in the file,
+// those ending in -ms in milliseconds. Those that aren't used describe what the rules measure from outside;
+// the program's own timing is fixed to meet them.
 type Bounds struct {
-	// Acknowledge (bounds.ack-ms) is the time within which a configuration change is acknowledged or fails. Control
-	// stops trying after four fifths of it. Default: 4 s.
+	// Acknowledge (bounds.ack-ms) is the time within which a configuration change is acknowledged or fails.
+	// Control stops trying after four fifths of it. Default: 4 s.
 	Acknowledge time.Duration
-	// Grace (bounds.grace-s) is the time from SIGTERM to SIGKILL. A gateway accepts requests until shortly before
-	// its end. Default: 8 s.
+	// Grace (bounds.grace-s) is the time from SIGTERM to SIGKILL. A gateway accepts requests until shortly
+	// before its end. Default: 8 s.
 	Grace time.Duration
 	// SkewMax (bounds.skew-max-ms) is the most that the wall clocks of two machines differ. Batch processes add
 	// twice as much to the times for which they keep jobs (Status, and a route's retention). Default: 5 s.
@@ -118,8 +119,8 @@
 	// QuotaOvershoot (bounds.quota-overshoot) is the share by which a tenant may exceed its limit in a window.
 	// Default: 0.
 	QuotaOvershoot float64
-	// QuotaSlack (bounds.quota-slack) is the number of requests by which a tenant may exceed its limit in a window
-	// besides. Default: 0.
+	// QuotaSlack (bounds.quota-slack) is the number of requests by which a tenant may exceed its limit in a
+	// window besides. Default: 0.
 	QuotaSlack float64
 	// Status (bounds.status-s) is the time for which a batch job can be read, counted from its first submission.
 	// Batch processes keep it for twice SkewMax more. A larger value fills more of the disk. Default: 120 s.
@@ -142,7 +143,8 @@
 
 // Cloud is the platform's list of servers, which control processes poll.
 type Cloud struct {
-	// Address (cloud.address) is host:port of the platform's API. Default: none, and then control has no servers.
+	// Address (cloud.address) is host:port of the platform's API. Default: none, and then control has no
+	// servers.
 	Address string
 	// Rate (cloud.rate-per-s) bounds the calls per second of all machines together. A higher rate shows changed
 	// servers earlier. Default: 10.
--- a/internal/protocol/endpoints.go
+++ b/internal/protocol/endpoints.go
@@ -7,7 +7,8 @@
 type ServerList struct {
 	Version uint64
 	Source  string // the control process that numbers the versions
-	// 0: Servers is the complete list; else the version, of the same source, that Servers and Removed apply to
+	// Base is 0 if Servers is the complete list; else the version, of the same source, that Servers and Removed
+	// apply to.
 	Base    uint64
 	Servers []Server // sorted by ID; with a Base: those that were added or changed
 	Removed []string // IDs; with a Base only
--- a/internal/protocol/identity.go
+++ b/internal/protocol/identity.go
@@ -1,6 +1,7 @@
 package protocol
 
-// System is the name of the system in transport.Identity. It keeps processes of other systems from connecting.
+// System is the name of the system in transport.Identity. It keeps processes of other systems from
+// connecting.
 const System = "sprucelane"
 
 // Process identifies one incarnation of a process.
--- a/internal/protocol/quota.go
+++ b/internal/protocol/quota.go
@@ -8,7 +8,7 @@
 	Sequence uint64 // of this process's requests, rising
 	Acked    uint64 // the highest sequence whose reply was received
 	Term     uint64 // of the allocator that sent that reply, 0: none
-	Whole    bool   // Demands has every lease of the sender
+	Whole    bool   // a full report: Demands has every lease of the sender
 	Demands  []QuotaDemand
 }
 
@@ -26,11 +26,13 @@
 	Depth float64 // burst, tokens
 }
 
-// QuotaReply grants tokens and leases. It renews every lease of the receiver; leases that change are in Grants.
+// QuotaReply grants tokens and leases. It renews every lease of the receiver; leases that change are in
+// Grants.
 type QuotaReply struct {
 	Term     uint64 // of the allocator; 0: the process isn't the allocator now, and grants nothing
 	Sequence uint64 // of the request
-	// the allocator doesn't know the sender, or its leases are of another term: a request with Whole is wanted
+	// Unknown says that the allocator doesn't know the receiver, or knows its leases from another term only: a
+	// request with Whole is wanted.
 	Unknown  bool
 	LeaseFor time.Duration // from when the request was sent, by the receiver's clock
 	AskGap   time.Duration // least time between requests
--- a/internal/protocol/subscription.go
+++ b/internal/protocol/subscription.go
@@ -6,7 +6,8 @@
 // of a push goes unnoticed; a shorter one costs messages at control in proportion to the number of processes.
 const PollInterval = 400 * time.Millisecond
 
-// Poll is what a gateway or batch process sends to its home: that it is alive, and which versions it has.
+// Poll is what a gateway or batch process sends to the control process that it is connected to: that it is
+// alive, and which versions it has.
 type Poll struct {
 	Process       Process
 	Sequence      uint64 // number of the poll on this connection; the Update that answers repeats it
@@ -39,7 +40,8 @@
 	Store         *StoreGrant // for batch processes only
 }
 
-// ConfigurationUpdate leads to a newer configuration: by the changes after the receiver's, or by a complete document.
+// ConfigurationUpdate leads to a newer configuration: by the changes after the receiver's, or by a complete
+// document.
 type ConfigurationUpdate struct {
 	Index uint64 // of the configuration that results
 	From  uint64 // of the configuration that Steps apply to; the receiver skips steps up to its own index
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -3,7 +3,7 @@
 import "sprucelane.example/sprucelane/coord/transport"
 
 // The names of the messages on the wire stay when a type is renamed or moved. Fields keep the names that they
-// have in the types: gob passes over what it does not know, without an error. The golden test checks both.
+// have in the types: gob skips what it doesn't know, without an error. The golden test checks both.
 func init() {
 	const here = "sprucelane.example/sprucelane/internal/protocol."
 	transport.RegisterNamed(
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// A holder's leases are all recomputed at most this often. The second interval is per holder, so that the work of
-	// recomputing grows with the number of holders and not with its square.
+	// A holder's leases are all recomputed at most this often. The second interval is per holder, so that the
+	// work of recomputing grows with the number of holders and not with its square.
 	minRebalanceInterval       = 200 * time.Millisecond
 	rebalanceIntervalPerHolder = 2500 * time.Microsecond
 
@@ -35,7 +35,8 @@
 
 // Allocator grants tokens and leases. It isn't safe for concurrent use.
 //
-// Its times are durations since an origin that the caller chooses; they come from a monotonic clock and never go back.
+// Its times are durations since an origin that the caller chooses; they come from a monotonic clock and never
+// go back.
 type Allocator struct {
 	options       AllocatorOptions
 	term          uint64        // identifies the period since Start; 0: inactive
@@ -77,9 +78,9 @@
 // Active reports whether the allocator was started and not stopped since.
 func (a *Allocator) Active() bool { return a.term != 0 }
 
-// Start begins a term. The caller guarantees that no other allocator is active from now on, and that none was for
-// at least idle before now. Grantees are all nodes that may hold leases of earlier allocators; nil where that isn't
-// recorded, so that every node may. Floors are the recorded ones.
+// Start begins a term. The caller guarantees that no other allocator is active from now on, and that none was
+// for at least idle before now. Grantees are all nodes that may hold leases of earlier allocators; nil where
+// that isn't recorded, so that every node may. Floors are the recorded ones.
 func (a *Allocator) Start(now, idle time.Duration, grantees []string, floors []Floor) {
 	a.forgetHolders()
 	a.recordedFloors = make(map[string]amount, len(floors))
@@ -103,8 +104,8 @@
 	a.forgetHolders()
 }
 
-// Configure applies the tenants of a configuration. A lower limit applies from now on. A tenant that is removed is
-// remembered for tombstoneTTL, so that one that comes back doesn't start with a full pool.
+// Configure applies the tenants of a configuration. A lower limit applies from now on. A tenant that is
+// removed is remembered for tombstoneTTL, so that one that comes back doesn't start with a full pool.
 func (a *Allocator) Configure(snapshot *configuration.Snapshot) { a.ConfigureTenants(snapshot.Tenants) }
 
 // ConfigureTenants is Configure for a list of tenants.
@@ -127,9 +128,9 @@
 	}
 }
 
-// Request answers a gateway's request. Now is a moment at which this allocator was certainly the active one: the
-// caller reads the clock first and then checks that it leads, so that a process pause between the two can't make it
-// grant in another's term. A reply with Term 0 grants nothing.
+// Request answers a gateway's request. Now is a moment at which this allocator was certainly the active one:
+// the caller reads the clock first and then checks that it leads, so that a process pause between the two
+// can't make it grant in another's term. A reply with Term 0 grants nothing.
 func (a *Allocator) Request(now time.Duration, request protocol.QuotaRequest) protocol.QuotaReply {
 	a.now = max(a.now, now)
 	reply := protocol.QuotaReply{Sequence: request.Sequence, LeaseFor: leaseTTL}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// amount is a number of tokens, or of tokens per second, in millionths. It is an integer so that sums over holders
-// are exact: the sum of all outstanding leases returns to zero when the last one ends.
+// amount is a number of tokens, or of tokens per second, in millionths. It is an integer so that sums over
+// holders are exact: the sum of all outstanding leases returns to zero when the last one ends.
 type amount int64
 
 // token is one token, which admits one request.
@@ -17,23 +17,23 @@
 // tokens converts a number of tokens, rounded down.
 func tokens(n float64) amount { return amount(math.Floor(n * float64(token))) }
 
-// float gives the number of tokens.
+// float returns the number of tokens.
 func (a amount) float() float64 { return float64(a) / float64(token) }
 
-// over gives what flows in at a rate of a per second during d, rounded down.
+// over returns what flows in at a rate of a per second during d, rounded down.
 func (a amount) over(d time.Duration) amount { return amount(math.Floor(float64(a) * d.Seconds())) }
 
-// wholeTokens gives the number of whole tokens, rounded down.
+// wholeTokens returns the number of whole tokens, rounded down.
 func (a amount) wholeTokens() int64 { return int64(a / token) }
 
-// lease is the size of a local token bucket: its inflow per second and the most that it holds. The zero value is no
-// lease.
+// lease is the size of a local token bucket: its inflow per second and the most that it holds. The zero value
+// is no lease.
 type lease struct{ rate, depth amount }
 
 func (l lease) plus(other lease) lease  { return lease{l.rate + other.rate, l.depth + other.depth} }
 func (l lease) minus(other lease) lease { return lease{l.rate - other.rate, l.depth - other.depth} }
 
-// max gives the larger rate and the larger depth.
+// max returns the larger rate and the larger depth.
 func (l lease) max(other lease) lease {
 	return lease{max(l.rate, other.rate), max(l.depth, other.depth)}
 }
@@ -47,8 +47,8 @@
 	return protocol.QuotaLease{Rate: l.rate.float(), Depth: l.depth.float()}
 }
 
-// leaseFromMessage converts a lease that a holder reports. The message has floating-point numbers; they are rounded
-// up, so that a lease is never counted as smaller than it is.
+// leaseFromMessage converts a lease that a holder reports. The message has floating-point numbers; they are
+// rounded up, so that a lease is never counted as smaller than it is.
 func leaseFromMessage(m protocol.QuotaLease) lease {
 	if m.Rate <= 0 && m.Depth <= 0 {
 		return lease{}
@@ -56,8 +56,8 @@
 	return lease{tokens(m.Rate) + 1, tokens(m.Depth) + 1}
 }
 
-// bucket is a token bucket. Its level may be negative: requests that are charged after the fact (Client.Charge)
-// leave a debt.
+// bucket is a token bucket. Its level may be negative: requests that are charged after the fact
+// (Client.Charge) leave a debt.
 type bucket struct {
 	level      amount
 	refilledAt time.Duration
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -7,7 +7,8 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// How a limit is divided. In these comments the margin is what the rule allows in a window beyond the granted rate.
+// How a limit is divided. In these comments the margin is what the rule allows in a window beyond the granted
+// rate.
 const (
 	leaseTTL         = 3 * time.Second        // lifetime of a lease without an answered request
 	clockDriftMargin = 100 * time.Millisecond // the most that a clock may gain or lose over leaseTTL
@@ -28,14 +29,14 @@
 	Slack     float64       // requests by which it may be exceeded besides
 }
 
-// MaxInWindow gives the most requests that the rule allows a tenant in any window. The rate is per second.
+// MaxInWindow returns the most requests that the rule allows a tenant in any window. The rate is per second.
 func (r Rules) MaxInWindow(rate, burst float64) float64 {
 	return (rate*r.Window.Seconds()+burst)*(1+r.Overshoot) + r.Slack
 }
 
 // budget is a tenant's limit, divided into what the allocator works with. Invariant: depth + rate*tokenTTL +
-// rate*window, plus the reserve for charges, is at most Rules.MaxInWindow. (The package comment has the proof that
-// no more is spent.)
+// rate*window, plus the reserve for charges, is at most Rules.MaxInWindow. (The package comment has the proof
+// that no more is spent.)
 type budget struct {
 	rate           amount        // granted, per second
 	tokenTTL       time.Duration // lifetime of pool tokens
@@ -44,8 +45,8 @@
 	maxLeasedDepth amount        // summed depths of leases
 }
 
-// newBudget divides a tenant's limit. A tenant whose leases couldn't hold one whole token is served from the pool
-// alone.
+// newBudget divides a tenant's limit. A tenant whose leases couldn't hold one whole token is served from the
+// pool alone.
 func newBudget(rules Rules, tenant *configuration.Tenant) budget {
 	rate, margin := grantedRate(rules, tenant)
 	tokenTTL := min(maxTokenTTL, time.Duration(tokenTTLShare*margin/rate*float64(time.Second))).Truncate(time.Millisecond)
@@ -58,9 +59,9 @@
 	return divided
 }
 
-// grantedRate gives the rate per second that is granted, and the margin: the requests that the rule allows in a
-// window beyond it. A tenant with a backlog is owed its whole limit in every window, so a part of the overshoot is
-// granted steadily.
+// grantedRate returns the rate per second that is granted, and the margin: the requests that the rule allows
+// in a window beyond it. A tenant with a backlog is owed its whole limit in every window, so a part of the
+// overshoot is granted steadily.
 func grantedRate(rules Rules, tenant *configuration.Tenant) (rate, margin float64) {
 	bound, window := rules.MaxInWindow(tenant.RatePerSec, tenant.Burst), rules.Window.Seconds()
 	rate = min(tenant.RatePerSec*(1+rateShare*rules.Overshoot), bound/(window+minMarginSeconds))
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -20,8 +20,8 @@
 	allocatorMaxFailures = 2                      // so many failed requests in a row: the allocator counts as timed out
 )
 
-// Retry-After of rejected requests, before jitter. It is bounded below because clients that are rejected again soon
-// give up.
+// Retry-After of rejected requests, before jitter. It is bounded below because clients that are rejected
+// again soon give up.
 const (
 	minClientRetryAfter = 900 * time.Millisecond
 	maxClientRetryAfter = 1400 * time.Millisecond
@@ -42,10 +42,11 @@
 	Random  *rand.Rand       // for the jitter of Retry-After; nil: a randomly seeded one
 }
 
-// Client holds the tokens and leases of a gateway and decides on its requests. It isn't safe for concurrent use.
+// Client holds the tokens and leases of a gateway and decides on its requests. It isn't safe for concurrent
+// use.
 //
-// Its times are durations since an origin that the caller chooses, from a monotonic clock. A caller that was paused
-// must read the clock anew before each call: leases expire by that time.
+// Its times are durations since an origin that the caller chooses, from a monotonic clock. A caller that was
+// paused must read the clock anew before each call: leases expire by that time.
 type Client struct {
 	process protocol.Process
 	random  *rand.Rand
@@ -89,8 +90,8 @@
 	}
 }
 
-// Configure applies a configuration. A lower limit applies here at once, to leases as well. Tenants that are new to
-// the client need no Configure: each call for a request brings its tenant's limit.
+// Configure applies a configuration. A lower limit applies here at once, to leases as well. Tenants that are
+// new to the client need no Configure: each call for a request brings its tenant's limit.
 func (c *Client) Configure(snapshot *configuration.Snapshot) {
 	for _, t := range c.ordered {
 		configured := snapshot.TenantByName(t.name)
@@ -104,8 +105,8 @@
 	}
 }
 
-// Take asks for a token for a request that arrives now. A tenant that is nil or has no limit is always admitted.
-// After a verdict to wait the caller must call Resolve until the verdict is another, or Cancel.
+// Take asks for a token for a request that arrives now. A tenant that is nil or has no limit is always
+// admitted. After a verdict to wait the caller must call Resolve until the verdict is another, or Cancel.
 func (c *Client) Take(now time.Duration, tenant *configuration.Tenant) Verdict {
 	if unlimited(tenant) {
 		return Verdict{Admit: true}
@@ -146,9 +147,9 @@
 	return c.retryAfter(t.timeToLeaseToken(now))
 }
 
-// Charge takes a token for a retry or hedge of a request that was admitted before and that a server may have run.
-// It is taken after the fact, so the lease may go into debt, up to maxDebt. The budget has a reserve for what that
-// exceeds.
+// Charge takes a token for a retry or hedge of a request that was admitted before and that a server may have
+// run. It is taken after the fact, so the lease may go into debt, up to maxDebt. The budget has a reserve for
+// what that exceeds.
 func (c *Client) Charge(now time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) {
 		return
@@ -157,13 +158,14 @@
 	c.tenantFor(tenant).charge(now)
 }
 
-// AllocatorTimedOut reports whether the allocator hasn't answered for so long that requests shouldn't wait for it.
+// AllocatorTimedOut reports whether the allocator hasn't answered for so long that requests shouldn't wait
+// for it.
 func (c *Client) AllocatorTimedOut(now time.Duration) bool {
 	return c.failures >= allocatorMaxFailures || c.inFlight && now-c.sentAt > allocatorTimeout
 }
 
-// TimeToToken gives the time until the tenant's lease has a token for one more request, after those that wait.
-// Without a lease it is a very long time.
+// TimeToToken returns the time until the tenant's lease has a token for one more request, after those that
+// wait. Without a lease it is a very long time.
 func (c *Client) TimeToToken(now time.Duration, tenant *configuration.Tenant) time.Duration {
 	if unlimited(tenant) {
 		return 0
@@ -172,10 +174,10 @@
 	return c.tenantFor(tenant).timeToServeNext(now)
 }
 
-// Return gives back a token that was taken at a given time, for a request that was sent to no server. It goes into
-// the lease; without a lease it is lost. It is lost as well if it was taken more than maxTokenTTL ago, as after a
-// process pause: by then the token, had it come from the pool, would have expired, and the pool's inflow has
-// replaced it.
+// Return gives back a token that was taken at a given time, for a request that was sent to no server. It goes
+// into the lease; without a lease it is lost. It is lost as well if it was taken more than maxTokenTTL ago,
+// as after a process pause: by then the token, had it come from the pool, would have expired, and the pool's
+// inflow has replaced it.
 func (c *Client) Return(now, taken time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) || now-taken > maxTokenTTL {
 		return
@@ -209,8 +211,9 @@
 	c.waiting--
 }
 
-// decide spends a token if there is one. Pool tokens go first, as they expire sooner. A request waits unless the
-// pool is known to be empty; then only one waits, and only for a lease that refills within shortRefillWait.
+// decide spends a token if there is one. Pool tokens go first, as they expire sooner. A request waits unless
+// the pool is known to be empty; then only one waits, and only for a lease that refills within
+// shortRefillWait.
 func (c *Client) decide(now time.Duration, t *clientTenant) Verdict {
 	if t.spendPoolToken(now) || t.spendLeaseToken(now) {
 		return Verdict{Admit: true}
@@ -222,8 +225,8 @@
 	return Verdict{Wait: true}
 }
 
-// retryAfter gives the Retry-After for a token that is expected after a time, with jitter so that clients don't
-// come back all at once.
+// retryAfter returns the Retry-After for a token that is expected after a time, with jitter so that clients
+// don't come back all at once.
 func (c *Client) retryAfter(untilToken time.Duration) time.Duration {
 	after := min(max(untilToken, minClientRetryAfter), maxClientRetryAfter)
 	return time.Duration(float64(after) * (retryJitterFrom + retryJitterSpan*c.random.Float64()))
--- a/internal/quota/client_request.go
+++ b/internal/quota/client_request.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// NextRequest gives the request to send to the allocator now, if one is due. The lifetimes of what its reply brings
-// count from now, so it must not be sent before this call. The caller reports the outcome by HandleReply or
-// RequestFailed.
+// NextRequest returns the request to send to the allocator now, if one is due. The lifetimes of what its
+// reply brings count from now, so it must not be sent before this call. The caller reports the outcome by
+// HandleReply or RequestFailed.
 func (c *Client) NextRequest(now time.Duration) (request protocol.QuotaRequest, due bool) {
 	if c.inFlight && now-c.sentAt > replyTimeout {
 		c.RequestFailed(now)
@@ -63,8 +63,8 @@
 	c.dueReports = c.dueReports[:0]
 }
 
-// scheduleChangedReports schedules the tenants whose demand has changed without a new request (it decays), and
-// forgets unused ones. For a full report it schedules all that are known to the allocator.
+// scheduleChangedReports schedules the tenants whose demand has changed without a new request (it decays),
+// and forgets unused ones. For a full report it schedules all that are known to the allocator.
 func (c *Client) scheduleChangedReports(now time.Duration) {
 	kept := c.ordered[:0]
 	for _, t := range c.ordered {
@@ -81,8 +81,8 @@
 	c.ordered = kept
 }
 
-// HandleReply takes the reply to the request in flight; any other reply is ignored. The caller then calls Resolve
-// for all requests that wait.
+// HandleReply takes the reply to the request in flight; any other reply is ignored. The caller then calls
+// Resolve for all requests that wait.
 func (c *Client) HandleReply(now time.Duration, reply *protocol.QuotaReply) {
 	if !c.inFlight || reply.Sequence != c.sequence {
 		return
@@ -113,8 +113,9 @@
 	}
 }
 
-// RequestFailed gives up the request in flight. It may have been received or not, so what it reported is reported
-// again, and as a reply may have been lost, the next request acknowledges the last one that was taken.
+// RequestFailed returns up the request in flight. It may have been received or not, so what it reported is
+// reported again, and as a reply may have been lost, the next request acknowledges the last one that was
+// taken.
 func (c *Client) RequestFailed(now time.Duration) {
 	if !c.inFlight {
 		return
@@ -128,8 +129,8 @@
 	c.rescheduleReports()
 }
 
-// AllocatorMoved tells the client that the allocator has another address, or that its address has become known. The
-// request in flight has failed, and the next one is sent without backoff.
+// AllocatorMoved tells the client that the allocator has another address, or that its address has become
+// known. The request in flight has failed, and the next one is sent without backoff.
 func (c *Client) AllocatorMoved(now time.Duration) {
 	c.RequestFailed(now)
 	c.failures, c.backoff, c.nextRequestAt = 0, minBackoff, now
@@ -144,7 +145,8 @@
 	}
 }
 
-// WakeAt gives the time at which NextRequest and Resolve are to be called next, if nothing else happens before.
+// WakeAt returns the time at which NextRequest and Resolve are to be called next, if nothing else happens
+// before.
 func (c *Client) WakeAt(now time.Duration) time.Duration {
 	at := max(c.nextReportAt, c.nextRequestAt)
 	switch {
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -88,7 +88,7 @@
 	return math.Abs(rate-t.reportedDemand) > max(minDemandChange, minRelativeDemandChange*t.reportedDemand)
 }
 
-// takeReportedDemand gives the demand for a report, and remembers it as reported.
+// takeReportedDemand returns the demand for a report, and remembers it as reported.
 func (t *clientTenant) takeReportedDemand(now time.Duration) float64 {
 	t.reportedDemand = math.Ceil(t.demand(now)*demandPrecision) / demandPrecision
 	return t.reportedDemand
@@ -100,8 +100,8 @@
 		t.unexpiredPoolTokens(now) == 0
 }
 
-// tokensWanted is the number of tokens to ask for: one for each request that waits, and those for the demand of the
-// next prefetchHorizon that neither the lease nor unspent tokens cover.
+// tokensWanted is the number of tokens to ask for: one for each request that waits, and those for the demand
+// of the next prefetchHorizon that neither the lease nor unspent tokens cover.
 func (t *clientTenant) tokensWanted(now time.Duration) int {
 	want := t.waiting
 	if now >= t.poolEmptyUntil+prefetchPause {
@@ -161,7 +161,7 @@
 	t.leaseBucket.level = max(t.leaseBucket.level-token, -maxDebt)
 }
 
-// timeToLeaseToken gives the time until the lease has a token, or never.
+// timeToLeaseToken returns the time until the lease has a token, or never.
 func (t *clientTenant) timeToLeaseToken(now time.Duration) time.Duration {
 	if t.lease.rate <= 0 {
 		return never
@@ -171,7 +171,8 @@
 	return max(0, time.Duration(math.Ceil(missing/float64(t.lease.rate)*float64(time.Second))))
 }
 
-// timeToServeNext gives the time until the lease has a token for one request more than those that wait, or never.
+// timeToServeNext returns the time until the lease has a token for one request more than those that wait, or
+// never.
 func (t *clientTenant) timeToServeNext(now time.Duration) time.Duration {
 	first := t.timeToLeaseToken(now)
 	if first == never {
@@ -181,8 +182,9 @@
 	return first + time.Duration(float64(others)/float64(t.lease.rate)*float64(time.Second))
 }
 
-// applyGrant takes a grant of the reply to a request that was sent at sentAt. A lease that changes keeps its level,
-// cut to the new depth: a new one starts empty. It is ignored if the reply came too late to have leases in force.
+// applyGrant takes a grant of the reply to a request that was sent at sentAt. A lease that changes keeps its
+// level, cut to the new depth: a new one starts empty. It is ignored if the reply came too late to have
+// leases in force.
 func (t *clientTenant) applyGrant(now, sentAt time.Duration, grant *protocol.QuotaGrant, leased bool) {
 	if grant.Change && leased {
 		t.refill(now)
--- a/internal/quota/entitlement_test.go
+++ b/internal/quota/entitlement_test.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// entitlement is what one incarnation of a gateway may spend at most, computed from the messages alone. It checks
-// the Client.
+// entitlement is what one incarnation of a gateway may spend at most, computed from the messages alone. It
+// checks the Client.
 type entitlement struct {
 	sequence    uint64 // of the request that was sent last
 	sentAt      time.Duration
@@ -48,7 +48,8 @@
 	e.sequence, e.sentAt, e.replyTaken = sequence, now, false
 }
 
-// replied applies a reply if it answers the newest request in time. Lifetimes count from when the request was sent.
+// replied applies a reply if it answers the newest request in time. Lifetimes count from when the request was
+// sent.
 func (e *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
 	if e.replyTaken || reply.Sequence != e.sequence || reply.Term == 0 || reply.Unknown || now-e.sentAt > replyTimeout {
 		return
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// event is a function to run at a time. Events of the same time run in the order in which they were scheduled.
+// event is a function to run at a time. Events of the same time run in the order in which they were
+// scheduled.
 type event struct {
 	at      time.Duration
 	ordinal int
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// activeLeader gives the leader if nothing is ending its leadership yet, or nil.
+// activeLeader returns the leader if nothing is ending its leadership yet, or nil.
 func (sim *simulation) activeLeader() *simControl {
 	control := sim.leader()
 	if control == nil || control.leadUntil < math.MaxInt64 {
@@ -104,8 +104,8 @@
 	return control
 }
 
-// deposeAfterSuspicion ends a leadership as a failure detector does: the others suspect the leader and decide on a
-// view without it, while its lease runs out.
+// deposeAfterSuspicion ends a leadership as a failure detector does: the others suspect the leader and decide
+// on a view without it, while its lease runs out.
 func (sim *simulation) deposeAfterSuspicion(control *simControl) {
 	decided := sim.now + 700*millisecond + sim.randomDuration(600*millisecond)
 	control.leadUntil = min(decided, sim.now+leaderLease)
@@ -144,8 +144,8 @@
 	})
 }
 
-// partitionLeader separates the leader, in both directions or one, from the other control processes and from the
-// gateways; some gateways reach nobody but it.
+// partitionLeader separates the leader, in both directions or one, from the other control processes and from
+// the gateways; some gateways reach nobody but it.
 func (sim *simulation) partitionLeader(g *simGateway) {
 	control := sim.activeLeader()
 	if control == nil {
--- a/internal/quota/floor.go
+++ b/internal/quota/floor.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// How floors follow the pools' levels. Each change is a write to the replicated state, so a floor is raised seldom,
-// and lowered far enough that the next change isn't needed soon.
+// How floors follow the pools' levels. Each change is a write to the replicated state, so a floor is raised
+// seldom, and lowered far enough that the next change isn't needed soon.
 const (
 	steadyFloorShare  = 0.25            // of the depth: the floor of a pool that is full
 	fullPoolShare     = 0.9             // of the depth: from this level on a pool counts as full
@@ -18,8 +18,8 @@
 )
 
 // Floor is a recorded lower bound of a tenant's pool: the pool doesn't fall below it while it is recorded. An
-// allocator that starts a term starts with that many tokens in the pool, because its predecessor certainly left
-// them there. It must lower the floor itself before it grants them.
+// allocator that starts a term starts with that many tokens in the pool, because its predecessor certainly
+// left them there. It must lower the floor itself before it grants them.
 //
 // Floors are part of the replicated state (gob): the names of the fields are fixed.
 type Floor struct {
@@ -29,8 +29,9 @@
 
 // poolFloor is the floor of one tenant's pool.
 //
-// Invariant: the pool's level is at least recorded, because grants leave bound in the pool. A raise applies from
-// when it is requested, a decrease only once it is recorded: so whatever of the two the record holds is kept.
+// Invariant: the pool's level is at least recorded, because grants leave bound in the pool. A raise applies
+// from when it is requested, a decrease only once it is recorded: so whatever of the two the record holds is
+// kept.
 type poolFloor struct {
 	recorded     amount
 	pendingRaise amount // requested, and perhaps recorded already
@@ -57,8 +58,8 @@
 // steadyFloor is the floor of a full pool.
 func (q *tenantQuota) steadyFloor() amount { return amount(steadyFloorShare * float64(q.budget.depth)) }
 
-// FloorChanges lists the floors to be changed in the record. The caller records them and then calls FloorsRecorded;
-// until the outcome is known it must have no other change in flight.
+// FloorChanges lists the floors to be changed in the record. The caller records them and then calls
+// FloorsRecorded; until the outcome is known it must have no other change in flight.
 func (a *Allocator) FloorChanges(now time.Duration) (changes []Floor) {
 	if !a.grantees.enabled || a.term == 0 {
 		return nil
@@ -97,8 +98,8 @@
 	}
 }
 
-// FloorChangeUrgent reports whether, since the last call, a grant has brought a pool so low that its floor prevents
-// grants or soon will. FloorChanges should then be called without delay.
+// FloorChangeUrgent reports whether, since the last call, a grant has brought a pool so low that its floor
+// prevents grants or soon will. FloorChanges should then be called without delay.
 func (a *Allocator) FloorChangeUrgent() bool {
 	urgent := a.floorChangeUrgent
 	a.floorChangeUrgent = false
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// invariantChecker checks the simulation from outside: by the requests that run, the messages and the true time. It
-// panics at a violation.
+// invariantChecker checks the simulation from outside: by the requests that run, the messages and the true
+// time. It panics at a violation.
 type invariantChecker struct {
 	sim     *simulation
 	ran     map[string][]time.Duration // by tenant: when requests of the current window ran
@@ -22,8 +22,8 @@
 	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
-// answered notes that an allocator answered as of a moment, and checks that no two are active at the same time. The
-// answer may be made later.
+// answered notes that an allocator answered as of a moment, and checks that no two are active at the same
+// time. The answer may be made later.
 func (c *invariantChecker) answered(at time.Duration, term uint64) {
 	if term == 0 || c.sim.windowsOnly {
 		return
@@ -45,7 +45,8 @@
 }
 
 // recordRun counts a request that a server runs and checks the rule. The request counts at the time of the
-// decision, which lies between the client's sending and the arrival at a server: no window of the rule has more.
+// decision, which lies between the client's sending and the arrival at a server: no window of the rule has
+// more.
 func (sim *simulation) recordRun(name string, g *simGateway) {
 	count := sim.counts[name]
 	count.served++
@@ -80,8 +81,8 @@
 	return bound
 }
 
-// updateEffectiveLimits notes the limits that every gateway applies by now. Earlier limits don't apply any more a
-// window from then on.
+// updateEffectiveLimits notes the limits that every gateway applies by now. Earlier limits don't apply any
+// more a window from then on.
 func (sim *simulation) updateEffectiveLimits() {
 	for name := range sortedNames(sim.usualRate) {
 		for _, limit := range sim.limits[name] {
@@ -168,7 +169,8 @@
 	}
 }
 
-// checkFloors panics if a recorded floor is above the pool's level: a successor would grant the difference again.
+// checkFloors panics if a recorded floor is above the pool's level: a successor would grant the difference
+// again.
 func (sim *simulation) checkFloors(a *Allocator) {
 	for name := range sortedNames(sim.floors) {
 		q, tokens := a.tenants[name], sim.floors[name]
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -28,8 +28,8 @@
 
 // allocation is one holder's part of one tenant's quota.
 //
-// Invariant: the holder spends by a lease that is at most outstanding, whichever of the replies that were sent it
-// has taken.
+// Invariant: the holder spends by a lease that is at most outstanding, whichever of the replies that were
+// sent it has taken.
 type allocation struct {
 	quota           *tenantQuota
 	demand          amount // per second, as reported
@@ -42,7 +42,8 @@
 // processID identifies one run of a gateway's process.
 func processID(p *protocol.Process) string { return p.Node + "/" + p.Incarnation }
 
-// holderFor finds or adds the process that sent a request. It returns nil for one that is known to have ended.
+// holderFor finds or adds the process that sent a request. It returns nil for one that is known to have
+// ended.
 func (a *Allocator) holderFor(request *protocol.QuotaRequest) *leaseHolder {
 	id := processID(&request.Process)
 	if _, ended := a.deadProcesses[id]; ended {
@@ -64,10 +65,10 @@
 	a.byLastContact.MoveToBack(holder.contactElement)
 }
 
-// endPredecessors ends the processes that ran on the requester's node before it. A node runs one process at a time,
-// and a process that took the reply to its previous request ran after that request was received here: any other
-// process of the node whose last contact was before that moment is dead. A first request proves nothing: it may be
-// a dead process's, delayed in the network.
+// endPredecessors ends the processes that ran on the requester's node before it. A node runs one process at a
+// time, and a process that took the reply to its previous request ran after that request was received here:
+// any other process of the node whose last contact was before that moment is dead. A first request proves
+// nothing: it may be a dead process's, delayed in the network.
 func (a *Allocator) endPredecessors(holder *leaseHolder, request *protocol.QuotaRequest) {
 	others := a.holdersByNode[holder.node]
 	if len(others) == 1 || request.Term != a.term || request.Acked != holder.lastSequence || holder.lastSequence == 0 {
@@ -81,8 +82,8 @@
 	}
 }
 
-// expireHolders ends the holders whose leases have expired by their own clocks: a holder's leases end leaseTTL
-// after it sent a request, which was before its last contact here. It also forgets old tombstones.
+// expireHolders ends the holders whose leases have expired by their own clocks: a holder's leases end
+// leaseTTL after it sent a request, which was before its last contact here. It also forgets old tombstones.
 func (a *Allocator) expireHolders() {
 	for front := a.byLastContact.Front(); front != nil; front = a.byLastContact.Front() {
 		holder := front.Value.(*leaseHolder)
--- a/internal/quota/lease_policy.go
+++ b/internal/quota/lease_policy.go
@@ -1,8 +1,8 @@
 package quota
 
-// How leases follow demand. A lease takes inflow and depth from the pool, and what flows into a lease that is full
-// is lost: so a holder with little demand, or with a pool that is nearly empty, gets less than its demand and asks
-// the pool for the rest.
+// How leases follow demand. A lease takes inflow and depth from the pool, and what flows into a lease that is
+// full is lost: so a holder with little demand, or with a pool that is nearly empty, gets less than its
+// demand and asks the pool for the rest.
 const (
 	leaseHeadroom       = 1.25        // lease rate over demand, with a well-filled pool
 	emptyPoolHeadroom   = 0.6         // the same with an empty pool; between the two it is interpolated
@@ -16,7 +16,8 @@
 	roundingTolerance   = token / 100 // by which rounded-up reports of leases may exceed the sum that they are part of
 )
 
-// rebalance recomputes all leases of a holder that this reply doesn't contain yet, and forgets idle allocations.
+// rebalance recomputes all leases of a holder that this reply doesn't contain yet, and forgets idle
+// allocations.
 func (a *Allocator) rebalance(holder *leaseHolder) {
 	holder.rebalancedAt = a.now
 	kept := holder.ordered[:0]
@@ -35,8 +36,8 @@
 	holder.ordered = kept
 }
 
-// offerLease offers the lease that a holder's demand entitles it to, within what is left of the budget, unless it
-// hardly differs from the last offer.
+// offerLease offers the lease that a holder's demand entitles it to, within what is left of the budget,
+// unless it hardly differs from the last offer.
 func (a *Allocator) offerLease(holder *leaseHolder, part *allocation) {
 	q := part.quota
 	next := q.fairShare(part)
@@ -88,8 +89,8 @@
 	return min(1, max(0, q.pool.level.float())/(fullHeadroomShare*max(token, q.poolDepth()).float()))
 }
 
-// maxLeasedDepthFor bounds the summed depth at which a lease for a demand is granted. Leases for low demand are
-// mostly idle, so they leave more to the pool.
+// maxLeasedDepthFor bounds the summed depth at which a lease for a demand is granted. Leases for low demand
+// are mostly idle, so they leave more to the pool.
 func (q *tenantQuota) maxLeasedDepthFor(demand amount) amount {
 	if demand < lowDemand {
 		return amount(lowDemandDepthShare * float64(q.budget.maxLeasedDepth))
--- a/internal/quota/random_simulations_test.go
+++ b/internal/quota/random_simulations_test.go
@@ -36,8 +36,8 @@
 	bugLateReturn        injectedBug = "tokens are returned however old they are"
 )
 
-// runSimulation runs a simulation with all faults and gives the first violation of an invariant, or "". The seed
-// determines all of it. With windowsOnly, only the rule's windows are checked.
+// runSimulation runs a simulation with all faults and gives the first violation of an invariant, or "". The
+// seed determines all of it. With windowsOnly, only the rule's windows are checked.
 func runSimulation(seed uint64, bug injectedBug, windowsOnly bool) (sim *simulation, violation string) {
 	sim = newSimulation(seed, 3+int(seed%4)*4, typicalTenants())
 	defer func() {
@@ -88,9 +88,9 @@
 	t.faults, t.terms = t.faults+sim.faults, t.terms+len(sim.checker.terms)
 }
 
-// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S. Under
-// any faults no tenant exceeds its bound, and without further faults nearly all requests within limits are served
-// again.
+// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
+// Under any faults no tenant exceeds its bound, and without further faults nearly all requests within limits
+// are served again.
 func TestRandomSimulations(t *testing.T) {
 	first, count := seeds.Range(1, defaultSimulations)
 	var all totals
@@ -162,7 +162,8 @@
 	}
 }
 
-// TestWindowBreaks shows that the rule's windows alone detect two active allocators, with all other checks off.
+// TestWindowBreaks shows that the rule's windows alone detect two active allocators, with all other checks
+// off.
 func TestWindowBreaks(t *testing.T) {
 	const maxSimulations = 40
 	for seed := uint64(1); seed <= maxSimulations; seed++ {
--- a/internal/quota/reconcile.go
+++ b/internal/quota/reconcile.go
@@ -2,8 +2,8 @@
 
 import "sprucelane.example/sprucelane/internal/protocol"
 
-// reconcile makes sure that all leases of the requester are counted by name. It returns false if the requester may
-// hold leases that this term doesn't know; the reply then asks for a full report.
+// reconcile makes sure that all leases of the requester are counted by name. It returns false if the
+// requester may hold leases that this term doesn't know; the reply then asks for a full report.
 func (a *Allocator) reconcile(holder *leaseHolder, request *protocol.QuotaRequest) bool {
 	switch {
 	case request.Whole:
@@ -16,9 +16,9 @@
 	return true
 }
 
-// adoptReported takes over the leases of a full report. What earlier replies of this term offered beyond them stays
-// outstanding until the holder acknowledges a later reply. Leases of earlier terms move from unaccounted to
-// outstanding.
+// adoptReported takes over the leases of a full report. What earlier replies of this term offered beyond them
+// stays outstanding until the holder acknowledges a later reply. Leases of earlier terms move from
+// unaccounted to outstanding.
 func (a *Allocator) adoptReported(holder *leaseHolder, request *protocol.QuotaRequest) {
 	for _, part := range holder.ordered {
 		part.setOffered(holder, lease{})
@@ -40,8 +40,8 @@
 	}
 }
 
-// setOffered notes the lease that the holder will have once it acknowledges the reply to its newest request. The
-// caller has raised outstanding to cover it.
+// setOffered notes the lease that the holder will have once it acknowledges the reply to its newest request.
+// The caller has raised outstanding to cover it.
 func (p *allocation) setOffered(holder *leaseHolder, l lease) {
 	p.offered = l
 	if p.outstanding != l && p.unackedSequence == 0 {
@@ -52,8 +52,9 @@
 	}
 }
 
-// acknowledge applies the acknowledgement in a request: the holder has taken the reply to request Acked and none
-// after it. An offer that this reply carried is exactly what the holder has, so a decrease is freed only here.
+// acknowledge applies the acknowledgement in a request: the holder has taken the reply to request Acked and
+// none after it. An offer that this reply carried is exactly what the holder has, so a decrease is freed only
+// here.
 func (a *Allocator) acknowledge(holder *leaseHolder, request *protocol.QuotaRequest) {
 	if request.Term != a.term {
 		return
@@ -74,8 +75,8 @@
 	holder.unacked = kept
 }
 
-// appendUnacked adds the offers that aren't acknowledged and aren't in this reply yet: the replies that carried
-// them may be lost, and an acknowledgement of this reply must cover them.
+// appendUnacked adds the offers that aren't acknowledged and aren't in this reply yet: the replies that
+// carried them may be lost, and an acknowledgement of this reply must cover them.
 func (h *leaseHolder) appendUnacked(grants []protocol.QuotaGrant) []protocol.QuotaGrant {
 	for _, part := range h.unacked {
 		if part.unackedSequence == 0 || part.sentSequence == h.lastSequence {
--- a/internal/quota/sim_clock_test.go
+++ b/internal/quota/sim_clock_test.go
@@ -9,10 +9,12 @@
 	rate   float64
 }
 
-// maxClockDrift is the most that a clock's rate differs from 1: two clocks differ by up to 30 ms over a lease.
+// maxClockDrift is the most that a clock's rate differs from 1: two clocks differ by up to 30 ms over a
+// lease.
 const maxClockDrift = 0.005
 
-// clockRounding is the most by which converting a reading back to simulation time exceeds the time of the reading.
+// clockRounding is the most by which converting a reading back to simulation time exceeds the time of the
+// reading.
 const clockRounding = 2 * time.Microsecond
 
 // newClock draws a clock's origin and rate.
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -68,8 +68,8 @@
 	sim.answer(control, g, incarnation, request, clock, at)
 }
 
-// answer has the allocator answer a request as of a moment when the process led: clock by its own clock, at by
-// simulation time.
+// answer has the allocator answer a request as of a moment when the process led: clock by its own clock, at
+// by simulation time.
 func (sim *simulation) answer(
 	control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest, clock, at time.Duration,
 ) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// elect makes a control process the leader after the previous leader's lease has surely ended: the first from next
-// on that runs.
+// elect makes a control process the leader after the previous leader's lease has surely ended: the first from
+// next on that runs.
 func (sim *simulation) elect(next int, decided, wait time.Duration) {
 	sim.schedule(decided+wait, func() {
 		for range sim.controls {
@@ -135,8 +135,8 @@
 	})
 }
 
-// maintainGrantees is the leader's periodic work: it changes the recorded floors and grantees as its allocator asks
-// for. A change by a leader that has a successor has no effect.
+// maintainGrantees is the leader's periodic work: it changes the recorded floors and grantees as its
+// allocator asks for. A change by a leader that has a successor has no effect.
 func (sim *simulation) maintainGrantees() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.now < control.pausedUntil || sim.changePending {
@@ -207,7 +207,7 @@
 	})
 }
 
-// floorList gives the recorded floors.
+// floorList returns the recorded floors.
 func (sim *simulation) floorList() (list []Floor) {
 	for name := range sortedNames(sim.floors) {
 		list = append(list, Floor{name, sim.floors[name]})
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// learnAddress follows the membership: it names the leader, or the only reachable process, which names itself.
+// learnAddress follows the membership: it names the leader, or the only reachable process, which names
+// itself.
 func (g *simGateway) learnAddress(incarnation int) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -137,8 +138,8 @@
 	g.sim.schedule(g.pausedUntil+g.sim.randomDuration(millisecond), run)
 }
 
-// clientRequest is a request of a client at this gateway. One that arrives during a process pause is read when the
-// process resumes.
+// clientRequest is a request of a client at this gateway. One that arrives during a process pause is read
+// when the process resumes.
 func (g *simGateway) clientRequest(name string) {
 	if !g.alive || g.snapshot == nil {
 		return
@@ -155,8 +156,8 @@
 	g.arrive(name, 0)
 }
 
-// arrive decides on a request. A pausedAt other than 0 is the clock's time when the process paused, before it read
-// this request.
+// arrive decides on a request. A pausedAt other than 0 is the clock's time when the process paused, before it
+// read this request.
 func (g *simGateway) arrive(name string, pausedAt time.Duration) {
 	sim := g.sim
 	if !g.alive || g.paused() {
@@ -214,7 +215,7 @@
 	sim.schedule(sim.now+sim.randomDuration(soon), func() { g.returnToken(incarnation, tenant, taken) })
 }
 
-// returnToken gives a token back that was taken at a time by the gateway's clock.
+// returnToken returns a token back that was taken at a time by the gateway's clock.
 func (g *simGateway) returnToken(incarnation int, tenant *configuration.Tenant, taken time.Duration) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -310,7 +311,8 @@
 	return 300*time.Microsecond + sim.randomDuration(2*millisecond)
 }
 
-// partitionedUntil gives the time until which messages don't pass, outbound from the gateway or inbound to it.
+// partitionedUntil returns the time until which messages don't pass, outbound from the gateway or inbound to
+// it.
 func (g *simGateway) partitionedUntil(control *simControl, to direction) time.Duration {
 	if g.sim.now < g.onlyReachableUntil {
 		if g.onlyReachable == control {
--- a/internal/quota/sim_partition_test.go
+++ b/internal/quota/sim_partition_test.go
@@ -22,7 +22,7 @@
 	return partition{sim.now + sim.randomDuration(longest), direction(sim.random.IntN(3))}
 }
 
-// endFor gives the time until which messages in a direction are lost.
+// endFor returns the time until which messages in a direction are lost.
 func (p *partition) endFor(way direction) time.Duration {
 	if p.direction == bothDirections || p.direction == way {
 		return p.until
