--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -23,8 +23,8 @@
 
 var testRules = Rules{Window: 5 * second, Overshoot: 0.1, Slack: 20}
 
-// simulation is gateways, control processes and clients in virtual time. It is a function of its seed: every random
-// draw comes from random, and events run in the order of their times.
+// simulation is gateways, control processes and clients in virtual time. It is a function of its seed: every
+// random draw comes from random, and events run in the order of their times.
 type simulation struct {
 	random      *rand.Rand
 	now         time.Duration
@@ -63,8 +63,8 @@
 	allocatorTime  time.Duration // real time spent in the allocator
 }
 
-// limitChange is an acknowledged change of a tenant's limit. Earlier limits may still apply somewhere until every
-// gateway has been connected for long enough after that.
+// limitChange is an acknowledged change of a tenant's limit. Earlier limits may still apply somewhere until
+// every gateway has been connected for long enough after that.
 type limitChange struct {
 	acknowledgedAt time.Duration
 	rate, burst    float64
@@ -72,8 +72,8 @@
 	effectiveAt    time.Duration // 0: not yet
 }
 
-// requestCounts are totals of one tenant. Expected are the requests within its limit that came through gateways
-// that were connected: the system should serve nearly all of them.
+// requestCounts are totals of one tenant. Expected are the requests within its limit that came through
+// gateways that were connected: the system should serve nearly all of them.
 type requestCounts struct{ offered, served, rejected, expected, expectedRejected int }
 
 // newSimulation creates a simulation with three control processes and a number of gateways.
@@ -125,8 +125,8 @@
 	return time.Duration(sim.random.Float64() * float64(most))
 }
 
-// generateTraffic sends a tenant's next request and schedules the one after. Gateways get uneven shares, and the
-// rate swings by 0.35 around the usual.
+// generateTraffic sends a tenant's next request and schedules the one after. Gateways get uneven shares, and
+// the rate swings by 0.35 around the usual.
 func (sim *simulation) generateTraffic(name string) {
 	rate := sim.usualRate[name] * max(1, sim.overload[name])
 	rate *= 1 + 0.35*math.Sin(2*math.Pi*sim.now.Seconds()/11)
--- a/internal/quota/single_faults_test.go
+++ b/internal/quota/single_faults_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestSingleFaults measures what one fault costs tenants within their limits, over the twelve seconds from its
-// beginning.
+// TestSingleFaults measures what one fault costs tenants within their limits, over the twelve seconds from
+// its beginning.
 func TestSingleFaults(t *testing.T) {
 	faults := []struct {
 		name  string
--- a/internal/quota/steady_state_test.go
+++ b/internal/quota/steady_state_test.go
@@ -17,7 +17,7 @@
 	sim.every(100*millisecond, sim.updateEffectiveLimits)
 }
 
-// rejectedShare gives the share of the tenants' expected requests that were rejected.
+// rejectedShare returns the share of the tenants' expected requests that were rejected.
 func (sim *simulation) rejectedShare(names ...string) (share float64, expected int) {
 	rejected := 0
 	for _, name := range names {
--- a/internal/quota/tenant_quota.go
+++ b/internal/quota/tenant_quota.go
@@ -16,8 +16,8 @@
 // tenantQuota is the allocator's state of one tenant: the pool and the sums over all leases.
 //
 // Invariants: outstanding, demand and leaseCount are the sums over all holders' allocations. After a refill,
-// pool.level plus the depths of outstanding and unaccounted is at most budget.depth, except for what the floor
-// keeps in the pool after a limit was lowered (maxPoolLevel).
+// pool.level plus the depths of outstanding and unaccounted is at most budget.depth, except for what the
+// floor keeps in the pool after a limit was lowered (maxPoolLevel).
 type tenantQuota struct {
 	name      string
 	limited   bool // the tenant has a limit; the fields from budget on are valid only then
@@ -38,8 +38,8 @@
 	return q.leaseCount == 0 && q.outstanding.isZero() && q.demand == 0
 }
 
-// configureTenant applies one tenant's limit. A new tenant starts with a full pool, except while the allocator
-// learns: then it may have had leases under an earlier allocator.
+// configureTenant applies one tenant's limit. A new tenant starts with a full pool, except while the
+// allocator learns: then it may have had leases under an earlier allocator.
 func (a *Allocator) configureTenant(tenant *configuration.Tenant) {
 	q := a.tenants[tenant.Name]
 	isNew := q == nil
@@ -68,9 +68,9 @@
 	}
 }
 
-// enterLearning resets a tenant's pool at the start of a term: everything that may be leased counts as leased by
-// earlier allocators, and the pool holds the recorded floor. What can't have been leased has flowed in during idle,
-// while no allocator was active.
+// enterLearning resets a tenant's pool at the start of a term: everything that may be leased counts as leased
+// by earlier allocators, and the pool holds the recorded floor. What can't have been leased has flowed in
+// during idle, while no allocator was active.
 func (a *Allocator) enterLearning(q *tenantQuota, idle time.Duration) {
 	q.unaccounted = lease{q.budget.maxLeasedRate, q.budget.maxLeasedDepth}
 	q.floor = poolFloor{recorded: a.recordedFloors[q.name], changedAt: a.now}
@@ -78,8 +78,8 @@
 	a.refill(q)
 }
 
-// refill brings a pool up to now. What is or may be leased doesn't flow into it. Within a term every change of
-// outstanding or unaccounted is preceded by a refill, as the inflow changes with them.
+// refill brings a pool up to now. What is or may be leased doesn't flow into it. Within a term every change
+// of outstanding or unaccounted is preceded by a refill, as the inflow changes with them.
 func (a *Allocator) refill(q *tenantQuota) {
 	if !q.unaccounted.isZero() {
 		q.pool.refill(min(a.now, a.learningUntil), q.inflow(), q.maxPoolLevel())
@@ -98,16 +98,16 @@
 	return max(0, q.budget.depth-q.outstanding.depth-q.unaccounted.depth)
 }
 
-// maxPoolLevel is the most that the pool may hold. Under a limit that was lowered, poolDepth may be less than the
-// floor: the tokens up to the floor stay in the pool, though none of them can be granted, until the floor has been
-// lowered in the record. Without that a successor would start with more tokens than this pool has.
+// maxPoolLevel is the most that the pool may hold. Under a limit that was lowered, poolDepth may be less than
+// the floor: the tokens up to the floor stay in the pool, though none of them can be granted, until the floor
+// has been lowered in the record. Without that a successor would start with more tokens than this pool has.
 func (q *tenantQuota) maxPoolLevel() amount { return max(q.poolDepth(), q.floor.bound()) }
 
 // grantable is the part of the pool that may be granted.
 func (q *tenantQuota) grantable() amount { return max(0, q.pool.level-q.floor.bound()) }
 
-// grantTokens takes up to want whole tokens from the pool. Where there are fewer, the grant says when the rest will
-// have flowed in.
+// grantTokens takes up to want whole tokens from the pool. Where there are fewer, the grant says when the
+// rest will have flowed in.
 func (q *tenantQuota) grantTokens(want int, grant *protocol.QuotaGrant) {
 	q.pool.level = min(q.pool.level, q.maxPoolLevel()) // more may have been leased since the refill
 	grant.Tokens = min(want, int(q.grantable()/token))
--- a/internal/ruda/ruda.go
+++ b/internal/ruda/ruda.go
@@ -1,15 +1,15 @@
 // Package ruda computes the score of the RUDA decision algorithm, equation 1 of "Towards a degradation-based
-// mechanism for adaptive overload control": which group of requests gives the most resource back for the least that
-// is lost when it is degraded. It is pure: it has no state, reads no clock, and doesn't decide what is done with
-// the score.
+// mechanism for adaptive overload control": which group of requests gives the most resource back for the
+// least that is lost when it is degraded. It is pure: it has no state, reads no clock, and doesn't decide
+// what is done with the score.
 //
 // The paper's formula, with its names:
 //
 //	f = (1/v) * (r / Σr) * (Σq / q)
 //
-// where v is the group's priority (the sum over all groups is 1), r the resource that it used, and q the number of
-// requests that it sent. What a group, r and q are here, and how much of a group is degraded, is up to the callers
-// (docs/design/limits.md).
+// where v is the group's priority (the sum over all groups is 1), r the resource that it used, and q the
+// number of requests that it sent. What a group, r and q are here, and how much of a group is degraded, is up
+// to the callers (docs/design/limits.md).
 package ruda
 
 import "math"
@@ -17,15 +17,15 @@
 // minDenominator keeps divisions by a sum of zero defined.
 const minDenominator = 1e-9
 
-// Score gives a group's score f. The group with the highest score is degraded first. The parameters have the
-// paper's names: v is the group's priority, greater than 0; r its resource and sumR that of all groups; q its
-// requests and sumQ those of all groups.
+// Score returns a group's score f. The group with the highest score is degraded first. The parameters have
+// the paper's names: v is the group's priority, greater than 0; r its resource and sumR that of all groups; q
+// its requests and sumQ those of all groups.
 func Score(v, r, sumR, q, sumQ float64) float64 {
 	return 1 / v * (r / math.Max(sumR, minDenominator)) * (sumQ / math.Max(q, minDenominator))
 }
 
-// Priorities gives the priorities v of groups from their ranks, 0 being the most urgent: 1/(1+rank), scaled so that
-// the sum is 1.
+// Priorities returns the priorities v of groups from their ranks, 0 being the most urgent: 1/(1+rank), scaled
+// so that the sum is 1.
 func Priorities(ranks []int) []float64 {
 	priorities := make([]float64, len(ranks))
 	sum := 0.0
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,12 +1,13 @@
 // Package serverlist encodes versions of the platform's list of servers as deltas (delta encoding), so that
 // processes that have a version are sent only what differs in the next one.
 //
-// Lists are sorted by the servers' ids. The package is pure: it neither modifies nor keeps the lists that it is given.
+// Lists are sorted by the servers' ids. The package is pure: it neither modifies nor keeps the lists that it
+// is given.
 //
-// The sender computes a Delta between two versions by Diff, or combines several in a row by Compose, and sends it
-// in a protocol.ServerList with a Base. The receiver gets the new version by ApplyUpdate. Invariant: for any lists
-// a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b), Diff(b, c)), applied to
-// a, gives c.
+// The sender computes a Delta between two versions by Diff, or combines several in a row by Compose, and
+// sends it in a protocol.ServerList with a Base. The receiver gets the new version by ApplyUpdate. Invariant:
+// for any lists a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b),
+// Diff(b, c)), applied to a, gives c.
 package serverlist
 
 import (
@@ -29,14 +30,14 @@
 // Empty reports whether the lists are the same.
 func (d *Delta) Empty() bool { return len(d.Changed) == 0 && len(d.Removed) == 0 }
 
-// SameContent reports whether two entries are the same. For how long a server is warming up isn't compared, as it
-// changes with time alone.
+// SameContent reports whether two entries are the same. For how long a server is warming up isn't compared,
+// as it changes with time alone.
 func SameContent(a, b *protocol.Server) bool {
 	return a.ID == b.ID && a.Backend == b.Backend && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Stage == b.Stage
 }
 
-// Diff gives the delta between two lists, in one pass over both.
+// Diff returns the delta between two lists, in one pass over both.
 func Diff(from, to []protocol.Server) Delta {
 	var d Delta
 	i, j := 0, 0
@@ -70,7 +71,7 @@
 	return strings.Compare(from[i].ID, to[j].ID)
 }
 
-// Apply gives the list that a delta makes of another.
+// Apply returns the list that a delta makes of another.
 func Apply(list []protocol.Server, d *Delta) []protocol.Server {
 	changed := slices.Clone(d.Changed)
 	slices.SortFunc(changed, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
@@ -99,7 +100,7 @@
 	return next
 }
 
-// Compose gives one delta for two in a row: the second wins where both change or remove a server.
+// Compose returns one delta for two in a row: the second wins where both change or remove a server.
 func Compose(first, second Delta) Delta {
 	overwritten := make(map[string]bool, len(second.Changed)+len(second.Removed))
 	composed := Delta{Changed: slices.Clone(second.Changed), Removed: slices.Clone(second.Removed)}
@@ -122,9 +123,9 @@
 	return composed
 }
 
-// ApplyUpdate gives the list after an update, which is a whole list or a delta (Base other than 0). The current
-// list is nil if there is none yet. The error is ErrGap if the delta is based on another version than the current
-// one.
+// ApplyUpdate returns the list after an update, which is a whole list or a delta (Base other than 0). The
+// current list is nil if there is none yet. The error is ErrGap if the delta is based on another version than
+// the current one.
 func ApplyUpdate(current, update *protocol.ServerList) (*protocol.ServerList, error) {
 	if update.Base == 0 {
 		return update, nil
