--- a/internal/fake/poolmember/member.go
+++ b/internal/fake/poolmember/member.go
@@ -205,6 +205,10 @@
 		for _, s := range m.servers {
 			s.Close()
 		}
+		// A server whose Serve has not begun yet doesn't know its listener, so that Close leaves it open.
+		for _, l := range m.listeners {
+			l.Close()
+		}
 	})
 }
 
