--- a/coord/membership/update.go
+++ b/coord/membership/update.go
@@ -11,7 +11,7 @@
 // merge takes in an update, spreads it on and reports a change of state. isNews is false for an update that comes
 // from a whole table: if it makes a machine known here for the first time it isn't spread on, as all who receive
 // the table would spread all of it.
-func (n *Node) merge(update Update, now time.Time, isNews bool) {
+func (n *Node) merge(update Update, now time.Time, incremental bool) {
 	if update.State < Alive || update.State > Left {
 		return // of a later version, or malformed
 	}
@@ -23,7 +23,7 @@
 	if !merged {
 		return
 	}
-	if isNews || old != 0 {
+	if incremental || old != 0 {
 		n.broadcasts.add(update)
 	}
 	if update.State == Alive {
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -75,14 +75,14 @@
 // currentAsOf returns the moment before which every acknowledged command is applied here: that of this member's own
 // proof, or of a learner's last update.
 func (c *core) currentAsOf() (time.Duration, bool) {
-	since := never
+	asOf := never
 	if c.staleness.proven {
-		since = c.staleness.currentAsOf
+		asOf = c.staleness.currentAsOf
 	}
 	if c.learner.proven {
-		since = max(since, c.learner.currentAsOf)
+		asOf = max(asOf, c.learner.currentAsOf)
 	}
-	return since, since != never
+	return asOf, asOf != never
 }
 
 // delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over successive
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -115,12 +115,12 @@
 			return
 		}
 	}
-	n.dial(m)
+	n.sendOutbound(m)
 }
 
 // dial sends a message over a connection that this node opens. A message to a member whose address another
 // incarnation has taken is dropped.
-func (n *network) dial(m envelope) {
+func (n *network) sendOutbound(m envelope) {
 	out := n.outbound[m.to.Address]
 	if out == nil {
 		out = &outbound{ready: make(chan struct{})}
--- a/coord/transport/handshake.go
+++ b/coord/transport/handshake.go
@@ -56,13 +56,13 @@
 	if err != nil {
 		return hello{}, err
 	}
-	status, refusal := s.options.checkPeer(peer.identity)
+	status, rejection := s.options.checkPeer(peer.identity)
 	own.status = status
 	if err := own.write(connection); err != nil {
 		return hello{}, err
 	}
-	if refusal != nil {
-		return hello{}, refusal
+	if rejection != nil {
+		return hello{}, rejection
 	}
 	return peer, connection.SetDeadline(time.Time{})
 }
