--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -80,7 +80,7 @@
 
 // newCore starts a member from what its disk held, nil for an empty disk or none. genesis is the first view where
 // this start founds the system; it is ignored if the disk held something.
-func newCore(options coreOptions, found *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
+func newCore(options coreOptions, recovered *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
 	c := &core{
 		coreOptions:    options,
 		log:            chain.NewLog(0, 0, nil),
@@ -99,32 +99,32 @@
 	}
 	c.learner = newLearnerState(c.random)
 	c.acceptor.Self = options.self
-	if found != nil {
-		c.self = found.self
-		c.acceptor.Self = found.self
-		if found.snapshot != nil {
-			if err := c.state.Restore(*found.snapshot); err != nil {
+	if recovered != nil {
+		c.self = recovered.self
+		c.acceptor.Self = recovered.self
+		if recovered.snapshot != nil {
+			if err := c.state.Restore(*recovered.snapshot); err != nil {
 				return nil, err
 			}
 		}
-		c.loadRecovered(found)
+		c.loadRecovered(recovered)
 	} else if genesis != nil {
 		c.acceptor.DurableState = view.DurableState{View: *genesis}
 		if genesis.InChain(c.self) {
 			c.syncedEpoch = genesis.Epoch
 		}
 	}
-	c.checkpointDue = found == nil
+	c.checkpointDue = recovered == nil
 	c.resetFailureDetector()
 	c.enterView()
 	return c, nil
 }
 
 // loadRecovered takes over what the disk holds, beside the state machine.
-func (c *core) loadRecovered(found *recoveredState) {
-	c.acceptor.DurableState = found.durable
-	c.syncedEpoch = found.synced
-	c.log = found.log
+func (c *core) loadRecovered(recovered *recoveredState) {
+	c.acceptor.DurableState = recovered.durable
+	c.syncedEpoch = recovered.synced
+	c.log = recovered.log
 	c.commitIndex, _ = c.state.Applied()
 	c.durableIndex = c.log.LastIndex()
 }
@@ -240,9 +240,9 @@
 
 // reopened returns to what the disk holds after it failed to take what this member had decided. None of that has left
 // the member: the carrier discarded the messages.
-func (c *core) reopened(now time.Duration, found *recoveredState) {
+func (c *core) reopened(now time.Duration, recovered *recoveredState) {
 	c.now = now
-	c.loadRecovered(found)
+	c.loadRecovered(recovered)
 	c.records, c.messages, c.checkpointDue = nil, nil, false
 	c.proposer.abandon(now, 0)
 	c.lastTick = now
--- a/coord/replica/injected_bugs_test.go
+++ b/coord/replica/injected_bugs_test.go
@@ -37,9 +37,9 @@
 )
 
 // injectIntoRecovery spoils what a start finds on its disk.
-func (n *simulatedNode) injectIntoRecovery(found *recoveredState) {
-	if found != nil && n.sim.bug == bugForgottenPromises {
-		found.durable = view.DurableState{View: found.durable.View}
+func (n *simulatedNode) injectIntoRecovery(recovered *recoveredState) {
+	if recovered != nil && n.sim.bug == bugForgottenPromises {
+		recovered.durable = view.DurableState{View: recovered.durable.View}
 	}
 }
 
--- a/coord/replica/simulated_disk_test.go
+++ b/coord/replica/simulated_disk_test.go
@@ -57,12 +57,12 @@
 
 // open opens the store, as a starting process does, and returns what it finds.
 func (d *simulatedDisk) open() *recoveredState {
-	store, found, err := openStore(d.files)
+	store, recovered, err := openStore(d.files)
 	if err != nil {
 		panic(fmt.Sprintf("a disk can't be read that lost no more than power: %v", err))
 	}
 	d.store = store
-	return found
+	return recovered
 }
 
 // diskWrite is one write of a process: records, or a snapshot in their place, which holds state.
--- a/coord/replica/simulated_node_test.go
+++ b/coord/replica/simulated_node_test.go
@@ -60,16 +60,16 @@
 			sim.tracef("%s %s %v", n.name, event, fields)
 		},
 	}
-	found := n.open()
+	recovered := n.open()
 	var genesis *view.View
-	if found == nil {
+	if recovered == nil {
 		options.self.Incarnation = fmt.Sprintf("%x", sim.random.Uint64())
 		if bootstrap || sim.bug == bugWipedMemberVotes {
 			genesis = n.genesis(&options)
 		}
 	}
 	var err error
-	if n.core, err = newCore(options, found, genesis, sim.now); err != nil {
+	if n.core, err = newCore(options, recovered, genesis, sim.now); err != nil {
 		sim.failf("start %s: %v", n.name, err)
 	}
 	sim.tracef("%s starts, incarnation %s", n.name, n.core.self.Incarnation)
@@ -84,15 +84,15 @@
 		return nil
 	}
 	n.disk.files.SetCapacity(0)
-	found := n.disk.open()
-	if found != nil {
+	recovered := n.disk.open()
+	if recovered != nil {
 		n.sim.recoveries++
 	}
-	if found.summary() != n.disk.shadow.summary() {
-		n.sim.failf("%s finds %s on its disk, which held %s", n.name, found.summary(), n.disk.shadow.summary())
+	if recovered.summary() != n.disk.shadow.summary() {
+		n.sim.failf("%s finds %s on its disk, which held %s", n.name, recovered.summary(), n.disk.shadow.summary())
 	}
-	n.injectIntoRecovery(found)
-	return found
+	n.injectIntoRecovery(recovered)
+	return recovered
 }
 
 // genesis returns the first view. A machine among the founders gets their incarnation.
--- a/coord/replica/start.go
+++ b/coord/replica/start.go
@@ -26,11 +26,11 @@
 		closing: make(chan struct{}),
 	}
 	n.callbacks.Store(&callbacks{})
-	found, err := n.openDisk()
+	recovered, err := n.openDisk()
 	if err != nil {
 		return nil, err
 	}
-	if err := n.openCore(found); err != nil {
+	if err := n.openCore(recovered); err != nil {
 		return nil, n.abort(err)
 	}
 	n.flush()
@@ -59,13 +59,13 @@
 }
 
 // openCore makes the core from what the disk held, or as a new member.
-func (n *Node) openCore(found *recoveredState) error {
+func (n *Node) openCore(recovered *recoveredState) error {
 	member, genesis, err := newMember(&n.options)
 	if err != nil {
 		return err
 	}
-	if found != nil {
-		member = found.self
+	if recovered != nil {
+		member = recovered.self
 		genesis = nil
 	}
 	var drawn [24]byte
@@ -86,7 +86,7 @@
 		logEvent:      n.options.Log,
 		onApply:       n.onApplied,
 		onViewAdopted: n.onViewAdopted,
-	}, found, genesis, n.now())
+	}, recovered, genesis, n.now())
 	return err
 }
 
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -23,7 +23,7 @@
 const diskProbeInterval = 500 * time.Millisecond
 
 // openStore opens the disk and decodes what it holds; found is nil for an empty one.
-func openStore(fs slots.FS) (store durableStore, found *recoveredState, err error) {
+func openStore(fs slots.FS) (store durableStore, recovered *recoveredState, err error) {
 	opened, contents, err := slots.Open(fs, slots.Options{})
 	if err != nil {
 		return nil, nil, err
@@ -31,12 +31,12 @@
 	if !contents.Found || len(contents.Snapshot) == 0 {
 		return opened, nil, nil
 	}
-	found, err = recoverState(contents.Snapshot, contents.Records)
+	recovered, err = recoverState(contents.Snapshot, contents.Records)
 	if err != nil {
 		return nil, nil, errors.Join(err, opened.Close())
 	}
-	found.repairs = contents.Findings
-	return opened, found, nil
+	recovered.repairs = contents.Findings
+	return opened, recovered, nil
 }
 
 // openDisk opens the disk of a starting node. A disk that lost data that it had acknowledged is emptied: its member
@@ -46,29 +46,29 @@
 	if fs == nil {
 		return nil, nil
 	}
-	store, found, err := openStore(fs)
+	store, recovered, err := openStore(fs)
 	if errors.Is(err, slots.ErrCorrupt) || errors.Is(err, errCorruptRecord) {
 		n.options.Log("disk_corrupt", "error", err.Error())
 		n.options.Bootstrap = false
 		if err := slots.Wipe(fs, slots.Options{}); err != nil {
 			return nil, fmt.Errorf("replica: empty the damaged disk: %w", err)
 		}
-		store, found, err = openStore(fs)
+		store, recovered, err = openStore(fs)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("replica: open the disk: %w", err)
 	}
 	n.store = store
-	n.logRepairs(found)
-	return found, nil
+	n.logRepairs(recovered)
+	return recovered, nil
 }
 
 // logRepairs logs the truncated tails that were cut off the disk's files at this start.
-func (n *Node) logRepairs(found *recoveredState) {
-	if found == nil {
+func (n *Node) logRepairs(recovered *recoveredState) {
+	if recovered == nil {
 		return
 	}
-	for _, finding := range found.repairs {
+	for _, finding := range recovered.repairs {
 		n.options.Log("disk_repaired", "file", finding.File, "offset", finding.Offset, "problem", finding.Problem)
 	}
 }
@@ -89,8 +89,8 @@
 		return false
 	}
 	n.nextDiskProbe = time.Now().Add(diskProbeInterval)
-	store, found, err := openStore(n.options.filesystem())
-	if err != nil || found == nil {
+	store, recovered, err := openStore(n.options.filesystem())
+	if err != nil || recovered == nil {
 		return false
 	}
 	if err := store.Append([]byte{recordProbe}); err != nil {
@@ -99,7 +99,7 @@
 	}
 	n.store = store
 	n.diskUnhealthy = false
-	n.core.reopened(n.now(), found)
+	n.core.reopened(n.now(), recovered)
 	n.options.Log("disk_recovered")
 	return true
 }
--- a/coord/replica/torn_log_test.go
+++ b/coord/replica/torn_log_test.go
@@ -32,9 +32,9 @@
 		node := &Node{options: Options{Disk: disk, Log: func(event string, fields ...any) {
 			logged = append(logged, fmt.Sprint(event, fields))
 		}}}
-		found, err := node.openDisk()
-		if err != nil || found.self != saved.Self {
-			t.Fatal(found, err)
+		recovered, err := node.openDisk()
+		if err != nil || recovered.self != saved.Self {
+			t.Fatal(recovered, err)
 		}
 		disk.Kill()
 	}
