--- a/coord/replica/campaign_test.go
+++ b/coord/replica/campaign_test.go
@@ -71,8 +71,8 @@
 	c.oldestDiskFirst = draws.IntN(4) == 0
 	c.drawLimits()
 	for i := 0; i < int(seed%3); i++ {
-		observer := c.addNode(false)
-		c.after(100*time.Millisecond, func() { observer.start(true) })
+		learner := c.addNode(false)
+		c.after(100*time.Millisecond, func() { learner.start(true) })
 	}
 	c.onAck = func(_ *simulatedNode, id string) {
 		c.lastAck = c.now
@@ -338,7 +338,7 @@
 			c.failf("command %s applied twice", command)
 		}
 		positions[command] = i
-		if of := c.callers[command]; of != nil && of.calls == of.unsent {
+		if record := c.callers[command]; record != nil && record.calls == record.unsent {
 			c.failf("command %s was applied, and its caller was told that it never left its node", command)
 		}
 	}
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -180,44 +180,44 @@
 
 // partition partitions the link from one machine to another until heal is called.
 func (sim *simulatedCluster) partition(from, to *simulatedNode) (heal func()) {
-	way := link{from.address, to.address}
-	sim.partitions[way]++
+	direction := link{from.address, to.address}
+	sim.partitions[direction]++
 	return func() {
-		if sim.partitions[way] == 0 {
+		if sim.partitions[direction] == 0 {
 			return
 		}
-		if sim.partitions[way]--; sim.partitions[way] == 0 {
-			sim.releaseBuffered(way)
+		if sim.partitions[direction]--; sim.partitions[direction] == 0 {
+			sim.releaseBuffered(direction)
 		}
 	}
 }
 
 // healAll ends all partitions.
 func (sim *simulatedCluster) healAll() {
-	for _, way := range sim.partitionedLinks() {
-		delete(sim.partitions, way)
-		sim.releaseBuffered(way)
+	for _, direction := range sim.partitionedLinks() {
+		delete(sim.partitions, direction)
+		sim.releaseBuffered(direction)
 	}
 }
 
 // partitionedLinks lists the partitioned links, in the same order in each run.
 func (sim *simulatedCluster) partitionedLinks() []link {
-	var ways []link
+	var links []link
 	for _, from := range sim.nodes {
 		for _, to := range sim.nodes {
-			if way := (link{from.address, to.address}); sim.partitions[way] > 0 {
-				ways = append(ways, way)
+			if direction := (link{from.address, to.address}); sim.partitions[direction] > 0 {
+				links = append(links, direction)
 			}
 		}
 	}
-	return ways
+	return links
 }
 
 // releaseBuffered delivers what a partition has delayed.
-func (sim *simulatedCluster) releaseBuffered(way link) {
-	delete(sim.partitions, way)
-	arrivals := sim.buffered[way]
-	delete(sim.buffered, way)
+func (sim *simulatedCluster) releaseBuffered(direction link) {
+	delete(sim.partitions, direction)
+	arrivals := sim.buffered[direction]
+	delete(sim.buffered, direction)
 	for _, arrive := range arrivals {
 		sim.after(time.Millisecond/2, arrive)
 	}
@@ -245,7 +245,7 @@
 	}
 	sim.messages++
 	sim.countTransfer(from, to, m)
-	way := link{from.address, to.address}
+	direction := link{from.address, to.address}
 	delay := time.Millisecond/2 + time.Duration(sim.random.Int64N(int64(time.Millisecond)))
 	if sim.unordered {
 		if sim.random.IntN(50) == 0 {
@@ -259,13 +259,13 @@
 			sim.after(again, func() { sim.arrive(from, to, to.incarnation, m) })
 		}
 	} else {
-		at := max(sim.now+delay, sim.lastArrival[way])
-		sim.lastArrival[way] = at
+		at := max(sim.now+delay, sim.lastArrival[direction])
+		sim.lastArrival[direction] = at
 		delay = at - sim.now
 	}
-	incarnation, resets := to.incarnation, sim.resets[way]
+	incarnation, resets := to.incarnation, sim.resets[direction]
 	sim.after(delay, func() {
-		if resets == sim.resets[way] {
+		if resets == sim.resets[direction] {
 			sim.arrive(from, to, incarnation, m)
 		}
 	})
@@ -306,9 +306,9 @@
 	if to.incarnation != incarnation || !to.up {
 		return
 	}
-	way := link{from.address, to.address}
-	if sim.partitions[way] > 0 {
-		sim.buffer(way, from, to, m)
+	direction := link{from.address, to.address}
+	if sim.partitions[direction] > 0 {
+		sim.buffer(direction, from, to, m)
 		return
 	}
 	sender := from.core.self
@@ -322,13 +322,13 @@
 
 // buffer keeps a message that meets a partition until its end, if the run simulates kernels' buffers. It is lost if
 // either process ends before, or the connection is reset.
-func (sim *simulatedCluster) buffer(way link, from, to *simulatedNode, m envelope) {
+func (sim *simulatedCluster) buffer(direction link, from, to *simulatedNode, m envelope) {
 	if !sim.bufferPartitioned {
 		return
 	}
-	sent, received, resets := from.incarnation, to.incarnation, sim.resets[way]
-	sim.buffered[way] = append(sim.buffered[way], func() {
-		if from.incarnation == sent && resets == sim.resets[way] {
+	sent, received, resets := from.incarnation, to.incarnation, sim.resets[direction]
+	sim.buffered[direction] = append(sim.buffered[direction], func() {
+		if from.incarnation == sent && resets == sim.resets[direction] {
 			sim.arrive(from, to, received, m)
 		}
 	})
--- a/coord/replica/delayed_messages_test.go
+++ b/coord/replica/delayed_messages_test.go
@@ -26,16 +26,18 @@
 // compacted.
 func TestLatePrefixRequest(t *testing.T) {
 	sim := compactedCluster(t, 30)
-	source, asker := sim.nodes[0], sim.nodes[1].core.self
-	source.handle(func() { source.core.step(sim.now, asker, PrefixRequest{Epoch: source.core.epoch()}) })
+	source, requester := sim.nodes[0], sim.nodes[1].core.self
+	source.handle(func() { source.core.step(sim.now, requester, PrefixRequest{Epoch: source.core.epoch()}) })
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
 // TestLateAck delivers an old Ack to the head, whose sender lacked then what the head has compacted since.
 func TestLateAck(t *testing.T) {
 	sim := compactedCluster(t, 31)
-	head, after := sim.nodes[0], sim.nodes[1].core.self
-	head.handle(func() { head.core.step(sim.now, after, Ack{Epoch: head.core.epoch(), End: 1, Whole: true, Gap: true}) })
+	head, successor := sim.nodes[0], sim.nodes[1].core.self
+	head.handle(func() {
+		head.core.step(sim.now, successor, Ack{Epoch: head.core.epoch(), End: 1, Whole: true, Gap: true})
+	})
 	sim.runUntil(sim.now + 100*time.Millisecond)
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
@@ -44,10 +46,10 @@
 // disk refused writes.
 func TestLateAckBeforeAnyOther(t *testing.T) {
 	sim := compactedCluster(t, 36)
-	head, after := sim.nodes[0], sim.nodes[1].core.self
+	head, successor := sim.nodes[0], sim.nodes[1].core.self
 	head.handle(func() {
 		head.core.enterChain()
-		head.core.step(sim.now, after, Ack{Epoch: head.core.epoch(), End: 1, Whole: true})
+		head.core.step(sim.now, successor, Ack{Epoch: head.core.epoch(), End: 1, Whole: true})
 	})
 	sim.runUntil(sim.now + 100*time.Millisecond)
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -152,14 +152,14 @@
 // TestPlannedDeparture checks that a member that departs as planned is out of the chain at once, and that the others
 // go on without a pause.
 func TestPlannedDeparture(t *testing.T) {
-	for place := 0; place < 3; place++ {
+	for position := 0; position < 3; position++ {
 		for seed := uint64(0); seed < 50; seed++ {
 			sim := startSimulatedCluster(seed, 3, 1)
 			sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
 			sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
 			var leaving, staying *simulatedNode
 			for _, n := range sim.nodes {
-				if n.address == sim.nodes[0].core.view().Chain[place].Address {
+				if n.address == sim.nodes[0].core.view().Chain[position].Address {
 					leaving = n
 				} else {
 					staying = n
@@ -181,7 +181,7 @@
 				sim.failf("%s is in the chain 200 ms after it asked to leave", leaving.name)
 			}
 			if took := sim.mustAcknowledge(t, staying, "after", time.Second); took > 400*time.Millisecond {
-				t.Errorf("place %d, seed %d: next command after %v", place, seed, took)
+				t.Errorf("place %d, seed %d: next command after %v", position, seed, took)
 			}
 			sim.runUntil(sim.now + 3*time.Second)
 			if !left {
--- a/coord/replica/failover_test.go
+++ b/coord/replica/failover_test.go
@@ -11,14 +11,14 @@
 
 // failover returns the time from the loss of the member at a position of the chain to the next acknowledgement, of a
 // command proposed through another member at a random moment soon after.
-func failover(t *testing.T, seed uint64, place int, lose func(*simulatedNode)) time.Duration {
+func failover(t *testing.T, seed uint64, position int, lose func(*simulatedNode)) time.Duration {
 	sim := startSimulatedCluster(seed, 3, 1)
 	sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
 	sim.mustAcknowledge(t, sim.nodes[0], "before", time.Second)
 	chainMembers := sim.nodes[0].core.view().Chain
 	var victim, other *simulatedNode
 	for _, n := range sim.nodes {
-		if n.address == chainMembers[place].Address {
+		if n.address == chainMembers[position].Address {
 			victim = n
 		} else {
 			other = n
@@ -45,10 +45,10 @@
 		"pause": (*simulatedNode).pause,
 	}
 	for name, lose := range losses {
-		for place, title := range []string{"head", "middle", "tail"} {
+		for position, title := range []string{"head", "middle", "tail"} {
 			var times []time.Duration
 			for seed := uint64(0); seed < defaultRuns; seed++ {
-				times = append(times, failover(t, seed, place, lose))
+				times = append(times, failover(t, seed, position, lose))
 			}
 			sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 			worst := times[len(times)-1]
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -72,9 +72,9 @@
 	if c.onlyFault == "" {
 		return faultKinds[c.random.IntN(len(faultKinds))]
 	}
-	for _, h := range faultKinds {
-		if h.name == c.onlyFault {
-			return h
+	for _, kind := range faultKinds {
+		if kind.name == c.onlyFault {
+			return kind
 		}
 	}
 	panic("no fault of kind " + c.onlyFault)
@@ -275,10 +275,10 @@
 // killAll ends all processes within milliseconds, by kills or a loss of power; the machines in wiped lose their
 // disks. It returns how long this takes until all have restarted.
 func (c *campaign) killAll(wiped []*simulatedNode, down time.Duration) time.Duration {
-	power := c.random.IntN(2) == 0
+	powerLoss := c.random.IntN(2) == 0
 	for _, n := range c.members() {
 		c.after(c.randomDuration(4*time.Millisecond), func() {
-			n.end("is one of all that end", power)
+			n.end("is one of all that end", powerLoss)
 			for _, other := range wiped {
 				if other == n {
 					n.wipe()
--- a/coord/replica/injected_bugs_test.go
+++ b/coord/replica/injected_bugs_test.go
@@ -83,7 +83,7 @@
 func (sim *simulatedCluster) injectIntoMessage(from, to *simulatedNode, m envelope) (envelope, bool) {
 	switch body := m.body.(type) {
 	case view.PrepareResponse:
-		m.body = sim.injectIntoPromise(body)
+		m.body = sim.injectIntoPrepareResponse(body)
 	case Forward:
 		return sim.injectIntoForward(to, m, body)
 	case PrefixTransfer:
@@ -92,7 +92,7 @@
 	return m, true
 }
 
-func (sim *simulatedCluster) injectIntoPromise(body view.PrepareResponse) view.PrepareResponse {
+func (sim *simulatedCluster) injectIntoPrepareResponse(body view.PrepareResponse) view.PrepareResponse {
 	switch sim.bug {
 	case bugAcceptedValueIgnored:
 		body.Accepted = nil
--- a/coord/replica/invariants_test.go
+++ b/coord/replica/invariants_test.go
@@ -62,14 +62,14 @@
 
 // checkDeferred checks that a command wasn't deferred anywhere until a view from after its last caller gave up.
 func (sim *simulatedCluster) checkDeferred(entry chain.Entry) {
-	of := sim.callers[entry.ID]
+	record := sim.callers[entry.ID]
 	decided, known := sim.decidedAt[entry.Epoch]
-	if of == nil || of.open > 0 || !known || sim.unordered {
+	if record == nil || record.open > 0 || !known || sim.unordered {
 		return
 	}
-	if decided > of.lastWithdrawn+deferredLimit {
+	if decided > record.lastWithdrawn+deferredLimit {
 		sim.failf("command %s, whose last caller gave up at %v, was appended in epoch %d, decided at %v",
-			entry.ID, of.lastWithdrawn, entry.Epoch, decided)
+			entry.ID, record.lastWithdrawn, entry.Epoch, decided)
 	}
 }
 
@@ -205,16 +205,16 @@
 		if !n.up || n.core == nil {
 			continue
 		}
-		since, proven := n.core.currentAsOf()
+		asOf, proven := n.core.currentAsOf()
 		if !proven {
 			continue
 		}
 		applied, _ := n.core.state.Applied()
-		if least := sim.ackedBefore(since); applied < least {
-			sim.failf("%s claims to be current as of %v with %d applied, %d was acknowledged", n.name, since, applied, least)
+		if least := sim.ackedBefore(asOf); applied < least {
+			sim.failf("%s claims to be current as of %v with %d applied, %d was acknowledged", n.name, asOf, applied, least)
 		}
-		if n.partitioned && since > n.partitionedSince {
-			sim.failf("%s claims to be current as of %v, partitioned since %v", n.name, since, n.partitionedSince)
+		if n.partitioned && asOf > n.partitionedSince {
+			sim.failf("%s claims to be current as of %v, partitioned since %v", n.name, asOf, n.partitionedSince)
 		}
 	}
 }
--- a/coord/replica/node_test.go
+++ b/coord/replica/node_test.go
@@ -119,8 +119,8 @@
 		machines = append(machines, m)
 		seeds = append(seeds, m.address)
 	}
-	observer := &machine{name: "observer", address: freeAddress(t)}
-	all := append(append([]*machine{}, machines...), observer)
+	learner := &machine{name: "observer", address: freeAddress(t)}
+	all := append(append([]*machine{}, machines...), learner)
 	for _, m := range all {
 		m.start(t, seeds, true)
 	}
--- a/coord/replica/random_test.go
+++ b/coord/replica/random_test.go
@@ -87,12 +87,12 @@
 
 // TestSingleFaultKind has one kind of fault come again and again.
 func TestSingleFaultKind(t *testing.T) {
-	for _, h := range faultKinds {
-		t.Run(h.name, func(t *testing.T) {
+	for _, kind := range faultKinds {
+		t.Run(kind.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(0); seed < runsPerFault; seed++ {
 				c := prepareCampaign(seed, runDuration, "")
-				c.onlyFault = h.name
+				c.onlyFault = kind.name
 				c.run()
 			}
 		})
@@ -124,14 +124,14 @@
 func TestClientsOfPartitionedNode(t *testing.T) {
 	c := &campaign{simulatedCluster: startSimulatedCluster(22, 3, 1), end: runDuration}
 	c.runUntil(2 * time.Second)
-	mute := c.nodes[1]
-	c.partition(mute, c.nodes[0])
-	c.partition(mute, c.nodes[2])
+	partitioned := c.nodes[1]
+	c.partition(partitioned, c.nodes[0])
+	c.partition(partitioned, c.nodes[2])
 	lost, waiting := c.now, 3
 	for client := range 3 {
 		id := fmt.Sprint("order-", client)
-		mute.propose(id, nil)
-		c.after(time.Second, func() { c.attempt(id, []*simulatedNode{mute}, func() { waiting-- }) })
+		partitioned.propose(id, nil)
+		c.after(time.Second, func() { c.attempt(id, []*simulatedNode{partitioned}, func() { waiting-- }) })
 	}
 	if !c.runWhile(maxUnavailability, func() bool { return waiting > 0 }) {
 		t.Errorf("%d commands aren't acknowledged %v after the partition", waiting, c.now-lost)
--- a/coord/replica/replication_test.go
+++ b/coord/replica/replication_test.go
@@ -26,8 +26,8 @@
 // TestAcknowledgementsWithoutFaults bounds the latency of commands and the staleness of nodes while nothing fails.
 func TestAcknowledgementsWithoutFaults(t *testing.T) {
 	sim := startSimulatedCluster(1, 3, 1)
-	observer := sim.addNode(false)
-	sim.after(100*time.Millisecond, func() { observer.start(true) })
+	learner := sim.addNode(false)
+	sim.after(100*time.Millisecond, func() { learner.start(true) })
 	sim.runUntil(time.Second)
 	for i := 0; i < 20; i++ {
 		for j, n := range sim.nodes {
@@ -44,9 +44,9 @@
 		if len(n.stateMachine.commands) != 80 {
 			t.Errorf("%s applied %d commands", n.name, len(n.stateMachine.commands))
 		}
-		since, proven := n.core.currentAsOf()
-		if !proven || sim.now-since > 900*time.Millisecond {
-			t.Errorf("%s is current as of %v at %v (%v)", n.name, since, sim.now, proven)
+		asOf, proven := n.core.currentAsOf()
+		if !proven || sim.now-asOf > 900*time.Millisecond {
+			t.Errorf("%s is current as of %v at %v (%v)", n.name, asOf, sim.now, proven)
 		}
 	}
 	if until, ok := sim.nodes[0].core.leaderLease(); !ok {
--- a/coord/replica/resource_usage_test.go
+++ b/coord/replica/resource_usage_test.go
@@ -82,8 +82,8 @@
 	sim.limits.retainedLogBytes = 32 << 10
 	sim.limits.deduplicationWindow = 1024
 	sim.runUntil(2 * time.Second)
-	observer := sim.addNode(false)
-	observer.start(true)
+	learner := sim.addNode(false)
+	learner.start(true)
 	sim.runUntil(3 * time.Second)
 	measure := func(name string, count int) resourceUsage {
 		var most resourceUsage
--- a/coord/replica/second_loss_test.go
+++ b/coord/replica/second_loss_test.go
@@ -59,7 +59,7 @@
 // prefix.
 func (sim *simulatedCluster) unfinishedView(a, b *simulatedNode) (source *simulatedNode) {
 	epoch := max(a.core.epoch(), b.core.epoch())
-	stands := func() bool {
+	hasSource := func() bool {
 		for _, n := range []*simulatedNode{a, b} {
 			v := n.core.view()
 			if v.Epoch > epoch && v.Source.Same(n.core.self) && !n.syncing {
@@ -68,16 +68,16 @@
 		}
 		return source != nil
 	}
-	if !sim.runWhile(5*time.Second, func() bool { return !stands() }) {
+	if !sim.runWhile(5*time.Second, func() bool { return !hasSource() }) {
 		sim.failf("no view of %s and %s", a.name, b.name)
 	}
-	ends := a
+	victim := a
 	if source == a {
-		ends = b
+		victim = b
 	}
-	ends.kill()
-	if ends.disk.shadow.synced > epoch {
-		sim.failf("%s has the prefix", ends.name)
+	victim.kill()
+	if victim.disk.shadow.synced > epoch {
+		sim.failf("%s has the prefix", victim.name)
 	}
 	return source
 }
--- a/coord/replica/simulated_disk_test.go
+++ b/coord/replica/simulated_disk_test.go
@@ -111,7 +111,7 @@
 
 // end ends the process, by a kill or by a loss of power, during a write if there is one. It checks that the disk then
 // holds what it did before or after that write, and nothing between.
-func (d *simulatedDisk) end(write diskWrite, power bool) {
+func (d *simulatedDisk) end(write diskWrite, powerLoss bool) {
 	allowed := []string{d.shadow.summary()}
 	if !write.empty() {
 		d.files.FailAt(1 + d.random.IntN(8))
@@ -122,7 +122,7 @@
 		d.updateShadow(write)
 		allowed = append(allowed, d.shadow.summary())
 	}
-	if power {
+	if powerLoss {
 		d.files.LosePower()
 	} else {
 		d.files.Kill()
--- a/coord/replica/simulated_node_test.go
+++ b/coord/replica/simulated_node_test.go
@@ -153,7 +153,7 @@
 	}
 	n.syncing = true
 	incarnation := n.incarnation
-	n.writing = func(power bool) { n.disk.end(write, power) }
+	n.writing = func(powerLoss bool) { n.disk.end(write, powerLoss) }
 	duration := sim.syncTime/2 + time.Duration(sim.random.Int64N(int64(sim.syncTime)))
 	sim.after(duration*time.Duration(max(n.diskSlowdown, 1)), func() { n.synced(incarnation, write) })
 }
@@ -244,7 +244,7 @@
 func (n *simulatedNode) losePower() { n.end("loses power", true) }
 
 // end ends a process.
-func (n *simulatedNode) end(how string, power bool) {
+func (n *simulatedNode) end(how string, powerLoss bool) {
 	if !n.up {
 		return
 	}
@@ -255,10 +255,10 @@
 		return
 	}
 	if n.writing == nil {
-		n.disk.end(diskWrite{}, power)
+		n.disk.end(diskWrite{}, powerLoss)
 		return
 	}
-	n.writing(power)
+	n.writing(powerLoss)
 	n.writing = nil
 }
 
@@ -293,9 +293,9 @@
 	incarnation, started := n.incarnation, sim.now
 	wait := &outcomeWaiter{outcomes: make(chan chain.Outcome, 1)}
 	submitted := false
-	of := sim.callersOf(id)
-	of.calls++
-	of.open++
+	record := sim.callersOf(id)
+	record.calls++
+	record.open++
 	n.handle(func() {
 		if n.incarnation != incarnation {
 			return
@@ -317,19 +317,19 @@
 	return func() {
 		n.handle(func() {
 			if n.incarnation == incarnation && submitted && len(wait.outcomes) == 0 {
-				n.recordWithdrawal(of, n.core.withdraw(id, wait))
+				n.recordWithdrawal(record, n.core.withdraw(id, wait))
 			}
 		})
 	}
 }
 
 // recordWithdrawal records what a caller that gives up is told.
-func (n *simulatedNode) recordWithdrawal(of *callerRecord, sent bool) {
+func (n *simulatedNode) recordWithdrawal(record *callerRecord, sent bool) {
 	if !sent || n.sim.bug == bugSentForgotten {
-		of.unsent++
+		record.unsent++
 	}
-	of.open--
-	of.lastWithdrawn = n.sim.now
+	record.open--
+	record.lastWithdrawn = n.sim.now
 }
 
 // notifyWaiting delivers outcomes to the callers of this node.
