--- a/coord/chain/state.go
+++ b/coord/chain/state.go
@@ -35,7 +35,7 @@
 	appliedIndex uint64
 	appliedEpoch uint64
 	outcomes     map[string]Outcome // by ID: those of the last window IDs of recent
-	recent       []string           // IDs in the order of application; up to twice as many as window, trimmed at once
+	recent       []string           // IDs in the order of application; cut to window at twice as many
 }
 
 // NewState wraps an empty state machine and keeps the outcomes of the last commands, as many as window says. The
@@ -107,7 +107,7 @@
 // Restore replaces the state by a snapshot. After an error of the state machine, nothing else is changed.
 func (s *State) Restore(snapshot Snapshot) error {
 	if err := s.stateMachine.Restore(snapshot.Machine); err != nil {
-		return fmt.Errorf("chain: restore the machine at %d: %w", snapshot.Index, err)
+		return fmt.Errorf("chain: restore the state machine from the snapshot at index %d: %w", snapshot.Index, err)
 	}
 	s.appliedIndex, s.appliedEpoch = snapshot.Index, snapshot.Epoch
 	s.outcomes = make(map[string]Outcome, len(snapshot.Outcomes))
--- a/coord/lease/granter.go
+++ b/coord/lease/granter.go
@@ -10,7 +10,7 @@
 	// ErrHeld says that another holder's lease may not have ended yet.
 	ErrHeld = errors.New("lease: held by another")
 	// ErrGracePeriod says that grants of an earlier granter may not have ended yet.
-	ErrGracePeriod = errors.New("lease: an earlier granter's leases may still stand")
+	ErrGracePeriod = errors.New("lease: leases of an earlier granter may not have ended")
 	// ErrStaleToken says that the token isn't that of this holder's current lease.
 	ErrStaleToken = errors.New("lease: token is not current")
 	// ErrDurationOutOfRange says that a duration isn't positive, or exceeds GranterOptions.MaxDuration.
--- a/coord/transport/errors.go
+++ b/coord/transport/errors.go
@@ -32,11 +32,11 @@
 	// ErrSystemMismatch reports a peer whose Identity.System is another one.
 	ErrSystemMismatch = errors.New("transport: peer belongs to another system")
 	// ErrRejected reports that Options.Admit, of this side or the peer's, rejected the connection.
-	ErrRejected = errors.New("transport: peer refused")
+	ErrRejected = errors.New("transport: connection rejected")
 	// ErrHeartbeatTimeout reports a peer from which nothing was received for three heartbeats.
-	ErrHeartbeatTimeout = errors.New("transport: peer is silent")
+	ErrHeartbeatTimeout = errors.New("transport: nothing received for three heartbeats")
 	// ErrWriteTimeout reports a peer that took no bytes for Options.WriteTimeout.
-	ErrWriteTimeout = errors.New("transport: peer does not read")
+	ErrWriteTimeout = errors.New("transport: peer does not read, write timed out")
 	// ErrClosed reports a connection that this side closed.
 	ErrClosed = errors.New("transport: closed")
 )
