--- a/coord/leader/role.go
+++ b/coord/leader/role.go
@@ -8,10 +8,12 @@
 // Source says whether this node is the leader; coord/replica.Node is one. Its methods may be called by several
 // goroutines at once, and must not call the Runner.
 type Source interface {
-	// Lead returns the epoch of this node's leadership and the moment until which no other node can be leader; ok is
-	// false if this node isn't the leader. It must return soon: Term.Valid calls it.
+	// LeaderLease returns the epoch of this node's leadership and the moment until which no other node can be
+	// leader; ok is false if this node isn't the leader. It must not block: Term.Valid calls it before each
+	// act.
 	LeaderLease() (epoch uint64, until time.Time, ok bool)
-	// HandOver gives the leadership to another node. It returns once that is done, or with an error.
+	// HandOver transfers the leadership to another node (leadership transfer in Raft). It returns nil once
+	// that is done; after an error, this node may still be the leader.
 	HandOver(ctx context.Context) error
 }
 
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -34,8 +34,8 @@
 	closing   chan struct{} // closed by Close
 	loopDone  chan struct{} // closed once the source isn't polled any more
 
-	// mutex guards what follows. It is held for no longer than a call of Source.Lead, and never while a role is
-	// waited for.
+	// mutex guards the fields below. It is held for no longer than a call of Source.LeaderLease, and never
+	// while a role is waited for.
 	mutex        sync.Mutex
 	election     *Election
 	cancel       context.CancelFunc // of the role that was started last; nil before the first
@@ -68,7 +68,7 @@
 // now returns the election's time.
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// leaderLease returns what the source says, in the election's time.
+// leaderLease returns the source's lease, in the election's time.
 func (r *Runner) leaderLease() Lease {
 	epoch, until, leads := r.source.LeaderLease()
 	return Lease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -33,8 +33,8 @@
 	// OnChange receives changes in order, after Members reflects them. It must return soon, as it holds up the
 	// protocol, and must not call the Runner except for Members. If nil, changes are only reflected by Members.
 	OnChange func([]membership.Change)
-	// Log receives what goes wrong: the event, its error and the other side's address. It must return soon. If nil,
-	// nothing is logged.
+	// Log receives errors: the event (read_failed, datagram_dropped, address_invalid or datagram_not_sent),
+	// the error, and the other side's address. It must return soon. If nil, nothing is logged.
 	Log func(event string, err error, remote string)
 }
 
@@ -46,8 +46,8 @@
 	members   atomic.Pointer[Members] // replaced by publish
 	readDone  chan struct{}           // closed once the socket isn't read any more
 
-	// mutex guards what follows. It is held through each step of the node with the sends and OnChange that it leads
-	// to, so that messages and changes keep their order.
+	// mutex guards the fields below. It is held through each step of the node with the sends and OnChange
+	// that it leads to, so that messages and changes keep their order.
 	mutex  sync.Mutex
 	node   *membership.Node
 	timer  *time.Timer // of the node's next tick
--- a/coord/membership/update.go
+++ b/coord/membership/update.go
@@ -8,9 +8,9 @@
 	n.broadcasts.add(n.Self())
 }
 
-// merge takes in an update, spreads it on and reports a change of state. isNews is false for an update that comes
-// from a whole table: if it makes a machine known here for the first time it isn't spread on, as all who receive
-// the table would spread all of it.
+// merge takes in an update, spreads it on and reports a change of state. incremental is false for an update
+// that comes with a whole table (Sync): if it makes a machine known here for the first time it isn't spread
+// on, as otherwise each receiver of a table would spread all of it.
 func (n *Node) merge(update Update, now time.Time, incremental bool) {
 	if update.State < Alive || update.State > Left {
 		return // of a later version, or malformed
--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -115,7 +115,8 @@
 // Self returns the node as a member.
 func (n *Node) Self() view.Member { return n.core.self }
 
-// Members returns the machines with a disk that the node knows, as of its last tick.
+// Members returns the machines with a disk that the node knows, as of its last tick: it ticks every 100 ms,
+// without a disk every 250 ms.
 func (n *Node) Members() []Peer { return n.status.Load().members }
 
 // Applied returns the index of the last command applied here.
@@ -170,9 +171,11 @@
 	_ = n.enqueue(context.Background(), func() { n.core.seeds = copied })
 }
 
-// HandOver takes this node out of the chain by a change of the view, before its process ends, so that the others need
-// no failure detection. It returns once the node is out and the others have the complete prefix, ErrUnavailable if
-// the chain has too few members to spare it, ErrClosed, or the error of ctx.
+// HandOver takes this node out of the chain by a change of the view, before its process ends, so that the
+// others need no failure detection. A head thereby gives up the leader lease; it is coord/leader's leadership
+// transfer. It returns nil once the node is out and the others have the complete prefix, or have had
+// departureTimeout (1 s) to get it. It returns ErrUnavailable if the chain has too few members to spare this
+// one, ErrClosed, or the error of ctx: then the departure goes on, and the node may still be in the chain.
 func (n *Node) HandOver(ctx context.Context) error {
 	out := make(chan struct{}, 1)
 	spared := true
--- a/coord/replica/checkpoint.go
+++ b/coord/replica/checkpoint.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// checkpoint returns the whole durable state, after it has compacted the log.
+// checkpoint returns the complete durable state, encoded, after it has compacted the log.
 func (c *core) checkpoint() []byte {
 	c.compactLog()
 	baseIndex, baseEpoch := c.log.Base()
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -39,18 +39,19 @@
 //  3. calls persisted, and
 //  4. sends what takeMessages returns.
 //
-// The order is what makes the messages true: an acknowledgement, a prepare response or an accept response leaves
-// only after the records that it speaks of are durable. If step 2 fails, the carrier discards the messages and calls
-// reopened with what the disk holds.
+// The order is a safety requirement: an acknowledgement, a prepare response or an accept response is a
+// statement about durable state, and is sent only after the records that it rests on are durable. If step 2
+// fails, the carrier discards the messages, and calls reopened with what the disk holds once it takes writes
+// again.
 type core struct {
 	coreOptions
 	acceptor     view.Acceptor
 	log          *chain.Log
 	state        *chain.State
-	syncedEpoch  uint64        // highest epoch in which the log had the complete prefix; claim (I) of coord/view
+	syncedEpoch  uint64        // highest epoch in which the log had the complete prefix: (I) in coord/view
 	commitIndex  uint64        // last command known to be on all disks of a chain
 	durableIndex uint64        // last command on this member's disk; durableIndex <= log.LastIndex()
-	now          time.Duration // of the input under way
+	now          time.Duration // time of the present input, on the carrier's clock
 
 	records       [][]byte   // decided, and not yet taken by the carrier
 	checkpointDue bool       // the next write is a checkpoint in place of records
@@ -170,6 +171,9 @@
 
 // takeRecords returns what must be durable before persisted is called. If snapshot isn't nil, the carrier writes it
 // in place of all that the disk holds, and there are no records.
+//
+// Before that it handles what may have become possible with this batch of inputs (proposals to be sent again,
+// deferred commands, read indexes), so that the records of these share the batch's sync.
 func (c *core) takeRecords() (records [][]byte, snapshot []byte) {
 	if c.requests.resendDue {
 		c.retryRequests()
@@ -264,6 +268,7 @@
 		c.proposer.reasonSince = 0
 	}
 	c.lastTick = now
+	// Ticks jitter: without this slack, a tick that is slightly early would delay the round by a whole tick.
 	if now-c.lastHeartbeat >= heartbeatInterval-tickInterval/4 {
 		c.lastHeartbeat = now
 		c.sendHeartbeats(false)
--- a/coord/replica/delayed_messages_test.go
+++ b/coord/replica/delayed_messages_test.go
@@ -158,8 +158,9 @@
 	}
 }
 
-// TestChainStaysLongEnough has a member depart while another one has just become silent, and the third lose its disk.
-// Had the view left one member in the chain, nobody could tell what it had committed.
+// TestChainStaysLongEnough has a member depart while another one was paused shortly before, and the third
+// lose its disk. Had the view left one member in the chain, no remaining log would show what that one had
+// committed.
 func TestChainStaysLongEnough(t *testing.T) {
 	for seed := uint64(0); seed < 20; seed++ {
 		sim := startSimulatedCluster(40+seed, 3, 1)
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// afterReplacement calls then as soon as a machine that departed for good isn't needed any more: at once if it was
-// told so, else when its replacement has the complete prefix.
+// afterReplacement calls then as soon as a machine that departed for good isn't needed any more: at once if
+// its departure was complete, else when its replacement has the complete prefix.
 func (c *campaign) afterReplacement(left *simulatedNode, out bool, then func()) {
 	newest := c.newestView()
 	needed := newest == nil || newest.core.view().IsVoter(left.core.self)
--- a/coord/replica/discovery.go
+++ b/coord/replica/discovery.go
@@ -20,7 +20,8 @@
 	c.send(to, view.Decided{View: c.acceptor.View})
 }
 
-// discoverView asks seeds and voters for the newest view while none of the present one is reachable.
+// discoverView queries two of the seeds and voters for the newest view while this node is isolated or knows
+// no view, each time the next two.
 func (c *core) discoverView() {
 	pause := viewQueryInterval
 	if c.epoch() == 0 {
@@ -44,8 +45,9 @@
 	}
 }
 
-// onIncarnationMismatch handles that the process at an address isn't the member that was addressed: a machine with an
-// empty disk learns the view from those that take it for its previous incarnation.
+// onIncarnationMismatch is called when a message wasn't sent because another incarnation, m, has taken its
+// addressee's address. It sends m the view: a machine that returns with an empty disk learns the view from
+// the members that still address its previous incarnation.
 func (c *core) onIncarnationMismatch(now time.Duration, m view.Member) {
 	c.now = now
 	if c.hasDisk {
@@ -53,8 +55,8 @@
 	}
 }
 
-// isIsolated reports whether this node has no contact with the view that it knows: a chain member with a majority of
-// the voters, another node with its upstream.
+// isIsolated reports whether this node has no contact with the view that it knows: a chain member doesn't
+// reach a majority of the voters, another node has received nothing from its upstream for suspicionTimeout.
 func (c *core) isIsolated() bool {
 	if !c.inChain() {
 		return c.now-c.learner.lastContact > suspicionTimeout
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -17,7 +17,7 @@
 	recordAcceptor                 // acceptorRecord
 	recordEntries                  // chain.Entry, by encodeEntries
 	recordInstall                  // installRecord
-	recordProbe                    // no content: written to see whether the disk takes bytes
+	recordProbe                    // no content: written to test whether the disk takes writes
 )
 
 // The records and the checkpoint are encoded by gob, which matches fields by name: the fields keep their names.
@@ -64,7 +64,7 @@
 	return buffer.Bytes()
 }
 
-// decodeGob decodes into a pointer.
+// decodeGob decodes data into the value that a pointer points to.
 func decodeGob(data []byte, value any) error {
 	return gob.NewDecoder(bytes.NewReader(data)).Decode(value)
 }
@@ -96,6 +96,7 @@
 	err  error
 }
 
+// uvarint reads an integer of variable length.
 func (d *entryDecoder) uvarint() uint64 {
 	value, width := binary.Uvarint(d.data)
 	if width <= 0 {
@@ -107,6 +108,7 @@
 	return value
 }
 
+// bytes reads a length and as many bytes, which share memory with data.
 func (d *entryDecoder) bytes() []byte {
 	length := d.uvarint()
 	if length > uint64(len(d.data)) {
--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -18,7 +18,7 @@
 	ErrNoSeeds = errors.New("replica: no seeds")
 )
 
-// errDiskUnhealthy is wrapped by ErrUnavailable while the disk refuses writes.
+// errDiskUnhealthy is the cause that errors wrap beside ErrUnavailable while the disk refuses writes.
 var errDiskUnhealthy = errors.New("the disk refuses writes")
 
 // errCorruptRecord says that the disk holds a record that can't be decoded.
--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -117,7 +117,8 @@
 	return p != nil && c.now-p.reachableSince >= rejoinDelay
 }
 
-// sinceContact returns the time since the last heartbeat from m.
+// sinceContact returns the time since the last heartbeat from m; zero for this member itself and for an
+// unknown one, which therefore is never replaced for being unreachable.
 func (c *core) sinceContact(m view.Member) time.Duration {
 	if m.Same(c.self) {
 		return 0
@@ -218,7 +219,8 @@
 	})
 }
 
-// onHeartbeat takes in a peer's heartbeat. Only voters and candidates send any that count.
+// onHeartbeat takes in a peer's heartbeat. It answers an older view with the present one. Beyond that, only
+// those of voters count, and at a voter those of candidates.
 func (c *core) onHeartbeat(from view.Member, m Heartbeat) {
 	if !c.hasDisk {
 		return
@@ -256,6 +258,8 @@
 	}
 	sentAt := c.heartbeats.sentAt[m.Echo%heartbeatWindow]
 	p.lastEcho = max(p.lastEcho, sentAt)
+	// An echo that is itself older than echoTimeout doesn't make the peer alive: rejoinDelay starts anew with
+	// it.
 	if !p.reachable || c.now-p.reachableSince > 0 && !c.alive(p.member) {
 		p.reachable = true
 		p.reachableSince = c.now
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -12,9 +12,8 @@
 	inject func(c *campaign, lost []*simulatedNode, down time.Duration)
 }
 
-// faultKinds are drawn with equal probability. Their order decides which one a seed draws.
-
-// hazards are drawn alike.
+// faultKinds are drawn with equal probability. Their order decides which one a seed draws. init fills them in, since
+// the functions refer to them in turn.
 var faultKinds []faultKind
 
 func init() {
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -49,7 +49,8 @@
 	c.completeStalenessProof()
 }
 
-// resetEpochConfirmation forgets the confirmations of the epoch before.
+// resetEpochConfirmation drops the confirmations of the previous epoch. A sole voter confirms the new one by
+// itself.
 func (c *core) resetEpochConfirmation() {
 	c.staleness.pending = false
 	c.epochConfirmedAt = never
@@ -85,9 +86,10 @@
 	return asOf, asOf != never
 }
 
-// delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over successive
-// views keeps it: no other one was between. A process waits after its start, too (newCore), as its previous
-// incarnation may have been another head.
+// delayNewLeader sets from when on a new head may hold the leader lease. A head that stays the head over
+// successive epochs keeps its lease, since there was no other head between. A process also waits after its
+// start (newCore): to the lease, the previous process with this disk is another head, though the view doesn't
+// tell the two apart.
 func (c *core) delayNewLeader(previous, v view.View) {
 	if !v.Head().Same(c.self) {
 		return
--- a/coord/replica/limits.go
+++ b/coord/replica/limits.go
@@ -6,9 +6,9 @@
 
 // Default sizes of what a core keeps and sends.
 const (
-	defaultBatchBytes       = 256 << 10
-	defaultRetainedLogBytes = 256 << 10
-	defaultMaxUncommitted   = 8192
+	defaultBatchBytes       = 256 << 10 // bytes
+	defaultRetainedLogBytes = 256 << 10 // bytes
+	defaultMaxUncommitted   = 8192      // commands
 )
 
 // checkpointLogBytes is the size of the log on disk, in bytes, from which on a carrier asks for a checkpoint. A
@@ -29,6 +29,7 @@
 	deduplicationWindow int
 }
 
+// defaultLimits are the limits of all nodes that Start returns; only simulations use others.
 var defaultLimits = limits{
 	batchBytes:          defaultBatchBytes,
 	retainedLogBytes:    defaultRetainedLogBytes,
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -104,7 +104,7 @@
 	}()
 }
 
-// send sends a message, or loses it: the protocol repeats what matters.
+// send sends a message, or drops it if it can't be sent now: the protocol retransmits what it needs.
 func (n *network) send(m envelope) {
 	if m.to.Incarnation != "" && !n.node.core.view().IsVoter(m.to) {
 		n.sessionsMu.Lock()
@@ -118,8 +118,9 @@
 	n.sendOutbound(m)
 }
 
-// dial sends a message over a connection that this node opens. A message to a member whose address another
-// incarnation has taken is dropped.
+// sendOutbound sends a message over a connection that this node opens, and opens one if there is none:
+// messages are dropped until it is open. A message to a member whose address another incarnation has taken is
+// dropped, too.
 func (n *network) sendOutbound(m envelope) {
 	out := n.outbound[m.to.Address]
 	if out == nil {
@@ -140,7 +141,8 @@
 	_ = out.client.Send(m.body)
 }
 
-// onPush returns the handler of messages that come back over a connection that this node opened.
+// onPush returns the handler of messages that come back over a connection that this node opened. The handler
+// may run before NewClient has returned, so it waits until out.client is set.
 func (n *network) onPush(out *outbound) func(any) {
 	return func(message any) {
 		<-out.ready
--- a/coord/replica/prefix.go
+++ b/coord/replica/prefix.go
@@ -98,8 +98,10 @@
 	c.records = nil
 }
 
-// restoreSnapshot moves the state machine on to a snapshot, unless it is already there. All that a snapshot holds is
-// committed: it was taken of applied commands.
+// restoreSnapshot advances the state machine to a snapshot, unless it has already applied as much. All that a
+// snapshot holds is committed: it was taken of applied commands. A snapshot that the state machine can't
+// restore, of another version of it for instance, ends the process: this member can't follow the others any
+// more.
 func (c *core) restoreSnapshot(snapshot *chain.Snapshot) {
 	applied, _ := c.state.Applied()
 	if snapshot.Index <= applied {
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -25,15 +25,15 @@
 	sentAt  time.Duration
 	waiters []*outcomeWaiter
 
-	// notAppliedThrough is an index at or below which the command wasn't applied. Once mayBeForgotten is set it
-	// stays: the command may have been applied above it since, with an outcome that the deduplication window has
-	// lost.
+	// notAppliedThrough is an index at or below which the command wasn't applied. It doesn't rise any more
+	// once mayBeForgotten is set: the command may have been applied above it since, with an outcome that has
+	// left the deduplication window.
 	notAppliedThrough uint64
 	mayBeForgotten    bool
 }
 
-// outcomeWaiter is one call that waits for a command's outcome. The channel has room for it, so that the core never
-// blocks; at most one outcome comes.
+// outcomeWaiter is one call that waits for a command's outcome. At most one outcome is sent, and the channel
+// has a buffer of one, so that the core never blocks.
 type outcomeWaiter struct{ outcomes chan chain.Outcome }
 
 // deferredCommand came to the head while it couldn't append: it waits for the decision on the next view, or for the
@@ -126,10 +126,10 @@
 
 // admit gives a command an index, unless it has one, and reports whether it has.
 //
-// A command is applied once for each ID because the head refuses an ID that it knows as applied or in its log, and
-// because one that may have been applied so long ago that its outcome is forgotten gets no index: its sender vouches
-// that the command wasn't applied at or below notAppliedThrough, and since then there must have been fewer commands
-// than the deduplication window holds.
+// A command is applied once for each ID because the head refuses an ID that it knows as applied or in its
+// log, and because one that may have been applied so long ago that its outcome is forgotten gets no index:
+// its sender asserts that the command wasn't applied at or below notAppliedThrough, and fewer commands must
+// have been appended since than the deduplication window holds.
 func (c *core) admit(id string, command []byte, notAppliedThrough uint64) bool {
 	if !c.serving() || !c.toleratesFailures() || c.leaving {
 		return false
@@ -194,7 +194,8 @@
 	}
 }
 
-// retryRequests repeats what may have been lost.
+// retryRequests dispatches again the proposals, and marks for another request the reads, whose messages may
+// have been lost.
 func (c *core) retryRequests() {
 	for _, id := range sortedKeys(c.requests.proposals) {
 		proposal := c.requests.proposals[id]
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -113,8 +113,8 @@
 	return true
 }
 
-// onPrepare answers a proposer's prepare. A response wedges this member: from then on its log stands still, as the
-// response describes it, until it adopts the next view.
+// onPrepare answers a proposer's prepare. A response wedges this member: its log doesn't change, and stays as
+// the response describes it, until the member adopts the next view.
 func (c *core) onPrepare(from view.Member, m view.Prepare) {
 	if !c.reconcileView(from, m.View) {
 		return
@@ -134,8 +134,8 @@
 	c.respond(from, response, changed)
 }
 
-// reconcileView adopts the proposer's view if it is newer, sends it the own one if it is older, and reports whether
-// this member may answer.
+// reconcileView adopts the proposer's view if that is newer, sends this member's view to the proposer if its
+// view is older, and reports whether this member may answer.
 func (c *core) reconcileView(from view.Member, present view.View) bool {
 	c.adoptView(present)
 	if present.Epoch < c.epoch() {
@@ -145,9 +145,9 @@
 	return c.hasDisk
 }
 
-// respond sends an acceptor's response, or hands it to the own proposal. If the acceptor's state has changed, it must
-// be durable before the response leaves, and this member is wedged. A pending proof of staleness is void then: it
-// counts on the commands of this epoch, which are no longer passed on.
+// respond sends an acceptor's response, or passes it to this member's own proposal. If the acceptor's state
+// has changed, it must be durable before the response leaves, and this member is wedged. A pending proof of
+// staleness is void then: it counts on the commands of this epoch, which are no longer passed on.
 func (c *core) respond(to view.Member, response any, changed bool) {
 	if changed {
 		c.proposer.wedgedSince = c.now
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -7,10 +7,10 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// pendingRead is a linearizable read that waits for its read index (Ongaro's thesis, 6.4): an index that covers all
-// commands acknowledged before the read began. A chain member has one as soon as the epoch is confirmed for a moment
-// after the beginning; a learner asks its upstream. The read completes once the local state machine has applied up to
-// it.
+// pendingRead is a linearizable read that waits for its read index (Ongaro, "Consensus: Bridging Theory and
+// Practice", 2014, section 6.4): an index that covers all commands acknowledged before the read began. A
+// chain member has one as soon as the epoch is confirmed for a moment after the beginning; a learner asks its
+// upstream. The read completes once the local state machine has applied up to it.
 type pendingRead struct {
 	startedAt  time.Duration
 	index      uint64 // the read index, once indexKnown
@@ -35,7 +35,7 @@
 	return read
 }
 
-// cancelRead drops a read whose caller has gone.
+// cancelRead drops a read whose caller doesn't wait any more.
 func (c *core) cancelRead(cancelled *pendingRead) {
 	for i, read := range c.requests.reads {
 		if read == cancelled {
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -8,10 +8,10 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Reasons to propose another view. They are log values, too.
+// Reasons to propose another view, also logged as the reason of the event view_proposed.
 const (
-	reasonWedged    = "wedged"           // a proposer has failed, perhaps
-	reasonSuspected = "suspected member" // the chain is broken
+	reasonWedged    = "wedged"           // a proposer that has begun may have failed
+	reasonSuspected = "suspected member" // a suspected member breaks the chain
 	reasonLeaving   = "leaving member"   // a member departs as planned
 	reasonVoters    = "voters"           // a spare or a replacement gets a vote
 	reasonReturned  = "returned member"  // a voter may join the chain
--- a/coord/replica/start.go
+++ b/coord/replica/start.go
@@ -12,8 +12,9 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Start opens the disk, listens, and joins the system that the seeds belong to. It returns before the node is part of
-// a chain. Errors are of the disk, of the address or ErrNoSeeds.
+// Start opens the disk, listens, and joins the system that the seeds belong to. It returns before the node is
+// part of a chain. It fails if the disk can't be opened or refuses the first write (ErrUnavailable), if the
+// coordination address can't be listened on, or with ErrNoSeeds.
 func Start(options Options) (*Node, error) {
 	if options.Log == nil {
 		options.Log = func(string, ...any) {}
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -39,8 +39,9 @@
 	return opened, recovered, nil
 }
 
-// openDisk opens the disk of a starting node. A disk that lost data that it had acknowledged is emptied: its member
-// is lost, votes included, and a new one joins in its place. Continuing with what is left could break promises.
+// openDisk opens the disk of a starting node. A disk that lost data that it had acknowledged is emptied: its
+// member is lost, votes included, and a new one joins in its place. Continuing with what is left could break
+// promises that this member has made as an acceptor.
 func (n *Node) openDisk() (*recoveredState, error) {
 	fs := n.options.filesystem()
 	if fs == nil {
--- a/coord/replica/view.go
+++ b/coord/replica/view.go
@@ -6,9 +6,10 @@
 
 // adoptView moves to a decided view.
 //
-// It is safe at any time: a majority of the previous view's voters accepted the view, so no other one is decided for
-// its epoch. A source is complete in its new epoch at once, because it stood still, wedged, since it answered the
-// prepare on which the view rests; that it adopts the view directly from the epoch before is checked.
+// It is safe at any time: a majority of the previous view's voters accepted the view, so no other one is
+// decided for its epoch. A source is synced in its new epoch at once: it has been wedged since it answered
+// the prepare on which the view rests, so its log is still the one that the proposer chose. For that it must
+// adopt the view directly from the epoch before, which is checked.
 func (c *core) adoptView(v view.View) {
 	if v.Epoch <= c.epoch() {
 		return
--- a/coord/slots/recover.go
+++ b/coord/slots/recover.go
@@ -49,7 +49,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// addFinding adds a finding.
+// addFinding adds a finding; dataLoss says whether acknowledged state is missing because of it.
 func (r *Recovered) addFinding(file string, offset int64, problem string, dataLoss bool) {
 	finding := Finding{File: file, Offset: offset, Problem: problem, DataLoss: dataLoss}
 	r.Findings = append(r.Findings, finding)
--- a/coord/transport/options.go
+++ b/coord/transport/options.go
@@ -72,7 +72,9 @@
 	// Admit, if set, rejects a peer by returning an error. It runs in the handshake, after the check of the system.
 	Admit func(Identity) error
 
-	// Log, if set, receives what happens to connections: an event, its error or nil, and the peer's address or node. It
+	// Log, if set, receives what happens to connections: an event, its error or nil, and the peer's address
+	// or node. A client's events are connected and connection_ended; a server's are accept_failed,
+	// handshake_rejected, session_opened, session_ended and one_way_message_failed (a handler's error). It
 	// must not block.
 	Log func(event string, err error, remote string)
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -25,6 +25,7 @@
 	"testing"
 )
 
+// update records the golden files anew instead of comparing with them.
 var update = flag.Bool("update-golden", false, "record the golden files of internal/golden anew")
 
 // goldenDir is the folder of the files, in the folder of the package under test.
@@ -54,6 +55,7 @@
 	checkDecode(t, name, recorded, &got, &want)
 }
 
+// encode returns what gob encodes for the value that a pointer points to.
 func encode(t testing.TB, name string, pointer any) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -152,6 +154,7 @@
 	}
 }
 
+// fieldForms returns the exported fields of a struct, which are those that gob encodes, with their forms.
 func fieldForms(typ reflect.Type) []string {
 	var forms []string
 	for i := range typ.NumField() {
@@ -173,6 +176,7 @@
 // filler numbers the scalars that it sets, so that they differ.
 type filler struct{ count int }
 
+// fill sets a value of any kind that gob encodes, except interfaces.
 func (f *filler) fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -196,12 +200,14 @@
 	}
 }
 
+// fillElements sets the elements of a slice or an array.
 func (f *filler) fillElements(value reflect.Value) {
 	for i := range value.Len() {
 		f.fill(value.Index(i))
 	}
 }
 
+// fillMap sets a map to one with one key.
 func (f *filler) fillMap(value reflect.Value) {
 	value.Set(reflect.MakeMap(value.Type()))
 	key := reflect.New(value.Type().Key()).Elem()
@@ -214,6 +220,7 @@
 // maxScalar keeps numbers within the range of every integer kind.
 const maxScalar = 120
 
+// fillScalar sets a value without parts to the next number, or to a text with it.
 func (f *filler) fillScalar(value reflect.Value) {
 	f.count++
 	number := 1 + f.count%maxScalar
--- a/internal/simulation/bubble/doc.go
+++ b/internal/simulation/bubble/doc.go
@@ -1,5 +1,5 @@
-// Package bubble has the network and the disks of simulations that run real processes, goroutines included, in a
-// bubble of testing/synctest, where time is virtual.
+// Package bubble provides the network and the disks for simulations that run real processes, goroutines
+// included, in a bubble of testing/synctest, where time is virtual.
 //
 // The connections of a [Network] are net.Conns in memory with the delay of a local network. They do what TCP does under
 // faults:
@@ -12,7 +12,7 @@
 // A [Disk] is a simulation.Disk whose syncs take their time. It outlives the incarnations of its process: each mounts
 // it anew, and files of earlier mounts fail.
 //
-// Both are created inside the bubble that uses them, and are safe for concurrent use. Unlike in package simulation, the
-// scheduler decides the order of goroutines that run at the same virtual time: a seed repeats the faults and the calls
-// of a simulation exactly, and what follows from them mostly.
+// Both are created inside the bubble that uses them, and are safe for concurrent use. Unlike in package
+// simulation, the scheduler decides the order of goroutines that run at the same virtual time: a seed replays
+// the faults and the calls of a simulation exactly, but their consequences only mostly.
 package bubble
--- a/internal/simulation/bubble/mount.go
+++ b/internal/simulation/bubble/mount.go
@@ -30,8 +30,8 @@
 	return operation()
 }
 
-// doSync runs an operation that makes something durable, in the middle of the time that it takes: a crash before that
-// finds nothing durable, and a crash after it everything, though the process hasn't been told.
+// doSync runs an operation that makes something durable, in the middle of the time that it takes: a crash
+// before that finds nothing durable, and a crash after it everything, though the sync hasn't returned.
 func (m *mount) doSync(operation func() error) error {
 	m.disk.mutex.Lock()
 	takes := m.disk.disk.SyncTime * time.Duration(m.disk.syncFactor)
--- a/internal/simulation/bubble/network.go
+++ b/internal/simulation/bubble/network.go
@@ -40,7 +40,8 @@
 	received       map[string]int64 // bytes, by the IP address of the receiver
 }
 
-// NewNetwork returns a network without machines. Call it inside the bubble.
+// NewNetwork returns a network without machines. Call it inside the bubble. The second word of the
+// generator's seed is an arbitrary constant.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		random:      rand.New(rand.NewPCG(seed, 11)),
