--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -67,8 +67,8 @@
 }
 
 // New returns the state of a process that starts now.
-func New(born Time, opt Options) *Recovery {
-	return &Recovery{opt: opt, startedAt: born}
+func New(now Time, opt Options) *Recovery {
+	return &Recovery{opt: opt, startedAt: now}
 }
 
 // Received records that a source has delivered data.
--- a/internal/storm/guard.go
+++ b/internal/storm/guard.go
@@ -143,7 +143,7 @@
 	g.advanceSlots(now)
 	if gap > pauseThreshold { // events are missing from the counts
 		clear(g.history[:])
-		g.streaks = [3]int{}
+		g.streaks = [streaks]int{}
 		return g.message(now)
 	}
 	g.updatePhase(now)
--- a/internal/storm/phase.go
+++ b/internal/storm/phase.go
@@ -128,7 +128,8 @@
 	if g.baselineTime <= baselineHalfLife {
 		f = 1 - TickInterval.Seconds()/g.baselineTime.Seconds()
 	}
-	g.baselineArrivals, g.baselineServed = f*g.baselineArrivals+(1-f)*here.arrivals(), f*g.baselineServed+(1-f)*here.InTime
+	g.baselineArrivals = f*g.baselineArrivals + (1-f)*here.arrivals()
+	g.baselineServed = f*g.baselineServed + (1-f)*here.InTime
 	g.baselineConnections = f*g.baselineConnections + (1-f)*here.Connections
 }
 
@@ -137,7 +138,7 @@
 	if g.phase == Calm {
 		g.stats.Storms++
 	}
-	g.phase, g.phaseSince, g.streaks, g.successStreak = p, now, [3]int{}, 0
+	g.phase, g.phaseSince, g.streaks, g.successStreak = p, now, [streaks]int{}, 0
 	switch p {
 	case Outage:
 		g.limit = math.Max(minRate, outageProbeRatio*g.baselineRate())
