--- a/Makefile
+++ b/Makefile
@@ -9,10 +9,14 @@
 test:
 	go run ./internal/tools/testrun -alone ./internal/lab/... -alone ./cmd/... ./... -race -timeout 10m
 
+# The formatter and the linters. golangci-lint (.golangci.yml) is pinned in a module of its own, as it brings some two hundred others. Files
+# behind build tags are vetted, too.
 lint:
 	@bad=$$(gofmt -l .); [ -z "$$bad" ] || { echo "not formatted: $$bad"; exit 1; }
 	go vet ./...
+	go vet -tags faultinjection,ablation,race ./...
 	go tool staticcheck ./...
+	go tool -modfile=.ci/lint/go.mod golangci-lint run ./...
 
 # With the platform's variables one gateway; without them a demonstration on loopback.
 run: build
@@ -66,7 +70,7 @@
 system: build build-system
 	bin/sprucelab system --programs target --seconds $(FOR)
 
-# The whole system under random troubles with a referee, FOR seconds a seed and up to a minute more, SEEDS seeds from FIRST on, one
+# The whole system under random faults with a checker, FOR seconds a seed and up to a minute more, SEEDS seeds from FIRST on, one
 # after the other: make soak SEEDS=5 FOR=300 FIRST=7. What breaks a rule leaves its logs in found/. The programs are built so that
 # connections between them can be cut off; normal ones can't be.
 .PHONY: soak
@@ -77,7 +81,7 @@
 	CGO_ENABLED=1 go build -buildvcs=false -tags faultinjection -o target/soak/ ./cmd/sprucelane-gateway ./cmd/sprucelane-control ./cmd/sprucelane-batch
 	bin/sprucelab soak --programs target/soak --seconds $(FOR) --seed $(or $(FIRST),1) --seeds $(SEEDS) --logs found
 
-# Random worlds, histories and models with many seeds, from the seed FIRST on: make simulate SEEDS=1000 [FIRST=S]. Whatever fails
+# Seeded simulations, histories and models with many seeds, from the seed FIRST on: make simulate SEEDS=1000 [FIRST=S]. Whatever fails
 # prints its seed, and plays again with FIRST=seed SEEDS=1.
 SEEDS ?= 200
 FIRST ?=
@@ -93,7 +97,7 @@
 	@[ -x "$(BENCH)" ] && [ -f "$(SITE)" ] || { echo "BENCH: the bench's program, SITE: a site file, as in make ablate BENCH=path SITE=path"; exit 2; }
 	go run ./internal/tools/ablate -bench $(BENCH) -site $(SITE) -days $(DAYS_OF_SITE) -seeds "$(OF_SEEDS)" -lanes $(LANES) $(if $(OFF),-off $(OFF))
 
-# Our own days of trouble on the bench, one line a day: make hunt BENCH=program SITE=file [DAYS=files].
+# Our own days of faults on the bench, one line a day: make hunt BENCH=program SITE=file [DAYS=files].
 DAYS ?= $(wildcard bench/days/*.toml)
 hunt:
 	@[ -x "$(BENCH)" ] && [ -f "$(SITE)" ] || { echo "BENCH: the bench's program, SITE: a site file, as in make hunt BENCH=path SITE=path DAYS='bench/days/a.toml ...'"; exit 2; }
--- a/cmd/sprucelab/demo.go
+++ b/cmd/sprucelab/demo.go
@@ -15,7 +15,7 @@
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Three gateways and eight members under a light load, with a live table",
-		Long: `Starts three gateways before eight stand-in members under a light load, and lets something go wrong every few seconds: a
+		Long: `Starts three gateways before eight fake members under a light load, and lets something go wrong every few seconds: a
 member hangs, one restarts cold, a gateway is killed, a member drains and another takes its place.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/sprucelab/faults.go
+++ b/cmd/sprucelab/faults.go
@@ -23,8 +23,8 @@
 	var report string
 	cmd := &cobra.Command{
 		Use:   "faults",
-		Short: "Play a script of faults on real gateways, with a referee",
-		Long: `Starts gateways as processes of their own before stand-in members, with a relay for each link between them, does to them what
+		Short: "Play a script of faults on real gateways, with a checker",
+		Long: `Starts gateways as processes of their own before fake members, with a relay for each link between them, does to them what
 a script says, and counts from outside whether the rules were kept. A script is a name of 'faults list', a file, or faults with
 a space between them, each kind:at:for:part[:size]. A broken rule ends the command with 1 and prints the request's story.`,
 		Example: `  sprucelab faults --script power-cut
--- a/cmd/sprucelab/load.go
+++ b/cmd/sprucelab/load.go
@@ -21,8 +21,8 @@
 	var length time.Duration
 	cmd := &cobra.Command{
 		Use:   "load",
-		Short: "Load gateways before stand-in members, and tell how they did",
-		Long: `Starts gateways before stand-in members and asks them in an open loop: the moments of requests are drawn ahead and wait for
+		Short: "Load gateways before fake members, and tell how they did",
+		Long: `Starts gateways before fake members and asks them in an open loop: the moments of requests are drawn ahead and wait for
 no answer. Each first try is timed from the moment it was meant for.`,
 		Example: "  sprucelab load --gateways 3 --members 14 --rate 96 --for 30s",
 		Args:    cobra.NoArgs,
--- a/cmd/sprucelab/main.go
+++ b/cmd/sprucelab/main.go
@@ -30,7 +30,7 @@
 		Use:   "sprucelab",
 		Short: "Demonstration, load and measurements of sprucelane, on loopback",
 		Long: `Demonstration, load and measurements of sprucelane, on loopback. Gateways are real processes; pool members, discovery
-and clients are stand-ins in this one. Every flag has a variable: SPRUCELAB_ and the flag's name in capitals.`,
+and clients are fakes in this one. Every flag has a variable: SPRUCELAB_ and the flag's name in capitals.`,
 		CompletionOptions: cobra.CompletionOptions{HiddenDefaultCmd: true},
 		PersistentPreRunE: cli.EnvFlags("SPRUCELAB", os.Getenv),
 	}
--- a/cmd/sprucelab/soak.go
+++ b/cmd/sprucelab/soak.go
@@ -20,10 +20,10 @@
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "The whole system under load and random troubles, with a referee that counts from outside",
+		Short: "The whole system under load and random faults, with a checker that judges from outside",
 		Long: `Starts control processes, gateways and stores on loopback addresses of their own and lets things go wrong by chance, several at
 a time: kills of some processes or of all, lost disks, processes that stand still, cuts between machines, answers that clients
-don't wait for. A line for each seed tells what came of it; a broken rule is told with the troubles before it, and the folder
+don't wait for. A line for each seed tells what came of it; a broken rule is reported with the faults before it, and the folder
 with the logs stays.
 
 The programs are built with -tags faultinjection: make soak does so. Without the tag nothing is cut off.`,
@@ -55,7 +55,7 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&plan.Programs, "programs", "target/soak", "the `folder` of the system's programs, built with -tags faultinjection")
-	f.Float64Var(&seconds, "seconds", plan.FaultDuration.Seconds(), "how long there are troubles")
+	f.Float64Var(&seconds, "seconds", plan.FaultDuration.Seconds(), "how long there are faults")
 	f.Uint64Var(&plan.Seed, "seed", plan.Seed, "what all chance follows from")
 	f.IntVar(&seeds, "seeds", 1, "how many seeds are played, one after the other, each one more than that before")
 	f.StringSliceVar(&plan.Zones, "zones", plan.Zones, "the zones")
--- a/cmd/sprucelab/system.go
+++ b/cmd/sprucelab/system.go
@@ -17,7 +17,7 @@
 	cmd := &cobra.Command{
 		Use:   "system",
 		Short: "The whole system on loopback under a light load, with a live table",
-		Long: `Starts three control processes, three gateways and three batch processes on loopback addresses of their own, before stand-ins of
+		Long: `Starts three control processes, three gateways and three batch processes on loopback addresses of their own, before fakes of
 the platform's list and of model servers; puts a configuration as the operator; sends streams and batch jobs; kills a control
 process and starts it again. Whatever it started ends with it.`,
 		Example: "  sprucelab system --programs target --seconds 60",
--- a/internal/tools/playdays/main.go
+++ b/internal/tools/playdays/main.go
@@ -27,7 +27,7 @@
 	var o options
 	flag.StringVar(&o.bench, "bench", "", "the bench's program")
 	flag.StringVar(&o.site, "site", "", "the site file")
-	flag.StringVar(&o.why, "why", "Do our own days of trouble break a rule?", "for the journal")
+	flag.StringVar(&o.why, "why", "Do our own days of faults break a rule?", "for the journal")
 	flag.IntVar(&o.jobs, "jobs", 2, "cores to use")
 	flag.Parse()
 	if o.bench == "" || o.site == "" || flag.NArg() == 0 {
