--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -12,10 +12,10 @@
 	"sprucelane.example/sprucelane/internal/config"
 )
 
-// This file owns deployments that are read from a file: the settings object as a gateway's configuration holds it, and
-// beside it the world that the settings don't tell. A deployment has no name in here, and nothing may ask for one.
+// How is a deployment read from a file? It holds the settings object as a gateway's configuration has it, and beside it
+// the environment that settings don't describe: members, load, links. The code doesn't depend on a deployment's name.
 
-// span is a duration that a file words as "150ms".
+// duration is a time.Duration that is written as in "150ms".
 type duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -27,14 +27,14 @@
 	return err
 }
 
-// world is the file's second part. All that is left out is 0, or one where there has to be one.
+// environment is the file's second part. Keys that are left out are 0, or 1 where 0 has no meaning.
 type environment struct {
 	Gateways int     `json:"gateways"`
 	Members  int     `json:"members"`
-	Rooms    int     `json:"rooms"` // that both stand in by turns
-	Cells    int     `json:"cells"` // that members stand in by turns
-	Load     float64 `json:"load"`  // first tries, of what all members can do
-	Hot      float64 `json:"hot"`   // share of the accounts that ask ten times as much
+	Rooms    int     `json:"rooms"` // that both are spread over in turn
+	Cells    int     `json:"cells"` // that members are spread over in turn
+	Load     float64 `json:"load"`  // first tries, over the capacity of all members when warm
+	Hot      float64 `json:"hot"`   // share of the accounts that send ten times as many requests
 	Member   struct {
 		Cores      int      `json:"cores"`
 		Speed      float64  `json:"speed"`
@@ -53,13 +53,13 @@
 	Plans []struct { // one for each of the settings' plans
 		Share    float64 `json:"share"` // of the requests
 		Accounts int     `json:"accounts"`
-		Spread   int     `json:"spread"` // gateways of an account's set
+		Spread   int     `json:"spread"` // gateways that serve an account
 	} `json:"plans"`
-	Units     int      `json:"units"`    // most of a request
-	BySize    bool     `json:"by_size"`  // work grows with them
-	GuessCV   float64  `json:"guess_cv"` // spread of what requests say round what they draw
+	Units     int      `json:"units"`    // most that a request draws
+	BySize    bool     `json:"by_size"`  // work is proportional to them
+	GuessCV   float64  `json:"guess_cv"` // coefficient of variation of the estimates of units
 	Retries   int      `json:"retries"`
-	Honour    float64  `json:"honour"` // share of the clients that heed what refusals name
+	Honour    float64  `json:"honour"` // share of the clients that wait for as long as a refusal says
 	Link      duration `json:"link"`
 	Loss      float64  `json:"loss"`
 	Discovery duration `json:"discovery"`
@@ -70,7 +70,7 @@
 	} `json:"report"`
 }
 
-// ReadDeployment gives the scenario of a deployment's file, with no troubles. Keys that it doesn't know are faults.
+// ReadDeployment gives the scenario of a deployment's file, without troubles. A key that it doesn't know is an error.
 func ReadDeployment(text []byte, seed uint64, length time.Duration) (Scenario, error) {
 	var file struct {
 		Settings json.RawMessage `json:"settings"`
@@ -93,12 +93,13 @@
 		return Scenario{}, fmt.Errorf("deployment: world.classes, world.plans: %d and %d, where the settings have %d and %d",
 			len(w.Classes), len(w.Plans), len(d.Classes), len(d.Plans))
 	}
-	s := Scenario{Seed: seed, Gateways: w.Gateways, Members: w.Members, SlowPart: m.SlowPart, Load: w.Load, Hot: w.Hot, Rooms: w.Rooms,
+	s := Scenario{Seed: seed, Gateways: w.Gateways, Members: w.Members, SlowPart: m.SlowPart, Load: w.Load,
+		Hot: w.Hot, Rooms: w.Rooms,
 		Cells: w.Cells, Length: length, Link: time.Duration(w.Link), Loss: w.Loss, Discovery: time.Duration(w.Discovery),
 		Settings: d.Settings, BySize: w.BySize, GuessCV: w.GuessCV, Units: w.Units, Retries: w.Retries, Honour: w.Honour,
 		Report: Report{time.Duration(w.Report.Every), time.Duration(w.Report.Delay), w.Report.Noise},
-		Spec: MemberSpec{Cores: m.Cores, Speed: cmp.Or(m.Speed, 1), Queue: m.Queue, Work: time.Duration(m.Work), Sigma: m.Sigma,
-			ColdFrom: m.ColdFrom, WarmWithin: time.Duration(m.WarmWithin), WarmWork: time.Duration(m.WarmWork)}}
+		Spec: MemberSpec{Cores: m.Cores, Speed: cmp.Or(m.Speed, 1), Queue: m.Queue, Work: time.Duration(m.Work),
+			Sigma: m.Sigma, ColdFrom: m.ColdFrom, WarmWithin: time.Duration(m.WarmWithin), WarmWork: time.Duration(m.WarmWork)}}
 	for _, c := range w.Classes {
 		s.Classes = append(s.Classes, ClassUse{c.Share, cmp.Or(c.Work, 1)})
 	}
@@ -110,25 +111,25 @@
 	return s, s.Check()
 }
 
-// ClassUse is how much a class is asked for.
+// ClassUse is the load of a class.
 type ClassUse struct {
 	Share float64 // of the requests, over all classes' shares
 	Work  float64 // times the mean
 }
 
-// PlanUse is how much a plan's accounts ask.
+// PlanUse is the load of a plan.
 type PlanUse struct {
 	Share    float64 // of the requests, over all plans' shares
-	Accounts int     // that it is spread over
+	Accounts int     // that the load is spread over
 }
 
-// Report is how old and how noisy members' load reports are; 0: they are true.
+// Report is how stale and how noisy members' load reports are. Those of the zero value are current and exact.
 type Report struct {
 	Every, Delay time.Duration
-	Noise        float64 // of the logarithm
+	Noise        float64 // standard deviation of the logarithm
 }
 
-// byShare draws a place by the shares that stand there.
+// byShare draws an index, each with a probability in proportion to its share.
 func byShare[T any](rng *rand.Rand, list []T, share func(T) float64) int {
 	sum := 0.0
 	for _, x := range list {
--- a/internal/emulator/deployment_test.go
+++ b/internal/emulator/deployment_test.go
@@ -18,8 +18,8 @@
 	return string(text)
 }
 
-// Both deployments that the gateway serves are settings and a world beside them. Their calm is served, and through the
-// troubles that their operators have seen no rule is broken, by the rules' figures of each.
+// Both deployments that the gateway serves: without troubles the value is served, and under the troubles that their
+// operators have seen no rule is broken, by the figures of each deployment.
 func TestDeploymentsOfBothOperators(t *testing.T) {
 	for _, name := range []string{"lakeshore", "fraser-valley"} {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// What a file gets wrong is named by its key.
+// The error of an invalid file names the key.
 func TestDeploymentFilesThatCannotBe(t *testing.T) {
 	good := deployment(t, "fraser-valley")
 	for want, change := range map[string][2]string{
@@ -65,7 +65,7 @@
 	}
 }
 
-// Where members warm by work, one that is asked nothing stays cold for as long as time takes.
+// Where members warm up by work, too, one that gets no requests warms up by time alone.
 func TestMembersWarmByWork(t *testing.T) {
 	e := NewEngine(1)
 	m := &member{engine: e, id: 1, rng: e.Stream("m"), spec: MemberSpec{Cores: 1, Speed: 1, Queue: 9, Work: 100 * time.Millisecond, ColdFrom: 0.5,
@@ -77,12 +77,12 @@
 	e.Run(Origin + 900*time.Millisecond)
 	assert.InDelta(t, 0.75, m.warmth(), 0.01)
 	m.start()
-	assert.Equal(t, 0.5, m.warmth(), "another life begins cold")
+	assert.Equal(t, 0.5, m.warmth(), "a new incarnation is cold")
 	e.Run(Origin + 5900*time.Millisecond)
 	assert.InDelta(t, 0.75, m.warmth(), 0.01)
 }
 
-// A load report is what was so some time ago.
+// Load reports lag by Report.Delay.
 func TestReportsComeLate(t *testing.T) {
 	s := Platform(1, 1, 1, 0.1, second)
 	s.Settings.LoadReportFields, s.Report = []string{"inflight"}, Report{Every: 100 * time.Millisecond, Delay: 50 * time.Millisecond}
@@ -97,7 +97,7 @@
 	assert.Equal(t, []float32{0}, r.reportedLoad(m))
 }
 
-// What is left of a scenario that fails is what it takes to fail.
+// Minimise leaves only what a scenario takes to fail.
 func TestMinimise(t *testing.T) {
 	s := Drawn(1, 6)
 	hang := Trouble{At: second, For: second, Kind: Hang, Part: 0.1}
--- a/internal/emulator/deployments.go
+++ b/internal/emulator/deployments.go
@@ -9,10 +9,10 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// This file owns deployments drawn at random from all that the platform's settings allow, for the question whether the
-// program works for one that nobody has thought of. What it draws must follow from the seed alone.
+// Does the program work for deployments that nobody has thought of? Deployments are drawn at random from all that the
+// platform's settings allow, by the seed alone: the order of the draws is part of a replay.
 
-// between draws evenly, or evenly in the logarithm where low is above 0 and high is ten times as much.
+// between draws uniformly, or uniformly in the logarithm where low is above 0 and high at least ten times as much.
 func between(rng *rand.Rand, low, high float64) float64 {
 	if low > 0 && high >= 10*low {
 		return low * math.Exp(rng.Float64()*math.Log(high/low))
@@ -20,21 +20,24 @@
 	return low + rng.Float64()*(high-low)
 }
 
+// betweenSeconds is between for durations in seconds.
 func betweenSeconds(rng *rand.Rand, low, high float64) time.Duration {
 	return time.Duration(between(rng, low, high) * float64(time.Second))
 }
 
-// Drawn gives a deployment of up to so many gateways with its load, its clients and its troubles.
+// Drawn draws a deployment, of at most so many gateways, with its load, its clients and its troubles.
 func Drawn(seed uint64, gateways int) Scenario {
 	rng := rand.New(rand.NewPCG(seed, 0xdeb107))
 	coin := func(p float64) bool { return rng.Float64() < p }
 	s := Scenario{Seed: seed, Gateways: 1 + rng.IntN(gateways), Members: 3 + rng.IntN(18), SlowPart: between(rng, 0, 0.5),
-		Load: between(rng, 0.2, 1.1), Hot: between(rng, 0, 0.3), Rooms: 1 + rng.IntN(4), Cells: 1 + rng.IntN(4), Length: 5 * time.Second,
-		Link: betweenSeconds(rng, 0.0002, 0.02), Loss: between(rng, 0, 0.06), Discovery: betweenSeconds(rng, 0.1, 3), Retries: rng.IntN(3), Honour: rng.Float64()}
+		Load: between(rng, 0.2, 1.1), Hot: between(rng, 0, 0.3), Rooms: 1 + rng.IntN(4), Cells: 1 + rng.IntN(4),
+		Length: 5 * time.Second, Link: betweenSeconds(rng, 0.0002, 0.02), Loss: between(rng, 0, 0.06),
+		Discovery: betweenSeconds(rng, 0.1, 3), Retries: rng.IntN(3), Honour: rng.Float64()}
 	s.Accounts = 3 + rng.IntN(3*s.Members)
-	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4), Hedging: coin(0.4),
-		Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: betweenSeconds(rng, 0, 2), PeerMessageRate: between(rng, 20, 200), MaxUnits: 8,
-		DrainGrace: 250 * time.Millisecond, SlowStartWindow: time.Second, SlowStartMultiple: 4, ListRefreshWithin: 10 * time.Second,
+	set := policy.Settings{Tick: time.Duration(1+rng.IntN(5)) * time.Millisecond, MaxAttempts: 1 + rng.IntN(4),
+		Hedging: coin(0.4), Peers: coin(0.8), Cancel: coin(0.7), MaxRetryAfter: betweenSeconds(rng, 0, 2),
+		PeerMessageRate: between(rng, 20, 200), MaxUnits: 8, DrainGrace: 250 * time.Millisecond,
+		SlowStartWindow: time.Second, SlowStartMultiple: 4, ListRefreshWithin: 10 * time.Second,
 		InitialWarmth: between(rng, 0.15, 0.5), WarmupTime: betweenSeconds(rng, 2, 16)}
 	if coin(0.5) {
 		set.LoadReportFields = [][]string{{"latency_ms"}, {"inflight", "queue"}, {"queue", "latency_ms"}}[rng.IntN(3)]
@@ -46,13 +49,15 @@
 	work := betweenSeconds(rng, 0.02, 0.3)
 	for i := range 1 + rng.IntN(6) {
 		target := max(betweenSeconds(rng, 0.2, 5), 3*work)
-		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), LatencyTarget: target, Deadline: min(time.Minute, time.Duration(float64(target)*between(rng, 1.2, 6))),
-			Idempotency: policy.Idempotency(rng.IntN(3)), DedupScope: policy.DedupScope(rng.IntN(3)), DedupWindow: betweenSeconds(rng, 0.5, 10), Value: between(rng, 0.5, 4),
-			LateValue: between(rng, 0, 0.3)})
+		set.Classes = append(set.Classes, policy.Class{Name: fmt.Sprint("class-", i), LatencyTarget: target,
+			Deadline:    min(time.Minute, time.Duration(float64(target)*between(rng, 1.2, 6))),
+			Idempotency: policy.Idempotency(rng.IntN(3)), DedupScope: policy.DedupScope(rng.IntN(3)),
+			DedupWindow: betweenSeconds(rng, 0.5, 10), Value: between(rng, 0.5, 4), LateValue: between(rng, 0, 0.3)})
 	}
 	perAccount := 2.5 * s.Load * float64(s.Members) * 4 / work.Seconds() / float64(s.Accounts)
 	for i := range 1 + rng.IntN(5) {
-		p := policy.Plan{Name: fmt.Sprint("plan-", i), ValueMultiplier: between(rng, 0.5, 2), OverQuotaValue: between(rng, 0, 0.2), OverQuotaCost: between(rng, 0, 1.2)}
+		p := policy.Plan{Name: fmt.Sprint("plan-", i), ValueMultiplier: between(rng, 0.5, 2),
+			OverQuotaValue: between(rng, 0, 0.2), OverQuotaCost: between(rng, 0, 1.2)}
 		if coin(0.8) {
 			p.Rate = perAccount * between(rng, 0.5, 4)
 			p.Burst = p.Rate*between(rng, 1, 5) + set.MaxUnits
@@ -68,11 +73,12 @@
 		set.Plans = append(set.Plans, p)
 		s.Spread = append(s.Spread, 1+rng.IntN(s.Gateways))
 	}
-	s.Spec = MemberSpec{Cores: 1 + rng.IntN(8), Speed: between(rng, 0.8, 1.2), Queue: 4 + rng.IntN(60), Work: work, Sigma: between(rng, 0.1, 0.8),
-		ColdFrom: set.InitialWarmth, WarmWithin: set.WarmupTime}
+	s.Spec = MemberSpec{Cores: 1 + rng.IntN(8), Speed: between(rng, 0.8, 1.2), Queue: 4 + rng.IntN(60),
+		Work: work, Sigma: between(rng, 0.1, 0.8), ColdFrom: set.InitialWarmth, WarmWithin: set.WarmupTime}
 	for range rng.IntN(4) {
-		k := Kinds[rng.IntN(len(Kinds)-1)] // but for clocks that differ: every machine reads the same
-		t := Trouble{At: betweenSeconds(rng, 0, 3), For: betweenSeconds(rng, 0.3, 3), Kind: k, Part: between(rng, 0.05, 0.6), Size: between(rng, 1.5, 6)}
+		k := Kinds[rng.IntN(len(Kinds)-1)] // all but Clock, the last: the machines of a drawn deployment have one clock
+		t := Trouble{At: betweenSeconds(rng, 0, 3), For: betweenSeconds(rng, 0.3, 3), Kind: k,
+			Part: between(rng, 0.05, 0.6), Size: between(rng, 1.5, 6)}
 		if k == Shrink {
 			t.Part = min(t.Part, 0.5)
 		}
--- a/internal/emulator/deployments_test.go
+++ b/internal/emulator/deployments_test.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Deployments that nobody has thought of, with their troubles, load and clients: no rule is broken in any. The seeds are fixed;
-// make measure-deployments plays many more, and holds them against the plain policy.
+// No rule is broken in any deployment that is drawn at random, with its troubles, load and clients. The seeds are fixed;
+// make measure-deployments plays many more, and compares them with the plain policy.
 func TestDrawnDeploymentsKeepTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		r, err := Play(Drawn(seed, 6))
@@ -20,7 +20,7 @@
 	}
 }
 
-// The plain policy keeps the rules, too: what the two are compared by is what they serve.
+// The plain policy keeps the rules, too, so that the two can be compared by what they serve.
 func TestPlainPolicyKeepsTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		s := Drawn(seed, 4)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Rooms, 100 gateways and 60 members, a room lost: a run of this seed once ended with an unsafe request that reached members
-// twice. The model was at fault: one that a full member turned away counted as run.
+// A request that a full member rejects has not run. The model once counted it as run, so that the checker reported a
+// request that isn't idempotent to have run twice.
 func TestTurnedAwayHasNotRun(t *testing.T) {
 	r := bare(1)
 	full, free := &member{engine: r.engine, up: true, spec: r.Spec}, &member{engine: r.engine, up: true, spec: r.Spec}
@@ -49,7 +49,7 @@
 	assert.ErrorContains(t, r.checker.Err(), referee.UnsafeTwice)
 }
 
-// With a gateway its connections end, and so do its attempts, whether or not their requests had been answered.
+// A gateway's connections end with its process, and so do its attempts, whether or not their requests were answered.
 func TestNothingIsOutOfAGatewayThatDied(t *testing.T) {
 	r := bare(1)
 	g := &gateway{run: r, up: true, pending: map[policy.RequestID]*pendingRequest{}}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -38,7 +38,7 @@
 	assert.NotEqual(t, a.Stream("members").Uint64(), NewEngine(8).Stream("members").Uint64())
 }
 
-// troubled is a day with a bit of everything.
+// troubled gives a scenario with several kinds of trouble.
 func troubled(seed uint64) Scenario {
 	s := Platform(seed, 3, 12, 0.5, 40*second)
 	s.Troubles = []Trouble{{At: 5 * second, For: 10 * second, Kind: Hang, Part: 0.2}, {At: 12 * second, For: 6 * second, Kind: Stop, Part: 0.2},
@@ -47,7 +47,7 @@
 	return s
 }
 
-// The same scenario is the same run, and the decision module keeps the rules in it.
+// The same scenario gives the same run, and no rule is broken in it.
 func TestTheSameSeedIsTheSameRun(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range uint64(6) {
@@ -60,7 +60,7 @@
 		seen[a.Digest] = true
 		assert.Greater(t, a.Share(), 0.7, "seed %d", seed)
 		assert.Equal(t, a.Tries, a.Served+a.Refused+a.Failed+a.Lost)
-		assert.NotZero(t, a.Lost) // what the gateways that were killed had taken
+		assert.NotZero(t, a.Lost) // requests of the gateways that were killed
 		assert.Less(t, a.PeakCold, 4.0)
 	}
 }
@@ -78,7 +78,7 @@
 	assert.Zero(t, r.InTime)
 }
 
-// A size that sockets on one machine don't reach.
+// A size that real processes on one machine don't reach.
 func TestManyGateways(t *testing.T) {
 	s := Platform(1, 40, 200, 0.5, 4*second)
 	s.Troubles = []Trouble{{At: second, For: 5 * second, Kind: Hang, Part: 0.1}}
@@ -88,14 +88,14 @@
 	assert.Greater(t, r.Share(), 0.6)
 }
 
-// bare is a run in which nothing happens by itself.
+// bare gives a run in which no event is scheduled.
 func bare(seed uint64) *run {
 	s := Platform(seed, 1, 2, 0.1, second)
 	return &run{Scenario: s, engine: NewEngine(seed), requests: map[policy.RequestID]*request{}, partitionedRoom: -1, digest: sha256.New(),
 		checker: referee.New(s.Settings, seed, Origin)}
 }
 
-// What happens in a run comes to the referee, with the request's story, whatever the module says.
+// The model reports what happens to the checker, so that a broken rule is found, with the request's events.
 func TestBrokenRulesAreFound(t *testing.T) {
 	for rule, do := range map[string]func(r *run, g *gateway, q *request){
 		referee.TwoAnswers: func(_ *run, g *gateway, q *request) {
@@ -154,7 +154,7 @@
 	}
 	ask()
 	ask()
-	ask() // one at work, one waits, one too many
+	ask() // one is served, one waits, one is rejected
 	e.Run(Origin + second)
 	assert.Equal(t, []policy.Ending{policy.Rejected, policy.Served, policy.Served}, ends)
 	assert.Equal(t, []time.Duration{0, 100 * time.Millisecond, 200 * time.Millisecond}, at)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,6 +1,3 @@
-// Package emulator is a model in virtual time of what gateways balance: members, links, discovery, clients and the
-// gateways' own decision modules, which run in it unchanged. The same scenario gives the same run to the byte on every
-// machine. It must never read a clock, open a socket or start a goroutine inside a run.
 package emulator
 
 import (
@@ -11,13 +8,15 @@
 	"time"
 )
 
-// Time is a reading of the run's one clock.
+// Time is a reading of a run's clock.
 type Time = time.Duration
 
-// Origin is what the clock says when a run begins: not 0, which stands for long ago in what modules are told.
+// Origin is the clock's reading when a run begins. It isn't 0, as 0 means "long ago" in the start times that package
+// policy is given.
 const Origin = time.Hour
 
-// Engine is one clock and a heap of events. Events of one moment happen in the order in which they were set.
+// Engine is a discrete-event simulator: a clock and a heap of events. Events that are due at the same time run in the
+// order in which they were scheduled.
 type Engine struct {
 	now    Time
 	seed   uint64
@@ -25,19 +24,19 @@
 	events events
 }
 
-// NewEngine gives an engine at the Origin.
+// NewEngine gives an engine whose clock reads Origin.
 func NewEngine(seed uint64) *Engine { return &Engine{now: Origin, seed: seed} }
 
-// Now is the clock's reading.
+// Now gives the clock's reading.
 func (e *Engine) Now() Time { return e.now }
 
-// After lets something happen so long from now; at once, after what happens now, where that is not above 0.
+// After schedules do in d. Where d isn't above 0, do runs at the present time, after the events that are due then.
 func (e *Engine) After(d time.Duration, do func()) {
 	e.serial++
 	heap.Push(&e.events, event{e.now + max(d, 0), e.serial, do})
 }
 
-// Run lets all happen that is due before a moment, and stands there.
+// Run runs the events that are due before until, and sets the clock to until.
 func (e *Engine) Run(until Time) {
 	for len(e.events) > 0 && e.events[0].at < until {
 		next := heap.Pop(&e.events).(event)
@@ -47,19 +46,22 @@
 	e.now = until
 }
 
-// Stream gives the random numbers of one part. A part that draws more or less leaves the others' as they are.
+// Stream gives the random numbers of one part of the model, by its name. A part that draws more or less leaves the
+// others' draws as they are.
 func (e *Engine) Stream(part string) *rand.Rand {
 	h := fnv.New64a()
-	io.WriteString(h, part)
+	_, _ = io.WriteString(h, part) // a hash.Hash returns no error
 	return rand.New(rand.NewPCG(e.seed, h.Sum64()))
 }
 
+// event is a scheduled call. serial orders the events of one time.
 type event struct {
 	at     Time
 	serial uint64
 	do     func()
 }
 
+// events is a heap by due time (container/heap).
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -9,11 +9,11 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// gateway is a host of the real decision module and of the board of what neighbours have out: it carries their orders out
-// over the model's links. Its assumptions: decisions take no time; a message to a member or a peer takes the link's time
-// with up to half as much again by chance; what a gateway is told beyond its intake of a second is dropped; a connection
-// that has served is kept for a while; a gateway that is killed loses what it has taken, and its peers and the front know
-// at once that it is down.
+// gateway is a gateway's process: the policy.Host of its balancer, and the exchange of loads between gateways
+// (internal/inflight) over the model's links. Its assumptions: decisions take no time; a message takes the link's
+// delay and up to half as much again by chance; datagrams beyond the intake of a second (Settings.PeerMessageRate)
+// are dropped; a connection that has served is kept for idleConnTimeout; a gateway that is killed loses the requests
+// that it has, and the front knows it to be down after Scenario.Notice.
 type gateway struct {
 	run         *run
 	index       int
@@ -24,34 +24,37 @@
 
 	room          int
 	recovery      *recovery.Recovery
-	loads         *inflight.Tracker // nil: the fleet is small
+	loads         *inflight.Tracker // of gateways in flight at members; nil: the fleet is small
 	listed        map[policy.ServerID]bool
-	listChanged   bool                       // the list is another than the board's
-	idleConns     map[policy.ServerID][]Time // kept connections, since when
-	received      int                        // datagrams in this second
-	downSince     Time                       // since when it is
-	pausedUntil   Time                       // until when its process is stopped
-	unroutedUntil Time                       // until when clients don't come
-	clockOffset   time.Duration              // of the members' clock
-	noListsUntil  Time                       // until when discovery tells it nothing
-	receivedSince Time
+	listChanged   bool                       // since loads was last given the list
+	idleConns     map[policy.ServerID][]Time // since when each idle connection is
+	received      int                        // datagrams since receivedSince
+	downSince     Time
+	pausedUntil   Time
+	unroutedUntil Time          // the front sends it no clients
+	clockOffset   time.Duration // of its clock, ahead of the members'
+	noListsUntil  Time
+	receivedSince Time // start of the second of the intake
 }
 
-// bootTime is how long after a run's beginning the gateways' first lives are left out of what starts took.
+// firstStarts is how long after the start of a run no time to full service is noted: Result.Took is of gateways that
+// start while the others serve.
 const firstStarts = 5 * time.Second
 
-// connKept is how long an idle connection is kept.
+// idleConnTimeout is how long an idle connection is kept.
 const idleConnTimeout = 20 * time.Second
 
-// connectWait is how long a connection that doesn't come up is waited for.
+// connectTimeout is how long an attempt waits for its connection.
 const connectTimeout = 250 * time.Millisecond
 
+// pendingRequest is a request that has no final answer, or attempts in flight.
 type pendingRequest struct {
 	request  *request
-	sent     int
-	attempts map[int]func(policy.Ending) // those out, by number: what ends one
+	sent     int                         // attempts
+	attempts map[int]func(policy.Ending) // those in flight, by number: what ends one
 }
 
+// boot starts a new incarnation, which knows nothing but the server list.
 func (g *gateway) boot() {
 	set := g.run.Settings
 	set.Self, set.Gateways, set.Zone = g.index, g.run.Gateways, g.room
@@ -69,12 +72,13 @@
 	g.balancer, g.up, g.pending = balancer, true, map[policy.RequestID]*pendingRequest{}
 	g.incarnation++
 	balancer.Attach(g)
-	g.recovery = recovery.New(g.run.engine.now, recovery.Options{PauseThreshold: set.ShortestTarget(), NearbyGateways: len(set.NearbyPeers())})
+	g.recovery = recovery.New(g.run.engine.now, recovery.Options{PauseThreshold: set.ShortestTarget(),
+		NearbyGateways: len(set.NearbyPeers())})
 	g.idleConns, g.listed = map[policy.ServerID][]Time{}, map[policy.ServerID]bool{}
 	g.loads = inflight.New(g.index, g.run.Gateways, set.PeerMessageRate)
 	var list []policy.ServerInfo
 	for _, m := range g.run.members {
-		m.checked.Told(g.index, g.run.engine.now, true) // as a new life it is told all anew
+		m.checked.Told(g.index, g.run.engine.now, true) // a new incarnation gets the whole list
 		if m.state == policy.Departed {
 			m.checked.Told(g.index, g.run.engine.now, false)
 			continue
@@ -88,7 +92,7 @@
 	}
 }
 
-// dated gives an entry as this gateway's clock has it: the model's modules all read one clock.
+// withOwnClock converts an entry's time of start to this gateway's clock, which the model runs at the members' time.
 func (g *gateway) withOwnClock(info policy.ServerInfo) policy.ServerInfo {
 	if info.StartedAt != 0 {
 		info.StartedAt = max(1, info.StartedAt-g.clockOffset)
@@ -96,7 +100,7 @@
 	return info
 }
 
-// list takes an entry of the list in.
+// noteListed takes in an entry of a server list.
 func (g *gateway) noteListed(info policy.ServerInfo) {
 	takes := info.State == policy.Ready
 	g.run.members[info.ID-1].checked.Told(g.index, g.run.engine.now, takes)
@@ -109,11 +113,11 @@
 	}
 }
 
-// windows tells the board of the list.
+// updateLoads gives the exchange of loads the current server list.
 func (g *gateway) updateLoads() {
 	g.listChanged = false
 	var list []inflight.Member
-	for _, m := range g.run.members { // in order: a map's would differ from run to run
+	for _, m := range g.run.members { // not over g.listed: the order of a map differs from run to run
 		if g.listed[m.id] {
 			list = append(list, inflight.Member{ID: m.id, Instance: fmt.Sprintf("member-%d", m.id)})
 		}
@@ -121,7 +125,7 @@
 	g.loads.SetMembers(list)
 }
 
-// round tells the neighbours what is out, and weighs what they have told.
+// exchangeLoads sends the own load to peers, and gives the balancer the load of the others.
 func (g *gateway) exchangeLoads() {
 	now := g.run.engine.now
 	if g.listChanged {
@@ -136,10 +140,10 @@
 	g.after(g.loads.Interval(), g.exchangeLoads)
 }
 
-// restart kills the gateway and starts it again so much later.
+// restart kills the gateway, and starts it again after a while.
 func (g *gateway) restart(after time.Duration) {
 	if !g.up {
-		return // it is being started already
+		return // a start is already scheduled
 	}
 	g.up, g.downSince, g.pausedUntil = false, g.run.engine.now, 0
 	g.incarnation++
@@ -148,14 +152,14 @@
 			l.request.Lost = true
 			g.run.Lost++
 		}
-		for range l.attempts { // also of what was answered while an attempt was out
+		for range l.attempts { // also of requests that were answered while an attempt was in flight
 			g.run.checker.Holds(&l.request.Request, -1)
 		}
 	}
 	g.run.engine.After(after, g.boot)
 }
 
-// stall stops the gateway's process for a while. What ends meanwhile can't be answered, which is no rule.
+// stall pauses the gateway's process for d. Requests whose deadline passes meanwhile are lost, which breaks no rule.
 func (g *gateway) stall(d time.Duration) {
 	g.pausedUntil = g.run.engine.now + d
 	for _, l := range g.pending {
@@ -163,7 +167,7 @@
 	}
 }
 
-// missed notes that a request ends while the process stands still.
+// countMissed counts a request as lost whose deadline passes while the process is paused.
 func (g *gateway) countMissed(q *request) {
 	if !q.Final && !q.Lost && q.Deadline <= g.pausedUntil {
 		q.Lost = true
@@ -171,6 +175,7 @@
 	}
 }
 
+// receiveList takes in an update of the server list.
 func (g *gateway) receiveList(info policy.ServerInfo) {
 	if left := g.pausedUntil - g.run.engine.now; left > 0 {
 		g.after(left, func() { g.receiveList(info) })
@@ -182,6 +187,7 @@
 	g.balancer.Servers(g.run.engine.now, policy.ListChanges, []policy.ServerInfo{g.withOwnClock(info)})
 }
 
+// receiveRequest takes in a client's request.
 func (g *gateway) receiveRequest(q *request) {
 	if left := g.pausedUntil - g.run.engine.now; left > 0 {
 		if g.countMissed(q); q.Lost {
@@ -211,21 +217,23 @@
 	g.after(wait, func() { g.balancer.Request(g.run.engine.now, in) })
 }
 
-// event notes that something happens here, and that the process stood still before it where it did.
+// event precedes the handling of any event: it detects a pause of the process, and follows the return to full service.
 func (g *gateway) event() {
 	if pause := g.recovery.Event(g.run.engine.now); pause > 0 {
 		g.balancer.Resumed(g.run.engine.now, pause)
 	}
 	if now := g.run.engine.now; g.recovery.CheckDue(now) {
-		f := g.balancer.Stats(now)
+		stats := g.balancer.Stats(now)
 		first := g.recovery.TimeToFullService() == 0
-		if g.recovery.Check(g.run.engine.now, recovery.Observation{Members: f.ListedServers, NearbyReachable: f.NearbyAlive, Queued: f.QueuedRequests}); first && g.recovery.TimeToFullService() > 0 && g.run.engine.now > Origin+firstStarts {
+		g.recovery.Check(now, recovery.Observation{Members: stats.ListedServers, NearbyReachable: stats.NearbyAlive,
+			Queued: stats.QueuedRequests})
+		if first && g.recovery.TimeToFullService() > 0 && now > Origin+firstStarts {
 			g.run.Took = append(g.run.Took, g.recovery.TimeToFullService()+g.run.Boot)
 		}
 	}
 }
 
-// later lets something happen to this life of the gateway, once its process goes on where it stands still.
+// after schedules do for this incarnation of the gateway; where the process is paused then, for when it resumes.
 func (g *gateway) after(d time.Duration, do func()) {
 	incarnation := g.incarnation
 	var happen func()
@@ -240,6 +248,7 @@
 	g.run.engine.After(d, happen)
 }
 
+// linkDelay draws the delay of a message.
 func (g *gateway) linkDelay() time.Duration {
 	return g.run.Link + time.Duration(g.run.links.Float64()*float64(g.run.Link)/2)
 }
@@ -275,7 +284,9 @@
 			g.answer(l, "served")
 		}
 		g.run.record('e', uint64(id), uint64(how))
-		g.balancer.Outcome(g.run.engine.now, policy.Outcome{ID: id, Attempt: attempt, Server: to, Elapsed: g.run.engine.now - now, Ending: how, Answered: l.request.Final, Units: units, LoadReport: g.run.reportedLoad(m)})
+		g.balancer.Outcome(g.run.engine.now, policy.Outcome{ID: id, Attempt: attempt, Server: to,
+			Elapsed: g.run.engine.now - now, Ending: how, Answered: l.request.Final, Units: units,
+			LoadReport: g.run.reportedLoad(m)})
 		g.release(id, l)
 	}
 	l.attempts[attempt] = end
@@ -291,10 +302,11 @@
 		g.run.Dials++
 		g.run.PeakDials = g.run.peaks[0].count(now, g.run.PeakDials)
 	}
-	g.run.engine.After(g.linkDelay(), func() { // under way it reaches the member even if the gateway dies
+	g.run.engine.After(g.linkDelay(), func() { // the request reaches the member also where the gateway is killed meanwhile
 		g.run.arriveAtMember(g, m, l.request)
 		m.accept(g.run.workSize(l.request), func(how policy.Ending) {
-			if g.incarnation == incarnation && !g.run.unreachable(g, m) { // else its connection went with the life that opened it
+			// Else its connection has broken, or ended with the incarnation that opened it.
+			if g.incarnation == incarnation && !g.run.unreachable(g, m) {
 				if how != policy.NotConnected && g.listed[to] {
 					g.idleConns[to] = append(g.idleConns[to], g.run.engine.now)
 				}
@@ -305,6 +317,7 @@
 	g.after(until-now, func() { end(policy.TimedOut) })
 }
 
+// release forgets a request that has its final answer and no attempt in flight.
 func (g *gateway) release(id policy.RequestID, l *pendingRequest) {
 	if l.request.Final && len(l.attempts) == 0 {
 		delete(g.pending, id)
@@ -312,8 +325,9 @@
 	}
 }
 
+// answer gives a request its final answer: served, refused or failed.
 func (g *gateway) answer(l *pendingRequest, how string) {
-	if l.request.Lost { // its client has gone
+	if l.request.Lost { // its client has left
 		l.request.Final = true
 		return
 	}
@@ -322,7 +336,8 @@
 	switch how {
 	case "served":
 		g.run.Served++
-		if first := l.request.first; g.run.engine.now-first.arrivedAt <= g.run.Settings.Classes[l.request.Class].LatencyTarget && first.value > 0 && !first.inTime {
+		first, target := l.request.first, g.run.Settings.Classes[l.request.Class].LatencyTarget
+		if g.run.engine.now-first.arrivedAt <= target && first.value > 0 && !first.inTime {
 			first.inTime = true
 			g.run.InTime += first.value
 			g.run.addToSecond(&g.run.served, first)
@@ -355,7 +370,7 @@
 	}
 }
 
-// Cancel implements policy.Host: the connection is closed, and the member works on.
+// Cancel implements policy.Host: the connection is closed, and the member still runs the request.
 func (g *gateway) Cancel(id policy.RequestID, attempt int) {
 	if l := g.pending[id]; l != nil && l.attempts[attempt] != nil {
 		end := l.attempts[attempt]
@@ -369,7 +384,7 @@
 	g.after(after, func() { balancer.Timer(g.run.engine.now, tag) })
 }
 
-// Tell implements policy.Host.
+// SendToPeer implements policy.Host.
 func (g *gateway) SendToPeer(peer int, message []byte) {
 	if peer >= 0 {
 		g.sendTo(g.run.gateways[peer], message)
@@ -380,6 +395,7 @@
 	}
 }
 
+// sendTo sends a message to one peer.
 func (g *gateway) sendTo(p *gateway, message []byte) {
 	if p == g {
 		return
@@ -395,7 +411,7 @@
 	}
 }
 
-// hears takes in what a peer tells, once the process goes on where it stands still, as far as its intake allows.
+// receive takes in a peer's message, within the intake of a second; where the process is paused, once it resumes.
 func (g *gateway) receive(from int, message []byte) {
 	now := g.run.engine.now
 	if left := g.pausedUntil - now; left > 0 && g.up {
@@ -422,7 +438,7 @@
 	}
 }
 
-// Watch implements policy.Host: lists are always told.
+// Watch implements policy.Host: server lists always come.
 func (g *gateway) Watch() {}
 
 // Log implements policy.Host.
--- a/internal/emulator/minimise.go
+++ b/internal/emulator/minimise.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// This file owns how a scenario that fails is made smaller: what is left is what it takes to fail. It must never give back
-// one that doesn't fail.
+// How is a failing scenario made smaller, so that what is left is what it takes to fail? The result always fails: a
+// step is kept only if the scenario still does.
 
-// Minimise leaves out whatever a scenario fails without: troubles, chance, rooms, gateways, members, length. It tries so many
-// scenarios at most, and gives back the smallest that still fails.
+// Minimise leaves out what a scenario fails without: troubles, randomness, rooms, gateways, members, length. It plays
+// at most so many scenarios, and gives the smallest that still fails (delta debugging: Zeller and Hildebrandt, TSE
+// 2002, here greedily and with halving).
 func Minimise(s Scenario, tries int, fails func(Scenario) bool) Scenario {
 	halve := func(n *int, least int) bool {
 		was := *n
@@ -25,7 +26,7 @@
 	}
 	least := 1
 	for _, n := range s.Spread {
-		least = max(least, n) // a smaller fleet would be another deployment
+		least = max(least, n) // fewer gateways than a set has would be another deployment
 	}
 	steps := []func(*Scenario) bool{
 		func(s *Scenario) bool {
@@ -73,14 +74,16 @@
 	return s
 }
 
-// Brief words a scenario in a line.
+// Brief describes a scenario in one line.
 func (s Scenario) Brief() string {
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "seed=%d gateways=%d members=%d rooms=%d cells=%d load=%.2f accounts=%d classes=%d plans=%d hot=%.2f once=%.2f loss=%.2f guess_cv=%.2f retries=%d length=%v",
-		s.Seed, s.Gateways, s.Members, s.Rooms, s.Cells, s.Load, s.Accounts, len(s.Settings.Classes), len(s.Settings.Plans), s.Hot, s.Once, s.Loss,
-		s.GuessCV, s.Retries, s.Length)
+	fmt.Fprintf(b, "seed=%d gateways=%d members=%d rooms=%d cells=%d load=%.2f accounts=%d classes=%d plans=%d hot=%.2f "+
+		"once=%.2f loss=%.2f guess_cv=%.2f retries=%d length=%v",
+		s.Seed, s.Gateways, s.Members, s.Rooms, s.Cells, s.Load, s.Accounts, len(s.Settings.Classes), len(s.Settings.Plans),
+		s.Hot, s.Once, s.Loss, s.GuessCV, s.Retries, s.Length)
 	for _, t := range s.Troubles {
-		fmt.Fprintf(b, " trouble=%s:%v:%v:%.2f", t.Kind, t.At.Round(time.Millisecond), t.For.Round(time.Millisecond), t.Part)
+		fmt.Fprintf(b, " trouble=%s:%v:%v:%.2f",
+			t.Kind, t.At.Round(time.Millisecond), t.For.Round(time.Millisecond), t.Part)
 	}
 	return b.String()
 }
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// module is what decides for a gateway: the real one, or the plain policy that it is held against.
+// balancer decides for a gateway: policy.Gateway, or the plain policy that it is compared with.
 type balancer interface {
 	Attach(policy.Host)
 	Servers(now Time, kind policy.ListKind, list []policy.ServerInfo)
@@ -24,8 +24,9 @@
 	Stats(now Time) policy.Stats
 }
 
-// plain is the textbook's: of two members drawn by lot the one with less out here, an even part of each quota, cap and ceiling,
-// one attempt and another where it never ran, and no word to anybody.
+// plain is the textbook policy that policy.Gateway is compared with: the less loaded of two random members (power of
+// two choices: Mitzenmacher, TPDS 2001), an even share of each quota, cap and hard limit, a retry only where the first
+// attempt never ran, and no messages to peers.
 type plain struct {
 	settings policy.Settings
 	host     policy.Host
@@ -36,12 +37,14 @@
 	shares   map[policy.CustomerID]*plainShare
 }
 
+// plainRequest is a request that has no final answer yet.
 type plainRequest struct {
 	policy.Request
 	sent, inFlight int
 	mayHaveRun     bool
 }
 
+// plainShare is this gateway's share of a customer's quota, hard limit and cap.
 type plainShare struct {
 	quota, hardLimit ledger.BucketShare
 	refilledAt       Time
@@ -67,7 +70,7 @@
 	}
 }
 
-// inside draws a request from its account's part, where that holds it.
+// withinQuota draws a request's units from this gateway's share, and tells whether the share had them.
 func (p *plain) withinQuota(now Time, in policy.Request) bool {
 	plan, n := p.settings.Plans[in.Plan], float64(max(1, in.SetSize))
 	a := p.shares[in.Customer]
@@ -77,7 +80,8 @@
 	}
 	a.quota.Refill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.refilledAt, 0)
 	a.hardLimit.Refill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.refilledAt, 0)
-	if a.refilledAt = now; plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.hardLimit.Tokens < in.Units ||
+	a.refilledAt = now
+	if plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.hardLimit.Tokens < in.Units ||
 		plan.MaxInFlight > 0 && !ledger.SlotAvailable(plan.MaxInFlight, a.inFlight, 0, int(n), false) {
 		return false
 	}
--- a/internal/emulator/ramp_test.go
+++ b/internal/emulator/ramp_test.go
@@ -9,9 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The ramp of cold members is a budget of the whole fleet: thirty gateways that all start again, or hear nobody, or only
-// some of the others, while half of the members or all come back cold, send one together no more than it can bear, from when
-// they have been told. The operators put two roots of that and two down to chance; the model's own rule allows one.
+// The slow-start budget of a cold member holds over the whole fleet: thirty gateways that all restart, or receive no
+// messages of peers, or only those of some, while half of the members or all come back cold, send a member together no
+// more than its budget, from when their server lists say that it is cold. The operators allow two standard
+// deviations and two requests more; the checker allows one request more.
 func TestRampHoldsForThirtyGateways(t *testing.T) {
 	type list = []Trouble
 	for name, troubles := range map[string]list{
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -5,21 +5,22 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Broken is a rule that a run broke: the run ends there.
+// Broken is the error of a run that broke a rule. The run ends there.
 type Broken = referee.Broken
 
-// request is a client's try in the model: what the referee knows of it, and what the client does.
+// request is one request of a client: what the checker knows of it, and what the client does. A client that repeats a
+// request after a refusal or a failure makes a new one.
 type request struct {
 	referee.Request
 	arrivedAt   Time
-	first       *request // the client's first try, which its retries belong to; itself
-	retriesLeft int      // times that the client may still come again
+	first       *request // the client's original request, which its repeats belong to; itself for the original
+	retriesLeft int      // repeats that the client may still make
 	inTime      bool
-	actualUnits float64 // units that it draws in the end
-	value       float64 // 0 where it is beyond its account's quota
+	actualUnits float64 // units that it draws; Units is the estimate
+	value       float64 // to the operator; 0 where it is beyond its account's quota
 }
 
-// arrives tells the referee of what comes to a member.
+// arriveAtMember reports to the checker that an attempt reaches a member, and whether the member runs it.
 func (r *run) arriveAtMember(g *gateway, m *member, q *request) {
 	warmth := 1.0
 	if m.up {
@@ -31,7 +32,7 @@
 	}
 }
 
-// over tells the referee what is still open at a run's end.
+// checkEnd reports the requests without a final answer at a run's end to the checker.
 func (r *run) checkEnd() {
 	var open []*referee.Request
 	for _, q := range r.requests {
@@ -40,6 +41,7 @@
 	r.checker.Over(r.engine.now, open)
 }
 
+// idempotency gives the idempotency of a request's class.
 func (r *run) idempotency(q *request) policy.Idempotency {
 	return r.Settings.Classes[q.Class].Idempotency
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -15,71 +15,71 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Scenario is a whole run's plan. All that happens follows from it.
+// Scenario says all that a run depends on. The same scenario gives the same run.
 type Scenario struct {
 	Seed     uint64
 	Gateways int
 	Members  int
 	Spec     MemberSpec
 	SlowPart float64 // share of the members whose cores run at three quarters of the speed
-	Load     float64 // first tries, of what all members can do
+	Load     float64 // first tries, over the capacity of all members when warm
 	Accounts int
-	Spread   []int         // gateways of an account's set, by its plan; nil: four
-	Hot      float64       // share of the accounts that ask HotX times as much as others
-	HotX     int           // 0: ten
-	Once     float64       // share of the first tries that are of an account that comes once
-	Rooms    int           // that members and gateways stand in by turns; 0: one
-	Length   time.Duration // clients ask for so long; the run goes on until all is answered
+	Spread   []int         // gateways that serve an account, by its plan; nil: 4
+	Hot      float64       // share of the accounts that send HotX times as many requests as others
+	HotX     int           // 0 means 10
+	Once     float64       // share of the first tries that come from an account that sends nothing else
+	Rooms    int           // that members and gateways are spread over in turn; 0 means 1
+	Length   time.Duration // for which clients send requests; the run goes on until all have an answer
 
-	Link      time.Duration // one way, to members and between gateways
+	Link      time.Duration // one-way delay, to members and between gateways
 	Loss      float64       // of messages between gateways
-	Boot      time.Duration // that a gateway takes to start
-	Notice    time.Duration // after which the front knows that a gateway is dead
-	Discovery time.Duration // until a change of the list is told
+	Boot      time.Duration // how long a gateway takes to start
+	Notice    time.Duration // after which the front knows that a gateway is down
+	Discovery time.Duration // delay of a change of the server list
 	Settings  policy.Settings
 
 	Troubles []Trouble
 
-	Cells   int        // that members stand in by turns; 0: one
-	Classes []ClassUse // how much each is asked for; nil: all alike
-	Plans   []PlanUse  // how much the accounts of each ask; nil: accounts are of a plan by lot, and ask alike
-	Units   int        // most of a request; 0: four
+	Cells   int        // that members are spread over in turn; 0 means 1
+	Classes []ClassUse // the load of each; nil: all alike
+	Plans   []PlanUse  // the load of each; nil: an account has a random plan, and all plans have the same load
+	Units   int        // most that a request draws; 0 means 4
 	Report  Report
-	BySize  bool    // a request's work grows with its units; else it is all chance
-	GuessCV float64 // spread of what requests say they draw round what they do; 0: they know
-	Retries int     // times that a client comes again after a refusal, or a failure of what is safe
-	Comes   float64 // share of the clients that do; 0: all
-	Honour  float64 // share of the clients that heed what refusals name
-	Plain   bool    // the plain policy decides, not the module
+	BySize  bool    // a request's work is proportional to its units; else they are independent
+	GuessCV float64 // coefficient of variation of the estimates of units; 0: they are exact
+	Retries int     // most repeats by a client after a refusal, or after a failure of an idempotent request
+	Comes   float64 // share of the clients that repeat; 0 means all
+	Honour  float64 // share of the clients that wait for as long as a refusal says
+	Plain   bool    // a textbook policy decides (plain.go), for comparison
 }
 
-// Result is what a run came to.
+// Result has the figures of a run.
 type Result struct {
-	Offered, InTime float64   // worth
-	Seconds         []float64 // share of the worth offered in each second that was served in time
+	Offered, InTime float64   // value of the requests within quotas: all, and those that were served within the target
+	Seconds         []float64 // share of the value offered in each second that was served in time
 	Tries           int
 	Served, Refused int
 	Failed, Lost    int
 	Sends           int
-	Beyond          float64 // worth sent on beyond the quotas
+	Beyond          float64 // value sent on beyond the quotas
 	Dials           int     // connections opened to members
-	Told            int     // datagrams that gateways sent each other
-	PeakDials       int     // most of them, over the fleet, in a tenth of a second
+	Told            int     // datagrams that gateways sent to peers
+	PeakDials       int     // most dials of the fleet in a tenth of a second
 	PeakTold        int
-	Took            []time.Duration // that gateways which started during the run took to full service, from their processes' start
-	MostHeard       int             // most that one gateway was told within a second
+	Took            []time.Duration // time to full service of each gateway that started during the run
+	MostHeard       int             // most datagrams that one gateway received within a second
 	Dropped         int             // datagrams beyond a gateway's intake
 	State           int             // bytes of the first gateway's state at the end
-	OverCap         int             // most attempts that an account had out beyond its cap
-	OverCeiling     float64         // most that an account was beyond its hard ceiling, in units; the rule has the plan's slack
-	PeakCold        float64         // most that a cold member was sent in a second, over what it could do
+	OverCap         int             // most attempts that an account had in flight beyond its cap
+	OverCeiling     float64         // most units that an account was beyond its hard limit; the plan's slack is allowed
+	PeakCold        float64         // most that a cold member was sent in a second, over its capacity
 	Digest          string          // of all that happened, in order
 }
 
-// Share is the worth served in time over that offered.
+// Share gives the value served in time over the value offered.
 func (r Result) Share() float64 { return r.InTime / max(r.Offered, 1e-9) }
 
-// Check tells what is wrong with a scenario, by key.
+// Check returns an error that names the first part of a scenario that can't be used.
 func (s Scenario) Check() error {
 	switch {
 	case s.Gateways < 1:
@@ -123,6 +123,7 @@
 	return set.Validate()
 }
 
+// run is the state of a run.
 type run struct {
 	Scenario
 	Result
@@ -136,7 +137,7 @@
 	checker          *referee.Referee
 	digest           hash.Hash
 	links            *rand.Rand
-	partitionedRoom  int            // the room that is cut off; below 0: none
+	partitionedRoom  int            // below 0: none
 	listsHeldUntil   Time           // lists are held back until then
 	peaks            [2]peakCounter // of dials and datagrams
 	messageFaults    []*messageFault
@@ -146,10 +147,10 @@
 	retries          *rand.Rand
 }
 
-// counted counts what happens in a tenth of a second.
+// peakCounter counts events within a tenth of a second.
 type peakCounter struct{ at, n int }
 
-// count adds one, and gives the most that a tenth has had.
+// count adds an event, and gives the largest count so far, of which most is the one before.
 func (c *peakCounter) count(now Time, most int) int {
 	if at := int(now / (100 * time.Millisecond)); at != c.at {
 		c.at, c.n = at, 0
@@ -158,12 +159,12 @@
 	return max(most, c.n)
 }
 
-// apart tells whether two rooms are cut off from each other.
+// partitioned tells whether two rooms are partitioned from each other.
 func (r *run) partitioned(a, b int) bool {
 	return r.partitionedRoom >= 0 && (a == r.partitionedRoom) != (b == r.partitionedRoom)
 }
 
-// Play plays a scenario to its end, or to the first broken rule.
+// Play runs a scenario to its end, or to the first broken rule, which it returns as a Broken.
 func Play(s Scenario) (Result, error) {
 	if err := s.Check(); err != nil {
 		return Result{}, err
@@ -203,7 +204,8 @@
 	if r.checker.Err() == nil {
 		r.checkEnd()
 	}
-	r.Beyond, r.OverCap, r.OverCeiling, r.PeakCold = r.checker.Beyond, r.checker.OverCap, r.checker.OverCeiling, r.checker.PeakCold
+	r.Beyond, r.OverCap = r.checker.Beyond, r.checker.OverCap
+	r.OverCeiling, r.PeakCold = r.checker.OverCeiling, r.checker.PeakCold
 	if gateway, ok := r.gateways[0].balancer.(*policy.Gateway); ok {
 		r.State = len(gateway.ExportState(r.engine.now, 1<<30))
 	}
@@ -214,13 +216,14 @@
 	return r.Result, r.checker.Err()
 }
 
-// add lets one more member begin, long ago as far as anybody knows.
+// addMember adds a member that is warm. slow draws whether it is a slow one.
 func (r *run) addMember(slow *rand.Rand) *member {
 	spec, i := r.Spec, len(r.members)
 	if slow.Float64() < r.SlowPart {
 		spec.Speed *= 0.75
 	}
-	m := &member{engine: r.engine, spec: spec, id: policy.ServerID(i + 1), room: i % max(1, r.Rooms), cell: i % max(1, r.Cells), up: true, meanService: spec.Work.Seconds() / spec.Speed,
+	m := &member{engine: r.engine, spec: spec, id: policy.ServerID(i + 1), room: i % max(1, r.Rooms),
+		cell: i % max(1, r.Cells), up: true, meanService: spec.Work.Seconds() / spec.Speed,
 		rng: r.engine.Stream(fmt.Sprintf("member %d", i))}
 	m.checked.Room, m.checked.Cell = m.room, m.cell
 	r.members = append(r.members, m)
@@ -228,7 +231,7 @@
 	return m
 }
 
-// mark puts what happened into the digest.
+// record adds an event to the digest.
 func (r *run) record(kind byte, who uint64, what uint64) {
 	var b [25]byte
 	b[0] = kind
@@ -238,7 +241,7 @@
 	r.digest.Write(b[:])
 }
 
-// clients lets first tries come as a Poisson process, each to a gateway of its account's set.
+// clients generates requests as a Poisson process, each to a random gateway of its account's set.
 func (r *run) clients() {
 	rng := r.engine.Stream("clients")
 	rate := 0.0
@@ -248,12 +251,13 @@
 	type account struct {
 		plan, first int
 		set         int
-		at          Time
-		store       float64
+		refilledAt  Time
+		tokens      float64 // of the quota, as one bucket over all gateways would have them
 	}
 	accounts := make([]account, r.Accounts)
 	begin := func(plan int) account {
-		a := account{plan: plan, first: rng.IntN(r.Gateways), set: min(r.Gateways, 4), at: r.engine.now, store: r.Settings.Plans[plan].Burst}
+		a := account{plan: plan, first: rng.IntN(r.Gateways), set: min(r.Gateways, 4), refilledAt: r.engine.now,
+			tokens: r.Settings.Plans[plan].Burst}
 		if r.Spread != nil {
 			a.set = max(1, min(r.Gateways, r.Spread[plan]))
 		}
@@ -270,7 +274,7 @@
 		}
 		accounts[i] = begin(plan)
 	}
-	// who draws an account, of some in a row of which the hot ones ask ten times as much.
+	// drawAccount draws one of n accounts, of which the hot ones come first and send HotX times as much.
 	drawAccount := func(n int) int {
 		hot := int(r.Hot * float64(n))
 		id := rng.IntN(n + (cmp.Or(r.HotX, 10)-1)*hot)
@@ -313,8 +317,10 @@
 		c := r.Settings.Classes[class]
 		units := 1 + float64(rng.IntN(maxUnits))
 		r.lastRequest++
-		q := &request{arrivedAt: r.engine.now, actualUnits: units, retriesLeft: r.Retries, value: c.Value * plan.ValueMultiplier * units}
-		q.Request.Request = policy.Request{ID: r.lastRequest, Class: class, Plan: a.plan, Customer: customer, Units: units, SetSize: a.set, FirstGateway: a.first}
+		q := &request{arrivedAt: r.engine.now, actualUnits: units, retriesLeft: r.Retries,
+			value: c.Value * plan.ValueMultiplier * units}
+		q.Request.Request = policy.Request{ID: r.lastRequest, Class: class, Plan: a.plan, Customer: customer,
+			Units: units, SetSize: a.set, FirstGateway: a.first}
 		if r.Comes > 0 && r.retries.Float64() >= r.Comes {
 			q.retriesLeft = 0
 		}
@@ -324,9 +330,10 @@
 		}
 		q.Price, q.Deadline = q.value, r.engine.now+c.Deadline
 		r.Tries++
-		a.store, a.at = min(plan.Burst, a.store+(r.engine.now-a.at).Seconds()*plan.Rate), r.engine.now
-		if withinQuota := (plan.Rate <= 0 || a.store >= units) && (plan.MaxInFlight <= 0 || r.checker.Out(customer) < plan.MaxInFlight); withinQuota {
-			a.store -= units
+		a.tokens, a.refilledAt = min(plan.Burst, a.tokens+(r.engine.now-a.refilledAt).Seconds()*plan.Rate), r.engine.now
+		withinCap := plan.MaxInFlight <= 0 || r.checker.Out(customer) < plan.MaxInFlight
+		if withinCap && (plan.Rate <= 0 || a.tokens >= units) {
+			a.tokens -= units
 			r.Offered += q.value
 			r.addToSecond(&r.offered, q)
 			r.addToSecond(&r.served, nil)
@@ -338,7 +345,7 @@
 	r.engine.After(0, next)
 }
 
-// enter brings a request to one of its account's gateways; the front knows which are down.
+// route brings a request to the gateway at a place of its account's set, or to the next that the front takes to be up.
 func (r *run) route(q *request, at int) {
 	index := (q.FirstGateway + at) % r.Gateways
 	for k := 0; k < q.SetSize && r.knownDown(r.gateways[index]); k++ {
@@ -356,12 +363,12 @@
 	r.gateways[index].receiveRequest(q)
 }
 
-// knownDown tells whether the front sends nothing to a gateway.
+// knownDown tells whether the front sends no requests to a gateway.
 func (r *run) knownDown(g *gateway) bool {
 	return !g.up && r.engine.now >= g.downSince+r.Notice || r.engine.now < g.unroutedUntil
 }
 
-// comesAgain lets a client come again after a while, with a request of its own that belongs to its first one.
+// retry lets a client repeat a request after a backoff, or after wait where it honours that and it is longer.
 func (r *run) retry(q *request, wait time.Duration) {
 	c := r.Settings.Classes[q.Class]
 	backoff := time.Duration((0.05 + 0.2*r.retries.Float64()) * float64(time.Second))
@@ -376,13 +383,14 @@
 		r.lastRequest++
 		next := *q
 		next.Request = referee.Request{Request: q.Request.Request, Price: q.Price}
-		next.ID, next.arrivedAt, next.retriesLeft, next.Deadline, next.ClientRetry = r.lastRequest, r.engine.now, q.retriesLeft-1, q.first.arrivedAt+c.Deadline, true
+		next.ID, next.arrivedAt, next.Deadline = r.lastRequest, r.engine.now, q.first.arrivedAt+c.Deadline
+		next.retriesLeft, next.ClientRetry = q.retriesLeft-1, true
 		r.Tries++
 		r.route(&next, r.retries.IntN(q.SetSize))
 	})
 }
 
-// size gives a request's work over the mean, by its class and where they matter by its units, which are drawn evenly.
+// workSize gives a request's work over the mean, by its class and, with BySize, by its units.
 func (r *run) workSize(q *request) float64 {
 	size := 1.0
 	if r.Classes != nil {
@@ -394,7 +402,7 @@
 	return size
 }
 
-// told gives what a good answer says that a request drew, 0 where that was known before.
+// reportedUnits gives the units that a successful answer states, 0 where the estimate was exact.
 func (q *request) reportedUnits() float64 {
 	if q.actualUnits == q.Units {
 		return 0
@@ -402,7 +410,7 @@
 	return q.actualUnits
 }
 
-// report gives a member's load report, as the settings want it.
+// currentLoad gives a member's load report, with the fields that the settings name.
 func (r *run) currentLoad(m *member) []float32 {
 	if len(r.Settings.LoadReportFields) == 0 {
 		return nil
@@ -421,7 +429,7 @@
 	return list
 }
 
-// reports lets a member show its load now and then, late and with some noise.
+// reportLoads schedules a member's load reports, which are delayed and noisy by Scenario.Report.
 func (r *run) reportLoads(m *member) {
 	if r.Report.Every <= 0 || len(r.Settings.LoadReportFields) == 0 {
 		return
@@ -439,7 +447,7 @@
 	r.engine.After(time.Duration(rng.Float64()*float64(r.Report.Every)), next)
 }
 
-// shows gives what a member's answer says of its load.
+// reportedLoad gives the load report in a member's answers.
 func (r *run) reportedLoad(m *member) []float32 {
 	if r.Report.Every > 0 {
 		return m.reportedLoad
@@ -447,7 +455,7 @@
 	return r.currentLoad(m)
 }
 
-// second adds a request's worth to the second that it was asked in.
+// addToSecond adds a request's value to the second in which it arrived; a nil request only extends the list to now.
 func (r *run) addToSecond(to *[]float64, q *request) {
 	at := int((r.engine.now - Origin) / time.Second)
 	if q != nil {
--- a/internal/emulator/size_test.go
+++ b/internal/emulator/size_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// This file owns what must hold over a whole fleet of 300 gateways before 200 members, and over hours of one gateway. All is
-// in virtual time, with the real decision modules.
+// What must hold over a fleet of 300 gateways and 200 members, and over hours of one gateway? All is in virtual time,
+// with the policy in service.
 
-// At this size a day's trouble costs no more than what it takes away for as long as it lasts, and is over with it; no gateway
-// is told more than it takes in, and connections, turns at cold members and use beyond quotas are bounded over the fleet.
+// At this size a trouble costs no more than the capacity that it takes, and only while it lasts; no gateway receives more
+// datagrams than its intake, and connections, requests to cold members and use beyond quotas are bounded over the fleet.
 func TestDaysOfALargeFleet(t *testing.T) {
 	for name, day := range map[string]struct {
 		trouble Trouble
@@ -50,9 +50,10 @@
 	}
 }
 
-// A customer whose set is wider than what its gateways can all hear has a home, which keeps its hard ceiling as well: from the
-// first second on it gets its quota, however unevenly it asks, and the ceiling holds while homes die, are cut off or fall
-// silent, though a tenth of the customers ask for many times their quota.
+// A customer whose set of gateways is too large to share a bucket has an owner, which keeps its hard limit as well: from
+// the first second on the customer gets its quota, however uneven its requests are over the gateways, and the hard limit
+// holds while owners are killed, partitioned or send nothing, though a tenth of the customers ask for many times their
+// quota.
 func TestHomesKeepCeilings(t *testing.T) {
 	for name, trouble := range map[string]Trouble{
 		"split":   {At: 3 * second, For: 4 * second, Kind: Split, Part: 0.2},
@@ -68,7 +69,7 @@
 			small.Rate, small.Burst = 2, 16
 			utility.Rate, utility.Burst, utility.HardLimitRate, utility.HardLimitBurst, utility.HardLimitSlack = 16, 41, 35, 89, 9
 			r, err := Play(s)
-			require.NoError(t, err) // the ceiling among the rules
+			require.NoError(t, err) // the hard limit is among the rules
 			t.Logf("%.2f served, over the ceiling by %.1f", r.Seconds, r.OverCeiling)
 			assert.Greater(t, r.Seconds[0], 0.8, "its parts would begin with nothing; for a quarter of a second they do")
 			assert.Greater(t, r.Seconds[1], 0.85)
@@ -76,9 +77,9 @@
 	}
 }
 
-// Hard ceilings hold over 300 gateways on whichever seed, for sets whose gateways share a store and for wider ones, while
-// gateways don't hear each other, rooms are lost, most gateways are killed or all are restarted in turn. Half of the
-// customers ask for many times their quota, so what is let in is bound by nothing but quotas and ceilings.
+// Hard limits hold over 300 gateways with every seed, for sets whose gateways share a bucket and for larger ones, while
+// messages between gateways are lost, rooms fail, most gateways are killed or all are restarted in turn. Half of the
+// customers ask for many times their quota, so that nothing but quotas and hard limits bounds what is admitted.
 func TestCeilingsHoldOnManySeeds(t *testing.T) {
 	for name, trouble := range map[string]Trouble{
 		"split": {At: second, For: 2 * second, Kind: Split, Part: 0.1},
@@ -102,8 +103,8 @@
 	}
 }
 
-// What a gateway knows doesn't grow with the customers that came once, the members that are gone and the requests that it
-// has answered: after three times as long it is as large.
+// A gateway's state doesn't grow with the customers that came once, the members that departed and the requests that were
+// answered: after a run of three times the length it is as large.
 func TestStateDoesNotGrow(t *testing.T) {
 	for _, c := range []struct {
 		gateways int
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -13,59 +13,66 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// This file owns what goes wrong in a run, and the words that scripts have for it. Scripts are shared with the fault rig, which
-// plays them on real processes.
+// What goes wrong in a run, and how do scripts name it? Scripts are shared with internal/lab/faults, which plays them
+// on real processes.
 
-// Trouble is something that goes wrong.
+// Trouble is a fault of a script: its kind, its time and what it strikes.
 type Trouble struct {
-	At, For time.Duration
+	At, For time.Duration // from the start of the run; how long it lasts
 	Kind    Kind
 	Part    float64 // share of the members, or of the gateways
-	Size    float64 // times slower, of slow ones; 0: three. The share lost, of loss; 0: three in ten. The share of the members, of cut; 0: a third. Seconds at most, of late; 0: a fifth. The share, of twice and spoilt; 0: three in ten. Seconds, of clock; 0: ten
+
+	// Size is how strong it is, by kind, and 0 the default in brackets: how many times slower (Slow: 3); the share of
+	// messages that are lost, come twice or are corrupted (Lossy, Twice, Spoilt: 0.3); the share of members that can't
+	// be reached (Sever: a third); the longest delay in seconds (Late: 0.2); seconds that a clock is ahead (Clock: 10).
+	Size float64
 }
 
-// Kind tells troubles apart.
+// Kind is a kind of trouble, by its name in scripts.
 type Kind string
 
 // The kinds of trouble.
 const (
-	Hang    Kind = "hang"    // members take work and answer none
-	Stop    Kind = "stop"    // members' processes end and start again, cold, while the list has them up
-	Pause   Kind = "pause"   // members stand still for a moment each second
-	Drain   Kind = "drain"   // members are told to drain, and are listed again afterwards
-	Restart Kind = "restart" // gateways are killed and start again, knowing nothing, one after another
-	Room    Kind = "room"    // a room is cut off from the others, its members' processes end and come back cold
-	Split   Kind = "split"   // no gateway hears another, lists come late, members hang
-	Slow    Kind = "slow"    // members are some times slower; part 1: something that all depend on
-	Shrink  Kind = "shrink"  // members drain one after another and are gone
-	Replace Kind = "replace" // members drain, and new ones with names of their own take their places, cold
+	Hang    Kind = "hang"    // members take requests and answer none
+	Stop    Kind = "stop"    // members' processes end and start again, cold; server lists don't say so
+	Pause   Kind = "pause"   // members are paused for 0.2 to 0.5 s in each second
+	Drain   Kind = "drain"   // members drain, and are listed as ready again afterwards
+	Restart Kind = "restart" // gateways are killed and start again without state, one after another
+	Room    Kind = "room"    // one room is partitioned from the others; its members' processes end, and start again cold
+	Split   Kind = "split"   // all messages between gateways are lost, server lists come late, members hang
+	Slow    Kind = "slow"    // members are slower; with part 1 it stands for a shared dependency that is slow
+	Shrink  Kind = "shrink"  // members drain one after another and depart
+	Replace Kind = "replace" // members drain, and new ones, which are cold, take their places
 
 	Kill   Kind = "kill"   // gateways are killed at once, and start again when it is over
-	Stall  Kind = "stall"  // gateways' processes stand still, and go on when it is over
-	Deaf   Kind = "deaf"   // gateways neither hear others nor are heard
-	Halves Kind = "halves" // gateways hear only those that it strikes, and the rest the rest
-	OneWay Kind = "oneway" // gateways are heard and hear nobody
-	Lossy  Kind = "loss"   // gateways lose a share of what they are told
-	Sever  Kind = "cut"    // gateways lose the way to a share of the members
-	Silent Kind = "silent" // discovery tells gateways nothing
-	Late   Kind = "late"   // what gateways are told takes longer, and may be overtaken
-	Twice  Kind = "twice"  // a share of what gateways are told comes twice
-	Spoilt Kind = "spoilt" // of a share of what gateways are told a byte is changed
-	Shut   Kind = "shut"   // clients don't come to gateways, which run
+	Stall  Kind = "stall"  // gateways' processes are paused, and resumed when it is over
+	Deaf   Kind = "deaf"   // gateways neither send nor receive messages of peers
+	Halves Kind = "halves" // the gateways that are struck and the others are partitioned from each other
+	OneWay Kind = "oneway" // gateways receive no messages of peers, and theirs arrive
+	Lossy  Kind = "loss"   // gateways lose a share of the messages to them
+	Sever  Kind = "cut"    // gateways can't reach a share of the members
+	Silent Kind = "silent" // gateways get no server lists
+	Late   Kind = "late"   // messages to gateways are delayed, and may be reordered
+	Twice  Kind = "twice"  // a share of the messages to gateways is duplicated
+	Spoilt Kind = "spoilt" // a share of the messages to gateways has a bit flipped
+	Shut   Kind = "shut"   // the front sends no clients to gateways, which run on
 	Clock  Kind = "clock"  // gateways' clocks are ahead of the members' for all of the run
 )
 
-// Kinds are all of them.
-var Kinds = []Kind{Hang, Stop, Pause, Drain, Restart, Room, Split, Slow, Shrink, Replace, Kill, Stall, Deaf, Halves, OneWay, Lossy, Sever, Silent, Late, Twice, Spoilt, Shut, Clock}
+// Kinds are all kinds of trouble. Drawn picks one by its index.
+var Kinds = []Kind{Hang, Stop, Pause, Drain, Restart, Room, Split, Slow, Shrink, Replace, Kill, Stall, Deaf,
+	Halves, OneWay, Lossy, Sever, Silent, Late, Twice, Spoilt, Shut, Clock}
 
+// known tells whether a kind is one of Kinds.
 func known(k Kind) bool { return slices.Contains(Kinds, k) }
 
-// ofGateways tells whether it strikes gateways; else members.
+// ofGateways tells whether a kind strikes gateways rather than members.
 func (k Kind) ofGateways() bool {
-	return slices.Contains([]Kind{Restart, Kill, Stall, Deaf, Halves, OneWay, Lossy, Sever, Silent, Late, Twice, Spoilt, Shut, Clock}, k)
+	return slices.Contains([]Kind{Restart, Kill, Stall, Deaf, Halves, OneWay, Lossy, Sever, Silent, Late, Twice, Spoilt,
+		Shut, Clock}, k)
 }
 
-// ParseTrouble reads kind:at:for:part, or kind:at:for:part:size.
+// ParseTrouble reads a trouble in the form kind:at:for:part or kind:at:for:part:size.
 func ParseTrouble(text string) (t Trouble, err error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 4 && len(parts) != 5 {
@@ -85,7 +92,7 @@
 	return t, t.Check()
 }
 
-// Check tells what is wrong with a trouble.
+// Check returns an error that says which values are allowed where a trouble has others.
 func (t Trouble) Check() error {
 	if !known(t.Kind) || !(t.Part > 0 && t.Part <= 1) || t.At < 0 || t.For < 0 || !(t.Size >= 0) {
 		return fmt.Errorf("kind one of %v, part above 0 and at most 1, times and size not below 0", Kinds)
@@ -93,7 +100,7 @@
 	return nil
 }
 
-// String words it as ParseTrouble reads it.
+// String gives the form that ParseTrouble reads.
 func (t Trouble) String() string {
 	text := fmt.Sprintf("%s:%v:%v:%g", t.Kind, t.At, t.For, t.Part)
 	if t.Size != 0 {
@@ -102,30 +109,31 @@
 	return text
 }
 
-// Struck draws which of so many gateways or members a trouble strikes, the same in the model and on processes: by the seed and
-// its place in the script.
+// Struck draws which of n gateways or members the trouble at an index of the script strikes. It depends on nothing but
+// its arguments, so a script strikes the same ones here and on real processes.
 func Struck(seed uint64, place, n int, part float64) []int {
 	return struck(NewEngine(seed).Stream(fmt.Sprintf("trouble %d", place)), n, part)
 }
 
-// mute says what becomes of the messages from one gateway to another, and to whom it happens.
+// messageFault is what happens to messages between gateways while a trouble lasts.
 type messageFault struct {
-	lost    func(from, to int) float64 // a share; nil: none
-	kind    Kind                       // else late, twice or spoilt
-	size    float64
+	lost    func(from, to int) float64 // share that is lost; nil: none, and kind says what happens
+	kind    Kind                       // Late, Twice or Spoilt
+	size    float64                    // Trouble.Size
 	affects func(to int) bool
 }
 
-// severed says which gateways have lost the way to which members.
+// linkFault is a set of gateways that can't reach a set of members, by their indices.
 type linkFault struct {
 	gateways, members []int
 }
 
-// mutes lets messages be lost for a while.
+// loseMessages lets the share lost(from, to) of the messages between gateways be lost for d.
 func (r *run) loseMessages(d time.Duration, lost func(from, to int) float64) {
 	r.addMessageFault(d, &messageFault{lost: lost})
 }
 
+// addMessageFault lets a fault of messages last for d.
 func (r *run) addMessageFault(d time.Duration, m *messageFault) {
 	r.messageFaults = append(r.messageFaults, m)
 	r.engine.After(d, func() {
@@ -133,7 +141,7 @@
 	})
 }
 
-// loses tells whether a message between two gateways is lost.
+// losesMessage draws whether a message between two gateways is lost.
 func (r *run) losesMessage(from, to int) bool {
 	lost := r.links.Float64()
 	if lost < r.Loss {
@@ -150,7 +158,7 @@
 	return false
 }
 
-// bent gives what comes of a message that isn't lost: how much later it is, what it has become, and how often it comes.
+// disturb gives what becomes of a message that isn't lost: its additional delay, its bytes, and how many copies arrive.
 func (r *run) disturb(to int, message []byte) (delay time.Duration, changed []byte, copies int) {
 	copies = 1
 	for _, m := range r.messageFaults {
@@ -171,7 +179,7 @@
 	return delay, message, copies
 }
 
-// parted tells whether the way between a gateway and a member is cut.
+// unreachable tells whether a gateway can't reach a member.
 func (r *run) unreachable(g *gateway, m *member) bool {
 	for _, s := range r.brokenLinks {
 		if slices.Contains(s.gateways, g.index) && slices.Contains(s.members, int(m.id)-1) {
@@ -181,13 +189,15 @@
 	return r.partitioned(g.room, m.room)
 }
 
-// strike lets a trouble of gateways begin, and end.
+// beginGatewayFault begins a trouble of the gateways that are struck, and schedules its end.
 func (r *run) beginGatewayFault(t Trouble, who []int, rng *rand.Rand) {
 	is := func(g int) bool { return slices.Contains(who, g) }
 	switch t.Kind {
 	case Restart:
 		for k, i := range who {
-			r.engine.After(time.Duration(k)*t.For/time.Duration(r.Gateways), func() { r.gateways[i].restart(500 * time.Millisecond) })
+			r.engine.After(time.Duration(k)*t.For/time.Duration(r.Gateways), func() {
+				r.gateways[i].restart(500 * time.Millisecond)
+			})
 		}
 	case Kill:
 		for _, i := range who {
@@ -210,7 +220,9 @@
 	case Sever:
 		s := &linkFault{who, struck(rng, r.Members, cmp.Or(t.Size, 1.0/3))}
 		r.brokenLinks = append(r.brokenLinks, s)
-		r.engine.After(t.For, func() { r.brokenLinks = slices.DeleteFunc(r.brokenLinks, func(x *linkFault) bool { return x == s }) })
+		r.engine.After(t.For, func() {
+			r.brokenLinks = slices.DeleteFunc(r.brokenLinks, func(x *linkFault) bool { return x == s })
+		})
 	case Silent:
 		for _, i := range who {
 			r.gateways[i].noListsUntil = r.engine.now + t.For
@@ -222,6 +234,7 @@
 	}
 }
 
+// share gives of where is holds, else 0.
 func share(is bool, of float64) float64 {
 	if is {
 		return of
@@ -229,12 +242,12 @@
 	return 0
 }
 
-// struck draws a share of so many, at least one.
+// struck draws a share of n indices, at least one of them.
 func struck(rng *rand.Rand, n int, part float64) []int {
 	return rng.Perm(n)[:min(n, max(1, int(part*float64(n)+0.5)))]
 }
 
-// begin lets a trouble begin, and end.
+// beginFault begins a trouble, and schedules its end.
 func (r *run) beginFault(t Trouble, rng *rand.Rand) {
 	if t.Kind.ofGateways() {
 		r.beginGatewayFault(t, struck(rng, r.Gateways, t.Part), rng)
@@ -292,10 +305,10 @@
 	}
 }
 
-// drainWait is how long a member that is replaced drains.
+// drainTime is how long a member drains that is replaced or departs.
 const drainTime = 4 * time.Second
 
-// replace lets a new member take another's place.
+// replace drains a member and starts a new one in its place.
 func (r *run) replace(m *member, rng *rand.Rand) {
 	if m.state != policy.Ready {
 		return
@@ -309,7 +322,7 @@
 	r.announce(next)
 }
 
-// list tells every gateway of a member's entry, late.
+// announce sends a member's entry to every gateway, after the delay of discovery.
 func (r *run) announce(m *member) {
 	info := m.info()
 	for _, g := range r.gateways {
