--- a/internal/front/clientgone_test.go
+++ b/internal/front/clientgone_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A handler is told that its client has left whatever is pipelined behind its request, and wherever the reads
+// A handler learns that its client has left, with any input pipelined behind its request, and wherever the reads
 // of that are split: some of it is read together with the request, the rest while that is handled.
 func TestClientGoneWithPipelinedRequests(t *testing.T) {
 	const (
@@ -44,7 +44,7 @@
 }
 
 // checkClientGone has a client send some bytes, then the rest while its first request is handled, and leave
-// during the nth request, whose handler must be told.
+// during the nth request, whose handler must learn of it.
 func checkClientGone(t *testing.T, at int, before, rest string) {
 	synctest.Test(t, func(t *testing.T) {
 		port := newPipeListener()
--- a/internal/front/listener.go
+++ b/internal/front/listener.go
@@ -53,9 +53,9 @@
 	switch {
 	case !ok:
 	case paused:
-		t.SetDeadline(time.Now())
+		_ = t.SetDeadline(time.Now()) // fails only on a closed socket, on which Accept doesn't block
 	default:
-		t.SetDeadline(time.Time{})
+		_ = t.SetDeadline(time.Time{})
 		l.slotFreed.Broadcast()
 	}
 }
@@ -136,7 +136,7 @@
 		if deadline.After(l.backlogDeadline) {
 			deadline = l.backlogDeadline
 		}
-		t.SetDeadline(deadline)
+		_ = t.SetDeadline(deadline) // fails only on a closed socket, whose backlog is gone
 	}
 }
 
--- a/internal/front/responsewriter.go
+++ b/internal/front/responsewriter.go
@@ -43,7 +43,8 @@
 		if w.isLast() {
 			w.Header().Set("Connection", "close")
 		}
-		http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
+		// It fails only on a closed connection, as the writes then do.
+		_ = http.NewResponseController(w.ResponseWriter).SetWriteDeadline(time.Now().Add(writeStallTimeout))
 	}
 	w.headerWritten = w.headerWritten || code >= http.StatusOK
 	w.ResponseWriter.WriteHeader(code)
--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// ObserveLoad takes in the load of a backend's servers: the share of their slots that is in use, and whether
+// ObserveLoad records the load of a backend's servers: the share of their slots that is in use, and whether
 // requests wait for slots.
 func (a *Admission) ObserveLoad(now time.Duration, backend string, utilization float64, queueing bool) {
 	a.mutex.Lock()
--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -76,7 +76,8 @@
 	}
 	a.reportLoad(request.Backend)
 	decision := a.admission.Admit(a.now(), request.Route, request.Tenant, admission.Request{
-		PromptTokens: request.Workload.PromptTokens, OutputTokens: request.Workload.OutputTokens, Remaining: time.Until(request.Deadline)})
+		PromptTokens: request.Workload.PromptTokens, OutputTokens: request.Workload.OutputTokens,
+		Remaining: time.Until(request.Deadline)})
 	if decision.Admit {
 		return proxy.Rejection{}
 	}
--- a/internal/gateway/batchproxy/caller_test.go
+++ b/internal/gateway/batchproxy/caller_test.go
@@ -145,8 +145,8 @@
 	return c, asked
 }
 
-// TestCallsOfOtherClients checks that batch jobs can be read through any gateway, whatever has become of some
-// stores.
+// TestCallsOfOtherClients checks that batch jobs can be read through any gateway, also while some
+// stores don't answer.
 func TestCallsOfOtherClients(t *testing.T) {
 	calls := []protocol.BatchOperation{protocol.BatchRead, protocol.BatchBody, protocol.BatchEnd}
 	for _, operation := range calls {
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -26,7 +26,7 @@
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
 	RejectedOverload Outcome = "refused_overload" // load shedding
 	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
-	Unready          Outcome = "unready"          // the gateway lacks a confirmed configuration or a key lease, or shuts down
+	Unready          Outcome = "unready"          // no confirmed configuration or valid key lease, or the gateway shuts down
 	NoServer         Outcome = "no_server"        // no server took it, and none ran it
 	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
 	Lost             Outcome = "lost"             // it may have run, and no response came
--- a/internal/gateway/proxy/headers.go
+++ b/internal/gateway/proxy/headers.go
@@ -78,7 +78,7 @@
 }
 
 // writeRequestHead writes the request's head for one attempt. It is called when the head goes out, so that
-// the server is handed what is left of the deadline by then.
+// the X-Deadline-Ms is what is left of the deadline by then.
 func (q *request) writeRequestHead(b *bytes.Buffer, instance string) {
 	b.WriteString(q.r.Method)
 	b.WriteByte(' ')
--- a/internal/gateway/proxy/simulation_test.go
+++ b/internal/gateway/proxy/simulation_test.go
@@ -33,7 +33,7 @@
 // TestRandomServersFindBugs injects bugs one by one; some simulation must find each.
 func TestRandomServersFindBugs(t *testing.T) {
 	for name, injectBug := range map[string]func(*proxy.Bugs){
-		"a response is taken whatever request it names":                           proxy.AcceptAnyID,
+		"a response is accepted although it names another request":                proxy.AcceptAnyID,
 		"a request that may run once only is retried after it was lost":           proxy.RetryNonIdempotent,
 		"a response without a length is complete though its connection was reset": proxy.TruncatedIsComplete,
 		"a stream is resumed without the id of its last event":                    proxy.OmitLastEventID,
--- a/internal/gateway/proxy/timing_test.go
+++ b/internal/gateway/proxy/timing_test.go
@@ -16,7 +16,7 @@
 
 // Checks of the rules that have a time in them, in virtual time.
 
-// TestDeadlineAtEachAttempt checks that the deadline that a server is handed at each attempt is the client's,
+// TestDeadlineAtEachAttempt checks that the deadline that is forwarded at each attempt is the client's,
 // or the route's time-out if the client sends none.
 func TestDeadlineAtEachAttempt(t *testing.T) { checkForwardedDeadlines(ruleCheck{T: t, check: t}) }
 
@@ -29,12 +29,12 @@
 		"safe after silence":       {"safe", []fake.Reply{neverResponds, good}},
 		"safe after a reset":       {"safe", []fake.Reply{respondsAfter(900*time.Millisecond, writesText("", false)), good}},
 		"safe after its own 500":   {"safe", []fake.Reply{respondsAfter(900*time.Millisecond, responds(500, signatureLine, "")), good}},
-		"unsafe after refusals":    {"unsafe", []fake.Reply{respondsAfter(300*time.Millisecond, refuses), respondsAfter(300*time.Millisecond, refuses), good}},
-		"stream after a refusal":   {"stream", []fake.Reply{respondsAfter(600*time.Millisecond, refuses), goodStream}},
+		"unsafe after rejections":  {"unsafe", []fake.Reply{respondsAfter(300*time.Millisecond, refuses), respondsAfter(300*time.Millisecond, refuses), good}},
+		"stream after a rejection": {"stream", []fake.Reply{respondsAfter(600*time.Millisecond, refuses), goodStream}},
 		"resumed after a cut":      {"resume", []fake.Reply{respondsAfter(900*time.Millisecond, streams(2, "", false)), goodStream}},
 		"resumed after silence":    {"resume", []fake.Reply{sendsEventsSlowly(0, 2, ""), goodStream}},
-		"taken up behind a head":   {"resume", []fake.Reply{sendsEventsSlowly(0, 0, ""), goodStream}},
-		"taken up before an event": {"resume", []fake.Reply{neverResponds, goodStream}},
+		"resumed after a head":     {"resume", []fake.Reply{sendsEventsSlowly(0, 0, ""), goodStream}},
+		"retried before an event":  {"resume", []fake.Reply{neverResponds, goodStream}},
 	} {
 		for deadlineMs, limit := range map[string]time.Duration{"2500": 2500 * time.Millisecond, "60000": routeTimeout, "": routeTimeout} {
 			g.play(4, test.script, func(w *virtualTimeGateway) {
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -215,7 +215,7 @@
 	g.checkProgress()
 }
 
-// answered takes in the answer to a poll. proven means that its sender's proof was true.
+// answered handles the answer to a poll. proven means that its sender's proof was true.
 func (g *simGateway) answered(s *session, update protocol.Update, proven bool) {
 	if s.ended || g.session != s || !s.asking || update.Sequence != s.sequence {
 		return
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -26,11 +26,11 @@
 	bugUnprovenConfirmation     injectedBug = "a control process confirms without a proof"
 	bugNoAge                    injectedBug = "a control process doesn't tell the age of its proof"
 	bugLeaseFromReceipt         injectedBug = "a lease counts from the receipt of the answer"
-	bugLeaseCheckedLast         injectedBug = "the lease is looked at after the configuration alone"
-	bugUnconfirmedConfiguration injectedBug = "a new process applies a configuration that nobody confirmed"
-	bugConfigurationGoesBack    injectedBug = "a new control process may hand out an older configuration"
-	bugRejectsUnconfirmed       injectedBug = "a request is refused without asking control"
-	bugServerListGoesBack       injectedBug = "a new control process may hand out an older list of servers"
+	bugLeaseCheckedLast         injectedBug = "the lease is checked only after the configuration"
+	bugUnconfirmedConfiguration injectedBug = "a new process applies an unconfirmed configuration"
+	bugConfigurationGoesBack    injectedBug = "a new control process may send an older configuration"
+	bugRejectsUnconfirmed       injectedBug = "a request is rejected without asking control"
+	bugServerListGoesBack       injectedBug = "a new control process may send an older list of servers"
 )
 
 // foundBy names for each bug the simulations and the check that find it.
--- a/internal/pool/response.go
+++ b/internal/pool/response.go
@@ -22,7 +22,8 @@
 
 // readResponse reads a response, to its end or as far as it is held back. Only 200 counts as success; the
 // body of another status is discarded, for the sake of reusing the connection.
-func (c *conn) readResponse(p *Pool, attempt *core.Attempt, msg *Message) (end core.End, answer core.Answer, reuse bool) {
+func (c *conn) readResponse(p *Pool, attempt *core.Attempt, msg *Message) (
+	end core.End, answer core.Answer, reuse bool) {
 	var resp *http.Response
 	for interim := 0; ; interim++ {
 		var err error
--- a/internal/pool/roundtrip.go
+++ b/internal/pool/roundtrip.go
@@ -79,7 +79,7 @@
 }
 
 // streamRemainder writes the rest of a body as it arrives, and reports whether all of it was written. If not,
-// the server has not executed the request, whatever it has sent. The buffer has room for a chunk with its
+// the server has not executed the request, even if it has responded. The buffer has room for a chunk with its
 // framing and the last chunk, so that each goes out in one write.
 func (c *conn) streamRemainder(p *Pool, attempt *core.Attempt, msg *Message) (end core.End, complete bool) {
 	const bufferSize = maxChunkSizeLine + StreamBufferSize + len("\r\n") + len(lastChunk)
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -16,7 +16,7 @@
 //
 // # Shutdown
 //
-// A load balancer goes on sending for a short time after the process was told to end, so new connections are
+// A load balancer goes on sending for a short time after SIGTERM, so new connections are
 // still accepted for the accept period. The process exits once none is open, at the latest after the timeout
 // that Shutdown was given, which must end before the platform kills the process ([ShutdownTimes]).
 //
--- a/internal/service/shutdowntimes.go
+++ b/internal/service/shutdowntimes.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The platform kills a process a time after it told it to end: the longest request deadline, of which it
-// counts at most maxDeadlineCounted, and killGrace.
+// The platform kills a process some time after it has asked it to end (SIGTERM): after the longest request
+// deadline, of which it counts at most maxDeadlineCounted, plus killGrace.
 const (
 	maxDeadlineCounted = 3 * time.Second
 	killGrace          = 700 * time.Millisecond
@@ -12,7 +12,7 @@
 	responseMargin = 150 * time.Millisecond
 )
 
-// ShutdownTimes returns, as times after a process was told to end, when requests that are still open get
+// ShutdownTimes returns, as times after SIGTERM, when requests that are still open get
 // their final response, and when the process exits whatever is open. maxDeadline is the longest deadline of a
 // request. A request that could take longer than that is not waited for, so that its client still gets a
 // response.
--- a/internal/service/state.go
+++ b/internal/service/state.go
@@ -82,7 +82,7 @@
 }
 
 // Drain lets clients leave. Repeated calls change nothing, nor does one during shutdown. It returns false if
-// another process of the gateway serves, which must be told instead.
+// another process of the gateway serves, on which Drain must be called instead.
 func (s *State) Drain(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,7 +200,7 @@
 	return s.shutdownAt.Add(s.shutdownTimeout), s.shuttingDown && now.Sub(s.shutdownAt) >= s.acceptPeriod
 }
 
-// MayExit reports whether the process may exit now, with so many client connections open. After a hand-over
+// MayExit reports whether the process may exit now, while open client connections are open. After a hand-over
 // no new ones arrive, so that there is no accept period to wait for.
 func (s *State) MayExit(now time.Time, open int) bool {
 	s.mu.Lock()
--- a/internal/service/state_test.go
+++ b/internal/service/state_test.go
@@ -10,7 +10,7 @@
 
 const testShutdownTimeout = 5 * time.Second
 
-// Every order of calls and signals leads to a sane state. Each case has a sequence of calls: d drain, u
+// Every order of calls and signals leads to a valid state. Each case has a sequence of calls: d drain, u
 // undrain, s started, t SIGTERM, h handed over, b taken back, each 10 s after the one before; then what holds
 // half a minute later if the process has not exited.
 func TestEveryTransitionOrder(t *testing.T) {
