--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -41,7 +41,7 @@
 
 // play sends perSecond requests a second of each route, all with a latency, and returns the shares refused.
 func play(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, taken float64) []float64 {
-	refused, offered := make([]float64, len(perSecond)), make([]float64, len(perSecond))
+	rejected, offered := make([]float64, len(perSecond)), make([]float64, len(perSecond))
 	for s := from; s < from+seconds; s++ {
 		for i, n := range perSecond {
 			route := &snapshot.Routes[i]
@@ -53,15 +53,15 @@
 					a.Sent(now, route.Name)
 					a.Attempt(now, route.Name, latency[i])
 				} else {
-					refused[i]++
+					rejected[i]++
 				}
 			}
 		}
 	}
-	for i := range refused {
-		refused[i] /= offered[i]
+	for i := range rejected {
+		rejected[i] /= offered[i]
 	}
-	return refused
+	return rejected
 }
 
 func TestSheddingFollowsScore(t *testing.T) {
@@ -105,18 +105,18 @@
 		a := newAdmission(snapshot, 1)
 		play(a, snapshot, 2, 2, rates, late, 0.9)
 		route := &snapshot.Routes[1]
-		refused := 0
+		rejected := 0
 		for range 200 {
 			now := 4*second - millisecond
 			first := a.Admit(now, route, nil, Request{PromptTokens: 500, Remaining: 4 * second})
 			if !first.Admit {
-				refused++
+				rejected++
 				So(first.RetryAfter, ShouldBeBetweenOrEqual, minRetryAfter, maxRetryAfter)
 				So(first.Reason, ShouldEqual, ReasonOverload)
 				So(a.Admit(now, route, nil, Request{PromptTokens: 500, Remaining: 3 * second}).Admit, ShouldBeTrue)
 			}
 		}
-		So(refused, ShouldBeGreaterThan, 0)
+		So(rejected, ShouldBeGreaterThan, 0)
 		So(a.retryAfter(600*millisecond), ShouldBeLessThan, 200*millisecond)
 	})
 
--- a/internal/gateway/proxy/disconnect_test.go
+++ b/internal/gateway/proxy/disconnect_test.go
@@ -17,8 +17,8 @@
 )
 
 // awaitHandled waits until a number of requests have been handled.
-func (r *testGateway) awaitHandled(count int64) {
-	for r.handled.Load() < count {
+func (g *testGateway) awaitHandled(count int64) {
+	for g.handled.Load() < count {
 		runtime.Gosched()
 	}
 }
--- a/internal/gateway/proxy/random_test.go
+++ b/internal/gateway/proxy/random_test.go
@@ -69,7 +69,7 @@
 	case 0:
 		return neverResponds
 	case 1, 2:
-		return d.refusal(wait)
+		return d.rejection(wait)
 	case 3:
 		return respondsAfter(wait, writesText("", false))
 	case 4:
@@ -88,15 +88,15 @@
 }
 
 // refusal rejects an attempt, and counts it once the response has gone out.
-func (d *randomExchange) refusal(wait time.Duration) fake.Reply {
-	refuses := responds(503, "X-Not-Executed: 1\r\n", "")
+func (d *randomExchange) rejection(wait time.Duration) fake.Reply {
+	rejects := responds(503, "X-Not-Executed: 1\r\n", "")
 	return respondsAfter(wait, func(p *fake.Peer, c net.Conn, s fake.Seen) bool {
 		d.rejections.Add(1)
-		return refuses(p, c, s)
+		return rejects(p, c, s)
 	})
 }
 
-func (d *randomExchange) most() time.Duration {
+func (d *randomExchange) timeLimit() time.Duration {
 	return min(routeTimeout, cmp.Or(d.clientDeadline, routeTimeout))
 }
 
@@ -115,7 +115,7 @@
 		what := fmt.Sprintf("FIRST=%d SEEDS=1: %s, deadline %v, leaves after %v", seed, d.route, d.clientDeadline, d.leavesAfter)
 		if d.leavesAfter == 0 {
 			_, _ = io.Copy(io.Discard, throughFirstResponse(conn))
-			assert.LessOrEqual(w.check, time.Since(w.began), d.most()+ruleMargin/2, what)
+			assert.LessOrEqual(w.check, time.Since(w.began), d.timeLimit()+ruleMargin/2, what)
 		} else {
 			go io.Copy(io.Discard, conn)
 			time.Sleep(d.leavesAfter)
@@ -150,7 +150,7 @@
 			continue // of a request that follows it
 		}
 		arrivals++
-		assert.LessOrEqual(w.check, arrival.at.Add(arrival.deadline).Sub(w.began), d.most()+4*d.latency, what)
+		assert.LessOrEqual(w.check, arrival.at.Add(arrival.deadline).Sub(w.began), d.timeLimit()+4*d.latency, what)
 		assert.LessOrEqual(w.check, arrival.at.Sub(over), 6*d.latency, what)
 	}
 	assert.LessOrEqual(w.check, arrivals-int(d.rejections.Load()), servers, what)
@@ -163,8 +163,8 @@
 func TestRandomExchanges(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	count := uint64(defaultExchanges)
-	if deadlineMs, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64); err == nil {
-		count = deadlineMs
+	if number, err := strconv.ParseUint(os.Getenv("SEEDS"), 10, 64); err == nil {
+		count = number
 	}
 	for seed := first; seed < first+count && !t.Failed(); seed++ {
 		ruleCheck{T: t, check: t}.exchange(seed)
--- a/internal/gateway/proxy/reconfiguration_test.go
+++ b/internal/gateway/proxy/reconfiguration_test.go
@@ -87,21 +87,21 @@
 }
 
 // changeConfiguration puts a changed configuration in force.
-func (r *testGateway) changeConfiguration(change func(*configuration.Document)) {
+func (g *testGateway) changeConfiguration(change func(*configuration.Document)) {
 	document := testDocument()
 	change(&document)
-	r.control.configuration.Store(configuration.NewSnapshot(document, 2))
+	g.control.configuration.Store(configuration.NewSnapshot(document, 2))
 }
 
 // changeServers puts a changed list of servers in force.
-func (r *testGateway) changeServers(change func(*protocol.Server)) {
+func (g *testGateway) changeServers(change func(*protocol.Server)) {
 	list := &protocol.ServerList{Version: 2}
-	for _, server := range r.registry.Current().ForBackend("b") {
+	for _, server := range g.registry.Current().ForBackend("b") {
 		changed := server.Server
 		change(&changed)
 		list.Servers = append(list.Servers, changed)
 	}
-	r.registry.Apply(list)
+	g.registry.Apply(list)
 }
 
 func TestConfigurationChangeDuringRequest(t *testing.T) {
--- a/internal/gateway/proxy/testgateway_test.go
+++ b/internal/gateway/proxy/testgateway_test.go
@@ -33,16 +33,16 @@
 	members       *protocol.MemberList
 }
 
-func (k *fakeControl) Configuration() *configuration.Snapshot { return k.configuration.Load() }
-func (k *fakeControl) Members() *protocol.MemberList          { return k.members }
-func (k *fakeControl) KeyLeaseValid(time.Time) bool           { return !k.leaseExpired.Load() }
+func (c *fakeControl) Configuration() *configuration.Snapshot { return c.configuration.Load() }
+func (c *fakeControl) Members() *protocol.MemberList          { return c.members }
+func (c *fakeControl) KeyLeaseValid(time.Time) bool           { return !c.leaseExpired.Load() }
 
-func (k *fakeControl) AwaitConfirmation(_ context.Context, now, by time.Time) bool {
-	k.waited = by.Sub(now)
-	if k.onAwait != nil {
-		k.onAwait()
+func (c *fakeControl) AwaitConfirmation(_ context.Context, now, by time.Time) bool {
+	c.waited = by.Sub(now)
+	if c.onAwait != nil {
+		c.onAwait()
 	}
-	return k.reachable.Load()
+	return c.reachable.Load()
 }
 
 // fakeBatch records calls and returns one answer.
@@ -132,14 +132,14 @@
 }
 
 // ServeHTTP passes a request to the proxy and counts it.
-func (r *testGateway) ServeHTTP(w http.ResponseWriter, request *http.Request) {
-	defer r.handled.Add(1)
-	r.proxy.ServeHTTP(w, request)
+func (g *testGateway) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	defer g.handled.Add(1)
+	g.proxy.ServeHTTP(w, request)
 }
 
 // seen returns the requests that reached any server.
-func (r *testGateway) seen() (all []fake.Seen) {
-	for _, peer := range r.servers {
+func (g *testGateway) seen() (all []fake.Seen) {
+	for _, peer := range g.servers {
 		all = append(all, peer.Seen()...)
 	}
 	return all
@@ -155,27 +155,27 @@
 }
 
 // ask sends one request and reads its response as far as it goes.
-func (r *testGateway) ask(method, path string, header ...string) clientResponse {
+func (g *testGateway) ask(method, path string, header ...string) clientResponse {
 	body := ""
 	if method == http.MethodPost {
 		body = "the body"
 	}
-	return r.askWith(method, path, body, header...)
+	return g.askWith(method, path, body, header...)
 }
 
-func (r *testGateway) askWith(method, path, body string, header ...string) clientResponse {
-	conn := r.send(method, path, body, header...)
+func (g *testGateway) askWith(method, path, body string, header ...string) clientResponse {
+	conn := g.send(method, path, body, header...)
 	defer conn.Close()
 	return readResponse(conn)
 }
 
-func (r *testGateway) send(method, path, body string, header ...string) net.Conn {
-	conn, err := net.Dial("tcp", r.address)
+func (g *testGateway) send(method, path, body string, header ...string) net.Conn {
+	conn, err := net.Dial("tcp", g.address)
 	if err != nil {
-		r.t.Fatal(err)
+		g.t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	lines := map[string]string{"Host": "h.example", "Api-Key": testKey, "X-Request-Id": fmt.Sprintf("id-%d", r.next.Add(1)),
+	lines := map[string]string{"Host": "h.example", "Api-Key": testKey, "X-Request-Id": fmt.Sprintf("id-%d", g.next.Add(1)),
 		"X-Deadline-Ms": "3000", "Content-Length": fmt.Sprint(len(body))}
 	for i := 0; i+1 < len(header); i += 2 {
 		lines[header[i]] = header[i+1]
--- a/internal/gateway/proxy/timing_test.go
+++ b/internal/gateway/proxy/timing_test.go
@@ -21,7 +21,7 @@
 func TestDeadlineAtEachAttempt(t *testing.T) { checkForwardedDeadlines(ruleCheck{T: t, check: t}) }
 
 func checkForwardedDeadlines(g ruleCheck) {
-	refuses := responds(503, "X-Not-Executed: 1\r\n", "")
+	rejects := responds(503, "X-Not-Executed: 1\r\n", "")
 	for name, test := range map[string]struct {
 		route  string
 		script []fake.Reply
@@ -29,8 +29,8 @@
 		"safe after silence":       {"safe", []fake.Reply{neverResponds, good}},
 		"safe after a reset":       {"safe", []fake.Reply{respondsAfter(900*time.Millisecond, writesText("", false)), good}},
 		"safe after its own 500":   {"safe", []fake.Reply{respondsAfter(900*time.Millisecond, responds(500, signatureLine, "")), good}},
-		"unsafe after rejections":  {"unsafe", []fake.Reply{respondsAfter(300*time.Millisecond, refuses), respondsAfter(300*time.Millisecond, refuses), good}},
-		"stream after a rejection": {"stream", []fake.Reply{respondsAfter(600*time.Millisecond, refuses), goodStream}},
+		"unsafe after rejections":  {"unsafe", []fake.Reply{respondsAfter(300*time.Millisecond, rejects), respondsAfter(300*time.Millisecond, rejects), good}},
+		"stream after a rejection": {"stream", []fake.Reply{respondsAfter(600*time.Millisecond, rejects), goodStream}},
 		"resumed after a cut":      {"resume", []fake.Reply{respondsAfter(900*time.Millisecond, streams(2, "", false)), goodStream}},
 		"resumed after silence":    {"resume", []fake.Reply{sendsEventsSlowly(0, 2, ""), goodStream}},
 		"resumed after a head":     {"resume", []fake.Reply{sendsEventsSlowly(0, 0, ""), goodStream}},
--- a/internal/gateway/proxy/virtualtime_test.go
+++ b/internal/gateway/proxy/virtualtime_test.go
@@ -167,11 +167,11 @@
 
 // arrived records a request and returns the reply to it.
 func (w *virtualTimeGateway) arrived(r *http.Request, script []fake.Reply) fake.Reply {
-	handed, _ := strconv.Atoi(r.Header.Get(headerDeadline))
+	forwarded, _ := strconv.Atoi(r.Header.Get(headerDeadline))
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.working++
-	w.arrivals = append(w.arrivals, serverArrival{at: time.Now(), id: r.Header.Get(headerID), deadline: time.Duration(handed) * time.Millisecond})
+	w.arrivals = append(w.arrivals, serverArrival{at: time.Now(), id: r.Header.Get(headerID), deadline: time.Duration(forwarded) * time.Millisecond})
 	return script[min(len(w.arrivals), len(script))-1]
 }
 
--- a/internal/gateway/quotaclient/limiter_test.go
+++ b/internal/gateway/quotaclient/limiter_test.go
@@ -90,7 +90,7 @@
 
 	Convey("Requests within the limit are admitted, at several gateways at once", t, func() {
 		server := startAllocator(t, snapshot)
-		var refused atomic.Int64
+		var rejected atomic.Int64
 		var wait sync.WaitGroup
 		for i := range 3 {
 			keeper := startLimiter(t, fmt.Sprintf("front-%d", i), server.members)
@@ -98,32 +98,32 @@
 				wait.Go(func() {
 					for range 10 {
 						if !keeper.Acquire(context.Background(), snapshot.TenantByName("large"), testWaitLimits).Admit {
-							refused.Add(1)
+							rejected.Add(1)
 						}
 					}
 				})
 			}
 		}
 		wait.Wait()
-		So(refused.Load(), ShouldEqual, 0)
+		So(rejected.Load(), ShouldEqual, 0)
 	})
 
 	Convey("Two gateways together stay within a tenant's limit, and requests get the tokens that there are", t, func() {
 		server := startAllocator(t, snapshot)
 		keepers := []*Limiter{startLimiter(t, "front-a", server.members), startLimiter(t, "front-b", server.members)}
-		admitted, refused := 0, 0
+		admitted, rejected := 0, 0
 		short := WaitLimits{Uncertain: 20 * time.Millisecond, Certain: 20 * time.Millisecond}
 		for first := time.Now(); time.Since(first) < 2*time.Second; time.Sleep(5 * time.Millisecond) {
 			for _, keeper := range keepers {
 				if keeper.Acquire(context.Background(), snapshot.TenantByName("middle"), short).Admit {
 					admitted++
 				} else {
-					refused++
+					rejected++
 				}
 			}
 		}
 		So(admitted, ShouldBeBetween, 15, int((20*5+10)*1.1+20)+1)
-		So(refused, ShouldBeGreaterThan, 0)
+		So(rejected, ShouldBeGreaterThan, 0)
 	})
 
 	Convey("Beyond the limit a request is rejected with a Retry-After", t, func() {
--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -182,7 +182,7 @@
 func (c *simControl) applySoon(end int) {
 	h := c.chain.harness
 	delay := h.span(30 * time.Millisecond)
-	if h.random.Chance(h.slow) || c.lagsUntil > h.Elapsed() {
+	if h.random.Chance(h.slowShare) || c.lagsUntil > h.Elapsed() {
 		delay = h.span(maxMessageDelay)
 	}
 	h.AfterOn(c.name, delay, func() { c.apply(end) })
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -45,7 +45,7 @@
 	polling     pollState
 	sequence    uint64
 	sent        time.Time
-	asking      bool // a poll is out
+	pollPending bool // a poll is out
 	ended       bool
 }
 
@@ -129,7 +129,7 @@
 // nextStep runs the next step of an activity; now and then the machine is busy in between.
 func (g *simGateway) nextStep(run func()) {
 	delay := time.Duration(g.harness.random.IntN(20)) * time.Microsecond
-	if g.harness.random.Chance(g.harness.busy) {
+	if g.harness.random.Chance(g.harness.busyShare) {
 		delay = g.harness.span(30 * time.Millisecond)
 	}
 	g.later(delay, run)
@@ -192,16 +192,16 @@
 }
 
 func (g *simGateway) poll(s *session) {
-	if s.ended || s.asking {
+	if s.ended || s.pollPending {
 		return
 	}
 	s.sequence++
-	s.asking, g.wantsConfirmation = true, false
+	s.pollPending, g.wantsConfirmation = true, false
 	s.sent = g.clock.read()
 	question, sequence := g.s.buildPoll(s.sequence), s.sequence
 	s.out.send(func() { s.control.handlePoll(s, question) })
 	g.later(replyTimeout, func() {
-		if s.asking && s.sequence == sequence {
+		if s.pollPending && s.sequence == sequence {
 			g.disconnect(s)
 		}
 	})
@@ -217,10 +217,10 @@
 
 // answered handles the answer to a poll. proven means that its sender's proof was true.
 func (g *simGateway) answered(s *session, update protocol.Update, proven bool) {
-	if s.ended || g.session != s || !s.asking || update.Sequence != s.sequence {
+	if s.ended || g.session != s || !s.pollPending || update.Sequence != s.sequence {
 		return
 	}
-	s.asking = false
+	s.pollPending = false
 	g.confirmed = g.confirmed || proven && update.Fresh
 	now, sent := g.clock.read(), s.sent
 	if g.harness.bug == bugLeaseFromReceipt {
@@ -266,7 +266,7 @@
 	waiting := &waiter{since: since, then: then}
 	g.waiters = append(g.waiters, waiting)
 	g.wantsConfirmation = true
-	if s := g.session; s != nil && s.sequence > 0 && !s.asking {
+	if s := g.session; s != nil && s.sequence > 0 && !s.pollPending {
 		g.later(s.sent.Add(minPollInterval).Sub(g.clock.read()), func() { g.poll(s) })
 	}
 	g.later(length, func() {
--- a/internal/gateway/subscription/harness_test.go
+++ b/internal/gateway/subscription/harness_test.go
@@ -25,24 +25,24 @@
 // harness simulates gateways with real subscriptions, control processes and an operator, in virtual time.
 type harness struct {
 	*simulation.Simulation
-	random   *simulation.Rand
-	bug      injectedBug
-	chain    *chainModel
-	gateways []*simGateway
-	operator operatorModel
-	calm     bool
-	busy     float64 // share of steps that take long
-	slow     float64 // share of messages that do
-	faults   int
+	random    *simulation.Rand
+	bug       injectedBug
+	chain     *chainModel
+	gateways  []*simGateway
+	operator  operatorModel
+	calm      bool
+	busyShare float64 // share of steps that take long
+	slowShare float64 // share of messages that do
+	faults    int
 }
 
 func newHarness(seed uint64, bug injectedBug) *harness {
 	sim := simulation.New(seed)
 	sim.Links.Default = simulation.Link{Delay: 300 * time.Microsecond, Jitter: 3 * time.Millisecond, Ordered: true}
 	h := &harness{Simulation: sim, random: sim.Random, bug: bug}
-	h.busy, h.slow = 0.05, 0.01
+	h.busyShare, h.slowShare = 0.05, 0.01
 	if seed%4 == 3 {
-		h.busy, h.slow = 0.5, 0.05
+		h.busyShare, h.slowShare = 0.5, 0.05
 	}
 	h.chain = newChainModel(h, 3+2*int(seed%2))
 	for range 3 + int(seed%4) {
@@ -65,7 +65,7 @@
 type steadyClock struct {
 	harness *harness
 	base    time.Time
-	pace    float64
+	rate    float64
 }
 
 // clockDrift is how much a clock gains or loses at most.
@@ -77,7 +77,7 @@
 }
 
 func (c *steadyClock) read() time.Time {
-	return c.base.Add(time.Duration(float64(c.harness.Elapsed()) * c.pace))
+	return c.base.Add(time.Duration(float64(c.harness.Elapsed()) * c.rate))
 }
 
 // pipe is one direction of a connection: what is sent arrives in order, maybe late, or the connection is
@@ -131,7 +131,7 @@
 
 // randomDelay returns the additional delay of a message: mostly none.
 func (p *pipe) randomDelay() time.Duration {
-	if p.harness.random.Chance(p.harness.slow) {
+	if p.harness.random.Chance(p.harness.slowShare) {
 		return p.harness.span(maxMessageDelay)
 	}
 	return 0
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -39,32 +39,32 @@
 }
 
 // next returns the operator's next command, if one is due.
-func (t *operatorModel) next(h *harness) (configuration.ChangeRequest, bool) {
+func (o *operatorModel) next(h *harness) (configuration.ChangeRequest, bool) {
 	now := h.Elapsed()
-	if t.closed || now < t.dueAt || len(t.versions) > 0 && t.versions[len(t.versions)-1].ackedAt == 0 {
+	if o.closed || now < o.dueAt || len(o.versions) > 0 && o.versions[len(o.versions)-1].ackedAt == 0 {
 		return configuration.ChangeRequest{}, false
 	}
-	t.dueAt = now + h.span(2*commandInterval)
+	o.dueAt = now + h.span(2*commandInterval)
 	share := replaced
-	if t.replacing {
-		t.closed, share = true, 1
+	if o.replacing {
+		o.closed, share = true, 1
 	}
 	proposed := &version{proposedAt: now, keys: map[string]bool{stableKey: true}, routes: map[string]bool{stableRoute: true, openRoute: true}}
 	for i := range volatile {
 		if h.random.Chance(share) {
-			t.numbers[i]++
+			o.numbers[i]++
 		}
-		proposed.keys[keyName(i, t.numbers[i])] = true
+		proposed.keys[keyName(i, o.numbers[i])] = true
 		proposed.routes[fmt.Sprint("open-", i)] = h.random.Chance(0.6)
 	}
-	generation := uint64(len(t.versions))
+	generation := uint64(len(o.versions))
 	proposed.request = configuration.ChangeRequest{IfMatch: generation, Body: body(proposed.document(generation + 1))}
-	t.versions = append(t.versions, proposed)
+	o.versions = append(o.versions, proposed)
 	return proposed.request, true
 }
 
 // replaceAll has the last command replace all keys.
-func (t *operatorModel) replaceAll(at time.Duration) { t.dueAt, t.replacing = at, true }
+func (o *operatorModel) replaceAll(at time.Duration) { o.dueAt, o.replacing = at, true }
 
 func (v *version) document(generation uint64) configuration.Document {
 	d := configuration.Document{Generation: generation, Backends: []configuration.Backend{{Name: "b"}}}
@@ -83,20 +83,20 @@
 func keyName(kind, number int) string { return fmt.Sprintf("key-%d-%d", kind, number) }
 
 // someKey returns one of the newest keys, or one that was removed lately.
-func (t *operatorModel) someKey(h *harness) string {
+func (o *operatorModel) someKey(h *harness) string {
 	kind := h.random.IntN(volatile)
-	if t.replacing {
-		return keyName(kind, t.replacedNumber(kind))
+	if o.replacing {
+		return keyName(kind, o.replacedNumber(kind))
 	}
-	return keyName(kind, max(0, t.numbers[kind]-h.random.IntN(oldKeys)))
+	return keyName(kind, max(0, o.numbers[kind]-h.random.IntN(oldKeys)))
 }
 
 // replacedNumber is that of a key before all were replaced.
-func (t *operatorModel) replacedNumber(kind int) int {
-	if t.closed {
-		return t.numbers[kind] - 1
+func (o *operatorModel) replacedNumber(kind int) int {
+	if o.closed {
+		return o.numbers[kind] - 1
 	}
-	return t.numbers[kind]
+	return o.numbers[kind]
 }
 
 func routeNames() []string {
@@ -107,17 +107,17 @@
 	return list
 }
 
-func (t *operatorModel) acknowledged(index int, at time.Duration) { t.versions[index-1].ackedAt = at }
+func (o *operatorModel) acknowledged(index int, at time.Duration) { o.versions[index-1].ackedAt = at }
 
 // removedAt returns since when a key is in no configuration that may be in force: since the acknowledgement
 // of the one that removed it. 0: it may be in force.
-func (t *operatorModel) removedAt(key string) time.Duration {
-	for i := len(t.versions) - 1; i >= 0; i-- {
-		if t.versions[i].keys[key] {
-			if i == len(t.versions)-1 {
+func (o *operatorModel) removedAt(key string) time.Duration {
+	for i := len(o.versions) - 1; i >= 0; i-- {
+		if o.versions[i].keys[key] {
+			if i == len(o.versions)-1 {
 				return 0
 			}
-			return t.versions[i+1].ackedAt
+			return o.versions[i+1].ackedAt
 		}
 	}
 	return time.Nanosecond
@@ -125,23 +125,23 @@
 
 // mayLack reports whether a configuration that may have been in force at a moment or later lacks a key or a
 // route.
-func (t *operatorModel) mayLack(since time.Duration, lacks func(*version) bool) bool {
-	for i, proposed := range t.versions {
-		replaced := i+1 < len(t.versions) && t.versions[i+1].ackedAt > 0 && t.versions[i+1].ackedAt+configApply < since
+func (o *operatorModel) mayLack(since time.Duration, lacks func(*version) bool) bool {
+	for i, proposed := range o.versions {
+		replaced := i+1 < len(o.versions) && o.versions[i+1].ackedAt > 0 && o.versions[i+1].ackedAt+configApply < since
 		if !replaced && lacks(proposed) {
 			return true
 		}
 	}
-	return len(t.versions) == 0 || t.versions[0].ackedAt == 0 || t.versions[0].ackedAt+configApply >= since
+	return len(o.versions) == 0 || o.versions[0].ackedAt == 0 || o.versions[0].ackedAt+configApply >= since
 }
 
 // checkConfirmation checks a control process's confirmation: all that was acknowledged longer than age ago is
 // applied there.
-func (t *operatorModel) checkConfirmation(h *harness, c *simControl, age time.Duration, fresh bool) {
+func (o *operatorModel) checkConfirmation(h *harness, c *simControl, age time.Duration, fresh bool) {
 	if !fresh || h.bug != noBug {
 		return // the checks at the gateways must find it
 	}
-	for i, version := range t.versions {
+	for i, version := range o.versions {
 		if version.ackedAt > 0 && version.ackedAt < h.Elapsed()-age && c.applied <= i {
 			h.failf("%s confirms all up to %v ago, and has not applied command %d, acknowledged at %v", c.name, age, i+1, version.ackedAt)
 		}
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -29,13 +29,13 @@
 // again, from the beginning of the partition.
 type partition struct {
 	*harness
-	gateway *simGateway
-	quota   *simQuota
-	began   time.Duration // the partition
-	last    map[string]time.Duration
-	again   map[string]time.Duration
-	tokenAt time.Duration // a token was had
-	rows    []string
+	gateway    *simGateway
+	quota      *simQuota
+	began      time.Duration // the partition
+	lastWithin map[string]time.Duration
+	firstAfter map[string]time.Duration
+	tokenAt    time.Duration // a token was had
+	rows       []string
 }
 
 // simQuota is a gateway's part of the quotas, and the allocator in the control process.
@@ -91,24 +91,24 @@
 	})
 }
 
-func (i *partition) record(what string) {
-	at := i.Elapsed() - i.began
+func (p *partition) record(what string) {
+	at := p.Elapsed() - p.began
 	switch {
-	case i.began == 0:
+	case p.began == 0:
 	case at < partitionLength:
-		i.last[what] = at
-	case i.again[what] == 0:
-		i.again[what] = at - partitionLength
+		p.lastWithin[what] = at
+	case p.firstAfter[what] == 0:
+		p.firstAfter[what] = at - partitionLength
 	}
 }
 
 // sample has the gateway do one of each act, and records the result.
-func (i *partition) sample(at time.Duration) {
-	g := i.gateway
+func (p *partition) sample(at time.Duration) {
+	g := p.gateway
 	row := map[string]string{"readyz": "503"}
 	if g.ready() {
 		row["readyz"] = "200"
-		i.record("readyz")
+		p.record("readyz")
 	}
 	for name, q := range map[string]*simRequest{
 		"keyed": {gateway: g, key: stableKey, route: stableRoute}, "public": {gateway: g, route: openRoute},
@@ -117,18 +117,18 @@
 		q.done = func(status int) {
 			row[name] = fmt.Sprint(status)
 			if status != http.StatusServiceUnavailable {
-				i.record(name)
+				p.record(name)
 			}
 		}
 		q.read()
 	}
 	row["quota"] = "429"
-	if i.Elapsed()-i.tokenAt < quotaPause {
+	if p.Elapsed()-p.tokenAt < quotaPause {
 		row["quota"] = "token"
 	}
 	if at%time.Second == 0 {
-		i.After(3*firstWait/2, func() {
-			i.rows = append(i.rows, fmt.Sprintf("| %2.0f | %s |", at.Seconds(), strings.Join([]string{row["readyz"], row["keyed"], row["public"],
+		p.After(3*firstWait/2, func() {
+			p.rows = append(p.rows, fmt.Sprintf("| %2.0f | %s |", at.Seconds(), strings.Join([]string{row["readyz"], row["keyed"], row["public"],
 				row["unknown key"], row["unknown route"], row["quota"]}, " | ")))
 		})
 	}
@@ -140,8 +140,8 @@
 	h := newHarness(seed, noBug)
 	h.calm = true
 	h.Links.Default.Jitter = 2 * time.Millisecond
-	h.busy, h.slow = 0, 0
-	i := &partition{harness: h, gateway: h.gateways[0], last: map[string]time.Duration{}, again: map[string]time.Duration{}}
+	h.busyShare, h.slowShare = 0, 0
+	i := &partition{harness: h, gateway: h.gateways[0], lastWithin: map[string]time.Duration{}, firstAfter: map[string]time.Duration{}}
 	h.Run(partitionAt)
 	c := h.chain.controls[0]
 	i.quota = newSimQuota(h, c)
@@ -189,17 +189,17 @@
 	for seed := uint64(1); seed <= partitionRuns; seed++ {
 		i := playPartition(seed, false, noBug)
 		for what, most := range latest {
-			if last := i.last[what]; last > most || last < earliest[what] {
+			if last := i.lastWithin[what]; last > most || last < earliest[what] {
 				t.Errorf("seed %d: %s until %v, not between %v and %v", seed, what, last, earliest[what], most)
 			}
-			if i.again[what] > 3*time.Second {
-				t.Errorf("seed %d: %s again %v after the end", seed, what, i.again[what])
+			if i.firstAfter[what] > 3*time.Second {
+				t.Errorf("seed %d: %s again %v after the end", seed, what, i.firstAfter[what])
 			}
 		}
 		if seed == 1 {
 			t.Logf("| second | readyz | keyed | public | unknown key | unknown route | quota |\n%s", strings.Join(i.rows, "\n"))
 		}
-		t.Logf("seed %d: until %v; again after %v", seed, i.last, i.again)
+		t.Logf("seed %d: until %v; again after %v", seed, i.lastWithin, i.firstAfter)
 	}
 }
 
@@ -208,13 +208,13 @@
 func TestStartDuringPartition(t *testing.T) {
 	for seed := uint64(1); seed <= partitionRuns; seed++ {
 		i := playPartition(seed, true, noBug)
-		for what, last := range i.last {
+		for what, last := range i.lastWithin {
 			if what != "quota" { // tokens don't depend on a configuration
 				t.Errorf("seed %d: %s at %v", seed, what, last)
 			}
 		}
 		for _, what := range []string{"readyz", "keyed", "public", "unknown key", "unknown route"} {
-			if again := i.again[what]; again == 0 || again > 3*time.Second {
+			if again := i.firstAfter[what]; again == 0 || again > 3*time.Second {
 				t.Errorf("seed %d: %s %v after the end", seed, what, again)
 			}
 		}
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -157,7 +157,7 @@
 		}
 		cutAfter = 300*time.Millisecond + h.span(600*time.Millisecond)
 	case 2: // it is reconnected on a busy machine
-		h.busy = 0.5
+		h.busyShare = 0.5
 		cutAfter = -due
 	}
 	h.After(due+cutAfter, func() { g.partitionFromControl(0, revoke+time.Second+h.span(2*time.Second)) })
@@ -184,7 +184,7 @@
 	h.Run(faultsUntil)
 	h.calm = true
 	h.Run(runLength - faultsUntil + maxPartition)
-	h.operator.closed, h.slow, h.busy = true, 0, 0
+	h.operator.closed, h.slowShare, h.busyShare = true, 0, 0
 	h.Run(settleTime)
 	for _, g := range h.gateways {
 		if g.up && !g.ready() {
