--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -39,7 +39,7 @@
 	return a
 }
 
-// play sends perSecond requests a second of each route, all with a latency, and returns the shares refused.
+// play sends perSecond requests a second of each route, all with a latency, and returns the shares rejected.
 func play(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, taken float64) []float64 {
 	rejected, offered := make([]float64, len(perSecond)), make([]float64, len(perSecond))
 	for s := from; s < from+seconds; s++ {
--- a/internal/gateway/proxy/random_test.go
+++ b/internal/gateway/proxy/random_test.go
@@ -87,7 +87,7 @@
 	return respondsAfter(wait, good)
 }
 
-// refusal rejects an attempt, and counts it once the response has gone out.
+// rejection rejects an attempt, and counts it once the response has gone out.
 func (d *randomExchange) rejection(wait time.Duration) fake.Reply {
 	rejects := responds(503, "X-Not-Executed: 1\r\n", "")
 	return respondsAfter(wait, func(p *fake.Peer, c net.Conn, s fake.Seen) bool {
--- a/internal/gateway/proxy/virtualtime_test.go
+++ b/internal/gateway/proxy/virtualtime_test.go
@@ -31,8 +31,8 @@
 const (
 	timedLatency = 2 * time.Millisecond
 	routeTimeout = 3 * time.Second // time-out of all routes
-	// ruled is how much later than its time-out a request has its final response at most, and how long after
-	// its client has left its server learns of that.
+	// ruleMargin is the most by which a final response may come after the request's time-out, and the most
+	// time until a server learns that its client has left.
 	ruleMargin = 500 * time.Millisecond
 )
 
@@ -72,7 +72,7 @@
 type serverArrival struct {
 	at       time.Time
 	id       string
-	deadline time.Duration // that the server was handed
+	deadline time.Duration // from its X-Deadline-Ms
 }
 
 // play runs a gateway with count servers that answer by one script: each request takes the next reply, and
