--- a/internal/front/platform/body.go
+++ b/internal/front/platform/body.go
@@ -157,7 +157,7 @@
 	return n, err
 }
 
-// Fault returns what is wrong with the body, or nil.
+// RequestError returns what is wrong with the body, or nil.
 func (b *Body) RequestError() *RequestError {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/lab/soak/checker.go
+++ b/internal/lab/soak/checker.go
@@ -11,24 +11,25 @@
 // Rule names one of the promises that the checker holds the system to.
 type Rule string
 
+// The rules.
 const (
-	// RuleAccepted: a batch job that got 202 can be read at every gateway until it is ended.
+	// RuleAccepted holds that a batch job that got 202 can be read at every gateway until it is ended.
 	RuleAccepted Rule = "accepted"
-	// RulePositions: each item is listed once, complete, at one position.
+	// RulePositions holds that each item is listed once, complete, at one position.
 	RulePositions Rule = "positions"
-	// RuleRejection: a batch job that got nothing but 429 and 503 hasn't run and won't.
+	// RuleRejection holds that a batch job that got nothing but 429 and 503 hasn't run and won't.
 	RuleRejection Rule = "refusal"
-	// RuleAnswer: a request gets a response within its deadline and responseSlack.
+	// RuleAnswer holds that a request gets a response within its deadline and responseSlack.
 	RuleAnswer Rule = "answer"
-	// RuleBelongs: a response is the complete one of the request that it answers.
+	// RuleBelongs holds that a response is the complete one of the request that it answers.
 	RuleBelongs Rule = "belongs"
-	// RuleConfiguration: an acknowledged change is read back, and is acknowledged again when it is repeated.
+	// RuleConfiguration holds that an acknowledged change is read back, and is acknowledged again when it is repeated.
 	RuleConfiguration Rule = "configuration"
-	// RuleRecovery: the system is well again RecoveryTimeout after the last fault.
+	// RuleRecovery holds that the system is well again RecoveryTimeout after the last fault.
 	RuleRecovery Rule = "recovery"
-	// RuleInvariants: no process reports a violated invariant of its own.
+	// RuleInvariants holds that no process reports a violated invariant of its own.
 	RuleInvariants Rule = "invariants"
-	// RuleProcesses: no process exits by itself, and each exits with 0 when it is asked to.
+	// RuleProcesses holds that no process exits by itself, and each exits with 0 when it is asked to.
 	RuleProcesses Rule = "processes"
 )
 
--- a/internal/lab/soak/timeline.go
+++ b/internal/lab/soak/timeline.go
@@ -12,6 +12,7 @@
 // EventKind is the kind of an event on the timeline: a fault, or another event that matters beside them.
 type EventKind string
 
+// The kinds of events.
 const (
 	KindKill            EventKind = "kill"
 	KindPause           EventKind = "pause"
--- a/internal/lab/system/machine.go
+++ b/internal/lab/system/machine.go
@@ -11,6 +11,7 @@
 // Role is what a process does in the system. Its program has the role's name, with programPrefix.
 type Role string
 
+// The roles of processes.
 const (
 	RoleGateway Role = "gateway"
 	RoleControl Role = "control"
@@ -22,6 +23,7 @@
 // Class is the kind of a machine, which tells its roles.
 type Class string
 
+// The kinds of machines.
 const (
 	ClassFront Class = "front" // with a control process and a gateway
 	ClassStore Class = "store" // with a batch process and a disk for batch jobs
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -90,7 +90,7 @@
 	h.Out.appendDuration(after)
 }
 
-// Tell implements policy.Host.
+// SendToPeer implements policy.Host.
 func (h Host) SendToPeer(peer int, message []byte) {
 	h.Out.appendHeader(actionTell, h.Instance)
 	h.Out.buf = binary.BigEndian.AppendUint32(h.Out.buf, uint32(int32(peer)))
