--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -295,9 +295,9 @@
 	}
 	c.schedule(c.randomDuration(0, time.Second), func() {
 		c.note("%s is drained and taken away", s.node)
-		borne := !c.faultsEnded && c.toleratesNextFault()
+		tolerated := !c.faultsEnded && c.toleratesNextFault()
 		s.remove()
-		if borne && c.random.IntN(2) == 0 {
+		if tolerated && c.random.IntN(2) == 0 {
 			c.loseDisks()
 		}
 	})
@@ -323,13 +323,13 @@
 			c.schedule(c.randomDuration(10*time.Millisecond, 100*time.Millisecond), s.restart)
 		}
 	}
-	c.schedule(down/2, func() { c.takePower(nil, down/2) })
+	c.schedule(down/2, func() { c.cutPower(nil, down/2) })
 }
 
-func (c *campaign) allLosePower(_ []*simulatedStore, down time.Duration) { c.takePower(nil, down) }
+func (c *campaign) allLosePower(_ []*simulatedStore, down time.Duration) { c.cutPower(nil, down) }
 
 func (c *campaign) allLosePowerDisks(lost []*simulatedStore, down time.Duration) {
-	c.takePower(lost, down)
+	c.cutPower(lost, down)
 }
 
 // disksAfterAcceptance cuts all power and loses some disks right after an acceptance.
@@ -337,14 +337,14 @@
 	c.extendRecovery(down)
 	c.clients.onAccept = func() {
 		if !c.faultsEnded {
-			c.takePower(lost, time.Second)
+			c.cutPower(lost, time.Second)
 		}
 	}
 	c.schedule(down, func() { c.clients.onAccept = nil })
 }
 
 // takePower cuts the power of all stores within milliseconds, and loses the disks of some.
-func (c *campaign) takePower(wiped []*simulatedStore, down time.Duration) {
+func (c *campaign) cutPower(wiped []*simulatedStore, down time.Duration) {
 	c.note("all lose power, %d their disks", len(wiped))
 	c.extendRecovery(down + 10*time.Millisecond)
 	for _, s := range c.remaining() {
--- a/internal/batch/replica/cluster_test.go
+++ b/internal/batch/replica/cluster_test.go
@@ -284,15 +284,15 @@
 	n.cluster.messages = append(n.cluster.messages, sent)
 }
 
-func (n *clusterNode) Answer(token CallID, answer protocol.BatchAnswer) { n.answers[token] = answer }
+func (n *clusterNode) Answer(callID CallID, answer protocol.BatchAnswer) { n.answers[callID] = answer }
 
 // call makes a call at a node and returns its answer once the cluster is quiet.
 func (n *clusterNode) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	n.lastCall++
-	token := n.lastCall
-	n.machine.Call(token, call, items)
+	callID := n.lastCall
+	n.machine.Call(callID, call, items)
 	n.cluster.quiesce()
-	return n.answers[token]
+	return n.answers[callID]
 }
 
 // submit submits a batch job at a node.
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -182,9 +182,9 @@
 
 func (s *modelStore) resume() {
 	s.paused = false
-	inbox := s.delayedInputs
+	inputs := s.delayedInputs
 	s.delayedInputs = nil
-	for _, input := range inbox {
+	for _, input := range inputs {
 		s.do(input)
 	}
 }
@@ -213,9 +213,9 @@
 	s.model.messages = append(s.model.messages, modelMessage{from: s.process(), to: placement.KeyOf(to), body: message})
 }
 
-func (s *modelStore) Answer(token CallID, answer protocol.BatchAnswer) {
-	answered := s.answers[token]
-	delete(s.answers, token)
+func (s *modelStore) Answer(callID CallID, answer protocol.BatchAnswer) {
+	answered := s.answers[callID]
+	delete(s.answers, callID)
 	if answered == nil {
 		return
 	}
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -216,8 +216,8 @@
 	s.generation++
 	answers := s.answers
 	s.answers = nil
-	for _, token := range slices.Sorted(maps.Keys(answers)) {
-		answers[token](protocol.BatchAnswer{})
+	for _, callID := range slices.Sorted(maps.Keys(answers)) {
+		answers[callID](protocol.BatchAnswer{})
 	}
 }
 
@@ -281,11 +281,11 @@
 	if s.sim.bug == bugIgnoreLease {
 		s.machine.leaseUntil = s.sim.now + time.Hour
 	}
-	inbox := s.delayedInputs
+	inputs := s.delayedInputs
 	s.delayedInputs = nil
-	s.sim.random.Shuffle(len(inbox), func(i, j int) { inbox[i], inbox[j] = inbox[j], inbox[i] })
+	s.sim.random.Shuffle(len(inputs), func(i, j int) { inputs[i], inputs[j] = inputs[j], inputs[i] })
 	generation := s.generation
-	for _, run := range inbox {
+	for _, run := range inputs {
 		if s.generation == generation {
 			s.do(run)
 		}
@@ -417,15 +417,15 @@
 }
 
 // fill leaves a number of free bytes on the disk for a while.
-func (s *simulatedStore) fill(room int64, duration time.Duration) {
-	s.sim.note("the disk of %s has room for %d bytes", s.node, room)
+func (s *simulatedStore) fill(free int64, duration time.Duration) {
+	s.sim.note("the disk of %s has room for %d bytes", s.node, free)
 	used := int64(0)
 	names, _ := s.disk.List()
 	for _, name := range names {
 		size, _ := s.disk.Size(name)
 		used += size
 	}
-	s.disk.SetCapacity(used + room)
+	s.disk.SetCapacity(used + free)
 	s.sim.schedule(duration, func() { s.disk.SetCapacity(0) })
 }
 
@@ -461,12 +461,12 @@
 }
 
 // Answer ends a call, as the server does: a definite answer only while the store may act.
-func (s *simulatedStore) Answer(token CallID, answer protocol.BatchAnswer) {
-	answered := s.answers[token]
+func (s *simulatedStore) Answer(callID CallID, answer protocol.BatchAnswer) {
+	answered := s.answers[callID]
 	if answered == nil {
 		return
 	}
-	delete(s.answers, token)
+	delete(s.answers, callID)
 	if answer.Status != 503 && answer.Status != 504 && answer.Owner == "" && !s.machine.MayAct() {
 		answer = protocol.BatchAnswer{Status: 504}
 	}
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -343,14 +343,14 @@
 // has agreed that they have reconciled in the newest view.
 func (sim *storeSimulation) toleratesLoss() bool {
 	view := sim.view()
-	there := sim.remaining()
-	for _, s := range there {
+	remaining := sim.remaining()
+	for _, s := range remaining {
 		m := s.machine
 		if !s.up || s.paused || m.reconciledEpoch != view.Epoch || !sim.isMember(s.key()) {
 			return false
 		}
 	}
-	return view.Settled && len(there) == len(view.Members)
+	return view.Settled && len(remaining) == len(view.Members)
 }
 
 // describe returns what each store knows of a batch job.
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -76,7 +76,7 @@
 func TestRandomAllLosePower(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
 		for range 2 {
-			c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.takePower(nil, 3*time.Second) })
+			c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.cutPower(nil, 3*time.Second) })
 		}
 	})
 }
@@ -84,7 +84,7 @@
 // TestRandomAllLosePowerOneDisk loses one disk while all others lose power.
 func TestRandomAllLosePowerOneDisk(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) {
-		c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.takePower(c.stores[:1], time.Second) })
+		c.schedule(c.randomDuration(time.Second, 14*time.Second), func() { c.cutPower(c.stores[:1], time.Second) })
 	})
 }
 
