--- a/cmd/sprucelane-batch/main.go
+++ b/cmd/sprucelane-batch/main.go
@@ -18,6 +18,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
+// run is the process; it returns the exit code.
 func run(arguments []string) int {
 	signals := program.CatchSignals()
 	p, code := program.Begin(arguments, server.Check)
--- a/internal/batch/job/encoding.go
+++ b/internal/batch/job/encoding.go
@@ -45,6 +45,7 @@
 	return size
 }
 
+// appendTo appends the encoded item.
 func (i *Item) appendTo(out []byte) []byte {
 	out = AppendString(out, i.ID)
 	out = AppendString(out, i.Path)
@@ -94,6 +95,7 @@
 	return item, nil
 }
 
+// item decodes what appendTo appended; d.Failed says whether it could.
 func (d *Decoder) item() Item {
 	item := Item{ID: d.Text(), Path: d.Text(), Tokens: int(d.Uvarint())}
 	headers := d.Uvarint()
--- a/internal/batch/placement/placement.go
+++ b/internal/batch/placement/placement.go
@@ -45,7 +45,7 @@
 	return slices.ContainsFunc(stores, func(p protocol.Process) bool { return KeyOf(p) == key })
 }
 
-// MemberOf returns the view's member with a key.
+// MemberOf returns the view's member with a key; false if there is none.
 func MemberOf(view protocol.StoreView, key Key) (protocol.StoreMember, bool) {
 	for _, member := range view.Members {
 		if KeyOf(member.Process) == key {
@@ -147,6 +147,7 @@
 	return 0
 }
 
+// hasZone reports whether a store is in a zone.
 func hasZone(stores []protocol.Process, zone string) bool {
 	return slices.ContainsFunc(stores, func(p protocol.Process) bool { return p.Zone == zone })
 }
--- a/internal/batch/queuedtokens/counter.go
+++ b/internal/batch/queuedtokens/counter.go
@@ -97,6 +97,7 @@
 	}
 }
 
+// add adds to what a store uses of an account.
 func (c *Counter[K]) add(account Account, store K, tokens int64) {
 	stores := c.used[account]
 	if stores == nil {
--- a/internal/batch/replica/campaign_test.go
+++ b/internal/batch/replica/campaign_test.go
@@ -89,6 +89,7 @@
 	return c, c.failure
 }
 
+// run injects faults under load, heals them, and audits the result.
 func (c *campaign) run() {
 	c.runUntil(1500 * time.Millisecond)
 	c.submitJobs()
@@ -216,7 +217,7 @@
 
 // partitionStore partitions a store from all others, and from control in most cases.
 func (c *campaign) partitionStore(s *simulatedStore, down time.Duration) {
-	c.note("%s is cut off", s.node)
+	c.note("%s is partitioned", s.node)
 	for _, other := range c.peersOf(s) {
 		c.partition(s.node, other, down)
 		c.partition(other, s.node, down)
@@ -226,7 +227,7 @@
 // partitionOneWay loses all messages from a store, or all to it.
 func (c *campaign) partitionOneWay(s *simulatedStore, down time.Duration) {
 	from := c.random.IntN(2) == 0
-	c.note("%s is cut off one way, from it: %v", s.node, from)
+	c.note("%s is partitioned one way, from it: %v", s.node, from)
 	for _, other := range c.peersOf(s) {
 		if from {
 			c.partition(s.node, other, down)
@@ -236,6 +237,7 @@
 	}
 }
 
+// peersOf lists the other stores, and control in most cases.
 func (c *campaign) peersOf(s *simulatedStore) []string {
 	var names []string
 	if c.random.IntN(4) > 0 {
@@ -249,6 +251,7 @@
 	return names
 }
 
+// slowDisk slows a disk down by a factor of 40, or stalls it.
 func (c *campaign) slowDisk(s *simulatedStore, down time.Duration) {
 	stalled := c.random.IntN(2) == 0
 	c.note("the disk of %s is slow, stalled: %v", s.node, stalled)
@@ -269,6 +272,7 @@
 	c.extendRecovery(down + 100*time.Millisecond)
 }
 
+// grow adds a store, up to maxStores.
 func (c *campaign) grow([]*simulatedStore, time.Duration) {
 	if len(c.remaining()) < maxStores {
 		c.addStore()
@@ -288,6 +292,7 @@
 	}
 }
 
+// awaitRetired removes a retiring store soon after control has agreed that it is drained.
 func (c *campaign) awaitRetired(s *simulatedStore) {
 	if c.control.Retirement(s.node) != statemachine.RetirementCompleted {
 		c.schedule(30*time.Millisecond, func() { c.awaitRetired(s) })
@@ -343,7 +348,7 @@
 	c.schedule(down, func() { c.clients.onAccept = nil })
 }
 
-// takePower cuts the power of all stores within milliseconds, and loses the disks of some.
+// cutPower cuts the power of all stores within milliseconds, and loses the disks of some.
 func (c *campaign) cutPower(wiped []*simulatedStore, down time.Duration) {
 	c.note("all lose power, %d their disks", len(wiped))
 	c.extendRecovery(down + 10*time.Millisecond)
@@ -419,6 +424,8 @@
 	})
 }
 
+// auditJob checks an acknowledged batch job that hasn't expired: its copies, and that all results can be
+// read.
 func (sim *storeSimulation) auditJob(j *clientJob) {
 	if sim.clients.expired(j) {
 		return
@@ -437,7 +444,7 @@
 		switch {
 		case sim.clients.expired(j):
 		case answer.Status != 200:
-			sim.fail("%s: can't be read in calm, %d:%s", j.id, answer.Status, sim.describe(j.id))
+			sim.fail("%s: can't be read after recovery, %d:%s", j.id, answer.Status, sim.describe(j.id))
 		case !j.endRequested && !j.allRead():
 			sim.fail("%s: accepted at %v, %d (before: %d) of %d results were read:%s",
 				j.id, j.acceptedAt, len(j.seen), read, len(j.items), sim.describe(j.id))
@@ -445,7 +452,7 @@
 	})
 	sim.schedule(auditTime-time.Second, func() {
 		if !answered {
-			sim.fail("%s: isn't answered in calm:%s", j.id, sim.describe(j.id))
+			sim.fail("%s: isn't answered after recovery:%s", j.id, sim.describe(j.id))
 		}
 	})
 }
@@ -467,7 +474,7 @@
 		}
 	}
 	if count < sim.replicationFactor {
-		sim.fail("%s: is whole on %d stores:%s", j.id, count, sim.describe(j.id))
+		sim.fail("%s: is fully replicated on %d stores:%s", j.id, count, sim.describe(j.id))
 	}
 }
 
@@ -487,10 +494,10 @@
 			continue
 		}
 		m := s.machine
-		text += fmt.Sprintf(" settled %v, %d acceptances", m.reconciled, len(m.acceptances))
+		text += fmt.Sprintf(" reconciled %v, %d acceptances", m.reconciled, len(m.acceptances))
 		for _, j := range m.jobsInOrder {
 			if !j.handedOver {
-				text += "\n" + j.id + fmt.Sprintf(" handing %v", len(j.handoverReplicas)) + sim.describe(j.id)
+				text += "\n" + j.id + fmt.Sprintf(" handover replicas %d", len(j.handoverReplicas)) + sim.describe(j.id)
 			}
 		}
 	}
--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -42,12 +42,12 @@
 // checkTokenLimit checks the limit as a batch job is accepted.
 func (c *clients) checkTokenLimit(j *clientJob) {
 	if waiting := c.waitingTokens(); c.sim.tokenLimit > 0 && waiting > c.sim.tokenLimit {
-		c.sim.fail("%s is accepted: %d tokens wait, %d may:%s", j.id, waiting, c.sim.tokenLimit, c.sim.describeClaims())
+		c.sim.fail("%s is accepted: %d tokens are queued, the limit is %d:%s", j.id, waiting, c.sim.tokenLimit, c.sim.describeClaims())
 	}
 }
 
 // auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing
-// that was granted is held for ever.
+// stays granted for ever.
 func (sim *storeSimulation) auditCapacity() {
 	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.waitingTokens() > 0 {
 		return
@@ -64,10 +64,11 @@
 	sim.clients.call(sim.someMember(), call, items, callHops, func(answer protocol.BatchAnswer) { status = answer.Status })
 	sim.runUntil(sim.now + 4*time.Second)
 	if status != 202 {
-		sim.fail("a batch job as large as the bound is answered %d though nothing waits:%s", status, sim.describeClaims())
+		sim.fail("a batch job as large as the limit is answered %d though nothing is queued:%s", status, sim.describeClaims())
 	}
 }
 
+// describeClaims returns what each store uses, was granted and counts.
 func (sim *storeSimulation) describeClaims() string {
 	text := ""
 	for _, s := range sim.remaining() {
@@ -76,9 +77,9 @@
 		}
 		m := s.machine
 		text += "\n" + string(s.key()) + " epoch " + strconv.FormatUint(m.view.Epoch, 10) +
-			" settled " + strconv.FormatBool(m.reconciled)
+			" reconciled " + strconv.FormatBool(m.reconciled)
 		for account, used := range m.usedTokens() {
-			text += " used " + strconv.FormatInt(used, 10) + " level " + strconv.FormatInt(m.claims.granted[account], 10)
+			text += " used " + strconv.FormatInt(used, 10) + " granted " + strconv.FormatInt(m.claims.granted[account], 10)
 		}
 		for _, account := range m.claims.counter.Accounts() {
 			text += " counts " + strconv.FormatInt(m.claims.counter.Total(account), 10)
--- a/internal/batch/replica/injectedbugs_test.go
+++ b/internal/batch/replica/injectedbugs_test.go
@@ -130,7 +130,7 @@
 
 // lossFailures are parts of failures that say that something promised is missing.
 var lossFailures = []string{
-	"404", "can't be read", "is whole on", "results were read", "position", "isn't answered",
+	"404", "can't be read", "is fully replicated on", "results were read", "position", "isn't answered",
 }
 
 // injectedBugs lists the bugs, with the failures that must show each, the faults that bring it about, and the
@@ -151,8 +151,8 @@
 	{bugNoTruncation, []string{"unreadable"}, []string{faultPower, faultKillThenPower}, 230},
 	{bugNoSyncAtStart, append([]string{"unreadable"}, lossFailures...), []string{faultKill, faultKillThenPower}, 130},
 	{bugReleaseNeeded, lossFailures, []string{faultKill}, 0},
-	{bugGrantBeforeAllClaims, []string{"tokens wait"}, []string{faultKill, faultAllPower}, 0},
-	{bugKeepsGrantsAcrossViews, []string{"tokens wait"}, []string{faultWipe, faultGrow, faultRetire}, 0},
+	{bugGrantBeforeAllClaims, []string{"tokens are queued"}, []string{faultKill, faultAllPower}, 0},
+	{bugKeepsGrantsAcrossViews, []string{"tokens are queued"}, []string{faultWipe, faultGrow, faultRetire}, 0},
 }
 
 // maxSeedsPerBug is the number of runs in which a bug must be found.
--- a/internal/batch/replica/invariants.go
+++ b/internal/batch/replica/invariants.go
@@ -22,8 +22,7 @@
 	InvariantOneViewPerEpoch Invariant = "two views of one epoch differ"
 	// InvariantDepartedNotMember: a departed store isn't a member.
 	InvariantDepartedNotMember Invariant = "a member counts as departed"
-	// InvariantReconciledNoneDeparted: once all members have reconciled, no store that departed before is
-	// missed.
+	// InvariantReconciledNoneDeparted: once all members have reconciled, no store counts as departed any more.
 	InvariantReconciledNoneDeparted Invariant = "all stood whole and somebody is missed"
 	// InvariantWithinClaim: a batch job is written only within what the counter of its account holds for this
 	// store.
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -38,245 +38,245 @@
 
 func newLossHistory(seed uint64, late bool) *lossHistory {
 	allowed := 1 + int(seed%2)
-	stored := &lossHistory{
+	h := &lossHistory{
 		cluster: newCluster(2*allowed+2, allowed+1, seed), random: rand.New(rand.NewPCG(seed, 1)),
 		seed: seed, allowed: allowed, late: late,
 		lost: map[int]bool{}, away: map[int]bool{}, removed: map[int]bool{},
 	}
-	stored.cluster.quiesce()
-	return stored
+	h.cluster.quiesce()
+	return h
 }
 
-func (stored *lossHistory) note(format string, arguments ...any) {
-	stored.events = append(stored.events, fmt.Sprintf(format, arguments...))
+func (h *lossHistory) note(format string, arguments ...any) {
+	h.events = append(h.events, fmt.Sprintf(format, arguments...))
 }
 
-func (stored *lossHistory) failf(format string, arguments ...any) {
-	if stored.failure == "" {
-		stored.failure = fmt.Sprintf(format, arguments...)
+func (h *lossHistory) failf(format string, arguments ...any) {
+	if h.failure == "" {
+		h.failure = fmt.Sprintf(format, arguments...)
 	}
 }
 
 // remaining returns the machines that are neither away nor removed.
-func (stored *lossHistory) remaining() (list []*clusterNode) {
-	for _, n := range stored.nodes {
-		if !stored.away[n.number] && !stored.removed[n.number] {
+func (h *lossHistory) remaining() (list []*clusterNode) {
+	for _, n := range h.nodes {
+		if !h.away[n.number] && !h.removed[n.number] {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-func (stored *lossHistory) chance(one int) bool { return stored.random.IntN(one) == 0 }
+func (h *lossHistory) chance(one int) bool { return h.random.IntN(one) == 0 }
 
-// changeMembers has control agree on the set of those that remain; now and then a view before it reached
-// nobody. In late histories some learn of it only after the others have gone on, with messages lost
+// changeMembers has control agree on the set of those that remain; now and then after a view that reaches
+// no store. In late histories some learn of it only after the others have gone on, with messages lost
 // meanwhile.
-func (stored *lossHistory) changeMembers() {
-	if stored.chance(3) {
-		stored.epoch++
+func (h *lossHistory) changeMembers() {
+	if h.chance(3) {
+		h.epoch++
 	}
-	list := stored.remaining()
-	if !stored.late {
-		stored.cluster.installView(list...)
+	list := h.remaining()
+	if !h.late {
+		h.cluster.installView(list...)
 		return
 	}
 	var unaware []*clusterNode
 	for i, n := range list {
-		if i > 0 && stored.chance(3) {
+		if i > 0 && h.chance(3) {
 			unaware = append(unaware, n)
 		}
 	}
-	stored.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
-	stored.cluster.installView(list...)
-	stored.cluster.drops = func(clusterMessage) bool { return stored.chance(8) }
-	for range stored.random.IntN(4) {
-		stored.round()
+	h.uninformed = func(n *clusterNode) bool { return slices.Contains(unaware, n) }
+	h.cluster.installView(list...)
+	h.cluster.drops = func(clusterMessage) bool { return h.chance(8) }
+	for range h.random.IntN(4) {
+		h.round()
 	}
-	stored.uninformed = nil
+	h.uninformed = nil
 	for _, n := range unaware {
-		if !stored.chance(3) {
-			stored.rejoin(n)
+		if !h.chance(3) {
+			h.rejoin(n)
 		}
 	}
 }
 
 // settleAll tells all of the newest view, and waits until they are quiet.
-func (stored *lossHistory) settleAll() {
-	stored.cluster.drops, stored.uninformed = nil, nil
-	for _, n := range stored.remaining() {
-		stored.rejoin(n)
+func (h *lossHistory) settleAll() {
+	h.cluster.drops, h.uninformed = nil, nil
+	for _, n := range h.remaining() {
+		h.rejoin(n)
 	}
-	stored.cluster.quiesce()
-	if stored.currentView.Settled && len(stored.currentView.Members) == len(stored.remaining()) {
-		clear(stored.lost)
+	h.cluster.quiesce()
+	if h.currentView.Settled && len(h.currentView.Members) == len(h.remaining()) {
+		clear(h.lost)
 	}
 }
 
 // step does the next thing.
-func (stored *lossHistory) step() {
-	list := stored.remaining()
-	n := list[stored.random.IntN(len(list))]
-	switch kind := stored.random.IntN(11); {
-	case kind <= 1 && len(stored.lost) < stored.allowed && len(list) > stored.allowed+1:
-		stored.note("%s goes away", n.key())
+func (h *lossHistory) step() {
+	list := h.remaining()
+	n := list[h.random.IntN(len(list))]
+	switch kind := h.random.IntN(11); {
+	case kind <= 1 && len(h.lost) < h.allowed && len(list) > h.allowed+1:
+		h.note("%s goes away", n.key())
 		n.kill()
-		stored.away[n.number], stored.lost[n.number] = true, true
-		stored.changeMembers()
-	case kind == 2 && len(stored.lost) < stored.allowed:
-		stored.note("%s loses its disk", n.key())
-		stored.lost[n.number] = true
+		h.away[n.number], h.lost[n.number] = true, true
+		h.changeMembers()
+	case kind == 2 && len(h.lost) < h.allowed:
+		h.note("%s loses its disk", n.key())
+		h.lost[n.number] = true
 		n.wipe()
 		n.start()
-		stored.changeMembers()
-	case kind == 3 && len(stored.away) > 0:
-		stored.returns(stored.firstAway())
-		stored.changeMembers()
+		h.changeMembers()
+	case kind == 3 && len(h.away) > 0:
+		h.returns(h.firstAway())
+		h.changeMembers()
 	case kind == 4:
-		stored.note("all processes start again")
+		h.note("all processes start again")
 		for _, n := range list {
 			n.kill()
 			n.start()
-			stored.rejoin(n)
+			h.rejoin(n)
 		}
 	case kind <= 6:
-		stored.losePower(list)
-	case kind == 7 && len(stored.nodes) < 2*stored.allowed+5:
-		stored.add()
-	case kind == 8 && len(list) > stored.allowed+2 && len(stored.lost) == 0:
-		stored.retire(n)
+		h.losePower(list)
+	case kind == 7 && len(h.nodes) < 2*h.allowed+5:
+		h.add()
+	case kind == 8 && len(list) > h.allowed+2 && len(h.lost) == 0:
+		h.retire(n)
 	default:
-		stored.submit(n)
+		h.submit(n)
 	}
 }
 
-func (stored *lossHistory) firstAway() *clusterNode {
-	for _, n := range stored.nodes {
-		if stored.away[n.number] {
+func (h *lossHistory) firstAway() *clusterNode {
+	for _, n := range h.nodes {
+		if h.away[n.number] {
 			return n
 		}
 	}
 	return nil
 }
 
-func (stored *lossHistory) returns(n *clusterNode) {
-	stored.note("%s comes back", n.key())
-	delete(stored.away, n.number)
+func (h *lossHistory) returns(n *clusterNode) {
+	h.note("%s comes back", n.key())
+	delete(h.away, n.number)
 	n.start()
 }
 
 // losePower cuts the power of all that remain, and loses some disks. They return one by one, those that were
 // away perhaps first.
-func (stored *lossHistory) losePower(list []*clusterNode) {
+func (h *lossHistory) losePower(list []*clusterNode) {
 	for _, n := range list {
 		n.losePower()
 	}
 	for _, n := range list {
-		if len(stored.lost) < stored.allowed && !stored.lost[n.number] && stored.chance(2) {
-			stored.lost[n.number] = true
+		if len(h.lost) < h.allowed && !h.lost[n.number] && h.chance(2) {
+			h.lost[n.number] = true
 			n.wipe()
 		}
 	}
-	stored.note("all lose power; lost or away since all had reconciled: %v", stored.lost)
-	stored.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if stored.chance(2) {
-		for n := stored.firstAway(); n != nil; n = stored.firstAway() {
-			delete(stored.away, n.number)
+	h.note("all lose power; lost or away since all had reconciled: %v", h.lost)
+	h.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	if h.chance(2) {
+		for n := h.firstAway(); n != nil; n = h.firstAway() {
+			delete(h.away, n.number)
 			list = append([]*clusterNode{n}, list...)
 		}
 	}
 	for _, n := range list {
-		stored.away[n.number] = true
+		h.away[n.number] = true
 	}
 	for i, n := range list {
-		stored.returns(n)
-		if i == len(list)-1 || stored.chance(2) {
-			stored.changeMembers()
+		h.returns(n)
+		if i == len(list)-1 || h.chance(2) {
+			h.changeMembers()
 		}
-		if stored.chance(3) {
-			stored.cluster.quiesce()
+		if h.chance(3) {
+			h.cluster.quiesce()
 		}
-		stored.checkNotDenied(n)
+		h.checkNotDenied(n)
 	}
 }
 
 // checkNotDenied asks a store, which may be one of the first that are back, for an accepted batch job.
-func (stored *lossHistory) checkNotDenied(n *clusterNode) {
-	if len(stored.accepted) == 0 || !stored.chance(3) {
+func (h *lossHistory) checkNotDenied(n *clusterNode) {
+	if len(h.accepted) == 0 || !h.chance(3) {
 		return
 	}
-	id := stored.accepted[stored.random.IntN(len(stored.accepted))]
+	id := h.accepted[h.random.IntN(len(h.accepted))]
 	if _, status := n.read(id); status == 404 {
-		stored.failf("%s denies %s", n.key(), id)
+		h.failf("%s denies %s", n.key(), id)
 	}
 }
 
-func (stored *lossHistory) add() {
-	n := &clusterNode{cluster: stored.cluster, number: len(stored.nodes), incarnation: 1,
-		disk: simulation.NewDisk(simulation.NewRand(stored.seed + uint64(100*len(stored.nodes))))}
-	stored.note("%s is added", n.key())
-	stored.nodes = append(stored.nodes, n)
+func (h *lossHistory) add() {
+	n := &clusterNode{cluster: h.cluster, number: len(h.nodes), incarnation: 1,
+		disk: simulation.NewDisk(simulation.NewRand(h.seed + uint64(100*len(h.nodes))))}
+	h.note("%s is added", n.key())
+	h.nodes = append(h.nodes, n)
 	n.start()
-	stored.changeMembers()
+	h.changeMembers()
 }
 
 // retire drains a store and takes it away, while all are there.
-func (stored *lossHistory) retire(n *clusterNode) {
-	stored.note("%s retires", n.key())
+func (h *lossHistory) retire(n *clusterNode) {
+	h.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
-	stored.changeMembers()
-	stored.settleAll()
-	stored.settleAll()
+	h.changeMembers()
+	h.settleAll()
+	h.settleAll()
 	if !n.machine.Report().DrainedDown {
-		stored.failf("%s isn't drained", n.key())
+		h.failf("%s isn't drained", n.key())
 		return
 	}
 	n.state = protocol.StoreRetired
-	stored.changeMembers()
-	if stored.chance(2) {
-		stored.cluster.quiesce()
+	h.changeMembers()
+	if h.chance(2) {
+		h.cluster.quiesce()
 	}
 	n.wipe()
-	stored.removed[n.number] = true
-	stored.changeMembers()
+	h.removed[n.number] = true
+	h.changeMembers()
 }
 
-func (stored *lossHistory) submit(n *clusterNode) {
+func (h *lossHistory) submit(n *clusterNode) {
 	for range lossJobsStep {
-		id := fmt.Sprint("job-", len(stored.accepted))
+		id := fmt.Sprint("job-", len(h.accepted))
 		if n.submit(id, 1).Status == 202 {
-			stored.accepted = append(stored.accepted, id)
+			h.accepted = append(h.accepted, id)
 		}
 	}
-	stored.note("%d batch jobs", len(stored.accepted))
+	h.note("%d batch jobs", len(h.accepted))
 }
 
 // play runs a history to its end, when all are back: all that was accepted is there, and all have reconciled.
-func (stored *lossHistory) play() {
+func (h *lossHistory) play() {
 	for range lossSteps {
-		stored.step()
-		if !stored.chance(4) {
-			stored.settleAll()
+		h.step()
+		if !h.chance(4) {
+			h.settleAll()
 		}
 	}
-	for n := stored.firstAway(); n != nil; n = stored.firstAway() {
-		stored.returns(n)
+	for n := h.firstAway(); n != nil; n = h.firstAway() {
+		h.returns(n)
 	}
-	stored.changeMembers()
-	stored.settleAll()
-	stored.settleAll()
-	for _, id := range stored.accepted {
-		if _, status := stored.remaining()[0].readAnywhere(id); status != 200 {
-			stored.failf("%s is answered with %d", id, status)
+	h.changeMembers()
+	h.settleAll()
+	h.settleAll()
+	for _, id := range h.accepted {
+		if _, status := h.remaining()[0].readAnywhere(id); status != 200 {
+			h.failf("%s is answered with %d", id, status)
 		}
 	}
-	for _, n := range stored.remaining() {
+	for _, n := range h.remaining() {
 		if status := n.machine.Status(); !status.Reconciled() {
-			stored.failf("%s hasn't reconciled: %+v", n.key(), status)
+			h.failf("%s hasn't reconciled: %+v", n.key(), status)
 		}
 	}
-	if !stored.currentView.Settled {
-		stored.failf("control hasn't agreed that all have reconciled")
+	if !h.currentView.Settled {
+		h.failf("control hasn't agreed that all have reconciled")
 	}
 }
 
@@ -286,11 +286,11 @@
 	for _, late := range []bool{false, true} {
 		accepted := 0
 		for seed := first; seed < first+seeds; seed++ {
-			stored := newLossHistory(seed, late)
-			stored.play()
-			accepted += len(stored.accepted)
-			if stored.failure != "" {
-				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", late, seed, stored.failure, strings.Join(stored.events, "\n"))
+			h := newLossHistory(seed, late)
+			h.play()
+			accepted += len(h.accepted)
+			if h.failure != "" {
+				t.Errorf("late %t, FIRST=%d SEEDS=1: %s\n%s", late, seed, h.failure, strings.Join(h.events, "\n"))
 			}
 		}
 		t.Logf("late %t: %d histories, %d batch jobs accepted", late, seeds, accepted)
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -346,13 +346,13 @@
 			sim.changeMembers(slices.Delete(members, i, i+1), "evicts "+s.node)
 			return
 		case members[i].State == protocol.StoreRetired && !s.removed:
-			sim.changeMembers(slices.Delete(members, i, i+1), "takes "+s.node+" away")
+			sim.changeMembers(slices.Delete(members, i, i+1), "removes "+s.node)
 			s.wipe(0)
 			s.removed = true
 			return
 		case members[i].State == protocol.StoreRetiring && sim.isDrained(s):
 			members[i].State = protocol.StoreRetired
-			sim.changeMembers(members, "notes that "+s.node+" is drained")
+			sim.changeMembers(members, "agrees that "+s.node+" is drained")
 			return
 		}
 	}
@@ -364,7 +364,7 @@
 			continue
 		}
 		members = slices.DeleteFunc(members, func(m protocol.StoreMember) bool { return m.Node == s.node })
-		sim.changeMembers(append(members, protocol.StoreMember{Process: s.process()}), "lets "+s.node+" in")
+		sim.changeMembers(append(members, protocol.StoreMember{Process: s.process()}), "admits "+s.node)
 		return
 	}
 }
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -24,70 +24,70 @@
 // newViewHistory retires a store and has one come back with an empty disk, each reconciled before the next,
 // then submits batch jobs; last, the first two stores lose their disks and all others lose power.
 func newViewHistory(seed uint64) *viewHistory {
-	stored := &viewHistory{cluster: newCluster(9, 3, seed)}
-	stored.noteView()
-	stored.quiesce()
-	stored.changeMembers(stored.nodes[:8]...)
-	stored.nodes[7].wipe()
-	stored.nodes[7].start()
-	stored.changeMembers(stored.nodes[:7]...)
-	stored.changeMembers(stored.nodes[:8]...)
+	h := &viewHistory{cluster: newCluster(9, 3, seed)}
+	h.noteView()
+	h.quiesce()
+	h.changeMembers(h.nodes[:8]...)
+	h.nodes[7].wipe()
+	h.nodes[7].start()
+	h.changeMembers(h.nodes[:7]...)
+	h.changeMembers(h.nodes[:8]...)
 	for i := range 24 {
 		id := fmt.Sprint("job-", i)
-		stored.jobs = append(stored.jobs, id)
-		So(stored.nodes[i%8].submit(id, 2).Status, ShouldEqual, 202)
+		h.jobs = append(h.jobs, id)
+		So(h.nodes[i%8].submit(id, 2).Status, ShouldEqual, 202)
 	}
-	for i, n := range stored.nodes[:8] {
+	for i, n := range h.nodes[:8] {
 		if i < 2 {
 			n.wipe()
 		} else {
 			n.losePower()
 		}
 	}
-	for _, n := range stored.nodes[:8] {
+	for _, n := range h.nodes[:8] {
 		n.start()
 	}
-	return stored
+	return h
 }
 
 // noteView remembers the newest view.
-func (stored *viewHistory) noteView() {
-	stored.views = append(stored.views, stored.nodes[0].machine.CurrentView())
+func (h *viewHistory) noteView() {
+	h.views = append(h.views, h.nodes[0].machine.CurrentView())
 }
 
 // changeMembers makes a set of stores the newest view, in which all reconcile.
-func (stored *viewHistory) changeMembers(members ...*clusterNode) {
-	stored.installView(members...)
-	stored.quiesce()
-	stored.noteView()
+func (h *viewHistory) changeMembers(members ...*clusterNode) {
+	h.installView(members...)
+	h.quiesce()
+	h.noteView()
 	for _, n := range members {
 		So(n.machine.Status().Reconciled(), ShouldBeTrue)
 	}
 }
 
 // installOldView hands a store a view that was in force once.
-func (stored *viewHistory) installOldView(n *clusterNode, epoch uint64) {
-	n.machine.InstallView(stored.views[epoch-1])
+func (h *viewHistory) installOldView(n *clusterNode, epoch uint64) {
+	n.machine.InstallView(h.views[epoch-1])
 }
 
-// rejoinAll tells all that ran before of the view that they are in, and then all of the one that the empty
-// disks join.
-func (stored *viewHistory) rejoinAll() {
-	for _, n := range stored.nodes[2:8] {
-		stored.installOldView(n, stored.epoch)
+// rejoinAll installs the newest view at all stores that ran before, and then one with the empty disks, too, at
+// all.
+func (h *viewHistory) rejoinAll() {
+	for _, n := range h.nodes[2:8] {
+		h.installOldView(n, h.epoch)
 	}
-	stored.quiesce()
-	stored.installView(stored.nodes[:8]...)
-	stored.quiesce()
+	h.quiesce()
+	h.installView(h.nodes[:8]...)
+	h.quiesce()
 }
 
 // check checks that all batch jobs are there and all stores have reconciled.
-func (stored *viewHistory) check() {
-	for _, n := range stored.nodes[:8] {
-		So(n.machine.Status(), ShouldResemble, Status{Epoch: stored.epoch, ReconciledEpoch: stored.epoch})
+func (h *viewHistory) check() {
+	for _, n := range h.nodes[:8] {
+		So(n.machine.Status(), ShouldResemble, Status{Epoch: h.epoch, ReconciledEpoch: h.epoch})
 	}
-	for _, id := range stored.jobs {
-		_, status := stored.nodes[3].readAnywhere(id)
+	for _, id := range h.jobs {
+		_, status := h.nodes[3].readAnywhere(id)
 		So(status, ShouldEqual, 200)
 	}
 }
@@ -95,33 +95,33 @@
 // TestPastViewIsIgnored hands stores that lost power a view that ended before they did.
 func TestPastViewIsIgnored(t *testing.T) {
 	Convey("All batch jobs are there after a loss of power with two disks", t, func() {
-		stored := newViewHistory(1)
-		stored.rejoinAll()
-		stored.check()
+		h := newViewHistory(1)
+		h.rejoinAll()
+		h.check()
 	})
 	for ended := uint64(1); ended <= 3; ended++ {
 		Convey(fmt.Sprintf("So they are if stores get the view of epoch %d first, which ended long ago", ended), t, func() {
 			for _, stores := range [][]int{{3}, {2, 3, 4}, {2, 3, 4, 5, 6, 7}} {
-				stored := newViewHistory(1)
+				h := newViewHistory(1)
 				for _, number := range stores {
-					stored.installOldView(stored.nodes[number], ended)
+					h.installOldView(h.nodes[number], ended)
 				}
-				stored.deliverAll()
-				stored.rejoinAll()
-				stored.check()
+				h.deliverAll()
+				h.rejoinAll()
+				h.check()
 			}
 		})
 	}
 	Convey("Nor does a store act in it, nor forget which one it acted in", t, func() {
-		stored := newViewHistory(1)
-		n := stored.nodes[3]
-		stored.installOldView(n, 3)
-		stored.deliverAll()
+		h := newViewHistory(1)
+		n := h.nodes[3]
+		h.installOldView(n, 3)
+		h.deliverAll()
 		So(n.machine.Epoch(), ShouldEqual, 0)
-		So(n.machine.ActedIn(), ShouldEqual, stored.epoch)
+		So(n.machine.ActedIn(), ShouldEqual, h.epoch)
 		n.kill()
 		n.start()
-		So(n.machine.ActedIn(), ShouldEqual, stored.epoch)
+		So(n.machine.ActedIn(), ShouldEqual, h.epoch)
 	})
 }
 
--- a/internal/batch/replica/random_test.go
+++ b/internal/batch/replica/random_test.go
@@ -66,7 +66,7 @@
 }
 
 // TestSeedsThatExceededTokenLimit runs seeds in which more tokens were accepted than allowed, or granted
-// capacity was held for ever.
+// capacity was never released.
 func TestSeedsThatExceededTokenLimit(t *testing.T) {
 	for _, seed := range []uint64{5596, 5632, 5794, 6076, 6094} {
 		if _, err := runSeed(seed, ""); err != nil {
--- a/internal/batch/replica/simulatedstore_test.go
+++ b/internal/batch/replica/simulatedstore_test.go
@@ -62,6 +62,7 @@
 	return s
 }
 
+// newIncarnation gives the disk, which is empty, an incarnation of its own.
 func (s *simulatedStore) newIncarnation() {
 	if s.incarnation > 0 && s.sim.bug == bugWipedKeepsName {
 		return
@@ -418,7 +419,7 @@
 
 // fill leaves a number of free bytes on the disk for a while.
 func (s *simulatedStore) fill(free int64, duration time.Duration) {
-	s.sim.note("the disk of %s has room for %d bytes", s.node, free)
+	s.sim.note("the disk of %s has %d bytes free", s.node, free)
 	used := int64(0)
 	names, _ := s.disk.List()
 	for _, name := range names {
--- a/internal/batch/replica/simulation_test.go
+++ b/internal/batch/replica/simulation_test.go
@@ -24,7 +24,8 @@
 	maxClockSkew   = time.Second     // of a store's time of day, at most
 	controlName    = "control"
 
-	// maxEvents is the most events of a run: more are a storm of messages. Usual are 10,000.
+	// maxEvents bounds the events of a run, of which 10,000 are usual: beyond it stores send messages without
+	// end.
 	maxEvents = 100_000
 )
 
@@ -42,7 +43,7 @@
 	now               time.Duration
 	events            []event
 	order             int
-	eventCount        int // events
+	eventCount        int // that have run
 	replicationFactor int
 	retention         time.Duration // of batch jobs
 	segmentSize       int64         // bytes
@@ -137,13 +138,14 @@
 	}
 }
 
+// runUntil runs the events up to a time, or up to the first failure.
 func (sim *storeSimulation) runUntil(end time.Duration) {
 	for sim.failure == nil && len(sim.events) > 0 && sim.events[0].at <= end {
 		next := sim.pop()
 		sim.now = next.at
 		next.run()
 		if sim.eventCount++; sim.eventCount > maxEvents {
-			sim.fail("a storm of messages")
+			sim.fail("more than %d events", maxEvents)
 		}
 	}
 	sim.now = end
@@ -196,11 +198,13 @@
 // view returns the agreed set of stores.
 func (sim *storeSimulation) view() protocol.StoreView { return sim.control.Stores() }
 
+// isMember reports whether a store is a member of the agreed view.
 func (sim *storeSimulation) isMember(key placement.Key) bool {
 	_, present := placement.MemberOf(sim.view(), key)
 	return present
 }
 
+// storeOf returns the store whose disk has the key now; nil if there is none.
 func (sim *storeSimulation) storeOf(key placement.Key) *simulatedStore {
 	for _, s := range sim.stores {
 		if s.key() == key {
@@ -210,6 +214,7 @@
 	return nil
 }
 
+// byIP returns the store at an address; nil if it was removed.
 func (sim *storeSimulation) byIP(ip string) *simulatedStore {
 	for _, s := range sim.stores {
 		if s.ip == ip && !s.removed {
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -210,6 +210,7 @@
 	})
 }
 
+// close cancels all attempts, and lets dispatch start no more.
 func (r *Runner) close() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -219,6 +220,7 @@
 	}
 }
 
+// isIdle reports whether no batch job runs here.
 func (r *Runner) isIdle() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -19,6 +19,7 @@
 // lostLeaseRetry is the Retry-After in place of an answer that is withheld because the lease has ended.
 const lostLeaseRetry = 250 * time.Millisecond
 
+// errUnknownMessage answers a message that is neither a gateway's call nor from a store.
 var errUnknownMessage = errors.New("server: message of an unknown kind")
 
 // handle takes gateways' calls and other stores' messages.
--- a/internal/batch/server/incarnation.go
+++ b/internal/batch/server/incarnation.go
@@ -21,6 +21,7 @@
 // incarnationFile holds the id and the number of starts, separated by a space, and a line end.
 const incarnationFile = "life"
 
+// errNoDataDir ends the process at its start: without a disk it isn't a store.
 var errNoDataDir = errors.New("server: no data-dir in the settings")
 
 // openIncarnation reads the incarnation of a disk and counts this start, durably. On an empty disk, and if
@@ -51,6 +52,7 @@
 	return opened, opened.write(directory)
 }
 
+// newIncarnationID draws an id. It is random, as an empty disk remembers no earlier one.
 func newIncarnationID() (string, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/internal/batch/wal/log.go
+++ b/internal/batch/wal/log.go
@@ -70,6 +70,7 @@
 	size   int64 // of what was written, or during recovery of what was replayed or skipped, bytes
 }
 
+// segmentName returns the name of a segment's file.
 func segmentName(number uint32) string { return fmt.Sprintf("segment-%08d", number) }
 
 // Append queues a record, whose payload must not be empty, and returns its sequence number and the location
@@ -127,6 +128,7 @@
 	return payload, nil
 }
 
+// closeFiles closes all segments; errors don't matter, as what is durable was synced.
 func (l *Log) closeFiles() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/batch/wal/record.go
+++ b/internal/batch/wal/record.go
@@ -31,6 +31,7 @@
 	groupMarker = 1 << 31 // bit of a record's length
 )
 
+// castagnoli is the polynomial of CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // encodeRecord returns a payload's record, without a marker.
