--- a/internal/control/discovery/page.go
+++ b/internal/control/discovery/page.go
@@ -47,12 +47,12 @@
 // parsePage decodes a page. A response without a list of instances is an error: it must not be taken for an
 // empty list.
 func parsePage(body []byte) (*page, error) {
-	var one page
-	if err := json.Unmarshal(body, &one); err != nil {
+	var parsed page
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return nil, fmt.Errorf("discovery: decode a page of the platform's list: %w", err)
 	}
-	if one.Instances == nil {
+	if parsed.Instances == nil {
 		return nil, errors.New("discovery: a page of the platform's list has no instances")
 	}
-	return &one, nil
+	return &parsed, nil
 }
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -68,20 +68,20 @@
 	var servers []protocol.Server
 	token := ""
 	for range maxPages {
-		one, err := r.readPageLimited(ctx, token)
+		next, err := r.readPageLimited(ctx, token)
 		if err != nil {
 			return List{}, err
 		}
-		for i := range one.Instances {
-			servers = append(servers, one.Instances[i].server())
+		for i := range next.Instances {
+			servers = append(servers, next.Instances[i].server())
 		}
-		if one.NextToken == nil || *one.NextToken == "" {
+		if next.NextToken == nil || *next.NextToken == "" {
 			return NewList(servers), nil
 		}
-		if *one.NextToken == token {
+		if *next.NextToken == token {
 			return List{}, errors.New("discovery: the platform's list gives the same page twice")
 		}
-		token = *one.NextToken
+		token = *next.NextToken
 	}
 	return List{}, fmt.Errorf("discovery: the platform's list has more than %d pages", maxPages)
 }
@@ -93,10 +93,10 @@
 		if err := sleep(ctx, r.limiter.reserve(time.Now())); err != nil {
 			return nil, err
 		}
-		one, err := r.readPage(ctx, token)
+		next, err := r.readPage(ctx, token)
 		var rate *RateLimitError
 		if token == "" || attempt == maxPageAttempts || !errors.As(err, &rate) {
-			return one, err // there is nothing to keep before the first page; Schedule decides on the next attempt
+			return next, err // there is nothing to keep before the first page; Schedule decides on the next attempt
 		}
 		if err := sleep(ctx, max(rate.RetryAfter, minPageRetryDelay)); err != nil {
 			return nil, err
--- a/internal/control/liveness/evictions.go
+++ b/internal/control/liveness/evictions.go
@@ -81,9 +81,9 @@
 // lastContactAt returns when an incarnation of a process polled last. It is at least the start of this
 // leadership, since polls before it may not have been reported here.
 func (t *Table) lastContactAt(process protocol.Process) time.Duration {
-	one, known := t.contacts[processKey{process.Node, process.Role}]
-	if !known || one.Process.Incarnation != process.Incarnation {
+	contact, known := t.contacts[processKey{process.Node, process.Role}]
+	if !known || contact.Process.Incarnation != process.Incarnation {
 		return t.leadsSince
 	}
-	return max(one.At, t.leadsSince)
+	return max(contact.At, t.leadsSince)
 }
--- a/internal/control/liveness/joins.go
+++ b/internal/control/liveness/joins.go
@@ -28,13 +28,13 @@
 		return nil
 	}
 	var list []protocol.Process
-	for _, one := range t.PolledSince(now - StoreLease) {
-		if one.Process.Role != protocol.RoleBatch || contains(view, one.Process) {
+	for _, contact := range t.PolledSince(now - StoreLease) {
+		if contact.Process.Role != protocol.RoleBatch || contains(view, contact.Process) {
 			continue
 		}
-		decision := admission(one.Process)
-		if decision == Admitted || decision == AdmittedAfterDelay && now-one.firstPollAt >= RejoinAfter {
-			list = append(list, one.Process)
+		decision := admission(contact.Process)
+		if decision == Admitted || decision == AdmittedAfterDelay && now-contact.firstPollAt >= RejoinAfter {
+			list = append(list, contact.Process)
 		}
 	}
 	return list
@@ -45,8 +45,8 @@
 func (t *Table) LastEpochActedIn(processes []protocol.Process) uint64 {
 	highest := uint64(0)
 	for _, process := range processes {
-		if one, known := t.LastContact(process); known && one.Batch != nil {
-			highest = max(highest, one.Batch.ActedIn)
+		if contact, known := t.LastContact(process); known && contact.Batch != nil {
+			highest = max(highest, contact.Batch.ActedIn)
 		}
 	}
 	return highest
--- a/internal/control/liveness/reconciliation.go
+++ b/internal/control/liveness/reconciliation.go
@@ -62,9 +62,9 @@
 // recentReport returns the last report of an incarnation of a batch process; nil if there is none within
 // EvictAfter.
 func (t *Table) recentReport(now time.Duration, process protocol.Process) *protocol.BatchReport {
-	one, known := t.contacts[processKey{process.Node, process.Role}]
-	if !known || one.Process.Incarnation != process.Incarnation || now-one.At > EvictAfter {
+	contact, known := t.contacts[processKey{process.Node, process.Role}]
+	if !known || contact.Process.Incarnation != process.Incarnation || now-contact.At > EvictAfter {
 		return nil
 	}
-	return one.Batch
+	return contact.Batch
 }
--- a/internal/control/liveness/table.go
+++ b/internal/control/liveness/table.go
@@ -67,25 +67,25 @@
 
 // Observe records a poll, received here or reported by another control process; one that is older than the
 // newest known one is ignored. It reports whether the process or its incarnation is new.
-func (t *Table) Observe(one Contact) bool {
-	id := processKey{one.Process.Node, one.Process.Role}
-	old, known := t.contacts[id]
-	if known && old.At > one.At {
+func (t *Table) Observe(contact Contact) bool {
+	key := processKey{contact.Process.Node, contact.Process.Role}
+	newest, known := t.contacts[key]
+	if known && newest.At > contact.At {
 		return false
 	}
-	same := known && old.Process == one.Process
-	one.firstPollAt = one.At
+	same := known && newest.Process == contact.Process
+	contact.firstPollAt = contact.At
 	if same {
-		one.firstPollAt = old.firstPollAt
+		contact.firstPollAt = newest.firstPollAt
 	}
-	t.contacts[id] = one
+	t.contacts[key] = contact
 	return !same
 }
 
 // LastContact returns the newest poll of an incarnation of a process. It reports false if none is known.
 func (t *Table) LastContact(process protocol.Process) (Contact, bool) {
-	one, known := t.contacts[processKey{process.Node, process.Role}]
-	return one, known && one.Process == process
+	contact, known := t.contacts[processKey{process.Node, process.Role}]
+	return contact, known && contact.Process == process
 }
 
 // ReportReceived records that a report of another control process was received at a time, and processed
@@ -108,9 +108,9 @@
 // Gateways returns the gateways that have polled within GatewayTimeout, sorted by node.
 func (t *Table) Gateways(now time.Duration) []protocol.Process {
 	var list []protocol.Process
-	for id, one := range t.contacts {
-		if id.role == protocol.RoleGateway && now-one.At <= GatewayTimeout {
-			list = append(list, one.Process)
+	for id, contact := range t.contacts {
+		if id.role == protocol.RoleGateway && now-contact.At <= GatewayTimeout {
+			list = append(list, contact.Process)
 		}
 	}
 	slices.SortFunc(list, func(a, b protocol.Process) int { return cmp.Compare(a.Node, b.Node) })
@@ -120,9 +120,9 @@
 // PolledSince returns the processes that polled at a time or later, sorted by node and role.
 func (t *Table) PolledSince(from time.Duration) []Contact {
 	var list []Contact
-	for _, one := range t.contacts {
-		if one.At >= from {
-			list = append(list, one)
+	for _, contact := range t.contacts {
+		if contact.At >= from {
+			list = append(list, contact)
 		}
 	}
 	slices.SortFunc(list, func(a, b Contact) int {
@@ -133,8 +133,8 @@
 
 // Expire drops processes that have not polled for ForgetAfter.
 func (t *Table) Expire(now time.Duration) {
-	for id, one := range t.contacts {
-		if now-one.At > ForgetAfter {
+	for id, contact := range t.contacts {
+		if now-contact.At > ForgetAfter {
 			delete(t.contacts, id)
 		}
 	}
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -43,25 +43,25 @@
 // quota address are sent only if this process confirms its state: those of a process that has just started,
 // or is partitioned, may be of an epoch that ended long ago. Without that only the control processes are
 // sent. It is called with the mutex held.
-func (c *Control) membersFor(one *subscriber, fresh bool) *protocol.MemberList {
+func (c *Control) membersFor(sub *subscriber, fresh bool) *protocol.MemberList {
 	if !fresh {
-		return c.members.controlMembersFor(one)
+		return c.members.controlMembersFor(sub)
 	}
 	// The list may have been built before the proof that fresh relies on.
 	c.members.updateStores(c.state.Stores(), c.quotaAddress())
-	return c.members.confirmedFor(one)
+	return c.members.confirmedFor(sub)
 }
 
 // noteMembersSent records that a member list was pushed to a subscriber.
-func (c *Control) noteMembersSent(one *subscriber, list *protocol.MemberList) {
-	one.controlMembers = list.Version
+func (c *Control) noteMembersSent(sub *subscriber, list *protocol.MemberList) {
+	sub.controlMembers = list.Version
 	if !list.Vouched {
 		return
 	}
-	one.members = list.Version
-	if one.process.Role == protocol.RoleBatch {
+	sub.members = list.Version
+	if sub.process.Role == protocol.RoleBatch {
 		c.log.Info().
-			Str("to", one.process.Node).
+			Str("to", sub.process.Node).
 			Uint64("epoch", list.Stores.Epoch).
 			Bool("reconciled", list.Stores.Settled).
 			Int("departed", len(list.Stores.Departed)).
--- a/internal/control/membertable.go
+++ b/internal/control/membertable.go
@@ -49,8 +49,8 @@
 
 // confirmedFor returns the whole list, marked as confirmed (Vouched), if a subscriber lacks it, else nil. The
 // caller has checked that this process may confirm its state.
-func (t *memberTable) confirmedFor(one *subscriber) *protocol.MemberList {
-	if t.list.Version <= one.members {
+func (t *memberTable) confirmedFor(sub *subscriber) *protocol.MemberList {
+	if t.list.Version <= sub.members {
 		return nil
 	}
 	list := t.list
@@ -60,8 +60,8 @@
 
 // controlMembersFor returns the list with nothing but the control processes if a subscriber lacks those, else
 // nil.
-func (t *memberTable) controlMembersFor(one *subscriber) *protocol.MemberList {
-	if t.list.Version <= max(one.members, one.controlMembers) {
+func (t *memberTable) controlMembersFor(sub *subscriber) *protocol.MemberList {
+	if t.list.Version <= max(sub.members, sub.controlMembers) {
 		return nil
 	}
 	return &protocol.MemberList{Version: t.list.Version, Control: t.list.Control}
--- a/internal/control/operatorapi/changegroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -34,13 +34,13 @@
 	decide func() decision,
 	release func(),
 ) (decision, bool) {
-	one, started := g.findOrStart(digest, decide, release)
+	call, started := g.findOrStart(digest, decide, release)
 	if !started {
 		defer release()
 	}
 	select {
-	case <-one.done:
-		return one.decision, true
+	case <-call.done:
+		return call.decision, true
 	case <-ctx.Done():
 		return decision{}, false
 	}
@@ -51,24 +51,24 @@
 	digest configuration.Digest,
 	decide func() decision,
 	release func(),
-) (one *changeCall, started bool) {
+) (call *changeCall, started bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if one, found := g.pending[digest]; found {
-		return one, false
+	if call, found := g.pending[digest]; found {
+		return call, false
 	}
-	one = &changeCall{done: make(chan struct{})}
-	g.pending[digest] = one
-	go g.run(digest, one, decide, release)
-	return one, true
+	call = &changeCall{done: make(chan struct{})}
+	g.pending[digest] = call
+	go g.run(digest, call, decide, release)
+	return call, true
 }
 
 // run decides a change and wakes its callers.
-func (g *changeGroup) run(digest configuration.Digest, one *changeCall, decide func() decision, release func()) {
-	one.decision = decide()
+func (g *changeGroup) run(digest configuration.Digest, call *changeCall, decide func() decision, release func()) {
+	call.decision = decide()
 	release()
 	g.mutex.Lock()
 	delete(g.pending, digest)
 	g.mutex.Unlock()
-	close(one.done)
+	close(call.done)
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -41,8 +41,8 @@
 	self := p.control.settings.IP
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.byIP {
-		one.present = false
+	for _, other := range p.byIP {
+		other.present = false
 	}
 	for _, ip := range p.control.controlIPs() {
 		if ip == self {
@@ -53,9 +53,9 @@
 		}
 		p.byIP[ip].present = true
 	}
-	for ip, one := range p.byIP {
-		if !one.present {
-			one.client.Close()
+	for ip, other := range p.byIP {
+		if !other.present {
+			other.client.Close()
 			delete(p.byIP, ip)
 		}
 	}
@@ -64,29 +64,29 @@
 // connect opens a connection with peers.mutex held. Whenever it is opened anew, everything is sent again,
 // since the other side has dropped what it had over the former connection.
 func (p *peers) connect(ip string) *peer {
-	one := &peer{gateways: map[string]protocol.Process{}}
+	other := &peer{gateways: map[string]protocol.Process{}}
 	onReconnect := func(bool) {
 		p.mutex.Lock()
-		one.serversVersion = 0
-		one.sentAll = false
-		clear(one.gateways)
+		other.serversVersion = 0
+		other.sentAll = false
+		clear(other.gateways)
 		p.mutex.Unlock()
 	}
-	one.client = transport.NewClient(
+	other.client = transport.NewClient(
 		p.control.settings.EndpointAt(ip, node.PortControl),
 		p.control.transportOptions(),
 		nil,
 		onReconnect,
 	)
-	return one
+	return other
 }
 
 // close closes all connections.
 func (p *peers) close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.byIP {
-		one.client.Close()
+	for _, other := range p.byIP {
+		other.client.Close()
 	}
 }
 
@@ -95,16 +95,16 @@
 func (p *peers) report(head string, toAll bool, gateways map[string]protocol.Process, batch []peerBatch) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for ip, one := range p.byIP {
+	for ip, other := range p.byIP {
 		if ip != head && !toAll {
 			continue
 		}
-		report := one.pollersDelta(gateways)
+		report := other.pollersDelta(gateways)
 		if ip == head {
 			report.Batch = batch
 		}
-		if one.client.Send(report) == nil {
-			one.markSent(&report)
+		if other.client.Send(report) == nil {
+			other.markSent(&report)
 		}
 	}
 }
@@ -143,10 +143,10 @@
 	rank := c.readerRank()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.byIP {
-		servers, version := c.peerServersSince(rank, one.serversVersion)
-		if one.client.Send(peerReport{Servers: servers}) == nil {
-			one.serversVersion = version
+	for _, other := range p.byIP {
+		servers, version := c.peerServersSince(rank, other.serversVersion)
+		if other.client.Send(peerReport{Servers: servers}) == nil {
+			other.serversVersion = version
 		}
 	}
 }
@@ -195,15 +195,15 @@
 	now := c.now()
 	gateways := make(map[string]protocol.Process, len(c.subscribers))
 	var batch []peerBatch
-	for _, one := range c.subscribers {
-		last, known := c.liveness.LastContact(one.process)
+	for _, sub := range c.subscribers {
+		last, known := c.liveness.LastContact(sub.process)
 		switch {
 		case !known || now-last.At > liveness.GatewayTimeout:
-		case one.process.Role == protocol.RoleBatch:
+		case sub.process.Role == protocol.RoleBatch:
 			batch = append(batch,
 				peerBatch{Process: last.Process, Ready: last.Ready, Report: last.Batch, Ago: now - last.At})
-		case one.process.Role == protocol.RoleGateway && now-one.lastPollAt <= gatewayPollTimeout:
-			gateways[one.process.Node] = one.process
+		case sub.process.Role == protocol.RoleGateway && now-sub.lastPollAt <= gatewayPollTimeout:
+			gateways[sub.process.Node] = sub.process
 		}
 	}
 	return gateways, batch
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -49,8 +49,8 @@
 		return serverlist.Delta{}, false
 	}
 	var composed serverlist.Delta
-	for _, one := range t.deltas[len(t.deltas)-int(behind):] {
-		composed = serverlist.Compose(composed, one)
+	for _, delta := range t.deltas[len(t.deltas)-int(behind):] {
+		composed = serverlist.Compose(composed, delta)
 	}
 	return composed, len(composed.Changed)+len(composed.Removed) < len(t.list.Servers)
 }
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -53,14 +53,14 @@
 	}
 	c.mutex.Lock()
 	c.checkPause()
-	one := c.subscribe(session, poll)
+	sub := c.subscribe(session, poll)
 	joined := c.trustsSession(session) &&
 		c.liveness.Observe(liveness.Contact{Process: poll.Process, Ready: poll.Ready, Batch: poll.Batch, At: c.now()})
-	one.configuration = poll.Configuration
+	sub.configuration = poll.Configuration
 	if poll.WholeServers {
-		one.servers = 0
+		sub.servers = 0
 	}
-	c.push(session, one, fresh)
+	c.push(session, sub, fresh)
 	update := protocol.Update{Sequence: poll.Sequence, Fresh: fresh, Age: age}
 	c.setListAge(&update)
 	c.mutex.Unlock()
@@ -76,16 +76,16 @@
 // subscribe returns the subscriber of a session, and creates it with the first poll. It is called with the
 // mutex held.
 func (c *Control) subscribe(session *transport.Session, poll protocol.Poll) *subscriber {
-	one, known := c.subscribers[session]
+	sub, known := c.subscribers[session]
 	if !known {
-		one = &subscriber{firstContactAt: c.now()}
-		c.subscribers[session] = one
+		sub = &subscriber{firstContactAt: c.now()}
+		c.subscribers[session] = sub
 		// A session that has ended calls the function at once, while the mutex is held here.
 		session.OnClose(func() { go c.unsubscribe(session) })
 	}
-	one.process = poll.Process
-	one.lastPollAt = c.now()
-	return one
+	sub.process = poll.Process
+	sub.lastPollAt = c.now()
+	return sub
 }
 
 // unsubscribe drops the subscriber of a session that has closed.
@@ -113,8 +113,8 @@
 	_, fresh := c.staleness()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for session, one := range c.subscribers {
-		c.push(session, one, fresh)
+	for session, sub := range c.subscribers {
+		c.push(session, sub, fresh)
 	}
 }
 
@@ -127,30 +127,30 @@
 // push queues what a subscriber lacks. One without a configuration gets one only if this process confirms its
 // state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by
 // it. It is called with the mutex held.
-func (c *Control) push(session *transport.Session, one *subscriber, fresh bool) {
+func (c *Control) push(session *transport.Session, sub *subscriber, fresh bool) {
 	update := protocol.Update{}
-	if fresh || one.configuration > 0 {
-		update.Configuration = c.state.ConfigurationSince(one.configuration)
+	if fresh || sub.configuration > 0 {
+		update.Configuration = c.state.ConfigurationSince(sub.configuration)
 	}
-	if c.servers.version > one.servers {
-		update.Servers = c.servers.messageFrom(c.incarnation, one.servers, c.now())
+	if c.servers.version > sub.servers {
+		update.Servers = c.servers.messageFrom(c.incarnation, sub.servers, c.now())
 	}
-	update.Members = c.membersFor(one, fresh)
+	update.Members = c.membersFor(sub, fresh)
 	if update.Configuration == nil && update.Servers == nil && update.Members == nil {
 		return
 	}
 	c.setListAge(&update)
 	if err := session.Push(update); err != nil {
 		if !errors.Is(err, transport.ErrNotConnected) {
-			c.log.Warn().Err(err).Str("to", one.process.Node).Msg("push_failed")
+			c.log.Warn().Err(err).Str("to", sub.process.Node).Msg("push_failed")
 		}
 		return
 	}
 	if update.Configuration != nil {
-		one.configuration = update.Configuration.Index
+		sub.configuration = update.Configuration.Index
 	}
-	one.servers = c.servers.version
+	sub.servers = c.servers.version
 	if update.Members != nil {
-		c.noteMembersSent(one, update.Members)
+		c.noteMembersSent(sub, update.Members)
 	}
 }
