--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -93,10 +93,10 @@
 		}
 		for range 50 {
 			for _, one := range beginners {
-				if told := one.storeEpoch(); told != 0 {
+				if epoch := one.storeEpoch(); epoch != 0 {
 					t.Fatalf(
 						"a process without proof sends the membership of epoch %d, where %d is the newest",
-						told,
+						epoch,
 						newest,
 					)
 				}
@@ -106,9 +106,9 @@
 		s.begin(1)
 		s.begin(2)
 		for _, one := range beginners {
-			eventually(t, "the set", func() bool { return one.storeEpoch() != 0 })
-			if told := one.storeEpoch(); told < newest {
-				t.Errorf("the membership of epoch %d is sent, where %d is the newest", told, newest)
+			eventually(t, "the membership", func() bool { return one.storeEpoch() != 0 })
+			if epoch := one.storeEpoch(); epoch < newest {
+				t.Errorf("the membership of epoch %d is sent, where %d is the newest", epoch, newest)
 			}
 		}
 	})
@@ -165,7 +165,7 @@
 	)
 	commands := c.storeCommands()
 	if len(commands) != 1 || commands[0].Join == nil || commands[0].Join.Epoch != 2 || commands[0].Join.ActedIn != 40 {
-		t.Fatalf("the head orders %+v for one that joins the set of epoch 2, and acted in 40", commands)
+		t.Fatalf("the head proposes %+v for one that joins in epoch 2, and acted in 40", commands)
 	}
 }
 
@@ -228,13 +228,13 @@
 			return s.running[0].state.Retirement("store-3") == statemachine.RetirementCompleted
 		})
 		stores[3].paused.Store(true)
-		eventually(t, "that it is out of the set", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
+		eventually(t, "that it is no member", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
 		stores[3].paused.Store(false)
 		time.Sleep(5 * time.Second) // longer than a lease: all commands that are due have been proposed
 		before := s.commandsApplied(t)
 		time.Sleep(20 * time.Second)
-		if orders := s.commandsApplied(t) - before; orders > 0 {
-			t.Errorf("%d orders while nothing changes", orders)
+		if commands := s.commandsApplied(t) - before; commands > 0 {
+			t.Errorf("%d commands while nothing changes", commands)
 		}
 	})
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -88,7 +88,7 @@
 		return status == 200 && strings.Contains(body, `"generation":10`)
 	})
 	if status := s.put(t, "PUT", "0", document); status != 200 {
-		t.Fatal("an order that was taken was refused later", status)
+		t.Fatal("a change that was accepted was rejected later", status)
 	}
 }
 
@@ -105,10 +105,10 @@
 	for name, one := range stores {
 		eventually(t, "a grant for "+name, one.locked(func() bool { return one.grant.Member && one.grant.Lease > 0 }))
 	}
-	eventually(t, "the whole set", stores["store-1"].locked(func() bool {
+	eventually(t, "the whole membership", stores["store-1"].locked(func() bool {
 		return stores["store-1"].members != nil && len(stores["store-1"].members.Stores.Members) == 3
 	}))
-	eventually(t, "the retirement taken", func() bool {
+	eventually(t, "the retirement accepted", func() bool {
 		status, _ := s.call(2, "POST", "/retire/store-2", "", `{"deadline-s":10}`)
 		return status == 200
 	})
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -419,7 +419,7 @@
 func faultDiskStall(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(2))
 	return func(down time.Duration) {
-		r.logf("%v: the disk stands still", v)
+		r.logf("%v: the disk stalls", v)
 		for _, i := range v.controls {
 			r.simulatedSystem.disks[i].SetStalled(true)
 		}
@@ -453,7 +453,7 @@
 	}
 }
 
-// retire orders a retirement, and reports whether that was acknowledged.
+// retire asks for a retirement, and reports whether that was acknowledged.
 func (w *deployment) retire(node string, at int) bool {
 	for attempt := range 8 {
 		members := w.presentControls()
@@ -610,6 +610,6 @@
 		}
 	}
 	if counts.views < 2*counts.recoveries/3 {
-		t.Errorf("%d changes of the set in %d rounds", counts.views, counts.recoveries)
+		t.Errorf("%d changes of the store membership in %d rounds", counts.views, counts.recoveries)
 	}
 }
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -34,7 +34,7 @@
 )
 
 // deployment is whole control processes and batch processes in one simulation, in virtual time, with clients,
-// an operator, and checks on what they tell each other. Its faults follow from its seed; the order in which
+// an operator, and checks on what they send each other. Its faults follow from its seed; the order in which
 // goroutines run at one moment doesn't, so a seed that failed may need a few runs to fail again.
 type deployment struct {
 	*simulatedSystem
@@ -687,7 +687,7 @@
 	w.counts.views = int(newestBefore(w.acknowledgedEpochs, time.Now()))
 }
 
-// finalCheckJob reads a batch job until it is complete. One that its client has ended may be gone.
+// finalCheckJob reads a batch job until it is complete. One that its client has ended may have been dropped.
 func (w *deployment) finalCheckJob(one *deployedJob, deadline time.Time) {
 	for {
 		failure := w.readJob(one)
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -260,7 +260,7 @@
 			chain.nextOutcomes = outcomes
 			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
 			if chain.index != 1 || len(chain.proposals) != 1 {
-				t.Fatalf("%d orders, ids %v", chain.index, chain.proposals)
+				t.Fatalf("%d changes, ids %v", chain.index, chain.proposals)
 			}
 		}
 	})
--- a/internal/control/operatorapi/injectedbugs_test.go
+++ b/internal/control/operatorapi/injectedbugs_test.go
@@ -20,12 +20,12 @@
 // Bugs that can be injected into a simulation.
 const (
 	bugNone                 injectedBug = ""
-	bugIDIsBaseVersion      injectedBug = "an order is known by the number that it builds on alone"
-	bugUnprovenRefusal      injectedBug = "orders are refused from state that was not proven"
-	bugUnprovenGet          injectedBug = "GET answers without proof"
-	bugSnapshotDropsChanges injectedBug = "which orders were taken is forgotten at a snapshot"
-	bugBaseBeforeRepeat     injectedBug = "an order is refused before it is looked for among those taken"
-	bugStaleResponse        injectedBug = "a caller gets the answer of the one before"
+	bugIDIsBaseVersion      injectedBug = "a change is identified only by the version that it builds on"
+	bugUnprovenRefusal      injectedBug = "changes are rejected by state that was not proven"
+	bugUnprovenGet          injectedBug = "GET answers from state that was not proven"
+	bugSnapshotDropsChanges injectedBug = "a snapshot drops which changes were accepted"
+	bugBaseBeforeRepeat     injectedBug = "a change is rejected before it is looked for among those accepted"
+	bugStaleResponse        injectedBug = "a caller gets the response of the one before"
 )
 
 // wrapChain injects a bug into the API's view of the chain.
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -44,7 +44,7 @@
 		heapAfter, diskAfter := w.usage()
 		snapshotAfter := len(w.members[0].state.Snapshot())
 		t.Logf(
-			"%d and %d orders, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time an order",
+			"%d and %d changes, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time a change",
 			full,
 			orders,
 			float64(heap)/1e6,
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -131,7 +131,7 @@
 		s.failf("it leads")
 	}
 	if commands := s.running[s.victim].storeCommands(); len(commands) > 0 {
-		s.failf("it decides on the set of batch processes: %v", commands)
+		s.failf("it decides on the store membership: %v", commands)
 	}
 }
 
@@ -148,22 +148,22 @@
 func (s *partitionTest) run(one partitionCase) {
 	t := s.t
 	s.partition(s.victim, one.out, one.in)
-	cutAt := time.Now()
+	partitionedAt := time.Now()
 	time.Sleep(stalenessElapsed)
 	beginner := s.startPoller(t, s.victim, gatewayProcess(2))
 	s.startPoller(t, s.victim, storeProcess(4, "a")) // a new batch process
 	s.reportDrained(s.stores[3])
 	status := 0
-	eventually(t, "an order that the others take", func() bool {
+	eventually(t, "a change that the others accept", func() bool {
 		status, _ = s.call(s.other, "PATCH", "/config", "7", `{"generation":9,"delete":{"tenants":["t"]}}`)
 		return status == 200
 	})
-	eventually(t, "a retirement that the others take", func() bool {
+	eventually(t, "a retirement that the others accept", func() bool {
 		status, _ = s.call(s.other, "POST", "/retire/store-3", "", `{"deadline-s":10}`)
 		return status == 200
 	})
 	s.setServers(`{"id":"i-2","backend":"b","address":"10.0.0.2:80","zone":"z","slots":4,"state":"ready"}`)
-	for sequence := uint64(1); time.Since(cutAt) < partitionLength-2*time.Second; sequence++ {
+	for sequence := uint64(1); time.Since(partitionedAt) < partitionLength-2*time.Second; sequence++ {
 		s.checkAnswersNothing(sequence)
 		time.Sleep(200 * time.Millisecond)
 	}
@@ -171,7 +171,7 @@
 		s.failf("a gateway that begins got version %d", generation)
 	}
 	members := s.running[s.other].state.Stores()
-	time.Sleep(time.Until(cutAt.Add(partitionLength)))
+	time.Sleep(time.Until(partitionedAt.Add(partitionLength)))
 	s.heal(s.victim)
 	s.checkRecovery(beginner, members)
 }
@@ -206,7 +206,7 @@
 			found = found || other == member
 		}
 		if !found {
-			s.failf("%s is no longer in the set, or another: %v", member.Node, now)
+			s.failf("%s is no longer a member, or in another state: %v", member.Node, now)
 		}
 	}
 	if len(now.Members) != 5 {
@@ -275,7 +275,7 @@
 		"it grants leases by outdated state":  {func(r Replica) Replica { return alwaysFreshReplica{r} }, "grants a lease"},
 		"it continues to lead":                {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "it leads"},
 		"it continues to grant quota":         {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "grants quota"},
-		"it decides on the store membership":  {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "decides on the set"},
+		"it decides on the store membership":  {func(r Replica) Replica { return alwaysLeadingReplica{r} }, "decides on the store membership"},
 		"its API answers from outdated state": {func(r Replica) Replica { return unprovenReadReplica{r} }, "200"},
 		"its API rejects by outdated state":   {func(r Replica) Replica { return unprovenReadReplica{r} }, "412"},
 		"its API finds no such member":        {func(r Replica) Replica { return unprovenReadReplica{r} }, "404"},
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -64,7 +64,7 @@
 				if c.knows(storeProcess(2, "old")) != short {
 					t.Errorf("after %v, a poll from before was processed: %t", span, !short)
 				}
-				synctest.Wait() // the sessions that the pause ended are gone
+				synctest.Wait() // the sessions that the pause ended are removed
 				reporter := awaitSession(t, c, c.peerSessions)
 				c.simulatePause(span)
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
@@ -75,7 +75,7 @@
 				time.Sleep(time.Second)
 				c.handleReport(awaitSession(t, c, c.peerSessions), report)
 				if !c.knows(storeProcess(3, "old")) {
-					t.Error("a report over a new connection isn't taken in")
+					t.Error("a report over a new connection isn't processed")
 				}
 				eventually(t, "a lease again", store.locked(func() bool { return store.grant.Lease > 0 }))
 				s.finish()
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -32,9 +32,9 @@
 // Bugs that can be injected into the harness.
 const (
 	bugNone       injectedBug = ""
-	bugUnproven   injectedBug = "a head lends without a proof of its epoch"
-	bugEarlyStart injectedBug = "a new head begins before the time of the one before has passed"
-	bugUnapplied  injectedBug = "a machine that returns is the head before it has applied what it missed"
+	bugUnproven   injectedBug = "a head grants quota without a proof of its epoch"
+	bugEarlyStart injectedBug = "a new head begins before the leader lease of the one before has ended"
+	bugUnapplied  injectedBug = "a machine that returns acts as head before it has applied what it missed"
 )
 
 // quotaSimulation is control processes with the real service, gateways with real clients, and tenants that
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -258,7 +258,7 @@
 			return other.Node == member.Node
 		})
 		if left := time.Until(w.leases[member.Process]); !replaced && left > watchStep {
-			w.failf("%s is out of the set with %v of its lease left", member.Process.Incarnation, left)
+			w.failf("%s is evicted with %v of its lease left", member.Process.Incarnation, left)
 		}
 	}
 	for _, member := range next.Members {
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -183,7 +183,7 @@
 					!slices.ContainsFunc(first.Stores().Members, func(member protocol.StoreMember) bool {
 						return member.Process == one
 					}) {
-					t.Fatalf("%s/%s is under suspicion and not in the set", one.Node, one.Incarnation)
+					t.Fatalf("%s/%s is under suspicion and no member", one.Node, one.Incarnation)
 				}
 			}
 		}
