--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -13,12 +13,12 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	one := protocol.ControlMember{IP: ip}
+	found := protocol.ControlMember{IP: ip}
 	if known := p.byIP[ip]; known != nil {
 		remote := known.client.Remote()
-		one.Node, one.Zone = remote.Node, remote.Zone
+		found.Node, found.Zone = remote.Node, remote.Zone
 	}
-	return one
+	return found
 }
 
 // refreshMembers brings the member list up to date.
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -508,7 +508,7 @@
 
 // TestFindsInjectedBugs checks that the checks find each bug.
 func TestFindsInjectedBugs(t *testing.T) {
-	for _, bug := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRefusal, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
+	for _, bug := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRejection, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
 		t.Run(string(bug), func(t *testing.T) {
 			for seed := uint64(0); seed < 40; seed++ {
 				if failures, _ := simulateHistory(t, seed, 60*time.Second, bug); len(failures) > 0 {
--- a/internal/control/operatorapi/injectedbugs_test.go
+++ b/internal/control/operatorapi/injectedbugs_test.go
@@ -21,7 +21,7 @@
 const (
 	bugNone                 injectedBug = ""
 	bugIDIsBaseVersion      injectedBug = "a change is identified only by the version that it builds on"
-	bugUnprovenRefusal      injectedBug = "changes are rejected by state that was not proven"
+	bugUnprovenRejection    injectedBug = "changes are rejected by state that was not proven"
 	bugUnprovenGet          injectedBug = "GET answers from state that was not proven"
 	bugSnapshotDropsChanges injectedBug = "a snapshot drops which changes were accepted"
 	bugBaseBeforeRepeat     injectedBug = "a change is rejected before it is looked for among those accepted"
@@ -33,7 +33,7 @@
 	switch p {
 	case bugIDIsBaseVersion:
 		return baseVersionIDChain{whole}
-	case bugUnprovenRefusal:
+	case bugUnprovenRejection:
 		return unprovenReadChain{whole}
 	}
 	return whole
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -13,7 +13,7 @@
 // Limits and times of a call, as the operator's API prescribes them.
 const (
 	maxRedirects        = 2
-	maxOtherRefusals    = 3           // see call.classify
+	maxOtherRejections  = 3           // see call.classify
 	attemptTimeout      = time.Second // of one attempt
 	attemptTimeoutPerMB = time.Second // added for each MiB of the body
 	minBackoff          = 50 * time.Millisecond
@@ -30,7 +30,7 @@
 // The types of errors of Call; test for them with errorx.IsOfType.
 var (
 	// Refused is the type of a definite rejection; StatusOf returns its HTTP status.
-	Refused = errorNames.NewType("refused")
+	Rejected = errorNames.NewType("refused")
 	// Unanswered is the type of a request without a definite answer: it may have taken effect, or may yet.
 	Unanswered = errorNames.NewType("unanswered")
 )
@@ -85,7 +85,7 @@
 	sending := &call{request: request, backoff: minBackoff}
 	for attempt := 0; ; attempt++ {
 		response, err := sending.attempt(ctx, c.Addresses[attempt%len(c.Addresses)])
-		if err == nil || errorx.IsOfType(err, Refused) {
+		if err == nil || errorx.IsOfType(err, Rejected) {
 			return response, err
 		}
 		if !sending.wait(ctx) {
@@ -96,9 +96,9 @@
 
 // call is a request that is being sent.
 type call struct {
-	request       Request
-	backoff       time.Duration
-	otherRefusals int
+	request         Request
+	backoff         time.Duration
+	otherRejections int
 }
 
 // wait waits for the backoff and doubles it. It reports false if ctx ended first.
@@ -166,7 +166,7 @@
 	if status >= 200 && status < 300 {
 		return &Response{Address: response.Request.URL.Host, Status: status, Header: response.Header, Body: body}, nil
 	}
-	rejection := Refused.New("%s %s: %d %s", c.request.Method, c.request.Path, status, string(bytes.TrimSpace(body))).
+	rejection := Rejected.New("%s %s: %d %s", c.request.Method, c.request.Path, status, string(bytes.TrimSpace(body))).
 		WithProperty(statusProperty, status)
 	switch status {
 	case http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
@@ -174,7 +174,7 @@
 		return nil, rejection
 	}
 	if status >= 400 && status < 500 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests {
-		if c.otherRefusals++; c.otherRefusals >= maxOtherRefusals {
+		if c.otherRejections++; c.otherRejections >= maxOtherRejections {
 			return nil, rejection
 		}
 	}
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -102,7 +102,7 @@
 		for _, code := range []int{400, 409, 412, 413, 422} {
 			address, calls := scriptedControl(t, status(code))
 			_, err := put(address)
-			So(errorx.IsOfType(err, Refused), ShouldBeTrue)
+			So(errorx.IsOfType(err, Rejected), ShouldBeTrue)
 			So(StatusOf(err), ShouldEqual, code)
 			So(err.Error(), ShouldContainSubstring, "why")
 			So(calls.Load(), ShouldEqual, 1)
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -28,7 +28,7 @@
 	case 1:
 		g.pause(sim.randomDuration(maxPause))
 	case 2:
-		g.cutOffBy(sim.newPartition(maxPartition))
+		g.partitionBy(sim.newPartition(maxPartition))
 	case 3:
 		if len(sim.gateways) < maxGateways {
 			sim.addGateway()
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -97,9 +97,9 @@
 }
 
 // cutOffBy puts the gateway behind a partition.
-func (g *simGateway) cutOffBy(cut partition) {
-	g.partition = cut
-	g.connectedSince = max(g.connectedSince, cut.until+3*second)
+func (g *simGateway) partitionBy(p partition) {
+	g.partition = p
+	g.connectedSince = max(g.connectedSince, p.until+3*second)
 }
 
 // reachOnly leaves a gateway only one control process that it reaches, and restarts it in half of the cases.
