--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -296,7 +296,7 @@
 	case 7:
 		w.partition(m, false, true, 20*time.Second)
 	case 8:
-		w.logf("the link of %s and %s is cut", m.ip, other.ip)
+		w.logf("%s and %s are partitioned", m.ip, other.ip)
 		w.network.Partition(m.ip, other.ip)
 		if w.random.IntN(2) == 0 {
 			w.network.Partition(other.ip, m.ip)
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -36,7 +36,7 @@
 				gateways[name] = protocol.Process{
 					Node:        name,
 					Role:        protocol.RoleGateway,
-					Incarnation: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "life")),
+					Incarnation: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "incarnation")),
 				}
 			}
 			report := sender.pollersDelta(gateways)
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -245,7 +245,7 @@
 	g.later(10*time.Millisecond, g.exchange)
 }
 
-// cut cuts the link between two machines, in both directions or in one, for a time.
+// partitionPair partitions two machines from each other, in both directions or in one, for a time.
 func (w *quotaSimulation) cut(one, other string, way int, length time.Duration) {
 	for i, pair := range [][2]string{{one, other}, {other, one}} {
 		if way != i+1 {
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -10,7 +10,7 @@
 // Grantor identifies a process that may grant quota: one incarnation of a control process. The zero value
 // stands for a system in which no process has granted quota yet.
 type Grantor struct {
-	Member  string // name of the member of the chain, which is one life of a disk
+	Member  string // name of the chain's member, which is one incarnation of a disk
 	Process string // incarnation of the process
 }
 
