--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -461,13 +461,13 @@
 func (w *deployment) callStore(at int, call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	for range 4 {
 		w.lock.Lock()
-		life := w.stores[at].process
+		incarnation := w.stores[at].process
 		w.lock.Unlock()
-		if life == nil {
+		if incarnation == nil {
 			return protocol.BatchAnswer{}
 		}
 		time.Sleep(time.Millisecond) // network delay
-		answer := life.call(call, items)
+		answer := incarnation.call(call, items)
 		if answer.Owner == "" {
 			return answer
 		}
@@ -617,15 +617,15 @@
 
 func (w *deployment) unhealthyStore(s *deployedStore, newest protocol.StoreView) []string {
 	w.lock.Lock()
-	life := s.process
+	incarnation := s.process
 	w.lock.Unlock()
-	if life == nil {
+	if incarnation == nil {
 		return []string{s.node + " doesn't run"}
 	}
-	life.mutex.Lock()
-	report, view, allowed := life.machine.Report(), life.machine.CurrentView(), life.machine.MayAct()
-	life.mutex.Unlock()
-	at := slices.IndexFunc(newest.Members, func(one protocol.StoreMember) bool { return one.Process == life.process })
+	incarnation.mutex.Lock()
+	report, view, allowed := incarnation.machine.Report(), incarnation.machine.CurrentView(), incarnation.machine.MayAct()
+	incarnation.mutex.Unlock()
+	at := slices.IndexFunc(newest.Members, func(one protocol.StoreMember) bool { return one.Process == incarnation.process })
 	switch {
 	case at < 0:
 		return []string{fmt.Sprintf("%s is no member of view %d", s.node, newest.Epoch)}
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -50,9 +50,9 @@
 
 func (c *fakeChain) Read(ctx context.Context) error {
 	c.mutex.Lock()
-	cut := c.partitioned
+	partitioned := c.partitioned
 	c.mutex.Unlock()
-	if !cut {
+	if !partitioned {
 		return nil
 	}
 	<-ctx.Done()
@@ -149,11 +149,11 @@
 		Convey("an invalid configuration is rejected with all findings, and never proposed", func() {
 			bad := strings.NewReplacer(`"timeout-ms":5`, `"timeout-ms":0`, `"path-prefix":"/"`, `"path-prefix":"x"`).
 				Replace(document)
-			refused := send(api, "PUT", "/config", "0", bad)
-			So(refused.Code, ShouldEqual, 400)
-			var told responseBody
-			So(json.Unmarshal(refused.Body.Bytes(), &told), ShouldBeNil)
-			So(told.Findings, ShouldHaveLength, 2)
+			rejected := send(api, "PUT", "/config", "0", bad)
+			So(rejected.Code, ShouldEqual, 400)
+			var body responseBody
+			So(json.Unmarshal(rejected.Body.Bytes(), &body), ShouldBeNil)
+			So(body.Findings, ShouldHaveLength, 2)
 			So(send(api, "PUT", "/config", "0", document[:40]).Code, ShouldEqual, 400)
 			So(
 				send(api, "PUT", "/config", "0", strings.Replace(document, `"backend":"b"`, `"backend":"c"`, 1)).Code,
--- a/internal/control/quotaservice/service_test.go
+++ b/internal/control/quotaservice/service_test.go
@@ -69,7 +69,7 @@
 			Demands:  []protocol.QuotaDemand{{Tenant: "a", Rate: 5, Want: want}},
 		})
 	}
-	refused := func(s *Service) {
+	mustReject := func(s *Service) {
 		_, err := ask(s, 1)
 		So(transport.CodeOf(err), ShouldEqual, CodeNotLeader)
 	}
@@ -84,7 +84,7 @@
 			Self:       statemachine.Grantor{Member: "m1", Process: "p1"},
 			Wake:       func() {},
 		})
-		refused(service)
+		mustReject(service)
 		So(state.applyNextChange(service).Taken, ShouldBeTrue)
 
 		Convey("it acts at once, with full pools, and leases once the gateway is on record", func() {
@@ -103,9 +103,9 @@
 		})
 		Convey("it acts only while it heads the chain", func() {
 			lead.until = time.Now().Add(-time.Millisecond)
-			refused(service)
+			mustReject(service)
 			lead.until, lead.heads = time.Now().Add(time.Minute), false
-			refused(service)
+			mustReject(service)
 			So(service.NextChange(), ShouldBeNil)
 		})
 		Convey("its next incarnation acts at once", func() {
@@ -123,13 +123,13 @@
 			anew, err := ask(next, 1)
 			So(err, ShouldBeNil)
 			So(anew.Term, ShouldNotEqual, before.Term)
-			refused(service)
+			mustReject(service)
 		})
 		Convey("after a release it grants nothing, and another begins at once", func() {
 			lead.alone = false
 			end := service.Release()
 			So(end, ShouldNotBeNil)
-			refused(service)
+			mustReject(service)
 			So(state.apply(end).Taken, ShouldBeTrue)
 			So(state.applyNextChange(service), ShouldBeNil)
 			next := New(Options{
@@ -155,12 +155,12 @@
 				Wake:       func() {},
 			})
 			So(next.NextChange(), ShouldBeNil)
-			refused(next)
+			mustReject(next)
 			lead.alone = true
 			So(state.applyNextChange(next).Taken, ShouldBeTrue)
 			_, err := ask(next, 1)
 			So(err, ShouldBeNil)
-			refused(service)
+			mustReject(service)
 			Convey("and a late change of this one has no effect", func() {
 				So(
 					state.apply(
--- a/internal/control/quotaservice/simulation_test.go
+++ b/internal/control/quotaservice/simulation_test.go
@@ -246,7 +246,7 @@
 }
 
 // partitionPair partitions two machines from each other, in both directions or in one, for a time.
-func (w *quotaSimulation) cut(one, other string, way int, length time.Duration) {
+func (w *quotaSimulation) partitionPair(one, other string, way int, length time.Duration) {
 	for i, pair := range [][2]string{{one, other}, {other, one}} {
 		if way != i+1 {
 			w.Links.Partition(pair[0], pair[1])
@@ -291,7 +291,7 @@
 		w.After(w.randomDuration(maxPartition), func() { w.Resume(g.name) })
 	case 9:
 		for _, one := range w.chain.members {
-			w.cut(g.name, one.name, w.random.IntN(3), w.randomDuration(maxPartition))
+			w.partitionPair(g.name, one.name, w.random.IntN(3), w.randomDuration(maxPartition))
 		}
 	}
 }
@@ -302,8 +302,8 @@
 	g.onlyReachable, g.until = m, w.Elapsed()+length
 	for _, one := range w.chain.members {
 		if one != m {
-			w.cut(m.name, one.name, way, length)
-			w.cut(g.name, one.name, 0, length)
+			w.partitionPair(m.name, one.name, way, length)
+			w.partitionPair(g.name, one.name, 0, length)
 		}
 	}
 }
