--- a/policy/answers.go
+++ b/policy/answers.go
@@ -3,7 +3,7 @@
 // Which final answer does a request get that no server has answered? Read after retries.go.
 
 // The constant of refusals.
-const retryAfterDivisor = 8 // of its class's target: how long a refused client is told to wait
+const retryAfterDivisor = 8 // of its class's target: the wait before a repeat that a refusal names
 
 // answerUnserved gives a request the final answer of one that wasn't served: a refusal where it hasn't run or may run
 // again, else a failure.
--- a/policy/api.go
+++ b/policy/api.go
@@ -21,8 +21,8 @@
 //   - Host.Refuse is called only where no attempt may have run, or where a repeat is harmless.
 //   - Within any window all gateways together send a server that has just started no more than a multiple of what it
 //     can do (Gateway.withinSlowStartBudget, ledger.SlowStartBudget).
-//   - All gateways together admit no more of a customer than its hard limit, whichever messages are lost and whoever
-//     restarts (ledger.BucketShare). The quota below the hard limit is kept as closely as peers' updates allow.
+//   - All gateways together admit no more of a customer than its hard limit, whichever messages are lost and gateways
+//     restart (ledger.BucketShare). The quota below the hard limit is kept as closely as peers' updates allow.
 //
 // # Quotas
 //
--- a/policy/bucket_sharing.go
+++ b/policy/bucket_sharing.go
@@ -15,22 +15,22 @@
 	balanceConvergence = 0.03 // of the difference of two copies of a bucket, with each update
 )
 
-// drawsJointly tells whether this gateway draws on a customer's whole bucket: it hears all of the customer's
-// gateways, or most of those nearby. Those that are partitioned from the majority draw on their parts meanwhile,
-// which exceeds the quota by half at worst. The parts of gateways that are down must not lie idle.
+// drawsJointly tells whether this gateway draws on a customer's whole bucket: it receives updates of all of the
+// customer's gateways, or of most of those nearby. Those that are partitioned from the majority draw on their parts
+// meanwhile, which exceeds the quota by half at worst. The parts of gateways that are down must not lie idle.
 func (g *Gateway) drawsJointly(c *customer) bool {
 	timedOut := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
 	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, timedOut))
 }
 
-// majorityAlive tells whether this gateway and the nearby peers that it hears are a majority of them all.
+// majorityAlive tells whether this gateway and the nearby peers that are alive are a majority of them all.
 func (g *Gateway) majorityAlive() bool { return 2*g.nearbyAlive()+1 > len(g.nearby) }
 
-// isolated tells whether no peer has been heard for longer than staleUpdates full updates.
+// isolated tells whether no peer's message was received for longer than staleUpdates full updates.
 func (g *Gateway) isolated() bool { return g.now-g.lastContact > staleUpdates*fullUpdateInterval }
 
-// demand gives the units a second that are asked here, and at all of the customer's gateways. A gateway that hears no
-// peer takes the others' demand to be as its own, which holds the customer to an even part of its rate.
+// demand gives the units a second that are asked here, and at all of the customer's gateways. An isolated gateway
+// takes the others' demand to be as its own, which holds the customer to an even part of its rate.
 func (g *Gateway) demand(c *customer) (here, total float64) {
 	memory, n := g.demandMemory(c.plan), float64(c.setSize)
 	c.demand.decay(g.now, memory)
@@ -77,7 +77,7 @@
 	peer := &c.peers[g.peerSlot(from)]
 	switch {
 	case peer.receivedAt < g.peerResumedAt[from] && (known || g.now-g.peerResumedAt[from] < peerAliveFor):
-		return 0 // drawn while the peer was not heard, so from its own part
+		return 0 // drawn while the peer was timed out, so from its own part
 	case !known: // what the bucket lacks by the peer
 		return math.Min(e.used, (1-e.balance)*g.cfg.Plans[c.plan].Burst)
 	}
--- a/policy/customers.go
+++ b/policy/customers.go
@@ -55,7 +55,7 @@
 	}
 	c.balance = p.Burst
 	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.unseenFillSince, 0)
-	// Where the bucket is shared and this gateway is older than peerAliveFor it has heard of all that was drawn.
+	// Where the bucket is shared and this gateway is older than peerAliveFor it has received all that was drawn.
 	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
 		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
 	}
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -15,13 +15,13 @@
 const (
 	fullUpdateInterval = time.Second / 4        // between updates that hold the groups too, to one peer
 	updateInterval     = time.Second / 30       // between updates, while there is something to say
-	peerAliveFor       = 4 * fullUpdateInterval // a peer that was heard so lately hears this gateway, too
+	peerAliveFor       = 4 * fullUpdateInterval // a peer with a contact so recent is taken to receive from here, too
 	staleUpdates       = 10                     // in fullUpdateInterval: silence after which a gateway is isolated
 	nearbyDistance     = 3                      // places to either side at which gateways share customers' buckets
 	peerRateShare      = 0.7                    // of Settings.PeerMessageRate that all peers together may use
 )
 
-// peerAlive tells whether a peer was heard within peerAliveFor.
+// peerAlive tells whether a peer's message was received within peerAliveFor.
 func (g *Gateway) peerAlive(peer int) bool {
 	return g.peerLastContact[peer] != 0 && g.now-g.peerLastContact[peer] <= peerAliveFor
 }
--- a/policy/report.go
+++ b/policy/report.go
@@ -29,7 +29,7 @@
 	InvalidMessages int // total of messages from peers that could not be read
 	EjectedServers  int
 	SuspectedOwners int // owners that are not asked as they didn't answer
-	NearbyAlive     int // nearby peers that are heard
+	NearbyAlive     int // nearby peers that are alive
 	Customers       int // records
 	ListedServers   int // servers that may be sent requests
 	QueuedRequests  int // requests that wait for a server
--- a/policy/state.go
+++ b/policy/state.go
@@ -82,7 +82,7 @@
 	nearby          []int           // those that may share a customer's bucket with this gateway
 	peerAge         []time.Duration // as each last said
 	peerLastContact []Time          // 0 means never
-	peerResumedAt   []Time          // when each was heard again after a time-out
+	peerResumedAt   []Time          // when a message of each was received again after a time-out
 	peerClockOffset []Time          // time here less the peer's age, by the message with the least delay
 	lastContact     Time            // with any peer
 	olderPeerKnown  bool            // a peer is much older than this gateway, or knows of one that is
@@ -112,7 +112,7 @@
 	return g, nil
 }
 
-// newGatewayPeers gives the state of a gateway that has heard no peer.
+// newGatewayPeers gives the state of a gateway without contact to any peer.
 func newGatewayPeers(cfg Settings) gatewayPeers {
 	times := func() []Time { return make([]Time, cfg.Gateways) }
 	return gatewayPeers{nearby: cfg.NearbyPeers(), peerAge: times(), peerLastContact: times(), peerResumedAt: times(),
