--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestDeafMachineSuspectsNobody loses all that is sent to one machine, while what it sends arrives.
-func TestDeafMachineSuspectsNobody(t *testing.T) {
+func TestMachineThatReceivesNothingSuspectsNobody(t *testing.T) {
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
 		deaf := c.names[2]
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -127,7 +127,7 @@
 }
 
 // silentServer completes the handshake with every client and then sends nothing.
-func silentServer(t testing.TB, handshakes *atomic.Int64) net.Listener {
+func unresponsiveServer(t testing.TB, handshakes *atomic.Int64) net.Listener {
 	listener := listen(t)
 	go func() {
 		for {
@@ -147,7 +147,7 @@
 func TestHeartbeatTimeout(t *testing.T) {
 	Convey("An idle connection to a machine that sends nothing ends after three heartbeats", t, func() {
 		var handshakes atomic.Int64
-		listener := silentServer(t, &handshakes)
+		listener := unresponsiveServer(t, &handshakes)
 		defer listener.Close()
 		var log errorLog
 		options := testOptions("client")
