--- a/coord/chain/log.go
+++ b/coord/chain/log.go
@@ -58,8 +58,8 @@
 // Entry returns the entry at index. It panics outside of (base, last].
 func (l *Log) Entry(index uint64) Entry { return l.entries[index-l.baseIndex-1] }
 
-// Append adds the next entry. It panics if the index isn't the next one or the epoch is lower than the last entry's:
-// the caller has broken the protocol.
+// Append adds the next entry. It panics if the index isn't the next one or the epoch is lower than the last
+// entry's: the caller has broken the protocol.
 func (l *Log) Append(entry Entry) {
 	if entry.Index != l.LastIndex()+1 {
 		panic(fmt.Sprintf("chain: entry %d after %d", entry.Index, l.LastIndex()))
@@ -70,8 +70,8 @@
 	l.entries = append(l.entries, entry)
 }
 
-// After returns the entries that follow index, up to about limit bytes, but at least one if there is one. It returns
-// none if index is before the base. The entries must not be changed.
+// After returns the entries that follow index, up to about limit bytes, but at least one if there is one. It
+// returns none if index is before the base. The entries must not be changed.
 func (l *Log) After(index uint64, limit int) []Entry {
 	if index < l.baseIndex || index >= l.LastIndex() {
 		return nil
@@ -87,8 +87,8 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// Truncate drops all entries after index. It copies the others, because slices returned by After may still be in use.
-// It panics if index is before the base.
+// Truncate drops all entries after index. It copies the others, because slices returned by After may still be
+// in use. It panics if index is before the base.
 func (l *Log) Truncate(index uint64) {
 	if index < l.baseIndex {
 		panic(fmt.Sprintf("chain: truncate at %d below the base at %d", index, l.baseIndex))
@@ -99,8 +99,8 @@
 	}
 }
 
-// Compact makes index the base. It copies the remaining entries (also none: slices.Clone would keep the array of an
-// empty slice), so that the memory of the others becomes free. It panics if index isn't in the log.
+// Compact makes index the base. It copies the remaining entries (also none: slices.Clone would keep the array
+// of an empty slice), so that the memory of the others becomes free. It panics if index isn't in the log.
 func (l *Log) Compact(index uint64) {
 	epoch, known := l.EpochAt(index)
 	if !known {
@@ -125,8 +125,8 @@
 	return runs
 }
 
-// LastCommonIndex returns the last index at which this log agrees with the one that runs describe. ok is false if
-// they agree at no index that both still know: one is compacted beyond it.
+// LastCommonIndex returns the last index at which this log agrees with the one that runs describe. ok is
+// false if they agree at no index that both still know: one is compacted beyond it.
 func (l *Log) LastCommonIndex(runs []EpochRun) (index uint64, ok bool) {
 	if len(runs) == 0 {
 		return 0, false
--- a/coord/chain/state.go
+++ b/coord/chain/state.go
@@ -6,10 +6,11 @@
 )
 
 // StateMachine is the deterministic state that commands change (Schneider, 1990). All replicas apply the same
-// commands in the same order, so the result may depend on nothing else: not on time, randomness or the order of a
-// map.
+// commands in the same order, so the result may depend on nothing else: not on time, randomness or the order
+// of a map.
 type StateMachine interface {
-	// Apply executes a command and returns its result. It is called once for each command, in the order of the log.
+	// Apply executes a command and returns its result. It is called once for each command, in the order of
+	// the log.
 	Apply(index uint64, command []byte) (result []byte)
 	// Snapshot encodes the whole state.
 	Snapshot() []byte
@@ -17,8 +18,8 @@
 	Restore(snapshot []byte) error
 }
 
-// DeduplicationWindow is the number of the latest command IDs whose outcomes are kept, so that a command that is
-// proposed again is applied once.
+// DeduplicationWindow is the number of the latest command IDs whose outcomes are kept, so that a command that
+// is proposed again is applied once.
 const DeduplicationWindow = 4096
 
 // Outcome is the index and the result of a command.
@@ -38,8 +39,8 @@
 	recent       []string           // IDs in the order of application; cut to window at twice as many
 }
 
-// NewState wraps an empty state machine and keeps the outcomes of the last commands, as many as window says. The
-// window is part of the replicated state: it must be the same in all replicas.
+// NewState wraps an empty state machine and keeps the outcomes of the last commands, as many as window says.
+// The window is part of the replicated state: it must be the same in all replicas.
 func NewState(stateMachine StateMachine, window int) *State {
 	return &State{stateMachine: stateMachine, window: window, outcomes: make(map[string]Outcome)}
 }
@@ -53,8 +54,8 @@
 	return outcome, known
 }
 
-// Apply applies the next entry; it panics for any other. A command whose ID was applied before has no effect: its
-// first outcome is returned, with repeated set.
+// Apply applies the next entry; it panics for any other. A command whose ID was applied before has no effect:
+// its first outcome is returned, with repeated set.
 func (s *State) Apply(entry Entry) (outcome Outcome, repeated bool) {
 	if entry.Index != s.appliedIndex+1 {
 		panic(fmt.Sprintf("chain: apply %d after %d", entry.Index, s.appliedIndex))
--- a/coord/chain/state_test.go
+++ b/coord/chain/state_test.go
@@ -17,9 +17,9 @@
 	return err
 }
 
-// TestDeduplicationWindow applies more commands than the window holds: the outcomes of the last ones are known and
-// those of the others aren't, also in a state that was restored from a snapshot on the way; a known command is
-// applied once.
+// TestDeduplicationWindow applies more commands than the window holds: the outcomes of the last ones are
+// known and those of the others aren't, also in a state that was restored from a snapshot on the way; a known
+// command is applied once.
 func TestDeduplicationWindow(t *testing.T) {
 	const window, commands = 16, 100
 	for restoredAt := 1; restoredAt < commands; restoredAt += 7 {
--- a/coord/leader/election.go
+++ b/coord/leader/election.go
@@ -29,15 +29,15 @@
 	resigned bool          // it must not start
 }
 
-// NewElection returns an election whose terms end a margin before their leases. The margin is the time that an act
-// may take after a look at Term.Valid; a longer one shortens each term.
+// NewElection returns an election whose terms end a margin before their leases. The margin is the time that
+// an act may take after a look at Term.Valid; a longer one shortens each term.
 func NewElection(margin time.Duration) *Election { return &Election{margin: margin} }
 
 // Observe takes in the source's lease and returns what follows.
 //
-// A term lasts to the end of the latest lease of its epoch, also when the source doesn't hold it any more: until
-// then no other node acts. A lease of another epoch ends the term at once, and the next call starts the role in the
-// new epoch, so that two terms never overlap.
+// A term lasts to the end of the latest lease of its epoch, also when the source doesn't hold it any more:
+// until then no other node acts. A lease of another epoch ends the term at once, and the next call starts the
+// role in the new epoch, so that two terms never overlap.
 func (e *Election) Observe(now time.Duration, lease Lease) Action {
 	leads := lease.Held && !e.resigned && now < lease.Expires-e.margin
 	if e.running {
--- a/coord/leader/role.go
+++ b/coord/leader/role.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Source says whether this node is the leader; coord/replica.Node is one. Its methods may be called by several
-// goroutines at once, and must not call the Runner.
+// Source says whether this node is the leader; coord/replica.Node is one. Its methods may be called by
+// several goroutines at once, and must not call the Runner.
 type Source interface {
 	// LeaderLease returns the epoch of this node's leadership and the moment until which no other node can be
 	// leader; ok is false if this node isn't the leader. It must not block: Term.Valid calls it before each
@@ -17,7 +17,8 @@
 	HandOver(ctx context.Context) error
 }
 
-// Role is what one node at a time does. It returns soon after ctx is cancelled; until then no new term starts here.
+// Role is what one node at a time does. It returns soon after ctx is cancelled; until then no new term starts
+// here.
 type Role func(ctx context.Context, term *Term)
 
 // Term is one uninterrupted leadership of this node.
@@ -26,10 +27,10 @@
 	epoch  uint64
 }
 
-// Epoch returns the term's epoch, which is higher than that of any term before it, on any node. It serves as a
-// fencing token against acts of earlier terms.
+// Epoch returns the term's epoch, which is higher than that of any term before it, on any node. It serves as
+// a fencing token against acts of earlier terms.
 func (t *Term) Epoch() uint64 { return t.epoch }
 
-// Valid reports whether this node is still the leader in this term. Ask it right before each act. It may be called
-// by several goroutines at once.
+// Valid reports whether this node is still the leader in this term. Ask it right before each act. It may be
+// called by several goroutines at once.
 func (t *Term) Valid() bool { return t.runner.valid(t.epoch) }
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -9,8 +9,8 @@
 
 // Options configures a Runner.
 type Options struct {
-	// Interval is the time between looks at the source. A shorter one starts and stops the role sooner after the
-	// leadership has moved; Term.Valid doesn't depend on it. Zero means 100 ms.
+	// Interval is the time between looks at the source. A shorter one starts and stops the role sooner after
+	// the leadership has moved; Term.Valid doesn't depend on it. Zero means 100 ms.
 	Interval time.Duration
 	// Margin is how much before the end of its lease a term is over. It must cover the time between a look at
 	// Term.Valid and the act that follows. Zero means 50 ms.
@@ -89,7 +89,8 @@
 	}
 }
 
-// observe asks the source, and starts or cancels the role. A role starts only once the one before has returned.
+// observe asks the source, and starts or cancels the role. A role starts only once the one before has
+// returned.
 func (r *Runner) observe() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -127,7 +128,8 @@
 	}()
 }
 
-// valid is Term.Valid. It asks the source itself: a lease that was renewed since the last poll counts at once.
+// valid is Term.Valid. It asks the source itself: a lease that was renewed since the last poll counts at
+// once.
 func (r *Runner) valid(epoch uint64) bool {
 	lease := r.leaderLease()
 	r.mutex.Lock()
@@ -140,9 +142,9 @@
 	return r.election.Valid(r.now(), epoch)
 }
 
-// Resign stops the role, waits for it to return, and hands the leadership over. The role doesn't start here again
-// until Campaign. The error is that of ctx if it ends before the role has returned, in which case nothing is handed
-// over, or the source's.
+// Resign stops the role, waits for it to return, and hands the leadership over. The role doesn't start here
+// again until Campaign. The error is that of ctx if it ends before the role has returned, in which case
+// nothing is handed over, or the source's.
 func (r *Runner) Resign(ctx context.Context) error {
 	select {
 	case <-r.stopRole():
--- a/coord/lease/granter.go
+++ b/coord/lease/granter.go
@@ -17,7 +17,8 @@
 	ErrDurationOutOfRange = errors.New("lease: duration out of range")
 )
 
-// Grant is a holder's right to a resource. The holder counts Duration from the moment at which it sent its request.
+// Grant is a holder's right to a resource. The holder counts Duration from the moment at which it sent its
+// request.
 type Grant struct {
 	Resource string
 	Holder   string
@@ -29,12 +30,12 @@
 type GranterOptions struct {
 	// Epoch must be higher than that of any granter before. It must fit into 32 bits.
 	Epoch uint64
-	// MaxDuration is the longest duration that any granter of the system grants, now or before. A longer one lets
-	// holders renew less often; a resource stays unavailable for as long after its holder failed, and so does the
-	// granter after a failover.
+	// MaxDuration is the longest duration that any granter of the system grants, now or before. A longer one
+	// lets holders renew less often; a resource stays unavailable for as long after its holder failed, and so
+	// does the granter after a failover.
 	MaxDuration time.Duration
-	// DriftAllowance is added to a lease's duration before the resource may go to another holder. It must be at
-	// least the amount by which the clocks of granter and holder can drift apart within MaxDuration.
+	// DriftAllowance is added to a lease's duration before the resource may go to another holder. It must be
+	// at least the amount by which the clocks of granter and holder can drift apart within MaxDuration.
 	DriftAllowance time.Duration
 }
 
@@ -52,8 +53,8 @@
 	leases    map[string]record
 }
 
-// NewGranter returns a granter that takes over from an earlier one. It rejects requests with ErrGracePeriod until
-// all leases of earlier granters must have ended.
+// NewGranter returns a granter that takes over from an earlier one. It rejects requests with ErrGracePeriod
+// until all leases of earlier granters must have ended.
 func NewGranter(now time.Duration, options GranterOptions) *Granter {
 	return &Granter{
 		options:   options,
@@ -62,14 +63,14 @@
 	}
 }
 
-// NewFirstGranter returns the first granter of a system, which needs no grace period. It is unsafe if any lease was
-// granted before.
+// NewFirstGranter returns the first granter of a system, which needs no grace period. It is unsafe if any
+// lease was granted before.
 func NewFirstGranter(options GranterOptions) *Granter {
 	return &Granter{options: options, leases: make(map[string]record)}
 }
 
-// Acquire grants a resource under a new token. The current holder may acquire it again, which ends the use of its
-// earlier token. The errors are ErrDurationOutOfRange, ErrGracePeriod and ErrHeld.
+// Acquire grants a resource under a new token. The current holder may acquire it again, which ends the use of
+// its earlier token. The errors are ErrDurationOutOfRange, ErrGracePeriod and ErrHeld.
 func (g *Granter) Acquire(now time.Duration, resource, holder string, duration time.Duration) (Grant, error) {
 	if duration <= 0 || duration > g.options.MaxDuration {
 		return Grant{}, ErrDurationOutOfRange
@@ -105,8 +106,8 @@
 	return grant, nil
 }
 
-// extend records a lease. A shorter one doesn't shorten an earlier one of the same holder, whose answer the holder
-// may act on.
+// extend records a lease. A shorter one doesn't shorten an earlier one of the same holder, whose answer the
+// holder may act on.
 func (g *Granter) extend(now time.Duration, grant Grant) {
 	expires := now + grant.Duration + g.options.DriftAllowance
 	if held, ok := g.leases[grant.Resource]; ok && held.grant.Holder == grant.Holder {
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -11,13 +11,13 @@
 	relinquished Token // highest token given back: a late answer doesn't bring it back
 }
 
-// NewHolder returns a holder without a lease. It treats a lease as ended a margin before its end, which leaves time
-// for an act that has begun; zero is safe where the resource has a Fence.
+// NewHolder returns a holder without a lease. It treats a lease as ended a margin before its end, which
+// leaves time for an act that has begun; zero is safe where the resource has a Fence.
 func NewHolder(margin time.Duration) *Holder { return &Holder{margin: margin} }
 
-// OnGrant takes in the granter's answer to Acquire or Renew. requestedAt is the moment at which the request was
-// sent: the duration counts from there, however long the answer took. An answer that is older than what is known is
-// ignored, and none shortens the lease under its token.
+// OnGrant takes in the granter's answer to Acquire or Renew. requestedAt is the moment at which the request
+// was sent: the duration counts from there, however long the answer took. An answer that is older than what
+// is known is ignored, and none shortens the lease under its token.
 func (h *Holder) OnGrant(requestedAt time.Duration, grant Grant) {
 	expires := requestedAt + grant.Duration - h.margin
 	if grant.Token <= h.relinquished || h.held && grant.Token < h.grant.Token {
@@ -39,8 +39,8 @@
 // Expiry returns when the right ends by this holder's clock, or ended, and false if there is no lease.
 func (h *Holder) Expiry() (time.Duration, bool) { return h.expires, h.held }
 
-// Relinquish stops the use of the lease and returns its grant, to be passed to Granter.Release; false if there is
-// none.
+// Relinquish stops the use of the lease and returns its grant, to be passed to Granter.Release; false if
+// there is none.
 func (h *Holder) Relinquish() (Grant, bool) {
 	if !h.held {
 		return Grant{}, false
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -81,8 +81,9 @@
 	})
 }
 
-// leaseSimulation has holders that request leases of one resource, with delays both ways, granters that follow each
-// other, and clocks that differ by a constant. At most one holder may have a valid lease at any time.
+// leaseSimulation has holders that request leases of one resource, with delays both ways, granters that
+// follow each other, and clocks that differ by a constant. At most one holder may have a valid lease at any
+// time.
 type leaseSimulation struct {
 	now     time.Duration
 	granter *Granter
--- a/coord/membership/antientropy.go
+++ b/coord/membership/antientropy.go
@@ -8,7 +8,8 @@
 	// heavyBacklog is the number of pending updates from which on dissemination takes several rounds, so that
 	// tables are exchanged although updates are pending.
 	heavyBacklog = 2 * maxPiggyback
-	// mismatchesBeforeSync is the number of mismatches during a heavy backlog after which tables are exchanged.
+	// mismatchesBeforeSync is the number of mismatches during a heavy backlog after which tables are
+	// exchanged.
 	mismatchesBeforeSync = 4
 	// maxMismatches bounds the machines whose last mismatch is remembered.
 	maxMismatches = 16
@@ -19,9 +20,9 @@
 
 // compareDigests compares the digest of another machine's table with this one's, and requests what differs.
 //
-// Digests differ all the time while updates are on their way. So it acts only if nothing is pending here and the same
-// two digests differ for the second time; or, as there may always be something pending in a system with many
-// changes, now and then during a heavy backlog.
+// Digests differ all the time while updates are on their way. So it acts only if nothing is pending here and
+// the same two digests differ for the second time; or, as there may always be something pending in a system
+// with many changes, now and then during a heavy backlog.
 func (n *Node) compareDigests(address string, message Message) {
 	seen := digestMismatch{own: n.table.digest(), other: message.Digest}
 	if seen.own == seen.other {
@@ -50,8 +51,8 @@
 	n.mismatches[name] = seen
 }
 
-// sendTable answers a Join with the whole table, and a SyncRequest with the buckets that differ. The last part of
-// the latter carries this table's digests, so that the other side returns what it has.
+// sendTable answers a Join with the whole table, and a SyncRequest with the buckets that differ. The last
+// part of the latter carries this table's digests, so that the other side returns what it has.
 func (n *Node) sendTable(address string, message Message) {
 	updates := n.table.differingFrom(message.Digests)
 	parts := slices.Collect(slices.Chunk(updates, maxSyncUpdates))
@@ -64,8 +65,8 @@
 	}
 }
 
-// onSync answers the last part of another machine's table with the buckets that still differ, now that its updates
-// are merged.
+// onSync answers the last part of another machine's table with the buckets that still differ, now that its
+// updates are merged.
 func (n *Node) onSync(address string, message Message) {
 	n.hasSynced = true
 	if len(message.Digests) != digestBuckets {
--- a/coord/membership/broadcast.go
+++ b/coord/membership/broadcast.go
@@ -2,12 +2,12 @@
 
 import "math/bits"
 
-// maxPiggyback bounds the updates in one message. More of them spread a burst of changes in fewer rounds, in larger
-// messages.
+// maxPiggyback bounds the updates in one message. More of them spread a burst of changes in fewer rounds, in
+// larger messages.
 const maxPiggyback = 24
 
-// broadcastQueue holds the updates that are still to be spread, at most one of each machine. Those that weren't
-// sent yet go first, as in SWIM, and then the others by turns.
+// broadcastQueue holds the updates that are still to be spread, at most one of each machine. Those that
+// weren't sent yet go first, as in SWIM, and then the others by turns.
 type broadcastQueue struct {
 	unsent   []*rumor          // not sent yet, the oldest first
 	sent     []*rumor          // sent, the one whose last transmission is longest ago first
@@ -41,13 +41,14 @@
 }
 
 // maxTransmissions returns how often an update is sent in a system of some size. An update that each machine
-// sends on a number of times proportional to the logarithm of the size reaches all with high probability (SWIM).
+// sends on a number of times proportional to the logarithm of the size reaches all with high probability
+// (SWIM).
 func maxTransmissions(machines int) int {
 	return 2 + 2*bits.Len(uint(machines))
 }
 
-// take returns the updates for one message and counts a transmission of each. An update that reaches the limit for
-// the number of machines leaves the queue.
+// take returns the updates for one message and counts a transmission of each. An update that reaches the
+// limit for the number of machines leaves the queue.
 func (q *broadcastQueue) take(machines int) []Update {
 	if len(q.byMember) == 0 {
 		return nil
--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -10,7 +10,8 @@
 const (
 	// magic begins every datagram. Its last byte is the version of the format.
 	magic = "SPM\x01"
-	// maxDatagramSize bounds a datagram in bytes, so that it fits into an Ethernet frame and isn't fragmented.
+	// maxDatagramSize bounds a datagram in bytes, so that it fits into an Ethernet frame and isn't
+	// fragmented.
 	maxDatagramSize = 1400
 	// headerSize is the size in bytes of magic and system tag.
 	headerSize = len(magic) + 8
@@ -23,7 +24,8 @@
 // errMalformed says that a datagram isn't a message of this system.
 var errMalformed = errors.New("datagram: malformed")
 
-// encode returns the datagrams of a message, usually one. Those after the first carry only the rest of its updates.
+// encode returns the datagrams of a message, usually one. Those after the first carry only the rest of its
+// updates.
 func encode(tag uint64, message membership.Message) [][]byte {
 	var datagrams [][]byte
 	rest := message.Updates
@@ -51,9 +53,9 @@
 	}
 }
 
-// continuation returns the message that carries the rest of another one's updates. A Heartbeat has no other effect
-// than its updates and shows the sender to be alive; of a Sync it must stay known that its updates come from
-// a whole table.
+// continuation returns the message that carries the rest of another one's updates. A Heartbeat has no other
+// effect than its updates and shows the sender to be alive; of a Sync it must stay known that its updates
+// come from a whole table.
 func continuation(message membership.Message) membership.Message {
 	kind := membership.Heartbeat
 	if message.Kind == membership.Sync {
@@ -127,14 +129,15 @@
 	return message, nil
 }
 
-// reader reads the fields of a datagram in order. After a failure it returns values of no meaning, so that failed
-// is checked once at the end.
+// reader reads the fields of a datagram in order. After a failure it returns values of no meaning, so that
+// failed is checked once at the end.
 type reader struct {
 	data   []byte
 	failed bool
 }
 
-// next returns the next bytes. After a failure it returns at least as many zeros as a field of fixed size has.
+// next returns the next bytes. After a failure it returns at least as many zeros as a field of fixed size
+// has.
 func (r *reader) next(count int) []byte {
 	if r.failed || count > len(r.data) {
 		r.failed = true
--- a/coord/membership/datagram/members.go
+++ b/coord/membership/datagram/members.go
@@ -2,7 +2,8 @@
 
 import "sprucelane.example/sprucelane/coord/membership"
 
-// Members is an immutable snapshot of the machines that are present. It may be used by several goroutines at once.
+// Members is an immutable snapshot of the machines that are present. It may be used by several goroutines at
+// once.
 type Members struct {
 	list   []membership.Update
 	byName map[string]membership.Update
@@ -17,7 +18,8 @@
 	return &Members{list: list, byName: byName}
 }
 
-// List returns all machines that are alive or suspected, in the order of their names. The caller must not change it.
+// List returns all machines that are alive or suspected, in the order of their names. The caller must not
+// change it.
 func (m *Members) List() []membership.Update {
 	return m.list
 }
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -15,10 +15,11 @@
 )
 
 const (
-	// receiveBufferSize is the size in bytes of the largest datagram that is received. Longer ones are truncated by
-	// the system, and then dropped as malformed.
+	// receiveBufferSize is the size in bytes of the largest datagram that is received. Longer ones are
+	// truncated by the system, and then dropped as malformed.
 	receiveBufferSize = 4096
-	// readErrorBackoff is how long a runner waits after a failed read, so that a lasting error doesn't use up a core.
+	// readErrorBackoff is how long a runner waits after a failed read, so that a lasting error doesn't use up
+	// a core.
 	readErrorBackoff = 50 * time.Millisecond
 )
 
@@ -30,8 +31,9 @@
 	Config membership.Config
 	// Listen is the ip:port of the socket, if it isn't Config.Self.Address, as behind address translation.
 	Listen string
-	// OnChange receives changes in order, after Members reflects them. It must return soon, as it holds up the
-	// protocol, and must not call the Runner except for Members. If nil, changes are only reflected by Members.
+	// OnChange receives changes in order, after Members reflects them. It must return soon, as it holds up
+	// the protocol, and must not call the Runner except for Members. If nil, changes are only reflected by
+	// Members.
 	OnChange func([]membership.Change)
 	// Log receives errors: the event (read_failed, datagram_dropped, address_invalid or datagram_not_sent),
 	// the error, and the other side's address. It must return soon. If nil, nothing is logged.
@@ -93,8 +95,8 @@
 	return r.members.Load()
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others must have declared it
-// dead, or be partitioned from it.
+// Isolated reports whether this machine has received nothing for so long that the others must have declared
+// it dead, or be partitioned from it.
 func (r *Runner) Isolated() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -108,7 +110,8 @@
 	r.node.SetSeeds(seeds)
 }
 
-// Leave tells the others that this machine ends as planned, so that they don't suspect it, and closes the runner.
+// Leave tells the others that this machine ends as planned, so that they don't suspect it, and closes the
+// runner.
 func (r *Runner) Leave() {
 	r.mutex.Lock()
 	if !r.closed {
--- a/coord/membership/detect.go
+++ b/coord/membership/detect.go
@@ -16,7 +16,8 @@
 	replied     bool      // another machine has replied
 }
 
-// checkPredecessors checks the machines that this one is a monitor of. The watch of a new predecessor begins now.
+// checkPredecessors checks the machines that this one is a monitor of. The watch of a new predecessor begins
+// now.
 func (n *Node) checkPredecessors(now time.Time) {
 	predecessors := n.peers().predecessors
 	watches := make(map[string]*watch, len(predecessors))
@@ -33,8 +34,8 @@
 	}
 }
 
-// checkPredecessor asks others about a predecessor whose heartbeats have timed out, and suspects it once that is
-// confirmed.
+// checkPredecessor asks others about a predecessor whose heartbeats have timed out, and suspects it once that
+// is confirmed.
 //
 // An inquiry repeats its messages in each round, as any of them may be lost, and begins anew after
 // UnconfirmedTimeout if it has led to nothing. Confirmation by a second machine keeps one faulty link, or one
@@ -72,7 +73,8 @@
 }
 
 // inquire probes a machine directly, and indirectly through its other monitors and as many machines chosen at
-// random: the monitors know most of it, and the others may have a link to it where the monitors' are partitioned.
+// random: the monitors know most of it, and the others may have a link to it where the monitors' are
+// partitioned.
 func (n *Node) inquire(name string) {
 	n.sequence++
 	n.send(name, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest(), Updates: n.piggyback()})
@@ -89,8 +91,8 @@
 	}
 }
 
-// maySuspectUnconfirmed reports whether this machine can rule out that it is itself the one that receives nothing: it
-// has had contact with somebody lately, or there is nobody else to have contact with.
+// maySuspectUnconfirmed reports whether this machine can rule out that it is itself the one that receives
+// nothing: it has had contact with somebody lately, or there is nobody else to have contact with.
 func (n *Node) maySuspectUnconfirmed(name string, now time.Time) bool {
 	if now.Sub(n.lastContact) <= n.config.HeartbeatTimeout {
 		return true
@@ -112,7 +114,8 @@
 	n.send(name, Message{Kind: Heartbeat, Updates: []Update{known}})
 }
 
-// declareDead declares the suspects dead that haven't refuted in time. Every machine does so by its own clock.
+// declareDead declares the suspects dead that haven't refuted in time. Every machine does so by its own
+// clock.
 func (n *Node) declareDead(now time.Time) {
 	for _, name := range n.table.suspectNames() {
 		suspect := n.table.entries[name]
@@ -133,8 +136,8 @@
 	n.answerIndirectProbes(name, now)
 }
 
-// recordRefutation notes that a machine has raised its incarnation. It was alive a short while ago, though not as
-// observed by this machine: the watch begins anew.
+// recordRefutation notes that a machine has raised its incarnation. It was alive a short while ago, though
+// not as observed by this machine: the watch begins anew.
 func (n *Node) recordRefutation(name string, now time.Time) {
 	if watched, ok := n.watches[name]; ok {
 		*watched = watch{lastContact: now}
--- a/coord/membership/indirectprobe.go
+++ b/coord/membership/indirectprobe.go
@@ -16,8 +16,8 @@
 	expires           time.Time
 }
 
-// onIndirectProbe replies when this machine had contact with the target last. Unless that was lately, or if it
-// doesn't watch the target, it also probes it, and replies once more when the target answers.
+// onIndirectProbe replies when this machine had contact with the target last. Unless that was lately, or if
+// it doesn't watch the target, it also probes it, and replies once more when the target answers.
 //
 // A watch that began lately without any contact proves nothing either way, and gets no reply of its own.
 func (n *Node) onIndirectProbe(now time.Time, address string, message Message) {
--- a/coord/membership/join.go
+++ b/coord/membership/join.go
@@ -3,10 +3,11 @@
 import "slices"
 
 const (
-	// eagerJoinRounds is the number of rounds in which a machine that has received no table asks a seed each time.
+	// eagerJoinRounds is the number of rounds in which a machine that has received no table asks a seed each
+	// time.
 	eagerJoinRounds = 100
-	// reconnectRounds is the number of rounds between attempts to reach a dead machine or an absent seed, and between
-	// attempts to join after the eager ones.
+	// reconnectRounds is the number of rounds between attempts to reach a dead machine or an absent seed, and
+	// between attempts to join after the eager ones.
 	reconnectRounds = 10
 )
 
@@ -30,8 +31,8 @@
 	return seeds[n.random.IntN(len(seeds))]
 }
 
-// reconnect contacts a machine that is known as dead, or a seed whose address no machine on the ring has. If it
-// answers, a partition is over, and the two sides merge. Machines that left aren't contacted.
+// reconnect contacts a machine that is known as dead, or a seed whose address no machine on the ring has. If
+// it answers, a partition is over, and the two sides merge. Machines that left aren't contacted.
 func (n *Node) reconnect() {
 	present := make(map[string]bool)
 	for _, name := range n.table.ring().Names() {
--- a/coord/membership/localhealth.go
+++ b/coord/membership/localhealth.go
@@ -6,8 +6,8 @@
 // maxHealthScore times their configured length (Lifeguard's saturation limit S).
 const maxHealthScore = 6
 
-// localHealth counts the signs that this machine is unhealthy itself. It is Lifeguard's local health multiplier: a
-// machine that processes messages late would otherwise suspect others for its own delay.
+// localHealth counts the signs that this machine is unhealthy itself. It is Lifeguard's local health
+// multiplier: a machine that processes messages late would otherwise suspect others for its own delay.
 type localHealth struct {
 	score     int          // 0 to maxHealthScore
 	probes    [4]sentProbe // the last ones, as a ring buffer
@@ -36,9 +36,9 @@
 	h.nextProbe++
 }
 
-// recordReply notes the reply to a probe, and ignores other replies. One that comes later than limit is a sign that
-// this machine, or the other, is slow. A probe without a reply isn't one, other than in Lifeguard: the other
-// machine may have failed.
+// recordReply notes the reply to a probe, and ignores other replies. One that comes later than limit is a
+// sign that this machine, or the other, is slow. A probe without a reply isn't one, other than in Lifeguard:
+// the other machine may have failed.
 func (h *localHealth) recordReply(sequence uint64, now time.Time, limit time.Duration) {
 	for _, probe := range h.probes {
 		if probe.sequence != sequence || sequence == 0 {
@@ -58,9 +58,10 @@
 	return timeout * time.Duration(1+n.health.score)
 }
 
-// detectPause finds out at a tick whether it runs so late that this machine must have been paused. Heartbeats and
-// refutations of that time are still unread, so that all time-outs start anew or are moved on by the pause;
-// otherwise a machine that resumes would suspect all that it watches, and declare dead whom it suspected.
+// detectPause finds out at a tick whether it runs so late that this machine must have been paused. Heartbeats
+// and refutations of that time are still unread, so that all time-outs start anew or are moved on by the
+// pause; otherwise a machine that resumes would suspect all that it watches, and declare dead whom it
+// suspected.
 func (n *Node) detectPause(now time.Time) {
 	late := now.Sub(n.nextTick)
 	if late <= n.config.Interval {
--- a/coord/membership/member.go
+++ b/coord/membership/member.go
@@ -5,7 +5,8 @@
 // State is what is known of a machine.
 type State uint8
 
-// States, in the order in which they supersede each other within an incarnation. The numbers are sent in messages.
+// States, in the order in which they supersede each other within an incarnation. The numbers are sent in
+// messages.
 const (
 	Alive   State = iota + 1
 	Suspect       // timed out at its monitors, and may still refute that
@@ -52,8 +53,9 @@
 	State       State
 }
 
-// supersedes reports whether an update replaces what is known: it has a higher incarnation, or within the same one a
-// later state. This is SWIM's order of Alive, Suspect and Confirm messages. It is total, so that all tables converge.
+// supersedes reports whether an update replaces what is known: it has a higher incarnation, or within the
+// same one a later state. This is SWIM's order of Alive, Suspect and Confirm messages. It is total, so that
+// all tables converge.
 func (u Update) supersedes(incarnation uint64, state State) bool {
 	if u.Incarnation != incarnation {
 		return u.Incarnation > incarnation
@@ -61,7 +63,8 @@
 	return u.State > state
 }
 
-// Change is a change of a machine's state as this node learns of it. Old is 0 for a machine that wasn't known.
+// Change is a change of a machine's state as this node learns of it. Old is 0 for a machine that wasn't
+// known.
 type Change struct {
 	Update
 	Old State
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -236,8 +236,8 @@
 	return count
 }
 
-// TestRandomFaults stops, starts, pauses, slows and partitions machines at random. Once all faults are over, all
-// tables agree.
+// TestRandomFaults stops, starts, pauses, slows and partitions machines at random. Once all faults are over,
+// all tables agree.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(seeds(t, 40)) {
 		c := newCluster(t, seed+100, 12)
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -81,14 +81,14 @@
 	return members
 }
 
-// HealthScore returns the number of signs that this machine is unhealthy itself: 0 for a healthy one. Its timeouts
-// are 1 + HealthScore times as long as configured.
+// HealthScore returns the number of signs that this machine is unhealthy itself: 0 for a healthy one. Its
+// timeouts are 1 + HealthScore times as long as configured.
 func (n *Node) HealthScore() int {
 	return n.health.score
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others must have declared it
-// dead, or be partitioned from it. A machine that knows no other one is not isolated.
+// Isolated reports whether this machine has received nothing for so long that the others must have declared
+// it dead, or be partitioned from it. A machine that knows no other one is not isolated.
 func (n *Node) Isolated(now time.Time) bool {
 	limit := n.config.HeartbeatTimeout + n.config.ConfirmationTimeout + n.config.SuspicionTimeout
 	return len(n.table.entries)-len(n.table.departed) > 1 && now.Sub(n.lastContact) > limit
@@ -99,9 +99,9 @@
 	n.config.Seeds = slices.Clone(seeds)
 }
 
-// Tick runs one protocol period: it sends heartbeats and a probe, checks the machines that this one watches, and
-// declares suspects dead whose time is over. Call it at the time that Next returns; later calls count against this
-// machine's health.
+// Tick runs one protocol period: it sends heartbeats and a probe, checks the machines that this one watches,
+// and declares suspects dead whose time is over. Call it at the time that Next returns; later calls count
+// against this machine's health.
 func (n *Node) Tick(now time.Time) Output {
 	if n.left {
 		n.nextTick = now.Add(n.config.Interval)
@@ -150,8 +150,8 @@
 	return n.takeOutput()
 }
 
-// Leave tells the monitors and links that this machine ends as planned, so that it is never suspected. Nothing is
-// sent or received afterwards.
+// Leave tells the monitors and links that this machine ends as planned, so that it is never suspected.
+// Nothing is sent or received afterwards.
 func (n *Node) Leave(now time.Time) Output {
 	if n.left {
 		return Output{}
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -3,8 +3,8 @@
 import "time"
 
 // probeLink probes one link by turns, or a monitor in a system too small for links. The probe measures this
-// machine's health, carries updates and compares digests; a missing reply has no consequence, as the link's own
-// monitors watch it.
+// machine's health, carries updates and compares digests; a missing reply has no consequence, as the link's
+// own monitors watch it.
 func (n *Node) probeLink(now time.Time) {
 	links := n.peers().links
 	if len(links) == 0 {
--- a/coord/membership/race_test.go
+++ b/coord/membership/race_test.go
@@ -2,5 +2,6 @@
 
 package membership
 
-// largest is the largest number of machines that tests run with: the race detector makes them ten times slower.
+// largest is the largest number of machines that tests run with: the race detector makes them ten times
+// slower.
 const largest = 100
--- a/coord/membership/table.go
+++ b/coord/membership/table.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/coord/ring"
 )
 
-// digestBuckets is the number of parts of a table, by the hashes of names, that have a digest each. Two tables that
-// differ in few machines exchange few buckets.
+// digestBuckets is the number of parts of a table, by the hashes of names, that have a digest each. Two
+// tables that differ in few machines exchange few buckets.
 const digestBuckets = 16
 
 // entry is what is known of one machine.
@@ -22,7 +22,8 @@
 	digest uint64    // its part of the bucket's digest, 0 if the machine isn't present
 }
 
-// table holds all machines that are known, this one included. Its sets, digests and ring always agree with entries.
+// table holds all machines that are known, this one included. Its sets, digests and ring always agree with
+// entries.
 type table struct {
 	entries    map[string]*entry // by name
 	digests    [digestBuckets]uint64
@@ -40,8 +41,8 @@
 	}
 }
 
-// merge takes in an update that supersedes what is known. It returns the state before, 0 for an unknown machine,
-// and whether the update was merged.
+// merge takes in an update that supersedes what is known. It returns the state before, 0 for an unknown
+// machine, and whether the update was merged.
 func (t *table) merge(update Update, now time.Time) (State, bool) {
 	name := update.Member.Name
 	known, ok := t.entries[name]
@@ -81,8 +82,8 @@
 	}
 }
 
-// ring returns the ring of the machines that are alive. Suspects have no position on it, so that their tasks as
-// monitors pass to others at once.
+// ring returns the ring of the machines that are alive. Suspects have no position on it, so that their tasks
+// as monitors pass to others at once.
 func (t *table) ring() *ring.Ring {
 	if t.cachedRing != nil {
 		return t.cachedRing
@@ -135,9 +136,9 @@
 	return names
 }
 
-// differingFrom returns the entries in the buckets whose digests differ from those of another table, or all entries
-// if there are no such digests, in order. Departed machines are included, as the other table may still have them as
-// present.
+// differingFrom returns the entries in the buckets whose digests differ from those of another table, or all
+// entries if there are no such digests, in order. Departed machines are included, as the other table may
+// still have them as present.
 func (t *table) differingFrom(others []uint64) []Update {
 	var updates []Update
 	for _, known := range t.entries {
@@ -155,8 +156,8 @@
 	return strings.Compare(one.Member.Name, other.Member.Name)
 }
 
-// memberDigest returns a present machine's part of a digest. Digests are combined by exclusive or, so that the
-// order of updates doesn't matter; states don't count, so that a suspicion on its way isn't a mismatch.
+// memberDigest returns a present machine's part of a digest. Digests are combined by exclusive or, so that
+// the order of updates doesn't matter; states don't count, so that a suspicion on its way isn't a mismatch.
 func memberDigest(name string, incarnation uint64) uint64 {
 	return xxhash.Sum64String(name) * (2*incarnation + 1)
 }
--- a/coord/membership/update.go
+++ b/coord/membership/update.go
@@ -34,10 +34,10 @@
 	}
 }
 
-// refute answers an update of this machine itself that isn't true by a higher incarnation, which supersedes it
-// everywhere. This is SWIM's refutation; as only this machine raises its incarnation, nobody else can undo it. An
-// update with a higher incarnation than its own is left over from an earlier start of this machine, and must be
-// surpassed as well.
+// refute answers an update of this machine itself that isn't true by a higher incarnation, which supersedes
+// it everywhere. This is SWIM's refutation; as only this machine raises its incarnation, nobody else can undo
+// it. An update with a higher incarnation than its own is left over from an earlier start of this machine,
+// and must be surpassed as well.
 func (n *Node) refute(update Update, now time.Time) {
 	isOwn := update.Incarnation == n.incarnation && update.State == Alive
 	if update.Incarnation < n.incarnation || isOwn {
@@ -50,8 +50,9 @@
 	n.announce(now)
 }
 
-// requestRefutation sends a machine that isn't known as Alive here, but sends messages, what is known of it, so
-// that it refutes that. Replies and Sync aren't answered, so that two machines never answer each other without end.
+// requestRefutation sends a machine that isn't known as Alive here, but sends messages, what is known of it,
+// so that it refutes that. Replies and Sync aren't answered, so that two machines never answer each other
+// without end.
 func (n *Node) requestRefutation(address string, message Message) {
 	known, ok := n.table.get(message.From)
 	if !ok || known.State == Alive || message.Incarnation > known.Incarnation {
--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -10,12 +10,12 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Propose has a command applied, from any node, and returns its result. A nil error means that the command is on the
-// synced disks of the whole chain, more than Options.Tolerance of them.
+// Propose has a command applied, from any node, and returns its result. A nil error means that the command is
+// on the synced disks of the whole chain, more than Options.Tolerance of them.
 //
 // The same ID proposed again returns the first outcome, as long as it is among those of the latest
-// chain.DeduplicationWindow commands; a command that got ErrUncertain may be proposed again with its ID through any
-// node. An empty ID is replaced by a unique one.
+// chain.DeduplicationWindow commands; a command that got ErrUncertain may be proposed again with its ID
+// through any node. An empty ID is replaced by a unique one.
 //
 // ErrUnavailable concerns this call alone: an earlier call with the same ID may have been taken.
 func (n *Node) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
@@ -48,8 +48,8 @@
 // withdrawTimeout bounds the wait for the loop once a caller's context has ended.
 const withdrawTimeout = 20 * time.Millisecond
 
-// withdraw ends the wait for a command. Only the loop knows whether the command left the node; if the disk holds up
-// the loop, the outcome counts as uncertain.
+// withdraw ends the wait for a command. Only the loop knows whether the command left the node; if the disk
+// holds up the loop, the outcome counts as uncertain.
 func (n *Node) withdraw(id string, waiter *outcomeWaiter, cause error) ([]byte, error) {
 	limited, cancel := context.WithTimeout(context.Background(), withdrawTimeout)
 	defer cancel()
@@ -72,9 +72,9 @@
 	return nil, fmt.Errorf("%w: %w", ErrUnavailable, cause)
 }
 
-// Read is a linearizable read barrier: it returns once the local state machine has applied every command acknowledged
-// before the call, with the index applied by then. The caller then reads its own state machine. All errors wrap
-// ErrUnavailable.
+// Read is a linearizable read barrier: it returns once the local state machine has applied every command
+// acknowledged before the call, with the index applied by then. The caller then reads its own state machine.
+// All errors wrap ErrUnavailable.
 func (n *Node) Read(ctx context.Context) (index uint64, err error) {
 	if n.status.Load().diskUnhealthy {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, errDiskUnhealthy)
@@ -98,9 +98,9 @@
 	}
 }
 
-// Staleness returns a bound on how stale the local state is: every command acknowledged longer ago than age is
-// applied here. It asks nobody; the age grows with the steady clock until the next proof arrives. ok is false before
-// the first one.
+// Staleness returns a bound on how stale the local state is: every command acknowledged longer ago than age
+// is applied here. It asks nobody; the age grows with the steady clock until the next proof arrives. ok is
+// false before the first one.
 func (n *Node) Staleness() (age time.Duration, ok bool) {
 	current := n.status.Load()
 	if !current.stalenessKnown {
@@ -122,13 +122,14 @@
 // Applied returns the index of the last command applied here.
 func (n *Node) Applied() uint64 { return n.status.Load().applied }
 
-// IsHead reports whether the node is the head of the newest view that it knows. Another one may have replaced it.
+// IsHead reports whether the node is the head of the newest view that it knows. Another one may have replaced
+// it.
 func (n *Node) IsHead() bool { return n.View().Head().Same(n.core.self) }
 
-// LeaderLease returns the leader lease, if this node holds it: the epoch, which serves as a fencing token, and the
-// moment until which no other node has the lease. Singleton roles depend on it (see coord/leader); their holder
-// compares the moment with the clock right before each act. A new head gets the lease only once that of the one
-// before has expired.
+// LeaderLease returns the leader lease, if this node holds it: the epoch, which serves as a fencing token,
+// and the moment until which no other node has the lease. Singleton roles depend on it (see coord/leader);
+// their holder compares the moment with the clock right before each act. A new head gets the lease only once
+// that of the one before has expired.
 func (n *Node) LeaderLease() (epoch uint64, until time.Time, ok bool) {
 	current := n.status.Load()
 	if !time.Now().Before(current.leaseExpiry) {
@@ -137,17 +138,17 @@
 	return current.leaseEpoch, current.leaseExpiry, true
 }
 
-// HeadLease returns the moment until which no successor of this node's epoch acts, if the node is its head. Unlike
-// LeaderLease, it doesn't wait until the lease of an earlier head has expired: it is for a holder that knows that no
-// other has acted since it did itself, in this incarnation or an earlier one of its disk.
+// HeadLease returns the moment until which no successor of this node's epoch acts, if the node is its head.
+// Unlike LeaderLease, it doesn't wait until the lease of an earlier head has expired: it is for a holder that
+// knows that no other has acted since it did itself, in this incarnation or an earlier one of its disk.
 func (n *Node) HeadLease() (until time.Time, ok bool) {
 	until = n.status.Load().headLeaseExpiry
 	return until, time.Now().Before(until)
 }
 
-// OnApply registers a function that is called after each command applied here, in order, on the goroutine of the
-// loop. It must be short and must not call Propose or Read. Commands that arrive within a snapshot aren't reported,
-// nor is a repetition of a command.
+// OnApply registers a function that is called after each command applied here, in order, on the goroutine of
+// the loop. It must be short and must not call Propose or Read. Commands that arrive within a snapshot aren't
+// reported, nor is a repetition of a command.
 func (n *Node) OnApply(call func(index uint64, command, result []byte)) {
 	n.callbackMu.Lock()
 	defer n.callbackMu.Unlock()
--- a/coord/replica/availability_test.go
+++ b/coord/replica/availability_test.go
@@ -8,15 +8,16 @@
 )
 
 const (
-	// maxUnavailability is the longest time from a loss to the next acknowledgement. A client proposes a command
-	// again after a second.
+	// maxUnavailability is the longest time from a loss to the next acknowledgement. A client proposes a
+	// command again after a second.
 	maxUnavailability = 2 * time.Second
 	// maxRepairTime is the longest time from the end of a loss until the whole chain has the prefix.
 	maxRepairTime = 2 * time.Second
 )
 
-// expectAvailable checks that, soon after a loss, each machine that reaches a majority gets commands acknowledged,
-// and that the chain is complete soon after the loss has ended. It checks nothing in runs with further disturbances.
+// expectAvailable checks that, soon after a loss, each machine that reaches a majority gets commands
+// acknowledged, and that the chain is complete soon after the loss has ended. It checks nothing in runs with
+// further disturbances.
 func (c *campaign) expectAvailable(down time.Duration) {
 	if c.duels || c.unordered || c.noClients {
 		return
@@ -49,8 +50,8 @@
 	})
 }
 
-// probe proposes a command through each machine that reaches a majority. It must be acknowledged in time after the
-// loss.
+// probe proposes a command through each machine that reaches a majority. It must be acknowledged in time
+// after the loss.
 func (c *campaign) probe(lostAt time.Duration) {
 	fault := c.faults
 	for _, n := range c.members() {
@@ -73,8 +74,8 @@
 	}
 }
 
-// reachesMajority reports whether a machine votes in the newest view and is healthy, and reaches, both ways, a
-// majority of healthy voters, itself included.
+// reachesMajority reports whether a machine votes in the newest view and is healthy, and reaches, both ways,
+// a majority of healthy voters, itself included.
 func (c *campaign) reachesMajority(n *simulatedNode) bool {
 	newest := c.newestView()
 	if newest == nil || !c.healthy(n) || !newest.core.view().IsVoter(n.core.self) {
--- a/coord/replica/campaign_test.go
+++ b/coord/replica/campaign_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// catchUpTime is the time after the end of a fault after which the next may follow, whether the chain is complete or
-// not.
+// catchUpTime is the time after the end of a fault after which the next may follow, whether the chain is
+// complete or not.
 const catchUpTime = 4800 * time.Millisecond
 
 const (
@@ -85,8 +85,8 @@
 	return c
 }
 
-// drawLimits draws how much logs and messages hold and how many outcomes are kept. With small limits the log is
-// compacted and snapshots are sent all the time.
+// drawLimits draws how much logs and messages hold and how many outcomes are kept. With small limits the log
+// is compacted and snapshots are sent all the time.
 func (c *campaign) drawLimits() {
 	c.limits.retainedLogBytes = pick(c.draws, 64, 1<<10, defaultRetainedLogBytes)
 	c.limits.batchBytes = pick(c.draws, 100, 1<<10, defaultBatchBytes)
@@ -146,8 +146,8 @@
 // maxAttempts is how often a client proposes one command before it gives up.
 const maxAttempts = 6
 
-// attempt proposes a command through a node that was attempted least often, and after a second without an answer
-// through another one.
+// attempt proposes a command through a node that was attempted least often, and after a second without an
+// answer through another one.
 func (c *campaign) attempt(id string, attempted []*simulatedNode, done func()) {
 	if c.now > c.end {
 		return
@@ -206,8 +206,8 @@
 	return nodes[c.random.IntN(len(nodes))]
 }
 
-// retryLater sometimes proposes an acknowledged command again, at once or hundreds of commands later: it must get the
-// same outcome or none.
+// retryLater sometimes proposes an acknowledged command again, at once or hundreds of commands later: it must
+// get the same outcome or none.
 func (c *campaign) retryLater(id string) {
 	if c.noRetries || c.random.IntN(16) != 0 {
 		return
@@ -227,8 +227,8 @@
 	}
 }
 
-// duel has several members propose views within milliseconds, with or without a reason, and sometimes kills one of
-// them meanwhile.
+// duel has several members propose views within milliseconds, with or without a reason, and sometimes kills
+// one of them meanwhile.
 func (c *campaign) duel() {
 	if c.now > c.end {
 		return
@@ -258,8 +258,8 @@
 	c.after(c.randomDuration(pause), c.duel)
 }
 
-// chainComplete reports whether the chain of the newest view has its full length and all its members run and have the
-// complete prefix.
+// chainComplete reports whether the chain of the newest view has its full length and all its members run and
+// have the complete prefix.
 func (c *campaign) chainComplete() bool {
 	newest := c.newestView()
 	if newest == nil || len(newest.core.view().Chain) < 2*c.tolerance+1 {
@@ -329,8 +329,8 @@
 	}
 }
 
-// checkCommands checks that all acknowledged commands were applied, each command once, and none whose callers were
-// all told that it never left its node.
+// checkCommands checks that all acknowledged commands were applied, each command once, and none whose callers
+// were all told that it never left its node.
 func (c *campaign) checkCommands(commands []string) {
 	positions := make(map[string]int)
 	for i, command := range commands {
--- a/coord/replica/checkpoint.go
+++ b/coord/replica/checkpoint.go
@@ -19,8 +19,9 @@
 	})
 }
 
-// compactLog drops applied commands from the log, down to about retainedLogBytes. It leaves the log alone while the
-// state machine is beyond its end: a member outside the chain applies commands as a learner that its own log lacks.
+// compactLog drops applied commands from the log, down to about retainedLogBytes. It leaves the log alone
+// while the state machine is beyond its end: a member outside the chain applies commands as a learner that
+// its own log lacks.
 func (c *core) compactLog() {
 	applied, _ := c.state.Applied()
 	base, _ := c.log.Base()
--- a/coord/replica/cluster_test.go
+++ b/coord/replica/cluster_test.go
@@ -14,8 +14,8 @@
 // link is one direction between two addresses.
 type link struct{ from, to string }
 
-// simulatedCluster is a set of machines with links and disks in virtual time. All that happens follows from the seed:
-// a change of the order of its draws makes another run of each seed.
+// simulatedCluster is a set of machines with links and disks in virtual time. All that happens follows from
+// the seed: a change of the order of its draws makes another run of each seed.
 type simulatedCluster struct {
 	random *rand.Rand
 	seed   uint64
@@ -35,7 +35,7 @@
 
 	unordered         bool                   // messages are reordered, repeated and lost
 	partitions        map[link]int           // how many faults partition a link
-	bufferPartitioned bool                   // messages sent meanwhile arrive afterwards, as from kernels' buffers
+	bufferPartitioned bool                   // messages sent meanwhile arrive later, as from TCP's buffers
 	buffered          map[link][]func()      // those messages
 	resets            map[link]int           // how often connections were reset
 	lastArrival       map[link]time.Duration // keeps the messages of a link in order
@@ -148,7 +148,8 @@
 	sim.now = moment
 }
 
-// runWhile executes events while the condition holds, and reports whether it stopped holding within the limit.
+// runWhile executes events while the condition holds, and reports whether it stopped holding within the
+// limit.
 func (sim *simulatedCluster) runWhile(limit time.Duration, waiting func() bool) bool {
 	end := sim.now + limit
 	for waiting() {
@@ -163,7 +164,8 @@
 	return true
 }
 
-// currentSeeds returns the seeds that a starting process is given: the founders at first, later any three machines.
+// currentSeeds returns the seeds that a starting process is given: the founders at first, later any three
+// machines.
 func (sim *simulatedCluster) currentSeeds(bootstrap bool) []string {
 	if bootstrap {
 		return sim.seeds
@@ -320,8 +322,8 @@
 	to.handle(func() { to.core.step(sim.now, sender, m.body) })
 }
 
-// buffer keeps a message that meets a partition until its end, if the run simulates kernels' buffers. It is lost if
-// either process ends before, or the connection is reset.
+// buffer keeps a message that meets a partition until its end, if the run simulates kernels' buffers. It is
+// lost if either process ends before, or the connection is reset.
 func (sim *simulatedCluster) buffer(direction link, from, to *simulatedNode, m envelope) {
 	if !sim.bufferPartitioned {
 		return
--- a/coord/replica/core.go
+++ b/coord/replica/core.go
@@ -65,7 +65,7 @@
 
 	peers            map[string]*peer // by member ID: all voters, and candidates
 	heartbeats       heartbeatRounds
-	epochConfirmedAt time.Duration // no successor of the present epoch was decided before this moment; never: unproven
+	epochConfirmedAt time.Duration // no successor of this epoch was decided before; never: unproven
 	staleness        stalenessProof
 	leaseNotBefore   time.Duration // this member, if it is the head, may hold the leader lease from here on
 
@@ -79,8 +79,8 @@
 	departedAt time.Duration
 }
 
-// newCore starts a member from what its disk held, nil for an empty disk or none. genesis is the first view where
-// this start founds the system; it is ignored if the disk held something.
+// newCore starts a member from what its disk held, nil for an empty disk or none. genesis is the first view
+// where this start founds the system; it is ignored if the disk held something.
 func newCore(options coreOptions, recovered *recoveredState, genesis *view.View, now time.Duration) (*core, error) {
 	c := &core{
 		coreOptions:    options,
@@ -142,19 +142,19 @@
 // inChain reports whether this member belongs to the present chain.
 func (c *core) inChain() bool { return c.hasDisk && c.acceptor.View.InChain(c.self) }
 
-// serving reports whether this member may append, forward and acknowledge commands in its epoch: it is in the chain,
-// has the complete prefix, and isn't wedged. A wedged member's log must not change, because its prepare response has
-// described it.
+// serving reports whether this member may append, forward and acknowledge commands in its epoch: it is in the
+// chain, has the complete prefix, and isn't wedged. A wedged member's log must not change, because its
+// prepare response has described it.
 func (c *core) serving() bool {
 	return c.inChain() && c.syncedEpoch == c.epoch() && !c.acceptor.Wedged()
 }
 
-// toleratesFailures reports whether the chain is long enough to commit. A command on the disks of a shorter chain
-// could be lost with as many disks as must be tolerated.
+// toleratesFailures reports whether the chain is long enough to commit. A command on the disks of a shorter
+// chain could be lost with as many disks as must be tolerated.
 func (c *core) toleratesFailures() bool { return len(c.acceptor.View.Chain) > c.tolerance }
 
-// send queues a message until the records decided before it are durable. Messages to this process itself and to an
-// unknown address are dropped.
+// send queues a message until the records decided before it are durable. Messages to this process itself and
+// to an unknown address are dropped.
 func (c *core) send(to view.Member, body any) {
 	if to.Address == c.self.Address || to.Address == "" {
 		return
@@ -169,8 +169,8 @@
 	}
 }
 
-// takeRecords returns what must be durable before persisted is called. If snapshot isn't nil, the carrier writes it
-// in place of all that the disk holds, and there are no records.
+// takeRecords returns what must be durable before persisted is called. If snapshot isn't nil, the carrier
+// writes it in place of all that the disk holds, and there are no records.
 //
 // Before that it handles what may have become possible with this batch of inputs (proposals to be sent again,
 // deferred commands, read indexes), so that the records of these share the batch's sync.
@@ -242,8 +242,8 @@
 	}
 }
 
-// reopened returns to what the disk holds after it failed to take what this member had decided. None of that has left
-// the member: the carrier discarded the messages.
+// reopened returns to what the disk holds after it failed to take what this member had decided. None of that
+// has left the member: the carrier discarded the messages.
 func (c *core) reopened(now time.Duration, recovered *recoveredState) {
 	c.now = now
 	c.loadRecovered(recovered)
@@ -254,8 +254,8 @@
 	c.enterView()
 }
 
-// wasPaused reports whether this process has just resumed after a pause and hasn't ticked since: what it receives may
-// be as old as the pause was long.
+// wasPaused reports whether this process has just resumed after a pause and hasn't ticked since: what it
+// receives may be as old as the pause was long.
 func (c *core) wasPaused() bool { return c.now-c.lastTick > processPauseThreshold }
 
 // tick does what is due by time. It is called every tickInterval.
--- a/coord/replica/delayed_messages_test.go
+++ b/coord/replica/delayed_messages_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// compactedCluster returns three machines with some acknowledged commands, whose logs were compacted completely.
+// compactedCluster returns three machines with some acknowledged commands, whose logs were compacted
+// completely.
 func compactedCluster(t *testing.T, seed uint64) *simulatedCluster {
 	sim := startSimulatedCluster(seed, 3, 1)
 	sim.limits.retainedLogBytes = 0
@@ -22,8 +23,8 @@
 	return sim
 }
 
-// TestLatePrefixRequest repeats a request for the prefix long after the member got it and the source's log was
-// compacted.
+// TestLatePrefixRequest repeats a request for the prefix long after the member got it and the source's log
+// was compacted.
 func TestLatePrefixRequest(t *testing.T) {
 	sim := compactedCluster(t, 30)
 	source, requester := sim.nodes[0], sim.nodes[1].core.self
@@ -42,8 +43,8 @@
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
-// TestLateAckBeforeAnyOther delivers an old Ack to a head that doesn't know its successor's last index, as after its
-// disk refused writes.
+// TestLateAckBeforeAnyOther delivers an old Ack to a head that doesn't know its successor's last index, as
+// after its disk refused writes.
 func TestLateAckBeforeAnyOther(t *testing.T) {
 	sim := compactedCluster(t, 36)
 	head, successor := sim.nodes[0], sim.nodes[1].core.self
@@ -55,8 +56,8 @@
 	sim.mustAcknowledge(t, sim.nodes[1], "after", time.Second)
 }
 
-// TestCommandFromEarlierView delivers a command to the head that was forwarded before its view. The head drops it:
-// the node where it was proposed forwards it again if its caller still waits.
+// TestCommandFromEarlierView delivers a command to the head that was forwarded before its view. The head
+// drops it: the node where it was proposed forwards it again if its caller still waits.
 func TestCommandFromEarlierView(t *testing.T) {
 	sim := startSimulatedCluster(32, 3, 1)
 	sim.runUntil(2 * time.Second)
@@ -76,8 +77,8 @@
 	}
 }
 
-// TestCommandDeferredByPausedHead has a command wait at a head that is paused during a change of the view, until its
-// caller has given up: the head must not forward it to the next head.
+// TestCommandDeferredByPausedHead has a command wait at a head that is paused during a change of the view,
+// until its caller has given up: the head must not forward it to the next head.
 func TestCommandDeferredByPausedHead(t *testing.T) {
 	sim := startSimulatedCluster(35, 3, 1)
 	sim.runUntil(2 * time.Second)
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestCommandBeyondDeduplicationWindow delivers a command again whose first outcome has left the deduplication
-// window.
+// TestCommandBeyondDeduplicationWindow delivers a command again whose first outcome has left the
+// deduplication window.
 func TestCommandBeyondDeduplicationWindow(t *testing.T) {
 	sim := startSimulatedCluster(33, 3, 1)
 	sim.limits.deduplicationWindow = 8
@@ -126,8 +127,9 @@
 	}
 }
 
-// TestPendingProposalMissedBySnapshot has a member wait for a command whose outcome is missing in the snapshot that
-// it is sent, because the deduplication window has moved on: the command must not be appended again.
+// TestPendingProposalMissedBySnapshot has a member wait for a command whose outcome is missing in the
+// snapshot that it is sent, because the deduplication window has moved on: the command must not be appended
+// again.
 func TestPendingProposalMissedBySnapshot(t *testing.T) {
 	sim := startSimulatedCluster(34, 3, 1)
 	sim.limits.deduplicationWindow = 8
@@ -185,8 +187,8 @@
 	}
 }
 
-// TestLeavingMemberIsReplaced has a member depart for good while a spare waits: once it is out, the loss of another
-// disk is tolerated.
+// TestLeavingMemberIsReplaced has a member depart for good while a spare waits: once it is out, the loss of
+// another disk is tolerated.
 func TestLeavingMemberIsReplaced(t *testing.T) {
 	for seed := uint64(0); seed < 30; seed++ {
 		sim := startSimulatedCluster(60+seed, 4, 1)
--- a/coord/replica/departure.go
+++ b/coord/replica/departure.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// leave starts this member's planned departure from the chain and reports whether the chain can spare it. onDeparted
-// is called once the member is out.
+// leave starts this member's planned departure from the chain and reports whether the chain can spare it.
+// onDeparted is called once the member is out.
 func (c *core) leave(now time.Duration, onDeparted func()) (spared bool) {
 	if !c.inChain() {
 		onDeparted()
@@ -29,9 +29,9 @@
 	c.sendHeartbeats(false)
 }
 
-// checkDeparture calls onDeparted once a departing member is out of the chain and the others have shown that they
-// know, and that they have the complete prefix. Were the process to end earlier, the others would take as long to go
-// on as after a crash, and a member that still fetches the prefix would have one source less.
+// checkDeparture calls onDeparted once a departing member is out of the chain and the others have shown that
+// they know, and that they have the complete prefix. Were the process to end earlier, the others would take
+// as long to go on as after a crash, and a member that still fetches the prefix would have one source less.
 func (c *core) checkDeparture() {
 	if c.onDeparted == nil || c.inChain() {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// othersComplete reports whether all in the chain have shown that they have the complete prefix, in the present epoch
-// or a later one.
+// othersComplete reports whether all in the chain have shown that they have the complete prefix, in the
+// present epoch or a later one.
 func (c *core) othersComplete() bool {
 	for _, m := range c.acceptor.View.Chain {
 		if p := c.peerOf(m); !m.Same(c.self) && (p.epoch < c.epoch() || !p.prefixComplete) {
--- a/coord/replica/departure_test.go
+++ b/coord/replica/departure_test.go
@@ -10,8 +10,8 @@
 // departureWait is how long a process waits for its planned departure before it ends all the same.
 const departureWait = 2 * time.Second
 
-// leave has a machine depart as planned: it leaves the chain and its process ends. done gets whether it was out by
-// then.
+// leave has a machine depart as planned: it leaves the chain and its process ends. done gets whether it was
+// out by then.
 func (n *simulatedNode) leave(done func(out bool)) {
 	sim := n.sim
 	incarnation, ended := n.incarnation, false
@@ -47,10 +47,10 @@
 	sim.after(departureWait, func() { end(false, view.View{}) })
 }
 
-// checkLeave checks that a member that ends as planned isn't needed any more: it is out of the chain, and all of the
-// chain of the view in which it found that it may end has the complete prefix, unless the member has waited
-// departureTimeout. A message that the member handled right after may have brought a later view, whose chain need not
-// have completed its prefix yet.
+// checkLeave checks that a member that ends as planned isn't needed any more: it is out of the chain, and all
+// of the chain of the view in which it found that it may end has the complete prefix, unless the member has
+// waited departureTimeout. A message that the member handled right after may have brought a later view, whose
+// chain need not have completed its prefix yet.
 func (n *simulatedNode) checkLeave(departedIn view.View) {
 	sim, c := n.sim, n.core
 	if c.departedAt > 0 && sim.now-c.departedAt > departureTimeout {
@@ -86,8 +86,8 @@
 	})
 }
 
-// injectDepartureAndWipe has a machine depart as planned, and others lose their disks meanwhile or right after:
-// nothing is lost, and the chain goes on once the first has returned.
+// injectDepartureAndWipe has a machine depart as planned, and others lose their disks meanwhile or right
+// after: nothing is lost, and the chain goes on once the first has returned.
 func (c *campaign) injectDepartureAndWipe(lost []*simulatedNode, down time.Duration) {
 	leaving := c.chainMemberExcept(lost)
 	if leaving == nil {
@@ -101,7 +101,8 @@
 	c.scheduleNextFault(over)
 }
 
-// chainMemberExcept returns a running machine of the newest chain that isn't among the others; nil if there is none.
+// chainMemberExcept returns a running machine of the newest chain that isn't among the others; nil if there
+// is none.
 func (c *campaign) chainMemberExcept(lost []*simulatedNode) *simulatedNode {
 	for _, n := range c.members() {
 		taken := !n.up || c.newestView() == nil || !c.newestView().core.view().InChain(n.core.self)
@@ -127,8 +128,8 @@
 	c.after(5*time.Millisecond, func() { c.afterReplacement(left, false, then) })
 }
 
-// injectPlannedReplacement adds a machine, has another one depart for good, and has others lose their disks once that
-// one has departed, or once its time is over.
+// injectPlannedReplacement adds a machine, has another one depart for good, and has others lose their disks
+// once that one has departed, or once its time is over.
 func (c *campaign) injectPlannedReplacement(lost []*simulatedNode, down time.Duration) {
 	leaving := c.chainMemberExcept(lost)
 	if leaving == nil {
@@ -149,8 +150,8 @@
 	})
 }
 
-// TestPlannedDeparture checks that a member that departs as planned is out of the chain at once, and that the others
-// go on without a pause.
+// TestPlannedDeparture checks that a member that departs as planned is out of the chain at once, and that the
+// others go on without a pause.
 func TestPlannedDeparture(t *testing.T) {
 	for position := 0; position < 3; position++ {
 		for seed := uint64(0); seed < 50; seed++ {
--- a/coord/replica/disk.go
+++ b/coord/replica/disk.go
@@ -20,7 +20,8 @@
 	recordProbe                    // no content: written to test whether the disk takes writes
 )
 
-// The records and the checkpoint are encoded by gob, which matches fields by name: the fields keep their names.
+// The records and the checkpoint are encoded by gob, which matches fields by name: the fields keep their
+// names.
 
 // viewRecord says that a decided view was adopted. It clears the acceptor's state.
 type viewRecord struct {
@@ -36,8 +37,8 @@
 	Accepted       *view.View
 }
 
-// installRecord replaces what follows Common by the prefix of the view's source. One record does it, so that a crash
-// leaves the old log or the new one.
+// installRecord replaces what follows Common by the prefix of the view's source. One record does it, so that
+// a crash leaves the old log or the new one.
 type installRecord struct {
 	Synced  uint64
 	Common  uint64
@@ -74,7 +75,8 @@
 	return append([]byte{kind}, encodeGob(value)...)
 }
 
-// encodeEntries encodes entries as lengths and bytes: gob's descriptions of types would be longer than most commands.
+// encodeEntries encodes entries as lengths and bytes: gob's descriptions of types would be longer than most
+// commands.
 func encodeEntries(entries []chain.Entry) []byte {
 	data := []byte{recordEntries}
 	data = binary.AppendUvarint(data, uint64(len(entries)))
--- a/coord/replica/errors.go
+++ b/coord/replica/errors.go
@@ -6,11 +6,11 @@
 
 // Errors of a Node.
 var (
-	// ErrUnavailable says that the command wasn't taken and never will be, or that a read can't be answered now. It
-	// is safe to propose the command again.
+	// ErrUnavailable says that the command wasn't taken and never will be, or that a read can't be answered
+	// now. It is safe to propose the command again.
 	ErrUnavailable = errors.New("replica: unavailable")
-	// ErrUncertain says that the command may have been applied, may be applied later, or not at all. It is safe to
-	// propose it again with the same ID.
+	// ErrUncertain says that the command may have been applied, may be applied later, or not at all. It is
+	// safe to propose it again with the same ID.
 	ErrUncertain = errors.New("replica: outcome unknown")
 	// ErrClosed says that the node was closed.
 	ErrClosed = errors.New("replica: closed")
--- a/coord/replica/event_queue_test.go
+++ b/coord/replica/event_queue_test.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// scheduledEvent is something that happens at a moment of virtual time. Events of one moment happen in the order in
-// which they were scheduled.
+// scheduledEvent is something that happens at a moment of virtual time. Events of one moment happen in the
+// order in which they were scheduled.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
--- a/coord/replica/failover_test.go
+++ b/coord/replica/failover_test.go
@@ -9,8 +9,8 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// failover returns the time from the loss of the member at a position of the chain to the next acknowledgement, of a
-// command proposed through another member at a random moment soon after.
+// failover returns the time from the loss of the member at a position of the chain to the next
+// acknowledgement, of a command proposed through another member at a random moment soon after.
 func failover(t *testing.T, seed uint64, position int, lose func(*simulatedNode)) time.Duration {
 	sim := startSimulatedCluster(seed, 3, 1)
 	sim.runUntil(2*time.Second + time.Duration(sim.random.Int64N(int64(time.Second))))
--- a/coord/replica/failure_detector.go
+++ b/coord/replica/failure_detector.go
@@ -18,7 +18,7 @@
 	lastEcho       time.Duration // when the newest of this member's heartbeats that it echoed was sent
 	reachable      bool          // both directions of the link have worked since reachableSince
 	reachableSince time.Duration
-	confirmedAt    time.Duration // it hadn't answered a prepare in the present epoch at this moment; never: unknown
+	confirmedAt    time.Duration // it wasn't wedged in the present epoch at this moment; never: unknown
 
 	// What its last heartbeat said.
 	leaving        bool
@@ -31,9 +31,9 @@
 	viewSentAt time.Duration // when it was sent last
 }
 
-// heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. Without reads they
-// span 12.8 s; each urgent round, which serves all reads that wait, takes one place. An echo of an older round is
-// ignored.
+// heartbeatWindow is the number of rounds of heartbeats whose sending times are kept for echoes. Without
+// reads they span 12.8 s; each urgent round, which serves all reads that wait, takes one place. An echo of an
+// older round is ignored.
 const heartbeatWindow = 64
 
 // heartbeatRounds numbers the rounds of heartbeats that this process has sent, and keeps when.
@@ -53,8 +53,8 @@
 	r.sentAt[r.seq%heartbeatWindow] = now
 }
 
-// resetFailureDetector counts every peer as in contact now: at a start, and after a pause of this process, which
-// received nothing meanwhile.
+// resetFailureDetector counts every peer as in contact now: at a start, and after a pause of this process,
+// which received nothing meanwhile.
 func (c *core) resetFailureDetector() {
 	for _, p := range c.peers {
 		p.lastContact = c.now
@@ -88,8 +88,8 @@
 	return p
 }
 
-// alive reports whether m isn't suspected: its heartbeats come, and echo those of this member, within the time-outs.
-// A member without any heartbeat yet is alive until they have passed.
+// alive reports whether m isn't suspected: its heartbeats come, and echo those of this member, within the
+// time-outs. A member without any heartbeat yet is alive until they have passed.
 func (c *core) alive(m view.Member) bool {
 	if m.Same(c.self) {
 		return true
@@ -98,8 +98,8 @@
 	return p != nil && c.now-p.lastContact <= suspicionTimeout && c.now-p.lastEcho <= echoTimeout
 }
 
-// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes a
-// member without any heartbeat yet, and this member itself.
+// contact returns what is known of m if the link to it works both ways, else nil. Unlike alive, this excludes
+// a member without any heartbeat yet, and this member itself.
 func (c *core) contact(m view.Member) *peer {
 	p := c.peers[m.ID()]
 	if p == nil || !p.reachable || !c.alive(m) {
@@ -161,8 +161,8 @@
 	return list
 }
 
-// sendHeartbeats starts a round of heartbeats to the voters and, unless it is urgent, from a voter to the candidates.
-// An urgent round asks for answers at once, for a read that waits.
+// sendHeartbeats starts a round of heartbeats to the voters and, unless it is urgent, from a voter to the
+// candidates. An urgent round asks for answers at once, for a read that waits.
 func (c *core) sendHeartbeats(urgent bool) {
 	if !c.hasDisk || c.epoch() == 0 {
 		return
@@ -250,8 +250,8 @@
 	}
 }
 
-// onEcho notes that the peer had received this member's round Echo when it sent m. If it was in the present epoch and
-// not wedged then, no successor that it votes on was decided before that round was sent.
+// onEcho notes that the peer had received this member's round Echo when it sent m. If it was in the present
+// epoch and not wedged then, no successor that it votes on was decided before that round was sent.
 func (c *core) onEcho(p *peer, m Heartbeat) {
 	if m.EchoLife != c.incarnation || !c.heartbeats.contains(m.Echo) {
 		return
@@ -270,5 +270,6 @@
 	}
 }
 
-// sortedKeys returns the keys of a map in order, so that a simulation with one seed always takes the same course.
+// sortedKeys returns the keys of a map in order, so that a simulation with one seed always takes the same
+// course.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/coord/replica/faults_test.go
+++ b/coord/replica/faults_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// faultKind is a kind of fault that the system must tolerate. inject causes it at some of the machines, for about the
-// duration down, and calls faultBegan once, at the moment at which the loss begins.
+// faultKind is a kind of fault that the system must tolerate. inject causes it at some of the machines, for
+// about the duration down, and calls faultBegan once, at the moment at which the loss begins.
 type faultKind struct {
 	name   string
 	inject func(c *campaign, lost []*simulatedNode, down time.Duration)
 }
 
-// faultKinds are drawn with equal probability. Their order decides which one a seed draws. init fills them in, since
-// the functions refer to them in turn.
+// faultKinds are drawn with equal probability. Their order decides which one a seed draws. init fills them
+// in, since the functions refer to them in turn.
 var faultKinds []faultKind
 
 func init() {
@@ -79,7 +79,8 @@
 	panic("no fault of kind " + c.onlyFault)
 }
 
-// scheduleNextFault has the next fault follow this one: after catchUpTime, or as soon as the chain is complete.
+// scheduleNextFault has the next fault follow this one: after catchUpTime, or as soon as the chain is
+// complete.
 func (c *campaign) scheduleNextFault(down time.Duration) {
 	if c.backToBack {
 		c.after(down, c.faultOnceComplete)
@@ -106,8 +107,8 @@
 	c.scheduleNextFault(down)
 }
 
-// victims draws as many machines as may be lost: preferably voters, sometimes the head or the tail first, and in some
-// runs those whose disks have lasted longest.
+// victims draws as many machines as may be lost: preferably voters, sometimes the head or the tail first, and
+// in some runs those whose disks have lasted longest.
 func (c *campaign) victims() []*simulatedNode {
 	nodes := c.members()
 	c.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
@@ -220,7 +221,8 @@
 	c.faultBegan(down)
 }
 
-// partitionNodes partitions machines from the others with a disk, one way or both, and sometimes from learners, too.
+// partitionNodes partitions machines from the others with a disk, one way or both, and sometimes from
+// learners, too.
 func (c *campaign) partitionNodes(lost []*simulatedNode, down time.Duration) {
 	oneWay := c.random.IntN(3)
 	others := c.members()
@@ -271,8 +273,8 @@
 	c.resets[link{to.address, from.address}]++
 }
 
-// killAll ends all processes within milliseconds, by kills or a loss of power; the machines in wiped lose their
-// disks. It returns how long this takes until all have restarted.
+// killAll ends all processes within milliseconds, by kills or a loss of power; the machines in wiped lose
+// their disks. It returns how long this takes until all have restarted.
 func (c *campaign) killAll(wiped []*simulatedNode, down time.Duration) time.Duration {
 	powerLoss := c.random.IntN(2) == 0
 	for _, n := range c.members() {
@@ -374,7 +376,8 @@
 	})
 }
 
-// injectInterruptedTransfer has a machine return, and another fault happen during the prefix transfer that it needs.
+// injectInterruptedTransfer has a machine return, and another fault happen during the prefix transfer that it
+// needs.
 func (c *campaign) injectInterruptedTransfer(lost []*simulatedNode, down time.Duration) {
 	n := lost[0]
 	if c.random.IntN(2) == 0 {
--- a/coord/replica/golden_test.go
+++ b/coord/replica/golden_test.go
@@ -9,7 +9,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGoldenDisk holds the records and the checkpoint on a member's disk to the form that earlier versions wrote.
+// TestGoldenDisk holds the records and the checkpoint on a member's disk to the form that earlier versions
+// wrote.
 func TestGoldenDisk(t *testing.T) {
 	golden.Gob[viewRecord](t, "disk-view")
 	golden.Gob[acceptorRecord](t, "disk-ballots")
--- a/coord/replica/injected_bugs_test.go
+++ b/coord/replica/injected_bugs_test.go
@@ -138,7 +138,8 @@
 	return m, true
 }
 
-// injectedBugs are found by random runs. Each search begins at a seed that skips some known not to find the bug.
+// injectedBugs are found by random runs. Each search begins at a seed that skips some known not to find the
+// bug.
 var injectedBugs = []struct {
 	bug   injectedBug
 	first uint64
--- a/coord/replica/invariants_test.go
+++ b/coord/replica/invariants_test.go
@@ -40,8 +40,8 @@
 	return sim.ackHistory[position-1].index
 }
 
-// onApplied checks that all nodes apply the same command at an index, that it is durable on enough disks, and that it
-// wasn't appended in a view from after its last caller gave up.
+// onApplied checks that all nodes apply the same command at an index, that it is durable on enough disks, and
+// that it wasn't appended in a view from after its last caller gave up.
 func (n *simulatedNode) onApplied(entry chain.Entry, _ chain.Outcome, _ bool) {
 	sim := n.sim
 	command := entry.ID + "=" + string(entry.Order)
@@ -56,11 +56,12 @@
 	sim.checkDeferred(entry)
 }
 
-// deferredLimit is how long after its last caller gave up a command may be appended in a newer view: the head defers
-// commands during a change of the view.
+// deferredLimit is how long after its last caller gave up a command may be appended in a newer view: the head
+// defers commands during a change of the view.
 const deferredLimit = retransmitInterval + 50*time.Millisecond
 
-// checkDeferred checks that a command wasn't deferred anywhere until a view from after its last caller gave up.
+// checkDeferred checks that a command wasn't deferred anywhere until a view from after its last caller gave
+// up.
 func (sim *simulatedCluster) checkDeferred(entry chain.Entry) {
 	record := sim.callers[entry.ID]
 	decided, known := sim.decidedAt[entry.Epoch]
@@ -73,7 +74,8 @@
 	}
 }
 
-// onViewAdopted checks that there is one view for each epoch, and that its source has all acknowledged commands.
+// onViewAdopted checks that there is one view for each epoch, and that its source has all acknowledged
+// commands.
 func (n *simulatedNode) onViewAdopted(v view.View) {
 	sim := n.sim
 	text := fmt.Sprintf("%v source %s at %d", v.Chain, v.Source.ID(), v.SourceEpoch)
@@ -95,8 +97,9 @@
 	}
 }
 
-// checkLeaderLeases checks that at most one member holds the leader lease, that it has all that was acknowledged
-// before its proof, and that no member holds it that was partitioned for longer than leaderLeaseDuration.
+// checkLeaderLeases checks that at most one member holds the leader lease, that it has all that was
+// acknowledged before its proof, and that no member holds it that was partitioned for longer than
+// leaderLeaseDuration.
 func (sim *simulatedCluster) checkLeaderLeases() {
 	var leader *simulatedNode
 	for _, n := range sim.nodes {
@@ -122,8 +125,8 @@
 	return ok && until > now
 }
 
-// recordAck notes that a caller was told that its command is committed, and checks that all callers of a command are
-// told the same index.
+// recordAck notes that a caller was told that its command is committed, and checks that all callers of a
+// command are told the same index.
 func (sim *simulatedCluster) recordAck(n *simulatedNode, id string, started time.Duration, outcome chain.Outcome) {
 	if n.partitioned && started >= n.partitionedSince && sim.callersOf(id).calls == 1 {
 		sim.failf("%s, partitioned since %v, acknowledges command %s, which no other node was given",
@@ -148,11 +151,12 @@
 	state *recoveredState
 }
 
-// lossWindow is how long before the last member's sync a disk may have been lost that held a command: a member that
-// had passed it on may be lost while the next one is paused.
+// lossWindow is how long before the last member's sync a disk may have been lost that held a command: a
+// member that had passed it on may be lost while the next one is paused.
 const lossWindow = 4 * maxFaultDuration
 
-// checkDurability checks that a command, when a node first applies it, is on enough disks, or was until a moment ago.
+// checkDurability checks that a command, when a node first applies it, is on enough disks, or was until a
+// moment ago.
 func (sim *simulatedCluster) checkDurability(entry chain.Entry) {
 	copies := 0
 	for _, n := range sim.nodes {
--- a/coord/replica/learner.go
+++ b/coord/replica/learner.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// learnerState is the part of a node outside of the chain: a learner in the sense of Paxos, which polls one chain
-// member for committed commands and doesn't vote.
+// learnerState is the part of a node outside of the chain: a learner in the sense of Paxos, which polls one
+// chain member for committed commands and doesn't vote.
 type learnerState struct {
 	upstream     view.Member // the chain member that it polls
 	upstreamTurn int         // selects the next upstream
@@ -42,7 +42,8 @@
 	polledAt  time.Duration
 }
 
-// pollTick polls the upstream, from outside of the chain, and turns to the next chain member if it doesn't answer.
+// pollTick polls the upstream, from outside of the chain, and turns to the next chain member if it doesn't
+// answer.
 func (c *core) pollTick() {
 	if c.epoch() == 0 || c.inChain() || c.now-c.learner.polledAt < learnerPollInterval-tickInterval/2 {
 		return
@@ -67,8 +68,8 @@
 	c.send(c.learner.upstream, poll)
 }
 
-// onLearnerUpdate applies committed commands that the learner lacks. Updates may be lost, repeated and reordered:
-// only the next command is applied, and the next poll tells the upstream where to continue.
+// onLearnerUpdate applies committed commands that the learner lacks. Updates may be lost, repeated and
+// reordered: only the next command is applied, and the next poll tells the upstream where to continue.
 func (c *core) onLearnerUpdate(from view.Member, m LearnerUpdate) {
 	if c.inChain() {
 		return
@@ -90,8 +91,8 @@
 	c.noteStaleness(m, applied)
 }
 
-// noteStaleness notes what an update proves: what was acknowledged before the poll was sent, less the age of the
-// upstream's own proof, is applied here. Both durations are differences on one clock each.
+// noteStaleness notes what an update proves: what was acknowledged before the poll was sent, less the age of
+// the upstream's own proof, is applied here. Both durations are differences on one clock each.
 func (c *core) noteStaleness(m LearnerUpdate, applied uint64) {
 	l := &c.learner
 	if !m.Fresh || m.Life != c.incarnation || m.Seq > l.pollSeq || l.pollSeq-m.Seq >= pollWindow {
@@ -106,8 +107,8 @@
 	}
 }
 
-// onLearnerPoll answers a poll with the commands that the learner lacks. If they reach up to what is applied here,
-// the answer carries the age of this member's own proof.
+// onLearnerPoll answers a poll with the commands that the learner lacks. If they reach up to what is applied
+// here, the answer carries the age of this member's own proof.
 func (c *core) onLearnerPoll(from view.Member, m LearnerPoll) {
 	if m.Epoch < c.epoch() {
 		c.send(from, view.Decided{View: c.acceptor.View})
--- a/coord/replica/lease.go
+++ b/coord/replica/lease.go
@@ -17,11 +17,11 @@
 	currentAsOf time.Duration // all commands acknowledged before this moment are applied here
 }
 
-// confirmEpoch finds the latest moment at which a majority of the voters was in the present epoch and not wedged. No
-// successor of the epoch was decided before it: a decision takes prepare responses of a majority, and two majorities
-// share a member. So all that was acknowledged before the moment was committed in this epoch or an earlier one, and
-// is in the log of this member, which has the complete prefix. Reads, the staleness bound and the leader lease rest
-// on it.
+// confirmEpoch finds the latest moment at which a majority of the voters was in the present epoch and not
+// wedged. No successor of the epoch was decided before it: a decision takes prepare responses of a majority,
+// and two majorities share a member. So all that was acknowledged before the moment was committed in this
+// epoch or an earlier one, and is in the log of this member, which has the complete prefix. Reads, the
+// staleness bound and the leader lease rest on it.
 func (c *core) confirmEpoch() {
 	if c.acceptor.Wedged() || !c.inChain() || c.syncedEpoch != c.epoch() {
 		return
@@ -73,8 +73,8 @@
 	c.staleness.currentAsOf = max(c.staleness.currentAsOf, c.staleness.pendingAsOf)
 }
 
-// currentAsOf returns the moment before which every acknowledged command is applied here: that of this member's own
-// proof, or of a learner's last update.
+// currentAsOf returns the moment before which every acknowledged command is applied here: that of this
+// member's own proof, or of a learner's last update.
 func (c *core) currentAsOf() (time.Duration, bool) {
 	asOf := never
 	if c.staleness.proven {
@@ -100,20 +100,21 @@
 	}
 }
 
-// leaderLease returns until when this member, as the head, holds the leader lease (Gray and Cheriton, 1989): no other
-// head acts before.
+// leaderLease returns until when this member, as the head, holds the leader lease (Gray and Cheriton, 1989):
+// no other head acts before.
 //
-// It is safe because the lease counts from the sending of the heartbeats that a majority answered, at t. A successor
-// of the epoch is decided after t (see confirmEpoch), and its head waits newLeaderDelay from its adoption of the
-// view. This lease ends at t + leaderLeaseDuration, which is earlier, as long as no clock runs faster than another by
-// the quotient of the two durations. Moments of different machines are never compared.
+// It is safe because the lease counts from the sending of the heartbeats that a majority answered, at t. A
+// successor of the epoch is decided after t (see confirmEpoch), and its head waits newLeaderDelay from its
+// adoption of the view. This lease ends at t + leaderLeaseDuration, which is earlier, as long as no clock
+// runs faster than another by the quotient of the two durations. Moments of different machines are never
+// compared.
 func (c *core) leaderLease() (until time.Duration, ok bool) {
 	until, ok = c.headLease()
 	return until, ok && c.now >= c.leaseNotBefore
 }
 
-// headLease returns until when no successor of this member's epoch acts, if this member is the head. An earlier head
-// may still hold the leader lease.
+// headLease returns until when no successor of this member's epoch acts, if this member is the head. An
+// earlier head may still hold the leader lease.
 func (c *core) headLease() (until time.Duration, ok bool) {
 	if !c.serving() || !c.isHead() || c.leaving || c.epochConfirmedAt == never {
 		return 0, false
--- a/coord/replica/limits.go
+++ b/coord/replica/limits.go
@@ -11,8 +11,8 @@
 	defaultMaxUncommitted   = 8192      // commands
 )
 
-// checkpointLogBytes is the size of the log on disk, in bytes, from which on a carrier asks for a checkpoint. A
-// larger one writes fewer checkpoints, and replays more at a start.
+// checkpointLogBytes is the size of the log on disk, in bytes, from which on a carrier asks for a checkpoint.
+// A larger one writes fewer checkpoints, and replays more at a start.
 const checkpointLogBytes = 1 << 20
 
 // limits bound what a core keeps and sends at once. All members of a system have the same: which commands are
@@ -20,8 +20,8 @@
 type limits struct {
 	// batchBytes is about how many bytes of commands one message carries; it carries at least one command.
 	batchBytes int
-	// retainedLogBytes is how many bytes of applied commands the log retains at a checkpoint. A member that returns
-	// and lacks no more than these is sent commands; one that lacks more is sent a snapshot.
+	// retainedLogBytes is how many bytes of applied commands the log retains at a checkpoint. A member that
+	// returns and lacks no more than these is sent commands; one that lacks more is sent a snapshot.
 	retainedLogBytes int
 	// maxUncommitted is the number of commands beyond the applied ones at which the head admits no more.
 	maxUncommitted int
--- a/coord/replica/linearizability_test.go
+++ b/coord/replica/linearizability_test.go
@@ -81,7 +81,8 @@
 	})
 }
 
-// answeredOperations leaves out the reads without an answer. Writes without one may have happened at any time.
+// answeredOperations leaves out the reads without an answer. Writes without one may have happened at any
+// time.
 func answeredOperations(history []porcupine.Operation) []porcupine.Operation {
 	var kept []porcupine.Operation
 	for _, operation := range history {
@@ -92,7 +93,8 @@
 	return kept
 }
 
-// TestHistoriesAreLinearizable checks what clients saw in runs with faults, by the independent checker porcupine.
+// TestHistoriesAreLinearizable checks what clients saw in runs with faults, by the independent checker
+// porcupine.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	checked := 0
 	for seed := uint64(0); seed < defaultRuns/4; seed++ {
--- a/coord/replica/messages.go
+++ b/coord/replica/messages.go
@@ -6,16 +6,16 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// The messages between nodes. gob matches fields by name: the fields keep their names, also those that the literature
-// calls otherwise. Life is the incarnation of a process, drawn at its start.
+// The messages between nodes. gob matches fields by name: the fields keep their names, also those that the
+// literature calls otherwise. Life is the incarnation of a process, drawn at its start.
 
 // ViewQuery asks for the newest view.
 type ViewQuery struct {
 	Epoch uint64 // newest one that the sender knows
 }
 
-// Heartbeat shows that its sender is alive, and echoes the newest heartbeat received from the addressee. The echo
-// shows that the link works both ways, and confirms the epoch without a message of its own.
+// Heartbeat shows that its sender is alive, and echoes the newest heartbeat received from the addressee. The
+// echo shows that the link works both ways, and confirms the epoch without a message of its own.
 type Heartbeat struct {
 	Life      uint64 // incarnation of the sender's process
 	Seq       uint64 // round of heartbeats of that incarnation
@@ -30,8 +30,8 @@
 	Heard     []string // IDs of the voters that the sender reaches, both ways
 }
 
-// Append carries commands down the chain. A member sends it only while it and all its predecessors have the complete
-// prefix of Epoch; without entries, it says just that.
+// Append carries commands down the chain. A member sends it only while it and all its predecessors have the
+// complete prefix of Epoch; without entries, it says just that.
 type Append struct {
 	Epoch     uint64
 	Prev      uint64 // index of the command before Entries
@@ -48,8 +48,8 @@
 	Gap    bool   // the sender lacks what follows End
 }
 
-// AckRequest asks the successor for an Ack. The one that the successor sends at the start of an epoch is lost if its
-// predecessor hasn't adopted the view yet.
+// AckRequest asks the successor for an Ack. The one that the successor sends at the start of an epoch is lost
+// if its predecessor hasn't adopted the view yet.
 type AckRequest struct {
 	Epoch uint64
 }
@@ -90,7 +90,7 @@
 	Life    uint64 // of the poll that is answered; 0: a push
 	Seq     uint64 // of the poll
 	Fresh   bool   // AgeNano is valid
-	AgeNano int64  // all that was acknowledged longer ago than this, in nanoseconds, is in the update or before it
+	AgeNano int64  // ns: all acknowledged longer ago than this is in the update or before it
 	Prev    uint64 // index before Entries, or that of the snapshot
 	Image   *chain.Snapshot
 	Entries []chain.Entry
@@ -117,7 +117,8 @@
 	Index uint64
 }
 
-// wireTypes lists the types of messages with their names on the wire, which stay when a type is renamed or moved.
+// wireTypes lists the types of messages with their names on the wire, which stay when a type is renamed or
+// moved.
 func wireTypes() []transport.NamedType {
 	const (
 		here   = "sprucelane.example/sprucelane/coord/replica."
--- a/coord/replica/network.go
+++ b/coord/replica/network.go
@@ -23,8 +23,8 @@
 
 func init() { transport.RegisterNamed(wireTypes()...) }
 
-// network carries a node's messages. Voters are dialled; all others are answered over the connection that they
-// opened, as they may be unreachable from here.
+// network carries a node's messages. Voters are dialled; all others are answered over the connection that
+// they opened, as they may be unreachable from here.
 type network struct {
 	node    *Node
 	options transport.Options
@@ -34,7 +34,7 @@
 	sweptAt  time.Time            // used by the loop only
 
 	sessionsMu sync.Mutex
-	sessions   map[string]*transport.Session // the open ones by member ID, the newest of each; guarded by sessionsMu
+	sessions   map[string]*transport.Session // open, the newest by member ID; guarded by sessionsMu
 }
 
 // outbound is a connection that this node opened.
--- a/coord/replica/node.go
+++ b/coord/replica/node.go
@@ -10,14 +10,16 @@
 const (
 	// inputQueueLength is the number of inputs that may wait for the loop before their senders block.
 	inputQueueLength = 1024
-	// maxBatchedInputs bounds the inputs that share one sync. A larger batch saves syncs and delays the first of it.
+	// maxBatchedInputs bounds the inputs that share one sync. A larger batch saves syncs and delays the first
+	// of it.
 	maxBatchedInputs = 512
 	// learnerTickInterval is the time between ticks of a node without a disk, which has less to do.
 	learnerTickInterval = 250 * time.Millisecond
 )
 
-// Node is one process's part of the replicated state: it carries a core with sockets, a disk and the steady clock.
-// All of the core runs on one goroutine, the loop; other goroutines reach it through inputs, and see the status.
+// Node is one process's part of the replicated state: it carries a core with sockets, a disk and the steady
+// clock. All of the core runs on one goroutine, the loop; other goroutines reach it through inputs, and see
+// the status.
 type Node struct {
 	options  Options
 	start    time.Time     // zero of the core's clock
@@ -28,8 +30,8 @@
 	closing   chan struct{} // closed by Close
 	done      chan struct{} // closed by the loop at its end
 
-	// Used by the loop only, from the return of Start to the end of the loop. Any goroutine may read core.self and
-	// core.incarnation, which never change.
+	// Used by the loop only, from the return of Start to the end of the loop. Any goroutine may read
+	// core.self and core.incarnation, which never change.
 	core          *core
 	store         durableStore // nil: no disk
 	network       *network
@@ -125,7 +127,8 @@
 	return n.store.Append(records...)
 }
 
-// enqueue hands an input to the loop. It blocks while the queue is full, for instance because the disk stalls.
+// enqueue hands an input to the loop. It blocks while the queue is full, for instance because the disk
+// stalls.
 func (n *Node) enqueue(ctx context.Context, run func()) error {
 	select {
 	case n.inputs <- run:
--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -18,8 +18,9 @@
 	// Bind listens on Listen, and Dial connects to another node. nil: TCP.
 	Bind func(address string) (net.Listener, error)
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Seeds are coordination addresses of machines with a disk, where a node without contact asks for the view. Some
-	// may be outdated. With Bootstrap, they are the members of the first view and must be the same on all machines.
+	// Seeds are coordination addresses of machines with a disk, where a node without contact asks for the
+	// view. Some may be outdated. With Bootstrap, they are the members of the first view and must be the same
+	// on all machines.
 	Seeds []string
 	// Bootstrap says that the whole system starts for the first time. It is ignored if the disk isn't empty.
 	Bootstrap bool
@@ -27,8 +28,8 @@
 	DataDir string
 	// Disk replaces the folder DataDir, for simulations.
 	Disk slots.FS
-	// Tolerance is the number of disks that may be lost at once: an acknowledged command is on more. A chain of
-	// Tolerance members or fewer takes no commands. A system needs 2 x Tolerance + 1 machines with a disk.
+	// Tolerance is the number of disks that may be lost at once: an acknowledged command is on more. A chain
+	// of Tolerance members or fewer takes no commands. A system needs 2 x Tolerance + 1 machines with a disk.
 	Tolerance int
 	// StateMachine is what the commands change. It is called from one goroutine.
 	StateMachine chain.StateMachine
--- a/coord/replica/prefix.go
+++ b/coord/replica/prefix.go
@@ -7,15 +7,15 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// requestPrefix asks the view's source for the prefix, with a description of this log, so that only the difference is
-// sent.
+// requestPrefix asks the view's source for the prefix, with a description of this log, so that only the
+// difference is sent.
 func (c *core) requestPrefix() {
 	c.replication.prefixRequestedAt = c.now
 	c.send(c.acceptor.View.Source, PrefixRequest{Epoch: c.epoch(), Runs: c.log.EpochRuns()})
 }
 
-// onPrefixRequest sends the prefix: the entries after the last common one, or a snapshot where the logs have no
-// common part that is still retained.
+// onPrefixRequest sends the prefix: the entries after the last common one, or a snapshot where the logs have
+// no common part that is still retained.
 func (c *core) onPrefixRequest(from view.Member, m PrefixRequest) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -30,7 +30,8 @@
 		return
 	}
 	if applied, _ := c.state.Applied(); applied > end {
-		// A command of this epoch is applied here, so the whole chain had the prefix: the request is outdated.
+		// A command of this epoch is applied here, so the whole chain had the prefix: the request is
+		// outdated.
 		return
 	}
 	snapshot := c.state.Snapshot()
@@ -64,9 +65,9 @@
 	return entries
 }
 
-// onPrefixTransfer replaces the end of the log by the prefix of the source. It is one record, or a checkpoint: after
-// a crash the disk holds the old log or the complete prefix, never a part of each. A wedged member refuses it,
-// because its prepare response has described its log.
+// onPrefixTransfer replaces the end of the log by the prefix of the source. It is one record, or a
+// checkpoint: after a crash the disk holds the old log or the complete prefix, never a part of each. A wedged
+// member refuses it, because its prepare response has described its log.
 func (c *core) onPrefixTransfer(from view.Member, m PrefixTransfer) {
 	if m.Epoch != c.epoch() || !c.inChain() || c.syncedEpoch == c.epoch() || c.acceptor.Wedged() {
 		return
--- a/coord/replica/proposals.go
+++ b/coord/replica/proposals.go
@@ -8,10 +8,11 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// pendingRequests are the proposals and reads of this node's callers that aren't complete, and what waits for others.
+// pendingRequests are the proposals and reads of this node's callers that aren't complete, and what waits for
+// others.
 type pendingRequests struct {
 	proposals map[string]*pendingProposal // by command ID
-	resendDue bool                        // the way to the head may have changed: dispatch all proposals again
+	resendDue bool                        // the route to the head may have changed: send all again
 	deferred  []deferredCommand           // at most maxDeferred
 	reads     []*pendingRead
 	readSeq   uint64
@@ -36,20 +37,23 @@
 // has a buffer of one, so that the core never blocks.
 type outcomeWaiter struct{ outcomes chan chain.Outcome }
 
-// deferredCommand came to the head while it couldn't append: it waits for the decision on the next view, or for the
-// prefix.
+// deferredCommand came to the head while it couldn't append: it waits for the decision on the next view, or
+// for the prefix.
 type deferredCommand struct {
 	Forward
 	deferredAt time.Duration
 }
 
-// maxDeferred bounds the commands that wait at the head. Beyond it they are dropped, and sent again by their nodes.
+// maxDeferred bounds the commands that wait at the head. Beyond it they are dropped, and sent again by their
+// nodes.
 const maxDeferred = 1024
 
-// maxHops bounds how often a command is forwarded: around a broken link, and once more by a node whose view is old.
+// maxHops bounds how often a command is forwarded: around a broken link, and once more by a node whose view
+// is old.
 const maxHops = 2
 
-// submit takes a command from a caller of this node. The outcome is delivered once the command is applied here.
+// submit takes a command from a caller of this node. The outcome is delivered once the command is applied
+// here.
 func (c *core) submit(now time.Duration, id string, command []byte, waiter *outcomeWaiter) {
 	c.now = now
 	if outcome, known := c.state.Outcome(id); known {
@@ -107,8 +111,8 @@
 	c.send(to, Forward{ID: proposal.id, Order: proposal.command, Epoch: c.epoch(), Since: proposal.notAppliedThrough})
 }
 
-// nextHop returns the member to which a voter forwards its commands: the head or, if the link to it is broken, a
-// chain member that reaches both.
+// nextHop returns the member to which a voter forwards its commands: the head or, if the link to it is
+// broken, a chain member that reaches both.
 func (c *core) nextHop(head view.Member) view.Member {
 	if c.alive(head) {
 		return head
@@ -154,10 +158,10 @@
 	return true
 }
 
-// onForward takes in a command from another node, and forwards it further if this isn't the head. A command from an
-// earlier epoch may be as old as a partition was long, and one that this process reads after a pause as old as the
-// pause: both are dropped, and the node where they were proposed sends them again if its caller still waits. So no
-// command is applied long after its caller was told that the outcome is unknown.
+// onForward takes in a command from another node, and forwards it further if this isn't the head. A command
+// from an earlier epoch may be as old as a partition was long, and one that this process reads after a pause
+// as old as the pause: both are dropped, and the node where they were proposed sends them again if its caller
+// still waits. So no command is applied long after its caller was told that the outcome is unknown.
 func (c *core) onForward(from view.Member, m Forward) {
 	if m.Epoch < c.epoch() || c.wasPaused() {
 		c.sendView(from)
@@ -175,8 +179,8 @@
 	}
 }
 
-// retryDeferred continues, in the next view at the latest, with the commands that came while this head couldn't
-// append. Their nodes send them again after retransmitInterval, so that an older one is dropped.
+// retryDeferred continues, in the next view at the latest, with the commands that came while this head
+// couldn't append. Their nodes send them again after retransmitInterval, so that an older one is dropped.
 func (c *core) retryDeferred() {
 	if len(c.requests.deferred) == 0 || c.acceptor.Wedged() {
 		return
@@ -223,9 +227,9 @@
 	}
 }
 
-// completeRestored completes the proposals whose outcomes came with a snapshot, after the state machine moved on from
-// an index. If the snapshot spans more commands than it has outcomes, a proposal without one may have been applied
-// and forgotten.
+// completeRestored completes the proposals whose outcomes came with a snapshot, after the state machine moved
+// on from an index. If the snapshot spans more commands than it has outcomes, a proposal without one may have
+// been applied and forgotten.
 func (c *core) completeRestored(previous uint64) {
 	applied, _ := c.state.Applied()
 	for _, id := range sortedKeys(c.requests.proposals) {
--- a/coord/replica/proposer.go
+++ b/coord/replica/proposer.go
@@ -6,8 +6,8 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// proposerState is this member's part as a proposer of the next view. Acceptors and the choice of the value are in
-// coord/view.
+// proposerState is this member's part as a proposer of the next view. Acceptors and the choice of the value
+// are in coord/view.
 type proposerState struct {
 	proposal     *view.Proposal // nil: none is under way
 	startedAt    time.Duration
@@ -26,7 +26,8 @@
 	p.backoffUntil = now + backoff
 }
 
-// Backoffs of an abandoned proposal are drawn from [minimum, maximum), so that two proposers don't duel for ever.
+// Backoffs of an abandoned proposal are drawn from [minimum, maximum), so that two proposers don't duel for
+// ever.
 const (
 	minRejectedBackoff = 100 * time.Millisecond
 	maxRejectedBackoff = 300 * time.Millisecond
@@ -79,8 +80,8 @@
 	c.onPrepare(c.self, prepare)
 }
 
-// advanceProposal sends the accept once the prepare responses allow a value and no more of them are likely to come
-// soon.
+// advanceProposal sends the accept once the prepare responses allow a value and no more of them are likely to
+// come soon.
 func (c *core) advanceProposal() {
 	p := c.proposer.proposal
 	if p == nil || c.proposer.acceptSent || !p.HasMajority() {
@@ -176,7 +177,7 @@
 	}
 }
 
-// onPrepareResponse counts a response to the own prepare.
+// onPrepareResponse counts a response to this member's own prepare.
 func (c *core) onPrepareResponse(m view.PrepareResponse) {
 	if c.proposer.proposal == nil {
 		return
@@ -185,7 +186,7 @@
 	c.advanceProposal()
 }
 
-// onReject abandons the own proposal if a member has promised a higher number.
+// onReject abandons this member's proposal if a member has promised a higher number.
 func (c *core) onReject(m view.Reject) {
 	c.proposer.highestRound = max(c.proposer.highestRound, m.Promised.Round)
 	p := c.proposer.proposal
@@ -195,8 +196,8 @@
 	c.proposer.abandon(c.now, c.randomBackoff(minRejectedBackoff, maxRejectedBackoff))
 }
 
-// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and sent to the voters of both
-// views.
+// onAcceptResponse counts a vote. Once a majority has accepted, the view is decided, and sent to the voters
+// of both views.
 func (c *core) onAcceptResponse(m view.AcceptResponse) {
 	if c.proposer.proposal == nil {
 		return
@@ -236,8 +237,8 @@
 	return rank
 }
 
-// proposerOrder lists the voters in the order in which they may propose. The neighbours of a suspected member come
-// first: they exchange heartbeats with it and need it most.
+// proposerOrder lists the voters in the order in which they may propose. The neighbours of a suspected member
+// come first: they exchange heartbeats with it and need it most.
 func (c *core) proposerOrder() []view.Member {
 	var members []view.Member
 	add := func(m view.Member) {
--- a/coord/replica/random_test.go
+++ b/coord/replica/random_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestClientsTryAllNodes checks that a client without an answer tries each other node before it returns to one. In
-// seed 7002540, three clients happened to return to the same partitioned machine, which cost two seconds without an
-// acknowledgement.
+// TestClientsTryAllNodes checks that a client without an answer tries each other node before it returns to
+// one. In seed 7002540, three clients happened to return to the same partitioned machine, which cost two
+// seconds without an acknowledgement.
 func TestClientsTryAllNodes(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		c := prepareCampaign(seed, runDuration, "")
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestClientsOfPartitionedNode repeats the moment of seed 7002540 with all clients at the partitioned machine: their
-// commands are acknowledged through the others in time.
+// TestClientsOfPartitionedNode repeats the moment of seed 7002540 with all clients at the partitioned
+// machine: their commands are acknowledged through the others in time.
 func TestClientsOfPartitionedNode(t *testing.T) {
 	c := &campaign{simulatedCluster: startSimulatedCluster(22, 3, 1), end: runDuration}
 	c.runUntil(2 * time.Second)
--- a/coord/replica/reads.go
+++ b/coord/replica/reads.go
@@ -60,7 +60,7 @@
 	})
 }
 
-// onReadIndexReply takes in the read index of an own read.
+// onReadIndexReply takes in the read index of a read of this node's callers.
 func (c *core) onReadIndexReply(m ReadIndexReply) {
 	if m.Life != c.incarnation {
 		return
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -65,8 +65,8 @@
 	return count >= c.acceptor.View.Majority()
 }
 
-// suspectedMembers reports whether this member suspects members of the chain, and whether that breaks the chain: a
-// suspected neighbour does, and so does a member that nobody else in the chain reaches.
+// suspectedMembers reports whether this member suspects members of the chain, and whether that breaks the
+// chain: a suspected neighbour does, and so does a member that nobody else in the chain reaches.
 func (c *core) suspectedMembers() (suspected, broken bool) {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) {
@@ -84,8 +84,8 @@
 	return predecessor.Same(m) || successor.Same(m)
 }
 
-// reachableFromChain reports whether another member of the chain reaches m. Then only the link between m and this
-// member is broken, which the chain doesn't use.
+// reachableFromChain reports whether another member of the chain reaches m. Then only the link between m and
+// this member is broken, which the chain doesn't use.
 func (c *core) reachableFromChain(m view.Member) bool {
 	for _, other := range c.acceptor.View.Chain {
 		if other.Same(c.self) || other.Same(m) {
@@ -98,7 +98,8 @@
 	return false
 }
 
-// mayJoinChain reports whether m is reachable from this member and, as far as heartbeats tell, from the whole chain.
+// mayJoinChain reports whether m is reachable from this member and, as far as heartbeats tell, from the whole
+// chain.
 func (c *core) mayJoinChain(m view.Member) bool {
 	if !c.reachable(m) || c.isLeaving(m) {
 		return false
@@ -144,15 +145,16 @@
 	}
 }
 
-// planVoters returns the voters that the next view should have. Voters are replaced only while enough members are
-// known to have the complete prefix: the disk of an absent voter may be the one that the next loss makes necessary.
+// planVoters returns the voters that the next view should have. Voters are replaced only while enough members
+// are known to have the complete prefix: the disk of an absent voter may be the one that the next loss makes
+// necessary.
 func (c *core) planVoters() []view.Member {
 	planner := c.planner()
 	return planner.Voters(c.knownComplete() > c.tolerance)
 }
 
-// knownComplete returns the number of chain members that this one knows to have the complete prefix: its predecessors
-// and itself, and the successor if it said so.
+// knownComplete returns the number of chain members that this one knows to have the complete prefix: its
+// predecessors and itself, and the successor if it said so.
 func (c *core) knownComplete() int {
 	if !c.serving() || !c.replication.prefixComplete {
 		return 0
@@ -185,7 +187,8 @@
 // isStaying reports whether m is preferred as a source.
 func (c *core) isStaying(m view.Member) bool { return !c.isLeaving(m) }
 
-// planMembers returns the voters and the chain of the next view for the source that the prepare responses gave.
+// planMembers returns the voters and the chain of the next view for the source that the prepare responses
+// gave.
 func (c *core) planMembers(source view.Member, holders []view.Member) (voters, members []view.Member, ok bool) {
 	planner := c.planner()
 	voters, members, ok = planner.Plan(source, holders)
--- a/coord/replica/replication.go
+++ b/coord/replica/replication.go
@@ -7,15 +7,18 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// replicationState is the volatile state of this member's place in the chain of its epoch. It is reset by every view.
+// replicationState is the volatile state of this member's place in the chain of its epoch. It is reset by
+// every view.
 //
-// The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends, each member passes on what
-// is durable at itself, and what is durable at the tail is on every disk of the chain, hence committed. Commit
-// indexes travel back with the acknowledgements. It differs from the paper in who reads: any node may (reads.go), and
-// in reconfiguration, which the members agree on themselves (coord/view) instead of asking a master.
+// The algorithm is chain replication (van Renesse and Schneider, 2004): the head appends, each member passes
+// on what is durable at itself, and what is durable at the tail is on every disk of the chain, hence
+// committed. Commit indexes travel back with the acknowledgements. It differs from the paper in who reads:
+// any node may (reads.go), and in reconfiguration, which the members agree on themselves (coord/view) instead
+// of asking a master.
 type replicationState struct {
-	// prefixComplete says that this member and all its predecessors have the complete prefix of the epoch. Only then
-	// may it pass commands on: so nothing reaches the tail, and nothing commits, before the whole chain has it.
+	// prefixComplete says that this member and all its predecessors have the complete prefix of the epoch.
+	// Only then may it pass commands on: so nothing reaches the tail, and nothing commits, before the whole
+	// chain has it.
 	prefixComplete bool
 	// successorKnown says that the successor has reported its last index in this epoch.
 	successorKnown bool
@@ -28,7 +31,7 @@
 	reportedCommit   uint64 // commit index last reported to the predecessor
 
 	ackDue            bool          // an Ack to the predecessor is due
-	gapReported       bool          // a gap was reported to the predecessor since the last round of heartbeats
+	gapReported       bool          // a gap was reported since the last round of heartbeats
 	prefixRequestedAt time.Duration // when the source was asked for the prefix last
 }
 
@@ -50,8 +53,8 @@
 // isHead reports whether this member is the head of the present chain.
 func (c *core) isHead() bool { return c.acceptor.View.Head().Same(c.self) }
 
-// appendCommand gives a command the next index. Only the head of an epoch does this, and only while it serves, so
-// that an index and an epoch identify one command.
+// appendCommand gives a command the next index. Only the head of an epoch does this, and only while it
+// serves, so that an index and an epoch identify one command.
 func (c *core) appendCommand(id string, command []byte) {
 	entry := chain.Entry{Index: c.log.LastIndex() + 1, Epoch: c.epoch(), ID: id, Order: command}
 	c.log.Append(entry)
@@ -65,8 +68,8 @@
 	}
 }
 
-// onAppend appends what the predecessor sends. A member with the complete prefix whose predecessor sends in this
-// epoch knows by this that all its predecessors have the prefix, too.
+// onAppend appends what the predecessor sends. A member with the complete prefix whose predecessor sends in
+// this epoch knows by this that all its predecessors have the prefix, too.
 func (c *core) onAppend(from view.Member, m Append) {
 	if m.Epoch < c.epoch() {
 		c.sendView(from)
@@ -127,7 +130,8 @@
 	}
 }
 
-// commitAtTail commits what is durable at the tail: its predecessors sent nothing that wasn't durable at themselves.
+// commitAtTail commits what is durable at the tail: its predecessors sent nothing that wasn't durable at
+// themselves.
 func (c *core) commitAtTail() {
 	if c.replication.prefixComplete && c.toleratesFailures() {
 		c.commitIndex = max(c.commitIndex, c.durableIndex)
@@ -147,8 +151,8 @@
 	}
 }
 
-// requestAck asks the successor for its last index, after a delayed Ack reported one that the log here is compacted
-// beyond.
+// requestAck asks the successor for its last index, after a delayed Ack reported one that the log here is
+// compacted beyond.
 func (c *core) requestAck(successor view.Member) {
 	c.replication.successorKnown = false
 	c.send(successor, AckRequest{Epoch: c.epoch()})
@@ -199,8 +203,8 @@
 	}
 }
 
-// retransmit repeats, at each round of heartbeats, what a broken connection may have lost: the request for the
-// prefix, the Ack, and entries on which no progress was acknowledged since the last round.
+// retransmit repeats, at each round of heartbeats, what a broken connection may have lost: the request for
+// the prefix, the Ack, and entries on which no progress was acknowledged since the last round.
 func (c *core) retransmit() {
 	if !c.inChain() || c.acceptor.Wedged() {
 		return
--- a/coord/replica/replication_test.go
+++ b/coord/replica/replication_test.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/coord/chain"
 )
 
-// mustAcknowledge proposes a command through a node and returns how long the acknowledgement took. Beyond the limit,
-// the run fails.
+// mustAcknowledge proposes a command through a node and returns how long the acknowledgement took. Beyond the
+// limit, the run fails.
 func (sim *simulatedCluster) mustAcknowledge(
 	t *testing.T, n *simulatedNode, id string, limit time.Duration,
 ) time.Duration {
@@ -23,7 +23,8 @@
 	return sim.now - start
 }
 
-// TestAcknowledgementsWithoutFaults bounds the latency of commands and the staleness of nodes while nothing fails.
+// TestAcknowledgementsWithoutFaults bounds the latency of commands and the staleness of nodes while nothing
+// fails.
 func TestAcknowledgementsWithoutFaults(t *testing.T) {
 	sim := startSimulatedCluster(1, 3, 1)
 	learner := sim.addNode(false)
@@ -54,7 +55,8 @@
 	}
 }
 
-// TestLossOfAnyMember kills each member of a chain in turn: the others go on, and the member returns to the chain.
+// TestLossOfAnyMember kills each member of a chain in turn: the others go on, and the member returns to the
+// chain.
 func TestLossOfAnyMember(t *testing.T) {
 	for victim := 0; victim < 3; victim++ {
 		sim := startSimulatedCluster(uint64(10+victim), 3, 1)
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestCommandRelayedAroundPartitionedLink partitions, one way or both, the link between the tail and the head, which
-// the chain doesn't use: commands of the tail are relayed by the member between them.
+// TestCommandRelayedAroundPartitionedLink partitions, one way or both, the link between the tail and the
+// head, which the chain doesn't use: commands of the tail are relayed by the member between them.
 func TestCommandRelayedAroundPartitionedLink(t *testing.T) {
 	for _, ways := range [][]int{{0, 2}, {2, 0}, {0, 2, 2, 0}} {
 		sim := startSimulatedCluster(20, 3, 1)
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestCommandOfMemberOutsideChain partitions the link between the head and the second member, so that the next view
-// leaves one of them out: both still get commands acknowledged.
+// TestCommandOfMemberOutsideChain partitions the link between the head and the second member, so that the
+// next view leaves one of them out: both still get commands acknowledged.
 func TestCommandOfMemberOutsideChain(t *testing.T) {
 	sim := startSimulatedCluster(21, 3, 1)
 	sim.runUntil(2 * time.Second)
--- a/coord/replica/resource_usage_test.go
+++ b/coord/replica/resource_usage_test.go
@@ -46,7 +46,8 @@
 	return usage
 }
 
-// proposeMany proposes count commands of about 100 bytes, eight at a time, and calls sample at every hundredth.
+// proposeMany proposes count commands of about 100 bytes, eight at a time, and calls sample at every
+// hundredth.
 func (sim *simulatedCluster) proposeMany(t *testing.T, name string, count int, sample func()) {
 	t.Helper()
 	text := strings.Repeat("x", 100)
@@ -73,8 +74,8 @@
 	}
 }
 
-// TestResourceUsageIsBounded proposes 10,000 commands: what a member keeps doesn't grow over the last half of them,
-// in memory or on disk.
+// TestResourceUsageIsBounded proposes 10,000 commands: what a member keeps doesn't grow over the last half of
+// them, in memory or on disk.
 func TestResourceUsageIsBounded(t *testing.T) {
 	sim := startSimulatedCluster(80, 3, 1)
 	sim.retainedCommands = 16
@@ -106,8 +107,9 @@
 	}
 }
 
-// TestRejoinAfterLongAbsence has a member miss over 500 commands, with an old snapshot and a log torn by a loss of
-// power. It is complete soon after its return, for about the bytes of one snapshot and the commands after it.
+// TestRejoinAfterLongAbsence has a member miss over 500 commands, with an old snapshot and a log torn by a
+// loss of power. It is complete soon after its return, for about the bytes of one snapshot and the commands
+// after it.
 func TestRejoinAfterLongAbsence(t *testing.T) {
 	for seed := uint64(0); seed < 10; seed++ {
 		sim := startSimulatedCluster(90+seed, 3, 1)
--- a/coord/replica/second_loss_test.go
+++ b/coord/replica/second_loss_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestLossAfterDepartureDuringFailover has a member depart at the moment at which the others suspect another one, and
-// then takes the disk of the one that goes on: the two that are left have every acknowledged command.
+// TestLossAfterDepartureDuringFailover has a member depart at the moment at which the others suspect another
+// one, and then takes the disk of the one that goes on: the two that are left have every acknowledged
+// command.
 func TestLossAfterDepartureDuringFailover(t *testing.T) {
 	for seed := uint64(0); seed < 30; seed++ {
 		sim := startSimulatedCluster(seed, 3, 1)
@@ -28,8 +29,8 @@
 	}
 }
 
-// TestLossAfterUnfinishedViews has two views follow each other in which only the source has the complete prefix, and
-// then takes the source's disk: the two that are left have every acknowledged command.
+// TestLossAfterUnfinishedViews has two views follow each other in which only the source has the complete
+// prefix, and then takes the source's disk: the two that are left have every acknowledged command.
 func TestLossAfterUnfinishedViews(t *testing.T) {
 	for seed := uint64(0); seed < 30; seed++ {
 		sim := startSimulatedCluster(seed, 3, 1)
@@ -55,8 +56,8 @@
 	}
 }
 
-// unfinishedView waits until two members are in a new view, and kills the one that isn't its source before it has the
-// prefix.
+// unfinishedView waits until two members are in a new view, and kills the one that isn't its source before it
+// has the prefix.
 func (sim *simulatedCluster) unfinishedView(a, b *simulatedNode) (source *simulatedNode) {
 	epoch := max(a.core.epoch(), b.core.epoch())
 	hasSource := func() bool {
@@ -82,8 +83,8 @@
 	return source
 }
 
-// TestLossAfterSpareAskedToJoin has a spare ask for the place of a member that is absent for long, while the disk of
-// that one is one of the two that hold the newest command, and then takes the other disk.
+// TestLossAfterSpareAskedToJoin has a spare ask for the place of a member that is absent for long, while the
+// disk of that one is one of the two that hold the newest command, and then takes the other disk.
 func TestLossAfterSpareAskedToJoin(t *testing.T) {
 	for seed := uint64(0); seed < 30; seed++ {
 		sim := startSimulatedCluster(seed, 4, 1)
--- a/coord/replica/simulated_disk_test.go
+++ b/coord/replica/simulated_disk_test.go
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// simulatedDisk is a machine's disk with the real store on it. When a process ends, the write under way is complete
-// or torn; a loss of power drops or tears what wasn't synced.
+// simulatedDisk is a machine's disk with the real store on it. When a process ends, the write under way is
+// complete or torn; a loss of power drops or tears what wasn't synced.
 type simulatedDisk struct {
 	files   *simulation.Disk
 	random  *simulation.Rand
@@ -109,8 +109,8 @@
 	}
 }
 
-// end ends the process, by a kill or by a loss of power, during a write if there is one. It checks that the disk then
-// holds what it did before or after that write, and nothing between.
+// end ends the process, by a kill or by a loss of power, during a write if there is one. It checks that the
+// disk then holds what it did before or after that write, and nothing between.
 func (d *simulatedDisk) end(write diskWrite, powerLoss bool) {
 	allowed := []string{d.shadow.summary()}
 	if !write.empty() {
--- a/coord/replica/simulated_node_test.go
+++ b/coord/replica/simulated_node_test.go
@@ -158,8 +158,8 @@
 	sim.after(duration*time.Duration(max(n.diskSlowdown, 1)), func() { n.synced(incarnation, write) })
 }
 
-// refuseWrites has the disk refuse writes for a while. As with Node, the process then continues from what the disk
-// holds.
+// refuseWrites has the disk refuse writes for a while. As with Node, the process then continues from what the
+// disk holds.
 func (n *simulatedNode) refuseWrites(down time.Duration) {
 	n.diskFull = true
 	n.disk.fill()
--- a/coord/replica/start.go
+++ b/coord/replica/start.go
@@ -91,8 +91,8 @@
 	return err
 }
 
-// newMember draws the incarnation of an empty disk, or of a process without one. If the system is founded, it returns
-// the first view, too, and the founders have the same, well-known incarnation on every machine.
+// newMember draws the incarnation of an empty disk, or of a process without one. If the system is founded, it
+// returns the first view, too, and the founders have the same, well-known incarnation on every machine.
 func newMember(options *Options) (view.Member, *view.View, error) {
 	member := view.Member{Node: options.Identity.Node, Address: options.Listen}
 	var drawn [8]byte
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -51,8 +51,8 @@
 	n.status.Store(next)
 }
 
-// callbacks are the functions registered with OnApply and OnView. They are immutable; Node.callbackMu serializes
-// those who replace them.
+// callbacks are the functions registered with OnApply and OnView. They are immutable; Node.callbackMu
+// serializes those who replace them.
 type callbacks struct {
 	onApply []func(index uint64, command, result []byte)
 	onView  []func(view.View)
--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// diskFailed takes the member out of service until its disk takes bytes again. Nothing leaves it meanwhile: what it
-// decided last isn't durable, and its messages may speak of it.
+// diskFailed takes the member out of service until its disk takes bytes again. Nothing leaves it meanwhile:
+// what it decided last isn't durable, and its messages may speak of it.
 func (n *Node) diskFailed(err error) {
 	n.options.Log("disk_write_failed", "error", err.Error())
 	n.diskUnhealthy = true
--- a/coord/replica/torn_log_test.go
+++ b/coord/replica/torn_log_test.go
@@ -11,7 +11,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// TestTornLogIsReported opens a disk whose last record is torn: what is cut off is logged with its offset, once.
+// TestTornLogIsReported opens a disk whose last record is torn: what is cut off is logged with its offset,
+// once.
 func TestTornLogIsReported(t *testing.T) {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _, err := slots.Open(disk, slots.Options{})
--- a/coord/ring/circle.go
+++ b/coord/ring/circle.go
@@ -1,7 +1,7 @@
 package ring
 
-// Successors returns up to count other names that follow a name on the circle, the next first. The name itself need
-// not be in the ring.
+// Successors returns up to count other names that follow a name on the circle, the next first. The name
+// itself need not be in the ring.
 func (r *Ring) Successors(name string, count int) []string {
 	index, found := r.search(name)
 	if found {
@@ -15,8 +15,9 @@
 	return names
 }
 
-// Predecessors returns up to count other names that precede a name on the circle, the nearest first. The name itself
-// need not be in the ring. A name is among the successors of exactly its predecessors, for the same count.
+// Predecessors returns up to count other names that precede a name on the circle, the nearest first. The name
+// itself need not be in the ring. A name is among the successors of exactly its predecessors, for the same
+// count.
 func (r *Ring) Predecessors(name string, count int) []string {
 	index, found := r.search(name)
 	others := r.otherCount(found)
--- a/coord/ring/owners.go
+++ b/coord/ring/owners.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the name with the highest score for a key, or an empty string if there are no names. It is the
-// first of Owners, without allocation.
+// Owner returns the name with the highest score for a key, or an empty string if there are no names. It is
+// the first of Owners, without allocation.
 func (r *Ring) Owner(key string) string {
 	hash := xxhash.Sum64String(key)
 	var best node
@@ -27,7 +27,8 @@
 	return r.OwnersFunc(key, count, nil)
 }
 
-// OwnersFunc is Owners without the names for which accept returns false. accept may be nil, which accepts all.
+// OwnersFunc is Owners without the names for which accept returns false. accept may be nil, which accepts
+// all.
 func (r *Ring) OwnersFunc(key string, count int, accept func(name string) bool) []string {
 	hash := xxhash.Sum64String(key)
 	best := make([]scoredName, 0, min(count, len(r.nodes)))
@@ -70,8 +71,9 @@
 	return slices.Insert(best, index, candidate)
 }
 
-// mix64 spreads a hash over all bits, so that the scores of a name for different keys are independent. It is the
-// finalizer of SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
+// mix64 spreads a hash over all bits, so that the scores of a name for different keys are independent. It is
+// the finalizer of SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators",
+// 2014).
 func mix64(hash uint64) uint64 {
 	hash ^= hash >> 30
 	hash *= 0xbf58476d1ce4e5b9
--- a/coord/scrub/compare.go
+++ b/coord/scrub/compare.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// entryOverhead is what an entry counts in bytes besides its key and value, so that empty ones are bounded too.
+// entryOverhead is what an entry counts in bytes besides its key and value, so that empty ones are bounded
+// too.
 const entryOverhead = 64
 
 // keyRange is a part of the store that was read.
@@ -15,8 +16,9 @@
 	bytes   int    // that were read
 }
 
-// readRange reads and checks the entries from one key up to another, or up to the bounds of one range if these come
-// first. An empty upper key is the end of all keys. Entries above the stable version are read and left out.
+// readRange reads and checks the entries from one key up to another, or up to the bounds of one range if
+// these come first. An empty upper key is the end of all keys. Entries above the stable version are read and
+// left out.
 func (n *Node) readRange(from, to string, stable uint64) (keyRange, error) {
 	read := keyRange{until: to}
 	err := n.store.Scan(from, func(entry Entry) bool {
@@ -67,8 +69,8 @@
 	n.send(n.pending.peer, n.pending.Compare)
 }
 
-// handleCompare compares a peer's range with the own one. If it holds more entries here than fit one range, the answer
-// covers its first part only, and the peer goes on from there.
+// handleCompare compares a peer's range with the same range here. If it holds more entries here than fit one
+// range, the answer covers its first part only, and the peer continues from there.
 func (n *Node) handleCompare(from string, message Compare) {
 	read, err := n.readRange(message.From, message.To, message.StableVersion)
 	if err != nil {
@@ -84,7 +86,8 @@
 	n.send(from, reply)
 }
 
-// handleSummaries handles the answer to the pending Compare. Any other answer is late or repeated, and ignored.
+// handleSummaries handles the answer to the pending Compare. Any other answer is late or repeated, and
+// ignored.
 func (n *Node) handleSummaries(now time.Time, from string, message Summaries) {
 	pending := n.pending
 	if pending == nil || pending.peer != from || pending.Sequence != message.Sequence {
@@ -97,7 +100,7 @@
 	n.finishRange(now, message.Until)
 }
 
-// finishRange goes on after a range that ended before a key, or starts the next pass if that key is empty.
+// finishRange continues after a range that ended before a key, or starts the next pass if that key is empty.
 func (n *Node) finishRange(now time.Time, until string) {
 	n.pending = nil
 	n.cursor = until
--- a/coord/scrub/entry.go
+++ b/coord/scrub/entry.go
@@ -13,7 +13,8 @@
 // Entry is one key of a replica.
 type Entry struct {
 	Key string
-	// Version orders the writes of a key. Two replicas have the same version of a key only with the same value.
+	// Version orders the writes of a key. Two replicas have the same version of a key only with the same
+	// value.
 	Version uint64
 	// Deleted marks a tombstone: a deletion that isn't on all replicas yet.
 	Deleted bool
--- a/coord/scrub/message.go
+++ b/coord/scrub/message.go
@@ -10,8 +10,8 @@
 	StableVersion uint64
 	// Digest is that of the sender's entries: keys, versions and checksums.
 	Digest uint64
-	// Corrupt is true if the sender found a corrupt value in the range. The digest doesn't show it, since the stored
-	// checksum may be intact.
+	// Corrupt is true if the sender found a corrupt value in the range. The digest doesn't show it, since the
+	// stored checksum may be intact.
 	Corrupt bool
 }
 
--- a/coord/scrub/node.go
+++ b/coord/scrub/node.go
@@ -86,8 +86,8 @@
 	return n.takeOutput()
 }
 
-// ReadRepair pulls a key from all peers, for a reader that found its value corrupt. That the entry was repaired is
-// found in the output of a later Receive.
+// ReadRepair pulls a key from all peers, for a reader that found its value corrupt. That the entry was
+// repaired is found in the output of a later Receive.
 func (n *Node) ReadRepair(key string) Output {
 	n.report(key, Corrupt)
 	for _, peer := range n.peers {
--- a/coord/scrub/node_test.go
+++ b/coord/scrub/node_test.go
@@ -267,8 +267,8 @@
 	})
 }
 
-// TestRandomCorruption corrupts and removes entries at random while writes go on and messages are lost, and checks that
-// all are repaired in the end.
+// TestRandomCorruption corrupts and removes entries at random while writes go on and messages are lost, and
+// checks that all are repaired in the end.
 func TestRandomCorruption(t *testing.T) {
 	for seed := range uint64(30) {
 		r := newReplicas(seed, 200, quick)
--- a/coord/scrub/repair.go
+++ b/coord/scrub/repair.go
@@ -3,8 +3,8 @@
 // maxPushBytes bounds the values in one Push in bytes, unless one alone is larger.
 const maxPushBytes = 512 << 10
 
-// reconcile pulls what is better at a peer and pushes what is better here. It merges the summaries of both, which are
-// in the order of their keys.
+// reconcile pulls what is better at a peer and pushes what is better here. It merges the summaries of both,
+// which are in the order of their keys.
 func (n *Node) reconcile(peer string, mine, theirs []Summary, stable uint64) {
 	var pulled, pushed []string
 	for len(mine) > 0 || len(theirs) > 0 {
@@ -35,8 +35,9 @@
 	n.push(peer, pushed)
 }
 
-// resolve decides by the rule of the package comment whether the peer's copy of a key is pulled and whether the own one
-// is pushed, and reports what is wrong with the own one. Either is nil if that replica lacks the key.
+// resolve decides by the rule of the package comment whether the peer's copy of a key is pulled and whether
+// this replica's copy is pushed, and reports what is wrong with the latter. Either is nil if that replica
+// lacks the key.
 func (n *Node) resolve(own, other *Summary, stable uint64) (pull, push bool) {
 	switch {
 	case own == nil:
@@ -65,8 +66,8 @@
 	return false, false
 }
 
-// pullsMissing reports whether to pull an entry that wasn't among the own summaries. It may be here all the same, in a
-// version that isn't stable yet or that was written since.
+// pullsMissing reports whether to pull an entry that wasn't among this replica's summaries. It may
+// nevertheless be here, in a version that isn't stable yet or that was written since.
 func (n *Node) pullsMissing(other *Summary) bool {
 	entry, found, err := n.store.Get(other.Key)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return true
 }
 
-// isStable reports whether the present entry of a key is stable still. If it was overwritten since it was compared, the
-// peer gets the newer version by itself.
+// isStable reports whether the present entry of a key is stable still. If it was overwritten since it was
+// compared, the peer gets the newer version by itself.
 func (n *Node) isStable(key string, stable uint64) bool {
 	entry, found, err := n.store.Get(key)
 	if err != nil {
@@ -120,7 +121,8 @@
 	}
 }
 
-// applyPushed repairs the own entry by a peer's, if that is valid and the own one is missing, corrupt or older.
+// applyPushed repairs this replica's entry by a peer's, if that is valid and the entry here is missing,
+// corrupt or older.
 func (n *Node) applyPushed(entry Entry) {
 	if !entry.Valid() {
 		return
@@ -141,7 +143,8 @@
 	n.output.Findings = append(n.output.Findings, Finding{Key: entry.Key, Problem: problem, Repaired: true})
 }
 
-// diagnose returns what is wrong with the own entry, compared with a valid one of a peer, or 0 if nothing is.
+// diagnose returns what is wrong with this replica's entry, compared with a valid one of a peer, or 0 if
+// nothing is.
 func diagnose(own Entry, found bool, entry Entry) Problem {
 	switch {
 	case !found:
--- a/coord/slots/benchmark_test.go
+++ b/coord/slots/benchmark_test.go
@@ -8,7 +8,8 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// discardingFS is a folder whose files drop what is written, so that only the work of the store itself is measured.
+// discardingFS is a folder whose files drop what is written, so that only the work of the store itself is
+// measured.
 type discardingFS struct{ slots.FS }
 
 func (d discardingFS) Open(string) (slots.File, error) { return discardFile{}, nil }
@@ -22,7 +23,8 @@
 func (discardFile) Sync() error                       { return nil }
 func (discardFile) Close() error                      { return nil }
 
-// BenchmarkAppend measures one append of one record: the store's own work, and with a real disk's write and sync.
+// BenchmarkAppend measures one append of one record: the store's own work, and with a real disk's write and
+// sync.
 func BenchmarkAppend(b *testing.B) {
 	for _, size := range []int{100, 4 << 10} {
 		record := make([]byte, size)
--- a/coord/slots/compact.go
+++ b/coord/slots/compact.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Compact replaces snapshot and log by a snapshot of the whole state, and an empty log. When it returns nil the
-// snapshot is durable, and the store is usable again after an ErrUncertain. After any other error the old snapshot and
-// log are in use as before.
+// Compact replaces snapshot and log by a snapshot of the whole state, and an empty log. When it returns nil
+// the snapshot is durable, and the store is usable again after an ErrUncertain. After any other error the old
+// snapshot and log are in use as before.
 //
-// It prepares the inactive log before it writes the inactive slot: the sync of that slot is the commit point, from
-// which on the slot's log must exist with the slot's sequence. The active slot and log aren't touched.
+// It prepares the inactive log before it writes the inactive slot: the sync of that slot is the commit point,
+// from which on the slot's log must exist with the slot's sequence. The active slot and log aren't touched.
 func (s *Store) Compact(snapshot []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -37,8 +37,9 @@
 	return nil
 }
 
-// undoCompact truncates the slot that couldn't be written, and returns the error of the compaction. If the slot stayed,
-// it could be valid at the next Open, without the records that are appended to the old log from now on.
+// undoCompact truncates the slot that couldn't be written, and returns the error of the compaction. If the
+// slot stayed, it could be valid at the next Open, without the records that are appended to the old log from
+// now on.
 func (s *Store) undoCompact(slot int, cause error) error {
 	if err := s.writeFile(slotName(s.prefix, slot)); err != nil {
 		s.uncertain = fmt.Errorf("%w: %w, then %w", ErrUncertain, cause, err)
--- a/coord/slots/directory.go
+++ b/coord/slots/directory.go
@@ -94,8 +94,8 @@
 // osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
-// Sync implements File with fdatasync, which makes the length durable as well, but not times and permissions: these
-// would cost a second write. EINTR is retried, as package os does for fsync.
+// Sync implements File with fdatasync, which makes the length durable as well, but not times and permissions:
+// these would cost a second write. EINTR is retried, as package os does for fsync.
 func (f osFile) Sync() error {
 	raw, err := f.SyscallConn()
 	if err != nil {
--- a/coord/slots/errors.go
+++ b/coord/slots/errors.go
@@ -11,11 +11,11 @@
 var (
 	// ErrCorrupt reports that acknowledged state is missing from the disk.
 	ErrCorrupt = errors.New("slots: acknowledged state is damaged")
-	// ErrDiskFull reports a disk or a quota without space (ENOSPC, EDQUOT). Nothing was stored, and the store can be
-	// used as before.
+	// ErrDiskFull reports a disk or a quota without space (ENOSPC, EDQUOT). Nothing was stored, and the store
+	// can be used as before.
 	ErrDiskFull = errors.New("slots: disk is full")
-	// ErrUncertain reports that a write failed, that undoing it failed as well, and that it is therefore unknown
-	// whether it is stored. Append returns it until a Compact has succeeded.
+	// ErrUncertain reports that a write failed, that undoing it failed as well, and that it is therefore
+	// unknown whether it is stored. Append returns it until a Compact has succeeded.
 	ErrUncertain = errors.New("slots: state of the disk is unknown")
 	// ErrClosed reports a store that was closed.
 	ErrClosed = errors.New("slots: closed")
--- a/coord/slots/format.go
+++ b/coord/slots/format.go
@@ -2,23 +2,24 @@
 
 // # Files
 //
-// A store has four files, whose names never change: slot-0, slot-1, log-0 and log-1, each after Options.Prefix. Slot
-// and log of one number belong together. Integers are big endian, checksums are CRC-32C (Castagnoli).
+// A store has four files, whose names never change: slot-0, slot-1, log-0 and log-1, each after
+// Options.Prefix. Slot and log of one number belong together. Integers are big endian, checksums are CRC-32C
+// (Castagnoli).
 //
 //	slot:  magic "SPLSLOT" (7 bytes), version (1), sequence (8), snapshot length (8), checksum (4), snapshot
 //	log:   magic "SPLSLOG" (7 bytes), version (1), sequence (8), checksum (4), batches
 //	batch: payload length (4), number (4), checksum (4), payload: for each record its length (uvarint) and bytes
 //
-// The state is in the valid slot with the highest sequence n, and in the log of the same number, which then has the
-// sequence n too. A Compact gives the other pair the sequence n+1.
+// The state is in the valid slot with the highest sequence n, and in the log of the same number, which then
+// has the sequence n too. A Compact gives the other pair the sequence n+1.
 //
-// The checksum of a slot covers sequence, length and snapshot. That of a log's header covers the sequence. That of a
-// batch covers the sequence of its log, its own length and number, and the payload: bytes that an earlier use of the
-// same file left behind have another sequence, and never pass for a batch.
+// The checksum of a slot covers sequence, length and snapshot. That of a log's header covers the sequence.
+// That of a batch covers the sequence of its log, its own length and number, and the payload: bytes that an
+// earlier use of the same file left behind have another sequence, and never pass for a batch.
 //
-// One Append is one batch, so that it is stored as a whole or not at all. The batches of a log are numbered from 0. The
-// numbers tell a torn write from corruption: a valid batch with a higher number than the one that is missing was
-// written after it had been synced.
+// One Append is one batch, so that it is stored as a whole or not at all. The batches of a log are numbered
+// from 0. The numbers tell a torn write from corruption: a valid batch with a higher number than the one that
+// is missing was written after it had been synced.
 
 import (
 	"encoding/binary"
@@ -38,15 +39,16 @@
 	// batchHeaderSize is the size in bytes of length, number and checksum.
 	batchHeaderSize = 4 + 4 + 4
 
-	// maxBatchPayload bounds the payload of one Append in bytes, so that its length fits four bytes and an int.
+	// maxBatchPayload bounds the payload of one Append in bytes, so that its length fits four bytes and an
+	// int.
 	maxBatchPayload = math.MaxInt32
 )
 
 // castagnoli is the polynomial of all checksums; processors compute it in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// slotContents is what a slot file holds. Only a valid one has a sequence and a snapshot; an invalid one that isn't
-// empty is torn or corrupt.
+// slotContents is what a slot file holds. Only a valid one has a sequence and a snapshot; an invalid one that
+// isn't empty is torn or corrupt.
 type slotContents struct {
 	valid    bool
 	empty    bool // the file has no bytes
@@ -129,7 +131,8 @@
 	return contents
 }
 
-// appendBatch appends the batch that holds some records to a buffer. It returns errBatchTooLarge if they don't fit.
+// appendBatch appends the batch that holds some records to a buffer. It returns errBatchTooLarge if they
+// don't fit.
 func appendBatch(buffer []byte, sequence uint64, number uint32, records [][]byte) ([]byte, error) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, batchHeaderSize)...)
@@ -156,8 +159,8 @@
 	return crc32.Update(checksum, castagnoli, batch[batchHeaderSize:])
 }
 
-// parseBatch returns the size in bytes and the records of the batch at the start of data, or 0 if there is no valid one
-// with this number.
+// parseBatch returns the size in bytes and the records of the batch at the start of data, or 0 if there is no
+// valid one with this number.
 func parseBatch(data []byte, sequence uint64, number uint32) (int, [][]byte) {
 	batch := validBatch(data, sequence)
 	if batch == nil || binary.BigEndian.Uint32(batch[4:]) != number {
@@ -193,9 +196,10 @@
 	return batch
 }
 
-// hasLaterValidBatch reports whether data holds, at any offset, a valid batch with a higher number than the one that is
-// expected at its start. The length of the invalid batch can't be trusted, so every offset is tried; batches are at
-// least a byte long, which bounds the numbers that are possible at an offset and spares most checksums.
+// hasLaterValidBatch reports whether data holds, at any offset, a valid batch with a higher number than the
+// one that is expected at its start. The length of the invalid batch can't be trusted, so every offset is
+// tried; batches are at least a byte long, which bounds the numbers that are possible at an offset and spares
+// most checksums.
 func hasLaterValidBatch(data []byte, sequence uint64, expected uint32) bool {
 	for offset := 1; offset+batchHeaderSize < len(data); offset++ {
 		number := binary.BigEndian.Uint32(data[offset+4:])
--- a/coord/slots/fs.go
+++ b/coord/slots/fs.go
@@ -1,7 +1,8 @@
 package slots
 
-// FS is one folder of a disk, with the operations that make files durable. Names are plain file names. Errors for files
-// that don't exist wrap fs.ErrNotExist. [Directory] is that of the operating system; tests use simulated disks.
+// FS is one folder of a disk, with the operations that make files durable. Names are plain file names. Errors
+// for files that don't exist wrap fs.ErrNotExist. [Directory] is that of the operating system; tests use
+// simulated disks.
 type FS interface {
 	// Create creates an empty file, or truncates an existing one, for writing.
 	Create(name string) (File, error)
@@ -17,8 +18,8 @@
 	Remove(name string) error
 	// List returns the names of all files.
 	List() ([]string, error)
-	// SyncDir makes durable which names exist: those created, renamed and removed. A sync of a file alone doesn't
-	// guarantee that its name outlives a loss of power.
+	// SyncDir makes durable which names exist: those created, renamed and removed. A sync of a file alone
+	// doesn't guarantee that its name outlives a loss of power.
 	SyncDir() error
 }
 
--- a/coord/slots/fuzz_test.go
+++ b/coord/slots/fuzz_test.go
@@ -44,8 +44,8 @@
 	return records
 }
 
-// checkLog fails unless the records that are parsed from a changed copy of the test's log are those of its first
-// batches, in order.
+// checkLog fails unless the records that are parsed from a changed copy of the test's log are those of its
+// first batches, in order.
 func checkLog(t testing.TB, data []byte, counts []int) {
 	t.Helper()
 	contents := parseLog(data)
@@ -65,7 +65,8 @@
 	}
 }
 
-// FuzzLog parses any bytes as a log. A fuzzer may make valid batches of its own, so only the bounds are checked.
+// FuzzLog parses any bytes as a log. A fuzzer may make valid batches of its own, so only the bounds are
+// checked.
 func FuzzLog(f *testing.F) {
 	log, _ := encodedTestLog(f)
 	f.Add(log)
@@ -124,7 +125,8 @@
 	}
 }
 
-// TestCorruptionIsDistinguishedFromTornTail corrupts each batch in turn: only the last may pass for a torn write.
+// TestCorruptionIsDistinguishedFromTornTail corrupts each batch in turn: only the last may pass for a torn
+// write.
 func TestCorruptionIsDistinguishedFromTornTail(t *testing.T) {
 	log, _ := encodedTestLog(t)
 	ends := []int{logHeaderSize}
--- a/coord/slots/golden_test.go
+++ b/coord/slots/golden_test.go
@@ -8,7 +8,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// TestGolden compares the files of a store byte by byte with those that an earlier version wrote, and reads those.
+// TestGolden compares the files of a store byte by byte with those that an earlier version wrote, and reads
+// those.
 func TestGolden(t *testing.T) {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _ := mustOpen(t, disk)
--- a/coord/slots/history_test.go
+++ b/coord/slots/history_test.go
@@ -12,7 +12,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// model is what the store must hold: the state is the concatenation of all records, and its snapshot is the state.
+// model is what the store must hold: the state is the concatenation of all records, and its snapshot is the
+// state.
 type model struct {
 	acknowledged string
 	inFlight     string // the records of an append whose outcome is uncertain
@@ -169,8 +170,9 @@
 	return count
 }
 
-// TestRandomHistories runs stores on disks that fill up, lose power within any operation, and tear, lose and reorder
-// writes that were not synced. The recovered state must be the acknowledged one, or that with the append in flight.
+// TestRandomHistories runs stores on disks that fill up, lose power within any operation, and tear, lose and
+// reorder writes that were not synced. The recovered state must be the acknowledged one, or that with the
+// append in flight.
 func TestRandomHistories(t *testing.T) {
 	for seed := range seeds(t, 1200) {
 		random := simulation.NewRand(uint64(seed))
@@ -182,8 +184,8 @@
 	}
 }
 
-// TestPowerLossAtEveryStepOfACompaction takes the power away within each operation of a compaction, with many outcomes
-// for the writes that were not synced.
+// TestPowerLossAtEveryStepOfACompaction takes the power away within each operation of a compaction, with many
+// outcomes for the writes that were not synced.
 func TestPowerLossAtEveryStepOfACompaction(t *testing.T) {
 	powerLosses := 0
 	for step := 1; ; step++ {
--- a/coord/slots/open.go
+++ b/coord/slots/open.go
@@ -26,7 +26,8 @@
 	return s, recovered, nil
 }
 
-// createEmpty creates the files of an empty store. The slot that makes it valid comes last, once all names are durable.
+// createEmpty creates the files of an empty store. The slot that makes it valid comes last, once all names
+// are durable.
 func (s *Store) createEmpty() error {
 	s.sequence = 1
 	for number := range 2 {
@@ -49,8 +50,9 @@
 	return s.openLog(logHeaderSize)
 }
 
-// openExisting takes over the files that were found. It makes durable what recover has returned to the caller, since a
-// killed process may have left it unsynced, and truncates the log behind its last valid batch.
+// openExisting takes over the files that were found. It makes durable what recover has returned to the
+// caller, since a killed process may have left it unsynced, and truncates the log behind its last valid
+// batch.
 func (s *Store) openExisting(files *storeFiles, active int) error {
 	s.active = active
 	s.sequence = files.slots[active].sequence
@@ -80,7 +82,8 @@
 	return s.log.Sync()
 }
 
-// recreateInactive creates the inactive slot and log anew, empty, after at least one of them was found missing.
+// recreateInactive creates the inactive slot and log anew, empty, after at least one of them was found
+// missing.
 func (s *Store) recreateInactive() error {
 	inactive := 1 - s.active
 	if err := s.writeFile(logName(s.prefix, inactive)); err != nil {
@@ -89,9 +92,9 @@
 	return s.writeFile(slotName(s.prefix, inactive))
 }
 
-// truncateTornSlot empties the inactive slot if a Compact was interrupted in it. The writes of that Compact may not be
-// durable yet: mixed with those of the next Compact, which has the same sequence, a loss of power could make a valid
-// slot of them.
+// truncateTornSlot empties the inactive slot if a Compact was interrupted in it. The writes of that Compact
+// may not be durable yet: mixed with those of the next Compact, which has the same sequence, a loss of power
+// could make a valid slot of them.
 func (s *Store) truncateTornSlot(files *storeFiles) error {
 	inactive := 1 - s.active
 	if files.slots[inactive].valid {
--- a/coord/slots/recover.go
+++ b/coord/slots/recover.go
@@ -108,7 +108,8 @@
 	return newest
 }
 
-// recover returns the state on the disk and the number of the slot that it starts from, or -1 if there is none.
+// recover returns the state on the disk and the number of the slot that it starts from, or -1 if there is
+// none.
 func (f *storeFiles) recover() (Recovered, int) {
 	active := f.newestSlot()
 	if active < 0 {
@@ -121,8 +122,8 @@
 	if !f.slots[inactive].valid && !f.slots[inactive].empty {
 		recovered.addFinding(slotName(f.prefix, inactive), 0, "torn or damaged snapshot", false)
 	}
-	// Batches are appended to a log only after its slot was synced: if there are some above the newest valid slot, a
-	// newer slot was acknowledged and has been lost.
+	// Batches are appended to a log only after its slot was synced: if there are some above the newest valid
+	// slot, a newer slot was acknowledged and has been lost.
 	if f.logs[inactive].valid && f.logs[inactive].sequence > sequence && f.logs[inactive].batches > 0 {
 		recovered.addFinding(slotName(f.prefix, inactive), 0, "damaged snapshot that records follow", true)
 		recovered.Records = append(recovered.Records, f.logs[inactive].records...)
@@ -130,7 +131,8 @@
 	return recovered, active
 }
 
-// recoverWithoutSlot returns the state if no slot is valid. Records without the snapshot that they follow are useless.
+// recoverWithoutSlot returns the state if no slot is valid. Records without the snapshot that they follow are
+// useless.
 func (f *storeFiles) recoverWithoutSlot() Recovered {
 	var recovered Recovered
 	for number, log := range f.logs {
--- a/coord/slots/store.go
+++ b/coord/slots/store.go
@@ -15,19 +15,21 @@
 	Prefix string
 }
 
-// Store is an open store. Its methods may be called by several goroutines at once; they run one after the other.
+// Store is an open store. Its methods may be called by several goroutines at once; they run one after the
+// other.
 type Store struct {
 	fs     FS
 	prefix string
 
-	// mutex guards all fields below. It is held during writes and syncs, which makes the order of the batches on disk
-	// that of the calls.
+	// mutex guards all fields below. It is held during writes and syncs, which makes the order of the batches
+	// on disk that of the calls.
 	mutex sync.Mutex
 	// active is the number of the slot and log that hold the state: 0 or 1.
 	active int
 	// sequence is that of the active slot and log.
 	sequence uint64
-	// log is the active log, nil once closed. Its first logSize bytes are valid and synced, and hold this many batches.
+	// log is the active log, nil once closed. Its first logSize bytes are valid and synced, and hold this
+	// many batches.
 	log     File
 	logSize int64
 	batches uint32
@@ -38,8 +40,9 @@
 	closed    bool
 }
 
-// Append stores records behind all earlier ones, all or none of them. They are durable when it returns nil. After
-// ErrUncertain it is unknown whether they are stored; after any other error, such as ErrDiskFull, none is.
+// Append stores records behind all earlier ones, all or none of them. They are durable when it returns nil.
+// After ErrUncertain it is unknown whether they are stored; after any other error, such as ErrDiskFull, none
+// is.
 func (s *Store) Append(records ...[]byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,8 +79,8 @@
 	return s.uncertain
 }
 
-// undoAppend truncates the log to what was valid before a failed append, and returns the error of the append. Without
-// this a batch that was reported as failed could be found by the next Open.
+// undoAppend truncates the log to what was valid before a failed append, and returns the error of the append.
+// Without this a batch that was reported as failed could be found by the next Open.
 func (s *Store) undoAppend(cause error) error {
 	err := s.log.Truncate(s.logSize)
 	if err == nil {
@@ -90,7 +93,8 @@
 	return fmt.Errorf("slots: append: %w", markDiskFull(cause))
 }
 
-// LogBytes returns the size in bytes of the log since the last Compact, by which the caller decides when to compact.
+// LogBytes returns the size in bytes of the log since the last Compact, by which the caller decides when to
+// compact.
 func (s *Store) LogBytes() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,8 +114,8 @@
 	return err
 }
 
-// closeLog closes the active log, if it is open. All that matters in it is synced, so that an error of Close means
-// nothing.
+// closeLog closes the active log, if it is open. All that matters in it is synced, so that an error of Close
+// means nothing.
 func (s *Store) closeLog() {
 	if s.log != nil {
 		_ = s.log.Close()
@@ -119,7 +123,8 @@
 	}
 }
 
-// writeFile replaces the contents of a file by these parts and syncs it. Without parts the file becomes empty.
+// writeFile replaces the contents of a file by these parts and syncs it. Without parts the file becomes
+// empty.
 func (s *Store) writeFile(name string, parts ...[]byte) error {
 	file, err := s.fs.Create(name)
 	if err != nil {
--- a/coord/slots/wipe.go
+++ b/coord/slots/wipe.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Wipe removes a store, so that the next Open finds none. A crash within it leaves no store, the same state as
-// before, or one that Open reports as ErrCorrupt, but never an older state: the older slot is truncated first, and
-// the logs only after both slots, so that their records still show that state is missing.
+// Wipe removes a store, so that the next Open finds none. A crash within it leaves no store, the same state
+// as before, or one that Open reports as ErrCorrupt, but never an older state: the older slot is truncated
+// first, and the logs only after both slots, so that their records still show that state is missing.
 func Wipe(fs FS, options Options) error {
 	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
--- a/coord/transport/buffer.go
+++ b/coord/transport/buffer.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not hold memory
-// on.
+// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not hold
+// memory on.
 const maxPooledBuffer = 1 << 20
 
-// buffer is memory for frames. A connection holds one only while it has frames in it, so that idle connections cost
-// little. The zero pointer is an empty buffer.
+// buffer is memory for frames. A connection holds one only while it has frames in it, so that idle
+// connections cost little. The zero pointer is an empty buffer.
 type buffer struct{ data []byte }
 
 // bufferPool holds the buffers that no connection uses.
--- a/coord/transport/call.go
+++ b/coord/transport/call.go
@@ -12,8 +12,8 @@
 	failure error
 }
 
-// clientLink is a link with the calls that wait for a reply on it. Call numbers belong to one connection: a reply can't
-// reach a call of an earlier one.
+// clientLink is a link with the calls that wait for a reply on it. Call numbers belong to one connection: a
+// reply can't reach a call of an earlier one.
 type clientLink struct {
 	*link
 
@@ -29,9 +29,9 @@
 
 // call sends a request and waits for its outcome.
 //
-// Without a reply the error says whether the request may have been handled. It can't have been if its frame was never
-// handed to the network. That is final only once the link has ended, because until then the writer may still take it:
-// a call that is given up earlier, by its context, is always uncertain.
+// Without a reply the error says whether the request may have been handled. It can't have been if its frame
+// was never handed to the network. That is final only once the link has ended, because until then the writer
+// may still take it: a call that is given up earlier, by its context, is always uncertain.
 func (c *clientLink) call(ctx context.Context, message any) (any, error) {
 	number, answer := c.registerCall()
 	defer c.removeCall(number)
@@ -57,8 +57,8 @@
 	return nil, notConnectedError(c.endCause())
 }
 
-// registerCall returns an unused number for a call, and the channel of its result. Numbers wrap around after 2^32
-// calls.
+// registerCall returns an unused number for a call, and the channel of its result. Numbers wrap around after
+// 2^32 calls.
 func (c *clientLink) registerCall() (uint32, chan callResult) {
 	answer := make(chan callResult, 1)
 	c.callMutex.Lock()
@@ -96,7 +96,8 @@
 	}
 }
 
-// readLoop passes replies to calls, and one-way messages to onPush, until the connection ends. It returns why it ended.
+// readLoop passes replies to calls, and one-way messages to onPush, until the connection ends. It returns why
+// it ended.
 func (c *clientLink) readLoop(onPush func(message any)) error {
 	for {
 		received, message, err := c.receive()
--- a/coord/transport/certainty_test.go
+++ b/coord/transport/certainty_test.go
@@ -15,8 +15,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// disconnectingProxy passes bytes between clients and a server, and ends every connection after a random number of
-// them.
+// disconnectingProxy passes bytes between clients and a server, and ends every connection after a random
+// number of them.
 func disconnectingProxy(t testing.TB, address string, seed uint64) net.Listener {
 	listener := listen(t)
 	random := rand.New(rand.NewPCG(seed, seed))
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Waits between attempts to connect. A wait is between half of the backoff and all of it, so that the clients of a
-// server that restarted don't come back at once. The backoff doubles with each attempt, and starts again after a
-// connection that lasted longer than maxBackoff.
+// Waits between attempts to connect. A wait is between half of the backoff and all of it, so that the clients
+// of a server that restarted don't come back at once. The backoff doubles with each attempt, and starts again
+// after a connection that lasted longer than maxBackoff.
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// Client keeps one connection to an address, and connects again whenever it ends, until it is closed. Its methods may
-// be called by several goroutines at once.
+// Client keeps one connection to an address, and connects again whenever it ends, until it is closed. Its
+// methods may be called by several goroutines at once.
 type Client struct {
 	address string
 	options Options
@@ -31,10 +31,10 @@
 	remote  atomic.Pointer[Identity]   // of the last connection
 }
 
-// NewClient starts to connect to an address. onPush takes the one-way messages of the server, onState the beginning and
-// end of each connection; both may be nil. They are called in order on the goroutine that reads the connection: they
-// must return soon and must not wait for a Call of the same client. onState(true) comes before the first push of a
-// connection, onState(false) after the last.
+// NewClient starts to connect to an address. onPush takes the one-way messages of the server, onState the
+// beginning and end of each connection; both may be nil. They are called in order on the goroutine that reads
+// the connection: they must return soon and must not wait for a Call of the same client. onState(true) comes
+// before the first push of a connection, onState(false) after the last.
 func NewClient(address string, options Options, onPush func(message any), onState func(connected bool)) *Client {
 	if onPush == nil {
 		onPush = func(any) {}
@@ -55,9 +55,10 @@
 	return c
 }
 
-// Call sends a request and waits for its reply. The request is sent at most once: Call never repeats it. Its errors
-// tell whether the request may have been handled, as the package comment says: ErrNotConnected, ErrQueueFull,
-// ErrFrameTooLarge, ErrEncode (it was not sent), ErrUncertain, or a *RemoteError (the handler's answer).
+// Call sends a request and waits for its reply. The request is sent at most once: Call never repeats it. Its
+// errors tell whether the request may have been handled, as the package comment says: ErrNotConnected,
+// ErrQueueFull, ErrFrameTooLarge, ErrEncode (it was not sent), ErrUncertain, or a *RemoteError (the handler's
+// answer).
 func (c *Client) Call(ctx context.Context, message any) (any, error) {
 	current := c.current.Load()
 	if current == nil {
@@ -69,8 +70,8 @@
 	return current.call(ctx, message)
 }
 
-// Send queues a one-way message. Messages over one connection arrive in the order of the calls. The error is one of
-// ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that it arrived.
+// Send queues a one-way message. Messages over one connection arrive in the order of the calls. The error is
+// one of ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that it arrived.
 func (c *Client) Send(message any) error {
 	current := c.current.Load()
 	if current == nil {
@@ -80,7 +81,8 @@
 	return err
 }
 
-// Connected reports whether there is a connection, as far as is known: that of a dead peer ends only after a time-out.
+// Connected reports whether there is a connection, as far as is known: that of a dead peer ends only after a
+// time-out.
 func (c *Client) Connected() bool {
 	return c.current.Load() != nil
 }
--- a/coord/transport/codec.go
+++ b/coord/transport/codec.go
@@ -16,12 +16,12 @@
 	maxTypes = 4096
 )
 
-// encoder encodes the messages of one direction of a connection. It remembers which types the peer knows, so that names
-// and gob descriptions of types are sent once.
+// encoder encodes the messages of one direction of a connection. It remembers which types the peer knows, so
+// that names and gob descriptions of types are sent once.
 type encoder struct {
 	out         *buffer // to append to; set by the caller before each message
 	gob         *gob.Encoder
-	typeNumbers map[reflect.Type]uint64 // those that the peer knows, numbered from 1 in the order of their first use
+	typeNumbers map[reflect.Type]uint64 // those that the peer knows; from 1, in order of first use
 	// resetPeer is true until a message has been encoded: with the next frame the peer must forget all types.
 	resetPeer bool
 }
@@ -84,7 +84,8 @@
 	return nil
 }
 
-// decoder decodes the messages of one direction of a connection. It remembers the types that the peer has named.
+// decoder decodes the messages of one direction of a connection. It remembers the types that the peer has
+// named.
 type decoder struct {
 	in    *bytes.Reader // the payload that is being decoded
 	gob   *gob.Decoder
--- a/coord/transport/dial_faultinjection.go
+++ b/coord/transport/dial_faultinjection.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/coord/transport/partition"
 )
 
-// dialTCP opens a TCP connection, which obeys injected partitions if the environment names a file of them. It is the
-// default of Options.Dial.
+// dialTCP opens a TCP connection, which obeys injected partitions if the environment names a file of them. It
+// is the default of Options.Dial.
 var dialTCP = sync.OnceValue(func() func(context.Context, string) (net.Conn, error) {
 	path := os.Getenv(partition.EnvFile)
 	if path == "" {
--- a/coord/transport/errors.go
+++ b/coord/transport/errors.go
@@ -7,21 +7,23 @@
 
 // Errors of messages. ErrUncertain alone leaves open whether the message may have been handled.
 var (
-	// ErrNotConnected reports that there was no connection, or that it ended before any byte of the message was
-	// handed to the network. The message has not been handled and will not be.
+	// ErrNotConnected reports that there was no connection, or that it ended before any byte of the message
+	// was handed to the network. The message has not been handled and will not be.
 	ErrNotConnected = errors.New("transport: not connected, nothing was sent")
-	// ErrUncertain reports that the message was sent, or may still be, and no reply came: it may have been handled.
+	// ErrUncertain reports that the message was sent, or may still be, and no reply came: it may have been
+	// handled.
 	ErrUncertain = errors.New("transport: sent without a reply, may have been handled")
 	// ErrQueueFull reports that too many messages wait to be sent. The message was not queued.
 	ErrQueueFull = errors.New("transport: send queue is full")
 	// ErrFrameTooLarge reports a message over Options.MaxFrame. Sent by a peer, it ends the connection.
 	ErrFrameTooLarge = errors.New("transport: frame too large")
-	// ErrEncode reports a message that can't be encoded, such as one of an unregistered type. It was not sent.
+	// ErrEncode reports a message that can't be encoded, such as one of an unregistered type. It was not
+	// sent.
 	ErrEncode = errors.New("transport: message cannot be encoded")
 )
 
-// Errors that end a connection, or reject a peer. They are passed to Options.Log, and wrapped by the errors of the
-// messages that were lost with the connection.
+// Errors that end a connection, or reject a peer. They are passed to Options.Log, and wrapped by the errors
+// of the messages that were lost with the connection.
 var (
 	// ErrCorrupt reports bytes that are no frame, or no value of a registered type.
 	ErrCorrupt = errors.New("transport: corrupt frame")
@@ -41,12 +43,12 @@
 	ErrClosed = errors.New("transport: closed")
 )
 
-// CodeBusy is the code of a RemoteError for a request that was not passed to the handler, because Options.Queue
-// requests of the session were in flight.
+// CodeBusy is the code of a RemoteError for a request that was not passed to the handler, because
+// Options.Queue requests of the session were in flight.
 const CodeBusy = "busy"
 
-// RemoteError is the error that a handler returned for a request, as its caller gets it. It is a message itself: its
-// fields are part of the wire format.
+// RemoteError is the error that a handler returned for a request, as its caller gets it. It is a message
+// itself: its fields are part of the wire format.
 type RemoteError struct {
 	// Code classifies the error for programs. It is empty unless the handler's error wraps one of NewError.
 	Code string
@@ -62,8 +64,8 @@
 	return e.Code + ": " + e.Text
 }
 
-// NewError returns an error for handlers that reaches the caller of Client.Call as a RemoteError with this code and
-// text.
+// NewError returns an error for handlers that reaches the caller of Client.Call as a RemoteError with this
+// code and text.
 func NewError(code, text string) error {
 	return &RemoteError{Code: code, Text: text}
 }
--- a/coord/transport/frame.go
+++ b/coord/transport/frame.go
@@ -22,8 +22,8 @@
 	frameResetBit = 0x80
 	// frameHeaderSize is the size in bytes of length, kind and call number.
 	frameHeaderSize = 4 + 1 + 4
-	// readChunk bounds the memory in bytes that a frame takes by its claimed length alone, before any of it has
-	// arrived.
+	// readChunk bounds the memory in bytes that a frame takes by its claimed length alone, before any of it
+	// has arrived.
 	readChunk = 256 << 10
 )
 
--- a/coord/transport/golden_test.go
+++ b/coord/transport/golden_test.go
@@ -11,15 +11,17 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// init makes RemoteError the first type that gob meets in this process. gob numbers types in the order of their first
-// use, so the number in the recorded frame would otherwise depend on which tests ran before TestGolden.
+// init makes RemoteError the first type that gob meets in this process. gob numbers types in the order of
+// their first use, so the number in the recorded frame would otherwise depend on which tests ran before
+// TestGolden.
 func init() {
 	if err := gob.NewEncoder(io.Discard).Encode(RemoteError{}); err != nil {
 		panic(err)
 	}
 }
 
-// TestGolden compares hellos and frames byte by byte with those that an earlier version sent, and reads those.
+// TestGolden compares hellos and frames byte by byte with those that an earlier version sent, and reads
+// those.
 func TestGolden(t *testing.T) {
 	var identity Identity
 	golden.Fill(&identity)
@@ -58,8 +60,8 @@
 	}
 }
 
-// TestRegisterNamed checks that a message is sent under the name that it was registered with, also as the value of an
-// interface.
+// TestRegisterNamed checks that a message is sent under the name that it was registered with, also as the
+// value of an interface.
 func TestRegisterNamed(t *testing.T) {
 	type renamed struct{ Number int }
 	RegisterNamed(NamedType{Name: "earlier/package.Name", Sample: renamed{}})
--- a/coord/transport/handshake.go
+++ b/coord/transport/handshake.go
@@ -67,8 +67,8 @@
 	return peer, connection.SetDeadline(time.Time{})
 }
 
-// checkPeer decides whether to accept a peer, by its system and by Options.Admit. It returns the status that is
-// sent to the peer, and the error for this side if the peer is rejected.
+// checkPeer decides whether to accept a peer, by its system and by Options.Admit. It returns the status that
+// is sent to the peer, and the error for this side if the peer is rejected.
 func (o *Options) checkPeer(peer Identity) (helloStatus, error) {
 	if peer.System != o.Identity.System {
 		return helloOtherSystem, fmt.Errorf("%w: %q", ErrSystemMismatch, peer.System)
--- a/coord/transport/heartbeat.go
+++ b/coord/transport/heartbeat.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxMissedHeartbeats is the number of heartbeats without a byte after which a peer counts as dead. With three, one
-	// ping may be late by two heartbeats.
+	// maxMissedHeartbeats is the number of heartbeats without a byte after which a peer counts as dead. With
+	// three, one ping may be late by two heartbeats.
 	maxMissedHeartbeats = 3
-	// pauseGrace is how long a read is tried again after its deadline: if this process itself was paused, the peer's
-	// bytes may have arrived meanwhile and wait in the socket.
+	// pauseGrace is how long a read is tried again after its deadline: if this process itself was paused, the
+	// peer's bytes may have arrived meanwhile and wait in the socket.
 	pauseGrace = 20 * time.Millisecond
 )
 
@@ -74,8 +74,8 @@
 	return r.connection.Read(buffer)
 }
 
-// classifyReadError returns ErrHeartbeatTimeout for a read whose deadline passed, and says where in the stream of
-// frames the connection ended.
+// classifyReadError returns ErrHeartbeatTimeout for a read whose deadline passed, and says where in the
+// stream of frames the connection ended.
 func classifyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("%w: %w", ErrHeartbeatTimeout, err)
--- a/coord/transport/hello.go
+++ b/coord/transport/hello.go
@@ -34,7 +34,8 @@
 	identity  Identity
 }
 
-// write sends the hello with one write. It returns ErrFrameTooLarge for an identity that doesn't fit maxHello.
+// write sends the hello with one write. It returns ErrFrameTooLarge for an identity that doesn't fit
+// maxHello.
 func (h hello) write(out io.Writer) error {
 	body := []byte{byte(h.status)}
 	body = binary.BigEndian.AppendUint32(body, milliseconds(h.heartbeat))
@@ -79,7 +80,8 @@
 	return parseHello(body)
 }
 
-// parseHello parses the body of a hello. Bytes after the identity are ignored, so that later versions may append some.
+// parseHello parses the body of a hello. Bytes after the identity are ignored, so that later versions may
+// append some.
 func parseHello(body []byte) (hello, error) {
 	if len(body) < 5 {
 		return hello{}, fmt.Errorf("%w: short hello", ErrCorrupt)
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -126,7 +126,7 @@
 	})
 }
 
-// silentServer completes the handshake with every client and then sends nothing.
+// unresponsiveServer completes the handshake with every client and then sends nothing.
 func unresponsiveServer(t testing.TB, handshakes *atomic.Int64) net.Listener {
 	listener := listen(t)
 	go func() {
--- a/coord/transport/injected_bugs.go
+++ b/coord/transport/injected_bugs.go
@@ -4,5 +4,5 @@
 type injectedBugs struct {
 	replyToAnyCall      bool // a reply goes to any call that waits
 	neverUncertain      bool // a call counts as not sent whenever its connection ended
-	handedOffAfterWrite bool // a frame counts as handed to the network once it has been written, instead of before
+	handedOffAfterWrite bool // a frame counts as handed off after its write, not before
 }
--- a/coord/transport/link.go
+++ b/coord/transport/link.go
@@ -12,8 +12,8 @@
 // connection: long payloads are read past it.
 const readBufferSize = 4 << 10
 
-// link is one connection after its handshake, the same at both ends: a queue of encoded frames with its writer
-// (send_queue.go, writer.go), a reader, and pings (heartbeat.go).
+// link is one connection after its handshake, the same at both ends: a queue of encoded frames with its
+// writer (send_queue.go, writer.go), a reader, and pings (heartbeat.go).
 //
 // One goroutine reads (receive) and one writes (writeLoop). Any goroutine may send, close or end.
 type link struct {
@@ -24,17 +24,18 @@
 	reader     frameReader   // for the reading goroutine only, like decoder
 	decoder    *decoder
 	done       chan struct{} // closed once the link has ended
-	wake       chan struct{} // tells the writer of pending frames; has a buffer of one, so that no wake-up is lost
+	wake       chan struct{} // signals pending frames to the writer; a buffer of one keeps any wake-up
 
-	// mutex guards all fields below. It is held while a message is encoded, which makes the order of the frames that of
-	// the calls, but never during a write.
+	// mutex guards all fields below. It is held while a message is encoded, which makes the order of the
+	// frames that of the calls, but never during a write.
 	mutex sync.Mutex
 	// encoder's buffer holds the pending frames: those that are queued and not yet taken by the writer.
 	encoder       *encoder
 	pendingFrames int
-	// queued, dequeued and handedOff count frames since the connection began: those that were ever queued, taken by
-	// the writer, and perhaps handed to the network. Frames are numbered from 1 in this order, so that a frame with a
-	// number above handedOff has surely not been sent: this is what the certainty of calls rests on.
+	// queued, dequeued and handedOff count frames since the connection began: those that were ever queued,
+	// taken by the writer, and perhaps handed to the network. Frames are numbered from 1 in this order, so
+	// that a frame with a number above handedOff has surely not been sent: this is what the certainty of
+	// calls rests on.
 	queued    uint64
 	dequeued  uint64
 	handedOff uint64
@@ -43,7 +44,8 @@
 	writing bool
 	// capacityFreed is closed when the writer next takes frames; nil while no sender waits for that.
 	capacityFreed chan struct{}
-	// writerStalled is true after a sender has waited in vain, until the writer takes frames: other senders don't wait.
+	// writerStalled is true from when a sender has waited for capacity without success until the writer takes
+	// frames: meanwhile other senders don't wait.
 	writerStalled bool
 	// closing is set by close: what is pending is written, then the link ends.
 	closing bool
--- a/coord/transport/options.go
+++ b/coord/transport/options.go
@@ -15,7 +15,8 @@
 	DefaultQueue        = 256 // messages
 )
 
-// Identity names one incarnation of one machine of one system. It is sent in the handshake, and not authenticated.
+// Identity names one incarnation of one machine of one system. It is sent in the handshake, and not
+// authenticated.
 type Identity struct {
 	// System tells systems apart: peers of different ones reject each other.
 	System string
@@ -36,40 +37,43 @@
 	// Identity is sent to every peer. Peers whose Identity.System differs reject each other.
 	Identity Identity
 
-	// MaxFrame bounds one encoded message in bytes, in both directions. A larger one isn't sent (ErrFrameTooLarge), and
-	// one that a peer sends ends the connection: both sides need the same value. It also bounds the memory of a
-	// connection: up to twice as many bytes wait to be sent, three times with replies, besides those that are being
-	// written. Default 8 MiB.
+	// MaxFrame bounds one encoded message in bytes, in both directions. A larger one isn't sent
+	// (ErrFrameTooLarge), and one that a peer sends ends the connection: both sides need the same value. It
+	// also bounds the memory of a connection: up to twice as many bytes wait to be sent, three times with
+	// replies, besides those that are being written. Default 8 MiB.
 	MaxFrame int
 
-	// Queue bounds the messages that wait to be sent on one connection, and the requests of one session that are in
-	// their handlers at once. A message beyond it is rejected (ErrQueueFull, CodeBusy) instead of waiting, so that a
-	// slow peer costs its senders no memory and no time. A larger value takes larger bursts. Default 256 messages.
+	// Queue bounds the messages that wait to be sent on one connection, and the requests of one session that
+	// are in their handlers at once. A message beyond it is rejected (ErrQueueFull, CodeBusy) instead of
+	// waiting, so that a slow peer costs its senders no memory and no time. A larger value takes larger
+	// bursts. Default 256 messages.
 	Queue int
 
 	// Dial opens a connection to an address. Nil dials TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	// DialTimeout bounds the opening of a connection. After it a client waits for its backoff and dials again, so
-	// that a long time-out delays the first connection to a machine that comes back. Default 500 ms.
+	// DialTimeout bounds the opening of a connection. After it a client waits for its backoff and dials
+	// again, so that a long time-out delays the first connection to a machine that comes back. Default 500
+	// ms.
 	DialTimeout time.Duration
 
 	// WriteTimeout bounds a write without progress. A peer that reads nothing for so long is disconnected
 	// (ErrWriteTimeout). It also bounds how long a closed connection writes what is pending. Default 1 s.
 	WriteTimeout time.Duration
 
-	// UserTimeout is TCP_USER_TIMEOUT (RFC 5482): how long sent data may go without acknowledgement before the kernel
-	// ends the connection. The kernel's own retransmission would go on for some 15 minutes. A short time-out finds a
-	// dead machine soon, and takes a short partition for one. Default 1.5 s.
+	// UserTimeout is TCP_USER_TIMEOUT (RFC 5482): how long sent data may go without acknowledgement before
+	// the kernel ends the connection. The kernel's own retransmission would go on for some 15 minutes. A
+	// short time-out finds a dead machine soon, and takes a short partition for one. Default 1.5 s.
 	UserTimeout time.Duration
 
-	// Heartbeat is the longest time without sending anything: after it a ping is sent. A connection on which nothing
-	// was received for three heartbeats ends (ErrHeartbeatTimeout). The two sides use the shorter heartbeat of
-	// theirs. Zero takes that of the peer; if neither side has one, no connection ends for want of traffic. In whole
-	// milliseconds, at most one hour; default zero.
+	// Heartbeat is the longest time without sending anything: after it a ping is sent. A connection on which
+	// nothing was received for three heartbeats ends (ErrHeartbeatTimeout). The two sides use the shorter
+	// heartbeat of theirs. Zero takes that of the peer; if neither side has one, no connection ends for want
+	// of traffic. In whole milliseconds, at most one hour; default zero.
 	Heartbeat time.Duration
 
-	// Admit, if set, rejects a peer by returning an error. It runs in the handshake, after the check of the system.
+	// Admit, if set, rejects a peer by returning an error. It runs in the handshake, after the check of the
+	// system.
 	Admit func(Identity) error
 
 	// Log, if set, receives what happens to connections: an event, its error or nil, and the peer's address
--- a/coord/transport/partition/connection.go
+++ b/coord/transport/partition/connection.go
@@ -16,7 +16,7 @@
 type Dialer struct {
 	// Partitions knows which links are partitioned.
 	Partitions *Watcher
-	// Host is the own host, as the watched file names it.
+	// Host is the host of this process, as the watched file names it.
 	Host string
 	// Dial opens the underlying connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -55,25 +55,28 @@
 	closeOnce  sync.Once
 	closed     chan struct{} // closed by Close
 
-	// mutex guards the fields below. The deadlines are those that the caller set, zero for none: they also bound the
-	// waits for a link to heal, of which the underlying connection knows nothing.
+	// mutex guards the fields below. The deadlines are those that the caller set, zero for none: they also
+	// bound the waits for a link to heal, of which the underlying connection knows nothing.
 	mutex         sync.Mutex
 	interrupted   bool // Close has set deadlines of its own, which must stay
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
-// Read returns what has arrived, once the inbound link isn't partitioned. The end of the connection waits likewise.
+// Read returns what has arrived, once the inbound link isn't partitioned. The end of the connection waits
+// likewise.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.partitions.awaitHealed(c.inbound, c.closed, c.loadReadDeadline) {
 		return n, err
 	}
-	// The bytes that were read are lost. A caller that went on after a deadline would miss them: the connection ends.
+	// The bytes that were read are lost. A caller that went on after a deadline would miss them: the
+	// connection ends.
 	return 0, c.timeOut()
 }
 
-// Write sends bytes once the outbound link isn't partitioned. After UserTimeout, or its deadline, the connection ends.
+// Write sends bytes once the outbound link isn't partitioned. After UserTimeout, or its deadline, the
+// connection ends.
 func (c *connection) Write(p []byte) (int, error) {
 	unacknowledgedUntil := time.Now().Add(UserTimeout)
 	deadline := func() time.Time {
@@ -88,13 +91,14 @@
 	return c.Conn.Write(p)
 }
 
-// timeOut ends the connection and returns the error of TCP whose data stays without acknowledgement.
+// timeOut ends the connection and returns the error that TCP returns after TCP_USER_TIMEOUT.
 func (c *connection) timeOut() error {
 	c.Close()
 	return syscall.ETIMEDOUT
 }
 
-// Close ends the connection on this side at once. The other end sees that only once the outbound link has healed.
+// Close ends the connection on this side at once. The other end sees that only once the outbound link has
+// healed.
 func (c *connection) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
