--- a/coord/transport/partition/partition.go
+++ b/coord/transport/partition/partition.go
@@ -16,7 +16,8 @@
 	EnvHost = "SPRUCELANE_CUT_HOST"
 )
 
-// pollInterval is how often the file is read, and how often waiting traffic checks whether its link has healed.
+// pollInterval is how often the file is read, and how often waiting traffic checks whether its link has
+// healed.
 const pollInterval = 20 * time.Millisecond
 
 // Link is one direction between two hosts.
@@ -50,7 +51,8 @@
 	}
 }
 
-// reload reads the file. If it can't be read, for instance before the test has written it, nothing is partitioned.
+// reload reads the file. If it can't be read, for instance before the test has written it, nothing is
+// partitioned.
 func (w *Watcher) reload() {
 	text, _ := os.ReadFile(w.path)
 	links := map[Link]bool{}
@@ -65,8 +67,8 @@
 // Partitioned reports whether a link is partitioned.
 func (w *Watcher) Partitioned(link Link) bool { return (*w.partitioned.Load())[link] }
 
-// awaitHealed waits until a link isn't partitioned. It returns false if done is closed or the deadline passes before.
-// The deadline is asked for again and again, since it may change meanwhile; a zero one never passes.
+// awaitHealed waits until a link isn't partitioned. It returns false if done is closed or the deadline passes
+// before. The deadline is asked for again and again, since it may change meanwhile; a zero one never passes.
 func (w *Watcher) awaitHealed(link Link, done <-chan struct{}, deadline func() time.Time) bool {
 	for w.Partitioned(link) {
 		if at := deadline(); !at.IsZero() && !time.Now().Before(at) {
--- a/coord/transport/partition/partition_test.go
+++ b/coord/transport/partition/partition_test.go
@@ -13,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The hosts of the test's links. A file may name any host as the own one.
+// The hosts of the test's links. The process under test may be any of them.
 const (
 	here  = "10.0.0.1"
 	there = "127.0.0.1"
@@ -67,7 +67,8 @@
 	r.t.Cleanup(func() { r.near.Close(); r.far.Close() })
 }
 
-// partition writes the file, with the only links that are partitioned from now on, and waits until it is read.
+// partition writes the file, with the only links that are partitioned from now on, and waits until it is
+// read.
 func (r *rig) partition(links ...Link) {
 	text := ""
 	for _, link := range links {
--- a/coord/transport/registry.go
+++ b/coord/transport/registry.go
@@ -16,7 +16,8 @@
 }
 
 var (
-	// registered is the present table. Encoders and decoders read it without a lock; it is replaced as a whole.
+	// registered is the present table. Encoders and decoders read it without a lock; it is replaced as a
+	// whole.
 	registered atomic.Pointer[registry]
 	// registeredMutex serializes the replacements.
 	registeredMutex sync.Mutex
@@ -35,9 +36,9 @@
 	Sample any
 }
 
-// RegisterNamed registers types of messages under names of their own, and with gob as values of interface fields. Both
-// sides must have registered a type under the same name before it is sent. It may be called again with the same types
-// and names, and panics if a name or a type is taken by another one.
+// RegisterNamed registers types of messages under names of their own, and with gob as values of interface
+// fields. Both sides must have registered a type under the same name before it is sent. It may be called
+// again with the same types and names, and panics if a name or a type is taken by another one.
 func RegisterNamed(types ...NamedType) {
 	registeredMutex.Lock()
 	defer registeredMutex.Unlock()
@@ -49,9 +50,9 @@
 	registered.Store(next)
 }
 
-// Register registers the types of the values as RegisterNamed does, each under its import path and name. It is for
-// messages that are never exchanged with another version of the program, in which a type may have been renamed or
-// moved.
+// Register registers the types of the values as RegisterNamed does, each under its import path and name. It
+// is for messages that are never exchanged with another version of the program, in which a type may have been
+// renamed or moved.
 func Register(values ...any) {
 	types := make([]NamedType, 0, len(values))
 	for _, value := range values {
--- a/coord/transport/send_queue.go
+++ b/coord/transport/send_queue.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// capacityWait is how long a message waits for capacity in the queue. It only has to cover the scheduling of the
-// writer's goroutine.
+// capacityWait is how long a message waits for capacity in the queue. It only has to cover the scheduling of
+// the writer's goroutine.
 const capacityWait = 5 * time.Millisecond
 
 // send queues a message and returns the number of its frame.
@@ -19,9 +19,9 @@
 	return number, err
 }
 
-// awaitCapacity gives the writer a short while to take what is pending: with few processors it may just not have been
-// scheduled since a burst of messages. It returns false if the writer didn't, and from then on without waiting until it
-// does: a peer that reads nothing must not slow down each sender.
+// awaitCapacity gives the writer a short while to take what is pending: with few processors it may just not
+// have been scheduled since a burst of messages. It returns false if the writer didn't, and from then on
+// without waiting until it does: a peer that reads nothing must not slow down each sender.
 func (l *link) awaitCapacity() bool {
 	l.mutex.Lock()
 	if l.writerStalled || l.cause != nil {
@@ -70,8 +70,9 @@
 	return l.queued, nil
 }
 
-// isFull reports whether there is no capacity for a frame. Replies have capacity of their own, since the requests in
-// flight are bounded already, and a reply that can't be sent costs the connection. The caller holds the mutex.
+// isFull reports whether there is no capacity for a frame. Replies have capacity of their own, since the
+// requests in flight are bounded already, and a reply that can't be sent costs the connection. The caller
+// holds the mutex.
 func (l *link) isFull(kind frameKind) bool {
 	bytes := l.encoder.out.len()
 	if kind == frameReply || kind == frameFailure {
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -14,12 +14,12 @@
 
 // Handler handles the messages of a session. The context ends with the session.
 //
-// Requests (Client.Call) each run on a goroutine of their own, up to Options.Queue at once in a session. The reply or
-// the error goes back to the caller, the error as a RemoteError; see NewError for one with a code.
+// Requests (Client.Call) each run on a goroutine of their own, up to Options.Queue at once in a session. The
+// reply or the error goes back to the caller, the error as a RemoteError; see NewError for one with a code.
 //
-// One-way messages (Client.Send) run in order on the goroutine that reads the connection: the handler must return soon
-// from them, and must not wait there for other messages of the same session. Their replies are dropped and their errors
-// are logged.
+// One-way messages (Client.Send) run in order on the goroutine that reads the connection: the handler must
+// return soon from them, and must not wait there for other messages of the same session. Their replies are
+// dropped and their errors are logged.
 type Handler func(ctx context.Context, session *Session, message any) (reply any, err error)
 
 // Server accepts connections and serves their messages.
@@ -29,8 +29,8 @@
 	handler  Handler
 	done     chan struct{}
 
-	// mutex guards the fields below. Each connection is in one of the sets until it ends, and none is added once closed
-	// is true, so that Close reaches all of them.
+	// mutex guards the fields below. Each connection is in one of the sets until it ends, and none is added
+	// once closed is true, so that Close reaches all of them.
 	mutex       sync.Mutex
 	closed      bool
 	handshaking map[net.Conn]struct{}
@@ -56,8 +56,8 @@
 	return s.listener.Addr()
 }
 
-// Close ends the listener and all sessions, and waits for the connections to end. Messages that were queued are still
-// written, within Options.WriteTimeout. It doesn't wait for handlers that run; their contexts end.
+// Close ends the listener and all sessions, and waits for the connections to end. Messages that were queued
+// are still written, within Options.WriteTimeout. It doesn't wait for handlers that run; their contexts end.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	if s.closed {
--- a/coord/transport/session.go
+++ b/coord/transport/session.go
@@ -47,8 +47,8 @@
 	s.link.close()
 }
 
-// OnClose registers a function to call after the session has ended, or calls it at once if it has. Functions run in the
-// order of the calls.
+// OnClose registers a function to call after the session has ended, or calls it at once if it has. Functions
+// run in the order of the calls.
 func (s *Session) OnClose(run func()) {
 	s.mutex.Lock()
 	if !s.finished {
@@ -93,8 +93,8 @@
 	}
 }
 
-// handleRequest runs the handler for a request on a goroutine of its own, or rejects the request with CodeBusy if
-// Options.Queue of them run already.
+// handleRequest runs the handler for a request on a goroutine of its own, or rejects the request with
+// CodeBusy if Options.Queue of them run already.
 func (s *Session) handleRequest(handler Handler, call uint32, message any) {
 	if s.inFlight.Add(1) > int64(s.link.options.Queue) {
 		s.inFlight.Add(-1)
@@ -108,8 +108,8 @@
 	}()
 }
 
-// reply sends the reply or the error of a request. If it can't be sent the connection ends, so that the caller doesn't
-// wait for it in vain.
+// reply sends the reply or the error of a request. If it can't be sent the connection ends, so that the
+// caller doesn't wait until its time-out.
 func (s *Session) reply(call uint32, reply any, failure error) {
 	var err error
 	if failure != nil {
--- a/coord/transport/simulation_test.go
+++ b/coord/transport/simulation_test.go
@@ -29,8 +29,8 @@
 	maxBytesBeforeFault = 100 << 10 // that pass over one direction of a connection
 )
 
-// callSimulation runs clients and a server over connections that break, in virtual time, and checks what each call
-// returns against what the server handled.
+// callSimulation runs clients and a server over connections that break, in virtual time, and checks what each
+// call returns against what the server handled.
 type callSimulation struct {
 	random *rand.Rand
 	dials  chan net.Conn
@@ -77,7 +77,8 @@
 	}
 }
 
-// relay passes on some number of bytes; then it ends both connections, stops reading, or reads on and loses everything.
+// relay passes on some number of bytes; then it ends both connections, stops reading, or reads on and loses
+// everything.
 func (s *callSimulation) relay(to, from net.Conn) {
 	left := s.draw(maxBytesBeforeFault)
 	how := s.draw(3)
@@ -187,7 +188,8 @@
 	s.mutex.Unlock()
 }
 
-// check compares the outcome of each call with how often its request was handled, after the end of the simulation.
+// check compares the outcome of each call with how often its request was handled, after the end of the
+// simulation.
 func (s *callSimulation) check(outcomes map[int]error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -247,8 +249,8 @@
 	return violations, counts
 }
 
-// TestRandomCalls runs simulations of calls over connections that break. SEEDS=N runs N of them, FIRST=S starts at
-// seed S.
+// TestRandomCalls runs simulations of calls over connections that break. SEEDS=N runs N of them, FIRST=S
+// starts at seed S.
 func TestRandomCalls(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	simulations := defaultSimulations
--- a/coord/transport/socket.go
+++ b/coord/transport/socket.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TCP keep-alive probes end an idle connection to a dead machine after two to three seconds, also if no heartbeat is
-// agreed on. The number of probes counts only where TCP_USER_TIMEOUT doesn't end the connection before (tcp(7)).
+// TCP keep-alive probes end an idle connection to a dead machine after two to three seconds, also if no
+// heartbeat is agreed on. The number of probes counts only where TCP_USER_TIMEOUT doesn't end the connection
+// before (tcp(7)).
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
--- a/coord/transport/writer.go
+++ b/coord/transport/writer.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// writeChunk is the progress in bytes that renews the deadline of a write: a slow peer that reads is not a stalled one.
+// writeChunk is the progress in bytes that renews the deadline of a write: a slow peer that reads is not a
+// stalled one.
 const writeChunk = 256 << 10
 
 // writeLoop writes the pending frames, all of them with one system call, until the link ends.
@@ -37,8 +38,8 @@
 	}
 }
 
-// dequeueAll returns all pending frames, or nil, and whether the link is to end after them. They count as handed to the
-// network from here on, before the write: a write that fails may have sent any part of them.
+// dequeueAll returns all pending frames, or nil, and whether the link is to end after them. They count as
+// handed to the network from here on, before the write: a write that fails may have sent any part of them.
 func (l *link) dequeueAll() (batch *buffer, last bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coord/view/acceptor.go
+++ b/coord/view/acceptor.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// DurableState is the state of an acceptor that must survive restarts: what Paxos requires to be in stable storage
-// before an answer is sent. Its fields are encoded by name and keep their names.
+// DurableState is the state of an acceptor that must survive restarts: what Paxos requires to be in stable
+// storage before an answer is sent. Its fields are encoded by name and keep their names.
 type DurableState struct {
 	View           View           // highest decided view that the member knows
 	Promised       ProposalNumber // in the instance View.Epoch+1; not zero: wedged
@@ -11,12 +11,12 @@
 	Accepted       *View          // value accepted last in the instance, nil if none
 }
 
-// Wedged reports whether the member has answered a proposer of its view's successor. It then takes no further part
-// in the epoch of its view.
+// Wedged reports whether the member has answered a proposer of its view's successor. It then takes no further
+// part in the epoch of its view.
 func (d *DurableState) Wedged() bool { return !d.Promised.IsZero() }
 
-// Adopt moves to a decided view with a higher epoch and reports whether it did. Promises and votes of the instance
-// before end with it: that instance is decided, so that they can't change its outcome any more.
+// Adopt moves to a decided view with a higher epoch and reports whether it did. Promises and votes of the
+// instance before end with it: that instance is decided, so that they can't change its outcome any more.
 func (d *DurableState) Adopt(v View) bool {
 	if v.Epoch <= d.View.Epoch {
 		return false
@@ -25,19 +25,19 @@
 	return true
 }
 
-// Acceptor answers the proposers of the successor of its view. The caller writes DurableState before it sends an
-// answer.
+// Acceptor answers the proposers of the successor of its view. The caller writes DurableState before it sends
+// an answer.
 type Acceptor struct {
 	Self Member
 	DurableState
 }
 
 // OnPrepare handles phase 1 for the current epoch. The answer is a PrepareResponse or a Reject, or nil if the
-// message is of another epoch or this member doesn't vote. changed says that the state must be written first. log
-// is the state of this member's log, which must not change once the answer is sent.
+// message is of another epoch or this member doesn't vote. changed says that the state must be written first.
+// log is the state of this member's log, which must not change once the answer is sent.
 //
-// A promise excludes all lower numbers from now on, and reports the highest that was accepted before. That is all
-// that Paxos asks of phase 1 (Lamport, "Paxos Made Simple", section 2.2).
+// A promise excludes all lower numbers from now on, and reports the highest that was accepted before. That is
+// all that Paxos asks of phase 1 (Lamport, "Paxos Made Simple", section 2.2).
 func (a *Acceptor) OnPrepare(p Prepare, log LogState) (answer Response, changed bool) {
 	if p.View.Epoch != a.View.Epoch || !a.View.IsVoter(a.Self) {
 		return nil, false
@@ -61,8 +61,8 @@
 // OnAccept handles phase 2 for the current epoch. The answer is an AcceptResponse or a Reject, or nil if the
 // message is of another epoch or this member doesn't vote. changed says that the state must be written first.
 //
-// It accepts unless it has promised a higher number. Accepting raises the promise as well: the member is wedged
-// even if it never saw the prepare, and a lower proposal can't replace the value.
+// It accepts unless it has promised a higher number. Accepting raises the promise as well: the member is
+// wedged even if it never saw the prepare, and a lower proposal can't replace the value.
 func (a *Acceptor) OnAccept(m Accept) (answer Response, changed bool) {
 	if m.View.Epoch != a.View.Epoch || !a.View.IsVoter(a.Self) {
 		return nil, false
--- a/coord/view/agreement_explore_test.go
+++ b/coord/view/agreement_explore_test.go
@@ -13,8 +13,8 @@
 	depth   int             // to which all states were visited, or at which the problem is
 }
 
-// exploreAgreement visits every state within a depth, breadth first, up to a number of states, or to the first state
-// with a problem.
+// exploreAgreement visits every state within a depth, breadth first, up to a number of states, or to the
+// first state with a problem.
 func exploreAgreement(start *agreementState, depth, limit int) agreementSearch {
 	visited := map[uint64]struct{}{start.key(): {}}
 	level := []*agreementState{start}
@@ -139,8 +139,8 @@
 	return play(t, newAgreementState(&config), s.steps...)
 }
 
-// TestAgreementModel checks the change of views in every order of messages, restarts and lost disks, up to bounds.
-// MODEL=N in the environment explores N times as many states.
+// TestAgreementModel checks the change of views in every order of messages, restarts and lost disks, up to
+// bounds. MODEL=N in the environment explores N times as many states.
 func TestAgreementModel(t *testing.T) {
 	for _, scenario := range agreementScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
--- a/coord/view/example_test.go
+++ b/coord/view/example_test.go
@@ -7,8 +7,9 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Three founders replace the view of epoch 1 after the last of them has failed. The caller carries the messages; here
-// they are function calls. Before an answer is sent, a real caller writes Acceptor.DurableState if it has changed.
+// Three founders replace the view of epoch 1 after the last of them has failed. The caller carries the
+// messages; here they are function calls. Before an answer is sent, a real caller writes
+// Acceptor.DurableState if it has changed.
 func Example() {
 	genesis := view.Genesis([]string{"10.0.0.1:7350", "10.0.0.2:7350", "10.0.0.3:7350"})
 	var alive []*view.Acceptor
--- a/coord/view/member.go
+++ b/coord/view/member.go
@@ -3,8 +3,8 @@
 // GenesisIncarnation is the incarnation of the machines that found the system.
 const GenesisIncarnation = "genesis"
 
-// Member is one incarnation of a machine's disk. Address and Incarnation identify it; Node is empty in the genesis
-// view.
+// Member is one incarnation of a machine's disk. Address and Incarnation identify it; Node is empty in the
+// genesis view.
 type Member struct {
 	Node        string // name of the machine, for people and to recognise a replacement
 	Address     string // coordination address, "ip:port"
@@ -14,7 +14,8 @@
 // ID identifies the member. The same address with another disk has another ID.
 func (m Member) ID() string { return m.Address + "#" + m.Incarnation }
 
-// Same reports whether both are the same incarnation of the same disk, whether or not their Node names are known.
+// Same reports whether both are the same incarnation of the same disk, whether or not their Node names are
+// known.
 func (m Member) Same(other Member) bool {
 	return m.Address == other.Address && m.Incarnation == other.Incarnation
 }
--- a/coord/view/membership_attempt_test.go
+++ b/coord/view/membership_attempt_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// viewAttempt is one attempt on the view after a view: its responders, and the values that the proposer may choose,
-// which depend on what it sees.
+// viewAttempt is one attempt on the view after a view: its responders, and the values that the proposer may
+// choose, which depend on what it sees.
 type viewAttempt struct {
 	current    *View
 	number     ProposalNumber
@@ -17,8 +17,8 @@
 	values     []*View
 }
 
-// addAttempts adds attempts in the newest epoch, and in the one before by those that have not learnt of the newest:
-// all of them, or any one if random is given.
+// addAttempts adds attempts in the newest epoch, and in the one before by those that have not learnt of the
+// newest: all of them, or any one if random is given.
 func (s *membershipState) addAttempts(actions []membershipAction, random *rand.Rand) []membershipAction {
 	for _, v := range s.decided[max(len(s.decided)-2, 0):] {
 		if v.Epoch >= s.config.maxEpoch || v != s.newest() && s.undecided == s.config.undecided {
@@ -76,8 +76,8 @@
 	return strings.Join(names, " ")
 }
 
-// majorities returns the sets of voters that may respond in the epoch of v: a majority, one of which has learnt of
-// the view.
+// majorities returns the sets of voters that may respond in the epoch of v: a majority, one of which has
+// learnt of the view.
 func (s *membershipState) majorities(v *View) [][]Member {
 	var eligible []Member
 	for _, m := range v.Voters {
@@ -156,7 +156,8 @@
 	}
 }
 
-// choose fixes the value of a proposal, as coord/replica does, and returns it, or nil if the responses don't suffice.
+// choose fixes the value of a proposal, as coord/replica does, and returns it, or nil if the responses don't
+// suffice.
 func (s *membershipState) choose(promised *Proposal, observed observation) *View {
 	p := *promised
 	plan := s.plan(s.planner(p.View, observed))
@@ -233,8 +234,8 @@
 	mayJoin     bool     // those that are alive are also in contact with the whole chain
 }
 
-// observations returns what a proposer may see: the responders are alive or all but one, there are any candidates,
-// and any one of the others may be unreachable for long.
+// observations returns what a proposer may see: the responders are alive or all but one, there are any
+// candidates, and any one of the others may be unreachable for long.
 func (s *membershipState) observations(a *viewAttempt) []observation {
 	candidates := s.candidates(a.current)
 	var observations []observation
--- a/coord/view/membership_chain_test.go
+++ b/coord/view/membership_chain_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// chainMessage is a part of the log or a copy of the prefix on its way. It may be delivered any number of times, or
-// lost.
+// chainMessage is a part of the log or a copy of the prefix on its way. It may be delivered any number of
+// times, or lost.
 type chainMessage struct {
 	from, to Member
 	epoch    uint64
@@ -42,7 +42,8 @@
 	return actions
 }
 
-// chainLongEnough reports whether a chain has more members than disks may be lost: coord/replica has the same rule.
+// chainLongEnough reports whether a chain has more members than disks may be lost: coord/replica has the same
+// rule.
 func (s *membershipState) chainLongEnough(v View) bool {
 	if s.config.shortAcks {
 		return len(v.Chain) >= s.config.tolerance
--- a/coord/view/membership_explore_test.go
+++ b/coord/view/membership_explore_test.go
@@ -30,7 +30,8 @@
 	return state.unrecoverableLoss()
 }
 
-// run visits every state that follows, breadth first, up to a number, and returns the first one with a problem.
+// run visits every state that follows, breadth first, up to a number, and returns the first one with a
+// problem.
 func (s *membershipSearch) run(start *membershipState, limit int) (broken *membershipState, problem string) {
 	s.states = map[uint64]struct{}{start.key(): {}}
 	s.lossesPlayed = map[uint64]struct{}{}
@@ -191,8 +192,8 @@
 	return play(t, newMembershipState(&config), s.steps...)
 }
 
-// TestMembershipModel checks changes of the membership with a loss at every step, in every order, up to bounds.
-// MODEL=N in the environment explores N times as many states.
+// TestMembershipModel checks changes of the membership with a loss at every step, in every order, up to
+// bounds. MODEL=N in the environment explores N times as many states.
 func TestMembershipModel(t *testing.T) {
 	for _, scenario := range membershipScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -215,8 +216,8 @@
 	}
 }
 
-// TestMembershipModelWalks takes random steps with three to eight machines. SEEDS=N in the environment takes N
-// walks with each number of machines, FIRST=S starts at seed S.
+// TestMembershipModelWalks takes random steps with three to eight machines. SEEDS=N in the environment takes
+// N walks with each number of machines, FIRST=S starts at seed S.
 func TestMembershipModelWalks(t *testing.T) {
 	seeds, first := 200, uint64(0)
 	if number, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
--- a/coord/view/membership_fault_test.go
+++ b/coord/view/membership_fault_test.go
@@ -3,8 +3,9 @@
 import "fmt"
 
 // toleratesLoss reports whether the next loss of Tolerance disks is to be borne, with a loss of power of all
-// machines: the newest view is decided and none of its voters is wedged in it; it has as many voters as the losses
-// ask for, each with the disk that it votes with; and Tolerance+1 members of its chain are synced in its epoch.
+// machines: the newest view is decided and none of its voters is wedged in it; it has as many voters as the
+// losses ask for, each with the disk that it votes with; and Tolerance+1 members of its chain are synced in
+// its epoch.
 func (s *membershipState) toleratesLoss() bool {
 	v := s.newest()
 	if len(v.Voters) < TargetVoters(s.config.tolerance) {
@@ -54,7 +55,8 @@
 	return actions
 }
 
-// mayEnd reports whether the disk of a leaving machine may go though no loss is permitted, which is an injected bug.
+// mayEnd reports whether the disk of a leaving machine may go though no loss is permitted, which is an
+// injected bug.
 func (s *membershipState) mayEnd(n *membershipNode) bool {
 	return s.config.endsEarly && n.leaving && n.acceptor.Accepted != nil && !n.acceptor.Accepted.InChain(n.self())
 }
--- a/coord/view/membership_model_test.go
+++ b/coord/view/membership_model_test.go
@@ -193,8 +193,8 @@
 	n.prefixComplete = n.serving() && v.Head().Same(n.self())
 }
 
-// decide notes a view that a majority has accepted, and checks that the views of an epoch are equal and that the
-// source holds all that was acknowledged.
+// decide notes a view that a majority has accepted, and checks that the views of an epoch are equal and that
+// the source holds all that was acknowledged.
 func (s *membershipState) decide(v *View) {
 	if int(v.Epoch) <= len(s.decided) {
 		before := s.decided[v.Epoch-1]
--- a/coord/view/membership_recovery_test.go
+++ b/coord/view/membership_recovery_test.go
@@ -32,8 +32,8 @@
 }
 
 // recoveryProblem plays on without the machines of a set, with all others up and in contact. It returns what
-// prevents a view that serves and has all acknowledged commands, or an empty string. Nothing of the machines that
-// are left out is used: their disks may as well be lost.
+// prevents a view that serves and has all acknowledged commands, or an empty string. Nothing of the machines
+// that are left out is used: their disks may as well be lost.
 func (s *membershipState) recoveryProblem(without int) string {
 	c := s.clone()
 	c.messages = nil
@@ -101,7 +101,8 @@
 	return false
 }
 
-// missingCommit returns which member of a chain serves without a command that was acknowledged in an epoch before.
+// missingCommit returns which member of a chain serves without a command that was acknowledged in an epoch
+// before.
 func (s *membershipState) missingCommit(v View) string {
 	for _, m := range v.Chain {
 		if n := s.at(m); !holdsAll(n.log, s.commits) && n.serving() && !s.inFlightIn(v) {
@@ -111,7 +112,8 @@
 	return ""
 }
 
-// inFlightIn reports whether commands of the view itself were acknowledged: the chain's own messages bring them.
+// inFlightIn reports whether commands of the view itself were acknowledged: the chain's own messages bring
+// them.
 func (s *membershipState) inFlightIn(v View) bool {
 	return len(s.commits) > 0 && s.commitEpochs[len(s.commits)-1] == v.Epoch
 }
--- a/coord/view/messages.go
+++ b/coord/view/messages.go
@@ -1,9 +1,10 @@
 package view
 
-// The fields of all messages are encoded by name (encoding/gob): they keep the names that earlier versions send.
+// The fields of all messages are encoded by name (encoding/gob): they keep the names that earlier versions
+// send.
 
-// ProposalNumber orders the proposals of one instance (Paxos' proposal number or ballot). No two proposers use the
-// same one, because it has the proposer's ID, and a proposer never uses one twice.
+// ProposalNumber orders the proposals of one instance (Paxos' proposal number or ballot). No two proposers
+// use the same one, because it has the proposer's ID, and a proposer never uses one twice.
 type ProposalNumber struct {
 	Round  uint64
 	Member string // ID of the proposer
@@ -26,7 +27,8 @@
 	Ballot ProposalNumber
 }
 
-// LogState says what the log of a responder holds. It can't change after the response, as the responder is wedged.
+// LogState says what the log of a responder holds. It can't change after the response, as the responder is
+// wedged.
 type LogState struct {
 	Synced uint64 // highest epoch in which the log was a complete prefix
 	End    uint64 // index of the last command
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -10,16 +10,16 @@
 	"testing"
 )
 
-// Two models check the package, with its real Acceptor, Proposal, ChooseSource and, in the second, Planner. Each
-// explores all states that are reached from some start, breadth first and up to a bound, and checks every one of
-// them; a table of injected bugs shows that it finds what it is for.
+// Two models check the package, with its real Acceptor, Proposal, ChooseSource and, in the second, Planner.
+// Each explores all states that are reached from some start, breadth first and up to a bound, and checks
+// every one of them; a table of injected bugs shows that it finds what it is for.
 //
-//   - The model of the agreement (agreement_*_test.go) delivers each message by itself, so that proposers, restarts
-//     and lost disks meet in every order.
-//   - The model of the membership (membership_*_test.go) is coarser. An attempt on a view is one step, with any
-//     majority of responders and any voters that accept. So it reaches several changes of the membership, with the
-//     loss of a disk at every step. What a step may assume of the machines besides their disks (who is alive,
-//     links, restarts) isn't kept in the state: a machine that takes no part is unreachable.
+//   - The model of the agreement (agreement_*_test.go) delivers each message by itself, so that proposers,
+//     restarts and lost disks meet in every order.
+//   - The model of the membership (membership_*_test.go) is coarser. An attempt on a view is one step, with
+//     any majority of responders and any voters that accept. So it reaches several changes of the membership,
+//     with the loss of a disk at every step. What a step may assume of the machines besides their disks (who
+//     is alive, links, restarts) isn't kept in the state: a machine that takes no part is unreachable.
 //
 // Comments that name coord/replica mark the rules of its core that the models repeat.
 
--- a/coord/view/plan.go
+++ b/coord/view/plan.go
@@ -12,7 +12,8 @@
 func TargetVoters(tolerance int) int { return max(2*tolerance+1, MinimumVoters) }
 
 // Planner makes the members of the next view from what its proposer sees of the machines. It is a matter of
-// availability only: the voters of the current view agree on what it proposes, and ChooseSource keeps that safe.
+// availability only: the voters of the current view agree on what it proposes, and ChooseSource keeps that
+// safe.
 type Planner struct {
 	Current    View
 	Tolerance  int      // number of disks whose loss the system is to bear
@@ -26,14 +27,15 @@
 	Leaving func(Member) bool
 	// MayJoin reports whether the member is in contact with the proposer and with the whole chain.
 	MayJoin func(Member) bool
-	// UnreachableFor returns the time since the last contact beyond what is tolerated of a voter, zero within that.
+	// UnreachableFor returns the time since the last contact beyond what is tolerated of a voter, zero within
+	// that.
 	UnreachableFor func(Member) time.Duration
 }
 
-// Voters returns the voters that the next view should have. A candidate takes the place of an earlier incarnation
-// of its disk, whose vote is lost in any case. It takes the place of a voter that is only unreachable or leaving if
-// replace is set, that is, if the disks of those voters aren't needed. Without a place to take it is added up to
-// the target.
+// Voters returns the voters that the next view should have. A candidate takes the place of an earlier
+// incarnation of its disk, whose vote is lost in any case. It takes the place of a voter that is only
+// unreachable or leaving if replace is set, that is, if the disks of those voters aren't needed. Without a
+// place to take it is added up to the target.
 func (p *Planner) Voters(replace bool) []Member {
 	voters := append([]Member(nil), p.Current.Voters...)
 	target := TargetVoters(p.Tolerance)
@@ -61,9 +63,9 @@
 	return voters
 }
 
-// previousIncarnation returns the position of the voter that was an earlier incarnation of a candidate's disk or
-// machine, or -1. A machine that came back at another address is recognised by its name, once the old address isn't
-// alive.
+// previousIncarnation returns the position of the voter that was an earlier incarnation of a candidate's disk
+// or machine, or -1. A machine that came back at another address is recognised by its name, once the old
+// address isn't alive.
 func (p *Planner) previousIncarnation(voters []Member, candidate Member) int {
 	for i, m := range voters {
 		known := p.ResolveNode(m)
@@ -74,8 +76,8 @@
 	return -1
 }
 
-// longestUnreachable returns the position of the current view's voter that is beyond the limit for the longest
-// time, or -1.
+// longestUnreachable returns the position of the current view's voter that is beyond the limit for the
+// longest time, or -1.
 func (p *Planner) longestUnreachable(voters []Member) int {
 	position, longest := -1, time.Duration(0)
 	for i, m := range voters {
@@ -89,13 +91,13 @@
 	return position
 }
 
-// Plan returns the voters and the chain of the next view for the source that the prepare responses gave; synced are
-// the responders whose logs hold every command that may have committed. It is a PlanFunc.
+// Plan returns the voters and the chain of the next view for the source that the prepare responses gave;
+// synced are the responders whose logs hold every command that may have committed. It is a PlanFunc.
 //
-// An unreachable or leaving voter keeps its vote until more members than disks may be lost hold everything without
-// it: the next loss may ask for its disk. So does the source. The loss of a whole chain would leave nobody who can
-// tell what it committed, so that there is no plan with a chain of only Tolerance members while there are voters
-// enough to ask for more.
+// An unreachable or leaving voter keeps its vote until more members than disks may be lost hold everything
+// without it: the next loss may ask for its disk. So does the source. The loss of a whole chain would leave
+// nobody who can tell what it committed, so that there is no plan with a chain of only Tolerance members
+// while there are voters enough to ask for more.
 func (p *Planner) Plan(source Member, synced []Member) (voters, chain []Member, ok bool) {
 	voters = p.Voters(true)
 	if countCommon(voters, synced) <= p.Tolerance || Index(voters, source) < 0 {
@@ -111,8 +113,8 @@
 	return voters, chain, len(chain) > p.Tolerance || len(voters) < TargetVoters(p.Tolerance)
 }
 
-// nextChain returns the chain of the next view: the members that stay in their order, and then those that join,
-// which have most to copy.
+// nextChain returns the chain of the next view: the members that stay in their order, and then those that
+// join, which have most to copy.
 func (p *Planner) nextChain(voters []Member, source Member) []Member {
 	var chain []Member
 	for _, m := range p.Current.Chain {
@@ -131,8 +133,8 @@
 	return chain
 }
 
-// lengthenChain adds voters to a chain that is too short: those that are alive, and then those about to leave, which
-// have to wait until others can do without them.
+// lengthenChain adds voters to a chain that is too short: those that are alive, and then those about to
+// leave, which have to wait until others can do without them.
 func (p *Planner) lengthenChain(chain, voters []Member) []Member {
 	for _, leaving := range []bool{false, true} {
 		for _, m := range voters {
--- a/coord/view/proposal.go
+++ b/coord/view/proposal.go
@@ -17,7 +17,8 @@
 // Prepare returns the message of phase 1 to all voters.
 func (p *Proposal) Prepare() Prepare { return Prepare{View: p.View, Ballot: p.Number} }
 
-// OnPrepareResponse counts a response to this proposal's Prepare; any other one, and a repeated one, is ignored.
+// OnPrepareResponse counts a response to this proposal's Prepare; any other one, and a repeated one, is
+// ignored.
 func (p *Proposal) OnPrepareResponse(m PrepareResponse) {
 	if m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) || p.HasPromised(m.From) {
 		return
@@ -38,17 +39,18 @@
 // HasMajority reports whether a majority of the voters has responded to the Prepare.
 func (p *Proposal) HasMajority() bool { return len(p.prepareResponses) >= p.View.Majority() }
 
-// PlanFunc makes the voters and the chain of a next view for its source. synced are the responders, the source
-// among them, whose logs hold every command that may have committed. It returns false if there is no acceptable
-// plan.
+// PlanFunc makes the voters and the chain of a next view for its source. synced are the responders, the
+// source among them, whose logs hold every command that may have committed. It returns false if there is no
+// acceptable plan.
 type PlanFunc func(source Member, synced []Member) (voters, chain []Member, ok bool)
 
-// Choose fixes the value and reports whether there is one. It returns false while the responses don't suffice.
+// Choose fixes the value and reports whether there is one. It returns false while the responses don't
+// suffice.
 //
-// If a responder has accepted a value, the one with the highest number is proposed again: it may have been decided,
-// and every higher proposal must then carry it (Lamport, "Paxos Made Simple", section 2.2, condition P2c). Only if
-// no responder has accepted any is the proposer free; the value is then the one that plan makes for a source that
-// ChooseSource proves safe, a preferred member if possible.
+// If a responder has accepted a value, the one with the highest number is proposed again: it may have been
+// decided, and every higher proposal must then carry it (Lamport, "Paxos Made Simple", section 2.2, condition
+// P2c). Only if no responder has accepted any is the proposer free; the value is then the one that plan makes
+// for a source that ChooseSource proves safe, a preferred member if possible.
 func (p *Proposal) Choose(prefer func(Member) bool, plan PlanFunc) bool {
 	if p.Value != nil || !p.HasMajority() {
 		return p.Value != nil
@@ -87,7 +89,8 @@
 	return members
 }
 
-// highestAccepted returns the accepted value with the highest number among the responses, nil if there is none.
+// highestAccepted returns the accepted value with the highest number among the responses, nil if there is
+// none.
 func (p *Proposal) highestAccepted() *View {
 	var highest ProposalNumber
 	var value *View
@@ -104,8 +107,8 @@
 	return Accept{View: p.View, Ballot: p.Number, Value: *p.Value}
 }
 
-// OnAcceptResponse counts a vote and returns the view once a majority has accepted it, nil before. From then on every
-// higher proposal meets one of these voters in its phase 1 and proposes the same value.
+// OnAcceptResponse counts a vote and returns the view once a majority has accepted it, nil before. From then
+// on every higher proposal meets one of these voters in its phase 1 and proposes the same value.
 func (p *Proposal) OnAcceptResponse(m AcceptResponse) (decided *View) {
 	if p.Value == nil || m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) {
 		return nil
--- a/coord/view/source.go
+++ b/coord/view/source.go
@@ -1,15 +1,15 @@
 package view
 
-// maxTerms bounds View.Terms. Without the older terms fewer losses in a row of unfinished views are borne, but no
-// committed command is ever left out.
+// maxTerms bounds View.Terms. Without the older terms fewer losses in a row of unfinished views are borne,
+// but no committed command is ever left out.
 const maxTerms = 8
 
-// ChooseSource picks the member whose log the next chain starts from, and the epochs in which the last command may
-// have committed, the newest first. It returns false while the responses don't prove that no committed command is
-// left out.
+// ChooseSource picks the member whose log the next chain starts from, and the epochs in which the last
+// command may have committed, the newest first. It returns false while the responses don't prove that no
+// committed command is left out.
 //
-// The cases A and B are those of the package documentation. Any log that case B allows will do: prefer only chooses
-// among them, and then the most up-to-date one is taken, so that least has to be copied.
+// The cases A and B are those of the package documentation. Any log that case B allows will do: prefer only
+// chooses among them, and then the most up-to-date one is taken, so that least has to be copied.
 func ChooseSource(
 	current View, responses []PrepareResponse, prefer func(Member) bool,
 ) (source Member, terms []Term, ok bool) {
@@ -37,8 +37,8 @@
 	return responses[best].From, terms[:min(len(terms), maxTerms)], true
 }
 
-// termsInDoubt returns the epochs up to that of a view in which the last command may have committed, the newest
-// first.
+// termsInDoubt returns the epochs up to that of a view in which the last command may have committed, the
+// newest first.
 func termsInDoubt(current View) []Term {
 	terms := append([]Term{{Epoch: current.Epoch, Chain: current.Chain}}, current.Terms...)
 	if len(current.Terms) == 0 { // genesis, or a view from before Terms were recorded
@@ -47,8 +47,8 @@
 	return terms
 }
 
-// provenEmpty reports whether a response shows that nothing was or will be committed in a term: its sender is in
-// the chain, wasn't synced in the epoch, and can't become so any more. A commit needs all of the chain.
+// provenEmpty reports whether a response shows that nothing was or will be committed in a term: its sender is
+// in the chain, wasn't synced in the epoch, and can't become so any more. A commit needs all of the chain.
 func provenEmpty(term Term, responses []PrepareResponse) bool {
 	for _, m := range responses {
 		if Index(term.Chain, m.From) >= 0 && m.Log.Synced < term.Epoch {
@@ -58,9 +58,9 @@
 	return false
 }
 
-// fullySynced reports whether all of a term's chain have responded with logs that were synced in it. They are more
-// than disks may be lost, and none of them can ever prove the term empty, so that no older term needs to be
-// remembered.
+// fullySynced reports whether all of a term's chain have responded with logs that were synced in it. They are
+// more than disks may be lost, and none of them can ever prove the term empty, so that no older term needs to
+// be remembered.
 func fullySynced(term Term, responses []PrepareResponse) bool {
 	synced := 0
 	for _, m := range responses {
@@ -71,7 +71,8 @@
 	return synced > 0 && synced == len(term.Chain)
 }
 
-// betterSource reports whether the sender of a is a better source than that of b: preferred, or else more up to date.
+// betterSource reports whether the sender of a is a better source than that of b: preferred, or else more up
+// to date.
 func betterSource(a, b PrepareResponse, prefer func(Member) bool) bool {
 	if preferA, preferB := prefer(a.From), prefer(b.From); preferA != preferB {
 		return preferA
@@ -79,9 +80,10 @@
 	return isMoreUpToDate(a.Log, b.Log)
 }
 
-// isMoreUpToDate compares logs by the epoch in which they were synced last, and then by length, as Raft compares
-// the last terms and indexes of logs (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm",
-// 2014, section 5.4.1). A longer log of an older epoch may hold commands that were never committed.
+// isMoreUpToDate compares logs by the epoch in which they were synced last, and then by length, as Raft
+// compares the last terms and indexes of logs (Ongaro and Ousterhout, "In Search of an Understandable
+// Consensus Algorithm", 2014, section 5.4.1). A longer log of an older epoch may hold commands that were
+// never committed.
 func isMoreUpToDate(a, b LogState) bool {
 	if a.Synced != b.Synced {
 		return a.Synced > b.Synced
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -8,8 +8,8 @@
 // GenesisEpoch is the epoch of the view that needs no agreement.
 const GenesisEpoch = 1
 
-// View is one configuration of the system. It says who votes on the next view and who forms the chain of this one.
-// It is immutable, and all who know a view of an epoch know the same one.
+// View is one configuration of the system. It says who votes on the next view and who forms the chain of this
+// one. It is immutable, and all who know a view of an epoch know the same one.
 type View struct {
 	Epoch  uint64
 	Voters []Member // a majority of them decides on the view of Epoch+1
@@ -32,8 +32,9 @@
 	Chain []Member
 }
 
-// Genesis returns the first view, which every process derives alike from the same seeds in any order. All founders
-// vote and are in the chain; the one with the lowest address is its head. Without seeds the view is zero.
+// Genesis returns the first view, which every process derives alike from the same seeds in any order. All
+// founders vote and are in the chain; the one with the lowest address is its head. Without seeds the view is
+// zero.
 func Genesis(seeds []string) View {
 	addresses := append([]string(nil), seeds...)
 	sort.Strings(addresses)
@@ -90,7 +91,8 @@
 	return predecessor, successor
 }
 
-// String lists the chain for logs, as "head>middle>tail", by machine names or by addresses where these are unknown.
+// String lists the chain for logs, as "head>middle>tail", by machine names or by addresses where these are
+// unknown.
 func (v View) String() string {
 	names := make([]string, len(v.Chain))
 	for i, m := range v.Chain {
--- a/internal/simulation/bubble/connection.go
+++ b/internal/simulation/bubble/connection.go
@@ -154,8 +154,8 @@
 	time.AfterFunc(time.Until(at), func() { n.deliverDue(e) })
 }
 
-// deliverDue delivers the segments that are due, unless a partition holds them back. If their acknowledgement is lost
-// to a partition of the way back, the sender still counts them as unacknowledged.
+// deliverDue delivers the segments that are due, unless a partition holds them back. If their acknowledgement
+// is lost to a partition of the way back, the sender still counts them as unacknowledged.
 func (n *Network) deliverDue(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -192,8 +192,8 @@
 	e.peer.wakeReaders()
 }
 
-// checkUserTimeout ends a side whose data has gone without acknowledgement for userTimeout. Its reset reaches the other
-// side, unless that is partitioned and only notices by keep-alive.
+// checkUserTimeout ends a side whose data has gone without acknowledgement for userTimeout. Its reset reaches
+// the other side, unless that is partitioned and only notices by keep-alive.
 func (n *Network) checkUserTimeout(e *endpoint) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/simulation/bubble/disk.go
+++ b/internal/simulation/bubble/disk.go
@@ -34,7 +34,8 @@
 // Kill ends the incarnation that uses the disk. All that it wrote stays.
 func (d *Disk) Kill() { d.unmount(d.disk.Kill) }
 
-// LosePower ends the incarnation that uses the disk, and keeps, loses or tears each write that was not synced.
+// LosePower ends the incarnation that uses the disk, and keeps, loses or tears each write that was not
+// synced.
 func (d *Disk) LosePower() { d.unmount(d.disk.LosePower) }
 
 // Wipe ends the incarnation that uses the disk, and empties the disk.
--- a/internal/simulation/bubble/doc.go
+++ b/internal/simulation/bubble/doc.go
@@ -1,16 +1,16 @@
 // Package bubble provides the network and the disks for simulations that run real processes, goroutines
 // included, in a bubble of testing/synctest, where time is virtual.
 //
-// The connections of a [Network] are net.Conns in memory with the delay of a local network. They do what TCP does under
-// faults:
+// The connections of a [Network] are net.Conns in memory with the delay of a local network. They do what TCP
+// does under faults:
 //
 //   - A partition, in one direction or both, holds bytes back until it heals.
 //   - Data that stays without acknowledgement ends its connection at the sender, as with TCP_USER_TIMEOUT.
 //   - Keep-alive probes end an idle connection over a partition.
 //   - A process that is killed resets its connections; a machine without power sends nothing.
 //
-// A [Disk] is a simulation.Disk whose syncs take their time. It outlives the incarnations of its process: each mounts
-// it anew, and files of earlier mounts fail.
+// A [Disk] is a simulation.Disk whose syncs take their time. It outlives the incarnations of its process:
+// each mounts it anew, and files of earlier mounts fail.
 //
 // Both are created inside the bubble that uses them, and are safe for concurrent use. Unlike in package
 // simulation, the scheduler decides the order of goroutines that run at the same virtual time: a seed replays
--- a/internal/simulation/bubble/host.go
+++ b/internal/simulation/bubble/host.go
@@ -72,7 +72,8 @@
 	return l, nil
 }
 
-// Dial opens a connection from the host. While the other machine doesn't answer it tries again, until the context ends.
+// Dial opens a connection from the host. While the other machine doesn't answer it tries again, until the
+// context ends.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/simulation/bubble/network.go
+++ b/internal/simulation/bubble/network.go
@@ -17,8 +17,8 @@
 	userTimeout = 1500 * time.Millisecond
 	// keepAliveTimeout is after how long keep-alive probes end a connection whose other side doesn't answer.
 	keepAliveTimeout = 3 * time.Second
-	// maxRetransmitDelay bounds how long after a partition has healed the bytes that waited arrive, and how long a
-	// connection attempt waits before it tries again.
+	// maxRetransmitDelay bounds how long after a partition has healed the bytes that waited arrive, and how
+	// long a connection attempt waits before it tries again.
 	maxRetransmitDelay = 200 * time.Millisecond
 )
 
@@ -31,8 +31,9 @@
 	mutex  sync.Mutex
 	random *rand.Rand
 	hosts  map[string]*Host // the present incarnation, by IP address
-	// partitions has the links that are partitioned now, each with the number of its partition: partitionCount counts
-	// them, so that a timer of one that has healed isn't taken for one of a later partition of the same link.
+	// partitions has the links that are partitioned now, each with the number of its partition:
+	// partitionCount counts them, so that a timer of one that has healed isn't taken for one of a later
+	// partition of the same link.
 	partitions     map[link]int
 	partitionCount int
 	connections    map[*connection]bool // those with an open end
@@ -53,8 +54,8 @@
 	}
 }
 
-// Partition partitions one direction between two machines until Heal. Connections that are idle over it end after
-// keepAliveTimeout.
+// Partition partitions one direction between two machines until Heal. Connections that are idle over it end
+// after keepAliveTimeout.
 func (n *Network) Partition(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -96,7 +97,8 @@
 	}
 }
 
-// isPartitioned reports whether one direction between two machines is partitioned. The caller holds the mutex.
+// isPartitioned reports whether one direction between two machines is partitioned. The caller holds the
+// mutex.
 func (n *Network) isPartitioned(from, to string) bool { return n.partitions[link{from, to}] != 0 }
 
 // Reset resets all connections between two machines.
--- a/internal/simulation/directory.go
+++ b/internal/simulation/directory.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// directoryChange is a file that was created, renamed or removed. An empty from is a new file, an empty to a removed
-// one.
+// directoryChange is a file that was created, renamed or removed. An empty from is a new file, an empty to a
+// removed one.
 type directoryChange struct {
 	from, to string
 	file     *inode
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// syncFile makes a file durable, and its name if it is new: most file systems do so, though POSIX doesn't demand it.
+// syncFile makes a file durable, and its name if it is new: most file systems do so, though POSIX doesn't
+// demand it.
 func (d *Disk) syncFile(file *inode) {
 	d.latency += d.SyncTime
 	file.sync()
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// ErrPowerLost is the error of operations on a disk without power, and on files that a process opened which has ended.
+// ErrPowerLost is the error of operations on a disk without power, and on files that a process opened which
+// has ended.
 var ErrPowerLost = errors.New("simulation: power lost")
 
 // DefaultSyncTime is the initial Disk.SyncTime.
@@ -19,8 +20,8 @@
 	SyncTime time.Duration
 
 	random *Rand
-	// entries is the directory as processes see it; durableEntries is what a loss of power leaves of it at least, and
-	// unsynced are the changes between the two, in order.
+	// entries is the directory as processes see it; durableEntries is what a loss of power leaves of it at
+	// least, and unsynced are the changes between the two, in order.
 	entries        map[string]*inode
 	durableEntries map[string]*inode
 	unsynced       []directoryChange
@@ -55,8 +56,8 @@
 	d.failAt = 0
 }
 
-// LosePower ends the processes, restores the power, and keeps, loses or tears each change that was not synced. In one
-// of five cases all of them are lost, which independent draws would hardly ever give.
+// LosePower ends the processes, restores the power, and keeps, loses or tears each change that was not
+// synced. In one of five cases all of them are lost, which independent draws would hardly ever give.
 func (d *Disk) LosePower() {
 	loseAll := d.random.Chance(0.2)
 	for _, change := range d.unsynced {
@@ -79,8 +80,8 @@
 	d.capacity = bytes
 }
 
-// FailAt takes the power away within the n-th operation from now that changes the disk, counted from 1. That operation
-// and all later ones fail with ErrPowerLost, until LosePower, Kill or Wipe.
+// FailAt takes the power away within the n-th operation from now that changes the disk, counted from 1. That
+// operation and all later ones fail with ErrPowerLost, until LosePower, Kill or Wipe.
 func (d *Disk) FailAt(n int) {
 	d.failAt = n
 }
@@ -100,16 +101,16 @@
 	d.latency += duration
 }
 
-// TakeLatency returns the latency of all operations since the last call. The disk doesn't wait itself: the caller lets
-// that much virtual time pass.
+// TakeLatency returns the latency of all operations since the last call. The disk doesn't wait itself: the
+// caller lets that much virtual time pass.
 func (d *Disk) TakeLatency() time.Duration {
 	latency := d.latency
 	d.latency = 0
 	return latency
 }
 
-// FlipBit inverts one bit of a file, as a failing medium does. It returns false if the file has no such byte that is
-// durable.
+// FlipBit inverts one bit of a file, as a failing medium does. It returns false if the file has no such byte
+// that is durable.
 func (d *Disk) FlipBit(name string, offset int64, bit int) bool {
 	file, ok := d.entries[name]
 	if !ok || offset >= int64(len(file.content)) || offset >= int64(len(file.durable)) {
@@ -121,8 +122,8 @@
 	return true
 }
 
-// countOperation counts an operation that changes the disk. It returns whether power is lost within it, or an error if
-// the power is off already.
+// countOperation counts an operation that changes the disk. It returns whether power is lost within it, or an
+// error if the power is off already.
 func (d *Disk) countOperation() (losesPower bool, err error) {
 	if d.poweredOff {
 		return false, ErrPowerLost
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// SetLag delays each message and timer of a machine by a random time below this one, as a lack of processor time does.
-// It applies to those that are scheduled from now on.
+// SetLag delays each message and timer of a machine by a random time below this one, as a lack of processor
+// time does. It applies to those that are scheduled from now on.
 func (s *Simulation) SetLag(name string, lag time.Duration) {
 	s.machine(name).lag = lag
 }
--- a/internal/simulation/rand.go
+++ b/internal/simulation/rand.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Rand is a source of random numbers that a seed determines. Tests are replayed by seed: the order of draws matters.
+// Rand is a source of random numbers that a seed determines. Tests are replayed by seed: the order of draws
+// matters.
 type Rand struct {
 	*rand.Rand
 	seed uint64
--- a/internal/simulation/seeds/seeds.go
+++ b/internal/simulation/seeds/seeds.go
@@ -1,5 +1,5 @@
-// Package seeds reads from the environment which seeds a simulation test runs, so that every test with seeds is
-// selected in the same way:
+// Package seeds reads from the environment which seeds a simulation test runs, so that every test with seeds
+// is selected in the same way:
 //
 //	SEEDS=1000 go test -run Random ./internal/...          1000 simulations of each test
 //	FIRST=6691 SEEDS=1 go test -run Random ./internal/...  replays the one with seed 6691
@@ -12,14 +12,14 @@
 	"strconv"
 )
 
-// Range returns the first seed of a test and the number of simulations that it runs, one seed after the other. The
-// environment variables FIRST and SEEDS replace the test's defaults.
+// Range returns the first seed of a test and the number of simulations that it runs, one seed after the
+// other. The environment variables FIRST and SEEDS replace the test's defaults.
 func Range(defaultFirst, defaultCount uint64) (first, count uint64) {
 	return Number("FIRST", defaultFirst), Number("SEEDS", defaultCount)
 }
 
-// Number returns an environment variable that is a whole number of 0 or more; the default value if it is unset or
-// anything else.
+// Number returns an environment variable that is a whole number of 0 or more; the default value if it is
+// unset or anything else.
 func Number(variable string, defaultValue uint64) uint64 {
 	if number, err := strconv.ParseUint(os.Getenv(variable), 10, 64); err == nil {
 		return number
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -43,17 +43,17 @@
 	return s.schedule(&Event{run: run}, delay)
 }
 
-// AfterOn runs a function on a machine after a delay. It never runs if the machine is stopped before, and runs late
-// if the machine is paused or lags.
+// AfterOn runs a function on a machine after a delay. It never runs if the machine is stopped before, and
+// runs late if the machine is paused or lags.
 func (s *Simulation) AfterOn(name string, delay time.Duration, run func()) *Event {
 	m := s.machine(name)
 	event := &Event{run: run, machine: m, incarnation: m.incarnation, timer: true}
 	return s.schedule(event, delay+s.drawLag(m))
 }
 
-// Send runs a function that delivers a message on the receiving machine, after the delay of the link, unless the link
-// loses the message or the machine is stopped when it arrives. It returns false if the link loses it. The message
-// itself is passed to Links.Filter only.
+// Send runs a function that delivers a message on the receiving machine, after the delay of the link, unless
+// the link loses the message or the machine is stopped when it arrives. It returns false if the link loses
+// it. The message itself is passed to Links.Filter only.
 func (s *Simulation) Send(from, to string, message any, deliver func()) bool {
 	s.sent++
 	delay, arrives := s.Links.transmit(s, from, to, message)
