--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -17,7 +17,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "sprucelane-sim:", err)
 		os.Exit(1)
 	}
 }
