--- a/coord/leader/election.go
+++ b/coord/leader/election.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Lease is what a Source says of this node's leadership.
+// Lease is a Source's answer about this node's leadership: its leader lease, if it holds one.
 type Lease struct {
-	Epoch   uint64
+	Epoch   uint64        // of the leadership; it rises from leader to leader
 	Expires time.Duration // by the monotonic clock that Election's callers use
 	Held    bool          // this node is the leader; if false the other fields mean nothing
 }
--- a/coord/lease/doc.go
+++ b/coord/lease/doc.go
@@ -25,7 +25,7 @@
 // is answered, so the holder's right ends first, as long as the two clocks run at the same rate.
 // GranterOptions.DriftAllowance bounds how much they may differ: with clocks whose rates differ by at most a
 // share r, it must be at least r times MaxDuration. Gray and Cheriton ask for the same bound on drift. Clocks
-// that jump are none of this package's concern, as monotonic clocks don't.
+// that jump aren't covered: monotonic clocks don't.
 //
 // # Fencing
 //
--- a/coord/membership/detect.go
+++ b/coord/membership/detect.go
@@ -92,7 +92,7 @@
 }
 
 // maySuspectUnconfirmed reports whether this machine can rule out that it is itself the one that receives
-// nothing: it has had contact with somebody lately, or there is nobody else to have contact with.
+// nothing: it has had contact with another machine lately, or knows of none beside the suspect.
 func (n *Node) maySuspectUnconfirmed(name string, now time.Time) bool {
 	if now.Sub(n.lastContact) <= n.config.HeartbeatTimeout {
 		return true
--- a/coord/membership/doc.go
+++ b/coord/membership/doc.go
@@ -23,7 +23,7 @@
 // when they had contact with it last, and if that is long ago they probe it themselves. If one of them had
 // contact lately, only the link between this monitor and the machine is faulty, and nothing happens. If
 // another one confirms the time-out, the machine becomes Suspect after Config.ConfirmationTimeout. Only if
-// nobody answers at all for Config.UnconfirmedTimeout does a monitor suspect it alone.
+// no machine answers at all for Config.UnconfirmedTimeout does a monitor suspect it alone.
 //
 // A suspicion spreads to all. The machine refutes it by an Alive update with a higher incarnation, or is Dead
 // everywhere Config.SuspicionTimeout later.
@@ -34,7 +34,7 @@
 // signs that it is unhealthy itself: ticks that ran late, probe replies that came late, suspicions of itself
 // that it had to refute. Its timeouts grow in proportion (Lifeguard's local health multiplier). After a pause
 // it starts to measure all time-outs anew, because what arrived meanwhile hasn't been read yet. A machine
-// that receives nothing from anybody suspects nobody.
+// that receives nothing at all suspects no other.
 //
 // # Dissemination
 //
--- a/coord/replica/api.go
+++ b/coord/replica/api.go
@@ -99,7 +99,7 @@
 }
 
 // Staleness returns a bound on how stale the local state is: every command acknowledged longer ago than age
-// is applied here. It asks nobody; the age grows with the steady clock until the next proof arrives. ok is
+// is applied here. It sends nothing; the age grows with the steady clock until the next proof arrives. ok is
 // false before the first one.
 func (n *Node) Staleness() (age time.Duration, ok bool) {
 	current := n.status.Load()
--- a/coord/replica/doc.go
+++ b/coord/replica/doc.go
@@ -9,7 +9,7 @@
 //   - Node.Propose has a command applied, from any node.
 //   - Node.Read waits until the local state machine has applied all that was acknowledged before the call.
 //     The caller then reads its own state machine.
-//   - Node.Staleness tells, without asking anybody, how stale the local state is at most.
+//   - Node.Staleness bounds how stale the local state is, without sending a message.
 //   - Node.LeaderLease tells whether this node holds the leader lease, and until when. Singleton roles depend
 //     on it; see coord/leader.
 //   - Node.HandOver leaves the chain as planned, before a process ends.
@@ -34,9 +34,9 @@
 // # Replication
 //
 // This is chain replication (van Renesse and Schneider, 2004). The head appends commands to its log. Each
-// member makes what waits durable with one sync, and passes it on; what is durable at the tail is on all
-// disks, hence committed. Acknowledgements travel back up the chain with the commit index, and each member
-// applies up to it.
+// member makes all pending commands durable with one sync, and passes it on; what is durable at the tail is
+// on all disks, hence committed. Acknowledgements travel back up the chain with the commit index, and each
+// member applies up to it.
 //
 // Where we depart from the paper: any node may read, after a proof of its epoch, instead of the tail alone;
 // and the members agree on the next chain themselves, instead of asking a master.
@@ -66,8 +66,9 @@
 // one direction, or between two members only, matters only where the chain uses it: commands go around it, by
 // way of a member that reaches both ends.
 //
-// A process that finds a gap of more than 400 ms between its ticks was paused itself: it suspects nobody,
-// drops the commands that waited for it, and listens first.
+// A process that finds a gap of more than 400 ms between its ticks was paused itself: it measures all
+// time-outs anew from there, so that it suspects no member for its own pause, abandons its proposal of a
+// view, and drops forwarded commands that it finds waiting.
 //
 // # Reads, staleness and the leader lease
 //
@@ -99,7 +100,7 @@
 //   - replication.go: how commands go down the chain and commit
 //   - prefix.go: how a member gets the prefix of its epoch
 //   - view.go: what a decided view changes
-//   - reconfiguration.go: when there should be another view, and of whom
+//   - reconfiguration.go: when there should be another view, and of which members
 //   - proposer.go: how one is proposed and decided
 //   - failure_detector.go: who is alive and reachable
 //   - lease.go: what a confirmed epoch proves
--- a/coord/replica/reconfiguration.go
+++ b/coord/replica/reconfiguration.go
@@ -66,7 +66,7 @@
 }
 
 // suspectedMembers reports whether this member suspects members of the chain, and whether that breaks the
-// chain: a suspected neighbour does, and so does a member that nobody else in the chain reaches.
+// chain: a suspected neighbour does, and so does a member that no other member of the chain reaches.
 func (c *core) suspectedMembers() (suspected, broken bool) {
 	for _, m := range c.acceptor.View.Chain {
 		if c.alive(m) {
--- a/coord/replica/status.go
+++ b/coord/replica/status.go
@@ -12,7 +12,7 @@
 	Member    view.Member
 	Voter     bool
 	InChain   bool
-	Reachable bool // from this node, both ways; only nodes with a disk know
+	Reachable bool // from this node, both ways; always false at a node without a disk
 	Candidate bool // has no vote and asks for one
 }
 
--- a/coord/replica/timing.go
+++ b/coord/replica/timing.go
@@ -19,7 +19,7 @@
 	heartbeatInterval = 200 * time.Millisecond
 
 	// suspicionTimeout is the time without a heartbeat after which a member is suspected. Three rounds fit
-	// into it, so that one lost heartbeat or one stalled tick suspects nobody. It is most of a failover's
+	// into it, so that one lost heartbeat or one stalled tick causes no suspicion. It is most of a failover's
 	// duration: a shorter one fails over sooner, but changes the view whenever a process stalls.
 	suspicionTimeout = 700 * time.Millisecond
 
@@ -41,7 +41,7 @@
 	// request without an answer is sent again.
 	retransmitInterval = 300 * time.Millisecond
 
-	// viewQueryInterval is the time between two queries of a node that has no contact with anybody of its
+	// viewQueryInterval is the time between two queries of a node that has no contact with any member of its
 	// view.
 	viewQueryInterval = 500 * time.Millisecond
 
--- a/coord/transport/buffer.go
+++ b/coord/transport/buffer.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not hold
-// memory on.
+// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not keep
+// their memory in use.
 const maxPooledBuffer = 1 << 20
 
 // buffer is memory for frames. A connection holds one only while it has frames in it, so that idle
--- a/coord/transport/doc.go
+++ b/coord/transport/doc.go
@@ -1,7 +1,7 @@
 // Package transport carries Go values between the machines of one system over TCP, encoded with encoding/gob.
 //
 // It is meant for consensus and replication protocols: few peers, long-lived connections, small messages, and
-// callers that must know whether a message may have been handled and must never be held up by a dead or slow
+// callers that must know whether a message may have been handled and must never be blocked by a dead or slow
 // peer.
 //
 // # Use
--- a/coord/view/member.go
+++ b/coord/view/member.go
@@ -20,7 +20,7 @@
 	return m.Address == other.Address && m.Incarnation == other.Incarnation
 }
 
-// IsZero reports whether m names nobody.
+// IsZero reports whether m is no member: the zero Member.
 func (m Member) IsZero() bool { return m.Address == "" && m.Incarnation == "" }
 
 // Index returns the position of m among members, or -1.
--- a/coord/view/plan.go
+++ b/coord/view/plan.go
@@ -96,7 +96,7 @@
 //
 // An unreachable or leaving voter keeps its vote until more members than disks may be lost hold everything
 // without it: the next loss may ask for its disk. So does the source. The loss of a whole chain would leave
-// nobody who can tell what it committed, so that there is no plan with a chain of only Tolerance members
+// no log that shows what it committed, so that there is no plan with a chain of only Tolerance members
 // while there are voters enough to ask for more.
 func (p *Planner) Plan(source Member, synced []Member) (voters, chain []Member, ok bool) {
 	voters = p.Voters(true)
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -60,7 +60,7 @@
 // Majority is the number of voters that decide. Any two sets of that size have a member in common.
 func (v View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// Head returns the member that assigns positions in the log to commands, zero if there is no chain.
+// Head returns the head of the chain, which gives each command its index; zero if there is no chain.
 func (v View) Head() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -68,7 +68,7 @@
 	return v.Chain[0]
 }
 
-// Tail returns the member whose replica commits a command, zero if there is no chain.
+// Tail returns the tail of the chain, whose sync commits a command; zero if there is no chain.
 func (v View) Tail() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
