--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -80,14 +80,14 @@
 	priorities []int         // the tenants' priorities in use, the most urgent first; a class is an index
 	groups     map[string]*group
 	order      []*group // in the configuration's order
-	loads      map[string]serviceLoad
+	loads      map[string]backendLoad
 	actions    []shedAction // steps in force, in the order in which they were taken
 	calm       int          // intervals since the last with an overload
 	restoring  bool         // calm has lasted, and a step is taken back each interval
 }
 
 // serviceLoad is the observed load of a backend's servers.
-type serviceLoad struct {
+type backendLoad struct {
 	at          time.Duration
 	utilization float64 // share of the slots in use
 	queueing    bool    // requests wait for slots
@@ -99,7 +99,7 @@
 	if random == nil {
 		random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	return &Admission{random: random, groups: map[string]*group{}, loads: map[string]serviceLoad{}}
+	return &Admission{random: random, groups: map[string]*group{}, loads: map[string]backendLoad{}}
 }
 
 // Configure applies a configuration. Groups that stay keep their counts; what is shed stays unless a priority
@@ -189,7 +189,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance(now)
-	a.loads[backend] = serviceLoad{at: now, utilization: utilization, queueing: queueing}
+	a.loads[backend] = backendLoad{at: now, utilization: utilization, queueing: queueing}
 }
 
 // returnerShed returns the share to shed of requests that were rejected before, when share is shed of the
--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -40,14 +40,14 @@
 }
 
 // play sends perSecond requests a second of each route, all with a latency, and returns the shares rejected.
-func play(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, taken float64) []float64 {
+func play(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, utilization float64) []float64 {
 	rejected, offered := make([]float64, len(perSecond)), make([]float64, len(perSecond))
 	for s := from; s < from+seconds; s++ {
 		for i, n := range perSecond {
 			route := &snapshot.Routes[i]
 			for k := range n {
 				now := time.Duration(s)*second + time.Duration(k)*second/time.Duration(n)
-				a.ObserveLoad(now, backendName, taken, false)
+				a.ObserveLoad(now, backendName, utilization, false)
 				offered[i]++
 				if a.Admit(now, route, &snapshot.Tenants[0], Request{PromptTokens: 500, OutputTokens: 100}).Admit {
 					a.Sent(now, route.Name)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,12 +31,12 @@
 	polls    int
 }
 
-func (h *fakeControl) handle(ctx context.Context, _ *transport.Session, message any) (any, error) {
+func (c *fakeControl) handle(ctx context.Context, _ *transport.Session, message any) (any, error) {
 	poll := message.(protocol.Poll)
-	h.mu.Lock()
-	update, timesOut := h.update, h.timesOut
-	h.polls++
-	h.mu.Unlock()
+	c.mu.Lock()
+	update, timesOut := c.update, c.timesOut
+	c.polls++
+	c.mu.Unlock()
 	if timesOut {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -45,16 +45,16 @@
 	return update, nil
 }
 
-func (h *fakeControl) set(change func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *fakeControl) set(change func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	change()
 }
 
-func (h *fakeControl) polled() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.polls
+func (c *fakeControl) polled() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.polls
 }
 
 func document(key string) string {
@@ -78,10 +78,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeControl{update: update}
-	h.server = transport.Serve(a, transport.Options{Identity: transport.Identity{System: protocol.System}}, h.handle)
-	t.Cleanup(func() { h.server.Close() })
-	return h
+	c := &fakeControl{update: update}
+	c.server = transport.Serve(a, transport.Options{Identity: transport.Identity{System: protocol.System}}, c.handle)
+	t.Cleanup(func() { c.server.Close() })
+	return c
 }
 
 func startGateway(t *testing.T, controlPort int, revoke time.Duration, seeds ...string) (g *Gateway, settings *node.Settings, ended chan error) {
