--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -86,7 +86,7 @@
 	restoring  bool         // calm has lasted, and a step is taken back each interval
 }
 
-// serviceLoad is the observed load of a backend's servers.
+// backendLoad is the observed load of a backend's servers.
 type backendLoad struct {
 	at          time.Duration
 	utilization float64 // share of the slots in use
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -11,6 +11,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"sprucelane.example/sprucelane/internal/serverload"
 )
 
 // Outcome is how a request ended. Its values are label values of a metric and keys of log lines.
@@ -26,7 +28,7 @@
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
 	RejectedOverload Outcome = "refused_overload" // load shedding
 	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
-	Unready          Outcome = "unready"          // no confirmed configuration or valid key lease, or the gateway shuts down
+	Unready          Outcome = "unready"          // no confirmed configuration, no valid key lease, or shutting down
 	NoServer         Outcome = "no_server"        // no server took it, and none ran it
 	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
 	Lost             Outcome = "lost"             // it may have run, and no response came
@@ -45,9 +47,6 @@
 	Slots           int           // of the server; 0: it reports no load
 }
 
-// prefillTokensPerMs is the rate at which servers are assumed to read prompts, at least.
-const prefillTokensPerMs = 100
-
 // Classify returns the outcome of a request that was answered.
 func Classify(a Attempt) Outcome {
 	if a.Target <= 0 || a.Latency <= a.Target {
@@ -56,7 +55,7 @@
 	switch {
 	case a.EarlierAttempts > 0:
 		return LateRetried
-	case 2*time.Duration(a.PrefillTokens)*time.Millisecond/prefillTokensPerMs >= a.Latency:
+	case 2*time.Duration(a.PrefillTokens)*time.Millisecond/serverload.PrefillTokensPerMs >= a.Latency:
 		return LatePrefill
 	case a.Slots > 0 && (a.InFlight >= a.Slots || a.Queued > 0):
 		return LateQueued
--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -51,7 +51,7 @@
 }
 
 // stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request
-// is expected to wait for as long as the server has been silent.
+// is expected to wait for as long as the server has sent nothing.
 func (s *serverState) stallPenalty(now time.Time) float64 {
 	if s.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
 		return 0
--- a/internal/service/phase.go
+++ b/internal/service/phase.go
@@ -15,4 +15,5 @@
 // phaseNames has the names that calls and log lines show.
 var phaseNames = [...]string{"starting", "serving", "draining", "handed_over", "ending"}
 
+// String returns the phase's name, as calls and log lines show it.
 func (p Phase) String() string { return phaseNames[p] }
