--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -58,8 +58,8 @@
 }
 
 // TestStoresNeedProof has all control processes lose power after the store membership has changed a few
-// times. One that starts alone has what its disk knows to be acknowledged, which may be a membership that
-// ended long ago; it must not send it.
+// times. A process that starts alone has what its disk knows to be acknowledged, which may be a membership
+// that ended long ago; it must not send it.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 1, injectedBug{})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -244,7 +244,7 @@
 	})
 }
 
-// bodyMemoryFraction: one configuration may take 1/16 of the process's memory, as several copies of it exist
+// bodyMemoryFraction limits one configuration to 1/16 of the process's memory, as several copies of it exist
 // while it is committed.
 const bodyMemoryFraction = 16
 
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -54,7 +54,7 @@
 	{"a control machine is partitioned", faultControlPartitioned},
 	{"control is split", faultControlSplit},
 	{"stores are partitioned from control machines", faultStoresPartitioned},
-	{"disks stand still", faultDiskStall},
+	{"disks stall", faultDiskStall},
 	{"a store retires, and disks are lost", faultRetirement},
 	{"a control machine is replaced", faultReplacement},
 	{"many changes of the configuration", faultBulk},
@@ -101,7 +101,7 @@
 func (r *faultRound) checkRecovery() bool {
 	list := r.awaitHealthy(roundRecoveryTimeout, healthyBeforeNextRound)
 	if len(list) > 0 {
-		r.failf("%v after a round of troubles: %s", roundRecoveryTimeout, strings.Join(list, "; "))
+		r.failf("%v after a round of faults: %s", roundRecoveryTimeout, strings.Join(list, "; "))
 		return false
 	}
 	r.logf("all is well")
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -54,9 +54,9 @@
 	removed          bool             // for good
 }
 
-// storeLife is one incarnation of the process: the real state machine and log on a simulated disk, the real
-// subscription to control and the real connections to other stores, connected as internal/batch/server does
-// it.
+// storeProcessRun is one incarnation of the process: the real state machine and log on a simulated disk, the
+// real subscription to control and the real connections to other stores, connected as internal/batch/server
+// does it.
 type storeProcessRun struct {
 	store        *deployedStore
 	process      protocol.Process
@@ -470,7 +470,7 @@
 // Now implements replica.Environment.
 func (l *storeProcessRun) Now() time.Duration { return time.Since(l.origin) }
 
-// Wall implements replica.Environment.
+// WallClock implements replica.Environment.
 func (l *storeProcessRun) WallClock() int64 { return time.Now().UnixMilli() }
 
 // Write implements replica.Environment.
@@ -483,7 +483,7 @@
 // Read implements replica.Environment.
 func (l *storeProcessRun) Read(at wal.Location) ([]byte, error) { return l.wal.Read(at) }
 
-// Free implements replica.Environment.
+// FreeBytes implements replica.Environment.
 func (l *storeProcessRun) FreeBytes() int64 { return 1<<30 - l.wal.Size() }
 
 // Send implements replica.Environment.
--- a/internal/control/liveness/doc.go
+++ b/internal/control/liveness/doc.go
@@ -19,8 +19,8 @@
 //
 //  1. The member has not polled for [SuspectAfter], and all other control processes have reported recently: a
 //     suspicion is committed. From then on control processes grant it no lease.
-//  2. The suspicion has lasted for [StoreLease], and the member has not polled for [EvictAfter]: it is evicted. A
-//     poll in between ends the suspicion.
+//  2. The suspicion has lasted for [StoreLease], and the member has not polled for [EvictAfter]: it is
+//     evicted. A poll in between ends the suspicion.
 //
 // A new leader waits for [EvictAfter] before it evicts anyone: polls before its term may not have reached it.
 //
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -29,7 +29,7 @@
 	return stats.HeapAlloc, disk
 }
 
-// TestManyOrders has thousands of changes accepted. Memory, disks and snapshots must not grow any further
+// TestManyChanges has thousands of changes accepted. Memory, disks and snapshots must not grow any further
 // once as many changes are remembered as ever are.
 func TestManyChanges(t *testing.T) {
 	orders := int(seeds.Number("ORDERS", manyChanges))
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -124,9 +124,9 @@
 	update.ListAge = c.now() - c.servers.readAt
 }
 
-// push queues what a subscriber lacks. One without a configuration gets one only if this process confirms its
-// state: a configuration of a partitioned process may be outdated, and the subscriber would start to serve by
-// it. It is called with the mutex held.
+// push queues what a subscriber lacks. A subscriber without a configuration is sent one only if this process
+// confirms its state: a configuration of a partitioned process may be outdated, and the subscriber would
+// start to serve by it. It is called with the mutex held.
 func (c *Control) push(session *transport.Session, sub *subscriber, fresh bool) {
 	update := protocol.Update{}
 	if fresh || sub.configuration > 0 {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -30,7 +30,10 @@
 // is no lease.
 type lease struct{ rate, depth amount }
 
-func (l lease) plus(other lease) lease  { return lease{l.rate + other.rate, l.depth + other.depth} }
+// plus adds rates and depths.
+func (l lease) plus(other lease) lease { return lease{l.rate + other.rate, l.depth + other.depth} }
+
+// minus subtracts rates and depths.
 func (l lease) minus(other lease) lease { return lease{l.rate - other.rate, l.depth - other.depth} }
 
 // max returns the larger rate and the larger depth.
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -96,7 +96,7 @@
 	g.connectedSince = max(g.connectedSince, g.pausedUntil+3*second)
 }
 
-// cutOffBy puts the gateway behind a partition.
+// partitionBy puts the gateway behind a partition.
 func (g *simGateway) partitionBy(p partition) {
 	g.partition = p
 	g.connectedSince = max(g.connectedSince, p.until+3*second)
