--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -78,8 +78,8 @@
 func (r *faultRound) run() bool {
 	for range 2 + r.random.IntN(2) {
 		kind := deploymentFaults[r.random.IntN(len(deploymentFaults))]
-		strike := kind.prepare(r)
-		if strike == nil {
+		inject := kind.prepare(r)
+		if inject == nil {
 			continue
 		}
 		r.count(func(c *deploymentCounts) { c.faults++ })
@@ -87,7 +87,7 @@
 		r.active.Go(func() {
 			time.Sleep(after)
 			r.logf("fault: %s for %v", kind.name, down)
-			strike(down)
+			inject(down)
 		})
 	}
 	r.active.Wait()
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -32,21 +32,21 @@
 // TestManyChanges has thousands of changes accepted. Memory, disks and snapshots must not grow any further
 // once as many changes are remembered as ever are.
 func TestManyChanges(t *testing.T) {
-	orders := int(seeds.Number("ORDERS", manyChanges))
-	full := remembered + (orders-remembered)/4
+	changes := int(seeds.Number("ORDERS", manyChanges))
+	full := remembered + (changes-remembered)/4
 	synctest.Test(t, func(t *testing.T) {
 		w := newClusterSimulation(t, 1, 3, bugNone)
 		began := w.now()
 		w.commit(1, full, w.members...)
 		heap, disk := w.usage()
 		snapshot := len(w.members[0].state.Snapshot())
-		w.commit(full+1, orders, w.members...)
+		w.commit(full+1, changes, w.members...)
 		heapAfter, diskAfter := w.usage()
 		snapshotAfter := len(w.members[0].state.Snapshot())
 		t.Logf(
 			"%d and %d changes, three members: heap %.1f then %.1f MB, disk of one %.2f then %.2f MB, snapshot of the machine %d then %d bytes, document %d bytes, %.1f ms of virtual time a change",
 			full,
-			orders,
+			changes,
 			float64(heap)/1e6,
 			float64(heapAfter)/1e6,
 			float64(disk)/1e6,
@@ -54,7 +54,7 @@
 			snapshot,
 			snapshotAfter,
 			len(largeChange(1).Body),
-			float64((w.now()-began).Microseconds())/1e3/float64(orders),
+			float64((w.now()-began).Microseconds())/1e3/float64(changes),
 		)
 		if heapAfter > heap+heap/4+4<<20 {
 			t.Errorf("the heap grew from %d to %d", heap, heapAfter)
@@ -65,7 +65,7 @@
 		if snapshotAfter > snapshot+snapshot/10 {
 			t.Errorf("the snapshot grew from %d to %d bytes", snapshot, snapshotAfter)
 		}
-		w.checkRemembered(orders)
+		w.checkRemembered(changes)
 		w.stop()
 		for _, failure := range w.violations {
 			t.Error(failure)
@@ -75,8 +75,8 @@
 
 // checkRemembered checks the answers to changes of any age that are sent again: 200 to those that are
 // remembered, 503 to older ones, and 412 to one that was never accepted, as long as that is known.
-func (w *clusterSimulation) checkRemembered(orders int) {
-	for version := 1; version <= orders; version += 499 {
+func (w *clusterSimulation) checkRemembered(changes int) {
+	for version := 1; version <= changes; version += 499 {
 		change := largeChange(version)
 		method := "PUT"
 		if change.Patch {
@@ -84,14 +84,14 @@
 		}
 		got := w.members[version%3].call(method, fmt.Sprint(change.IfMatch), string(change.Body), 2*time.Second).status
 		expected := 200
-		if version <= orders-remembered {
+		if version <= changes-remembered {
 			expected = 503
 		}
 		if got != expected {
-			w.failf("the change to version %d of %d gets %d, not %d", version, orders, got, expected)
+			w.failf("the change to version %d of %d gets %d, not %d", version, changes, got, expected)
 		}
 	}
-	if got := w.members[0].call("PATCH", fmt.Sprint(orders-10), `{"generation":1}`, 2*time.Second).status; got != 412 {
+	if got := w.members[0].call("PATCH", fmt.Sprint(changes-10), `{"generation":1}`, 2*time.Second).status; got != 412 {
 		w.failf("a stale change gets %d", got)
 	}
 }
