--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -102,7 +102,7 @@
 }
 
 // settleAll tells all of the newest view, and waits until they are quiet.
-func (h *lossHistory) settleAll() {
+func (h *lossHistory) reconcileAll() {
 	h.cluster.drops, h.uninformed = nil, nil
 	for _, n := range h.remaining() {
 		h.rejoin(n)
@@ -225,8 +225,8 @@
 	h.note("%s retires", n.key())
 	n.state = protocol.StoreRetiring
 	h.changeMembers()
-	h.settleAll()
-	h.settleAll()
+	h.reconcileAll()
+	h.reconcileAll()
 	if !n.machine.Report().DrainedDown {
 		h.failf("%s isn't drained", n.key())
 		return
@@ -256,15 +256,15 @@
 	for range lossSteps {
 		h.step()
 		if !h.chance(4) {
-			h.settleAll()
+			h.reconcileAll()
 		}
 	}
 	for n := h.firstAway(); n != nil; n = h.firstAway() {
 		h.returns(n)
 	}
 	h.changeMembers()
-	h.settleAll()
-	h.settleAll()
+	h.reconcileAll()
+	h.reconcileAll()
 	for _, id := range h.accepted {
 		if _, status := h.remaining()[0].readAnywhere(id); status != 200 {
 			h.failf("%s is answered with %d", id, status)
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestRandomCalm(t *testing.T) {
+func TestRandomWithoutFaults(t *testing.T) {
 	simulateFaults(t, 3, 1, func(*campaign) {})
 }
 
@@ -169,7 +169,7 @@
 
 // TestRandomChaos injects faults without any limit except that disks stay: no answer may be wrong, though not
 // all calls may be served.
-func TestRandomChaos(t *testing.T) {
+func TestRandomUnboundedFaults(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.lossRate = 0.05
 		for range 12 {
