--- a/internal/batch/replica/concurrentclients_test.go
+++ b/internal/batch/replica/concurrentclients_test.go
@@ -9,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// What other clients are answered, who call at any gateway and so at any store, while stores come and go.
+// What clients are answered that call at any gateway, and so at any store, while stores leave and join.
 
 // callOwner makes a call at a node and follows it to the owners that are named. It returns the last answer.
 func (n *clusterNode) callOwner(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
@@ -88,6 +88,8 @@
 	}
 }
 
+// TestConcurrentClients makes calls of each kind at all stores right after each fault and once all have
+// reconciled.
 func TestConcurrentClients(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 7))
--- a/internal/batch/replica/departures_test.go
+++ b/internal/batch/replica/departures_test.go
@@ -201,7 +201,7 @@
 
 // TestEmptyDisk has a store with an empty disk be the first to come back.
 func TestEmptyDisk(t *testing.T) {
-	Convey("A store whose disk was lost denies nothing while more are missing than copies but one", t, func() {
+	Convey("A store whose disk was lost denies nothing while as many are missing as there are replicas", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, replica := c.owner("job"), c.replicaOf("job")
@@ -213,18 +213,18 @@
 		owner.start()
 		c.installView(owner)
 		c.quiesce()
-		deny := func(n *clusterNode) bool {
+		denies := func(n *clusterNode) bool {
 			_, status := n.read("job")
 			So(status, ShouldBeIn, 404, 503)
 			return status == 404
 		}
-		So(deny(owner), ShouldBeFalse)
+		So(denies(owner), ShouldBeFalse)
 		So(owner.machine.tooManyDeparted(), ShouldBeTrue)
 		owner.kill() // nor after another restart
 		owner.start()
 		c.installView(owner)
 		c.quiesce()
-		So(deny(owner), ShouldBeFalse)
+		So(denies(owner), ShouldBeFalse)
 		rest[0].start()
 		c.installView(owner, rest[0])
 		c.quiesce()
@@ -232,7 +232,7 @@
 			So(n.machine.departures.stores, ShouldHaveLength, 3)
 			So(n.machine.departures.countDeparted(), ShouldEqual, 3)
 		}
-		So(deny(owner) || deny(rest[0]), ShouldBeFalse)
+		So(denies(owner) || denies(rest[0]), ShouldBeFalse)
 		replica.start()
 		rest[1].start()
 		c.installView(c.nodes...)
@@ -242,7 +242,7 @@
 		_, status = owner.read("no-such-job")
 		So(status, ShouldEqual, 404)
 	})
-	Convey("It doubts for as long as batch jobs are kept where all copies were lost", t, func() {
+	Convey("It denies nothing for as long as batch jobs are kept where all copies were lost", t, func() {
 		c := newCluster(1, 1, 1)
 		n := c.nodes[0]
 		n.wipe()
@@ -320,7 +320,7 @@
 	})
 }
 
-// TestMissedViews tells a store of no view for a while.
+// TestMissedViews has a store miss some views.
 func TestMissedViews(t *testing.T) {
 	Convey("A store misses all that departed in views that it didn't see, also those that joined in them", t, func() {
 		for copies := 2; copies <= 3; copies++ {
@@ -416,7 +416,7 @@
 		So(replica.machine.Status().Reconciled(), ShouldBeTrue)
 		So(replica.machine.jobs["job"].owned, ShouldBeTrue)
 	})
-	Convey("A machine that lost its disk, and whose next one can't tell what it held, is missing once", t, func() {
+	Convey("A machine that lost its disk, and whose next one has an incomplete log, is missing once", t, func() {
 		c := newCluster(4, 3, 1)
 		n := c.nodes[0]
 		n.wipe()
@@ -431,9 +431,10 @@
 	})
 }
 
-// TestRetirementWaitsForFullReplication restarts a store of the new set right after it was counted.
+// TestRetirementWaitsForFullReplication restarts a store of the new set right after it has confirmed its
+// copy.
 func TestRetirementWaitsForFullReplication(t *testing.T) {
-	Convey("A set with a restarted store isn't fully replicated before that tells what it has", t, func() {
+	Convey("A set with a restarted store isn't fully replicated before that reports its copy", t, func() {
 		c := newCluster(4, 2, 1)
 		So(c.nodes[0].submit("job", 4).Status, ShouldEqual, 202)
 		owner, leaving := c.owner("job"), c.replicaOf("job")
@@ -441,28 +442,28 @@
 		c.installView(c.nodes...)
 		c.quiesce()
 		So(leaving.machine.drained(), ShouldBeTrue)
-		taker := c.replicaOf("job")
-		So(taker == leaving, ShouldBeFalse)
-		taker.injectRecords(encodeDropped("job")) // what it had is gone
-		c.rejoin(taker)
-		ask := func() bool {
+		successor := c.replicaOf("job")
+		So(successor == leaving, ShouldBeFalse)
+		successor.injectRecords(encodeDropped("job")) // what it had is gone
+		c.rejoin(successor)
+		confirms := func() bool {
 			c.messages = nil
 			owner.machine.Receive(leaving.process(), ReplicationRequest{Stamp: leaving.machine.stamp(), Job: "job"})
 			So(c.messages, ShouldHaveLength, 1)
 			return c.messages[0].body.(ReplicationResponse).Whole
 		}
-		So(ask(), ShouldBeTrue) // it hasn't sent anything yet
-		owner.machine.Receive(taker.process(), InventoryRequest{Stamp: taker.machine.stamp()})
-		So(ask(), ShouldBeFalse)
+		So(confirms(), ShouldBeTrue) // it hasn't sent anything yet
+		owner.machine.Receive(successor.process(), InventoryRequest{Stamp: successor.machine.stamp()})
+		So(confirms(), ShouldBeFalse)
 		So(owner.machine.Report().Settled, ShouldBeLessThan, c.epoch)
 		c.quiesce()
-		So(ask(), ShouldBeTrue)
-		So(taker.machine.jobs["job"], ShouldNotBeNil)
+		So(confirms(), ShouldBeTrue)
+		So(successor.machine.jobs["job"], ShouldNotBeNil)
 		So(owner.machine.Report().Settled, ShouldEqual, c.epoch)
 		owner.wipe() // a disk is lost right after
 		c.installView(c.except(owner)...)
 		c.quiesce()
-		_, status := taker.read("job")
+		_, status := successor.read("job")
 		So(status, ShouldEqual, 200)
 	})
 }
--- a/internal/batch/replica/losses_test.go
+++ b/internal/batch/replica/losses_test.go
@@ -67,6 +67,7 @@
 	return list
 }
 
+// chance is true once in so many times.
 func (h *lossHistory) chance(one int) bool { return h.random.IntN(one) == 0 }
 
 // changeMembers has control agree on the set of those that remain; now and then after a view that reaches
@@ -101,7 +102,8 @@
 	}
 }
 
-// settleAll tells all of the newest view, and waits until they are quiet.
+// reconcileAll installs the newest view at all machines that remain, and delivers messages until there are
+// none.
 func (h *lossHistory) reconcileAll() {
 	h.cluster.drops, h.uninformed = nil, nil
 	for _, n := range h.remaining() {
@@ -113,7 +115,7 @@
 	}
 }
 
-// step does the next thing.
+// step injects a random fault or change that the losses so far allow.
 func (h *lossHistory) step() {
 	list := h.remaining()
 	n := list[h.random.IntN(len(list))]
@@ -150,6 +152,7 @@
 	}
 }
 
+// firstAway returns the first machine that is away; nil if none is.
 func (h *lossHistory) firstAway() *clusterNode {
 	for _, n := range h.nodes {
 		if h.away[n.number] {
@@ -159,6 +162,7 @@
 	return nil
 }
 
+// returns starts a machine that was away.
 func (h *lossHistory) returns(n *clusterNode) {
 	h.note("%s comes back", n.key())
 	delete(h.away, n.number)
--- a/internal/batch/replica/model_test.go
+++ b/internal/batch/replica/model_test.go
@@ -158,6 +158,7 @@
 	s.durable = len(s.disk)
 }
 
+// wipe ends the process and loses its disk; it starts on an empty one.
 func (s *modelStore) wipe(down time.Duration) {
 	s.stop(false, down)
 	s.wipedAt = s.model.now
@@ -180,6 +181,7 @@
 	}
 }
 
+// resume runs a paused process on, with what arrived meanwhile.
 func (s *modelStore) resume() {
 	s.paused = false
 	inputs := s.delayedInputs
@@ -241,7 +243,7 @@
 
 func (s *modelStore) unsynced() bool { return s.up && !s.paused && s.durable < len(s.disk) }
 
-// step does the next thing.
+// step delivers the next message, else syncs a disk, else lets a round pass; then it checks all stores.
 func (sim *modelCluster) step() {
 	sim.steps++
 	if sim.steps > modelMaxSteps {
@@ -266,6 +268,7 @@
 	sim.check()
 }
 
+// deliver hands a message to the store whose disk has the key, if there is one still.
 func (sim *modelCluster) deliver(message modelMessage) {
 	at := slices.IndexFunc(sim.stores, func(s *modelStore) bool { return s.key() == message.to })
 	if at < 0 {
@@ -289,7 +292,7 @@
 	s.do(func() { s.machine.Receive(message.from, body) })
 }
 
-// round lets time pass: processes start, control looks at who is there, leases are renewed, state machines
+// round lets time pass: processes start, control updates the view, leases are renewed, state machines
 // tick, and the client goes on.
 func (sim *modelCluster) round() {
 	sim.rounds++
--- a/internal/batch/replica/modelcheck_test.go
+++ b/internal/batch/replica/modelcheck_test.go
@@ -14,7 +14,7 @@
 
 const modelDataLost = "no surviving copy of the highest version holds all that was acknowledged"
 
-// check checks all stores.
+// check checks, after each step, that one store at most may run items, and that nothing acknowledged is lost.
 func (sim *modelCluster) check() {
 	if sim.toleratesLoss() {
 		sim.allowedLosses = sim.replicationFactor - 1
@@ -53,6 +53,7 @@
 	}
 }
 
+// seeAll checks what a store shows against what was shown before.
 func (sim *modelCluster) seeAll(s *modelStore, j *storedJob) {
 	if sim.client.ended && !j.ended {
 		sim.fail("%s serves an ended batch job as open", s.node)
--- a/internal/batch/replica/modelfaults_test.go
+++ b/internal/batch/replica/modelfaults_test.go
@@ -13,27 +13,30 @@
 
 // modelFault is one fault, injected before a step.
 type modelFault struct {
-	kind  int
+	kind  modelFaultKind
 	store int
 	step  int
 }
 
+// modelFaultKind is what happens.
+type modelFaultKind int
+
 // The kinds of faults.
 const (
-	modelWipe             = iota // a disk is lost, the machine comes back empty at once
-	modelWipeLong                // ... after the others have gone on without it
-	modelReplace                 // ... or never, and another machine comes
-	modelKill                    // a process ends; what it wrote stays
-	modelCrash                   // a machine loses power
-	modelCrashLong               // ... until the others have gone on without it
-	modelPause                   // a process is paused until the others have gone on without it
-	modelRetire                  // a store retires
-	modelPowerLoss               // all lose power
-	modelPowerLossAndWipe        // ... and one its disk
-	modelDropMessage             // the next message is lost
-	modelDelayMessage            // the next message comes after the others that are on their way
-	modelDuplicateMessage        // the next message comes again later
-	modelAddStore                // another store joins
+	modelWipe             modelFaultKind = iota // a disk is lost, the machine comes back empty at once
+	modelWipeLong                               // ... after the others have gone on without it
+	modelReplace                                // ... or never, and another machine comes
+	modelKill                                   // a process ends; what it wrote stays
+	modelCrash                                  // a machine loses power
+	modelCrashLong                              // ... until the others have gone on without it
+	modelPause                                  // a process is paused until the others have gone on without it
+	modelRetire                                 // a store retires
+	modelPowerLoss                              // all lose power
+	modelPowerLossAndWipe                       // ... and one its disk
+	modelDropMessage                            // the next message is lost
+	modelDelayMessage                           // the next message comes after the others that are on their way
+	modelDuplicateMessage                       // the next message comes again later
+	modelAddStore                               // another store joins
 	modelFaultKinds
 	modelFirstWithoutStore = modelDropMessage // from here on no store is named
 )
@@ -46,6 +49,12 @@
 
 const modelLongAbsence = 2*modelTimeout + modelRound
 
+// losesDisk reports whether a disk is lost with its content.
+func (k modelFaultKind) losesDisk() bool {
+	return k == modelWipe || k == modelWipeLong || k == modelReplace || k == modelPowerLossAndWipe
+}
+
+// String names the step, the store and the fault.
 func (f modelFault) String() string {
 	if f.kind >= modelFirstWithoutStore {
 		return fmt.Sprintf("%d:%s", f.step, modelFaultNames[f.kind])
@@ -56,7 +65,7 @@
 // inject injects a fault. It reports whether it could: no more disks are lost than must be tolerated.
 func (sim *modelCluster) inject(fault modelFault) bool {
 	s := sim.stores[fault.store]
-	lost := fault.kind == modelWipe || fault.kind == modelWipeLong || fault.kind == modelReplace || fault.kind == modelPowerLossAndWipe
+	lost := fault.kind.losesDisk()
 	if lost && sim.allowedLosses == 0 || s.removed || fault.kind < modelFirstWithoutStore && !s.up {
 		return false
 	}
@@ -103,7 +112,7 @@
 }
 
 // disturbMessage loses, delays or duplicates the next message.
-func (sim *modelCluster) disturbMessage(kind int) bool {
+func (sim *modelCluster) disturbMessage(kind modelFaultKind) bool {
 	if len(sim.messages) == 0 {
 		return false
 	}
@@ -236,8 +245,8 @@
 }
 
 var (
-	modelFirstFaults  = []int{modelWipe, modelReplace, modelRetire, modelAddStore}
-	modelSecondFaults = []int{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
+	modelFirstFaults  = []modelFaultKind{modelWipe, modelReplace, modelRetire, modelAddStore}
+	modelSecondFaults = []modelFaultKind{modelWipeLong, modelPowerLossAndWipe, modelDropMessage}
 )
 
 // TestSetModelVersionAfterAbsence has an owner come back to a set that needs no change, while another store,
@@ -289,7 +298,7 @@
 	}
 }
 
-var modelDenseFaults = []int{
+var modelDenseFaults = []modelFaultKind{
 	modelWipe, modelWipe, modelWipeLong, modelKill, modelCrash, modelPowerLoss, modelDropMessage, modelDelayMessage,
 	modelCrashLong, modelRetire,
 }
@@ -359,7 +368,7 @@
 	step := 0
 	for range 2 + random.IntN(4) {
 		step += random.IntN(length)
-		faults = append(faults, modelFault{kind: random.IntN(modelFaultKinds), store: random.IntN(stores), step: step})
+		faults = append(faults, modelFault{kind: modelFaultKind(random.IntN(int(modelFaultKinds))), store: random.IntN(stores), step: step})
 	}
 	return faults
 }
--- a/internal/batch/replica/pastview_test.go
+++ b/internal/batch/replica/pastview_test.go
@@ -70,8 +70,8 @@
 	n.machine.InstallView(h.views[epoch-1])
 }
 
-// rejoinAll installs the newest view at all stores that ran before, and then one with the empty disks, too, at
-// all.
+// rejoinAll installs the newest view at all stores that ran before, and then one with the empty disks, too,
+// at all.
 func (h *viewHistory) rejoinAll() {
 	for _, n := range h.nodes[2:8] {
 		h.installOldView(n, h.epoch)
--- a/internal/batch/replica/singlefault_test.go
+++ b/internal/batch/replica/singlefault_test.go
@@ -27,10 +27,12 @@
 	}
 }
 
+// TestRandomWithoutFaults runs under load alone.
 func TestRandomWithoutFaults(t *testing.T) {
 	simulateFaults(t, 3, 1, func(*campaign) {})
 }
 
+// TestRandomLossyLinks loses one message in ten.
 func TestRandomLossyLinks(t *testing.T) {
 	simulateFaults(t, 3, 1, func(c *campaign) { c.lossRate = 0.1 })
 }
@@ -167,8 +169,8 @@
 	c.schedule(down, s.restart)
 }
 
-// TestRandomChaos injects faults without any limit except that disks stay: no answer may be wrong, though not
-// all calls may be served.
+// TestRandomUnboundedFaults injects faults without any limit except that disks stay: no answer may be wrong,
+// though not all calls may be served.
 func TestRandomUnboundedFaults(t *testing.T) {
 	simulateFaults(t, 4, 1, func(c *campaign) {
 		c.lossRate = 0.05
@@ -181,6 +183,7 @@
 	})
 }
 
+// injectAnyFault injects a fault into any store that is up, however many others are down.
 func (c *campaign) injectAnyFault() {
 	s := c.anyStore()
 	if !s.up {
--- a/internal/batch/scheduler/reportedload_test.go
+++ b/internal/batch/scheduler/reportedload_test.go
@@ -93,7 +93,7 @@
 		started, _, _ = startAll(p, time.Second+1)
 		So(started, ShouldEqual, 1)
 	})
-	Convey("A server that failing the zone's requests gets no items", t, func() {
+	Convey("A server that fails the zone's requests gets no items", t, func() {
 		b := &fakeReports{
 			inFlight: map[string]int{"i-0": 0, "i-1": 0}, at: time.Second, failing: map[string]bool{"i-0": true},
 		}
@@ -112,7 +112,7 @@
 		_, _, jobs := startAll(p, 2*time.Second)
 		So(jobs, ShouldResemble, map[string]int{"open": 1, "past": 1})
 	})
-	Convey("A server that failing items is ejected for longer each time, until it succeeds", t, func() {
+	Convey("A server that fails items is ejected for longer each time, until it succeeds", t, func() {
 		p := New("z0", 1, nil)
 		p.SetServers(listServers(1, 8))
 		for range 20 {
--- a/internal/batch/serverclient/early_test.go
+++ b/internal/batch/serverclient/early_test.go
@@ -100,7 +100,7 @@
 			time.Sleep(49 * time.Millisecond)
 		}
 	})
-	Convey("A retried item doesn't take a late response to its last attempt for its own", t, func() {
+	Convey("A retried item doesn't accept a late response to its last attempt as its own", t, func() {
 		So(connections, ShouldEqual, 2)
 		So(runs, ShouldEqual, 2)
 		So(results, ShouldResemble, []Result{Failed, Interrupted}) // the second response doesn't name the item
