--- a/cmd/sprucelane/counters.go
+++ b/cmd/sprucelane/counters.go
@@ -9,7 +9,7 @@
 	"sprucelane.example/sprucelane/internal/front/control"
 	"sprucelane.example/sprucelane/internal/inflight"
 	"sprucelane.example/sprucelane/internal/knowledge/datagram"
-	"sprucelane.example/sprucelane/internal/store/keep"
+	"sprucelane.example/sprucelane/internal/store/balances"
 )
 
 // addCounters adds functions that return the counters of a part. Each has a log line of its own, whose attribute
@@ -74,7 +74,7 @@
 		slog.Uint64("refused", n.Rejected), slog.Uint64("crowded", n.Evicted)}
 }
 
-func storeCounts(keeper *keep.Keeper) core.Counts {
+func storeCounts(keeper *balances.Keeper) core.Counts {
 	n := keeper.Stats()
 	counts := core.Counts{slog.String("part", "store"), slog.Uint64("epoch", n.Epoch), slog.Int("recalled", n.Restored),
 		slog.Int("entries", n.Entries), slog.Int64("bytes", n.DiskBytes), slog.Uint64("writes", n.Writes),
--- a/cmd/sprucelane/gateway.go
+++ b/cmd/sprucelane/gateway.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/service"
 	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/keep"
+	"sprucelane.example/sprucelane/internal/store/balances"
 	"sprucelane.example/sprucelane/internal/storm"
 )
 
@@ -243,12 +243,12 @@
 	if conf == nil {
 		return func() {}, nil
 	}
-	opt := keep.Options{Path: conf.Path, Name: g.start.Name,
+	opt := balances.Options{Path: conf.Path, Name: g.start.Name,
 		Store: store.Options{FlushInterval: conf.FlushInterval(), MaxBytes: conf.MaxBytes()}}
 	for _, p := range g.start.Deployment.Plans {
 		opt.Plans = append(opt.Plans, p.Name)
 	}
-	keeper, err := keep.Open(opt, g.core)
+	keeper, err := balances.Open(opt, g.core)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/sprucelane/storecommand.go
+++ b/cmd/sprucelane/storecommand.go
@@ -11,7 +11,7 @@
 
 	"sprucelane.example/sprucelane/internal/cli"
 	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/keep"
+	"sprucelane.example/sprucelane/internal/store/balances"
 )
 
 // storeCommand returns the operators' commands on a store's folder, which no process may have open at the same time.
@@ -69,7 +69,7 @@
 	return withStore(fs, func(s *store.Store) error {
 		counters, kinds := s.Counters(), map[string]int{}
 		err := s.Each(nil, func(key, value []byte) bool {
-			kinds[keep.Describe(key, value)["kind"].(string)]++
+			kinds[balances.Describe(key, value)["kind"].(string)]++
 			return true
 		})
 		if err != nil {
@@ -98,7 +98,7 @@
 		encoder := json.NewEncoder(out)
 		var encodeErr error
 		err := s.Each(nil, func(key, value []byte) bool {
-			encodeErr = encoder.Encode(keep.Describe(key, value))
+			encodeErr = encoder.Encode(balances.Describe(key, value))
 			return encodeErr == nil
 		})
 		return errors.Join(err, encodeErr)
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -20,7 +20,7 @@
 	"sprucelane.example/sprucelane/internal/lab/programs"
 	"sprucelane.example/sprucelane/internal/lab/referee"
 	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/keep"
+	"sprucelane.example/sprucelane/internal/store/balances"
 	"sprucelane.example/sprucelane/policy"
 )
 
@@ -313,7 +313,7 @@
 		defer r.mu.Unlock()
 		lost := 0.0
 		require.NoError(t, s.Each([]byte("a"), func(k, v []byte) bool {
-			w := keep.Describe(k, v)
+			w := balances.Describe(k, v)
 			at := time.UnixMilli(w["at_ms"].(int64)).Sub(r.began) + emulator.Origin
 			now := r.now()
 			plan := r.set.Plans[binary.BigEndian.Uint64(k[1:])>>24&255]
--- a/internal/store/keep/encoding.go
+++ b/internal/store/balances/encoding.go
@@ -1,4 +1,4 @@
-package keep
+package balances
 
 // This file has the records of the store: keys, and the protocol buffers that are their values.
 
--- a/internal/store/keep/keep.go
+++ b/internal/store/balances/keep.go
@@ -1,4 +1,4 @@
-// Package keep persists what a gateway has to know after a restart: how much of its quota each account has used. The
+// Package balances persists what a gateway has to know after a restart: how much of its quota each account has used. The
 // Keeper writes the balances that have changed to the gateway's store (package store) every WriteInterval, and gives
 // them back to the gateway when the next process opens the store. Together with the store's FlushInterval, that bounds
 // what a crash loses.
@@ -9,7 +9,7 @@
 //
 // The database has one record per account, and one record of the process that wrote it, its incarnation. Values are
 // protocol buffers; their messages are in api/sprucelane/v1/keep.proto.
-package keep
+package balances
 
 import (
 	"context"
--- a/internal/store/keep/keep_test.go
+++ b/internal/store/balances/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package balances
 
 import (
 	"context"
