--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 	"sprucelane.example/sprucelane/policy"
 )
 
@@ -46,7 +46,7 @@
 
 // plainShare is this gateway's share of a customer's quota, hard limit and cap.
 type plainShare struct {
-	quota, hardLimit ledger.BucketShare
+	quota, hardLimit ratelimit.BucketShare
 	refilledAt       Time
 	inFlight         int
 }
@@ -75,14 +75,14 @@
 	plan, n := p.settings.Plans[in.Plan], float64(max(1, in.SetSize))
 	a := p.shares[in.Customer]
 	if a == nil {
-		a = &plainShare{quota: ledger.BucketShare{Tokens: plan.Burst / n}, refilledAt: now}
+		a = &plainShare{quota: ratelimit.BucketShare{Tokens: plan.Burst / n}, refilledAt: now}
 		p.shares[in.Customer] = a
 	}
-	a.quota.Refill(ledger.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.refilledAt, 0)
-	a.hardLimit.Refill(ledger.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.refilledAt, 0)
+	a.quota.Refill(ratelimit.Limit{Rate: plan.Rate / n, Burst: math.Max(plan.Burst/n, in.Units)}, now-a.refilledAt, 0)
+	a.hardLimit.Refill(ratelimit.Limit{Rate: plan.HardLimitRate / n, Burst: plan.HardLimitBurst / n}, now-a.refilledAt, 0)
 	a.refilledAt = now
 	if plan.Rate > 0 && a.quota.Tokens < in.Units || plan.HardLimitRate > 0 && a.hardLimit.Tokens < in.Units ||
-		plan.MaxInFlight > 0 && !ledger.SlotAvailable(plan.MaxInFlight, a.inFlight, 0, int(n), false) {
+		plan.MaxInFlight > 0 && !ratelimit.SlotAvailable(plan.MaxInFlight, a.inFlight, 0, int(n), false) {
 		return false
 	}
 	a.quota.Tokens, a.hardLimit.Tokens = a.quota.Tokens-in.Units, a.hardLimit.Tokens-in.Units
--- a/internal/ledger/concurrency.go
+++ b/internal/ratelimit/concurrency.go
@@ -1,4 +1,4 @@
-package ledger
+package ratelimit
 
 // SlotAvailable reports whether a customer may have one more request in flight, of limit over all n gateways, with
 // so many in flight from here and, as far as is known, from the others. Gateways that receive no messages of each other
--- a/internal/ledger/doc.go
+++ b/internal/ratelimit/doc.go
@@ -1,4 +1,4 @@
-// Package ledger divides rate limits that hold for all gateways together among the single gateways, which admit
+// Package ratelimit divides rate limits that hold for all gateways together among the single gateways, which admit
 // requests without asking each other. It is pure: it does no I/O and reads no clock; times are arguments.
 //
 // It has four kinds of limit:
@@ -12,4 +12,4 @@
 //
 // The invariant of the hard limits: the shares of all gateways together never exceed the whole, whatever messages are
 // lost or late, and whichever gateways restart, but for what BucketShare states about grants under way.
-package ledger
+package ratelimit
--- a/internal/ledger/quota.go
+++ b/internal/ratelimit/quota.go
@@ -1,4 +1,4 @@
-package ledger
+package ratelimit
 
 import (
 	"math"
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
 // Which gateways share a customer, which peers are alive, and the updates that they exchange. This file decides
@@ -95,16 +95,16 @@
 }
 
 // quotaView gives how this gateway sees a customer's bucket.
-func (g *Gateway) quotaView(c *customer) ledger.QuotaView {
+func (g *Gateway) quotaView(c *customer) ratelimit.QuotaView {
 	here, total := g.demand(c)
-	return ledger.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize,
+	return ratelimit.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize,
 		Shared: g.drawsJointly(c)}
 }
 
 // hardLimitShare gives the share of the hard limit that a record of a customer has.
-func (g *Gateway) hardLimitShare(c *customer) ledger.Limit {
+func (g *Gateway) hardLimitShare(c *customer) ratelimit.Limit {
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)*g.hardLimitHolders(c)
-	return ledger.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
+	return ratelimit.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
 }
 
 // hardLimitHolders is 2 where a customer's first owner holds one half of the hard limit and the parts of all its
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
 // Is a request within its customer's quota, by what this gateway knows? Read after admission.go. Which part of the
-// quota this gateway may draw on is in bucket_sharing.go; the arithmetic of buckets is in internal/ledger.
+// quota this gateway may draw on is in bucket_sharing.go; the arithmetic of buckets is in internal/ratelimit.
 
 // refill brings the token bucket and this gateway's share of the hard limit up to date. A gateway that is isolated may
 // save up the units of one request, though its part of the burst be less.
@@ -28,7 +28,7 @@
 func (g *Gateway) withinQuota(r *request) bool {
 	c, p, view := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
 	if p.MaxInFlight > 0 &&
-		!ledger.SlotAvailable(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Shared) {
+		!ratelimit.SlotAvailable(p.MaxInFlight, c.inFlight+c.queued, g.inFlightElsewhere(c), c.setSize, view.Shared) {
 		return false
 	}
 	return view.Allows(p.quota(), r.Units, g.rng.Float64)
--- a/policy/records.go
+++ b/policy/records.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
 // The records of requests, attempts, servers, customers and groups. This file decides nothing.
@@ -79,12 +79,12 @@
 	answers             decayingMean // its weight counts the served attempts
 	consecutiveFailures int
 	ejectedUntil        Time
-	ejections           int                    // doubles the next ejection; falls with served attempts
-	rejectedUntil       []Time                 // by group: until when it goes elsewhere, as the server has rejected it
-	slowStartBudget     ledger.SlowStartBudget // of attempts while it warms up
-	capacity            float64                // in attempts of this gateway; 0 means not yet known
-	lastServed          Time                   // when an attempt was last served; 0 means never
-	servedTotal         int                    // attempts served since its process started
+	ejections           int                       // doubles the next ejection; falls with served attempts
+	rejectedUntil       []Time                    // by group: until when it goes elsewhere, as the server has rejected it
+	slowStartBudget     ratelimit.SlowStartBudget // of attempts while it warms up
+	capacity            float64                   // in attempts of this gateway; 0 means not yet known
+	lastServed          Time                      // when an attempt was last served; 0 means never
+	servedTotal         int                       // attempts served since its process started
 }
 
 // load gives the attempts of this gateway that occupy slots at a server.
@@ -100,11 +100,11 @@
 	setSize       int // how many gateways serve it
 	firstGateway  int
 	lastSeen      Time
-	balance       float64            // units of the quota; below 0 they were admitted ahead of the refill
-	hardLimit     ledger.BucketShare // this gateway's share of the hard limit
-	limitFilled   bool               // that part was given its burst when the whole fleet started
-	reservedUnits float64            // of requests that are queued, or whose bodies are pending
-	refilledAt    Time               // balance and hardLimit are as of then
+	balance       float64               // units of the quota; below 0 they were admitted ahead of the refill
+	hardLimit     ratelimit.BucketShare // this gateway's share of the hard limit
+	limitFilled   bool                  // that part was given its burst when the whole fleet started
+	reservedUnits float64               // of requests that are queued, or whose bodies are pending
+	refilledAt    Time                  // balance and hardLimit are as of then
 	demand        decayingMean
 	sharedDemand  pushSum // units asked at all its gateways, and the weight
 	inFlight      int     // attempts
@@ -161,4 +161,4 @@
 )
 
 // quota gives a plan's token bucket.
-func (p Plan) quota() ledger.Limit { return ledger.Limit{Rate: p.Rate, Burst: p.Burst} }
+func (p Plan) quota() ratelimit.Limit { return ratelimit.Limit{Rate: p.Rate, Burst: p.Burst} }
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
 // Which servers are there? Server lists of discovery come in here.
@@ -47,7 +47,7 @@
 	}
 	if info.StartedAt != s.StartedAt || s.slowStartBudget.CreditedAt == 0 {
 		*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
-			slowStartBudget: ledger.SlowStartBudget{Sent: s.slowStartBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
+			slowStartBudget: ratelimit.SlowStartBudget{Sent: s.slowStartBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
 	}
 	s.ServerInfo, s.listed = info, info.State == Ready
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"sprucelane.example/sprucelane/internal/ledger"
+	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
 // How much may a server be sent that has just started? Read after selection.go.
@@ -22,7 +22,7 @@
 // do is estimated from what it has served here while cold and from what warm servers serve.
 func (g *Gateway) withinSlowStartBudget(s *server) bool {
 	warmth := g.warmth(s)
-	limit := ledger.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple,
+	limit := ratelimit.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple,
 		Gateways: g.cfg.Gateways,
 		Capacity: math.Max(warmth*g.warmThroughput, s.coldThroughput(g)), Slowdown: g.coldLatency.smoothed()}
 	return warmth >= 1 || limit.Window <= 0 || limit.Multiple <= 0 || s.slowStartBudget.Allows(g.now, limit)
