--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -24,7 +24,7 @@
 
 // waitingTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody
 // has requested.
-func (c *clients) waitingTokens() int64 {
+func (c *clients) queuedTokens() int64 {
 	sum := int64(0)
 	for _, j := range c.order {
 		if !j.accepted || j.endRequested {
@@ -41,15 +41,15 @@
 
 // checkTokenLimit checks the limit as a batch job is accepted.
 func (c *clients) checkTokenLimit(j *clientJob) {
-	if waiting := c.waitingTokens(); c.sim.tokenLimit > 0 && waiting > c.sim.tokenLimit {
-		c.sim.fail("%s is accepted: %d tokens are queued, the limit is %d:%s", j.id, waiting, c.sim.tokenLimit, c.sim.describeClaims())
+	if queued := c.queuedTokens(); c.sim.tokenLimit > 0 && queued > c.sim.tokenLimit {
+		c.sim.fail("%s is accepted: %d tokens are queued, the limit is %d:%s", j.id, queued, c.sim.tokenLimit, c.sim.describeClaims())
 	}
 }
 
 // auditCapacity checks that there is capacity for as much as the limit once everything is finished: nothing
 // stays granted for ever.
 func (sim *storeSimulation) auditCapacity() {
-	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.waitingTokens() > 0 {
+	if sim.tokenLimit == 0 || sim.failure != nil || sim.clients.queuedTokens() > 0 {
 		return
 	}
 	var items []job.Item
@@ -119,7 +119,7 @@
 	return c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.key() == key })]
 }
 
-func TestWaitingTokensAreBounded(t *testing.T) {
+func TestQueuedTokensAreLimited(t *testing.T) {
 	Convey("Batch jobs are accepted up to the limit over all stores, and again once items are finished", t, func() {
 		c := newCluster(5, 2, 1)
 		c.tokenLimit = 100
@@ -199,14 +199,14 @@
 		c.tokenLimit = 100
 		c.quiesce()
 		counter := c.counter()
-		silent := c.nodes[(counter.number+1)%5]
-		asker := c.nodes[(counter.number+2)%5]
+		unclaimed := c.nodes[(counter.number+1)%5]
+		submitter := c.nodes[(counter.number+2)%5]
 		c.drops = func(message clusterMessage) bool {
 			_, claim := message.body.(Claim)
-			return claim && message.from == silent.process()
+			return claim && message.from == unclaimed.process()
 		}
-		So(asker.submitTokens("one", 10), ShouldEqual, 503)
+		So(submitter.submitTokens("one", 10), ShouldEqual, 503)
 		c.drops = nil
-		So(asker.submitTokens("one", 10), ShouldEqual, 202)
+		So(submitter.submitTokens("one", 10), ShouldEqual, 202)
 	})
 }
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -190,7 +190,7 @@
 	return h.checkError(h.log.RemoveSegment(oldest))
 }
 
-func envInt(name string, value int) int {
+func intFromEnvironment(name string, value int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
@@ -199,8 +199,8 @@
 
 // TestRandomHistories runs histories with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
 func TestRandomHistories(t *testing.T) {
-	first := envInt("FIRST", 0)
-	count := envInt("SEEDS", defaultHistories)
+	first := intFromEnvironment("FIRST", 0)
+	count := intFromEnvironment("SEEDS", defaultHistories)
 	incarnations, records := 0, 0
 	for seed := first; seed < first+count; seed++ {
 		h, err := runHistory(uint64(seed), nil)
--- a/internal/batch/wal/marker_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -199,8 +199,8 @@
 // TestRandomCorruption inverts a bit in logs of random groups: each record is replayed as it was written, or
 // lies in a part that was reported, and only the last group is ever truncated.
 func TestRandomCorruption(t *testing.T) {
-	first := envInt("FIRST", 0)
-	for seed := first; seed < first+envInt("SEEDS", defaultHistories); seed++ {
+	first := intFromEnvironment("FIRST", 0)
+	for seed := first; seed < first+intFromEnvironment("SEEDS", defaultHistories); seed++ {
 		if err := checkRandomCorruption(simulation.NewRand(uint64(seed))); err != nil {
 			t.Fatalf("replay with FIRST=%d SEEDS=1: %v", seed, err)
 		}
