--- a/internal/batch/replica/claims_test.go
+++ b/internal/batch/replica/claims_test.go
@@ -22,7 +22,7 @@
 // itemTokens returns the tokens of a batch job's item.
 func itemTokens(index int) int { return 20 + 37*index%50 }
 
-// waitingTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody
+// queuedTokens sums the tokens of accepted items that no server has finished, in batch jobs whose end nobody
 // has requested.
 func (c *clients) queuedTokens() int64 {
 	sum := int64(0)
@@ -119,6 +119,7 @@
 	return c.nodes[slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.key() == key })]
 }
 
+// TestQueuedTokensAreLimited submits batch jobs up to and beyond the limit, while counters change.
 func TestQueuedTokensAreLimited(t *testing.T) {
 	Convey("Batch jobs are accepted up to the limit over all stores, and again once items are finished", t, func() {
 		c := newCluster(5, 2, 1)
--- a/internal/batch/server/fakecontrol_test.go
+++ b/internal/batch/server/fakecontrol_test.go
@@ -23,6 +23,7 @@
 	membersVersion uint64
 }
 
+// startControl serves a fakeControl until the test ends.
 func startControl(t *testing.T, servers []protocol.Server) *fakeControl {
 	c := &fakeControl{servers: servers, membersVersion: 1}
 	c.configuration, _ = json.Marshal(map[string]any{
@@ -46,6 +47,7 @@
 	return c
 }
 
+// handle answers a poll with what the process lacks, and with a lease. A process that polls is admitted.
 func (c *fakeControl) handle(_ context.Context, _ *transport.Session, message any) (any, error) {
 	poll := message.(protocol.Poll)
 	c.mutex.Lock()
@@ -80,6 +82,7 @@
 	c.change(append(members, protocol.StoreMember{Process: process}))
 }
 
+// change begins a new view.
 func (c *fakeControl) change(members []protocol.StoreMember) {
 	c.membersVersion++
 	c.view = protocol.StoreView{Epoch: c.view.Epoch + 1, Members: members}
@@ -98,6 +101,7 @@
 	c.change(members)
 }
 
+// members returns the view, as gateways receive it.
 func (c *fakeControl) members() *protocol.MemberList {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/batch/server/fakemodelserver_test.go
+++ b/internal/batch/server/fakemodelserver_test.go
@@ -19,6 +19,7 @@
 	lastEventIDs map[string]string // Last-Event-Id of the last request by item
 }
 
+// startModelServer serves a fakeModelServer until the test ends.
 func startModelServer(t *testing.T) (*fakeModelServer, protocol.Server) {
 	m := &fakeModelServer{counts: map[string]int{}, lastEventIDs: map[string]string{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,6 +34,8 @@
 	}
 }
 
+// ServeHTTP answers 422 to impossible items, 500 to failing ones, 503 to the first request of busy ones, and
+// breaks the first stream of interrupted ones off within the fourth event.
 func (m *fakeModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	m.mutex.Lock()
@@ -67,7 +70,7 @@
 	for number := first; number <= testEvents; number++ {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d\n\n", number, id, number)
 		w.(http.Flusher).Flush()
-		if strings.HasPrefix(id, "cut") && count == 1 && number == 3 {
+		if strings.HasPrefix(id, "interrupted") && count == 1 && number == 3 {
 			connection, out, _ := w.(http.Hijacker).Hijack()
 			_, _ = fmt.Fprintf(out, "20\r\nid: 4\ndata: half")
 			_ = out.Flush()
--- a/internal/batch/server/server_test.go
+++ b/internal/batch/server/server_test.go
@@ -25,6 +25,7 @@
 	testEvents  = 5
 )
 
+// testSettings returns the settings of a process at an address of this host.
 func testSettings(ip, name, directory string) *node.Settings {
 	return &node.Settings{
 		NodeName: name, Role: "store", Serves: []string{"store"}, IP: ip, Zone: "zone-" + name,
@@ -42,6 +43,7 @@
 	done   chan error
 }
 
+// startStore starts a batch process on a directory.
 func startStore(t *testing.T, number int, directory string) *runningStore {
 	settings := testSettings(fmt.Sprintf("127.0.8.%d", 10+number), fmt.Sprintf("store-%d", number), directory)
 	s, err := New(settings, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.WarnLevel))
@@ -66,6 +68,7 @@
 	}
 }
 
+// submission returns the body of a submission of items with these ids.
 func submission(ids ...string) []byte {
 	var requests []any
 	for _, id := range ids {
@@ -95,6 +98,7 @@
 	}
 }
 
+// resultsPage is the answer to a read.
 type resultsPage struct {
 	Total   int `json:"total"`
 	Next    int `json:"next-token"`
@@ -135,6 +139,7 @@
 	return "completed: " + strings.Join(lines, "\n")
 }
 
+// TestBatchProcesses runs batch jobs on three stores, over sockets and files, with restarts.
 func TestBatchProcesses(t *testing.T) {
 	model, server := startModelServer(t)
 	control := startControl(t, []protocol.Server{server})
@@ -153,7 +158,7 @@
 	}
 
 	Convey("A batch job is stored, run and read, and outlives a store", t, func() {
-		ids := []string{"plain-1", "plain-2", "impossible-1", "failing-1", "busy-1", "cut-1"}
+		ids := []string{"plain-1", "plain-2", "impossible-1", "failing-1", "busy-1", "interrupted-1"}
 		submit := call(protocol.BatchSubmit, "job-1")
 		submit.Body = submission(ids...)
 		callUntil(t, caller, submit, 202)
@@ -161,14 +166,14 @@
 		found := readAllResults(t, caller, "job-1", len(ids))
 		So(found, ShouldResemble, map[string]string{
 			"plain-1": completed("plain-1"), "plain-2": completed("plain-2"),
-			"busy-1": completed("busy-1"), "cut-1": completed("cut-1"),
+			"busy-1": completed("busy-1"), "interrupted-1": completed("interrupted-1"),
 			"impossible-1": "dead_letter: ", "failing-1": "dead_letter: ",
 		})
 		So(model.counts["plain-1"], ShouldEqual, 1)
 		So(model.counts["impossible-1"], ShouldEqual, 1)
 		So(model.counts["failing-1"], ShouldEqual, 3)
-		So(model.counts["cut-1"], ShouldEqual, 2)
-		So(model.lastEventIDs["cut-1"], ShouldEqual, "3")
+		So(model.counts["interrupted-1"], ShouldEqual, 2)
+		So(model.lastEventIDs["interrupted-1"], ShouldEqual, "3")
 
 		callUntil(t, caller, call(protocol.BatchRead, "no-such-job"), 404)
 		other := call(protocol.BatchRead, "job-1")
@@ -186,10 +191,10 @@
 		So(readAllResults(t, caller, "job-1", len(ids)), ShouldResemble, found)
 		stores[0] = startStore(t, 1, directories[0])
 		third := call(protocol.BatchSubmit, "job-3")
-		third.Body = submission("plain-5", "cut-2")
+		third.Body = submission("plain-5", "interrupted-2")
 		callUntil(t, caller, third, 202)
 		So(readAllResults(t, caller, "job-3", 2), ShouldResemble,
-			map[string]string{"plain-5": completed("plain-5"), "cut-2": completed("cut-2")})
+			map[string]string{"plain-5": completed("plain-5"), "interrupted-2": completed("interrupted-2")})
 		So(readAllResults(t, caller, "job-1", len(ids)), ShouldResemble, found)
 	})
 	for _, store := range stores {
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -39,6 +39,7 @@
 	ops          int
 }
 
+// record is an appended record with its location.
 type record struct {
 	text string
 	at   Location
@@ -113,6 +114,7 @@
 	return nil
 }
 
+// operate does one random operation on the log or its disk.
 func (h *history) operate() error {
 	h.ops++
 	switch kind := h.random.IntN(100); {
@@ -140,12 +142,14 @@
 	return nil
 }
 
+// append appends a record of random length.
 func (h *history) append() {
 	text := strconv.Itoa(h.ops) + strings.Repeat("x", h.random.IntN(120))
 	_, at := h.log.Append([]byte(text))
 	h.records = append(h.records, record{text: text, at: at})
 }
 
+// step takes the log's next step, and notes what it made durable.
 func (h *history) step() error {
 	_, err := h.log.Step()
 	h.durable = max(h.durable, h.loaded+int(h.log.Durable()))
@@ -164,6 +168,7 @@
 	return err
 }
 
+// read reads a random durable record and compares it.
 func (h *history) read() error {
 	if h.first >= h.durable || h.disk.PoweredOff() {
 		return nil
@@ -176,6 +181,7 @@
 	return nil
 }
 
+// release removes the oldest segment; the active one must not be removable.
 func (h *history) release() error {
 	oldest, current := h.log.SegmentRange()
 	if oldest == current {
@@ -190,6 +196,7 @@
 	return h.checkError(h.log.RemoveSegment(oldest))
 }
 
+// intFromEnvironment returns the integer value of an environment variable, or a default.
 func intFromEnvironment(name string, value int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
@@ -239,6 +246,7 @@
 	return f.FS.SyncDir()
 }
 
+// faultyFile is a file of a faultyFS.
 type faultyFile struct {
 	slots.File
 	skipSync, skipTruncate bool
