--- a/internal/batch/queuedtokens/counter.go
+++ b/internal/batch/queuedtokens/counter.go
@@ -6,13 +6,13 @@
 // Each account (a tenant's batch jobs on a route) has one counter among the stores of a view. A store
 // claims the capacity that it needs there: its Claim states all tokens that are queued in the batch jobs
 // that it answers for, and names the batch jobs that it would accept besides. The Counter answers each Want
-// with a Decision, and lets one in as long as the total over all stores stays within the limit.
+// with a Decision, and grants it as long as the total over all stores stays within the limit.
 //
 // # Why it is safe
 //
 //   - A claim is a store's whole state, not a difference, so that lost, repeated and late claims do no
 //     harm: the one with the highest number counts.
-//   - What a Decision lets in is added to the store's usage at once, and stays until a newer claim replaces
+//   - What a Decision grants is added to the store's usage at once, and stays until a newer claim replaces
 //     it. A store follows only decisions on its newest claim. So the total counts all that the stores were
 //     let accept.
 //   - A counter decides nothing before every store of the view has claimed (Counter.HasClaimed). So it may
--- a/internal/batch/replica/departures.go
+++ b/internal/batch/replica/departures.go
@@ -14,11 +14,11 @@
 //
 // They do as long as fewer than ReplicationFactor machines are missing, counted since all members had last
 // reconciled: then one copy of each batch job is among them. When more are missing, as after a loss of power
-// everywhere, what isn't known here may still come back; nobody may be told that it doesn't exist, and nobody
-// may accept it again. The list of departed stores is part of the agreed view, and so is that all members
-// have reconciled without them: no store concludes it from the views that it happened to see. Machines are
-// counted, not disks: the members of one replica set were in one view, and a view has one disk of each
-// machine.
+// everywhere, what isn't known here may still come back; no call may be answered that it doesn't exist, and
+// no store may accept it again. The list of departed stores is part of the agreed view, and so is that all
+// members have reconciled without them: no store concludes it from the views that it happened to see.
+// Machines are counted, not disks: the members of one replica set were in one view, and a view has one disk
+// of each machine.
 
 // departureSet is who departed since all members had last reconciled, whose logs are incomplete, and how far
 // the other members have reconciled, which ends both.
--- a/internal/batch/replica/messages.go
+++ b/internal/batch/replica/messages.go
@@ -146,7 +146,7 @@
 	Ask     bool // the receiver should answer with its own
 }
 
-// Claim tells the store that counts some accounts what the sender uses of them and wants besides.
+// Claim states, to the store that counts some accounts, what the sender uses of them and wants besides.
 type Claim struct {
 	Stamp
 	queuedtokens.Claim
--- a/internal/batch/replica/ownership.go
+++ b/internal/batch/replica/ownership.go
@@ -97,7 +97,7 @@
 	m.redirectPending(j)
 }
 
-// announceOwner tells the other members who owns a batch job.
+// announceOwner sends the other members the owner of a batch job.
 func (m *StateMachine) announceOwner(id string, owner placement.Key) {
 	m.eachOtherMember(func(other protocol.Process) {
 		m.env.Send(other, OwnerNotice{Stamp: m.stamp(), Job: id, Owner: owner})
--- a/internal/batch/replica/recovery.go
+++ b/internal/batch/replica/recovery.go
@@ -12,7 +12,7 @@
 // copy counts as corrupt until a new one is written.
 
 // Replay applies a record of the log of earlier incarnations, in order. An error is a *Finding: the record
-// can't be used. It has been dealt with, and Replay goes on with the next record.
+// can't be used. What follows from that is noted already, and the next record may be replayed.
 func (m *StateMachine) Replay(at wal.Location, record []byte) error {
 	finding := m.replay(at, record)
 	if finding == nil {
--- a/internal/batch/replica/replicationmember.go
+++ b/internal/batch/replica/replicationmember.go
@@ -74,7 +74,7 @@
 	m.afterPendingWrites(func() { m.sendReplicationResponse(j, from) })
 }
 
-// sendReplicationResponse tells another store what is durable here.
+// sendReplicationResponse reports to another store what is durable here.
 func (m *StateMachine) sendReplicationResponse(j *storedJob, to protocol.Process) {
 	if m.jobs[j.id] != j {
 		return
--- a/internal/batch/replica/retention.go
+++ b/internal/batch/replica/retention.go
@@ -7,8 +7,8 @@
 
 // When is a batch job forgotten, and which segments of the log may go?
 
-// dropExpired drops batch jobs after Options.Retention: closed ones at once, superseded copies that may not
-// know that theirs was closed after twice that time.
+// dropExpired drops batch jobs after Options.Retention: closed ones at once. A copy that isn't owned may lack
+// the end of its batch job, and so not be known as closed: it is dropped after twice that time.
 func (m *StateMachine) dropExpired() {
 	for _, j := range slices.Clone(m.jobsInOrder) {
 		closed := j.ended || j.allFinished()
--- a/internal/batch/replica/storedjob.go
+++ b/internal/batch/replica/storedjob.go
@@ -55,7 +55,8 @@
 	releasable        bool          // ... and its owner confirmed in this epoch that all of its replicas hold it
 	ownerQueriedAt    time.Duration // when that was asked last
 
-	// What an owner knows and does. Owned tells whether this store is the owner in the present epoch.
+	// What an owner knows and does. The first field says whether this store is the owner in
+	// the present epoch.
 	owned bool
 	// replicated: all replicas have reported a copy of the present version. Clients are served and items run
 	// from then on. It stays set while a replica whose process restarted has yet to report again;
--- a/internal/batch/replica/view.go
+++ b/internal/batch/replica/view.go
@@ -22,7 +22,7 @@
 }
 
 // viewHasEnded reports whether this store acted in a later view, as its log shows after a restart. A control
-// process that lags behind may still hand out the earlier one.
+// process that lags behind may still send the earlier one.
 func (m *StateMachine) viewHasEnded(view protocol.StoreView) bool {
 	return view.Epoch < m.departures.actedEpoch
 }
@@ -38,7 +38,7 @@
 	}
 }
 
-// enterEpoch goes on in the view of another epoch. Ownership carries over only from the epoch right before,
+// enterEpoch installs the view of another epoch. Ownership carries over only from the epoch right before,
 // and only where all replicas are still active members; everything else waits for reconciliation.
 func (m *StateMachine) enterEpoch(view protocol.StoreView) {
 	last, wasPresent := m.view, m.isMember
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -210,7 +210,7 @@
 	})
 }
 
-// close cancels all attempts, and lets dispatch start no more.
+// close cancels all attempts. dispatch starts no more afterwards.
 func (r *Runner) close() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -67,7 +67,7 @@
 // Start makes the runner run a batch job's items.
 func (s *Server) Start(id string) { s.runner.Start(id) }
 
-// Stop cancels those that run, and makes the runner start no more.
+// Stop makes the runner cancel the batch job's items that run, and start no more of them.
 func (s *Server) Stop(id string) { s.runner.Stop(id) }
 
 // Answer ends a call, unless its caller has given up.
