--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -40,7 +40,7 @@
 type Discovery interface {
 	// Configuration returns the configuration in force, nil while none is known.
 	Configuration() *configuration.Snapshot
-	// Servers returns the servers of a service, draining ones included.
+	// Servers returns the servers of a backend, draining ones included.
 	Servers(backend string) []protocol.Server
 }
 
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -26,7 +26,7 @@
 // submission is the submission of one batch job.
 type submission struct {
 	send      func(ip string) attempt
-	onSlow    func(ip string) // called when a store lets the submission be hedged
+	onSlow    func(ip string) // called with the store that was too slow, when the submission is hedged
 	lastAsked string          // store that the latest attempt was sent to
 	targets   *targetList
 	results   chan attempt          // holds all, so that no sender blocks
--- a/internal/gateway/proxy/doc.go
+++ b/internal/gateway/proxy/doc.go
@@ -5,10 +5,11 @@
 //
 // A request passes through these steps; each has its file:
 //
-//  1. request.go reads and checks the request and computes its deadline; body.go reads its body into memory,
-//     because it may be sent to more than one server.
-//  2. routing.go finds the route in the configuration in force, authentication.go finds the tenant by its API
-//     key and checks the key lease.
+//  1. proxy.go has the steps' order (ServeHTTP). request.go checks the request's framing; routing.go finds the
+//     route in the configuration in force, authentication.go finds the tenant by its API key and checks the
+//     key lease.
+//  2. request.go checks the head against the configuration's limits and computes the deadline; body.go reads
+//     the body into memory, because it may be sent to more than one server.
 //  3. admission.go has the request admitted or rejected, by its tenant's quota and by the load of the
 //     servers.
 //  4. selection.go reserves a place at a server that the request wasn't sent to yet (package
