--- a/coord/replica/store.go
+++ b/coord/replica/store.go
@@ -64,7 +64,7 @@
 	return recovered, nil
 }
 
-// logRepairs logs the truncated tails that were cut off the disk's files at this start.
+// logRepairs logs the torn tails that were truncated in the disk's files at this start.
 func (n *Node) logRepairs(recovered *recoveredState) {
 	if recovered == nil {
 		return
--- a/internal/batch/replica/invariants.go
+++ b/internal/batch/replica/invariants.go
@@ -23,6 +23,7 @@
 	// InvariantDepartedNotMember: a departed store isn't a member.
 	InvariantDepartedNotMember Invariant = "a member counts as departed"
 	// InvariantReconciledNoneDeparted: once all members have reconciled, no store counts as departed any more.
+	// The text is logged, so it keeps older words for that: "whole" is reconciled, "missed" departed.
 	InvariantReconciledNoneDeparted Invariant = "all stood whole and somebody is missed"
 	// InvariantWithinClaim: a batch job is written only within what the counter of its account holds for this
 	// store.
--- a/internal/batch/server/disk.go
+++ b/internal/batch/server/disk.go
@@ -79,7 +79,8 @@
 		Msg("log_tail_truncated")
 }
 
-// onDurable is called by the log's goroutine.
+// onDurable is called by the log's goroutine. An error is final: the log writes nothing more, and Run returns
+// the error, which ends the process. A full disk is no error, as the log waits for space.
 func (s *Server) onDurable(sequence uint64, err error) {
 	if err != nil {
 		s.log.Error().Err(err).Msg("log_failed")
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -84,8 +84,9 @@
 	return commands
 }
 
-// proposeStoreCommand proposes a command on the store membership and waits for its outcome, up to
-// proposeTimeout.
+// proposeStoreCommand proposes a command on the store membership and waits until it is committed, up to
+// proposeTimeout. The log line says which command was committed: one that no longer fitted the membership
+// changed nothing, and the line has the epoch from before. A join of several processes repeats its key.
 func (c *Control) proposeStoreCommand(command statemachine.Command) {
 	encoded, err := command.Encode()
 	if err != nil {
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -19,7 +19,8 @@
 type Outcome string
 
 // Outcomes. A request counts once, by its final response; a late one by what it waited for. Truncated is
-// counted in addition, as the beginning of the response has been counted already.
+// counted in addition, as the beginning of the response has been counted already. A stream that could be
+// resumed in principle, and for which no server was found in time, isn't counted as truncated.
 const (
 	InTime           Outcome = "in_time"
 	LateRetried      Outcome = "late_retried"     // earlier attempts took the time
@@ -28,11 +29,11 @@
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
 	RejectedOverload Outcome = "refused_overload" // load shedding
 	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
-	Unready          Outcome = "unready"          // no confirmed configuration, no valid key lease, or shutting down
+	Unready          Outcome = "unready"          // 503 before it was read: not ready, or no memory for it
 	NoServer         Outcome = "no_server"        // no server took it, and none ran it
 	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
 	Lost             Outcome = "lost"             // it may have run, and no response came
-	Truncated        Outcome = "cut"              // its response broke off midway
+	Truncated        Outcome = "cut"              // its stream broke off, and can't be resumed
 	ClientLeft       Outcome = "client_left"      // its client closed the connection before the response
 )
 
--- a/internal/gateway/proxy/gateway_responses.go
+++ b/internal/gateway/proxy/gateway_responses.go
@@ -56,10 +56,11 @@
 }
 
 // giveUp ends a request that no attempt answered: with the status that its history allows, or by aborting the
-// connection if the client has left or its stream has started.
+// connection if the client has left or its stream has started. A started stream isn't counted again: it stays
+// counted by its beginning.
 func (q *request) giveUp() {
 	if q.r.Context().Err() != nil || q.streamStarted {
-		q.count(outcomes.ClientLeft) // a started stream has been counted already, and stays so
+		q.count(outcomes.ClientLeft) // has no effect on a started stream
 		panic(http.ErrAbortHandler)
 	}
 	status := q.history.FinalStatus(!time.Now().Before(q.deadline))
--- a/internal/gateway/proxy/outcome.go
+++ b/internal/gateway/proxy/outcome.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// countUnready counts a request that the gateway wasn't ready for. Its route isn't known.
+// countUnready counts a request that got 503 before it was read completely: the gateway isn't ready, shuts
+// down, or has no memory for its body. It is counted without a route, as that may not be known.
 func (p *Proxy) countUnready(failure *errorResponse) {
 	if p.Outcomes != nil && failure.status == http.StatusServiceUnavailable {
 		p.Outcomes.Add("", outcomes.Unready)
--- a/internal/node/program/program.go
+++ b/internal/node/program/program.go
@@ -91,7 +91,7 @@
 	return settings, p.check(settings)
 }
 
-// Reload loads the settings again and calls apply with them. A file with faults is logged and changes
+// Reload loads the settings again and calls apply with them. A file with findings is logged and changes
 // nothing.
 func (p *Program) Reload(apply func(*node.Settings)) {
 	settings, err := p.Load()
