--- a/coord/replica/options.go
+++ b/coord/replica/options.go
@@ -33,7 +33,9 @@
 	Tolerance int
 	// StateMachine is what the commands change. It is called from one goroutine.
 	StateMachine chain.StateMachine
-	// Log receives events, each with pairs of keys and values. It must not block. nil: none.
+	// Log receives events, each with pairs of keys and values. They carry no level: view_proposed, view_adopted
+	// and disk_recovered are routine; disk_corrupt and disk_write_failed say that this member has lost its vote,
+	// or is out of service. It must not block. nil: none.
 	Log func(event string, fields ...any)
 }
 
