--- a/cmd/sprucelane-link/exchange.go
+++ b/cmd/sprucelane-link/exchange.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/link"
 	"sprucelane.example/sprucelane/internal/knowledge/pipe"
--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -14,7 +14,7 @@
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/link"
 )
--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -10,7 +10,7 @@
 	"io"
 	"os"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/wire"
 	"sprucelane.example/sprucelane/policy"
 )
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/knowledge/helper"
 	"sprucelane.example/sprucelane/internal/logging"
 )
--- a/cmd/sprucelane/reload.go
+++ b/cmd/sprucelane/reload.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/discovery"
 	"sprucelane.example/sprucelane/internal/handover"
 )
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/config"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/service"
 	"sprucelane.example/sprucelane/policy"
 )
--- a/internal/emulator/deployment.go
+++ b/internal/emulator/deployment.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 )
 
 // How is a deployment read from a file? It holds the settings object as a gateway's configuration has it, and beside it
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/logging"
 	"sprucelane.example/sprucelane/policy"
 )
--- a/internal/front/introspect/front_test.go
+++ b/internal/front/introspect/front_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/config"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/fake"
 	"sprucelane.example/sprucelane/internal/front/introspect"
 	"sprucelane.example/sprucelane/internal/front/platform"
--- a/internal/front/introspect/tools.go
+++ b/internal/front/introspect/tools.go
@@ -9,8 +9,8 @@
 	"net/url"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/front/platform"
 	"sprucelane.example/sprucelane/policy"
 )
--- a/internal/front/platform/front.go
+++ b/internal/front/platform/front.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 
 	"sprucelane.example/sprucelane/internal/buffers"
-	"sprucelane.example/sprucelane/internal/config"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 )
 
 // Front handles the requests of the platform's clients.
--- a/internal/front/platform/request.go
+++ b/internal/front/platform/request.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/buffers"
-	"sprucelane.example/sprucelane/internal/config"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/policy"
--- a/internal/lab/faults/rig.go
+++ b/internal/lab/faults/rig.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/config"
+	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/emulator"
 	"sprucelane.example/sprucelane/internal/fake/poolmember"
 	"sprucelane.example/sprucelane/internal/lab"
