--- a/cmd/sprucelane/gateway.go
+++ b/cmd/sprucelane/gateway.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/front/control"
 	"sprucelane.example/sprucelane/internal/front/introspect"
--- a/cmd/sprucelane/reload.go
+++ b/cmd/sprucelane/reload.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/handover"
 )
 
--- a/internal/daemon/config/config.go
+++ b/internal/daemon/config/config.go
@@ -7,7 +7,7 @@
 	"net/netip"
 	"os"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
 // SiteFile is the default path of the site file, relative to the root of the repository.
--- a/internal/daemon/config/platform.go
+++ b/internal/daemon/config/platform.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
 // Defaults and least values of the platform's limits.
--- a/internal/daemon/config/site.go
+++ b/internal/daemon/config/site.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
 // Site is the site file. Each part is off if it is absent.
--- a/internal/fake/discoveryagent/agent.go
+++ b/internal/fake/discoveryagent/agent.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
 // Agent tells a site's list.
--- a/internal/fake/discoveryagent/agent_test.go
+++ b/internal/fake/discoveryagent/agent_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 )
 
 func get(t *testing.T, a *Agent, gateway int, query string) (l discovery.List) {
--- a/internal/inflight/exchange.go
+++ b/internal/inflight/exchange.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/inflight/exchange_test.go
+++ b/internal/inflight/exchange_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/knowledge/helper/gateway.go
+++ b/internal/knowledge/helper/gateway.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/pipe"
 	"sprucelane.example/sprucelane/policy"
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/knowledge/helper/helper_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/fake"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/pipe"
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -13,7 +13,7 @@
 	"path/filepath"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/lab/process"
 )
 
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/fake/discoveryagent"
 	"sprucelane.example/sprucelane/internal/fake/poolmember"
 	"sprucelane.example/sprucelane/internal/lab/load"
