--- a/cmd/sprucelane/predecessor.go
+++ b/cmd/sprucelane/predecessor.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/handover"
+	"sprucelane.example/sprucelane/internal/daemon/handover"
 )
 
 const (
--- a/cmd/sprucelane/reload.go
+++ b/cmd/sprucelane/reload.go
@@ -10,7 +10,7 @@
 
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/daemon/discovery"
-	"sprucelane.example/sprucelane/internal/handover"
+	"sprucelane.example/sprucelane/internal/daemon/handover"
 )
 
 // heapShare is the share of the memory limit that Go's runtime keeps to. The rest is for what the runtime doesn't
