--- a/cmd/sprucelane/exchange.go
+++ b/cmd/sprucelane/exchange.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/inflight"
+	"sprucelane.example/sprucelane/internal/daemon/inflight"
 	"sprucelane.example/sprucelane/internal/knowledge"
 	"sprucelane.example/sprucelane/internal/knowledge/datagram"
 	"sprucelane.example/sprucelane/internal/knowledge/helper"
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/inflight"
+	"sprucelane.example/sprucelane/internal/daemon/inflight"
 	"sprucelane.example/sprucelane/internal/recovery"
 	"sprucelane.example/sprucelane/policy"
 )
 
 // gateway is a gateway's process: the policy.Host of its balancer, and the exchange of loads between gateways
-// (internal/inflight) over the model's links. Its assumptions: decisions take no time; a message takes the link's
+// (internal/daemon/inflight) over the model's links. Its assumptions: decisions take no time; a message takes the link's
 // delay and up to half as much again by chance; datagrams beyond the intake of a second (Settings.PeerMessageRate)
 // are dropped; a connection that has served is kept for idleConnTimeout; a gateway that is killed loses the requests
 // that it has, and the front knows it to be down after Scenario.Notice.
