--- a/cmd/sprucelane-link/exchange.go
+++ b/cmd/sprucelane-link/exchange.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/link"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/link"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // clockStart is the time of the exchange's clock when the program starts. It is well above 0, so that what was seen
--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -15,8 +15,8 @@
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
 	"sprucelane.example/sprucelane/internal/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/link"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/link"
 )
 
 // knowledgeCommand asks a gateway what it knows of the servers, and prints it.
--- a/cmd/sprucelane-link/main_test.go
+++ b/cmd/sprucelane-link/main_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // gateway is the other end of an exchange.
--- a/cmd/sprucelane/counters.go
+++ b/cmd/sprucelane/counters.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/inflight"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/datagram"
 	"sprucelane.example/sprucelane/internal/front/control"
-	"sprucelane.example/sprucelane/internal/knowledge/datagram"
 	"sprucelane.example/sprucelane/internal/store/balances"
 )
 
--- a/cmd/sprucelane/exchange.go
+++ b/cmd/sprucelane/exchange.go
@@ -7,10 +7,10 @@
 
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/inflight"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/datagram"
-	"sprucelane.example/sprucelane/internal/knowledge/helper"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/datagram"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 	"sprucelane.example/sprucelane/internal/storm"
 )
 
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -11,7 +11,7 @@
 
 	"sprucelane.example/sprucelane/internal/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/knowledge/helper"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
 	"sprucelane.example/sprucelane/internal/logging"
 )
 
--- a/internal/knowledge/datagram/datagram_test.go
+++ b/internal/daemon/knowledge/datagram/datagram_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/helper"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // state returns a state of n members of which the first are stalled.
--- a/internal/knowledge/datagram/encoding.go
+++ b/internal/daemon/knowledge/datagram/encoding.go
@@ -15,8 +15,8 @@
 	"slices"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // A datagram begins with its kind, which no message of the decision module begins with, and the form that it is in. A
--- a/internal/knowledge/datagram/exchange.go
+++ b/internal/daemon/knowledge/datagram/exchange.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/helper"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
 )
 
 // requestTimes are the times since its start at which a gateway requests snapshots: answers may be lost, and stalls
--- a/internal/knowledge/helper/helper.go
+++ b/internal/daemon/knowledge/helper/helper.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // Program is the file name of the helper program.
--- a/internal/knowledge/helper/helper_test.go
+++ b/internal/daemon/knowledge/helper/helper_test.go
@@ -13,9 +13,9 @@
 
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/discovery"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 	"sprucelane.example/sprucelane/internal/fake"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/knowledge/link/convert.go
+++ b/internal/daemon/knowledge/link/convert.go
@@ -7,7 +7,7 @@
 	"time"
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
-	"sprucelane.example/sprucelane/internal/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
 )
 
 // Version is the version of the messages of this program, and oldestVersion the oldest reader that can use them. A
--- a/internal/knowledge/link/link.go
+++ b/internal/daemon/knowledge/link/link.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc"
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/pipe"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/pipe"
 )
 
 // MaxFacts is the highest number of facts in a message.
--- a/internal/knowledge/link/link_test.go
+++ b/internal/daemon/knowledge/link/link_test.go
@@ -19,9 +19,9 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge/link"
 	"sprucelane.example/sprucelane/internal/fake/knowledgepeer"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	"sprucelane.example/sprucelane/internal/knowledge/link"
 )
 
 var origin = time.Now()
--- a/internal/knowledge/pipe/pipe.go
+++ b/internal/daemon/knowledge/pipe/pipe.go
@@ -12,7 +12,7 @@
 	"io"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/knowledge"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
 )
 
 // Hello is the gateway's first message: the settings of the exchange. Package link describes them.
--- a/internal/lab/learning.go
+++ b/internal/lab/learning.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
+	"sprucelane.example/sprucelane/internal/daemon/knowledge"
+	learning "sprucelane.example/sprucelane/internal/daemon/knowledge/link"
 	"sprucelane.example/sprucelane/internal/fake/knowledgepeer"
 	"sprucelane.example/sprucelane/internal/fake/poolmember"
-	"sprucelane.example/sprucelane/internal/knowledge"
-	learning "sprucelane.example/sprucelane/internal/knowledge/link"
 	"sprucelane.example/sprucelane/internal/lab/load"
 )
 
