--- a/cmd/sprucelane/successor.go
+++ b/cmd/sprucelane/successor.go
@@ -12,8 +12,8 @@
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/discovery"
 	"sprucelane.example/sprucelane/internal/daemon/handover"
+	"sprucelane.example/sprucelane/internal/daemon/peer"
 	"sprucelane.example/sprucelane/internal/front"
-	"sprucelane.example/sprucelane/internal/peer"
 )
 
 const (
