--- a/bench/store/main.go
+++ b/bench/store/main.go
@@ -1,4 +1,4 @@
-// Command store measures internal/store beside bbolt and Pebble, doing the same work in one run. It is a module of its own, so
+// Command store measures internal/daemon/store beside bbolt and Pebble, doing the same work in one run. It is a module of its own, so
 // that the program depends on neither; it must never be built into it.
 package main
 
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/pebble"
 	"go.etcd.io/bbolt"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 )
 
 // engine is a store that is measured: a put that is durable when it gives back, or only buffered.
--- a/cmd/sprucelane/gateway.go
+++ b/cmd/sprucelane/gateway.go
@@ -16,14 +16,14 @@
 	"sprucelane.example/sprucelane/internal/daemon/handover"
 	"sprucelane.example/sprucelane/internal/daemon/inflight"
 	"sprucelane.example/sprucelane/internal/daemon/peer"
+	"sprucelane.example/sprucelane/internal/daemon/store"
+	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 	"sprucelane.example/sprucelane/internal/front"
 	"sprucelane.example/sprucelane/internal/front/control"
 	"sprucelane.example/sprucelane/internal/front/introspect"
 	"sprucelane.example/sprucelane/internal/front/platform"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/internal/service"
-	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/balances"
 	"sprucelane.example/sprucelane/internal/storm"
 )
 
--- a/cmd/sprucelane/store_test.go
+++ b/cmd/sprucelane/store_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 )
 
 // Operators inspect a folder, find it damaged, repair it, and see what is left.
--- a/cmd/sprucelane/storecommand.go
+++ b/cmd/sprucelane/storecommand.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 
 	"sprucelane.example/sprucelane/internal/cli"
-	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/balances"
+	"sprucelane.example/sprucelane/internal/daemon/store"
+	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 )
 
 // storeCommand returns the operators' commands on a store's folder, which no process may have open at the same time.
--- a/internal/store/balances/encoding.go
+++ b/internal/daemon/store/balances/encoding.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/store/balances/keep.go
+++ b/internal/daemon/store/balances/keep.go
@@ -21,7 +21,7 @@
 	"sync"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/store/balances/keep_test.go
+++ b/internal/daemon/store/balances/keep_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/store/concurrent_write_test.go
+++ b/internal/daemon/store/concurrent_write_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/faultfs"
+	"sprucelane.example/sprucelane/internal/daemon/store"
+	"sprucelane.example/sprucelane/internal/daemon/store/faultfs"
 )
 
 // hookedFS calls beforeSync at the start of every sync of a segment.
--- a/internal/store/faultfs/faultfs.go
+++ b/internal/daemon/store/faultfs/faultfs.go
@@ -13,7 +13,7 @@
 	"slices"
 	"sync"
 
-	"sprucelane.example/sprucelane/internal/store"
+	"sprucelane.example/sprucelane/internal/daemon/store"
 )
 
 // ErrPowerCut is the error of every operation after the power was cut.
--- a/internal/store/store_test.go
+++ b/internal/daemon/store/store_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/faultfs"
+	"sprucelane.example/sprucelane/internal/daemon/store"
+	"sprucelane.example/sprucelane/internal/daemon/store/faultfs"
 )
 
 // noBackgroundFlush are options with which nothing is flushed unless a writer waits for it.
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"sprucelane.example/sprucelane/internal/daemon/store"
+	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 	"sprucelane.example/sprucelane/internal/emulator"
 	"sprucelane.example/sprucelane/internal/fake/poolmember"
 	"sprucelane.example/sprucelane/internal/lab/load"
 	"sprucelane.example/sprucelane/internal/lab/programs"
 	"sprucelane.example/sprucelane/internal/lab/referee"
-	"sprucelane.example/sprucelane/internal/store"
-	"sprucelane.example/sprucelane/internal/store/balances"
 	"sprucelane.example/sprucelane/policy"
 )
 
