--- a/cmd/sprucelane-sim/main.go
+++ b/cmd/sprucelane-sim/main.go
@@ -1,5 +1,5 @@
 // Command sprucelane-sim runs the policy of many gateways under a simulator, which it is connected to by standard input
-// and output (package internal/wire). The gateways share nothing but server lists; they only learn from each other by
+// and output (package internal/daemon/wire). The gateways share nothing but server lists; they only learn from each other by
 // the messages that the simulator delivers.
 package main
 
@@ -11,7 +11,7 @@
 	"os"
 
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/wire"
+	"sprucelane.example/sprucelane/internal/daemon/wire"
 	"sprucelane.example/sprucelane/policy"
 )
 
