--- a/cmd/sprucelane/counters.go
+++ b/cmd/sprucelane/counters.go
@@ -6,10 +6,10 @@
 
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/front/control"
 	"sprucelane.example/sprucelane/internal/daemon/inflight"
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/datagram"
 	"sprucelane.example/sprucelane/internal/daemon/store/balances"
-	"sprucelane.example/sprucelane/internal/front/control"
 )
 
 // addCounters adds functions that return the counters of a part. Each has a log line of its own, whose attribute
