--- a/internal/daemon/front/introspect/bearer.go
+++ b/internal/daemon/front/introspect/bearer.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/front/platform"
+	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/daemon/front/introspect/front.go
+++ b/internal/daemon/front/introspect/front.go
@@ -7,7 +7,7 @@
 
 	"sprucelane.example/sprucelane/internal/buffers"
 	"sprucelane.example/sprucelane/internal/core"
-	"sprucelane.example/sprucelane/internal/front/platform"
+	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 )
 
 // Front handles the requests of clients with bearer tokens, and of the site's tools.
--- a/internal/daemon/front/introspect/front_test.go
+++ b/internal/daemon/front/introspect/front_test.go
@@ -20,8 +20,8 @@
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/daemon/front/introspect"
+	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 	"sprucelane.example/sprucelane/internal/fake"
-	"sprucelane.example/sprucelane/internal/front/platform"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/policy"
 )
--- a/internal/daemon/front/introspect/tools.go
+++ b/internal/daemon/front/introspect/tools.go
@@ -11,7 +11,7 @@
 
 	"sprucelane.example/sprucelane/internal/core"
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/front/platform"
+	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 	"sprucelane.example/sprucelane/policy"
 )
 
--- a/internal/front/platform/platform_test.go
+++ b/internal/daemon/front/platform/platform_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/front/platform"
 	"sprucelane.example/sprucelane/internal/fake"
-	"sprucelane.example/sprucelane/internal/front/platform"
 	"sprucelane.example/sprucelane/internal/pool"
 	"sprucelane.example/sprucelane/policy"
 )
