--- a/cmd/sprucelab/faults.go
+++ b/cmd/sprucelab/faults.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/lab/faults"
 )
 
--- a/cmd/sprucelab/load.go
+++ b/cmd/sprucelab/load.go
@@ -8,7 +8,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/fake/poolmember"
 	"sprucelane.example/sprucelane/internal/lab"
 	"sprucelane.example/sprucelane/internal/lab/load"
--- a/cmd/sprucelab/main.go
+++ b/cmd/sprucelab/main.go
@@ -17,7 +17,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 )
 
 func main() {
--- a/cmd/sprucelab/sim.go
+++ b/cmd/sprucelab/sim.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/emulator"
 	"sprucelane.example/sprucelane/internal/lab/faults"
 )
--- a/cmd/sprucelane-link/knowledge.go
+++ b/cmd/sprucelane-link/knowledge.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 
 	pb "sprucelane.example/sprucelane/api/sprucelane/v1"
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/daemon/knowledge"
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/link"
--- a/cmd/sprucelane-link/main.go
+++ b/cmd/sprucelane-link/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/logging"
 )
 
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
 	"sprucelane.example/sprucelane/internal/logging"
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/fake"
 	"sprucelane.example/sprucelane/internal/logging"
 )
--- a/cmd/sprucelane/serve.go
+++ b/cmd/sprucelane/serve.go
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"sprucelane.example/sprucelane/internal/cli"
 	"sprucelane.example/sprucelane/internal/core"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/service"
 	"sprucelane.example/sprucelane/policy"
--- a/cmd/sprucelane/storecommand.go
+++ b/cmd/sprucelane/storecommand.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sprucelane.example/sprucelane/internal/cli"
+	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/daemon/store"
 	"sprucelane.example/sprucelane/internal/daemon/store/balances"
 )
