--- a/cmd/sprucelane-link/main.go
+++ b/cmd/sprucelane-link/main.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"sprucelane.example/sprucelane/internal/daemon/cli"
-	"sprucelane.example/sprucelane/internal/logging"
+	"sprucelane.example/sprucelane/internal/daemon/logging"
 )
 
 func main() {
--- a/cmd/sprucelane/main.go
+++ b/cmd/sprucelane/main.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/daemon/cli"
 	"sprucelane.example/sprucelane/internal/daemon/config"
 	"sprucelane.example/sprucelane/internal/daemon/knowledge/helper"
-	"sprucelane.example/sprucelane/internal/logging"
+	"sprucelane.example/sprucelane/internal/daemon/logging"
 )
 
 // envPrefix begins the environment variables that set flags; see cli.EnvFlags.
--- a/cmd/sprucelane/main_test.go
+++ b/cmd/sprucelane/main_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 
 	"sprucelane.example/sprucelane/internal/daemon/cli"
+	"sprucelane.example/sprucelane/internal/daemon/logging"
 	"sprucelane.example/sprucelane/internal/fake"
-	"sprucelane.example/sprucelane/internal/logging"
 )
 
 // The whole program: it starts with its cached server list, serves both fronts, and on SIGTERM answers what it has
--- a/internal/fake/standin.go
+++ b/internal/fake/standin.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"sprucelane.example/sprucelane/internal/daemon/config"
-	"sprucelane.example/sprucelane/internal/logging"
+	"sprucelane.example/sprucelane/internal/daemon/logging"
 	"sprucelane.example/sprucelane/policy"
 )
 
