--- a/internal/gateway/proxy/admission.go
+++ b/internal/gateway/proxy/admission.go
@@ -15,9 +15,9 @@
 type Admission interface {
 	// Admit decides about a request whose body has been read. It may wait, for as long as ctx lasts.
 	Admit(ctx context.Context, request AdmissionRequest) Rejection
-	// Sent reports that a request has been sent to a server; again means that an earlier attempt may have run
-	// it.
-	Sent(request AdmissionRequest, again bool)
+	// Sent reports that a request has been sent to a server; retried means that an earlier attempt may have
+	// run it.
+	Sent(request AdmissionRequest, retried bool)
 	// Attempted reports an attempt's latency: until the first event of a stream, until the response
 	// otherwise, or until the attempt was given up.
 	Attempted(request AdmissionRequest, took time.Duration)
