--- a/internal/lab/system/cluster.go
+++ b/internal/lab/system/cluster.go
@@ -54,6 +54,12 @@
 	ReportLoad bool
 	// Folder is for disks, settings files and logs, and is kept. Empty: a temporary one, which Close removes.
 	Folder string
+	// NetworkPrefix is the first three numbers of all loopback addresses. Empty: numbers that no other cluster
+	// has. Disks hold the addresses of members, so a cluster on the disks of an earlier one needs its prefix.
+	NetworkPrefix string
+	// ReuseDisks starts the processes on the disks of an earlier cluster that Folder holds, with the setting
+	// bootstrap off.
+	ReuseDisks bool
 	// Environment returns further variables (NAME=value) of a machine's processes. Nil: none.
 	Environment func(Machine) []string
 }
@@ -95,11 +101,11 @@
 	c := &Cluster{
 		Options:       options,
 		ExecutionLog:  &modelserver.ExecutionLog{},
-		networkPrefix: uniqueNetworkPrefix(),
+		networkPrefix: cmp.Or(options.NetworkPrefix, uniqueNetworkPrefix()),
 		processes:     map[string]*process.Process{},
 		settings: settings{
 			zones:        options.Zones,
-			bootstrap:    true,
+			bootstrap:    !options.ReuseDisks,
 			folder:       folder,
 			maxLostDisks: options.MaxLostDisks,
 			jobRetention: options.JobRetention,
