--- a/internal/lab/system/disks_test.go
+++ b/internal/lab/system/disks_test.go
@@ -2,20 +2,23 @@
 
 import (
 	"bytes"
+	"compress/gzip"
 	"context"
 	"encoding/json"
+	"io"
 	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
 	"sprucelane.example/sprucelane/internal/controlclient"
 )
 
-// earlierDisks are the disks that an earlier version left; their README.md tells what is on them.
-var earlierDisks = filepath.Join("testdata", "disks-2367f51")
+// earlierDisks are folders of disks that an earlier version left; README.md in the first tells what is on them.
+var earlierDisks = []string{"disks-2367f51", "disks-2367f51-compacted"}
 
 // The network prefix and the settings of the cluster that left the disks.
 const (
@@ -27,10 +30,19 @@
 // return its configuration byte for byte and the results of its completed batch job. They finish the job that
 // was open, and commit a change on top of the configuration's generation.
 func TestStartsOnDisksOfEarlierVersion(t *testing.T) {
+	for _, disks := range earlierDisks {
+		t.Run(disks, func(t *testing.T) { startOnEarlierDisks(t, filepath.Join("testdata", disks)) })
+	}
+}
+
+// startOnEarlierDisks runs TestStartsOnDisksOfEarlierVersion with the disks in a folder.
+func startOnEarlierDisks(t *testing.T, disks string) {
+	t.Helper()
 	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(earlierDisks)); err != nil {
+	if err := os.CopyFS(folder, os.DirFS(disks)); err != nil {
 		t.Fatal(err)
 	}
+	decompress(t, folder)
 	options := DefaultOptions(built)
 	options.Folder, options.ReuseDisks = folder, true
 	options.NetworkPrefix, options.JobRetention = earlierPrefix, earlierRetention
@@ -62,6 +74,35 @@
 	}
 }
 
+// decompress replaces the files of a cluster's disks that are compressed (.gz).
+func decompress(t *testing.T, folder string) {
+	t.Helper()
+	compressed, err := filepath.Glob(filepath.Join(folder, "*", "*.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range compressed {
+		data, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		reader, err := gzip.NewReader(bytes.NewReader(data))
+		if err != nil {
+			t.Fatal(path, err)
+		}
+		content, err := io.ReadAll(reader)
+		if err != nil {
+			t.Fatal(path, err)
+		}
+		if err := os.WriteFile(strings.TrimSuffix(path, ".gz"), content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.Remove(path); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // openOnPrefix opens a cluster on addresses that a run of the same test on this machine may still hold.
 func openOnPrefix(ctx context.Context, t *testing.T, options Options) (c *Cluster) {
 	t.Helper()
