--- a/internal/daemon/config/config_test.go
+++ b/internal/daemon/config/config_test.go
@@ -130,7 +130,7 @@
 	assert.LessOrEqual(t, 2*c.ClientConns+c.ServerConns+c.CheckConns, 1024*95/100)
 	assert.Equal(t, 300*time.Millisecond, c.Site.Knowledge.Wait)
 	assert.Contains(t, c.Summary(), "knowledge=127.0.0.1:7950")
-	example, err := os.ReadFile("../../deploy/sprucelane.example.json")
+	example, err := os.ReadFile("../../../deploy/sprucelane.example.json")
 	require.NoError(t, err)
 	_, err = Parse([]byte(platform), example)
 	for _, fault := range Errors(err) { // its certificates are the reader's own
