--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -10,49 +10,51 @@
 )
 
 const (
-	// A holder's leases are all recomputed at most this often. The second interval is per holder, so that the
-	// work of recomputing grows with the number of holders and not with its square.
+	// The leases of a holder are all recomputed at most once per interval: minRebalanceInterval, or
+	// rebalanceIntervalPerHolder times the number of holders if that is longer. So the total work of recomputing
+	// grows with the number of holders and not with its square.
 	minRebalanceInterval       = 200 * time.Millisecond
 	rebalanceIntervalPerHolder = 2500 * time.Microsecond
 
-	// tombstoneTTL is how long tenants that left the configuration and processes that ended are remembered.
+	// tombstoneTTL is how long removed tenants and ended processes are remembered.
 	tombstoneTTL = 30 * time.Second
 
-	// Gateways that wait for tokens are told to ask at most this often: no more than 10,000 requests per second
-	// reach the allocator, however many gateways ask.
+	// Minimum time between two requests of a gateway that waits for tokens (QuotaReply.AskGap):
+	// requestIntervalPerHolder times the number of holders, so that no more than 10,000 requests per second reach
+	// the allocator, but at most maxRequestInterval, which is reached with 500 holders.
 	requestIntervalPerHolder = 100 * time.Microsecond
 	maxRequestInterval       = 50 * time.Millisecond
 
-	unknownTenantRetryAfter = 200 * time.Millisecond // for a tenant that the allocator's configuration doesn't have
+	unknownTenantRetryAfter = 200 * time.Millisecond // for a tenant that isn't in the allocator's configuration
 	unlimitedTokenTTL       = time.Second            // lifetime of tokens of a tenant without a limit
 )
 
 // AllocatorOptions are the fixed parameters of an Allocator.
 type AllocatorOptions struct {
 	Rules
-	Random func() uint64 // gives terms their numbers; nil: a randomly seeded generator
+	Random func() uint64 // source of the numbers of terms; nil: a randomly seeded generator
 }
 
 // Allocator grants tokens and leases. It isn't safe for concurrent use.
 //
-// Its times are durations since an origin that the caller chooses; they come from a monotonic clock and never
-// go back.
+// Times are durations since an origin that the caller chooses, read from a monotonic clock, which never goes
+// back.
 type Allocator struct {
 	options       AllocatorOptions
 	term          uint64        // identifies the period since Start; 0: inactive
-	learningUntil time.Duration // until then leases of earlier terms may be held that aren't reported yet
+	learningUntil time.Duration // until then gateways may hold leases of earlier terms that they haven't reported yet
 	now           time.Duration
 	tenants       map[string]*tenantQuota
 
 	// Invariant: holders, holdersByNode and byLastContact contain the same lease holders.
 	holders       map[string]*leaseHolder   // by processID
-	holdersByNode map[string][]*leaseHolder // more than one of a node while it isn't known which of its processes ended
-	byLastContact *list.List                // of *leaseHolder, the one with the oldest contact first
+	holdersByNode map[string][]*leaseHolder // several of a node while it isn't known which of its processes have ended
+	byLastContact *list.List                // of *leaseHolder, in the order of lastContact, the oldest first
 
-	deadProcesses     map[string]time.Duration // processID to when the process was known to have ended
+	deadProcesses     map[string]time.Duration // by processID: when the process was found to have ended
 	tombstonesSweptAt time.Duration
 	grantees          granteeRegistry
-	recordedFloors    map[string]amount // also of tenants that the configuration doesn't have
+	recordedFloors    map[string]amount // by tenant, also of tenants that aren't in the configuration
 	floorChangeUrgent bool              // see FloorChangeUrgent
 }
 
@@ -62,12 +64,12 @@
 		options.Random = rand.Uint64
 	}
 	a := &Allocator{options: options, tenants: map[string]*tenantQuota{}}
-	a.forgetHolders()
+	a.resetHolders()
 	return a
 }
 
-// forgetHolders drops all that belongs to a term.
-func (a *Allocator) forgetHolders() {
+// resetHolders removes all state that belongs to a term.
+func (a *Allocator) resetHolders() {
 	a.holders, a.holdersByNode = map[string]*leaseHolder{}, map[string][]*leaseHolder{}
 	a.byLastContact, a.deadProcesses = list.New(), map[string]time.Duration{}
 	for _, q := range a.tenants {
@@ -75,14 +77,14 @@
 	}
 }
 
-// Active reports whether the allocator was started and not stopped since.
+// Active reports whether the allocator has been started and not stopped since.
 func (a *Allocator) Active() bool { return a.term != 0 }
 
 // Start begins a term. The caller guarantees that no other allocator is active from now on, and that none was
-// for at least idle before now. Grantees are all nodes that may hold leases of earlier allocators; nil where
-// that isn't recorded, so that every node may. Floors are the recorded ones.
+// active for at least idle before now. The grantees are all nodes that may hold leases of earlier allocators; nil
+// means that these nodes aren't recorded, so that every node may hold leases. The floors are the recorded ones.
 func (a *Allocator) Start(now, idle time.Duration, grantees []string, floors []Floor) {
-	a.forgetHolders()
+	a.resetHolders()
 	a.recordedFloors = make(map[string]amount, len(floors))
 	for _, floor := range floors {
 		a.recordedFloors[floor.Tenant] = amount(floor.Tokens) * token
@@ -92,23 +94,23 @@
 	if a.grantees.startTerm(a.now, grantees) {
 		a.learningUntil = a.now
 	}
-	a.term = a.options.Random() | 1 // never 0, which is no term
+	a.term = a.options.Random() | 1 // never 0, which stands for inactive
 	for _, q := range a.tenants {
 		a.enterLearning(q, idle)
 	}
 }
 
-// Stop ends the term. Leases that are held stay in force until they expire.
+// Stop ends the term. Leases that gateways hold stay in force until they expire.
 func (a *Allocator) Stop() {
 	a.term = 0
-	a.forgetHolders()
+	a.resetHolders()
 }
 
-// Configure applies the tenants of a configuration. A lower limit applies from now on. A tenant that is
-// removed is remembered for tombstoneTTL, so that one that comes back doesn't start with a full pool.
+// Configure applies the tenants of a configuration. A lowered limit applies from now on. A removed tenant is
+// remembered for tombstoneTTL, so that it doesn't start with a full pool if it is added again by then.
 func (a *Allocator) Configure(snapshot *configuration.Snapshot) { a.ConfigureTenants(snapshot.Tenants) }
 
-// ConfigureTenants is Configure for a list of tenants.
+// ConfigureTenants applies a list of tenants, as Configure does with those of a configuration.
 func (a *Allocator) ConfigureTenants(tenants []configuration.Tenant) {
 	seen := make(map[string]bool, len(tenants))
 	for i := range tenants {
@@ -128,9 +130,9 @@
 	}
 }
 
-// Request answers a gateway's request. Now is a moment at which this allocator was certainly the active one:
-// the caller reads the clock first and then checks that it leads, so that a process pause between the two
-// can't make it grant in another's term. A reply with Term 0 grants nothing.
+// Request handles a gateway's request and returns the reply. At the time now this allocator must certainly have
+// been the active one: the caller reads the clock first and then checks that it is the leader, so that a process
+// pause between the two can't make it grant in another allocator's term. A reply with Term 0 grants nothing.
 func (a *Allocator) Request(now time.Duration, request protocol.QuotaRequest) protocol.QuotaReply {
 	a.now = max(a.now, now)
 	reply := protocol.QuotaReply{Sequence: request.Sequence, LeaseFor: leaseTTL}
@@ -152,7 +154,7 @@
 		return reply
 	}
 	a.acknowledge(holder, &request)
-	a.noteReconciled(holder, &request)
+	a.markReconciled(holder, &request)
 	for i := range request.Demands {
 		if grant, include := a.answerDemand(holder, &request.Demands[i]); include {
 			reply.Grants = append(reply.Grants, grant)
@@ -165,7 +167,7 @@
 	return reply
 }
 
-// answerDemand answers one demand of a request. The grant is part of the reply only if include is true.
+// answerDemand returns the grant for one demand of a request. It belongs in the reply only if include is true.
 func (a *Allocator) answerDemand(
 	holder *leaseHolder, demand *protocol.QuotaDemand,
 ) (grant protocol.QuotaGrant, include bool) {
@@ -180,17 +182,17 @@
 		return grant, demand.Want > 0
 	}
 	a.refill(q)
-	part := holder.allocationFor(q)
-	part.setDemand(tokens(max(0, demand.Rate)))
-	a.offerLease(holder, part)
+	alloc := holder.allocationFor(q)
+	alloc.setDemand(tokens(max(0, demand.Rate)))
+	a.offerLease(holder, alloc)
 	if demand.Want > 0 {
 		q.grantTokens(demand.Want, &grant)
 		a.floorChangeUrgent = a.floorChangeUrgent || q.needsLowerFloor()
 	}
-	if part.unackedSequence != 0 {
-		part.unackedSequence = holder.lastSequence
-		grant.Change, grant.Lease = true, part.offered.toMessage()
+	if alloc.unackedSequence != 0 {
+		alloc.unackedSequence = holder.lastSequence
+		grant.Change, grant.Lease = true, alloc.offered.toMessage()
 	}
-	part.sentSequence = holder.lastSequence
+	alloc.sentSequence = holder.lastSequence
 	return grant, grant.Change || demand.Want > 0
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -10,14 +10,14 @@
 
 // Timing of the exchange with the allocator.
 const (
-	reportInterval       = 300 * time.Millisecond // between reports of changed demand and acknowledgements
+	reportInterval       = 300 * time.Millisecond // minimum time between reports of changed demand and acknowledgements
 	renewInterval        = 600 * time.Millisecond // from a request to the next one that renews leases: a fifth of leaseTTL
-	minRequestInterval   = 5 * time.Millisecond   // between requests for tokens; the allocator may ask for a longer one
-	replyTimeout         = 600 * time.Millisecond // a reply that comes later is ignored
-	minBackoff           = 60 * time.Millisecond  // after a failed request; doubled with each further one
+	minRequestInterval   = 5 * time.Millisecond   // minimum time between requests for tokens; the allocator may extend it
+	replyTimeout         = 600 * time.Millisecond // later replies are ignored
+	minBackoff           = 60 * time.Millisecond  // delay after a failed request; doubled with each further failure
 	maxBackoff           = 400 * time.Millisecond
-	allocatorTimeout     = 150 * time.Millisecond // an unanswered request of this age, or
-	allocatorMaxFailures = 2                      // so many failed requests in a row: the allocator counts as timed out
+	allocatorTimeout     = 150 * time.Millisecond // the allocator has timed out if a request is unanswered for so long,
+	allocatorMaxFailures = 2                      // or if so many requests in a row have failed
 )
 
 // Retry-After of rejected requests, before jitter. It is bounded below because clients that are rejected
@@ -25,60 +25,60 @@
 const (
 	minClientRetryAfter = 900 * time.Millisecond
 	maxClientRetryAfter = 1400 * time.Millisecond
-	retryJitterFrom     = 0.8 // the jitter is a factor, uniform from this
-	retryJitterSpan     = 0.4 // to this much more
+	retryJitterFrom     = 0.8 // smallest jitter, a random factor with uniform distribution
+	retryJitterSpan     = 0.4 // difference between the largest and the smallest jitter
 )
 
-// Verdict is the decision on a request: Admit, Wait, or neither, which is a rejection.
+// Verdict is the decision on a request: Admit, Wait, or a rejection if neither is set.
 type Verdict struct {
 	Admit      bool
-	Wait       bool          // no token yet: call Resolve after each reply and at WakeAt, or Cancel
+	Wait       bool          // no token is available yet: call Resolve after each reply and at WakeAt, or call Cancel
 	RetryAfter time.Duration // of a rejection
 }
 
 // ClientOptions are the fixed parameters of a Client.
 type ClientOptions struct {
-	Process protocol.Process // its incarnation is unique for each Client: the allocator knows holders by it
-	Random  *rand.Rand       // for the jitter of Retry-After; nil: a randomly seeded one
+	Process protocol.Process // its Incarnation is unique to each Client, because the allocator identifies holders by it
+	Random  *rand.Rand       // for the jitter of Retry-After; nil: a randomly seeded generator
 }
 
 // Client holds the tokens and leases of a gateway and decides on its requests. It isn't safe for concurrent
 // use.
 //
-// Its times are durations since an origin that the caller chooses, from a monotonic clock. A caller that was
-// paused must read the clock anew before each call: leases expire by that time.
+// Times are durations since an origin that the caller chooses, read from a monotonic clock. After a process pause
+// the caller must read the clock again before each call, because leases expire by the time that it passes.
 type Client struct {
 	process protocol.Process
 	random  *rand.Rand
 
-	// Invariant: tenants and ordered have the same elements. The order makes runs reproducible.
+	// Invariant: tenants and ordered have the same elements. The fixed order makes simulations reproducible.
 	tenants map[string]*clientTenant // by name
 	ordered []*clientTenant
 
-	term          uint64        // of the allocator whose reply was taken last; 0: none was
-	ackedSequence uint64        // of the request that it answered
-	leaseExpiry   time.Duration // of all leases; 0: none is held
-	failures      int           // failed requests in a row
+	term          uint64        // of the allocator whose reply was accepted last; 0: none yet
+	ackedSequence uint64        // of the request that this reply answered
+	leaseExpiry   time.Duration // when all leases expire; 0: no lease is held
+	failures      int           // number of failed requests in a row
 
 	// At most one request is in flight: the newest. A reply to any other is ignored.
 	sequence        uint64          // of the newest request
-	sentAt          time.Duration   // of the same
-	inFlight        bool            // it is neither answered nor failed
-	inFlightFull    bool            // it is a full report
-	inFlightTenants []*clientTenant // that it reports, to be reported again if it fails
+	sentAt          time.Duration   // when the newest request was sent
+	inFlight        bool            // the newest request is neither answered nor failed
+	inFlightFull    bool            // the newest request is a full report
+	inFlightTenants []*clientTenant // tenants that the newest request reports, to be reported again if it fails
 	ackDue          bool            // the newest reply changed leases, and no request has acknowledged it yet
 
-	fullReportDue   bool            // the next request must list everything that is held here
-	tokensDue       bool            // a request waits for a token that no request in flight asks for
-	waiting         int             // requests that wait, of all tenants
-	dueReports      []*clientTenant // to be in the next request: those with reportDue
+	fullReportDue   bool            // the next request must contain all leases held by this client
+	tokensDue       bool            // client requests wait for tokens that the allocator hasn't been asked for
+	waiting         int             // number of client requests that wait for a token, of all tenants
+	dueReports      []*clientTenant // tenants to report in the next request: those with reportDue
 	nextRequestAt   time.Duration
 	nextReportAt    time.Duration
-	requestInterval time.Duration // least time between requests for tokens
-	backoff         time.Duration // after the next failure
+	requestInterval time.Duration // minimum time between requests for tokens
+	backoff         time.Duration // delay after the next failure
 }
 
-// NewClient creates a client that holds nothing.
+// NewClient creates a client without tokens and leases.
 func NewClient(options ClientOptions) *Client {
 	random := options.Random
 	if random == nil {
@@ -90,8 +90,8 @@
 	}
 }
 
-// Configure applies a configuration. A lower limit applies here at once, to leases as well. Tenants that are
-// new to the client need no Configure: each call for a request brings its tenant's limit.
+// Configure applies a configuration. A lowered limit applies in this client at once, also to leases. Tenants that
+// are new to the client need no Configure: each call for a request passes its tenant's limit.
 func (c *Client) Configure(snapshot *configuration.Snapshot) {
 	for _, t := range c.ordered {
 		configured := snapshot.TenantByName(t.name)
@@ -105,8 +105,9 @@
 	}
 }
 
-// Take asks for a token for a request that arrives now. A tenant that is nil or has no limit is always
-// admitted. After a verdict to wait the caller must call Resolve until the verdict is another, or Cancel.
+// Take returns the verdict on a request that arrives now, and spends a token if it admits the request. Requests of
+// a tenant that is nil or has no limit are always admitted. After Wait the caller must call Resolve until it
+// returns another verdict, or call Cancel.
 func (c *Client) Take(now time.Duration, tenant *configuration.Tenant) Verdict {
 	if unlimited(tenant) {
 		return Verdict{Admit: true}
@@ -126,7 +127,8 @@
 	return verdict
 }
 
-// Resolve asks again for a request that waits. After any other verdict than Wait it waits no longer.
+// Resolve returns a new verdict on a request that waits. After any verdict other than Wait the request is no
+// longer counted as waiting.
 func (c *Client) Resolve(now time.Duration, tenant *configuration.Tenant) Verdict {
 	c.expireLeases(now)
 	t := c.tenantFor(tenant)
@@ -139,7 +141,7 @@
 	return verdict
 }
 
-// Cancel ends the waiting of a request and gives the Retry-After for its client.
+// Cancel ends the waiting of a request and returns the Retry-After for its client.
 func (c *Client) Cancel(now time.Duration, tenant *configuration.Tenant) time.Duration {
 	c.expireLeases(now)
 	t := c.tenantFor(tenant)
@@ -148,8 +150,8 @@
 }
 
 // Charge takes a token for a retry or hedge of a request that was admitted before and that a server may have
-// run. It is taken after the fact, so the lease may go into debt, up to maxDebt. The budget has a reserve for
-// what that exceeds.
+// run. Because the token is taken afterwards, the lease may go into debt, up to maxDebt. The budget has a reserve
+// for charges beyond maxDebt.
 func (c *Client) Charge(now time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) {
 		return
@@ -165,7 +167,7 @@
 }
 
 // TimeToToken returns the time until the tenant's lease has a token for one more request, after those that
-// wait. Without a lease it is a very long time.
+// wait. Without a lease it returns a duration of many years.
 func (c *Client) TimeToToken(now time.Duration, tenant *configuration.Tenant) time.Duration {
 	if unlimited(tenant) {
 		return 0
@@ -174,10 +176,10 @@
 	return c.tenantFor(tenant).timeToServeNext(now)
 }
 
-// Return gives back a token that was taken at a given time, for a request that was sent to no server. It goes
-// into the lease; without a lease it is lost. It is lost as well if it was taken more than maxTokenTTL ago,
-// as after a process pause: by then the token, had it come from the pool, would have expired, and the pool's
-// inflow has replaced it.
+// Return returns the token of a request that was admitted at the time taken and was sent to no server. The token
+// goes into the lease; without a lease it is discarded. It is also discarded if it was taken more than maxTokenTTL
+// ago, as after a process pause: a token of the pool would have expired by then, and the pool's inflow has replaced
+// it.
 func (c *Client) Return(now, taken time.Duration, tenant *configuration.Tenant) {
 	if unlimited(tenant) || now-taken > maxTokenTTL {
 		return
@@ -191,7 +193,7 @@
 // unlimited reports whether a tenant has no limit; requests without a tenant have none.
 func unlimited(tenant *configuration.Tenant) bool { return tenant == nil || tenant.RatePerSec <= 0 }
 
-// scheduleReport has the next request report a tenant.
+// scheduleReport schedules a tenant to be reported in the next request.
 func (c *Client) scheduleReport(t *clientTenant) {
 	if !t.reportDue {
 		t.reportDue = true
@@ -199,21 +201,21 @@
 	}
 }
 
-// requestTokens has the next request ask for the tokens that the tenant's requests wait for.
+// requestTokens makes the next request to the allocator ask for the tokens that the tenant's requests wait for.
 func (c *Client) requestTokens(t *clientTenant) {
 	c.tokensDue = true
 	c.scheduleReport(t)
 }
 
-// stopWaiting counts a waiting request out.
+// stopWaiting removes a request of a tenant from the counts of waiting requests.
 func (c *Client) stopWaiting(t *clientTenant) {
 	t.waiting--
 	c.waiting--
 }
 
-// decide spends a token if there is one. Pool tokens go first, as they expire sooner. A request waits unless
-// the pool is known to be empty; then only one waits, and only for a lease that refills within
-// shortRefillWait.
+// decide returns the verdict on a request and spends a token if there is one. Pool tokens are spent first, as they
+// expire sooner. Without a token the request waits unless the pool is known to be empty; then only one request
+// waits, and only for a lease that refills within shortRefillWait.
 func (c *Client) decide(now time.Duration, t *clientTenant) Verdict {
 	if t.spendPoolToken(now) || t.spendLeaseToken(now) {
 		return Verdict{Admit: true}
@@ -225,26 +227,26 @@
 	return Verdict{Wait: true}
 }
 
-// retryAfter returns the Retry-After for a token that is expected after a time, with jitter so that clients
-// don't come back all at once.
+// retryAfter returns the Retry-After for a token that is expected after untilToken, with jitter so that clients
+// don't all return at once.
 func (c *Client) retryAfter(untilToken time.Duration) time.Duration {
 	after := min(max(untilToken, minClientRetryAfter), maxClientRetryAfter)
 	return time.Duration(float64(after) * (retryJitterFrom + retryJitterSpan*c.random.Float64()))
 }
 
-// expireLeases ends the leases if they weren't renewed in time. Debts stay.
+// expireLeases ends the leases if they weren't renewed in time. Debts are kept.
 func (c *Client) expireLeases(now time.Duration) {
 	if c.leaseExpiry == 0 || now < c.leaseExpiry {
 		return
 	}
 	c.leaseExpiry = 0
 	for _, t := range c.ordered {
-		c.fullReportDue = c.fullReportDue || !t.lease.isZero() // the allocator may not know that they ended
+		c.fullReportDue = c.fullReportDue || !t.lease.isZero() // the allocator may not know that the leases ended
 		t.lease, t.leaseBucket.level = lease{}, min(0, t.leaseBucket.level)
 	}
 }
 
-// tenantFor finds or adds the state of a tenant, and applies its current limit.
+// tenantFor returns the state of a tenant, after adding it if it is new and applying the tenant's current limit.
 func (c *Client) tenantFor(tenant *configuration.Tenant) *clientTenant {
 	t := c.tenants[tenant.Name]
 	if t == nil {
--- a/internal/quota/client_request.go
+++ b/internal/quota/client_request.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// NextRequest returns the request to send to the allocator now, if one is due. The lifetimes of what its
-// reply brings count from now, so it must not be sent before this call. The caller reports the outcome by
-// HandleReply or RequestFailed.
+// NextRequest returns the request to send to the allocator now, if one is due. The lifetimes of the tokens and
+// leases in its reply count from now, so the request must not be sent before this call. The caller reports the
+// outcome by HandleReply or RequestFailed.
 func (c *Client) NextRequest(now time.Duration) (request protocol.QuotaRequest, due bool) {
 	if c.inFlight && now-c.sentAt > replyTimeout {
 		c.RequestFailed(now)
@@ -37,7 +37,7 @@
 	return request, true
 }
 
-// holdsLease reports whether there is a lease to renew.
+// holdsLease reports whether the client has a lease to renew.
 func (c *Client) holdsLease() bool {
 	for _, t := range c.ordered {
 		if !t.lease.isZero() {
@@ -52,7 +52,7 @@
 	c.inFlightTenants = c.inFlightTenants[:0]
 	for _, t := range c.dueReports {
 		t.reportDue = false
-		demand := protocol.QuotaDemand{Tenant: t.name, Rate: t.takeReportedDemand(now), Want: t.tokensWanted(now)}
+		demand := protocol.QuotaDemand{Tenant: t.name, Rate: t.updateReportedDemand(now), Want: t.tokensWanted(now)}
 		if request.Whole {
 			demand.Held = t.lease.toMessage()
 		}
@@ -63,12 +63,13 @@
 	c.dueReports = c.dueReports[:0]
 }
 
-// scheduleChangedReports schedules the tenants whose demand has changed without a new request (it decays),
-// and forgets unused ones. For a full report it schedules all that are known to the allocator.
+// scheduleChangedReports schedules reports of the tenants whose demand has changed without a new request (by decay)
+// and of those that want tokens, and removes unused tenants. For a full report it also schedules all tenants that
+// are known to the allocator, by their lease or reported demand.
 func (c *Client) scheduleChangedReports(now time.Duration) {
 	kept := c.ordered[:0]
 	for _, t := range c.ordered {
-		if !t.reportDue && t.forgettable(now) {
+		if !t.reportDue && t.removable(now) {
 			delete(c.tenants, t.name)
 			continue
 		}
@@ -81,7 +82,7 @@
 	c.ordered = kept
 }
 
-// HandleReply takes the reply to the request in flight; any other reply is ignored. The caller then calls
+// HandleReply handles the reply to the request in flight; any other reply is ignored. The caller then calls
 // Resolve for all requests that wait.
 func (c *Client) HandleReply(now time.Duration, reply *protocol.QuotaReply) {
 	if !c.inFlight || reply.Sequence != c.sequence {
@@ -113,9 +114,8 @@
 	}
 }
 
-// RequestFailed returns up the request in flight. It may have been received or not, so what it reported is
-// reported again, and as a reply may have been lost, the next request acknowledges the last one that was
-// taken.
+// RequestFailed ends the request in flight as failed. The allocator may or may not have received it, so its reports
+// are repeated. Because a reply may have been lost, the next request acknowledges the last reply that was accepted.
 func (c *Client) RequestFailed(now time.Duration) {
 	if !c.inFlight {
 		return
@@ -129,14 +129,14 @@
 	c.rescheduleReports()
 }
 
-// AllocatorMoved tells the client that the allocator has another address, or that its address has become
-// known. The request in flight has failed, and the next one is sent without backoff.
+// AllocatorMoved informs the client that the allocator has another address, or that its address has become known.
+// The request in flight counts as failed, and the next one is sent without backoff.
 func (c *Client) AllocatorMoved(now time.Duration) {
 	c.RequestFailed(now)
 	c.failures, c.backoff, c.nextRequestAt = 0, minBackoff, now
 }
 
-// rescheduleReports schedules the tenants of the last request again.
+// rescheduleReports schedules the tenants of the last request to be reported again.
 func (c *Client) rescheduleReports() {
 	for _, t := range c.inFlightTenants {
 		if c.tenants[t.name] == t {
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -8,46 +8,46 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// How a gateway estimates and reports a tenant's demand.
+// Parameters of the estimate of a tenant's demand at a gateway, and of its reports.
 const (
-	demandTimeConstant      = 3 * time.Second // of the exponentially decaying count of arrivals
-	minRelativeDemandChange = 0.25            // demand is reported when it has changed by this share, and
-	minDemandChange         = 0.3             // by this many requests per second
-	idleDemand              = 0.05            // requests per second; less counts as none
-	demandPrecision         = 1000            // reports are rounded up to 1/1000 request per second: short messages
+	demandTimeConstant      = 3 * time.Second // of the exponential decay of the count of arrivals
+	minRelativeDemandChange = 0.25            // demand is reported when it has changed by more than this share
+	minDemandChange         = 0.3             // and by more than this many requests per second
+	idleDemand              = 0.05            // requests per second; a lower demand counts as 0
+	demandPrecision         = 1000            // reports are rounded up to 1/1000 request per second, for short messages
 )
 
-// How a gateway uses the pool and its lease.
+// Parameters of a gateway's use of the pool and of its lease.
 const (
-	prefetchHorizon = 200 * time.Millisecond // tokens are asked for ahead for this time, beyond what the lease covers
-	prefetchPause   = time.Second            // after the pool was empty, none are asked for ahead
-	shortRefillWait = 20 * time.Millisecond  // with an empty pool, one request waits for a lease that refills so soon
-	maxTokenBatches = 4                      // the oldest is dropped for a further one
-	maxDebt         = 5 * token              // of a lease's bucket (Client.Charge)
+	prefetchHorizon = 200 * time.Millisecond // tokens are requested ahead for this time's demand beyond the lease
+	prefetchPause   = time.Second            // for so long after the pool was empty no tokens are requested ahead
+	shortRefillWait = 20 * time.Millisecond  // with an empty pool, one request may wait for a lease that refills by then
+	maxTokenBatches = 4                      // held per tenant; a further batch replaces the oldest
+	maxDebt         = 5 * token              // largest debt of a lease's bucket (Client.Charge)
 )
 
-// never is a duration that doesn't end, and to which a time can be added without overflow.
+// never stands for an infinite duration. A time can be added to it without overflow.
 const never = time.Duration(math.MaxInt64 / 4)
 
-// clientTenant is a gateway's part of one tenant's quota.
+// clientTenant is a gateway's state of one tenant's quota.
 type clientTenant struct {
 	name    string
 	limit   amount // tokens per second; a lease with a higher rate is cut to it
 	removed bool   // not in the configuration
 
-	lease          lease // until Client.leaseExpiry
+	lease          lease // valid until Client.leaseExpiry
 	leaseBucket    bucket
 	poolTokens     []tokenBatch  // the oldest first
-	poolEmptyUntil time.Duration // the allocator had too few tokens, and said when there will be more
+	poolEmptyUntil time.Duration // when the allocator, which had too few tokens, expects to have more
 
-	arrivals       float64 // as of arrivedAt; decays with demandTimeConstant
+	arrivals       float64 // decaying count of requests as of arrivedAt (demandTimeConstant)
 	arrivedAt      time.Duration
-	reportedDemand float64 // requests per second, in the last report
-	reportDue      bool    // it is in Client.dueReports
-	waiting        int     // requests that wait
+	reportedDemand float64 // requests per second in the last report
+	reportDue      bool    // the tenant is in Client.dueReports
+	waiting        int     // number of requests that wait for a token
 }
 
-// tokenBatch is tokens of the pool that expire together.
+// tokenBatch is a number of pool tokens that expire together.
 type tokenBatch struct {
 	tokens    int
 	expiresAt time.Duration
@@ -59,18 +59,18 @@
 	t.lease.rate = min(t.lease.rate, t.limit)
 }
 
-// countArrival counts a request that arrives now, whether or not it is admitted.
+// countArrival counts a request that arrives now, whether or not it will be admitted.
 func (t *clientTenant) countArrival(now time.Duration) {
 	t.arrivals = t.decayedArrivals(now) + 1
 	t.arrivedAt = now
 }
 
-// decayedArrivals is the decaying count of arrivals as of now.
+// decayedArrivals returns the decaying count of arrivals as of now.
 func (t *clientTenant) decayedArrivals(now time.Duration) float64 {
 	return t.arrivals * math.Exp(-(now-t.arrivedAt).Seconds()/demandTimeConstant.Seconds())
 }
 
-// demand is the estimated requests per second that arrive here, rejected ones included.
+// demand returns the estimated number of requests per second that arrive at this gateway, rejected ones included.
 func (t *clientTenant) demand(now time.Duration) float64 {
 	rate := t.decayedArrivals(now) / demandTimeConstant.Seconds()
 	if rate < idleDemand || t.removed {
@@ -88,20 +88,22 @@
 	return math.Abs(rate-t.reportedDemand) > max(minDemandChange, minRelativeDemandChange*t.reportedDemand)
 }
 
-// takeReportedDemand returns the demand for a report, and remembers it as reported.
-func (t *clientTenant) takeReportedDemand(now time.Duration) float64 {
+// updateReportedDemand returns the demand for a report and stores it as the reported demand.
+func (t *clientTenant) updateReportedDemand(now time.Duration) float64 {
 	t.reportedDemand = math.Ceil(t.demand(now)*demandPrecision) / demandPrecision
 	return t.reportedDemand
 }
 
-// forgettable reports whether neither the client nor the allocator has any state of the tenant that matters.
-func (t *clientTenant) forgettable(now time.Duration) bool {
+// removable reports whether the tenant's state can be removed: neither the client nor the allocator has anything
+// of the tenant that matters.
+func (t *clientTenant) removable(now time.Duration) bool {
 	return t.lease.isZero() && t.waiting == 0 && t.reportedDemand == 0 && t.demand(now) == 0 &&
 		t.unexpiredPoolTokens(now) == 0
 }
 
-// tokensWanted is the number of tokens to ask for: one for each request that waits, and those for the demand
-// of the next prefetchHorizon that neither the lease nor unspent tokens cover.
+// tokensWanted returns the number of tokens to request: one for each request that waits and, unless the pool was
+// empty lately (prefetchPause), those for the demand of the next prefetchHorizon that neither the lease nor unspent
+// tokens cover.
 func (t *clientTenant) tokensWanted(now time.Duration) int {
 	want := t.waiting
 	if now >= t.poolEmptyUntil+prefetchPause {
@@ -111,7 +113,7 @@
 	return want
 }
 
-// unexpiredPoolTokens is the number of pool tokens that can still be spent.
+// unexpiredPoolTokens returns the number of pool tokens that can still be spent.
 func (t *clientTenant) unexpiredPoolTokens(now time.Duration) (sum int) {
 	for _, batch := range t.poolTokens {
 		if batch.expiresAt > now {
@@ -121,7 +123,7 @@
 	return sum
 }
 
-// spendPoolToken spends a token of the oldest batch, if there is one.
+// spendPoolToken spends a token of the oldest unexpired batch. It reports whether there was one.
 func (t *clientTenant) spendPoolToken(now time.Duration) bool {
 	for len(t.poolTokens) > 0 {
 		first := &t.poolTokens[0]
@@ -134,12 +136,13 @@
 	return false
 }
 
-// refill brings the lease's bucket up to now. A change of the lease's rate is preceded by it.
+// refill adds the inflow of the lease's bucket up to now. A grant that changes the lease's rate is preceded by it
+// (applyGrant).
 func (t *clientTenant) refill(now time.Duration) {
 	t.leaseBucket.refill(now, t.lease.rate, t.lease.depth)
 }
 
-// spendLeaseToken spends a token of the lease, if it has one.
+// spendLeaseToken spends a token of the lease. It reports whether the lease had one.
 func (t *clientTenant) spendLeaseToken(now time.Duration) bool {
 	if t.lease.isZero() {
 		return false
@@ -152,7 +155,7 @@
 	return true
 }
 
-// charge takes a token whether or not there is one.
+// charge takes a token whether or not there is one: without a pool token, the lease may go into debt up to maxDebt.
 func (t *clientTenant) charge(now time.Duration) {
 	if t.spendPoolToken(now) {
 		return
@@ -161,7 +164,7 @@
 	t.leaseBucket.level = max(t.leaseBucket.level-token, -maxDebt)
 }
 
-// timeToLeaseToken returns the time until the lease has a token, or never.
+// timeToLeaseToken returns the time until the lease has a token, or never without a lease.
 func (t *clientTenant) timeToLeaseToken(now time.Duration) time.Duration {
 	if t.lease.rate <= 0 {
 		return never
@@ -171,8 +174,8 @@
 	return max(0, time.Duration(math.Ceil(missing/float64(t.lease.rate)*float64(time.Second))))
 }
 
-// timeToServeNext returns the time until the lease has a token for one request more than those that wait, or
-// never.
+// timeToServeNext returns the time until the lease has a token for one request more than those that wait, or never
+// without a lease.
 func (t *clientTenant) timeToServeNext(now time.Duration) time.Duration {
 	first := t.timeToLeaseToken(now)
 	if first == never {
@@ -182,11 +185,11 @@
 	return first + time.Duration(float64(others)/float64(t.lease.rate)*float64(time.Second))
 }
 
-// applyGrant takes a grant of the reply to a request that was sent at sentAt. A lease that changes keeps its
-// level, cut to the new depth: a new one starts empty. It is ignored if the reply came too late to have
-// leases in force.
-func (t *clientTenant) applyGrant(now, sentAt time.Duration, grant *protocol.QuotaGrant, leased bool) {
-	if grant.Change && leased {
+// applyGrant applies a grant in the reply to a request that was sent at sentAt. A changed lease keeps its level,
+// limited to the new depth, and a new lease starts empty. The change is ignored if leasesInForce is false: the reply came
+// too late for leases to be in force.
+func (t *clientTenant) applyGrant(now, sentAt time.Duration, grant *protocol.QuotaGrant, leasesInForce bool) {
+	if grant.Change && leasesInForce {
 		t.refill(now)
 		t.lease = lease{min(tokens(grant.Lease.Rate), t.limit), tokens(grant.Lease.Depth)}
 		t.leaseBucket.level = min(t.leaseBucket.level, t.lease.depth)
--- a/internal/quota/client_test.go
+++ b/internal/quota/client_test.go
@@ -25,11 +25,11 @@
 		So(c.Resolve(second+2*millisecond, tenant).Admit, ShouldBeTrue)
 		So(c.tenants["a"].leaseBucket.level, ShouldBeLessThan, token)
 
-		Convey("a token that was taken a moment ago goes back", func() {
+		Convey("a token that was taken a moment ago goes back into the lease", func() {
 			c.Return(second+10*millisecond, second+2*millisecond, tenant)
 			So(c.tenants["a"].leaseBucket.level, ShouldBeGreaterThan, token)
 		})
-		Convey("one that was taken longer ago than a token's lifetime is lost", func() {
+		Convey("a token that was taken longer ago than a token's lifetime is discarded", func() {
 			before := c.tenants["a"].leaseBucket.level
 			c.Return(second+300*millisecond, second+2*millisecond, tenant)
 			So(c.tenants["a"].leaseBucket.level, ShouldEqual, before)
--- a/internal/quota/entitlement_test.go
+++ b/internal/quota/entitlement_test.go
@@ -7,17 +7,17 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// entitlement is what one incarnation of a gateway may spend at most, computed from the messages alone. It
-// checks the Client.
+// entitlement is the most that one incarnation of a gateway may spend, computed from its messages alone. The Client
+// is checked against it.
 type entitlement struct {
-	sequence    uint64 // of the request that was sent last
-	sentAt      time.Duration
-	replyTaken  bool
-	leaseExpiry time.Duration
-	tenants     map[string]*tenantEntitlement
+	sequence      uint64 // of the newest request
+	sentAt        time.Duration
+	replyAccepted bool
+	leaseExpiry   time.Duration
+	tenants       map[string]*tenantEntitlement
 }
 
-// tenantEntitlement is one tenant's part.
+// tenantEntitlement is one tenant's part of an entitlement.
 type tenantEntitlement struct {
 	poolTokens []tokenBatch
 	rate       float64 // of the lease
@@ -26,15 +26,15 @@
 	refilledAt time.Duration
 }
 
-// entitlementRounding is the number of tokens by which the level may be too low because of rounding.
+// entitlementRounding is the number of tokens by which the computed level may be too low because of rounding.
 const entitlementRounding = 1e-3
 
 func newEntitlement() entitlement {
-	return entitlement{replyTaken: true, tenants: map[string]*tenantEntitlement{}}
+	return entitlement{replyAccepted: true, tenants: map[string]*tenantEntitlement{}}
 }
 
-// of finds or adds a tenant's part.
-func (e *entitlement) of(tenant string) *tenantEntitlement {
+// tenantPart returns a tenant's part, and adds it if it is new.
+func (e *entitlement) tenantPart(tenant string) *tenantEntitlement {
 	part := e.tenants[tenant]
 	if part == nil {
 		part = &tenantEntitlement{}
@@ -43,22 +43,22 @@
 	return part
 }
 
-// sent notes the newest request.
-func (e *entitlement) sent(now time.Duration, sequence uint64) {
-	e.sequence, e.sentAt, e.replyTaken = sequence, now, false
+// recordRequest records the newest request.
+func (e *entitlement) recordRequest(now time.Duration, sequence uint64) {
+	e.sequence, e.sentAt, e.replyAccepted = sequence, now, false
 }
 
-// replied applies a reply if it answers the newest request in time. Lifetimes count from when the request was
-// sent.
-func (e *entitlement) replied(now time.Duration, reply *protocol.QuotaReply) {
-	if e.replyTaken || reply.Sequence != e.sequence || reply.Term == 0 || reply.Unknown || now-e.sentAt > replyTimeout {
+// applyReply applies a reply if it answers the newest request within replyTimeout. Lifetimes count from when the
+// request was sent.
+func (e *entitlement) applyReply(now time.Duration, reply *protocol.QuotaReply) {
+	if e.replyAccepted || reply.Sequence != e.sequence || reply.Term == 0 || reply.Unknown || now-e.sentAt > replyTimeout {
 		return
 	}
-	e.replyTaken = true
+	e.replyAccepted = true
 	e.expireLeases(now)
 	e.leaseExpiry = max(e.leaseExpiry, e.sentAt+reply.LeaseFor)
 	for _, grant := range reply.Grants {
-		part := e.of(grant.Tenant)
+		part := e.tenantPart(grant.Tenant)
 		part.refill(now)
 		if grant.Change {
 			part.rate, part.depth = grant.Lease.Rate, grant.Lease.Depth
@@ -84,9 +84,9 @@
 	e.refilledAt = now
 }
 
-// spend takes a token for an admitted request, and panics if there is none.
+// spend takes a token for an admitted request. It panics if there is none.
 func (e *entitlement) spend(g *simGateway, tenant string) {
-	now, part := g.clock.read(), e.of(tenant)
+	now, part := g.clock.read(), e.tenantPart(tenant)
 	e.expireLeases(now)
 	for len(part.poolTokens) > 0 {
 		first := &part.poolTokens[0]
@@ -103,10 +103,10 @@
 	part.level--
 }
 
-// returned takes back a token, unless it would have expired by now.
-func (e *entitlement) returned(now, taken time.Duration, tenant string) {
+// recordReturn adds a returned token to the lease, unless a pool token taken at the same time would have expired.
+func (e *entitlement) recordReturn(now, taken time.Duration, tenant string) {
 	e.expireLeases(now)
-	if part := e.of(tenant); now-taken <= maxTokenTTL {
+	if part := e.tenantPart(tenant); now-taken <= maxTokenTTL {
 		part.refill(now)
 		part.level = min(part.level+1, part.depth)
 	}
--- a/internal/quota/events_test.go
+++ b/internal/quota/events_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is a function to run at a time. Events of the same time run in the order in which they were
+// event is a function that is scheduled for a time. Events of the same time run in the order in which they were
 // scheduled.
 type event struct {
 	at      time.Duration
@@ -29,13 +29,13 @@
 	return last
 }
 
-// schedule runs a function at a time, or now if that has passed.
+// schedule schedules a function for a time, or for now if that time has passed.
 func (sim *simulation) schedule(at time.Duration, run func()) {
 	sim.ordinal++
 	heap.Push(&sim.events, event{max(at, sim.now), sim.ordinal, run})
 }
 
-// runUntil runs all events up to a time.
+// runUntil runs all events up to and including a time.
 func (sim *simulation) runUntil(until time.Duration) {
 	for len(sim.events) > 0 && sim.events[0].at <= until {
 		next := heap.Pop(&sim.events).(event)
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -8,14 +8,14 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// Bounds of faults.
+// Limits of the injected faults.
 const (
 	maxPartition = 20 * second
 	maxPause     = 8 * second
 	maxGateways  = 20
 )
 
-// injectFault draws a fault and injects it; some draws are none.
+// injectFault injects a randomly chosen fault, or sometimes none.
 func (sim *simulation) injectFault() {
 	if sim.now < 8*second || sim.faultsStopped {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// changeLimits raises and lowers limits, and removes and adds tenants.
+// changeLimits raises and lowers limits, and removes tenants or adds removed ones again.
 func (sim *simulation) changeLimits() {
 	tenants := append(slices.Clone(sim.snapshot.Tenants), sim.removedTenants...)
 	sim.removedTenants = nil
@@ -88,14 +88,14 @@
 
 // restartHalf restarts each gateway with probability 1/2.
 func (sim *simulation) restartHalf() {
-	for _, one := range sim.gateways {
+	for _, g := range sim.gateways {
 		if sim.random.IntN(2) == 0 {
-			one.crash(200*millisecond + sim.randomDuration(second))
+			g.crash(200*millisecond + sim.randomDuration(second))
 		}
 	}
 }
 
-// activeLeader returns the leader if nothing is ending its leadership yet, or nil.
+// activeLeader returns the leader, or nil if there is none or the end of its leadership has been scheduled.
 func (sim *simulation) activeLeader() *simControl {
 	control := sim.leader()
 	if control == nil || control.leadUntil < math.MaxInt64 {
@@ -104,15 +104,15 @@
 	return control
 }
 
-// deposeAfterSuspicion ends a leadership as a failure detector does: the others suspect the leader and decide
-// on a view without it, while its lease runs out.
+// deposeAfterSuspicion ends a leadership as a failure detector does: the other control processes suspect the leader
+// and decide on a view without it, while its lease runs out.
 func (sim *simulation) deposeAfterSuspicion(control *simControl) {
 	decided := sim.now + 700*millisecond + sim.randomDuration(600*millisecond)
 	control.leadUntil = min(decided, sim.now+leaderLease)
 	sim.elect((sim.leaderIndex+1)%len(sim.controls), decided, sim.takeOverWait())
 }
 
-// takeOverWait is the time from the decision on a new leader to its start.
+// takeOverWait returns the time from the decision on a new leader to its start.
 func (sim *simulation) takeOverWait() time.Duration {
 	if sim.bug == bugEarlyStart {
 		return 0
@@ -134,7 +134,7 @@
 	sim.replaceAfter(sim.leaderIndex, control, sim.randomDuration(3*second))
 }
 
-// replaceAfter ends a process, and starts another in its place after downFor.
+// replaceAfter ends a control process and starts a new one in its place after downFor.
 func (sim *simulation) replaceAfter(index int, control *simControl, downFor time.Duration) {
 	control.dead = true
 	sim.schedule(sim.now+downFor, func() {
@@ -144,8 +144,8 @@
 	})
 }
 
-// partitionLeader separates the leader, in both directions or one, from the other control processes and from
-// the gateways; some gateways reach nobody but it.
+// partitionLeader separates the leader, in one direction or both, from the other control processes and from the
+// gateways; some gateways may reach only the leader.
 func (sim *simulation) partitionLeader(g *simGateway) {
 	control := sim.activeLeader()
 	if control == nil {
@@ -158,12 +158,12 @@
 		g.reachOnly(control, length)
 	}
 	if sim.random.IntN(3) == 0 && len(sim.gateways) < maxGateways {
-		fresh := sim.addGateway()
-		fresh.reachOnly(control, length)
+		added := sim.addGateway()
+		added.reachOnly(control, length)
 	}
 }
 
-// depose decides on another leader while the present one is connected and has just renewed its lease.
+// depose elects another leader while the current one is connected and has just renewed its lease.
 func (sim *simulation) depose() {
 	control := sim.activeLeader()
 	if control == nil {
@@ -184,7 +184,7 @@
 	sim.elect((sim.leaderIndex+1)%len(sim.controls), sim.now, sim.randomDuration(100*millisecond))
 }
 
-// restartLeader ends the leader's process; its next incarnation on the same disk leads at once.
+// restartLeader restarts the leader's process; its next incarnation, on the same disk, becomes the leader soon after.
 func (sim *simulation) restartLeader() {
 	control := sim.activeLeader()
 	if control == nil {
@@ -196,7 +196,8 @@
 	sim.elect(index, sim.now, 150*millisecond+sim.randomDuration(500*millisecond))
 }
 
-// replaceControl ends a control process for good, and puts an empty one in its place.
+// replaceControl ends a control process permanently and starts an empty one in its place. The leader fails over
+// instead.
 func (sim *simulation) replaceControl(index int) {
 	control := sim.controls[index]
 	if control == sim.leader() {
@@ -207,7 +208,7 @@
 	sim.replaceAfter(index, control, sim.randomDuration(second))
 }
 
-// losePower ends all processes; the record survives on disks.
+// losePower restarts all processes, as after a power failure; the record survives on the disks.
 func (sim *simulation) losePower() {
 	leader := sim.activeLeader()
 	if leader == nil {
--- a/internal/quota/floor.go
+++ b/internal/quota/floor.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// How floors follow the pools' levels. Each change is a write to the replicated state, so a floor is raised
-// seldom, and lowered far enough that the next change isn't needed soon.
+// Parameters by which floors follow the levels of their pools. Each change is a write to the replicated state, so
+// a floor is raised rarely, and lowered far enough that the next change isn't needed soon.
 const (
-	steadyFloorShare  = 0.25            // of the depth: the floor of a pool that is full
-	fullPoolShare     = 0.9             // of the depth: from this level on a pool counts as full
-	lowerThreshold    = 1.6             // times the floor: at a level below it the floor is to be lowered
-	loweredFloorShare = 1.0 / 3         // of the level: a lowered floor
-	minRaiseInterval  = 2 * time.Second // between a change of a tenant's floor and a raise
+	steadyFloorShare  = 0.25            // the floor of a full pool, as a share of the budget's depth
+	fullPoolShare     = 0.9             // share of the pool's depth from which on a pool counts as full
+	lowerThreshold    = 1.6             // a floor is lowered when the pool's level falls below this multiple of it
+	loweredFloorShare = 1.0 / 3         // a lowered floor, as a share of the pool's level
+	minRaiseInterval  = 2 * time.Second // minimum time from a change of a tenant's floor to a raise
 	minRaise          = 2 * token
 )
 
-// Floor is a recorded lower bound of a tenant's pool: the pool doesn't fall below it while it is recorded. An
-// allocator that starts a term starts with that many tokens in the pool, because its predecessor certainly
-// left them there. It must lower the floor itself before it grants them.
+// Floor is a recorded lower bound of the level of a tenant's pool: the pool doesn't fall below it while it is
+// recorded. An allocator starts its term with that many tokens in the pool, because its predecessor certainly left
+// them there. It must lower the floor itself before it grants these tokens.
 //
-// Floors are part of the replicated state (gob): the names of the fields are fixed.
+// Floors are part of the replicated state, encoded with gob: the names of the fields are fixed.
 type Floor struct {
 	Tenant string
 	Tokens int64 // whole tokens
@@ -29,16 +29,16 @@
 
 // poolFloor is the floor of one tenant's pool.
 //
-// Invariant: the pool's level is at least recorded, because grants leave bound in the pool. A raise applies
-// from when it is requested, a decrease only once it is recorded: so whatever of the two the record holds is
-// kept.
+// Invariant: the pool's level is at least recorded, because grants leave at least bound in the pool. A raise
+// applies from when it is requested, a decrease only once it is recorded: so the level isn't below the floor,
+// whether the record has the old or the new one.
 type poolFloor struct {
 	recorded     amount
-	pendingRaise amount // requested, and perhaps recorded already
+	pendingRaise amount // 0, or a raised floor that was requested and may already be recorded
 	changedAt    time.Duration
 }
 
-// bound is the level that grants may not go below.
+// bound returns the level below which grants may not bring the pool.
 func (f *poolFloor) bound() amount { return max(f.recorded, f.pendingRaise) }
 
 // needsLowerFloor reports whether the floor prevents grants or soon will.
@@ -47,19 +47,20 @@
 	return bound > 0 && q.pool.level.float() < lowerThreshold*bound.float()
 }
 
-// allowsHigherFloor reports whether the pool is full and its floor is low. A full pool may hold less than
-// steadyFloor, where much is leased under a limit that was lowered: so the level must reach both.
+// allowsHigherFloor reports whether the floor may be raised: the pool is full and its floor is low. A full pool may
+// hold less than steadyFloor when much is leased after a limit was lowered, so the level must reach both
+// steadyFloor and fullPoolShare.
 func (q *tenantQuota) allowsHigherFloor(now time.Duration) bool {
 	steady := q.steadyFloor()
 	return q.pool.level >= steady && q.pool.level.float() >= fullPoolShare*q.poolDepth().float() &&
 		now-q.floor.changedAt >= minRaiseInterval && steady >= q.floor.recorded+minRaise
 }
 
-// steadyFloor is the floor of a full pool.
+// steadyFloor returns the floor of a full pool.
 func (q *tenantQuota) steadyFloor() amount { return amount(steadyFloorShare * float64(q.budget.depth)) }
 
-// FloorChanges lists the floors to be changed in the record. The caller records them and then calls
-// FloorsRecorded; until the outcome is known it must have no other change in flight.
+// FloorChanges returns the floors to be changed in the record, sorted by tenant. The caller records them and then
+// calls FloorsRecorded; until the outcome is known it must have no other change in flight.
 func (a *Allocator) FloorChanges(now time.Duration) (changes []Floor) {
 	if !a.grantees.enabled || a.term == 0 {
 		return nil
@@ -86,7 +87,7 @@
 	return changes
 }
 
-// FloorsRecorded tells the allocator that floors have been recorded.
+// FloorsRecorded informs the allocator that floors have been recorded.
 func (a *Allocator) FloorsRecorded(floors []Floor) {
 	for _, floor := range floors {
 		if a.recordedFloors != nil {
@@ -99,7 +100,7 @@
 }
 
 // FloorChangeUrgent reports whether, since the last call, a grant has brought a pool so low that its floor
-// prevents grants or soon will. FloorChanges should then be called without delay.
+// prevents grants or soon will. The caller should then call FloorChanges without delay.
 func (a *Allocator) FloorChangeUrgent() bool {
 	urgent := a.floorChangeUrgent
 	a.floorChangeUrgent = false
--- a/internal/quota/grantee_registry.go
+++ b/internal/quota/grantee_registry.go
@@ -7,26 +7,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// granteeTTL is the time without contact after which a node is to be removed from the record: much longer
-// than any lease lasts.
+// granteeTTL is the time without contact after which a node is removed from the record. It is much longer than
+// the lifetime of any lease.
 const granteeTTL = 30 * time.Second
 
-// granteeRegistry is the set of nodes that may hold leases, as it is recorded in the control processes'
-// replicated state. A node is recorded before it gets its first lease, so that the next allocator knows whom
-// to wait for: once a process of each recorded node has reported, nothing is unaccounted and learning ends
-// early.
+// granteeRegistry is the set of nodes that may hold leases, as recorded in the replicated state of the control
+// processes. A node is recorded before it gets its first lease, so that the next allocator knows which nodes to
+// wait for: once a process of each recorded node has reported, nothing is unaccounted and learning ends early.
 type granteeRegistry struct {
 	enabled       bool                     // false: nothing is recorded, and any node may hold leases
-	lastContact   map[string]time.Duration // of each recorded node; at first when the term began or the node was recorded
-	missing       []string                 // nodes that ask and aren't recorded
+	lastContact   map[string]time.Duration // by recorded node; initially the start of the term or the time of recording
+	missing       []string                 // nodes that send requests and aren't recorded
 	unreconciled  map[string]bool          // nodes recorded at the start of the term that aren't reconciled yet
-	allReconciled bool                     // unreconciled became empty
-	nextScanAt    time.Duration            // when EvictGrantees looks again
+	allReconciled bool                     // unreconciled is empty
+	nextScanAt    time.Duration            // when EvictGrantees scans lastContact again
 }
 
-// startTerm resets the registry to the recorded nodes, nil where nothing is recorded. It reports whether no
+// startTerm resets the registry to the recorded nodes; nil means that nothing is recorded. It reports whether no
 // node can hold a lease.
-func (r *granteeRegistry) startTerm(now time.Duration, grantees []string) (mayHoldNone bool) {
+func (r *granteeRegistry) startTerm(now time.Duration, grantees []string) (noneMayHold bool) {
 	*r = granteeRegistry{enabled: grantees != nil}
 	if !r.enabled {
 		return false
@@ -41,8 +40,7 @@
 	return r.allReconciled
 }
 
-// mayLease reports whether a node may get leases. It notes a node that may not yet as missing from the
-// record.
+// mayLease reports whether a node may get leases. A node that may not yet is added to missing.
 func (r *granteeRegistry) mayLease(node string) bool {
 	if !r.enabled {
 		return true
@@ -56,10 +54,10 @@
 	return false
 }
 
-// noteReconciled notes a node as reconciled once one of its processes has taken a reply of this term: all
-// that it holds is counted by name, and processes that ran on its node before it are dead. When all recorded
-// nodes are reconciled, learning ends.
-func (a *Allocator) noteReconciled(holder *leaseHolder, request *protocol.QuotaRequest) {
+// markReconciled updates the last contact of a holder's node, and marks the node as reconciled once the holder has
+// accepted a reply of this term: the holder's allocations then cover all its leases, and earlier processes of its
+// node are dead. Learning ends when all nodes that were recorded at the start of the term are reconciled.
+func (a *Allocator) markReconciled(holder *leaseHolder, request *protocol.QuotaRequest) {
 	r := &a.grantees
 	if !r.enabled {
 		return
@@ -76,11 +74,11 @@
 	}
 }
 
-// MissingGrantees lists the nodes that ask for tokens and aren't recorded as grantees. The caller records
-// them and then calls GranteesRecorded; until then they get tokens and no leases.
+// MissingGrantees returns the nodes that ask for tokens and aren't recorded as grantees. The caller records them
+// and then calls GranteesRecorded; until then they get tokens but no leases.
 func (a *Allocator) MissingGrantees() []string { return slices.Clone(a.grantees.missing) }
 
-// GranteesRecorded tells the allocator that nodes have been recorded as grantees.
+// GranteesRecorded informs the allocator that nodes have been recorded as grantees.
 func (a *Allocator) GranteesRecorded(nodes []string) {
 	r := &a.grantees
 	if !r.enabled {
@@ -94,8 +92,8 @@
 	r.missing = slices.DeleteFunc(r.missing, func(node string) bool { return slices.Contains(nodes, node) })
 }
 
-// EvictGrantees lists the nodes without contact for granteeTTL, for the caller to remove from the record.
-// They get no leases from now on, whether or not the removal succeeds.
+// EvictGrantees returns the nodes without contact for granteeTTL, for the caller to remove from the record. They
+// get no leases from now on, whether or not the removal succeeds.
 func (a *Allocator) EvictGrantees(now time.Duration) (nodes []string) {
 	r := &a.grantees
 	if !r.enabled || now < r.nextScanAt {
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// invariantChecker checks the simulation from outside: by the requests that run, the messages and the true
-// time. It panics at a violation.
+// invariantChecker checks the simulation by what can be seen from outside: the requests that run, the messages and
+// the true time. It panics at a violation.
 type invariantChecker struct {
 	sim     *simulation
-	ran     map[string][]time.Duration // by tenant: when requests of the current window ran
-	worst   float64                    // largest share of the bound that a window used
-	worstAt string                     // where that was
+	ran     map[string][]time.Duration // by tenant: times at which the requests of the current window ran
+	worst   float64                    // largest share of its bound that any window used
+	worstAt string                     // description of that window
 	terms   map[uint64]*activeSpan
 }
 
-// activeSpan is the time over which an allocator was active, as far as its answers show.
+// activeSpan is the time during which an allocator was active, as far as its answers show.
 type activeSpan struct{ from, to time.Duration }
 
 func newInvariantChecker(sim *simulation) invariantChecker {
 	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
-// answered notes that an allocator answered as of a moment, and checks that no two are active at the same
-// time. The answer may be made later.
-func (c *invariantChecker) answered(at time.Duration, term uint64) {
+// recordAnswer records that an allocator answered as of the time at, and checks that no two allocators are active at the
+// same time. The answer itself may be made later than at.
+func (c *invariantChecker) recordAnswer(at time.Duration, term uint64) {
 	if term == 0 || c.sim.windowsOnly {
 		return
 	}
@@ -44,9 +44,9 @@
 	}
 }
 
-// recordRun counts a request that a server runs and checks the rule. The request counts at the time of the
-// decision, which lies between the client's sending and the arrival at a server: no window of the rule has
-// more.
+// recordRun counts a request that a server runs and checks the rate-limit rule. The request counts at the time of
+// the decision, which lies between the client's sending and the arrival at a server: no window of the rule contains
+// more requests than a window here.
 func (sim *simulation) recordRun(name string, g *simGateway) {
 	count := sim.counts[name]
 	count.served++
@@ -68,7 +68,7 @@
 	}
 }
 
-// maxInWindow is the rule's bound for the largest limit that may still apply.
+// maxInWindow returns the rule's bound for the largest limit that may still apply.
 func (sim *simulation) maxInWindow(name string) float64 {
 	bound := 0.0
 	limits := sim.limits[name]
@@ -81,22 +81,22 @@
 	return bound
 }
 
-// updateEffectiveLimits notes the limits that every gateway applies by now. Earlier limits don't apply any
-// more a window from then on.
+// updateEffectiveLimits records which limits all gateways have applied by now. From one window later on, earlier
+// limits no longer apply.
 func (sim *simulation) updateEffectiveLimits() {
 	for name := range sortedNames(sim.usualRate) {
 		for _, limit := range sim.limits[name] {
 			if limit.effectiveAt > 0 || sim.now < limit.acknowledgedAt+configApplyBound {
 				continue
 			}
-			byAll := true
+			appliedByAll := true
 			for _, g := range sim.gateways {
 				if g.alive && sim.now >= g.connectedSince {
 					limit.appliedBy[g] = true
 				}
-				byAll = byAll && limit.appliedBy[g]
+				appliedByAll = appliedByAll && limit.appliedBy[g]
 			}
-			if byAll {
+			if appliedByAll {
 				limit.effectiveAt = sim.now
 			}
 		}
@@ -118,10 +118,10 @@
 	for _, q := range a.tenants {
 		sum, demand, leases := lease{}, amount(0), 0
 		for _, holder := range a.holders {
-			if part := holder.allocations[q]; part != nil {
-				sum = sum.plus(part.outstanding)
-				demand += part.demand
-				if !part.outstanding.isZero() {
+			if alloc := holder.allocations[q]; alloc != nil {
+				sum = sum.plus(alloc.outstanding)
+				demand += alloc.demand
+				if !alloc.outstanding.isZero() {
 					leases++
 				}
 			}
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkFloors panics if a recorded floor is above the pool's level: a successor would grant the difference
+// checkFloors panics if a recorded floor is above the pool's level: a successor would then grant the difference
 // again.
 func (sim *simulation) checkFloors(a *Allocator) {
 	for name := range sortedNames(sim.floors) {
--- a/internal/quota/lease_holder.go
+++ b/internal/quota/lease_holder.go
@@ -13,37 +13,37 @@
 type leaseHolder struct {
 	processID    string
 	node         string
-	lastSequence uint64        // of its newest request
-	lastContact  time.Duration // when that was received
+	lastSequence uint64        // sequence of its newest request
+	lastContact  time.Duration // when its newest request was received
 	rebalancedAt time.Duration
-	reconciled   bool // all that it holds is counted by name: it has reported its leases, or has only leases of this term
+	reconciled   bool // allocations cover all its leases: it has reported them, or has only leases of this term
 
-	// Invariant: allocations and ordered have the same elements. The order makes runs reproducible.
+	// Invariant: allocations and ordered have the same elements. The fixed order makes simulations reproducible.
 	allocations map[*tenantQuota]*allocation
 	ordered     []*allocation
 
 	unacked        []*allocation // contains every allocation whose unackedSequence isn't 0
-	contactElement *list.Element // of Allocator.byLastContact
+	contactElement *list.Element // this holder in Allocator.byLastContact
 }
 
 // allocation is one holder's part of one tenant's quota.
 //
-// Invariant: the holder spends by a lease that is at most outstanding, whichever of the replies that were
-// sent it has taken.
+// Invariant: the lease that the holder spends from is at most outstanding, whichever of the replies sent to it
+// the holder has accepted.
 type allocation struct {
 	quota           *tenantQuota
 	demand          amount // per second, as reported
-	outstanding     lease  // the most that the holder may have
-	offered         lease  // what the newest reply with a change gave it
-	unackedSequence uint64 // newest request whose reply carried the offer; 0: the offer is acknowledged
-	sentSequence    uint64 // newest request whose reply contains the allocation
+	outstanding     lease  // upper bound of the lease that the holder may have
+	offered         lease  // the lease in the newest reply with a change
+	unackedSequence uint64 // the newest request whose reply carried the offer; 0: the offer is acknowledged
+	sentSequence    uint64 // the newest request whose reply contains the allocation
 }
 
-// processID identifies one run of a gateway's process.
+// processID returns the identifier of one incarnation of a gateway's process.
 func processID(p *protocol.Process) string { return p.Node + "/" + p.Incarnation }
 
-// holderFor finds or adds the process that sent a request. It returns nil for one that is known to have
-// ended.
+// holderFor returns the holder for the process that sent a request, and adds it if it is new. It returns nil for
+// a process that is known to have ended.
 func (a *Allocator) holderFor(request *protocol.QuotaRequest) *leaseHolder {
 	id := processID(&request.Process)
 	if _, ended := a.deadProcesses[id]; ended {
@@ -59,16 +59,16 @@
 	return holder
 }
 
-// recordContact notes that a request of the holder is being answered.
+// recordContact records that a request of the holder has been received now.
 func (a *Allocator) recordContact(holder *leaseHolder) {
 	holder.lastContact = a.now
 	a.byLastContact.MoveToBack(holder.contactElement)
 }
 
-// endPredecessors ends the processes that ran on the requester's node before it. A node runs one process at a
-// time, and a process that took the reply to its previous request ran after that request was received here:
-// any other process of the node whose last contact was before that moment is dead. A first request proves
-// nothing: it may be a dead process's, delayed in the network.
+// endPredecessors removes the holders that ran on the requester's node before it. A node runs one process at a
+// time, and a process that accepted the reply to its previous request was running after that request was received
+// here: any other process of the node whose last contact was before that moment is dead. A first request proves
+// nothing: a dead process may have sent it, and the network delayed it.
 func (a *Allocator) endPredecessors(holder *leaseHolder, request *protocol.QuotaRequest) {
 	others := a.holdersByNode[holder.node]
 	if len(others) == 1 || request.Term != a.term || request.Acked != holder.lastSequence || holder.lastSequence == 0 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// expireHolders ends the holders whose leases have expired by their own clocks: a holder's leases end
-// leaseTTL after it sent a request, which was before its last contact here. It also forgets old tombstones.
+// expireHolders removes the holders whose leases have expired by the holders' own clocks: a holder's leases end
+// leaseTTL after it sent a request, which was before its last contact here. It also deletes old tombstones.
 func (a *Allocator) expireHolders() {
 	for front := a.byLastContact.Front(); front != nil; front = a.byLastContact.Front() {
 		holder := front.Value.(*leaseHolder)
@@ -104,10 +104,10 @@
 
 // endHolder frees all leases of a holder and removes it.
 func (a *Allocator) endHolder(holder *leaseHolder) {
-	for _, part := range holder.ordered {
-		a.refill(part.quota)
-		part.setOutstanding(lease{})
-		part.setDemand(0)
+	for _, alloc := range holder.ordered {
+		a.refill(alloc.quota)
+		alloc.setOutstanding(lease{})
+		alloc.setDemand(0)
 	}
 	a.byLastContact.Remove(holder.contactElement)
 	delete(a.holders, holder.processID)
@@ -119,29 +119,30 @@
 	a.holdersByNode[holder.node] = remaining
 }
 
-// allocationFor finds or adds the holder's allocation of a quota.
+// allocationFor returns the holder's allocation of a quota, and adds it if it is new.
 func (h *leaseHolder) allocationFor(q *tenantQuota) *allocation {
-	part := h.allocations[q]
-	if part == nil {
-		part = &allocation{quota: q}
-		h.allocations[q] = part
-		h.ordered = append(h.ordered, part)
+	alloc := h.allocations[q]
+	if alloc == nil {
+		alloc = &allocation{quota: q}
+		h.allocations[q] = alloc
+		h.ordered = append(h.ordered, alloc)
 	}
-	return part
+	return alloc
 }
 
-// idle reports whether an allocation can be forgotten.
+// idle reports whether an allocation can be removed.
 func (p *allocation) idle() bool {
 	return p.demand == 0 && p.outstanding.isZero() && p.unackedSequence == 0
 }
 
-// setDemand keeps the quota's summed demand up to date.
+// setDemand sets the allocation's demand and updates the quota's summed demand.
 func (p *allocation) setDemand(demand amount) {
 	p.quota.demand += demand - p.demand
 	p.demand = demand
 }
 
-// setOutstanding keeps the quota's sums up to date. The pool must have been refilled up to now before.
+// setOutstanding sets the outstanding lease and updates the quota's sums. The pool must have been refilled up to
+// now before.
 func (p *allocation) setOutstanding(l lease) {
 	q := p.quota
 	q.outstanding = q.outstanding.plus(l).minus(p.outstanding)
--- a/internal/quota/lease_policy.go
+++ b/internal/quota/lease_policy.go
@@ -1,82 +1,83 @@
 package quota
 
-// How leases follow demand. A lease takes inflow and depth from the pool, and what flows into a lease that is
-// full is lost: so a holder with little demand, or with a pool that is nearly empty, gets less than its
-// demand and asks the pool for the rest.
+// Parameters of the sizes of leases. A lease takes inflow and depth from the pool, and the inflow into a full
+// lease is lost. So if its demand is low or the pool is nearly empty, a holder is leased less than its demand and
+// requests the rest as tokens from the pool.
 const (
-	leaseHeadroom       = 1.25        // lease rate over demand, with a well-filled pool
-	emptyPoolHeadroom   = 0.6         // the same with an empty pool; between the two it is interpolated
-	fullHeadroomShare   = 0.6         // of the pool's depth: from this level on the headroom is full
-	lowDemand           = token / 2   // per second; a lease for less demand is mostly idle
-	lowDemandHeadroom   = 0.6         // lease rate over such demand, with a well-filled pool
-	lowDemandDepthShare = 0.6         // of the depth that may be leased: up to it there are leases for such demand
-	maxDepthSeconds     = 2           // the most that a lease holds beside the first token, in seconds of its rate
+	leaseHeadroom       = 1.25        // ratio of lease rate to demand, with a well-filled pool
+	emptyPoolHeadroom   = 0.6         // the same ratio with an empty pool; interpolated for levels in between
+	fullHeadroomShare   = 0.6         // share of the pool's depth from which on the pool counts as well filled
+	lowDemand           = token / 2   // per second; a lease for a lower demand is mostly idle
+	lowDemandHeadroom   = 0.6         // ratio of lease rate to such a low demand, with a well-filled pool
+	lowDemandDepthShare = 0.6         // share of the leasable depth up to which leases for such a low demand are granted
+	maxDepthSeconds     = 2           // largest depth of a lease beyond its first token, in seconds of its rate
 	minLeaseRate        = token / 100 // per second; no smaller lease is granted
-	minLeaseChange      = 0.1         // relative change below which an offer isn't replaced by another
-	roundingTolerance   = token / 100 // by which rounded-up reports of leases may exceed the sum that they are part of
+	minLeaseChange      = 0.1         // relative change up to which an offer isn't replaced by another
+	roundingTolerance   = token / 100 // by which a sum of leases that were rounded up in reports may exceed its bound
 )
 
-// rebalance recomputes all leases of a holder that this reply doesn't contain yet, and forgets idle
+// rebalance recomputes all leases of a holder that the current reply doesn't contain yet, and removes idle
 // allocations.
 func (a *Allocator) rebalance(holder *leaseHolder) {
 	holder.rebalancedAt = a.now
 	kept := holder.ordered[:0]
-	for _, part := range holder.ordered {
-		if part.idle() {
-			delete(holder.allocations, part.quota)
+	for _, alloc := range holder.ordered {
+		if alloc.idle() {
+			delete(holder.allocations, alloc.quota)
 			continue
 		}
-		kept = append(kept, part)
-		if part.sentSequence != holder.lastSequence {
-			a.refill(part.quota)
-			a.offerLease(holder, part)
+		kept = append(kept, alloc)
+		if alloc.sentSequence != holder.lastSequence {
+			a.refill(alloc.quota)
+			a.offerLease(holder, alloc)
 		}
 	}
 	clear(holder.ordered[len(kept):])
 	holder.ordered = kept
 }
 
-// offerLease offers the lease that a holder's demand entitles it to, within what is left of the budget,
-// unless it hardly differs from the last offer.
-func (a *Allocator) offerLease(holder *leaseHolder, part *allocation) {
-	q := part.quota
-	next := q.fairShare(part)
+// offerLease offers the lease that a holder's demand entitles it to, within what is left of the budget. While the
+// tenant isn't overcommitted, it makes no offer that is similar to the last one.
+func (a *Allocator) offerLease(holder *leaseHolder, alloc *allocation) {
+	q := alloc.quota
+	next := q.fairShare(alloc)
 	if !a.grantees.mayLease(holder.node) {
 		next = lease{}
 	}
-	others := q.outstanding.minus(part.outstanding).plus(q.unaccounted)
+	others := q.outstanding.minus(alloc.outstanding).plus(q.unaccounted)
 	next.rate = min(next.rate, q.budget.maxLeasedRate-others.rate)
 	next.depth = min(next.depth,
-		q.maxLeasedDepthFor(part.demand)-others.depth,
+		q.maxLeasedDepthFor(alloc.demand)-others.depth,
 		q.budget.depth-q.floor.bound()-others.depth) // the floor's tokens stay in the pool
 	if next.rate < minLeaseRate || next.depth < tokens(minLeaseDepth) {
 		next = lease{}
 	}
-	if next == part.offered || !q.overcommitted() && next.similar(part.offered) {
+	if next == alloc.offered || !q.overcommitted() && next.similar(alloc.offered) {
 		return
 	}
-	part.setOutstanding(part.outstanding.max(next)) // a decrease counts only once it is acknowledged
-	part.setOffered(holder, next)
-	if part.unackedSequence == 0 { // an increase: it is sent in each reply until it is acknowledged
-		part.unackedSequence = holder.lastSequence
-		holder.unacked = append(holder.unacked, part)
+	alloc.setOutstanding(alloc.outstanding.max(next)) // a decrease counts only once it is acknowledged
+	alloc.setOffered(holder, next)
+	if alloc.unackedSequence == 0 { // an increase: it is sent in each reply until it is acknowledged
+		alloc.unackedSequence = holder.lastSequence
+		holder.unacked = append(holder.unacked, alloc)
 	}
 }
 
-// fairShare is the lease that a holder's share of the tenant's demand entitles it to, whatever others hold.
-func (q *tenantQuota) fairShare(part *allocation) lease {
-	if part.demand <= 0 || !q.limited || q.removed || q.budget.maxLeasedRate <= 0 {
+// fairShare returns the lease that a holder's share of the tenant's demand entitles it to, regardless of the
+// leases of other holders.
+func (q *tenantQuota) fairShare(alloc *allocation) lease {
+	if alloc.demand <= 0 || !q.limited || q.removed || q.budget.maxLeasedRate <= 0 {
 		return lease{}
 	}
-	share := part.demand.float() / max(q.demand, part.demand).float()
+	share := alloc.demand.float() / max(q.demand, alloc.demand).float()
 	fullness := q.poolFullness()
 	headroom := emptyPoolHeadroom + (leaseHeadroom-emptyPoolHeadroom)*fullness
-	if part.demand < lowDemand {
+	if alloc.demand < lowDemand {
 		headroom = lowDemandHeadroom * fullness
 	}
-	rate := min(share*q.budget.maxLeasedRate.float(), headroom*part.demand.float())
+	rate := min(share*q.budget.maxLeasedRate.float(), headroom*alloc.demand.float())
 	holders := q.leaseCount
-	if part.outstanding.isZero() {
+	if alloc.outstanding.isZero() {
 		holders++
 	}
 	spare := max(0, q.budget.maxLeasedDepth.float()-float64(holders)*minLeaseDepth)
@@ -84,13 +85,14 @@
 	return lease{tokens(rate), tokens(depth)}
 }
 
-// poolFullness is 1 for a pool that is filled to fullHeadroomShare or more, and falls to 0 as it empties.
+// poolFullness returns 1 for a pool that is filled to fullHeadroomShare of its depth or more. Below that it falls
+// linearly to 0 for an empty pool.
 func (q *tenantQuota) poolFullness() float64 {
 	return min(1, max(0, q.pool.level.float())/(fullHeadroomShare*max(token, q.poolDepth()).float()))
 }
 
-// maxLeasedDepthFor bounds the summed depth at which a lease for a demand is granted. Leases for low demand
-// are mostly idle, so they leave more to the pool.
+// maxLeasedDepthFor returns the summed depth of leases up to which a lease for a demand is granted. It is lower for
+// a low demand: such leases are mostly idle, so they leave more to the pool.
 func (q *tenantQuota) maxLeasedDepthFor(demand amount) amount {
 	if demand < lowDemand {
 		return amount(lowDemandDepthShare * float64(q.budget.maxLeasedDepth))
@@ -98,7 +100,7 @@
 	return q.budget.maxLeasedDepth
 }
 
-// overcommitted reports whether more is leased than the current limit allows, as after a limit was lowered.
+// overcommitted reports whether more is leased than the current limit allows, as may happen after a limit was lowered.
 func (q *tenantQuota) overcommitted() bool {
 	total := q.outstanding.plus(q.unaccounted)
 	return total.rate > q.budget.maxLeasedRate+roundingTolerance || total.depth > q.budget.maxLeasedDepth+roundingTolerance
--- a/internal/quota/random_simulations_test.go
+++ b/internal/quota/random_simulations_test.go
@@ -14,13 +14,13 @@
 const (
 	defaultSimulations = 12 // run unless SEEDS says otherwise
 	faultsUntil        = 60 * second
-	steadyFrom         = 80 * second // all has healed by then
+	steadyFrom         = 80 * second // the system has recovered from all faults by then
 	simulationLength   = 90 * second
 	faultInterval      = 700 * millisecond
 )
 
-// injectedBug is a deviation of the simulation from what the package requires of its callers or promises. The
-// checks must detect it.
+// injectedBug is a deviation of the simulation from what the package requires of its callers, or from what the
+// package guarantees. The checks must detect it.
 type injectedBug string
 
 // The injected bugs.
@@ -36,8 +36,8 @@
 	bugLateReturn        injectedBug = "tokens are returned however old they are"
 )
 
-// runSimulation runs a simulation with all faults and gives the first violation of an invariant, or "". The
-// seed determines all of it. With windowsOnly, only the rule's windows are checked.
+// runSimulation runs a simulation with all faults and returns the first violation of an invariant, or "". The seed
+// determines the whole run. With windowsOnly, only the windows of the rate-limit rule are checked.
 func runSimulation(seed uint64, bug injectedBug, windowsOnly bool) (sim *simulation, violation string) {
 	sim = newSimulation(seed, 3+int(seed%4)*4, typicalTenants())
 	defer func() {
@@ -61,7 +61,7 @@
 	return sim, ""
 }
 
-// rejectedWithinLimits sums over the tenants that stay within their limits.
+// rejectedWithinLimits returns the sums over the tenants that stay within their limits.
 func (sim *simulation) rejectedWithinLimits() (rejected, expected int) {
 	for name, count := range sim.counts {
 		if sim.overload[name] == 0 && sim.steadyLimits {
@@ -72,14 +72,14 @@
 	return rejected, expected
 }
 
-// totals are the results of several simulations.
-type totals struct {
+// simulationTotals are the combined results of several simulations.
+type simulationTotals struct {
 	mutex                             sync.Mutex
 	worst                             float64
 	rejected, expected, faults, terms int
 }
 
-func (t *totals) add(sim *simulation) {
+func (t *simulationTotals) add(sim *simulation) {
 	rejected, expected := sim.rejectedWithinLimits()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -88,33 +88,33 @@
 	t.faults, t.terms = t.faults+sim.faults, t.terms+len(sim.checker.terms)
 }
 
-// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
-// Under any faults no tenant exceeds its bound, and without further faults nearly all requests within limits
-// are served again.
+// TestRandomSimulations runs simulations with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S. It
+// checks that no tenant exceeds its bound under any faults, and that nearly all requests within limits are served
+// again when no further faults occur.
 func TestRandomSimulations(t *testing.T) {
 	first, count := seeds.Range(1, defaultSimulations)
-	var all totals
+	var combined simulationTotals
 	eachSimulation(count, func(number uint64) {
 		sim, violation := runSimulation(first+number, bugNone, false)
 		if violation != "" {
 			t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, violation)
 			return
 		}
-		all.add(sim)
+		combined.add(sim)
 	})
-	rejected := float64(all.rejected) / float64(max(1, all.expected))
+	rejected := float64(combined.rejected) / float64(max(1, combined.expected))
 	t.Logf("%d simulations, %d faults, %d terms; fullest window %.3f of the bound; "+
 		"without faults, %.5f of %d requests within limits rejected",
-		count, all.faults, all.terms, all.worst, rejected, all.expected)
+		count, combined.faults, combined.terms, combined.worst, rejected, combined.expected)
 	if rejected > 0.005 {
-		t.Errorf("without faults, %.5f of %d requests within limits were rejected", rejected, all.expected)
+		t.Errorf("without faults, %.5f of %d requests within limits were rejected", rejected, combined.expected)
 	}
-	if count >= defaultSimulations && all.worst < 0.6 {
-		t.Errorf("no window came near its bound: %.3f", all.worst)
+	if count >= defaultSimulations && combined.worst < 0.6 {
+		t.Errorf("the fullest window used only %.3f of its bound, want at least 0.6", combined.worst)
 	}
 }
 
-// eachSimulation calls run for the numbers below count, a few at a time.
+// eachSimulation calls run for the numbers below count, up to four at a time.
 func eachSimulation(count uint64, run func(number uint64)) {
 	numbers := make(chan uint64)
 	var wait sync.WaitGroup
@@ -132,7 +132,7 @@
 	wait.Wait()
 }
 
-// detectedBy has for each injected bug a part of the violation that must be reported.
+// detectedBy contains, for each injected bug, a part of the text of the violation that must be reported.
 var detectedBy = map[injectedBug]string{
 	bugUnprovenLeader:    "two allocators act",
 	bugEarlyStart:        "two allocators act",
@@ -144,7 +144,7 @@
 	bugLateReturn:        "without a grant in force",
 }
 
-// TestInjectedBugs shows that the simulations detect each injected bug, by the check that is meant for it.
+// TestInjectedBugs checks that the simulations detect each injected bug by the check that is meant for it.
 func TestInjectedBugs(t *testing.T) {
 	const maxSimulations = 40
 	for bug, reason := range detectedBy {
@@ -157,13 +157,13 @@
 					return
 				}
 			}
-			t.Errorf("not found in %d simulations", maxSimulations)
+			t.Errorf("the bug was not detected by its check in %d simulations", maxSimulations)
 		})
 	}
 }
 
-// TestWindowBreaks shows that the rule's windows alone detect two active allocators, with all other checks
-// off.
+// TestWindowBreaks checks that two active allocators make a tenant exceed a window of the rate-limit rule: the check
+// of the windows detects them alone, with all other checks off.
 func TestWindowBreaks(t *testing.T) {
 	const maxSimulations = 40
 	for seed := uint64(1); seed <= maxSimulations; seed++ {
@@ -176,7 +176,7 @@
 	t.Errorf("no window was exceeded in %d simulations", maxSimulations)
 }
 
-// typicalTenants has a few large tenants and some small ones.
+// typicalTenants returns a few large tenants and some small ones.
 func typicalTenants() []configuration.Tenant {
 	var list []configuration.Tenant
 	for i, rate := range []float64{76, 48, 30, 18, 12, 8, 5, 2} {
--- a/internal/quota/sim_clock_test.go
+++ b/internal/quota/sim_clock_test.go
@@ -9,15 +9,15 @@
 	rate   float64
 }
 
-// maxClockDrift is the most that a clock's rate differs from 1: two clocks differ by up to 30 ms over a
-// lease.
+// maxClockDrift is the largest deviation of a clock's rate from 1: two clocks differ by up to 30 ms over the
+// lifetime of a lease.
 const maxClockDrift = 0.005
 
 // clockRounding is the most by which converting a reading back to simulation time exceeds the time of the
 // reading.
 const clockRounding = 2 * time.Microsecond
 
-// newClock draws a clock's origin and rate.
+// newClock returns a clock with a random origin and rate.
 func (sim *simulation) newClock() driftingClock {
 	return driftingClock{sim, time.Hour + sim.randomDuration(time.Hour), 1 + maxClockDrift*(2*sim.random.Float64()-1)}
 }
--- a/internal/quota/sim_control_test.go
+++ b/internal/quota/sim_control_test.go
@@ -9,12 +9,12 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// simControl is a control process with an allocator.
+// simControl simulates a control process with an allocator.
 type simControl struct {
 	clock       driftingClock
 	allocator   *Allocator
-	configured  uint64        // index of the configuration
-	leadUntil   time.Duration // when its leadership ends; the maximum while nothing ends it
+	configured  uint64        // index of the configuration that it has applied
+	leadUntil   time.Duration // when its leadership ends; math.MaxInt64 while no end is scheduled
 	pausedUntil time.Duration
 	partition   partition
 	dead        bool
@@ -35,7 +35,7 @@
 	}
 }
 
-// leader is the process that the membership names.
+// leader returns the process that the membership names as the leader, or nil.
 func (sim *simulation) leader() *simControl {
 	if sim.leaderIndex < 0 {
 		return nil
@@ -43,8 +43,8 @@
 	return sim.controls[sim.leaderIndex]
 }
 
-// handle is what a control process does with a request: it reads the clock, then checks that it leads, then
-// answers. Now and then it pauses between the last two.
+// handle handles a request as a control process does: it reads the clock, then checks that it is the leader, then
+// answers. With pauseNext it pauses between the check and the answer.
 func (sim *simulation) handle(control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest) {
 	if control.dead {
 		return
@@ -68,8 +68,8 @@
 	sim.answer(control, g, incarnation, request, clock, at)
 }
 
-// answer has the allocator answer a request as of a moment when the process led: clock by its own clock, at
-// by simulation time.
+// answer makes the allocator answer a request as of a time at which the process was the leader: clock is that time
+// by the process's own clock, at is the same time in simulation time.
 func (sim *simulation) answer(
 	control *simControl, g *simGateway, incarnation int, request protocol.QuotaRequest, clock, at time.Duration,
 ) {
@@ -79,7 +79,7 @@
 	began := time.Now()
 	reply := control.allocator.Request(clock, request)
 	sim.allocatorTime += time.Since(began)
-	sim.checker.answered(max(at, control.clock.simTime(control.allocator.now)-clockRounding), reply.Term)
+	sim.checker.recordAnswer(max(at, control.clock.simTime(control.allocator.now)-clockRounding), reply.Term)
 	if !sim.windowsOnly {
 		control.allocator.checkInvariants()
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// elect makes a control process the leader after the previous leader's lease has surely ended: the first from
-// next on that runs.
+// elect makes a control process the leader at decided+wait, when the previous leader's lease has certainly ended. It
+// chooses the first process from index next on that is running and connected.
 func (sim *simulation) elect(next int, decided, wait time.Duration) {
 	sim.schedule(decided+wait, func() {
 		for range sim.controls {
@@ -111,7 +111,7 @@
 	})
 }
 
-// becomeGrantor has a process record itself as the grantor, and then start its allocator.
+// becomeGrantor makes a process record itself as the grantor and then start its allocator.
 func (sim *simulation) becomeGrantor(next int) {
 	control := sim.controls[next]
 	sim.grantor = control
@@ -135,8 +135,8 @@
 	})
 }
 
-// maintainGrantees is the leader's periodic work: it changes the recorded floors and grantees as its
-// allocator asks for. A change by a leader that has a successor has no effect.
+// maintainGrantees does the leader's periodic work: it changes the recorded floors and grantees as its allocator
+// demands. A change by a leader that already has a successor has no effect.
 func (sim *simulation) maintainGrantees() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.now < control.pausedUntil || sim.changePending {
@@ -164,7 +164,8 @@
 	}
 }
 
-// changeGrantees changes the record, unless there is a new grantor by then, and notifies the grantor.
+// changeGrantees changes the record after a delay, unless there is a new grantor by then, and later notifies the
+// grantor.
 func (sim *simulation) changeGrantees(record, notify func()) {
 	sim.changePending = true
 	term := sim.grantorTerm
@@ -182,12 +183,12 @@
 	})
 }
 
-// recordFloors records floors, or loses the change, or loses the notification of the leader.
+// recordFloors records floors after a delay. At random the change is lost, or the notification of the leader.
 func (sim *simulation) recordFloors(control *simControl, floors []Floor) {
 	sim.changePending = true
-	share := min(0.1, 10*sim.lossRate)
+	lossShare := min(0.1, 10*sim.lossRate)
 	term := sim.grantorTerm
-	lost, unnotified := sim.random.Float64() < share, sim.random.Float64() < share
+	lost, unnotified := sim.random.Float64() < lossShare, sim.random.Float64() < lossShare
 	sim.schedule(sim.now+sim.randomDuration(20*millisecond), func() {
 		sim.changePending = false
 		if sim.grantorTerm != term || lost {
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -9,25 +9,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// simGateway is a gateway's process, with what quotaclient does around a Client.
+// simGateway simulates a gateway's process: a Client, and what quotaclient does around it.
 type simGateway struct {
 	sim                *simulation
 	node               string
 	clock              driftingClock
 	client             *Client
-	snapshot           *configuration.Snapshot // nil: none yet
+	snapshot           *configuration.Snapshot // newest configuration applied; nil: none yet
 	incarnation        int
 	alive              bool
 	pausedUntil        time.Duration
-	pausedAt           time.Duration // by its clock
+	pausedAt           time.Duration // by the gateway's clock
 	partition          partition
 	onlyReachable      *simControl // the only control process that it reaches, until onlyReachableUntil
 	onlyReachableUntil time.Duration
-	connectedSince     time.Duration // connected and configured from then on, if nothing else happens
-	allocator          *simControl   // as the membership names it; nil: not known
+	connectedSince     time.Duration // from then on it is connected and configured, unless another fault happens
+	allocator          *simControl   // the process that the membership names; nil: not known
 	waiting            []*waitingRequest
 	wakeAt             time.Duration
-	share              float64 // weight of this gateway in the choice of one for a request
+	share              float64 // weight of this gateway in the random choice of a gateway for a request
 	entitlement        entitlement
 }
 
@@ -46,7 +46,7 @@
 	return g
 }
 
-// start begins an incarnation.
+// start starts the next incarnation.
 func (g *simGateway) start() {
 	sim := g.sim
 	g.incarnation++
@@ -58,19 +58,19 @@
 		Random:  rand.New(rand.NewPCG(sim.random.Uint64(), 1)),
 	})
 	g.entitlement = newEntitlement()
-	g.takeSnapshot(g.incarnation, sim.snapshot)
+	g.applySnapshot(g.incarnation, sim.snapshot)
 	incarnation := g.incarnation
-	sim.schedule(sim.now+100*millisecond+sim.randomDuration(300*millisecond), func() { g.learnAddress(incarnation) })
+	sim.schedule(sim.now+100*millisecond+sim.randomDuration(300*millisecond), func() { g.updateAllocatorAddress(incarnation) })
 }
 
-// takeSnapshot applies a configuration, once the gateway is reachable.
-func (g *simGateway) takeSnapshot(incarnation int, snapshot *configuration.Snapshot) {
+// applySnapshot applies a configuration as soon as the gateway is reachable.
+func (g *simGateway) applySnapshot(incarnation int, snapshot *configuration.Snapshot) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
 		return
 	}
 	if until := max(g.partition.until, g.pausedUntil, g.onlyReachableUntil); sim.now < until {
-		sim.schedule(until+millisecond, func() { g.takeSnapshot(incarnation, snapshot) })
+		sim.schedule(until+millisecond, func() { g.applySnapshot(incarnation, snapshot) })
 		return
 	}
 	if g.snapshot != nil && g.snapshot.Index > snapshot.Index {
@@ -96,13 +96,14 @@
 	g.connectedSince = max(g.connectedSince, g.pausedUntil+3*second)
 }
 
-// partitionBy puts the gateway behind a partition.
+// partitionBy separates the gateway by a partition.
 func (g *simGateway) partitionBy(p partition) {
 	g.partition = p
 	g.connectedSince = max(g.connectedSince, p.until+3*second)
 }
 
-// reachOnly leaves a gateway only one control process that it reaches, and restarts it in half of the cases.
+// reachOnly makes one control process the only one that a gateway reaches, and restarts the gateway in half of the
+// cases.
 func (g *simGateway) reachOnly(only *simControl, length time.Duration) {
 	sim := g.sim
 	g.onlyReachable, g.onlyReachableUntil = only, sim.now+length
@@ -112,9 +113,9 @@
 	}
 }
 
-// learnAddress follows the membership: it names the leader, or the only reachable process, which names
-// itself.
-func (g *simGateway) learnAddress(incarnation int) {
+// updateAllocatorAddress updates the allocator's address from the membership: it is the leader, or the only process that the
+// gateway reaches, which names itself.
+func (g *simGateway) updateAllocatorAddress(incarnation int) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
 		return
@@ -128,19 +129,19 @@
 		g.client.AllocatorMoved(g.clock.read())
 		g.pump()
 	}
-	sim.schedule(sim.now+200*millisecond+sim.randomDuration(200*millisecond), func() { g.learnAddress(incarnation) })
+	sim.schedule(sim.now+200*millisecond+sim.randomDuration(200*millisecond), func() { g.updateAllocatorAddress(incarnation) })
 }
 
 func (g *simGateway) paused() bool { return g.sim.now < g.pausedUntil }
 
-// afterResume runs what happens during a process pause when the process resumes, in random order.
+// afterResume schedules an event of a process pause for when the process resumes. Such events run in random order.
 func (g *simGateway) afterResume(run func()) {
 	g.sim.schedule(g.pausedUntil+g.sim.randomDuration(millisecond), run)
 }
 
-// clientRequest is a request of a client at this gateway. One that arrives during a process pause is read
-// when the process resumes.
-func (g *simGateway) clientRequest(name string) {
+// receiveRequest receives a request of a client. A request that arrives during a process pause is read when the
+// process resumes.
+func (g *simGateway) receiveRequest(name string) {
 	if !g.alive || g.snapshot == nil {
 		return
 	}
@@ -148,17 +149,17 @@
 		incarnation, pausedAt := g.incarnation, g.pausedAt
 		g.afterResume(func() {
 			if g.incarnation == incarnation {
-				g.arrive(name, pausedAt)
+				g.decide(name, pausedAt)
 			}
 		})
 		return
 	}
-	g.arrive(name, 0)
+	g.decide(name, 0)
 }
 
-// arrive decides on a request. A pausedAt other than 0 is the clock's time when the process paused, before it
-// read this request.
-func (g *simGateway) arrive(name string, pausedAt time.Duration) {
+// decide decides on a request. If the request arrived during a process pause, pausedAt is the clock's time at the
+// beginning of the pause, else 0.
+func (g *simGateway) decide(name string, pausedAt time.Duration) {
 	sim := g.sim
 	if !g.alive || g.paused() {
 		return
@@ -176,12 +177,12 @@
 	g.pump()
 }
 
-// applyVerdict does what a verdict on an arriving request says.
+// applyVerdict runs, queues or rejects an arriving request according to its verdict.
 func (g *simGateway) applyVerdict(tenant *configuration.Tenant, verdict Verdict) {
 	sim := g.sim
 	switch {
 	case verdict.Admit:
-		g.admitted(tenant)
+		g.runAdmitted(tenant)
 	case verdict.Wait:
 		now := g.clock.read()
 		if g.client.AllocatorTimedOut(now) && g.client.TimeToToken(now, tenant) > sim.maxWait {
@@ -196,8 +197,8 @@
 	}
 }
 
-// admitted has a server run a request, or returns its token.
-func (g *simGateway) admitted(tenant *configuration.Tenant) {
+// runAdmitted runs an admitted request on a server, or returns its token.
+func (g *simGateway) runAdmitted(tenant *configuration.Tenant) {
 	sim := g.sim
 	taken, incarnation := g.clock.read(), g.incarnation
 	g.entitlement.spend(g, tenant.Name)
@@ -208,14 +209,14 @@
 		}
 		return
 	}
-	soon := 2 * millisecond
+	maxDelay := 2 * millisecond
 	if sim.random.IntN(20) == 0 {
-		soon = 600 * millisecond // as on a busy machine; tokens have expired by then
+		maxDelay = 600 * millisecond // as on a busy machine; a token may have expired by then
 	}
-	sim.schedule(sim.now+sim.randomDuration(soon), func() { g.returnToken(incarnation, tenant, taken) })
+	sim.schedule(sim.now+sim.randomDuration(maxDelay), func() { g.returnToken(incarnation, tenant, taken) })
 }
 
-// returnToken returns a token back that was taken at a time by the gateway's clock.
+// returnToken returns a token; taken is when it was taken, by the gateway's clock.
 func (g *simGateway) returnToken(incarnation int, tenant *configuration.Tenant, taken time.Duration) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
@@ -226,14 +227,14 @@
 		return
 	}
 	now := g.clock.read()
-	g.entitlement.returned(now, taken, tenant.Name)
+	g.entitlement.recordReturn(now, taken, tenant.Name)
 	if sim.bug == bugLateReturn {
 		taken = now
 	}
 	g.client.Return(now, taken, tenant)
 }
 
-// retry has a server run a request once more.
+// retry runs an admitted request on a server once more.
 func (g *simGateway) retry(incarnation int, tenant *configuration.Tenant) {
 	if g.incarnation != incarnation || !g.alive || g.paused() {
 		return
@@ -255,7 +256,7 @@
 	g.resolve()
 	now := g.clock.read()
 	if request, due := g.client.NextRequest(now); due {
-		g.entitlement.sent(now, request.Sequence)
+		g.entitlement.recordRequest(now, request.Sequence)
 		g.send(request)
 	}
 	if wake := g.clock.simTime(g.client.WakeAt(now)); g.wakeAt != wake {
@@ -270,7 +271,7 @@
 	}
 }
 
-// resolve asks again for all requests that wait.
+// resolve asks the client for new verdicts on all requests that wait.
 func (g *simGateway) resolve() {
 	sim := g.sim
 	waits := g.waiting
@@ -280,7 +281,7 @@
 		verdict := g.client.Resolve(now, request.tenant)
 		switch {
 		case verdict.Admit:
-			g.admitted(request.tenant)
+			g.runAdmitted(request.tenant)
 		case !verdict.Wait:
 			sim.recordRejected(request.tenant.Name, g)
 		case sim.now >= request.deadline:
@@ -292,11 +293,11 @@
 	}
 }
 
-// delay gives how long a message takes between a gateway and a control process; below 0 it is lost. Under a
-// partition it is lost or arrives when the partition ends.
-func (g *simGateway) delay(control *simControl, to direction) time.Duration {
+// delay returns the time that a message takes between a gateway and a control process, or a negative duration if the
+// message is lost. Under a partition a message is lost or arrives when the partition ends.
+func (g *simGateway) delay(control *simControl, dir direction) time.Duration {
 	sim := g.sim
-	if until := g.partitionedUntil(control, to); sim.now < until {
+	if until := g.partitionedUntil(control, dir); sim.now < until {
 		if sim.random.IntN(2) == 0 {
 			return -1
 		}
@@ -311,20 +312,20 @@
 	return 300*time.Microsecond + sim.randomDuration(2*millisecond)
 }
 
-// partitionedUntil returns the time until which messages don't pass, outbound from the gateway or inbound to
-// it.
-func (g *simGateway) partitionedUntil(control *simControl, to direction) time.Duration {
+// partitionedUntil returns the time until which a partition stops messages between the gateway and a control process,
+// outbound from the gateway or inbound to it.
+func (g *simGateway) partitionedUntil(control *simControl, dir direction) time.Duration {
 	if g.sim.now < g.onlyReachableUntil {
 		if g.onlyReachable == control {
 			return 0
 		}
 		return g.onlyReachableUntil
 	}
-	other := inbound
-	if to == inbound {
-		other = outbound
+	opposite := inbound
+	if dir == inbound {
+		opposite = outbound
 	}
-	return max(g.partition.endFor(to), control.partition.endFor(other))
+	return max(g.partition.endFor(dir), control.partition.endFor(opposite))
 }
 
 // send sends a request to the allocator, if its address is known.
@@ -353,7 +354,7 @@
 		return
 	}
 	now := g.clock.read()
-	g.entitlement.replied(now, &reply)
+	g.entitlement.applyReply(now, &reply)
 	if sim.bug == bugLeaseFromReceipt && g.client.inFlight && reply.Sequence == g.client.sequence {
 		g.client.sentAt = now
 	}
--- a/internal/quota/sim_partition_test.go
+++ b/internal/quota/sim_partition_test.go
@@ -13,18 +13,18 @@
 
 const (
 	bothDirections direction = iota
-	outbound                 // what it sends is lost
-	inbound                  // what it is sent is lost
+	outbound                 // messages that the machine sends are lost
+	inbound                  // messages to the machine are lost
 )
 
-// newPartition draws the length and direction of a partition that starts now.
+// newPartition returns a partition that starts now, with random length and direction.
 func (sim *simulation) newPartition(longest time.Duration) partition {
 	return partition{sim.now + sim.randomDuration(longest), direction(sim.random.IntN(3))}
 }
 
 // endFor returns the time until which messages in a direction are lost.
-func (p *partition) endFor(way direction) time.Duration {
-	if p.direction == bothDirections || p.direction == way {
+func (p *partition) endFor(dir direction) time.Duration {
+	if p.direction == bothDirections || p.direction == dir {
 		return p.until
 	}
 	return 0
--- a/internal/quota/single_faults_test.go
+++ b/internal/quota/single_faults_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestSingleFaults measures what one fault costs tenants within their limits, over the twelve seconds from
-// its beginning.
+// TestSingleFaults measures, for single faults, the share of requests within limits that are rejected over the twelve
+// seconds from the beginning of the fault.
 func TestSingleFaults(t *testing.T) {
 	faults := []struct {
 		name  string
@@ -19,20 +19,20 @@
 		{"the allocator's machine pauses and resumes", func(sim *simulation) { sim.failOver(3 * second) }, 0.08},
 		{"a gateway restarts", func(sim *simulation) { sim.gateways[0].crash(second) }, 0.005},
 		{"a gateway pauses for 3 s", func(sim *simulation) { sim.gateways[1].pause(3 * second) }, 0.01},
-		{"a gateway comes", func(sim *simulation) { sim.addGateway() }, 0.005},
+		{"a gateway is added", func(sim *simulation) { sim.addGateway() }, 0.005},
 		{"six of eleven gateways restart", func(sim *simulation) {
 			for _, g := range sim.gateways[:6] {
 				g.crash(second)
 			}
 		}, 0.01},
-		{"all restart", func(sim *simulation) {
+		{"the allocator's machine dies and all gateways restart", func(sim *simulation) {
 			sim.failOver(0)
 			for _, g := range sim.gateways {
 				g.crash(1500 * millisecond)
 			}
 		}, 0.04},
 	}
-	Convey("One fault costs tenants within their limits little", t, func() {
+	Convey("A single fault causes few rejections of requests within limits", t, func() {
 		for _, fault := range faults {
 			rejected, expected := 0, 0
 			for seed := range uint64(6) {
--- a/internal/quota/size_test.go
+++ b/internal/quota/size_test.go
@@ -12,21 +12,21 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-var size = flag.Bool("size", false, "measure the allocator at several sizes")
+var measureSizes = flag.Bool("size", false, "measure the allocator at several sizes")
 
-// TestAtSize measures the cost of quotas at sizes up to the operators' largest.
+// TestAtSize measures the cost of quotas for systems up to the operators' largest size.
 func TestAtSize(t *testing.T) {
-	if !*size {
+	if !*measureSizes {
 		t.Skip("a measurement: run with -args -size")
 	}
-	Convey("What the allocator and a gateway spend", t, func() {
-		for _, one := range []struct {
+	Convey("Cost of the allocator and of a gateway at several sizes", t, func() {
+		for _, system := range []struct {
 			gateways, tenants int
 			perSecond         float64
 		}{{14, 8, 190}, {62, 76, 520}, {130, 1000, 5000}, {400, 10000, 33000}} {
 			const seconds = 12
-			sim := newSimulation(1, one.gateways, spreadTenants(one.tenants, one.perSecond))
-			sim.windowsOnly, sim.maxWait = true, 100*millisecond // a fifth of the latency targets at size, at most
+			sim := newSimulation(1, system.gateways, spreadTenants(system.tenants, system.perSecond))
+			sim.windowsOnly, sim.maxWait = true, 100*millisecond // at most a fifth of the latency targets at these sizes
 			sim.elect(0, 0, takeOverDelay)
 			for name := range sortedNames(sim.usualRate) {
 				sim.schedule(5*second, func() { sim.generateTraffic(name) })
@@ -42,7 +42,7 @@
 			n := float64(sim.messages - messages)
 			t.Logf("%d gateways, %d tenants, %.0f requests/s: %.1f messages a second a gateway, %.1f demands each; "+
 				"allocator %.0f messages/s, %.4f of a core, %d allocations, %.1f MB; %.5f of %d rejected",
-				one.gateways, one.tenants, one.perSecond, n/seconds/float64(one.gateways), float64(sim.demands-demands)/n,
+				system.gateways, system.tenants, system.perSecond, n/seconds/float64(system.gateways), float64(sim.demands-demands)/n,
 				n/seconds, (sim.allocatorTime-spent).Seconds()/seconds, allocations, memory, share, expected)
 		}
 		So(true, ShouldBeTrue)
@@ -56,7 +56,7 @@
 	return list
 }
 
-// spreadTenants gives tenants whose rates are proportional to 1/(n+3), about as in production.
+// spreadTenants returns n tenants; the rate of tenant i is proportional to 1/(i+3), about as in production.
 func spreadTenants(n int, perSecond float64) []configuration.Tenant {
 	sum := 0.0
 	for i := range n {
@@ -70,7 +70,7 @@
 	return list
 }
 
-// footprint counts the allocations and gives the heap of the whole test, in MB: an upper bound.
+// footprint returns the number of allocations, and the heap of the whole test in MB as an upper bound of their size.
 func (a *Allocator) footprint() (allocations int, megabytes float64) {
 	for _, holder := range a.holders {
 		allocations += len(holder.ordered)
--- a/internal/quota/steady_state_test.go
+++ b/internal/quota/steady_state_test.go
@@ -17,7 +17,8 @@
 	sim.every(100*millisecond, sim.updateEffectiveLimits)
 }
 
-// rejectedShare returns the share of the tenants' expected requests that were rejected.
+// rejectedShare returns the share of the tenants' expected requests that were rejected, and the number of expected
+// requests.
 func (sim *simulation) rejectedShare(names ...string) (share float64, expected int) {
 	rejected := 0
 	for _, name := range names {
@@ -27,9 +28,10 @@
 	return float64(rejected) / float64(max(1, expected)), expected
 }
 
-// TestSteadyState measures rejections without faults, beside one overloading tenant.
+// TestSteadyState measures, without faults, the rejections of tenants within their limits while one tenant sends
+// several times its limit.
 func TestSteadyState(t *testing.T) {
-	Convey("Without faults hardly any request within a limit is rejected, beside one overloading tenant", t, func() {
+	Convey("Without faults hardly any request within a limit is rejected while another tenant overloads", t, func() {
 		for _, gateways := range []int{3, 11, 40} {
 			sim := newSimulation(uint64(gateways), gateways, typicalTenants())
 			sim.overload["tenant-1"] = 8
