--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -11,7 +11,7 @@
 // manyTenants is the number of tenants in docs/CAPACITY.md.
 const manyTenants = 10_000
 
-// BenchmarkStep measures what a gateway takes to apply one PATCH to a configuration with many tenants.
+// BenchmarkStep measures the cost of applying one PATCH to a configuration with many tenants in a gateway.
 func BenchmarkStep(b *testing.B) {
 	document := Document{
 		Generation: 1,
--- a/internal/configuration/change_request.go
+++ b/internal/configuration/change_request.go
@@ -8,16 +8,16 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// ChangeRequest is a change of the configuration that the operator asks for. It is part of the replicated log
-// (gob): the names of the fields are fixed.
+// ChangeRequest is a change of the configuration requested by the operator. It is part of the replicated log, encoded
+// with gob: the names of the fields are fixed.
 type ChangeRequest struct {
-	IfMatch uint64 // generation that it builds on; 0: there is none yet
-	Patch   bool   // Body is a PATCH, else a whole document
+	IfMatch uint64 // generation that it builds on; 0: there is no configuration yet
+	Patch   bool   // Body is a patch, otherwise a whole document
 	Body    []byte // JSON as received; it isn't modified
 }
 
-// Digest identifies a change request: two have the same digest if and only if their base generation, method
-// and bytes are the same (up to collisions of SHA-256 cut to 128 bits).
+// Digest identifies a change request: two requests have the same digest if and only if their base generations,
+// methods and bodies are the same (up to collisions of SHA-256 truncated to 128 bits).
 type Digest [16]byte
 
 // Digest returns the digest of the request.
@@ -34,7 +34,7 @@
 	sum func() []byte
 }
 
-// NewDigester starts the digest of a request.
+// NewDigester returns a Digester for a request with a base generation, which is a PATCH or a PUT.
 func NewDigester(ifMatch uint64, patch bool) Digester {
 	var head [9]byte
 	binary.BigEndian.PutUint64(head[:], ifMatch)
@@ -46,7 +46,7 @@
 	return Digester{Writer: hash, sum: func() []byte { return hash.Sum(nil) }}
 }
 
-// Digest returns the digest of the request with the body that was written.
+// Digest returns the digest of the request with the body written so far.
 func (d Digester) Digest() Digest { return Digest(d.sum()[:len(Digest{})]) }
 
 // Status is the outcome of a change request. The values are the HTTP statuses that the operator gets.
@@ -54,22 +54,23 @@
 
 // The outcomes of change requests.
 const (
-	StatusAccepted Status = 200 // in force, since now or since it was first received
-	StatusInvalid  Status = 400 // Result.Findings says why
+	StatusAccepted Status = 200 // in force: just applied, or applied when it was first received
+	StatusInvalid  Status = 400 // Result.Findings has the reasons
 	StatusStale    Status = 412 // it builds on another generation than the current one
-	StatusUnknown  Status = 503 // it builds on a generation so old that whether it was accepted is no longer remembered
+	StatusUnknown  Status = 503 // it builds on a generation so old that it is no longer known whether it was accepted
 )
 
-// Result is the outcome of a change request. It is part of the replicated log's outcomes (gob): the names of
-// the fields are fixed.
+// Result is the outcome of a change request. It is part of the outcomes in the replicated log, encoded with gob: the
+// names of the fields are fixed.
 type Result struct {
 	Status     Status
-	Generation uint64        // the current one after the request
-	Findings   node.Findings // of StatusInvalid
-	Repeated   bool          // of StatusAccepted: it had been accepted before, and nothing changed
+	Generation uint64        // the current generation after the request
+	Findings   node.Findings // with StatusInvalid: the reasons
+	Repeated   bool          // with StatusAccepted: the request was accepted before and changed nothing now
 }
 
-// ValidateStandalone checks what can be checked of a request without the version that it builds on.
+// ValidateStandalone checks a request as far as that is possible without the version that it builds on. It returns
+// nil if it finds nothing wrong.
 func ValidateStandalone(request ChangeRequest) node.Findings {
 	var err error
 	if request.Patch {
--- a/internal/configuration/decode.go
+++ b/internal/configuration/decode.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// decodeItem decodes an item of a typed list.
+// decodeItem decodes an item of a typed list to a Route, Backend or Tenant.
 func decodeItem(list string, raw []byte) (any, error) {
 	switch list {
 	case memberRoutes:
@@ -26,9 +26,9 @@
 	}
 }
 
-// decode decodes a value. An integer may be written with a fraction of zero or an exponent (190.0, 3.2e6),
-// which encoding/json rejects for integer fields: JSON has only one kind of number. Marshaling a float64
-// writes such numbers as integers.
+// decode decodes a value. Integers with a zero fraction or an exponent (190.0, 3.2e6) are accepted, because JSON has
+// only one kind of number, although encoding/json rejects them for integer fields: such a value is decoded without
+// types and marshaled again first, which writes these numbers as integers.
 func decode(raw []byte, into any) error {
 	err := json.Unmarshal(raw, into)
 	if err == nil {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// parseWholeNumber parses an integer of 1 or more, in any of JSON's notations. Other notations than plain
-// digits are exact up to 2^53.
+// parseWholeNumber parses an integer of 1 or more, in any of JSON's notations. Notations other than plain digits are
+// accepted below 2^53, where a float64 is exact.
 func parseWholeNumber(raw []byte) (uint64, bool) {
 	if number, err := strconv.ParseUint(string(raw), 10, 64); err == nil {
 		return number, number > 0
@@ -58,7 +58,7 @@
 	return uint64(number), true
 }
 
-// describeDecodeError says what is wrong in the operator's terms rather than in Go's.
+// describeDecodeError returns the text of a decoding error in the operator's terms rather than in Go's.
 func describeDecodeError(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) && wrongType.Field != "" {
@@ -68,7 +68,7 @@
 	return err.Error()
 }
 
-// typeDescription returns the operator's word for a kind of Go type.
+// typeDescription returns the operator's term for a kind of Go type.
 func typeDescription(kind string) string {
 	switch kind {
 	case "int", "int64", "uint64":
--- a/internal/configuration/golden_test.go
+++ b/internal/configuration/golden_test.go
@@ -6,8 +6,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden checks that the state in replicated snapshots, and the digests of change requests in it, have
-// the format that earlier versions wrote.
+// TestGolden checks that the state in replicated snapshots, and the digests of change requests in it, still have the
+// format that earlier versions wrote.
 func TestGolden(t *testing.T) {
 	golden.Gob[encodedState](t, "state")
 
--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceModel is what the operator expects, without any of the code under test: a list of tenants by name.
+// referenceModel is the configuration that the operator expects, computed without the code under test: a list of
+// tenants by name.
 type referenceModel struct {
 	generation uint64
 	tenants    []map[string]any
@@ -34,7 +35,8 @@
 	}
 }
 
-// drawTenants draws some of six tenants, with random rates and a member that the program doesn't know.
+// drawTenants returns a random selection of six tenants, with random rates and a member that the program doesn't
+// know.
 func drawTenants(t *rapid.T) []map[string]any {
 	names := rapid.SliceOfNDistinct(rapid.IntRange(0, 5), 0, 4, rapid.ID[int]).Draw(t, "names")
 	tenants := make([]map[string]any, 0, len(names))
@@ -64,20 +66,20 @@
 		for index := uint64(1); index < 40; index++ {
 			request := drawRequest(t, model, sent)
 			sent = append(sent, request)
-			expected := model.verdict(request)
+			expected := model.applyRequest(request)
 			if evaluated := state.Evaluate(request); evaluated.Status != expected {
-				t.Fatalf("evaluated as %d, the model says %d", evaluated.Status, expected)
+				t.Fatalf("Evaluate returned status %d, want %d", evaluated.Status, expected)
 			}
 			result := state.Apply(index, request)
 			if result.Status != expected {
-				t.Fatalf("request %d: %d, the model says %d: %v", index, result.Status, expected, result.Findings)
+				t.Fatalf("request %d: status %d, want %d; findings: %v", index, result.Status, expected, result.Findings)
 			}
 			if other := replica.Apply(index, request); !reflect.DeepEqual(other, result) {
-				t.Fatalf("a replica says %v, not %v", other, result)
+				t.Fatalf("the replica returned %v, want %v", other, result)
 			}
 			model.compare(t, state)
 			if rapid.IntRange(0, 5).Draw(t, "restore") == 0 {
-				replica = restored(t, replica)
+				replica = encodeAndDecode(t, replica)
 			}
 			if rapid.Bool().Draw(t, "follow") {
 				follow(t, state, follower)
@@ -86,8 +88,8 @@
 	})
 }
 
-// restored returns a copy by way of the encoded form.
-func restored(t *rapid.T, s *State) *State {
+// encodeAndDecode returns a copy of a state, made by encoding and decoding it.
+func encodeAndDecode(t *rapid.T, s *State) *State {
 	raw, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +101,7 @@
 	return other
 }
 
-// follow brings a follower up to date and compares it.
+// follow updates a follower to the current version and compares their documents.
 func follow(t *rapid.T, state, follower *State) {
 	update := state.UpdateSince(follower.Current().Index)
 	if update == nil {
@@ -107,13 +109,13 @@
 	}
 	version, err := follower.ApplyUpdate(update)
 	if errors.Is(err, ErrGap) {
-		t.Fatal("an update made for this follower has a gap")
+		t.Fatal("an update since the follower's version was rejected with ErrGap")
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	if version.Index != state.Current().Index || !reflect.DeepEqual(version.Document(), state.Current().Document()) {
-		t.Fatalf("the follower has %s, not %s", version.JSON(), state.Current().JSON())
+		t.Fatalf("the follower has document %s, want %s", version.JSON(), state.Current().JSON())
 	}
 }
 
@@ -127,7 +129,7 @@
 	Delete     map[string][]string         `json:"delete,omitempty"`
 }
 
-// drawRequest draws a request: valid, stale, invalid, or an earlier one again.
+// drawRequest returns a random request: valid, stale, invalid, or a repeated earlier one.
 func drawRequest(t *rapid.T, model *referenceModel, sent []ChangeRequest) ChangeRequest {
 	if len(sent) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 		return rapid.SampledFrom(sent).Draw(t, "earlier")
@@ -159,8 +161,8 @@
 	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
 
-// verdict returns the status that a request must get, and applies it to the model if it is accepted.
-func (m *referenceModel) verdict(request ChangeRequest) Status {
+// applyRequest returns the expected status of a request, and applies the request to the model if it is accepted.
+func (m *referenceModel) applyRequest(request ChangeRequest) Status {
 	if m.accepted[m.key(request)] {
 		return StatusAccepted
 	}
@@ -180,10 +182,10 @@
 	return StatusAccepted
 }
 
-// compare checks a state's document against the model.
+// compare checks that a state's document equals the model's.
 func (m *referenceModel) compare(t *rapid.T, s *State) {
 	if s.Current().Generation != m.generation {
-		t.Fatalf("generation %d, not %d", s.Current().Generation, m.generation)
+		t.Fatalf("generation %d, want %d", s.Current().Generation, m.generation)
 	}
 	if m.generation == 0 {
 		return
@@ -194,11 +196,11 @@
 	}
 	if got.Generation != m.generation || len(got.Tenants) != len(m.tenants) ||
 		len(m.tenants) > 0 && !reflect.DeepEqual(got.Tenants, m.tenants) {
-		t.Fatalf("the document is %s, the model has %v", s.Current().JSON(), m.tenants)
+		t.Fatalf("the document is %s, want tenants %v", s.Current().JSON(), m.tenants)
 	}
 }
 
-// FuzzChangeRequests checks that what is accepted can be parsed again, with the same content.
+// FuzzChangeRequests checks that an accepted configuration can be parsed again from its JSON, with the same content.
 func FuzzChangeRequests(f *testing.F) {
 	f.Add([]byte(firstDocument), false)
 	f.Add([]byte(`{"generation":9,"upsert":{"routes":[{"name":"r1"}],"limits":{}},"delete":{"tenants":["t1"]}}`), true)
@@ -215,10 +217,10 @@
 		}
 		again, err := ParseDocument(state.Current().JSON(), 2)
 		if err != nil {
-			t.Fatalf("what was accepted can't be parsed again: %v", err)
+			t.Fatalf("the accepted document can't be parsed again: %v", err)
 		}
 		if !reflect.DeepEqual(again.Document(), state.Current().Document()) {
-			t.Fatalf("read again it is another: %s", state.Current().JSON())
+			t.Fatalf("the accepted document has other content when parsed again: %s", state.Current().JSON())
 		}
 	})
 }
--- a/internal/configuration/jsonscan.go
+++ b/internal/configuration/jsonscan.go
@@ -9,24 +9,24 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// This file splits JSON texts into their parts without decoding them, so that a document can keep its items'
-// bytes and findings can name lines and columns. The split functions need well-formed input; checkSyntax
-// establishes that.
+// This file splits JSON texts into their parts without decoding them, so that a document can keep the bytes of its
+// items and findings can contain lines and columns. The split functions require well-formed input, which checkSyntax
+// ensures.
 
 // span is one value in a well-formed JSON text.
 type span struct {
-	key    string // of a member of an object
+	key    string // key of a member of an object
 	raw    json.RawMessage
-	offset int // of raw in the whole text, in bytes
+	offset int // offset of raw in the whole text, in bytes
 }
 
-// syntaxCheck lets encoding/json check the syntax of a whole text without building values.
+// syntaxCheck makes encoding/json check the syntax of a whole text without building values.
 type syntaxCheck struct{}
 
-// UnmarshalJSON is called with a value that encoding/json has checked already.
+// UnmarshalJSON ignores the value: encoding/json has checked its syntax before the call.
 func (*syntaxCheck) UnmarshalJSON([]byte) error { return nil }
 
-// checkSyntax checks that a text is exactly one JSON value.
+// checkSyntax reports whether a text is exactly one JSON value, and adds a finding if it isn't.
 func checkSyntax(text []byte, findings *node.Findings) bool {
 	err := json.Unmarshal(text, &syntaxCheck{})
 	if err == nil {
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// splitObject returns the members of an object in order; false if the value isn't one.
+// splitObject returns the members of an object in order, or false if the value isn't an object.
 func splitObject(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '{' {
@@ -70,7 +70,7 @@
 	return members, true
 }
 
-// splitArray returns the elements of an array; false if the value isn't one.
+// splitArray returns the elements of an array, or false if the value isn't an array.
 func splitArray(raw []byte, offset int) ([]span, bool) {
 	at := skipSpace(raw, 0)
 	if at == len(raw) || raw[at] != '[' {
@@ -85,7 +85,7 @@
 	return elements, true
 }
 
-// skipSpace returns the offset of the first character from an offset on that is no space.
+// skipSpace returns the offset of the first non-space character at or after an offset.
 func skipSpace(raw []byte, at int) int {
 	for at < len(raw) && (raw[at] == ' ' || raw[at] == '\t' || raw[at] == '\n' || raw[at] == '\r') {
 		at++
@@ -93,7 +93,7 @@
 	return at
 }
 
-// skipSeparator skips the comma between elements, if there is one, and the space around it.
+// skipSeparator returns the offset after the comma between elements, if there is one, and the space around it.
 func skipSeparator(raw []byte, at int) int {
 	at = skipSpace(raw, at)
 	if raw[at] == ',' {
@@ -102,7 +102,7 @@
 	return at
 }
 
-// valueEnd returns the offset after the value that begins at an offset.
+// valueEnd returns the offset just after the value that begins at an offset.
 func valueEnd(raw []byte, at int) int {
 	switch raw[at] {
 	case '"':
@@ -116,7 +116,7 @@
 	return at
 }
 
-// stringEnd returns the offset after the string that begins at an offset.
+// stringEnd returns the offset just after the string that begins at an offset.
 func stringEnd(raw []byte, at int) int {
 	for at++; raw[at] != '"'; at++ {
 		if raw[at] == '\\' {
@@ -126,7 +126,7 @@
 	return at + 1
 }
 
-// nestedEnd returns the offset after the object or array that begins at an offset.
+// nestedEnd returns the offset just after the object or array that begins at an offset.
 func nestedEnd(raw []byte, at int) int {
 	depth := 0
 	for {
--- a/internal/configuration/member.go
+++ b/internal/configuration/member.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// The members of a document and of a patch that this package interprets. All others are kept as received.
+// Keys of the members of a document and of a patch that this package interprets. All other members are kept as
+// received.
 const (
 	memberGeneration = "generation"
 	memberRoutes     = "routes"
@@ -32,12 +33,12 @@
 	value any // Route, Backend or Tenant; nil in lists that this package doesn't interpret
 }
 
-// typedList reports whether a member is a list whose items are decoded.
-func typedList(key string) bool {
+// isTypedList reports whether a member with a key is a list whose items are decoded.
+func isTypedList(key string) bool {
 	return key == memberRoutes || key == memberBackends || key == memberTenants
 }
 
-// put sets a member, or merges a list into the one that is there.
+// put sets a member. A list of items is merged into the existing list with the same key.
 func (v *Version) put(m member) {
 	at := slices.IndexFunc(v.members, func(other member) bool { return other.key == m.key })
 	switch {
@@ -50,7 +51,8 @@
 	}
 }
 
-// mergeItems replaces items of the same name in place and appends new ones. Neither list is modified.
+// mergeItems returns the old items with items of the same name replaced in place and new ones appended. Neither list
+// is modified.
 func mergeItems(old, changed []item) []item {
 	positions := make(map[string]int, len(old))
 	for i := range old {
@@ -87,7 +89,7 @@
 	v.members[at] = member{key: key, list: true, items: kept}
 }
 
-// renderMembers writes a document: items have exactly the bytes that were received.
+// renderMembers returns a document as JSON. Items have exactly the bytes that were received.
 func renderMembers(members []member) []byte {
 	var out bytes.Buffer
 	out.WriteByte('{')
@@ -108,7 +110,7 @@
 	return out.Bytes()
 }
 
-// renderItems writes a list of items.
+// renderItems writes a list of items as a JSON array.
 func renderItems(out *bytes.Buffer, items []item) {
 	out.WriteByte('[')
 	for i, one := range items {
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// parser parses one text, a document or a patch, and collects all that is wrong with it.
+// parser parses one text, a document or a patch, and collects all errors in it as findings.
 type parser struct {
 	text     []byte
 	findings node.Findings
@@ -19,7 +19,7 @@
 	p.findings.Addf(path+" ("+position(p.text, offset)+")", format, values...)
 }
 
-// object splits the text's outermost object into its members. It returns false if the text isn't one.
+// object splits the text's outermost object into its members. It returns false if the text isn't a JSON object.
 func (p *parser) object() ([]span, bool) {
 	if !checkSyntax(p.text, &p.findings) {
 		return nil, false
@@ -33,7 +33,8 @@
 	return members, true
 }
 
-// checkDuplicates reports members with the same key, of which JSON implementations take different ones.
+// checkDuplicates adds a finding for each repeated key, because JSON implementations differ in which of the members
+// they take.
 func (p *parser) checkDuplicates(members []span) {
 	seen := make(map[string]bool, len(members))
 	for _, one := range members {
@@ -44,7 +45,7 @@
 	}
 }
 
-// generation parses the member with the number of the version.
+// generation parses the member with the version number.
 func (p *parser) generation(members []span) uint64 {
 	for _, one := range members {
 		if one.key != memberGeneration {
@@ -62,14 +63,14 @@
 
 // member parses one member of a document.
 func (p *parser) member(s span) member {
-	if !typedList(s.key) {
+	if !isTypedList(s.key) {
 		return p.otherMember(s)
 	}
 	return member{key: s.key, list: true, items: p.items(s, s.key)}
 }
 
-// otherMember keeps a member that isn't a typed list. A list of named objects becomes a list of items, so
-// that it can be patched by name though its items aren't interpreted.
+// otherMember parses a member that isn't a typed list. A list of named objects becomes a list of items, so that it
+// can be patched by name although its items aren't interpreted.
 func (p *parser) otherMember(s span) member {
 	if s.key == memberLimits {
 		p.checkLimits(s, memberLimits)
@@ -82,7 +83,7 @@
 	return member{key: s.key, raw: s.raw}
 }
 
-// namedItems converts elements to items, if all have a name.
+// namedItems converts elements to items. It returns false unless all elements have a name.
 func namedItems(elements []span) ([]item, bool) {
 	items := make([]item, 0, len(elements))
 	for _, element := range elements {
@@ -95,7 +96,7 @@
 	return items, true
 }
 
-// itemName returns the name of an element; false if it isn't an object or has no name.
+// itemName returns the name of an element, or false if the element isn't an object or has no name.
 func itemName(element span) (string, bool) {
 	members, isObject := splitObject(element.raw, element.offset)
 	if !isObject {
@@ -134,7 +135,7 @@
 	return items
 }
 
-// item parses and checks one element of a typed list. It returns false if it has no name or wrong types.
+// item parses and checks one element of a typed list. It returns false if the element has no name or wrong types.
 func (p *parser) item(list string, element span, path string) (item, bool) {
 	name, found := itemName(element)
 	if !found {
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -7,16 +7,16 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Patch is a parsed PATCH: items to remove and items to add or replace, by name. Removals are applied first,
-// so an item that is in both is there afterwards. A name to remove that isn't there is ignored.
+// Patch is a parsed PATCH: items to remove and items to add or replace, by name. Removals are applied first, so an
+// item that is both removed and added is present afterwards. Names to remove that don't exist are ignored.
 type Patch struct {
 	Generation uint64
 	upserts    []member
-	deletes    map[string][]string // names of items, by member
+	deletes    map[string][]string // names of the items to remove, by key of the member
 }
 
-// ParsePatch parses a PATCH and checks what can be checked without the version that it applies to. The error
-// is of type node.Findings.
+// ParsePatch parses a PATCH and checks it as far as that is possible without the version that it applies to. The
+// error is of type node.Findings.
 func ParsePatch(body []byte) (*Patch, error) {
 	p := &parser{text: body}
 	spans, ok := p.object()
@@ -50,7 +50,7 @@
 	p.checkDuplicates(members)
 	for _, list := range members {
 		switch {
-		case typedList(list.key):
+		case isTypedList(list.key):
 			items := p.items(list, memberUpsert+"."+list.key)
 			patch.upserts = append(patch.upserts, member{key: list.key, list: true, items: items})
 		case list.key == memberGeneration:
@@ -78,8 +78,8 @@
 	}
 }
 
-// Apply returns the version that a patch makes of this one, which stays as it is. The error is of type
-// node.Findings.
+// Apply returns the version that results from applying a patch to this one, which isn't modified. The error is of
+// type node.Findings.
 func (v *Version) Apply(patch *Patch, index uint64) (*Version, error) {
 	next := &Version{Generation: patch.Generation, Index: index, members: slices.Clone(v.members)}
 	next.put(generationMember(patch.Generation))
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Snapshot is a version with the indexes that requests are routed by. It is immutable and safe for concurrent
-// use: what its methods return must not be changed.
+// Snapshot is a version with the indexes that requests are routed by. It is immutable and safe for concurrent use:
+// the values that its methods return must not be modified.
 type Snapshot struct {
 	Document
-	Index uint64 // of the change request that made the version, in the replicated log
+	Index uint64 // index in the replicated log of the change request that created the version
 
 	hosts    map[string][]*Route // by normalized host name; the longest prefix first
 	routes   map[string]*Route   // by name
@@ -20,7 +20,7 @@
 	keys     map[string]*Tenant  // by API key
 }
 
-// NewSnapshot indexes a document that has been validated.
+// NewSnapshot returns the snapshot of a document, which must have been validated.
 func NewSnapshot(document Document, index uint64) *Snapshot {
 	s := &Snapshot{
 		Document: document,
@@ -53,8 +53,8 @@
 	return s
 }
 
-// RouteFor returns the route for a request: of those of its host, the one with the longest prefix of its
-// path; nil if there is none.
+// RouteFor returns the route for a request: among the routes of its host, the one with the longest prefix of its
+// path. It returns nil if there is none.
 func (s *Snapshot) RouteFor(host, path string) *Route {
 	for _, route := range s.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -64,16 +64,16 @@
 	return nil
 }
 
-// RoutesForHost returns the routes of a host, those with the longest prefixes first.
+// RoutesForHost returns the routes of a host, ordered from the longest path prefix to the shortest.
 func (s *Snapshot) RoutesForHost(host string) []*Route { return s.hosts[normalizeHost(host)] }
 
-// RouteByName returns a route, or nil.
+// RouteByName returns the route with a name, or nil.
 func (s *Snapshot) RouteByName(name string) *Route { return s.routes[name] }
 
-// BackendByName returns a backend, or nil.
+// BackendByName returns the backend with a name, or nil.
 func (s *Snapshot) BackendByName(name string) *Backend { return s.backends[name] }
 
-// TenantByName returns a tenant, or nil.
+// TenantByName returns the tenant with a name, or nil.
 func (s *Snapshot) TenantByName(name string) *Tenant { return s.tenants[name] }
 
 // TenantByKey returns the tenant with an API key, or nil.
--- a/internal/configuration/state.go
+++ b/internal/configuration/state.go
@@ -10,25 +10,25 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// maxHistory is the number of accepted requests that are remembered, so that one that is sent again gets the
-// same answer.
+// maxHistory is the number of accepted requests that are remembered, so that a repeated request gets the same
+// answer.
 const maxHistory = 4096
 
-// State is the configuration in force and the requests that were accepted last. It is a deterministic
-// function of the requests applied, so that replicas agree. It isn't safe for concurrent use; the Versions
-// that it returns are.
+// State is the configuration in force and the history of the last accepted requests. It is a deterministic function
+// of the requests applied, so that replicas agree. It isn't safe for concurrent use; the Versions that it returns
+// are.
 type State struct {
 	current *Version
 
-	// Invariant: accepted has the digests of history.
+	// Invariant: accepted contains exactly the digests in history.
 	accepted map[Digest]bool
 	history  []acceptedRequest // the oldest first
 
 	changes changeLog
 }
 
-// acceptedRequest identifies a remembered request. It is part of replicated snapshots (gob): the names of the
-// fields are fixed.
+// acceptedRequest identifies a request in the history. It is part of replicated snapshots, encoded with gob: the
+// names of the fields are fixed.
 type acceptedRequest struct {
 	Digest  Digest
 	IfMatch uint64
@@ -42,8 +42,8 @@
 // Current returns the version in force. Its Generation is 0 before the first.
 func (s *State) Current() *Version { return s.current }
 
-// StatusOf returns what is remembered of the request with a digest: StatusAccepted; StatusUnknown for one
-// that is too old to tell; or StatusStale, which means that it was not accepted.
+// StatusOf returns the status of the request with a digest according to the history: StatusAccepted, StatusUnknown if
+// the request is too old for the history, or StatusStale if it was not accepted.
 func (s *State) StatusOf(digest Digest, ifMatch uint64) Status {
 	if s.accepted[digest] {
 		return StatusAccepted
@@ -54,8 +54,8 @@
 	return StatusStale
 }
 
-// Apply executes a request that has an index in the replicated log. The caller must not change the request's
-// body afterwards.
+// Apply executes a request that has an index in the replicated log. The caller must not modify the request's body
+// afterwards.
 func (s *State) Apply(index uint64, request ChangeRequest) Result {
 	result, next := s.evaluate(index, request)
 	if next == nil {
@@ -67,13 +67,13 @@
 	return result
 }
 
-// Evaluate returns the result that Apply would have now, and changes nothing.
+// Evaluate returns the result that Apply would return now, without changing the state.
 func (s *State) Evaluate(request ChangeRequest) Result {
 	result, _ := s.evaluate(s.current.Index+1, request)
 	return result
 }
 
-// evaluate returns the result of a request and the version that it makes; nil where it changes nothing.
+// evaluate returns the result of a request and the resulting version, which is nil if the request changes nothing.
 func (s *State) evaluate(index uint64, request ChangeRequest) (Result, *Version) {
 	generation := s.current.Generation
 	switch status := s.StatusOf(request.Digest(), request.IfMatch); {
@@ -89,7 +89,8 @@
 	return Result{Status: StatusAccepted, Generation: next.Generation}, next
 }
 
-// buildNext makes the version that follows the current one. The error is of type node.Findings.
+// buildNext returns the version that results from a request to change the current one. The error is of type
+// node.Findings.
 func (s *State) buildNext(index uint64, request ChangeRequest) (*Version, error) {
 	next, err := s.current.next(index, request.Patch, request.Body)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return node.Findings{{Text: err.Error()}}
 }
 
-// remember adds a request to the history and drops the oldest of more than maxHistory.
+// remember adds a request to the history, from which it removes the oldest if there are more than maxHistory.
 func (s *State) remember(request acceptedRequest) {
 	if len(s.history) == maxHistory {
 		delete(s.accepted, s.history[0].Digest)
@@ -122,16 +123,16 @@
 	s.accepted[request.Digest] = true
 }
 
-// encodedState is a State in a snapshot of the replicated state machine (gob): the names of the fields are
-// fixed.
+// encodedState is the form of a State in snapshots of the replicated state machine, encoded with gob: the names of
+// the fields are fixed.
 type encodedState struct {
 	Index    uint64
 	Document []byte // empty: there is no configuration yet
 	Taken    []acceptedRequest
 }
 
-// Encode returns the state's form for a snapshot. The change log isn't part of it: after a restore, followers
-// get the whole document.
+// Encode returns the encoded form of the state for a snapshot. The change log isn't part of it: after a restore,
+// followers get the whole document.
 func (s *State) Encode() ([]byte, error) {
 	encoded := encodedState{Index: s.current.Index, Taken: s.history}
 	if s.current.Generation > 0 {
@@ -142,7 +143,7 @@
 	return out.Bytes(), err
 }
 
-// DecodeState restores what Encode gave.
+// DecodeState returns the state that was encoded by Encode.
 func DecodeState(raw []byte) (*State, error) {
 	var encoded encodedState
 	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&encoded); err != nil {
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Bounds of the change log. A follower that is further behind gets the whole document.
+// Limits of the change log. A follower whose version is older than the log gets the whole document.
 const (
 	maxLoggedSteps = 512
 	maxLoggedBytes = 2 << 20
@@ -15,16 +15,16 @@
 
 // changeLog holds the last patches, the oldest first.
 //
-// Invariant: the steps lead from the version at baseIndex to the current one, without gaps.
+// Invariant: applied in order, the steps lead from the version at baseIndex to the current one without gaps.
 type changeLog struct {
 	steps     []protocol.ConfigurationStep
-	bytes     int    // of the steps' bodies
+	bytes     int    // summed size of the steps' bodies
 	baseIndex uint64 // 0: nothing is logged
 }
 
-// add logs the change to a new current version.
+// add logs a step that has made a new current version.
 func (l *changeLog) add(step protocol.ConfigurationStep) {
-	if !step.Patch { // followers get a whole document as such, so nothing before it is needed
+	if !step.Patch { // followers get the whole document, so no earlier step is needed
 		*l = changeLog{baseIndex: step.Index}
 		return
 	}
@@ -37,7 +37,8 @@
 	}
 }
 
-// since returns the steps that lead from the version at an index to the current one, if they are logged.
+// since returns the steps from the version at an index to the current one. It returns false if they aren't all
+// logged.
 func (l *changeLog) since(index uint64) (steps []protocol.ConfigurationStep, found bool) {
 	if l.baseIndex == 0 || index < l.baseIndex {
 		return nil, false
@@ -52,8 +53,8 @@
 	return slices.Clone(l.steps[at+1:]), true
 }
 
-// UpdateSince returns the update from the version at an index to the current one: nil if there is none, the
-// logged steps if they reach back so far, and else the whole document.
+// UpdateSince returns the update from the version at an index to the current one: the logged steps if they reach back
+// to that version, otherwise the whole document. It returns nil if there is no newer version.
 func (s *State) UpdateSince(index uint64) *protocol.ConfigurationUpdate {
 	if index >= s.current.Index {
 		return nil
@@ -64,13 +65,13 @@
 	return &protocol.ConfigurationUpdate{Index: s.current.Index, Whole: s.current.JSON()}
 }
 
-// ErrGap says that the steps of an update don't start at the current version or before. Ask again with the
-// current version's index.
-var ErrGap = errors.New("configuration: the update does not follow the version held")
+// ErrGap is returned by ApplyUpdate if the steps of an update don't lead from the current version, or an older one,
+// to the version of the update. The receiver must ask again with the index of its current version.
+var ErrGap = errors.New("configuration: the update does not apply to the current version")
 
-// ApplyUpdate applies an update from control, in a gateway or batch process. Updates to older versions change
-// nothing. After an error the state is unchanged: after ErrGap ask for an update from the current version,
-// after any other error for the whole document (Poll.Configuration 0).
+// ApplyUpdate applies an update from a control process, in a gateway or batch process. Updates to older versions
+// change nothing. After an error the state is unchanged, and the caller must ask for another update: from the current
+// version after ErrGap, or the whole document after any other error (Poll.Configuration 0).
 func (s *State) ApplyUpdate(update *protocol.ConfigurationUpdate) (*Version, error) {
 	if update.Index <= s.current.Index {
 		return s.current, nil
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// checkItem checks what can be checked of one item alone.
+// checkItem checks one item as far as that is possible without the rest of the document.
 func (p *parser) checkItem(value any, element span, path string) {
 	switch value := value.(type) {
 	case Route:
@@ -44,11 +44,12 @@
 	p.checkWeights(route, element, path)
 }
 
-// maxQueuedTokensBound is the largest max-queued-tokens: sums of such numbers stay far from overflowing an
-// int64, and a float64, as JSON implementations use, has them exactly.
+// maxQueuedTokensBound is the largest valid max-queued-tokens. Sums of such numbers stay far from overflowing an
+// int64, and a float64, which JSON implementations use, represents them exactly.
 const maxQueuedTokensBound = 1 << 50
 
-// hasMember tells an explicit zero from an absent member.
+// hasMember reports whether an object has a member with a key. It distinguishes an explicit zero from an absent
+// member.
 func hasMember(raw []byte, key string) bool {
 	var members map[string]json.RawMessage
 	if json.Unmarshal(raw, &members) != nil {
@@ -58,7 +59,7 @@
 	return found
 }
 
-// checkLimits checks the types in the member with the limits.
+// checkLimits checks the types of the values in the limits member.
 func (p *parser) checkLimits(s span, path string) {
 	var limits Limits
 	if err := decode(s.raw, &limits); err != nil {
@@ -66,7 +67,7 @@
 	}
 }
 
-// checkWeights checks that a traffic split sends the requests somewhere.
+// checkWeights checks that the weights of a traffic split aren't negative and that their sum is above 0.
 func (p *parser) checkWeights(route *Route, element span, path string) {
 	if len(route.TrafficSplit) == 0 {
 		return
@@ -83,14 +84,14 @@
 	}
 }
 
-// checkReferences checks what spans several items of a document.
+// checkReferences checks the relations between the items of a document.
 func checkReferences(document *Document, findings *node.Findings) {
 	checkBackendReferences(document, findings)
 	checkRouteConflicts(document, findings)
 	checkSharedKeys(document, findings)
 }
 
-// checkBackendReferences finds routes that name no backend or one that isn't in the document.
+// checkBackendReferences finds routes without a backend and routes to a backend that isn't in the document.
 func checkBackendReferences(document *Document, findings *node.Findings) {
 	known := make(map[string]bool, len(document.Backends))
 	for i := range document.Backends {
@@ -113,7 +114,7 @@
 	}
 }
 
-// checkRouteConflicts finds routes with the host and prefix of an earlier one.
+// checkRouteConflicts finds routes with the same host and prefix as an earlier route.
 func checkRouteConflicts(document *Document, findings *node.Findings) {
 	type location struct{ host, prefix string }
 	owners := make(map[location]string, len(document.Routes))
@@ -128,8 +129,8 @@
 	}
 }
 
-// checkSharedKeys finds tenants that share an API key. Findings don't contain the key itself, as they go to
-// logs.
+// checkSharedKeys finds tenants that share an API key. The findings don't contain the key itself, because they are
+// logged.
 func checkSharedKeys(document *Document, findings *node.Findings) {
 	owners := make(map[string]string, 2*len(document.Tenants))
 	for i := range document.Tenants {
--- a/internal/configuration/version.go
+++ b/internal/configuration/version.go
@@ -7,26 +7,26 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Version is one version of the configuration. It is immutable and safe to share; versions share the items
-// that they have in common.
+// Version is one version of the configuration. It is immutable and safe to share. Versions share the items that they
+// have in common.
 type Version struct {
-	Generation uint64 // the operator's number of the version; 0: the empty version before the first
-	Index      uint64 // of the change request that made it, in the replicated log; 0: the empty version
+	Generation uint64 // version number assigned by the operator; 0: the empty version before the first
+	Index      uint64 // index in the replicated log of the change request that created it; 0: the empty version
 	members    []member
 	document   Document // decoded from members
 }
 
-// JSON returns the whole document. Items are as the operator sent them, with members that this program
+// JSON returns the whole document. Its items are as the operator sent them, including members that this program
 // doesn't know.
 func (v *Version) JSON() []byte { return renderMembers(v.members) }
 
-// Document returns the typed content. The caller must not change what it points to.
+// Document returns the typed content. The caller must not modify the values that it refers to.
 func (v *Version) Document() Document { return v.document }
 
 // Snapshot returns the version with the indexes that requests are routed by.
 func (v *Version) Snapshot() *Snapshot { return NewSnapshot(v.document, v.Index) }
 
-// next returns the version that a change makes of this one, in the form of a patch or a whole document. The
+// next returns the version that results from changing this one by body, which is a patch or a whole document. The
 // error is of type node.Findings.
 func (v *Version) next(index uint64, patch bool, body []byte) (*Version, error) {
 	if !patch {
@@ -57,7 +57,7 @@
 	return version.finish(&p.findings)
 }
 
-// checkRequiredLists checks that the lists that every document has are there.
+// checkRequiredLists checks that the lists that every document must contain are present.
 func (p *parser) checkRequiredLists(spans []span) {
 	for _, key := range []string{memberRoutes, memberBackends} {
 		if !slices.ContainsFunc(spans, func(s span) bool { return s.key == key }) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// finish decodes the members into the typed document and validates it as a whole. It adds to findings; the
-// error has all of them.
+// finish decodes the members into the typed document and validates it as a whole. It adds to findings. If there are
+// any findings, also earlier ones, they are the error.
 func (v *Version) finish(findings *node.Findings) (*Version, error) {
 	v.document = Document{Generation: v.Generation}
 	for _, one := range v.members {
@@ -98,7 +98,7 @@
 	}
 }
 
-// generationMember makes the member with the number of the version.
+// generationMember returns the member with the version number.
 func generationMember(generation uint64) member {
 	return member{key: memberGeneration, raw: strconv.AppendUint(nil, generation, 10)}
 }
