--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -10,7 +10,7 @@
 	"github.com/joomcode/errorx"
 )
 
-// Limits and times of a call, as the operator's API prescribes them.
+// Limits and timeouts of a call, as prescribed by the operator's API.
 const (
 	maxRedirects        = 2
 	maxOtherRejections  = 3           // see call.classify
@@ -21,24 +21,24 @@
 	maxResponseBytes    = 64 << 20
 )
 
-// DefaultTimeout is how long a request is repeated if Client.Timeout is 0.
+// DefaultTimeout is the time for which a request is repeated if Client.Timeout is 0.
 const DefaultTimeout = 10 * time.Second
 
-// errorNames is the namespace of the types of errors; their names begin with it.
+// errorNames is the namespace of the error types; their names begin with it.
 var errorNames = errorx.NewNamespace("control")
 
-// The types of errors of Call; test for them with errorx.IsOfType.
+// The error types of Call, to be tested for with errorx.IsOfType.
 var (
-	// Refused is the type of a definite rejection; StatusOf returns its HTTP status.
+	// Rejected is the type of a definite rejection; StatusOf returns its HTTP status.
 	Rejected = errorNames.NewType("refused")
-	// Unanswered is the type of a request without a definite answer: it may have taken effect, or may yet.
+	// Unanswered is the type for a request without a definite answer: it may have taken effect, or may still do so.
 	Unanswered = errorNames.NewType("unanswered")
 )
 
 // statusProperty holds the HTTP status of a rejection.
 var statusProperty = errorx.RegisterPrintableProperty("status")
 
-// StatusOf returns the HTTP status of an error of type Refused, 0 for other errors.
+// StatusOf returns the HTTP status of an error of type Rejected, or 0 for other errors.
 func StatusOf(err error) int {
 	if value, known := errorx.ExtractProperty(err, statusProperty); known {
 		return value.(int)
@@ -46,11 +46,11 @@
 	return 0
 }
 
-// Client calls the control processes at some addresses. It is safe for concurrent use as long as its fields
-// are not changed.
+// Client calls the control processes at a list of addresses. It is safe for concurrent use as long as its fields are
+// not changed.
 type Client struct {
 	Addresses []string      // of control processes, IP:port, in the order in which they are tried
-	Timeout   time.Duration // of a call with all its attempts; 0: DefaultTimeout
+	Timeout   time.Duration // of a call including all its attempts; 0: DefaultTimeout
 }
 
 // Request is one request to the operator's API.
@@ -69,9 +69,9 @@
 	Body    []byte
 }
 
-// Call sends a request to one control process after the other until one gives a definite answer, with
-// exponential backoff in between. The error is of type Refused if the request was rejected, and Unanswered if
-// there was no definite answer in time.
+// Call sends a request to one control process after the other until one gives a definite answer, with exponential
+// backoff between the attempts. The error is of type Rejected if the request was rejected, and of type Unanswered if
+// there was no definite answer within the timeout.
 func (c *Client) Call(ctx context.Context, request Request) (*Response, error) {
 	if len(c.Addresses) == 0 {
 		return nil, Unanswered.New("no address of a control process was given")
@@ -101,7 +101,7 @@
 	otherRejections int
 }
 
-// wait waits for the backoff and doubles it. It reports false if ctx ended first.
+// wait waits for the backoff time and doubles it for the next call. It returns false if ctx ended first.
 func (c *call) wait(ctx context.Context) bool {
 	timer := time.NewTimer(c.backoff)
 	defer timer.Stop()
@@ -114,7 +114,7 @@
 	}
 }
 
-// attempt sends the request to one address, and on to where that redirects.
+// attempt sends the request to one address and follows redirections from there.
 func (c *call) attempt(ctx context.Context, address string) (*Response, error) {
 	timeout := attemptTimeout + time.Duration(len(c.request.Body)>>20)*attemptTimeoutPerMB
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -158,9 +158,9 @@
 	return client.Do(request)
 }
 
-// classify tells a success, a rejection and an answer that leaves the request open. Of the statuses from 400
-// to 499, some are definite at once, 408 and 429 never are, and the others are once a call has met
-// maxOtherRefusals of them.
+// classify returns the response of a success, an error of type Rejected for a definite rejection, and an error of type
+// Unanswered for any other answer. Of the statuses from 400 to 499, some are definite rejections at once, 408 and 429
+// never are, and the others are once a call has received maxOtherRejections of them.
 func (c *call) classify(response *http.Response, body []byte) (*Response, error) {
 	status := response.StatusCode
 	if status >= 200 && status < 300 {
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -14,7 +14,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// scriptedControl is a scripted control process: each call gets the next answer, and the last one is
+// scriptedControl starts a control process with scripted answers: each call gets the next one, and the last one is
 // repeated.
 func scriptedControl(t *testing.T, answers ...http.HandlerFunc) (address string, calls *atomic.Int32) {
 	calls = &atomic.Int32{}
@@ -40,8 +40,7 @@
 	}
 }
 
-// neverAnswers reads the request, since the server notices the end of the connection only then, and answers
-// nothing.
+// neverAnswers reads the request, because the server notices the end of the connection only then, and sends no answer.
 func neverAnswers(_ http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	<-r.Context().Done()
@@ -56,7 +55,7 @@
 }
 
 func TestCall(t *testing.T) {
-	Convey("The request arrives as it was given", t, func() {
+	Convey("The request is sent with its header fields and body", t, func() {
 		var seen *http.Request
 		var body []byte
 		address, _ := scriptedControl(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -77,13 +76,13 @@
 		So(err, ShouldBeNil)
 		So(answer.Address, ShouldEqual, second)
 	})
-	Convey("A time-out is a failure", t, func() {
+	Convey("A request is repeated at another address after a time-out", t, func() {
 		first, _ := scriptedControl(t, neverAnswers)
 		second, _ := scriptedControl(t, status(200))
 		_, err := put(first, second)
 		So(err, ShouldBeNil)
 	})
-	Convey("A redirection is followed with the body", t, func() {
+	Convey("A redirection is followed with the same body", t, func() {
 		var body []byte
 		second, _ := scriptedControl(t, func(_ http.ResponseWriter, r *http.Request) { body, _ = io.ReadAll(r.Body) })
 		first, _ := scriptedControl(t, redirect(second))
@@ -92,7 +91,7 @@
 		So(answer.Address, ShouldEqual, second)
 		So(string(body), ShouldEqual, "{}")
 	})
-	Convey("Redirections in a cycle end", t, func() {
+	Convey("A cycle of redirections ends with Unanswered", t, func() {
 		var address string
 		address, _ = scriptedControl(t, func(w http.ResponseWriter, r *http.Request) { redirect(address)(w, r) })
 		_, err := put(address)
@@ -108,13 +107,13 @@
 			So(calls.Load(), ShouldEqual, 1)
 		}
 	})
-	Convey("Another rejection is definite at the third attempt", t, func() {
+	Convey("A rejection with another status is definite at the third attempt", t, func() {
 		address, calls := scriptedControl(t, status(404))
 		_, err := put(address)
 		So(StatusOf(err), ShouldEqual, 404)
 		So(calls.Load(), ShouldEqual, 3)
 	})
-	Convey("Without any answer the request is Unanswered", t, func() {
+	Convey("Without any answer the error is of type Unanswered", t, func() {
 		_, err := put("127.0.0.1:1")
 		So(errorx.IsOfType(err, Unanswered), ShouldBeTrue)
 		So(StatusOf(err), ShouldEqual, 0)
--- a/internal/controlclient/doc.go
+++ b/internal/controlclient/doc.go
@@ -1,7 +1,7 @@
-// Package controlclient is a client of the operator's API (internal/control/operatorapi). It finds a control
-// process that answers, follows redirections, and repeats requests that got no definite answer.
+// Package controlclient is a client of the operator's API (internal/control/operatorapi). It finds a control process
+// that answers, follows redirections, and repeats requests that got no definite answer.
 //
-// To repeat a request is safe: the API executes the same change, by If-Match, method and body, once. So a
-// request is never altered between two attempts, and one that was rejected is never repeated. If no attempt
-// got a definite answer, the change may have been accepted or not ([Unanswered]).
+// Repeating a request is safe, because the API executes a change with the same If-Match, method and body only once.
+// For this reason a request is never altered between two attempts. A rejected request is never repeated. If no attempt
+// got a definite answer, the change may or may not have been accepted ([Unanswered]).
 package controlclient
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -6,8 +6,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds the messages between control, gateways and batch processes to the form that earlier
-// versions send.
+// TestGolden checks that the messages between control processes, gateways and batch processes still have the format
+// that earlier versions send.
 func TestGolden(t *testing.T) {
 	golden.Message(t, "poll", Poll{})
 	golden.Message(t, "update", Update{})
--- a/internal/protocol/identity.go
+++ b/internal/protocol/identity.go
@@ -1,7 +1,6 @@
 package protocol
 
-// System is the name of the system in transport.Identity. It keeps processes of other systems from
-// connecting.
+// System is the name of the system in transport.Identity. It prevents processes of other systems from connecting.
 const System = "sprucelane"
 
 // Process identifies one incarnation of a process.
@@ -10,8 +9,8 @@
 	Role string // RoleGateway, RoleBatch or RoleControl
 	Zone string
 	IP   string
-	// Incarnation of a gateway is drawn at each start of its process. That of a batch process is drawn when its
-	// disk is empty and kept on the disk, as what matters of it is what it has stored.
+	// Incarnation of a gateway is generated at each start of its process. That of a batch process is generated when its
+	// disk is empty and kept on the disk, because what matters about a batch process is the data that it has stored.
 	Incarnation string
 }
 
--- a/internal/protocol/size_test.go
+++ b/internal/protocol/size_test.go
@@ -10,13 +10,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The fleet that the sizes are told for.
+// Size of the system for which TestSizes logs the sizes of messages.
 const (
 	fleetGateways = 400
 	fleetServers  = 12_000
 )
 
-// sizeOf gives the bytes of a message once its types are known on a connection.
+// sizeOf returns the size of a message in bytes on a connection on which its types were sent before.
 func sizeOf(t *testing.T, message any) int {
 	t.Helper()
 	var out bytes.Buffer
@@ -40,9 +40,9 @@
 		Zone: "michigan", Slots: 24, Stage: "both"}
 }
 
-// TestSizes tells what the messages of a large fleet take, for docs/CAPACITY.md.
+// TestSizes logs the sizes of the messages of a large system, for docs/CAPACITY.md.
 func TestSizes(t *testing.T) {
-	Convey("A change of one item takes a small part of the whole list", t, func() {
+	Convey("The message for a change of one server is much smaller than the whole list", t, func() {
 		poll := sizeOf(t, Poll{Process: fleetProcess(399), Sequence: 100_000, Configuration: 12_000, Servers: 9_000, Members: 3_000, Ready: true})
 		answer := sizeOf(t, Update{Sequence: 100_000, Fresh: true, Age: 200 * time.Millisecond})
 		var gateways []Process
@@ -55,15 +55,15 @@
 			servers = append(servers, fleetServer(i))
 		}
 		whole := sizeOf(t, Update{Servers: &ServerList{Version: 9_000, Source: "front-michigan-1-0123456789ab", Servers: servers}})
-		difference := sizeOf(t, Update{Servers: &ServerList{Version: 9_001, Base: 9_000, Source: "front-michigan-1-0123456789ab",
+		delta := sizeOf(t, Update{Servers: &ServerList{Version: 9_001, Base: 9_000, Source: "front-michigan-1-0123456789ab",
 			Servers: servers[:1], Removed: []string{servers[1].ID}}})
-		ask := sizeOf(t, QuotaRequest{Process: fleetProcess(399), Sequence: 100_000, Acked: 99_999, Term: 3,
+		request := sizeOf(t, QuotaRequest{Process: fleetProcess(399), Sequence: 100_000, Acked: 99_999, Term: 3,
 			Demands: []QuotaDemand{{Tenant: "tenant-00001", Rate: 0.7, Want: 1}}})
 		grant := sizeOf(t, QuotaReply{Term: 3, Sequence: 100_000, LeaseFor: 3 * time.Second, AskGap: 40 * time.Millisecond,
 			Grants: []QuotaGrant{{Tenant: "tenant-00001", Tokens: 1, ExpiresAfter: 250 * time.Millisecond}}})
 		t.Logf("bytes: poll %d, answer without news %d; list of %d gateways %d; list of %d servers %d, one changed and one removed %d; quota request of one tenant %d, reply %d",
-			poll, answer, fleetGateways, members, fleetServers, whole, difference, ask, grant)
-		So(difference, ShouldBeLessThan, whole/100)
+			poll, answer, fleetGateways, members, fleetServers, whole, delta, request, grant)
+		So(delta, ShouldBeLessThan, whole/100)
 		So(answer, ShouldBeLessThan, poll)
 	})
 }
--- a/internal/protocol/subscription.go
+++ b/internal/protocol/subscription.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// PollInterval is the time between the polls of a gateway or batch process. It bounds for how long the loss
-// of a push goes unnoticed; a shorter one costs messages at control in proportion to the number of processes.
+// PollInterval is the time between the polls of a gateway or batch process. It limits how long the loss of a push goes
+// unnoticed. A shorter interval would cost the control processes more messages, in proportion to the number of
+// processes.
 const PollInterval = 400 * time.Millisecond
 
-// Poll is what a gateway or batch process sends to the control process that it is connected to: that it is
-// alive, and which versions it has.
+// Poll is sent by a gateway or batch process to the control process that it is connected to. It shows that the sender
+// is alive, and which versions it has.
 type Poll struct {
 	Process       Process
-	Sequence      uint64 // number of the poll on this connection; the Update that answers repeats it
-	Configuration uint64 // index of the configuration in force at the sender, 0: none
-	Servers       uint64 // version of the sender's endpoint list, 0: none
-	Members       uint64 // version of the sender's membership list, 0: none
-	WholeServers  bool   // a complete endpoint list is wanted: a delta didn't apply to the sender's
+	Sequence      uint64 // number of the poll on this connection, which the answering Update repeats
+	Configuration uint64 // index of the configuration in force at the sender; 0: none
+	Servers       uint64 // version of the sender's server list; 0: none
+	Members       uint64 // version of the sender's member list; 0: none
+	WholeServers  bool   // requests a complete server list, because a delta didn't apply to the sender's list
 	Ready         bool
-	Batch         *BatchReport // of batch processes only
+	Batch         *BatchReport // from batch processes only
 }
 
-// Update is control's answer to a Poll, or a push. A nil part is unchanged.
+// Update is a control process's answer to a Poll, or a push. Parts that are nil are unchanged.
 type Update struct {
-	Sequence uint64 // of the Poll that is answered; 0: a push, which renews no lease
+	Sequence uint64 // of the Poll that is answered; 0: the Update is a push, which renews no lease
 
-	// Fresh says that everything acknowledged more than Age before control answered the Poll is in
-	// Configuration, or in what the receiver already has. Leases of keys count from it. Without a recent proof
-	// from a majority control doesn't set it.
+	// Fresh reports that every change acknowledged more than Age before the control process answered the Poll is in
+	// Configuration, or in the configuration that the receiver already has. Key leases count from it. A control process
+	// without a recent proof from a majority doesn't set Fresh.
 	Fresh bool
 	Age   time.Duration
 
-	// ListRead says that control has an endpoint list. ListAge is the time since the newest reading of the
+	// ListRead reports that the control process has a server list. ListAge is the time since the newest reading of the
 	// platform's list began, as of when this message was sent.
 	ListRead bool
 	ListAge  time.Duration
@@ -40,10 +41,10 @@
 	Store         *StoreGrant // for batch processes only
 }
 
-// ConfigurationUpdate leads to a newer configuration: by the changes after the receiver's, or by a complete
-// document.
+// ConfigurationUpdate updates the receiver to a newer configuration, by the changes since the receiver's or by a
+// complete document.
 type ConfigurationUpdate struct {
-	Index uint64 // of the configuration that results
+	Index uint64 // of the resulting configuration
 	From  uint64 // of the configuration that Steps apply to; the receiver skips steps up to its own index
 	Whole []byte // the complete document in JSON; nil: Steps apply
 	Steps []ConfigurationStep
@@ -52,6 +53,6 @@
 // ConfigurationStep is one acknowledged change of the configuration.
 type ConfigurationStep struct {
 	Index uint64
-	Patch bool   // Body is a patch, else a complete document
+	Patch bool   // Body is a patch, otherwise a complete document
 	Body  []byte // JSON, exactly as the operator sent it
 }
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,13 +1,12 @@
-// Package serverlist encodes versions of the platform's list of servers as deltas (delta encoding), so that
-// processes that have a version are sent only what differs in the next one.
+// Package serverlist encodes versions of the platform's list of servers as deltas (delta encoding), so that a process
+// that has one version receives only the differences to the next one.
 //
-// Lists are sorted by the servers' ids. The package is pure: it neither modifies nor keeps the lists that it
-// is given.
+// Lists are sorted by the servers' IDs. The package is pure: it neither modifies nor keeps the lists passed to it.
 //
-// The sender computes a Delta between two versions by Diff, or combines several in a row by Compose, and
-// sends it in a protocol.ServerList with a Base. The receiver gets the new version by ApplyUpdate. Invariant:
-// for any lists a and b, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b),
-// Diff(b, c)), applied to a, gives c.
+// The sender computes the Delta between two versions with Diff, or combines consecutive deltas with Compose, and
+// sends it in a protocol.ServerList with a Base. The receiver computes the new version with ApplyUpdate. Invariant:
+// for any lists a, b and c, Apply(a, Diff(a, b)) has the content of b (SameContent); and Compose(Diff(a, b),
+// Diff(b, c)), applied to a, has the content of c.
 package serverlist
 
 import (
@@ -18,26 +17,27 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// ErrGap says that an update isn't based on the list that the receiver has. It must ask for the whole list.
-var ErrGap = errors.New("serverlist: the difference does not apply to the list held")
+// ErrGap is returned by ApplyUpdate if a delta isn't based on the list that the receiver has. The receiver must then
+// ask for the whole list.
+var ErrGap = errors.New("serverlist: the delta is not based on the current list")
 
 // Delta is the difference between two lists.
 type Delta struct {
 	Changed []protocol.Server // servers that were added or whose content changed
-	Removed []string          // ids of servers that were removed
+	Removed []string          // IDs of servers that were removed
 }
 
-// Empty reports whether the lists are the same.
+// Empty reports whether the delta contains no changes.
 func (d *Delta) Empty() bool { return len(d.Changed) == 0 && len(d.Removed) == 0 }
 
-// SameContent reports whether two entries are the same. For how long a server is warming up isn't compared,
-// as it changes with time alone.
+// SameContent reports whether two entries have the same content. The remaining time of a server's slow start (Cold)
+// isn't compared, because it changes with time alone.
 func SameContent(a, b *protocol.Server) bool {
 	return a.ID == b.ID && a.Backend == b.Backend && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.Stage == b.Stage
 }
 
-// Diff returns the delta between two lists, in one pass over both.
+// Diff returns the delta from one list to another, in one pass over both.
 func Diff(from, to []protocol.Server) Delta {
 	var d Delta
 	i, j := 0, 0
@@ -60,7 +60,7 @@
 	return d
 }
 
-// compareAt compares the ids at two positions. The end of a list comes after all ids.
+// compareAt compares the IDs at two positions as strings.Compare does. The end of a list sorts after all IDs.
 func compareAt(from []protocol.Server, i int, to []protocol.Server, j int) int {
 	switch {
 	case i == len(from):
@@ -71,7 +71,7 @@
 	return strings.Compare(from[i].ID, to[j].ID)
 }
 
-// Apply returns the list that a delta makes of another.
+// Apply returns the list that results from applying a delta to another list.
 func Apply(list []protocol.Server, d *Delta) []protocol.Server {
 	changed := slices.Clone(d.Changed)
 	slices.SortFunc(changed, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) })
@@ -100,7 +100,7 @@
 	return next
 }
 
-// Compose returns one delta for two in a row: the second wins where both change or remove a server.
+// Compose combines two consecutive deltas into one. If both change or remove a server, the second takes precedence.
 func Compose(first, second Delta) Delta {
 	overwritten := make(map[string]bool, len(second.Changed)+len(second.Removed))
 	composed := Delta{Changed: slices.Clone(second.Changed), Removed: slices.Clone(second.Removed)}
@@ -123,9 +123,8 @@
 	return composed
 }
 
-// ApplyUpdate returns the list after an update, which is a whole list or a delta (Base other than 0). The
-// current list is nil if there is none yet. The error is ErrGap if the delta is based on another version than
-// the current one.
+// ApplyUpdate returns the list after an update, which is a whole list or a delta (Base other than 0). The current list
+// is nil if there is none yet. ApplyUpdate returns ErrGap if the delta isn't based on the current version.
 func ApplyUpdate(current, update *protocol.ServerList) (*protocol.ServerList, error) {
 	if update.Base == 0 {
 		return update, nil
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// drawList draws a sorted list of some of 13 servers.
+// drawList returns a sorted list of some of 13 servers, drawn at random.
 func drawList(t *rapid.T) []protocol.Server {
 	ids := rapid.SliceOfNDistinct(rapid.IntRange(0, 12), 0, 8, rapid.ID[int]).Draw(t, "ids")
 	list := []protocol.Server{}
@@ -36,22 +36,22 @@
 		kept := slices.Clone(first)
 		one, two := Diff(first, second), Diff(second, third)
 		if got := Apply(first, &one); !equal(got, second) {
-			t.Fatalf("%v leads to %v", one, got)
+			t.Fatalf("applying delta %v gives %v", one, got)
 		}
 		composed := Compose(one, two)
 		if got := Apply(first, &composed); !equal(got, third) {
-			t.Fatalf("%v and %v compose to %v, which leads to %v", one, two, composed, got)
+			t.Fatalf("deltas %v and %v compose to %v, whose application gives %v", one, two, composed, got)
 		}
 		if none := Diff(first, first); !none.Empty() {
-			t.Fatalf("%v leads from a list to itself", none)
+			t.Fatalf("the delta from a list to itself is %v, want an empty one", none)
 		}
 		if !equal(first, kept) {
-			t.Fatal("a list was changed")
+			t.Fatal("Diff or Apply modified its argument")
 		}
 	})
 }
 
-// TestApplyUpdate checks whole lists, deltas, and deltas that are based on another list.
+// TestApplyUpdate checks updates by whole lists, by deltas, and by deltas that are based on another list.
 func TestApplyUpdate(t *testing.T) {
 	held := &protocol.ServerList{Version: 4, Source: "a", Servers: []protocol.Server{{ID: "1"}, {ID: "2"}}}
 	whole := &protocol.ServerList{Version: 1, Source: "b"}
