--- a/internal/configuration/history_test.go
+++ b/internal/configuration/history_test.go
@@ -56,8 +56,8 @@
 	return raw
 }
 
-// TestHistories applies random change requests to a state, a replica that is restored now and then, and a
-// follower that misses updates, and compares all three with the reference model.
+// TestHistories applies random change requests to a state, a replica that is restored at random times, and a
+// follower that misses updates. It compares all three with the reference model.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &referenceModel{accepted: map[string]bool{}}
@@ -156,7 +156,7 @@
 	return request
 }
 
-// key identifies a request without the Digest under test.
+// key returns an identifier of a request that doesn't depend on the Digest under test.
 func (m *referenceModel) key(request ChangeRequest) string {
 	return fmt.Sprint(request.IfMatch, request.Patch, string(request.Body))
 }
--- a/internal/configuration/update.go
+++ b/internal/configuration/update.go
@@ -19,7 +19,7 @@
 type changeLog struct {
 	steps     []protocol.ConfigurationStep
 	bytes     int    // summed size of the steps' bodies
-	baseIndex uint64 // 0: nothing is logged
+	baseIndex uint64 // index of the version that the steps apply to; 0: nothing is logged
 }
 
 // add logs a step that has made a new current version.
--- a/internal/protocol/batch.go
+++ b/internal/protocol/batch.go
@@ -4,7 +4,7 @@
 // and the API key. Any batch process may be asked: it answers the call or returns the owner of the batch job.
 type BatchCall struct {
 	Operation BatchOperation
-	BatchJob  string // ID
+	BatchJob  string // ID of the batch job
 	Tenant    string
 	Route     string // name; in submissions only
 	Item      string // ID; for BatchBody
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -72,7 +72,7 @@
 // BatchReport is a store's report on itself, sent with each Poll.
 type BatchReport struct {
 	Epoch   uint64 // of the StoreView in which it works
-	ActedIn uint64 // the highest epoch that it worked in, over all incarnations of its process on this disk
+	ActedIn uint64 // the highest epoch in which it worked, over all incarnations of its process on this disk
 	Settled uint64 // the highest epoch in which it was reconciled
 	// Missing is the number of machines that may have data that the members don't know of: departed machines, and those
 	// with incomplete logs.
--- a/internal/protocol/quota.go
+++ b/internal/protocol/quota.go
@@ -29,7 +29,7 @@
 // QuotaReply grants tokens and leases. It renews all leases of the receiver; Grants contains the leases that change.
 type QuotaReply struct {
 	Term     uint64 // of the allocator; 0: the process isn't the active allocator and grants nothing
-	Sequence uint64 // of the request
+	Sequence uint64 // of the request that is answered
 	// Unknown reports that the allocator doesn't know all leases that the receiver may hold: it doesn't know the receiver,
 	// or knows its leases from another term only. The receiver must send a request with Whole.
 	Unknown  bool
--- a/internal/quota/budget.go
+++ b/internal/quota/budget.go
@@ -39,9 +39,9 @@
 // rate*tokenTTL + rate*window, plus the reserve for charges, is at most Rules.MaxInWindow. (The package comment has
 // the proof that no more is spent.)
 type budget struct {
-	rate           amount        // granted, per second
+	rate           amount        // granted rate, per second
 	tokenTTL       time.Duration // lifetime of pool tokens
-	depth          amount        // of the pool and of all leases together
+	depth          amount        // total depth of the pool and all leases
 	maxLeasedRate  amount        // maximum of the summed rates of leases
 	maxLeasedDepth amount        // maximum of the summed depths of leases
 }
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -33,7 +33,7 @@
 type Verdict struct {
 	Admit      bool
 	Wait       bool          // no token is available yet: call Resolve after each reply and at WakeAt, or call Cancel
-	RetryAfter time.Duration // of a rejection
+	RetryAfter time.Duration // Retry-After of a rejection
 }
 
 // ClientOptions are the fixed parameters of a Client.
--- a/internal/quota/client_tenant.go
+++ b/internal/quota/client_tenant.go
@@ -186,8 +186,8 @@
 }
 
 // applyGrant applies a grant in the reply to a request that was sent at sentAt. A changed lease keeps its level,
-// limited to the new depth, and a new lease starts empty. The change is ignored if leasesInForce is false: the reply came
-// too late for leases to be in force.
+// limited to the new depth, and a new lease starts empty. The change is ignored if leasesInForce is false: the reply
+// came too late for leases to be in force.
 func (t *clientTenant) applyGrant(now, sentAt time.Duration, grant *protocol.QuotaGrant, leasesInForce bool) {
 	if grant.Change && leasesInForce {
 		t.refill(now)
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// checkOutstanding panics if gateways hold more than the leader's allocator counts.
+// checkOutstanding panics if gateways hold more leased capacity than the leader's allocator counts.
 func (sim *simulation) checkOutstanding() {
 	control := sim.leader()
 	if control == nil || sim.now >= control.leadUntil || sim.windowsOnly {
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -343,7 +343,7 @@
 	}
 }
 
-// handleReply receives a reply to a request of an incarnation.
+// handleReply handles a reply to a request of one incarnation of the gateway.
 func (g *simGateway) handleReply(incarnation int, reply protocol.QuotaReply) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -48,7 +48,7 @@
 	// The replicated record.
 	grantees      []string
 	floors        map[string]int64
-	grantor       *simControl // whose changes have effect
+	grantor       *simControl // the process whose changes to the record have effect
 	grantorTerm   int         // rises with each grantor, so that late changes of the same process's earlier terms have no effect
 	changePending bool
 
