--- a/internal/configuration/model.go
+++ b/internal/configuration/model.go
@@ -108,7 +108,7 @@
 	Name string `json:"name"`
 }
 
-// Limits are limits on the sizes and durations of clients' requests. A zero field means that no limit is
+// Limits contains the limits on the sizes and durations of clients' requests. A zero field means that no limit is
 // configured.
 type Limits struct {
 	MaxHeaderBytes  int     `json:"max-header-bytes"`
--- a/internal/protocol/members.go
+++ b/internal/protocol/members.go
@@ -16,7 +16,7 @@
 	QuotaAddress string
 	// GatewaysComplete reports that the sender has confirmed its state, without a gap, for long enough that Gateways
 	// contains every gateway that polls any control process. A control process that has just started knows few gateways
-	// or none. It is false in messages of earlier versions.
+	// or none. The field is false in messages of earlier versions.
 	GatewaysComplete bool
 }
 
--- a/internal/quota/invariants_test.go
+++ b/internal/quota/invariants_test.go
@@ -22,8 +22,8 @@
 	return invariantChecker{sim: sim, ran: map[string][]time.Duration{}, terms: map[uint64]*activeSpan{}}
 }
 
-// recordAnswer records that an allocator answered as of the time at, and checks that no two allocators are active at the
-// same time. The answer itself may be made later than at.
+// recordAnswer records that an allocator answered as of the time at, and checks that no two allocators are active at
+// the same time. The answer itself may be made later than at.
 func (c *invariantChecker) recordAnswer(at time.Duration, term uint64) {
 	if term == 0 || c.sim.windowsOnly {
 		return
--- a/internal/quota/sim_gateway_test.go
+++ b/internal/quota/sim_gateway_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// updateAllocatorAddress updates the allocator's address from the membership: it is the leader, or the only process that the
-// gateway reaches, which names itself.
+// updateAllocatorAddress updates the allocator's address from the membership: it is that of the leader, or of the only
+// process that the gateway reaches, which names itself.
 func (g *simGateway) updateAllocatorAddress(incarnation int) {
 	sim := g.sim
 	if g.incarnation != incarnation || !g.alive {
