--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -16,31 +16,31 @@
 	interval = time.Second // between decisions
 
 	// Latency.
-	windowSlots       = 8    // intervals whose latencies are kept
-	smoothingOver     = 4    // intervals over which the score's counts are smoothed
-	minSamples        = 20   // attempts that a percentile is taken from, if the window has as many
-	minLate           = 3    // late attempts below which a target isn't missed
-	lateShare         = 0.1  // of attempts: the 90th percentile misses the target when more are late
-	chanceBound       = 1.64 // standard deviations above lateShare, exceeded by chance once in twenty
-	minRequestRate    = 0.5  // smoothed requests a second below which a group has no score
-	maxLatencyTargets = 4    // most that one attempt adds to its group's latency, in targets
+	windowSlots        = 8    // intervals whose latencies are kept
+	smoothingIntervals = 4    // intervals over which the counts in the score are smoothed
+	minSamples         = 20   // least number of attempts for a percentile, if the window has as many
+	minLate            = 3    // late attempts below which a target doesn't count as missed
+	maxLateShare       = 0.1  // share of late attempts above which the 90th percentile misses the target
+	chanceBound        = 1.64 // standard deviations above maxLateShare; chance alone exceeds them once in twenty
+	minRequestRate     = 0.5  // smoothed requests a second below which a group has no score
+	maxLatencyTargets  = 4    // most that one attempt adds to its group's latency, as a multiple of the target
 
 	// Load of the servers.
-	minUtilization = 0.55            // of the slots; below it nothing is shed
+	minUtilization = 0.55            // share of the slots in use below which nothing is shed, unless requests wait for slots
 	loadTTL        = 3 * time.Second // how long an observed load is valid
 
 	// Shedding.
-	maxShed        = 0.6   // largest share of any group and tenant priority
-	stepShare      = 0.125 // of a group's requests that one step sheds
-	steepStepShare = 0.25  // the same while half of the attempts are late
-	minStepShare   = 0.02  // a group that could shed less is passed over
-	calmIntervals  = 3     // without overload before the first step is taken back
-
-	// Clients that come back after a rejection.
-	returnerGrace   = 0.3                    // while a share is below it, they aren't shed
-	minRetryAfter   = 600 * time.Millisecond // after which they are asked to come back
-	maxRetryAfter   = 1500 * time.Millisecond
-	retryAfterShare = 0.3 // of the time left, as longest Retry-After: clients honor a third of it
+	maxShed        = 0.6   // largest share that is shed of any group and tenant priority
+	stepShare      = 0.125 // share of a group's requests that one step sheds
+	steepStepShare = 0.25  // the same while half of the recent attempts of an overloaded group are late
+	minStepShare   = 0.02  // a group of which a step would shed less is skipped
+	restoreAfter   = 3     // intervals without overload before the first step is reverted
+
+	// Retries by clients after a rejection.
+	retryShedThreshold = 0.3                    // while the share shed of other requests is below it, retries aren't shed
+	minRetryAfter      = 600 * time.Millisecond // shortest Retry-After of a rejection
+	maxRetryAfter      = 1500 * time.Millisecond
+	retryAfterShare    = 0.3 // longest Retry-After as a share of the time left, of which clients honor a third
 )
 
 // Reason is why a request was rejected.
@@ -52,48 +52,48 @@
 	ReasonOverload Reason = "overload" // load shedding of its group
 )
 
-// Request is what admission knows of a request's size and time.
+// Request describes the size and the deadline of a request.
 type Request struct {
 	PromptTokens int
-	OutputTokens int           // at most
-	Remaining    time.Duration // until the client's deadline; 0: not known
+	OutputTokens int           // upper bound
+	Remaining    time.Duration // until the client's deadline; 0: unknown
 }
 
-// Decision is the answer to Admit.
+// Decision is the result of Admit.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // if it is rejected
+	RetryAfter time.Duration // when the client may retry; only for a rejection
 	Reason     Reason
 }
 
 // Options are the fixed settings of an Admission.
 type Options struct {
-	Random *rand.Rand // spreads Retry-After and the first rejection of each size; nil: seeded at random
+	Random *rand.Rand // for Retry-After and the initial shed credit of each size class; nil: randomly seeded
 }
 
-// Admission is the load shedding of one gateway. It is safe for concurrent use.
+// Admission decides on load shedding for one gateway. It is safe for concurrent use.
 type Admission struct {
-	mutex      sync.Mutex // guards all fields
-	random     *rand.Rand
-	started    bool
-	nextTick   time.Duration // end of the current interval
-	priorities []int         // the tenants' priorities in use, the most urgent first; a class is an index
-	groups     map[string]*group
-	order      []*group // in the configuration's order
-	loads      map[string]backendLoad
-	actions    []shedAction // steps in force, in the order in which they were taken
-	calm       int          // intervals since the last with an overload
-	restoring  bool         // calm has lasted, and a step is taken back each interval
+	mutex         sync.Mutex // guards all fields
+	random        *rand.Rand
+	started       bool
+	nextTick      time.Duration // end of the current interval
+	priorities    []int         // tenant priorities in use, the most urgent first; a class is an index of this slice
+	groups        map[string]*group
+	order         []*group // in the order of the configuration's routes
+	loads         map[string]backendLoad
+	steps         []shedStep // in force, in the order in which they were taken
+	sinceOverload int        // number of intervals since the last one with an overload
+	restoring     bool       // restoreAfter has been reached, and each interval without overload reverts a step
 }
 
-// backendLoad is the observed load of a backend's servers.
+// backendLoad is the observed load of one backend's servers.
 type backendLoad struct {
 	at          time.Duration
 	utilization float64 // share of the slots in use
 	queueing    bool    // requests wait for slots
 }
 
-// New returns the admission of a gateway without a configuration: it admits everything.
+// New returns an Admission without a configuration, which admits every request.
 func New(options Options) *Admission {
 	random := options.Random
 	if random == nil {
@@ -102,13 +102,13 @@
 	return &Admission{random: random, groups: map[string]*group{}, loads: map[string]backendLoad{}}
 }
 
-// Configure applies a configuration. Groups that stay keep their counts; what is shed stays unless a priority
-// changed.
+// Configure applies a configuration. Groups whose routes remain keep their counts. The shedding steps are kept
+// unless the tenant priorities or the priority of a remaining route have changed; then all are reverted.
 func (a *Admission) Configure(snapshot *configuration.Snapshot) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	priorities := tenantPriorities(snapshot)
-	keepActions := slices.Equal(priorities, a.priorities)
+	keepSteps := slices.Equal(priorities, a.priorities)
 	a.priorities = priorities
 	previous := a.groups
 	a.groups, a.order = make(map[string]*group, len(snapshot.Routes)), nil
@@ -121,21 +121,21 @@
 		if g == nil {
 			g = &group{name: route.Name}
 		} else if g.rank != route.Priority {
-			keepActions = false
+			keepSteps = false
 		}
 		g.configure(route, len(priorities))
 		a.groups[route.Name] = g
 		a.order = append(a.order, g)
 	}
 	a.updatePriorities()
-	if !keepActions {
+	if !keepSteps {
 		a.restoreAll()
 	}
-	a.forgetRemoved()
+	a.dropRemovedSteps()
 	a.updateEffective()
 }
 
-// Admit decides about a request. The tenant is nil on a public route.
+// Admit decides whether to admit a request or to shed it. The tenant is nil on a public route.
 func (a *Admission) Admit(now time.Duration, route *configuration.Route, tenant *configuration.Tenant,
 	size Request) Decision {
 	a.mutex.Lock()
@@ -147,15 +147,15 @@
 	}
 	class := a.priorityClass(tenant)
 	g.countOffered(class)
-	returning := g.isReturning(size.Remaining)
+	isRetry := g.isRetry(size.Remaining)
 	share := g.effectiveShed[class]
 	if share <= 0 || ablation.Off(ablation.AdmissionControl) || !a.serversLoaded(g, now) {
 		return Decision{Admit: true}
 	}
-	if returning {
-		share = returnerShed(share)
+	if isRetry {
+		share = retryShed(share)
 	}
-	if !g.drawShed(class, size, share, a.random) {
+	if !g.shouldShed(class, size, share, a.random) {
 		return Decision{Admit: true}
 	}
 	g.rejections++
@@ -172,8 +172,8 @@
 	}
 }
 
-// Attempt counts an attempt by its latency: to the first event on streaming routes, to the response on
-// others. An attempt that was given up counts with the time until then.
+// Attempt records the latency of an attempt: the time to the first event on streaming routes, to the response
+// on others. An abandoned attempt counts with the time until it was abandoned.
 func (a *Admission) Attempt(now time.Duration, routeName string, latency time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -183,8 +183,8 @@
 	}
 }
 
-// ObserveLoad records the load of a backend's servers: the share of their slots that is in use, and whether
-// requests wait for slots.
+// ObserveLoad records the load of a backend's servers: the share of their slots that is in use (utilization),
+// and whether requests wait for slots (queueing).
 func (a *Admission) ObserveLoad(now time.Duration, backend string, utilization float64, queueing bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -192,14 +192,14 @@
 	a.loads[backend] = backendLoad{at: now, utilization: utilization, queueing: queueing}
 }
 
-// returnerShed returns the share to shed of requests that were rejected before, when share is shed of the
-// others: none up to returnerGrace, then rising to the same maximum.
-func returnerShed(share float64) float64 {
-	return max(0, (share-returnerGrace)*maxShed/(maxShed-returnerGrace))
+// retryShed returns the share to shed of retries after a rejection, when share is shed of the other requests:
+// 0 up to retryShedThreshold, then rising to the same maximum.
+func retryShed(share float64) float64 {
+	return max(0, (share-retryShedThreshold)*maxShed/(maxShed-retryShedThreshold))
 }
 
-// retryAfter returns a random Retry-After, so that clients don't come back at once, within the time that they
-// honor.
+// retryAfter returns a random Retry-After, so that rejected clients don't all retry at the same time. It is
+// within the time that clients honor.
 func (a *Admission) retryAfter(remaining time.Duration) time.Duration {
 	longest := maxRetryAfter
 	if remaining > 0 {
--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -17,7 +17,8 @@
 	millisecond = time.Millisecond
 )
 
-// testSnapshot has routes of the given ranks before one backend, and a tenant of each priority.
+// testSnapshot returns a configuration with a route of each given rank, a batch route and a tenant of each given
+// priority. All routes have the same backend.
 func testSnapshot(ranks, tenantPriorities []int) *configuration.Snapshot {
 	document := configuration.Document{Backends: []configuration.Backend{{Name: backendName}}}
 	for i, rank := range ranks {
@@ -39,8 +40,9 @@
 	return a
 }
 
-// play sends perSecond requests a second of each route, all with a latency, and returns the shares rejected.
-func play(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, utilization float64) []float64 {
+// sendRequests offers perSecond requests a second to each route, for the given seconds. Each admitted request has the
+// latency of its route. It returns the share of each route's requests that was rejected.
+func sendRequests(a *Admission, snapshot *configuration.Snapshot, from, seconds int, perSecond []int, latency []time.Duration, utilization float64) []float64 {
 	rejected, offered := make([]float64, len(perSecond)), make([]float64, len(perSecond))
 	for s := from; s < from+seconds; s++ {
 		for i, n := range perSecond {
@@ -69,28 +71,28 @@
 	rates := []int{50, 5}
 	late := []time.Duration{150 * millisecond, 900 * millisecond}
 
-	Convey("The group with the top score is shed first, the next an interval later, and calm restores both", t, func() {
+	Convey("The group with the top score is shed first, the next an interval later, and both are restored without overload", t, func() {
 		a := newAdmission(snapshot, 1)
-		So(play(a, snapshot, 0, 2, rates, []time.Duration{50 * millisecond, 50 * millisecond}, 0.9), ShouldResemble, []float64{0, 0})
-		play(a, snapshot, 2, 2, rates, late, 0.9)
+		So(sendRequests(a, snapshot, 0, 2, rates, []time.Duration{50 * millisecond, 50 * millisecond}, 0.9), ShouldResemble, []float64{0, 0})
+		sendRequests(a, snapshot, 2, 2, rates, late, 0.9)
 		report := a.Report()
 		So(report[1].Score, ShouldBeGreaterThan, report[0].Score)
 		So(report[1].Shed[0], ShouldBeGreaterThan, 0)
 		So(report[0].Shed[0], ShouldEqual, 0)
-		play(a, snapshot, 4, 1, rates, late, 0.9)
+		sendRequests(a, snapshot, 4, 1, rates, late, 0.9)
 		So(a.Report()[0].Shed[0], ShouldBeGreaterThan, 0)
-		play(a, snapshot, 5, 6, rates, late, 0.9)
+		sendRequests(a, snapshot, 5, 6, rates, late, 0.9)
 		for _, group := range a.Report() {
-			So(group.Shed[0], ShouldBeLessThanOrEqualTo, maxShed+roundingSlack)
+			So(group.Shed[0], ShouldBeLessThanOrEqualTo, maxShed+roundingTolerance)
 		}
-		calm := []time.Duration{50 * millisecond, 50 * millisecond}
-		play(a, snapshot, 12, 16, rates, calm, 0.9)
-		So(play(a, snapshot, 28, 2, rates, calm, 0.9), ShouldResemble, []float64{0, 0})
+		fast := []time.Duration{50 * millisecond, 50 * millisecond}
+		sendRequests(a, snapshot, 12, 16, rates, fast, 0.9)
+		So(sendRequests(a, snapshot, 28, 2, rates, fast, 0.9), ShouldResemble, []float64{0, 0})
 	})
 
-	Convey("Nothing is shed while little of the capacity is in use, or while that isn't known", t, func() {
+	Convey("Nothing is shed while the utilization is low or unknown", t, func() {
 		a := newAdmission(snapshot, 1)
-		So(play(a, snapshot, 0, 10, rates, late, 0.45), ShouldResemble, []float64{0, 0})
+		So(sendRequests(a, snapshot, 0, 10, rates, late, 0.45), ShouldResemble, []float64{0, 0})
 		unknown := newAdmission(snapshot, 1)
 		for s := range 10 {
 			now := time.Duration(s) * second
@@ -101,9 +103,9 @@
 		}
 	})
 
-	Convey("A rejection has a Retry-After, and who comes back is admitted while the share is small", t, func() {
+	Convey("A rejection has a Retry-After, and a retry is admitted while the shed share is small", t, func() {
 		a := newAdmission(snapshot, 1)
-		play(a, snapshot, 2, 2, rates, late, 0.9)
+		sendRequests(a, snapshot, 2, 2, rates, late, 0.9)
 		route := &snapshot.Routes[1]
 		rejected := 0
 		for range 200 {
@@ -120,9 +122,9 @@
 		So(a.retryAfter(600*millisecond), ShouldBeLessThan, 200*millisecond)
 	})
 
-	Convey("After a process pause a gateway starts over", t, func() {
+	Convey("After a process pause nothing is shed", t, func() {
 		a := newAdmission(snapshot, 1)
-		play(a, snapshot, 0, 6, rates, late, 0.9)
+		sendRequests(a, snapshot, 0, 6, rates, late, 0.9)
 		a.ObserveLoad(60*second, backendName, 0.9, true)
 		So(a.Admit(60*second, &snapshot.Routes[1], nil, Request{}).Admit, ShouldBeTrue)
 		So(a.Report()[1].Shed[0], ShouldEqual, 0)
@@ -130,7 +132,7 @@
 }
 
 func TestLessUrgentShedFirst(t *testing.T) {
-	Convey("However high its score, a more urgent group isn't shed before the less urgent ones are", t, func() {
+	Convey("A more urgent group isn't shed before the less urgent ones, however high its score", t, func() {
 		snapshot := testSnapshot([]int{0, 2}, []int{0, 1})
 		a := newAdmission(snapshot, 1)
 		random := rand.New(rand.NewPCG(3, 3))
@@ -148,25 +150,25 @@
 					a.Attempt(now, route.Name, latency)
 				}
 			}
-			urgent, other := a.groups["a"].effectiveShed, a.groups["b"].effectiveShed
-			So(urgent[0], ShouldBeLessThanOrEqualTo, other[0]+roundingSlack)
-			So(urgent[1], ShouldBeLessThanOrEqualTo, other[1]+roundingSlack)
-			So(max(urgent[0], other[0]), ShouldBeLessThanOrEqualTo, min(urgent[1], other[1])+roundingSlack)
+			moreUrgent, lessUrgent := a.groups["a"].effectiveShed, a.groups["b"].effectiveShed
+			So(moreUrgent[0], ShouldBeLessThanOrEqualTo, lessUrgent[0]+roundingTolerance)
+			So(moreUrgent[1], ShouldBeLessThanOrEqualTo, lessUrgent[1]+roundingTolerance)
+			So(max(moreUrgent[0], lessUrgent[0]), ShouldBeLessThanOrEqualTo, min(moreUrgent[1], lessUrgent[1])+roundingTolerance)
 		}
 		So(a.groups["b"].effectiveShed[1], ShouldAlmostEqual, maxShed)
 	})
 }
 
-// longTailed draws a latency with a mean and the tail of a log-normal spread.
-func longTailed(random *rand.Rand, mean time.Duration, spread float64) time.Duration {
+// logNormal draws a latency from a log-normal distribution with the given mean and coefficient of variation.
+func logNormal(random *rand.Rand, mean time.Duration, spread float64) time.Duration {
 	sigma := math.Sqrt(math.Log(1 + spread*spread))
 	return time.Duration(float64(mean) * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
 }
 
-func TestTopScoreDoesNotLandByChance(t *testing.T) {
-	Convey("With three requests a second and long tails the group that costs more has the top score", t, func() {
+func TestNoisyLatencies(t *testing.T) {
+	Convey("With three requests a second and long-tailed latencies the group with the longer ones has the top score", t, func() {
 		snapshot := testSnapshot([]int{0, 0}, []int{0})
-		smoothed, raw, judged := 0, 0, 0
+		smoothed, raw, intervals := 0, 0, 0
 		for seed := range uint64(40) {
 			a := newAdmission(snapshot, seed)
 			random := rand.New(rand.NewPCG(seed, 7))
@@ -175,7 +177,7 @@
 				for i, mean := range []time.Duration{80 * millisecond, 240 * millisecond} {
 					for k := range 3 {
 						now := time.Duration(s)*second + time.Duration(k)*300*millisecond
-						latency := longTailed(random, mean, 1.4)
+						latency := logNormal(random, mean, 1.4)
 						a.Sent(now, snapshot.Routes[i].Name)
 						a.Attempt(now, snapshot.Routes[i].Name, latency)
 						sum[i], count[i] = sum[i]+latency.Seconds(), count[i]+1
@@ -185,7 +187,7 @@
 				if s < 8 {
 					continue
 				}
-				judged++
+				intervals++
 				if a.groups["b"].score > a.groups["a"].score {
 					smoothed++
 				}
@@ -194,15 +196,15 @@
 				}
 			}
 		}
-		t.Logf("the top score was right in %.3f of the intervals, from single intervals in %.3f",
-			float64(smoothed)/float64(judged), float64(raw)/float64(judged))
-		So(float64(smoothed)/float64(judged), ShouldBeGreaterThan, 0.97)
-		So(float64(raw)/float64(judged), ShouldBeLessThan, 0.92)
+		t.Logf("the slower group had the top score in %.3f of the intervals; by the mean latency of single intervals it was slower in %.3f",
+			float64(smoothed)/float64(intervals), float64(raw)/float64(intervals))
+		So(float64(smoothed)/float64(intervals), ShouldBeGreaterThan, 0.97)
+		So(float64(raw)/float64(intervals), ShouldBeLessThan, 0.92)
 	})
 
-	Convey("If one in sixteen is late without overload, a loaded gateway hardly ever sheds", t, func() {
+	Convey("If one attempt in sixteen is late without overload, a gateway with loaded servers rarely takes a shedding step", t, func() {
 		snapshot := testSnapshot([]int{0}, []int{0})
-		cuts, intervals := 0, 0
+		steps, intervals := 0, 0
 		for seed := range uint64(20) {
 			a := newAdmission(snapshot, seed)
 			random := rand.New(rand.NewPCG(seed, 9))
@@ -212,27 +214,27 @@
 				if random.IntN(16) == 0 {
 					latency = second
 				}
-				before := len(a.actions)
+				before := len(a.steps)
 				a.ObserveLoad(now, backendName, 0.9, false)
 				a.Attempt(now, "a", latency)
 				a.Sent(now, "a")
 				a.countOffered("a")
-				if len(a.actions) > before {
-					cuts++
+				if len(a.steps) > before {
+					steps++
 				}
 			}
 			intervals += 300
 		}
-		t.Logf("%d cuts in %d intervals", cuts, intervals)
-		So(float64(cuts)/float64(intervals), ShouldBeLessThan, 0.02)
+		t.Logf("%d shedding steps in %d intervals", steps, intervals)
+		So(float64(steps)/float64(intervals), ShouldBeLessThan, 0.02)
 	})
 }
 
-// countOffered counts an offered request without drawing a decision.
+// countOffered counts an offered request without deciding about it.
 func (a *Admission) countOffered(route string) { a.groups[route].countOffered(0) }
 
 func TestReport(t *testing.T) {
-	Convey("The percentile is that of the latencies, to a bucket", t, func() {
+	Convey("The percentile is that of the latencies, rounded up to a bucket", t, func() {
 		snapshot := testSnapshot([]int{0}, []int{0})
 		a := newAdmission(snapshot, 1)
 		for k := range 100 {
--- a/internal/gateway/admission/group.go
+++ b/internal/gateway/admission/group.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	outputWeight     = 10   // cost of a generated token, in prompt tokens
-	sizeClasses      = 32   // powers of two of a request's cost
-	trafficDecay     = 0.75 // factor on the offered requests each interval
-	minTraffic       = 1.0  // decayed requests of a tenant priority that count as traffic
-	returnerBelow    = 0.97 // of the longest remaining time: a client with less is taken to have been rejected before
-	maxReturnerShare = 0.5  // of requests; if more look like returners, none is believed to be one
-	remainingDecay   = 0.98 // factor on the longest remaining time each interval
-	returnerDecay    = 0.98 // factor on the share of returners each request
-	returnerWeight   = 1 - returnerDecay
+	outputWeight        = 10   // cost of a generated token, in prompt tokens
+	sizeClasses         = 32   // of requests, by powers of two of their cost
+	trafficDecay        = 0.75 // factor applied to the counts of offered requests each interval
+	minTraffic          = 1.0  // decayed offered requests below which a tenant priority counts as having no traffic
+	retryRemainingShare = 0.97 // share of the longest remaining time: a request with less is taken for a retry
+	maxRetryShare       = 0.5  // share of requests: if as many look like retries, none is taken for one
+	remainingDecay      = 0.98 // factor applied to the longest remaining time each interval
+	retryShareDecay     = 0.98 // factor applied to the share of retries with each request
+	retryShareWeight    = 1 - retryShareDecay
 )
 
-// group is a route's requests: their counts and what is shed of them. The Admission's mutex guards it.
-// Letters are those of the RUDA paper.
+// group holds the counts of a route's requests and the shares of them that are shed. The Admission's mutex
+// guards it. The letters v, q, r and f are the variables of the RUDA paper.
 type group struct {
 	name     string
 	rank     int // the route's priority; 0 is the most urgent
 	target   time.Duration
 	backends []string
-	priority float64 // v; all groups' sum to 1
+	priority float64 // v; the sum over all groups is 1
 
 	window   [windowSlots]slot
 	current  int
@@ -37,14 +37,14 @@
 	score    float64 // f; 0: none
 
 	traffic       []float64 // offered requests by tenant priority, decayed
-	shed          []float64 // share that its steps shed, by tenant priority
-	effectiveShed []float64 // share that is shed in fact; see updateEffective
-	actions       int       // steps in force
+	shed          []float64 // share that the group's steps shed, by tenant priority
+	effectiveShed []float64 // share that Admit sheds, by tenant priority; see updateEffective
+	steps         int       // number of the group's steps in force
 	rejections    uint64
 
-	shedCredit       [][sizeClasses]float64 // part of a rejection that is due, by tenant priority and size class
-	longestRemaining time.Duration          // remaining time of a request that comes for the first time
-	returnerShare    float64                // of requests that look like returners
+	shedCredit       [][sizeClasses]float64 // accumulated fraction of a rejection, by tenant priority and size class
+	longestRemaining time.Duration          // of recent requests, decaying; taken for that of a first attempt by a client
+	retryShare       float64                // share of requests that look like retries, moving average
 }
 
 // configure applies a route's configuration. classes is the number of tenant priorities.
@@ -61,13 +61,13 @@
 // slot returns the current interval's counts.
 func (g *group) slot() *slot { return &g.window[g.current] }
 
-// countOffered counts a request of a priority class, admitted or not.
+// countOffered counts a request of a priority class, whether it is admitted or shed.
 func (g *group) countOffered(class int) { g.traffic[class]++ }
 
-// drawShed reports whether a request is among the share that is shed. Each size class and tenant priority has
-// its own credit, which grows by the share with each request and is worth one rejection: so each class is
-// shed exactly its share, not just on average.
-func (g *group) drawShed(class int, size Request, share float64, random *rand.Rand) bool {
+// shouldShed reports whether to shed a request of a tenant priority class, of which share is to be shed. Each tenant
+// priority and size class has its own credit, which grows by share with each request and decreases by 1 with each
+// rejection. So exactly the share of each size class is shed, not only on average.
+func (g *group) shouldShed(class int, size Request, share float64, random *rand.Rand) bool {
 	if g.shedCredit == nil {
 		g.shedCredit = make([][sizeClasses]float64, len(g.shed))
 		for i := range g.shedCredit {
@@ -86,27 +86,27 @@
 	return true
 }
 
-// isReturning reports whether a request's client seems to have been rejected before: it has less time left
-// than those that come for the first time. If most requests look so, their deadlines differ for other
-// reasons.
-func (g *group) isReturning(remaining time.Duration) bool {
+// isRetry reports whether a request seems to be a client's retry after a rejection: it has less time left than
+// the first attempts of other clients. If half of the requests look like retries, their deadlines differ for
+// other reasons, and none is taken for a retry.
+func (g *group) isRetry(remaining time.Duration) bool {
 	if remaining <= 0 {
 		return false
 	}
 	g.longestRemaining = max(g.longestRemaining, remaining)
-	returning := remaining < time.Duration(returnerBelow*float64(g.longestRemaining))
-	g.returnerShare *= returnerDecay
-	if returning {
-		g.returnerShare += returnerWeight
+	looksLikeRetry := remaining < time.Duration(retryRemainingShare*float64(g.longestRemaining))
+	g.retryShare *= retryShareDecay
+	if looksLikeRetry {
+		g.retryShare += retryShareWeight
 	}
-	return returning && g.returnerShare < maxReturnerShare
+	return looksLikeRetry && g.retryShare < maxRetryShare
 }
 
-// endInterval adds an interval's counts to the smoothed ones and starts the next slot.
+// endInterval adds the counts of the interval that ends to the smoothed ones and starts the next slot.
 func (g *group) endInterval() {
 	ended := g.slot()
-	g.requests += (float64(ended.sent) - g.requests) / smoothingOver
-	g.latency += (ended.latency - g.latency) / smoothingOver
+	g.requests += (float64(ended.sent) - g.requests) / smoothingIntervals
+	g.latency += (ended.latency - g.latency) / smoothingIntervals
 	g.current = (g.current + 1) % windowSlots
 	*g.slot() = slot{}
 	for class := range g.traffic {
@@ -115,7 +115,7 @@
 	g.longestRemaining = time.Duration(remainingDecay * float64(g.longestRemaining))
 }
 
-// reset drops all counts.
+// reset clears the window, the smoothed counts, the score and the counts of offered requests.
 func (g *group) reset() {
 	g.window, g.current = [windowSlots]slot{}, 0
 	g.requests, g.latency, g.score = 0, 0, 0
--- a/internal/gateway/admission/load_test.go
+++ b/internal/gateway/admission/load_test.go
@@ -8,16 +8,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// queueModel is a server with a fixed rate of tokens per second, first come first served.
+// queueModel is a server that processes requests in the order of arrival, at a fixed rate of tokens per second.
 type queueModel struct {
 	perSecond float64
-	free      time.Duration // when its queue is empty
+	freeAt    time.Duration // when its queue is empty
 }
 
-// serve returns the latency of a request that arrives now.
+// serve adds a request that arrives now, with its cost in tokens, and returns its latency.
 func (q *queueModel) serve(now time.Duration, cost float64) time.Duration {
-	q.free = max(q.free, now) + time.Duration(cost/q.perSecond*float64(second))
-	return q.free - now
+	q.freeAt = max(q.freeAt, now) + time.Duration(cost/q.perSecond*float64(second))
+	return q.freeAt - now
 }
 
 // outcome counts requests by how they ended.
@@ -25,22 +25,25 @@
 
 func (o *outcome) share() float64 { return o.served / max(1, o.offered) }
 
-// simulatedLoad is gateways, each with its own admission, before one queue.
+// simulatedLoad is the state of a simulation of gateways, each with its own Admission, in front of one server.
+// retries holds the clients' retries of rejected requests until they arrive.
 type simulatedLoad struct {
 	random    *rand.Rand
 	gateways  []*Admission
 	queue     queueModel
 	admission bool
-	returning []arrival
+	retries   []arrival
 }
 
-// arrival is a request that arrives, for the first time or after a rejection.
+// arrival is a request that arrives at a time, for the first time or as a retry after a rejection; first is the time
+// of the request's first arrival. The cost is in tokens.
 type arrival struct {
 	at, first     time.Duration
 	route, tenant int
 	cost          float64
 }
 
+// meanCost is the mean cost of a request in tokens.
 const meanCost = 1000.0
 
 func TestRandomLoads(t *testing.T) {
@@ -50,60 +53,60 @@
 		deadline = 4 * second
 		target   = 200 * millisecond
 	)
-	// run plays seconds of load, as a share of the capacity by second, and counts by route, tenant priority
-	// and the largest tenth.
+	// run simulates one second for each element of loads, the offered load as a share of the server's capacity. It
+	// counts the requests by route, by tenant priority, the largest tenth, and all.
 	run := func(seed uint64, loads []float64, admit bool) (routes [3]outcome, tenants [2]outcome, largest, all outcome) {
-		w := &simulatedLoad{random: rand.New(rand.NewPCG(seed, 5)), queue: queueModel{perSecond: 150 * meanCost}, admission: admit}
+		simulation := &simulatedLoad{random: rand.New(rand.NewPCG(seed, 5)), queue: queueModel{perSecond: 150 * meanCost}, admission: admit}
 		for i := range gateways {
-			w.gateways = append(w.gateways, newAdmission(snapshot, seed*100+uint64(i)))
+			simulation.gateways = append(simulation.gateways, newAdmission(snapshot, seed*100+uint64(i)))
 		}
 		now := time.Duration(0)
 		for now < time.Duration(len(loads))*second {
 			rate := 150 * loads[int(now/second)]
-			now += time.Duration(w.random.ExpFloat64() / rate * float64(second))
-			next := arrival{at: now, first: now, cost: min(8, w.random.ExpFloat64()) * meanCost}
-			if pick := w.random.Float64(); pick < 0.2 {
+			now += time.Duration(simulation.random.ExpFloat64() / rate * float64(second))
+			next := arrival{at: now, first: now, cost: min(8, simulation.random.ExpFloat64()) * meanCost}
+			if pick := simulation.random.Float64(); pick < 0.2 {
 				next.route = 1
 			} else if pick < 0.4 {
 				next.route = 2
 			}
-			next.tenant = w.random.IntN(2)
+			next.tenant = simulation.random.IntN(2)
 			due := []arrival{next}
-			for i := 0; i < len(w.returning); i++ {
-				if w.returning[i].at <= now {
-					due = append(due, w.returning[i])
-					w.returning = append(w.returning[:i], w.returning[i+1:]...)
+			for i := 0; i < len(simulation.retries); i++ {
+				if simulation.retries[i].at <= now {
+					due = append(due, simulation.retries[i])
+					simulation.retries = append(simulation.retries[:i], simulation.retries[i+1:]...)
 					i--
 				}
 			}
 			for _, request := range due {
-				gateway := w.gateways[w.random.IntN(gateways)]
+				gateway := simulation.gateways[simulation.random.IntN(gateways)]
 				route := &snapshot.Routes[request.route]
-				backlog := max(0, w.queue.free-now)
+				backlog := max(0, simulation.queue.freeAt-now)
 				gateway.ObserveLoad(now, backendName, min(1, backlog.Seconds()/0.1), false)
 				decision := Decision{Admit: true}
 				if admit {
 					decision = gateway.Admit(now, route, &snapshot.Tenants[request.tenant],
 						Request{PromptTokens: int(request.cost), Remaining: deadline - (now - request.first)})
 				}
-				back := request.first != request.at
+				isRetry := request.first != request.at
 				counts := []*outcome{&routes[request.route], &tenants[request.tenant], &all}
 				if request.cost > 2.3*meanCost {
 					counts = append(counts, &largest)
 				}
 				for _, count := range counts {
-					if !back {
+					if !isRetry {
 						count.offered++
 					}
 				}
 				if !decision.Admit {
-					if !back {
+					if !isRetry {
 						request.at = now + decision.RetryAfter
-						w.returning = append(w.returning, request)
+						simulation.retries = append(simulation.retries, request)
 					}
 					continue
 				}
-				latency := w.queue.serve(now, request.cost)
+				latency := simulation.queue.serve(now, request.cost)
 				gateway.Sent(now, route.Name)
 				gateway.Attempt(now, route.Name, latency)
 				for _, count := range counts {
@@ -117,7 +120,7 @@
 		return routes, tenants, largest, all
 	}
 
-	Convey("Under random loads no kind, tenant priority or size is starved, and the urgent fare no worse", t, func() {
+	Convey("Under random loads no route, tenant priority or size is starved, and more urgent requests aren't served less often", t, func() {
 		random := rand.New(rand.NewPCG(11, 11))
 		for seed := range uint64(12) {
 			loads := make([]float64, 40)
@@ -139,17 +142,17 @@
 		}
 	})
 
-	Convey("Without overload it sheds nothing, and in a burst more are in time than without it", t, func() {
-		calm := make([]float64, 40)
+	Convey("Without overload nothing is shed, and in a burst more responses are in time than without admission", t, func() {
+		steady := make([]float64, 40)
 		burst := make([]float64, 40)
-		for i := range calm {
-			calm[i], burst[i] = 0.7, 0.7
+		for i := range steady {
+			steady[i], burst[i] = 0.7, 0.7
 			if i >= 10 && i < 16 {
 				burst[i] = 1.35
 			}
 		}
-		_, _, _, quiet := run(3, calm, true)
-		So(quiet.share(), ShouldEqual, 1)
+		_, _, _, atSteadyLoad := run(3, steady, true)
+		So(atSteadyLoad.share(), ShouldEqual, 1)
 		_, _, _, with := run(3, burst, true)
 		_, _, _, without := run(3, burst, false)
 		t.Logf("burst of 1.35 times the capacity for 6 s: in time %.3f with admission, %.3f without; served %.3f",
--- a/internal/gateway/admission/overload.go
+++ b/internal/gateway/admission/overload.go
@@ -7,7 +7,7 @@
 )
 
 // advance ends the intervals that have passed. After a process pause longer than the window all counts are
-// outdated, and it starts over.
+// outdated: they are reset, and all shedding steps are reverted.
 func (a *Admission) advance(now time.Duration) {
 	if !a.started {
 		a.started, a.nextTick = true, now+interval
@@ -27,7 +27,8 @@
 	}
 }
 
-// endInterval sheds a step more or takes one back, at the end of an interval.
+// endInterval ends the current interval. It takes a shedding step if a group is overloaded, and reverts one
+// if there has been no overload for restoreAfter intervals.
 func (a *Admission) endInterval(now time.Duration) {
 	overloaded := a.overloaded(now)
 	for _, g := range a.order {
@@ -35,9 +36,9 @@
 	}
 	a.updateScores()
 	if len(overloaded) > 0 {
-		a.calm, a.restoring = 0, false
+		a.sinceOverload, a.restoring = 0, false
 		a.shedNext(overloaded)
-	} else if a.calm++; a.calm >= calmIntervals || a.restoring {
+	} else if a.sinceOverload++; a.sinceOverload >= restoreAfter || a.restoring {
 		a.restoring = true
 		a.restoreLast()
 	}
@@ -45,7 +46,7 @@
 	a.checkInvariants()
 }
 
-// overloaded returns the groups that miss their target while their servers are loaded.
+// overloaded returns the groups that miss their latency target while their servers are known to be loaded.
 func (a *Admission) overloaded(now time.Duration) (list []*group) {
 	for _, g := range a.order {
 		sum := g.recent()
@@ -56,7 +57,8 @@
 	return list
 }
 
-// updateScores computes the RUDA score of the groups that have sent enough requests; that of others is 0.
+// updateScores computes the RUDA score of each group with a smoothed rate of at least minRequestRate. The score
+// of other groups is 0.
 func (a *Admission) updateScores() {
 	sumLatency, sumRequests := 0.0, 0.0
 	for _, g := range a.order {
@@ -71,7 +73,7 @@
 	}
 }
 
-// updatePriorities computes the groups' priorities from their routes' ranks.
+// updatePriorities computes the groups' priorities (v) from their ranks.
 func (a *Admission) updatePriorities() {
 	ranks := make([]int, len(a.order))
 	for i, g := range a.order {
--- a/internal/gateway/admission/priority.go
+++ b/internal/gateway/admission/priority.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// priorityClass returns the index of a tenant's priority among those in use. Requests without a tenant are
-// the most urgent.
+// priorityClass returns the index of a tenant's priority among those in use. Requests without a tenant belong to
+// the most urgent class.
 func (a *Admission) priorityClass(tenant *configuration.Tenant) int {
 	if tenant == nil {
 		return 0
@@ -17,7 +17,8 @@
 	return min(class, len(a.priorities)-1)
 }
 
-// tenantPriorities returns the priorities in use, the most urgent first; at least one.
+// tenantPriorities returns the distinct priorities of a configuration's tenants, the most urgent first. Without
+// tenants it returns priority 0 only.
 func tenantPriorities(snapshot *configuration.Snapshot) []int {
 	var list []int
 	for i := range snapshot.Tenants {
--- a/internal/gateway/admission/report.go
+++ b/internal/gateway/admission/report.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// roundingSlack is the rounding error that sums of shares may have.
-const roundingSlack = 1e-9
+// roundingTolerance is the greatest rounding error of sums of shares.
+const roundingTolerance = 1e-9
 
-// GroupReport is the state of a group, for operators.
+// GroupReport is the state of a group as shown to operators.
 type GroupReport struct {
 	Route        string
 	Priority     float64       // v
 	Requests     float64       // q, per second
 	Latency      float64       // r, seconds per second
 	Score        float64       // f
-	Percentile90 time.Duration // of the recent attempts
-	Shed         []float64     // share by tenant priority, the most urgent first
+	Percentile90 time.Duration // latency of the recent attempts, rounded up to a bucket of the histogram
+	Shed         []float64     // share shed by tenant priority, the most urgent first
 	Rejections   uint64        // since the route was configured
 }
 
@@ -36,16 +36,16 @@
 	return list
 }
 
-// checkInvariants panics if a share is out of bounds, or is larger for more urgent tenants of a group: either
-// is a bug of this package.
+// checkInvariants panics if the shed share of a tenant priority is out of bounds, or is smaller than that of more
+// urgent tenants of the same group. Either is a bug in this package.
 func (a *Admission) checkInvariants() {
 	for _, g := range a.order {
 		for class, share := range g.effectiveShed {
-			if share < 0 || share > maxShed+roundingSlack {
-				panic(fmt.Sprintf("admission: group %s sheds a share of %v", g.name, share))
+			if share < 0 || share > maxShed+roundingTolerance {
+				panic(fmt.Sprintf("admission: group %s sheds a share of %v, which is not between 0 and maxShed", g.name, share))
 			}
-			if class > 0 && share < g.effectiveShed[class-1]-roundingSlack {
-				panic(fmt.Sprintf("admission: group %s sheds more of the more urgent tenants: %v", g.name,
+			if class > 0 && share < g.effectiveShed[class-1]-roundingTolerance {
+				panic(fmt.Sprintf("admission: group %s sheds a larger share of more urgent tenants than of less urgent ones: %v", g.name,
 					g.effectiveShed))
 			}
 		}
--- a/internal/gateway/admission/shedding.go
+++ b/internal/gateway/admission/shedding.go
@@ -1,15 +1,14 @@
 package admission
 
-// shedAction is a step: the shares of a group's requests, by tenant priority, by which it raised what is
-// shed.
-type shedAction struct {
+// shedStep is one shedding step: the amounts by which it raised the shed shares of a group, by tenant priority.
+type shedStep struct {
 	group  *group
 	shares []float64
 }
 
-// shedNext sheds a step of the group with the highest score among those with the fewest steps since the
-// overload began: so each interval goes to the next group. A group that may not shed more yet, as less urgent
-// requests would be served more often, is passed over.
+// shedNext takes a step for the group with the highest score among those with the fewest steps in force, so that
+// successive intervals shed the groups in turn. A group of which no more may be shed yet, because less urgent
+// requests would then be served more often, is skipped.
 func (a *Admission) shedNext(overloaded []*group) {
 	amount := stepShare
 	for _, g := range overloaded {
@@ -24,7 +23,7 @@
 			if g.score <= 0 || skipped[g] || !sharesWithAny(g, overloaded) {
 				continue
 			}
-			if top == nil || g.actions < top.actions || g.actions == top.actions && g.score > top.score {
+			if top == nil || g.steps < top.steps || g.steps == top.steps && g.score > top.score {
 				top = g
 			}
 		}
@@ -35,15 +34,15 @@
 			for class, more := range shares {
 				top.shed[class] += more
 			}
-			top.actions++
-			a.actions = append(a.actions, shedAction{group: top, shares: shares})
+			top.steps++
+			a.steps = append(a.steps, shedStep{group: top, shares: shares})
 			return
 		}
 		skipped[top] = true
 	}
 }
 
-// sharesWithAny reports whether a group has servers in common with any group of a list.
+// sharesWithAny reports whether a group has a backend in common with any group of a list.
 func sharesWithAny(g *group, list []*group) bool {
 	for _, other := range list {
 		if g.sharesServers(other) {
@@ -53,8 +52,9 @@
 	return false
 }
 
-// sheddable returns how much more of each tenant priority a step of amount would shed of a group, the least
-// urgent first, and which share of the group's requests that is in total.
+// sheddable returns by how much a step would raise the shed share of each tenant priority of a group. The step
+// is to shed amount, as a share of the group's requests, of the least urgent tenants first. total is the share of
+// the group's requests that it sheds within the limits of maxShedFor.
 func (a *Admission) sheddable(g *group, amount float64) (shares []float64, total float64) {
 	shares = make([]float64, len(g.shed))
 	all := 0.0
@@ -76,9 +76,9 @@
 	return shares, total
 }
 
-// maxShedFor returns the largest share that may be shed of a group's tenant priority: no more than of any
-// less urgent requests at the same servers that have traffic. step is what the step sheds of the less urgent
-// ones already.
+// maxShedFor returns the largest share that may be shed of a group's tenant priority: at most maxShed, and no
+// more than of any less urgent requests at the same servers that have traffic. step holds the amounts by which
+// the step in preparation raises the shares of the group's less urgent tenant priorities.
 func (a *Admission) maxShedFor(g *group, class int, step []float64) float64 {
 	limit := maxShed
 	for below := class + 1; below < len(g.shed); below++ {
@@ -98,9 +98,9 @@
 	return limit
 }
 
-// updateEffective computes the shares that are shed in fact: at least as much as of more urgent requests at
-// the same servers. A priority without traffic at the time of a step was left out of it, and may have traffic
-// now.
+// updateEffective computes the shares that Admit sheds: those of the steps, but at least the share that is shed of
+// any more urgent requests at the same servers. The steps alone don't ensure this: a priority without traffic at
+// the time of a step was left out of it, and may have traffic now.
 func (a *Admission) updateEffective() {
 	for _, g := range a.order {
 		for class := range g.effectiveShed {
@@ -115,8 +115,8 @@
 	}
 }
 
-// maxShedAbove returns the largest share of a group's requests that are more urgent than a tenant priority
-// and rank.
+// maxShedAbove returns the largest share that the steps shed of those requests of a group that are more urgent
+// than a tenant priority class and a rank.
 func (g *group) maxShedAbove(class, rank int) float64 {
 	most := 0.0
 	for own, share := range g.shed {
@@ -127,39 +127,39 @@
 	return most
 }
 
-// restoreLast takes the last step back. Without any left, the groups' turns start over.
+// restoreLast reverts the latest step. If there is none, the groups' turns start over.
 func (a *Admission) restoreLast() {
-	if len(a.actions) == 0 {
+	if len(a.steps) == 0 {
 		for _, g := range a.order {
-			g.actions = 0
+			g.steps = 0
 		}
 		return
 	}
-	last := a.actions[len(a.actions)-1]
-	a.actions = a.actions[:len(a.actions)-1]
+	last := a.steps[len(a.steps)-1]
+	a.steps = a.steps[:len(a.steps)-1]
 	for class, share := range last.shares {
 		last.group.shed[class] = max(0, last.group.shed[class]-share)
 	}
-	last.group.actions = max(0, last.group.actions-1)
+	last.group.steps = max(0, last.group.steps-1)
 }
 
-// restoreAll takes all steps back at once.
+// restoreAll reverts all steps at once.
 func (a *Admission) restoreAll() {
-	a.actions, a.calm, a.restoring = nil, 0, false
+	a.steps, a.sinceOverload, a.restoring = nil, 0, false
 	for _, g := range a.order {
 		clear(g.shed)
 		clear(g.effectiveShed)
-		g.actions = 0
+		g.steps = 0
 	}
 }
 
-// forgetRemoved drops the steps of groups that were removed.
-func (a *Admission) forgetRemoved() {
-	kept := a.actions[:0]
-	for _, action := range a.actions {
-		if a.groups[action.group.name] == action.group {
-			kept = append(kept, action)
+// dropRemovedSteps drops the steps of groups that were removed.
+func (a *Admission) dropRemovedSteps() {
+	kept := a.steps[:0]
+	for _, step := range a.steps {
+		if a.groups[step.group.name] == step.group {
+			kept = append(kept, step)
 		}
 	}
-	a.actions = kept
+	a.steps = kept
 }
