--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -1,6 +1,5 @@
-// Package outcomes counts how clients' requests end, by route and outcome, so that the operators of a live
-// gateway can see where responses are late, rejected or lost, and why. docs/operate/requests.md describes
-// each outcome and what to do.
+// Package outcomes counts how clients' requests end, by route and outcome, so that operators can see where
+// responses are late, rejected or missing, and why. docs/operate/requests.md describes each outcome and what to do.
 package outcomes
 
 import (
@@ -16,36 +15,36 @@
 // Outcome is how a request ended. Its values are label values of a metric and keys of log lines.
 type Outcome string
 
-// Outcomes. A request counts once, by its final response; a late one by what it waited for. Truncated is
-// counted in addition, as the beginning of the response has been counted already.
+// Outcomes of requests. Each request counts once, by its final response; a late response by the cause of the
+// delay. Truncated is counted in addition, because the beginning of the response has been counted already.
 const (
 	InTime           Outcome = "in_time"
-	LateRetried      Outcome = "late_retried"     // earlier attempts took the time
+	LateRetried      Outcome = "late_retried"     // earlier attempts took the time until the target
 	LateQueued       Outcome = "late_queued"      // its server had a request in every slot, or others waiting
-	LatePrefill      Outcome = "late_reading"     // its prompt took long to read
+	LatePrefill      Outcome = "late_reading"     // its server took long to read the prompt
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
 	RejectedOverload Outcome = "refused_overload" // load shedding
 	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
-	Unready          Outcome = "unready"          // 503 before it was read: not ready, or no memory for it
-	NoServer         Outcome = "no_server"        // no server took it, and none ran it
+	Unready          Outcome = "unready"          // 503 before it was read: the gateway wasn't ready or had no memory for it
+	NoServer         Outcome = "no_server"        // no server accepted it, and none ran it
 	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
-	Lost             Outcome = "lost"             // it may have run, and no response came
-	Truncated        Outcome = "cut"              // its stream broke off, and wasn't resumed
+	Lost             Outcome = "lost"             // a server may have run it, and no response arrived
+	Truncated        Outcome = "cut"              // its stream ended early and wasn't resumed
 	ClientLeft       Outcome = "client_left"      // its client closed the connection before the response
 )
 
-// Attempt is what is known of the attempt that was answered.
+// Attempt describes the attempt that yielded a request's response.
 type Attempt struct {
 	Latency         time.Duration // from the request's arrival to the first event, or to the response
-	Target          time.Duration // of the route; 0: none
-	EarlierAttempts int           // before this one
-	PrefillTokens   int           // that the server was estimated to have to read
-	InFlight        int           // requests that the server reported when it was selected
-	Queued          int           // requests that waited there when it responded
+	Target          time.Duration // latency target of the route; 0: none
+	EarlierAttempts int           // number of attempts before this one
+	PrefillTokens   int           // prompt tokens that the server had to read, by the gateway's estimate
+	InFlight        int           // requests at the server by its reports, when it was selected
+	Queued          int           // requests that waited at the server when it responded
 	Slots           int           // of the server; 0: it reports no load
 }
 
-// Classify returns the outcome of a request that was answered.
+// Classify returns the outcome of a request that got a response from a server.
 func Classify(a Attempt) Outcome {
 	if a.Target <= 0 || a.Latency <= a.Target {
 		return InTime
@@ -61,7 +60,7 @@
 	return LateServer
 }
 
-// key is what is counted separately.
+// key identifies a counter.
 type key struct {
 	Route   string
 	Outcome Outcome
@@ -69,9 +68,9 @@
 
 // Counts are totals since the start. They are safe for concurrent use.
 type Counts struct {
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	totals     map[key]uint64
-	reported   map[key]uint64 // totals at the last Delta
+	reported   map[key]uint64 // totals at the last call of Delta
 	latencies  map[string]*Latencies
 	batchCalls map[BatchCall]uint64
 }
@@ -79,19 +78,20 @@
 // LatencyBounds are the upper bounds, in seconds, of the buckets of Latencies.
 var LatencyBounds = []float64{0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2.5, 5, 10}
 
-// Latencies is a histogram of the latencies of a route's answered requests.
+// Latencies is a histogram of the latencies of a route's requests that got a response.
 type Latencies struct {
-	Buckets [12]uint64 // by LatencyBounds; the last one has what is above all of them
+	Buckets [12]uint64 // by LatencyBounds; the last one counts the latencies above all bounds
 	Sum     float64    // seconds
 }
 
-// BatchCall is what calls of the batch interface are counted by.
+// BatchCall is the key by which calls of the batch interface are counted.
 type BatchCall struct {
 	Operation string
-	Status    int // of the answer
+	Status    int // HTTP status of the response
 }
 
-// maxKeys bounds the keys, as routes come and go all day. Requests beyond it count under an empty route.
+// maxKeys bounds the number of keys, because routes are added and removed all day. Requests with further keys count
+// under an empty route.
 const maxKeys = 4096
 
 // New returns empty counts.
@@ -100,7 +100,7 @@
 		batchCalls: map[BatchCall]uint64{}}
 }
 
-// Add counts a request.
+// Add counts a request of a route that ended with an outcome.
 func (c *Counts) Add(route string, outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,10 +111,12 @@
 	c.totals[labels]++
 }
 
-// maxRoutes bounds the routes whose latencies are counted apart. Those beyond it count under an empty route.
+// maxRoutes bounds the number of routes with a latency histogram. Latencies of further routes count under an empty
+// route.
 const maxRoutes = 512
 
-// AddLatency counts the latency of a request that was answered: to the first event of a stream, or to the response.
+// AddLatency counts the latency of a request that got a response: the time to the first event of a stream, or to the
+// response.
 func (c *Counts) AddLatency(route string, latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,14 +148,14 @@
 	return list
 }
 
-// AddBatchCall counts an answer of the batch interface.
+// AddBatchCall counts a call of the batch interface by its operation and the HTTP status of the response.
 func (c *Counts) AddBatchCall(operation string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.batchCalls[BatchCall{Operation: operation, Status: status}]++
 }
 
-// BatchCalls returns the counts of the batch interface.
+// BatchCalls returns the counts of the calls of the batch interface.
 func (c *Counts) BatchCalls() map[BatchCall]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/outcomes/outcomes_test.go
+++ b/internal/gateway/outcomes/outcomes_test.go
@@ -9,25 +9,25 @@
 )
 
 func TestClassify(t *testing.T) {
-	Convey("A late response is classified by what it waited for", t, func() {
+	Convey("A late response is classified by the cause of the delay", t, func() {
 		late := Attempt{Latency: 500 * time.Millisecond, Target: 300 * time.Millisecond}
 		So(Classify(Attempt{Latency: 200 * time.Millisecond, Target: 300 * time.Millisecond}), ShouldEqual, InTime)
 		So(Classify(Attempt{Latency: time.Hour}), ShouldEqual, InTime)
 		So(Classify(late), ShouldEqual, LateServer)
-		retried, reading, queued, waiting := late, late, late, late
+		retried, prefill, queued, waiting := late, late, late, late
 		retried.EarlierAttempts = 1
-		reading.PrefillTokens = 30_000
+		prefill.PrefillTokens = 30_000
 		queued.InFlight, queued.Slots = 12, 12
 		waiting.InFlight, waiting.Slots, waiting.Queued = 3, 12, 1
 		So(Classify(retried), ShouldEqual, LateRetried)
-		So(Classify(reading), ShouldEqual, LatePrefill)
+		So(Classify(prefill), ShouldEqual, LatePrefill)
 		So(Classify(queued), ShouldEqual, LateQueued)
 		So(Classify(waiting), ShouldEqual, LateQueued)
 	})
 }
 
 func TestCounts(t *testing.T) {
-	Convey("Totals stay, and Delta returns what is new once", t, func() {
+	Convey("Totals accumulate, and Delta returns each count once", t, func() {
 		c := New()
 		c.Add("a", InTime)
 		c.Add("a", InTime)
@@ -48,7 +48,7 @@
 }
 
 func TestLatencies(t *testing.T) {
-	Convey("Latencies are counted by route, in the bucket of the least bound that is not below them", t, func() {
+	Convey("Latencies are counted by route, in the bucket with the lowest bound that isn't below them", t, func() {
 		c := New()
 		So(len(Latencies{}.Buckets), ShouldEqual, len(LatencyBounds)+1)
 		c.AddLatency("a", 25*time.Millisecond)
@@ -65,8 +65,8 @@
 		}
 		So(len(c.RouteLatencies()), ShouldBeLessThanOrEqualTo, maxRoutes+1)
 		total := uint64(0)
-		for _, one := range c.RouteLatencies() {
-			total += one.Buckets[7]
+		for _, histogram := range c.RouteLatencies() {
+			total += histogram.Buckets[7]
 		}
 		So(total, ShouldEqual, 3*maxRoutes)
 	})
--- a/internal/gateway/retry/history_test.go
+++ b/internal/gateway/retry/history_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPromises(t *testing.T) {
-	Convey("Whatever the outcomes, a request runs on no more servers than allowed and its status is true", t, func() {
+	Convey("With any outcomes a request runs on no more servers than allowed, and 503 is returned only if it has not run", t, func() {
 		random := rand.New(rand.NewPCG(3, 4))
 		for range 20000 {
 			h := History{Idempotent: random.IntN(2) == 0, MaxServers: random.IntN(4)}
@@ -35,7 +35,7 @@
 			}
 		}
 	})
-	Convey("A server that did not run the request may be followed by another, one that may have run it may not", t, func() {
+	Convey("A retry is allowed after a server that did not run the request, but not after one that may have run it", t, func() {
 		h := History{MaxServers: 1}
 		h.Record(NotExecuted)
 		h.Record(NotSent)
