--- a/internal/gateway/serverselection/affinity.go
+++ b/internal/gateway/serverselection/affinity.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// minAffinityTokens is the least length of a shared prefix for which requests prefer the same servers.
+	// minAffinityTokens is the least length of a shared prefix for which the same servers are preferred.
 	minAffinityTokens = 1024
 	// Shares of a shared prefix that the first two servers of its order are assumed to hold in their caches,
-	// as long as this gateway doesn't know better.
+	// unless this gateway's cache model (prefixCache) has more.
 	firstCachedShare, secondCachedShare = 0.9, 0.45
 )
 
-// affinityOrder is the beginning of the order in which a backend's servers are preferred for a prefix. All
-// gateways that have the same list of servers find the same order. Its zero value prefers none.
+// affinityOrder holds the first two servers in a backend's order of preference for a prefix. All gateways with the
+// same list of servers compute the same order. The zero value prefers no server.
 type affinityOrder struct {
 	primary, secondary policy.ServerID
 }
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// affinityKey returns the hash of the prefix by which the request prefers servers: the shortest one with at
-// least half of what other requests may share. found is false if too little is shared.
+// affinityKey returns the hash of the prefix that determines the preferred servers: the shortest one with at least
+// half of the tokens that other requests may share. found is false if these are fewer than minAffinityTokens.
 func (w *Workload) affinityKey() (prefix uint64, found bool) {
 	shared := w.shared()
 	if len(shared) == 0 {
--- a/internal/gateway/serverselection/cost.go
+++ b/internal/gateway/serverselection/cost.go
@@ -8,21 +8,21 @@
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
-// Costs are in prompt tokens that the server would have to read before the request's own first token.
+// Costs are in prompt tokens that the server would have to read before the request's first token.
 const (
-	// ownRequestCost is that of one of this gateway's requests in flight, at a server that doesn't report its
+	// ownRequestCost is the cost of each of this gateway's requests in flight at a server that doesn't report its
 	// load: each makes every decoding step a little longer.
 	ownRequestCost = 60
-	// reportedRequestCost is that of a request in flight at a server that reports its load, and
-	// queuedRequestCost that of one that waits there for a slot, ahead of a new request.
+	// reportedRequestCost is the cost of each request in flight at a server that reports its load.
+	// queuedRequestCost is the additional cost of each that waits there for a slot ahead of a new request.
 	reportedRequestCost, queuedRequestCost = 300, 5000
-	// crossZoneCost is that of a server in another zone: the crossings and the price of the bytes.
+	// crossZoneCost is the cost of a server in another zone, for the zone crossings and the price of the bytes.
 	crossZoneCost = 200
-	// maxStallPenalty and maxLatencyPenalty bound the penalties.
+	// maxStallPenalty and maxLatencyPenalty are the largest penalties of a server.
 	maxStallPenalty, maxLatencyPenalty = 50_000, 20_000
-	// jitter is the width of the random part.
+	// jitter is the upper bound of the random part of the cost.
 	jitter = 120
-	// prefillTokensPerMs converts time into tokens.
+	// prefillTokensPerMs converts time into prompt tokens.
 	prefillTokensPerMs = serverload.PrefillTokensPerMs
 )
 
@@ -42,7 +42,7 @@
 		jitter*s.random.Float64()
 }
 
-// announcedPrefill returns the tokens of long prompts from other processes that a server is still reading.
+// announcedPrefill returns the tokens that a server still has to read of long prompts announced by other processes.
 func (s *Selector) announcedPrefill(now time.Time, server *endpoints.Server) float64 {
 	if ablation.Off(ablation.PrefixAnnouncements) {
 		return 0
@@ -50,8 +50,8 @@
 	return prefillTokensPerMs * float64(s.loads.PrefillTime(now, server.Hash)) / float64(time.Millisecond)
 }
 
-// stallPenalty returns the penalty of a server at which requests wait and which sends nothing: a new request
-// is expected to wait for as long as the server has sent nothing.
+// stallPenalty returns the penalty of a server that sends nothing while requests of this gateway wait for their
+// first response: a new request is expected to wait for as long as the server has sent nothing.
 func (s *serverState) stallPenalty(now time.Time) float64 {
 	if s.awaitingFirst == 0 || ablation.Off(ablation.TimeoutWeighting) {
 		return 0
--- a/internal/gateway/serverselection/latency.go
+++ b/internal/gateway/serverselection/latency.go
@@ -16,7 +16,7 @@
 	latencyDecay = 3 * time.Second
 )
 
-// observeLatency updates the averages by how long a request waited for its first response. mu is held.
+// observeLatency updates the averages with the time for which a request waited for its first response. mu is held.
 func (s *Selector) observeLatency(now time.Time, state *serverState, latency time.Duration) {
 	ms := float64(latency) / float64(time.Millisecond)
 	if s.meanLatency == 0 {
@@ -30,7 +30,7 @@
 	state.latencyAt = now
 }
 
-// latencyPenalty returns the penalty of a server that is slower than the average. mu is held.
+// latencyPenalty returns the penalty of a server whose mean latency exceeds that of all servers. mu is held.
 func (s *Selector) latencyPenalty(now time.Time, state *serverState) float64 {
 	if state.meanLatency <= s.meanLatency || ablation.Off(ablation.LatencyWeighting) {
 		return 0
--- a/internal/gateway/serverselection/prefix_cache.go
+++ b/internal/gateway/serverselection/prefix_cache.go
@@ -5,19 +5,20 @@
 const (
 	// prefixTTL is how long a prefix that was sent to a server is assumed to be in its cache.
 	prefixTTL = 15 * time.Second
-	// minCachedTokens is the shortest prefix that is remembered.
+	// minCachedTokens is the least length of a prefix that is recorded.
 	minCachedTokens = 64
-	// maxCachedPrefixes bounds the prefixes that are remembered of one server.
+	// maxCachedPrefixes bounds the number of prefixes that are kept for one server.
 	maxCachedPrefixes = 512
 )
 
-// prefixCache is a model of a server's prefix cache, from what this gateway has sent there. The selector's mu
-// guards it.
+// prefixCache is a model of a server's prefix cache, built from the prompts that this gateway has sent there. The
+// selector's mu guards it.
 type prefixCache struct {
 	sentAt map[uint64]time.Time // by prefix hash
 }
 
-// cachedTokens returns the length of the longest prefix that the server need not read again.
+// cachedTokens returns the length in tokens of the longest prefix that the server is assumed to have in its cache.
+// prefixes are those of one prompt, from the shortest.
 func (c *prefixCache) cachedTokens(prefixes []Prefix, now time.Time) int {
 	cached := 0
 	for _, prefix := range prefixes {
@@ -30,7 +31,7 @@
 	return cached
 }
 
-// record notes that a prompt with these prefixes is sent to the server.
+// record adds the prefixes of a prompt that is sent to the server.
 func (c *prefixCache) record(prefixes []Prefix, now time.Time) {
 	if c.sentAt == nil {
 		c.sentAt = make(map[uint64]time.Time, len(prefixes))
@@ -45,7 +46,8 @@
 	}
 }
 
-// evict drops the prefixes that have expired, and then arbitrary ones until a quarter of the space is free.
+// evict drops the prefixes that have expired, and then arbitrary ones until at most three quarters of
+// maxCachedPrefixes are left.
 func (c *prefixCache) evict(now time.Time) {
 	for hash, last := range c.sentAt {
 		if now.Sub(last) > prefixTTL {
--- a/internal/gateway/serverselection/reported_load.go
+++ b/internal/gateway/serverselection/reported_load.go
@@ -11,17 +11,18 @@
 const (
 	// sampleSize is how many servers are drawn (the power of two choices).
 	sampleSize = 2
-	// maxDraws bounds the draws, of which those of failing servers are discarded.
+	// maxDraws bounds the number of draws. Draws of failing servers are discarded.
 	maxDraws = 4 * sampleSize
-	// assumedUtilization is that of a server whose load isn't known, in a backend whose servers report
-	// theirs.
+	// assumedUtilization is the utilization that is assumed of a server with an unknown load, in a backend whose
+	// servers report their load.
 	assumedUtilization = 0.5
-	// reportMemory is how long a backend counts as one whose servers report their load, after one did.
-	reportMemory = 3 * time.Second
+	// loadReportingTTL is how long a backend counts as one whose servers report their load, after the load of one
+	// was known.
+	loadReportingTTL = 3 * time.Second
 )
 
-// sample draws servers of a backend that reports its load, and adds those that are preferred for the
-// request's prefix. It returns all servers if loads aren't reported. mu is held.
+// sample draws servers of a backend whose servers report their load, and adds those that are preferred for the
+// request's prefix. It returns the whole list if it is short or if no drawn server has a known load. mu is held.
 func (s *Selector) sample(now time.Time, list []*endpoints.Server, preferred affinityOrder) []*endpoints.Server {
 	if len(list) <= sampleSize || ablation.Off(ablation.ReportedLoad) {
 		return list
@@ -53,7 +54,7 @@
 	return drawn
 }
 
-// failing reports whether a server fails the requests of the zone's processes.
+// failing reports whether a server fails the requests of processes in this gateway's zone.
 func (s *Selector) failing(now time.Time, server *endpoints.Server) bool {
 	return !ablation.Off(ablation.SharedFailures) && s.loads.Failing(now, server.Hash)
 }
@@ -73,8 +74,8 @@
 	return queueCost(load.InFlight()+state.recent.CountSince(reportedAt.UnixNano()), load.Slots)
 }
 
-// reportedInFlight returns the requests that a server reported, and those that this gateway has sent it
-// since; 0 if its load isn't known. mu is held.
+// reportedInFlight returns the number of requests in flight that a server last reported, plus those that this
+// gateway has sent it since; 0 if its load isn't known. mu is held.
 func (s *Selector) reportedInFlight(now time.Time, server *endpoints.Server, state *serverState) int {
 	load, reportedAt, known := s.loads.Lookup(now, server.Hash)
 	if !known {
@@ -83,14 +84,14 @@
 	return load.InFlight() + state.recent.CountSince(reportedAt.UnixNano())
 }
 
-// reportsLoad reports whether a backend's servers have reported their load lately. mu is held.
+// reportsLoad reports whether the load of a server of a backend was known within loadReportingTTL. mu is held.
 func (s *Selector) reportsLoad(now time.Time, backend string) bool {
 	last, reported := s.lastReport[backend]
-	return reported && now.Sub(last) < reportMemory
+	return reported && now.Sub(last) < loadReportingTTL
 }
 
-// queueCost returns the cost of the requests in flight at a server with a number of slots. Those that leave
-// no slot for a new request are ahead of it in the server's queue.
+// queueCost returns the cost of the requests in flight at a server with a number of slots. Those that leave no slot
+// for a new request count as ahead of it in the server's queue.
 func queueCost(inFlight, slots int) float64 {
 	cost := reportedRequestCost * float64(inFlight)
 	if ahead := inFlight + 1 - slots; ahead > 0 {
@@ -99,8 +100,10 @@
 	return cost
 }
 
-// Utilization returns the share of the servers' slots that is in use, and whether requests wait for slots, by
-// the loads that the servers report. known is false if fewer than half of the servers have reported lately.
+// Utilization returns the share of the servers' slots that is in use, and whether requests wait for slots, by the
+// loads that the servers report. share includes the waiting requests and may exceed 1. waiting is true if at least
+// one request waits for every two servers that reported. known is false if fewer than half of the servers have
+// reported recently.
 func (s *Selector) Utilization(now time.Time, list []*endpoints.Server) (share float64, waiting, known bool) {
 	if ablation.Off(ablation.ReportedLoad) {
 		return 0, false, false
--- a/internal/gateway/serverselection/reservation.go
+++ b/internal/gateway/serverselection/reservation.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/internal/gateway/endpoints"
 )
 
-// Reservation is a request's place at a server, from its selection to Done. It belongs to one goroutine.
+// Reservation is a request's place at a server, from its selection to Done. It is for use by one goroutine.
 type Reservation struct {
 	Server *endpoints.Server
 
@@ -16,11 +16,11 @@
 	prefillTokens    int
 	reportedInFlight int
 	startedAt        time.Time
-	waiting          bool // for the first response
+	waiting          bool // the first response hasn't arrived
 	done             bool
 }
 
-// reserve counts a request at the selected server. mu is held.
+// reserve counts a request at the selected server and returns its reservation. mu is held.
 func (s *Selector) reserve(now time.Time, selected candidate, workload *Workload) *Reservation {
 	state := selected.state
 	r := &Reservation{Server: selected.server, selector: s, state: state, startedAt: now, waiting: true}
@@ -41,15 +41,15 @@
 	return r
 }
 
-// PrefillTokens returns the estimated number of prompt tokens that the server has to read, as its cache lacks
-// them.
+// PrefillTokens returns the estimated number of prompt tokens that the server has to read because its cache doesn't
+// hold them.
 func (r *Reservation) PrefillTokens() int { return r.prefillTokens }
 
-// ReportedInFlight returns how many requests were at the server when it was selected: those that it reported,
-// and what this gateway sent it since. 0 if it doesn't report its load.
+// ReportedInFlight returns the number of requests at the server when it was selected: those that it last reported,
+// plus those that this gateway sent it since. It returns 0 if the load wasn't known.
 func (r *Reservation) ReportedInFlight() int { return r.reportedInFlight }
 
-// FirstResponse notes that the first part of the response has arrived.
+// FirstResponse records that the first part of the response has arrived.
 func (r *Reservation) FirstResponse(now time.Time) {
 	r.selector.mu.Lock()
 	defer r.selector.mu.Unlock()
@@ -60,26 +60,27 @@
 	r.state.lastProgress = now
 }
 
-// Progress notes that the server has sent more of the response.
+// Progress records that the server has sent more of the response.
 func (r *Reservation) Progress(now time.Time) {
 	r.selector.mu.Lock()
 	defer r.selector.mu.Unlock()
 	r.state.lastProgress = now
 }
 
-// endWaiting takes the request out of those that await their first response. mu is held.
+// endWaiting removes the request from the counts of those that await their first response. mu is held.
 func (r *Reservation) endWaiting() {
 	r.waiting = false
 	r.state.awaitingFirst--
 	r.state.pendingTokens -= r.prefillTokens
 }
 
-// stallTimeout is how long a working server may leave all requests that wait there without a response, beside
-// the time for reading their prompts.
+// stallTimeout is the longest time for which a working server sends nothing to any request of this gateway, in
+// addition to the time for reading the prompts that wait there.
 const stallTimeout = 400 * time.Millisecond
 
-// Stalled reports whether the server has sent nothing, to any request of this gateway, for so long that the
-// request is better retried elsewhere. The time for reading the prompts that wait there is allowed for twice.
+// Stalled reports whether the server has sent nothing to any request of this gateway for so long that the request
+// should be retried at another server: for stallTimeout and twice the estimated time for reading the prompts that
+// wait there.
 func (r *Reservation) Stalled(now time.Time) bool {
 	r.selector.mu.Lock()
 	defer r.selector.mu.Unlock()
@@ -87,11 +88,11 @@
 	return now.Sub(r.state.lastProgress) > stallTimeout+2*prefill
 }
 
-// abandonedFailureAfter is the wait after which a request that is given up without a first response counts as
-// the server's failure.
+// abandonedFailureAfter is the time after which an abandoned request that got no first response counts as a failure
+// of the server.
 const abandonedFailureAfter = time.Second
 
-// Done ends the reservation with the attempt's result. Only the first call counts.
+// Done ends the reservation with the attempt's result. Only the first call has an effect.
 func (r *Reservation) Done(now time.Time, result Result) {
 	r.selector.mu.Lock()
 	defer r.selector.mu.Unlock()
--- a/internal/gateway/serverselection/selector.go
+++ b/internal/gateway/serverselection/selector.go
@@ -17,11 +17,11 @@
 	zone  string
 	loads *serverload.Table
 
-	// mu guards all that follows, and the serverState of each server.
+	// mu guards the fields below and the serverState of each server.
 	mu          sync.Mutex
 	random      *rand.Rand
 	servers     map[policy.ServerID]*serverState
-	lastReport  map[string]time.Time // by backend: when the load of one of its servers was last known
+	lastReport  map[string]time.Time // by backend: when sample last drew a server with a known load
 	meanLatency float64              // milliseconds to the first response, moving average over all servers
 	sweptAt     time.Time
 }
@@ -33,32 +33,32 @@
 	inFlight int // requests of this gateway
 
 	awaitingFirst int       // requests in flight without a first response
-	pendingTokens int       // prompt tokens of these that the server has to read
-	lastProgress  time.Time // the server last sent something, or began to have requests that await it
+	pendingTokens int       // prompt tokens of these requests that the server has to read
+	lastProgress  time.Time // when the server last sent something, or a request began to wait while no other did
 
 	meanLatency float64   // milliseconds to the first response, moving average
-	latencyAt   time.Time // of the latest one
+	latencyAt   time.Time // time of the latest first response
 
 	lastUsed time.Time
-	recent   serverload.Recent // requests that were sent there
+	recent   serverload.Recent // times of the latest requests sent to the server
 }
 
-// New returns the selector of a gateway in a zone. Its random draws follow from the seed.
+// New returns the selector of a gateway in a zone. The seed determines its random draws.
 func New(zone string, seed uint64) *Selector {
 	return &Selector{zone: zone, random: rand.New(rand.NewPCG(seed, 0)), servers: map[policy.ServerID]*serverState{},
 		loads: serverload.NewTable(), lastReport: map[string]time.Time{}}
 }
 
-// Loads returns the table of the loads that servers report. It is filled from responses and from other
-// processes.
+// Loads returns the table of the loads that servers report. Callers fill it from responses and from the
+// datagrams of other processes.
 func (s *Selector) Loads() *serverload.Table { return s.loads }
 
-// Criteria are what a server is selected by.
+// Criteria describe a request and the servers from which one is selected for it.
 type Criteria struct {
 	Workload    Workload
 	Servers     []*endpoints.Server // of the request's backend
-	Exclude     []policy.ServerID   // those that the request was sent to before
-	MaxInFlight int                 // requests of this gateway at one server; 0: no bound
+	Exclude     []policy.ServerID   // servers to which the request was sent before
+	MaxInFlight int                 // most requests of this gateway at one server; 0: no limit
 }
 
 // Pick selects a server and reserves a place for the request there. It returns nil if no server is left.
@@ -82,15 +82,15 @@
 	return s.reserve(now, best, &criteria.Workload)
 }
 
-// candidate is a server that may be selected. Its zero value is none.
+// candidate is a server that may be selected. The zero value is no candidate.
 type candidate struct {
 	server *endpoints.Server
 	state  *serverState
 	cost   float64
 }
 
-// cheapest returns the available server with the lowest cost, and the ejected one whose ejection ends first.
-// mu is held.
+// cheapest returns the available server of a list with the lowest cost, and the ejected one whose ejection ends
+// first. mu is held.
 func (s *Selector) cheapest(now time.Time, criteria *Criteria, list []*endpoints.Server, preferred affinityOrder) (
 	best, ejected candidate) {
 	for _, server := range list {
@@ -112,7 +112,7 @@
 	return best, ejected
 }
 
-// cheaper returns the candidate with the lower cost, or the one that exists.
+// cheaper returns the candidate with the lower cost, or b if a is the zero value.
 func cheaper(a, b candidate) candidate {
 	if a.server == nil || b.cost < a.cost {
 		return b
@@ -120,7 +120,7 @@
 	return a
 }
 
-// state returns the state of a server. mu is held.
+// state returns the state of a server, a new one if there is none. mu is held.
 func (s *Selector) state(number policy.ServerID) *serverState {
 	state := s.servers[number]
 	if state == nil {
@@ -136,7 +136,7 @@
 	idleStateTTL = 60 * time.Second
 )
 
-// sweep drops the state of servers without requests. mu is held.
+// sweep drops the state of servers that have had no requests for idleStateTTL. mu is held.
 func (s *Selector) sweep(now time.Time) {
 	if now.Sub(s.sweptAt) < sweepInterval {
 		return
@@ -149,7 +149,7 @@
 	}
 }
 
-// InFlight returns the number of this gateway's requests at servers.
+// InFlight returns the number of this gateway's requests in flight at the servers of a list.
 func (s *Selector) InFlight(list []*endpoints.Server) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/serverselection/selector_test.go
+++ b/internal/gateway/serverselection/selector_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-func fleet(n int, zones ...string) []*endpoints.Server {
+func newServers(n int, zones ...string) []*endpoints.Server {
 	list := make([]*endpoints.Server, n)
 	for i := range list {
 		list[i] = &endpoints.Server{Number: policy.ServerID(i + 1), Hash: xxhash.Sum64String(fmt.Sprintf("i-%d", i)),
@@ -24,7 +24,7 @@
 }
 
 func TestParseWorkload(t *testing.T) {
-	Convey("Headers are parsed, and what isn't well formed is ignored", t, func() {
+	Convey("Headers are parsed, and malformed parts are ignored", t, func() {
 		d := ParseWorkload("5c1e07a2:800,91bd3f06:410,e4402b7d:250", "1460,80")
 		So(d.Prefixes, ShouldHaveLength, 3)
 		So(d.Prefixes[2].Tokens, ShouldEqual, 1460)
@@ -39,47 +39,47 @@
 }
 
 func TestAffinity(t *testing.T) {
-	Convey("Long prefixes stay on a few servers, whichever gateway is asked", t, func() {
+	Convey("Requests with the same long prefix go to a few servers, whichever gateway they come to", t, func() {
 		random := rand.New(rand.NewPCG(1, 1))
-		list, now := fleet(18, "a", "b", "c"), time.Unix(100, 0)
+		list, now := newServers(18, "a", "b", "c"), time.Unix(100, 0)
 		var gateways []*Selector
 		for i := range 11 {
 			gateways = append(gateways, New([]string{"a", "b", "c"}[i%3], uint64(i)))
 		}
 		used := map[int]map[string]bool{}
 		for range 2000 {
-			subject := random.IntN(48)
-			workload := ParseWorkload(fmt.Sprintf("%x:13300,%x:3720", subject, random.Uint32()), "17020,40")
+			prompt := random.IntN(48)
+			workload := ParseWorkload(fmt.Sprintf("%x:13300,%x:3720", prompt, random.Uint32()), "17020,40")
 			reservation := gateways[random.IntN(len(gateways))].Pick(now, &Criteria{Workload: workload, Servers: list})
-			if used[subject] == nil {
-				used[subject] = map[string]bool{}
+			if used[prompt] == nil {
+				used[prompt] = map[string]bool{}
 			}
-			used[subject][reservation.Server.ID] = true
+			used[prompt][reservation.Server.ID] = true
 			now = now.Add(40 * time.Millisecond)
 			reservation.FirstResponse(now)
 			reservation.Done(now, Succeeded)
 		}
 		all := 0
-		for _, on := range used {
-			all += len(on)
+		for _, servers := range used {
+			all += len(servers)
 		}
 		So(float64(all)/float64(len(used)), ShouldBeLessThan, 2.5)
 	})
-	Convey("Under load they spread", t, func() {
-		list, now, s := fleet(6, "a"), time.Unix(100, 0), New("a", 1)
-		on := map[string]int{}
+	Convey("Under load they are spread over more servers", t, func() {
+		list, now, s := newServers(6, "a"), time.Unix(100, 0), New("a", 1)
+		servers := map[string]int{}
 		for i := range 30 {
 			workload := ParseWorkload(fmt.Sprintf("7:13300,%x:3720", i), "17020,40")
-			on[s.Pick(now, &Criteria{Workload: workload, Servers: list}).Server.ID]++
+			servers[s.Pick(now, &Criteria{Workload: workload, Servers: list}).Server.ID]++
 		}
-		So(len(on), ShouldBeGreaterThan, 3)
+		So(len(servers), ShouldBeGreaterThan, 3)
 	})
 }
 
 func TestEjection(t *testing.T) {
-	Convey("A server that fails, stalls or is slow gets less, and comes back", t, func() {
+	Convey("A server that rejects or fails requests gets fewer, and gets its share again after it recovers", t, func() {
 		for _, result := range []Result{Rejected, Unreachable, Broken, Failed} {
-			list, now, s := fleet(3, "a"), time.Unix(100, 0), New("a", 1)
+			list, now, s := newServers(3, "a"), time.Unix(100, 0), New("a", 1)
 			count := func() (bad int) {
 				for range 300 {
 					reservation := s.Pick(now, &Criteria{Servers: list})
@@ -95,7 +95,7 @@
 				return bad
 			}
 			So(count(), ShouldBeLessThan, 30)
-			now = now.Add(failureMemory + maxEjection)
+			now = now.Add(failureResetAfter + maxEjection)
 			reservation := s.Pick(now, &Criteria{Servers: list[:1]})
 			reservation.Done(now, Succeeded)
 			result = Succeeded
@@ -103,7 +103,7 @@
 		}
 	})
 	Convey("A stalled server isn't selected while requests wait there", t, func() {
-		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := newServers(2, "a"), time.Unix(100, 0), New("a", 1)
 		var stalled []*Reservation
 		for range 20 {
 			if reservation := s.Pick(now, &Criteria{Servers: list}); reservation.Server == list[0] {
@@ -124,16 +124,16 @@
 		stalled[0].FirstResponse(now)
 		So(s.servers[1].awaitingFirst, ShouldEqual, len(stalled)-1)
 	})
-	Convey("No server is selected that is excluded or full, and all places are returned", t, func() {
-		list, now, s := fleet(3, "a", "b"), time.Unix(100, 0), New("a", 1)
+	Convey("No excluded or full server is selected, and all reservations are released", t, func() {
+		list, now, s := newServers(3, "a", "b"), time.Unix(100, 0), New("a", 1)
 		So(s.Pick(now, &Criteria{Servers: list, Exclude: []policy.ServerID{1, 2, 3}}), ShouldBeNil)
 		So(s.Pick(now, &Criteria{}), ShouldBeNil)
-		var tickets []*Reservation
+		var reservations []*Reservation
 		for range 6 {
-			tickets = append(tickets, s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2, Workload: Workload{PromptTokens: 7}}))
+			reservations = append(reservations, s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2, Workload: Workload{PromptTokens: 7}}))
 		}
 		So(s.Pick(now, &Criteria{Servers: list, MaxInFlight: 2}), ShouldBeNil)
-		for _, reservation := range tickets {
+		for _, reservation := range reservations {
 			reservation.Done(now, Abandoned)
 			reservation.Done(now, Abandoned)
 		}
@@ -144,20 +144,20 @@
 }
 
 func TestReportedPrefill(t *testing.T) {
-	Convey("Nothing is sent behind a long prompt of another gateway until that has been read", t, func() {
-		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
+	Convey("A server with an announced long prompt of another gateway isn't selected until it has read the prompt", t, func() {
+		list, now, s := newServers(4, "a"), time.Unix(100, 0), New("a", 1)
 		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
 		s.Loads().AddPrefill(now, list[2].Hash, 20_000)
-		count := func() (there int) {
+		count := func() (selected int) {
 			for range 100 {
 				reservation := s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}})
 				if reservation.Server == list[2] {
-					there++
+					selected++
 				}
 				reservation.FirstResponse(now)
 				reservation.Done(now, Succeeded)
 			}
-			return there
+			return selected
 		}
 		So(count(), ShouldEqual, 0)
 		now = now.Add(350 * time.Millisecond)
@@ -180,8 +180,8 @@
 }
 
 func TestReportedLoad(t *testing.T) {
-	Convey("Requests avoid servers whose slots are in use, and are spread over those with free slots", t, func() {
-		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+	Convey("Requests avoid servers without a free slot, and are spread over those with free slots", t, func() {
+		list, now, s := newServers(18, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(i int) string {
 			if i < 6 {
 				return "24,3,24"
@@ -204,7 +204,7 @@
 		So(most, ShouldBeLessThan, 11)
 	})
 	Convey("Requests sent since a server's report count, and its next report replaces them", t, func() {
-		list, now, s := fleet(2, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := newServers(2, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "0,0,2" })
 		state := s.state(list[0].Number)
 		state.recent.Add(now.Add(time.Millisecond).UnixNano())
@@ -215,29 +215,29 @@
 		s.Loads().Observe(now.Add(4*time.Millisecond), list[0].Hash, "1,0,2")
 		So(s.reportedInFlight(now.Add(5*time.Millisecond), list[0], state), ShouldEqual, 1)
 	})
-	Convey("A long prompt goes where its prefix is cached, unless others wait there", t, func() {
-		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+	Convey("A long prompt goes to the server that caches its prefix, unless requests wait there", t, func() {
+		list, now, s := newServers(18, "a"), time.Unix(100, 0), New("a", 1)
 		workload := func(i int) Workload { return ParseWorkload(fmt.Sprintf("7:13300,%x:3720", i), "17020,40") }
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
-		chain, _ := func() (uint64, bool) { d := workload(0); return d.affinityKey() }()
-		first := rendezvous(chain, list).primary
+		prefix, _ := func() (uint64, bool) { d := workload(0); return d.affinityKey() }()
+		preferred := rendezvous(prefix, list).primary
 		for i := range 8 {
 			reservation := s.Pick(now, &Criteria{Servers: list, Workload: workload(i)})
-			So(reservation.Server.Number, ShouldEqual, first)
+			So(reservation.Server.Number, ShouldEqual, preferred)
 			reservation.FirstResponse(now)
 			reservation.Done(now, Succeeded)
 		}
 		now = now.Add(100 * time.Millisecond)
 		reportLoads(s, now, list, func(i int) string {
-			if list[i].Number == first {
+			if list[i].Number == preferred {
 				return "24,6,24"
 			}
 			return "10,0,24"
 		})
-		So(s.Pick(now, &Criteria{Servers: list, Workload: workload(9)}).Server.Number, ShouldNotEqual, first)
+		So(s.Pick(now, &Criteria{Servers: list, Workload: workload(9)}).Server.Number, ShouldNotEqual, preferred)
 	})
 	Convey("A server that fails the zone's requests isn't selected by a gateway that has sent it nothing", t, func() {
-		list, now, s := fleet(18, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := newServers(18, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for range 3 {
 			s.Loads().RecordResult(now, list[4].Hash, true)
@@ -255,8 +255,8 @@
 		}
 		So(found, ShouldBeTrue)
 	})
-	Convey("If all servers fail, they are used all the same", t, func() {
-		list, now, s := fleet(8, "a"), time.Unix(100, 0), New("a", 1)
+	Convey("If all servers fail, they are still selected", t, func() {
+		list, now, s := newServers(8, "a"), time.Unix(100, 0), New("a", 1)
 		reportLoads(s, now, list, func(int) string { return "10,0,24" })
 		for _, server := range list {
 			for range 3 {
@@ -266,7 +266,7 @@
 		So(s.Pick(now, &Criteria{Servers: list, Workload: Workload{PromptTokens: 600}}), ShouldNotBeNil)
 	})
 	Convey("The utilization is known once half of the servers have reported", t, func() {
-		list, now, s := fleet(4, "a"), time.Unix(100, 0), New("a", 1)
+		list, now, s := newServers(4, "a"), time.Unix(100, 0), New("a", 1)
 		_, _, known := s.Utilization(now, list)
 		So(known, ShouldBeFalse)
 		reportLoads(s, now, list[:2], func(int) string { return "12,1,24" })
--- a/internal/gateway/serverselection/workload.go
+++ b/internal/gateway/serverselection/workload.go
@@ -7,28 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Workload is what a request asks of a server, by its headers.
+// Workload is the work that a request causes at a server, as declared in the request's headers.
 type Workload struct {
-	Prefixes     []Prefix // of the prompt, from the shortest; the last one is the request's or its session's own
-	PromptTokens int      // to read, the whole prompt
-	OutputTokens int      // to generate, at most
+	Prefixes     []Prefix // of the prompt, from the shortest; the last one belongs to the request or its session alone
+	PromptTokens int      // length of the whole prompt
+	OutputTokens int      // most tokens that the server generates
 }
 
-// Prefix is a beginning of a prompt that other prompts may have as well.
+// Prefix is a prefix of a prompt that other prompts may share.
 type Prefix struct {
-	Hash   uint64 // of the ids of all its parts
-	Tokens int    // its length
+	Hash   uint64 // hash of the ids of all parts of the prefix
+	Tokens int    // length of the prefix
 }
 
 const (
-	// maxPrefixes bounds what is read of a client's header.
+	// maxPrefixes bounds the number of prefixes that are read from a client's header.
 	maxPrefixes = 64
 	// maxTokens bounds each number in a client's headers.
 	maxTokens = 10_000_000
 )
 
 // ParseWorkload reads the headers X-Prompt-Prefix (parts of the prompt as ID:TOKENS, separated by commas) and
-// X-Token-Usage (tokens of prompt and output). What isn't well formed counts as absent.
+// X-Token-Usage (tokens of prompt and output, separated by a comma). Malformed numbers count as 0; a part of the
+// prompt without a colon and all parts after it are ignored.
 func ParseWorkload(prefix, usage string) Workload {
 	var w Workload
 	prompt, output, _ := strings.Cut(usage, ",")
@@ -47,7 +48,7 @@
 	return w
 }
 
-// parseTokens parses a number of tokens; 0 if it is malformed.
+// parseTokens parses a number of tokens, at most maxTokens. It returns 0 if it is malformed or negative.
 func parseTokens(text string) int {
 	n, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || n < 0 {
@@ -56,5 +57,5 @@
 	return min(n, maxTokens)
 }
 
-// shared returns the prefixes that other requests may share: all but the last.
+// shared returns the prefixes that other requests may share: all but the last one.
 func (w *Workload) shared() []Prefix { return w.Prefixes[:max(0, len(w.Prefixes)-1)] }
