--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -21,7 +21,7 @@
 	minSamples         = 20   // least number of attempts for a percentile, if the window has as many
 	minLate            = 3    // late attempts below which a target doesn't count as missed
 	maxLateShare       = 0.1  // share of late attempts above which the 90th percentile misses the target
-	chanceBound        = 1.64 // standard deviations above maxLateShare; chance alone exceeds them once in twenty
+	significanceBound  = 1.64 // standard deviations above maxLateShare; chance alone exceeds them once in twenty
 	minRequestRate     = 0.5  // smoothed requests a second below which a group has no score
 	maxLatencyTargets  = 4    // most that one attempt adds to its group's latency, as a multiple of the target
 
--- a/internal/gateway/admission/window.go
+++ b/internal/gateway/admission/window.go
@@ -77,7 +77,7 @@
 // for this number of attempts (normal approximation of the binomial distribution).
 func (s *slot) missesTarget() bool {
 	n, late := float64(s.count), float64(s.late)
-	return late >= minLate && late > n*maxLateShare+chanceBound*math.Sqrt(n*maxLateShare*(1-maxLateShare))
+	return late >= minLate && late > n*maxLateShare+significanceBound*math.Sqrt(n*maxLateShare*(1-maxLateShare))
 }
 
 // stillLate reports whether the 90th percentile of the newest recentSlots intervals alone misses the target, too:
--- a/internal/gateway/serverselection/latency.go
+++ b/internal/gateway/serverselection/latency.go
@@ -35,6 +35,6 @@
 	if state.meanLatency <= s.meanLatency || ablation.Off(ablation.LatencyWeighting) {
 		return 0
 	}
-	left := math.Exp(-float64(now.Sub(state.latencyAt)) / float64(latencyDecay))
-	return min(maxLatencyPenalty, prefillTokensPerMs*(state.meanLatency-s.meanLatency)*left)
+	factor := math.Exp(-float64(now.Sub(state.latencyAt)) / float64(latencyDecay))
+	return min(maxLatencyPenalty, prefillTokensPerMs*(state.meanLatency-s.meanLatency)*factor)
 }
--- a/internal/serverload/backlog.go
+++ b/internal/serverload/backlog.go
@@ -10,8 +10,8 @@
 )
 
 // Batch processes (stores) report their backlogs, so that gateways submit batch jobs to the store with the
-// shorter one: each store runs the jobs that it owns, and all have the same chance at the servers' free
-// slots, so a store with more work than the others finishes it later. They report only while servers report
+// shorter one. Each store runs the jobs that it owns, and all stores have the same chance at the servers' free
+// slots, so a store with more work than the others finishes it later. Stores report only while servers report
 // their load. Otherwise stores don't know which slots are free, and spreading jobs over more stores would
 // take more capacity from live requests.
 
@@ -22,31 +22,33 @@
 	backlogRelayFor = 300 * time.Millisecond
 )
 
-// An entry of a datagram: the hash of the node's name (8) and the tokens in units of backlogUnit (4).
+// Layout of an entry of a datagram of backlogs, with the sizes in bytes: the hash of the node's name (8) and the tokens
+// in units of backlogUnit (4).
 const (
-	kindBacklog      kind = 6 // store to aggregators: its own
-	kindBacklogRelay kind = 7 // aggregator to the gateways of its zone: those that stores reported to it
+	kindBacklog      kind = 6 // store to aggregators: its own backlog
+	kindBacklogRelay kind = 7 // aggregator to the gateways of its zone: the backlogs that stores reported to it
 
-	backlogBytes  = 12
-	maxBacklogs   = 100
-	backlogUnit   = 256
-	backlogsBytes = headerBytes + maxBacklogs*backlogBytes
+	backlogEntryBytes       = 12
+	maxBacklogs             = 100
+	backlogUnit             = 256
+	maxBacklogDatagramBytes = headerBytes + maxBacklogs*backlogEntryBytes
 )
 
-// backlog is the work that waits at a store.
+// backlog is the work that waits at a store, in tokens.
 type backlog struct {
 	store  uint64 // hash of its node's name
 	tokens int64
 }
 
-// backlogEntry is what a process knows of a store's backlog.
+// backlogEntry is a store's backlog in a Table.
 type backlogEntry struct {
 	tokens     int64
 	receivedAt time.Time
-	directAt   time.Time // when the store last reported to this process itself
+	directAt   time.Time // when the store last reported directly to this process
 }
 
-// Backlog returns the tokens that wait at the store on a node. known is false if it hasn't reported lately.
+// Backlog returns the tokens that wait at the store on a node. known is false if none has been received within
+// backlogTTL.
 func (t *Table) Backlog(now time.Time, node string) (tokens int64, known bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -54,13 +56,13 @@
 	return entry.tokens, found && now.Sub(entry.receivedAt) <= backlogTTL
 }
 
-// ReportBacklog records the backlog of the store on a node, in tokens, as if the store had reported it to
+// ReportBacklog records the backlog of the store on a node, in tokens, as if the store had reported it directly to
 // this process.
 func (t *Table) ReportBacklog(node string, tokens int64) {
 	t.receiveBacklogs(time.Now(), kindBacklog, []backlog{{store: xxhash.Sum64String(node), tokens: tokens}})
 }
 
-// receiveBacklogs records a datagram of backlogs, and drops those that have expired.
+// receiveBacklogs records the backlogs of a datagram, and drops backlogs that have expired.
 func (t *Table) receiveBacklogs(now time.Time, k kind, list []backlog) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -79,8 +81,8 @@
 	}
 }
 
-// directBacklogs returns the backlogs that stores have reported to this process themselves, not through a
-// relay.
+// directBacklogs returns the backlogs that stores have reported directly to this process within backlogRelayFor, not
+// through a relay.
 func (t *Table) directBacklogs(now time.Time) []backlog {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -93,10 +95,10 @@
 	return list
 }
 
-// shareBacklogs reports this store's backlog to one aggregator of each zone; or relays to the gateways of the
-// zone, if this process is an aggregator, what stores have reported to it. As each store reports to each
-// zone, relayed backlogs aren't relayed again.
-func (s *Sharing) shareBacklogs(now time.Time, known *targets) {
+// shareBacklogs reports the backlog of this process to one aggregator of each zone if the process is a store. If it is
+// an aggregator, shareBacklogs relays the backlogs that stores have reported to it to the gateways of the zone. As
+// each store reports to each zone, relayed backlogs aren't relayed again.
+func (s *Sharing) shareBacklogs(now time.Time, current *targets) {
 	if s.localBacklog != nil {
 		if !s.table.receivesLoads(now) {
 			return
@@ -104,16 +106,16 @@
 		own := backlog{store: xxhash.Sum64String(s.self.Node), tokens: s.localBacklog()}
 		if own.tokens > 0 || s.backlogReported {
 			s.backlogReported = own.tokens > 0
-			s.sendBacklogs(kindBacklog, []backlog{own}, aggregatorsFor(known.allAggregators, own.store))
+			s.sendBacklogs(kindBacklog, []backlog{own}, aggregatorsFor(current.allAggregators, own.store))
 		}
 		return
 	}
-	if len(known.zoneGateways) > 0 {
-		s.sendBacklogs(kindBacklogRelay, s.table.directBacklogs(now), known.zoneGateways)
+	if len(current.zoneGateways) > 0 {
+		s.sendBacklogs(kindBacklogRelay, s.table.directBacklogs(now), current.zoneGateways)
 	}
 }
 
-// aggregatorsFor returns one aggregator of each zone, the same ones for the same key.
+// aggregatorsFor returns one aggregator of each zone, always the same ones for a key.
 func aggregatorsFor(allAggregators [][]netip.AddrPort, key uint64) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(allAggregators))
 	for _, aggregators := range allAggregators {
@@ -131,7 +133,7 @@
 	s.sendTo(s.backlogBuffer, to)
 }
 
-// encodeBacklogs writes as many backlogs as fit.
+// encodeBacklogs encodes a datagram with as many of the backlogs as fit. It reuses buffer.
 func encodeBacklogs(buffer []byte, k kind, list []backlog) []byte {
 	list = list[:min(len(list), maxBacklogs)]
 	out := appendHeader(buffer, k, len(list))
@@ -142,13 +144,13 @@
 	return out
 }
 
-// decodeBacklogs reads a datagram of backlogs. It returns false if it is none.
+// decodeBacklogs decodes a datagram of backlogs. ok is false if the datagram isn't a valid one of this kind.
 func decodeBacklogs(datagram []byte) (k kind, list []backlog, ok bool) {
-	k, entries, ok := parseHeader(datagram, backlogBytes, maxBacklogs, kindBacklog, kindBacklogRelay)
+	k, entries, ok := parseHeader(datagram, backlogEntryBytes, maxBacklogs, kindBacklog, kindBacklogRelay)
 	if !ok {
 		return 0, nil, false
 	}
-	for entry := range slices.Chunk(entries, backlogBytes) {
+	for entry := range slices.Chunk(entries, backlogEntryBytes) {
 		list = append(list, backlog{store: binary.BigEndian.Uint64(entry),
 			tokens: backlogUnit * int64(binary.BigEndian.Uint32(entry[8:]))})
 	}
--- a/internal/serverload/datagram.go
+++ b/internal/serverload/datagram.go
@@ -6,40 +6,41 @@
 	"time"
 )
 
-// Layout of a datagram: a magic number (4 bytes), the kind (1), the count of entries (1), and entries of a
-// fixed size; all numbers are big-endian. Datagrams are too small for gob, which describes its types in each
-// stream. A datagram of another form is dropped as a whole. Earlier and later versions exchange these
+// Layout of a datagram, with the sizes in bytes: a magic number (4), the kind (1), the number of entries (1), and
+// entries of a fixed size. All numbers are big-endian. Datagrams are too small for gob, which describes its types in
+// each stream. A datagram of another form is dropped as a whole. Earlier and later versions exchange these
 // datagrams: the layout must not change.
 //
-// An entry of a report: the hash of the server's id (8), running, waiting, slots (0: no load is reported) and
-// the age of the load in milliseconds (2 each), and the requests that the server served and failed (1 each).
+// Layout of an entry of a datagram of reports: the hash of the server's id (8), running, waiting, slots (0: no load
+// is reported) and the age of the load in milliseconds (2 each), and the numbers of requests that the server served
+// and failed (1 each).
 const (
-	magic       = uint32(0x53504c31) // "SPL1"
-	headerBytes = 6
-	reportBytes = 18
-	// maxReports bounds the reports of one datagram: it fits into an Ethernet frame.
-	maxReports    = 72
-	datagramBytes = headerBytes + maxReports*reportBytes
+	magic            = uint32(0x53504c31) // "SPL1"
+	headerBytes      = 6
+	reportEntryBytes = 18
+	// maxReports bounds the reports of one datagram, so that it fits into an Ethernet frame.
+	maxReports             = 72
+	maxReportDatagramBytes = headerBytes + maxReports*reportEntryBytes
 )
 
-// kind is what a datagram has, and between which processes it goes.
+// kind identifies the contents of a datagram and between which processes it is sent.
 type kind byte
 
-// Kinds. Their numbers are part of the layout; kinds 4 to 7 are those of prefill.go and backlog.go.
+// Kinds of datagrams of reports. The numbers are part of the layout. Kinds 4 to 7 are in prefill.go and backlog.go.
 const (
 	kindObserved kind = 1 // process to aggregators: loads reported to it, and results of its requests
 	kindZone     kind = 2 // aggregator to the processes of its zone: all loads, and sums of results
-	kindRemote   kind = 3 // aggregator to those of other zones: loads reported in its zone
+	kindRemote   kind = 3 // aggregator to the aggregators of other zones: loads reported in its zone
 )
 
-// appendHeader starts a datagram in a buffer.
+// appendHeader writes the header of a datagram with count entries to the beginning of buffer.
 func appendHeader(buffer []byte, k kind, count int) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer[:0], magic)
 	return append(buffer, byte(k), byte(count))
 }
 
-// parseHeader returns the kind and the entries of a datagram. It returns false unless the kind is one of the
-// given ones and the length is that of its entries, at most maxEntries.
+// parseHeader returns the kind and the entries of a datagram. ok is false unless the kind is one of kinds, and the
+// length is that of the number of entries in the header, at most maxEntries of entryBytes each.
 func parseHeader(datagram []byte, entryBytes, maxEntries int, kinds ...kind) (k kind, entries []byte, ok bool) {
 	if len(datagram) < headerBytes || binary.BigEndian.Uint32(datagram) != magic {
 		return 0, nil, false
@@ -52,7 +53,7 @@
 	return k, datagram[headerBytes:], true
 }
 
-// encode writes as many reports as fit.
+// encode encodes a datagram with as many of the reports as fit. It reuses buffer.
 func encode(buffer []byte, k kind, reports []Report) []byte {
 	reports = reports[:min(len(reports), maxReports)]
 	out := appendHeader(buffer, k, len(reports))
@@ -69,14 +70,14 @@
 	return out
 }
 
-// decode reads a datagram of reports. It returns false if it is none.
+// decode decodes a datagram of reports. ok is false if the datagram isn't a valid one of this kind.
 func decode(datagram []byte) (k kind, reports []Report, ok bool) {
-	k, entries, ok := parseHeader(datagram, reportBytes, maxReports, kindObserved, kindZone, kindRemote)
+	k, entries, ok := parseHeader(datagram, reportEntryBytes, maxReports, kindObserved, kindZone, kindRemote)
 	if !ok {
 		return 0, nil, false
 	}
-	reports = make([]Report, 0, len(entries)/reportBytes)
-	for entry := range slices.Chunk(entries, reportBytes) {
+	reports = make([]Report, 0, len(entries)/reportEntryBytes)
+	for entry := range slices.Chunk(entries, reportEntryBytes) {
 		number := func(offset int) int { return int(binary.BigEndian.Uint16(entry[offset:])) }
 		reports = append(reports, Report{
 			Server:  binary.BigEndian.Uint64(entry),
--- a/internal/serverload/golden_test.go
+++ b/internal/serverload/golden_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden holds a datagram to the form that earlier versions send.
+// TestGolden checks that the encoding of a datagram of reports is that of earlier versions.
 func TestGolden(t *testing.T) {
 	reports := []Report{
 		{Server: 0x0102030405060708, Load: Load{Running: 1, Waiting: 2, Slots: 3}, Age: 4 * time.Millisecond, Results: Results{Served: 5, Failed: 6}},
--- a/internal/serverload/load.go
+++ b/internal/serverload/load.go
@@ -9,20 +9,20 @@
 // by commas.
 const Header = "X-Server-Load"
 
-// maxCount bounds each number of a load. It is what a datagram can hold.
+// maxCount bounds each number of a load. It is the highest number that a datagram can hold.
 const maxCount = 1<<16 - 1
 
 // Load is the load that a server reported of itself, in requests.
 type Load struct {
 	Running int // requests in a slot
-	Waiting int // requests that wait for one
+	Waiting int // requests that wait for a slot
 	Slots   int // requests that can run at once; above 0
 }
 
 // InFlight returns the number of requests at the server.
 func (l Load) InFlight() int { return l.Running + l.Waiting }
 
-// Parse parses the value of the header. It returns false unless that is well formed.
+// Parse parses the value of Header. It returns false if the value is malformed.
 func Parse(text string) (Load, bool) {
 	var numbers [3]int
 	rest, more := text, true
--- a/internal/serverload/load_test.go
+++ b/internal/serverload/load_test.go
@@ -12,7 +12,7 @@
 var start = time.Unix(1000, 0)
 
 func TestParse(t *testing.T) {
-	Convey("Three numbers are a load, and nothing else is", t, func() {
+	Convey("Three numbers are parsed as a load, and anything else is rejected", t, func() {
 		load, ok := Parse("3, 1,12")
 		So(ok, ShouldBeTrue)
 		So(load, ShouldResemble, Load{Running: 3, Waiting: 1, Slots: 12})
@@ -24,36 +24,36 @@
 }
 
 func TestTable(t *testing.T) {
-	Convey("The newest load is valid for a while, and what can't be parsed is dropped and counted", t, func() {
-		b := NewTable()
-		b.Observe(start, 7, "3,0,12")
-		b.Observe(start.Add(time.Millisecond), 7, "noise")
-		b.Observe(start, 7, "")
-		load, at, known := b.Lookup(start.Add(loadTTL), 7)
+	Convey("The newest load is valid for loadTTL, and a header that can't be parsed is dropped and counted", t, func() {
+		table := NewTable()
+		table.Observe(start, 7, "3,0,12")
+		table.Observe(start.Add(time.Millisecond), 7, "noise")
+		table.Observe(start, 7, "")
+		load, at, known := table.Lookup(start.Add(loadTTL), 7)
 		So(known, ShouldBeTrue)
 		So(load.Running, ShouldEqual, 3)
 		So(at, ShouldEqual, start)
-		So(b.Invalid(), ShouldEqual, 1)
-		_, _, known = b.Lookup(start.Add(loadTTL+time.Millisecond), 7)
+		So(table.Invalid(), ShouldEqual, 1)
+		_, _, known = table.Lookup(start.Add(loadTTL+time.Millisecond), 7)
 		So(known, ShouldBeFalse)
-		b.update(7, loadEntry{load: Load{Running: 9, Slots: 12}, reportedAt: start.Add(-time.Second)})
-		load, _, _ = b.Lookup(start, 7)
+		table.update(7, loadEntry{load: Load{Running: 9, Slots: 12}, reportedAt: start.Add(-time.Second)})
+		load, _, _ = table.Lookup(start, 7)
 		So(load.Running, ShouldEqual, 3)
 	})
 	Convey("Expired loads are dropped", t, func() {
-		b := NewTable()
+		table := NewTable()
 		for i := range 100 {
-			b.Observe(start.Add(time.Duration(i)*100*time.Millisecond), uint64(i), "1,0,12")
+			table.Observe(start.Add(time.Duration(i)*100*time.Millisecond), uint64(i), "1,0,12")
 		}
-		So(len(b.entries), ShouldBeLessThan, 40)
+		So(len(table.entries), ShouldBeLessThan, 40)
 	})
 }
 
 func TestResults(t *testing.T) {
-	Convey("A failing server is known by the zone's counts, and is tried again when these have decayed", t, func() {
+	Convey("A server counts as failing by the zone's counts, until these have decayed", t, func() {
 		aggregator, other := NewTable(), NewTable()
-		for _, b := range []*Table{aggregator, other} {
-			b.Observe(start, 1, "0,0,12")
+		for _, table := range []*Table{aggregator, other} {
+			table.Observe(start, 1, "0,0,12")
 		}
 		other.RecordResult(start, 7, true)
 		So(other.Failing(start, 7), ShouldBeFalse)
@@ -69,34 +69,34 @@
 		So(aggregator.Failing(later, 7), ShouldBeFalse)
 		So(other.Failing(later, 7), ShouldBeFalse)
 	})
-	Convey("A server isn't failing for a few failures among many, nor if loads aren't reported", t, func() {
-		b := NewTable()
-		b.RecordResult(start, 7, true)
-		b.RecordResult(start, 7, true)
-		So(b.Failing(start, 7), ShouldBeFalse)
-		b.Observe(start, 7, "0,0,12")
+	Convey("A server with few failures among many requests doesn't count as failing, nor does one if no loads are reported", t, func() {
+		table := NewTable()
+		table.RecordResult(start, 7, true)
+		table.RecordResult(start, 7, true)
+		So(table.Failing(start, 7), ShouldBeFalse)
+		table.Observe(start, 7, "0,0,12")
 		for i := range 40 {
-			b.RecordResult(start, 7, i%8 == 0)
+			table.RecordResult(start, 7, i%8 == 0)
 		}
-		So(b.Failing(start, 7), ShouldBeFalse)
+		So(table.Failing(start, 7), ShouldBeFalse)
 	})
 }
 
 func TestDatagram(t *testing.T) {
-	Convey("What is encoded is decoded, up to what a datagram holds", t, func() {
+	Convey("A decoded datagram has the reports that were encoded, at most maxReports", t, func() {
 		var reports []Report
 		for i := range 2 * maxReports {
 			reports = append(reports, Report{Server: uint64(i), Load: Load{Running: i, Waiting: 1, Slots: 12}, Age: 40 * time.Millisecond,
 				Results: Results{Served: 3, Failed: 1}})
 		}
 		datagram := encode(nil, kindZone, reports)
-		So(len(datagram), ShouldEqual, datagramBytes)
+		So(len(datagram), ShouldEqual, maxReportDatagramBytes)
 		k, read, ok := decode(datagram)
 		So(ok, ShouldBeTrue)
 		So(k, ShouldEqual, kindZone)
 		So(read, ShouldResemble, reports[:maxReports])
 	})
-	Convey("Anything else is dropped as a whole", t, func() {
+	Convey("A datagram of another form is dropped as a whole", t, func() {
 		good := encode(nil, kindObserved, []Report{{Server: 1, Load: Load{Slots: 12}}})
 		for _, bad := range [][]byte{nil, good[:3], good[:len(good)-1], append(append([]byte{}, good...), 0), []byte("SPL1\x09\x00"), []byte("XXXX\x01\x00")} {
 			_, _, ok := decode(bad)
@@ -108,34 +108,34 @@
 func FuzzDatagram(f *testing.F) {
 	f.Add(encode(nil, kindZone, []Report{{Server: 1, Load: Load{Running: 1, Slots: 12}}}))
 	f.Fuzz(func(t *testing.T, datagram []byte) {
-		b := NewTable()
-		b.receiveReports(start, datagram)
+		table := NewTable()
+		table.receiveReports(start, datagram)
 		if k, reports, ok := decode(datagram); ok {
 			again, read, ok := decode(encode(nil, k, reports))
 			if !ok || again != k || len(read) != len(reports) {
-				t.Fatal("a datagram that was decoded isn't encoded alike")
+				t.Fatal("a decoded datagram, encoded and decoded again, differs in kind or number of reports")
 			}
 		}
 	})
 }
 
 func TestPrefills(t *testing.T) {
-	Convey("Prompts of others keep a server busy until they are read, for a bounded time", t, func() {
-		b := NewTable()
-		b.AddPrefill(start, 7, 20_000)
-		b.AddPrefill(start, 7, 20_000)
-		So(b.PrefillTime(start, 7), ShouldEqual, 400*time.Millisecond)
-		So(b.PrefillTime(start.Add(time.Second), 7), ShouldEqual, 0)
+	Convey("Prompts of other processes keep a server busy until it has read them, for a bounded time", t, func() {
+		table := NewTable()
+		table.AddPrefill(start, 7, 20_000)
+		table.AddPrefill(start, 7, 20_000)
+		So(table.PrefillTime(start, 7), ShouldEqual, 400*time.Millisecond)
+		So(table.PrefillTime(start.Add(time.Second), 7), ShouldEqual, 0)
 		for range 100 {
-			b.AddPrefill(start, 7, 1<<20)
+			table.AddPrefill(start, 7, 1<<20)
 		}
-		So(b.PrefillTime(start, 7), ShouldEqual, maxPrefillTime)
+		So(table.PrefillTime(start, 7), ShouldEqual, maxPrefillTime)
 		for i := range 10_000 {
-			b.AddPrefill(start.Add(time.Duration(i)*time.Millisecond), uint64(i), MinAnnouncedTokens)
+			table.AddPrefill(start.Add(time.Duration(i)*time.Millisecond), uint64(i), MinAnnouncedTokens)
 		}
-		So(len(b.prefillUntil), ShouldBeLessThan, 3000)
+		So(len(table.prefillUntil), ShouldBeLessThan, 3000)
 	})
-	Convey("A datagram is decoded as it was encoded, and anything else is dropped", t, func() {
+	Convey("A decoded datagram has the prompts that were encoded, and datagrams of another form are dropped", t, func() {
 		sent := []pendingPrompt{{server: 7, tokens: 16_000, sender: 9}, {server: 8, tokens: 32, sender: 1}}
 		datagram := encodePrefills(nil, kindPrefillRelay, sent)
 		k, read, ok := decodePrefills(datagram)
@@ -150,7 +150,7 @@
 }
 
 func TestBacklogs(t *testing.T) {
-	Convey("Backlogs are valid for a while, and an aggregator relays only those that stores reported to it", t, func() {
+	Convey("Backlogs are valid for backlogTTL, and an aggregator relays only those that stores reported to it directly", t, func() {
 		aggregator, gateway := NewTable(), NewTable()
 		aggregator.receiveBacklogs(start, kindBacklog, []backlog{{store: 1, tokens: 5120}})
 		aggregator.receiveBacklogs(start, kindBacklogRelay, []backlog{{store: 2, tokens: 5120}})
@@ -171,7 +171,7 @@
 }
 
 func TestAggregators(t *testing.T) {
-	Convey("Each zone has two aggregators that all processes find alike, and losing one leaves the other", t, func() {
+	Convey("Each zone has two aggregators, and if one is removed the other remains an aggregator", t, func() {
 		var gateways []protocol.Process
 		for _, node := range []string{"a", "b", "c", "d", "e"} {
 			gateways = append(gateways, protocol.Process{Node: node, Zone: "z"})
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestBacklogsNeedLoads has a batch process and an aggregator on loopback.
+// TestBacklogsNeedLoads runs the sharing of a batch process and of an aggregator on loopback.
 func TestBacklogsNeedLoads(t *testing.T) {
-	Convey("A batch process reports its backlog if servers report their load, and not otherwise", t, func() {
+	Convey("A batch process reports its backlog only if servers report their load", t, func() {
 		const port = 47392
 		aggregator := protocol.Process{Node: "aggregator", Zone: "z", IP: "127.91.8.1"}
 		store := protocol.Process{Node: "store", Zone: "z", IP: "127.91.8.2"}
@@ -206,13 +206,13 @@
 		}
 		sharings["store"].SetBacklog(func() int64 { return 5120 })
 		sharings["store"].updateTargets()
-		known := sharings["store"].targets.Load()
-		sharings["store"].shareBacklogs(start, known)
+		storeTargets := sharings["store"].targets.Load()
+		sharings["store"].shareBacklogs(start, storeTargets)
 		So(sharings["store"].backlogReported, ShouldBeFalse)
 		tables["store"].Observe(start, 7, "1,0,12")
-		sharings["store"].shareBacklogs(start, known)
+		sharings["store"].shareBacklogs(start, storeTargets)
 		So(sharings["store"].backlogReported, ShouldBeTrue)
-		var datagram [backlogsBytes]byte
+		var datagram [maxBacklogDatagramBytes]byte
 		n, _, err := sharings["aggregator"].conn.ReadFromUDPAddrPort(datagram[:])
 		So(err, ShouldBeNil)
 		_, list, ok := decodeBacklogs(datagram[:n])
@@ -221,9 +221,10 @@
 	})
 }
 
-// TestSharing has processes of two zones on loopback share what they learn.
+// TestSharing runs the sharing of processes in two zones on loopback, and checks that each process learns of a load
+// and a long prompt that one process has observed or announced.
 func TestSharing(t *testing.T) {
-	Convey("What one process learns, all learn", t, func() {
+	Convey("All processes learn of a load and a prompt from one process", t, func() {
 		const port = 47391
 		var gateways []protocol.Process
 		for i, zone := range []string{"a", "a", "a", "a", "b", "b", "b"} {
@@ -248,7 +249,7 @@
 					break
 				}
 				if time.Now().After(until) {
-					t.Fatalf("process %d learnt nothing", i)
+					t.Fatalf("process %d hasn't learnt of the load of server 7 within 10 s", i)
 				}
 				tables[0].Observe(time.Now(), 7, "5,0,12")
 				<-time.After(20 * time.Millisecond)
@@ -257,12 +258,12 @@
 		for i := range tables {
 			for until := time.Now().Add(10 * time.Second); i != 3 && tables[i].PrefillTime(time.Now(), 9) == 0; {
 				if time.Now().After(until) {
-					t.Fatalf("process %d learnt of no prompt", i)
+					t.Fatalf("process %d hasn't learnt of a prompt for server 9 within 10 s", i)
 				}
 				all[3].AnnouncePrefill(9, 40_000)
 				<-time.After(20 * time.Millisecond)
 			}
 		}
-		So(tables[3].PrefillTime(time.Now(), 9), ShouldEqual, 0) // it knows what it sent itself
+		So(tables[3].PrefillTime(time.Now(), 9), ShouldEqual, 0) // a process doesn't record its own announcements
 	})
 }
--- a/internal/serverload/prefill.go
+++ b/internal/serverload/prefill.go
@@ -7,44 +7,44 @@
 	"time"
 )
 
-// While a server reads a long prompt (prefill) it answers no other request, and its last reported load is out
-// of date. A process that sends one announces it at once, to one aggregator in each zone. An aggregator
-// relays what arrives within a moment together, so that the number of datagrams that a process receives
-// doesn't grow with the number of prompts.
+// While a server reads a long prompt (prefill) it answers no other request, and its last reported load is out of
+// date. A process that sends a long prompt announces it at once to one aggregator in each zone. An aggregator
+// relays the announcements that arrive within relayDelay together, so that the number of datagrams that a process
+// receives doesn't grow with the number of prompts.
 
 const (
-	// MinAnnouncedTokens is the least number of prompt tokens to be read that is announced.
+	// MinAnnouncedTokens is the least number of tokens that a server has to read of a prompt for it to be announced.
 	MinAnnouncedTokens = 2048
 	// PrefillTokensPerMs is the rate at which servers are assumed to read prompts.
 	PrefillTokensPerMs = 100
-	// maxPrefillTime bounds the time for which announced prompts keep a server busy.
+	// maxPrefillTime bounds the time for which announced prompts are assumed to keep a server busy.
 	maxPrefillTime = 2 * time.Second
-	// relayDelay is how long an aggregator gathers what it relays.
+	// relayDelay is how long an aggregator gathers announcements before it relays them.
 	relayDelay = 15 * time.Millisecond
-	// maxRelayQueue bounds what an aggregator has yet to relay. What exceeds it is dropped.
+	// maxRelayQueue bounds the announcements that wait for an aggregator to relay them. Further ones are dropped.
 	maxRelayQueue = 1024
 )
 
 // pendingPrompt is a long prompt that was sent to a server.
 type pendingPrompt struct {
 	server uint64 // hash of its id
-	tokens int    // to be read
-	sender uint32 // the process that sent it; see Sharing
+	tokens int    // that the server has to read
+	sender uint32 // identifies the process that sent it; see Sharing.sender
 }
 
-// An entry of a datagram: the hash of the server's id (8), the tokens in units of prefillUnit (2), and the
-// sender (4).
+// Layout of an entry of a datagram of prompts, with the sizes in bytes: the hash of the server's id (8), the tokens in
+// units of prefillUnit (2), and the sender (4).
 const (
 	kindPrefill      kind = 4 // process to aggregators
 	kindPrefillRelay kind = 5 // aggregator to the processes of its zone
 
-	prefillBytes  = 14
-	maxPrefills   = 100
-	prefillUnit   = 16
-	prefillsBytes = headerBytes + maxPrefills*prefillBytes
+	prefillEntryBytes       = 14
+	maxPrefills             = 100
+	prefillUnit             = 16
+	maxPrefillDatagramBytes = headerBytes + maxPrefills*prefillEntryBytes
 )
 
-// encodePrefills writes as many prompts as fit.
+// encodePrefills encodes a datagram with as many of the prompts as fit. It reuses buffer.
 func encodePrefills(buffer []byte, k kind, prompts []pendingPrompt) []byte {
 	prompts = prompts[:min(len(prompts), maxPrefills)]
 	out := appendHeader(buffer, k, len(prompts))
@@ -56,20 +56,20 @@
 	return out
 }
 
-// decodePrefills reads a datagram of prompts. It returns false if it is none.
+// decodePrefills decodes a datagram of prompts. ok is false if the datagram isn't a valid one of this kind.
 func decodePrefills(datagram []byte) (k kind, prompts []pendingPrompt, ok bool) {
-	k, entries, ok := parseHeader(datagram, prefillBytes, maxPrefills, kindPrefill, kindPrefillRelay)
+	k, entries, ok := parseHeader(datagram, prefillEntryBytes, maxPrefills, kindPrefill, kindPrefillRelay)
 	if !ok {
 		return 0, nil, false
 	}
-	for entry := range slices.Chunk(entries, prefillBytes) {
+	for entry := range slices.Chunk(entries, prefillEntryBytes) {
 		prompts = append(prompts, pendingPrompt{server: binary.BigEndian.Uint64(entry),
 			tokens: prefillUnit * int(binary.BigEndian.Uint16(entry[8:])), sender: binary.BigEndian.Uint32(entry[10:])})
 	}
 	return k, prompts, true
 }
 
-// AddPrefill records that another process has sent a server a prompt of which it has to read this many
+// AddPrefill records that another process has sent a server a prompt of which the server has to read this many
 // tokens.
 func (t *Table) AddPrefill(now time.Time, server uint64, tokens int) {
 	t.mu.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// sweepPrefills drops servers that have read their prompts. mu is held.
+// sweepPrefills drops the entries of servers that have read their prompts. mu is held.
 func (t *Table) sweepPrefills(now time.Time) {
 	for server, until := range t.prefillUntil {
 		if until.Before(now) {
@@ -98,30 +98,30 @@
 	t.prefillsAfterSweep = len(t.prefillUntil)
 }
 
-// PrefillTime returns for how long a server still reads prompts that other processes announced.
+// PrefillTime returns for how long a server will still be reading prompts that other processes announced; 0 if none.
 func (t *Table) PrefillTime(now time.Time, server uint64) time.Duration {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return max(0, t.prefillUntil[server].Sub(now))
 }
 
-// AnnouncePrefill announces to other processes that this process sends a server a prompt of which it has to
-// read this many tokens. It doesn't wait, and is safe for concurrent use.
+// AnnouncePrefill announces to other processes that this process sends a server a prompt of which the server has to
+// read this many tokens. It doesn't block, and is safe for concurrent use.
 func (s *Sharing) AnnouncePrefill(server uint64, tokens int) {
 	targets := s.targets.Load()
 	if targets == nil {
 		return
 	}
 	prompt := pendingPrompt{server: server, tokens: tokens, sender: s.sender}
-	var buffer [headerBytes + prefillBytes]byte
+	var buffer [headerBytes + prefillEntryBytes]byte
 	datagram := encodePrefills(buffer[:0], kindPrefill, []pendingPrompt{prompt})
 	for _, aggregators := range targets.allAggregators {
 		_, _ = s.conn.WriteToUDPAddrPort(datagram, aggregators[server%uint64(len(aggregators))])
 	}
 }
 
-// receivePrefills records a datagram of prompts. Those that a process sent to this aggregator (kindPrefill)
-// are relayed; relayed ones aren't relayed again.
+// receivePrefills records the prompts of a datagram, except those of this process. It queues prompts that a process
+// announced to this aggregator (kindPrefill) to be relayed; relayed ones aren't relayed again.
 func (s *Sharing) receivePrefills(now time.Time, k kind, prompts []pendingPrompt) {
 	for _, prompt := range prompts {
 		if prompt.sender != s.sender {
@@ -130,13 +130,13 @@
 		if k == kindPrefill {
 			select {
 			case s.relayQueue <- prompt:
-			default: // the queue is full; a prompt that isn't announced only makes the cost estimate less exact
+			default: // the queue is full: without an announcement the cost estimates of other processes are only less exact
 			}
 		}
 	}
 }
 
-// relayPrefills sends gathered prompts to the processes of the zone.
+// relayPrefills sends the gathered announcements to the processes of the zone.
 func (s *Sharing) relayPrefills(prompts []pendingPrompt, zone []netip.AddrPort) {
 	for len(prompts) > 0 {
 		count := min(len(prompts), maxPrefills)
--- a/internal/serverload/table.go
+++ b/internal/serverload/table.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// loadTTL is how long a load is valid: about as long as the requests take that it consists of.
+// loadTTL is how long a load is valid: about the duration of the requests that it counts.
 const loadTTL = 1500 * time.Millisecond
 
-// Table is what a process knows of the load of servers, by the hashes of their ids, and of batch processes.
+// Table holds the load of servers, by the hashes of their ids, and of batch processes, as far as a process knows it.
 // It is safe for concurrent use.
 type Table struct {
-	mu       sync.RWMutex // guards what follows, except invalid
+	mu       sync.RWMutex // guards the fields below, except invalid
 	entries  map[uint64]loadEntry
 	newestAt time.Time // when any server last reported its load
 	sweptAt  time.Time
 	results  results
 
-	prefillUntil       map[uint64]time.Time // until when servers read prompts that other processes sent
-	prefillsAfterSweep int                  // their number after the last sweep
+	prefillUntil       map[uint64]time.Time // when servers will have read the prompts that other processes sent
+	prefillsAfterSweep int                  // length of prefillUntil after its last sweep
 
 	backlogs map[uint64]backlogEntry // by the hash of the batch process's node
 
@@ -29,10 +29,10 @@
 // loadEntry is the newest load of a server.
 type loadEntry struct {
 	load       Load
-	reportedAt time.Time // by the server, to any process
-	receivedAt time.Time // by this process
-	direct     bool      // reported to this process
-	remote     bool      // received from another zone
+	reportedAt time.Time // when the server reported it to any process
+	receivedAt time.Time // when this process received it
+	direct     bool      // the server reported it to this process
+	remote     bool      // it was received from another zone
 }
 
 // NewTable returns an empty table.
@@ -42,7 +42,7 @@
 }
 
 // Observe records the load in the header of a server's response. An empty header means that the server
-// doesn't report its load; one that can't be parsed is counted (Invalid).
+// doesn't report its load. A header that can't be parsed is dropped and counted (Invalid).
 func (t *Table) Observe(now time.Time, server uint64, header string) {
 	if header == "" {
 		return
@@ -58,8 +58,7 @@
 // Invalid returns the number of headers and datagrams that could not be parsed.
 func (t *Table) Invalid() int64 { return t.invalid.Load() }
 
-// Lookup returns a server's load and when it was reported. known is false if there is none that is still
-// valid.
+// Lookup returns a server's load and when it was reported. known is false if there is none or it has expired.
 func (t *Table) Lookup(now time.Time, server uint64) (load Load, reportedAt time.Time, known bool) {
 	t.mu.RLock()
 	entry, found := t.entries[server]
@@ -70,14 +69,14 @@
 	return entry.load, entry.reportedAt, true
 }
 
-// receivesLoads reports whether servers report their load.
+// receivesLoads reports whether any server has reported its load within loadTTL.
 func (t *Table) receivesLoads(now time.Time) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return now.Sub(t.newestAt) <= loadTTL
 }
 
-// update replaces a server's load by a newer one.
+// update records a server's load if it is newer than the known one.
 func (t *Table) update(server uint64, entry loadEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +90,7 @@
 	t.sweep(entry.reportedAt)
 }
 
-// sweep drops what has expired. mu is held.
+// sweep drops loads and results that have expired, once every loadTTL. mu is held.
 func (t *Table) sweep(now time.Time) {
 	if now.Sub(t.sweptAt) < loadTTL {
 		return
@@ -105,15 +104,15 @@
 	t.results.sweep(now)
 }
 
-// Report is what one process sends another about a server.
+// Report is the information about a server that one process sends to another.
 type Report struct {
 	Server  uint64        // hash of its id
-	Load    Load          // without slots: none is reported
+	Load    Load          // Slots is 0 if no load is reported
 	Age     time.Duration // of the load
 	Results Results
 }
 
-// reportsSince returns reports of the loads that were received after a moment and that a filter accepts.
+// reportsSince returns reports of the valid loads that were received after moment and for which accept returns true.
 func (t *Table) reportsSince(now, moment time.Time, accept func(loadEntry) bool) []Report {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -126,7 +125,7 @@
 	return list
 }
 
-// receiveReports records a datagram of reports.
+// receiveReports records the reports of a datagram. A datagram that can't be decoded is counted (Invalid).
 func (t *Table) receiveReports(now time.Time, datagram []byte) {
 	k, reports, ok := decode(datagram)
 	if !ok {
--- a/internal/serverload/targets.go
+++ b/internal/serverload/targets.go
@@ -10,22 +10,22 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// aggregatorsPerZone is the number of a zone's aggregators: one may be down before the list of processes
-// shows it.
+// aggregatorsPerZone is the number of aggregators of a zone: one may be down while the list of processes doesn't
+// show that yet.
 const aggregatorsPerZone = 2
 
-// targets are the addresses of the processes that a process sends to. They are immutable.
+// targets holds the addresses of the processes to which this process sends datagrams. It is immutable.
 type targets struct {
-	aggregators    []netip.AddrPort   // of the own zone, without this process
-	allAggregators [][]netip.AddrPort // of each zone, by the zones' names
+	aggregators    []netip.AddrPort   // of the zone of this process, without itself
+	allAggregators [][]netip.AddrPort // of each zone, sorted by the zones' names
 
 	// Empty unless this process is an aggregator.
-	zoneProcesses     []netip.AddrPort // the other processes of the zone
-	zoneGateways      []netip.AddrPort // those of them that are gateways
+	zoneProcesses     []netip.AddrPort // all other processes of the zone
+	zoneGateways      []netip.AddrPort // the other gateways of the zone
 	remoteAggregators []netip.AddrPort // the aggregators of other zones
 }
 
-// updateTargets computes the targets anew if the list of processes has changed.
+// updateTargets recomputes the targets if the list of processes has changed.
 func (s *Sharing) updateTargets() {
 	members := s.members()
 	if members == nil || s.targets.Load() != nil && members.Version == s.membersVersion {
@@ -57,7 +57,7 @@
 	s.targets.Store(next)
 }
 
-// zoneAddresses returns the other gateways of this zone, and all its other processes.
+// zoneAddresses returns the addresses of the other gateways of this zone, and of all its other processes.
 func (s *Sharing) zoneAddresses(members *protocol.MemberList) (gateways, all []netip.AddrPort) {
 	for i := range members.Gateways {
 		if member := &members.Gateways[i]; member.Zone == s.self.Zone && member.Node != s.self.Node {
@@ -73,8 +73,8 @@
 	return gateways, all
 }
 
-// appendAddress appends a process's address. It leaves out one whose IP can't be parsed: hints are sent to
-// the others.
+// appendAddress appends a process's address. It leaves out a process whose IP can't be parsed, so that the other
+// processes still get hints.
 func (s *Sharing) appendAddress(list []netip.AddrPort, ip string) []netip.AddrPort {
 	address, err := netip.ParseAddr(ip)
 	if err != nil {
@@ -83,8 +83,8 @@
 	return append(list, netip.AddrPortFrom(address, s.port))
 }
 
-// aggregatorsByZone returns the gateways of each zone with the highest weights (rendezvous hashing): if one
-// is removed, the others stay.
+// aggregatorsByZone returns the aggregators of each zone: the aggregatorsPerZone gateways with the highest weights
+// (rendezvous hashing), so that the others remain aggregators if one is removed.
 func aggregatorsByZone(gateways []protocol.Process) map[string][]protocol.Process {
 	aggregators := map[string][]protocol.Process{}
 	for _, gateway := range gateways {
