--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -21,26 +21,26 @@
 	minSamples         = 20   // least number of attempts for a percentile, if the window has as many
 	minLate            = 3    // late attempts below which a target doesn't count as missed
 	maxLateShare       = 0.1  // share of late attempts above which the 90th percentile misses the target
-	significanceBound  = 1.64 // standard deviations above maxLateShare; chance alone exceeds them once in twenty
+	significanceBound  = 1.64 // standard deviations by which a miss exceeds maxLateShare; chance alone does once in twenty
 	minRequestRate     = 0.5  // smoothed requests a second below which a group has no score
 	maxLatencyTargets  = 4    // most that one attempt adds to its group's latency, as a multiple of the target
 
 	// Load of the servers.
-	minUtilization = 0.55            // share of the slots in use below which nothing is shed, unless requests wait for slots
+	minUtilization = 0.55            // share of slots in use; below it nothing is shed unless requests wait for slots
 	loadTTL        = 3 * time.Second // how long an observed load is valid
 
 	// Shedding.
 	maxShed        = 0.6   // largest share that is shed of any group and tenant priority
 	stepShare      = 0.125 // share of a group's requests that one step sheds
-	steepStepShare = 0.25  // the same while half of the recent attempts of an overloaded group are late
+	steepStepShare = 0.25  // the same while at least half of the recent attempts of an overloaded group are late
 	minStepShare   = 0.02  // a group of which a step would shed less is skipped
-	restoreAfter   = 3     // intervals without overload before the first step is reverted
+	restoreAfter   = 3     // intervals without overload before steps are reverted
 
 	// Retries by clients after a rejection.
-	retryShedThreshold = 0.3                    // while the share shed of other requests is below it, retries aren't shed
+	retryShedThreshold = 0.3                    // share shed of other requests below which no retry is shed
 	minRetryAfter      = 600 * time.Millisecond // shortest Retry-After of a rejection
 	maxRetryAfter      = 1500 * time.Millisecond
-	retryAfterShare    = 0.3 // longest Retry-After as a share of the time left, of which clients honor a third
+	retryAfterShare    = 0.3 // longest Retry-After as a share of the time left: clients honor up to a third of that
 )
 
 // Reason is why a request was rejected.
--- a/internal/gateway/admission/group.go
+++ b/internal/gateway/admission/group.go
@@ -38,7 +38,7 @@
 
 	traffic       []float64 // offered requests by tenant priority, decayed
 	shed          []float64 // share that the group's steps shed, by tenant priority
-	effectiveShed []float64 // share that Admit sheds, by tenant priority; see updateEffective
+	effectiveShed []float64 // share shed of requests that aren't retries, by tenant priority; see updateEffective
 	steps         int       // number of the group's steps in force
 	rejections    uint64
 
--- a/internal/gateway/admission/report.go
+++ b/internal/gateway/admission/report.go
@@ -45,8 +45,8 @@
 				panic(fmt.Sprintf("admission: group %s sheds a share of %v, which is not between 0 and maxShed", g.name, share))
 			}
 			if class > 0 && share < g.effectiveShed[class-1]-roundingTolerance {
-				panic(fmt.Sprintf("admission: group %s sheds a larger share of more urgent tenants than of less urgent ones: %v", g.name,
-					g.effectiveShed))
+				panic(fmt.Sprintf("admission: group %s sheds a larger share of more urgent tenants than of less urgent ones: %v",
+					g.name, g.effectiveShed))
 			}
 		}
 	}
--- a/internal/gateway/admission/shedding.go
+++ b/internal/gateway/admission/shedding.go
@@ -98,9 +98,9 @@
 	return limit
 }
 
-// updateEffective computes the shares that Admit sheds: those of the steps, but at least the share that is shed of
-// any more urgent requests at the same servers. The steps alone don't ensure this: a priority without traffic at
-// the time of a step was left out of it, and may have traffic now.
+// updateEffective computes the shares that Admit sheds of requests that aren't retries: those of the steps, but at
+// least the share that the steps shed of any more urgent requests at the same servers. The steps alone don't ensure
+// this: a priority without traffic at the time of a step was left out of it, and may have traffic now.
 func (a *Admission) updateEffective() {
 	for _, g := range a.order {
 		for class := range g.effectiveShed {
--- a/internal/gateway/outcomes/outcomes.go
+++ b/internal/gateway/outcomes/outcomes.go
@@ -25,7 +25,7 @@
 	LateServer       Outcome = "late_server"      // its server was slow, for no known reason
 	RejectedOverload Outcome = "refused_overload" // load shedding
 	RejectedQuota    Outcome = "refused_quota"    // its tenant exceeds its rate limit
-	Unready          Outcome = "unready"          // 503 before it was read: the gateway wasn't ready or had no memory for it
+	Unready          Outcome = "unready"          // 503 before it was read: gateway not ready, or no memory for it
 	NoServer         Outcome = "no_server"        // no server accepted it, and none ran it
 	ServerFailed     Outcome = "server_failed"    // a server responded that it failed
 	Lost             Outcome = "lost"             // a server may have run it, and no response arrived
