--- a/internal/gateway/admission/admission.go
+++ b/internal/gateway/admission/admission.go
@@ -68,7 +68,7 @@
 
 // Options are the fixed settings of an Admission.
 type Options struct {
-	Random *rand.Rand // for Retry-After and the initial shed credit of each size class; nil: randomly seeded
+	Random *rand.Rand // spreads Retry-After and the first rejection of each size class; nil: randomly seeded
 }
 
 // Admission decides on load shedding for one gateway. It is safe for concurrent use.
--- a/internal/gateway/admission/admission_test.go
+++ b/internal/gateway/admission/admission_test.go
@@ -165,6 +165,8 @@
 	return time.Duration(float64(mean) * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2))
 }
 
+// TestNoisyLatencies checks that few requests with scattered latencies don't mislead the mechanism: the smoothed counts
+// rank the groups correctly where single intervals don't, and chance alone causes few shedding steps.
 func TestNoisyLatencies(t *testing.T) {
 	Convey("With three requests a second and long-tailed latencies the group with the longer ones has the top score", t, func() {
 		snapshot := testSnapshot([]int{0, 0}, []int{0})
