--- a/policy/admission.go
+++ b/policy/admission.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Is a request taken in? Capacity, load shedding, the hard limit and the quota decide, in this order; a request that is
-// taken in goes on to dispatch.go. Read first.
+// Admission of requests, by the capacity, load shedding, the hard limit and the quota. An admitted request is passed to
+// dispatch (dispatch.go).
 
-// Request takes a client's request in: it is refused, asked about at its customer's owner, or sent on. What can't be
-// served is refused before it draws anything.
+// Request handles a client's request: it refuses it, queries the customer's owner about it, or dispatches it. A request
+// that can't be served is refused before it draws any units.
 func (g *Gateway) Request(now Time, in Request) {
 	g.advance(now)
 	if g.requests[in.ID] != nil {
@@ -17,7 +17,7 @@
 		g.host.Refuse(in.ID, 0)
 		return
 	}
-	if !(in.Units >= 0 && in.Units <= math.MaxInt32) { // NaN would make a balance NaN for good
+	if !(in.Units >= 0 && in.Units <= math.MaxInt32) { // also catches NaN, which would make the balance NaN for good
 		in.Units = 1
 	}
 	customer := g.customerFor(in)
@@ -45,8 +45,9 @@
 	}
 }
 
-// withinQuotaHere tells whether a request is within its customer's quota, by this gateway as the owner or by its copy
-// or part of the bucket. An owner without room for its record of the bucket decides by its part, as if it had none.
+// withinQuotaHere reports whether a request is within its customer's quota as decided by this gateway, either as the
+// owner or from its copy or part of the bucket. An owner without room for its record of the bucket decides from its
+// part, as if the customer had no owner.
 func (g *Gateway) withinQuotaHere(r *request) bool {
 	if r.owner == g.cfg.Self {
 		q := ownerQuery{from: g.cfg.Self, token: uint32(r.ID), customerKey: r.customer.key, units: r.Units}
@@ -58,8 +59,9 @@
 	return g.withinQuota(r)
 }
 
-// mustRefuse tells whether a request is refused whatever its quota says: its group is shed, its hard limit reached,
-// or there is no capacity. The capacity is not held against requests beyond their quota: admit judges these.
+// mustRefuse reports whether a request is refused regardless of its quota: its group is shed, its hard limit is
+// reached, or there is no capacity. Requests beyond their quota are not checked against the capacity; admit decides
+// on them.
 func (g *Gateway) mustRefuse(r *request, within, ownerDecides bool) bool {
 	group := &g.groups[g.groupOf(r)]
 	refuse := group.shed || r.owner < 0 && !r.customer.withinHardLimit(g.cfg.Plans[r.Plan], r.Units)
@@ -67,27 +69,29 @@
 	free := capacity + g.burstAllowance(capacity) - g.load() - float64(len(g.queue))
 	if !refuse && within && free < 1 && g.rng.Float64() >= free {
 		refuse = true
-		// A request that the owner decides on may be beyond its quota, so it is no sign of overload.
+		// A request that the owner decides on may be beyond its quota, so it is no evidence of overload.
 		g.capacityReached = g.capacityReached || group.capacityShare >= 1 && !ownerDecides
 	}
-	// Under overload a request that would be late at any server is refused, if it takes longer than its class does:
-	// where the whole class would be late, load shedding decides.
+	// Under overload, a request that would be late at any server is refused if it takes longer than is typical of its
+	// class. If the whole class would be late, load shedding decides instead.
 	if g.overloaded && g.expectedLatency(r) > g.cfg.Classes[r.Class].LatencyTarget {
 		refuse = refuse || g.typicalLatency(r) > (1+similarity)*g.classTypicalLatency(r.Class)
 	}
 	return refuse
 }
 
-// burstAllowance is by how much the attempts in flight here may exceed this gateway's capacity while those of the
-// whole fleet don't exceed the fleet's: two standard deviations of a Poisson number, where this gateway's part of a
-// server's initial capacity is less than one attempt.
+// burstAllowance returns by how many attempts this gateway may exceed its capacity. The attempts of many gateways
+// together can be within the fleet's capacity while those of one gateway exceed its own by chance. The allowance is two
+// standard deviations of a Poisson distribution, scaled down to 0 where this gateway's part of a server's initial
+// capacity is one attempt or more.
 func (g *Gateway) burstAllowance(capacity float64) float64 {
 	return 2 * math.Sqrt(capacity*math.Max(0, 1-initialCapacity/float64(g.cfg.Gateways)))
 }
 
-// admit sends on a request that is within its customer's quota, and refuses one that isn't where it wouldn't pay. The
-// hard limit is kept without help from peers: a gateway draws on its own part of rate and burst, here or at the first
-// owner, and a new incarnation starts with what has filled since its start, as the earlier one may have used up all.
+// admit dispatches a request that is within its customer's quota. A request beyond the quota is dispatched only if its
+// value exceeds its cost and there is no overload, and refused otherwise. The hard limit is enforced without help from
+// peers: a gateway draws on its own share of rate and burst, here or at the first owner. The share of a new incarnation
+// has only what has filled since its start, because the previous incarnation may have used up everything.
 func (g *Gateway) admit(r *request, within bool) {
 	delete(g.pendingQueries, r.queryToken)
 	p := g.cfg.Plans[r.Plan]
--- a/policy/answers.go
+++ b/policy/answers.go
@@ -1,12 +1,11 @@
 package policy
 
-// Which final answer does a request get that no server has answered? Read after retries.go.
+// Final answers of requests that no server has answered.
 
-// The constant of refusals.
-const retryAfterDivisor = 8 // of its class's target: the wait before a repeat that a refusal names
+const retryAfterDivisor = 8 // divides a class's target into the wait before a repeat that a refusal asks for
 
-// answerUnserved gives a request the final answer of one that wasn't served: a refusal where it hasn't run or may run
-// again, else a failure.
+// answerUnserved gives the final answer to a request that wasn't served: a refusal if it hasn't run or may run again,
+// and a failure otherwise.
 func (g *Gateway) answerUnserved(r *request) {
 	class := g.cfg.Classes[r.Class]
 	if len(r.mayHaveRun) == 0 && len(r.inFlight) == 0 || class.Idempotency == Idempotent {
@@ -17,7 +16,7 @@
 	g.finish(r)
 }
 
-// finish notes that a request has its final answer, and gives its units back where none were drawn.
+// finish records that a request has its final answer, and returns its units if none were drawn.
 func (g *Gateway) finish(r *request) {
 	if !r.closed && (r.attempts == 0 || r.BodyPending) && r.charged {
 		g.charge(r, -1)
@@ -31,7 +30,7 @@
 	}
 }
 
-// ClientGone takes in that a client has left: its request needs no answer.
+// ClientGone handles a client's disconnect: its request no longer needs an answer.
 func (g *Gateway) ClientGone(now Time, id RequestID) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,72 +1,75 @@
 // Package policy decides, for one gateway among several that share customers' quotas, which requests are admitted,
 // which server each attempt goes to, and when an attempt is retried, hedged or cancelled.
 //
-// The package does no input or output and reads no clock: events are method calls on a Gateway that carry the time,
-// and actions are calls on a Host. The same events with the same seed give the same actions, which is what
-// internal/emulator and the tests rely on to replay a run by its seed. Methods must not be called concurrently;
-// internal/core serialises them under its mutex.
+// The package does no I/O and reads no clock: events are method calls on a Gateway that carry the time, and actions
+// are calls on a Host. The same events with the same seed give the same actions; internal/emulator and the tests rely
+// on this to replay a run by its seed. Methods must not be called concurrently; internal/core serialises them under
+// its mutex.
 //
 // # Life of a request
 //
 // Request charges the customer's quota and either refuses the request (Host.Refuse), sends a first attempt
-// (Host.Send) or queues it until a server may take it. Outcome reports how each attempt ended; it may lead to a
+// (Host.Send) or queues it until a server may take it. Outcome handles the end of each attempt, which may lead to a
 // further attempt. A request gets exactly one final answer: the answer of a server, Host.Refuse (the request has not
-// run, so the client may repeat it) or Host.Fail (it may have run).
+// run or may run again, so the client may repeat it) or Host.Fail (it may have run).
 //
 // # Invariants
 //
-//   - A request that is not idempotent never has a second attempt once one may have run. One that is idempotent by
-//     its key has further attempts only at servers that drop each other's repeats, and only within the time for which
-//     they do (Gateway.mayRunOn).
+//   - A request that is not idempotent gets no further attempt once an attempt may have run. A request that is
+//     idempotent by key gets further attempts only at servers that drop each other's repeats, and only within the
+//     deduplication window (Gateway.mayRunOn).
 //   - Host.Refuse is called only where no attempt may have run, or where a repeat is harmless.
-//   - Within any window all gateways together send a server that has just started no more than a multiple of what it
-//     can do (Gateway.withinSlowStartBudget, ledger.SlowStartBudget).
-//   - All gateways together admit no more of a customer than its hard limit, whichever messages are lost and gateways
-//     restart (ledger.BucketShare). The quota below the hard limit is kept as closely as peers' updates allow.
+//   - In any Settings.SlowStartWindow, all gateways together send a server that has just started at most
+//     Settings.SlowStartMultiple times what it can do (Gateway.withinSlowStartBudget, ratelimit.SlowStartBudget).
+//   - All gateways together admit no more of a customer than its hard limit, whichever messages are lost and whichever
+//     gateways restart (ratelimit.BucketShare). The quota below the hard limit is kept as closely as peers' updates
+//     allow.
 //
 // # Quotas
 //
-// A customer's requests come in at a set of gateways that stand next to each other in the numbering. Where that set
-// is small (Gateway.sharesBucket) its gateways draw on one token bucket: each keeps a copy and tells the others what
-// it has drawn, up to 30 times a second. While a gateway doesn't hear most of its nearby peers it holds the customer
-// to a part of the bucket. A customer with a larger set has an owner among its gateways, which keeps the bucket and
-// is asked about each request. Sums over all gateways, such as a customer's demand, are estimated by push-sum gossip:
-// Kempe, Dobra and Gehrke, "Gossip-Based Computation of Aggregate Information", FOCS 2003.
+// A customer's requests arrive at a set of gateways with consecutive numbers. If that set is small
+// (Gateway.sharesBucket), its gateways draw on one token bucket: each keeps a copy and sends the others what it has
+// drawn, up to 30 times a second. While a gateway doesn't receive messages from most of its nearby peers, it limits
+// the customer to a part of the bucket (Gateway.drawsOnWholeBucket). A customer with a larger set has an owner among
+// its gateways, which keeps the bucket and is queried about each request. Sums over all gateways, such as a customer's
+// demand, are estimated by push-sum gossip: Kempe, Dobra and Gehrke, "Gossip-Based Computation of Aggregate
+// Information", FOCS 2003.
 //
 // # Overload
 //
-// Each server has a capacity, in attempts of this gateway, that grows while the 90th percentile of its latency stays
-// below a share of the target and shrinks when it doesn't. While requests are late and the fleet is loaded, or while
+// Each server has a capacity, in attempts of this gateway. It grows while the 90th percentile of the server's latency
+// stays below a share of the target, and shrinks otherwise. While requests are late and the fleet is loaded, or while
 // the capacity is used up, groups of requests (one for each class and plan) are shed in the order of their RUDA
-// scores (internal/ruda), and groups with a high score have less of the capacity. A group's resource, which the paper
-// leaves to its users, is the latency of its attempts, summed up over all gateways.
+// scores (internal/ruda), and groups with a high score may use less of the capacity. The RUDA paper leaves the
+// definition of a group's resource to its users; here it is the latency of the group's attempts, summed over all
+// gateways.
 //
 // # Servers
 //
 // An attempt goes to the server with the least expected wait. Servers are ejected after consecutive failures or by
-// their share of failures, for a time that doubles (outlier ejection, as in Envoy), unless most servers look
-// unhealthy. Servers that have just started warm up under a budget (slow start). Retries and hedged requests (Dean
-// and Barroso, "The Tail at Scale", CACM 2013) are bounded by budgets that fill with each request.
+// their share of failures, for a time that doubles with each ejection (outlier ejection, as in Envoy), unless more than
+// half of the servers are ejected. Servers that have just started warm up under a budget (slow start). Retries and
+// hedged requests (Dean and Barroso, "The Tail at Scale", CACM 2013) are bounded by budgets that fill with each
+// request.
 //
 // # Files
 //
-// This file is the interface; read it first. Then the files that decide, in this order, each of which begins with the
-// question that it answers:
+// This file is the interface. The decisions are made in the following files, best read in this order:
 //
-//   - admission.go, quota.go, customers.go, bucket_sharing.go, owner.go: is a request taken in, and charged to whom?
-//   - overload.go, capacity.go: is there overload, which groups are shed, how many attempts may be in flight?
-//   - server_list.go, selection.go, ejection.go, slow_start.go: which server does an attempt go to?
-//   - dispatch.go, outcomes.go, retries.go, answers.go: what follows for a request, up to its final answer?
-//   - timers.go, peer_messages.go: what do timers and the messages of peers set off?
+//   - admission.go, quota.go, customers.go, bucket_sharing.go, owner.go: admission of requests, and quotas.
+//   - overload.go, capacity.go: overload detection, load shedding, and the limit on attempts in flight.
+//   - server_list.go, selection.go, ejection.go, slow_start.go: the choice of a server for an attempt.
+//   - dispatch.go, outcomes.go, retries.go, answers.go: the course of a request up to its final answer.
+//   - timers.go, peer_messages.go: the handling of timers and of messages from peers.
 //
-// The other files decide nothing: state.go and records.go hold the state, decay.go the decaying sums in it, attempts.go
-// its changes as attempts begin and end, estimates.go what is estimated from answers, reconcile.go the correction of
-// estimated units, peers.go and messages.go how gateways see each other and the format of their messages,
+// The other files make no decisions: state.go and records.go hold the state, decay.go its decaying sums, attempts.go
+// the accounting of attempts as they begin and end, estimates.go the estimates from servers' answers, reconcile.go the
+// correction of estimated units, peers.go the updates between gateways, messages.go the format of their messages,
 // state_transfer.go the export of state to a successor, balances.go the balances that outlast a process, report.go
-// statistics, settings.go the checks of settings.
+// statistics, and settings.go the checks of settings.
 //
-// The constants that tune a decision stand at the top of its file. None of them depends on a deployment. In their
-// comments "target" is the shortest latency target of all classes, unless a class is named.
+// The constants that tune a decision are at the top of its file. None of them depends on a deployment. In their
+// comments, "target" is the shortest latency target of all classes, unless a class is named.
 package policy
 
 import "time"
@@ -74,16 +77,16 @@
 // Time is a clock reading: the time since an origin that stays the same while a gateway lives.
 type Time = time.Duration
 
-// RequestID names one request of a client. It is never reused while a gateway lives.
+// RequestID identifies one request of a client. It is never reused while a gateway lives.
 type RequestID uint64
 
-// ServerID names a server. It says nothing of the server's zone, kind or age.
+// ServerID identifies a server. It implies nothing about the server's zone, kind or age.
 type ServerID uint64
 
-// CustomerID names the customer that a request's quota is charged to.
+// CustomerID identifies the customer whose quota a request is charged to.
 type CustomerID uint64
 
-// Idempotency says what running a request twice does.
+// Idempotency is the effect of running a request more than once.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -93,7 +96,7 @@
 	NotIdempotent                      // must not run twice
 )
 
-// DedupScope says which servers drop each other's repeats of a request that is idempotent by its key.
+// DedupScope is the set of servers that drop each other's repeats of a request that is idempotent by key.
 type DedupScope uint8
 
 // The scopes of deduplication.
@@ -106,29 +109,29 @@
 // Class is one kind of request.
 type Class struct {
 	Name          string
-	LatencyTarget time.Duration // an answer within it earns the full value; overload is judged by it
+	LatencyTarget time.Duration // an answer within it earns the full value; overload is detected by it
 	Deadline      time.Duration // how long a client waits, over all attempts
 	Idempotency   Idempotency
 	DedupScope    DedupScope    // for IdempotentByKey
 	DedupWindow   time.Duration // for IdempotentByKey: how long repeats are dropped
-	Value         float64       // what an answer in time is worth; weighs groups when load is shed
-	LateValue     float64       // share of the value that a late answer earns; not used here
+	Value         float64       // value of an answer in time; the weight of the class's groups when load is shed
+	LateValue     float64       // share of the value that a late answer earns; not used in this package
 	Streaming     bool          // the answer is a stream, which is never hedged or cancelled for being slow
 }
 
-// Plan is a quota, which holds for each of its customers over all gateways together.
+// Plan is a quota. It applies to each customer of the plan separately, over all gateways together.
 type Plan struct {
 	Name            string
 	Rate, Burst     float64 // of the token bucket: units a second, and units; a rate of 0 means no quota
-	MaxInFlight     int     // most attempts in flight at once; 0 means no limit
-	ValueMultiplier float64 // of the values of the plan's requests
+	MaxInFlight     int     // limit on attempts in flight at once; 0 means no limit
+	ValueMultiplier float64 // multiplies Class.Value for the plan's requests
 
 	// A request beyond the quota is admitted only if its value exceeds its cost; both are shares of its value.
 	OverQuotaValue, OverQuotaCost float64
 
-	// The hard limit is never exceeded, also while peers can't be reached: units a second, and units. A rate of 0 means
-	// no hard limit. HardLimitSlack is the excess in units that the operator tolerates: a peer's grant of its part that
-	// is so late that it could cause a greater excess is dropped.
+	// The hard limit, in units a second and units, is never exceeded, not even while peers can't be reached. A rate of 0
+	// means no hard limit. HardLimitSlack is the excess in units that the operator tolerates: if a peer's grant from its
+	// share arrives so late that it could cause a greater excess, it is dropped.
 	HardLimitRate, HardLimitBurst float64
 	HardLimitSlack                float64
 }
@@ -139,25 +142,25 @@
 	Classes              []Class
 	Plans                []Plan
 	Tick                 time.Duration // resolution of events and timers; deadlines are met two ticks early
-	LoadReportFields     []string      // order of Outcome.LoadReport; "latency_ms" is the only one that is used
-	Subscribe            bool          // server lists come only after Host.Watch
+	LoadReportFields     []string      // the fields of Outcome.LoadReport, in order; only "latency_ms" is used
+	Subscribe            bool          // server lists arrive only after Host.Watch
 
-	// What the site permits: second attempts beside the first, messages to peers, health checks (which are not made
-	// here), and cancelling attempts.
+	// What the site permits: a second attempt while the first is in flight, messages to peers, health checks (this package
+	// makes none), and cancelling attempts.
 	Hedging, Peers, Probes, Cancel bool
 
-	MaxAttempts     int           // of one request, hedged ones included; at least one is made
-	MaxRetryAfter   time.Duration // longest wait that a refusal names; 0 means that it names none
-	PeerMessageRate float64       // messages a second that a gateway takes in from its peers; 0 means no limit
-	CrossZoneCost   float64       // cost of an attempt that crosses zones; not used here
-	MaxUnits        float64       // most units that an answer may say a request drew
+	MaxAttempts     int           // of one request, including hedged ones; at least one is made
+	MaxRetryAfter   time.Duration // the longest wait that a refusal asks for; 0 means that it asks for none
+	PeerMessageRate float64       // messages a second that a gateway accepts from its peers; 0 means no limit
+	CrossZoneCost   float64       // cost of an attempt that crosses zones; not used in this package
+	MaxUnits        float64       // the most units that an answer may report as drawn by its request
 
-	DrainGrace        time.Duration // how long a draining server may still be sent requests; not used here
+	DrainGrace        time.Duration // how long a draining server may still be sent requests; not used in this package
 	WarmupTime        time.Duration // how long after its start a server may be slow; 0 means no warm-up
-	SlowStartWindow   time.Duration // over which the budget of a server that warms up is counted
-	ListRefreshWithin time.Duration // bounds the backoff after a failed watch of the server list: a quarter of it here
+	SlowStartWindow   time.Duration // the window over which a warming server's budget is counted
+	ListRefreshWithin time.Duration // a quarter of it bounds the backoff after a failed watch of the server list
 	InitialWarmth     float64       // share of its full capacity that a server has right after its start
-	SlowStartMultiple float64       // a server that warms up is sent at most this multiple of what it can do
+	SlowStartMultiple float64       // a warming server is sent at most this multiple of what it can do
 }
 
 // Request is one request of a client.
@@ -167,20 +170,20 @@
 	Plan         int // index in Settings.Plans
 	Customer     CustomerID
 	Deadline     Time    // when the client stops waiting
-	Units        float64 // what it draws from the quota; an estimate, which Outcome.Units corrects
-	SetSize      int     // how many gateways serve the customer
-	FirstGateway int     // number of the first of them; the others follow it
-	ClientRetry  bool    // the client says that it repeats an earlier request; not used here
+	Units        float64 // the units that it draws from the quota; an estimate, which Outcome.Units corrects
+	SetSize      int     // the number of gateways that serve the customer
+	FirstGateway int     // number of the first of these gateways; the others have the numbers that follow
+	ClientRetry  bool    // the client says that it repeats an earlier request; not used in this package
 
-	// BodyPending means that the body is still being received: until BodySent neither the deadline nor latency counts,
-	// and the request can't be hedged.
+	// BodyPending means that the body is still being received. Until Gateway.BodySent is called, neither the deadline nor
+	// the latency counts, and the request can't be hedged.
 	BodyPending bool
 }
 
-// ServerState is a server's state by discovery.
+// ServerState is a server's state as reported by discovery.
 type ServerState uint8
 
-// The states of a server. Only Ready ones are sent requests.
+// The states of a server. Only servers in state Ready are sent requests.
 const (
 	Ready ServerState = iota
 	Departed
@@ -192,22 +195,22 @@
 	ID               ServerID
 	Zone, Kind, Cell int
 	State            ServerState
-	Weight           float64 // not used here
-	StartedAt        Time    // of the server's process; another value means another process. 0 means long ago
+	Weight           float64 // not used in this package
+	StartedAt        Time    // start of the server's process; another value means another process, 0 means long ago
 }
 
-// ListKind says how to read a server list.
+// ListKind is how a server list is to be interpreted.
 type ListKind uint8
 
 // The kinds of list.
 const (
-	ListChanges ListKind = iota // entries that were added or changed
+	ListChanges ListKind = iota // the entries that were added or changed
 	ListFull                    // all servers; those that are missing are no longer listed
-	ListCached                  // as ListFull, from a cache of an earlier process
+	ListCached                  // like ListFull, from the cache of an earlier process
 	ListFailed                  // no list: the watch failed
 )
 
-// Ending says how an attempt ended. Rejected, NotConnected and NeverSent mean that the request has not run there.
+// Ending is how an attempt ended. Rejected, NotConnected and NeverSent mean that the request has not run at its server.
 type Ending uint8
 
 // The endings of an attempt.
@@ -219,16 +222,16 @@
 	NotConnected                     // there was no connection, or it broke before the request was written
 	ConnectionLost                   // the connection broke after the request was written
 	Cancelled                        // by Host.Cancel, or by the client
-	NeverSent                        // nothing was written, for a reason on this side
+	NeverSent                        // nothing was written, for a reason at this gateway
 )
 
-// Prior is an estimate of a server that stands in until this gateway has seen it answer. It changes no decision on
-// whether a server is usable.
+// Prior is an estimate of a server that is used until this gateway has measured the server's answers itself. It doesn't
+// affect whether a server is considered usable.
 type Prior struct {
 	ID                   ServerID
-	StartedAt            Time    // the server process that the estimate is of
-	RelativeLatency      float64 // latency over the typical one of its class: 1 is like the others
-	Weight               float64 // in attempts: how many observed ones the estimate counts for
+	StartedAt            Time    // identifies the server process that the estimate is for
+	RelativeLatency      float64 // latency divided by the typical latency of the class: 1 is like the other servers
+	Weight               float64 // the number of observed attempts that the estimate counts as
 	Capacity             float64 // in attempts of this gateway; 0 means unknown
 	SlowStartBudgetTaken bool    // other gateways are using the server's warm-up budget
 }
@@ -236,30 +239,30 @@
 // Load is the load that other gateways are assumed to put on a server.
 type Load struct {
 	ID       ServerID
-	Attempts float64 // in flight, with a penalty for poor servers added
+	Attempts float64 // attempts in flight, plus a penalty for poor servers
 }
 
 // OwnLoad is the load that this gateway puts on a server, and how its latest attempts there ended.
 type OwnLoad struct {
 	InFlight           int     // attempts
-	Failures, Attempts float64 // decaying counts of the attempts that may have run: those that failed, and all
+	Failures, Attempts float64 // decaying counts of the attempts that may have run: the failed ones, and all
 }
 
 // Observation is what this gateway has measured at a listed server.
 type Observation struct {
 	ID              ServerID
 	StartedAt       Time
-	LatencySamples  float64       // decaying count of the attempts behind RelativeLatency
-	RelativeLatency float64       // latency over the typical one of its class; 0 where there are no samples
+	LatencySamples  float64       // decaying count of the attempts that RelativeLatency is the mean of
+	RelativeLatency float64       // latency divided by the typical latency of such requests; 0 without samples
 	LastServed      Time          // when the last attempt was served; 0 means never
 	ServedTotal     int           // attempts served since the server's process started
-	InFlight        int           // attempts
-	Overdue         int           // of these, the ones that take much longer than is typical
+	InFlight        int           // attempts in flight
+	Overdue         int           // attempts in flight for much longer than is typical
 	NoResponseFor   time.Duration // age of the oldest overdue attempt since which nothing was served; 0: none
-	EjectedFor      time.Duration // how long it stays ejected
+	EjectedFor      time.Duration // how much longer the server stays ejected
 	Capacity        float64       // in attempts of this gateway; 0 means unknown
 	Warmth          float64       // least share of its full capacity that it has, by the time since its start
-	SlowStartSends  int           // attempts sent in the last SlowStartWindow while it warmed up
+	SlowStartSends  int           // attempts sent in the last SlowStartWindow, while the server warmed up
 }
 
 // Outcome is the end of one attempt.
@@ -271,8 +274,8 @@
 	Ending       Ending
 	Answered     bool      // the request has its final answer
 	BodyConsumed bool      // the request's body can't be sent again
-	Units        float64   // the units that it drew, by the server; 0 where the server didn't say
-	LoadReport   []float32 // of the server, by Settings.LoadReportFields; nil where it sent none
+	Units        float64   // the units that the request drew, as reported by the server; 0 if it reported none
+	LoadReport   []float32 // the server's values for Settings.LoadReportFields; nil if it sent none
 }
 
 // Host carries out a gateway's decisions. Its methods are called within the Gateway's and must not call back.
@@ -281,12 +284,12 @@
 	Refuse(id RequestID, wait time.Duration)    // final answer: it hasn't run or may run again; wait before a repeat
 	Fail(id RequestID)                          // final answer: it may have run
 	Cancel(id RequestID, attempt int)           // stop waiting for an attempt; its Outcome follows
-	Timer(tag uint64, after time.Duration)      // call Gateway.Timer with this tag, later
-	SendToPeer(peer int, message []byte)        // send a message to one peer, or to all where peer is negative
-	Watch()                                     // ask for server lists from now on
+	Timer(tag uint64, after time.Duration)      // call Gateway.Timer with this tag when the time has passed
+	SendToPeer(peer int, message []byte)        // send a message to one peer, or to all if peer is negative
+	Watch()                                     // subscribe to server lists
 	Log(text string)                            // write a log line
 }
 
-// TimerRequest gives the request that a timer is for, 0 where it is for none. Once the request has its final answer
+// TimerRequest returns the request that a timer is for, or 0 if it is for none. Once the request has its final answer,
 // the timer has no effect and need not be delivered.
 func TimerRequest(tag uint64) RequestID { return RequestID(tag >> tagBits) }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// The accounting of attempts as they begin and end, and of the units that they draw. This file decides nothing.
+// The accounting of attempts as they begin and end, and of the units that they draw.
 
-// MayBegin tells whether an attempt may still be written to its connection, which may have taken long to come up: a
-// repeat that was harmless when the attempt was chosen need not be so now.
+// MayBegin reports whether an attempt may still be written to its connection. The connection may have taken long to
+// open, and a repeat that was harmless when the attempt was chosen need not be harmless any more.
 func (g *Gateway) MayBegin(now Time, id RequestID, number int) bool {
 	g.advance(now)
 	r := g.requests[id]
@@ -16,8 +16,8 @@
 	return i >= 0 && g.mayRunOn(r, r.inFlight[i].server, number)
 }
 
-// indexInFlight gives the index of an attempt among those in flight, below 0 where it is none of them. The request
-// may be nil.
+// indexInFlight returns the index of an attempt among the request's attempts in flight, or a negative number if it is
+// not in flight. The request may be nil.
 func (r *request) indexInFlight(number int) int {
 	if r == nil {
 		return -1
@@ -25,7 +25,7 @@
 	return slices.IndexFunc(r.inFlight, func(a *attempt) bool { return a.number == number })
 }
 
-// addAttempt counts an attempt as in flight wherever attempts are counted.
+// addAttempt numbers an attempt and adds it to all counts and lists of attempts in flight.
 func (g *Gateway) addAttempt(a *attempt) {
 	r := a.request
 	a.number, a.index = r.attempts, len(g.inFlight)
@@ -43,7 +43,7 @@
 	g.countSlowStartSend(a.server)
 }
 
-// removeAttempt undoes addAttempt and gives the attempt, nil where it is not in flight.
+// removeAttempt undoes addAttempt and returns the attempt, or nil if it is not in flight.
 func (g *Gateway) removeAttempt(r *request, number int) *attempt {
 	i := r.indexInFlight(number)
 	if i < 0 {
@@ -68,8 +68,9 @@
 	return a
 }
 
-// charge takes a request's units off the balance and the hard limit, or gives them back where sign is -1. Units
-// beyond the quota are not taken off the balance, nor is what the owner keeps.
+// charge subtracts a request's units from the balance and the hard limit, or returns them if sign is -1. The balance is
+// not charged for units beyond the quota, nor if an owner keeps the bucket; the hard limit is not charged here if the
+// units come out of the owner's share.
 func (g *Gateway) charge(r *request, sign float64) {
 	r.charged = sign > 0
 	if !r.overQuota && r.owner < 0 {
@@ -80,7 +81,7 @@
 	}
 }
 
-// setOccupiesSlot notes whether an attempt occupies a slot at its server.
+// setOccupiesSlot records whether an attempt occupies a slot at its server.
 func (g *Gateway) setOccupiesSlot(a *attempt, occupies bool) {
 	if n := 1; a.lost == occupies {
 		if a.lost = !occupies; occupies {
@@ -90,15 +91,16 @@
 	}
 }
 
-// countSlowStartSend counts an attempt against the budget of a server that warms up.
+// countSlowStartSend counts an attempt against its server's slow-start budget if the server is warming up. The server
+// may be nil.
 func (g *Gateway) countSlowStartSend(s *server) {
 	if s != nil && g.warmth(s) < 1 {
 		s.slowStartBudget.RecordSend(g.now)
 	}
 }
 
-// suspect notes that an attempt may be lost: it is in flight for far too long, and nothing was served by its server
-// meanwhile. It occupies no slot until that is known.
+// suspect records that an attempt may be lost: it has been in flight for far too long, and its server has served
+// nothing meanwhile. The attempt occupies no slot until the suspicion is cleared.
 func (g *Gateway) suspect(a *attempt) {
 	if !a.suspected && !a.lost {
 		a.suspected = true
@@ -107,7 +109,7 @@
 	}
 }
 
-// clearSuspicion ends the suspicion of an attempt: it is lost, or occupies its slot again.
+// clearSuspicion ends the suspicion of an attempt: either the attempt is lost, or it occupies its slot again.
 func (g *Gateway) clearSuspicion(a *attempt, lost bool) {
 	if a.suspected {
 		a.suspected = false
@@ -118,17 +120,17 @@
 	}
 }
 
-// markLost notes that an attempt is lost where enough others have overtaken it.
+// markLost frees the slot of an attempt if enough others have overtaken it, as it is then taken to be lost.
 func (g *Gateway) markLost(a *attempt) {
 	if a.overtakenBy >= overtakenLimit {
 		g.setOccupiesSlot(a, false)
 	}
 }
 
-// load gives the attempts that occupy slots at servers.
+// load returns the number of attempts that occupy slots at servers.
 func (g *Gateway) load() float64 { return float64(len(g.inFlight) - g.lostInFlight) }
 
-// ResponseStarted takes in that a response is being streamed: the deadline doesn't count any more.
+// ResponseStarted handles the start of a streamed response: the request's deadline no longer applies.
 func (g *Gateway) ResponseStarted(now Time, id RequestID, attempt int) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil {
@@ -136,8 +138,8 @@
 	}
 }
 
-// BodySent takes in that the last byte of a pending body has been sent on: time counts from now on, up to another
-// deadline. The request can't be sent again.
+// BodySent handles that the last byte of a pending body has been forwarded. Latency counts from now on, and deadline
+// replaces the request's deadline. The request can't be sent again.
 func (g *Gateway) BodySent(now Time, id RequestID, deadline Time) {
 	g.advance(now)
 	if r := g.requests[id]; r != nil && r.BodyPending && !r.closed {
@@ -151,7 +153,8 @@
 	}
 }
 
-// AnswerAll gives every request a final answer, as at its deadline, except those whose response is being streamed.
+// AnswerAll gives every open request the final answer that it would get at its deadline, except requests whose response
+// is being streamed.
 func (g *Gateway) AnswerAll(now Time) {
 	g.advance(now)
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
--- a/policy/balances.go
+++ b/policy/balances.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// The balances of quotas that outlast the process in a store, and what other processes of this gateway send. This
-// file decides nothing.
+// Quota balances that outlast the process in a store, and attempts sent by other processes of this gateway.
 
-// QuotaBalance is what is left of a customer's quota, as it is stored for the gateway's next incarnation.
+// QuotaBalance is the balance of a customer's quota, as stored for the gateway's next incarnation.
 type QuotaBalance struct {
-	Key      uint64 // of the customer in messages
+	Key      uint64 // the customer's key in messages (customerKey)
 	Customer CustomerID
-	Balance  float64 // units; below 0 they were admitted ahead of the refill
+	Balance  float64 // in units; negative where units were admitted ahead of the refill
 
-	// Of a balance that is restored: how old it is, and how long ago the earlier incarnation was last known to live.
+	// Set for a balance that is restored: its age, and the time since the earlier incarnation was last known to be alive.
 	Age, Downtime time.Duration
 }
 
-// QuotaBalances gives the balances of the customers that were active at or after a time.
+// QuotaBalances returns the balances of the customers that were active at or after since and have a quota.
 func (g *Gateway) QuotaBalances(now, since Time) (list []QuotaBalance) {
 	g.advance(now)
 	for _, c := range g.customers {
@@ -29,9 +28,9 @@
 	return list
 }
 
-// RestoreBalances takes over the balances of an earlier incarnation. It must be called before the first request. What
-// was drawn right before that incarnation ended isn't known, so hard limits are taken to have filled since then only,
-// and the fleet not to have just started.
+// RestoreBalances restores the balances of an earlier incarnation. It must be called before the first request. The
+// units drawn right before that incarnation ended aren't known, so the hard limits are assumed to have been empty
+// then and to have filled since, and the fleet is assumed not to have just started.
 func (g *Gateway) RestoreBalances(now Time, list []QuotaBalance) {
 	g.advance(now)
 	g.olderPeerKnown = true
@@ -48,8 +47,8 @@
 	}
 }
 
-// SentElsewhere takes in an attempt of the gateway's other process, or of its Gateway with other settings. Only the
-// first attempt of a request draws its units.
+// SentElsewhere accounts for an attempt that was sent by another process of this gateway, or by its Gateway with other
+// settings. Only the first attempt of a request draws the request's units.
 func (g *Gateway) SentElsewhere(now Time, in Request, to ServerID, first bool) {
 	g.advance(now)
 	if first {
--- a/policy/bucket_sharing.go
+++ b/policy/bucket_sharing.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// Does this gateway draw on a customer's whole bucket or on a part of it, and what have its peers drawn? Read after
-// quota.go; peers.go tells which gateways share a bucket.
+// Token buckets that are shared by several gateways: whether this gateway draws on the whole bucket or on a part of it,
+// and the accounting of its peers' draws. Which gateways share a bucket is defined in peers.go.
 
-// The constants of what gateways know of each other's draws.
 const (
-	minPushSumWeight   = 0.05 // a push-sum is not extrapolated from a smaller weight than this
-	balanceConvergence = 0.03 // of the difference of two copies of a bucket, with each update
+	minPushSumWeight   = 0.05 // the least weight from which a push-sum total is extrapolated
+	balanceConvergence = 0.03 // share of the difference between two copies of a bucket that each update removes
 )
 
-// drawsJointly tells whether this gateway draws on a customer's whole bucket: it receives updates of all of the
-// customer's gateways, or of most of those nearby. Those that are partitioned from the majority draw on their parts
-// meanwhile, which exceeds the quota by half at worst. The parts of gateways that are down must not lie idle.
+// drawsJointly reports whether this gateway draws on a customer's whole bucket: it receives updates from all of the
+// customer's gateways, or from most nearby gateways. A majority is enough because the parts of gateways that are down
+// must not lie idle. Gateways that are partitioned from the majority draw on their parts meanwhile, which exceeds the
+// quota by half at worst.
 func (g *Gateway) drawsJointly(c *customer) bool {
 	timedOut := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
 	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, timedOut))
 }
 
-// majorityAlive tells whether this gateway and the nearby peers that are alive are a majority of them all.
+// majorityAlive reports whether this gateway and the nearby peers that are alive are a majority of this gateway and its
+// nearby peers.
 func (g *Gateway) majorityAlive() bool { return 2*g.nearbyAlive()+1 > len(g.nearby) }
 
-// isolated tells whether no peer's message was received for longer than staleUpdates full updates.
+// isolated reports whether no message of any peer was received for longer than staleUpdates times fullUpdateInterval.
 func (g *Gateway) isolated() bool { return g.now-g.lastContact > staleUpdates*fullUpdateInterval }
 
-// demand gives the units a second that are asked here, and at all of the customer's gateways. An isolated gateway
-// takes the others' demand to be as its own, which holds the customer to an even part of its rate.
+// demand returns the units a second that the customer requests here, and at all of its gateways. An isolated gateway
+// assumes that the demand at each of the others equals its own, which limits the customer to an even part of its rate.
+// It assumes the same for a customer whose bucket isn't shared.
 func (g *Gateway) demand(c *customer) (here, total float64) {
 	memory, n := g.demandMemory(c.plan), float64(c.setSize)
 	c.demand.decay(g.now, memory)
@@ -44,8 +46,9 @@
 	return here, math.Max(here, total)
 }
 
-// applyPeerUsage takes in what a peer has drawn for a customer since its last update, and has a grant of its part of
-// the hard limit returned to it where the two parts are uneven. delay is how late the update came.
+// applyPeerUsage applies the units that a peer has drawn for a customer since its last update. If the two gateways'
+// shares of the hard limit are uneven, it queues an update to the peer, which carries a grant. delay is how much longer
+// the update took than the fastest one.
 func (g *Gateway) applyPeerUsage(c *customer, from int, e entry, delay time.Duration) {
 	if !g.sharesBucket(c) {
 		return
@@ -58,27 +61,27 @@
 		g.queueUpdate(c, from)
 	}
 	known := peer.incarnation == g.incarnations[from] && peer.generation == e.generation
-	if !known && g.olderPeerKnown && g.now-g.startedAt < peerAliveFor { // an older peer knows what is left
+	if !known && g.olderPeerKnown && g.now-g.startedAt < peerAliveFor { // an older peer knows the balance
 		c.balance = e.balance*plan.Burst - c.used
 	} else {
 		c.balance -= g.drawnSinceUpdate(c, from, e, known)
 	}
 	peer.incarnation, peer.receivedAt, peer.generation = g.incarnations[from], g.now, e.generation
 	peer.used, peer.inFlight = e.used, e.inFlight
-	// Copies of a bucket diverge where draws cross, and would stay so while the bucket is never full: the gateway that
-	// sees more would take all. What the peer had not been sent yet is no divergence.
+	// Copies of a bucket diverge when updates cross, and would stay different while the bucket is never full; the gateway
+	// that sees the higher balance would draw everything. Units that the peer had not been sent yet are not a divergence.
 	c.balance += balanceConvergence * (e.balance*plan.Burst - (c.used - peer.ownUsedSent) - c.balance)
 	c.balance = math.Max(-plan.Burst, c.balance)
 }
 
-// drawnSinceUpdate gives the units that a peer has drawn from the bucket since its last update, by its next one.
-// known tells whether the last one was of the same record of the peer.
+// drawnSinceUpdate returns the units that a peer has drawn from the bucket between its last update and the update e.
+// known reports whether the last update was of the same record of the peer.
 func (g *Gateway) drawnSinceUpdate(c *customer, from int, e entry, known bool) float64 {
 	peer := &c.peers[g.peerSlot(from)]
 	switch {
 	case peer.receivedAt < g.peerResumedAt[from] && (known || g.now-g.peerResumedAt[from] < peerAliveFor):
-		return 0 // drawn while the peer was timed out, so from its own part
-	case !known: // what the bucket lacks by the peer
+		return 0 // drawn while the peer was timed out, so from the peer's own part
+	case !known: // the units that are missing from the bucket according to the peer
 		return math.Min(e.used, (1-e.balance)*g.cfg.Plans[c.plan].Burst)
 	}
 	return usedBetween(peer.used, e.used)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// How many attempts may this gateway have in flight, at a server and in all? Read after overload.go.
+// The limits on this gateway's attempts in flight, at each server and in total.
 
-// The constants of servers' capacities, in attempts. Those that don't say otherwise are over all gateways.
+// Capacities are in attempts, and over all gateways unless noted otherwise.
 const (
-	slowTargetShare       = 0.65 // of its class's target: an attempt that takes longer shrinks the capacity
+	slowTargetShare       = 0.65 // share of its class's target beyond which an attempt shrinks the capacity
 	initialCapacity       = 4.0  // of a server
-	initialCapacityGrowth = 3.0  // times as fast a capacity grows until the first slow attempt
+	initialCapacityGrowth = 3.0  // factor on the growth of capacities until the first slow attempt
 	minCapacity           = 2.0  // of a server
-	minInitialInFlight    = 2.0  // of one gateway, over all servers: the initial capacities allow at least so many
+	minInitialInFlight    = 2.0  // least sum of the initial capacities of all servers, for one gateway
 )
 
-// totalCapacity bounds the attempts in flight, so that no server's queue grows past what the targets allow.
+// totalCapacity returns the sum of the listed servers' capacities, in attempts of this gateway. It limits the
+// attempts in flight, so that no server's queue grows beyond what the latency targets allow.
 func (g *Gateway) totalCapacity() float64 {
 	capacity := 0.0
 	for _, s := range g.servers {
@@ -27,23 +28,23 @@
 	return capacity
 }
 
-// capacityOf gives a server's capacity, in attempts of this gateway, which it initialises.
+// capacityOf returns a server's capacity, in attempts of this gateway, and initialises it if it isn't known yet.
 func (g *Gateway) capacityOf(s *server) float64 {
 	if s.capacity == 0 {
 		s.capacity = math.Max(initialCapacity/float64(g.cfg.Gateways),
 			minInitialInFlight/math.Max(float64(g.listedServers()), 1))
 	}
 	s.capacity = math.Max(s.capacity, math.Max(minCapacity, g.serverConcurrency)/float64(g.cfg.Gateways))
-	if s.suspectedAttempts > 0 { // one attempt finds out whether the server answers at all
+	if s.suspectedAttempts > 0 { // one attempt is enough to find out whether the server answers at all
 		return math.Min(1, s.capacity)
 	}
 	return s.capacity
 }
 
-// learnCapacity adapts the capacity of an attempt's server so that its 90th percentile stays below slowTargetShare of
-// the target: a slow attempt takes back what nine others have added. Where a server's capacity is below one attempt
-// its attempts are too few to judge by, and those of all servers change with it. A capacity that isn't used doesn't
-// grow.
+// learnCapacity adapts the capacity of an attempt's server so that the server's 90th percentile latency stays below
+// slowTargetShare of the target: a slow attempt undoes the growth of nine others. If a server's capacity is below one
+// attempt, it has too few attempts to judge by, so part of the change is spread over the capacities of all servers. A
+// capacity that isn't used doesn't grow.
 func (g *Gateway) learnCapacity(a *attempt, took time.Duration) {
 	if a.countedSlow {
 		return
@@ -57,7 +58,7 @@
 	step := lateShare
 	if a.countedSlow {
 		step, g.slowAnswerSeen = step-1, true
-	} else if !g.slowAnswerSeen { // nothing says yet that the initial capacity is enough
+	} else if !g.slowAnswerSeen { // nothing indicates yet that the initial capacity is all that servers can do
 		step *= initialCapacityGrowth
 	}
 	part := math.Min(1, own)
--- a/policy/customers.go
+++ b/policy/customers.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// Which customers have a record, and what does a new record start with? Read after quota.go.
+// The records of customers: their creation, the state that a new record starts with, and their eviction.
 
-// The bounds of the records of customers.
 const (
-	maxCustomers = 20000 // records
+	maxCustomers = 20000 // most records that are kept
 	idleAfter    = time.Minute
-	// evictedShare is the part of the records, one in so many, that go together where none has been idle: the search for
-	// them is paid for once in as many new customers.
+	// evictedShare divides the number of records into the number evicted together if no customer has been idle. Evicting
+	// many at once spreads the cost of the search over as many new customers.
 	evictedShare = 16
 )
 
-// customerFor finds or makes the record of a request's customer and adds the request to its demand. It returns nil
-// where all records are in use: what they count stays counted, so none can go.
+// customerFor returns the record of a request's customer, creating it if necessary, and adds the request to its demand.
+// It returns nil if a record is needed but all records are in use: their counts must be kept, so none can be evicted.
 func (g *Gateway) customerFor(in Request) *customer {
 	c := g.customersByID[in.Customer]
 	setSize := max(1, min(in.SetSize, g.cfg.Gateways))
@@ -32,7 +31,7 @@
 		}
 		c.id, c.seenHere = in.Customer, true
 		g.customersByID[in.Customer] = c
-	} else if c.key != key && g.customersByKey[key] == nil { // its set or plan has changed
+	} else if c.key != key && g.customersByKey[key] == nil { // the customer's set of gateways or plan has changed
 		delete(g.customersByKey, c.key)
 		g.customersByKey[key], c.key = c, key
 	}
@@ -44,9 +43,9 @@
 	return c
 }
 
-// newCustomer makes the record of a customer that this incarnation has not met. What an earlier incarnation admitted
-// isn't known, so the hard limit, and the balance too once an older peer is known, are taken to have filled since the
-// start only.
+// newCustomer creates the record of a customer that has no record in this incarnation. The units that an earlier
+// incarnation admitted aren't known, so the hard limit is assumed to have been empty at the start and to have filled
+// since. Once an older peer is known, the same is assumed for the balance.
 func (g *Gateway) newCustomer(key uint64) *customer {
 	c := &customer{key: key, refilledAt: g.now, lastSeen: g.now, sharedDemand: pushSum{decayedAt: g.now}}
 	c.plan, c.firstGateway, c.setSize = splitCustomerKey(key)
@@ -58,7 +57,7 @@
 	}
 	c.balance = p.Burst
 	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.unseenFillSince, 0)
-	// Where the bucket is shared and this gateway is older than peerAliveFor it has received all that was drawn.
+	// If the bucket is shared and this gateway is older than peerAliveFor, it has received all draws.
 	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
 		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
 	}
@@ -69,8 +68,8 @@
 	return c
 }
 
-// recordFor finds or makes the record of a customer that a peer names, nil where the key is invalid or there are too
-// many records.
+// recordFor returns the record of a customer that a peer names by its key, creating it if necessary. It returns nil if
+// the key is invalid, or if there is no record and no room for one.
 func (g *Gateway) recordFor(key uint64) *customer {
 	plan, _, setSize := splitCustomerKey(key)
 	if c := g.customersByKey[key]; c != nil || plan >= len(g.cfg.Plans) || setSize < 1 || setSize > g.cfg.Gateways ||
@@ -80,9 +79,9 @@
 	return g.newCustomer(key)
 }
 
-// makeRoom evicts records where there are too many: those of customers that have been idle, or else the ones that were
-// least recently seen. It reports whether there is room for another one. The hard limit of a record that is made anew
-// counts as filled since now only, so that a customer gains nothing by being evicted.
+// makeRoom evicts records if there are too many: those of idle customers or, if that isn't enough, the least recently
+// seen ones. It reports whether there is room for another record. Hard limits of records created later are assumed to
+// have filled since now only, so that a customer gains nothing by being evicted.
 func (g *Gateway) makeRoom() bool {
 	g.unseenFillSince = g.now
 	g.evictIdle(recentWindow)
@@ -92,18 +91,18 @@
 	return len(g.customers) < g.maxCustomers
 }
 
-// inUse tells whether a customer has requests without an answer or attempts in flight, which its record counts or is to
-// count once they are sent.
+// inUse reports whether a customer has unanswered requests or attempts in flight. Its record counts them, or will count
+// them once they are sent, so it can't be evicted.
 func (c *customer) inUse() bool { return c.requests > 0 }
 
-// evictIdle drops the records not in use of customers that have asked nothing for longer than idle.
+// evictIdle drops the records that are not in use and whose customers have sent no request for longer than idle.
 func (g *Gateway) evictIdle(idle time.Duration) {
 	g.evict(func(c *customer) bool { return g.now-c.lastSeen > idle })
 }
 
-// evictLeastRecentlySeen drops one record in evictedShare, of those not in use the least recently seen ones.
+// evictLeastRecentlySeen drops one in evictedShare of the records, choosing the least recently seen ones not in use.
 func (g *Gateway) evictLeastRecentlySeen() {
-	left := max(1, g.maxCustomers/evictedShare) // of equally old ones some stay
+	left := max(1, g.maxCustomers/evictedShare) // still to be dropped; some of several equally old records stay
 	var seen []Time
 	for _, c := range g.customers {
 		if !c.inUse() {
@@ -124,7 +123,7 @@
 	})
 }
 
-// evict drops the records that are chosen, but for those in use.
+// evict drops the chosen records, except those in use.
 func (g *Gateway) evict(chosen func(*customer) bool) {
 	g.customers = slices.DeleteFunc(g.customers, func(c *customer) bool {
 		if c.inUse() || !chosen(c) {
--- a/policy/decay.go
+++ b/policy/decay.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// The sums and means that decay exponentially, and the sums over all gateways. This file decides nothing.
+// Sums and means that decay exponentially, and sums over all gateways.
 
-// decayFactor is what is left after age of a sum that decays exponentially with the time constant memory.
+// decayFactor returns the share that is left, after age, of a sum that decays exponentially with the time constant
+// memory.
 func decayFactor(age, memory time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(memory))
 }
 
 // pushSum is this gateway's part of two figures that all gateways sum up by push-sum gossip (Kempe, Dobra and Gehrke,
-// FOCS 2003). local is what was added here and not yet spread; pooled is this gateway's part of what all have spread.
-// Both decay with one time constant. Where a figure is the weight of push-sum, it is the last one; its pooled part
-// tends to 1, so that pooled figure / pooled weight estimates the mean over the gateways.
+// FOCS 2003). local holds what was added at this gateway and not yet spread; pooled is this gateway's part of what all
+// gateways have spread. Both decay with the same time constant. If one of the figures is the weight of push-sum, it is
+// the last one; its pooled part tends to 1, so that pooled figure / pooled weight estimates the mean over the gateways.
 type pushSum struct {
 	local, pooled [2]float64
 	decayedAt     Time
 }
 
-// decay brings the sums up to date. weight is the index of the figure that is the weight, 0 where there is none.
+// decay decays the sums up to now. weight is the index of the figure that is the weight, or 0 if there is none.
 func (t *pushSum) decay(now Time, memory time.Duration, weight int) {
 	if now > t.decayedAt {
 		f := decayFactor(now-t.decayedAt, memory)
@@ -36,14 +37,15 @@
 	}
 }
 
-// total gives the sum of a figure over all n gateways, where there is no weight.
+// total returns the estimated sum of a figure over all n gateways. It applies only if there is no weight.
 func (t *pushSum) total(figure, n int) float64 {
 	return t.local[figure] + float64(n)*t.pooled[figure]
 }
 
-// split takes out the mass for one peer. left is the number of peers, this one included, that still get a part in
-// this round, and n the number of gateways that share the figures: each of them is to end with an equal part of the
-// local sums. The pooled sums are split evenly with the peers of the round.
+// split removes the mass for one peer from the sums and returns it. left is the number of peers, including this one,
+// that have yet to receive a part in this round. n is the number of gateways that share the figures: each of them
+// ends up with an equal part of the local sums. The pooled sums are split evenly among this gateway and the peers of
+// the round.
 func (t *pushSum) split(left, n float64) (mass [2]float64) {
 	for i := range t.local {
 		local := t.local[i] / left
@@ -68,7 +70,7 @@
 	decayedAt   Time
 }
 
-// decay brings the sums up to date.
+// decay decays the sums up to now.
 func (m *decayingMean) decay(now Time, memory time.Duration) {
 	if now > m.decayedAt {
 		f := decayFactor(now-m.decayedAt, memory)
@@ -78,7 +80,7 @@
 	}
 }
 
-// add brings the sums up to date and adds a sample.
+// add decays the sums up to now and adds a sample.
 func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
 	m.decay(now, memory)
 	m.sum += x
@@ -93,7 +95,7 @@
 	}
 }
 
-// smoothed gives the mean with one sample of 1 added, so that it stays near 1 while there are few samples.
+// smoothed returns the mean with one sample of 1 added, so that it stays near 1 while there are few samples.
 func (m *decayingMean) smoothed() float64 { return (m.sum + 1) / (m.weight + 1) }
 
 // decayingFit is a least-squares line of a request's latency over its units; its sums decay with time.
@@ -106,8 +108,8 @@
 	f.seconds, f.unitsSeconds = f.seconds*decay+seconds, f.unitsSeconds*decay+units*seconds
 }
 
-// predict gives the expected latency in seconds: the mean where all samples have had about the same units, and never
-// less than an eighth of the mean.
+// predict returns the expected latency in seconds. It is the mean if all samples have had about the same units, and
+// never less than an eighth of the mean.
 func (f *decayingFit) predict(units float64) float64 {
 	n := math.Max(f.weight, 1e-9)
 	spread, slope := f.unitsSquared-f.units*f.units/n, 0.0
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -2,13 +2,11 @@
 
 import "slices"
 
-// May an attempt be sent now, and to this server? This file sends the attempts, and queues the requests that no server
-// may take yet. Read after selection.go.
+// Sending of attempts, and the queue of requests that no server may be sent yet.
 
-// The constant of the queue.
-const queueChecksPerTarget = 32 // the queue is tried this often within the target
+const queueChecksPerTarget = 32 // dispatches of the queue within the target
 
-// dispatch sends a request to a server, or queues it while there is none.
+// dispatch sends a request to a server, or queues it if no server may be sent it now.
 func (g *Gateway) dispatch(r *request) {
 	s := g.pickServer(r)
 	r.setQueued(s == nil && r.attempts == 0)
@@ -30,8 +28,9 @@
 	g.setHedgeTimer(r)
 }
 
-// mayRunOn tells whether an attempt of a request may be sent to a server: while other attempts are in flight or may
-// have run, only where the server drops a repeat, or where a repeat is harmless. number is the attempt's own.
+// mayRunOn reports whether an attempt of a request, with the given number, may be sent to a server. If other attempts
+// of the request are in flight or may have run, it may be sent only if the server drops a repeat or a repeat is
+// harmless.
 func (g *Gateway) mayRunOn(r *request, s *server, number int) bool {
 	class := g.cfg.Classes[r.Class]
 	return !slices.ContainsFunc(slices.Concat(r.mayHaveRun, r.inFlight), func(other *attempt) bool {
@@ -45,8 +44,8 @@
 	})
 }
 
-// retryQueue dispatches the queued requests again, oldest first. A request that had no attempt and would be late is
-// refused.
+// retryQueue dispatches the queued requests again, oldest first. A request that has had no attempt is refused if its
+// answer would be late.
 func (g *Gateway) retryQueue() {
 	queue := g.queue
 	g.queue = nil
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -2,25 +2,28 @@
 
 import "fmt"
 
-// Which servers are kept out of selection for a while, as they failed too often or rejected requests? Read after
-// selection.go.
+// Outlier ejection, which excludes servers from selection for a while after failures, and the handling of servers that
+// reject requests.
 
-// The constants of outlier ejection.
+// A server is ejected after failuresToEject failures that are at least shareToEject of its attempts, or after
+// consecutiveToEject failures in a row.
 const (
-	failuresToEject      = 2.0  // failures, decayed
-	shareToEject         = 0.25 // and their share of all attempts
-	consecutiveToEject   = 3    // or so many without a served attempt, whatever the share
-	maxEjectionDoublings = 4    // an ejection lasts the target, doubled up to so many times
-	rejectionMemory      = 20   // in targets: how long a group goes elsewhere after a server has rejected it
+	failuresToEject      = 2.0  // decayed count of failures
+	shareToEject         = 0.25 // failures as a share of all attempts
+	consecutiveToEject   = 3    // failures without a served attempt in between, whatever their share
+	maxEjectionDoublings = 4    // an ejection lasts for the target, doubled at most this many times
+	rejectionMemory      = 20   // in targets: how long a group avoids a server after the server has rejected it
 )
 
-// ejected tells whether a server is ejected. After an ejection it gets one attempt at a time, until one is served.
+// ejected reports whether a server is ejected. After its ejection a server gets one attempt at a time until one is
+// served.
 func (g *Gateway) ejected(s *server) bool {
 	return g.now < s.ejectedUntil || (s.ejections > 0 && s.load() > 0)
 }
 
-// recordHealth counts a failed or served attempt for its server and ejects the server where it has failed too often.
-// Each ejection that follows soon is twice as long; a served attempt takes one doubling back.
+// recordHealth counts a failed or served attempt for its server, and ejects the server if it has failed too often. An
+// ejection that follows soon is twice as long as the previous one; a served attempt after an ejection undoes one
+// doubling.
 func (g *Gateway) recordHealth(s *server, failed bool) {
 	s.failures.addBool(g.now, 4*latencyMemory*g.shortestTarget(), failed)
 	if !failed {
@@ -39,9 +42,9 @@
 	}
 }
 
-// recordRejection notes that a server has rejected a group, and tells whether the server is overloaded: it has lately
-// rejected several plans, and several classes where there are several. Else it limits one plan or class, whose
-// requests go elsewhere for a while.
+// recordRejection records that a server has rejected a request's group, and reports whether the server is overloaded:
+// it has recently rejected several plans and, if there is more than one class, several classes. Otherwise the server
+// limits a single plan or class, whose requests avoid it for a while.
 func (g *Gateway) recordRejection(s *server, r *request) bool {
 	if s.rejectedUntil == nil {
 		s.rejectedUntil = make([]Time, len(g.groups))
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -8,57 +8,59 @@
 	"time"
 )
 
-// The format of messages between gateways. This file decides nothing.
+// The format of messages between gateways.
 
-// An update has a header (the version, the sender's age in ms, and a byte for each section that tells what its
-// numbers mean) and then the sections, each a count and its entries. An entry has a key and some push-sum masses,
-// each a byte on a logarithmic scale; a customer's has its usage as well. Numbers are big-endian.
+// An update consists of a header and the sections. The header has the version, the sender's age in ms, and a byte of
+// the schemaHash for each section. A section has a count and that many entries. An entry has a key and push-sum
+// masses, each a byte on a logarithmic scale; a customer's entry also has the customer's usage. Numbers are
+// big-endian.
 const (
-	messageBytes  = 256 // the longest update
+	messageBytes  = 256 // size of the longest update
 	headerBytes   = 7
 	wireVersion   = 7
-	olderPeerFlag = 0x80 // on the version: update.olderPeer
-	usedSteps     = 16   // steps of a count of units: sixteenths
-	massSteps     = 8    // steps of a mass byte in a doubling
+	olderPeerFlag = 0x80 // set on the version byte for update.olderPeer
+	usedSteps     = 16   // units are counted in sixteenths
+	massSteps     = 8    // steps of a mass byte for each doubling of the mass
 )
 
-// The sections of an update, in their order.
+// The sections of an update, in order.
 const (
 	groupSection = iota
 	customerSection
 	sectionCount
 )
 
-// The layout of the entries of each section: bytes of the key, number of masses, and bytes of the usage: generation
-// (1), units used (2), balance (1), grant (1), inFlight (1).
+// The layout of the entries of each section: bytes of the key, number of masses, and bytes of the usage. The usage has
+// generation (1 byte), units used (2), balance (1), grant (1) and inFlight (1).
 var (
 	keyBytes   = [sectionCount]int{1, 6}
 	massCount  = [sectionCount]int{2, 2}
 	usageBytes = [sectionCount]int{0, 6}
 )
 
-// grant and inFlight are left out where both are 0. Where they follow, tailFlag is set on the generation.
+// grant and inFlight are omitted if both are 0. If they are present, tailFlag is set on the generation.
 const tailBytes, tailFlag = 2, 0x80
 
-// update is what a gateway tells a peer now and then.
+// update is the state that a gateway sends a peer at intervals.
 type update struct {
-	age       time.Duration // of the sender, in ms on the wire
+	age       time.Duration // time since the sender's start; in ms in the message
 	olderPeer bool          // the sender knows a gateway that is much older than itself
 	entries   [sectionCount][]entry
 }
 
-// entry is what an update says of a group or a customer. A group's has only its index as the key, and masses.
+// entry is the part of an update about one group or customer. A group's entry has only the key, which is the group's
+// index, and the masses.
 type entry struct {
 	key        uint64
 	mass       [2]float64
-	generation byte    // of the sender's record; its count of units starts anew with it
+	generation byte    // of the sender's record; the count of units starts anew with each generation
 	used       float64 // units drawn, as a count that wraps around
-	balance    float64 // by the sender's copy of the bucket, as a share of the burst
-	grant      byte    // what the sender's share of the hard limit lacks and grants: ledger.BucketShare.Grant
+	balance    float64 // balance of the sender's copy of the bucket, as a share of the burst
+	grant      byte    // deficit and grant of the sender's share of the hard limit, from ratelimit.BucketShare.Grant
 	inFlight   byte    // attempts and queued requests
 }
 
-// encodedSize gives the bytes of a customer's entry.
+// encodedSize returns the size of a customer's entry in bytes.
 func (e entry) encodedSize() int {
 	if e.grant == 0 && e.inFlight == 0 {
 		return maxEntrySize(customerSection) - tailBytes
@@ -66,21 +68,21 @@
 	return maxEntrySize(customerSection)
 }
 
-// maxEntrySize gives the most bytes that an entry has.
+// maxEntrySize returns the greatest size of a section's entries in bytes.
 func maxEntrySize(section int) int {
 	return keyBytes[section] + massCount[section] + usageBytes[section]
 }
 
-// usedBetween gives the units drawn between two counts.
+// usedBetween returns the units drawn between two counts, of which the second may have wrapped around.
 func usedBetween(from, to float64) float64 {
 	return float64(uint16(int64(to*usedSteps))-uint16(int64(from*usedSteps))) / usedSteps
 }
 
-// schemaHash has a byte for each section: a hash of the names that the section's keys stand for. While the gateways
-// take new settings over one after another, what a peer says of plans or classes with other names is dropped.
+// schemaHash has a byte for each section: a hash of the names that the section's keys refer to. While the gateways
+// adopt new settings one after another, entries from peers with other names of plans or classes are dropped.
 type schemaHash [sectionCount]byte
 
-// schema gives the hash of the names of plans and classes.
+// schema returns the hash of the names of plans and classes.
 func (s Settings) schema() (hash schemaHash) {
 	h := fnv.New32a()
 	for _, p := range s.Plans {
@@ -94,7 +96,7 @@
 	return hash
 }
 
-// packUpdate gives the message of an update. Its entries must fit into messageBytes.
+// packUpdate returns the message of an update. The entries must fit into messageBytes.
 func packUpdate(u update, schema schemaHash) []byte {
 	m := make([]byte, headerBytes, messageBytes)
 	if m[0] = wireVersion; u.olderPeer {
@@ -135,7 +137,8 @@
 	return m
 }
 
-// unpackUpdate reads an update; ok tells whether it was one. Sections with another schema are dropped.
+// unpackUpdate reads an update. ok reports whether the message is a valid update. Sections with another schema are
+// dropped.
 func unpackUpdate(m []byte, schema schemaHash) (u update, ok bool) {
 	if len(m) < headerBytes || len(m) > messageBytes || m[0]&^olderPeerFlag != wireVersion {
 		return update{}, false
@@ -165,7 +168,7 @@
 	return u, len(m) == 0
 }
 
-// readEntry reads an entry and gives its size, 0 where the message is too short.
+// readEntry reads an entry and returns it with its size, which is 0 if the message is too short.
 func readEntry(m []byte, section int) (e entry, size int) {
 	size, usage := maxEntrySize(section), keyBytes[section]+massCount[section]
 	if usageBytes[section] > 0 && len(m) > usage && m[usage]&tailFlag == 0 {
@@ -192,15 +195,17 @@
 	return e, size
 }
 
-// The messages between a gateway and a customer's owner. A query: kind, token, units in sixteenths, customer key. An
-// answer: kind, token, 1 for admitted or 0. A reconciliation of estimated units with those of the answer: kind, the
-// units more in sixteenths, signed, and the customer key.
+// The messages between a gateway and a customer's owner, by their fields:
+//
+//   - query: kind, token, units in sixteenths, customer key.
+//   - answer: kind, token, 1 if admitted and 0 otherwise.
+//   - reconciliation: kind, units drawn beyond the estimate in signed sixteenths, customer key.
 const (
 	queryKind, answerKind, reconcileKind    = 0x41, 0x42, 0x43
 	queryBytes, answerBytes, reconcileBytes = 13, 6, 9
 )
 
-// ownerQuery asks a customer's owner whether a request is within the quota.
+// ownerQuery is a query to a customer's owner whether a request is within the quota.
 type ownerQuery struct {
 	from        int // the gateway that asks; not in the message
 	token       uint32
@@ -208,14 +213,14 @@
 	units       float64
 }
 
-// packQuery gives the message of a query, with the units rounded up.
+// packQuery returns the message of a query, with the units rounded up.
 func packQuery(q ownerQuery) []byte {
 	m := binary.BigEndian.AppendUint32([]byte{queryKind}, q.token)
 	m = binary.BigEndian.AppendUint16(m, uint16(math.Min(math.Ceil(q.units*usedSteps), math.MaxUint16)))
 	return appendKey(m, q.customerKey)
 }
 
-// unpackQuery reads a query; ok tells whether the message is one.
+// unpackQuery reads a query. ok reports whether the message is a query.
 func unpackQuery(m []byte, from int) (q ownerQuery, ok bool) {
 	if len(m) != queryBytes || m[0] != queryKind {
 		return ownerQuery{}, false
@@ -225,7 +230,7 @@
 	return q, true
 }
 
-// packAnswer gives an owner's answer to the query with a token.
+// packAnswer returns the message of an owner's answer to the query with the given token.
 func packAnswer(token uint32, admitted bool) []byte {
 	m := append(binary.BigEndian.AppendUint32([]byte{answerKind}, token), 0)
 	if admitted {
@@ -234,7 +239,7 @@
 	return m
 }
 
-// unpackAnswer reads an answer; ok tells whether the message is one.
+// unpackAnswer reads an answer. ok reports whether the message is an answer.
 func unpackAnswer(m []byte) (token uint32, admitted, ok bool) {
 	if len(m) != answerBytes || m[0] != answerKind || m[answerBytes-1] > 1 {
 		return 0, false, false
@@ -242,13 +247,14 @@
 	return binary.BigEndian.Uint32(m[1:]), m[answerBytes-1] == 1, true
 }
 
-// packReconcile gives the message that a customer's request drew so many units more than was estimated.
+// packReconcile returns the message that reports how many units more than estimated a customer's request drew. more is
+// negative if it drew less.
 func packReconcile(key uint64, more float64) []byte {
 	steps := int16(math.Max(math.MinInt16, math.Min(math.MaxInt16, math.Round(more*usedSteps))))
 	return appendKey(binary.BigEndian.AppendUint16([]byte{reconcileKind}, uint16(steps)), key)
 }
 
-// unpackReconcile reads a reconciliation; ok tells whether the message is one.
+// unpackReconcile reads a reconciliation. ok reports whether the message is a reconciliation.
 func unpackReconcile(m []byte) (key uint64, more float64, ok bool) {
 	if len(m) != reconcileBytes || m[0] != reconcileKind {
 		return 0, 0, false
@@ -264,19 +270,19 @@
 // readKey reads the six bytes of a customer key.
 func readKey(m []byte) uint64 { return binary.BigEndian.Uint64(append([]byte{0, 0}, m...)) }
 
-// customerKey names a customer in messages: 16 bits of a hash of its ID, 8 of its plan, and 12 each of the first
-// gateway and the size of its set. So a gateway that has not met the customer can pass on what it hears. Where two
-// customers share a key, their usage is added up.
+// customerKey returns the key that identifies a customer in messages: 16 bits of a hash of its ID, 8 bits of its plan,
+// and 12 bits each of the first gateway and the size of its set. A gateway that has had no request of the customer can
+// thus handle and pass on updates of it. If two customers have the same key, their usage is added up.
 func customerKey(id CustomerID, plan, firstGateway, setSize int) uint64 {
 	const hash = 0x9e3779b97f4a7c15 // multiplicative hashing by the golden ratio; Knuth
 	return uint64(id)*hash>>48<<32 | uint64(plan&255)<<24 | uint64(firstGateway&4095)<<12 | uint64(setSize&4095)
 }
 
-// splitCustomerKey gives the parts of a customer key that can be read from it.
+// splitCustomerKey returns the parts of a customer key other than the hash.
 func splitCustomerKey(key uint64) (plan, firstGateway, setSize int) {
 	return int(key >> 24 & 255), int(key >> 12 & 4095), int(key & 4095)
 }
 
-// ownerKey is the key of the record that a customer's owner keeps of it: as if the owner alone served the customer,
-// as all usage is counted there.
+// ownerKey returns the key of the record in which a customer's owner keeps its bucket. The key is that of a customer
+// served by the owner alone, because all usage is counted there.
 func ownerKey(key uint64, owner int) uint64 { return key>>24<<24 | uint64(owner&4095)<<12 | 1 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// What does the end of an attempt change? Read after dispatch.go.
+// The handling of the ends of attempts.
 
-// Outcome takes the end of an attempt in, and decides what follows for its request.
+// Outcome handles the end of an attempt, and decides how its request continues.
 func (g *Gateway) Outcome(now Time, o Outcome) {
 	g.advance(now)
 	r := g.requests[o.ID]
@@ -35,7 +35,7 @@
 	g.retryQueue()
 }
 
-// learnFromOutcome updates what is known of an attempt's server and of the load by how it ended.
+// learnFromOutcome updates the estimates of an attempt's server and of the load from the attempt's ending.
 func (g *Gateway) learnFromOutcome(a *attempt, o Outcome) {
 	r, s, class := a.request, a.server, g.cfg.Classes[a.request.Class]
 	memory := latencyMemory * g.shortestTarget()
@@ -47,7 +47,7 @@
 	case Served:
 		g.learnFromServed(a, took, ratio)
 	case Errored, NotConnected, ConnectionLost:
-		g.recordHealth(s, true) // a failure that comes quickly doesn't make the server fast: its latency isn't counted
+		g.recordHealth(s, true) // the latency isn't counted, as a quick failure doesn't make the server fast
 	case Rejected:
 		if late = g.recordRejection(s, r); late {
 			took = max(took, class.LatencyTarget)
@@ -59,21 +59,21 @@
 			s.relativeLatency.add(g.now, memory, ratio)
 		}
 	}
-	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // says nothing of the load
+	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // not evidence about the load
 	if o.Ending != NeverSent && o.Ending != Cancelled && !quick {
 		g.countLateness(a, late)
 		g.groups[g.groupOf(r)].latency.local[groupSeconds] += min(took, class.Deadline).Seconds()
 	}
 }
 
-// learnFromServed updates what is known by a served attempt. ratio is its latency over the typical one.
+// learnFromServed updates the estimates from a served attempt. ratio is its latency divided by its typical latency.
 func (g *Gateway) learnFromServed(a *attempt, took time.Duration, ratio float64) {
 	s, memory := a.server, latencyMemory*g.shortestTarget()
 	for _, other := range g.inFlight {
 		if other.server == s && other.sentAt < a.sentAt {
 			other.overtakenBy++
 		}
-		if other.server == s && other.suspected { // where a later one was quick, it is lost and doesn't just wait
+		if other.server == s && other.suspected { // if a later attempt was quick, this one is lost and not just waiting
 			g.clearSuspicion(other, other.sentAt < a.sentAt && ratio < overdueFactor)
 		}
 	}
@@ -82,7 +82,7 @@
 	g.workDone.add(g.now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
 	s.relativeLatency.add(g.now, memory, ratio)
 	s.answers.add(g.now, 2*g.cfg.SlowStartWindow, 1)
-	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer turns
+	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer attempts
 		g.coldLatency.add(g.now, memory, ratio*warmth)
 		g.coldServiceTime.add(g.now, memory, took.Seconds()*warmth)
 	}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -8,15 +8,14 @@
 	"sprucelane.example/sprucelane/internal/ruda"
 )
 
-// Is there overload, and which groups of requests are shed? The scores are RUDA's (internal/ruda).
+// Overload detection and load shedding by RUDA scores (internal/ruda).
 
-// The constants of overload control.
 const (
-	overloadChecksPerTarget = 2                // overload is judged this often within the target
-	recentWindow            = time.Second      // time constant of what counts as recent
+	overloadChecksPerTarget = 2                // overload checks within the target
+	recentWindow            = time.Second      // time constant of measurements that only recent events should affect
 	groupMemory             = 4 * recentWindow // time constant of the groups' requests and latencies
-	lateShare               = 0.1              // the 90th percentile misses the target when this share is late
-	lateByChance            = 1.0              // late attempts that are no overload, however few there are in all
+	lateShare               = 0.1              // if this share of attempts is late, the 90th percentile misses the target
+	lateByChance            = 1.0              // late attempts that aren't overload, however few attempts there are in all
 	minCapacityShare        = 0.6              // share of the capacity that the group with the highest score may use
 )
 
@@ -25,8 +24,8 @@
 	return max(g.shortestTarget()/overloadChecksPerTarget, g.cfg.Tick)
 }
 
-// checkOverload judges the load and sheds the group with the highest RUDA score while there is overload: one more
-// each recentWindow. Without overload the groups are taken back one by one.
+// checkOverload checks for overload. While there is overload, it sheds the group with the highest RUDA score, one
+// more in each recentWindow. Without overload, it readmits the shed groups one by one.
 func (g *Gateway) checkOverload() {
 	g.host.Timer(tagOverload, g.overloadInterval())
 	g.checkInFlight()
@@ -39,7 +38,7 @@
 	g.capacityReached = false
 	if g.overloaded {
 		g.calmChecks = 0
-		if g.now-g.lastShed >= recentWindow { // shedding a group takes so long to show
+		if g.now-g.lastShed >= recentWindow { // shedding a group takes this long to have an effect
 			g.shedTop(scores)
 		}
 	} else if g.calmChecks++; len(g.shedGroups) > 0 && g.calmChecks >= overloadChecksPerTarget {
@@ -51,7 +50,7 @@
 	g.evictIdle(idleAfter)
 }
 
-// checkInFlight counts the attempts in flight that are slow, late or lost by now, as though they had ended.
+// checkInFlight counts the attempts in flight that are already slow, late or lost, as if they had ended.
 func (g *Gateway) checkInFlight() {
 	for _, a := range g.inFlight {
 		elapsed, target := g.now-a.sentAt, g.cfg.Classes[a.request.Class].LatencyTarget
@@ -72,9 +71,9 @@
 	}
 }
 
-// overloadedNow tells whether there is overload: the capacity was reached, or the 90th percentile of a class misses
-// its target while the fleet is loaded. A fleet with little to do is late for other reasons, which shedding can't
-// help.
+// overloadedNow reports whether there is overload: the capacity was reached, or the 90th percentile of a class misses
+// its target while the fleet is loaded. A fleet with little load is late for other reasons, against which shedding
+// doesn't help.
 func (g *Gateway) overloadedNow() bool {
 	overloaded := g.capacityReached
 	for i := range g.lateness {
@@ -85,9 +84,9 @@
 	return overloaded
 }
 
-// sheddingScores gives the RUDA scores f of the groups that have lately sent requests, and 0 for the others. A
-// group's resource r is the latency of its attempts, its q the number of them, both over all gateways; the variables
-// have the paper's names.
+// sheddingScores returns the RUDA score f of each group that has recently sent requests, and 0 for the other groups. A
+// group's resource r is the latency of its attempts, and q is their number, both over all gateways. The variables have
+// the paper's names.
 func (g *Gateway) sheddingScores() []float64 {
 	f, r := make([]float64, len(g.groups)), make([]float64, len(g.groups))
 	q, sumR, sumQ := make([]float64, len(g.groups)), 0.0, 0.0
@@ -108,8 +107,8 @@
 	return f
 }
 
-// shareCapacity gives each group its share of the capacity, by the order of the scores: the group with the highest
-// one is the first to find no capacity.
+// shareCapacity sets each group's share of the capacity by the order of the scores: the group with the highest score is
+// the first to find no capacity.
 func (g *Gateway) shareCapacity(scores []float64) {
 	order := slices.Clone(scores)
 	slices.Sort(order)
--- a/policy/peer_messages.go
+++ b/policy/peer_messages.go
@@ -1,8 +1,8 @@
 package policy
 
-// What does a message of a peer cause? The format is in messages.go, the updates in peers.go.
+// The dispatch of messages from peers. Their format is defined in messages.go; updates are applied in peers.go.
 
-// PeerMessage takes a peer's message in. One that can't be read is dropped whole.
+// PeerMessage handles a message from a peer. A message that can't be read is dropped as a whole.
 func (g *Gateway) PeerMessage(now Time, from int, message []byte) {
 	g.advance(now)
 	if from < 0 || from >= g.cfg.Gateways || from == g.cfg.Self {
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -8,20 +8,18 @@
 	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
-// Which gateways share a customer, which peers are alive, and the updates that they exchange. This file decides
-// nothing.
+// Peers: which gateways share a customer, which peers are alive, and the updates that gateways exchange.
 
-// The constants of updates between gateways.
 const (
-	fullUpdateInterval = time.Second / 4        // between updates that hold the groups too, to one peer
-	updateInterval     = time.Second / 30       // between updates, while there is something to say
-	peerAliveFor       = 4 * fullUpdateInterval // a peer with a contact so recent is taken to receive from here, too
-	staleUpdates       = 10                     // in fullUpdateInterval: silence after which a gateway is isolated
-	nearbyDistance     = 3                      // places to either side at which gateways share customers' buckets
-	peerRateShare      = 0.7                    // of Settings.PeerMessageRate that all peers together may use
+	fullUpdateInterval = time.Second / 4        // between updates to a peer that include the groups
+	updateInterval     = time.Second / 30       // between updates to a peer, while there are changes to send
+	peerAliveFor       = 4 * fullUpdateInterval // a peer heard from this recently is assumed to receive messages from here
+	staleUpdates       = 10                     // in fullUpdateInterval: a gateway without messages for longer is isolated
+	nearbyDistance     = 3                      // greatest distance in numbers at which gateways share customers' buckets
+	peerRateShare      = 0.7                    // share of Settings.PeerMessageRate that all peers together may use
 )
 
-// peerAlive tells whether a peer's message was received within peerAliveFor.
+// peerAlive reports whether a message from a peer was received within peerAliveFor.
 func (g *Gateway) peerAlive(peer int) bool {
 	return g.peerLastContact[peer] != 0 && g.now-g.peerLastContact[peer] <= peerAliveFor
 }
@@ -36,28 +34,29 @@
 	return n
 }
 
-// peerSlot numbers the gateways from nearbyDistance places before this one on, so that nearby ones have the first
-// numbers.
+// peerSlot returns a gateway's distance from the gateway that is nearbyDistance places before this one, in the circle
+// of gateway numbers. Nearby gateways thus have the first indexes.
 func (g *Gateway) peerSlot(peer int) int {
 	return (peer - g.cfg.Self + nearbyDistance + g.cfg.Gateways) % g.cfg.Gateways
 }
 
-// serves tells whether a gateway is in a customer's set.
+// serves reports whether a gateway is in a customer's set.
 func (g *Gateway) serves(gateway int, c *customer) bool {
 	return ((gateway-c.firstGateway)%g.cfg.Gateways+g.cfg.Gateways)%g.cfg.Gateways < c.setSize
 }
 
-// sharesBucket tells whether a customer's set is small enough for all its gateways to be near each other.
+// sharesBucket reports whether a customer's set is small enough for all its gateways to be near each other.
 func (g *Gateway) sharesBucket(c *customer) bool {
 	return len(g.nearby) > 0 && c.setSize <= nearbyDistance+1
 }
 
-// ownerCandidate gives the gateway that owns a customer with a large set, or the kth that stands in for it.
+// ownerCandidate returns the gateway that owns a customer with a large set if k is 0, and otherwise the kth gateway
+// that stands in for it.
 func (g *Gateway) ownerCandidate(c *customer, k int) int {
 	return (c.firstGateway + (int(c.key>>32)+k)%c.setSize) % g.cfg.Gateways
 }
 
-// queueUpdate notes that peers are to receive an update of a customer, those of them that share its bucket.
+// queueUpdate queues an update of a customer for those of the peers that share the customer's bucket.
 func (g *Gateway) queueUpdate(c *customer, peers ...int) {
 	for _, p := range peers {
 		if g.sharesBucket(c) && g.serves(p, c) && g.peerSlot(p) <= 2*nearbyDistance {
@@ -69,7 +68,7 @@
 	}
 }
 
-// resendInFlight has a peer sent the numbers of attempts in flight again, as an update of them may have been lost.
+// resendInFlight queues the numbers of attempts in flight for a peer again, as an earlier update may have been lost.
 func (g *Gateway) resendInFlight(to int) {
 	for _, c := range g.customers {
 		if c.inFlight+c.queued > 0 && g.cfg.Plans[c.plan].MaxInFlight > 0 {
@@ -78,8 +77,9 @@
 	}
 }
 
-// inFlightElsewhere gives the attempts that a customer has in flight through its other gateways. What a peer has sent
-// counts for as long as it would have been sent again; of a peer that has timed out its part is assumed.
+// inFlightElsewhere returns the number of attempts that a customer has in flight through its other gateways. The
+// number that a peer has sent counts for peerAliveFor, within which it would have been sent again. For a peer that
+// has timed out, the peer's part of the limit is assumed.
 func (g *Gateway) inFlightElsewhere(c *customer) (n int) {
 	for _, p := range g.nearby {
 		peer := &c.peers[g.peerSlot(p)]
@@ -94,21 +94,22 @@
 	return n
 }
 
-// quotaView gives how this gateway sees a customer's bucket.
+// quotaView returns a customer's bucket as seen by this gateway.
 func (g *Gateway) quotaView(c *customer) ratelimit.QuotaView {
 	here, total := g.demand(c)
 	return ratelimit.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize,
 		Shared: g.drawsJointly(c)}
 }
 
-// hardLimitShare gives the share of the hard limit that a record of a customer has.
+// hardLimitShare returns the share of the hard limit that a record of a customer has.
 func (g *Gateway) hardLimitShare(c *customer) ratelimit.Limit {
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)*g.hardLimitHolders(c)
 	return ratelimit.Limit{Rate: p.HardLimitRate / n, Burst: p.HardLimitBurst / n}
 }
 
-// hardLimitHolders is 2 where a customer's first owner holds one half of the hard limit and the parts of all its
-// gateways together the other, else 1. The limit is halved only where half of it is enough for the quota.
+// hardLimitHolders returns 2 if a customer's first owner holds one half of the hard limit and all the customer's
+// gateways together hold the other half, and 1 otherwise. The limit is halved only if half of it is enough for the
+// quota.
 func (g *Gateway) hardLimitHolders(c *customer) float64 {
 	p, ownersRecord := g.cfg.Plans[c.plan], c.setSize == 1 && !c.seenHere
 	if p.HardLimitRate >= 2*p.Rate && p.HardLimitBurst >= 2*p.Burst && len(g.nearby) > 0 &&
@@ -118,10 +119,11 @@
 	return 1
 }
 
-// excessDelay gives how much longer than the fastest one a peer's message took. The peer's clock is its age, which
-// may drift from the clock here by a thousandth. restarted tells that the age has started anew.
+// excessDelay returns how much longer a peer's message took than the peer's fastest message. The peer's age serves as
+// its clock, which may drift from the clock here by one part in maxDrift. restarted reports whether the age has
+// started anew.
 func (g *Gateway) excessDelay(from int, age time.Duration, restarted bool) time.Duration {
-	const maxDrift = 1000 // one in this many
+	const maxDrift = 1000 // the clocks drift apart by at most one part in this many
 	offset, least := g.now-age, g.peerClockOffset[from]+(g.now-g.peerLastContact[from])/maxDrift
 	if restarted || g.peerClockOffset[from] == 0 || offset < least {
 		least = offset
@@ -130,8 +132,8 @@
 	return offset - least
 }
 
-// sendUpdates sends each nearby peer an update of the customers' use of their quotas, and every fullUpdateInterval
-// its push-sum part of the groups' figures as well.
+// sendUpdates sends each nearby peer an update of the customers' use of their quotas. Every fullUpdateInterval the
+// update also has the peer's push-sum part of the groups' figures.
 func (g *Gateway) sendUpdates() {
 	every := updateInterval
 	if rate := peerRateShare * g.cfg.PeerMessageRate; rate > 0 {
@@ -144,13 +146,13 @@
 	g.dropSentUpdates()
 }
 
-// dropSentUpdates takes the customers of whom no peer is to hear any more off the pending updates.
+// dropSentUpdates removes customers from the pending updates if no peer has an update of them to receive.
 func (g *Gateway) dropSentUpdates() {
 	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, func(c *customer) bool { return c.pendingPeers == 0 })
 }
 
-// sendUpdate sends an update to the first of the peers, where there is something to say. The others are those that
-// come after it in this round, to which push-sum leaves their parts.
+// sendUpdate sends an update to the first of the peers if there is anything to send. The other peers come later in this
+// round; push-sum leaves them their parts.
 func (g *Gateway) sendUpdate(peers []int) {
 	to := peers[0]
 	out := update{age: g.now - g.startedAt, olderPeer: g.olderPeerKnown}
@@ -168,8 +170,8 @@
 	}
 }
 
-// groupEntries takes the groups' parts for one peer out of their push-sums, where so many peers of the round are
-// left.
+// groupEntries removes the groups' parts for one peer from their push-sums and returns them as entries. peersLeft is
+// the number of peers, including this one, that have yet to receive their parts in this round.
 func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
 	for i := range g.groups {
 		t := &g.groups[i].latency
@@ -179,8 +181,8 @@
 	return list
 }
 
-// customerEntries gives the entries of the customers that the first of the peers is to hear of, as many as fit into a
-// message; the rest wait for the next one, in turn.
+// customerEntries returns the entries of the customers with a pending update for the first of the peers, as many as fit
+// into a message. The rest are sent in order with later messages.
 func (g *Gateway) customerEntries(peers []int) (list []entry) {
 	to := peers[0]
 	left := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection) // bytes
@@ -194,7 +196,7 @@
 	return list
 }
 
-// customerEntry gives a customer's entry for the first of the peers, and takes out what it grants the peer.
+// customerEntry returns a customer's entry for the first of the peers. It subtracts the tokens that it grants the peer.
 func (g *Gateway) customerEntry(c *customer, peers []int) entry {
 	to := peers[0]
 	sharing := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
@@ -210,8 +212,9 @@
 	return e
 }
 
-// applyUpdate takes in an update, unless it comes twice or after a later one: the peer's age tells. An age that is
-// less by staleUpdates full updates or more is that of another incarnation.
+// applyUpdate applies a peer's update, unless the update is a duplicate or older than one already applied, which the
+// peer's age in it shows. An age that is lower by staleUpdates times fullUpdateInterval or more belongs to another
+// incarnation of the peer.
 func (g *Gateway) applyUpdate(from int, in update) {
 	last, heardBefore := g.peerAge[from], g.peerLastContact[from] != 0
 	if heardBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
@@ -222,7 +225,7 @@
 	}
 	restarted := in.age < last || !heardBefore
 	delay := g.excessDelay(from, in.age, restarted)
-	if restarted { // it knows nothing yet
+	if restarted { // the peer has no records yet
 		g.incarnations[from]++
 		for _, c := range g.customers {
 			g.queueUpdate(c, from)
@@ -230,7 +233,7 @@
 	}
 	g.peerAge[from], g.peerLastContact[from], g.lastContact = in.age, g.now, g.now
 	muchOlder := in.age > g.now-g.startedAt+staleUpdates*fullUpdateInterval
-	if !g.olderPeerKnown && (in.olderPeer || muchOlder) { // nearby peers are to know it at once
+	if !g.olderPeerKnown && (in.olderPeer || muchOlder) { // nearby peers must learn of it at once
 		g.olderPeerKnown = true
 		clear(g.fullUpdateAt)
 	}
@@ -241,7 +244,7 @@
 	}
 	for _, e := range in.entries[customerSection] {
 		if c := g.recordFor(e.key); c != nil && g.serves(g.cfg.Self, c) && g.serves(from, c) {
-			e.mass[1] = math.Min(e.mass[1], 1) // a peer's weight is bounded, or it could make the sum vanish
+			e.mass[1] = math.Min(e.mass[1], 1) // an unbounded weight from a peer could make the estimated sum vanish
 			c.sharedDemand.merge(g.now, g.demandMemory(c.plan), 1, e.mass)
 			g.applyPeerUsage(c, from, e, delay)
 		}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,11 +7,11 @@
 	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
-// Is a request within its customer's quota, by what this gateway knows? Read after admission.go. Which part of the
-// quota this gateway may draw on is in bucket_sharing.go; the arithmetic of buckets is in internal/ratelimit.
+// Quota checks from this gateway's records. The part of the quota that this gateway may draw on is determined in
+// bucket_sharing.go; the arithmetic of buckets is in internal/ratelimit.
 
-// refill brings the token bucket and this gateway's share of the hard limit up to date. A gateway that is isolated may
-// save up the units of one request, though its part of the burst be less.
+// refill refills a customer's token bucket and this gateway's share of its hard limit up to now. units are those of a
+// request: an isolated gateway may save up that many, even if its part of the burst is less.
 func (g *Gateway) refill(c *customer, units float64) {
 	if !g.isolated() {
 		units = 0
@@ -24,7 +24,7 @@
 	c.refilledAt = g.now
 }
 
-// withinQuota tells whether a request is within its customer's quota, by what is known here.
+// withinQuota reports whether a request is within its customer's quota, as far as this gateway knows.
 func (g *Gateway) withinQuota(r *request) bool {
 	c, p, view := r.customer, g.cfg.Plans[r.Plan], g.quotaView(r.customer)
 	if p.MaxInFlight > 0 &&
@@ -34,8 +34,9 @@
 	return view.Allows(p.quota(), r.Units, g.rng.Float64)
 }
 
-// fleetJustStarted tells whether all gateways have just started, so that no hard limit was drawn on earlier. Where
-// some gateways are not nearby, an older one among them has had the time to become known.
+// fleetJustStarted reports whether all gateways have just started, so that no hard limit has been drawn on before. If
+// some gateways are not nearby, it returns true only after fullUpdateInterval, so that an older one among them has had
+// the time to become known.
 func (g *Gateway) fleetJustStarted() bool {
 	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
 	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
--- a/policy/reconcile.go
+++ b/policy/reconcile.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// How are the estimated units of a request corrected by those that it drew? This file decides nothing.
+// Correction of the estimated units of requests by the units that servers report.
 
-// reconcileUnits corrects, once and where the bucket is kept, the estimated units of a request by those in its
-// answer. Units that can't be are ignored. The hard limit keeps to the estimate.
+// reconcileUnits replaces the estimated units of a request by those in its answer. It does so once, at the gateway that
+// keeps the bucket. Impossible numbers of units are ignored. The hard limit isn't corrected.
 func (g *Gateway) reconcileUnits(r *request, units float64) {
 	more := units - r.Units
 	if r.reconciled || r.overQuota || !(units > 0 && units <= math.Max(g.cfg.MaxUnits, r.Units)) || more == 0 {
@@ -22,8 +22,8 @@
 	}
 }
 
-// reconcileAtOwner takes in that a request of a customer that this gateway owns drew more, or less, than was
-// estimated.
+// reconcileAtOwner corrects the balance of a customer that this gateway owns by the units that a request drew beyond
+// its estimate. more is negative if the request drew less.
 func (g *Gateway) reconcileAtOwner(from int, key uint64, more float64) {
 	_, first, setSize := splitCustomerKey(key)
 	c := g.recordFor(ownerKey(key, g.cfg.Self))
--- a/policy/report.go
+++ b/policy/report.go
@@ -1,9 +1,9 @@
 package policy
 
-// What a gateway reports of itself: statistics and observations. This file decides nothing.
+// Statistics and observations that a gateway reports.
 
-// OwnLoads gives the load that this gateway puts on each server, and how its latest attempts there ended. Servers
-// without either are left out.
+// OwnLoads returns the load that this gateway puts on each server, and how its latest attempts there ended. Servers
+// without attempts in flight and without failures to report are omitted.
 func (g *Gateway) OwnLoads(now Time) map[ServerID]OwnLoad {
 	g.advance(now)
 	loads := map[ServerID]OwnLoad{}
@@ -23,19 +23,19 @@
 	return loads
 }
 
-// Stats are figures of a gateway for its operators. Those that aren't said to be totals are of now.
+// Stats are statistics of a gateway for its operators. Except for the totals, they are values at the time of the call.
 type Stats struct {
-	OwnerQueries    int // total of requests whose customers' owners were asked
+	OwnerQueries    int // total of requests for which customers' owners were queried
 	InvalidMessages int // total of messages from peers that could not be read
 	EjectedServers  int
-	SuspectedOwners int // owners that are not asked as they didn't answer
+	SuspectedOwners int // gateways that are not queried as owners, because they haven't answered
 	NearbyAlive     int // nearby peers that are alive
-	Customers       int // records
+	Customers       int // records of customers
 	ListedServers   int // servers that may be sent requests
 	QueuedRequests  int // requests that wait for a server
 }
 
-// Stats gives the figures as of now.
+// Stats returns the gateway's statistics.
 func (g *Gateway) Stats(now Time) Stats {
 	g.advance(now)
 	stats := Stats{OwnerQueries: int(g.lastQuery), InvalidMessages: g.invalidMessages,
@@ -49,7 +49,8 @@
 	return stats
 }
 
-// Observe gives what this gateway has measured at each listed server, in the order in which they were first listed.
+// Observe returns this gateway's measurements of each listed server, in the order in which the servers were first
+// listed.
 func (g *Gateway) Observe(now Time) []Observation {
 	g.advance(now)
 	list := make([]Observation, 0, len(g.servers))
@@ -75,7 +76,7 @@
 	return list
 }
 
-// observe gives what is known of a server apart from its overdue attempts.
+// observe returns this gateway's measurements of a server, without its overdue attempts.
 func (g *Gateway) observe(s *server) Observation {
 	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
 	o := Observation{ID: s.ID, StartedAt: s.StartedAt, LatencySamples: s.relativeLatency.weight, LastServed: s.lastServed,
--- a/policy/retries.go
+++ b/policy/retries.go
@@ -2,17 +2,16 @@
 
 import "slices"
 
-// Does a request get a further attempt: a retry, a hedged one, or one in place of a lost one? Read after outcomes.go.
+// Further attempts of a request: retries, hedged attempts, and replacements of lost attempts.
 
-// The constants of retries and hedged requests.
 const (
 	retriesPerRequest = 0.2  // added to the retry budget with each request
-	maxRetryBudget    = 10.0 // retries that may be saved up
-	hedgesPerRequest  = 0.05 // added to the hedge budget; more would cost a busy fleet what it wins
-	lostAfterFactor   = 5.0  // of its expected latency: exceeded by chance by one attempt in 150
+	maxRetryBudget    = 10.0 // most retries that may be saved up
+	hedgesPerRequest  = 0.05 // added to the hedge budget with each request; more would cost a busy fleet what it gains
+	lostAfterFactor   = 5.0  // multiple of its expected latency that one attempt in 150 exceeds by chance
 )
 
-// retryOrAnswer decides what follows when a request has no attempt in flight: a retry or the final answer.
+// retryOrAnswer decides between a retry and the final answer for a request without attempts in flight.
 func (g *Gateway) retryOrAnswer(r *request) {
 	left := r.Deadline - g.now - 2*g.cfg.Tick
 	if r.attempts < max(1, g.cfg.MaxAttempts) && g.retryBudget >= 1 && left.Seconds() > g.typicalLatency(r) &&
@@ -26,8 +25,8 @@
 	g.answerUnserved(r)
 }
 
-// setHedgeTimer sets the time at which a request that has no answer gets a second attempt or, where that isn't
-// permitted, its attempt is looked at as one that may be lost.
+// setHedgeTimer sets the timer after which an unanswered request gets a second attempt or, if hedging isn't permitted,
+// its attempt is checked for being lost.
 func (g *Gateway) setHedgeTimer(r *request) {
 	class := g.cfg.Classes[r.Class]
 	if g.cfg.Hedging && r.attempts == 1 && !class.Streaming {
@@ -37,8 +36,8 @@
 	}
 }
 
-// hedge sends a second attempt of a request that has waited for half its target, while there is no overload and a
-// server that wasn't tried.
+// hedge sends a second attempt of a request that has waited for half its target, if there is no overload and the server
+// that would be chosen wasn't tried for the request yet.
 func (g *Gateway) hedge(r *request) {
 	if g.hedgeBudget < 1 || g.overloaded || len(g.shedGroups) > 0 {
 		return
@@ -50,9 +49,9 @@
 	g.dispatch(r)
 }
 
-// cancelLost cancels a request's only attempt where it seems lost, so that another is sent elsewhere: later attempts
-// have overtaken it and it takes far longer than expected. This is for sites that don't permit a second attempt
-// beside the first. While too few have overtaken the attempt it is looked at again.
+// cancelLost cancels a request's only attempt if it seems lost, so that another attempt is sent elsewhere. An attempt
+// seems lost if it takes far longer than expected and enough later attempts have overtaken it; until then it is checked
+// again. This is for sites that don't permit a second attempt while the first is in flight.
 func (g *Gateway) cancelLost(r *request) {
 	expected := g.expectedLatency(r)
 	if left := r.arrivedAt + g.cfg.Classes[r.Class].LatencyTarget - g.now; g.retryBudget < 1 || left < expected {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,18 +5,16 @@
 	"math"
 )
 
-// Which server does an attempt go to? Read after server_list.go; ejection.go and slow_start.go tell which servers are
-// left out.
+// The choice of a server for an attempt. Servers are excluded by ejection.go and slow_start.go.
 
-// The constants of the choice of a server.
 const (
-	similarity = 0.1 // costs and latencies that differ by less are taken to be equal
-	baseWork   = 1.0 // attempts of others that a server is assumed to have beside those known
+	similarity = 0.1 // relative difference below which costs and latencies are considered equal
+	baseWork   = 1.0 // attempts of other gateways that a server is assumed to have, in addition to the known ones
 )
 
-// pickServer gives the server with the least expected wait that a request may be sent to, nil where there is none. It
-// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more
-// than half of the servers are ejected, ejection is ignored: the fault is elsewhere (Envoy's panic threshold).
+// pickServer returns the server with the least expected wait that a request may be sent to, or nil if there is none. It
+// prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more than
+// half of the servers are ejected, ejection is ignored, because the fault is then elsewhere (Envoy's panic threshold).
 func (g *Gateway) pickServer(r *request) *server {
 	heedEjection := 2*g.countListed(g.ejected) <= g.listedServers()
 	best, least := (*server)(nil), 0.0
@@ -36,14 +34,16 @@
 	return best
 }
 
-// preferred tells whether a server has capacity for a request, wasn't tried for it, and hasn't rejected its group.
+// preferred reports whether a server has capacity for a request, wasn't tried for it, and hasn't recently rejected its
+// group.
 func (g *Gateway) preferred(r *request, s *server) bool {
 	rejects := s.rejectedUntil != nil && s.rejectedUntil[g.groupOf(r)] > g.now
 	return !rejects && !r.wasTried(s) && s.load() < math.Max(1, g.capacityOf(s))
 }
 
-// expectedWait is a server's relative latency times the attempts at it. An attempt in flight for longer than
-// overdueFactor of its typical latency counts with the latency that it has reached.
+// expectedWait returns a server's relative latency times the attempts at it, divided by its warmth. An attempt in
+// flight for longer than overdueFactor times its typical latency counts as a sample with the latency that it has
+// reached.
 func (g *Gateway) expectedWait(s *server) float64 {
 	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
 	sum, n := s.relativeLatency.sum+latencyPriorWeight, s.relativeLatency.weight+latencyPriorWeight
@@ -55,14 +55,14 @@
 			}
 		}
 	}
-	if s.slowStartBudget.Credit >= 1 && g.warmth(s) < 1 { // its turn comes first: some servers warm up only by working
+	if s.slowStartBudget.Credit >= 1 && g.warmth(s) < 1 { // chosen first, as some servers warm up only by working
 		return 0
 	}
 	return sum / n * (s.load() + s.peersInFlight + baseWork) / g.warmth(s)
 }
 
-// SetPriors takes in estimates of servers, each for one process of its server. They replace the relative latency and
-// the capacity, and may put off the turn of a server that warms up; they change nothing else.
+// SetPriors applies estimates of servers, each for one process of its server. They replace the relative latency and the
+// capacity, and may delay the next attempt to a server that warms up; they change nothing else.
 func (g *Gateway) SetPriors(now Time, list []Prior) {
 	g.advance(now)
 	for _, p := range list {
@@ -78,7 +78,8 @@
 	}
 }
 
-// SetPeerLoads takes in the load of other gateways at servers, which changes their expected waits and nothing else.
+// SetPeerLoads sets the load that other gateways put on servers. It affects the servers' expected waits and nothing
+// else.
 func (g *Gateway) SetPeerLoads(now Time, list []Load) {
 	g.advance(now)
 	for _, l := range list {
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
-// Which servers are there? Server lists of discovery come in here.
+// The handling of server lists from discovery.
 
-// Servers takes a server list in, or that there is none.
+// Servers applies a server list, or handles the failure of the watch if kind is ListFailed.
 func (g *Gateway) Servers(now Time, kind ListKind, list []ServerInfo) {
 	g.advance(now)
 	if kind == ListFailed {
@@ -27,7 +27,7 @@
 		g.updateServer(info)
 	}
 	g.servers = slices.DeleteFunc(g.servers, func(s *server) bool {
-		// What a server was sent while it warmed up counts if it is listed again.
+		// The attempts that a server was sent while it warmed up still count if it is listed again.
 		old := !s.listed && s.inFlight == 0 && !s.slowStartBudget.SentWithin(now, g.cfg.SlowStartWindow)
 		if old {
 			delete(g.serversByID, s.ID)
@@ -37,8 +37,8 @@
 	g.retryQueue()
 }
 
-// updateServer takes an entry of a server list in. Of a server whose process is another one now only the accounting
-// of attempts is kept.
+// updateServer applies an entry of a server list. If the server's process has been replaced, only the accounting of
+// attempts is kept.
 func (g *Gateway) updateServer(info ServerInfo) {
 	s := g.serversByID[info.ID]
 	if s == nil {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The checks of settings, and what follows from settings alone. This file decides nothing.
+// The checks of settings, and values derived from settings alone.
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error that names the first invalid setting, or nil if all are valid.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: classes: none given")
@@ -20,7 +20,7 @@
 		if c.LatencyTarget <= 0 {
 			return fmt.Errorf("settings: classes[%d].aim: must be above 0", i)
 		}
-		if !(c.Value >= 0) { // also where it is not a number
+		if !(c.Value >= 0) { // also catches NaN
 			return fmt.Errorf("settings: classes[%d].worth: must not be negative", i)
 		}
 	}
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// shortestTarget is Settings.ShortestTarget.
+// shortestTarget returns Settings.ShortestTarget.
 func (g *Gateway) shortestTarget() time.Duration { return g.cfg.ShortestTarget() }
 
-// ShortestTarget gives the shortest latency target of all classes, from which the periods of a gateway's checks and
-// the memory of its measurements follow.
+// ShortestTarget returns the shortest latency target of all classes. The intervals of a gateway's checks and the time
+// constants of its measurements are multiples or fractions of it.
 func (s Settings) ShortestTarget() time.Duration {
 	shortest := s.Classes[0].LatencyTarget
 	for _, c := range s.Classes {
@@ -57,7 +57,7 @@
 	return shortest
 }
 
-// NearbyPeers gives the gateways near this one, none where there are no messages between gateways.
+// NearbyPeers returns the gateways near this one, or none if there are no messages between gateways.
 func (s Settings) NearbyPeers() []int {
 	if !s.Peers {
 		return nil
@@ -65,7 +65,7 @@
 	return NearbyGateways(s.Self, s.Gateways)
 }
 
-// NearbyGateways gives the gateways up to nearbyDistance places to either side of one, in the circle of their
+// NearbyGateways returns the gateways up to nearbyDistance places to either side of self, in the circle of gateway
 // numbers. Gateways that may share a customer's token bucket are near each other.
 func NearbyGateways(self, gateways int) (nearby []int) {
 	for k := 1; k < gateways; k++ {
@@ -76,8 +76,8 @@
 	return nearby
 }
 
-// demandMemory gives the time constant with which a customer's demand decays: as long as the quota's rate takes to
-// fill its burst, and at least recentWindow.
+// demandMemory returns the time constant with which a customer's demand decays: the time that the quota's rate takes to
+// fill its burst, but at least recentWindow.
 func (g *Gateway) demandMemory(plan int) time.Duration {
 	p := g.cfg.Plans[plan]
 	if p.Rate <= 0 {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,9 +6,10 @@
 	"sprucelane.example/sprucelane/internal/ratelimit"
 )
 
-// How much may a server be sent that has just started? Read after selection.go.
+// Slow start: the limit on attempts to servers that have just started.
 
-// warmth is the least share of its full capacity that a server has, by the time since its start: 1 for a warm one.
+// warmth returns the least share of its full capacity that a server has, by the time since its start. It is 1 for a
+// warm server.
 func (g *Gateway) warmth(s *server) float64 {
 	age := g.now - s.StartedAt
 	if s.StartedAt == 0 || age >= g.cfg.WarmupTime || g.cfg.WarmupTime <= 0 {
@@ -18,8 +19,8 @@
 	return from + (1-from)*math.Max(0, age.Seconds())/g.cfg.WarmupTime.Seconds()
 }
 
-// withinSlowStartBudget tells whether a server may be sent one more attempt as far as its warm-up goes: what it can
-// do is estimated from what it has served here while cold and from what warm servers serve.
+// withinSlowStartBudget reports whether a server's slow-start budget allows one more attempt; a warm server has no such
+// limit. What the server can do is estimated from what it has served here while cold and from what warm servers serve.
 func (g *Gateway) withinSlowStartBudget(s *server) bool {
 	warmth := g.warmth(s)
 	limit := ratelimit.SlowStartLimit{Window: g.cfg.SlowStartWindow, Multiple: g.cfg.SlowStartMultiple,
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// The state of a gateway, and how it is made. This file decides nothing.
+// The state of a gateway and its construction.
 
-// Gateway decides for one gateway. It is not safe for concurrent use.
+// Gateway makes the decisions of one gateway. It is not safe for concurrent use.
 type Gateway struct {
 	cfg       Settings
 	schema    schemaHash // of the names of classes and plans, which messages refer to by number
 	host      Host
 	rng       *rand.Rand // the only source of randomness; the order of draws is part of a replay
 	now       Time       // of the event that is being handled
-	started   bool       // the first event has come
-	startedAt Time       // when it came
-	queue     []*request // that wait for a server which may take them, oldest first
+	started   bool       // the first event has been handled
+	startedAt Time       // when the first event was handled
+	queue     []*request // requests that wait until a server may be sent them, oldest first
 
 	queueTimerSet bool
 
 	requests    map[RequestID]*request
-	inFlight    []*attempt // in no order
-	retryBudget float64    // retries that may be made; fills with each request
-	hedgeBudget float64    // second attempts that may be made
+	inFlight    []*attempt // in no particular order
+	retryBudget float64    // retries that may be made; each request adds to it
+	hedgeBudget float64    // hedged attempts that may be made; each request adds to it
 
 	gatewayServers
 	gatewayOverload
@@ -32,71 +32,71 @@
 	gatewayPeers
 }
 
-// gatewayServers is what a Gateway knows of its servers.
+// gatewayServers is a Gateway's state of its servers.
 type gatewayServers struct {
 	servers      []*server // in the order in which they were first listed
 	serversByID  map[ServerID]*server
 	watching     bool          // the last watch of the server list has not failed
-	watchBackoff time.Duration // before the next watch
+	watchBackoff time.Duration // the wait before the next watch
 
-	classLatency   []decayingMean // seconds that attempts of each class take
+	classLatency   []decayingMean // latency in seconds of the attempts of each class
 	latencyByUnits []decayingFit  // the same, by a request's units
-	sentLatency    decayingMean   // expected seconds of what is sent, over all classes
+	sentLatency    decayingMean   // typical latency in seconds of the attempts sent, over all classes
 	fleetLatency   float64        // relative latency of all servers, as of the last overload check
 
-	// Slow start: what is measured of servers that warm up, and of warm ones.
-	coldLatency     decayingMean // relative latency of servers that warm up, times their warmth
-	coldServiceTime decayingMean // seconds that a warm server would have taken for what they served
+	// Slow start: measurements of servers that are warming up, and of warm servers.
+	coldLatency     decayingMean // relative latency of warming servers, times their warmth
+	coldServiceTime decayingMean // seconds that a warm server would have taken for what warming servers served
 	allCold         bool         // no listed server is warm, as of the last overload check
 	warmThroughput  float64      // attempts that a warm server serves for this gateway in a SlowStartWindow
 }
 
-// gatewayOverload is what a Gateway measures of the load, and the load shedding that follows.
+// gatewayOverload is a Gateway's state of the load and of load shedding.
 type gatewayOverload struct {
 	groups            []group // by class * number of plans + plan
-	shedGroups        []int   // in the order in which they were shed
+	shedGroups        []int   // indexes of the groups that are shed, in the order in which they were shed
 	lastShed          Time
-	calmChecks        int            // overload checks without overload since the last group was shed or taken back
+	calmChecks        int            // overload checks without overload since the last overload or readmission of a group
 	overloaded        bool           // as of the last overload check
-	capacityReached   bool           // a request was refused for want of capacity since the last overload check
-	lateness          []decayingMean // of each class: late attempts, and all
+	capacityReached   bool           // a request was refused for lack of capacity since the last overload check
+	lateness          []decayingMean // by class: the sum counts the late attempts, the weight all attempts
 	lostInFlight      int            // attempts in flight that occupy no slot at their servers
-	slowAnswerSeen    bool           // until then capacities grow faster
+	slowAnswerSeen    bool           // an attempt was slow; until then, capacities grow faster
 	workDone          decayingMean   // seconds of work that servers have done for this gateway, without waiting
-	serverConcurrency float64        // attempts that a server was seen to work on at once
+	serverConcurrency float64        // estimated number of attempts that a server works on at once
 }
 
 // gatewayCustomers holds a Gateway's records of customers.
 type gatewayCustomers struct {
 	customers      []*customer
-	customersByID  map[CustomerID]*customer // those whose requests have come in here
+	customersByID  map[CustomerID]*customer // the customers whose requests have arrived here
 	customersByKey map[uint64]*customer
-	maxCustomers   int // bound of customers; less than the constant in tests
+	maxCustomers   int // most records; tests set it lower than the constant
 
-	// unseenFillSince is the time since which the hard limit of a customer without a record has filled: the start, or
-	// when records were last dropped because there were too many.
+	// unseenFillSince is the time since which the hard limit of a customer without a record is assumed to have filled: the
+	// start, or the last time that records were evicted because there were too many.
 	unseenFillSince Time
 }
 
-// gatewayPeers is what a Gateway knows of its peers. The slices are by gateway number.
+// gatewayPeers is a Gateway's state of its peers. The slices except nearby and pendingUpdates are by gateway number.
 type gatewayPeers struct {
-	nearby          []int           // those that may share a customer's bucket with this gateway
-	peerAge         []time.Duration // as each last said
+	nearby          []int           // the peers that may share a customer's bucket with this gateway
+	peerAge         []time.Duration // as reported by each peer's last update
 	peerLastContact []Time          // 0 means never
-	peerResumedAt   []Time          // when a message of each was received again after a time-out
-	peerClockOffset []Time          // time here less the peer's age, by the message with the least delay
+	peerResumedAt   []Time          // when an update of each peer was first received again after a time-out
+	peerClockOffset []Time          // local time minus the peer's age, from the message with the least delay
 	lastContact     Time            // with any peer
-	olderPeerKnown  bool            // a peer is much older than this gateway, or knows of one that is
-	incarnations    []int           // of each peer, as counted here
-	fullUpdateAt    []Time          // when each was last sent an update of everything
-	pendingUpdates  []*customer     // with a bit set in pendingPeers, in turn
-	suspectedUntil  []Time          // until when each is not asked as a customer's owner
+	olderPeerKnown  bool            // a peer is much older than this gateway, or knows of a gateway that is
+	incarnations    []int           // restarts of each peer, as counted here
+	fullUpdateAt    []Time          // when each peer was last sent an update that includes the groups
+	pendingUpdates  []*customer     // customers with a bit set in pendingPeers, in the order in which they are sent
+	suspectedUntil  []Time          // until when each gateway is not queried as a customer's owner
 	pendingQueries  map[uint32]*request
 	lastQuery       uint32 // number of the last query to an owner
 	invalidMessages int
 }
 
-// New validates the settings and makes a gateway that knows nothing yet. The seed is its only source of randomness.
+// New validates the settings and returns a gateway in its initial state. The seed is its only source of randomness.
 func New(cfg Settings, seed uint64) (*Gateway, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 	return g, nil
 }
 
-// newGatewayPeers gives the state of a gateway without contact to any peer.
+// newGatewayPeers returns the state of a gateway that has had no contact with any peer.
 func newGatewayPeers(cfg Settings) gatewayPeers {
 	times := func() []Time { return make([]Time, cfg.Gateways) }
 	return gatewayPeers{nearby: cfg.NearbyPeers(), peerAge: times(), peerLastContact: times(), peerResumedAt: times(),
@@ -122,7 +122,7 @@
 		pendingQueries: map[uint32]*request{}}
 }
 
-// newGroups makes a group for each class and plan, with values that add up to 1.
+// newGroups returns a group for each class and plan, with values that add up to 1.
 func newGroups(cfg Settings) (groups []group) {
 	total := 0.0
 	for _, c := range cfg.Classes {
@@ -137,10 +137,10 @@
 	return groups
 }
 
-// Attach sets the host that carries the actions out. It must be called before the first event.
+// Attach sets the host that carries out the actions. It must be called before the first event.
 func (g *Gateway) Attach(h Host) { g.host = h }
 
-// Resumed takes in that this process was paused until now: attempts in flight are not held to the time of the pause.
+// Resumed handles that this process was paused until now: the pause doesn't count as latency of the attempts in flight.
 func (g *Gateway) Resumed(now Time, pause time.Duration) {
 	for _, a := range g.inFlight {
 		a.sentAt = min(now, a.sentAt+pause)
@@ -148,16 +148,16 @@
 	g.advance(now)
 }
 
-// groupOf gives the index of a request's group.
+// groupOf returns the index of a request's group.
 func (g *Gateway) groupOf(r *request) int { return r.Class*len(g.cfg.Plans) + r.Plan }
 
-// groupName gives the name of a group in log lines.
+// groupName returns the name of a group for log lines.
 func (g *Gateway) groupName(i int) string {
 	n := len(g.cfg.Plans)
 	return g.cfg.Classes[i/n].Name + "/" + g.cfg.Plans[i%n].Name
 }
 
-// countListed counts the listed servers for which is holds.
+// countListed returns the number of listed servers that satisfy is.
 func (g *Gateway) countListed(is func(*server) bool) int {
 	n := 0
 	for _, s := range g.servers {
@@ -168,5 +168,5 @@
 	return n
 }
 
-// listedServers counts the listed servers.
+// listedServers returns the number of listed servers.
 func (g *Gateway) listedServers() int { return g.countListed(func(*server) bool { return true }) }
--- a/policy/state_transfer.go
+++ b/policy/state_transfer.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// The export of a gateway's state to its successor: a Gateway with other settings, or one in the process that
-// replaces this one. This file decides nothing.
+// The export of a gateway's state to its successor, which is a Gateway with other settings or one in the process that
+// replaces this one.
 
-// The format is a version byte and then fields in a fixed order, without names; one list of the fields both writes
-// and reads them. Requests and attempts in flight are no part of it.
+// The format is a version byte followed by fields in a fixed order, without names. The same code both writes and reads
+// the fields. Requests and attempts in flight are not included.
 
 const stateVersion = 3
 
-// The least bytes that the items of lists take: stateCodec.length.
+// Lower bounds for the encoded sizes of list items, for stateCodec.length.
 const (
 	minMeanBytes     = 9
 	minGroupBytes    = 21
@@ -25,19 +25,19 @@
 	minCustomerBytes = 100
 )
 
-// ErrState is the error for state that can't be imported: it can't be read, is another gateway's, or comes after the
-// first event.
-var ErrState = errors.New("policy: state is invalid, late, or another gateway's")
+// ErrState is returned for state that can't be imported because it can't be read, belongs to another gateway, or is
+// imported after the first event.
+var ErrState = errors.New("policy: state is unreadable, of another gateway, or imported after the first event")
 
-// stateCodec writes fields, or reads them. Once a field was invalid, what is read must not be used.
+// stateCodec writes or reads fields. Once a field was invalid, the values read must not be used.
 type stateCodec struct {
-	buf     []byte // written so far, or still to be read
+	buf     []byte // the bytes written so far, or still to be read
 	reading bool
 	invalid bool
 	now     Time // of the export; times are encoded as distances from it
 }
 
-// integers encodes whole numbers as signed varints.
+// integers encodes integers as signed varints.
 func integers[T ~int | ~int64 | ~uint8 | ~uint32 | ~uint64](x *stateCodec, list ...*T) {
 	for _, v := range list {
 		if !x.reading {
@@ -52,7 +52,7 @@
 	}
 }
 
-// times encodes times. One that is more than an hour ahead of the export is invalid.
+// times encodes times relative to the time of the export. A time more than an hour later than the export is invalid.
 func (x *stateCodec) times(list ...*Time) {
 	for _, t := range list {
 		d := *t - x.now
@@ -63,7 +63,7 @@
 	}
 }
 
-// numbers encodes numbers as float32, with seven digits. One that is NaN or infinite is invalid.
+// numbers encodes numbers as float32, which keeps seven digits. NaN and infinity are invalid.
 func (x *stateCodec) numbers(list ...*float64) {
 	for _, v := range list {
 		if !x.reading {
@@ -93,7 +93,7 @@
 	}
 }
 
-// text encodes a string: its length, and its bytes.
+// text encodes a string as its length and its bytes.
 func (x *stateCodec) text(s *string) {
 	n := x.length(len(*s), 1)
 	if !x.reading {
@@ -103,8 +103,8 @@
 	}
 }
 
-// length encodes a number of items, each of which takes at least so many bytes, so that invalid input can't cause a
-// large allocation.
+// length encodes and returns a number of items. Each item takes at least the given number of bytes; a greater number of
+// items than the input has room for is invalid, so that invalid input can't cause a large allocation.
 func (x *stateCodec) length(n, least int) int {
 	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/least) {
 		x.invalid, x.buf = true, nil
@@ -115,7 +115,8 @@
 	return n
 }
 
-// listOf encodes a list: its length, and each item. An item takes at least so many bytes.
+// listOf encodes a list as its length and its items, each by a call of each. An item takes at least the given number of
+// bytes.
 func listOf[T any](x *stateCodec, list *[]T, least int, each func(*T)) {
 	n := x.length(len(*list), least)
 	if x.reading {
@@ -141,7 +142,7 @@
 	x.times(&t.decayedAt)
 }
 
-// gateway encodes a gateway and all that belongs to it.
+// gateway encodes a gateway with its servers and customers.
 func (x *stateCodec) gateway(g *Gateway) {
 	integers(x, &x.now)
 	x.times(&g.startedAt, &g.unseenFillSince, &g.lastShed, &g.lastContact)
@@ -164,7 +165,7 @@
 	listOf(x, &g.customers, minCustomerBytes, func(c **customer) { x.customer(allocate(x, c)) })
 }
 
-// allocate gives the item of a list of pointers, a new one while reading.
+// allocate returns the item at a place in a list of pointers. When reading, it first sets the item to a new one.
 func allocate[T any](x *stateCodec, at **T) *T {
 	if x.reading {
 		*at = new(T)
@@ -204,8 +205,8 @@
 	}
 }
 
-// ExportState gives the state for ImportState, in about maxBytes at most: the customers seen last are kept, and the
-// others are to their successor as though they had been idle.
+// ExportState returns the state for ImportState, in at most about maxBytes. If not all customers fit, it includes those
+// seen last; the successor treats the others as if they had been idle.
 func (g *Gateway) ExportState(now Time, maxBytes int) []byte {
 	g.advance(now)
 	all, one := *g, stateCodec{now: now}
@@ -215,7 +216,7 @@
 	x := stateCodec{buf: []byte{stateVersion}, now: now}
 	x.gateway(&all)
 	if len(list) > 0 {
-		one.customer(list[0]) // the others take about as many bytes
+		one.customer(list[0]) // the other customers take about as many bytes
 		all.customers = list[:min(len(list), max(0, maxBytes-len(x.buf))/len(one.buf))]
 		x = stateCodec{buf: []byte{stateVersion}, now: now}
 		x.gateway(&all)
@@ -223,8 +224,8 @@
 	return x.buf
 }
 
-// ImportState takes over the state of another Gateway with the same number, wholly or not at all, and else returns
-// ErrState. It must be called right after Attach.
+// ImportState imports the state of another Gateway with the same number. It imports either all of the state or, if the
+// state is invalid, none of it, and then returns ErrState. It must be called right after Attach.
 func (g *Gateway) ImportState(now Time, state []byte) error {
 	from := &Gateway{}
 	x := stateCodec{buf: state, reading: true, invalid: len(state) == 0 || state[0] != stateVersion}
@@ -237,7 +238,7 @@
 		return ErrState
 	}
 	peers := g.cfg.Peers
-	g.cfg.Peers = false // the first update must be of the imported state: to peers this is the same gateway
+	g.cfg.Peers = false // the first update must have the imported state, as peers see the same gateway
 	g.advance(now)
 	g.cfg.Peers = peers
 	g.importFigures(from)
@@ -254,7 +255,7 @@
 	return nil
 }
 
-// importFigures takes over what depends on neither classes nor plans.
+// importFigures imports the state that depends on neither classes nor plans.
 func (g *Gateway) importFigures(from *Gateway) {
 	g.startedAt, g.unseenFillSince, g.lastShed = from.startedAt, from.unseenFillSince, from.lastShed
 	g.lastContact, g.lastQuery, g.olderPeerKnown = from.lastContact, from.lastQuery, from.olderPeerKnown
@@ -264,7 +265,7 @@
 	g.incarnations, g.fullUpdateAt = from.incarnations, from.fullUpdateAt
 }
 
-// importGroups takes over what is known of classes and groups, by their names. Those that are new begin without.
+// importGroups imports the state of classes and groups, matched by their names. New ones keep their initial state.
 func (g *Gateway) importGroups(from *Gateway) {
 	for i, class := range g.cfg.Classes {
 		oldClass := slices.IndexFunc(from.cfg.Classes, func(c Class) bool { return c.Name == class.Name })
@@ -282,8 +283,8 @@
 	}
 }
 
-// importCustomers takes over the customers whose plans still exist. A plan's number may have changed, which is part
-// of a customer's key.
+// importCustomers imports the customers whose plans still exist. A plan's number, which is part of a customer's key,
+// may have changed.
 func (g *Gateway) importCustomers(from *Gateway) {
 	for _, c := range from.customers {
 		name := from.cfg.Plans[c.plan].Name
@@ -304,7 +305,7 @@
 	}
 }
 
-// consistent tells whether the parts of a state that was read fit together.
+// consistent reports whether the parts of a state that was read fit together.
 func (g *Gateway) consistent() bool {
 	classes, gateways := len(g.cfg.Classes), g.cfg.Gateways
 	return len(g.classLatency) == classes && len(g.lateness) == classes &&
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -1,31 +1,31 @@
 package policy
 
-// What happens at the first event and when a timer fires? The overload check, the queue, the updates to peers and the
-// watch of the server list have one timer each; a request has up to three. Read after answers.go.
+// The handling of the first event and of timers. The overload check, the queue, the updates to peers and the watch of
+// the server list have one timer each; a request has up to three.
 
-// Timer tags. Those of requests have the request's ID above tagBits.
+// Timer tags. Tags of requests' timers have the request's ID above the lowest tagBits bits.
 const (
 	tagOverload = iota
 	tagPeerUpdate
 	tagWatch
 	tagQueue
-	tagDeadline // of a request, as the next two
-	tagHedge    // a second attempt, or the end of a lost one
+	tagDeadline // this tag and the next two are for requests
+	tagHedge    // time to send a second attempt, or to cancel a lost one
 	tagQuery    // the query to the owner is unanswered
 	tagBits     = 3
 )
 
-// requestTag gives the tag of a request's timer.
+// requestTag returns the tag of a request's timer.
 func requestTag(id RequestID, kind uint64) uint64 { return uint64(id)<<tagBits | kind }
 
-// advance sets the time; the first event starts the gateway.
+// advance sets the current time, and starts the gateway at the first event.
 func (g *Gateway) advance(now Time) {
 	g.now, g.peerLastContact[g.cfg.Self] = now, now
 	if g.started {
 		return
 	}
 	g.started, g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact = true, now, now, now-recentWindow, now
-	for i := range g.classLatency { // a guess, until answers tell
+	for i := range g.classLatency { // an assumption until there are answers
 		g.classLatency[i] = decayingMean{sum: g.cfg.Classes[i].LatencyTarget.Seconds() / 4, weight: 1, decayedAt: now}
 	}
 	if g.cfg.Subscribe {
@@ -37,7 +37,7 @@
 	}
 }
 
-// Timer takes a timer in that Host.Timer has set. One that is no longer needed has no effect.
+// Timer handles the firing of a timer that was set by Host.Timer. A timer that is no longer needed has no effect.
 func (g *Gateway) Timer(now Time, tag uint64) {
 	g.advance(now)
 	switch {
@@ -57,7 +57,7 @@
 	}
 }
 
-// requestTimer takes a timer of a request in that has no final answer yet.
+// requestTimer handles a timer of a request that has no final answer yet.
 func (g *Gateway) requestTimer(r *request, kind uint64) {
 	switch kind {
 	case tagDeadline:
