--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -35,7 +35,7 @@
 	g.inFlight = append(g.inFlight, a)
 	a.server.inFlight++
 	r.customer.inFlight++
-	g.sentLatency.add(g.now, groupMemory, g.typicalLatency(r))
+	g.sentLatency.add(g.now, groupTimeConstant, g.typicalLatency(r))
 	if r.BodyPending {
 		g.setOccupiesSlot(a, false)
 		r.customer.reservedUnits += r.Units
@@ -83,11 +83,11 @@
 
 // setOccupiesSlot records whether an attempt occupies a slot at its server.
 func (g *Gateway) setOccupiesSlot(a *attempt, occupies bool) {
-	if n := 1; a.lost == occupies {
-		if a.lost = !occupies; occupies {
+	if n := 1; a.withoutSlot == occupies {
+		if a.withoutSlot = !occupies; occupies {
 			n = -1
 		}
-		a.server.lost, g.lostInFlight = a.server.lost+n, g.lostInFlight+n
+		a.server.withoutSlot, g.inFlightWithoutSlot = a.server.withoutSlot+n, g.inFlightWithoutSlot+n
 	}
 }
 
@@ -102,7 +102,7 @@
 // suspect records that an attempt may be lost: it has been in flight for far too long, and its server has served
 // nothing meanwhile. The attempt occupies no slot until the suspicion is cleared.
 func (g *Gateway) suspect(a *attempt) {
-	if !a.suspected && !a.lost {
+	if !a.suspected && !a.withoutSlot {
 		a.suspected = true
 		a.server.suspectedAttempts++
 		g.setOccupiesSlot(a, false)
@@ -120,15 +120,15 @@
 	}
 }
 
-// markLost frees the slot of an attempt if enough others have overtaken it, as it is then taken to be lost.
-func (g *Gateway) markLost(a *attempt) {
+// releaseSlotIfLost frees the slot of an attempt if enough others have overtaken it, as it is then taken to be lost.
+func (g *Gateway) releaseSlotIfLost(a *attempt) {
 	if a.overtakenBy >= overtakenLimit {
 		g.setOccupiesSlot(a, false)
 	}
 }
 
 // load returns the number of attempts that occupy slots at servers.
-func (g *Gateway) load() float64 { return float64(len(g.inFlight) - g.lostInFlight) }
+func (g *Gateway) load() float64 { return float64(len(g.inFlight) - g.inFlightWithoutSlot) }
 
 // ResponseStarted handles the start of a streamed response: the request's deadline no longer applies.
 func (g *Gateway) ResponseStarted(now Time, id RequestID, attempt int) {
--- a/policy/bucket_sharing.go
+++ b/policy/bucket_sharing.go
@@ -14,13 +14,13 @@
 	balanceConvergence = 0.03 // share of the difference between two copies of a bucket that each update removes
 )
 
-// drawsJointly reports whether this gateway draws on a customer's whole bucket: it receives updates from all of the
-// customer's gateways, or from most nearby gateways. A majority is enough because the parts of gateways that are down
-// must not lie idle. Gateways that are partitioned from the majority draw on their parts meanwhile, which exceeds the
-// quota by half at worst.
-func (g *Gateway) drawsJointly(c *customer) bool {
-	timedOut := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
-	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, timedOut))
+// drawsOnWholeBucket reports whether this gateway draws on a customer's whole bucket: it receives updates from all of
+// the customer's gateways, or from most nearby gateways. A majority is enough because the parts of gateways that are
+// down must not lie idle. Gateways that are partitioned from the majority draw on their parts meanwhile, which
+// exceeds the quota by half at worst.
+func (g *Gateway) drawsOnWholeBucket(c *customer) bool {
+	isTimedOutMember := func(peer int) bool { return g.serves(peer, c) && !g.peerAlive(peer) }
+	return g.sharesBucket(c) && (g.majorityAlive() || !slices.ContainsFunc(g.nearby, isTimedOutMember))
 }
 
 // majorityAlive reports whether this gateway and the nearby peers that are alive are a majority of this gateway and its
@@ -34,15 +34,15 @@
 // assumes that the demand at each of the others equals its own, which limits the customer to an even part of its rate.
 // It assumes the same for a customer whose bucket isn't shared.
 func (g *Gateway) demand(c *customer) (here, total float64) {
-	memory, n := g.demandMemory(c.plan), float64(c.setSize)
-	c.demand.decay(g.now, memory)
-	here = c.demand.sum / memory.Seconds()
+	timeConstant, n := g.demandTimeConstant(c.plan), float64(c.setSize)
+	c.demand.decay(g.now, timeConstant)
+	here = c.demand.sum / timeConstant.Seconds()
 	if g.isolated() || !g.sharesBucket(c) {
 		return here, here * n
 	}
-	c.sharedDemand.decay(g.now, memory, 1)
+	c.sharedDemand.decay(g.now, timeConstant, 1)
 	pooled, weight := c.sharedDemand.pooled[0], c.sharedDemand.pooled[1]
-	total = (c.sharedDemand.local[0] + n*pooled/math.Max(weight, minPushSumWeight)) / memory.Seconds()
+	total = (c.sharedDemand.local[0] + n*pooled/math.Max(weight, minPushSumWeight)) / timeConstant.Seconds()
 	return here, math.Max(here, total)
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	g.refill(c, 0)
-	plan, peer := g.cfg.Plans[c.plan], &c.peers[g.peerSlot(from)]
+	plan, peer := g.cfg.Plans[c.plan], &c.peers[g.peerIndex(from)]
 	stale := delay.Seconds()*plan.HardLimitRate > plan.HardLimitSlack
 	var uneven bool
 	if peer.deficit, uneven = c.hardLimit.Receive(g.hardLimitShare(c), e.grant, c.setSize, stale); uneven {
@@ -77,7 +77,7 @@
 // drawnSinceUpdate returns the units that a peer has drawn from the bucket between its last update and the update e.
 // known reports whether the last update was of the same record of the peer.
 func (g *Gateway) drawnSinceUpdate(c *customer, from int, e entry, known bool) float64 {
-	peer := &c.peers[g.peerSlot(from)]
+	peer := &c.peers[g.peerIndex(from)]
 	switch {
 	case peer.receivedAt < g.peerResumedAt[from] && (known || g.now-g.peerResumedAt[from] < peerAliveFor):
 		return 0 // drawn while the peer was timed out, so from the peer's own part
--- a/policy/customers.go
+++ b/policy/customers.go
@@ -10,9 +10,9 @@
 const (
 	maxCustomers = 20000 // most records that are kept
 	idleAfter    = time.Minute
-	// evictedShare divides the number of records into the number evicted together if no customer has been idle. Evicting
-	// many at once spreads the cost of the search over as many new customers.
-	evictedShare = 16
+	// evictionDivisor divides the number of records into the number evicted together if no customer has been idle.
+	// Evicting many at once spreads the cost of the search over as many new customers.
+	evictionDivisor = 16
 )
 
 // customerFor returns the record of a request's customer, creating it if necessary, and adds the request to its demand.
@@ -37,7 +37,7 @@
 	}
 	c.setSize, c.firstGateway, c.plan, c.lastSeen = setSize, in.FirstGateway, in.Plan, g.now
 	g.refill(c, in.Units)
-	c.demand.add(g.now, g.demandMemory(in.Plan), 0)
+	c.demand.add(g.now, g.demandTimeConstant(in.Plan), 0)
 	c.demand.sum, c.sharedDemand.local[0] = c.demand.sum+in.Units, c.sharedDemand.local[0]+in.Units
 	g.queueUpdate(c, g.nearby...)
 	return c
@@ -49,14 +49,14 @@
 func (g *Gateway) newCustomer(key uint64) *customer {
 	c := &customer{key: key, refilledAt: g.now, lastSeen: g.now, sharedDemand: pushSum{decayedAt: g.now}}
 	c.plan, c.firstGateway, c.setSize = splitCustomerKey(key)
-	c.sharedDemand.pooled[1] = 1 - decayFactor(g.now-g.startedAt, g.demandMemory(c.plan)) // no demand since the start
+	c.sharedDemand.pooled[1] = 1 - decayFactor(g.now-g.startedAt, g.demandTimeConstant(c.plan)) // no demand since start
 	c.generation = byte((g.now-g.startedAt)/time.Second) &^ tailFlag
 	p, n := g.cfg.Plans[c.plan], float64(c.setSize)
-	if g.drawsJointly(c) {
+	if g.drawsOnWholeBucket(c) {
 		n = 1
 	}
 	c.balance = p.Burst
-	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.unseenFillSince, 0)
+	c.hardLimit.Refill(g.hardLimitShare(c), g.now-g.hardLimitFillSince, 0)
 	// If the bucket is shared and this gateway is older than peerAliveFor, it has received all draws.
 	if g.olderPeerKnown && (n > 1 || g.now-g.startedAt < peerAliveFor) {
 		c.balance = (g.now - g.startedAt).Seconds() * p.Rate / n
@@ -83,7 +83,7 @@
 // seen ones. It reports whether there is room for another record. Hard limits of records created later are assumed to
 // have filled since now only, so that a customer gains nothing by being evicted.
 func (g *Gateway) makeRoom() bool {
-	g.unseenFillSince = g.now
+	g.hardLimitFillSince = g.now
 	g.evictIdle(recentWindow)
 	if len(g.customers) >= g.maxCustomers {
 		g.evictLeastRecentlySeen()
@@ -100,9 +100,9 @@
 	g.evict(func(c *customer) bool { return g.now-c.lastSeen > idle })
 }
 
-// evictLeastRecentlySeen drops one in evictedShare of the records, choosing the least recently seen ones not in use.
+// evictLeastRecentlySeen drops one in evictionDivisor of the records, choosing the least recently seen ones not in use.
 func (g *Gateway) evictLeastRecentlySeen() {
-	left := max(1, g.maxCustomers/evictedShare) // still to be dropped; some of several equally old records stay
+	left := max(1, g.maxCustomers/evictionDivisor) // still to be dropped; some of several equally old records stay
 	var seen []Time
 	for _, c := range g.customers {
 		if !c.inUse() {
--- a/policy/decay.go
+++ b/policy/decay.go
@@ -7,10 +7,9 @@
 
 // Sums and means that decay exponentially, and sums over all gateways.
 
-// decayFactor returns the share that is left, after age, of a sum that decays exponentially with the time constant
-// memory.
-func decayFactor(age, memory time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(memory))
+// decayFactor returns the share that is left, after age, of a sum that decays exponentially with the given time constant.
+func decayFactor(age, timeConstant time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
 // pushSum is this gateway's part of two figures that all gateways sum up by push-sum gossip (Kempe, Dobra and Gehrke,
@@ -23,9 +22,9 @@
 }
 
 // decay decays the sums up to now. weight is the index of the figure that is the weight, or 0 if there is none.
-func (t *pushSum) decay(now Time, memory time.Duration, weight int) {
+func (t *pushSum) decay(now Time, timeConstant time.Duration, weight int) {
 	if now > t.decayedAt {
-		f := decayFactor(now-t.decayedAt, memory)
+		f := decayFactor(now-t.decayedAt, timeConstant)
 		for i := range t.local {
 			t.local[i] *= f
 			t.pooled[i] *= f
@@ -57,8 +56,8 @@
 }
 
 // merge adds the mass that a peer has sent.
-func (t *pushSum) merge(now Time, memory time.Duration, weight int, mass [2]float64) {
-	t.decay(now, memory, weight)
+func (t *pushSum) merge(now Time, timeConstant time.Duration, weight int, mass [2]float64) {
+	t.decay(now, timeConstant, weight)
 	for i := range mass {
 		t.pooled[i] += mass[i]
 	}
@@ -71,9 +70,9 @@
 }
 
 // decay decays the sums up to now.
-func (m *decayingMean) decay(now Time, memory time.Duration) {
+func (m *decayingMean) decay(now Time, timeConstant time.Duration) {
 	if now > m.decayedAt {
-		f := decayFactor(now-m.decayedAt, memory)
+		f := decayFactor(now-m.decayedAt, timeConstant)
 		m.sum *= f
 		m.weight *= f
 		m.decayedAt = now
@@ -81,15 +80,15 @@
 }
 
 // add decays the sums up to now and adds a sample.
-func (m *decayingMean) add(now Time, memory time.Duration, x float64) {
-	m.decay(now, memory)
+func (m *decayingMean) add(now Time, timeConstant time.Duration, x float64) {
+	m.decay(now, timeConstant)
 	m.sum += x
 	m.weight++
 }
 
 // addBool adds a sample of 1 or 0.
-func (m *decayingMean) addBool(now Time, memory time.Duration, yes bool) {
-	m.add(now, memory, 0)
+func (m *decayingMean) addBool(now Time, timeConstant time.Duration, yes bool) {
+	m.add(now, timeConstant, 0)
 	if yes {
 		m.sum++
 	}
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -37,8 +37,8 @@
 		if other.number == number {
 			return false
 		}
-		past := g.now-other.chosenAt >= class.DedupWindow-2*g.cfg.Tick
-		return class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (past ||
+		windowOver := g.now-other.chosenAt >= class.DedupWindow-2*g.cfg.Tick
+		return class.Idempotency == NotIdempotent || class.Idempotency == IdempotentByKey && (windowOver ||
 			class.DedupScope == ScopeZone && other.server.Zone != s.Zone ||
 			class.DedupScope == ScopeCell && other.server.Cell != s.Cell)
 	})
--- a/policy/ejection.go
+++ b/policy/ejection.go
@@ -12,7 +12,7 @@
 	shareToEject         = 0.25 // failures as a share of all attempts
 	consecutiveToEject   = 3    // failures without a served attempt in between, whatever their share
 	maxEjectionDoublings = 4    // an ejection lasts for the target, doubled at most this many times
-	rejectionMemory      = 20   // in targets: how long a group avoids a server after the server has rejected it
+	rejectionPeriod      = 20   // in targets: how long a group avoids a server after the server has rejected it
 )
 
 // ejected reports whether a server is ejected. After its ejection a server gets one attempt at a time until one is
@@ -25,7 +25,7 @@
 // ejection that follows soon is twice as long as the previous one; a served attempt after an ejection undoes one
 // doubling.
 func (g *Gateway) recordHealth(s *server, failed bool) {
-	s.failures.addBool(g.now, 4*latencyMemory*g.shortestTarget(), failed)
+	s.failures.addBool(g.now, 4*latencyTimeConstant*g.shortestTarget(), failed)
 	if !failed {
 		s.consecutiveFailures, s.lastServed, s.servedTotal = 0, g.now, s.servedTotal+1
 		if s.ejections > 0 && g.now >= s.ejectedUntil {
@@ -49,7 +49,7 @@
 	if s.rejectedUntil == nil {
 		s.rejectedUntil = make([]Time, len(g.groups))
 	}
-	s.rejectedUntil[g.groupOf(r)] = g.now + rejectionMemory*g.shortestTarget()
+	s.rejectedUntil[g.groupOf(r)] = g.now + rejectionPeriod*g.shortestTarget()
 	plans, classes := false, len(g.cfg.Classes) == 1
 	for i, until := range s.rejectedUntil {
 		if until > g.now {
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -9,12 +9,12 @@
 // Estimates of latency, lateness, concurrency and throughput from the answers of servers.
 
 const (
-	latencyMemory      = 4                // in targets: time constant of a server's relative latency
-	overdueFactor      = 2.0              // an attempt is overdue beyond this multiple of its typical latency
-	latencyPriorWeight = 2.0              // in attempts: the weight of the prior that a server is like the others
-	overtakenLimit     = 3                // overtaken by this many, an attempt is lost or far longer than the others
-	throughputDecay    = 0.997            // factor on servers' throughput and concurrency with each overload check
-	workMemory         = 2 * recentWindow // time constant of the work from which servers' concurrency is estimated
+	latencyTimeConstant = 4                // in targets: time constant of a server's relative latency
+	overdueFactor       = 2.0              // an attempt is overdue beyond this multiple of its typical latency
+	latencyPriorWeight  = 2.0              // in attempts: the weight of the prior that a server is like the others
+	overtakenLimit      = 3                // overtaken by this many, an attempt is lost or far longer than the others
+	throughputDecay     = 0.997            // factor on servers' throughput and concurrency with each overload check
+	workTimeConstant    = 2 * recentWindow // time constant of the work from which servers' concurrency is estimated
 )
 
 // minReportedFailures is the decayed count of failures below which a server's failures aren't reported.
@@ -25,9 +25,9 @@
 
 // learnLatency adds the latency of a served attempt to the estimates of its class.
 func (g *Gateway) learnLatency(r *request, took time.Duration) {
-	memory, seconds := 10*latencyMemory*g.shortestTarget(), min(took, g.cfg.Classes[r.Class].Deadline).Seconds()
-	g.latencyByUnits[r.Class].add(decayFactor(g.now-g.classLatency[r.Class].decayedAt, memory), r.Units, seconds)
-	g.classLatency[r.Class].add(g.now, memory, seconds)
+	timeConstant, seconds := 10*latencyTimeConstant*g.shortestTarget(), min(took, g.cfg.Classes[r.Class].Deadline).Seconds()
+	g.latencyByUnits[r.Class].add(decayFactor(g.now-g.classLatency[r.Class].decayedAt, timeConstant), r.Units, seconds)
+	g.classLatency[r.Class].add(g.now, timeConstant, seconds)
 }
 
 // typicalLatency returns the typical latency of a request's attempts, in seconds, estimated from its class and units.
@@ -56,7 +56,7 @@
 	all := decayingMean{}
 	for _, s := range g.servers {
 		if s.listed {
-			s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
+			s.relativeLatency.decay(g.now, latencyTimeConstant*g.shortestTarget())
 			all.sum, all.weight = all.sum+s.relativeLatency.sum, all.weight+s.relativeLatency.weight
 		}
 	}
@@ -76,7 +76,7 @@
 // server reports the time of its recent requests; the time is scaled by the typical latency of this request relative to
 // the mean of the requests sent.
 func (g *Gateway) serviceTime(a *attempt) float64 {
-	if g.now-a.server.reportedAt > workMemory || g.sentLatency.weight < 1 {
+	if g.now-a.server.reportedAt > workTimeConstant || g.sentLatency.weight < 1 {
 		return 0
 	}
 	return a.server.reportedServiceTime * g.typicalLatency(a.request) * g.sentLatency.weight / g.sentLatency.sum
@@ -86,8 +86,8 @@
 // as measured by the servers' own reports of service times, divided by the period. A slowdown that all servers share
 // doesn't change the estimate.
 func (g *Gateway) learnConcurrency() {
-	g.workDone.decay(g.now, workMemory)
-	busy := float64(g.cfg.Gateways) * g.workDone.sum / workMemory.Seconds()
+	g.workDone.decay(g.now, workTimeConstant)
+	busy := float64(g.cfg.Gateways) * g.workDone.sum / workTimeConstant.Seconds()
 	g.serverConcurrency = math.Max(throughputDecay*g.serverConcurrency, busy/math.Max(1, float64(g.listedServers())))
 }
 
@@ -137,6 +137,6 @@
 // found no connection isn't counted, as it costs its request little.
 func (g *Gateway) countWasted(s *server, e Ending) {
 	if e == Served || e == Errored || e == ConnectionLost {
-		s.wasted.addBool(g.now, 4*latencyMemory*g.shortestTarget(), e != Served)
+		s.wasted.addBool(g.now, 4*latencyTimeConstant*g.shortestTarget(), e != Served)
 	}
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -145,7 +145,7 @@
 	}
 	u.olderPeer = m[0]&olderPeerFlag != 0
 	u.age = time.Duration(binary.BigEndian.Uint32(m[1:])) * time.Millisecond
-	theirs := schemaHash(m[5:headerBytes])
+	peerSchema := schemaHash(m[5:headerBytes])
 	m = m[headerBytes:]
 	for section := range u.entries {
 		if len(m) < 1 {
@@ -161,7 +161,7 @@
 			m = m[size:]
 			u.entries[section] = append(u.entries[section], e)
 		}
-		if theirs[section] != schema[section] {
+		if peerSchema[section] != schema[section] {
 			u.entries[section] = nil
 		}
 	}
@@ -247,15 +247,15 @@
 	return binary.BigEndian.Uint32(m[1:]), m[answerBytes-1] == 1, true
 }
 
-// packReconcile returns the message that reports how many units more than estimated a customer's request drew. more is
-// negative if it drew less.
-func packReconcile(key uint64, more float64) []byte {
-	steps := int16(math.Max(math.MinInt16, math.Min(math.MaxInt16, math.Round(more*usedSteps))))
+// packReconcile returns the message that reports how many units more than estimated a customer's request drew. excess
+// is negative if it drew less.
+func packReconcile(key uint64, excess float64) []byte {
+	steps := int16(math.Max(math.MinInt16, math.Min(math.MaxInt16, math.Round(excess*usedSteps))))
 	return appendKey(binary.BigEndian.AppendUint16([]byte{reconcileKind}, uint16(steps)), key)
 }
 
 // unpackReconcile reads a reconciliation. ok reports whether the message is a reconciliation.
-func unpackReconcile(m []byte) (key uint64, more float64, ok bool) {
+func unpackReconcile(m []byte) (key uint64, excess float64, ok bool) {
 	if len(m) != reconcileBytes || m[0] != reconcileKind {
 		return 0, 0, false
 	}
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -38,7 +38,7 @@
 // learnFromOutcome updates the estimates of an attempt's server and of the load from the attempt's ending.
 func (g *Gateway) learnFromOutcome(a *attempt, o Outcome) {
 	r, s, class := a.request, a.server, g.cfg.Classes[a.request.Class]
-	memory := latencyMemory * g.shortestTarget()
+	timeConstant := latencyTimeConstant * g.shortestTarget()
 	g.countWasted(s, o.Ending)
 	took := max(o.Elapsed, 0)
 	s.applyLoadReport(g, o.LoadReport)
@@ -51,12 +51,12 @@
 	case Rejected:
 		if late = g.recordRejection(s, r); late {
 			took = max(took, class.LatencyTarget)
-			s.relativeLatency.add(g.now, memory, took.Seconds()/g.typicalLatency(r))
+			s.relativeLatency.add(g.now, timeConstant, took.Seconds()/g.typicalLatency(r))
 			g.learnCapacity(a, took)
 		}
 	case TimedOut, Cancelled:
 		if ratio > 1 && a.overtakenBy < overtakenLimit {
-			s.relativeLatency.add(g.now, memory, ratio)
+			s.relativeLatency.add(g.now, timeConstant, ratio)
 		}
 	}
 	quick := (o.Ending == Errored || o.Ending == Rejected) && !late // not evidence about the load
@@ -68,7 +68,7 @@
 
 // learnFromServed updates the estimates from a served attempt. ratio is its latency divided by its typical latency.
 func (g *Gateway) learnFromServed(a *attempt, took time.Duration, ratio float64) {
-	s, memory := a.server, latencyMemory*g.shortestTarget()
+	s, timeConstant := a.server, latencyTimeConstant*g.shortestTarget()
 	for _, other := range g.inFlight {
 		if other.server == s && other.sentAt < a.sentAt {
 			other.overtakenBy++
@@ -79,12 +79,12 @@
 	}
 	g.learnCapacity(a, took)
 	g.learnLatency(a.request, took)
-	g.workDone.add(g.now, workMemory, math.Min(took.Seconds(), g.serviceTime(a)))
-	s.relativeLatency.add(g.now, memory, ratio)
+	g.workDone.add(g.now, workTimeConstant, math.Min(took.Seconds(), g.serviceTime(a)))
+	s.relativeLatency.add(g.now, timeConstant, ratio)
 	s.answers.add(g.now, 2*g.cfg.SlowStartWindow, 1)
 	if warmth := g.warmth(s); warmth < 1 { // a server that is slower than its warmth explains gets fewer attempts
-		g.coldLatency.add(g.now, memory, ratio*warmth)
-		g.coldServiceTime.add(g.now, memory, took.Seconds()*warmth)
+		g.coldLatency.add(g.now, timeConstant, ratio*warmth)
+		g.coldServiceTime.add(g.now, timeConstant, took.Seconds()*warmth)
 	}
 	g.recordHealth(s, false)
 }
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -13,9 +13,9 @@
 const (
 	overloadChecksPerTarget = 2                // overload checks within the target
 	recentWindow            = time.Second      // time constant of measurements that only recent events should affect
-	groupMemory             = 4 * recentWindow // time constant of the groups' requests and latencies
+	groupTimeConstant       = 4 * recentWindow // time constant of the groups' requests and latencies
 	lateShare               = 0.1              // if this share of attempts is late, the 90th percentile misses the target
-	lateByChance            = 1.0              // late attempts that aren't overload, however few attempts there are in all
+	toleratedLateAttempts   = 1.0              // late attempts that aren't overload, however few attempts there are in all
 	minCapacityShare        = 0.6              // share of the capacity that the group with the highest score may use
 )
 
@@ -37,12 +37,12 @@
 	g.overloaded = g.overloadedNow()
 	g.capacityReached = false
 	if g.overloaded {
-		g.calmChecks = 0
+		g.checksWithoutOverload = 0
 		if g.now-g.lastShed >= recentWindow { // shedding a group takes this long to have an effect
 			g.shedTop(scores)
 		}
-	} else if g.calmChecks++; len(g.shedGroups) > 0 && g.calmChecks >= overloadChecksPerTarget {
-		g.calmChecks = 0
+	} else if g.checksWithoutOverload++; len(g.shedGroups) > 0 && g.checksWithoutOverload >= overloadChecksPerTarget {
+		g.checksWithoutOverload = 0
 		last := g.shedGroups[len(g.shedGroups)-1]
 		g.shedGroups, g.groups[last].shed = g.shedGroups[:len(g.shedGroups)-1], false
 		g.host.Log(fmt.Sprintf("lift %s", g.groupName(last)))
@@ -62,10 +62,10 @@
 		}
 		if elapsed > target {
 			g.countLateness(a, true)
-			g.markLost(a)
+			g.releaseSlotIfLost(a)
 		}
-		silence := g.now - max(a.sentAt, a.server.lastServed)
-		if silence > lostAfterFactor*g.expectedLatency(a.request) {
+		noResponseFor := g.now - max(a.sentAt, a.server.lastServed)
+		if noResponseFor > lostAfterFactor*g.expectedLatency(a.request) {
 			g.suspect(a)
 		}
 	}
@@ -79,7 +79,7 @@
 	for i := range g.lateness {
 		late := &g.lateness[i]
 		late.decay(g.now, recentWindow)
-		overloaded = overloaded || late.sum > lateShare*late.weight+lateByChance && g.load() > g.totalCapacity()/2
+		overloaded = overloaded || late.sum > lateShare*late.weight+toleratedLateAttempts && g.load() > g.totalCapacity()/2
 	}
 	return overloaded
 }
@@ -95,7 +95,7 @@
 	}
 	for i := range g.groups {
 		t := &g.groups[i].latency
-		t.decay(g.now, groupMemory, 0)
+		t.decay(g.now, groupTimeConstant, 0)
 		q[i], r[i] = t.total(groupRequests, g.cfg.Gateways), r[i]+t.total(groupSeconds, g.cfg.Gateways)
 		sumQ, sumR = sumQ+q[i], sumR+r[i]
 	}
--- a/policy/peers.go
+++ b/policy/peers.go
@@ -34,9 +34,9 @@
 	return n
 }
 
-// peerSlot returns a gateway's distance from the gateway that is nearbyDistance places before this one, in the circle
+// peerIndex returns a gateway's distance from the gateway that is nearbyDistance places before this one, in the circle
 // of gateway numbers. Nearby gateways thus have the first indexes.
-func (g *Gateway) peerSlot(peer int) int {
+func (g *Gateway) peerIndex(peer int) int {
 	return (peer - g.cfg.Self + nearbyDistance + g.cfg.Gateways) % g.cfg.Gateways
 }
 
@@ -59,11 +59,11 @@
 // queueUpdate queues an update of a customer for those of the peers that share the customer's bucket.
 func (g *Gateway) queueUpdate(c *customer, peers ...int) {
 	for _, p := range peers {
-		if g.sharesBucket(c) && g.serves(p, c) && g.peerSlot(p) <= 2*nearbyDistance {
+		if g.sharesBucket(c) && g.serves(p, c) && g.peerIndex(p) <= 2*nearbyDistance {
 			if c.pendingPeers == 0 {
 				g.pendingUpdates = append(g.pendingUpdates, c)
 			}
-			c.pendingPeers |= 1 << g.peerSlot(p)
+			c.pendingPeers |= 1 << g.peerIndex(p)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 // has timed out, the peer's part of the limit is assumed.
 func (g *Gateway) inFlightElsewhere(c *customer) (n int) {
 	for _, p := range g.nearby {
-		peer := &c.peers[g.peerSlot(p)]
+		peer := &c.peers[g.peerIndex(p)]
 		switch {
 		case !g.serves(p, c):
 		case !g.peerAlive(p):
@@ -98,7 +98,7 @@
 func (g *Gateway) quotaView(c *customer) ratelimit.QuotaView {
 	here, total := g.demand(c)
 	return ratelimit.QuotaView{Balance: c.balance, LocalDemand: here, TotalDemand: total, Gateways: c.setSize,
-		Shared: g.drawsJointly(c)}
+		Shared: g.drawsOnWholeBucket(c)}
 }
 
 // hardLimitShare returns the share of the hard limit that a record of a customer has.
@@ -175,7 +175,7 @@
 func (g *Gateway) groupEntries(peersLeft float64) (list []entry) {
 	for i := range g.groups {
 		t := &g.groups[i].latency
-		t.decay(g.now, groupMemory, 0)
+		t.decay(g.now, groupTimeConstant, 0)
 		list = append(list, entry{key: uint64(i), mass: t.split(peersLeft, float64(g.cfg.Gateways))})
 	}
 	return list
@@ -187,7 +187,7 @@
 	to := peers[0]
 	left := messageBytes - headerBytes - sectionCount - len(g.groups)*maxEntrySize(groupSection) // bytes
 	for _, c := range g.pendingUpdates {
-		if c.pendingPeers>>g.peerSlot(to)&1 == 0 || left < maxEntrySize(customerSection) {
+		if c.pendingPeers>>g.peerIndex(to)&1 == 0 || left < maxEntrySize(customerSection) {
 			continue
 		}
 		e := g.customerEntry(c, peers)
@@ -201,13 +201,13 @@
 	to := peers[0]
 	sharing := slices.DeleteFunc(slices.Clone(peers), func(p int) bool { return !g.serves(p, c) })
 	g.refill(c, 0)
-	c.sharedDemand.decay(g.now, g.demandMemory(c.plan), 1)
-	peer := &c.peers[g.peerSlot(to)]
+	c.sharedDemand.decay(g.now, g.demandTimeConstant(c.plan), 1)
+	peer := &c.peers[g.peerIndex(to)]
 	e := entry{key: c.key, mass: c.sharedDemand.split(float64(len(sharing)), float64(c.setSize)),
 		generation: c.generation, used: c.used, balance: c.balance / math.Max(g.cfg.Plans[c.plan].Burst, 1e-9),
 		grant:    c.hardLimit.Grant(g.hardLimitShare(c), peer.deficit, c.setSize),
 		inFlight: byte(min(255, c.inFlight+c.queued))}
-	c.pendingPeers &^= 1 << g.peerSlot(to)
+	c.pendingPeers &^= 1 << g.peerIndex(to)
 	peer.ownUsedSent, peer.deficit = c.used, 0
 	return e
 }
@@ -216,14 +216,14 @@
 // peer's age in it shows. An age that is lower by staleUpdates times fullUpdateInterval or more belongs to another
 // incarnation of the peer.
 func (g *Gateway) applyUpdate(from int, in update) {
-	last, heardBefore := g.peerAge[from], g.peerLastContact[from] != 0
-	if heardBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
+	last, contactedBefore := g.peerAge[from], g.peerLastContact[from] != 0
+	if contactedBefore && in.age <= last && last-in.age < staleUpdates*fullUpdateInterval {
 		return
 	}
-	if heardBefore && !g.peerAlive(from) {
+	if contactedBefore && !g.peerAlive(from) {
 		g.peerResumedAt[from] = g.now
 	}
-	restarted := in.age < last || !heardBefore
+	restarted := in.age < last || !contactedBefore
 	delay := g.excessDelay(from, in.age, restarted)
 	if restarted { // the peer has no records yet
 		g.incarnations[from]++
@@ -239,13 +239,13 @@
 	}
 	for _, e := range in.entries[groupSection] {
 		if e.key < uint64(len(g.groups)) {
-			g.groups[e.key].latency.merge(g.now, groupMemory, 0, e.mass)
+			g.groups[e.key].latency.merge(g.now, groupTimeConstant, 0, e.mass)
 		}
 	}
 	for _, e := range in.entries[customerSection] {
 		if c := g.recordFor(e.key); c != nil && g.serves(g.cfg.Self, c) && g.serves(from, c) {
 			e.mass[1] = math.Min(e.mass[1], 1) // an unbounded weight from a peer could make the estimated sum vanish
-			c.sharedDemand.merge(g.now, g.demandMemory(c.plan), 1, e.mass)
+			c.sharedDemand.merge(g.now, g.demandTimeConstant(c.plan), 1, e.mass)
 			g.applyPeerUsage(c, from, e, delay)
 		}
 	}
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -38,8 +38,8 @@
 // some gateways are not nearby, it returns true only after fullUpdateInterval, so that an older one among them has had
 // the time to become known.
 func (g *Gateway) fleetJustStarted() bool {
-	neverHeard := func(peer int) bool { return g.peerLastContact[peer] == 0 }
+	noContact := func(peer int) bool { return g.peerLastContact[peer] == 0 }
 	wait := fullUpdateInterval * time.Duration(min(1, g.cfg.Gateways-1-len(g.nearby)))
-	return len(g.nearby) > 0 && !g.olderPeerKnown && g.unseenFillSince == g.startedAt && g.now-g.startedAt >= wait &&
-		!slices.ContainsFunc(g.nearby, neverHeard)
+	return len(g.nearby) > 0 && !g.olderPeerKnown && g.hardLimitFillSince == g.startedAt && g.now-g.startedAt >= wait &&
+		!slices.ContainsFunc(g.nearby, noContact)
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -55,7 +55,7 @@
 	index       int  // in Gateway.inFlight
 	overtakenBy int  // number of served attempts that were sent to its server later
 	suspected   bool // it has been in flight for far too long, and its server has served nothing meanwhile
-	lost        bool // it occupies no slot at its server, as it is lost or suspected to be, or its body is pending
+	withoutSlot bool // it occupies no slot at its server, as it is lost or suspected to be, or its body is pending
 	countedSlow bool // learnCapacity has counted it as slow
 	countedLate bool // countLateness has counted it, as late or in time
 }
@@ -68,7 +68,7 @@
 	ServerInfo
 	listed              bool         // it may be sent requests
 	inFlight            int          // attempts of this gateway in flight
-	lost                int          // number of these attempts that occupy no slot
+	withoutSlot         int          // number of these attempts that occupy no slot
 	suspectedAttempts   int          // number of these attempts that are suspected to be lost
 	peersInFlight       float64      // attempts of other gateways in flight, set by SetPeerLoads
 	reportedServiceTime float64      // seconds without waiting, from the server's last load report; 0 means unknown
@@ -88,7 +88,7 @@
 }
 
 // load returns the number of attempts of this gateway that occupy slots at a server.
-func (s *server) load() float64 { return float64(s.inFlight - s.lost) }
+func (s *server) load() float64 { return float64(s.inFlight - s.withoutSlot) }
 
 // customer is the record of a customer. A customer's owner has a second record, for the bucket that it keeps
 // (ownerKey).
@@ -118,8 +118,8 @@
 	lastQuery         ownerQuery // last query about the customer, in the owner's record
 	lastQueryAdmitted bool       // the answer to lastQuery
 
-	pendingPeers uint64                          // peers that have an update to receive, as bits by peerSlot
-	peers        [2*nearbyDistance + 1]peerUsage // by peerSlot
+	pendingPeers uint64                          // peers that have an update to receive, as bits by peerIndex
+	peers        [2*nearbyDistance + 1]peerUsage // by peerIndex
 }
 
 // addUsed counts units as used. A negative number refunds units. The count that peers read must not decrease, so
--- a/policy/report.go
+++ b/policy/report.go
@@ -8,13 +8,13 @@
 	g.advance(now)
 	loads := map[ServerID]OwnLoad{}
 	for _, s := range g.servers {
-		s.wasted.decay(now, 4*latencyMemory*g.shortestTarget())
+		s.wasted.decay(now, 4*latencyTimeConstant*g.shortestTarget())
 		if s.wasted.sum >= minReportedFailures {
 			loads[s.ID] = OwnLoad{Failures: s.wasted.sum, Attempts: s.wasted.weight}
 		}
 	}
 	for _, a := range g.inFlight {
-		if !a.lost {
+		if !a.withoutSlot {
 			load := loads[a.server.ID]
 			load.InFlight++
 			loads[a.server.ID] = load
@@ -78,7 +78,7 @@
 
 // observe returns this gateway's measurements of a server, without its overdue attempts.
 func (g *Gateway) observe(s *server) Observation {
-	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
+	s.relativeLatency.decay(g.now, latencyTimeConstant*g.shortestTarget())
 	o := Observation{ID: s.ID, StartedAt: s.StartedAt, LatencySamples: s.relativeLatency.weight, LastServed: s.lastServed,
 		ServedTotal: s.servedTotal, InFlight: s.inFlight, EjectedFor: max(0, s.ejectedUntil-g.now), Capacity: s.capacity,
 		Warmth: g.warmth(s)}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,18 +9,18 @@
 
 const (
 	similarity = 0.1 // relative difference below which costs and latencies are considered equal
-	baseWork   = 1.0 // attempts of other gateways that a server is assumed to have, in addition to the known ones
+	baseLoad   = 1.0 // attempts of other gateways that a server is assumed to have, in addition to the known ones
 )
 
 // pickServer returns the server with the least expected wait that a request may be sent to, or nil if there is none. It
 // prefers servers that have capacity, were not tried for the request, and have not rejected its group. While more than
 // half of the servers are ejected, ejection is ignored, because the fault is then elsewhere (Envoy's panic threshold).
 func (g *Gateway) pickServer(r *request) *server {
-	heedEjection := 2*g.countListed(g.ejected) <= g.listedServers()
+	applyEjection := 2*g.countListed(g.ejected) <= g.listedServers()
 	best, least := (*server)(nil), 0.0
 	for round := 0; round < 2 && best == nil; round++ {
 		for _, s := range g.servers {
-			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (heedEjection && g.ejected(s)) || !g.withinSlowStartBudget(s) {
+			if !s.listed || !g.mayRunOn(r, s, r.attempts) || (applyEjection && g.ejected(s)) || !g.withinSlowStartBudget(s) {
 				continue
 			}
 			if round == 0 && !g.preferred(r, s) {
@@ -45,7 +45,7 @@
 // flight for longer than overdueFactor times its typical latency counts as a sample with the latency that it has
 // reached.
 func (g *Gateway) expectedWait(s *server) float64 {
-	s.relativeLatency.decay(g.now, latencyMemory*g.shortestTarget())
+	s.relativeLatency.decay(g.now, latencyTimeConstant*g.shortestTarget())
 	sum, n := s.relativeLatency.sum+latencyPriorWeight, s.relativeLatency.weight+latencyPriorWeight
 	for _, a := range g.inFlight {
 		if a.server == s && a.overtakenBy < overtakenLimit && !a.untimed() {
@@ -58,7 +58,7 @@
 	if s.slowStartBudget.Credit >= 1 && g.warmth(s) < 1 { // chosen first, as some servers warm up only by working
 		return 0
 	}
-	return sum / n * (s.load() + s.peersInFlight + baseWork) / g.warmth(s)
+	return sum / n * (s.load() + s.peersInFlight + baseLoad) / g.warmth(s)
 }
 
 // SetPriors applies estimates of servers, each for one process of its server. They replace the relative latency and the
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -46,7 +46,7 @@
 		g.serversByID[info.ID], g.servers = s, append(g.servers, s)
 	}
 	if info.StartedAt != s.StartedAt || s.slowStartBudget.CreditedAt == 0 {
-		*s = server{inFlight: s.inFlight, lost: s.lost, suspectedAttempts: s.suspectedAttempts,
+		*s = server{inFlight: s.inFlight, withoutSlot: s.withoutSlot, suspectedAttempts: s.suspectedAttempts,
 			slowStartBudget: ratelimit.SlowStartBudget{Sent: s.slowStartBudget.Sent, Credit: g.rng.Float64(), CreditedAt: g.now}}
 	}
 	s.ServerInfo, s.listed = info, info.State == Ready
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -76,9 +76,9 @@
 	return nearby
 }
 
-// demandMemory returns the time constant with which a customer's demand decays: the time that the quota's rate takes to
-// fill its burst, but at least recentWindow.
-func (g *Gateway) demandMemory(plan int) time.Duration {
+// demandTimeConstant returns the time constant with which a customer's demand decays: the time that the quota's rate
+// takes to fill its burst, but at least recentWindow.
+func (g *Gateway) demandTimeConstant(plan int) time.Duration {
 	p := g.cfg.Plans[plan]
 	if p.Rate <= 0 {
 		return recentWindow
--- a/policy/state.go
+++ b/policy/state.go
@@ -53,17 +53,17 @@
 
 // gatewayOverload is a Gateway's state of the load and of load shedding.
 type gatewayOverload struct {
-	groups            []group // by class * number of plans + plan
-	shedGroups        []int   // indexes of the groups that are shed, in the order in which they were shed
-	lastShed          Time
-	calmChecks        int            // overload checks without overload since the last overload or readmission of a group
-	overloaded        bool           // as of the last overload check
-	capacityReached   bool           // a request was refused for lack of capacity since the last overload check
-	lateness          []decayingMean // by class: the sum counts the late attempts, the weight all attempts
-	lostInFlight      int            // attempts in flight that occupy no slot at their servers
-	slowAnswerSeen    bool           // an attempt was slow; until then, capacities grow faster
-	workDone          decayingMean   // seconds of work that servers have done for this gateway, without waiting
-	serverConcurrency float64        // estimated number of attempts that a server works on at once
+	groups                []group // by class * number of plans + plan
+	shedGroups            []int   // indexes of the groups that are shed, in the order in which they were shed
+	lastShed              Time
+	checksWithoutOverload int            // checks without overload since the last overload or readmission of a group
+	overloaded            bool           // as of the last overload check
+	capacityReached       bool           // a request was refused for lack of capacity since the last overload check
+	lateness              []decayingMean // by class: the sum counts the late attempts, the weight all attempts
+	inFlightWithoutSlot   int            // attempts in flight that occupy no slot at their servers
+	slowAnswerSeen        bool           // an attempt was slow; until then, capacities grow faster
+	workDone              decayingMean   // seconds of work that servers have done for this gateway, without waiting
+	serverConcurrency     float64        // estimated number of attempts that a server works on at once
 }
 
 // gatewayCustomers holds a Gateway's records of customers.
@@ -73,9 +73,9 @@
 	customersByKey map[uint64]*customer
 	maxCustomers   int // most records; tests set it lower than the constant
 
-	// unseenFillSince is the time since which the hard limit of a customer without a record is assumed to have filled: the
-	// start, or the last time that records were evicted because there were too many.
-	unseenFillSince Time
+	// hardLimitFillSince is the time since which the hard limit of a customer without a record is assumed to have
+	// filled: the start, or the last time that records were evicted because there were too many.
+	hardLimitFillSince Time
 }
 
 // gatewayPeers is a Gateway's state of its peers. The slices except nearby and pendingUpdates are by gateway number.
--- a/policy/state_transfer.go
+++ b/policy/state_transfer.go
@@ -105,8 +105,8 @@
 
 // length encodes and returns a number of items. Each item takes at least the given number of bytes; a greater number of
 // items than the input has room for is invalid, so that invalid input can't cause a large allocation.
-func (x *stateCodec) length(n, least int) int {
-	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/least) {
+func (x *stateCodec) length(n, minBytes int) int {
+	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/minBytes) {
 		x.invalid, x.buf = true, nil
 	}
 	if x.invalid {
@@ -117,8 +117,8 @@
 
 // listOf encodes a list as its length and its items, each by a call of each. An item takes at least the given number of
 // bytes.
-func listOf[T any](x *stateCodec, list *[]T, least int, each func(*T)) {
-	n := x.length(len(*list), least)
+func listOf[T any](x *stateCodec, list *[]T, minBytes int, each func(*T)) {
+	n := x.length(len(*list), minBytes)
 	if x.reading {
 		*list = make([]T, n)
 	}
@@ -145,7 +145,7 @@
 // gateway encodes a gateway with its servers and customers.
 func (x *stateCodec) gateway(g *Gateway) {
 	integers(x, &x.now)
-	x.times(&g.startedAt, &g.unseenFillSince, &g.lastShed, &g.lastContact)
+	x.times(&g.startedAt, &g.hardLimitFillSince, &g.lastShed, &g.lastContact)
 	integers(x, &g.lastQuery)
 	x.flags(&g.olderPeerKnown, &g.slowAnswerSeen)
 	x.numbers(&g.retryBudget, &g.hedgeBudget, &g.warmThroughput)
@@ -209,17 +209,17 @@
 // seen last; the successor treats the others as if they had been idle.
 func (g *Gateway) ExportState(now Time, maxBytes int) []byte {
 	g.advance(now)
-	all, one := *g, stateCodec{now: now}
-	all.customers = nil
+	exported, sample := *g, stateCodec{now: now}
+	exported.customers = nil
 	list := slices.Clone(g.customers)
 	slices.SortStableFunc(list, func(a, b *customer) int { return cmp.Compare(b.lastSeen, a.lastSeen) })
 	x := stateCodec{buf: []byte{stateVersion}, now: now}
-	x.gateway(&all)
+	x.gateway(&exported)
 	if len(list) > 0 {
-		one.customer(list[0]) // the other customers take about as many bytes
-		all.customers = list[:min(len(list), max(0, maxBytes-len(x.buf))/len(one.buf))]
+		sample.customer(list[0]) // the other customers take about as many bytes
+		exported.customers = list[:min(len(list), max(0, maxBytes-len(x.buf))/len(sample.buf))]
 		x = stateCodec{buf: []byte{stateVersion}, now: now}
-		x.gateway(&all)
+		x.gateway(&exported)
 	}
 	return x.buf
 }
@@ -257,7 +257,7 @@
 
 // importFigures imports the state that depends on neither classes nor plans.
 func (g *Gateway) importFigures(from *Gateway) {
-	g.startedAt, g.unseenFillSince, g.lastShed = from.startedAt, from.unseenFillSince, from.lastShed
+	g.startedAt, g.hardLimitFillSince, g.lastShed = from.startedAt, from.hardLimitFillSince, from.lastShed
 	g.lastContact, g.lastQuery, g.olderPeerKnown = from.lastContact, from.lastQuery, from.olderPeerKnown
 	g.retryBudget, g.hedgeBudget = from.retryBudget, from.hedgeBudget
 	g.slowAnswerSeen, g.warmThroughput, g.coldLatency = from.slowAnswerSeen, from.warmThroughput, from.coldLatency
--- a/policy/timers.go
+++ b/policy/timers.go
@@ -24,7 +24,7 @@
 	if g.started {
 		return
 	}
-	g.started, g.startedAt, g.unseenFillSince, g.lastShed, g.lastContact = true, now, now, now-recentWindow, now
+	g.started, g.startedAt, g.hardLimitFillSince, g.lastShed, g.lastContact = true, now, now, now-recentWindow, now
 	for i := range g.classLatency { // an assumption until there are answers
 		g.classLatency[i] = decayingMean{sum: g.cfg.Classes[i].LatencyTarget.Seconds() / 4, weight: 1, decayedAt: now}
 	}
