--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -8,26 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection transmits nothing more under a request while its server answers all else. Where hedging isn't
-// permitted the attempt is cancelled and the request sent elsewhere, in time. A request that must not run twice
-// stays, and so does one that was not overtaken: its server may only be slow. No two attempts of a request are ever
-// in flight at once.
+// A connection stops transmitting during a request while its server answers all other requests. If hedging isn't
+// permitted, the attempt is cancelled and the request is sent elsewhere in time. A request that must not run twice is
+// not cancelled, and neither is one that was not overtaken, as its server may only be slow. Two attempts of a request
+// are never in flight at once.
 func TestLostAttemptIsCancelled(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect Idempotency
-		passed bool
-		again  bool
-	}{"safe": {Idempotent, true, true}, "keyed": {IdempotentByKey, true, true}, "unsafe": {NotIdempotent, true, false},
-		"not passed": {Idempotent, false, false}} {
+		idempotency Idempotency
+		overtaken   bool
+		retried     bool
+	}{"idempotent": {Idempotent, true, true}, "by key": {IdempotentByKey, true, true},
+		"not idempotent": {NotIdempotent, true, false}, "not overtaken": {Idempotent, false, false}} {
 		s := settings()
 		s.Hedging = false
-		s.Classes[0].LatencyTarget, s.Classes[0].Deadline, s.Classes[0].Idempotency = 2*time.Second, 10*time.Second, c.effect
+		s.Classes[0].LatencyTarget, s.Classes[0].Deadline, s.Classes[0].Idempotency = 2*time.Second, 10*time.Second, c.idempotency
 		s.Classes[0].DedupScope, s.Classes[0].DedupWindow = ScopeAll, 10*time.Second
 		f := start(t, s, 3)
 		id, served := RequestID(1), map[send]bool{}
 		lost := func(x send) bool { return x.id == 100 && x.attempt == 0 }
-		step := func(more bool) {
-			if id++; more || id == 100 {
+		step := func(ask bool) {
+			if id++; ask || id == 100 {
 				f.ask(id, func(r *Request) { r.Deadline = f.now + 10*time.Second })
 			}
 			f.runUntil(f.now + 10*ms)
@@ -47,18 +47,18 @@
 		}
 		step(true)
 		for k := range 150 {
-			step(c.passed && k < 140)
+			step(c.overtaken && k < 140)
 		}
 		tries := 0
 		for _, x := range f.sent {
 			if x.id == 100 {
 				if tries++; x.attempt == 1 && x.at > 100*ms+f.sent[99].at+1500*ms {
-					t.Errorf("%s: its second attempt comes %v after the first", name, x.at-f.sent[99].at)
+					t.Errorf("%s: the second attempt was sent %v after the first, want at most 1.6s", name, x.at-f.sent[99].at)
 				}
 			}
 		}
-		if want := map[bool]int{true: 2, false: 1}[c.again]; tries != want || (f.ended[100] == "served") != c.again {
-			t.Errorf("%s: %d attempts, ended %q", name, tries, f.ended[100])
+		if want := map[bool]int{true: 2, false: 1}[c.retried]; tries != want || (f.ended[100] == "served") != c.retried {
+			t.Errorf("%s: %d attempts, ended as %q", name, tries, f.ended[100])
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	f.ask(2, func(r *Request) { r.Plan = -1 })
 	f.ask(3, func(r *Request) { r.Deadline = f.now })
 	if len(f.ended) != 3 {
-		t.Fatalf("%v", f.ended)
+		t.Fatalf("answered: %v, want all 3 requests", f.ended)
 	}
 }
 
@@ -78,26 +78,26 @@
 	f.ask(1, nil)
 	f.runUntil(f.now + 2*time.Second)
 	if f.ended[1] != "refused" {
-		t.Fatalf("%v", f.ended)
+		t.Fatalf("answered: %v, want request 1 refused", f.ended)
 	}
 }
 
 func TestAttemptInFlightAtTheDeadline(t *testing.T) {
-	for effect, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed",
+	for idempotency, want := range map[Idempotency]string{Idempotent: "refused", IdempotentByKey: "failed",
 		NotIdempotent: "failed"} {
 		s := settings()
-		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = effect, ScopeCell, time.Second
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = idempotency, ScopeCell, time.Second
 		f := start(t, s, 1)
 		f.ask(1, nil)
 		f.runUntil(f.now + 2*time.Second)
 		if f.ended[1] != want {
-			t.Errorf("effect %d: %v, want %s", effect, f.ended, want)
+			t.Errorf("idempotency %d: %v, want %s", idempotency, f.ended, want)
 		}
 	}
 }
 
 func TestRepeatsKeepToTheirDedupScope(t *testing.T) {
-	for scope, where := range map[DedupScope]func(a, b ServerID) bool{
+	for scope, allowed := range map[DedupScope]func(a, b ServerID) bool{
 		ScopeAll:  func(a, b ServerID) bool { return true },
 		ScopeZone: func(a, b ServerID) bool { return a%2 == b%2 },
 		ScopeCell: func(a, b ServerID) bool { return a%2 == b%2 },
@@ -109,32 +109,32 @@
 			f.ask(seed, nil)
 			f.now += 10 * ms
 			f.done(f.sent[0], Errored, 10*ms)
-			if len(f.sent) != 2 || !where(f.sent[0].to, f.sent[1].to) {
-				t.Fatalf("scope %d: %v", scope, f.sent)
+			if len(f.sent) != 2 || !allowed(f.sent[0].to, f.sent[1].to) {
+				t.Fatalf("scope %d: sent %v, want a repeat within the scope", scope, f.sent)
 			}
 			f.now += time.Second // past the window
 			f.done(f.sent[1], ConnectionLost, time.Second)
 			if len(f.sent) != 2 || f.ended[seed] != "failed" {
-				t.Fatalf("sent on past the window: %v %v", f.sent, f.ended)
+				t.Fatalf("sent %v, ended %v; want no attempt after the deduplication window, and failed", f.sent, f.ended)
 			}
 		}
 	}
 }
 
 func TestNotIdempotentIsRetriedOnlyWhereItNeverRan(t *testing.T) {
-	for how, again := range map[Ending]bool{Rejected: true, NotConnected: true, Errored: false, ConnectionLost: false,
+	for ending, retried := range map[Ending]bool{Rejected: true, NotConnected: true, Errored: false, ConnectionLost: false,
 		TimedOut: false} {
 		s := settings()
 		s.Classes[0].Idempotency = NotIdempotent
 		f := start(t, s, 4)
 		f.ask(1, nil)
 		f.now += 10 * ms
-		f.done(f.sent[0], how, 10*ms)
-		if got := len(f.sent) == 2; got != again {
-			t.Errorf("ending %d: sent %v, ended %v", how, f.sent, f.ended)
+		f.done(f.sent[0], ending, 10*ms)
+		if got := len(f.sent) == 2; got != retried {
+			t.Errorf("ending %d: sent %v, ended %v", ending, f.sent, f.ended)
 		}
-		if !again && f.ended[1] != "failed" {
-			t.Errorf("ending %d: %v", how, f.ended)
+		if !retried && f.ended[1] != "failed" {
+			t.Errorf("ending %d: ended %v, want failed", ending, f.ended)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		f.ask(1, nil)
 		f.runUntil(f.now + 400*ms)
 		if len(f.sent) != want {
-			t.Errorf("allowed %v: %v", allowed, f.sent)
+			t.Errorf("hedging permitted: %v; sent %v", allowed, f.sent)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	f.gateway.ClientGone(f.now, 1)
 	f.gateway.ResponseStarted(f.now, 5, 0)
 	if len(f.trace) != n {
-		t.Fatalf("%v", f.trace[n:])
+		t.Fatalf("actions after stray events: %v, want none", f.trace[n:])
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 }
 
-// A pause of this process doesn't extend the time for which repeats are dropped: the servers' clocks went on.
+// A pause of this process doesn't extend the deduplication window, because the servers' clocks keep running.
 func TestPauseLeavesTheDedupWindow(t *testing.T) {
 	s := settings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupWindow, s.Hedging = IdempotentByKey, time.Second, false
--- a/policy/balances_test.go
+++ b/policy/balances_test.go
@@ -5,69 +5,69 @@
 	"time"
 )
 
-// What a gateway's earlier incarnation has drawn stays drawn after a restart: the balance has what has filled since,
-// not the burst a second time. The hard limit has what has filled since that incarnation was last known to live.
-// Without a stored balance there is the burst again.
+// Units drawn by a gateway's earlier incarnation stay drawn after a restart: the restored balance is the stored one
+// plus what has refilled since, and not a second burst. The hard limit has what has filled since the earlier
+// incarnation was last known to be alive. Without a stored balance, a customer gets its burst again.
 func TestRestoredBalanceIsNotGivenTwice(t *testing.T) {
 	s := settings()
 	s.Plans = []Plan{{Name: "farm", Rate: 2, Burst: 20, ValueMultiplier: 1, OverQuotaCost: 1},
 		{Name: "utility", Rate: 2, Burst: 20, ValueMultiplier: 1, HardLimitRate: 4, HardLimitBurst: 40, HardLimitSlack: 4}}
-	spend := func(f *fakeHost, from RequestID) (in int) {
+	drawAll := func(f *fakeHost, from RequestID) (admitted int) {
 		for id := from; id < from+60; id++ {
 			f.ask(id, func(r *Request) { r.Customer = 7 })
 			if f.ended[id] == "" {
-				in++
+				admitted++
 			}
 		}
-		return in
+		return admitted
 	}
-	begin := func() *fakeHost {
+	newHost := func() *fakeHost {
 		f := &fakeHost{t: t, now: time.Hour, ended: map[RequestID]string{}}
 		f.gateway, _ = New(s, 1)
 		f.gateway.Attach(f)
 		return f
 	}
-	open := func(f *fakeHost) {
+	listServers := func(f *fakeHost) {
 		var list []ServerInfo
 		for id := range 30 {
 			list = append(list, ServerInfo{ID: ServerID(id + 1), State: Ready, Weight: 1})
 		}
 		f.gateway.Servers(f.now, ListFull, list)
 	}
-	f := begin()
-	open(f)
-	if in := spend(f, 1); in < 20 || in > 32 { // some go by chance beyond it
-		t.Fatalf("%d admitted of a burst of 20", in)
+	f := newHost()
+	listServers(f)
+	if admitted := drawAll(f, 1); admitted < 20 || admitted > 32 { // some requests beyond the burst are admitted by chance
+		t.Fatalf("%d admitted with a burst of 20", admitted)
 	}
-	kept := f.gateway.QuotaBalances(f.now, 0)
-	if len(kept) != 1 || kept[0].Balance > 0 || kept[0].Balance < -12 || kept[0].Customer != 7 {
-		t.Fatalf("kept: %+v", kept)
+	stored := f.gateway.QuotaBalances(f.now, 0)
+	if len(stored) != 1 || stored[0].Balance > 0 || stored[0].Balance < -12 || stored[0].Customer != 7 {
+		t.Fatalf("balances to store: %+v, want one of customer 7 between -12 and 0", stored)
 	}
 	if later := f.gateway.QuotaBalances(f.now+time.Minute, f.now+1); len(later) != 0 {
-		t.Errorf("nothing was asked for since, and kept are %+v", later)
+		t.Errorf("balances to store: %+v, want none, as no request came since", later)
 	}
-	kept[0].Balance, kept[0].Age, kept[0].Downtime = 0, 3*time.Second, 2*time.Second
-	next := begin()
-	next.gateway.RestoreBalances(next.now, kept)
-	open(next)
-	if in := spend(next, 100); in < 6 || in > 12 {
-		t.Errorf("%d admitted three seconds after all was drawn, at two a second", in)
+	stored[0].Balance, stored[0].Age, stored[0].Downtime = 0, 3*time.Second, 2*time.Second
+	next := newHost()
+	next.gateway.RestoreBalances(next.now, stored)
+	listServers(next)
+	if admitted := drawAll(next, 100); admitted < 6 || admitted > 12 {
+		t.Errorf("%d admitted 3 s after the balance was 0, at 2 units a second; want 6 to 12", admitted)
 	}
-	utility := kept[0].Key | 1<<24
-	next = begin()
+	utility := stored[0].Key | 1<<24
+	next = newHost()
 	next.gateway.RestoreBalances(next.now, []QuotaBalance{{Key: utility, Balance: 20, Downtime: 2 * time.Second}})
 	if got := next.gateway.customersByKey[utility].hardLimit.Tokens; got != 8 {
-		t.Errorf("%v left under the hard limit two seconds after the former incarnation's end, at four a second", got)
+		t.Errorf("the hard limit has %v units 2 s after the earlier incarnation's end, at 4 a second; want 8", got)
 	}
-	blank := begin()
-	open(blank)
-	if in := spend(blank, 100); in < 20 {
-		t.Errorf("%d admitted by one that recalls nothing", in)
+	unrestored := newHost()
+	listServers(unrestored)
+	if admitted := drawAll(unrestored, 100); admitted < 20 {
+		t.Errorf("%d admitted without a restored balance, want the burst of 20", admitted)
 	}
-	odd := begin()
-	odd.gateway.RestoreBalances(odd.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: kept[0].Key, Balance: 1e300,
+	invalid := newHost()
+	invalid.gateway.RestoreBalances(invalid.now, []QuotaBalance{{Key: 255 << 24}, {Key: 5}, {Key: stored[0].Key, Balance: 1e300,
 		Age: time.Hour}})
-	if got := odd.gateway.customersByKey[kept[0].Key].balance; got != 20 {
-		t.Errorf("%v left of a burst of 20", got)
+	if got := invalid.gateway.customersByKey[stored[0].Key].balance; got != 20 {
+		t.Errorf("restored balance %v, want it limited to the burst of 20", got)
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where eighty gateways each have one or two attempts in flight on average, some have four or five by chance. That is
-// no sign of a full fleet, and their requests are not refused for it.
+// If eighty gateways each have one or two attempts in flight on average, some have four or five by chance. This doesn't
+// mean that the fleet is full, and requests must not be refused because of it.
 func TestSparseTrafficHasABurstAllowance(t *testing.T) {
 	f, s := wideFleet(t)
 	s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
@@ -15,7 +15,7 @@
 	}
 	asked := 0
 	f.run(10*time.Second, func() {
-		for k := f.rng.IntN(5); k > 0; k-- { // 400 a second: 80 out at 60 servers
+		for k := f.rng.IntN(5); k > 0; k-- { // 400 a second: 80 in flight at 60 servers
 			asked++
 			n := f.nodes[f.rng.IntN(80)]
 			if n.latency = 200 * ms; asked%20 == 0 { // some are slow, as some servers are
@@ -34,27 +34,29 @@
 	}
 }
 
-// Four gateways know their servers well enough: they don't exceed their capacity, however a fault has shrunk it.
+// Four gateways have enough attempts to know the capacity of their servers, so they don't exceed it, even after a fault
+// has shrunk it.
 func TestSmallFleetKeepsToItsCapacity(t *testing.T) {
 	for gateways, want := range map[int]bool{1: false, 4: false, 80: true} {
 		s := settings()
 		s.Gateways = gateways
 		f := start(t, s, 10)
 		if got := f.gateway.burstAllowance(5) > 0; got != want {
-			t.Errorf("%d gateways: more than the capacity %v", gateways, got)
+			t.Errorf("%d gateways: may exceed the capacity: %v", gateways, got)
 		}
 	}
 }
 
-// All servers are unreachable for a moment: what is in flight then is lost, its connections transmit nothing, and
-// nothing tells so. It occupies all of the capacity. Once servers answer again the gateway finds out with one attempt
-// at each, long before the deadlines of what was lost; while nothing is answered no more than these are sent.
-func TestCapacityIsFoundAgainAfterASilence(t *testing.T) {
+// All servers are unreachable for a moment. The attempts in flight then are lost without any error, as their
+// connections transmit nothing, and they occupy all of the capacity. Once servers answer again, the gateway finds out
+// with one attempt at each server, long before the deadlines of the lost attempts. While nothing is answered, it
+// sends no more than these attempts.
+func TestCapacityRecoversAfterServersWereUnreachable(t *testing.T) {
 	s := settings()
 	s.Hedging, s.Cancel = false, false
 	s.Classes[0].LatencyTarget, s.Classes[0].Deadline = time.Second, 20*time.Second
 	f := start(t, s, 4)
-	id, silent, done, lost := RequestID(0), false, map[send]bool{}, map[send]bool{}
+	id, unreachable, done, lost := RequestID(0), false, map[send]bool{}, map[send]bool{}
 	run := func(d time.Duration) (sent, served int) {
 		before := len(f.sent)
 		for end := f.now + d; f.now < end; {
@@ -64,7 +66,7 @@
 			}
 			f.runUntil(f.now + 10*ms)
 			for _, x := range f.sent {
-				if lost[x] = lost[x] || silent && !done[x]; !done[x] && !lost[x] && f.now-x.at >= 50*ms {
+				if lost[x] = lost[x] || unreachable && !done[x]; !done[x] && !lost[x] && f.now-x.at >= 50*ms {
 					done[x] = true
 					served++
 					f.done(x, Served, f.now-x.at)
@@ -74,21 +76,21 @@
 		return len(f.sent) - before, served
 	}
 	_, before := run(2 * time.Second)
-	silent = true
+	unreachable = true
 	run(300 * ms)
 	if sent, _ := run(1700 * ms); sent > 4*4 {
-		t.Errorf("%d sent into a silence of four servers", sent)
+		t.Errorf("%d sent while none of four servers answers, want at most 16", sent)
 	}
-	silent = false
+	unreachable = false
 	run(2 * time.Second)
 	if _, after := run(2 * time.Second); after < before*3/4 {
-		t.Errorf("%d served in 2 s before the silence, %d in the third and fourth second after it", before, after)
+		t.Errorf("%d served in 2 s before the outage, %d in the third and fourth second after it", before, after)
 	}
 }
 
-// Servers that report their service time are known to work on four attempts at once. Where something that all depend
-// on makes them several times slower, answers are late however few are in flight; the capacity must not shrink below
-// the four, or cores would idle on top of it. Without reports nobody can know that.
+// Servers that report their service times are known to work on four attempts at once. If a shared dependency makes them
+// all several times slower, answers are late however few attempts are in flight. The capacity must not shrink below the
+// four, or cores would be idle in addition. Without the reports this can't be known.
 func TestSharedSlowdownKeepsServersBusy(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		s := settings()
@@ -105,7 +107,7 @@
 			id++
 			f.ask(id, nil)
 			f.runUntil(f.now + 10*ms)
-			for ; seen < len(f.sent); seen++ { // the first free core takes it
+			for ; seen < len(f.sent); seen++ { // the core that is free first processes the attempt
 				x, best := f.sent[seen], 0
 				for k, at := range free[x.to] {
 					if at < free[x.to][best] {
@@ -135,15 +137,15 @@
 				least = min(least, f.gateway.totalCapacity())
 			}
 		}
-		t.Logf("reports %v: concurrency %.1f, capacity %.1f at least", reports, f.gateway.serverConcurrency, least)
+		t.Logf("reports %v: concurrency %.1f, least capacity %.1f", reports, f.gateway.serverConcurrency, least)
 		if got := least >= 3*3; got != reports {
-			t.Errorf("reports %v: capacity for %.1f at least on 12 cores", reports, least)
+			t.Errorf("reports %v: least capacity %.1f on 12 cores; want at least 9 only with reports", reports, least)
 		}
 	}
 }
 
-// As long as no answer has been slow nothing says that the initial capacity is all that servers can do, and it grows
-// three times as fast as afterwards.
+// As long as no answer has been slow, nothing indicates that the initial capacity is all that servers can do, and
+// capacities grow three times as fast as afterwards.
 func TestCapacityGrowsFasterUntilAnAnswerIsSlow(t *testing.T) {
 	grown := func(slowFirst bool) float64 {
 		s := settings()
@@ -171,6 +173,6 @@
 		return (f.gateway.totalCapacity() - was) / float64(n)
 	}
 	if fast, slow := grown(false), grown(true); fast < 2.5*slow || slow <= 0 {
-		t.Errorf("the capacity grew by %.2f an answer before and by %.2f after one was slow", fast, slow)
+		t.Errorf("the capacity grew by %.2f per answer before the first slow one, and by %.2f after it", fast, slow)
 	}
 }
--- a/policy/customers_test.go
+++ b/policy/customers_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// checkCustomers checks the bound of the records of customers, and that each attempt in flight and each queued request
-// of a gateway is counted in a record that the gateway still has.
+// checkCustomers checks that a gateway doesn't exceed its bound on records of customers, and that each of its requests,
+// attempts in flight and queued requests is counted in a record that it still has.
 func checkCustomers(t *testing.T, g *Gateway) {
 	t.Helper()
 	if len(g.customers) > g.maxCustomers || len(g.customersByID) > len(g.customers) ||
 		len(g.customersByKey) > len(g.customers) || len(g.pendingUpdates) > len(g.customers) {
-		t.Fatalf("%d records of %d allowed, %d by id, %d by key, %d updates", len(g.customers), g.maxCustomers,
+		t.Fatalf("%d records, at most %d allowed; %d by ID, %d by key, %d pending updates", len(g.customers), g.maxCustomers,
 			len(g.customersByID), len(g.customersByKey), len(g.pendingUpdates))
 	}
 	inFlight, queued := map[*customer]int{}, map[*customer]int{}
@@ -20,7 +20,7 @@
 		inFlight[a.request.customer]++
 	}
 	for _, r := range g.queue {
-		if r.queued { // one that was answered meanwhile stays in the queue until its next turn
+		if r.queued { // an answered request stays in the queue until the next retryQueue
 			queued[r.customer]++
 		}
 	}
@@ -30,24 +30,23 @@
 	}
 	for _, c := range g.customers {
 		if c.requests != requests[c] {
-			t.Fatalf("customer %d has %d requests, %d are counted", c.id, requests[c], c.requests)
+			t.Fatalf("customer %d has %d requests, but its record counts %d", c.id, requests[c], c.requests)
 		}
 	}
 	for c, n := range inFlight {
 		if c.inFlight != n || !slices.Contains(g.customers, c) {
-			t.Fatalf("customer %d has %d attempts in flight and %d counted, or no record", c.id, n, c.inFlight)
+			t.Fatalf("customer %d has %d attempts in flight, but its record counts %d or was dropped", c.id, n, c.inFlight)
 		}
 	}
 	for c, n := range queued {
 		if c.queued != n || !slices.Contains(g.customers, c) {
-			t.Fatalf("customer %d has %d requests queued and %d counted, or no record", c.id, n, c.queued)
+			t.Fatalf("customer %d has %d queued requests, but its record counts %d or was dropped", c.id, n, c.queued)
 		}
 	}
 }
 
-// TestTooManyCustomers sends requests of more customers than there are records for, within a second, of plans whose
-// buckets this gateway owns or shares. None of them has been idle: the least recently seen ones go, and what is in
-// flight stays counted.
+// Within a second, requests arrive from more customers than there are records for. No customer has been idle, so the
+// least recently seen records are evicted. Attempts in flight must stay counted.
 func TestTooManyCustomers(t *testing.T) {
 	for name, setSize := range map[string]int{"buckets kept by an owner": 60, "shared buckets": 2, "own buckets": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -72,7 +71,7 @@
 	}
 }
 
-// TestNoRecordIsFree refuses a request of a further customer where all records count what is in flight.
+// A request of a further customer is refused if the records of all customers are in use.
 func TestNoRecordIsFree(t *testing.T) {
 	f := start(t, settings(), 4)
 	f.gateway.maxCustomers = 3
@@ -80,28 +79,27 @@
 		f.ask(RequestID(i), nil)
 	}
 	if len(f.sent) != 3 || f.ended[4] != "refused" {
-		t.Fatalf("%d sent, the fourth was %q", len(f.sent), f.ended[4])
+		t.Fatalf("%d sent, want 3; request 4 ended as %q, want refused", len(f.sent), f.ended[4])
 	}
-	// There is no record to count this one in.
+	// This attempt has no record in which it could be counted.
 	f.gateway.SentElsewhere(f.now, Request{Customer: 9, SetSize: 1, Units: 1}, 1, true)
 	checkCustomers(t, f.gateway)
 	f.done(f.sent[0], Served, ms)
 	f.ask(5, nil)
 	if len(f.sent) != 4 {
-		t.Fatal("a record has become free, and the next customer gets none")
+		t.Fatal("the request of the next customer was refused, although a record can be evicted")
 	}
 	checkCustomers(t, f.gateway)
 }
 
-// TestEvictedCustomerGainsNothing has a customer use up its hard limit and be evicted: its new record begins with what
-// has filled since.
+// A customer uses up its hard limit and is evicted. Its new record must start only with what has filled since.
 func TestEvictedCustomerGainsNothing(t *testing.T) {
 	set := settings()
 	set.Plans[0].HardLimitRate, set.Plans[0].HardLimitBurst = 1, 5
 	f := start(t, set, 4)
 	f.gateway.maxCustomers = 4
 	f.runUntil(f.now + 10*time.Second)
-	spend := func(from int) (admitted int) {
+	drawAll := func(from int) (admitted int) {
 		for i := from; i < from+20; i++ {
 			before := len(f.sent)
 			f.ask(RequestID(i), func(r *Request) { r.Customer = 7 })
@@ -112,13 +110,13 @@
 		}
 		return admitted
 	}
-	if n := spend(100); n == 0 || n > 6 {
-		t.Fatalf("%d admitted, the hard limit's burst is 5", n)
+	if n := drawAll(100); n == 0 || n > 6 {
+		t.Fatalf("%d admitted, want 1 to 6, as the hard limit's burst is 5", n)
 	}
 	for i := 1; i <= 8; i++ {
 		f.serve(RequestID(i), ms, nil)
 	}
-	if n := spend(200); n > 1 {
-		t.Errorf("%d admitted after the eviction, within a second of the last", n)
+	if n := drawAll(200); n > 1 {
+		t.Errorf("%d admitted within a second after the eviction, want at most 1", n)
 	}
 }
--- a/policy/decay.go
+++ b/policy/decay.go
@@ -7,7 +7,8 @@
 
 // Sums and means that decay exponentially, and sums over all gateways.
 
-// decayFactor returns the share that is left, after age, of a sum that decays exponentially with the given time constant.
+// decayFactor returns the share that is left, after age, of a sum that decays exponentially with the given time
+// constant.
 func decayFactor(age, timeConstant time.Duration) float64 {
 	return math.Exp(-float64(age) / float64(timeConstant))
 }
--- a/policy/ejection_test.go
+++ b/policy/ejection_test.go
@@ -4,13 +4,14 @@
 	"testing"
 )
 
-// A server rejects one plan and serves the others: that plan goes elsewhere, the server keeps the rest.
+// A server rejects one plan and serves the others. Requests of that plan avoid the server, and it still gets the
+// others.
 func TestServerThatRejectsOnePlan(t *testing.T) {
 	s := settings()
 	s.Hedging = false
 	s.Plans = append(s.Plans, Plan{Name: "other", Rate: 1000, Burst: 1000, ValueMultiplier: 1})
 	f := start(t, s, 4)
-	away, kept := 0, 0
+	rejected, served := 0, 0
 	for i := 1; i <= 800; i++ {
 		from := len(f.sent)
 		f.ask(RequestID(i), func(r *Request) { r.Plan = i % 2 })
@@ -19,18 +20,18 @@
 			x := f.sent[j]
 			switch {
 			case x.to == 2 && i%2 == 1:
-				away++
+				rejected++
 				f.done(x, Rejected, 5*ms)
 			case f.ended[x.id] == "":
 				if x.to == 2 {
-					kept++
+					served++
 				}
 				f.done(x, Served, 10*ms)
 			}
 		}
 	}
-	if away > 10 || kept < 25 || len(f.log) > 0 {
-		t.Fatalf("%d of the plan rejected, %d of the other served there, log %v", away, kept, f.log)
+	if rejected > 10 || served < 25 || len(f.log) > 0 {
+		t.Fatalf("%d of the rejected plan sent there, want at most 10; %d of the other served there, want at least 25; log %v", rejected, served, f.log)
 	}
 }
 
@@ -51,11 +52,11 @@
 		}
 	}
 	if bad > 25 {
-		t.Fatalf("%d of 600 to a server that fails them all at once", bad)
+		t.Fatalf("%d of 600 sent to a server that fails all at once, want at most 25", bad)
 	}
 }
 
-// When most servers fail, none is taken to be worse than the others and requests are still sent.
+// When most servers fail, ejection is ignored and requests are still sent to all servers.
 func TestEjectionIsIgnoredWhenMostServersFail(t *testing.T) {
 	f := start(t, settings(), 4)
 	used := map[ServerID]bool{}
@@ -71,11 +72,12 @@
 		}
 	}
 	if len(used) < 3 {
-		t.Fatalf("only %v used", used)
+		t.Fatalf("servers used: %v, want at least 3", used)
 	}
 }
 
-// A server that served for long and then dies while it is still listed is ejected after a few failed connections.
+// A server that has served for a long time and then fails while it is still listed is ejected after a few failed
+// connections.
 func TestServerThatDiesIsEjected(t *testing.T) {
 	f := start(t, settings(), 6)
 	bad := 0
@@ -93,6 +95,6 @@
 		}
 	}
 	if bad < 1 || bad > 8 {
-		t.Fatalf("%d of 300 to a server that is dead", bad)
+		t.Fatalf("%d of 300 sent to a server that refuses connections, want 1 to 8", bad)
 	}
 }
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// How long a request takes is estimated by its units where they matter, and by its class alone where they don't.
+// The latency of a request is estimated from its units if latency depends on them, and otherwise from the mean alone.
 func TestLatencyByUnits(t *testing.T) {
 	var grows, same, one decayingFit
 	for i := range 200 {
@@ -16,10 +16,10 @@
 	}
 	for units := 1.0; units <= 6; units++ {
 		if got := grows.predict(units); math.Abs(got-0.05-0.15*units) > 0.01 {
-			t.Errorf("%v units: %v", units, got)
+			t.Errorf("%v units: predicted %v, want 0.05 plus 0.15 a unit", units, got)
 		}
 		if math.Abs(same.predict(units)-0.3) > 0.01 || math.Abs(one.predict(units)-0.3) > 0.01 {
-			t.Errorf("%v units: %v and %v where all take 0.3", units, same.predict(units), one.predict(units))
+			t.Errorf("%v units: predicted %v and %v, want 0.3", units, same.predict(units), one.predict(units))
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// printer is a Host that prints the actions. A real one sends attempts, answers clients and sets timers.
+// printer is a Host that prints the actions. A real Host sends attempts, answers clients and sets timers.
 type printer struct{}
 
 func (printer) Send(id policy.RequestID, to policy.ServerID, until policy.Time) {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -14,26 +14,26 @@
 	rng         *rand.Rand
 	loss        float64
 	nodes       []*node
-	wheel       map[Time][]func()
+	events      map[Time][]func()
 	bytes       int
 	messages    int
-	partitioned func(from, to int) bool // nil: no link is
+	partitioned func(from, to int) bool // whether messages on a link are dropped; nil: none are
 	latencies   map[ServerID]time.Duration
 }
 
 // node is the host of one gateway of a fleet.
 type node struct {
-	fleet       *fleet
-	number      int
-	gateway     *Gateway
-	sent        map[RequestID]bool
-	refused     map[RequestID]bool
-	latency     time.Duration
-	sends       []send
-	log         []string
-	received    int
-	incarnation int
-	trueUnits   float64 // units that answers tell
+	fleet         *fleet
+	number        int
+	gateway       *Gateway
+	sent          map[RequestID]bool
+	refused       map[RequestID]bool
+	latency       time.Duration
+	sends         []send
+	log           []string
+	received      int
+	incarnation   int
+	reportedUnits float64 // the units that servers report in their answers
 }
 
 const fleetTick = 5 * ms
@@ -51,7 +51,7 @@
 	n.fleet.at(took, func() {
 		if n.incarnation == incarnation {
 			n.gateway.Outcome(n.fleet.now, Outcome{ID: id, Attempt: no, Server: to, Elapsed: took, Ending: Served,
-				Answered: true, Units: n.trueUnits})
+				Answered: true, Units: n.reportedUnits})
 		}
 	})
 }
@@ -88,14 +88,14 @@
 
 func (f *fleet) at(d time.Duration, do func()) {
 	at := (f.now + d + fleetTick) / fleetTick * fleetTick
-	f.wheel[at] = append(f.wheel[at], do)
+	f.events[at] = append(f.events[at], do)
 }
 
 func (f *fleet) run(d time.Duration, each func()) {
 	for end := f.now + d; f.now < end; f.now += fleetTick {
-		for len(f.wheel[f.now]) > 0 {
-			list := f.wheel[f.now]
-			delete(f.wheel, f.now)
+		for len(f.events[f.now]) > 0 {
+			list := f.events[f.now]
+			delete(f.events, f.now)
 			for _, do := range list {
 				do()
 			}
@@ -105,7 +105,7 @@
 }
 
 func newFleet(t *testing.T, s Settings, gateways, servers int) *fleet {
-	f := &fleet{t: t, now: 100 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), loss: 0.05, wheel: map[Time][]func(){}}
+	f := &fleet{t: t, now: 100 * time.Second, rng: rand.New(rand.NewPCG(1, 2)), loss: 0.05, events: map[Time][]func(){}}
 	for i := 0; i < gateways; i++ {
 		s.Self, s.Gateways = i, gateways
 		n := &node{fleet: f, number: i, sent: map[RequestID]bool{}, refused: map[RequestID]bool{}, latency: 60 * ms}
@@ -131,8 +131,8 @@
 	g.Servers(n.fleet.now, ListCached, list)
 }
 
-// Over many gateways a heavy customer gets about its rate in all and a calm one isn't refused, though each gateway
-// sees few of its requests, messages are delayed and some are lost.
+// Over many gateways together, a customer with demand above its rate gets about its rate, and a customer with demand
+// below its rate isn't refused, although each gateway sees few of its requests and messages are delayed or lost.
 func TestQuotaOverManyGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate = true, 40
@@ -143,12 +143,12 @@
 	f := newFleet(t, s, 120, 24)
 	type cust struct {
 		plan, first, set int
-		x                float64
-		asked, in        int
+		load             float64
+		asked, admitted  int
 	}
 	var list []*cust
 	for i := 0; i < 260; i++ {
-		c := &cust{first: f.rng.IntN(120), set: 10 + f.rng.IntN(35), x: 0.35}
+		c := &cust{first: f.rng.IntN(120), set: 10 + f.rng.IntN(35), load: 0.35}
 		switch {
 		case i < 20:
 			c.plan = 2
@@ -156,10 +156,10 @@
 			c.plan = 1
 		}
 		if i%10 == 0 {
-			c.x = 3.5
+			c.load = 3.5
 		}
 		if i%10 == 1 || i%10 == 2 {
-			c.x = 0.9
+			c.load = 0.9
 		}
 		list = append(list, c)
 	}
@@ -168,7 +168,7 @@
 	f.run(30*time.Second, func() {
 		for k, c := range list {
 			p := s.Plans[c.plan]
-			if f.rng.Float64() > c.x*p.Rate*fleetTick.Seconds() {
+			if f.rng.Float64() > c.load*p.Rate*fleetTick.Seconds() {
 				continue
 			}
 			id++
@@ -177,9 +177,9 @@
 				Deadline: f.now + 2*time.Second, Units: 1, SetSize: c.set, FirstGateway: c.first})
 			if now := id; f.now-begin > 10*time.Second {
 				c.asked++
-				f.at(500*ms, func() { // where the customer's owner had to be asked
+				f.at(500*ms, func() { // after the customer's owner has answered
 					if n.sent[now] {
-						c.in++
+						c.admitted++
 					}
 				})
 			}
@@ -187,37 +187,38 @@
 	})
 	f.run(time.Second, func() {})
 	for plan := 0; plan < 3; plan++ {
-		for _, x := range []float64{0.35, 0.9, 3.5} {
-			asked, in, rate := 0.0, 0.0, 0.0
+		for _, load := range []float64{0.35, 0.9, 3.5} {
+			asked, admitted, rate := 0.0, 0.0, 0.0
 			for _, c := range list {
-				if c.plan == plan && c.x == x {
+				if c.plan == plan && c.load == load {
 					asked += float64(c.asked)
-					in += float64(c.in)
+					admitted += float64(c.admitted)
 					rate += s.Plans[plan].Rate * 20
 				}
 			}
-			if x > 1 && (in < 0.75*rate || in > 1.45*rate) || x < 0.5 && in < 0.9*asked || x == 0.9 && in < 0.7*asked {
-				t.Errorf("plan %d asking %.2f of its rate: %.0f of %.0f admitted, the rate allows %.0f", plan, x, in, asked, rate)
+			if load > 1 && (admitted < 0.75*rate || admitted > 1.45*rate) || load < 0.5 && admitted < 0.9*asked || load == 0.9 && admitted < 0.7*asked {
+				t.Errorf("plan %d, demand %.2f of the rate: %.0f of %.0f admitted, the rate allows %.0f", plan, load, admitted, asked, rate)
 			}
 		}
 	}
-	busy := 0 // the owners of the large customers that ask 63 times a second take in more: each request is asked about
+	busy := 0 // owners of large customers with 63 requests a second receive more messages, as each request is a query
 	for _, n := range f.nodes {
 		if float64(n.received)/30 > s.PeerMessageRate*peerRateShare*1.5 {
 			busy++
 		}
 	}
 	if busy > 4 {
-		t.Errorf("%d gateways take in more messages than they should", busy)
+		t.Errorf("%d gateways receive more messages than allowed, want at most 4", busy)
 	}
-	price := 0.01 * float64(f.bytes) / (messageBytes * float64(id))
-	if price > 0.02 {
-		t.Errorf("messages cost %.3f of the service", price)
+	costShare := 0.01 * float64(f.bytes) / (messageBytes * float64(id))
+	if costShare > 0.02 {
+		t.Errorf("messages cost %.3f of the service, want at most 0.02", costShare)
 	}
 }
 
-// Gateways that hear each other hold a customer to its quota and its hard limit as one would, though most of its
-// requests come in at one of them: parts of the bucket at the others would be refused to it for nothing.
+// Gateways that receive each other's updates enforce a customer's quota and hard limit as a single gateway would,
+// although most of its requests arrive at one of them. If each gateway had a fixed part of the bucket, the parts of the
+// others would be denied to the customer needlessly.
 func TestGatewaysShareABucket(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -226,59 +227,59 @@
 			HardLimitSlack: 8}}
 	f := newFleet(t, s, 3, 12)
 	type cust struct {
-		plan                   int
-		x, in, hardLimit       float64
-		quota, inside, allowed float64 // the true store, what was sent on inside it, and what one gateway would have
-		one                    float64
+		plan                        int
+		load, admitted, hardLimit   float64
+		quota, withinQuota, allowed float64 // the true balance, units admitted within it, and units that one gateway would admit
+		singleBalance               float64
 	}
 	var list []*cust
 	for i := range 16 {
 		p := s.Plans[i%2]
-		list = append(list, &cust{plan: i % 2, x: []float64{0.9, 3}[i/2%2], quota: p.Burst, one: p.Burst,
+		list = append(list, &cust{plan: i % 2, load: []float64{0.9, 3}[i/2%2], quota: p.Burst, singleBalance: p.Burst,
 			hardLimit: p.HardLimitBurst})
 	}
 	id := RequestID(0)
-	f.run(2*time.Second, func() {}) // long enough for all to have heard each other
+	f.run(2*time.Second, func() {}) // long enough for all to have received each other's updates
 	f.run(30*time.Second, func() {
 		for k, c := range list {
 			p := s.Plans[c.plan]
 			c.quota = min(p.Burst, c.quota+p.Rate*fleetTick.Seconds())
-			c.one = min(p.Burst, c.one+p.Rate*fleetTick.Seconds())
+			c.singleBalance = min(p.Burst, c.singleBalance+p.Rate*fleetTick.Seconds())
 			c.hardLimit = min(p.HardLimitBurst, c.hardLimit+p.HardLimitRate*fleetTick.Seconds())
 			units := float64(1 + f.rng.IntN(4))
-			if f.rng.Float64() > c.x*p.Rate*fleetTick.Seconds()/2.5 {
+			if f.rng.Float64() > c.load*p.Rate*fleetTick.Seconds()/2.5 {
 				continue
 			}
 			id++
 			n := f.nodes[[]int{0, 0, 0, 0, 0, 0, 1, 2}[f.rng.IntN(8)]]
 			n.gateway.Request(f.now, Request{ID: id, Customer: CustomerID(k + 1), Plan: c.plan, Deadline: f.now + 2*time.Second,
 				Units: units, SetSize: 3})
-			if c.one >= units {
-				c.one -= units
+			if c.singleBalance >= units {
+				c.singleBalance -= units
 				c.allowed += units
 			}
 			if !n.sent[id] {
 				continue
 			}
 			if c.hardLimit -= units; p.HardLimitRate > 0 && c.hardLimit < -p.HardLimitSlack {
-				t.Fatalf("customer %d: hard limit exceeded by %.1f", k, -c.hardLimit)
+				t.Fatalf("customer %d: hard limit exceeded by %.1f units, 8 are tolerated", k, -c.hardLimit)
 			}
-			if c.in += units; c.quota >= units {
+			if c.admitted += units; c.quota >= units {
 				c.quota -= units
-				c.inside += units
+				c.withinQuota += units
 			}
 		}
 	})
 	for k, c := range list {
-		if c.inside < 0.95*c.allowed || c.in > 1.1*c.allowed {
-			t.Errorf("customer %d of plan %d asking %.1f of its rate: %.0f units admitted, %.0f of them inside the quota, one gateway allows %.0f",
-				k, c.plan, c.x, c.in, c.inside, c.allowed)
+		if c.withinQuota < 0.95*c.allowed || c.admitted > 1.1*c.allowed {
+			t.Errorf("customer %d of plan %d, demand %.1f of the rate: %.0f units admitted, %.0f of them within the quota, one gateway allows %.0f",
+				k, c.plan, c.load, c.admitted, c.withinQuota, c.allowed)
 		}
 	}
 }
 
-// A gateway that restarts among others learns the balances that they know: no new burst for a customer that has spent
-// it, and no refusal for one that has not.
+// A gateway that restarts learns the balances from the other gateways: a customer that has used up its burst gets no
+// new one, and a customer that has not isn't refused.
 func TestRestartedGatewayLearnsTheBalance(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -295,30 +296,30 @@
 	ask(f.nodes[0], 2)
 	f.nodes[1].restart(s, 12)
 	f.run(500*ms, func() {})
-	spent, spared := 0, 0
+	afterBurst, beforeBurst := 0, 0
 	for range 10 {
 		if ask(f.nodes[1], 1) {
-			spent++
+			afterBurst++
 		}
 		if ask(f.nodes[1], 2) {
-			spared++
+			beforeBurst++
 		}
 	}
-	if spent > 6 || spared < 9 {
-		t.Fatalf("of 10 each: %d for who has spent its burst, %d for who has not", spent, spared)
+	if afterBurst > 6 || beforeBurst < 9 {
+		t.Fatalf("admitted of 10 each: %d with a burst used up, want at most 6; %d with a full one, want at least 9", afterBurst, beforeBurst)
 	}
 }
 
-// While one gateway of four is down the others use all of the quota, its part too. Where it is only partitioned, both
-// sides together stay below one and a half of the quota, and so below any hard limit that the site has.
+// While one gateway of four is down, the others use all of the quota, including its part. If it is only partitioned,
+// both sides together stay below one and a half times the quota, and so below any hard limit that the site has.
 func TestOneGatewayOfFourDownOrPartitioned(t *testing.T) {
-	for name, down := range map[string]bool{"down": true, "cut off": false} {
+	for name, down := range map[string]bool{"down": true, "partitioned": false} {
 		s := settings()
 		s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
 		s.Plans = []Plan{{Name: "p", Rate: 12, Burst: 30, ValueMultiplier: 1, OverQuotaCost: 1, HardLimitRate: 20,
 			HardLimitBurst: 51, HardLimitSlack: 8}}
 		f := newFleet(t, s, 4, 12)
-		id, in, hardLimit := RequestID(0), 0.0, 51.0
+		id, admitted, hardLimit := RequestID(0), 0.0, 51.0
 		ask := func() {
 			hardLimit = min(51, hardLimit+20*fleetTick.Seconds())
 			if f.rng.Float64() > 36*fleetTick.Seconds() {
@@ -330,9 +331,9 @@
 			}
 			n.gateway.Request(f.now, Request{ID: id, Deadline: f.now + 2*time.Second, Units: 1, SetSize: 4})
 			if n.sent[id] {
-				in++
+				admitted++
 				if hardLimit--; hardLimit < -8 {
-					t.Fatalf("%s: the hard limit is exceeded by %.0f", name, -hardLimit)
+					t.Fatalf("%s: hard limit exceeded by %.0f units, 8 are tolerated", name, -hardLimit)
 				}
 			}
 		}
@@ -342,16 +343,17 @@
 			f.nodes[3].incarnation++
 		}
 		f.run(2*time.Second, ask)
-		in = 0
+		admitted = 0
 		f.run(20*time.Second, ask)
-		if most := map[bool]float64{true: 1.1, false: 1.5}[down]; in < 0.95*240 || in > most*240 {
-			t.Errorf("%s: %.0f units admitted, the quota allows 240", name, in)
+		if most := map[bool]float64{true: 1.1, false: 1.5}[down]; admitted < 0.95*240 || admitted > most*240 {
+			t.Errorf("%s: %.0f units admitted, the quota allows 240", name, admitted)
 		}
 	}
 }
 
-// What peers drew while they didn't hear each other came out of their parts. Once they do again none of it is owed,
-// also for customers that the first update has no room for: they are served at their rate at once, and not above it.
+// Units that peers drew during a partition came out of their own parts. After the partition none of these units may be
+// charged again, including those of customers that don't fit into the first update. Customers are served at their rate
+// at once, and not above it.
 func TestPartitionLeavesNoDebt(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -359,7 +361,7 @@
 	f := newFleet(t, s, 4, 40)
 	const customers = 90 // a message has room for a fifth of them
 	id := RequestID(0)
-	let := func(d time.Duration) float64 { // of what the rate allows, where more than twice as much is asked for
+	admittedShare := func(d time.Duration) float64 { // the share of the units that the rate allows; more than twice as many are requested
 		before := 0
 		for _, n := range f.nodes {
 			before -= len(n.sent)
@@ -376,13 +378,13 @@
 		}
 		return float64(before) / (2 * customers * d.Seconds())
 	}
-	let(12 * time.Second) // the bursts are gone
-	usual := let(4 * time.Second)
+	admittedShare(12 * time.Second) // uses up the bursts
+	usual := admittedShare(4 * time.Second)
 	f.partitioned = func(int, int) bool { return true }
-	let(5 * time.Second)
+	admittedShare(5 * time.Second)
 	f.partitioned = nil
-	if first, then := let(3*time.Second), let(3*time.Second); first < 0.85*usual || first > 1.7*usual ||
+	if first, then := admittedShare(3*time.Second), admittedShare(3*time.Second); first < 0.85*usual || first > 1.7*usual ||
 		then < 0.85*usual || then > 1.15*usual {
-		t.Fatalf("%.2f and %.2f of the rate are admitted after a partition, %.2f before", first, then, usual)
+		t.Fatalf("%.2f and then %.2f of the rate admitted after a partition, %.2f before it", first, then, usual)
 	}
 }
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// successor gives a host with a gateway that has imported the state of this one's, with other settings where change
-// is not nil.
+// successor returns a host whose gateway has imported the state of this host's gateway. If change is not nil, it
+// changes the settings of the new gateway.
 func (f *fakeHost) successor(t *testing.T, change func(*Settings)) *fakeHost {
 	t.Helper()
 	set := f.gateway.cfg
@@ -26,14 +26,14 @@
 	return n
 }
 
-// remaining gives a customer's balance and what is left of its hard limit.
+// remaining returns a customer's balance and the tokens of its hard limit.
 func (f *fakeHost) remaining(customer CustomerID) (balance, hardLimit float64) {
 	c := f.gateway.customersByID[customer]
 	f.gateway.refill(c, 0)
 	return c.balance, c.hardLimit.Tokens
 }
 
-// serve sends a request that is served.
+// serve sends a request and ends its attempt as served.
 func (f *fakeHost) serve(id RequestID, took time.Duration, change func(*Request)) {
 	f.ask(id, change)
 	f.done(f.sent[len(f.sent)-1], Served, took)
@@ -41,7 +41,7 @@
 
 const ms = time.Millisecond
 
-// fakeHost records what a gateway does and delivers its timers.
+// fakeHost is a Host that records a gateway's actions and delivers its timers.
 type fakeHost struct {
 	t         *testing.T
 	gateway   *Gateway
@@ -72,7 +72,7 @@
 
 func (f *fakeHost) Send(id RequestID, to ServerID, _ Time) {
 	if f.ended[id] != "" {
-		f.t.Fatalf("sent %d after its final answer", id)
+		f.t.Fatalf("an attempt of request %d was sent after its final answer", id)
 	}
 	no := 0
 	for _, s := range f.sent {
@@ -115,7 +115,7 @@
 func (f *fakeHost) Watch()       { f.watches++ }
 func (f *fakeHost) Log(s string) { f.log = append(f.log, s) }
 
-// runUntil lets time pass up to a time; timers fire on the way.
+// runUntil advances the time to at, and fires the timers that are due until then.
 func (f *fakeHost) runUntil(at Time) {
 	for {
 		next := -1
@@ -135,7 +135,7 @@
 	}
 }
 
-// ask sends a request in, which change may alter.
+// ask passes a request to the gateway. change, if not nil, may alter it.
 func (f *fakeHost) ask(id RequestID, change func(*Request)) {
 	r := Request{ID: id, Customer: CustomerID(id), Deadline: f.now + 2*time.Second, Units: 1, SetSize: 1}
 	if change != nil {
@@ -144,7 +144,7 @@
 	f.gateway.Request(f.now, r)
 }
 
-// done ends an attempt.
+// done reports the end of an attempt to the gateway.
 func (f *fakeHost) done(s send, how Ending, took time.Duration) {
 	closed := how == Served || f.ended[s.id] != ""
 	if how == Served && f.ended[s.id] == "" {
@@ -154,7 +154,7 @@
 		Answered: closed})
 }
 
-// settings are those of one gateway with one class and one plan whose quota no test reaches.
+// settings returns the settings of a single gateway, with one class and one plan whose quota no test reaches.
 func settings() Settings {
 	return Settings{Gateways: 1, Tick: ms, MaxAttempts: 3, Hedging: true, Cancel: true,
 		Classes:         []Class{{Name: "read", LatencyTarget: 500 * ms, Deadline: 2 * time.Second, Value: 1}},
@@ -163,7 +163,7 @@
 		DrainGrace: time.Second}
 }
 
-// start gives a host with a gateway that has servers from 1 on.
+// start returns a host with a gateway that has the given number of servers, with IDs from 1.
 func start(t *testing.T, s Settings, servers int) *fakeHost {
 	t.Helper()
 	g, err := New(s, 7)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -9,8 +9,8 @@
 	"sprucelane.example/sprucelane/internal/ruda"
 )
 
-// After a stall of a gateway all that came meanwhile has one answer each, in time, and the stall sheds nothing once
-// it is over.
+// After a stall of a gateway, each request that arrived meanwhile gets one answer in time, and no group is shed
+// because of the stall.
 func TestBacklogAfterAStall(t *testing.T) {
 	f := start(t, settings(), 10)
 	for i := 1; i <= 100; i++ {
@@ -22,7 +22,7 @@
 	for i := RequestID(101); i <= 250; i++ {
 		deadlines[i] = f.now + time.Duration(i*10)*ms
 	}
-	f.now += 1500 * ms // no turn meanwhile
+	f.now += 1500 * ms // no timer fires meanwhile
 	from := len(f.sent)
 	for i := RequestID(101); i <= 250; i++ {
 		f.ask(i, func(r *Request) { r.Deadline = deadlines[i] })
@@ -40,12 +40,12 @@
 		}
 	}
 	if len(f.log) > 0 {
-		t.Fatalf("log %v", f.log)
+		t.Fatalf("log %v, want no group shed", f.log)
 	}
 }
 
-// While all servers have become slower and there is overload, a request that would be late at any of them is refused
-// at once and leaves its capacity to one that won't be; before and after it is served.
+// All servers have become slower and there is overload. A request that would be late at any server is refused at once,
+// which leaves the capacity to requests that can be answered in time. Before the slowdown it is served.
 func TestLongRequestsAreRefusedUnderOverload(t *testing.T) {
 	s := settings()
 	s.Hedging, s.MaxUnits = false, 6
@@ -69,26 +69,26 @@
 			}
 		}
 	}
-	run := func(d time.Duration) (large, largeIn, small, smallIn int) {
+	run := func(d time.Duration) (large, largeAdmitted, small, smallAdmitted int) {
 		for end := f.now + d; f.now < end; step() {
 			if large++; ask(6) {
-				largeIn++
+				largeAdmitted++
 			}
 			if small++; ask(1) {
-				smallIn++
+				smallAdmitted++
 			}
 		}
 		return
 	}
 	_, in, _, _ := run(5 * time.Second)
 	if in < 10 {
-		t.Fatalf("%d large requests admitted while they can be in time", in)
+		t.Fatalf("%d large requests admitted while they can be answered in time, want at least 10", in)
 	}
 	slow = 4
 	run(5 * time.Second)
 	_, in, _, small := run(5 * time.Second)
 	if in > 8 || small < 20 {
-		t.Errorf("%d large requests admitted that take 2.4 s where 1 s is wanted, and %d small ones", in, small)
+		t.Errorf("%d large requests admitted that take 2.4 s with a target of 1 s, want at most 8; %d small ones, want at least 20", in, small)
 	}
 }
 
@@ -99,8 +99,9 @@
 	}
 }
 
-// Every answer is late for a while: the cheap plan is shed first, then the next one, and both are taken back.
-func TestGroupsAreShedByScoreAndTakenBack(t *testing.T) {
+// Every answer is late for a while. The plan of the lowest value is shed first, then the next one; later both are
+// readmitted.
+func TestGroupsAreShedByScoreAndReadmitted(t *testing.T) {
 	s := settings()
 	s.Plans = []Plan{{Name: "cheap", Rate: 1e5, Burst: 1e5, ValueMultiplier: 1},
 		{Name: "mid", Rate: 1e5, Burst: 1e5, ValueMultiplier: 2},
@@ -124,20 +125,20 @@
 		step(700 * ms)
 	}
 	if len(f.log) < 2 || !strings.Contains(f.log[0], "cut read/cheap") || !strings.Contains(f.log[1], "cut read/mid") {
-		t.Fatalf("cuts: %v", f.log)
+		t.Fatalf("groups shed: %v, want read/cheap and then read/mid", f.log)
 	}
 	for i := 0; i < 400; i++ {
 		step(5 * ms)
 	}
 	if all := strings.Join(f.log, "; "); !strings.Contains(all, "lift read/mid; lift read/cheap") {
-		t.Fatalf("lifts: %s", all)
+		t.Fatalf("log: %s; want read/mid and then read/cheap readmitted", all)
 	}
 	if strings.Contains(strings.Join(f.log, ";"), "cut read/dear") {
-		t.Fatal("the last group was cut")
+		t.Fatal("the last remaining group was shed")
 	}
 }
 
-// One server that answers late is no overload, however many of the samples are its own.
+// A single server that answers late isn't overload, however many of the samples are from it.
 func TestOneLateServerIsNoOverload(t *testing.T) {
 	f := start(t, settings(), 8)
 	for i := 1; i <= 200; i++ {
@@ -151,11 +152,11 @@
 		}
 	}
 	if len(f.log) > 0 {
-		t.Fatalf("log: %v", f.log)
+		t.Fatalf("log %v, want no group shed", f.log)
 	}
 }
 
-// Overload in which nothing finishes shows by the age of what is in flight, and little more is sent.
+// Overload in which no attempt ends is detected by the age of the attempts in flight, and few more are sent.
 func TestOverloadInWhichNothingFinishes(t *testing.T) {
 	f := start(t, settings(), 4)
 	for i := 1; i <= 400; i++ {
@@ -163,12 +164,12 @@
 		f.runUntil(f.now + 5*ms)
 	}
 	if n := len(f.sent); n > 4*4*2 {
-		t.Fatalf("%d attempts went into a fleet of 4 that answers nothing", n)
+		t.Fatalf("%d attempts sent to 4 servers that answer nothing, want at most 32", n)
 	}
 }
 
-// Attempts are lost on their connections while what is sent later to the same servers is served in time. They are
-// neither overload nor load of a server, and nothing is refused for them.
+// Some attempts are lost on their connections, while later attempts to the same servers are served in time. Lost
+// attempts are neither overload nor load on a server, and no other request is refused because of them.
 func TestLostAttemptsAreNoOverload(t *testing.T) {
 	s := settings()
 	s.Hedging = false
@@ -195,12 +196,12 @@
 			refused++
 		}
 	}
-	if len(f.log) > 0 || refused > 450 { // each that is lost is refused in the end, as a safe one may be
-		t.Fatalf("%d of 3000 refused, 375 lost; log %v", refused, f.log)
+	if len(f.log) > 0 || refused > 450 { // each request whose attempt is lost is refused at its deadline, as it is idempotent
+		t.Fatalf("%d of 3000 refused, want at most 450, as 375 are lost; log %v, want none", refused, f.log)
 	}
 }
 
-// An ordinary tail of latencies while there is little load must not shrink the capacity.
+// An ordinary tail of latencies under little load must not shrink the capacity.
 func TestTailsWithoutLoadKeepTheCapacity(t *testing.T) {
 	f := start(t, settings(), 10)
 	f.ask(1, nil)
@@ -213,11 +214,11 @@
 		f.done(f.sent[len(f.sent)-1], Served, 400*ms)
 	}
 	if f.gateway.totalCapacity() < before {
-		t.Fatalf("capacity %v -> %v", before, f.gateway.totalCapacity())
+		t.Fatalf("capacity shrank from %v to %v", before, f.gateway.totalCapacity())
 	}
 }
 
-// A fleet with little load whose answers are late for other reasons sheds no group.
+// No group is shed if answers are late for other reasons than load.
 func TestLatenessOfAnIdleFleetShedsNothing(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, Plan{Name: "dear", Rate: 1000, Burst: 1000, ValueMultiplier: 5})
@@ -229,11 +230,11 @@
 		f.done(f.sent[len(f.sent)-1], Served, 600*ms)
 	}
 	if len(f.log) > 0 || len(f.sent) != 60 {
-		t.Fatalf("%d sent, log %v", len(f.sent), f.log)
+		t.Fatalf("%d sent, want 60; log %v, want no group shed", len(f.sent), f.log)
 	}
 }
 
-// A slow minority must not shrink the capacity of the other servers.
+// A slow minority of servers must not shrink the capacity of the others.
 func TestUnhealthyServersKeepTheirOwnCapacity(t *testing.T) {
 	s := settings()
 	s.Hedging = false
@@ -258,7 +259,7 @@
 	for _, x := range f.gateway.servers {
 		if capacity := f.gateway.capacityOf(x); x.ID <= 3 && capacity > initialCapacity || x.ID > 3 &&
 			capacity < initialCapacity {
-			t.Errorf("server %d: capacity %v, started at %v", x.ID, capacity, initialCapacity)
+			t.Errorf("server %d: capacity %v; want at most the initial %v at servers 1 to 3, and at least that at the others", x.ID, capacity, initialCapacity)
 		}
 	}
 }
--- a/policy/owner_test.go
+++ b/policy/owner_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// wideFleet gives eighty gateways with two plans.
+// wideFleet returns a fleet of eighty gateways with two plans, and its settings.
 func wideFleet(t *testing.T) (*fleet, Settings) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -15,9 +15,9 @@
 	return newFleet(t, s, 80, 60), s
 }
 
-// admitted sends requests of one customer to one of its gateways after the other, a tick apart, and gives how many
-// were admitted and how many have no answer in the end.
-func (f *fleet) admitted(tries, plan, first, set int) (in, open int) {
+// admitted sends requests of one customer to one of its gateways after the other, one per tick. It returns how many
+// requests were admitted, and how many requests in the fleet have no answer 3 s later.
+func (f *fleet) admitted(tries, plan, first, set int) (count, unanswered int) {
 	begin := RequestID(f.now)
 	k := 0
 	f.run(time.Duration(tries)*fleetTick, func() {
@@ -30,38 +30,38 @@
 	for _, n := range f.nodes {
 		for id := begin; id < begin+RequestID(tries); id++ {
 			if n.sent[id] {
-				in++
+				count++
 			}
 		}
-		open += len(n.gateway.requests)
+		unanswered += len(n.gateway.requests)
 	}
-	return in, open
+	return count, unanswered
 }
 
-// A customer whose sixty gateways each see one request a minute has one bucket all the same: its burst is admitted,
-// at whichever gateways it asks, and what it asks beyond is refused. Parts of a sixtieth would hold less than a
-// request.
+// A customer whose sixty gateways each see one request a minute has a single bucket all the same. Its burst is admitted
+// at whichever gateways the requests arrive, and requests beyond it are refused. If the bucket were split, each
+// sixtieth would hold less than one request.
 func TestOwnerKeepsOneBucket(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	if in, open := f.admitted(12, 0, 5, 60); in < 11 || open > 0 {
-		t.Fatalf("%d of 12 admitted where the burst is 16, %d without an answer", in, open)
+		t.Fatalf("%d of 12 admitted, want at least 11 with a burst of 16; %d without an answer", in, open)
 	}
-	f.run(10*time.Second, func() {}) // full again
+	f.run(10*time.Second, func() {}) // the bucket is full again
 	if in, open := f.admitted(100, 0, 5, 60); in < 14 || in > 19 || open > 0 {
-		t.Fatalf("%d of 100 admitted, the burst is 16, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted, want 14 to 19 with a burst of 16; %d without an answer", in, open)
 	}
 }
 
-// Where the owner is dead and the next one is, too, requests wait for two queries at most; a third one keeps the
-// bucket then. With nobody left to ask a gateway keeps to its part.
+// The owner and the first gateway that stands in for it are unreachable. Requests wait for at most two queries, after
+// which a third gateway keeps the bucket. If no gateway can be asked, each gateway uses its part of the bucket.
 func TestOwnerTimesOut(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	f.admitted(1, 0, 5, 60)
 	c := f.nodes[5].gateway.customersByID[77]
 	if c == nil {
-		t.Fatal("gateway 5 has met the customer")
+		t.Fatal("gateway 5 has no record of the customer")
 	}
 	dead := map[int]bool{}
 	for k := 0; k < 2; k++ {
@@ -71,23 +71,23 @@
 	}
 	f.nodes[5].gateway.suspectedUntil = make([]Time, 80)
 	f.partitioned = func(from, to int) bool { return dead[from] || dead[to] }
-	f.admitted(120, 0, 5, 60) // each gateway finds out
+	f.admitted(120, 0, 5, 60) // each gateway comes to suspect the unreachable owners
 	f.run(8*time.Second, func() {})
 	if in, open := f.admitted(100, 0, 5, 60); in < 8 || in > 24 || open > 0 {
-		t.Fatalf("%d of 100 admitted by the third owner, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted by the third owner, want 8 to 24; %d without an answer", in, open)
 	}
 	f.partitioned = func(int, int) bool { return true }
 	f.run(2*time.Second, func() {})
 	if in, open := f.admitted(100, 0, 5, 60); in > 40 || open > 0 {
-		t.Fatalf("%d of 100 admitted where nobody hears anybody, %d without an answer", in, open)
+		t.Fatalf("%d of 100 admitted while no gateway reaches another, want at most 40; %d without an answer", in, open)
 	}
 }
 
-// A query that comes twice, as its answer was lost, draws once. One about a request that is over, of a plan that
-// doesn't exist, too short or too long, changes nothing.
+// A query that is repeated because its answer was lost draws units once. Messages about a plan that doesn't exist,
+// answers about a request that has ended, and messages that are too short or too long change nothing.
 func TestOwnerQueries(t *testing.T) {
 	f, s := wideFleet(t)
-	f.loss = 1 // answers are not looked at
+	f.loss = 1 // no message is delivered, as the answers aren't checked
 	g := f.nodes[7].gateway
 	name := customerKey(77, 0, 7, 60)
 	m := packQuery(ownerQuery{token: 9, customerKey: name, units: 2})
@@ -96,7 +96,7 @@
 	g.PeerMessage(f.now, 8, m)
 	c := g.customersByKey[ownerKey(name, 7)]
 	if c == nil || s.Plans[0].Burst-c.balance > 2.01 || f.messages != messages+2 {
-		t.Fatalf("two answers to one question, and its units drawn once: %+v", c)
+		t.Fatalf("want two answers to a repeated query, and its units drawn once: %+v", c)
 	}
 	for _, invalid := range [][]byte{m[:12], append(m[:13:13], 0),
 		packQuery(ownerQuery{customerKey: customerKey(1, 9, 0, 60)}),
@@ -104,26 +104,26 @@
 		customers, messages, invalidBefore := len(g.customers), f.messages, g.Stats(f.now).InvalidMessages
 		g.PeerMessage(f.now, 8, invalid)
 		if len(g.customers) != customers || f.messages != messages {
-			t.Fatalf("%x was believed", invalid)
+			t.Fatalf("invalid message %x was applied", invalid)
 		}
 		wellFormed := len(invalid) == queryBytes && invalid[0] == queryKind ||
 			len(invalid) == answerBytes && invalid[5] < 2
 		if !wellFormed && g.Stats(f.now).InvalidMessages != invalidBefore+1 {
-			t.Fatalf("%x was not counted", invalid)
+			t.Fatalf("invalid message %x was not counted in InvalidMessages", invalid)
 		}
 	}
 }
 
-// When the whole fleet has just started a hard limit is full, though the fleet is larger than its gateways can all
-// hear: each hears those that share a customer with it.
+// When the whole fleet has just started, hard limits are full. This holds although the fleet is too large for every
+// gateway to receive messages from all others: each receives them from those that share a customer with it.
 func TestHardLimitIsFullWhenTheFleetHasJustStarted(t *testing.T) {
 	f, _ := wideFleet(t)
 	f.run(time.Second, func() {})
 	if in, _ := f.admitted(12, 1, 30, 4); in < 11 {
-		t.Fatalf("%d of 12 admitted of a burst of 32", in)
+		t.Fatalf("%d of 12 admitted with a burst of 32, want at least 11", in)
 	}
 	f.run(5*time.Second, func() {})
 	if in, _ := f.admitted(200, 1, 30, 4); in > 52 { // in a second
-		t.Fatalf("%d admitted of a burst of 32 and 13 a second", in)
+		t.Fatalf("%d admitted in 1 s with a burst of 32 and 13 a second, want at most 52", in)
 	}
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Requests with sets that can't be get an answer.
+// Requests with impossible sets of gateways still get an answer.
 func TestInvalidSets(t *testing.T) {
 	s := twoGateways()
 	s.Gateways = 40
@@ -32,7 +32,7 @@
 	}
 }
 
-// An update that comes twice or late adds nothing.
+// A duplicate or late update adds nothing.
 func TestDuplicateAndLateUpdates(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
@@ -46,7 +46,7 @@
 	}
 }
 
-// Whatever a peer says, no quota is exceeded and nothing is shed because of it alone.
+// Whatever a peer sends, no quota is exceeded, and no group is shed because of its messages alone.
 func FuzzPeerMessage(f *testing.F) {
 	f.Add(message(time.Second, 5, 60))
 	f.Add([]byte{1, 0, 0, 0, 0, 1, 9})
@@ -63,27 +63,27 @@
 				f.done(f.sent[n-1], Served, 5*ms)
 			}
 		}
-		if len(f.sent) > 60 || len(f.log) > 0 { // the whole quota lets in 10 and 10 a second, for 2 s
-			t.Fatalf("%d admitted, log %v", len(f.sent), f.log)
+		if len(f.sent) > 60 || len(f.log) > 0 { // the whole quota admits 10 plus 10 a second, for 2 s
+			t.Fatalf("%d admitted, want at most 60; log %v, want none", len(f.sent), f.log)
 		}
 	})
 }
 
-// A calm customer of many gateways that don't hear each other isn't refused for want of updates.
-func TestCalmCustomerOfAnIsolatedGateway(t *testing.T) {
+// A customer with demand far below its rate isn't refused because its many gateways receive no updates of each other.
+func TestCustomerBelowItsRateAtAnIsolatedGateway(t *testing.T) {
 	s := twoGateways()
 	s.Gateways = 100
 	f := start(t, s, 8)
-	for i := 1; i <= 20; i++ { // a twentieth a second here, of a rate of 10 split over 100
+	for i := 1; i <= 20; i++ { // one request in 20 s here, with a rate of 10 a second split over 100 gateways
 		f.runUntil(f.now + 20*time.Second)
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.SetSize = 5, 100 })
-		f.runUntil(f.now + 200*ms) // for the owner's answer, in vain
+		f.runUntil(f.now + 200*ms) // until the query to the owner has timed out
 		if n := len(f.sent); n > 0 && f.ended[f.sent[n-1].id] == "" {
 			f.done(f.sent[n-1], Served, 5*ms)
 		}
 	}
 	if len(f.sent) < 17 {
-		t.Fatalf("%d of 20 admitted", len(f.sent))
+		t.Fatalf("%d of 20 admitted, want at least 17", len(f.sent))
 	}
 }
 
@@ -94,29 +94,29 @@
 	return s
 }
 
-// message gives the update of a peer by which a customer of two gateways asks so much there; repeated updates add up.
+// message returns a peer's update with the given demand of a customer of two gateways. Repeated updates add up.
 func message(age time.Duration, id CustomerID, demand float64) []byte {
 	u := update{age: age}
 	u.entries[customerSection] = []entry{{key: customerKey(id, 0, 0, 2), mass: [2]float64{demand / 2, 0.5}}}
 	return packUpdate(u, settings().schema())
 }
 
-// exchange is a peer at which a customer asks some units a second: a Gateway of its own, which gets the first one's
-// messages.
-type exchange struct {
+// simulatedPeer is a peer at which a customer requests some units a second. It has a Gateway, which exchanges messages
+// with the gateway under test.
+type simulatedPeer struct {
 	peer  *fakeHost
 	units float64
 	id    RequestID
 }
 
-func newExchange(t *testing.T, gateways int, units float64) *exchange {
+func newSimulatedPeer(t *testing.T, gateways int, units float64) *simulatedPeer {
 	s := twoGateways()
 	s.Self, s.Gateways = 1, gateways
-	return &exchange{peer: start(t, s, 8), units: units}
+	return &simulatedPeer{peer: start(t, s, 8), units: units}
 }
 
-func (x *exchange) step(near *fakeHost, every time.Duration) {
-	x.peer.runUntil(near.now)
+func (x *simulatedPeer) step(other *fakeHost, every time.Duration) {
+	x.peer.runUntil(other.now)
 	for left := x.units * every.Seconds(); left > 0; left-- {
 		x.id++
 		x.peer.ask(x.id, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, math.Min(left, 1) })
@@ -125,18 +125,19 @@
 		x.peer.done(s, Served, ms)
 	}
 	x.peer.sent = nil
-	for _, m := range near.messages {
+	for _, m := range other.messages {
 		x.peer.gateway.PeerMessage(x.peer.now, 0, m)
 	}
-	near.messages = nil
+	other.messages = nil
 	for _, m := range x.peer.messages {
-		near.gateway.PeerMessage(near.now, 1, m)
+		other.gateway.PeerMessage(other.now, 1, m)
 	}
 	x.peer.messages = nil
 }
 
-// admitted gives how many requests of a customer that asks 20 a second are sent, over 30 s.
-func admitted(t *testing.T, peer func(f *fakeHost, i int)) int {
+// admittedWithPeer returns how many requests of a customer are admitted in 30 s, if it sends 20 a second. peer is
+// called before each request.
+func admittedWithPeer(t *testing.T, peer func(f *fakeHost, i int)) int {
 	f := start(t, twoGateways(), 8)
 	for i := 1; i <= 600; i++ {
 		peer(f, i)
@@ -151,21 +152,21 @@
 
 func TestPeersShareAQuota(t *testing.T) {
 	with := func(units float64, until int) int {
-		x := newExchange(t, 2, units)
-		return admitted(t, func(f *fakeHost, i int) {
+		x := newSimulatedPeer(t, 2, units)
+		return admittedWithPeer(t, func(f *fakeHost, i int) {
 			if i < until {
 				x.step(f, 50*ms)
 			}
 		})
 	}
-	unheard := admitted(t, func(*fakeHost, int) {})
-	idle, busy, lapsed := with(0, 1000), with(60, 1000), with(60, 20)
-	if math.Abs(float64(unheard)-155) > 45 || math.Abs(float64(idle)-305) > 45 || math.Abs(float64(busy)-80) > 30 {
-		t.Fatalf("isolated %d (want about half the rate), idle peer %d (all of it), busy peer %d (a quarter)",
-			unheard, idle, busy)
+	isolated := admittedWithPeer(t, func(*fakeHost, int) {})
+	idle, busy, stopped := with(0, 1000), with(60, 1000), with(60, 20)
+	if math.Abs(float64(isolated)-155) > 45 || math.Abs(float64(idle)-305) > 45 || math.Abs(float64(busy)-80) > 30 {
+		t.Fatalf("admitted: isolated %d (want about half the rate), idle peer %d (all of it), busy peer %d (a quarter)",
+			isolated, idle, busy)
 	}
-	if math.Abs(float64(lapsed-unheard)) > 40 {
-		t.Fatalf("a stale report still counts: %d against %d", lapsed, unheard)
+	if math.Abs(float64(stopped-isolated)) > 40 {
+		t.Fatalf("%d admitted after the peer's updates stopped, %d while isolated: stale updates still count", stopped, isolated)
 	}
 }
 
@@ -173,18 +174,18 @@
 	good := message(time.Second, 5, 60)
 	invalid := [][]byte{nil, {1}, good[:8], append([]byte{99}, good[1:]...), append([]byte{1}, good[1:]...),
 		make([]byte, 300), append(good, 1)}
-	plain := admitted(t, func(*fakeHost, int) {})
-	if got := admitted(t, func(f *fakeHost, i int) {
+	plain := admittedWithPeer(t, func(*fakeHost, int) {})
+	if got := admittedWithPeer(t, func(f *fakeHost, i int) {
 		f.gateway.PeerMessage(f.now, 1, invalid[i%len(invalid)])
 		f.gateway.PeerMessage(f.now, i%5+2, good)
 		f.gateway.PeerMessage(f.now, -1, good)
 		f.gateway.PeerMessage(f.now, 0, good)
 	}); got != plain {
-		t.Fatalf("%d admitted, %d without them", got, plain)
+		t.Fatalf("%d admitted with invalid messages, %d without", got, plain)
 	}
 }
 
-// A restarted gateway among older peers must not give a whole burst out again.
+// A gateway that restarts among older peers must not admit a whole burst again.
 func TestRestartedGatewayHasNoBurst(t *testing.T) {
 	burst := func(age time.Duration) int {
 		s := twoGateways()
@@ -197,7 +198,7 @@
 		return len(f.sent)
 	}
 	if young, old := burst(100*ms), burst(time.Hour); young < 18 || old > 9 {
-		t.Fatalf("burst with a young peer %d, with an old one %d", young, old)
+		t.Fatalf("%d admitted with a young peer, want at least 18; %d with an old one, want at most 9", young, old)
 	}
 }
 
@@ -216,7 +217,7 @@
 	}
 	for _, m := range f.messages[len(f.messages)-8:] {
 		if len(m) > messageBytes {
-			t.Fatalf("message of %d bytes", len(m))
+			t.Fatalf("message of %d bytes, longer than messageBytes", len(m))
 		}
 		u, ok := unpackUpdate(m, settings().schema())
 		if !ok {
@@ -227,11 +228,11 @@
 		}
 	}
 	if len(seen) < 140 {
-		t.Fatalf("%d of 150 busy customers told in 2 s", len(seen))
+		t.Fatalf("updates hold %d of 150 busy customers, want at least 140", len(seen))
 	}
 }
 
-// When little has been asked yet, too, the others hear of a draw before they draw the same units.
+// Even a customer's first draw is sent to the peers at once, so that they don't draw the same units.
 func TestUsageIsSentFromTheStart(t *testing.T) {
 	s := twoGateways()
 	s.PeerMessageRate = 100
@@ -247,11 +248,11 @@
 		seen += len(u.entries[customerSection])
 	}
 	if seen != 1 {
-		t.Fatalf("sent %d times in 60 ms, once is wanted", seen)
+		t.Fatalf("the draw was sent %d times in 60 ms, want 1", seen)
 	}
 }
 
-// A peer's part of the demand counts for less as it ages, and lapses.
+// A peer's part of the demand decays with age until it no longer counts.
 func TestPeersDemandDecays(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	f.ask(1, func(r *Request) { r.Customer, r.SetSize = 5, 2 })
@@ -263,10 +264,10 @@
 	f.gateway.now += time.Second
 	mass := c.sharedDemand.pooled[0]
 	f.gateway.demand(c)
-	faded := c.sharedDemand.pooled[0]
+	decayed := c.sharedDemand.pooled[0]
 	f.gateway.now += 10 * time.Second
-	mine, gone := f.gateway.demand(c)
-	if fresh < 50 || faded > mass/2 || gone > 2*mine {
-		t.Fatalf("demand %v; mass %v, %v a second later; %v long after", fresh, mass, faded, gone)
+	here, expired := f.gateway.demand(c)
+	if fresh < 50 || decayed > mass/2 || expired > 2*here {
+		t.Fatalf("demand %v; mass %v, %v a second later; demand %v after 11 s", fresh, mass, decayed, expired)
 	}
 }
--- a/policy/queue_test.go
+++ b/policy/queue_test.go
@@ -8,9 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A gateway that knows nothing yet has servers that have all just started. What it may not send it queues, up to its
-// capacity, and refuses the rest at once; what is queued and can't be in time any more is refused, not sent. So what
-// is sent is recent, and by its answers the gateway learns within seconds what cold servers can do.
+// A gateway in its initial state has servers that have all just started. It queues the requests that it may not send
+// yet, up to its capacity, and refuses the rest at once. Queued requests that can no longer be answered in time are
+// refused and not sent. Hence the requests sent are recent, and from their answers the gateway learns within seconds
+// what cold servers can do.
 func TestQueuedRequestThatWouldBeLateIsRefused(t *testing.T) {
 	s := settings()
 	s.Gateways, s.Peers, s.Hedging = 5, false, false
@@ -37,7 +38,7 @@
 		f.ask(id, func(r *Request) { r.Deadline = f.now + 4*time.Second })
 		queued, capacity := len(f.gateway.queue), f.gateway.totalCapacity()
 		if float64(queued) > capacity+f.gateway.burstAllowance(capacity)+1 {
-			t.Fatalf("%d are queued where there is capacity for %.1f", queued, f.gateway.totalCapacity())
+			t.Fatalf("%d requests queued with a capacity of %.1f", queued, f.gateway.totalCapacity())
 		}
 		f.runUntil(f.now + 10*ms)
 		for _, x := range f.sent {
@@ -49,21 +50,21 @@
 	}
 	for _, x := range f.sent {
 		if waited := x.at - asked[x.id]; waited > time.Second {
-			t.Errorf("request %d was sent after it had waited %v of a target of 1s", x.id, waited)
+			t.Errorf("request %d was sent after a wait of %v, longer than the target of 1s", x.id, waited)
 		}
 	}
 	for id, how := range f.ended {
 		if how != "served" && how != "refused" {
-			t.Errorf("request %d ended as %q", id, how)
+			t.Errorf("request %d ended as %q, want served or refused", id, how)
 		}
 	}
-	// each does some seven a second; without word of that there was one in five seconds
+	// Each server can answer about seven a second. Without learning from answers, one was sent in five seconds.
 	if n := sent(time.Hour + 5*time.Second); n < 10 {
-		t.Errorf("%d sent in the sixth second", n)
+		t.Errorf("%d sent in the sixth second, want at least 10", n)
 	}
 }
 
-// A client leaves while its request waits for a cold server's turn: the turn is not used for it.
+// A client leaves while its request waits for a cold server's budget: the budget isn't used for the request.
 func TestQueuedRequestWhoseClientLeft(t *testing.T) {
 	s := settings()
 	s.Gateways, s.SlowStartMultiple, s.Hedging = 3, 0.001, false
@@ -80,7 +81,7 @@
 			f.gateway.ClientGone(f.now, id)
 		}
 	}
-	require.Positive(t, held, "what can't be sent yet is held")
+	require.Positive(t, held, "requests that can't be sent yet are queued")
 	f.gateway.serversByID[1].slowStartBudget.Credit = 1
 	f.runUntil(f.now + 100*ms)
 	assert.Empty(t, f.sent)
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The limit on attempts in flight holds over all of a customer's gateways, whichever of them it asks. Lost updates
-// neither keep a slot nor free one for long, and while a gateway is down or partitioned both sides keep to their
-// parts.
+// The limit on attempts in flight holds over all of a customer's gateways, at whichever of them its requests arrive.
+// Lost updates neither occupy a slot nor free one for long. While a gateway is down or partitioned, both sides use
+// only their parts of the limit.
 func TestMaxInFlightOverGateways(t *testing.T) {
 	s := settings()
 	s.Peers, s.PeerMessageRate, s.Hedging = true, 100, false
@@ -16,7 +16,7 @@
 	s.Plans = []Plan{{Name: "open", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}}
 	f := newFleet(t, s, 3, 12)
 	id := RequestID(0)
-	out := func() (n int) {
+	inFlight := func() (n int) {
 		for _, n2 := range f.nodes {
 			n += len(n2.gateway.inFlight)
 		}
@@ -32,9 +32,9 @@
 	f.run(2*time.Second, func() {})
 
 	most := 0
-	f.run(3*time.Second, func() { ask(0); most = max(most, out()) })
+	f.run(3*time.Second, func() { ask(0); most = max(most, inFlight()) })
 	if most != 6 {
-		t.Errorf("one gateway that is asked alone had %d in flight at most, the limit is 6", most)
+		t.Errorf("at most %d in flight with requests at a single gateway, want the limit of 6", most)
 	}
 	f.run(2*time.Second, func() {})
 
@@ -46,33 +46,33 @@
 			}
 		}
 		ticks++
-		sum += max(0, out()-6)
+		sum += max(0, inFlight()-6)
 	})
 	if mean := float64(sum) / float64(ticks); mean > 0.3 {
-		t.Errorf("%.2f beyond the limit in the mean, more than crossing updates explain", mean)
+		t.Errorf("%.2f above the limit on average, want at most 0.3, which crossing updates explain", mean)
 	}
 	f.run(3*time.Second, func() {})
-	if out() != 0 {
-		t.Fatalf("%d in flight at rest", out())
+	if inFlight() != 0 {
+		t.Fatalf("%d in flight 3 s after the last request, want 0", inFlight())
 	}
 
 	f.partitioned = func(from, to int) bool { return from == 2 || to == 2 }
 	f.run(2*time.Second, func() {})
 	most = 0
-	for range 20 { // one that is cut off has its part, and the others leave that alone
+	for range 20 { // the partitioned gateway uses its part, and the others leave that part free
 		f.run(100*ms, func() {})
 		for range 6 {
 			ask(0)
 			ask(2)
 		}
 		f.run(100*ms, func() {})
-		if len(f.nodes[2].gateway.inFlight) > 2 || out() > 6 {
-			t.Errorf("%d in flight with one of three partitioned, %d of it there", out(), len(f.nodes[2].gateway.inFlight))
+		if len(f.nodes[2].gateway.inFlight) > 2 || inFlight() > 6 {
+			t.Errorf("%d in flight with one of three gateways partitioned, want at most 6; %d of them there, want at most 2", inFlight(), len(f.nodes[2].gateway.inFlight))
 		}
-		most = max(most, out())
+		most = max(most, inFlight())
 	}
 	if most < 6 {
-		t.Errorf("%d in flight at most while more is asked, the limit is 6", most)
+		t.Errorf("at most %d in flight although more are requested, want the limit of 6", most)
 	}
 	f.partitioned = nil
 	f.run(3*time.Second, func() {})
@@ -83,7 +83,7 @@
 		}
 	})
 	if in != 6 {
-		t.Errorf("%d of 6 are admitted at once after all hear each other again: a slot was kept or freed", in)
+		t.Errorf("%d admitted at once after the partition, want 6: a slot was wrongly kept or freed", in)
 	}
 }
 
@@ -99,7 +99,7 @@
 		}
 	}
 	if n := len(f.sent); n < 180 || n > 260 {
-		t.Fatalf("%d sent on, want near 20 + 10 x 20", n)
+		t.Fatalf("%d admitted, want about 20 + 10 x 20", n)
 	}
 }
 
@@ -107,7 +107,7 @@
 	s := settings()
 	s.Plans[0].HardLimitRate, s.Plans[0].HardLimitBurst = 10, 20
 	sent := 0
-	for life := 0; life < 10; life++ { // ten restarts, half a second apart
+	for incarnation := 0; incarnation < 10; incarnation++ { // ten restarts, half a second apart
 		f := start(t, s, 30)
 		for i := 1; i <= 50; i++ {
 			f.ask(RequestID(i), func(r *Request) { r.Customer = 5 })
@@ -117,7 +117,7 @@
 		sent += len(f.sent)
 	}
 	if sent > 60 || sent < 20 {
-		t.Fatalf("%d units in 5 s and ten incarnations, the hard limit fills 10 a second", sent)
+		t.Fatalf("%d units in 5 s and ten incarnations, want 20 to 60, as the hard limit fills 10 a second", sent)
 	}
 }
 
@@ -129,14 +129,15 @@
 		f.ask(RequestID(i), func(r *Request) { r.Customer, r.Units = 5, []float64{math.NaN(), math.Inf(1), -3, 1}[i%4] })
 	}
 	if n := len(f.sent); n < 3 || n > 12 {
-		t.Fatalf("%d of 40 admitted at once, the burst holds 5", n)
+		t.Fatalf("%d of 40 admitted at once, want 3 to 12 with a burst of 5", n)
 	}
 }
 
-// Where all gateways ask less than the rate, a bucket refills with what the others leave, not with a part of the
-// rate. So it does while the gateway that shares the bucket has just timed out.
+// If the demand at all gateways together is below the rate, a bucket refills with the part of the rate that the other
+// gateways leave, and not only with a fixed part. This also holds right after the gateway that shares the bucket has
+// timed out.
 func TestRefillWithWhatOthersLeave(t *testing.T) {
-	x := newExchange(t, 2, 4) // of a rate of 10
+	x := newSimulatedPeer(t, 2, 4) // of a rate of 10
 	s := twoGateways()
 	f := start(t, s, 8)
 	for i := RequestID(1); i <= 60; i++ {
@@ -150,13 +151,12 @@
 	c.balance = 0
 	f.now += 200 * ms
 	f.ask(99, func(r *Request) { r.Customer, r.SetSize, r.Units = 5, 2, 0 })
-	if got := c.balance; got < 1.6 || got > 2.8 { // 0.3 s of 10 less what is still known of 4; a share would be half
-		t.Fatalf("refilled %v", got)
+	if got := c.balance; got < 1.6 || got > 2.8 { // 0.3 s of 10 a second, less what is left of the peer's 4; a fixed part would be half
+		t.Fatalf("refilled %v units, want 1.6 to 2.8", got)
 	}
 }
 
-// A plan with only a limit on attempts in flight: the limit is split over the gateways, and a slot frees with each
-// answer.
+// A plan has only a limit on attempts in flight. The limit is split over the gateways, and each answer frees a slot.
 func TestMaxInFlightAlone(t *testing.T) {
 	s := twoGateways()
 	s.Plans[0] = Plan{Name: "cap", MaxInFlight: 6, ValueMultiplier: 1, OverQuotaCost: 1}
@@ -168,11 +168,11 @@
 		return len(f.sent)
 	}
 	if n := ask(1); n != 3 {
-		t.Fatalf("%d in flight at once under a limit of 6", n)
+		t.Fatalf("%d in flight at once, want 3, half of the limit of 6", n)
 	}
 	before := len(f.sent)
 	f.done(f.sent[0], Served, ms)
 	if n := ask(100) - before; n != 1 {
-		t.Fatalf("%d admitted after one answer", n)
+		t.Fatalf("%d admitted after one answer, want 1", n)
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// randomEvents drives a gateway with random events, checks the invariants on all its actions, and gives the actions.
+// randomEvents drives a gateway with random events, checks the invariants on all its actions, and returns the actions.
 func randomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := twoGateways()
@@ -20,7 +20,7 @@
 		HardLimitBurst: 60, MaxInFlight: 8})
 	f := start(t, s, 8)
 	limitCustomers := func() {
-		if seed%3 == 0 { // fewer records than the customers that ask at once
+		if seed%3 == 0 { // fewer records than customers with requests at the same time
 			f.gateway.maxCustomers = 6
 		}
 	}
@@ -29,9 +29,9 @@
 		send
 		class int
 	}
-	var out []open
+	var inFlight []open
 	class, deadline, ran := map[RequestID]int{}, map[RequestID]Time{}, map[RequestID][]send{}
-	off := map[ServerID]Time{}
+	unavailable := map[ServerID]Time{}
 	id := RequestID(0)
 	for step := 0; step < 4000; step++ {
 		from := len(f.sent)
@@ -44,21 +44,21 @@
 				r.Class, r.Plan, r.Customer = class[id], rng.IntN(2), CustomerID(rng.IntN(20))
 				r.SetSize, r.Units, r.Deadline = 2, float64(rng.IntN(4)), deadline[id]
 			})
-		case k < 16 && len(out) > 0:
-			i := rng.IntN(len(out))
-			o := out[i]
-			out = append(out[:i], out[i+1:]...)
-			how := []Ending{Served, Served, Served, Errored, Rejected, NotConnected, ConnectionLost, TimedOut}[rng.IntN(8)]
-			if how != Rejected && how != NotConnected {
+		case k < 16 && len(inFlight) > 0:
+			i := rng.IntN(len(inFlight))
+			o := inFlight[i]
+			inFlight = append(inFlight[:i], inFlight[i+1:]...)
+			ending := []Ending{Served, Served, Served, Errored, Rejected, NotConnected, ConnectionLost, TimedOut}[rng.IntN(8)]
+			if ending != Rejected && ending != NotConnected {
 				ran[o.id] = append(ran[o.id], o.send)
 			}
-			f.done(o.send, how, f.now-o.at)
+			f.done(o.send, ending, f.now-o.at)
 		case k == 16:
 			sv := ServerID(rng.IntN(8) + 1)
 			state := ServerState(rng.IntN(3))
-			delete(off, sv)
+			delete(unavailable, sv)
 			if state != Ready {
-				off[sv] = f.now
+				unavailable[sv] = f.now
 			}
 			f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: sv, State: state, Cell: int(sv) % 2, Zone: int(sv) % 2,
 				StartedAt: Time(rng.IntN(2)) * f.now}})
@@ -68,7 +68,7 @@
 				m[i] = byte(rng.IntN(256))
 			}
 			f.gateway.PeerMessage(f.now, rng.IntN(4)-1, m)
-		case k == 18 && rng.IntN(40) == 0: // killed and born again: what it held is void, it knows its last list only
+		case k == 18 && rng.IntN(40) == 0: // the gateway restarts: it loses its requests and has only its last server list
 			for i := RequestID(1); i <= id; i++ {
 				if f.ended[i] == "" {
 					f.ended[i] = "void"
@@ -79,12 +79,12 @@
 				t.Fatal(err)
 			}
 			g.Attach(f)
-			f.gateway, f.timers, out = g, nil, nil
+			f.gateway, f.timers, inFlight = g, nil, nil
 			limitCustomers()
 			var list []ServerInfo
 			for sv := ServerID(1); sv <= 8; sv++ {
 				state := Ready
-				if _, gone := off[sv]; gone {
+				if _, gone := unavailable[sv]; gone {
 					state = Draining
 				}
 				list = append(list, ServerInfo{ID: sv, State: state, Cell: int(sv) % 2, Zone: int(sv) % 2})
@@ -94,27 +94,27 @@
 			f.runUntil(f.now + time.Duration(rng.IntN(60))*ms)
 		}
 		for _, x := range f.sent[from:] {
-			if at, gone := off[x.to]; gone && x.at > at {
-				t.Fatalf("seed %d: sent to %d, told off at %v, at %v", seed, x.to, at, x.at)
+			if at, gone := unavailable[x.to]; gone && x.at > at {
+				t.Fatalf("seed %d: attempt sent to server %d, unavailable since %v, at %v", seed, x.to, at, x.at)
 			}
-			live := 0
-			for _, o := range out {
+			duplicates := 0
+			for _, o := range inFlight {
 				if o.id == x.id {
-					live++
+					duplicates++
 					if class[x.id] == 2 || class[x.id] == 1 && (o.to+x.to)%2 != 0 {
-						t.Fatalf("seed %d: unsafe copy of %d", seed, x.id)
+						t.Fatalf("seed %d: unsafe second attempt of request %d in flight", seed, x.id)
 					}
 				}
 			}
-			if live > 0 && !s.Hedging {
-				t.Fatalf("seed %d: two attempts of %d in flight", seed, x.id)
+			if duplicates > 0 && !s.Hedging {
+				t.Fatalf("seed %d: two attempts of request %d in flight without hedging", seed, x.id)
 			}
 			for _, e := range ran[x.id] {
 				if class[x.id] == 2 || class[x.id] == 1 && ((e.to+x.to)%2 != 0 || x.at-e.at > time.Second) {
-					t.Fatalf("seed %d: class %d request %d repeated on %d after %d", seed, class[x.id], x.id, x.to, e.to)
+					t.Fatalf("seed %d: class %d, request %d sent to server %d, though it may have run on server %d", seed, class[x.id], x.id, x.to, e.to)
 				}
 			}
-			out = append(out, open{x, class[x.id]})
+			inFlight = append(inFlight, open{x, class[x.id]})
 		}
 		checkCustomers(t, f.gateway)
 		for i := max(1, int(id)-60); i <= int(id); i++ {
@@ -122,7 +122,7 @@
 				t.Fatalf("seed %d: request %d has no answer at its deadline", seed, r)
 			} else if f.ended[r] == "refused" && class[r] > 0 {
 				for _, e := range ran[r] {
-					t.Fatalf("seed %d: refused %d though it may have run on %d", seed, r, e.to)
+					t.Fatalf("seed %d: request %d refused, though it may have run on server %d", seed, r, e.to)
 				}
 			}
 		}
@@ -130,13 +130,13 @@
 	from := len(f.sent)
 	f.runUntil(f.now + 5*time.Second)
 	for _, x := range f.sent[from:] {
-		out = append(out, open{x, 0})
+		inFlight = append(inFlight, open{x, 0})
 	}
-	for _, o := range out {
+	for _, o := range inFlight {
 		f.done(o.send, TimedOut, f.now-o.at)
 	}
 	if len(f.gateway.requests) != 0 || len(f.gateway.inFlight) != 0 {
-		t.Fatalf("seed %d: %d requests and %d attempts left in memory", seed, len(f.gateway.requests),
+		t.Fatalf("seed %d: %d requests and %d attempts left at the end, want none", seed, len(f.gateway.requests),
 			len(f.gateway.inFlight))
 	}
 	return f.trace
@@ -150,6 +150,6 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	if !reflect.DeepEqual(randomEvents(t, 3), randomEvents(t, 3)) {
-		t.Fatal("two runs differ")
+		t.Fatal("two runs with the same seed took different actions")
 	}
 }
--- a/policy/server_list_test.go
+++ b/policy/server_list_test.go
@@ -16,11 +16,11 @@
 	}
 	for _, x := range f.sent {
 		if x.to != 4 {
-			t.Fatalf("sent to %d, which drains or is absent from the full list", x.to)
+			t.Fatalf("sent to server %d, which drains or is absent from the full list", x.to)
 		}
 	}
 	if len(f.sent) == 0 {
-		t.Fatal("nothing sent to the one that is left")
+		t.Fatal("nothing sent to the remaining server")
 	}
 }
 
@@ -31,11 +31,11 @@
 	f.gateway.Servers(f.now, ListFailed, nil)
 	f.runUntil(f.now + 5*time.Second)
 	if f.watches < 2 {
-		t.Fatalf("%d calls", f.watches)
+		t.Fatalf("%d watches after a failed one, want at least 2", f.watches)
 	}
 	f.ask(1, nil)
 	if len(f.sent) != 1 {
-		t.Fatal("a failed call must leave the list in force")
+		t.Fatal("the request was not sent: a failed watch must leave the last list in effect")
 	}
 }
 
@@ -48,12 +48,12 @@
 		f.done(f.sent[len(f.sent)-1], Served, ms)
 	}
 	if len(f.gateway.servers) > 3 || len(f.gateway.serversByID) > 3 {
-		t.Fatalf("%d servers remembered, one is listed", len(f.gateway.servers))
+		t.Fatalf("%d servers kept, though only one is listed", len(f.gateway.servers))
 	}
 }
 
-// A prior is for one process of a listed server. It changes the estimates of its latency and capacity and nothing
-// else.
+// A prior applies to one process of a listed server. It changes the estimates of the server's latency and capacity, and
+// nothing else.
 func TestPriorsChangeEstimatesOnly(t *testing.T) {
 	s := settings()
 	s.Hedging = false
@@ -67,36 +67,36 @@
 		f.ask(id, func(*Request) {})
 	}
 	for _, x := range f.sent {
-		if x.to != 2 { // 1 is said to be slow, 3 drains, and what was said of 2 was of another life or no number
+		if x.to != 2 { // 1 is slow by its prior, 3 drains, and the priors of 2 are of another process or not a number
 			t.Errorf("request %d went to server %d", x.id, x.to)
 		}
 	}
 	if len(f.sent) != 4 || len(f.gateway.servers) != 2 {
-		t.Errorf("%d sent, %d servers known", len(f.sent), len(f.gateway.servers))
+		t.Errorf("%d sent, want 4; %d servers known, want 2", len(f.sent), len(f.gateway.servers))
 	}
 	if list := f.gateway.Observe(f.now); len(list) != 2 || list[0].RelativeLatency != 30 || list[1].InFlight != 4 ||
 		list[1].LastServed != 0 {
 		t.Errorf("observed %+v", list)
 	}
 	f.runUntil(f.now + 10*time.Second)
-	if list := f.gateway.Observe(f.now); list[0].LatencySamples > 1 { // a guess fades as what was seen does
+	if list := f.gateway.Observe(f.now); list[0].LatencySamples > 1 { // priors decay like measurements
 		t.Errorf("after 10 s the prior still counts %.1f answers", list[0].LatencySamples)
 	}
 }
 
-// Over random histories of lists and priors, nothing is sent to a server that the last list doesn't have as ready.
+// Over random sequences of lists and priors, nothing is sent to a server that isn't ready in the last list.
 func TestPriorsNeverMakeAServerUsable(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		f := start(t, settings(), 0)
-		up, id := map[ServerID]bool{}, RequestID(0)
+		ready, id := map[ServerID]bool{}, RequestID(0)
 		for range 200 {
 			switch rng.IntN(4) {
 			case 0:
 				var list []ServerInfo
 				for s := ServerID(1); s <= 6; s++ {
 					state := ServerState(rng.IntN(3))
-					up[s] = state == Ready
+					ready[s] = state == Ready
 					list = append(list, ServerInfo{ID: s, Weight: 1, State: state, StartedAt: Time(rng.IntN(2)) * f.now})
 				}
 				f.gateway.Servers(f.now, ListFull, list)
@@ -115,8 +115,8 @@
 				id++
 				f.ask(id, nil)
 				for _, x := range f.sent[sent:] {
-					if !up[x.to] {
-						t.Fatalf("seed %d: request %d went to server %d, which is not up", seed, x.id, x.to)
+					if !ready[x.to] {
+						t.Fatalf("seed %d: request %d went to server %d, which is not ready", seed, x.id, x.to)
 					}
 				}
 			}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -20,7 +20,7 @@
 		s := settings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: got %v", field, err)
+			t.Errorf("%s is invalid: got error %v", field, err)
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Hundreds of gateways, a third of them just restarted, have one cold server, then a fleet of which 40% is cold at
-// once: what all send it in any window stays within its multiple, and the rest is served.
+// Hundreds of gateways, a third of them just restarted, have one cold server or a fleet of which 40% is cold at once.
+// The attempts that all gateways send a cold server in any window stay within its multiple, and the other requests
+// are served.
 func TestColdServersOverManyGateways(t *testing.T) {
 	for name, cold := range map[string]int{"one": 1, "two fifths": 16} {
 		s := settings()
@@ -24,14 +25,14 @@
 			}
 		}
 		f.run(4*time.Second, ask)
-		born := f.now
+		startedAt := f.now
 		for i, n := range f.nodes {
 			if i%3 == 0 {
 				n.restart(s, 40)
 			}
 			var list []ServerInfo
 			for k := 1; k <= cold; k++ {
-				list = append(list, ServerInfo{ID: ServerID(k), StartedAt: born})
+				list = append(list, ServerInfo{ID: ServerID(k), StartedAt: startedAt})
 			}
 			n.gateway.Servers(f.now, ListChanges, list)
 		}
@@ -40,10 +41,10 @@
 		served := 0
 		for _, n := range f.nodes {
 			for _, x := range n.sends {
-				if x.to == 1 && x.at >= born {
+				if x.to == 1 && x.at >= startedAt {
 					sends = append(sends, x.at)
 				}
-				if x.at >= born {
+				if x.at >= startedAt {
 					served++
 				}
 			}
@@ -54,21 +55,22 @@
 			for from > 0 && at-sends[from-1] < s.SlowStartWindow {
 				from--
 			}
-			w := s.InitialWarmth + (1-s.InitialWarmth)*(at-born).Seconds()/s.WarmupTime.Seconds()
-			// can do 25 a second
-			if most := s.SlowStartMultiple * w * 25 * s.SlowStartWindow.Seconds(); float64(i-from+1) > most {
-				t.Fatalf("%s: %d sent in a window ending %v after its start, at most %.0f", name, i-from+1, at-born, most)
+			warmth := s.InitialWarmth + (1-s.InitialWarmth)*(at-startedAt).Seconds()/s.WarmupTime.Seconds()
+			// a warm server can do 25 a second
+			if most := s.SlowStartMultiple * warmth * 25 * s.SlowStartWindow.Seconds(); float64(i-from+1) > most {
+				t.Fatalf("%s: %d sent in a window that ends %v after the server's start, want at most %.0f", name, i-from+1, at-startedAt, most)
 			}
 		}
 		if len(sends) == 0 || served < 3600 {
-			t.Errorf("%s: %d to the cold server, %d sent in 5 s of 4000 asked (%v)", name, len(sends), served, f.now-begin)
+			t.Errorf("%s: %d sent to the cold server, want some; %d of 4000 requests sent in 5 s, want at least 3600 (%v)", name, len(sends), served, f.now-begin)
 		}
 	}
 }
 
-// Each of eighty gateways sends a starting server its turns and sees no more than one answer of it in seconds. Where
-// these take longer than its warmth explains, all send less; where they don't, it gets what it can do.
-func TestSlowColdServersGetFewerTurns(t *testing.T) {
+// Eighty gateways each send a starting server a few attempts, and each sees at most one answer of it in seconds. If the
+// answers take longer than the server's warmth explains, all gateways send it fewer attempts; otherwise it gets as many
+// as it can do.
+func TestSlowColdServersGetFewerAttempts(t *testing.T) {
 	sent := func(slow time.Duration) (n int) {
 		f, s := wideFleet(t)
 		s.Plans[0].Rate, s.Plans[0].Burst = 1e4, 1e4
@@ -108,11 +110,11 @@
 	quick, slow := sent(0), sent(420*ms)
 	t.Logf("%d sent to quick cold servers, %d to slow ones", quick, slow)
 	if quick < 150 || float64(slow) > 0.75*float64(quick) {
-		t.Fatalf("%d sent to quick cold servers, %d to slow ones", quick, slow)
+		t.Fatalf("%d sent to quick cold servers, want at least 150; %d to slow ones, want at most 3/4 of that", quick, slow)
 	}
 }
 
-// A cold server gets no more than its budget in any window, even where no other server is left.
+// A cold server gets no more than its budget in any window, even if there is no other server.
 func TestColdServerKeepsItsBudget(t *testing.T) {
 	f := start(t, settings(), 2)
 	id := RequestID(0)
@@ -129,18 +131,18 @@
 		step()
 	}
 	f.gateway.Servers(f.now, ListChanges, []ServerInfo{{ID: 9, StartedAt: f.now}})
-	born, cold := f.now, 0
+	startedAt, cold := f.now, 0
 	for i := 0; i < 100; i++ {
 		step()
 	}
 	for _, x := range f.sent {
-		if x.to == 9 && x.at < born+f.gateway.cfg.SlowStartWindow {
+		if x.to == 9 && x.at < startedAt+f.gateway.cfg.SlowStartWindow {
 			cold++
 		}
 	}
-	// at most 2 x (0.2 to 0.28) x 50 a second x 1 s
+	// The budget is at most 2 x (0.2 to 0.28) x 50 a second x 1 s.
 	if cold > 28 {
-		t.Fatalf("%d sent to a cold server in its first window", cold)
+		t.Fatalf("%d sent to a cold server in its first window, want at most 28", cold)
 	}
 	f.gateway.Servers(f.now, ListFull, []ServerInfo{{ID: 9, StartedAt: f.now}})
 	f.runUntil(f.now + f.gateway.cfg.SlowStartWindow + ms)
@@ -150,12 +152,12 @@
 		f.ask(id, nil)
 	}
 	if n := len(f.sent) - before; n < 1 || n > 28 {
-		t.Fatalf("%d at once to a lone cold server", n)
+		t.Fatalf("%d sent at once to the only server, a cold one; want 1 to 28", n)
 	}
 }
 
-// All servers restart at once, after an outage in which nothing was answered: each is sent what its warmth allows by
-// what it did before, and not the little that a gateway sends which has never seen any of them work.
+// All servers restart at once after an outage in which nothing was answered. Each is sent as much as its warmth allows,
+// relative to what it did before, and not just the little that a gateway without any measurements would send.
 func TestAllServersColdAfterAnOutage(t *testing.T) {
 	s := settings()
 	s.Hedging, s.Gateways = false, 4
@@ -187,6 +189,6 @@
 		sent += step(true)
 	}
 	if sent < 20 || sent > 4*5*10 {
-		t.Errorf("%d sent to four cold servers in 5 s", sent)
+		t.Errorf("%d sent to four cold servers in 5 s, want 20 to 200", sent)
 	}
 }
--- a/policy/state_transfer_test.go
+++ b/policy/state_transfer_test.go
@@ -17,11 +17,11 @@
 	return s
 }
 
-// A successor knows what its predecessor knew: balances and hard limits, which servers are ejected, latencies, and
-// what cold servers were sent. With other settings it does so by the names of classes and plans.
+// A successor has its predecessor's state: balances and hard limits, ejected servers, latencies, and the attempts that
+// cold servers were sent. If its settings differ, classes and plans are matched by their names.
 func TestStateGoesToTheSuccessor(t *testing.T) {
 	f := start(t, busySettings(), 4)
-	f.runUntil(f.now + 100*time.Second) // a hard limit fills from the start on
+	f.runUntil(f.now + 100*time.Second) // the hard limits fill from the start on
 	for id := RequestID(1); id <= 30; id++ {
 		f.serve(id, 40*ms, func(r *Request) { r.Customer = 5 })
 		f.serve(100+id, 90*ms, func(r *Request) { r.Customer, r.Plan, r.Class = 6, 1, 1 })
@@ -59,11 +59,11 @@
 		for customer, want := range map[CustomerID]string{5: "small", 6: "large"} {
 			balance, hardLimit := f.remaining(customer)
 			if a, c := n.remaining(customer); math.Abs(a-balance) > 0.01 || math.Abs(c-hardLimit) > 0.01 {
-				t.Errorf("%s: customer %d has %v and %v left, had %v and %v", name, customer, a, c, balance, hardLimit)
+				t.Errorf("%s: customer %d has balance %v and hard limit %v, want %v and %v", name, customer, a, c, balance, hardLimit)
 			}
 			if got := n.gateway.customersByID[customer].plan; got != plan(want) ||
 				n.gateway.customersByKey[n.gateway.customersByID[customer].key] == nil {
-				t.Errorf("%s: customer %d has plan %d", name, customer, got)
+				t.Errorf("%s: customer %d has plan %d or no record by its key", name, customer, got)
 			}
 			n.ask(1000+RequestID(customer), func(r *Request) {
 				r.Customer, r.Plan, r.Class = customer, plan(want),
@@ -71,30 +71,30 @@
 			})
 		}
 		if got := len(n.gateway.customers); got != 2 {
-			t.Errorf("%s: %d customers after they have asked again", name, got)
+			t.Errorf("%s: %d records of customers after new requests, want 2", name, got)
 		}
 		if got := n.gateway.classTypicalLatency(class("order")); math.Abs(got-f.gateway.classTypicalLatency(1)) > 0.02 {
-			t.Errorf("%s: orders take %v, known were %v", name, got, f.gateway.classTypicalLatency(1))
+			t.Errorf("%s: latency of orders %v, want %v", name, got, f.gateway.classTypicalLatency(1))
 		}
 		if c := class("new"); c >= 0 && n.gateway.classTypicalLatency(c) != 0.25 {
-			t.Errorf("%s: a new class begins with %v", name, n.gateway.classTypicalLatency(c))
+			t.Errorf("%s: a new class starts with a latency of %v, want 0.25", name, n.gateway.classTypicalLatency(c))
 		}
 		if !n.gateway.ejected(n.gateway.serversByID[2]) || n.gateway.ejected(n.gateway.serversByID[1]) {
-			t.Errorf("%s: the ejected server is another", name)
+			t.Errorf("%s: server 2 is not ejected, or server 1 is", name)
 		}
 		if got := len(n.gateway.serversByID[9].slowStartBudget.Sent); got != 2 ||
 			n.gateway.warmth(n.gateway.serversByID[9]) >= 1 {
-			t.Errorf("%s: %d sends to the cold server are known", name, got)
+			t.Errorf("%s: %d sends to the cold server are known, want 2; or the server is warm", name, got)
 		}
 	}
 	n := f.successor(t, func(s *Settings) { s.Plans = s.Plans[1:] })
 	if got := len(n.gateway.customers); got != 1 || n.gateway.customersByID[6] == nil ||
 		n.gateway.customersByID[6].plan != 0 {
-		t.Errorf("%d customers, of whom one has a plan that there still is", got)
+		t.Errorf("%d records of customers, want only that of customer 6, whose plan still exists", got)
 	}
 }
 
-// To its peers a successor is the same gateway: no other incarnation, and nothing drawn twice.
+// Peers see a successor as the same gateway: they count no new incarnation, and no units twice.
 func TestPeersDoNotNoticeASuccessor(t *testing.T) {
 	f, peer := start(t, twoGateways(), 4), start(t, func() Settings { s := twoGateways(); s.Self = 1; return s }(), 4)
 	pass := func(from *fakeHost) {
@@ -116,15 +116,15 @@
 	peer.runUntil(n.now)
 	pass(n)
 	if got := peer.gateway.incarnations[0]; got != incarnations {
-		t.Fatalf("%d incarnations, %d before", got, incarnations)
+		t.Fatalf("%d incarnations counted by the peer, %d before the handover", got, incarnations)
 	}
 	peer.gateway.refill(peer.gateway.customersByKey[customerKey(5, 0, 0, 2)], 0)
 	if got := peer.gateway.customersByKey[customerKey(5, 0, 0, 2)].balance; got < left-0.01 {
-		t.Fatalf("%v left, %v before", got, left)
+		t.Fatalf("balance %v at the peer, %v before the handover", got, left)
 	}
 }
 
-// What the other process of a gateway sends counts here: units, hard limit and cold budgets.
+// Attempts sent by the gateway's other process count here against the quota, the hard limit and slow-start budgets.
 func TestSentElsewhere(t *testing.T) {
 	f := start(t, busySettings(), 1)
 	f.runUntil(f.now + 100*time.Second)
@@ -133,16 +133,16 @@
 	for id := RequestID(1); id <= 20; id++ {
 		f.gateway.SentElsewhere(f.now, draw, 9, id%2 == 0)
 	}
-	f.gateway.SentElsewhere(f.now, draw, 77, false) // a server not known here
+	f.gateway.SentElsewhere(f.now, draw, 77, false) // an unknown server
 	if balance, hardLimit := f.remaining(5); balance != 80 || hardLimit != 40 {
-		t.Errorf("%v and %v are left of 100 and 60, 20 drawn elsewhere", balance, hardLimit)
+		t.Errorf("balance %v and hard limit %v with 20 units drawn elsewhere, want 80 and 40", balance, hardLimit)
 	}
 	if got := len(f.gateway.serversByID[9].slowStartBudget.Sent); got != 20 {
-		t.Errorf("%d sends to the cold server are known, of 20", got)
+		t.Errorf("%d sends to the cold server are known, want 20", got)
 	}
 }
 
-// A peer with other settings is alive, but what it says of groups and plans with other names is dropped.
+// A peer with other settings counts as alive, but its entries for groups and plans with other names are dropped.
 func TestUpdatesOfOtherSettings(t *testing.T) {
 	f := start(t, twoGateways(), 4)
 	m := message(time.Second, 5, 100)
@@ -152,19 +152,19 @@
 	copy(m[5:], means[:])
 	f.gateway.PeerMessage(f.now, 1, m)
 	if f.gateway.peerLastContact[1] != f.now {
-		t.Error("the peer was not heard")
+		t.Error("the update did not count as a contact with the peer")
 	}
 	if len(f.gateway.customers) != 0 {
-		t.Error("a customer of another plan was made")
+		t.Error("a record was created for a customer of another plan")
 	}
 	f.gateway.PeerMessage(f.now, 1, message(2*time.Second, 5, 100))
 	if len(f.gateway.customers) != 1 {
-		t.Error("the customer of the same plan was not")
+		t.Error("no record was created for the customer of the same plan")
 	}
 }
 
-// State is imported wholly or not at all: cut at any byte, of another gateway, or in another version it changes
-// nothing.
+// State is imported either completely or not at all. State that is cut at any byte, of another gateway, or of another
+// version changes nothing.
 func TestInvalidStateIsRejected(t *testing.T) {
 	f := start(t, busySettings(), 4)
 	f.serve(1, ms, func(r *Request) { r.Customer = 5 })
@@ -181,10 +181,10 @@
 	for i := range whole {
 		n := fresh()
 		if n.gateway.ImportState(n.now, whole[:i]) == nil {
-			t.Fatalf("the first %d of %d bytes were taken", i, len(whole))
+			t.Fatalf("the first %d of %d bytes were imported", i, len(whole))
 		}
 		if n.gateway.started || len(n.gateway.customers)+len(n.gateway.servers) > 0 {
-			t.Fatalf("%d bytes have left something behind", i)
+			t.Fatalf("the rejected import of %d bytes has changed the gateway", i)
 		}
 	}
 	n := fresh()
@@ -192,26 +192,26 @@
 		t.Fatal(err)
 	}
 	if n.gateway.ImportState(n.now, whole) == nil {
-		t.Error("it was taken twice")
+		t.Error("the state was imported twice")
 	}
 	if fresh().gateway.ImportState(f.now, append(bytes.Clone(whole), 0)) == nil {
-		t.Error("a byte too many was taken")
+		t.Error("state with an extra byte was imported")
 	}
 	other := bytes.Clone(whole)
 	other[0]++
 	if fresh().gateway.ImportState(f.now, other) == nil {
-		t.Error("another version was taken")
+		t.Error("state of another version was imported")
 	}
 	set := f.gateway.cfg
 	set.Gateways, set.Self = 3, 2
 	g, _ := New(set, 9)
 	g.Attach(f)
 	if g.ImportState(f.now, whole) == nil {
-		t.Error("another gateway's was taken")
+		t.Error("the state of another gateway was imported")
 	}
 }
 
-// However many customers there are, exported state keeps to its bytes, and the customers seen last are in it.
+// However many customers there are, the exported state stays within its size and has the customers seen last.
 func TestExportedStateIsBounded(t *testing.T) {
 	f := start(t, settings(), 4)
 	for i := 1; i <= 3000; i++ {
@@ -221,7 +221,7 @@
 	const most = 100 << 10
 	state := f.gateway.ExportState(f.now, most)
 	if len(state) > most+most/4 {
-		t.Fatalf("%d bytes, %d are wanted", len(state), most)
+		t.Fatalf("%d bytes exported, want about %d at most", len(state), most)
 	}
 	g, err := New(f.gateway.cfg, 9)
 	if err != nil {
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	if n.gateway.customersByID[3000] == nil {
-		t.Error("the customer seen last is unknown")
+		t.Error("the customer seen last has no record in the successor")
 	}
 }
 
