--- a/policy/customers_test.go
+++ b/policy/customers_test.go
@@ -45,8 +45,9 @@
 	}
 }
 
-// Within a second, requests arrive from more customers than there are records for. No customer has been idle, so the
-// least recently seen records are evicted. Attempts in flight must stay counted.
+// Within a second, requests arrive from more customers than there are records for. Their buckets are kept by an
+// owner, shared with a peer, or this gateway's alone. No customer has been idle, so the least recently seen records
+// are evicted. Attempts in flight must stay counted.
 func TestTooManyCustomers(t *testing.T) {
 	for name, setSize := range map[string]int{"buckets kept by an owner": 60, "shared buckets": 2, "own buckets": 1} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/pending_body_test.go
+++ b/policy/pending_body_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// A request that no server can be sent keeps its first deadline, so that its client doesn't wait with half its body
-// sent.
+// A request that can't be sent to any server keeps its first deadline, so that its client doesn't wait with half of the
+// body sent.
 func TestQueuedWhileABodyIsPending(t *testing.T) {
 	f := start(t, settings(), 0)
 	f.ask(1, bodyPending)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -48,7 +48,7 @@
 func (g *Gateway) shortestTarget() time.Duration { return g.cfg.ShortestTarget() }
 
 // ShortestTarget returns the shortest latency target of all classes. The intervals of a gateway's checks and the time
-// constants of its measurements are multiples or fractions of it.
+// constants of its measurements are derived from it.
 func (s Settings) ShortestTarget() time.Duration {
 	shortest := s.Classes[0].LatencyTarget
 	for _, c := range s.Classes {
--- a/policy/state_transfer.go
+++ b/policy/state_transfer.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// length encodes and returns a number of items. Each item takes at least the given number of bytes; a greater number of
-// items than the input has room for is invalid, so that invalid input can't cause a large allocation.
+// length encodes and returns a number of items, each of which takes at least minBytes bytes. When reading, more items
+// than the input has room for are invalid, so that invalid input can't cause a large allocation.
 func (x *stateCodec) length(n, minBytes int) int {
 	if integers(x, &n); x.reading && (n < 0 || n > len(x.buf)/minBytes) {
 		x.invalid, x.buf = true, nil
@@ -115,15 +115,14 @@
 	return n
 }
 
-// listOf encodes a list as its length and its items, each by a call of each. An item takes at least the given number of
-// bytes.
-func listOf[T any](x *stateCodec, list *[]T, minBytes int, each func(*T)) {
+// listOf encodes a list as its length and its items. encodeItem encodes one item, which takes at least minBytes bytes.
+func listOf[T any](x *stateCodec, list *[]T, minBytes int, encodeItem func(*T)) {
 	n := x.length(len(*list), minBytes)
 	if x.reading {
 		*list = make([]T, n)
 	}
 	for i := range *list {
-		each(&(*list)[i])
+		encodeItem(&(*list)[i])
 	}
 }
 
