--- a/internal/gateway/subscription/chain_test.go
+++ b/internal/gateway/subscription/chain_test.go
@@ -10,16 +10,17 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// chainModel is the chain as an abstract register: commands are committed while all members of the current
-// epoch's chain are connected, and a new epoch begins if some are not for long enough and a majority is.
+// chainModel models the chain of control processes as an abstract register. Commands are committed while all
+// members of the current epoch's chain are connected. A new epoch begins after some of them have not been
+// connected for viewChangeTimeout, with those that are connected to a majority.
 type chainModel struct {
 	harness           *harness
 	controls          []*simControl
 	chain             []*simControl
 	log               []configuration.ChangeRequest
-	brokenAt          time.Duration // since when members of the chain aren't connected; 0: they are
+	brokenAt          time.Duration // when the chain became unable to commit; 0: it can commit
 	viewChangeTimeout time.Duration
-	content           int // of the platform's list
+	content           int // number of the platform's newest list
 	readAt            map[int]time.Duration
 }
 
@@ -30,26 +31,26 @@
 	clock       steadyClock
 	state       *configuration.State
 	applied     int
-	synced      bool // has a disk with all that its epoch began with
+	synced      bool // its disk has everything that its epoch began with
 	up          bool
 	frozen      bool
 	incarnation int
 	unhealthyAt time.Duration
 	joinedAt    time.Duration
-	lagsUntil   time.Duration // it applies commands late until then
+	lagsUntil   time.Duration // until then it applies commands late
 
 	proven     bool
-	freshSince time.Duration // in virtual time
+	freshSince time.Duration // when the last complete proof was started, in virtual time
 	pendingAt  time.Duration
 	pendingEnd int // 0: no proof is pending
 
 	sessions   map[*session]*subscriber
 	list       *protocol.ServerList
-	listAt     time.Time // by its clock
+	listAt     time.Time // when the list was read, by this process's clock
 	listReadAt time.Duration
 }
 
-// subscriber is what a session was sent, as control records it.
+// subscriber records what a session was sent, as a control process does.
 type subscriber struct {
 	configuration, servers uint64
 	members                bool
@@ -87,7 +88,7 @@
 	return control.runs() && 2*count > len(c.controls)
 }
 
-// serves reports whether the chain can commit.
+// serves reports whether the chain can commit commands.
 func (c *chainModel) serves() bool {
 	for i, member := range c.chain {
 		if !member.synced || !c.healthy(member) {
@@ -123,7 +124,7 @@
 	c.commit()
 }
 
-// changeView begins an epoch with those members of the chain that are synced and connected.
+// changeView begins an epoch with the members of the chain that are synced and connected.
 func (c *chainModel) changeView() {
 	var next []*simControl
 	for _, member := range c.chain {
@@ -142,7 +143,7 @@
 	c.readmit()
 }
 
-// readmit adds machines that have been connected for a while; they copy what they lack.
+// readmit adds machines to the chain that have been connected for a while. They copy the entries that they lack.
 func (c *chainModel) readmit() {
 	for _, control := range c.controls {
 		if slices.Contains(c.chain, control) || !c.healthy(control) || c.harness.Elapsed()-control.unhealthyAt < 300*time.Millisecond {
@@ -164,7 +165,7 @@
 	}
 }
 
-// commit commits the operator's next command, which all of the chain have synced.
+// commit commits the operator's next command, which all members of the chain have synced.
 func (c *chainModel) commit() {
 	h := c.harness
 	command, due := h.operator.next(h)
@@ -200,7 +201,7 @@
 	c.pushAll()
 }
 
-// heartbeat asks the others periodically whether the epoch is current, and starts a proof of it.
+// heartbeat checks periodically with the other machines that the epoch is current, and starts a proof of that.
 func (c *simControl) heartbeat(incarnation int) {
 	h := c.chain.harness
 	h.AfterOn(c.name, 150*time.Millisecond+h.span(100*time.Millisecond), func() {
@@ -220,14 +221,14 @@
 	})
 }
 
-// completeProof completes a proof once all that had been committed by then is applied.
+// completeProof completes a pending proof once everything is applied that had been committed when it started.
 func (c *simControl) completeProof() {
 	if c.pendingEnd > 0 && c.applied+1 >= c.pendingEnd {
 		c.proven, c.freshSince, c.pendingEnd = true, max(c.freshSince, c.pendingAt), 0
 	}
 }
 
-// staleness returns the age of the state here, and whether it can be confirmed.
+// staleness returns the age of this process's state, and whether the state can be confirmed.
 func (c *simControl) staleness() (age time.Duration, ok bool) {
 	h := c.chain.harness
 	age = h.Elapsed() - c.freshSince
@@ -240,7 +241,8 @@
 	return age, c.proven && age <= maxProofAge
 }
 
-// stop ends the process, and may wipe its disk. What it didn't know to be committed it applies again.
+// stop ends the process, and wipes its disk if wiped is true. Commands that the process didn't know to be
+// committed are applied again later.
 func (c *simControl) stop(wiped bool) {
 	c.up, c.frozen, c.proven, c.pendingEnd = false, false, false, 0
 	c.incarnation++
@@ -270,7 +272,7 @@
 	c.heartbeat(c.incarnation)
 }
 
-// readPlatform has a connected machine read the platform's list and share it.
+// readPlatform has a healthy machine read the platform's list and send it to the others.
 func (c *chainModel) readPlatform() {
 	h := c.harness
 	c.content++
@@ -282,14 +284,14 @@
 		}
 		for _, control := range c.controls {
 			if c.connected(reader, control) {
-				h.AfterOn(control.name, h.span(30*time.Millisecond), func() { control.takeList(content, readAt) })
+				h.AfterOn(control.name, h.span(30*time.Millisecond), func() { control.applyList(content, readAt) })
 			}
 		}
 		return
 	}
 }
 
-func (c *simControl) takeList(content int, readAt time.Duration) {
+func (c *simControl) applyList(content int, readAt time.Duration) {
 	if c.list != nil && readAt < c.listReadAt {
 		return
 	}
@@ -304,8 +306,8 @@
 	c.pushAll()
 }
 
-// handlePoll does as control's does: it reads its proof before the state that it confirms, and pushes ahead
-// of the answer.
+// handlePoll behaves as a control process does: it reads its proof before the state that it confirms, and pushes
+// updates before it answers.
 func (c *simControl) handlePoll(s *session, poll protocol.Poll) {
 	h := c.chain.harness
 	age, fresh := c.staleness()
@@ -322,11 +324,11 @@
 	answer := func() {
 		c.push(s, subscribed)
 		update := protocol.Update{Sequence: poll.Sequence, Fresh: fresh, Age: age}
-		c.ageList(&update)
+		c.setListAge(&update)
 		proven := c.proven && age <= maxProofAge
 		s.back.send(func() { s.gateway.answered(s, update, proven) })
 	}
-	if h.random.Chance(0.002) && !h.calm { // it is paused in between
+	if h.random.Chance(0.002) && !h.calm { // the process is paused in between
 		c.freeze(h.span(maxPause))
 		h.AfterOn(c.name, 0, answer)
 		return
@@ -334,13 +336,13 @@
 	answer()
 }
 
-func (c *simControl) ageList(update *protocol.Update) {
+func (c *simControl) setListAge(update *protocol.Update) {
 	update.ListRead = c.list != nil && c.chain.harness.bug != bugServerListGoesBack
 	update.ListAge = c.clock.read().Sub(c.listAt)
 }
 
 func (c *simControl) pushAll() {
-	for _, gateway := range c.chain.harness.gateways { // in order, so that a seed replays
+	for _, gateway := range c.chain.harness.gateways { // in a fixed order, so that a seed reproduces the run
 		if s := gateway.session; s != nil && s.control == c && c.sessions[s] != nil {
 			c.push(s, c.sessions[s])
 		}
@@ -363,7 +365,7 @@
 	if update.Configuration == nil && update.Servers == nil && update.Members == nil {
 		return
 	}
-	c.ageList(&update)
+	c.setListAge(&update)
 	if update.Configuration != nil {
 		subscribed.configuration = update.Configuration.Index
 	}
@@ -386,7 +388,7 @@
 	})
 }
 
-// body returns a configuration as JSON.
+// body returns a configuration encoded as JSON.
 func body(document configuration.Document) []byte {
 	raw, err := json.Marshal(document)
 	if err != nil {
--- a/internal/gateway/subscription/gateway_test.go
+++ b/internal/gateway/subscription/gateway_test.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// simGateway is a gateway: the real subscription, and the steps that its connection and the proxy take with
-// it.
+// simGateway is a gateway. It has a real subscription and models the steps that the connection and the proxy
+// take with it.
 type simGateway struct {
 	harness           *harness
 	name              string
@@ -23,14 +23,14 @@
 	table             *endpoints.Registry
 	s                 *Subscription
 	session           *session
-	eager             bool // clients ask often, by keys
+	eager             bool // clients send requests often, all of them with API keys that may have been replaced
 	wantsConfirmation bool // a request waits for a confirmation
 	waiters           []*waiter
 
 	faultAt   time.Duration // when the last fault ended
-	confirmed bool          // in this incarnation a control process answered whose proof was true
-	index     uint64        // of the newest configuration seen in this incarnation
-	content   int           // of the list of servers in force
+	confirmed bool          // in this incarnation, a control process with a valid proof has confirmed its state
+	index     uint64        // index of the newest configuration seen in this incarnation
+	content   int           // number of the list of servers in force
 	served    int
 	rejected  map[int]int // by status
 }
@@ -45,7 +45,7 @@
 	polling     pollState
 	sequence    uint64
 	sent        time.Time
-	pollPending bool // a poll is out
+	pollPending bool // a poll hasn't been answered
 	ended       bool
 }
 
@@ -66,7 +66,7 @@
 	return g
 }
 
-// start begins an incarnation that knows seeds only.
+// start starts an incarnation that knows no control processes but the seeds.
 func (g *simGateway) start(seeds []string) {
 	h := g.harness
 	if g.up {
@@ -123,10 +123,10 @@
 	}
 }
 
-// later runs something in this incarnation, late if the process is paused.
+// later calls run after a delay in this incarnation, or later if the process is paused.
 func (g *simGateway) later(delay time.Duration, run func()) { g.harness.AfterOn(g.name, delay, run) }
 
-// nextStep runs the next step of an activity; now and then the machine is busy in between.
+// nextStep runs the next step of an activity, sometimes late because the machine is busy.
 func (g *simGateway) nextStep(run func()) {
 	delay := time.Duration(g.harness.random.IntN(20)) * time.Microsecond
 	if g.harness.random.Chance(g.harness.busyShare) {
@@ -198,8 +198,8 @@
 	s.sequence++
 	s.pollPending, g.wantsConfirmation = true, false
 	s.sent = g.clock.read()
-	question, sequence := g.s.buildPoll(s.sequence), s.sequence
-	s.out.send(func() { s.control.handlePoll(s, question) })
+	poll, sequence := g.s.buildPoll(s.sequence), s.sequence
+	s.out.send(func() { s.control.handlePoll(s, poll) })
 	g.later(replyTimeout, func() {
 		if s.pollPending && s.sequence == sequence {
 			g.disconnect(s)
@@ -215,7 +215,7 @@
 	g.checkProgress()
 }
 
-// answered handles the answer to a poll. proven means that its sender's proof was true.
+// answered handles the answer to a poll. proven means that its sender's proof was valid.
 func (g *simGateway) answered(s *session, update protocol.Update, proven bool) {
 	if s.ended || g.session != s || !s.pollPending || update.Sequence != s.sequence {
 		return
@@ -240,7 +240,7 @@
 	g.later(s.sent.Add(pause).Sub(now), func() { g.poll(s) })
 }
 
-// release notifies those that wait for a confirmation.
+// release notifies the waiters whose confirmation has arrived.
 func (g *simGateway) release() {
 	waiters := g.waiters
 	g.waiters = nil
@@ -257,7 +257,7 @@
 	}
 }
 
-// await has control asked at once and waits for its confirmation, for a time.
+// await polls control at once, and calls then when control has confirmed or a time has passed.
 func (g *simGateway) await(since time.Time, length time.Duration, then func(confirmed bool)) {
 	if g.s.ConfirmedSince(since) {
 		then(true)
@@ -277,7 +277,7 @@
 	})
 }
 
-// checkProgress checks the state in force now against that before.
+// checkProgress checks the state in force against the state at the previous call.
 func (g *simGateway) checkProgress() {
 	h := g.harness
 	if current := g.s.Configuration(); current != nil {
@@ -289,7 +289,7 @@
 	if table := g.table.Current(); table != nil {
 		content := table.ForBackend("b")[0].Slots
 		readAt, before := h.chain.readAt[content], h.chain.readAt[g.content]
-		if calm := h.Elapsed()-g.faultAt > listMemory; calm && readAt < before-listSlack {
+		if calm := h.Elapsed()-g.faultAt > listAgeUnknown; calm && readAt < before-listSlack {
 			h.failf("%s takes a list read at %v for one read at %v", g.name, readAt, before)
 		}
 		g.content = content
@@ -300,15 +300,15 @@
 }
 
 const (
-	// listSlack is how much older a list may be that follows another: the age of a list is known as of the
-	// poll whose answer came last, and messages take up to maxMessageDelay.
+	// listSlack is how much older a list may be than the one that it replaces: the age of a list is known as
+	// of the poll that was answered last, and messages take up to maxMessageDelay.
 	listSlack = replyTimeout + maxMessageDelay
-	// listMemory is how long after a process pause a gateway may not know the age of the list that it applied
-	// as it resumed.
-	listMemory = 2 * time.Second
+	// listAgeUnknown is how long after a process pause a gateway may not know the age of the list that it applied
+	// when it resumed.
+	listAgeUnknown = 2 * time.Second
 )
 
-// state describes a gateway, for a report.
+// state describes a gateway for a failure message.
 func (g *simGateway) state() string {
 	control, sequence := "none", uint64(0)
 	if g.session != nil {
--- a/internal/gateway/subscription/harness_test.go
+++ b/internal/gateway/subscription/harness_test.go
@@ -7,19 +7,19 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// The sites' bounds, and the times of what surrounds a subscription.
+// The bounds of the settings, and the times of the simulated environment.
 const (
 	revoke          = 5 * time.Second
 	configApply     = 2 * time.Second
-	maxProofAge     = 800 * time.Millisecond  // of control's proof, if it confirms
-	denyWait        = 400 * time.Millisecond  // that a request waits for a confirmation before it is denied
-	firstWait       = 1200 * time.Millisecond // and for the first configuration
+	maxProofAge     = 800 * time.Millisecond  // maximum age of a control process's proof with which it confirms its state
+	denyWait        = 400 * time.Millisecond  // how long a request waits for a confirmation before it is rejected
+	firstWait       = 1200 * time.Millisecond // how long a request waits for the first configuration
 	maxPartition    = 20 * time.Second
 	maxPause        = 20 * time.Second
-	maxMessageDelay = 900 * time.Millisecond // of a message, without a partition
+	maxMessageDelay = 900 * time.Millisecond // maximum delay of a message without a partition
 )
 
-// injectedBug is a bug of the harness that the checks must find.
+// injectedBug is a bug of the simulated processes that the checks must detect.
 type injectedBug string
 
 // harness simulates gateways with real subscriptions, control processes and an operator, in virtual time.
@@ -31,8 +31,8 @@
 	gateways  []*simGateway
 	operator  operatorModel
 	calm      bool
-	busyShare float64 // share of steps that take long
-	slowShare float64 // share of messages that do
+	busyShare float64 // fraction of a process's steps that take long
+	slowShare float64 // fraction of messages that take long
 	faults    int
 }
 
@@ -53,7 +53,7 @@
 
 func (h *harness) span(most time.Duration) time.Duration { return h.random.Between(0, most) }
 
-// every runs something periodically.
+// every calls run periodically.
 func (h *harness) every(period time.Duration, run func()) {
 	h.After(period, func() {
 		run()
@@ -61,14 +61,14 @@
 	})
 }
 
-// steadyClock is a machine's monotonic clock: it starts anywhere and drifts a little.
+// steadyClock is a machine's monotonic clock. It starts at a random time and has a random constant drift.
 type steadyClock struct {
 	harness *harness
 	base    time.Time
 	rate    float64
 }
 
-// clockDrift is how much a clock gains or loses at most.
+// clockDrift is the maximum fraction of the time that a clock gains or loses.
 const clockDrift = 0.005
 
 func (h *harness) newClock() steadyClock {
@@ -80,16 +80,15 @@
 	return c.base.Add(time.Duration(float64(c.harness.Elapsed()) * c.rate))
 }
 
-// pipe is one direction of a connection: what is sent arrives in order, maybe late, or the connection is
-// broken.
+// pipe is one direction of a connection. Messages arrive in order, possibly late, until the connection breaks.
 type pipe struct {
 	harness           *harness
 	from, to          string
 	queue             []func()
-	survivesPartition bool // the connection isn't broken by a partition
-	waits             bool
+	survivesPartition bool // a partition delays messages but doesn't break the connection
+	waiting           bool
 	broken            bool
-	slowNext          time.Duration // that the next message takes
+	slowNext          time.Duration // minimum delay of the next message
 }
 
 func (h *harness) newPipe(from, to string) *pipe {
@@ -98,7 +97,7 @@
 
 func (p *pipe) send(deliver func()) {
 	p.queue = append(p.queue, deliver)
-	if !p.waits {
+	if !p.waiting {
 		p.flush()
 	}
 }
@@ -129,7 +128,7 @@
 	}
 }
 
-// randomDelay returns the additional delay of a message: mostly none.
+// randomDelay returns the additional delay of a message, which is usually 0.
 func (p *pipe) randomDelay() time.Duration {
 	if p.harness.random.Chance(p.harness.slowShare) {
 		return p.harness.span(maxMessageDelay)
@@ -137,7 +136,7 @@
 	return 0
 }
 
-// deliverLate delivers a message after a delay, even if a partition begins meanwhile; what follows waits.
+// deliverLate delivers a message after a delay, even if a partition begins meanwhile. Later messages wait.
 func (p *pipe) deliverLate(length time.Duration, deliver func()) {
 	p.harness.AfterOn(p.to, length, func() {
 		if !p.broken {
@@ -148,14 +147,15 @@
 }
 
 func (p *pipe) wait(length time.Duration) {
-	p.waits = true
+	p.waiting = true
 	p.harness.After(length, func() {
-		p.waits = false
+		p.waiting = false
 		p.flush()
 	})
 }
 
-// partitionBetween partitions two machines, in both directions or one, for a time.
+// partitionBetween partitions two machines for a time: in both directions if way is 0, only from b to a if it is
+// 1, only from a to b if it is 2.
 func (h *harness) partitionBetween(a, b string, way int, length time.Duration) {
 	if way != 1 {
 		h.partitionFor(a, b, length)
--- a/internal/gateway/subscription/operator_test.go
+++ b/internal/gateway/subscription/operator_test.go
@@ -11,31 +11,31 @@
 
 const (
 	stableKey       = "stable"
-	volatile        = 4    // keys that are replaced, and routes that come and go
-	replaced        = 0.15 // share of the keys that a command replaces
-	oldKeys         = 4    // that clients use still
+	volatile        = 4    // number of keys that are replaced, and of routes that are added and removed
+	replacedShare   = 0.15 // fraction of the keys that a command replaces
+	oldKeys         = 4    // number of a key's latest versions that clients still use
 	commandInterval = 600 * time.Millisecond
 	unknownKey      = "never"
 	stableRoute     = "stable"
 	openRoute       = "open"
 )
 
-// version is a configuration that was proposed, and what of it comes and goes.
+// version is a proposed configuration, with its keys and routes.
 type version struct {
 	request    configuration.ChangeRequest
 	keys       map[string]bool
 	routes     map[string]bool
 	proposedAt time.Duration
-	ackedAt    time.Duration // 0: not yet
+	ackedAt    time.Duration // when it was acknowledged; 0: not yet
 }
 
-// operatorModel is what the operator sent and saw acknowledged.
+// operatorModel records the commands that the operator sent and when they were acknowledged.
 type operatorModel struct {
 	versions  []*version
-	numbers   [volatile]int // of the newest key of each kind
+	numbers   [volatile]int // number of the newest key of each kind
 	dueAt     time.Duration
-	closed    bool // no more commands
-	replacing bool // the next command is the last, and replaces all keys
+	closed    bool // no more commands are sent
+	replacing bool // the next command is the last one and replaces all keys
 }
 
 // next returns the operator's next command, if one is due.
@@ -45,7 +45,7 @@
 		return configuration.ChangeRequest{}, false
 	}
 	o.dueAt = now + h.span(2*commandInterval)
-	share := replaced
+	share := replacedShare
 	if o.replacing {
 		o.closed, share = true, 1
 	}
@@ -63,7 +63,7 @@
 	return proposed.request, true
 }
 
-// replaceAll has the last command replace all keys.
+// replaceAll makes the next command the last one, sent at a given time, and has it replace all keys.
 func (o *operatorModel) replaceAll(at time.Duration) { o.dueAt, o.replacing = at, true }
 
 func (v *version) document(generation uint64) configuration.Document {
@@ -82,8 +82,9 @@
 
 func keyName(kind, number int) string { return fmt.Sprintf("key-%d-%d", kind, number) }
 
-// someKey returns one of the newest keys, or one that was removed lately.
-func (o *operatorModel) someKey(h *harness) string {
+// randomKey returns one of the newest keys or of those that were removed recently. With replaceAll it returns one
+// of the keys before the last command.
+func (o *operatorModel) randomKey(h *harness) string {
 	kind := h.random.IntN(volatile)
 	if o.replacing {
 		return keyName(kind, o.replacedNumber(kind))
@@ -91,7 +92,7 @@
 	return keyName(kind, max(0, o.numbers[kind]-h.random.IntN(oldKeys)))
 }
 
-// replacedNumber is that of a key before all were replaced.
+// replacedNumber returns the number of the key of a kind before the last command replaced all keys.
 func (o *operatorModel) replacedNumber(kind int) int {
 	if o.closed {
 		return o.numbers[kind] - 1
@@ -109,8 +110,8 @@
 
 func (o *operatorModel) acknowledged(index int, at time.Duration) { o.versions[index-1].ackedAt = at }
 
-// removedAt returns since when a key is in no configuration that may be in force: since the acknowledgement
-// of the one that removed it. 0: it may be in force.
+// removedAt returns the time since which a key is in no configuration that may be in force, which is when the
+// configuration that removed it was acknowledged. It returns 0 if the key may be in force.
 func (o *operatorModel) removedAt(key string) time.Duration {
 	for i := len(o.versions) - 1; i >= 0; i-- {
 		if o.versions[i].keys[key] {
@@ -123,8 +124,8 @@
 	return time.Nanosecond
 }
 
-// mayLack reports whether a configuration that may have been in force at a moment or later lacks a key or a
-// route.
+// mayLack reports whether a configuration that may have been in force at the time since or later lacks a key or
+// a route.
 func (o *operatorModel) mayLack(since time.Duration, lacks func(*version) bool) bool {
 	for i, proposed := range o.versions {
 		replaced := i+1 < len(o.versions) && o.versions[i+1].ackedAt > 0 && o.versions[i+1].ackedAt+configApply < since
@@ -135,15 +136,15 @@
 	return len(o.versions) == 0 || o.versions[0].ackedAt == 0 || o.versions[0].ackedAt+configApply >= since
 }
 
-// checkConfirmation checks a control process's confirmation: all that was acknowledged longer than age ago is
-// applied there.
+// checkConfirmation checks a control process's confirmation: everything that was acknowledged longer than age
+// ago must have been applied there.
 func (o *operatorModel) checkConfirmation(h *harness, c *simControl, age time.Duration, fresh bool) {
 	if !fresh || h.bug != noBug {
-		return // the checks at the gateways must find it
+		return // the checks at the gateways must detect an injected bug
 	}
 	for i, version := range o.versions {
 		if version.ackedAt > 0 && version.ackedAt < h.Elapsed()-age && c.applied <= i {
-			h.failf("%s confirms all up to %v ago, and has not applied command %d, acknowledged at %v", c.name, age, i+1, version.ackedAt)
+			h.failf("%s confirms everything up to %v ago, but has not applied command %d, acknowledged at %v", c.name, age, i+1, version.ackedAt)
 		}
 	}
 }
--- a/internal/gateway/subscription/partition_test.go
+++ b/internal/gateway/subscription/partition_test.go
@@ -12,33 +12,33 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// The partition: a gateway and a control process, which is the head of the chain and the allocator of quota,
-// reach only each other for twenty seconds.
+// This file tests a partition in which a gateway and one control process, which is the head of the chain and the
+// allocator of quota, reach only each other for twenty seconds.
 const (
 	partitionAt     = 6 * time.Second
 	partitionLength = 20 * time.Second
 	sampleInterval  = 100 * time.Millisecond
-	leaderLease     = 800 * time.Millisecond // for which a head leads after the last proof of its epoch, as in coord/replica
+	leaderLease     = 800 * time.Millisecond // how long a head leads after the last proof of its epoch, as in coord/replica
 	quotaRate       = 20
-	quotaPause      = 600 * time.Millisecond // between tokens of a lease, at most
+	quotaPause      = 600 * time.Millisecond // maximum time between two tokens of a lease
 	partitionRuns   = 2
-	controlFound    = 6 * time.Second // by when a gateway that reaches one control process has found it
+	subscribeTime   = 6 * time.Second // within which a gateway subscribes to the only control process that it reaches
 )
 
-// partition records what a gateway in a partition does: for each kind of act, when it did it last and first
-// again, from the beginning of the partition.
+// partition records what a gateway in a partition does. For each kind of action it has the time of the last one
+// during the partition, from its beginning, and of the first one after the partition, from its end.
 type partition struct {
 	*harness
 	gateway    *simGateway
 	quota      *simQuota
-	began      time.Duration // the partition
+	began      time.Duration // when the partition began; 0: it hasn't yet
 	lastWithin map[string]time.Duration
 	firstAfter map[string]time.Duration
-	tokenAt    time.Duration // a token was had
+	tokenAt    time.Duration // when the gateway last got a token
 	rows       []string
 }
 
-// simQuota is a gateway's part of the quotas, and the allocator in the control process.
+// simQuota is the quota client of a gateway and the allocator in the control process.
 type simQuota struct {
 	harness   *harness
 	control   *simControl
@@ -54,12 +54,13 @@
 		allocator: quota.NewAllocator(quota.AllocatorOptions{Rules: rules})}
 	q.allocator.ConfigureTenants([]configuration.Tenant{*q.tenant})
 	q.allocator.Start(0, time.Hour, nil, nil)
-	h.every(10*time.Millisecond, q.pump)
+	h.every(10*time.Millisecond, q.sendRequest)
 	return q
 }
 
-// pump asks the allocator as package quotaclient does: it answers while its process leads.
-func (q *simQuota) pump() {
+// sendRequest sends the client's request to the allocator, as package quotaclient does. The allocator answers only
+// while its process leads.
+func (q *simQuota) sendRequest() {
 	now := q.harness.Elapsed()
 	request, due := q.client.NextRequest(now)
 	if !due {
@@ -73,7 +74,7 @@
 	q.harness.After(2*time.Millisecond, func() { q.client.HandleReply(q.harness.Elapsed(), &reply) })
 }
 
-// take asks for a token, and again a little later if it has to wait.
+// take takes a token. If it must wait for one, it resolves or cancels the wait a little later.
 func (q *simQuota) take(then func(admitted bool)) {
 	verdict := q.client.Take(q.harness.Elapsed(), q.tenant)
 	if !verdict.Wait {
@@ -102,7 +103,7 @@
 	}
 }
 
-// sample has the gateway do one of each act, and records the result.
+// sample has the gateway perform one action of each kind and records the results.
 func (p *partition) sample(at time.Duration) {
 	g := p.gateway
 	row := map[string]string{"readyz": "503"}
@@ -134,105 +135,106 @@
 	}
 }
 
-// playPartition simulates a partition. If starts is true the gateway restarts a second after it begins. A bug
-// is injected with the partition.
-func playPartition(seed uint64, begins bool, bug injectedBug) *partition {
+// simulatePartition simulates a partition. If restarts is true the gateway restarts a second after the partition
+// begins. The bug is injected when the partition begins.
+func simulatePartition(seed uint64, restarts bool, bug injectedBug) *partition {
 	h := newHarness(seed, noBug)
 	h.calm = true
 	h.Links.Default.Jitter = 2 * time.Millisecond
 	h.busyShare, h.slowShare = 0, 0
-	i := &partition{harness: h, gateway: h.gateways[0], lastWithin: map[string]time.Duration{}, firstAfter: map[string]time.Duration{}}
+	p := &partition{harness: h, gateway: h.gateways[0], lastWithin: map[string]time.Duration{}, firstAfter: map[string]time.Duration{}}
 	h.Run(partitionAt)
 	c := h.chain.controls[0]
-	i.quota = newSimQuota(h, c)
+	p.quota = newSimQuota(h, c)
 	h.every(70*time.Millisecond, func() {
-		i.quota.take(func(admitted bool) {
+		p.quota.take(func(admitted bool) {
 			if admitted {
-				i.tokenAt = h.Elapsed()
-				i.record("quota")
+				p.tokenAt = h.Elapsed()
+				p.record("quota")
 			}
 		})
 	})
 	h.Run(2 * time.Second)
-	i.gateway.session.end() // it then subscribes to the control process in the partition
+	p.gateway.session.end() // the gateway then subscribes to the control process in the partition
 	for _, control := range h.chain.controls {
 		if control != c {
-			h.partitionFor(i.gateway.name, control.name, controlFound+partitionLength)
+			h.partitionFor(p.gateway.name, control.name, subscribeTime+partitionLength)
 		}
 	}
-	h.Run(controlFound)
+	h.Run(subscribeTime)
 	for _, control := range h.chain.controls {
 		if control != c {
 			h.partitionBetween(c.name, control.name, 0, partitionLength)
 		}
 	}
-	i.began, h.bug = h.Elapsed(), bug
-	if begins {
+	p.began, h.bug = h.Elapsed(), bug
+	if restarts {
 		h.Run(time.Second)
-		i.gateway.stop()
-		i.gateway.start([]string{c.name})
+		p.gateway.stop()
+		p.gateway.start([]string{c.name})
 	}
-	for h.Elapsed()-i.began <= partitionLength+5*time.Second {
-		i.sample((h.Elapsed() - i.began).Round(sampleInterval))
+	for h.Elapsed()-p.began <= partitionLength+5*time.Second {
+		p.sample((h.Elapsed() - p.began).Round(sampleInterval))
 		h.Run(sampleInterval)
 	}
-	return i
+	return p
 }
 
-// TestPartition steps a gateway that reaches only a partitioned control process through the twenty seconds,
-// and back. docs/design/guarantees.md has the table; its bounds are checked here.
+// TestPartition checks until when a gateway that reaches only a partitioned control process still performs each
+// kind of action, and how soon after the partition it does again. docs/design/guarantees.md has the table; its
+// bounds are checked here.
 func TestPartition(t *testing.T) {
 	latest := map[string]time.Duration{"readyz": 2500 * time.Millisecond, "keyed": revoke - KeyLeaseMargin, "unknown key": time.Second,
 		"unknown route": time.Second, "quota": leaderLease + 3*time.Second, "public": partitionLength}
 	earliest := map[string]time.Duration{"readyz": 1600 * time.Millisecond, "keyed": 4 * time.Second, "quota": 2 * time.Second,
 		"public": partitionLength - sampleInterval}
 	for seed := uint64(1); seed <= partitionRuns; seed++ {
-		i := playPartition(seed, false, noBug)
+		p := simulatePartition(seed, false, noBug)
 		for what, most := range latest {
-			if last := i.lastWithin[what]; last > most || last < earliest[what] {
-				t.Errorf("seed %d: %s until %v, not between %v and %v", seed, what, last, earliest[what], most)
+			if last := p.lastWithin[what]; last > most || last < earliest[what] {
+				t.Errorf("seed %d: %s until %v, want between %v and %v", seed, what, last, earliest[what], most)
 			}
-			if i.firstAfter[what] > 3*time.Second {
-				t.Errorf("seed %d: %s again %v after the end", seed, what, i.firstAfter[what])
+			if p.firstAfter[what] > 3*time.Second {
+				t.Errorf("seed %d: %s again %v after the end of the partition, want at most 3s", seed, what, p.firstAfter[what])
 			}
 		}
 		if seed == 1 {
-			t.Logf("| second | readyz | keyed | public | unknown key | unknown route | quota |\n%s", strings.Join(i.rows, "\n"))
+			t.Logf("| second | readyz | keyed | public | unknown key | unknown route | quota |\n%s", strings.Join(p.rows, "\n"))
 		}
-		t.Logf("seed %d: until %v; again after %v", seed, i.lastWithin, i.firstAfter)
+		t.Logf("seed %d: until %v; again after %v", seed, p.lastWithin, p.firstAfter)
 	}
 }
 
-// TestStartDuringPartition does so with a gateway that starts there: it is not ready and answers only 503
-// until the end.
+// TestStartDuringPartition checks that a gateway that starts during the partition is not ready and answers only
+// 503 until the partition ends.
 func TestStartDuringPartition(t *testing.T) {
 	for seed := uint64(1); seed <= partitionRuns; seed++ {
-		i := playPartition(seed, true, noBug)
-		for what, last := range i.lastWithin {
+		p := simulatePartition(seed, true, noBug)
+		for what, last := range p.lastWithin {
 			if what != "quota" { // tokens don't depend on a configuration
-				t.Errorf("seed %d: %s at %v", seed, what, last)
+				t.Errorf("seed %d: %s during the partition, at %v", seed, what, last)
 			}
 		}
 		for _, what := range []string{"readyz", "keyed", "public", "unknown key", "unknown route"} {
-			if again := i.firstAfter[what]; again == 0 || again > 3*time.Second {
-				t.Errorf("seed %d: %s %v after the end", seed, what, again)
+			if again := p.firstAfter[what]; again == 0 || again > 3*time.Second {
+				t.Errorf("seed %d: %s %v after the end of the partition, want at most 3s and not 0", seed, what, again)
 			}
 		}
 	}
 }
 
-// TestPartitionFindsBugs shows that a control process that confirms without a proof, and a gateway that
-// applies what wasn't confirmed, are found.
+// TestPartitionFindsBugs checks that the simulation detects a control process that confirms without a proof, and
+// a gateway that applies an unconfirmed configuration.
 func TestPartitionFindsBugs(t *testing.T) {
 	for bug, reason := range map[injectedBug]string{bugUnprovenConfirmation: "which every configuration in force has", bugUnconfirmedConfiguration: "nobody has confirmed"} {
 		if failure := partitionFailure(bug); !strings.Contains(failure, reason) {
-			t.Errorf("%s: %s", bug, failure)
+			t.Errorf("%s: got failure %q, want one that contains %q", bug, failure, reason)
 		}
 	}
 }
 
 func partitionFailure(bug injectedBug) (failure string) {
 	defer func() { failure = fmt.Sprint(recover()) }()
-	playPartition(1, bug == bugUnconfirmedConfiguration, bug)
+	simulatePartition(1, bug == bugUnconfirmedConfiguration, bug)
 	return ""
 }
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	defaultRuns   = 5 // unless SEEDS says otherwise
+	defaultRuns   = 5 // number of simulations unless SEEDS sets another
 	faultsUntil   = 60 * time.Second
 	runLength     = 75 * time.Second // all faults have ended by then
 	faultInterval = 900 * time.Millisecond
-	settleTime    = 4 * time.Second // without slow messages and busy machines
-	racesPerRun   = 3               // short simulations for each long one
+	settleTime    = 4 * time.Second // time at the end without slow messages and busy machines
+	racesPerRun   = 3               // key replacement races per long simulation
 )
 
-// Bugs that the harness can inject.
+// Bugs that can be injected.
 const (
 	noBug                       injectedBug = ""
 	bugUnprovenConfirmation     injectedBug = "a control process confirms without a proof"
-	bugNoAge                    injectedBug = "a control process doesn't tell the age of its proof"
+	bugNoAge                    injectedBug = "a control process doesn't state the age of its proof"
 	bugLeaseFromReceipt         injectedBug = "a lease counts from the receipt of the answer"
 	bugLeaseCheckedLast         injectedBug = "the lease is checked only after the configuration"
 	bugUnconfirmedConfiguration injectedBug = "a new process applies an unconfirmed configuration"
@@ -33,20 +33,20 @@
 	bugServerListGoesBack       injectedBug = "a new control process may send an older list of servers"
 )
 
-// foundBy names for each bug the simulations and the check that find it.
+// foundBy has, for each bug, the simulation that finds it and a part of the message of the check that fails.
 var foundBy = map[injectedBug]struct {
-	play   func(seed uint64, bug injectedBug) (*harness, string)
-	reason string
-	first  uint64 // seed; skips simulations that are known not to find it
+	simulate func(seed uint64, bug injectedBug) (*harness, string)
+	reason   string
+	first    uint64 // first seed; skips simulations that are known not to find the bug
 }{
-	bugUnprovenConfirmation:     {playRandom, "nobody has confirmed", 1},
-	bugNoAge:                    {playKeyReplacementRace, "removed for good", 40},
-	bugLeaseFromReceipt:         {playKeyReplacementRace, "removed for good", 1},
-	bugLeaseCheckedLast:         {playKeyReplacementRace, "removed for good", 1},
-	bugUnconfirmedConfiguration: {playRandom, "nobody has confirmed", 1},
-	bugConfigurationGoesBack:    {playRandom, "goes back from configuration", 1},
-	bugRejectsUnconfirmed:       {playRandom, "which every configuration in force has", 1},
-	bugServerListGoesBack:       {playRandom, "takes a list read at", 1},
+	bugUnprovenConfirmation:     {simulateRandomFaults, "nobody has confirmed", 1},
+	bugNoAge:                    {simulateKeyReplacementRace, "removed for good", 40},
+	bugLeaseFromReceipt:         {simulateKeyReplacementRace, "removed for good", 1},
+	bugLeaseCheckedLast:         {simulateKeyReplacementRace, "removed for good", 1},
+	bugUnconfirmedConfiguration: {simulateRandomFaults, "nobody has confirmed", 1},
+	bugConfigurationGoesBack:    {simulateRandomFaults, "goes back from configuration", 1},
+	bugRejectsUnconfirmed:       {simulateRandomFaults, "which every configuration in force has", 1},
+	bugServerListGoesBack:       {simulateRandomFaults, "takes a list read at", 1},
 }
 
 // injectFault injects a random fault.
@@ -89,18 +89,18 @@
 	}
 }
 
-// countSynced counts the other machines of the chain that are synced.
-func (c *chainModel) countSynced(than *simControl) (count int) {
+// countSynced counts the synced machines of the chain other than one.
+func (c *chainModel) countSynced(except *simControl) (count int) {
 	for _, member := range c.chain {
-		if member != than && member.synced {
+		if member != except && member.synced {
 			count++
 		}
 	}
 	return count
 }
 
-// isolate partitions a control process from the others. A gateway, which may start just then, reaches only
-// it, and other gateways may find it, too.
+// isolate partitions a control process and a gateway from the other control processes. The gateway reaches only
+// that control process, and may restart meanwhile; another gateway may also subscribe to it.
 func (h *harness) isolate(c *simControl, g *simGateway) {
 	length, way := time.Second+h.span(maxPartition-time.Second), h.random.IntN(3)
 	for _, peer := range h.chain.controls {
@@ -116,7 +116,7 @@
 			h.After(100*time.Millisecond, func() { g.start([]string{c.name}) })
 		})
 	}
-	if h.random.Chance(0.3) { // another gateway loses its connection and may find this control process
+	if h.random.Chance(0.3) { // another gateway loses its connection and may subscribe to this control process
 		other := h.gateways[h.random.IntN(len(h.gateways))]
 		h.After(h.span(length), func() {
 			if other.session != nil && other.up {
@@ -126,13 +126,13 @@
 	}
 }
 
-// playKeyReplacementRace plays a short simulation without random faults, in which one thing goes wrong at a
-// gateway around the moment at which all keys are replaced, and it is partitioned for longer than a lease
-// lasts. Its clients keep using the old keys.
-func playKeyReplacementRace(seed uint64, bug injectedBug) (h *harness, broken string) {
+// simulateKeyReplacementRace runs a short simulation without random faults. All keys are replaced, and at about that
+// time one fault occurs at a gateway, which is also partitioned from control for longer than a lease lasts. Its
+// clients keep using the old keys.
+func simulateKeyReplacementRace(seed uint64, bug injectedBug) (h *harness, violation string) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			broken = fmt.Sprint(failure)
+			violation = fmt.Sprint(failure)
 		}
 	}()
 	const begin = 4 * time.Second
@@ -151,12 +151,12 @@
 			}
 		})
 		cutAfter = h.span(300 * time.Millisecond)
-	case 1: // its control process applies the command late
+	case 1: // the gateway's control process applies the command late
 		if g.session != nil {
 			g.session.control.lagsUntil = h.Elapsed() + due + time.Second
 		}
 		cutAfter = 300*time.Millisecond + h.span(600*time.Millisecond)
-	case 2: // it is reconnected on a busy machine
+	case 2: // the gateway reconnects on a busy machine
 		h.busyShare = 0.5
 		cutAfter = -due
 	}
@@ -165,11 +165,12 @@
 	return h, ""
 }
 
-// playRandom plays a simulation with all faults, and returns which check failed.
-func playRandom(seed uint64, bug injectedBug) (h *harness, broken string) {
+// simulateRandomFaults runs a simulation with random faults of all kinds, and returns the message of the check that failed
+// or "".
+func simulateRandomFaults(seed uint64, bug injectedBug) (h *harness, violation string) {
 	defer func() {
 		if failure := recover(); failure != nil {
-			broken = fmt.Sprint(failure)
+			violation = fmt.Sprint(failure)
 		}
 	}()
 	h = newHarness(seed, bug)
@@ -188,25 +189,24 @@
 	h.Run(settleTime)
 	for _, g := range h.gateways {
 		if g.up && !g.ready() {
-			h.failf("%s is not ready in the end: %v", g.name, g.state())
+			h.failf("%s is not ready at the end: %v", g.name, g.state())
 		}
 		if current := g.s.Configuration(); current == nil || int(current.Index) < len(h.chain.log) {
-			h.failf("%s has not the newest configuration in the end", g.name)
+			h.failf("%s doesn't have the newest configuration at the end", g.name)
 		}
 	}
 	return h, ""
 }
 
-// environmentInt reads a number from the environment.
-func environmentInt(name string, usual int) int {
+// environmentInt returns the number in an environment variable, or usual if there is none.
+func environmentInt(name string, fallback int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
 	}
-	return usual
+	return fallback
 }
 
-// TestRandomSimulations plays simulations with fixed seeds; SEEDS=N plays N of them, FIRST=S starts at seed
-// S.
+// TestRandomSimulations runs simulations with fixed seeds. SEEDS=N runs N of them, FIRST=S starts at seed S.
 func TestRandomSimulations(t *testing.T) {
 	first, count := environmentInt("FIRST", 1), environmentInt("SEEDS", defaultRuns)
 	var mutex sync.Mutex
@@ -218,14 +218,14 @@
 		wait.Go(func() {
 			for number := range numbers {
 				seed := uint64(first + number)
-				h, broken := playRandom(seed, noBug)
+				h, violation := simulateRandomFaults(seed, noBug)
 				for i := range racesPerRun {
-					if broken == "" {
-						_, broken = playKeyReplacementRace(seed*racesPerRun+uint64(i), noBug)
+					if violation == "" {
+						_, violation = simulateKeyReplacementRace(seed*racesPerRun+uint64(i), noBug)
 					}
 				}
-				if broken != "" {
-					t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, broken)
+				if violation != "" {
+					t.Errorf("replay with FIRST=%d SEEDS=1: %s", first+number, violation)
 					continue
 				}
 				mutex.Lock()
@@ -248,15 +248,15 @@
 	t.Logf("%d simulations, %d faults, %d configurations, %d requests served, rejected by status: %v", count, faults, commands, served, rejected)
 }
 
-// TestSimulationsFindBugs shows that the simulations find each bug, by the check that is meant for it.
+// TestSimulationsFindBugs checks that the simulations detect each injected bug, by the intended check.
 func TestSimulationsFindBugs(t *testing.T) {
 	const maxSimulations = 300
 	for bug, by := range foundBy {
 		t.Run(string(bug), func(t *testing.T) {
 			t.Parallel()
 			for seed := by.first; seed < by.first+maxSimulations; seed++ {
-				if _, broken := by.play(seed, bug); strings.Contains(broken, by.reason) {
-					t.Logf("found in simulation %d: %s", seed, broken)
+				if _, violation := by.simulate(seed, bug); strings.Contains(violation, by.reason) {
+					t.Logf("found in simulation %d: %s", seed, violation)
 					return
 				}
 			}
--- a/internal/gateway/subscription/request_test.go
+++ b/internal/gateway/subscription/request_test.go
@@ -19,14 +19,14 @@
 	key          string
 	route        string
 	arrived      time.Time
-	at           time.Duration // the same in virtual time
-	lookAt       time.Duration // when the configuration was read
+	arrivedAt    time.Duration // arrived in virtual time
+	lookedUpAt   time.Duration // when the configuration was loaded
 	leaseExpired bool
 	tenant       *configuration.Tenant
 	done         func(status int) // may be nil
 }
 
-// ask sends requests to the gateway, in this incarnation.
+// ask sends requests to the gateway for as long as this incarnation runs.
 func (g *simGateway) ask() {
 	h := g.harness
 	pause, kinds := requestEvery/2+h.span(requestEvery), 8
@@ -37,7 +37,7 @@
 		q := &simRequest{gateway: g, key: stableKey, route: stableRoute}
 		switch h.random.IntN(kinds) {
 		case 0, 1, 2:
-			q.key = h.operator.someKey(h)
+			q.key = h.operator.randomKey(h)
 		case 3, 4:
 			q.key, q.route = "", fmt.Sprint("open-", h.random.IntN(volatile))
 		case 5:
@@ -50,10 +50,10 @@
 	})
 }
 
-// read is how the proxy begins a request.
+// read begins the request as the proxy does: without a configuration it waits for the first one.
 func (q *simRequest) read() {
 	g := q.gateway
-	q.arrived, q.at = g.clock.read(), g.harness.Elapsed()
+	q.arrived, q.arrivedAt = g.clock.read(), g.harness.Elapsed()
 	if g.s.Configuration() == nil {
 		g.await(q.arrived, firstWait, func(bool) { q.decide() })
 		return
@@ -94,15 +94,16 @@
 	})
 }
 
-// find reads the lease, and then looks up the route and the key; 0: they exist.
+// find checks the lease, then looks up the route and the key, and calls then with the status of the lookup, which
+// is 0 if both exist.
 func (q *simRequest) find(then func(status int)) {
 	g := q.gateway
-	q.lookAt = g.harness.Elapsed()
+	q.lookedUpAt = g.harness.Elapsed()
 	q.leaseExpired = !g.s.KeyLeaseValid(g.clock.read())
 	g.nextStep(func() {
 		current := g.s.Configuration()
 		if g.harness.bug == bugLeaseCheckedLast {
-			q.lookAt, q.leaseExpired = g.harness.Elapsed(), false
+			q.lookedUpAt, q.leaseExpired = g.harness.Elapsed(), false
 		}
 		g.nextStep(func() { then(q.lookUp(current)) })
 	})
@@ -128,8 +129,8 @@
 	return q.tenant == nil || !q.leaseExpired && g.s.KeyLeaseValid(g.clock.read())
 }
 
-// check checks the lease, and again right before the first byte to a server, after a wait for a token and a
-// server.
+// check checks the lease, waits as for a token and a server, and checks the lease again as right before the first
+// byte to a server.
 func (q *simRequest) check() {
 	h := q.gateway.harness
 	if !q.keyValid() {
@@ -149,7 +150,7 @@
 	})
 }
 
-// serve forwards the request, and checks that it may.
+// serve forwards the request and checks that the gateway was allowed to.
 func (q *simRequest) serve() {
 	g := q.gateway
 	h := g.harness
@@ -161,8 +162,8 @@
 	if q.tenant == nil {
 		return
 	}
-	if ended := h.operator.removedAt(q.key); ended > 0 && q.lookAt > ended+revoke {
-		h.failf("%s serves %s, looked up at %v, removed for good at %v", g.name, q.key, q.lookAt, ended)
+	if ended := h.operator.removedAt(q.key); ended > 0 && q.lookedUpAt > ended+revoke {
+		h.failf("%s serves %s, looked up at %v, removed for good at %v", g.name, q.key, q.lookedUpAt, ended)
 	}
 }
 
@@ -182,7 +183,7 @@
 	if status == http.StatusUnauthorized {
 		lacks = func(v *version) bool { return !v.keys[q.key] }
 	}
-	if !h.operator.mayLack(q.at, lacks) {
+	if !h.operator.mayLack(q.arrivedAt, lacks) {
 		h.failf("%s answers %d for key %q and route %q, which every configuration in force has", g.name, status, q.key, q.route)
 	}
 }
--- a/internal/gateway/subscription/subscription_test.go
+++ b/internal/gateway/subscription/subscription_test.go
@@ -15,29 +15,29 @@
 
 func TestControlSelector(t *testing.T) {
 	now := time.Unix(1000, 0)
-	Convey("A listed control process of the own zone goes first, and one that failed backs off", t, func() {
-		h := NewControlSelector("front-a-1", "a")
-		So(h.Next(now), ShouldBeEmpty)
-		h.Seed([]string{"1", "2", "3"})
-		So(h.Next(now), ShouldNotBeEmpty)
-		h.Update([]protocol.ControlMember{{IP: "2", Zone: "a"}, {IP: "4", Zone: "b"}})
-		So(h.Next(now), ShouldEqual, "2")
-		h.MarkFailed("2", now)
-		So(h.Next(now), ShouldEqual, "4")
-		h.MarkFailed("4", now.Add(time.Millisecond))
-		So(h.Next(now.Add(time.Millisecond)), ShouldBeIn, "1", "3")
-		h.MarkFailed("1", now.Add(2*time.Millisecond))
-		h.MarkFailed("3", now.Add(3*time.Millisecond))
-		So(h.Next(now.Add(4*time.Millisecond)), ShouldEqual, "2")
-		h.Update(nil)
-		So(h.Next(now.Add(time.Minute)), ShouldEqual, "2")
+	Convey("A listed control process of the same zone is chosen first, and one that failed backs off", t, func() {
+		selector := NewControlSelector("front-a-1", "a")
+		So(selector.Next(now), ShouldBeEmpty)
+		selector.Seed([]string{"1", "2", "3"})
+		So(selector.Next(now), ShouldNotBeEmpty)
+		selector.Update([]protocol.ControlMember{{IP: "2", Zone: "a"}, {IP: "4", Zone: "b"}})
+		So(selector.Next(now), ShouldEqual, "2")
+		selector.MarkFailed("2", now)
+		So(selector.Next(now), ShouldEqual, "4")
+		selector.MarkFailed("4", now.Add(time.Millisecond))
+		So(selector.Next(now.Add(time.Millisecond)), ShouldBeIn, "1", "3")
+		selector.MarkFailed("1", now.Add(2*time.Millisecond))
+		selector.MarkFailed("3", now.Add(3*time.Millisecond))
+		So(selector.Next(now.Add(4*time.Millisecond)), ShouldEqual, "2")
+		selector.Update(nil)
+		So(selector.Next(now.Add(time.Minute)), ShouldEqual, "2")
 	})
 	Convey("Gateways are spread over equally good control processes", t, func() {
 		chosen := map[string]int{}
 		for _, node := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} {
-			h := NewControlSelector(node, "z")
-			h.Seed([]string{"1", "2", "3"})
-			chosen[h.Next(now)]++
+			selector := NewControlSelector(node, "z")
+			selector.Seed([]string{"1", "2", "3"})
+			chosen[selector.Next(now)]++
 		}
 		So(chosen, ShouldHaveLength, 3)
 	})
@@ -57,7 +57,7 @@
 		So(l.Valid(now.Add(5599*time.Millisecond)), ShouldBeTrue)
 		So(l.Valid(now.Add(5600*time.Millisecond)), ShouldBeFalse)
 	})
-	Convey("If keys don't end by lease it is always valid", t, func() {
+	Convey("If keys don't expire by lease the lease is always valid", t, func() {
 		So(NewKeyLease(false, time.Second, now).Valid(now.Add(time.Hour)), ShouldBeTrue)
 	})
 }
@@ -81,12 +81,12 @@
 	Convey("Given a new process and a control process that doesn't confirm its state", t, func() {
 		s := testSubscription(now)
 		polling := newPollState(now)
-		unsure := &protocol.Update{Sequence: 1, Configuration: document(3, "")}
-		s.handleUpdate(unsure, now)
-		_, stays := s.handlePollAnswer(&polling, now, now, unsure)
+		unconfirmed := &protocol.Update{Sequence: 1, Configuration: document(3, "")}
+		s.handleUpdate(unconfirmed, now)
+		_, stays := s.handlePollAnswer(&polling, now, now, unconfirmed)
 		So(stays, ShouldBeTrue)
 
-		Convey("it has no configuration in force, and leaves that control process", func() {
+		Convey("the process has no configuration in force, and leaves that control process", func() {
 			So(s.Configuration(), ShouldBeNil)
 			So(s.buildPoll(2).Configuration, ShouldEqual, 3)
 			later := now.Add(maxUnconfirmed + time.Millisecond)
@@ -110,39 +110,39 @@
 	list := func(source string, version uint64) *protocol.ServerList {
 		return &protocol.ServerList{Version: version, Source: source, Servers: []protocol.Server{{ID: source}}}
 	}
-	Convey("Given a list that was as of a second ago when a poll was answered", t, func() {
+	Convey("Given a list that was a second old when a poll was answered", t, func() {
 		var l serverListState
 		l.reconnected(now.Add(-time.Minute))
 		_, err := l.apply(&protocol.Update{Servers: list("a", 7), ListRead: true, ListAge: time.Second}, now)
 		So(err, ShouldBeNil)
 		l.observeAnswer(now, &protocol.Update{ListRead: true, ListAge: time.Second})
 
-		Convey("an older one of another control process isn't applied, and a complete one is asked for", func() {
+		Convey("an older list of another control process isn't applied, and a complete list is requested", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 20 * time.Second}, now.Add(time.Second))
 			So(err, ShouldEqual, errStaleList)
 			So(l.current.Source, ShouldEqual, "a")
 			So(l.incomplete, ShouldBeTrue)
-			Convey("nor do its answers make the list held any newer", func() {
+			Convey("answers of that control process don't change the age of the current list", func() {
 				l.observeAnswer(now.Add(time.Minute), &protocol.Update{ListRead: true})
 				So(l.asOf, ShouldEqual, now.Add(-time.Second))
 			})
-			Convey("until it has read the platform", func() {
+			Convey("its list is applied once it has read the platform again", func() {
 				_, err := l.apply(&protocol.Update{Servers: list("b", 10), ListRead: true}, now.Add(2*time.Second))
 				So(err, ShouldBeNil)
 				So(l.incomplete, ShouldBeFalse)
 			})
 		})
-		Convey("one that was pushed before any answer makes the list held as new as the connection allows", func() {
+		Convey("a list pushed before any answer is at most as old as its age at the beginning of the connection", func() {
 			l.reconnected(now.Add(time.Second))
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: time.Second}, now.Add(5*time.Second))
 			So(err, ShouldBeNil)
 			So(l.asOf, ShouldEqual, now)
 		})
-		Convey("one that may be as new is applied", func() {
+		Convey("a list that may be as new is applied", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9), ListRead: true, ListAge: 3 * time.Second}, now.Add(2*time.Second))
 			So(err, ShouldBeNil)
 		})
-		Convey("so is one of a control process that doesn't tell the age", func() {
+		Convey("a list of a control process that doesn't state its age is applied", func() {
 			_, err := l.apply(&protocol.Update{Servers: list("b", 9)}, now.Add(time.Second))
 			So(err, ShouldBeNil)
 		})
