--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -22,17 +22,18 @@
 // arrive.
 const loadReportInterval = 250 * time.Millisecond
 
-// How long a request may wait for a token of its tenant, as a part of its route's latency target.
+// The time that a request may wait for a token of its tenant is the route's latency target divided by a divisor,
+// up to a maximum.
 const (
-	defaultTarget    = 200 * time.Millisecond // of a route without one
-	uncertainDivisor = 5                      // while it isn't known whether there will be a token
+	defaultTarget    = 200 * time.Millisecond // latency target of a route without one
+	uncertainDivisor = 5                      // while it isn't known whether a token will be available
 	maxUncertainWait = 100 * time.Millisecond
-	certainDivisor   = 2 // if there will surely be one
+	certainDivisor   = 2 // if a token will certainly be available
 	maxCertainWait   = 250 * time.Millisecond
 )
 
-// admitter is the proxy's Admission: it asks the two mechanisms that reject requests, the quotas and load
-// shedding, and feeds them what they observe.
+// admitter implements proxy.Admission with the two mechanisms that reject requests, the quotas and load
+// shedding. It reports to them the requests that are sent, the latencies and the load.
 type admitter struct {
 	origin    time.Time
 	admission *admission.Admission
@@ -45,7 +46,7 @@
 	loadReportedAt map[string]time.Time // by backend
 }
 
-// newAdmitter returns an admitter. Its members must be set before it is used.
+// newAdmitter returns an admitter. The field members must be set before the admitter is used.
 func newAdmitter(selector *serverselection.Selector, servers *endpoints.Registry, process protocol.Process,
 	options transport.Options, log zerolog.Logger) *admitter {
 	a := &admitter{origin: time.Now(), admission: admission.New(admission.Options{}), selector: selector,
@@ -55,7 +56,7 @@
 	return a
 }
 
-// currentMembers returns the list of processes, or nil before the first.
+// currentMembers returns the list of processes, or nil if there is none yet.
 func (a *admitter) currentMembers() *protocol.MemberList { return a.members() }
 
 // now returns the time since the process started, by its monotonic clock.
@@ -67,8 +68,8 @@
 	a.quota.Configure(snapshot)
 }
 
-// Admit decides about a request. The tenant's quota comes first: a request beyond it is rejected with 429 at
-// any load.
+// Admit admits or rejects a request. The tenant's quota is checked first: a request beyond it is rejected with
+// 429 at any load. A request that is rejected because of the load gets 503, and its token is returned.
 func (a *admitter) Admit(ctx context.Context, request proxy.AdmissionRequest) proxy.Rejection {
 	token := a.quota.Acquire(ctx, request.Tenant, quotaWait(request.Route, time.Until(request.Deadline)))
 	if !token.Admit {
@@ -85,9 +86,9 @@
 	return proxy.Rejection{Status: http.StatusServiceUnavailable, RetryAfter: decision.RetryAfter}
 }
 
-// quotaWait returns how long a request may wait for a token of its tenant. A rejection must come within a
-// quarter of the route's latency target (a fifth is waited for); a request that is admitted needs the rest of
-// the target for its server. None waits longer than its client.
+// quotaWait returns how long a request may wait for a token of its tenant. A rejection must be sent within a
+// quarter of the route's latency target, so a request that may be rejected waits for at most a fifth of it. A
+// request that is admitted needs the rest of the target for its server. No request waits longer than its client.
 func quotaWait(route *configuration.Route, left time.Duration) quotaclient.WaitLimits {
 	target := route.TargetLatency()
 	if target <= 0 {
@@ -100,7 +101,7 @@
 	}
 }
 
-// Sent counts a request that was sent to a server. A retry counts against the tenant's quota.
+// Sent counts a request that was sent to a server. A retry is charged to the tenant's quota.
 func (a *admitter) Sent(request proxy.AdmissionRequest, retried bool) {
 	a.admission.Sent(a.now(), request.Route.Name)
 	if retried {
@@ -108,13 +109,14 @@
 	}
 }
 
-// Attempted counts an attempt's latency.
+// Attempted records an attempt's latency.
 func (a *admitter) Attempted(request proxy.AdmissionRequest, took time.Duration) {
 	a.admission.Attempt(a.now(), request.Route.Name, took)
 }
 
-// reportLoad tells admission the utilization of a backend's slots, as its servers report it. If they don't,
-// it is estimated from this gateway's own requests there, as if all gateways had as many.
+// reportLoad reports the utilization of a backend's slots to admission, as stated by the backend's servers. If
+// they don't report their load, the utilization is estimated from this gateway's own requests in flight there,
+// assuming that every gateway has as many.
 func (a *admitter) reportLoad(backend string) {
 	now := time.Now()
 	a.mu.Lock()
--- a/internal/gateway/batchproxy/backlog.go
+++ b/internal/gateway/batchproxy/backlog.go
@@ -9,13 +9,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// crossZoneTokens is how much shorter the backlog of a store in another zone must be for it to be preferred,
-// in tokens.
+// crossZoneTokens is how much shorter, in tokens, the backlog of a store in another zone must be for that store
+// to be preferred.
 const crossZoneTokens = 100_000
 
-// leastBacklogFirst puts first, of two stores drawn from those that accept batch jobs, the one with the
-// shorter backlog (the power of two choices). As they are drawn, gateways that all know the same don't submit
-// everything to one store. If no backlog is known the order stays.
+// leastBacklogFirst draws two of the stores that accept batch jobs and moves the one with the shorter backlog to
+// the front of the order (power of two choices). The stores are drawn at random so that gateways with the same
+// information don't all submit to one store. If no backlog is known, the order doesn't change.
 func (c *Caller) leastBacklogFirst(order []string, members []protocol.StoreMember) []string {
 	if ablation.Off(ablation.StoreBacklog) {
 		return order
@@ -50,8 +50,8 @@
 		func(other string) bool { return other == ip })...)
 }
 
-// backlog returns the tokens that wait at a store, plus the cost of another zone. A store that reports
-// nothing has nothing waiting.
+// backlog returns the number of tokens that wait at a store, plus crossZoneTokens if the store is in another
+// zone. A store that has reported no backlog counts as having none.
 func (c *Caller) backlog(member *protocol.StoreMember, now time.Time) int64 {
 	tokens, _ := c.backlogs.Backlog(now, member.Node)
 	if member.Zone != c.settings.Zone {
--- a/internal/gateway/batchproxy/caller.go
+++ b/internal/gateway/batchproxy/caller.go
@@ -1,15 +1,14 @@
-// Package batchproxy forwards clients' calls for batch jobs to the batch processes (stores). A call goes to
-// one of the agreed set; that one answers, or names the owner of the batch job; and if one doesn't answer,
-// the call goes to another.
+// Package batchproxy forwards clients' calls for batch jobs to the batch processes (stores). A call is sent to a
+// store of the agreed set, which answers it or names the owner of the batch job. If a store doesn't answer, the
+// call is sent to another one.
 //
-// Submissions differ from the other calls. They go first to the store with the shorter backlog of two that
-// are drawn, and are hedged: a store that is down or paused doesn't answer for seconds, so the job is sent to
-// another after hedgeAfter. That is safe as the stores accept a batch job once, wherever and how often it is
-// submitted.
+// Submissions differ from other calls. Two stores are drawn, and the one with the shorter backlog gets the
+// submission first. Submissions are also hedged: a store that is down or paused doesn't answer for seconds, so
+// the submission is sent to another store after hedgeAfter. That is safe because the stores accept a batch job
+// only once, no matter where and how often it is submitted.
 //
-// A client is promised no more than the store that answered promises. If a submission may have been accepted
-// by a store that didn't answer, another store's rejection isn't passed on: the client gets 504, which
-// promises nothing.
+// A client gets no promise that the answering store can't give. If a submission may have been accepted by a store
+// that didn't answer, another store's rejection isn't forwarded: the client gets 504, which promises nothing.
 package batchproxy
 
 import (
@@ -27,13 +26,13 @@
 )
 
 const (
-	// maxHops bounds the stores that one call is sent to.
+	// maxHops is the maximum number of stores that one call is sent to.
 	maxHops = 6
-	// retryAfter is for clients of calls that no store answered.
+	// retryAfter is the Retry-After of calls that no store answered.
 	retryAfter = 300 * time.Millisecond
 )
 
-// Caller forwards calls, and keeps connections to the stores. It is safe for concurrent use.
+// Caller forwards calls and keeps connections to the stores. It is safe for concurrent use.
 type Caller struct {
 	settings *node.Settings
 	options  transport.Options
@@ -42,13 +41,13 @@
 	// send sends a call to one store. It is callProcess, except in tests.
 	send func(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error)
 
-	mu          sync.Mutex             // guards what follows
+	mu          sync.Mutex             // guards the fields below
 	connections map[string]*connection // by IP
-	avoidUntil  map[string]time.Time   // by IP: it timed out, and is asked last until then
-	rotation    int                    // where the next call starts among equal stores
+	avoidUntil  map[string]time.Time   // by IP: until when a store that timed out is asked last
+	rotation    int                    // offset at which the next call starts among equal stores
 }
 
-// New returns a caller that takes the set of stores from members, and their backlogs from a table.
+// New returns a caller that reads the set of stores from members, and their backlogs from a table.
 func New(settings *node.Settings, options transport.Options, members func() *protocol.MemberList,
 	backlogs *serverload.Table) *Caller {
 	options.Heartbeat = heartbeat
@@ -58,7 +57,7 @@
 	return c
 }
 
-// Call forwards a call until there is an answer or ctx ends.
+// Call sends a call to one store after another until there is an answer, no store is left, or ctx ends.
 func (c *Caller) Call(ctx context.Context, call protocol.BatchCall) protocol.BatchAnswer {
 	members := c.members()
 	if members == nil {
@@ -98,16 +97,16 @@
 	return rejection(call, uncertain)
 }
 
-// askAnother sends a call to one more store, after one that answered 503 because it couldn't confirm its
-// state.
+// askAnother sends a call to another store, after a store answered 503 because it couldn't confirm its state. It
+// reports whether that store gave a final answer.
 func (c *Caller) askAnother(ctx context.Context, targets *targetList, call protocol.BatchCall) (
 	protocol.BatchAnswer, bool) {
 	answer, err := c.send(ctx, targets.next(), call)
 	return answer, err == nil && answer.Status != 0
 }
 
-// withdrawPromise replaces a store's promise that a submission wasn't accepted, if another store may have
-// accepted it.
+// withdrawPromise replaces a store's rejection of a submission, which promises that the submission wasn't
+// accepted, by 504 if another store may have accepted it.
 func withdrawPromise(call protocol.BatchCall, answer protocol.BatchAnswer, uncertain bool) protocol.BatchAnswer {
 	rejected := answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusTooManyRequests
 	if rejected && uncertain && call.Operation == protocol.BatchSubmit {
@@ -116,7 +115,7 @@
 	return answer
 }
 
-// rejection is the answer to a call that no store answered.
+// rejection returns the answer to a call that no store answered.
 func rejection(call protocol.BatchCall, uncertain bool) protocol.BatchAnswer {
 	if uncertain && call.Operation == protocol.BatchSubmit {
 		return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
@@ -124,8 +123,8 @@
 	return protocol.BatchAnswer{Status: http.StatusServiceUnavailable, RetryAfterMs: int(retryAfter.Milliseconds())}
 }
 
-// preference returns the IPs of the stores in the order in which they are asked: those of the own zone first,
-// then the others, then those that timed out lately and those that are retiring.
+// preference returns the IPs of the stores in the order in which they are asked: those in the gateway's zone
+// first, then those in other zones, then those that timed out recently and those that are retiring.
 func (c *Caller) preference(members []protocol.StoreMember) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/batchproxy/connections.go
+++ b/internal/gateway/batchproxy/connections.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// connectTimeout bounds the establishment of a connection.
+	// connectTimeout is how long the establishment of a connection may take.
 	connectTimeout = 400 * time.Millisecond
-	// answerTimeout is how long a store may take for its answer, in addition to the client's long poll.
+	// answerTimeout is how long a store may take for its answer, in addition to the wait of a long poll.
 	answerTimeout = 1500 * time.Millisecond
 	// heartbeat is the interval of heartbeats on a connection.
 	heartbeat = 500 * time.Millisecond
@@ -21,16 +21,16 @@
 	idleTimeout = 20 * time.Second
 )
 
-// connection is a connection to a store, which reconnects by itself.
+// connection is a connection to a store. Its client reconnects automatically.
 type connection struct {
 	client   *transport.Client
-	up       chan struct{} // closed once it has been connected
-	lastUsed time.Time     // when a call last acquired it
-	users    int           // calls in flight
+	up       chan struct{} // closed when the connection is established for the first time
+	lastUsed time.Time     // when a call last acquired the connection
+	users    int           // number of calls in flight
 }
 
-// callProcess sends the call to one store. transport.ErrNotConnected means that it wasn't sent; after any
-// other error the store may have got it.
+// callProcess sends a call to one store. transport.ErrNotConnected means that the call wasn't sent; after any
+// other error the store may have received it.
 func (c *Caller) callProcess(ctx context.Context, ip string, call protocol.BatchCall) (protocol.BatchAnswer, error) {
 	conn := c.acquire(ip)
 	defer c.release(conn)
@@ -56,7 +56,8 @@
 	return answer, nil
 }
 
-// acquire returns the connection to a store for one call, and closes those that are idle.
+// acquire returns the connection to a store for one call, and closes the connections that have been idle for
+// longer than idleTimeout.
 func (c *Caller) acquire(ip string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/batchproxy/submit.go
+++ b/internal/gateway/batchproxy/submit.go
@@ -14,7 +14,7 @@
 // hedgeAfter is how long a store may take for a submission before the submission is hedged.
 const hedgeAfter = 100 * time.Millisecond
 
-// avoidFor is how long a store that timed out is asked last.
+// avoidFor is how long a store that didn't answer in time is asked last.
 const avoidFor = time.Second
 
 // attempt is the result of sending the submission to one store.
@@ -29,13 +29,14 @@
 	onSlow    func(ip string) // called with the store that was too slow, when the submission is hedged
 	lastAsked string          // store that the latest attempt was sent to
 	targets   *targetList
-	results   chan attempt          // holds all, so that no sender blocks
-	pending   int                   // attempts without a result
-	uncertain bool                  // a store may have accepted it without saying so
+	results   chan attempt          // has room for all results, so that no sender blocks
+	pending   int                   // number of attempts without a result
+	uncertain bool                  // a store may have accepted the submission without answering
 	rejected  *protocol.BatchAnswer // the last rejection; nil: none
 }
 
-// submit submits a batch job: to one store, to the owner that it names, and to another if none answers soon.
+// submit submits a batch job: to one store, to the owner if a store names it, and to another store whenever
+// there is no answer within hedgeAfter.
 func (c *Caller) submit(ctx context.Context, call protocol.BatchCall, order []string) protocol.BatchAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,7 +55,8 @@
 	return rejection(call, s.uncertain)
 }
 
-// run sends the submission until a store has decided, or none is left.
+// run sends the submission to one store after another until one gives a final answer, none is left or ctx ends.
+// It reports whether there is a final answer.
 func (s *submission) run(ctx context.Context) (protocol.BatchAnswer, bool) {
 	s.next()
 	hedge := time.NewTimer(hedgeAfter)
@@ -81,7 +83,7 @@
 	return protocol.BatchAnswer{}, false
 }
 
-// next sends the submission to one more store.
+// next sends the submission to one more store, if any is left and maxHops isn't reached.
 func (s *submission) next() {
 	if len(s.targets.tried) >= maxHops {
 		return
@@ -95,7 +97,7 @@
 	go func() { s.results <- s.send(ip) }()
 }
 
-// handle evaluates an attempt's result, and reports whether that is the final answer.
+// handle evaluates an attempt's result and reports whether that is the final answer.
 func (s *submission) handle(result attempt) bool {
 	switch {
 	case result.err != nil:
@@ -114,19 +116,19 @@
 	return false
 }
 
-// avoid has a store that didn't answer in time asked last for a while.
+// avoid makes a store that didn't answer in time be asked last for avoidFor.
 func (c *Caller) avoid(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoidUntil[ip] = time.Now().Add(avoidFor)
 }
 
-// isAvoided reports whether a store didn't answer in time lately. mu is held.
+// isAvoided reports whether a store didn't answer in time within the last avoidFor. mu must be held.
 func (c *Caller) isAvoided(ip string, now time.Time) bool {
-	until, slow := c.avoidUntil[ip]
-	if slow && now.After(until) {
+	until, avoided := c.avoidUntil[ip]
+	if avoided && now.After(until) {
 		delete(c.avoidUntil, ip)
 		return false
 	}
-	return slow
+	return avoided
 }
--- a/internal/gateway/batchproxy/target_list.go
+++ b/internal/gateway/batchproxy/target_list.go
@@ -1,10 +1,10 @@
 package batchproxy
 
-// targetList is the stores that one call may still be sent to, by IP.
+// targetList is the list of stores, by IP, that one call may be sent to.
 type targetList struct {
 	order []string
 	tried map[string]bool
-	owner string // of the batch job, if a store has named it and it wasn't asked yet
+	owner string // owner of the batch job, if a store has named it and it hasn't been asked yet
 }
 
 // newTargetList returns a list of stores in the order in which they are asked.
@@ -12,14 +12,15 @@
 	return &targetList{order: order, tried: map[string]bool{}}
 }
 
-// redirect notes the owner of the batch job that a store has named. It is asked next.
+// redirect records the owner of the batch job that a store has named. Unless it has been asked already, it is
+// asked next.
 func (t *targetList) redirect(ip string) {
 	if ip != "" && !t.tried[ip] {
 		t.owner = ip
 	}
 }
 
-// next returns the store to ask, or "" if all have been.
+// next returns the next store to ask, or "" if all have been asked.
 func (t *targetList) next() string {
 	if ip := t.owner; ip != "" {
 		t.owner = ""
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,25 +1,25 @@
 // Package gateway assembles a gateway and runs it as a process.
 //
-// A gateway takes clients' requests and forwards them to servers. Its parts are the packages below this one:
+// A gateway accepts clients' requests and forwards them to servers. Its main parts are these packages:
 //
-//   - subscription keeps the configuration, the servers and the system's processes up to date, from a control
-//     process;
-//   - endpoints holds the servers, for the connection pool (internal/pool) and for serverselection;
-//   - proxy is the life of a request. It asks quotaclient and admission (through admitter) whether to forward
-//     it, serverselection where to, and retry what may follow an attempt; sse scans streams, outcomes counts
-//     how requests ended;
+//   - subscription keeps the configuration and the lists of servers and of the system's processes up to date,
+//     from a control process;
+//   - endpoints holds the list of servers, for the connection pool (internal/pool) and for serverselection;
+//   - proxy serves a request from its head to the end of the response. quotaclient and admission (through
+//     admitter) decide whether the request is forwarded, serverselection selects the server, and retry decides
+//     what may follow an attempt; sse scans streams, and outcomes counts requests by outcome;
 //   - batchproxy forwards calls for batch jobs to batch processes;
 //   - internal/serverload shares the servers' loads with other gateways.
 //
 // # Ports
 //
 // The front port serves clients. It is opened at the start, so that clients that connect meanwhile wait in
-// its queue, and is served once there is a configuration, or after a short wait (configurationWait) without
-// one. The ready port serves /readyz and /metrics.
+// its listen queue, and is served once there is a configuration, or after a short wait (configurationWait)
+// without one. The ready port serves /readyz and /metrics.
 //
 // # Shutdown
 //
-// On SIGTERM the gateway reports itself as not ready, and still accepts connections until the platform has
-// noticed. Requests that were read are answered. The process exits when no connection is open, or before the
+// On SIGTERM the gateway reports itself as not ready, and accepts connections until the platform has noticed
+// that. Requests that have been read are answered. The process exits when no connection is open, or before the
 // platform would kill it.
 package gateway
--- a/internal/gateway/endpoints/registry.go
+++ b/internal/gateway/endpoints/registry.go
@@ -1,9 +1,9 @@
-// Package endpoints holds the list of servers as a process uses it: an immutable Table that is replaced as a
-// whole with each new list, so that a request sees one list from its selection of a server to its end.
+// Package endpoints holds a process's list of servers: an immutable Table that is replaced as a whole with each
+// new list, so that a request uses one list from the selection of a server to its end.
 //
-// The Registry also numbers the servers. The connection pool knows them by these numbers, and the Registry
-// reports to it each server that is added, drained or removed. A server is identified by its id, not its
-// address: if another server gets its address, that one has another number, and connections to the former
+// The Registry also numbers the servers. The connection pool identifies servers by these numbers, and the
+// Registry reports to it each server that is added, drained or removed. A server is identified by its id, not
+// its address: if another server gets the same address, it gets another number, and connections to the former
 // server aren't used for it.
 package endpoints
 
@@ -24,13 +24,13 @@
 type Server struct {
 	protocol.Server
 	Number policy.ServerID // identifies it within this process; never 0
-	Hash   uint64          // of its id; identifies it at all gateways
+	Hash   uint64          // of the server's id; identifies the server at all gateways
 }
 
 // Table is one version of the list of servers. It is immutable.
 type Table struct {
 	Version  uint64
-	Source   string // of the list: versions of different sources can't be compared
+	Source   string // source of the list; versions of different sources can't be compared
 	backends map[string][]*Server
 	numbers  map[policy.ServerID]*Server
 }
@@ -51,7 +51,7 @@
 // ByNumber returns the server with a number, or nil if it was removed or is draining.
 func (t *Table) ByNumber(number policy.ServerID) *Server { return t.numbers[number] }
 
-// Pool is where a Registry reports changes of the servers; pool.Pool implements it.
+// Pool receives the changes of the servers from a Registry. pool.Pool implements it.
 type Pool interface{ Apply([]pool.Change) }
 
 // Registry holds the current table. It is safe for concurrent use.
@@ -59,13 +59,13 @@
 	pool    Pool
 	current atomic.Pointer[Table]
 
-	// mu serializes Apply and guards what follows.
+	// mu serializes Apply and guards the fields below.
 	mu         sync.Mutex
 	lastNumber policy.ServerID  // numbers are never reused
 	entries    map[string]entry // by server id
 }
 
-// entry is what was last reported to the pool about a server.
+// entry is the state of a server that was last reported to the pool.
 type entry struct {
 	number  policy.ServerID
 	address string
@@ -75,10 +75,10 @@
 // NewRegistry returns a registry without a table that reports changes to a pool.
 func NewRegistry(pool Pool) *Registry { return &Registry{pool: pool, entries: map[string]entry{}} }
 
-// Current returns the current table, or nil before the first.
+// Current returns the current table, or nil if no list has been applied yet.
 func (r *Registry) Current() *Table { return r.current.Load() }
 
-// Apply replaces the table by one of a new list. Changes are reported to the pool before the table is
+// Apply replaces the table by one for a new list. Changes are reported to the pool before the new table becomes
 // visible, so that the pool knows each server that can be selected.
 func (r *Registry) Apply(list *protocol.ServerList) {
 	r.mu.Lock()
--- a/internal/gateway/front_port.go
+++ b/internal/gateway/front_port.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// longestDeadline bounds how long a request and its response may take on a client's connection.
+	// longestDeadline is the maximum time that a request and its response may take on a client's connection.
 	longestDeadline = 60 * time.Second
 	// pollInterval is the time between checks for a free port, for the first configuration, and for the end
 	// of a shutdown.
@@ -22,21 +22,22 @@
 	// configurationWait is how long clients wait in the front port's queue for the first configuration. After
 	// that their requests are read, and wait for it in the proxy.
 	configurationWait = 300 * time.Millisecond
-	// minMaxHeaderBytes is what the front port accepts of a head at least. The configured limit, which may
-	// change, is enforced by the proxy.
+	// minMaxHeaderBytes is the minimum of the front port's limit on the size of a head. The configured limit,
+	// which may change, is enforced by the proxy.
 	minMaxHeaderBytes = 64 << 10
-	// defaultHeaderTimeoutMs bounds the reading of a head at a gateway that started without a configuration.
+	// defaultHeaderTimeoutMs bounds the reading of a head, in milliseconds, at a gateway that started without
+	// a configuration.
 	defaultHeaderTimeoutMs = 10_000
-	// defaultIdleTimeout is how long clients' connections may be idle unless it is configured.
+	// defaultIdleTimeout is how long clients' connections may be idle if the configuration doesn't limit it.
 	defaultIdleTimeout = time.Minute
-	// timeoutSlack is added to configured time-outs, so that a client that keeps to them exactly isn't
+	// timeoutSlack is added to configured time-outs, so that a client that uses them up exactly isn't
 	// disconnected.
 	timeoutSlack = 500 * time.Millisecond
 )
 
 // serveClients serves the front port. The port is open from the start, so that clients that connect while the
-// process starts wait in its queue; they are served once there is a configuration, which has the port's
-// limits, or after configurationWait without one.
+// process starts wait in its listen queue. They are served once there is a configuration, which contains the
+// port's limits, or after configurationWait without one.
 func (g *Gateway) serveClients() error {
 	port, err := g.listen()
 	if err != nil {
@@ -49,7 +50,7 @@
 		MaxRequestDeadline: longestDeadline,
 		State:              g.state,
 		ReadHeaderTimeout:  withSlack(limits.HeaderTimeoutMs),
-		IdleTimeoutFunc:    g.idleFor,
+		IdleTimeoutFunc:    g.idleTimeout,
 		MaxHeaderBytes:     max(minMaxHeaderBytes, limits.MaxHeaderBytes),
 	}, g.proxy)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return server.Serve()
 }
 
-// withSlack converts a time-out of the configuration, in milliseconds. 0: none.
+// withSlack converts a configured time-out in milliseconds and adds timeoutSlack. It returns 0 if there is no
+// time-out.
 func withSlack(ms float64) time.Duration {
 	if ms <= 0 {
 		return 0
@@ -69,8 +71,8 @@
 	return time.Duration(ms*float64(time.Millisecond)) + timeoutSlack
 }
 
-// idleFor returns how long clients' connections may be idle, by the configuration in force.
-func (g *Gateway) idleFor() time.Duration {
+// idleTimeout returns how long clients' connections may be idle according to the configuration in force.
+func (g *Gateway) idleTimeout() time.Duration {
 	snapshot := g.subscription.Configuration()
 	if snapshot == nil || snapshot.Limits.IdleTimeoutMs <= 0 {
 		return defaultIdleTimeout
@@ -78,7 +80,8 @@
 	return withSlack(snapshot.Limits.IdleTimeoutMs)
 }
 
-// awaitLimits waits for the limits of the first configuration, for at most configurationWait.
+// awaitLimits waits for the first configuration, for at most configurationWait, and returns its limits. Without
+// one it returns default limits.
 func (g *Gateway) awaitLimits() configuration.Limits {
 	for until := time.Now().Add(configurationWait); ; time.Sleep(pollInterval) {
 		if snapshot := g.subscription.Configuration(); snapshot != nil {
@@ -90,7 +93,8 @@
 	}
 }
 
-// listen opens the front port. For a while the previous incarnation of the process may still have it.
+// listen opens the front port. It retries for listenRetryFor while the address is in use, because the previous
+// incarnation of the process may still have the port for a while.
 func (g *Gateway) listen() (net.Listener, error) {
 	for until := time.Now().Add(listenRetryFor); ; time.Sleep(pollInterval) {
 		port, err := net.Listen("tcp", g.settings.ListenFront)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,14 +33,14 @@
 )
 
 const (
-	// reservedFDs are the file descriptors that aren't used for connections: those that the platform
+	// reservedFDs is the number of file descriptors that aren't used for connections: those that the platform
 	// reserves, and the process's own.
 	reservedFDs = 240
-	// clientShare is the part of the other descriptors that clients' connections may use. Connections to
-	// servers have the rest.
+	// clientShare is the fraction of the other descriptors that clients' connections may use. Connections to
+	// servers use the rest.
 	clientShare = 0.6
-	// bodyShare is the part of the memory limit that bodies of requests and buffered responses may take
-	// together.
+	// bodyShare is the fraction of the memory limit that the bodies of requests and buffered responses may use
+	// in total.
 	bodyShare = 0.3
 	// connectTimeout bounds the dialling of a connection to a server.
 	connectTimeout = 400 * time.Millisecond
@@ -60,7 +60,7 @@
 	batch        *batchproxy.Caller
 	admitter     *admitter
 	proxy        *proxy.Proxy
-	metrics      http.Handler                 // of Metrics
+	metrics      http.Handler                 // serves the metrics of Metrics
 	clients      atomic.Pointer[front.Server] // nil until the front port is served
 }
 
@@ -123,10 +123,10 @@
 	return max(0, settings.Limits.MaxFDs-reservedFDs) - maxClientSockets(settings)
 }
 
-// Reload applies changed settings: the seeds. What the process listens on stays as it is.
+// Reload applies changed settings. Only the seeds are applied; the listen addresses don't change.
 func (g *Gateway) Reload(settings *node.Settings) { g.subscription.Seed(settings) }
 
-// Run serves until Shutdown has completed, or returns the error of a port that can't be served.
+// Run serves until the shutdown is complete, and then returns nil. It returns an error if a port can't be served.
 func (g *Gateway) Run() error {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -161,7 +161,7 @@
 }
 
 // shareLoads shares the loads that servers report, and announcements of long prompts, with other processes.
-// If its port isn't available the gateway knows only the loads that servers report to itself.
+// If its port isn't available, the gateway knows only the loads that servers report to it directly.
 func (g *Gateway) shareLoads(ctx context.Context) {
 	if ablation.Off(ablation.SharedLoad) {
 		return
@@ -176,7 +176,7 @@
 	go sharing.Run(ctx)
 }
 
-// Check returns what the settings lack for a gateway.
+// Check returns an error that lists the settings that a gateway requires and that are missing, or nil.
 func Check(settings *node.Settings) error {
 	var findings node.Findings
 	if settings.ListenFront == "" {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -10,16 +10,16 @@
 	"sprucelane.example/sprucelane/internal/pool"
 )
 
-// Metrics returns a gateway's metrics. Those of nil can only be described.
+// Metrics returns a gateway's metrics. For a nil gateway they have their descriptions but can't be read.
 func Metrics(g *Gateway) []metrics.Metric {
 	list := append(g.requestMetrics(), g.stateMetrics()...)
 	return append(list, g.connectionMetrics()...)
 }
 
-// requestMetrics are about clients' requests.
+// requestMetrics returns the metrics of clients' requests.
 func (g *Gateway) requestMetrics() []metrics.Metric {
-	quotaCount := func(which func() uint64) func(metrics.Emit) {
-		return func(emit metrics.Emit) { emit.Value(float64(which())) }
+	quotaCount := func(value func() uint64) func(metrics.Emit) {
+		return func(emit metrics.Emit) { emit.Value(float64(value())) }
 	}
 	return []metrics.Metric{
 		{Name: "sprucelane_requests_total", Kind: metrics.Counter, Labels: []string{"route", "outcome"},
@@ -61,7 +61,7 @@
 	}
 }
 
-// stateMetrics are about what the gateway holds of control's state.
+// stateMetrics returns the metrics of the gateway's copy of control's state and of the process.
 func (g *Gateway) stateMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_ready", Kind: metrics.Gauge, Help: "1 while clients should be sent here, as GET /readyz says.",
@@ -98,10 +98,10 @@
 	}
 }
 
-// connectionMetrics are about connections to clients and servers.
+// connectionMetrics returns the metrics of connections to clients and servers.
 func (g *Gateway) connectionMetrics() []metrics.Metric {
-	count := func(which func(pool.Stats) uint64) func(metrics.Emit) {
-		return func(emit metrics.Emit) { emit.Value(float64(which(g.pool.Stats()))) }
+	count := func(value func(pool.Stats) uint64) func(metrics.Emit) {
+		return func(emit metrics.Emit) { emit.Value(float64(value(g.pool.Stats()))) }
 	}
 	return []metrics.Metric{
 		{Name: "sprucelane_client_connections", Kind: metrics.Gauge, Help: "Open connections of clients.",
--- a/internal/gateway/quotaclient/allocator.go
+++ b/internal/gateway/quotaclient/allocator.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// step does what is due, and returns the time until the next step.
+// step connects to the current allocator, decides waiting requests, writes the rejection log and sends a request
+// to the allocator, each if it is due. It returns the time until the next step.
 func (l *Limiter) step(ctx context.Context) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -44,7 +45,8 @@
 	return max(minStepInterval, l.client.WakeAt(now)-now)
 }
 
-// followAllocator connects to the allocator that the list of processes names. mutex is held.
+// followAllocator connects to the allocator whose address is in the list of processes, if it has changed. mutex
+// must be held.
 func (l *Limiter) followAllocator() {
 	members := l.options.Members()
 	if members == nil || members.QuotaAddress == l.address {
@@ -61,7 +63,8 @@
 	}
 }
 
-// connected has requests that failed without a connection sent again.
+// connected handles changes of the connection to the allocator. Once it is established, requests that failed
+// without a connection are sent again.
 func (l *Limiter) connected(up bool) {
 	if !up {
 		return
@@ -72,10 +75,10 @@
 	l.wake()
 }
 
-// sendRequest sends one request to the allocator and handles the reply. If none comes, an empty one is
-// handled in its place.
-func (l *Limiter) sendRequest(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) {
-	reply, answered := call(ctx, link, request)
+// sendRequest sends one request to the allocator and handles the reply. Without a reply it handles an empty one
+// instead.
+func (l *Limiter) sendRequest(ctx context.Context, connection *transport.Client, request protocol.QuotaRequest) {
+	reply, answered := call(ctx, connection, request)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := l.now()
@@ -88,11 +91,11 @@
 	l.wake()
 }
 
-// call sends a request and waits for the reply.
-func call(ctx context.Context, link *transport.Client, request protocol.QuotaRequest) (protocol.QuotaReply, bool) {
+// call sends a request and waits for the reply. It reports whether a valid reply was received.
+func call(ctx context.Context, connection *transport.Client, request protocol.QuotaRequest) (protocol.QuotaReply, bool) {
 	limited, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	answer, err := link.Call(limited, request)
+	answer, err := connection.Call(limited, request)
 	if err != nil {
 		return protocol.QuotaReply{}, false
 	}
@@ -100,7 +103,7 @@
 	return reply, ok
 }
 
-// resolve decides about the requests that wait, the oldest first. mutex is held.
+// resolve decides the waiting requests for which that is possible, the oldest first. mutex must be held.
 func (l *Limiter) resolve(now time.Duration) {
 	kept := l.waiters[:0]
 	for _, pending := range l.waiters {
--- a/internal/gateway/quotaclient/limiter.go
+++ b/internal/gateway/quotaclient/limiter.go
@@ -1,10 +1,10 @@
-// Package quotaclient enforces tenants' rate limits at a gateway. Package quota's client decides about each
-// token and does no input or output; this package sends the client's requests for leases of tokens to the
-// allocator, in a control process, and lets clients' requests wait for tokens.
+// Package quotaclient enforces tenants' rate limits at a gateway. The client of package quota decides whether a
+// request gets a token, and does no input or output. This package sends the client's requests for leases of
+// tokens to the allocator, which runs in a control process, and lets clients' requests wait for tokens.
 //
-// A request that needs a token either has one at once, or waits: for longer if its lease will surely have a
-// token by then, else only as long as a rejection (429) is still timely. Without an allocator existing leases
-// carry on until they expire.
+// A request that needs a token either gets one at once or waits for one. It waits longer if its tenant's lease
+// will certainly have a token by then; otherwise only for as long as a rejection (429) is still timely. Without
+// an allocator, existing leases are used until they expire.
 package quotaclient
 
 import (
@@ -21,54 +21,54 @@
 )
 
 const (
-	replyTimeout    = 600 * time.Millisecond // of a request to the allocator
-	heartbeat       = 500 * time.Millisecond // on the connection to the allocator
-	minStepInterval = time.Millisecond       // of Run
+	replyTimeout    = 600 * time.Millisecond // how long a request to the allocator waits for the reply
+	heartbeat       = 500 * time.Millisecond // interval of heartbeats on the connection to the allocator
+	minStepInterval = time.Millisecond       // minimum time until Run's next scheduled step
 	certainMargin   = 5 * time.Millisecond   // added to the wait for a token that a lease will have
 )
 
-// Options are a limiter's fixed parts.
+// Options configure a limiter.
 type Options struct {
 	Process   protocol.Process
 	Transport transport.Options
-	Members   func() *protocol.MemberList // may return nil: not known yet
+	Members   func() *protocol.MemberList // returns nil if the list isn't known yet
 	Log       zerolog.Logger
 }
 
 // WaitLimits are how long a request may wait for a token.
 type WaitLimits struct {
-	Uncertain time.Duration // while it isn't known whether there will be one: a rejection must come soon
-	Certain   time.Duration // if its lease will have one by then
+	Uncertain time.Duration // while it isn't known whether a token will be available: a rejection must be sent soon
+	Certain   time.Duration // if the tenant's lease will have a token by then
 }
 
-// Decision is the answer to Acquire.
+// Decision is the result of Acquire.
 type Decision struct {
 	Admit      bool
-	RetryAfter time.Duration // if it is rejected
+	RetryAfter time.Duration // of a rejected request
 
-	takenAt time.Duration // when its token was taken
+	takenAt time.Duration // when the token was taken
 }
 
-// Counts are totals since the start.
+// Counts are totals since the limiter was created.
 type Counts struct {
 	Admitted uint64
 	Rejected uint64 // over the limit, or while no allocator could be reached
-	Waited   uint64 // of both, those that waited
+	Waited   uint64 // admitted or rejected requests that had to wait
 	Requests uint64 // requests to the allocator
-	Failed   uint64 // of these, those without a reply
+	Failed   uint64 // requests to the allocator without a reply
 }
 
-// Limiter holds a gateway's tokens. It is safe for concurrent use.
+// Limiter enforces the rate limits of tenants at one gateway. It is safe for concurrent use.
 type Limiter struct {
 	options Options
 	origin  time.Time
-	wakeup  chan struct{} // has Run take a step now
+	wakeup  chan struct{} // makes Run take a step at once
 
-	mutex      sync.Mutex // guards what follows
+	mutex      sync.Mutex // guards the fields below
 	client     *quota.Client
-	waiters    []*waiter         // the oldest first
+	waiters    []*waiter         // oldest first
 	address    string            // of the allocator
-	connection *transport.Client // to the allocator; nil: none is known
+	connection *transport.Client // to the allocator; nil: no address is known
 	counts     Counts
 	rejections rejectionLog
 }
@@ -76,7 +76,7 @@
 // waiter is a request that waits for a token.
 type waiter struct {
 	tenant  *configuration.Tenant
-	decided chan Decision // buffered: resolve doesn't wait for the waiter
+	decided chan Decision // buffered, so that resolve doesn't block
 }
 
 // New returns a limiter without tokens. Run requests them.
@@ -88,7 +88,7 @@
 	}
 }
 
-// now returns the time since the limiter was made, by the process's monotonic clock.
+// now returns the time since the limiter was created, by the process's monotonic clock.
 func (l *Limiter) now() time.Duration { return time.Since(l.origin) }
 
 // Configure applies a configuration.
@@ -98,8 +98,8 @@
 	l.client.Configure(snapshot)
 }
 
-// Acquire takes a token for a request, or waits for one within limits and until ctx ends. A nil tenant has no
-// limit.
+// Acquire takes a token for a request, or waits for one within limits and until ctx ends. A nil tenant isn't
+// limited.
 func (l *Limiter) Acquire(ctx context.Context, tenant *configuration.Tenant, limits WaitLimits) Decision {
 	decision, pending, wait := l.tryAcquire(tenant, limits)
 	if pending == nil {
@@ -116,7 +116,7 @@
 	return l.abandon(pending)
 }
 
-// tryAcquire decides at once, or returns a waiter and for how long to wait.
+// tryAcquire returns a decision if it can be made at once, or else a waiter and how long it may wait.
 func (l *Limiter) tryAcquire(tenant *configuration.Tenant, limits WaitLimits) (Decision, *waiter, time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -140,7 +140,7 @@
 	return Decision{}, pending, wait
 }
 
-// count counts a decision. mutex is held.
+// count counts a verdict and returns it as a Decision. mutex must be held.
 func (l *Limiter) count(now time.Duration, tenant *configuration.Tenant, verdict quota.Verdict) Decision {
 	if verdict.Admit {
 		l.counts.Admitted++
@@ -151,7 +151,8 @@
 	return Decision{Admit: verdict.Admit, RetryAfter: verdict.RetryAfter, takenAt: now}
 }
 
-// abandon ends a wait, unless it has just been decided.
+// abandon ends the wait of a request and rejects it. If the request has just been decided, abandon returns that
+// decision instead.
 func (l *Limiter) abandon(pending *waiter) Decision {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -165,14 +166,14 @@
 	return <-pending.decided
 }
 
-// Charge counts a retry of a request that a server may have run.
+// Charge takes a token for a retry of a request that a server may have run.
 func (l *Limiter) Charge(tenant *configuration.Tenant) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.client.Charge(l.now(), tenant)
 }
 
-// Return returns the token of a decision, if no byte of the request went to a server.
+// Return gives back the token of a decision. No byte of the request may have been sent to a server.
 func (l *Limiter) Return(tenant *configuration.Tenant, decision Decision) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -186,7 +187,7 @@
 	return l.counts
 }
 
-// wake has Run take the next step now.
+// wake makes Run take the next step at once.
 func (l *Limiter) wake() {
 	select {
 	case l.wakeup <- struct{}{}:
--- a/internal/gateway/quotaclient/rejection_log.go
+++ b/internal/gateway/quotaclient/rejection_log.go
@@ -6,16 +6,16 @@
 	"github.com/rs/zerolog"
 )
 
-// rejectionLogInterval is the least time between two log lines on the same tenant.
+// rejectionLogInterval is the minimum time between two log lines on the same tenant.
 const rejectionLogInterval = 10 * time.Second
 
 // tenantRejections are a tenant's rejections since the last log line.
 type tenantRejections struct {
 	overLimit   int
-	unreachable int // while the allocator had timed out
+	unreachable int // rejections while the allocator had timed out
 }
 
-// rejectionLog logs which tenants are rejected. The limiter's mutex guards it.
+// rejectionLog logs the number of rejected requests by tenant. The limiter's mutex guards it.
 type rejectionLog struct {
 	next    time.Duration
 	tenants map[string]tenantRejections
@@ -35,7 +35,7 @@
 	r.tenants[tenant] = rejections
 }
 
-// write logs a line for each tenant with rejections.
+// write logs a line for each tenant with rejections, at most every rejectionLogInterval.
 func (r *rejectionLog) write(now time.Duration, log *zerolog.Logger) {
 	if len(r.tenants) == 0 || now < r.next {
 		return
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// acceptAfterShutdown is how long new connections are accepted after SIGTERM: the platform notices within
-	// two of its readiness checks.
+	// acceptAfterShutdown is how long new connections are accepted after SIGTERM. The platform notices the
+	// shutdown within two of its readiness checks.
 	acceptAfterShutdown = 2300 * time.Millisecond
-	// killMargin is how long before the platform kills the process it must have exited.
+	// killMargin is the time before the platform kills the process by which the process must have exited.
 	killMargin = 500 * time.Millisecond
 )
 
-// Shutdown starts the graceful shutdown: clients are sent elsewhere, and requests that were read are
-// answered. Run returns when it is complete.
+// Shutdown starts the graceful shutdown: the gateway reports itself as not ready, and requests that have been
+// read are answered. Run returns when the shutdown is complete.
 func (g *Gateway) Shutdown() {
 	within := max(acceptAfterShutdown, g.settings.Bounds.Grace-killMargin)
 	if g.state.Shutdown(time.Now(), within) {
@@ -31,7 +31,7 @@
 	return time.Hour
 }
 
-// openConnections returns the number of clients' connections.
+// openConnections returns the number of clients' open connections.
 func (g *Gateway) openConnections() int {
 	if server := g.clients.Load(); server != nil {
 		return server.OpenConnections()
--- a/internal/gateway/sse/scanner.go
+++ b/internal/gateway/sse/scanner.go
@@ -1,9 +1,9 @@
-// Package sse scans event streams (text/event-stream, in the HTML standard: server-sent events) as their
-// bytes arrive. It finds where events end and which id the last of them has, so that a proxy can forward
+// Package sse scans event streams (text/event-stream, the server-sent events of the HTML standard) as their
+// bytes arrive. It finds the ends of events and the id of the last complete one, so that a proxy can forward
 // complete events only, and can resume a stream after its last event.
 //
-// The bytes of events are never changed. Events that are complete are forwarded as they came, with their line
-// ends and fields that the scanner doesn't know.
+// The bytes of events are never changed. Complete events are forwarded unchanged, including their line ends and
+// fields that the scanner doesn't know.
 package sse
 
 import (
@@ -11,10 +11,10 @@
 	"strconv"
 )
 
-// MaxEventBytes is the size of the longest event that is accepted.
+// MaxEventBytes is the maximum size of an event.
 const MaxEventBytes = 1 << 20
 
-// Scanner holds the part of a stream that has arrived and wasn't consumed. It belongs to one goroutine.
+// Scanner holds the part of a stream that has arrived and hasn't been consumed. It isn't safe for concurrent use.
 //
 // The cycle of use is Reserve, read into the returned slice, Advance, Complete, Consume.
 type Scanner struct {
@@ -26,7 +26,7 @@
 
 	eventID    uint64 // of the event being scanned
 	hasEventID bool
-	lastID     uint64 // of the last complete event that has one
+	lastID     uint64 // id of the last complete event that has one
 	hasLastID  bool
 
 	resuming    bool
@@ -34,17 +34,17 @@
 	gap         bool
 }
 
-// NewScanner returns a scanner that uses the memory of a buffer.
+// NewScanner returns a scanner for the beginning of a stream, which uses the memory of a buffer.
 func NewScanner(buffer []byte) *Scanner { return &Scanner{buffer: buffer[:0]} }
 
-// Resume prepares the scanner for another server's stream that continues after an event. The incomplete event
-// at the end of the previous stream is dropped, and so will be the events up to after, which were forwarded
-// already. Gap reports whether events after it are missing.
+// Resume prepares the scanner for another server's stream that continues after the event with the id after. The
+// incomplete event at the end of the previous stream is dropped. Events of the new stream with ids up to after
+// are dropped too, as they have been forwarded already. Gap reports whether events after that one are missing.
 func (s *Scanner) Resume(after uint64) {
 	*s = Scanner{buffer: s.buffer[:0], resuming: true, resumeAfter: after, lastID: after, hasLastID: true}
 }
 
-// Reserve returns least bytes or more of free space for what arrives next.
+// Reserve returns free space of at least the given number of bytes, for the next part of the stream.
 func (s *Scanner) Reserve(least int) []byte {
 	if cap(s.buffer)-len(s.buffer) < least {
 		grown := make([]byte, len(s.buffer), max(2*cap(s.buffer), len(s.buffer)+least))
@@ -75,7 +75,7 @@
 	}
 }
 
-// parseField reads a line's field, if it is an id. Ids that are no numbers count as none.
+// parseField parses a line's field if it is an id. An id that isn't a number counts as none.
 func (s *Scanner) parseField(line []byte) {
 	value, found := bytes.CutPrefix(line, []byte("id:"))
 	if !found {
@@ -85,7 +85,7 @@
 	s.eventID, s.hasEventID = id, err == nil
 }
 
-// endEvent completes the event being scanned, or drops it if the previous stream had it.
+// endEvent completes the event being scanned, or drops it if the previous stream contained it.
 func (s *Scanner) endEvent() {
 	repeated := s.resuming && s.hasEventID && s.eventID <= s.resumeAfter
 	if repeated {
@@ -104,10 +104,10 @@
 	s.hasEventID = false
 }
 
-// Complete returns the complete events. The slice is valid until Consume or Reserve.
+// Complete returns the complete events. The slice is valid until Consume or Reserve is called.
 func (s *Scanner) Complete() []byte { return s.buffer[:s.complete] }
 
-// Partial returns what follows the complete events.
+// Partial returns the bytes after the complete events.
 func (s *Scanner) Partial() []byte { return s.buffer[s.complete:] }
 
 // Consume drops the complete events.
@@ -122,11 +122,11 @@
 // LastID returns the id of the last complete event that has one, and whether there is such an event.
 func (s *Scanner) LastID() (id uint64, found bool) { return s.lastID, s.hasLastID }
 
-// Gap reports whether a resumed stream lacks events.
+// Gap reports whether events are missing from a resumed stream.
 func (s *Scanner) Gap() bool { return s.gap }
 
 // TooLong reports whether the incomplete event exceeds MaxEventBytes.
 func (s *Scanner) TooLong() bool { return len(s.buffer)-s.complete > MaxEventBytes }
 
-// Buffer returns the buffer's memory, for another scanner. The scanner must not be used afterwards.
+// Buffer returns the buffer's memory for use by another scanner. This scanner must not be used afterwards.
 func (s *Scanner) Buffer() []byte { return s.buffer[:0] }
--- a/internal/gateway/subscription/control_selector.go
+++ b/internal/gateway/subscription/control_selector.go
@@ -10,7 +10,7 @@
 )
 
 // failureBackoff is the time after its failure during which a control process is chosen only if all others have
-// failed as well.
+// failed recently, too.
 const failureBackoff = 3 * time.Second
 
 // ControlSelector chooses the control process to subscribe to. It never removes a candidate, because a control
@@ -83,8 +83,9 @@
 	return slices.MinFunc(list, func(a, b *controlProcess) int { return s.compare(a, b, now) }).ip
 }
 
-// compare orders candidates: those that have not failed recently come first; among those that have, the one
-// that failed earliest. Then come those in the newest list, those in this process's zone, and lower weights.
+// compare orders candidates. Those that have not failed recently come first; among those that have, the one that
+// failed earliest. Candidates that are equal in that are ordered by whether they are in the newest list, whether
+// they are in this process's zone, and by weight.
 func (s *ControlSelector) compare(a, b *controlProcess, now time.Time) int {
 	return cmp.Or(
 		compareBool(a.backingOff(now), b.backingOff(now)),
