--- a/internal/gateway/admitter.go
+++ b/internal/gateway/admitter.go
@@ -42,7 +42,7 @@
 	servers   *endpoints.Registry
 	members   func() *protocol.MemberList
 
-	mu             sync.Mutex           // guards what follows
+	mu             sync.Mutex           // guards the fields below
 	loadReportedAt map[string]time.Time // by backend
 }
 
--- a/internal/gateway/proxy/admission.go
+++ b/internal/gateway/proxy/admission.go
@@ -26,7 +26,7 @@
 // AdmissionRequest has the properties of a request that admission depends on.
 type AdmissionRequest struct {
 	Route    *configuration.Route
-	Tenant   *configuration.Tenant // nil on a public route
+	Tenant   *configuration.Tenant // nil if the request has none
 	Backend  string
 	Workload serverselection.Workload
 	Deadline time.Time
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -94,8 +94,8 @@
 // exitMargin is the time before the process exits by which a response must have been sent.
 const exitMargin = 100 * time.Millisecond
 
-// runsUntil reports whether a request that is read at now can be served until moment, that is, whether the
-// process exits later than exitMargin after it.
+// runsUntil reports whether a request that is read at now can be served until moment. It can't if ExitTime
+// applies to it and the process exits less than exitMargin after moment.
 func (p *Proxy) runsUntil(now, moment time.Time) bool {
 	if p.ExitTime == nil {
 		return true
--- a/internal/gateway/proxy/request.go
+++ b/internal/gateway/proxy/request.go
@@ -41,8 +41,8 @@
 
 	configuration *configuration.Snapshot // in which route and tenant were looked up
 	route         *configuration.Route
-	tenant        *configuration.Tenant   // nil on a public route without a known key
-	operation     protocol.BatchOperation // 0: not a call for a batch job
+	tenant        *configuration.Tenant   // nil if the request has none; see authenticate
+	operation     protocol.BatchOperation // 0: a live request, not a call for a batch job
 	leaseExpired  bool                    // the key lease wasn't valid right before configuration was loaded
 
 	admission   AdmissionRequest
@@ -55,7 +55,7 @@
 	counted bool              // the outcome has been counted
 
 	scanner       *sse.Scanner // nil: no attempt has returned a stream
-	streamBuffer  *[]byte      // the scanner's initial buffer, from streamBuffers
+	streamBuffer  *[]byte      // the scanner's buffer, from streamBuffers
 	streamStarted bool         // the head of an event stream has been sent to the client
 	lastEventID   string       // the client's Last-Event-Id; for a resumption, the id of the last event sent to the client
 }
--- a/internal/gateway/quotaclient/allocator.go
+++ b/internal/gateway/quotaclient/allocator.go
@@ -92,10 +92,10 @@
 }
 
 // call sends a request and waits for the reply. It reports whether a valid reply was received.
-func call(ctx context.Context, connection *transport.Client, request protocol.QuotaRequest) (protocol.QuotaReply, bool) {
+func call(ctx context.Context, client *transport.Client, request protocol.QuotaRequest) (protocol.QuotaReply, bool) {
 	limited, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
-	answer, err := connection.Call(limited, request)
+	answer, err := client.Call(limited, request)
 	if err != nil {
 		return protocol.QuotaReply{}, false
 	}
--- a/internal/gateway/subscription/random_test.go
+++ b/internal/gateway/subscription/random_test.go
@@ -165,8 +165,8 @@
 	return h, ""
 }
 
-// simulateRandomFaults runs a simulation with random faults of all kinds, and returns the message of the check that failed
-// or "".
+// simulateRandomFaults runs a simulation with random faults of all kinds, and returns the message of the check
+// that failed or "".
 func simulateRandomFaults(seed uint64, bug injectedBug) (h *harness, violation string) {
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -198,7 +198,7 @@
 	return h, ""
 }
 
-// environmentInt returns the number in an environment variable, or usual if there is none.
+// environmentInt returns the number in an environment variable, or fallback if there is none.
 func environmentInt(name string, fallback int) int {
 	if number, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return number
--- a/internal/gateway/subscription/subscription.go
+++ b/internal/gateway/subscription/subscription.go
@@ -48,7 +48,7 @@
 	members       atomic.Pointer[protocol.MemberList]
 	confirmedAt   atomic.Int64 // when the last poll was sent whose answer confirmed the state, in nanoseconds after origin
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu            sync.Mutex
 	control       *ControlSelector
 	state         *configuration.State    // the newest configuration received
