--- a/internal/core/answer.go
+++ b/internal/core/answer.go
@@ -7,39 +7,40 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// End says how an attempt ended.
+// End is how an attempt ended.
 type End uint8
 
-// The ends of an attempt: every way in which a connection can end is one of them.
+// The ends of an attempt. Every way in which a connection can end is one of them.
 const (
-	EndNone            End = iota // it goes on; where a carrier returns it all the same, the request may have run
+	EndNone            End = iota // the attempt goes on; if a Carrier returns this all the same, the request may have run
 	EndServed                     // a complete answer with status 200
 	EndErrored                    // any other answer: the request may have run
-	EndRejected                   // an answer that says that the request has not run
+	EndRejected                   // an answer which says that the request has not run
 	EndNoConnect                  // no connection was established
 	EndWriteFailed                // the connection broke before the last byte was written
-	EndReset                      // it broke after that, or the answer was incomplete
-	EndStale                      // a kept connection had been closed by the server, which says nothing of it
+	EndReset                      // the connection broke after the last byte, or the answer was incomplete
+	EndStale                      // the server had closed a kept-alive connection, which says nothing about the server
 	EndTimedOut                   // there was no answer when the attempt's time was over
-	EndCancelled                  // policy has cancelled it
-	EndDrained                    // the server drains or has departed: nothing was written
+	EndCancelled                  // policy cancelled the attempt
+	EndDrained                    // the server is draining or has departed: nothing was written
 	EndAlreadyAnswered            // the transaction had its final answer: nothing was written
 	EndNoDescriptor               // the budget for file descriptors is used up: nothing was written
-	EndUnauthorized               // Request.Authorize said no: nothing was written
-	EndCheckFailed                // Request.Authorize gave no verdict: nothing was written
-	EndBodyIncomplete             // the client's body didn't come completely: the last byte was not written
-	EndNoMemory                   // the budget for bodies is used up: the last byte was not written
+	EndUnauthorized               // Request.Authorize returned Inactive: nothing was written
+	EndCheckFailed                // Request.Authorize returned Unknown: nothing was written
+	EndBodyIncomplete             // the client's body didn't arrive completely: the last byte was not written
+	EndNoMemory                   // the memory budget for bodies is used up: the last byte was not written
 	EndBodyConsumed               // an earlier attempt has consumed the body: nothing was written
-	EndRepeatUnsafe               // it got a connection when a repeat was no longer harmless: nothing was written
+	EndRepeatUnsafe               // a repeat was no longer harmless once it was connected: nothing was written
 	endCount
 )
 
-// endTable has each end's name in logs and counters, and what it means to policy and to the storm control. What was
-// never written completely has not run; what was written completely may have.
+// endTable has each end's name in logs and counters, its meaning to policy, and whether it counts as a failed attempt
+// in the storm control. A request that was never written completely has not run; one that was written completely may
+// have.
 var endTable = [endCount]struct {
 	name   string
 	ending policy.Ending
-	lost   bool // a failure of the server, or of the way there
+	failed bool // a failure of the server or of the network path to it
 }{
 	EndNone:            {"none", policy.ConnectionLost, false},
 	EndServed:          {"served", policy.Served, false},
@@ -62,27 +63,27 @@
 	EndRepeatUnsafe:    {"lapsed", policy.NeverSent, false},
 }
 
-// String gives the name in logs and counters.
+// String returns the end's name in logs and counters.
 func (e End) String() string { return endTable[e].name }
 
 // Answer is a transaction's final answer.
 type Answer struct {
 	Kind       AnswerKind
-	Attempted  bool          // an attempt was started, or Request.Authorize gave no verdict
-	TimedOut   bool          // of a failure: an attempt was in flight when the time was over
-	RetryAfter time.Duration // of a refusal: the wait before a repeat; 0 names none
+	Attempted  bool          // an attempt was started, or Request.Authorize returned Unknown
+	TimedOut   bool          // if Failed: an attempt was still in flight at the final answer
+	RetryAfter time.Duration // if Refused: the wait before a repeat; 0 means that none is named
 
-	// Of a served transaction: the body as the server made it, wholly or its beginning; what follows, nil where nothing
-	// does, in which an error other than io.EOF means that the answer is incomplete; the length of both together where
-	// there is a remainder, -1 if unknown; and the content type.
+	// If Served: Body is the server's body, or its beginning if Remainder is not nil. Remainder reads the rest; an error
+	// other than io.EOF means that the answer is incomplete. With a Remainder, ContentLength is the length of both
+	// together, or -1 if unknown.
 	Body          []byte
 	Remainder     io.ReadCloser
 	ContentLength int64
 	ContentType   string
 
-	Units      float64   // drawn, by the server; 0 where it didn't say
-	LoadReport []float32 // by policy.Settings.LoadReportFields, with NaN for those not given; nil where none came
-	Release    func()    // nil, or gives the body's memory back once the answer is written or discarded
+	Units      float64   // units drawn, as reported by the server; 0 if it reported none
+	LoadReport []float32 // the server's values of policy.Settings.LoadReportFields, NaN for missing ones; nil: no report
+	Release    func()    // releases the body's memory once the answer is written or discarded; nil: nothing to release
 }
 
 // Discard releases what the answer holds.
@@ -101,12 +102,12 @@
 // The kinds of answer.
 const (
 	Served       AnswerKind = iota
-	Refused                 // it has not run or may run again: a repeat is harmless
-	Failed                  // it may have run
-	Unauthorized            // Request.Authorize said no
+	Refused                 // the request has not run or may run again: a repeat is harmless
+	Failed                  // the request may have run
+	Unauthorized            // Request.Authorize returned Inactive
 	ClientGone              // the client has left: nobody waits for an answer
 	answerKindCount
 )
 
-// answerNames are the names in logs and counters.
+// answerNames has the names of the kinds in logs and counters.
 var answerNames = [answerKindCount]string{"served", "refused", "failed", "denied", "gone"}
--- a/internal/core/answer_test.go
+++ b/internal/core/answer_test.go
@@ -13,9 +13,9 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Policy doesn't hear of a client that left before its request is decided on: no units are drawn.
+// A request whose client left before policy decided on it isn't passed to policy and draws no units.
 func TestClientThatLeftDrawsNothing(t *testing.T) {
-	c, _ := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
+	c, _ := startCore(t, func(*Attempt) (End, Answer) { panic("an attempt was started") })
 	ctx, leave := context.WithCancel(context.Background())
 	leave()
 	a := c.Serve(ctx, Request{Request: policy.Request{Class: 1, Units: 1, SetSize: 1, Deadline: c.Now() + 10*time.Second}})
@@ -25,9 +25,9 @@
 	assert.Contains(t, counts, "customers=0")
 }
 
-// What comes between shutdown and the end of the process is refused at once, and not left unanswered.
+// Requests that arrive between the shutdown and the exit of the process are refused at once, and not left unanswered.
 func TestRequestsAfterShutdownAreRefused(t *testing.T) {
-	c, ask := start(t, func(*Attempt) (End, Answer) { panic("sent on") })
+	c, ask := startCore(t, func(*Attempt) (End, Answer) { panic("an attempt was started") })
 	c.Shutdown()
 	begun := time.Now()
 	for class := range 2 {
@@ -37,13 +37,14 @@
 	assert.Contains(t, c.Counters().String(), "open=0")
 }
 
-// An answer comes as the deadline passes: the client gets one answer, and what the other one holds is released once.
+// A server's answer arrives just after the deadline has failed the transaction: the client gets one answer, and the
+// connection and the memory of the other one are released exactly once.
 func TestAnswerAtTheDeadline(t *testing.T) {
 	answered := make(chan bool)
 	var freed, closed atomic.Int32
-	c, ask := start(t, func(f *Attempt) (End, Answer) {
+	c, ask := startCore(t, func(f *Attempt) (End, Answer) {
 		f.Begin(io.NopCloser(nil))
-		<-answered // the deadline has fired, and the flow doesn't know
+		<-answered // the deadline has passed, which the carrier doesn't know
 		return EndServed, Answer{Remainder: countingCloser{&closed}, Release: func() { freed.Add(1) }}
 	})
 	assert.Equal(t, Failed, ask(1, 300*time.Millisecond).Kind)
@@ -54,7 +55,7 @@
 	assert.Contains(t, c.Counters().String(), "answered_served=0 answered_refused=0 answered_failed=1")
 }
 
-// countingCloser is a body that counts how often it is closed.
+// countingCloser is an empty body that counts how often it is closed.
 type countingCloser struct{ n *atomic.Int32 }
 
 func (countingCloser) Read([]byte) (int, error) { return 0, io.EOF }
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Carrier takes an attempt to its server and back. It must call Attempt.Begin right before the first byte, and return
-// at Attempt.Until at the latest.
+// Carrier sends an attempt to its server and reads the response. Carry must call Attempt.Begin right before it writes
+// the first byte, and return at Attempt.Until at the latest.
 type Carrier interface {
 	Carry(a *Attempt) (End, Answer)
 }
@@ -17,28 +17,28 @@
 // Attempt is one sending of a transaction to a server.
 type Attempt struct {
 	Server       policy.ServerID
-	Until        time.Time // when it ends at the latest
+	Until        time.Time // when the attempt ends at the latest
 	Message      any       // Request.Message
 	BodyConsumed bool      // set by the carrier: the message can't be sent again
 
 	core        *Core
 	transaction *transaction
-	number      int  // among the transaction's, from 0
-	sentAt      Time // moved on by a pause of this process, and when a pending body is complete
-	recheck     bool // Request.Authorize is to be called before it is carried
+	number      int  // of the attempt within its transaction, from 0
+	sentAt      Time // moved forward after a pause of this process, and when a pending body has been sent
+	recheck     bool // Request.Authorize must be called before the Carrier
 	cancelled   bool
 	conn        io.Closer // from Begin to Finish; closed to cancel the attempt
 }
 
-// To gives the server that the attempt goes to.
+// To returns the server that the attempt goes to.
 func (a *Attempt) To() policy.ServerID { return a.Server }
 
-// By gives the time at which the attempt ends at the latest.
+// By returns the time at which the attempt ends at the latest.
 func (a *Attempt) By() time.Time { return a.Until }
 
-// Begin tells whether the first byte may be written to a connection, which is closed if the attempt is cancelled
-// before Finish. It may not where the transaction was answered while the connection was set up, or where policy would
-// no longer send the attempt; the End tells why.
+// Begin reports whether the first byte may be written to conn. If so, conn is closed if the attempt is cancelled before
+// Finish. If not, the End is the reason: the attempt was cancelled or the transaction answered while the connection was
+// set up, or policy would no longer send the attempt.
 func (a *Attempt) Begin(conn io.Closer) (End, bool) {
 	a.core.mu.Lock()
 	defer a.core.mu.Unlock()
@@ -56,8 +56,8 @@
 	return EndNone, true
 }
 
-// BodySent takes in that the last byte of a pending body has been written: from now on the attempt has
-// Request.BodyTimeout.
+// BodySent records that the last byte of a pending body has been written, and sets the deadline to Request.BodyTimeout
+// from now.
 func (a *Attempt) BodySent() {
 	a.core.handle(func(now Time) {
 		tx := a.transaction
@@ -70,8 +70,8 @@
 	})
 }
 
-// Finish gives the connection back, so that a late cancel can't close it under another attempt. It tells whether the
-// attempt was cancelled.
+// Finish detaches the connection from the attempt, so that a late cancel can't close it while another attempt uses it.
+// It reports whether the attempt was cancelled.
 func (a *Attempt) Finish() (cancelled bool) {
 	a.core.mu.Lock()
 	defer a.core.mu.Unlock()
@@ -79,8 +79,8 @@
 	return a.cancelled
 }
 
-// carryAttempt takes an attempt to its end, which goes to policy whether or not the client still waits: it says
-// something of its server.
+// carryAttempt passes an attempt to the Carrier and reports its end to policy. It does so whether or not the client
+// still waits, because the end says something about the server.
 func (c *Core) carryAttempt(a *Attempt) {
 	end, answer := EndCheckFailed, Answer{}
 	verdict := Active
@@ -95,12 +95,12 @@
 	}
 	late := false
 	c.handle(func(now Time) { late = c.attemptEnded(now, a, end, answer) })
-	if late { // what the answer holds may be a connection
+	if late { // the answer may hold a connection
 		answer.Discard()
 	}
 }
 
-// attemptEnded takes the end of an attempt in. It tells whether it came after the final answer. The mutex is held.
+// attemptEnded handles the end of an attempt and reports whether it came after the final answer. The mutex is held.
 func (c *Core) attemptEnded(now Time, a *Attempt, end End, answer Answer) (late bool) {
 	tx := a.transaction
 	c.counts.ended[end]++
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -9,47 +9,48 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Core serves transactions by the decisions of a policy.Gateway, and of those of earlier settings.
+// Core serves transactions by the decisions of the current generation's policy.Gateway and of those of the earlier
+// generations that still have open transactions.
 type Core struct {
 	Clock
 	carrier    Carrier
 	sendToPeer func(peer int, message []byte) // nil where there are no messages between gateways
 
-	// mu guards what follows, the generations' gateways, and the mutable fields of transactions and attempts.
+	// mu guards the fields below, the generations' gateways, and the mutable fields of transactions and attempts.
 	mu           sync.Mutex
 	current      *generation
-	retiring     []*generation // of earlier settings, with transactions that still go on
+	retiring     []*generation // earlier ones that have, or may still get, open transactions
 	onSend       func(Sent)    // nil, or called for each attempt that is started
-	storm        *stormGuard   // nil: storms are not controlled
+	storm        *stormGuard   // nil: storm control is off
 	recovery     *recovery.Recovery
-	transactions map[policy.RequestID]*transaction // those that something may still come for
+	transactions map[policy.RequestID]*transaction // unanswered or with attempts in flight
 	lastID       policy.RequestID
-	shutDown     bool // all transactions were answered, and new ones are refused
+	shutDown     bool // Shutdown was called: open transactions were answered, new ones are refused
 
-	pendingMessages []peerMessage // they leave when mu is free, as do log lines
+	pendingMessages []peerMessage // sent after mu is released; pendingLogs are written then, too
 	pendingLogs     []logLine
 
 	counts struct {
-		taken, sent uint64 // transactions taken in, attempts started
+		taken, sent uint64 // transactions received, attempts started
 		answered    [answerKindCount]uint64
 		ended       [endCount]uint64
 	}
 }
 
-// logLine is a log line that waits for the mutex to be free.
+// logLine is a log line that is written after the mutex is released.
 type logLine struct {
 	event string
 	attrs []slog.Attr
 }
 
-// peerMessage is a message that waits for the mutex to be free.
+// peerMessage is a message that is sent after the mutex is released.
 type peerMessage struct {
 	peer    int
 	message []byte
 }
 
-// New makes a Core with a new policy.Gateway. The seed is that gateway's. sendToPeer is nil where there is no way to
-// send messages to peers; it must not block. The error is that of policy.New.
+// New returns a Core with a new policy.Gateway, whose random choices follow seed. sendToPeer sends a message to a peer
+// and must not block; nil means that there is no way to send one. The error is that of policy.New.
 func New(
 	cfg policy.Settings, seed uint64, clock Clock, carrier Carrier, sendToPeer func(peer int, message []byte),
 ) (*Core, error) {
@@ -66,7 +67,7 @@
 	return c, nil
 }
 
-// handle takes one event in, and then sends the messages and writes the log lines that came of it.
+// handle handles one event, then sends the messages and writes the log lines that were queued for it.
 func (c *Core) handle(event func(now Time)) {
 	messages, logs := c.handleLocked(event)
 	for _, m := range messages {
@@ -77,8 +78,8 @@
 	}
 }
 
-// handleLocked takes one event in under the mutex, which a panic must free, too: it ends one connection of a front
-// and must not leave all others waiting.
+// handleLocked handles one event under the mutex and returns the queued messages and log lines. A panic ends only one
+// connection of a front, so it releases the mutex, too, and doesn't leave all others waiting.
 func (c *Core) handleLocked(event func(now Time)) (messages []peerMessage, logs []logLine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,8 +94,8 @@
 	return messages, logs
 }
 
-// Shutdown gives all transactions the final answers that their gateways permit now, as the process is about to end.
-// Transactions that come afterwards are refused at once.
+// Shutdown gives all transactions the final answers that their gateways permit now, because the process is about to
+// exit. Later transactions are refused at once.
 func (c *Core) Shutdown() {
 	c.handle(func(now Time) {
 		c.shutDown = true
@@ -104,7 +105,7 @@
 	})
 }
 
-// Servers takes a server list of discovery in.
+// Servers handles a server list from discovery.
 func (c *Core) Servers(kind policy.ListKind, list []policy.ServerInfo) {
 	c.handle(func(now Time) {
 		if kind == policy.ListCached {
@@ -118,8 +119,8 @@
 	})
 }
 
-// UpdatePriors gives estimate what the gateway has measured of its servers, and takes in the priors that it returns,
-// in one event. The mutex is held: estimate must do no input or output.
+// UpdatePriors passes the current gateway's measurements of its servers to estimate and applies the priors that it
+// returns, as one event. estimate is called with the mutex held and must do no I/O.
 func (c *Core) UpdatePriors(estimate func(now Time, measured []policy.Observation) []policy.Prior) {
 	c.handle(func(now Time) {
 		if priors := estimate(now, c.current.gateway.Observe(now)); len(priors) > 0 {
@@ -128,15 +129,15 @@
 	})
 }
 
-// ExchangeLoads gives weigh the load that this gateway puts on each server, and takes in the loads of others that it
-// returns, in one event. The mutex is held: weigh must do no input or output.
+// ExchangeLoads passes the load that this gateway puts on each server to weigh and applies the other gateways' loads
+// that it returns, as one event. weigh is called with the mutex held and must do no I/O.
 func (c *Core) ExchangeLoads(weigh func(now Time, own map[policy.ServerID]policy.OwnLoad) []policy.Load) {
 	c.handle(func(now Time) {
 		c.current.gateway.SetPeerLoads(now, weigh(now, c.current.gateway.OwnLoads(now)))
 	})
 }
 
-// PeerMessage takes a peer's message in.
+// PeerMessage handles a message from another gateway.
 func (c *Core) PeerMessage(from int, message []byte) {
 	c.handle(func(now Time) { c.current.gateway.PeerMessage(now, from, message) })
 }
--- a/internal/core/counters.go
+++ b/internal/core/counters.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// countAnswer counts a final answer and gives it back.
+// countAnswer counts a final answer and returns it.
 func (c *Core) countAnswer(a Answer) Answer {
 	c.mu.Lock()
 	c.counts.answered[a.Kind]++
@@ -13,10 +13,10 @@
 	return a
 }
 
-// Counts are counters by name, ready to be logged.
+// Counts is a list of named counters, as log attributes.
 type Counts []slog.Attr
 
-// String gives them as key=value text.
+// String returns the counters as key=value pairs separated by spaces.
 func (c Counts) String() string {
 	var text strings.Builder
 	for i, a := range c {
@@ -28,8 +28,8 @@
 	return text.String()
 }
 
-// Counters gives the transactions taken in and answered, the attempts started and ended, and the gateway's
-// statistics.
+// Counters returns the numbers of transactions received, open and answered and of attempts started and ended, and the
+// current gateway's statistics.
 func (c *Core) Counters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/doc.go
+++ b/internal/core/doc.go
@@ -1,28 +1,28 @@
-// Package core carries the decisions of package policy out: it owns the life of each transaction, from when a front
-// has read a request to its one final answer.
+// Package core carries out the decisions of package policy. It owns each transaction from when a front has read the
+// request to the one final answer.
 //
 // # Concepts
 //
-// A transaction is one request of a client. A front hands it in with Core.Serve, which blocks until the final answer.
-// An Attempt is one sending of it to a server; a Carrier takes it there and back and reports its End. A generation is
-// the time in which one version of the settings is in force: it has a policy.Gateway of its own, which keeps the
-// transactions that came in under it to their end.
+// A transaction is one request of a client. A front passes it to Core.Serve, which blocks until the final answer.
+// An Attempt sends a transaction to one server, once; a Carrier transmits it, reads the response and returns the End.
+// A generation is one version of the settings, with its own policy.Gateway, which decides on the transactions that
+// arrived while that version was in force, until they end.
 //
 // # Invariants
 //
-//   - Gateways are called under one mutex, one event at a time, in the order of the clock readings that they are given.
-//     Their actions are queued meanwhile; messages to peers and log lines leave once the mutex is free. No input or
-//     output is done while it is held.
-//   - Core decides nothing about requests itself: what it doesn't hand to policy it hands to internal/storm (whether a
-//     retry storm is under way) and internal/recovery (what a process that starts or resumes may believe).
-//   - A transaction gets one final answer. An attempt writes no byte after it (Attempt.Begin), and the end of each
-//     attempt goes to policy, also after the answer: it still says something of its server.
+//   - Gateways are called under one mutex, one event at a time, in the order of the clock readings passed to them.
+//     The actions that they order are queued; messages to peers are sent and log lines written after the mutex is
+//     released. No I/O is done while it is held.
+//   - Core makes no decision on a request itself. It delegates to policy, to internal/storm (whether a retry storm is
+//     under way) and to internal/recovery (what a process that starts, or resumes after a pause, may rely on).
+//   - A transaction gets one final answer, and no attempt begins to write after it (Attempt.Begin). The end of each
+//     attempt is reported to policy even after the answer, because it still says something about the server.
 //   - No transaction moves from one generation to another.
 //
 // # Files
 //
-// core.go has the mutex and the events, transaction.go the life of a transaction, attempt.go that of an attempt,
-// host.go the actions of policy, generation.go changes of settings and the hand-over to another process, recovery.go
-// and storm.go the ties to these packages, answer.go the ends and answers, clock.go the clock, counters.go the
-// counters.
+// core.go has the mutex and the events, transaction.go the life cycle of a transaction, attempt.go that of an attempt,
+// host.go the implementation of policy.Host, generation.go changes of settings and the handover to another process,
+// recovery.go and storm.go the calls to internal/recovery and internal/storm, answer.go the types End and Answer,
+// clock.go the clock, counters.go the counters.
 package core
--- a/internal/core/generation.go
+++ b/internal/core/generation.go
@@ -8,24 +8,25 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// generation is the time in which one version of the settings is in force, and the gateway that decides by it. Its
-// transactions stay with it to their end.
+// generation is one version of the settings and the gateway that decides by it. The transactions that arrive while the
+// version is in force stay with the generation until they end.
 type generation struct {
 	number           int
 	cfg              policy.Settings
 	gateway          *policy.Gateway
-	openTransactions int  // transactions that something may still come for
-	retired          bool // nothing more comes for it
-	replacedAt       Time // when the next one came into force; 0 for the current one
+	openTransactions int  // transactions that are unanswered or have attempts in flight
+	retired          bool // has no open transactions and takes no new ones
+	replacedAt       Time // when the next generation came into force; 0 for the current one
 }
 
-// retireDelay is how long after its replacement a generation takes transactions that a front had begun to read.
+// retireDelay is how long a replaced generation is kept at least, for transactions that a front had begun to read under
+// its settings.
 const retireDelay = 5 * time.Second
 
-// maxStateBytes bounds the state that a gateway exports to the next generation's.
+// maxStateBytes bounds the state that a generation's gateway exports to that of the next generation.
 const maxStateBytes = 4 << 20
 
-// newGeneration makes a generation with a new gateway. The error is that of policy.New.
+// newGeneration returns a generation with a new gateway. The error is that of policy.New.
 func (c *Core) newGeneration(number int, cfg policy.Settings, seed uint64) (*generation, error) {
 	gateway, err := policy.New(cfg, seed)
 	if err != nil {
@@ -36,12 +37,12 @@
 	return g, nil
 }
 
-// generations gives the current generation and the retiring ones, in a new slice. The mutex is held.
+// generations returns the current generation and the retiring ones, in a new slice. The mutex is held.
 func (c *Core) generations() []*generation {
 	return append([]*generation{c.current}, c.retiring...)
 }
 
-// generationByNumber gives a generation, nil where it is retired or unknown. The mutex is held.
+// generationByNumber returns the generation with a number, or nil if it is retired or unknown. The mutex is held.
 func (c *Core) generationByNumber(number int) *generation {
 	if number == c.current.number {
 		return c.current
@@ -54,8 +55,8 @@
 	return nil
 }
 
-// Reconfigure puts other settings in force for transactions that come in from now on, and gives the number of their
-// generation. Open transactions keep the settings that they came in under. On an error, that of policy.New or
+// Reconfigure puts other settings in force for transactions that arrive from now on, and returns the number of their
+// generation. Open transactions keep the settings under which they arrived. On an error, which is that of policy.New or
 // policy.ErrState, the settings stay as they were.
 func (c *Core) Reconfigure(cfg policy.Settings, seed uint64) (number int, err error) {
 	cfg.Peers = cfg.Peers && c.sendToPeer != nil
@@ -65,7 +66,7 @@
 			return
 		}
 		old := c.current
-		c.current = next // before the import, in which its gateway sends its first messages to peers
+		c.current = next // before the import, during which the new gateway sends its first messages to peers
 		if err = next.gateway.ImportState(now, old.gateway.ExportState(now, maxStateBytes)); err != nil {
 			c.current, next.retired = old, true
 			return
@@ -79,7 +80,8 @@
 	return number, err
 }
 
-// prune retires the generations that nothing more comes for. The mutex is held.
+// prune retires the replaced generations that have no open transactions and whose retireDelay has passed. The mutex is
+// held.
 func (c *Core) prune() {
 	c.retiring = slices.DeleteFunc(c.retiring, func(g *generation) bool {
 		g.retired = g.openTransactions == 0 && c.Now()-g.replacedAt >= retireDelay
@@ -87,19 +89,19 @@
 	})
 }
 
-// Sent is an attempt that was started, as other gateways of this process, or of one that hands over, are told of it.
-// Processes exchange it as JSON.
+// Sent describes an attempt that was started, to the gateways of this process's other generations and to the process
+// that takes over from this one. Processes exchange it as JSON.
 type Sent struct {
 	Customer  policy.CustomerID `json:"customer"`
-	Plan      string            `json:"plan"` // its name: numbers differ between settings
+	Plan      string            `json:"plan"` // by name, because the index differs between settings
 	Units     float64           `json:"units"`
 	SetSize   int               `json:"set"`
 	FirstDoor int               `json:"door"` // policy.Request.FirstGateway
 	Server    policy.ServerID   `json:"server"`
-	First     bool              `json:"first"` // of its transaction, whose units it draws
+	First     bool              `json:"first"` // first attempt of its transaction, which draws the units
 }
 
-// announceSend tells the other generations' gateways, and a process that takes over, of an attempt. The mutex is
+// announceSend reports an attempt to the other generations' gateways and to a process that takes over. The mutex is
 // held.
 func (c *Core) announceSend(tx *transaction, to policy.ServerID) {
 	if len(c.retiring) == 0 && c.onSend == nil {
@@ -117,8 +119,9 @@
 	}
 }
 
-// sentElsewhere takes in an attempt that another gateway has started. A retiring generation's gateway draws no units
-// for it: it admits nothing any more.
+// sentElsewhere reports an attempt that another gateway has started to the generation's gateway. draws is whether the
+// first attempt of a transaction draws its units. It draws none at a retiring generation's gateway, which admits
+// nothing any more.
 func (g *generation) sentElsewhere(now Time, s Sent, draws bool) {
 	plan := slices.IndexFunc(g.cfg.Plans, func(p policy.Plan) bool { return p.Name == s.Plan })
 	request := policy.Request{Customer: s.Customer, Plan: plan, Units: s.Units, SetSize: s.SetSize,
@@ -126,8 +129,8 @@
 	g.gateway.SentElsewhere(now, request, s.Server, draws && s.First && plan >= 0)
 }
 
-// ExportState gives the gateway's state for ImportState, in about maxBytes at most. From then on onSend is called for
-// each attempt that is started, with the mutex held: it must only queue.
+// ExportState returns the current gateway's state for ImportState, of about maxBytes at most. From then on onSend is
+// called for each attempt that is started. The mutex is held during the call, so onSend must only queue.
 func (c *Core) ExportState(maxBytes int, onSend func(Sent)) (state []byte) {
 	c.handle(func(now Time) {
 		state = c.current.gateway.ExportState(now, maxBytes)
@@ -136,15 +139,15 @@
 	return state
 }
 
-// StopExport ends the calls that ExportState began.
+// StopExport ends the calls of the function that was passed to ExportState.
 func (c *Core) StopExport() {
 	c.mu.Lock()
 	c.onSend = nil
 	c.mu.Unlock()
 }
 
-// ImportState takes over the state that another process of this gateway has exported, wholly or not at all. It must
-// be called before anything else. The error is policy.ErrState.
+// ImportState imports the state that another process of this gateway has exported, wholly or not at all. It must be
+// called before any other event. The error is policy.ErrState.
 func (c *Core) ImportState(state []byte) (err error) {
 	c.handle(func(now Time) {
 		if err = c.current.gateway.ImportState(now, state); err == nil {
@@ -154,7 +157,7 @@
 	return err
 }
 
-// SentElsewhere takes in attempts that another process of this gateway has started.
+// SentElsewhere handles attempts that another process of this gateway has started.
 func (c *Core) SentElsewhere(list []Sent) {
 	c.handle(func(now Time) {
 		for _, s := range list {
--- a/internal/core/generation_test.go
+++ b/internal/core/generation_test.go
@@ -21,20 +21,21 @@
 		Plans:   []policy.Plan{{ValueMultiplier: 1, Name: "utility", Rate: 0.001, Burst: 4, OverQuotaCost: 1}}}
 }
 
-// reconfigurableCore gives a core whose attempts end as a test says, and a function that sends a transaction in.
+// reconfigurableCore returns a core with four servers, a channel that gets a channel for the end of each attempt, and a
+// function that starts a transaction under a generation and returns the channel of its answer.
 func reconfigurableCore(t *testing.T, set policy.Settings) (*Core, chan chan End, func(generation,
 	class int) chan Answer) {
-	flows := make(chan chan End, 16)
+	ends := make(chan chan End, 16)
 	c, err := New(set, 1, NewClock(), carrier(func(f *Attempt) (End, Answer) {
 		end := make(chan End)
-		flows <- end
+		ends <- end
 		f.Begin(io.NopCloser(nil))
 		return <-end, Answer{Body: []byte("x")}
 	}), nil)
 	require.NoError(t, err)
 	c.Servers(policy.ListFull, []policy.ServerInfo{{ID: 1, Weight: 1}, {ID: 2, Weight: 1}, {ID: 3, Weight: 1}, {ID: 4,
 		Weight: 1}})
-	return c, flows, func(generation, class int) chan Answer {
+	return c, ends, func(generation, class int) chan Answer {
 		answered := make(chan Answer, 1)
 		go func() {
 			answered <- c.Serve(context.Background(), Request{Generation: generation, Request: policy.Request{Class: class,
@@ -46,59 +47,59 @@
 	}
 }
 
-// What came in before the settings changed goes on under the old ones, to its end: an idempotent read is retried, as
-// often as was allowed then, though its class is not idempotent now, or no longer exists.
+// Transactions that arrived before a change of settings keep the old settings until they end: an idempotent read is
+// retried as often as the old settings allow, even if in the new ones its class is not idempotent or doesn't exist.
 func TestOpenTransactionsKeepTheirSettings(t *testing.T) {
 	before := settings(policy.Class{Name: "read"}, policy.Class{Name: "order", Idempotency: policy.NotIdempotent})
 	before.MaxAttempts = 4
-	c, flows, ask := reconfigurableCore(t, before)
+	c, ends, ask := reconfigurableCore(t, before)
 	read, order := ask(0, 0), ask(0, 1)
-	one, two := <-flows, <-flows
+	one, two := <-ends, <-ends
 	number, err := c.Reconfigure(settings(policy.Class{Name: "read", Idempotency: policy.NotIdempotent},
 		policy.Class{Name: "new"}), 2)
 	require.NoError(t, err)
 	require.Equal(t, 1, number)
 	fresh := ask(1, 0)
-	three := <-flows
+	three := <-ends
 	one <- EndErrored
 	two <- EndErrored
 	three <- EndErrored
-	for range 3 { // the old read only: three further attempts, four in all
+	for range 3 { // only the read under the old settings is retried: three further attempts, four in all
 		select {
-		case f := <-flows:
+		case f := <-ends:
 			f <- EndErrored
 		case <-time.After(time.Minute):
 			require.Fail(t, "no further attempt")
 		}
 	}
 	assert.Equal(t, Failed, (<-order).Kind)
-	assert.Equal(t, Failed, (<-fresh).Kind, "under the new settings it must not run twice")
-	assert.Equal(t, Refused, (<-read).Kind, "a safe one may be asked again")
-	assert.Empty(t, flows)
+	assert.Equal(t, Failed, (<-fresh).Kind, "under the new settings a read must not run twice")
+	assert.Equal(t, Refused, (<-read).Kind, "an idempotent request may be repeated")
+	assert.Empty(t, ends)
 }
 
-// Quotas go on over a change of settings: what the old gateway has admitted and what its open requests draw is taken
-// off the new one's balances, too.
-func TestQuotasGoOn(t *testing.T) {
+// A change of settings doesn't refill quotas: the units that the old gateway has admitted, and those that its open
+// requests draw, are subtracted from the new gateway's balances, too.
+func TestReconfigureKeepsQuotas(t *testing.T) {
 	set := settings(policy.Class{Name: "read"})
-	c, flows, ask := reconfigurableCore(t, set)
+	c, ends, ask := reconfigurableCore(t, set)
 	for range 2 {
 		answer := ask(0, 0)
-		(<-flows) <- EndServed
+		(<-ends) <- EndServed
 		assert.Equal(t, Served, (<-answer).Kind)
 	}
 	set.Classes = append(set.Classes, policy.Class{Name: "new", LatencyTarget: time.Second, Deadline: 20 * time.Second,
 		Value: 1})
 	generation, err := c.Reconfigure(set, 2)
 	require.NoError(t, err)
-	late := ask(0, 0) // read under the old settings, handed in under the new ones
-	(<-flows) <- EndServed
+	late := ask(0, 0) // read under the old settings, served after the change
+	(<-ends) <- EndServed
 	assert.Equal(t, Served, (<-late).Kind)
 	served := 0
 	for range 20 {
 		answer := ask(generation, 1)
 		select {
-		case f := <-flows:
+		case f := <-ends:
 			f <- EndServed
 		case a := <-answer:
 			assert.Equal(t, Refused, a.Kind)
@@ -107,14 +108,15 @@
 		assert.Equal(t, Served, (<-answer).Kind)
 		served++
 	}
-	assert.LessOrEqual(t, served, 3, "of a burst of four, three drawn before; a part goes by chance")
+	assert.LessOrEqual(t, served, 3, "of a burst of 4, 3 units were drawn before; some beyond it are admitted by chance")
 }
 
-// A generation retires with its last transaction, and not before what fronts had begun to read under it has come in.
+// A generation retires when its last transaction has ended, but not before retireDelay has passed: fronts may still
+// pass on requests that they had begun to read under its settings.
 func TestGenerationsRetire(t *testing.T) {
-	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
+	c, ends, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
 	open := ask(0, 0)
-	flow := <-flows
+	end := <-ends
 	for i := range 3 {
 		number, err := c.Reconfigure(settings(policy.Class{Name: "read"}), uint64(i))
 		require.NoError(t, err)
@@ -126,10 +128,10 @@
 		e.replacedAt -= retireDelay
 	}
 	c.prune()
-	assert.Len(t, c.retiring, 1, "that of the open one")
+	assert.Len(t, c.retiring, 1, "the generation of the open transaction")
 	c.mu.Unlock()
-	assert.Equal(t, Refused, (<-ask(1, 0)).Kind, "nothing ran: under the settings in force it may be asked again")
-	flow <- EndServed
+	assert.Equal(t, Refused, (<-ask(1, 0)).Kind, "it has not run, and may be repeated under the settings in force")
+	end <- EndServed
 	assert.Equal(t, Served, (<-open).Kind)
 	c.mu.Lock()
 	assert.Empty(t, c.retiring)
@@ -138,7 +140,7 @@
 
 // Invalid settings change nothing.
 func TestReconfigureRejectsInvalidSettings(t *testing.T) {
-	c, flows, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
+	c, ends, ask := reconfigurableCore(t, settings(policy.Class{Name: "read"}))
 	none, other := settings(), settings(policy.Class{Name: "read"})
 	other.Gateways = 2
 	for _, set := range []policy.Settings{none, other} {
@@ -146,29 +148,29 @@
 		assert.Error(t, err)
 	}
 	answer := ask(0, 0)
-	(<-flows) <- EndServed
+	(<-ends) <- EndServed
 	assert.Equal(t, Served, (<-answer).Kind)
 }
 
-// Another process gets the state, and each attempt that is started afterwards.
+// A process that takes over gets the exported state, and each attempt that is started afterwards until StopExport.
 func TestStateAndSendsGoToAnotherProcess(t *testing.T) {
 	set := settings(policy.Class{Name: "read"})
-	c, flows, ask := reconfigurableCore(t, set)
+	c, ends, ask := reconfigurableCore(t, set)
 	answer := ask(0, 0)
-	(<-flows) <- EndServed
+	(<-ends) <- EndServed
 	<-answer
 	var sent []Sent
-	carried := c.ExportState(1<<20, func(s Sent) { sent = append(sent, s) })
+	exported := c.ExportState(1<<20, func(s Sent) { sent = append(sent, s) })
 	next, err := New(set, 3, NewClock(), carrier(func(f *Attempt) (End, Answer) { return EndServed, Answer{} }), nil)
 	require.NoError(t, err)
-	require.NoError(t, next.ImportState(carried))
-	assert.Error(t, next.ImportState(carried), "only before anything else")
+	require.NoError(t, next.ImportState(exported))
+	assert.Error(t, next.ImportState(exported), "ImportState after another event")
 	answer = ask(0, 0)
-	(<-flows) <- EndServed
+	(<-ends) <- EndServed
 	<-answer
 	c.StopExport()
 	answer = ask(0, 0)
-	(<-flows) <- EndServed
+	(<-ends) <- EndServed
 	<-answer
 	require.Len(t, sent, 1)
 	assert.Equal(t, Sent{Customer: 5, Plan: "utility", Units: 1, SetSize: 1, Server: sent[0].Server, First: true}, sent[0])
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// host is the policy.Host of a generation's gateway. Its methods are called within the gateway's, with the mutex
-// held: they queue and return.
+// host is the policy.Host of a generation's gateway. The gateway calls its methods with the mutex held, so they queue
+// and return.
 type host struct {
 	core       *Core
 	generation *generation
@@ -16,7 +16,7 @@
 
 var _ policy.Host = host{}
 
-// Send starts an attempt; Core.Serve has it carried.
+// Send queues an attempt, which Core.Serve passes to the Carrier.
 func (h host) Send(id policy.RequestID, to policy.ServerID, until Time) {
 	tx := h.core.transactions[id]
 	if tx == nil || tx.answered {
@@ -31,7 +31,7 @@
 	h.core.announceSend(tx, to)
 }
 
-// Refuse gives the final answer of a transaction that has not run, or may run again.
+// Refuse gives the final answer to a transaction that has not run, or may run again.
 func (h host) Refuse(id policy.RequestID, wait time.Duration) {
 	if tx := h.core.transactions[id]; tx != nil {
 		h.core.finish(tx, Answer{Kind: Refused, Attempted: tx.attemptsStarted > 0,
@@ -39,7 +39,7 @@
 	}
 }
 
-// Fail gives the final answer of a transaction that may have run.
+// Fail gives the final answer to a transaction that may have run.
 func (h host) Fail(id policy.RequestID) {
 	if tx := h.core.transactions[id]; tx != nil {
 		h.core.storm.recordFailed(h.core.Now(), tx)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Cancel closes the connection of an attempt, or keeps it from getting one.
+// Cancel closes the connection of an attempt, or prevents it from getting one.
 func (h host) Cancel(id policy.RequestID, attempt int) {
 	tx := h.core.transactions[id]
 	if tx == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Timer has the gateway's Timer called later, unless the generation is retired or the transaction answered by then.
+// Timer schedules a call of the gateway's Timer, unless the generation is retired or the transaction answered by then.
 func (h host) Timer(tag uint64, after time.Duration) {
 	timer := time.AfterFunc(after, func() {
 		h.core.handle(func(now Time) {
@@ -77,14 +77,15 @@
 	}
 }
 
-// SendToPeer queues a message to a peer. Only the current generation's gateway speaks for this process.
+// SendToPeer queues a message to a peer. Messages of generations other than the current one are dropped: only the
+// current generation's gateway speaks for this process.
 func (h host) SendToPeer(peer int, message []byte) {
 	if h.generation == h.core.current {
 		h.core.pendingMessages = append(h.core.pendingMessages, peerMessage{peer, message})
 	}
 }
 
-// Watch does nothing: discovery is always watched.
+// Watch does nothing, because discovery is always watched.
 func (h host) Watch() {}
 
 // Log queues a log line.
--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -8,11 +8,11 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// The tie to internal/recovery, which is given the events under the core's mutex and detects pauses of this process
-// by the gaps between them: while it runs, overload checks alone are events more often than its threshold.
+// This file calls internal/recovery, under the core's mutex. That package detects pauses of this process by the gaps
+// between events: while the process runs, the overload checks alone are events that come more often than its threshold.
 
-// resumed takes in that this process was paused until now: attempts aren't held to the time of the pause. The mutex
-// is held.
+// resumed handles the end of a pause of this process. The time of the pause isn't counted towards the attempts in
+// flight. The mutex is held.
 func (c *Core) resumed(now Time, pause time.Duration) {
 	for _, tx := range c.transactions {
 		for _, a := range tx.inFlight {
@@ -26,8 +26,8 @@
 		slog.Int64("stood_still_ms", pause.Milliseconds()), slog.Int("open", len(c.transactions))}})
 }
 
-// checkRecovery gives recovery what is known of servers and peers, and logs when full service is reached. The mutex
-// is held.
+// checkRecovery passes the numbers of servers, reachable peers and queued requests to internal/recovery, and logs when
+// full service is reached. The mutex is held.
 func (c *Core) checkRecovery(now Time) {
 	if !c.recovery.CheckDue(now) {
 		return
@@ -43,7 +43,7 @@
 	}
 }
 
-// Recovery gives how far this process has come to full service, and its counters.
+// Recovery returns the phase on this process's way to full service, and the counters of internal/recovery.
 func (c *Core) Recovery() (recovery.Phase, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,14 +55,14 @@
 		slog.Int("too_late", stats.Expired)}
 }
 
-// QuotaBalances gives the balances of the customers that were active at or after a time, and the time to ask from
-// next.
+// QuotaBalances returns the balances of the customers that were active at or after since, and the time to pass as since
+// in the next call.
 func (c *Core) QuotaBalances(since Time) (list []policy.QuotaBalance, now Time) {
 	c.handle(func(t Time) { list, now = c.current.gateway.QuotaBalances(t, since), t })
 	return list, now
 }
 
-// RestoreBalances takes over the balances that an earlier incarnation of this gateway has stored. It must be called
+// RestoreBalances restores the balances that an earlier incarnation of this gateway has stored. It must be called
 // before the first transaction.
 func (c *Core) RestoreBalances(list []policy.QuotaBalance) {
 	c.handle(func(now Time) {
--- a/internal/core/storm.go
+++ b/internal/core/storm.go
@@ -10,8 +10,8 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// stormGuard ties internal/storm to the core: it is given events under the core's mutex, and what it sends is queued
-// as the actions of policy are. A nil one admits everything.
+// stormGuard connects internal/storm to the core. It is called under the core's mutex, and its messages are queued as
+// those of policy are. A nil stormGuard admits everything.
 type stormGuard struct {
 	*storm.Guard
 	self, gateways int
@@ -19,12 +19,12 @@
 	ticks          int
 }
 
-// EnableStormControl makes the core control retry storms. It must be called before the first transaction.
+// EnableStormControl turns the control of retry storms on. It must be called before the first transaction.
 func (c *Core) EnableStormControl(cfg policy.Settings, opt storm.Options) {
 	opt.Self, opt.Gateways = cfg.Self, cfg.Gateways
 	opt.Classes, opt.Prices = stormClasses(cfg), stormPrices(cfg)
 	if cfg.MaxRetryAfter > 0 && (opt.MaxRetryAfter <= 0 || cfg.MaxRetryAfter < opt.MaxRetryAfter) {
-		opt.MaxRetryAfter = cfg.MaxRetryAfter // the site's limit on waits
+		opt.MaxRetryAfter = cfg.MaxRetryAfter // the site's limit on Retry-After
 	}
 	g := &stormGuard{Guard: storm.New(opt), self: cfg.Self, gateways: cfg.Gateways}
 	c.mu.Lock()
@@ -32,7 +32,7 @@
 	c.mu.Unlock()
 }
 
-// RunStormControl gives the storm control its ticks until ctx ends.
+// RunStormControl ticks the storm control until ctx ends.
 func (c *Core) RunStormControl(ctx context.Context) {
 	ticker := time.NewTicker(storm.TickInterval)
 	defer ticker.Stop()
@@ -46,8 +46,8 @@
 	}
 }
 
-// stormTick gives the storm control what the gateway has measured, and queues its message to peers and its log line:
-// where its phase has changed, and once a second while there is a storm. The mutex is held.
+// stormTick passes the gateway's measurements to the storm control and queues its message to the peers. It queues a log
+// line when the phase has changed, and once a second outside of storm.Calm. The mutex is held.
 func (c *Core) stormTick(now Time) {
 	g := c.storm
 	var seen storm.Members
@@ -71,10 +71,10 @@
 	}
 }
 
-// ticksPerLogLine is how many ticks of a storm make a log line: one a second.
+// ticksPerLogLine is the number of ticks between log lines during a storm, which are one second apart.
 const ticksPerLogLine = int(time.Second / storm.TickInterval)
 
-// stormLogLine gives the log line of a storm.
+// stormLogLine returns the log line on a storm.
 func stormLogLine(stats storm.Stats, seen storm.Members) logLine {
 	recent := stats.Recent
 	return logLine{"storm", []slog.Attr{slog.String("phase", stats.Phase.String()),
@@ -85,13 +85,13 @@
 		rounded("lost", recent.Failed, 0), slog.Int("overdue", seen.Overdue)}}
 }
 
-// rounded gives an attribute with so many decimal digits.
+// rounded returns an attribute whose value is rounded to a number of decimal digits.
 func rounded(key string, x float64, digits int) slog.Attr {
 	scale := math.Pow10(digits)
 	return slog.Float64(key, math.Round(scale*x)/scale)
 }
 
-// StormMessage takes a peer's message on a storm in.
+// StormMessage handles a storm control message from a peer.
 func (c *Core) StormMessage(from int, message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,14 +100,14 @@
 	}
 }
 
-// AdmitConnection tells whether a new connection of a client may be accepted.
+// AdmitConnection reports whether a new connection of a client may be accepted.
 func (c *Core) AdmitConnection() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.storm == nil || c.storm.AdmitConnection(c.Now())
 }
 
-// StormCounters gives the storm control's counters, nil where there is none.
+// StormCounters returns the storm control's counters, or nil if it is off.
 func (c *Core) StormCounters() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +123,8 @@
 		slog.Uint64("odd", stats.MessagesDropped)}
 }
 
-// stormVerdict tells whether the storm control refuses a transaction, and the wait to name. A refused transaction
-// ends here: policy doesn't hear of it, and it draws no units.
+// stormVerdict reports whether the storm control refuses a transaction, and the Retry-After of the refusal. A refused
+// transaction ends here: it isn't passed to policy and draws no units.
 func (c *Core) stormVerdict(tx *transaction) (refused bool, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,14 +140,14 @@
 	return !decision.Admit, decision.RetryAfter
 }
 
-// refusalWait gives the wait that a refusal names, where wait is the one without a storm.
+// refusalWait returns the Retry-After of a refusal, where wait is the one outside of storms.
 func (c *Core) refusalWait(tx *transaction, wait time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.storm.refusalWait(c.Now(), tx, wait)
 }
 
-// refusalWait gives the wait that a refusal names, where wait is the one without a storm.
+// refusalWait returns the Retry-After of a refusal, where wait is the one outside of storms. The core's mutex is held.
 func (g *stormGuard) refusalWait(now Time, tx *transaction, wait time.Duration) time.Duration {
 	if g == nil {
 		return wait
@@ -155,14 +155,14 @@
 	return g.Rejected(now, tx.arrival, wait)
 }
 
-// recordFailed takes in that a transaction was not served.
+// recordFailed records that a transaction failed or that its client left before the answer. The core's mutex is held.
 func (g *stormGuard) recordFailed(now Time, tx *transaction) {
 	if g != nil {
 		g.Failed(now, tx.arrival)
 	}
 }
 
-// recordAttempt counts the end of an attempt. Ends that say nothing of the servers are left out.
+// recordAttempt counts the end of an attempt, except ends that say nothing about the servers. The core's mutex is held.
 func (g *stormGuard) recordAttempt(now Time, a *Attempt, end End) {
 	if g == nil {
 		return
@@ -173,19 +173,19 @@
 		g.AttemptEnded(now, storm.InTime)
 	case end == EndServed:
 		g.AttemptEnded(now, storm.Late)
-	case endTable[end].lost:
+	case endTable[end].failed:
 		g.AttemptEnded(now, storm.Failed)
 	}
 }
 
-// reconfigure gives the storm control the classes and plans that are in force now.
+// reconfigure passes the classes and plans now in force to the storm control. The core's mutex is held.
 func (g *stormGuard) reconfigure(cfg policy.Settings) {
 	if g != nil {
 		g.Configure(stormClasses(cfg), stormPrices(cfg))
 	}
 }
 
-// stormClasses gives what the storm control needs of the classes.
+// stormClasses converts the settings' classes for the storm control.
 func stormClasses(cfg policy.Settings) (list []storm.Class) {
 	for _, class := range cfg.Classes {
 		list = append(list, storm.Class{LatencyTarget: class.LatencyTarget, Value: class.Value,
@@ -194,7 +194,7 @@
 	return list
 }
 
-// stormPrices gives the plans' value multipliers.
+// stormPrices returns the plans' value multipliers.
 func stormPrices(cfg policy.Settings) (list []float64) {
 	for _, p := range cfg.Plans {
 		list = append(list, p.ValueMultiplier)
--- a/internal/core/storm_test.go
+++ b/internal/core/storm_test.go
@@ -14,10 +14,10 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// gone is a carrier that finds no server, until back is closed.
-type gone struct{ back chan struct{} }
+// unreachableServers is a carrier that can't connect to any server until back is closed.
+type unreachableServers struct{ back chan struct{} }
 
-func (g gone) Carry(f *core.Attempt) (core.End, core.Answer) {
+func (g unreachableServers) Carry(f *core.Attempt) (core.End, core.Answer) {
 	select {
 	case <-g.back:
 		return core.EndServed, core.Answer{Body: []byte("done")}
@@ -26,17 +26,17 @@
 	}
 }
 
-// In an outage requests are refused at once with a wait, policy hears of a few only, and peers are sent messages;
-// when the servers are back all requests are admitted again.
-func TestOutageIsDamped(t *testing.T) {
+// In an outage most requests are refused at once with a Retry-After, without being passed to policy, and peers are sent
+// messages. When the servers are back requests are served again.
+func TestStormControlInOutage(t *testing.T) {
 	fake.Log(t)
 	d := fake.Deployment()
 	d.Gateways, d.Peers = 2, true
-	words := make(chan []byte, 1000)
-	members := gone{make(chan struct{})}
+	messages := make(chan []byte, 1000)
+	members := unreachableServers{make(chan struct{})}
 	c, err := core.New(d.Settings, 1, core.NewClock(), members, func(_ int, m []byte) {
 		if m[0] == storm.Kind {
-			words <- append([]byte(nil), m...)
+			messages <- append([]byte(nil), m...)
 		}
 	})
 	require.NoError(t, err)
@@ -56,9 +56,9 @@
 		assert.NotEqual(t, core.Served, a.Kind)
 		return phase() == "outage"
 	}, time.Minute, 5*time.Millisecond)
-	word, ok := storm.Decode(<-words)
+	message, ok := storm.Decode(<-messages)
 	assert.True(t, ok)
-	assert.Equal(t, storm.Outage, word.Phase)
+	assert.Equal(t, storm.Outage, message.Phase)
 	refused := 0
 	for range 200 {
 		began := time.Now()
@@ -66,25 +66,25 @@
 			refused++
 			assert.Positive(t, a.RetryAfter)
 			assert.LessOrEqual(t, a.RetryAfter, d.MaxRetryAfter)
-			assert.Less(t, time.Since(began), 10*time.Second) // at once, as far as the machine lets it
+			assert.Less(t, time.Since(began), 10*time.Second) // at once; the bound allows for a slow machine
 		}
 	}
 	assert.Greater(t, refused, 150)
-	// Another gateway, just started, hears of it.
-	e, err := core.New(d.Settings, 2, core.NewClock(), members, func(int, []byte) {})
+	// A gateway that has just started learns of the outage from the messages.
+	other, err := core.New(d.Settings, 2, core.NewClock(), members, func(int, []byte) {})
 	require.NoError(t, err)
-	e.EnableStormControl(policy.Settings{Self: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
-	go e.RunStormControl(ctx)
+	other.EnableStormControl(policy.Settings{Self: 1, Gateways: 2, Classes: d.Classes, Plans: d.Plans}, storm.Options{})
+	go other.RunStormControl(ctx)
 	require.Eventually(t, func() bool {
 		select {
-		case m := <-words:
-			e.StormMessage(0, m)
+		case m := <-messages:
+			other.StormMessage(0, m)
 		default:
 		}
-		return e.StormCounters()[0].Value.String() == "outage"
+		return other.StormCounters()[0].Value.String() == "outage"
 	}, time.Minute, time.Millisecond)
-	e.StormMessage(0, []byte{storm.Kind, 9})
-	assert.True(t, e.AdmitConnection())
+	other.StormMessage(0, []byte{storm.Kind, 9})
+	assert.True(t, other.AdmitConnection())
 	close(members.back)
 	served := 0
 	require.Eventually(t, func() bool {
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -8,31 +8,34 @@
 	"sprucelane.example/sprucelane/policy"
 )
 
-// Request is what a front hands in. The ID of the embedded request is set by Serve, its Deadline by the front.
+// Request is a request as a front passes it to Core.Serve. Serve sets the ID of the embedded request, the front its
+// Deadline.
 type Request struct {
 	policy.Request
 	Generation int // of the settings that Class and Plan are indices in
 	Message    any // for the Carrier
 
-	// BodyTimeout is how long the client waits from the last byte of its body on, where BodyPending is set.
+	// BodyTimeout is how long the client waits after the last byte of its body. It is used where BodyPending is set.
 	BodyTimeout time.Duration
 
-	// Authorize asks whether the client has a right to go on, until a time. It is called before the first attempt and
-	// again before any other. Without a verdict it gives a wait for the refusal. Nil means that nothing is asked.
+	// Authorize checks whether the client is authorized, and must return by the time until. It is called before policy
+	// decides on the request, and again before an attempt that was queued or is a retry. With the verdict Unknown it
+	// returns the Retry-After of a refusal. Nil means that no authorization is needed.
 	Authorize func(until Time) (Verdict, time.Duration)
 }
 
-// Verdict is what Request.Authorize says of a client's right to go on.
+// Verdict is the result of Request.Authorize.
 type Verdict uint8
 
-// The verdicts; the words are those of token introspection (RFC 7662).
+// The verdicts. Active and Inactive are terms of token introspection (RFC 7662). Unknown means that the check gave no
+// result.
 const (
 	Unknown Verdict = iota
 	Active
 	Inactive
 )
 
-// transaction is a request from when it is registered to its final answer and the end of its last attempt.
+// transaction is a request from its registration until it has its final answer and its last attempt has ended.
 type transaction struct {
 	Request
 	generation      *generation
@@ -41,22 +44,23 @@
 	inFlight        []*Attempt // in the order in which they were started
 	attemptsStarted int
 	timers          []*time.Timer
-	actions         chan any // *Attempt to be carried or the final Answer; has capacity for all that policy can order
+	actions         chan any // each *Attempt to be sent and the final Answer; has capacity for all that policy can order
 }
 
-// authorizeMargin is how long before the deadline Request.Authorize must end. An attempt that still waits for its
-// verdict at the deadline looks as if it may have run, and its client could not be told that it may repeat it.
+// authorizeMargin is how long before the deadline Request.Authorize must return. An attempt that still waits for its
+// verdict at the deadline counts as one that may have run, so the client could not be told that it may repeat the
+// request.
 const authorizeMargin = 25 * time.Millisecond
 
-// Serve takes a transaction to its final answer. It ends early when ctx does: the client has left and nobody waits
-// for an answer.
+// Serve processes a transaction and returns its final answer. It returns early, with ClientGone, when ctx ends, because
+// the client has left and nobody waits for an answer.
 func (c *Core) Serve(ctx context.Context, in Request) Answer {
 	tx := &transaction{Request: in}
 	known, wait := c.register(tx)
-	if !known { // it has not run: a repeat, under the settings in force, is harmless
+	if !known { // the request has not run: a repeat, under the settings in force, is harmless
 		return c.countAnswer(Answer{Kind: Refused})
 	}
-	if wait > 0 { // this process was paused, and reads what it was sent meanwhile
+	if wait > 0 { // this process was paused, and reads requests that arrived meanwhile
 		time.Sleep(wait)
 	}
 	if refused, wait := c.stormVerdict(tx); refused {
@@ -86,9 +90,9 @@
 	}
 }
 
-// answerUnauthorized gives the final answer of a transaction whose client has left or isn't authorized; over is
-// false where the client is. Policy doesn't hear of such a transaction: it draws no units. The wait for a verdict
-// ends with the deadline as register has corrected it.
+// answerUnauthorized returns the final answer of a transaction whose client has left or isn't authorized; over is
+// false if the transaction goes on. A transaction that ends here isn't passed to policy and draws no units. The wait
+// for a verdict ends authorizeMargin before the deadline as register has corrected it.
 func (c *Core) answerUnauthorized(ctx context.Context, tx *transaction) (answer Answer, over bool) {
 	verdict, wait := Active, time.Duration(0)
 	if tx.Authorize != nil {
@@ -107,13 +111,13 @@
 	case verdict == Inactive:
 		return Answer{Kind: Unauthorized}, true
 	}
-	return Answer{Kind: Refused, Attempted: true, RetryAfter: c.refusalWait(tx, wait)}, true // it has not run
+	return Answer{Kind: Refused, Attempted: true, RetryAfter: c.refusalWait(tx, wait)}, true // the request has not run
 }
 
-// register numbers a transaction: with a counter, as policy shifts the number into the tags of timers. known is false
-// where the settings that the front has read it under are no longer kept, or the process ends. wait is how long to
-// wait before policy is asked. The time that a request may have lain unread while the process was paused is taken off
-// its deadline.
+// register assigns an ID to a transaction and adds it to the open ones. IDs come from a counter, because policy shifts
+// them into the tags of timers. known is false if the generation under which the front has read the request is
+// retired, or the process is shutting down. wait is how long to wait before the request is decided on. If the process
+// was paused, the time for which the request may have been waiting in a socket is subtracted from its deadline.
 func (c *Core) register(tx *transaction) (known bool, wait time.Duration) {
 	c.handle(func(now Time) {
 		c.counts.taken++
@@ -132,8 +136,8 @@
 	return known, wait
 }
 
-// abandon ends a transaction whose client has left. An attempt that was ordered meanwhile is carried all the same: it
-// writes nothing, as the transaction is answered, and its end goes to policy.
+// abandon ends a transaction whose client has left. An attempt that was ordered meanwhile is passed to the Carrier all
+// the same: nothing is written, as the transaction counts as answered, and the end is reported to policy.
 func (c *Core) abandon(tx *transaction) {
 	c.clientLeft(tx)
 	for len(tx.actions) > 0 {
@@ -146,7 +150,7 @@
 	}
 }
 
-// clientLeft tells policy that the client has left, unless the transaction has its final answer.
+// clientLeft reports to policy that the client has left, unless the transaction has its final answer.
 func (c *Core) clientLeft(tx *transaction) {
 	c.handle(func(now Time) {
 		if !tx.answered {
@@ -157,7 +161,7 @@
 	})
 }
 
-// finish queues the final answer, unless there is one. The mutex is held.
+// finish queues the final answer, unless the transaction has one. The mutex is held.
 func (c *Core) finish(tx *transaction, answer Answer) {
 	if !tx.answered {
 		c.close(tx)
@@ -165,10 +169,10 @@
 	}
 }
 
-// close notes that a transaction has its final answer. The mutex is held.
+// close marks a transaction as answered and stops its timers. The mutex is held.
 func (c *Core) close(tx *transaction) {
 	tx.answered = true
-	for _, timer := range tx.timers { // each that fires would wake the process for nothing
+	for _, timer := range tx.timers { // a timer that fires later would wake the process for nothing
 		timer.Stop()
 	}
 	tx.timers = nil
@@ -177,7 +181,7 @@
 	}
 }
 
-// remove forgets a transaction that nothing more comes for. The mutex is held.
+// remove deletes a transaction that is answered and has no attempt in flight. The mutex is held.
 func (c *Core) remove(tx *transaction) {
 	if c.transactions[tx.ID] == tx {
 		delete(c.transactions, tx.ID)
