--- a/internal/storm/admission.go
+++ b/internal/storm/admission.go
@@ -1,6 +1,6 @@
 package storm
 
-// This file has the admission of arrivals and connections.
+// This file decides on the admission of arrivals and connections.
 
 import (
 	"math"
@@ -8,15 +8,15 @@
 )
 
 const (
-	burstSeconds = 0.5 // size of the bucket: seconds of the limit
-	idleRatio    = 0.9 // a bucket that is this full shows spare capacity
+	burstSeconds = 0.5 // size of the bucket, in seconds of the limit
+	idleRatio    = 0.9 // a bucket that is at least this full shows spare capacity
 )
 
 // What an arrival has to leave in the bucket, as ratios of its size.
 const (
-	retryReserve         = 0.45 // a retry, for first attempts
-	valueReserve         = 0.3  // the cheapest, for the most valuable
-	nonIdempotentReserve = 0.1  // an idempotent request, for those that are not
+	retryReserve         = 0.45 // left by retries for first attempts
+	valueReserve         = 0.3  // left by the cheapest requests for the most valuable ones
+	nonIdempotentReserve = 0.1  // left by idempotent requests for non-idempotent ones
 )
 
 // Arrival is a request that arrives at the gateway: one attempt of a client.
@@ -27,14 +27,14 @@
 	MarkedRetry bool // the client has marked it as a retry
 }
 
-// Decision is what the guard decides on an arrival.
+// Decision is the guard's decision on an arrival.
 type Decision struct {
 	Admit      bool
-	Retry      bool          // it was taken for a retry
-	RetryAfter time.Duration // of a rejection
+	Retry      bool          // the arrival was taken for a retry
+	RetryAfter time.Duration // if rejected: the time after which the client is told to return
 }
 
-// Admit decides on an arrival.
+// Admit decides whether an arrival is admitted, and counts it.
 func (g *Guard) Admit(now Time, a Arrival) Decision {
 	g.start(now)
 	d := Decision{Admit: true, Retry: g.isRetry(now, a)}
@@ -76,7 +76,7 @@
 
 // reserve returns the ratio of the bucket's size that an arrival has to leave for more important ones.
 func (g *Guard) reserve(a Arrival, retry bool) float64 {
-	value := 0.0 // relative to the most valuable
+	value := 0.0 // relative to the most valuable requests
 	nonIdempotent := false
 	if a.Class >= 0 && a.Class < len(g.opt.Classes) && a.Plan >= 0 && a.Plan < len(g.opt.Prices) && g.maxValue > 0 {
 		class := g.opt.Classes[a.Class]
@@ -101,7 +101,7 @@
 	g.refilledAt = now
 	size := g.bucketSize()
 	g.tokens = math.Min(size, g.tokens+elapsed*g.limit)
-	// The retry budget is the fleet's, and this gateway's share of it is its share of the retries.
+	// The retry budget is that of all gateways. This gateway's share of it equals its share of the retries.
 	all := g.fleet()
 	share := 1.0
 	if all.Retries > 0 {
@@ -110,7 +110,7 @@
 	g.retryTokens = math.Min(math.Max(2, size), g.retryTokens+elapsed*g.opt.RetryRatio*all.FirstAttempts*share)
 }
 
-// AdmitConnection decides whether to accept a new connection.
+// AdmitConnection reports whether a new connection may be accepted, and counts it.
 func (g *Guard) AdmitConnection(now Time) bool {
 	g.start(now)
 	g.current.Connections++
--- a/internal/storm/bloom.go
+++ b/internal/storm/bloom.go
@@ -4,7 +4,7 @@
 	"math/bits"
 )
 
-// BloomFilter is a set of keys with two hash functions and false positives.
+// BloomFilter is a Bloom filter with two hash functions.
 type BloomFilter [bloomBytes]byte
 
 // add adds a key.
@@ -14,8 +14,8 @@
 	}
 }
 
-// contains reports whether a key is probably in the set. A filter of which more than half the bits are set would
-// have too many false positives, and contains nothing.
+// contains reports whether a key is probably in the set. If more than half of the bits are set it returns false for
+// every key, because there would be too many false positives.
 func (f *BloomFilter) contains(k uint64) bool {
 	for _, h := range [...]uint64{k, k >> 24} {
 		if f[h/8%bloomBytes]>>(h%8)&1 == 0 {
--- a/internal/storm/counts.go
+++ b/internal/storm/counts.go
@@ -1,6 +1,6 @@
 package storm
 
-// This file has what a guard counts.
+// This file has the counts of arrivals, attempts and connections.
 
 import (
 	"math"
@@ -16,7 +16,7 @@
 	Failed         // not answered: no connection, a reset, an error, a time-out, a rejection
 )
 
-// Counts are the events in a stretch of time.
+// Counts are the numbers of events in a period.
 type Counts struct {
 	FirstAttempts, Retries float64 // arrivals
 	Admitted, Rejected     float64 // arrivals, by the decision
@@ -24,7 +24,7 @@
 	Connections            float64 // new ones
 }
 
-// add adds other counts.
+// add adds o to c.
 func (c *Counts) add(o Counts) {
 	c.FirstAttempts += o.FirstAttempts
 	c.Retries += o.Retries
@@ -68,7 +68,8 @@
 	return sum
 }
 
-// fleet returns the counts of the last second at all gateways that messages are received from.
+// fleet returns the counts of the last second at this gateway and at the peers whose messages are fresh. Failed
+// includes the late attempts of the peers, and Admitted, Rejected and Connections are only this gateway's.
 func (g *Guard) fleet() (sum Counts) {
 	sum = g.recent()
 	for i := range g.peers {
--- a/internal/storm/guard.go
+++ b/internal/storm/guard.go
@@ -25,12 +25,12 @@
 // Options are the settings of a Guard.
 type Options struct {
 	Self, Gateways int    // this gateway's number, and how many there are
-	Seed           uint64 // of the jitter of Retry-After
+	Seed           uint64 // for the jitter of Retry-After
 	Classes        []Class
 	Prices         []float64 // factor on a class's value, by plan
 
-	// RetryRatio is the retry budget: the retries that are admitted for each first attempt, outside of Calm. A
-	// higher one lets impatient clients in earlier, at the cost of others' first attempts. Default: 0.2.
+	// RetryRatio is the retry budget: the number of retries that are admitted for each first attempt outside of Calm. A
+	// higher ratio admits clients that retry fast earlier, at the cost of others' first attempts. Default: 0.2.
 	RetryRatio float64
 	// MaxRetryAfter bounds the Retry-After of a rejection. It should not exceed what clients accept. Default, and upper
 	// bound: 30 s.
@@ -42,7 +42,7 @@
 // Members is what a gateway observes of the pool members at a tick.
 type Members struct {
 	Listed  int
-	Warmth  float64 // mean fraction of its capacity that a listed member has, 0 to 1
+	Warmth  float64 // fraction of its full capacity that a listed member has, 0 to 1; mean over the listed members
 	Overdue int     // attempts in flight that take far longer than is typical
 }
 
@@ -50,7 +50,7 @@
 type Guard struct {
 	opt      Options
 	rng      *rand.Rand
-	maxValue float64 // of a class times a price
+	maxValue float64 // highest product of a class's value and a price
 	peers    []peer  // by gateway number
 	seq      uint8   // of the last message sent
 	stats    Stats
@@ -74,27 +74,27 @@
 	baselineArrivals    float64
 	baselineServed      float64 // attempts that ended in time
 	baselineConnections float64
-	baselineTime        Time // time in Calm behind it
+	baselineTime        Time // time in Calm over which the baseline was learned
 
 	// Admission.
 	limit            float64 // the ramp: admissions per second
 	lastDecreaseAt   Time
-	tokens           float64 // of the limit
-	retryTokens      float64 // of the retry budget
+	tokens           float64 // in the bucket of all admissions
+	retryTokens      float64 // in the bucket of the retry budget
 	connectionTokens float64
 	refilledAt       Time
 
 	// Recognition of retries.
 	failedWork      map[uint64]*failure // by Arrival.key
-	failedOrder     []uint64            // its keys, oldest first
+	failedOrder     []uint64            // keys of failedWork, oldest first
 	markingAccounts map[uint64]bool     // accounts whose clients mark retries
 
 	// Retry-After: a ring of time slots.
 	scheduled [slotCount]float64 // returns scheduled for each slot; slot n is at n modulo slotCount
-	firstSlot int64              // the slot that is current
+	firstSlot int64              // number of the current slot
 }
 
-// start initializes the times at the first call that gives one.
+// start initializes the times at the first call of a method that passes the time.
 func (g *Guard) start(now Time) {
 	if g.startedAt == 0 {
 		g.startedAt, g.lastTickAt, g.phaseSince, g.refilledAt, g.firstSlot = now, now, now, now, int64(now/slotDuration)
@@ -117,8 +117,8 @@
 	return g
 }
 
-// Configure sets classes and prices. Failed work is forgotten, as its keys contain class numbers: the next attempts
-// at it count as first ones.
+// Configure sets classes and prices. Failed work is forgotten, because its keys contain class numbers: the next
+// attempts at that work count as first attempts.
 func (g *Guard) Configure(classes []Class, prices []float64) {
 	g.opt.Classes, g.opt.Prices, g.maxValue = classes, prices, 0
 	for _, c := range classes {
@@ -138,7 +138,7 @@
 	g.lastTickAt, g.members = now, members
 	g.historyIndex = (g.historyIndex + 1) % len(g.history)
 	g.history[g.historyIndex], g.current = g.current, Counts{}
-	g.connectionTokens = math.Min(math.Max(1, g.opt.ConnectionRate/4), // a quarter of a second's may come at once
+	g.connectionTokens = math.Min(math.Max(1, g.opt.ConnectionRate/4), // burst: a quarter of a second
 		g.connectionTokens+g.opt.ConnectionRate*TickInterval.Seconds())
 	g.advanceSlots(now)
 	if gap > pauseThreshold { // events are missing from the counts
@@ -153,7 +153,7 @@
 	return g.message(now)
 }
 
-// State returns the phase and how confident the guard is of it, 0 to 1.
+// State returns the phase, and the guard's confidence in it from 0 to 1.
 func (g *Guard) State() (Phase, float64) { return g.phase, g.confidence }
 
 // Stats are a guard's state and counters, for logs and metrics.
@@ -163,17 +163,17 @@
 	Limit, Baseline float64 // the ramp, and the usual arrivals, per second
 	Recent          Counts  // in the last second
 
-	Storms                            uint64 // times that Calm was left
-	Rejected, RejectedRetries         uint64 // arrivals; and those of them taken for retries
-	Retries                           uint64 // arrivals taken for retries
+	Storms                            uint64 // number of times that Calm was left
+	Rejected, RejectedRetries         uint64 // rejected arrivals, and those of them that were taken for retries
+	Retries                           uint64 // arrivals that were taken for retries
 	RejectedConnections               uint64
-	MessagesReceived, MessagesDropped uint64 // of peers
+	MessagesReceived, MessagesDropped uint64 // from peers
 	RampDecreases                     uint64
 }
 
-// Stats returns the counters.
+// Stats returns the guard's state and counters.
 func (g *Guard) Stats() Stats {
-	f := g.stats
-	f.Phase, f.Confidence, f.Limit, f.Baseline, f.Recent = g.phase, g.confidence, g.limit, g.baselineArrivals, g.recent()
-	return f
+	s := g.stats
+	s.Phase, s.Confidence, s.Limit, s.Baseline, s.Recent = g.phase, g.confidence, g.limit, g.baselineArrivals, g.recent()
+	return s
 }
--- a/internal/storm/guard_test.go
+++ b/internal/storm/guard_test.go
@@ -9,300 +9,302 @@
 
 const second = time.Second
 
-// For every retry policy of the clients the service recovers within one and a half times the members' warm-up, and
-// no later than without guards.
+// For every retry policy of the clients the service recovers within one and a half times the members' warm-up, and at
+// most 2 s later than without guards.
 func TestRecoversForEveryClientModel(t *testing.T) {
 	for name := range retryPolicies {
-		for _, honor := range []float64{0, 0.5, 1} { // clients that ignore Retry-After, to clients that all honor it
-			var damped, undamped time.Duration
+		for _, honor := range []float64{0, 0.5, 1} { // fraction of clients that honor Retry-After
+			var guarded, unguarded time.Duration
 			for seed := range uint64(3) {
-				w, back := runStorm(name, seed, true, honor)
-				_, without := runStorm(name, seed, false, honor)
-				damped, undamped = damped+back/3, undamped+without/3
-				assert.LessOrEqual(t, back, warmUpTime*3/2, "%s, %.1f honor, seed %d", name, honor, seed)
-				assert.Less(t, w.peakOverload, 4.0, name)
-				assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):],
+				s, recovery := runStorm(name, seed, true, honor)
+				_, unguardedRecovery := runStorm(name, seed, false, honor)
+				guarded, unguarded = guarded+recovery/3, unguarded+unguardedRecovery/3
+				assert.LessOrEqual(t, recovery, warmUpTime*3/2, "%s, %.1f honor, seed %d", name, honor, seed)
+				assert.Less(t, s.peakOverload, 4.0, name)
+				assert.Equal(t, []Phase{Outage, Recovery, Calm}, s.phases[max(0, len(s.phases)-3):],
 					"%s, %.1f honor, seed %d", name, honor, seed)
 			}
-			assert.LessOrEqual(t, damped, undamped+2*second, "%s, %.1f honor", name, honor)
-			t.Logf("%s, %.1f honor: back after %v, without %v", name, honor, damped, undamped)
+			assert.LessOrEqual(t, guarded, unguarded+2*second, "%s, %.1f honor", name, honor)
+			t.Logf("%s, %.1f honor Retry-After: recovered after %v, without guards after %v", name, honor, guarded, unguarded)
 		}
 	}
 }
 
-// The members fail again during the recovery.
+// If the members fail again during the recovery, the guard returns to Outage, and the service recovers afterwards.
 func TestRepeatedOutage(t *testing.T) {
-	w := newSimulation(1, 3, 12, 0.6)
-	w.runLoad(20*second, 1)
-	usual := w.goodput(simulationStart+5*second, w.now)
-	w.stop(w.allMembers()...)
-	w.runLoad(15*second, 1)
-	w.restore(w.allMembers()...)
-	w.runLoad(5*second, 1)
-	w.stop(w.allMembers()...)
-	w.runLoad(10*second, 1)
-	w.restore(w.allMembers()...)
-	restored := w.now
-	w.runLoad(50*second, 1)
-	assert.Equal(t, []Phase{Outage, Recovery, Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-5):])
-	assert.LessOrEqual(t, w.timeToRecover(restored, restored+45*second, usual), warmUpTime*3/2)
+	s := newSimulation(1, 3, 12, 0.6)
+	s.runLoad(20*second, 1)
+	baseline := s.goodput(simulationStart+5*second, s.now)
+	s.stop(s.allMembers()...)
+	s.runLoad(15*second, 1)
+	s.restore(s.allMembers()...)
+	s.runLoad(5*second, 1)
+	s.stop(s.allMembers()...)
+	s.runLoad(10*second, 1)
+	s.restore(s.allMembers()...)
+	restored := s.now
+	s.runLoad(50*second, 1)
+	assert.Equal(t, []Phase{Outage, Recovery, Outage, Recovery, Calm}, s.phases[max(0, len(s.phases)-5):])
+	assert.LessOrEqual(t, s.timeToRecover(restored, restored+45*second, baseline), warmUpTime*3/2)
 }
 
 // A gateway with little load, whose limit in an outage is one request a second, detects the end of the outage.
 func TestOutageOfALightlyLoadedGateway(t *testing.T) {
-	w := newSimulation(9, 1, 3, 0.2)
-	w.retryPolicy = retryPolicies["immediate"]
-	w.runLoad(30*second, 1)
-	w.stop(w.allMembers()...)
-	w.runLoad(20*second, 1)
-	assert.Equal(t, Outage, w.phases[len(w.phases)-1])
-	w.restore(w.allMembers()...)
-	w.runLoad(40*second, 1)
-	assert.Equal(t, []Phase{Outage, Recovery, Calm}, w.phases[max(0, len(w.phases)-3):])
-	assert.Greater(t, w.goodput(w.now-15*second, w.now-3*second), 0.95)
+	s := newSimulation(9, 1, 3, 0.2)
+	s.retryPolicy = retryPolicies["immediate"]
+	s.runLoad(30*second, 1)
+	s.stop(s.allMembers()...)
+	s.runLoad(20*second, 1)
+	assert.Equal(t, Outage, s.phases[len(s.phases)-1])
+	s.restore(s.allMembers()...)
+	s.runLoad(40*second, 1)
+	assert.Equal(t, []Phase{Outage, Recovery, Calm}, s.phases[max(0, len(s.phases)-3):])
+	assert.Greater(t, s.goodput(s.now-15*second, s.now-3*second), 0.95)
 }
 
-// All members accept requests and answer nothing, while discovery lists them as up: the overdue attempts show the
-// outage.
+// All members accept requests and answer none, while discovery lists them as up. The guards detect the outage by the
+// overdue attempts.
 func TestUnresponsiveMembers(t *testing.T) {
-	w := newSimulation(1, 3, 12, 0.6)
-	w.runLoad(20*second, 1)
-	for i := range w.members {
-		w.members[i].hung = true
+	s := newSimulation(1, 3, 12, 0.6)
+	s.runLoad(20*second, 1)
+	for i := range s.members {
+		s.members[i].hung = true
 	}
-	w.runLoad(5*second, 1)
-	p, sure := w.guards[1].State()
+	s.runLoad(5*second, 1)
+	p, confidence := s.guards[1].State()
 	assert.Equal(t, Outage, p)
-	assert.Greater(t, sure, 0.5)
-	assert.Less(t, w.guards[1].Stats().Limit, 0.2*w.arrivalRate/3)
+	assert.Greater(t, confidence, 0.5)
+	assert.Less(t, s.guards[1].Stats().Limit, 0.2*s.arrivalRate/3)
 }
 
-// Half of the members fail: the other half is used, and that is no outage.
+// Half of the members fail. The other half goes on serving, so no outage is detected.
 func TestOutageOfOneZone(t *testing.T) {
 	shares := map[bool]float64{}
-	for _, damped := range []bool{true, false} {
-		w := newSimulation(2, 3, 12, 0.6)
-		w.guarded, w.retryPolicy = damped, retryPolicies["immediate"]
-		w.runLoad(20*second, 1)
-		w.stop(0, 1, 2, 3, 4, 5)
-		gone := w.now
-		w.runLoad(20*second, 1)
-		shares[damped] = w.goodput(gone+5*second, w.now-2*second)
-		if damped {
-			assert.NotContains(t, w.phases, Outage)
+	for _, guarded := range []bool{true, false} {
+		s := newSimulation(2, 3, 12, 0.6)
+		s.guarded, s.retryPolicy = guarded, retryPolicies["immediate"]
+		s.runLoad(20*second, 1)
+		s.stop(0, 1, 2, 3, 4, 5)
+		stoppedAt := s.now
+		s.runLoad(20*second, 1)
+		shares[guarded] = s.goodput(stoppedAt+5*second, s.now-2*second)
+		if guarded {
+			assert.NotContains(t, s.phases, Outage)
 		}
-		w.restore(0, 1, 2, 3, 4, 5)
-		restored := w.now
-		w.runLoad(40*second, 1)
-		if damped {
-			assert.Greater(t, w.goodput(restored+25*second, w.now-3*second), 0.95)
+		s.restore(0, 1, 2, 3, 4, 5)
+		restored := s.now
+		s.runLoad(40*second, 1)
+		if guarded {
+			assert.Greater(t, s.goodput(restored+25*second, s.now-3*second), 0.95)
 		}
 	}
 	assert.GreaterOrEqual(t, shares[true], shares[false]-0.02) // half the members can serve 0.83 of the load
 }
 
-// A gateway that starts during a storm learns of it from its peers; one without peers detects it.
+// A gateway that starts during a storm learns of the storm and the baseline from its peers. One that receives no
+// messages from peers returns to good service, too.
 func TestGatewayRestartedInTheStorm(t *testing.T) {
-	for _, cut := range []bool{false, true} {
-		w := newSimulation(3, 3, 12, 0.6)
-		w.runLoad(20*second, 1)
-		w.stop(w.allMembers()...)
-		w.runLoad(10*second, 1)
-		w.restore(w.allMembers()...)
-		w.runLoad(2*second, 1)
-		w.partitioned = cut
-		w.restartGuard(2)
-		w.runLoad(second, 1)
-		p, _ := w.guards[2].State()
-		if !cut {
+	for _, partitioned := range []bool{false, true} {
+		s := newSimulation(3, 3, 12, 0.6)
+		s.runLoad(20*second, 1)
+		s.stop(s.allMembers()...)
+		s.runLoad(10*second, 1)
+		s.restore(s.allMembers()...)
+		s.runLoad(2*second, 1)
+		s.partitioned = partitioned
+		s.restartGuard(2)
+		s.runLoad(second, 1)
+		p, _ := s.guards[2].State()
+		if !partitioned {
 			assert.NotEqual(t, Calm, p)
-			assert.Greater(t, w.guards[2].baselineRate(), 5.0) // the baseline, too
+			assert.Greater(t, s.guards[2].baselineRate(), 5.0) // the baseline was adopted, too
 		}
-		w.runLoad(40*second, 1)
-		p, _ = w.guards[2].State()
-		assert.Equal(t, Calm, p, "%+v %+v", w.guards[2].Stats(), w.guards[2].recent())
-		assert.Greater(t, w.goodput(w.now-15*second, w.now-3*second), 0.9)
+		s.runLoad(40*second, 1)
+		p, _ = s.guards[2].State()
+		assert.Equal(t, Calm, p, "%+v %+v", s.guards[2].Stats(), s.guards[2].recent())
+		assert.Greater(t, s.goodput(s.now-15*second, s.now-3*second), 0.9)
 	}
 }
 
-// Retries arrive at another gateway than the first attempt, unmarked: they are recognized by account, class and
-// units, as peers report what has failed.
+// Retries arrive unmarked, and at another gateway than the first attempt. They are recognized by account, class and
+// units, because peers report the work that failed.
 func TestRetriesThroughAnotherGateway(t *testing.T) {
-	w := newSimulation(4, 3, 12, 0.6)
-	w.markRetries, w.accounts = false, 2000
-	w.runLoad(20*second, 1)
-	before := w.retries
-	w.stop(w.allMembers()...)
-	w.runLoad(10*second, 1)
-	w.restore(w.allMembers()...)
-	w.runLoad(10*second, 1)
-	known, missed := w.retries[0]-before[0], w.retries[1]-before[1]
-	assert.Greater(t, float64(known), 0.6*float64(known+missed))
+	s := newSimulation(4, 3, 12, 0.6)
+	s.markRetries, s.accounts = false, 2000
+	s.runLoad(20*second, 1)
+	before := s.retries
+	s.stop(s.allMembers()...)
+	s.runLoad(10*second, 1)
+	s.restore(s.allMembers()...)
+	s.runLoad(10*second, 1)
+	recognized, missed := s.retries[0]-before[0], s.retries[1]-before[1]
+	assert.Greater(t, float64(recognized), 0.6*float64(recognized+missed))
 	assert.NotZero(t, missed)
 }
 
-// Busy days are no storms.
+// Load peaks, quota rejections, reconnecting clients and single failed or slow members are not detected as storms.
 func TestNoFalseAlarms(t *testing.T) {
-	for name, day := range map[string]func(*simulation){
-		"a peak": func(w *simulation) { w.runLoad(20*second, 1.6) },
-		"a long peak": func(w *simulation) {
-			w.runLoad(10*second, 1.2)
-			w.runLoad(30*second, 1.55)
-			w.runLoad(10*second, 0.4)
+	for name, scenario := range map[string]func(*simulation){
+		"a peak": func(s *simulation) { s.runLoad(20*second, 1.6) },
+		"a long peak": func(s *simulation) {
+			s.runLoad(10*second, 1.2)
+			s.runLoad(30*second, 1.55)
+			s.runLoad(10*second, 0.4)
 		},
-		"no load": func(w *simulation) { w.runLoad(20*second, 0.01); w.runLoad(20*second, 1) },
-		"a hot customer": func(w *simulation) { // its requests beyond the quota are rejected, and retried at once
-			w.runLoad(20*second, 1)
+		"no load": func(s *simulation) { s.runLoad(20*second, 0.01); s.runLoad(20*second, 1) },
+		"a hot customer": func(s *simulation) { // its requests beyond the quota are rejected and retried at once
+			s.runLoad(20*second, 1)
 			for range 4000 {
-				w.run(w.now + 3*time.Millisecond)
-				a := Arrival{Account: 7, Class: 1, Plan: 1, Units: 2, MarkedRetry: w.rng.IntN(2) == 0}
-				g := w.guards[w.rng.IntN(3)]
-				if g.Admit(w.now, a).Admit {
-					g.Rejected(w.now, a, second)
+				s.run(s.now + 3*time.Millisecond)
+				a := Arrival{Account: 7, Class: 1, Plan: 1, Units: 2, MarkedRetry: s.rng.IntN(2) == 0}
+				g := s.guards[s.rng.IntN(3)]
+				if g.Admit(s.now, a).Admit {
+					g.Rejected(s.now, a, second)
 				}
 			}
-			w.runLoad(10*second, 1)
+			s.runLoad(10*second, 1)
 		},
-		"a deploy of the clients": func(w *simulation) { // all reconnect at once, and send again what was in flight
-			w.runLoad(20*second, 1)
+		"a deploy of the clients": func(s *simulation) { // all reconnect at once, and repeat the requests that were in flight
+			s.runLoad(20*second, 1)
 			for range 2000 {
-				assert.True(w.test(), w.guards[w.rng.IntN(3)].AdmitConnection(w.now))
+				assert.True(s.test(), s.guards[s.rng.IntN(3)].AdmitConnection(s.now))
 			}
 			for range 40 {
-				w.firstAttempt(Arrival{Account: w.rng.Uint64N(60), Class: 1, Units: 1})
+				s.firstAttempt(Arrival{Account: s.rng.Uint64N(60), Class: 1, Units: 1})
 			}
-			w.runLoad(20*second, 1)
+			s.runLoad(20*second, 1)
 		},
-		"one slow member": func(w *simulation) {
-			w.runLoad(20*second, 1)
-			w.members[3].freeAt = w.now + 10*second
-			w.runLoad(20*second, 1)
+		"one slow member": func(s *simulation) {
+			s.runLoad(20*second, 1)
+			s.members[3].freeAt = s.now + 10*second
+			s.runLoad(20*second, 1)
 		},
-		"a member just started at the peak": func(w *simulation) {
-			w.runLoad(20*second, 1)
-			w.runLoad(2*second, 1.4)
-			w.restore(5)
-			w.runLoad(20*second, 1.4)
-			assert.Less(w.test(), w.peakOverload, 4.0)
+		"a member just started at the peak": func(s *simulation) {
+			s.runLoad(20*second, 1)
+			s.runLoad(2*second, 1.4)
+			s.restore(5)
+			s.runLoad(20*second, 1.4)
+			assert.Less(s.test(), s.peakOverload, 4.0)
 		},
-		"two members stopped": func(w *simulation) { w.runLoad(20*second, 1); w.stop(1, 2); w.runLoad(20*second, 1) },
-		"pauses": func(w *simulation) {
+		"two members stopped": func(s *simulation) { s.runLoad(20*second, 1); s.stop(1, 2); s.runLoad(20*second, 1) },
+		"pauses": func(s *simulation) {
 			for range 20 {
 				for i := range 4 {
-					w.members[i].freeAt = max(w.members[i].freeAt, w.now) + 400*time.Millisecond
+					s.members[i].freeAt = max(s.members[i].freeAt, s.now) + 400*time.Millisecond
 				}
-				w.runLoad(2*second, 1)
+				s.runLoad(2*second, 1)
 			}
 		},
 	} {
 		for seed := range uint64(4) {
-			w := newSimulation(seed, 3, 12, 0.6)
-			w.t = t
-			w.runLoad(5*second, 1)
-			day(w)
-			for _, g := range w.guards {
+			s := newSimulation(seed, 3, 12, 0.6)
+			s.t = t
+			s.runLoad(5*second, 1)
+			scenario(s)
+			for _, g := range s.guards {
 				assert.Zero(t, g.Stats().Storms, "%s, seed %d", name, seed)
 			}
 		}
 	}
 }
 
-// Clients that all reconnect, mark no retries and have an account each: no retry is recognized, but with so many new
-// connections, a load above the baseline and many failures it is a storm.
+// All clients reconnect, mark no retries and have one account each, so that no retry is recognized. A storm is detected
+// all the same, by the surge of new connections, the load above the baseline and the failures.
 func TestConnectionSurge(t *testing.T) {
 	for _, surge := range []bool{true, false} {
-		w := newSimulation(11, 1, 12, 0.6)
-		w.runLoad(20*second, 1)
-		w.stop(0, 1, 2, 3, 4, 5, 6)
+		s := newSimulation(11, 1, 12, 0.6)
+		s.runLoad(20*second, 1)
+		s.stop(0, 1, 2, 3, 4, 5, 6)
 		for range 4000 {
 			if surge {
-				w.guards[0].AdmitConnection(w.now)
+				s.guards[0].AdmitConnection(s.now)
 			}
-			if v := w.guards[0].Admit(w.now, Arrival{Account: w.rng.Uint64(), Class: 1, Units: 1}); v.Admit {
-				w.guards[0].AttemptEnded(w.now, map[bool]Outcome{true: Failed, false: InTime}[w.rng.IntN(2) == 0])
+			if v := s.guards[0].Admit(s.now, Arrival{Account: s.rng.Uint64(), Class: 1, Units: 1}); v.Admit {
+				s.guards[0].AttemptEnded(s.now, map[bool]Outcome{true: Failed, false: InTime}[s.rng.IntN(2) == 0])
 			}
-			w.run(w.now + second/1000)
+			s.run(s.now + second/1000)
 		}
-		assert.Equal(t, surge, w.guards[0].Stats().Storms > 0)
+		assert.Equal(t, surge, s.guards[0].Stats().Storms > 0)
 	}
 }
 
-// A process pause of 3 s is no outage.
+// A process pause of 3 s is not detected as an outage, although many attempts have timed out at its end.
 func TestProcessPause(t *testing.T) {
-	w := newSimulation(5, 1, 12, 0.6)
-	w.runLoad(20*second, 1)
-	g := w.guards[0]
+	s := newSimulation(5, 1, 12, 0.6)
+	s.runLoad(20*second, 1)
+	g := s.guards[0]
 	for range 30 {
-		g.AttemptEnded(w.now, Failed) // all that had timed out when the process resumed
+		g.AttemptEnded(s.now, Failed) // the attempts that had timed out when the process resumed
 	}
-	g.Tick(w.now+3*second, Members{Listed: 12, Warmth: 1, Overdue: 40})
+	g.Tick(s.now+3*second, Members{Listed: 12, Warmth: 1, Overdue: 40})
 	p, _ := g.State()
 	assert.Equal(t, Calm, p)
 }
 
-// An account that sends five times its quota in a storm takes no more than others: what exceeds its quota is
-// rejected, and its retries count as such.
+// An account that sends five times its quota in a storm doesn't displace others: the requests beyond its quota are
+// rejected, and their repeats count as retries.
 func TestHotAccountInTheStorm(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, hot := range []bool{false, true} {
-		w := newSimulation(6, 3, 12, 0.6)
-		w.runLoad(20*second, 1)
-		w.stop(w.allMembers()...)
-		w.runLoad(10*second, 1)
-		w.restore(w.allMembers()...)
-		restored := w.now
+		s := newSimulation(6, 3, 12, 0.6)
+		s.runLoad(20*second, 1)
+		s.stop(s.allMembers()...)
+		s.runLoad(10*second, 1)
+		s.restore(s.allMembers()...)
+		restored := s.now
 		if hot {
-			var ask func()
-			ask = func() {
+			var sendRequest func()
+			sendRequest = func() {
 				a := Arrival{Account: 9999, Class: 1, Plan: 1, Units: 4}
-				g := w.guards[w.rng.IntN(3)]
-				if g.Admit(w.now, a).Admit {
-					g.Rejected(w.now, a, second) // beyond its quota
+				g := s.guards[s.rng.IntN(3)]
+				if g.Admit(s.now, a).Admit {
+					g.Rejected(s.now, a, second) // beyond its quota
 				}
-				if w.now < restored+30*second {
-					w.after(20*time.Millisecond, ask)
+				if s.now < restored+30*second {
+					s.after(20*time.Millisecond, sendRequest)
 				}
 			}
-			w.after(0, ask)
+			s.after(0, sendRequest)
 		}
-		w.runLoad(40*second, 1)
-		shares[hot] = w.goodput(restored+10*second, restored+35*second)
+		s.runLoad(40*second, 1)
+		shares[hot] = s.goodput(restored+10*second, restored+35*second)
 	}
 	assert.Greater(t, shares[true], shares[false]-0.1)
 }
 
-// Of 5,000 connections in a second no more are accepted than a second's worth and the burst.
+// Of 5,000 new connections in a second in an outage, about as many are accepted as Options.ConnectionRate permits, with
+// the burst.
 func TestConnectionsInAStorm(t *testing.T) {
-	w := newSimulation(7, 1, 12, 0.6)
-	w.runLoad(20*second, 1)
-	w.stop(w.allMembers()...)
-	w.runLoad(5*second, 1)
-	taken := 0
+	s := newSimulation(7, 1, 12, 0.6)
+	s.runLoad(20*second, 1)
+	s.stop(s.allMembers()...)
+	s.runLoad(5*second, 1)
+	accepted := 0
 	for range 5000 {
-		w.run(w.now + second/5000)
-		if w.guards[0].AdmitConnection(w.now) {
-			taken++
+		s.run(s.now + second/5000)
+		if s.guards[0].AdmitConnection(s.now) {
+			accepted++
 		}
 	}
-	assert.InDelta(t, 200, taken, 60)
-	assert.NotZero(t, w.guards[0].Stats().RejectedConnections)
+	assert.InDelta(t, 200, accepted, 60)
+	assert.NotZero(t, s.guards[0].Stats().RejectedConnections)
 }
 
-// Clients that honor Retry-After return spread over the time there is, and it is between minRetryAfter and the clients'
-// limit.
+// The returns of clients that honor Retry-After are spread over the time slots, and Retry-After is between
+// minRetryAfter and Options.MaxRetryAfter.
 func TestScheduledReturnsAreSpread(t *testing.T) {
-	w := newSimulation(8, 3, 12, 0.6)
-	w.runLoad(20*second, 1)
-	w.stop(w.allMembers()...)
-	w.runLoad(4*second, 1)
+	s := newSimulation(8, 3, 12, 0.6)
+	s.runLoad(20*second, 1)
+	s.stop(s.allMembers()...)
+	s.runLoad(4*second, 1)
 	slot := map[int64]int{}
 	for range 600 {
-		g := w.guards[w.rng.IntN(3)]
-		wait := g.Rejected(w.now, Arrival{Account: w.rng.Uint64(), Class: 1}, second)
+		g := s.guards[s.rng.IntN(3)]
+		wait := g.Rejected(s.now, Arrival{Account: s.rng.Uint64(), Class: 1}, second)
 		assert.GreaterOrEqual(t, wait, minRetryAfter)
 		assert.LessOrEqual(t, wait, 8*second)
-		slot[int64((w.now+wait)/slotDuration)]++
-		w.run(w.now + 2*time.Millisecond)
+		slot[int64((s.now+wait)/slotDuration)]++
+		s.run(s.now + 2*time.Millisecond)
 	}
 	most := 0
 	for _, n := range slot {
--- a/internal/storm/message.go
+++ b/internal/storm/message.go
@@ -15,25 +15,25 @@
 
 const (
 	formatVersion   = 1
-	scheduleSeconds = 16 // for which scheduled returns are reported
+	scheduleSeconds = 16 // seconds ahead for which scheduled returns are reported
 	bloomBytes      = 64
 	messageSize     = 4 + 6 + scheduleSeconds + bloomBytes
 
-	// The logarithmic scale of one byte: 0 is 0, 1 is minEncoded, and so many steps double the number.
+	// The logarithmic scale of one byte: 0 is 0, 1 is minEncoded, and each stepsPerDoubling steps double the number.
 	stepsPerDoubling = 8
 	minEncoded       = 0.25
 
-	minConfidence = 0.25 // below it, nothing is reported
+	minConfidence = 0.25 // below it no messages are sent, except in the first second of a phase
 )
 
-// Message is what a guard reports to its peers outside of Calm. Counts are of the last second.
+// Message is a guard's report to its peers outside of Calm. Counts are of the last second.
 type Message struct {
 	Phase                  Phase
 	Confidence             float64                  // 0 to 1
 	Seq                    uint8                    // rises by one from message to message
 	FirstAttempts, Retries float64                  // arrivals
 	InTime, Failed         float64                  // attempts; Failed includes late ones
-	Limit, Baseline        float64                  // per second: the ramp, and attempts that are usually served in time
+	Limit, Baseline        float64                  // per second: the limit, and attempts usually served in time
 	Scheduled              [scheduleSeconds]float64 // returns, by the second ahead
 	FailedWork             BloomFilter              // keys of the work that failed
 }
@@ -46,7 +46,7 @@
 	return byte(math.Min(255, 1+math.Round(stepsPerDoubling*math.Log2(x/minEncoded))))
 }
 
-// decodeLog decodes what encodeLog has encoded.
+// decodeLog decodes a number that encodeLog has encoded.
 func decodeLog(b byte) float64 {
 	if b == 0 {
 		return 0
--- a/internal/storm/message_test.go
+++ b/internal/storm/message_test.go
@@ -9,11 +9,11 @@
 
 // Encoding and decoding keep a message, up to the precision of the logarithmic scale.
 func TestMessageRoundTrip(t *testing.T) {
-	w := Message{Phase: Recovery, Confidence: 0.5, Seq: 9, FirstAttempts: 30, Retries: 300, InTime: 12, Failed: 1,
+	message := Message{Phase: Recovery, Confidence: 0.5, Seq: 9, FirstAttempts: 30, Retries: 300, InTime: 12, Failed: 1,
 		Limit: 17, Baseline: 33}
-	w.Scheduled[3] = 21
-	w.FailedWork.add(12345678901234567)
-	got, ok := Decode(w.Encode())
+	message.Scheduled[3] = 21
+	message.FailedWork.add(12345678901234567)
+	got, ok := Decode(message.Encode())
 	assert.True(t, ok)
 	assert.Equal(t, Recovery, got.Phase)
 	assert.InDelta(t, 300, got.Retries, 15)
@@ -21,16 +21,16 @@
 	assert.True(t, got.FailedWork.contains(12345678901234567))
 	assert.False(t, got.FailedWork.contains(76543210987654321))
 	for range 1000 {
-		w.FailedWork.add(rand.Uint64())
+		message.FailedWork.add(rand.Uint64())
 	}
-	assert.False(t, w.FailedWork.contains(12345678901234567)) // saturated
-	assert.LessOrEqual(t, len(w.Encode()), 128)
+	assert.False(t, message.FailedWork.contains(12345678901234567)) // saturated
+	assert.LessOrEqual(t, len(message.Encode()), 128)
 }
 
-// No message of a peer makes a guard panic, or leads to a limit or Retry-After out of bounds.
+// No message from a peer makes a guard panic, or leads to a limit or Retry-After out of bounds.
 func FuzzReceive(f *testing.F) {
-	w := Message{Phase: Outage, Confidence: 1}
-	f.Add(w.Encode())
+	message := Message{Phase: Outage, Confidence: 1}
+	f.Add(message.Encode())
 	f.Fuzz(func(t *testing.T, m []byte) {
 		g := New(Options{Gateways: 2, Classes: classes, Prices: []float64{1}})
 		g.Receive(simulationStart, 1, m)
--- a/internal/storm/peers.go
+++ b/internal/storm/peers.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// peerTTL is how long a peer's last message counts.
+// peerTTL is how long a peer's last message is used.
 const peerTTL = 4 * TickInterval
 
 // peer is the last message of another gateway.
@@ -16,10 +16,10 @@
 	message    Message
 }
 
-// fresh reports whether the message counts still.
+// fresh reports whether there is a message that is not older than peerTTL.
 func (p *peer) fresh(now Time) bool { return p.known && now-p.receivedAt <= peerTTL }
 
-// Receive takes a peer's message. Invalid, duplicate and reordered ones are dropped.
+// Receive handles a message from a peer. Invalid, duplicate and reordered messages are dropped.
 func (g *Guard) Receive(now Time, from int, message []byte) {
 	g.start(now)
 	m, ok := Decode(message)
@@ -52,7 +52,7 @@
 			m.Scheduled[second] += g.scheduled[s%int64(slotCount)]
 		}
 	}
-	// Only the latest keys, so that the filter is not saturated.
+	// Only the latest keys are reported, so that the filter is not saturated.
 	for i := len(g.failedOrder) - 1; i >= 0 && i >= len(g.failedOrder)-bloomBytes*2; i-- {
 		if f := g.failedWork[g.failedOrder[i]]; f != nil && f.count > 0 {
 			m.FailedWork.add(g.failedOrder[i])
@@ -61,8 +61,8 @@
 	return m.Encode()
 }
 
-// peerPhase returns the phase that most peers outside of Calm report, and the highest baseline among them; Calm: no
-// peer reports any.
+// peerPhase returns the phase that most peers outside of Calm report, and the highest baseline among them. Calm means
+// that no peer reports another phase.
 func (g *Guard) peerPhase(now Time) (phase Phase, baseline float64) {
 	var n [Recovery + 1]int
 	for i := range g.peers {
--- a/internal/storm/phase.go
+++ b/internal/storm/phase.go
@@ -1,6 +1,6 @@
 package storm
 
-// This file has the detection of outages and storms.
+// This file detects outages and storms.
 
 import (
 	"math"
@@ -13,8 +13,8 @@
 // The phases. Their values are in messages.
 const (
 	Calm     Phase = iota
-	Outage         // next to nothing is served
-	Recovery       // members answer, and more arrives than they can do
+	Outage         // almost no attempt is served
+	Recovery       // members answer, but more requests arrive than they can serve
 )
 
 var phaseNames = [...]string{"calm", "outage", "recovery"}
@@ -22,25 +22,28 @@
 // String returns the phase's name in logs.
 func (p Phase) String() string { return phaseNames[p] }
 
-// The thresholds of the phases. Rates are per second, ratios are of the last second.
+// The thresholds of the phases. Rates are per second; numbers and ratios are of the last second.
 const (
-	window = time.Second // what is judged
+	window = time.Second // period over which events are counted
 
 	// The baseline: an exponentially weighted mean, learned in Calm only.
 	baselineHalfLife = 30 * time.Second
-	baselineMinCalm  = 3 * time.Second // time in Calm before there is one
+	baselineMinCalm  = 3 * time.Second // time in Calm before there is a baseline
 
-	// Outage: at least so many attempts failed and at most this ratio succeeded, at all gateways, for so many ticks.
+	// Start of an outage: over all gateways, at least outageMinFailures attempts failed or are overdue, and at most
+	// outageSuccessRatio of the attempts were answered, on outageTicks consecutive ticks.
 	outageMinFailures  = 8.0
 	outageSuccessRatio = 0.1
 	outageTicks        = 3
 
-	// End of an outage: so many successes in a row here, or so many in all and at least this ratio.
+	// End of an outage: recoveryMinSuccesses attempts in a row were served in time here; or, over all gateways, as many
+	// were served in time and at least recoverySuccessRatio of the attempts were answered.
 	recoveryMinSuccesses = 2.0
 	recoverySuccessRatio = 0.3
 
-	// Storm without an outage: arrivals above the baseline by this factor, a ratio of retries or a surge of new
-	// connections (clients that all reconnect may not mark their retries), and a ratio of failures, for so many ticks.
+	// Storm without an outage: on stormTicks consecutive ticks there are more arrivals than stormLoadFactor times the
+	// baseline; a ratio of retries above stormRetryRatio, or a surge of new connections (clients that all reconnect may
+	// not mark their retries); and a ratio of failures above stormFailureRatio.
 	stormLoadFactor       = 1.3
 	stormRetryRatio       = 0.3
 	connectionSurgeFactor = 3.0
@@ -48,13 +51,14 @@
 	stormFailureRatio     = 0.3
 	stormTicks            = 4
 
-	// End of a recovery: retries, rejections and failures below these ratios, for so many ticks.
+	// End of a recovery: the ratios of retries and rejections stay below these, and that of failures below
+	// rampFailureRatio, on calmTicks consecutive ticks.
 	calmRetryRatio    = 0.15
 	calmRejectedRatio = 0.1
 	calmTicks         = 12
 )
 
-// The conditions that have to hold for some ticks before the phase changes, as indices of Guard.streaks.
+// The conditions that have to hold on consecutive ticks before the phase changes, as indices of Guard.streaks.
 const (
 	streakOutage = iota
 	streakStorm
@@ -62,7 +66,7 @@
 	streaks
 )
 
-// extendStreak counts a tick on which a condition holds, or resets the count, and returns it.
+// extendStreak counts a tick on which a condition holds, or resets the count if it doesn't hold. It returns the count.
 func (g *Guard) extendStreak(streak int, holds bool) int {
 	if g.streaks[streak]++; !holds {
 		g.streaks[streak] = 0
@@ -70,28 +74,28 @@
 	return g.streaks[streak]
 }
 
-// updatePhase changes the phase if one of the conditions above has held for long enough, and learns the baseline in
-// Calm.
+// updatePhase changes the phase if one of the conditions above has held for long enough, or in Calm if peers report a
+// storm. Otherwise it updates the baseline in Calm.
 func (g *Guard) updatePhase(now Time) {
 	here, all := g.recent(), g.fleet()
 	failed := all.Failed + float64(g.members.Overdue)
 	served := all.InTime + all.Late
-	dead := failed >= outageMinFailures && served <= outageSuccessRatio*(served+failed)
+	almostNoneServed := failed >= outageMinFailures && served <= outageSuccessRatio*(served+failed)
 	retryRatio := here.Retries / math.Max(here.arrivals(), 1)
 	surge := here.Connections > connectionSurgeFactor*g.baselineConnections+connectionSurgeMin
 	overloaded := g.baselineTime > baselineMinCalm && here.arrivals() > stormLoadFactor*g.baselineArrivals &&
 		(retryRatio > stormRetryRatio || surge) &&
 		here.failureRatio() > stormFailureRatio && here.Late+here.Failed >= outageMinFailures
-	outage, storm := g.extendStreak(streakOutage, dead), g.extendStreak(streakStorm, overloaded)
+	outageStreak, stormStreak := g.extendStreak(streakOutage, almostNoneServed), g.extendStreak(streakStorm, overloaded)
 	switch g.phase {
 	case Calm:
 		noBaseline := g.baselineTime <= baselineMinCalm
 		switch phase, baseline := g.peerPhase(now); {
-		case outage >= outageTicks:
+		case outageStreak >= outageTicks:
 			g.enterPhase(now, Outage)
-		case storm >= stormTicks:
+		case stormStreak >= stormTicks:
 			g.enterPhase(now, Recovery)
-		case phase != Calm && (noBaseline || retryRatio > stormRetryRatio/2): // it began before this process did
+		case phase != Calm && (noBaseline || retryRatio > stormRetryRatio/2): // began before this process
 			if noBaseline {
 				g.baselineArrivals, g.baselineServed = baseline, baseline
 			}
@@ -107,7 +111,7 @@
 	case Recovery:
 		quiet := retryRatio < calmRetryRatio && here.Rejected <= calmRejectedRatio*here.arrivals()
 		switch {
-		case outage >= outageTicks:
+		case outageStreak >= outageTicks:
 			g.enterPhase(now, Outage)
 		case g.extendStreak(streakCalm, quiet && here.failureRatio() < rampFailureRatio) >= calmTicks:
 			g.enterPhase(now, Calm)
@@ -119,7 +123,7 @@
 	}
 }
 
-// updateBaseline adds the last second to the baseline, unless a storm may be beginning.
+// updateBaseline adds the counts of the last second to the baseline, unless a storm may be beginning.
 func (g *Guard) updateBaseline(here Counts) {
 	if g.baselineTime += TickInterval; g.baselineTime <= window || here.failureRatio() > stormFailureRatio {
 		return // the window is not full yet, or a storm may be beginning
@@ -133,7 +137,7 @@
 	g.baselineConnections = f*g.baselineConnections + (1-f)*here.Connections
 }
 
-// enterPhase changes the phase, and starts its limit with an empty bucket.
+// enterPhase changes the phase, sets its first limit, and empties the buckets, except for at most one token.
 func (g *Guard) enterPhase(now Time, p Phase) {
 	if g.phase == Calm {
 		g.stats.Storms++
--- a/internal/storm/ramp.go
+++ b/internal/storm/ramp.go
@@ -1,6 +1,6 @@
 package storm
 
-// This file has the ramp, which limits admission outside of Calm.
+// This file has the ramp, the limit of admissions in Recovery, and the constants of the limits outside of Calm.
 
 import (
 	"math"
@@ -11,23 +11,25 @@
 	minRate          = 1.0 // lowest limit, per second
 	outageProbeRatio = 0.1 // limit in an outage, as a ratio of the baseline
 	rampStartRatio   = 0.9 // first limit of a recovery, as a ratio of the baseline times the members' warmth
-	rampMaxRatio     = 1.6 // highest limit, likewise
+	rampMaxRatio     = 1.6 // highest limit of a recovery, as a ratio of the same product
 
-	// A tick on which arrivals were rejected and nothing was wrong raises the limit by this factor and this step.
+	// A tick on which arrivals were rejected and failures are not above rampFailureRatio raises the limit by this factor
+	// plus this step.
 	rampIncreaseFactor = 1.06
 	rampIncreaseStep   = 0.25
-	// More failures than rampFailureRatio lower it by this factor, at most once in this interval.
+	// A ratio of failures above rampFailureRatio lowers the limit by this factor, at most once in this interval.
 	rampFailureRatio     = 0.25
 	rampDecreaseFactor   = 0.75
 	rampDecreaseInterval = 500 * time.Millisecond
 
-	// provenRatio of the rate that is served in time now is a lower bound of the baseline: it shows what the members
-	// can do, which a gateway that has just started may not know.
+	// provenRatio of the rate that is now served in time is a lower bound of the baseline. That rate shows what the
+	// members can serve, which a gateway that has just started may not know.
 	provenRatio = 0.9
 )
 
-// adjustRamp raises the limit while it binds and what it admits succeeds, up to what the members can do by their
-// warmth, and lowers it when too much fails: multiplicative increase, multiplicative decrease.
+// adjustRamp raises the limit while it rejects arrivals and the admitted ones succeed, up to a multiple of what the
+// members usually serve times their warmth, and lowers it when too many attempts fail: multiplicative increase,
+// multiplicative decrease.
 func (g *Guard) adjustRamp(now Time) {
 	here := g.recent()
 	most := math.Max(minRate, rampMaxRatio*g.baselineRate()*math.Max(g.members.Warmth, 0.05))
--- a/internal/storm/retry_after.go
+++ b/internal/storm/retry_after.go
@@ -1,7 +1,7 @@
 package storm
 
-// This file has the scheduling of rejected clients' returns: Retry-After is a time slot with room, so that clients that
-// honor it return at a rate that the gateways can admit.
+// This file schedules the returns of rejected clients: Retry-After points to a time slot with room, so that clients
+// that honor it return at a rate that the gateways can admit.
 
 import (
 	"math"
@@ -10,10 +10,10 @@
 
 const (
 	minRetryAfter       = 250 * time.Millisecond
-	outageMinRetryAfter = time.Second // in an outage
+	outageMinRetryAfter = time.Second // minRetryAfter in an outage
 	maxRetryAfter       = 30 * time.Second
 
-	// minReturnRatio of the rate is for returning clients, however many first attempts there are.
+	// minReturnRatio of the rate is reserved for returning clients, however many first attempts there are.
 	minReturnRatio = 0.2
 
 	slotsPerSecond = 4
@@ -31,12 +31,12 @@
 	}
 }
 
-// returnCapacity returns how many returning clients this gateway can admit in a slot that is so far ahead: what the
-// ramp will admit by then, less the first attempts.
+// returnCapacity returns how many returning clients this gateway can admit in a slot that begins after the time ahead:
+// what the ramp will admit by then, less the first attempts.
 func (g *Guard) returnCapacity(ahead time.Duration) float64 {
 	rate := g.limit
 	switch g.phase {
-	case Outage: // when it ends is unknown; the members will be warming up then
+	case Outage: // its end is unknown; the members will be warming up after it
 		rate = rampStartRatio * g.baselineRate()
 	case Recovery:
 		increase := math.Pow(rampIncreaseFactor, ahead.Seconds()/TickInterval.Seconds())
@@ -46,8 +46,8 @@
 	return math.Max(minReturnRatio*rate, rate-firstAttempts) * slotDuration.Seconds()
 }
 
-// scheduleReturn returns a Retry-After and counts the return: the earliest slot with room, or the one with the most
-// room if all are full, and a random time in it.
+// scheduleReturn returns a Retry-After and counts the return. It chooses the earliest slot with room, or the least
+// utilized one if all are full, and a random time in it.
 func (g *Guard) scheduleReturn(now Time) time.Duration {
 	g.advanceSlots(now)
 	least := minRetryAfter
@@ -86,8 +86,8 @@
 	return n
 }
 
-// scheduledByPeers returns how many returns the peers have scheduled for a slot. They report whole seconds, counted
-// from when they sent the message.
+// scheduledByPeers returns how many returns the peers have scheduled for a slot. A peer reports returns per second,
+// counted from when it sent the message, which is taken to be when it was received.
 func (g *Guard) scheduledByPeers(now Time, slot int64) (sum float64) {
 	for i := range g.peers {
 		p := &g.peers[i]
--- a/internal/storm/retry_detection.go
+++ b/internal/storm/retry_detection.go
@@ -1,6 +1,6 @@
 package storm
 
-// This file has the recognition of retries that clients don't mark.
+// This file recognizes retries, by the client's mark or by the work that failed.
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 )
 
 const (
-	failureTTL         = 8 * time.Second // how long failed work is remembered, at least
+	failureTTL         = 8 * time.Second // how long failed work is remembered; longer if Options.MaxRetryAfter is
 	maxFailedKeys      = 4096
 	maxMarkingAccounts = 16384
 )
@@ -28,8 +28,8 @@
 	expiresAt Time
 }
 
-// Rejected records that the gateway rejects an arrival for a reason of its own, such as a quota. It returns the
-// Retry-After to send: the given one in Calm, else one that is scheduled.
+// Rejected records that the gateway rejects an arrival for another reason than a storm, such as a quota. It returns the
+// Retry-After to send: the given one in Calm, otherwise one that scheduleReturn chooses.
 func (g *Guard) Rejected(now Time, a Arrival, retryAfter time.Duration) time.Duration {
 	g.start(now)
 	g.recordFailure(now, a)
@@ -45,7 +45,7 @@
 	g.recordFailure(now, a)
 }
 
-// recordFailure remembers that a retry of an arrival is to be expected.
+// recordFailure records that a retry of an arrival is to be expected.
 func (g *Guard) recordFailure(now Time, a Arrival) {
 	k := a.key()
 	f := g.failedWork[k]
@@ -69,7 +69,7 @@
 }
 
 // isRetry reports whether an arrival is probably a retry: by the client's mark if clients of the account mark
-// retries at all, else by whether the same work failed a moment ago.
+// retries at all, otherwise by whether the same work failed recently.
 func (g *Guard) isRetry(now Time, a Arrival) bool {
 	if a.MarkedRetry {
 		if len(g.markingAccounts) >= maxMarkingAccounts {
@@ -81,7 +81,7 @@
 	return !g.markingAccounts[a.Account] && g.failedRecently(now, a.key())
 }
 
-// failedRecently reports whether the same work failed a moment ago here, or at a peer that reports it. A failure here
+// failedRecently reports whether the work with key k failed recently here, or at a peer that reports it. A failure here
 // accounts for one retry.
 func (g *Guard) failedRecently(now Time, k uint64) bool {
 	if f := g.failedWork[k]; f != nil && f.count > 0 && now <= f.expiresAt {
--- a/internal/storm/simulation_test.go
+++ b/internal/storm/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// simulation simulates gateways with guards, and members, in virtual time: each member is a queue with one server,
-// and a gateway sends what its guard admits to the shortest queue of a few. All else that a gateway does is left
+// simulation simulates members, and gateways with guards, in virtual time. Each member is a queue with one server, and
+// a gateway sends an admitted request to the shortest of three random queues. Other functions of a gateway are left
 // out.
 type simulation struct {
 	now          Time
@@ -19,10 +19,10 @@
 	guards       []*Guard
 	generation   []int
 	guarded      bool
-	alternatives []admissionControl // of each gateway, instead of guards; nil: none
+	alternatives []admissionControl // by gateway, used instead of the guards; nil: none
 	members      []member
 	arrivalRate  float64 // first attempts a second
-	partitioned  bool    // gateways receive no messages of each other
+	partitioned  bool    // gateways receive no messages from each other
 
 	retryPolicy retryPolicy
 	honorRatio  float64
@@ -32,13 +32,13 @@
 
 	offered, inTime []float64 // value of first attempts, by the second in which they were made
 	phases          []Phase   // of the first guard
-	retries         [2]int    // retries that guards recognized, and that they didn't
+	retries         [2]int    // retries that guards recognized, and retries that they didn't
 	peakOverload    float64
 	t               *testing.T
 }
 
-// test returns the test that the simulation is of, if it was set.
-func (w *simulation) test() *testing.T { return w.t }
+// test returns the test that runs the simulation, if it was set.
+func (s *simulation) test() *testing.T { return s.t }
 
 // member is a pool member.
 type member struct {
@@ -66,7 +66,7 @@
 const (
 	latencyTarget   = 1200 * time.Millisecond
 	deadline        = 4 * time.Second
-	capacity        = 10.0 // a second, of a warm member
+	capacity        = 10.0 // requests per second of a warm member
 	warmUpTime      = 16 * time.Second
 	initialWarmth   = 0.18
 	simulationStart = time.Hour
@@ -77,65 +77,65 @@
 	{LatencyTarget: latencyTarget, Value: 3, NonIdempotent: true},
 }
 
-// newSimulation returns a simulation with a load that is a ratio of the members' capacity.
+// newSimulation returns a simulation whose rate of first attempts is load times the members' capacity.
 func newSimulation(seed uint64, gateways, members int, load float64) *simulation {
-	w := &simulation{now: simulationStart, rng: rand.New(rand.NewPCG(seed, 1)),
+	s := &simulation{now: simulationStart, rng: rand.New(rand.NewPCG(seed, 1)),
 		arrivalRate: load * float64(members) * capacity, guarded: true,
 		retryPolicy: retryPolicies["fixed"], honorRatio: 0.5, markRetries: true, patience: 15 * time.Second, accounts: 60}
 	for range members {
-		w.members = append(w.members, member{up: true})
+		s.members = append(s.members, member{up: true})
 	}
-	w.guards, w.generation = make([]*Guard, gateways), make([]int, gateways)
+	s.guards, s.generation = make([]*Guard, gateways), make([]int, gateways)
 	for i := range gateways {
-		w.restartGuard(i)
+		s.restartGuard(i)
 	}
-	return w
+	return s
 }
 
-// restartGuard starts a gateway's guard, or replaces it by a new one.
-func (w *simulation) restartGuard(i int) {
-	w.generation[i]++
-	life := w.generation[i]
-	w.guards[i] = New(Options{Self: i, Gateways: len(w.guards), Seed: uint64(i), Classes: classes,
+// restartGuard starts a gateway's guard, or replaces it with a new one.
+func (s *simulation) restartGuard(i int) {
+	s.generation[i]++
+	generation := s.generation[i]
+	s.guards[i] = New(Options{Self: i, Gateways: len(s.guards), Seed: uint64(i), Classes: classes,
 		Prices: []float64{1.2, 1.6}, MaxRetryAfter: 8 * time.Second, ConnectionRate: 200})
 	var tick func()
 	tick = func() {
-		if w.generation[i] != life {
+		if s.generation[i] != generation {
 			return
 		}
-		w.after(TickInterval, tick)
+		s.after(TickInterval, tick)
 		seen := Members{}
-		for k := range w.members {
-			m := &w.members[k]
+		for k := range s.members {
+			m := &s.members[k]
 			seen.Listed++
-			seen.Warmth += w.warmth(m)
-			if m.hung && len(m.sends) > 0 && w.now-m.sends[0] > latencyTarget/2 {
+			seen.Warmth += s.warmth(m)
+			if m.hung && len(m.sends) > 0 && s.now-m.sends[0] > latencyTarget/2 {
 				seen.Overdue += len(m.sends)
 			}
 		}
 		seen.Warmth /= float64(max(seen.Listed, 1))
-		message := w.guards[i].Tick(w.now, seen)
-		if p, _ := w.guards[i].State(); i == 0 && (len(w.phases) == 0 || w.phases[len(w.phases)-1] != p) {
-			w.phases = append(w.phases, p)
+		message := s.guards[i].Tick(s.now, seen)
+		if p, _ := s.guards[i].State(); i == 0 && (len(s.phases) == 0 || s.phases[len(s.phases)-1] != p) {
+			s.phases = append(s.phases, p)
 		}
-		for to := range w.guards {
-			if to != i && message != nil && !w.partitioned {
-				w.after(5*time.Millisecond, func() { w.guards[to].Receive(w.now, i, message) })
+		for to := range s.guards {
+			if to != i && message != nil && !s.partitioned {
+				s.after(5*time.Millisecond, func() { s.guards[to].Receive(s.now, i, message) })
 			}
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(TickInterval))), tick)
+	s.after(time.Duration(s.rng.Int64N(int64(TickInterval))), tick)
 }
 
 // warmth returns the fraction of its capacity that a member has.
-func (w *simulation) warmth(m *member) float64 {
-	if m.started == 0 || w.now-m.started >= warmUpTime {
+func (s *simulation) warmth(m *member) float64 {
+	if m.started == 0 || s.now-m.started >= warmUpTime {
 		return 1
 	}
-	return initialWarmth + (1-initialWarmth)*(w.now-m.started).Seconds()/warmUpTime.Seconds()
+	return initialWarmth + (1-initialWarmth)*(s.now-m.started).Seconds()/warmUpTime.Seconds()
 }
 
-// client is one piece of work with all its attempts.
+// client is a client with one request, which it attempts until it is served or its patience ends.
 type client struct {
 	arrival          Arrival
 	startedAt        Time
@@ -144,117 +144,117 @@
 	gateway          int
 }
 
-// runLoad runs the simulation for some time with first attempts at a multiple of the usual rate.
-func (w *simulation) runLoad(length time.Duration, times float64) {
-	end := w.now + length
+// runLoad runs the simulation for some time, with first attempts at a multiple of arrivalRate.
+func (s *simulation) runLoad(length time.Duration, times float64) {
+	end := s.now + length
 	var next func()
 	next = func() {
-		if w.now >= end {
+		if s.now >= end {
 			return
 		}
-		w.firstAttempt(Arrival{Account: uint64(w.rng.IntN(w.accounts)), Class: w.rng.IntN(2), Plan: w.rng.IntN(2),
-			Units: float64(1 + w.rng.IntN(4))})
-		w.after(time.Duration(w.rng.ExpFloat64()/(times*w.arrivalRate)*float64(time.Second)), next)
+		s.firstAttempt(Arrival{Account: uint64(s.rng.IntN(s.accounts)), Class: s.rng.IntN(2), Plan: s.rng.IntN(2),
+			Units: float64(1 + s.rng.IntN(4))})
+		s.after(time.Duration(s.rng.ExpFloat64()/(times*s.arrivalRate)*float64(time.Second)), next)
 	}
-	w.after(0, next)
-	w.run(end)
+	s.after(0, next)
+	s.run(end)
 }
 
 // run executes the events before a time.
-func (w *simulation) run(until Time) {
-	for len(w.events) > 0 && w.events[0].at < until {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
+func (s *simulation) run(until Time) {
+	for len(s.events) > 0 && s.events[0].at < until {
+		e := heap.Pop(&s.events).(event)
+		s.now = e.at
 		e.do()
 	}
-	w.now = until
+	s.now = until
 }
 
-// firstAttempt starts a client.
-func (w *simulation) firstAttempt(a Arrival) {
-	c := &client{arrival: a, startedAt: w.now, honorsRetryAfter: w.rng.Float64() < w.honorRatio,
-		gateway: w.rng.IntN(len(w.guards))}
-	w.addValue(&w.offered, c)
-	w.attempt(c)
+// firstAttempt starts a client with its first attempt.
+func (s *simulation) firstAttempt(a Arrival) {
+	c := &client{arrival: a, startedAt: s.now, honorsRetryAfter: s.rng.Float64() < s.honorRatio,
+		gateway: s.rng.IntN(len(s.guards))}
+	s.addValue(&s.offered, c)
+	s.attempt(c)
 }
 
 // addValue adds a client's value to the second in which it started.
-func (w *simulation) addValue(to *[]float64, c *client) {
-	s := int((c.startedAt - simulationStart) / time.Second)
-	for len(*to) <= s {
+func (s *simulation) addValue(to *[]float64, c *client) {
+	index := int((c.startedAt - simulationStart) / time.Second)
+	for len(*to) <= index {
 		*to = append(*to, 0)
 	}
-	(*to)[s] += classes[c.arrival.Class].Value * []float64{1.2, 1.6}[c.arrival.Plan]
+	(*to)[index] += classes[c.arrival.Class].Value * []float64{1.2, 1.6}[c.arrival.Plan]
 }
 
-// attempt makes an attempt of a client's, and retries it if it fails.
-func (w *simulation) attempt(c *client) {
+// attempt makes an attempt of a client, and schedules the next one if it fails or is rejected.
+func (s *simulation) attempt(c *client) {
 	c.attempts++
-	c.arrival.MarkedRetry = w.markRetries && c.attempts > 1
-	g, life, v := w.guards[c.gateway], w.generation[c.gateway], Decision{Admit: true}
-	if w.alternatives != nil {
-		v = Decision{Admit: w.alternatives[c.gateway].admit(c.arrival.MarkedRetry), RetryAfter: time.Second}
+	c.arrival.MarkedRetry = s.markRetries && c.attempts > 1
+	g, generation, v := s.guards[c.gateway], s.generation[c.gateway], Decision{Admit: true}
+	if s.alternatives != nil {
+		v = Decision{Admit: s.alternatives[c.gateway].admit(c.arrival.MarkedRetry), RetryAfter: time.Second}
 	}
-	if w.guarded {
-		v = g.Admit(w.now, c.arrival)
+	if s.guarded {
+		v = g.Admit(s.now, c.arrival)
 		if c.attempts > 1 {
-			w.retries[map[bool]int{true: 0, false: 1}[v.Retry]]++
+			s.retries[map[bool]int{true: 0, false: 1}[v.Retry]]++
 		}
 	}
 	if !v.Admit {
-		w.retry(c, v.RetryAfter)
+		s.retry(c, v.RetryAfter)
 		return
 	}
 	done := func(end Outcome) {
-		if w.alternatives != nil {
-			w.alternatives[c.gateway].attemptEnded(end)
+		if s.alternatives != nil {
+			s.alternatives[c.gateway].attemptEnded(end)
 		}
-		if w.guarded && w.generation[c.gateway] == life {
-			g.AttemptEnded(w.now, end)
+		if s.guarded && s.generation[c.gateway] == generation {
+			g.AttemptEnded(s.now, end)
 			if end == Failed {
-				v.RetryAfter = g.Rejected(w.now, c.arrival, time.Second)
+				v.RetryAfter = g.Rejected(s.now, c.arrival, time.Second)
 			}
 		}
 		if end == Failed {
-			w.retry(c, v.RetryAfter)
+			s.retry(c, v.RetryAfter)
 			return
 		}
-		if w.now-c.startedAt <= latencyTarget {
-			w.addValue(&w.inTime, c)
+		if s.now-c.startedAt <= latencyTarget {
+			s.addValue(&s.inTime, c)
 		}
 	}
-	m := w.pickMember()
+	m := s.pickMember()
 	switch {
 	case m == nil || !m.up:
-		w.after(time.Millisecond, func() { done(Failed) })
+		s.after(time.Millisecond, func() { done(Failed) })
 	case m.hung:
-		m.sends = append(m.sends, w.now)
-		w.after(deadline, func() { m.sends = m.sends[1:]; done(Failed) })
+		m.sends = append(m.sends, s.now)
+		s.after(deadline, func() { m.sends = m.sends[1:]; done(Failed) })
 	default:
-		if u := w.warmth(m); u < 1 {
-			m.sends = append(m.sends, w.now)
-			for w.now-m.sends[0] > time.Second {
+		if u := s.warmth(m); u < 1 {
+			m.sends = append(m.sends, s.now)
+			for s.now-m.sends[0] > time.Second {
 				m.sends = m.sends[1:]
 			}
-			w.peakOverload = math.Max(w.peakOverload, float64(len(m.sends)-1)/(capacity*u))
+			s.peakOverload = math.Max(s.peakOverload, float64(len(m.sends)-1)/(capacity*u))
 		}
-		m.freeAt = max(m.freeAt, w.now) + time.Duration(w.rng.ExpFloat64()/(capacity*w.warmth(m))*float64(time.Second))
-		took := m.freeAt - w.now
+		m.freeAt = max(m.freeAt, s.now) + time.Duration(s.rng.ExpFloat64()/(capacity*s.warmth(m))*float64(time.Second))
+		took := m.freeAt - s.now
 		switch {
-		case took > deadline: // the member does the work although nobody waits for it
-			w.after(deadline, func() { done(Failed) })
+		case took > deadline: // the member serves the request although nobody waits for it
+			s.after(deadline, func() { done(Failed) })
 		case took > latencyTarget:
-			w.after(took, func() { done(Late) })
+			s.after(took, func() { done(Late) })
 		default:
-			w.after(took, func() { done(InTime) })
+			s.after(took, func() { done(InTime) })
 		}
 	}
 }
 
-// pickMember returns the shortest queue of three, preferring members that are up.
-func (w *simulation) pickMember() (best *member) {
+// pickMember returns the member with the shortest queue of three random ones, preferring members that are up.
+func (s *simulation) pickMember() (best *member) {
 	for range 3 {
-		m := &w.members[w.rng.IntN(len(w.members))]
+		m := &s.members[s.rng.IntN(len(s.members))]
 		if best == nil || !best.up || m.up && m.freeAt < best.freeAt {
 			best = m
 		}
@@ -262,77 +262,78 @@
 	return best
 }
 
-// retry makes the client's next attempt after its backoff or the Retry-After that it was given, while it has patience.
-func (w *simulation) retry(c *client, wait time.Duration) {
-	p := w.retryPolicy
+// retry schedules the client's next attempt after its backoff or, if the client honors it, after the Retry-After. There
+// is none once the client's patience would have ended.
+func (s *simulation) retry(c *client, wait time.Duration) {
+	p := s.retryPolicy
 	pause := time.Duration(math.Min(p.first.Seconds()*math.Pow(p.factor, float64(c.attempts-1)), p.max.Seconds()) *
-		(1 - p.jitter*w.rng.Float64()) * float64(time.Second))
+		(1 - p.jitter*s.rng.Float64()) * float64(time.Second))
 	if c.honorsRetryAfter && wait > 0 {
 		pause = wait
 	}
-	if w.now+pause-c.startedAt > w.patience {
+	if s.now+pause-c.startedAt > s.patience {
 		return
 	}
-	w.after(pause, func() {
-		c.gateway = w.rng.IntN(len(w.guards))
-		w.attempt(c)
+	s.after(pause, func() {
+		c.gateway = s.rng.IntN(len(s.guards))
+		s.attempt(c)
 	})
 }
 
 // stop stops members.
-func (w *simulation) stop(members ...int) {
+func (s *simulation) stop(members ...int) {
 	for _, i := range members {
-		w.members[i].up = false
+		s.members[i].up = false
 	}
 }
 
 // restore restarts members, with empty queues and warming up.
-func (w *simulation) restore(members ...int) {
+func (s *simulation) restore(members ...int) {
 	for _, i := range members {
-		w.members[i] = member{up: true, started: w.now, freeAt: w.now}
+		s.members[i] = member{up: true, started: s.now, freeAt: s.now}
 	}
 }
 
 // allMembers returns the indices of all members.
-func (w *simulation) allMembers() (list []int) {
-	for i := range w.members {
+func (s *simulation) allMembers() (list []int) {
+	for i := range s.members {
 		list = append(list, i)
 	}
 	return list
 }
 
-// goodput returns the fraction of the value offered in a time that was served within the latency target.
-func (w *simulation) goodput(from, to Time) float64 {
+// goodput returns the fraction of the value offered in a period that was served within the latency target.
+func (s *simulation) goodput(from, to Time) float64 {
 	asked, served := 0.0, 0.0
 	first, end := int((from-simulationStart)/time.Second), int((to-simulationStart)/time.Second)
-	for s := first; s < min(end, len(w.offered)); s++ {
-		asked += w.offered[s]
-		if s < len(w.inTime) {
-			served += w.inTime[s]
+	for index := first; index < min(end, len(s.offered)); index++ {
+		asked += s.offered[index]
+		if index < len(s.inTime) {
+			served += s.inTime[index]
 		}
 	}
 	return served / math.Max(asked, 1e-9)
 }
 
-// timeToRecover returns how long after a time the goodput stays above 0.95 of what it was.
-func (w *simulation) timeToRecover(from, to Time, usual float64) time.Duration {
-	back := time.Duration(0)
+// timeToRecover returns how long after from the goodput, over 4 s, was last below 0.95 of usual; 0: never until to.
+func (s *simulation) timeToRecover(from, to Time, usual float64) time.Duration {
+	recovery := time.Duration(0)
 	for at := from; at+4*time.Second <= to; at += time.Second {
-		if w.goodput(at, at+4*time.Second) < 0.95*usual {
-			back = at + 4*time.Second - from
+		if s.goodput(at, at+4*time.Second) < 0.95*usual {
+			recovery = at + 4*time.Second - from
 		}
 	}
-	return back
+	return recovery
 }
 
-// event is something that happens at a time.
+// event is a function that is called at a time.
 type event struct {
 	at     Time
 	serial int
 	do     func()
 }
 
-// events is a priority queue of events, by time and then in the order of their scheduling.
+// events is a priority queue of events, ordered by time and then by the order in which they were scheduled.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -348,29 +349,29 @@
 	return x
 }
 
-// after schedules an event.
-func (w *simulation) after(d time.Duration, do func()) {
-	w.serial++
-	heap.Push(&w.events, event{w.now + d, w.serial, do})
+// after schedules do to be called after d.
+func (s *simulation) after(d time.Duration, do func()) {
+	s.serial++
+	heap.Push(&s.events, event{s.now + d, s.serial, do})
 }
 
-// runOutage stops all members for 20 s and restores them. It returns how long after that the service had recovered
-// for good, and the goodput of the minute after that.
-func (w *simulation) runOutage() (back time.Duration, share float64) {
-	w.runLoad(20*second, 1)
-	usual := w.goodput(simulationStart+5*second, w.now)
-	w.stop(w.allMembers()...)
-	w.runLoad(20*second, 1)
-	w.restore(w.allMembers()...)
-	restored := w.now
-	w.runLoad(70*second, 1)
-	return w.timeToRecover(restored, restored+60*second, usual), w.goodput(restored, restored+60*second)
+// runOutage stops all members for 20 s and restores them. It returns the time from then until the service had recovered
+// for good, and the goodput of the minute after the members were restored.
+func (s *simulation) runOutage() (recovery time.Duration, goodput float64) {
+	s.runLoad(20*second, 1)
+	baseline := s.goodput(simulationStart+5*second, s.now)
+	s.stop(s.allMembers()...)
+	s.runLoad(20*second, 1)
+	s.restore(s.allMembers()...)
+	restored := s.now
+	s.runLoad(70*second, 1)
+	return s.timeToRecover(restored, restored+60*second, baseline), s.goodput(restored, restored+60*second)
 }
 
-// runStorm runs an outage of all members with a policy of the clients, with guards or without.
+// runStorm runs an outage of all members, for a retry policy of the clients, with guards or without.
 func runStorm(policy string, seed uint64, guarded bool, honorRatio float64) (*simulation, time.Duration) {
-	w := newSimulation(seed, 3, 12, 0.6)
-	w.guarded, w.retryPolicy, w.honorRatio = guarded, retryPolicies[policy], honorRatio
-	back, _ := w.runOutage()
-	return w, back
+	s := newSimulation(seed, 3, 12, 0.6)
+	s.guarded, s.retryPolicy, s.honorRatio = guarded, retryPolicies[policy], honorRatio
+	recovery, _ := s.runOutage()
+	return s, recovery
 }
--- a/internal/storm/strategies_test.go
+++ b/internal/storm/strategies_test.go
@@ -8,33 +8,33 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The strategies that were considered, in the same storms: mean time to recover, and how much more than it could do
-// a warming member was sent at most. docs/design/storms.md has the table.
+// The strategies that were considered are compared in the same storms, by the mean time to recover and by the highest
+// load of a warming member as a multiple of its capacity. docs/design/storms.md has the table.
 func TestCompareStrategies(t *testing.T) {
 	const seeds = 3
 	mean := map[string]time.Duration{}
 	for _, strategy := range []string{"none", "budget", "concurrency", "ramp"} {
 		for name := range retryPolicies {
-			var back time.Duration
+			var recovery time.Duration
 			peak, share := 0.0, 0.0
 			for seed := range uint64(seeds) {
-				w := newSimulation(seed, 3, 12, 0.6)
-				w.guarded, w.retryPolicy = strategy == "ramp", retryPolicies[name]
-				for range w.guards {
+				s := newSimulation(seed, 3, 12, 0.6)
+				s.guarded, s.retryPolicy = strategy == "ramp", retryPolicies[name]
+				for range s.guards {
 					switch strategy {
 					case "budget":
-						w.alternatives = append(w.alternatives, &retryBudget{})
+						s.alternatives = append(s.alternatives, &retryBudget{})
 					case "concurrency":
-						w.alternatives = append(w.alternatives, &adaptiveConcurrency{limit: 20})
+						s.alternatives = append(s.alternatives, &adaptiveConcurrency{limit: 20})
 					}
 				}
-				took, served := w.runOutage()
-				back += took / seeds
-				peak, share = max(peak, w.peakOverload), share+served/seeds
+				took, served := s.runOutage()
+				recovery += took / seeds
+				peak, share = max(peak, s.peakOverload), share+served/seeds
 			}
 			t.Logf("%-11s %-9s recovered after %4.0f s, goodput in 60 s %.2f, peak at a warming member %.1f", strategy, name,
-				back.Seconds(), share, peak)
-			mean[strategy] += back / time.Duration(len(retryPolicies))
+				recovery.Seconds(), share, peak)
+			mean[strategy] += recovery / time.Duration(len(retryPolicies))
 		}
 	}
 	assert.Less(t, mean["ramp"], mean["none"]/2)
@@ -48,7 +48,8 @@
 	attemptEnded(Outcome)
 }
 
-// retryBudget admits retries as a ratio of the first attempts, and all of those (Finagle's and Envoy's retry budgets).
+// retryBudget admits all first attempts, and a fixed ratio of retries to them (as the retry budgets of Finagle and
+// Envoy).
 type retryBudget struct{ tokens float64 }
 
 func (b *retryBudget) admit(retry bool) bool {
@@ -64,8 +65,8 @@
 }
 func (b *retryBudget) attemptEnded(Outcome) {}
 
-// adaptiveConcurrency limits the attempts in flight: one more for as many that end in time, and a tenth less for
-// each that doesn't (additive increase, multiplicative decrease).
+// adaptiveConcurrency limits the attempts in flight. The limit rises by one for every limit attempts that end in time,
+// and falls by a tenth for each that doesn't (additive increase, multiplicative decrease).
 type adaptiveConcurrency struct{ limit, inFlight float64 }
 
 func (c *adaptiveConcurrency) admit(bool) bool {
