--- a/internal/ratelimit/hard_limit.go
+++ b/internal/ratelimit/hard_limit.go
@@ -6,21 +6,21 @@
 )
 
 // BucketShare is one gateway's share of a customer's hard rate limit: a token bucket with the share's rate and
-// burst. A gateway admits from its own share only. Tokens move between gateways by grants: the giver subtracts them
+// burst. A gateway admits from its own share only. Tokens move between gateways by grants: the sender subtracts them
 // before it sends the message, and the receiver adds them, up to its own burst. Hence the shares of n gateways
-// together never hold more than the limit's burst, whichever messages are lost; a lost grant is lost to all.
+// together never hold more than the limit's burst, whichever messages are lost; a lost grant is lost to all gateways.
 //
-// Tokens under way are counted nowhere while the giver's bucket refills. The receiver therefore ignores a grant that
-// comes late (Receive), and the limit is exceeded at most by its rate times the time that a grant may be under way.
+// Tokens in transit are counted nowhere while the sender's bucket refills. The receiver therefore ignores a grant that
+// arrives late (Receive), and the limit is exceeded at most by its rate times the time that a grant may be in transit.
 type BucketShare struct {
-	Tokens float64 // in units; negative while a request whose body turned out larger is paid for
+	Tokens float64 // in units; negative after a request whose body turned out larger, until the refill makes up for it
 }
 
-// Limit is a token bucket's rate, in units a second, and its burst, in units: of a customer, or of one share.
+// Limit is the rate, in units per second, and the burst, in units, of a customer's token bucket or of one share.
 type Limit struct{ Rate, Burst float64 }
 
-// Refill refills the bucket for the time that has passed. It holds at most the burst less what is reserved, which are
-// units that requests in progress will draw later.
+// Refill refills the bucket for the elapsed time, up to the burst less the reserved units, which requests in progress
+// will draw later.
 func (b *BucketShare) Refill(l Limit, elapsed time.Duration, reserved float64) {
 	b.Tokens = math.Min(l.Burst-reserved, b.Tokens+math.Max(0, elapsed.Seconds())*l.Rate)
 }
@@ -31,8 +31,8 @@
 const grantSteps = 16
 
 // Grant returns the grant message to a peer that has last reported peerDeficit. It grants the difference of the two
-// deficits, divided by the n shares, so that any number of givers level the shares and none gives away more than it has
-// in excess. The granted tokens are subtracted here.
+// deficits, divided by the n shares, so that any number of senders level the shares and none grants more than it has in
+// excess. The granted tokens are subtracted here.
 func (b *BucketShare) Grant(l Limit, peerDeficit byte, n int) byte {
 	if l.Burst <= 0 {
 		return 0
@@ -47,8 +47,8 @@
 	return byte(math.Min(grantSteps-1, math.Floor(deficit*grantSteps)))<<4 | byte(grant)
 }
 
-// Receive adds the tokens that a peer's grant message brings, unless it is late. It returns the peer's deficit, and
-// whether the two shares are so uneven that one should grant the other some: a message to the peer is due then.
+// Receive adds the tokens of a peer's grant message, unless it is late. It returns the peer's deficit, and whether the
+// two shares are so uneven that one should grant tokens to the other, so that a message to the peer is due.
 func (b *BucketShare) Receive(l Limit, message byte, n int, late bool) (peerDeficit byte, uneven bool) {
 	peerDeficit = message >> 4
 	if l.Burst <= 0 {
--- a/internal/ratelimit/hard_limit_test.go
+++ b/internal/ratelimit/hard_limit_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// For all demands, lost and late grants, and restarts: in no window do the shares admit more than the limit's burst,
-// what it refills in the window, and what it refills while a grant may be under way.
+// For all demands, lost and late grants, and restarts, the shares together admit in no window more than the limit's
+// burst, its refill in the window, and its refill in the time that a grant may be in transit.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "gateways")
@@ -26,45 +26,45 @@
 		for i := range shares {
 			shares[i].Tokens, deficits[i] = limit.Burst, make([]byte, n)
 		}
-		var underWay []grant
-		now, left := 0.0, burst+rate*late+1e-6 // the whole limit, as an observer counts it
+		var inTransit []grant
+		now, remaining := 0.0, burst+rate*late+1e-6 // remaining: of one bucket with the whole limit and the allowed excess
 		refill := func(i int) {
 			shares[i].Refill(limit, time.Duration((now-at[i])*1e9), 0)
 			at[i] = now
 		}
 		for range 300 {
 			d := rapid.Float64Range(0, 0.1).Draw(t, "pause")
-			now, left = now+d, math.Min(burst+rate*late+1e-6, left+rate*d)
-			i, j := rapid.IntRange(0, n-1).Draw(t, "who"), rapid.IntRange(0, n-1).Draw(t, "whom")
+			now, remaining = now+d, math.Min(burst+rate*late+1e-6, remaining+rate*d)
+			i, j := rapid.IntRange(0, n-1).Draw(t, "sender"), rapid.IntRange(0, n-1).Draw(t, "receiver")
 			refill(i)
-			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
-			case what < 4:
+			switch action := rapid.IntRange(0, 9).Draw(t, "action"); {
+			case action < 4:
 				if units := rapid.Float64Range(0, limit.Burst).Draw(t, "units"); shares[i].Tokens >= units {
 					shares[i].Tokens -= units
-					left -= units
-					if left < 0 {
-						t.Fatalf("%.2f units beyond the limit at %.2f s", -left, now)
+					remaining -= units
+					if remaining < 0 {
+						t.Fatalf("%.2f units beyond the limit at %.2f s", -remaining, now)
 					}
 				}
-			case what < 7 && i != j:
-				underWay = append(underWay, grant{j, shares[i].Grant(limit, deficits[i][j], n), now})
+			case action < 7 && i != j:
+				inTransit = append(inTransit, grant{j, shares[i].Grant(limit, deficits[i][j], n), now})
 				deficits[i][j] = 0
-			case what < 9 && len(underWay) > 0:
-				k := rapid.IntRange(0, len(underWay)-1).Draw(t, "comes")
-				g := underWay[k]
-				underWay = append(underWay[:k], underWay[k+1:]...)
+			case action < 9 && len(inTransit) > 0:
+				k := rapid.IntRange(0, len(inTransit)-1).Draw(t, "delivered")
+				g := inTransit[k]
+				inTransit = append(inTransit[:k], inTransit[k+1:]...)
 				refill(g.to)
-				from := rapid.IntRange(0, n-1).Draw(t, "of")
+				from := rapid.IntRange(0, n-1).Draw(t, "from")
 				deficits[g.to][from], _ = shares[g.to].Receive(limit, g.message, n, now-g.sentAt > late)
-			case what == 9: // a restart: its share starts empty
+			case action == 9: // a restart: the gateway's share starts empty
 				shares[i].Tokens = 0
 			}
 		}
 	})
 }
 
-// A gateway with all of a customer's demand gets the tokens that the others don't need within a few messages, though
-// its own share is a quarter.
+// A gateway with all of a customer's demand gets the tokens that the others don't need within a few messages, although
+// its own share is only a quarter.
 func TestGrantsFollowDemand(t *testing.T) {
 	const n = 4
 	limit := Limit{Rate: 27.0 / n, Burst: 60.0 / n}
@@ -73,7 +73,7 @@
 		shares[i].Tokens = limit.Burst
 	}
 	in := 0
-	for range 100 { // rounds of 100 ms: one sends, the others answer
+	for range 100 { // rounds of 100 ms: gateway 0 sends a grant message, the others answer
 		for i := range shares {
 			shares[i].Refill(limit, 100*time.Millisecond, 0)
 		}
@@ -89,7 +89,7 @@
 			}
 		}
 	}
-	assert.Greater(t, in, 27*10, "the limit's rate and a part of its burst, through one of four gateways")
+	assert.Greater(t, in, 27*10, "one of four gateways admits the limit's rate and a part of its burst")
 	assert.LessOrEqual(t, in, 27*10+60)
 }
 
--- a/internal/ratelimit/slow_start_test.go
+++ b/internal/ratelimit/slow_start_test.go
@@ -21,8 +21,9 @@
 	return s.freeAt
 }
 
-// simulateSlowStart simulates a server that has just started and n gateways, which send all that their budgets allow
-// and know of it only its answers. It returns when attempts were sent.
+// simulateSlowStart simulates a server that has just started and n gateways, which send as many attempts as their
+// budgets allow and know only the answers that they got from the server. It returns the times at which attempts were
+// sent.
 func simulateSlowStart(seed uint64, n int, rate float64, length time.Duration) (sends []time.Duration) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	const step = 5 * time.Millisecond
@@ -49,7 +50,7 @@
 	return sends
 }
 
-// maxInWindow returns the highest number of attempts within a window.
+// maxInWindow returns the highest number of attempts within any window.
 func maxInWindow(sends []time.Duration, window time.Duration) (n int) {
 	for i, at := range sends {
 		from, _ := slices.BinarySearch(sends[:i], at-window)
@@ -58,8 +59,8 @@
 	return n
 }
 
-// For any number of gateways that don't know what a server can do, their shares together stay within four times that
-// and one for chance, and reach what it can do within seconds.
+// For any number of gateways that don't know a server's capacity at first, all of them together send at most four times
+// the capacity in a window, with a tolerance of one attempt, and after 8 s at least 0.8 of the capacity.
 func TestSharesOfAWarmingServer(t *testing.T) {
 	for _, n := range []int{1, 3, 10, 100} {
 		for _, rate := range []float64{3, 12, 40} {
@@ -72,8 +73,8 @@
 	}
 }
 
-// A member that answers nothing is sent one attempt in a window by all together, and less where turns wait for each
-// other.
+// A server that answers nothing is sent one attempt in a window by all gateways together, and less where turns wait for
+// each other.
 func TestWarmingServerWithoutAnswers(t *testing.T) {
 	for _, n := range []int{1, 5, 50} {
 		shares := make([]SlowStartBudget, n)
--- a/internal/recovery/pause.go
+++ b/internal/recovery/pause.go
@@ -1,22 +1,22 @@
 package recovery
 
-// This file has what a process does about having been paused.
+// This file detects process pauses, and decides on the requests that are read shortly after one.
 
 import (
 	"time"
 )
 
 const (
-	// resumeWaitDivisor gives the wait for updates after a pause: this part of Options.PauseThreshold, at most.
+	// resumeWaitDivisor bounds the wait for an update of discovery after a pause: to Options.PauseThreshold divided by it.
 	resumeWaitDivisor = 32
-	// backlogWindowDivisor gives how long after a pause a request that is read may have been waiting in a socket: this
-	// part of Options.PauseThreshold, at most. The sockets have been drained by then.
+	// backlogWindowDivisor bounds the time after a pause in which a request that is read may have been waiting in a
+	// socket: to Options.PauseThreshold divided by it. The sockets have been drained by then.
 	backlogWindowDivisor = 4
 )
 
-// Event records that the process handles an event, and returns the length of the pause that ends with it; 0: there
-// was none. A gateway's timers fire more often than once in PauseThreshold, so when no event came for longer, the
-// process was not running.
+// Event records that the process handles an event, and returns the length of the pause that ends with the event; 0:
+// there was no pause. A gateway's timers fire more often than once in PauseThreshold, so if there was no event for
+// longer, the process was not running.
 func (r *Recovery) Event(now Time) (pause time.Duration) {
 	gap, first := now-r.lastEventAt, r.lastEventAt == 0
 	r.lastEventAt = now
@@ -31,8 +31,8 @@
 }
 
 // RequestRead returns how old a request that is read now may be already, and how long to wait before deciding on it.
-// patience is how long its client waits. Shortly after a pause a request may be as old as the pause was long; one whose
-// client has given up by then is decided at once, as it will be rejected.
+// patience is how long its client waits. Shortly after a pause a request may be as old as the pause was long. If its
+// client has given up by then, there is no wait, because the request will be rejected.
 func (r *Recovery) RequestRead(now Time, patience time.Duration) (age, wait time.Duration) {
 	if r.resumedAt == 0 || now-r.resumedAt > r.backlogWindow() {
 		return 0, 0
@@ -45,7 +45,7 @@
 	return r.pauseLength, min(r.resumeWait(now), patience-r.pauseLength)
 }
 
-// backlogWindow returns how long after a pause the requests that are read may have been waiting in sockets.
+// backlogWindow returns the time after a pause in which a request that is read may have been waiting in a socket.
 func (r *Recovery) backlogWindow() time.Duration {
 	return min(r.pauseLength, r.opt.PauseThreshold/backlogWindowDivisor)
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -7,15 +7,15 @@
 // Time is a reading of the gateway's monotonic clock.
 type Time = time.Duration
 
-// Phase is how far a gateway has come to full service.
+// Phase is a gateway's progress to full service.
 type Phase uint8
 
 // The phases, in the order in which they are passed.
 const (
 	NoMembers     Phase = iota // the list of servers is empty
-	AwaitingPeers              // waits for most of the nearby gateways
+	AwaitingPeers              // waits for messages from half of the nearby gateways
 	Resuming                   // after a pause, waits for updates that were sent meanwhile
-	Ramping                    // has servers, but requests wait, as it is not known yet what the servers can do
+	Ramping                    // has servers, but requests are queued because the servers' capacity isn't known yet
 	FullService                // no request is rejected or queued for lack of knowledge
 )
 
@@ -35,26 +35,26 @@
 	// PauseThreshold is the time without any event after which the process counts as having been paused. It is twice
 	// the interval of the gateway's overload checks, which are events. 0: pauses are not detected.
 	PauseThreshold time.Duration
-	// NearbyGateways is the number of gateways of which half have to be reachable; 0: there are none.
+	// NearbyGateways is the number of nearby gateways, half of which have to be reachable; 0: there are none.
 	NearbyGateways int
 }
 
-// Observation is what a gateway observes of itself.
+// Observation is a gateway's view of its servers, peers and requests.
 type Observation struct {
 	Members         int // servers in its list
 	NearbyReachable int // nearby gateways that it receives messages from
-	Queued          int // requests that no server may be sent yet
+	Queued          int // requests that wait for a server
 }
 
 // Recovery is the state of one process. It is not safe for concurrent use.
 type Recovery struct {
 	opt           Options
 	startedAt     Time
-	lastEventAt   Time // 0: there was no event yet
+	lastEventAt   Time // 0: no event yet
 	lastCheckAt   Time // when CheckDue last returned true
 	received      [sourceCount]bool
 	phase         Phase
-	fullServiceAt Time // when it was first reached; 0: not yet
+	fullServiceAt Time // when full service was first reached; 0: not yet
 
 	resumedAt        Time          // end of the latest pause; 0: there was none
 	pauseLength      time.Duration // of the latest pause
@@ -62,8 +62,8 @@
 
 	pauses       int
 	longestPause time.Duration
-	backlogged   int // requests that were taken for older than their reading
-	expired      int // those of them that were past their deadline
+	backlogged   int // requests that may have waited in sockets during a pause
+	expired      int // those of them that may have been past their deadline
 }
 
 // New returns the state of a process that starts now.
@@ -78,7 +78,7 @@
 	}
 }
 
-// CheckDue reports whether to call Check now. The observation that it needs is costly.
+// CheckDue reports whether to call Check now. It limits the calls because the observation that Check needs is costly.
 func (r *Recovery) CheckDue(now Time) bool {
 	if r.phase == FullService || now-r.lastCheckAt < checkInterval {
 		return false
@@ -100,7 +100,7 @@
 		r.phase = Resuming
 	case r.fullServiceAt == 0 && !waitedForPeers && 2*o.NearbyReachable < r.opt.NearbyGateways:
 		r.phase = AwaitingPeers
-	case o.Queued > 0 && r.phase != FullService: // at full service, a queue only shows that servers come and go
+	case o.Queued > 0 && r.phase != FullService: // at full service, a queue only shows that the list of servers changes
 		r.phase = Ramping
 	default:
 		if r.phase = FullService; r.fullServiceAt == 0 {
@@ -113,7 +113,7 @@
 // Phase returns the current phase.
 func (r *Recovery) Phase() Phase { return r.phase }
 
-// TimeToFullService returns how long the process took from its start to full service; 0: it has not reached it yet.
+// TimeToFullService returns the time from the start of the process until full service was first reached; 0: not yet.
 func (r *Recovery) TimeToFullService() time.Duration {
 	if r.fullServiceAt == 0 {
 		return 0
@@ -126,7 +126,7 @@
 	Pauses       int // process pauses
 	LongestPause time.Duration
 	Backlogged   int // requests that may have waited in sockets during a pause
-	Expired      int // those of them that were past their deadline
+	Expired      int // those of them that may have been past their deadline
 }
 
 // Stats returns the counters.
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -13,8 +13,8 @@
 	pause     = 1200 * time.Millisecond
 )
 
-// A process starts without members, waits for most of its peers, and is at full service once no request is queued. It
-// reports how long that took and which sources it had.
+// A process starts without members, waits for half of its peers, and is at full service once no request is queued. It
+// reports how long that took and which sources have delivered data.
 func TestFromStartToFullService(t *testing.T) {
 	r := New(startedAt, Options{PauseThreshold: pause, NearbyGateways: 4})
 	now := startedAt
@@ -27,7 +27,7 @@
 	assert.Equal(t, NoMembers, check(Observation{}))
 	r.Received(Cached)
 	assert.Equal(t, AwaitingPeers, check(Observation{Members: 3}))
-	r.Received(Discovery) // it is not waited for, as it sends updates only when something changes
+	r.Received(Discovery) // not waited for, as discovery sends updates only when something changes
 	assert.Equal(t, AwaitingPeers, check(Observation{Members: 3, NearbyReachable: 1}))
 	assert.Equal(t, Ramping, check(Observation{Members: 3, NearbyReachable: 2, Queued: 1}))
 	assert.Zero(t, r.TimeToFullService())
@@ -53,13 +53,13 @@
 	assert.Equal(t, time.Duration(1), alone.TimeToFullService())
 }
 
-// Shortly after a pause, requests are taken for as old as the pause was long, and wait for an update of discovery.
-// Later requests are not.
+// Shortly after a pause, requests are assumed to be as old as the pause was long, and wait for an update of discovery.
+// Later requests aren't assumed to be old and don't wait.
 func TestResumeAfterPause(t *testing.T) {
 	r := New(startedAt, Options{PauseThreshold: pause})
 	r.Received(Discovery)
 	assert.Zero(t, r.Event(startedAt), "there is no gap before the first event")
-	assert.Zero(t, r.Event(startedAt+pause), "a short delay is no pause")
+	assert.Zero(t, r.Event(startedAt+pause), "a gap of PauseThreshold is not a pause")
 	age, wait := r.RequestRead(startedAt+pause, time.Second)
 	assert.Zero(t, age+wait)
 	resumed := startedAt + pause + 5*time.Second
@@ -68,7 +68,7 @@
 	assert.Equal(t, Resuming, r.Phase())
 	age, wait = r.RequestRead(resumed+time.Millisecond, 4*time.Second)
 	assert.Equal(t, 5*time.Second, age)
-	assert.Zero(t, wait, "its client has given up, so it is decided at once")
+	assert.Zero(t, wait, "its client has given up, so there is no wait")
 	age, wait = r.RequestRead(resumed+time.Millisecond, 8*time.Second)
 	assert.Equal(t, 5*time.Second, age)
 	assert.Equal(t, pause/resumeWaitDivisor-time.Millisecond, wait)
@@ -83,8 +83,8 @@
 	assert.Equal(t, Stats{Pauses: 1, LongestPause: 5 * time.Second, Backlogged: 3, Expired: 1}, r.Stats())
 }
 
-// For all sequences of events: no request is taken for younger than it can be, none waits longer than the bound, and
-// the time to full service, once known, doesn't change.
+// For all sequences of events, no request is assumed to be younger than it may be, none waits longer than the bound,
+// and the time to full service, once known, doesn't change.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(startedAt, Options{PauseThreshold: pause, NearbyGateways: rapid.IntRange(0, 6).Draw(t, "near")})
@@ -105,10 +105,10 @@
 				age, wait := r.RequestRead(now, time.Second)
 				backlog := resumed > 0 && now-resumed <= min(length, pause/backlogWindowDivisor)
 				if backlog != (age == length && length > 0) || !backlog && age > 0 {
-					t.Fatalf("read %v after a pause of %v: taken for %v old", now-resumed, length, age)
+					t.Fatalf("read %v after a pause of %v: assumed age %v", now-resumed, length, age)
 				}
 				if wait > pause/resumeWaitDivisor {
-					t.Fatalf("waits %v", wait)
+					t.Fatalf("wait of %v is above the bound", wait)
 				}
 			}
 			if took > 0 && r.TimeToFullService() != took {
--- a/internal/recovery/source.go
+++ b/internal/recovery/source.go
@@ -1,12 +1,12 @@
 package recovery
 
-// This file has the sources from which a starting process learns what it has to know.
+// This file has the sources from which a starting process gets its data.
 
 import (
 	"strings"
 )
 
-// Source is where data of a starting process came from.
+// Source is where a starting process got data from.
 type Source uint8
 
 // The sources, in rising order of trust.
--- a/internal/ruda/ruda.go
+++ b/internal/ruda/ruda.go
@@ -1,20 +1,20 @@
 // Package ruda computes the score of the RUDA decision algorithm, equation 1 of "Towards a degradation-based
-// mechanism for adaptive overload control": which group of requests gives the most resource back for the
-// least that is lost when it is degraded. It is pure: it has no state, reads no clock, and doesn't decide
-// what is done with the score.
+// mechanism for adaptive overload control": which group of requests frees the most resource at the least
+// loss when it is degraded. It is pure: it has no state, reads no clock, and doesn't decide how the score is
+// used.
 //
 // The paper's formula, with its names:
 //
 //	f = (1/v) * (r / Σr) * (Σq / q)
 //
 // where v is the group's priority (the sum over all groups is 1), r the resource that it used, and q the
-// number of requests that it sent. What a group, r and q are here, and how much of a group is degraded, is up
-// to the callers (docs/design/limits.md).
+// number of requests that it sent. The callers define groups, r and q, and decide how much of a group is
+// degraded (docs/design/limits.md).
 package ruda
 
 import "math"
 
-// minDenominator keeps divisions by a sum of zero defined.
+// minDenominator avoids divisions by zero.
 const minDenominator = 1e-9
 
 // Score returns a group's score f. The group with the highest score is degraded first. The parameters have
