--- a/internal/core/recovery.go
+++ b/internal/core/recovery.go
@@ -11,8 +11,8 @@
 // This file calls internal/recovery, under the core's mutex. That package detects pauses of this process by the gaps
 // between events: while the process runs, the overload checks alone are events that come more often than its threshold.
 
-// resumed handles the end of a pause of this process. The time of the pause isn't counted towards the attempts in
-// flight. The mutex is held.
+// resumed handles the end of a pause of this process. The length of the pause isn't counted in the elapsed time of the
+// attempts in flight. The mutex is held.
 func (c *Core) resumed(now Time, pause time.Duration) {
 	for _, tx := range c.transactions {
 		for _, a := range tx.inFlight {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Recovery returns the phase on this process's way to full service, and the counters of internal/recovery.
+// Recovery returns the recovery phase of this process, and the counters of internal/recovery.
 func (c *Core) Recovery() (recovery.Phase, Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -172,7 +172,7 @@
 // close marks a transaction as answered and stops its timers. The mutex is held.
 func (c *Core) close(tx *transaction) {
 	tx.answered = true
-	for _, timer := range tx.timers { // a timer that fires later would wake the process for nothing
+	for _, timer := range tx.timers { // a timer that fires after the answer would wake the process for nothing
 		timer.Stop()
 	}
 	tx.timers = nil
--- a/internal/storm/guard.go
+++ b/internal/storm/guard.go
@@ -57,7 +57,7 @@
 
 	// The phase.
 	phase         Phase
-	confidence    float64 // 0 to 1, by the number of attempts behind the judgement
+	confidence    float64 // 0 to 1; grows with the number of attempts by which the phase was judged
 	startedAt     Time    // 0: not started, no time is known yet
 	lastTickAt    Time
 	phaseSince    Time
@@ -65,7 +65,7 @@
 	streaks       [streaks]int // consecutive ticks on which each condition held
 	successStreak float64      // consecutive attempts that ended in time
 
-	// What happened in the last second, by tick.
+	// Counts of the last second, by tick.
 	current      Counts // since the last tick
 	history      [int(window / TickInterval)]Counts
 	historyIndex int // of the last tick
@@ -130,7 +130,7 @@
 	g.failedOrder = nil
 }
 
-// Tick evaluates what was counted since the last tick: it updates the phase and the ramp. It returns the message for
+// Tick evaluates the events counted since the last tick, and updates the phase and the ramp. It returns the message for
 // the peers; nil: there is nothing to report.
 func (g *Guard) Tick(now Time, members Members) []byte {
 	g.start(now)
--- a/internal/storm/simulation_test.go
+++ b/internal/storm/simulation_test.go
@@ -315,7 +315,8 @@
 	return served / math.Max(asked, 1e-9)
 }
 
-// timeToRecover returns how long after from the goodput, over 4 s, was last below 0.95 of usual; 0: never until to.
+// timeToRecover returns the time after from since which the goodput, over 4 s and in steps of 1 s, stays at least 0.95
+// of usual until to.
 func (s *simulation) timeToRecover(from, to Time, usual float64) time.Duration {
 	recovery := time.Duration(0)
 	for at := from; at+4*time.Second <= to; at += time.Second {
