--- a/internal/storm/guard_test.go
+++ b/internal/storm/guard_test.go
@@ -142,7 +142,8 @@
 	assert.NotZero(t, missed)
 }
 
-// Load peaks, quota rejections, reconnecting clients and single failed or slow members are not detected as storms.
+// Load peaks, quota rejections, reconnecting clients, and a few failed, slow or paused members are not detected as
+// storms.
 func TestNoFalseAlarms(t *testing.T) {
 	for name, scenario := range map[string]func(*simulation){
 		"a peak": func(s *simulation) { s.runLoad(20*second, 1.6) },
