--- a/internal/batch/runner/attempt.go
+++ b/internal/batch/runner/attempt.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// stallTimeout is how long a server may send nothing until its answer is given up.
+	// stallTimeout is how long a server may send nothing before the attempt is interrupted.
 	stallTimeout = 3 * time.Second
-	// maxDeadline is the longest deadline that a server is given for an item, minDeadline the shortest.
+	// maxDeadline is the longest deadline that a server is given for an item, and minDeadline the shortest.
 	maxDeadline = 30 * time.Second
 	minDeadline = time.Second
 )
@@ -37,7 +37,7 @@
 	r.planner.ObserveDuration(took)
 }
 
-// attempt sends an item to a server and reads its answer. The outcome is Canceled if the route isn't known
+// attempt sends an item to a server and reads the response. The outcome is Canceled if the route isn't known
 // or the item can't be read.
 func (r *Runner) attempt(batch *batchJob, assignment scheduler.Assignment) serverclient.Outcome {
 	r.mutex.Lock()
@@ -77,7 +77,8 @@
 	})
 }
 
-// deadline returns how long a server may take for an item: until the item expires, within bounds.
+// deadline returns how long a server may take for an item: the time until the item expires, limited to the
+// range from minDeadline to maxDeadline.
 func (r *Runner) deadline(batch *batchJob) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -87,8 +88,8 @@
 	return min(maxDeadline, max(time.Until(batch.expiresAt), minDeadline))
 }
 
-// maySend is the gate of an attempt. Right before the first byte the store must still consent, the route be
-// there and the server be listed for it.
+// maySend is the gate of an attempt. It reports whether, right before the first byte is sent, the batch job
+// still runs here, the store permits the attempt, the route exists and the server is listed for the route.
 func (r *Runner) maySend(batch *batchJob, assignment scheduler.Assignment) bool {
 	if batch.ctx.Err() != nil || !r.store.MayRun(batch.ID, assignment.Index) {
 		return false
--- a/internal/batch/runner/failures.go
+++ b/internal/batch/runner/failures.go
@@ -7,17 +7,19 @@
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
-// An item may fail as often as its route allows attempts, or once with a 422. That must hold beyond a stop
-// of its batch job at this store, as the batch job may come back: the store leaves the view for a moment,
-// or hands the batch job over and gets it back. So the failures of stopped batch jobs are remembered.
+// This file counts the failures of items. An item may fail as often as its route allows attempts, or once with
+// a 422. This limit must also hold when its batch job is stopped at this store and started here again, which
+// happens if the store leaves the view for a moment, or hands the batch job over and gets it back. The failures
+// of stopped batch jobs are therefore kept.
 
-// Other stores count together with this one: it tells its own of each failure (Store.Failures), and what Work
-// returns has the failures that other owners have told (internal/batch/replica).
+// The limit applies to the failures at all owners of a batch job together: the runner passes each failure to
+// Store.Failures, and Store.Work returns the failures that other owners recorded (internal/batch/replica).
 
-// failureRecord counts the answers of servers that an item failed.
+// failureRecord holds the number of failed attempts of an item, and whether a server found it unprocessable.
 type failureRecord replica.Failures
 
-// record counts a result. Others than Failed and Unprocessable say nothing about the item.
+// record counts a result. Results other than Failed and Unprocessable are ignored: they say nothing about the
+// item.
 func (f *failureRecord) record(result serverclient.Result, bugs injectedBugs) {
 	switch {
 	case result == serverclient.Failed && !bugs.forgetFailures:
@@ -27,23 +29,24 @@
 	}
 }
 
-// merge takes over a record of the same item that is higher.
+// merge raises the record to another record of the same item where that one is higher.
 func (f *failureRecord) merge(other failureRecord) {
 	f.Count = max(f.Count, other.Count)
 	f.Unprocessable = f.Unprocessable || other.Unprocessable
 }
 
-// exhausted reports whether an item that may be attempted so often is to be given up.
+// exhausted reports whether an item with this record, of which the route allows a number of attempts, must
+// become a dead letter.
 func (f *failureRecord) exhausted(attempts int) bool { return f.Unprocessable || f.Count >= attempts }
 
-// maxStoppedJobs bounds the batch jobs whose failures are remembered. Beyond it all are forgotten, which
-// costs further attempts of items that fail, but no memory.
+// maxStoppedJobs bounds the stopped batch jobs whose failures are kept. When it is exceeded, all kept failures
+// are dropped, which bounds memory at the cost of further attempts of items that fail.
 const maxStoppedJobs = 1000
 
 // failureRecords holds the failures of items of stopped batch jobs, by the job's id and the item's index.
 type failureRecords map[string]map[int]failureRecord
 
-// put remembers an item's failures, if there are any.
+// put stores an item's failures, if there are any.
 func (f failureRecords) put(id string, index int, failures failureRecord) {
 	if failures == (failureRecord{}) {
 		return
@@ -57,7 +60,8 @@
 	f[id][index] = failures
 }
 
-// record counts the result of an attempt that outlasted the stop of its batch job, and returns the item's failures.
+// record counts the result of an attempt that ended after its batch job was stopped, and returns the item's
+// failures.
 func (f failureRecords) record(id string, index int, result serverclient.Result) failureRecord {
 	failures := f[id][index]
 	failures.record(result, injectedBugs{})
@@ -65,8 +69,8 @@
 	return failures
 }
 
-// restoreFailures gives a batch job the failures that are remembered of its items, finishes items that are
-// exhausted, and returns the tasks of the others. The mutex is held.
+// restoreFailures merges the kept failures of a batch job's items into their progress, turns exhausted items
+// into dead letters, and returns the tasks of the others. The mutex is held.
 func (r *Runner) restoreFailures(batch *batchJob, tasks []scheduler.Task) (remaining []scheduler.Task) {
 	remembered := r.stoppedFailures[batch.ID]
 	delete(r.stoppedFailures, batch.ID)
--- a/internal/batch/runner/job.go
+++ b/internal/batch/runner/job.go
@@ -13,11 +13,11 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// defaultCompletionTarget is within what time a batch job should be done while its route isn't known.
+// defaultCompletionTarget is the time within which a batch job should complete if its route isn't known.
 const defaultCompletionTarget = 10 * time.Second
 
-// routeMissingTimeout is how long a route must be missing from the configuration until it counts as
-// removed. An operator may take a route out and put it back in.
+// routeMissingTimeout is how long a route must be missing from the configuration before it counts as
+// removed, because an operator may remove a route and add it again.
 const routeMissingTimeout = 5 * time.Second
 
 // batchJob is a batch job that runs here. The runner's mutex guards its fields.
@@ -25,21 +25,21 @@
 	replica.Job
 	ctx               context.Context // of its attempts
 	cancel            context.CancelFunc
-	items             map[int]*itemProgress // without a result that the store has taken, by index
-	results           []itemResult          // to submit to the store
-	expiresAt         time.Time             // when its items are given up; zero: never, or not known yet
-	routeMissingSince time.Time             // zero: the route is there
+	items             map[int]*itemProgress // items without a result that the store has accepted, by index
+	results           []itemResult          // results to submit to the store
+	expiresAt         time.Time             // when its items become dead letters; zero if never, or not known yet
+	routeMissingSince time.Time             // zero if the route is in the configuration
 }
 
-// itemProgress is what is kept of an item between attempts.
+// itemProgress is the state of an item that is kept between attempts.
 type itemProgress struct {
 	location    wal.Location // of the encoded item
 	events      [][]byte     // data of the events received so far
-	lastEventID int64        // id of the last of them, -1: none
+	lastEventID int64        // id of the last event received, -1 if there is none
 	failureRecord
 }
 
-// startJobs takes up the batch jobs that Start named.
+// startJobs adds the batch jobs whose ids were passed to Start since the last call.
 func (r *Runner) startJobs() {
 	r.mutex.Lock()
 	ids := r.toStart
@@ -53,8 +53,8 @@
 	}
 }
 
-// addJob adds a batch job to those that run, unless it is one of them. An item that can't be read stays
-// without a result.
+// addJob adds a batch job to the running ones, unless it is already running. An item that can't be read is
+// skipped and gets no result.
 func (r *Runner) addJob(work replica.Job) {
 	tasks := make([]scheduler.Task, 0, len(work.Items))
 	items := make(map[int]*itemProgress, len(work.Items))
@@ -88,8 +88,9 @@
 	r.planner.Add(work.ID, r.now()+time.Until(time.UnixMilli(work.FirstSent).Add(target)), backends, tasks)
 }
 
-// restoreProgress returns an item's progress with the events that an earlier process of this store saved.
-// If they can't be read the item starts from its beginning.
+// restoreProgress returns an item's progress, including the failures that were recorded for it and the
+// events that an earlier process of this store saved. If the events can't be read, the item starts from the
+// beginning.
 func (r *Runner) restoreProgress(id string, item replica.JobItem) *itemProgress {
 	progress := &itemProgress{location: item.At, lastEventID: -1}
 	if !r.bugs.forgetOtherOwners {
@@ -107,8 +108,8 @@
 	return progress
 }
 
-// promptPrefix returns the first entry of X-Prompt-Prefix, which stands for the start of the prompt that
-// most others have in common; empty if the client sent none.
+// promptPrefix returns the first entry of X-Prompt-Prefix, which identifies the part of the prompt's start
+// that is shared with the most other prompts. It returns an empty string if the client sent no such header.
 func promptPrefix(item *job.Item) string {
 	for _, header := range item.Headers {
 		if strings.EqualFold(header.Name, "X-Prompt-Prefix") {
@@ -119,8 +120,8 @@
 	return ""
 }
 
-// refresh takes over configuration and servers, gives up what has expired, and submits results that the
-// store hasn't taken.
+// refresh applies the current configuration and servers, turns expired items into dead letters, and submits
+// results that the store hasn't accepted yet.
 func (r *Runner) refresh() {
 	snapshot := r.discovery.Configuration()
 	if snapshot == nil {
@@ -146,8 +147,9 @@
 	}
 }
 
-// refreshJob takes over a batch job's route, nil if it is missing, and gives up the queued items of one
-// that has expired or whose route is gone. Items that run go on. The mutex is held.
+// refreshJob applies the route of a batch job; route is nil if it is missing from the configuration. If the
+// batch job has expired or its route was removed, its queued items become dead letters. Running items
+// continue. The mutex is held.
 func (r *Runner) refreshJob(batch *batchJob, route *configuration.Route, now time.Time) {
 	if route != nil {
 		batch.routeMissingSince = time.Time{}
@@ -167,8 +169,9 @@
 	}
 }
 
-// expiry returns when the items of a batch job, first submitted at a time in Unix milliseconds, are given
-// up: after the route's retention, with a margin for clocks that differ or jump. Zero: never.
+// expiry returns the time at which the items of a batch job become dead letters: the route's retention after
+// firstSent, the first submission of the batch job in Unix milliseconds, plus a margin for clocks that differ
+// or jump. It returns the zero time if the items never expire.
 func (r *Runner) expiry(firstSent int64, route *configuration.Route) time.Time {
 	if route.Retention() <= 0 {
 		return time.Time{}
--- a/internal/batch/runner/outcome.go
+++ b/internal/batch/runner/outcome.go
@@ -12,14 +12,15 @@
 	"sprucelane.example/sprucelane/internal/batch/serverclient"
 )
 
-// Delays before an item is queued again. The planner bounds the rate at each server by itself.
+// Delays before an item may start again. They don't limit the rate of attempts at a server: the planner does.
 const (
-	retryDelay     = 20 * time.Millisecond  // another server may well take it
-	longRetryDelay = 300 * time.Millisecond // what keeps it from running is likely to last
+	retryDelay     = 20 * time.Millisecond  // another server is likely to accept the item
+	longRetryDelay = 300 * time.Millisecond // the reason why the item didn't run is likely to last
 )
 
-// handleOutcome takes in how an attempt ended. It reports whether there are results to submit. The store is told of
-// failures without the mutex: it calls the runner while it holds its own.
+// handleOutcome processes the outcome of an attempt. It reports whether there are results to submit. It passes
+// failures to the store after it has released the runner's mutex: the store calls the runner with its own mutex
+// held, so that calling the store with the runner's mutex held could deadlock.
 func (r *Runner) handleOutcome(batch *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome) bool {
 	submit, failures := r.applyOutcome(batch, assignment, outcome)
 	if failures != (failureRecord{}) {
@@ -28,7 +29,8 @@
 	return submit
 }
 
-// applyOutcome is handleOutcome with the mutex. It returns the item's failures as well, if the attempt was one.
+// applyOutcome does the part of handleOutcome that needs the mutex, and acquires it. If the attempt failed, it also
+// returns the item's failures.
 func (r *Runner) applyOutcome(
 	batch *batchJob, assignment scheduler.Assignment, outcome serverclient.Outcome,
 ) (submit bool, failures failureRecord) {
@@ -58,8 +60,8 @@
 	return submit, failures
 }
 
-// recordServerResult records what a result says of the server, for this process and for those that loads
-// are shared with. The mutex is held.
+// recordServerResult records what a result reveals about the server, for this process and for the processes
+// that it shares loads with. The mutex is held.
 func (r *Runner) recordServerResult(instance string, result serverclient.Result, now time.Duration) {
 	hash := xxhash.Sum64String(instance)
 	switch result {
@@ -74,8 +76,8 @@
 	}
 }
 
-// decideNext finishes an item or queues it again. It reports whether there are results to submit. The mutex
-// is held.
+// decideNext adds an item's result to those to submit, or queues the item again. It reports whether there are
+// results to submit. The mutex is held.
 func (r *Runner) decideNext(
 	batch *batchJob, progress *itemProgress, assignment scheduler.Assignment, outcome serverclient.Outcome,
 	now time.Duration,
@@ -122,8 +124,8 @@
 	return false
 }
 
-// maxAttempts returns how often an item may fail. While its route isn't known nothing is given up for
-// failures: the items of a route that is gone are given up anyway.
+// maxAttempts returns the number of failures at which an item becomes a dead letter. While the route isn't
+// known, there is no limit: the items of a removed route become dead letters anyway.
 func (r *Runner) maxAttempts(batch *batchJob) int {
 	snapshot := r.discovery.Configuration()
 	if snapshot == nil {
--- a/internal/batch/runner/results.go
+++ b/internal/batch/runner/results.go
@@ -6,15 +6,15 @@
 	"sprucelane.example/sprucelane/internal/batch/job"
 )
 
-// itemResult is what became of an item.
+// itemResult is the final state of an item, with the text of a completed one.
 type itemResult struct {
 	index int
 	state job.State
 	text  []byte // nil for a dead letter
 }
 
-// submitResults submits a batch job's results to the store. Those that the store doesn't take now stay to
-// be submitted again. When all items have results, the batch job is removed.
+// submitResults submits a batch job's results to the store. Results that the store doesn't accept now are
+// kept to be submitted again. Once the store has accepted a result of every item, the batch job is removed.
 func (r *Runner) submitResults(batch *batchJob) {
 	r.mutex.Lock()
 	results := batch.results
@@ -50,5 +50,5 @@
 	r.counts.DeadLetter++
 }
 
-// joinEvents joins the data of all events, with a line end between two, into the text of a result.
+// joinEvents joins the data of all events, separated by newlines, into the text of a result.
 func joinEvents(events [][]byte) []byte { return bytes.Join(events, []byte("\n")) }
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -18,35 +18,36 @@
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
-// Store is what the runner needs of the store that it is part of. The runner calls it without holding its
-// mutex, so that the store may call Start and Stop meanwhile.
+// Store is the part of the batch process that keeps batch jobs, as the runner uses it. The runner doesn't
+// hold its own mutex during these calls, so that the store may call Start and Stop meanwhile.
 type Store interface {
-	// Work returns the items of a batch job that have no result yet; false if this store may not run it.
+	// Work returns the items of a batch job that have no result yet, and false if this store may not run the
+	// batch job.
 	Work(id string) (replica.Job, bool)
-	// ReadItem reads an item at the location that Work returned.
+	// ReadItem reads an item at a location that Work returned.
 	ReadItem(at wal.Location) (job.Item, error)
 	// ReadEvents reads the saved events of an item, in order.
 	ReadEvents(at []wal.Location) ([][]byte, error)
-	// MayRun reports whether an item may be sent to a server now. It is asked right before the first byte.
+	// MayRun reports whether an item may be sent to a server now. It is called right before the first byte.
 	MayRun(id string, index int) bool
-	// Progress saves events of a running item: those after the event with the id after, up to that with the
-	// id last.
+	// Progress saves events of a running item. The first of them is the one that follows the event with the
+	// id after; the last of them has the id last.
 	Progress(id string, index int, after, last int64, events [][]byte)
 	// Failures records how often servers have failed an item so far.
 	Failures(id string, index int, failures replica.Failures)
-	// Finish adds an item's result to its batch job. If it returns false the result is submitted again.
+	// Finish adds an item's result to its batch job. If it returns false, the runner submits the result again.
 	Finish(id string, index int, state job.State, text []byte) bool
 }
 
-// Discovery is what control has sent.
+// Discovery provides the configuration and the servers that control has sent.
 type Discovery interface {
 	// Configuration returns the configuration in force, nil while none is known.
 	Configuration() *configuration.Snapshot
-	// Servers returns the servers of a backend, draining ones included.
+	// Servers returns the servers of a backend, including draining ones.
 	Servers(backend string) []protocol.Server
 }
 
-// Client sends items to servers. *serverclient.Client is one.
+// Client sends items to servers. It is implemented by *serverclient.Client.
 type Client interface {
 	Run(ctx context.Context, request *serverclient.Request) serverclient.Outcome
 	Dials() int64
@@ -55,8 +56,8 @@
 
 // Intervals of the loop in Run.
 const (
-	pollInterval  = 100 * time.Millisecond // while there are batch jobs, for what becomes due without a Wake
-	sweepInterval = time.Second            // of the client's connections; of the loop while there are no batch jobs
+	pollInterval  = 100 * time.Millisecond // while batch jobs run, for work that becomes due without a call of Wake
+	sweepInterval = time.Second            // between sweeps of connections, and of the loop while no batch job runs
 )
 
 // Runner runs items. Its methods may be called from any goroutine.
@@ -67,26 +68,26 @@
 	log          zerolog.Logger
 	loads        *serverload.Table
 	origin       time.Time      // zero of the planner's clock
-	maxClockSkew time.Duration  // by which clocks of machines may differ or jump
-	wake         chan struct{}  // holds one
-	attempts     sync.WaitGroup // that run
+	maxClockSkew time.Duration  // by which the clocks of machines may differ or jump
+	wake         chan struct{}  // capacity 1
+	attempts     sync.WaitGroup // running attempts
 
-	mutex           sync.Mutex // guards what follows
+	mutex           sync.Mutex // guards the fields below
 	planner         *scheduler.Planner
-	jobs            map[string]*batchJob // that run here, by id
-	toStart         map[string]bool      // ids that Start named and the loop hasn't taken up
-	stoppedFailures failureRecords
+	jobs            map[string]*batchJob // batch jobs that run here, by id
+	toStart         map[string]bool      // ids passed to Start that the loop hasn't handled yet
+	stoppedFailures failureRecords       // failures of items of batch jobs that were stopped here
 	closed          bool
-	counts          Counts // but for Dials
+	counts          Counts // without Dials, which the client counts
 	bugs            injectedBugs
 }
 
-// Counts are totals since the start: of attempts and how they ended, of items by their final state, of
-// streams that were resumed and of connections that were dialed.
+// Counts holds totals since the start: attempts and how they ended, items by their final state, resumed
+// streams and dialed connections.
 type Counts struct{ Attempts, Completed, DeadLetter, Resumed, Rejected, Interrupted, Failed, Dials int64 }
 
-// New returns a runner for a store in a zone. maxClockSkew is by how much clocks of machines may differ or
-// jump: items expire that much later.
+// New returns a runner for a store in a zone. maxClockSkew is the time by which the clocks of machines may
+// differ or jump: items expire that much later.
 func New(
 	zone string, maxClockSkew time.Duration, store Store, discovery Discovery, log zerolog.Logger,
 ) *Runner {
@@ -104,8 +105,8 @@
 	return r
 }
 
-// Run runs items until the context ends; then it cancels all attempts and waits for them. It must be called
-// once.
+// Run runs items until the context ends. It then cancels all attempts and waits for them to return. It must
+// be called once.
 func (r *Runner) Run(ctx context.Context) {
 	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
@@ -133,8 +134,8 @@
 	r.attempts.Wait()
 }
 
-// Start makes the runner run a batch job's items. It only notes the id, so that the store may call it with
-// its own mutex held.
+// Start makes the runner run a batch job's items. It only records the id for the loop in Run and doesn't
+// call the store, so that the store may call it with its own mutex held.
 func (r *Runner) Start(id string) {
 	r.mutex.Lock()
 	r.toStart[id] = true
@@ -142,7 +143,7 @@
 	r.Wake()
 }
 
-// Stop cancels the attempts of a batch job's items and starts no more. It doesn't call the store.
+// Stop cancels the attempts of a batch job's items and starts no more of them. It doesn't call the store.
 func (r *Runner) Stop(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// Wake makes the loop look at once at what has changed: configuration, servers or free capacity.
+// Wake makes the loop in Run handle changes of the configuration, servers or free capacity at once.
 func (r *Runner) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -165,14 +166,15 @@
 	}
 }
 
-// SetStoreCount sets how many stores run items, this one included.
+// SetStoreCount sets the number of stores that run items, this one included.
 func (r *Runner) SetStoreCount(count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.planner.SetStoreCount(count)
 }
 
-// Load returns how many items are queued and running here, and the sum of the limits of all servers.
+// Load returns the number of items that wait and that run here, and the sum of the limits of all servers, in
+// items.
 func (r *Runner) Load() (waiting, running, allowed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -203,7 +205,7 @@
 	}
 }
 
-// sweep closes connections to servers that are not listed any more, and those that were idle for too long.
+// sweep closes idle connections to servers that are no longer listed, and connections that were idle too long.
 func (r *Runner) sweep() {
 	r.client.Sweep(func(instance string) bool {
 		r.mutex.Lock()
@@ -229,5 +231,5 @@
 	return len(r.jobs) == 0
 }
 
-// now returns the planner's time.
+// now returns the current time on the planner's clock.
 func (r *Runner) now() time.Duration { return time.Since(r.origin) }
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -17,7 +17,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// fakeStore has one batch job of two items, first submitted at a time, and doesn't let them run.
+// fakeStore is a Store and a Discovery with a batch job of two items that was first submitted at the time sent.
+// It doesn't permit the items to run.
 type fakeStore struct {
 	mutex    sync.Mutex
 	sent     time.Time
@@ -55,7 +56,8 @@
 	}}, 1)
 }
 
-// runnerAt runs the first steps of a runner's loop and returns the store with the results.
+// runnerAt starts a batch job that was first submitted at a given time, runs the first steps of a runner's loop,
+// and returns the store with the results.
 func runnerAt(sent time.Time, route string) *fakeStore {
 	store := &fakeStore{sent: sent, route: route, finished: map[int]job.State{}}
 	r := New("z", 10*time.Second, store, store, zerolog.Nop())
@@ -74,7 +76,7 @@
 		So(runnerAt(now.Add(-time.Hour), "endless").finished, ShouldBeEmpty)
 		So(runnerAt(now, "no such route").finished, ShouldBeEmpty)
 	})
-	Convey("A route counts as removed once it is missing for long", t, func() {
+	Convey("A route that is missing for longer than the timeout counts as removed", t, func() {
 		store := &fakeStore{sent: time.Now(), route: "no such route", finished: map[int]job.State{}}
 		r := New("z", 0, store, store, zerolog.Nop())
 		r.Start("job")
@@ -88,14 +90,14 @@
 }
 
 func TestDeadlinesAndAttempts(t *testing.T) {
-	Convey("While its route isn't known an item isn't given up for failures", t, func() {
+	Convey("While its route isn't known, an item doesn't become a dead letter because of failures", t, func() {
 		store := &fakeStore{}
 		r := New("z", 0, store, store, zerolog.Nop())
 		of := func(route string) *batchJob { return &batchJob{Job: replica.Job{Route: route}} }
 		So(r.maxAttempts(of("limited")), ShouldEqual, 1)
 		So(r.maxAttempts(of("no such route")), ShouldEqual, math.MaxInt)
 	})
-	Convey("A server gets half a minute for an item, or until it expires, but a second at least", t, func() {
+	Convey("A server gets 30 s for an item, or until the item expires, but at least 1 s", t, func() {
 		r := New("z", 0, nil, nil, zerolog.Nop())
 		for left, want := range map[time.Duration]time.Duration{
 			time.Hour: maxDeadline, 10 * time.Second: 10 * time.Second, 0: time.Second, -time.Minute: time.Second,
@@ -108,7 +110,7 @@
 }
 
 func TestEnd(t *testing.T) {
-	Convey("A runner without work ends with its context", t, func() {
+	Convey("A runner without batch jobs returns when its context ends", t, func() {
 		store := &fakeStore{finished: map[int]job.State{}}
 		r := New("z", 0, store, store, zerolog.Nop())
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/batch/runner/simulation_test.go
+++ b/internal/batch/runner/simulation_test.go
@@ -22,19 +22,20 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file simulates, in virtual time, a runner with servers that fail, interrupt streams, reject items
-// and can't be reached, and a store whose consent lapses and which doesn't accept every result. What
-// becomes of an attempt follows from the seed, the item and the number of the attempt alone.
+// This file simulates a runner in virtual time. Its servers fail items, interrupt streams, reject items and
+// can't be reached; its store sometimes refuses permission to run items and doesn't accept every result. The
+// outcome of an attempt depends only on the seed, the item and the number of the attempt.
 
 const (
 	simItems       = 24
 	simMaxAttempts = 3
 	simServers     = 4
-	// faultPhase is how long faults are injected, calmPhase how long after that all items must have results.
+	// faultPhase is the time during which faults are injected. calmPhase is the time after it within which all
+	// items must get results.
 	faultPhase, calmPhase = 8 * time.Second, 5 * time.Second
 )
 
-// itemKind is how servers answer an item.
+// itemKind selects how servers answer an item.
 type itemKind int
 
 const (
@@ -54,10 +55,10 @@
 	return sound
 }
 
-// itemHistory is what servers and the store have seen of an item.
+// itemHistory records what the servers and the store have done with an item.
 type itemHistory struct {
-	failed, unprocessable int // answers of 500 and of 422
-	running               int
+	failed, unprocessable int // number of answers with 500 and with 422
+	running               int // attempts that run
 	state                 job.State
 	finished              int // results that the store accepted
 }
@@ -67,12 +68,12 @@
 type itemSimulation struct {
 	seed       uint64
 	began      time.Time
-	calmFrom   time.Time // no faults from then on
+	calmFrom   time.Time // end of the fault phase
 	mutex      sync.Mutex
 	items      [simItems]itemHistory
 	attempts   [simItems]int
-	offers     map[int]int              // results submitted, by item
-	failures   map[int]replica.Failures // as the owners of the batch job have told, where it moves between them
+	offers     map[int]int              // number of results submitted, by item
+	failures   map[int]replica.Failures // recorded by the owners of the batch job, by item, if it changes owners
 	violations []string
 }
 
@@ -90,13 +91,14 @@
 
 func (s *itemSimulation) isCalm() bool { return !time.Now().Before(s.calmFrom) }
 
-// consentLapsed reports whether the store refuses its consent now, as in some spans of the fault phase.
+// consentLapsed reports whether the store refuses permission to run items now. It does so in random 500 ms
+// spans of the fault phase.
 func (s *itemSimulation) consentLapsed() bool {
 	span := uint64(time.Since(s.began) / (500 * time.Millisecond))
 	return !s.isCalm() && s.random(1, span).IntN(5) == 0
 }
 
-// Store and Discovery.
+// The following methods implement Store and Discovery.
 
 func (s *itemSimulation) Work(id string) (replica.Job, bool) {
 	s.mutex.Lock()
@@ -127,10 +129,11 @@
 
 func (s *itemSimulation) Progress(string, int, int64, int64, [][]byte) {}
 
-// moves reports whether each stop of the batch job is a change of its owner. Otherwise it comes back to the same store.
+// moves reports whether the batch job changes its owner each time it is stopped. Otherwise it is started again at the
+// same store.
 func (s *itemSimulation) moves() bool { return s.seed%2 == 1 }
 
-// Failures keeps what an owner tells for the next one.
+// Failures keeps the failures for the next owner.
 func (s *itemSimulation) Failures(_ string, index int, failures replica.Failures) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -175,7 +178,7 @@
 	return list
 }
 
-// Client.
+// The following methods implement Client.
 
 const simEvents = 6
 
@@ -192,7 +195,7 @@
 func (s *itemSimulation) Dials() int64            { return 0 }
 func (s *itemSimulation) Sweep(func(string) bool) {}
 
-// Run is an attempt of an item at a server.
+// Run simulates one attempt of an item at a server.
 func (s *itemSimulation) Run(ctx context.Context, request *serverclient.Request) serverclient.Outcome {
 	index, _ := strconv.Atoi(request.Item.ID)
 	s.mutex.Lock()
@@ -218,7 +221,7 @@
 	return s.answer(outcome, index)
 }
 
-// countRunning adds to the attempts of an item that run.
+// countRunning adds change to the number of running attempts of an item.
 func (s *itemSimulation) countRunning(index, change int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -230,12 +233,13 @@
 	}
 }
 
-// faults are the results that say nothing about the item.
+// faults are the results of injected faults. They say nothing about the item.
 var faults = []serverclient.Result{
 	serverclient.NotExecuted, serverclient.NotSent, serverclient.Rejected, serverclient.Interrupted,
 }
 
-// fault returns the outcome of one of the faults. An interrupted stream has some of the events that are left.
+// fault returns the outcome of one of the faults. An interrupted stream delivers a random number of the remaining
+// events.
 func (s *itemSimulation) fault(
 	outcome serverclient.Outcome, index, fault int, random *rand.Rand,
 ) serverclient.Outcome {
@@ -299,7 +303,7 @@
 	return violations
 }
 
-// simulatedOwner is a runner that runs until end.
+// simulatedOwner is a runner that runs until end is called.
 type simulatedOwner struct {
 	*Runner
 	cancel context.CancelFunc
@@ -327,14 +331,14 @@
 	<-o.ended
 }
 
-// stopAndStart stops the batch job at its store and starts it again there, or at another one, a few times in the fault
-// phase. It returns the last owner.
+// stopAndStart stops the batch job at its store and starts it again at the same store or at another one, a few times
+// in the fault phase. It returns the last owner.
 func (s *itemSimulation) stopAndStart(owner *simulatedOwner, inject func(*Runner)) *simulatedOwner {
 	random := s.random(3)
 	for range random.IntN(6) {
 		time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
 		owner.Stop("job")
-		time.Sleep(time.Duration(1+random.IntN(100)) * time.Millisecond) // what ran has ended by then
+		time.Sleep(time.Duration(1+random.IntN(100)) * time.Millisecond) // running attempts end within this time
 		if s.moves() {
 			owner.end()
 			owner = s.startRunner(inject)
@@ -344,7 +348,7 @@
 	return owner
 }
 
-// checkItem checks an item when all should be finished.
+// checkItem checks that an item is finished, with the state that its kind requires.
 func (s *itemSimulation) checkItem(index int) {
 	item := &s.items[index]
 	want := job.Completed
@@ -368,8 +372,9 @@
 	return first, uint64(few)
 }
 
-// TestRandomItems checks that each item is finished once, as what it is, soon after the fault phase; that a
-// failing one reaches servers no more often than its route allows, and an unprocessable one once.
+// TestRandomItems checks that each item is finished once, with the state that its kind requires, soon after the
+// fault phase; that a failing item reaches servers no more often than its route allows, and an unprocessable item
+// only once.
 func TestRandomItems(t *testing.T) {
 	first, count := seeds(200)
 	for seed := first; seed < first+count; seed++ {
@@ -383,7 +388,7 @@
 func TestInjectedBugs(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{
 		"failures are not counted":                 {forgetFailures: true},
-		"a 422 is tried again":                     {retryUnprocessable: true},
+		"an item is retried after a 422":           {retryUnprocessable: true},
 		"failures of a stopped job are forgotten":  {forgetStopped: true},
 		"failures at other owners are forgotten":   {forgetOtherOwners: true},
 		"events of an interrupted stream are lost": {forgetEvents: true},
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	// initialMeanDuration is what a run is taken to last before any has ended.
+	// initialMeanDuration is the assumed mean duration of an attempt before any has completed.
 	initialMeanDuration = time.Second
-	// meanDurationWeight is the weight of one run in the moving average.
+	// meanDurationWeight is the weight of one attempt in the moving average.
 	meanDurationWeight = 0.05
 )
 
-// Weights of a server's cost, relative to a server that is full, which costs 1.
+// Terms of a server's cost, relative to the load of a full server, which is 1.
 const (
-	crossZoneCost    = 2.0 // for traffic between zones, where loads are not reported
-	avoidedCost      = 4.0 // for the server at which the last attempt failed
-	cachedPrefixGain = 0.1 // for a server that was lately sent the prompt's prefix and may have it cached
+	crossZoneCost    = 2.0 // added for a server in another zone, if loads are not reported
+	avoidedCost      = 4.0 // added for the server at which the last attempt failed
+	cachedPrefixGain = 0.1 // subtracted for a server that was recently sent the prompt's prefix and may have it cached
 )
 
 // Task is an item to run.
 type Task struct {
-	Job    string // id
+	Job    string // id of the batch job
 	Index  int    // of the item in the batch job
 	Prefix string // identifies the first part of the prompt; empty if unknown
 }
 
-// Assignment is a task with the server that it goes to.
+// Assignment is a task with the server that it is sent to.
 type Assignment struct {
 	Task
 	Server protocol.Server
 }
 
-// Planner holds the queue of tasks and what is known of the servers. It isn't safe for concurrent use.
-// Times are on one monotonic clock of the caller's.
+// Planner holds the queue of tasks and the state of the servers. It isn't safe for concurrent use. All
+// times are readings of one monotonic clock, which the caller chooses.
 type Planner struct {
 	zone         string
 	random       *rand.Rand
-	reports      LoadReports // nil: none
+	reports      LoadReports // nil if loads are not reported
 	jobs         map[string]*queuedJob
-	queue        []*queuedJob // all of jobs, by deadline, then id
+	queue        []*queuedJob // all values of jobs, ordered by deadline, then id
 	servers      map[string]*serverState
-	byBackend    map[string][]*serverState // those of servers that aren't draining, in order of their ids
-	running      int
-	stores       int // that compete for the servers' slots, this one included
+	byBackend    map[string][]*serverState // servers that aren't draining, ordered by id
+	running      int                       // tasks that were assigned and have not finished
+	stores       int                       // number of stores that compete for the servers' slots, this one included
 	budget       slotBudget
-	meanDuration time.Duration // of runs to their end, exponentially weighted moving average
+	meanDuration time.Duration // of completed attempts, exponentially weighted moving average
 }
 
-// queuedJob is a batch job with its tasks that are waiting.
+// queuedJob is a batch job with its waiting tasks.
 type queuedJob struct {
 	id       string
 	deadline time.Duration
@@ -61,11 +61,11 @@
 	tasks    []queuedTask // in order of preference
 }
 
-// queuedTask is a task that is waiting.
+// queuedTask is a waiting task.
 type queuedTask struct {
 	task      Task
-	notBefore time.Duration
-	avoid     string // id of the server at which the last attempt failed, empty: none
+	notBefore time.Duration // earliest start
+	avoid     string        // id of the server at which the last attempt failed; empty if there is none
 }
 
 // New returns a planner for a store in a zone. reports may be nil.
@@ -81,7 +81,7 @@
 	}
 }
 
-// Add queues a batch job's tasks. They replace those that it may have.
+// Add queues the tasks of a batch job. They replace its waiting tasks, if it has any.
 func (p *Planner) Add(id string, deadline time.Duration, backends []string, tasks []Task) {
 	p.Remove(id)
 	job := &queuedJob{id: id, deadline: deadline, backends: backends}
@@ -105,15 +105,15 @@
 	p.queue = slices.DeleteFunc(p.queue, func(other *queuedJob) bool { return other == job })
 }
 
-// SetBackends sets the services whose servers a batch job's items go to.
+// SetBackends sets the backends whose servers a batch job's items are sent to.
 func (p *Planner) SetBackends(id string, backends []string) {
 	if job := p.jobs[id]; job != nil {
 		job.backends = backends
 	}
 }
 
-// Requeue queues a task again, ahead of its batch job's others, to start at notBefore at the earliest and
-// preferably not at the server avoid. It is dropped if the batch job was removed.
+// Requeue queues a task again, ahead of the other tasks of its batch job. The task starts no earlier than
+// notBefore and preferably not at the server avoid. It is dropped if the batch job was removed.
 func (p *Planner) Requeue(task Task, notBefore time.Duration, avoid string) {
 	job := p.jobs[task.Job]
 	if job == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Waiting lists a batch job's waiting tasks.
+// Waiting returns a batch job's waiting tasks.
 func (p *Planner) Waiting(id string) []Task {
 	job := p.jobs[id]
 	if job == nil {
@@ -142,7 +142,7 @@
 	return tasks
 }
 
-// Counts returns the number of tasks that wait and that run.
+// Counts returns the number of waiting and of running tasks.
 func (p *Planner) Counts() (waiting, running int) {
 	for _, job := range p.queue {
 		waiting += len(job.tasks)
@@ -150,21 +150,21 @@
 	return waiting, p.running
 }
 
-// SetStoreCount sets how many stores compete for the servers' slots.
+// SetStoreCount sets the number of stores that compete for the servers' slots, this one included.
 func (p *Planner) SetStoreCount(count int) { p.stores = max(count, 1) }
 
-// ObserveDuration takes in how long a run to its end took.
+// ObserveDuration adds the duration of a completed attempt to the moving average.
 func (p *Planner) ObserveDuration(took time.Duration) {
 	p.meanDuration += time.Duration(meanDurationWeight * float64(took-p.meanDuration))
 }
 
-// missesDeadline reports whether items of a batch job that start now are expected to end too late.
+// missesDeadline reports whether items of a batch job that start now are expected to end after its deadline.
 func (p *Planner) missesDeadline(job *queuedJob, now time.Duration) bool {
 	return now+p.meanDuration > job.deadline
 }
 
-// Next takes the next task off the queue, with its server, and counts it as running there; false if nothing
-// can start now.
+// Next removes the next task from the queue, assigns it to a server and counts it as running there. It
+// returns false if no task can start now.
 func (p *Planner) Next(now time.Duration) (Assignment, bool) {
 	if ablation.Off(ablation.BatchDeadlineOrder) {
 		return p.nextWhere(now, func(*queuedJob) bool { return true })
@@ -176,7 +176,7 @@
 	return p.nextWhere(now, func(job *queuedJob) bool { return p.missesDeadline(job, now) })
 }
 
-// nextWhere is Next among the batch jobs that are wanted.
+// nextWhere does the work of Next among the batch jobs for which wanted returns true.
 func (p *Planner) nextWhere(now time.Duration, wanted func(*queuedJob) bool) (Assignment, bool) {
 	for _, job := range p.queue {
 		if !wanted(job) {
@@ -199,8 +199,8 @@
 	return Assignment{}, false
 }
 
-// pickServer returns a server for a task, nil if none has capacity: by reported loads, or else that with
-// the least cost.
+// pickServer returns a server for a task, nil if none has capacity. It picks by reported loads; if there
+// are none, it picks the server with the lowest cost.
 func (p *Planner) pickServer(job *queuedJob, task *queuedTask, now time.Duration) *serverState {
 	if chosen, reported := p.pickByReportedLoad(job, task, now); reported {
 		return chosen
@@ -222,7 +222,8 @@
 	return best
 }
 
-// cost returns the cost of running a task at a server with a load, which is 1 for a full one.
+// cost returns the cost of running a task at a server. load is 1 for a full server; crossZone is added if
+// the server is in another zone.
 func (p *Planner) cost(
 	server *serverState, task *queuedTask, load, crossZone float64, now time.Duration,
 ) float64 {
--- a/internal/batch/scheduler/planner_test.go
+++ b/internal/batch/scheduler/planner_test.go
@@ -10,7 +10,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// listServers returns servers in two zones by turns.
+// listServers returns servers that alternate between two zones.
 func listServers(count, slots int) []protocol.Server {
 	var servers []protocol.Server
 	for i := range count {
@@ -31,7 +31,7 @@
 }
 
 func TestPlanner(t *testing.T) {
-	Convey("The earliest deadline goes first, to the own zone first, within the limits", t, func() {
+	Convey("The job with the earliest deadline starts first, in the planner's zone first, within the limits", t, func() {
 		p := New("z0", 1, nil)
 		p.SetServers(listServers(4, 8))
 		p.Add("late", 20*time.Second, []string{"b"}, tasks("late", 10))
@@ -81,7 +81,7 @@
 		So(s.hasCapacity(52*time.Second), ShouldBeFalse)
 		So(s.hasCapacity(53*time.Second), ShouldBeTrue)
 	})
-	Convey("A requeued task is tried elsewhere, and a departed server is forgotten", t, func() {
+	Convey("A requeued task goes to another server, and an unlisted server's state is dropped", t, func() {
 		p := New("z0", 1, nil)
 		p.SetServers(listServers(2, 8))
 		p.Add("job", time.Second, []string{"b"}, tasks("job", 1))
--- a/internal/batch/scheduler/reportedload.go
+++ b/internal/batch/scheduler/reportedload.go
@@ -6,47 +6,48 @@
 	"sprucelane.example/sprucelane/internal/ablation"
 )
 
-// LoadReports returns what is known of servers beyond what this store observes itself: servers report their
+// LoadReports provides server state that goes beyond this store's own observations: servers report their
 // load with each answer, and processes share these reports.
 type LoadReports interface {
-	// ReportedLoad returns the load that a server reported last; false if none is known.
+	// ReportedLoad returns the load that a server reported last, and false if no report is known.
 	ReportedLoad(id string) (ReportedLoad, bool)
-	// PrefillBacklog returns for how long a server is busy with long prompts that any process announced.
+	// PrefillBacklog returns how long a server will be busy with long prompts that any process announced.
 	PrefillBacklog(id string) time.Duration
-	// IsFailing reports whether a server fails what the processes of this zone send to it.
+	// IsFailing reports whether a server fails the requests that the processes of this zone send to it.
 	IsFailing(id string) bool
 }
 
 // ReportedLoad is a server's report of its load.
 type ReportedLoad struct {
 	InFlight int           // requests at the server
-	Slots    int           // requests that it processes at a time
-	At       time.Duration // when it reported this, on the planner's clock
+	Slots    int           // requests that the server processes at a time
+	At       time.Duration // time of the report on the planner's clock
 }
 
-// Shares of a server's slots that items leave free for live requests. The less slack an item has, the
-// fewer; one that has missed its deadline leaves as many as one that has time.
+// Shares of a server's slots that items leave free for live requests. The slack of an item is the time from
+// its expected end to its deadline. Items with less slack leave fewer slots free; an item that is expected
+// to miss its deadline leaves as many as one with plenty of slack.
 const (
-	farReserve  = 0.25 // with slack of farSlack or more, or none
-	nearReserve = 0.16 // with slack of nearSlack or more
-	lastReserve = 0.0  // with less slack
+	farReserve  = 0.25 // slack of farSlack or more, or negative slack
+	nearReserve = 0.16 // slack of nearSlack or more
+	lastReserve = 0.0  // less slack
 
 	farSlack  = 3 * time.Second
 	nearSlack = time.Second
 )
 
 const (
-	// assumedFreeShare is the share of slots that are taken to be free at a server without a report, where
-	// others have one.
+	// assumedFreeShare is the share of slots that is assumed to be free at a server without a report, where
+	// other servers have one.
 	assumedFreeShare = 0.5
-	// reportedCrossZoneCost takes the place of crossZoneCost: where loads are reported, more equal ones are
+	// reportedCrossZoneCost replaces crossZoneCost where loads are reported: there, more equal loads are
 	// worth the traffic between zones.
 	reportedCrossZoneCost = 0.1
-	// maxPrefillBacklog is the longest prefill backlog at which a server gets items.
+	// maxPrefillBacklog is the longest prefill backlog with which a server still gets items.
 	maxPrefillBacklog = 100 * time.Millisecond
 )
 
-// reserve returns the share of a server's slots that a batch job's items leave free.
+// reserve returns the share of a server's slots that a batch job's items leave free for live requests.
 func (p *Planner) reserve(job *queuedJob, now time.Duration) float64 {
 	if ablation.Off(ablation.BatchCapacityReserve) {
 		return 0
@@ -60,8 +61,9 @@
 	return lastReserve
 }
 
-// pickByReportedLoad returns a server by reported loads, nil if none has a slot for the task or the store's
-// budget is used up; false if no server of the batch job has reported a load.
+// pickByReportedLoad picks a server by reported loads. It returns nil if no server has a slot for the task
+// or the store's slot budget is used up. reported is false if loads are not in use, or no server of the batch
+// job has reported a load; a server that is returned with it was picked by assumed loads and is ignored.
 func (p *Planner) pickByReportedLoad(
 	job *queuedJob, task *queuedTask, now time.Duration,
 ) (chosen *serverState, reported bool) {
@@ -73,7 +75,7 @@
 		return nil, true
 	}
 	usableShare := 1 - p.reserve(job, now)
-	var first, second *serverState // two samples of the candidates so far
+	var first, second *serverState // two random samples of the candidates seen so far
 	candidates, freeSlots := 0, 0.0
 	for _, backend := range job.backends {
 		for _, server := range p.byBackend[backend] {
@@ -102,8 +104,8 @@
 	return first, reported
 }
 
-// occupancy returns the requests that are taken to be at a server and its slots, and whether that is from a
-// report. What this store sent since the report is added to it.
+// occupancy returns the estimated number of requests at a server, its slots, and whether the estimate is
+// based on a report. Items that this store sent since the report are added to it.
 func (p *Planner) occupancy(server *serverState) (inFlight, slots int, known bool) {
 	load, known := p.reports.ReportedLoad(server.ID)
 	if !known {
@@ -113,18 +115,17 @@
 	return load.InFlight + server.recent.CountSince(int64(load.At)), max(load.Slots, 1), true
 }
 
-// isPrefilling reports whether a server is busy with long prompts, so that the load that it reported is out
-// of date.
+// isPrefilling reports whether a server is busy with long prompts. Its reported load is out of date then.
 func (p *Planner) isPrefilling(server *serverState) bool {
 	return !ablation.Off(ablation.PrefixAnnouncements) && p.reports.PrefillBacklog(server.ID) > maxPrefillBacklog
 }
 
-// isFailing reports whether a server fails what is sent to it.
+// isFailing reports whether a server fails the requests that this zone sends to it.
 func (p *Planner) isFailing(server *serverState) bool {
 	return !ablation.Off(ablation.SharedFailures) && p.reports.IsFailing(server.ID)
 }
 
-// reportedLoadCost is cost by the reported load.
+// reportedLoadCost returns the cost of running a task at a server, based on the server's reported load.
 func (p *Planner) reportedLoadCost(server *serverState, task *queuedTask, now time.Duration) float64 {
 	inFlight, slots, _ := p.occupancy(server)
 	return p.cost(server, task, float64(inFlight)/float64(slots), reportedCrossZoneCost, now)
--- a/internal/batch/scheduler/reportedload_test.go
+++ b/internal/batch/scheduler/reportedload_test.go
@@ -7,12 +7,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeReports are reported loads by server id, of 8 slots each and all of one time.
+// fakeReports implements LoadReports with loads by server id. Each server has 8 slots, and all reports are from
+// the same time.
 type fakeReports struct {
 	inFlight map[string]int
 	failing  map[string]bool
 	prefill  map[string]time.Duration
-	at       time.Duration
+	at       time.Duration // of all reports
 }
 
 func (b *fakeReports) ReportedLoad(id string) (ReportedLoad, bool) {
@@ -24,7 +25,7 @@
 
 func (b *fakeReports) IsFailing(id string) bool { return b.failing[id] }
 
-// startAll starts all tasks that can start, and counts them by server and by batch job.
+// startAll starts all tasks that can start now, and counts them in total, by server and by batch job.
 func startAll(p *Planner, now time.Duration) (started int, on map[string]int, jobs map[string]int) {
 	on, jobs = map[string]int{}, map[string]int{}
 	for {
@@ -40,7 +41,7 @@
 
 func TestReportedLoads(t *testing.T) {
 	const far, soon = 20 * time.Second, 2100 * time.Millisecond
-	Convey("Items go where slots are free, and leave some to live requests, fewer the less slack they have", t, func() {
+	Convey("Items take free slots, and leave some to live requests: fewer, the less slack they have", t, func() {
 		for due, want := range map[time.Duration]int{far: 1, soon: 1, soon - time.Second: 3, time.Millisecond: 1} {
 			b := &fakeReports{inFlight: map[string]int{"i-0": 5, "i-1": 8, "i-2": 8, "i-3": 12}, at: time.Second}
 			p := New("z0", 1, b)
@@ -52,7 +53,7 @@
 			So(on["i-0"], ShouldEqual, want)
 		}
 	})
-	Convey("What was sent to a server since its report takes slots", t, func() {
+	Convey("Items sent to a server since its report count as using slots", t, func() {
 		b := &fakeReports{inFlight: map[string]int{"i-0": 0}, at: time.Second}
 		p := New("z0", 1, b)
 		p.SetServers(listServers(1, 8))
@@ -64,7 +65,7 @@
 		started, _, _ = startAll(p, 3*time.Second)
 		So(started, ShouldEqual, 2)
 	})
-	Convey("A store takes its share of the free slots, and the next one an interval later", t, func() {
+	Convey("A store takes its share of the free slots, and the next share one interval later", t, func() {
 		b := &fakeReports{inFlight: map[string]int{"i-0": 0, "i-1": 0}, at: time.Second}
 		p := New("z0", 1, b)
 		p.SetStoreCount(4)
@@ -72,7 +73,7 @@
 		p.servers["i-0"].limit, p.servers["i-1"].limit = 8, 8
 		p.Add("job", far, []string{"b"}, tasks("job", 30))
 		started, _, _ := startAll(p, 2*time.Second)
-		So(started, ShouldEqual, 3) // a quarter of twice six
+		So(started, ShouldEqual, 3) // a quarter of the 6 usable slots of each of two servers
 		b.at = 2*time.Second + budgetInterval
 		started, _, _ = startAll(p, 2*time.Second+budgetInterval-1)
 		So(started, ShouldEqual, 0)
@@ -104,7 +105,7 @@
 		So(on["i-0"], ShouldEqual, 0)
 		So(on["i-1"], ShouldBeGreaterThan, 0)
 	})
-	Convey("Items that miss their deadline let the others pass, and start after them", t, func() {
+	Convey("Items that will miss their deadline start after the others", t, func() {
 		p := New("z0", 1, nil)
 		p.SetServers(listServers(1, 8))
 		p.Add("past", time.Second, []string{"b"}, tasks("past", 2))
--- a/internal/batch/scheduler/serverstate.go
+++ b/internal/batch/scheduler/serverstate.go
@@ -9,57 +9,57 @@
 	"sprucelane.example/sprucelane/internal/serverload"
 )
 
-// The limit of a server bounds this store's items in flight there. Live requests of all gateways and other
-// stores' items take the other slots. The server shows that few are free by a late first event or by a
-// rejection.
+// Parameters of a server's limit. The limit bounds this store's items in flight at the server. Live requests
+// of all gateways and other stores' items use the remaining slots. A late first event or a rejection
+// indicates that few slots are free.
 const (
 	initialLimitShare = 0.25 // of the server's slots
 	maxLimitShare     = 0.6  // of the server's slots
 	minLimit          = 1.0  // items
-	limitIncrease     = 0.5  // items, for as many prompt first events as the limit is
-	lateDecrease      = 0.7  // factor, for a late first event
-	rejectedDecrease  = 0.6  // factor, for a rejection or a broken connection
+	limitIncrease     = 0.5  // items; added in total by as many prompt first events as the limit
+	lateDecrease      = 0.7  // factor after a late first event
+	rejectedDecrease  = 0.6  // factor after a rejection or a broken connection
 
 	// decreaseInterval is the shortest time between two decreases: items that were sent before the first
-	// one took effect say nothing new.
+	// decrease took effect carry no new information.
 	decreaseInterval = 300 * time.Millisecond
 
 	lateFirstEvent   = 150 * time.Millisecond // a first event that takes longer is late
-	promptFirstEvent = 100 * time.Millisecond // one that takes no longer is prompt
+	promptFirstEvent = 100 * time.Millisecond // a first event that takes at most this long is prompt
 )
 
-// How long nothing is sent to a server.
+// Times for which nothing is sent to a server.
 const (
 	rejectedPause    = 150 * time.Millisecond // after a rejection, or as long as the server asks
 	unreachablePause = time.Second            // after a failed dial or a broken stream
 
-	// After a failed item the server is ejected for minEjection, doubled for each further one in a row up
-	// to maxEjection.
+	// After a failed item the server is ejected for minEjection. The time doubles with each further
+	// consecutive failure, up to maxEjection.
 	minEjection          = 200 * time.Millisecond
 	maxEjection          = 4 * time.Second
 	maxEjectionDoublings = 5 // reaches maxEjection, and keeps the shift from overflowing
 )
 
-// The prefixes that a server is taken to have in its cache.
+// Bounds of the prompt prefixes that a server is assumed to have in its cache.
 const (
-	prefixCacheTTL    = 5 * time.Second // since it was sent the prefix last
+	prefixCacheTTL    = 5 * time.Second // after the prefix was last sent to the server
 	maxCachedPrefixes = 64
 )
 
-// serverState is what is known of a server.
+// serverState is this store's view of a server.
 type serverState struct {
 	protocol.Server
 	inFlight            int     // items of this store
 	limit               float64 // of inFlight
 	decreasedAt         time.Duration
-	pausedUntil         time.Duration            // nothing is sent before
-	cachedPrefixes      map[string]time.Duration // when each was sent last
-	recent              serverload.Recent        // items sent lately, which a reported load may not include
+	pausedUntil         time.Duration            // nothing is sent before this time
+	cachedPrefixes      map[string]time.Duration // when each prefix was last sent
+	recent              serverload.Recent        // items sent recently, which a reported load may not include
 	consecutiveFailures int
 }
 
-// SetServers replaces the list of servers. What is known of those that stay is kept. Draining ones get no
-// items.
+// SetServers replaces the list of servers. The state of servers that remain listed is kept. Draining servers
+// get no items.
 func (p *Planner) SetServers(servers []protocol.Server) {
 	states := make(map[string]*serverState, len(servers))
 	byBackend := map[string][]*serverState{}
@@ -93,8 +93,8 @@
 	return int(sum)
 }
 
-// ObserveFirstEvent takes in how long after its request an item's first event came, and moves the server's
-// limit: the first event of a server with free slots comes after the prefill alone.
+// ObserveFirstEvent adjusts a server's limit by the time from an item's request to its first event: at a
+// server with free slots, the first event takes no longer than the prefill.
 func (p *Planner) ObserveFirstEvent(id string, took, now time.Duration) {
 	server := p.servers[id]
 	if server == nil {
@@ -118,15 +118,15 @@
 	}
 }
 
-// Succeeded notes that a server processed an item, whatever came of it.
+// Succeeded records that a server processed an item, whatever the result. It ends a series of failures.
 func (p *Planner) Succeeded(id string) {
 	if server := p.servers[id]; server != nil {
 		server.consecutiveFailures = 0
 	}
 }
 
-// Failed notes that a server failed an item, and ejects it, for longer each time until it succeeds. An item
-// that fails everywhere costs each server a short ejection.
+// Failed records that a server failed an item, and ejects the server, for longer each time until it
+// succeeds. An item that fails everywhere costs each server a short ejection.
 func (p *Planner) Failed(id string, now time.Duration) {
 	server := p.servers[id]
 	if server == nil {
@@ -137,7 +137,8 @@
 	server.pausedUntil = max(server.pausedUntil, now+ejection)
 }
 
-// Rejected notes that a server rejected an item, or is draining, and asked for a pause, which may be 0.
+// Rejected records that a server rejected an item or is draining. pause is the time for which the server
+// asked not to be sent anything, and may be 0.
 func (p *Planner) Rejected(id string, now, pause time.Duration) {
 	if server := p.servers[id]; server != nil {
 		server.decreaseLimit(rejectedDecrease, now)
@@ -145,7 +146,7 @@
 	}
 }
 
-// Unreachable notes that a server couldn't be reached or broke its stream off.
+// Unreachable records that a server couldn't be reached or that its stream broke.
 func (p *Planner) Unreachable(id string, now time.Duration) {
 	if server := p.servers[id]; server != nil {
 		server.decreaseLimit(rejectedDecrease, now)
@@ -158,7 +159,7 @@
 	return now >= s.pausedUntil && float64(s.inFlight)+1 <= s.limit
 }
 
-// startTask counts a task that is sent to the server.
+// startTask counts a task as sent to the server.
 func (s *serverState) startTask(prefix string, now time.Duration) {
 	s.inFlight++
 	s.recent.Add(int64(now))
@@ -174,7 +175,7 @@
 	}
 }
 
-// evictPrefixes forgets the prefixes that have expired, or all if that isn't enough.
+// evictPrefixes removes the prefixes that have expired, or all if that isn't enough.
 func (s *serverState) evictPrefixes(now time.Duration) {
 	for prefix, at := range s.cachedPrefixes {
 		if now-at >= prefixCacheTTL {
@@ -186,13 +187,13 @@
 	}
 }
 
-// hasCachedPrefix reports whether the server is taken to have a prefix in its cache.
+// hasCachedPrefix reports whether the server is assumed to have a prefix in its cache.
 func (s *serverState) hasCachedPrefix(prefix string, now time.Duration) bool {
 	at, known := s.cachedPrefixes[prefix]
 	return known && now-at < prefixCacheTTL
 }
 
-// decreaseLimit multiplies the limit by a factor, unless it was decreased a moment ago.
+// decreaseLimit multiplies the limit by a factor, unless it was decreased within decreaseInterval.
 func (s *serverState) decreaseLimit(factor float64, now time.Duration) {
 	if now-s.decreasedAt < decreaseInterval {
 		return
--- a/internal/batch/scheduler/slotbudget.go
+++ b/internal/batch/scheduler/slotbudget.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// budgetInterval is about the time until what one store takes shows in the loads that others see.
+// budgetInterval is roughly how long it takes until slots taken by one store show in the loads that the
+// other stores see.
 const budgetInterval = 50 * time.Millisecond
 
-// slotBudget holds a store to its share of the free slots: all stores see the same ones, and learn only
-// from the servers' next reports what the others have taken. Without it, all would take all of them at
-// once.
+// slotBudget limits a store to its share of the free slots. All stores see the same free slots, and learn
+// only from the servers' next reports which ones the others have taken. Without the budget, every store would
+// take all of them at once.
 type slotBudget struct {
-	start time.Duration // of the present interval
-	slots float64       // that this store may take in it
-	used  int           // of them
+	start time.Duration // of the current interval
+	slots float64       // that this store may take in the interval
+	used  int           // slots taken in the interval
 }
 
-// tryTake takes one slot. If the interval is over, it begins one with a share, which is one slot at least.
-// It returns false if all slots of the present interval are used.
+// tryTake takes one slot. If the current interval is over, it first begins a new one with a budget of share
+// slots, but at least one. It returns false if all slots of the current interval are used.
 func (b *slotBudget) tryTake(now time.Duration, share float64) bool {
 	if b.used == 0 || now-b.start >= budgetInterval {
 		*b = slotBudget{start: now, slots: max(share, 1)}
@@ -27,7 +28,7 @@
 	return true
 }
 
-// exhausted reports whether the present interval isn't over and all its slots are used.
+// exhausted reports whether all slots of the current interval are used. It is false once the interval is over.
 func (b *slotBudget) exhausted(now time.Duration) bool {
 	return b.used > 0 && now-b.start < budgetInterval && float64(b.used)+1 > b.slots
 }
