--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -9,6 +9,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
+// view returns a view of a number of active stores in three zones.
 func view(count int) protocol.StoreView {
 	v := protocol.StoreView{Epoch: 1}
 	for i := range count {
@@ -21,7 +22,7 @@
 }
 
 func TestPlacement(t *testing.T) {
-	Convey("Replicas are in different zones, only on active stores, and kept ones stay first", t, func() {
+	Convey("Replicas are in different zones and only on active stores, and kept replicas stay first", t, func() {
 		v := view(12)
 		v.Members[4].State = protocol.StoreRetiring
 		for i := range 200 {
@@ -39,7 +40,7 @@
 		}
 		So(Replicas("job", view(2), nil, 3), ShouldHaveLength, 2)
 	})
-	Convey("Removing a store changes only the arbiters that it was among", t, func() {
+	Convey("Removing a store changes only the sets of arbiters that contained it", t, func() {
 		v := view(9)
 		smaller := protocol.StoreView{Epoch: 2, Members: v.Members[1:]}
 		counts := map[Key]int{}
--- a/internal/batch/queuedtokens/counter.go
+++ b/internal/batch/queuedtokens/counter.go
@@ -3,22 +3,22 @@
 //
 // # Protocol
 //
-// Each account (a tenant's batch jobs on a route) has one counter among the stores of a view. A store
-// claims the capacity that it needs there: its Claim states all tokens that are queued in the batch jobs
-// that it answers for, and names the batch jobs that it would accept besides. The Counter answers each Want
-// with a Decision, and grants it as long as the total over all stores stays within the limit.
+// Each account (a tenant's batch jobs on a route) is counted by one store of a view, its counter. A store
+// claims the capacity that it needs from the counter: its Claim states all tokens that are queued in the batch
+// jobs that it answers for, and lists the batch jobs that it wants to accept in addition. The Counter answers
+// each Want with a Decision, and grants it as long as the total over all stores stays within the limit.
 //
 // # Why it is safe
 //
-//   - A claim is a store's whole state, not a difference, so that lost, repeated and late claims do no
-//     harm: the one with the highest number counts.
-//   - What a Decision grants is added to the store's usage at once, and stays until a newer claim replaces
-//     it. A store follows only decisions on its newest claim. So the total counts all that the stores were
-//     let accept.
-//   - A counter decides nothing before every store of the view has claimed (Counter.HasClaimed). So it may
+//   - A claim states a store's complete usage, not a difference, so that lost, repeated and late claims do no
+//     harm: the claim with the highest number counts.
+//   - Tokens that a Decision grants are added to the store's usage at once, and count until a newer claim
+//     replaces the usage. A store follows only decisions on its newest claim. So the total includes all batch
+//     jobs that the stores were allowed to accept.
+//   - A counter makes no decision before every store of the view has claimed (Counter.HasClaimed). So it may
 //     lose its state when the view changes or its process restarts.
 //
-// The package is pure: it has no clock, input or output. Package replica carries the messages.
+// The package is pure: it uses no clock and does no I/O. Package replica sends the messages.
 package queuedtokens
 
 import (
@@ -27,21 +27,22 @@
 	"slices"
 )
 
-// LimitFunc returns an account's limit in tokens, 0 for none. known is false while the configuration isn't
-// known.
+// LimitFunc returns an account's limit in tokens, or 0 if there is no limit. known is false while the
+// configuration isn't known.
 type LimitFunc func(Account) (tokens int64, known bool)
 
-// Counter counts the accounts over the stores of a view, which K identifies. It belongs to one goroutine.
+// Counter counts the tokens of accounts over the stores of a view. K identifies a store. A Counter isn't safe
+// for concurrent use.
 type Counter[K cmp.Ordered] struct {
-	used   map[Account]map[K]int64 // upper bound of what each store uses, tokens; no empty maps
+	used   map[Account]map[K]int64 // upper bound of each store's usage in tokens; contains no empty maps
 	claims map[K]*storeClaim
 }
 
-// storeClaim is what is kept of a store's newest claim.
+// storeClaim is the state that is kept of a store's newest claim.
 type storeClaim struct {
 	number  uint64
-	pending []Entry // whose wants are not answered
-	stale   bool    // of an earlier incarnation of the store
+	pending []Entry // entries with wants that are not answered yet
+	stale   bool    // the claim is from an earlier incarnation of the store
 }
 
 // NewCounter returns a counter that has received no claims.
@@ -49,28 +50,28 @@
 	return &Counter[K]{used: map[Account]map[K]int64{}, claims: map[K]*storeClaim{}}
 }
 
-// Reset forgets all claims: the view has changed.
+// Reset drops all claims. It is called when the view has changed.
 func (c *Counter[K]) Reset() {
 	clear(c.used)
 	clear(c.claims)
 }
 
-// Restarted notes that a store's process has restarted, so that its claims are numbered anew. Its usage
-// counts until it claims again. It may have to be asked for that: a store that uses nothing has no reason
-// to claim.
+// Restarted records that a store's process has restarted, so that the numbers of its claims start over. Its
+// usage counts until it claims again. It may have to be asked to claim: a store that uses nothing has no reason
+// to do so by itself.
 func (c *Counter[K]) Restarted(store K) {
 	if claim := c.claims[store]; claim != nil {
 		*claim = storeClaim{stale: true}
 	}
 }
 
-// HasClaimed reports whether a store's present incarnation has claimed since the view began.
+// HasClaimed reports whether a store's current incarnation has claimed since the view began.
 func (c *Counter[K]) HasClaimed(store K) bool {
 	claim := c.claims[store]
 	return claim != nil && !claim.stale
 }
 
-// Apply replaces a store's claim, unless the one it has is as new.
+// Apply replaces a store's claim. A claim that isn't newer than the store's last one is ignored.
 func (c *Counter[K]) Apply(store K, claim Claim) {
 	current := c.claims[store]
 	if current == nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// add adds to what a store uses of an account.
+// add adds tokens to a store's usage of an account.
 func (c *Counter[K]) add(account Account, store K, tokens int64) {
 	stores := c.used[account]
 	if stores == nil {
@@ -107,7 +108,7 @@
 	stores[store] += tokens
 }
 
-// Pending lists the stores that have wants without an answer, in order.
+// Pending returns the stores that have unanswered wants, in ascending order.
 func (c *Counter[K]) Pending() []K {
 	var stores []K
 	for store, claim := range c.claims {
@@ -119,8 +120,9 @@
 	return stores
 }
 
-// Decide answers a store's wants, and returns the number of the claim that they are from. Wants whose limit
-// isn't known stay pending. The caller must have seen that all stores of the view have claimed.
+// Decide answers a store's pending wants. It returns the number of the claim that they belong to, and the
+// decisions. Wants whose limit isn't known stay pending. The caller must make sure that all stores of the view
+// have claimed (see HasClaimed).
 func (c *Counter[K]) Decide(store K, limit LimitFunc) (number uint64, decisions []Decision) {
 	claim := c.claims[store]
 	if claim == nil {
@@ -145,7 +147,7 @@
 	return claim.number, decisions
 }
 
-// Total returns an upper bound of the tokens that are queued in an account over all stores.
+// Total returns an upper bound of the tokens that are queued in an account at all stores together.
 func (c *Counter[K]) Total(account Account) int64 {
 	total := int64(0)
 	for _, tokens := range c.used[account] {
@@ -157,7 +159,7 @@
 // UsedBy returns an upper bound of the tokens that are queued in an account at one store.
 func (c *Counter[K]) UsedBy(account Account, store K) int64 { return c.used[account][store] }
 
-// Accounts lists the accounts that are in use, in order.
+// Accounts returns the accounts that are in use, in order.
 func (c *Counter[K]) Accounts() []Account {
 	return slices.SortedFunc(maps.Keys(c.used), CompareAccounts)
 }
--- a/internal/batch/queuedtokens/counter_test.go
+++ b/internal/batch/queuedtokens/counter_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestCounter(t *testing.T) {
-	Convey("Batch jobs are let in up to the limit, each by its own size", t, func() {
+	Convey("Batch jobs are accepted up to the limit, each by its own size", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(1, 60, Want{"large", 50}, Want{"small", 40}))
 		c.Apply("b", claim(1, 0))
@@ -30,7 +30,7 @@
 		_, decisions = c.Decide("a", constantLimit(100))
 		So(decisions, ShouldBeEmpty)
 	})
-	Convey("A newer claim replaces an older one, and an older one that comes late is ignored", t, func() {
+	Convey("A newer claim replaces an older one, and an older claim that arrives late is ignored", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(2, 30))
 		c.Apply("a", claim(1, 90))
@@ -39,7 +39,7 @@
 		So(c.Total(account), ShouldEqual, 0)
 		So(c.Accounts(), ShouldBeEmpty)
 	})
-	Convey("A store's usage counts after a restart of its process, until it claims again", t, func() {
+	Convey("A store's usage still counts after a restart of its process, until it claims again", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(7, 30, Want{"x", 5}))
 		c.Restarted("a")
@@ -50,7 +50,7 @@
 		So(c.HasClaimed("a"), ShouldBeTrue)
 		So(c.Total(account), ShouldEqual, 10)
 	})
-	Convey("Without a limit all are let in, with an unknown one none", t, func() {
+	Convey("Without a limit all batch jobs are accepted, and with an unknown limit none", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(1, 0, Want{"x", 1 << 40}))
 		_, decisions := c.Decide("a", func(Account) (int64, bool) { return 0, false })
@@ -59,7 +59,7 @@
 		_, decisions = c.Decide("a", constantLimit(0))
 		So(decisions, ShouldResemble, []Decision{{"x", true}})
 	})
-	Convey("A lowered limit takes nothing back, and lets nothing in until enough is done", t, func() {
+	Convey("A lowered limit revokes nothing, and no batch job is accepted until usage has dropped below it", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(1, 80, Want{"x", 10}))
 		_, decisions := c.Decide("a", constantLimit(50))
@@ -70,8 +70,8 @@
 	})
 }
 
-// TestRandomClaims has stores claim, finish, and lose claims and answers at random: their total stays
-// within the limit.
+// TestRandomClaims checks that the total over all stores stays within the limit while stores claim and finish
+// tokens, and claims and answers are lost, at random.
 func TestRandomClaims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000
--- a/internal/batch/server/calls.go
+++ b/internal/batch/server/calls.go
@@ -12,17 +12,18 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// callTimeout is how long a call may take, besides the time that it asks to wait for results. Gateways have
-// given it up by then.
+// callTimeout is how long a call may take, in addition to the time that it asks to wait for results. Gateways have
+// given up by then.
 const callTimeout = 4 * time.Second
 
-// lostLeaseRetry is the Retry-After in place of an answer that is withheld because the lease has ended.
+// lostLeaseRetry is the Retry-After that replaces an answer that is withheld because the lease has ended.
 const lostLeaseRetry = 250 * time.Millisecond
 
-// errUnknownMessage answers a message that is neither a gateway's call nor from a store.
+// errUnknownMessage is the response to a message that is neither a gateway's call nor sent by a store.
 var errUnknownMessage = errors.New("server: message of an unknown kind")
 
-// handle takes gateways' calls and other stores' messages.
+// handle handles calls of gateways and messages of other stores. Messages of stores that are not in the view are
+// dropped.
 func (s *Server) handle(ctx context.Context, session *transport.Session, message any) (any, error) {
 	if call, ok := message.(protocol.BatchCall); ok {
 		started := time.Now()
@@ -43,13 +44,14 @@
 	return nil, nil
 }
 
-// member returns the process of the view with a key; false if there is none. The mutex is held.
+// member returns the process with a key in the current view, and false if there is none. The mutex is held.
 func (s *Server) member(key placement.Key) (protocol.Process, bool) {
 	member, present := placement.MemberOf(s.stateMachine.CurrentView(), key)
 	return member.Process, present
 }
 
-// call has the state machine answer a client's call, and waits for the answer.
+// call passes a client's call to the state machine and waits for its answer. It answers an invalid submission
+// with 400, and a call that isn't answered in time with 504.
 func (s *Server) call(ctx context.Context, call protocol.BatchCall) protocol.BatchAnswer {
 	var items []job.Item
 	if call.Operation == protocol.BatchSubmit {
@@ -81,9 +83,9 @@
 	return protocol.BatchAnswer{Status: http.StatusGatewayTimeout}
 }
 
-// withholdUnlessLeased replaces an answer if the lease has ended since it was given, as after a process
-// pause: another store may own the batch job by now, so that it may be out of date. A submission may have
-// been accepted, which is what 504 says.
+// withholdUnlessLeased replaces an answer if the lease has ended, for instance because the process was paused
+// after the answer was given: another store may own the batch job by now, so that the answer may be out of date. A
+// submission is answered with 504, because it may have been accepted.
 func (s *Server) withholdUnlessLeased(call protocol.BatchCall, answer protocol.BatchAnswer) protocol.BatchAnswer {
 	redirected := answer.Owner != ""
 	if redirected || answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusGatewayTimeout {
--- a/internal/batch/server/control.go
+++ b/internal/batch/server/control.go
@@ -7,12 +7,12 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// leaseMargin is subtracted from each lease, for what is on its way when it ends: an answer to a client, or
-// a request to a server that the gate has just let through.
+// leaseMargin is subtracted from each lease. It covers messages that are in transit when the lease ends: an answer
+// to a client, or a request to a server that the gate has just allowed.
 const leaseMargin = 100 * time.Millisecond
 
-// onUpdate takes over what control sent: a new view of the stores, and configuration and servers, which the
-// runner reads by itself.
+// onUpdate handles an update from control. It installs a new view of the stores, and wakes the runner, which reads
+// the configuration and the servers by itself.
 func (s *Server) onUpdate() {
 	if members := s.subscription.Members(); members != nil {
 		s.mutex.Lock()
@@ -31,8 +31,8 @@
 	s.runner.Wake()
 }
 
-// onGrant renews the lease. It counts from when the poll was sent, which is before control granted it: so
-// this store's lease ends before control takes it to have ended.
+// onGrant renews the lease. The lease counts from the time when the poll was sent, which is before control granted
+// it. So it ends at this store before control considers it ended.
 func (s *Server) onGrant(grant protocol.StoreGrant, sent time.Time) {
 	until := sent.Sub(s.origin) + grant.Lease - leaseMargin
 	s.mutex.Lock()
@@ -40,7 +40,7 @@
 	s.stateMachine.GrantLease(grant.Epoch, grant.Member, until)
 }
 
-// report returns what each poll reports to control.
+// report returns the report that each poll sends to control.
 func (s *Server) report() *protocol.BatchReport {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/batch/server/corruption_test.go
+++ b/internal/batch/server/corruption_test.go
@@ -49,7 +49,7 @@
 	So(os.WriteFile(path, text, 0o644), ShouldBeNil)
 }
 
-// replicaRecord is a complete batch job with one item, as a store writes it.
+// replicaRecord returns the record that a store writes for a complete batch job with one item.
 func replicaRecord(id string) []byte {
 	content := (&job.Content{ID: id, Tenant: "t", Route: "r", Items: []job.Item{{ID: "item", Path: "/p"}}}).Encode()
 	record := job.AppendString([]byte{1}, id)
@@ -58,7 +58,7 @@
 	return append(record, 0) // results
 }
 
-// readFiles reads all files of a directory but the incarnation's.
+// readFiles returns the content of all files of a directory except the incarnation file, by name.
 func readFiles(directory string) map[string]string {
 	files := map[string]string{}
 	entries, err := os.ReadDir(directory)
@@ -73,7 +73,7 @@
 	return files
 }
 
-// logLines returns the log lines of an event.
+// logLines returns the lines of a log whose message is event.
 func logLines(log *bytes.Buffer, event string) (lines []map[string]any) {
 	decoder := json.NewDecoder(bytes.NewReader(log.Bytes()))
 	for {
@@ -88,13 +88,13 @@
 }
 
 func TestCorruptRecords(t *testing.T) {
-	Convey("A start uses all that is valid on a disk, logs the rest with its location, changes none of it", t, func() {
+	Convey("A start uses all valid records, logs the others with their location, and changes no file", t, func() {
 		directory := t.TempDir()
 		first, err := openIncarnation(directory)
 		So(err, ShouldBeNil)
 		junk := make([][]byte, 16)
 		for kind := range junk {
-			junk[kind] = []byte{byte(kind)} // none is complete
+			junk[kind] = []byte{byte(kind)} // incomplete record of each kind
 		}
 		writeLog(directory, append(append([][]byte{replicaRecord("before")}, junk...), replicaRecord("after"))...)
 		before := readFiles(directory)
@@ -139,7 +139,7 @@
 		So(logLines(&log, "record_corrupt"), ShouldHaveLength, 1)
 		So(readFiles(directory)["segment-00000001"] == string(text), ShouldBeTrue)
 	})
-	Convey("So is one in the last segment with records that were synced later; nothing is truncated", t, func() {
+	Convey("So is one in the last segment before records that were synced later, and nothing is truncated", t, func() {
 		directory := t.TempDir()
 		writeLog(directory, replicaRecord("one"))
 		path := filepath.Join(directory, "segment-00000001")
@@ -154,7 +154,7 @@
 		s.disk.wal.Close()
 		findings, corruptJobs := s.corruptionCounts()
 		So(findings, ShouldEqual, 1)
-		So(corruptJobs, ShouldEqual, 2) // all that the log held before that part
+		So(corruptJobs, ShouldEqual, 2) // all batch jobs that the log held before the corrupt part
 		So(s.report().BatchJobs, ShouldEqual, 3)
 		So(logLines(&log, "record_corrupt"), ShouldHaveLength, 1)
 		So(logLines(&log, "log_tail_truncated"), ShouldBeEmpty)
@@ -182,7 +182,7 @@
 		s.logState()
 		So(logLines(&log, "state")[0]["truncated_bytes"], ShouldEqual, len(text)/2-3)
 	})
-	Convey("A corrupt incarnation file begins another incarnation, with all that the log has", t, func() {
+	Convey("After corruption of the incarnation file, a start begins a new incarnation and uses the whole log", t, func() {
 		for _, corrupt := range []string{"?", "", "0123456789abcdef", "0123456789abcdef x\n"} {
 			directory := t.TempDir()
 			first, err := openIncarnation(directory)
@@ -206,7 +206,7 @@
 }
 
 func TestUnreadableDisk(t *testing.T) {
-	Convey("A disk that can't be read at all is left as it is and tried again", t, func() {
+	Convey("A disk that can't be read at all is left unchanged, and opening it is retried", t, func() {
 		directory := t.TempDir()
 		writeLog(directory, replicaRecord("one"))
 		path := filepath.Join(directory, "segment-00000001")
@@ -229,7 +229,7 @@
 		So(s.report().BatchJobs, ShouldEqual, 1)
 		So(logLines(&log, "disk_unreadable"), ShouldHaveLength, 3)
 	})
-	Convey("It is tried again until the context ends; without a data directory it isn't tried", t, func() {
+	Convey("Opening is retried until the context ends, and isn't retried without a data directory", t, func() {
 		file := filepath.Join(t.TempDir(), "file")
 		So(os.WriteFile(file, nil, 0o644), ShouldBeNil)
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/batch/server/disk.go
+++ b/internal/batch/server/disk.go
@@ -9,21 +9,20 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// reservedDiskShare is the share of disk-mb that new batch jobs leave free, for the results of those that
-// are stored.
+// reservedDiskShare is the share of disk-mb that new batch jobs leave free for the results of stored batch jobs.
 const reservedDiskShare = 0.2
 
-// removeInterval is the time between attempts to remove segments that nothing needs any more.
+// removeInterval is the time between attempts to remove log segments that are no longer needed.
 const removeInterval = 5 * time.Second
 
-// disk is the log and the space that it may take.
+// disk is the log with the space that it may take.
 type disk struct {
 	wal      *wal.WAL
 	capacity int64 // bytes
 }
 
-// openDisk replays the log of earlier incarnations into a new state machine. What can't be used is logged,
-// and stays on the disk.
+// openDisk opens the incarnation and replays the log that earlier processes wrote into a new state machine.
+// Records that can't be used are logged, and stay on the disk.
 func (s *Server) openDisk() error {
 	opened, err := openIncarnation(s.settings.DataDir)
 	if err != nil {
@@ -52,8 +51,8 @@
 	return err
 }
 
-// replay passes a record to the state machine. A record that can't be used is logged; the start goes on, as
-// the others are still of use.
+// replay passes a record to the state machine. A record that can't be used is logged and the start continues,
+// because the other records are still of use.
 func (s *Server) replay(at wal.Location, record []byte) error {
 	var finding *replica.Finding
 	if errors.As(s.stateMachine.Replay(at, record), &finding) {
@@ -70,17 +69,18 @@
 		Int("position", finding.Position).Int("sound_results", finding.SoundResults).Msg("record_corrupt")
 }
 
-// logTruncation logs the tail of the log that was truncated. That is a warning, not an error: a kill or a
-// loss of power leaves one of what was never reported as durable. Corruption of what was synced last looks
-// the same.
+// logTruncation logs that the tail of the log was truncated. This is a warning, not an error: a kill or a loss of
+// power can leave a tail of records that were never reported as durable. Corruption of the records that were synced
+// last looks the same.
 func (s *Server) logTruncation(at wal.Location) {
 	s.truncatedBytes += int64(at.Length)
 	s.log.Warn().Uint32("segment", at.Segment).Uint32("offset", at.Offset).Uint32("length", at.Length).
 		Msg("log_tail_truncated")
 }
 
-// onDurable is called by the log's goroutine. An error is final: the log writes nothing more, and Run returns
-// the error, which ends the process. A full disk is no error, as the log waits for space.
+// onDurable reports synced records to the state machine. It is called by the log's goroutine. An error is final:
+// the log writes nothing more, and Run returns the error, which ends the process. A full disk is not an error, as
+// the log waits for space.
 func (s *Server) onDurable(sequence uint64, err error) {
 	if err != nil {
 		s.log.Error().Err(err).Msg("log_failed")
@@ -95,7 +95,7 @@
 	s.stateMachine.Synced(sequence)
 }
 
-// removeSegments removes the segments of the log that the state machine doesn't need any more.
+// removeSegments removes the segments of the log that the state machine no longer needs.
 func (s *Server) removeSegments() {
 	oldest, active := s.disk.wal.SegmentRange()
 	s.mutex.Lock()
--- a/internal/batch/server/environment.go
+++ b/internal/batch/server/environment.go
@@ -12,7 +12,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// The exported methods in this file are what the state machine acts through. It calls them with the mutex
+// The exported methods in this file implement replica.Environment. The state machine calls them with the mutex
 // held.
 var _ replica.Environment = (*Server)(nil)
 
@@ -30,8 +30,8 @@
 // Read reads bytes of a durable record.
 func (s *Server) Read(at wal.Location) ([]byte, error) { return s.disk.wal.Read(at) }
 
-// FreeBytes returns how much more the log may take. It is 0 while the disk is full, whatever the settings
-// allow.
+// FreeBytes returns the number of bytes by which the log may still grow. It is 0 while the disk is full, even if
+// the settings allow more.
 func (s *Server) FreeBytes() int64 {
 	if s.disk.wal.DiskFull() {
 		return 0
@@ -39,7 +39,7 @@
 	return s.disk.capacity - s.disk.wal.Size()
 }
 
-// Send sends a message to another store. It may be lost: the state machine sends again what matters.
+// Send sends a message to another store. The message may be lost: the state machine repeats messages that matter.
 func (s *Server) Send(to protocol.Process, message any) {
 	if s.closed {
 		return
@@ -52,7 +52,8 @@
 	_ = peer.Send(message)
 }
 
-// QueueLimit returns a route's max-queued-tokens, 0 for no limit; false while the route isn't known.
+// QueueLimit returns a route's max-queued-tokens, 0 if there is no limit. known is false while the route isn't
+// known.
 func (s *Server) QueueLimit(route string) (tokens int64, known bool) {
 	found := s.routeByName(route)
 	if found == nil {
@@ -61,7 +62,7 @@
 	return found.MaxQueuedTokens, true
 }
 
-// routeByName returns a route of the configuration in force, nil while it isn't known.
+// routeByName returns a route of the configuration in force, nil while the configuration or the route isn't known.
 func (s *Server) routeByName(name string) *configuration.Route {
 	snapshot := s.Configuration()
 	if snapshot == nil {
@@ -70,12 +71,13 @@
 	return snapshot.RouteByName(name)
 }
 
-// itemLifetimeMargin is how many times the most that clocks differ is added to a route's retention: runners give
-// items up twice that after it, by clocks that are late by one more, and an item may just have been started then.
+// itemLifetimeMargin is the multiple of the maximum clock skew that is added to a route's retention to get the
+// lifetime of its items: runners let items expire twice the skew after the retention, by clocks that may be late by
+// once the skew, and an item may have been started just before it expired.
 const itemLifetimeMargin = 4
 
-// ItemLifetime returns the time after which no store starts an item of a route any more, 0 for no such time; false
-// while the route isn't known.
+// ItemLifetime returns the time after which no store starts an item of a route any more, 0 if items don't expire.
+// known is false while the route isn't known.
 func (s *Server) ItemLifetime(route string) (lifetime time.Duration, known bool) {
 	found := s.routeByName(route)
 	if found == nil {
@@ -90,10 +92,10 @@
 // Start makes the runner run a batch job's items.
 func (s *Server) Start(id string) { s.runner.Start(id) }
 
-// Stop makes the runner cancel the batch job's items that run, and start no more of them.
+// Stop makes the runner cancel the running items of a batch job, and start no more of them.
 func (s *Server) Stop(id string) { s.runner.Stop(id) }
 
-// Answer ends a call, unless its caller has given up.
+// Answer answers a call, unless its caller has given up.
 func (s *Server) Answer(call replica.CallID, answer protocol.BatchAnswer) {
 	if pending := s.pendingCalls[call]; pending != nil {
 		delete(s.pendingCalls, call)
--- a/internal/batch/server/fakecontrol_test.go
+++ b/internal/batch/server/fakecontrol_test.go
@@ -13,7 +13,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// fakeControl is a control process that serves a configuration, servers and views, and grants leases.
+// fakeControl is a control process that sends a configuration, servers and views, and grants leases.
 type fakeControl struct {
 	mutex          sync.Mutex
 	server         *transport.Server
@@ -23,7 +23,7 @@
 	membersVersion uint64
 }
 
-// startControl serves a fakeControl until the test ends.
+// startControl starts a fakeControl that serves until the test ends.
 func startControl(t *testing.T, servers []protocol.Server) *fakeControl {
 	c := &fakeControl{servers: servers, membersVersion: 1}
 	c.configuration, _ = json.Marshal(map[string]any{
@@ -47,7 +47,8 @@
 	return c
 }
 
-// handle answers a poll with what the process lacks, and with a lease. A process that polls is admitted.
+// handle answers a poll with the data that the process doesn't have yet, and with a lease. A process that polls is
+// admitted to the view.
 func (c *fakeControl) handle(_ context.Context, _ *transport.Session, message any) (any, error) {
 	poll := message.(protocol.Poll)
 	c.mutex.Lock()
@@ -68,7 +69,7 @@
 	return update, nil
 }
 
-// admit adds a process to the view, in place of an earlier incarnation of its node.
+// admit adds a process to the view. It replaces an earlier incarnation of its node.
 func (c *fakeControl) admit(process protocol.Process) {
 	var members []protocol.StoreMember
 	for _, member := range c.view.Members {
@@ -101,7 +102,7 @@
 	c.change(members)
 }
 
-// members returns the view, as gateways receive it.
+// members returns the view as gateways receive it.
 func (c *fakeControl) members() *protocol.MemberList {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/batch/server/fakemodelserver_test.go
+++ b/internal/batch/server/fakemodelserver_test.go
@@ -12,14 +12,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// fakeModelServer is a model server whose behaviour follows from the item's id.
+// fakeModelServer is a model server whose behaviour depends on the item's id.
 type fakeModelServer struct {
 	mutex        sync.Mutex
 	counts       map[string]int    // requests by item
 	lastEventIDs map[string]string // Last-Event-Id of the last request by item
 }
 
-// startModelServer serves a fakeModelServer until the test ends.
+// startModelServer starts a fakeModelServer that serves until the test ends.
 func startModelServer(t *testing.T) (*fakeModelServer, protocol.Server) {
 	m := &fakeModelServer{counts: map[string]int{}, lastEventIDs: map[string]string{}}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,8 +34,8 @@
 	}
 }
 
-// ServeHTTP answers 422 to impossible items, 500 to failing ones, 503 to the first request of busy ones, and
-// breaks the first stream of interrupted ones off within the fourth event.
+// ServeHTTP answers by the prefix of the item's id: 422 to impossible, 500 to failing, 503 to the first request of
+// busy. It breaks the first stream of interrupted within the fourth event. All other requests get all events.
 func (m *fakeModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	m.mutex.Lock()
--- a/internal/batch/server/incarnation.go
+++ b/internal/batch/server/incarnation.go
@@ -9,24 +9,24 @@
 	"path/filepath"
 )
 
-// incarnation identifies the life of a disk, from empty to lost, and counts the starts of the process on
-// it. A store that lost its disk comes back with another id, so that other stores don't take it for the one that
-// stored its batch jobs.
+// incarnation identifies the content of a disk, from the first start on the empty disk until the disk is lost, and
+// counts the starts of the process on it. A store that lost its disk comes back with a different id, so that other
+// stores don't mistake it for the store that holds its earlier batch jobs.
 type incarnation struct {
 	id         string // 16 hexadecimal digits
-	starts     uint64 // this one included; the state machine's process incarnation
-	unreadable bool   // the file existed and was corrupt, so that a new incarnation was begun
+	starts     uint64 // number of starts, this one included; the state machine's process incarnation
+	unreadable bool   // the file existed and was corrupt, so a new incarnation was begun
 }
 
-// incarnationFile holds the id and the number of starts, separated by a space, and a line end.
+// incarnationFile is the name of the file that holds the id and the number of starts, separated by a space and
+// followed by a newline.
 const incarnationFile = "life"
 
-// errNoDataDir ends the process at its start: without a disk it isn't a store.
+// errNoDataDir ends the process at its start: a store needs a disk.
 var errNoDataDir = errors.New("server: no data-dir in the settings")
 
-// openIncarnation reads the incarnation of a disk and counts this start, durably. On an empty disk, and if
-// the file is corrupt, it begins a new one: the process joins as a new store then, with the replicas that
-// its log has.
+// openIncarnation reads the incarnation of a disk, and counts this start durably. If the disk is empty or the file
+// is corrupt, it begins a new incarnation: the process then joins as a new store, with the replicas in its log.
 func openIncarnation(directory string) (incarnation, error) {
 	if directory == "" {
 		return incarnation{}, errNoDataDir
@@ -52,7 +52,7 @@
 	return opened, opened.write(directory)
 }
 
-// newIncarnationID draws an id. It is random, as an empty disk remembers no earlier one.
+// newIncarnationID returns a new id. It is random, because an empty disk has no record of earlier ids.
 func newIncarnationID() (string, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -61,7 +61,7 @@
 	return hex.EncodeToString(random[:]), nil
 }
 
-// write replaces the file atomically and durably.
+// write replaces the incarnation file atomically and durably.
 func (i incarnation) write(directory string) error {
 	path := filepath.Join(directory, incarnationFile)
 	file, err := os.OpenFile(path+".new", os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o644)
--- a/internal/batch/server/incarnation_test.go
+++ b/internal/batch/server/incarnation_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestIncarnation(t *testing.T) {
-	Convey("A disk keeps its incarnation, each start is counted, and an empty disk begins another", t, func() {
+	Convey("A disk keeps its incarnation, each start is counted, and an empty disk begins a new one", t, func() {
 		directory := t.TempDir()
 		first, err := openIncarnation(directory)
 		So(err, ShouldBeNil)
--- a/internal/batch/server/metrics.go
+++ b/internal/batch/server/metrics.go
@@ -13,16 +13,16 @@
 	"sprucelane.example/sprucelane/internal/node/metrics"
 )
 
-// metricsHeaderTimeout bounds the reading of a request for metrics.
+// metricsHeaderTimeout limits the time to read the header of a request for metrics.
 const metricsHeaderTimeout = 5 * time.Second
 
-// Metrics returns a batch process's metrics. Those of nil can only be described.
+// Metrics returns the metrics of a batch process. If s is nil they can be described but not read.
 func Metrics(s *Server) []metrics.Metric {
 	list := append(s.jobMetrics(), s.runMetrics()...)
 	return append(list, s.diskMetrics()...)
 }
 
-// jobMetrics are about the batch jobs that this store has a replica of.
+// jobMetrics returns the metrics of the batch jobs of which this store has a replica, and of their reconciliation.
 func (s *Server) jobMetrics() []metrics.Metric {
 	status := func(which func(replica.Status) float64) func(metrics.Emit) {
 		return func(emit metrics.Emit) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// runMetrics are about the items that run here.
+// runMetrics returns the metrics of the items that run here.
 func (s *Server) runMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_items", Kind: metrics.Gauge, Labels: []string{"state"},
@@ -100,7 +100,7 @@
 	emit.Value(float64(counts.Resumed), "resumed")
 }
 
-// diskMetrics are about the log.
+// diskMetrics returns the metrics of the log, and the build information.
 func (s *Server) diskMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_disk_free_bytes", Kind: metrics.Gauge,
@@ -124,8 +124,8 @@
 	}
 }
 
-// serveMetrics serves GET /metrics on a port of the range until the context ends. Where the port isn't available the
-// process goes on without.
+// serveMetrics serves GET /metrics on a port of the range until the context ends. If the port isn't available, the
+// process runs without it.
 func (s *Server) serveMetrics(ctx context.Context) {
 	if s.settings.Port(node.PortMetrics) > s.settings.LastPort {
 		return
--- a/internal/batch/server/open.go
+++ b/internal/batch/server/open.go
@@ -13,14 +13,14 @@
 // openRetryInterval is the time between attempts to open a disk that returns errors.
 const openRetryInterval = time.Second
 
-// Open is New with retries. A disk that can't be read at all is left as it is, and tried again until the
-// context ends: the process takes no part in anything meanwhile, and the other stores replace its replicas.
-// Open returns the context's error, or at once that of a missing data-dir.
+// Open calls New until it succeeds or the context ends. A disk that can't be read at all is left unchanged, and
+// opening it is retried; meanwhile the process doesn't take part in the system, and the other stores replace its
+// replicas. Open returns the context's error if the context ends, and returns at once if data-dir is missing.
 func Open(ctx context.Context, settings *node.Settings, log zerolog.Logger) (*Server, error) {
 	return openWithRetry(ctx, settings, log, waitToRetry)
 }
 
-// openWithRetry is Open with the pause between attempts as a parameter, for tests.
+// openWithRetry implements Open. Tests pass their own wait, which pauses between attempts.
 func openWithRetry(
 	ctx context.Context, settings *node.Settings, log zerolog.Logger, wait func(context.Context) error,
 ) (*Server, error) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// waitToRetry waits for openRetryInterval; an error says that the context has ended.
+// waitToRetry waits for openRetryInterval. It returns the context's error if the context ends before.
 func waitToRetry(ctx context.Context) error {
 	timer := time.NewTimer(openRetryInterval)
 	defer timer.Stop()
--- a/internal/batch/server/runnerstore.go
+++ b/internal/batch/server/runnerstore.go
@@ -9,13 +9,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// The methods in this file are what the runner calls.
+// The methods in this file implement the interfaces through which the runner calls the server.
 var (
 	_ runner.Store     = (*Server)(nil)
 	_ runner.Discovery = (*Server)(nil)
 )
 
-// Work returns the items of a batch job that are left to run; false if this store doesn't own it.
+// Work returns the items of a batch job that are left to run, and false if this store doesn't own the batch job.
 func (s *Server) Work(id string) (replica.Job, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -44,15 +44,15 @@
 	return events, nil
 }
 
-// Progress saves events of an item that is running: those after the event with one id, up to that with the
-// other.
+// Progress saves events of a running item. The first of them is the one that follows the event with the id after;
+// the last of them has the id last.
 func (s *Server) Progress(id string, index int, after, last int64, events [][]byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.stateMachine.SaveProgress(id, index, after, last, events)
 }
 
-// Failures records how often servers have failed an item of a batch job, for this store and the next owner.
+// Failures records how often servers have failed an item of a batch job, for this store and later owners.
 func (s *Server) Failures(id string, index int, failures replica.Failures) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -66,7 +66,7 @@
 	return s.stateMachine.MayRun(id, index)
 }
 
-// Finish adds an item's result to its batch job. It returns false if the store can't take it now.
+// Finish adds an item's result to its batch job. It returns false if the store can't accept the result now.
 func (s *Server) Finish(id string, index int, state job.State, text []byte) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,7 +76,7 @@
 // Configuration returns the configuration in force, nil while none is known.
 func (s *Server) Configuration() *configuration.Snapshot { return s.subscription.Configuration() }
 
-// Servers returns the servers of a service.
+// Servers returns the servers of a backend.
 func (s *Server) Servers(backend string) []protocol.Server {
 	table := s.endpoints.Current()
 	if table == nil {
--- a/internal/batch/server/server.go
+++ b/internal/batch/server/server.go
@@ -22,8 +22,8 @@
 
 // Connections between stores.
 const (
-	maxFrameSize      = 48 << 20 // bytes of a message: a batch job with all its results
-	maxQueuedMessages = 1024     // on one connection, beyond which messages are dropped; also calls in progress
+	maxFrameSize      = 48 << 20 // bytes of a message; the largest is a batch job with all its results
+	maxQueuedMessages = 1024     // on one connection, beyond which messages are dropped; also limits calls in progress
 	heartbeatInterval = 500 * time.Millisecond
 )
 
@@ -40,24 +40,24 @@
 	origin         time.Time // zero of the monotonic clock
 	process        protocol.Process
 	disk           *disk
-	truncatedBytes int64 // of the log's tail, by this start
+	truncatedBytes int64 // bytes of the log's tail that this start truncated
 
-	mutex        sync.Mutex // guards this block; the state machine isn't safe for concurrent use
+	mutex        sync.Mutex // guards the fields of this block; the state machine isn't safe for concurrent use
 	stateMachine *replica.StateMachine
-	pendingCalls map[replica.CallID]chan protocol.BatchAnswer // channels are buffered for the one answer
+	pendingCalls map[replica.CallID]chan protocol.BatchAnswer // each channel has a buffer for its one answer
 	lastCall     replica.CallID
-	peers        map[string]*transport.Client // by IP; nil once closed
+	peers        map[string]*transport.Client // connections to other stores, by IP; nil once closed
 	closed       bool
 
 	transportOptions transport.Options
 	endpoints        *endpoints.Registry
 	subscription     *subscription.Subscription
 	runner           *runner.Runner
-	diskFailed       chan error // holds one
+	diskFailed       chan error // capacity 1
 }
 
-// New opens what is on the disk and assembles a server. It returns an error if the disk can't be read;
-// records that can't be used are logged and don't keep it from starting.
+// New opens the data directory and assembles a server. It returns an error if the disk can't be read. Records
+// that can't be used are logged and don't prevent the start.
 func New(settings *node.Settings, log zerolog.Logger) (*Server, error) {
 	s := &Server{
 		settings: settings, log: log,
@@ -91,13 +91,14 @@
 	return s, nil
 }
 
-// noPool stands in for the gateways' pool of connections, which a batch process doesn't have: serverclient
-// keeps its own.
+// noPool replaces the connection pool that gateways have. A batch process has none, because serverclient keeps
+// its own connections.
 type noPool struct{}
 
 func (noPool) Apply([]pool.Change) {}
 
-// Run serves until the context ends or the log fails; only then it returns an error. It must be called once.
+// Run serves until the context ends or the log fails. It returns an error if it can't listen on its port or the
+// log fails, and nil if the context ends. It must be called once.
 func (s *Server) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.settings.Endpoint(node.PortBatch))
 	if err != nil {
@@ -125,8 +126,8 @@
 	return err
 }
 
-// shareLoads exchanges reported loads with other processes. If the port can't be had, this process goes by
-// the loads that servers report to itself.
+// shareLoads exchanges reported loads with other processes. If its port isn't available, this process uses only
+// the loads that servers report to it directly.
 func (s *Server) shareLoads(ctx context.Context) {
 	if ablation.Off(ablation.SharedLoad) {
 		return
@@ -141,14 +142,14 @@
 	go sharing.Run(ctx)
 }
 
-// queuedTokens returns the tokens that are queued in the batch jobs of this store.
+// queuedTokens returns the number of tokens that are queued in the batch jobs that this store answers for.
 func (s *Server) queuedTokens() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.stateMachine.QueuedTokens()
 }
 
-// runTicks ticks the state machine, and does from time to time what has no moment of its own.
+// runTicks ticks the state machine, and periodically removes segments and logs the state, until the context ends.
 func (s *Server) runTicks(ctx context.Context) {
 	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
@@ -165,7 +166,7 @@
 		urgent := s.stateMachine.NeedsFastTick()
 		status := s.stateMachine.Progress()
 		s.mutex.Unlock()
-		if status != reported { // control waits for it, and the next loss is tolerated only then
+		if status != reported { // control waits for the report, and another loss is tolerated only after it
 			reported = status
 			s.subscription.PollSoon()
 		}
@@ -184,7 +185,8 @@
 	}
 }
 
-// close closes the connections to other stores and the log, after everything that writes has ended.
+// close closes the connections to other stores and the log. It must be called after all goroutines that write to
+// the log have ended.
 func (s *Server) close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -197,5 +199,5 @@
 	s.disk.wal.Close()
 }
 
-// Reload takes over changed settings: the seeds, by which control is found.
+// Reload applies the seeds of changed settings, through which control is found. Other settings are not applied.
 func (s *Server) Reload(settings *node.Settings) { s.subscription.Seed(settings) }
--- a/internal/batch/server/server_test.go
+++ b/internal/batch/server/server_test.go
@@ -25,7 +25,7 @@
 	testEvents  = 5
 )
 
-// testSettings returns the settings of a process at an address of this host.
+// testSettings returns the settings of a process that listens on a loopback address.
 func testSettings(ip, name, directory string) *node.Settings {
 	return &node.Settings{
 		NodeName: name, Role: "store", Serves: []string{"store"}, IP: ip, Zone: "zone-" + name,
@@ -36,7 +36,7 @@
 	}
 }
 
-// runningStore is a batch process within the test's process.
+// runningStore is a batch process that runs within the test's process.
 type runningStore struct {
 	server *Server
 	cancel context.CancelFunc
@@ -81,7 +81,7 @@
 	return body
 }
 
-// callUntil repeats a call until it is answered with a status, for a bounded time.
+// callUntil repeats a call until it is answered with a given status. The test fails after 10 s.
 func callUntil(t *testing.T, caller *batchproxy.Caller, call protocol.BatchCall, status int) protocol.BatchAnswer {
 	deadline := time.Now().Add(10 * time.Second)
 	for {
@@ -98,7 +98,7 @@
 	}
 }
 
-// resultsPage is the answer to a read.
+// resultsPage is the body of the answer to a read.
 type resultsPage struct {
 	Total   int `json:"total"`
 	Next    int `json:"next-token"`
@@ -107,7 +107,7 @@
 	} `json:"results"`
 }
 
-// readAllResults reads results until all are there, and returns them by item.
+// readAllResults reads the results of a batch job until there are total ones, and returns them by item.
 func readAllResults(t *testing.T, caller *batchproxy.Caller, id string, total int) map[string]string {
 	found := map[string]string{}
 	for start := 0; start < total; {
@@ -130,7 +130,7 @@
 	return found
 }
 
-// completed is the result of an item that a fakeModelServer answered in full.
+// completed returns the result of an item that a fakeModelServer answered in full.
 func completed(id string) string {
 	lines := make([]string, testEvents)
 	for i := range lines {
@@ -139,7 +139,7 @@
 	return "completed: " + strings.Join(lines, "\n")
 }
 
-// TestBatchProcesses runs batch jobs on three stores, over sockets and files, with restarts.
+// TestBatchProcesses runs batch jobs on three stores that use sockets and files, and restarts a store.
 func TestBatchProcesses(t *testing.T) {
 	model, server := startModelServer(t)
 	control := startControl(t, []protocol.Server{server})
@@ -157,7 +157,7 @@
 		return protocol.BatchCall{Operation: operation, BatchJob: id, Tenant: "tenant", Route: "route"}
 	}
 
-	Convey("A batch job is stored, run and read, and outlives a store", t, func() {
+	Convey("A batch job is stored, run and read, and remains readable when a store is lost", t, func() {
 		ids := []string{"plain-1", "plain-2", "impossible-1", "failing-1", "busy-1", "interrupted-1"}
 		submit := call(protocol.BatchSubmit, "job-1")
 		submit.Body = submission(ids...)
--- a/internal/batch/server/state.go
+++ b/internal/batch/server/state.go
@@ -6,7 +6,8 @@
 	"sprucelane.example/sprucelane/internal/batch/placement"
 )
 
-// logState logs a summary of the process, and what is wrong with it.
+// logState logs a summary of the process, violated invariants, and what the store still waits for if it isn't
+// reconciled.
 func (s *Server) logState() {
 	report, counts := s.report(), s.runner.Counts()
 	waiting, running, allowed := s.runner.Load()
@@ -21,7 +22,7 @@
 		Int64("interrupted", counts.Interrupted).Int64("failed", counts.Failed).Int64("dials", counts.Dials).Msg("state")
 }
 
-// corruptionCounts returns the number of parts of the log that this start couldn't use, and of the batch
+// corruptionCounts returns the number of parts of the log that this start couldn't use, and the number of batch
 // jobs that are still corrupt because of them.
 func (s *Server) corruptionCounts() (findings, corruptJobs int) {
 	s.mutex.Lock()
@@ -29,7 +30,7 @@
 	return s.stateMachine.Corruption()
 }
 
-// logViolations logs the invariants that this incarnation has found violated.
+// logViolations logs the invariants that this process has found violated.
 func (s *Server) logViolations() {
 	s.mutex.Lock()
 	violations := maps.Clone(s.stateMachine.Violations())
@@ -39,7 +40,7 @@
 	}
 }
 
-// logUnreconciled logs what this store waits for while it isn't reconciled in the present epoch.
+// logUnreconciled logs what this store waits for while it isn't reconciled in the current epoch.
 func (s *Server) logUnreconciled() {
 	s.mutex.Lock()
 	status := s.stateMachine.Status()
--- a/internal/batch/server/state_interval_faultinjection.go
+++ b/internal/batch/server/state_interval_faultinjection.go
@@ -4,6 +4,6 @@
 
 import "time"
 
-// statsInterval is the time between summaries of the state in the log: short, so that a test soon sees a
-// recovery.
+// statsInterval is the time between summaries of the state in the log. It is short, so that tests notice a
+// recovery soon.
 const statsInterval = time.Second
