--- a/internal/batch/serverclient/body.go
+++ b/internal/batch/serverclient/body.go
@@ -8,16 +8,16 @@
 	"strconv"
 )
 
-// bodyReader reads a response's body by its framing, chunks or Content-Length.
+// bodyReader reads a response's body by its framing: chunked encoding or Content-Length.
 type bodyReader struct {
 	in        *bufio.Reader
 	chunked   bool
-	remaining int64 // bytes of the body, or of the present chunk
-	inChunk   bool  // a chunk has begun whose line end was not read yet
-	complete  bool  // the end of the body was seen, with the trailer
+	remaining int64 // unread bytes of the body, or of the current chunk
+	inChunk   bool  // a chunk has begun, and the line end after it was not read yet
+	complete  bool  // the body was read to its end, including the trailer
 }
 
-// newBodyReader returns a reader of the body that follows a header.
+// newBodyReader returns a reader of the body that follows a response's header.
 func newBodyReader(in *bufio.Reader, response responseHeader) *bodyReader {
 	b := &bodyReader{in: in, chunked: response.chunked, remaining: response.length}
 	if response.chunked {
@@ -27,8 +27,8 @@
 	return b
 }
 
-// Read returns io.EOF at the end of the body only. The end of the connection before that is
-// io.ErrUnexpectedEOF.
+// Read reads bytes of the body. It returns io.EOF only at the end of the body, and io.ErrUnexpectedEOF if the
+// connection ends before.
 func (b *bodyReader) Read(into []byte) (int, error) {
 	if b.complete {
 		return 0, io.EOF
@@ -55,8 +55,8 @@
 	return n, err
 }
 
-// skipLineEnd reads the line end of a chunk if it is buffered, so that the buffer is empty when all of the
-// body that was received is read: readEvents goes by that.
+// skipLineEnd reads the line end after a chunk if it is buffered. So the buffer is empty when all received bytes of
+// the body were read, which readEvents relies on.
 func (b *bodyReader) skipLineEnd() {
 	if b.in.Buffered() < 2 {
 		return
@@ -91,7 +91,7 @@
 	return b.skipTrailer()
 }
 
-// skipTrailer reads the trailer, which nothing is needed of, up to the empty line after it.
+// skipTrailer reads and ignores the trailer, up to and including the empty line after it.
 func (b *bodyReader) skipTrailer() error {
 	for range maxHeaderLines {
 		line, err := readLine(b.in)
--- a/internal/batch/serverclient/client.go
+++ b/internal/batch/serverclient/client.go
@@ -17,8 +17,8 @@
 	dial func(ctx context.Context, address string) (net.Conn, error)
 	bugs injectedBugs
 
-	mutex sync.Mutex               // guards what follows
-	idle  map[string][]*connection // by instance, no empty ones; the last was used last
+	mutex sync.Mutex               // guards the fields below
+	idle  map[string][]*connection // by instance, the most recently used last; contains no empty slices
 	dials int64
 }
 
@@ -32,8 +32,8 @@
 	return c.dials
 }
 
-// Run sends an item and reads the response. It returns when the response is complete or given up, or soon
-// after the context has ended.
+// Run sends an item and reads the response. It returns when the response is complete, when the attempt has
+// failed, or soon after the context has ended.
 func (c *Client) Run(ctx context.Context, request *Request) Outcome {
 	outcome := Outcome{LastEventID: request.LastEventID}
 	conn, reused, err := c.connect(ctx, request)
@@ -41,12 +41,12 @@
 		outcome.Result = NotSent
 		return outcome
 	}
-	// A deadline in the past ends what the connection is waiting for. Code that sets a later deadline must
-	// check the context afterwards, as that deadline replaces this one.
+	// A deadline in the past ends pending reads and writes of the connection. Code that sets a later deadline
+	// must check the context afterwards, because that deadline replaces this one.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if ctx.Err() != nil || !request.Gate() {
 		stop()
-		c.putIdle(request.Instance, conn) // idleSince stays: nothing was written
+		c.putIdle(request.Instance, conn) // idleSince doesn't change, because nothing was written
 		outcome.Result = Canceled
 		return outcome
 	}
@@ -59,7 +59,7 @@
 	if !reusable {
 		_ = conn.Close()
 		if reused && outcome.Result == Interrupted && len(outcome.Events) == 0 {
-			c.closeIdle(request.Instance) // to the same process, which may be gone
+			c.closeIdle(request.Instance) // they lead to the same process, which may be gone
 		}
 		return outcome
 	}
@@ -75,7 +75,8 @@
 	return outcome
 }
 
-// connect returns an idle connection, or dials one.
+// connect returns an idle connection that the request may use, or dials a new one. reused reports whether it is
+// an idle one.
 func (c *Client) connect(ctx context.Context, request *Request) (conn *connection, reused bool, err error) {
 	if conn := c.takeIdle(request.Instance, request.Item.ID); conn != nil {
 		return conn, true, nil
--- a/internal/batch/serverclient/client_test.go
+++ b/internal/batch/serverclient/client_test.go
@@ -16,7 +16,8 @@
 	"sprucelane.example/sprucelane/internal/batch/job"
 )
 
-// serveAnswers serves one scripted answer a connection, after it has read a request, and returns its address.
+// serveAnswers starts a server and returns its address. The server sends the answers one by one, each on a new
+// connection after it has read a request, with ID replaced by the request's id, and closes the connection.
 func serveAnswers(t *testing.T, answers ...string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +55,7 @@
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 func TestResponses(t *testing.T) {
-	Convey("Only a complete response completes, and only complete events in order count", t, func() {
+	Convey("Only a complete response gives Completed, and only complete events in order count", t, func() {
 		two := chunk("id: 1\ndata: a\n\nid: 2\nda") + chunk("ta: b\n\n")
 		for _, test := range []struct {
 			answer string
@@ -137,7 +138,7 @@
 }
 
 func TestGate(t *testing.T) {
-	Convey("Nothing is written if the gate says no, and a canceled request ends at once", t, func() {
+	Convey("Nothing is written if the gate returns false, and a canceled request ends at once", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer listener.Close()
@@ -175,7 +176,7 @@
 		So((<-done).Result, ShouldEqual, Canceled)
 		So(client.Dials(), ShouldEqual, 2)
 	})
-	Convey("An unreachable server was sent nothing", t, func() {
+	Convey("An unreachable server gives NotSent", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		address := listener.Addr().String()
--- a/internal/batch/serverclient/dial.go
+++ b/internal/batch/serverclient/dial.go
@@ -10,15 +10,15 @@
 
 const (
 	dialTimeout = 700 * time.Millisecond
-	// unackedTimeout is how long sent bytes may go without acknowledgement until the kernel gives the
-	// connection up: also one that only waits for its server notices soon that the machine is gone.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before the kernel closes the connection.
+	// So a connection that only waits for its server also soon fails when the server's machine is gone.
 	unackedTimeout = 2 * time.Second
 )
 
-// optionTCPUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// optionTCPUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall doesn't define.
 const optionTCPUserTimeout = 18
 
-// dialTCP is the Client's dial, except in simulations.
+// dialTCP dials a server's address. Simulations replace it.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
--- a/internal/batch/serverclient/early_test.go
+++ b/internal/batch/serverclient/early_test.go
@@ -15,7 +15,8 @@
 	"sprucelane.example/sprucelane/internal/fake/memorynet"
 )
 
-// inMemory runs a scenario in virtual time, with a server that handles each connection by a function.
+// inMemory runs a scenario in virtual time on a simulated network. Each connection to the server is handled by a
+// call of server.
 func inMemory(t *testing.T, server func(*memorynet.Conn), scenario func(*Client, *Request)) {
 	synctest.Test(t, func(*testing.T) {
 		network := &memorynet.Network{
@@ -91,7 +92,7 @@
 				return
 			}
 			io.WriteString(c, failure)
-			// Late, in place of the next response.
+			// Send a late second response, which arrives in place of the response to the next request.
 			time.AfterFunc(50*time.Millisecond, func() { io.WriteString(c, failure) })
 		}
 	}, func(client *Client, r *Request) {
@@ -100,10 +101,10 @@
 			time.Sleep(49 * time.Millisecond)
 		}
 	})
-	Convey("A retried item doesn't accept a late response to its last attempt as its own", t, func() {
+	Convey("A late response to the previous attempt of an item isn't accepted for its retry", t, func() {
 		So(connections, ShouldEqual, 2)
 		So(runs, ShouldEqual, 2)
-		So(results, ShouldResemble, []Result{Failed, Interrupted}) // the second response doesn't name the item
+		So(results, ShouldResemble, []Result{Failed, Interrupted}) // the second response carries an id other than the item's
 	})
 }
 
@@ -117,7 +118,7 @@
 		}
 		dials = client.Dials()
 	})
-	Convey("A connection on which nothing was written keeps its idle time", t, func() {
+	Convey("The idle time of a connection continues if nothing is written on it", t, func() {
 		So(dials, ShouldEqual, 2)
 	})
 }
--- a/internal/batch/serverclient/eventparser.go
+++ b/internal/batch/serverclient/eventparser.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// maxEventSize bounds the data of an event, and a line, bytes.
+// maxEventSize bounds the data of an event, and the length of a line, in bytes.
 const maxEventSize = 1 << 20
 
 // eventParser parses a stream of server-sent events (text/event-stream, WHATWG HTML) into an outcome. It is
-// stricter than the standard: each event must have an id, one higher than the last one's, so that a lost or
-// repeated event is noticed. The first id of a stream that isn't resumed may be 0 or 1. Events count when
-// the empty line after them has come.
+// stricter than the standard: each event must have an id that is one higher than the previous event's, so that a
+// lost or repeated event is detected. The first id of a stream that isn't resumed may be 0 or 1. An event counts
+// once the empty line after it was received.
 type eventParser struct {
 	outcome *Outcome
-	line    []byte // that has not ended
-	data    []byte // of the event that has not ended
-	hasData bool
-	id      int64
-	hasID   bool
+	line    []byte // received part of the current line
+	data    []byte // of the current event
+	hasData bool   // the current event has a data field
+	id      int64  // of the current event
+	hasID   bool   // the current event has an id field
 
-	acceptAnyOrder bool // of tests
+	acceptAnyOrder bool // set only by tests
 }
 
 // feed parses bytes. It returns false if an event is malformed or out of order.
@@ -42,10 +42,11 @@
 	return true
 }
 
-// atBoundary reports whether no event has begun that has not ended.
+// atBoundary reports whether the parser is between two events: every event that has begun has also ended.
 func (p *eventParser) atBoundary() bool { return len(p.line) == 0 && !p.hasData && !p.hasID }
 
-// parseLine parses one line. Fields other than id and data are ignored.
+// parseLine parses one line. Fields other than id and data are ignored. It returns false if the line or the event is
+// malformed or out of order.
 func (p *eventParser) parseLine(line []byte) bool {
 	if len(line) == 0 {
 		return p.endEvent()
@@ -69,7 +70,8 @@
 	return len(p.data) <= maxEventSize
 }
 
-// endEvent adds the event that has ended to the outcome, if its id follows the last one's.
+// endEvent adds the current event to the outcome. It returns false if the event has no id, or one that doesn't
+// follow the previous event's.
 func (p *eventParser) endEvent() bool {
 	if !p.hasData && !p.hasID {
 		return true
--- a/internal/batch/serverclient/events.go
+++ b/internal/batch/serverclient/events.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// readInterval is the pause before another read of a stream of which all that was received is read: one
-	// wake-up of the process for several events.
+	// readInterval is the pause before the next read of a stream after all received bytes were read, so that the
+	// process wakes up once for several events.
 	readInterval = 90 * time.Millisecond
-	// progressInterval is the time between calls of Request.OnProgress.
+	// progressInterval is the minimum time between calls of Request.OnProgress.
 	progressInterval = 250 * time.Millisecond
-	// eventBufferSize is how much of a stream is parsed at a time, bytes.
+	// eventBufferSize is the number of bytes of a stream that are parsed at a time.
 	eventBufferSize = 4 << 10
 )
 
-// readEvents reads the events of a response into the outcome. It reports whether all came, complete and in
-// order.
+// readEvents reads the events of a response into the outcome. It reports whether all events were received,
+// complete and in order.
 func (e *exchange) readEvents(ctx context.Context, response responseHeader) bool {
 	conn, request, outcome := e.conn, e.request, e.outcome
 	body := newBodyReader(conn.reader, response)
@@ -55,14 +55,15 @@
 	}
 }
 
-// progressReporter remembers which events OnProgress was called with.
+// progressReporter records which events OnProgress was called with.
 type progressReporter struct {
-	reportedAt  time.Time
-	count       int // of the outcome's events
-	lastEventID int64
+	reportedAt  time.Time // time of the last call
+	count       int       // number of the outcome's events that were reported
+	lastEventID int64     // id of the last event that was reported
 }
 
-// report calls OnProgress with the events that came since the last call, unless that was a moment ago.
+// report calls OnProgress with the events that were received since the last call, unless that call was less than
+// progressInterval ago.
 func (p *progressReporter) report(request *Request, outcome *Outcome) {
 	if request.OnProgress == nil || len(outcome.Events) == p.count || time.Since(p.reportedAt) < progressInterval {
 		return
--- a/internal/batch/serverclient/exchange.go
+++ b/internal/batch/serverclient/exchange.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// earlyResponseTimeout is how long a response may take after the server has stopped taking the request.
+	// earlyResponseTimeout is how long a response may take after the server has stopped reading the request.
 	earlyResponseTimeout = 50 * time.Millisecond
-	// maxErrorBody is the longest body of a response without success that is read for the sake of the
-	// connection, bytes.
+	// maxErrorBody is the longest body, in bytes, of a response other than 200 that is read so that the
+	// connection can be reused.
 	maxErrorBody = 64 << 10
 )
 
 var (
-	errProtocol       = errors.New("serverclient: the server's bytes are no HTTP/1.1 response")
-	errWrongRequestID = errors.New("serverclient: the response belongs to another request")
-	errNoFraming      = errors.New("serverclient: a response without signature, or without Content-Length and chunks")
-	errEventOrder     = errors.New("serverclient: an event is malformed, missing or repeated")
+	errProtocol       = errors.New("serverclient: malformed HTTP/1.1 response")
+	errWrongRequestID = errors.New("serverclient: response carries the id of another request")
+	errNoFraming      = errors.New(
+		"serverclient: response without X-Response-Signature, or with neither Content-Length nor chunked encoding")
+	errEventOrder = errors.New("serverclient: malformed, missing or repeated event")
 )
 
 // exchange is one request and its response on a connection.
@@ -47,8 +48,8 @@
 	if e.bugs.omitLastEventID {
 		lastEventID = -1
 	}
-	// After an error of send the server may have answered all the same, for instance with a 422 and an end
-	// of its side.
+	// Even if send fails, the server may have answered, for instance with a 422 after which it closed its side of
+	// the connection.
 	sendErr := conn.send(ctx, request, lastEventID, e.started.Add(request.StallTimeout))
 	if sendErr != nil && conn.setReadTimeout(ctx, earlyResponseTimeout) != nil {
 		outcome.Cause = sendErr
@@ -70,7 +71,7 @@
 	outcome.Draining = response.connectionClose
 	outcome.RetryAfter = response.retryAfter
 	if response.keepAlive > 0 {
-		conn.keepAlive = min(maxIdle, response.keepAlive/2) // half: not reused while the server closes it
+		conn.keepAlive = min(maxIdle, response.keepAlive/2) // half, so it isn't reused while the server closes it
 	}
 	if response.status != http.StatusOK {
 		outcome.Result = resultOf(response)
@@ -87,7 +88,7 @@
 	return !response.connectionClose
 }
 
-// resultOf returns the result of a response without success.
+// resultOf returns the result of a response whose status isn't 200.
 func resultOf(response responseHeader) Result {
 	switch {
 	case response.notExecuted || response.status == http.StatusMisdirectedRequest:
@@ -101,7 +102,7 @@
 	}
 }
 
-// discardBody reads the body of a response without success. It reports whether that was read to its end.
+// discardBody reads the body of a response whose status isn't 200. It reports whether it read the body to its end.
 func discardBody(in *bufio.Reader, response responseHeader) bool {
 	if !response.chunked && (response.length < 0 || response.length > maxErrorBody) {
 		return false
@@ -111,8 +112,8 @@
 	return err == nil && n < maxErrorBody && body.complete
 }
 
-// setReadTimeout bounds reads from now on. It returns an error if the context has ended: its own deadline,
-// which ends reads, has just been replaced.
+// setReadTimeout sets a read deadline. It returns an error if the context has ended, because the deadline that
+// was set to end reads at that moment has just been replaced.
 func (conn *connection) setReadTimeout(ctx context.Context, timeout time.Duration) error {
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return err
--- a/internal/batch/serverclient/idle.go
+++ b/internal/batch/serverclient/idle.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxIdle is how long an unused connection is kept at most, and unless the server asks for less.
+// maxIdle is the longest time for which an idle connection is kept. A server can ask for less.
 const maxIdle = 4 * time.Second
 
-// maxUnfinished bounds the unfinished items of a connection. Beyond it a connection isn't kept.
+// maxUnfinished bounds the unfinished items of a connection. A connection with more is closed.
 const maxUnfinished = 64
 
 // connection is a connection to a server. It belongs to one request at a time, or is idle.
@@ -20,15 +20,15 @@
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	keepAlive time.Duration // for which it may be idle
-	// unfinished names the items that went over it and may come again, as their answers were not final.
-	// They must not go over it again: a late answer to the earlier request would pass for the answer to the
-	// later one.
+	keepAlive time.Duration // longest time for which it may be idle
+	// unfinished holds the ids of items that were sent over this connection and may be retried, as their
+	// answers were not final. They must not be sent over it again: a late answer to the earlier request would be
+	// mistaken for the answer to the later one.
 	unfinished []string
 }
 
-// takeIdle takes an idle connection that an item may go over, the one used last first; nil if there is
-// none. It closes those that can't be reused.
+// takeIdle removes and returns the most recently used idle connection that an item may be sent over, nil if there
+// is none. It closes connections that can't be reused.
 func (c *Client) takeIdle(instance, item string) (found *connection) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -55,7 +55,7 @@
 	return found
 }
 
-// putIdle keeps a connection for reuse.
+// putIdle keeps a connection for reuse. Deadlines that were set on it are removed.
 func (c *Client) putIdle(instance string, conn *connection) {
 	if conn.SetDeadline(time.Time{}) != nil {
 		_ = conn.Close()
@@ -77,8 +77,8 @@
 	}
 }
 
-// Sweep closes the connections that were idle for too long, and all idle ones to instances that aren't
-// present.
+// Sweep closes connections that were idle for too long, and all idle connections to instances for which present
+// returns false.
 func (c *Client) Sweep(present func(instance string) bool) {
 	c.mutex.Lock()
 	var expired []*connection
@@ -102,8 +102,8 @@
 	}
 }
 
-// nothingReceived reports whether nothing has come on an idle connection: neither its end nor bytes, which
-// would belong to no request.
+// nothingReceived reports whether nothing was received on an idle connection: neither a close by the server nor
+// bytes, which would belong to no request.
 func (conn *connection) nothingReceived() bool {
 	if conn.reader.Buffered() > 0 {
 		return false
@@ -111,9 +111,8 @@
 	return conn.nothingToRead()
 }
 
-// nothingToRead reports whether the kernel has nothing for the connection, as far as that can be told
-// without reading: no bytes, no end and no error. Connections of simulations implement Arrived in place of
-// that.
+// nothingToRead reports whether a read of the connection would block: the kernel has no bytes for it, no end of
+// the stream and no error. It doesn't consume anything. Connections of simulations implement Arrived instead.
 func (conn *connection) nothingToRead() bool {
 	if peeker, ok := conn.Conn.(interface{ Arrived() (bool, error) }); ok {
 		arrived, _ := peeker.Arrived()
--- a/internal/batch/serverclient/request.go
+++ b/internal/batch/serverclient/request.go
@@ -11,22 +11,22 @@
 // Request is an item to send to a server. The callbacks are called from the goroutine of Client.Run.
 type Request struct {
 	Address      string // host:port of the server
-	Instance     string // its id
-	Host         string // of the route
+	Instance     string // id of the server
+	Host         string // host name of the route
 	Tenant       string
 	Item         *job.Item
-	LastEventID  int64         // of the last event that the caller has, -1: none
-	Deadline     time.Duration // that the server is given
-	StallTimeout time.Duration // for which the server may take or send nothing
+	LastEventID  int64         // id of the last event that the caller has, -1 if it has none
+	Deadline     time.Duration // time that the server is given for the item
+	StallTimeout time.Duration // longest time for which the server may receive or send nothing
 
-	// Gate is called right before the first byte. If it returns false nothing is written.
+	// Gate is called right before the first byte is written. If it returns false nothing is written.
 	Gate func() bool
-	// OnLoad is called with the load that the server reports, X-Server-Load. May be nil.
+	// OnLoad is called with the load that the server reports in X-Server-Load. It may be nil.
 	OnLoad func(header string)
-	// OnFirstEvent is called with how long after the start of the request the first event came. May be nil.
+	// OnFirstEvent is called with the time from the start of the request to the first event. It may be nil.
 	OnFirstEvent func(time.Duration)
-	// OnProgress is called from time to time with events that came since the last call: those after the
-	// event with the id after, up to that with the id last. May be nil.
+	// OnProgress is called from time to time with the events that were received since the last call. The first
+	// of them follows the event with the id after; the last of them has the id last. It may be nil.
 	OnProgress func(after, last int64, events [][]byte)
 }
 
@@ -39,20 +39,20 @@
 	Failed                      // 500
 	Unprocessable               // 422: no server will ever process the item
 	NotExecuted                 // the server states that it didn't run the item
-	Rejected                    // another status
-	Interrupted                 // the connection broke, or what it brought can't be trusted any further
-	NotSent                     // no byte was written: the server couldn't be reached
-	Canceled                    // the gate said no, or the context ended
+	Rejected                    // any other status
+	Interrupted                 // the connection broke, or the bytes received on it can't be trusted any further
+	NotSent                     // no byte was written, because the server couldn't be reached
+	Canceled                    // the gate returned false, or the context ended
 )
 
-// Outcome is what became of a request. Its events and LastEventID are valid with every result.
+// Outcome is the outcome of a request. Events and LastEventID are valid with every result.
 type Outcome struct {
 	Result      Result
 	Events      [][]byte      // data of the events after the request's LastEventID, in order
-	LastEventID int64         // of the last event, or as in the request
+	LastEventID int64         // id of the last event received, or the request's LastEventID if there was none
 	Draining    bool          // the server closes the connection, as it does when it is draining
-	RetryAfter  time.Duration // that the server asks for, 0: nothing
-	Cause       error         // why it was interrupted, for the log; may be nil
+	RetryAfter  time.Duration // pause that the server asks for, 0 if it doesn't
+	Cause       error         // why the request was interrupted, for the log; may be nil
 }
 
 // encodeHeader returns the header of an HTTP request for an item.
@@ -79,8 +79,8 @@
 	return append(out, "\r\n"...)
 }
 
-// isReservedHeader reports whether an item's header isn't passed on: this package sets it itself, it
-// concerns one connection only, or it is the client's secret.
+// isReservedHeader reports whether an item's header must not be forwarded: this package sets it itself, it
+// concerns a single connection, or it is the client's secret.
 func isReservedHeader(name string) bool {
 	switch strings.ToLower(name) {
 	case "host", "x-request-id", "x-tenant", "x-expect-instance", "x-deadline-ms", "last-event-id", "content-length",
@@ -90,8 +90,8 @@
 	return false
 }
 
-// appendHeader appends a header line. Line ends in the value, with which a client could add headers, are
-// left out.
+// appendHeader appends a header line. It removes CR and LF from the value, because a client could inject headers
+// with them.
 func appendHeader(out []byte, name, value string) []byte {
 	out = append(out, name...)
 	out = append(out, ": "...)
--- a/internal/batch/serverclient/response.go
+++ b/internal/batch/serverclient/response.go
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// maxHeaderLines bounds the lines of a header, and those of a trailer.
+// maxHeaderLines bounds the number of lines of a header, and of a trailer.
 const maxHeaderLines = 100
 
-// responseHeader is what matters of a response's header.
+// responseHeader holds the parts of a response's status line and header that this package uses.
 type responseHeader struct {
 	status          int
 	requestID       string
-	hasSignature    bool // X-Response-Signature, which each answer of a server itself has
-	notExecuted     bool // X-Not-Executed
+	hasSignature    bool // has X-Response-Signature, as every response that comes from the server itself
+	notExecuted     bool // has X-Not-Executed
 	chunked         bool
-	length          int64 // Content-Length, -1: none
+	length          int64 // Content-Length, -1 if there is none
 	connectionClose bool
-	keepAlive       time.Duration // timeout of Keep-Alive, 0: none
+	keepAlive       time.Duration // timeout of Keep-Alive, 0 if there is none
 	retryAfter      time.Duration
 	load            string // X-Server-Load
 }
 
-// statusLine matches the start of a response. No header's value is expected to contain it, so that it shows
-// a response that begins within another's header, as when two are mixed up on a connection.
+// statusLine matches the start of a response. No header value is expected to contain it. So a match within a
+// header shows that another response begins there, as happens when two responses are mixed up on a connection.
 var statusLine = regexp.MustCompile(`HTTP/1\.[01] [1-5][0-9][0-9]( |$)`)
 
-// readHeader reads a response's header. With acceptTorn, of tests, it accepts one that begins within another.
+// readHeader reads a response's header. If acceptTorn, which only tests set, is true, it accepts a header that
+// begins within another.
 func readHeader(in *bufio.Reader, acceptTorn bool) (responseHeader, error) {
 	response := responseHeader{length: -1}
 	line, err := readLine(in)
@@ -61,7 +62,8 @@
 	return response, errProtocol
 }
 
-// setField takes in a header line. A field that must be unique and comes twice shows two headers in one.
+// setField stores the value of a header line. It returns an error if a field that must be unique occurs twice,
+// which shows that two headers were mixed up.
 func (r *responseHeader) setField(name, value string) error {
 	switch strings.ToLower(name) {
 	case "x-request-id":
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// readLine returns a line without its end. It stays valid until the next read.
+// readLine reads a line and returns it without its line end. The line is valid until the next read.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	line, err := in.ReadSlice('\n')
 	if err != nil {
--- a/internal/batch/serverclient/simulation_test.go
+++ b/internal/batch/serverclient/simulation_test.go
@@ -20,14 +20,14 @@
 	maxBugSimulations  = 60
 	simServers         = 4
 	simWorkers         = 8
-	simItems           = 8 // of each worker
+	simItems           = 8 // per worker
 	maxAttempts        = 60
 	closedGateShare    = 0.05
 	canceledShare      = 0.05
 )
 
-// simulate runs the simulation of a seed: workers that bring items to their ends at faulty servers. It
-// returns the violations and counts of what happened.
+// simulate runs the simulation of a seed, in which workers send items to faulty servers until each is completed or
+// unprocessable. It returns the violations, and counts of events.
 func simulate(t *testing.T, seed uint64, bugs injectedBugs) (violations []string, counts map[string]int) {
 	synctest.Test(t, func(*testing.T) {
 		fleet := faultyserver.NewFleet(seed, simServers)
@@ -50,7 +50,7 @@
 	return violations, counts
 }
 
-// worker sends items, one after the other.
+// worker sends items one after the other.
 type worker struct {
 	fleet  *faultyserver.Fleet
 	client *Client
@@ -81,7 +81,8 @@
 	w.fleet.Checker.Failf("%s: not done after %d runs", request.ID, maxAttempts)
 }
 
-// run makes one attempt at a random server. Now and then the gate is closed, or the context ends meanwhile.
+// run makes one attempt at a random server. With a small probability the gate returns false, or the context ends
+// during the attempt.
 func (w *worker) run(request *faultyserver.Request, attempt string, last int64) Outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -103,15 +104,15 @@
 	})
 }
 
-// check checks that the result of an attempt is what the server did.
+// check checks that the result of an attempt agrees with what the server executed.
 func (w *worker) check(request *faultyserver.Request, outcome Outcome, runs []*faultyserver.Execution) {
 	status := map[Result]int{Completed: 200, Failed: 500, Unprocessable: 422}[outcome.Result]
 	switch {
 	case status != 0 && (len(runs) != 1 || runs[0].Status != status || runs[0].Truncated && status == 200):
-		w.fleet.Checker.Failf("%s: ended as %d with %d events, where the server's runs were %s",
+		w.fleet.Checker.Failf("%s: client got result %d with %d events, but the server's executions were %s",
 			request.ID, outcome.Result, len(outcome.Events), describe(runs))
 	case (outcome.Result == NotExecuted || outcome.Result == NotSent) && len(runs) > 0:
-		w.fleet.Checker.Failf("%s: ended as %d, and has run", request.ID, outcome.Result)
+		w.fleet.Checker.Failf("%s: client got result %d, but the server executed the item", request.ID, outcome.Result)
 	}
 }
 
@@ -122,7 +123,7 @@
 	return text
 }
 
-// TestRandomServers runs simulations with faulty servers; SEEDS=N runs N of them, FIRST=S starts at seed S.
+// TestRandomServers runs simulations with faulty servers. SEEDS=N runs N of them, FIRST=S starts at seed S.
 func TestRandomServers(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	count := defaultSimulations
@@ -146,15 +147,15 @@
 	}
 }
 
-// TestRandomServersFindBugs injects bugs one by one; some seed must detect each.
+// TestRandomServersFindBugs injects bugs one at a time. Each must be detected with at least one seed.
 func TestRandomServersFindBugs(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{
-		"a response is accepted whatever item it names":                     {acceptAnyID: true},
-		"a connection is reused on which more was received than a response": {reuseAfterStrayInput: true},
-		"a connection is reused on which a request was sent in part":        {reuseAfterPartialSend: true},
-		"a retried item goes over the connection that it went over before":  {reuseForSameItem: true},
-		"a stream is resumed without its last id, in any order":             {omitLastEventID: true, acceptAnyOrder: true},
-		"a header that begins within another is accepted":                   {acceptTornHeader: true},
+		"a response is accepted whatever request id it carries":                 {acceptAnyID: true},
+		"a connection is reused though more than a response was received on it": {reuseAfterStrayInput: true},
+		"a connection is reused though a request was only partly sent on it":    {reuseAfterPartialSend: true},
+		"a retried item is sent over a connection that it was sent over before": {reuseForSameItem: true},
+		"a stream is resumed without its last id, with events in any order":     {omitLastEventID: true, acceptAnyOrder: true},
+		"a header that begins within another is accepted":                       {acceptTornHeader: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= maxBugSimulations; seed++ {
--- a/internal/batch/serverclient/write.go
+++ b/internal/batch/serverclient/write.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxUncheckedWrite is the longest write during which it isn't looked whether a response has come, bytes.
+	// maxUncheckedWrite is the longest write, in bytes, during which the client doesn't check for an early response.
 	maxUncheckedWrite = 4 << 10
-	// writeChunkSize is how much of a long body is written between such looks, bytes.
+	// writeChunkSize is the number of bytes of a long body that are written between such checks.
 	writeChunkSize = 64 << 10
-	// writeStallTimeout is how long a server may take nothing of a body until it is looked whether its
-	// response has come.
+	// writeStallTimeout is how long a server may accept no bytes of a body before the client checks whether a
+	// response has arrived.
 	writeStallTimeout = 50 * time.Millisecond
 )
 
-// send writes the request until it is complete, or the server takes no more of it and has answered, or by
-// is past. An error says that the request isn't complete; a response may be there all the same.
+// send writes the request. It stops early if the server accepts no more bytes and has answered, or at the time by.
+// An error means that the request wasn't sent completely; there may be a response even then.
 func (conn *connection) send(ctx context.Context, request *Request, lastEventID int64, by time.Time) error {
 	header := encodeHeader(request, lastEventID)
 	if len(request.Item.Body) <= writeChunkSize {
@@ -30,7 +30,7 @@
 	return conn.write(ctx, request.Item.Body, by)
 }
 
-// write writes bytes, many of them in chunks.
+// write writes rest, in chunks if it is long. It stops as send does.
 func (conn *connection) write(ctx context.Context, rest []byte, by time.Time) error {
 	if len(rest) <= maxUncheckedWrite {
 		_, err := conn.Write(rest)
@@ -40,7 +40,7 @@
 		if err := conn.SetWriteDeadline(earlier(time.Now().Add(writeStallTimeout), by)); err != nil {
 			return err
 		}
-		if ctx.Err() != nil { // its deadline, which ends writes, has just been replaced
+		if ctx.Err() != nil { // the deadline that was set when the context ended has just been replaced
 			return ctx.Err()
 		}
 		n, err := conn.Write(rest[:min(writeChunkSize, len(rest))])
@@ -53,6 +53,7 @@
 	return nil
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
