--- a/internal/batch/job/decoder.go
+++ b/internal/batch/job/decoder.go
@@ -2,17 +2,17 @@
 
 import "encoding/binary"
 
-// AppendString appends a string, preceded by its length as an unsigned varint.
+// AppendString appends a string to out, preceded by its length as an unsigned varint.
 func AppendString(out []byte, text string) []byte {
 	out = binary.AppendUvarint(out, uint64(len(text)))
 	return append(out, text...)
 }
 
-// Decoder reads values off the front of encoded bytes. The first value that can't be read sets Failed; from
-// then on all values are zero, so that a caller may check once, after the last.
+// Decoder reads values from the front of encoded bytes. The first value that can't be read sets Failed; from then
+// on all values are zero, so that a caller may check Failed once, after the last value.
 type Decoder struct {
-	Remaining []byte // what is left to read
-	Failed    bool
+	Remaining []byte // bytes that are left to read
+	Failed    bool   // a value couldn't be read
 }
 
 // Uvarint reads an unsigned varint.
@@ -53,7 +53,7 @@
 // Text reads a string that AppendString wrote.
 func (d *Decoder) Text() string { return string(d.Bytes()) }
 
-// Take reads a number of bytes without a length before them. It doesn't copy them.
+// Take reads a number of bytes that are not preceded by their length. It doesn't copy them.
 func (d *Decoder) Take(count int) []byte {
 	if d.Failed || count > len(d.Remaining) {
 		d.Failed = true
--- a/internal/batch/job/encoding.go
+++ b/internal/batch/job/encoding.go
@@ -8,12 +8,12 @@
 // # Format
 //
 // Content is encoded as id, tenant, route (strings), FirstSent (varint), the number of items (uvarint) and
-// the items. An item is id, path (strings), tokens (uvarint), the number of headers (uvarint), for each its
-// name and value (strings), and the body. Strings and the body are preceded by their length (uvarint). An
-// item's bytes can be decoded alone, so that a store reads one item of a log record without the rest (see
+// the items. An item is encoded as id, path (strings), tokens (uvarint), the number of headers (uvarint), the name
+// and value of each header (strings), and the body. Strings and the body are preceded by their length (uvarint).
+// An item's bytes can be decoded alone, so that a store reads one item of a log record without the rest (see
 // Span).
 //
-// The golden test holds this format: logs and other stores have it.
+// The format must not change, because it is stored in logs and sent between stores. The golden test checks it.
 
 // ErrCorrupt is returned for bytes that are not an encoded value.
 var ErrCorrupt = errors.New("job: corrupt encoding")
@@ -36,7 +36,7 @@
 	return out
 }
 
-// encodedSize estimates the size of the encoded item in bytes, so that Encode allocates once.
+// encodedSize returns an estimate of the size of the encoded item in bytes, so that Encode allocates once.
 func (i *Item) encodedSize() int {
 	size := 32 + len(i.ID) + len(i.Path) + len(i.Body)
 	for _, header := range i.Headers {
@@ -45,7 +45,7 @@
 	return size
 }
 
-// appendTo appends the encoded item.
+// appendTo appends the encoded item to out.
 func (i *Item) appendTo(out []byte) []byte {
 	out = AppendString(out, i.ID)
 	out = AppendString(out, i.Path)
@@ -62,8 +62,7 @@
 // Span is the range of an item's bytes within encoded content.
 type Span struct{ Offset, Length uint32 }
 
-// Decode decodes content, and returns the span of each item. Bodies alias the given bytes. The error is
-// ErrCorrupt.
+// Decode decodes content. It also returns the span of each item. Bodies alias encoded. The error is ErrCorrupt.
 func Decode(encoded []byte) (*Content, []Span, error) {
 	d := Decoder{Remaining: encoded}
 	c := &Content{ID: d.Text(), Tenant: d.Text(), Route: d.Text(), FirstSent: d.Varint()}
@@ -85,7 +84,7 @@
 	return c, spans, nil
 }
 
-// DecodeItem decodes the bytes of one item's span. The body aliases them. The error is ErrCorrupt.
+// DecodeItem decodes an item from the bytes of its span. The body aliases encoded. The error is ErrCorrupt.
 func DecodeItem(encoded []byte) (Item, error) {
 	d := Decoder{Remaining: encoded}
 	item := d.item()
@@ -95,7 +94,7 @@
 	return item, nil
 }
 
-// item decodes what appendTo appended; d.Failed says whether it could.
+// item reads an item that appendTo wrote. It sets d.Failed if it can't.
 func (d *Decoder) item() Item {
 	item := Item{ID: d.Text(), Path: d.Text(), Tokens: int(d.Uvarint())}
 	headers := d.Uvarint()
--- a/internal/batch/job/golden_test.go
+++ b/internal/batch/job/golden_test.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden checks that content is encoded byte for byte as by earlier versions, whose logs and messages
-// it is in.
+// TestGolden checks that content is encoded byte for byte as by earlier versions, whose logs and messages contain
+// it.
 func TestGolden(t *testing.T) {
 	var content Content
 	golden.Fill(&content)
--- a/internal/batch/job/job.go
+++ b/internal/batch/job/job.go
@@ -1,16 +1,16 @@
-// Package job defines a batch job as a value: its content, the states of its items, the JSON that clients
-// submit, and the binary encoding in logs and between stores.
+// Package job defines the data of a batch job: its content, the final states of its items, the JSON that clients
+// submit, and the binary encoding used in logs and between stores.
 //
-// A batch job is a list of items, which are independent requests to model servers. A store runs each until
-// it is Completed or a DeadLetter, and lists these results in the order in which they came. Content is
-// immutable from acceptance on; who stores and runs it is the concern of other packages (replica, runner).
+// A batch job is a list of items, which are independent requests to model servers. A store runs each item until it
+// is Completed or a DeadLetter, and lists the results in the order in which they arrived. Content is immutable once
+// it is accepted. Other packages (replica, runner) determine which store keeps it and runs its items.
 package job
 
-// MaxItems is the highest number of items in a batch job.
+// MaxItems is the maximum number of items in a batch job.
 const MaxItems = 200
 
-// MaxItemTokens is the highest number of tokens of an item. The bound keeps sums over all items of a fleet
-// from overflowing.
+// MaxItemTokens is the maximum number of tokens of an item. It keeps sums over all items of a fleet from
+// overflowing.
 const MaxItemTokens = 1 << 31
 
 // Item is one request of a batch job.
@@ -19,7 +19,7 @@
 	Path    string
 	Headers []Header
 	Body    []byte
-	Tokens  int // of the prompt and the longest answer; counts against max-queued-tokens
+	Tokens  int // tokens of the prompt and of the longest possible answer; counts against max-queued-tokens
 }
 
 // Header is one of an item's HTTP headers.
@@ -29,21 +29,21 @@
 type Content struct {
 	ID        string
 	Tenant    string
-	Route     string // name
-	FirstSent int64  // when it was first submitted, Unix milliseconds
+	Route     string // name of the route
+	FirstSent int64  // time of the first submission, Unix milliseconds
 	Items     []Item
 }
 
-// State is the final state of an item. Its number is on disks and between stores.
+// State is the final state of an item. Its numeric value is stored on disks and sent between stores.
 type State byte
 
 // The final states of an item.
 const (
-	Completed  State = 1 // a server answered it in full
-	DeadLetter State = 2 // it was given up: unprocessable, failed too often, or expired
+	Completed  State = 1 // a server answered the item in full
+	DeadLetter State = 2 // the item was unprocessable, failed too often or expired, or its route was removed
 )
 
-// String returns the state's name in results.
+// String returns the name of the state as it appears in results.
 func (s State) String() string {
 	if s == Completed {
 		return "completed"
--- a/internal/batch/job/job_test.go
+++ b/internal/batch/job/job_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestParseSubmission(t *testing.T) {
-	Convey("A submission is parsed, or rejected with an error that says what is wrong", t, func() {
+	Convey("A valid submission is parsed, and an invalid one is rejected with ErrInvalid", t, func() {
 		items, err := ParseSubmission([]byte(`{"requests":[{"id":"e5","path":"/p/3/91","headers":{"X-Model":"m"},` +
 			`"body":"q83vEjRWeJA=","tokens":940}]}`))
 		So(err, ShouldBeNil)
@@ -62,17 +62,17 @@
 			t.Fatal(err)
 		}
 		if fmt.Sprintf("%+v", read) != fmt.Sprintf("%+v", content) {
-			t.Fatalf("%+v became %+v", content, read)
+			t.Fatalf("%+v was decoded as %+v", content, read)
 		}
 		for i, span := range spans {
 			item, err := DecodeItem(encoded[span.Offset : span.Offset+span.Length])
 			if err != nil || fmt.Sprintf("%+v", item) != fmt.Sprintf("%+v", content.Items[i]) {
-				t.Fatalf("item %d: %+v, %v", i, item, err)
+				t.Fatalf("item %d was decoded as %+v, error %v", i, item, err)
 			}
 		}
 		cut := rapid.IntRange(0, len(encoded)-1).Draw(t, "cut")
 		if _, _, err := Decode(encoded[:cut]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("%d of %d bytes were read: %v", cut, len(encoded), err)
+			t.Fatalf("the first %d of %d bytes were decoded with error %v, want ErrCorrupt", cut, len(encoded), err)
 		}
 	})
 }
--- a/internal/batch/job/submission.go
+++ b/internal/batch/job/submission.go
@@ -10,7 +10,7 @@
 // ErrInvalid is wrapped by all errors of ParseSubmission.
 var ErrInvalid = errors.New("job: invalid submission")
 
-// submission is the JSON that a client submits.
+// submission is the JSON body that a client submits.
 type submission struct {
 	Requests []struct {
 		ID      string            `json:"id"`
@@ -21,26 +21,26 @@
 	} `json:"requests"`
 }
 
-// ParseSubmission parses the items of a batch job as a client submits them. Errors wrap ErrInvalid and say
-// which item is wrong.
+// ParseSubmission parses the JSON body of a client's submission and returns the items of the batch job. Errors wrap
+// ErrInvalid, and name the invalid item if there is one.
 func ParseSubmission(text []byte) ([]Item, error) {
 	var parsed submission
 	if err := json.Unmarshal(text, &parsed); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if len(parsed.Requests) == 0 || len(parsed.Requests) > MaxItems {
-		return nil, fmt.Errorf("%w: %d items", ErrInvalid, len(parsed.Requests))
+		return nil, fmt.Errorf("%w: %d items, expected 1 to %d", ErrInvalid, len(parsed.Requests), MaxItems)
 	}
 	items := make([]Item, 0, len(parsed.Requests))
 	seen := make(map[string]bool, len(parsed.Requests))
 	for i := range parsed.Requests {
 		request := &parsed.Requests[i]
 		if request.ID == "" || request.Path == "" || seen[request.ID] {
-			return nil, fmt.Errorf("%w: item %d has no path, or no id of its own", ErrInvalid, i)
+			return nil, fmt.Errorf("%w: item %d has no path, or its id is empty or a duplicate", ErrInvalid, i)
 		}
 		seen[request.ID] = true
 		if request.Tokens < 0 || request.Tokens > MaxItemTokens {
-			return nil, fmt.Errorf("%w: tokens of item %d: %d", ErrInvalid, i, request.Tokens)
+			return nil, fmt.Errorf("%w: item %d has %d tokens, expected 0 to %d", ErrInvalid, i, request.Tokens, MaxItemTokens)
 		}
 		body, err := base64.StdEncoding.DecodeString(request.Body)
 		if err != nil {
--- a/internal/batch/wal/golden_test.go
+++ b/internal/batch/wal/golden_test.go
@@ -9,8 +9,8 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden checks that segments are written byte for byte as by earlier versions, and that a recorded one
-// is replayed.
+// TestGolden checks that segments are written byte for byte as by earlier versions, and that a recorded segment is
+// replayed.
 func TestGolden(t *testing.T) {
 	directory := t.TempDir()
 	written := open(t, directory, Options{Linger: time.Millisecond})
@@ -34,7 +34,7 @@
 	}
 	read := open(t, copied, Options{Linger: time.Millisecond})
 	if len(read.replayed) != 2 || string(read.replayed[0]) != "one" || string(read.replayed[1]) != "two" {
-		t.Errorf("the recorded segment holds %q; want one and two", read.replayed)
+		t.Errorf("replay of the recorded segment gave %q; want one and two", read.replayed)
 	}
 	read.Close()
 }
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -14,9 +14,9 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// The tests in this file check the guarantees of the package comment on a simulated disk, over many
-// incarnations: with kills, losses of power between and within operations, full disks, small segments and
-// removed segments.
+// The tests in this file check the guarantees of the package comment on a simulated disk. They cover many
+// incarnations, kills, losses of power between and within operations, full disks, small segments and removed
+// segments.
 
 const (
 	defaultHistories   = 200
@@ -31,12 +31,12 @@
 	fs     slots.FS // disk, or a faultyFS around it
 	log    *Log
 
-	records      []record // of all incarnations, without those that were not durable and were lost
-	first        int      // index in records: those before it are in removed segments
+	records      []record // of all incarnations, without records that were lost before they were durable
+	first        int      // index of the first record that is not in a removed segment
 	durable      int      // number of records that were reported as durable, or replayed at a start
 	loaded       int      // number of records when this incarnation began
 	incarnations int
-	ops          int
+	ops          int // operations so far
 }
 
 // record is an appended record with its location.
@@ -45,8 +45,8 @@
 	at   Location
 }
 
-// runHistory runs the history of a seed. It returns the history and the first violation. inject wraps the
-// disk in a fault.
+// runHistory runs the history of a seed. It returns the history and the first violation. If inject is not nil, the
+// log uses the disk that inject returns.
 func runHistory(seed uint64, inject func(slots.FS) slots.FS) (h *history, err error) {
 	random := simulation.NewRand(seed)
 	h = &history{random: random, disk: simulation.NewDisk(random.Fork("disk"))}
@@ -65,8 +65,8 @@
 	return h, nil
 }
 
-// start opens the log, during which the power may be lost again, and compares what is replayed with the
-// model.
+// start opens the log and compares the replayed records with the model. The power may be lost while the log is
+// opened; it is then opened again.
 func (h *history) start() error {
 	for {
 		h.incarnations++
@@ -90,7 +90,8 @@
 	}
 }
 
-// compare checks that what was replayed is all durable records and a prefix of the others, without a gap.
+// compare checks that the replayed records are all durable records, followed by a prefix of the others, without a
+// gap. Records of removed segments may be replayed too.
 func (h *history) compare(found []record) error {
 	begin := h.first
 	if len(found) > 0 {
@@ -99,15 +100,16 @@
 	}
 	end := begin + len(found)
 	if begin > h.first || end > len(h.records) {
-		return fmt.Errorf("records %d to %d of %d came back, released %d", begin, end, len(h.records), h.first)
+		return fmt.Errorf("records %d to %d of %d were replayed, %d were in removed segments",
+			begin, end, len(h.records), h.first)
 	}
 	for i := range found {
 		if h.records[begin+i] != found[i] {
-			return fmt.Errorf("record %d is %v, was %v", begin+i, found[i], h.records[begin+i])
+			return fmt.Errorf("record %d was replayed as %v, appended as %v", begin+i, found[i], h.records[begin+i])
 		}
 	}
 	if end < h.durable {
-		return fmt.Errorf("%d records came back, %d were durable", end, h.durable)
+		return fmt.Errorf("only records up to %d were replayed, %d were durable", end, h.durable)
 	}
 	h.records = h.records[:end]
 	h.durable, h.loaded = end, end
@@ -149,14 +151,15 @@
 	h.records = append(h.records, record{text: text, at: at})
 }
 
-// step takes the log's next step, and notes what it made durable.
+// step calls the log's Step, and updates the number of durable records.
 func (h *history) step() error {
 	_, err := h.log.Step()
 	h.durable = max(h.durable, h.loaded+int(h.log.Durable()))
 	return h.checkError(err)
 }
 
-// checkError handles the error of an operation, in which the power may have been lost.
+// checkError handles the error of an operation. A full disk is no violation; after a loss of power during the
+// operation, the log is opened again.
 func (h *history) checkError(err error) error {
 	switch {
 	case err == nil || errors.Is(err, ErrDiskFull):
@@ -168,7 +171,7 @@
 	return err
 }
 
-// read reads a random durable record and compares it.
+// read reads a random durable record and compares it with the model.
 func (h *history) read() error {
 	if h.first >= h.durable || h.disk.PoweredOff() {
 		return nil
@@ -176,12 +179,12 @@
 	want := h.records[h.first+h.random.IntN(h.durable-h.first)]
 	got, err := h.log.Read(want.at)
 	if err != nil || string(got) != want.text {
-		return fmt.Errorf("%v is read as %q, %w", want, got, err)
+		return fmt.Errorf("read of %v returned %q, %w", want, got, err)
 	}
 	return nil
 }
 
-// release removes the oldest segment; the active one must not be removable.
+// release removes the oldest segment. If that is the active one, it checks that it can't be removed.
 func (h *history) release() error {
 	oldest, current := h.log.SegmentRange()
 	if oldest == current {
@@ -204,7 +207,7 @@
 	return value
 }
 
-// TestRandomHistories runs histories with fixed seeds; SEEDS=N runs N of them, FIRST=S starts at seed S.
+// TestRandomHistories runs histories with fixed seeds. SEEDS=N runs N of them, FIRST=S starts at seed S.
 func TestRandomHistories(t *testing.T) {
 	first := intFromEnvironment("FIRST", 0)
 	count := intFromEnvironment("SEEDS", defaultHistories)
@@ -220,13 +223,13 @@
 	t.Logf("%d histories, %d incarnations, %d records", count, incarnations, records)
 }
 
-// faultyFS is a directory some of whose operations do nothing and report success.
+// faultyFS is a directory of which some operations do nothing but report success.
 type faultyFS struct {
 	slots.FS
-	skipSyncOfOpened  bool // File.Sync of files that existed before
-	skipSyncOfCreated bool // File.Sync of files that were created
-	skipTruncate      bool // File.Truncate
-	skipSyncDir       bool // SyncDir
+	skipSyncOfOpened  bool // File.Sync of files returned by Open does nothing
+	skipSyncOfCreated bool // File.Sync of files returned by Create does nothing
+	skipTruncate      bool // File.Truncate of files returned by Open does nothing
+	skipSyncDir       bool // SyncDir does nothing
 }
 
 func (f faultyFS) Open(name string) (slots.File, error) {
@@ -266,13 +269,13 @@
 	return f.File.Truncate(size)
 }
 
-// TestInjectedBugs checks that the histories detect a log that leaves out a necessary operation on the disk.
+// TestInjectedBugs checks that the histories detect a log that omits a necessary operation on the disk.
 func TestInjectedBugs(t *testing.T) {
 	for name, bug := range map[string]faultyFS{
-		"durable before the sync":             {skipSyncOfCreated: true},
-		"a start does not sync what it found": {skipSyncOfOpened: true},
-		"a torn tail is not truncated":        {skipTruncate: true},
-		"removals are not durable":            {skipSyncDir: true},
+		"records are reported as durable before the sync": {skipSyncOfCreated: true},
+		"a start does not sync replayed records":          {skipSyncOfOpened: true},
+		"a torn tail is not truncated":                    {skipTruncate: true},
+		"removals are not durable":                        {skipSyncDir: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2000) {
@@ -286,13 +289,13 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("no seed detects it")
 		})
 	}
 }
 
 func TestKilledBeforeSync(t *testing.T) {
-	Convey("What a start replays of a killed process outlives a loss of power, and so does what follows", t, func() {
+	Convey("Records of a killed process that a start replayed survive a loss of power, as do later records", t, func() {
 		for seed := range uint64(40) {
 			disk := simulation.NewDisk(simulation.NewRand(seed))
 			var found []string
@@ -308,7 +311,7 @@
 			log := load()
 			for _, text := range []string{"one", "two", "three"} {
 				log.Append([]byte(text))
-				_, err := log.Step() // writes the first, and syncs it at the second
+				_, err := log.Step() // writes the first record; the next call syncs it
 				So(err, ShouldBeNil)
 			}
 			disk.Kill()
@@ -324,7 +327,7 @@
 }
 
 func TestCorruptionBeforeTheLastSegment(t *testing.T) {
-	Convey("A corrupt record that can't be a torn write is reported, and the log stays as it is", t, func() {
+	Convey("A corrupt record that can't be a torn write is reported, and the log is left unchanged", t, func() {
 		disk := simulation.NewDisk(simulation.NewRand(1))
 		log, err := OpenLog(disk, Options{SegmentSize: 10}, nil)
 		So(err, ShouldBeNil)
@@ -354,7 +357,7 @@
 		}
 		_, _ = log.Step()
 		oldest, current := log.SegmentRange()
-		So(oldest, ShouldEqual, current) // what is queued for later segments isn't written yet
+		So(oldest, ShouldEqual, current) // the records that are queued for later segments aren't written yet
 		So(log.RemoveSegment(1), ShouldNotBeNil)
 		stepUntilSynced(log)
 		So(log.RemoveSegment(2), ShouldNotBeNil)
--- a/internal/batch/wal/marker.go
+++ b/internal/batch/wal/marker.go
@@ -1,16 +1,16 @@
 package wal
 
-// Markers are searched for at every byte after a record whose length can't be relied on. Bytes there that
-// aren't a record may look like the header of a long one, whose checksum would have to be computed. These
-// bounds keep a start from taking quadratic time.
+// Bounds of the search for a marker. After a record whose length can't be relied on, the search looks for a marker
+// at every byte. Bytes that aren't a record may look like the header of a long one, whose checksum the search has to
+// compute. These bounds keep a start from taking quadratic time.
 const (
-	maxSearchedRecord = 256 << 10 // longest marked record that the search finds, bytes
-	maxSearchedBytes  = 1 << 30   // of which checksums are computed in one search
+	maxSearchedRecord = 256 << 10 // longest payload of a marked record that the search finds, bytes
+	maxSearchedBytes  = 1 << 30   // bytes of which one search computes checksums
 )
 
-// findMarker returns the offset in the segment of the first marker that is found after an unreadable
-// record. data is the rest of the segment from offset base on, and begins with that record. Following the
-// lengths of records is tried first, then every byte.
+// findMarker returns the offset in the segment of the first marker that it finds after an unreadable record. data
+// is the rest of the segment from offset base on, and begins with that record. It first follows the lengths of
+// records, and if that finds no marker, tries every byte.
 func findMarker(data []byte, segment uint32, base int64) (offset int64, found bool) {
 	if at, found := followLengthsToMarker(data, segment, base); found {
 		return base + int64(at), true
@@ -29,8 +29,8 @@
 	return 0, false
 }
 
-// followLengthsToMarker goes from record to record by their lengths, up to the first marker. The first
-// record can't be read, but its length may be intact; each further one must be valid.
+// followLengthsToMarker goes from record to record by their lengths, up to the first marker, and returns its index
+// in data. The first record can't be read, but its length may be intact; each further record must be valid.
 func followLengthsToMarker(data []byte, segment uint32, base int64) (at int, found bool) {
 	for len(data)-at > headerSize {
 		at += headerSize + int(decodeHeader(data[at:]).length)
--- a/internal/batch/wal/marker_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -12,8 +12,7 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// writeGroups returns a disk with a log of one segment, in which each group was written at once and synced
-// before the next.
+// writeGroups returns a disk with a log of one segment, in which each group was written and synced before the next.
 func writeGroups(groups ...[]string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	log, err := OpenLog(disk, Options{}, nil)
@@ -40,7 +39,7 @@
 	}
 }
 
-// withoutMarkers returns a disk with a log as versions without group-commit markers wrote it.
+// withoutMarkers returns a disk with a log as earlier versions wrote it, without group-commit markers.
 func withoutMarkers(texts ...string) *simulation.Disk {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	file, err := disk.Create(segmentName(1))
@@ -55,9 +54,9 @@
 	return disk
 }
 
-// recovery is what a start replayed and reported.
+// recovery holds the records and parts that a start replayed and reported.
 type recovery struct {
-	records    []string
+	records    []string // payloads in order, with "-" for each skipped part
 	skipped    []Location
 	truncated  []Location
 	recordsAt  []Location
@@ -67,7 +66,7 @@
 
 func (s *recovery) text() string { return strings.Join(s.records, " ") }
 
-// recoverLog opens a log of which the given segment is the last one with records.
+// recoverLog opens a log. sizeBefore and sizeAfter are set to the size of the given segment.
 func recoverLog(disk *simulation.Disk, segment uint32) *recovery {
 	s := &recovery{}
 	s.sizeBefore, _ = disk.Size(segmentName(segment))
@@ -93,7 +92,7 @@
 
 func TestCorruptionInTheLastSegment(t *testing.T) {
 	const record = headerSize + 1
-	Convey("What was synced before later records is corrupt if it can't be read, and isn't truncated", t, func() {
+	Convey("An unreadable record that was synced before later ones is skipped as corrupt, not truncated", t, func() {
 		for _, test := range []struct {
 			offset  int64
 			found   string
@@ -109,7 +108,7 @@
 		} {
 			disk := writeGroups([]string{"1"}, []string{"2", "3"}, []string{"4"}, []string{"5"})
 			So(disk.FlipBit(segmentName(1), test.offset, 5), ShouldBeTrue)
-			for range 2 { // and so again at the next start
+			for range 2 { // the next start gives the same
 				s := recoverLog(disk, 1)
 				So(s.text(), ShouldEqual, test.found)
 				So(s.skipped, ShouldResemble, []Location{test.skipped})
@@ -118,7 +117,7 @@
 			}
 		}
 	})
-	Convey("Without OnSkipped such a log isn't opened, and stays as it is", t, func() {
+	Convey("Without OnSkipped such a log isn't opened, and is left unchanged", t, func() {
 		disk := writeGroups([]string{"1"}, []string{"2"})
 		So(disk.FlipBit(segmentName(1), headerSize, 0), ShouldBeTrue)
 		before, _ := disk.ReadAll(segmentName(1))
@@ -128,7 +127,7 @@
 		after, _ := disk.ReadAll(segmentName(1))
 		So(bytes.Equal(before, after), ShouldBeTrue)
 	})
-	Convey("A marker is found after a long record with a corrupt length, and by length after a longer one", t, func() {
+	Convey("A marker is found by search after a corrupt length, and by length if the records are too long", t, func() {
 		long := strings.Repeat("\x80", maxSearchedRecord)
 		disk := writeGroups([]string{long}, []string{long}, []string{"end"})
 		So(disk.FlipBit(segmentName(1), 2, 0), ShouldBeTrue)
@@ -153,7 +152,7 @@
 
 func TestTruncatedTail(t *testing.T) {
 	const record = headerSize + 1
-	Convey("A last group that isn't complete is truncated and reported, with valid records in its tail", t, func() {
+	Convey("An incomplete last group is truncated and reported, including valid records in its tail", t, func() {
 		disk := writeGroups([]string{"1", "2"}, []string{"3", "4", "5"})
 		So(disk.FlipBit(segmentName(1), 3*record+headerSize, 0), ShouldBeTrue)
 		s := recoverLog(disk, 1)
@@ -165,7 +164,7 @@
 		So(s.text(), ShouldEqual, "1 2 3")
 		So(s.truncated, ShouldBeEmpty)
 	})
-	Convey("So is the tail of a log without markers; all before it is replayed", t, func() {
+	Convey("So is the tail of a log without markers, and all records before it are replayed", t, func() {
 		disk := withoutMarkers("1", "2", "3", "4")
 		So(recoverLog(disk, 1).text(), ShouldEqual, "1 2 3 4")
 		disk = withoutMarkers("1", "2", "3", "4")
@@ -184,7 +183,7 @@
 			So(s.truncated, ShouldBeEmpty)
 		}
 	})
-	Convey("A payload that contains a segment's bytes doesn't pass for a marker", t, func() {
+	Convey("A payload that contains a segment's bytes isn't mistaken for a marker", t, func() {
 		inner := writeGroups([]string{"1"}, []string{"2"})
 		image, _ := inner.ReadAll(segmentName(1))
 		disk := writeGroups([]string{"first"}, []string{string(image) + string(image)})
@@ -196,8 +195,8 @@
 	})
 }
 
-// TestRandomCorruption inverts a bit in logs of random groups: each record is replayed as it was written, or
-// lies in a part that was reported, and only the last group is ever truncated.
+// TestRandomCorruption inverts a bit in logs of random groups. It checks that each record is replayed as it was
+// written or lies in a part that was reported, and that only the last group is ever truncated.
 func TestRandomCorruption(t *testing.T) {
 	first := intFromEnvironment("FIRST", 0)
 	for seed := first; seed < first+intFromEnvironment("SEEDS", defaultHistories); seed++ {
@@ -207,7 +206,7 @@
 	}
 }
 
-// checkRandomCorruption inverts one bit of a log and checks what a start makes of it.
+// checkRandomCorruption inverts one bit of a random log and checks which parts a start replays and reports.
 func checkRandomCorruption(random *simulation.Rand) error {
 	var groups [][]string
 	for range 2 + random.IntN(8) {
@@ -225,22 +224,25 @@
 	s := recoverLog(disk, 1)
 	for _, at := range s.truncated {
 		if at.Offset < lastGroup {
-			return fmt.Errorf("bit of byte %d: %v was truncated, the last group begins at %d", offset, at, lastGroup)
+			return fmt.Errorf("bit inverted in byte %d: %v was truncated, but the last group begins at %d",
+				offset, at, lastGroup)
 		}
 	}
 	if len(s.truncated)+len(s.skipped) != 1 {
-		return fmt.Errorf("bit of byte %d: skipped %v, truncated %v", offset, s.skipped, s.truncated)
+		return fmt.Errorf("bit inverted in byte %d: skipped %v, truncated %v; want one part in total",
+			offset, s.skipped, s.truncated)
 	}
 	lost := slices.Concat(s.truncated, s.skipped)[0]
 	for i, at := range intact.recordsAt {
 		within := at.Offset >= lost.Offset && at.Offset < lost.Offset+lost.Length
 		found := slices.Index(s.recordsAt, at)
 		if within == (found >= 0) {
-			return fmt.Errorf("bit of byte %d: record %d at %v, reported %v", offset, i, at, lost)
+			return fmt.Errorf("bit inverted in byte %d: record %d at %v is both or neither replayed and reported in %v",
+				offset, i, at, lost)
 		}
 	}
 	if lost.Offset > uint32(offset) || lost.Offset+lost.Length <= uint32(offset) {
-		return fmt.Errorf("bit of byte %d: reported %v", offset, lost)
+		return fmt.Errorf("bit inverted in byte %d: reported %v, which doesn't contain the byte", offset, lost)
 	}
 	return nil
 }
--- a/internal/batch/wal/recovery.go
+++ b/internal/batch/wal/recovery.go
@@ -10,10 +10,10 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// OpenLog reads the log in a directory, hands each record to replay in order, and begins a new segment. All
-// that it replayed is durable when it returns. Corruption and a torn tail are reported to Options.OnSkipped
-// and Options.OnTruncated; without OnSkipped, a corrupt log gives an error that wraps ErrCorrupt, and is
-// left as it is. Errors of the disk and of replay are returned.
+// OpenLog reads the log in a directory, calls replay with each record in order, and begins a new segment. All
+// records that it replayed are durable when it returns. Corruption and a torn tail are reported to
+// Options.OnSkipped and Options.OnTruncated. If OnSkipped is nil, OpenLog returns an error that wraps ErrCorrupt
+// for a corrupt log, and leaves the log unchanged. Errors of the disk and of replay are returned.
 func OpenLog(fs slots.FS, options Options, replay ReplayFunc) (*Log, error) {
 	if options.SegmentSize <= 0 {
 		options.SegmentSize = DefaultSegmentSize
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	last := len(files) - 1 // the others were synced whole before the next was created
+	last := len(files) - 1 // each of the other segments was synced completely before the next was created
 	for i := range files {
 		if err := l.loadSegment(files[i], i == last, replay, &options); err != nil {
 			l.closeFiles()
@@ -39,13 +39,13 @@
 	return l, nil
 }
 
-// segmentFile is a segment's file as a start finds it.
+// segmentFile is a segment's file as found in the directory.
 type segmentFile struct {
 	number uint32
 	size   int64 // bytes
 }
 
-// listSegments lists the segments in the directory by number. Other files are ignored.
+// listSegments returns the segments in the directory, ordered by number. Other files are ignored.
 func (l *Log) listSegments() ([]segmentFile, error) {
 	names, err := l.fs.List()
 	if err != nil {
@@ -67,8 +67,9 @@
 	return files, nil
 }
 
-// loadSegment replays a segment, truncates what follows its last valid record, so that it can't come back,
-// and syncs the file: a process that was killed before it synced may have written what was replayed.
+// loadSegment replays a segment, truncates a torn tail, so that its records can't be replayed by a later start, and
+// syncs the file, because the replayed records may have been written by a process that was killed before it synced
+// them.
 func (l *Log) loadSegment(found segmentFile, last bool, replay ReplayFunc, options *Options) error {
 	file, err := l.fs.Open(segmentName(found.number))
 	if err != nil {
@@ -91,9 +92,9 @@
 	return file.Sync()
 }
 
-// replay replays all valid records and reports what is corrupt between them. In the last segment it stops
-// before an unreadable tail without a marker after it, which may be a torn write; in others such a tail is
-// corrupt. On return s.size is the end of what was replayed or skipped.
+// replay replays all valid records and reports corrupt parts between them. In the last segment it stops before an
+// unreadable tail that has no marker after it, as this may be a torn write; in other segments such a tail is
+// corrupt. On return, s.size is the end of the part that was replayed or skipped.
 func (s *segment) replay(size int64, last bool, replay ReplayFunc, onSkipped func(Location)) error {
 	for {
 		if err := s.replayRun(size, replay); err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// truncateTail removes what follows s.size.
+// truncateTail truncates the segment's file, which has the given size, to s.size, and reports the removed tail.
 func (s *segment) truncateTail(size int64, onTruncated func(Location)) error {
 	if onTruncated != nil {
 		onTruncated(Location{Segment: s.number, Offset: uint32(s.size), Length: uint32(size - s.size)})
@@ -125,7 +126,7 @@
 	return s.file.Truncate(s.size)
 }
 
-// replayRun replays records from s.size on, up to the first that can't be read.
+// replayRun replays records from s.size on, up to the first one that is corrupt, and advances s.size.
 func (s *segment) replayRun(size int64, replay ReplayFunc) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.file, s.size, size-s.size), readBufferSize)
 	for s.size < size {
@@ -145,9 +146,9 @@
 	return nil
 }
 
-// skip moves s.size past a corrupt record: to the record after it, if the corrupt one's length leads to a
-// valid one, or else to the next marker, which is the end of the segment if there is none. It returns the
-// part that was skipped.
+// skip moves s.size past a corrupt record. If the length of the corrupt record leads to a valid record, it moves
+// there, and otherwise to marker, which is the offset of the next marker, or the end of the segment if there is
+// none. It returns the skipped part.
 func (s *segment) skip(marker, size int64) Location {
 	start := s.size
 	s.size = marker
@@ -157,8 +158,8 @@
 	return Location{Segment: s.number, Offset: uint32(start), Length: uint32(s.size - start)}
 }
 
-// recordBehind returns the offset that the length of the record at an offset leads to, and whether a valid
-// record begins there.
+// recordBehind returns the offset to which the length of the record at offset leads, and whether a valid record
+// begins there.
 func (s *segment) recordBehind(offset, size int64) (next int64, valid bool) {
 	var header [headerSize]byte
 	if _, err := s.file.ReadAt(header[:], offset); err != nil {
@@ -172,7 +173,7 @@
 	return next, err == nil
 }
 
-// nextMarker looks for a marker after the unreadable record at s.size.
+// nextMarker returns the offset of the first marker that it finds after the unreadable record at s.size.
 func (s *segment) nextMarker(size int64) (offset int64, found bool, err error) {
 	rest := make([]byte, size-s.size)
 	if _, err := s.file.ReadAt(rest, s.size); err != nil {
--- a/internal/batch/wal/remove.go
+++ b/internal/batch/wal/remove.go
@@ -2,7 +2,7 @@
 
 import "io/fs"
 
-// SegmentRange returns the numbers of the oldest segment and of the one that is being written.
+// SegmentRange returns the numbers of the oldest segment and of the segment that is being written.
 func (l *Log) SegmentRange() (oldest, active uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -18,9 +18,9 @@
 	return oldest
 }
 
-// RemoveSegment removes the oldest segment, durably. It returns fs.ErrNotExist for another one and for the
-// active one. Segments go oldest first, and each only once the removal before it is durable: a later record
-// may cancel an earlier one, which must not come back without it.
+// RemoveSegment removes the oldest segment durably. It returns fs.ErrNotExist if the number is not that of the
+// oldest segment, or is that of the active one. Segments are removed oldest first, and each only once the removal
+// before it is durable: a later record may cancel an earlier one, which must not be replayed without it.
 func (l *Log) RemoveSegment(number uint32) error {
 	if err := l.syncRemoval(); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	return l.syncRemoval()
 }
 
-// syncRemoval makes the last removal durable, if it isn't yet.
+// syncRemoval makes the last removal durable if it isn't yet.
 func (l *Log) syncRemoval() error {
 	l.mutex.Lock()
 	unsynced := l.removalUnsynced
--- a/internal/batch/wal/skip_test.go
+++ b/internal/batch/wal/skip_test.go
@@ -26,8 +26,7 @@
 	return disk
 }
 
-// loadSkipping returns the records that were replayed, with "-" for each part that was skipped, and these
-// parts.
+// loadSkipping opens a log. It returns the replayed records, with "-" for each skipped part, and the skipped parts.
 func loadSkipping(disk *simulation.Disk) (string, []Location) {
 	var text strings.Builder
 	var skipped []Location
@@ -46,7 +45,7 @@
 }
 
 func TestSkipped(t *testing.T) {
-	Convey("A corrupt record is skipped and reported; what is before and after it is replayed", t, func() {
+	Convey("A corrupt record is skipped and reported; the records before and after it are replayed", t, func() {
 		const record = headerSize + 1
 		for _, test := range []struct {
 			segment uint32
@@ -63,14 +62,14 @@
 			disk := writtenLog()
 			before, _ := disk.ReadAll(segmentName(test.segment))
 			So(disk.FlipBit(segmentName(test.segment), test.offset, 3), ShouldBeTrue)
-			for range 2 { // and so again at the next start
+			for range 2 { // the next start gives the same
 				found, skipped := loadSkipping(disk)
 				So(found, ShouldEqual, test.found)
 				So(skipped, ShouldResemble, []Location{test.at})
 			}
 			disk.FlipBit(segmentName(test.segment), test.offset, 3)
 			after, _ := disk.ReadAll(segmentName(test.segment))
-			So(bytes.Equal(before, after), ShouldBeTrue) // the part is left as it is
+			So(bytes.Equal(before, after), ShouldBeTrue) // the skipped part is left unchanged
 		}
 	})
 	Convey("A corrupt tail of the last segment is truncated like a torn write", t, func() {
--- a/internal/batch/wal/step.go
+++ b/internal/batch/wal/step.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// Step does the next operation that the disk needs for the appended records: it creates a segment, writes a
-// group of records to it, or syncs that group. It reports whether there may be more to do. A group is all
-// that was queued for one segment when Step took it.
+// Step does the next disk operation for the appended records: it creates a segment, writes a group of records to
+// it, or syncs that group. It reports whether there may be more to do. A group consists of all records that were
+// queued for one segment when Step took them from the queue.
 func (l *Log) Step() (more bool, err error) {
 	switch {
 	case len(l.unwritten) > 0:
@@ -32,8 +32,8 @@
 	return len(l.batch) > 0
 }
 
-// formGroup makes the batch's records for the active segment the group to write next. All records before
-// them are synced, which is what the marker on the first one states.
+// formGroup makes the batch's records for the active segment the group to write next. All records before them are
+// synced, as the marker on the first of them states.
 func (l *Log) formGroup() {
 	setMarker(l.batch[0].record, l.active.number, l.active.size)
 	count, size := 0, 0
@@ -52,7 +52,7 @@
 	l.batch = l.batch[count:]
 }
 
-// writeGroup writes the group, or the rest of it, at the end of the active segment.
+// writeGroup writes the unwritten rest of the group to the end of the active segment.
 func (l *Log) writeGroup() error {
 	count, err := l.active.file.Write(l.unwritten)
 	l.active.size += int64(count)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// createSegment creates a segment durably and makes it the active one. All records of earlier ones are
+// createSegment creates a segment durably and makes it the active one. All records of earlier segments must be
 // synced.
 func (l *Log) createSegment(number uint32) error {
 	file, err := l.fs.Create(segmentName(number))
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// noteDiskFull records whether err, the result of a write or a creation, is that of a full disk, and
-// returns ErrDiskFull in its place then.
+// noteDiskFull records whether err, the result of a write or of a segment creation, means that the disk is full.
+// It returns ErrDiskFull if so, and err otherwise.
 func (l *Log) noteDiskFull(err error) error {
 	full := errors.Is(err, syscall.ENOSPC)
 	l.mutex.Lock()
--- a/internal/batch/wal/wal.go
+++ b/internal/batch/wal/wal.go
@@ -11,11 +11,12 @@
 // diskFullRetryInterval is the time between attempts to write to a full disk.
 const diskFullRetryInterval = 200 * time.Millisecond
 
-// ReplayFunc takes a record that a start found. The payload is the callee's to keep. An error ends the start.
+// ReplayFunc is called with each record that is read when a log is opened. It may retain the payload. If it
+// returns an error, the log isn't opened.
 type ReplayFunc func(at Location, payload []byte) error
 
-// DurableFunc is called with the sequence number of the last record that is synced. With an error the log has
-// failed: nothing that was appended after that record is known to be durable, and no call follows.
+// DurableFunc is called with the sequence number of the last record that is synced. If err is not nil the log has
+// failed: no record that was appended after that one is known to be durable, and there are no more calls.
 type DurableFunc func(sequence uint64, err error)
 
 // WAL is an open log that a goroutine writes and syncs. Its methods may be called from any goroutine.
@@ -23,22 +24,22 @@
 	*Log
 	linger    time.Duration
 	onDurable DurableFunc
-	wake      chan struct{} // holds one: there are records to write, or the log was closed
-	writeNow  chan struct{} // holds one: don't linger
+	wake      chan struct{} // capacity 1; signals that there are records to write, or that the log was closed
+	writeNow  chan struct{} // capacity 1; signals that queued records must not linger
 	done      chan struct{} // closed when the goroutine has ended
 
 	mutex  sync.Mutex
 	closed bool // guarded by mutex
 }
 
-// Open reads the log in a directory, hands each record to replay in order, and begins a new segment.
-// onDurable is called from one goroutine; sequence numbers count from 1 in each incarnation. Errors are
-// those of OpenLog.
+// Open reads the log in a directory, calls replay with each record in order, and begins a new segment.
+// onDurable is called from one goroutine. Sequence numbers start at 1 in each incarnation. Errors are those of
+// OpenLog.
 func Open(directory string, options Options, replay ReplayFunc, onDurable DurableFunc) (*WAL, error) {
 	return OpenFS(slots.Directory(directory), options, replay, onDurable)
 }
 
-// OpenFS is Open on a file system that may be simulated.
+// OpenFS is like Open, but uses the given directory, which may be simulated.
 func OpenFS(fs slots.FS, options Options, replay ReplayFunc, onDurable DurableFunc) (*WAL, error) {
 	if options.Linger <= 0 {
 		options.Linger = DefaultLinger
@@ -70,7 +71,7 @@
 	return sequence, location
 }
 
-// notify leaves a signal in a channel that holds one.
+// notify sends a signal to a channel of capacity 1, unless there is one in it already.
 func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -83,7 +84,7 @@
 	defer close(w.done)
 	for range w.wake {
 		w.awaitGroup()
-		closed := w.isClosed() // read before the write, so that all that was appended before Close is written
+		closed := w.isClosed() // read before the write, so that all records appended before Close are written
 		if err := w.writeQueued(); err != nil {
 			w.onDurable(w.Durable(), err)
 			return
@@ -94,7 +95,8 @@
 	}
 }
 
-// awaitGroup lingers, so that records which nobody waits for are synced together.
+// awaitGroup waits for the linger time or until a record is urgent, so that records that are not urgent are
+// synced together.
 func (w *WAL) awaitGroup() {
 	timer := time.NewTimer(w.linger)
 	defer timer.Stop()
@@ -104,9 +106,9 @@
 	}
 }
 
-// writeQueued steps until all queued records are durable. While the disk is full it retries, unless the log
-// is closed, and reports nothing as durable. Any other error is final: after a failed sync the state of the
-// page cache is unknown, so that a second sync that succeeds would prove nothing.
+// writeQueued calls Step until all queued records are durable. While the disk is full it retries, unless the log
+// is closed, and reports no further records as durable. Any other error is final: after a failed sync the state of
+// the page cache is unknown, so a second sync that succeeds would prove nothing.
 func (w *WAL) writeQueued() error {
 	notified := w.Durable()
 	for {
@@ -132,7 +134,7 @@
 	return w.closed
 }
 
-// Close writes and syncs what is queued, ends the goroutine and closes the files. It must be called once.
+// Close writes and syncs queued records, ends the goroutine and closes the files. It must be called once.
 func (w *WAL) Close() {
 	w.mutex.Lock()
 	w.closed = true
--- a/internal/batch/wal/wal_test.go
+++ b/internal/batch/wal/wal_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// openedWAL is a WAL with what it replayed and the sequence numbers that it reported as durable.
+// openedWAL is a WAL with the records that it replayed and the sequence numbers that it reported as durable.
 type openedWAL struct {
 	*WAL
 	replayed  [][]byte
@@ -55,7 +55,7 @@
 }
 
 func TestWAL(t *testing.T) {
-	Convey("What is durable is read back, across segments and restarts", t, func() {
+	Convey("Durable records are read back, across segments and restarts", t, func() {
 		directory := t.TempDir()
 		w := open(t, directory, Options{SegmentSize: 1000, Linger: time.Millisecond})
 		var wrote [][]byte
@@ -96,7 +96,7 @@
 }
 
 func TestTornTail(t *testing.T) {
-	Convey("Of what was not synced a prefix is replayed, and what was truncated never is", t, func() {
+	Convey("A prefix of the records that were not synced is replayed, and truncated records never are", t, func() {
 		for seed := range uint64(60) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			directory := t.TempDir()
@@ -133,8 +133,8 @@
 	log.closeFiles()
 }
 
-// tearGroup leaves of the only segment with records, which is one group, what a loss of power may: from a
-// random point on it is missing, zeroed or changed. It returns the number of records before that point.
+// tearGroup damages the only segment with records, which holds one group, as a loss of power may: at a random point
+// it cuts the file off, zeroes up to 100 bytes, or changes a bit. It returns the number of records before that point.
 func tearGroup(t *testing.T, directory string, random *rand.Rand) int {
 	path := filepath.Join(directory, segmentName(1))
 	data, err := os.ReadFile(path)
