--- a/internal/batch/job/decoder.go
+++ b/internal/batch/job/decoder.go
@@ -12,7 +12,7 @@
 // on all values are zero, so that a caller may check Failed once, after the last value.
 type Decoder struct {
 	Remaining []byte // bytes that are left to read
-	Failed    bool   // a value couldn't be read
+	Failed    bool
 }
 
 // Uvarint reads an unsigned varint.
--- a/internal/batch/placement/placement_test.go
+++ b/internal/batch/placement/placement_test.go
@@ -9,7 +9,6 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// view returns a view of a number of active stores in three zones.
 func view(count int) protocol.StoreView {
 	v := protocol.StoreView{Epoch: 1}
 	for i := range count {
--- a/internal/batch/queuedtokens/claim.go
+++ b/internal/batch/queuedtokens/claim.go
@@ -38,8 +38,8 @@
 
 // Decision answers a Want.
 type Decision struct {
-	Job  string // id of the batch job
-	Fits bool   // the batch job may be accepted
+	Job  string
+	Fits bool // the batch job may be accepted
 }
 
 // Wants reports whether a claim has any wants.
--- a/internal/batch/runner/runner.go
+++ b/internal/batch/runner/runner.go
@@ -76,7 +76,7 @@
 	planner         *scheduler.Planner
 	jobs            map[string]*batchJob // batch jobs that run here, by id
 	toStart         map[string]bool      // ids passed to Start that the loop hasn't handled yet
-	stoppedFailures failureRecords       // failures of items of batch jobs that were stopped here
+	stoppedFailures failureRecords
 	closed          bool
 	counts          Counts // without Dials, which the client counts
 	bugs            injectedBugs
--- a/internal/batch/runner/runner_test.go
+++ b/internal/batch/runner/runner_test.go
@@ -93,9 +93,9 @@
 	Convey("While its route isn't known, an item doesn't become a dead letter because of failures", t, func() {
 		store := &fakeStore{}
 		r := New("z", 0, store, store, zerolog.Nop())
-		of := func(route string) *batchJob { return &batchJob{Job: replica.Job{Route: route}} }
-		So(r.maxAttempts(of("limited")), ShouldEqual, 1)
-		So(r.maxAttempts(of("no such route")), ShouldEqual, math.MaxInt)
+		jobOnRoute := func(route string) *batchJob { return &batchJob{Job: replica.Job{Route: route}} }
+		So(r.maxAttempts(jobOnRoute("limited")), ShouldEqual, 1)
+		So(r.maxAttempts(jobOnRoute("no such route")), ShouldEqual, math.MaxInt)
 	})
 	Convey("A server gets 30 s for an item, or until the item expires, but at least 1 s", t, func() {
 		r := New("z", 0, nil, nil, zerolog.Nop())
--- a/internal/batch/runner/simulation_test.go
+++ b/internal/batch/runner/simulation_test.go
@@ -30,16 +30,16 @@
 	simItems       = 24
 	simMaxAttempts = 3
 	simServers     = 4
-	// faultPhase is the time during which faults are injected. calmPhase is the time after it within which all
-	// items must get results.
-	faultPhase, calmPhase = 8 * time.Second, 5 * time.Second
+	// faultPhase is the time during which faults are injected. faultFreePhase is the time after it within which
+	// all items must get results.
+	faultPhase, faultFreePhase = 8 * time.Second, 5 * time.Second
 )
 
 // itemKind selects how servers answer an item.
 type itemKind int
 
 const (
-	sound         itemKind = iota // 200
+	succeeding    itemKind = iota // 200
 	failing                       // 500 at each attempt
 	unprocessable                 // 422
 )
@@ -52,29 +52,29 @@
 	case 6:
 		return unprocessable
 	}
-	return sound
+	return succeeding
 }
 
 // itemHistory records what the servers and the store have done with an item.
 type itemHistory struct {
 	failed, unprocessable int // number of answers with 500 and with 422
-	running               int // attempts that run
+	running               int
 	state                 job.State
 	finished              int // results that the store accepted
 }
 
 // itemSimulation is the runner's store, discovery and client in one. The mutex guards items, attempts,
-// offers and violations.
+// submissions and violations.
 type itemSimulation struct {
-	seed       uint64
-	began      time.Time
-	calmFrom   time.Time // end of the fault phase
-	mutex      sync.Mutex
-	items      [simItems]itemHistory
-	attempts   [simItems]int
-	offers     map[int]int              // number of results submitted, by item
-	failures   map[int]replica.Failures // recorded by the owners of the batch job, by item, if it changes owners
-	violations []string
+	seed        uint64
+	began       time.Time
+	faultsEndAt time.Time // end of the fault phase
+	mutex       sync.Mutex
+	items       [simItems]itemHistory
+	attempts    [simItems]int
+	submissions map[int]int              // number of results submitted, by item
+	failures    map[int]replica.Failures // recorded by the owners of the batch job, by item, if it changes owners
+	violations  []string
 }
 
 func (s *itemSimulation) violatef(text string, values ...any) {
@@ -89,13 +89,13 @@
 	return rand.New(rand.NewPCG(state, s.seed))
 }
 
-func (s *itemSimulation) isCalm() bool { return !time.Now().Before(s.calmFrom) }
+func (s *itemSimulation) faultsEnded() bool { return !time.Now().Before(s.faultsEndAt) }
 
-// consentLapsed reports whether the store refuses permission to run items now. It does so in random 500 ms
+// permissionRefused reports whether the store refuses permission to run items now. It does so in random 500 ms
 // spans of the fault phase.
-func (s *itemSimulation) consentLapsed() bool {
+func (s *itemSimulation) permissionRefused() bool {
 	span := uint64(time.Since(s.began) / (500 * time.Millisecond))
-	return !s.isCalm() && s.random(1, span).IntN(5) == 0
+	return !s.faultsEnded() && s.random(1, span).IntN(5) == 0
 }
 
 // The following methods implement Store and Discovery.
@@ -124,20 +124,20 @@
 func (s *itemSimulation) MayRun(_ string, index int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.consentLapsed() && s.items[index].finished == 0
+	return !s.permissionRefused() && s.items[index].finished == 0
 }
 
 func (s *itemSimulation) Progress(string, int, int64, int64, [][]byte) {}
 
-// moves reports whether the batch job changes its owner each time it is stopped. Otherwise it is started again at the
-// same store.
-func (s *itemSimulation) moves() bool { return s.seed%2 == 1 }
+// changesOwner reports whether the batch job changes its owner each time it is stopped. Otherwise it is started again
+// at the same store.
+func (s *itemSimulation) changesOwner() bool { return s.seed%2 == 1 }
 
 // Failures keeps the failures for the next owner.
 func (s *itemSimulation) Failures(_ string, index int, failures replica.Failures) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.moves() {
+	if s.changesOwner() {
 		s.failures[index] = failures
 	}
 }
@@ -145,7 +145,7 @@
 func (s *itemSimulation) Finish(_ string, index int, state job.State, text []byte) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.offers[index]++; s.consentLapsed() || s.offers[index] < 1+int(s.seed%3) {
+	if s.submissions[index]++; s.permissionRefused() || s.submissions[index] < 1+int(s.seed%3) {
 		return false
 	}
 	item := &s.items[index]
@@ -213,7 +213,7 @@
 	case <-ctx.Done():
 		return outcome
 	}
-	if !s.isCalm() {
+	if !s.faultsEnded() {
 		if fault := random.IntN(12); fault < len(faults) {
 			return s.fault(outcome, index, fault, random)
 		}
@@ -244,7 +244,7 @@
 	outcome serverclient.Outcome, index, fault int, random *rand.Rand,
 ) serverclient.Outcome {
 	outcome.Result = faults[fault]
-	if outcome.Result == serverclient.Interrupted && kindOf(index) == sound {
+	if outcome.Result == serverclient.Interrupted && kindOf(index) == succeeding {
 		left := simEvents - int(outcome.LastEventID+1)
 		for range random.IntN(left + 1) {
 			outcome.LastEventID++
@@ -284,13 +284,13 @@
 func simulateItems(t *testing.T, seed uint64, inject func(*Runner)) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &itemSimulation{
-			seed: seed, began: time.Now(), calmFrom: time.Now().Add(faultPhase), offers: map[int]int{},
+			seed: seed, began: time.Now(), faultsEndAt: time.Now().Add(faultPhase), submissions: map[int]int{},
 			failures: map[int]replica.Failures{},
 		}
 		owner := s.startRunner(inject)
 		owner.Start("job")
 		owner = s.stopAndStart(owner, inject)
-		time.Sleep(time.Until(s.calmFrom.Add(calmPhase)))
+		time.Sleep(time.Until(s.faultsEndAt.Add(faultFreePhase)))
 		synctest.Wait()
 		s.mutex.Lock()
 		for index := range s.items {
@@ -339,7 +339,7 @@
 		time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
 		owner.Stop("job")
 		time.Sleep(time.Duration(1+random.IntN(100)) * time.Millisecond) // running attempts end within this time
-		if s.moves() {
+		if s.changesOwner() {
 			owner.end()
 			owner = s.startRunner(inject)
 		}
@@ -352,12 +352,12 @@
 func (s *itemSimulation) checkItem(index int) {
 	item := &s.items[index]
 	want := job.Completed
-	if kindOf(index) != sound {
+	if kindOf(index) != succeeding {
 		want = job.DeadLetter
 	}
 	switch {
 	case item.finished == 0:
-		s.violatef("item %d is not finished after %v without faults", index, calmPhase)
+		s.violatef("item %d is not finished after %v without faults", index, faultFreePhase)
 	case item.state != want:
 		s.violatef("item %d was finished as %v", index, item.state)
 	}
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -47,8 +47,8 @@
 	queue        []*queuedJob // all values of jobs, ordered by deadline, then id
 	servers      map[string]*serverState
 	byBackend    map[string][]*serverState // servers that aren't draining, ordered by id
-	running      int                       // tasks that were assigned and have not finished
-	stores       int                       // number of stores that compete for the servers' slots, this one included
+	running      int
+	stores       int // number of stores that compete for the servers' slots, this one included
 	budget       slotBudget
 	meanDuration time.Duration // of completed attempts, exponentially weighted moving average
 }
@@ -61,11 +61,11 @@
 	tasks    []queuedTask // in order of preference
 }
 
-// queuedTask is a waiting task.
+// queuedTask is a waiting task, which starts no earlier than notBefore.
 type queuedTask struct {
 	task      Task
-	notBefore time.Duration // earliest start
-	avoid     string        // id of the server at which the last attempt failed; empty if there is none
+	notBefore time.Duration
+	avoid     string // id of the server at which the last attempt failed; empty if there is none
 }
 
 // New returns a planner for a store in a zone. reports may be nil.
--- a/internal/batch/scheduler/reportedload.go
+++ b/internal/batch/scheduler/reportedload.go
@@ -28,12 +28,12 @@
 // its expected end to its deadline. Items with less slack leave fewer slots free; an item that is expected
 // to miss its deadline leaves as many as one with plenty of slack.
 const (
-	farReserve  = 0.25 // slack of farSlack or more, or negative slack
-	nearReserve = 0.16 // slack of nearSlack or more
-	lastReserve = 0.0  // less slack
+	maxReserve = 0.25 // slack of longSlack or more, or negative slack
+	midReserve = 0.16 // slack of shortSlack or more
+	minReserve = 0.0  // less slack
 
-	farSlack  = 3 * time.Second
-	nearSlack = time.Second
+	longSlack  = 3 * time.Second
+	shortSlack = time.Second
 )
 
 const (
@@ -53,12 +53,12 @@
 		return 0
 	}
 	switch slack := job.deadline - now - p.meanDuration; {
-	case slack < 0 || slack >= farSlack:
-		return farReserve
-	case slack >= nearSlack:
-		return nearReserve
+	case slack < 0 || slack >= longSlack:
+		return maxReserve
+	case slack >= shortSlack:
+		return midReserve
 	}
-	return lastReserve
+	return minReserve
 }
 
 // pickByReportedLoad picks a server by reported loads. It returns nil if no server has a slot for the task
--- a/internal/batch/serverclient/early_test.go
+++ b/internal/batch/serverclient/early_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-const impossible = "HTTP/1.1 422 No\r\nX-Request-Id: item\r\nContent-Length: 0\r\n\r\n"
+const unprocessableResponse = "HTTP/1.1 422 No\r\nX-Request-Id: item\r\nContent-Length: 0\r\n\r\n"
 
 func TestResponseBeforeBodyIsSent(t *testing.T) {
 	for name, then := range map[string]func(*memorynet.Conn){
@@ -56,7 +56,7 @@
 			kept := false
 			inMemory(t, func(c *memorynet.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReaderSize(c, 16)); err == nil {
-					io.WriteString(c, impossible)
+					io.WriteString(c, unprocessableResponse)
 					then(c)
 				}
 			}, func(client *Client, r *Request) {
--- a/internal/batch/serverclient/eventparser.go
+++ b/internal/batch/serverclient/eventparser.go
@@ -15,10 +15,10 @@
 type eventParser struct {
 	outcome *Outcome
 	line    []byte // received part of the current line
-	data    []byte // of the current event
-	hasData bool   // the current event has a data field
-	id      int64  // of the current event
-	hasID   bool   // the current event has an id field
+	data    []byte // of the current event, as are the next three fields
+	hasData bool
+	id      int64
+	hasID   bool
 
 	acceptAnyOrder bool // set only by tests
 }
--- a/internal/batch/serverclient/events.go
+++ b/internal/batch/serverclient/events.go
@@ -55,11 +55,11 @@
 	}
 }
 
-// progressReporter records which events OnProgress was called with.
+// progressReporter records when OnProgress was last called, and which events were reported with it so far.
 type progressReporter struct {
-	reportedAt  time.Time // time of the last call
-	count       int       // number of the outcome's events that were reported
-	lastEventID int64     // id of the last event that was reported
+	reportedAt  time.Time
+	count       int // number of the outcome's events that were reported
+	lastEventID int64
 }
 
 // report calls OnProgress with the events that were received since the last call, unless that call was less than
--- a/internal/batch/serverclient/write.go
+++ b/internal/batch/serverclient/write.go
@@ -17,27 +17,27 @@
 	writeStallTimeout = 50 * time.Millisecond
 )
 
-// send writes the request. It stops early if the server accepts no more bytes and has answered, or at the time by.
+// send writes the request. It stops early if the server accepts no more bytes and has answered, or at the deadline.
 // An error means that the request wasn't sent completely; there may be a response even then.
-func (conn *connection) send(ctx context.Context, request *Request, lastEventID int64, by time.Time) error {
+func (conn *connection) send(ctx context.Context, request *Request, lastEventID int64, deadline time.Time) error {
 	header := encodeHeader(request, lastEventID)
 	if len(request.Item.Body) <= writeChunkSize {
-		return conn.write(ctx, append(header, request.Item.Body...), by)
+		return conn.write(ctx, append(header, request.Item.Body...), deadline)
 	}
-	if err := conn.write(ctx, header, by); err != nil {
+	if err := conn.write(ctx, header, deadline); err != nil {
 		return err
 	}
-	return conn.write(ctx, request.Item.Body, by)
+	return conn.write(ctx, request.Item.Body, deadline)
 }
 
 // write writes rest, in chunks if it is long. It stops as send does.
-func (conn *connection) write(ctx context.Context, rest []byte, by time.Time) error {
+func (conn *connection) write(ctx context.Context, rest []byte, deadline time.Time) error {
 	if len(rest) <= maxUncheckedWrite {
 		_, err := conn.Write(rest)
 		return err
 	}
 	for len(rest) > 0 {
-		if err := conn.SetWriteDeadline(earlier(time.Now().Add(writeStallTimeout), by)); err != nil {
+		if err := conn.SetWriteDeadline(earlier(time.Now().Add(writeStallTimeout), deadline)); err != nil {
 			return err
 		}
 		if ctx.Err() != nil { // the deadline that was set when the context ended has just been replaced
@@ -46,14 +46,13 @@
 		n, err := conn.Write(rest[:min(writeChunkSize, len(rest))])
 		rest = rest[n:]
 		answered := n == 0 && !conn.nothingToRead()
-		if err != nil && (!errors.Is(err, os.ErrDeadlineExceeded) || answered || !time.Now().Before(by)) {
+		if err != nil && (!errors.Is(err, os.ErrDeadlineExceeded) || answered || !time.Now().Before(deadline)) {
 			return err
 		}
 	}
 	return nil
 }
 
-// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
--- a/internal/batch/wal/history_test.go
+++ b/internal/batch/wal/history_test.go
@@ -31,12 +31,12 @@
 	fs     slots.FS // disk, or a faultyFS around it
 	log    *Log
 
-	records      []record // of all incarnations, without records that were lost before they were durable
-	first        int      // index of the first record that is not in a removed segment
-	durable      int      // number of records that were reported as durable, or replayed at a start
-	loaded       int      // number of records when this incarnation began
-	incarnations int
-	ops          int // operations so far
+	records        []record // of all incarnations, without records that were lost before they were durable
+	first          int      // index of the first record that is not in a removed segment
+	durable        int      // number of records that were reported as durable, or replayed at a start
+	recordsAtStart int      // number of records when this incarnation began
+	incarnations   int
+	ops            int
 }
 
 // record is an appended record with its location.
@@ -112,7 +112,7 @@
 		return fmt.Errorf("only records up to %d were replayed, %d were durable", end, h.durable)
 	}
 	h.records = h.records[:end]
-	h.durable, h.loaded = end, end
+	h.durable, h.recordsAtStart = end, end
 	return nil
 }
 
@@ -127,7 +127,7 @@
 	case kind < 84:
 		return h.read()
 	case kind < 88:
-		return h.release()
+		return h.removeOldest()
 	case kind < 90:
 		h.disk.SetCapacity(int64(h.random.IntN(3000)))
 	case kind < 93:
@@ -154,7 +154,7 @@
 // step calls the log's Step, and updates the number of durable records.
 func (h *history) step() error {
 	_, err := h.log.Step()
-	h.durable = max(h.durable, h.loaded+int(h.log.Durable()))
+	h.durable = max(h.durable, h.recordsAtStart+int(h.log.Durable()))
 	return h.checkError(err)
 }
 
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// release removes the oldest segment. If that is the active one, it checks that it can't be removed.
-func (h *history) release() error {
+// removeOldest removes the oldest segment. If that is the active one, it checks that it can't be removed.
+func (h *history) removeOldest() error {
 	oldest, current := h.log.SegmentRange()
 	if oldest == current {
 		if h.log.RemoveSegment(oldest) == nil {
--- a/internal/batch/wal/marker_test.go
+++ b/internal/batch/wal/marker_test.go
@@ -54,9 +54,9 @@
 	return disk
 }
 
-// recovery holds the records and parts that a start replayed and reported.
+// recovery holds the records that a start replayed, with "-" for each skipped part, and the parts that it reported.
 type recovery struct {
-	records    []string // payloads in order, with "-" for each skipped part
+	records    []string
 	skipped    []Location
 	truncated  []Location
 	recordsAt  []Location
--- a/internal/batch/wal/recovery.go
+++ b/internal/batch/wal/recovery.go
@@ -97,7 +97,7 @@
 // corrupt. On return, s.size is the end of the part that was replayed or skipped.
 func (s *segment) replay(size int64, last bool, replay ReplayFunc, onSkipped func(Location)) error {
 	for {
-		if err := s.replayRun(size, replay); err != nil {
+		if err := s.replayUntilCorrupt(size, replay); err != nil {
 			return err
 		}
 		if s.size == size {
@@ -126,8 +126,8 @@
 	return s.file.Truncate(s.size)
 }
 
-// replayRun replays records from s.size on, up to the first one that is corrupt, and advances s.size.
-func (s *segment) replayRun(size int64, replay ReplayFunc) error {
+// replayUntilCorrupt replays records from s.size on, up to the first one that is corrupt, and advances s.size.
+func (s *segment) replayUntilCorrupt(size int64, replay ReplayFunc) error {
 	in := bufio.NewReaderSize(io.NewSectionReader(s.file, s.size, size-s.size), readBufferSize)
 	for s.size < size {
 		payload, err := readRecord(in, s.number, s.size)
@@ -152,15 +152,15 @@
 func (s *segment) skip(marker, size int64) Location {
 	start := s.size
 	s.size = marker
-	if next, valid := s.recordBehind(start, size); valid {
+	if next, valid := s.recordAfter(start, size); valid {
 		s.size = next
 	}
 	return Location{Segment: s.number, Offset: uint32(start), Length: uint32(s.size - start)}
 }
 
-// recordBehind returns the offset to which the length of the record at offset leads, and whether a valid record
+// recordAfter returns the offset to which the length of the record at offset leads, and whether a valid record
 // begins there.
-func (s *segment) recordBehind(offset, size int64) (next int64, valid bool) {
+func (s *segment) recordAfter(offset, size int64) (next int64, valid bool) {
 	var header [headerSize]byte
 	if _, err := s.file.ReadAt(header[:], offset); err != nil {
 		return 0, false
