--- a/internal/batch/job/submission.go
+++ b/internal/batch/job/submission.go
@@ -29,7 +29,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	if len(parsed.Requests) == 0 || len(parsed.Requests) > MaxItems {
-		return nil, fmt.Errorf("%w: %d items, expected at least 1 and no more than the limit", ErrInvalid, len(parsed.Requests))
+		return nil, fmt.Errorf("%w: %d items, which is 0 or above the limit", ErrInvalid, len(parsed.Requests))
 	}
 	items := make([]Item, 0, len(parsed.Requests))
 	seen := make(map[string]bool, len(parsed.Requests))
@@ -40,7 +40,7 @@
 		}
 		seen[request.ID] = true
 		if request.Tokens < 0 || request.Tokens > MaxItemTokens {
-			return nil, fmt.Errorf("%w: item %d has %d tokens, which is negative or above the limit", ErrInvalid, i, request.Tokens)
+			return nil, fmt.Errorf("%w: item %d has %d tokens: negative or above the limit", ErrInvalid, i, request.Tokens)
 		}
 		body, err := base64.StdEncoding.DecodeString(request.Body)
 		if err != nil {
--- a/internal/batch/queuedtokens/counter_test.go
+++ b/internal/batch/queuedtokens/counter_test.go
@@ -59,7 +59,7 @@
 		_, decisions = c.Decide("a", constantLimit(0))
 		So(decisions, ShouldResemble, []Decision{{"x", true}})
 	})
-	Convey("A lowered limit revokes nothing, and no batch job is accepted until usage has dropped below it", t, func() {
+	Convey("A lowered limit revokes nothing, and batch jobs are accepted only once they fit again", t, func() {
 		c := NewCounter[string]()
 		c.Apply("a", claim(1, 80, Want{"x", 10}))
 		_, decisions := c.Decide("a", constantLimit(50))
--- a/internal/batch/runner/outcome.go
+++ b/internal/batch/runner/outcome.go
@@ -14,7 +14,7 @@
 
 // Delays before an item may start again. They don't limit the rate of attempts at a server: the planner does.
 const (
-	retryDelay     = 20 * time.Millisecond  // another server is likely to accept the item
+	retryDelay     = 20 * time.Millisecond  // another server may well accept the item
 	longRetryDelay = 300 * time.Millisecond // the reason why the item didn't run is likely to last
 )
 
--- a/internal/batch/scheduler/planner.go
+++ b/internal/batch/scheduler/planner.go
@@ -19,7 +19,7 @@
 
 // Terms of a server's cost, relative to the load of a full server, which is 1.
 const (
-	crossZoneCost    = 2.0 // added for a server in another zone, if loads are not reported
+	crossZoneCost    = 2.0 // added for traffic between zones, if loads are not reported
 	avoidedCost      = 4.0 // added for the server at which the last attempt failed
 	cachedPrefixGain = 0.1 // subtracted for a server that was recently sent the prompt's prefix and may have it cached
 )
--- a/internal/batch/scheduler/serverstate.go
+++ b/internal/batch/scheduler/serverstate.go
@@ -94,7 +94,7 @@
 }
 
 // ObserveFirstEvent adjusts a server's limit by the time from an item's request to its first event: at a
-// server with free slots, the first event takes no longer than the prefill.
+// server with free slots, the first event arrives right after the prefill.
 func (p *Planner) ObserveFirstEvent(id string, took, now time.Duration) {
 	server := p.servers[id]
 	if server == nil {
--- a/internal/batch/server/corruption_test.go
+++ b/internal/batch/server/corruption_test.go
@@ -88,7 +88,7 @@
 }
 
 func TestCorruptRecords(t *testing.T) {
-	Convey("A start uses all valid records, logs the others with their location, and changes no file", t, func() {
+	Convey("A start uses all valid records, logs the others with their location, and changes no segment", t, func() {
 		directory := t.TempDir()
 		first, err := openIncarnation(directory)
 		So(err, ShouldBeNil)
--- a/internal/batch/serverclient/exchange.go
+++ b/internal/batch/serverclient/exchange.go
@@ -20,7 +20,7 @@
 
 var (
 	errProtocol       = errors.New("serverclient: malformed HTTP/1.1 response")
-	errWrongRequestID = errors.New("serverclient: response carries the id of another request")
+	errWrongRequestID = errors.New("serverclient: response without the request's X-Request-Id, or with more than one")
 	errNoFraming      = errors.New(
 		"serverclient: response without X-Response-Signature, or with neither Content-Length nor chunked encoding")
 	errEventOrder = errors.New("serverclient: malformed, missing or repeated event")
