--- a/internal/batch/runner/simulation_test.go
+++ b/internal/batch/runner/simulation_test.go
@@ -22,23 +22,24 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// This file simulates, in virtual time, a runner with servers that fail, interrupt streams, reject items
-// and can't be reached, and a store whose consent lapses and which doesn't accept every result. What
-// becomes of an attempt follows from the seed, the item and the number of the attempt alone.
+// This file simulates a runner in virtual time. Its servers fail items, interrupt streams, reject items and
+// can't be reached; its store sometimes refuses permission to run items and doesn't accept every result. The
+// outcome of an attempt depends only on the seed, the item and the number of the attempt.
 
 const (
 	simItems       = 24
 	simMaxAttempts = 3
 	simServers     = 4
-	// faultPhase is how long faults are injected, calmPhase how long after that all items must have results.
-	faultPhase, calmPhase = 8 * time.Second, 5 * time.Second
+	// faultPhase is the time during which faults are injected. faultFreePhase is the time after it within which
+	// all items must get results.
+	faultPhase, faultFreePhase = 8 * time.Second, 5 * time.Second
 )
 
-// itemKind is how servers answer an item.
+// itemKind selects how servers answer an item.
 type itemKind int
 
 const (
-	sound         itemKind = iota // 200
+	succeeding    itemKind = iota // 200
 	failing                       // 500 at each attempt
 	unprocessable                 // 422
 )
@@ -51,29 +52,29 @@
 	case 6:
 		return unprocessable
 	}
-	return sound
+	return succeeding
 }
 
-// itemHistory is what servers and the store have seen of an item.
+// itemHistory records what the servers and the store have done with an item.
 type itemHistory struct {
-	failed, unprocessable int // answers of 500 and of 422
+	failed, unprocessable int // number of answers with 500 and with 422
 	running               int
 	state                 job.State
 	finished              int // results that the store accepted
 }
 
 // itemSimulation is the runner's store, discovery and client in one. The mutex guards items, attempts,
-// offers and violations.
+// submissions and violations.
 type itemSimulation struct {
-	seed       uint64
-	began      time.Time
-	calmFrom   time.Time // no faults from then on
-	mutex      sync.Mutex
-	items      [simItems]itemHistory
-	attempts   [simItems]int
-	offers     map[int]int              // results submitted, by item
-	failures   map[int]replica.Failures // as the owners of the batch job have told, where it moves between them
-	violations []string
+	seed        uint64
+	began       time.Time
+	faultsEndAt time.Time // end of the fault phase
+	mutex       sync.Mutex
+	items       [simItems]itemHistory
+	attempts    [simItems]int
+	submissions map[int]int              // number of results submitted, by item
+	failures    map[int]replica.Failures // recorded by the owners of the batch job, by item, if it changes owners
+	violations  []string
 }
 
 func (s *itemSimulation) violatef(text string, values ...any) {
@@ -88,15 +89,16 @@
 	return rand.New(rand.NewPCG(state, s.seed))
 }
 
-func (s *itemSimulation) isCalm() bool { return !time.Now().Before(s.calmFrom) }
+func (s *itemSimulation) faultsEnded() bool { return !time.Now().Before(s.faultsEndAt) }
 
-// consentLapsed reports whether the store refuses its consent now, as in some spans of the fault phase.
-func (s *itemSimulation) consentLapsed() bool {
+// permissionRefused reports whether the store refuses permission to run items now. It does so in random 500 ms
+// spans of the fault phase.
+func (s *itemSimulation) permissionRefused() bool {
 	span := uint64(time.Since(s.began) / (500 * time.Millisecond))
-	return !s.isCalm() && s.random(1, span).IntN(5) == 0
+	return !s.faultsEnded() && s.random(1, span).IntN(5) == 0
 }
 
-// Store and Discovery.
+// The following methods implement Store and Discovery.
 
 func (s *itemSimulation) Work(id string) (replica.Job, bool) {
 	s.mutex.Lock()
@@ -122,19 +124,20 @@
 func (s *itemSimulation) MayRun(_ string, index int) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return !s.consentLapsed() && s.items[index].finished == 0
+	return !s.permissionRefused() && s.items[index].finished == 0
 }
 
 func (s *itemSimulation) Progress(string, int, int64, int64, [][]byte) {}
 
-// moves reports whether each stop of the batch job is a change of its owner. Otherwise it comes back to the same store.
-func (s *itemSimulation) moves() bool { return s.seed%2 == 1 }
+// changesOwner reports whether the batch job changes its owner each time it is stopped. Otherwise it is started again
+// at the same store.
+func (s *itemSimulation) changesOwner() bool { return s.seed%2 == 1 }
 
-// Failures keeps what an owner tells for the next one.
+// Failures keeps the failures for the next owner.
 func (s *itemSimulation) Failures(_ string, index int, failures replica.Failures) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.moves() {
+	if s.changesOwner() {
 		s.failures[index] = failures
 	}
 }
@@ -142,7 +145,7 @@
 func (s *itemSimulation) Finish(_ string, index int, state job.State, text []byte) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.offers[index]++; s.consentLapsed() || s.offers[index] < 1+int(s.seed%3) {
+	if s.submissions[index]++; s.permissionRefused() || s.submissions[index] < 1+int(s.seed%3) {
 		return false
 	}
 	item := &s.items[index]
@@ -175,7 +178,7 @@
 	return list
 }
 
-// Client.
+// The following methods implement Client.
 
 const simEvents = 6
 
@@ -192,7 +195,7 @@
 func (s *itemSimulation) Dials() int64            { return 0 }
 func (s *itemSimulation) Sweep(func(string) bool) {}
 
-// Run is an attempt of an item at a server.
+// Run simulates one attempt of an item at a server.
 func (s *itemSimulation) Run(ctx context.Context, request *serverclient.Request) serverclient.Outcome {
 	index, _ := strconv.Atoi(request.Item.ID)
 	s.mutex.Lock()
@@ -210,7 +213,7 @@
 	case <-ctx.Done():
 		return outcome
 	}
-	if !s.isCalm() {
+	if !s.faultsEnded() {
 		if fault := random.IntN(12); fault < len(faults) {
 			return s.fault(outcome, index, fault, random)
 		}
@@ -218,7 +221,7 @@
 	return s.answer(outcome, index)
 }
 
-// countRunning adds to the attempts of an item that run.
+// countRunning adds change to the number of running attempts of an item.
 func (s *itemSimulation) countRunning(index, change int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -230,17 +233,18 @@
 	}
 }
 
-// faults are the results that say nothing about the item.
+// faults are the results of injected faults. They say nothing about the item.
 var faults = []serverclient.Result{
 	serverclient.NotExecuted, serverclient.NotSent, serverclient.Rejected, serverclient.Interrupted,
 }
 
-// fault returns the outcome of one of the faults. An interrupted stream has some of the events that are left.
+// fault returns the outcome of one of the faults. An interrupted stream delivers a random number of the remaining
+// events.
 func (s *itemSimulation) fault(
 	outcome serverclient.Outcome, index, fault int, random *rand.Rand,
 ) serverclient.Outcome {
 	outcome.Result = faults[fault]
-	if outcome.Result == serverclient.Interrupted && kindOf(index) == sound {
+	if outcome.Result == serverclient.Interrupted && kindOf(index) == succeeding {
 		left := simEvents - int(outcome.LastEventID+1)
 		for range random.IntN(left + 1) {
 			outcome.LastEventID++
@@ -280,13 +284,13 @@
 func simulateItems(t *testing.T, seed uint64, inject func(*Runner)) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &itemSimulation{
-			seed: seed, began: time.Now(), calmFrom: time.Now().Add(faultPhase), offers: map[int]int{},
+			seed: seed, began: time.Now(), faultsEndAt: time.Now().Add(faultPhase), submissions: map[int]int{},
 			failures: map[int]replica.Failures{},
 		}
 		owner := s.startRunner(inject)
 		owner.Start("job")
 		owner = s.stopAndStart(owner, inject)
-		time.Sleep(time.Until(s.calmFrom.Add(calmPhase)))
+		time.Sleep(time.Until(s.faultsEndAt.Add(faultFreePhase)))
 		synctest.Wait()
 		s.mutex.Lock()
 		for index := range s.items {
@@ -299,7 +303,7 @@
 	return violations
 }
 
-// simulatedOwner is a runner that runs until end.
+// simulatedOwner is a runner that runs until end is called.
 type simulatedOwner struct {
 	*Runner
 	cancel context.CancelFunc
@@ -327,15 +331,15 @@
 	<-o.ended
 }
 
-// stopAndStart stops the batch job at its store and starts it again there, or at another one, a few times in the fault
-// phase. It returns the last owner.
+// stopAndStart stops the batch job at its store and starts it again at the same store or at another one, a few times
+// in the fault phase. It returns the last owner.
 func (s *itemSimulation) stopAndStart(owner *simulatedOwner, inject func(*Runner)) *simulatedOwner {
 	random := s.random(3)
 	for range random.IntN(6) {
 		time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
 		owner.Stop("job")
-		time.Sleep(time.Duration(1+random.IntN(100)) * time.Millisecond) // what ran has ended by then
-		if s.moves() {
+		time.Sleep(time.Duration(1+random.IntN(100)) * time.Millisecond) // running attempts end within this time
+		if s.changesOwner() {
 			owner.end()
 			owner = s.startRunner(inject)
 		}
@@ -344,16 +348,16 @@
 	return owner
 }
 
-// checkItem checks an item when all should be finished.
+// checkItem checks that an item is finished, with the state that its kind requires.
 func (s *itemSimulation) checkItem(index int) {
 	item := &s.items[index]
 	want := job.Completed
-	if kindOf(index) != sound {
+	if kindOf(index) != succeeding {
 		want = job.DeadLetter
 	}
 	switch {
 	case item.finished == 0:
-		s.violatef("item %d is not finished after %v without faults", index, calmPhase)
+		s.violatef("item %d is not finished after %v without faults", index, faultFreePhase)
 	case item.state != want:
 		s.violatef("item %d was finished as %v", index, item.state)
 	}
@@ -368,8 +372,9 @@
 	return first, uint64(few)
 }
 
-// TestRandomItems checks that each item is finished once, as what it is, soon after the fault phase; that a
-// failing one reaches servers no more often than its route allows, and an unprocessable one once.
+// TestRandomItems checks that each item is finished once, with the state that its kind requires, soon after the
+// fault phase; that a failing item reaches servers no more often than its route allows, and an unprocessable item
+// only once.
 func TestRandomItems(t *testing.T) {
 	first, count := seeds(200)
 	for seed := first; seed < first+count; seed++ {
@@ -383,7 +388,7 @@
 func TestInjectedBugs(t *testing.T) {
 	for name, bugs := range map[string]injectedBugs{
 		"failures are not counted":                 {forgetFailures: true},
-		"a 422 is tried again":                     {retryUnprocessable: true},
+		"an item is retried after a 422":           {retryUnprocessable: true},
 		"failures of a stopped job are forgotten":  {forgetStopped: true},
 		"failures at other owners are forgotten":   {forgetOtherOwners: true},
 		"events of an interrupted stream are lost": {forgetEvents: true},
