--- a/internal/control/discovery/discovery_test.go
+++ b/internal/control/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 const ms = time.Millisecond
 
 func TestSchedule(t *testing.T) {
-	Convey("The process of rank 0 reads at once and then at intervals", t, func() {
+	Convey("The process of rank 0 reads at once and then every readInterval", t, func() {
 		var s Schedule
 		So(s.NextRead(), ShouldEqual, 0)
 		s.ReadSucceeded(10*ms, 0)
@@ -30,7 +30,7 @@
 		s.ReadSucceeded(1900*ms, 0)
 		So(s.NextRead(), ShouldEqual, 1900*ms+readInterval)
 	})
-	Convey("Another takes over after a time-out, and stops when one of a lower rank reads again", t, func() {
+	Convey("Another process takes over after a time-out, and stops when a process of lower rank reads again", t, func() {
 		var s Schedule
 		s.SetRank(2)
 		s.ListReceived(100*ms, 0, 0)
@@ -42,13 +42,13 @@
 		s.ListReceived(2600*ms, 0, 0)
 		So(s.NextRead(), ShouldEqual, 2600*ms+takeoverTimeout+2*takeoverStagger)
 	})
-	Convey("A list that takes long to read is waited for", t, func() {
+	Convey("The time-out for taking over allows for the duration of the last read", t, func() {
 		var s Schedule
 		s.SetRank(1)
 		s.ListReceived(100*ms, 3000*ms, 0)
 		So(s.NextRead(), ShouldEqual, 3100*ms+takeoverTimeout+takeoverStagger)
 	})
-	Convey("A list from a process of a higher rank doesn't stop the reader", t, func() {
+	Convey("A list from a process of higher rank doesn't stop the reader", t, func() {
 		var s Schedule
 		s.SetRank(1)
 		s.ReadSucceeded(0, 0)
@@ -71,7 +71,7 @@
 		Reset(server.Close)
 		return NewReader(strings.TrimPrefix(server.URL, "http://"), "", 0)
 	}
-	Convey("All pages make one list", t, func() {
+	Convey("All pages are combined into one list", t, func() {
 		reader := serve(func(w http.ResponseWriter, r *http.Request) {
 			switch r.URL.Query().Get("page-token") {
 			case "":
@@ -119,7 +119,7 @@
 			So(err, ShouldNotBeNil)
 		}
 	})
-	Convey("A rejection for the rate is a RateLimitError", t, func() {
+	Convey("A response with status 429 gives a RateLimitError", t, func() {
 		reader := serve(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Retry-After", "0.5")
 			w.WriteHeader(http.StatusTooManyRequests)
@@ -129,7 +129,7 @@
 		So(errors.As(err, &rate), ShouldBeTrue)
 		So(rate.RetryAfter, ShouldEqual, 500*ms)
 	})
-	Convey("A list whose pages form a cycle ends with an error", t, func() {
+	Convey("A page that names itself as the next page is an error", t, func() {
 		reader := serve(
 			func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"instances":[],"next-token":"x"}`) },
 		)
--- a/internal/control/discovery/page.go
+++ b/internal/control/discovery/page.go
@@ -9,13 +9,13 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// page is one page of the list as the platform sends it.
+// page is one page of the list as sent by the platform.
 type page struct {
 	Instances []instance `json:"instances"`
 	NextToken *string    `json:"next-token"`
 }
 
-// instance is one server as the platform sends it.
+// instance is one server as sent by the platform.
 type instance struct {
 	ID              string  `json:"id"`
 	Backend         string  `json:"backend"`
@@ -30,7 +30,7 @@
 // stateDraining is the state of a server that takes no new requests.
 const stateDraining = "draining"
 
-// server converts an instance to the form that subscribers are sent.
+// server converts an instance to the form that is sent to subscribers.
 func (i *instance) server() protocol.Server {
 	return protocol.Server{
 		ID:       i.ID,
@@ -44,8 +44,8 @@
 	}
 }
 
-// parsePage decodes a page. A response without a list of instances is an error: it must not be taken for an
-// empty list.
+// parsePage decodes a page. A response without a list of instances is an error, because it must not be mistaken
+// for an empty list.
 func parsePage(body []byte) (*page, error) {
 	var parsed page
 	if err := json.Unmarshal(body, &parsed); err != nil {
--- a/internal/control/discovery/ratelimiter.go
+++ b/internal/control/discovery/ratelimiter.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// rateLimiter spaces calls by a rate, and allows a burst (the generic cell rate algorithm, GCRA). It isn't
-// safe for concurrent use.
+// rateLimiter limits calls to a rate and allows bursts, by the generic cell rate algorithm (GCRA). It isn't safe
+// for concurrent use.
 type rateLimiter struct {
 	interval time.Duration // between two calls
-	burst    time.Duration // by which calls may be ahead of nextAt
-	nextAt   time.Time     // of the next call without a burst: the theoretical arrival time
+	burst    time.Duration // how far calls may be ahead of nextAt
+	nextAt   time.Time     // time of the next call without a burst (the theoretical arrival time)
 }
 
-// newRateLimiter returns a limiter for rateShare of a rate in calls a second; 0 is no limit.
+// newRateLimiter returns a limiter to rateShare of a rate in calls per second; 0 means no limit.
 func newRateLimiter(rate float64) rateLimiter {
 	if rate <= 0 {
 		return rateLimiter{}
--- a/internal/control/discovery/ratelimiter_test.go
+++ b/internal/control/discovery/ratelimiter_test.go
@@ -14,24 +14,24 @@
 )
 
 func TestRateLimiter(t *testing.T) {
-	Convey("Calls go at once up to the burst, and then keep to the rate", t, func() {
+	Convey("Calls within the burst don't wait, and further calls are limited to the rate", t, func() {
 		now := time.Unix(1000, 0)
-		p := newRateLimiter(50)
+		limiter := newRateLimiter(50)
 		calls := 0
 		for begin := now; now.Sub(begin) < 10*time.Second; calls++ {
-			now = now.Add(p.reserve(now))
+			now = now.Add(limiter.reserve(now))
 		}
 		So(calls, ShouldBeBetweenOrEqual, 400, 400+int(burstSeconds*50))
 	})
-	Convey("Without a rate nothing waits", t, func() {
-		p := newRateLimiter(0)
-		So(p.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
-		So(p.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
+	Convey("Without a rate calls don't wait", t, func() {
+		limiter := newRateLimiter(0)
+		So(limiter.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
+		So(limiter.reserve(time.Unix(1000, 0)), ShouldEqual, 0)
 	})
 }
 
 func TestRejectedPage(t *testing.T) {
-	Convey("A page in the middle of a list that is rejected for the rate is read again", t, func() {
+	Convey("A page after the first that is rejected with 429 is read again", t, func() {
 		rejections := 0
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			at, _ := strconv.Atoi(r.URL.Query().Get("page-token"))
--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -18,24 +18,24 @@
 const (
 	maxPageBytes = 8 << 20
 	maxPages     = 10_000
-	pageTimeout  = 700 * time.Millisecond // of one page
+	pageTimeout  = 700 * time.Millisecond // for one page
 
-	rateShare         = 0.8 // part of the platform's rate that one reader uses, as another may take over at any time
-	burstSeconds      = 0.3 // length of the burst that may go at once, at that rate
-	maxPageAttempts   = 6   // of a page that is rejected for the rate
+	rateShare         = 0.8 // part of the platform's rate that one reader uses, because another may take over at any time
+	burstSeconds      = 0.3 // a burst may have as many calls as this time allows at that rate
+	maxPageAttempts   = 6   // attempts at a page that the platform rejects with 429
 	minPageRetryDelay = 100 * time.Millisecond
 )
 
 // Reader reads the platform's server list. It isn't safe for concurrent use.
 type Reader struct {
 	address string
-	zone    string // empty: of all zones
+	zone    string // empty: all zones
 	client  *http.Client
 	limiter rateLimiter
 }
 
-// NewReader returns a reader of the list at an address (IP:port), of one zone or, with "", of all. rate is
-// the platform's limit in calls a second over all readers; 0 is none.
+// NewReader returns a reader of the list at an address (IP:port), for one zone or, if zone is "", for all
+// zones. rate is the platform's limit in calls per second, shared by all readers; 0 means no limit.
 func NewReader(address, zone string, rate float64) *Reader {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: 10 * time.Second, DisableCompression: true}
 	return &Reader{
@@ -46,24 +46,25 @@
 	}
 }
 
-// SetDialer replaces TCP by a function. It must be called before the first Read.
+// SetDialer sets the function that opens connections in place of TCP. It must be called before the first Read.
 func (r *Reader) SetDialer(dial func(ctx context.Context, address string) (net.Conn, error)) {
 	r.client.Transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) { return dial(ctx, address) }}
 }
 
-// RateLimitError reports that the platform answered 429.
+// RateLimitError reports that the platform answered 429. RetryAfter is the response's Retry-After; 0 if there was
+// none.
 type RateLimitError struct {
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *RateLimitError) Error() string {
-	return "discovery: the platform rejects calls for their rate"
+	return "discovery: the platform rejected a call with status 429: rate limit exceeded"
 }
 
-// Read reads all pages. If one can't be read there is no list; the error is a *RateLimitError if the platform
-// rejected a call for its rate, and wraps ctx.Err() if ctx ended.
+// Read reads all pages. If a page can't be read, it returns an error and no list. The error is a *RateLimitError
+// if the platform rejected a call with 429, and wraps ctx.Err() if ctx ended.
 func (r *Reader) Read(ctx context.Context) (List, error) {
 	var servers []protocol.Server
 	token := ""
@@ -79,15 +80,15 @@
 			return NewList(servers), nil
 		}
 		if *next.NextToken == token {
-			return List{}, errors.New("discovery: the platform's list gives the same page twice")
+			return List{}, errors.New("discovery: the platform's list repeats a page: its next-token is its own token")
 		}
 		token = *next.NextToken
 	}
 	return List{}, fmt.Errorf("discovery: the platform's list has more than %d pages", maxPages)
 }
 
-// readPageLimited reads a page when the rate limit allows it. Pages after the first are read again when the
-// platform rejects a call for its rate, so that what was read so far isn't wasted.
+// readPageLimited reads a page when the rate limit allows it. If the platform rejects the call with 429, pages
+// after the first are retried, so that the pages read before aren't wasted.
 func (r *Reader) readPageLimited(ctx context.Context, token string) (*page, error) {
 	for attempt := 1; ; attempt++ {
 		if err := sleep(ctx, r.limiter.reserve(time.Now())); err != nil {
@@ -96,7 +97,7 @@
 		next, err := r.readPage(ctx, token)
 		var rate *RateLimitError
 		if token == "" || attempt == maxPageAttempts || !errors.As(err, &rate) {
-			return next, err // there is nothing to keep before the first page; Schedule decides on the next attempt
+			return next, err // no pages are lost with the first one; Schedule decides on the next attempt
 		}
 		if err := sleep(ctx, max(rate.RetryAfter, minPageRetryDelay)); err != nil {
 			return nil, err
@@ -104,7 +105,7 @@
 	}
 }
 
-// sleep waits, and returns ctx.Err() if ctx ends first.
+// sleep waits for the given duration. It returns ctx.Err() if ctx ends first.
 func sleep(ctx context.Context, pause time.Duration) error {
 	if pause <= 0 {
 		return ctx.Err()
@@ -119,7 +120,7 @@
 	}
 }
 
-// readPage reads the page that a token names; "" names the first.
+// readPage reads the page with the given token; "" is the first page.
 func (r *Reader) readPage(ctx context.Context, token string) (*page, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url(token), nil)
 	if err != nil {
@@ -138,7 +139,7 @@
 		return nil, &RateLimitError{RetryAfter: retryAfter(response)}
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: the platform's list answers %d", response.StatusCode)
+		return nil, fmt.Errorf("discovery: the platform answered a page of its list with status %d, want 200", response.StatusCode)
 	}
 	return parsePage(body)
 }
--- a/internal/control/liveness/evictions.go
+++ b/internal/control/liveness/evictions.go
@@ -6,9 +6,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Evictions returns the members that have polled at no control process for so long that their lease has
-// ended. otherControls are the addresses of the chain's other members: while one of them doesn't report, a
-// batch process may be polling there, and none is evicted.
+// Evictions returns the members that have polled no control process for EvictAfter, so that their leases have
+// ended. otherControls are the addresses of the chain's other members. While one of them doesn't report, a batch
+// process may be polling it, so no member is evicted.
 func (t *Table) Evictions(now time.Duration, view protocol.StoreView, otherControls []string) []protocol.StoreMember {
 	if !t.leads || now-t.leadsSince < EvictAfter || !t.reportsCurrent(now, otherControls) {
 		return nil
@@ -22,14 +22,14 @@
 	return list
 }
 
-// Suspicion is a member with the number of the suspicion that it is under.
+// Suspicion is a member with the number of the suspicion against it.
 type Suspicion struct {
 	Member protocol.StoreMember
-	Number uint64 // as the state machine gave it; 0: under no suspicion
+	Number uint64 // assigned by the state machine; 0: no suspicion
 }
 
-// Suspects returns the members that have timed out, so that a suspicion is to be recorded, and those under
-// suspicion that poll again.
+// Suspects returns the members that have timed out and for which a suspicion must be committed, and the
+// suspected members that poll again.
 func (t *Table) Suspects(
 	now time.Duration,
 	suspicions []Suspicion,
@@ -39,21 +39,21 @@
 		return nil, nil
 	}
 	current := t.reportsCurrent(now, otherControls)
-	for _, one := range suspicions {
-		late := now-t.lastContactAt(one.Member.Process) >= SuspectAfter
+	for _, suspicion := range suspicions {
+		late := now-t.lastContactAt(suspicion.Member.Process) >= SuspectAfter
 		switch {
-		case one.Number != 0 && !late:
-			returned = append(returned, one.Member)
-		case one.Number == 0 && late && current:
-			timedOut = append(timedOut, one.Member)
+		case suspicion.Number != 0 && !late:
+			returned = append(returned, suspicion.Member)
+		case suspicion.Number == 0 && late && current:
+			timedOut = append(timedOut, suspicion.Member)
 		}
 	}
 	return timedOut, returned
 }
 
-// SuspicionExpired reports whether a suspicion has stood for as long as a lease that was granted before it
-// may last. The time counts from the first call with the suspicion's number in this leadership, so it must be
-// called regularly for every suspicion.
+// SuspicionExpired reports whether a suspicion has lasted for StoreLease, so that any lease granted before it
+// has ended. The time counts from the first call with the suspicion's number in this leadership, so
+// SuspicionExpired must be called regularly for every suspicion.
 func (t *Table) SuspicionExpired(now time.Duration, suspicion uint64) bool {
 	if suspicion == 0 {
 		return false
@@ -66,8 +66,8 @@
 	return now-since >= StoreLease
 }
 
-// reportsCurrent reports whether the newest report of every other control process is recent enough to
-// conclude from it that a batch process doesn't poll there.
+// reportsCurrent reports whether the newest report of every other control process is recent enough to conclude
+// that a batch process missing from it doesn't poll that control process.
 func (t *Table) reportsCurrent(now time.Duration, otherControls []string) bool {
 	for _, address := range otherControls {
 		at, known := t.reportsAt[address]
@@ -78,8 +78,8 @@
 	return true
 }
 
-// lastContactAt returns when an incarnation of a process polled last. It is at least the start of this
-// leadership, since polls before it may not have been reported here.
+// lastContactAt returns when an incarnation of a process last polled. The result is never before the start of
+// this leadership, because earlier polls may not have been reported to this process.
 func (t *Table) lastContactAt(process protocol.Process) time.Duration {
 	contact, known := t.contacts[processKey{process.Node, process.Role}]
 	if !known || contact.Process.Incarnation != process.Incarnation {
--- a/internal/control/liveness/joins.go
+++ b/internal/control/liveness/joins.go
@@ -7,18 +7,18 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Admission tells whether a batch process may join the store membership.
+// Admission is the decision whether a batch process may join the store membership.
 type Admission int
 
-// The admissions.
+// Values of Admission.
 const (
 	Admitted           Admission = iota
-	AdmittedAfterDelay           // once it has polled for RejoinAfter
+	AdmittedAfterDelay           // admitted once it has polled for RejoinAfter
 	NotAdmitted
 )
 
-// Joins returns the batch processes that poll, are no members, and may join. There are none unless this
-// process leads.
+// Joins returns the batch processes that poll, aren't members, and may join. It returns none unless this process
+// leads the chain.
 func (t *Table) Joins(
 	now time.Duration,
 	view protocol.StoreView,
@@ -40,8 +40,8 @@
 	return list
 }
 
-// LastEpochActedIn returns the highest epoch that one of some batch processes has acted in, by their last
-// reports.
+// LastEpochActedIn returns the highest epoch that any of the given batch processes has acted in, according to
+// their last reports.
 func (t *Table) LastEpochActedIn(processes []protocol.Process) uint64 {
 	highest := uint64(0)
 	for _, process := range processes {
@@ -52,7 +52,7 @@
 	return highest
 }
 
-// contains reports whether a process is a member.
+// contains reports whether a process is a member of the view.
 func contains(view protocol.StoreView, process protocol.Process) bool {
-	return slices.ContainsFunc(view.Members, func(one protocol.StoreMember) bool { return one.Process == process })
+	return slices.ContainsFunc(view.Members, func(member protocol.StoreMember) bool { return member.Process == process })
 }
--- a/internal/control/liveness/liveness_test.go
+++ b/internal/control/liveness/liveness_test.go
@@ -22,7 +22,7 @@
 
 func TestStores(t *testing.T) {
 	member := protocol.StoreMember{Process: store("1", "a")}
-	Convey("A batch process that polls joins, and only the leader decides so", t, func() {
+	Convey("Joins returns a batch process that polls, on the leader only", t, func() {
 		table := New()
 		So(table.Observe(Contact{Process: store("1", "a"), At: second}), ShouldBeTrue)
 		So(table.Observe(Contact{Process: store("1", "a"), At: second + 1}), ShouldBeFalse)
@@ -34,7 +34,7 @@
 		So(table.Joins(2*second, viewOf(1, member), admitAll), ShouldResemble, []protocol.Process{store("1", "b")})
 		So(table.Joins(5*second, viewOf(1, member), admitAll), ShouldBeEmpty)
 	})
-	Convey("A timed-out member is evicted once a new leader has waited and all control processes report", t, func() {
+	Convey("A timed-out member is evicted once a new leader has waited for EvictAfter and all control processes report", t, func() {
 		table := New()
 		table.Observe(Contact{Process: store("1", "a"), At: 0})
 		table.SetLeadership(10*second, 1, true)
@@ -47,10 +47,10 @@
 		So(table.Evictions(13*second, viewOf(1, member), nil), ShouldBeEmpty)
 		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), nil), ShouldHaveLength, 1)
 	})
-	Convey("A member outlives a lease that a control process outside of the new view may have granted", t, func() {
+	Convey("A member isn't evicted before the end of a lease that a control process outside the new view may have granted", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
-		// It then polls c3, which can't report to this process.
+		// The member then polls c3, which can't report to this process.
 		table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
 		table.ReportReceived("c2", 13*second)
 		So(table.Evictions(13*second, viewOf(1, member), []string{"c2", "c3"}), ShouldBeEmpty)
@@ -60,7 +60,7 @@
 		table.ReportReceived("c2", 12*second+EvictAfter)
 		So(table.Evictions(12*second+EvictAfter, viewOf(1, member), []string{"c2"}), ShouldHaveLength, 1)
 	})
-	Convey("A timed-out member comes under suspicion until it polls, which expires with a lease", t, func() {
+	Convey("A timed-out member is suspected until it polls, and the suspicion expires after the length of a lease", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
 		table.Observe(Contact{Process: store("1", "a"), At: 10 * second})
@@ -70,7 +70,7 @@
 		So(timedOut, ShouldBeEmpty)
 		So(returned, ShouldBeEmpty)
 		timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2", "c3"})
-		So(timedOut, ShouldBeEmpty) // it may be polling c3
+		So(timedOut, ShouldBeEmpty) // the member may be polling c3
 		timedOut, _ = table.Suspects(10*second+SuspectAfter, free, []string{"c2"})
 		So(timedOut, ShouldHaveLength, 1)
 		timedOut, returned = table.Suspects(10*second+SuspectAfter, suspected, []string{"c2"})
@@ -85,33 +85,33 @@
 		_, returned = table.Suspects(12*second, suspected, nil)
 		So(returned, ShouldHaveLength, 1)
 		table.SetLeadership(13*second, 2, true)
-		// A new leader counts from when it saw the suspicion first.
+		// A new leader counts from its first call with the suspicion.
 		So(table.SuspicionExpired(13*second, 4), ShouldBeFalse)
 	})
-	Convey("A poll of a later incarnation is no sign of life of the former one", t, func() {
+	Convey("A poll of a later incarnation doesn't count as a poll of the former one", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
 		table.Observe(Contact{Process: store("1", "b"), At: 3 * second})
 		So(table.Evictions(3*second, viewOf(1, member), nil), ShouldHaveLength, 1)
 	})
-	Convey("A retiring member is drained once it says so and all active ones are reconciled", t, func() {
+	Convey("A retiring member is drained once it reports that and all active members are reconciled", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
 		active := protocol.StoreMember{Process: store("2", "a")}
 		view := viewOf(7, retiring, active)
-		tell := func(node string, report protocol.BatchReport) {
+		observe := func(node string, report protocol.BatchReport) {
 			table.Observe(Contact{Process: store(node, "a"), Batch: &report, At: second})
 		}
-		tell("1", protocol.BatchReport{Epoch: 7, DrainedDown: true})
+		observe("1", protocol.BatchReport{Epoch: 7, DrainedDown: true})
 		So(table.Drained(second, view), ShouldBeEmpty)
-		tell("2", protocol.BatchReport{Epoch: 7, Settled: 6})
+		observe("2", protocol.BatchReport{Epoch: 7, Settled: 6})
 		So(table.Drained(second, view), ShouldBeEmpty)
-		tell("2", protocol.BatchReport{Epoch: 7, Settled: 7})
+		observe("2", protocol.BatchReport{Epoch: 7, Settled: 7})
 		So(table.Drained(second, view), ShouldHaveLength, 1)
 		So(table.Drained(second, viewOf(8, retiring, active)), ShouldBeEmpty)
 		So(table.Drained(5*second, view), ShouldBeEmpty)
-		tell("1", protocol.BatchReport{Epoch: 6, DrainedDown: true})
+		observe("1", protocol.BatchReport{Epoch: 6, DrainedDown: true})
 		So(table.Drained(second, view), ShouldBeEmpty)
 	})
 }
@@ -120,10 +120,10 @@
 func admitAll(protocol.Process) Admission { return Admitted }
 
 func TestRejoin(t *testing.T) {
-	Convey("A machine whose retirement was completed joins only once it has polled for RejoinAfter", t, func() {
+	Convey("A machine whose retirement was completed joins only after it has polled for RejoinAfter", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
-		emptied := func(process protocol.Process) Admission {
+		admit := func(process protocol.Process) Admission {
 			switch process.Node {
 			case store("1", "b").Node:
 				return AdmittedAfterDelay
@@ -135,18 +135,18 @@
 		for at := time.Duration(0); at < RejoinAfter; at += second {
 			table.Observe(Contact{Process: store("1", "b"), At: at})
 			table.Observe(Contact{Process: store("2", "a"), At: at})
-			table.Observe(Contact{Process: store("3", "a"), At: at}) // may not join at all
-			So(table.Joins(at, viewOf(3), emptied), ShouldResemble, []protocol.Process{store("2", "a")})
+			table.Observe(Contact{Process: store("3", "a"), At: at}) // may never join
+			So(table.Joins(at, viewOf(3), admit), ShouldResemble, []protocol.Process{store("2", "a")})
 		}
 		table.Observe(Contact{Process: store("1", "b"), At: RejoinAfter})
-		So(table.Joins(RejoinAfter, viewOf(3), emptied), ShouldHaveLength, 2)
-		table.Observe(Contact{Process: store("1", "c"), At: RejoinAfter + second}) // another disk
-		So(table.Joins(RejoinAfter+second, viewOf(3), emptied), ShouldBeEmpty)
+		So(table.Joins(RejoinAfter, viewOf(3), admit), ShouldHaveLength, 2)
+		table.Observe(Contact{Process: store("1", "c"), At: RejoinAfter + second}) // a new incarnation, with another disk
+		So(table.Joins(RejoinAfter+second, viewOf(3), admit), ShouldBeEmpty)
 	})
 }
 
 func TestReconciled(t *testing.T) {
-	Convey("The members are reconciled once each says so of the newest epoch, within the tolerance", t, func() {
+	Convey("The members are reconciled once each reports that for the newest epoch, with at most tolerance machines missing", t, func() {
 		table := New()
 		table.SetLeadership(0, 1, true)
 		retiring := protocol.StoreMember{Process: store("1", "a"), State: protocol.StoreRetiring}
@@ -156,7 +156,7 @@
 			table.Observe(Contact{Process: store(node, incarnation), Batch: &report, At: second})
 		}
 		observe("1", "a", protocol.BatchReport{Settled: 7})
-		So(table.Reconciled(second, view, 1), ShouldBeFalse) // one has not reported
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // store 3 has not reported
 		observe("3", "a", protocol.BatchReport{Settled: 6})
 		So(table.Reconciled(second, view, 1), ShouldBeFalse)
 		observe("3", "a", protocol.BatchReport{Settled: 7, Missing: 2})
@@ -167,13 +167,13 @@
 		So(table.Reconciled(5*second, view, 1), ShouldBeFalse) // the reports are too old
 		So(table.Reconciled(second, viewOf(8, view.Members...), 1), ShouldBeFalse)
 		view.Settled = true
-		So(table.Reconciled(second, view, 1), ShouldBeFalse) // it is committed already
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // the reconciliation is already committed
 		view.Settled = false
 		table.SetLeadership(second, 1, false)
 		So(table.Reconciled(second, view, 1), ShouldBeFalse)
 		table.SetLeadership(second, 2, true)
 		observe("3", "b", protocol.BatchReport{Settled: 7})
-		So(table.Reconciled(second, view, 1), ShouldBeFalse) // another disk
+		So(table.Reconciled(second, view, 1), ShouldBeFalse) // store 3 has a new incarnation, with another disk
 	})
 	Convey("An empty membership is never reconciled", t, func() {
 		table := New()
@@ -183,7 +183,7 @@
 }
 
 func TestGateways(t *testing.T) {
-	Convey("Gateways that polled recently are listed by name", t, func() {
+	Convey("Gateways that polled within GatewayTimeout are listed, sorted by name", t, func() {
 		table := New()
 		for i, name := range []string{"b", "a", "c"} {
 			table.Observe(Contact{
--- a/internal/control/liveness/reconciliation.go
+++ b/internal/control/liveness/reconciliation.go
@@ -6,9 +6,10 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Reconciled reports whether all members that may store something have reported that they are reconciled in
-// the view's epoch, and that at most tolerance machines, as many as may be lost at once, may have batch jobs
-// that the members don't know of. It is false once the view is recorded as reconciled (Settled).
+// Reconciled reports whether all members that may store data have reported that they are reconciled in the view's
+// epoch, and that at most tolerance machines may have batch jobs that the members don't know of. tolerance is the
+// number of machines that may be lost at once. Reconciled returns false once the view is recorded as reconciled
+// (Settled), and on a process that doesn't lead.
 func (t *Table) Reconciled(now time.Duration, view protocol.StoreView, tolerance int) bool {
 	if !t.leads || view.Settled || len(view.Members) == 0 {
 		return false
@@ -25,8 +26,8 @@
 	return true
 }
 
-// Drained returns the retiring members that store nothing that others need: they report so themselves in the
-// view's epoch, and all active members are reconciled in it.
+// Drained returns the retiring members that store nothing that other members need: they report this in the view's
+// epoch (DrainedDown), and all active members are reconciled in that epoch.
 func (t *Table) Drained(now time.Duration, view protocol.StoreView) []protocol.StoreMember {
 	if !t.leads || !t.activeReconciled(now, view) {
 		return nil
@@ -59,8 +60,8 @@
 	return true
 }
 
-// recentReport returns the last report of an incarnation of a batch process; nil if there is none within
-// EvictAfter.
+// recentReport returns the last report of an incarnation of a batch process, or nil if it is older than
+// EvictAfter or there is none.
 func (t *Table) recentReport(now time.Duration, process protocol.Process) *protocol.BatchReport {
 	contact, known := t.contacts[processKey{process.Node, process.Role}]
 	if !known || contact.Process.Incarnation != process.Incarnation || now-contact.At > EvictAfter {
--- a/internal/control/liveness/table.go
+++ b/internal/control/liveness/table.go
@@ -8,28 +8,28 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Times of liveness.
+// Leases and time-outs.
 const (
-	// StoreLease is the length of a batch process's lease. It counts from when the process sent its poll, by its
-	// own clock.
+	// StoreLease is the length of a batch process's lease. The lease starts when the batch process sent its poll,
+	// by the batch process's clock.
 	StoreLease = 1500 * time.Millisecond
-	// SuspectAfter is the time without a poll after which a batch process comes under suspicion, and is granted
-	// no lease any more. It is above 0.8 s, the longest time between two polls as the head of the chain sees
-	// them: protocol.PollInterval, and the interval of the control processes' reports.
+	// SuspectAfter is the time without a poll after which a batch process is suspected and granted no more leases.
+	// It must exceed 0.8 s, the longest time between two polls as observed by the head of the chain:
+	// protocol.PollInterval plus the interval of the control processes' reports.
 	SuspectAfter = time.Second
-	// EvictAfter is the time without a poll after which a batch process is evicted. Its lease has certainly
-	// ended by then.
+	// EvictAfter is the time without a poll after which a batch process is evicted. Its lease has ended by then in
+	// any case.
 	EvictAfter = 2200 * time.Millisecond
-	// GatewayTimeout is how long a gateway that doesn't poll stays in the member list.
+	// GatewayTimeout is how long a gateway that no longer polls stays in the member list.
 	GatewayTimeout = 3 * time.Second
-	// MaxReportAge is the greatest age of a control process's report from which it may be concluded that a batch
-	// process doesn't poll there.
+	// MaxReportAge is the maximum age of a control process's report at which it still shows that a batch process
+	// missing from it doesn't poll that control process.
 	MaxReportAge = time.Second
 	// RejoinAfter is how long a machine whose retirement was completed must poll before it joins again with
-	// another disk. The retired machine is removed at once, and what it stored after a join would be lost; one
-	// that stays this long is another machine with the same name.
+	// another disk. A retired machine is removed at once, and data that it stored after joining again would be
+	// lost. A machine that polls for this long is a different machine with the same name.
 	RejoinAfter = 10 * time.Second
-	// ForgetAfter is how long a process that doesn't poll stays in the table.
+	// ForgetAfter is how long a process that no longer polls stays in the table.
 	ForgetAfter = 30 * time.Second
 )
 
@@ -38,25 +38,25 @@
 	Process     protocol.Process
 	Ready       bool
 	Batch       *protocol.BatchReport
-	At          time.Duration // of the poll; since the control process's start, as are all times here
-	firstPollAt time.Duration // of the first poll of this incarnation that is known
+	At          time.Duration // time of the poll; like all times here since the control process's start
+	firstPollAt time.Duration // time of the first known poll of this incarnation
 }
 
-// Table is what one control process knows of the liveness of gateways and batch processes. It isn't safe for
-// concurrent use.
+// Table holds what one control process knows about the liveness of gateways and batch processes. It isn't safe
+// for concurrent use.
 type Table struct {
 	contacts        map[processKey]Contact
-	reportsAt       map[string]time.Duration // when the newest report was received, by the control process's IP
-	leads           bool                     // the chain, in epoch
+	reportsAt       map[string]time.Duration // when the newest report was received, by IP of the control process
+	leads           bool                     // this process leads the chain in epoch
 	epoch           uint64
-	leadsSince      time.Duration            // begin of the leadership in epoch
-	suspicionSeenAt map[uint64]time.Duration // when a suspicion was seen first in this leadership, by its number
+	leadsSince      time.Duration            // start of the leadership in epoch
+	suspicionSeenAt map[uint64]time.Duration // when a suspicion was first seen in this leadership, by number
 }
 
-// processKey identifies a process over its incarnations.
+// processKey identifies a process across its incarnations.
 type processKey struct{ node, role string }
 
-// New returns an empty table of a process that doesn't lead.
+// New returns an empty table for a process that doesn't lead the chain.
 func New() *Table {
 	return &Table{
 		contacts:        map[processKey]Contact{},
@@ -65,9 +65,9 @@
 	}
 }
 
-// Observe records a poll, received here or reported by another control process; one that is older than the
-// newest known one is ignored. It reports whether something follows from it that shouldn't wait: the process or its
-// incarnation is new, or a batch process has reconciled further or was drained.
+// Observe records a poll that was received by this process or reported by another control process. A poll older
+// than the newest known one is ignored. Observe reports whether the leader should act on the poll without delay:
+// the process or its incarnation is new, or a batch process has advanced in reconciling or was drained.
 func (t *Table) Observe(contact Contact) bool {
 	key := processKey{contact.Process.Node, contact.Process.Role}
 	newest, known := t.contacts[key]
@@ -83,7 +83,7 @@
 	return !same || advanced(newest.Batch, contact.Batch)
 }
 
-// advanced reports whether a report of a batch process has what members of the membership are waited for.
+// advanced reports whether a batch process's report shows progress that Reconciled or Drained depends on.
 func advanced(before, now *protocol.BatchReport) bool {
 	if before == nil || now == nil {
 		return before != now
@@ -91,21 +91,22 @@
 	return now.Settled > before.Settled || now.DrainedDown && !before.DrainedDown || now.Missing < before.Missing
 }
 
-// LastContact returns the newest poll of an incarnation of a process. It reports false if none is known.
+// LastContact returns the newest poll of an incarnation of a process. It reports false if no poll of that
+// incarnation is known.
 func (t *Table) LastContact(process protocol.Process) (Contact, bool) {
 	contact, known := t.contacts[processKey{process.Node, process.Role}]
 	return contact, known && contact.Process == process
 }
 
-// ReportReceived records that a report of another control process was received at a time, and processed
-// whole.
+// ReportReceived records when a report of another control process was received. It is called after the whole
+// report was processed.
 func (t *Table) ReportReceived(address string, at time.Duration) {
 	t.reportsAt[address] = max(at, t.reportsAt[address])
 }
 
-// SetLeadership records whether this process leads the chain, and in which epoch. All waiting begins anew
-// with each epoch: a control process that the epoch leaves out may have granted leases that were never
-// reported here, up to the decision on the epoch.
+// SetLeadership records whether this process leads the chain, and in which epoch. All waiting times restart with
+// each epoch: until the epoch was decided, a control process that it leaves out may have granted leases that were
+// never reported to this process.
 func (t *Table) SetLeadership(now time.Duration, epoch uint64, lead bool) {
 	if lead && (!t.leads || epoch != t.epoch) {
 		t.leadsSince = now
@@ -126,7 +127,7 @@
 	return list
 }
 
-// PolledSince returns the processes that polled at a time or later, sorted by node and role.
+// PolledSince returns the contacts of the processes that polled at or after from, sorted by node and role.
 func (t *Table) PolledSince(from time.Duration) []Contact {
 	var list []Contact
 	for _, contact := range t.contacts {
@@ -140,7 +141,7 @@
 	return list
 }
 
-// Expire drops processes that have not polled for ForgetAfter.
+// Expire removes processes that have not polled for ForgetAfter.
 func (t *Table) Expire(now time.Duration) {
 	for id, contact := range t.contacts {
 		if now-contact.At > ForgetAfter {
--- a/internal/control/schema/doc.go
+++ b/internal/control/schema/doc.go
@@ -1,7 +1,7 @@
-// Package schema checks the shape of the operator's configuration with CUE (configuration.cue), so that all
-// faults of a document are reported at once, each with its path, line and column.
+// Package schema checks the operator's configuration against a CUE schema (configuration.cue), so that all
+// errors in a document are reported at once, each with its path, line and column.
 //
-// The check is a service to the operator. Whether a configuration is valid is decided by package
-// configuration alone, on every replica: what passes here may still be invalid, and what an earlier version
-// accepted stays valid whatever the schema says now.
+// The check is a convenience for the operator. Package configuration alone decides, on every replica, whether a
+// configuration is valid: a document that passes this check may still be invalid, and a configuration that an
+// earlier version accepted stays valid even if it doesn't match the current schema.
 package schema
--- a/internal/control/schema/schema.go
+++ b/internal/control/schema/schema.go
@@ -20,19 +20,20 @@
 //go:embed configuration.cue
 var source string
 
-// maxFindings limits the findings about one document.
+// maxFindings limits the number of findings on one document.
 const maxFindings = 100
 
-// maxCheckedBytes limits the documents that are checked here: CUE takes 0.35 ms and 45 KB for each route.
-// Larger ones are checked by package configuration only, which names the first fault of each item in place of
-// all.
+// maxCheckedBytes limits the size of the documents that are checked here, because CUE takes 0.35 ms and 45 KB for
+// each route. Larger documents are checked only by package configuration, which reports the first error of each
+// item instead of all errors.
 const maxCheckedBytes = 512 << 10
 
-// documentName is the file name of a checked document in positions of CUE. It isn't shown: the caller knows the file.
+// documentName is the file name of a checked document in CUE positions. It isn't shown, because the caller knows the
+// file.
 const documentName = "document"
 
-// Check returns what is wrong with the shape of a document or, where patch is set, of a patch. Each call uses
-// a CUE context of its own, as a context keeps everything that it has compiled.
+// Check returns the findings on a document or, if patch is set, on a patch. Each call uses its own CUE context,
+// because a context retains everything that it has compiled.
 func Check(body []byte, patch bool) node.Findings {
 	if len(body) > maxCheckedBytes {
 		return nil
@@ -43,8 +44,8 @@
 	if err != nil {
 		return findings(err)
 	}
-	shape := definitions.LookupPath(cue.ParsePath(definitionName(patch)))
-	value := shape.Unify(context.BuildExpr(expression))
+	definition := definitions.LookupPath(cue.ParsePath(definitionName(patch)))
+	value := definition.Unify(context.BuildExpr(expression))
 	return findings(value.Validate(cue.Concrete(true), cue.All()))
 }
 
@@ -56,28 +57,28 @@
 	return "#Document"
 }
 
-// findings converts the errors of CUE.
+// findings converts CUE errors, up to maxFindings of them.
 func findings(err error) node.Findings {
 	var list node.Findings
-	for _, one := range errors.Errors(err) {
+	for _, cueError := range errors.Errors(err) {
 		if len(list) == maxFindings {
 			list.Addf("", "and more")
 			break
 		}
-		if found := finding(one); !fromNullAlternative(found.Text) {
+		if found := finding(cueError); !fromNullAlternative(found.Text) {
 			list = append(list, found)
 		}
 	}
 	return list
 }
 
-// fromNullAlternative reports whether a finding says only that null would have been allowed; the fault itself
-// has a finding of its own.
+// fromNullAlternative reports whether a finding says only that null would have been allowed. The error itself
+// has a separate finding.
 func fromNullAlternative(text string) bool {
 	return strings.Contains(text, "errors in empty disjunction") || strings.HasSuffix(text, "and null)")
 }
 
-// finding converts one error of CUE.
+// finding converts one CUE error.
 func finding(err errors.Error) node.Finding {
 	format, arguments := err.Msg()
 	place := documentPath(err.Path())
@@ -88,7 +89,8 @@
 	return node.Finding{Place: place, Text: text}
 }
 
-// bodyPosition returns the position in the operator's text among those of an error.
+// bodyPosition returns the first position of an error that is in the operator's document. It reports false if
+// there is none.
 func bodyPosition(err errors.Error) (token.Pos, bool) {
 	for _, at := range errors.Positions(err) {
 		if at.Filename() == documentName {
@@ -98,7 +100,7 @@
 	return token.NoPos, false
 }
 
-// documentPath writes a path as package configuration does: routes[3].timeout-ms.
+// documentPath formats a path as package configuration does: routes[3].timeout-ms.
 func documentPath(path []string) string {
 	var out strings.Builder
 	for _, part := range path {
--- a/internal/control/schema/schema_test.go
+++ b/internal/control/schema/schema_test.go
@@ -36,12 +36,12 @@
 }
 
 func TestCheck(t *testing.T) {
-	Convey("A valid document has no findings, also with fields of later versions", t, func() {
+	Convey("A valid document has no findings, even with fields of later versions", t, func() {
 		So(Check(patchOf(3), true), ShouldBeEmpty)
 		So(Check([]byte(`{"generation":3,"routes":[],"backends":[{"name":"b","later":{"a":[1]}}],"later":1}`), false), ShouldBeEmpty)
 		So(Check([]byte(`{"generation":3.0,"routes":[{"name":"r","hostname":"h","path-prefix":"/","backend":null,"traffic-split":null}],"backends":[]}`), false), ShouldBeEmpty)
 	})
-	Convey("All findings come with path, line and column", t, func() {
+	Convey("Each finding has a path, line and column", t, func() {
 		body := `{"generation":0,
 "routes":[{"name":"r1","hostname":"a","timeout-ms":0,"path-prefix":"x"},
 {"name":3,"hostname":"a","path-prefix":"/","traffic-split":[{"backend":"b","weight":-1}]}],
