--- a/internal/control/discovery/reader.go
+++ b/internal/control/discovery/reader.go
@@ -139,7 +139,8 @@
 		return nil, &RateLimitError{RetryAfter: retryAfter(response)}
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("discovery: the platform answered a page of its list with status %d, want 200", response.StatusCode)
+		return nil, fmt.Errorf("discovery: the platform answered a page of its list with status %d, want 200",
+			response.StatusCode)
 	}
 	return parsePage(body)
 }
