--- a/internal/control/confirmation.go
+++ b/internal/control/confirmation.go
@@ -7,27 +7,27 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// maxStaleness is the greatest age of this process's proof of freshness with which it confirms its state to
+// maxStaleness is the maximum age of this process's proof of freshness at which it confirms its state to
 // subscribers. A process that is partitioned from the others exceeds it within that time, and its subscribers
-// turn to another; otherwise heartbeats of the chain keep the age at a third of it.
+// switch to another control process. Otherwise the heartbeats of the chain keep the age at a third of it.
 const maxStaleness = 800 * time.Millisecond
 
-// staleness returns the staleness bound of the state here: everything acknowledged longer ago is applied. It
-// reports false if the bound is too high to confirm the state.
+// staleness returns the staleness bound of this process's state: everything that was acknowledged longer ago is
+// applied. It reports false if there is no bound or it is too high to confirm the state.
 func (c *Control) staleness() (time.Duration, bool) {
 	age, proven := c.replica.Staleness()
 	return age, proven && age <= maxStaleness
 }
 
 // mayGrantLeases reports whether this process may grant leases to batch processes. Only members of the chain
-// may: the head evicts a batch process only while it receives the reports of all other members, so that a
-// lease that a member grants is known to it. A process outside of the chain is fresh through a member, and
+// may: the head evicts a batch process only while it receives the reports of all other members, so it knows of
+// the leases that members grant. A process outside the chain obtains its proof of freshness from a member, and
 // the head doesn't wait for its reports.
 func (c *Control) mayGrantLeases() bool { return c.replica.View().InChain(c.replica.Self()) }
 
-// storeGrant returns a batch process's membership and lease. The lease is granted only by a process that can
-// confirm the membership, and is shortened by the staleness of that: StoreLease after a suspicion was
-// acknowledged, the member under suspicion has no lease left.
+// storeGrant returns a batch process's membership and lease. A lease is granted only if this process can confirm
+// the membership (fresh), and is shortened by the age of the proof: StoreLease after a suspicion was acknowledged,
+// the suspected member has no lease left.
 func (c *Control) storeGrant(process protocol.Process, fresh bool, age time.Duration) *protocol.StoreGrant {
 	view := c.state.Stores()
 	grant := &protocol.StoreGrant{Epoch: view.Epoch}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,14 +27,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Times and sizes of connections between processes, and of the shutdown.
+// Limits of the connections between processes, and time-outs of the shutdown.
 const (
 	heartbeatInterval   = 500 * time.Millisecond
 	maxFrameBytes       = 64 << 20
-	httpShutdownTimeout = 1200 * time.Millisecond // for the operator's requests in flight
-	handOverTimeout     = 1500 * time.Millisecond // for the roles and the place in the chain
-	// releaseGrantsTimeout bounds the release of the role of grantor. Without the release a successor waits for
-	// a second.
+	httpShutdownTimeout = 1200 * time.Millisecond // for operator requests in flight
+	handOverTimeout     = 1500 * time.Millisecond // for releasing the roles and leaving the chain
+	// releaseGrantsTimeout bounds the release of the grantor role. Without the release a successor waits for one
+	// second.
 	releaseGrantsTimeout = 300 * time.Millisecond
 )
 
@@ -43,15 +43,16 @@
 	Settings *node.Settings
 	Log      zerolog.Logger
 
-	environment *environment // of tests; nil: TCP and the folder of the settings
+	environment *environment // set by tests; nil: TCP, and the data-dir of the settings
 }
 
 // Control is a control process. Its methods are spread over files by concern; see the package comment.
 type Control struct {
-	// Set by Start and not changed after it. Each but reader is safe for concurrent use by itself.
+	// The fields up to reader are set by Start and don't change afterwards. All but reader are safe for
+	// concurrent use.
 	settings           *node.Settings
 	log                zerolog.Logger
-	incarnation        string // of this process; subscribers compare versions of the server list only within one
+	incarnation        string // subscribers compare versions of the server list only within one incarnation
 	started            time.Time
 	environment        environment
 	state              *statemachine.StateMachine
@@ -62,31 +63,31 @@
 	peers              *peers
 	reader             *discovery.Reader // used by readLoop only
 
-	ctx    context.Context // ends with Stop
+	ctx    context.Context // canceled by Stop
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 
 	// Signals to the loops, each with a buffer of one; see wake.
-	wakePush      chan struct{} // something that subscribers are sent has changed
+	wakePush      chan struct{} // data that is pushed to subscribers has changed
 	wakeRoles     chan struct{}
 	wakeDiscovery chan struct{}
-	wakeReport    chan struct{} // the head should learn of a poll here at once
+	wakeReport    chan struct{} // the head must be informed at once of a poll received here
 
-	// mutex guards the fields below. Whoever processes a message calls checkPause first. Lock order: peers.mutex
-	// before mutex.
+	// mutex guards the fields below. Handlers of messages call checkPause first. Lock order: peers.mutex before
+	// mutex.
 	mutex        sync.Mutex
 	pauses       pauseDetector
-	liveness     *liveness.Table                     // who polls, here and at the other control processes
-	subscribers  map[*transport.Session]*subscriber  // that poll here
+	liveness     *liveness.Table                     // processes that poll this or another control process
+	subscribers  map[*transport.Session]*subscriber  // processes that poll this process
 	peerSessions map[*transport.Session]*peerSession // connections of other control processes
-	schedule     discovery.Schedule                  // of reading the server list
+	schedule     discovery.Schedule                  // when this process reads the server list
 	servers      serverTable
 	members      memberTable
 }
 
-// Start starts a control process. It returns once the ports are open; the process may serve later, when it
-// has reached a majority of the chain's voters. Errors are of the disk, of the replica's start and of the
-// ports.
+// Start starts a control process. It returns once the ports are open. The process may begin to serve later,
+// when it has reached a majority of the chain's voters. Start fails if the data folder can't be created, the
+// replica can't be started or a port can't be opened.
 func Start(options Options) (*Control, error) {
 	if options.environment == nil {
 		options.environment = &environment{}
@@ -95,27 +96,27 @@
 		}
 	}
 	c := newControl(options)
-	node, err := replica.Start(c.replicaOptions())
+	chainMember, err := replica.Start(c.replicaOptions())
 	if err != nil {
-		return nil, fmt.Errorf("control: the chain: %w", err)
+		return nil, fmt.Errorf("control: start the replica: %w", err)
 	}
-	c.replica = node
+	c.replica = chainMember
 	if c.environment.wrapReplica != nil {
-		c.replica = c.environment.wrapReplica(node)
+		c.replica = c.environment.wrapReplica(chainMember)
 	}
 	c.quota = quotaservice.New(quotaservice.Options{
 		Bounds: options.Settings.Bounds, Leadership: c.replica, Record: c.state,
-		Self: statemachine.Grantor{Member: node.Self().ID(), Process: c.incarnation},
+		Self: statemachine.Grantor{Member: chainMember.Self().ID(), Process: c.incarnation},
 		Wake: func() { wake(c.wakeRoles) },
 	})
 	if err := c.serve(); err != nil {
-		node.Close()
+		chainMember.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// prepareDisk creates the folder of the data.
+// prepareDisk creates the data folder.
 func prepareDisk(settings *node.Settings) error {
 	if settings.DataDir == "" {
 		return nil
@@ -157,11 +158,12 @@
 // randomName returns 12 random hexadecimal digits.
 func randomName() string {
 	var random [6]byte
-	_, _ = rand.Read(random[:]) // never fails: it ends the process where the system has no randomness
+	_, _ = rand.Read(random[:]) // never fails: rand.Read ends the process if the system has no randomness
 	return hex.EncodeToString(random[:])
 }
 
-// wake signals a channel with a buffer of one. Signals that are not yet received are merged.
+// wake signals a channel with a buffer of one. A signal is merged with an earlier one that has not been
+// received yet.
 func wake(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -169,17 +171,17 @@
 	}
 }
 
-// now returns the time since the process's start by the monotonic clock.
+// now returns the time since the process's start, by the monotonic clock.
 func (c *Control) now() time.Duration { return time.Since(c.started) }
 
-// identity is how this process identifies itself on connections.
+// identity returns the identity of this process on its connections.
 func (c *Control) identity() transport.Identity {
 	s := c.settings
 	return transport.Identity{System: protocol.System, Node: s.NodeName, Role: protocol.RoleControl, Zone: s.Zone,
 		Address: s.Endpoint(node.PortControl), Incarnation: c.incarnation}
 }
 
-// transportOptions are the settings of connections to and from gateways, batch processes and other control
+// transportOptions returns the options of connections to and from gateways, batch processes and other control
 // processes.
 func (c *Control) transportOptions() transport.Options {
 	return transport.Options{
@@ -197,12 +199,12 @@
 func (c *Control) serve() error {
 	subscriptions, err := c.environment.listen(c.settings.Endpoint(node.PortControl))
 	if err != nil {
-		return fmt.Errorf("control: subscriptions: %w", err)
+		return fmt.Errorf("control: listen for subscriptions: %w", err)
 	}
 	operators, err := c.environment.listen(c.settings.ListenControl)
 	if err != nil {
 		_ = subscriptions.Close()
-		return fmt.Errorf("control: operator's API: %w", err)
+		return fmt.Errorf("control: listen for the operator's API: %w", err)
 	}
 	c.pauses.lastRanAt = c.now()
 	c.peers = newPeers(c)
@@ -248,8 +250,8 @@
 	})
 }
 
-// bodyMemoryFraction limits one configuration to 1/16 of the process's memory, as several copies of it exist
-// while it is committed.
+// bodyMemoryFraction limits a configuration to 1/16 of the process's memory, because several copies of it
+// exist while it is committed.
 const bodyMemoryFraction = 16
 
 // serveAPI serves the operator's API until Stop.
@@ -259,14 +261,14 @@
 	}
 }
 
-// Reload applies settings that were read again. Only the seeds take effect; all others need a restart.
+// Reload applies reloaded settings. Only the seeds take effect; all other settings need a restart.
 func (c *Control) Reload(settings *node.Settings) {
 	c.replica.SetSeeds(settings.SeedEndpoints(node.PortCoordination))
 	c.log.Info().Strs("seeds", settings.Seeds).Msg("settings_reloaded")
 }
 
-// Stop ends the process in order: it releases its roles and its place in the chain, so that its successors
-// needn't wait for its leases to end, answers the requests in flight, and closes its connections.
+// Stop shuts the process down gracefully: it releases its roles and leaves the chain, so that its successors
+// don't have to wait for its leases to end, answers the requests in flight, and closes its connections.
 func (c *Control) Stop() {
 	c.log.Info().Msg("stopping")
 	c.cancel()
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -4,36 +4,36 @@
 //
 // # Parts
 //
-//   - coord/replica keeps the replicated log (chain replication with a view service of its own); package
-//     statemachine is what the log's commands are applied to.
+//   - coord/replica keeps the replicated log, by chain replication with a built-in view service. Package
+//     statemachine applies the log's commands.
 //   - Package operatorapi is the HTTP API of the operator.
-//   - Package liveness knows which gateways and batch processes poll, here and at the other control
-//     processes, and decides which batch processes join the store membership and which are evicted from it.
+//   - Package liveness tracks which gateways and batch processes poll this process or another control
+//     process, and decides which batch processes join the store membership and which are evicted from it.
 //   - Package quotaservice is the allocator of quota, at the head of the chain.
 //   - Package discovery reads the platform's list of servers.
 //
-// The parts decide; this package connects them, and carries what they need between the processes. It takes no
-// decision of its own that another control process could take differently: such decisions are commands of the
-// state machine.
+// The decisions are made in these packages. This package connects them and exchanges the data that they need
+// with other processes. It makes no decision that another control process could make differently: such
+// decisions are commands of the state machine.
 //
 // # Subscriptions
 //
 // Gateways and batch processes keep a connection to one control process and poll it every
-// protocol.PollInterval. What a subscriber lacks is pushed: the configuration, the server list, the member
-// list. The answer to a poll says whether the control process confirms its state, and up to which age
-// (confirmation.go). A subscriber that gets no such answer turns to another control process. For batch
-// processes the answer carries the lease under which they may act.
+// protocol.PollInterval. Changes of the configuration, the server list and the member list are pushed to the
+// subscribers that don't have them yet. The answer to a poll says whether the control process confirms its
+// state, and how old that state may be (confirmation.go). A subscriber that gets no confirmation switches to
+// another control process. For batch processes the answer carries the lease under which they may act.
 //
 // # Singleton roles
 //
-// The process that leads the chain keeps the store membership (storemembership.go) and the grant record
-// (grants.go): it proposes a command whenever the agreed state doesn't fit what it knows. That the leader is
-// the only one is assured by its leader lease; that a late command does no harm, by the state machine, which
-// checks the epoch or the number that each command names.
+// The process that leads the chain maintains the store membership (storemembership.go) and the grant record
+// (grants.go): it proposes a command whenever the agreed state differs from what it observes. The leader lease
+// ensures that there is only one leader. A late command does no harm, because the state machine checks the
+// epoch or the number that each command names.
 //
 // To evict a batch process only after its lease has ended, the leader needs the polls that other control
-// processes have received. Each reports them to the leader (peers.go, peersessions.go), and as long as one
-// member of the chain doesn't report, no batch process is evicted.
+// processes have received. Each of them reports its polls to the leader (peers.go, peersessions.go). As long
+// as one member of the chain doesn't report, no batch process is evicted.
 //
 // # Invariants
 //
--- a/internal/control/grants.go
+++ b/internal/control/grants.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// updateGrants proposes the change of the grant record that the quota service needs now, if any.
+// updateGrants proposes the next change of the grant record that the quota service needs, if any.
 func (c *Control) updateGrants() {
 	change := c.quota.NextChange()
 	if change == nil {
@@ -22,15 +22,15 @@
 	}
 }
 
-// releaseGrants releases the role of grantor, so that the next one can begin at once.
+// releaseGrants releases the grantor role, so that the next grantor can begin at once.
 func (c *Control) releaseGrants(ctx context.Context) {
 	if change := c.quota.Release(); change != nil {
 		c.proposeGrants(ctx, change)
 	}
 }
 
-// proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; the next
-// round tries again.
+// proposeGrants proposes a change of the grant record. It returns nil if the outcome is unknown; rolesLoop
+// retries in its next round.
 func (c *Control) proposeGrants(ctx context.Context, change *statemachine.GrantsChange) *statemachine.GrantsOutcome {
 	encoded, err := statemachine.Command{Lending: change}.Encode()
 	if err != nil {
--- a/internal/control/memberlist.go
+++ b/internal/control/memberlist.go
@@ -4,8 +4,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// member returns what is known of the control process at an IP. The zone is known only of those that are
-// connected.
+// member returns the control process at an IP. Node and zone of another control process are known only if this
+// process has connected to it.
 func (p *peers) member(ip string) protocol.ControlMember {
 	s := p.control.settings
 	if ip == s.IP {
@@ -21,7 +21,7 @@
 	return found
 }
 
-// refreshMembers brings the member list up to date.
+// refreshMembers updates the member list.
 func (c *Control) refreshMembers() {
 	next := protocol.MemberList{Control: c.controlMembers(), QuotaAddress: c.quotaAddress()}
 	_, confirms := c.staleness()
@@ -41,15 +41,15 @@
 	return list
 }
 
-// membersFor returns what a subscriber lacks of the member list; nil: nothing. The store membership and the
-// quota address are sent only if this process confirms its state: those of a process that has just started,
-// or is partitioned, may be of an epoch that ended long ago. Without that only the control processes are
-// sent. It is called with the mutex held.
+// membersFor returns the member list for a subscriber, or nil if the subscriber is up to date. The store
+// membership and the quota address are sent only if this process confirms its state (fresh): a process that
+// has just started or is partitioned may hold them from an epoch that ended long ago. Otherwise only the
+// control processes are sent. It is called with the mutex held.
 func (c *Control) membersFor(sub *subscriber, fresh bool) *protocol.MemberList {
 	if !fresh {
 		return c.members.controlMembersFor(sub)
 	}
-	// The list may have been built before the proof that fresh relies on.
+	// The list may be older than the proof of freshness that fresh is based on.
 	c.members.updateStores(c.state.Stores(), c.quotaAddress())
 	return c.members.confirmedFor(sub)
 }
--- a/internal/control/membertable.go
+++ b/internal/control/membertable.go
@@ -8,31 +8,32 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// minGatewayListInterval is the least time between two member lists that differ in gateways only. Gateways
-// often start at the same time, and every list goes to every subscriber.
+// minGatewayListInterval is the minimum time between two member lists that differ only in gateways. Gateways
+// often start at the same time, and every list is sent to every subscriber.
 const minGatewayListInterval = time.Second
 
-// memberTable is the member list as subscribers are sent it. list.Version rises with each change, so that a
-// subscriber lacks what is of a higher version than it was sent. It is guarded by Control.mutex.
+// memberTable is the member list that is sent to subscribers. list.Version increases with each change, so a
+// subscriber needs the list if the version it was sent is lower. memberTable is guarded by Control.mutex.
 type memberTable struct {
 	list             protocol.MemberList
-	gatewaysListedAt time.Duration // when list.Gateways was taken from liveness
-	countingSince    time.Duration // since when this process has confirmed its state without a gap
+	gatewaysListedAt time.Duration // when list.Gateways was last read from the liveness table
+	confirmedSince   time.Duration // start of the current uninterrupted period of confirming the state
 }
 
-// gatewaysKnownAfter is the time of confirming the state after which all gateways are known: one that polled at a
-// control process which is gone turns to another, and is reported from there, well within it.
+// gatewaysKnownAfter is how long this process must have confirmed its state until it knows all gateways. A gateway
+// whose control process has ended switches to another control process, and is reported by that one, well within
+// this time.
 const gatewaysKnownAfter = liveness.GatewayTimeout + time.Second
 
-// noteConfirmation records whether this process could confirm its state at a time.
+// noteConfirmation records whether this process could confirm its state at time now.
 func (t *memberTable) noteConfirmation(now time.Duration, confirms bool) {
 	if !confirms {
-		t.countingSince = now
+		t.confirmedSince = now
 	}
 }
 
-// update replaces the list by next if that differs. Its gateways are taken from a function, at most once in
-// minGatewayListInterval.
+// update replaces the list with next if they differ. next.Gateways is ignored: the gateways are read from the
+// function, at most once per minGatewayListInterval.
 func (t *memberTable) update(
 	next protocol.MemberList,
 	now time.Duration,
@@ -43,7 +44,7 @@
 		next.Gateways = gateways(now)
 		t.gatewaysListedAt = now
 	}
-	next.GatewaysComplete = t.gatewaysListedAt-t.countingSince >= gatewaysKnownAfter
+	next.GatewaysComplete = t.gatewaysListedAt-t.confirmedSince >= gatewaysKnownAfter
 	next.Version = t.list.Version
 	if next.Version > 0 && reflect.DeepEqual(next, t.list) {
 		return
@@ -52,7 +53,8 @@
 	t.list = next
 }
 
-// updateStores replaces the store membership and the quota address if they differ.
+// updateStores replaces the store membership and the quota address if the membership is newer or the address
+// differs.
 func (t *memberTable) updateStores(stores protocol.StoreView, quotaAddress string) {
 	if !stores.Newer(t.list.Stores) && quotaAddress == t.list.QuotaAddress {
 		return
@@ -61,8 +63,8 @@
 	t.list.Version++
 }
 
-// confirmedFor returns the whole list, marked as confirmed (Vouched), if a subscriber lacks it, else nil. The
-// caller has checked that this process may confirm its state.
+// confirmedFor returns the complete list, marked as confirmed (Vouched), or nil if the subscriber already has
+// it. The caller must have checked that this process may confirm its state.
 func (t *memberTable) confirmedFor(sub *subscriber) *protocol.MemberList {
 	if t.list.Version <= sub.members {
 		return nil
@@ -72,8 +74,8 @@
 	return &list
 }
 
-// controlMembersFor returns the list with nothing but the control processes if a subscriber lacks those, else
-// nil.
+// controlMembersFor returns the list with only the control processes, or nil if the subscriber already has
+// them.
 func (t *memberTable) controlMembersFor(sub *subscriber) *protocol.MemberList {
 	if t.list.Version <= max(sub.members, sub.controlMembers) {
 		return nil
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -10,13 +10,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Metrics returns a control process's metrics. Those of nil can only be described.
+// Metrics returns the metrics of a control process. With a nil Control the metrics can be described but not
+// read.
 func Metrics(c *Control) []metrics.Metric {
 	list := append(c.chainMetrics(), c.membershipMetrics()...)
 	return append(list, c.subscriptionMetrics()...)
 }
 
-// chainMetrics are about the chain that replicates the state.
+// chainMetrics returns the metrics of the chain that replicates the state.
 func (c *Control) chainMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_chain_epoch", Kind: metrics.Gauge, Help: "Epoch of the newest view that this process knows.",
@@ -49,7 +50,7 @@
 	}
 }
 
-// membershipMetrics are about the store membership and the configuration.
+// membershipMetrics returns the metrics of the store membership and the configuration.
 func (c *Control) membershipMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_configuration_generation", Kind: metrics.Gauge,
@@ -72,7 +73,7 @@
 	}
 }
 
-// emitStores emits the numbers of stores in each state.
+// emitStores emits the number of stores in each state.
 func emitStores(emit metrics.Emit, stores protocol.StoreView) {
 	counts := map[protocol.StoreState]int{}
 	for _, member := range stores.Members {
@@ -84,7 +85,7 @@
 	emit.Value(float64(len(stores.Departed)), "departed")
 }
 
-// subscriptionMetrics are about the processes that subscribe here, and the server list.
+// subscriptionMetrics returns the metrics of this process's subscribers and of the server list.
 func (c *Control) subscriptionMetrics() []metrics.Metric {
 	return []metrics.Metric{
 		{Name: "sprucelane_subscribers", Kind: metrics.Gauge, Labels: []string{"role"},
--- a/internal/control/pause.go
+++ b/internal/control/pause.go
@@ -6,19 +6,19 @@
 	"sprucelane.example/sprucelane/coord/transport"
 )
 
-// Times of process pauses.
+// Timing of the detection of process pauses.
 const (
 	pauseCheckInterval = 100 * time.Millisecond
-	// maxPause is the longest pause after which the connections are still good. The other sides give a
-	// connection up after three heartbeats without a byte; what is received over one after a longer pause was
-	// sent before or during it.
+	// maxPause is the longest pause after which the connections remain usable. The other side closes a connection
+	// after three heartbeat intervals without a byte, so data received over a connection after a longer pause was
+	// sent before or during the pause.
 	maxPause = 3 * heartbeatInterval
 )
 
-// pauseDetector detects that this process was paused (SIGSTOP, a frozen machine, starvation). After a pause
-// the sockets hold messages that were sent before or during it; to process them as if they were current would
-// make this process act on what is outdated, such as a poll of a batch process that has lost its lease since.
-// It is guarded by Control.mutex.
+// pauseDetector detects that this process was paused (SIGSTOP, a frozen machine, CPU starvation). After a pause
+// the sockets hold messages that were sent before or during it. If they were processed as current, this process
+// would act on outdated messages, such as the poll of a batch process that has lost its lease since. It is guarded
+// by Control.mutex.
 type pauseDetector struct {
 	lastRanAt time.Duration // when this process is last known to have run
 	resumedAt time.Duration // end of the last pause; 0: there was none
@@ -34,13 +34,13 @@
 	return paused
 }
 
-// trusts reports whether messages over a connection are known to be sent after the last pause: its first
-// message was received after it.
+// trusts reports whether the messages of a connection are known to have been sent after the last pause. They
+// are if the connection's first message was received after the pause.
 func (d *pauseDetector) trusts(firstContactAt time.Duration) bool {
 	return d.resumedAt == 0 || firstContactAt > d.resumedAt
 }
 
-// pauseLoop notes regularly that this process runs.
+// pauseLoop calls checkPause every pauseCheckInterval.
 func (c *Control) pauseLoop() {
 	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
@@ -56,9 +56,9 @@
 	}
 }
 
-// checkPause detects a pause. It is called with the mutex held, before any message is processed. After a
-// pause it closes all connections: the other sides have given them up by now, or are about to, and what
-// arrives over new connections was sent after the pause.
+// checkPause detects a pause. It is called with the mutex held, before any message is processed. After a pause
+// it closes all connections: the other sides have closed them by now or are about to, and messages over new
+// connections were sent after the pause.
 func (c *Control) checkPause() {
 	if !c.pauses.ran(c.now()) {
 		return
@@ -72,14 +72,14 @@
 	}
 }
 
-// trustsSession reports whether messages over a session are known to be sent after the last pause of this
-// process. It is called with the mutex held.
+// trustsSession reports whether the messages of a session are known to have been sent after the last pause of
+// this process. It is called with the mutex held.
 func (c *Control) trustsSession(session *transport.Session) bool {
-	if one, known := c.subscribers[session]; known {
-		return c.pauses.trusts(one.firstContactAt)
+	if state, known := c.subscribers[session]; known {
+		return c.pauses.trusts(state.firstContactAt)
 	}
-	if one, known := c.peerSessions[session]; known {
-		return c.pauses.trusts(one.firstContactAt)
+	if state, known := c.peerSessions[session]; known {
+		return c.pauses.trusts(state.firstContactAt)
 	}
 	return true
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,15 +12,15 @@
 
 // Intervals of the reports between control processes.
 const (
-	// reportInterval is that of reports to the head of the chain, which keeps the store membership.
+	// reportInterval is the interval of reports to the head of the chain, which maintains the store membership.
 	reportInterval = 400 * time.Millisecond
-	// minReportInterval is the least time between two of them: when the view changes, all batch processes poll with
-	// news in a short time.
+	// minReportInterval is the minimum time between two reports to the head. When the view changes, all batch
+	// processes poll with new reports within a short time.
 	minReportInterval   = 40 * time.Millisecond
-	reportsPerBroadcast = 2 // reports to the head for each one to the others
+	reportsPerBroadcast = 2 // reports to the head for each report to the others
 )
 
-// peers are this process's connections to the other control processes, over which it sends its reports.
+// peers holds this process's connections to the other control processes, over which it sends its reports.
 type peers struct {
 	control *Control
 	mutex   sync.Mutex // guards byIP and the peers in it
@@ -30,16 +30,16 @@
 // peer is the connection to one other control process. Its fields are guarded by peers.mutex.
 type peer struct {
 	client         *transport.Client
-	serversVersion uint64                      // of the server list that was sent; 0: none
-	gateways       map[string]protocol.Process // that were sent, by node
-	sentAll        bool                        // a report with All set was sent
-	present        bool                        // used by refresh: it is still a control process
+	serversVersion uint64                      // version of the server list that was sent; 0: none
+	gateways       map[string]protocol.Process // reported gateways, by node
+	sentAll        bool                        // a report with All set was sent over this connection
+	present        bool                        // used by refresh: the peer is still a known control process
 }
 
-// newPeers returns no connections; refresh opens them.
+// newPeers returns peers without connections; refresh opens them.
 func newPeers(c *Control) *peers { return &peers{control: c, byIP: map[string]*peer{}} }
 
-// refresh connects to new control processes and closes the connections to those that have departed.
+// refresh connects to new control processes and closes the connections to departed ones.
 func (p *peers) refresh() {
 	self := p.control.settings.IP
 	p.mutex.Lock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// connect opens a connection with peers.mutex held. Whenever it is opened anew, everything is sent again,
-// since the other side has dropped what it had over the former connection.
+// connect opens a connection. It is called with peers.mutex held. After each reconnection everything is sent
+// again, because the other side has dropped what it received over the former connection.
 func (p *peers) connect(ip string) *peer {
 	other := &peer{gateways: map[string]protocol.Process{}}
 	onReconnect := func(bool) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// report sends the gateways that poll here to the head of the chain and, where toAll is set, to every other
-// control process. The head gets the batch processes as well, since it keeps the store membership.
+// report sends the gateways that poll this process to the head of the chain and, if toAll is set, to all other
+// control processes. The head also gets the batch processes, because it maintains the store membership.
 func (p *peers) report(head string, toAll bool, gateways map[string]protocol.Process, batch []peerBatch) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,7 +112,8 @@
 	}
 }
 
-// pollersDelta returns a report of the difference between gateways and those that were sent before.
+// pollersDelta returns a report with the differences between gateways and the gateways that were reported
+// before.
 func (p *peer) pollersDelta(gateways map[string]protocol.Process) peerReport {
 	report := peerReport{Presence: true, All: !p.sentAll}
 	for node, process := range gateways {
@@ -139,8 +140,8 @@
 	}
 }
 
-// sendServers sends the server list that was just read to all others, as a delta where they have an earlier
-// version.
+// sendServers sends the server list that was just read to all other control processes, as a delta to those
+// that have an earlier version.
 func (p *peers) sendServers() {
 	c := p.control
 	rank := c.readerRank()
@@ -154,8 +155,8 @@
 	}
 }
 
-// peerServersSince returns the server list for a peer that has a version of it, and the version that it then
-// has.
+// peerServersSince returns the message that brings a peer from version has of the server list to the newest
+// version, and that newest version.
 func (c *Control) peerServersSince(rank int, has uint64) (*peerServers, uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -172,8 +173,8 @@
 	return servers, table.version
 }
 
-// reportLoop reports who polls here to the other control processes, in intervals, and to the head at once when it waits
-// for what was polled.
+// reportLoop reports the processes that poll this one to the other control processes at regular intervals. It
+// reports to the head at once after a poll that the head waits for (wakeReport).
 func (c *Control) reportLoop() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -196,11 +197,11 @@
 		gateways, batch := c.pollers()
 		head := hostOf(c.replica.View().Head().Address)
 		c.peers.report(head, toAll, gateways, batch)
-		wake(c.wakePush) // gateways may have timed out, and leave the member list
+		wake(c.wakePush) // gateways may have timed out, which removes them from the member list
 	}
 }
 
-// sleep waits for a time, or until the process ends.
+// sleep waits for the given duration, or until the process stops.
 func (c *Control) sleep(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -210,8 +211,8 @@
 	}
 }
 
-// pollers returns the gateways that poll here, by node, and the batch processes that do, with their newest
-// reports.
+// pollers returns the gateways that poll this process, by node, and the batch processes that poll it, with
+// their newest reports.
 func (c *Control) pollers() (map[string]protocol.Process, []peerBatch) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/control/peersessions.go
+++ b/internal/control/peersessions.go
@@ -10,12 +10,12 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// peerSession is what another control process has reported over one connection. It is guarded by
+// peerSession holds what another control process has reported over one connection. It is guarded by
 // Control.mutex.
 type peerSession struct {
 	firstContactAt time.Duration               // when its first message was received
-	gateways       map[string]protocol.Process // that poll there, by node
-	servers        *protocol.ServerList        // that it sent last, whole; nil: none
+	gateways       map[string]protocol.Process // gateways that poll the other process, by node
+	servers        *protocol.ServerList        // last server list received, complete; nil: none
 }
 
 // handleReport processes a report of another control process.
@@ -49,14 +49,14 @@
 	}
 }
 
-// peerSessionOf returns the state of a session, and creates it with the first report. It is called with the
+// peerSessionOf returns the state of a session, and creates it on the first report. It is called with the
 // mutex held.
 func (c *Control) peerSessionOf(session *transport.Session) *peerSession {
 	peer := c.peerSessions[session]
 	if peer == nil {
 		peer = &peerSession{firstContactAt: c.now(), gateways: map[string]protocol.Process{}}
 		c.peerSessions[session] = peer
-		// A session that has ended calls the function at once, while the mutex is held here.
+		// If the session has already ended, OnClose calls the function immediately, while the mutex is held here.
 		session.OnClose(func() { go c.removePeerSession(session) })
 	}
 	return peer
@@ -69,8 +69,8 @@
 	delete(c.peerSessions, session)
 }
 
-// mergePollers records who polls at another control process, and reports whether something follows from it that
-// shouldn't wait (see liveness.Table.Observe). It is called with the mutex held.
+// mergePollers records the processes that poll another control process, and reports whether the leader should
+// act on them without delay (see liveness.Table.Observe). It is called with the mutex held.
 func (c *Control) mergePollers(peer *peerSession, report *peerReport, now time.Duration) bool {
 	if report.All {
 		clear(peer.gateways)
@@ -85,25 +85,26 @@
 	for _, process := range peer.gateways {
 		urgent = c.liveness.Observe(liveness.Contact{Process: process, At: now}) || urgent
 	}
-	for _, one := range report.Batch {
+	for _, batch := range report.Batch {
 		contact := liveness.Contact{
-			Process: one.Process,
-			Ready:   one.Ready,
-			Batch:   one.Report,
-			At:      now - max(one.Ago, 0),
+			Process: batch.Process,
+			Ready:   batch.Ready,
+			Batch:   batch.Report,
+			At:      now - max(batch.Ago, 0),
 		}
 		urgent = c.liveness.Observe(contact) || urgent
 	}
 	return urgent
 }
 
-// mergeServers applies a server list that another control process has read, and reports whether it changed
-// the one held here. It is called with the mutex held.
+// mergeServers applies a server list that another control process has read, and reports whether the list held
+// here has changed. It is called with the mutex held.
 func (c *Control) mergeServers(peer *peerSession, received *peerServers, now time.Duration) bool {
 	if received.List != nil {
 		list, err := serverlist.ApplyUpdate(peer.servers, received.List)
 		if err != nil {
-			// Later deltas can't be applied either; this process reads the list itself before long.
+			// Later deltas can't be applied either. Without lists from its peers this process soon reads the list
+			// itself.
 			peer.servers = nil
 			return false
 		}
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -16,8 +16,8 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Replica is what the control plane needs of its member of the chain. *replica.Node implements it, and
-// documents the methods; tests wrap or replace it.
+// Replica is the part of a chain member's interface that the control plane uses. *replica.Node implements it
+// and documents the methods; tests wrap or replace it.
 type Replica interface {
 	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
 	Read(ctx context.Context) (uint64, error)
@@ -34,8 +34,8 @@
 	Close()
 }
 
-// chainEventLevel returns the level of an event of the chain: an error where acknowledged data was lost or can't be
-// written.
+// chainEventLevel returns the log level of an event of the chain: error if acknowledged data was lost or data
+// can't be written, info otherwise.
 func chainEventLevel(event string) zerolog.Level {
 	switch event {
 	case "disk_corrupt", "disk_write_failed":
@@ -44,7 +44,7 @@
 	return zerolog.InfoLevel
 }
 
-// replicaOptions are the settings of this process's member of the chain.
+// replicaOptions returns the options of this process's replica.
 func (c *Control) replicaOptions() replica.Options {
 	s := c.settings
 	return replica.Options{
@@ -64,8 +64,8 @@
 	}
 }
 
-// viewChanged is called when the chain's view has changed: the roles, the reader of the server list and the
-// member list depend on it.
+// viewChanged is called when the chain's view has changed. The singleton roles, the reader of the server list
+// and the member list depend on the view.
 func (c *Control) viewChanged() {
 	wake(c.wakeRoles)
 	wake(c.wakeDiscovery)
@@ -90,8 +90,8 @@
 	return err
 }
 
-// controlIPs returns the addresses of all known control processes: the members of the chain and the others
-// that the replica has met.
+// controlIPs returns the IPs of all known control processes: the members of the chain, and the other
+// processes that the replica knows.
 func (c *Control) controlIPs() []string {
 	seen := map[string]bool{}
 	var list []string
@@ -104,14 +104,14 @@
 	for _, member := range c.replica.View().Chain {
 		add(member.Address)
 	}
-	for _, one := range c.replica.Members() {
-		add(one.Member.Address)
+	for _, known := range c.replica.Members() {
+		add(known.Member.Address)
 	}
 	return list
 }
 
-// otherControls returns the addresses of the chain's other members. They are named by address, as the names
-// of the processes that founded the chain aren't known to all at first.
+// otherControls returns the IPs of the chain's other members. They are identified by IP, because the node names
+// of the processes that founded the chain aren't known to all members at first.
 func (c *Control) otherControls() []string {
 	self := c.replica.Self()
 	var list []string
@@ -123,8 +123,8 @@
 	return list
 }
 
-// readerRank returns this process's rank among the chain's members by address; the one of rank 0 reads the
-// server list for all.
+// readerRank returns this process's rank among the chain's members, sorted by address. The member of rank 0
+// reads the server list for all.
 func (c *Control) readerRank() int {
 	self := c.replica.Self()
 	rank := 0
@@ -136,7 +136,7 @@
 	return rank
 }
 
-// hostOf returns the IP of an address, "" if it has none.
+// hostOf returns the IP of an address; "" if the address isn't of the form IP:port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return host
 }
 
-// quotaAddress returns the address of the quota allocator, which is at the head of the chain; "" if there is
-// no head.
+// quotaAddress returns the address of the quota allocator, which runs at the head of the chain; "" if there
+// is no head.
 func (c *Control) quotaAddress() string {
 	ip := hostOf(c.replica.View().Head().Address)
 	if ip == "" {
--- a/internal/control/roles.go
+++ b/internal/control/roles.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Times of the singleton roles.
+// Timing of the singleton roles.
 const (
-	rolesInterval  = 200 * time.Millisecond // between rounds, unless something wakes the loop
-	proposeTimeout = 2 * time.Second        // of one command
+	rolesInterval  = 200 * time.Millisecond // between rounds, unless wakeRoles is signaled
+	proposeTimeout = 2 * time.Second        // for one command
 )
 
-// rolesLoop performs the singleton roles while they fall to this process: keeping the store membership and
-// the grant record. Each round decides anew from the present state, so a command whose outcome is unknown
-// needs no further care.
+// rolesLoop performs the singleton roles while this process holds them: it maintains the store membership and
+// the grant record. Each round decides from the current state, so a command whose outcome is unknown needs no
+// special handling.
 func (c *Control) rolesLoop() {
 	ticker := time.NewTicker(rolesInterval)
 	defer ticker.Stop()
--- a/internal/control/serverdiscovery.go
+++ b/internal/control/serverdiscovery.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/internal/control/discovery"
 )
 
-// readLoop reads the platform's server list whenever it is this process's turn.
+// readLoop reads the platform's server list whenever the schedule says that this process must read it.
 func (c *Control) readLoop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -26,7 +26,7 @@
 	}
 }
 
-// nextRead returns when this process is to read the list next.
+// nextRead returns when this process must read the list next.
 func (c *Control) nextRead() time.Duration {
 	rank := c.readerRank()
 	c.mutex.Lock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// readFailed schedules the next attempt, by the platform's Retry-After where it gave one.
+// readFailed schedules the next attempt, taking the platform's Retry-After into account if there was one.
 func (c *Control) readFailed(err error) {
 	var rate *discovery.RateLimitError
 	var retryAfter time.Duration
--- a/internal/control/servertable.go
+++ b/internal/control/servertable.go
@@ -9,21 +9,21 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// maxDeltas is the number of versions over which a delta can be sent. A subscriber that is further behind
-// is sent the whole list.
+// maxDeltas is the maximum number of versions that a delta can span. A subscriber that is further behind is
+// sent the complete list.
 const maxDeltas = 64
 
-// serverTable is the newest server list, with the versions that this process gives its changes and the deltas
-// between the last of them. It is guarded by Control.mutex.
+// serverTable holds the newest server list, its version, which this process increments with each change, and
+// the deltas between the last versions. It is guarded by Control.mutex.
 type serverTable struct {
 	list    discovery.List
 	version uint64 // 0: there is no list yet
 	readAt  time.Duration
-	deltas  []serverlist.Delta // the last ones; the newest led to version
+	deltas  []serverlist.Delta // up to maxDeltas, oldest first; the last one leads to version
 }
 
-// update replaces the list by a newer one and reports whether its content changed. One that was read earlier
-// than the present one is ignored.
+// update replaces the list with a newer one and reports whether the content changed. A list that was read
+// earlier than the current one is ignored.
 func (t *serverTable) update(list discovery.List, readAt time.Duration) bool {
 	if t.version > 0 && readAt < t.readAt {
 		return false
@@ -41,8 +41,8 @@
 	return true
 }
 
-// deltaFrom returns the delta from a version to the newest. It reports false if that isn't kept, or isn't
-// smaller than the whole list.
+// deltaFrom returns the delta from a version to the newest one. It reports false if the deltas since that
+// version are no longer kept, or if the composed delta isn't smaller than the complete list.
 func (t *serverTable) deltaFrom(version uint64) (serverlist.Delta, bool) {
 	behind := t.version - version
 	if version == 0 || version > t.version || behind > uint64(len(t.deltas)) {
@@ -55,8 +55,8 @@
 	return composed, len(composed.Changed)+len(composed.Removed) < len(t.list.Servers)
 }
 
-// messageFrom returns the message that leads from a version to the newest one, with the remaining warm-up
-// time of servers as of now.
+// messageFrom returns the message that updates a subscriber from a version to the newest one, with the
+// servers' remaining warm-up times as of now.
 func (t *serverTable) messageFrom(source string, version uint64, now time.Duration) *protocol.ServerList {
 	message := &protocol.ServerList{Version: t.version, Source: source}
 	if delta, kept := t.deltaFrom(version); kept {
--- a/internal/control/storemembership.go
+++ b/internal/control/storemembership.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// storeCommands returns the commands that the store membership needs now. There are none unless this process
-// leads the chain.
+// storeCommands returns the commands that are to be proposed for the store membership now. It returns none
+// unless this process leads the chain.
 func (c *Control) storeCommands() []statemachine.Command {
 	epoch, _, leads := c.replica.LeaderLease()
 	stores := c.state.Stores()
@@ -38,8 +38,8 @@
 	return commands
 }
 
-// admission tells whether a batch process may join the membership. A Join that has no effect must not be
-// proposed: it would be proposed again in every round.
+// admission returns whether a batch process may join the membership. A Join without effect must not be
+// proposed, because it would be proposed again in every round.
 func (c *Control) admission(process protocol.Process) liveness.Admission {
 	switch {
 	case !c.state.MayJoin(process):
@@ -50,11 +50,11 @@
 	return liveness.Admitted
 }
 
-// evictions returns the commands for members that have timed out, and for those that poll again. An eviction
-// takes two steps: a suspicion is committed first, and the member is evicted once that has stood for as long
-// as a lease. In between, no control process that knows the suspicion grants the member a lease; a lease
-// granted without knowledge of it is shortened by the granter's staleness, and so ends within StoreLease of
-// the suspicion too.
+// evictions returns the commands for members that have timed out and for suspected members that poll again. An
+// eviction takes two steps: a suspicion is committed first, and the member is evicted once the suspicion has
+// lasted for the length of a lease. Meanwhile no control process that knows the suspicion grants the member a
+// lease. A lease granted by a process that doesn't know the suspicion is shortened by that process's staleness,
+// so it also ends within StoreLease after the suspicion.
 func (c *Control) evictions(now time.Duration, stores protocol.StoreView, others []string) []statemachine.Command {
 	var suspicions []liveness.Suspicion
 	expired := map[string]uint64{} // numbers of suspicions that allow an eviction, by node
@@ -84,9 +84,9 @@
 	return commands
 }
 
-// proposeStoreCommand proposes a command on the store membership and waits until it is committed, up to
-// proposeTimeout. The log line says which command was committed: one that no longer fitted the membership
-// changed nothing, and the line has the epoch from before.
+// proposeStoreCommand proposes a command on the store membership and waits until it is committed, for at most
+// proposeTimeout. The log line names the committed command and the current epoch. A command that no longer
+// applied to the membership changes nothing, so its log line has the previous epoch.
 func (c *Control) proposeStoreCommand(command statemachine.Command) {
 	encoded, err := command.Encode()
 	if err != nil {
--- a/internal/control/subscriptions.go
+++ b/internal/control/subscriptions.go
@@ -10,23 +10,23 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Codes of errors that callers can tell apart.
+// Codes of errors that callers can distinguish.
 const (
-	// CodeUnknownMessage is of a message that control doesn't handle.
+	// CodeUnknownMessage is the code of the error for a message that control doesn't handle.
 	CodeUnknownMessage = "unknown-message"
 )
 
 // subscriber is a gateway or batch process that is connected to this process, with the versions that it has
-// been sent. Messages on a connection arrive in order or the connection ends, so what was sent is what the
-// subscriber has. Its fields are guarded by Control.mutex.
+// been sent. Messages on a connection arrive in order or the connection ends, so the versions that were sent
+// are taken as the versions that the subscriber has. Its fields are guarded by Control.mutex.
 type subscriber struct {
 	process        protocol.Process
 	firstContactAt time.Duration // when its first message was received
 	lastPollAt     time.Duration
-	configuration  uint64 // index of the configuration that it has or was sent
+	configuration  uint64 // index of the configuration that it has reported or was sent
 	servers        uint64 // version of the server list that it was sent; 0: none
-	members        uint64 // version of the member list that it was sent whole
-	controlMembers uint64 // version of the member list of which it was sent the control processes
+	members        uint64 // version of the member list that it was sent completely
+	controlMembers uint64 // version of the member list whose control processes it was sent
 }
 
 // handle processes a message of a session.
@@ -43,11 +43,11 @@
 	return nil, transport.NewError(CodeUnknownMessage, "control doesn't handle this message")
 }
 
-// handlePoll answers a poll. What the subscriber lacks is pushed ahead of the answer, so that the answer
-// can't overtake a push that it depends on: once the answer confirms the state, the subscriber has that
-// state.
+// handlePoll answers a poll. Pending changes are pushed to the subscriber before the answer, so that the answer
+// can't overtake a push that it depends on: when the subscriber receives the confirmation of a state, it already
+// has that state.
 func (c *Control) handlePoll(session *transport.Session, poll protocol.Poll) protocol.Update {
-	age, fresh := c.staleness() // before any state is read that the answer confirms
+	age, fresh := c.staleness() // must precede reading the state that the answer confirms
 	if poll.Process.Role == protocol.RoleBatch && !c.mayGrantLeases() {
 		fresh = false
 	}
@@ -74,14 +74,14 @@
 	return update
 }
 
-// subscribe returns the subscriber of a session, and creates it with the first poll. It is called with the
-// mutex held.
+// subscribe returns the subscriber of a session, and creates it on the first poll. It is called with the mutex
+// held.
 func (c *Control) subscribe(session *transport.Session, poll protocol.Poll) *subscriber {
 	sub, known := c.subscribers[session]
 	if !known {
 		sub = &subscriber{firstContactAt: c.now()}
 		c.subscribers[session] = sub
-		// A session that has ended calls the function at once, while the mutex is held here.
+		// If the session has already ended, OnClose calls the function immediately, while the mutex is held here.
 		session.OnClose(func() { go c.unsubscribe(session) })
 	}
 	sub.process = poll.Process
@@ -96,7 +96,7 @@
 	delete(c.subscribers, session)
 }
 
-// pushLoop pushes changes to subscribers. Changes that come close together go out in one push.
+// pushLoop pushes changes to subscribers. Changes in quick succession are combined into one push.
 func (c *Control) pushLoop() {
 	for {
 		select {
@@ -109,7 +109,7 @@
 	}
 }
 
-// pushAll pushes to every subscriber what it lacks.
+// pushAll pushes pending changes to every subscriber.
 func (c *Control) pushAll() {
 	_, fresh := c.staleness()
 	c.mutex.Lock()
@@ -125,9 +125,9 @@
 	update.ListAge = c.now() - c.servers.readAt
 }
 
-// push queues what a subscriber lacks. A subscriber without a configuration is sent one only if this process
-// confirms its state: a configuration of a partitioned process may be outdated, and the subscriber would
-// start to serve by it. It is called with the mutex held.
+// push queues the changes that a subscriber doesn't have yet. A subscriber without a configuration is sent one
+// only if this process confirms its state (fresh): the configuration of a partitioned process may be outdated,
+// and the subscriber would start to serve with it. It is called with the mutex held.
 func (c *Control) push(session *transport.Session, sub *subscriber, fresh bool) {
 	update := protocol.Update{}
 	if fresh || sub.configuration > 0 {
