--- a/internal/control/confirmation_test.go
+++ b/internal/control/confirmation_test.go
@@ -19,7 +19,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// losePower ends a control process at once, and loses what its disk hasn't synced.
+// losePower simulates a power loss of a control machine: the process ends at once, and its disk may lose writes
+// that were not synced.
 func (s *simulatedSystem) losePower(i int) {
 	s.hosts[i].LosePower()
 	s.disks[i].LosePower()
@@ -30,7 +31,7 @@
 	gone.Stop()
 }
 
-// storeEpoch returns the epoch of the store membership that a process was sent; 0: none yet.
+// storeEpoch returns the epoch of the store membership that the poller was sent; 0: none yet.
 func (f *simulatedPoller) storeEpoch() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -40,9 +41,9 @@
 	return f.members.Stores.Epoch
 }
 
-// fillLog makes the disks of all control processes take a snapshot of what is acknowledged.
+// fillLog makes all control processes write a snapshot of the acknowledged state to their disks.
 func (s *simulatedSystem) fillLog(t *testing.T) {
-	const changes, bytes = 10, 150 << 10 // more than a log takes before it is compacted
+	const changes, bytes = 10, 150 << 10 // exceeds the log size at which the log is compacted
 	last := uint64(7)
 	for range changes {
 		change := fmt.Sprintf(
@@ -57,9 +58,9 @@
 	}
 }
 
-// TestStoresNeedProof has all control processes lose power after the store membership has changed a few
-// times. A process that starts alone has what its disk knows to be acknowledged, which may be a membership
-// that ended long ago; it must not send it.
+// TestStoresNeedProof checks that a control process without a proof of freshness doesn't send the store
+// membership. All control processes lose power after the membership has changed a few times. A process that then
+// starts alone has the membership that its disk recorded as acknowledged, which may have ended long ago.
 func TestStoresNeedProof(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 1, injectedBug{})
@@ -76,7 +77,7 @@
 		}
 		s.fillLog(t)
 		stores[3].paused.Store(true)
-		eventually(t, "that one that doesn't poll is evicted", func() bool {
+		eventually(t, "the eviction of the store that doesn't poll", func() bool {
 			return len(s.running[0].state.Stores().Members) == 3
 		})
 		newest := s.running[0].state.Stores().Epoch
@@ -87,15 +88,15 @@
 			store.paused.Store(true)
 		}
 		s.begin(0)
-		beginners := []*simulatedPoller{
+		newPollers := []*simulatedPoller{
 			s.startPoller(t, 0, storeProcess(2, "a")),
 			s.startPoller(t, 0, gatewayProcess(1)),
 		}
 		for range 50 {
-			for _, one := range beginners {
-				if epoch := one.storeEpoch(); epoch != 0 {
+			for _, poller := range newPollers {
+				if epoch := poller.storeEpoch(); epoch != 0 {
 					t.Fatalf(
-						"a process without proof sends the membership of epoch %d, where %d is the newest",
+						"a process without proof of freshness sent the membership of epoch %d; the newest is %d",
 						epoch,
 						newest,
 					)
@@ -105,20 +106,20 @@
 		}
 		s.begin(1)
 		s.begin(2)
-		for _, one := range beginners {
-			eventually(t, "the membership", func() bool { return one.storeEpoch() != 0 })
-			if epoch := one.storeEpoch(); epoch < newest {
-				t.Errorf("the membership of epoch %d is sent, where %d is the newest", epoch, newest)
+		for _, poller := range newPollers {
+			eventually(t, "the membership", func() bool { return poller.storeEpoch() != 0 })
+			if epoch := poller.storeEpoch(); epoch < newest {
+				t.Errorf("the membership of epoch %d was sent; the newest is %d", epoch, newest)
 			}
 		}
 	})
 }
 
-// fixedReplica is a chain whose proof of freshness the test sets.
+// fixedReplica is a replica whose proof of freshness and head are set by the test.
 type fixedReplica struct {
 	Replica
 	proven bool
-	head   string // its address
+	head   string // address of the head
 }
 
 func (r *fixedReplica) LeaderLease() (uint64, time.Time, bool) {
@@ -133,7 +134,8 @@
 	return view.View{Epoch: 1, Chain: []view.Member{{Node: "head", Address: r.head}}}
 }
 
-// newControlWithFixedReplica returns a control process without ports, on a chain that is always proven.
+// newControlWithFixedReplica returns a control process without ports on a fixedReplica, which has a proof of
+// freshness unless the test changes that.
 func newControlWithFixedReplica() (*Control, *fixedReplica) {
 	c := newControl(Options{
 		Settings:    &node.Settings{NodeName: "c", IP: "127.0.0.1", FirstPort: 1, LastPort: 10},
@@ -147,7 +149,7 @@
 	return c, chain
 }
 
-// TestJoinNamesEpoch checks that a Join names the epoch in which it was decided, and the epoch that the
+// TestJoinNamesEpoch checks that a Join names the epoch in which it was decided and the last epoch that the
 // joining process has acted in.
 func TestJoinNamesEpoch(t *testing.T) {
 	c, _ := newControlWithFixedReplica()
@@ -165,12 +167,12 @@
 	)
 	commands := c.storeCommands()
 	if len(commands) != 1 || commands[0].Join == nil || commands[0].Join.Epoch != 2 || commands[0].Join.ActedIn != 40 {
-		t.Fatalf("the head proposes %+v for one that joins in epoch 2, and acted in 40", commands)
+		t.Fatalf("got commands %+v, want one Join with Epoch 2 and ActedIn 40", commands)
 	}
 }
 
-// TestStoresMatchLease changes the store membership right before a poll is answered, when the member list
-// that was built is of the epoch before. The list that is sent must be of the lease's epoch.
+// TestStoresMatchLease checks that the member list that is sent has the same epoch as the lease. The store
+// membership changes right before a poll is answered, so the member list was built in the previous epoch.
 func TestStoresMatchLease(t *testing.T) {
 	c, chain := newControlWithFixedReplica()
 	for index, number := range []int{1, 2} {
@@ -189,21 +191,21 @@
 	defer c.mutex.Unlock()
 	list := c.membersFor(&subscriber{process: storeProcess(1, "a")}, true)
 	if list == nil || !list.Vouched || list.Stores.Epoch != 2 {
-		t.Fatalf("sent is %+v, where the lease is of epoch 2", list)
+		t.Fatalf("got member list %+v, want the confirmed list of epoch 2, the epoch of the lease", list)
 	}
 	chain.head = "127.0.0.2:1"
 	if list := c.membersFor(&subscriber{members: c.members.list.Version}, true); list == nil ||
 		!strings.HasPrefix(list.QuotaAddress, "127.0.0.2:") {
-		t.Fatalf("sent is %+v, where the allocator is elsewhere by now", list)
+		t.Fatalf("got member list %+v, want the new allocator's address at 127.0.0.2", list)
 	}
 	if hint := c.membersFor(&subscriber{}, false); hint == nil || hint.Vouched || hint.Stores.Epoch != 0 ||
 		hint.QuotaAddress != "" {
-		t.Fatalf("without proof sent is %+v", hint)
+		t.Fatalf("without proof of freshness got %+v, want a list with only the control processes", hint)
 	}
 }
 
-// TestDrainedStoreKeepsPolling has a batch process poll on after its retirement was completed and it was
-// evicted. No command must follow.
+// TestDrainedStoreKeepsPolling checks that no commands are proposed while a batch process continues to poll after
+// its retirement was completed and it was evicted.
 func TestDrainedStoreKeepsPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 1, injectedBug{})
@@ -216,10 +218,10 @@
 			}))
 		}
 		if status, body := s.call(0, "POST", "/retire/store-3", "", `{"deadline-s":10}`); status != 200 {
-			t.Errorf("the retirement: %d %s", status, body)
+			t.Errorf("the retirement was answered with status %d, want 200: %s", status, body)
 			return
 		}
-		eventually(t, "that the store is drained", func() bool {
+		eventually(t, "the store's retirement to be completed", func() bool {
 			for _, one := range stores {
 				one.mutex.Lock()
 				one.report = protocol.BatchReport{Epoch: one.grant.Epoch, Settled: one.grant.Epoch, DrainedDown: true}
@@ -228,18 +230,20 @@
 			return s.running[0].state.Retirement("store-3") == statemachine.RetirementCompleted
 		})
 		stores[3].paused.Store(true)
-		eventually(t, "that it is no member", func() bool { return len(s.running[0].state.Stores().Members) == 3 })
+		eventually(t, "the removal of the store from the membership", func() bool {
+			return len(s.running[0].state.Stores().Members) == 3
+		})
 		stores[3].paused.Store(false)
-		time.Sleep(5 * time.Second) // longer than a lease: all commands that are due have been proposed
+		time.Sleep(5 * time.Second) // longer than a lease: all pending commands have been proposed
 		before := s.commandsApplied(t)
 		time.Sleep(20 * time.Second)
 		if commands := s.commandsApplied(t) - before; commands > 0 {
-			t.Errorf("%d commands while nothing changes", commands)
+			t.Errorf("%d commands were applied while nothing changed, want none", commands)
 		}
 	})
 }
 
-// commandsApplied returns how many commands the chain has applied.
+// commandsApplied returns the number of commands that the chain has applied.
 func (s *simulatedSystem) commandsApplied(t *testing.T) uint64 {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/control/connectionshare_test.go
+++ b/internal/control/connectionshare_test.go
@@ -18,13 +18,13 @@
 
 const (
 	shareGateways    = 24
-	shareBound       = 500             // connections of one server, for all gateways
-	shareConnections = 450             // that they divide
+	shareBound       = 500             // maximum number of connections to one server, over all gateways
+	shareConnections = 450             // connections that the gateways share
 	shareFallAfter   = 3 * time.Second // bounds.liveness-ms
 	shareSpan        = 50 * time.Second
 )
 
-// shareGateway is a gateway that polls control and takes its part of a server's connections.
+// shareGateway is a gateway that polls control and uses its share of a server's connections.
 type shareGateway struct {
 	simulation  *shareSimulation
 	process     protocol.Process
@@ -35,21 +35,21 @@
 	confirmedAt time.Time
 }
 
-// shareSimulation is control processes that are killed, all of them twice within two seconds as well, with gateways
-// that stay. It checks at each step that the gateways' parts of a server's connections sum to no more than there
-// are.
+// shareSimulation simulates gateways that keep running while all control processes lose power, sometimes twice within
+// two seconds. It checks at each step that the sum of the gateways' shares of a server's connections doesn't exceed
+// shareBound.
 type shareSimulation struct {
 	*simulatedSystem
 	random     *rand.Rand
 	end        time.Time
 	gateways   []*shareGateway
 	violations []string
-	smallest   int // sum of the parts late in the simulation
+	lastSum    int // last sum of the shares
 }
 
 func (w *shareSimulation) isOver() bool { return time.Now().After(w.end) }
 
-// run polls one control process after the other.
+// run polls randomly chosen control processes, one at a time, until the simulation ends.
 func (g *shareGateway) run() {
 	for !g.simulation.isOver() {
 		g.subscribe(g.random.IntN(len(g.simulation.settings)))
@@ -63,7 +63,7 @@
 		Identity: transport.Identity{System: protocol.System, Node: g.process.Node, Role: g.process.Role},
 		Dial:     w.host(g.process.IP).Dial,
 	}
-	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, g.take, nil)
+	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, g.apply, nil)
 	defer client.Close()
 	confirmedAt := time.Now()
 	for sequence := uint64(1); time.Since(confirmedAt) < 700*time.Millisecond && !w.isOver(); sequence++ {
@@ -72,7 +72,7 @@
 		reply, err := client.Call(ctx, protocol.Poll{Process: g.process, Sequence: sequence})
 		cancel()
 		if err == nil {
-			g.take(reply)
+			g.apply(reply)
 			if reply.(protocol.Update).Fresh {
 				confirmedAt = sent
 				g.lock.Lock()
@@ -84,8 +84,8 @@
 	}
 }
 
-// take takes in what control sends of the members, as package subscription does.
-func (g *shareGateway) take(message any) {
+// apply stores a confirmed member list from control, as package subscription does.
+func (g *shareGateway) apply(message any) {
 	update, ok := message.(protocol.Update)
 	if !ok || update.Members == nil || !update.Members.Vouched {
 		return
@@ -95,7 +95,7 @@
 	g.list = update.Members
 }
 
-// part is what the gateway uses now.
+// part returns the number of connections that the gateway may use now.
 func (g *shareGateway) part() int {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -103,7 +103,7 @@
 	return g.share.Part(shareConnections)
 }
 
-// watch sums the parts.
+// watch records a violation if the sum of the gateways' shares exceeds shareBound.
 func (w *shareSimulation) watch() {
 	for !w.isOver() {
 		sum := 0
@@ -111,15 +111,16 @@
 			sum += g.part()
 		}
 		if sum > shareBound {
-			w.violations = append(w.violations, fmt.Sprintf("%d connections of %d", sum, shareBound))
+			w.violations = append(w.violations, fmt.Sprintf("the gateways use %d connections, the maximum is %d", sum, shareBound))
 			return
 		}
-		w.smallest = sum
+		w.lastSum = sum
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// injectFaults kills all of control, half of the time twice within two seconds, and restarts a gateway now and then.
+// injectFaults repeatedly cuts the power of all control processes, in half of the cases twice within two seconds,
+// and then restarts a gateway.
 func (w *shareSimulation) injectFaults() {
 	time.Sleep(12 * time.Second)
 	for !w.isOver() {
@@ -165,8 +166,8 @@
 	return w
 }
 
-// TestConnectionsAfterStartsOfControl checks the bound of servers' connections while control processes start that know
-// few gateways or none. SEEDS=N runs N simulations, FIRST=S begins at seed S.
+// TestConnectionsAfterStartsOfControl checks the bound on a server's connections while control processes start that
+// know few gateways or none. SEEDS=N runs N simulations, FIRST=S begins at seed S.
 func TestConnectionsAfterStartsOfControl(t *testing.T) {
 	first, simulations := seeds.Range(0, 3)
 	for seed := first; seed < first+simulations; seed++ {
@@ -174,8 +175,8 @@
 		if len(w.violations) > 0 {
 			t.Fatalf("seed %d: %s", seed, w.violations[0])
 		}
-		if w.smallest < shareConnections/2 {
-			t.Errorf("seed %d: only %d connections are used in the end", seed, w.smallest)
+		if w.lastSum < shareConnections/2 {
+			t.Errorf("seed %d: the gateways use only %d connections at the end", seed, w.lastSum)
 		}
 	}
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -15,7 +15,8 @@
 
 const document = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"x":1.50}`
 
-// put sends a change to one process after the other until it has a definite answer.
+// put sends a configuration change to one process after another until one answers with a status below 500, and
+// returns that status.
 func (s *system) put(t *testing.T, method, ifMatch, body string) int {
 	t.Helper()
 	var status int
@@ -56,7 +57,7 @@
 		return gateway.members != nil && len(gateway.members.Control) == 3 && len(gateway.members.Gateways) == 1 &&
 			gateway.members.QuotaAddress != ""
 	}))
-	eventually(t, "that control confirms its state", gateway.locked(func() bool { return gateway.fresh }))
+	eventually(t, "the confirmation of control's state", gateway.locked(func() bool { return gateway.fresh }))
 	for i := range s.running {
 		eventually(t, "the configuration read back", func() bool {
 			status, body := s.call(i, "GET", "/config", "", "")
@@ -81,14 +82,14 @@
 		t.Fatal(status)
 	}
 	calls := cloud.calls.Load()
-	eventually(t, "that another process reads the list", func() bool { return cloud.calls.Load() > calls+1 })
+	eventually(t, "reads of the list by another process", func() bool { return cloud.calls.Load() > calls+1 })
 	s.start(t, 0)
-	eventually(t, "the configuration at the process that came back", func() bool {
+	eventually(t, "the configuration at the restarted process", func() bool {
 		status, body := s.call(0, "GET", "/config", "", "")
 		return status == 200 && strings.Contains(body, `"generation":10`)
 	})
 	if status := s.put(t, "PUT", "0", document); status != 200 {
-		t.Fatal("a change that was accepted was rejected later", status)
+		t.Fatal("a repeated change that was accepted before was rejected with status", status)
 	}
 }
 
@@ -125,7 +126,7 @@
 		return strings.Contains(body, "completed")
 	})
 	stores["store-3"].paused.Store(true)
-	eventually(t, "the store that doesn't poll evicted", stores["store-1"].locked(func() bool {
+	eventually(t, "the eviction of the store that doesn't poll", stores["store-1"].locked(func() bool {
 		for _, member := range stores["store-1"].members.Stores.Members {
 			if member.Node == "store-3" {
 				return false
@@ -134,7 +135,9 @@
 		return true
 	}))
 	stores["store-3"].paused.Store(false)
-	eventually(t, "the store back", stores["store-3"].locked(func() bool { return stores["store-3"].grant.Member }))
+	eventually(t, "the return of the evicted store", stores["store-3"].locked(func() bool {
+		return stores["store-3"].grant.Member
+	}))
 }
 
 // TestQuota asks the allocator for tokens at the address that the member list names, before and after the
@@ -168,7 +171,7 @@
 		defer client.Close()
 		limitedTime, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		for !client.Connected() { // the list may still name a process that has ended
+		for !client.Connected() { // the list may still name a process that has stopped
 			if limitedTime.Err() != nil {
 				return false
 			}
@@ -188,12 +191,12 @@
 		answer := reply.(protocol.QuotaReply)
 		return answer.Term != 0 && len(answer.Grants) == 1 && answer.Grants[0].Tokens > 0 // a new pool fills slowly
 	}
-	eventually(t, "tokens", ask)
+	eventually(t, "tokens from the first allocator", ask)
 	s.stop(0) // the first head
-	eventually(t, "tokens of the next allocator", ask)
+	eventually(t, "tokens from the next allocator", ask)
 }
 
-// TestHostile sends garbage to every port; the process must go on to answer others.
+// TestHostile sends garbage to every port. The processes must continue to answer other callers.
 func TestHostile(t *testing.T) {
 	s := newSystem(t, "")
 	garbage := bytes.Repeat([]byte("SPL\x01\xff\x00GET / \r\n\r\n\x00\xff"), 500)
--- a/internal/control/deployment_faults_test.go
+++ b/internal/control/deployment_faults_test.go
@@ -14,24 +14,24 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
-// Faults come in rounds. Those of one round overlap, on machines of their own except for those that concern
-// all machines. In one round no more disks are lost than may be lost at once, and the next round begins once
-// the system has recovered.
+// Faults are injected in rounds. The faults of one round overlap in time. Each fault has its own machines, except for
+// faults that affect all machines. In one round no more disks are lost than may be lost at once, and the next round
+// begins once the system has recovered.
 
 const (
 	deploymentRounds       = 3
-	roundRecoveryTimeout   = 25 * time.Second // after the last fault of a round
+	roundRecoveryTimeout   = 25 * time.Second // counted from the last fault of a round
 	maxFaultStart          = 1500 * time.Millisecond
 	maxFaultLength         = 5 * time.Second
 	acknowledgementTimeout = 3 * time.Second
 	bulkChanges            = 100
 )
 
-// faultRound is a few faults that overlap.
+// faultRound is a round of overlapping faults.
 type faultRound struct {
 	*deployment
 	random    *rand.Rand
-	stores    []*deployedStore // that no fault has claimed yet
+	stores    []*deployedStore // stores that no fault has claimed yet
 	controls  []int
 	disksLeft int // disks that may still be lost in the round
 	active    sync.WaitGroup
@@ -40,7 +40,7 @@
 // deploymentFault is a kind of fault.
 type deploymentFault struct {
 	name string
-	// Claims machines and returns the injection; nil: too few are left.
+	// prepare claims machines and returns the function that injects the fault, or nil if too few machines are left.
 	prepare func(*faultRound) func(down time.Duration)
 }
 
@@ -60,7 +60,7 @@
 	{"many changes of the configuration", faultBulk},
 }
 
-// newRound draws the machines of a round in random order.
+// newRound returns a round with all present machines in random order.
 func (w *deployment) newRound() *faultRound {
 	r := &faultRound{
 		deployment: w,
@@ -74,7 +74,7 @@
 	return r
 }
 
-// run runs a round, and reports whether the system has recovered from it.
+// run injects the faults of a round, and reports whether the system has recovered from them.
 func (r *faultRound) run() bool {
 	for range 2 + r.random.IntN(2) {
 		kind := deploymentFaults[r.random.IntN(len(deploymentFaults))]
@@ -101,10 +101,10 @@
 func (r *faultRound) checkRecovery() bool {
 	list := r.awaitHealthy(roundRecoveryTimeout, healthyBeforeNextRound)
 	if len(list) > 0 {
-		r.failf("%v after a round of faults: %s", roundRecoveryTimeout, strings.Join(list, "; "))
+		r.failf("the system has not recovered %v after a round of faults: %s", roundRecoveryTimeout, strings.Join(list, "; "))
 		return false
 	}
-	r.logf("all is well")
+	r.logf("recovered")
 	r.count(func(c *deploymentCounts) { c.recoveries++ })
 	return true
 }
@@ -113,14 +113,14 @@
 	return least + time.Duration(w.random.Int64N(int64(most-least)+1))
 }
 
-// withProcessLock runs act while no other goroutine starts or ends processes.
+// withProcessLock runs act while no other goroutine starts or stops processes.
 func (w *deployment) withProcessLock(act func()) {
 	w.processLock <- struct{}{}
 	defer func() { <-w.processLock }()
 	act()
 }
 
-// endFaults ends what is left of the faults.
+// endFaults ends all faults: it heals all partitions and starts all processes that don't run.
 func (w *deployment) endFaults() {
 	w.lock.Lock()
 	w.onAcknowledgement = nil
@@ -138,7 +138,7 @@
 	}
 }
 
-// addresses returns those of control processes and stores.
+// addresses returns the IPs of the present control machines and stores.
 func (w *deployment) addresses() []string {
 	var list []string
 	for _, i := range w.presentControls() {
@@ -150,7 +150,7 @@
 	return list
 }
 
-// startControl starts a control process unless it runs.
+// startControl starts a control process unless it runs or its machine was removed.
 func (w *deployment) startControl(i int) {
 	w.withProcessLock(func() {
 		w.mutex.Lock()
@@ -163,7 +163,7 @@
 	})
 }
 
-// startStore starts a store unless it runs.
+// startStore starts a store unless it runs or was removed.
 func (w *deployment) startStore(s *deployedStore) {
 	w.withProcessLock(func() {
 		w.lock.Lock()
@@ -175,7 +175,7 @@
 	})
 }
 
-// claimStores claims up to so many stores that no fault has claimed yet.
+// claimStores claims up to count stores that no fault has claimed yet.
 func (r *faultRound) claimStores(count int) []*deployedStore {
 	count = min(count, len(r.stores))
 	claimed := r.stores[:count]
@@ -190,7 +190,7 @@
 	return claimed
 }
 
-// victims are machines of both kinds.
+// victims are the stores and control machines that a fault affects.
 type victims struct {
 	stores   []*deployedStore
 	controls []int
@@ -209,7 +209,7 @@
 
 func (v victims) none() bool { return len(v.stores)+len(v.controls) == 0 }
 
-// claim claims up to so many machines, more stores than control machines.
+// claim claims up to count machines, each with a probability of 2/3 a store and of 1/3 a control machine.
 func (r *faultRound) claim(count int) victims {
 	var v victims
 	for range count {
@@ -222,14 +222,14 @@
 	return v
 }
 
-// claimDisks claims up to so many machines whose disks are to be lost.
+// claimDisks claims up to most machines whose disks will be lost, limited by disksLeft.
 func (r *faultRound) claimDisks(most int) victims {
 	v := r.claim(min(most, r.disksLeft))
 	r.disksLeft -= len(v.stores) + len(v.controls)
 	return v
 }
 
-// wipe loses the disks of machines.
+// wipe stops the processes of machines and empties their disks.
 func (r *faultRound) wipe(v victims) {
 	if v.none() {
 		return
@@ -242,7 +242,7 @@
 	r.count(func(c *deploymentCounts) { c.wipes += len(v.controls) })
 }
 
-// restart starts machines again.
+// restart restarts the processes of machines.
 func (r *faultRound) restart(v victims) {
 	for _, i := range v.controls {
 		r.startControl(i)
@@ -252,11 +252,11 @@
 	}
 }
 
-// losePowerEverywhere cuts the power of all machines at once, with some disks lost; each machine restarts at
-// a time of its own.
+// losePowerEverywhere cuts the power of all machines at once and empties the disks of some. Each machine restarts
+// after a random delay.
 func (r *faultRound) losePowerEverywhere(lost victims, down time.Duration, delays *rand.Rand) {
 	r.withProcessLock(func() {
-		r.logf("all lose power")
+		r.logf("all machines lose power")
 		r.losePowerOfAll()
 		r.wipe(lost)
 	})
@@ -278,16 +278,17 @@
 	starting.Wait()
 }
 
-// ownRandom returns a random source for a fault that runs beside others.
+// ownRandom returns a separate random source for a fault that runs concurrently with others.
 func (r *faultRound) ownRandom() *rand.Rand { return rand.New(rand.NewPCG(r.random.Uint64(), 1)) }
 
-// faultPowerEverywhere cuts the power of all machines.
+// faultPowerEverywhere cuts the power of all machines, and may empty some disks.
 func faultPowerEverywhere(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
 	return func(down time.Duration) { r.losePowerEverywhere(lost, down, delays) }
 }
 
-// faultPowerAfterAcknowledgement cuts the power of all machines right after an acknowledgement.
+// faultPowerAfterAcknowledgement cuts the power of all machines right after an acknowledgement, or after
+// acknowledgementTimeout without one, and may empty some disks.
 func faultPowerAfterAcknowledgement(r *faultRound) func(time.Duration) {
 	lost, delays := r.claimDisks(r.random.IntN(r.tolerance+1)), r.ownRandom()
 	return func(down time.Duration) {
@@ -303,17 +304,17 @@
 	}
 }
 
-// faultKills kills processes; their disks keep what was written.
+// faultKills kills processes; their disks keep all writes.
 func faultKills(r *faultRound) func(time.Duration) {
 	return r.faultHalt("killed", r.killControl, (*deployedStore).kill)
 }
 
-// faultPower cuts the power of some machines; their disks lose what was not synced.
+// faultPower cuts the power of some machines; their disks may lose writes that were not synced.
 func faultPower(r *faultRound) func(time.Duration) {
 	return r.faultHalt("power lost", r.losePowerOfControl, (*deployedStore).losePower)
 }
 
-// faultHalt ends the processes of some machines, and starts them again.
+// faultHalt stops the processes of some machines and restarts them.
 func (r *faultRound) faultHalt(
 	how string,
 	haltControl func(i int),
@@ -333,7 +334,7 @@
 	}
 }
 
-// faultWipes loses disks.
+// faultWipes empties disks and restarts their machines' processes.
 func faultWipes(r *faultRound) func(time.Duration) {
 	v := r.claimDisks(1 + r.random.IntN(r.tolerance))
 	if v.none() {
@@ -346,7 +347,8 @@
 	}
 }
 
-// partitionBetween cuts all links between two groups of machines for a while, in one direction or both.
+// partitionBetween cuts all links between two groups of machines for the duration down: those in the direction from
+// the first group to the second and, if both is set, those in the reverse direction too.
 func (r *faultRound) partitionBetween(from, to []string, both bool, down time.Duration) {
 	for _, one := range from {
 		for _, other := range to {
@@ -382,7 +384,7 @@
 	victim, direction := all[r.random.IntN(len(all))], r.random.IntN(3)
 	return func(down time.Duration) {
 		one, others := r.controlAddresses([]int{victim}), r.controlAddresses(all)
-		r.logf("%s is partitioned, %d", r.settings[victim].NodeName, direction)
+		r.logf("%s is partitioned, direction %d (0: out, 1: in, 2: both)", r.settings[victim].NodeName, direction)
 		if direction == 1 {
 			one, others = others, one
 		}
@@ -415,7 +417,7 @@
 	}
 }
 
-// faultDiskStall stalls the disks of control machines, and slows those of stores down by a factor of forty.
+// faultDiskStall stalls the disks of control machines, and slows the syncs of stores' disks by a factor of forty.
 func faultDiskStall(r *faultRound) func(time.Duration) {
 	v := r.claim(1 + r.random.IntN(2))
 	return func(down time.Duration) {
@@ -436,7 +438,7 @@
 	}
 }
 
-// faultRetirement has the operator retire a store, and loses the disks of others right after.
+// faultRetirement makes the operator retire a store, and empties the disks of other machines right afterwards.
 func faultRetirement(r *faultRound) func(time.Duration) {
 	one := r.claimStores(1)
 	if len(one) == 0 || len(r.presentStores()) <= r.tolerance+2 {
@@ -453,22 +455,24 @@
 	}
 }
 
-// retire asks for a retirement, and reports whether that was acknowledged.
+// retire requests the retirement of a store, first from the control process with index at, and reports whether the
+// request was acknowledged.
 func (w *deployment) retire(node string, at int) bool {
 	for attempt := range 8 {
 		members := w.presentControls()
 		status, answer := w.call(members[(at+attempt)%len(members)], "POST", "/retire/"+node, "", `{"deadline-s":10}`)
 		if status == 200 {
-			w.logf("%s is to retire", node)
+			w.logf("the retirement of %s was acknowledged", node)
 			w.count(func(c *deploymentCounts) { c.retired++ })
 			return true
 		}
-		w.logf("the retirement of %s is answered %d %s", node, status, answer)
+		w.logf("the retirement of %s was answered with status %d %s", node, status, answer)
 	}
 	return false
 }
 
-// removeRetired removes the stores that were retired, and starts new ones in their place.
+// removeRetired removes the retired stores and starts new ones in their place. It reports whether the system has
+// recovered from that.
 func (r *faultRound) removeRetired() bool {
 	removed := false
 	newest := r.newestStoreView()
@@ -492,9 +496,9 @@
 	w.addStore()
 }
 
-// faultReplacement replaces a control machine by a new one: before the old one leaves in order, or after its
-// disk is lost. Either way a disk is gone, which counts as lost: others may be lost before the new machine
-// has everything.
+// faultReplacement replaces a control machine with a new one. In a planned replacement the new machine starts before
+// the old one shuts down gracefully, otherwise after the old one's disk was lost. Either way the disk counts as lost,
+// because other disks may be lost before the new machine has all data.
 func faultReplacement(r *faultRound) func(time.Duration) {
 	planned := r.random.IntN(2) == 0
 	if r.disksLeft == 0 || len(r.controls) == 0 {
@@ -508,7 +512,7 @@
 	r.disksLeft--
 	return func(down time.Duration) {
 		r.count(func(c *deploymentCounts) { c.replaced++ })
-		r.logf("%s comes for %s, planned %v", r.settings[spare].NodeName, r.settings[old[0]].NodeName, planned)
+		r.logf("%s replaces %s, planned %v", r.settings[spare].NodeName, r.settings[old[0]].NodeName, planned)
 		if !planned {
 			r.withProcessLock(func() { r.removeControl(old[0], r.wipeControl) })
 			time.Sleep(down)
@@ -524,7 +528,7 @@
 	}
 }
 
-// spare returns a control machine that hasn't been used yet; -1: none.
+// spare returns a spare control machine that hasn't been used yet; -1 if there is none.
 func (r *faultRound) spare() int {
 	first := len(r.settings) - spareControls
 	for i := first; i < len(r.settings); i++ {
@@ -536,7 +540,7 @@
 	return -1
 }
 
-// removeControl removes a control machine for good.
+// removeControl removes a control machine permanently.
 func (w *deployment) removeControl(i int, how func(i int)) {
 	w.lock.Lock()
 	w.removedControls[i] = true
@@ -563,10 +567,10 @@
 		}
 		w = newDeployment(t, seed, members, stores, tolerance)
 		defer w.close()
-		w.logf("%d control machines, %d stores, %d disks may be lost", members, stores, tolerance)
-		well := (&faultRound{deployment: w}).checkRecovery()
-		for number := 0; well && number < deploymentRounds; number++ {
-			well = w.newRound().run()
+		w.logf("%d control machines, %d stores, %d disks may be lost at once", members, stores, tolerance)
+		healthy := (&faultRound{deployment: w}).checkRecovery()
+		for number := 0; healthy && number < deploymentRounds; number++ {
+			healthy = w.newRound().run()
 		}
 		w.finalCheck()
 	})
@@ -574,8 +578,8 @@
 }
 
 // TestRandomDeployments runs simulations of control processes and stores with random faults. SEEDS=N runs N
-// simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more,
-// and more is found than with simulations side by side.
+// simulations, FIRST=S begins at seed S. With -parallel 1 the goroutines of one simulation interleave more, and more
+// bugs are found than with parallel simulations.
 func TestRandomDeployments(t *testing.T) {
 	first, simulations := seeds.Range(0, 12)
 	var lock sync.Mutex
@@ -600,16 +604,17 @@
 	}
 }
 
-// checkExercised fails if the simulations did nothing of a kind.
+// checkExercised fails if any kind of event didn't occur in the simulations.
 func checkExercised(t *testing.T, counts deploymentCounts) {
-	for what, count := range map[string]int{"accepted batch jobs": counts.accepted, "readings": counts.read,
-		"losses of all power": counts.powerLosses, "lost disks": counts.wipes, "confirmations": counts.confirmations, "versions": counts.versions,
+	for what, count := range map[string]int{"accepted batch jobs": counts.accepted, "reads": counts.read,
+		"power losses of all machines": counts.powerLosses, "lost disks": counts.wipes,
+		"confirmations": counts.confirmations, "versions": counts.versions,
 		"recoveries": counts.recoveries, "retirements": counts.retired, "replacements": counts.replaced} {
 		if count == 0 {
 			t.Errorf("the simulations had no %s", what)
 		}
 	}
 	if counts.views < 2*counts.recoveries/3 {
-		t.Errorf("%d changes of the store membership in %d rounds", counts.views, counts.recoveries)
+		t.Errorf("only %d changes of the store membership in %d recoveries", counts.views, counts.recoveries)
 	}
 }
--- a/internal/control/deployment_simulation_test.go
+++ b/internal/control/deployment_simulation_test.go
@@ -21,9 +21,9 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// Times of a deployment.
+// Timing of a simulated deployment.
 const (
-	// finalRecoveryTimeout is how long after the last fault the system may take to be healthy.
+	// finalRecoveryTimeout is the maximum time after the last fault until the system is healthy.
 	finalRecoveryTimeout = 20 * time.Second
 	// healthyBeforeNextRound is how long the system must have been healthy before the next disk may be lost.
 	healthyBeforeNextRound = 3 * time.Second
@@ -33,20 +33,20 @@
 	checkerPollInterval = 250 * time.Millisecond
 )
 
-// deployment is whole control processes and batch processes in one simulation, in virtual time, with clients,
-// an operator, and checks on what they send each other. Its faults follow from its seed; the order in which
-// goroutines run at one moment doesn't, so a seed that failed may need a few runs to fail again.
+// deployment is a simulation, in virtual time, of complete control processes and batch processes with clients and an
+// operator, with checks on the messages between them. The seed determines the faults, but not the order in which
+// goroutines run at one moment, so a seed that failed may need a few runs to fail again.
 type deployment struct {
 	*simulatedSystem
 	seed       uint64
-	random     *rand.Rand // of the faults
+	random     *rand.Rand // draws the faults
 	began      time.Time
 	tolerance  int
-	stopping   sync.WaitGroup // incarnations that are ending
+	stopping   sync.WaitGroup // process incarnations that are stopping
 	loops      sync.WaitGroup
 	usedSpares map[int]bool // spare control machines that have been started
-	// processLock, with a buffer of one, is held while processes are started or ended. A mutex would stop the
-	// bubble's time.
+	// processLock, with a buffer of one, is held while processes are started or stopped. It isn't a mutex, because
+	// virtual time stops while a goroutine of the bubble waits for a mutex.
 	processLock chan struct{}
 
 	lock                 sync.Mutex // guards the fields below
@@ -54,8 +54,8 @@
 	stores               []*deployedStore
 	removedControls      map[int]bool // control machines that were removed, or spares that haven't been started
 	jobs                 []*deployedJob
-	calm                 bool // no new batch jobs
-	bulk                 int  // number of large changes of the configuration that are yet to be sent
+	submissionsStopped   bool // no new batch jobs are submitted
+	bulk                 int  // number of large configuration changes still to be sent
 	acknowledgedVersions []acknowledgement
 	acknowledgedEpochs   []acknowledgement // epochs of the store membership
 	onAcknowledgement    func()            // called once at the next acknowledgement
@@ -64,7 +64,7 @@
 	counts               deploymentCounts
 }
 
-// deploymentCounts is what happened in a simulation.
+// deploymentCounts counts the events of a simulation.
 type deploymentCounts struct {
 	accepted, read, powerLosses, wipes, views, confirmations, versions, faults, recoveries, retired, replaced int
 }
@@ -83,17 +83,17 @@
 	c.replaced += other.replaced
 }
 
-// deployedJob is a batch job as its client knows it.
+// deployedJob is a batch job as known to its client.
 type deployedJob struct {
 	id       string
 	body     []byte
 	items    []job.Item
 	accepted bool
 	ending   bool
-	seen     map[int]string // results by position
+	seen     map[int]string // results read so far, by position
 }
 
-// newDeployment starts all processes and loads. It must be called in a synctest bubble.
+// newDeployment starts all processes, the checkers, the operator and the load. It must be called in a synctest bubble.
 func newDeployment(t *testing.T, seed uint64, members, stores, tolerance int) *deployment {
 	w := &deployment{seed: seed, random: rand.New(rand.NewPCG(seed, 21)), began: time.Now(), tolerance: tolerance,
 		removedControls: map[int]bool{}, usedSpares: map[int]bool{}, processLock: make(chan struct{}, 1)}
@@ -119,7 +119,7 @@
 	return w
 }
 
-// spareControls is the number of control machines that may replace others.
+// spareControls is the number of spare control machines, which may replace others.
 const spareControls = 2
 
 // addSpare adds a control machine whose process doesn't run yet.
@@ -137,7 +137,7 @@
 	w.removedControls[i] = true
 }
 
-// allStores returns all stores, including those that were removed.
+// allStores returns all stores, including removed ones.
 func (w *deployment) allStores() []*deployedStore {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -151,7 +151,7 @@
 	return slices.DeleteFunc(slices.Clone(w.stores), func(s *deployedStore) bool { return s.removed })
 }
 
-// presentControls returns the control processes that were not removed.
+// presentControls returns the indexes of the control processes that were not removed.
 func (w *deployment) presentControls() []int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -194,7 +194,7 @@
 }
 
 func (w *deployment) failf(format string, arguments ...any) {
-	w.logf("BROKEN: "+format, arguments...)
+	w.logf("VIOLATION: "+format, arguments...)
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
@@ -206,15 +206,15 @@
 	return w.over
 }
 
-// recordingReplica records which changes of the store membership were acknowledged, and when.
+// recordingReplica records when each change of the store membership was acknowledged.
 type recordingReplica struct {
 	Replica
 	deployment *deployment
 }
 
 // Propose implements Replica.
-func (a *recordingReplica) Propose(ctx context.Context, id string, order []byte) ([]byte, error) {
-	result, err := a.Replica.Propose(ctx, id, order)
+func (a *recordingReplica) Propose(ctx context.Context, id string, command []byte) ([]byte, error) {
+	result, err := a.Replica.Propose(ctx, id, command)
 	if err == nil && (strings.HasPrefix(id, "stores-") || strings.HasPrefix(id, "retire-")) {
 		a.deployment.recordAcknowledgedEpoch(a)
 	}
@@ -233,7 +233,7 @@
 	}
 }
 
-// runOnAcknowledgement runs what waits for an acknowledgement.
+// runOnAcknowledgement calls onAcknowledgement, if set, and clears it.
 func (w *deployment) runOnAcknowledgement() {
 	w.lock.Lock()
 	act := w.onAcknowledgement
@@ -244,14 +244,14 @@
 	}
 }
 
-// runningControls returns the control processes that run.
+// runningControls returns the running control processes.
 func (w *deployment) runningControls() []*Control {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.running), func(one *Control) bool { return one == nil })
 }
 
-// haltControls ends control processes at one moment.
+// haltControls stops control processes simultaneously; how stops a machine's network and disk.
 func (w *deployment) haltControls(members []int, how func(i int)) {
 	for _, i := range members {
 		how(i)
@@ -281,7 +281,7 @@
 	w.disks[i].LosePower()
 }
 
-// addFreshnessChecker starts to poll a control process over all its incarnations.
+// addFreshnessChecker starts a freshnessChecker, which polls a control process through all its incarnations.
 func (w *deployment) addFreshnessChecker(i int) {
 	process := protocol.Process{
 		Node:        fmt.Sprint("witness-", i),
@@ -299,11 +299,12 @@
 		Identity: transport.Identity{System: protocol.System, Node: process.Node, Role: process.Role},
 		Dial:     w.host(process.IP).Dial,
 	}
-	one.client = transport.NewClient(w.settings[i].Endpoint(node.PortControl), options, one.take, nil)
+	one.client = transport.NewClient(w.settings[i].Endpoint(node.PortControl), options, one.apply, nil)
 	w.loops.Go(one.run)
 }
 
-// freshnessChecker polls a control process and checks its answers against what was acknowledged.
+// freshnessChecker polls a control process and checks that the state it confirms includes everything acknowledged
+// before the time for which it confirms it.
 type freshnessChecker struct {
 	deployment  *deployment
 	controlNode string
@@ -333,13 +334,13 @@
 	if err != nil {
 		return
 	}
-	o.take(reply)
+	o.apply(reply)
 	if update := reply.(protocol.Update); update.Fresh {
 		o.check(sent.Add(-update.Age))
 	}
 }
 
-func (o *freshnessChecker) take(message any) {
+func (o *freshnessChecker) apply(message any) {
 	update, ok := message.(protocol.Update)
 	if !ok {
 		return
@@ -347,14 +348,14 @@
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	if update.Configuration != nil {
-		_, _ = o.state.ApplyUpdate(update.Configuration) // an update that can't be applied is asked for again
+		_, _ = o.state.ApplyUpdate(update.Configuration) // an update that can't be applied is requested again
 	}
 	if update.Members != nil {
 		o.epoch = update.Members.Stores.Epoch
 	}
 }
 
-// check checks the state here against what was acknowledged before a moment.
+// check checks that the received state includes all versions that were acknowledged by the given moment.
 func (o *freshnessChecker) check(moment time.Time) {
 	o.lock.Lock()
 	generation, epoch := o.state.Current().Generation, o.epoch
@@ -362,17 +363,19 @@
 	w := o.deployment
 	w.lock.Lock()
 	w.counts.confirmations++
-	version, set := newestBefore(w.acknowledgedVersions, moment), newestBefore(w.acknowledgedEpochs, moment)
+	acknowledgedVersion, acknowledgedEpoch := newestBefore(w.acknowledgedVersions, moment),
+		newestBefore(w.acknowledgedEpochs, moment)
 	w.lock.Unlock()
-	if generation < version {
-		w.failf("%s confirms version %d, %d was acknowledged", o.controlNode, generation, version)
+	if generation < acknowledgedVersion {
+		w.failf("%s confirms configuration generation %d, but %d was acknowledged",
+			o.controlNode, generation, acknowledgedVersion)
 	}
-	if epoch < set {
-		w.failf("%s confirms view %d, %d was acknowledged", o.controlNode, epoch, set)
+	if epoch < acknowledgedEpoch {
+		w.failf("%s confirms view %d, but %d was acknowledged", o.controlNode, epoch, acknowledgedEpoch)
 	}
 }
 
-// newestBefore returns the newest version that was acknowledged before a moment.
+// newestBefore returns the newest version that was acknowledged by the given moment.
 func newestBefore(list []acknowledgement, moment time.Time) uint64 {
 	newest := uint64(0)
 	for _, one := range list {
@@ -383,7 +386,7 @@
 	return newest
 }
 
-// operate sends one change of the configuration after the other.
+// operate sends configuration changes, one after another, until the simulation ends.
 func (w *deployment) operate() {
 	random := rand.New(rand.NewPCG(w.seed, 41))
 	for last := uint64(7); !w.isOver(); last++ {
@@ -412,22 +415,22 @@
 	}
 }
 
-// bulkBytes is the size of a change of which many come at once: a log is compacted after about ninety of
-// them.
+// bulkBytes is the size of one of many changes that are sent without a pause. The log is compacted after about ninety
+// of them.
 const bulkBytes = 12_000
 
-// load submits batch jobs, and reads some, all the time.
+// load continuously submits batch jobs and reads some of them, until the simulation ends.
 func (w *deployment) load() {
 	random := rand.New(rand.NewPCG(w.seed, 42))
 	for number := 1; !w.isOver(); number++ {
 		time.Sleep(50*time.Millisecond + time.Duration(random.Int64N(int64(600*time.Millisecond))))
 		w.lock.Lock()
-		calm, known := w.calm, slices.Clone(w.jobs)
+		stopped, known := w.submissionsStopped, slices.Clone(w.jobs)
 		w.lock.Unlock()
 		if len(known) > 0 {
 			w.loops.Go(func() { w.readJob(known[len(known)-1-len(known)/4]) })
 		}
-		if !calm {
+		if !stopped {
 			one := newDeployedJob(fmt.Sprint("job-", number), 1+random.IntN(4))
 			at, ends := random.IntN(len(w.allStores())), random.IntN(10) == 0
 			w.loops.Go(func() { w.submit(one, at, ends) })
@@ -435,7 +438,7 @@
 	}
 }
 
-// newDeployedJob returns a batch job of so many items.
+// newDeployedJob returns a batch job of count items.
 func newDeployedJob(id string, count int) *deployedJob {
 	type request struct {
 		ID   string `json:"id"`
@@ -457,7 +460,8 @@
 	return &deployedJob{id: id, body: body, items: items, seen: map[int]string{}}
 }
 
-// callStore sends a call to a store and follows it to the owner.
+// callStore sends a call to a store and follows redirections to the owner. The answer is empty if the store is down or
+// after four attempts.
 func (w *deployment) callStore(at int, call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
 	for range 4 {
 		w.lock.Lock()
@@ -476,7 +480,8 @@
 	return protocol.BatchAnswer{}
 }
 
-// submit submits a batch job, with up to four attempts.
+// submit submits a batch job, with up to four attempts. If ends is set, it ends an accepted batch job after two
+// seconds.
 func (w *deployment) submit(one *deployedJob, at int, ends bool) {
 	call := protocol.BatchCall{
 		Operation: protocol.BatchSubmit,
@@ -508,7 +513,7 @@
 	w.callStore(at, protocol.BatchCall{Operation: protocol.BatchEnd, BatchJob: one.id, Tenant: "t"}, nil)
 }
 
-// resultPage is the body of a read of results.
+// resultPage is the body of the answer to a read of results.
 type resultPage struct {
 	Total   int `json:"total"`
 	Results []struct {
@@ -517,9 +522,10 @@
 	} `json:"results"`
 }
 
-// readJob reads a batch job at some store and returns what is missing; empty: nothing.
+// readJob reads a batch job from the first store that answers with 200. It returns a description of what is missing,
+// or "" if the results are complete.
 func (w *deployment) readJob(one *deployedJob) string {
-	failure := "no store is up"
+	failure := "no store is running"
 	for at, s := range w.allStores() {
 		answer := w.callStore(at, protocol.BatchCall{Operation: protocol.BatchRead, BatchJob: one.id, Tenant: "t"}, nil)
 		if answer.Status == 200 {
@@ -529,7 +535,7 @@
 		ending, up := one.ending, s.process != nil
 		w.lock.Unlock()
 		if answer.Status == 404 && !ending {
-			w.failf("%s: %s answers 404 though it was accepted", one.id, s.node)
+			w.failf("%s: %s answers 404 though the batch job was accepted", one.id, s.node)
 		}
 		if up {
 			failure = fmt.Sprintf("%s answers %d", s.node, answer.Status)
@@ -538,7 +544,8 @@
 	return failure
 }
 
-// checkPage checks results against those that were read before.
+// checkPage checks results against those read before. It returns a description of what is missing, or "" if the
+// results are complete.
 func (w *deployment) checkPage(one *deployedJob, body []byte) string {
 	var page resultPage
 	if err := json.Unmarshal(body, &page); err != nil {
@@ -551,7 +558,7 @@
 	for position, result := range page.Results {
 		content := result.ID + " " + result.Text
 		if earlier, read := one.seen[position]; read && earlier != content {
-			changed = append(changed, fmt.Sprintf("position %d held %q, now %q", position, earlier, content))
+			changed = append(changed, fmt.Sprintf("the result at position %d changed from %q to %q", position, earlier, content))
 		}
 		one.seen[position] = content
 	}
@@ -565,33 +572,33 @@
 	return ""
 }
 
-// newestStoreView returns the newest store membership that a running control process has.
+// newestStoreView returns the newest store membership of all running control processes.
 func (w *deployment) newestStoreView() protocol.StoreView {
 	var newest protocol.StoreView
 	for _, one := range w.runningControls() {
-		if set := one.state.Stores(); set.Epoch > newest.Epoch {
-			newest = set
+		if view := one.state.Stores(); view.Epoch > newest.Epoch {
+			newest = view
 		}
 	}
 	return newest
 }
 
-// unhealthy returns what isn't as it should be. It is empty if all processes run, agree on the store
-// membership, and are reconciled in it.
+// unhealthy returns descriptions of what keeps the system from being healthy. It is healthy if all processes run and
+// agree on the store membership, and all stores are reconciled in it.
 func (w *deployment) unhealthy() []string {
 	var list []string
 	newest := w.newestStoreView()
 	for _, i := range w.presentControls() {
 		list = append(list, w.unhealthyControl(i, newest)...)
 	}
-	there := w.presentStores()
-	for _, s := range there {
+	present := w.presentStores()
+	for _, s := range present {
 		list = append(list, w.unhealthyStore(s, newest)...)
 	}
-	if len(newest.Members) != len(there) {
+	if len(newest.Members) != len(present) {
 		list = append(
 			list,
-			fmt.Sprintf("view %d has %d members of %d stores", newest.Epoch, len(newest.Members), len(there)),
+			fmt.Sprintf("view %d has %d members, want %d, the number of stores", newest.Epoch, len(newest.Members), len(present)),
 		)
 	}
 	return list
@@ -609,8 +616,9 @@
 	if _, fresh := one.staleness(); !fresh {
 		list = append(list, name+" doesn't confirm its state")
 	}
-	if set := one.state.Stores(); set.Epoch != newest.Epoch || !slices.Equal(set.Members, newest.Members) {
-		list = append(list, fmt.Sprintf("%s has view %d, the newest is %d", name, set.Epoch, newest.Epoch))
+	if view := one.state.Stores(); view.Epoch != newest.Epoch || !slices.Equal(view.Members, newest.Members) {
+		list = append(list, fmt.Sprintf("%s has view %d or other members than the newest view, %d",
+			name, view.Epoch, newest.Epoch))
 	}
 	return list
 }
@@ -628,16 +636,17 @@
 	at := slices.IndexFunc(newest.Members, func(one protocol.StoreMember) bool { return one.Process == incarnation.process })
 	switch {
 	case at < 0:
-		return []string{fmt.Sprintf("%s is no member of view %d", s.node, newest.Epoch)}
+		return []string{fmt.Sprintf("%s isn't a member of view %d", s.node, newest.Epoch)}
 	case newest.Members[at].State == protocol.StoreRetiring:
 		return []string{s.node + " isn't drained"}
 	case newest.Members[at].State == protocol.StoreRetired:
 		return nil
 	case view.Epoch != newest.Epoch || !slices.Equal(view.Members, newest.Members):
-		return []string{fmt.Sprintf("%s has view %d, the newest is %d", s.node, view.Epoch, newest.Epoch)}
+		return []string{fmt.Sprintf("%s has view %d or other members than the newest view, %d",
+			s.node, view.Epoch, newest.Epoch)}
 	case report.Settled != newest.Epoch:
 		return []string{
-			fmt.Sprintf("%s has settled in %d, the newest view is %d", s.node, report.Settled, newest.Epoch),
+			fmt.Sprintf("%s has reconciled in view %d, the newest view is %d", s.node, report.Settled, newest.Epoch),
 		}
 	case !allowed:
 		return []string{s.node + " has no lease"}
@@ -645,16 +654,16 @@
 	return nil
 }
 
-// awaitHealthy waits until everything has been healthy for a while. It returns what isn't if that takes too
-// long.
+// awaitHealthy waits until the system has been healthy for the duration steady. If that doesn't happen within the
+// given time, it returns the result of unhealthy.
 func (w *deployment) awaitHealthy(within, steady time.Duration) []string {
-	deadline, well := time.Now().Add(within), time.Now()
+	deadline, healthySince := time.Now().Add(within), time.Now()
 	for {
 		list := w.unhealthy()
 		switch {
 		case len(list) > 0:
-			well = time.Now()
-		case time.Since(well) >= steady:
+			healthySince = time.Now()
+		case time.Since(healthySince) >= steady:
 			return nil
 		}
 		if time.Now().After(deadline) {
@@ -664,15 +673,15 @@
 	}
 }
 
-// finalCheck checks the guarantees once the faults are over.
+// finalCheck checks, after the last fault, that the system recovers and that all accepted batch jobs can be read.
 func (w *deployment) finalCheck() {
-	w.logf("the troubles are over")
+	w.logf("the faults are over")
 	w.lock.Lock()
-	w.calm = true
+	w.submissionsStopped = true
 	w.lock.Unlock()
 	deadline := time.Now().Add(finalRecoveryTimeout)
 	for _, one := range w.awaitHealthy(finalRecoveryTimeout, 0) {
-		w.failf("%v after the last fault: %s", finalRecoveryTimeout, one)
+		w.failf("the system isn't healthy %v after the last fault: %s", finalRecoveryTimeout, one)
 	}
 	w.lock.Lock()
 	known := slices.Clone(w.jobs)
@@ -687,7 +696,8 @@
 	w.counts.views = int(newestBefore(w.acknowledgedEpochs, time.Now()))
 }
 
-// finalCheckJob reads a batch job until it is complete. One that its client has ended may have been dropped.
+// finalCheckJob reads a batch job until its results are complete. A batch job that its client has ended may have been
+// dropped.
 func (w *deployment) finalCheckJob(one *deployedJob, deadline time.Time) {
 	for {
 		failure := w.readJob(one)
@@ -698,14 +708,14 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			w.failf("%s was accepted and can't be read: %s", one.id, failure)
+			w.failf("%s was accepted but can't be read: %s", one.id, failure)
 			return
 		}
 		time.Sleep(healthCheckInterval)
 	}
 }
 
-// close ends the simulation.
+// close ends the simulation and stops all processes.
 func (w *deployment) close() {
 	w.lock.Lock()
 	w.over = true
@@ -718,7 +728,7 @@
 	w.finish()
 }
 
-// err returns the violations, with all events.
+// err returns an error with the violations and all events, or nil if there are no violations.
 func (w *deployment) err() error {
 	if len(w.violations) == 0 {
 		return nil
@@ -726,7 +736,8 @@
 	return fmt.Errorf("seed %d:\n%s\n%s", w.seed, strings.Join(w.violations, "\n"), strings.Join(w.events, "\n"))
 }
 
-// sendBulk waits until so many changes of the configuration are acknowledged.
+// sendBulk makes the operator send the given number of large configuration changes and waits until the last one is being
+// sent.
 func (w *deployment) sendBulk(changes int) {
 	w.lock.Lock()
 	w.bulk += changes
@@ -738,7 +749,7 @@
 	}
 }
 
-// losePowerOfAll cuts the power of all machines at one moment.
+// losePowerOfAll cuts the power of all machines simultaneously.
 func (w *deployment) losePowerOfAll() {
 	w.haltControls(w.presentControls(), w.losePowerOfControl)
 	for _, s := range w.presentStores() {
--- a/internal/control/deployment_store_test.go
+++ b/internal/control/deployment_store_test.go
@@ -26,37 +26,37 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// Constants of a store, as internal/batch/server has them.
+// Parameters of a simulated store, which correspond to those of internal/batch/server.
 const (
-	storeFrame       = 48 << 20
-	storeHeartbeat   = 500 * time.Millisecond
-	storeTick        = 80 * time.Millisecond
-	storeLeaseMargin = 100 * time.Millisecond
-	storeRelease     = 5 * time.Second
-	storeAnswer      = 4 * time.Second
-	storeSegment     = 8000 // bytes
-	storeKeep        = time.Hour
-	storeRun         = 150 * time.Millisecond // between two items that it runs
+	storeMaxFrame        = 48 << 20
+	storeHeartbeat       = 500 * time.Millisecond
+	storeTickInterval    = 80 * time.Millisecond
+	storeLeaseMargin     = 100 * time.Millisecond
+	storeReleaseInterval = 5 * time.Second
+	storeCallTimeout     = 4 * time.Second
+	storeSegmentSize     = 8000 // bytes
+	storeRetention       = time.Hour
+	storeRunInterval     = 150 * time.Millisecond // mean time between two rounds in which a store runs items
 )
 
-// deployedStore is a store machine over all incarnations of its process.
+// deployedStore is a store machine across all incarnations of its process.
 type deployedStore struct {
 	deployment       *deployment
 	number           int
 	node, ip         string
 	zone             string
 	disk             *bubble.Disk
-	host             *bubble.Host // of the last incarnation
+	host             *bubble.Host // host of the last incarnation
 	incarnation      int
 	starts           uint64
-	lastEpochActedIn uint64           // newest epoch that the present disk has acted in or has stored
-	process          *storeProcessRun // nil: the process doesn't run
-	removed          bool             // for good
+	lastEpochActedIn uint64           // newest epoch that the current disk has acted in or has stored
+	process          *storeProcessRun // nil if the process doesn't run
+	removed          bool             // permanently
 }
 
-// storeProcessRun is one incarnation of the process: the real state machine and log on a simulated disk, the
-// real subscription to control and the real connections to other stores, connected as internal/batch/server
-// does it.
+// storeProcessRun is one run of a store's process. It has the real state machine and write-ahead log on a simulated
+// disk, the real subscription to control and the real connections to other stores, connected in the same way as in
+// internal/batch/server.
 type storeProcessRun struct {
 	store        *deployedStore
 	process      protocol.Process
@@ -66,42 +66,42 @@
 	server       *transport.Server
 	options      transport.Options
 	subscription *subscription.Subscription
-	random       *rand.Rand // chooses the items that run
-	ended        context.Context
-	end          context.CancelFunc
-	wait         sync.WaitGroup
+	random       *rand.Rand // chooses the items to run
+	ctx          context.Context
+	cancel       context.CancelFunc
+	loops        sync.WaitGroup
 
 	mutex          sync.Mutex // guards the fields below
 	machine        *replica.StateMachine
 	waiting        map[replica.CallID]chan protocol.BatchAnswer
 	lastToken      replica.CallID
 	peers          map[string]*transport.Client // by IP
-	jobs           map[string]bool              // whose items it is to run
+	jobs           map[string]bool              // batch jobs whose items this store must run
 	runs           int
 	controlAddress string // address of the control process that was dialled last
-	written        uint64 // number of the last record that was queued
-	viewEpoch      uint64 // epoch of the newest view that was taken
-	viewRecord     uint64 // number of its record
+	written        uint64 // number of the last record that was appended to the log
+	viewEpoch      uint64 // epoch of the newest view that was installed
+	viewRecord     uint64 // number of that view's record, the last one appended when it was installed
 	closed         bool
 }
 
-// noConnections replaces the gateways' pool of connections, which a batch process doesn't have.
+// noConnections replaces the connection pool of a gateway, which a batch process doesn't have.
 type noConnections struct{}
 
 func (noConnections) Apply([]pool.Change) {}
 
-// start starts the process on what is on the disk.
+// start starts the process with the current contents of the disk.
 func (s *deployedStore) start() {
 	w := s.deployment
 	s.starts++
 	s.host = w.network.StartHost(s.ip)
-	ended, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	l := &storeProcessRun{
 		store:   s,
 		host:    s.host,
 		origin:  time.Now(),
-		ended:   ended,
-		end:     end,
+		ctx:     ctx,
+		cancel:  cancel,
 		random:  rand.New(rand.NewPCG(w.seed, uint64(s.number)<<32+s.starts)),
 		waiting: map[replica.CallID]chan protocol.BatchAnswer{},
 		peers:   map[string]*transport.Client{},
@@ -115,11 +115,11 @@
 		},
 	}
 	l.machine = replica.New(replica.Options{
-		Self: l.process, ProcessIncarnation: s.starts, ReplicationFactor: w.tolerance + 1, Retention: storeKeep,
+		Self: l.process, ProcessIncarnation: s.starts, ReplicationFactor: w.tolerance + 1, Retention: storeRetention,
 	}, l)
 	if err := l.open(); err != nil {
 		w.failf("%s doesn't start: %v", s.node, err)
-		end()
+		cancel()
 		return
 	}
 	w.lock.Lock()
@@ -137,7 +137,7 @@
 
 func (l *storeProcessRun) open() error {
 	var err error
-	l.wal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{SegmentSize: storeSegment}, l.machine.Replay, l.durable)
+	l.wal, err = wal.OpenFS(l.store.disk.Mount(), wal.Options{SegmentSize: storeSegmentSize}, l.machine.Replay, l.durable)
 	return err
 }
 
@@ -163,7 +163,7 @@
 			Address:     s.ip,
 			Incarnation: l.process.Incarnation,
 		},
-		MaxFrame:  storeFrame,
+		MaxFrame:  storeMaxFrame,
 		Heartbeat: storeHeartbeat,
 		Queue:     1024,
 		Dial:      l.host.Dial,
@@ -187,12 +187,12 @@
 		OnUpdate:  l.updated,
 		Log:       zerolog.Nop(),
 	})
-	l.wait.Go(func() { l.subscription.Run(l.ended) })
-	l.wait.Go(l.tick)
-	l.wait.Go(l.run)
+	l.loops.Go(func() { l.subscription.Run(l.ctx) })
+	l.loops.Go(l.tick)
+	l.loops.Go(l.run)
 }
 
-// halt ends the process at once; how ends its disk and connections.
+// halt stops the process at once; how stops its disk and connections.
 func (s *deployedStore) halt(how func()) {
 	w := s.deployment
 	w.lock.Lock()
@@ -206,12 +206,12 @@
 	}
 	how()
 	if l != nil {
-		l.end()
+		l.cancel()
 		w.stopping.Go(l.close)
 	}
 }
 
-// close waits until nothing of the process runs.
+// close closes the process's connections and log, and waits until its goroutines have ended.
 func (l *storeProcessRun) close() {
 	l.mutex.Lock()
 	peers := l.peers
@@ -223,11 +223,11 @@
 	if l.server != nil {
 		l.server.Close()
 	}
-	l.wait.Wait()
+	l.loops.Wait()
 	l.wal.Close()
 }
 
-// kill ends the process; what it wrote is kept.
+// kill kills the process. The disk keeps all writes.
 func (s *deployedStore) kill() {
 	s.halt(func() {
 		s.host.Kill()
@@ -235,7 +235,7 @@
 	})
 }
 
-// losePower ends the process and loses what was not synced.
+// losePower stops the process. The disk may lose writes that were not synced.
 func (s *deployedStore) losePower() {
 	s.halt(func() {
 		s.host.LosePower()
@@ -243,7 +243,7 @@
 	})
 }
 
-// wipe ends the process and empties its disk.
+// wipe stops the process and empties its disk.
 func (s *deployedStore) wipe() {
 	s.halt(func() {
 		s.host.LosePower()
@@ -256,12 +256,12 @@
 	s.deployment.counts.wipes++
 }
 
-// durable is called when the log has synced records.
+// durable is called when the log has synced all records up to sequence, or has failed.
 func (l *storeProcessRun) durable(sequence uint64, err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed || err != nil {
-		return // the disk was lost or detached
+		return // the process was halted, or its disk was lost or detached
 	}
 	l.machine.Synced(sequence)
 	if l.viewEpoch > 0 && sequence >= l.viewRecord {
@@ -269,7 +269,7 @@
 	}
 }
 
-// markEpoch records the newest epoch that the disk has acted in, with the lock held.
+// markEpoch records an epoch in which the disk has acted or which it has stored. It is called with the mutex held.
 func (l *storeProcessRun) markEpoch(epoch uint64) {
 	w := l.store.deployment
 	w.lock.Lock()
@@ -284,7 +284,7 @@
 	return l.host.Dial(ctx, address)
 }
 
-// updated processes what control has sent.
+// updated processes an update from control: it installs the store membership.
 func (l *storeProcessRun) updated() {
 	members := l.subscription.Members()
 	if members == nil {
@@ -302,7 +302,8 @@
 	}
 }
 
-// checkView checks a view that was taken against what this store did before.
+// checkView checks that an installed view isn't older than an epoch in which this store has acted. It closes the
+// connections to stores that aren't members.
 func (l *storeProcessRun) checkView(before uint64, view protocol.StoreView) {
 	w, s := l.store.deployment, l.store
 	l.viewEpoch, l.viewRecord = view.Epoch, l.written
@@ -310,7 +311,7 @@
 	acted := s.lastEpochActedIn
 	w.lock.Unlock()
 	w.logf(
-		"%s takes view %d of %d members from %s (before %d, its disk %d)",
+		"%s installs view %d of %d members from %s (previous view %d, newest epoch acted in %d)",
 		s.node,
 		view.Epoch,
 		len(view.Members),
@@ -320,7 +321,7 @@
 	)
 	if view.Epoch < acted {
 		w.failf(
-			"%s works in view %d, sent by %s, though it has acted in %d",
+			"%s installed view %d, sent by %s, though it has acted in epoch %d",
 			s.node,
 			view.Epoch,
 			l.controlAddress,
@@ -353,21 +354,21 @@
 
 func (l *storeProcessRun) tick() {
 	released := time.Now()
-	for l.ended.Err() == nil {
-		time.Sleep(storeTick)
+	for l.ctx.Err() == nil {
+		time.Sleep(storeTickInterval)
 		l.mutex.Lock()
 		if !l.closed {
 			l.machine.Tick()
 		}
 		l.mutex.Unlock()
-		if time.Since(released) > storeRelease {
+		if time.Since(released) > storeReleaseInterval {
 			released = time.Now()
 			l.release()
 		}
 	}
 }
 
-// release removes segments of the log that are no longer needed.
+// release removes log segments that are no longer needed.
 func (l *storeProcessRun) release() {
 	oldest, current := l.wal.SegmentRange()
 	l.mutex.Lock()
@@ -380,10 +381,10 @@
 	}
 }
 
-// run runs the items of batch jobs that the store owns, one after the other.
+// run repeatedly runs one item of each batch job that the store must run.
 func (l *storeProcessRun) run() {
-	for l.ended.Err() == nil {
-		time.Sleep(storeRun/2 + time.Duration(l.random.Int64N(int64(storeRun))))
+	for l.ctx.Err() == nil {
+		time.Sleep(storeRunInterval/2 + time.Duration(l.random.Int64N(int64(storeRunInterval))))
 		l.mutex.Lock()
 		for id := range l.jobs {
 			l.runItem(id)
@@ -413,13 +414,13 @@
 	l.machine.Finish(id, index, job.Completed, []byte(text))
 }
 
-var errStoreMessage = errors.New("a message of an unknown kind")
+var errNotBatchProcess = errors.New("the sender of the message isn't a batch process")
 
-// handle processes other stores' messages.
+// handle processes messages of other stores.
 func (l *storeProcessRun) handle(_ context.Context, session *transport.Session, message any) (any, error) {
 	remote := session.Remote()
 	if remote.Role != protocol.RoleBatch {
-		return nil, errStoreMessage
+		return nil, errNotBatchProcess
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -430,9 +431,10 @@
 	return nil, nil
 }
 
-// call answers a client's call. Status 0: the process ended, or the call timed out.
+// call answers a client's call. The answer has status 0 if the process was halted, the call timed out or the
+// store may no longer act.
 func (l *storeProcessRun) call(call protocol.BatchCall, items []job.Item) protocol.BatchAnswer {
-	ctx, cancel := context.WithTimeout(l.ended, storeAnswer)
+	ctx, cancel := context.WithTimeout(l.ctx, storeCallTimeout)
 	defer cancel()
 	answered := make(chan protocol.BatchAnswer, 1)
 	l.mutex.Lock()
@@ -457,18 +459,19 @@
 	return protocol.BatchAnswer{}
 }
 
-// withLease lets an answer out only while the store may still act.
+// withLease returns an answer only if it needs no lease or the store may still act, otherwise an empty answer. Answers
+// with status 503 or 504 and redirections need no lease.
 func (l *storeProcessRun) withLease(answer protocol.BatchAnswer) protocol.BatchAnswer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	promise := answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
-	if l.closed || !promise && !l.machine.MayAct() {
+	needsNoLease := answer.Status == 503 || answer.Status == 504 || answer.Owner != ""
+	if l.closed || !needsNoLease && !l.machine.MayAct() {
 		return protocol.BatchAnswer{}
 	}
 	return answer
 }
 
-// The machine's environment. All of it is called with the mutex held.
+// The following methods implement replica.Environment. They are called with the mutex held.
 
 // Now implements replica.Environment.
 func (l *storeProcessRun) Now() time.Duration { return time.Since(l.origin) }
@@ -504,7 +507,7 @@
 		)
 		l.peers[to.IP] = peer
 	}
-	_ = peer.Send(message) // replication sends again what matters
+	_ = peer.Send(message) // replication resends messages that were lost
 }
 
 // Answer implements replica.Environment.
--- a/internal/control/eviction_test.go
+++ b/internal/control/eviction_test.go
@@ -8,10 +8,10 @@
 	"sprucelane.example/sprucelane/internal/control/liveness"
 )
 
-// TestEviction checks when a batch process that stops polling is evicted: after its lease has ended, and soon
-// after that.
+// TestEviction checks that a batch process that stops polling is evicted after its lease has ended, and within
+// maxEvictionTime.
 func TestEviction(t *testing.T) {
-	const within = 2900 * time.Millisecond
+	const maxEvictionTime = 2900 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulatedSystem(t, 5, injectedBug{})
 		store := s.startPoller(t, 1, storeProcess(1, "a"))
@@ -24,11 +24,11 @@
 			time.Sleep(5 * time.Second)
 			store.paused.Store(true)
 			began := time.Now()
-			eventually(t, "an eviction", func() bool { return len(s.running[0].state.Stores().Members) == 1 })
+			eventually(t, "the eviction", func() bool { return len(s.running[0].state.Stores().Members) == 1 })
 			took := time.Since(began)
 			t.Log("evicted after", took)
-			if took < liveness.StoreLease || took > within {
-				t.Errorf("evicted after %v", took)
+			if took < liveness.StoreLease || took > maxEvictionTime {
+				t.Errorf("evicted after %v, before its lease ended or too late", took)
 			}
 			store.mutex.Lock()
 			store.grant.Lease = 0
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -31,7 +31,7 @@
 	servers string
 }
 
-// newFakePlatform serves a list of two servers.
+// newFakePlatform starts a platform whose list has two servers.
 func newFakePlatform(t *testing.T) *fakePlatform {
 	p := &fakePlatform{}
 	p.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -53,7 +53,7 @@
 	p.servers = servers
 }
 
-// system is a few control processes on loopback addresses of their own.
+// system is a few control processes, each with its own loopback address.
 type system struct {
 	settings []*node.Settings
 	running  []*Control
@@ -61,7 +61,7 @@
 	dialFrom func(ip string) func(ctx context.Context, address string) (net.Conn, error) // nil: TCP
 }
 
-// networks counts the systems of one test run, which have addresses 127.7.N.x.
+// networks counts the systems of one test run. System N has the addresses 127.7.N.x.
 var networks atomic.Int32
 
 // newSystem starts three control processes.
@@ -110,7 +110,7 @@
 	return s
 }
 
-// freePorts returns the first of a range of ports that are probably free.
+// freePorts returns the first port of a range that is probably free.
 func freePorts(t *testing.T) int {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,13 +134,13 @@
 	s.running[i] = nil
 }
 
-// eventually waits for a condition and fails the test if it isn't met in time.
+// eventually waits for a condition and fails the test if it isn't met within 15 s.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time: " + what)
+			t.Fatal("not met within 15 s: " + what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -160,12 +160,12 @@
 	return response.StatusCode, string(answer)
 }
 
-// simulatedPoller is a gateway or batch process that polls one control process.
+// simulatedPoller is a gateway or batch process that polls one control process, and keeps what it was sent last.
 type simulatedPoller struct {
 	mutex         sync.Mutex
 	configuration *configuration.State
 	servers       *protocol.ServerList
-	deltas        int // server lists that were received as deltas
+	deltas        int // number of server lists that were received as deltas
 	members       *protocol.MemberList
 	grant         protocol.StoreGrant
 	report        protocol.BatchReport
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -11,9 +11,9 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after the
-// partition began the process may still confirm its state: its last proof is good for maxStaleness, and an
-// answer may be on its way.
+// partitionLength is how long a control machine is partitioned. stalenessElapsed is how long after the start of the
+// partition the process may still confirm its state: its last proof of freshness is valid for maxStaleness, and an
+// answer may still be in transit.
 const (
 	partitionLength  = 20 * time.Second
 	stalenessElapsed = maxStaleness + 50*time.Millisecond
@@ -21,7 +21,7 @@
 
 const quotaDocument = `{"generation":7,"routes":[{"name":"r","hostname":"h","path-prefix":"/","timeout-ms":5,"backend":"b"}],"backends":[{"name":"b"}],"tenants":[{"name":"t","api-keys":["k"],"rate-per-s":10,"burst":10}]}`
 
-// partitionCase says which machine is partitioned, and in which directions.
+// partitionCase states whether the head or another machine is partitioned, and in which directions.
 type partitionCase struct {
 	head, out, in bool
 }
@@ -34,7 +34,7 @@
 type partitionTest struct {
 	*simulatedSystem
 	victim, other int
-	gateway       *simulatedPoller // that polls the victim all the time
+	gateway       *simulatedPoller // polls the victim all the time
 	stores        []*simulatedPoller
 	violations    []string
 }
@@ -62,7 +62,8 @@
 	}
 }
 
-// newPartitionTest starts a system with a configuration, a gateway and four stores, all served.
+// newPartitionTest starts a system with a configuration, a gateway and four stores, and waits until the gateway is
+// served and all stores have leases.
 func newPartitionTest(t *testing.T, one partitionCase, bug injectedBug) *partitionTest {
 	s := &partitionTest{simulatedSystem: newSimulatedSystem(t, 1, bug)}
 	if status := s.put(t, "PUT", "0", quotaDocument); status != 200 {
@@ -87,28 +88,28 @@
 			return store.grant.Member && store.grant.Lease > 0
 		}))
 	}
-	eventually(t, "that the gateway is served", s.gateway.locked(func() bool {
+	eventually(t, "the gateway to be served", s.gateway.locked(func() bool {
 		return s.gateway.fresh && s.gateway.configuration.Current().Generation == 7 && s.gateway.servers != nil
 	}))
 	return s
 }
 
-// checkAnswersNothing checks everything that the partitioned process could answer from its state.
+// checkAnswersNothing checks that the partitioned process answers nothing from its state, which may be outdated.
 func (s *partitionTest) checkAnswersNothing(sequence uint64) {
 	for _, call := range []struct{ method, path, ifMatch, body string }{
 		{"GET", "/config", "", ""},
-		{"PUT", "/config", "0", quotaDocument}, // accepted before
-		{"PUT", "/config", "7", quotaDocument}, // its generation doesn't rise here
+		{"PUT", "/config", "0", quotaDocument}, // was accepted before the partition
+		{"PUT", "/config", "7", quotaDocument}, // generation not higher than in this process's state
 		{"PATCH", "/config", "7", `{"generation":8}`},
-		{"PATCH", "/config", "3", `{"generation":8}`}, // stale here
+		{"PATCH", "/config", "3", `{"generation":8}`}, // outdated by this process's state
 		{"PATCH", "/config", "7", `{"generation":8`},
-		{"POST", "/retire/store-9", "", `{"deadline-s":10}`}, // unknown here
+		{"POST", "/retire/store-9", "", `{"deadline-s":10}`}, // unknown in this process's state
 		{"GET", "/retire/store-1", "", ""},
 	} {
 		status, body := s.call(s.victim, call.method, call.path, call.ifMatch, call.body)
 		if status != 503 && status != 504 {
 			s.failf(
-				"%s %s If-Match %s at the partitioned process: %d %s",
+				"%s %s If-Match %s at the partitioned process: got status %d %s, want 503 or 504",
 				call.method,
 				call.path,
 				call.ifMatch,
@@ -135,22 +136,22 @@
 	}
 }
 
-// reportDrained makes a batch process report that it stores nothing that others need, in the epoch that it
-// knows.
+// reportDrained makes a batch process report, in the epoch that it knows, that it stores nothing that other stores
+// need.
 func (s *partitionTest) reportDrained(store *simulatedPoller) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.report = protocol.BatchReport{Epoch: store.grant.Epoch, Settled: store.grant.Epoch, DrainedDown: true}
 }
 
-// run partitions the victim while the others go on, and checks what it answers meanwhile and what it does
-// afterwards.
+// run partitions the victim while the others continue, and checks what it answers during the partition and what it
+// does afterwards.
 func (s *partitionTest) run(one partitionCase) {
 	t := s.t
 	s.partition(s.victim, one.out, one.in)
 	partitionedAt := time.Now()
 	time.Sleep(stalenessElapsed)
-	beginner := s.startPoller(t, s.victim, gatewayProcess(2))
+	newGateway := s.startPoller(t, s.victim, gatewayProcess(2))
 	s.startPoller(t, s.victim, storeProcess(4, "a")) // a new batch process
 	s.reportDrained(s.stores[3])
 	status := 0
@@ -167,21 +168,21 @@
 		s.checkAnswersNothing(sequence)
 		time.Sleep(200 * time.Millisecond)
 	}
-	if generation := beginner.configuration.Current().Generation; generation != 0 {
+	if generation := newGateway.configuration.Current().Generation; generation != 0 {
 		s.failf("a gateway that begins got version %d", generation)
 	}
 	members := s.running[s.other].state.Stores()
 	time.Sleep(time.Until(partitionedAt.Add(partitionLength)))
 	s.heal(s.victim)
-	s.checkRecovery(beginner, members)
+	s.checkRecovery(newGateway, members)
 }
 
-// checkRecovery checks that the process catches up with the others after the partition, and changes nothing
-// by the state that it had.
-func (s *partitionTest) checkRecovery(beginner *simulatedPoller, members protocol.StoreView) {
+// checkRecovery checks that the process catches up with the others after the partition, and makes no changes based on
+// the state that it had during the partition.
+func (s *partitionTest) checkRecovery(newGateway *simulatedPoller, members protocol.StoreView) {
 	t := s.t
 	eventually(t, "the newest configuration at the gateways", func() bool {
-		for _, gateway := range []*simulatedPoller{s.gateway, beginner} {
+		for _, gateway := range []*simulatedPoller{s.gateway, newGateway} {
 			current := gateway.locked(func() bool {
 				return gateway.fresh && gateway.configuration.Current().Generation == 9
 			})
@@ -193,10 +194,10 @@
 	})
 	status, body := s.call(s.victim, "GET", "/config", "", "")
 	if status != 200 || !strings.Contains(body, `"generation":9`) {
-		s.failf("the newest version isn't returned: %d %s", status, body)
+		s.failf("got status %d %s from the recovered process, want the configuration of generation 9", status, body)
 	}
 	if status, body := s.call(s.victim, "PUT", "/config", "0", quotaDocument); status != 200 {
-		s.failf("a change that was accepted is rejected: %d %s", status, body)
+		s.failf("a repeated change that was accepted before was rejected: %d %s", status, body)
 	}
 	time.Sleep(5 * time.Second)
 	now := s.running[s.victim].state.Stores()
@@ -206,15 +207,16 @@
 			found = found || other == member
 		}
 		if !found {
-			s.failf("%s is no longer a member, or in another state: %v", member.Node, now)
+			s.failf("%s is no longer a member, or has a different state, in %v", member.Node, now)
 		}
 	}
 	if len(now.Members) != 5 {
-		s.failf("a process that polls at the recovered one is no member: %v", now)
+		s.failf("a batch process that polls the recovered process isn't a member of %v", now)
 	}
 	status, body = s.call(s.other, "GET", "/retire/store-3", "", "")
 	if status != 200 || !strings.Contains(body, "active") {
-		s.failf("a retirement counts as completed by what was reported during the partition: %d %s", status, body)
+		s.failf("the retirement was completed based on a report made during the partition: got status %d %s, want active",
+			status, body)
 	}
 }
 
@@ -226,7 +228,7 @@
 	return s.violations
 }
 
-// TestPartition partitions one control machine for twenty seconds. It must answer nothing that may be
+// TestPartition partitions one control machine for twenty seconds. Its process must not answer from state that may be
 // outdated.
 func TestPartition(t *testing.T) {
 	for _, one := range []partitionCase{
@@ -245,9 +247,9 @@
 
 // Replicas with an injected bug.
 type (
-	alwaysFreshReplica   struct{ Replica } // takes its state to be fresh
-	alwaysLeadingReplica struct{ Replica } // continues as the head that it was
-	unprovenReadReplica  struct{ Replica } // reads the local state without proof
+	alwaysFreshReplica   struct{ Replica } // always considers its state fresh
+	alwaysLeadingReplica struct{ Replica } // continues to act as head with the view in which it was the head
+	unprovenReadReplica  struct{ Replica } // reads the local state without proof of freshness
 )
 
 func (alwaysFreshReplica) Staleness() (time.Duration, bool) { return 0, true }
@@ -268,7 +270,7 @@
 func TestPartitionFindsInjectedBugs(t *testing.T) {
 	for name, test := range map[string]struct {
 		wrapReplica func(Replica) Replica
-		violation   string // a part of the one that must be found
+		violation   string // substring of the violation that must be found
 	}{
 		"it confirms outdated state":          {func(r Replica) Replica { return alwaysFreshReplica{r} }, "confirms its state"},
 		"it pushes outdated state":            {func(r Replica) Replica { return alwaysFreshReplica{r} }, "a gateway that begins got version 7"},
@@ -285,7 +287,7 @@
 				bug := injectedBug{wrapReplica: test.wrapReplica}
 				violations := strings.Join(runPartition(t, partitionCase{head: true, out: true, in: true}, bug), "\n")
 				if !strings.Contains(violations, test.violation) {
-					t.Errorf("not found; the violations are %q", violations)
+					t.Errorf("got violations %q, want one that contains the expected text", violations)
 				}
 			})
 		})
--- a/internal/control/pause_test.go
+++ b/internal/control/pause_test.go
@@ -9,14 +9,14 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// simulatePause makes a process find that it was paused until now.
+// simulatePause makes the process detect a pause of the given length that ends now.
 func (c *Control) simulatePause(span time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.pauses.lastRanAt -= span
 }
 
-// anySession returns a session of the connections of other processes; nil if there is none.
+// anySession returns one of the sessions of other processes; nil if there is none.
 func anySession[V any](c *Control, sessions map[*transport.Session]V) *transport.Session {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// awaitSession waits for a session of the connections of other processes: those that a process pause ends are
-// opened again a little later.
+// awaitSession waits until another process has a session and returns it. Sessions that a process pause closed are
+// reopened shortly afterwards.
 func awaitSession[V any](t *testing.T, c *Control, sessions map[*transport.Session]V) *transport.Session {
 	t.Helper()
 	var session *transport.Session
@@ -45,8 +45,8 @@
 	return known
 }
 
-// TestProcessPause checks that messages which were in the sockets of a paused process are not processed, and
-// that those over new connections are.
+// TestProcessPause checks that messages that were in the sockets of a paused process are not processed after a pause
+// longer than maxPause, and that messages over new connections are.
 func TestProcessPause(t *testing.T) {
 	for _, span := range []time.Duration{maxPause / 2, 20 * time.Second} {
 		t.Run(span.String(), func(t *testing.T) {
@@ -62,20 +62,20 @@
 				c.simulatePause(span)
 				c.handlePoll(subscriber, protocol.Poll{Process: storeProcess(2, "old")})
 				if c.knows(storeProcess(2, "old")) != short {
-					t.Errorf("after %v, a poll from before was processed: %t", span, !short)
+					t.Errorf("after a pause of %v, a poll over an earlier connection was processed: %t", span, !short)
 				}
-				synctest.Wait() // the sessions that the pause ended are removed
+				synctest.Wait() // until the sessions that were closed after the pause are removed
 				reporter := awaitSession(t, c, c.peerSessions)
 				c.simulatePause(span)
 				report := &peerReport{Presence: true, Batch: []peerBatch{{Process: storeProcess(3, "old")}}}
 				c.handleReport(reporter, report)
 				if c.knows(storeProcess(3, "old")) != short {
-					t.Errorf("after %v, a report from before was processed: %t", span, !short)
+					t.Errorf("after a pause of %v, a report over an earlier connection was processed: %t", span, !short)
 				}
 				time.Sleep(time.Second)
 				c.handleReport(awaitSession(t, c, c.peerSessions), report)
 				if !c.knows(storeProcess(3, "old")) {
-					t.Error("a report over a new connection isn't processed")
+					t.Error("a report over a new connection was not processed")
 				}
 				eventually(t, "a lease again", store.locked(func() bool { return store.grant.Lease > 0 }))
 				s.finish()
--- a/internal/control/peers_test.go
+++ b/internal/control/peers_test.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// TestPollersDelta reports random sets of gateways over a connection that ends now and then, noticed by
-// either side first. After each report the receiver must have the sender's set.
+// TestPollersDelta reports random sets of gateways over a connection that is occasionally replaced, which the two
+// sides may notice at different times. After each report the receiver must have the sender's set.
 func TestPollersDelta(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		receiver := &Control{liveness: liveness.New()}
@@ -20,11 +20,11 @@
 		known := &peerSession{gateways: map[string]protocol.Process{}}
 		for range 30 {
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
-			case 0: // the sender sees a new connection, whatever it has sent over it already
+			case 0: // the sender notices a new connection, possibly after it has sent reports over it
 				sender.sentAll = false
 				clear(sender.gateways)
 				continue
-			case 1: // a new connection at both
+			case 1: // both sides notice a new connection
 				sender.sentAll = false
 				clear(sender.gateways)
 				known = &peerSession{gateways: map[string]protocol.Process{}}
@@ -43,7 +43,7 @@
 			sender.markSent(&report)
 			receiver.mergePollers(known, &report, 0)
 			if !maps.Equal(known.gateways, gateways) {
-				t.Fatalf("the receiver has %v, not %v", known.gateways, gateways)
+				t.Fatalf("the receiver has gateways %v, want %v", known.gateways, gateways)
 			}
 		}
 	})
--- a/internal/control/reconciledwindow_test.go
+++ b/internal/control/reconciledwindow_test.go
@@ -14,41 +14,41 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// Times of the measurement.
+// Parameters of the measurement.
 const (
-	windowChanges = 12 // of the membership, for each number of stores
-	// maxReplicationTime is the longest time after a change of the view in which a store of the measurement reconciles.
+	windowChanges = 12 // times that a store leaves and rejoins, for each number of stores
+	// maxReplicationTime is the longest time that a simulated store takes to reconcile after a change of the view.
 	maxReplicationTime = 300 * time.Millisecond
-	// maxReconciledWindow bounds the time from the moment at which the last store has reconciled to the one at which the
-	// membership is recorded as reconciled.
+	// maxReconciledWindow bounds the time from the reconciliation of the last store to the moment when the membership is
+	// recorded as reconciled.
 	maxReconciledWindow = 300 * time.Millisecond
 )
 
-// windowStore is a batch process without batch jobs, which polls as package subscription does: each PollInterval,
-// and at once when it has reconciled.
+// windowStore is a batch process without batch jobs. It polls as package subscription does: every PollInterval, and
+// at once when it has reconciled.
 type windowStore struct {
 	simulation *windowSimulation
 	process    protocol.Process
 	random     *rand.Rand
 	wake       chan struct{}
 	lock       sync.Mutex // guards the fields below
-	epoch      uint64     // of the view that it was granted
+	epoch      uint64     // epoch of the last grant
 	reconciled uint64
-	away       bool
+	paused     bool
 }
 
-// windowSimulation is control processes and stores of which one goes away and comes back.
+// windowSimulation simulates control processes and stores, of which one at a time pauses and resumes.
 type windowSimulation struct {
 	*simulatedSystem
 	lock           sync.Mutex // guards the fields below
-	lastReconciled time.Time  // when a store reconciled last
+	lastReconciled time.Time  // when the last store reconciled
 	over           bool
 }
 
-func (s *windowStore) isAway() bool {
+func (s *windowStore) isPaused() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.away
+	return s.paused
 }
 
 func (w *windowSimulation) isOver() bool {
@@ -57,10 +57,10 @@
 	return w.over
 }
 
-// run polls one control process as long as that confirms its state, then another.
+// run polls a control process as long as it confirms its state, then another one.
 func (s *windowStore) run() {
 	for !s.simulation.isOver() {
-		if s.isAway() {
+		if s.isPaused() {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
@@ -77,7 +77,7 @@
 	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, func(any) {}, nil)
 	defer client.Close()
 	confirmedAt := time.Now()
-	for sequence := uint64(1); time.Since(confirmedAt) < 700*time.Millisecond && !w.isOver() && !s.isAway(); sequence++ {
+	for sequence := uint64(1); time.Since(confirmedAt) < 700*time.Millisecond && !w.isOver() && !s.isPaused(); sequence++ {
 		sent := time.Now()
 		s.lock.Lock()
 		report := &protocol.BatchReport{Epoch: s.epoch, Settled: s.reconciled}
@@ -90,7 +90,7 @@
 			if update.Fresh {
 				confirmedAt = sent
 			}
-			s.takeGrant(update.Store)
+			s.applyGrant(update.Store)
 		}
 		select {
 		case <-s.wake:
@@ -99,8 +99,8 @@
 	}
 }
 
-// takeGrant enters the epoch of a grant, and reconciles in it some time later.
-func (s *windowStore) takeGrant(grant *protocol.StoreGrant) {
+// applyGrant enters the epoch of a grant, and reconciles in it within maxReplicationTime.
+func (s *windowStore) applyGrant(grant *protocol.StoreGrant) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if grant == nil || !grant.Member || grant.Epoch <= s.epoch {
@@ -110,7 +110,7 @@
 	epoch := grant.Epoch
 	time.AfterFunc(time.Duration(s.random.Int64N(int64(maxReplicationTime))), func() {
 		s.lock.Lock()
-		if s.epoch != epoch || s.away {
+		if s.epoch != epoch || s.paused {
 			s.lock.Unlock()
 			return
 		}
@@ -126,7 +126,8 @@
 	})
 }
 
-// awaitReconciled waits until the membership is recorded as reconciled with so many members, and returns when.
+// awaitReconciled waits until a membership with the given number of members is recorded as reconciled, and returns
+// the time of that.
 func (w *windowSimulation) awaitReconciled(t *testing.T, members int) time.Time {
 	for range 20_000 {
 		w.mutex.Lock()
@@ -139,11 +140,12 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the membership isn't reconciled")
+	t.Fatal("the membership was not recorded as reconciled")
 	return time.Time{}
 }
 
-// measureWindows returns the windows of some changes of a membership with so many stores.
+// measureWindows makes one store after the other leave and rejoin a membership of count stores, windowChanges times in
+// all, and returns the window of each leave and each rejoin.
 func measureWindows(t *testing.T, count int) (windows []time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &windowSimulation{simulatedSystem: newSimulatedSystem(t, uint64(count), injectedBug{})}
@@ -158,13 +160,13 @@
 		w.awaitReconciled(t, count)
 		for change := range windowChanges {
 			victim := stores[change%count]
-			victim.setAway(true)
+			victim.setPaused(true)
 			for _, members := range []int{count - 1, count} {
 				reconciledAt := w.awaitReconciled(t, members)
 				w.lock.Lock()
 				windows = append(windows, reconciledAt.Sub(w.lastReconciled))
 				w.lock.Unlock()
-				victim.setAway(false)
+				victim.setPaused(false)
 			}
 		}
 		w.lock.Lock()
@@ -176,14 +178,14 @@
 	return windows
 }
 
-func (s *windowStore) setAway(away bool) {
+func (s *windowStore) setPaused(paused bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.away = away
+	s.paused = paused
 }
 
-// TestReconciledWindow measures and bounds the time from the last store's reconciliation to the moment from which
-// the next loss of as many disks as are tolerated is borne.
+// TestReconciledWindow measures and bounds the time from the reconciliation of the last store to the moment when the
+// membership is recorded as reconciled. From then on the system tolerates the next loss of disks.
 func TestReconciledWindow(t *testing.T) {
 	for _, count := range []int{3, 14, 45} {
 		windows := measureWindows(t, count)
@@ -192,7 +194,7 @@
 		t.Logf("%d stores: %d changes, p50 %v, p99 %v, worst %v", count, len(windows), windows[len(windows)/2],
 			windows[len(windows)*99/100], worst)
 		if worst > maxReconciledWindow {
-			t.Errorf("%d stores: %v", count, worst)
+			t.Errorf("%d stores: the membership was recorded as reconciled %v after the last store, too late", count, worst)
 		}
 	}
 }
--- a/internal/control/servertable_test.go
+++ b/internal/control/servertable_test.go
@@ -13,8 +13,8 @@
 	"sprucelane.example/sprucelane/internal/serverlist"
 )
 
-// TestServerTable updates a table with random lists. Subscribers that are behind by any number of versions
-// must come to the same list.
+// TestServerTable updates a table with random lists. Subscribers that are any number of versions behind must arrive
+// at the same list.
 func TestServerTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table serverTable
@@ -29,25 +29,25 @@
 			version := table.version
 			changed := table.update(discovery.NewList(servers), time.Duration(step))
 			if changed != (table.version == version+1) {
-				t.Fatal("the version doesn't tell of a change")
+				t.Fatal("update reported a change without a new version, or the reverse")
 			}
-			one := rapid.IntRange(0, 5*len(followers)).Draw(t, "follower")
-			if one >= len(followers) {
+			follower := rapid.IntRange(0, 5*len(followers)).Draw(t, "follower")
+			if follower >= len(followers) {
 				continue
 			}
 			has := uint64(0)
-			if followers[one] != nil {
-				has = followers[one].Version
+			if followers[follower] != nil {
+				has = followers[follower].Version
 			}
-			next, err := serverlist.ApplyUpdate(followers[one], table.messageFrom("a", has, time.Duration(step)))
+			next, err := serverlist.ApplyUpdate(followers[follower], table.messageFrom("a", has, time.Duration(step)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if next.Version != table.version ||
 				len(next.Servers)+len(table.list.Servers) > 0 && !reflect.DeepEqual(next.Servers, table.list.Servers) {
-				t.Fatalf("the follower has %v, not %v", next, table.list)
+				t.Fatalf("the follower has list %v, want %v", next, table.list)
 			}
-			followers[one] = next
+			followers[follower] = next
 		}
 	})
 }
--- a/internal/control/services_simulation_test.go
+++ b/internal/control/services_simulation_test.go
@@ -19,29 +19,29 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
-// serviceSimulation is whole control processes with gateways, batch processes and an operator, in virtual
+// serviceSimulation simulates complete control processes with gateways, batch processes and an operator, in virtual
 // time and with random faults.
 type serviceSimulation struct {
 	*simulatedSystem
-	random *rand.Rand // of the faults
+	random *rand.Rand // draws the faults
 	began  time.Time
 	end    time.Duration
 
 	lock          sync.Mutex // guards the fields below
 	acknowledged  []acknowledgement
-	leases        map[protocol.Process]time.Time // when the lease of an incarnation ends
-	newest        map[string]string              // incarnation of each batch process
-	members       protocol.StoreView             // newest membership that was seen
+	leases        map[protocol.Process]time.Time // end of the lease of each incarnation
+	newest        map[string]string              // newest incarnation of each process, by node
+	members       protocol.StoreView             // newest store membership seen
 	partitioned   int                            // index of the partitioned control process; -1: none
 	partitionedAt time.Time
-	confirmations int // answers that confirmed the state
-	grants        int // of leases
-	changes       int // of the store membership
+	confirmations int // number of answers that confirmed the state
+	grants        int // number of leases granted
+	changes       int // number of changes of the store membership
 	violations    []string
 	events        []string
 }
 
-// acknowledgement is a version that was acknowledged at a moment.
+// acknowledgement is a version with the time of its acknowledgement.
 type acknowledgement struct {
 	version uint64
 	at      time.Time
@@ -66,13 +66,13 @@
 	w.events = append(w.events, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, arguments...))
 }
 
-// failf records a violation, with the lock held.
+// failf records a violation. It is called with the lock held.
 func (w *serviceSimulation) failf(format string, arguments ...any) {
-	w.logf("BROKEN: "+format, arguments...)
+	w.logf("VIOLATION: "+format, arguments...)
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
-// operate sends one change after the other.
+// operate sends configuration changes, one after another, until the simulation ends.
 func (w *serviceSimulation) operate(random *rand.Rand) {
 	last := uint64(7)
 	for !w.isOver() {
@@ -96,7 +96,7 @@
 	}
 }
 
-// acknowledgedBefore returns the newest version that was acknowledged before a moment.
+// acknowledgedBefore returns the newest version that was acknowledged by the given moment.
 func (w *serviceSimulation) acknowledgedBefore(moment time.Time) uint64 {
 	newest := uint64(0)
 	for _, one := range w.acknowledged {
@@ -107,8 +107,8 @@
 	return newest
 }
 
-// simulatedSubscriber is a gateway or batch process that polls one control process, and turns to another when
-// that no longer confirms its state.
+// simulatedSubscriber is a gateway or batch process that polls one control process, and switches to another one when
+// that process no longer confirms its state.
 type simulatedSubscriber struct {
 	simulation *serviceSimulation
 	random     *rand.Rand
@@ -118,7 +118,7 @@
 	starts     int
 }
 
-// run polls over several incarnations.
+// run polls in several incarnations, one after another, until the simulation ends.
 func (r *simulatedSubscriber) run() {
 	for !r.simulation.isOver() {
 		r.restart()
@@ -130,8 +130,8 @@
 	}
 }
 
-// restart begins an incarnation: a gateway then knows nothing, and half of the batch processes have lost
-// their disks.
+// restart starts the process with an empty state. A gateway, and any process at its first start, begins a new
+// incarnation. A restarted batch process does so with probability 1/2, as after the loss of its disk.
 func (r *simulatedSubscriber) restart() {
 	r.starts++
 	r.lock.Lock()
@@ -145,14 +145,14 @@
 	r.simulation.newest[r.process.Node] = r.process.Incarnation
 }
 
-// subscribe polls a control process until it no longer confirms its state.
+// subscribe polls a control process until it has not confirmed its state for 700 ms, at most until the time till.
 func (r *simulatedSubscriber) subscribe(at int, till time.Time) {
 	w := r.simulation
 	options := transport.Options{
 		Identity: transport.Identity{System: protocol.System, Node: r.process.Node, Role: r.process.Role},
 		Dial:     w.host(r.process.IP).Dial,
 	}
-	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.take, nil)
+	client := transport.NewClient(w.settings[at].Endpoint(node.PortControl), options, r.apply, nil)
 	defer client.Close()
 	confirmedAt := time.Now()
 	for sequence := uint64(1); time.Since(confirmedAt) < 700*time.Millisecond && time.Now().Before(till) && !w.isOver(); sequence++ {
@@ -161,7 +161,7 @@
 		reply, err := client.Call(ctx, r.nextPoll(sequence))
 		cancel()
 		if err == nil {
-			r.take(reply)
+			r.apply(reply)
 			if r.check(at, sent, reply.(protocol.Update)) {
 				confirmedAt = sent
 			}
@@ -184,17 +184,18 @@
 	return poll
 }
 
-func (r *simulatedSubscriber) take(message any) {
+func (r *simulatedSubscriber) apply(message any) {
 	update, ok := message.(protocol.Update)
 	if !ok || update.Configuration == nil {
 		return
 	}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	_, _ = r.state.ApplyUpdate(update.Configuration) // an update that can't be applied is asked for again
+	_, _ = r.state.ApplyUpdate(update.Configuration) // an update that can't be applied is requested again
 }
 
-// check checks an answer against what it confirms, and reports whether it confirms anything.
+// check checks that the subscriber has the state that an answer confirms, and reports whether the answer confirms its
+// state. It also records the granted lease.
 func (r *simulatedSubscriber) check(at int, sent time.Time, update protocol.Update) bool {
 	r.lock.Lock()
 	held := r.state.Current().Generation
@@ -214,7 +215,7 @@
 	w.confirmations++
 	if least := w.acknowledgedBefore(sent.Add(-update.Age)); held < least {
 		w.failf(
-			"%s confirms version %d to %s at an age of %v, %d was acknowledged",
+			"%s confirms version %d to %s at an age of %v, but %d was acknowledged",
 			w.settings[at].NodeName,
 			held,
 			r.process.Node,
@@ -228,10 +229,10 @@
 	return true
 }
 
-// watchStep is how often the store membership is looked at.
+// watchStep is the interval between checks of the store membership.
 const watchStep = 5 * time.Millisecond
 
-// watchMembers checks changes of the store membership against the leases.
+// watchMembers checks each change of the store membership against the leases, until the simulation ends.
 func (w *serviceSimulation) watchMembers() {
 	for !w.isOver() {
 		w.mutex.Lock()
@@ -258,7 +259,7 @@
 			return other.Node == member.Node
 		})
 		if left := time.Until(w.leases[member.Process]); !replaced && left > watchStep {
-			w.failf("%s is evicted with %v of its lease left", member.Process.Incarnation, left)
+			w.failf("%s was evicted with %v of its lease left", member.Process.Incarnation, left)
 		}
 	}
 	for _, member := range next.Members {
@@ -268,17 +269,17 @@
 		})
 		if newer {
 			w.failf(
-				"the former incarnation %s is a member again, in place of %s",
+				"the former incarnation %s became a member again in place of %s",
 				member.Incarnation,
 				w.newest[member.Node],
 			)
 		}
 	}
-	w.logf("set %d: %d members", next.Epoch, len(next.Members))
+	w.logf("view %d: %d members", next.Epoch, len(next.Members))
 	w.members = next
 }
 
-// injectFaults injects one fault after the other.
+// injectFaults injects faults, one after another, until the simulation ends.
 func (w *serviceSimulation) injectFaults() {
 	time.Sleep(4 * time.Second)
 	for !w.isOver() {
@@ -286,7 +287,7 @@
 		other := (victim + 1 + w.random.IntN(2)) % 3
 		kind := w.random.IntN(7)
 		w.lock.Lock()
-		w.logf("fault %d of %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
+		w.logf("fault of kind %d at %s and %s for %v", kind, w.settings[victim].NodeName, w.settings[other].NodeName, span)
 		w.lock.Unlock()
 		switch kind {
 		case 0, 1, 2:
@@ -362,8 +363,8 @@
 	return w
 }
 
-// TestRandomServices checks whole control processes in simulations with faults: what they confirm, the leases
-// that they grant, and the store membership. SEEDS=N runs N simulations, FIRST=S begins at seed S.
+// TestRandomServices checks complete control processes in simulations with faults: the state that they confirm, the
+// leases that they grant, and the store membership. SEEDS=N runs N simulations, FIRST=S begins at seed S.
 func TestRandomServices(t *testing.T) {
 	first, simulations := seeds.Range(0, 4)
 	confirmations, grants, changes, versions := 0, 0, 0, 0
@@ -391,7 +392,7 @@
 func TestServicesFindInjectedBugs(t *testing.T) {
 	for name, test := range map[string]struct {
 		bug       injectedBug
-		violation string // a part of the one that must be found
+		violation string // substring of the violation that must be found
 	}{
 		"any state counts as fresh": {
 			bug:       injectedBug{wrapReplica: func(r Replica) Replica { return alwaysFreshReplica{r} }},
@@ -410,7 +411,7 @@
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatal("no simulation found the injected bug")
 		})
 	}
 }
--- a/internal/control/simulatedsystem_test.go
+++ b/internal/control/simulatedsystem_test.go
@@ -24,33 +24,33 @@
 	operatorDial    = 5 * time.Second
 )
 
-// simulatedSystem is a system in memory, in virtual time, with the platform and an operator.
+// simulatedSystem is a system with the platform and an operator on a simulated network, simulated disks and virtual
+// time.
 type simulatedSystem struct {
 	*system
 	t       *testing.T
 	network *bubble.Network
 	disks   []*bubble.Disk
 	hosts   []*bubble.Host
-	others  map[string]*bubble.Host // of the operator, of gateways and batch processes
-	mutex   sync.Mutex              // guards others and servers, and writes of running
+	others  map[string]*bubble.Host // hosts of the operator, the platform, gateways and batch processes, by IP
+	mutex   sync.Mutex              // guards others and servers, and writes to running
 	servers string
 	bug     injectedBug
 }
 
-// injectedBug is a bug that the checks must find; see environment. The zero value is none.
+// injectedBug is a bug that the checks must find; see environment. The zero value injects none.
 type injectedBug struct {
 	wrapReplica    func(Replica) Replica
 	leaseSuspected bool
 }
 
-// newSimulatedSystem starts three control processes, of which one may fail. It must be called in a synctest
-// bubble.
+// newSimulatedSystem starts three control processes, one of which may fail at a time. It must be called in a
+// synctest bubble.
 func newSimulatedSystem(t *testing.T, seed uint64, bug injectedBug) *simulatedSystem {
 	return newSizedSystem(t, seed, 3, 1, bug)
 }
 
-// newSizedSystem starts so many control processes, of which as many disks may be lost at once as tolerance
-// says.
+// newSizedSystem starts members control processes. tolerance is the number of disks that may be lost at once.
 func newSizedSystem(t *testing.T, seed uint64, members, tolerance int, bug injectedBug) *simulatedSystem {
 	s := &simulatedSystem{
 		system:  &system{running: make([]*Control, members)},
@@ -62,7 +62,7 @@
 	s.dialFrom = func(ip string) func(context.Context, string) (net.Conn, error) { return s.host(ip).Dial }
 	s.client = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			// Independent of the call, whose end must not end the dialling.
+			// The time-out is independent of the call: the end of the call must not abort dialing.
 			ctx, cancel := context.WithTimeout(ctx, operatorDial)
 			defer cancel()
 			return s.host(operatorIP).Dial(ctx, address)
@@ -101,7 +101,7 @@
 	return s
 }
 
-// host returns the machine of a process that is not a control process.
+// host returns the host of a process that isn't a control process, and starts it on the first call.
 func (s *simulatedSystem) host(ip string) *bubble.Host {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -132,17 +132,17 @@
 	s.servers = servers
 }
 
-// begin starts a control process.
+// begin starts a control process on its disk.
 func (s *simulatedSystem) begin(i int) {
 	s.hosts[i] = s.network.StartHost(s.settings[i].IP)
-	around := &environment{
+	env := &environment{
 		bind:           s.hosts[i].Listen,
 		dial:           s.hosts[i].Dial,
 		disk:           s.disks[i].Mount(),
 		wrapReplica:    s.bug.wrapReplica,
 		leaseSuspected: s.bug.leaseSuspected,
 	}
-	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: around})
+	one, err := Start(Options{Settings: s.settings[i], Log: zerolog.Nop(), environment: env})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -151,17 +151,17 @@
 	s.running[i] = one
 }
 
-// finish ends all processes.
+// finish stops all control processes.
 func (s *simulatedSystem) finish() {
 	for i := range s.running {
 		if s.running[i] != nil {
 			s.running[i].Stop()
 		}
 	}
-	time.Sleep(time.Minute) // until idle connections are closed
+	time.Sleep(time.Minute) // idle connections close in this time
 }
 
-// head returns the process that leads the chain, -1 if there is none.
+// head returns the index of the control process that leads the chain; -1 if none does.
 func (s *simulatedSystem) head() int {
 	for i, one := range s.running {
 		if one != nil {
@@ -173,7 +173,7 @@
 	return -1
 }
 
-// partition partitions a control process from the others.
+// partition cuts the outgoing, the incoming or both directions between a control process and the others.
 func (s *simulatedSystem) partition(victim int, out, in bool) {
 	for i := range s.settings {
 		if i != victim && out {
@@ -192,7 +192,7 @@
 	}
 }
 
-// askQuota asks a process for tokens and reports whether it grants any.
+// askQuota requests tokens from a control process and reports whether it grants any.
 func (s *simulatedSystem) askQuota(i int, sequence uint64) bool {
 	process := protocol.Process{Node: "gateway-q", Role: protocol.RoleGateway, IP: "10.0.3.99", Incarnation: "x"}
 	client := transport.NewClient(
