--- a/coord/view/agreement_explore_test.go
+++ b/coord/view/agreement_explore_test.go
@@ -7,14 +7,14 @@
 
 // agreementSearch is the result of an exploration.
 type agreementSearch struct {
-	broken  *agreementState // the first state with a problem; nil: none
-	problem string          // what is wrong with it
+	broken  *agreementState // first state that violates a property, nil if none was found
+	problem string          // the violation in broken
 	states  int             // number of states visited
-	depth   int             // to which all states were visited, or at which the problem is
+	depth   int             // depth to which all states were visited, or depth of broken
 }
 
-// exploreAgreement visits every state within a depth, breadth first, up to a number of states, or to the
-// first state with a problem.
+// exploreAgreement visits the states within a depth of start, breadth first. It stops once it has visited more
+// than limit states, or at the first state that violates a property.
 func exploreAgreement(start *agreementState, depth, limit int) agreementSearch {
 	visited := map[uint64]struct{}{start.key(): {}}
 	level := []*agreementState{start}
@@ -43,7 +43,8 @@
 	return agreementSearch{states: len(visited), depth: reached}
 }
 
-// walkAgreement takes random steps from a state, many times.
+// walkAgreement takes a number of random walks of up to length steps from start. It returns the first state that
+// violates a property, and the violation.
 func walkAgreement(start *agreementState, seed uint64, walks, length int) (broken *agreementState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	for i := 0; i < walks; i++ {
@@ -62,7 +63,7 @@
 	return nil, ""
 }
 
-// agreementScenario is a state from which the model is explored.
+// agreementScenario describes a state from which the model is explored: the state that steps lead to.
 type agreementScenario struct {
 	name   string
 	config agreementConfig
@@ -98,7 +99,7 @@
 		{
 			name: "a head that hands over with commands in flight",
 			config: agreementConfig{
-				maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, disliked: "a",
+				maxRound: 1, maxEpoch: 3, commands: 3, starts: 2, shortChain: true, avoidedSource: "a",
 			},
 			steps: append(committed[:6:6], "a#genesis appends", "a#genesis forwards", "a#genesis proposes"),
 			depth: 11,
@@ -136,11 +137,11 @@
 func (s agreementScenario) start(t testing.TB, inject func(*agreementConfig)) *agreementState {
 	config := s.config
 	inject(&config)
-	return play(t, newAgreementState(&config), s.steps...)
+	return runNamedActions(t, newAgreementState(&config), s.steps...)
 }
 
-// TestAgreementModel checks the change of views in every order of messages, restarts and lost disks, up to
-// bounds. MODEL=N in the environment explores N times as many states.
+// TestAgreementModel checks view changes under every order of messages, restarts and lost disks, up to bounds,
+// and then takes random walks with wider bounds. MODEL=N in the environment explores N times as many states.
 func TestAgreementModel(t *testing.T) {
 	for _, scenario := range agreementScenarios() {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// TestAgreementModelFindsInjectedBugs checks that the exploration finds what it is for.
+// TestAgreementModelFindsInjectedBugs checks that the exploration detects each injected bug.
 func TestAgreementModelFindsInjectedBugs(t *testing.T) {
 	bugs := []struct {
 		name     string
@@ -202,7 +203,7 @@
 				start := scenario.start(t, injected.inject)
 				search := exploreAgreement(start, scenario.depth, 100_000)
 				if search.problem == "" {
-					t.Fatalf("not found in %d states", search.states)
+					t.Fatalf("injected bug not found in %d states", search.states)
 				}
 				t.Logf("found after %d states: %s\n%s", search.states, search.problem, search.broken.trace)
 			}
--- a/coord/view/agreement_key_test.go
+++ b/coord/view/agreement_key_test.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// key identifies the state. The order of messages doesn't matter.
+// key returns a hash that identifies the state. It doesn't depend on the order of messages.
 func (s *agreementState) key() uint64 {
 	text := make([]byte, 0, 1024)
 	for _, n := range s.nodes {
--- a/coord/view/agreement_message_test.go
+++ b/coord/view/agreement_message_test.go
@@ -2,28 +2,29 @@
 
 import "fmt"
 
-// agreementMessage is a message on its way. One that is never delivered is lost.
+// agreementMessage is a message in flight. A message that is never delivered represents a lost message.
 type agreementMessage struct {
 	to   Member
 	body any
 	key  string
 }
 
-// appendMessage carries the log along the chain, as coord/replica does.
+// appendMessage transfers the log along the chain, as coord/replica does.
 type appendMessage struct {
 	from  Member
 	epoch uint64
 	log   []modelCommand
 }
 
-// copyMessage carries the source's prefix to a member that isn't synced.
+// copyMessage transfers the source's prefix to a member that isn't synced.
 type copyMessage struct {
 	from   Member
 	epoch  uint64
 	prefix []modelCommand
 }
 
-// send adds a message, unless the same one is on its way: delivering it twice is another state's concern.
+// send adds a message, unless the same message is already in flight. Repeated delivery is covered by other
+// states.
 func (s *agreementState) send(to Member, body any) {
 	key := string(appendMember(messageKey(body), to))
 	for i := range s.messages {
@@ -34,7 +35,7 @@
 	s.messages = append(s.messages, agreementMessage{to: to, body: body, key: key})
 }
 
-// deliver takes a message off the network and handles it, if its addressee still exists.
+// deliver removes the i-th message from the messages in flight and handles it, if its addressee still exists.
 func (s *agreementState) deliver(i int) {
 	m := s.messages[i]
 	s.messages = append(s.messages[:i:i], s.messages[i+1:]...)
@@ -43,7 +44,7 @@
 	}
 }
 
-// handle lets a machine take in a message, with the real Acceptor and Proposal.
+// handle processes a message that a machine receives, with the real Acceptor and Proposal.
 func (s *agreementState) handle(n *agreementNode, _ Member, body any) {
 	switch m := body.(type) {
 	case Prepare:
@@ -64,8 +65,8 @@
 	case Decided:
 		s.adopt(n, m.View)
 	case appendMessage:
-		before, _ := n.acceptor.View.Adjacent(n.acceptor.Self)
-		if m.epoch == n.acceptor.View.Epoch && n.serving() && before.Same(m.from) {
+		predecessor, _ := n.acceptor.View.Adjacent(n.acceptor.Self)
+		if m.epoch == n.acceptor.View.Epoch && n.serving() && predecessor.Same(m.from) {
 			n.prefixComplete = true
 			if len(m.log) > len(n.log) {
 				n.log = m.log[:len(m.log):len(m.log)]
@@ -80,7 +81,7 @@
 	}
 }
 
-// reply sends an acceptor's answer to the proposer. A machine answers its own proposal at once.
+// reply sends an acceptor's answer to the proposer. An answer to the machine's own proposal is handled at once.
 func (s *agreementState) reply(n *agreementNode, ballot ProposalNumber, answer any) {
 	if answer == nil {
 		return
@@ -89,7 +90,7 @@
 		s.handle(n, n.acceptor.Self, answer)
 		return
 	}
-	if _, refused := answer.(Reject); refused {
+	if _, rejected := answer.(Reject); rejected {
 		return
 	}
 	for _, other := range s.nodes {
@@ -99,7 +100,7 @@
 	}
 }
 
-// onAcceptResponse counts a vote, and makes a decision known.
+// onAcceptResponse counts a vote, and announces the view once it is decided.
 func (s *agreementState) onAcceptResponse(n *agreementNode, m AcceptResponse) {
 	if n.proposal == nil {
 		return
@@ -117,7 +118,7 @@
 	}
 }
 
-// messageKey identifies a message without its addressee.
+// messageKey returns a key that identifies a message apart from its addressee.
 func messageKey(body any) []byte {
 	switch m := body.(type) {
 	case Prepare:
@@ -136,10 +137,11 @@
 	case copyMessage:
 		return appendCommands(appendMember([]byte{7, byte(m.epoch)}, m.from), m.prefix)
 	}
-	panic(fmt.Sprintf("model: message %T", body))
+	panic(fmt.Sprintf("model: unexpected message type %T", body))
 }
 
-// messageText describes a message in traces. Scenarios name deliveries by the texts' beginnings.
+// messageText returns the text that describes a message in traces. Scenarios select deliveries by the beginnings
+// of these texts.
 func messageText(m agreementMessage) string {
 	switch body := m.body.(type) {
 	case Prepare:
--- a/coord/view/agreement_model_test.go
+++ b/coord/view/agreement_model_test.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// agreementNode is one machine. Its acceptor, log and synced are on its disk and survive a restart.
+// agreementNode is one machine. acceptor, log and synced are on its disk and survive a restart.
 type agreementNode struct {
 	acceptor Acceptor
 	log      []modelCommand
 	synced   uint64
 
 	proposal       *Proposal
-	prefixComplete bool // its predecessors are synced in this epoch; volatile
+	prefixComplete bool // its predecessors are synced in this epoch; lost at a restart
 }
 
 // modelCommit is a command that was acknowledged.
@@ -27,13 +27,13 @@
 	nodes     []*agreementNode
 	messages  []agreementMessage
 	commits   []modelCommit
-	views     map[uint64]string // the adopted view of each epoch, as viewText has it
-	commands  int               // counts of what agreementConfig bounds
+	views     map[uint64]string // the adopted view of each epoch, as viewText describes it
+	commands  int               // this and the next three count what agreementConfig bounds
 	restarts  int
 	wipes     int
 	starts    int
 	trace     *modelStep
-	violation string // what a step found to be wrong; empty: nothing
+	violation string // violation that a step found, empty if none
 }
 
 // agreementConfig bounds an exploration and injects bugs.
@@ -45,11 +45,11 @@
 	wipes      int
 	starts     int // proposals
 	shortChain bool
-	proposers  string // addresses of those who propose; empty: all
+	proposers  string // addresses of the machines that may propose; empty: all
 
-	disliked string // address of a member that the proposers don't prefer as a source
+	avoidedSource string // address of a member that the proposers don't prefer as a source
 
-	agreementOnly bool // no commands and no copies
+	agreementOnly bool // the chain neither appends nor copies commands
 
 	// Injected bugs.
 	forgetVotes    bool // a restart loses promises and votes
@@ -59,7 +59,7 @@
 	longestLog     bool // the source is the member with the longest log
 }
 
-// newAgreementState returns the state of a system that has just been founded.
+// newAgreementState returns the initial state of a system, in the genesis view.
 func newAgreementState(config *agreementConfig) *agreementState {
 	s := &agreementState{config: config, views: map[uint64]string{}}
 	genesis := Genesis(modelSeeds)
@@ -73,7 +73,7 @@
 	return s
 }
 
-// clone returns a copy that may be changed.
+// clone returns a copy that can be changed without changing s.
 func (s *agreementState) clone() *agreementState {
 	next := *s
 	next.nodes = make([]*agreementNode, len(s.nodes))
@@ -96,8 +96,8 @@
 	return &next
 }
 
-// history returns the last step of the trace.
-func (s *agreementState) history() *modelStep { return s.trace }
+// lastStep returns the last step of the trace.
+func (s *agreementState) lastStep() *modelStep { return s.trace }
 
 // step returns the state after an action.
 func (s *agreementState) step(action agreementAction) *agreementState {
@@ -110,7 +110,7 @@
 // agreementAction is an action of this model.
 type agreementAction = modelAction[*agreementState]
 
-// actions returns all that may happen next.
+// actions returns all transitions that are possible in the state.
 func (s *agreementState) actions() []agreementAction {
 	var actions []agreementAction
 	for i := range s.messages {
@@ -145,7 +145,7 @@
 	return actions
 }
 
-// addChainActions adds what a member of the chain may do.
+// addChainActions adds the actions that machine i can take as a member of the chain.
 func (s *agreementState) addChainActions(i int, add func(Member, string, func(*agreementState))) {
 	n := s.nodes[i]
 	if !n.serving() || s.config.agreementOnly {
@@ -153,17 +153,17 @@
 	}
 	name := n.acceptor.Self
 	v := n.acceptor.View
-	_, after := v.Adjacent(n.acceptor.Self)
+	_, successor := v.Adjacent(n.acceptor.Self)
 	if v.Head().Same(n.acceptor.Self) && s.commands < s.config.commands {
 		add(name, " appends a command", func(s *agreementState) { s.appendCommand(s.nodes[i]) })
 	}
-	if after.IsZero() && n.prefixComplete && s.uncommitted(n) && len(v.Chain) > 1 {
+	if successor.IsZero() && n.prefixComplete && s.uncommitted(n) && len(v.Chain) > 1 {
 		add(name, " commits", func(s *agreementState) { s.commit(s.nodes[i]) })
 	}
-	if !after.IsZero() && n.prefixComplete && s.lags(after, n) {
+	if !successor.IsZero() && n.prefixComplete && s.lags(successor, n) {
 		add(name, " forwards", func(s *agreementState) {
 			n := s.nodes[i]
-			s.send(after, appendMessage{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
+			s.send(successor, appendMessage{from: n.acceptor.Self, epoch: n.acceptor.View.Epoch, log: n.log})
 		})
 	}
 	if !v.Source.Same(n.acceptor.Self) {
@@ -179,13 +179,14 @@
 	}
 }
 
-// lags reports whether the successor may need a message. One that wouldn't change it is left out.
-func (s *agreementState) lags(after Member, n *agreementNode) bool {
-	to := s.at(after)
+// lags reports whether the successor may need a message from n. Messages that wouldn't change the successor are
+// left out.
+func (s *agreementState) lags(successor Member, n *agreementNode) bool {
+	to := s.at(successor)
 	return to != nil && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
 }
 
-// at returns the machine whose current incarnation a member is, or nil.
+// at returns the machine whose current incarnation is m, or nil.
 func (s *agreementState) at(m Member) *agreementNode {
 	for _, n := range s.nodes {
 		if n.acceptor.Self.Same(m) {
@@ -219,7 +220,8 @@
 	s.handle(n, n.acceptor.Self, prepare)
 }
 
-// choose lets a proposer fix its value and send it to all voters. short makes a chain of two.
+// choose chooses the value of the proposer n and sends it to all voters. If short is set, the chain of the next
+// view has two members.
 func (s *agreementState) choose(n *agreementNode, short bool) {
 	p := n.proposal
 	if s.config.ignoreAccepted {
@@ -246,7 +248,7 @@
 			}
 		}
 	}
-	prefer := func(m Member) bool { return m.Address != s.config.disliked }
+	prefer := func(m Member) bool { return m.Address != s.config.avoidedSource }
 	chosen := p.Choose(prefer, func(source Member, _ []Member) (voters, chain []Member, ok bool) {
 		return s.plan(p.View, source, short)
 	})
@@ -262,9 +264,10 @@
 	s.handle(n, n.acceptor.Self, accept)
 }
 
-// plan puts the new incarnations of wiped machines in the places of the old ones.
-func (s *agreementState) plan(present View, source Member, short bool) (voters, chain []Member, ok bool) {
-	for _, m := range present.Voters {
+// plan returns the voters and the chain of the next view, in which the new incarnations of wiped machines
+// replace the old ones.
+func (s *agreementState) plan(current View, source Member, short bool) (voters, chain []Member, ok bool) {
+	for _, m := range current.Voters {
 		for _, n := range s.nodes {
 			if n.acceptor.Self.Address == m.Address {
 				voters = append(voters, n.acceptor.Self)
@@ -286,7 +289,7 @@
 	return voters, chain, true
 }
 
-// restart ends a process and starts it again.
+// restart restarts the process of a machine, which loses its volatile state.
 func (s *agreementState) restart(n *agreementNode) {
 	s.restarts++
 	n.proposal = nil
@@ -296,7 +299,7 @@
 	}
 }
 
-// wipe replaces the disk of a machine by an empty one.
+// wipe replaces the disk of a machine by an empty disk.
 func (s *agreementState) wipe(n *agreementNode) {
 	s.wipes++
 	self := n.acceptor.Self
@@ -311,7 +314,8 @@
 	}
 }
 
-// adopt lets a machine adopt a decided view, and checks that the views of an epoch are equal.
+// adopt makes a machine adopt a decided view. It checks that all adopted views of an epoch are equal, and that
+// the source of the view was wedged.
 func (s *agreementState) adopt(n *agreementNode, v View) {
 	before := n.acceptor.View.Epoch
 	wedged := n.acceptor.Wedged()
@@ -326,7 +330,7 @@
 	n.proposal = nil
 	if v.Source.Same(n.acceptor.Self) {
 		if before+1 != v.Epoch || !wedged {
-			s.violation = "a source that wasn't wedged"
+			s.violation = "a source adopted a view without being wedged in the epoch before it"
 		}
 		n.synced = v.Epoch
 	}
@@ -336,7 +340,7 @@
 	n.prefixComplete = n.serving() && v.Head().Same(n.acceptor.Self)
 }
 
-// check returns what is wrong with the state: a violation that a step met, or of invariant (I).
+// check returns the violation that a step found, or a violation of invariant (I), or an empty string.
 func (s *agreementState) check() string {
 	if s.violation != "" {
 		return s.violation
--- a/coord/view/example_test.go
+++ b/coord/view/example_test.go
@@ -7,9 +7,9 @@
 	"sprucelane.example/sprucelane/coord/view"
 )
 
-// Three founders replace the view of epoch 1 after the last of them has failed. The caller carries the
-// messages; here they are function calls. Before an answer is sent, a real caller writes
-// Acceptor.DurableState if it has changed.
+// Three founders replace the view of epoch 1 after the third founder has failed. The caller transports the
+// messages; here they are function calls. A real caller writes Acceptor.DurableState, if it has changed, before
+// it sends an answer.
 func Example() {
 	genesis := view.Genesis([]string{"10.0.0.1:7350", "10.0.0.2:7350", "10.0.0.3:7350"})
 	var alive []*view.Acceptor
@@ -20,7 +20,7 @@
 		return m.Same(alive[0].Self) || m.Same(alive[1].Self)
 	}
 
-	// Phase 1: the proposer collects promises and what the voters' logs hold.
+	// Phase 1: the proposer collects the promises and the log states of the voters.
 	proposer := alive[0].Self
 	proposal := view.NewProposal(genesis, view.ProposalNumber{Round: 1, Member: proposer.ID()})
 	for _, acceptor := range alive {
@@ -30,7 +30,7 @@
 		}
 	}
 
-	// The planner makes the next view of what the proposer sees; Choose sees to it that no command is lost.
+	// The planner computes the next view from what the proposer observes; Choose ensures that no command is lost.
 	planner := view.Planner{
 		Current:        genesis,
 		Tolerance:      1,
--- a/coord/view/member.go
+++ b/coord/view/member.go
@@ -1,26 +1,26 @@
 package view
 
-// GenesisIncarnation is the incarnation of the machines that found the system.
+// GenesisIncarnation is the incarnation of the founders, the machines that the system starts with.
 const GenesisIncarnation = "genesis"
 
 // Member is one incarnation of a machine's disk. Address and Incarnation identify it; Node is empty in the
 // genesis view.
 type Member struct {
-	Node        string // name of the machine, for people and to recognise a replacement
+	Node        string // name of the machine, for display and to recognise a replacement
 	Address     string // coordination address, "ip:port"
-	Incarnation string // drawn when the disk was empty; GenesisIncarnation for founders
+	Incarnation string // generated when the disk was empty; GenesisIncarnation for founders
 }
 
-// ID identifies the member. The same address with another disk has another ID.
+// ID returns a string that identifies the member. The same address with another disk has another ID.
 func (m Member) ID() string { return m.Address + "#" + m.Incarnation }
 
-// Same reports whether both are the same incarnation of the same disk, whether or not their Node names are
-// known.
+// Same reports whether m and other are the same incarnation of the same disk. It ignores their Node names, which
+// may be unknown.
 func (m Member) Same(other Member) bool {
 	return m.Address == other.Address && m.Incarnation == other.Incarnation
 }
 
-// IsZero reports whether m is no member: the zero Member.
+// IsZero reports whether m identifies no member: its Address and Incarnation are empty.
 func (m Member) IsZero() bool { return m.Address == "" && m.Incarnation == "" }
 
 // Index returns the position of m among members, or -1.
@@ -46,7 +46,7 @@
 	return true
 }
 
-// countCommon returns how many members of a are also in b.
+// countCommon returns the number of members of a that are also in b.
 func countCommon(a, b []Member) int {
 	count := 0
 	for _, m := range a {
--- a/coord/view/membership_attempt_test.go
+++ b/coord/view/membership_attempt_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// viewAttempt is one attempt on the view after a view: its responders, and the values that the proposer may
-// choose, which depend on what it sees.
+// viewAttempt is one attempt to decide on the successor of a view: its responders, and the values that the
+// proposer may choose, which depend on what it observes.
 type viewAttempt struct {
 	current    *View
 	number     ProposalNumber
@@ -17,8 +17,8 @@
 	values     []*View
 }
 
-// addAttempts adds attempts in the newest epoch, and in the one before by those that have not learnt of the
-// newest: all of them, or any one if random is given.
+// addAttempts adds attempts in the newest epoch, and attempts in the epoch before it by machines that have not
+// learnt of the newest view. If random is nil, it adds all of them, otherwise a random selection.
 func (s *membershipState) addAttempts(actions []membershipAction, random *rand.Rand) []membershipAction {
 	for _, v := range s.decided[max(len(s.decided)-2, 0):] {
 		if v.Epoch >= s.config.maxEpoch || v != s.newest() && s.undecided == s.config.undecided {
@@ -33,7 +33,7 @@
 	return actions
 }
 
-// oneOrAll returns all of a list, or any one if random is given.
+// oneOrAll returns the whole list if random is nil, and otherwise one random element.
 func oneOrAll[T any](list []T, random *rand.Rand) []T {
 	if random == nil || len(list) == 0 {
 		return list
@@ -42,13 +42,13 @@
 	return list[position : position+1]
 }
 
-// addOutcomes adds how far an attempt may come: promises only, one vote, or a decision.
+// addOutcomes adds an action for each outcome of an attempt: promises only, one vote, or a decision.
 func (s *membershipState) addOutcomes(actions []membershipAction, a *viewAttempt) []membershipAction {
 	names := memberNames(a.responders)
 	for _, value := range a.values {
 		decide := func(s *membershipState) {
 			if a.current != s.newest() {
-				s.undecided++ // it decides what was decided
+				s.undecided++ // it decides again what is already decided
 			}
 			s.attempt(a, value, a.responders)
 		}
@@ -76,8 +76,8 @@
 	return strings.Join(names, " ")
 }
 
-// majorities returns the sets of voters that may respond in the epoch of v: a majority, one of which has
-// learnt of the view.
+// majorities returns the sets of voters that may respond in the epoch of v: each has a majority of the voters,
+// and at least one member that has adopted v.
 func (s *membershipState) majorities(v *View) [][]Member {
 	var eligible []Member
 	for _, m := range v.Voters {
@@ -101,7 +101,7 @@
 	return sets
 }
 
-// subset returns the members whose bits are set.
+// subset returns the members whose bits are set in mask.
 func subset(members []Member, mask int) []Member {
 	var set []Member
 	for i, m := range members {
@@ -112,7 +112,7 @@
 	return set
 }
 
-// nextNumber returns a number above all of the epoch, so that it belongs to one attempt.
+// nextNumber returns a number higher than any promised in the epoch, so that each attempt has its own number.
 func (s *membershipState) nextNumber(epoch uint64) ProposalNumber {
 	round := uint64(0)
 	for _, n := range s.nodes {
@@ -123,7 +123,8 @@
 	return ProposalNumber{Round: round + 1, Member: "p"}
 }
 
-// propose collects the prepare responses of an attempt from copies of the responders.
+// propose collects the prepare responses of an attempt. It uses copies of the responders, so that the state
+// doesn't change.
 func (s *membershipState) propose(a *viewAttempt) *Proposal {
 	p := NewProposal(*a.current, a.number)
 	for _, m := range a.responders {
@@ -139,7 +140,8 @@
 	return p
 }
 
-// chooseAll fills in the values that an attempt may choose.
+// chooseAll sets the values that an attempt may choose: all of them if random is nil, otherwise the value for one
+// random observation.
 func (s *membershipState) chooseAll(a *viewAttempt, random *rand.Rand) {
 	p := s.propose(a)
 	known := map[string]bool{}
@@ -156,7 +158,7 @@
 	}
 }
 
-// choose fixes the value of a proposal, as coord/replica does, and returns it, or nil if the responses don't
+// choose chooses the value of a proposal, as coord/replica does. It returns nil if the responses don't
 // suffice.
 func (s *membershipState) choose(promised *Proposal, observed observation) *View {
 	p := *promised
@@ -175,7 +177,7 @@
 	return p.Value
 }
 
-// plan returns the real Planner's plan, with the injected bugs.
+// plan returns the PlanFunc of the real Planner, modified by the injected bugs.
 func (s *membershipState) plan(planner *Planner) PlanFunc {
 	return func(source Member, synced []Member) (voters, chain []Member, ok bool) {
 		if s.config.replacesNeeded || s.config.replacesSeveral {
@@ -193,7 +195,8 @@
 	}
 }
 
-// chooseLongest is the injected bug longestLog.
+// chooseLongest implements the injected bug longestLog: it chooses the responder with the longest log as the
+// source.
 func chooseLongest(p *Proposal, plan PlanFunc) *View {
 	best := p.prepareResponses[0]
 	for _, m := range p.prepareResponses {
@@ -208,7 +211,7 @@
 	return &View{Epoch: p.View.Epoch + 1, Voters: voters, Chain: chain, Source: best.From, SourceEpoch: p.View.Epoch}
 }
 
-// attempt records the promises of an attempt, and the votes of some for a value.
+// attempt records the promises of the responders of an attempt, and the votes of acceptors for a value.
 func (s *membershipState) attempt(a *viewAttempt, value *View, acceptors []Member) {
 	for _, m := range a.responders {
 		n := s.at(m)
@@ -226,16 +229,16 @@
 	}
 }
 
-// observation is what a proposer sees of the machines.
+// observation is the state of the machines as a proposer observes it.
 type observation struct {
 	alive       []Member
 	candidates  []Member
-	unreachable []Member // for so long that candidates may take their places, the longest first
-	mayJoin     bool     // those that are alive are also in contact with the whole chain
+	unreachable []Member // unreachable for so long that candidates may replace them, the longest first
+	mayJoin     bool     // the live members and the candidates are also in contact with the whole chain
 }
 
-// observations returns what a proposer may see: the responders are alive or all but one, there are any
-// candidates, and any one of the others may be unreachable for long.
+// observations returns what a proposer may observe: all responders, or all but one, are alive; any subset of
+// the possible candidates asks to join; and any one of the other voters may have been unreachable for long.
 func (s *membershipState) observations(a *viewAttempt) []observation {
 	candidates := s.candidates(a.current)
 	var observations []observation
@@ -252,7 +255,8 @@
 	return observations
 }
 
-// variants adds which voters are unreachable, and whether the others may join.
+// variants returns the observation with each choice of unreachable voters, and with members allowed to join or
+// not.
 func (o observation) variants(current *View, anyUnreachable bool) []observation {
 	unreachable := [][]Member{nil}
 	if len(o.candidates) > 0 {
@@ -275,7 +279,7 @@
 	return observations
 }
 
-// candidates returns the machines that know of a view and don't vote in it, as coord/replica does.
+// candidates returns the machines that have adopted any view and don't vote in v, as coord/replica does.
 func (s *membershipState) candidates(v *View) []Member {
 	var members []Member
 	for _, n := range s.nodes {
@@ -286,7 +290,7 @@
 	return members
 }
 
-// planner fills in the real Planner, as coord/replica does.
+// planner returns the real Planner for a view and an observation, set up as in coord/replica.
 func (s *membershipState) planner(current View, observed observation) *Planner {
 	return &Planner{
 		Current:     current,
@@ -313,7 +317,7 @@
 	return n != nil && n.leaving
 }
 
-// knownByAddress names the machine of a member: the model's machines are named after their addresses.
+// knownByAddress returns m with Node set to its machine's name, which the model derives from the address.
 func knownByAddress(m Member) Member {
 	m.Node = strings.ToLower(m.Address)
 	return m
--- a/coord/view/membership_chain_test.go
+++ b/coord/view/membership_chain_test.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// chainMessage is a part of the log or a copy of the prefix on its way. It may be delivered any number of
-// times, or lost.
+// chainMessage is a message in flight with a part of the log or a copy of the prefix. It may be delivered any
+// number of times, or be lost.
 type chainMessage struct {
 	from, to Member
 	epoch    uint64
@@ -11,22 +11,22 @@
 	log      []modelCommand
 }
 
-// addChain adds what the members of a chain may do.
+// addChain adds the actions that machine i, n, can take as a member of the chain.
 func (s *membershipState) addChain(actions []membershipAction, i int, n *membershipNode) []membershipAction {
 	if !n.serving() {
 		return actions
 	}
 	v, name := n.acceptor.View, n.self().ID()
-	_, after := v.Adjacent(n.self())
+	_, successor := v.Adjacent(n.self())
 	if v.Head().Same(n.self()) && s.commands < s.config.commands {
 		run := func(s *membershipState) { s.appendCommand(s.nodes[i]) }
 		actions = append(actions, named(run, "%s appends a command", name))
 	}
-	if after.IsZero() && n.prefixComplete && s.chainLongEnough(v) && len(n.log) > len(s.commits) {
+	if successor.IsZero() && n.prefixComplete && s.chainLongEnough(v) && len(n.log) > len(s.commits) {
 		actions = append(actions, named(func(s *membershipState) { s.commit(s.nodes[i]) }, "%s commits", name))
 	}
-	if !after.IsZero() && n.prefixComplete && s.lags(after, n) {
-		message := chainMessage{from: n.self(), to: after, epoch: v.Epoch, log: n.log}
+	if !successor.IsZero() && n.prefixComplete && s.lags(successor, n) {
+		message := chainMessage{from: n.self(), to: successor, epoch: v.Epoch, log: n.log}
 		actions = append(actions, named(func(s *membershipState) { s.send(message) }, "%s forwards", name))
 	}
 	if !v.Source.Same(n.self()) {
@@ -42,8 +42,8 @@
 	return actions
 }
 
-// chainLongEnough reports whether a chain has more members than disks may be lost: coord/replica has the same
-// rule.
+// chainLongEnough reports whether a chain has more members than disks may be lost, by the same rule as
+// coord/replica.
 func (s *membershipState) chainLongEnough(v View) bool {
 	if s.config.shortAcks {
 		return len(v.Chain) >= s.config.tolerance
@@ -51,13 +51,13 @@
 	return len(v.Chain) > s.config.tolerance
 }
 
-// lags reports whether the successor may need a message.
-func (s *membershipState) lags(after Member, n *membershipNode) bool {
-	to := s.at(after)
+// lags reports whether the successor may need a message from n.
+func (s *membershipState) lags(successor Member, n *membershipNode) bool {
+	to := s.at(successor)
 	return to != nil && to.epoch() == n.epoch() && to.serving() && (len(to.log) < len(n.log) || !to.prefixComplete)
 }
 
-// prefix returns the log without the commands of the node's own epoch.
+// prefix returns the log without the commands of the node's current epoch.
 func (n *membershipNode) prefix() []modelCommand {
 	end := len(n.log)
 	for end > 0 && n.log[end-1].epoch == n.epoch() {
@@ -66,18 +66,19 @@
 	return n.log[:end:end]
 }
 
-// appendCommand lets the head take a command.
+// appendCommand appends a new command to the log of n, the head.
 func (s *membershipState) appendCommand(n *membershipNode) {
 	s.commands++
 	n.log = append(n.log[:len(n.log):len(n.log)], modelCommand{epoch: n.epoch(), name: byte('0' + s.commands)})
 }
 
-// commit lets the tail acknowledge all of its log, and checks that enough disks have it.
+// commit acknowledges all commands in the log of n, the tail. It checks that they agree with the commands that
+// were acknowledged before, and that enough disks hold them.
 func (s *membershipState) commit(n *membershipNode) {
 	for i, command := range n.log {
 		if i < len(s.commits) {
 			if s.commits[i] != command {
-				s.violation = fmt.Sprintf("two commands committed at %d", i)
+				s.violation = fmt.Sprintf("two different commands committed at index %d", i)
 			}
 			continue
 		}
@@ -108,7 +109,8 @@
 	return true
 }
 
-// send puts a message on its way, if the bound allows it; without messages in flight it arrives at once.
+// send adds a message to the messages in flight, or drops it if the bound is reached. If the bound is 0, the
+// message is received at once.
 func (s *membershipState) send(m chainMessage) {
 	if s.config.inFlight == 0 {
 		s.receive(m)
@@ -121,7 +123,7 @@
 	s.messages = append(s.messages[:i:i], s.messages[i+1:]...)
 }
 
-// receive does what coord/replica does when a part of the log or a copy arrives.
+// receive handles a part of the log or a copy of the prefix, as coord/replica does.
 func (s *membershipState) receive(m chainMessage) {
 	n := s.at(m.to)
 	if n == nil || m.epoch != n.epoch() || n.acceptor.Wedged() || !n.acceptor.View.InChain(n.self()) {
@@ -131,8 +133,8 @@
 		s.receiveCopy(n, m)
 		return
 	}
-	before, _ := n.acceptor.View.Adjacent(n.self())
-	if !n.serving() || !before.Same(m.from) {
+	predecessor, _ := n.acceptor.View.Adjacent(n.self())
+	if !n.serving() || !predecessor.Same(m.from) {
 		return
 	}
 	n.prefixComplete = true
@@ -141,7 +143,7 @@
 	}
 }
 
-// receiveCopy takes in a copy of the prefix, which replaces the log in one durable step.
+// receiveCopy handles a copy of the prefix, which replaces the log in one durable step.
 func (s *membershipState) receiveCopy(n *membershipNode, m chainMessage) {
 	if n.synced == m.epoch {
 		return
--- a/coord/view/membership_explore_test.go
+++ b/coord/view/membership_explore_test.go
@@ -8,33 +8,34 @@
 	"testing"
 )
 
-// membershipSearch visits states.
+// membershipSearch explores states and keeps the results of the exploration.
 type membershipSearch struct {
-	states       map[uint64]struct{}
-	lossesPlayed map[uint64]struct{} // disks' contents in states whose next losses were played
-	depth        int                 // to which all states were visited
-	exhausted    bool                // there are no more states
-	last         *membershipState    // the end of a walk
+	states        map[uint64]struct{}
+	lossesChecked map[uint64]struct{} // hashes of the durable states whose next losses were checked
+	depth         int                 // depth to which all states were visited
+	exhausted     bool                // all reachable states were visited
+	last          *membershipState    // last state of a walk
 }
 
-// problem returns what is wrong with a state, or with what may follow the next losses.
+// problem returns a violation in a state, or a permitted loss after which the state can't recover, or an empty
+// string.
 func (s *membershipSearch) problem(state *membershipState) string {
 	if problem := state.check(); problem != "" {
 		return problem
 	}
 	key := maphash.Bytes(modelHash, append(state.appendDurable(make([]byte, 0, 512)), byte(state.lossesPermitted)))
-	if _, known := s.lossesPlayed[key]; known {
+	if _, known := s.lossesChecked[key]; known {
 		return ""
 	}
-	s.lossesPlayed[key] = struct{}{}
+	s.lossesChecked[key] = struct{}{}
 	return state.unrecoverableLoss()
 }
 
-// run visits every state that follows, breadth first, up to a number, and returns the first one with a
-// problem.
+// run visits the states that are reachable from start, breadth first, until it has visited more than limit. It
+// returns the first state with a problem.
 func (s *membershipSearch) run(start *membershipState, limit int) (broken *membershipState, problem string) {
 	s.states = map[uint64]struct{}{start.key(): {}}
-	s.lossesPlayed = map[uint64]struct{}{}
+	s.lossesChecked = map[uint64]struct{}{}
 	level := []*membershipState{start}
 	for ; len(level) > 0; s.depth++ {
 		var next []*membershipState
@@ -61,15 +62,15 @@
 	return nil, ""
 }
 
-// attemptEvery is the number of steps of a walk for each attempt on a view.
+// attemptEvery is the mean number of steps of a walk per attempt on a view.
 const attemptEvery = 20
 
-// walk takes random steps and returns the first state with a problem.
+// walk takes up to the given number of random steps from start and returns the first state with a problem.
 func (s *membershipSearch) walk(
 	start *membershipState, seed uint64, steps int,
 ) (broken *membershipState, problem string) {
 	random := rand.New(rand.NewPCG(seed, 11))
-	s.lossesPlayed = map[uint64]struct{}{}
+	s.lossesChecked = map[uint64]struct{}{}
 	state := start
 	for range steps {
 		actions := state.steps()
@@ -88,15 +89,15 @@
 	return nil, ""
 }
 
-// membershipScenario is a state from which the model is explored.
+// membershipScenario describes a state from which the model is explored: the state that steps lead to.
 type membershipScenario struct {
 	name   string
 	config membershipConfig
 	steps  []string
-	limit  int // states; where it isn't reached, all are visited
+	limit  int // number of states after which the exploration stops
 }
 
-// committedInGenesis lets the founders acknowledge a command.
+// committedInGenesis are steps by which the founders acknowledge a command in the genesis view.
 var committedInGenesis = []string{"a#genesis appends", "a#genesis forwards", "b#genesis forwards", "c#genesis commits"}
 
 func membershipScenarios() []membershipScenario {
@@ -189,10 +190,10 @@
 func (s membershipScenario) start(t testing.TB, bugs membershipBugs) *membershipState {
 	config := s.config
 	config.membershipBugs = bugs
-	return play(t, newMembershipState(&config), s.steps...)
+	return runNamedActions(t, newMembershipState(&config), s.steps...)
 }
 
-// TestMembershipModel checks changes of the membership with a loss at every step, in every order, up to
+// TestMembershipModel checks membership changes with the loss of a disk at every step, in every order, up to
 // bounds. MODEL=N in the environment explores N times as many states.
 func TestMembershipModel(t *testing.T) {
 	for _, scenario := range membershipScenarios() {
@@ -202,13 +203,13 @@
 			if problem != "" {
 				t.Fatalf("%s after\n%s", problem, broken.trace)
 			}
-			t.Logf("%d states, all to depth %d (no more: %v), losses played in %d", len(search.states), search.depth,
-				search.exhausted, len(search.lossesPlayed))
+			t.Logf("%d states, all to depth %d (no more: %v), losses checked in %d", len(search.states), search.depth,
+				search.exhausted, len(search.lossesChecked))
 		})
 	}
 }
 
-// walkConfig has bounds for several losses and repairs.
+// walkConfig returns a configuration whose bounds allow several losses and repairs.
 func walkConfig(tolerance, machines int) *membershipConfig {
 	return &membershipConfig{
 		tolerance: tolerance, machines: machines, maxEpoch: 20, commands: 12, losses: 8, undecided: 4, restarts: 4,
@@ -216,8 +217,8 @@
 	}
 }
 
-// TestMembershipModelWalks takes random steps with three to eight machines. SEEDS=N in the environment takes
-// N walks with each number of machines, FIRST=S starts at seed S.
+// TestMembershipModelWalks takes random walks with three to eight machines. SEEDS=N in the environment takes N
+// walks with each number of machines, and FIRST=S starts at seed S.
 func TestMembershipModelWalks(t *testing.T) {
 	seeds, first := 200, uint64(0)
 	if number, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
@@ -247,7 +248,7 @@
 // changes returns the number of views after the genesis view.
 func (s *membershipState) changes() int { return len(s.decided) - 1 }
 
-// TestMembershipModelFindsInjectedBugs checks that the exploration finds what it is for.
+// TestMembershipModelFindsInjectedBugs checks that the exploration detects each injected bug.
 func TestMembershipModelFindsInjectedBugs(t *testing.T) {
 	bugs := []struct {
 		name     string
@@ -294,7 +295,7 @@
 				search := &membershipSearch{}
 				broken, problem := search.run(scenario.start(t, injected.bugs), scenario.limit)
 				if problem == "" {
-					t.Fatalf("not found in %d states", len(search.states))
+					t.Fatalf("injected bug not found in %d states", len(search.states))
 				}
 				t.Logf("found after %d states: %s\n%s", len(search.states), problem, broken.trace)
 			}
--- a/coord/view/membership_fault_test.go
+++ b/coord/view/membership_fault_test.go
@@ -2,36 +2,36 @@
 
 import "fmt"
 
-// toleratesLoss reports whether the next loss of Tolerance disks is to be borne, with a loss of power of all
-// machines: the newest view is decided and none of its voters is wedged in it; it has as many voters as the
-// losses ask for, each with the disk that it votes with; and Tolerance+1 members of its chain are synced in
+// toleratesLoss reports whether the system must tolerate the loss of Tolerance disks together with a loss of
+// power of all machines. That is so if the newest view is decided and none of its voters is wedged in it, it has
+// TargetVoters voters, each with the disk that it votes with, and Tolerance+1 members of its chain are synced in
 // its epoch.
 func (s *membershipState) toleratesLoss() bool {
 	v := s.newest()
 	if len(v.Voters) < TargetVoters(s.config.tolerance) {
 		return false
 	}
-	whole := 0
+	syncedMembers := 0
 	for _, m := range v.Voters {
 		n := s.at(m)
 		if n == nil || n.epoch() == v.Epoch && n.acceptor.Wedged() {
 			return false
 		}
 		if v.InChain(m) && n.epoch() == v.Epoch && n.synced == v.Epoch {
-			whole++
+			syncedMembers++
 		}
 	}
-	return whole > s.config.tolerance
+	return syncedMembers > s.config.tolerance
 }
 
-// noteRepair permits new losses once earlier ones are repaired.
-func (s *membershipState) noteRepair() {
+// permitLossesAfterRepair permits new losses once the earlier losses are repaired.
+func (s *membershipState) permitLossesAfterRepair() {
 	if s.toleratesLoss() {
 		s.lossesPermitted, s.lossesUnrepaired = s.config.tolerance, 0
 	}
 }
 
-// addFaults adds the faults that a machine may have.
+// addFaults adds the faults that may happen to machine i, n.
 func (s *membershipState) addFaults(actions []membershipAction, i int, n *membershipNode) []membershipAction {
 	name := n.self().ID()
 	if s.restarts < s.config.restarts && (n.prefixComplete || n.partialCopy || n.leaving) {
@@ -55,13 +55,13 @@
 	return actions
 }
 
-// mayEnd reports whether the disk of a leaving machine may go though no loss is permitted, which is an
-// injected bug.
+// mayEnd reports whether the disk of a leaving machine may be removed although no loss is permitted, which is
+// the injected bug endsEarly.
 func (s *membershipState) mayEnd(n *membershipNode) bool {
 	return s.config.endsEarly && n.leaving && n.acceptor.Accepted != nil && !n.acceptor.Accepted.InChain(n.self())
 }
 
-// restart resets what a machine keeps in memory.
+// restart restarts a machine, which loses its volatile state.
 func (s *membershipState) restart(n *membershipNode) {
 	n.partialCopy, n.leaving = false, false
 	n.prefixComplete = n.serving() && n.acceptor.View.Head().Same(n.self())
@@ -76,7 +76,8 @@
 	}
 }
 
-// loseDisk puts an empty machine in the place of one, at its address or at another.
+// loseDisk replaces machine i by an empty machine at the same address or, if elsewhere is set, at another
+// address.
 func (s *membershipState) loseDisk(i int, elsewhere bool) {
 	n := s.nodes[i]
 	s.losses++
--- a/coord/view/membership_key_test.go
+++ b/coord/view/membership_key_test.go
@@ -5,7 +5,7 @@
 	"hash/maphash"
 )
 
-// key identifies the state.
+// key returns a hash that identifies the state.
 func (s *membershipState) key() uint64 {
 	text := s.appendDurable(make([]byte, 0, 512))
 	for _, n := range s.nodes {
@@ -22,7 +22,7 @@
 	return maphash.Bytes(modelHash, text)
 }
 
-// appendDurable describes what is on the disks, and what was acknowledged and decided.
+// appendDurable appends to text the contents of the disks, the acknowledged commands and the decided views.
 func (s *membershipState) appendDurable(text []byte) []byte {
 	for _, n := range s.nodes {
 		d := &n.acceptor.DurableState
--- a/coord/view/membership_model_test.go
+++ b/coord/view/membership_model_test.go
@@ -8,32 +8,32 @@
 	machines       int // the first three found the system
 	maxEpoch       uint64
 	commands       int
-	losses         int // in all; each must be permitted
+	losses         int // total number of lost disks; each loss must be permitted
 	undecided      int // attempts that aren't decided
 	restarts       int
 	powerCuts      int // losses of power of all machines
 	leaves         int
-	inFlight       int  // messages of the chain on their way at once; 0: they arrive at once
-	copiesInPieces bool // copies come in two pieces
+	inFlight       int  // chain messages in flight at the same time; 0: messages arrive at once
+	copiesInPieces bool // copies of the prefix arrive in two pieces
 	newAddresses   bool // a lost machine may come back at another address
 	membershipBugs
 }
 
-// membershipBugs are injected by tests that show that the model finds them.
+// membershipBugs selects bugs to inject. Tests inject them to show that the model detects them.
 type membershipBugs struct {
 	wipedVotes      bool // a lost disk keeps its vote
-	endsEarly       bool // a leaving member's disk goes before the view that doesn't need it is decided
+	endsEarly       bool // a leaving member's disk is removed before the view that doesn't need it is decided
 	leaverNoVote    bool // a leaving member loses its vote with its place in the chain
-	shortAcks       bool // a chain of as many members as may be lost acknowledges
-	shortChains     bool // ... is made although a longer one is possible
+	shortAcks       bool // a chain of only as many members as disks may be lost acknowledges commands
+	shortChains     bool // such a chain is planned although a longer one is possible
 	longestLog      bool // the source is the member with the longest log
-	oneTerm         bool // only SourceEpoch is remembered of the epochs in doubt
-	syncedEarly     bool // a new member counts as synced before the copy
-	replacesNeeded  bool // a candidate takes the place of an unreachable voter whose disk is needed
-	replacesSeveral bool // ... and of several at once that aren't even unreachable
+	oneTerm         bool // of the epochs in doubt, Terms keeps only SourceEpoch
+	syncedEarly     bool // a new member counts as synced before it has the copy
+	replacesNeeded  bool // a candidate replaces an unreachable voter whose disk is needed
+	replacesSeveral bool // candidates replace several such voters at once, even reachable ones
 }
 
-// membershipNode is one machine with a disk. Its acceptor, log and synced are on the disk.
+// membershipNode is one machine with a disk. acceptor, log and synced are on the disk and survive a restart.
 type membershipNode struct {
 	acceptor     Acceptor
 	log          []modelCommand
@@ -41,15 +41,15 @@
 	incarnations byte // number of disks that this machine has had
 
 	leaving        bool
-	prefixComplete bool // its predecessors are synced in its epoch; volatile
-	partialCopy    bool // a part of the copy has come; volatile
+	prefixComplete bool // its predecessors are synced in its epoch; lost at a restart
+	partialCopy    bool // a part of the copy has arrived; lost at a restart
 }
 
 func (n *membershipNode) self() Member { return n.acceptor.Self }
 
 func (n *membershipNode) epoch() uint64 { return n.acceptor.View.Epoch }
 
-// serving reports whether a member takes part in the chain: coord/replica has the same rule.
+// serving reports whether the node takes part in the chain of its view, by the same rule as coord/replica.
 func (n *membershipNode) serving() bool {
 	return n.acceptor.View.InChain(n.self()) && n.synced == n.epoch() && !n.acceptor.Wedged()
 }
@@ -59,9 +59,9 @@
 	config       *membershipConfig
 	nodes        []*membershipNode
 	messages     []chainMessage
-	decided      []*View // by epoch, from GenesisEpoch on
+	decided      []*View // the view of each epoch, from GenesisEpoch on
 	commits      []modelCommand
-	commitEpochs []uint64 // the epochs in which they were acknowledged
+	commitEpochs []uint64 // the epochs in which commits were acknowledged
 
 	lossesPermitted  int // disks that may still be lost
 	lossesUnrepaired int // disks lost since all losses were repaired
@@ -76,7 +76,7 @@
 	trace     *modelStep
 }
 
-// newMembershipState returns the state of a system that three machines have just founded.
+// newMembershipState returns the initial state of a system with three founders, in the genesis view.
 func newMembershipState(config *membershipConfig) *membershipState {
 	genesis := Genesis(modelSeeds)
 	s := &membershipState{config: config, decided: []*View{&genesis}}
@@ -92,11 +92,11 @@
 		s.nodes = append(s.nodes, n)
 	}
 	s.nodes[0].prefixComplete = true
-	s.noteRepair()
+	s.permitLossesAfterRepair()
 	return s
 }
 
-// clone returns a copy that may be changed. Slices are only appended to.
+// clone returns a copy that can be changed without changing s. Slices may only be appended to.
 func (s *membershipState) clone() *membershipState {
 	next := *s
 	next.nodes = make([]*membershipNode, len(s.nodes))
@@ -111,19 +111,19 @@
 	return &next
 }
 
-// history returns the last step of the trace.
-func (s *membershipState) history() *modelStep { return s.trace }
+// lastStep returns the last step of the trace.
+func (s *membershipState) lastStep() *modelStep { return s.trace }
 
 // step returns the state after an action.
 func (s *membershipState) step(action membershipAction) *membershipState {
 	next := s.clone()
 	next.trace = &modelStep{name: action.name, previous: s.trace}
 	action.run(next)
-	next.noteRepair()
+	next.permitLossesAfterRepair()
 	return next
 }
 
-// at returns the machine whose current incarnation a member is, or nil.
+// at returns the machine whose current incarnation is m, or nil.
 func (s *membershipState) at(m Member) *membershipNode {
 	for _, n := range s.nodes {
 		if n.self().Same(m) {
@@ -139,15 +139,15 @@
 // membershipAction is an action of this model.
 type membershipAction = modelAction[*membershipState]
 
-// named returns an action whose name is only made when a trace is printed.
+// named returns an action whose name is formatted only when a trace is printed.
 func named(run func(s *membershipState), format string, arguments ...any) membershipAction {
 	return membershipAction{func() string { return fmt.Sprintf(format, arguments...) }, run}
 }
 
-// actions returns all that may happen next.
+// actions returns all transitions that are possible in the state.
 func (s *membershipState) actions() []membershipAction { return s.addAttempts(s.steps(), nil) }
 
-// steps returns what may happen next other than attempts on views.
+// steps returns all possible transitions other than attempts on views.
 func (s *membershipState) steps() []membershipAction {
 	var actions []membershipAction
 	for i, n := range s.nodes {
@@ -166,7 +166,7 @@
 	return actions
 }
 
-// addLearning adds the decisions that a machine may learn of.
+// addLearning adds an action for each decided view that machine i, n, may learn of.
 func (s *membershipState) addLearning(actions []membershipAction, i int, n *membershipNode) []membershipAction {
 	for _, v := range s.decided {
 		if v.Epoch > n.epoch() {
@@ -177,7 +177,7 @@
 	return actions
 }
 
-// adopt does what coord/replica does when it learns of a decided view.
+// adopt makes a machine adopt a decided view, as coord/replica does.
 func (s *membershipState) adopt(n *membershipNode, v View) {
 	before, wedged := n.epoch(), n.acceptor.Wedged()
 	if !n.acceptor.Adopt(v) {
@@ -185,7 +185,7 @@
 	}
 	if v.Source.Same(n.self()) {
 		if before+1 != v.Epoch || !wedged {
-			s.violation = "a source that wasn't wedged"
+			s.violation = "a source adopted a view without being wedged in the epoch before it"
 		}
 		n.synced = v.Epoch
 	}
@@ -193,8 +193,8 @@
 	n.prefixComplete = n.serving() && v.Head().Same(n.self())
 }
 
-// decide notes a view that a majority has accepted, and checks that the views of an epoch are equal and that
-// the source holds all that was acknowledged.
+// decide records a view that a majority has accepted. It checks that all decided views of an epoch are equal,
+// and that the source holds all acknowledged commands.
 func (s *membershipState) decide(v *View) {
 	if int(v.Epoch) <= len(s.decided) {
 		before := s.decided[v.Epoch-1]
@@ -209,7 +209,7 @@
 	}
 }
 
-// check returns what is wrong with the state: a violation that a step met, or of invariant (I).
+// check returns the violation that a step found, or a violation of invariant (I), or an empty string.
 func (s *membershipState) check() string {
 	if s.violation != "" {
 		return s.violation
--- a/coord/view/membership_recovery_test.go
+++ b/coord/view/membership_recovery_test.go
@@ -5,7 +5,8 @@
 	"math/bits"
 )
 
-// unrecoverableLoss returns which permitted losses the state doesn't bear, or an empty string.
+// unrecoverableLoss describes permitted losses from which the state can't recover. It returns an empty string if
+// there are none.
 func (s *membershipState) unrecoverableLoss() string {
 	if problem := s.recoveryProblem(0); problem != "" {
 		return "with all machines up: " + problem
@@ -31,9 +32,9 @@
 	return memberNames(members)
 }
 
-// recoveryProblem plays on without the machines of a set, with all others up and in contact. It returns what
-// prevents a view that serves and has all acknowledged commands, or an empty string. Nothing of the machines
-// that are left out is used: their disks may as well be lost.
+// recoveryProblem simulates recovery without the machines of a set, with all others up and in contact. It
+// returns the reason why no view serves with all acknowledged commands, or an empty string if one does. The
+// excluded machines aren't used at all, so the result is the same as if their disks were lost.
 func (s *membershipState) recoveryProblem(without int) string {
 	c := s.clone()
 	c.messages = nil
@@ -47,7 +48,7 @@
 	for range 8 {
 		v := c.shareNewestView(up)
 		if v.Epoch == 0 {
-			return "nobody knows a view"
+			return "no machine knows a view"
 		}
 		if c.serves(v, up) {
 			return c.missingCommit(v)
@@ -59,7 +60,7 @@
 	return "no view serves after eight attempts"
 }
 
-// shareNewestView lets all adopt the newest view that one of them knows.
+// shareNewestView makes all machines that are up adopt the newest view that any of them knows, and returns it.
 func (s *membershipState) shareNewestView(up []*membershipNode) View {
 	var newest View
 	for _, n := range up {
@@ -73,7 +74,8 @@
 	return newest
 }
 
-// serves lets the members of a chain copy the source's prefix and reports whether the view takes commands.
+// serves reports whether a view accepts commands. If so, it lets the members of the chain copy the source's
+// prefix.
 func (s *membershipState) serves(v View, up []*membershipNode) bool {
 	if !s.chainLongEnough(v) {
 		return false
@@ -101,8 +103,8 @@
 	return false
 }
 
-// missingCommit returns which member of a chain serves without a command that was acknowledged in an epoch
-// before.
+// missingCommit describes a member of the chain that serves without a command acknowledged in an earlier epoch.
+// It returns an empty string if there is none.
 func (s *membershipState) missingCommit(v View) string {
 	for _, m := range v.Chain {
 		if n := s.at(m); !holdsAll(n.log, s.commits) && n.serving() && !s.inFlightIn(v) {
@@ -112,33 +114,34 @@
 	return ""
 }
 
-// inFlightIn reports whether commands of the view itself were acknowledged: the chain's own messages bring
-// them.
+// inFlightIn reports whether commands were acknowledged in the view itself. The chain's messages deliver these
+// commands.
 func (s *membershipState) inFlightIn(v View) bool {
 	return len(s.commits) > 0 && s.commitEpochs[len(s.commits)-1] == v.Epoch
 }
 
-// advance makes one attempt with all machines that are up, and returns why it led to no view.
+// advance makes one attempt with all machines that are up. It returns the reason why the attempt led to no view,
+// or an empty string.
 func (s *membershipState) advance(v View, up []*membershipNode) string {
 	a := &viewAttempt{current: &v, number: s.nextNumber(v.Epoch)}
-	sight := observation{mayJoin: true}
+	observed := observation{mayJoin: true}
 	for _, n := range up {
-		sight.alive = append(sight.alive, n.self())
+		observed.alive = append(observed.alive, n.self())
 		if v.IsVoter(n.self()) {
 			a.responders = append(a.responders, n.self())
 		} else {
-			sight.candidates = append(sight.candidates, n.self())
+			observed.candidates = append(observed.candidates, n.self())
 		}
 	}
 	for _, m := range v.Voters {
-		if Index(sight.alive, m) < 0 {
-			sight.unreachable = append(sight.unreachable, m)
+		if Index(observed.alive, m) < 0 {
+			observed.unreachable = append(observed.unreachable, m)
 		}
 	}
 	if len(a.responders) < v.Majority() {
 		return fmt.Sprintf("no majority left of %v", v.Voters)
 	}
-	value := s.choose(s.propose(a), sight)
+	value := s.choose(s.propose(a), observed)
 	if value == nil {
 		return fmt.Sprintf("the responses of %s give no view after %s", memberNames(a.responders), viewText(&v))
 	}
--- a/coord/view/messages.go
+++ b/coord/view/messages.go
@@ -1,10 +1,10 @@
 package view
 
-// The fields of all messages are encoded by name (encoding/gob): they keep the names that earlier versions
-// send.
+// The messages of the agreement. Their fields are encoded by name (encoding/gob), so they must keep the names
+// that earlier versions send.
 
-// ProposalNumber orders the proposals of one instance (Paxos' proposal number or ballot). No two proposers
-// use the same one, because it has the proposer's ID, and a proposer never uses one twice.
+// ProposalNumber orders the proposals of one instance (the proposal number or ballot of Paxos). No two proposers
+// use the same number, because it contains the proposer's ID, and a proposer never uses a number twice.
 type ProposalNumber struct {
 	Round  uint64
 	Member string // ID of the proposer
@@ -18,16 +18,16 @@
 	return n.Member < other.Member
 }
 
-// IsZero reports whether there is no proposal. Proposers count rounds from 1.
+// IsZero reports whether n is the number of no proposal. Proposers count rounds from 1.
 func (n ProposalNumber) IsZero() bool { return n.Round == 0 }
 
-// Prepare asks the voters of View to promise for the instance View.Epoch+1 (phase 1a).
+// Prepare asks the voters of View for a promise in the instance View.Epoch+1 (phase 1a).
 type Prepare struct {
 	View   View // the proposer's current view: a voter that lags adopts it before it answers
 	Ballot ProposalNumber
 }
 
-// LogState says what the log of a responder holds. It can't change after the response, as the responder is
+// LogState describes the log of a responder. It can't change after the response, because the responder is
 // wedged.
 type LogState struct {
 	Synced uint64 // highest epoch in which the log was a complete prefix
@@ -41,10 +41,10 @@
 	Ballot         ProposalNumber
 	Log            LogState
 	AcceptedBallot ProposalNumber // number of Accepted
-	Accepted       *View          // the last value that the sender accepted, nil if none
+	Accepted       *View          // last value that the sender accepted, nil if none
 }
 
-// Response is what an Acceptor answers a proposer: a PrepareResponse, an AcceptResponse or a Reject.
+// Response is the answer of an Acceptor to a proposer: a PrepareResponse, an AcceptResponse or a Reject.
 type Response interface{ isResponse() }
 
 func (PrepareResponse) isResponse() {}
@@ -65,14 +65,15 @@
 	Ballot ProposalNumber
 }
 
-// Reject tells a proposer of the higher proposal that its own has met, so that it can choose a number above.
+// Reject informs a proposer that the sender has promised a higher proposal, so that the proposer can choose a
+// number above Promised.
 type Reject struct {
 	From     Member
 	Epoch    uint64
 	Promised ProposalNumber
 }
 
-// Decided makes a decided view known.
+// Decided announces a decided view.
 type Decided struct {
 	View View
 }
--- a/coord/view/model_test.go
+++ b/coord/view/model_test.go
@@ -10,48 +10,51 @@
 	"testing"
 )
 
-// Two models check the package, with its real Acceptor, Proposal, ChooseSource and, in the second, Planner.
-// Each explores all states that are reached from some start, breadth first and up to a bound, and checks
-// every one of them; a table of injected bugs shows that it finds what it is for.
+// Two models check the package. Both run the real Acceptor, Proposal and ChooseSource; the second also runs the
+// real Planner. Each model explores the states that are reachable from a start state, breadth first and up to a
+// bound, and checks every state; a table of injected bugs shows that the checks find the faults that they are
+// meant to find.
 //
-//   - The model of the agreement (agreement_*_test.go) delivers each message by itself, so that proposers,
-//     restarts and lost disks meet in every order.
-//   - The model of the membership (membership_*_test.go) is coarser. An attempt on a view is one step, with
-//     any majority of responders and any voters that accept. So it reaches several changes of the membership,
-//     with the loss of a disk at every step. What a step may assume of the machines besides their disks (who
-//     is alive, links, restarts) isn't kept in the state: a machine that takes no part is unreachable.
+//   - The agreement model (agreement_*_test.go) delivers each message as a separate step, so that proposers,
+//     restarts and lost disks interleave in every order.
+//   - The membership model (membership_*_test.go) is coarser. An attempt on a view is one step, with any
+//     majority of responders and any voters that accept. So it reaches several membership changes, with the
+//     loss of a disk at every step. What a step assumes of the machines besides their disks (which machines are
+//     alive, links, restarts) isn't kept in the state: a machine that doesn't take part in a step is
+//     unreachable.
 //
-// Comments that name coord/replica mark the rules of its core that the models repeat.
+// Comments that name coord/replica mark rules of coord/replica's core that the models repeat.
 
 // modelSeeds are the addresses of the founders in both models.
 var modelSeeds = []string{"a", "b", "c"}
 
-// modelCommand is a command in the log of a model: the epoch of its head, and a name.
+// modelCommand is a command in the log of a model, with the epoch in which the head appended it.
 type modelCommand struct {
 	epoch uint64
 	name  byte
 }
 
-// modelAction is one thing that may happen next in a state of a model. It changes the state that it is given.
+// modelAction is one possible transition from a state of a model. run changes the state that is passed to it.
 type modelAction[S any] struct {
 	name func() string
 	run  func(S)
 }
 
-// modelState is what the states of both models have in common.
+// modelState is the common interface of the states of both models.
 type modelState[S any] interface {
-	actions() []modelAction[S]    // all that may happen next
+	actions() []modelAction[S]    // all possible transitions
 	step(action modelAction[S]) S // the state after an action
-	history() *modelStep          // the last step of the trace
+	lastStep() *modelStep         // the last step of the trace
 }
 
-// modelStep is the last step of a trace. Names are only made when a trace is printed.
+// modelStep is a step of a trace, linked to the step before it. Names are formatted only when a trace is
+// printed.
 type modelStep struct {
 	name     func() string
 	previous *modelStep
 }
 
-// String returns the names of all steps of the trace, the first first, one a line.
+// String returns the names of all steps of the trace in order, one per line.
 func (s *modelStep) String() string {
 	var names []string
 	for ; s != nil; s = s.previous {
@@ -61,8 +64,9 @@
 	return strings.Join(names, "\n")
 }
 
-// play runs the first actions whose names begin with some texts, one for each text.
-func play[S modelState[S]](t testing.TB, state S, names ...string) S {
+// runNamedActions runs, for each of names in turn, the first possible action whose name begins with it, and
+// returns the resulting state.
+func runNamedActions[S modelState[S]](t testing.TB, state S, names ...string) S {
 	t.Helper()
 	for _, name := range names {
 		found := false
@@ -73,13 +77,14 @@
 			}
 		}
 		if !found {
-			t.Fatalf("no action %q in the state after\n%s", name, state.history())
+			t.Fatalf("no action with the prefix %q in the state after\n%s", name, state.lastStep())
 		}
 	}
 	return state
 }
 
-// modelEffort multiplies the bounds; MODEL=N in the environment sets it.
+// modelEffort returns the factor by which the bounds of the explorations are multiplied: N if MODEL=N is set in
+// the environment, 1 by default.
 func modelEffort() int {
 	if effort, err := strconv.Atoi(os.Getenv("MODEL")); err == nil && effort > 0 {
 		return effort
@@ -87,7 +92,7 @@
 	return 1
 }
 
-// modelHash is the hash of the keys of visited states.
+// modelHash is the seed of the hash by which visited states are recognised.
 var modelHash = maphash.MakeSeed()
 
 func boolByte(set bool) byte {
@@ -138,7 +143,7 @@
 	return text
 }
 
-// viewText describes a view in traces.
+// viewText returns the text that describes a view in traces.
 func viewText(v *View) string {
 	if v == nil {
 		return "-"
--- a/coord/view/plan.go
+++ b/coord/view/plan.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// MinimumVoters is the smallest number of voters of which one may fail: with two, a majority is both.
+// MinimumVoters is the smallest number of voters that tolerates the failure of one. With two voters, a majority
+// needs both.
 const MinimumVoters = 3
 
-// TargetVoters is the number of voters of which a majority remains after the loss of tolerance disks.
+// TargetVoters returns the number of voters needed so that a majority remains after the loss of tolerance
+// disks.
 func TargetVoters(tolerance int) int { return max(2*tolerance+1, MinimumVoters) }
 
-// Planner makes the members of the next view from what its proposer sees of the machines. It is a matter of
-// availability only: the voters of the current view agree on what it proposes, and ChooseSource keeps that
-// safe.
+// Planner computes the members of the next view from what the proposer observes of the machines. Its choice
+// affects availability only: the voters of the current view agree on what is proposed, and ChooseSource ensures
+// that it is safe.
 type Planner struct {
 	Current    View
-	Tolerance  int      // number of disks whose loss the system is to bear
+	Tolerance  int      // number of disks whose loss the system must tolerate
 	Candidates []Member // machines with a disk that ask to become voters, in the same order at each call
 
-	// ResolveNode returns the member with the name of its machine, if that is known.
+	// ResolveNode returns the member with Node set to the name of its machine, if the name is known.
 	ResolveNode func(Member) Member
-	// Alive reports whether the proposer doesn't suspect the member.
+	// Alive reports whether the proposer considers the member alive, that is, doesn't suspect it of failure.
 	Alive func(Member) bool
-	// Leaving reports whether the member is about to end as planned.
+	// Leaving reports whether the member is about to shut down as planned.
 	Leaving func(Member) bool
 	// MayJoin reports whether the member is in contact with the proposer and with the whole chain.
 	MayJoin func(Member) bool
-	// UnreachableFor returns the time since the last contact beyond what is tolerated of a voter, zero within
-	// that.
+	// UnreachableFor returns by how much the time since the last contact with a voter exceeds the tolerated
+	// time, or zero if it doesn't.
 	UnreachableFor func(Member) time.Duration
 }
 
-// Voters returns the voters that the next view should have. A candidate takes the place of an earlier
-// incarnation of its disk, whose vote is lost in any case. It takes the place of a voter that is only
-// unreachable or leaving if replace is set, that is, if the disks of those voters aren't needed. Without a
-// place to take it is added up to the target.
+// Voters returns the voters that the next view should have. A candidate replaces an earlier incarnation of its
+// disk, whose vote is lost in any case. It replaces a voter that is only unreachable or leaving if replace is
+// set, that is, if the disks of those voters aren't needed. A candidate that replaces no voter is added as long
+// as there are fewer voters than TargetVoters.
 func (p *Planner) Voters(replace bool) []Member {
 	voters := append([]Member(nil), p.Current.Voters...)
 	target := TargetVoters(p.Tolerance)
@@ -64,8 +66,8 @@
 }
 
 // previousIncarnation returns the position of the voter that was an earlier incarnation of a candidate's disk
-// or machine, or -1. A machine that came back at another address is recognised by its name, once the old
-// address isn't alive.
+// or machine, or -1. A machine that came back at another address is recognised by its name, once the member at
+// the old address is no longer alive.
 func (p *Planner) previousIncarnation(voters []Member, candidate Member) int {
 	for i, m := range voters {
 		known := p.ResolveNode(m)
@@ -76,8 +78,8 @@
 	return -1
 }
 
-// longestUnreachable returns the position of the current view's voter that is beyond the limit for the
-// longest time, or -1.
+// longestUnreachable returns the position of the voter of the current view with the highest positive
+// UnreachableFor, or -1 if there is none.
 func (p *Planner) longestUnreachable(voters []Member) int {
 	position, longest := -1, time.Duration(0)
 	for i, m := range voters {
@@ -91,13 +93,13 @@
 	return position
 }
 
-// Plan returns the voters and the chain of the next view for the source that the prepare responses gave;
-// synced are the responders whose logs hold every command that may have committed. It is a PlanFunc.
+// Plan returns the voters and the chain of the next view for the source that ChooseSource selected; synced
+// lists the responders whose logs hold every command that may have been committed. It is a PlanFunc.
 //
 // An unreachable or leaving voter keeps its vote until more members than disks may be lost hold everything
-// without it: the next loss may ask for its disk. So does the source. The loss of a whole chain would leave
-// no log that shows what it committed, so that there is no plan with a chain of only Tolerance members
-// while there are voters enough to ask for more.
+// without it, because its disk may be needed after the next loss. The source keeps its vote as well. The loss
+// of a whole chain would leave no log that shows what the chain committed. So Plan returns no plan with a chain
+// of only Tolerance members if there are TargetVoters voters or more.
 func (p *Planner) Plan(source Member, synced []Member) (voters, chain []Member, ok bool) {
 	voters = p.Voters(true)
 	if countCommon(voters, synced) <= p.Tolerance || Index(voters, source) < 0 {
@@ -113,8 +115,8 @@
 	return voters, chain, len(chain) > p.Tolerance || len(voters) < TargetVoters(p.Tolerance)
 }
 
-// nextChain returns the chain of the next view: the members that stay in their order, and then those that
-// join, which have most to copy.
+// nextChain returns the chain of the next view: the members that stay, in their present order, followed by the
+// members that join, which have the most to copy.
 func (p *Planner) nextChain(voters []Member, source Member) []Member {
 	var chain []Member
 	for _, m := range p.Current.Chain {
@@ -133,8 +135,8 @@
 	return chain
 }
 
-// lengthenChain adds voters to a chain that is too short: those that are alive, and then those about to
-// leave, which have to wait until others can do without them.
+// lengthenChain adds voters to a chain that is too short: first live voters that stay, then live voters that
+// are about to leave, which must wait until the others no longer need them.
 func (p *Planner) lengthenChain(chain, voters []Member) []Member {
 	for _, leaving := range []bool{false, true} {
 		for _, m := range voters {
--- a/coord/view/proposal.go
+++ b/coord/view/proposal.go
@@ -4,21 +4,22 @@
 type Proposal struct {
 	View             View // current view, whose voters decide
 	Number           ProposalNumber
-	Value            *View             // nil until Choose has fixed it; it never changes afterwards
-	prepareResponses []PrepareResponse // at most one of each voter
+	Value            *View             // nil until Choose sets it; never changes afterwards
+	prepareResponses []PrepareResponse // at most one from each voter
 	acceptedBy       []Member          // voters that accepted Value, each once
 }
 
-// NewProposal starts an attempt. number must be higher than any that this proposer used in the instance.
+// NewProposal returns a proposal for the successor of current. number must be higher than any number that this
+// proposer has used in the instance.
 func NewProposal(current View, number ProposalNumber) *Proposal {
 	return &Proposal{View: current, Number: number}
 }
 
-// Prepare returns the message of phase 1 to all voters.
+// Prepare returns the phase 1 message, to be sent to all voters.
 func (p *Proposal) Prepare() Prepare { return Prepare{View: p.View, Ballot: p.Number} }
 
-// OnPrepareResponse counts a response to this proposal's Prepare; any other one, and a repeated one, is
-// ignored.
+// OnPrepareResponse records a response to this proposal's Prepare. It ignores repeated responses,
+// responses to other proposals and responses of members that don't vote.
 func (p *Proposal) OnPrepareResponse(m PrepareResponse) {
 	if m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) || p.HasPromised(m.From) {
 		return
@@ -39,18 +40,18 @@
 // HasMajority reports whether a majority of the voters has responded to the Prepare.
 func (p *Proposal) HasMajority() bool { return len(p.prepareResponses) >= p.View.Majority() }
 
-// PlanFunc makes the voters and the chain of a next view for its source. synced are the responders, the
-// source among them, whose logs hold every command that may have committed. It returns false if there is no
+// PlanFunc returns the voters and the chain of the next view for the given source. synced lists the responders,
+// including the source, whose logs hold every command that may have been committed. ok is false if there is no
 // acceptable plan.
 type PlanFunc func(source Member, synced []Member) (voters, chain []Member, ok bool)
 
-// Choose fixes the value and reports whether there is one. It returns false while the responses don't
-// suffice.
+// Choose sets Value, unless it is already set, and reports whether it is set. It returns false while the
+// responses don't suffice, or if plan returns no acceptable plan.
 //
-// If a responder has accepted a value, the one with the highest number is proposed again: it may have been
+// If responders have accepted values, the value with the highest number is proposed again: it may have been
 // decided, and every higher proposal must then carry it (Lamport, "Paxos Made Simple", section 2.2, condition
-// P2c). Only if no responder has accepted any is the proposer free; the value is then the one that plan makes
-// for a source that ChooseSource proves safe, a preferred member if possible.
+// P2c). Only if no responder has accepted a value may the proposer choose one; the value is then the one that
+// plan returns for a source that ChooseSource proves safe, a preferred member if possible.
 func (p *Proposal) Choose(prefer func(Member) bool, plan PlanFunc) bool {
 	if p.Value != nil || !p.HasMajority() {
 		return p.Value != nil
@@ -78,7 +79,7 @@
 	return true
 }
 
-// syncedSince returns the responders whose logs were complete in an epoch or later.
+// syncedSince returns the responders whose logs were complete in the given epoch or later.
 func (p *Proposal) syncedSince(epoch uint64) []Member {
 	var members []Member
 	for _, m := range p.prepareResponses {
@@ -89,8 +90,8 @@
 	return members
 }
 
-// highestAccepted returns the accepted value with the highest number among the responses, nil if there is
-// none.
+// highestAccepted returns the accepted value with the highest number among the responses, or nil if no
+// responder has accepted a value.
 func (p *Proposal) highestAccepted() *View {
 	var highest ProposalNumber
 	var value *View
@@ -102,13 +103,14 @@
 	return value
 }
 
-// Accept returns the message of phase 2 to all voters. Choose must have fixed a value.
+// Accept returns the phase 2 message, to be sent to all voters. Choose must have set Value.
 func (p *Proposal) Accept() Accept {
 	return Accept{View: p.View, Ballot: p.Number, Value: *p.Value}
 }
 
-// OnAcceptResponse counts a vote and returns the view once a majority has accepted it, nil before. From then
-// on every higher proposal meets one of these voters in its phase 1 and proposes the same value.
+// OnAcceptResponse counts a vote. It returns the decided view once a majority has accepted it, and nil before
+// that. From then on every higher proposal has a response from one of these voters in its phase 1 and proposes
+// the same value.
 func (p *Proposal) OnAcceptResponse(m AcceptResponse) (decided *View) {
 	if p.Value == nil || m.Epoch != p.View.Epoch || m.Ballot != p.Number || !p.View.IsVoter(m.From) {
 		return nil
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -5,36 +5,37 @@
 	"strings"
 )
 
-// GenesisEpoch is the epoch of the view that needs no agreement.
+// GenesisEpoch is the epoch of the first view, which needs no agreement.
 const GenesisEpoch = 1
 
-// View is one configuration of the system. It says who votes on the next view and who forms the chain of this
-// one. It is immutable, and all who know a view of an epoch know the same one.
+// View is one configuration of the system. It defines which members vote on the next view and which members
+// form the chain of this view. It is immutable, and there is at most one view for each epoch.
 type View struct {
 	Epoch  uint64
 	Voters []Member // a majority of them decides on the view of Epoch+1
 	Chain  []Member // head first, tail last; all of them are voters
 	Source Member   // the chain's other members copy their prefix from its log before anything commits
 
-	// SourceEpoch is the last epoch before this one in which a command may have committed. The log of every
-	// member that was synced in that epoch or later holds all committed commands.
+	// SourceEpoch is the last epoch before this one in which a command may have been committed. The log of
+	// every member that was synced in SourceEpoch or later holds all committed commands.
 	SourceEpoch uint64
 
-	// Terms are the epochs, the newest first, in which the last command before this view may have committed:
-	// SourceEpoch, and those that count instead should it prove that nothing committed there. Empty in the
-	// genesis view and in views from before Terms were recorded.
+	// Terms are the epochs, newest first, in which the last command before this view may have been committed:
+	// SourceEpoch, and the older epochs to use instead if nothing turns out to have been committed in
+	// SourceEpoch. Empty in the genesis view and in views that were decided before Terms were recorded.
 	Terms []Term
 }
 
-// Term is an epoch with its chain, all of which had to be synced in the epoch before anything committed.
+// Term is an epoch with its chain. All members of the chain had to be synced in the epoch before any command
+// was committed in it.
 type Term struct {
 	Epoch uint64
 	Chain []Member
 }
 
-// Genesis returns the first view, which every process derives alike from the same seeds in any order. All
-// founders vote and are in the chain; the one with the lowest address is its head. Without seeds the view is
-// zero.
+// Genesis returns the first view. Every process derives the same view from the same seeds, whatever their
+// order. All founders vote and are in the chain; the founder with the lowest address is its head. Without
+// seeds Genesis returns the zero View.
 func Genesis(seeds []string) View {
 	addresses := append([]string(nil), seeds...)
 	sort.Strings(addresses)
@@ -57,10 +58,12 @@
 // InChain reports whether m belongs to this view's chain.
 func (v View) InChain(m Member) bool { return Index(v.Chain, m) >= 0 }
 
-// Majority is the number of voters that decide. Any two sets of that size have a member in common.
+// Majority returns the number of voters that can decide on the next view. Any two sets of that many voters have
+// a member in common.
 func (v View) Majority() int { return len(v.Voters)/2 + 1 }
 
-// Head returns the head of the chain, which gives each command its index; zero if there is no chain.
+// Head returns the head of the chain, which assigns each command its index, or the zero Member if the chain is
+// empty.
 func (v View) Head() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -68,7 +71,8 @@
 	return v.Chain[0]
 }
 
-// Tail returns the tail of the chain, whose sync commits a command; zero if there is no chain.
+// Tail returns the tail of the chain, or the zero Member if the chain is empty. A command is committed once the
+// tail has synced it to its disk.
 func (v View) Tail() Member {
 	if len(v.Chain) == 0 {
 		return Member{}
@@ -76,7 +80,8 @@
 	return v.Chain[len(v.Chain)-1]
 }
 
-// Adjacent returns the members right before and after m in the chain, zero where there is none.
+// Adjacent returns the members directly before and after m in the chain, or the zero Member where there is
+// none.
 func (v View) Adjacent(m Member) (predecessor, successor Member) {
 	position := Index(v.Chain, m)
 	if position < 0 {
@@ -91,8 +96,8 @@
 	return predecessor, successor
 }
 
-// String lists the chain for logs, as "head>middle>tail", by machine names or by addresses where these are
-// unknown.
+// String returns the chain for logs, as "head>middle>tail". It uses the names of the machines, and the address
+// of a member whose machine name is unknown.
 func (v View) String() string {
 	names := make([]string, len(v.Chain))
 	for i, m := range v.Chain {
