--- a/coord/chain/state_test.go
+++ b/coord/chain/state_test.go
@@ -17,9 +17,9 @@
 	return err
 }
 
-// TestDeduplicationWindow applies more commands than the window holds: the outcomes of the last ones are
-// known and those of the others aren't, also in a state that was restored from a snapshot on the way; a known
-// command is applied once.
+// TestDeduplicationWindow applies more commands than the window holds. It checks that exactly the outcomes of the
+// last window commands are known, also in a state that was restored from a snapshot on the way, and that a
+// command with a known outcome isn't applied again.
 func TestDeduplicationWindow(t *testing.T) {
 	const window, commands = 16, 100
 	for restoredAt := 1; restoredAt < commands; restoredAt += 7 {
@@ -37,7 +37,7 @@
 			for id := uint64(1); id <= index; id++ {
 				for number, state := range states {
 					if _, known := state.Outcome(fmt.Sprint(id)); known != (id+window > index) {
-						t.Fatalf("state %d, restored at %d: command %d is known after %d: %v",
+						t.Fatalf("state %d, restored at %d: outcome of command %d known after command %d: %v",
 							number, restoredAt, id, index, known)
 					}
 				}
@@ -47,10 +47,10 @@
 			oldest := chain.Entry{Index: commands + 1, ID: fmt.Sprint(commands - window + 1)}
 			outcome, repeated := state.Apply(oldest)
 			if !repeated || outcome.Index != commands-window+1 {
-				t.Errorf("the oldest command of the window is applied again: %+v", outcome)
+				t.Errorf("the oldest command in the window was applied again: %+v", outcome)
 			}
 			if outcomes := len(state.Snapshot().Outcomes); outcomes != window {
-				t.Errorf("a snapshot holds %d outcomes", outcomes)
+				t.Errorf("snapshot holds %d outcomes, want the window size", outcomes)
 			}
 		}
 	}
--- a/coord/lease/example_test.go
+++ b/coord/lease/example_test.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/coord/lease"
 )
 
-// A holder requests a lease of one second, which counts from its request, and checks it right before each
-// act.
+// A holder requests a lease of one second, which starts at the time of the request, and checks the lease directly
+// before each operation.
 func Example() {
 	granter := lease.NewFirstGranter(lease.GranterOptions{
 		Epoch:          1,
--- a/coord/lease/granter.go
+++ b/coord/lease/granter.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Errors of a Granter, to be compared with errors.Is.
+// Errors returned by a Granter, to be compared with errors.Is.
 var (
-	// ErrHeld says that another holder's lease may not have ended yet.
+	// ErrHeld means that the lease of another holder may not have ended yet.
 	ErrHeld = errors.New("lease: held by another")
-	// ErrGracePeriod says that grants of an earlier granter may not have ended yet.
+	// ErrGracePeriod means that leases of an earlier granter may not have ended yet.
 	ErrGracePeriod = errors.New("lease: leases of an earlier granter may not have ended")
-	// ErrStaleToken says that the token isn't that of this holder's current lease.
+	// ErrStaleToken means that the token isn't that of the holder's current lease of the resource.
 	ErrStaleToken = errors.New("lease: token is not current")
-	// ErrDurationOutOfRange says that a duration isn't positive, or exceeds GranterOptions.MaxDuration.
+	// ErrDurationOutOfRange means that a duration isn't positive, or exceeds GranterOptions.MaxDuration.
 	ErrDurationOutOfRange = errors.New("lease: duration out of range")
 )
 
-// Grant is a holder's right to a resource. The holder counts Duration from the moment at which it sent its
-// request.
+// Grant is a holder's right to a resource. The holder counts Duration from the time at which it sent its request.
 type Grant struct {
 	Resource string
 	Holder   string
@@ -28,28 +27,28 @@
 
 // GranterOptions configures a Granter.
 type GranterOptions struct {
-	// Epoch must be higher than that of any granter before. It must fit into 32 bits.
+	// Epoch must be higher than that of any earlier granter. It must fit into 32 bits.
 	Epoch uint64
-	// MaxDuration is the longest duration that any granter of the system grants, now or before. A longer one
-	// lets holders renew less often; a resource stays unavailable for as long after its holder failed, and so
-	// does the granter after a failover.
+	// MaxDuration is the longest duration that any granter of the system grants or has granted. A longer maximum
+	// lets holders renew less often. A resource stays unavailable for up to the same time after its holder
+	// failed, and so does the granter after a failover.
 	MaxDuration time.Duration
 	// DriftAllowance is added to a lease's duration before the resource may go to another holder. It must be
-	// at least the amount by which the clocks of granter and holder can drift apart within MaxDuration.
+	// at least the amount by which the clocks of granter and holder can drift apart during MaxDuration.
 	DriftAllowance time.Duration
 }
 
-// record is what the granter knows of one lease.
+// record is the granter's record of one lease.
 type record struct {
 	grant   Grant
-	expires time.Duration // by the granter's clock: the holder's right has ended by then
+	expires time.Duration // time of the granter's clock by which the holder's right has ended
 }
 
 // Granter gives each resource to one holder at a time. It isn't safe for concurrent use.
 type Granter struct {
 	options   GranterOptions
-	graceEnds time.Duration // grants of earlier granters have ended by then
-	grants    uint32        // number of tokens drawn
+	graceEnds time.Duration // time by which all leases of earlier granters have ended
+	grants    uint32        // number of tokens issued
 	leases    map[string]record
 }
 
@@ -69,8 +68,8 @@
 	return &Granter{options: options, leases: make(map[string]record)}
 }
 
-// Acquire grants a resource under a new token. The current holder may acquire it again, which ends the use of
-// its earlier token. The errors are ErrDurationOutOfRange, ErrGracePeriod and ErrHeld.
+// Acquire grants a resource under a new token. The current holder may acquire the resource again, which
+// invalidates its earlier token. Acquire returns ErrDurationOutOfRange, ErrGracePeriod or ErrHeld if it fails.
 func (g *Granter) Acquire(now time.Duration, resource, holder string, duration time.Duration) (Grant, error) {
 	if duration <= 0 || duration > g.options.MaxDuration {
 		return Grant{}, ErrDurationOutOfRange
@@ -92,8 +91,8 @@
 	return grant, nil
 }
 
-// Renew extends a lease that hasn't ended to grant.Duration from now, under the same token. The errors are
-// ErrDurationOutOfRange and ErrStaleToken.
+// Renew extends a lease that hasn't ended to grant.Duration from now, under the same token. It returns
+// ErrDurationOutOfRange or ErrStaleToken if it fails.
 func (g *Granter) Renew(now time.Duration, grant Grant) (Grant, error) {
 	if grant.Duration <= 0 || grant.Duration > g.options.MaxDuration {
 		return Grant{}, ErrDurationOutOfRange
@@ -106,8 +105,8 @@
 	return grant, nil
 }
 
-// extend records a lease. A shorter one doesn't shorten an earlier one of the same holder, whose answer the
-// holder may act on.
+// extend records a lease. It never shortens the recorded lease of the same holder, because the holder may rely on
+// an earlier answer that granted it longer.
 func (g *Granter) extend(now time.Duration, grant Grant) {
 	expires := now + grant.Duration + g.options.DriftAllowance
 	if held, ok := g.leases[grant.Resource]; ok && held.grant.Holder == grant.Holder {
@@ -116,8 +115,8 @@
 	g.leases[grant.Resource] = record{grant: grant, expires: expires}
 }
 
-// Release ends a lease at once. The holder must have stopped using it (Holder.Relinquish). The error is
-// ErrStaleToken.
+// Release ends a lease at once. The holder must have stopped using it (Holder.Relinquish). Release returns
+// ErrStaleToken if the grant isn't the current one.
 func (g *Granter) Release(grant Grant) error {
 	held, ok := g.leases[grant.Resource]
 	if !ok || held.grant.Holder != grant.Holder || held.grant.Token != grant.Token {
@@ -139,5 +138,5 @@
 	return expired
 }
 
-// Outstanding returns the number of leases that were neither released nor removed by Expire.
+// Outstanding returns the number of leases that have neither been released nor removed by Expire.
 func (g *Granter) Outstanding() int { return len(g.leases) }
--- a/coord/lease/holder.go
+++ b/coord/lease/holder.go
@@ -4,20 +4,21 @@
 
 // Holder is one holder's side of one lease. It isn't safe for concurrent use.
 type Holder struct {
-	margin       time.Duration // the right counts as ended this much before its end
+	margin       time.Duration // how long before its end the lease is treated as ended
 	grant        Grant
-	expires      time.Duration // by the holder's clock, less margin
+	expires      time.Duration // end of the lease by the holder's clock, less margin
 	held         bool
-	relinquished Token // highest token given back: a late answer doesn't bring it back
+	relinquished Token // highest relinquished token; late answers up to it are ignored
 }
 
-// NewHolder returns a holder without a lease. It treats a lease as ended a margin before its end, which
-// leaves time for an act that has begun; zero is safe where the resource has a Fence.
+// NewHolder returns a holder without a lease. It treats a lease as ended a margin before its actual end, which
+// leaves time to finish an operation that has begun. A margin of zero is safe if the resource has a Fence.
 func NewHolder(margin time.Duration) *Holder { return &Holder{margin: margin} }
 
-// OnGrant takes in the granter's answer to Acquire or Renew. requestedAt is the moment at which the request
-// was sent: the duration counts from there, however long the answer took. An answer that is older than what
-// is known is ignored, and none shortens the lease under its token.
+// OnGrant handles the granter's answer to Acquire or Renew. requestedAt is the time at which the request was
+// sent: the duration counts from there, however long the answer took. OnGrant ignores a grant whose token is
+// lower than the current grant's, or not higher than the last relinquished token. A grant with the current token
+// never shortens the lease.
 func (h *Holder) OnGrant(requestedAt time.Duration, grant Grant) {
 	expires := requestedAt + grant.Duration - h.margin
 	if grant.Token <= h.relinquished || h.held && grant.Token < h.grant.Token {
@@ -28,7 +29,8 @@
 	}
 }
 
-// Valid returns the token to act under if the lease hasn't ended. Ask it right before each act.
+// Valid returns the token of the lease if the lease hasn't ended, and false otherwise. Call it directly before
+// each operation that the lease protects, and send the token along.
 func (h *Holder) Valid(now time.Duration) (Token, bool) {
 	if !h.held || now >= h.expires {
 		return 0, false
@@ -36,11 +38,12 @@
 	return h.grant.Token, true
 }
 
-// Expiry returns when the right ends by this holder's clock, or ended, and false if there is no lease.
+// Expiry returns the time by the holder's clock, less the margin, at which the lease ends or has ended. It
+// returns false if there is no lease.
 func (h *Holder) Expiry() (time.Duration, bool) { return h.expires, h.held }
 
-// Relinquish stops the use of the lease and returns its grant, to be passed to Granter.Release; false if
-// there is none.
+// Relinquish stops the use of the lease and returns its grant, to be passed to Granter.Release. It returns false
+// if there is no lease.
 func (h *Holder) Relinquish() (Grant, bool) {
 	if !h.held {
 		return Grant{}, false
--- a/coord/lease/lease_test.go
+++ b/coord/lease/lease_test.go
@@ -41,11 +41,11 @@
 			_, err := g.Acquire(time.Millisecond, "zone", "b", time.Second)
 			So(err, ShouldBeNil)
 		})
-		Convey("rejects durations beyond its longest", func() {
+		Convey("rejects durations above MaxDuration", func() {
 			_, err := g.Acquire(0, "other", "a", 6*time.Second)
 			So(err, ShouldEqual, ErrDurationOutOfRange)
 		})
-		Convey("removes what has ended", func() {
+		Convey("removes leases that have ended", func() {
 			So(g.Expire(time.Second), ShouldBeEmpty)
 			So(g.Expire(2*time.Second), ShouldHaveLength, 1)
 			So(g.Outstanding(), ShouldEqual, 0)
@@ -81,20 +81,20 @@
 	})
 }
 
-// leaseSimulation has holders that request leases of one resource, with delays both ways, granters that
-// follow each other, and clocks that differ by a constant. At most one holder may have a valid lease at any
-// time.
+// leaseSimulation simulates holders that request leases of one resource, with delays in both directions, a
+// sequence of granters, and clocks that differ by constant offsets. At most one holder may have a valid lease at
+// any time.
 type leaseSimulation struct {
 	now     time.Duration
 	granter *Granter
 	epoch   uint64
 	holders []*Holder
-	offsets []time.Duration // of the holders' clocks
+	offsets []time.Duration // offsets of the holders' clocks from now
 	answers []answer
 	fence   Fence
 }
 
-// answer is a grant on its way to a holder.
+// answer is a grant in flight to a holder.
 type answer struct {
 	at          time.Duration
 	holder      int
@@ -175,10 +175,10 @@
 		}
 		owners++
 		if !w.fence.Admit(token) {
-			t.Fatalf("holder %d is fenced off though its lease is valid", i)
+			t.Fatalf("the fence rejects the token of holder %d, whose lease is valid", i)
 		}
 	}
 	if owners > 1 {
-		t.Fatalf("%d holders of one resource", owners)
+		t.Fatalf("%d holders have a valid lease of one resource, want at most 1", owners)
 	}
 }
--- a/coord/lease/token.go
+++ b/coord/lease/token.go
@@ -1,21 +1,22 @@
 package lease
 
-// Token is a fencing token: the higher one belongs to the later grant, over all granters of a system.
+// Token is a fencing token. Across all granters of a system, a later grant has a higher token.
 type Token uint64
 
-// epochShift is the number of bits below the granter's epoch, which count its grants.
+// epochShift is the number of low-order bits of a token, which count the granter's grants; the granter's epoch is
+// in the bits above.
 const epochShift = 32
 
-// Epoch returns the epoch of the granter that drew the token.
+// Epoch returns the epoch of the granter that issued the token.
 func (t Token) Epoch() uint64 { return uint64(t >> epochShift) }
 
-// Fence guards a resource against holders whose lease has ended without their notice. Only the side that
-// carries out the acts can do this; it must keep the Fence for as long as any holder may act. The zero value
-// admits every token.
+// Fence protects a resource against holders that haven't noticed that their lease has ended. Only the side that
+// executes the operations can do this; it must keep the Fence for as long as any holder may request operations.
+// The zero value admits every token.
 type Fence struct{ highest Token }
 
-// Admit reports whether an act under a token may be carried out. It rejects tokens lower than the highest
-// that it has admitted.
+// Admit reports whether an operation under a token may be executed. It rejects tokens lower than the highest
+// token that it has admitted.
 func (f *Fence) Admit(token Token) bool {
 	if token < f.highest {
 		return false
