--- a/coord/leader/election.go
+++ b/coord/leader/election.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Lease is a Source's answer about this node's leadership: its leader lease, if it holds one.
+// Lease is the state of this node's leader lease, as returned by a Source.
 type Lease struct {
-	Epoch   uint64        // of the leadership; it rises from leader to leader
-	Expires time.Duration // by the monotonic clock that Election's callers use
-	Held    bool          // this node is the leader; if false the other fields mean nothing
+	Epoch   uint64        // epoch of the leadership, which increases from leader to leader
+	Expires time.Duration // end of the lease by the monotonic clock of Election's caller
+	Held    bool          // this node is the leader; if false, the other fields have no meaning
 }
 
-// Action is what an Election asks its carrier to do.
+// Action is what the caller of an Election must do.
 type Action int
 
 // The actions.
 const (
 	NoAction  Action = iota
 	StartRole        // run the role in the new term
-	StopRole         // cancel the role: its term is over
+	StopRole         // cancel the role, because its term has ended
 )
 
-// Election turns leader leases into the starts and stops of a role. It is pure: all times are passed in, as
-// durations since any fixed moment. It isn't safe for concurrent use.
+// Election derives the starts and stops of a role from leader leases. It reads no clock: all times are passed in,
+// as durations since any fixed moment. It isn't safe for concurrent use.
 type Election struct {
 	margin   time.Duration
 	epoch    uint64
-	expires  time.Duration // end of the term, margin deducted
-	running  bool          // the role was started in epoch and not stopped
-	resigned bool          // it must not start
+	expires  time.Duration // end of the term: the end of its lease less margin
+	running  bool          // the role was started in epoch and has not been stopped
+	resigned bool          // the role must not start
 }
 
-// NewElection returns an election whose terms end a margin before their leases. The margin is the time that
-// an act may take after a look at Term.Valid; a longer one shortens each term.
+// NewElection returns an election whose terms end a margin before their leases. The margin is the time that an
+// operation may take after a call of Term.Valid; a longer margin shortens each term.
 func NewElection(margin time.Duration) *Election { return &Election{margin: margin} }
 
-// Observe takes in the source's lease and returns what follows.
+// Observe processes the source's lease and returns what the caller must do.
 //
-// A term lasts to the end of the latest lease of its epoch, also when the source doesn't hold it any more:
-// until then no other node acts. A lease of another epoch ends the term at once, and the next call starts the
-// role in the new epoch, so that two terms never overlap.
+// A term lasts until the margin before the end of the latest lease of its epoch, even if the source no longer
+// holds the lease, because no other node acts as leader until the lease ends. A lease of another epoch ends the
+// term at once, and the next call starts the role in the new epoch, so that two terms never overlap.
 func (e *Election) Observe(now time.Duration, lease Lease) Action {
 	leads := lease.Held && !e.resigned && now < lease.Expires-e.margin
 	if e.running {
 		if leads && lease.Epoch == e.epoch {
-			// A lease that was read earlier may come later: the end never moves back.
+			// Leases may be observed in another order than they were read, so the end never moves back.
 			e.expires = max(e.expires, lease.Expires-e.margin)
 			return NoAction
 		}
@@ -59,7 +59,7 @@
 	return StartRole
 }
 
-// Resign ends the term. The role isn't started again until Campaign.
+// Resign ends the running term, if any. The role isn't started again until Campaign is called.
 func (e *Election) Resign() Action {
 	e.resigned = true
 	if !e.running {
@@ -69,10 +69,11 @@
 	return StopRole
 }
 
-// Campaign lets the role start again after Resign, once this node is the leader. A new Election campaigns.
+// Campaign allows the role to start again after Resign, once this node is the leader. In a new Election the role
+// may start without a call of Campaign.
 func (e *Election) Campaign() { e.resigned = false }
 
-// Valid reports whether the term of an epoch is running and hasn't ended.
+// Valid reports whether the term of the given epoch is running and hasn't ended at now.
 func (e *Election) Valid(now time.Duration, epoch uint64) bool {
 	return e.running && e.epoch == epoch && now < e.expires
 }
--- a/coord/leader/example_test.go
+++ b/coord/leader/example_test.go
@@ -8,7 +8,7 @@
 	"sprucelane.example/sprucelane/coord/leader"
 )
 
-// alwaysLeader is a source that leads in epoch 7 until it hands over.
+// alwaysLeader is a source whose node is the leader in epoch 7 until HandOver is called.
 type alwaysLeader struct{ handedOver chan struct{} }
 
 func (a *alwaysLeader) LeaderLease() (uint64, time.Time, bool) {
--- a/coord/leader/leader_test.go
+++ b/coord/leader/leader_test.go
@@ -49,7 +49,8 @@
 	})
 }
 
-// TestElectionIsValidOnlyWithinLeases checks that no term is valid outside of a lease of its epoch.
+// TestElectionIsValidOnlyWithinLeases checks that no term is valid without a lease of its epoch, or after the
+// end of the latest such lease.
 func TestElectionIsValidOnlyWithinLeases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := NewElection(time.Millisecond)
@@ -67,7 +68,7 @@
 			e.Observe(now, lease)
 			for known := uint64(1); known <= epoch; known++ {
 				if e.Valid(now, known) && now >= ends[known] {
-					t.Fatalf("epoch %d is valid at %v, leased until %v", known, now, ends[known])
+					t.Fatalf("the term of epoch %d is valid at %v, but its latest lease ended at %v", known, now, ends[known])
 				}
 			}
 		}
@@ -76,11 +77,11 @@
 
 // fakeSource is a source whose leader lease a test sets.
 type fakeSource struct {
-	mutex  sync.Mutex
-	epoch  uint64
-	until  time.Time
-	leads  bool
-	handed int
+	mutex     sync.Mutex
+	epoch     uint64
+	until     time.Time
+	leads     bool
+	handOvers int
 }
 
 func (s *fakeSource) set(epoch uint64, until time.Time, leads bool) {
@@ -98,7 +99,7 @@
 func (s *fakeSource) HandOver(context.Context) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.handed++
+	s.handOvers++
 	s.leads = false
 	return nil
 }
@@ -129,12 +130,13 @@
 		So(runner.Resign(context.Background()), ShouldBeNil)
 		So(<-ended, ShouldEqual, 2)
 		So(second.Valid(), ShouldBeFalse)
-		So(source.handed, ShouldEqual, 1)
+		So(source.handOvers, ShouldEqual, 1)
 	})
 }
 
-// TestValidCancelsEndedTerm checks that a role whose own look at its term ends that term is cancelled: the runner's
-// next look finds no running term to stop, and Close would wait for the role for good.
+// TestValidCancelsEndedTerm checks that a role is cancelled if its own call of Term.Valid ends the term. The
+// runner's next poll finds no running term to stop, so that without the cancellation Close would wait for the role
+// forever.
 func TestValidCancelsEndedTerm(t *testing.T) {
 	source := &fakeSource{}
 	const margin = time.Hour
@@ -147,13 +149,13 @@
 		close(ended)
 	}, Options{Interval: time.Hour, Margin: margin})
 	term := <-started
-	// The lease isn't renewed and has come within its margin.
+	// The lease isn't renewed, and less than the margin remains until its end.
 	runner.mutex.Lock()
 	runner.startedAt = runner.startedAt.Add(-3 * margin / 2)
 	source.set(1, runner.startedAt.Add(2*margin), true)
 	runner.mutex.Unlock()
 	if term.Valid() {
-		t.Error("a term within the margin of its lease's end is valid")
+		t.Error("the term is valid although less than the margin remains until the end of its lease")
 	}
 	select {
 	case <-ended:
--- a/coord/leader/runner.go
+++ b/coord/leader/runner.go
@@ -9,11 +9,11 @@
 
 // Options configures a Runner.
 type Options struct {
-	// Interval is the time between looks at the source. A shorter one starts and stops the role sooner after
-	// the leadership has moved; Term.Valid doesn't depend on it. Zero means 100 ms.
+	// Interval is the time between polls of the source. A shorter interval starts and stops the role sooner
+	// after the leadership has moved; Term.Valid doesn't depend on it. Zero means 100 ms.
 	Interval time.Duration
-	// Margin is how much before the end of its lease a term is over. It must cover the time between a look at
-	// Term.Valid and the act that follows. Zero means 50 ms.
+	// Margin is how long before the end of its lease a term ends. It must cover the time between a call
+	// of Term.Valid and the operation that follows. Zero means 50 ms.
 	Margin time.Duration
 }
 
@@ -28,21 +28,21 @@
 	source    Source
 	role      Role
 	options   Options
-	startedAt time.Time // zero of the election's clock; time.Time carries a monotonic reading
+	startedAt time.Time // zero of the election's clock; contains a monotonic clock reading
 
 	closeOnce sync.Once
 	closing   chan struct{} // closed by Close
-	loopDone  chan struct{} // closed once the source isn't polled any more
+	loopDone  chan struct{} // closed once the source is no longer polled
 
 	// mutex guards the fields below. It is held for no longer than a call of Source.LeaderLease, and never
-	// while a role is waited for.
+	// while the runner waits for a role to return.
 	mutex        sync.Mutex
 	election     *Election
-	cancel       context.CancelFunc // of the role that was started last; nil before the first
-	roleReturned chan struct{}      // closed once the role that was started last has returned, or if none was
+	cancel       context.CancelFunc // cancels the role that was started last; nil before the first start
+	roleReturned chan struct{}      // closed while no role is running; initially closed
 }
 
-// Run starts a runner, which campaigns until Resign or Close.
+// Run starts a runner, which runs the role whenever this node is the leader, until Resign or Close.
 func Run(source Source, role Role, options Options) *Runner {
 	if options.Interval <= 0 {
 		options.Interval = defaultInterval
@@ -65,10 +65,10 @@
 	return r
 }
 
-// now returns the election's time.
+// now returns the current time of the election's clock.
 func (r *Runner) now() time.Duration { return time.Since(r.startedAt) }
 
-// leaderLease returns the source's lease, in the election's time.
+// leaderLease returns the source's lease, with times of the election's clock.
 func (r *Runner) leaderLease() Lease {
 	epoch, until, leads := r.source.LeaderLease()
 	return Lease{Epoch: epoch, Expires: until.Sub(r.startedAt), Held: leads}
@@ -89,7 +89,7 @@
 	}
 }
 
-// observe asks the source, and starts or cancels the role. A role starts only once the one before has
+// observe polls the source, and starts or cancels the role. The role starts only once its previous run has
 // returned.
 func (r *Runner) observe() {
 	r.mutex.Lock()
@@ -107,7 +107,8 @@
 	}
 }
 
-// hasRoleReturned reports whether no role is at work, cancelled or not. The caller holds the mutex.
+// hasRoleReturned reports whether no role is running. A cancelled role is running until it has returned. The
+// caller must hold the mutex.
 func (r *Runner) hasRoleReturned() bool {
 	select {
 	case <-r.roleReturned:
@@ -117,7 +118,7 @@
 	}
 }
 
-// startRole runs the role in a goroutine of its own. The caller holds the mutex.
+// startRole runs the role in a new goroutine. The caller must hold the mutex.
 func (r *Runner) startRole(epoch uint64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	returned := make(chan struct{})
@@ -128,14 +129,15 @@
 	}()
 }
 
-// valid is Term.Valid. It asks the source itself: a lease that was renewed since the last poll counts at
-// once.
+// valid implements Term.Valid. It calls the source itself, so that a lease that was renewed since the last poll
+// counts at once.
 func (r *Runner) valid(epoch uint64) bool {
 	lease := r.leaderLease()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if lease.Held && lease.Epoch == epoch {
-		// The election may end the term here: the role must be cancelled then, as no later look asks for it again.
+		// The election may end the term here. The role must then be cancelled here, because no later call of
+		// Observe returns StopRole for this term again.
 		if _, _, running := r.election.Term(); running && r.election.Observe(r.now(), lease) == StopRole {
 			r.cancel()
 		}
@@ -143,19 +145,20 @@
 	return r.election.Valid(r.now(), epoch)
 }
 
-// Resign stops the role, waits for it to return, and hands the leadership over. The role doesn't start here
-// again until Campaign. The error is that of ctx if it ends before the role has returned, in which case
-// nothing is handed over, or the source's.
+// Resign stops the role, waits for it to return, and hands over the leadership. The role doesn't start on this
+// node again until Campaign is called. If ctx ends before the role has returned, Resign returns an error that
+// wraps ctx.Err() and doesn't hand over the leadership. Otherwise it returns the error of Source.HandOver.
 func (r *Runner) Resign(ctx context.Context) error {
 	select {
 	case <-r.stopRole():
 	case <-ctx.Done():
-		return fmt.Errorf("leader: the role hasn't returned: %w", ctx.Err())
+		return fmt.Errorf("leader: waiting for the cancelled role to return: %w", ctx.Err())
 	}
 	return r.source.HandOver(ctx)
 }
 
-// stopRole resigns and cancels the role. The channel that it returns is closed once the role has returned.
+// stopRole resigns from the election and cancels the role. The returned channel is closed once the role has
+// returned.
 func (r *Runner) stopRole() <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -165,14 +168,14 @@
 	return r.roleReturned
 }
 
-// Campaign lets the role start here again after Resign.
+// Campaign allows the role to start on this node again after Resign.
 func (r *Runner) Campaign() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.election.Campaign()
 }
 
-// Close stops the role, waits for it to return, and ends the runner. The leadership isn't handed over.
+// Close stops the role, waits for it to return, and ends the runner. It doesn't hand over the leadership.
 func (r *Runner) Close() {
 	r.closeOnce.Do(func() { close(r.closing) })
 	<-r.loopDone
--- a/coord/ring/doc.go
+++ b/coord/ring/doc.go
@@ -1,21 +1,23 @@
-// Package ring places keys and machines by hashing, the same on every machine that knows the same names.
+// Package ring assigns keys and positions to machines by hashing. All machines that know the same names compute
+// the same assignment.
 //
-// A Ring is an immutable set of names. It answers two kinds of question:
+// A Ring is an immutable set of names. It determines two relations:
 //
-//   - Which machines own a key? Owner and Owners order the names by rendezvous hashing, also called highest
-//     random weight (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): each
-//     name has a score for each key. A name that joins or leaves moves only the keys that it owns, and the
-//     names after the owner are where a key goes next. OwnersFunc leaves out names, for instance those that
-//     are full, which bounds the load.
-//   - Which machines are adjacent? Each name has a position on a circle by its hash, as in consistent hashing
-//     (Karger et al., "Consistent Hashing and Random Trees", 1997). Successors and Predecessors walk the
-//     circle. If each machine sends heartbeats to its k successors, each is watched by k machines that are
-//     spread at random over all zones, and watches k itself, whatever the number of machines.
+//   - The owners of a key. Owner and Owners order the names by rendezvous hashing, also called highest random
+//     weight (Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998): each name has a
+//     score for each key. A name that joins or leaves moves only the keys that it owns. If the owner of a key
+//     leaves, the key moves to the next name in the order. OwnersFunc excludes names, for instance machines
+//     that are full, which bounds the load.
+//   - The neighbours of a machine. Each name has a position on a circle by its hash, as in consistent hashing
+//     (Karger et al., "Consistent Hashing and Random Trees", 1997). Successors and Predecessors follow the
+//     circle. If each machine sends heartbeats to its k successors, each machine is monitored by k machines
+//     that are spread at random over all zones, and monitors k machines itself, whatever the number of
+//     machines.
 //
-// Keys are not placed by the circle: rendezvous hashing spreads them evenly without virtual nodes. Its cost
-// is time in proportion to the number of names for each key, which is small for hundreds of names; keep the
-// answer where it is asked for often.
+// Keys are not assigned by the circle, because rendezvous hashing spreads them evenly without virtual nodes.
+// Its cost for each key is time in proportion to the number of names, which is small for hundreds of names.
+// Callers that often need the owner of the same key should cache it.
 //
-// Names are hashed with xxHash64. Which machine owns a key, and the positions, are an agreement between the
-// machines of a system, and must not change between versions.
+// Names are hashed with xxHash64. All machines of a system must agree on the owners of keys and on the
+// positions, so the hashing must not change between versions.
 package ring
--- a/coord/ring/owners.go
+++ b/coord/ring/owners.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owner returns the name with the highest score for a key, or an empty string if there are no names. It is
-// the first of Owners, without allocation.
+// Owner returns the name with the highest score for a key, or an empty string if the ring is empty. It is the first
+// name that Owners returns, but Owner doesn't allocate.
 func (r *Ring) Owner(key string) string {
 	hash := xxhash.Sum64String(key)
 	var best node
@@ -22,13 +22,13 @@
 	return best.name
 }
 
-// Owners returns up to count names in the order of their scores for a key, the owner first.
+// Owners returns up to count names in descending order of their scores for a key, the owner first.
 func (r *Ring) Owners(key string, count int) []string {
 	return r.OwnersFunc(key, count, nil)
 }
 
-// OwnersFunc is Owners without the names for which accept returns false. accept may be nil, which accepts
-// all.
+// OwnersFunc is like Owners, but leaves out the names for which accept returns false. A nil accept accepts all
+// names.
 func (r *Ring) OwnersFunc(key string, count int, accept func(name string) bool) []string {
 	hash := xxhash.Sum64String(key)
 	best := make([]scoredName, 0, min(count, len(r.nodes)))
@@ -51,12 +51,13 @@
 	score uint64
 }
 
-// compareScores orders the highest scores first, and by name, the last first, where scores are equal.
+// compareScores orders by descending score, and by descending name where scores are equal.
 func compareScores(a, b scoredName) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(b.name, a.name))
 }
 
-// insertBest inserts a candidate into the best ones, which are in order and at most count.
+// insertBest inserts a candidate into best, which is sorted by compareScores, and keeps at most the first count
+// names.
 func insertBest(best []scoredName, candidate scoredName, count int) []scoredName {
 	if count <= 0 {
 		return best
--- a/coord/ring/ring.go
+++ b/coord/ring/ring.go
@@ -25,10 +25,10 @@
 
 // Ring is an immutable set of names. The zero value is empty. It may be used by several goroutines at once.
 type Ring struct {
-	nodes []node // in order of their positions, each once
+	nodes []node // sorted by position, without duplicates
 }
 
-// New returns the ring of some names. Repeated names count once.
+// New returns the ring of the given names. Repeated names count once.
 func New(names ...string) *Ring {
 	nodes := make([]node, 0, len(names))
 	for _, name := range names {
@@ -58,7 +58,7 @@
 	return found
 }
 
-// With returns the ring with another name.
+// With returns the ring with name added. If name is already in the ring, it returns r.
 func (r *Ring) With(name string) *Ring {
 	index, found := r.search(name)
 	if found {
@@ -67,7 +67,7 @@
 	return &Ring{nodes: slices.Insert(slices.Clone(r.nodes), index, makeNode(name))}
 }
 
-// Without returns the ring without a name.
+// Without returns the ring with name removed. If name isn't in the ring, it returns r.
 func (r *Ring) Without(name string) *Ring {
 	index, found := r.search(name)
 	if !found {
@@ -76,7 +76,7 @@
 	return &Ring{nodes: slices.Delete(slices.Clone(r.nodes), index, index+1)}
 }
 
-// search returns the index of a name, or the one at which it would be inserted.
+// search returns the index of a name in nodes and true, or the index at which to insert it and false.
 func (r *Ring) search(name string) (index int, found bool) {
 	return slices.BinarySearchFunc(r.nodes, makeNode(name), compareByPosition)
 }
--- a/coord/ring/ring_test.go
+++ b/coord/ring/ring_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// machines returns the ring of machines that are numbered from 0.
+// machines returns a ring of count names, front-0 and up.
 func machines(count int) *Ring {
 	names := make([]string, 0, count)
 	for i := range count {
@@ -61,7 +61,7 @@
 			So(within, ShouldResemble, owners[1:])
 		})
 
-		Convey("an empty ring owns nothing", func() {
+		Convey("an empty ring returns no owners and no neighbours", func() {
 			empty := New()
 			So(empty.Owner("key"), ShouldBeEmpty)
 			So(empty.Owners("key", 3), ShouldBeEmpty)
@@ -79,38 +79,39 @@
 		key := rapid.String().Draw(t, "key")
 		r := New(names...)
 		if !slices.Equal(r.Names(), New(append(slices.Clone(names), names...)...).Names()) {
-			t.Fatal("order or repetition of names matters")
+			t.Fatal("the ring depends on the order or repetition of names")
 		}
 		owners := r.Owners(key, count)
 		if len(owners) != min(count, len(names)) {
-			t.Fatalf("%d owners", len(owners))
+			t.Fatalf("%d owners, want the smaller of count and the number of names", len(owners))
 		}
 		if count > 0 && owners[0] != r.Owner(key) {
 			t.Fatal("Owner is not the first of Owners")
 		}
 		all := r.Owners(key, len(names))
 		if !slices.Equal(all[:len(owners)], owners) {
-			t.Fatal("Owners isn't a prefix of the whole order")
+			t.Fatal("Owners with a smaller count isn't a prefix of the whole order")
 		}
 		for _, name := range names {
 			checkAdjacency(t, r, name, count)
 		}
 		extended := r.With("another").Without("another")
 		if !slices.Equal(extended.Names(), r.Names()) {
-			t.Fatal("With and Without don't cancel out")
+			t.Fatal("With followed by Without changes the names")
 		}
 	})
 }
 
-// checkAdjacency checks that each successor of a name has it among its predecessors.
+// checkAdjacency checks the number of successors of a name, and that the name is among the predecessors of each
+// successor.
 func checkAdjacency(t *rapid.T, r *Ring, name string, count int) {
 	successors := r.Successors(name, count)
 	if len(successors) != min(count, r.Len()-1) || slices.Contains(successors, name) {
-		t.Fatalf("successors of %s: %v", name, successors)
+		t.Fatalf("wrong number of successors of %s, or the name itself among them: %v", name, successors)
 	}
 	for _, successor := range successors {
 		if !slices.Contains(r.Predecessors(successor, count), name) {
-			t.Fatalf("%s succeeds %s, which doesn't precede it", successor, name)
+			t.Fatalf("%s is a successor of %s, which isn't among its predecessors", successor, name)
 		}
 	}
 }
--- a/coord/scrub/compare.go
+++ b/coord/scrub/compare.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// entryOverhead is what an entry counts in bytes besides its key and value, so that empty ones are bounded
-// too.
+// entryOverhead is the number of bytes that an entry counts in addition to its key and value, so that the number of
+// empty entries is bounded too.
 const entryOverhead = 64
 
-// keyRange is a part of the store that was read.
+// keyRange is the result of reading a range of the store.
 type keyRange struct {
 	entries []Summary
-	until   string // the first key after the range, empty for the end of all keys
-	bytes   int    // that were read
+	until   string // first key after the range, empty at the end of all keys
+	bytes   int    // number of bytes read, with entryOverhead for each entry
 }
 
-// readRange reads and checks the entries from one key up to another, or up to the bounds of one range if
-// these come first. An empty upper key is the end of all keys. Entries above the stable version are read and
-// left out.
+// readRange reads and checks the entries with keys in [from, to), or fewer if the bounds of one range
+// (Config.RangeEntries, Config.RangeBytes) are reached first. An empty to means the end of all keys. Entries above
+// the stable version are read, but left out of the result.
 func (n *Node) readRange(from, to string, stable uint64) (keyRange, error) {
 	read := keyRange{until: to}
 	err := n.store.Scan(from, func(entry Entry) bool {
@@ -69,8 +69,9 @@
 	n.send(n.pending.peer, n.pending.Compare)
 }
 
-// handleCompare compares a peer's range with the same range here. If it holds more entries here than fit one
-// range, the answer covers its first part only, and the peer continues from there.
+// handleCompare compares a peer's range with the same range of this replica and answers the peer. If this replica
+// has more entries in it than fit into one range, the answer covers only the first part, and the peer continues
+// from there.
 func (n *Node) handleCompare(from string, message Compare) {
 	read, err := n.readRange(message.From, message.To, message.StableVersion)
 	if err != nil {
@@ -86,7 +87,7 @@
 	n.send(from, reply)
 }
 
-// handleSummaries handles the answer to the pending Compare. Any other answer is late or repeated, and
+// handleSummaries handles the answer to the pending Compare. Any other answer is late or repeated, and is
 // ignored.
 func (n *Node) handleSummaries(now time.Time, from string, message Summaries) {
 	pending := n.pending
@@ -100,7 +101,8 @@
 	n.finishRange(now, message.Until)
 }
 
-// finishRange continues after a range that ended before a key, or starts the next pass if that key is empty.
+// finishRange ends the comparison of a range. It moves the cursor to until, the first key after the range, or starts
+// the next pass if until is empty.
 func (n *Node) finishRange(now time.Time, until string) {
 	n.pending = nil
 	n.cursor = until
@@ -115,7 +117,7 @@
 	n.passStart = latest(now, n.nextRead)
 }
 
-// entriesBefore returns the entries before a key, which is empty for the end of all keys.
+// entriesBefore returns the entries with keys before until. An empty until means the end of all keys.
 func entriesBefore(entries []Summary, until string) []Summary {
 	for i, entry := range entries {
 		if until != "" && entry.Key >= until {
@@ -125,15 +127,15 @@
 	return entries
 }
 
-// hasCorrupt reports whether one of the entries is corrupt.
+// hasCorrupt reports whether any of the entries is corrupt.
 func hasCorrupt(entries []Summary) bool {
 	return slices.ContainsFunc(entries, func(entry Summary) bool { return entry.Corrupt })
 }
 
 // latest returns the later of two times.
-func latest(one, other time.Time) time.Time {
-	if one.After(other) {
-		return one
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
 	}
-	return other
+	return b
 }
--- a/coord/scrub/config.go
+++ b/coord/scrub/config.go
@@ -15,28 +15,28 @@
 	DefaultPassInterval   = 10 * time.Minute
 )
 
-// Config adjusts a Node. Zero values take the defaults.
+// Config configures a Node. Zero values select the defaults.
 type Config struct {
-	// BytesPerSecond bounds what the background scrub reads, in keys and values. A faster scrub finds
-	// corruption sooner, and takes more of the disk from its users. Default 256 KiB/s.
+	// BytesPerSecond bounds the rate at which the background scrub reads keys and values. A higher rate finds
+	// corruption sooner, but leaves less disk throughput for other work. Default 256 KiB/s.
 	BytesPerSecond int
 
-	// RangeEntries and RangeBytes bound one range, in entries and in bytes of keys and values. One difference
-	// costs a summary of all entries of its range; small ranges cost more messages. Default 128 entries, 256
-	// KiB.
+	// RangeEntries and RangeBytes bound one range, in entries and in bytes of keys and values. A single
+	// difference costs a summary of all entries of the range; smaller ranges cost more messages. Default 128
+	// entries, 256 KiB.
 	RangeEntries int
 	RangeBytes   int
 
-	// Timeout is how long a node waits for the answer to a Compare, before it compares the range with another
-	// peer; and how long it waits after an error of the store. Default 2 s.
+	// Timeout is how long a node waits for the answer to a Compare before it compares the range with another
+	// peer. It is also how long the node waits after an error of the store. Default 2 s.
 	Timeout time.Duration
 
-	// PassInterval is the least time from the start of one pass over the store to the next, so that a small
-	// store isn't read all the time. Default 10 min.
+	// PassInterval is the minimum time from the start of one pass over the store to the start of the next, so
+	// that a small store isn't read continuously. Default 10 min.
 	PassInterval time.Duration
 
-	// StableVersion returns the version up to which all replicas should have all writes by now. Entries above
-	// it are not compared. Nil means all versions.
+	// StableVersion returns the version up to which all replicas should have received all writes. Entries with
+	// higher versions are not compared. Nil means that all versions are compared.
 	StableVersion func() uint64
 }
 
--- a/coord/scrub/entry.go
+++ b/coord/scrub/entry.go
@@ -7,23 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// castagnoli is the polynomial of the checksums; processors compute it in hardware.
+// castagnoli is the table for CRC-32C checksums, which processors compute in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Entry is one key of a replica.
+// Entry is one key of a replica, with its value.
 type Entry struct {
 	Key string
-	// Version orders the writes of a key. Two replicas have the same version of a key only with the same
-	// value.
+	// Version orders the writes of a key. Two replicas with the same version of a key must have the same value;
+	// different values are a Conflict.
 	Version uint64
 	// Deleted marks a tombstone: a deletion that isn't on all replicas yet.
 	Deleted bool
 	Value   []byte
-	// Checksum is what the function Checksum returned when the entry was written, as it is stored.
+	// Checksum is the stored checksum: the result of the function Checksum when the entry was written.
 	Checksum uint32
 }
 
-// Checksum returns the checksum (CRC-32C) of the contents of an entry. The caller stores it with the entry.
+// Checksum returns the checksum (CRC-32C) of the contents of an entry. The caller must store it with the entry.
 func Checksum(key string, version uint64, deleted bool, value []byte) uint32 {
 	var fixed [9]byte
 	binary.BigEndian.PutUint64(fixed[:], version)
@@ -35,12 +35,12 @@
 	return crc32.Update(sum, castagnoli, value)
 }
 
-// Valid reports whether an entry still has the contents that were written.
+// Valid reports whether the contents of the entry match its checksum.
 func (e Entry) Valid() bool {
 	return e.Checksum == Checksum(e.Key, e.Version, e.Deleted, e.Value)
 }
 
-// Summary is an entry without its value.
+// Summary describes an entry without its value.
 type Summary struct {
 	Key      string
 	Version  uint64
@@ -49,7 +49,7 @@
 	Corrupt bool
 }
 
-// summarize returns the summary of an entry that was read.
+// summarize returns the summary of an entry, and checks its checksum.
 func summarize(entry Entry) Summary {
 	return Summary{Key: entry.Key, Version: entry.Version, Checksum: entry.Checksum, Corrupt: !entry.Valid()}
 }
--- a/coord/scrub/example_test.go
+++ b/coord/scrub/example_test.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/coord/scrub"
 )
 
-// table is a replica's store of a single key.
+// table is a store that holds a single key.
 type table struct{ entry scrub.Entry }
 
 func (t *table) Scan(from string, visit func(scrub.Entry) bool) error {
@@ -26,13 +26,13 @@
 	return nil
 }
 
-// newTable returns a store with one value and its checksum.
+// newTable returns a store with the given value and the checksum of the correct value.
 func newTable(value string) *table {
 	checksum := scrub.Checksum("key", 1, false, []byte("value"))
 	return &table{scrub.Entry{Key: "key", Version: 1, Value: []byte(value), Checksum: checksum}}
 }
 
-// Two replicas, of which the second has a corrupt value. The caller delivers the messages.
+// The second of two replicas has a corrupt value, which is found and repaired. The caller delivers the messages.
 func Example() {
 	now := time.Unix(0, 0)
 	stores := map[string]*table{"a": newTable("value"), "b": newTable("vaLue")}
--- a/coord/scrub/message.go
+++ b/coord/scrub/message.go
@@ -1,6 +1,6 @@
 package scrub
 
-// Compare asks a peer whether its entries of a range are the same. The peer answers with Summaries.
+// Compare asks a peer whether it has the same entries in a range. The peer answers with Summaries.
 type Compare struct {
 	// Sequence numbers the comparisons of a sender; the answer repeats it.
 	Sequence uint64
@@ -8,7 +8,7 @@
 	From, To string
 	// StableVersion is the version up to which entries are compared.
 	StableVersion uint64
-	// Digest is that of the sender's entries: keys, versions and checksums.
+	// Digest is the digest of the keys, versions and checksums of the sender's entries.
 	Digest uint64
 	// Corrupt is true if the sender found a corrupt value in the range. The digest doesn't show it, since the
 	// stored checksum may be intact.
@@ -18,11 +18,11 @@
 // Summaries answers a Compare.
 type Summaries struct {
 	Sequence uint64
-	// Same is true if there is no difference and neither side found a corrupt value.
+	// Same is true if both sides have the same entries and neither side found a corrupt value.
 	Same bool
-	// Entries are those of the range up to Until, in the order of their keys; none if Same.
+	// Entries are the sender's entries in the range, up to Until, in key order. It is empty if Same is true.
 	Entries []Summary
-	// Until is the first key that the answer doesn't cover, empty for the end of all keys.
+	// Until is the first key that the answer doesn't cover, empty at the end of all keys.
 	Until string
 }
 
@@ -31,35 +31,36 @@
 	Keys []string
 }
 
-// Push brings entries to a peer that lacks them, or pulled them.
+// Push sends entries to a peer that has no valid or current copy of them, or that asked for them by a Pull.
 type Push struct {
 	Entries []Entry
 }
 
 // Envelope is a message with its receiver.
 type Envelope struct {
-	// To is the name of a peer, as SetPeers or Receive got it.
+	// To is the name of a peer, as passed to SetPeers or Receive.
 	To string
 	// Message is a Compare, Summaries, Pull or Push.
 	Message any
 }
 
-// Problem is what is wrong with an entry.
+// Problem is a kind of fault of an entry.
 type Problem uint8
 
 // Problems.
 const (
-	// Corrupt is a value that doesn't match its checksum.
+	// Corrupt means that the contents of the entry don't match its checksum.
 	Corrupt Problem = iota + 1
-	// Missing is a key that a peer has and this replica lacks.
+	// Missing means that a peer has a key that this replica lacks.
 	Missing
-	// Stale is a version older than a peer's.
+	// Stale means that this replica's version is older than a peer's.
 	Stale
-	// Conflict is a version that a peer has with another checksum, both valid. It is not repaired.
+	// Conflict means that a peer has the same version with another checksum, and both copies are valid. It is not
+	// repaired.
 	Conflict
-	// Lost is a key whose copies are corrupt on both replicas that were compared.
+	// Lost means that neither of the two compared replicas has a valid copy of the key.
 	Lost
-	// StoreFailed is an error of the store.
+	// StoreFailed means that the store returned an error.
 	StoreFailed
 )
 
@@ -81,17 +82,17 @@
 	return "unknown"
 }
 
-// Finding is a problem of an entry of this replica.
+// Finding reports a problem of an entry of this replica.
 type Finding struct {
 	Key     string
 	Problem Problem
-	// Repaired is true if this replica's entry is valid again.
+	// Repaired is true if this replica's entry has been repaired.
 	Repaired bool
-	// Err is the error of the store, for StoreFailed.
+	// Err is the error of the store if Problem is StoreFailed.
 	Err error
 }
 
-// Output is what a step of a Node leads to. The caller sends the messages and reports the findings.
+// Output is the result of a step of a Node. The caller must send the messages and report the findings.
 type Output struct {
 	Messages []Envelope
 	Findings []Finding
--- a/coord/scrub/node.go
+++ b/coord/scrub/node.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Node scrubs one replica. It must not be used by several goroutines at once.
+// Node scrubs one replica. It isn't safe for concurrent use.
 type Node struct {
 	config   Config
 	store    Store
 	peers    []string
 	nextPeer int // index into peers, modulo their number
-	// nextRead is when the next range may be read, by the rate and the interval between passes.
+	// nextRead is the earliest time to read the next range, which BytesPerSecond and PassInterval determine.
 	nextRead  time.Time
-	cursor    string // the first key of the next range
+	cursor    string // first key of the next range
 	passStart time.Time
 	passes    int
-	sequence  uint64      // of the last comparison
-	pending   *comparison // nil while no answer is awaited
-	output    Output      // of the present step
+	sequence  uint64      // sequence number of the last comparison
+	pending   *comparison // comparison that waits for an answer, or nil
+	output    Output      // output of the current step
 }
 
-// comparison is a range that waits for a peer's answer.
+// comparison is the comparison of a range that waits for a peer's answer.
 type comparison struct {
 	Compare
 	peer     string
-	entries  []Summary // the node's own, as of the Compare
+	entries  []Summary // this replica's entries when the Compare was sent
 	deadline time.Time
 }
 
-// New returns the node of a replica, which does nothing until SetPeers.
+// New returns the node of a replica. It compares nothing until SetPeers is called.
 func New(config Config, store Store, now time.Time) *Node {
 	return &Node{config: config.withDefaults(), store: store, nextRead: now, passStart: now}
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// NextTick returns when Tick is to be called.
+// NextTick returns the time at which Tick must be called next.
 func (n *Node) NextTick() time.Time {
 	if n.pending != nil {
 		return n.pending.deadline
@@ -51,15 +51,15 @@
 	return n.nextRead
 }
 
-// Passes returns how often the whole store was compared.
+// Passes returns the number of completed passes over the store.
 func (n *Node) Passes() int {
 	return n.passes
 }
 
-// Tick does what is due: it reads the next range and compares it with a peer.
+// Tick performs the work that is due: it reads the next range and sends its digest to a peer.
 func (n *Node) Tick(now time.Time) Output {
 	if n.pending != nil && !now.Before(n.pending.deadline) {
-		// Without an answer the range is compared again, with another peer.
+		// No answer arrived in time, so the range is compared with another peer.
 		n.pending = nil
 		n.nextPeer++
 	}
@@ -69,7 +69,7 @@
 	return n.takeOutput()
 }
 
-// Receive handles a message of a peer.
+// Receive handles a message from a peer.
 func (n *Node) Receive(now time.Time, from string, message any) Output {
 	switch message := message.(type) {
 	case Compare:
@@ -86,8 +86,8 @@
 	return n.takeOutput()
 }
 
-// ReadRepair pulls a key from all peers, for a reader that found its value corrupt. That the entry was
-// repaired is found in the output of a later Receive.
+// ReadRepair pulls a key from all peers. A reader calls it when it has found the value of the key corrupt. The output
+// of a later Receive reports the repair.
 func (n *Node) ReadRepair(key string) Output {
 	n.report(key, Corrupt)
 	for _, peer := range n.peers {
@@ -96,7 +96,7 @@
 	return n.takeOutput()
 }
 
-// takeOutput returns the output of the present step.
+// takeOutput returns the output of the current step and resets it.
 func (n *Node) takeOutput() Output {
 	output := n.output
 	n.output = Output{}
--- a/coord/scrub/node_test.go
+++ b/coord/scrub/node_test.go
@@ -13,11 +13,11 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// memoryStore is the store of a replica.
+// memoryStore is an in-memory Store.
 type memoryStore struct {
 	entries   map[string]Entry
-	err       error // of all operations, if set
-	bytesRead int   // by Scan, without keys
+	err       error // returned by all operations if not nil
+	bytesRead int   // bytes of values read by Scan
 }
 
 // newMemoryStore returns an empty store.
@@ -32,8 +32,8 @@
 	m.entries[key] = entry
 }
 
-// flip inverts a bit of a value and keeps the checksum, as a failing medium does.
-func (m *memoryStore) flip(key string) {
+// flipBit inverts a bit of a value and keeps the checksum, as a failing medium does.
+func (m *memoryStore) flipBit(key string) {
 	entry := m.entries[key]
 	entry.Value = slices.Clone(entry.Value)
 	entry.Value[len(entry.Value)/2] ^= 4
@@ -70,7 +70,7 @@
 		return m.err
 	}
 	if own, ok := m.entries[entry.Key]; ok && own.Valid() && own.Version > entry.Version {
-		return errors.New("an older entry in place of a newer valid one")
+		return errors.New("Repair replaces a valid entry by an older one")
 	}
 	m.entries[entry.Key] = entry
 	return nil
@@ -85,7 +85,7 @@
 	findings   map[string][]Finding
 }
 
-// newReplicas returns three replicas that hold the same keys.
+// newReplicas returns three replicas with the same entries.
 func newReplicas(seed uint64, keys int, config Config) *replicas {
 	r := &replicas{
 		simulation: simulation.New(seed),
@@ -115,7 +115,7 @@
 	}
 }
 
-// tick runs a node's timer, now and whenever it is due.
+// tick calls a node's Tick and schedules the next call: when it is due, after 100 ms at the latest.
 func (r *replicas) tick(name string) {
 	node := r.nodes[name]
 	r.handle(name, node.Tick(r.simulation.Now()))
@@ -123,7 +123,7 @@
 	r.simulation.AfterOn(name, min(delay, 100*time.Millisecond), func() { r.tick(name) })
 }
 
-// handle sends the messages and keeps the findings of a step.
+// handle sends the messages and records the findings of a step.
 func (r *replicas) handle(name string, output Output) {
 	r.findings[name] = append(r.findings[name], output.Findings...)
 	for _, envelope := range output.Messages {
@@ -133,7 +133,7 @@
 	}
 }
 
-// found reports whether a replica found a problem with a key.
+// found reports whether a replica reported a problem with a key, repaired or not as given.
 func (r *replicas) found(name, key string, problem Problem, repaired bool) bool {
 	return slices.ContainsFunc(r.findings[name], func(finding Finding) bool {
 		return finding.Key == key && finding.Problem == problem && finding.Repaired == repaired
@@ -158,15 +158,15 @@
 	return true
 }
 
-// quick is the configuration of most tests, with short passes.
-var quick = Config{PassInterval: 5 * time.Second, RangeEntries: 50, BytesPerSecond: 1 << 20}
+// quickConfig is the configuration of most tests, with short passes.
+var quickConfig = Config{PassInterval: 5 * time.Second, RangeEntries: 50, BytesPerSecond: 1 << 20}
 
 func TestScrub(t *testing.T) {
-	Convey("Given three replicas that hold the same", t, func() {
-		r := newReplicas(1, 1000, quick)
+	Convey("Given three replicas with the same entries", t, func() {
+		r := newReplicas(1, 1000, quickConfig)
 		So(r.consistent(), ShouldBeTrue)
 
-		Convey("nothing is found if nothing is wrong", func() {
+		Convey("no findings are reported if all entries are valid and the same", func() {
 			r.simulation.Run(30 * time.Second)
 			for _, name := range r.names {
 				So(r.findings[name], ShouldBeEmpty)
@@ -175,7 +175,7 @@
 		})
 
 		Convey("a flipped bit is found and repaired", func() {
-			r.stores["b"].flip("key-00700")
+			r.stores["b"].flipBit("key-00700")
 			r.simulation.Run(10 * time.Second)
 			So(r.consistent(), ShouldBeTrue)
 			So(r.found("b", "key-00700", Corrupt, true), ShouldBeTrue)
@@ -193,7 +193,7 @@
 			So(r.found("c", "key-00500", Stale, true), ShouldBeTrue)
 		})
 
-		Convey("a replica that lost everything gets it all back, though messages are lost", func() {
+		Convey("a replica that lost all entries gets them back even if messages are lost", func() {
 			r.simulation.Links.Default.Loss = 0.1
 			clear(r.stores["c"].entries)
 			r.simulation.Run(120 * time.Second)
@@ -201,30 +201,30 @@
 			So(len(r.stores["c"].entries), ShouldEqual, 1000)
 		})
 
-		Convey("a conflict is reported and left alone", func() {
+		Convey("a conflict is reported and not repaired", func() {
 			r.stores["b"].put("key-00300", 1, []byte("another value of the same version"))
 			r.simulation.Run(20 * time.Second)
 			So(r.found("a", "key-00300", Conflict, false), ShouldBeTrue)
 			So(string(r.stores["b"].entries["key-00300"].Value), ShouldEqual, "another value of the same version")
 		})
 
-		Convey("two corrupt copies are repaired by the third", func() {
-			r.stores["a"].flip("key-00042")
-			r.stores["b"].flip("key-00042")
+		Convey("two corrupt copies are repaired from the third", func() {
+			r.stores["a"].flipBit("key-00042")
+			r.stores["b"].flipBit("key-00042")
 			r.simulation.Run(30 * time.Second)
 			So(r.consistent(), ShouldBeTrue)
 		})
 
 		Convey("three corrupt copies are reported as lost", func() {
 			for _, name := range r.names {
-				r.stores[name].flip("key-00042")
+				r.stores[name].flipBit("key-00042")
 			}
 			r.simulation.Run(10 * time.Second)
 			So(r.found("a", "key-00042", Lost, false), ShouldBeTrue)
 		})
 
 		Convey("a value that a reader found corrupt is repaired at once", func() {
-			r.stores["b"].flip("key-00900")
+			r.stores["b"].flipBit("key-00900")
 			r.handle("b", r.nodes["b"].ReadRepair("key-00900"))
 			r.simulation.Run(10 * time.Millisecond)
 			So(r.stores["b"].entries["key-00900"].Valid(), ShouldBeTrue)
@@ -242,11 +242,11 @@
 		})
 	})
 
-	Convey("The scrub reads no faster than it may", t, func() {
+	Convey("The scrub reads no faster than BytesPerSecond", t, func() {
 		r := newReplicas(1, 2000, Config{BytesPerSecond: 10_000, PassInterval: time.Second})
 		for _, name := range []string{"b", "c"} {
 			r.simulation.Stop(name)
-			r.simulation.Start(name) // only a scrubs by itself from here on; b and c still answer
+			r.simulation.Start(name) // from here on only a starts comparisons; b and c still answer
 		}
 		r.simulation.Run(time.Second)
 		before := r.stores["a"].bytesRead
@@ -254,8 +254,8 @@
 		So(r.stores["a"].bytesRead-before, ShouldBeBetween, 30_000, 110_000)
 	})
 
-	Convey("Entries above the stable version are left alone", t, func() {
-		config := quick
+	Convey("Entries above the stable version are not compared", t, func() {
+		config := quickConfig
 		config.StableVersion = func() uint64 { return 5 }
 		r := newReplicas(1, 100, config)
 		r.stores["a"].put("key-00010", 6, []byte("on its way"))
@@ -267,11 +267,11 @@
 	})
 }
 
-// TestRandomCorruption corrupts and removes entries at random while writes go on and messages are lost, and
-// checks that all are repaired in the end.
+// TestRandomCorruption corrupts and removes random entries while other entries are written and messages are lost. It
+// checks that all entries are repaired in the end.
 func TestRandomCorruption(t *testing.T) {
 	for seed := range uint64(30) {
-		r := newReplicas(seed, 200, quick)
+		r := newReplicas(seed, 200, quickConfig)
 		r.simulation.Links.Default.Loss = 0.05
 		random := r.simulation.Random
 		for range 60 {
@@ -280,7 +280,7 @@
 			switch random.IntN(4) {
 			case 0:
 				if _, ok := r.stores[victim].entries[key]; ok {
-					r.stores[victim].flip(key)
+					r.stores[victim].flipBit(key)
 				}
 			case 1:
 				delete(r.stores[victim].entries, key)
@@ -297,7 +297,7 @@
 			}
 		}
 		if !r.consistent() {
-			t.Fatalf("seed %d: not repaired", seed)
+			t.Fatalf("seed %d: the replicas still differ or have corrupt entries at the end", seed)
 		}
 	}
 }
--- a/coord/scrub/repair.go
+++ b/coord/scrub/repair.go
@@ -1,10 +1,10 @@
 package scrub
 
-// maxPushBytes bounds the values in one Push in bytes, unless one alone is larger.
+// maxPushBytes bounds the total size of the values in one Push, in bytes. A single larger value is sent alone.
 const maxPushBytes = 512 << 10
 
-// reconcile pulls what is better at a peer and pushes what is better here. It merges the summaries of both,
-// which are in the order of their keys.
+// reconcile pulls the entries of which the peer has the better copy and pushes the entries of which this replica has
+// the better copy. It merges the summaries of both replicas, which are in key order.
 func (n *Node) reconcile(peer string, mine, theirs []Summary, stable uint64) {
 	var pulled, pushed []string
 	for len(mine) > 0 || len(theirs) > 0 {
@@ -35,9 +35,9 @@
 	n.push(peer, pushed)
 }
 
-// resolve decides by the rule of the package comment whether the peer's copy of a key is pulled and whether
-// this replica's copy is pushed, and reports what is wrong with the latter. Either is nil if that replica
-// lacks the key.
+// resolve decides by the rule in the package documentation whether to pull the peer's copy of a key and whether to
+// push this replica's copy. It reports problems of this replica's copy. own or other is nil if that replica lacks
+// the key.
 func (n *Node) resolve(own, other *Summary, stable uint64) (pull, push bool) {
 	switch {
 	case own == nil:
@@ -66,8 +66,8 @@
 	return false, false
 }
 
-// pullsMissing reports whether to pull an entry that wasn't among this replica's summaries. It may
-// nevertheless be here, in a version that isn't stable yet or that was written since.
+// pullsMissing reports whether to pull an entry that wasn't among this replica's summaries. This replica may have the
+// key nevertheless, in a version that isn't stable yet or that was written since the range was read.
 func (n *Node) pullsMissing(other *Summary) bool {
 	entry, found, err := n.store.Get(other.Key)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return true
 }
 
-// isStable reports whether the present entry of a key is stable still. If it was overwritten since it was
-// compared, the peer gets the newer version by itself.
+// isStable reports whether the current entry of a key is still stable. If the entry was overwritten since it was
+// compared, the peer receives the newer version without this push.
 func (n *Node) isStable(key string, stable uint64) bool {
 	entry, found, err := n.store.Get(key)
 	if err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// applyPushed repairs this replica's entry by a peer's, if that is valid and the entry here is missing,
-// corrupt or older.
+// applyPushed repairs this replica's entry with a peer's, if the peer's entry is valid and this replica's entry is
+// missing, corrupt or older.
 func (n *Node) applyPushed(entry Entry) {
 	if !entry.Valid() {
 		return
@@ -143,8 +143,8 @@
 	n.output.Findings = append(n.output.Findings, Finding{Key: entry.Key, Problem: problem, Repaired: true})
 }
 
-// diagnose returns what is wrong with this replica's entry, compared with a valid one of a peer, or 0 if
-// nothing is.
+// diagnose returns the problem of this replica's entry, compared with a valid entry of a peer, or 0 if there is no
+// problem that the peer's entry can repair.
 func diagnose(own Entry, found bool, entry Entry) Problem {
 	switch {
 	case !found:
--- a/coord/scrub/store.go
+++ b/coord/scrub/store.go
@@ -1,12 +1,13 @@
 package scrub
 
-// Store is the copy of a replica. A Node calls it from within Tick, Receive and ReadRepair only.
+// Store provides access to the entries of a replica. A Node calls it only during Tick, Receive and ReadRepair.
 type Store interface {
-	// Scan calls visit for the entries from a key on, in the order of the keys, until visit returns false. It
-	// must read the values from the disk, not from a cache: a scrub that reads a cache finds no corruption.
+	// Scan calls visit for the entries with keys not less than from, in key order, until visit returns false. It
+	// must read the values from the disk, not from a cache, because a scrub that reads a cache finds no
+	// corruption on the disk.
 	Scan(from string, visit func(Entry) bool) error
-	// Get returns the entry of a key, and whether there is one.
+	// Get returns the entry of a key, and reports whether it exists.
 	Get(key string) (Entry, bool, error)
-	// Repair puts a valid entry in place of a missing, corrupt or older one, durably.
+	// Repair durably replaces a missing, corrupt or older entry by the given valid entry.
 	Repair(entry Entry) error
 }
