--- a/coord/scrub/node_test.go
+++ b/coord/scrub/node_test.go
@@ -70,7 +70,7 @@
 		return m.err
 	}
 	if own, ok := m.entries[entry.Key]; ok && own.Valid() && own.Version > entry.Version {
-		return errors.New("Repair replaces a valid entry by an older one")
+		return errors.New("repair would replace a newer valid entry by an older one")
 	}
 	m.entries[entry.Key] = entry
 	return nil
@@ -267,7 +267,7 @@
 	})
 }
 
-// TestRandomCorruption corrupts and removes random entries while other entries are written and messages are lost. It
+// TestRandomCorruption corrupts and removes random entries while entries are written and messages are lost. It
 // checks that all entries are repaired in the end.
 func TestRandomCorruption(t *testing.T) {
 	for seed := range uint64(30) {
--- a/coord/view/membership_explore_test.go
+++ b/coord/view/membership_explore_test.go
@@ -94,7 +94,7 @@
 	name   string
 	config membershipConfig
 	steps  []string
-	limit  int // number of states after which the exploration stops
+	limit  int // number of states after which the exploration stops; if it isn't reached, all are visited
 }
 
 // committedInGenesis are steps by which the founders acknowledge a command in the genesis view.
@@ -263,7 +263,7 @@
 		{
 			"a leaving member's disk goes before the view is decided",
 			"a planned leave",
-			membershipBugs{endsEarly: true},
+			membershipBugs{removesDiskEarly: true},
 		},
 		{"a leaving member loses its vote", "a planned leave", membershipBugs{leaverNoVote: true}},
 		{
--- a/coord/view/membership_fault_test.go
+++ b/coord/view/membership_fault_test.go
@@ -45,7 +45,7 @@
 	if n.epoch() == 0 || s.losses == s.config.losses {
 		return actions // an empty machine has nothing to lose
 	}
-	if s.lossesPermitted > 0 || s.mayEnd(n) {
+	if s.lossesPermitted > 0 || s.mayRemoveDiskEarly(n) {
 		actions = append(actions, named(func(s *membershipState) { s.loseDisk(i, false) }, "%s loses its disk", name))
 		if s.config.newAddresses {
 			run := func(s *membershipState) { s.loseDisk(i, true) }
@@ -55,10 +55,10 @@
 	return actions
 }
 
-// mayEnd reports whether the disk of a leaving machine may be removed although no loss is permitted, which is
-// the injected bug endsEarly.
-func (s *membershipState) mayEnd(n *membershipNode) bool {
-	return s.config.endsEarly && n.leaving && n.acceptor.Accepted != nil && !n.acceptor.Accepted.InChain(n.self())
+// mayRemoveDiskEarly reports whether the disk of a leaving machine may be removed although no loss is permitted,
+// which is the injected bug removesDiskEarly.
+func (s *membershipState) mayRemoveDiskEarly(n *membershipNode) bool {
+	return s.config.removesDiskEarly && n.leaving && n.acceptor.Accepted != nil && !n.acceptor.Accepted.InChain(n.self())
 }
 
 // restart restarts a machine, which loses its volatile state.
@@ -82,7 +82,7 @@
 	n := s.nodes[i]
 	s.losses++
 	s.lossesUnrepaired++
-	if s.lossesPermitted > 0 && !s.mayEnd(n) {
+	if s.lossesPermitted > 0 && !s.mayRemoveDiskEarly(n) {
 		s.lossesPermitted--
 	}
 	self := n.self()
--- a/coord/view/membership_model_test.go
+++ b/coord/view/membership_model_test.go
@@ -21,16 +21,16 @@
 
 // membershipBugs selects bugs to inject. Tests inject them to show that the model detects them.
 type membershipBugs struct {
-	wipedVotes      bool // a lost disk keeps its vote
-	endsEarly       bool // a leaving member's disk is removed before the view that doesn't need it is decided
-	leaverNoVote    bool // a leaving member loses its vote with its place in the chain
-	shortAcks       bool // a chain of only as many members as disks may be lost acknowledges commands
-	shortChains     bool // such a chain is planned although a longer one is possible
-	longestLog      bool // the source is the member with the longest log
-	oneTerm         bool // of the epochs in doubt, Terms keeps only SourceEpoch
-	syncedEarly     bool // a new member counts as synced before it has the copy
-	replacesNeeded  bool // a candidate replaces an unreachable voter whose disk is needed
-	replacesSeveral bool // candidates replace several such voters at once, even reachable ones
+	wipedVotes       bool // a lost disk keeps its vote
+	removesDiskEarly bool // a leaving member's disk is removed before the view that doesn't need it is decided
+	leaverNoVote     bool // a leaving member loses its vote with its place in the chain
+	shortAcks        bool // a chain of only as many members as disks may be lost acknowledges commands
+	shortChains      bool // such a chain is planned although a longer one is possible
+	longestLog       bool // the source is the member with the longest log
+	oneTerm          bool // of the epochs in doubt, Terms keeps only SourceEpoch
+	syncedEarly      bool // a new member counts as synced before it has the copy
+	replacesNeeded   bool // a candidate replaces an unreachable voter whose disk is needed
+	replacesSeveral  bool // candidates replace several such voters at once, even reachable ones
 }
 
 // membershipNode is one machine with a disk. acceptor, log and synced are on the disk and survive a restart.
--- a/coord/view/view.go
+++ b/coord/view/view.go
@@ -21,8 +21,8 @@
 	SourceEpoch uint64
 
 	// Terms are the epochs, newest first, in which the last command before this view may have been committed:
-	// SourceEpoch, and the older epochs to use instead if nothing turns out to have been committed in
-	// SourceEpoch. Empty in the genesis view and in views that were decided before Terms were recorded.
+	// SourceEpoch, and the older epochs to use instead if it is proven that nothing was committed
+	// in SourceEpoch. Empty in the genesis view and in views that were decided before Terms were recorded.
 	Terms []Term
 }
 
