--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -13,23 +13,23 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// Chain is what the API needs of the chain.
+// Chain is the part of the replicated log that the API uses.
 type Chain interface {
-	// Propose returns the state machine's outcome once the command is durable. ErrUnavailable tells that the
-	// command was not committed and never will be; any other error leaves that open. Commands with the same id
-	// are executed once.
+	// Propose returns the state machine's outcome once the command is durable. ErrUnavailable means that the
+	// command was not committed and never will be; after any other error it may have been committed or may yet
+	// be. Commands with the same id are executed once.
 	Propose(ctx context.Context, id string, command []byte) ([]byte, error)
-	// Read returns once everything that was acknowledged before the call is applied here.
+	// Read returns once all commands that were acknowledged before the call have been applied by this process.
 	Read(ctx context.Context) error
 }
 
-// ErrUnavailable reports that a command was certainly not committed, and never will be.
+// ErrUnavailable is returned for a command that was certainly not committed and never will be.
 var ErrUnavailable = errors.New("the chain takes no orders now")
 
 // Limits of the API.
 const (
-	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must hold two
-	unavailableAfter = 900 * time.Millisecond  // until 503 while the chain is unavailable; clients wait for 1 s
+	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must have room for two
+	unavailableAfter = 900 * time.Millisecond  // time until 503 while the chain is unavailable; clients wait for 1 s
 	retryInterval    = 60 * time.Millisecond   // between attempts
 	readTimeout      = 400 * time.Millisecond  // of one read of the chain
 	proposeTimeout   = 1500 * time.Millisecond // of one proposal
@@ -43,26 +43,26 @@
 	State  *statemachine.StateMachine
 	Chain  Chain
 	Bounds node.Bounds
-	// MaxBodyBytes limits one configuration; all that are held at a time may take twice that. 0: 24 MB, which is
-	// also the highest limit.
+	// MaxBodyBytes limits the size of one configuration. All configurations held at a time may take twice as much.
+	// 0 means 24 MB, which is also the maximum.
 	MaxBodyBytes int
-	// MinActiveStores is the least number of active store machines that must remain when one retires: the number
-	// of replicas of a batch job, f + 1.
+	// MinActiveStores is the minimum number of active store machines that must remain when one retires. It is the
+	// number of replicas of a batch job, f + 1.
 	MinActiveStores int
-	// Metrics serves GET /metrics. Nil: there is none.
+	// Metrics serves GET /metrics. If nil, that path does not exist.
 	Metrics http.Handler
 	Log     zerolog.Logger
 }
 
-// API answers the operator's requests. It is safe for concurrent use.
+// API handles the operator's requests. It is safe for concurrent use.
 type API struct {
 	options      Options
 	changes      changeGroup // changes that are being decided
-	bodies       byteBudget  // of those
+	bodies       byteBudget  // of the bodies of those changes
 	maxBodyBytes int64       // of one configuration
 }
 
-// New returns an API that is served by its Handler or Server.
+// New returns an API. It is served through its Handler or Server.
 func New(options Options) *API {
 	limit := int64(maxBodyBytes)
 	if options.MaxBodyBytes > 0 {
@@ -71,7 +71,7 @@
 	return &API{options: options, changes: newChangeGroup(), bodies: byteBudget{limit: 2 * limit}, maxBodyBytes: limit}
 }
 
-// Handler returns the handler of all paths.
+// Handler returns the HTTP handler for all paths of the API.
 func (a *API) Handler() http.Handler {
 	router := echo.New()
 	router.HideBanner = true
@@ -88,7 +88,7 @@
 	return router
 }
 
-// Server returns an HTTP server of the API with its limits set.
+// Server returns an HTTP server for the API, with time-outs and the limit on headers set.
 func (a *API) Server() *http.Server {
 	return &http.Server{
 		Handler:           a.Handler(),
--- a/internal/control/operatorapi/api_test.go
+++ b/internal/control/operatorapi/api_test.go
@@ -22,19 +22,20 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// fakeChain is a chain of one process; tests decide the outcome of each proposal.
+// fakeChain is a chain of one process. Tests determine the outcome of each proposal.
 type fakeChain struct {
 	mutex        sync.Mutex
 	state        *statemachine.StateMachine
 	index        uint64
 	outcomes     map[string][]byte
 	partitioned  bool              // nothing can be read or proposed
-	nextOutcomes []proposalOutcome // of the next proposals
-	blocked      chan struct{}     // not nil: proposals wait for it
-	proposals    map[string]int    // proposals by id
+	nextOutcomes []proposalOutcome // of the next proposals; afterwards all are acknowledged
+	blocked      chan struct{}     // if not nil, proposals wait until it is closed
+	proposals    map[string]int    // number of proposals by id
 }
 
-// proposalOutcome is what becomes of a proposal, and what its proposer learns.
+// proposalOutcome states whether a proposal is executed and what its proposer learns of that. With
+// proposalAcknowledged it is executed and its outcome returned.
 type proposalOutcome int
 
 const (
@@ -111,7 +112,7 @@
 	return recorder
 }
 
-// sendChunked sends a first configuration without its length.
+// sendChunked sends a PUT of the first configuration, without a Content-Length.
 func sendChunked(api http.Handler, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPut, "/config", io.MultiReader(strings.NewReader(body)))
 	request.ContentLength = -1
@@ -125,7 +126,7 @@
 	Convey("Given a chain", t, func() {
 		chain := newFakeChain()
 		api := newAPI(chain)
-		Convey("before the first configuration there is none to read", func() {
+		Convey("a read before the first configuration gets 404", func() {
 			So(send(api, "GET", "/config", "", "").Code, ShouldEqual, 404)
 		})
 		Convey("a configuration is accepted, read back, and acknowledged again", func() {
@@ -175,19 +176,19 @@
 			api.ServeHTTP(recorder, request)
 			So(recorder.Code, ShouldEqual, 400)
 		})
-		Convey("other paths and methods have their statuses", func() {
+		Convey("an unknown path gets 404 and another method 405", func() {
 			So(send(api, "GET", "/", "", "").Code, ShouldEqual, 404)
 			So(send(api, "DELETE", "/config", "", "").Code, ShouldEqual, 405)
 		})
 	})
 }
 
-// runInBubble runs a subtest in virtual time.
+// runInBubble runs a subtest in a synctest bubble, in virtual time.
 func runInBubble(t *testing.T, name string, run func(t *testing.T)) {
 	t.Run(name, func(t *testing.T) { synctest.Test(t, run) })
 }
 
-// checkStatus fails the test if a response has another status.
+// checkStatus fails the test if a response doesn't have the expected status.
 func checkStatus(t *testing.T, recorder *httptest.ResponseRecorder, status int) {
 	t.Helper()
 	if recorder.Code != status {
@@ -196,7 +197,7 @@
 }
 
 func TestIndeterminate(t *testing.T) {
-	runInBubble(t, "while the chain can't be read, 503 comes soon, with Retry-After", func(t *testing.T) {
+	runInBubble(t, "while the chain can't be read, 503 is returned in time, with Retry-After", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.partitioned = true
 		api := newAPI(chain)
@@ -212,15 +213,15 @@
 			}
 		}
 	})
-	runInBubble(t, "while the chain can't be read, nothing is rejected, whatever was sent", func(t *testing.T) {
+	runInBubble(t, "while the chain can't be read, all requests get 503 and none is rejected", func(t *testing.T) {
 		chain := newFakeChain()
 		api := newAPI(chain)
 		checkStatus(t, send(api, "PUT", "/config", "0", document), 200)
 		chain.partitioned = true
 		for _, one := range []struct{ method, path, ifMatch, body string }{
 			{"PUT", "/config", "7", document[:40]},                              // a truncated body
-			{"PUT", "/config", "7", strings.Replace(document, ":5,", ":0,", 1)}, // a fault of the shape
-			{"PUT", "/config", "7", document},                                   // a generation that doesn't rise
+			{"PUT", "/config", "7", strings.Replace(document, ":5,", ":0,", 1)}, // an error in the shape
+			{"PUT", "/config", "7", document},                                   // a generation that doesn't increase
 			{"PATCH", "/config", "3", `{"generation":9}`},                       // another version is current here
 			{"PUT", "/config", "0", document + strings.Repeat(" ", 5000)},       // too large here
 			{"POST", "/retire/s1", "", `{"deadline-s":10}`},                     // unknown here
@@ -233,7 +234,7 @@
 			checkStatus(t, send(api, one.method, one.path, one.ifMatch, one.body), 503)
 		}
 	})
-	runInBubble(t, "a change that is too large here, and was accepted elsewhere, is acknowledged again", func(t *testing.T) {
+	runInBubble(t, "a change that exceeds this process's limit but was accepted by another one is acknowledged again", func(t *testing.T) {
 		chain := newFakeChain()
 		large := New(Options{
 			State:  chain.state,
@@ -249,7 +250,7 @@
 		checkStatus(t, send(api, "PUT", "/config", "0", body+" "), 413)
 		checkStatus(t, sendChunked(api, body+" "), 413)
 	})
-	runInBubble(t, "a change whose outcome is unknown is proposed again under its id", func(t *testing.T) {
+	runInBubble(t, "a change whose outcome is unknown is proposed again with the same id", func(t *testing.T) {
 		for _, outcomes := range [][]proposalOutcome{
 			{acknowledgementLost},
 			{proposalLost},
@@ -260,11 +261,11 @@
 			chain.nextOutcomes = outcomes
 			checkStatus(t, send(newAPI(chain), "PUT", "/config", "0", document), 200)
 			if chain.index != 1 || len(chain.proposals) != 1 {
-				t.Fatalf("%d changes, ids %v", chain.index, chain.proposals)
+				t.Fatalf("%d changes executed, expected 1; proposals by id %v, expected one id", chain.index, chain.proposals)
 			}
 		}
 	})
-	runInBubble(t, "a change that was not accepted ends with 503, one that may have been with 504, within ack-ms", func(t *testing.T) {
+	runInBubble(t, "a change that was certainly not accepted gets 503, one that may have been accepted 504, within ack-ms", func(t *testing.T) {
 		for status, outcome := range map[int]proposalOutcome{503: proposalRejected, 504: proposalLost} {
 			chain := newFakeChain()
 			for range 1000 {
@@ -277,7 +278,7 @@
 			}
 		}
 	})
-	runInBubble(t, "a change that is sent again while it is being decided shares the decision", func(t *testing.T) {
+	runInBubble(t, "requests with the same change share its decision", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
@@ -291,10 +292,10 @@
 			checkStatus(t, <-answers, 200)
 		}
 		if len(chain.proposals) != 1 || chain.index != 1 {
-			t.Fatalf("ids %v", chain.proposals)
+			t.Fatalf("proposals by id %v, expected one id and one executed change", chain.proposals)
 		}
 	})
-	runInBubble(t, "a change goes on when its caller has gone", func(t *testing.T) {
+	runInBubble(t, "a change is decided after its caller has disconnected", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
@@ -313,11 +314,11 @@
 		synctest.Wait()
 		checkStatus(t, send(api, "GET", "/config", "", ""), 200)
 	})
-	runInBubble(t, "the body of a change whose caller has gone counts as long as it is held", func(t *testing.T) {
+	runInBubble(t, "the body of a change whose caller has disconnected counts towards the limit as long as it is held", func(t *testing.T) {
 		chain := newFakeChain()
 		chain.blocked = make(chan struct{})
 		api := newAPI(chain)
-		for _, padding := range []int{3700, 3701} { // of 4096 bytes, of which there may be two
+		for _, padding := range []int{3700, 3701} { // the limit is 4096 bytes for one body and twice that for all
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			request := httptest.NewRequestWithContext(
@@ -334,7 +335,7 @@
 		synctest.Wait()
 		checkStatus(t, send(api, "PUT", "/config", "0", document+strings.Repeat(" ", 3800)), 412)
 	})
-	runInBubble(t, "of several changes on one version one is accepted", func(t *testing.T) {
+	runInBubble(t, "exactly one of several changes that build on the same version is accepted", func(t *testing.T) {
 		chain := newFakeChain()
 		api := newAPI(chain)
 		statuses := make(chan int)
@@ -375,7 +376,7 @@
 			So(rejected.Code, ShouldEqual, 400)
 			So(rejected.Body.String(), ShouldContainSubstring, message)
 		}
-		So(send(api, "GET", "/retire/s1", "", "").Code, ShouldEqual, 404) // nothing was begun
+		So(send(api, "GET", "/retire/s1", "", "").Code, ShouldEqual, 404) // the rejected requests began no retirement
 		So(send(api, "GET", "/retire/s1", "", "").Code, ShouldEqual, 404)
 		So(send(api, "POST", "/retire/s1", "", `{"deadline-s":10}`).Body.String(), ShouldContainSubstring, `"active"`)
 		So(send(api, "POST", "/retire/s1", "", `{"deadline-s":10}`).Code, ShouldEqual, 200)
--- a/internal/control/operatorapi/body.go
+++ b/internal/control/operatorapi/body.go
@@ -10,12 +10,12 @@
 // Errors of reading a body.
 var (
 	errBodyTooLarge = errors.New("the body is too large")
-	errBodiesBusy   = errors.New("other large configurations are under way") // their bodies use the byteBudget up
+	errBodiesBusy   = errors.New("other large configurations are under way") // the byteBudget is exhausted
 )
 
-// readBody reads a request's body within the limits on its size and on all bodies together. The returned
-// function gives the body's part of the latter back. With errBodyTooLarge the returned bytes are the
-// beginning of the body, which was read.
+// readBody reads a request's body within the limits on its size and on the size of all bodies together. The
+// returned function releases the body's share of the latter; it is nil on an error. With errBodyTooLarge the
+// returned bytes are the beginning of the body that has already been read, if any.
 func (a *API) readBody(request *http.Request) ([]byte, func(), error) {
 	if request.ContentLength > a.maxBodyBytes {
 		return nil, nil, errBodyTooLarge
@@ -36,7 +36,8 @@
 	return body, release, nil
 }
 
-// readAll reads a body of a known length, or one of an unknown length up to a limit.
+// readAll reads a request's body: all of it if its length is known, otherwise up to the limit. If a body of unknown
+// length exceeds the limit, readAll returns errBodyTooLarge and the bytes that it has read.
 func readAll(request *http.Request, limit int64) ([]byte, error) {
 	if request.ContentLength >= 0 {
 		body := make([]byte, request.ContentLength)
@@ -50,14 +51,15 @@
 	return body, err
 }
 
-// byteBudget limits the bytes of all bodies that are held at a time.
+// byteBudget limits the total size in bytes of the bodies that are held at a time.
 type byteBudget struct {
 	limit    int64
 	mutex    sync.Mutex
 	reserved int64 // guarded by mutex
 }
 
-// reserve reports whether so many bytes could be reserved. A first body is let in whatever its size.
+// reserve reserves a number of bytes and reports whether that was possible. The first body is accepted whatever its
+// size.
 func (b *byteBudget) reserve(bytes int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -68,7 +70,7 @@
 	return true
 }
 
-// release gives reserved bytes back.
+// release returns reserved bytes to the budget.
 func (b *byteBudget) release(bytes int64) {
 	b.mutex.Lock()
 	b.reserved -= bytes
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -16,10 +16,10 @@
 const (
 	largeRouteCount  = 120
 	largeTenantCount = 300
-	putEvery         = 50 // one change in so many is a PUT of the whole document
+	putEvery         = 50 // one change in putEvery is a PUT of the whole document
 )
 
-// largeRoute returns a route of a large configuration.
+// largeRoute returns a route of a large configuration. Its timeout depends on the version.
 func largeRoute(number, version int) string {
 	return fmt.Sprintf(
 		`{"name":"route-%04d","hostname":"host-%d.example","path-prefix":"/prefix-%04d/","route-type":"streaming","timeout-ms":%d,"target-latency-ms":300,"priority":1,"traffic-split":[{"backend":"backend-%d","weight":90},{"backend":"backend-0","weight":10}],"max-attempts":2,"public":false,"sticky":true,"resumable":true,"gap_aim_ms":300}`,
@@ -41,15 +41,16 @@
 	)
 }
 
-func joined(count int, one func(number int) string) string {
+func joinElements(count int, element func(number int) string) string {
 	list := make([]string, count)
 	for i := range list {
-		list[i] = one(i)
+		list[i] = element(i)
 	}
 	return strings.Join(list, ",")
 }
 
-// largeChange returns the change that leads to a version: mostly a PATCH of a route and a tenant.
+// largeChange returns the change that leads to a version: a PATCH of one route and one tenant, or for one version in
+// putEvery a PUT of the whole document.
 func largeChange(version int) configuration.ChangeRequest {
 	change := configuration.ChangeRequest{IfMatch: uint64(version) - 1, Patch: version%putEvery != 1}
 	if change.Patch {
@@ -62,19 +63,20 @@
 		)
 		return change
 	}
-	backends := joined(9, func(i int) string {
+	backends := joinElements(9, func(i int) string {
 		return fmt.Sprintf(
 			`{"name":"backend-%d","health-path":"/healthz","max-conns":190,"protocol":"h1","engine":{"slots":16,"kv-bytes":327680}}`,
 			i,
 		)
 	})
 	change.Body = fmt.Appendf(nil, `{"generation":%d,"routes":[%s],"backends":[%s],"tenants":[%s]}`, version,
-		joined(largeRouteCount, func(i int) string { return largeRoute(i, version) }), backends,
-		joined(largeTenantCount, func(i int) string { return largeTenant(i, version) }))
+		joinElements(largeRouteCount, func(i int) string { return largeRoute(i, version) }), backends,
+		joinElements(largeTenantCount, func(i int) string { return largeTenant(i, version) }))
 	return change
 }
 
-// commit has the changes from one version to another accepted, through one machine after the other.
+// commit proposes the changes to the versions from..to, through the given machines in turn, and fails the test if
+// one of them is not accepted.
 func (w *clusterSimulation) commit(from, to int, through ...*simulatedControl) {
 	for version := from; version <= to; version++ {
 		change := largeChange(version)
@@ -101,42 +103,42 @@
 	}
 }
 
-// Bounds of a machine that returns after it has missed many changes.
+// Bounds for a machine that restarts after it has missed many changes.
 const (
 	missedChanges   = 500
 	maxCatchUpTime  = 3 * time.Second
 	maxCatchUpBytes = 4 << 20
 )
 
-// TestCatchUp has a machine miss 500 changes, with its disk kept or lost. It must catch up in bounded time
-// and bytes, and answer nothing before.
+// TestCatchUp checks that a machine that has missed 500 changes, with its disk kept or lost, catches up within
+// bounds on time and received bytes, and that it returns no configuration before it has caught up.
 func TestCatchUp(t *testing.T) {
 	for _, wiped := range []bool{false, true} {
 		t.Run(fmt.Sprintf("wiped %t", wiped), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newClusterSimulation(t, 2, 3, bugNone)
 				w.commit(1, 100, w.members...)
-				away := w.members[2]
-				away.end(true)
+				returning := w.members[2]
+				returning.end(true)
 				if wiped {
-					away.disk.Wipe()
+					returning.disk.Wipe()
 				}
 				time.Sleep(2 * time.Second)
 				w.commit(101, 100+missedChanges, w.members[:2]...)
-				before, began := w.network.BytesReceived(away.ip), w.now()
-				away.start(false)
-				early := w.awaitCaughtUp(away, 100+missedChanges)
-				took, received := w.now()-began, w.network.BytesReceived(away.ip)-before
+				before, began := w.network.BytesReceived(returning.ip), w.now()
+				returning.start(false)
+				answersBefore := w.awaitCaughtUp(returning, 100+missedChanges)
+				took, received := w.now()-began, w.network.BytesReceived(returning.ip)-before
 				t.Logf(
 					"caught up in %v with %d bytes; %d answers before, all without a configuration",
 					took,
 					received,
-					early,
+					answersBefore,
 				)
 				if took > maxCatchUpTime || received > maxCatchUpBytes {
-					t.Errorf("%v and %d bytes to catch up", took, received)
+					t.Errorf("catching up took %v and %d bytes, which exceeds maxCatchUpTime or maxCatchUpBytes", took, received)
 				}
-				w.commit(101+missedChanges, 110+missedChanges, away)
+				w.commit(101+missedChanges, 110+missedChanges, returning)
 				w.stop()
 				for _, failure := range w.violations {
 					t.Error(failure)
@@ -146,30 +148,30 @@
 	}
 }
 
-// awaitCaughtUp asks a machine until it returns the newest version, and counts the answers before. With less
-// than that version it must neither be fresh nor lead the chain.
-func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (early int) {
+// awaitCaughtUp sends reads to a machine until it returns the newest version, and returns the number of reads
+// before that. While the machine has an earlier version it must neither report a staleness below 1 s nor hold the leader lease.
+func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (answersBefore int) {
 	for {
 		held := m.state.Configuration().Generation
 		age, fresh := m.node.Staleness()
 		if held < uint64(newest) && fresh && age < time.Second {
-			w.failf("%s is fresh with version %d", m.ip, held)
+			w.failf("%s reports a staleness below 1 s with the outdated version %d", m.ip, held)
 		}
 		if _, _, leads := m.node.LeaderLease(); leads && held < uint64(newest) {
-			w.failf("%s leads with version %d", m.ip, held)
+			w.failf("%s holds the leader lease with the outdated version %d", m.ip, held)
 		}
 		got := m.call("GET", "", "", 20*time.Millisecond)
 		switch {
 		case got.status == 200 && got.etag == fmt.Sprintf(`"%d"`, newest):
-			return early
+			return answersBefore
 		case got.status == 200 || got.status == 404:
-			w.failf("%s answers with version %s, the newest is %d", m.ip, got.etag, newest)
-			return early
+			w.failf("%s returned version %s, the newest is %d", m.ip, got.etag, newest)
+			return answersBefore
 		}
-		early++
-		if early > 1000 {
-			w.failf("%s doesn't catch up", m.ip)
-			return early
+		answersBefore++
+		if answersBefore > 1000 {
+			w.failf("%s has not caught up after 1000 reads", m.ip)
+			return answersBefore
 		}
 	}
 }
--- a/internal/control/operatorapi/change.go
+++ b/internal/control/operatorapi/change.go
@@ -13,7 +13,7 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// handleChange handles PUT and PATCH /config.
+// handleChange returns the handler of PUT /config, or of PATCH /config if patch is set.
 func (a *API) handleChange(patch bool) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		arrived := time.Now()
@@ -45,7 +45,8 @@
 	}
 }
 
-// parseIfMatch parses the generation in If-Match, bare or in quotes.
+// parseIfMatch parses the values of the If-Match header: there must be a single one, a generation with or without
+// quotes. It reports whether the header is valid.
 func parseIfMatch(values []string) (uint64, bool) {
 	if len(values) != 1 {
 		return 0, false
@@ -58,14 +59,14 @@
 	return number, err == nil
 }
 
-// handleTooLarge answers a change whose body exceeds this process's limit. A process with more memory may
-// have accepted it earlier, so it is looked for by its digest, computed without holding the body, before it
-// is rejected.
+// handleTooLarge answers a change whose body exceeds this process's limit. A process with more memory may have
+// accepted the change earlier. Before the change is rejected it is therefore looked up by its digest, which is
+// computed without holding the body in memory.
 func (a *API) handleTooLarge(c echo.Context, ifMatch uint64, patch bool, beginning []byte) error {
 	c.Response().Header().Set("Connection", "close")
 	rejection := responseBody{Message: errBodyTooLarge.Error()}
 	if c.Request().ContentLength > maxBodyBytes {
-		return c.JSON(http.StatusRequestEntityTooLarge, rejection) // above the limit of every process
+		return c.JSON(http.StatusRequestEntityTooLarge, rejection) // above the maximum limit of any process
 	}
 	digester := configuration.NewDigester(ifMatch, patch)
 	_, _ = digester.Write(beginning) // a hash never returns an error
@@ -79,7 +80,7 @@
 	if err := a.awaitReadable(c.Request().Context()); err != nil {
 		return writeUnavailable(c, "it can't be told here now whether the order was taken: "+err.Error())
 	}
-	result := configuration.Result{Status: a.options.State.Remembered(digester.Digest(), ifMatch),
+	result := configuration.Result{Status: a.options.State.ChangeStatus(digester.Digest(), ifMatch),
 		Generation: a.options.State.Configuration().Generation}
 	if result.Status == configuration.StatusStale {
 		return c.JSON(http.StatusRequestEntityTooLarge, rejection)
--- a/internal/control/operatorapi/changegroup.go
+++ b/internal/control/operatorapi/changegroup.go
@@ -7,8 +7,8 @@
 	"sprucelane.example/sprucelane/internal/configuration"
 )
 
-// changeGroup merges changes that are sent again while they are being decided, as
-// golang.org/x/sync/singleflight does, and lets a caller leave before the decision.
+// changeGroup merges identical changes that are being decided at the same time, as golang.org/x/sync/singleflight
+// does. Unlike in singleflight, a caller may stop waiting before the decision.
 type changeGroup struct {
 	mutex   sync.Mutex
 	pending map[configuration.Digest]*changeCall // guarded by mutex; removed before done is closed
@@ -25,9 +25,9 @@
 	return changeGroup{pending: map[configuration.Digest]*changeCall{}}
 }
 
-// do returns the decision of the change with a digest, and starts decide unless it runs for that change
-// already. It reports false if ctx ended first; decide runs on. release is called once the caller's body is
-// no longer held: for the caller that started decide, that is when decide has returned.
+// do returns the decision on the change with the given digest. It starts decide unless a call for that change is
+// already running. It returns false if ctx ends first; decide then continues. release is called once the caller's
+// body is no longer held: for the caller that started decide after decide has returned, for others when do returns.
 func (g *changeGroup) do(
 	ctx context.Context,
 	digest configuration.Digest,
@@ -46,7 +46,7 @@
 	}
 }
 
-// findOrStart returns the call with a digest, and reports whether it started that call.
+// findOrStart returns the call for the change with the given digest and reports whether it started that call.
 func (g *changeGroup) findOrStart(
 	digest configuration.Digest,
 	decide func() decision,
@@ -63,7 +63,7 @@
 	return call, true
 }
 
-// run decides a change and wakes its callers.
+// run decides a change, releases the body, and wakes the callers that wait for the decision.
 func (g *changeGroup) run(digest configuration.Digest, call *changeCall, decide func() decision, release func()) {
 	call.decision = decide()
 	release()
--- a/internal/control/operatorapi/cluster_simulation_test.go
+++ b/internal/control/operatorapi/cluster_simulation_test.go
@@ -23,7 +23,7 @@
 	"sprucelane.example/sprucelane/internal/simulation/bubble"
 )
 
-// replicaChain adapts a replica as package control does.
+// replicaChain adapts a replica to Chain, as package control does.
 type replicaChain struct{ node *replica.Node }
 
 func (c replicaChain) Propose(ctx context.Context, id string, change []byte) ([]byte, error) {
@@ -39,13 +39,13 @@
 	return err
 }
 
-// simulatedControl is a control machine of the simulation: the API on the state machine on a real replica.
+// simulatedControl is a control machine of the simulation. It runs the real API, state machine and replica.
 type simulatedControl struct {
 	cluster     *clusterSimulation
 	ip          string
 	disk        *bubble.Disk
 	mutex       sync.Mutex
-	incarnation int // the number of its start; 0 while the process doesn't run
+	incarnation int // number of the current start; 0 while the process doesn't run
 	starts      int
 	host        *bubble.Host
 	node        *replica.Node
@@ -53,11 +53,11 @@
 	api         http.Handler
 }
 
-// clusterSimulation is a few control machines in virtual time, with simulated network and disks.
+// clusterSimulation runs a few control machines in virtual time, with a simulated network and simulated disks.
 type clusterSimulation struct {
 	t             *testing.T
 	seed          uint64
-	random        *rand.Rand // of the faults
+	random        *rand.Rand // for the faults
 	network       *bubble.Network
 	members       []*simulatedControl
 	seeds         []string
@@ -65,11 +65,12 @@
 	began         time.Time
 	mutex         sync.Mutex // guards the fields below
 	events        []string
-	partitioned   *simulatedControl // from all others; nil: none
+	partitioned   *simulatedControl // machine partitioned from all others; nil if there is none
 	partitionedAt time.Duration
 	violations    []string
 }
 
+// simulatedTolerance is the number of machine failures that the simulated cluster tolerates.
 const simulatedTolerance = 1
 
 // newClusterSimulation starts all machines. It must be called in a synctest bubble.
@@ -111,14 +112,14 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, arguments...))
 }
 
-// start starts the process. No lock is held meanwhile, since the time of a bubble stands still while a
-// goroutine waits for a mutex.
+// start starts the process. It holds no lock while the replica starts, because the time of a synctest bubble doesn't
+// advance while a goroutine waits for a mutex.
 func (m *simulatedControl) start(bootstrap bool) {
 	w := m.cluster
 	host, state := w.network.StartHost(m.ip), statemachine.New()
 	var machine chain.StateMachine = state
 	if w.bug == bugSnapshotDropsChanges {
-		machine = &forgetfulStateMachine{StateMachine: state}
+		machine = &changeDroppingStateMachine{StateMachine: state}
 	}
 	started, err := replica.Start(replica.Options{
 		Identity:     transport.Identity{System: "world", Node: m.ip, Role: "control"},
@@ -152,7 +153,7 @@
 	w.logf("%s starts", m.ip)
 }
 
-// end ends the process, by a kill or by a loss of power.
+// end ends the process by a kill or, if power is set, by a loss of power.
 func (m *simulatedControl) end(power bool) {
 	m.mutex.Lock()
 	running := m.incarnation != 0
@@ -172,22 +173,22 @@
 	m.node.Close()
 }
 
-// callResult is what a caller received.
+// callResult is the response that a caller received.
 type callResult struct {
-	status int // 0: nothing
+	status int // 0 if no response was received
 	body   string
 	etag   string
 }
 
-// call sends one request to a machine and waits as long as an operator does.
-func (m *simulatedControl) call(method, ifMatch, body string, patience time.Duration) callResult {
+// call sends one request to a machine and waits for the response until the timeout.
+func (m *simulatedControl) call(method, ifMatch, body string, timeout time.Duration) callResult {
 	m.mutex.Lock()
 	incarnation, api := m.incarnation, m.api
 	m.mutex.Unlock()
 	if incarnation == 0 {
 		return callResult{}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request := httptest.NewRequestWithContext(ctx, method, "/config", strings.NewReader(body))
 	if ifMatch != "" {
@@ -212,7 +213,7 @@
 	return callResult{status: recorder.Code, body: recorder.Body.String(), etag: recorder.Header().Get("ETag")}
 }
 
-// partition partitions a machine from all others, in one direction or both.
+// partition partitions a machine from all others for the given time, in one direction or both.
 func (w *clusterSimulation) partition(m *simulatedControl, out, in bool, span time.Duration) {
 	w.logf("%s is partitioned for %v, out %t, in %t", m.ip, span, out, in)
 	for _, other := range w.members {
@@ -237,20 +238,20 @@
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
 	}
-	w.logf("%s is back in touch", m.ip)
+	w.logf("the partition of %s has ended", m.ip)
 }
 
-// isPartitioned reports whether a machine has been partitioned since before a moment.
+// isPartitioned reports whether a machine is partitioned and has been since before the time of a call.
 func (w *clusterSimulation) isPartitioned(m *simulatedControl, called time.Duration) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.partitioned == m && called > w.partitionedAt
 }
 
-// recoveryTime is how long a machine may take to be in sync again after a fault.
+// recoveryTime is the time within which a machine must be in sync again after a fault.
 const recoveryTime = 5 * time.Second
 
-// injectFaults injects one fault after the other, each within the tolerance.
+// injectFaults injects faults one at a time until shortly before end. Each is within the tolerance.
 func (w *clusterSimulation) injectFaults(end time.Duration) {
 	time.Sleep(2*time.Second + w.randomDuration(time.Second))
 	for w.now() < end-2*time.Second {
@@ -261,8 +262,8 @@
 	}
 }
 
-func (w *clusterSimulation) randomDuration(most time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(most)))
+func (w *clusterSimulation) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
 func (w *clusterSimulation) injectFault(m, other *simulatedControl, kind int, span time.Duration) {
@@ -271,7 +272,7 @@
 		m.end(kind == 1)
 		time.Sleep(span)
 		m.start(false)
-	case 2, 3: // all machines lose power, and one its disk as well
+	case 2, 3: // all machines lose power, and with kind 3 one also loses its disk
 		for _, one := range w.members {
 			one.end(true)
 		}
@@ -304,7 +305,7 @@
 		time.Sleep(span)
 		w.network.Heal(m.ip, other.ip)
 		w.network.Heal(other.ip, m.ip)
-	case 9: // whatever waits for the disk is blocked, the API isn't
+	case 9: // operations that wait for the disk are blocked, the API is not
 		w.logf("the disk of %s stalls for %v", m.ip, span)
 		m.disk.SetStalled(true)
 		time.Sleep(span)
@@ -325,7 +326,7 @@
 	}
 }
 
-// stop ends all processes and waits for what they leave running.
+// stop ends all processes and gives the goroutines that they leave running 10 s to end.
 func (w *clusterSimulation) stop() {
 	for _, m := range w.members {
 		m.end(false)
--- a/internal/control/operatorapi/decision.go
+++ b/internal/control/operatorapi/decision.go
@@ -13,15 +13,15 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// decision is the answer to a change.
+// decision is the response to a change.
 type decision struct {
 	status int
 	body   responseBody
-	reason string // why the change is undecided; empty with other statuses than 503 and 504
+	reason string // why the change is undecided; set only with status 503 or 504
 }
 
-// decide decides a change and logs the decision. It continues when its caller disconnects, as a command that
-// has been proposed can't be withdrawn.
+// decide decides a change and logs the decision. It continues if the caller disconnects, because a command that has
+// been proposed can't be withdrawn.
 func (a *API) decide(change configuration.ChangeRequest, arrived time.Time) decision {
 	log := a.options.Log.With().
 		Uint64("if-match", change.IfMatch).
@@ -33,8 +33,8 @@
 	if decided.reason != "" {
 		event = log.Warn().Str("reason", decided.reason)
 	}
-	for _, one := range decided.body.Findings {
-		log.Debug().Str("place", one.Place).Str("text", one.Text).Msg("configuration_finding")
+	for _, finding := range decided.body.Findings {
+		log.Debug().Str("place", finding.Place).Str("text", finding.Text).Msg("configuration_finding")
 	}
 	event.Int("status", decided.status).
 		Uint64("generation", decided.body.Generation).
@@ -44,7 +44,7 @@
 	return decided
 }
 
-// submit submits a change to the chain until it is decided or its time is over.
+// submit submits a change to the chain, repeatedly if needed, until it is decided or its time is over.
 func (a *API) submit(change configuration.ChangeRequest, arrived time.Time) decision {
 	encoded, err := statemachine.Command{Configuration: &change}.Encode()
 	if err != nil {
@@ -61,8 +61,9 @@
 	return submission.run()
 }
 
-// shapeFindings checks the shape of a change that builds on the current version. A change that was accepted
-// earlier is not checked again: the rules may have become stricter since, and it must get its 200 again.
+// shapeFindings returns the faults in the shape of a change that builds on the current version. It is not called
+// for a change that was accepted earlier: the rules may have become stricter since, and the change must be answered
+// with 200 again.
 func shapeFindings(change configuration.ChangeRequest) []findingBody {
 	if json.Valid(change.Body) {
 		if found := schema.Check(change.Body, change.Patch); len(found) > 0 {
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// proposalID returns the id under which a change is proposed. It is a digest of the change, so that the chain
-// executes a change once however often, and to whichever control process, it is sent.
+// proposalID returns the id under which a change is proposed. It contains the digest of the change, so that the chain
+// executes a change only once even if it is sent several times or to several control processes.
 func proposalID(change configuration.ChangeRequest) string {
 	digest := change.Digest()
 	return "configuration-" + hex.EncodeToString(digest[:])
@@ -88,13 +89,13 @@
 	change        configuration.ChangeRequest
 	command       []byte
 	id            string
-	unavailableAt time.Time // end of the attempts while no proposal can have been committed
+	unavailableAt time.Time // end of the attempts as long as no proposal can have been committed
 	deadline      time.Time // end of all attempts
-	uncertain     bool      // a proposal may have been committed, or may yet be
-	shapeChecked  bool      // the shape was checked and is valid
+	uncertain     bool      // a proposal may have been committed or may still be
+	shapeChecked  bool      // the shape has been checked and is valid
 }
 
-// run makes attempts until one decides or the time is over.
+// run makes attempts until one of them decides the change or the time is over.
 func (s *changeSubmission) run() decision {
 	for {
 		decided, err := s.attempt()
@@ -107,8 +108,8 @@
 	}
 }
 
-// retryUntil returns the end of the time for attempts: it is later once a proposal may have been committed,
-// as only an answer resolves that.
+// retryUntil returns the end of the time for attempts. It is later once a proposal may have been committed, because
+// only the outcome of a further attempt can resolve that.
 func (s *changeSubmission) retryUntil() time.Time {
 	if s.uncertain {
 		return s.deadline
@@ -116,7 +117,7 @@
 	return s.unavailableAt
 }
 
-// giveUp returns the decision when the time is over: 503 if the change was certainly not accepted, else 504.
+// giveUp returns the decision when the time is over: 503 if the change was certainly not accepted, otherwise 504.
 func (s *changeSubmission) giveUp(err error) decision {
 	if s.uncertain {
 		return decision{status: http.StatusGatewayTimeout, reason: "the order may have been taken: " + err.Error()}
@@ -124,9 +125,9 @@
 	return decision{status: http.StatusServiceUnavailable, reason: "no order is taken here now: " + err.Error()}
 }
 
-// attempt reads the acknowledged state, and proposes the change if that would accept it. An error leaves the
-// change undecided. Nothing is rejected before the read has succeeded: the local state may be outdated, and
-// the change may have been accepted elsewhere.
+// attempt reads the acknowledged state and proposes the change if it would be accepted in that state. If it returns
+// an error, the change is undecided. A change is never rejected before the read has succeeded, because the local
+// state may be outdated and the change may have been accepted by another process.
 func (s *changeSubmission) attempt() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(readTimeout, time.Until(s.retryUntil())))
 	err := s.api.options.Chain.Read(ctx)
@@ -154,7 +155,8 @@
 	return s.propose()
 }
 
-// propose proposes the change and decodes its outcome.
+// propose proposes the change and returns the decision that follows from its outcome. On an error it sets uncertain
+// if the change may have been committed.
 func (s *changeSubmission) propose() (decision, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), min(proposeTimeout, time.Until(s.deadline)))
 	defer cancel()
@@ -171,7 +173,7 @@
 	return decisionOf(*outcome.Configuration), nil
 }
 
-// decisionOf returns the decision for a result of the state machine.
+// decisionOf returns the decision for a result returned by the state machine.
 func decisionOf(result configuration.Result) decision {
 	decided := decision{status: int(result.Status), body: responseBody{Generation: result.Generation}}
 	switch result.Status {
--- a/internal/control/operatorapi/history_test.go
+++ b/internal/control/operatorapi/history_test.go
@@ -20,57 +20,58 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
-// sentChange is a change that an operator has sent, once or more often.
+// sentChange is a change that operators have sent, once or several times.
 type sentChange struct {
-	id         string // of its digest
-	tenant     string // that marks what it brings
+	id         string // hexadecimal digest
+	tenant     string // name of the tenant by which the change is recognized in a configuration
 	method     string
 	ifMatch    uint64
 	generation uint64
 	invalid    bool
-	// Builds on a version that doesn't exist yet: rejected now, it may be accepted when it is sent again.
+	// futureBase is set if the change builds on a version that doesn't exist yet. It is rejected at first and may be
+	// accepted when it is sent again.
 	futureBase   bool
 	body         string
 	attempts     int
-	acknowledged bool // by a 200, at least once
-	rejectedWith int  // status of a rejection
+	acknowledged bool // answered with 200 at least once
+	rejectedWith int  // status of the last rejection; 0 if there was none
 }
 
-func (o *sentChange) digest() configuration.Digest {
-	return configuration.ChangeRequest{IfMatch: o.ifMatch, Patch: o.method == "PATCH", Body: []byte(o.body)}.Digest()
+func (c *sentChange) digest() configuration.Digest {
+	return configuration.ChangeRequest{IfMatch: c.ifMatch, Patch: c.method == "PATCH", Body: []byte(c.body)}.Digest()
 }
 
 // observed is the response to a call of the history.
 type observed struct {
 	status  int
-	tenants string // of a GET: the tenants
-	version uint64 // of a GET
+	tenants string // with GET: the tenants in the response
+	version uint64 // with GET: the version in the response
 }
 
-// history is what all operators sent and received.
+// history records the requests and responses of all operators. padding is the number of spaces appended to each body.
 type history struct {
 	cluster            *clusterSimulation
-	clock              atomic.Int64 // numbers calls and returns in their order
+	clock              atomic.Int64 // logical clock that orders calls and returns
 	mutex              sync.Mutex
 	operations         []porcupine.Operation
 	changes            []*sentChange
 	changesByID        map[string]*sentChange
-	newestVersion      uint64 // that an operator was sent
+	newestVersion      uint64 // newest version that an operator has received
 	padding            int
 	lastAcknowledgedAt time.Duration
-	statuses           map[int]int // answers by status
+	statuses           map[int]int // number of responses by status
 	decisiveOperations []porcupine.Operation
 }
 
 func newHistory(w *clusterSimulation) *history {
 	h := &history{cluster: w, changesByID: map[string]*sentChange{}, statuses: map[int]int{}}
 	if w.seed%2 == 0 {
-		h.padding = 24 << 10 // so that logs are soon compacted and snapshots taken
+		h.padding = 24 << 10 // so that logs are compacted and snapshots taken early
 	}
 	return h
 }
 
-// operatorClient is one operator.
+// operatorClient simulates one operator.
 type operatorClient struct {
 	*history
 	number int
@@ -78,7 +79,7 @@
 	random *rand.Rand
 }
 
-// run sends changes and reads until a moment.
+// run sends changes and reads until end.
 func (c *operatorClient) run(end time.Duration) {
 	for c.cluster.now() < end {
 		time.Sleep(time.Duration(c.random.Int64N(int64(400 * time.Millisecond))))
@@ -97,7 +98,8 @@
 	return c.cluster.members[c.random.IntN(len(c.cluster.members))]
 }
 
-// callTimeout is mostly that of an operator; some callers leave early, and some wait for any answer.
+// callTimeout draws the time that a caller waits for a response: mostly that of an operator, 1 s; some callers give
+// up earlier, and some wait long enough for any response.
 func (c *operatorClient) callTimeout() time.Duration {
 	switch c.random.IntN(12) {
 	case 0, 1:
@@ -108,7 +110,7 @@
 	return time.Second
 }
 
-// resend sends a change of any age once more, unchanged.
+// resend sends one of the earlier changes again, unchanged. It skips those with futureBase.
 func (c *operatorClient) resend() {
 	c.mutex.Lock()
 	var change *sentChange
@@ -124,7 +126,8 @@
 	}
 }
 
-// nextChange draws a change.
+// nextChange draws a change. Most build on the newest version and are valid. Some build on an older or a future
+// version, are invalid, have a generation that doesn't increase, or repeat the body of an earlier change.
 func (c *operatorClient) nextChange() *sentChange {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -158,7 +161,7 @@
 	return c.register(change)
 }
 
-// writeBody makes the body. A second PUT that marks a tenant of the same name is the same change.
+// writeBody sets the body of a change. A second PUT that marks a tenant of the same name is the same change.
 func (c *operatorClient) writeBody(change *sentChange) {
 	timeout := 5
 	if change.invalid {
@@ -182,7 +185,7 @@
 	change.body += strings.Repeat(" ", c.padding)
 }
 
-// register records a change, or finds that it was sent before.
+// register records a change and returns it, or returns the recorded change with the same digest if there is one.
 func (c *operatorClient) register(change *sentChange) *sentChange {
 	change.id = fmt.Sprintf("%x", change.digest())
 	if known := c.changesByID[change.id]; known != nil {
@@ -194,8 +197,8 @@
 	return change
 }
 
-// deliver sends a change to one machine after the other until it has a definite answer, or the operator gives
-// up.
+// deliver sends a change to randomly chosen machines until there is a definite response or the number of attempts is
+// reached.
 func (c *operatorClient) deliver(change *sentChange, attempts int) {
 	if change.futureBase {
 		attempts = 1
@@ -208,7 +211,7 @@
 	}
 }
 
-// send sends a change once and reports whether the answer was definite.
+// send sends a change once and reports whether the response was definite.
 func (c *operatorClient) send(change *sentChange) bool {
 	m := c.anyMember()
 	began := c.cluster.now()
@@ -236,19 +239,20 @@
 	case 400, 409, 412, 413:
 		change.rejectedWith = got.status
 	case 0, 503, 504:
-		operation.Return, operation.Output = noReturn, observed{}
+		operation.Return, operation.Output = indeterminateReturn, observed{}
 	default:
 		c.cluster.failf("%s answers %d: %s", m.ip, got.status, got.body)
 	}
 	c.statuses[got.status]++
 	c.operations = append(c.operations, operation)
-	return operation.Return != noReturn
+	return operation.Return != indeterminateReturn
 }
 
-// noReturn is the return of a call whose effect may come at any time, or never.
-const noReturn = int64(1) << 60
+// indeterminateReturn is the return time of a call without a definite response, which may take effect at any time or
+// never.
+const indeterminateReturn = int64(1) << 60
 
-// checkPartitioned checks that a partitioned machine answers 503 or 504 only.
+// checkPartitioned checks that a partitioned machine answers only with 503 or 504.
 func (c *operatorClient) checkPartitioned(m *simulatedControl, began time.Duration, got callResult) {
 	if got.status != 0 && got.status != 503 && got.status != 504 && c.cluster.isPartitioned(m, began) {
 		c.cluster.failf("%s is partitioned and answers %d: %s", m.ip, got.status, got.body)
@@ -279,11 +283,11 @@
 	)
 }
 
-// tenantsOf returns the tenants of a configuration, in order.
+// tenantsOf returns the names of the tenants of a configuration in order, each followed by a semicolon.
 func tenantsOf(w *clusterSimulation, body string) string {
 	var document configuration.Document
 	if err := json.Unmarshal([]byte(body), &document); err != nil {
-		w.failf("a configuration that can't be read: %v", err)
+		w.failf("a configuration can't be decoded: %v", err)
 	}
 	var list strings.Builder
 	for _, tenant := range document.Tenants {
@@ -295,11 +299,12 @@
 // modelState is the state of the sequential model: the configuration, and the changes that were accepted.
 type modelState struct {
 	version   uint64
-	tenants   string // tenants, each with a semicolon
-	committed string // ids of changes, each with a semicolon
+	tenants   string // names of the tenants, each followed by a semicolon
+	committed string // ids of the accepted changes, each followed by a semicolon
 }
 
-// step reports whether the model allows a response in a state, and returns the state after it.
+// step reports whether the model allows a response in a state and returns the state after it. A nil change stands for
+// a read.
 func step(state modelState, change *sentChange, output observed) (bool, modelState) {
 	if change == nil {
 		if output.status == 404 {
@@ -340,61 +345,63 @@
 var configurationModel = porcupine.Model{
 	Init: func() interface{} { return modelState{} },
 	Step: func(state, input, output interface{}) (bool, interface{}) {
-		order, _ := input.(*sentChange)
-		return step(state.(modelState), order, output.(observed))
+		change, _ := input.(*sentChange)
+		return step(state.(modelState), change, output.(observed))
 	},
 	Equal: func(a, b interface{}) bool { return a == b },
 }
 
-// check checks the whole history once the machines are in sync again.
+// check compares the recorded responses with the state of all machines, once these are in sync again, and prepares
+// the check of linearizability.
 func (h *history) check() {
 	w := h.cluster
 	for _, m := range w.members {
 		for _, change := range h.changes {
-			status := m.state.Remembered(change.digest(), change.ifMatch)
+			status := m.state.ChangeStatus(change.digest(), change.ifMatch)
 			switch {
 			case status == configuration.StatusAccepted && change.rejectedWith != 0 && !change.futureBase && w.bug != bugSnapshotDropsChanges:
 				w.failf(
-					"change %s on %d was rejected with %d and is current on %s",
+					"change %s on %d was rejected with %d but is recorded as accepted on %s",
 					change.tenant,
 					change.ifMatch,
 					change.rejectedWith,
 					m.ip,
 				)
 			case status != configuration.StatusAccepted && change.acknowledged && w.bug != bugSnapshotDropsChanges:
-				w.failf("change %s on %d was acknowledged and isn't known to %s", change.tenant, change.ifMatch, m.ip)
+				w.failf("change %s on %d was acknowledged but is not recorded as accepted on %s", change.tenant, change.ifMatch, m.ip)
 			}
 		}
 	}
 	h.decisiveOperations = h.decisive()
 }
 
-// checkLinearizable checks the history with porcupine. It must be called outside of the bubble, whose time
-// stands still while a goroutine computes.
+// checkLinearizable checks the history with porcupine. It must be called outside of the synctest bubble, because the
+// time of the bubble doesn't advance while a goroutine computes.
 func (h *history) checkLinearizable() {
 	w := h.cluster
-	patience := 20 * time.Second
+	timeout := 20 * time.Second
 	if w.bug != bugNone {
-		patience = time.Second // another seed decides
+		timeout = time.Second // another seed may find the bug
 	}
-	switch porcupine.CheckOperationsTimeout(configurationModel, h.decisiveOperations, patience) {
+	switch porcupine.CheckOperationsTimeout(configurationModel, h.decisiveOperations, timeout) {
 	case porcupine.Illegal:
 		w.violations = append(w.violations, "the history is not linearizable")
 	case porcupine.Unknown:
 		if w.bug == bugNone {
-			w.violations = append(w.violations, "the history isn't decided in time")
+			w.violations = append(w.violations, "the check of linearizability did not finish within 20 s")
 		}
 	}
 }
 
-// decisive leaves out what can't matter: calls without a definite answer of changes that were never accepted,
-// and all but the first of those that were.
+// decisive returns the operations that are relevant to linearizability. Of the calls without a definite response it
+// leaves out those of changes that were never accepted, and keeps only one per accepted change, with the time of the
+// first such call.
 func (h *history) decisive() []porcupine.Operation {
 	first := map[*sentChange]bool{}
 	var kept []porcupine.Operation
 	for _, operation := range h.operations {
 		change, _ := operation.Input.(*sentChange)
-		if operation.Return != noReturn {
+		if operation.Return != indeterminateReturn {
 			kept = append(kept, operation)
 			continue
 		}
@@ -409,9 +416,9 @@
 }
 
 func (h *history) firstCall(change *sentChange) int64 {
-	call := noReturn
+	call := indeterminateReturn
 	for _, operation := range h.operations {
-		if operation.Input == change && operation.Return == noReturn {
+		if operation.Input == change && operation.Return == indeterminateReturn {
 			call = min(call, operation.Call)
 		}
 	}
@@ -420,11 +427,11 @@
 
 func (h *history) wasCommitted(change *sentChange) bool {
 	return change.acknowledged || slices.ContainsFunc(h.cluster.members, func(m *simulatedControl) bool {
-		return m.state.Remembered(change.digest(), change.ifMatch) == configuration.StatusAccepted
+		return m.state.ChangeStatus(change.digest(), change.ifMatch) == configuration.StatusAccepted
 	})
 }
 
-// simulateHistory runs one simulation and returns its violations.
+// simulateHistory runs one simulation and returns its violations and its history.
 func simulateHistory(t *testing.T, seed uint64, span time.Duration, bug injectedBug) (failures []string, h *history) {
 	synctest.Test(t, func(t *testing.T) {
 		machines := 3
@@ -453,14 +460,14 @@
 	return h.cluster.violations, h
 }
 
-// awaitRecovery checks that a change is accepted once all faults are over, and waits until every machine has
-// it.
+// awaitRecovery checks that a change is accepted once all faults are over, and waits until every machine answers a
+// read and thus has applied the change.
 func (h *history) awaitRecovery() {
 	client := &operatorClient{history: h, number: 99, random: rand.New(rand.NewPCG(h.cluster.seed, 99))}
 	before := h.lastAcknowledgedAt
 	for attempts := 0; h.lastAcknowledgedAt == before; attempts++ {
 		if attempts == 40 {
-			h.cluster.failf("no change is accepted once all faults are over")
+			h.cluster.failf("no change was accepted in 40 attempts after all faults were over")
 			return
 		}
 		client.read()
@@ -470,7 +477,7 @@
 	for _, m := range h.cluster.members {
 		for attempts := 0; m.call("GET", "", "", time.Second).status != 200; attempts++ {
 			if attempts == 40 {
-				h.cluster.failf("%s can't be read once all faults are over", m.ip)
+				h.cluster.failf("%s answered no read in 40 attempts after all faults were over", m.ip)
 				return
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -488,10 +495,11 @@
 	t.Fatalf("seed %d: %s\n%s", seed, strings.Join(failures, "\n"), strings.Join(tail, "\n"))
 }
 
-// TestRandomHistories checks what operators received from real control processes in simulations with faults.
+// TestRandomHistories checks the responses that operators receive from real control processes in simulations with
+// faults, among other things for linearizability.
 // SEEDS=N runs N simulations, FIRST=S begins at seed S, TRACE=1 prints all events of a failing one.
 func TestRandomHistories(t *testing.T) {
-	first, simulations := seeds.Range(0, plainHistories)
+	first, simulations := seeds.Range(0, defaultSimulations)
 	calls, byStatus := 0, map[int]int{}
 	for seed := first; seed < first+simulations; seed++ {
 		failures, h := simulateHistory(t, seed, 60*time.Second, bugNone)
@@ -506,7 +514,7 @@
 	t.Logf("%d simulations, %d calls, by status %v", simulations, calls, byStatus)
 }
 
-// TestFindsInjectedBugs checks that the checks find each bug.
+// TestFindsInjectedBugs checks that the simulations find each of the injected bugs.
 func TestFindsInjectedBugs(t *testing.T) {
 	for _, bug := range []injectedBug{bugIDIsBaseVersion, bugUnprovenRejection, bugUnprovenGet, bugSnapshotDropsChanges, bugBaseBeforeRepeat, bugStaleResponse} {
 		t.Run(string(bug), func(t *testing.T) {
@@ -516,7 +524,7 @@
 					return
 				}
 			}
-			t.Fatal("not found")
+			t.Fatal("the bug was not found with 40 seeds")
 		})
 	}
 }
--- a/internal/control/operatorapi/injectedbugs_test.go
+++ b/internal/control/operatorapi/injectedbugs_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// injectedBug is a bug that the checks must find.
+// injectedBug is a bug that is injected into a simulation to verify that the checks find it.
 type injectedBug string
 
 // Bugs that can be injected into a simulation.
@@ -28,18 +28,18 @@
 	bugStaleResponse        injectedBug = "a caller gets the response of the one before"
 )
 
-// wrapChain injects a bug into the API's view of the chain.
-func (p injectedBug) wrapChain(whole Chain) Chain {
-	switch p {
+// wrapChain returns the chain as the API sees it, with the bug injected if it concerns the chain.
+func (b injectedBug) wrapChain(inner Chain) Chain {
+	switch b {
 	case bugIDIsBaseVersion:
-		return baseVersionIDChain{whole}
+		return baseVersionIDChain{inner}
 	case bugUnprovenRejection:
-		return unprovenReadChain{whole}
+		return unprovenReadChain{inner}
 	}
-	return whole
+	return inner
 }
 
-// baseVersionIDChain takes all changes that build on one version for the same change.
+// baseVersionIDChain uses the same proposal id for all changes that build on the same version.
 type baseVersionIDChain struct{ Chain }
 
 func (c baseVersionIDChain) Propose(ctx context.Context, _ string, change []byte) ([]byte, error) {
@@ -50,28 +50,28 @@
 	return c.Chain.Propose(ctx, fmt.Sprint("configuration-", command.Configuration.IfMatch), change)
 }
 
-// unprovenReadChain reads the local state without a proof that it is current.
+// unprovenReadChain lets the API read the local state without a proof that it is current.
 type unprovenReadChain struct{ Chain }
 
 func (c unprovenReadChain) Read(context.Context) error { return nil }
 
-// forgetfulStateMachine forgets which changes were accepted when it is restored from a snapshot.
-type forgetfulStateMachine struct{ *statemachine.StateMachine }
+// changeDroppingStateMachine drops the record of accepted changes when it is restored from a snapshot.
+type changeDroppingStateMachine struct{ *statemachine.StateMachine }
 
-func (m *forgetfulStateMachine) Restore(raw []byte) error {
-	var whole struct{ Configuration []byte } // the simulation has no stores and grants no quota
+func (m *changeDroppingStateMachine) Restore(raw []byte) error {
+	var snapshot struct{ Configuration []byte } // the simulation has no stores and grants no quota
 	var state struct {
 		Index    uint64
 		Document []byte
 	}
-	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&whole); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(&snapshot); err != nil {
 		return err
 	}
-	if err := gob.NewDecoder(bytes.NewReader(whole.Configuration)).Decode(&state); err != nil {
+	if err := gob.NewDecoder(bytes.NewReader(snapshot.Configuration)).Decode(&state); err != nil {
 		return err
 	}
-	whole.Configuration = mustEncode(state)
-	return m.StateMachine.Restore(mustEncode(whole))
+	snapshot.Configuration = mustEncode(state)
+	return m.StateMachine.Restore(mustEncode(snapshot))
 }
 
 func mustEncode(value any) []byte {
@@ -82,16 +82,16 @@
 	return out.Bytes()
 }
 
-// wrapHandler injects a bug into the API itself.
-func (p injectedBug) wrapHandler(api *API, whole http.Handler) http.Handler {
-	switch p {
+// wrapHandler returns the API's handler, with the bug injected if it concerns the API itself.
+func (b injectedBug) wrapHandler(api *API, inner http.Handler) http.Handler {
+	switch b {
 	case bugUnprovenGet:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 			if request.Method == http.MethodGet {
 				writeUnprovenVersion(response, api.options.State.Configuration())
 				return
 			}
-			whole.ServeHTTP(response, request)
+			inner.ServeHTTP(response, request)
 		})
 	case bugBaseBeforeRepeat:
 		return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
@@ -101,15 +101,15 @@
 				response.WriteHeader(http.StatusPreconditionFailed)
 				return
 			}
-			whole.ServeHTTP(response, request)
+			inner.ServeHTTP(response, request)
 		})
 	case bugStaleResponse:
-		return &staleResponder{next: whole}
+		return &staleResponder{next: inner}
 	}
-	return whole
+	return inner
 }
 
-// writeUnprovenVersion writes the local version as a response.
+// writeUnprovenVersion writes the local version of the configuration as the response.
 func writeUnprovenVersion(response http.ResponseWriter, version *configuration.Version) {
 	if version.Generation == 0 {
 		response.WriteHeader(http.StatusNotFound)
@@ -119,28 +119,28 @@
 	_, _ = response.Write(version.JSON())
 }
 
-// staleResponder answers each second GET with the response to the one before.
+// staleResponder answers every second GET with the response to the previous GET.
 type staleResponder struct {
 	next  http.Handler
 	mutex sync.Mutex
 	kept  *httptest.ResponseRecorder
 }
 
-func (l *staleResponder) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+func (s *staleResponder) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	if request.Method != http.MethodGet {
-		l.next.ServeHTTP(response, request)
+		s.next.ServeHTTP(response, request)
 		return
 	}
-	l.mutex.Lock()
-	kept := l.kept
-	l.kept = nil
-	l.mutex.Unlock()
+	s.mutex.Lock()
+	kept := s.kept
+	s.kept = nil
+	s.mutex.Unlock()
 	if kept == nil {
 		kept = httptest.NewRecorder()
-		l.next.ServeHTTP(kept, request.WithContext(context.WithoutCancel(request.Context())))
-		l.mutex.Lock()
-		l.kept = kept
-		l.mutex.Unlock()
+		s.next.ServeHTTP(kept, request.WithContext(context.WithoutCancel(request.Context())))
+		s.mutex.Lock()
+		s.kept = kept
+		s.mutex.Unlock()
 	}
 	response.Header().Set("ETag", kept.Header().Get("ETag"))
 	response.WriteHeader(kept.Code)
--- a/internal/control/operatorapi/norace_test.go
+++ b/internal/control/operatorapi/norace_test.go
@@ -2,5 +2,5 @@
 
 package operatorapi
 
-// plainHistories is the number of simulations that run by default.
-const plainHistories = 10
+// defaultSimulations is the number of simulations that TestRandomHistories runs by default.
+const defaultSimulations = 10
--- a/internal/control/operatorapi/read.go
+++ b/internal/control/operatorapi/read.go
@@ -8,7 +8,8 @@
 	"github.com/labstack/echo/v4"
 )
 
-// awaitReadable waits until the acknowledged state can be read here, up to unavailableAfter.
+// awaitReadable waits until the acknowledged state can be read by this process, for at most unavailableAfter. It
+// returns the error of the last attempt if none succeeded.
 func (a *API) awaitReadable(ctx context.Context) error {
 	deadline := time.Now().Add(unavailableAfter)
 	for {
@@ -21,7 +22,8 @@
 	}
 }
 
-// waitToRetry waits for retryInterval, and reports whether there is time for another attempt.
+// waitToRetry waits for retryInterval and reports whether another attempt may be made. It returns false at once if
+// too little time is left before the deadline, and as soon as ctx ends.
 func waitToRetry(ctx context.Context, deadline time.Time) bool {
 	if time.Until(deadline) < 2*retryInterval {
 		return false
--- a/internal/control/operatorapi/response.go
+++ b/internal/control/operatorapi/response.go
@@ -11,7 +11,7 @@
 	"sprucelane.example/sprucelane/internal/node"
 )
 
-// writeBodyError answers a request whose body can't be read.
+// writeBodyError writes the response to a request whose body can't be read.
 func writeBodyError(c echo.Context, err error) error {
 	if errors.Is(err, errBodiesBusy) {
 		return writeUnavailable(c, err.Error())
@@ -35,7 +35,7 @@
 	return c.JSON(d.status, d.body)
 }
 
-// responseBody is the body of every response but that of GET /config.
+// responseBody is the body of all responses except a successful GET /config.
 type responseBody struct {
 	Generation uint64        `json:"generation,omitempty"`
 	State      string        `json:"state,omitempty"`
@@ -49,31 +49,32 @@
 	Text  string `json:"text"`
 }
 
-// findingBodies converts findings to their form in a response.
+// findingBodies converts findings to the form that is sent in a response.
 func findingBodies(findings node.Findings) []findingBody {
 	list := make([]findingBody, len(findings))
-	for i, one := range findings {
-		list[i] = findingBody{Place: one.Place, Text: one.Text}
+	for i, finding := range findings {
+		list[i] = findingBody{Place: finding.Place, Text: finding.Text}
 	}
 	return list
 }
 
-// handleError answers what echo rejects by itself: unknown paths and other methods.
+// handleError writes the response to requests that echo itself rejects, such as unknown paths and methods, and to
+// requests whose handler has returned an error.
 func (a *API) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
 	status, message := http.StatusInternalServerError, "internal error"
-	var known *echo.HTTPError
-	if errors.As(err, &known) {
-		status, message = known.Code, http.StatusText(known.Code)
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		status, message = httpError.Code, http.StatusText(httpError.Code)
 	} else {
 		a.options.Log.Error().Err(err).Str("path", c.Path()).Msg("operator_request_failed")
 	}
 	_ = c.JSON(status, responseBody{Message: message}) // fails only if the caller has disconnected
 }
 
-// writeUnavailable answers 503: the operator is to ask another control process.
+// writeUnavailable writes a 503, upon which the operator should ask another control process.
 func writeUnavailable(c echo.Context, message string) error {
 	c.Response().Header().Set(echo.HeaderRetryAfter, "0.2")
 	return c.JSON(http.StatusServiceUnavailable, responseBody{Message: message})
--- a/internal/control/operatorapi/retention_test.go
+++ b/internal/control/operatorapi/retention_test.go
@@ -12,12 +12,13 @@
 	"sprucelane.example/sprucelane/internal/simulation/seeds"
 )
 
+// Numbers of changes.
 const (
-	manyChanges = 5_000 // or ORDERS=N
-	remembered  = 4096
+	defaultChanges       = 5_000 // the environment variable ORDERS overrides it
+	maxRememberedChanges = 4096
 )
 
-// usage returns the heap of the simulation, and the bytes on the fullest disk.
+// usage returns the heap of the simulation and the usage of the fullest disk, in bytes.
 func (w *clusterSimulation) usage() (heap uint64, disk int64) {
 	for _, m := range w.members {
 		held, _, _ := m.disk.Usage()
@@ -29,11 +30,11 @@
 	return stats.HeapAlloc, disk
 }
 
-// TestManyChanges has thousands of changes accepted. Memory, disks and snapshots must not grow any further
-// once as many changes are remembered as ever are.
+// TestManyChanges checks that memory, disks and snapshots don't keep growing over thousands of accepted changes, once
+// the maximum number of remembered changes is reached.
 func TestManyChanges(t *testing.T) {
-	changes := int(seeds.Number("ORDERS", manyChanges))
-	full := remembered + (changes-remembered)/4
+	changes := int(seeds.Number("ORDERS", defaultChanges))
+	full := maxRememberedChanges + (changes-maxRememberedChanges)/4
 	synctest.Test(t, func(t *testing.T) {
 		w := newClusterSimulation(t, 1, 3, bugNone)
 		began := w.now()
@@ -57,10 +58,10 @@
 			float64((w.now()-began).Microseconds())/1e3/float64(changes),
 		)
 		if heapAfter > heap+heap/4+4<<20 {
-			t.Errorf("the heap grew from %d to %d", heap, heapAfter)
+			t.Errorf("the heap grew from %d to %d bytes", heap, heapAfter)
 		}
 		if diskAfter > 12<<20 {
-			t.Errorf("%d bytes on a disk", diskAfter)
+			t.Errorf("%d bytes on the fullest disk, expected at most 12 MiB", diskAfter)
 		}
 		if snapshotAfter > snapshot+snapshot/10 {
 			t.Errorf("the snapshot grew from %d to %d bytes", snapshot, snapshotAfter)
@@ -73,8 +74,8 @@
 	})
 }
 
-// checkRemembered checks the answers to changes of any age that are sent again: 200 to those that are
-// remembered, 503 to older ones, and 412 to one that was never accepted, as long as that is known.
+// checkRemembered checks the responses to changes of any age that are sent again: 200 for those that are remembered,
+// 503 for older ones, and 412 for one that was never accepted and builds on a version recent enough to know that.
 func (w *clusterSimulation) checkRemembered(changes int) {
 	for version := 1; version <= changes; version += 499 {
 		change := largeChange(version)
@@ -84,14 +85,14 @@
 		}
 		got := w.members[version%3].call(method, fmt.Sprint(change.IfMatch), string(change.Body), 2*time.Second).status
 		expected := 200
-		if version <= changes-remembered {
+		if version <= changes-maxRememberedChanges {
 			expected = 503
 		}
 		if got != expected {
-			w.failf("the change to version %d of %d gets %d, not %d", version, changes, got, expected)
+			w.failf("the change to version %d of %d got status %d, expected %d", version, changes, got, expected)
 		}
 	}
 	if got := w.members[0].call("PATCH", fmt.Sprint(changes-10), `{"generation":1}`, 2*time.Second).status; got != 412 {
-		w.failf("a stale change gets %d", got)
+		w.failf("a stale change got status %d, expected 412", got)
 	}
 }
--- a/internal/control/operatorapi/retire.go
+++ b/internal/control/operatorapi/retire.go
@@ -17,20 +17,21 @@
 	"sprucelane.example/sprucelane/internal/control/statemachine"
 )
 
-// maxRetireBodyBytes limits the body of a retirement.
+// maxRetireBodyBytes is the maximum number of bytes that are read of the body of a retirement.
 const maxRetireBodyBytes = 64 << 10
 
-// maxRetireDeadline is the longest deadline of a retirement.
+// maxRetireDeadline is the longest deadline that a retirement may have.
 const maxRetireDeadline = 30 * 24 * time.Hour
 
 // retireRequest is the body of a retirement. An empty body has no deadline.
 type retireRequest struct {
-	// DeadlineSeconds is the time within which the operator expects the machine to be drained. The retirement ends when
-	// that is so, also later: this process logs that it is late (store_retirement_overdue).
+	// DeadlineSeconds is the time within which the operator expects the machine to be drained. The retirement is not
+	// aborted at the deadline: it ends when the machine is drained. If that has not happened by the deadline, this
+	// process logs store_retirement_overdue.
 	DeadlineSeconds *float64 `json:"deadline-s"`
 }
 
-// parseRetireRequest returns the deadline that a body has, 0 for none.
+// parseRetireRequest returns the deadline in the body of a retirement, or 0 if it has none.
 func parseRetireRequest(body []byte) (time.Duration, error) {
 	if len(bytes.TrimSpace(body)) == 0 {
 		return 0, nil
@@ -77,8 +78,8 @@
 	return a.writeRetirement(c, name)
 }
 
-// watchRetirement logs if a machine isn't drained at the deadline of its retirement, 0 for none. A process that ends
-// before logs nothing.
+// watchRetirement logs store_retirement_overdue if a machine is still not drained when the deadline of its retirement
+// has passed. A deadline of 0 means none. If this process ends before the deadline, nothing is logged.
 func (a *API) watchRetirement(name string, deadline time.Duration) {
 	if deadline == 0 {
 		return
@@ -90,8 +91,8 @@
 	})
 }
 
-// retireNode proposes a retirement until its outcome is known. Repeating it is harmless: a retirement under
-// way isn't changed by it.
+// retireNode proposes a retirement until its outcome is known or unavailableAfter has passed since the request
+// arrived. Repeating the proposal is harmless, because it doesn't change a retirement that has already begun.
 func (a *API) retireNode(name string, arrived time.Time) (statemachine.StoreOutcome, error) {
 	command, err := statemachine.Command{
 		Retire: &statemachine.Retire{Node: name, Remain: a.options.MinActiveStores},
@@ -107,7 +108,7 @@
 	}
 }
 
-// proposeRetirement proposes a retirement once.
+// proposeRetirement proposes a retirement once and returns its outcome.
 func (a *API) proposeRetirement(name string, command []byte) (statemachine.StoreOutcome, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
@@ -127,7 +128,7 @@
 	return a.writeRetirement(c, c.Param("node"))
 }
 
-// writeRetirement writes the state of a retirement as the response.
+// writeRetirement writes the state of a node's retirement as the response.
 func (a *API) writeRetirement(c echo.Context, name string) error {
 	switch a.options.State.Retirement(name) {
 	case statemachine.RetirementActive:
@@ -138,12 +139,12 @@
 	return c.JSON(http.StatusNotFound, responseBody{Message: errNoRetirement.Error()})
 }
 
-// errNoRetirement is the message of a 404: no retirement of the node is remembered.
+// errNoRetirement is the message of a 404 if no retirement of the node is on record.
 var errNoRetirement = errors.New("no retirement of such a store machine was ordered")
 
-// newID returns an id that no other proposal has.
+// newID returns a unique id for a proposal. It begins with kind.
 func newID(kind string) string {
 	var random [8]byte
-	_, _ = rand.Read(random[:]) // never fails: it ends the process where the system has no randomness
+	_, _ = rand.Read(random[:]) // never returns an error: without a source of randomness it ends the process
 	return kind + "-" + hex.EncodeToString(random[:])
 }
--- a/internal/control/statemachine/command.go
+++ b/internal/control/statemachine/command.go
@@ -21,45 +21,45 @@
 	Lending       *GrantsChange
 }
 
-// Join adds batch processes to the store membership. Each replaces members that have its node or its address:
-// the disk of such a member was lost, or its machine was replaced.
+// Join adds batch processes to the store membership. Each process replaces the members with the same node or the
+// same address, since the disk of such a member was lost or its machine was replaced.
 type Join struct {
 	Processes []protocol.Process
-	// Epoch is that of the membership in which the processes were found missing. The command has no effect in
-	// another one, so that a late command can't bring back a process that has been replaced since. 0 fits every
-	// epoch.
+	// Epoch is the epoch of the membership in which the processes were found missing. The command has no effect in
+	// any other epoch, so that a delayed command can't bring back a process that has been replaced since. 0 matches
+	// every epoch.
 	Epoch uint64
-	// ActedIn is the highest epoch that one of Processes has acted in. It is above the membership's epoch where
-	// the control state was founded anew; the epochs then continue from ActedIn, as a batch process never
-	// returns to an earlier epoch.
+	// ActedIn is the highest epoch that any of Processes has acted in. It exceeds the membership's epoch if the
+	// control state was created anew; the epochs then continue from ActedIn, because a batch process never returns
+	// to an earlier epoch.
 	ActedIn uint64
 }
 
-// Suspect records that a batch process has timed out or, where Over is set, that it polls again. A member
-// under suspicion is granted no lease, so that the lease that it has runs out.
+// Suspect records that a batch process has timed out or, if Over is set, that it polls again. A member under
+// suspicion is granted no new lease, so that its current lease expires.
 type Suspect struct {
 	Node        string
 	Incarnation string
 	Over        bool
 }
 
-// Evict removes a batch process whose lease has certainly ended, because its suspicion is older than a lease
-// lasts.
+// Evict removes a batch process whose lease has certainly expired, because it has been under suspicion for longer
+// than the duration of a lease.
 type Evict struct {
 	Node        string
 	Incarnation string
-	// Suspicion is the number of the suspicion that the eviction relies on; the command has no effect once that
-	// is over. 0 is met in logs from before suspicions were recorded, and stands for no such condition.
+	// Suspicion is the number of the suspicion that the eviction relies on. The command has no effect once that
+	// suspicion has ended. 0 means no such condition; it occurs in logs written before suspicions were recorded.
 	Suspicion uint64
 }
 
-// Retire begins the retirement of a batch process: it is to hand all that it stores to other members.
+// Retire begins the retirement of a batch process, which then hands over all data that it stores to other members.
 type Retire struct {
 	Node   string
-	Remain int // least number of active members that must remain
+	Remain int // minimum number of active members that must remain
 }
 
-// Retired completes a retirement: in Epoch the batch process held nothing that others need.
+// Retired completes a retirement: in Epoch the batch process held nothing that other members need.
 type Retired struct {
 	Node        string
 	Incarnation string
@@ -67,12 +67,12 @@
 }
 
 // Settle records that all members were reconciled and fully replicated in Epoch. Processes that departed
-// earlier hold nothing that is still needed.
+// before that hold nothing that is still needed.
 type Settle struct {
 	Epoch uint64
 }
 
-// Outcome is the result of a command. Only the field that belongs to the command's kind is set.
+// Outcome is the result of a command. Only the field for the command's kind is set.
 type Outcome struct {
 	Configuration *configuration.Result
 	Store         StoreOutcome
@@ -84,9 +84,9 @@
 
 // The results of commands on the store membership. Their numbers are part of the encoding.
 const (
-	StoreUnchanged StoreOutcome = iota // the state was as asked for already, or the command no longer fits it
+	StoreUnchanged StoreOutcome = iota // the state was already as requested, or the command no longer fits it
 	StoreChanged
-	StoreUnknown // the membership has no such batch process
+	StoreUnknown // the batch process is not a member
 	StoreTooFew  // fewer active members would remain than Retire.Remain
 )
 
@@ -105,17 +105,17 @@
 	return "unknown"
 }
 
-// Encode returns the command as the chain carries it.
+// Encode returns the encoded command, as proposed to the chain.
 func (c Command) Encode() ([]byte, error) { return encode(c) }
 
-// DecodeOutcome decodes what [StateMachine.Apply] returned.
+// DecodeOutcome decodes an outcome returned by [StateMachine.Apply].
 func DecodeOutcome(encoded []byte) (Outcome, error) {
 	var outcome Outcome
 	err := decode(encoded, &outcome)
 	return outcome, err
 }
 
-// encode encodes a value by itself, with the definitions of its types.
+// encode returns the gob encoding of a value, including the definitions of its types.
 func encode(value any) ([]byte, error) {
 	var out bytes.Buffer
 	if err := gob.NewEncoder(&out).Encode(value); err != nil {
@@ -124,7 +124,7 @@
 	return out.Bytes(), nil
 }
 
-// decode decodes what encode returned.
+// decode decodes a value encoded by encode into the value that into points to.
 func decode(encoded []byte, into any) error {
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(into); err != nil {
 		return fmt.Errorf("statemachine: decode %T: %w", into, err)
--- a/internal/control/statemachine/golden_test.go
+++ b/internal/control/statemachine/golden_test.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/golden"
 )
 
-// TestGolden checks that commands, outcomes and snapshots keep the form that earlier versions wrote.
+// TestGolden checks that commands, outcomes and snapshots have the same encoding as in earlier versions.
 func TestGolden(t *testing.T) {
 	golden.Gob[Command](t, "command")
 	golden.Gob[Outcome](t, "outcome")
--- a/internal/control/statemachine/grants.go
+++ b/internal/control/statemachine/grants.go
@@ -7,28 +7,31 @@
 	"sprucelane.example/sprucelane/internal/quota"
 )
 
-// Grantor identifies a process that may grant quota: one incarnation of a control process. The zero value
-// stands for a system in which no process has granted quota yet.
+// Grantor identifies a process that may grant quota: one incarnation of a control process. The zero value means
+// that no process in the system has granted quota yet.
 type Grantor struct {
-	Member  string // name of the chain's member, which is one incarnation of a disk
+	Member  string // name of the chain member; it identifies one incarnation of a disk
 	Process string // incarnation of the process
 }
 
-// ReleasedGrantor is recorded as the grantor once the last one has released its role: no process grants quota
-// then.
+// ReleasedGrantor is recorded as the grantor after the previous grantor has released its role. No process grants
+// quota while it is on record.
 var ReleasedGrantor = Grantor{Process: "released"}
 
-// GrantsChange changes the grant record. A process is recorded as the grantor (Begin) before it grants
-// anything; changes of the grantor before it have no effect from then on. All changes but End are numbered,
-// so that one that arrives late neither undoes a later one nor has any effect on a later term of the same
-// grantor.
+// GrantsChange changes the grant record. A process is recorded as the grantor (Begin) before it grants any quota;
+// from then on changes proposed by the previous grantor have no effect. All changes except End are numbered, so
+// that a delayed change neither undoes a later one nor affects a later term of the same grantor.
+//
+// Add and Remove are nodes to be added to and removed from the record. Floors are the floors to be set; those of other
+// tenants are not changed.
 type GrantsChange struct {
 	Lender Grantor // the grantor that proposes the change
 	Begin  bool    // Lender becomes the grantor
-	// With Begin: the grantor that Lender takes over from; the change has no effect if another one is on record.
+	// Before is used with Begin: the grantor that Lender takes over from. The change has no effect if another
+	// grantor is on record.
 	Before Grantor
 	End    bool   // Lender stops granting for good
-	Number uint64 // from 1, rising with each change of Lender; 0 with End
+	Number uint64 // from 1, increasing with each change proposed by Lender; 0 with End
 	Add    []string
 	Remove []string
 	Floors []quota.Floor
@@ -36,23 +39,24 @@
 
 // GrantsOutcome is the result of a GrantsChange.
 type GrantsOutcome struct {
-	Taken  bool          // the change had effect, or had it before
-	Before Grantor       // the grantor before the present one
+	Taken  bool          // the change took effect, now or earlier
+	Before Grantor       // the grantor before the current one
 	Nodes  []string      // nodes that may hold grants
-	Floors []quota.Floor // of tenants
+	Floors []quota.Floor // floors of the tenants' pools
 }
 
-// grantRecord is the record of who may grant quota, and to whom. It is encoded as a part of a snapshot.
+// grantRecord records which process may grant quota, which nodes may hold grants, and the floors of the tenants'
+// pools. It is encoded as part of a snapshot.
 type grantRecord struct {
 	Lender Grantor
 	Before Grantor
-	Number uint64        // of the last change that had effect
-	Nodes  []string      // sorted; never changed in place
-	Floors []quota.Floor // sorted by tenant, without those of 0 tokens; never changed in place
+	Number uint64        // number of the last change that took effect
+	Nodes  []string      // sorted; never modified in place
+	Floors []quota.Floor // sorted by tenant, without floors of 0 tokens; never modified in place
 }
 
-// apply applies a change. Only the grantor on record can change the nodes and floors, and only by a number
-// that rises.
+// apply applies a change. Only the grantor on record can change the nodes and floors, and only with a higher
+// number than that of its last change.
 func (r *grantRecord) apply(change *GrantsChange) *GrantsOutcome {
 	accepted := change.Lender == r.Lender
 	switch {
@@ -73,7 +77,7 @@
 	return &GrantsOutcome{Taken: accepted, Before: r.Before, Nodes: r.Nodes, Floors: r.Floors}
 }
 
-// withNodes returns nodes and add, without remove, sorted.
+// withNodes returns the nodes in nodes or add that are not in remove, sorted and without duplicates.
 func withNodes(nodes, add, remove []string) []string {
 	next := slices.DeleteFunc(slices.Concat(nodes, add), func(node string) bool {
 		return slices.Contains(remove, node)
@@ -82,7 +86,8 @@
 	return slices.Compact(next)
 }
 
-// withFloors returns floors with those of some tenants replaced by updates. A floor of 0 tokens is left out.
+// withFloors returns floors with the floors of the tenants in updates replaced, sorted by tenant. A floor of 0
+// tokens in updates removes the tenant's floor.
 func withFloors(floors, updates []quota.Floor) []quota.Floor {
 	if len(updates) == 0 {
 		return floors
--- a/internal/control/statemachine/membership.go
+++ b/internal/control/statemachine/membership.go
@@ -8,17 +8,17 @@
 
 // membership is the store membership: the agreed set of batch processes. [StateMachine] guards it.
 //
-// A node and an address are in members once at most. epoch rises with each change of members, including that
-// of a member's state; reconciled and suspicions belong to the present epoch's members.
+// Each node and each address occurs at most once in members. epoch increases with each change of members,
+// including a change of a member's state. reconciled and suspicions refer to the members of the current epoch.
 type membership struct {
 	epoch      uint64
-	members    []protocol.StoreMember // in the order in which they joined; replaced, never changed in place
+	members    []protocol.StoreMember // in the order in which they joined; replaced, never modified in place
 	departed   []protocol.Process     // see protocol.StoreView; oldest first
 	reconciled bool                   // all members were reconciled and fully replicated in this epoch
-	// At most maxRetirements, oldest first; also of nodes that are no longer members.
+	// At most maxRetirements, oldest first, including those of nodes that are no longer members.
 	retirements   []retirement
-	suspicions    []suspicion // at most one of a member
-	lastSuspicion uint64      // number of the last suspicion that was recorded
+	suspicions    []suspicion // at most one per member
+	lastSuspicion uint64      // number of the last suspicion recorded
 }
 
 // membershipSnapshot is the encoded form of a membership.
@@ -35,37 +35,39 @@
 // newMembership returns the membership before the first Join: no members, in epoch 0.
 func newMembership() *membership { return &membership{} }
 
-// snapshot returns the form for a snapshot. It shares the slices and must be encoded before the next command.
+// snapshot returns the membership in the form that is encoded in a snapshot. The result shares the slices of s and
+// must be encoded before the next command is applied.
 func (s *membership) snapshot() membershipSnapshot {
 	return membershipSnapshot{Epoch: s.epoch, Members: s.members, Departed: s.departed, Settled: s.reconciled,
 		Retirements: s.retirements, Suspicions: s.suspicions, Suspected: s.lastSuspicion}
 }
 
-// restoreMembership returns the membership of a snapshot.
+// restoreMembership returns the membership stored in a snapshot.
 func restoreMembership(from membershipSnapshot) *membership {
 	return &membership{epoch: from.Epoch, members: from.Members, departed: from.Departed, reconciled: from.Settled,
 		retirements: from.Retirements, suspicions: from.Suspicions, lastSuspicion: from.Suspected}
 }
 
-// view returns the membership as other processes see it. Its slices are never changed in place.
+// view returns the membership in the form that is sent to other processes. Its slices are never modified in place.
 func (s *membership) view() protocol.StoreView {
 	return protocol.StoreView{Epoch: s.epoch, Members: s.members, Departed: s.departed, Settled: s.reconciled}
 }
 
-// setMembers begins the next epoch, with other members or members in other states.
+// setMembers replaces the members, or their states, and thereby begins the next epoch. It ends the suspicions of
+// processes that are no longer members and returns StoreChanged.
 func (s *membership) setMembers(members []protocol.StoreMember) StoreOutcome {
 	s.departed = departedAfter(s.departed, s.members, members)
 	s.reconciled = false
 	s.members = members
 	s.epoch++
-	s.suspicions = slices.DeleteFunc(slices.Clone(s.suspicions), func(one suspicion) bool {
-		return s.indexOf(one.Node, one.Incarnation) < 0
+	s.suspicions = slices.DeleteFunc(slices.Clone(s.suspicions), func(entry suspicion) bool {
+		return s.indexOf(entry.Node, entry.Incarnation) < 0
 	})
 	return StoreChanged
 }
 
-// departedAfter returns the departed processes after a change of the members: those that had departed and
-// have not returned, and those that depart by the change without having completed their retirement.
+// departedAfter returns the departed processes after the members change from before to after: the processes in
+// departed that have not returned, and those removed by the change without having completed their retirement.
 func departedAfter(departed []protocol.Process, before, after []protocol.StoreMember) []protocol.Process {
 	var list []protocol.Process
 	for _, process := range departed {
@@ -81,14 +83,14 @@
 	return list
 }
 
-// containsProcess reports whether an incarnation of a process is among members.
+// containsProcess reports whether members contains the given incarnation of a process.
 func containsProcess(members []protocol.StoreMember, process protocol.Process) bool {
 	return slices.ContainsFunc(members, func(member protocol.StoreMember) bool {
 		return member.Node == process.Node && member.Incarnation == process.Incarnation
 	})
 }
 
-// join applies a Join.
+// join applies a Join: it adds the processes that may join. If none may, the epoch stays the same.
 func (s *membership) join(command *Join) StoreOutcome {
 	if command.Epoch != 0 && command.Epoch != s.epoch {
 		return StoreUnchanged
@@ -108,8 +110,9 @@
 	return s.setMembers(members)
 }
 
-// mayJoin reports whether a process may be added to members. A member may not, nor may an incarnation that
-// has completed its retirement: that runs, or restarts, until the operator takes its machine away.
+// mayJoin reports whether a process may be added to members. It may not if it is a member already, if a retired
+// member has the same node, or if this incarnation has completed its retirement: a retired process keeps running,
+// and may restart, until the operator removes its machine.
 func (s *membership) mayJoin(members []protocol.StoreMember, process protocol.Process) bool {
 	for i := range members {
 		member := &members[i]
@@ -121,8 +124,9 @@
 	return record == nil || !record.Completed || record.Incarnation != process.Incarnation
 }
 
-// joinState returns the state in which a process joins. A retirement that is not completed goes on over a
-// restart and over the loss of the disk.
+// joinState returns the state in which a process joins: retiring if its node has a retirement that is not
+// completed, else active. Such a retirement continues after a restart and after the loss of the disk; joinState
+// records the new incarnation in it.
 func (s *membership) joinState(process protocol.Process) protocol.StoreState {
 	if record := s.retirementOf(process.Node); record != nil && !record.Completed {
 		record.Incarnation = process.Incarnation
@@ -131,7 +135,7 @@
 	return protocol.StoreActive
 }
 
-// replaceOrAppend appends a member and removes those that have its node or its address.
+// replaceOrAppend removes the members with the same node or address as joining and appends joining.
 func replaceOrAppend(members []protocol.StoreMember, joining protocol.StoreMember) []protocol.StoreMember {
 	members = slices.DeleteFunc(members, func(member protocol.StoreMember) bool {
 		return member.Node == joining.Node || member.IP == joining.IP
@@ -139,7 +143,7 @@
 	return append(members, joining)
 }
 
-// evict applies an Evict.
+// evict applies an Evict. It has no effect if the suspicion that the command names is not the current one.
 func (s *membership) evict(command *Evict) StoreOutcome {
 	at := s.indexOf(command.Node, command.Incarnation)
 	number := s.suspicionNumber(command.Node, command.Incarnation)
@@ -149,7 +153,8 @@
 	return s.setMembers(slices.Delete(slices.Clone(s.members), at, at+1))
 }
 
-// reconcile applies a Settle.
+// reconcile applies a Settle: it clears the departed processes and completes the retirements of nodes that are no
+// longer members.
 func (s *membership) reconcile(command *Settle) StoreOutcome {
 	if command.Epoch != s.epoch || s.reconciled {
 		return StoreUnchanged
@@ -167,7 +172,7 @@
 	return s.setMembers(members)
 }
 
-// indexOf returns the index of an incarnation of a process in members, -1 if it is no member.
+// indexOf returns the index of an incarnation of a process in members, or -1 if it is not a member.
 func (s *membership) indexOf(node, incarnation string) int {
 	return slices.IndexFunc(s.members, func(member protocol.StoreMember) bool {
 		return member.Node == node && member.Incarnation == incarnation
--- a/internal/control/statemachine/retirement.go
+++ b/internal/control/statemachine/retirement.go
@@ -6,7 +6,7 @@
 	"sprucelane.example/sprucelane/internal/protocol"
 )
 
-// maxRetirements is the number of retirements that are remembered; the oldest is forgotten first.
+// maxRetirements is the maximum number of retirement records. Beyond it the oldest record is dropped.
 const maxRetirements = 1024
 
 // Retirement is the state of a batch process's retirement.
@@ -15,19 +15,19 @@
 // The states of a retirement.
 const (
 	NotRetiring         Retirement = iota
-	RetirementActive               // it hands what it stores to others
-	RetirementCompleted            // it stores nothing that others need; its machine may be taken away
+	RetirementActive               // the process hands over the data that it stores to other members
+	RetirementCompleted            // the process stores nothing that others need; its machine may be removed
 )
 
-// retirement is the record of a node's last retirement. It outlives the node's membership.
+// retirement is the record of a node's last retirement. It is kept after the node has left the membership.
 type retirement struct {
 	Node        string
 	Incarnation string
 	Completed   bool
 }
 
-// retire applies a Retire. A completed retirement belongs to an earlier incarnation and doesn't stand in the
-// way of retiring a machine that has joined under the same name since.
+// retire applies a Retire. A completed retirement concerns an earlier incarnation. It doesn't prevent the
+// retirement of a machine that has since joined under the same name.
 func (s *membership) retire(command *Retire) StoreOutcome {
 	at := slices.IndexFunc(s.members, func(member protocol.StoreMember) bool { return member.Node == command.Node })
 	active := at >= 0 && s.members[at].State == protocol.StoreActive
@@ -44,7 +44,7 @@
 	return s.setState(at, protocol.StoreRetiring)
 }
 
-// retired applies a Retired. It is valid only for the epoch in which the process was found to be drained.
+// retired applies a Retired. The command is valid only in the epoch in which the process was found to be drained.
 func (s *membership) retired(command *Retired) StoreOutcome {
 	at := s.indexOf(command.Node, command.Incarnation)
 	if at < 0 || command.Epoch != s.epoch || s.members[at].State != protocol.StoreRetiring {
@@ -56,17 +56,17 @@
 	return s.setState(at, protocol.StoreRetired)
 }
 
-// completeDeparted completes the retirements of machines that left the membership before they were drained, lost or
-// for good partitioned: all members have reconciled without them, so each batch job that they held is on f + 1
-// others. One that comes back on the same disk doesn't join any more; one that comes back on another disk joins only
-// after it has polled for liveness.RejoinAfter, as after any completed retirement, and not while the operator takes
-// the machine away.
+// completeDeparted completes the retirements of machines that left the membership before they were drained because
+// they were lost or permanently partitioned. All members have reconciled without them, so each batch job that they
+// held is on f + 1 other members. A machine that returns with the same disk can't join any more. A machine that
+// returns with another disk joins only after it has polled for liveness.RejoinAfter, as after any completed
+// retirement, so that it doesn't join while the operator is removing the machine.
 func (s *membership) completeDeparted() {
 	retirements := slices.Clone(s.retirements)
 	for i := range retirements {
 		node := retirements[i].Node
-		member := slices.ContainsFunc(s.members, func(one protocol.StoreMember) bool { return one.Node == node })
-		retirements[i].Completed = retirements[i].Completed || !member
+		isMember := slices.ContainsFunc(s.members, func(member protocol.StoreMember) bool { return member.Node == node })
+		retirements[i].Completed = retirements[i].Completed || !isMember
 	}
 	s.retirements = retirements
 }
@@ -83,7 +83,8 @@
 	return RetirementActive
 }
 
-// countRetirements returns the number of remembered retirements in a state.
+// countRetirements returns the number of recorded retirements in the given state, RetirementActive or
+// RetirementCompleted.
 func (s *membership) countRetirements(state Retirement) int {
 	count := 0
 	for i := range s.retirements {
@@ -94,16 +95,16 @@
 	return count
 }
 
-// retirementOf returns the record of a node's last retirement, nil if there is none.
+// retirementOf returns the record of a node's last retirement, or nil if there is none.
 func (s *membership) retirementOf(node string) *retirement {
-	at := slices.IndexFunc(s.retirements, func(one retirement) bool { return one.Node == node })
+	at := slices.IndexFunc(s.retirements, func(record retirement) bool { return record.Node == node })
 	if at < 0 {
 		return nil
 	}
 	return &s.retirements[at]
 }
 
-// recordRetirement replaces the record of a node's last retirement.
+// recordRetirement adds a retirement, replacing the record of the node's last retirement if there is one.
 func (s *membership) recordRetirement(next retirement) {
 	if record := s.retirementOf(next.Node); record != nil {
 		*record = next
--- a/internal/control/statemachine/statemachine.go
+++ b/internal/control/statemachine/statemachine.go
@@ -10,27 +10,27 @@
 // StateMachine is the control plane's replicated state machine. It is safe for concurrent use: the chain
 // applies commands while others read.
 type StateMachine struct {
-	onChange func() // set before the first command, and not changed after it; called without mutex held
+	onChange func() // set before the first command and not changed afterwards; called without mutex held
 
-	// mutex guards the fields below. Apply holds it for the whole of a command, so that a reader sees each
-	// command's effect whole or not at all.
+	// mutex guards the fields below. Apply holds it for the whole of a command, so that a reader sees either all
+	// or none of a command's effects.
 	mutex         sync.RWMutex
 	configuration *configuration.State
 	stores        *membership
 	grants        grantRecord
 }
 
-// New returns the state before the first command.
+// New returns a state machine in the state before the first command.
 func New() *StateMachine {
 	return &StateMachine{configuration: configuration.NewState(), stores: newMembership(), onChange: func() {}}
 }
 
-// OnChange sets a function that is called after each command and after each Restore. It must be set before
-// the first of them, and must not block: the chain's next command waits for it.
-func (m *StateMachine) OnChange(call func()) { m.onChange = call }
+// OnChange sets a function that is called after each command and after each Restore. It must be set before the
+// first command or Restore. The function must not block, because the chain's next command waits for it.
+func (m *StateMachine) OnChange(callback func()) { m.onChange = callback }
 
-// Apply applies the encoded command at an index of the log and returns the encoded [Outcome]. A command that
-// can't be decoded changes nothing and returns nil; all members agree on that, as they decode the same bytes.
+// Apply applies the encoded command at an index of the log and returns the encoded [Outcome]. For a command that
+// can't be decoded it changes nothing and returns nil. All members do the same, since they decode the same bytes.
 func (m *StateMachine) Apply(index uint64, encoded []byte) []byte {
 	var command Command
 	if decode(encoded, &command) != nil {
@@ -73,12 +73,12 @@
 
 // snapshot is the encoded form of a StateMachine.
 type snapshot struct {
-	Configuration []byte // as configuration.State.Encode gives it
+	Configuration []byte // encoded by configuration.State.Encode
 	Stores        membershipSnapshot
 	Lending       grantRecord
 }
 
-// Snapshot returns the encoded state.
+// Snapshot returns the encoded state, or nil if it can't be encoded.
 func (m *StateMachine) Snapshot() []byte {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -93,7 +93,7 @@
 	return encoded
 }
 
-// Restore replaces the state by one that Snapshot returned. On an error the state stays as it was.
+// Restore replaces the state with one returned by Snapshot. If it returns an error, the state is unchanged.
 func (m *StateMachine) Restore(encoded []byte) error {
 	var decoded snapshot
 	if err := decode(encoded, &decoded); err != nil {
@@ -119,25 +119,25 @@
 	return m.configuration.Current()
 }
 
-// ConfigurationSince returns the update that leads from the version at an index to the current one; nil if
-// that is the current one.
+// ConfigurationSince returns the update from the version at a log index to the current version, or nil if the
+// version at that index is the current one.
 func (m *StateMachine) ConfigurationSince(index uint64) *protocol.ConfigurationUpdate {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.UpdateSince(index)
 }
 
-// Evaluate returns what Apply would return for an operator's change of the configuration now, without
-// applying it.
+// Evaluate returns the result that Apply would currently give for an operator's change of the configuration,
+// without applying the change.
 func (m *StateMachine) Evaluate(change configuration.ChangeRequest) configuration.Result {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.Evaluate(change)
 }
 
-// Remembered returns what is known of an operator's earlier change by its digest and the version that it
-// builds on.
-func (m *StateMachine) Remembered(digest configuration.Digest, ifMatch uint64) configuration.Status {
+// ChangeStatus returns the status of an operator's earlier change, which is identified by its digest. ifMatch is
+// the version that the change builds on. See [configuration.State.StatusOf] for the possible statuses.
+func (m *StateMachine) ChangeStatus(digest configuration.Digest, ifMatch uint64) configuration.Status {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.configuration.StatusOf(digest, ifMatch)
@@ -157,28 +157,30 @@
 	return m.stores.mayJoin(m.stores.members, process)
 }
 
-// Suspicion returns the number of the suspicion that an incarnation of a batch process is under, 0 for none.
+// Suspicion returns the number of the current suspicion of an incarnation of a batch process, or 0 if it is not
+// under suspicion.
 func (m *StateMachine) Suspicion(node, incarnation string) uint64 {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.suspicionNumber(node, incarnation)
 }
 
-// Retirement returns the state of a batch process's retirement.
+// Retirement returns the state of a node's last retirement.
 func (m *StateMachine) Retirement(node string) Retirement {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.retirementState(node)
 }
 
-// CountRetirements returns the number of remembered retirements that are active, or completed.
+// CountRetirements returns the number of recorded retirements in the given state, RetirementActive or
+// RetirementCompleted.
 func (m *StateMachine) CountRetirements(state Retirement) int {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.stores.countRetirements(state)
 }
 
-// Grantor returns the process that may grant quota.
+// Grantor returns the grantor on record, the process that may grant quota.
 func (m *StateMachine) Grantor() Grantor {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
--- a/internal/control/statemachine/statemachine_test.go
+++ b/internal/control/statemachine/statemachine_test.go
@@ -23,38 +23,38 @@
 	}
 }
 
-// drawCommand draws a command, some of which no longer fit the state.
+// drawCommand draws a random command. Some of the commands no longer fit the state.
 func drawCommand(t *rapid.T, m *StateMachine) Command {
-	one := process(rapid.IntRange(0, 3).Draw(t, "node"), rapid.IntRange(0, 2).Draw(t, "incarnation"))
+	candidate := process(rapid.IntRange(0, 3).Draw(t, "node"), rapid.IntRange(0, 2).Draw(t, "incarnation"))
 	switch rapid.IntRange(0, 8).Draw(t, "kind") {
 	case 8:
 		return Command{Settle: &Settle{Epoch: m.Stores().Epoch - rapid.Uint64Range(0, 1).Draw(t, "before")}}
 	case 6:
 		return Command{
-			Suspect: &Suspect{Node: one.Node, Incarnation: one.Incarnation, Over: rapid.Bool().Draw(t, "over")},
+			Suspect: &Suspect{Node: candidate.Node, Incarnation: candidate.Incarnation, Over: rapid.Bool().Draw(t, "over")},
 		}
 	case 7:
-		number := m.Suspicion(one.Node, one.Incarnation)
+		number := m.Suspicion(candidate.Node, candidate.Incarnation)
 		return Command{
 			Evict: &Evict{
-				Node:        one.Node,
-				Incarnation: one.Incarnation,
+				Node:        candidate.Node,
+				Incarnation: candidate.Incarnation,
 				Suspicion:   number + rapid.Uint64Range(0, 1).Draw(t, "stale"),
 			},
 		}
 	case 0, 1:
 		return Command{
-			Join: &Join{Processes: []protocol.Process{one, process(rapid.IntRange(0, 3).Draw(t, "other"), 0)}},
+			Join: &Join{Processes: []protocol.Process{candidate, process(rapid.IntRange(0, 3).Draw(t, "other"), 0)}},
 		}
 	case 2:
-		return Command{Evict: &Evict{Node: one.Node, Incarnation: one.Incarnation}}
+		return Command{Evict: &Evict{Node: candidate.Node, Incarnation: candidate.Incarnation}}
 	case 3:
-		return Command{Retire: &Retire{Node: one.Node, Remain: 2}}
+		return Command{Retire: &Retire{Node: candidate.Node, Remain: 2}}
 	case 4:
 		return Command{
 			Retired: &Retired{
-				Node:        one.Node,
-				Incarnation: one.Incarnation,
+				Node:        candidate.Node,
+				Incarnation: candidate.Incarnation,
 				Epoch:       m.Stores().Epoch - rapid.Uint64Range(0, 1).Draw(t, "behind"),
 			},
 		}
@@ -67,12 +67,12 @@
 	return Command{Configuration: &configuration.ChangeRequest{IfMatch: generation, Body: []byte(body)}}
 }
 
-// checkInvariants checks what must hold between the views before and after any command.
+// checkInvariants checks the invariants that hold between the views before and after any command.
 func checkInvariants(t *rapid.T, before, after protocol.StoreView, outcome Outcome) {
 	nodes, addresses := map[string]bool{}, map[string]bool{}
 	for _, member := range after.Members {
 		if nodes[member.Node] || addresses[member.IP] {
-			t.Fatalf("%s is a member twice", member.Node)
+			t.Fatalf("%s occurs twice among the members", member.Node)
 		}
 		nodes[member.Node], addresses[member.IP] = true, true
 	}
@@ -88,13 +88,13 @@
 		t.Fatalf("settled %t to %t, members changed: %t", before.Settled, after.Settled, changed)
 	}
 	if outcome.Store == StoreChanged && !after.Newer(before) {
-		t.Fatal("a change isn't newer than what was before")
+		t.Fatal("the view after a change is not newer than the view before it")
 	}
 	checkDeparted(t, before, after)
 }
 
-// checkDeparted checks that the departed processes are those that were members, are not now, and were not
-// drained first.
+// checkDeparted checks that the departed processes are exactly those that left the membership without having been
+// drained. After a Settle the list may be empty.
 func checkDeparted(t *rapid.T, before, after protocol.StoreView) {
 	want := map[protocol.Process]bool{}
 	for _, process := range before.Departed {
@@ -109,19 +109,20 @@
 	got := map[protocol.Process]bool{}
 	for _, process := range after.Departed {
 		if got[process] || !want[process] {
-			t.Fatalf("%v counts as departed: %v after %v", process, after, before)
+			t.Fatalf("%v is listed as departed and should not be: %v after %v", process, after, before)
 		}
 		got[process] = true
 	}
 	for process, left := range want {
 		if left && !got[process] && !after.Settled {
-			t.Fatalf("%v departed, and isn't listed: %v after %v", process, after, before)
+			t.Fatalf("%v departed and is not listed: %v after %v", process, after, before)
 		}
 	}
 }
 
-// TestReplicas applies the same random commands to two replicas, one of which is restored from a snapshot now
-// and then.
+// TestReplicas applies the same random commands to two replicas, one of which is occasionally restored from a
+// snapshot of the other. It checks the invariants after each command, and that the replicas have equal outcomes,
+// epochs, numbers of members and suspicions.
 func TestReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(), New()
@@ -135,7 +136,7 @@
 			}
 			result := first.Apply(index, raw)
 			if !bytes.Equal(result, second.Apply(index, raw)) {
-				t.Fatal("the replicas give different outcomes")
+				t.Fatal("the replicas return different outcomes")
 			}
 			outcome, err := DecodeOutcome(result)
 			if err != nil {
@@ -145,17 +146,17 @@
 			if command.Retire != nil && outcome.Store == StoreChanged {
 				if first.Retirement(command.Retire.Node) != RetirementActive {
 					t.Fatalf(
-						"%s is retiring, and its retirement is in state %d",
+						"%s was told to retire, but its retirement is in state %d",
 						command.Retire.Node,
 						first.Retirement(command.Retire.Node),
 					)
 				}
-				// A machine of that name that joined after the one that was drained.
+				// If a machine of that name was drained before, this is another one that joined after it.
 				delete(completed, command.Retire.Node)
 			}
 			for node := range completed {
 				if first.Retirement(node) != RetirementCompleted {
-					t.Fatalf("the retirement of %s was completed, and isn't any longer", node)
+					t.Fatalf("the retirement of %s was completed and is no longer recorded as completed", node)
 				}
 			}
 			for i := range 4 {
@@ -171,19 +172,19 @@
 			}
 			if !reflect.DeepEqual(first.Stores().Epoch, second.Stores().Epoch) ||
 				len(first.Stores().Members) != len(second.Stores().Members) {
-				t.Fatal("the replicas differ")
+				t.Fatal("the replicas have different epochs or numbers of members")
 			}
 			for i := range 12 {
-				one := process(i%4, i/4)
-				number := first.Suspicion(one.Node, one.Incarnation)
-				if number != second.Suspicion(one.Node, one.Incarnation) {
-					t.Fatal("the replicas differ in whom they suspect")
+				candidate := process(i%4, i/4)
+				number := first.Suspicion(candidate.Node, candidate.Incarnation)
+				if number != second.Suspicion(candidate.Node, candidate.Incarnation) {
+					t.Fatal("the replicas have different suspicions")
 				}
 				if number != 0 &&
 					!slices.ContainsFunc(first.Stores().Members, func(member protocol.StoreMember) bool {
-						return member.Process == one
+						return member.Process == candidate
 					}) {
-					t.Fatalf("%s/%s is under suspicion and no member", one.Node, one.Incarnation)
+					t.Fatalf("%s/%s is under suspicion but not a member", candidate.Node, candidate.Incarnation)
 				}
 			}
 		}
@@ -201,7 +202,7 @@
 	join := func(m *StateMachine, list ...protocol.Process) Outcome {
 		return apply(m, Command{Join: &Join{Processes: list}})
 	}
-	Convey("An incarnation with an empty disk replaces the former one at once", t, func() {
+	Convey("An incarnation with an empty disk replaces the previous one immediately", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0))
 		So(m.Stores().Epoch, ShouldEqual, 1)
@@ -211,7 +212,7 @@
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}).Store, ShouldEqual, StoreUnchanged)
 	})
-	Convey("A retirement survives the loss of the disk, and a completed one the departure of the machine", t, func() {
+	Convey("A retirement survives the loss of the disk, and a completed one is kept after the machine has left", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		So(apply(m, Command{Retire: &Retire{Node: "s1", Remain: 2}}).Store, ShouldEqual, StoreChanged)
@@ -232,7 +233,7 @@
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		So(join(m, process(1, 2)).Store, ShouldEqual, StoreChanged)
 	})
-	Convey("A retirement of a machine that was lost is completed once all others have reconciled without it", t, func() {
+	Convey("The retirement of a lost machine is completed once all other members have reconciled without it", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0), process(3, 0))
 		retire := Command{Retire: &Retire{Node: "s1", Remain: 2}}
@@ -246,7 +247,7 @@
 			So(m.MayJoin(process(1, 0)), ShouldBeFalse)
 			So(m.MayJoin(process(1, 1)), ShouldBeTrue) // after liveness.RejoinAfter
 		})
-		Convey("but goes on if it comes back before, with its disk or another", func() {
+		Convey("but it continues if the machine returns before that, with its disk or another one", func() {
 			for incarnation := range 2 {
 				join(m, process(1, incarnation))
 				So(m.Retirement("s1"), ShouldEqual, RetirementActive)
@@ -256,7 +257,7 @@
 			}
 		})
 	})
-	Convey("A machine that replaced one that was retired can be retired in its turn", t, func() {
+	Convey("A machine that replaced a retired machine can be retired as well", t, func() {
 		m := New()
 		retire := Command{Retire: &Retire{Node: "s1", Remain: 2}}
 		join(m, process(1, 0), process(2, 0), process(3, 0))
@@ -264,7 +265,7 @@
 		apply(m, Command{Retired: &Retired{Node: "s1", Incarnation: "0", Epoch: m.Stores().Epoch}})
 		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged) // repeated
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
-		// Its machine is about to be taken away, with its disk.
+		// The machine is about to be removed, with its disk.
 		So(join(m, process(1, 1)).Store, ShouldEqual, StoreUnchanged)
 		apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}})
 		So(apply(m, retire).Store, ShouldEqual, StoreUnchanged)
@@ -283,7 +284,7 @@
 		)
 		So(m.Retirement("s1"), ShouldEqual, RetirementCompleted)
 	})
-	Convey("A member is evicted under its present suspicion, and no other", t, func() {
+	Convey("A member is evicted only under its current suspicion", t, func() {
 		m := New()
 		join(m, process(1, 0), process(2, 0))
 		evict := func(number uint64) StoreOutcome {
@@ -298,7 +299,7 @@
 		}
 		suspect(false)
 		So(m.Suspicion("s1", "0"), ShouldEqual, 1)
-		suspect(false) // it is recorded already
+		suspect(false) // already recorded
 		So(m.Suspicion("s1", "0"), ShouldEqual, 1)
 		suspect(true)
 		So(m.Suspicion("s1", "0"), ShouldEqual, 0)
@@ -310,7 +311,7 @@
 		So(m.Suspicion("s1", "0"), ShouldEqual, 0)
 		So(apply(m, Command{Suspect: &Suspect{Node: "s1", Incarnation: "0"}}).Store, ShouldEqual, StoreUnknown)
 	})
-	Convey("What can't be decoded changes nothing", t, func() {
+	Convey("A command or snapshot that can't be decoded changes nothing", t, func() {
 		m := New()
 		So(m.Apply(1, []byte("?")), ShouldBeNil)
 		So(m.Restore([]byte("?")), ShouldNotBeNil)
@@ -318,7 +319,7 @@
 	})
 }
 
-// TestDeparted checks when a process enters the list of departed processes, and when it leaves it.
+// TestDeparted checks when a process is added to the list of departed processes and when it is removed from it.
 func TestDeparted(t *testing.T) {
 	apply := func(m *StateMachine, command Command) StoreOutcome {
 		raw, err := command.Encode()
@@ -362,7 +363,7 @@
 		So(apply(m, Command{Evict: &Evict{Node: "s1", Incarnation: "0"}}), ShouldEqual, StoreChanged)
 		So(m.Stores().Departed, ShouldBeEmpty)
 	})
-	Convey("Epochs continue from the highest that a joining process acted in", t, func() {
+	Convey("Epochs continue from the highest epoch that a joining process acted in", t, func() {
 		m := New()
 		join(m, process(1, 0))
 		So(
@@ -384,7 +385,7 @@
 		)
 		So(m.Stores().Epoch, ShouldEqual, 42)
 	})
-	Convey("A join that was decided in an earlier epoch brings no process back", t, func() {
+	Convey("A join decided in an earlier epoch doesn't bring back a replaced process", t, func() {
 		m := New()
 		join(m, process(1, 0))
 		late := Command{Join: &Join{Processes: []protocol.Process{process(1, 0)}, Epoch: m.Stores().Epoch}}
--- a/internal/control/statemachine/suspicion.go
+++ b/internal/control/statemachine/suspicion.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// suspicion records that a member has timed out, as in SWIM's suspicion mechanism. Its number tells it from
-// earlier suspicions of the same member, so that an eviction can name the one that it relies on.
+// suspicion records that a member has timed out, as in SWIM's suspicion mechanism. Its number distinguishes it
+// from earlier suspicions of the same member, so that an eviction can name the suspicion that it relies on.
 type suspicion struct {
 	Node        string
 	Incarnation string
 	Number      uint64 // from 1
 }
 
-// suspect applies a Suspect. It begins or ends a suspicion; the members and the epoch stay, so the outcome is
-// StoreUnchanged.
+// suspect applies a Suspect: it begins or ends a suspicion. The members and the epoch don't change, so the outcome
+// is StoreUnchanged, or StoreUnknown for a process that is not a member.
 func (s *membership) suspect(command *Suspect) StoreOutcome {
 	if s.indexOf(command.Node, command.Incarnation) < 0 {
 		return StoreUnknown
 	}
-	others := slices.DeleteFunc(slices.Clone(s.suspicions), func(one suspicion) bool {
-		return one.Node == command.Node
+	others := slices.DeleteFunc(slices.Clone(s.suspicions), func(entry suspicion) bool {
+		return entry.Node == command.Node
 	})
 	switch known := len(others) < len(s.suspicions); {
 	case command.Over:
@@ -30,11 +30,11 @@
 	return StoreUnchanged
 }
 
-// suspicionNumber returns the number of the suspicion that an incarnation is under, 0 for none.
+// suspicionNumber returns the number of the current suspicion of an incarnation, or 0 if it is not under suspicion.
 func (s *membership) suspicionNumber(node, incarnation string) uint64 {
-	for _, one := range s.suspicions {
-		if one.Node == node && one.Incarnation == incarnation {
-			return one.Number
+	for _, entry := range s.suspicions {
+		if entry.Node == node && entry.Incarnation == incarnation {
+			return entry.Number
 		}
 	}
 	return 0
