--- a/internal/control/operatorapi/api.go
+++ b/internal/control/operatorapi/api.go
@@ -28,7 +28,7 @@
 
 // Limits of the API.
 const (
-	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must have room for two
+	maxBodyBytes     = 24 << 20                // of one configuration; a frame between control processes must hold two
 	unavailableAfter = 900 * time.Millisecond  // time until 503 while the chain is unavailable; clients wait for 1 s
 	retryInterval    = 60 * time.Millisecond   // between attempts
 	readTimeout      = 400 * time.Millisecond  // of one read of the chain
--- a/internal/control/operatorapi/catchup_test.go
+++ b/internal/control/operatorapi/catchup_test.go
@@ -127,13 +127,13 @@
 				w.commit(101, 100+missedChanges, w.members[:2]...)
 				before, began := w.network.BytesReceived(returning.ip), w.now()
 				returning.start(false)
-				answersBefore := w.awaitCaughtUp(returning, 100+missedChanges)
+				readsBefore := w.awaitCaughtUp(returning, 100+missedChanges)
 				took, received := w.now()-began, w.network.BytesReceived(returning.ip)-before
 				t.Logf(
 					"caught up in %v with %d bytes; %d answers before, all without a configuration",
 					took,
 					received,
-					answersBefore,
+					readsBefore,
 				)
 				if took > maxCatchUpTime || received > maxCatchUpBytes {
 					t.Errorf("catching up took %v and %d bytes, which exceeds maxCatchUpTime or maxCatchUpBytes", took, received)
@@ -148,9 +148,10 @@
 	}
 }
 
-// awaitCaughtUp sends reads to a machine until it returns the newest version, and returns the number of reads
-// before that. While the machine has an earlier version it must neither report a staleness below 1 s nor hold the leader lease.
-func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (answersBefore int) {
+// awaitCaughtUp sends reads to a machine until it returns the newest version, and returns the number of reads before
+// that. While the machine has an earlier version it must neither report a staleness below 1 s nor hold the leader
+// lease.
+func (w *clusterSimulation) awaitCaughtUp(m *simulatedControl, newest int) (readsBefore int) {
 	for {
 		held := m.state.Configuration().Generation
 		age, fresh := m.node.Staleness()
@@ -163,15 +164,15 @@
 		got := m.call("GET", "", "", 20*time.Millisecond)
 		switch {
 		case got.status == 200 && got.etag == fmt.Sprintf(`"%d"`, newest):
-			return answersBefore
+			return readsBefore
 		case got.status == 200 || got.status == 404:
 			w.failf("%s returned version %s, the newest is %d", m.ip, got.etag, newest)
-			return answersBefore
+			return readsBefore
 		}
-		answersBefore++
-		if answersBefore > 1000 {
+		readsBefore++
+		if readsBefore > 1000 {
 			w.failf("%s has not caught up after 1000 reads", m.ip)
-			return answersBefore
+			return readsBefore
 		}
 	}
 }
