--- a/coord/membership/antientropy.go
+++ b/coord/membership/antientropy.go
@@ -5,24 +5,26 @@
 const (
 	// maxSyncUpdates bounds the updates in one Sync message.
 	maxSyncUpdates = 64
-	// heavyBacklog is the number of pending updates from which on dissemination takes several rounds, so that
+	// heavyBacklog is the number of pending updates above which dissemination takes several rounds, so that
 	// tables are exchanged although updates are pending.
 	heavyBacklog = 2 * maxPiggyback
 	// mismatchesBeforeSync is the number of mismatches during a heavy backlog after which tables are
 	// exchanged.
 	mismatchesBeforeSync = 4
-	// maxMismatches bounds the machines whose last mismatch is remembered.
+	// maxMismatches bounds the number of machines whose last mismatch is kept.
 	maxMismatches = 16
 )
 
-// digestMismatch is a pair of table digests that were seen to differ.
+// digestMismatch is a pair of table digests that differed.
 type digestMismatch struct{ own, other uint64 }
 
-// compareDigests compares the digest of another machine's table with this one's, and requests what differs.
+// compareDigests compares the digest of another machine's table with that of this table, and requests the
+// buckets that differ.
 //
-// Digests differ all the time while updates are on their way. So it acts only if nothing is pending here and
-// the same two digests differ for the second time; or, as there may always be something pending in a system
-// with many changes, now and then during a heavy backlog.
+// Digests differ regularly while updates are in transit. It therefore sends a request only if no update is
+// pending here and the same two digests differ for the second time in a row. In a system with many changes
+// updates may always be pending; during a heavy backlog it therefore also sends a request after every
+// mismatchesBeforeSync mismatches.
 func (n *Node) compareDigests(address string, message Message) {
 	seen := digestMismatch{own: n.table.digest(), other: message.Digest}
 	if seen.own == seen.other {
@@ -43,7 +45,7 @@
 	n.sendTo(message.From, address, Message{Kind: SyncRequest, Digests: slices.Clone(n.table.digests[:])})
 }
 
-// recordMismatch remembers the mismatch with another machine.
+// recordMismatch stores the mismatch with another machine.
 func (n *Node) recordMismatch(name string, seen digestMismatch) {
 	if len(n.mismatches) >= maxMismatches {
 		clear(n.mismatches)
@@ -51,8 +53,9 @@
 	n.mismatches[name] = seen
 }
 
-// sendTable answers a Join with the whole table, and a SyncRequest with the buckets that differ. The last
-// part of the latter carries this table's digests, so that the other side returns what it has.
+// sendTable answers a Join with the whole table, and a SyncRequest with the buckets that differ. The last Sync
+// of the answer to a SyncRequest carries this table's digests, so that the other machine returns the buckets in
+// which it differs.
 func (n *Node) sendTable(address string, message Message) {
 	updates := n.table.differingFrom(message.Digests)
 	parts := slices.Collect(slices.Chunk(updates, maxSyncUpdates))
@@ -65,8 +68,8 @@
 	}
 }
 
-// onSync answers the last part of another machine's table with the buckets that still differ, now that its
-// updates are merged.
+// onSync handles a Sync, whose updates have already been merged. If it carries digests, it is the last part of
+// another machine's table, and onSync answers with the buckets that still differ.
 func (n *Node) onSync(address string, message Message) {
 	n.hasSynced = true
 	if len(message.Digests) != digestBuckets {
--- a/coord/membership/broadcast.go
+++ b/coord/membership/broadcast.go
@@ -2,31 +2,31 @@
 
 import "math/bits"
 
-// maxPiggyback bounds the updates in one message. More of them spread a burst of changes in fewer rounds, in
-// larger messages.
+// maxPiggyback bounds the updates in one message. A higher bound disseminates a burst of changes in fewer
+// rounds, with larger messages.
 const maxPiggyback = 24
 
-// broadcastQueue holds the updates that are still to be spread, at most one of each machine. Those that
-// weren't sent yet go first, as in SWIM, and then the others by turns.
+// broadcastQueue holds the updates that are still to be disseminated, at most one of each machine. Updates that
+// haven't been sent yet go first, as in SWIM, followed by the others in turn.
 type broadcastQueue struct {
-	unsent   []*rumor          // not sent yet, the oldest first
-	sent     []*rumor          // sent, the one whose last transmission is longest ago first
-	byMember map[string]*rumor // those that aren't superseded, by the machine's name
+	unsent   []*rumor          // not sent yet, oldest first
+	sent     []*rumor          // sent at least once, least recently sent first
+	byMember map[string]*rumor // the rumors that aren't superseded, by name of the machine
 }
 
 // rumor is an update of one machine in the queue.
 type rumor struct {
 	update        Update
 	transmissions int
-	superseded    bool // a newer update of the machine has taken its place; dropped when its turn comes
+	superseded    bool // replaced by a newer update of the machine; take discards it
 }
 
-// pending returns the number of updates that are to be spread.
+// pending returns the number of updates still to be disseminated.
 func (q *broadcastQueue) pending() int {
 	return len(q.byMember)
 }
 
-// add queues an update, in place of an earlier one of the same machine.
+// add queues an update and replaces an earlier update of the same machine.
 func (q *broadcastQueue) add(update Update) {
 	name := update.Member.Name
 	if old, ok := q.byMember[name]; ok {
@@ -40,15 +40,15 @@
 	q.unsent = append(q.unsent, added)
 }
 
-// maxTransmissions returns how often an update is sent in a system of some size. An update that each machine
-// sends on a number of times proportional to the logarithm of the size reaches all with high probability
-// (SWIM).
+// maxTransmissions returns how often an update is sent in a system of the given number of machines. An update
+// that each machine forwards a number of times proportional to the logarithm of that number reaches all
+// machines with high probability (SWIM).
 func maxTransmissions(machines int) int {
 	return 2 + 2*bits.Len(uint(machines))
 }
 
-// take returns the updates for one message and counts a transmission of each. An update that reaches the
-// limit for the number of machines leaves the queue.
+// take returns the updates for one message and counts a transmission of each. An update that reaches
+// maxTransmissions for the number of machines is removed from the queue.
 func (q *broadcastQueue) take(machines int) []Update {
 	if len(q.byMember) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return updates
 }
 
-// pop removes the rumor to be sent next. The queue must not be empty.
+// pop removes and returns the rumor to be sent next. The queue must not be empty.
 func (q *broadcastQueue) pop() *rumor {
 	source := &q.sent
 	if len(q.unsent) > 0 {
--- a/coord/membership/cluster_test.go
+++ b/coord/membership/cluster_test.go
@@ -18,11 +18,11 @@
 
 	// faulty holds machines with an injected fault, so that suspicions of them are not false.
 	faulty map[string]bool
-	// suspicions and deaths count false ones by the machine that declared them, or learnt of them.
+	// suspicions and deaths count false suspicions and false deaths by the machine that declared or learnt of them.
 	suspicions, deaths map[string]int
 	// deathKnown counts, for each machine, the others that know it as Dead.
 	deathKnown map[string]int
-	// messages and updates count what was sent.
+	// messages and updates count the messages sent and the updates in them.
 	messages, updates int
 }
 
@@ -70,14 +70,14 @@
 	c.faulty[name] = true
 }
 
-// tick runs a machine's timer, now and whenever it is due.
+// tick calls a machine's Tick and schedules the next call.
 func (c *cluster) tick(name string) {
 	node := c.nodes[name]
 	c.handle(name, node.Tick(c.simulation.Now()))
 	c.simulation.AfterOn(name, node.Next().Sub(c.simulation.Now()), func() { c.tick(name) })
 }
 
-// handle sends messages and counts changes.
+// handle sends the messages and counts the changes of a step.
 func (c *cluster) handle(name string, output Output) {
 	for _, change := range output.Changes {
 		c.countChange(name, change)
@@ -94,7 +94,7 @@
 	}
 }
 
-// countChange counts false suspicions and deaths, and who knows of a death.
+// countChange counts false suspicions and deaths, and the machines that know of a death.
 func (c *cluster) countChange(observer string, change Change) {
 	name := change.Member.Name
 	if change.State == Dead {
@@ -137,7 +137,8 @@
 	return true
 }
 
-// runUntil runs the simulation until a condition holds and returns how long that took.
+// runUntil runs the simulation until a condition holds and returns the time that took. It fails the test if the
+// condition doesn't hold within limit.
 func (c *cluster) runUntil(limit time.Duration, condition func() bool) time.Duration {
 	c.t.Helper()
 	start := c.simulation.Elapsed()
@@ -147,11 +148,11 @@
 		}
 		c.simulation.Run(10 * time.Millisecond)
 	}
-	c.t.Fatalf("seed %d: not within %s: %s", c.simulation.Random.Seed(), limit, c.describe())
+	c.t.Fatalf("seed %d: condition doesn't hold within %s: %s", c.simulation.Random.Seed(), limit, c.describe())
 	return 0
 }
 
-// describe returns what each machine sees, shortened.
+// describe returns a shortened description of each machine's table.
 func (c *cluster) describe() string {
 	text := ""
 	for _, name := range c.names {
@@ -172,15 +173,15 @@
 	return took
 }
 
-// resetCounts sets what was counted to zero.
+// resetCounts sets all counts to zero.
 func (c *cluster) resetCounts() {
 	clear(c.suspicions)
 	clear(c.deaths)
 	c.messages, c.updates = 0, 0
 }
 
-// noFalseDeath fails if a machine without a fault was declared dead.
-func (c *cluster) noFalseDeath() {
+// checkNoFalseDeaths fails if a machine without a fault was declared dead.
+func (c *cluster) checkNoFalseDeaths() {
 	c.t.Helper()
 	if total(c.deaths) > 0 {
 		c.t.Errorf("seed %d: false deaths by %v", c.simulation.Random.Seed(), c.deaths)
--- a/coord/membership/datagram/codec.go
+++ b/coord/membership/datagram/codec.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// magic begins every datagram. Its last byte is the version of the format.
+	// magic is the start of every datagram. Its last byte is the version of the format.
 	magic = "SPM\x01"
 	// maxDatagramSize bounds a datagram in bytes, so that it fits into an Ethernet frame and isn't
 	// fragmented.
@@ -21,11 +21,11 @@
 	maxListLength = 128
 )
 
-// errMalformed says that a datagram isn't a message of this system.
+// errMalformed reports a datagram that isn't a valid message of this system.
 var errMalformed = errors.New("datagram: malformed")
 
-// encode returns the datagrams of a message, usually one. Those after the first carry only the rest of its
-// updates.
+// encode returns the datagrams of a message, usually one. Any further datagrams only carry the updates that
+// didn't fit into the earlier ones.
 func encode(tag uint64, message membership.Message) [][]byte {
 	var datagrams [][]byte
 	rest := message.Updates
@@ -53,9 +53,9 @@
 	}
 }
 
-// continuation returns the message that carries the rest of another one's updates. A Heartbeat has no other
-// effect than its updates and shows the sender to be alive; of a Sync it must stay known that its updates
-// come from a whole table.
+// continuation returns the message that carries the remaining updates of another message. It is a Heartbeat,
+// which has no effect besides its updates and showing that the sender is alive. The continuation of a Sync is
+// a Sync, because the receiver must know that the updates come from a table.
 func continuation(message membership.Message) membership.Message {
 	kind := membership.Heartbeat
 	if message.Kind == membership.Sync {
@@ -64,7 +64,7 @@
 	return membership.Message{Kind: kind, From: message.From, Incarnation: message.Incarnation}
 }
 
-// appendHeader appends all of a message but its updates.
+// appendHeader appends all fields of a message except its updates.
 func appendHeader(data []byte, tag uint64, message membership.Message) []byte {
 	data = append(data, magic...)
 	data = binary.BigEndian.AppendUint64(data, tag)
@@ -92,7 +92,7 @@
 	return appendString(data, update.Member.Zone)
 }
 
-// appendString appends a string after its length. One that is too long is truncated.
+// appendString appends the length of a string and the string, which it truncates to maxStringLength.
 func appendString(data []byte, text string) []byte {
 	text = text[:min(len(text), maxStringLength)]
 	data = append(data, byte(len(text)))
@@ -129,15 +129,15 @@
 	return message, nil
 }
 
-// reader reads the fields of a datagram in order. After a failure it returns values of no meaning, so that
-// failed is checked once at the end.
+// reader reads the fields of a datagram in order. After a failure it sets failed and returns meaningless
+// values, so that the caller checks failed only once at the end.
 type reader struct {
 	data   []byte
 	failed bool
 }
 
-// next returns the next bytes. After a failure it returns at least as many zeros as a field of fixed size
-// has.
+// next returns the next count bytes. After a failure it returns zeros, at most 8, which is enough for any field
+// of fixed size.
 func (r *reader) next(count int) []byte {
 	if r.failed || count > len(r.data) {
 		r.failed = true
@@ -165,7 +165,7 @@
 	return count
 }
 
-// string returns a string after its length.
+// string reads the length of a string and returns the string.
 func (r *reader) string() string {
 	length := int(r.byte())
 	if r.failed || length > len(r.data) {
--- a/coord/membership/datagram/datagram_test.go
+++ b/coord/membership/datagram/datagram_test.go
@@ -16,7 +16,7 @@
 
 const patience = 20 * time.Second
 
-// eventually waits until a condition holds.
+// eventually polls a condition until it holds, and reports whether it did in time.
 func eventually(condition func() bool) bool {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if condition() {
@@ -62,7 +62,7 @@
 	return r
 }
 
-// allSee reports whether all runners know exactly this many machines as alive.
+// allSee reports whether every runner knows exactly count machines as alive.
 func allSee(runners []*Runner, count int) bool {
 	for _, r := range runners {
 		alive := 0
@@ -173,7 +173,7 @@
 		valid := encode(7, testMessage(5))[0]
 		for cut := range valid {
 			if _, err := decode(7, valid[:cut]); err == nil {
-				t.Fatalf("truncated at %d it is accepted", cut)
+				t.Fatalf("decode accepts a datagram truncated to %d bytes; want an error", cut)
 			}
 		}
 		random := rand.New(rand.NewPCG(1, 2))
@@ -197,7 +197,7 @@
 	return output
 }
 
-// checkDecode fails if what is accepted isn't encoded again as it was read.
+// checkDecode fails if a datagram that decode accepts doesn't decode to the same message after encoding it again.
 func checkDecode(t testing.TB, data []byte) {
 	message, err := decode(7, data)
 	if err != nil {
@@ -205,7 +205,7 @@
 	}
 	again, err := decode(7, encode(7, message)[0])
 	if err != nil || len(message.Updates) == len(again.Updates) && !reflect.DeepEqual(again, message) {
-		t.Fatalf("%+v became %+v (%v)", message, again, err)
+		t.Fatalf("%+v decodes to %+v (%v) after encoding it again", message, again, err)
 	}
 }
 
--- a/coord/membership/datagram/members.go
+++ b/coord/membership/datagram/members.go
@@ -2,14 +2,13 @@
 
 import "sprucelane.example/sprucelane/coord/membership"
 
-// Members is an immutable snapshot of the machines that are present. It may be used by several goroutines at
-// once.
+// Members is an immutable snapshot of the machines that are present. It is safe for concurrent use.
 type Members struct {
 	list   []membership.Update
 	byName map[string]membership.Update
 }
 
-// newMembers returns the snapshot of a list in the order of names, which it keeps.
+// newMembers returns a snapshot that retains list, which must be sorted by name.
 func newMembers(list []membership.Update) *Members {
 	byName := make(map[string]membership.Update, len(list))
 	for _, update := range list {
@@ -24,7 +23,7 @@
 	return m.list
 }
 
-// Get returns a machine that is alive or suspected, and false if there is none of that name.
+// Get returns the machine with a name if it is alive or suspected, and false otherwise.
 func (m *Members) Get(name string) (membership.Update, bool) {
 	update, ok := m.byName[name]
 	return update, ok
--- a/coord/membership/datagram/runner.go
+++ b/coord/membership/datagram/runner.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// receiveBufferSize is the size in bytes of the largest datagram that is received. Longer ones are
-	// truncated by the system, and then dropped as malformed.
+	// receiveBufferSize is the size in bytes of the largest datagram that is received whole. The system
+	// truncates longer ones, which are then dropped as malformed.
 	receiveBufferSize = 4096
-	// readErrorBackoff is how long a runner waits after a failed read, so that a lasting error doesn't use up
-	// a core.
+	// readErrorBackoff is how long a runner waits after a failed read, so that a persistent error doesn't keep
+	// a core busy.
 	readErrorBackoff = 50 * time.Millisecond
 )
 
@@ -29,34 +29,36 @@
 	System string
 	// Config configures the node. All addresses in it are ip:port, without host names.
 	Config membership.Config
-	// Listen is the ip:port of the socket, if it isn't Config.Self.Address, as behind address translation.
+	// Listen is the ip:port of the socket, if that differs from Config.Self.Address, as behind address
+	// translation. If empty, the socket uses Config.Self.Address.
 	Listen string
-	// OnChange receives changes in order, after Members reflects them. It must return soon, as it holds up
-	// the protocol, and must not call the Runner except for Members. If nil, changes are only reflected by
-	// Members.
+	// OnChange receives changes in order, after Members reflects them. It must return quickly, as it blocks the
+	// protocol, and must not call any method of the Runner except Members. If nil, only Members reflects
+	// changes.
 	OnChange func([]membership.Change)
 	// Log receives errors: the event (read_failed, datagram_dropped, address_invalid or datagram_not_sent),
-	// the error, and the other side's address. It must return soon. If nil, nothing is logged.
+	// the error, and the remote address. It must return quickly. If nil, nothing is logged.
 	Log func(event string, err error, remote string)
 }
 
-// Runner runs a membership node over a UDP socket. Its methods may be called by several goroutines at once.
+// Runner runs a membership node over a UDP socket. Its methods are safe for concurrent use.
 type Runner struct {
 	options   Options
 	systemTag uint64 // hash of Options.System, sent in each datagram
 	socket    *net.UDPConn
 	members   atomic.Pointer[Members] // replaced by publish
-	readDone  chan struct{}           // closed once the socket isn't read any more
+	readDone  chan struct{}           // closed when read returns
 
-	// mutex guards the fields below. It is held through each step of the node with the sends and OnChange
-	// that it leads to, so that messages and changes keep their order.
+	// mutex guards the fields below. It is held during each step of the node and while the resulting messages
+	// are sent and OnChange is called, so that messages and changes keep their order.
 	mutex  sync.Mutex
 	node   *membership.Node
 	timer  *time.Timer // of the node's next tick
-	closed bool        // no step is made any more
+	closed bool        // the node takes no further steps
 }
 
-// Start opens the socket and begins to join the system. The error is that of an address or of the socket.
+// Start opens the socket and begins to join the system. It returns an error if the address to listen on is
+// invalid or the socket can't be opened.
 func Start(options Options) (*Runner, error) {
 	if options.Listen == "" {
 		options.Listen = options.Config.Self.Address
@@ -95,8 +97,8 @@
 	return r.members.Load()
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others must have declared
-// it dead, or be partitioned from it.
+// Isolated reports whether this machine has received nothing for so long that the others have declared it dead
+// or are partitioned from it.
 func (r *Runner) Isolated() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -110,8 +112,8 @@
 	r.node.SetSeeds(seeds)
 }
 
-// Leave tells the others that this machine ends as planned, so that they don't suspect it, and closes the
-// runner.
+// Leave informs other machines that this machine shuts down as planned, so that they don't suspect it, and
+// closes the runner.
 func (r *Runner) Leave() {
 	r.mutex.Lock()
 	if !r.closed {
@@ -121,7 +123,8 @@
 	r.Close()
 }
 
-// Close closes the socket without telling the others, which will suspect this machine and declare it dead.
+// Close closes the socket without informing the other machines, which will suspect this machine and declare it
+// dead.
 func (r *Runner) Close() {
 	r.mutex.Lock()
 	wasClosed := r.closed
@@ -134,7 +137,7 @@
 	<-r.readDone
 }
 
-// tick lets the node tick and sets the timer for the next time.
+// tick runs the node's tick and sets the timer for the next one.
 func (r *Runner) tick() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -177,7 +180,7 @@
 	}
 }
 
-// apply sends messages and reports changes. The caller holds the mutex.
+// apply sends the messages and reports the changes of a step. The caller holds the mutex.
 func (r *Runner) apply(output membership.Output) {
 	for _, envelope := range output.Messages {
 		r.send(envelope)
@@ -188,7 +191,7 @@
 	}
 }
 
-// send sends one message. If that fails it isn't repeated: the protocol tolerates the loss of any datagram.
+// send sends one message. It doesn't retry on failure, as the protocol tolerates the loss of any datagram.
 func (r *Runner) send(envelope membership.Envelope) {
 	address, err := netip.ParseAddrPort(envelope.Address)
 	if err != nil {
@@ -202,8 +205,8 @@
 	}
 }
 
-// publish makes the node's current members those that Members returns. The caller holds the mutex, or hasn't
-// started yet.
+// publish stores a snapshot of the node's current members for Members. The caller holds the mutex, or no other
+// goroutine uses the runner yet.
 func (r *Runner) publish() {
 	r.members.Store(newMembers(r.node.Members()))
 }
--- a/coord/membership/detect.go
+++ b/coord/membership/detect.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// watch is what a monitor knows of one predecessor. Any contact replaces it, so that the fields of an inquiry
-// are those of the current one.
+// watch is a monitor's state for one predecessor. Any contact replaces it, so that queriedAt, confirmed and
+// replied always belong to the current inquiry.
 type watch struct {
-	lastContact time.Time // of this machine, or of another one as that replied; or when watching began
-	observed    bool      // there was such a contact, so that lastContact isn't a mere beginning
-	queriedAt   time.Time // when others were first asked in this inquiry; zero if there is none
-	confirmed   bool      // another machine has replied that its contact has timed out too
+	lastContact time.Time // by this machine or by another machine that reported it, or else the time when watching began
+	observed    bool      // lastContact is the time of an actual contact and not that when watching began
+	queriedAt   time.Time // when other machines were first asked in this inquiry; zero if there is no inquiry
+	confirmed   bool      // another machine has replied that its last contact has timed out too
 	replied     bool      // another machine has replied
 }
 
-// checkPredecessors checks the machines that this one is a monitor of. The watch of a new predecessor begins
-// now.
+// checkPredecessors checks the predecessors, which are the machines that this machine monitors. It starts
+// watching new predecessors at now.
 func (n *Node) checkPredecessors(now time.Time) {
 	predecessors := n.peers().predecessors
 	watches := make(map[string]*watch, len(predecessors))
@@ -34,13 +34,13 @@
 	}
 }
 
-// checkPredecessor asks others about a predecessor whose heartbeats have timed out, and suspects it once that
-// is confirmed.
+// checkPredecessor asks other machines about a predecessor whose heartbeats have timed out, and suspects the
+// predecessor once another machine confirms the time-out.
 //
-// An inquiry repeats its messages in each round, as any of them may be lost, and begins anew after
-// UnconfirmedTimeout if it has led to nothing. Confirmation by a second machine keeps one faulty link, or one
-// machine that receives nothing, from causing a suspicion. Lifeguard shortens suspicions by independent
-// confirmations; here one is required before there is any.
+// An inquiry repeats its messages in each round, as any of them may be lost, and restarts after
+// UnconfirmedTimeout if it has had no result. Confirmation by a second machine keeps one faulty link, or one
+// machine that receives nothing, from causing a suspicion. Lifeguard shortens the suspicion timeout with each
+// independent confirmation; this package requires a confirmation before it starts a suspicion.
 func (n *Node) checkPredecessor(name string, watched *watch, now time.Time) {
 	if n.table.entries[name].update.State != Alive {
 		return
@@ -66,15 +66,15 @@
 	}
 }
 
-// startInquiry starts to ask about a machine, and forgets what was replied before.
+// startInquiry starts an inquiry about a machine and discards the replies to an earlier inquiry.
 func (n *Node) startInquiry(name string, watched *watch, now time.Time) {
 	*watched = watch{lastContact: watched.lastContact, observed: watched.observed, queriedAt: now}
 	n.inquire(name)
 }
 
-// inquire probes a machine directly, and indirectly through its other monitors and as many machines chosen at
-// random: the monitors know most of it, and the others may have a link to it where the monitors' are
-// partitioned.
+// inquire probes a machine directly, and indirectly through its other monitors and Config.Monitors machines
+// chosen at random. The monitors have the most recent contact with it, and the random machines may still reach
+// it if the monitors are partitioned from it.
 func (n *Node) inquire(name string) {
 	n.sequence++
 	n.send(name, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest(), Updates: n.piggyback()})
@@ -91,8 +91,9 @@
 	}
 }
 
-// maySuspectUnconfirmed reports whether this machine can rule out that it is itself the one that receives
-// nothing: it has had contact with another machine lately, or knows of none beside the suspect.
+// maySuspectUnconfirmed reports whether this machine may suspect another one without confirmation. It must be
+// able to rule out that it receives nothing itself: it received a message within HeartbeatTimeout, or there is
+// no other machine than the suspect on the ring.
 func (n *Node) maySuspectUnconfirmed(name string, now time.Time) bool {
 	if now.Sub(n.lastContact) <= n.config.HeartbeatTimeout {
 		return true
@@ -105,17 +106,17 @@
 	return true
 }
 
-// declareSuspect starts the suspicion of a machine.
+// declareSuspect sets a machine to Suspect and starts to disseminate that.
 func (n *Node) declareSuspect(name string, now time.Time) {
 	known := n.table.entries[name].update
 	known.State = Suspect
 	n.merge(known, now, true)
-	// The machine itself learns of it at once, so that it can refute (Lifeguard's buddy system).
+	// Inform the suspect at once, so that it can refute the suspicion (Lifeguard's buddy system).
 	n.send(name, Message{Kind: Heartbeat, Updates: []Update{known}})
 }
 
-// declareDead declares the suspects dead that haven't refuted in time. Every machine does so by its own
-// clock.
+// declareDead declares those suspects dead that haven't refuted the suspicion within SuspicionTimeout. Each
+// machine measures that timeout by its own clock.
 func (n *Node) declareDead(now time.Time) {
 	for _, name := range n.table.suspectNames() {
 		suspect := n.table.entries[name]
@@ -128,7 +129,7 @@
 	}
 }
 
-// recordContact notes a message of a machine, and replies to those on whose behalf it was probed.
+// recordContact records that a machine sent a message, and answers the indirect probes of that machine.
 func (n *Node) recordContact(name string, now time.Time) {
 	if watched, ok := n.watches[name]; ok {
 		*watched = watch{lastContact: now, observed: true}
@@ -136,15 +137,15 @@
 	n.answerIndirectProbes(name, now)
 }
 
-// recordRefutation notes that a machine has raised its incarnation. It was alive a short while ago, though
-// not as observed by this machine: the watch begins anew.
+// recordRefutation records that a machine has raised its incarnation. The machine was alive a short while ago,
+// but this machine had no contact with it, so that the watch restarts.
 func (n *Node) recordRefutation(name string, now time.Time) {
 	if watched, ok := n.watches[name]; ok {
 		*watched = watch{lastContact: now}
 	}
 }
 
-// onIndirectProbeReply takes in another machine's reply about one that this machine inquires about.
+// onIndirectProbeReply handles another machine's reply about the target of an inquiry.
 func (n *Node) onIndirectProbeReply(now time.Time, message Message) {
 	watched, ok := n.watches[message.Target]
 	if !ok || watched.queriedAt.IsZero() || message.LastContactMillis < 0 {
--- a/coord/membership/doc.go
+++ b/coord/membership/doc.go
@@ -1,61 +1,62 @@
-// Package membership finds out which machines of a system are alive, and spreads what it finds to all of
-// them.
+// Package membership detects which machines of a system are alive and disseminates their states to all
+// machines.
 //
 // It combines the dissemination, suspicion and indirect probes of SWIM (Das, Gupta and Motivala, "SWIM:
 // Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with the local health
 // of Lifeguard (Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
-// Detection", 2018). It departs from SWIM in who detects failures: not random probes, but heartbeats to a few
-// fixed monitors, two of which must agree.
+// Detection", 2018). Unlike SWIM, it detects failures not by random probes but by heartbeats to a few fixed
+// monitors, two of which must agree.
 //
-// The package is a pure core. Time and messages go in, messages and changes come out; the caller owns clock,
-// sockets and addresses. coord/membership/datagram carries it over UDP.
+// The package does no I/O. A Node takes times and messages as input and returns messages and changes; the
+// caller owns the clock, the sockets and the addresses. coord/membership/datagram runs a Node over UDP.
 //
 // # Failure detection
 //
 // Each machine has a position on a ring (coord/ring) and sends a Heartbeat to its next Config.Monitors
-// successors, its monitors, every Config.Interval. So each machine is watched by a few others and watches as
-// many, whatever the size of the system. Rapid (Suresh et al., "Stable and Consistent Membership at Scale
+// successors, its monitors, every Config.Interval. Each machine is thus watched by Config.Monitors others and
+// watches as many, whatever the size of the system. Rapid (Suresh et al., "Stable and Consistent Membership at Scale
 // with Rapid", 2018) likewise gives each process several observers and acts on the agreement of more than
 // one.
 //
 // A monitor that receives nothing for Config.HeartbeatTimeout probes the machine, and sends an IndirectProbe
-// (SWIM's ping-req) to the machine's other monitors and to as many machines chosen at random. They answer
-// when they had contact with it last, and if that is long ago they probe it themselves. If one of them had
-// contact lately, only the link between this monitor and the machine is faulty, and nothing happens. If
-// another one confirms the time-out, the machine becomes Suspect after Config.ConfirmationTimeout. Only if
-// no machine answers at all for Config.UnconfirmedTimeout does a monitor suspect it alone.
+// (SWIM's ping-req) to the machine's other monitors and to Config.Monitors machines chosen at random. They
+// reply with the time since their last contact with the machine, and probe it themselves unless that contact
+// was within Config.HeartbeatTimeout. If one of them had contact within that time, only the link between this
+// monitor and the machine is faulty, and the machine is not suspected. If another machine confirms the
+// time-out, the machine becomes Suspect after Config.ConfirmationTimeout. A monitor suspects a machine without
+// confirmation only if no other machine replies within Config.UnconfirmedTimeout.
 //
-// A suspicion spreads to all. The machine refutes it by an Alive update with a higher incarnation, or is Dead
-// everywhere Config.SuspicionTimeout later.
+// A suspicion is disseminated to all machines. The suspected machine refutes it by an Alive update with a
+// higher incarnation; otherwise it becomes Dead everywhere after Config.SuspicionTimeout.
 //
 // # Local health
 //
-// A machine that is slow, was paused or receives nothing must not suspect others. Each one keeps a score of
-// signs that it is unhealthy itself: ticks that ran late, probe replies that came late, suspicions of itself
-// that it had to refute. Its timeouts grow in proportion (Lifeguard's local health multiplier). After a pause
-// it starts to measure all time-outs anew, because what arrived meanwhile hasn't been read yet. A machine
-// that receives nothing at all suspects no other.
+// A machine that is slow, was paused or receives nothing must not suspect others. Each machine counts signs
+// that it is unhealthy itself: late ticks, late probe replies, and suspicions of itself that it had to refute.
+// Its timeouts grow in proportion to that score (Lifeguard's local health multiplier). After a pause it
+// restarts or extends all timeouts, because messages that arrived during the pause haven't been read yet. A
+// machine that receives nothing at all suspects no other.
 //
 // # Dissemination
 //
 // Updates are piggybacked on heartbeats and probes: a few in each message, each sent a number of times that
-// grows with the logarithm of the system's size. Besides its monitors, each machine probes in each interval
-// one of its links, a few machines that rendezvous hashing chose for it, so that an update crosses the system
-// in a number of intervals that is logarithmic too.
+// grows with the logarithm of the system's size. In each interval, a machine also probes one of its links, a
+// few machines chosen by rendezvous hashing, so that an update reaches the whole system within a number of
+// intervals that is logarithmic too.
 //
-// Anti-entropy (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987) repairs what
-// dissemination missed. Probe and ProbeReply carry a digest of the sender's table; two machines whose digests
-// keep differing exchange the parts that differ.
+// Anti-entropy (Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987) repairs
+// tables that dissemination left incomplete. Probe and ProbeReply carry a digest of the sender's table; two
+// machines whose digests keep differing exchange the parts that differ.
 //
-// A new machine joins through any seed that answers. Dead machines and absent seeds are contacted now and
-// then, which joins the two halves of a system again after a partition.
+// A new machine joins through any seed that answers. Dead machines and absent seeds are contacted
+// periodically, so that the two halves of a system merge again after a partition.
 //
 // # Order of updates
 //
-// Each machine numbers its incarnations, higher with each start and with each refutation. Of two updates of a
-// machine the one with the higher incarnation wins, and within an incarnation the later of Alive, Suspect,
-// Dead, Left. Only the machine itself raises its incarnation, so that all tables converge whatever the order
-// in which updates arrive.
+// Each machine has an incarnation number, which it raises with each start and each refutation. Of two updates
+// of a machine, the one with the higher incarnation wins; within an incarnation, the one whose state comes
+// later in the order Alive, Suspect, Dead, Left. Only the machine itself raises its incarnation, so that all
+// tables converge whatever the order in which updates arrive.
 //
 // # Cost
 //
@@ -67,6 +68,6 @@
 // Create a Node, call Tick at the time that Next returns, and Receive for each message. Send Output.Messages
 // without waiting for an answer, and act on Output.Changes. Messages may be lost, repeated or reordered.
 //
-// The result is eventually consistent and may be wrong for a while: that a machine is Dead here is a reason
-// to act, not a proof. Where that isn't enough, agree on a view (coord/view) or hold a lease (coord/lease).
+// The table is eventually consistent and may be wrong for a while: the state Dead does not prove that a
+// machine has stopped. Where proof is needed, agree on a view (coord/view) or hold a lease (coord/lease).
 package membership
--- a/coord/membership/example_test.go
+++ b/coord/membership/example_test.go
@@ -37,8 +37,8 @@
 	// 2
 }
 
-// BenchmarkInterval measures what a machine does in one interval among 400: a tick, and the messages that
-// come.
+// BenchmarkInterval measures the work of one machine among 400 in one interval: a tick, and the messages that it
+// receives.
 func BenchmarkInterval(b *testing.B) {
 	now := time.Unix(0, 0)
 	config := membership.Config{Self: membership.Member{Name: "m0", Address: "m0"}, Incarnation: 1}
@@ -61,8 +61,8 @@
 	for b.Loop() {
 		now = node.Next()
 		node.Tick(now)
-		// All others send something, so that none times out; a machine's own share of that is three
-		// heartbeats.
+		// Every other machine sends a message, so that none times out. In a real system, only three
+		// heartbeats per interval arrive at one machine.
 		for _, heartbeat := range heartbeats {
 			node.Receive(now, "m", heartbeat)
 		}
--- a/coord/membership/indirectprobe.go
+++ b/coord/membership/indirectprobe.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxIndirectProbes bounds the probes on others' behalf whose answers are awaited.
+// maxIndirectProbes bounds the pending probes on behalf of other machines.
 const maxIndirectProbes = 64
 
-// indirectProbe is a probe on behalf of another machine, whose answer is awaited.
+// indirectProbe is a pending probe on behalf of another machine.
 type indirectProbe struct {
 	target, requester string // names
 	address           string // of the requester
@@ -16,10 +16,12 @@
 	expires           time.Time
 }
 
-// onIndirectProbe replies when this machine had contact with the target last. Unless that was lately, or if
-// it doesn't watch the target, it also probes it, and replies once more when the target answers.
+// onIndirectProbe replies with the time since this machine's last contact with the target. Unless that contact
+// was within HeartbeatTimeout, it also probes the target, and replies again when the target answers. If this
+// machine doesn't watch the target, it only probes it.
 //
-// A watch that began lately without any contact proves nothing either way, and gets no reply of its own.
+// A watch that began within HeartbeatTimeout and has had no contact yet shows neither that the target is alive
+// nor that it has failed, so that the first reply is left out.
 func (n *Node) onIndirectProbe(now time.Time, address string, message Message) {
 	reply := Message{
 		Kind:              IndirectProbeReply,
@@ -43,8 +45,8 @@
 	n.probeFor(now, address, message)
 }
 
-// probeFor probes the target of another machine's IndirectProbe. It keeps one such probe for each target and
-// requester.
+// probeFor probes the target of another machine's IndirectProbe. It keeps one pending probe for each pair of
+// target and requester.
 func (n *Node) probeFor(now time.Time, address string, message Message) {
 	isObsolete := func(p indirectProbe) bool {
 		return p.expires.Before(now) || p.target == message.Target && p.requester == message.From
@@ -64,8 +66,8 @@
 	n.send(message.Target, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest()})
 }
 
-// answerIndirectProbes tells those on whose behalf a machine was probed that it has just sent something. Any
-// message will do.
+// answerIndirectProbes reports contact with a machine to the requesters of its indirect probes. Any message of
+// the machine counts as contact.
 func (n *Node) answerIndirectProbes(name string, now time.Time) {
 	if len(n.indirectProbes) == 0 {
 		return
--- a/coord/membership/join.go
+++ b/coord/membership/join.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// eagerJoinRounds is the number of rounds in which a machine that has received no table asks a seed each
-	// time.
+	// eagerJoinRounds is the number of rounds during which a machine that has received no table asks a seed in
+	// every round.
 	eagerJoinRounds = 100
 	// reconnectRounds is the number of rounds between attempts to reach a dead machine or an absent seed, and
-	// between attempts to join after the eager ones.
+	// between attempts to join after eagerJoinRounds.
 	reconnectRounds = 10
 )
 
-// join asks a seed for the table until one has been received.
+// join asks a seed for its table until a table has been received.
 func (n *Node) join() {
 	if n.hasSynced || n.rounds > eagerJoinRounds && n.rounds%reconnectRounds != 0 {
 		return
@@ -31,8 +31,8 @@
 	return seeds[n.random.IntN(len(seeds))]
 }
 
-// reconnect contacts a machine that is known as dead, or a seed whose address no machine on the ring has. If
-// it answers, a partition is over, and the two sides merge. Machines that left aren't contacted.
+// reconnect contacts a random machine that is known as Dead, or a seed whose address no machine on the ring
+// has. If it answers, a partition has healed, and the two sides merge. Machines that are Left aren't contacted.
 func (n *Node) reconnect() {
 	present := make(map[string]bool)
 	for _, name := range n.table.ring().Names() {
@@ -48,7 +48,7 @@
 	if len(addresses) == 0 {
 		return
 	}
-	slices.Sort(addresses) // the map's order must not decide: runs replay by seed
+	slices.Sort(addresses) // the choice must not depend on the map's order, so that runs replay by seed
 	address := addresses[n.random.IntN(len(addresses))]
 	n.sendTo("", address, Message{Kind: Join, Updates: []Update{n.Self()}})
 }
--- a/coord/membership/member.go
+++ b/coord/membership/member.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// State is what is known of a machine.
+// State is the state of a machine as another machine knows it.
 type State uint8
 
 // States, in the order in which they supersede each other within an incarnation. The numbers are sent in
 // messages.
 const (
 	Alive   State = iota + 1
-	Suspect       // timed out at its monitors, and may still refute that
+	Suspect       // timed out at its monitors; may still refute the suspicion
 	Dead          // didn't refute the suspicion in time
 	Left          // ended as planned
 )
@@ -30,18 +30,18 @@
 	}
 }
 
-// isPresent reports whether a machine in this state may still be at work.
+// isPresent reports whether a machine in this state may still be running.
 func (s State) isPresent() bool {
 	return s == Alive || s == Suspect
 }
 
-// Member is a machine.
+// Member identifies a machine.
 type Member struct {
 	// Name is unique in the system and stays the same over restarts.
 	Name string
 	// Address is where the machine receives this package's messages.
 	Address string
-	// Role and Zone are carried for the caller.
+	// Role and Zone are disseminated for the caller; this package doesn't interpret them.
 	Role, Zone string
 }
 
@@ -53,9 +53,9 @@
 	State       State
 }
 
-// supersedes reports whether an update replaces what is known: it has a higher incarnation, or within the
-// same one a later state. This is SWIM's order of Alive, Suspect and Confirm messages. It is total, so that
-// all tables converge.
+// supersedes reports whether the update replaces an entry with the given incarnation and state: it has a
+// higher incarnation, or the same one and a later state. This is SWIM's order of Alive, Suspect and Confirm
+// messages. The order is total, so that all tables converge.
 func (u Update) supersedes(incarnation uint64, state State) bool {
 	if u.Incarnation != incarnation {
 		return u.Incarnation > incarnation
@@ -63,8 +63,8 @@
 	return u.State > state
 }
 
-// Change is a change of a machine's state as this node learns of it. Old is 0 for a machine that wasn't
-// known.
+// Change is a change of a machine's state in this node's table. Old is the previous state, or 0 for a machine
+// that wasn't known.
 type Change struct {
 	Update
 	Old State
--- a/coord/membership/membership_test.go
+++ b/coord/membership/membership_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// sizes returns the numbers of machines to test with. The variable MEMBERSHIP_SIZE adds one, such as 2000.
+// sizes returns the numbers of machines to test with. The environment variable MEMBERSHIP_SIZE adds one, such as
+// 2000.
 func sizes(t *testing.T, counts ...int) []int {
 	counts = slices.Compact(slices.Clone(counts))
 	if text := os.Getenv("MEMBERSHIP_SIZE"); text != "" {
@@ -21,7 +22,7 @@
 	return counts
 }
 
-// eachSize runs a test with some numbers of machines, and with ten seeds for few of them.
+// eachSize runs a test for each number of machines, and with ten seeds for the small numbers.
 func eachSize(t *testing.T, counts []int, test func(t *testing.T, c *cluster)) {
 	for _, count := range sizes(t, counts...) {
 		t.Run(strconv.Itoa(count), func(t *testing.T) {
@@ -34,7 +35,7 @@
 
 var (
 	small = []int{14, 100}
-	large = []int{14, 100, largest}
+	large = []int{14, 100, maxMachines}
 )
 
 // TestDeathIsKnown measures the time from the death of a machine until all others know it.
@@ -54,23 +55,24 @@
 		t.Logf("%d machines: joined in %s; a machine sends %.1f messages/s and %.2f updates/s when quiet; "+
 			"a death is known first in %s, to all in %s; false suspicions %d",
 			len(c.names), joined, quiet, quietUpdates, first, all, total(c.suspicions))
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 		if limit := 4 * time.Second; all > limit {
-			t.Errorf("seed %d: known to all in %s, over %s", c.simulation.Random.Seed(), all, limit)
+			t.Errorf("seed %d: death known to all in %s; want at most %s", c.simulation.Random.Seed(), all, limit)
 		}
 		if quiet > 20 {
-			t.Errorf("%.1f messages/s", quiet)
+			t.Errorf("a machine sends %.1f messages/s without changes; want at most 20", quiet)
 		}
 	})
 }
 
-// TestNoFalseSuspicionsWithoutFaults runs with lost messages and without any other fault.
+// TestNoFalseSuspicionsWithoutFaults checks that a system with message loss, and without any other fault, has no
+// false suspicions.
 func TestNoFalseSuspicionsWithoutFaults(t *testing.T) {
 	eachSize(t, large, func(t *testing.T, c *cluster) {
 		c.converge()
 		c.simulation.Links.Default.Loss = 0.02
 		c.simulation.Run(30 * time.Second)
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 		if count := total(c.suspicions); count > 0 {
 			t.Errorf("seed %d: %d false suspicions", c.simulation.Random.Seed(), count)
 		}
@@ -91,7 +93,7 @@
 			c.simulation.Links.Partition(from, to)
 		}
 		c.simulation.Run(30 * time.Second)
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 		t.Logf("%d machines, as many one-way partitions: %d false suspicions", len(c.names), total(c.suspicions))
 		if count := total(c.suspicions); count > len(c.names) {
 			t.Errorf("seed %d: %d false suspicions", c.simulation.Random.Seed(), count)
@@ -99,27 +101,29 @@
 	})
 }
 
-// TestDeafMachineSuspectsNobody loses all that is sent to one machine, while what it sends arrives.
+// TestMachineThatReceivesNothingSuspectsNobody loses all messages to one machine, while the messages that it sends
+// arrive. The machine must not suspect others because of its own fault.
 func TestMachineThatReceivesNothingSuspectsNobody(t *testing.T) {
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
-		deaf := c.names[2]
-		c.faulty[deaf] = true
+		isolated := c.names[2]
+		c.faulty[isolated] = true
 		for _, name := range c.names {
-			c.simulation.Links.Partition(name, deaf)
+			c.simulation.Links.Partition(name, isolated)
 		}
 		c.simulation.Run(20 * time.Second)
-		c.noFalseDeath()
-		if c.suspicions[deaf] > 0 {
-			t.Errorf("seed %d: the deaf machine suspects %d others", c.simulation.Random.Seed(), c.suspicions[deaf])
+		c.checkNoFalseDeaths()
+		if c.suspicions[isolated] > 0 {
+			t.Errorf("seed %d: suspects %d others; want none", c.simulation.Random.Seed(), c.suspicions[isolated])
 		}
-		if !c.nodes[deaf].Isolated(c.simulation.Now()) {
-			t.Error("the deaf machine doesn't know that it is isolated")
+		if !c.nodes[isolated].Isolated(c.simulation.Now()) {
+			t.Error("Isolated() is false on the machine that receives nothing; want true")
 		}
 	})
 }
 
-// TestPausedMachineSuspectsNobody pauses machines and resumes them.
+// TestPausedMachineSuspectsNobody pauses machines and resumes them. They must not suspect others, although their
+// own timeouts passed during the pause.
 func TestPausedMachineSuspectsNobody(t *testing.T) {
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
@@ -134,7 +138,7 @@
 		}
 		c.simulation.Run(time.Second)
 		c.runUntil(10*time.Second, c.converged)
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 		for _, name := range paused {
 			if c.suspicions[name] > 0 {
 				t.Errorf("seed %d: %s suspects %d others", c.simulation.Random.Seed(), name, c.suspicions[name])
@@ -153,7 +157,7 @@
 			c.simulation.SetLag(name, 2*time.Second)
 		}
 		c.simulation.Run(30 * time.Second)
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 		falseSuspicions := 0
 		for _, name := range slow {
 			falseSuspicions += c.suspicions[name]
@@ -176,7 +180,7 @@
 		}
 		took := c.runUntil(30*time.Second, c.converged)
 		t.Logf("%d machines: a third lost, agreed in %s", len(c.names), took)
-		c.noFalseDeath()
+		c.checkNoFalseDeaths()
 	})
 }
 
@@ -207,7 +211,7 @@
 	})
 }
 
-// TestLeave lets a machine leave, which all learn of without any suspicion.
+// TestLeave checks that all machines learn of a machine that leaves, without any suspicion.
 func TestLeave(t *testing.T) {
 	eachSize(t, small, func(t *testing.T, c *cluster) {
 		c.converge()
@@ -218,16 +222,17 @@
 		took := c.runUntil(10*time.Second, c.converged)
 		t.Logf("%d machines: known to all in %s", len(c.names), took)
 		if total(c.suspicions) > 0 {
-			t.Errorf("seed %d: suspected %v", c.simulation.Random.Seed(), c.suspicions)
+			t.Errorf("seed %d: suspicions %v; want none", c.simulation.Random.Seed(), c.suspicions)
 		}
 	})
 }
 
-// seeds returns how many random runs a test does: some, or as many as the variable SIMULATION_SEEDS says.
-func seeds(t *testing.T, some int) int {
+// seeds returns the number of random runs of a test: the value of the environment variable SIMULATION_SEEDS, or
+// defaultCount if it isn't set.
+func seeds(t *testing.T, defaultCount int) int {
 	text := os.Getenv("SIMULATION_SEEDS")
 	if text == "" {
-		return some
+		return defaultCount
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil {
@@ -236,8 +241,8 @@
 	return count
 }
 
-// TestRandomFaults stops, starts, pauses, slows and partitions machines at random. Once all faults are over,
-// all tables agree.
+// TestRandomFaults stops, starts, pauses, slows and partitions machines at random, and checks that all tables agree
+// once all faults have ended.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(seeds(t, 40)) {
 		c := newCluster(t, seed+100, 12)
@@ -258,7 +263,7 @@
 	}
 }
 
-// injectFault does one random thing to a random machine.
+// injectFault injects or ends one random fault of a random machine or link.
 func (c *cluster) injectFault() {
 	random := c.simulation.Random
 	name := c.names[random.IntN(len(c.names))]
--- a/coord/membership/message.go
+++ b/coord/membership/message.go
@@ -1,24 +1,24 @@
 package membership
 
-// MessageKind says what a message is for. The numbers are sent: a new kind goes to the end.
+// MessageKind is the purpose of a message. The numbers are sent in messages: add a new kind at the end.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	// Heartbeat shows the sender to be alive. It goes to the sender's monitors; extra ones only carry
-	// updates.
+	// Heartbeat shows that the sender is alive. It goes to the sender's monitors; heartbeats to other machines
+	// only carry updates.
 	Heartbeat MessageKind = iota + 1
 	// Probe asks for a ProbeReply (SWIM's ping).
 	Probe
-	// ProbeReply answers a Probe (SWIM's ack). Without a Sequence it tells its receiver that it isn't known
-	// as Alive.
+	// ProbeReply answers a Probe (SWIM's ack). With a Sequence of 0 it informs its receiver that the sender
+	// doesn't have it as Alive.
 	ProbeReply
-	// IndirectProbe asks for contact with Message.Target on the sender's behalf (SWIM's ping-req).
+	// IndirectProbe asks the receiver to probe Message.Target on the sender's behalf (SWIM's ping-req).
 	IndirectProbe
-	// IndirectProbeReply says in Message.LastContactMillis when the sender last had contact with
+	// IndirectProbeReply reports in Message.LastContactMillis the time since the sender's last contact with
 	// Message.Target.
 	IndirectProbeReply
-	// Join asks for the whole table, and makes the sender known.
+	// Join announces the sender and asks for the whole table.
 	Join
 	// Sync carries a part of the sender's table.
 	Sync
@@ -26,14 +26,14 @@
 	SyncRequest
 )
 
-// Message is what machines send each other. Transports may encode fields by position: a new field goes to the
+// Message is a message between two machines. Transports may encode fields by position: add a new field at the
 // end.
 type Message struct {
 	Kind MessageKind
 	// From is the sender's name, and Incarnation its incarnation.
 	From        string
 	Incarnation uint64
-	// Sequence ties a reply to its probe.
+	// Sequence is the number of a probe, repeated in the replies to it.
 	Sequence uint64
 	// Target is the machine that an IndirectProbe or its reply is about.
 	Target string
@@ -42,10 +42,10 @@
 	LastContactMillis int64
 	// Digest is the digest of the sender's table, in Probe and ProbeReply.
 	Digest uint64
-	// Digests are those of the buckets of the sender's table, in SyncRequest and in the last Sync that
+	// Digests are the digests of the buckets of the sender's table, in SyncRequest and in the last Sync that
 	// answers it.
 	Digests []uint64
-	// Updates are piggybacked updates, or part of the table in Sync.
+	// Updates are piggybacked updates or, in Sync, a part of the sender's table.
 	Updates []Update
 }
 
@@ -56,7 +56,7 @@
 	Message Message
 }
 
-// Output is what a step of a Node leads to: messages to be sent, and changes to be acted on, in order.
+// Output is the result of a step of a Node: messages to send and changes to act on, both in order.
 type Output struct {
 	Messages []Envelope
 	Changes  []Change
--- a/coord/membership/node.go
+++ b/coord/membership/node.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Node is one machine's part of the protocol, with its table of all machines. It must not be used by several
-// goroutines at once. Times that are passed to it must not go back.
+// Node runs the protocol for one machine and holds its table of all machines. It is not safe for concurrent
+// use. The times passed to it must not go backwards.
 type Node struct {
 	config      Config
-	incarnation uint64 // of this machine; raised to refute
-	left        bool   // Leave was called: nothing is sent or received any more
+	incarnation uint64 // of this machine; raised by each refutation
+	left        bool   // Leave was called; the node sends and receives nothing any more
 	random      *rand.Rand
 	nextTick    time.Time
 	rounds      int            // ticks so far, SWIM's protocol periods
-	sequence    uint64         // of the last probe
-	lastContact time.Time      // when any message was received
+	sequence    uint64         // sequence number of the last probe
+	lastContact time.Time      // when the last message of any machine was received
 	output      Output         // of the current step
 	health      localHealth    // of this machine
-	table       *table         // all machines that are known
+	table       *table         // all known machines
 	broadcasts  broadcastQueue // updates to be piggybacked
 
 	// Failure detection.
-	watches        map[string]*watch // by the name of a predecessor
-	indirectProbes []indirectProbe   // accepted from others and unanswered
-	cachedPeers    peers             // of the table's current ring
+	watches        map[string]*watch // by name of the predecessor
+	indirectProbes []indirectProbe   // requested by others and not answered yet
+	cachedPeers    peers             // derived from the table's current ring
 
 	// Anti-entropy.
-	hasSynced           bool                      // a table was received, so that joining is over
-	mismatches          map[string]digestMismatch // the last one, by the other machine's name
-	mismatchesUnderLoad int                       // mismatches seen during a heavy backlog of updates
+	hasSynced           bool                      // a Sync was received, which completes joining
+	mismatches          map[string]digestMismatch // the last mismatch, by name of the other machine
+	mismatchesUnderLoad int                       // mismatches during a heavy backlog since the last request
 }
 
-// New returns the node of a machine that knows no other yet. The first Tick is due now.
+// New returns the node of a machine that knows no other machine yet. The first Tick is due at now.
 func New(config Config, now time.Time) *Node {
 	config = config.withDefaults()
 	n := &Node{
@@ -50,7 +50,7 @@
 	return n
 }
 
-// Next returns when Tick is to be called.
+// Next returns the time at which Tick must be called next.
 func (n *Node) Next() time.Time {
 	return n.nextTick
 }
@@ -64,7 +64,7 @@
 	return Update{Member: n.config.Self, Incarnation: n.incarnation, State: state}
 }
 
-// Get returns what is known of a machine, and false if nothing is.
+// Get returns the latest update of a machine, and false if the machine isn't known.
 func (n *Node) Get(name string) (Update, bool) {
 	return n.table.get(name)
 }
@@ -87,8 +87,8 @@
 	return n.health.score
 }
 
-// Isolated reports whether this machine has received nothing for so long that the others must have declared
-// it dead, or be partitioned from it. A machine that knows no other one is not isolated.
+// Isolated reports whether this machine has received nothing for so long that the others have declared it
+// dead or are partitioned from it. A machine that knows no other present machine is not isolated.
 func (n *Node) Isolated(now time.Time) bool {
 	limit := n.config.HeartbeatTimeout + n.config.ConfirmationTimeout + n.config.SuspicionTimeout
 	return len(n.table.entries)-len(n.table.departed) > 1 && now.Sub(n.lastContact) > limit
@@ -100,8 +100,8 @@
 }
 
 // Tick runs one protocol period: it sends heartbeats and a probe, checks the machines that this one watches,
-// and declares suspects dead whose time is over. Call it at the time that Next returns; later calls count
-// against this machine's health.
+// and declares suspects dead whose suspicion has timed out. Call it at the time that Next returns; a late call
+// worsens this machine's health score.
 func (n *Node) Tick(now time.Time) Output {
 	if n.left {
 		n.nextTick = now.Add(n.config.Interval)
@@ -122,7 +122,7 @@
 	return n.takeOutput()
 }
 
-// Receive takes in a message. address is where answers to its sender go.
+// Receive handles a message. address is the sender's address, to which replies are sent.
 func (n *Node) Receive(now time.Time, address string, message Message) Output {
 	if n.left || message.From == n.config.Self.Name {
 		return n.takeOutput()
@@ -150,8 +150,8 @@
 	return n.takeOutput()
 }
 
-// Leave tells the monitors and links that this machine ends as planned, so that it is never suspected.
-// Nothing is sent or received afterwards.
+// Leave informs the monitors and links that this machine shuts down as planned, so that it isn't suspected.
+// The node sends and receives nothing afterwards.
 func (n *Node) Leave(now time.Time) Output {
 	if n.left {
 		return Output{}
@@ -166,14 +166,14 @@
 	return n.takeOutput()
 }
 
-// takeOutput returns the output of the current step and begins the next one.
+// takeOutput returns the output of the current step and resets it for the next one.
 func (n *Node) takeOutput() Output {
 	output := n.output
 	n.output = Output{}
 	return output
 }
 
-// send sends a message to a machine if it is known.
+// send queues a message to a machine. It does nothing if the machine isn't known.
 func (n *Node) send(name string, message Message) {
 	known, ok := n.table.get(name)
 	if ok {
@@ -181,7 +181,7 @@
 	}
 }
 
-// sendTo sends a message to an address. name may be empty.
+// sendTo queues a message to an address. name is empty if only the address is known.
 func (n *Node) sendTo(name, address string, message Message) {
 	message.From = n.config.Self.Name
 	message.Incarnation = n.incarnation
--- a/coord/membership/norace_test.go
+++ b/coord/membership/norace_test.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// largest is the largest number of machines that tests run with unless MEMBERSHIP_SIZE asks for more.
-const largest = 400
+// maxMachines is the largest number of machines that tests run with, unless MEMBERSHIP_SIZE adds a larger one.
+const maxMachines = 400
--- a/coord/membership/peers.go
+++ b/coord/membership/peers.go
@@ -6,12 +6,12 @@
 	"sprucelane.example/sprucelane/coord/ring"
 )
 
-// peers are the machines that one exchanges messages with, as its ring determines.
+// peers are the machines with which a machine exchanges messages, as its ring determines them.
 type peers struct {
 	ring         *ring.Ring
-	monitors     []string // receive its heartbeats
-	predecessors []string // send it heartbeats: it is one of their monitors
-	links        []string // are probed by turns, so that updates leave the neighbourhood on the ring
+	monitors     []string // receive this machine's heartbeats
+	predecessors []string // send heartbeats to this machine, which is one of their monitors
+	links        []string // are probed in turn, so that updates reach distant parts of the ring
 }
 
 // peers returns this machine's peers. They change only when the ring does.
--- a/coord/membership/probe.go
+++ b/coord/membership/probe.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// probeLink probes one link by turns, or a monitor in a system too small for links. The probe measures this
-// machine's health, carries updates and compares digests; a missing reply has no consequence, as the link's
-// own monitors watch it.
+// probeLink probes the links in turn, one per call, or the monitors in a system too small for links. The probe
+// measures this machine's health, carries updates and compares digests. A missing reply has no effect, as the
+// link's own monitors watch it.
 func (n *Node) probeLink(now time.Time) {
 	links := n.peers().links
 	if len(links) == 0 {
@@ -26,7 +26,7 @@
 	n.compareDigests(address, message)
 }
 
-// onProbeReply takes in the reply to a probe.
+// onProbeReply handles the reply to a probe.
 func (n *Node) onProbeReply(now time.Time, address string, message Message) {
 	n.health.recordReply(message.Sequence, now, n.config.Interval)
 	n.compareDigests(address, message)
--- a/coord/membership/race_test.go
+++ b/coord/membership/race_test.go
@@ -2,6 +2,6 @@
 
 package membership
 
-// largest is the largest number of machines that tests run with: the race detector makes them ten times
-// slower.
-const largest = 100
+// maxMachines is the largest number of machines that tests run with. It is lower than without the race detector,
+// which makes the tests ten times slower.
+const maxMachines = 100
--- a/coord/membership/table.go
+++ b/coord/membership/table.go
@@ -10,26 +10,26 @@
 	"sprucelane.example/sprucelane/coord/ring"
 )
 
-// digestBuckets is the number of parts of a table, by the hashes of names, that have a digest each. Two
-// tables that differ in few machines exchange few buckets.
+// digestBuckets is the number of buckets of a table. A machine's bucket is determined by the hash of its name,
+// and each bucket has a digest, so that tables that differ in few machines exchange few buckets.
 const digestBuckets = 16
 
-// entry is what is known of one machine.
+// entry is the table's entry for one machine.
 type entry struct {
 	update Update
-	since  time.Time // when it came into the state of update, by this machine's clock
-	bucket int       // in table.digests, by the name
-	digest uint64    // its part of the bucket's digest, 0 if the machine isn't present
+	since  time.Time // when update.State was entered, by this machine's clock
+	bucket int       // index into table.digests, from the name's hash
+	digest uint64    // its contribution to the bucket's digest, 0 if the machine isn't present
 }
 
-// table holds all machines that are known, this one included. Its sets, digests and ring always agree with
+// table holds all known machines, this one included. Its sets, digests and ring are always consistent with
 // entries.
 type table struct {
 	entries    map[string]*entry // by name
 	digests    [digestBuckets]uint64
 	suspects   map[string]struct{} // names of the entries that are Suspect
 	departed   map[string]struct{} // names of the entries that are Dead or Left
-	cachedRing *ring.Ring          // of the entries that are Alive; nil if it has to be made anew
+	cachedRing *ring.Ring          // of the entries that are Alive; nil if it must be rebuilt
 }
 
 // newTable returns an empty table.
@@ -41,8 +41,8 @@
 	}
 }
 
-// merge takes in an update that supersedes what is known. It returns the state before, 0 for an unknown
-// machine, and whether the update was merged.
+// merge stores an update if it supersedes the machine's entry. It returns the previous state, 0 for an unknown
+// machine, and whether the update was stored.
 func (t *table) merge(update Update, now time.Time) (State, bool) {
 	name := update.Member.Name
 	known, ok := t.entries[name]
@@ -64,7 +64,7 @@
 	return old, true
 }
 
-// reindex brings digests and sets in line with an entry.
+// reindex updates the digests and sets for a changed entry.
 func (t *table) reindex(name string, changed *entry) {
 	delete(t.suspects, name)
 	delete(t.departed, name)
@@ -82,8 +82,8 @@
 	}
 }
 
-// ring returns the ring of the machines that are alive. Suspects have no position on it, so that their tasks
-// as monitors pass to others at once.
+// ring returns the ring of the machines that are Alive. Suspects aren't on it, so that other machines take over
+// their role as monitors at once.
 func (t *table) ring() *ring.Ring {
 	if t.cachedRing != nil {
 		return t.cachedRing
@@ -98,7 +98,7 @@
 	return t.cachedRing
 }
 
-// digest returns the digest of the present machines and their incarnations.
+// digest returns the digest of all present machines and their incarnations.
 func (t *table) digest() uint64 {
 	var digest uint64
 	for _, part := range t.digests {
@@ -107,7 +107,7 @@
 	return digest
 }
 
-// purgeDeparted removes machines that departed before a time.
+// purgeDeparted removes the machines that became Dead or Left before the given time.
 func (t *table) purgeDeparted(before time.Time) {
 	for name := range t.departed {
 		if t.entries[name].since.Before(before) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// get returns what is known of a machine, or nothing.
+// get returns the update of a machine, and false if the machine isn't known.
 func (t *table) get(name string) (Update, bool) {
 	known, ok := t.entries[name]
 	if !ok {
@@ -126,7 +126,7 @@
 	return known.update, true
 }
 
-// suspectNames returns the names of the suspects in order, so that runs replay by seed.
+// suspectNames returns the sorted names of the suspects; the fixed order lets simulated runs replay by seed.
 func (t *table) suspectNames() []string {
 	names := make([]string, 0, len(t.suspects))
 	for name := range t.suspects {
@@ -136,9 +136,9 @@
 	return names
 }
 
-// differingFrom returns the entries in the buckets whose digests differ from those of another table, or all
-// entries if there are no such digests, in order. Departed machines are included, as the other table may
-// still have them as present.
+// differingFrom returns the updates in the buckets whose digests differ from those of another table, sorted by
+// name. If others doesn't hold one digest per bucket, it returns all updates. Departed machines are included,
+// as the other table may still have them as present.
 func (t *table) differingFrom(others []uint64) []Update {
 	var updates []Update
 	for _, known := range t.entries {
@@ -152,12 +152,13 @@
 }
 
 // compareByName orders updates by the names of their machines.
-func compareByName(one, other Update) int {
-	return strings.Compare(one.Member.Name, other.Member.Name)
+func compareByName(a, b Update) int {
+	return strings.Compare(a.Member.Name, b.Member.Name)
 }
 
-// memberDigest returns a present machine's part of a digest. Digests are combined by exclusive or, so that
-// the order of updates doesn't matter; states don't count, so that a suspicion on its way isn't a mismatch.
+// memberDigest returns a present machine's contribution to a digest. Contributions are combined by exclusive
+// or, so that the order of updates doesn't matter. They don't include the state, so that a suspicion that is
+// still being disseminated isn't a mismatch.
 func memberDigest(name string, incarnation uint64) uint64 {
 	return xxhash.Sum64String(name) * (2*incarnation + 1)
 }
--- a/coord/membership/update.go
+++ b/coord/membership/update.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// announce makes this machine known with its current incarnation.
+// announce adds this machine with its current incarnation to the table and queues it for dissemination.
 func (n *Node) announce(now time.Time) {
 	n.table.merge(n.Self(), now)
 	n.broadcasts.add(n.Self())
 }
 
-// merge takes in an update, spreads it on and reports a change of state. incremental is false for an update
-// that comes with a whole table (Sync): if it makes a machine known here for the first time it isn't spread
-// on, as otherwise each receiver of a table would spread all of it.
+// merge merges an update into the table, queues it for dissemination and reports a change of state.
+// incremental is false for an update that comes with a table (Sync). Such an update of a machine that wasn't
+// known isn't disseminated, as otherwise each receiver of a table would disseminate all of it.
 func (n *Node) merge(update Update, now time.Time, incremental bool) {
 	if update.State < Alive || update.State > Left {
-		return // of a later version, or malformed
+		return // sent by a later version, or malformed
 	}
 	if update.Member.Name == n.config.Self.Name {
 		n.refute(update, now)
@@ -34,25 +34,25 @@
 	}
 }
 
-// refute answers an update of this machine itself that isn't true by a higher incarnation, which supersedes
-// it everywhere. This is SWIM's refutation; as only this machine raises its incarnation, nobody else can undo
-// it. An update with a higher incarnation than its own is left over from an earlier start of this machine,
-// and must be surpassed as well.
+// refute answers a false update of this machine itself by announcing a higher incarnation, which supersedes
+// the update everywhere. This is SWIM's refutation. Only this machine raises its incarnation, so that no other
+// machine can override the refutation. An update with a higher incarnation than the current one stems from an
+// earlier start of this machine and must be superseded as well.
 func (n *Node) refute(update Update, now time.Time) {
 	isOwn := update.Incarnation == n.incarnation && update.State == Alive
 	if update.Incarnation < n.incarnation || isOwn {
 		return
 	}
 	if update.State == Suspect {
-		n.health.worsen() // others had no contact with this machine in time: perhaps it is slow
+		n.health.worsen() // the monitors had no contact with this machine in time; it may be slow
 	}
 	n.incarnation = update.Incarnation + 1
 	n.announce(now)
 }
 
-// requestRefutation sends a machine that isn't known as Alive here, but sends messages, what is known of it,
-// so that it refutes that. Replies and Sync aren't answered, so that two machines never answer each other
-// without end.
+// requestRefutation sends the sender of a message the update that this node has of it, if that isn't Alive,
+// so that the sender refutes it. ProbeReply, IndirectProbeReply and Sync aren't answered, because otherwise two
+// machines could answer each other endlessly.
 func (n *Node) requestRefutation(address string, message Message) {
 	known, ok := n.table.get(message.From)
 	if !ok || known.State == Alive || message.Incarnation > known.Incarnation {
