--- a/coord/transport/benchmark_test.go
+++ b/coord/transport/benchmark_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkSend measures one-way messages of 1 KiB over loopback, queued as fast as the queue takes them.
+// BenchmarkSend measures one-way messages of 1 KiB over loopback, sent as fast as the queue accepts them.
 func BenchmarkSend(b *testing.B) {
 	handler := func(context.Context, *Session, any) (any, error) { return nil, nil }
 	server := Serve(listen(b), testOptions("server"), handler)
--- a/coord/transport/buffer.go
+++ b/coord/transport/buffer.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// maxPooledBuffer is the largest buffer in bytes that goes back to the pool: a few large frames must not keep
-// their memory in use.
+// maxPooledBuffer is the largest capacity in bytes of a buffer that is returned to the pool, so that a few large
+// frames don't keep their memory allocated.
 const maxPooledBuffer = 1 << 20
 
-// buffer is memory for frames. A connection holds one only while it has frames in it, so that idle
-// connections cost little. The zero pointer is an empty buffer.
+// buffer holds encoded frames or a payload. A connection has a buffer only while there are frames in it, so that
+// idle connections use little memory. A nil pointer is an empty buffer.
 type buffer struct{ data []byte }
 
-// bufferPool holds the buffers that no connection uses.
+// bufferPool holds unused buffers.
 var bufferPool = sync.Pool{New: func() any { return new(buffer) }}
 
 // getBuffer returns an empty buffer from the pool.
@@ -18,7 +18,7 @@
 	return bufferPool.Get().(*buffer)
 }
 
-// release returns a buffer to the pool. Its contents must not be used afterwards.
+// release returns a buffer to the pool unless it is too large. Its contents must not be used afterwards.
 func (b *buffer) release() {
 	if b == nil || cap(b.data) > maxPooledBuffer {
 		return
--- a/coord/transport/call.go
+++ b/coord/transport/call.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// callResult is the outcome of a call that was answered.
+// callResult is the outcome of a call that was answered: a reply or the handler's error.
 type callResult struct {
 	reply   any
 	failure error
 }
 
-// clientLink is a link with the calls that wait for a reply on it. Call numbers belong to one connection: a
-// reply can't reach a call of an earlier one.
+// clientLink is a link with the calls that wait for a reply on it. Call numbers are local to one connection, so
+// that a reply can't reach a call of an earlier connection.
 type clientLink struct {
 	*link
 
@@ -22,16 +22,16 @@
 	calls          map[uint32]chan callResult // by number; each channel has a buffer of one
 }
 
-// newClientLink returns a link without calls.
+// newClientLink returns a clientLink without calls.
 func newClientLink(l *link) *clientLink {
 	return &clientLink{link: l, calls: make(map[uint32]chan callResult)}
 }
 
 // call sends a request and waits for its outcome.
 //
-// Without a reply the error says whether the request may have been handled. It can't have been if its frame
-// was never handed to the network. That is final only once the link has ended, because until then the writer
-// may still take it: a call that is given up earlier, by its context, is always uncertain.
+// If there is no reply, the error tells whether the request may have been handled. It can't have been handled if
+// its frame was never handed to the network. This is certain only once the link has ended, because the writer
+// may still take the frame until then. A call whose context ends earlier is therefore always uncertain.
 func (c *clientLink) call(ctx context.Context, message any) (any, error) {
 	number, answer := c.registerCall()
 	defer c.removeCall(number)
@@ -47,7 +47,7 @@
 	case <-c.done:
 	}
 	select {
-	case received := <-answer: // the reply came just before the link ended
+	case received := <-answer: // the reply arrived just before the link ended
 		return received.reply, received.failure
 	default:
 	}
@@ -57,8 +57,8 @@
 	return nil, notConnectedError(c.endCause())
 }
 
-// registerCall returns an unused number for a call, and the channel of its result. Numbers wrap around after
-// 2^32 calls.
+// registerCall registers a call and returns its number, which no pending call has, and the channel for its
+// result. Numbers wrap around after 2^32 calls.
 func (c *clientLink) registerCall() (uint32, chan callResult) {
 	answer := make(chan callResult, 1)
 	c.callMutex.Lock()
@@ -73,14 +73,14 @@
 	return c.lastCallNumber, answer
 }
 
-// removeCall frees the number of a call.
+// removeCall removes a call, so that its number can be used again.
 func (c *clientLink) removeCall(number uint32) {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	delete(c.calls, number)
 }
 
-// resolve passes a result to the call that waits for it. A result that no call waits for any more is dropped.
+// resolve passes a result to the call that waits for it. A result for which no call waits is dropped.
 func (c *clientLink) resolve(number uint32, received callResult) {
 	c.callMutex.Lock()
 	if c.options.injected.replyToAnyCall {
@@ -96,8 +96,8 @@
 	}
 }
 
-// readLoop passes replies to calls, and one-way messages to onPush, until the connection ends. It returns why
-// it ended.
+// readLoop passes replies to calls, and one-way messages to onPush, until the connection ends. It returns the
+// error that ended it.
 func (c *clientLink) readLoop(onPush func(message any)) error {
 	for {
 		received, message, err := c.receive()
@@ -110,13 +110,13 @@
 		case frameFailure:
 			failure, ok := message.(RemoteError)
 			if !ok {
-				return fmt.Errorf("%w: failure of type %T", ErrCorrupt, message)
+				return fmt.Errorf("%w: failure frame holds a %T, want RemoteError", ErrCorrupt, message)
 			}
 			c.resolve(received.call, callResult{failure: &failure})
 		case frameOneWay:
 			onPush(message)
 		default:
-			return fmt.Errorf("%w: kind %d from a server", ErrCorrupt, received.kind)
+			return fmt.Errorf("%w: unexpected frame kind %d from a server", ErrCorrupt, received.kind)
 		}
 	}
 }
--- a/coord/transport/certainty_test.go
+++ b/coord/transport/certainty_test.go
@@ -15,8 +15,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// disconnectingProxy passes bytes between clients and a server, and ends every connection after a random
-// number of them.
+// disconnectingProxy forwards bytes between clients and a server, and ends every connection after a random
+// number of bytes.
 func disconnectingProxy(t testing.TB, address string, seed uint64) net.Listener {
 	listener := listen(t)
 	random := rand.New(rand.NewPCG(seed, seed))
@@ -46,7 +46,7 @@
 }
 
 func TestCertainty(t *testing.T) {
-	Convey("The outcome of Call agrees with what the handler saw, over connections that end at random", t, func() {
+	Convey("The outcome of Call agrees with the handled requests, over connections that end at random", t, func() {
 		var mutex sync.Mutex
 		handled := make(map[int]int)
 		handler := func(_ context.Context, _ *Session, message any) (any, error) {
@@ -136,7 +136,7 @@
 		So(errors.Is(err, ErrUncertain), ShouldBeTrue)
 	})
 
-	Convey("Requests beyond the queue of a session are refused as busy", t, func() {
+	Convey("Requests beyond the queue of a session are rejected with CodeBusy", t, func() {
 		release := make(chan struct{})
 		handler := func(_ context.Context, _ *Session, _ any) (any, error) {
 			<-release
@@ -164,8 +164,8 @@
 // countingConn counts the writes to a connection.
 type countingConn struct {
 	net.Conn
-	hold   chan struct{} // lets one write through for each value
-	writes chan int      // gets the length of each write
+	hold   chan struct{} // one write proceeds for each value
+	writes chan int      // receives the length of each write
 }
 
 func (c *countingConn) Write(bytes []byte) (int, error) {
--- a/coord/transport/client.go
+++ b/coord/transport/client.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-// Waits between attempts to connect. A wait is between half of the backoff and all of it, so that the clients
-// of a server that restarted don't come back at once. The backoff doubles with each attempt, and starts again
-// after a connection that lasted longer than maxBackoff.
+// Backoff between attempts to connect. A client waits between half of the backoff and all of it, so that the
+// clients of a restarted server don't reconnect at the same time. The backoff doubles with each attempt, and is
+// reset after a connection that lasted longer than maxBackoff.
 const (
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// Client keeps one connection to an address, and connects again whenever it ends, until it is closed. Its
-// methods may be called by several goroutines at once.
+// Client keeps one connection to an address, and reconnects whenever the connection ends, until the client is
+// closed. Its methods are safe for concurrent use.
 type Client struct {
 	address string
 	options Options
 	onPush  func(message any)
 	onState func(connected bool)
-	ctx     context.Context // ends with Close
+	ctx     context.Context // canceled by Close
 	cancel  context.CancelFunc
 	current atomic.Pointer[clientLink] // nil while not connected
-	remote  atomic.Pointer[Identity]   // of the last connection
+	remote  atomic.Pointer[Identity]   // identity of the peer of the last connection
 }
 
-// NewClient starts to connect to an address. onPush takes the one-way messages of the server, onState the
-// beginning and end of each connection; both may be nil. They are called in order on the goroutine that reads
-// the connection: they must return soon and must not wait for a Call of the same client. onState(true) comes
-// before the first push of a connection, onState(false) after the last.
+// NewClient returns a client that starts to connect to an address. onPush receives the one-way messages of the
+// server, and onState is called at the beginning and end of each connection; both may be nil. They are called
+// in order on the goroutine that reads the connection, so that they must return quickly and must not wait for a
+// Call of the same client. onState(true) precedes the first push of a connection, onState(false) follows the
+// last.
 func NewClient(address string, options Options, onPush func(message any), onState func(connected bool)) *Client {
 	if onPush == nil {
 		onPush = func(any) {}
@@ -56,9 +57,9 @@
 }
 
 // Call sends a request and waits for its reply. The request is sent at most once: Call never repeats it. Its
-// errors tell whether the request may have been handled, as the package comment says: ErrNotConnected,
+// errors tell whether the request may have been handled, as the package comment describes: ErrNotConnected,
 // ErrQueueFull, ErrFrameTooLarge, ErrEncode (it was not sent), ErrUncertain, or a *RemoteError (the handler's
-// answer).
+// error).
 func (c *Client) Call(ctx context.Context, message any) (any, error) {
 	current := c.current.Load()
 	if current == nil {
@@ -71,7 +72,7 @@
 }
 
 // Send queues a one-way message. Messages over one connection arrive in the order of the calls. The error is
-// one of ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that it arrived.
+// one of ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that the message arrived.
 func (c *Client) Send(message any) error {
 	current := c.current.Load()
 	if current == nil {
@@ -81,13 +82,12 @@
 	return err
 }
 
-// Connected reports whether there is a connection, as far as is known: that of a dead peer ends only after a
-// time-out.
+// Connected reports whether there is a connection. The connection to a dead peer ends only after a time-out.
 func (c *Client) Connected() bool {
 	return c.current.Load() != nil
 }
 
-// Remote returns the identity that the peer sent last, or a zero one before the first connection.
+// Remote returns the identity that the peer sent last, or a zero Identity before the first connection.
 func (c *Client) Remote() Identity {
 	if remote := c.remote.Load(); remote != nil {
 		return *remote
@@ -95,8 +95,9 @@
 	return Identity{}
 }
 
-// Close ends the connection once the messages queued so far are written, and dials no more. It doesn't wait:
-// onPush and onState may still be running, and onState(false) follows.
+// Close closes the client. The connection ends once the messages queued so far are written, and the client
+// doesn't reconnect. Close doesn't wait for that: onPush and onState may still be running afterwards, and
+// onState(false) follows.
 func (c *Client) Close() {
 	c.cancel()
 	if current := c.current.Load(); current != nil {
@@ -104,7 +105,7 @@
 	}
 }
 
-// run connects, with backoff, until the client is closed.
+// run dials and serves connections, with backoff, until the client is closed.
 func (c *Client) run() {
 	backoff := initialBackoff
 	for c.ctx.Err() == nil {
@@ -121,7 +122,7 @@
 	}
 }
 
-// sleep waits, and returns false once the client is closed.
+// sleep waits for a duration. It returns false if the client is closed before that.
 func (c *Client) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -133,10 +134,10 @@
 	}
 }
 
-// errDial marks errors of attempts that led to no connection.
+// errDial marks the errors of attempts that failed before a connection was established.
 var errDial = errors.New("no connection")
 
-// dialAndServe dials once and serves the connection to its end.
+// dialAndServe dials once and serves the connection until it ends. It returns why it ended.
 func (c *Client) dialAndServe() error {
 	current, err := c.dial()
 	if err != nil {
@@ -146,7 +147,7 @@
 	c.remote.Store(&remote)
 	c.current.Store(current)
 	if c.ctx.Err() != nil {
-		// Close has run since the dial, and may have seen no current connection.
+		// Close was called during the dial and may have found no current connection.
 		current.close()
 	}
 	c.options.Log("connected", nil, c.address)
@@ -157,7 +158,7 @@
 	return current.endCause()
 }
 
-// dial opens a connection and returns its link after the handshake.
+// dial opens a connection, performs the handshake and returns the link.
 func (c *Client) dial() (*clientLink, error) {
 	limited, cancel := context.WithTimeout(c.ctx, c.options.DialTimeout)
 	defer cancel()
--- a/coord/transport/codec.go
+++ b/coord/transport/codec.go
@@ -12,17 +12,17 @@
 const (
 	// maxTypeName bounds the name of a type on the wire, in bytes.
 	maxTypeName = 512
-	// maxTypes bounds the types that one direction of a connection may name.
+	// maxTypes bounds the number of types that one direction of a connection may use.
 	maxTypes = 4096
 )
 
-// encoder encodes the messages of one direction of a connection. It remembers which types the peer knows, so
-// that names and gob descriptions of types are sent once.
+// encoder encodes the messages of one direction of a connection. It keeps track of the types that the peer
+// knows, so that names and gob descriptions of types are sent once.
 type encoder struct {
-	out         *buffer // to append to; set by the caller before each message
+	out         *buffer // receives the encoded messages; set by the caller before each message
 	gob         *gob.Encoder
-	typeNumbers map[reflect.Type]uint64 // those that the peer knows; from 1, in order of first use
-	// resetPeer is true until a message has been encoded: with the next frame the peer must forget all types.
+	typeNumbers map[reflect.Type]uint64 // of the types that the peer knows; from 1, in order of first use
+	// resetPeer is true from a reset until the next encode: the next frame must tell the peer to discard all types.
 	resetPeer bool
 }
 
@@ -39,14 +39,14 @@
 	return len(data), nil
 }
 
-// reset forgets which types the peer knows.
+// reset discards the types that the peer knows. The next frame must make the peer discard them as well.
 func (e *encoder) reset() {
 	e.gob = gob.NewEncoder(e)
 	e.typeNumbers = make(map[reflect.Type]uint64)
 	e.resetPeer = true
 }
 
-// encode appends a message. After an error the buffer holds a part of it, and reset must be called.
+// encode appends a message to out. After an error, out may hold a part of the message, and reset must be called.
 func (e *encoder) encode(message any) error {
 	e.resetPeer = false
 	if message == nil {
@@ -63,7 +63,7 @@
 	return e.gob.Encode(message)
 }
 
-// encodeType appends the number of a type, and at its first use its name.
+// encodeType appends the number of a type and, at its first use, its name.
 func (e *encoder) encodeType(typ reflect.Type) error {
 	if number, known := e.typeNumbers[typ]; known {
 		e.out.data = binary.AppendUvarint(e.out.data, number)
@@ -84,12 +84,12 @@
 	return nil
 }
 
-// decoder decodes the messages of one direction of a connection. It remembers the types that the peer has
+// decoder decodes the messages of one direction of a connection. It keeps track of the types that the peer has
 // named.
 type decoder struct {
-	in    *bytes.Reader // the payload that is being decoded
+	in    *bytes.Reader // payload being decoded
 	gob   *gob.Decoder
-	types []reflect.Type // the type with number n is at n-1
+	types []reflect.Type // the type with number n is at index n-1
 }
 
 // newDecoder returns a decoder that knows no types yet.
@@ -99,13 +99,13 @@
 	return d
 }
 
-// reset forgets all types that the peer has named.
+// reset discards all types that the peer has named.
 func (d *decoder) reset() {
 	d.gob = gob.NewDecoder(d.in)
 	d.types = d.types[:0]
 }
 
-// decode returns the message in a payload, which it doesn't keep.
+// decode returns the message in a payload. It doesn't retain payload.
 func (d *decoder) decode(payload []byte) (any, error) {
 	d.in.Reset(payload)
 	typ, err := d.decodeType()
@@ -127,15 +127,15 @@
 	return value.Elem().Interface(), nil
 }
 
-// expectEnd reports bytes that follow a value.
+// expectEnd returns an error if bytes follow the value.
 func (d *decoder) expectEnd() error {
 	if d.in.Len() != 0 {
-		return fmt.Errorf("%d bytes after the value", d.in.Len())
+		return fmt.Errorf("%d unexpected bytes after the value", d.in.Len())
 	}
 	return nil
 }
 
-// decodeType reads the number of a type, and at its first use its name. It returns nil for the message nil.
+// decodeType reads the number of a type and, at its first use, its name. It returns nil for the message nil.
 func (d *decoder) decodeType() (reflect.Type, error) {
 	number, err := binary.ReadUvarint(d.in)
 	if err != nil {
@@ -148,7 +148,7 @@
 		return d.types[number-1], nil
 	}
 	if number != uint64(len(d.types))+1 || number > maxTypes {
-		return nil, fmt.Errorf("type number %d out of order", number)
+		return nil, fmt.Errorf("type number %d out of order or too high", number)
 	}
 	name, err := d.decodeName()
 	if err != nil {
@@ -169,7 +169,7 @@
 		return "", err
 	}
 	if length > maxTypeName {
-		return "", fmt.Errorf("type name of %d bytes", length)
+		return "", fmt.Errorf("type name of %d bytes is too long", length)
 	}
 	name := make([]byte, length)
 	if _, err := io.ReadFull(d.in, name); err != nil {
--- a/coord/transport/dial_faultinjection.go
+++ b/coord/transport/dial_faultinjection.go
@@ -11,8 +11,8 @@
 	"sprucelane.example/sprucelane/coord/transport/partition"
 )
 
-// dialTCP opens a TCP connection, which obeys injected partitions if the environment names a file of them. It
-// is the default of Options.Dial.
+// dialTCP opens a TCP connection. If the environment variable partition.EnvFile names a file, the connection is
+// subject to the partitions listed there. dialTCP is the default of Options.Dial.
 var dialTCP = sync.OnceValue(func() func(context.Context, string) (net.Conn, error) {
 	path := os.Getenv(partition.EnvFile)
 	if path == "" {
@@ -26,8 +26,8 @@
 	return dialer.DialContext
 })()
 
-// dialWithSocketOptions opens a TCP connection and sets its options here, since setSocketOptions finds no TCP
-// connection in what the partition's dialer returns.
+// dialWithSocketOptions opens a TCP connection and sets its socket options, since the handshake's
+// setSocketOptions doesn't recognize the connection that partition.Dialer returns as TCP.
 func dialWithSocketOptions(ctx context.Context, address string) (net.Conn, error) {
 	connection, err := dialDirect(ctx, address)
 	if err != nil {
--- a/coord/transport/example_test.go
+++ b/coord/transport/example_test.go
@@ -15,7 +15,7 @@
 // Welcome answers a Greeting.
 type Welcome struct{ Text string }
 
-// A server answers calls of a client that connects by itself.
+// A server answers the calls of a client, which connects in the background.
 func Example() {
 	transport.Register(Greeting{}, Welcome{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/coord/transport/frame.go
+++ b/coord/transport/frame.go
@@ -6,36 +6,37 @@
 	"io"
 )
 
-// frameKind tells what a frame carries. Its numbers are part of the wire format.
+// frameKind is the kind of a frame. The numbers are part of the wire format.
 type frameKind byte
 
 const (
-	frameRequest frameKind = iota + 1 // of a client, to be answered with its call number
-	frameReply                        // the handler's reply
-	frameFailure                      // the handler's error, a RemoteError
-	frameOneWay                       // of either side, without an answer
-	framePing                         // without payload; only shows that the sender is alive
+	frameRequest frameKind = iota + 1 // from a client; its answer carries the same call number
+	frameReply                        // reply of the handler
+	frameFailure                      // error of the handler, a RemoteError
+	frameOneWay                       // from either side, without an answer
+	framePing                         // without payload; shows that the sender is alive
 )
 
 const (
-	// frameResetBit is set in the kind byte if the receiver must forget all types first.
+	// frameResetBit is set in the kind byte if the receiver must first discard all types.
 	frameResetBit = 0x80
 	// frameHeaderSize is the size in bytes of length, kind and call number.
 	frameHeaderSize = 4 + 1 + 4
-	// readChunk bounds the memory in bytes that a frame takes by its claimed length alone, before any of it
-	// has arrived.
+	// readChunk bounds the memory in bytes that is allocated for a payload ahead of the bytes that have
+	// arrived, whatever length the frame claims.
 	readChunk = 256 << 10
 )
 
-// frame is one frame as received.
+// frame is a received frame.
 type frame struct {
 	kind    frameKind
-	reset   bool    // the receiver must forget all types first
-	call    uint32  // the number of a call; 0 for one-way messages and pings
-	payload *buffer // to be released; nil if empty
+	reset   bool    // the receiver must first discard all types
+	call    uint32  // call number; 0 for one-way messages and pings
+	payload *buffer // nil if empty; must be released
 }
 
-// appendHeader appends the header of a frame, with the length 0: setLength sets it once the payload is known.
+// appendHeader appends the header of a frame with length 0. setLength sets the length once the payload is
+// complete.
 func appendHeader(out *buffer, kind frameKind, reset bool, call uint32) {
 	if reset {
 		kind |= frameResetBit
@@ -44,12 +45,12 @@
 	out.data = binary.BigEndian.AppendUint32(out.data, call)
 }
 
-// setLength sets the length in the header of a frame that is complete.
+// setLength sets the length in the header of a complete frame.
 func setLength(frame []byte) {
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHeaderSize))
 }
 
-// frameReader reads frames whose payloads have at most limit bytes.
+// frameReader reads frames. A payload may have at most limit bytes.
 type frameReader struct {
 	in     io.Reader
 	limit  int
@@ -72,7 +73,7 @@
 		call:  binary.BigEndian.Uint32(header[5:]),
 	}
 	if received.kind < frameRequest || received.kind > framePing {
-		return frame{}, fmt.Errorf("%w: kind %d", ErrCorrupt, received.kind)
+		return frame{}, fmt.Errorf("%w: unknown frame kind %d", ErrCorrupt, received.kind)
 	}
 	payload, err := r.payload(int(length))
 	if err != nil {
@@ -82,7 +83,7 @@
 	return received, nil
 }
 
-// payload reads length bytes, and allocates memory as they arrive.
+// payload reads a payload of length bytes. It allocates memory as the bytes arrive.
 func (r *frameReader) payload(length int) (*buffer, error) {
 	if length == 0 {
 		return nil, nil
@@ -100,7 +101,7 @@
 	return payload, nil
 }
 
-// grow returns data extended to a length, in place if its capacity allows.
+// grow returns data extended to length bytes. It reuses the memory of data if the capacity suffices.
 func grow(data []byte, length int) []byte {
 	if length <= cap(data) {
 		return data[:length]
--- a/coord/transport/fuzz_test.go
+++ b/coord/transport/fuzz_test.go
@@ -15,7 +15,7 @@
 // fuzzLimit is the largest frame in bytes that the fuzz targets accept.
 const fuzzLimit = 1 << 16
 
-// validStream returns the bytes of some frames that one side might send.
+// validStream returns the bytes of several valid frames.
 func validStream(t testing.TB) []byte {
 	t.Helper()
 	e := newEncoder()
@@ -40,7 +40,7 @@
 	return e.out.data
 }
 
-// readStream reads frames until the first error, which it returns with the number of messages.
+// readStream reads frames until the first error. It returns the number of messages and the error.
 func readStream(stream []byte) (int, error) {
 	reader := frameReader{in: bytes.NewReader(stream), limit: fuzzLimit}
 	decoder := newDecoder()
@@ -88,7 +88,7 @@
 	return output
 }
 
-// checkStream fails if reading a stream panics or takes far more memory than the stream allows.
+// checkStream fails if reading a stream panics or allocates far more memory than the stream needs.
 func checkStream(t testing.TB, stream []byte) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -98,7 +98,7 @@
 		t.Fatal("a stream without an end")
 	}
 	if taken := after.TotalAlloc - before.TotalAlloc; taken > 64<<20 {
-		t.Fatalf("%d bytes taken for a stream of %d: %x", taken, len(stream), stream)
+		t.Fatalf("%d bytes allocated for a stream of %d: %x", taken, len(stream), stream)
 	}
 }
 
@@ -116,12 +116,12 @@
 	}
 	f.Add(valid.Bytes())
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
-	// A heartbeat that is too long to be written again.
+	// A heartbeat over maxHeartbeat, which write would shorten.
 	f.Add(append([]byte("SPL\x01\x00\x11\x00\x80\x00\x00\x00"), make([]byte, 12)...))
 	f.Fuzz(checkHello)
 }
 
-// checkHello fails if a hello that is accepted isn't written again as it was read.
+// checkHello fails if an accepted hello isn't the same after it is written and read again.
 func checkHello(t *testing.T, stream []byte) {
 	parsed, err := readHello(bytes.NewReader(stream))
 	if err != nil {
@@ -133,16 +133,16 @@
 	}
 	read, err := readHello(&again)
 	if err != nil || read != parsed {
-		t.Fatalf("%+v became %+v (%v)", parsed, read, err)
+		t.Fatalf("%+v is read as %+v (%v) after it is written again", parsed, read, err)
 	}
 }
 
-// TestRandomFrames reads streams that were changed at random, the same ones in each run.
+// TestRandomFrames reads streams that were changed at random, with the same changes in each run.
 func TestRandomFrames(t *testing.T) {
 	valid := validStream(t)
 	count, err := readStream(valid)
 	if count != 7 || !errors.Is(err, io.EOF) {
-		t.Fatalf("the stream itself: %d messages, %v", count, err)
+		t.Fatalf("unchanged stream: %d messages, %v", count, err)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range randomCases {
@@ -157,7 +157,7 @@
 	}
 }
 
-// TestRandomHellos reads hellos that were changed at random, the same ones in each run.
+// TestRandomHellos reads hellos that were changed at random, with the same changes in each run.
 func TestRandomHellos(t *testing.T) {
 	var valid bytes.Buffer
 	if err := (hello{identity: testOptions("node").Identity}).write(&valid); err != nil {
@@ -169,7 +169,8 @@
 	}
 }
 
-// TestClaimedLengthAllocatesNothing claims a frame of the largest size and sends nothing of it.
+// TestClaimedLengthAllocatesNothing sends the header of a frame of the largest size without its payload. The
+// claimed length must not make the reader allocate that memory.
 func TestClaimedLengthAllocatesNothing(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -180,6 +181,6 @@
 	}
 	runtime.ReadMemStats(&after)
 	if taken := after.TotalAlloc - before.TotalAlloc; taken > 2*readChunk {
-		t.Fatalf("%d bytes taken", taken)
+		t.Fatalf("%d bytes allocated for a frame without payload", taken)
 	}
 }
--- a/coord/transport/golden_test.go
+++ b/coord/transport/golden_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestGolden compares hellos and frames byte by byte with those that an earlier version sent, and reads
-// those.
+// TestGolden compares hellos and frames byte by byte with recorded ones of an earlier version, and reads the
+// recorded ones.
 func TestGolden(t *testing.T) {
 	var identity Identity
 	golden.Fill(&identity)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestRegisterNamed checks that a message is sent under the name that it was registered with, also as the
-// value of an interface.
+// TestRegisterNamed checks that a message is sent under its registered name, also as the value of an interface
+// field.
 func TestRegisterNamed(t *testing.T) {
 	type renamed struct{ Number int }
 	RegisterNamed(NamedType{Name: "earlier/package.Name", Sample: renamed{}})
@@ -74,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("earlier/package.Name")) {
-		t.Error("the name in an interface is another one")
+		t.Error("a value in an interface field isn't sent under its registered name")
 	}
 }
--- a/coord/transport/handshake.go
+++ b/coord/transport/handshake.go
@@ -12,7 +12,8 @@
 // handshakeTimeout bounds the exchange of hellos.
 const handshakeTimeout = time.Second
 
-// handshake sends the client's hello first, and reads the server's. It ends early when the client is closed.
+// handshake sends the client's hello, then reads the server's hello and returns it. It ends early when the client
+// is closed.
 func (c *Client) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
 	stop := context.AfterFunc(c.ctx, func() { _ = connection.Close() })
 	defer stop()
@@ -39,7 +40,8 @@
 	return peer, connection.SetDeadline(time.Time{})
 }
 
-// handshake reads the client's hello and answers it, also if the client is rejected: the answer says why.
+// handshake reads the client's hello, sends the server's and returns the client's. If the client is rejected, the
+// status of the server's hello gives the reason.
 func (s *Server) handshake(connection net.Conn, in *bufio.Reader) (hello, error) {
 	if err := connection.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
@@ -67,8 +69,8 @@
 	return peer, connection.SetDeadline(time.Time{})
 }
 
-// checkPeer decides whether to accept a peer, by its system and by Options.Admit. It returns the status that
-// is sent to the peer, and the error for this side if the peer is rejected.
+// checkPeer checks a peer's system and calls Options.Admit. It returns the status to send to the peer, and an
+// error for this side if the peer is rejected.
 func (o *Options) checkPeer(peer Identity) (helloStatus, error) {
 	if peer.System != o.Identity.System {
 		return helloOtherSystem, fmt.Errorf("%w: %q", ErrSystemMismatch, peer.System)
@@ -82,7 +84,7 @@
 	return helloAccepted, nil
 }
 
-// helloError returns the error for the status in the hello of a peer, nil if the peer accepts the connection.
+// helloError returns the error for the status in a peer's hello, or nil if the peer accepts the connection.
 func helloError(status helloStatus) error {
 	switch status {
 	case helloAccepted:
--- a/coord/transport/heartbeat.go
+++ b/coord/transport/heartbeat.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// maxMissedHeartbeats is the number of heartbeats without a byte after which a peer counts as dead. With
-	// three, one ping may be late by two heartbeats.
+	// maxMissedHeartbeats is the number of heartbeats without a received byte after which a peer counts as dead.
+	// With three, a ping may be up to two heartbeats late.
 	maxMissedHeartbeats = 3
-	// pauseGrace is how long a read is tried again after its deadline: if this process itself was paused, the
-	// peer's bytes may have arrived meanwhile and wait in the socket.
+	// pauseGrace is how long a read is retried after its deadline. If this process itself was paused, the peer's
+	// bytes may have arrived during the pause and wait in the socket.
 	pauseGrace = 20 * time.Millisecond
 )
 
-// agreedHeartbeat returns the shorter of two heartbeats, where zero is none.
-func agreedHeartbeat(one, other time.Duration) time.Duration {
-	if one <= 0 {
-		return other
+// agreedHeartbeat returns the shorter of two heartbeats; zero means no heartbeat.
+func agreedHeartbeat(a, b time.Duration) time.Duration {
+	if a <= 0 {
+		return b
 	}
-	if other <= 0 {
-		return one
+	if b <= 0 {
+		return a
 	}
-	return min(one, other)
+	return min(a, b)
 }
 
-// ping sends a ping if nothing else was sent for a heartbeat, and sets the timer for the next one.
+// ping sends a ping if nothing was sent for a heartbeat, and sets the timer for the next call.
 func (l *link) ping() {
 	l.mutex.Lock()
 	if l.cause != nil {
@@ -48,13 +48,13 @@
 	}
 }
 
-// deadlineReader reads from a connection and bounds each wait for bytes.
+// deadlineReader reads from a connection and bounds the wait of each read.
 type deadlineReader struct {
 	connection net.Conn
 	timeout    time.Duration // zero for none
 }
 
-// Read reads what has arrived.
+// Read implements io.Reader. If nothing arrives before the deadline, it retries for pauseGrace.
 func (r *deadlineReader) Read(buffer []byte) (int, error) {
 	if r.timeout <= 0 {
 		return r.connection.Read(buffer)
@@ -66,7 +66,7 @@
 	return count, err
 }
 
-// readWithin reads what has arrived or arrives in time.
+// readWithin reads once, with a deadline after the given timeout.
 func (r *deadlineReader) readWithin(buffer []byte, timeout time.Duration) (int, error) {
 	if err := r.connection.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return 0, err
@@ -74,8 +74,8 @@
 	return r.connection.Read(buffer)
 }
 
-// classifyReadError returns ErrHeartbeatTimeout for a read whose deadline passed, and says where in the
-// stream of frames the connection ended.
+// classifyReadError wraps a passed read deadline in ErrHeartbeatTimeout, and describes an unexpected EOF as a
+// connection that ended within a frame. It returns other errors unchanged.
 func classifyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("%w: %w", ErrHeartbeatTimeout, err)
--- a/coord/transport/hello.go
+++ b/coord/transport/hello.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// helloMagic and helloVersion start what each side sends. A peer with another version is rejected.
+	// helloMagic and helloVersion are the start of each hello. A peer with another version is rejected.
 	helloMagic   = "SPL"
 	helloVersion = 1
 	// maxHello bounds the body of a hello in bytes.
@@ -18,7 +18,7 @@
 	maxHeartbeat = time.Hour
 )
 
-// helloStatus tells whether the sender accepts the connection. Its numbers are part of the wire format.
+// helloStatus reports whether the sender accepts the connection. The numbers are part of the wire format.
 type helloStatus byte
 
 const (
@@ -27,14 +27,14 @@
 	helloRejected
 )
 
-// hello is what each side sends first. Its layout is in the package comment.
+// hello is the first message of each side. The package comment describes its layout.
 type hello struct {
-	status    helloStatus   // always helloAccepted from a client, which speaks first
+	status    helloStatus   // always helloAccepted from a client, which sends first
 	heartbeat time.Duration // in whole milliseconds; zero for none
 	identity  Identity
 }
 
-// write sends the hello with one write. It returns ErrFrameTooLarge for an identity that doesn't fit
+// write sends the hello with one write. It returns ErrFrameTooLarge if the identity makes the hello larger than
 // maxHello.
 func (h hello) write(out io.Writer) error {
 	body := []byte{byte(h.status)}
@@ -44,7 +44,7 @@
 		body = append(body, *text...)
 	}
 	if len(body) > maxHello {
-		return fmt.Errorf("%w: identity of %d bytes", ErrFrameTooLarge, len(body))
+		return fmt.Errorf("%w: hello of %d bytes", ErrFrameTooLarge, len(body))
 	}
 	message := append([]byte(helloMagic), helloVersion)
 	message = binary.BigEndian.AppendUint16(message, uint16(len(body)))
@@ -81,7 +81,7 @@
 }
 
 // parseHello parses the body of a hello. Bytes after the identity are ignored, so that later versions may
-// append some.
+// append fields.
 func parseHello(body []byte) (hello, error) {
 	if len(body) < 5 {
 		return hello{}, fmt.Errorf("%w: short hello", ErrCorrupt)
@@ -89,7 +89,7 @@
 	parsed := hello{status: helloStatus(body[0])}
 	parsed.heartbeat = time.Duration(binary.BigEndian.Uint32(body[1:])) * time.Millisecond
 	if parsed.heartbeat > maxHeartbeat {
-		return hello{}, fmt.Errorf("%w: heartbeat of %s", ErrCorrupt, parsed.heartbeat)
+		return hello{}, fmt.Errorf("%w: heartbeat of %s is too long", ErrCorrupt, parsed.heartbeat)
 	}
 	body = body[5:]
 	for _, text := range parsed.identity.fields() {
@@ -107,12 +107,12 @@
 	return parsed, nil
 }
 
-// fields returns the strings of an identity in the order of the wire.
+// fields returns pointers to the strings of an identity in the order of the wire format.
 func (i *Identity) fields() []*string {
 	return []*string{&i.System, &i.Node, &i.Role, &i.Zone, &i.Address, &i.Incarnation}
 }
 
-// milliseconds returns a heartbeat in whole milliseconds.
+// milliseconds returns a heartbeat in whole milliseconds, limited to the range from 0 to maxHeartbeat.
 func milliseconds(heartbeat time.Duration) uint32 {
 	return uint32(min(max(heartbeat, 0), maxHeartbeat).Milliseconds())
 }
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -13,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// rawPeer opens a connection and exchanges hellos; the test itself sends and reads the frames.
+// rawPeer opens a connection and exchanges hellos. The test sends and reads the frames itself.
 func rawPeer(t testing.TB, address string, identity Identity) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -38,7 +38,8 @@
 	return append(bytes, payload...)
 }
 
-// TestHostileBytes sends a server what no client of this package sends.
+// TestHostileBytes sends a server bytes that no client of this package sends. They must end their own connection
+// only.
 func TestHostileBytes(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -90,7 +91,7 @@
 }
 
 func TestPeerThatDoesNotReadIsDropped(t *testing.T) {
-	Convey("A peer that reads nothing is dropped, and pushing to it never blocks", t, func() {
+	Convey("A peer that reads nothing is disconnected, and pushing to it never blocks", t, func() {
 		sessions := make(chan *Session, 1)
 		handler := func(_ context.Context, session *Session, _ any) (any, error) {
 			sessions <- session
@@ -161,7 +162,7 @@
 		So(eventually(func() bool { return handshakes.Load() > 1 }), ShouldBeTrue)
 	})
 
-	Convey("Pings keep an idle connection, where only one side names a heartbeat", t, func() {
+	Convey("Pings keep an idle connection open if only one side sets a heartbeat", t, func() {
 		server := Serve(listen(t), testOptions("server"), echo)
 		defer server.Close()
 		options := testOptions("client")
--- a/coord/transport/link.go
+++ b/coord/transport/link.go
@@ -8,53 +8,52 @@
 	"time"
 )
 
-// readBufferSize is the size in bytes of a connection's read buffer. It is small, since there is one for each
-// connection: long payloads are read past it.
+// readBufferSize is the size in bytes of a connection's read buffer. It is small, since each connection has its
+// own; long payloads bypass it.
 const readBufferSize = 4 << 10
 
-// link is one connection after its handshake, the same at both ends: a queue of encoded frames with its
-// writer (send_queue.go, writer.go), a reader, and pings (heartbeat.go).
+// link is one connection after its handshake. Both ends use it. It consists of a queue of encoded frames with
+// its writer (send_queue.go, writer.go), a reader, and pings (heartbeat.go).
 //
-// One goroutine reads (receive) and one writes (writeLoop). Any goroutine may send, close or end.
+// One goroutine reads (receive) and one writes (writeLoop). Any goroutine may call send, close or end.
 type link struct {
 	connection net.Conn
 	options    *Options
 	remote     Identity
-	heartbeat  time.Duration // as agreed with the peer; zero for none
-	reader     frameReader   // for the reading goroutine only, like decoder
+	heartbeat  time.Duration // agreed with the peer; zero for none
+	reader     frameReader   // used only by the reading goroutine, like decoder
 	decoder    *decoder
 	done       chan struct{} // closed once the link has ended
-	wake       chan struct{} // signals pending frames to the writer; a buffer of one keeps any wake-up
+	wake       chan struct{} // signals pending frames to the writer; its buffer of one keeps a signal
 
-	// mutex guards all fields below. It is held while a message is encoded, which makes the order of the
-	// frames that of the calls, but never during a write.
+	// mutex guards all fields below. It is held while a message is encoded, so that frames are in the order of
+	// the calls, but never during a write.
 	mutex sync.Mutex
-	// encoder's buffer holds the pending frames: those that are queued and not yet taken by the writer.
+	// encoder's buffer holds the pending frames, which are queued and not yet taken by the writer.
 	encoder       *encoder
 	pendingFrames int
-	// queued, dequeued and handedOff count frames since the connection began: those that were ever queued,
-	// taken by the writer, and perhaps handed to the network. Frames are numbered from 1 in this order, so
-	// that a frame with a number above handedOff has surely not been sent: this is what the certainty of
-	// calls rests on.
+	// queued, dequeued and handedOff count the frames since the connection began that were queued, taken by the
+	// writer, and possibly handed to the network. Frames are numbered from 1 in this order, so that a frame with
+	// a number above handedOff has certainly not been sent. The certainty of calls depends on this.
 	queued    uint64
 	dequeued  uint64
 	handedOff uint64
 	lastSend  time.Time
 	// writing is true while the writer holds frames that it hasn't written yet.
 	writing bool
-	// capacityFreed is closed when the writer next takes frames; nil while no sender waits for that.
+	// capacityFreed is closed when the writer next takes frames; nil while no sender waits for capacity.
 	capacityFreed chan struct{}
-	// writerStalled is true from when a sender has waited for capacity without success until the writer takes
-	// frames: meanwhile other senders don't wait.
+	// writerStalled is set when a sender has waited for capacity without success, and reset when the writer
+	// takes frames. While it is set, senders don't wait.
 	writerStalled bool
-	// closing is set by close: what is pending is written, then the link ends.
+	// closing is set by close: the pending frames are written, then the link ends.
 	closing bool
-	// cause is why the link ended, and doesn't change once set; nil while the connection is open.
+	// cause is the error that ended the link, and doesn't change once set; nil while the connection is open.
 	cause     error
 	pingTimer *time.Timer
 }
 
-// newLink returns the link of a connection whose handshake is done, and starts its writer and its pings.
+// newLink returns the link of a connection whose handshake has completed, and starts its writer and its pings.
 func newLink(connection net.Conn, in *bufio.Reader, options *Options, peer hello) *link {
 	l := &link{
 		connection: connection,
@@ -99,7 +98,7 @@
 	}
 }
 
-// close ends the link once all that is pending was written. It doesn't wait for that.
+// close ends the link once all pending frames have been written. It doesn't wait for that.
 func (l *link) close() {
 	l.mutex.Lock()
 	l.closing = true
@@ -112,7 +111,7 @@
 	l.wakeWriter()
 }
 
-// end closes the connection at once. The cause of the first call stays.
+// end closes the connection at once. The cause of the first call is kept; later calls have no effect.
 func (l *link) end(cause error) {
 	l.mutex.Lock()
 	if l.cause != nil {
@@ -129,7 +128,7 @@
 	close(l.done)
 }
 
-// endCause returns why the link ended, or nil while it hasn't.
+// endCause returns the error that ended the link, or nil if the link hasn't ended.
 func (l *link) endCause() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coord/transport/partition/connection.go
+++ b/coord/transport/partition/connection.go
@@ -12,17 +12,18 @@
 // TCP_USER_TIMEOUT that package transport sets by default.
 const UserTimeout = 1500 * time.Millisecond
 
-// Dialer opens connections that obey the partitions of a Watcher.
+// Dialer opens connections to which the partitions of a Watcher apply.
 type Dialer struct {
-	// Partitions knows which links are partitioned.
+	// Partitions reports which links are partitioned.
 	Partitions *Watcher
-	// Host is the host of this process, as the watched file names it.
+	// Host is the host of this process as it is named in the watched file.
 	Host string
 	// Dial opens the underlying connection.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// DialContext opens a connection. While one of its two links is partitioned it waits, until the context ends.
+// DialContext opens a connection. While one of its two links is partitioned, it waits until the link heals or the
+// context ends.
 func (d *Dialer) DialContext(ctx context.Context, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}, nil
 }
 
-// connection is a net.Conn that obeys the partitions of its two links.
+// connection is a net.Conn to which the partitions of its two links apply.
 type connection struct {
 	net.Conn
 	partitions *Watcher
@@ -55,28 +56,28 @@
 	closeOnce  sync.Once
 	closed     chan struct{} // closed by Close
 
-	// mutex guards the fields below. The deadlines are those that the caller set, zero for none: they also
-	// bound the waits for a link to heal, of which the underlying connection knows nothing.
+	// mutex guards the fields below. The deadlines are those that the caller set, or zero. They also bound the
+	// waits for a link to heal, to which the deadlines of the underlying connection don't apply.
 	mutex         sync.Mutex
-	interrupted   bool // Close has set deadlines of its own, which must stay
+	interrupted   bool // interruptIO has set the deadlines, which must not be changed
 	readDeadline  time.Time
 	writeDeadline time.Time
 }
 
-// Read returns what has arrived, once the inbound link isn't partitioned. The end of the connection waits
-// likewise.
+// Read reads from the underlying connection and returns the result once the inbound link isn't partitioned. The
+// end of the connection is held back in the same way.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.partitions.awaitHealed(c.inbound, c.closed, c.loadReadDeadline) {
 		return n, err
 	}
-	// The bytes that were read are lost. A caller that went on after a deadline would miss them: the
-	// connection ends.
+	// The bytes that were read are discarded. The connection ends, because a caller that continued after a
+	// deadline would miss them.
 	return 0, c.timeOut()
 }
 
-// Write sends bytes once the outbound link isn't partitioned. After UserTimeout, or its deadline, the
-// connection ends.
+// Write writes bytes once the outbound link isn't partitioned. If the link hasn't healed after UserTimeout or at
+// the write deadline, the connection ends.
 func (c *connection) Write(p []byte) (int, error) {
 	unacknowledgedUntil := time.Now().Add(UserTimeout)
 	deadline := func() time.Time {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// interruptIO ends reads and writes of the underlying connection that wait, without closing it.
+// interruptIO interrupts pending reads and writes of the underlying connection without closing it.
 func (c *connection) interruptIO() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -154,14 +155,14 @@
 	return set(at)
 }
 
-// loadReadDeadline returns the present read deadline.
+// loadReadDeadline returns the current read deadline.
 func (c *connection) loadReadDeadline() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.readDeadline
 }
 
-// loadWriteDeadline returns the present write deadline.
+// loadWriteDeadline returns the current write deadline.
 func (c *connection) loadWriteDeadline() time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/coord/transport/partition/partition.go
+++ b/coord/transport/partition/partition.go
@@ -10,9 +10,9 @@
 
 // Environment variables of a process under test.
 const (
-	// EnvFile names the file that lists the partitioned links. Without it nothing is ever partitioned.
+	// EnvFile is the path of the file that lists the partitioned links. If unset, no link is ever partitioned.
 	EnvFile = "SPRUCELANE_CUT_FILE"
-	// EnvHost is the process's own host, as the file names it.
+	// EnvHost is the process's own host as it is named in the file.
 	EnvHost = "SPRUCELANE_CUT_HOST"
 )
 
@@ -23,13 +23,13 @@
 // Link is one direction between two hosts.
 type Link struct{ From, To string }
 
-// Watcher knows which links are partitioned now. It is safe for concurrent use.
+// Watcher reports which links are currently partitioned. It is safe for concurrent use.
 type Watcher struct {
 	path        string
 	partitioned atomic.Pointer[map[Link]bool]
 }
 
-// Watch reads the file now, and again every pollInterval until the context ends.
+// Watch returns a Watcher that has read the file and reads it again every pollInterval until the context ends.
 func Watch(ctx context.Context, path string) *Watcher {
 	w := &Watcher{path: path}
 	w.reload()
@@ -51,7 +51,7 @@
 	}
 }
 
-// reload reads the file. If it can't be read, for instance before the test has written it, nothing is
+// reload reads the file. If it can't be read, for instance before the test has written it, no link is
 // partitioned.
 func (w *Watcher) reload() {
 	text, _ := os.ReadFile(w.path)
@@ -68,7 +68,8 @@
 func (w *Watcher) Partitioned(link Link) bool { return (*w.partitioned.Load())[link] }
 
 // awaitHealed waits until a link isn't partitioned. It returns false if done is closed or the deadline passes
-// before. The deadline is asked for again and again, since it may change meanwhile; a zero one never passes.
+// before that. It calls deadline at every poll, since the deadline may change while it waits; a zero deadline
+// never passes.
 func (w *Watcher) awaitHealed(link Link, done <-chan struct{}, deadline func() time.Time) bool {
 	for w.Partitioned(link) {
 		if at := deadline(); !at.IsZero() && !time.Now().Before(at) {
--- a/coord/transport/partition/partition_test.go
+++ b/coord/transport/partition/partition_test.go
@@ -19,7 +19,7 @@
 	there = "127.0.0.1"
 )
 
-// rig is a connection whose links can be partitioned, and its other end.
+// rig is a connection whose links can be partitioned, with both ends.
 type rig struct {
 	t                 *testing.T
 	partitions        *Watcher
@@ -32,7 +32,7 @@
 	arrivesWithin     time.Duration // how long bytes on a healed link may take
 }
 
-// newRig returns a rig without partitions whose connection isn't open yet.
+// newRig returns a rig without partitions. Its connection isn't open yet.
 func newRig(t *testing.T) *rig {
 	r := &rig{
 		t:             t,
@@ -67,8 +67,8 @@
 	r.t.Cleanup(func() { r.near.Close(); r.far.Close() })
 }
 
-// partition writes the file, with the only links that are partitioned from now on, and waits until it is
-// read.
+// partition writes the file so that exactly these links are partitioned, and waits until the watcher has read
+// it.
 func (r *rig) partition(links ...Link) {
 	text := ""
 	for _, link := range links {
@@ -88,18 +88,18 @@
 	}
 }
 
-// arrives reports whether a byte is read within a time.
+// arrives reports whether a byte can be read within the given time.
 func arrives(from net.Conn, within time.Duration) bool {
 	_ = from.SetReadDeadline(time.Now().Add(within))
 	_, err := io.ReadFull(from, make([]byte, 1))
 	return err == nil
 }
 
-// send writes a byte without waiting for it.
+// send writes a byte in the background.
 func send(to net.Conn) { go func() { _, _ = to.Write([]byte{1}) }() }
 
 func TestPartitionedLinks(t *testing.T) {
-	Convey("What is sent over a partitioned link waits until it heals, and the other link isn't affected", t, func() {
+	Convey("Bytes sent over a partitioned link wait until it heals, and the other link isn't affected", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.outbound)
@@ -110,7 +110,7 @@
 		r.partition()
 		So(arrives(r.far, r.arrivesWithin), ShouldBeTrue)
 	})
-	Convey("What has arrived over a partitioned link is read once it heals", t, func() {
+	Convey("Bytes that have arrived over a partitioned link are read once it heals", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.inbound)
@@ -121,13 +121,13 @@
 		go func() { read <- arrives(r.near, r.arrivesWithin) }()
 		select {
 		case <-read:
-			t.Error("it was read while the link was partitioned")
+			t.Error("bytes were read while the link was partitioned")
 		case <-time.After(r.blockedFor):
 		}
 		r.partition()
 		So(<-read, ShouldBeTrue)
 	})
-	Convey("A connection whose bytes have waited too long ends, and its other end learns of that later", t, func() {
+	Convey("A connection whose bytes have waited for UserTimeout ends; its other end sees that after the heal", t, func() {
 		r := newRig(t)
 		r.connect()
 		r.partition(r.outbound)
--- a/coord/transport/registry.go
+++ b/coord/transport/registry.go
@@ -16,10 +16,10 @@
 }
 
 var (
-	// registered is the present table. Encoders and decoders read it without a lock; it is replaced as a
-	// whole.
+	// registered is the current table. Encoders and decoders read it without a lock; each change replaces it
+	// as a whole.
 	registered atomic.Pointer[registry]
-	// registeredMutex serializes the replacements.
+	// registeredMutex serializes the replacements of registered.
 	registeredMutex sync.Mutex
 )
 
@@ -28,17 +28,19 @@
 	RegisterNamed(NamedType{Name: "sprucelane.example/sprucelane/coord/transport.RemoteError", Sample: RemoteError{}})
 }
 
-// NamedType is a type of messages with its name on the wire.
+// NamedType is a message type with its name on the wire.
 type NamedType struct {
-	// Name is part of the wire format: it stays when the type is renamed or moved. It has at most 512 bytes.
+	// Name is part of the wire format and must not change when the type is renamed or moved. It has at most
+	// 512 bytes.
 	Name string
 	// Sample is any value of the type.
 	Sample any
 }
 
-// RegisterNamed registers types of messages under names of their own, and with gob as values of interface
-// fields. Both sides must have registered a type under the same name before it is sent. It may be called
-// again with the same types and names, and panics if a name or a type is taken by another one.
+// RegisterNamed registers message types under explicit names, and also registers them with gob as values of
+// interface fields. Both sides must have registered a type under the same name before it is sent. It may be
+// called again with the same types and names, and panics if a name is registered for another type or a type
+// under another name.
 func RegisterNamed(types ...NamedType) {
 	registeredMutex.Lock()
 	defer registeredMutex.Unlock()
@@ -50,8 +52,8 @@
 	registered.Store(next)
 }
 
-// Register registers the types of the values as RegisterNamed does, each under its import path and name. It
-// is for messages that are never exchanged with another version of the program, in which a type may have been
+// Register registers the types of the values as RegisterNamed does, each under its import path and name. Use it
+// only for messages that are never exchanged with another version of the program, in which a type may have been
 // renamed or moved.
 func Register(values ...any) {
 	types := make([]NamedType, 0, len(values))
@@ -61,12 +63,12 @@
 	RegisterNamed(types...)
 }
 
-// clone returns a copy that may be changed.
+// clone returns a copy that the caller may change.
 func (r *registry) clone() *registry {
 	return &registry{names: maps.Clone(r.names), types: maps.Clone(r.types)}
 }
 
-// add enters a type under its name on the wire.
+// add adds a type under its name on the wire. It panics if the name is registered for another type.
 func (r *registry) add(name string, typ reflect.Type) {
 	if other, taken := r.types[name]; taken && other != typ {
 		panic(fmt.Sprintf("transport: %s is registered for two types", name))
--- a/coord/transport/send_queue.go
+++ b/coord/transport/send_queue.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// capacityWait is how long a message waits for capacity in the queue. It only has to cover the scheduling of
-// the writer's goroutine.
+// capacityWait is how long a message waits for capacity in the queue. It only has to cover the time until the
+// writer's goroutine is scheduled.
 const capacityWait = 5 * time.Millisecond
 
-// send queues a message and returns the number of its frame.
+// send queues a message, waiting up to capacityWait for capacity, and returns the number of its frame.
 func (l *link) send(kind frameKind, call uint32, message any) (uint64, error) {
 	number, err := l.trySend(kind, call, message)
 	if errors.Is(err, ErrQueueFull) && l.awaitCapacity() {
@@ -19,9 +19,10 @@
 	return number, err
 }
 
-// awaitCapacity gives the writer a short while to take what is pending: with few processors it may just not
-// have been scheduled since a burst of messages. It returns false if the writer didn't, and from then on
-// without waiting until it does: a peer that reads nothing must not slow down each sender.
+// awaitCapacity waits up to capacityWait until the writer takes the pending frames, and reports whether it did.
+// With few processors, the writer may not have been scheduled since a burst of messages. After a wait without
+// success, awaitCapacity returns false without waiting until the writer takes frames again, because a peer that
+// reads nothing must not slow down every sender.
 func (l *link) awaitCapacity() bool {
 	l.mutex.Lock()
 	if l.writerStalled || l.cause != nil {
@@ -48,7 +49,7 @@
 	return !l.writerStalled
 }
 
-// trySend queues a message if there is capacity.
+// trySend queues a message if there is capacity, and returns the number of its frame.
 func (l *link) trySend(kind frameKind, call uint32, message any) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -70,9 +71,9 @@
 	return l.queued, nil
 }
 
-// isFull reports whether there is no capacity for a frame. Replies have capacity of their own, since the
-// requests in flight are bounded already, and a reply that can't be sent costs the connection. The caller
-// holds the mutex.
+// isFull reports whether there is no capacity for a frame. Replies may use twice the capacity of other frames,
+// since the number of requests in flight is bounded already, and a reply that can't be sent ends the connection.
+// The caller holds the mutex.
 func (l *link) isFull(kind frameKind) bool {
 	bytes := l.encoder.out.len()
 	if kind == frameReply || kind == frameFailure {
@@ -81,7 +82,8 @@
 	return l.pendingFrames >= l.options.Queue || bytes > l.options.MaxFrame
 }
 
-// encodeFrame appends a frame to the pending ones, or leaves them as they were. The caller holds the mutex.
+// encodeFrame appends a frame to the pending frames. After an error these are unchanged. The caller holds the
+// mutex.
 func (l *link) encodeFrame(kind frameKind, call uint32, message any) error {
 	if l.encoder.out == nil {
 		l.encoder.out = getBuffer()
@@ -101,7 +103,7 @@
 		err = fmt.Errorf("%w: %d bytes", ErrFrameTooLarge, size)
 	}
 	if err != nil {
-		// The encoder counts on type descriptions that the peer now won't get: it starts again.
+		// The encoder would rely on type descriptions that the peer won't receive, so that it must be reset.
 		out.data = out.data[:start]
 		l.encoder.reset()
 		return err
@@ -110,7 +112,7 @@
 	return nil
 }
 
-// wakeWriter tells the writer of pending frames, or of closing.
+// wakeWriter signals to the writer that frames are pending or that the link is closing.
 func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
@@ -118,7 +120,7 @@
 	}
 }
 
-// mayHaveBeenSent reports whether any byte of the frame with a number may have reached the network.
+// mayHaveBeenSent reports whether any byte of the frame with this number may have been handed to the network.
 func (l *link) mayHaveBeenSent(number uint64) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/coord/transport/server.go
+++ b/coord/transport/server.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// acceptBackoff is how long a server waits after a failed accept, such as one without a free descriptor.
+// acceptBackoff is how long a server waits after a failed accept, such as for lack of a free file descriptor.
 const acceptBackoff = 50 * time.Millisecond
 
 // Handler handles the messages of a session. The context ends with the session.
 //
-// Requests (Client.Call) each run on a goroutine of their own, up to Options.Queue at once in a session. The
-// reply or the error goes back to the caller, the error as a RemoteError; see NewError for one with a code.
+// Each request (Client.Call) is handled in its own goroutine, up to Options.Queue at once in a session. The reply
+// or the error is returned to the caller, the error as a RemoteError. NewError returns an error with a code.
 //
-// One-way messages (Client.Send) run in order on the goroutine that reads the connection: the handler must
-// return soon from them, and must not wait there for other messages of the same session. Their replies are
-// dropped and their errors are logged.
+// One-way messages (Client.Send) are handled in order on the goroutine that reads the connection. The handler
+// must return from them quickly, and must not wait for other messages of the same session. Its replies to them
+// are dropped, and its errors are logged.
 type Handler func(ctx context.Context, session *Session, message any) (reply any, err error)
 
-// Server accepts connections and serves their messages.
+// Server accepts connections and passes their messages to a Handler.
 type Server struct {
 	listener net.Listener
 	options  Options
 	handler  Handler
 	done     chan struct{}
 
-	// mutex guards the fields below. Each connection is in one of the sets until it ends, and none is added
-	// once closed is true, so that Close reaches all of them.
+	// mutex guards the fields below. Each connection is in handshaking or sessions until it ends, and none is
+	// added once closed is true, so that Close reaches all connections.
 	mutex       sync.Mutex
 	closed      bool
 	handshaking map[net.Conn]struct{}
@@ -56,8 +56,8 @@
 	return s.listener.Addr()
 }
 
-// Close ends the listener and all sessions, and waits for the connections to end. Messages that were queued
-// are still written, within Options.WriteTimeout. It doesn't wait for handlers that run; their contexts end.
+// Close closes the listener and all sessions, and waits for the connections to end. Queued messages are still
+// written, within Options.WriteTimeout. It doesn't wait for running handlers, but their contexts end.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	if s.closed {
@@ -135,7 +135,7 @@
 	s.options.Log("session_ended", session.link.endCause(), remote)
 }
 
-// trackHandshake notes a connection in its handshake. It returns false if the server is closed.
+// trackHandshake adds a connection to handshaking. It returns false if the server is closed.
 func (s *Server) trackHandshake(connection net.Conn) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,14 +146,14 @@
 	return true
 }
 
-// untrackHandshake forgets a connection whose handshake failed.
+// untrackHandshake removes a connection whose handshake failed from handshaking.
 func (s *Server) untrackHandshake(connection net.Conn) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	delete(s.handshaking, connection)
 }
 
-// startSession turns a connection in its handshake into a session. It returns false if the server is closed.
+// startSession moves a connection from handshaking to sessions. It returns false if the server is closed.
 func (s *Server) startSession(connection net.Conn, session *Session) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/coord/transport/session.go
+++ b/coord/transport/session.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 )
 
-// Session is the server's side of one connection. Its methods may be called by several goroutines at once.
+// Session is the server's side of one connection. Its methods are safe for concurrent use.
 type Session struct {
 	link     *link
-	ctx      context.Context // of the handlers; ends with the session
+	ctx      context.Context // passed to the handlers; canceled when the session ends
 	cancel   context.CancelFunc
-	inFlight atomic.Int64 // requests in their handler
+	inFlight atomic.Int64 // number of requests whose handler is running
 
 	mutex    sync.Mutex // guards the fields below
-	finished bool       // the functions of onClose have been taken
+	finished bool       // runOnClose has taken the functions of onClose
 	onClose  []func()
 }
 
@@ -31,7 +31,7 @@
 }
 
 // Push queues a one-way message to the client. Messages arrive in the order of the calls. The error is one of
-// ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that it arrived.
+// ErrNotConnected, ErrQueueFull, ErrFrameTooLarge and ErrEncode; nil doesn't mean that the message arrived.
 func (s *Session) Push(message any) error {
 	_, err := s.link.send(frameOneWay, 0, message)
 	return err
@@ -47,8 +47,8 @@
 	s.link.close()
 }
 
-// OnClose registers a function to call after the session has ended, or calls it at once if it has. Functions
-// run in the order of the calls.
+// OnClose registers a function to call after the session has ended, or calls it at once if the session has ended
+// already. Registered functions run in the order of registration.
 func (s *Session) OnClose(run func()) {
 	s.mutex.Lock()
 	if !s.finished {
@@ -60,7 +60,7 @@
 	run()
 }
 
-// runOnClose ends the context and calls the functions given to OnClose.
+// runOnClose cancels the context and calls the functions registered by OnClose.
 func (s *Session) runOnClose() {
 	s.cancel()
 	s.mutex.Lock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// readLoop passes messages to the handler until the connection ends. It returns why it ended.
+// readLoop passes messages to the handler until the connection ends. It returns the error that ended it.
 func (s *Session) readLoop(handler Handler) error {
 	for {
 		received, message, err := s.link.receive()
@@ -88,13 +88,13 @@
 				s.link.options.Log("one_way_message_failed", err, s.link.remote.Node)
 			}
 		default:
-			return fmt.Errorf("%w: kind %d from a client", ErrCorrupt, received.kind)
+			return fmt.Errorf("%w: unexpected frame kind %d from a client", ErrCorrupt, received.kind)
 		}
 	}
 }
 
-// handleRequest runs the handler for a request on a goroutine of its own, or rejects the request with
-// CodeBusy if Options.Queue of them run already.
+// handleRequest runs the handler for a request in a new goroutine, or rejects the request with CodeBusy if
+// Options.Queue handlers are running already.
 func (s *Session) handleRequest(handler Handler, call uint32, message any) {
 	if s.inFlight.Add(1) > int64(s.link.options.Queue) {
 		s.inFlight.Add(-1)
@@ -108,8 +108,8 @@
 	}()
 }
 
-// reply sends the reply or the error of a request. If it can't be sent the connection ends, so that the
-// caller doesn't wait until its time-out.
+// reply sends the reply or the error of a request. If that fails, it ends the connection, so that the caller
+// doesn't wait until its time-out.
 func (s *Session) reply(call uint32, reply any, failure error) {
 	var err error
 	if failure != nil {
--- a/coord/transport/simulation_test.go
+++ b/coord/transport/simulation_test.go
@@ -24,25 +24,25 @@
 	workersPerClient    = 8
 	callsPerWorker      = 40
 	maxTextBytes        = 2000
-	maxRelayChunk       = 2500 // bytes that a relay passes on at once
+	maxRelayChunk       = 2500 // bytes that a relay forwards at once
 	maxRelayDelay       = 2 * time.Millisecond
-	maxBytesBeforeFault = 100 << 10 // that pass over one direction of a connection
+	maxBytesBeforeFault = 100 << 10 // bytes over one direction of a connection
 )
 
-// callSimulation runs clients and a server over connections that break, in virtual time, and checks what each
-// call returns against what the server handled.
+// callSimulation runs clients and a server in virtual time over connections that break, and checks the outcome
+// of each call against the requests that the server handled.
 type callSimulation struct {
 	random *rand.Rand
 	dials  chan net.Conn
 	done   chan struct{}
 
-	mutex      sync.Mutex     // guards all below, and random
-	handled    map[int]int    // how often, by the number of the request
+	mutex      sync.Mutex     // guards random and the fields below
+	handled    map[int]int    // how often each request was handled, by its number
 	violations []string       // of the certainty of calls
 	counts     map[string]int // of outcomes and faults
 }
 
-// failf notes a violation.
+// failf records a violation.
 func (s *callSimulation) failf(format string, parts ...any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -63,7 +63,7 @@
 	return s.random.IntN(below)
 }
 
-// dial opens a connection over a relay that breaks it at some byte of either direction.
+// dial opens a connection over relays that break it at a random byte of either direction.
 func (s *callSimulation) dial(ctx context.Context, _ string) (net.Conn, error) {
 	near, relayNear := net.Pipe()
 	relayFar, far := net.Pipe()
@@ -77,8 +77,8 @@
 	}
 }
 
-// relay passes on some number of bytes; then it ends both connections, stops reading, or reads on and loses
-// everything.
+// relay forwards a random number of bytes. Then it ends both connections, stops reading, or continues to read
+// and discards everything.
 func (s *callSimulation) relay(to, from net.Conn) {
 	left := s.draw(maxBytesBeforeFault)
 	how := s.draw(3)
@@ -124,7 +124,7 @@
 // Addr implements net.Listener.
 func (s *callSimulation) Addr() net.Addr { return &net.TCPAddr{} }
 
-// serve answers calls, some of them late, twice, or to numbers that no call has.
+// serve answers calls. Some answers are late, sent twice, or sent to a call number that no call has.
 func (s *callSimulation) serve(server *Server) {
 	for {
 		connection, err := s.Accept()
@@ -170,7 +170,7 @@
 	}
 }
 
-// call makes one call, checks its reply and notes its outcome.
+// call makes one call, checks its reply and records its outcome.
 func (s *callSimulation) call(client *Client, number int, outcomes map[int]error) {
 	wait := time.Duration(1+s.draw(200)) * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -249,8 +249,8 @@
 	return violations, counts
 }
 
-// TestRandomCalls runs simulations of calls over connections that break. SEEDS=N runs N of them, FIRST=S
-// starts at seed S.
+// TestRandomCalls runs simulations of calls over connections that break. The environment variables SEEDS and
+// FIRST set the number of simulations and the first seed.
 func TestRandomCalls(t *testing.T) {
 	first, _ := strconv.ParseUint(os.Getenv("FIRST"), 10, 64)
 	simulations := defaultSimulations
@@ -271,12 +271,12 @@
 	t.Log(simulations, "simulations from", first, all)
 	for _, name := range []string{"replies", "uncertain", "not sent", "doubled replies"} {
 		if all[name] == 0 {
-			t.Errorf("never came about: %s", name)
+			t.Errorf("no simulation had the outcome or fault %q", name)
 		}
 	}
 }
 
-// TestRandomCallsFindInjectedBugs injects bugs one by one; some simulation must show each.
+// TestRandomCallsFindInjectedBugs injects bugs one at a time. At least one simulation must find each bug.
 func TestRandomCallsFindInjectedBugs(t *testing.T) {
 	for name, injected := range map[string]injectedBugs{
 		"a reply goes to any call that waits":                                  {replyToAnyCall: true},
@@ -290,7 +290,7 @@
 					return
 				}
 			}
-			t.Errorf("%d simulations didn't show it", maxBugSimulations)
+			t.Errorf("%d simulations did not find the injected bug", maxBugSimulations)
 		})
 	}
 }
--- a/coord/transport/socket.go
+++ b/coord/transport/socket.go
@@ -8,23 +8,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// TCP keep-alive probes end an idle connection to a dead machine after two to three seconds, also if no
-// heartbeat is agreed on. The number of probes counts only where TCP_USER_TIMEOUT doesn't end the connection
-// before (tcp(7)).
+// TCP keep-alive probes end an idle connection to a dead machine after two to three seconds, even if the peers
+// use no heartbeat. The number of probes takes effect only where TCP_USER_TIMEOUT doesn't end the connection
+// earlier (tcp(7)).
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
 )
 
-// dialDirect opens a TCP connection without keep-alive: setSocketOptions configures it in the handshake.
+// dialDirect opens a TCP connection without keep-alive, which setSocketOptions configures in the handshake.
 func dialDirect(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// setSocketOptions sets TCP_NODELAY (frames are batched by the writer already), short keep-alive probes and
-// TCP_USER_TIMEOUT. Connections that aren't TCP, such as those of tests, are left as they are.
+// setSocketOptions sets TCP_NODELAY (the writer batches frames already), short keep-alive probes and
+// TCP_USER_TIMEOUT. It does nothing for connections that aren't TCP, such as those of tests.
 func setSocketOptions(connection net.Conn, userTimeout time.Duration) error {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
--- a/coord/transport/transport_test.go
+++ b/coord/transport/transport_test.go
@@ -12,7 +12,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// echoRequest and echoReply are messages with all that a payload may hold.
+// echoRequest and echoReply are messages with a number, a text and bytes.
 type echoRequest struct {
 	Number int
 	Text   string
@@ -36,7 +36,7 @@
 	Register(echoRequest{})
 }
 
-// testTimeout bounds what a test waits for.
+// testTimeout bounds the waits of a test.
 const testTimeout = 10 * time.Second
 
 // testOptions returns the options of a machine of the system under test.
@@ -67,7 +67,7 @@
 	}
 }
 
-// eventually waits until a condition holds.
+// eventually polls a condition until it holds, and reports whether it did within testTimeout.
 func eventually(condition func() bool) bool {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if condition() {
@@ -77,7 +77,7 @@
 	return false
 }
 
-// connected returns a client that has connected to an address.
+// connected returns a client that is connected to an address.
 func connected(t testing.TB, address string, options Options, onPush func(any)) *Client {
 	t.Helper()
 	client := NewClient(address, options, onPush, nil)
@@ -88,7 +88,7 @@
 	return client
 }
 
-// errorLog keeps the errors that were logged.
+// errorLog records logged errors.
 type errorLog struct {
 	mutex  sync.Mutex
 	errors []error
@@ -100,7 +100,7 @@
 	b.errors = append(b.errors, err)
 }
 
-// has reports whether an error was logged that wraps the target.
+// has reports whether a logged error wraps the target.
 func (b *errorLog) has(target error) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -171,7 +171,7 @@
 			So(len(received), ShouldEqual, 200)
 		})
 
-		Convey("the handler's error arrives with its code", func() {
+		Convey("the caller receives the handler's error with its code", func() {
 			_, err := client.Call(ctx, "unknown")
 			So(CodeOf(err), ShouldEqual, "unknown")
 			var remote *RemoteError
@@ -193,7 +193,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	Convey("A machine of another system is refused on both sides", t, func() {
+	Convey("A machine of another system is rejected on both sides", t, func() {
 		var serverLog, clientLog errorLog
 		options := testOptions("server")
 		options.Log = serverLog.log
@@ -209,7 +209,7 @@
 		So(client.Connected(), ShouldBeFalse)
 	})
 
-	Convey("Admit refuses by identity", t, func() {
+	Convey("Admit rejects by identity", t, func() {
 		var serverLog, clientLog errorLog
 		reason := errors.New("old incarnation")
 		options := testOptions("server")
@@ -233,7 +233,7 @@
 }
 
 func TestReconnection(t *testing.T) {
-	Convey("A client comes back to a server that was started again", t, func() {
+	Convey("A client reconnects to a server that was restarted", t, func() {
 		server := Serve(listen(t), testOptions("first"), echo)
 		address := server.Addr().String()
 		var ups, downs atomic.Int64
@@ -261,7 +261,7 @@
 		So(eventually(func() bool { return ups.Load() == 2 && downs.Load() == 1 }), ShouldBeTrue)
 	})
 
-	Convey("A closed client ends its session, after what it queued", t, func() {
+	Convey("A closed client ends its session after the queued messages are delivered", t, func() {
 		var got atomic.Int64
 		ended := make(chan struct{})
 		handler := func(_ context.Context, session *Session, message any) (any, error) {
--- a/coord/transport/writer.go
+++ b/coord/transport/writer.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// writeChunk is the progress in bytes that renews the deadline of a write: a slow peer that reads is not a
-// stalled one.
+// writeChunk is the number of bytes written per write call. Each call has a new deadline, so that a peer that
+// reads slowly isn't disconnected as one that reads nothing.
 const writeChunk = 256 << 10
 
-// writeLoop writes the pending frames, all of them with one system call, until the link ends.
+// writeLoop writes all pending frames together until the link ends.
 func (l *link) writeLoop() {
 	for {
 		select {
@@ -39,8 +39,9 @@
 	}
 }
 
-// dequeueAll returns all pending frames, or nil, and whether the link is to end after them. They count as
-// handed to the network from here on, before the write: a write that fails may have sent any part of them.
+// dequeueAll returns all pending frames, or nil, and whether the link must end after they are written. The frames
+// count as handed to the network from now on, before the write, because a failed write may have sent any part
+// of them.
 func (l *link) dequeueAll() (batch *buffer, last bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -64,7 +65,7 @@
 	return batch, l.closing
 }
 
-// write writes a batch of frames, with a deadline that progress renews.
+// write writes a batch of frames in chunks of up to writeChunk bytes, each with a new deadline.
 func (l *link) write(batch []byte) error {
 	for len(batch) > 0 {
 		chunk := batch[:min(len(batch), writeChunk)]
