--- a/coord/slots/benchmark_test.go
+++ b/coord/slots/benchmark_test.go
@@ -8,13 +8,13 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// discardingFS is a folder whose files drop what is written, so that only the work of the store itself is
-// measured.
+// discardingFS is a folder whose files discard all writes, so that the benchmark measures only the work of the
+// store itself.
 type discardingFS struct{ slots.FS }
 
 func (d discardingFS) Open(string) (slots.File, error) { return discardFile{}, nil }
 
-// discardFile is an empty file that drops what is written.
+// discardFile is an empty file that discards all writes.
 type discardFile struct{}
 
 func (discardFile) Write(data []byte) (int, error)    { return len(data), nil }
@@ -23,8 +23,8 @@
 func (discardFile) Sync() error                       { return nil }
 func (discardFile) Close() error                      { return nil }
 
-// BenchmarkAppend measures one append of one record: the store's own work, and with a real disk's write and
-// sync.
+// BenchmarkAppend measures one append of one record, once with only the store's own work and once with write and
+// sync on a real disk.
 func BenchmarkAppend(b *testing.B) {
 	for _, size := range []int{100, 4 << 10} {
 		record := make([]byte, size)
--- a/coord/slots/compact.go
+++ b/coord/slots/compact.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Compact replaces snapshot and log by a snapshot of the whole state, and an empty log. When it returns nil
-// the snapshot is durable, and the store is usable again after an ErrUncertain. After any other error the old
-// snapshot and log are in use as before.
+// Compact replaces snapshot and log by a snapshot of the whole state and an empty log. When it returns nil, the
+// snapshot is durable, and the store can be used again if it was in the state of ErrUncertain. After an error
+// other than ErrUncertain, the old snapshot and log stay in use.
 //
-// It prepares the inactive log before it writes the inactive slot: the sync of that slot is the commit point,
-// from which on the slot's log must exist with the slot's sequence. The active slot and log aren't touched.
+// It writes the inactive log before the inactive slot, because the sync of that slot is the commit point, after
+// which the slot's log must exist with the slot's sequence. It doesn't change the active slot and log.
 func (s *Store) Compact(snapshot []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// undoCompact truncates the slot that couldn't be written, and returns the error of the compaction. If the
-// slot stayed, it could be valid at the next Open, without the records that are appended to the old log from
+// undoCompact empties the slot that couldn't be written, and returns the error of the compaction. Otherwise the
+// slot could be valid at the next Open, which would then miss the records that are appended to the old log from
 // now on.
 func (s *Store) undoCompact(slot int, cause error) error {
 	if err := s.writeFile(slotName(s.prefix, slot)); err != nil {
--- a/coord/slots/copy.go
+++ b/coord/slots/copy.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// ErrTooLarge reports that a copy would take more bytes than allowed. Nothing was written.
+// ErrTooLarge reports that a copy would exceed its maximum size. Nothing was written.
 var ErrTooLarge = errors.New("slots: the copy would be too large")
 
-// Copy writes a copy of a store's files under another prefix, in place of an earlier copy, whatever state they are
-// in: so that what a Wipe is about to remove can still be examined (Verify). It is no backup, as it isn't synced.
-// The store must not be open.
+// Copy copies a store's files to another prefix and replaces an earlier copy there. The files may be corrupt: a
+// copy lets Verify examine them after a Wipe. It is no backup, because its contents aren't synced. If the files
+// have more than maxBytes bytes, it returns ErrTooLarge. The store must not be open.
 func Copy(fs FS, options Options, prefix string, maxBytes int64) error {
 	names := storeFileNames(options.Prefix)
 	total := int64(0)
@@ -22,7 +22,7 @@
 		total += size
 	}
 	if total > maxBytes {
-		return fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, total, maxBytes)
+		return fmt.Errorf("%w: %d bytes, limit %d", ErrTooLarge, total, maxBytes)
 	}
 	for i, copied := range storeFileNames(prefix) {
 		if err := copyFile(fs, names[i], copied); err != nil {
@@ -32,7 +32,7 @@
 	return fs.SyncDir()
 }
 
-// copyFile copies a file, or removes an earlier copy of one that doesn't exist.
+// copyFile copies a file. If the file doesn't exist, it removes an earlier copy.
 func copyFile(fs FS, from, to string) error {
 	data, err := fs.ReadAll(from)
 	if isNotExist(err) {
--- a/coord/slots/copy_test.go
+++ b/coord/slots/copy_test.go
@@ -8,9 +8,10 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// TestCopy keeps a copy of a store and empties the store.
+// TestCopy copies a store, wipes the original and checks that the copy still holds the records. It also checks
+// that a copy over the maximum size writes nothing.
 func TestCopy(t *testing.T) {
-	Convey("A copy holds what the store held, and is bounded", t, func() {
+	Convey("A copy holds the contents of the store, and its size is bounded", t, func() {
 		fs := slots.Directory(t.TempDir())
 		store, _, err := slots.Open(fs, slots.Options{})
 		So(err, ShouldBeNil)
--- a/coord/slots/directory.go
+++ b/coord/slots/directory.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// filePermissions are those of new files: the state of a replica is for its own process only.
+// filePermissions are the permissions of new files. Only the replica's own user may read and write its state.
 const filePermissions = 0o600
 
-// directory is a folder of the operating system, by its path. It implements FS.
+// directory is the path of a folder of the operating system. It implements FS.
 type directory string
 
-// Directory returns the folder at a path, which must exist.
+// Directory returns the FS of the folder at a path, which must exist.
 func Directory(path string) FS {
 	return directory(path)
 }
@@ -94,8 +94,8 @@
 // osFile is a file of the operating system.
 type osFile struct{ *os.File }
 
-// Sync implements File with fdatasync, which makes the length durable as well, but not times and permissions:
-// these would cost a second write. EINTR is retried, as package os does for fsync.
+// Sync implements File with fdatasync, which also makes the length durable. It doesn't make times and permissions
+// durable, which would cost a second write. It retries on EINTR, as package os does for fsync.
 func (f osFile) Sync() error {
 	raw, err := f.SyscallConn()
 	if err != nil {
--- a/coord/slots/example_test.go
+++ b/coord/slots/example_test.go
@@ -7,7 +7,7 @@
 	"sprucelane.example/sprucelane/coord/slots"
 )
 
-// A state machine appends its commands as records, and replaces them by a snapshot now and then.
+// A state machine appends its commands as records, and replaces them by a snapshot from time to time.
 func Example() {
 	folder, err := os.MkdirTemp("", "slots")
 	if err != nil {
--- a/coord/slots/format.go
+++ b/coord/slots/format.go
@@ -2,24 +2,24 @@
 
 // # Files
 //
-// A store has four files, whose names never change: slot-0, slot-1, log-0 and log-1, each after
-// Options.Prefix. Slot and log of one number belong together. Integers are big endian, checksums are CRC-32C
-// (Castagnoli).
+// A store has four files, whose names never change: slot-0, slot-1, log-0 and log-1, each prefixed with
+// Options.Prefix. The slot and the log with the same number belong together. Integers are big endian, checksums
+// are CRC-32C (Castagnoli).
 //
 //	slot:  magic "SPLSLOT" (7 bytes), version (1), sequence (8), snapshot length (8), checksum (4), snapshot
 //	log:   magic "SPLSLOG" (7 bytes), version (1), sequence (8), checksum (4), batches
 //	batch: payload length (4), number (4), checksum (4), payload: for each record its length (uvarint) and bytes
 //
-// The state is in the valid slot with the highest sequence n, and in the log of the same number, which then
-// has the sequence n too. A Compact gives the other pair the sequence n+1.
+// The state consists of the valid slot with the highest sequence n and the log with the same number, which also
+// has the sequence n. A Compact gives the other pair the sequence n+1.
 //
-// The checksum of a slot covers sequence, length and snapshot. That of a log's header covers the sequence.
-// That of a batch covers the sequence of its log, its own length and number, and the payload: bytes that an
-// earlier use of the same file left behind have another sequence, and never pass for a batch.
+// The checksum of a slot covers sequence, length and snapshot. The checksum of a log's header covers the
+// sequence. The checksum of a batch covers the sequence of its log, its own length and number, and the payload.
+// Bytes left over from an earlier use of the same file have another sequence, and are never taken for a batch.
 //
-// One Append is one batch, so that it is stored as a whole or not at all. The batches of a log are numbered
-// from 0. The numbers tell a torn write from corruption: a valid batch with a higher number than the one that
-// is missing was written after it had been synced.
+// One Append writes one batch, so that it is stored as a whole or not at all. The batches of a log are numbered
+// from 0. The numbers distinguish a torn write from corruption: a valid batch with a higher number than an
+// invalid batch was written after the invalid one had been synced.
 
 import (
 	"encoding/binary"
@@ -28,7 +28,7 @@
 )
 
 const (
-	// slotMagic and logMagic start the files. The last byte is the version of the format.
+	// slotMagic and logMagic are the start of the files. Their last byte is the version of the format.
 	slotMagic = "SPLSLOT\x01"
 	logMagic  = "SPLSLOG\x01"
 
@@ -39,16 +39,16 @@
 	// batchHeaderSize is the size in bytes of length, number and checksum.
 	batchHeaderSize = 4 + 4 + 4
 
-	// maxBatchPayload bounds the payload of one Append in bytes, so that its length fits four bytes and an
-	// int.
+	// maxBatchPayload bounds the payload of one Append in bytes, so that its length fits into four bytes and
+	// into an int.
 	maxBatchPayload = math.MaxInt32
 )
 
-// castagnoli is the polynomial of all checksums; processors compute it in hardware.
+// castagnoli is the table for all checksums. Processors compute this CRC in hardware.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// slotContents is what a slot file holds. Only a valid one has a sequence and a snapshot; an invalid one that
-// isn't empty is torn or corrupt.
+// slotContents is the contents of a slot file. Only a valid slot has a sequence and a snapshot. A slot that is
+// neither valid nor empty is torn or corrupt.
 type slotContents struct {
 	valid    bool
 	empty    bool // the file has no bytes
@@ -56,7 +56,7 @@
 	snapshot []byte
 }
 
-// encodeSlotHeader returns the start of a slot file, which the snapshot follows.
+// encodeSlotHeader returns the header of a slot file. The snapshot follows it in the file.
 func encodeSlotHeader(sequence uint64, snapshot []byte) []byte {
 	header := make([]byte, 0, slotHeaderSize)
 	header = append(header, slotMagic...)
@@ -86,18 +86,18 @@
 	return slotContents{valid: true, sequence: sequence, snapshot: snapshot}
 }
 
-// logContents is what a log file holds, up to its first invalid batch.
+// logContents is the contents of a log file up to its first invalid batch.
 type logContents struct {
 	valid         bool // the header is valid
 	sequence      uint64
 	records       [][]byte
 	batches       uint32
-	validSize     int64 // bytes up to the end of the last valid batch
-	fileSize      int64 // bytes of the file
+	validSize     int64 // size in bytes up to the end of the last valid batch
+	fileSize      int64 // size of the file in bytes
 	corruptOffset int64 // offset of an invalid batch that a valid one follows, or 0
 }
 
-// encodeLogHeader returns the start of a log file, which is all of an empty log.
+// encodeLogHeader returns the header of a log file. An empty log consists of only the header.
 func encodeLogHeader(sequence uint64) []byte {
 	header := make([]byte, 0, logHeaderSize)
 	header = append(header, logMagic...)
@@ -131,8 +131,8 @@
 	return contents
 }
 
-// appendBatch appends the batch that holds some records to a buffer. It returns errBatchTooLarge if they
-// don't fit.
+// appendBatch appends a batch with the records to a buffer. It returns errBatchTooLarge if the records don't fit
+// into maxBatchPayload.
 func appendBatch(buffer []byte, sequence uint64, number uint32, records [][]byte) ([]byte, error) {
 	start := len(buffer)
 	buffer = append(buffer, make([]byte, batchHeaderSize)...)
@@ -150,7 +150,8 @@
 	return buffer, nil
 }
 
-// batchChecksum returns the checksum of a whole batch, header included, in the log with a sequence.
+// batchChecksum returns the checksum of a batch, which covers the sequence of its log, its length, its number and
+// its payload.
 func batchChecksum(batch []byte, sequence uint64) uint32 {
 	var prefix [8]byte
 	binary.BigEndian.PutUint64(prefix[:], sequence)
@@ -159,8 +160,8 @@
 	return crc32.Update(checksum, castagnoli, batch[batchHeaderSize:])
 }
 
-// parseBatch returns the size in bytes and the records of the batch at the start of data, or 0 if there is no
-// valid one with this number.
+// parseBatch returns the size in bytes and the records of the batch at the start of data. It returns 0 if there
+// is no valid batch with this number.
 func parseBatch(data []byte, sequence uint64, number uint32) (int, [][]byte) {
 	batch := validBatch(data, sequence)
 	if batch == nil || binary.BigEndian.Uint32(batch[4:]) != number {
@@ -180,7 +181,7 @@
 	return len(batch), records
 }
 
-// validBatch returns the batch at the start of data, or nil if its checksum is wrong.
+// validBatch returns the batch at the start of data, or nil if there is none with a correct checksum.
 func validBatch(data []byte, sequence uint64) []byte {
 	if len(data) < batchHeaderSize {
 		return nil
@@ -197,9 +198,9 @@
 }
 
 // hasLaterValidBatch reports whether data holds, at any offset, a valid batch with a higher number than the
-// one that is expected at its start. The length of the invalid batch can't be trusted, so every offset is
-// tried; batches are at least a byte long, which bounds the numbers that are possible at an offset and spares
-// most checksums.
+// batch that is expected at its start. It tries every offset, because the length of the invalid batch can't be
+// trusted. Each batch has at least one byte, which bounds the possible numbers at an offset and avoids most
+// checksums.
 func hasLaterValidBatch(data []byte, sequence uint64, expected uint32) bool {
 	for offset := 1; offset+batchHeaderSize < len(data); offset++ {
 		number := binary.BigEndian.Uint32(data[offset+4:])
--- a/coord/slots/fuzz_test.go
+++ b/coord/slots/fuzz_test.go
@@ -9,7 +9,7 @@
 // randomCases is the number of random inputs that a normal test run tries.
 const randomCases = 20_000
 
-// testSequence is the sequence of the log that the tests change.
+// testSequence is the sequence of the log in encodedTestLog.
 const testSequence = 7
 
 // testAppends are the records of the appends in encodedTestLog.
@@ -44,8 +44,8 @@
 	return records
 }
 
-// checkLog fails unless the records that are parsed from a changed copy of the test's log are those of its
-// first batches, in order.
+// checkLog fails unless the records parsed from a changed copy of the test log are the records of its first
+// batches, in order.
 func checkLog(t testing.TB, data []byte, counts []int) {
 	t.Helper()
 	contents := parseLog(data)
@@ -53,20 +53,20 @@
 		return
 	}
 	if contents.validSize > contents.fileSize || contents.validSize < logHeaderSize {
-		t.Fatalf("size %d of %d", contents.validSize, contents.fileSize)
+		t.Fatalf("valid size %d outside the header and the file of %d bytes", contents.validSize, contents.fileSize)
 	}
 	if int(contents.batches) >= len(counts) || len(contents.records) != counts[contents.batches] {
-		t.Fatalf("%d records in %d batches", len(contents.records), contents.batches)
+		t.Fatalf("parsed %d records in %d batches, unlike the test log", len(contents.records), contents.batches)
 	}
 	for i, record := range testRecords()[:len(contents.records)] {
 		if !bytes.Equal(record, contents.records[i]) {
-			t.Fatalf("record %d: %q", i, contents.records[i])
+			t.Fatalf("record %d is %q, unlike the test log", i, contents.records[i])
 		}
 	}
 }
 
-// FuzzLog parses any bytes as a log. A fuzzer may make valid batches of its own, so only the bounds are
-// checked.
+// FuzzLog parses arbitrary bytes as a log. The fuzzer may generate other valid batches, so that only the bounds
+// are checked.
 func FuzzLog(f *testing.F) {
 	log, _ := encodedTestLog(f)
 	f.Add(log)
@@ -75,28 +75,28 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		contents := parseLog(data)
 		if contents.valid && (contents.validSize > int64(len(data)) || contents.validSize < logHeaderSize) {
-			t.Fatalf("size %d of %d", contents.validSize, len(data))
+			t.Fatalf("valid size %d outside the header and the file of %d bytes", contents.validSize, len(data))
 		}
 	})
 }
 
-// FuzzSlot parses any bytes as a slot.
+// FuzzSlot parses arbitrary bytes as a slot.
 func FuzzSlot(f *testing.F) {
 	f.Add(append(encodeSlotHeader(3, []byte("snapshot")), "snapshot"...))
 	f.Add(encodeSlotHeader(1, nil))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		contents := parseSlot(data)
 		if contents.valid && len(contents.snapshot) > len(data)-slotHeaderSize {
-			t.Fatalf("%d bytes of %d", len(contents.snapshot), len(data))
+			t.Fatalf("snapshot of %d bytes in a file of %d bytes", len(contents.snapshot), len(data))
 		}
 	})
 }
 
-// TestRandomLogs parses a log that was changed at random, in the same ways in each run.
+// TestRandomLogs parses a log that was changed at random, with the same changes in each run.
 func TestRandomLogs(t *testing.T) {
 	log, counts := encodedTestLog(t)
 	if contents := parseLog(log); len(contents.records) != counts[len(testAppends)] || contents.corruptOffset != 0 {
-		t.Fatalf("the log itself: %+v", contents)
+		t.Fatalf("unchanged log: %+v", contents)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
 	for range randomCases {
@@ -116,17 +116,18 @@
 	}
 }
 
-// TestBatchesOfAnotherSequenceAreIgnored puts the batches of an earlier use of the file behind a new header.
+// TestBatchesOfAnotherSequenceAreIgnored parses a log in which batches of an earlier use of the file follow a new
+// header.
 func TestBatchesOfAnotherSequenceAreIgnored(t *testing.T) {
 	log, _ := encodedTestLog(t)
 	contents := parseLog(append(encodeLogHeader(testSequence+1), log[logHeaderSize:]...))
 	if !contents.valid || len(contents.records) != 0 || contents.corruptOffset != 0 {
-		t.Fatalf("%+v", contents)
+		t.Fatalf("log with batches of another sequence: %+v; want no records and no corruption", contents)
 	}
 }
 
-// TestCorruptionIsDistinguishedFromTornTail corrupts each batch in turn: only the last may pass for a torn
-// write.
+// TestCorruptionIsDistinguishedFromTornTail corrupts each batch in turn. Only a corrupt last batch may be treated
+// as a torn write.
 func TestCorruptionIsDistinguishedFromTornTail(t *testing.T) {
 	log, _ := encodedTestLog(t)
 	ends := []int{logHeaderSize}
@@ -140,7 +141,7 @@
 		contents := parseLog(changed)
 		isLast := number == len(testAppends)-1
 		if isLast != (contents.corruptOffset == 0) || contents.validSize != int64(start) {
-			t.Fatalf("batch %d: %+v", number, contents)
+			t.Fatalf("batch %d corrupted: %+v", number, contents)
 		}
 	}
 }
--- a/coord/slots/golden_test.go
+++ b/coord/slots/golden_test.go
@@ -8,8 +8,8 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// TestGolden compares the files of a store byte by byte with those that an earlier version wrote, and reads
-// those.
+// TestGolden compares the files of a store byte by byte with recorded ones of an earlier version, and opens the
+// recorded ones.
 func TestGolden(t *testing.T) {
 	disk := simulation.NewDisk(simulation.NewRand(1))
 	store, _ := mustOpen(t, disk)
@@ -38,11 +38,11 @@
 	}
 	_, recovered := mustOpen(t, copied)
 	if got, want := contentsOf(recovered), "one two|three,,four"; got != want || len(recovered.Findings) > 0 {
-		t.Errorf("the recorded files hold %q, damaged %v; want %q", got, recovered.Findings, want)
+		t.Errorf("the recorded files hold %q with findings %v; want %q without findings", got, recovered.Findings, want)
 	}
 }
 
-// writeFile makes a durable file.
+// writeFile writes a file and makes it durable.
 func writeFile(t *testing.T, fs slots.FS, name string, data []byte) {
 	t.Helper()
 	file, err := fs.Create(name)
--- a/coord/slots/history_test.go
+++ b/coord/slots/history_test.go
@@ -12,19 +12,19 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// model is what the store must hold: the state is the concatenation of all records, and its snapshot is the
-// state.
+// model is the expected contents of the store. The state is the concatenation of all records, and a snapshot is
+// the state at that time.
 type model struct {
 	acknowledged string
 	inFlight     string // the records of an append whose outcome is uncertain
 }
 
-// admits reports whether a recovered state is the acknowledged one, or that with the append in flight.
+// admits reports whether a recovered state is the acknowledged state, with or without the append in flight.
 func (m *model) admits(state string) bool {
 	return state == m.acknowledged || state == m.acknowledged+m.inFlight
 }
 
-// stateOf returns the state that a snapshot and records lead to.
+// stateOf returns the state that results from the recovered snapshot and records.
 func stateOf(recovered slots.Recovered) string {
 	state := string(recovered.Snapshot)
 	for _, record := range recovered.Records {
@@ -45,13 +45,13 @@
 	created bool // a store has been opened since the last wipe
 }
 
-// fail ends the test with the seed.
+// fail ends the test with a message that includes the seed.
 func (h *history) fail(format string, values ...any) {
 	h.t.Helper()
 	h.t.Fatalf("seed %d: %s", h.seed, fmt.Sprintf(format, values...))
 }
 
-// open recovers the store and checks what it found. The disk may lose power meanwhile.
+// open opens the store and checks the recovered state. The disk may lose power during that.
 func (h *history) open() {
 	store, recovered, err := slots.Open(h.disk, slots.Options{})
 	if errors.Is(err, simulation.ErrPowerLost) {
@@ -65,14 +65,14 @@
 		h.fail("open: %v", err)
 	}
 	if h.created && !recovered.Found {
-		h.fail("the store is gone")
+		h.fail("open found no store, although one had been created")
 	}
 	state := stateOf(recovered)
 	if !h.model.admits(state) {
 		h.fail("recovered %q, acknowledged %q, in flight %q", state, h.model.acknowledged, h.model.inFlight)
 	}
 	if recovered.DataLoss() {
-		h.fail("lost: %v", recovered.Findings)
+		h.fail("findings with data loss: %v", recovered.Findings)
 	}
 	h.model = model{acknowledged: state}
 	h.created = true
@@ -118,7 +118,7 @@
 	}
 }
 
-// step does one random operation, or injects a fault.
+// step runs one random operation or injects a fault.
 func (h *history) step() {
 	if h.store == nil {
 		h.recover()
@@ -141,7 +141,7 @@
 	}
 }
 
-// recover ends the process by a kill or a loss of power and opens the store again.
+// recover simulates a kill of the process or a loss of power, and opens the store again.
 func (h *history) recover() {
 	if h.random.Chance(0.7) {
 		h.disk.LosePower()
@@ -157,11 +157,12 @@
 	}
 }
 
-// seeds returns how many random runs a test does: some, or as many as the variable SIMULATION_SEEDS says.
-func seeds(t testing.TB, some int) int {
+// seeds returns the number of random runs of a test: the value of the environment variable SIMULATION_SEEDS, or
+// defaultCount if it isn't set.
+func seeds(t testing.TB, defaultCount int) int {
 	text := os.Getenv("SIMULATION_SEEDS")
 	if text == "" {
-		return some
+		return defaultCount
 	}
 	count, err := strconv.Atoi(text)
 	if err != nil {
@@ -170,8 +171,8 @@
 	return count
 }
 
-// TestRandomHistories runs stores on disks that fill up, lose power within any operation, and tear, lose and
-// reorder writes that were not synced. The recovered state must be the acknowledged one, or that with the
+// TestRandomHistories runs stores on disks that fill up, lose power during any operation, and tear, lose and
+// reorder writes that were not synced. The recovered state must be the acknowledged state, with or without the
 // append in flight.
 func TestRandomHistories(t *testing.T) {
 	for seed := range seeds(t, 1200) {
@@ -184,8 +185,8 @@
 	}
 }
 
-// TestPowerLossAtEveryStepOfACompaction takes the power away within each operation of a compaction, with many
-// outcomes for the writes that were not synced.
+// TestPowerLossAtEveryStepOfACompaction simulates a loss of power during each disk operation of a compaction, with
+// many outcomes for the writes that were not synced.
 func TestPowerLossAtEveryStepOfACompaction(t *testing.T) {
 	powerLosses := 0
 	for step := 1; ; step++ {
@@ -210,14 +211,14 @@
 			disk.LosePower()
 			store, recovered := mustOpen(t, disk)
 			if stateOf(recovered) != "abc" {
-				t.Fatalf("step %d, seed %d: %s", step, seed, contentsOf(recovered))
+				t.Fatalf("step %d, seed %d: recovered %s; want the state abc", step, seed, contentsOf(recovered))
 			}
 			if err := store.Append(texts("d")...); err != nil {
 				t.Fatal(err)
 			}
 			_, recovered = mustOpen(t, disk)
 			if stateOf(recovered) != "abcd" {
-				t.Fatalf("step %d, seed %d, then: %s", step, seed, contentsOf(recovered))
+				t.Fatalf("step %d, seed %d: recovered %s after an append; want the state abcd", step, seed, contentsOf(recovered))
 			}
 		}
 		if completed {
@@ -225,11 +226,11 @@
 		}
 	}
 	if powerLosses < 200 {
-		t.Fatalf("only %d losses of power", powerLosses)
+		t.Fatalf("%d losses of power; want at least 200", powerLosses)
 	}
 }
 
-// TestPowerLossDuringWipeNeverRestoresAnOlderState takes the power away within each operation of Wipe.
+// TestPowerLossDuringWipeNeverRestoresAnOlderState simulates a loss of power during each disk operation of Wipe.
 func TestPowerLossDuringWipeNeverRestoresAnOlderState(t *testing.T) {
 	for step := 1; step < 40; step++ {
 		for seed := range uint64(30) {
@@ -251,7 +252,7 @@
 			case err != nil:
 				t.Fatalf("step %d, seed %d: %v", step, seed, err)
 			case recovered.Found && contentsOf(recovered) != "b|c":
-				t.Fatalf("step %d, seed %d: %s", step, seed, contentsOf(recovered))
+				t.Fatalf("step %d, seed %d: recovered %s; want b|c", step, seed, contentsOf(recovered))
 			}
 		}
 	}
--- a/coord/slots/open.go
+++ b/coord/slots/open.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Open opens the store in a folder, or creates an empty one, and returns what to recover the state from. If
-// acknowledged state is missing it returns ErrCorrupt, no store, and whatever is readable.
+// Open opens the store in a folder, or creates an empty one, and returns the snapshot and records from which to
+// recover the state. If acknowledged state is missing, it returns ErrCorrupt, no store, and the readable part of
+// the state.
 func Open(fs FS, options Options) (*Store, Recovered, error) {
 	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
@@ -26,8 +27,8 @@
 	return s, recovered, nil
 }
 
-// createEmpty creates the files of an empty store. The slot that makes it valid comes last, once all names
-// are durable.
+// createEmpty creates the files of an empty store. It writes the slot that makes the store valid last, once all
+// names are durable.
 func (s *Store) createEmpty() error {
 	s.sequence = 1
 	for number := range 2 {
@@ -50,9 +51,8 @@
 	return s.openLog(logHeaderSize)
 }
 
-// openExisting takes over the files that were found. It makes durable what recover has returned to the
-// caller, since a killed process may have left it unsynced, and truncates the log behind its last valid
-// batch.
+// openExisting opens the store on the files that were found. It syncs the state that recover has returned, since
+// a killed process may have left it unsynced, and truncates the log after its last valid batch.
 func (s *Store) openExisting(files *storeFiles, active int) error {
 	s.active = active
 	s.sequence = files.slots[active].sequence
@@ -82,8 +82,7 @@
 	return s.log.Sync()
 }
 
-// recreateInactive creates the inactive slot and log anew, empty, after at least one of them was found
-// missing.
+// recreateInactive replaces the inactive slot and log by empty files, after at least one file was found missing.
 func (s *Store) recreateInactive() error {
 	inactive := 1 - s.active
 	if err := s.writeFile(logName(s.prefix, inactive)); err != nil {
@@ -92,9 +91,9 @@
 	return s.writeFile(slotName(s.prefix, inactive))
 }
 
-// truncateTornSlot empties the inactive slot if a Compact was interrupted in it. The writes of that Compact
-// may not be durable yet: mixed with those of the next Compact, which has the same sequence, a loss of power
-// could make a valid slot of them.
+// truncateTornSlot empties the inactive slot if it isn't valid, as after an interrupted Compact. The writes of
+// that Compact may not be durable yet. The next Compact has the same sequence, and after a loss of power the
+// writes of both, mixed, could form a valid slot.
 func (s *Store) truncateTornSlot(files *storeFiles) error {
 	inactive := 1 - s.active
 	if files.slots[inactive].valid {
@@ -103,7 +102,7 @@
 	return s.writeFile(slotName(s.prefix, inactive))
 }
 
-// openLog opens the active log, of which this many bytes are valid.
+// openLog opens the active log, whose first validSize bytes are valid.
 func (s *Store) openLog(validSize int64) error {
 	log, err := s.fs.Open(logName(s.prefix, s.active))
 	if err != nil {
--- a/coord/slots/recover.go
+++ b/coord/slots/recover.go
@@ -6,15 +6,16 @@
 	"strings"
 )
 
-// Finding is something on the disk that is not as it should be.
+// Finding describes a torn or corrupt part of a file.
 type Finding struct {
 	// File is the name of the file.
 	File string
-	// Offset is where in the file it is, in bytes from its start.
+	// Offset is the position in the file, in bytes from its start.
 	Offset int64
-	// Problem describes it for people.
+	// Problem describes the finding for people.
 	Problem string
-	// DataLoss is true if acknowledged state is missing because of it. Without, it is what a crash leaves.
+	// DataLoss is true if acknowledged state is missing because of the finding. If false, the
+	// finding is treated as the result of a crash.
 	DataLoss bool
 }
 
@@ -23,15 +24,15 @@
 	return fmt.Sprintf("%s at %d: %s", f.File, f.Offset, f.Problem)
 }
 
-// Recovered is what Open found on the disk.
+// Recovered is the state that Open found on the disk.
 type Recovered struct {
-	// Snapshot is that of the last Compact, empty before the first.
+	// Snapshot is the snapshot of the last Compact, empty before the first Compact.
 	Snapshot []byte
-	// Records are those appended since, in order.
+	// Records are the records appended since, in order.
 	Records [][]byte
-	// Found is true if there was a store. A first Open that crashed leaves none.
+	// Found is true if there was a store. If the first Open crashed, there is none.
 	Found bool
-	// Findings are what was wrong in the files.
+	// Findings are the torn and corrupt parts of the files.
 	Findings []Finding
 }
 
@@ -40,7 +41,7 @@
 	return slices.ContainsFunc(r.Findings, func(finding Finding) bool { return finding.DataLoss })
 }
 
-// describeFindings returns the findings in one line.
+// describeFindings returns a description of all findings in one line.
 func (r Recovered) describeFindings() string {
 	texts := make([]string, 0, len(r.Findings))
 	for _, finding := range r.Findings {
@@ -49,7 +50,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// addFinding adds a finding; dataLoss says whether acknowledged state is missing because of it.
+// addFinding adds a finding. dataLoss must be true if acknowledged state is missing because of it.
 func (r *Recovered) addFinding(file string, offset int64, problem string, dataLoss bool) {
 	finding := Finding{File: file, Offset: offset, Problem: problem, DataLoss: dataLoss}
 	r.Findings = append(r.Findings, finding)
@@ -61,7 +62,7 @@
 // logName returns the name of the log with a number, 0 or 1.
 func logName(prefix string, number int) string { return fmt.Sprintf("%slog-%d", prefix, number) }
 
-// storeFiles is what the files of a store hold.
+// storeFiles is the contents of the files of a store.
 type storeFiles struct {
 	prefix  string
 	slots   [2]slotContents
@@ -87,7 +88,7 @@
 	return files, nil
 }
 
-// read returns a file's contents, or none if it doesn't exist.
+// read returns a file's contents. If the file doesn't exist, it returns nil and sets missing.
 func (f *storeFiles) read(fs FS, name string) ([]byte, error) {
 	data, err := fs.ReadAll(name)
 	if isNotExist(err) {
@@ -108,8 +109,7 @@
 	return newest
 }
 
-// recover returns the state on the disk and the number of the slot that it starts from, or -1 if there is
-// none.
+// recover returns the state on the disk and the number of the slot with its snapshot, or -1 if no slot is valid.
 func (f *storeFiles) recover() (Recovered, int) {
 	active := f.newestSlot()
 	if active < 0 {
@@ -122,8 +122,8 @@
 	if !f.slots[inactive].valid && !f.slots[inactive].empty {
 		recovered.addFinding(slotName(f.prefix, inactive), 0, "torn or damaged snapshot", false)
 	}
-	// Batches are appended to a log only after its slot was synced: if there are some above the newest valid
-	// slot, a newer slot was acknowledged and has been lost.
+	// Batches are appended to a log only after its slot was synced. If a log with a higher sequence than the
+	// newest valid slot holds batches, a newer slot was acknowledged and has been lost.
 	if f.logs[inactive].valid && f.logs[inactive].sequence > sequence && f.logs[inactive].batches > 0 {
 		recovered.addFinding(slotName(f.prefix, inactive), 0, "damaged snapshot that records follow", true)
 		recovered.Records = append(recovered.Records, f.logs[inactive].records...)
@@ -131,8 +131,8 @@
 	return recovered, active
 }
 
-// recoverWithoutSlot returns the state if no slot is valid. Records without the snapshot that they follow are
-// useless.
+// recoverWithoutSlot returns the state if no slot is valid. It returns no records, as records can't be used
+// without the snapshot that they follow.
 func (f *storeFiles) recoverWithoutSlot() Recovered {
 	var recovered Recovered
 	for number, log := range f.logs {
@@ -144,7 +144,7 @@
 	return recovered
 }
 
-// replayLog adds the records of the active log, whose sequence must be that of its slot.
+// replayLog adds the records of the active log, whose sequence must equal the given one of its slot.
 func (f *storeFiles) replayLog(recovered *Recovered, number int, sequence uint64) {
 	log := f.logs[number]
 	name := logName(f.prefix, number)
--- a/coord/slots/store.go
+++ b/coord/slots/store.go
@@ -9,40 +9,40 @@
 // maxKeptBuffer is the largest encoding buffer in bytes that is kept from one Append to the next.
 const maxKeptBuffer = 64 << 10
 
-// Options adjusts a store.
+// Options configures a store.
 type Options struct {
-	// Prefix starts the names of the store's files, so that several stores can share a folder.
+	// Prefix is the prefix of the names of the store's files. Several stores can share a folder with different
+	// prefixes.
 	Prefix string
 }
 
-// Store is an open store. Its methods may be called by several goroutines at once; they run one after the
-// other.
+// Store is an open store. Its methods are safe for concurrent use; calls are serialized.
 type Store struct {
 	fs     FS
 	prefix string
 
-	// mutex guards all fields below. It is held during writes and syncs, which makes the order of the batches
-	// on disk that of the calls.
+	// mutex guards all fields below. It is held during writes and syncs, so that the batches on disk are in the
+	// order of the calls.
 	mutex sync.Mutex
 	// active is the number of the slot and log that hold the state: 0 or 1.
 	active int
-	// sequence is that of the active slot and log.
+	// sequence is the sequence of the active slot and log.
 	sequence uint64
-	// log is the active log, nil once closed. Its first logSize bytes are valid and synced, and hold this
-	// many batches.
+	// log is the active log, nil once closed. Its first logSize bytes are valid and synced. batches is the
+	// number of batches in them.
 	log     File
 	logSize int64
 	batches uint32
 	// buffer is reused to encode batches.
 	buffer []byte
-	// uncertain is why it is unknown what the disk holds, wrapping ErrUncertain; nil while it is known.
+	// uncertain is an error that wraps ErrUncertain if the contents of the disk are unknown, or nil.
 	uncertain error
 	closed    bool
 }
 
-// Append stores records behind all earlier ones, all or none of them. They are durable when it returns nil.
-// After ErrUncertain it is unknown whether they are stored; after any other error, such as ErrDiskFull, none
-// is.
+// Append appends records to the log, all or none of them. They are durable when it returns nil. After
+// ErrUncertain it is unknown whether they are stored; after any other error, such as ErrDiskFull, none of them is
+// stored.
 func (s *Store) Append(records ...[]byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// checkAppendable returns why nothing can be appended, or nil. The caller holds the mutex.
+// checkAppendable returns an error if the store is closed or the contents of the disk are unknown. The caller
+// holds the mutex.
 func (s *Store) checkAppendable() error {
 	if s.closed {
 		return ErrClosed
@@ -79,8 +80,8 @@
 	return s.uncertain
 }
 
-// undoAppend truncates the log to what was valid before a failed append, and returns the error of the append.
-// Without this a batch that was reported as failed could be found by the next Open.
+// undoAppend truncates the log to its size before a failed append, and returns the error of the append. Without
+// this, the next Open could find a batch that was reported as failed.
 func (s *Store) undoAppend(cause error) error {
 	err := s.log.Truncate(s.logSize)
 	if err == nil {
@@ -93,7 +94,7 @@
 	return fmt.Errorf("slots: append: %w", markDiskFull(cause))
 }
 
-// LogBytes returns the size in bytes of the log since the last Compact, by which the caller decides when to
+// LogBytes returns the size in bytes of the log since the last Compact. The caller uses it to decide when to
 // compact.
 func (s *Store) LogBytes() int64 {
 	s.mutex.Lock()
@@ -101,7 +102,7 @@
 	return s.logSize
 }
 
-// Close closes the store. What was acknowledged is durable already.
+// Close closes the store. Acknowledged records and snapshots are already durable.
 func (s *Store) Close() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -114,8 +115,8 @@
 	return err
 }
 
-// closeLog closes the active log, if it is open. All that matters in it is synced, so that an error of Close
-// means nothing.
+// closeLog closes the active log, if it is open. It ignores the error, because all acknowledged contents are
+// already synced.
 func (s *Store) closeLog() {
 	if s.log != nil {
 		_ = s.log.Close()
@@ -123,8 +124,8 @@
 	}
 }
 
-// writeFile replaces the contents of a file by these parts and syncs it. Without parts the file becomes
-// empty.
+// writeFile replaces the contents of a file by the concatenation of parts and syncs it. Without parts the file
+// becomes empty.
 func (s *Store) writeFile(name string, parts ...[]byte) error {
 	file, err := s.fs.Create(name)
 	if err != nil {
--- a/coord/slots/store_test.go
+++ b/coord/slots/store_test.go
@@ -14,7 +14,7 @@
 	"sprucelane.example/sprucelane/internal/simulation"
 )
 
-// texts returns records of these texts.
+// texts returns the values as records.
 func texts(values ...string) [][]byte {
 	var records [][]byte
 	for _, value := range values {
@@ -23,12 +23,12 @@
 	return records
 }
 
-// contentsOf returns a recovered state in one line: the snapshot, then the records.
+// contentsOf returns a recovered state as the snapshot, a vertical bar and the records.
 func contentsOf(recovered slots.Recovered) string {
 	return fmt.Sprintf("%s|%s", recovered.Snapshot, bytes.Join(recovered.Records, []byte(",")))
 }
 
-// mustOpen opens a store, or creates it, and fails the test if it can't.
+// mustOpen opens or creates a store, and fails the test on an error.
 func mustOpen(t testing.TB, fs slots.FS) (*slots.Store, slots.Recovered) {
 	t.Helper()
 	store, recovered, err := slots.Open(fs, slots.Options{})
@@ -49,7 +49,7 @@
 			store, recovered := mustOpen(t, fs)
 			So(recovered.Found, ShouldBeFalse)
 
-			Convey("an empty store is found empty", func() {
+			Convey("an empty store is recovered as empty", func() {
 				So(store.Close(), ShouldBeNil)
 				_, recovered := mustOpen(t, fs)
 				So(recovered.Found, ShouldBeTrue)
@@ -57,7 +57,7 @@
 				So(recovered.Findings, ShouldBeEmpty)
 			})
 
-			Convey("records and snapshots come back in order", func() {
+			Convey("records and snapshots are recovered in order", func() {
 				So(store.Append(texts("a", "", "b")...), ShouldBeNil)
 				So(store.Append(texts("c")...), ShouldBeNil)
 				So(store.Append(), ShouldBeNil)
@@ -78,13 +78,13 @@
 				So(recovered.Findings, ShouldBeEmpty)
 			})
 
-			Convey("a closed store refuses", func() {
+			Convey("a closed store rejects calls", func() {
 				So(store.Close(), ShouldBeNil)
 				So(store.Append(texts("a")...), ShouldEqual, slots.ErrClosed)
 				So(store.Compact(nil), ShouldEqual, slots.ErrClosed)
 			})
 
-			Convey("after Wipe nothing is found", func() {
+			Convey("after Wipe no store is found", func() {
 				So(store.Append(texts("a")...), ShouldBeNil)
 				So(store.Compact([]byte("a")), ShouldBeNil)
 				So(store.Append(texts("b")...), ShouldBeNil)
@@ -110,7 +110,7 @@
 }
 
 func TestLogTruncatedAtEveryByte(t *testing.T) {
-	Convey("A log truncated at any byte yields the appends that are complete", t, func() {
+	Convey("A log truncated at any byte yields the complete appends before that byte", t, func() {
 		folder := t.TempDir()
 		store, _ := mustOpen(t, slots.Directory(folder))
 		want := map[int64]string{store.LogBytes(): "|"}
@@ -145,7 +145,7 @@
 				t.Fatalf("truncated at %d: %s, want %s", length, contentsOf(recovered), want[end])
 			}
 			if len(recovered.Findings) > 0 != (length > end) || recovered.DataLoss() {
-				t.Fatalf("truncated at %d: %v", length, recovered.Findings)
+				t.Fatalf("truncated at %d: findings %v", length, recovered.Findings)
 			}
 		}
 		for length := range ends[0] {
@@ -154,14 +154,14 @@
 			}
 			_, recovered, err := slots.Open(slots.Directory(folder), slots.Options{})
 			if !errors.Is(err, slots.ErrCorrupt) || !recovered.Found {
-				t.Fatalf("header truncated at %d: %v", length, err)
+				t.Fatalf("header truncated at %d: error %v; want ErrCorrupt", length, err)
 			}
 		}
 	})
 }
 
 func TestEveryFlippedBit(t *testing.T) {
-	Convey("A flipped bit is never taken for good contents", t, func() {
+	Convey("A flipped bit is never accepted as valid contents", t, func() {
 		build := func() (*simulation.Disk, *slots.Store) {
 			disk := simulation.NewDisk(simulation.NewRand(1))
 			store, _ := mustOpen(t, disk)
@@ -186,7 +186,7 @@
 				disk, store := build()
 				disk.FlipBit(name, offset, int(offset))
 				if store.Verify() == nil {
-					t.Fatalf("%s at %d: not verified", name, offset)
+					t.Fatalf("%s at %d: Verify didn't detect the flipped bit", name, offset)
 				}
 				_, recovered, err := slots.Open(disk, slots.Options{})
 				lastBatch := name == "log-1" && offset >= size-14
@@ -223,7 +223,7 @@
 			So(recovered.Findings, ShouldBeEmpty)
 		})
 
-		Convey("a snapshot that doesn't fit is reported and the old state goes on", func() {
+		Convey("a snapshot that doesn't fit is reported and the old state stays in use", func() {
 			err := store.Compact(large)
 			So(errors.Is(err, slots.ErrDiskFull), ShouldBeTrue)
 			So(store.Append(texts("b")...), ShouldBeNil)
--- a/coord/slots/verify.go
+++ b/coord/slots/verify.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Verify reads the store in a folder as Open does, and changes nothing. If another process has the store
-// open, the result may lack the Append or the Compact in flight. If acknowledged state is missing it returns
-// ErrCorrupt and whatever is readable.
+// Verify reads the store in a folder as Open does, without changing anything. If another process has the store
+// open, the result may lack the Append or the Compact in flight. If acknowledged state is missing, it returns
+// ErrCorrupt and the readable part of the state.
 func Verify(fs FS, options Options) (Recovered, error) {
 	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
@@ -18,8 +18,8 @@
 }
 
 // Verify reads the files again, to find corruption while other replicas still have the state. It returns
-// ErrCorrupt if they don't hold exactly what was acknowledged: unlike Open it knows how long the log must be.
-// Appends wait meanwhile.
+// ErrCorrupt if they don't hold exactly the acknowledged state. Unlike Open, it knows how long the log must be.
+// It blocks appends while it reads.
 func (s *Store) Verify() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/coord/slots/verify_test.go
+++ b/coord/slots/verify_test.go
@@ -10,7 +10,7 @@
 func TestVerifyReadsAndChangesNothing(t *testing.T) {
 	folder := t.TempDir()
 	if got, err := Verify(Directory(folder), Options{}); err != nil || got.Found {
-		t.Fatalf("an empty folder: %+v, %v", got, err)
+		t.Fatalf("Verify of an empty folder: %+v, %v", got, err)
 	}
 	store, _, err := Open(Directory(folder), Options{})
 	if err != nil {
@@ -26,21 +26,21 @@
 	}
 	got, err := Verify(Directory(folder), Options{})
 	if err != nil || !got.Found || len(got.Records) != 2 {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("Verify: %+v, %v; want two records", got, err)
 	}
 
-	damage(t, folder)
+	corruptFirstRecord(t, folder)
 	before := filesOf(t, folder)
 	if _, err := Verify(Directory(folder), Options{}); !errors.Is(err, ErrCorrupt) {
-		t.Fatalf("a damaged first record: %v", err)
+		t.Fatalf("Verify with a corrupt first record: %v; want ErrCorrupt", err)
 	}
 	if after := filesOf(t, folder); after != before {
-		t.Fatal("the files were changed")
+		t.Fatal("Verify changed the files")
 	}
 }
 
-// damage changes a byte of the first record of whichever log has records.
-func damage(t *testing.T, folder string) {
+// corruptFirstRecord changes a byte of the first record, in the log that holds records.
+func corruptFirstRecord(t *testing.T, folder string) {
 	t.Helper()
 	for _, name := range []string{"log-0", "log-1"} {
 		path := filepath.Join(folder, name)
@@ -61,7 +61,7 @@
 	t.Fatal("no log holds the first record")
 }
 
-// filesOf returns names and contents of all files in a folder.
+// filesOf returns the names and contents of all files in a folder.
 func filesOf(t *testing.T, folder string) string {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/coord/slots/wipe.go
+++ b/coord/slots/wipe.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// Wipe removes a store, so that the next Open finds none. A crash within it leaves no store, the same state
-// as before, or one that Open reports as ErrCorrupt, but never an older state: the older slot is truncated
-// first, and the logs only after both slots, so that their records still show that state is missing.
+// Wipe removes a store, so that the next Open finds none. A crash during Wipe leaves no store, the same state as
+// before, or a store for which Open returns ErrCorrupt, but never an older state. For this, it empties the older
+// slot first, and the logs only after both slots, so that their records still show that state is missing.
 func Wipe(fs FS, options Options) error {
 	files, err := loadFiles(fs, options.Prefix)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return [2]int{0, 1}
 }
 
-// removeAll removes the files, which are empty by now.
+// removeAll removes the store's files, which Wipe has emptied before.
 func (s *Store) removeAll() error {
 	var failures []error
 	for _, name := range storeFileNames(s.prefix) {
