--- a/coord/membership/datagram/datagram_test.go
+++ b/coord/membership/datagram/datagram_test.go
@@ -151,7 +151,7 @@
 }
 
 func TestCodec(t *testing.T) {
-	Convey("Messages come back as they were, in datagrams of a bounded size", t, func() {
+	Convey("Messages decode unchanged, from datagrams of a bounded size", t, func() {
 		for _, count := range []int{0, 1, 64, 300} {
 			message := testMessage(count)
 			var updates []membership.Update
@@ -169,7 +169,7 @@
 		}
 	})
 
-	Convey("Every truncated datagram is rejected, and random changes do no harm", t, func() {
+	Convey("Every truncated datagram is rejected, and random changes don't break decoding", t, func() {
 		valid := encode(7, testMessage(5))[0]
 		for cut := range valid {
 			if _, err := decode(7, valid[:cut]); err == nil {
--- a/coord/membership/detect.go
+++ b/coord/membership/detect.go
@@ -73,8 +73,8 @@
 }
 
 // inquire probes a machine directly, and indirectly through its other monitors and Config.Monitors machines
-// chosen at random. The monitors have the most recent contact with it, and the random machines may still reach
-// it if the monitors are partitioned from it.
+// chosen at random. The monitors know most about it, and the random machines may still reach it if the
+// monitors are partitioned from it.
 func (n *Node) inquire(name string) {
 	n.sequence++
 	n.send(name, Message{Kind: Probe, Sequence: n.sequence, Digest: n.table.digest(), Updates: n.piggyback()})
@@ -138,7 +138,7 @@
 }
 
 // recordRefutation records that a machine has raised its incarnation. The machine was alive a short while ago,
-// but this machine had no contact with it, so that the watch restarts.
+// but this machine didn't observe that itself, so that the watch restarts.
 func (n *Node) recordRefutation(name string, now time.Time) {
 	if watched, ok := n.watches[name]; ok {
 		*watched = watch{lastContact: now}
--- a/coord/transport/fuzz_test.go
+++ b/coord/transport/fuzz_test.go
@@ -97,8 +97,8 @@
 	if err == nil {
 		t.Fatal("a stream without an end")
 	}
-	if taken := after.TotalAlloc - before.TotalAlloc; taken > 64<<20 {
-		t.Fatalf("%d bytes allocated for a stream of %d: %x", taken, len(stream), stream)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 64<<20 {
+		t.Fatalf("%d bytes allocated for a stream of %d: %x", allocated, len(stream), stream)
 	}
 }
 
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	runtime.ReadMemStats(&after)
-	if taken := after.TotalAlloc - before.TotalAlloc; taken > 2*readChunk {
-		t.Fatalf("%d bytes allocated for a frame without payload", taken)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 2*readChunk {
+		t.Fatalf("%d bytes allocated for a frame without payload", allocated)
 	}
 }
--- a/coord/transport/hostile_test.go
+++ b/coord/transport/hostile_test.go
@@ -59,7 +59,7 @@
 		{"garbage for gob", true, rawFrame(byte(frameRequest), 1, append([]byte{1, 3}, "int\xff\xff\xff"...)), ErrCorrupt},
 		{"bytes after the value", true, rawFrame(byte(frameRequest), 1, []byte{0, 9}), ErrCorrupt},
 	}
-	Convey("Given a server with a good client", t, func() {
+	Convey("Given a server with a connected client", t, func() {
 		var log errorLog
 		options := testOptions("server")
 		options.Log = log.log
--- a/coord/transport/simulation_test.go
+++ b/coord/transport/simulation_test.go
@@ -80,25 +80,25 @@
 // relay forwards a random number of bytes. Then it ends both connections, stops reading, or continues to read
 // and discards everything.
 func (s *callSimulation) relay(to, from net.Conn) {
-	left := s.draw(maxBytesBeforeFault)
-	how := s.draw(3)
+	remaining := s.draw(maxBytesBeforeFault)
+	fault := s.draw(3)
 	buffer := make([]byte, maxRelayChunk)
 	for {
 		n, err := from.Read(buffer[:1+s.draw(len(buffer))])
 		time.Sleep(time.Duration(s.draw(int(maxRelayDelay))))
-		if left -= n; err != nil || left < 0 && how == 0 {
-			_, _ = to.Write(buffer[:max(0, min(n, n+left))])
+		if remaining -= n; err != nil || remaining < 0 && fault == 0 {
+			_, _ = to.Write(buffer[:max(0, min(n, n+remaining))])
 			to.Close()
 			from.Close()
 			return
 		}
-		if left < 0 && how == 1 {
+		if remaining < 0 && fault == 1 {
 			<-s.done
 			to.Close()
 			from.Close()
 			return
 		}
-		if left < 0 {
+		if remaining < 0 {
 			continue
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -257,20 +257,20 @@
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		simulations = n
 	}
-	all := map[string]int{}
+	totals := map[string]int{}
 	for at := range simulations {
 		seed := first + uint64(at)
 		violations, counts := simulateCalls(t, seed, injectedBugs{})
-		for _, one := range violations {
-			t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, one)
+		for _, violation := range violations {
+			t.Errorf("replay with FIRST=%d SEEDS=1: %s", seed, violation)
 		}
 		for name, n := range counts {
-			all[name] += n
+			totals[name] += n
 		}
 	}
-	t.Log(simulations, "simulations from", first, all)
+	t.Log(simulations, "simulations from", first, totals)
 	for _, name := range []string{"replies", "uncertain", "not sent", "doubled replies"} {
-		if all[name] == 0 {
+		if totals[name] == 0 {
 			t.Errorf("no simulation had the outcome or fault %q", name)
 		}
 	}
--- a/coord/transport/writer.go
+++ b/coord/transport/writer.go
@@ -11,7 +11,7 @@
 // reads slowly isn't disconnected as one that reads nothing.
 const writeChunk = 256 << 10
 
-// writeLoop writes all pending frames together until the link ends.
+// writeLoop writes all pending frames together, with one system call per writeChunk, until the link ends.
 func (l *link) writeLoop() {
 	for {
 		select {
