--- a/coord/membership/doc.go
+++ b/coord/membership/doc.go
@@ -68,6 +68,7 @@
 // Create a Node, call Tick at the time that Next returns, and Receive for each message. Send Output.Messages
 // without waiting for an answer, and act on Output.Changes. Messages may be lost, repeated or reordered.
 //
-// The table is eventually consistent and may be wrong for a while: the state Dead does not prove that a
-// machine has stopped. Where proof is needed, agree on a view (coord/view) or hold a lease (coord/lease).
+// The table is eventually consistent and may be wrong for a while: the state Dead is a reason to act, but does
+// not prove that a machine has stopped. Where proof is needed, agree on a view (coord/view) or hold a lease
+// (coord/lease).
 package membership
--- a/coord/transport/partition/connection.go
+++ b/coord/transport/partition/connection.go
@@ -56,8 +56,8 @@
 	closeOnce  sync.Once
 	closed     chan struct{} // closed by Close
 
-	// mutex guards the fields below. The deadlines are those that the caller set, or zero. They also bound the
-	// waits for a link to heal, to which the deadlines of the underlying connection don't apply.
+	// mutex guards the fields below. The deadlines are those that the caller set, zero for none. They also
+	// bound the waits for a link to heal, to which the deadlines of the underlying connection don't apply.
 	mutex         sync.Mutex
 	interrupted   bool // interruptIO has set the deadlines, which must not be changed
 	readDeadline  time.Time
